--- /dev/null
+++ b/cmd/agent/main.go
@@ -0,0 +1,22 @@
+// Command agent is the agent beside a proxy: it keeps the link to the core and feeds the proxy over loopback.
+package main
+
+import (
+	"os"
+
+	"github.com/samber/oops"
+
+	"weirwind/internal/agent"
+	"weirwind/internal/process"
+	"weirwind/internal/settings"
+)
+
+func main() {
+	os.Exit(process.Main(process.Role{Name: "agent", About: "the agent beside a proxy", Run: agent.Run,
+		Needs: func(s *settings.Settings) error {
+			if len(s.Peers) == 0 {
+				return oops.In("settings").Errorf("an agent needs peers")
+			}
+			return nil
+		}}, os.Args[1:], os.Stdout))
+}
--- /dev/null
+++ b/cmd/controlplane/main.go
@@ -0,0 +1,23 @@
+// Command controlplane is a machine of the core: the control plane that keeps the operator's word, knows members and drivers, and
+// has primaries replaced.
+package main
+
+import (
+	"os"
+
+	"github.com/samber/oops"
+
+	"weirwind/internal/controlplane"
+	"weirwind/internal/process"
+	"weirwind/internal/settings"
+)
+
+func main() {
+	os.Exit(process.Main(process.Role{Name: "controlplane", About: "a machine of the core, the control plane", Run: controlplane.Run,
+		Needs: func(s *settings.Settings) error {
+			if s.Ctl == "" || s.DataDir == "" {
+				return oops.In("settings").Errorf("a machine of the core needs listen.ctl and datadir")
+			}
+			return nil
+		}}, os.Args[1:], os.Stdout))
+}
--- /dev/null
+++ b/cmd/proxy/main.go
@@ -0,0 +1,22 @@
+// Command proxy is the proxy on a front machine: it takes clients' sessions and carries their statements to members.
+package main
+
+import (
+	"os"
+
+	"github.com/samber/oops"
+
+	"weirwind/internal/process"
+	"weirwind/internal/proxy"
+	"weirwind/internal/settings"
+)
+
+func main() {
+	os.Exit(process.Main(process.Role{Name: "proxy", About: "the proxy between clients and members", Run: proxy.Run,
+		Needs: func(s *settings.Settings) error {
+			if s.Front == "" || s.Ready == "" {
+				return oops.In("settings").Errorf("a proxy needs listen.front and listen.readyAddr")
+			}
+			return nil
+		}}, os.Args[1:], os.Stdout))
+}
--- /dev/null
+++ b/cmd/sessionedge/main.go
@@ -0,0 +1,22 @@
+// Command sessionedge is an edge, where the websockets of open sessions end. docs/sessions.md.
+package main
+
+import (
+	"os"
+
+	"github.com/samber/oops"
+
+	"weirwind/internal/process"
+	"weirwind/internal/sessionedge"
+	"weirwind/internal/settings"
+)
+
+func main() {
+	os.Exit(process.Main(process.Role{Name: "sessionedge", About: "an edge of open sessions", Run: sessionedge.Run,
+		Needs: func(s *settings.Settings) error {
+			if len(s.Peers) == 0 || s.Front == "" {
+				return oops.In("settings").Errorf("an edge needs peers and listen.front")
+			}
+			return nil
+		}}, os.Args[1:], os.Stdout))
+}
--- /dev/null
+++ b/cmd/sessionsite/main.go
@@ -0,0 +1,22 @@
+// Command sessionsite is a site that holds open websocket sessions with what is queued for them. docs/sessions.md.
+package main
+
+import (
+	"os"
+
+	"github.com/samber/oops"
+
+	"weirwind/internal/process"
+	"weirwind/internal/sessionsite"
+	"weirwind/internal/settings"
+)
+
+func main() {
+	os.Exit(process.Main(process.Role{Name: "sessionsite", About: "a site of open sessions", Run: sessionsite.Run,
+		Needs: func(s *settings.Settings) error {
+			if len(s.Peers) == 0 || s.Ready == "" {
+				return oops.In("settings").Errorf("a site needs peers and listen.readyAddr")
+			}
+			return nil
+		}}, os.Args[1:], os.Stdout))
+}
--- a/internal/britannia/britannia.go
+++ b/internal/agent/agent.go
@@ -1,10 +1,9 @@
-// Package britannia is the agent beside each proxy: it holds the driver's lease at the core, takes news from there and from a few
-// fellow agents, passes it on to them, and feeds the proxy on its machine over loopback. It is named after the Britanniahütte,
-// from which supplies go on to the huts around.
+// Package agent is the agent beside each proxy: it holds the driver's lease at the core, takes news from there and
+// from a few peer agents, passes it on to them, and feeds the proxy on its machine over loopback.
 //
 // This file owns the agent's tables, in one goroutine with a queue of commands. It decides nothing about traffic: what it has
 // not heard, its proxy doesn't know, and what it heard once holds until it hears better.
-package britannia
+package agent
 
 import (
 	"context"
@@ -15,59 +14,59 @@
 
 	"github.com/samber/oops"
 
-	"weirwind/internal/bertol"
-	"weirwind/internal/kungsleden"
-	"weirwind/internal/monterosa"
-	"weirwind/internal/oberaar"
-	"weirwind/internal/payer"
-	"weirwind/internal/tuckett"
-	"weirwind/internal/viaalpina"
+	"weirwind/internal/commandqueue"
+	"weirwind/internal/controlmsg"
+	"weirwind/internal/directory"
+	"weirwind/internal/events"
+	"weirwind/internal/settings"
+	"weirwind/internal/shard/shardmap"
+	"weirwind/internal/transport"
 )
 
-type link = viaalpina.Link[tuckett.Frame]
+type link = transport.Link[controlmsg.Frame]
 
 const (
 	renewEvery  = time.Second
 	digestEvery = 3 * time.Second
-	fellowsFew  = 2
+	peerCount   = 2
 	linkIdle    = 3500 * time.Millisecond
 	memberKeep  = 90 * time.Second
 )
 
 // Agent is one.
 type Agent struct {
-	set *kungsleden.Settings
-	log bertol.Log
+	set *settings.Settings
+	log events.Log
 	ctx context.Context
-	q   *payer.Queue
+	q   *commandqueue.Queue
 	at  time.Time
 
-	self    monterosa.Driver
+	self    directory.Driver
 	gen     uint64
 	config  []byte
-	members *monterosa.Members
-	drivers []monterosa.Driver
+	members *directory.Members
+	drivers []directory.Driver
 	cores   []string
-	shards  *oberaar.Map
+	shards  *shardmap.Map
 
 	core    *link
 	proxies map[*link]bool
-	fellows map[string]*fellow // by address
+	peers   map[string]*peer // by address
 	nth     int
 }
 
-type fellow struct {
+type peer struct {
 	l    *link
 	stop context.CancelFunc
 }
 
 // Run serves until ctx ends.
-func Run(ctx context.Context, s *kungsleden.Settings, log bertol.Log) error {
+func Run(ctx context.Context, s *settings.Settings, log events.Log) error {
 	inner, stop := context.WithCancel(context.Background())
 	defer stop()
-	a := &Agent{set: s, log: log, ctx: inner, q: payer.New(inner, 1024), at: time.Now(), members: monterosa.NewMembers(),
-		proxies: map[*link]bool{}, fellows: map[string]*fellow{}, cores: s.Peers}
-	a.self = monterosa.Driver{Name: s.Hostname, Addr: s.Port(s.IP, 0), Zone: s.Zone, Life: uint64(time.Now().UnixMilli())}
+	a := &Agent{set: s, log: log, ctx: inner, q: commandqueue.New(inner, 1024), at: time.Now(), members: directory.NewMembers(),
+		proxies: map[*link]bool{}, peers: map[string]*peer{}, cores: s.Peers}
+	a.self = directory.Driver{Name: s.Hostname, Addr: s.Port(s.IP, 0), Zone: s.Zone, Life: uint64(time.Now().UnixMilli())}
 	mesh, err := net.Listen("tcp4", a.self.Addr)
 	if err != nil {
 		return oops.In("listen").Wrap(err)
@@ -76,10 +75,10 @@
 	if err != nil {
 		return oops.In("listen").Wrap(err)
 	}
-	go viaalpina.Serve(mesh, 3*digestEvery, func(*link) {}, a.take, func(*link) {})
-	go viaalpina.Serve(loop, 0, func(l *link) { a.do(func() { a.proxyUp(l) }) }, a.fromProxy, func(l *link) { a.do(func() { delete(a.proxies, l) }) })
-	go a.holdCore()
-	log.Event(bertol.Started, "agent", a.self.Name, "mesh", a.self.Addr)
+	go transport.Serve(mesh, 3*digestEvery, func(*link) {}, a.take, func(*link) {})
+	go transport.Serve(loop, 0, func(l *link) { a.do(func() { a.proxyUp(l) }) }, a.fromProxy, func(l *link) { a.do(func() { delete(a.proxies, l) }) })
+	go a.keepCoreLink()
+	log.Event(events.Started, "agent", a.self.Name, "mesh", a.self.Addr)
 	renew, digest := time.NewTicker(renewEvery), time.NewTicker(digestEvery)
 	defer renew.Stop()
 	defer digest.Stop()
@@ -92,7 +91,7 @@
 		select {
 		case <-term:
 			term, last = nil, time.After(s.Grace-600*time.Millisecond)
-			log.Event(bertol.Stopping)
+			log.Event(events.Stopping)
 		case <-last:
 			a.leave()
 			return nil
@@ -103,9 +102,9 @@
 			a.members.Forget(a.now(), float64(memberKeep.Milliseconds()))
 		case <-digest.C:
 			d := a.digest()
-			for _, f := range a.fellows {
+			for _, f := range a.peers {
 				if f.l != nil {
-					f.l.Send(&tuckett.Frame{Digest: &d})
+					f.l.Send(&controlmsg.Frame{Digest: &d})
 				}
 			}
 		}
@@ -115,21 +114,21 @@
 // leave gives the lease back, and lets the word of it go out.
 func (a *Agent) leave() {
 	if a.core != nil {
-		a.core.Send(&tuckett.Frame{Renew: &tuckett.Renew{Driver: a.self, End: true}})
+		a.core.Send(&controlmsg.Frame{Renew: &controlmsg.Renew{Driver: a.self, End: true}})
 		select {
 		case <-a.core.Done():
 		case <-time.After(50 * time.Millisecond):
 		}
 	}
-	a.log.Event(bertol.Stopped)
+	a.log.Event(events.Stopped)
 }
 
 func (a *Agent) now() float64 { return float64(time.Since(a.at)) / 1e6 }
 
 func (a *Agent) do(f func()) { a.q.Do(f) }
 
-// holdCore keeps a link to one machine of the core, the nearest that answers.
-func (a *Agent) holdCore() {
+// keepCoreLink keeps a link to one machine of the core, the nearest that answers.
+func (a *Agent) keepCoreLink() {
 	pause := 50 * time.Millisecond
 	for tries := 0; a.ctx.Err() == nil; tries++ {
 		ch := make(chan string, 1)
@@ -141,17 +140,17 @@
 			return
 		}
 		began := time.Now()
-		_ = viaalpina.Dial(ctl, viaalpina.Patience(tries/3), linkIdle, func(l *link) {
-			l.Send(&tuckett.Frame{Hello: &tuckett.Hello{Kind: "agent", Name: a.self.Name, Addr: a.self.Addr}})
+		_ = transport.Dial(ctl, transport.DialTimeout(tries/3), linkIdle, func(l *link) {
+			l.Send(&controlmsg.Frame{Hello: &controlmsg.Hello{Kind: "agent", Name: a.self.Name, Addr: a.self.Addr}})
 			a.do(func() {
 				a.core = l
 				a.renew()
 			})
-			a.log.Event(bertol.LinkUp, "core", ctl)
+			a.log.Event(events.LinkUp, "core", ctl)
 		}, a.take)
 		a.do(func() {
 			if a.core != nil {
-				a.log.Event(bertol.LinkDown, "core", ctl)
+				a.log.Event(events.LinkDown, "core", ctl)
 			}
 			a.core = nil
 		})
@@ -199,8 +198,8 @@
 	return a != nil && b != nil && a[0] == b[0] && a[1] == b[1]
 }
 
-func (a *Agent) digest() tuckett.Digest {
-	d := tuckett.Digest{Gen: a.gen, Members: a.members.Digest(), Drivers: monterosa.DriversDigest(a.drivers)}
+func (a *Agent) digest() controlmsg.Digest {
+	d := controlmsg.Digest{Gen: a.gen, Members: a.members.Digest(), Drivers: directory.DriversDigest(a.drivers)}
 	if a.shards != nil {
 		d.Shards = a.shards.Version
 	}
@@ -209,15 +208,15 @@
 
 func (a *Agent) renew() {
 	if a.core != nil {
-		a.core.Send(&tuckett.Frame{Renew: &tuckett.Renew{Driver: a.self, Has: a.digest()}})
+		a.core.Send(&controlmsg.Frame{Renew: &controlmsg.Renew{Driver: a.self, Has: a.digest()}})
 	}
 }
 
-// take takes what the core or a fellow says.
-func (a *Agent) take(l *link, f *tuckett.Frame) {
+// take takes what the core or a peer says.
+func (a *Agent) take(l *link, f *controlmsg.Frame) {
 	a.do(func() {
-		if f.News != nil {
-			a.news(f.News)
+		if f.Update != nil {
+			a.news(f.Update)
 		}
 		if f.Digest != nil {
 			a.compare(l, f.Digest)
@@ -225,10 +224,10 @@
 	})
 }
 
-// compare mends the gap that a fellow's digest shows, both ways.
-func (a *Agent) compare(l *link, d *tuckett.Digest) {
+// compare mends the gap that a peer's digest shows, both ways.
+func (a *Agent) compare(l *link, d *controlmsg.Digest) {
 	mine := a.digest()
-	n := &tuckett.News{}
+	n := &controlmsg.Update{}
 	if a.gen > d.Gen {
 		n.Gen, n.Config = a.gen, a.config
 	}
@@ -239,17 +238,17 @@
 		n.Shards = a.shards
 	}
 	if n.Gen > 0 || n.Members != nil || n.Shards != nil {
-		l.Send(&tuckett.Frame{News: n})
+		l.Send(&controlmsg.Frame{Update: n})
 	}
 	if !d.Quiet && (mine.Gen < d.Gen || mine.Shards < d.Shards || mine.Members != d.Members) {
 		mine.Quiet = true
-		l.Send(&tuckett.Frame{Digest: &mine})
+		l.Send(&controlmsg.Frame{Digest: &mine})
 	}
 }
 
-// news takes what is new and passes it on: to the proxy, and to a few fellows.
-func (a *Agent) news(n *tuckett.News) {
-	on := &tuckett.News{}
+// news takes what is new and passes it on: to the proxy, and to a few peers.
+func (a *Agent) news(n *controlmsg.Update) {
+	on := &controlmsg.Update{}
 	if n.Gen > a.gen {
 		a.gen, a.config = n.Gen, n.Config
 		on.Gen, on.Config = n.Gen, n.Config
@@ -265,23 +264,23 @@
 	}
 	drivers := n.Drivers
 	if n.Joined != nil || n.Left != nil {
-		drivers = monterosa.Changed(a.drivers, n.Joined, n.Left)
+		drivers = directory.Changed(a.drivers, n.Joined, n.Left)
 	}
 	if drivers != nil {
 		a.drivers = drivers
 		a.choose()
 	}
 	if on.Gen > 0 || on.Members != nil || on.Shards != nil {
-		f := &tuckett.Frame{}
+		f := &controlmsg.Frame{}
 		if on.Members != nil {
-			f.News = &tuckett.News{Members: on.Members}
+			f.Update = &controlmsg.Update{Members: on.Members}
 		}
 		if on.Gen > 0 || on.Shards != nil { // a configuration is long, and most have it from the core by now: who lacks it asks
 			d := a.digest()
 			f.Digest = &d
 		}
-		raw := viaalpina.Encode(f)
-		for _, f := range a.fellows {
+		raw := transport.Encode(f)
+		for _, f := range a.peers {
 			if f.l != nil {
 				f.l.SendRaw(raw)
 			}
@@ -289,39 +288,39 @@
 	}
 	if on.Gen > 0 || on.Members != nil || on.Shards != nil || drivers != nil {
 		on.Count = max(len(a.drivers), 1)
-		raw := viaalpina.Encode(&tuckett.Frame{News: on})
+		raw := transport.Encode(&controlmsg.Frame{Update: on})
 		for p := range a.proxies {
 			p.SendRaw(raw)
 		}
 	}
 }
 
-// choose keeps links to a few fellows.
+// choose keeps links to a few peers.
 func (a *Agent) choose() {
 	want := map[string]bool{}
-	for _, d := range monterosa.Fellows(a.drivers, a.self.Name, fellowsFew) {
+	for _, d := range directory.Peers(a.drivers, a.self.Name, peerCount) {
 		want[d.Addr] = true
-		if a.fellows[d.Addr] == nil {
+		if a.peers[d.Addr] == nil {
 			ctx, stop := context.WithCancel(a.ctx)
-			a.fellows[d.Addr] = &fellow{stop: stop}
-			go a.holdFellow(ctx, d.Addr)
+			a.peers[d.Addr] = &peer{stop: stop}
+			go a.keepPeerLink(ctx, d.Addr)
 		}
 	}
-	for addr, f := range a.fellows {
+	for addr, f := range a.peers {
 		if !want[addr] {
 			f.stop()
 			if f.l != nil {
 				f.l.Close()
 			}
-			delete(a.fellows, addr)
+			delete(a.peers, addr)
 		}
 	}
 }
 
-func (a *Agent) holdFellow(ctx context.Context, addr string) {
-	viaalpina.Keep(ctx, addr, viaalpina.Again{First: time.Second, Most: time.Second, Patience: func(int) time.Duration { return viaalpina.Patience(2) }}, func(l *link) {
+func (a *Agent) keepPeerLink(ctx context.Context, addr string) {
+	transport.Keep(ctx, addr, transport.Backoff{First: time.Second, Most: time.Second, DialTimeout: func(int) time.Duration { return transport.DialTimeout(2) }}, func(l *link) {
 		a.do(func() {
-			if f := a.fellows[addr]; f != nil && ctx.Err() == nil {
+			if f := a.peers[addr]; f != nil && ctx.Err() == nil {
 				f.l = l
 			} else {
 				l.Close()
@@ -329,7 +328,7 @@
 		})
 	}, a.take, func() {
 		a.do(func() {
-			if f := a.fellows[addr]; f != nil {
+			if f := a.peers[addr]; f != nil {
 				f.l = nil
 			}
 		})
@@ -339,11 +338,11 @@
 // proxyUp tells a proxy that has just come all that is known.
 func (a *Agent) proxyUp(l *link) {
 	a.proxies[l] = true
-	l.Send(&tuckett.Frame{News: &tuckett.News{Gen: a.gen, Config: a.config, Members: a.members.List(), Shards: a.shards, Count: max(len(a.drivers), 1)}})
+	l.Send(&controlmsg.Frame{Update: &controlmsg.Update{Gen: a.gen, Config: a.config, Members: a.members.List(), Shards: a.shards, Count: max(len(a.drivers), 1)}})
 }
 
 // fromProxy passes on what a proxy sees of primaries.
-func (a *Agent) fromProxy(_ *link, f *tuckett.Frame) {
+func (a *Agent) fromProxy(_ *link, f *controlmsg.Frame) {
 	a.do(func() {
 		if f.Report != nil && a.core != nil {
 			f.Report.Driver = a.self.Name
--- a/internal/payer/payer.go
+++ b/internal/commandqueue/commandqueue.go
@@ -1,9 +1,8 @@
-// Package payer is the queue of commands to whoever owns a table inside a process. It is named after the Rifugio Payer, which is
-// reached one behind the other.
+// Package commandqueue is the queue of commands to whoever owns a table inside a process.
 //
 // This file owns the queue: commands are carried out one at a time, in order, by the one goroutine that runs it. Nothing else
 // may touch what that goroutine owns.
-package payer
+package commandqueue
 
 import (
 	"context"
--- a/internal/payer/payer_test.go
+++ b/internal/commandqueue/commandqueue_test.go
@@ -1,4 +1,4 @@
-package payer
+package commandqueue
 
 import (
 	"context"
--- a/internal/cosmiques/cosmiques.go
+++ b/internal/config/config.go
@@ -1,9 +1,9 @@
-// Package cosmiques is the operator's configuration: what it says, what is wrong with one, and what a change makes of it. It is
-// named after the Refuge des Cosmiques, where every rope is checked before it goes up.
+// Package config is the operator's configuration: what it says, what is wrong with one, and what a change makes of
+// it.
 //
 // This file owns reading, checking and amending. It does no I/O. Items are kept as they were sent, fields that are not known
 // here included, so that what is read back is what was sent.
-package cosmiques
+package config
 
 import (
 	"bytes"
@@ -19,8 +19,8 @@
 	"github.com/go-playground/validator/v10"
 	"github.com/samber/oops"
 
-	"weirwind/internal/oberaar"
-	"weirwind/internal/trient"
+	"weirwind/internal/session/sites"
+	"weirwind/internal/shard/shardmap"
 )
 
 // Types of routes: what a read must have seen.
@@ -170,18 +170,18 @@
 
 const mostPast = 512 // changes that repeats are told by
 
-// Book is the operator's word: the newest configuration as it was sent, and which changes led to it.
-type Book struct {
+// State is the operator's word: the newest configuration as it was sent, and which changes led to it.
+type State struct {
 	Gen  uint64 `cbor:"1,keyasint"`
 	Raw  []byte `cbor:"2,keyasint"`
 	Past []Past `cbor:"3,keyasint"`
 
-	Shards *oberaar.Map `cbor:"4,keyasint,omitempty"` // who holds which; nil: none were founded
-	Sites  *trient.Map  `cbor:"5,keyasint,omitempty"` // that hold open sessions; nil: there are none
+	Shards *shardmap.Map `cbor:"4,keyasint,omitempty"` // who holds which; nil: none were founded
+	Sites  *sites.Map    `cbor:"5,keyasint,omitempty"` // that hold open sessions; nil: there are none
 }
 
 // WithShards gives the book with a change of who holds which shard. The same book: it was taken before.
-func (b *Book) WithShards(c *oberaar.Change) (*Book, error) {
+func (b *State) WithShards(c *shardmap.Change) (*State, error) {
 	m, err := b.Shards.Apply(c)
 	if err != nil {
 		return nil, refuse(409, "shards", "%v", err)
@@ -195,13 +195,13 @@
 }
 
 // Taken says whether exactly this change was taken.
-func (b *Book) Taken(c *Change) bool {
+func (b *State) Taken(c *Change) bool {
 	d := c.Digest()
 	return slices.ContainsFunc(b.Past, func(p Past) bool { return p.Digest == d })
 }
 
 // Apply makes of a book and a change the next book, or says why not.
-func (b *Book) Apply(c *Change, node string, at int64) (*Book, error) {
+func (b *State) Apply(c *Change, node string, at int64) (*State, error) {
 	raw := c.Body
 	if c.Amend {
 		var err error
@@ -223,11 +223,11 @@
 	if len(past) > mostPast {
 		past = past[len(past)-mostPast:]
 	}
-	return &Book{cfg.Gen, bytes.Clone(raw), past, b.Shards, b.Sites}, nil
+	return &State{cfg.Gen, bytes.Clone(raw), past, b.Shards, b.Sites}, nil
 }
 
 // WithSites gives the book with a change of the sites. The same book: it was so before.
-func (b *Book) WithSites(c *trient.Change) (*Book, error) {
+func (b *State) WithSites(c *sites.Change) (*State, error) {
 	m, err := b.Sites.Apply(c)
 	if err != nil {
 		return nil, refuse(409, "sites", "%v", err)
@@ -246,7 +246,7 @@
 	Del    map[string][]string          `json:"del"`
 }
 
-func (b *Book) amended(body []byte) ([]byte, error) {
+func (b *State) amended(body []byte) ([]byte, error) {
 	var a amendment
 	if err := strict(body, &a); err != nil {
 		return nil, refuse(400, "cut_short", "the change can't be read in full: %v", err)
--- /dev/null
+++ b/internal/consensus/consensus.go
@@ -0,0 +1,255 @@
+// Package consensus is the core's own agreement: one value, the operator's word, and who votes on it.
+//
+// This file owns who leads, which value follows which, and who votes. It does no I/O and reads no clock: the caller gives the
+// steady clock's milliseconds, syncs HardState to disk whenever Dirty says so, and only then sends what Messages gives.
+//
+// Terms and votes are Raft's (Ongaro and Ousterhout, In Search of an Understandable Consensus Algorithm, 2014) over a log of
+// which only the last entry is kept, as each holds the whole value: an entry is committed when a majority of the voters that it
+// names itself hold it synced; a voter gives its vote only to those whose last entry is as new as its own. Voters change by one
+// at a time, behind an entry of the leader's own term. A machine whose disk came back empty is another voter (its id is drawn
+// when its disk is first used), so that it never votes as if it knew.
+package consensus
+
+import "slices"
+
+// Voter is a machine of the core with one life of its disk.
+type Voter struct {
+	ID   string `cbor:"1,keyasint"`
+	Addr string `cbor:"2,keyasint"` // of its control calls
+}
+
+// Entry is a value with who votes on it.
+type Entry struct {
+	Term   uint64  `cbor:"1,keyasint"`
+	Index  uint64  `cbor:"2,keyasint"`
+	Voters []Voter `cbor:"3,keyasint"`
+	Value  []byte  `cbor:"4,keyasint"`
+}
+
+// HardState is what must be synced before a message that follows from it is sent.
+type HardState struct {
+	ID       string `cbor:"1,keyasint"`
+	Term     uint64 `cbor:"2,keyasint"` // newest promised
+	Vote     string `cbor:"3,keyasint"` // who got the vote of that term
+	Last     Entry  `cbor:"4,keyasint"`
+	Commit   uint64 `cbor:"5,keyasint"` // index known committed; only a hint after a restart
+	CommitOf uint64 `cbor:"6,keyasint"` // its term
+}
+
+// Kind of a message.
+type Kind uint8
+
+const (
+	AskVote  Kind = iota + 1 // Term, and the sender's last entry in LastTerm, LastIndex
+	GiveVote                 // Granted
+	Append                   // the leader lives; Entry comes along for who lacks it
+	Appended                 // LastTerm, LastIndex: what the sender holds synced; Round of the question
+	Join                     // an empty machine wants to vote
+	AskPre                   // would a vote be given? (nothing is promised)
+	GivePre
+)
+
+// Message goes between two machines of the core.
+type Message struct {
+	Kind      Kind   `cbor:"1,keyasint"`
+	From      Voter  `cbor:"2,keyasint"`
+	Term      uint64 `cbor:"3,keyasint,omitempty"`
+	LastTerm  uint64 `cbor:"4,keyasint,omitempty"`
+	LastIndex uint64 `cbor:"5,keyasint,omitempty"`
+	Granted   bool   `cbor:"6,keyasint,omitempty"`
+	Entry     *Entry `cbor:"7,keyasint,omitempty"`
+	Commit    uint64 `cbor:"8,keyasint,omitempty"`
+	Round     uint64 `cbor:"9,keyasint,omitempty"`
+}
+
+// Send is a message for the machine at an address.
+type Send struct {
+	To      string
+	Message Message
+}
+
+// Options are a node's.
+type Options struct {
+	Addr              string
+	Seeds             []string // addresses to ask for a place
+	MinVoters         int      // never fewer voters than this by a removal
+	HeartbeatInterval float64  // milliseconds between two signs of a leader
+	ElectionTimeout   float64  // without one for so long an election is begun, and up to as much again
+	RemoveAfter       float64  // a voter silent for so long gives its place to one that has joined
+	Draw              func() float64
+}
+
+// Role of a node.
+type Role uint8
+
+const (
+	Follower Role = iota
+	Candidate
+	Leader
+)
+
+type peer struct {
+	term, index uint64  // what it holds synced, by its word
+	round       uint64  // newest question answered
+	heard       float64 // when
+	sentAt      float64 // an entry was sent
+	sent        uint64
+}
+
+// Node is one machine's part.
+type Node struct {
+	o         Options
+	HardState HardState
+
+	role    Role
+	leader  Voter
+	heardAt float64 // the leader
+	waitTil float64 // an election begins
+	votes   map[string]bool
+	pre     bool // asking whether an election could be won
+
+	peers   map[string]*peer
+	round   uint64
+	rounds  map[uint64]float64 // when a question was asked
+	beatAt  float64
+	since   float64 // leading since
+	joins   map[string]joiner
+	joinAt  float64
+	dirty   bool
+	out     []Send
+	current bool // the leader's own term has a committed entry
+}
+
+// New starts a node from what its disk holds.
+func New(o Options, h HardState, now float64) *Node {
+	n := &Node{o: o, HardState: h, peers: map[string]*peer{}, joins: map[string]joiner{}, rounds: map[uint64]float64{}}
+	n.heardAt = now - o.ElectionTimeout
+	n.waitTil = now + o.ElectionTimeout*(0.2+0.4*o.Draw()) // asking costs nobody anything where somebody leads
+	return n
+}
+
+func (n *Node) self() Voter { return Voter{n.HardState.ID, n.o.Addr} }
+
+// Dirty says that HardState is to be synced before messages are sent.
+func (n *Node) Dirty() bool { return n.dirty }
+
+// Synced is told when it was.
+func (n *Node) Synced(now float64) {
+	n.dirty = false
+	if n.role == Leader {
+		n.advance(now)
+	}
+}
+
+// Messages gives what is to be sent and forgets it.
+func (n *Node) Messages() []Send {
+	out := n.out
+	n.out = nil
+	return out
+}
+
+// Role gives this node's.
+func (n *Node) Role() Role { return n.role }
+
+// Leading gives the leader that is known, itself included.
+func (n *Node) Leading() (Voter, bool) {
+	if n.role == Leader {
+		return n.self(), true
+	}
+	return n.leader, n.leader.ID != ""
+}
+
+// Ready says that this node leads, and that all that was ever committed is known to it.
+func (n *Node) Ready() bool { return n.role == Leader && n.current }
+
+// Committed gives the value known committed, and its index; false for none.
+func (n *Node) Committed() (Entry, bool) {
+	e := n.HardState.Last
+	return e, e.Index > 0 && n.HardState.Commit >= e.Index && n.HardState.CommitOf == e.Term
+}
+
+// Busy says that an entry is on its way.
+func (n *Node) Busy() bool { return n.HardState.Commit < n.HardState.Last.Index || !n.current }
+
+// Tick lets time pass.
+func (n *Node) Tick(now float64) {
+	if n.role == Leader {
+		if now >= n.beatAt {
+			n.beat(now)
+		}
+		n.advance(now)
+		if n.role == Leader {
+			n.tend(now)
+		}
+		return
+	}
+	if !n.isVoter(n.HardState.ID) {
+		if now >= n.joinAt && now-n.heardAt > 2*n.o.HeartbeatInterval || now >= n.joinAt && n.HardState.Last.Index > 0 {
+			n.joinAt = now + 3*n.o.HeartbeatInterval
+			for _, a := range n.known() {
+				n.send(a, Message{Kind: Join})
+			}
+		}
+		return
+	}
+	if now >= n.waitTil {
+		n.campaign(now)
+	}
+}
+
+func (n *Node) send(to string, m Message) {
+	m.From = n.self()
+	n.out = append(n.out, Send{to, m})
+}
+
+// Receive takes a message.
+func (n *Node) Receive(m *Message, now float64) {
+	switch m.Kind {
+	case AskPre, AskVote:
+		n.vote(m, now)
+	case GivePre, GiveVote:
+		if m.Kind == GiveVote && m.Term > n.HardState.Term {
+			n.raise(m.Term, now)
+			return
+		}
+		want := n.HardState.Term
+		if n.pre {
+			want++
+		}
+		if n.role == Candidate && n.pre == (m.Kind == GivePre) && m.Term == want && m.Granted {
+			n.votes[m.From.ID] = true
+			n.count(now)
+		}
+	case Append:
+		n.append(m, now)
+	case Appended:
+		if m.Term > n.HardState.Term {
+			n.raise(m.Term, now)
+			return
+		}
+		p := n.peers[m.From.ID]
+		if n.role != Leader || m.Term != n.HardState.Term || p == nil {
+			return
+		}
+		p.heard = now
+		if m.Round >= p.round {
+			p.round, p.term, p.index = m.Round, m.LastTerm, m.LastIndex
+		}
+		n.advance(now)
+		if last := &n.HardState.Last; n.role == Leader && (p.term != last.Term || p.index != last.Index) && p.sent != last.Index {
+			n.sendAppend(m.From, now)
+		}
+	case Join:
+		if n.role != Leader && n.leader.ID != "" && !m.Granted { // it may know none but seeds: who leads is told for it, once
+			on := *m
+			on.Granted = true
+			n.out = append(n.out, Send{n.leader.Addr, on})
+		}
+		if n.role == Leader && !n.isVoter(m.From.ID) && len(n.joins) < 64 {
+			if _, known := n.joins[m.From.ID]; !known {
+				n.peers[m.From.ID] = &peer{heard: now}
+			}
+			n.joins[m.From.ID] = joiner{m.From, now}
+		}
+	}
+}
--- a/internal/margherita/margherita_test.go
+++ b/internal/consensus/consensus_test.go
@@ -1,4 +1,4 @@
-package margherita
+package consensus
 
 import (
 	"fmt"
@@ -30,7 +30,7 @@
 type host struct {
 	addr   string
 	node   *Node
-	disk   Hard
+	disk   HardState
 	on     bool
 	frozen float64
 	gone   bool
@@ -51,7 +51,7 @@
 		v.seeds = append(v.seeds, fmt.Sprint("m", i))
 	}
 	for _, a := range v.seeds {
-		v.start(&host{addr: a, disk: Found(a, v.seeds)})
+		v.start(&host{addr: a, disk: Bootstrap(a, v.seeds)})
 	}
 	return v
 }
@@ -59,10 +59,10 @@
 func (v *valley) start(h *host) {
 	v.hosts[h.addr] = h
 	h.on, h.frozen, h.wait = true, 0, ""
-	h.node = New(Options{Addr: h.addr, Seeds: v.seeds, Least: len(v.seeds), Beat: 200, Patience: 900, Gone: 4500, Draw: v.r.Float64}, copyOf(h.disk), v.now)
+	h.node = New(Options{Addr: h.addr, Seeds: v.seeds, MinVoters: len(v.seeds), HeartbeatInterval: 200, ElectionTimeout: 900, RemoveAfter: 4500, Draw: v.r.Float64}, copyOf(h.disk), v.now)
 }
 
-func copyOf(h Hard) Hard {
+func copyOf(h HardState) HardState {
 	h.Last.Voters = slices.Clone(h.Last.Voters)
 	h.Last.Value = slices.Clone(h.Last.Value)
 	return h
@@ -83,12 +83,12 @@
 		if h.node.Dirty() {
 			if v.r.Float64() < danger {
 				if v.r.IntN(2) == 0 {
-					h.disk = copyOf(h.node.Hard)
+					h.disk = copyOf(h.node.HardState)
 				}
 				h.on = false
 				return
 			}
-			h.disk = copyOf(h.node.Hard)
+			h.disk = copyOf(h.node.HardState)
 			h.node.Synced(v.now)
 		}
 		for _, s := range h.node.Messages() {
@@ -141,7 +141,7 @@
 		}
 		v.ask++
 		name := fmt.Sprintf("c%d;", v.ask)
-		if e, ok := h.node.Propose([]byte(string(h.node.Hard.Last.Value)+name), v.now); ok {
+		if e, ok := h.node.Propose([]byte(string(h.node.HardState.Last.Value)+name), v.now); ok {
 			h.wait, h.index, h.term = name, e.Index, e.Term
 			v.settle(h, v.risk)
 		}
@@ -241,7 +241,7 @@
 		for _, a := range v.names() {
 			if h := v.hosts[a]; h.on && h.node.Ready() && !h.node.Busy() {
 				lead++
-				voters = h.node.Hard.Last.Voters
+				voters = h.node.HardState.Last.Voters
 			}
 		}
 		live := 0
@@ -268,7 +268,7 @@
 func (v *valley) leadValue() []byte {
 	for _, a := range v.names() {
 		if h := v.hosts[a]; h.on && h.node.Ready() {
-			return h.node.Hard.Last.Value
+			return h.node.HardState.Last.Value
 		}
 	}
 	return nil
@@ -324,9 +324,9 @@
 		Convey("and it does not unseat a leader that is followed", func() {
 			for _, a := range v.names() {
 				if h := v.hosts[a]; h.node.Role() == Follower {
-					term := h.node.Hard.Term
+					term := h.node.HardState.Term
 					h.node.Receive(&Message{Kind: AskVote, From: Voter{"0@m9", "m9"}, Term: term + 1, LastTerm: term + 1, LastIndex: 99}, v.now)
-					So(h.node.Hard.Term, ShouldEqual, term)
+					So(h.node.HardState.Term, ShouldEqual, term)
 				}
 			}
 		})
--- a/internal/margherita/exhaustive_test.go
+++ b/internal/consensus/exhaustive_test.go
@@ -1,4 +1,4 @@
-package margherita
+package consensus
 
 import (
 	"fmt"
@@ -15,7 +15,7 @@
 // between its sync and its words.
 type small struct {
 	nodes   [3]*Node
-	disks   [3]Hard
+	disks   [3]HardState
 	mail    []Send
 	now     float64
 	decided map[uint64]string
@@ -33,7 +33,7 @@
 	}
 	for i, n := range s.nodes {
 		m := *n
-		m.Hard = copyOf(n.Hard)
+		m.HardState = copyOf(n.HardState)
 		m.votes = map[string]bool{}
 		for k, v := range n.votes {
 			m.votes[k] = v
@@ -58,7 +58,7 @@
 	n := s.nodes[i]
 	for range 4 {
 		if n.Dirty() {
-			s.disks[i] = copyOf(n.Hard)
+			s.disks[i] = copyOf(n.HardState)
 			if die {
 				s.nodes[i] = New(n.o, copyOf(s.disks[i]), s.now)
 				return
@@ -79,10 +79,10 @@
 	lead := map[uint64]int{}
 	for i, n := range s.nodes {
 		if n.role == Leader {
-			if j, taken := lead[n.Hard.Term]; taken {
-				t.Fatalf("%s: %d and %d lead in term %d", path, i, j, n.Hard.Term)
+			if j, taken := lead[n.HardState.Term]; taken {
+				t.Fatalf("%s: %d and %d lead in term %d", path, i, j, n.HardState.Term)
 			}
-			lead[n.Hard.Term] = i
+			lead[n.HardState.Term] = i
 		}
 		if e, ok := n.Committed(); ok {
 			if old, known := s.decided[e.Index]; known && old != string(e.Value) {
@@ -97,7 +97,7 @@
 func (s *small) key() string {
 	var b strings.Builder
 	for i, n := range s.nodes {
-		fmt.Fprintf(&b, "%d %d %s %d %d %q %d %v|", n.role, n.Hard.Term, n.Hard.Vote, n.Hard.Last.Term, n.Hard.Last.Index, n.Hard.Last.Value, n.Hard.Commit, n.pre)
+		fmt.Fprintf(&b, "%d %d %s %d %d %q %d %v|", n.role, n.HardState.Term, n.HardState.Vote, n.HardState.Last.Term, n.HardState.Last.Index, n.HardState.Last.Value, n.HardState.Commit, n.pre)
 		_ = i
 	}
 	var mail []string
@@ -112,8 +112,8 @@
 	addrs := []string{"m0", "m1", "m2"}
 	start := &small{decided: map[uint64]string{}, now: 10000}
 	for i, a := range addrs {
-		start.disks[i] = Found(a, addrs)
-		start.nodes[i] = New(Options{Addr: a, Seeds: addrs, Least: 3, Beat: 200, Patience: 900, Gone: 1e9, Draw: draw}, copyOf(start.disks[i]), 0)
+		start.disks[i] = Bootstrap(a, addrs)
+		start.nodes[i] = New(Options{Addr: a, Seeds: addrs, MinVoters: 3, HeartbeatInterval: 200, ElectionTimeout: 900, RemoveAfter: 1e9, Draw: draw}, copyOf(start.disks[i]), 0)
 	}
 	depth, seen, states := 8, map[string]int{}, 0
 	if d := os.Getenv("DEPTH"); d != "" { // 11 takes two minutes: 4.6 million states
@@ -141,7 +141,7 @@
 			if s.nodes[i].Ready() && s.asked < 2 {
 				c := s.fork()
 				c.asked++
-				c.nodes[i].Propose([]byte(string(c.nodes[i].Hard.Last.Value)+fmt.Sprint(i)), c.now)
+				c.nodes[i].Propose([]byte(string(c.nodes[i].HardState.Last.Value)+fmt.Sprint(i)), c.now)
 				c.settle(i, false)
 				walk(c, left-1, path+fmt.Sprint(" p", i))
 			}
--- a/internal/gouter/gouter.go
+++ b/internal/consensus/store/store.go
@@ -1,9 +1,8 @@
-// Package gouter keeps a core machine's part of the agreement on its disk. It is named after the Refuge du Goûter, where what
-// is carried up stays dry.
+// Package store keeps a core machine's part of the agreement on its disk.
 //
 // This file owns the folder and the form of what is in it. It decides nothing: a record that can't be read is an error, never
 // an empty one.
-package gouter
+package store
 
 import (
 	"errors"
@@ -14,7 +13,7 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/samber/oops"
 
-	"weirwind/internal/margherita"
+	"weirwind/internal/consensus"
 )
 
 // Store is an open folder.
@@ -44,12 +43,12 @@
 var FS vfs.FS = vfs.Default
 
 // Open opens or makes the folder. found is false where nothing was ever kept there.
-func Open(folder string) (s *Store, h margherita.Hard, found bool, err error) {
+func Open(folder string) (s *Store, h consensus.HardState, found bool, err error) {
 	return open(folder, false)
 }
 
 // Look reads a folder that no process has open, and changes nothing in it.
-func Look(folder string) (margherita.Hard, bool, error) {
+func Look(folder string) (consensus.HardState, bool, error) {
 	s, h, found, err := open(folder, true)
 	if err == nil {
 		err = s.Close()
@@ -57,7 +56,7 @@
 	return h, found, err
 }
 
-func open(folder string, only bool) (s *Store, h margherita.Hard, found bool, err error) {
+func open(folder string, only bool) (s *Store, h consensus.HardState, found bool, err error) {
 	step := oops.In("disk").With("folder", folder)
 	cache := pebble.NewCache(1 << 20)
 	defer cache.Unref()
@@ -75,7 +74,7 @@
 	case !ok:
 		return s, h, false, nil
 	}
-	h = margherita.Hard{ID: m.ID, Term: m.Term, Vote: m.Vote, Commit: m.Commit, CommitOf: m.CommitOf}
+	h = consensus.HardState{ID: m.ID, Term: m.Term, Vote: m.Vote, Commit: m.Commit, CommitOf: m.CommitOf}
 	if m.Entry != [2]uint64{} {
 		ok, err := s.get(entryKey, &h.Last)
 		if err == nil && (!ok || [2]uint64{h.Last.Term, h.Last.Index} != m.Entry) {
@@ -103,7 +102,7 @@
 }
 
 // Save returns when it is synced, as a whole.
-func (s *Store) Save(h *margherita.Hard) (err error) {
+func (s *Store) Save(h *consensus.HardState) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			err = oops.In("disk").Errorf("%v", p)
--- a/internal/gouter/gouter_test.go
+++ b/internal/consensus/store/store_test.go
@@ -1,4 +1,4 @@
-package gouter
+package store
 
 import (
 	"os"
@@ -9,7 +9,7 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"weirwind/internal/margherita"
+	"weirwind/internal/consensus"
 )
 
 func TestStore(t *testing.T) {
@@ -18,7 +18,7 @@
 		s, _, found, err := Open(dir)
 		So(err, ShouldBeNil)
 		So(found, ShouldBeFalse)
-		h := margherita.Hard{ID: "me", Term: 4, Vote: "you", Last: margherita.Entry{Term: 3, Index: 7, Voters: []margherita.Voter{{ID: "me", Addr: "a"}}, Value: []byte("word")}, Commit: 7, CommitOf: 3}
+		h := consensus.HardState{ID: "me", Term: 4, Vote: "you", Last: consensus.Entry{Term: 3, Index: 7, Voters: []consensus.Voter{{ID: "me", Addr: "a"}}, Value: []byte("word")}, Commit: 7, CommitOf: 3}
 		So(s.Save(&h), ShouldBeNil)
 		Convey("gives back what was saved", func() {
 			h.Term, h.Vote = 5, ""
@@ -82,7 +82,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := margherita.Hard{ID: "me", Term: 1, Last: margherita.Entry{Term: 1, Value: []byte(strings.Repeat("0123456789abcdef", 4<<20/16))}}
+	h := consensus.HardState{ID: "me", Term: 1, Last: consensus.Entry{Term: 1, Value: []byte(strings.Repeat("0123456789abcdef", 4<<20/16))}}
 	const changes = 25
 	began := time.Now()
 	for i := range changes {
--- a/internal/tuckett/tuckett.go
+++ b/internal/controlmsg/controlmsg.go
@@ -1,28 +1,27 @@
-// Package tuckett is the words that the system's processes say to each other. It is named after the Rifugio Tuckett, where the
-// ways of several groups of the Brenta cross.
+// Package controlmsg is the words that the system's processes say to each other.
 //
 // This file owns their form and nothing else: who says what when is decided elsewhere.
-package tuckett
+package controlmsg
 
 import (
-	"weirwind/internal/margherita"
-	"weirwind/internal/monterosa"
-	"weirwind/internal/oberaar"
-	"weirwind/internal/trient"
+	"weirwind/internal/consensus"
+	"weirwind/internal/directory"
+	"weirwind/internal/session/sites"
+	"weirwind/internal/shard/shardmap"
 )
 
 // Frame is what goes over a link; one of its fields is set, or several that belong together.
 type Frame struct {
-	Hello  *Hello              `cbor:"1,keyasint,omitempty"`
-	Agree  *margherita.Message `cbor:"2,keyasint,omitempty"`
-	Renew  *Renew              `cbor:"3,keyasint,omitempty"`
-	News   *News               `cbor:"4,keyasint,omitempty"`
-	Digest *Digest             `cbor:"5,keyasint,omitempty"`
-	Beats  []Beat              `cbor:"6,keyasint,omitempty"`
-	Report *Report             `cbor:"7,keyasint,omitempty"`
-	Ask    *Ask                `cbor:"8,keyasint,omitempty"`
-	Answer *Answer             `cbor:"9,keyasint,omitempty"`
-	Leases []Lease             `cbor:"10,keyasint,omitempty"`
+	Hello    *Hello             `cbor:"1,keyasint,omitempty"`
+	Agree    *consensus.Message `cbor:"2,keyasint,omitempty"`
+	Renew    *Renew             `cbor:"3,keyasint,omitempty"`
+	Update   *Update            `cbor:"4,keyasint,omitempty"`
+	Digest   *Digest            `cbor:"5,keyasint,omitempty"`
+	Beats    []Beat             `cbor:"6,keyasint,omitempty"`
+	Report   *Report            `cbor:"7,keyasint,omitempty"`
+	Request  *Request           `cbor:"8,keyasint,omitempty"`
+	Response *Response          `cbor:"9,keyasint,omitempty"`
+	Leases   []Lease            `cbor:"10,keyasint,omitempty"`
 }
 
 // Hello opens a link: who dialled.
@@ -34,7 +33,7 @@
 
 // Renew asks a core machine for the lease of a driver, and says what the driver has.
 type Renew struct {
-	Driver monterosa.Driver `cbor:"1,keyasint"`
+	Driver directory.Driver `cbor:"1,keyasint"`
 	Has    Digest           `cbor:"2,keyasint"`
 	End    bool             `cbor:"3,keyasint,omitempty"` // it gives the lease back
 }
@@ -48,16 +47,16 @@
 	Shards  uint64 `cbor:"5,keyasint,omitempty"` // version of the map
 }
 
-// News is what is new, or all of it.
-type News struct {
+// Update is what is new, or all of it.
+type Update struct {
 	Gen     uint64             `cbor:"1,keyasint,omitempty"`
 	Config  []byte             `cbor:"2,keyasint,omitempty"`
-	Members []monterosa.Member `cbor:"3,keyasint,omitempty"`
-	Drivers []monterosa.Driver `cbor:"4,keyasint,omitempty"`
+	Members []directory.Member `cbor:"3,keyasint,omitempty"`
+	Drivers []directory.Driver `cbor:"4,keyasint,omitempty"`
 	Cores   []string           `cbor:"5,keyasint,omitempty"` // control addresses
 	Count   int                `cbor:"6,keyasint,omitempty"` // of drivers, for a proxy
-	Shards  *oberaar.Map       `cbor:"7,keyasint,omitempty"`
-	Joined  []monterosa.Driver `cbor:"8,keyasint,omitempty"` // drivers that came since; Drivers is all of them
+	Shards  *shardmap.Map      `cbor:"7,keyasint,omitempty"`
+	Joined  []directory.Driver `cbor:"8,keyasint,omitempty"` // drivers that came since; Drivers is all of them
 	Left    []string           `cbor:"9,keyasint,omitempty"` // and those that went
 }
 
@@ -70,7 +69,7 @@
 
 // Lease is a driver's, with what is left of it in milliseconds.
 type Lease struct {
-	Driver monterosa.Driver `cbor:"1,keyasint"`
+	Driver directory.Driver `cbor:"1,keyasint"`
 	Left   float64          `cbor:"2,keyasint"`
 }
 
@@ -84,8 +83,8 @@
 	Stuck  bool    `cbor:"6,keyasint,omitempty"` // it speaks, but answers no commit
 }
 
-// Ask passes an operator's call on to who leads.
-type Ask struct {
+// Request passes an operator's call on to who leads.
+type Request struct {
 	Number uint64 `cbor:"1,keyasint"`
 	Show   bool   `cbor:"2,keyasint,omitempty"`
 	Amend  bool   `cbor:"3,keyasint,omitempty"`
@@ -93,9 +92,9 @@
 	Body   []byte `cbor:"5,keyasint,omitempty"`
 	Node   string `cbor:"6,keyasint"`
 
-	Shards *oberaar.Change `cbor:"7,keyasint,omitempty"` // a change of who holds which shard
-	Sites  *trient.Change  `cbor:"8,keyasint,omitempty"` // a change of the sites of open sessions
-	Grant  *Grant          `cbor:"9,keyasint,omitempty"` // a lease is asked for
+	Shards *shardmap.Change `cbor:"7,keyasint,omitempty"` // a change of who holds which shard
+	Sites  *sites.Change    `cbor:"8,keyasint,omitempty"` // a change of the sites of open sessions
+	Grant  *Grant           `cbor:"9,keyasint,omitempty"` // a lease is asked for
 }
 
 // Grant asks for the lease of a site's life. It is answered only once a majority has confirmed who leads, so that a leader that was
@@ -105,8 +104,8 @@
 	Life uint64 `cbor:"2,keyasint"`
 }
 
-// Answer is its answer: an HTTP status and a body.
-type Answer struct {
+// Response is the answer to a Request: an HTTP status and a body.
+type Response struct {
 	Number uint64 `cbor:"1,keyasint"`
 	Status int    `cbor:"2,keyasint"`
 	Body   []byte `cbor:"3,keyasint,omitempty"`
--- a/internal/konkordia/calls.go
+++ b/internal/controlplane/calls.go
@@ -1,4 +1,4 @@
-package konkordia
+package controlplane
 
 // This file owns the calls of members and operators: one handler object for each resource.
 
@@ -8,12 +8,12 @@
 	"net/http"
 	"strconv"
 
-	"weirwind/internal/cosmiques"
-	"weirwind/internal/monterosa"
-	"weirwind/internal/oberaar"
-	"weirwind/internal/trient"
-	"weirwind/internal/trift"
-	"weirwind/internal/tuckett"
+	"weirwind/internal/config"
+	"weirwind/internal/controlmsg"
+	"weirwind/internal/directory"
+	"weirwind/internal/session/sites"
+	"weirwind/internal/shard/shardmap"
+	"weirwind/internal/shard/shardnode"
 )
 
 const (
@@ -21,9 +21,9 @@
 	mostConfig = 4 << 20
 )
 
-func (h *Hut) routes() http.Handler {
+func (h *Server) routes() http.Handler {
 	mux := http.NewServeMux()
-	m, c, sh, si := &members{h}, &config{h}, &shards{h}, &sites{h}
+	m, c, sh, si := &membersResource{h}, &configResource{h}, &shardsResource{h}, &sitesResource{h}
 	mux.HandleFunc("POST /members/{id}/heartbeat", m.heartbeat)
 	mux.HandleFunc("POST /members/{id}/leave", m.leave)
 	mux.HandleFunc("POST /config/replace", c.replace)
@@ -34,16 +34,16 @@
 	mux.HandleFunc("POST /shards", sh.change)
 	mux.HandleFunc("GET /sites", si.show)
 	mux.HandleFunc("POST /sites/{name}/renew", si.renew)
-	mux.HandleFunc("POST /sites/{name}/drain", si.change(trient.Drain))
-	mux.HandleFunc("POST /sites/{name}/undrain", si.change(trient.Undrain))
-	mux.HandleFunc("POST /sites/{name}/leave", si.change(trient.Leave))
-	mux.Handle("GET /status", &status{h})
+	mux.HandleFunc("POST /sites/{name}/drain", si.change(sites.Drain))
+	mux.HandleFunc("POST /sites/{name}/undrain", si.change(sites.Undrain))
+	mux.HandleFunc("POST /sites/{name}/leave", si.change(sites.Leave))
+	mux.Handle("GET /status", &statusResource{h})
 	mux.Handle("GET /events", h.log)
 	return mux
 }
 
-// members is the resource of members.
-type members struct{ h *Hut }
+// membersResource is the resource of members.
+type membersResource struct{ h *Server }
 
 type beat struct {
 	Svc   string `json:"svc"`
@@ -56,7 +56,7 @@
 	Seq   uint64 `json:"seq"`
 }
 
-func (m *members) heartbeat(w http.ResponseWriter, r *http.Request) {
+func (m *membersResource) heartbeat(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, mostBeat))
 	var b beat
 	if err == nil {
@@ -66,13 +66,13 @@
 		http.Error(w, "a beat names its svc and addr", http.StatusBadRequest)
 		return
 	}
-	rec := monterosa.Member{ID: r.PathValue("id"), Svc: b.Svc, Addr: b.Addr, Zone: b.Zone, Gen: b.Gen, Slots: b.Slots,
+	rec := directory.Member{ID: r.PathValue("id"), Svc: b.Svc, Addr: b.Addr, Zone: b.Zone, Gen: b.Gen, Slots: b.Slots,
 		Leaving: b.State == "draining", Seq: b.Seq}
 	switch b.Role {
 	case "primary":
-		rec.Role = monterosa.RolePrimary
+		rec.Role = directory.RolePrimary
 	case "replica":
-		rec.Role = monterosa.RoleReplica
+		rec.Role = directory.RoleReplica
 	}
 	done := make(chan struct{})
 	m.h.tables.do(func() {
@@ -89,17 +89,17 @@
 	io.WriteString(w, "{}\n")
 }
 
-func (m *members) leave(w http.ResponseWriter, r *http.Request) {
+func (m *membersResource) leave(w http.ResponseWriter, r *http.Request) {
 	id := r.PathValue("id")
 	m.h.tables.do(func() { m.h.tables.leave(id) })
 	w.Header().Set("Content-Type", "application/json")
 	io.WriteString(w, "{}\n")
 }
 
-// config is the resource of the operator's word.
-type config struct{ h *Hut }
+// configResource is the resource of the operator's word.
+type configResource struct{ h *Server }
 
-func (c *config) change(w http.ResponseWriter, r *http.Request, amend bool) {
+func (c *configResource) change(w http.ResponseWriter, r *http.Request, amend bool) {
 	base, err := strconv.ParseUint(r.Header.Get("Weirwind-Base-Version"), 10, 64)
 	if err != nil {
 		http.Error(w, "Weirwind-Base-Version must be the version that the change is built on", http.StatusBadRequest)
@@ -114,17 +114,17 @@
 		http.Error(w, "the body did not come whole: "+err.Error(), status)
 		return
 	}
-	status, answer := c.h.call(tuckett.Ask{Amend: amend, Base: base, Body: body})
+	status, answer := c.h.call(controlmsg.Request{Amend: amend, Base: base, Body: body})
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	w.WriteHeader(status)
 	w.Write(answer)
 }
 
-func (c *config) replace(w http.ResponseWriter, r *http.Request) { c.change(w, r, false) }
-func (c *config) amend(w http.ResponseWriter, r *http.Request)   { c.change(w, r, true) }
+func (c *configResource) replace(w http.ResponseWriter, r *http.Request) { c.change(w, r, false) }
+func (c *configResource) amend(w http.ResponseWriter, r *http.Request)   { c.change(w, r, true) }
 
-func (c *config) show(w http.ResponseWriter, _ *http.Request) {
-	status, body := c.h.call(tuckett.Ask{Show: true})
+func (c *configResource) show(w http.ResponseWriter, _ *http.Request) {
+	status, body := c.h.call(controlmsg.Request{Show: true})
 	if status == http.StatusOK {
 		w.Header().Set("Content-Type", "application/json")
 	}
@@ -133,12 +133,12 @@
 }
 
 // log tells which changes this machine knows to be taken.
-func (c *config) log(w http.ResponseWriter, _ *http.Request) {
-	ch := make(chan []cosmiques.Past, 1)
+func (c *configResource) log(w http.ResponseWriter, _ *http.Request) {
+	ch := make(chan []config.Past, 1)
 	c.h.council.do(func() {
-		var past []cosmiques.Past
-		if c.h.council.book != nil {
-			past = c.h.council.book.Past
+		var past []config.Past
+		if c.h.council.state != nil {
+			past = c.h.council.state.Past
 		}
 		ch <- past
 	})
@@ -150,12 +150,12 @@
 	}
 }
 
-// shards is the resource of who holds which shard, and of the moves.
-type shards struct{ h *Hut }
+// shardsResource is the resource of who holds which shard, and of the moves.
+type shardsResource struct{ h *Server }
 
 // change takes an operator's change, as JSON. What the mover alone may say is not taken.
-func (s *shards) change(w http.ResponseWriter, r *http.Request) {
-	var c oberaar.Change
+func (s *shardsResource) change(w http.ResponseWriter, r *http.Request) {
+	var c shardmap.Change
 	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, mostConfig))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&c); err != nil {
@@ -163,11 +163,11 @@
 		return
 	}
 	switch c.Kind {
-	case oberaar.Hand, oberaar.Back, oberaar.End:
+	case shardmap.Hand, shardmap.Back, shardmap.End:
 		http.Error(w, "that is said by who moves shards", http.StatusBadRequest)
 		return
 	}
-	status, body := s.h.call(tuckett.Ask{Shards: &c})
+	status, body := s.h.call(controlmsg.Request{Shards: &c})
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	w.WriteHeader(status)
 	w.Write(body)
@@ -175,17 +175,17 @@
 
 // ShardsView is what GET /shards answers. Only who leads knows what nodes say and what goes on.
 type ShardsView struct {
-	Leads  bool                    `json:"leads"`
-	Leader string                  `json:"leader"`
-	Map    *oberaar.Map            `json:"map"`
-	Nodes  map[string]trift.Report `json:"nodes,omitempty"`
-	Runs   map[string]string       `json:"runs,omitempty"`
-	Moved  int64                   `json:"moved"`
-	Gaps   []float64               `json:"gapsMs,omitempty"`
-	Points []movePoint             `json:"points,omitempty"`
+	Leads  bool                        `json:"leads"`
+	Leader string                      `json:"leader"`
+	Map    *shardmap.Map               `json:"map"`
+	Nodes  map[string]shardnode.Report `json:"nodes,omitempty"`
+	Runs   map[string]string           `json:"runs,omitempty"`
+	Moved  int64                       `json:"moved"`
+	Gaps   []float64                   `json:"gapsMs,omitempty"`
+	Points []movePoint                 `json:"points,omitempty"`
 }
 
-func (s *shards) show(w http.ResponseWriter, _ *http.Request) {
+func (s *shardsResource) show(w http.ResponseWriter, _ *http.Request) {
 	lead, ch := make(chan string, 1), make(chan ShardsView, 1)
 	s.h.council.do(func() {
 		leader, _ := s.h.council.node.Leading()
@@ -206,10 +206,10 @@
 	json.NewEncoder(w).Encode(v)
 }
 
-// status is what this machine knows, for operators.
-type status struct{ h *Hut }
+// statusResource is what this machine knows, for operators.
+type statusResource struct{ h *Server }
 
-func (s *status) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
+func (s *statusResource) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	ch := make(chan map[string]any, 2)
 	s.h.tables.do(func() { ch <- s.h.tables.status() })
 	s.h.council.do(func() { ch <- s.h.council.status() })
@@ -233,10 +233,10 @@
 func (c *council) status() map[string]any {
 	leader, _ := c.node.Leading()
 	e, committed := c.node.Committed()
-	out := map[string]any{"id": c.node.Hard.ID, "leader": leader.Addr, "term": c.node.Hard.Term, "voters": e.Voters, "index": e.Index, "committed": committed,
+	out := map[string]any{"id": c.node.HardState.ID, "leader": leader.Addr, "term": c.node.HardState.Term, "voters": e.Voters, "index": e.Index, "committed": committed,
 		"others": c.node.Others(c.h.now()), "syncs": c.syncs, "lastSyncMs": c.lastSync, "mostSyncMs": c.mostSync}
-	if c.book != nil {
-		out["gen"], out["changes"] = c.book.Gen, len(c.book.Past)
+	if c.state != nil {
+		out["gen"], out["changes"] = c.state.Gen, len(c.state.Past)
 	}
 	return out
 }
--- a/internal/konkordia/konkordia.go
+++ b/internal/controlplane/controlplane.go
@@ -1,11 +1,10 @@
-// Package konkordia is a machine of the core at work: it serves members' and operators' calls, holds its part of the agreement,
-// keeps the tables of members and drivers, and carries out successions while it leads. It is named after the Konkordiahütte,
-// above the place where four glaciers come to one.
+// Package controlplane is a machine of the core at work: it serves members' and operators' calls, holds its part of
+// the agreement, keeps the tables of members and drivers, and carries out successions while it leads.
 //
-// Decisions are in margherita, monterosa, cosmiques and torino; here are their sockets, disk and clocks. Two goroutines own
+// Decisions are in consensus, directory, config and failover; here are their sockets, disk and clocks. Two goroutines own
 // everything: the council (the agreement and its disk) and the tables (members, drivers, successions), each with a queue of
 // commands, so that a disk that stalls holds up no beat.
-package konkordia
+package controlplane
 
 import (
 	"context"
@@ -16,21 +15,21 @@
 
 	"github.com/samber/oops"
 
-	"weirwind/internal/bertol"
-	"weirwind/internal/kungsleden"
-	"weirwind/internal/tuckett"
-	"weirwind/internal/viaalpina"
+	"weirwind/internal/controlmsg"
+	"weirwind/internal/events"
+	"weirwind/internal/settings"
+	"weirwind/internal/transport"
 )
 
-type link = viaalpina.Link[tuckett.Frame]
+type link = transport.Link[controlmsg.Frame]
 
 // linkIdle is how long a link between processes may carry nothing.
 const linkIdle = 4 * time.Second
 
-// Hut is one machine's process.
-type Hut struct {
-	set     *kungsleden.Settings
-	log     bertol.Log
+// Server is one machine's process.
+type Server struct {
+	set     *settings.Settings
+	log     events.Log
 	ctx     context.Context
 	cancel  context.CancelCauseFunc
 	start   time.Time
@@ -42,15 +41,15 @@
 	cores map[string]*coreLink // by mesh address
 
 	pendMu  sync.Mutex
-	pending map[uint64]chan *tuckett.Answer
+	pending map[uint64]chan *controlmsg.Response
 	number  uint64
 }
 
 type coreLink struct{ l *link }
 
 // Run serves until ctx ends, or a failure that can't be served with.
-func Run(ctx context.Context, s *kungsleden.Settings, log bertol.Log) error {
-	h := &Hut{set: s, log: log, start: time.Now(), cores: map[string]*coreLink{}, pending: map[uint64]chan *tuckett.Answer{}}
+func Run(ctx context.Context, s *settings.Settings, log events.Log) error {
+	h := &Server{set: s, log: log, start: time.Now(), cores: map[string]*coreLink{}, pending: map[uint64]chan *controlmsg.Response{}}
 	h.ctx, h.cancel = context.WithCancelCause(ctx)
 	var err error
 	if h.council, err = openCouncil(h); err != nil {
@@ -68,7 +67,7 @@
 	if err != nil {
 		return oops.In("listen").Wrap(err)
 	}
-	go viaalpina.Serve(mesh, linkIdle, func(*link) {}, h.take, func(l *link) { h.tables.do(func() { h.tables.lost(l) }) })
+	go transport.Serve(mesh, linkIdle, func(*link) {}, h.take, func(l *link) { h.tables.do(func() { h.tables.lost(l) }) })
 	for _, p := range s.Peers {
 		h.reach(p)
 	}
@@ -78,7 +77,7 @@
 	done := make(chan struct{})
 	go func() { h.council.run(h.ctx); close(done) }()
 	go h.tables.run()
-	log.Event(bertol.Started, "ctl", s.Ctl, "mesh", mesh.Addr().String())
+	log.Event(events.Started, "ctl", s.Ctl, "mesh", mesh.Addr().String())
 	<-h.ctx.Done()
 	server.Close()
 	mesh.Close()
@@ -89,12 +88,12 @@
 	return nil
 }
 
-func (h *Hut) now() float64 { return float64(time.Since(h.start)) / 1e6 }
+func (h *Server) now() float64 { return float64(time.Since(h.start)) / 1e6 }
 
-func (h *Hut) fail(err error) { h.cancel(err) }
+func (h *Server) fail(err error) { h.cancel(err) }
 
 // reach keeps a link to the core machine with that control address.
-func (h *Hut) reach(ctl string) {
+func (h *Server) reach(ctl string) {
 	if ctl == h.set.Ctl {
 		return
 	}
@@ -111,19 +110,19 @@
 		c.l = l
 		h.mu.Unlock()
 	}
-	go viaalpina.Keep(h.ctx, addr, viaalpina.Again{First: 50 * time.Millisecond, Most: time.Second, Patience: viaalpina.Patience}, func(l *link) {
-		l.Send(&tuckett.Frame{Hello: &tuckett.Hello{Kind: "core", Name: h.set.Hostname, Addr: h.set.Ctl}})
+	go transport.Keep(h.ctx, addr, transport.Backoff{First: 50 * time.Millisecond, Most: time.Second, DialTimeout: transport.DialTimeout}, func(l *link) {
+		l.Send(&controlmsg.Frame{Hello: &controlmsg.Hello{Kind: "core", Name: h.set.Hostname, Addr: h.set.Ctl}})
 		set(l)
-		h.log.Event(bertol.LinkUp, "core", ctl)
+		h.log.Event(events.LinkUp, "core", ctl)
 	}, h.take, func() {
 		set(nil)
-		h.log.Event(bertol.LinkDown, "core", ctl)
+		h.log.Event(events.LinkDown, "core", ctl)
 		h.council.do(func() { h.council.node.LeaderGone(ctl, h.now()) })
 	})
 }
 
 // sendCore sends to a core machine, and begins to reach it where it was not known.
-func (h *Hut) sendCore(ctl string, f *tuckett.Frame) bool {
+func (h *Server) sendCore(ctl string, f *controlmsg.Frame) bool {
 	h.mu.Lock()
 	c := h.cores[h.set.MeshOf(ctl)]
 	h.mu.Unlock()
@@ -135,8 +134,8 @@
 }
 
 // sendCores sends to all other core machines.
-func (h *Hut) sendCores(f *tuckett.Frame) {
-	raw := viaalpina.Encode(f)
+func (h *Server) sendCores(f *controlmsg.Frame) {
+	raw := transport.Encode(f)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, c := range h.cores {
@@ -146,8 +145,8 @@
 	}
 }
 
-// take hands a frame to who owns what it is about.
-func (h *Hut) take(l *link, f *tuckett.Frame) {
+// take successions a frame to who owns what it is about.
+func (h *Server) take(l *link, f *controlmsg.Frame) {
 	if f.Agree != nil {
 		h.council.do(func() {
 			if m := f.Agree; m.From.Addr != "" {
@@ -157,22 +156,22 @@
 		})
 		return
 	}
-	if f.Ask != nil {
-		a := f.Ask
+	if f.Request != nil {
+		a := f.Request
 		h.council.do(func() {
-			h.council.take(&ask{Ask: *a, reply: func(status int, body []byte) {
-				l.Send(&tuckett.Frame{Answer: &tuckett.Answer{Number: a.Number, Status: status, Body: body}})
+			h.council.take(&pendingRequest{Request: *a, reply: func(status int, body []byte) {
+				l.Send(&controlmsg.Frame{Response: &controlmsg.Response{Number: a.Number, Status: status, Body: body}})
 			}})
 		})
 		return
 	}
-	if f.Answer != nil {
+	if f.Response != nil {
 		h.pendMu.Lock()
-		ch := h.pending[f.Answer.Number]
-		delete(h.pending, f.Answer.Number)
+		ch := h.pending[f.Response.Number]
+		delete(h.pending, f.Response.Number)
 		h.pendMu.Unlock()
 		if ch != nil {
-			ch <- f.Answer
+			ch <- f.Response
 		}
 		return
 	}
@@ -180,8 +179,8 @@
 }
 
 // call answers an operator's call, here or at who leads.
-func (h *Hut) call(a tuckett.Ask) (int, []byte) {
-	ch := make(chan *tuckett.Answer, 1)
+func (h *Server) call(a controlmsg.Request) (int, []byte) {
+	ch := make(chan *controlmsg.Response, 1)
 	h.pendMu.Lock()
 	h.number++
 	a.Number = h.number
@@ -191,11 +190,11 @@
 	h.council.do(func() {
 		leader, known := h.council.node.Leading()
 		switch {
-		case known && leader.ID == h.council.node.Hard.ID:
-			h.council.take(&ask{Ask: a, reply: func(status int, body []byte) { ch <- &tuckett.Answer{Status: status, Body: body} }})
-		case known && h.sendCore(leader.Addr, &tuckett.Frame{Ask: &a}):
+		case known && leader.ID == h.council.node.HardState.ID:
+			h.council.take(&pendingRequest{Request: a, reply: func(status int, body []byte) { ch <- &controlmsg.Response{Status: status, Body: body} }})
+		case known && h.sendCore(leader.Addr, &controlmsg.Frame{Request: &a}):
 		default:
-			ch <- &tuckett.Answer{Status: 503, Body: []byte("nobody is known to lead the core\n")}
+			ch <- &controlmsg.Response{Status: 503, Body: []byte("nobody is known to lead the core\n")}
 		}
 	})
 	defer func() {
@@ -206,7 +205,7 @@
 	select {
 	case ans := <-ch:
 		return ans.Status, ans.Body
-	case <-time.After(askFor):
+	case <-time.After(requestTimeout):
 		return 503, []byte("no answer from who leads the core\n")
 	case <-h.ctx.Done():
 		return 503, []byte("stopping\n")
--- a/internal/konkordia/council.go
+++ b/internal/controlplane/council.go
@@ -1,4 +1,4 @@
-package konkordia
+package controlplane
 
 // This file owns the council: the goroutine that holds the agreement and its disk. Nothing else touches either. It waits for
 // the disk before it says anything that follows from what it wrote.
@@ -16,27 +16,27 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"weirwind/internal/bertol"
-	"weirwind/internal/cosmiques"
-	"weirwind/internal/gouter"
-	"weirwind/internal/margherita"
-	"weirwind/internal/payer"
-	"weirwind/internal/trient"
-	"weirwind/internal/tuckett"
+	"weirwind/internal/commandqueue"
+	"weirwind/internal/config"
+	"weirwind/internal/consensus"
+	"weirwind/internal/consensus/store"
+	"weirwind/internal/controlmsg"
+	"weirwind/internal/events"
+	"weirwind/internal/session/sites"
 )
 
 // Times of the agreement.
 const (
-	beatEvery  = 200 * time.Millisecond
-	patience   = 900 * time.Millisecond
-	askFor     = 3 * time.Second
-	mostAsks   = 64
-	diskWrongs = 20
+	heartbeatInterval  = 200 * time.Millisecond
+	electionTimeout    = 900 * time.Millisecond
+	requestTimeout     = 3 * time.Second
+	maxPendingRequests = 64
+	diskWrongs         = 20
 )
 
-// ask is an operator's call that waits for its answer.
-type ask struct {
-	tuckett.Ask
+// pendingRequest is an operator's call that waits for its answer.
+type pendingRequest struct {
+	controlmsg.Request
 	until float64
 	round uint64 // a refusal or a reading waits for it; 0: not yet asked
 	index uint64 // a proposal waits for it
@@ -45,13 +45,13 @@
 }
 
 type council struct {
-	h     *Hut
-	node  *margherita.Node
-	store *gouter.Store
-	q     *payer.Queue
-	asks  []*ask
+	h     *Server
+	node  *consensus.Node
+	store *store.Store
+	q     *commandqueue.Queue
+	asks  []*pendingRequest
 
-	book  *cosmiques.Book
+	state *config.State
 	seen  [2]uint64
 	known uint64 // gen told to the tables
 	led   bool
@@ -63,29 +63,29 @@
 	mostSync float64
 }
 
-func openCouncil(h *Hut) (*council, error) {
+func openCouncil(h *Server) (*council, error) {
 	s := h.set
-	store, hard, found, err := gouter.Open(s.DataDir)
+	store, hard, found, err := store.Open(s.DataDir)
 	if err != nil {
 		return nil, err
 	}
 	if !found {
 		if s.Init && slices.Contains(s.Peers, s.Ctl) {
-			hard = margherita.Found(s.Ctl, s.Peers)
-			h.log.Event(bertol.Founded, "voters", s.Peers)
+			hard = consensus.Bootstrap(s.Ctl, s.Peers)
+			h.log.Event(events.Founded, "voters", s.Peers)
 		} else {
 			var b [8]byte
 			_, _ = rand.Read(b[:])
-			hard = margherita.Empty(hex.EncodeToString(b[:]) + "@" + s.Ctl)
-			h.log.Event(bertol.Joining, "id", hard.ID)
+			hard = consensus.Empty(hex.EncodeToString(b[:]) + "@" + s.Ctl)
+			h.log.Event(events.Joining, "id", hard.ID)
 		}
 		if err := store.Save(&hard); err != nil {
 			return nil, err
 		}
 	}
-	c := &council{h: h, store: store, q: payer.New(h.ctx, 256)}
-	c.node = margherita.New(margherita.Options{Addr: s.Ctl, Seeds: s.Peers, Least: 2*s.TolerateNodes + 1,
-		Beat: ms(beatEvery), Patience: ms(patience), Gone: 5 * ms(patience), Draw: h.draw}, hard, h.now())
+	c := &council{h: h, store: store, q: commandqueue.New(h.ctx, 256)}
+	c.node = consensus.New(consensus.Options{Addr: s.Ctl, Seeds: s.Peers, MinVoters: 2*s.TolerateNodes + 1,
+		HeartbeatInterval: ms(heartbeatInterval), ElectionTimeout: ms(electionTimeout), RemoveAfter: 5 * ms(electionTimeout), Draw: h.draw}, hard, h.now())
 	c.commits()
 	return c, nil
 }
@@ -124,13 +124,13 @@
 	for range 8 {
 		if c.node.Dirty() {
 			began := c.h.now()
-			err := c.store.Save(&c.node.Hard)
+			err := c.store.Save(&c.node.HardState)
 			c.lastSync = c.h.now() - began
 			c.mostSync = max(c.mostSync, c.lastSync)
 			c.syncs++
 			if err != nil {
 				if c.wrong++; c.wrong == 1 {
-					c.h.log.Error(bertol.DiskFailed, err)
+					c.h.log.Error(events.DiskFailed, err)
 				}
 				if c.wrong > diskWrongs {
 					c.h.fail(err)
@@ -142,7 +142,7 @@
 			c.node.Synced(c.h.now())
 		}
 		for _, s := range c.node.Messages() {
-			c.h.sendCore(s.To, &tuckett.Frame{Agree: &s.Message})
+			c.h.sendCore(s.To, &controlmsg.Frame{Agree: &s.Message})
 		}
 		c.commits()
 		c.answer()
@@ -153,11 +153,11 @@
 	if leads := c.node.Ready(); leads != c.led {
 		c.led = leads
 		if leads {
-			c.h.log.Event(bertol.Leads, "term", c.node.Hard.Term)
+			c.h.log.Event(events.Leads, "term", c.node.HardState.Term)
 		} else {
-			c.h.log.Event(bertol.LedOver, "term", c.node.Hard.Term)
+			c.h.log.Event(events.LedOver, "term", c.node.HardState.Term)
 		}
-		term := c.node.Hard.Term
+		term := c.node.HardState.Term
 		c.h.tables.do(func() { c.h.tables.lead(leads, term) })
 	}
 }
@@ -169,14 +169,14 @@
 		return
 	}
 	c.seen = [2]uint64{e.Term, e.Index}
-	book := &cosmiques.Book{}
+	book := &config.State{}
 	if len(e.Value) > 0 {
 		if err := cbor.Unmarshal(e.Value, book); err != nil {
 			c.h.fail(err)
 			return
 		}
 	}
-	c.book = book
+	c.state = book
 	var addrs []string
 	voters := ""
 	for _, v := range e.Voters {
@@ -185,7 +185,7 @@
 	}
 	if voters != c.voted {
 		c.voted = voters
-		c.h.log.Event(bertol.VotersChange, "voters", voters, "index", e.Index)
+		c.h.log.Event(events.VotersChange, "voters", voters, "index", e.Index)
 	}
 	news := book.Gen > c.known
 	c.known = max(c.known, book.Gen)
@@ -197,12 +197,12 @@
 }
 
 // take queues an operator's call at the leader.
-func (c *council) take(a *ask) {
-	if len(c.asks) >= mostAsks {
+func (c *council) take(a *pendingRequest) {
+	if len(c.asks) >= maxPendingRequests {
 		a.reply(503, []byte("too many calls wait\n"))
 		return
 	}
-	a.until = c.h.now() + ms(askFor)
+	a.until = c.h.now() + ms(requestTimeout)
 	c.asks = append(c.asks, a)
 }
 
@@ -227,14 +227,14 @@
 }
 
 // grant answers for a site's lease; the sites that it knows come along.
-func (c *council) grant(a *ask) {
-	sites := c.book.Sites
-	if sites == nil || sites.Sites[a.Grant.Site].Life != a.Grant.Life || sites.Sites[a.Grant.Site].State == trient.Out {
+func (c *council) grant(a *pendingRequest) {
+	known := c.state.Sites
+	if known == nil || known.Sites[a.Grant.Site].Life != a.Grant.Life || known.Sites[a.Grant.Site].State == sites.Out {
 		a.reply(409, []byte("this life of the site is over, or has not joined\n"))
 		return
 	}
 	c.h.tables.do(func() { c.h.tables.granted[a.Grant.Site] = c.h.now() })
-	body, err := json.Marshal(sites)
+	body, err := json.Marshal(known)
 	if err != nil {
 		a.reply(500, []byte(err.Error()+"\n"))
 		return
@@ -243,31 +243,31 @@
 }
 
 // next gives the book that a change makes, the same one if it was taken before.
-func (c *council) next(a *ask) (*cosmiques.Book, error) {
+func (c *council) next(a *pendingRequest) (*config.State, error) {
 	if a.Shards != nil {
-		return c.book.WithShards(a.Shards)
+		return c.state.WithShards(a.Shards)
 	}
 	if a.Sites != nil {
-		return c.book.WithSites(a.Sites)
+		return c.state.WithSites(a.Sites)
 	}
-	change := &cosmiques.Change{Amend: a.Amend, Base: a.Base, Body: a.Body}
-	if c.book.Taken(change) {
-		return c.book, nil
+	change := &config.Change{Amend: a.Amend, Base: a.Base, Body: a.Body}
+	if c.state.Taken(change) {
+		return c.state, nil
 	}
-	return c.book.Apply(change, a.Node, time.Now().UnixMilli())
+	return c.state.Apply(change, a.Node, time.Now().UnixMilli())
 }
 
 // one looks whether a call can be answered. blocked: a change before it is not decided yet.
-func (c *council) one(a *ask, now float64, blocked *bool) bool {
+func (c *council) one(a *pendingRequest, now float64, blocked *bool) bool {
 	if a.index > 0 {
 		e, ok := c.node.Committed()
 		if ok && e.Term == a.term && e.Index >= a.index {
 			if a.Sites != nil {
-				c.h.log.Event(bertol.SiteMap, "kind", a.Sites.Kind, "site", a.Sites.Name, "version", c.book.Sites.Version)
+				c.h.log.Event(events.SiteMap, "kind", a.Sites.Kind, "site", a.Sites.Name, "version", c.state.Sites.Version)
 			} else if a.Shards != nil {
-				c.h.log.Event(bertol.ShardMap, "kind", a.Shards.Kind, "shard", a.Shards.Shard, "node", a.Shards.Node, "version", c.book.Shards.Version)
+				c.h.log.Event(events.ShardMap, "kind", a.Shards.Kind, "shard", a.Shards.Shard, "node", a.Shards.Node, "version", c.state.Shards.Version)
 			} else {
-				c.h.log.Event(bertol.ConfigTaken, "gen", c.book.Gen, "base", a.Base, "from", a.Node)
+				c.h.log.Event(events.ConfigTaken, "gen", c.state.Gen, "base", a.Base, "from", a.Node)
 			}
 			a.reply(200, []byte("taken\n"))
 			return true
@@ -275,7 +275,7 @@
 		*blocked = true
 		return false
 	}
-	if *blocked || c.node.Busy() || c.book == nil {
+	if *blocked || c.node.Busy() || c.state == nil {
 		*blocked = true
 		return false
 	}
@@ -286,7 +286,7 @@
 		}
 	} else if !a.Show {
 		next, err := c.next(a)
-		if next == c.book && err == nil {
+		if next == c.state && err == nil {
 			a.reply(200, []byte("taken before\n"))
 			return true
 		}
@@ -304,19 +304,19 @@
 		}
 		if a.round > 0 && c.node.Confirmed(a.round) { // only who leads for certain may refuse
 			status, reason := 500, "error"
-			var r *cosmiques.Refusal
+			var r *config.Refusal
 			if errors.As(err, &r) {
 				status, reason = r.Status, r.Reason
 			}
-			c.h.log.Event(bertol.ConfigNot, "reason", reason, "why", err.Error(), "from", a.Node)
+			c.h.log.Event(events.ConfigNot, "reason", reason, "why", err.Error(), "from", a.Node)
 			a.reply(status, []byte(err.Error()+"\n"))
 			return true
 		}
 	} else if a.round > 0 && c.node.Confirmed(a.round) {
-		if c.book.Gen == 0 {
+		if c.state.Gen == 0 {
 			a.reply(404, []byte("there is no configuration yet\n"))
 		} else {
-			a.reply(200, c.book.Raw)
+			a.reply(200, c.state.Raw)
 		}
 		return true
 	}
@@ -327,7 +327,7 @@
 	return false
 }
 
-func (h *Hut) draw() float64 {
+func (h *Server) draw() float64 {
 	var b [4]byte
 	if _, err := rand.Read(b[:]); err != nil {
 		return float64(os.Getpid()%97) / 97
--- a/internal/konkordia/moving.go
+++ b/internal/controlplane/moving.go
@@ -1,6 +1,6 @@
-package konkordia
+package controlplane
 
-// This file owns what a leader does about shards: it gives oberaar its view, puts its questions to nodes, and has its changes of
+// This file owns what a leader does about shards: it gives shardmap its view, puts its questions to nodes, and has its changes of
 // the map agreed on. Nothing of it runs before shards were founded.
 
 import (
@@ -9,11 +9,11 @@
 	"slices"
 	"time"
 
-	"weirwind/internal/bertol"
-	"weirwind/internal/bonatti"
-	"weirwind/internal/monterosa"
-	"weirwind/internal/oberaar"
-	"weirwind/internal/tuckett"
+	"weirwind/internal/controlmsg"
+	"weirwind/internal/directory"
+	"weirwind/internal/events"
+	"weirwind/internal/memberconn"
+	"weirwind/internal/shard/shardmap"
 )
 
 const (
@@ -30,10 +30,10 @@
 }
 
 // nodes gives the member that answers for each node: who leads the service of its name.
-func (t *tables) nodes(now float64) map[string]monterosa.Member {
-	out := map[string]monterosa.Member{}
+func (t *tables) nodes(now float64) map[string]directory.Member {
+	out := map[string]directory.Member{}
 	for _, m := range t.members.List() {
-		if m.Gone || m.Role != monterosa.RolePrimary || t.config.Service(m.Svc) == nil {
+		if m.Gone || m.Role != directory.RolePrimary || t.config.Service(m.Svc) == nil {
 			continue
 		}
 		if old, found := out[m.Svc]; !found || t.members.Silent(m.ID, now) < t.members.Silent(old.ID, now) {
@@ -45,14 +45,14 @@
 
 // move takes the mover on.
 func (t *tables) move(now float64) {
-	if !t.leading || t.book == nil || t.book.Shards == nil || t.config == nil {
+	if !t.leading || t.state == nil || t.state.Shards == nil || t.config == nil {
 		return
 	}
 	if t.mover == nil {
-		t.mover = oberaar.NewMover()
+		t.mover = shardmap.NewMover()
 	}
 	nodes := t.nodes(now)
-	for _, a := range t.mover.Step(t.book.Shards, slices.Sorted(maps.Keys(nodes)), now) {
+	for _, a := range t.mover.Step(t.state.Shards, slices.Sorted(maps.Keys(nodes)), now) {
 		t.carryMove(t.mover, nodes, a)
 	}
 	if n := len(t.moves); n == 0 || now-t.moves[n-1].At > pointEvery {
@@ -66,9 +66,9 @@
 	}
 }
 
-func (t *tables) carryMove(mv *oberaar.Mover, nodes map[string]monterosa.Member, a oberaar.Act) {
+func (t *tables) carryMove(mv *shardmap.Mover, nodes map[string]directory.Member, a shardmap.Act) {
 	sent := t.h.now()
-	back := func(res oberaar.Result) {
+	back := func(res shardmap.Result) {
 		t.do(func() {
 			if t.mover == mv {
 				mv.Told(a, res, t.h.now())
@@ -77,13 +77,13 @@
 		})
 	}
 	switch a.Kind {
-	case oberaar.Note:
-		t.h.log.Event(bertol.ShardMove, "shard", a.Shard, "what", a.Why)
+	case shardmap.Note:
+		t.h.log.Event(events.ShardMove, "shard", a.Shard, "what", a.Why)
 		return
-	case oberaar.Propose:
+	case shardmap.Propose:
 		go func() {
-			status, _ := t.h.call(tuckett.Ask{Shards: a.Change})
-			res := oberaar.Result{}
+			status, _ := t.h.call(controlmsg.Request{Shards: a.Change})
+			res := shardmap.Result{}
 			if status != 200 {
 				res.Err = "refused"
 			}
@@ -93,34 +93,34 @@
 	}
 	m, ok := nodes[a.Node]
 	if !ok {
-		go back(oberaar.Result{Err: "dark"})
+		go back(shardmap.Result{Err: "dark"})
 		return
 	}
 	from := ""
-	if a.Kind == oberaar.Fetch {
+	if a.Kind == shardmap.Fetch {
 		src, ok := nodes[a.From]
 		if !ok {
-			go back(oberaar.Result{Err: "dark"})
+			go back(shardmap.Result{Err: "dark"})
 			return
 		}
 		from = src.Addr + " " + src.Svc + " " + src.ID
 	}
 	text := a.Text(from)
-	if a.Kind != oberaar.Look && a.Kind != oberaar.Fetch {
-		t.h.log.Event(bertol.ShardStep, "shard", a.Shard, "node", a.Node, "step", text)
+	if a.Kind != shardmap.Look && a.Kind != shardmap.Fetch {
+		t.h.log.Event(events.ShardStep, "shard", a.Shard, "node", a.Node, "step", text)
 	}
 	go func() {
 		until := time.Now().Add(nodeTime)
 		var rows []string
-		_, err := t.asker.with(m, until, func(c *bonatti.Conn) (wrong error) {
+		_, err := t.asker.with(m, until, func(c *memberconn.Conn) (wrong error) {
 			rows, wrong = c.Ask(text, until)
 			return wrong
 		})
-		var said *bonatti.Refusal
+		var said *memberconn.Refusal
 		refused := errors.As(err, &said)
-		if a.Kind == oberaar.Look {
+		if a.Kind == shardmap.Look {
 			t.do(func() {
-				r, ok := oberaar.ReadReport(rows)
+				r, ok := shardmap.ReadReport(rows)
 				if t.mover == mv {
 					mv.Seen(a.Node, sent, r, ok && err == nil)
 				}
@@ -131,7 +131,7 @@
 		case refused:
 			back(a.ResultOf(nil, said.Text))
 		case err != nil:
-			back(oberaar.Result{Err: "dark"})
+			back(shardmap.Result{Err: "dark"})
 		default:
 			back(a.ResultOf(rows, ""))
 		}
@@ -140,8 +140,8 @@
 
 func (t *tables) shardsView() ShardsView {
 	v := ShardsView{Leads: t.leading}
-	if t.book != nil {
-		v.Map = t.book.Shards
+	if t.state != nil {
+		v.Map = t.state.Shards
 	}
 	if t.mover != nil && v.Map != nil {
 		v.Nodes, v.Moved, v.Gaps, v.Points, v.Runs = t.mover.Reports(), t.mover.Moved(), slices.Clone(t.mover.Gaps()), slices.Clone(t.moves), map[string]string{}
--- a/internal/konkordia/sites.go
+++ b/internal/controlplane/sites.go
@@ -1,4 +1,4 @@
-package konkordia
+package controlplane
 
 // This file owns the sites of open sessions at the core: their joining, their leases, and their end.
 
@@ -9,9 +9,9 @@
 	"strconv"
 	"time"
 
-	"weirwind/internal/bertol"
-	"weirwind/internal/trient"
-	"weirwind/internal/tuckett"
+	"weirwind/internal/controlmsg"
+	"weirwind/internal/events"
+	"weirwind/internal/session/sites"
 )
 
 // A site's lease holds for SiteLease from when it asked. The core takes it for over only siteSlack later than it can possibly
@@ -24,25 +24,25 @@
 // lapseSites proposes the end of sites whose lease is over. A new leader grants every site a lease's time: it doesn't know what was
 // granted before it.
 func (t *tables) lapseSites(now float64) {
-	if t.book == nil || t.book.Sites == nil {
+	if t.state == nil || t.state.Sites == nil {
 		return
 	}
-	for name, s := range t.book.Sites.Sites {
+	for name, s := range t.state.Sites.Sites {
 		if t.lives[name] != s.Life { // it has just joined
 			t.lives[name], t.granted[name] = s.Life, now
 		}
-		if s.State == trient.Out || now-max(t.granted[name], t.ledAt) < ms(SiteLease+siteSlack) {
+		if s.State == sites.Out || now-max(t.granted[name], t.ledAt) < ms(SiteLease+siteSlack) {
 			continue
 		}
 		t.granted[name] = now // not again at once
-		t.h.log.Event(bertol.SiteLapsed, "site", name, "epoch", s.Epoch)
-		change := &trient.Change{Kind: trient.Lapse, Name: name, Epoch: s.Epoch}
-		go t.h.call(tuckett.Ask{Sites: change})
+		t.h.log.Event(events.SiteLapsed, "site", name, "epoch", s.Epoch)
+		change := &sites.Change{Kind: sites.Lapse, Name: name, Epoch: s.Epoch}
+		go t.h.call(controlmsg.Request{Sites: change})
 	}
 }
 
-// sites is the resource of the sites that hold open sessions.
-type sites struct{ h *Hut }
+// sitesResource is the resource of the sites that hold open sessions.
+type sitesResource struct{ h *Server }
 
 // Renewal is what a site says of itself; the answer is the map of sites.
 type Renewal struct {
@@ -53,25 +53,25 @@
 	Life   uint64 `json:"life"`
 }
 
-func (s *sites) renew(w http.ResponseWriter, r *http.Request) {
+func (s *sitesResource) renew(w http.ResponseWriter, r *http.Request) {
 	var n Renewal
 	name := r.PathValue("name")
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, mostBeat)).Decode(&n); err != nil || n.Addr == "" || n.Life == 0 {
 		http.Error(w, "a renewal names its addr and life", http.StatusBadRequest)
 		return
 	}
-	grant := tuckett.Ask{Grant: &tuckett.Grant{Site: name, Life: n.Life}}
+	grant := controlmsg.Request{Grant: &controlmsg.Grant{Site: name, Life: n.Life}}
 	status, body := s.h.call(grant)
 	if status == http.StatusConflict {
-		join := &trient.Change{Kind: trient.Join, Name: name, Site: trient.Site{Addr: n.Addr, HTTP: n.HTTP, Zone: n.Zone, Region: n.Region, Life: n.Life}}
-		if status, body = s.h.call(tuckett.Ask{Sites: join}); status == http.StatusOK {
+		join := &sites.Change{Kind: sites.Join, Name: name, Site: sites.Site{Addr: n.Addr, HTTP: n.HTTP, Zone: n.Zone, Region: n.Region, Life: n.Life}}
+		if status, body = s.h.call(controlmsg.Request{Sites: join}); status == http.StatusOK {
 			status, body = s.h.call(grant)
 		}
 	}
 	s.answer(w, status, body)
 }
 
-func (s *sites) answer(w http.ResponseWriter, status int, body []byte) {
+func (s *sitesResource) answer(w http.ResponseWriter, status int, body []byte) {
 	if status == http.StatusOK {
 		w.Header().Set("Content-Type", "application/json")
 	}
@@ -79,9 +79,9 @@
 	w.Write(body)
 }
 
-func (s *sites) change(kind trient.Kind) http.HandlerFunc {
+func (s *sitesResource) change(kind sites.Kind) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		c := &trient.Change{Kind: kind, Name: r.PathValue("name")}
+		c := &sites.Change{Kind: kind, Name: r.PathValue("name")}
 		c.Epoch, _ = strconv.ParseUint(r.URL.Query().Get("epoch"), 10, 64)
 		if pace := r.URL.Query().Get("pace"); pace != "" {
 			n, err := strconv.Atoi(pace)
@@ -91,19 +91,19 @@
 			}
 			c.Pace = n
 		}
-		status, body := s.h.call(tuckett.Ask{Sites: c})
+		status, body := s.h.call(controlmsg.Request{Sites: c})
 		s.answer(w, status, body)
 	}
 }
 
 // show gives the map as this machine knows it, which edges may go by: what an old one says is refused by whom it names.
-func (s *sites) show(w http.ResponseWriter, _ *http.Request) {
-	ch := make(chan *trient.Map, 1)
+func (s *sitesResource) show(w http.ResponseWriter, _ *http.Request) {
+	ch := make(chan *sites.Map, 1)
 	s.h.tables.do(func() {
-		if b := s.h.tables.book; b != nil && b.Sites != nil {
+		if b := s.h.tables.state; b != nil && b.Sites != nil {
 			ch <- b.Sites
 		} else {
-			ch <- &trient.Map{}
+			ch <- &sites.Map{}
 		}
 	})
 	select {
--- a/internal/konkordia/succession.go
+++ b/internal/controlplane/succession.go
@@ -1,6 +1,6 @@
-package konkordia
+package controlplane
 
-// This file owns what a leader does about successions: it gives torino its view and carries out what it says.
+// This file owns what a leader does about successions: it gives failover its view and carries out what it says.
 
 import (
 	"bytes"
@@ -13,11 +13,11 @@
 
 	"github.com/samber/oops"
 
-	"weirwind/internal/bertol"
-	"weirwind/internal/bonatti"
-	"weirwind/internal/gr20"
-	"weirwind/internal/monterosa"
-	"weirwind/internal/torino"
+	"weirwind/internal/directory"
+	"weirwind/internal/events"
+	"weirwind/internal/failover"
+	"weirwind/internal/memberconn"
+	"weirwind/internal/wire"
 )
 
 const (
@@ -30,7 +30,7 @@
 // lead begins or ends this machine's lead.
 func (t *tables) lead(leads bool, term uint64) {
 	t.leading, t.term = leads, term
-	t.hands, t.reports = map[string]*torino.Service{}, map[string]map[string]report{}
+	t.successions, t.reports = map[string]*failover.Service{}, map[string]map[string]report{}
 	t.asker.forget()
 	t.mover = nil
 	t.granted, t.ledAt = map[string]float64{}, t.h.now()
@@ -40,7 +40,7 @@
 	if t.config == nil || now < max(ms(tableKnows), 4*ms(t.h.set.Beat)) {
 		return // a process that has just begun doesn't know all members yet: one that it lacks may alone hold a commit, or lead
 	}
-	bySvc := map[string][]monterosa.Member{}
+	bySvc := map[string][]directory.Member{}
 	for _, m := range t.members.List() {
 		if !m.Gone {
 			bySvc[m.Svc] = append(bySvc[m.Svc], m)
@@ -49,15 +49,15 @@
 	drivers := len(t.leases.List())
 	for i := range t.config.Svcs {
 		cs := &t.config.Svcs[i]
-		s := t.hands[cs.Name]
+		s := t.successions[cs.Name]
 		if s == nil {
-			s = torino.New(now)
-			t.hands[cs.Name] = s
+			s = failover.New(now)
+			t.successions[cs.Name] = s
 		}
-		v := &torino.View{Svc: cs.Name, SyncN: cs.SyncN, Drivers: drivers}
+		v := &failover.View{Svc: cs.Name, SyncN: cs.SyncN, Drivers: drivers}
 		for _, m := range bySvc[cs.Name] {
-			v.Members = append(v.Members, torino.Member{ID: m.ID, Gen: m.Gen, Leaving: m.Leaving, Silent: t.members.Silent(m.ID, now),
-				Primary: m.Role == monterosa.RolePrimary, Replica: m.Role == monterosa.RoleReplica})
+			v.Members = append(v.Members, failover.Member{ID: m.ID, Gen: m.Gen, Leaving: m.Leaving, Silent: t.members.Silent(m.ID, now),
+				Primary: m.Role == directory.RolePrimary, Replica: m.Role == directory.RoleReplica})
 		}
 		for _, r := range t.reports[cs.Name] {
 			if now-r.at < accuseFor {
@@ -74,22 +74,22 @@
 	}
 }
 
-func (t *tables) carry(s *torino.Service, v *torino.View, now float64) {
+func (t *tables) carry(s *failover.Service, v *failover.View, now float64) {
 	for _, a := range s.Step(v, now) {
 		switch a.Kind {
-		case torino.Note:
-			t.h.log.Event(bertol.Succession, "svc", v.Svc, "member", a.ID, "what", a.Why)
-		case torino.Handed:
+		case failover.Note:
+			t.h.log.Event(events.Succession, "svc", v.Svc, "member", a.ID, "what", a.Why)
+		case failover.Handed:
 			t.bind(a.ID)
-		case torino.Failover:
-			t.h.log.Event(bertol.SuccessStep, "svc", v.Svc, "step", "failover", "to", a.ID, "from", a.Why)
+		case failover.Failover:
+			t.h.log.Event(events.SuccessStep, "svc", v.Svc, "step", "failover", "to", a.ID, "from", a.Why)
 			go t.failover(s, v.Svc, a.ID, t.term)
 		default:
 			if m, ok := t.members.Get(a.ID); ok {
-				text := [...]string{torino.Stat: "STAT", torino.Pause: "PAUSE " + strconv.FormatUint(a.Term+1, 10), torino.Cont: "CONT",
-					torino.StepDown: "STEPDOWN " + strconv.FormatUint(a.Term+1, 10)}[a.Kind]
-				if a.Kind != torino.Stat {
-					t.h.log.Event(bertol.SuccessStep, "svc", v.Svc, "step", text, "member", a.ID)
+				text := [...]string{failover.Stat: "STAT", failover.Pause: "PAUSE " + strconv.FormatUint(a.Term+1, 10), failover.Cont: "CONT",
+					failover.StepDown: "STEPDOWN " + strconv.FormatUint(a.Term+1, 10)}[a.Kind]
+				if a.Kind != failover.Stat {
+					t.h.log.Event(events.SuccessStep, "svc", v.Svc, "step", text, "member", a.ID)
 				}
 				go t.question(s, m, a.Kind, text)
 			} else {
@@ -99,7 +99,7 @@
 	}
 }
 
-func (t *tables) question(s *torino.Service, m monterosa.Member, k torino.ActKind, text string) {
+func (t *tables) question(s *failover.Service, m directory.Member, k failover.ActKind, text string) {
 	sent := t.h.now()
 	st, refused, err := t.asker.ask(m, text)
 	t.do(func() {
@@ -112,7 +112,7 @@
 }
 
 // failover calls the platform, with this machine as holder and its term as fence.
-func (t *tables) failover(s *torino.Service, svc, id string, fence uint64) {
+func (t *tables) failover(s *failover.Service, svc, id string, fence uint64) {
 	body, _ := json.Marshal(map[string]string{"svc": svc, "id": id})
 	status := 0
 	req, err := http.NewRequestWithContext(t.h.ctx, http.MethodPost, "http://"+t.h.set.Platform+"/failover", bytes.NewReader(body))
@@ -129,31 +129,33 @@
 		}
 	}
 	if err != nil {
-		t.h.log.Error(bertol.PlatformCall, oops.In("failover").With("peer", t.h.set.Platform).Wrap(err), "svc", svc, "member", id)
+		t.h.log.Error(events.PlatformCall, oops.In("failover").With("peer", t.h.set.Platform).Wrap(err), "svc", svc, "member", id)
 	} else {
-		t.h.log.Event(bertol.PlatformCall, "svc", svc, "member", id, "fence", fence, "status", status)
+		t.h.log.Event(events.PlatformCall, "svc", svc, "member", id, "fence", fence, "status", status)
 	}
 	t.do(func() { s.Called(id, status, t.h.now()) })
 }
 
 // asker keeps a connection to each member that is asked.
-type asker struct{ conns chan map[string]*bonatti.Conn }
+type asker struct {
+	conns chan map[string]*memberconn.Conn
+}
 
 func newAsker() *asker {
-	a := &asker{conns: make(chan map[string]*bonatti.Conn, 1)}
-	a.conns <- map[string]*bonatti.Conn{}
+	a := &asker{conns: make(chan map[string]*memberconn.Conn, 1)}
+	a.conns <- map[string]*memberconn.Conn{}
 	return a
 }
 
 func (a *asker) forget() {
 	all := <-a.conns
-	a.conns <- map[string]*bonatti.Conn{}
+	a.conns <- map[string]*memberconn.Conn{}
 	for _, c := range all {
 		c.Close()
 	}
 }
 
-func (a *asker) get(id string) *bonatti.Conn {
+func (a *asker) get(id string) *memberconn.Conn {
 	all := <-a.conns
 	defer func() { a.conns <- all }()
 	c := all[id]
@@ -161,7 +163,7 @@
 	return c
 }
 
-func (a *asker) put(id string, c *bonatti.Conn) {
+func (a *asker) put(id string, c *memberconn.Conn) {
 	all := <-a.conns
 	defer func() { a.conns <- all }()
 	if old := all[id]; old != nil {
@@ -171,9 +173,9 @@
 }
 
 // ask puts one question of state; refused: the member takes no connection.
-func (a *asker) ask(m monterosa.Member, text string) (st gr20.Status, refused bool, err error) {
+func (a *asker) ask(m directory.Member, text string) (st wire.Status, refused bool, err error) {
 	until := time.Now().Add(statTime)
-	refused, err = a.with(m, until, func(c *bonatti.Conn) (wrong error) {
+	refused, err = a.with(m, until, func(c *memberconn.Conn) (wrong error) {
 		st, wrong = c.Stat(text, until)
 		return wrong
 	})
@@ -184,16 +186,16 @@
 }
 
 // with puts a question over a kept connection, or a new one where that has ended as it rested.
-func (a *asker) with(m monterosa.Member, until time.Time, put func(*bonatti.Conn) error) (refused bool, err error) {
+func (a *asker) with(m directory.Member, until time.Time, put func(*memberconn.Conn) error) (refused bool, err error) {
 	c := a.get(m.ID)
 	for kept := c != nil; ; kept = false {
 		if c == nil {
-			if c, refused, err = bonatti.Dial(m, until); err != nil {
+			if c, refused, err = memberconn.Dial(m, until); err != nil {
 				return refused, err
 			}
 		}
 		err = put(c)
-		var said *bonatti.Refusal
+		var said *memberconn.Refusal
 		switch {
 		case err == nil, errors.As(err, &said):
 			a.put(m.ID, c)
--- a/internal/monterosa/monterosa.go
+++ b/internal/directory/directory.go
@@ -1,9 +1,8 @@
-// Package monterosa is the soft state: which members and which drivers there are. It is named after the Monte Rosa Hütte, whose
-// book lists who is on the mountain, and who has come down.
+// Package directory is the soft state: which members and which drivers there are.
 //
 // This file owns the tables, how two of them become one, and the digests by which two processes see whether theirs differ. It
 // does no I/O and reads no clock. Nothing here is ever written to disk: members and drivers tell it again.
-package monterosa
+package directory
 
 import (
 	"cmp"
@@ -349,9 +348,9 @@
 	return h.Sum64()
 }
 
-// Fellows picks the few that a driver passes news on to: the one that follows it in the order of names, so that word from
+// Peers picks the few that a driver passes news on to: the one that follows it in the order of names, so that word from
 // anywhere reaches all, and others drawn by its name, so that it does so in few steps.
-func Fellows(all []Driver, self string, few int) []Driver {
+func Peers(all []Driver, self string, few int) []Driver {
 	i, found := slices.BinarySearchFunc(all, self, func(d Driver, name string) int { return cmp.Compare(d.Name, name) })
 	if found {
 		i++
--- a/internal/monterosa/monterosa_test.go
+++ b/internal/directory/directory_test.go
@@ -1,4 +1,4 @@
-package monterosa
+package directory
 
 import (
 	"fmt"
@@ -123,7 +123,7 @@
 			next := map[string]bool{}
 			for name := range told {
 				next[name] = true
-				for _, f := range Fellows(all, name, 2) {
+				for _, f := range Peers(all, name, 2) {
 					next[f.Name] = true
 				}
 			}
--- a/internal/bertol/bertol.go
+++ b/internal/events/events.go
@@ -1,9 +1,8 @@
-// Package bertol is the system's log: numbered events. It is named after the Cabane de Bertol, which sees both ways from its
-// rock.
+// Package events is the system's log: numbered events.
 //
 // This file owns the catalogue: every event that a process of the system may log, its number and its meaning, as docs/events.md
 // prints it; a test holds the two together.
-package bertol
+package events
 
 import (
 	"fmt"
--- a/internal/bertol/bertol_test.go
+++ b/internal/events/events_test.go
@@ -1,4 +1,4 @@
-package bertol
+package events
 
 import (
 	"fmt"
@@ -23,7 +23,7 @@
 		}
 	}
 	if got, _ := os.ReadFile(file); string(got) != b.String() {
-		t.Error("docs/events.md is not the catalogue: EVENTS=write go test ./internal/bertol")
+		t.Error("docs/events.md is not the catalogue: EVENTS=write go test ./internal/events")
 	}
 }
 
--- a/internal/torino/torino.go
+++ b/internal/failover/failover.go
@@ -1,5 +1,4 @@
-// Package torino decides how a service gets another primary. It is named after the Rifugio Torino, from which ropes go over to
-// the other side.
+// Package failover decides how a service gets another primary.
 //
 // This file owns the steps of a succession at the machine that leads the core. It does no I/O and reads no clock. It must never
 // name a member whose log may lack an acknowledged commit: where that can't be known, it waits and says so.
@@ -9,7 +8,7 @@
 // receipt any more, and the one whose log goes furthest takes the lead. Where the old primary still leads (a planned end), all
 // replicas but the successor are paused instead: what is answered from then on the successor has received, and what was answered
 // before lies at or before the positions that the paused ones gave.
-package torino
+package failover
 
 import (
 	"cmp"
@@ -17,7 +16,7 @@
 	"maps"
 	"slices"
 
-	"weirwind/internal/gr20"
+	"weirwind/internal/wire"
 )
 
 // Tuned values, in milliseconds.
@@ -97,7 +96,7 @@
 var phaseNames = [...]string{"watching", "freezing", "catching", "calling", "proving"}
 
 type fact struct {
-	status  gr20.Status
+	status  wire.Status
 	at      float64 // when it was asked
 	ok      bool
 	refused int
@@ -126,10 +125,10 @@
 	start   float64 // of this lead
 	called  bool    // the platform may carry out a call still
 	stepped bool    // the old primary has stepped down: it holds all that was ever answered
-	oldPos  gr20.Position
+	oldPos  wire.Position
 	bound   bool // its drain was let bind
 	stuck   bool // the old primary speaks, but commits nothing: its word does not end the succession
-	behind  map[string]gr20.Position
+	behind  map[string]wire.Position
 	pressAt float64
 	standAt float64 // since when they stand
 	tried   map[string]bool
@@ -170,7 +169,7 @@
 func (s *Service) enter(p phase, now float64) { s.phase, s.since, s.askAt = p, now, now }
 
 // Answered takes a member's answer to STAT, PAUSE or CONT.
-func (s *Service) Answered(id string, k ActKind, sent, now float64, st gr20.Status) {
+func (s *Service) Answered(id string, k ActKind, sent, now float64, st wire.Status) {
 	f := s.fact(id)
 	f.waiting, f.ok, f.status, f.at, f.refused, f.failed = false, true, st, sent, 0, 0
 	s.term = max(s.term, st.Term, st.Held)
@@ -359,7 +358,7 @@
 // cutFromReplicas asks all, and says whether every replica has stood still behind the primary for a while.
 func (s *Service) cutFromReplicas(v *View, primary string, now float64) bool {
 	p := s.fact(primary)
-	here := map[string]gr20.Position{}
+	here := map[string]wire.Position{}
 	for _, m := range v.Members {
 		f := s.fact(m.ID)
 		if m.ID != primary {
@@ -379,7 +378,7 @@
 	if here == nil || len(here) == 0 || s.behind == nil || !maps.Equal(here, s.behind) {
 		s.behind, s.standAt = here, now
 		if s.behind == nil {
-			s.behind = map[string]gr20.Position{}
+			s.behind = map[string]wire.Position{}
 		}
 		return false
 	}
--- a/internal/torino/torino_test.go
+++ b/internal/failover/failover_test.go
@@ -1,4 +1,4 @@
-package torino
+package failover
 
 import (
 	"fmt"
@@ -8,8 +8,8 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"weirwind/internal/gr20"
 	"weirwind/internal/standin/cordata"
+	"weirwind/internal/wire"
 )
 
 // pass plays successions over a group in virtual time: questions and calls take their time or come to nothing, members fall and
@@ -222,8 +222,8 @@
 }
 
 func TestSteps(t *testing.T) {
-	status := func(lead bool, term, n uint64) gr20.Status {
-		return gr20.Status{Primary: lead, Term: term, Held: map[bool]uint64{true: term}[lead], Received: gr20.Position{Term: term, Number: n}}
+	status := func(lead bool, term, n uint64) wire.Status {
+		return wire.Status{Primary: lead, Term: term, Held: map[bool]uint64{true: term}[lead], Received: wire.Position{Term: term, Number: n}}
 	}
 	view := func() *View {
 		return &View{Svc: "s", SyncN: 1, Drivers: 6, Members: []Member{{ID: "a", Primary: true}, {ID: "b", Replica: true}, {ID: "c", Replica: true}}}
--- a/internal/hornli/hornli.go
+++ b/internal/group/group.go
@@ -1,18 +1,17 @@
-// Package hornli decides, for one replication group in one driver, where statements go. It is named after the Hörnlihütte, from
-// which only one rope at a time leads up the ridge.
+// Package group decides, for one replication group in one driver, where statements go.
 //
 // This file owns a group's members as a driver sees them: who may be sent what, what a read must have seen, who is doubted and
 // who is to be probed. It does no I/O and reads no clock. docs/system.md tells what comes from the design.
-package hornli
+package group
 
 import (
 	"math"
 	"math/rand/v2"
 	"slices"
 
-	"weirwind/internal/gr20"
-	"weirwind/internal/mischabel"
-	"weirwind/internal/monterosa"
+	"weirwind/internal/directory"
+	"weirwind/internal/wire"
+	"weirwind/internal/writerslot"
 )
 
 // Tuned values, in milliseconds unless said otherwise.
@@ -37,21 +36,21 @@
 	Fresh bool // it reads, and must see all that was acknowledged before it began
 	// Else it must see what was acknowledged before Since, and the session's own commit.
 	Since    float64
-	Commit   gr20.Position
+	Commit   wire.Position
 	CommitAt float64
 }
 
 // Choice is where it may go.
 type Choice struct {
 	Member *Member
-	After  gr20.Position // the member is asked to refuse if its log lacks this; none: not asked
+	After  wire.Position // the member is asked to refuse if its log lacks this; none: not asked
 	Prove  bool          // the member must prove that it leads, by a transaction round the read
 }
 
 // Member is one as this driver sees it.
 type Member struct {
-	monterosa.Member
-	Position  gr20.Position
+	directory.Member
+	Position  wire.Position
 	replicaAt float64
 	InFlight  int
 	heard     float64   // its last word here
@@ -59,7 +58,7 @@
 	commits   []float64 // those of them that wait for replicas, too
 	took      float64   // smoothed time of answers
 	laggedAt  float64
-	lagged    gr20.Position
+	lagged    wire.Position
 	aside     float64 // until when
 	pause     float64
 	distance  float64 // 0 same zone, 1 same region, 2 elsewhere
@@ -74,14 +73,14 @@
 
 type sample struct {
 	asked float64
-	pos   gr20.Position
+	pos   wire.Position
 }
 
 // Group is a replication group in one driver.
 type Group struct {
 	Svc     string
 	Members map[string]*Member
-	Slot    mischabel.Slot[string]
+	Slot    writerslot.Slot[string]
 	Why     string // of the slot's last change
 	samples []sample
 	probeAt float64
@@ -91,12 +90,12 @@
 
 // NewGroup knows no member yet. near says how far a zone is: 0, 1 or 2.
 func NewGroup(svc string, near func(zone string) float64) *Group {
-	return &Group{Svc: svc, Members: map[string]*Member{}, Slot: mischabel.NewSlot[string](), near: near, pauseP: ProbeEvery}
+	return &Group{Svc: svc, Members: map[string]*Member{}, Slot: writerslot.NewSlot[string](), near: near, pauseP: ProbeEvery}
 }
 
 // Learn takes a member's record as the list has it. known is false for what an own start found in the table, which says nothing
 // of when it was said.
-func (g *Group) Learn(r monterosa.Member, now float64) {
+func (g *Group) Learn(r directory.Member, now float64) {
 	m := g.Members[r.ID]
 	if r.Gone {
 		if m != nil {
@@ -117,9 +116,9 @@
 	switch {
 	case r.Draining:
 		g.drop(r.ID, now, "draining")
-	case r.Role == monterosa.RolePrimary:
+	case r.Role == directory.RolePrimary:
 		g.primary(m, now, "beat", true)
-	case r.Role == monterosa.RoleReplica:
+	case r.Role == directory.RoleReplica:
 		m.replicaAt = now
 		g.drop(r.ID, now, "replica")
 	}
@@ -179,7 +178,7 @@
 
 // companion is the replica with fewest own requests in flight among those that are fresh enough as far as is known; distance
 // counts as requests in flight, as what crosses regions is slow and dear.
-func (g *Group) companion(after gr20.Position, young bool, now float64, room func(*Member) bool, avoid func(string) bool) *Member {
+func (g *Group) companion(after wire.Position, young bool, now float64, room func(*Member) bool, avoid func(string) bool) *Member {
 	var best *Member
 	cost, ties := 0.0, 0
 	for _, m := range g.Members {
@@ -208,17 +207,17 @@
 }
 
 // cover gives a position that all acknowledged before since lies at or before.
-func (g *Group) cover(since float64) (gr20.Position, bool) {
+func (g *Group) cover(since float64) (wire.Position, bool) {
 	for _, s := range g.samples {
 		if s.asked >= since {
 			return s.pos, true
 		}
 	}
-	return gr20.Position{}, false
+	return wire.Position{}, false
 }
 
 // Sample takes a position that the primary had when it was asked.
-func (g *Group) Sample(asked float64, pos gr20.Position) {
+func (g *Group) Sample(asked float64, pos wire.Position) {
 	if pos.None() {
 		return
 	}
@@ -264,7 +263,7 @@
 )
 
 // Heard takes the end of a send.
-func (g *Group) Heard(m *Member, sent, now float64, w Word, pos gr20.Position) {
+func (g *Group) Heard(m *Member, sent, now float64, w Word, pos wire.Position) {
 	m.owes, m.commits = without(m.owes, sent), without(m.commits, sent)
 	if w == NoAnswer {
 		return
@@ -305,7 +304,7 @@
 }
 
 // Probed takes an answer to a probe.
-func (g *Group) Probed(m *Member, sent, now float64, s gr20.Status) {
+func (g *Group) Probed(m *Member, sent, now float64, s wire.Status) {
 	m.probing = false
 	m.heard, m.Doubted, m.aside, m.pause = now, false, 0, 0
 	if m.Position.Less(s.Received) && s.Primary {
--- a/internal/hornli/hornli_test.go
+++ b/internal/group/group_test.go
@@ -1,15 +1,15 @@
-package hornli
+package group
 
 import (
 	"testing"
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"weirwind/internal/gr20"
-	"weirwind/internal/monterosa"
+	"weirwind/internal/directory"
+	"weirwind/internal/wire"
 )
 
-func at(term, n uint64) gr20.Position { return gr20.Position{Term: term, Number: n} }
+func at(term, n uint64) wire.Position { return wire.Position{Term: term, Number: n} }
 
 func yes(*Member) bool { return true }
 
@@ -17,9 +17,9 @@
 
 func group() *Group {
 	g := NewGroup("s", func(zone string) float64 { return map[string]float64{"here": 0, "near": 1}[zone] })
-	g.Learn(monterosa.Member{ID: "a", Zone: "near", Role: monterosa.RolePrimary, Life: 1, Seq: 1}, 0)
-	g.Learn(monterosa.Member{ID: "b", Zone: "here", Role: monterosa.RoleReplica, Life: 1, Seq: 1}, 0)
-	g.Learn(monterosa.Member{ID: "c", Zone: "near", Role: monterosa.RoleReplica, Life: 1, Seq: 1}, 0)
+	g.Learn(directory.Member{ID: "a", Zone: "near", Role: directory.RolePrimary, Life: 1, Seq: 1}, 0)
+	g.Learn(directory.Member{ID: "b", Zone: "here", Role: directory.RoleReplica, Life: 1, Seq: 1}, 0)
+	g.Learn(directory.Member{ID: "c", Zone: "near", Role: directory.RoleReplica, Life: 1, Seq: 1}, 0)
 	return g
 }
 
@@ -70,7 +70,7 @@
 					So(c.After, ShouldResemble, at(1, 9))
 				})
 				Convey("and another primary's positions cover nothing any more", func() {
-					g.Learn(monterosa.Member{ID: "c", Zone: "near", Role: monterosa.RolePrimary, Life: 1, Seq: 2}, 230)
+					g.Learn(directory.Member{ID: "c", Zone: "near", Role: directory.RolePrimary, Life: 1, Seq: 2}, 230)
 					c := g.Choose(&Need{Since: 100}, 240, yes, none)
 					So(to(c), ShouldEqual, "c")
 					So(c.Prove, ShouldBeTrue)
@@ -84,7 +84,7 @@
 			probed := g.Probes(150)
 			So(len(probed), ShouldEqual, 3)
 			So(g.Probes(160), ShouldBeEmpty)
-			g.Probed(g.Members["c"], 150, 190, gr20.Status{Primary: true, Term: 2, Received: at(2, 7)})
+			g.Probed(g.Members["c"], 150, 190, wire.Status{Primary: true, Term: 2, Received: at(2, 7)})
 			So(to(g.Choose(write, 200, yes, none)), ShouldEqual, "c")
 			Convey("and what the old one said before does not bring it back", func() {
 				g.Heard(a, 90, 210, Led, at(1, 7))
@@ -92,9 +92,9 @@
 			})
 		})
 		Convey("holds them while its primary drains, though it still says that it leads", func() {
-			g.Learn(monterosa.Member{ID: "a", Role: monterosa.RolePrimary, Leaving: true, Draining: true, Life: 1, Seq: 2}, 100)
+			g.Learn(directory.Member{ID: "a", Role: directory.RolePrimary, Leaving: true, Draining: true, Life: 1, Seq: 2}, 100)
 			So(to(g.Choose(write, 150, yes, none)), ShouldEqual, "")
-			g.Probed(a, 150, 190, gr20.Status{Primary: true, Term: 1})
+			g.Probed(a, 150, 190, wire.Status{Primary: true, Term: 1})
 			So(to(g.Choose(write, 200, yes, none)), ShouldEqual, "")
 		})
 		Convey("doubts one that owes answers in silence, until it speaks", func() {
@@ -103,7 +103,7 @@
 			So(g.Doubt(500), ShouldBeTrue)
 			So(to(g.Choose(write, 510, yes, none)), ShouldEqual, "")
 			So(len(g.Probes(510)), ShouldEqual, 1)
-			g.Probed(a, 510, 540, gr20.Status{Primary: true, Term: 1, Received: at(1, 7)})
+			g.Probed(a, 510, 540, wire.Status{Primary: true, Term: 1, Received: at(1, 7)})
 			So(to(g.Choose(write, 550, yes, none)), ShouldEqual, "a")
 		})
 		Convey("holds writes, not reads, while it speaks but answers no commit", func() {
@@ -113,17 +113,17 @@
 			So(g.Stuck(600), ShouldBeTrue)
 			So(to(g.Choose(write, 600, yes, none)), ShouldEqual, "")
 			So(to(g.Choose(fresh, 600, yes, none)), ShouldEqual, "a")
-			g.Heard(a, 100, 650, NoAnswer, gr20.Position{})
+			g.Heard(a, 100, 650, NoAnswer, wire.Position{})
 			So(to(g.Choose(write, 660, yes, none)), ShouldEqual, "a")
 		})
 		Convey("empties its slot where no connection is to be had, but not of one that speaks on others", func() {
 			g.Heard(a, 0, 100, Answered, at(1, 7))
-			g.Heard(a, 50, 150, CutOff, gr20.Position{})
+			g.Heard(a, 50, 150, CutOff, wire.Position{})
 			So(to(g.Choose(write, 160, yes, none)), ShouldEqual, "a")
-			g.Heard(a, 600, 900, CutOff, gr20.Position{})
+			g.Heard(a, 600, 900, CutOff, wire.Position{})
 			So(to(g.Choose(write, 910, yes, none)), ShouldEqual, "")
 			Convey("and takes it back on its own word", func() {
-				g.Probed(a, 920, 950, gr20.Status{Primary: true, Term: 1, Received: at(1, 7)})
+				g.Probed(a, 920, 950, wire.Status{Primary: true, Term: 1, Received: at(1, 7)})
 				So(to(g.Choose(write, 960, yes, none)), ShouldEqual, "a")
 			})
 		})
--- a/internal/lab/evening/evening.go
+++ b/internal/lab/evening/evening.go
@@ -17,13 +17,13 @@
 	"sync/atomic"
 	"time"
 
-	"weirwind/internal/faulhorn"
-	"weirwind/internal/gnifetti"
-	"weirwind/internal/konkordia"
-	"weirwind/internal/kungsleden"
-	"weirwind/internal/mezzalama"
-	"weirwind/internal/solvay"
-	"weirwind/kesch"
+	"weirwind/internal/controlplane"
+	"weirwind/internal/plot"
+	"weirwind/internal/process"
+	"weirwind/internal/sessionedge"
+	"weirwind/internal/sessionsite"
+	"weirwind/internal/settings"
+	"weirwind/sessionclient"
 )
 
 const (
@@ -33,12 +33,12 @@
 
 // Role runs a process of the evening where this one was started as such; ok is false where it wasn't.
 func Role() (code int, ok bool) {
-	roles := map[string]solvay.Role{"core": {Name: "konkordia", Run: konkordia.Run}, "site": {Name: "gnifetti", Run: gnifetti.Run}, "edge": {Name: "mezzalama", Run: mezzalama.Run}}
+	roles := map[string]process.Role{"core": {Name: "controlplane", Run: controlplane.Run}, "site": {Name: "sessionsite", Run: sessionsite.Run}, "edge": {Name: "sessionedge", Run: sessionedge.Run}}
 	r, ok := roles[os.Getenv(variable)]
 	if !ok {
 		return 0, false
 	}
-	return solvay.Main(r, nil, os.Stdout), true
+	return process.Main(r, nil, os.Stdout), true
 }
 
 // Options of an evening.
@@ -69,7 +69,7 @@
 
 type guest struct {
 	mu      sync.Mutex
-	s       *kesch.Session
+	s       *sessionclient.Session
 	id      string
 	queued  []string
 	got     []string
@@ -107,7 +107,7 @@
 		return err
 	}
 	cmd := exec.Command(self)
-	cmd.Env = append(os.Environ(), variable+"="+role, kungsleden.Variable+"="+file)
+	cmd.Env = append(os.Environ(), variable+"="+role, settings.Variable+"="+file)
 	cmd.Stderr = log
 	h.procs[name] = cmd
 	return cmd.Start()
@@ -196,7 +196,7 @@
 		edges = append(edges, fmt.Sprintf("ws://%s:%d", h.ip(3, n), o.Port+4))
 	}
 	for i := range o.Clients {
-		g := &guest{last: time.Now(), s: kesch.Open(live, []string{edges[i%2], edges[(i+1)%2]}, "", 0)}
+		g := &guest{last: time.Now(), s: sessionclient.Open(live, []string{edges[i%2], edges[(i+1)%2]}, "", 0)}
 		guests = append(guests, g)
 		select {
 		case <-g.s.Opened():
@@ -308,7 +308,7 @@
 		}
 		body := fmt.Sprint(g.id[:6], "-", i)
 		answer, stop := context.WithTimeout(context.Background(), answerMost) // the evening's end leaves none in doubt
-		at, err := kesch.Queue(answer, sites, home, g.id, fmt.Sprint(i), []byte(body))
+		at, err := sessionclient.Queue(answer, sites, home, g.id, fmt.Sprint(i), []byte(body))
 		stop()
 		if home = at; err == nil {
 			g.mu.Lock()
@@ -322,7 +322,7 @@
 // Page draws the account.
 func (r *Result) Page(title string) string {
 	var b strings.Builder
-	b.WriteString(faulhorn.Head)
+	b.WriteString(plot.Head)
 	fmt.Fprintf(&b, "<title>%s</title><h1>%s</h1><p>%d messages queued, %d came; lost %d, doubled %d, out of order %d; %d of %d sockets stayed open.</p>", title, title, r.Queued, r.Came, r.Lost, r.Doubled, r.Mess, r.Stayed, r.Opened)
 	most, quiet := int64(1), time.Millisecond
 	for _, s := range r.Seconds {
@@ -330,11 +330,11 @@
 	}
 	n := len(r.Seconds)
 	fmt.Fprintf(&b, "<h2>Messages that came, of %d a second</h2>", most)
-	faulhorn.Line(&b, n, func(i int) float64 { return float64(r.Seconds[i].Came) / float64(most) }, "#246")
+	plot.Line(&b, n, func(i int) float64 { return float64(r.Seconds[i].Came) / float64(most) }, "#246")
 	fmt.Fprintf(&b, "<h2>Messages queued, of %d a second</h2>", most)
-	faulhorn.Line(&b, n, func(i int) float64 { return float64(r.Seconds[i].Queued) / float64(most) }, "#262")
+	plot.Line(&b, n, func(i int) float64 { return float64(r.Seconds[i].Queued) / float64(most) }, "#262")
 	fmt.Fprintf(&b, "<h2>Silence of the client that waited longest, of %s</h2>", quiet.Round(time.Millisecond))
-	faulhorn.Line(&b, n, func(i int) float64 { return float64(r.Seconds[i].Silence) / float64(quiet) }, "#a40")
+	plot.Line(&b, n, func(i int) float64 { return float64(r.Seconds[i].Silence) / float64(quiet) }, "#a40")
 	b.WriteString("<table><tr><th>second<th>queued<th>came<th>longest silence<th>")
 	for i, s := range r.Seconds {
 		fmt.Fprintf(&b, "<tr><td>%d<td>%d<td>%d<td>%s<td>%s", i+1, s.Queued, s.Came, s.Silence.Round(time.Millisecond), s.Note)
--- a/internal/bonatti/bonatti.go
+++ b/internal/memberconn/memberconn.go
@@ -1,8 +1,7 @@
-// Package bonatti is a connection to a member: how it is made, and how texts and answers go over it. It is named after the Rifugio
-// Bonatti, from which all of the range opposite can be called.
+// Package memberconn is a connection to a member: how it is made, and how texts and answers go over it.
 //
 // This file owns its socket. The proxy's pools, its probes and the core's questions use it; it decides nothing.
-package bonatti
+package memberconn
 
 import (
 	"errors"
@@ -14,9 +13,9 @@
 
 	"github.com/samber/oops"
 
-	"weirwind/internal/gr20"
-	"weirwind/internal/monterosa"
-	"weirwind/internal/viaalpina"
+	"weirwind/internal/directory"
+	"weirwind/internal/transport"
+	"weirwind/internal/wire"
 )
 
 const (
@@ -28,24 +27,24 @@
 // Conn is a connection to a member.
 type Conn struct {
 	C   net.Conn
-	R   *gr20.Reader
-	Pos gr20.Position // by its last answer
+	R   *wire.Reader
+	Pos wire.Position // by its last answer
 }
 
 // ErrRefused is the error of a member that took the connection and has no place for it.
 var ErrRefused = errors.New("refused")
 
 // Dial makes one. refused: nothing takes connections there at all.
-func Dial(m monterosa.Member, until time.Time) (c *Conn, refused bool, err error) {
+func Dial(m directory.Member, until time.Time) (c *Conn, refused bool, err error) {
 	step := oops.In("dial").With("peer", m.Addr)
 	nc, err := net.DialTimeout("tcp4", m.Addr, time.Until(until))
 	if err != nil {
 		return nil, !timeout(err), step.Wrap(err)
 	}
-	viaalpina.Dark(nc, dark)
-	c = &Conn{C: nc, R: gr20.NewReader(nc)}
+	transport.SetUserTimeout(nc, dark)
+	c = &Conn{C: nc, R: wire.NewReader(nc)}
 	nc.SetDeadline(until)
-	if _, err = io.WriteString(nc, gr20.Attach+" "+m.Svc+" "+who+" "+m.ID+"\r\n"); err != nil {
+	if _, err = io.WriteString(nc, wire.Attach+" "+m.Svc+" "+who+" "+m.ID+"\r\n"); err != nil {
 		nc.Close()
 		return nil, false, step.Wrap(err)
 	}
@@ -57,14 +56,14 @@
 		}
 		return nil, false, step.Wrapf(ErrRefused, "ended before it was ready: %v", err)
 	}
-	word, rest := gr20.Cut(line)
-	if word != gr20.Ready {
+	word, rest := wire.Cut(line)
+	if word != wire.Ready {
 		nc.Close()
-		code, _ := gr20.Cut(rest)
+		code, _ := wire.Cut(rest)
 		return nil, false, step.With("code", code).Wrapf(ErrRefused, "%s", line)
 	}
-	_, p := gr20.Cut(rest)
-	c.Pos, _ = gr20.ParsePosition(p)
+	_, p := wire.Cut(rest)
+	c.Pos, _ = wire.ParsePosition(p)
 	return c, false, nil
 }
 
@@ -102,12 +101,12 @@
 	Text  string // stamp, or code and text
 	Code  string // of a failure
 	State string
-	Pos   gr20.Position
+	Pos   wire.Position
 }
 
 // Query adds one to a batch.
 func Query(b *strings.Builder, id string, parts ...string) {
-	b.WriteString(gr20.Query)
+	b.WriteString(wire.Query)
 	b.WriteByte(' ')
 	b.WriteString(id)
 	for _, p := range parts {
@@ -135,9 +134,9 @@
 		if err != nil {
 			return a, err
 		}
-		word, rest := gr20.Cut(line)
+		word, rest := wire.Cut(line)
 		switch {
-		case word == gr20.Row && !ended:
+		case word == wire.Row && !ended:
 			a.Rows = append(a.Rows, line)
 			if size += len(line); size > mostRows && spill != nil {
 				if err := spill(a.Rows); err != nil {
@@ -145,15 +144,15 @@
 				}
 				a.Rows, size = nil, 0
 			}
-		case word == gr20.Done && !ended:
+		case word == wire.Done && !ended:
 			a.Done, a.Text, ended = true, rest, true
-		case word == gr20.Fail && !ended:
+		case word == wire.Fail && !ended:
 			a.Text, ended = rest, true
-			a.Code, _ = gr20.Cut(rest)
-		case word == gr20.Ready && ended:
-			state, pos := gr20.Cut(rest)
+			a.Code, _ = wire.Cut(rest)
+		case word == wire.Ready && ended:
+			state, pos := wire.Cut(rest)
 			a.State = state
-			a.Pos, _ = gr20.ParsePosition(pos)
+			a.Pos, _ = wire.ParsePosition(pos)
 			if !a.Pos.None() {
 				c.Pos = a.Pos
 			}
@@ -179,7 +178,7 @@
 		return nil, &Refusal{a.Code, a.Text}
 	}
 	for i, r := range a.Rows {
-		_, a.Rows[i] = gr20.Cut(r)
+		_, a.Rows[i] = wire.Cut(r)
 	}
 	return a.Rows, nil
 }
@@ -190,15 +189,15 @@
 func (r *Refusal) Error() string { return r.Text }
 
 // Stat asks for the member's state by STAT, or by a word that is answered with the same row.
-func (c *Conn) Stat(text string, until time.Time) (gr20.Status, error) {
+func (c *Conn) Stat(text string, until time.Time) (wire.Status, error) {
 	rows, err := c.Ask(text, until)
 	if err != nil {
-		return gr20.Status{}, err
+		return wire.Status{}, err
 	}
 	if len(rows) == 1 {
-		if st, ok := gr20.ParseStatus(rows[0]); ok {
+		if st, ok := wire.ParseStatus(rows[0]); ok {
 			return st, nil
 		}
 	}
-	return gr20.Status{}, oops.In("stat").Errorf("no row")
+	return wire.Status{}, oops.In("stat").Errorf("no row")
 }
--- a/internal/faulhorn/faulhorn.go
+++ b/internal/plot/plot.go
@@ -1,8 +1,7 @@
-// Package faulhorn draws a number over time for operators' pages. It is named after the Berghotel Faulhorn, from which all of the
-// range is seen in one line.
+// Package plot draws a number over time for operators' pages.
 //
 // This file owns the picture: plain SVG, no scripts.
-package faulhorn
+package plot
 
 import (
 	"fmt"
--- a/internal/solvay/solvay.go
+++ b/internal/process/process.go
@@ -1,8 +1,8 @@
-// Package solvay is what every process of the system starts and ends with: its command line, its settings, its signals. It is
-// named after the Solvay bivouac, where every rope on the ridge stops.
+// Package process is what every process of the system starts and ends with: its command line, its settings, its
+// signals.
 //
 // This file owns the frame round a role; what the role does is its own.
-package solvay
+package process
 
 import (
 	"context"
@@ -16,23 +16,23 @@
 
 	"github.com/samber/oops"
 
-	"weirwind/internal/bertol"
-	"weirwind/internal/kungsleden"
+	"weirwind/internal/events"
+	"weirwind/internal/settings"
 )
 
 // Role is what a program does with its settings until the context ends.
 type Role struct {
 	Name  string
 	About string
-	Needs func(*kungsleden.Settings) error
-	Run   func(context.Context, *kungsleden.Settings, bertol.Log) error
+	Needs func(*settings.Settings) error
+	Run   func(context.Context, *settings.Settings, events.Log) error
 }
 
 // Main runs a role's program and gives its exit code: 0 for an end in order, 1 for a failure, 2 for a wrong call.
 func Main(r Role, args []string, out io.Writer) int {
 	flags := flag.NewFlagSet(r.Name, flag.ContinueOnError)
 	flags.SetOutput(out)
-	file := flags.String("settings", os.Getenv(kungsleden.Variable), "settings `file`; else the variable "+kungsleden.Variable+" names it")
+	file := flags.String("settings", os.Getenv(settings.Variable), "settings `file`; else the variable "+settings.Variable+" names it")
 	check := flags.Bool("check", false, "read and check the settings, and end")
 	flags.Usage = func() {
 		fmt.Fprintf(out, "%s: %s\n\nUsage: %s [-settings FILE] [-check]\n\n", r.Name, r.About, r.Name)
@@ -49,10 +49,10 @@
 		flags.Usage()
 		return 2
 	}
-	log := bertol.New(os.Stderr, r.Name)
+	log := events.New(os.Stderr, r.Name)
 	s, err := load(*file, r)
 	if err != nil {
-		log.Error(bertol.BadSettings, err)
+		log.Error(events.BadSettings, err)
 		return 1
 	}
 	if *check {
@@ -68,25 +68,25 @@
 	go func() {
 		for range hup {
 			if now, err := load(*file, r); err != nil {
-				log.Error(bertol.BadSettings, err)
+				log.Error(events.BadSettings, err)
 			} else {
-				log.Event(bertol.Reloaded, "peers", now.Peers)
+				log.Event(events.Reloaded, "peers", now.Peers)
 			}
 		}
 	}()
 	if err := r.Run(ctx, s, log); err != nil {
-		log.Error(bertol.Stopped, err)
+		log.Error(events.Stopped, err)
 		return 1
 	}
 	return 0
 }
 
-func load(file string, r Role) (*kungsleden.Settings, error) {
+func load(file string, r Role) (*settings.Settings, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return nil, oops.In("settings").Wrap(err)
 	}
-	s, err := kungsleden.Read(text)
+	s, err := settings.Read(text)
 	if err == nil && r.Needs != nil {
 		err = r.Needs(s)
 	}
--- a/internal/hauteroute/conn.go
+++ b/internal/proxy/conn.go
@@ -1,14 +1,14 @@
-package hauteroute
+package proxy
 
 // This file owns what the proxy keeps with a member connection.
 
 import (
 	"time"
 
-	"weirwind/internal/altavia"
-	"weirwind/internal/bonatti"
-	"weirwind/internal/gr20"
-	"weirwind/internal/monterosa"
+	"weirwind/internal/directory"
+	"weirwind/internal/memberconn"
+	"weirwind/internal/sessionstate"
+	"weirwind/internal/wire"
 )
 
 const (
@@ -18,13 +18,13 @@
 
 // conn is a connection to a member, with what it carries.
 type conn struct {
-	*bonatti.Conn
-	carrier altavia.Carrier
+	*memberconn.Conn
+	carrier sessionstate.Carrier
 	rested  float64
 }
 
-func dial(m monterosa.Member, until time.Time) (*conn, error) {
-	c, _, err := bonatti.Dial(m, until)
+func dial(m directory.Member, until time.Time) (*conn, error) {
+	c, _, err := memberconn.Dial(m, until)
 	if err != nil {
 		return nil, err
 	}
@@ -32,11 +32,11 @@
 }
 
 // probe asks a member for its state over a connection of its own.
-func probe(m monterosa.Member) (gr20.Status, error) {
+func probe(m directory.Member) (wire.Status, error) {
 	until := time.Now().Add(probeTime)
-	c, _, err := bonatti.Dial(m, until)
+	c, _, err := memberconn.Dial(m, until)
 	if err != nil {
-		return gr20.Status{}, err
+		return wire.Status{}, err
 	}
 	defer c.Close()
 	return c.Stat("STAT", until)
--- a/internal/hauteroute/desk.go
+++ b/internal/proxy/desk.go
@@ -1,4 +1,4 @@
-package hauteroute
+package proxy
 
 // This file owns the desk: the goroutine that holds the groups, the pools of member connections and who waits for one. Sessions
 // ask it by commands and never touch its tables. It does no I/O.
@@ -8,15 +8,15 @@
 	"slices"
 	"time"
 
-	"weirwind/internal/bertol"
-	"weirwind/internal/bonatti"
-	"weirwind/internal/cosmiques"
-	"weirwind/internal/gr20"
-	"weirwind/internal/hornli"
-	"weirwind/internal/monterosa"
-	"weirwind/internal/oberaar"
-	"weirwind/internal/payer"
-	"weirwind/internal/tuckett"
+	"weirwind/internal/commandqueue"
+	"weirwind/internal/config"
+	"weirwind/internal/controlmsg"
+	"weirwind/internal/directory"
+	"weirwind/internal/events"
+	"weirwind/internal/group"
+	"weirwind/internal/memberconn"
+	"weirwind/internal/shard/shardmap"
+	"weirwind/internal/wire"
 )
 
 const (
@@ -34,7 +34,7 @@
 
 // waiter is a session that waits for a member connection.
 type waiter struct {
-	need   hornli.Need
+	need   group.Need
 	sum    uint64 // of the session's values: a connection that holds them is preferred
 	at     float64
 	until  float64
@@ -46,11 +46,11 @@
 
 // grant is what it gets.
 type grant struct {
-	group  *group
-	member *hornli.Member
-	rec    monterosa.Member
+	group  *memberGroup
+	member *group.Member
+	rec    directory.Member
 	conn   *conn
-	after  gr20.Position
+	after  wire.Position
 	prove  bool
 	sent   float64
 	fail   string // code; no connection comes
@@ -62,8 +62,8 @@
 	dialing int
 }
 
-type group struct {
-	g        *hornli.Group
+type memberGroup struct {
+	g        *group.Group
 	waiting  []*waiter
 	pools    map[string]*pool
 	max      int // connections at each member, from all drivers
@@ -76,20 +76,20 @@
 
 type desk struct {
 	p      *Proxy
-	q      *payer.Queue
-	groups map[string]*group
-	cfg    *cosmiques.Config
-	table  *monterosa.Members
+	q      *commandqueue.Queue
+	groups map[string]*memberGroup
+	cfg    *config.Config
+	table  *directory.Members
 	count  int
 	asked  chan struct{} // closed when a configuration is there
 
-	slots   *oberaar.Slots
+	slots   *shardmap.Slots
 	atShard map[string][]*shardWaiter
 }
 
 func newDesk(p *Proxy) *desk {
-	return &desk{p: p, q: payer.New(p.ctx, 4096), groups: map[string]*group{}, table: monterosa.NewMembers(), count: 1, asked: make(chan struct{}),
-		slots: oberaar.NewSlots(), atShard: map[string][]*shardWaiter{}}
+	return &desk{p: p, q: commandqueue.New(p.ctx, 4096), groups: map[string]*memberGroup{}, table: directory.NewMembers(), count: 1, asked: make(chan struct{}),
+		slots: shardmap.NewSlots(), atShard: map[string][]*shardWaiter{}}
 }
 
 func (d *desk) do(f func()) { d.q.Do(f) }
@@ -97,20 +97,20 @@
 func (d *desk) run() { d.q.Run(tickEvery, d.tick) }
 
 // news takes what the agent says.
-func (d *desk) news(n *tuckett.News) {
+func (d *desk) news(n *controlmsg.Update) {
 	now := d.p.now()
 	if n.Count > 0 {
 		d.count = n.Count
 	}
 	if n.Config != nil && (d.cfg == nil || n.Gen > d.cfg.Gen) { // never back
-		cfg, err := cosmiques.Read(n.Config)
+		cfg, err := config.Read(n.Config)
 		if err != nil {
-			d.p.log.Error(bertol.ConfigNot, err)
+			d.p.log.Error(events.ConfigNot, err)
 		} else {
 			first := d.cfg == nil
 			d.cfg = cfg
 			d.p.cfg.Store(cfg)
-			d.p.log.Event(bertol.ConfigSeen, "gen", cfg.Gen, "routes", len(cfg.Routes))
+			d.p.log.Event(events.ConfigSeen, "gen", cfg.Gen, "routes", len(cfg.Routes))
 			for i := range cfg.Svcs {
 				d.group(cfg.Svcs[i].Name).max = cfg.Svcs[i].MaxConns
 			}
@@ -122,7 +122,7 @@
 	if d.slots.Learn(n.Shards) {
 		d.release(now)
 	}
-	touched := map[string]*group{}
+	touched := map[string]*memberGroup{}
 	for _, m := range d.table.Merge(n.Members, now) {
 		g := d.group(m.Svc)
 		g.g.Learn(m, now)
@@ -137,16 +137,16 @@
 	}
 }
 
-func (d *desk) group(svc string) *group {
+func (d *desk) group(svc string) *memberGroup {
 	g := d.groups[svc]
 	if g == nil {
-		g = &group{g: hornli.NewGroup(svc, d.p.near), pools: map[string]*pool{}}
+		g = &memberGroup{g: group.NewGroup(svc, d.p.near), pools: map[string]*pool{}}
 		d.groups[svc] = g
 	}
 	return g
 }
 
-func (g *group) pool(id string) *pool {
+func (g *memberGroup) pool(id string) *pool {
 	p := g.pools[id]
 	if p == nil {
 		p = &pool{}
@@ -156,7 +156,7 @@
 }
 
 // shed closes a member's idle connections.
-func (g *group) shed(id string) {
+func (g *memberGroup) shed(id string) {
 	p := g.pools[id]
 	if p == nil {
 		return
@@ -172,7 +172,7 @@
 }
 
 // share is how many connections this driver may have at one member of the group.
-func (d *desk) share(g *group) int {
+func (d *desk) share(g *memberGroup) int {
 	if g.max == 0 {
 		return 64
 	}
@@ -188,10 +188,10 @@
 	return max(d.count, 1)
 }
 
-func (d *desk) room(g *group) func(*hornli.Member) bool {
+func (d *desk) room(g *memberGroup) func(*group.Member) bool {
 	share := d.share(g)
 	dials := max(dialsAll/d.drivers(), 2) // each takes a slot of the member for a while, and all drivers come at once
-	return func(m *hornli.Member) bool {
+	return func(m *group.Member) bool {
 		p := g.pools[m.ID]
 		return p == nil || len(p.idle) > 0 || p.open < share && p.dialing < dials
 	}
@@ -201,7 +201,7 @@
 func (d *desk) want(svc string, w *waiter) {
 	g := d.group(svc)
 	if len(g.waiting) >= mostWaiters {
-		w.reply <- grant{fail: gr20.Retry}
+		w.reply <- grant{fail: wire.Retry}
 		return
 	}
 	g.waiting = append(g.waiting, w)
@@ -209,7 +209,7 @@
 }
 
 // pump grants what can be granted, in order of arrival.
-func (d *desk) pump(g *group) {
+func (d *desk) pump(g *memberGroup) {
 	if len(g.waiting) == 0 {
 		return
 	}
@@ -220,7 +220,7 @@
 	for _, w := range g.waiting {
 		// What has no time left for an answer would be sent in vain, and its connection be lost with it: where many wait, all would.
 		if now >= w.until-min(2*usual, (w.until-w.at)/3) {
-			w.reply <- grant{fail: gr20.Retry}
+			w.reply <- grant{fail: wire.Retry}
 			d.refused(g, w, now)
 			continue
 		}
@@ -240,7 +240,7 @@
 }
 
 // refused says in the log what a statement waited for in vain.
-func (d *desk) refused(g *group, w *waiter, now float64) {
+func (d *desk) refused(g *memberGroup, w *waiter, now float64) {
 	if g.unsent++; now < g.toldAt+1000 {
 		return
 	}
@@ -253,11 +253,11 @@
 		}
 	}
 	g.unsent = 0
-	d.p.log.Event(bertol.Refused, pairs...)
+	d.p.log.Event(events.Refused, pairs...)
 }
 
 // grant gives an idle connection: the newest that holds the session's values, else the newest.
-func (d *desk) grant(g *group, w *waiter, c hornli.Choice, now float64) grant {
+func (d *desk) grant(g *memberGroup, w *waiter, c group.Choice, now float64) grant {
 	m := c.Member
 	p := g.pool(m.ID)
 	m.InFlight++
@@ -276,7 +276,7 @@
 
 // dial makes a connection for whoever is next when it stands. It has its own time: bound to that of the one who waited
 // longest, and so had least left, none would ever stand where many wait.
-func (d *desk) dial(g *group, m *hornli.Member) {
+func (d *desk) dial(g *memberGroup, m *group.Member) {
 	p := g.pool(m.ID)
 	p.open++
 	p.dialing++
@@ -287,10 +287,10 @@
 	}()
 }
 
-func (d *desk) dialled(g *group, m *hornli.Member, c *conn, err error, sent float64) {
+func (d *desk) dialled(g *memberGroup, m *group.Member, c *conn, err error, sent float64) {
 	p, now := g.pool(m.ID), d.p.now()
 	p.dialing--
-	full := errors.Is(err, bonatti.ErrRefused)
+	full := errors.Is(err, memberconn.ErrRefused)
 	for _, w := range g.waiting {
 		if w.asked == m.ID {
 			if w.asked = ""; full && !w.need.Write && !w.need.Fresh {
@@ -305,7 +305,7 @@
 		p.open--
 	default:
 		p.open--
-		g.g.Heard(m, sent, now, hornli.CutOff, gr20.Position{})
+		g.g.Heard(m, sent, now, group.CutOff, wire.Position{})
 		d.look(g)
 	}
 	if full && p.open <= p.dialing { // not at once again, where this driver has none
@@ -316,7 +316,7 @@
 }
 
 // rest keeps a connection for later, or closes it where it may not be kept.
-func (d *desk) rest(g *group, m *hornli.Member, c *conn) {
+func (d *desk) rest(g *memberGroup, m *group.Member, c *conn) {
 	p := g.pool(m.ID)
 	if m.Gone || m.Draining || g.g.Members[m.ID] != m || p.open > d.share(g) {
 		c.Close()
@@ -329,15 +329,15 @@
 
 // warm makes a first connection to a group's primary and to its nearest replica, so that the first requests of a process don't
 // all pay for one at the same time.
-func (d *desk) warm(g *group) {
-	var near *hornli.Member
+func (d *desk) warm(g *memberGroup) {
+	var near *group.Member
 	p := g.g.Primary()
 	for _, m := range g.g.Members {
 		if m != p && !m.Draining && (near == nil || m.Nearer(near)) {
 			near = m
 		}
 	}
-	for _, m := range []*hornli.Member{p, near} {
+	for _, m := range []*group.Member{p, near} {
 		if m == nil || g.pools[m.ID] != nil && g.pools[m.ID].open > 0 {
 			continue
 		}
@@ -346,7 +346,7 @@
 }
 
 // heard takes the end of a send, on a connection that is kept by its session.
-func (d *desk) heard(gr *grant, sent float64, w hornli.Word, pos gr20.Position) {
+func (d *desk) heard(gr *grant, sent float64, w group.Word, pos wire.Position) {
 	g := gr.group
 	g.g.Heard(gr.member, sent, d.p.now(), w, pos)
 	d.look(g)
@@ -368,12 +368,12 @@
 }
 
 // look logs the slot's changes.
-func (d *desk) look(g *group) {
+func (d *desk) look(g *memberGroup) {
 	if s := g.g.Slot.Holder; s != g.slot {
 		if g.slot = s; s == "" {
-			d.p.log.Event(bertol.SlotEmptied, "svc", g.g.Svc, "why", g.g.Why, "held", len(g.waiting))
+			d.p.log.Event(events.SlotEmptied, "svc", g.g.Svc, "why", g.g.Why, "held", len(g.waiting))
 		} else {
-			d.p.log.Event(bertol.SlotFilled, "svc", g.g.Svc, "by", g.g.Why, "held", len(g.waiting))
+			d.p.log.Event(events.SlotFilled, "svc", g.g.Svc, "by", g.g.Why, "held", len(g.waiting))
 		}
 	}
 }
@@ -400,7 +400,7 @@
 }
 
 // probe asks members where something waits for a primary.
-func (d *desk) probe(g *group) {
+func (d *desk) probe(g *memberGroup) {
 	if p := g.g.Primary(); len(g.waiting) == 0 && (p == nil || !p.Doubted) {
 		return
 	}
@@ -423,7 +423,7 @@
 }
 
 // tell reports to the core what this driver sees of the primary: that it owes answers, and that it speaks again.
-func (d *desk) tell(g *group, now float64) {
+func (d *desk) tell(g *memberGroup, now float64) {
 	p := g.g.Primary()
 	stuck := g.g.Stuck(now)
 	bad := stuck || p != nil && p.Doubted || p == nil && g.g.Slot.Silent && g.g.Slot.Last != ""
@@ -431,7 +431,7 @@
 		return
 	}
 	g.reported = now
-	r := &tuckett.Report{Svc: g.g.Svc}
+	r := &controlmsg.Report{Svc: g.g.Svc}
 	switch {
 	case p == nil && bad:
 		r.ID, r.Dead = g.g.Slot.Last, true
--- a/internal/hauteroute/desk_test.go
+++ b/internal/proxy/desk_test.go
@@ -1,4 +1,4 @@
-package hauteroute
+package proxy
 
 import (
 	"context"
@@ -6,12 +6,12 @@
 	"testing"
 	"time"
 
-	"weirwind/internal/bertol"
-	"weirwind/internal/bonatti"
-	"weirwind/internal/gr20"
-	"weirwind/internal/hornli"
-	"weirwind/internal/kungsleden"
-	"weirwind/internal/monterosa"
+	"weirwind/internal/directory"
+	"weirwind/internal/events"
+	"weirwind/internal/group"
+	"weirwind/internal/memberconn"
+	"weirwind/internal/settings"
+	"weirwind/internal/wire"
 )
 
 // Where many wait, a connection goes to one that still has time for an answer: given to the oldest, whose time runs out under
@@ -19,26 +19,26 @@
 func TestConnectionsGoToWhoHasTimeLeft(t *testing.T) {
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	p := &Proxy{set: &kungsleden.Settings{Zone: "z"}, log: bertol.Nothing(), ctx: ctx, start: time.Now().Add(-time.Minute)}
+	p := &Proxy{set: &settings.Settings{Zone: "z"}, log: events.Nothing(), ctx: ctx, start: time.Now().Add(-time.Minute)}
 	d := newDesk(p)
 	g := d.group("s")
-	g.g.Learn(monterosa.Member{ID: "a", Svc: "s", Zone: "z", Role: monterosa.RolePrimary, Life: 1, Seq: 1}, p.now())
+	g.g.Learn(directory.Member{ID: "a", Svc: "s", Zone: "z", Role: directory.RolePrimary, Life: 1, Seq: 1}, p.now())
 	a := g.g.Members["a"]
 	for range 50 { // answers take 100 ms of late
 		now := p.now()
 		g.g.Sent(a, now-100, false)
-		g.g.Heard(a, now-100, now, hornli.Led, gr20.Position{Term: 1, Number: 1})
+		g.g.Heard(a, now-100, now, group.Led, wire.Position{Term: 1, Number: 1})
 	}
 	g.pool("a").open = d.share(g) // none can be made
 	var waiters []*waiter
 	for _, left := range []float64{60, 110, 700} {
-		w := &waiter{need: hornli.Need{Write: true}, at: p.now() + left - 1000, until: p.now() + left, reply: make(chan grant, 1)}
+		w := &waiter{need: group.Need{Write: true}, at: p.now() + left - 1000, until: p.now() + left, reply: make(chan grant, 1)}
 		waiters = append(waiters, w)
 		d.want("s", w)
 	}
 	here, there := net.Pipe()
 	defer there.Close()
-	d.rest(g, a, &conn{Conn: &bonatti.Conn{C: here, R: gr20.NewReader(here)}})
+	d.rest(g, a, &conn{Conn: &memberconn.Conn{C: here, R: wire.NewReader(here)}})
 	d.pump(g)
 	for i, w := range waiters {
 		select {
--- a/internal/hauteroute/hauteroute.go
+++ b/internal/proxy/proxy.go
@@ -1,10 +1,9 @@
-// Package hauteroute is the proxy: clients' sessions on one side, member connections on the other. It is named after the Haute
-// Route, walked from hut to hut with one guide.
+// Package proxy is the proxy: clients' sessions on one side, member connections on the other.
 //
-// Decisions are in hornli (where a statement goes) and altavia (what a connection must be told first). Three kinds of
+// Decisions are in group (where a statement goes) and sessionstate (what a connection must be told first). Three kinds of
 // goroutines: the desk owns groups, pools and who waits; each session does its own I/O, with its client and with the member
 // connection that the desk granted it; the feed takes the agent's news.
-package hauteroute
+package proxy
 
 import (
 	"context"
@@ -19,29 +18,29 @@
 
 	"github.com/samber/oops"
 
-	"weirwind/internal/bertol"
-	"weirwind/internal/cosmiques"
-	"weirwind/internal/gr20"
-	"weirwind/internal/kungsleden"
-	"weirwind/internal/tuckett"
-	"weirwind/internal/viaalpina"
+	"weirwind/internal/config"
+	"weirwind/internal/controlmsg"
+	"weirwind/internal/events"
+	"weirwind/internal/settings"
+	"weirwind/internal/transport"
+	"weirwind/internal/wire"
 )
 
 // Proxy is one.
 type Proxy struct {
-	set   *kungsleden.Settings
-	log   bertol.Log
+	set   *settings.Settings
+	log   events.Log
 	ctx   context.Context
 	start time.Time
 	desk  *desk
-	room  *gr20.Room // for long messages that have not ended
-	cfg   atomic.Pointer[cosmiques.Config]
+	room  *wire.Room // for long messages that have not ended
+	cfg   atomic.Pointer[config.Config]
 
 	phase    atomic.Int32 // of the end
 	mu       sync.Mutex
 	sessions map[*session]struct{}
 	conns    atomic.Int32
-	agent    atomic.Pointer[viaalpina.Link[tuckett.Frame]]
+	agent    atomic.Pointer[transport.Link[controlmsg.Frame]]
 }
 
 // Phases of an end.
@@ -60,10 +59,10 @@
 )
 
 // Run serves until ctx ends and what was open is answered.
-func Run(ctx context.Context, s *kungsleden.Settings, log bertol.Log) error {
+func Run(ctx context.Context, s *settings.Settings, log events.Log) error {
 	inner, stop := context.WithCancel(context.Background())
 	defer stop()
-	p := &Proxy{set: s, log: log, ctx: inner, start: time.Now(), sessions: map[*session]struct{}{}, room: gr20.NewRoom(int64(s.MemoryMB) << 20 / 8)}
+	p := &Proxy{set: s, log: log, ctx: inner, start: time.Now(), sessions: map[*session]struct{}{}, room: wire.NewRoom(int64(s.MemoryMB) << 20 / 8)}
 	p.desk = newDesk(p)
 	front, err := net.Listen("tcp4", s.Front)
 	if err != nil {
@@ -79,11 +78,11 @@
 	go p.feed()
 	go p.warm()
 	go p.accept(front)
-	log.Event(bertol.Started, "front", s.Front, "ready", s.Ready)
+	log.Event(events.Started, "front", s.Front, "ready", s.Ready)
 	<-ctx.Done()
 	p.end(front)
 	server.Close()
-	log.Event(bertol.Stopped)
+	log.Event(events.Stopped)
 	return nil
 }
 
@@ -128,10 +127,10 @@
 
 // feed takes the agent's news over loopback.
 func (p *Proxy) feed() {
-	again := viaalpina.Again{First: 20 * time.Millisecond, Most: 500 * time.Millisecond, Patience: func(int) time.Duration { return viaalpina.Patience(0) }}
-	viaalpina.Keep(p.ctx, p.set.Feed, again, func(l *viaalpina.Link[tuckett.Frame]) { p.agent.Store(l) }, func(_ *viaalpina.Link[tuckett.Frame], f *tuckett.Frame) {
-		if f.News != nil {
-			p.desk.do(func() { p.desk.news(f.News) })
+	again := transport.Backoff{First: 20 * time.Millisecond, Most: 500 * time.Millisecond, DialTimeout: func(int) time.Duration { return transport.DialTimeout(0) }}
+	transport.Keep(p.ctx, p.set.Feed, again, func(l *transport.Link[controlmsg.Frame]) { p.agent.Store(l) }, func(_ *transport.Link[controlmsg.Frame], f *controlmsg.Frame) {
+		if f.Update != nil {
+			p.desk.do(func() { p.desk.news(f.Update) })
 		}
 	}, func() { p.agent.Store(nil) })
 }
@@ -155,9 +154,9 @@
 	}
 }
 
-func (p *Proxy) report(r *tuckett.Report) {
+func (p *Proxy) report(r *controlmsg.Report) {
 	if l := p.agent.Load(); l != nil {
-		l.Send(&tuckett.Frame{Report: r})
+		l.Send(&controlmsg.Frame{Report: r})
 	}
 }
 
@@ -194,7 +193,7 @@
 // end lets go of clients in order: new ones still come for as long as the platform hasn't seen that it is not ready, or has
 // nobody else in their zone, and are served to the end.
 func (p *Proxy) end(front net.Listener) {
-	p.log.Event(bertol.Stopping, "sessions", p.conns.Load())
+	p.log.Event(events.Stopping, "sessions", p.conns.Load())
 	began := time.Now()
 	p.phase.Store(leaving)
 	step := func(until time.Duration) bool {
--- a/internal/hauteroute/session.go
+++ b/internal/proxy/session.go
@@ -1,4 +1,4 @@
-package hauteroute
+package proxy
 
 // This file owns a client's session: its messages, its state, and what it is answered.
 
@@ -8,12 +8,12 @@
 	"sync"
 	"time"
 
-	"weirwind/internal/altavia"
-	"weirwind/internal/bertol"
-	"weirwind/internal/bonatti"
-	"weirwind/internal/cosmiques"
-	"weirwind/internal/gr20"
-	"weirwind/internal/hornli"
+	"weirwind/internal/config"
+	"weirwind/internal/events"
+	"weirwind/internal/group"
+	"weirwind/internal/memberconn"
+	"weirwind/internal/sessionstate"
+	"weirwind/internal/wire"
 )
 
 const (
@@ -31,12 +31,12 @@
 type session struct {
 	p      *Proxy
 	c      net.Conn
-	r      *gr20.Reader
+	r      *wire.Reader
 	host   string
 	out    []byte
-	kept   altavia.Session
+	kept   sessionstate.Session
 	at     float64 // of its start
-	commit gr20.Position
+	commit wire.Position
 	comAt  float64
 	tx     *transaction
 	on     string  // ON shard epoch, in front of a statement of a sharded route
@@ -51,7 +51,7 @@
 	id, text string // of its BEGIN
 	fetch    bool
 	at       float64 // of its first byte
-	route    *cosmiques.Route
+	route    *config.Route
 	lease    *grant
 	conn     *conn
 	ran      bool // a statement went to a member
@@ -98,7 +98,7 @@
 func (s *session) run() {
 	defer s.c.Close()
 	defer s.drop()
-	s.r = gr20.NewReader(s.c).Within(s.p.room)
+	s.r = wire.NewReader(s.c).Within(s.p.room)
 	s.at = s.p.now()
 	if !s.attach() {
 		return
@@ -117,9 +117,9 @@
 		}
 		line, ok, err := s.line(wait)
 		switch {
-		case err == gr20.ErrLine || err == gr20.ErrLong || err == gr20.ErrRoom:
-			s.p.log.Event(bertol.SessionBad, "peer", s.c.RemoteAddr().String(), "why", err.Error())
-			s.fail(gr20.Malformed, err.Error(), "")
+		case err == wire.ErrLine || err == wire.ErrLong || err == wire.ErrRoom:
+			s.p.log.Event(events.SessionBad, "peer", s.c.RemoteAddr().String(), "why", err.Error())
+			s.fail(wire.Malformed, err.Error(), "")
 			s.flush()
 			return
 		case err != nil:
@@ -147,7 +147,7 @@
 func (s *session) rested() bool { return s.p.now()-s.heard >= ms(s.p.patience())/2 }
 
 // quiet says whether nothing has come from the client that was not read yet.
-func (s *session) quiet() bool { return (&bonatti.Conn{C: s.c, R: s.r}).Alive() }
+func (s *session) quiet() bool { return (&memberconn.Conn{C: s.c, R: s.r}).Alive() }
 
 // drop lets go of a transaction whose client is gone.
 func (s *session) drop() {
@@ -162,16 +162,16 @@
 	s.mu.Unlock()
 	line, err := s.r.Line()
 	if err != nil {
-		if err == gr20.ErrLine || err == gr20.ErrLong {
-			s.fail(gr20.Malformed, err.Error(), "")
+		if err == wire.ErrLine || err == wire.ErrLong {
+			s.fail(wire.Malformed, err.Error(), "")
 			s.flush()
 		}
 		return false
 	}
-	word, rest := gr20.Cut(line)
-	host, user := gr20.Cut(rest)
-	if word != gr20.Attach || host == "" || user == "" {
-		s.fail(gr20.Malformed, "ATTACH database who begins a session", "")
+	word, rest := wire.Cut(line)
+	host, user := wire.Cut(rest)
+	if word != wire.Attach || host == "" || user == "" {
+		s.fail(wire.Malformed, "ATTACH database who begins a session", "")
 		s.flush()
 		return false
 	}
@@ -183,18 +183,18 @@
 		case <-s.p.ctx.Done():
 		}
 		if cfg = s.p.cfg.Load(); cfg == nil {
-			s.fail(gr20.Retry, "no configuration is known yet", "")
+			s.fail(wire.Retry, "no configuration is known yet", "")
 			s.flush()
 			return false
 		}
 	}
 	s.host = host
 	if cfg.Route(host) == nil {
-		s.fail(gr20.NoDB, host, "")
+		s.fail(wire.NoDB, host, "")
 		s.flush()
 		return false
 	}
-	s.say(gr20.Ready + " I -")
+	s.say(wire.Ready + " I -")
 	return s.flush()
 }
 
@@ -215,43 +215,43 @@
 
 // fail answers with a code; state "" sends no READY, as before a close.
 func (s *session) fail(code, text, state string) {
-	s.say(strings.TrimRight(gr20.Fail+" "+code+" "+text, " "))
+	s.say(strings.TrimRight(wire.Fail+" "+code+" "+text, " "))
 	if state != "" {
-		s.say(gr20.Ready + " " + state + " -")
+		s.say(wire.Ready + " " + state + " -")
 	}
 }
 
 // own answers what the system answers itself.
 func (s *session) own() {
-	s.say(gr20.Done + " -")
-	s.say(gr20.Ready + " " + s.state() + " -")
+	s.say(wire.Done + " -")
+	s.say(wire.Ready + " " + s.state() + " -")
 }
 
 func (s *session) state() string {
 	switch {
 	case s.tx == nil:
-		return gr20.Idle
+		return wire.Idle
 	case s.tx.failed:
-		return gr20.Broken
+		return wire.Broken
 	}
-	return gr20.Open
+	return wire.Open
 }
 
 // message takes one. False: the session ends.
 func (s *session) message(line string) bool {
-	word, rest := gr20.Cut(line)
-	if word == gr20.Bye {
+	word, rest := wire.Cut(line)
+	if word == wire.Bye {
 		return false
 	}
-	id, text := gr20.Cut(rest)
-	if word != gr20.Query || id == "" || text == "" {
-		s.fail(gr20.Malformed, "QUERY id text, or BYE", "")
+	id, text := wire.Cut(rest)
+	if word != wire.Query || id == "" || text == "" {
+		s.fail(wire.Malformed, "QUERY id text, or BYE", "")
 		s.flush()
 		return false
 	}
-	t := gr20.Parse(text)
+	t := wire.Parse(text)
 	if !t.Valid || id == "-" {
-		s.fail(gr20.Malformed, "no such text", s.state())
+		s.fail(wire.Malformed, "no such text", s.state())
 		return true
 	}
 	if s.tx != nil && s.tx.failed {
@@ -261,33 +261,33 @@
 			s.own()
 		case "COMMIT":
 			s.tx = nil
-			s.fail(gr20.Aborted, "the transaction had failed", gr20.Idle)
+			s.fail(wire.Aborted, "the transaction had failed", wire.Idle)
 		default:
 			if why := s.tx.why; why != "" { // it is told of it for the first time
 				s.tx.why = ""
-				s.fail(gr20.Aborted, why, gr20.Broken)
+				s.fail(wire.Aborted, why, wire.Broken)
 				return true
 			}
-			s.fail(gr20.Malformed, "the transaction has failed and is to be ended", gr20.Broken)
+			s.fail(wire.Malformed, "the transaction has failed and is to be ended", wire.Broken)
 		}
 		return true
 	}
 	switch t.Verb {
 	case "SET":
 		if !s.kept.Set(t.Name, t.Rest) {
-			s.fail(gr20.Malformed, "too many values", s.state())
+			s.fail(wire.Malformed, "too many values", s.state())
 			return true
 		}
 		s.own()
 	case "PREP":
-		if !s.kept.Prepare(t.Name, altavia.Shape{Kind: t.Kind, Text: t.Rest}) {
-			s.fail(gr20.Malformed, "too many prepared statements", s.state())
+		if !s.kept.Prepare(t.Name, sessionstate.Shape{Kind: t.Kind, Text: t.Rest}) {
+			s.fail(wire.Malformed, "too many prepared statements", s.state())
 			return true
 		}
 		s.own()
 	case "UNPREP":
 		if !s.kept.Unprepare(t.Name) {
-			s.fail(gr20.NoStmt, t.Name, s.state())
+			s.fail(wire.NoStmt, t.Name, s.state())
 			return true
 		}
 		s.own()
@@ -295,7 +295,7 @@
 		s.begin(id, text, t)
 	case "ABORT":
 		if s.tx == nil {
-			s.fail(gr20.Malformed, "no transaction is open", gr20.Idle)
+			s.fail(wire.Malformed, "no transaction is open", wire.Idle)
 			return true
 		}
 		s.rollback(s.tx)
@@ -303,14 +303,14 @@
 		s.own()
 	case "COMMIT":
 		if s.tx == nil {
-			s.fail(gr20.Malformed, "no transaction is open", gr20.Idle)
+			s.fail(wire.Malformed, "no transaction is open", wire.Idle)
 			return true
 		}
 		s.statement(id, text, t)
 	default:
 		if t.Verb == "EXEC" {
 			if _, ok := s.kept.Shape(t.Name); !ok {
-				s.fail(gr20.NoStmt, t.Name, s.state())
+				s.fail(wire.NoStmt, t.Name, s.state())
 				return true
 			}
 		}
@@ -319,14 +319,14 @@
 	return true
 }
 
-func (s *session) begin(id, text string, t gr20.Text) {
+func (s *session) begin(id, text string, t wire.Text) {
 	if s.tx != nil {
-		s.fail(gr20.Malformed, "a transaction is open", gr20.Open)
+		s.fail(wire.Malformed, "a transaction is open", wire.Open)
 		return
 	}
 	r := s.route()
 	if r == nil {
-		s.fail(gr20.NoDB, s.host, gr20.Idle)
+		s.fail(wire.NoDB, s.host, wire.Idle)
 		return
 	}
 	s.tx = &transaction{id: id, text: text, fetch: t.Fetch, at: s.p.now(), route: r}
@@ -334,7 +334,7 @@
 }
 
 // route is the host's now; it binds a single statement or a whole transaction.
-func (s *session) route() *cosmiques.Route {
+func (s *session) route() *config.Route {
 	if cfg := s.p.cfg.Load(); cfg != nil {
 		return cfg.Route(s.host)
 	}
@@ -342,20 +342,20 @@
 }
 
 // need is what a read or a transaction that reads demands.
-func (s *session) need(r *cosmiques.Route, at float64) hornli.Need {
+func (s *session) need(r *config.Route, at float64) group.Need {
 	switch {
 	case r.Shard != "":
-	case r.Type == cosmiques.StaleOK:
-		return hornli.Need{Since: at - r.MaxStale}
-	case r.Type == cosmiques.Self:
+	case r.Type == config.StaleOK:
+		return group.Need{Since: at - r.MaxStale}
+	case r.Type == config.Self:
 		// What the client wrote before this session began, perhaps at another driver, was acknowledged before it.
-		return hornli.Need{Since: max(at-r.MaxStale, s.at), Commit: s.commit, CommitAt: s.comAt}
+		return group.Need{Since: max(at-r.MaxStale, s.at), Commit: s.commit, CommitAt: s.comAt}
 	}
-	return hornli.Need{Fresh: true}
+	return group.Need{Fresh: true}
 }
 
 // writes says whether a statement writes.
-func (s *session) writes(t gr20.Text) bool {
+func (s *session) writes(t wire.Text) bool {
 	if t.Verb == "EXEC" {
 		shape, _ := s.kept.Shape(t.Name)
 		return shape.Kind == "STORE"
@@ -363,7 +363,7 @@
 	return t.Verb == "STORE"
 }
 
-func (s *session) statement(id, text string, t gr20.Text) {
+func (s *session) statement(id, text string, t wire.Text) {
 	now := s.p.now()
 	if s.tx != nil {
 		s.inside(id, text, t, now)
@@ -371,7 +371,7 @@
 	}
 	r := s.route()
 	if r == nil {
-		s.fail(gr20.NoDB, s.host, gr20.Idle)
+		s.fail(wire.NoDB, s.host, wire.Idle)
 		return
 	}
 	s.single(id, text, t, r, now)
--- a/internal/hauteroute/shard.go
+++ b/internal/proxy/shard.go
@@ -1,4 +1,4 @@
-package hauteroute
+package proxy
 
 // This file owns what a proxy does with routes whose shard says who serves them: the shard's writer slot comes before the group's.
 // While it is empty, what wants the shard is held, and released in order when a newer map fills it.
@@ -9,12 +9,12 @@
 	"strings"
 	"time"
 
-	"weirwind/internal/bonatti"
-	"weirwind/internal/cosmiques"
-	"weirwind/internal/gr20"
-	"weirwind/internal/hornli"
-	"weirwind/internal/oberaar"
-	"weirwind/internal/trift"
+	"weirwind/internal/config"
+	"weirwind/internal/group"
+	"weirwind/internal/memberconn"
+	"weirwind/internal/shard/shardmap"
+	"weirwind/internal/shard/shardnode"
+	"weirwind/internal/wire"
 )
 
 const (
@@ -25,7 +25,7 @@
 // shardWaiter is a session that waits for a shard's holder.
 type shardWaiter struct {
 	until float64
-	reply chan oberaar.Place
+	reply chan shardmap.Place
 }
 
 // where gives a shard's holder, or queues who asks.
@@ -65,8 +65,8 @@
 }
 
 // place waits for a shard's holder. ok is false where there was none in time.
-func (s *session) place(r *cosmiques.Route, until float64) (oberaar.Place, bool) {
-	w := &shardWaiter{until, make(chan oberaar.Place, 1)}
+func (s *session) place(r *config.Route, until float64) (shardmap.Place, bool) {
+	w := &shardWaiter{until, make(chan shardmap.Place, 1)}
 	s.p.desk.do(func() { s.p.desk.where(r.Shard, w) })
 	select {
 	case p, ok := <-w.reply:
@@ -76,12 +76,12 @@
 		}
 		return p, ok
 	case <-s.p.ctx.Done():
-		return oberaar.Place{}, false
+		return shardmap.Place{}, false
 	}
 }
 
 // serves gives the service that a route's statement goes to now. ok is false where it is not known in time.
-func (s *session) serves(r *cosmiques.Route, until float64) (svc string, p oberaar.Place, ok bool) {
+func (s *session) serves(r *config.Route, until float64) (svc string, p shardmap.Place, ok bool) {
 	if r.Shard == "" {
 		s.on = ""
 		return r.Svc, p, true
@@ -91,8 +91,8 @@
 }
 
 // missed takes a node's refusal by the epoch; what was refused is held, and goes to the next holder.
-func (s *session) missed(r *cosmiques.Route, p oberaar.Place, text string) {
-	_, epoch := gr20.Cut(text)
+func (s *session) missed(r *config.Route, p shardmap.Place, text string) {
+	_, epoch := wire.Cut(text)
 	known, _ := strconv.ParseUint(epoch, 10, 64)
 	again := make(chan bool, 1)
 	s.p.desk.do(func() { again <- s.p.desk.slots.Missed(r.Shard, p.Epoch, known) })
@@ -107,8 +107,8 @@
 
 // settle finds out what came of a try that was sent to a shard and not answered: at whichever node holds it now its outcome is
 // known, or is made never to be. It gives the answer for the client.
-func (s *session) settle(r *cosmiques.Route, id string, at, until float64) {
-	w := &waiter{at: at, until: until, need: hornli.Need{Write: true}}
+func (s *session) settle(r *config.Route, id string, at, until float64) {
+	w := &waiter{at: at, until: until, need: group.Need{Write: true}}
 	for s.p.now() < until {
 		node, p, ok := s.serves(r, until)
 		if !ok {
@@ -119,35 +119,35 @@
 			break
 		}
 		rows, err := c.Ask(fmt.Sprintf("SHARD SETTLE %s %d %s", r.Shard, p.Epoch, id), s.p.at(until))
-		said, refused := err.(*bonatti.Refusal)
+		said, refused := err.(*memberconn.Refusal)
 		if err != nil && !refused {
 			c.Close()
-			s.done(g, nil, g.sent, hornli.NoAnswer, gr20.Position{})
+			s.done(g, nil, g.sent, group.NoAnswer, wire.Position{})
 			continue
 		}
-		s.done(g, c, g.sent, hornli.Answered, gr20.Position{})
+		s.done(g, c, g.sent, group.Answered, wire.Position{})
 		switch {
 		case !refused && len(rows) == 1:
-			s.say(gr20.Done + " " + rows[0])
-			s.say(gr20.Ready + " " + gr20.Idle + " -")
+			s.say(wire.Done + " " + rows[0])
+			s.say(wire.Ready + " " + wire.Idle + " -")
 			return
-		case refused && said.Code == trift.CodeVoid:
-			s.fail(gr20.Retry, comeBack, gr20.Idle)
+		case refused && said.Code == shardnode.CodeVoid:
+			s.fail(wire.Retry, comeBack, wire.Idle)
 			return
-		case refused && said.Code == trift.CodeMoved:
+		case refused && said.Code == shardnode.CodeMoved:
 			s.missed(r, p, said.Text)
 		default:
 			time.Sleep(shardAgain)
 		}
 	}
-	s.fail(gr20.Unknown, "no node that holds "+r.Shard+" could say what came of it", gr20.Idle)
+	s.fail(wire.Unknown, "no node that holds "+r.Shard+" could say what came of it", wire.Idle)
 }
 
 // shardRefusal says what a node's own refusal is for a client; "" for one that is passed on.
 func shardRefusal(code string) string {
 	switch strings.ToUpper(code) {
-	case trift.CodeNoRoom, trift.CodeVoid, trift.CodeState:
-		return gr20.Retry
+	case shardnode.CodeNoRoom, shardnode.CodeVoid, shardnode.CodeState:
+		return wire.Retry
 	}
 	return ""
 }
--- a/internal/hauteroute/statement.go
+++ b/internal/proxy/statement.go
@@ -1,4 +1,4 @@
-package hauteroute
+package proxy
 
 // This file owns how one statement is carried out: tried, tried again where that is harmless, and answered truthfully. What was
 // sent and not answered is never promised to be undone, unless its connection's end rolls it back.
@@ -8,12 +8,12 @@
 	"strings"
 	"time"
 
-	"weirwind/internal/altavia"
-	"weirwind/internal/bonatti"
-	"weirwind/internal/cosmiques"
-	"weirwind/internal/gr20"
-	"weirwind/internal/hornli"
-	"weirwind/internal/trift"
+	"weirwind/internal/config"
+	"weirwind/internal/group"
+	"weirwind/internal/memberconn"
+	"weirwind/internal/sessionstate"
+	"weirwind/internal/shard/shardnode"
+	"weirwind/internal/wire"
 )
 
 // acquire asks the desk for a member connection, and looks that the member has not ended it while it rested.
@@ -25,7 +25,7 @@
 		select {
 		case g = <-w.reply:
 		case <-s.p.ctx.Done():
-			return nil, nil, gr20.Retry
+			return nil, nil, wire.Retry
 		}
 		if g.fail != "" {
 			return nil, nil, g.fail
@@ -34,11 +34,11 @@
 			return &g, g.conn, ""
 		}
 		g.conn.Close()
-		s.done(&g, nil, g.sent, hornli.NoAnswer, gr20.Position{})
+		s.done(&g, nil, g.sent, group.NoAnswer, wire.Position{})
 	}
 }
 
-func (s *session) done(g *grant, c *conn, sent float64, word hornli.Word, pos gr20.Position) {
+func (s *session) done(g *grant, c *conn, sent float64, word group.Word, pos wire.Position) {
 	s.p.desk.do(func() {
 		s.p.desk.heard(g, sent, word, pos)
 		s.p.desk.back(g, c)
@@ -46,15 +46,15 @@
 }
 
 // prepare adds what a connection must be told first, and gives the statement's text as it goes there.
-func (s *session) prepare(b *strings.Builder, c *conn, text string, t gr20.Text) (string, int) {
-	var shape *altavia.Shape
+func (s *session) prepare(b *strings.Builder, c *conn, text string, t wire.Text) (string, int) {
+	var shape *sessionstate.Shape
 	if t.Verb == "EXEC" {
 		sh, _ := s.kept.Shape(t.Name)
 		shape = &sh
 	}
 	texts, name := c.carrier.Ready(&s.kept, shape)
 	for _, x := range texts {
-		bonatti.Query(b, "-", x)
+		memberconn.Query(b, "-", x)
 	}
 	if shape != nil {
 		text = "EXEC " + name + " " + t.Rest
@@ -91,25 +91,25 @@
 }
 
 // answer passes a member's answer on.
-func (s *session) answer(a *bonatti.Reply, state string) {
+func (s *session) answer(a *memberconn.Reply, state string) {
 	for _, r := range a.Rows {
 		s.say(r)
 	}
 	if a.Done {
-		s.say(gr20.Done + " " + a.Text)
+		s.say(wire.Done + " " + a.Text)
 	} else {
-		s.say(gr20.Fail + " " + a.Text)
+		s.say(wire.Fail + " " + a.Text)
 	}
-	s.say(gr20.Ready + " " + state + " " + a.Pos.String())
+	s.say(wire.Ready + " " + state + " " + a.Pos.String())
 }
 
 // single carries out a statement outside a transaction.
-func (s *session) single(id, text string, t gr20.Text, r *cosmiques.Route, at float64) {
+func (s *session) single(id, text string, t wire.Text, r *config.Route, at float64) {
 	until := at + r.Timeout - margin
 	write := s.writes(t)
 	w := &waiter{at: at, until: until, sum: s.kept.Sum()}
 	if w.commit = write; write {
-		w.need = hornli.Need{Write: true}
+		w.need = group.Need{Write: true}
 	} else {
 		w.need = s.need(r, at)
 	}
@@ -126,13 +126,13 @@
 		switch {
 		case err != nil:
 			c.Close()
-			s.done(g, nil, g.sent, hornli.NoAnswer, gr20.Position{})
+			s.done(g, nil, g.sent, group.NoAnswer, wire.Position{})
 			if write && r.Shard != "" {
 				s.settle(r, id, at, until)
 				return
 			}
 			if write {
-				s.fail(gr20.Unknown, "no answer came from "+g.rec.ID, gr20.Idle)
+				s.fail(wire.Unknown, "no answer came from "+g.rec.ID, wire.Idle)
 				return
 			}
 			w.avoid = append(w.avoid, g.rec.ID)
@@ -145,49 +145,49 @@
 			if write {
 				s.commit, s.comAt = a.Pos, s.p.now()
 			}
-			s.answer(a, gr20.Idle)
+			s.answer(a, wire.Idle)
 			return
 		}
-		if a.State != gr20.Idle { // what it left open is rolled back with its connection
+		if a.State != wire.Idle { // what it left open is rolled back with its connection
 			c.Close()
 			c = nil
 		}
 		s.done(g, c, g.sent, word, a.Pos)
-		if r.Shard != "" && a.Code == trift.CodeMoved {
+		if r.Shard != "" && a.Code == shardnode.CodeMoved {
 			s.missed(r, place, a.Text)
 			try-- // bounded by the deadline: the slot is empty until a newer map comes
 			continue
 		}
 		if code := shardRefusal(a.Code); r.Shard != "" && code != "" {
-			s.fail(code, comeBack, gr20.Idle)
+			s.fail(code, comeBack, wire.Idle)
 			return
 		}
 		switch a.Code {
-		case gr20.ReadOnly, gr20.Lagging:
+		case wire.ReadOnly, wire.Lagging:
 			continue
-		case gr20.Retry, gr20.Full, gr20.WrongHost, gr20.NoStmt:
+		case wire.Retry, wire.Full, wire.WrongHost, wire.NoStmt:
 			w.avoid = append(w.avoid, g.rec.ID)
 			if s.p.now()+60 < until && try < 2 {
 				time.Sleep(20 * time.Millisecond)
 				continue
 			}
-			s.fail(gr20.Retry, comeBack, gr20.Idle)
+			s.fail(wire.Retry, comeBack, wire.Idle)
 			return
-		case gr20.Failed, gr20.Timeout:
+		case wire.Failed, wire.Timeout:
 			if !write && try == 0 && !w.need.Fresh {
 				w.avoid = append(w.avoid, g.rec.ID)
 				continue
 			}
 		}
-		s.answer(a, gr20.Idle)
+		s.answer(a, wire.Idle)
 		return
 	}
-	s.fail(gr20.Retry, comeBack, gr20.Idle)
+	s.fail(wire.Retry, comeBack, wire.Idle)
 }
 
 // attempt sends a single statement and reads its answer. A read that must be fresh runs in a transaction of the system's own,
 // as a member that has lost the lead refuses to begin one; it is rolled back, and nothing of it is kept.
-func (s *session) attempt(g *grant, c *conn, id, text string, t gr20.Text, write bool, until float64) (*bonatti.Reply, hornli.Word, error) {
+func (s *session) attempt(g *grant, c *conn, id, text string, t wire.Text, write bool, until float64) (*memberconn.Reply, group.Word, error) {
 	var b strings.Builder
 	if !write {
 		until = min(until, s.p.now()+readCut)
@@ -195,7 +195,7 @@
 	text, before := s.prepare(&b, c, text, t)
 	prove := g.prove && !write
 	if prove {
-		bonatti.Query(&b, "-", "BEGIN")
+		memberconn.Query(&b, "-", "BEGIN")
 		before++
 	}
 	after := ""
@@ -219,9 +219,9 @@
 		b.Reset()
 		before = 0
 	}
-	bonatti.Query(&b, id, after, text)
+	memberconn.Query(&b, id, after, text)
 	if prove {
-		bonatti.Query(&b, "-", "ABORT")
+		memberconn.Query(&b, "-", "ABORT")
 	}
 	if err := c.Write(b.String(), s.p.at(until)); err != nil {
 		return nil, 0, err
@@ -246,26 +246,26 @@
 		}
 		a.State = e.State
 		if a.Done {
-			word = hornli.Led
+			word = group.Led
 		}
 	} else if write && a.Done {
-		word = hornli.Led
+		word = group.Led
 	}
 	return &a, word, nil
 }
 
-func wordOf(a *bonatti.Reply) hornli.Word {
+func wordOf(a *memberconn.Reply) group.Word {
 	switch a.Code {
-	case gr20.ReadOnly:
-		return hornli.NotLeader
-	case gr20.Lagging:
-		return hornli.Lagged
+	case wire.ReadOnly:
+		return group.NotLeader
+	case wire.Lagging:
+		return group.Lagged
 	}
-	return hornli.Answered
+	return group.Answered
 }
 
 // inside carries out a statement of an open transaction.
-func (s *session) inside(id, text string, t gr20.Text, at float64) {
+func (s *session) inside(id, text string, t wire.Text, at float64) {
 	x := s.tx
 	until := at + x.route.Timeout - margin
 	for try := 0; try < mostTries; try++ {
@@ -278,7 +278,7 @@
 		g, c := x.lease, x.conn
 		var b strings.Builder
 		said, before := s.prepare(&b, c, text, t)
-		bonatti.Query(&b, id, said)
+		memberconn.Query(&b, id, said)
 		sent := s.p.now()
 		commit := t.Verb == "COMMIT" && x.wrote
 		s.p.desk.do(func() { g.group.g.Sent(g.member, sent, commit) })
@@ -286,12 +286,12 @@
 		if err == nil {
 			err = skip(c, before)
 		}
-		var a bonatti.Reply
+		var a memberconn.Reply
 		if err == nil {
 			a, err = c.Read(s.pass)
 		}
 		if err != nil {
-			s.p.desk.do(func() { s.p.desk.heard(g, sent, hornli.NoAnswer, gr20.Position{}) })
+			s.p.desk.do(func() { s.p.desk.heard(g, sent, group.NoAnswer, wire.Position{}) })
 			s.leave(x, nil)
 			if t.Verb == "COMMIT" && x.wrote && x.route.Shard != "" {
 				s.tx = nil
@@ -300,18 +300,18 @@
 			}
 			if t.Verb == "COMMIT" && x.wrote {
 				s.tx = nil
-				s.fail(gr20.Unknown, "no answer to the commit came from "+g.rec.ID, gr20.Idle)
+				s.fail(wire.Unknown, "no answer to the commit came from "+g.rec.ID, wire.Idle)
 				return
 			}
-			s.lost(gr20.Aborted, "no answer came from "+g.rec.ID, t)
+			s.lost(wire.Aborted, "no answer came from "+g.rec.ID, t)
 			return
 		}
 		word := wordOf(&a)
 		if a.Done && !x.fetch {
-			word = hornli.Led
+			word = group.Led
 		}
 		s.p.desk.do(func() { s.p.desk.heard(g, sent, word, a.Pos) })
-		if a.Code == gr20.ReadOnly && !x.ran && !x.fetch { // its first statement met a member without the lead: it joins those held
+		if a.Code == wire.ReadOnly && !x.ran && !x.fetch { // its first statement met a member without the lead: it joins those held
 			s.leave(x, nil)
 			continue
 		}
@@ -324,35 +324,35 @@
 			if a.Done && x.wrote {
 				s.commit, s.comAt = a.Pos, s.p.now()
 			}
-			if a.State == gr20.Idle {
+			if a.State == wire.Idle {
 				s.leave(x, c)
 			} else {
 				s.leave(x, nil)
 			}
-			s.answer(&a, gr20.Idle)
+			s.answer(&a, wire.Idle)
 			return
 		}
-		if a.State != gr20.Open {
+		if a.State != wire.Open {
 			x.failed = true
 			s.leave(x, nil)
-			s.answer(&a, gr20.Broken)
+			s.answer(&a, wire.Broken)
 			return
 		}
-		s.answer(&a, gr20.Open)
+		s.answer(&a, wire.Open)
 		return
 	}
-	s.lost(gr20.Retry, comeBack, t)
+	s.lost(wire.Retry, comeBack, t)
 }
 
 // lost answers a statement whose transaction is no more, with nothing of it kept.
-func (s *session) lost(code, why string, t gr20.Text) {
+func (s *session) lost(code, why string, t wire.Text) {
 	if t.Verb == "COMMIT" {
 		s.tx = nil
-		s.fail(code, why, gr20.Idle)
+		s.fail(code, why, wire.Idle)
 		return
 	}
 	s.tx.failed = true
-	s.fail(code, why, gr20.Broken)
+	s.fail(code, why, wire.Broken)
 }
 
 // open begins the transaction at a member, before its first statement.
@@ -361,7 +361,7 @@
 	if x.fetch {
 		w.need = s.need(x.route, x.at)
 	} else {
-		w.need = hornli.Need{Write: true}
+		w.need = group.Need{Write: true}
 	}
 	for try := 0; try < mostTries; try++ {
 		svc, place, ok := s.serves(x.route, until)
@@ -375,7 +375,7 @@
 		var b strings.Builder
 		texts, _ := c.carrier.Ready(&s.kept, nil)
 		for _, t := range texts {
-			bonatti.Query(&b, "-", t)
+			memberconn.Query(&b, "-", t)
 		}
 		text := x.text
 		if g.prove {
@@ -385,18 +385,18 @@
 		if x.fetch && !g.prove && !g.after.None() {
 			after = "AFTER " + g.after.String()
 		}
-		bonatti.Query(&b, x.id, after, s.on+text)
+		memberconn.Query(&b, x.id, after, s.on+text)
 		err := c.Write(b.String(), s.p.at(until))
 		if err == nil {
 			err = skip(c, len(texts))
 		}
-		var a bonatti.Reply
+		var a memberconn.Reply
 		if err == nil {
 			a, err = c.Read(nil)
 		}
 		if err != nil {
 			c.Close()
-			s.done(g, nil, g.sent, hornli.NoAnswer, gr20.Position{})
+			s.done(g, nil, g.sent, group.NoAnswer, wire.Position{})
 			if !w.need.Write && !w.need.Fresh {
 				w.avoid = append(w.avoid, g.rec.ID)
 			}
@@ -404,24 +404,24 @@
 		}
 		word := wordOf(&a)
 		if a.Done && text == "BEGIN" {
-			word = hornli.Led
+			word = group.Led
 		}
-		if a.Done && a.State == gr20.Open {
+		if a.Done && a.State == wire.Open {
 			x.lease, x.conn = g, c
 			s.p.desk.do(func() { s.p.desk.heard(g, g.sent, word, a.Pos) })
 			return "", ""
 		}
-		if a.State != gr20.Idle {
+		if a.State != wire.Idle {
 			c.Close()
 			c = nil
 		}
 		s.done(g, c, g.sent, word, a.Pos)
-		if x.route.Shard != "" && a.Code == trift.CodeMoved {
+		if x.route.Shard != "" && a.Code == shardnode.CodeMoved {
 			s.missed(x.route, place, a.Text)
 			try--
 			continue
 		}
-		if a.Code != gr20.ReadOnly && a.Code != gr20.Lagging {
+		if a.Code != wire.ReadOnly && a.Code != wire.Lagging {
 			w.avoid = append(w.avoid, g.rec.ID)
 			if s.p.now()+60 >= until {
 				break
@@ -429,7 +429,7 @@
 			time.Sleep(20 * time.Millisecond)
 		}
 	}
-	return gr20.Retry, comeBack
+	return wire.Retry, comeBack
 }
 
 // leave gives a transaction's connection back; nil: it is closed, which rolls back.
@@ -455,11 +455,11 @@
 	go func() {
 		until := time.Now().Add(time.Second)
 		err := c.Write("QUERY - ABORT\r\n", until)
-		var a bonatti.Reply
+		var a memberconn.Reply
 		if err == nil {
 			a, err = c.Read(nil)
 		}
-		if err != nil || a.State != gr20.Idle {
+		if err != nil || a.State != wire.Idle {
 			c.Close()
 			c = nil
 		}
--- a/internal/quintino/bounds_test.go
+++ b/internal/session/queue/bounds_test.go
@@ -1,4 +1,4 @@
-package quintino
+package queue
 
 import (
 	"strings"
--- a/internal/quintino/edge.go
+++ b/internal/session/queue/edge.go
@@ -1,4 +1,4 @@
-package quintino
+package queue
 
 // This file owns the edge: where sockets end. It knows of each what it wrote and what the client sent that is not safe yet, and finds
 // the session's home anew whenever that changes, so that the client notices nothing.
@@ -8,7 +8,7 @@
 	"maps"
 	"slices"
 
-	"weirwind/internal/trient"
+	"weirwind/internal/session/sites"
 )
 
 const (
@@ -66,7 +66,7 @@
 // Edge is one process.
 type Edge struct {
 	Name   string
-	m      *trient.Map
+	m      *sites.Map
 	zone   string
 	region string
 	socks  map[uint64]*sock
@@ -115,7 +115,7 @@
 func (e *Edge) near() []string {
 	var all []string
 	for name, s := range e.m.Sites {
-		if s.State == trient.In {
+		if s.State == sites.In {
 			all = append(all, name)
 		}
 	}
@@ -176,7 +176,7 @@
 }
 
 // Learn takes a newer map.
-func (e *Edge) Learn(m *trient.Map, now float64) {
+func (e *Edge) Learn(m *sites.Map, now float64) {
 	if m == nil || e.m != nil && m.Version <= e.m.Version {
 		return
 	}
@@ -184,7 +184,7 @@
 	e.m = m
 	for _, id := range slices.Sorted(maps.Keys(e.socks)) {
 		k := e.socks[id]
-		if old != nil && k.home != "" && old.Sites[k.home].Epoch == m.Sites[k.home].Epoch && m.Sites[k.home].State != trient.Out {
+		if old != nil && k.home != "" && old.Sites[k.home].Epoch == m.Sites[k.home].Epoch && m.Sites[k.home].State != sites.Out {
 			continue
 		}
 		k.lose(now)
--- a/internal/quintino/evening_test.go
+++ b/internal/session/queue/evening_test.go
@@ -1,4 +1,4 @@
-package quintino
+package queue
 
 import (
 	"fmt"
@@ -10,8 +10,8 @@
 	"strings"
 	"testing"
 
+	"weirwind/internal/session/sites"
 	"weirwind/internal/standin/hours"
-	"weirwind/internal/trient"
 )
 
 // evening plays sessions of sites and edges in virtual time: sites are pulled, frozen, drained and come back empty, links end,
@@ -20,7 +20,7 @@
 type evening struct {
 	hours.Queue
 	r     *rand.Rand
-	m     *trient.Map
+	m     *sites.Map
 	sites map[string]*host
 	edges map[string]*edgeHost
 	conn  map[string]int // breaks of a link
@@ -219,7 +219,7 @@
 	}
 }
 
-func (e *evening) change(c *trient.Change) {
+func (e *evening) change(c *sites.Change) {
 	next, err := e.m.Apply(c)
 	if err == nil && next != e.m {
 		e.m = next
@@ -237,7 +237,7 @@
 	life := h.life
 	i := slices.Index([]string{"a", "b", "c", "d"}, h.name)
 	e.In(10, func() {
-		e.change(&trient.Change{Kind: trient.Join, Name: h.name, Site: trient.Site{Addr: h.name, Zone: fmt.Sprint("z", i%3), Region: "r", Life: life}})
+		e.change(&sites.Change{Kind: sites.Join, Name: h.name, Site: sites.Site{Addr: h.name, Zone: fmt.Sprint("z", i%3), Region: "r", Life: life}})
 		e.grant[h.name] = e.Now
 	})
 	var tick, renew func()
@@ -248,7 +248,7 @@
 		if !h.frozen {
 			asked := e.Now
 			e.In(5, func() { // the core's answer, confirmed
-				if s := e.m.Sites[h.name]; s.Life == life && s.State != trient.Out && h.up {
+				if s := e.m.Sites[h.name]; s.Life == life && s.State != sites.Out && h.up {
 					e.grant[h.name] = e.Now
 					e.In(5, func() { h.take(func() { h.s.Lease(asked + leaseFor) }) })
 				}
@@ -273,9 +273,9 @@
 func (e *evening) lapse() {
 	for _, name := range []string{"a", "b", "c", "d"} {
 		s, ok := e.m.Sites[name]
-		if ok && s.State != trient.Out && e.Now-e.grant[name] > leaseFor+200 {
+		if ok && s.State != sites.Out && e.Now-e.grant[name] > leaseFor+200 {
 			e.note("%s lapses", name)
-			e.change(&trient.Change{Kind: trient.Lapse, Name: name, Epoch: s.Epoch})
+			e.change(&sites.Change{Kind: sites.Lapse, Name: name, Epoch: s.Epoch})
 			if h := e.sites[name]; h.up && !h.frozen { // it begins anew under another life
 				h.up = false
 				e.In(500, func() { e.begin(h) })
@@ -365,7 +365,7 @@
 
 func newEvening(seed uint64, clients int) *evening {
 	e := &evening{r: rand.New(rand.NewPCG(seed, 5)), sites: map[string]*host{}, edges: map[string]*edgeHost{}, conn: map[string]int{}, grant: map[string]float64{}, live: true,
-		m: &trient.Map{Sites: map[string]trient.Site{}}}
+		m: &sites.Map{Sites: map[string]sites.Site{}}}
 	for _, name := range []string{"a", "b", "c", "d"} {
 		h := &host{name: name}
 		e.sites[name] = h
@@ -510,8 +510,8 @@
 					})
 				case 2:
 					e.note("%s drains", h.name)
-					e.change(&trient.Change{Kind: trient.Drain, Name: h.name, Pace: 20})
-					e.In(2500, func() { e.change(&trient.Change{Kind: trient.Undrain, Name: h.name}) })
+					e.change(&sites.Change{Kind: sites.Drain, Name: h.name, Pace: 20})
+					e.In(2500, func() { e.change(&sites.Change{Kind: sites.Undrain, Name: h.name}) })
 				case 3:
 					e.cut(h.name, fmt.Sprint("e", e.r.IntN(2)))
 				case 4:
@@ -599,7 +599,7 @@
 	}
 	e.Pass(4000)
 	from := e.sites["a"].s.Homes()
-	e.change(&trient.Change{Kind: trient.Drain, Name: "a", Pace: 1000})
+	e.change(&sites.Change{Kind: sites.Drain, Name: "a", Pace: 1000})
 	began := e.Now
 	for e.sites["a"].s.Homes() > 0 && e.Now < began+30000 {
 		e.Pass(e.Now + 50)
--- a/internal/quintino/orders_test.go
+++ b/internal/session/queue/orders_test.go
@@ -1,4 +1,4 @@
-package quintino
+package queue
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"strconv"
 	"testing"
 
-	"weirwind/internal/trient"
+	"weirwind/internal/session/sites"
 )
 
 // orders plays one session of three sites and an edge through every order of few events: which link's next word comes, a message is
@@ -15,7 +15,7 @@
 // was left is let happen; then all that was queued must have come once and in order.
 type orders struct {
 	now    float64
-	m      *trient.Map
+	m      *sites.Map
 	sites  map[string]*Site
 	dead   map[string]bool
 	edge   *Edge
@@ -33,10 +33,10 @@
 var siteNames = []string{"a", "b", "c"}
 
 func newOrders() *orders {
-	o := &orders{m: &trient.Map{Sites: map[string]trient.Site{}}, sites: map[string]*Site{}, dead: map[string]bool{}, edge: NewEdge("e", "z0", "r"), links: map[[2]string][]Word{}}
+	o := &orders{m: &sites.Map{Sites: map[string]sites.Site{}}, sites: map[string]*Site{}, dead: map[string]bool{}, edge: NewEdge("e", "z0", "r"), links: map[[2]string][]Word{}}
 	for i, n := range siteNames {
 		o.sites[n] = New(n, Limits{Sessions: 9, Bytes: 1 << 20, Msgs: 9, Age: 1e12, All: 1 << 20, Message: 99, Window: 9, WindowBytes: 1 << 20, Copies: 1, Keys: 9})
-		o.m, _ = o.m.Apply(&trient.Change{Kind: trient.Join, Name: n, Site: trient.Site{Addr: n, Zone: fmt.Sprint("z", i), Region: "r", Life: 1}})
+		o.m, _ = o.m.Apply(&sites.Change{Kind: sites.Join, Name: n, Site: sites.Site{Addr: n, Zone: fmt.Sprint("z", i), Region: "r", Life: 1}})
 		for _, p := range append(siteNames, "e") {
 			if p != n {
 				o.names = append(o.names, [2]string{n, p})
@@ -137,7 +137,7 @@
 		{o.sent < 1 && o.edge.socks[1] != nil, func() { o.sent++; o.edge.From(1, o.sent, []byte("y")) }},
 		{!o.drains && h != nil, func() {
 			o.drains = true
-			o.m, _ = o.m.Apply(&trient.Change{Kind: trient.Drain, Name: h.Name, Pace: 1000})
+			o.m, _ = o.m.Apply(&sites.Change{Kind: sites.Drain, Name: h.Name, Pace: 1000})
 			o.learn()
 			o.now += 60
 			h.Tick(o.now)
@@ -151,7 +151,7 @@
 				}
 			}
 			o.edge.Lost(h.Name, o.now)
-			o.m, _ = o.m.Apply(&trient.Change{Kind: trient.Lapse, Name: h.Name, Epoch: 1})
+			o.m, _ = o.m.Apply(&sites.Change{Kind: sites.Lapse, Name: h.Name, Epoch: 1})
 			o.learn()
 		}},
 		{!o.broke && h != nil, func() { // the home's links to other sites lose what is on its way
--- a/internal/quintino/quintino.go
+++ b/internal/session/queue/queue.go
@@ -1,4 +1,4 @@
-package quintino
+package queue
 
 // This file owns the site: its sessions at home, its copies of others', and what follows from each word, change of the map and
 // lapse of time.
@@ -9,7 +9,7 @@
 	"maps"
 	"slices"
 
-	"weirwind/internal/trient"
+	"weirwind/internal/session/sites"
 )
 
 // Limits bound what a site holds.
@@ -75,7 +75,7 @@
 	Epoch uint64 // by the map; 0: not in it yet
 	Lim   Limits
 
-	m        *trient.Map
+	m        *sites.Map
 	leaseTil float64
 	home     map[string]*session
 	copies   map[string]*session
@@ -133,17 +133,17 @@
 }
 
 // Map that it knows.
-func (s *Site) Map() *trient.Map { return s.m }
+func (s *Site) Map() *sites.Map { return s.m }
 
 // Learn takes a newer map. A life of this site that is over has no session any more; those of others that are out become this
 // site's where it is the first of their copies that lives.
-func (s *Site) Learn(m *trient.Map, life uint64, now float64) {
+func (s *Site) Learn(m *sites.Map, life uint64, now float64) {
 	if m == nil || s.m != nil && m.Version <= s.m.Version {
 		return
 	}
 	s.m = m
 	self, ok := m.Sites[s.Name]
-	if !ok || self.Life != life || self.State == trient.Out {
+	if !ok || self.Life != life || self.State == sites.Out {
 		if s.Epoch > 0 {
 			s.void()
 		}
@@ -242,7 +242,7 @@
 		}
 		return gone
 	})
-	in := slices.DeleteFunc(slices.Clone(x.Copies), func(c string) bool { return s.m.Sites[c].State != trient.In })
+	in := slices.DeleteFunc(slices.Clone(x.Copies), func(c string) bool { return s.m.Sites[c].State != sites.In })
 	if len(in) < s.Lim.Copies {
 		for _, c := range s.m.Neighbours(s.Name, x.id, s.Lim.Copies-len(in), func(c string) bool { return slices.Contains(x.Copies, c) }) {
 			x.Copies = append(x.Copies, c)
@@ -583,7 +583,7 @@
 		return
 	}
 	for _, c := range x.Copies {
-		if s.m.Sites[c].State == trient.Draining && len(x.Copies) > s.Lim.Copies {
+		if s.m.Sites[c].State == sites.Draining && len(x.Copies) > s.Lim.Copies {
 			x.Copies = slices.DeleteFunc(slices.Clone(x.Copies), func(o string) bool { return o == c })
 			s.say(c, Word{Kind: Forget, Session: x.id, Epoch: x.Epoch})
 			x.Epoch++ // the copies that stay are to know who takes over; one that has not heard of it yields to them
@@ -604,7 +604,7 @@
 	}
 	x := s.home[w.Session]
 	if x == nil && w.New {
-		if s.m.Sites[s.Name].State != trient.In || len(s.home) >= s.Lim.Sessions || s.bytes >= s.Lim.All {
+		if s.m.Sites[s.Name].State != sites.In || len(s.home) >= s.Lim.Sessions || s.bytes >= s.Lim.All {
 			refuse("full")
 			return
 		}
@@ -728,7 +728,7 @@
 		return
 	}
 	self := s.m.Sites[s.Name]
-	if self.State == trient.Draining {
+	if self.State == sites.Draining {
 		s.budget = min(s.budget+float64(self.Pace)*(now-s.budgetAt)/1000, float64(self.Pace))
 	}
 	s.budgetAt = now
@@ -750,7 +750,7 @@
 				s.do(x, Op{Kind: OpGot, N: x.Out[0].N}, now)
 				x.sent = max(x.sent, x.OutLast-uint64(len(x.Out)))
 			}
-			if self.State == trient.Draining && s.budget >= 1 {
+			if self.State == sites.Draining && s.budget >= 1 {
 				s.begin(x, now)
 			}
 			if !x.attached && len(x.Out) == 0 && len(x.In) == 0 && now-x.idleAt > idleKeep {
@@ -771,7 +771,7 @@
 // begin starts to hand a session to its first copy that stays.
 func (s *Site) begin(x *session, now float64) {
 	for _, c := range x.Copies {
-		if _, known := x.have[c]; known && s.m.Sites[c].State == trient.In {
+		if _, known := x.have[c]; known && s.m.Sites[c].State == sites.In {
 			s.budget--
 			x.handTo, x.handAt = c, now-again
 			s.settle(x, now)
--- a/internal/quintino/words.go
+++ b/internal/session/queue/words.go
@@ -1,12 +1,12 @@
-// Package quintino is a site's part in open sessions: their queues, at home and as copies, and how one goes over to a neighbour. It
-// is named after the Rifugio Quintino Sella, at the far end of a ridge that is walked in one piece or not at all.
+// Package queue is a site's part in open sessions: their queues, at home and as copies, and how one goes over to a
+// neighbour.
 //
 // This file owns the words between sites and edges. The package does no I/O and reads no clock. A message is queued for its
 // producer only once home and copies hold it; of two sites that believe to be home only the newer may deliver; numbers go up by one
 // and none is given to two messages.
-package quintino
+package queue
 
-import "weirwind/internal/trient"
+import "weirwind/internal/session/sites"
 
 // Kind of a word.
 type Kind uint8
@@ -92,7 +92,7 @@
 	New     bool     `cbor:"15,keyasint,omitempty"`
 	Why     string   `cbor:"16,keyasint,omitempty"`
 
-	Map *trient.Map `cbor:"17,keyasint,omitempty"` // a site's, for edges
+	Map *sites.Map `cbor:"17,keyasint,omitempty"` // a site's, for edges
 }
 
 // Send is a word for a site or an edge by name.
--- a/internal/trient/trient.go
+++ b/internal/session/sites/sites.go
@@ -1,9 +1,8 @@
-// Package trient is which sites there are for open sessions, and which of them are near to each other. It is named after the Cabane du
-// Trient, from which one sees who comes over from the next valley.
+// Package sites is which sites there are for open sessions, and which of them are near to each other.
 //
 // This file owns the map of sites, which the core agrees on, and the choice of neighbours. It does no I/O and reads no clock. A
 // site's life has an epoch of its own; one whose lease lapsed is out for good by that epoch.
-package trient
+package sites
 
 import (
 	"cmp"
--- a/internal/mezzalama/mezzalama.go
+++ b/internal/sessionedge/sessionedge.go
@@ -1,9 +1,8 @@
-// Package mezzalama is an edge at work: clients' websockets on one side, links to sites on the other. It is named after the Rifugio
-// Mezzalama, the last door before the glacier.
+// Package sessionedge is an edge at work: clients' websockets on one side, links to sites on the other.
 //
-// Decisions are quintino's; here are sockets and clocks. One goroutine owns the edge, with a queue of commands; each socket has one
+// Decisions are queue's; here are sockets and clocks. One goroutine owns the edge, with a queue of commands; each socket has one
 // that reads and one that writes. A client that doesn't read loses its socket, never anybody's memory.
-package mezzalama
+package sessionedge
 
 import (
 	"context"
@@ -23,16 +22,16 @@
 	"github.com/coder/websocket"
 	"github.com/samber/oops"
 
-	"weirwind/internal/bertol"
-	"weirwind/internal/gnifetti"
-	"weirwind/internal/kungsleden"
-	"weirwind/internal/payer"
-	"weirwind/internal/quintino"
-	"weirwind/internal/trient"
-	"weirwind/internal/viaalpina"
+	"weirwind/internal/commandqueue"
+	"weirwind/internal/events"
+	"weirwind/internal/session/queue"
+	"weirwind/internal/session/sites"
+	"weirwind/internal/sessionsite"
+	"weirwind/internal/settings"
+	"weirwind/internal/transport"
 )
 
-type link = viaalpina.Link[gnifetti.Frame]
+type link = transport.Link[sessionsite.Frame]
 
 // Subprotocol is spoken where the client asks for it; docs/sessions.md has its lines.
 const Subprotocol = "weirwind.session.1"
@@ -49,12 +48,12 @@
 
 // Edge is one process.
 type Edge struct {
-	set   *kungsleden.Settings
-	log   bertol.Log
+	set   *settings.Settings
+	log   events.Log
 	ctx   context.Context
 	start time.Time
-	q     *payer.Queue
-	e     *quintino.Edge
+	q     *commandqueue.Queue
+	e     *queue.Edge
 	links map[string]*peer
 	socks map[uint64]*socket
 	next  uint64
@@ -84,11 +83,11 @@
 }
 
 // Run serves until ctx ends.
-func Run(ctx context.Context, set *kungsleden.Settings, log bertol.Log) error {
+func Run(ctx context.Context, set *settings.Settings, log events.Log) error {
 	inner, stop := context.WithCancel(context.Background())
 	defer stop()
-	t := &Edge{set: set, log: log, ctx: inner, start: time.Now(), q: payer.New(inner, 4096), links: map[string]*peer{}, socks: map[uint64]*socket{}, most: int64(max(set.Files-200, 64))}
-	t.e = quintino.NewEdge(set.Hostname, set.Zone, set.Region)
+	t := &Edge{set: set, log: log, ctx: inner, start: time.Now(), q: commandqueue.New(inner, 4096), links: map[string]*peer{}, socks: map[uint64]*socket{}, most: int64(max(set.Files-200, 64))}
+	t.e = queue.NewEdge(set.Hostname, set.Zone, set.Region)
 	ln, err := net.Listen("tcp4", set.Front)
 	if err != nil {
 		return oops.In("listen").Wrap(err)
@@ -104,9 +103,9 @@
 		t.e.Tick(t.now())
 		t.flush()
 	})
-	log.Event(bertol.Started, "edge", set.Hostname, "front", set.Front)
+	log.Event(events.Started, "edge", set.Hostname, "front", set.Front)
 	<-ctx.Done()
-	log.Event(bertol.Stopping, "sockets", t.open.Load())
+	log.Event(events.Stopping, "sockets", t.open.Load())
 	t.q.Do(func() { // its clients come again elsewhere, by their tokens
 		for _, s := range t.socks {
 			go s.c.Close(websocket.StatusGoingAway, "this edge ends")
@@ -116,7 +115,7 @@
 		time.Sleep(20 * time.Millisecond)
 	}
 	server.Close()
-	log.Event(bertol.Stopped)
+	log.Event(events.Stopped)
 	return nil
 }
 
@@ -128,7 +127,7 @@
 	for n := 0; t.ctx.Err() == nil; n++ {
 		ctl := t.set.Peers[n%len(t.set.Peers)]
 		if resp, err := client.Get("http://" + ctl + "/sites"); err == nil {
-			var m trient.Map
+			var m sites.Map
 			if json.NewDecoder(io.LimitReader(resp.Body, 4<<20)).Decode(&m) == nil && resp.StatusCode == 200 && m.Version > 0 {
 				t.q.Do(func() { t.learn(&m) })
 			}
@@ -141,7 +140,7 @@
 	}
 }
 
-func (t *Edge) learn(m *trient.Map) {
+func (t *Edge) learn(m *sites.Map) {
 	for name, p := range t.links {
 		if s, ok := m.Sites[name]; !ok || s.Addr != p.addr {
 			p.stop()
@@ -149,20 +148,20 @@
 		}
 	}
 	for name, s := range m.Sites {
-		if s.State == trient.Out || t.links[name] != nil {
+		if s.State == sites.Out || t.links[name] != nil {
 			continue
 		}
 		ctx, stop := context.WithCancel(t.ctx)
 		p := &peer{addr: s.Addr, stop: stop}
 		t.links[name] = p
-		go gnifetti.Keep(ctx, s.Addr, gnifetti.Frame{Hello: t.set.Hostname, Edge: true}, func(l *link) {
+		go sessionsite.Keep(ctx, s.Addr, sessionsite.Frame{Hello: t.set.Hostname, Edge: true}, func(l *link) {
 			t.q.Do(func() {
 				if p.l = l; l == nil {
 					t.e.Lost(name, t.now())
 				}
 				t.flush()
 			})
-		}, func(_ *link, f *gnifetti.Frame) {
+		}, func(_ *link, f *sessionsite.Frame) {
 			if f.Word == nil {
 				return
 			}
@@ -187,23 +186,23 @@
 			continue
 		}
 		switch c.Kind {
-		case quintino.Opened:
+		case queue.Opened:
 			if !s.plain {
 				s.say(line{text: "s " + c.ID + "." + c.Secret + " " + strconv.FormatUint(c.N, 10)})
 			}
-		case quintino.Message:
+		case queue.Message:
 			if s.plain {
 				s.say(line{string(c.Body), c.N})
 			} else {
 				s.say(line{text: "m " + strconv.FormatUint(c.N, 10) + " " + string(c.Body)})
 			}
-		case quintino.Safe:
+		case queue.Safe:
 			if !s.plain {
 				s.say(line{text: "a " + strconv.FormatUint(c.N, 10)})
 			}
-		case quintino.Closed:
+		case queue.Closed:
 			delete(t.socks, c.Sock)
-			t.log.Event(bertol.SocketEnd, "sock", c.Sock, "why", c.Why)
+			t.log.Event(events.SocketEnd, "sock", c.Sock, "why", c.Why)
 			status := websocket.StatusPolicyViolation
 			if c.Again {
 				status = websocket.StatusTryAgainLater
@@ -213,7 +212,7 @@
 	}
 	for _, w := range t.e.Sends() {
 		if p := t.links[w.To]; p != nil && p.l != nil {
-			p.l.Send(&gnifetti.Frame{Word: &w.Word})
+			p.l.Send(&sessionsite.Frame{Word: &w.Word})
 		}
 	}
 }
--- a/internal/gnifetti/calls.go
+++ b/internal/sessionsite/calls.go
@@ -1,4 +1,4 @@
-package gnifetti
+package sessionsite
 
 // This file owns the calls of producers, consumers and operators: one handler object for each resource.
 
@@ -10,7 +10,7 @@
 	"strconv"
 	"time"
 
-	"weirwind/internal/quintino"
+	"weirwind/internal/session/queue"
 )
 
 func (t *Site) routes() http.Handler {
@@ -81,7 +81,7 @@
 func (m *messages) inbox(w http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	type answer struct {
-		msgs []quintino.Msg
+		msgs []queue.Msg
 		ok   bool
 	}
 	ch := make(chan answer, 1)
--- a/internal/gnifetti/gnifetti.go
+++ b/internal/sessionsite/sessionsite.go
@@ -1,9 +1,8 @@
-// Package gnifetti is a site that holds open sessions at work: its links to other sites and to edges, its lease at the core, and the
-// calls of producers, consumers and operators. It is named after the Capanna Gnifetti, where those from both sides rest before the
-// border.
+// Package sessionsite is a site that holds open sessions at work: its links to other sites and to edges, its lease at
+// the core, and the calls of producers, consumers and operators.
 //
-// Decisions are quintino's; here are its sockets and clocks. One goroutine owns the site, with a queue of commands.
-package gnifetti
+// Decisions are queue's; here are its sockets and clocks. One goroutine owns the site, with a queue of commands.
+package sessionsite
 
 import (
 	"bytes"
@@ -17,24 +16,24 @@
 
 	"github.com/samber/oops"
 
-	"weirwind/internal/bertol"
-	"weirwind/internal/konkordia"
-	"weirwind/internal/kungsleden"
-	"weirwind/internal/payer"
-	"weirwind/internal/quintino"
-	"weirwind/internal/trient"
-	"weirwind/internal/viaalpina"
+	"weirwind/internal/commandqueue"
+	"weirwind/internal/controlplane"
+	"weirwind/internal/events"
+	"weirwind/internal/session/queue"
+	"weirwind/internal/session/sites"
+	"weirwind/internal/settings"
+	"weirwind/internal/transport"
 )
 
 // Frame is what goes over a link between sites and edges: first who dialled, then words.
 type Frame struct {
-	Hello string         `cbor:"1,keyasint,omitempty"`
-	Word  *quintino.Word `cbor:"2,keyasint,omitempty"`
-	Ping  bool           `cbor:"3,keyasint,omitempty"`
-	Edge  bool           `cbor:"4,keyasint,omitempty"` // with Hello: an edge, which is answered over this link
+	Hello string      `cbor:"1,keyasint,omitempty"`
+	Word  *queue.Word `cbor:"2,keyasint,omitempty"`
+	Ping  bool        `cbor:"3,keyasint,omitempty"`
+	Edge  bool        `cbor:"4,keyasint,omitempty"` // with Hello: an edge, which is answered over this link
 }
 
-type link = viaalpina.Link[Frame]
+type link = transport.Link[Frame]
 
 const (
 	tickEvery  = 50 * time.Millisecond
@@ -47,17 +46,17 @@
 
 // Site is one process.
 type Site struct {
-	set   *kungsleden.Settings
-	log   bertol.Log
+	set   *settings.Settings
+	log   events.Log
 	ctx   context.Context
 	start time.Time
-	lim   quintino.Limits
-	q     *payer.Queue
+	lim   queue.Limits
+	q     *commandqueue.Queue
 	life  uint64 // this and what follows are the queue's
-	s     *quintino.Site
+	s     *queue.Site
 	peers map[string]*peer // other sites, by name
 	edges map[string]*link
-	state trient.State
+	state sites.State
 	lease float64
 }
 
@@ -68,14 +67,14 @@
 }
 
 // Run serves until ctx ends and its sessions are handed on, or grace is over.
-func Run(ctx context.Context, set *kungsleden.Settings, log bertol.Log) error {
+func Run(ctx context.Context, set *settings.Settings, log events.Log) error {
 	inner, stop := context.WithCancel(context.Background())
 	defer stop()
-	t := &Site{set: set, log: log, ctx: inner, start: time.Now(), life: uint64(time.Now().UnixNano()), q: payer.New(inner, 4096), peers: map[string]*peer{}, edges: map[string]*link{}}
-	t.lim = quintino.DefaultLimits
+	t := &Site{set: set, log: log, ctx: inner, start: time.Now(), life: uint64(time.Now().UnixNano()), q: commandqueue.New(inner, 4096), peers: map[string]*peer{}, edges: map[string]*link{}}
+	t.lim = queue.DefaultLimits
 	t.lim.Copies = max(set.TolerateNodes, 1)
 	t.lim.All = int64(set.MemoryMB) << 20 / 3
-	t.s = quintino.New(set.Hostname, t.lim)
+	t.s = queue.New(set.Hostname, t.lim)
 	mesh, err := net.Listen("tcp4", set.Port(set.IP, 0))
 	if err != nil {
 		return oops.In("listen").Wrap(err)
@@ -84,16 +83,16 @@
 	if err != nil {
 		return oops.In("listen").Wrap(err)
 	}
-	go viaalpina.Serve(mesh, linkIdle, func(*link) {}, t.take, t.gone)
+	go transport.Serve(mesh, linkIdle, func(*link) {}, t.take, t.gone)
 	server := &http.Server{Handler: t.routes(), ReadHeaderTimeout: 2 * time.Second, ReadTimeout: 5 * time.Second, IdleTimeout: 30 * time.Second, MaxHeaderBytes: 8 << 10}
 	go server.Serve(ctl)
 	go t.renew()
 	go t.q.Run(tickEvery, t.tick)
-	log.Event(bertol.Started, "site", set.Hostname, "mesh", mesh.Addr().String(), "http", set.Ready)
+	log.Event(events.Started, "site", set.Hostname, "mesh", mesh.Addr().String(), "http", set.Ready)
 	<-ctx.Done()
 	t.end()
 	server.Close()
-	log.Event(bertol.Stopped)
+	log.Event(events.Stopped)
 	return nil
 }
 
@@ -101,13 +100,13 @@
 
 // end drains the site, as far as grace goes.
 func (t *Site) end() {
-	t.log.Event(bertol.Stopping)
+	t.log.Event(events.Stopping)
 	until := time.Now().Add(t.set.Grace - 300*time.Millisecond)
 	_, _ = t.core(http.MethodPost, "/sites/"+t.set.Hostname+"/drain?pace=5000", nil)
 	for time.Now().Before(until) {
 		ch := make(chan bool, 1)
 		t.q.Do(func() {
-			ch <- t.s.Homes() == 0 && t.s.Map() != nil && t.s.Map().Sites[t.set.Hostname].State == trient.Draining
+			ch <- t.s.Homes() == 0 && t.s.Map() != nil && t.s.Map().Sites[t.set.Hostname].State == sites.Draining
 		})
 		if <-ch {
 			break
@@ -153,10 +152,10 @@
 		case <-t.ctx.Done():
 			return
 		}
-		body, _ := json.Marshal(konkordia.Renewal{Addr: t.set.Port(t.set.IP, 0), HTTP: t.set.Ready, Zone: t.set.Zone, Region: t.set.Region, Life: life})
+		body, _ := json.Marshal(controlplane.Renewal{Addr: t.set.Port(t.set.IP, 0), HTTP: t.set.Ready, Zone: t.set.Zone, Region: t.set.Region, Life: life})
 		asked := t.now()
 		status, answer := t.core(http.MethodPost, "/sites/"+t.set.Hostname+"/renew", body)
-		var m trient.Map
+		var m sites.Map
 		if status == http.StatusOK && json.Unmarshal(answer, &m) == nil {
 			t.q.Do(func() { t.learn(&m, asked) })
 		} else if status == http.StatusConflict {
@@ -175,35 +174,35 @@
 	if m := t.s.Map(); over != t.life || m == nil || m.Sites[t.set.Hostname].Life != over {
 		return
 	}
-	t.log.Event(bertol.SiteSelf, "site", t.set.Hostname, "what", "this life is over; another begins")
-	t.s = quintino.New(t.set.Hostname, t.lim)
+	t.log.Event(events.SiteSelf, "site", t.set.Hostname, "what", "this life is over; another begins")
+	t.s = queue.New(t.set.Hostname, t.lim)
 	t.life = uint64(time.Now().UnixNano())
 	t.state = ""
 }
 
-func (t *Site) learn(m *trient.Map, asked float64) {
+func (t *Site) learn(m *sites.Map, asked float64) {
 	before := t.s.Map()
 	t.s.Learn(m, t.life, t.now())
-	if self := m.Sites[t.set.Hostname]; self.Life == t.life && self.State != trient.Out {
-		t.s.Lease(asked + float64(konkordia.SiteLease.Milliseconds()))
+	if self := m.Sites[t.set.Hostname]; self.Life == t.life && self.State != sites.Out {
+		t.s.Lease(asked + float64(controlplane.SiteLease.Milliseconds()))
 		if self.State != t.state {
 			t.state = self.State
-			t.log.Event(bertol.SiteSelf, "site", t.set.Hostname, "what", string(self.State), "epoch", self.Epoch)
+			t.log.Event(events.SiteSelf, "site", t.set.Hostname, "what", string(self.State), "epoch", self.Epoch)
 		}
 	}
 	if before == nil || before.Version < m.Version {
 		t.reach(m)
 		for _, l := range t.edges {
-			l.Send(&Frame{Word: &quintino.Word{Map: m}})
+			l.Send(&Frame{Word: &queue.Word{Map: m}})
 		}
 	}
 	t.flush()
 }
 
 // reach keeps links to the sites that live.
-func (t *Site) reach(m *trient.Map) {
+func (t *Site) reach(m *sites.Map) {
 	for name, p := range t.peers {
-		if s, ok := m.Sites[name]; !ok || s.Addr != p.addr || s.State == trient.Out {
+		if s, ok := m.Sites[name]; !ok || s.Addr != p.addr || s.State == sites.Out {
 			p.stop()
 			if p.l != nil {
 				p.l.Close()
@@ -212,7 +211,7 @@
 		}
 	}
 	for name, s := range m.Sites {
-		if name == t.set.Hostname || s.State == trient.Out || t.peers[name] != nil {
+		if name == t.set.Hostname || s.State == sites.Out || t.peers[name] != nil {
 			continue
 		}
 		ctx, stop := context.WithCancel(t.ctx)
@@ -224,8 +223,8 @@
 
 // Keep holds a link to a process, telling who dials, until ctx ends; up is told of each, and of nil when it has ended.
 func Keep(ctx context.Context, addr string, hello Frame, up func(*link), take func(*link, *Frame)) {
-	again := viaalpina.Again{First: 50 * time.Millisecond, Most: 50 * time.Millisecond, Patience: func(nth int) time.Duration { return viaalpina.Patience(nth / 3) }}
-	viaalpina.Keep(ctx, addr, again, func(l *link) {
+	again := transport.Backoff{First: 50 * time.Millisecond, Most: 50 * time.Millisecond, DialTimeout: func(nth int) time.Duration { return transport.DialTimeout(nth / 3) }}
+	transport.Keep(ctx, addr, again, func(l *link) {
 		l.Send(&hello)
 		go ping(ctx, l)
 		up(l)
@@ -257,7 +256,7 @@
 			if f.Edge {
 				t.edges[f.Hello] = l
 				if m := t.s.Map(); m != nil {
-					l.Send(&Frame{Word: &quintino.Word{Map: m}})
+					l.Send(&Frame{Word: &queue.Word{Map: m}})
 				}
 			}
 		case f.Word != nil:
--- a/internal/altavia/altavia.go
+++ b/internal/sessionstate/sessionstate.go
@@ -1,9 +1,9 @@
-// Package altavia is what a client's session carries from one member connection to the next: its values and its prepared
-// statements. It is named after the Alta Via, walked with everything on one's back.
+// Package sessionstate is what a client's session carries from one member connection to the next: its values and its
+// prepared statements.
 //
 // This file owns what must be said on a member connection before a session's statement may run on it. It does no I/O. A
 // connection never runs a statement with values that its client doesn't have, nor without those that it has.
-package altavia
+package sessionstate
 
 import (
 	"hash/fnv"
--- a/internal/altavia/altavia_test.go
+++ b/internal/sessionstate/sessionstate_test.go
@@ -1,4 +1,4 @@
-package altavia
+package sessionstate
 
 import (
 	"fmt"
--- a/internal/kungsleden/kungsleden.go
+++ b/internal/settings/settings.go
@@ -1,9 +1,8 @@
-// Package kungsleden reads the settings file that every process of the system is told its place by. It is named after the
-// Kungsleden, the marked trail through Lapland: whoever starts on it reads the signs first.
+// Package settings reads the settings file that every process of the system is told its place by.
 //
 // This file owns what a settings file means and which of its lines are wrong. It opens no file and reads no clock; unknown
 // fields are left alone, as more may be added.
-package kungsleden
+package settings
 
 import (
 	"fmt"
--- a/internal/kungsleden/kungsleden_test.go
+++ b/internal/settings/settings_test.go
@@ -1,4 +1,4 @@
-package kungsleden
+package settings
 
 import (
 	"strings"
--- a/internal/oberaar/evening_test.go
+++ b/internal/shard/shardmap/evening_test.go
@@ -1,4 +1,4 @@
-package oberaar
+package shardmap
 
 import (
 	"fmt"
@@ -10,9 +10,9 @@
 
 	"github.com/fxamacker/cbor/v2"
 
+	"weirwind/internal/shard/shardnode"
+	"weirwind/internal/shard/shardplan"
 	"weirwind/internal/standin/hours"
-	"weirwind/internal/tierbergli"
-	"weirwind/internal/trift"
 )
 
 // evening plays a rebalance under traffic in virtual time: nodes with disks that fill, a core whose leader dies, freezes and is
@@ -35,7 +35,7 @@
 
 type node struct {
 	id   string
-	k    *trift.Keeper
+	k    *shardnode.Keeper
 	down bool
 	cut  bool
 }
@@ -60,7 +60,7 @@
 }
 
 // at carries a call to a node and its answer back; either may be lost, and the node may die before or behind its sync.
-func (e *evening) at(id string, f func(k *trift.Keeper), back func(ok bool)) {
+func (e *evening) at(id string, f func(k *shardnode.Keeper), back func(ok bool)) {
 	n := e.nodes[id]
 	if n == nil {
 		e.In(1, func() { back(false) })
@@ -112,7 +112,7 @@
 	n.down = true
 	e.In(forMs, func() { // each call was synced before its answer
 		disk, _ := cbor.Marshal(n.k)
-		n.k = &trift.Keeper{}
+		n.k = &shardnode.Keeper{}
 		_ = cbor.Unmarshal(disk, n.k)
 		n.k.Restart()
 		n.down = false
@@ -148,14 +148,14 @@
 	switch err {
 	case nil:
 		return ""
-	case trift.ErrNoRoom:
+	case shardnode.ErrNoRoom:
 		return "noroom"
-	case trift.ErrOld:
+	case shardnode.ErrOld:
 		return "old"
-	case trift.ErrBehind:
+	case shardnode.ErrBehind:
 		return "behind"
 	}
-	if _, ok := err.(*trift.Moved); ok {
+	if _, ok := err.(*shardnode.Moved); ok {
 		return "moved"
 	}
 	return "state"
@@ -180,8 +180,8 @@
 	case Note:
 		e.log = append(e.log, fmt.Sprintf("%.0f %s %s", e.Now, a.Shard, a.Why))
 	case Look:
-		var rep trift.Report
-		e.at(a.Node, func(k *trift.Keeper) { rep = k.Report() }, func(ok bool) {
+		var rep shardnode.Report
+		e.at(a.Node, func(k *shardnode.Keeper) { rep = k.Report() }, func(ok bool) {
 			if !l.dead {
 				l.mv.Seen(a.Node, sent, rep, ok)
 			}
@@ -202,13 +202,13 @@
 			told(Result{})
 		})
 	case Fetch: // the target asks the source
-		var entries []trift.Entry
+		var entries []shardnode.Entry
 		last, more, refused := uint64(0), uint64(0), error(nil)
-		e.at(a.Node, func(k *trift.Keeper) {
+		e.at(a.Node, func(k *shardnode.Keeper) {
 			if c := k.Copies[a.Shard]; c != nil {
 				last = c.Last()
 			} else {
-				refused = trift.ErrState
+				refused = shardnode.ErrState
 			}
 		}, func(ok bool) {
 			if !ok || refused != nil {
@@ -216,13 +216,13 @@
 				end(ok)
 				return
 			}
-			e.at(a.From, func(k *trift.Keeper) { entries, more, refused = k.Entries(a.Shard, a.Epoch, last, a.Bytes) }, func(ok bool) {
+			e.at(a.From, func(k *shardnode.Keeper) { entries, more, refused = k.Entries(a.Shard, a.Epoch, last, a.Bytes) }, func(ok bool) {
 				if !ok || refused != nil {
 					res.Err = word(refused)
 					end(ok)
 					return
 				}
-				e.at(a.Node, func(k *trift.Keeper) {
+				e.at(a.Node, func(k *shardnode.Keeper) {
 					res.Err = word(k.Receive(a.Shard, a.Epoch, entries))
 					res.Done = res.Err == "" && a.Last > 0 && k.Seal(a.Shard, a.Epoch, a.Last) == nil
 					if c := k.Copies[a.Shard]; c != nil {
@@ -233,7 +233,7 @@
 			})
 		})
 	default:
-		e.at(a.Node, func(k *trift.Keeper) {
+		e.at(a.Node, func(k *shardnode.Keeper) {
 			switch a.Kind {
 			case Reserve:
 				res.Err = word(k.ReserveFor(a.Shard, a.Epoch, a.Bytes))
@@ -315,7 +315,7 @@
 		}
 		var err error
 		settle := sent
-		e.at(place.Node, func(k *trift.Keeper) {
+		e.at(place.Node, func(k *shardnode.Keeper) {
 			if settle { // what was sent and not answered is settled
 				_, err = k.Settle(shard, place.Epoch, id)
 			} else if e.r.IntN(3) == 0 { // as a transaction
@@ -327,7 +327,7 @@
 				_, err = k.Write(shard, place.Epoch, id, make([]byte, size))
 			}
 		}, func(ok bool) {
-			moved, isMoved := err.(*trift.Moved)
+			moved, isMoved := err.(*shardnode.Moved)
 			switch {
 			case !ok:
 				sent = true
@@ -352,7 +352,7 @@
 	for shard, p := range e.m.Shards {
 		n := e.nodes[p.Node]
 		c := n.k.Copies[shard]
-		if c == nil || c.State != trift.Open || c.Epoch != p.Epoch {
+		if c == nil || c.State != shardnode.Open || c.Epoch != p.Epoch {
 			wrong = append(wrong, fmt.Sprintf("%s is not open at %s by %d: %+v", shard, p.Node, p.Epoch, c))
 			continue
 		}
@@ -398,9 +398,9 @@
 	for i := range nodes {
 		id := fmt.Sprint("n", i)
 		e.ids = append(e.ids, id)
-		k := trift.NewKeeper(60000, 3000)
+		k := shardnode.NewKeeper(60000, 3000)
 		e.nodes[id] = &node{id: id, k: k}
-		found.Nodes[id] = Node{Zone: fmt.Sprint("z", i%3), State: tierbergli.In}
+		found.Nodes[id] = Node{Zone: fmt.Sprint("z", i%3), State: shardplan.In}
 	}
 	for i := range shards {
 		found.Shards[fmt.Sprint("s", i)] = e.ids[i%(nodes-1)] // the last one is new and empty
@@ -423,7 +423,7 @@
 }
 
 func (e *evening) plan() int {
-	reps := map[string]trift.Report{}
+	reps := map[string]shardnode.Report{}
 	for id, n := range e.nodes {
 		reps[id] = n.k.Report()
 	}
@@ -489,7 +489,7 @@
 				case 8:
 					id := e.ids[e.r.IntN(4)]
 					node := e.m.Nodes[id]
-					node.State = tierbergli.Leaving
+					node.State = shardplan.Leaving
 					if next, err := e.m.Apply(&Change{Kind: Mark, Nodes: map[string]Node{id: node}}); err == nil {
 						e.m = next
 					}
--- a/internal/oberaar/map.go
+++ b/internal/shard/shardmap/map.go
@@ -1,16 +1,15 @@
-// Package oberaar decides which node holds each shard and how one is moved to another. It is named after the Oberaarjochhütte, on the
-// pass between two basins: what goes over it is on one side or on the other.
+// Package shardmap decides which node holds each shard and how one is moved to another.
 //
 // This file owns the map: the operator's word on who holds what, which the core agrees on, and the changes that it may undergo.
 // The package does no I/O and reads no clock. A shard has one holder by one epoch, and no epoch is ever given out twice.
-package oberaar
+package shardmap
 
 import (
 	"fmt"
 	"maps"
 	"slices"
 
-	"weirwind/internal/tierbergli"
+	"weirwind/internal/shard/shardplan"
 )
 
 // Place is who holds a shard, by which epoch. Last is what it must have to open.
@@ -70,8 +69,8 @@
 
 // Node is the operator's word on one.
 type Node struct {
-	Zone  string           `cbor:"1,keyasint" json:"zone"`
-	State tierbergli.State `cbor:"2,keyasint" json:"state"`
+	Zone  string          `cbor:"1,keyasint" json:"zone"`
+	State shardplan.State `cbor:"2,keyasint" json:"state"`
 }
 
 // Kind of a change.
@@ -189,7 +188,7 @@
 		n.Rules = *c.Rules
 	case Mark:
 		for id, node := range c.Nodes {
-			if id == "" || node.State != tierbergli.In && node.State != tierbergli.Leaving && node.State != tierbergli.Gone {
+			if id == "" || node.State != shardplan.In && node.State != shardplan.Leaving && node.State != shardplan.Gone {
 				return nil, fmt.Errorf("node %q: its state is in, leaving or gone", id)
 			}
 			n.Nodes[id] = node
@@ -213,7 +212,7 @@
 }
 
 // FromPlan makes tasks of a plan's moves. A copy of a holder that is gone can't be read by one that moves single holders.
-func FromPlan(p *tierbergli.Plan) (tasks []Task) {
+func FromPlan(p *shardplan.Plan) (tasks []Task) {
 	for i, round := range p.Rounds {
 		for _, mv := range round {
 			if !mv.Copy {
