--- a/internal/oberaar/mover.go
+++ b/internal/shard/shardmap/mover.go
@@ -1,4 +1,4 @@
-package oberaar
+package shardmap
 
 // This file owns the mover: which step of which task comes next, at the machine that leads the core. What it remembers is lost with
 // the lead; the next leader finds out from the map and from the nodes, and each step may be taken twice.
@@ -10,8 +10,8 @@
 	"math"
 	"slices"
 
-	"weirwind/internal/tierbergli"
-	"weirwind/internal/trift"
+	"weirwind/internal/shard/shardnode"
+	"weirwind/internal/shard/shardplan"
 )
 
 // Tuned values, in milliseconds unless said otherwise.
@@ -102,7 +102,7 @@
 }
 
 type seen struct {
-	r     trift.Report
+	r     shardnode.Report
 	at    float64 // when it was asked
 	asked bool
 	next  float64
@@ -139,8 +139,8 @@
 func (mv *Mover) Gaps() []float64 { return mv.gaps }
 
 // Reports gives what nodes said last.
-func (mv *Mover) Reports() map[string]trift.Report {
-	out := map[string]trift.Report{}
+func (mv *Mover) Reports() map[string]shardnode.Report {
+	out := map[string]shardnode.Report{}
 	for id, s := range mv.nodes {
 		if s.ok {
 			out[id] = s.r
@@ -202,7 +202,7 @@
 }
 
 // Seen takes a node's report, asked for at sent.
-func (mv *Mover) Seen(node string, sent float64, r trift.Report, ok bool) {
+func (mv *Mover) Seen(node string, sent float64, r shardnode.Report, ok bool) {
 	s := mv.nodes[node]
 	if s == nil {
 		return
@@ -212,7 +212,7 @@
 	}
 }
 
-func (mv *Mover) report(node string, now float64) *trift.Report {
+func (mv *Mover) report(node string, now float64) *shardnode.Report {
 	if s := mv.nodes[node]; s != nil && s.ok && now-s.at < fresh {
 		return &s.r
 	}
@@ -246,11 +246,11 @@
 		open := false
 		if holder != nil {
 			h, there := holder.Copies[shard]
-			open = there && h.State == trift.Open && h.Epoch == p.Epoch
+			open = there && h.State == shardnode.Open && h.Epoch == p.Epoch
 			switch {
-			case !there && p.Epoch == 1, there && h.Epoch < p.Epoch && h.State != trift.Receiving:
+			case !there && p.Epoch == 1, there && h.Epoch < p.Epoch && h.State != shardnode.Receiving:
 				mv.once(Act{Kind: Hold, Node: p.Node, Shard: shard, Epoch: p.Epoch, Last: p.Last}, now)
-			case there && h.Epoch == p.Epoch && (h.State == trift.Closing || h.State == trift.Closed) && (r == nil || r.phase < closing):
+			case there && h.Epoch == p.Epoch && (h.State == shardnode.Closing || h.State == shardnode.Closed) && (r == nil || r.phase < closing):
 				mv.once(Act{Kind: Propose, Change: &Change{Kind: Back, Shard: shard, Epoch: p.Epoch, Node: p.Node}}, now)
 			}
 		}
@@ -263,11 +263,11 @@
 			mine := r != nil && r.To == id && r.epoch == h.Epoch
 			switch {
 			case !there || mine && h.Epoch >= p.Epoch:
-			case h.Epoch < p.Epoch && (open || h.State == trift.Receiving):
+			case h.Epoch < p.Epoch && (open || h.State == shardnode.Receiving):
 				mv.once(Act{Kind: Drop, Node: id, Shard: shard, Epoch: p.Epoch}, now)
-			case h.Epoch == p.Epoch && h.State == trift.Receiving:
+			case h.Epoch == p.Epoch && h.State == shardnode.Receiving:
 				mv.once(Act{Kind: Abandon, Node: id, Shard: shard, Epoch: p.Epoch}, now)
-			case h.Epoch == p.Epoch && h.State == trift.Sealed && m.task(shard, id) < 0:
+			case h.Epoch == p.Epoch && h.State == shardnode.Sealed && m.task(shard, id) < 0:
 				// A hand-over to it may have been asked for; behind this change it can't come any more.
 				mv.once(Act{Kind: Propose, Change: &Change{Kind: Back, Shard: shard, Epoch: p.Epoch, Node: p.Node}}, now)
 			}
@@ -319,7 +319,7 @@
 		if p.Node != t.From {
 			fate, why := Failed, "it is no longer where the plan had it"
 			if p.Node == t.To {
-				if fate, why = Done, ""; to == nil || to.Copies[t.Shard].State != trift.Open {
+				if fate, why = Done, ""; to == nil || to.Copies[t.Shard].State != shardnode.Open {
 					continue
 				}
 			}
@@ -330,7 +330,7 @@
 			m.Rules.PerZone > 0 && zf != "" && (zones[zf] >= m.Rules.PerZone || zones[zt] >= m.Rules.PerZone) {
 			continue
 		}
-		if from == nil || to == nil || from.Copies[t.Shard].State != trift.Open || from.Copies[t.Shard].Epoch != p.Epoch {
+		if from == nil || to == nil || from.Copies[t.Shard].State != shardnode.Open || from.Copies[t.Shard].Epoch != p.Epoch {
 			if s := mv.nodes[t.To]; s == nil {
 				mv.once(Act{Kind: Propose, Change: &Change{Kind: End, Shard: t.Shard, Node: t.To, Fate: Failed, Why: "there is no such node"}}, now)
 			}
@@ -349,7 +349,7 @@
 }
 
 // pace is how many bytes a second a move may take: all of its rate while a node has nothing else to do, little while it is full.
-func pace(rate int64, reps ...*trift.Report) int64 {
+func pace(rate int64, reps ...*shardnode.Report) int64 {
 	share := 1.0
 	for _, r := range reps {
 		if r != nil && r.Slots > 0 {
@@ -584,8 +584,8 @@
 }
 
 // ClusterOf is what a plan is made from: the map, and what nodes say that they hold.
-func ClusterOf(m *Map, reports map[string]trift.Report) (*tierbergli.Cluster, error) {
-	c := &tierbergli.Cluster{Rules: tierbergli.Rules{Band: m.Rules.Band, Reserve: m.Rules.Reserve, Round: m.Rules.PerNode}}
+func ClusterOf(m *Map, reports map[string]shardnode.Report) (*shardplan.Cluster, error) {
+	c := &shardplan.Cluster{Rules: shardplan.Rules{Band: m.Rules.Band, Reserve: m.Rules.Reserve, Round: m.Rules.PerNode}}
 	ids := map[string]bool{}
 	for id := range m.Nodes {
 		ids[id] = true
@@ -598,16 +598,16 @@
 	}
 	for _, id := range slices.Sorted(maps.Keys(ids)) {
 		rep, ok := reports[id]
-		n := tierbergli.Node{ID: id, Zone: m.Nodes[id].Zone, Limit: rep.Limit, Foreign: rep.Foreign, State: cmp.Or(m.Nodes[id].State, tierbergli.In)}
+		n := shardplan.Node{ID: id, Zone: m.Nodes[id].Zone, Limit: rep.Limit, Foreign: rep.Foreign, State: cmp.Or(m.Nodes[id].State, shardplan.In)}
 		if !ok {
-			n.State = tierbergli.Gone
+			n.State = shardplan.Gone
 		}
 		c.Nodes = append(c.Nodes, n)
 	}
 	for _, shard := range slices.Sorted(maps.Keys(m.Shards)) {
 		p := m.Shards[shard]
 		h := reports[p.Node].Copies[shard]
-		c.Shards = append(c.Shards, tierbergli.Shard{ID: shard, Size: h.Held, Growth: int64(m.Rules.Growth * float64(h.Held)), On: []string{p.Node}})
+		c.Shards = append(c.Shards, shardplan.Shard{ID: shard, Size: h.Held, Growth: int64(m.Rules.Growth * float64(h.Held)), On: []string{p.Node}})
 	}
 	return c, c.Check()
 }
--- a/internal/oberaar/slots.go
+++ b/internal/shard/shardmap/slots.go
@@ -1,4 +1,4 @@
-package oberaar
+package shardmap
 
 // This file owns a proxy's writer slots for shards: each names the holder that the newest map has, and is empty from a miss until a
 // newer map fills it. An old map harms nothing, as nodes refuse by the epoch.
--- a/internal/oberaar/words.go
+++ b/internal/shard/shardmap/words.go
@@ -1,4 +1,4 @@
-package oberaar
+package shardmap
 
 // This file owns what an act is called on the line wire, and what a node's answer to it says.
 
@@ -7,7 +7,7 @@
 	"fmt"
 	"strings"
 
-	"weirwind/internal/trift"
+	"weirwind/internal/shard/shardnode"
 )
 
 // Text is an act's. from is FETCH's other node: address, service and id.
@@ -48,6 +48,6 @@
 }
 
 // ReadReport reads the answer to LOOK.
-func ReadReport(rows []string) (r trift.Report, ok bool) {
+func ReadReport(rows []string) (r shardnode.Report, ok bool) {
 	return r, len(rows) == 1 && json.Unmarshal([]byte(rows[0]), &r) == nil && r.Copies != nil
 }
--- a/internal/trift/trift.go
+++ b/internal/shard/shardnode/shardnode.go
@@ -1,10 +1,9 @@
-// Package trift is a node's side of shards: which it holds, by which epoch, and with how much room. It is named after the Trifthütte,
-// which stands on either side of its glacier, as the years will have it.
+// Package shardnode is a node's side of shards: which it holds, by which epoch, and with how much room.
 //
 // This file owns what a node may say to a write, to a copy and to the mover. It does no I/O and reads no clock: whoever runs it
 // syncs the keeper before an answer goes out. It must never run a write by an epoch that is not its own, hold more than its room,
 // or run a try whose sender was told that it never will.
-package trift
+package shardnode
 
 import (
 	"errors"
--- a/internal/trift/words.go
+++ b/internal/shard/shardnode/words.go
@@ -1,4 +1,4 @@
-package trift
+package shardnode
 
 // This file owns the words that a node takes on the line wire: texts of the system's own that begin with SHARD, and ON in front of
 // a client's statement. docs/rebalance.md lists them.
--- a/internal/tierbergli/order.go
+++ b/internal/shard/shardplan/order.go
@@ -1,4 +1,4 @@
-package tierbergli
+package shardplan
 
 // This file owns the order: rounds of moves in which no node is ever over its room, with stops on the way where copies stand in
 // each other's place.
--- a/internal/tierbergli/plan.go
+++ b/internal/shard/shardplan/plan.go
@@ -1,4 +1,4 @@
-package tierbergli
+package shardplan
 
 // This file owns the target: which copies leave which node, and where they go, with the fewest bytes that it finds.
 
--- a/internal/tierbergli/tierbergli.go
+++ b/internal/shard/shardplan/shardplan.go
@@ -1,9 +1,8 @@
-// Package tierbergli plans how shards are placed on nodes and in which order they move there. It is named after the Tierberglihütte,
-// to which everything is carried, and in which there is only so much room.
+// Package shardplan plans how shards are placed on nodes and in which order they move there.
 //
 // This file owns the words and what a placement must keep. The package does no I/O and reads no clock. It must never say a move
 // in whose course a node holds more than its room, counting both copies of what moves.
-package tierbergli
+package shardplan
 
 import (
 	"cmp"
--- a/internal/tierbergli/tierbergli_test.go
+++ b/internal/shard/shardplan/shardplan_test.go
@@ -1,4 +1,4 @@
-package tierbergli
+package shardplan
 
 import (
 	"cmp"
--- a/internal/standin/cordata/cordata.go
+++ b/internal/standin/cordata/cordata.go
@@ -8,7 +8,7 @@
 import (
 	"slices"
 
-	"weirwind/internal/gr20"
+	"weirwind/internal/wire"
 )
 
 // Entry is a commit in a log.
@@ -70,22 +70,22 @@
 }
 
 // Position is the end of a member's log.
-func (m *Member) Position() gr20.Position {
+func (m *Member) Position() wire.Position {
 	if n := len(m.Log); n > 0 {
-		return gr20.Position{Term: m.Log[n-1].Term, Number: m.Log[n-1].Number}
+		return wire.Position{Term: m.Log[n-1].Term, Number: m.Log[n-1].Number}
 	}
-	return gr20.Position{Term: 1}
+	return wire.Position{Term: 1}
 }
 
 // Status is the row that a member answers with.
-func (m *Member) Status() gr20.Status {
-	return gr20.Status{Primary: m.Primary, Term: m.Term, Received: m.Position(), Held: m.Held}
+func (m *Member) Status() wire.Status {
+	return wire.Status{Primary: m.Primary, Term: m.Term, Received: m.Position(), Held: m.Held}
 }
 
 // Write appends a commit at a member. False: it does not lead.
-func (g *Group) Write(m *Member, id string) (gr20.Position, bool) {
+func (g *Group) Write(m *Member, id string) (wire.Position, bool) {
 	if !m.Up || !m.Primary {
-		return gr20.Position{}, false
+		return wire.Position{}, false
 	}
 	p := m.Position()
 	e := Entry{m.Held, p.Number + 1, id}
@@ -95,7 +95,7 @@
 	} else {
 		g.waiting = append(g.waiting, e)
 	}
-	return gr20.Position{Term: e.Term, Number: e.Number}, true
+	return wire.Position{Term: e.Term, Number: e.Number}, true
 }
 
 // Replicate lets replicas receive what the leader has, each only if may says so, and answers what is received widely enough.
--- a/internal/standin/town/members.go
+++ b/internal/standin/town/members.go
@@ -15,9 +15,9 @@
 	"sync"
 	"time"
 
-	"weirwind/internal/gr20"
+	"weirwind/internal/shard/shardnode"
 	"weirwind/internal/standin/cordata"
-	"weirwind/internal/trift"
+	"weirwind/internal/wire"
 )
 
 // Service is a replication group on sockets, with an account of all that ran.
@@ -36,9 +36,9 @@
 	Lose    int            // so many next answers to writes are lost
 	Refused int            // calls of the platform with an old fence
 	fence   uint64
-	Calls   []string      // members named to the platform
-	Over    string        // the first time that its disk held more than its room
-	Keeper  *trift.Keeper // of a node that holds shards; nil: it holds none
+	Calls   []string          // members named to the platform
+	Over    string            // the first time that its disk held more than its room
+	Keeper  *shardnode.Keeper // of a node that holds shards; nil: it holds none
 	drained map[string]time.Time
 	Late    []string // statements that reached a member long after its drain
 }
@@ -149,12 +149,12 @@
 		s.mu.Unlock()
 		c.Close()
 	}()
-	r := gr20.NewReader(c)
+	r := wire.NewReader(c)
 	line, err := r.Line()
 	if err != nil {
 		return
 	}
-	if f := strings.Fields(line); len(f) < 3 || f[0] != gr20.Attach || f[1] != s.Name || len(f) > 3 && f[3] != id {
+	if f := strings.Fields(line); len(f) < 3 || f[0] != wire.Attach || f[1] != s.Name || len(f) > 3 && f[3] != id {
 		io.WriteString(c, "FAIL WRONGHOST\r\n")
 		return
 	}
@@ -167,11 +167,11 @@
 		if err != nil {
 			return
 		}
-		word, rest := gr20.Cut(line)
-		if word != gr20.Query {
+		word, rest := wire.Cut(line)
+		if word != wire.Query {
 			return
 		}
-		qid, text := gr20.Cut(rest)
+		qid, text := wire.Cut(rest)
 		var answer string
 		var ok bool
 		if s.Keeper != nil && qid == "-" && strings.HasPrefix(text, "SHARD ") {
@@ -205,7 +205,7 @@
 	}
 }
 
-func (v *visit) position() gr20.Position {
+func (v *visit) position() wire.Position {
 	v.s.mu.Lock()
 	defer v.s.mu.Unlock()
 	return v.s.group.Get(v.id).Position()
@@ -220,18 +220,18 @@
 		return "", false
 	}
 	after := ""
-	if p, rest := gr20.Cut(text); p == "AFTER" {
-		after, text = gr20.Cut(rest)
+	if p, rest := wire.Cut(text); p == "AFTER" {
+		after, text = wire.Cut(rest)
 	}
-	if shard, epoch, rest, on := trift.On(text); on && s.Keeper != nil {
+	if shard, epoch, rest, on := shardnode.On(text); on && s.Keeper != nil {
 		return v.onShard(shard, epoch, qid, rest)
 	}
 	if v.shard != "" && qid != "-" || v.shard != "" && text == "ABORT" {
 		return v.inShard(qid, text)
 	}
-	verb, rest := gr20.Cut(text)
+	verb, rest := wire.Cut(text)
 	if verb == "EXEC" {
-		name, args := gr20.Cut(rest)
+		name, args := wire.Cut(rest)
 		kind, ok := v.preps[name]
 		if !ok {
 			return "FAIL NOSTMT " + name + "\r\n", true
@@ -255,8 +255,8 @@
 	if v.broken && verb != "ABORT" && verb != "COMMIT" {
 		return "FAIL MALFORMED\r\n", true
 	}
-	if p, ok := gr20.ParsePosition(after); ok && m.Position().Less(p) {
-		return fail(gr20.Lagging)
+	if p, ok := wire.ParsePosition(after); ok && m.Position().Less(p) {
+		return fail(wire.Lagging)
 	}
 	term, _ := strconv.ParseUint(rest, 10, 64)
 	switch verb {
@@ -277,12 +277,12 @@
 	case "SET":
 		return "DONE -\r\n", true
 	case "PREP":
-		name, shape := gr20.Cut(rest)
-		v.preps[name], _ = gr20.Cut(shape)
+		name, shape := wire.Cut(rest)
+		v.preps[name], _ = wire.Cut(shape)
 		return "DONE -\r\n", true
 	case "BEGIN":
 		if rest == "" && !m.Primary {
-			return fail(gr20.ReadOnly)
+			return fail(wire.ReadOnly)
 		}
 		v.open, v.plain, v.writes = true, rest == "", nil
 		return "DONE -\r\n", true
@@ -291,14 +291,14 @@
 		return "DONE -\r\n", true
 	case "FETCH":
 		if v.open && v.plain && !m.Primary {
-			return fail(gr20.ReadOnly)
+			return fail(wire.ReadOnly)
 		}
 		return "ROW " + s.data[rest] + "\r\nDONE " + v.id + "." + qid + "\r\n", true
 	case "STORE":
 		if !m.Primary {
-			return fail(gr20.ReadOnly)
+			return fail(wire.ReadOnly)
 		}
-		thing, data := gr20.Cut(rest)
+		thing, data := wire.Cut(rest)
 		v.writes = append(v.writes, qid, thing, data)
 		if v.open {
 			return "DONE " + v.id + "." + qid + "\r\n", true
--- a/internal/standin/town/nodes.go
+++ b/internal/standin/town/nodes.go
@@ -1,6 +1,6 @@
 package town
 
-// This file owns nodes that hold shards: a member's sockets over trift's keeper, with a disk that really fills, and what copies one
+// This file owns nodes that hold shards: a member's sockets over shardnode's keeper, with a disk that really fills, and what copies one
 // node's entries to another.
 
 import (
@@ -11,18 +11,18 @@
 	"strings"
 	"time"
 
-	"weirwind/internal/bonatti"
-	"weirwind/internal/gr20"
-	"weirwind/internal/monterosa"
+	"weirwind/internal/directory"
+	"weirwind/internal/memberconn"
+	"weirwind/internal/shard/shardnode"
 	"weirwind/internal/standin/cordata"
-	"weirwind/internal/trift"
+	"weirwind/internal/wire"
 )
 
 // AddNode starts a service of one member that holds shards, on a disk of so many bytes, and beats for it.
 func (w *Town) AddNode(name string, limit int64) *Service {
 	w.t.Helper()
 	s := newService(name, "0", name+"-m")
-	s.Keeper = trift.NewKeeper(limit, limit/20)
+	s.Keeper = shardnode.NewKeeper(limit, limit/20)
 	ctx, stop := context.WithCancel(context.Background())
 	w.t.Cleanup(stop)
 	if err := s.listen(ctx, name+"-m", w.ip(3, 10+len(w.Nodes))+":0"); err != nil {
@@ -80,11 +80,11 @@
 	s := v.s
 	answer := func(rows []string, err error) (string, bool) {
 		if err != nil {
-			return gr20.Fail + " " + trift.Code(err) + "\r\n", true
+			return wire.Fail + " " + shardnode.Code(err) + "\r\n", true
 		}
 		var b strings.Builder
 		for _, r := range rows {
-			b.WriteString(gr20.Row + " " + r + "\r\n")
+			b.WriteString(wire.Row + " " + r + "\r\n")
 		}
 		return b.String() + "DONE -\r\n", true
 	}
@@ -100,15 +100,15 @@
 		return answer(rows, err)
 	}
 	until := time.Now().Add(time.Second)
-	c, _, err := bonatti.Dial(monterosa.Member{ID: fetch.ID, Svc: fetch.Svc, Addr: fetch.Addr}, until)
+	c, _, err := memberconn.Dial(directory.Member{ID: fetch.ID, Svc: fetch.Svc, Addr: fetch.Addr}, until)
 	if err != nil {
 		return "", false
 	}
 	defer c.Close()
 	got, err := c.Ask(fetch.EntriesAsk, until)
-	var said *bonatti.Refusal
+	var said *memberconn.Refusal
 	if errors.As(err, &said) {
-		return gr20.Fail + " " + said.Text + "\r\n", true
+		return wire.Fail + " " + said.Text + "\r\n", true
 	}
 	if err != nil {
 		return "", false
@@ -130,8 +130,8 @@
 // onShard runs a statement that names its shard and epoch. The lock is held.
 func (v *visit) onShard(shard string, epoch uint64, qid, text string) (string, bool) {
 	k := v.s.Keeper
-	verb, rest := gr20.Cut(text)
-	refuse := func(err error) (string, bool) { return gr20.Fail + " " + trift.Code(err) + "\r\n", true }
+	verb, rest := wire.Cut(text)
+	refuse := func(err error) (string, bool) { return wire.Fail + " " + shardnode.Code(err) + "\r\n", true }
 	switch verb {
 	case "BEGIN":
 		if err := k.Begin(shard, epoch); err != nil {
@@ -154,14 +154,14 @@
 			v.s.Lose--
 			return "", false
 		}
-		return "DONE " + trift.Stamp(shard, e) + "\r\n", true
+		return "DONE " + shardnode.Stamp(shard, e) + "\r\n", true
 	}
 	return "FAIL MALFORMED\r\n", true
 }
 
 // inShard runs a statement of an open transaction on a shard. The lock is held.
 func (v *visit) inShard(qid, text string) (string, bool) {
-	verb, rest := gr20.Cut(text)
+	verb, rest := wire.Cut(text)
 	switch verb {
 	case "FETCH":
 		return "ROW x\r\nDONE " + v.id + "." + qid + "\r\n", true
@@ -185,7 +185,7 @@
 			v.s.Lose--
 			return "", false
 		}
-		return "DONE " + trift.Stamp(v.shard, e) + "\r\n", true
+		return "DONE " + shardnode.Stamp(v.shard, e) + "\r\n", true
 	}
 	return "FAIL MALFORMED\r\n", true
 }
@@ -196,7 +196,7 @@
 	for name, s := range w.Nodes {
 		s.mu.Lock()
 		for shard, c := range maps.All(s.Keeper.Copies) {
-			if holders[shard] != name || c.State != trift.Open {
+			if holders[shard] != name || c.State != shardnode.Open {
 				strays = append(strays, fmt.Sprint(shard, " ", c.State, " at ", name))
 				continue
 			}
--- a/internal/standin/town/restore_test.go
+++ b/internal/standin/town/restore_test.go
@@ -10,13 +10,13 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"weirwind/internal/adlerweg"
+	"weirwind/internal/weirctl"
 )
 
 // order carries out an operators' command.
 func order(args ...string) (int, string) {
 	var out, errs bytes.Buffer
-	code := adlerweg.Main(args, &out, &errs)
+	code := weirctl.Main(args, &out, &errs)
 	return code, out.String() + errs.String()
 }
 
--- a/internal/standin/town/sessions_test.go
+++ b/internal/standin/town/sessions_test.go
@@ -18,16 +18,16 @@
 	"github.com/coder/websocket"
 	. "github.com/smartystreets/goconvey/convey"
 
-	"weirwind/internal/adlerweg"
-	"weirwind/internal/trient"
-	"weirwind/kesch"
+	"weirwind/internal/session/sites"
+	"weirwind/internal/weirctl"
+	"weirwind/sessionclient"
 )
 
 // attendee is a client of the evening with its account.
 type attendee struct {
 	mu     sync.Mutex
 	id     string
-	s      *kesch.Session
+	s      *sessionclient.Session
 	plain  *websocket.Conn
 	closed bool // a plain one's socket
 	got    []string
@@ -42,8 +42,8 @@
 
 func (w *Town) edgeURL(n int) string { return fmt.Sprintf("ws://%s:%d", w.ip(6, n), w.ports+4) }
 
-// sites starts so many sites and two edges, and waits until they serve.
-func sites(t *testing.T, n int) *Town {
+// sessionSites starts so many sites and two edges, and waits until they serve.
+func sessionSites(t *testing.T, n int) *Town {
 	w := New(t, 3, 0)
 	for i := range n {
 		w.Start(fmt.Sprint("site", i), false)
@@ -60,10 +60,10 @@
 func (w *Town) in() (in []string) {
 	for _, c := range w.Cores {
 		if code, s := w.Call("GET", c, "/sites", "", nil); code == 200 {
-			var m trient.Map
+			var m sites.Map
 			json.Unmarshal([]byte(s), &m)
 			for name, site := range m.Sites {
-				if site.State == trient.In {
+				if site.State == sites.In {
 					in = append(in, name)
 				}
 			}
@@ -78,7 +78,7 @@
 	for i := range n {
 		a := &attendee{last: time.Now()}
 		all = append(all, a)
-		a.s = kesch.Open(ctx, []string{w.edgeURL(i % 2), w.edgeURL((i + 1) % 2)}, "", 0)
+		a.s = sessionclient.Open(ctx, []string{w.edgeURL(i % 2), w.edgeURL((i + 1) % 2)}, "", 0)
 		<-a.s.Opened()
 		token, _ := a.s.Token()
 		a.id, _, _ = strings.Cut(token, ".")
@@ -101,9 +101,9 @@
 
 // produce queues messages until stopped.
 func (w *Town) produce(ctx context.Context, a *attendee, n int, every time.Duration) {
-	var sites []string
+	var addrs []string
 	for k := range w.nSites {
-		sites = append(sites, w.siteHTTP(k))
+		addrs = append(addrs, w.siteHTTP(k))
 	}
 	tick := time.NewTicker(every)
 	defer tick.Stop()
@@ -115,7 +115,7 @@
 		}
 		body := fmt.Sprint(a.id[:6], "-", i)
 		answer, stop := context.WithTimeout(context.Background(), 15*time.Second) // the end leaves none in doubt
-		at, err := kesch.Queue(answer, sites, home, a.id, fmt.Sprint(i), []byte(body))
+		at, err := sessionclient.Queue(answer, addrs, home, a.id, fmt.Sprint(i), []byte(body))
 		stop()
 		if home = at; err == nil {
 			a.mu.Lock()
@@ -247,7 +247,7 @@
 
 func TestSessionsOfSites(t *testing.T) {
 	Convey("In an evening with sessions open at three sites", t, func() {
-		w := sites(t, 3)
+		w := sessionSites(t, 3)
 		Reset(w.Stop)
 		w.nSites = 3
 		ctx, stop := context.WithCancel(context.Background())
@@ -283,7 +283,7 @@
 		}
 		tell := func(args ...string) (int, string) {
 			var b bytes.Buffer
-			code := adlerweg.Main(append([]string{"sessions"}, args...), &b, &b)
+			code := weirctl.Main(append([]string{"sessions"}, args...), &b, &b)
 			return code, b.String()
 		}
 		said()
@@ -358,7 +358,7 @@
 // What a bad or old token, a plain client, and a message too long are answered.
 func TestSessionsBounds(t *testing.T) {
 	Convey("With two sites and an edge", t, func() {
-		w := sites(t, 2)
+		w := sessionSites(t, 2)
 		Reset(w.Stop)
 		w.nSites = 2
 		ctx, stop := context.WithTimeout(context.Background(), 30*time.Second)
@@ -370,7 +370,7 @@
 		So(code, ShouldEqual, 400)
 		a := w.attendees(ctx, 1)[0]
 		token, _ := a.s.Token()
-		stolen := kesch.Open(ctx, []string{w.edgeURL(0)}, a.id+"."+strings.Repeat("0", 32), 0)
+		stolen := sessionclient.Open(ctx, []string{w.edgeURL(0)}, a.id+"."+strings.Repeat("0", 32), 0)
 		_, come := <-stolen.Messages()
 		So(come, ShouldBeFalse)
 		So(stolen.Err(), ShouldNotBeNil)
@@ -379,7 +379,7 @@
 		unknown, _ := w.Call("POST", w.siteHTTP(0), "/sessions/"+strings.Repeat("0", 32)+"/messages", "", []byte("x"))
 		So(unknown, ShouldEqual, 404)
 		// The same token again takes the session over; the one before is told.
-		again := kesch.Open(ctx, []string{w.edgeURL(1)}, token, 0)
+		again := sessionclient.Open(ctx, []string{w.edgeURL(1)}, token, 0)
 		<-again.Opened()
 		w.Until("the first has ended", func() bool { return a.s.Err() != nil })
 		again.Close()
@@ -398,7 +398,7 @@
 		t.Skip("SESSIONS=30m plays one")
 	}
 	Convey("An evening", t, func() {
-		w := sites(t, 4)
+		w := sessionSites(t, 4)
 		w.nSites = 4
 		ctx, stop := context.WithCancel(context.Background())
 		Reset(w.Stop)
--- a/internal/standin/town/shards_test.go
+++ b/internal/standin/town/shards_test.go
@@ -16,10 +16,10 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"weirwind/internal/adlerweg"
-	"weirwind/internal/konkordia"
-	"weirwind/internal/oberaar"
+	"weirwind/internal/controlplane"
+	"weirwind/internal/shard/shardmap"
 	"weirwind/internal/standin/cordata"
+	"weirwind/internal/weirctl"
 )
 
 const someShards = 6
@@ -35,7 +35,7 @@
 	for _, n := range []string{"n0", "n1", "n2"} {
 		svcs = append(svcs, fmt.Sprintf(`{"name":%q,"maxConns":80}`, n))
 	}
-	found := oberaar.Change{Shards: map[string]string{}, Nodes: map[string]oberaar.Node{"n0": {Zone: "za", State: "in"}, "n1": {Zone: "zb", State: "in"}, "n2": {Zone: "zc", State: "in"}}}
+	found := shardmap.Change{Shards: map[string]string{}, Nodes: map[string]shardmap.Node{"n0": {Zone: "za", State: "in"}, "n1": {Zone: "zb", State: "in"}, "n2": {Zone: "zc", State: "in"}}}
 	for i := range someShards {
 		shard := fmt.Sprint("s", i)
 		routes = append(routes, fmt.Sprintf(`{"name":%q,"host":"db%d","prefix":"/","type":"primary","timeoutMs":3000,"svc":"n0","shard":%q}`, shard, i, shard))
@@ -51,7 +51,7 @@
 	}
 	tell := func(args ...string) (int, string) {
 		var b bytes.Buffer
-		code := adlerweg.Main(append([]string{"shards"}, args...), &b, &b)
+		code := weirctl.Main(append([]string{"shards"}, args...), &b, &b)
 		return code, b.String()
 	}
 	file := filepath.Join(w.dir, "found.json")
@@ -92,10 +92,10 @@
 	return w, tell
 }
 
-func view(w *Town) (v konkordia.ShardsView) {
+func view(w *Town) (v controlplane.ShardsView) {
 	for _, c := range w.Cores {
 		if code, s := w.Call("GET", c, "/shards", "", nil); code == 200 {
-			var got konkordia.ShardsView
+			var got controlplane.ShardsView
 			if json.Unmarshal([]byte(s), &got) == nil && got.Leads && got.Map != nil {
 				return got
 			}
@@ -186,7 +186,7 @@
 			return false
 		}
 		for _, t := range v.Map.Tasks {
-			if t.Fate == oberaar.Waiting {
+			if t.Fate == shardmap.Waiting {
 				return false
 			}
 		}
--- a/internal/standin/town/town.go
+++ b/internal/standin/town/town.go
@@ -21,16 +21,16 @@
 	"testing"
 	"time"
 
-	"weirwind/internal/britannia"
-	"weirwind/internal/gnifetti"
-	"weirwind/internal/gouter"
-	"weirwind/internal/gr20"
-	"weirwind/internal/hauteroute"
-	"weirwind/internal/konkordia"
-	"weirwind/internal/kungsleden"
-	"weirwind/internal/mezzalama"
-	"weirwind/internal/solvay"
+	"weirwind/internal/agent"
+	"weirwind/internal/consensus/store"
+	"weirwind/internal/controlplane"
+	"weirwind/internal/process"
+	"weirwind/internal/proxy"
+	"weirwind/internal/sessionedge"
+	"weirwind/internal/sessionsite"
+	"weirwind/internal/settings"
 	"weirwind/internal/standin/disk"
+	"weirwind/internal/wire"
 )
 
 const (
@@ -40,14 +40,14 @@
 
 // Main runs a role if this process is one, else the tests.
 func Main(m *testing.M) int {
-	roles := map[string]solvay.Role{"hauteroute": {Name: "hauteroute", Run: hauteroute.Run}, "britannia": {Name: "britannia", Run: britannia.Run},
-		"konkordia": {Name: "konkordia", Run: konkordia.Run},
-		"gnifetti":  {Name: "gnifetti", Run: gnifetti.Run}, "mezzalama": {Name: "mezzalama", Run: mezzalama.Run}}
+	roles := map[string]process.Role{"proxy": {Name: "proxy", Run: proxy.Run}, "agent": {Name: "agent", Run: agent.Run},
+		"controlplane": {Name: "controlplane", Run: controlplane.Run},
+		"sessionsite":  {Name: "sessionsite", Run: sessionsite.Run}, "sessionedge": {Name: "sessionedge", Run: sessionedge.Run}}
 	if control := os.Getenv(diskVariable); control != "" {
-		gouter.FS = disk.Under(control)
+		store.FS = disk.Under(control)
 	}
 	if r, ok := roles[os.Getenv(roleVariable)]; ok {
-		return solvay.Main(r, nil, os.Stdout)
+		return process.Main(r, nil, os.Stdout)
 	}
 	return m.Run()
 }
@@ -132,7 +132,7 @@
 	kinds := map[string]struct {
 		role string
 		kind int
-	}{"core": {"konkordia", 1}, "agent": {"britannia", 2}, "proxy": {"hauteroute", 2}, "site": {"gnifetti", 5}, "edge": {"mezzalama", 6}}
+	}{"core": {"controlplane", 1}, "agent": {"agent", 2}, "proxy": {"proxy", 2}, "site": {"sessionsite", 5}, "edge": {"sessionedge", 6}}
 	k := kinds[name[:len(name)-1]]
 	role, kind, zone := k.role, k.kind, "z1"
 	if kind >= 5 { // sites and edges are in zones of their own
@@ -141,9 +141,9 @@
 	lines := []string{"hostname=" + name, "zone=" + zone, "region=r1", "zones.z1=r1", "zones.z2=r1", "zones.z3=r1", fmt.Sprintf("portRange=%d,%d", w.ports, w.ports+2),
 		"peers=" + strings.Join(w.Cores[:min(3, len(w.Cores))], ","), fmt.Sprint("init=", first), "tolerate.nodes=1", "beatMs=200", "bounds.graceS=2", "cloudApi.addr=" + w.plat}
 	switch role {
-	case "konkordia":
+	case "controlplane":
 		lines = append(lines, "listen.ctl="+w.Cores[n], "datadir="+filepath.Join(w.dir, name))
-	case "gnifetti", "mezzalama":
+	case "sessionsite", "sessionedge":
 		lines = append(lines, fmt.Sprintf("listen.front=%s:%d", w.ip(kind, n), w.ports+4), fmt.Sprintf("listen.readyAddr=%s:%d", w.ip(kind, n), w.ports+5))
 	default:
 		lines = append(lines, "listen.front="+w.Front(n), "listen.readyAddr="+w.readyAddr(n), fmt.Sprintf("listen.feed=%s:%d", w.ip(2, n), w.ports+1))
@@ -158,7 +158,7 @@
 		w.t.Fatal(err)
 	}
 	cmd := exec.Command(self)
-	cmd.Env = append(os.Environ(), roleVariable+"="+role, kungsleden.Variable+"="+file, diskVariable+"="+w.control(name))
+	cmd.Env = append(os.Environ(), roleVariable+"="+role, settings.Variable+"="+file, diskVariable+"="+w.control(name))
 	if w.logs[name] == nil {
 		w.logs[name] = &bytes.Buffer{}
 	}
@@ -257,7 +257,7 @@
 // Client is a session.
 type Client struct {
 	c net.Conn
-	r *gr20.Reader
+	r *wire.Reader
 	b *bufio.Writer
 	n int
 	t *testing.T
@@ -273,7 +273,7 @@
 		return nil, err.Error()
 	}
 	w.t.Cleanup(func() { c.Close() })
-	k := &Client{c: c, r: gr20.NewReader(c), t: w.t, n: int(clients.Add(1)) * 10_000_000}
+	k := &Client{c: c, r: wire.NewReader(c), t: w.t, n: int(clients.Add(1)) * 10_000_000}
 	fmt.Fprintf(c, "ATTACH %s u1\r\n", db)
 	return k, k.line()
 }
@@ -296,7 +296,7 @@
 	for {
 		l := k.line()
 		all = append(all, l)
-		if strings.HasPrefix(l, gr20.Ready) || strings.HasPrefix(l, "end") {
+		if strings.HasPrefix(l, wire.Ready) || strings.HasPrefix(l, "end") {
 			return id, strings.Join(all, " | ")
 		}
 	}
--- a/internal/standin/town/town_test.go
+++ b/internal/standin/town/town_test.go
@@ -15,10 +15,10 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"weirwind/internal/adlerweg"
-	"weirwind/internal/margherita"
+	"weirwind/internal/consensus"
 	"weirwind/internal/standin/cordata"
 	"weirwind/internal/standin/disk"
+	"weirwind/internal/weirctl"
 )
 
 var approve = flag.Bool("approve", false, "write the transcripts anew")
@@ -281,7 +281,7 @@
 // voters gives how many of the voters that a machine knows are of their disks' first life, and all of them.
 func voters(w *Town, n int) (first int, all string) {
 	_, s := w.Call("GET", w.Cores[n], "/status", "", nil)
-	var v struct{ Voters []margherita.Voter }
+	var v struct{ Voters []consensus.Voter }
 	if json.Unmarshal([]byte(s), &v) != nil {
 		return 0, ""
 	}
@@ -426,7 +426,7 @@
 			w.Kill(gone)
 			w.Until("status tells both", func() bool {
 				var b strings.Builder
-				adlerweg.Main([]string{"status", w.Cores[lead[4]-'0']}, &b, &b)
+				weirctl.Main([]string{"status", w.Cores[lead[4]-'0']}, &b, &b)
 				slow, behind := false, strings.Contains(b.String(), "ms ago")
 				for _, line := range strings.Split(b.String(), "\n") {
 					var n int
--- a/internal/viaalpina/viaalpina.go
+++ b/internal/transport/transport.go
@@ -1,9 +1,8 @@
-// Package viaalpina carries frames between the system's own processes. It is named after the Via Alpina, which joins eight
-// countries from hut to hut.
+// Package transport carries frames between the system's own processes.
 //
 // This file owns sockets and the form of frames: CBOR behind four bytes of length. It decides nothing; what a frame says is its
-// users'. A peer that doesn't read loses its link, never anybody's memory; a peer that goes dark loses it after Dark.
-package viaalpina
+// users'. A peer that doesn't read loses its link, never anybody's memory; a peer that goes dark loses it after SetUserTimeout.
+package transport
 
 import (
 	"context"
@@ -90,8 +89,8 @@
 // Done is closed when the link has ended.
 func (l *Link[F]) Done() <-chan struct{} { return l.done }
 
-// Dark sets how long a peer may leave bytes unacknowledged before the kernel gives the connection up.
-func Dark(c net.Conn, after time.Duration) {
+// SetUserTimeout sets how long a peer may leave bytes unacknowledged before the kernel gives the connection up.
+func SetUserTimeout(c net.Conn, after time.Duration) {
 	t, ok := c.(*net.TCPConn)
 	if !ok {
 		return
@@ -176,7 +175,7 @@
 			continue
 		}
 		go func() {
-			Dark(c, 3*time.Second)
+			SetUserTimeout(c, 3*time.Second)
 			l := start[F](c, c.RemoteAddr().String())
 			up(l)
 			_ = l.read(idle, func(f *F) { take(l, f) })
@@ -185,8 +184,8 @@
 	}
 }
 
-// Patience is how long the nth try to reach a peer may take.
-func Patience(nth int) time.Duration { return min(dialFirst<<min(nth, 8), dialMost) }
+// DialTimeout is how long the nth try to reach a peer may take.
+func DialTimeout(nth int) time.Duration { return min(dialFirst<<min(nth, 8), dialMost) }
 
 // Dial makes one link and reads it until it ends; wait bounds its making. up is told when it stands.
 func Dial[F any](addr string, wait, idle time.Duration, up func(*Link[F]), take func(*Link[F], *F)) error {
@@ -194,26 +193,26 @@
 	if err != nil {
 		return oops.In("link").With("peer", addr).Wrapf(err, "dial")
 	}
-	Dark(c, 3*time.Second)
+	SetUserTimeout(c, 3*time.Second)
 	l := start[F](c, addr)
 	up(l)
 	err = l.read(idle, func(f *F) { take(l, f) })
 	return oops.In("link").With("peer", addr).Wrapf(err, "read")
 }
 
-// Again says when a link is made anew: behind one that stood after First, then after twice as long each time, up to Most. Patience
+// Backoff says when a link is made anew: behind one that stood after First, then after twice as long each time, up to Most. DialTimeout
 // is how long the nth try may take.
-type Again struct {
+type Backoff struct {
 	First, Most time.Duration
-	Patience    func(nth int) time.Duration
+	DialTimeout func(nth int) time.Duration
 }
 
 // Keep keeps a link to a peer until ctx ends, between two tries. up is told of each that stands, down when it has ended.
-func Keep[F any](ctx context.Context, addr string, again Again, up func(*Link[F]), take func(*Link[F], *F), down func()) {
+func Keep[F any](ctx context.Context, addr string, again Backoff, up func(*Link[F]), take func(*Link[F], *F), down func()) {
 	pause := again.First
 	for nth := 0; ctx.Err() == nil; nth++ {
 		stood := false
-		_ = Dial(addr, again.Patience(nth), 0, func(l *Link[F]) {
+		_ = Dial(addr, again.DialTimeout(nth), 0, func(l *Link[F]) {
 			stood, pause, nth = true, again.First, 0
 			up(l)
 		}, take)
--- a/internal/adlerweg/sessions.go
+++ b/internal/weirctl/sessions.go
@@ -1,4 +1,4 @@
-package adlerweg
+package weirctl
 
 // This file owns the operators' calls about open sessions: docs/sessions.md.
 
@@ -13,7 +13,7 @@
 	"strconv"
 	"strings"
 
-	"weirwind/internal/trient"
+	"weirwind/internal/session/sites"
 )
 
 func sessions(args []string, out io.Writer) error {
@@ -25,7 +25,7 @@
 		return sessionsStatus(args[1], out)
 	case "drain":
 		flags := flag.NewFlagSet("sessions drain", flag.ContinueOnError)
-		pace := flags.Int("pace", trient.DefaultPace, "sessions a second that are handed on")
+		pace := flags.Int("pace", sites.DefaultPace, "sessions a second that are handed on")
 		if flags.Parse(args[1:]) != nil || flags.NArg() != 2 {
 			return flag.ErrHelp
 		}
@@ -44,7 +44,7 @@
 	return flag.ErrHelp
 }
 
-func siteMap(addr string) (m trient.Map, err error) {
+func siteMap(addr string) (m sites.Map, err error) {
 	body, err := get(addr, "/sites")
 	if err == nil {
 		err = json.Unmarshal(body, &m)
@@ -71,9 +71,9 @@
 			Given  int   `json:"givenUp"`
 			Edges  int   `json:"edges"`
 		}
-		if body, err := get(s.HTTP, "/status"); s.State != trient.Out && err == nil && json.Unmarshal(body, &v) == nil {
+		if body, err := get(s.HTTP, "/status"); s.State != sites.Out && err == nil && json.Unmarshal(body, &v) == nil {
 			fmt.Fprintf(out, ": home of %d sessions, copies of %d, %d bytes, %d messages given up for their age, %d edges", v.Homes, v.Copies, v.Bytes, v.Given, v.Edges)
-		} else if s.State != trient.Out {
+		} else if s.State != sites.Out {
 			fmt.Fprint(out, ": it does not answer here")
 		}
 		fmt.Fprintln(out)
@@ -88,7 +88,7 @@
 	}
 	id, _, _ = strings.Cut(id, ".") // the secret of a token is nobody's business
 	for _, s := range m.Sites {
-		if s.State == trient.Out {
+		if s.State == sites.Out {
 			continue
 		}
 		if body, err := get(s.HTTP, "/sessions/"+url.PathEscape(id)); err == nil {
--- a/internal/adlerweg/shards.go
+++ b/internal/weirctl/shards.go
@@ -1,4 +1,4 @@
-package adlerweg
+package weirctl
 
 // This file owns the operators' calls about shards: docs/rebalance.md.
 
@@ -19,10 +19,10 @@
 
 	"github.com/samber/oops"
 
-	"weirwind/internal/faulhorn"
-	"weirwind/internal/konkordia"
-	"weirwind/internal/oberaar"
-	"weirwind/internal/tierbergli"
+	"weirwind/internal/controlplane"
+	"weirwind/internal/plot"
+	"weirwind/internal/shard/shardmap"
+	"weirwind/internal/shard/shardplan"
 )
 
 // shards carries out a call that begins with it.
@@ -40,16 +40,16 @@
 		if len(rest) != 1 {
 			return flag.ErrHelp
 		}
-		c := oberaar.Change{}
+		c := shardmap.Change{}
 		if err := readStrict(rest[0], &c); err != nil {
 			return err
 		}
-		c.Kind = oberaar.Found
+		c.Kind = shardmap.Found
 		return post(addr, c, out)
 	case "apply":
 		return shardsApply(addr, out)
 	case "pause", "resume", "abort":
-		return post(addr, oberaar.Change{Kind: oberaar.Kind(args[0])}, out)
+		return post(addr, shardmap.Change{Kind: shardmap.Kind(args[0])}, out)
 	case "mark":
 		if len(rest) < 2 || len(rest) > 3 {
 			return flag.ErrHelp
@@ -59,10 +59,10 @@
 			return err
 		}
 		n := v.Map.Nodes[rest[0]]
-		if n.State = tierbergli.State(rest[1]); len(rest) == 3 {
+		if n.State = shardplan.State(rest[1]); len(rest) == 3 {
 			n.Zone = rest[2]
 		}
-		return post(addr, oberaar.Change{Kind: oberaar.Mark, Nodes: map[string]oberaar.Node{rest[0]: n}}, out)
+		return post(addr, shardmap.Change{Kind: shardmap.Mark, Nodes: map[string]shardmap.Node{rest[0]: n}}, out)
 	case "rules":
 		if len(rest) != 1 {
 			return flag.ErrHelp
@@ -75,7 +75,7 @@
 		if err := readStrict(rest[0], &rules); err != nil {
 			return err
 		}
-		return post(addr, oberaar.Change{Kind: oberaar.Tune, Rules: &rules}, out)
+		return post(addr, shardmap.Change{Kind: shardmap.Tune, Rules: &rules}, out)
 	case "explain":
 		if len(rest) != 1 {
 			return flag.ErrHelp
@@ -108,13 +108,13 @@
 }
 
 // shardsView asks who leads, by whichever machine of the core.
-func shardsView(addr string) (v konkordia.ShardsView, err error) {
+func shardsView(addr string) (v controlplane.ShardsView, err error) {
 	for range 3 {
 		body, err := get(addr, "/shards")
 		if err != nil {
 			return v, err
 		}
-		v = konkordia.ShardsView{}
+		v = controlplane.ShardsView{}
 		if err := json.Unmarshal(body, &v); err != nil {
 			return v, err
 		}
@@ -131,7 +131,7 @@
 	return v, fmt.Errorf("nobody is known to lead the core")
 }
 
-func post(addr string, c oberaar.Change, out io.Writer) error {
+func post(addr string, c shardmap.Change, out io.Writer) error {
 	b, err := json.Marshal(c)
 	if err != nil {
 		return err
@@ -148,7 +148,7 @@
 	if err != nil {
 		return err
 	}
-	c, err := oberaar.ClusterOf(v.Map, v.Nodes)
+	c, err := shardmap.ClusterOf(v.Map, v.Nodes)
 	if err != nil {
 		return err
 	}
@@ -156,12 +156,12 @@
 	if err := printPlan(p, out); err != nil {
 		return err
 	}
-	tasks := oberaar.FromPlan(p)
+	tasks := shardmap.FromPlan(p)
 	if len(tasks) == 0 {
 		fmt.Fprintln(out, "nothing is to be moved")
 		return nil
 	}
-	return post(addr, oberaar.Change{Kind: oberaar.Plan, Base: v.Map.Version, Tasks: tasks}, out)
+	return post(addr, shardmap.Change{Kind: shardmap.Plan, Base: v.Map.Version, Tasks: tasks}, out)
 }
 
 func shardsStatus(args []string, out io.Writer) error {
@@ -188,15 +188,15 @@
 			}
 		}
 		fmt.Fprintf(out, "  node %s in %s, %s: %d shards, %d of %d bytes used, %d by others\n", id, cmp.Or(v.Map.Nodes[id].Zone, "no zone"),
-			cmp.Or(v.Map.Nodes[id].State, tierbergli.In), held, r.Limit-r.Free, r.Limit, r.Foreign)
+			cmp.Or(v.Map.Nodes[id].State, shardplan.In), held, r.Limit-r.Free, r.Limit, r.Foreign)
 	}
-	fates := map[oberaar.Fate]int{}
+	fates := map[shardmap.Fate]int{}
 	for _, t := range v.Map.Tasks {
-		if fates[t.Fate]++; t.Fate != oberaar.Done {
+		if fates[t.Fate]++; t.Fate != shardmap.Done {
 			fmt.Fprintf(out, "  shard %s, %s to %s: %s %s %s\n", t.Shard, t.From, t.To, t.Fate, v.Runs[t.Shard], t.Why)
 		}
 	}
-	fmt.Fprintf(out, "  tasks: %d done, %d waiting, %d failed, %d aborted\n", fates[oberaar.Done], fates[oberaar.Waiting], fates[oberaar.Failed], fates[oberaar.Aborted])
+	fmt.Fprintf(out, "  tasks: %d done, %d waiting, %d failed, %d aborted\n", fates[shardmap.Done], fates[shardmap.Waiting], fates[shardmap.Failed], fates[shardmap.Aborted])
 	return nil
 }
 
@@ -241,11 +241,11 @@
 	if flags.Parse(args) != nil || (*at == "") != (flags.NArg() == 1) {
 		return flag.ErrHelp
 	}
-	c := &tierbergli.Cluster{}
+	c := &shardplan.Cluster{}
 	if *at != "" {
 		v, err := shardsView(*at)
 		if err == nil {
-			c, err = oberaar.ClusterOf(v.Map, v.Nodes)
+			c, err = shardmap.ClusterOf(v.Map, v.Nodes)
 		}
 		if err != nil {
 			return err
@@ -265,7 +265,7 @@
 	return printPlan(p, out)
 }
 
-func printPlan(p *tierbergli.Plan, out io.Writer) error {
+func printPlan(p *shardplan.Plan, out io.Writer) error {
 	for i, round := range p.Rounds {
 		for _, m := range round {
 			note := ""
@@ -289,19 +289,19 @@
 }
 
 // page is the progress as HTML: bytes moved and room used over time, nodes, tasks.
-func page(v konkordia.ShardsView) string {
+func page(v controlplane.ShardsView) string {
 	var b strings.Builder
-	b.WriteString(faulhorn.Head + "<title>Shards</title>")
+	b.WriteString(plot.Head + "<title>Shards</title>")
 	fmt.Fprintf(&b, "<h1>Shards, version %d</h1><p>%d bytes moved, %d hand-overs, closed for %s.</p>", v.Map.Version, v.Moved, len(v.Gaps), spread(v.Gaps))
 	if len(v.Points) > 1 {
 		most := max(v.Points[len(v.Points)-1].Moved, 1)
 		b.WriteString("<h2>Bytes moved</h2>")
-		faulhorn.Line(&b, len(v.Points), func(i int) float64 { return float64(v.Points[i].Moved) / float64(most) }, "#246")
+		plot.Line(&b, len(v.Points), func(i int) float64 { return float64(v.Points[i].Moved) / float64(most) }, "#246")
 		b.WriteString("<h2>Room used, of each disk</h2>")
 		for _, id := range slices.Sorted(maps.Keys(v.Nodes)) {
 			fmt.Fprintf(&b, "<p>%s</p>", html.EscapeString(id))
 			limit := float64(max(v.Nodes[id].Limit, 1))
-			faulhorn.Line(&b, len(v.Points), func(i int) float64 { return float64(v.Points[i].Used[id]) / limit }, "#a40")
+			plot.Line(&b, len(v.Points), func(i int) float64 { return float64(v.Points[i].Used[id]) / limit }, "#a40")
 		}
 	}
 	b.WriteString("<h2>Tasks</h2><table><tr><th>shard<th>from<th>to<th>bytes<th>fate<th>now<th>why")
--- a/internal/adlerweg/adlerweg.go
+++ b/internal/weirctl/weirctl.go
@@ -1,9 +1,9 @@
-// Package adlerweg is the operators' command: what the system is doing and why, what a configuration would change, and what to
-// do with a core machine's disk. It is named after the Adlerweg, the trail from which one sees all of Tyrol from above.
+// Package weirctl is the operators' command: what the system is doing and why, what a configuration would change, and
+// what to do with a core machine's disk.
 //
 // This file owns the command line. It asks machines by their published calls and opens folders of stopped ones; it decides
 // nothing.
-package adlerweg
+package weirctl
 
 import (
 	"bytes"
@@ -20,35 +20,35 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/samber/oops"
 
-	"weirwind/internal/cosmiques"
-	"weirwind/internal/gouter"
-	"weirwind/internal/margherita"
+	"weirwind/internal/config"
+	"weirwind/internal/consensus"
+	"weirwind/internal/consensus/store"
 )
 
-const usage = `adlerweg asks and tends the system.
+const usage = `weirctl asks and tends the system.
 
-  adlerweg status [-json] ADDR...            versions, voters, members, drivers, slots; ADDR is a machine's ctl or ready address
-  adlerweg explain GROUP ADDR...            why a group's slot is as it is: the newest events of these machines about it
-  adlerweg config check FILE                 reads a configuration as the core would
-  adlerweg config log ADDR                   which versions were taken, when, on which base, at which machine
-  adlerweg config diff ADDR FILE             what FILE would change of what is in place
-  adlerweg shards found ADDR FILE            first holders of shards, and the nodes' zones
-  adlerweg shards status [-json] ADDR        nodes, room, and what moves
-  adlerweg shards plan [-json] FILE          moves that rebalance the nodes and shards of FILE, in rounds: docs/rebalance.md
-  adlerweg shards plan [-json] -at ADDR      the same for what the nodes of a system hold
-  adlerweg shards apply ADDR                 makes that plan and has it carried out
-  adlerweg shards pause|resume|abort ADDR    abort: what was not handed over goes back
-  adlerweg shards mark ADDR NODE in|leaving|gone [ZONE]
-  adlerweg shards rules ADDR FILE            how much goes on at a time; FILE has what is to change
-  adlerweg shards explain ADDR SHARD         where it is, why, and the newest events about it
-  adlerweg shards page ADDR FILE             progress as HTML, with bytes and room over time
-  adlerweg sessions status ADDR              sites of open sessions, and what they hold: docs/sessions.md
-  adlerweg sessions drain [-pace N] ADDR SITE, undrain ADDR SITE
+  weirctl status [-json] ADDR...            versions, voters, members, drivers, slots; ADDR is a machine's ctl or ready address
+  weirctl explain GROUP ADDR...            why a group's slot is as it is: the newest events of these machines about it
+  weirctl config check FILE                 reads a configuration as the core would
+  weirctl config log ADDR                   which versions were taken, when, on which base, at which machine
+  weirctl config diff ADDR FILE             what FILE would change of what is in place
+  weirctl shards found ADDR FILE            first holders of shards, and the nodes' zones
+  weirctl shards status [-json] ADDR        nodes, room, and what moves
+  weirctl shards plan [-json] FILE          moves that rebalance the nodes and shards of FILE, in rounds: docs/rebalance.md
+  weirctl shards plan [-json] -at ADDR      the same for what the nodes of a system hold
+  weirctl shards apply ADDR                 makes that plan and has it carried out
+  weirctl shards pause|resume|abort ADDR    abort: what was not handed over goes back
+  weirctl shards mark ADDR NODE in|leaving|gone [ZONE]
+  weirctl shards rules ADDR FILE            how much goes on at a time; FILE has what is to change
+  weirctl shards explain ADDR SHARD         where it is, why, and the newest events about it
+  weirctl shards page ADDR FILE             progress as HTML, with bytes and room over time
+  weirctl sessions status ADDR              sites of open sessions, and what they hold: docs/sessions.md
+  weirctl sessions drain [-pace N] ADDR SITE, undrain ADDR SITE
                                              hands a site's sessions to its neighbours, N a second
-  adlerweg sessions show ADDR ID             where a session is and what is queued
-  adlerweg state check FOLDER                what a stopped core machine's disk holds
-  adlerweg state export FOLDER FILE          its operator's word, for a restore
-  adlerweg state import FILE FOLDER ADDR VOTER...
+  weirctl sessions show ADDR ID             where a session is and what is queued
+  weirctl state check FOLDER                what a stopped core machine's disk holds
+  weirctl state export FOLDER FILE          its operator's word, for a restore
+  weirctl state import FILE FOLDER ADDR VOTER...
                                              founds a core anew from an export: on each new machine's empty FOLDER, with its own
                                              ctl ADDR and the same list of all VOTERs' ctl addresses. Only for the day on which
                                              a majority of the disks is gone: docs/system-operator.md
@@ -91,7 +91,7 @@
 		return 2
 	}
 	if err != nil {
-		fmt.Fprintln(errs, "adlerweg:", err)
+		fmt.Fprintln(errs, "weirctl:", err)
 		return 1
 	}
 	return 0
@@ -133,8 +133,8 @@
 	Term     uint64                    `json:"term"`
 	Index    uint64                    `json:"index"`
 	Gen      uint64                    `json:"gen"`
-	Voters   []margherita.Voter        `json:"voters"`
-	Others   []margherita.Standing     `json:"others"`
+	Voters   []consensus.Voter         `json:"voters"`
+	Others   []consensus.Standing      `json:"others"`
 	Syncs    uint64                    `json:"syncs"`
 	LastSync float64                   `json:"lastSyncMs"`
 	MostSync float64                   `json:"mostSyncMs"`
@@ -217,7 +217,7 @@
 	if err != nil {
 		return err
 	}
-	c, err := cosmiques.Read(raw)
+	c, err := config.Read(raw)
 	if err == nil {
 		fmt.Fprintf(out, "version %d can be served: %d routes, %d services\n", c.Gen, len(c.Routes), len(c.Svcs))
 	}
@@ -229,7 +229,7 @@
 	if err != nil {
 		return err
 	}
-	var past []cosmiques.Past
+	var past []config.Past
 	if err := json.Unmarshal(body, &past); err != nil {
 		return err
 	}
@@ -248,7 +248,7 @@
 	if err != nil {
 		return err
 	}
-	lines, err := cosmiques.Diff(now, raw)
+	lines, err := config.Diff(now, raw)
 	for _, l := range lines {
 		fmt.Fprintln(out, l)
 	}
@@ -257,15 +257,15 @@
 
 // exported is an operator's word outside of a core.
 type exported struct {
-	Form  string           `cbor:"1,keyasint"`
-	Entry margherita.Entry `cbor:"2,keyasint"`
-	Term  uint64           `cbor:"3,keyasint"`
+	Form  string          `cbor:"1,keyasint"`
+	Entry consensus.Entry `cbor:"2,keyasint"`
+	Term  uint64          `cbor:"3,keyasint"`
 }
 
 const form = "weirwind core 1"
 
 func stateCheck(folder string, out io.Writer) error {
-	h, found, err := gouter.Look(folder)
+	h, found, err := store.Look(folder)
 	if err != nil {
 		return err
 	}
@@ -273,7 +273,7 @@
 		fmt.Fprintln(out, "nothing was ever kept there")
 		return nil
 	}
-	var b cosmiques.Book
+	var b config.State
 	if len(h.Last.Value) > 0 {
 		if err := cbor.Unmarshal(h.Last.Value, &b); err != nil {
 			return err
@@ -292,7 +292,7 @@
 }
 
 func export(folder, file string, out io.Writer) error {
-	h, found, err := gouter.Look(folder)
+	h, found, err := store.Look(folder)
 	if err != nil {
 		return err
 	}
@@ -322,7 +322,7 @@
 	if err := cbor.Unmarshal(raw, &e); err != nil || e.Form != form {
 		return fmt.Errorf("%s is no export of a core", file)
 	}
-	s, _, found, err := gouter.Open(folder)
+	s, _, found, err := store.Open(folder)
 	if err != nil {
 		return err
 	}
@@ -330,7 +330,7 @@
 	if found {
 		return fmt.Errorf("%s is not empty: a restore goes to an empty folder only", folder)
 	}
-	h := margherita.Restored(addr, voters, e.Entry, max(e.Term, e.Entry.Term)+termJump)
+	h := consensus.Restored(addr, voters, e.Entry, max(e.Term, e.Entry.Term)+termJump)
 	if h.ID == "" {
 		return fmt.Errorf("%s is not among the voters", addr)
 	}
--- a/internal/gr20/gr20.go
+++ b/internal/wire/wire.go
@@ -1,9 +1,8 @@
-// Package gr20 is the line wire that clients, members and the system share. It is named after the GR 20, the trail over
-// Corsica: one long line from end to end.
+// Package wire is the line wire that clients, members and the system share.
 //
 // This file owns how a message is told from bytes: a word and fields with blanks between them, CR LF at the end, at most
 // Most bytes. It must never keep more than that of a peer that doesn't end its line.
-package gr20
+package wire
 
 import (
 	"bufio"
--- a/internal/gr20/gr20_test.go
+++ b/internal/wire/wire_test.go
@@ -1,4 +1,4 @@
-package gr20
+package wire
 
 import (
 	"io"
--- a/internal/mischabel/slot.go
+++ b/internal/writerslot/slot.go
@@ -1,5 +1,5 @@
-// Package mischabel (a hut, the Mischabelhütte) is the writer slot that the module and the system share: what fills it, what empties it.
-package mischabel
+// Package writerslot (a hut, the Mischabelhütte) is the writer slot that the module and the system share: what fills it, what empties it.
+package writerslot
 
 import "math"
 
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -20,7 +20,7 @@
 	"math/bits"
 	"slices"
 
-	"weirwind/internal/mischabel"
+	"weirwind/internal/writerslot"
 )
 
 // Tuned values. Those that weigh time are multiples of what is observed or of the opening's own figures.
@@ -58,7 +58,7 @@
 type group struct {
 	id, serving int64 // serving: members not draining
 	members     []*member
-	mischabel.Slot[*member]
+	writerslot.Slot[*member]
 
 	filled, probeAt, swept, forgetAt float64 // when the slot was filled, the group last swept; when members long gone are let go
 
@@ -238,7 +238,7 @@
 func (d *Driver) groupAt(id int64) *group {
 	g := d.groupOf[id]
 	if g == nil {
-		g = &group{id: id, Slot: mischabel.NewSlot[*member](), commit: d.ceiling, swept: d.now,
+		g = &group{id: id, Slot: writerslot.NewSlot[*member](), commit: d.ceiling, swept: d.now,
 			strain: make([]float64, len(d.types))}
 		d.groupOf[id] = g
 		d.groups = append(d.groups, g)
--- a/kesch/kesch.go
+++ b/sessionclient/client.go
@@ -1,9 +1,8 @@
-// Package kesch is the client of open sessions for Go programs: a session that outlives its connections. It is named after the Chamanna
-// digl Kesch, to which one comes back by another way.
+// Package sessionclient is the client of open sessions for Go programs: a session that outlives its connections.
 //
 // It speaks the subprotocol of docs/sessions.md: messages have numbers in both directions, each is given once and in order, and what
 // has no acknowledgement is sent again over the next connection.
-package kesch
+package sessionclient
 
 import (
 	"context"
--- a/kesch/queue.go
+++ b/sessionclient/queue.go
@@ -1,4 +1,4 @@
-package kesch
+package sessionclient
 
 // This file owns a producer's side: a message queued for a session, at whichever site is its home.
 
