--- a/internal/consensus/consensus.go
+++ b/internal/consensus/consensus.go
@@ -10,8 +10,6 @@
 // when its disk is first used), so that it never votes as if it knew.
 package consensus
 
-import "slices"
-
 // Voter is a machine of the core with one life of its disk.
 type Voter struct {
 	ID   string `cbor:"1,keyasint"`
