--- a/internal/controlplane/calls.go
+++ b/internal/controlplane/calls.go
@@ -135,10 +135,10 @@
 // log tells which changes this machine knows to be taken.
 func (c *configResource) log(w http.ResponseWriter, _ *http.Request) {
 	ch := make(chan []config.Past, 1)
-	c.h.council.do(func() {
+	c.h.loop.do(func() {
 		var past []config.Past
-		if c.h.council.state != nil {
-			past = c.h.council.state.Past
+		if c.h.loop.state != nil {
+			past = c.h.loop.state.Past
 		}
 		ch <- past
 	})
@@ -187,8 +187,8 @@
 
 func (s *shardsResource) show(w http.ResponseWriter, _ *http.Request) {
 	lead, ch := make(chan string, 1), make(chan ShardsView, 1)
-	s.h.council.do(func() {
-		leader, _ := s.h.council.node.Leading()
+	s.h.loop.do(func() {
+		leader, _ := s.h.loop.node.Leading()
 		lead <- leader.Addr
 	})
 	s.h.tables.do(func() { ch <- s.h.tables.shardsView() })
@@ -212,7 +212,7 @@
 func (s *statusResource) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	ch := make(chan map[string]any, 2)
 	s.h.tables.do(func() { ch <- s.h.tables.status() })
-	s.h.council.do(func() { ch <- s.h.council.status() })
+	s.h.loop.do(func() { ch <- s.h.loop.status() })
 	all := map[string]any{"machine": s.h.set.Hostname}
 	for range 2 {
 		select {
@@ -230,7 +230,7 @@
 	e.Encode(all)
 }
 
-func (c *council) status() map[string]any {
+func (c *consensusLoop) status() map[string]any {
 	leader, _ := c.node.Leading()
 	e, committed := c.node.Committed()
 	out := map[string]any{"id": c.node.HardState.ID, "leader": leader.Addr, "term": c.node.HardState.Term, "voters": e.Voters, "index": e.Index, "committed": committed,
--- /dev/null
+++ b/internal/controlplane/consensus_loop.go
@@ -0,0 +1,192 @@
+package controlplane
+
+// This file owns the consensus loop: the goroutine that holds the agreement and its disk. Nothing else touches either. It waits for
+// the disk before it says anything that follows from what it wrote.
+
+import (
+	"context"
+	"crypto/rand"
+	"encoding/hex"
+	"math"
+	"os"
+	"slices"
+	"time"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"weirwind/internal/commandqueue"
+	"weirwind/internal/config"
+	"weirwind/internal/consensus"
+	"weirwind/internal/consensus/store"
+	"weirwind/internal/controlmsg"
+	"weirwind/internal/events"
+)
+
+// Times of the agreement.
+const (
+	heartbeatInterval  = 200 * time.Millisecond
+	electionTimeout    = 900 * time.Millisecond
+	requestTimeout     = 3 * time.Second
+	maxPendingRequests = 64
+	diskWrongs         = 20
+)
+
+type consensusLoop struct {
+	h     *Server
+	node  *consensus.Node
+	store *store.Store
+	q     *commandqueue.Queue
+	asks  []*pendingRequest
+
+	state *config.State
+	seen  [2]uint64
+	known uint64 // gen told to the tables
+	led   bool
+	voted string
+	wrong int
+
+	syncs    uint64
+	lastSync float64 // milliseconds
+	mostSync float64
+}
+
+func openConsensusLoop(h *Server) (*consensusLoop, error) {
+	s := h.set
+	store, hard, found, err := store.Open(s.DataDir)
+	if err != nil {
+		return nil, err
+	}
+	if !found {
+		if s.Init && slices.Contains(s.Peers, s.Ctl) {
+			hard = consensus.Bootstrap(s.Ctl, s.Peers)
+			h.log.Event(events.Founded, "voters", s.Peers)
+		} else {
+			var b [8]byte
+			_, _ = rand.Read(b[:])
+			hard = consensus.Empty(hex.EncodeToString(b[:]) + "@" + s.Ctl)
+			h.log.Event(events.Joining, "id", hard.ID)
+		}
+		if err := store.Save(&hard); err != nil {
+			return nil, err
+		}
+	}
+	c := &consensusLoop{h: h, store: store, q: commandqueue.New(h.ctx, 256)}
+	c.node = consensus.New(consensus.Options{Addr: s.Ctl, Seeds: s.Peers, MinVoters: 2*s.TolerateNodes + 1,
+		HeartbeatInterval: ms(heartbeatInterval), ElectionTimeout: ms(electionTimeout), RemoveAfter: 5 * ms(electionTimeout), Draw: h.draw}, hard, h.now())
+	c.commits()
+	return c, nil
+}
+
+func ms(d time.Duration) float64 { return float64(d) / 1e6 }
+
+func (c *consensusLoop) do(f func()) { c.q.Do(f) }
+
+func (c *consensusLoop) run(ctx context.Context) {
+	tick := time.NewTicker(50 * time.Millisecond)
+	defer tick.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			c.store.Close()
+			return
+		case f := <-c.q.C:
+			f()
+			for more := true; more; { // what came together costs one sync
+				select {
+				case f := <-c.q.C:
+					f()
+				default:
+					more = false
+				}
+			}
+		case <-tick.C:
+		}
+		c.node.Tick(c.h.now())
+		c.settle()
+	}
+}
+
+// settle syncs, sends and answers until nothing more follows.
+func (c *consensusLoop) settle() {
+	for range 8 {
+		if c.node.Dirty() {
+			began := c.h.now()
+			err := c.store.Save(&c.node.HardState)
+			c.lastSync = c.h.now() - began
+			c.mostSync = max(c.mostSync, c.lastSync)
+			c.syncs++
+			if err != nil {
+				if c.wrong++; c.wrong == 1 {
+					c.h.log.Error(events.DiskFailed, err)
+				}
+				if c.wrong > diskWrongs {
+					c.h.fail(err)
+				}
+				c.node.Messages() // what would follow from it is not said
+				return
+			}
+			c.wrong = 0
+			c.node.Synced(c.h.now())
+		}
+		for _, s := range c.node.Messages() {
+			c.h.sendCore(s.To, &controlmsg.Frame{Agree: &s.Message})
+		}
+		c.commits()
+		c.answer()
+		if !c.node.Dirty() {
+			break
+		}
+	}
+	if leads := c.node.Ready(); leads != c.led {
+		c.led = leads
+		if leads {
+			c.h.log.Event(events.Leads, "term", c.node.HardState.Term)
+		} else {
+			c.h.log.Event(events.LedOver, "term", c.node.HardState.Term)
+		}
+		term := c.node.HardState.Term
+		c.h.tables.do(func() { c.h.tables.lead(leads, term) })
+	}
+}
+
+// commits takes what is known committed for the operator's word.
+func (c *consensusLoop) commits() {
+	e, ok := c.node.Committed()
+	if !ok || c.seen == [2]uint64{e.Term, e.Index} {
+		return
+	}
+	c.seen = [2]uint64{e.Term, e.Index}
+	book := &config.State{}
+	if len(e.Value) > 0 {
+		if err := cbor.Unmarshal(e.Value, book); err != nil {
+			c.h.fail(err)
+			return
+		}
+	}
+	c.state = book
+	var addrs []string
+	voters := ""
+	for _, v := range e.Voters {
+		addrs = append(addrs, v.Addr)
+		voters += v.ID + " "
+	}
+	if voters != c.voted {
+		c.voted = voters
+		c.h.log.Event(events.VotersChange, "voters", voters, "index", e.Index)
+	}
+	news := book.Gen > c.known
+	c.known = max(c.known, book.Gen)
+	if c.h.tables != nil {
+		c.h.tables.do(func() { c.h.tables.agreed(book, news, addrs) })
+	} else {
+		c.h.first = func() { c.h.tables.agreed(book, news, addrs) }
+	}
+}
+
+func (h *Server) draw() float64 {
+	var b [4]byte
+	if _, err := rand.Read(b[:]); err != nil {
+		return float64(os.Getpid()%97) / 97
+	}
+	return float64(uint32(b[0])|uint32(b[1])<<8|uint32(b[2])<<16|uint32(b[3])<<24) / math.MaxUint32
+}
--- a/internal/controlplane/controlplane.go
+++ b/internal/controlplane/controlplane.go
@@ -2,7 +2,7 @@
 // the agreement, keeps the tables of members and drivers, and carries out successions while it leads.
 //
 // Decisions are in consensus, directory, config and failover; here are their sockets, disk and clocks. Two goroutines own
-// everything: the council (the agreement and its disk) and the tables (members, drivers, successions), each with a queue of
+// everything: the consensus loop (the agreement and its disk) and the tables (members, drivers, successions), each with a queue of
 // commands, so that a disk that stalls holds up no beat.
 package controlplane
 
@@ -28,14 +28,14 @@
 
 // Server is one machine's process.
 type Server struct {
-	set     *settings.Settings
-	log     events.Log
-	ctx     context.Context
-	cancel  context.CancelCauseFunc
-	start   time.Time
-	council *council
-	tables  *tables
-	first   func()
+	set    *settings.Settings
+	log    events.Log
+	ctx    context.Context
+	cancel context.CancelCauseFunc
+	start  time.Time
+	loop   *consensusLoop
+	tables *tables
+	first  func()
 
 	mu    sync.Mutex
 	cores map[string]*coreLink // by mesh address
@@ -52,7 +52,7 @@
 	h := &Server{set: s, log: log, start: time.Now(), cores: map[string]*coreLink{}, pending: map[uint64]chan *controlmsg.Response{}}
 	h.ctx, h.cancel = context.WithCancelCause(ctx)
 	var err error
-	if h.council, err = openCouncil(h); err != nil {
+	if h.loop, err = openConsensusLoop(h); err != nil {
 		return err
 	}
 	h.tables = newTables(h)
@@ -75,7 +75,7 @@
 		IdleTimeout: 30 * time.Second, MaxHeaderBytes: 16 << 10}
 	go server.Serve(ctl)
 	done := make(chan struct{})
-	go func() { h.council.run(h.ctx); close(done) }()
+	go func() { h.loop.run(h.ctx); close(done) }()
 	go h.tables.run()
 	log.Event(events.Started, "ctl", s.Ctl, "mesh", mesh.Addr().String())
 	<-h.ctx.Done()
@@ -117,7 +117,7 @@
 	}, h.take, func() {
 		set(nil)
 		h.log.Event(events.LinkDown, "core", ctl)
-		h.council.do(func() { h.council.node.LeaderGone(ctl, h.now()) })
+		h.loop.do(func() { h.loop.node.LeaderGone(ctl, h.now()) })
 	})
 }
 
@@ -148,18 +148,18 @@
 // take successions a frame to who owns what it is about.
 func (h *Server) take(l *link, f *controlmsg.Frame) {
 	if f.Agree != nil {
-		h.council.do(func() {
+		h.loop.do(func() {
 			if m := f.Agree; m.From.Addr != "" {
 				h.reach(m.From.Addr)
 			}
-			h.council.node.Receive(f.Agree, h.now())
+			h.loop.node.Receive(f.Agree, h.now())
 		})
 		return
 	}
 	if f.Request != nil {
 		a := f.Request
-		h.council.do(func() {
-			h.council.take(&pendingRequest{Request: *a, reply: func(status int, body []byte) {
+		h.loop.do(func() {
+			h.loop.take(&pendingRequest{Request: *a, reply: func(status int, body []byte) {
 				l.Send(&controlmsg.Frame{Response: &controlmsg.Response{Number: a.Number, Status: status, Body: body}})
 			}})
 		})
@@ -187,11 +187,11 @@
 	h.pending[a.Number] = ch
 	h.pendMu.Unlock()
 	a.Node = h.set.Hostname
-	h.council.do(func() {
-		leader, known := h.council.node.Leading()
+	h.loop.do(func() {
+		leader, known := h.loop.node.Leading()
 		switch {
-		case known && leader.ID == h.council.node.HardState.ID:
-			h.council.take(&pendingRequest{Request: a, reply: func(status int, body []byte) { ch <- &controlmsg.Response{Status: status, Body: body} }})
+		case known && leader.ID == h.loop.node.HardState.ID:
+			h.loop.take(&pendingRequest{Request: a, reply: func(status int, body []byte) { ch <- &controlmsg.Response{Status: status, Body: body} }})
 		case known && h.sendCore(leader.Addr, &controlmsg.Frame{Request: &a}):
 		default:
 			ch <- &controlmsg.Response{Status: 503, Body: []byte("nobody is known to lead the core\n")}
--- a/internal/controlplane/tables.go
+++ b/internal/controlplane/tables.go
@@ -135,7 +135,7 @@
 	return d
 }
 
-// agreed takes the operator's word as the council knows it committed.
+// agreed takes the operator's word as the consensus loop knows it committed.
 func (t *tables) agreed(book *config.State, news bool, cores []string) {
 	t.cores = cores
 	if t.state != nil && book.Gen < t.state.Gen {
@@ -315,8 +315,8 @@
 
 func (t *tables) report(r *controlmsg.Report, now float64) {
 	if !t.leading {
-		t.h.council.do(func() {
-			if leader, ok := t.h.council.node.Leading(); ok && leader.Addr != t.h.set.Ctl {
+		t.h.loop.do(func() {
+			if leader, ok := t.h.loop.node.Leading(); ok && leader.Addr != t.h.set.Ctl {
 				t.h.sendCore(leader.Addr, &controlmsg.Frame{Report: r})
 			}
 		})
