--- /dev/null
+++ b/internal/agent/peers.go
@@ -0,0 +1,91 @@
+package agent
+
+// This file owns the links to a few peer agents: who they are, and how two agents' tables become alike.
+
+import (
+	"context"
+	"time"
+
+	"weirwind/internal/controlmsg"
+	"weirwind/internal/directory"
+	"weirwind/internal/transport"
+)
+
+type peer struct {
+	l    *link // nil while it is down
+	stop context.CancelFunc
+}
+
+func (a *Agent) sendToPeers(f *controlmsg.Frame) {
+	raw := transport.Encode(f)
+	for _, p := range a.peers {
+		if p.l != nil {
+			p.l.SendRaw(raw)
+		}
+	}
+}
+
+// compare mends the gap that a peer's digest shows, both ways.
+func (a *Agent) compare(l *link, d *controlmsg.Digest) {
+	mine := a.digest()
+	n := &controlmsg.Update{}
+	if a.gen > d.Gen {
+		n.Gen, n.Config = a.gen, a.config
+	}
+	if mine.Members != d.Members {
+		n.Members = a.members.List()
+	}
+	if mine.Shards > d.Shards {
+		n.Shards = a.shards
+	}
+	if d.Apart && a.coreServes() {
+		n.Cores = a.cores
+	}
+	if n.Gen > 0 || n.Members != nil || n.Shards != nil || n.Cores != nil {
+		l.Send(&controlmsg.Frame{Update: n})
+	}
+	if !d.Quiet && (mine.Gen < d.Gen || mine.Shards < d.Shards || mine.Members != d.Members) {
+		mine.Quiet = true
+		l.Send(&controlmsg.Frame{Digest: &mine})
+	}
+}
+
+// choose keeps links to a few peers.
+func (a *Agent) choose() {
+	want := map[string]bool{}
+	for _, d := range directory.Peers(a.drivers, a.self.Name, peerCount) {
+		want[d.Addr] = true
+		if a.peers[d.Addr] == nil {
+			ctx, stop := context.WithCancel(a.ctx)
+			a.peers[d.Addr] = &peer{stop: stop}
+			go a.keepPeerLink(ctx, d.Addr)
+		}
+	}
+	for addr, f := range a.peers {
+		if !want[addr] {
+			f.stop()
+			if f.l != nil {
+				f.l.Close()
+			}
+			delete(a.peers, addr)
+		}
+	}
+}
+
+func (a *Agent) keepPeerLink(ctx context.Context, addr string) {
+	transport.Keep(ctx, addr, transport.Backoff{First: time.Second, Most: time.Second, DialTimeout: func(int) time.Duration { return transport.DialTimeout(2) }}, func(l *link) {
+		a.do(func() {
+			if f := a.peers[addr]; f != nil && ctx.Err() == nil {
+				f.l = l
+			} else {
+				l.Close()
+			}
+		})
+	}, a.takeFromPeer, func() {
+		a.do(func() {
+			if f := a.peers[addr]; f != nil {
+				f.l = nil
+			}
+		})
+	})
+}
--- a/internal/consensus/consensus.go
+++ b/internal/consensus/consensus.go
@@ -10,6 +10,8 @@
 // when its disk is first used), so that it never votes as if it knew.
 package consensus
 
+import "math"
+
 // Voter is a machine of the core with one life of its disk.
 type Voter struct {
 	ID   string `cbor:"1,keyasint"`
@@ -49,15 +51,17 @@
 
 // Message goes between two machines of the core.
 type Message struct {
-	Kind      Kind   `cbor:"1,keyasint"`
-	From      Voter  `cbor:"2,keyasint"`
-	Term      uint64 `cbor:"3,keyasint,omitempty"`
-	LastTerm  uint64 `cbor:"4,keyasint,omitempty"`
-	LastIndex uint64 `cbor:"5,keyasint,omitempty"`
-	Granted   bool   `cbor:"6,keyasint,omitempty"`
-	Entry     *Entry `cbor:"7,keyasint,omitempty"`
-	Commit    uint64 `cbor:"8,keyasint,omitempty"`
-	Round     uint64 `cbor:"9,keyasint,omitempty"`
+	Kind      Kind    `cbor:"1,keyasint"`
+	From      Voter   `cbor:"2,keyasint"`
+	Term      uint64  `cbor:"3,keyasint,omitempty"`
+	LastTerm  uint64  `cbor:"4,keyasint,omitempty"`
+	LastIndex uint64  `cbor:"5,keyasint,omitempty"`
+	Granted   bool    `cbor:"6,keyasint,omitempty"`
+	Entry     *Entry  `cbor:"7,keyasint,omitempty"`
+	Commit    uint64  `cbor:"8,keyasint,omitempty"`
+	Round     uint64  `cbor:"9,keyasint,omitempty"`
+	Clock     float64 `cbor:"10,keyasint,omitempty"` // Appended: the sender's
+	Contact   float64 `cbor:"11,keyasint,omitempty"` // Append: the newest contact, on the receiver's clock
 }
 
 // Send is a message for the machine at an address.
@@ -92,6 +96,8 @@
 	heard       float64 // when
 	sentAt      float64 // an entry was sent
 	sent        uint64
+	clock       float64 // its own, by its newest answer
+	clockAt     float64 // when that came
 }
 
 // Node is one machine's part.
@@ -108,7 +114,6 @@
 
 	peers   map[string]*peer
 	round   uint64
-	rounds  map[uint64]float64 // when a question was asked
 	beatAt  float64
 	since   float64 // leading since
 	joins   map[string]joiner
@@ -116,11 +121,17 @@
 	dirty   bool
 	out     []Send
 	current bool // the leader's own term has a committed entry
+
+	contactAt  float64 // see contact.go
+	probe      probe
+	knownIndex uint64
 }
 
 // New starts a node from what its disk holds.
 func New(o Options, h HardState, now float64) *Node {
-	n := &Node{o: o, HardState: h, peers: map[string]*peer{}, joins: map[string]joiner{}, rounds: map[uint64]float64{}}
+	n := &Node{o: o, HardState: h, peers: map[string]*peer{}, joins: map[string]joiner{}}
+	n.contactAt = math.Inf(-1)
+	n.noteCommitted()
 	n.heardAt = now - o.ElectionTimeout
 	n.waitTil = now + o.ElectionTimeout*(0.2+0.4*o.Draw()) // asking costs nobody anything where somebody leads
 	return n
@@ -230,6 +241,7 @@
 			return
 		}
 		p.heard = now
+		p.clock, p.clockAt = m.Clock, now
 		if m.Round >= p.round {
 			p.round, p.term, p.index = m.Round, m.LastTerm, m.LastIndex
 		}
--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -56,7 +56,7 @@
 		return
 	}
 	n.role, n.leader, n.since, n.current = Leader, n.self(), now, false
-	n.peers, n.rounds = map[string]*peer{}, map[uint64]float64{}
+	n.peers = map[string]*peer{}
 	for _, v := range n.HardState.Last.Voters {
 		n.peers[v.ID] = &peer{heard: now}
 	}
--- a/internal/consensus/exhaustive_test.go
+++ b/internal/consensus/exhaustive_test.go
@@ -43,7 +43,6 @@
 			p := *v
 			m.peers[k] = &p
 		}
-		m.rounds = map[uint64]float64{}
 		m.joins = map[string]joiner{}
 		c.nodes[i] = &m
 		c.disks[i] = copyOf(s.disks[i])
--- a/internal/consensus/replication.go
+++ b/internal/consensus/replication.go
@@ -44,8 +44,7 @@
 
 func (n *Node) beat(now float64) {
 	n.round++
-	n.rounds[n.round] = now
-	delete(n.rounds, n.round-64)
+	n.startProbe(now)
 	n.beatAt = now + n.o.HeartbeatInterval
 	for _, v := range n.HardState.Last.Voters {
 		if v.ID != n.HardState.ID {
@@ -69,7 +68,8 @@
 		n.peers[v.ID] = p
 	}
 	last := &n.HardState.Last
-	m := Message{Kind: Append, Term: n.HardState.Term, LastTerm: last.Term, LastIndex: last.Index, Round: n.round}
+	m := Message{Kind: Append, Term: n.HardState.Term, LastTerm: last.Term, LastIndex: last.Index, Round: n.round,
+		Contact: n.contactFor(p)}
 	if n.HardState.CommitOf == last.Term {
 		m.Commit = n.HardState.Commit
 	}
@@ -113,6 +113,7 @@
 			n.follow(Voter{}, now)
 		}
 	}
+	n.endProbe()
 }
 
 func (n *Node) append(m *Message, now float64) {
@@ -132,6 +133,8 @@
 		if last.Term == m.LastTerm && last.Index == m.LastIndex && m.Commit >= last.Index {
 			n.HardState.Commit, n.HardState.CommitOf = last.Index, last.Term // not synced for its own sake: it is learned again
 		}
+		n.takeContact(m, now)
 	}
-	n.send(m.From.Addr, Message{Kind: Appended, Term: n.HardState.Term, LastTerm: n.HardState.Last.Term, LastIndex: n.HardState.Last.Index, Round: m.Round})
+	n.send(m.From.Addr, Message{Kind: Appended, Term: n.HardState.Term, LastTerm: n.HardState.Last.Term, LastIndex: n.HardState.Last.Index,
+		Round: m.Round, Clock: now})
 }
--- a/internal/controlmsg/controlmsg.go
+++ b/internal/controlmsg/controlmsg.go
@@ -36,6 +36,7 @@
 	Driver directory.Driver `cbor:"1,keyasint"`
 	Has    Digest           `cbor:"2,keyasint"`
 	End    bool             `cbor:"3,keyasint,omitempty"` // it gives the lease back
+	Trial  bool             `cbor:"4,keyasint,omitempty"` // the driver stays elsewhere unless this machine has contact
 }
 
 // Digest is what a process has, in short.
@@ -45,6 +46,7 @@
 	Drivers uint64 `cbor:"3,keyasint"`
 	Quiet   bool   `cbor:"4,keyasint,omitempty"` // no digest is wanted back
 	Shards  uint64 `cbor:"5,keyasint,omitempty"` // version of the map
+	Apart   bool   `cbor:"6,keyasint,omitempty"` // the sender's core machine has no contact: it asks for the core's addresses too
 }
 
 // Update is what is new, or all of it.
@@ -56,8 +58,9 @@
 	Cores   []string           `cbor:"5,keyasint,omitempty"` // control addresses
 	Count   int                `cbor:"6,keyasint,omitempty"` // of drivers, for a proxy
 	Shards  *shardmap.Map      `cbor:"7,keyasint,omitempty"`
-	Joined  []directory.Driver `cbor:"8,keyasint,omitempty"` // drivers that came since; Drivers is all of them
-	Left    []string           `cbor:"9,keyasint,omitempty"` // and those that went
+	Joined  []directory.Driver `cbor:"8,keyasint,omitempty"`  // drivers that came since; Drivers is all of them
+	Left    []string           `cbor:"9,keyasint,omitempty"`  // and those that went
+	Contact *float64           `cbor:"10,keyasint,omitempty"` // age of the core machine's contact with a majority, in milliseconds
 }
 
 // Beat says that a member's own word number Seq came in somewhere.
--- a/internal/controlplane/calls.go
+++ b/internal/controlplane/calls.go
@@ -85,13 +85,21 @@
 		http.Error(w, "stopping", http.StatusServiceUnavailable)
 		return
 	}
-	w.Header().Set("Content-Type", "application/json")
-	io.WriteString(w, "{}\n")
+	m.h.acknowledge(w)
 }
 
 func (m *membersResource) leave(w http.ResponseWriter, r *http.Request) {
 	id := r.PathValue("id")
 	m.h.tables.do(func() { m.h.tables.leave(id) })
+	m.h.acknowledge(w)
+}
+
+// acknowledge answers a member whose word is in the table here. Without contact it would be in no other: the member is to tell another
+// machine as well.
+func (h *Server) acknowledge(w http.ResponseWriter) {
+	if h.refuseWithoutContact(w) {
+		return
+	}
 	w.Header().Set("Content-Type", "application/json")
 	io.WriteString(w, "{}\n")
 }
@@ -132,8 +140,12 @@
 	w.Write(body)
 }
 
-// log tells which changes this machine knows to be taken.
+// log tells which changes this machine knows to be taken: all that were acknowledged before the age that its header names.
 func (c *configResource) log(w http.ResponseWriter, _ *http.Request) {
+	if c.h.refuseWithoutContact(w) {
+		return
+	}
+	c.h.setContactHeader(w)
 	ch := make(chan []config.Past, 1)
 	c.h.loop.do(func() {
 		var past []config.Past
--- a/internal/controlplane/consensus_loop.go
+++ b/internal/controlplane/consensus_loop.go
@@ -45,6 +45,8 @@
 	voted string
 	wrong int
 
+	contactAt float64 // as the tables were told last
+
 	syncs    uint64
 	lastSync float64 // milliseconds
 	mostSync float64
@@ -103,7 +105,18 @@
 		}
 		c.node.Tick(c.h.now())
 		c.settle()
+		c.tellContact()
+	}
+}
+
+// tellContact renews the machine's contact, behind all that the tables were told before: who reads it finds what it vouches for.
+func (c *consensusLoop) tellContact() {
+	at := c.node.ContactAt()
+	if at == c.contactAt {
+		return
 	}
+	c.contactAt = at
+	c.h.tables.do(func() { c.h.contact.set(at) })
 }
 
 // settle syncs, sends and answers until nothing more follows.
--- a/internal/controlplane/controlplane.go
+++ b/internal/controlplane/controlplane.go
@@ -8,6 +8,7 @@
 
 import (
 	"context"
+	"math"
 	"net"
 	"net/http"
 	"sync"
@@ -37,6 +38,8 @@
 	tables *tables
 	first  func()
 
+	contact contactClock
+
 	mu    sync.Mutex
 	cores map[string]*coreLink // by mesh address
 
@@ -51,6 +54,7 @@
 func Run(ctx context.Context, s *settings.Settings, log events.Log) error {
 	h := &Server{set: s, log: log, start: time.Now(), cores: map[string]*coreLink{}, pending: map[uint64]chan *controlmsg.Response{}}
 	h.ctx, h.cancel = context.WithCancelCause(ctx)
+	h.contact.set(math.Inf(-1))
 	var err error
 	if h.loop, err = openConsensusLoop(h); err != nil {
 		return err
@@ -153,6 +157,7 @@
 				h.reach(m.From.Addr)
 			}
 			h.loop.node.Receive(f.Agree, h.now())
+			h.loop.commits() // the next message may bring an entry that takes its place
 		})
 		return
 	}
@@ -180,6 +185,9 @@
 
 // call answers an operator's call, here or at who leads.
 func (h *Server) call(a controlmsg.Request) (int, []byte) {
+	if !h.inContact() {
+		return 503, []byte(noContactText)
+	}
 	ch := make(chan *controlmsg.Response, 1)
 	h.pendMu.Lock()
 	h.number++
--- a/internal/controlplane/tables.go
+++ b/internal/controlplane/tables.go
@@ -54,6 +54,7 @@
 	granted     map[string]float64 // leases of sites, when they were granted last
 	lives       map[string]uint64
 	ledAt       float64
+	contact     contactEdge
 }
 
 type report struct {
@@ -74,15 +75,9 @@
 
 func (t *tables) tick() {
 	now := t.h.now()
-	for _, m := range t.members.Expire(now, ms(memberKeep)) {
-		t.h.log.Event(events.MemberGone, "member", m.ID, "why", "silent")
-		t.spread([]directory.Member{m})
-	}
-	if lapsed := t.leases.Lapse(now); lapsed != nil {
-		for _, d := range lapsed {
-			t.h.log.Event(events.DriverLapsed, "driver", d.Name)
-		}
-		t.driversNew = true
+	t.watchContact(now)
+	if t.tableComplete(now) {
+		t.expire(now)
 	}
 	t.pushDrivers()
 	for id, since := range t.leaving {
@@ -124,6 +119,19 @@
 	}
 }
 
+// expire lets go of members and drivers that have been silent for too long.
+func (t *tables) expire(now float64) {
+	for _, m := range t.members.Expire(now, ms(memberKeep)) {
+		t.h.log.Event(events.MemberGone, "member", m.ID, "why", "silent")
+		t.spread([]directory.Member{m})
+	}
+	lapsed := t.leases.Lapse(now)
+	for _, d := range lapsed {
+		t.h.log.Event(events.DriverLapsed, "driver", d.Name)
+	}
+	t.driversNew = t.driversNew || lapsed != nil
+}
+
 func (t *tables) digest() controlmsg.Digest {
 	d := controlmsg.Digest{Members: t.members.Digest(), Drivers: directory.DriversDigest(t.leases.List())}
 	if t.state != nil {
@@ -286,13 +294,22 @@
 		t.driversNew = t.leases.Drop(r.Driver.Name, r.Driver.Life) || t.driversNew
 		return
 	}
+	age := t.h.contactAge()
+	if r.Trial && !t.contact.held {
+		l.Send(&controlmsg.Frame{Update: &controlmsg.Update{Contact: &age}})
+		return
+	}
+	_, known := t.agents[l]
 	t.agents[l] = r.Driver.Name
 	if t.leases.Renew(r.Driver, now+ms(leaseFor)) {
 		t.h.log.Event(events.DriverNew, "driver", r.Driver.Name)
 		t.driversNew = true
 		t.h.sendCores(&controlmsg.Frame{Digest: &controlmsg.Digest{Members: t.members.Digest()}, Leases: []controlmsg.Lease{{Driver: r.Driver, Left: ms(leaseFor)}}})
 	}
-	n := &controlmsg.Update{Cores: t.cores}
+	n := &controlmsg.Update{Contact: &age}
+	if t.contact.held || !known {
+		n.Cores = t.cores
+	}
 	d := t.digest()
 	if t.state != nil && r.Has.Gen < d.Gen {
 		n.Gen, n.Config = t.state.Gen, t.state.Raw
@@ -303,8 +320,12 @@
 	if r.Has.Members != d.Members {
 		n.Members = t.members.List()
 	}
-	if r.Has.Drivers != d.Drivers {
+	switch {
+	case r.Has.Drivers == d.Drivers:
+	case t.tableComplete(now):
 		n.Drivers = t.leases.List()
+	case !known:
+		n.Joined = t.leases.List()
 	}
 	f := &controlmsg.Frame{Update: n}
 	if now < ms(askAgents) && r.Has.Members != d.Members { // what was lost here is told by those who were told: also of members that are dead
@@ -333,5 +354,6 @@
 	for svc, s := range t.successions {
 		successions[svc] = s.State()
 	}
-	return map[string]any{"members": t.members.List(), "drivers": t.leases.List(), "leads": t.leading, "successions": successions, "agents": len(t.agents)}
+	return map[string]any{"members": t.members.List(), "drivers": t.leases.List(), "leads": t.leading, "successions": successions,
+		"agents": len(t.agents), "inContact": t.contact.held}
 }
--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -34,6 +34,8 @@
 	VotersChange Event = 204
 	DiskFailed   Event = 205
 	Joining      Event = 206
+	ContactHeld  Event = 207
+	ContactLost  Event = 208
 	ConfigTaken  Event = 301
 	ConfigNot    Event = 302
 	ConfigSeen   Event = 303
@@ -52,6 +54,7 @@
 	Refused      Event = 702
 	LinkUp       Event = 801
 	LinkDown     Event = 802
+	CoreMoved    Event = 803
 	ShardMap     Event = 901
 	ShardMove    Event = 902
 	ShardStep    Event = 903
@@ -74,6 +77,8 @@
 	VotersChange: "the core agreed on other voters",
 	DiskFailed:   "the disk refused or failed; this machine gives no vote until it works",
 	Joining:      "an empty machine asks the core to become a voter",
+	ContactHeld:  "this machine of the core has contact with a majority again: it answers calls and keeps agents",
+	ContactLost:  "this machine of the core has no contact with a majority: it answers 503, and its agents look for another",
 	ConfigTaken:  "a configuration is on a majority of disks and was acknowledged",
 	ConfigNot:    "a configuration was refused, with the reason",
 	ConfigSeen:   "a proxy goes by this configuration from now on",
@@ -92,6 +97,7 @@
 	Refused:      "statements were refused unsent (at most a line a second for a group): what they waited for",
 	LinkUp:       "a link to another process of the system stands",
 	LinkDown:     "a link broke",
+	CoreMoved:    "an agent has gone over to another machine of the core, and why",
 	ShardMap:     "a change of who holds which shard is on a majority of disks",
 	ShardMove:    "a move of a shard begins, or goes back, and why; or a plan is made anew",
 	ShardStep:    "a step of a move was asked of a node",
