--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -52,6 +52,7 @@
 	pause       float64 // before the next try, in milliseconds
 	tries       int     // since a link stood well
 	nth         int     // of the known core machines
+	nearAt      float64 // when a near machine is tried again
 
 	proxies map[*link]bool
 	peers   map[string]*peer // by address
--- a/internal/agent/corelink.go
+++ b/internal/agent/corelink.go
@@ -25,9 +25,10 @@
 	trialWait    = 1000.0 // for the first answer over a link that is tried
 	firstPause   = 50.0   // before the next machine is tried
 	mostPause    = 1000.0
-	apartPause   = 3000.0 // the most where machines answer that none has contact: they tell their own agents when they have it again
-	spreadMoves  = 300.0  // drivers that lose one machine's contact together look for another within this time, not at once
-	steadyBehind = 5000.0 // a link that stood for so long ends the growth of pauses
+	apartPause   = 3000.0   // the most where machines answer that none has contact: they tell their own agents when they have it again
+	spreadMoves  = 300.0    // drivers that lose one machine's contact together look for another within this time, not at once
+	steadyBehind = 5000.0   // a link that stood for so long ends the growth of pauses
+	nearEvery    = 15_000.0 // an agent whose machine is far tries a near one about so often
 )
 
 // coreLink is a link to a machine of the core, in use or on trial.
@@ -71,6 +72,10 @@
 		a.planNext(apartPause)
 		return
 	}
+	a.try(addr)
+}
+
+func (a *Agent) try(addr string) {
 	a.tries++
 	t := &coreLink{addr: addr}
 	a.trial = t
@@ -107,6 +112,7 @@
 
 // use makes a link the one in use, and ends the one before it.
 func (a *Agent) use(t *coreLink) {
+	a.nearAt = a.now() + nearEvery*(0.5+rand.Float64())
 	before := a.core
 	a.core, a.trial = t, nil
 	a.log.Event(events.LinkUp, "core", t.addr)
@@ -162,7 +168,7 @@
 // judge moves over to a machine on trial that has contact, and looks for another where the one in use has none.
 func (a *Agent) judge(t *coreLink) {
 	switch {
-	case t == a.trial && t.apart:
+	case t == a.trial && (t.apart || a.coreServes() && (a.isNear(a.core.addr) || !a.isNear(t.addr))):
 		t.l.Close()
 	case t == a.trial:
 		a.use(t)
@@ -184,16 +190,38 @@
 	return "", false
 }
 
-// nextCore goes through the known core machines, those of the own /16 (a region's machines, where addresses say so) first.
-func (a *Agent) nextCore() string {
-	var near, far []string
+// isNear says whether a machine is in the own /16: a region's machines, where addresses say so.
+func (a *Agent) isNear(addr string) bool {
+	host, _, _ := net.SplitHostPort(addr)
+	return sameNet(host, a.set.IP)
+}
+
+// coresByDistance gives the addresses of the known core machines.
+func (a *Agent) coresByDistance() (near, far []string) {
 	for _, c := range a.cores {
-		if host, _, _ := net.SplitHostPort(c); sameNet(host, a.set.IP) {
+		if a.isNear(c) {
 			near = append(near, a.set.MeshOf(c))
 		} else {
 			far = append(far, a.set.MeshOf(c))
 		}
 	}
+	return near, far
+}
+
+// tryNear tries to get back to a near machine, from time to time, where the one in use is far: all agents would otherwise stay where a
+// trouble that is over has driven them.
+func (a *Agent) tryNear() {
+	near, _ := a.coresByDistance()
+	if len(near) == 0 || a.trial != nil || a.isNear(a.core.addr) || a.now() < a.nearAt {
+		return
+	}
+	a.nearAt = a.now() + nearEvery*(0.5+rand.Float64())
+	a.try(near[rand.IntN(len(near))])
+}
+
+// nextCore goes through the known core machines, near ones first.
+func (a *Agent) nextCore() string {
+	near, far := a.coresByDistance()
 	for _, p := range a.set.Peers { // what the file says is tried too, at the end
 		far = append(far, a.set.MeshOf(p))
 	}
@@ -227,6 +255,7 @@
 // addresses of the core: those known here may all be on the wrong side of a cut.
 func (a *Agent) checkCore() {
 	if a.coreServes() {
+		a.tryNear()
 		return
 	}
 	if a.core != nil {
