--- /dev/null
+++ b/internal/failover/freeze.go
@@ -0,0 +1,140 @@
+package failover
+
+// This file owns the first step of a succession: replicas are paused and read.
+
+import (
+	"fmt"
+	"slices"
+)
+
+// replicas are all that a commit may have been received by, apart from the old primary.
+func (s *Service) replicas(v *View) []Member {
+	return slices.DeleteFunc(slices.Clone(v.Members), func(m Member) bool { return m.ID == s.old })
+}
+
+func (s *Service) freeze(v *View, now float64) {
+	rs := s.replicas(v)
+	if len(rs) == 0 {
+		s.giveUp(v, "there is no replica", now)
+		return
+	}
+	if s.other(v, now) {
+		return
+	}
+	if s.planned && s.next == "" {
+		s.next = s.choose(rs)
+	}
+	if now >= s.askAt {
+		s.askAt = now + pressEvery
+		for _, m := range rs {
+			f := s.fact(m.ID)
+			switch {
+			case s.planned && m.ID == s.next:
+				s.ask(m.ID, Stat, now)
+			case !f.paused || now-f.at > pauseHolds:
+				if s.term == 0 {
+					s.ask(m.ID, Stat, now) // the newest term must be known first
+				} else {
+					s.ask(m.ID, Pause, now)
+				}
+			}
+		}
+		if s.old != "" {
+			s.ask(s.old, Stat, now)
+		}
+	}
+	if s.planned {
+		if s.stepped {
+			if s.next != "" {
+				s.enter(catching, now)
+				s.catch(v, now)
+			}
+			return
+		}
+		if s.find(v, s.old) == nil {
+			s.planned, s.next = false, ""
+			s.say("the old primary has left")
+			return
+		}
+		old := s.fact(s.old)
+		if old.refused >= refusedMost || old.failed > 1 && now-old.at > darkAfter {
+			s.planned, s.next = false, "" // it died on the way: its successor is held to the stricter terms
+			s.say("the old primary is silent")
+			return
+		}
+		if len(rs) == 1 || !slices.ContainsFunc(rs, func(m Member) bool { return m.ID != s.next && !s.fact(m.ID).paused }) {
+			s.enter(catching, now)
+			s.catch(v, now)
+		} else if now-s.since > stepAfter {
+			// A replica can't be paused, and might receive what the successor lacks: the old primary itself is the one that
+			// surely has all. Its drain binds, so that nothing new comes; once the successor has what it has, it steps down.
+			if !s.bound {
+				s.bound = true
+				s.act(Handed, s.old, "")
+			}
+			n := s.fact(s.next)
+			switch {
+			case old.ok && !old.status.Primary && old.at >= s.since:
+				s.stepped, s.oldPos = true, old.status.Received
+				s.say("the old primary has stepped down, as a replica can't be paused")
+				s.enter(catching, now)
+				s.catch(v, now)
+			case !old.waiting && old.ok && n.ok && n.at >= s.since && !n.status.Received.Less(old.status.Received):
+				s.ask(s.old, StepDown, now)
+			case now-s.since > 2*swapAfter:
+				s.swap(v, now)
+			}
+		}
+		return
+	}
+	paused := 0
+	for _, m := range rs {
+		if s.fact(m.ID).paused {
+			paused++
+		}
+	}
+	need := len(rs)
+	if v.SyncN > 0 {
+		need = max(len(rs)-v.SyncN+1, 1)
+		if s.old == "" { // who led is among them
+			need = max(len(rs)-v.SyncN, 1)
+		}
+	}
+	if paused < need {
+		s.say(fmt.Sprintf("waits for %d more of %d replicas, as one of them may alone hold a commit", need-paused, len(rs)))
+		return
+	}
+	best := ""
+	for _, m := range rs {
+		f := s.fact(m.ID)
+		if !f.paused || best != "" && !s.further(v, m.ID, best) {
+			continue
+		}
+		best = m.ID
+	}
+	s.next = best
+	s.enter(catching, now)
+	s.catch(v, now)
+}
+
+// other looks whether somebody leads after all, so that there is nothing to do.
+func (s *Service) other(v *View, now float64) bool {
+	for _, m := range v.Members {
+		f := s.fact(m.ID)
+		if m.ID == s.old {
+			if !s.planned && !s.called && !s.stuck && f.ok && f.status.Primary && f.at > s.since {
+				s.giveUp(v, "it answers", now)
+				return true
+			}
+			continue
+		}
+		if f.ok && f.status.Primary && f.at >= s.since {
+			s.giveUp(v, m.ID+" leads", now)
+			if s.old != "" {
+				s.act(Handed, s.old, "")
+			}
+			return true
+		}
+	}
+	return false
+}
