--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -178,6 +178,7 @@
 
 	Shards *shardmap.Map `cbor:"4,keyasint,omitempty"` // who holds which; nil: none were founded
 	Sites  *sites.Map    `cbor:"5,keyasint,omitempty"` // that hold open sessions; nil: there are none
+	Roster Roster        `cbor:"9,keyasint,omitempty"` // members that may hold an acknowledged commit
 }
 
 // WithShards gives the book with a change of who holds which shard. The same book: it was taken before.
@@ -223,7 +224,9 @@
 	if len(past) > mostPast {
 		past = past[len(past)-mostPast:]
 	}
-	return &State{cfg.Gen, bytes.Clone(raw), past, b.Shards, b.Sites}, nil
+	next := *b
+	next.Gen, next.Raw, next.Past = cfg.Gen, bytes.Clone(raw), past
+	return &next, nil
 }
 
 // WithSites gives the book with a change of the sites. The same book: it was so before.
--- /dev/null
+++ b/internal/config/roster_test.go
@@ -0,0 +1,31 @@
+package config
+
+import "testing"
+
+// A change of the roster leaves the state that it was made of alone, and one that changes nothing gives that very state.
+func TestRosterChanges(t *testing.T) {
+	first := &State{Gen: 3}
+	two := first.WithRoster(RosterChange{Add: []RosterMember{{"s", "b"}, {"s", "a"}, {"r", "c"}}})
+	if first.Roster != nil || !two.Roster.Lists("s", "a") || !two.Roster.Lists("s", "b") || two.Roster.Lists("s", "c") || two.Gen != 3 {
+		t.Fatal(first.Roster, two.Roster)
+	}
+	if same := two.WithRoster(RosterChange{Add: []RosterMember{{"s", "a"}}, Remove: []RosterMember{{"s", "x"}}}); same != two {
+		t.Error("a change that changes nothing gave another state")
+	}
+	one := two.WithRoster(RosterChange{Remove: []RosterMember{{"s", "a"}}})
+	if one.Roster.Lists("s", "a") || !one.Roster.Lists("s", "b") || !two.Roster.Lists("s", "a") {
+		t.Error(one.Roster, two.Roster)
+	}
+	if gone, err := two.WithoutMember("c"); err != nil || gone.Roster.Lists("r", "c") || !gone.Roster.Lists("s", "a") {
+		t.Error(gone, err)
+	}
+}
+
+// An operator's change keeps the roster: which members hold commits is not the operator's word.
+func TestAConfigurationKeepsTheRoster(t *testing.T) {
+	s := (&State{}).WithRoster(RosterChange{Add: []RosterMember{{"s", "a"}}})
+	next, err := s.Apply(&Change{Body: []byte(`{"gen":1,"routes":[],"svcs":[]}`)}, "n", 0)
+	if err != nil || !next.Roster.Lists("s", "a") {
+		t.Error(next, err)
+	}
+}
--- /dev/null
+++ b/internal/controlplane/roster.go
@@ -0,0 +1,97 @@
+package controlplane
+
+// This file owns the roster at the machine that leads: which members it adds, which it removes, and the proposals of both.
+
+import (
+	"github.com/fxamacker/cbor/v2"
+
+	"weirwind/internal/config"
+	"weirwind/internal/directory"
+	"weirwind/internal/events"
+	"weirwind/internal/failover"
+)
+
+const rosterEvery = 200.0 // milliseconds between proposals: what comes together costs one
+
+// present gives the members that have not ended, by service.
+func (t *tables) present() map[string][]directory.Member {
+	bySvc := map[string][]directory.Member{}
+	for _, m := range t.members.List() {
+		if !m.Gone {
+			bySvc[m.Svc] = append(bySvc[m.Svc], m)
+		}
+	}
+	return bySvc
+}
+
+// absent gives the members on the roster of a service to which no question can be put. One of which nothing is known has ended once
+// it was silent, as far as this leader can tell, for as long as a known one may be.
+func (t *tables) absent(svc string, now float64) (out []failover.Member) {
+	for _, id := range t.state.Roster[svc] {
+		m, known := t.members.Get(id)
+		if known && !m.Gone {
+			continue
+		}
+		ended := known || now-t.ledAt > ms(memberKeep)
+		out = append(out, failover.Member{ID: id, Absent: true, Ended: ended})
+	}
+	return out
+}
+
+// tendRoster proposes what the roster lacks, and what may leave it.
+func (t *tables) tendRoster(bySvc map[string][]directory.Member, now float64) {
+	if now < t.rosterAt {
+		return
+	}
+	change := t.rosterChange(bySvc)
+	if len(change.Add)+len(change.Remove) == 0 {
+		return
+	}
+	t.rosterAt = now + rosterEvery
+	t.h.loop.do(func() { t.h.loop.proposeRoster(change) })
+}
+
+// rosterChange compares the members that are there with the roster.
+func (t *tables) rosterChange(bySvc map[string][]directory.Member) (change config.RosterChange) {
+	for i := range t.config.Svcs {
+		svc := t.config.Svcs[i].Name
+		if t.config.Svcs[i].SyncN == 0 {
+			continue // nothing is promised of its commits
+		}
+		for _, m := range bySvc[svc] {
+			item := config.RosterMember{Svc: svc, ID: m.ID}
+			delete(t.covered, item) // it is back
+			if !t.state.Roster.Lists(svc, m.ID) {
+				change.Add = append(change.Add, item)
+			}
+		}
+	}
+	for item := range t.covered {
+		if t.state.Roster.Lists(item.Svc, item.ID) {
+			change.Remove = append(change.Remove, item)
+		} else {
+			delete(t.covered, item)
+		}
+	}
+	return change
+}
+
+// proposeRoster has a change agreed on, unless another change is: then the tables ask again. It is made of the newest committed state.
+func (c *consensusLoop) proposeRoster(change config.RosterChange) {
+	e, committed := c.node.Committed()
+	if !committed || c.state == nil || c.seen != [2]uint64{e.Term, e.Index} || !c.node.Ready() || c.node.Busy() {
+		return
+	}
+	next := c.state.WithRoster(change)
+	if next == c.state {
+		return
+	}
+	value, err := cbor.Marshal(next)
+	if err != nil {
+		c.h.fail(err)
+		return
+	}
+	if _, ok := c.node.Propose(value, c.h.now()); ok {
+		c.h.log.Event(events.RosterChange, "added", change.Add, "removed", change.Remove)
+	}
+}
--- a/internal/controlplane/succession.go
+++ b/internal/controlplane/succession.go
@@ -13,6 +13,7 @@
 
 	"github.com/samber/oops"
 
+	"weirwind/internal/config"
 	"weirwind/internal/directory"
 	"weirwind/internal/events"
 	"weirwind/internal/failover"
@@ -24,6 +25,8 @@
 	statTime = 700 * time.Millisecond
 	callTime = 2 * time.Second
 
+	fenceCallBits = 16 // of a fence, for the number of the call; the others are the term
+
 	tableKnows = 2 * time.Second // and four beats: all members have told of themselves by then
 )
 
@@ -33,6 +36,7 @@
 	t.successions, t.reports = map[string]*failover.Service{}, map[string]map[string]report{}
 	t.asker.forget()
 	t.mover = nil
+	t.calls, t.covered, t.rosterAt = 0, map[config.RosterMember]bool{}, 0
 	t.granted, t.ledAt = map[string]float64{}, t.h.now()
 }
 
@@ -40,12 +44,7 @@
 	if t.config == nil || now < max(ms(tableKnows), 4*ms(t.h.set.Beat)) {
 		return // a process that has just begun doesn't know all members yet: one that it lacks may alone hold a commit, or lead
 	}
-	bySvc := map[string][]directory.Member{}
-	for _, m := range t.members.List() {
-		if !m.Gone {
-			bySvc[m.Svc] = append(bySvc[m.Svc], m)
-		}
-	}
+	bySvc := t.present()
 	drivers := len(t.leases.List())
 	for i := range t.config.Svcs {
 		cs := &t.config.Svcs[i]
@@ -57,7 +56,11 @@
 		v := &failover.View{Svc: cs.Name, SyncN: cs.SyncN, Drivers: drivers}
 		for _, m := range bySvc[cs.Name] {
 			v.Members = append(v.Members, failover.Member{ID: m.ID, Gen: m.Gen, Leaving: m.Leaving, Silent: t.members.Silent(m.ID, now),
-				Primary: m.Role == directory.RolePrimary, Replica: m.Role == directory.RoleReplica})
+				Primary: m.Role == directory.RolePrimary, Replica: m.Role == directory.RoleReplica,
+				Unlisted: cs.SyncN > 0 && !t.state.Roster.Lists(cs.Name, m.ID)})
+		}
+		if cs.SyncN > 0 {
+			v.Members = append(v.Members, t.absent(cs.Name, now)...)
 		}
 		for _, r := range t.reports[cs.Name] {
 			if now-r.at < accuseFor {
@@ -72,6 +75,7 @@
 		}
 		t.carry(s, v, now)
 	}
+	t.tendRoster(bySvc, now)
 }
 
 func (t *tables) carry(s *failover.Service, v *failover.View, now float64) {
@@ -83,7 +87,9 @@
 			t.bind(a.ID)
 		case failover.Failover:
 			t.h.log.Event(events.SuccessStep, "svc", v.Svc, "step", "failover", "to", a.ID, "from", a.Why)
-			go t.failover(s, v.Svc, a.ID, t.term)
+			go t.failover(s, v.Svc, a.ID, t.nextFence())
+		case failover.Covered:
+			t.covered[config.RosterMember{Svc: v.Svc, ID: a.ID}] = true
 		default:
 			if m, ok := t.members.Get(a.ID); ok {
 				text := [...]string{failover.Stat: "STAT", failover.Pause: "PAUSE " + strconv.FormatUint(a.Term+1, 10), failover.Cont: "CONT",
@@ -111,7 +117,15 @@
 	})
 }
 
-// failover calls the platform, with this machine as holder and its term as fence.
+// nextFence is higher than that of every call before it, of this leader and of earlier ones: a call that is carried out late is
+// refused once a later one was seen.
+func (t *tables) nextFence() uint64 {
+	t.calls++
+	return t.term<<fenceCallBits | min(t.calls, 1<<fenceCallBits-1)
+}
+
+// failover calls the platform, with this machine as holder. It is sent once: Go's client sends a POST again only where nothing of it
+// was written.
 func (t *tables) failover(s *failover.Service, svc, id string, fence uint64) {
 	body, _ := json.Marshal(map[string]string{"svc": svc, "id": id})
 	status := 0
--- a/internal/controlplane/tables.go
+++ b/internal/controlplane/tables.go
@@ -54,6 +54,9 @@
 	granted     map[string]float64 // leases of sites, when they were granted last
 	lives       map[string]uint64
 	ledAt       float64
+	calls       uint64                       // to the platform in this lead
+	covered     map[config.RosterMember]bool // may leave the roster
+	rosterAt    float64                      // when the roster may be proposed again
 }
 
 type report struct {
--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -43,6 +43,7 @@
 	MemberRole   Event = 404
 	DriverNew    Event = 405
 	DriverLapsed Event = 406
+	RosterChange Event = 407
 	SlotFilled   Event = 501
 	SlotEmptied  Event = 502
 	Succession   Event = 601
@@ -83,6 +84,7 @@
 	MemberRole:   "a member says that its role is another",
 	DriverNew:    "a driver has taken a lease",
 	DriverLapsed: "a driver's lease has lapsed",
+	RosterChange: "the roster of members that may hold an acknowledged commit is to change",
 	SlotFilled:   "a group's writer slot names this member from now on, and by what evidence",
 	SlotEmptied:  "a group's writer slot is empty, and why; its writes are held",
 	Succession:   "a service is to get another primary, and why",
--- a/internal/failover/catchup.go
+++ b/internal/failover/catchup.go
@@ -2,9 +2,14 @@
 
 // This file owns the later steps: the successor catches up, the platform is called, and the successor proves its lead.
 
+// swap gives a planned end another successor. Where the platform may still carry out a call, nobody is let go before a fence.
 func (s *Service) swap(v *View, now float64) {
 	s.say(s.next + " does not catch up")
 	s.tried[s.next] = true
+	if !s.fenced {
+		s.giveUp(v, s.next+" does not catch up", now)
+		return
+	}
 	s.letGo(v, now)
 	for _, m := range v.Members {
 		if f := s.fact(m.ID); f.cont {
@@ -27,31 +32,32 @@
 		return
 	}
 	f := s.fact(s.next)
-	have := f.ok
+	have := f.ok && !s.find(v, s.next).Unlisted
 	for _, m := range s.replicas(v) {
-		if o := s.fact(m.ID); o.paused && f.status.Received.Less(o.status.Received) {
+		o := s.fact(m.ID)
+		if o.paused && f.status.Received.Less(o.status.Received) {
 			have = false
 		}
+		if o.paused && !m.Absent && now-o.at > pauseHolds {
+			have = false // it may have restarted and forgotten its pause
+		}
 	}
 	if s.stepped && s.next != s.old && f.status.Received.Less(s.oldPos) {
 		if have = false; now-s.since > stepAfter { // something came in between: it leads again, as it alone surely has it
 			s.say("the old primary is to lead again")
 			s.next = s.old
-			s.enter(calling, now)
-			s.called = true
-			s.act(Failover, s.next, s.old)
+			s.call(now)
 			return
 		}
 	}
 	if have && now >= s.askAt {
-		s.enter(calling, now)
-		s.called = true
-		s.act(Failover, s.next, s.old)
+		s.call(now)
 		return
 	}
-	if now >= s.askAt && !f.waiting {
+	if now >= s.askAt {
 		s.askAt = now + nearReplica/5
-		if s.planned {
+		s.hold(v, now)
+		if s.next == s.old {
 			s.ask(s.next, Stat, now)
 		}
 	}
@@ -64,21 +70,35 @@
 	}
 }
 
+// call has the platform make the successor the primary.
+func (s *Service) call(now float64) {
+	s.enter(calling, now)
+	s.called, s.open, s.fenced = true, true, false
+	s.act(Failover, s.next, s.old)
+}
+
 // Called takes the platform's answer: its status, 0 for none.
 func (s *Service) Called(id string, status int, now float64) {
-	if s.phase != calling || s.next != id {
+	if s.next != id {
+		return
+	}
+	if s.phase == fencing {
+		s.fenceAnswered(status, now)
+		return
+	}
+	if s.phase != calling {
 		return
 	}
 	switch {
 	case status == 200:
+		s.open, s.fenced = false, true // its fence is the newest: what was called before is refused
 		s.enter(proving, now)
 	case status == 409:
 		s.called = false
 		s.say("the platform refuses " + id)
 		s.restart(now)
-	default:
-		s.enter(catching, now) // asked again from the last step that checks
-		s.askAt = now + againAfter
+	default: // it may be carried out at any time until a later call: what was read is too old by now to call again by it
+		s.restart(now)
 	}
 }
 
--- a/internal/failover/choice.go
+++ b/internal/failover/choice.go
@@ -8,7 +8,7 @@
 )
 
 func (s *Service) successors(v *View, old string) bool {
-	return slices.ContainsFunc(v.Members, func(m Member) bool { return m.ID != old && !m.Leaving })
+	return slices.ContainsFunc(v.Members, func(m Member) bool { return m.ID != old && !m.Leaving && !m.Absent })
 }
 
 // further says whether a goes before b: the longer log, then who stays, then the newer software, then who is nearer.
@@ -40,7 +40,7 @@
 func (s *Service) choose(rs []Member) string {
 	var best *Member
 	for i := range rs {
-		if m := &rs[i]; !m.Leaving && !s.tried[m.ID] && (best == nil || s.prefer(m, best) < 0) {
+		if m := &rs[i]; !m.Leaving && !m.Absent && !m.Unlisted && !s.tried[m.ID] && (best == nil || s.prefer(m, best) < 0) {
 			best = m
 		}
 	}
--- /dev/null
+++ b/internal/failover/cover.go
@@ -0,0 +1,99 @@
+package failover
+
+// This file owns when a member that has ended may leave the roster.
+//
+// It may have been the only receiver of acknowledged commits, and it may come back with its log. It is counted as a replica that does
+// not answer until it is covered: the primary, asked after the member was known to have ended, gave a position, and syncN replicas on
+// the roster were seen at or behind it. From then on every commit up to that position is at syncN others, and later ones can't be
+// at a member that receives nothing.
+
+import "weirwind/internal/wire"
+
+// cover is how far a member that has ended is covered.
+type cover struct {
+	since   float64 // when it was known to have ended
+	primary string  // that gave the position; "": none yet
+	held    uint64  // the term of its lead
+	pos     wire.Position
+}
+
+// cover asks and decides for members that have ended.
+func (s *Service) cover(v *View, now float64) {
+	s.noteEnded(v, now)
+	p := s.find(v, s.leads())
+	if len(s.covers) == 0 || p == nil || p.Unlisted || v.SyncN == 0 {
+		return
+	}
+	if now >= s.coverAt {
+		s.coverAt = now + s.coverPause(now)
+		s.askAll(v, now)
+	}
+	for id, c := range s.covers {
+		if s.coveredBy(v, p.ID, c) {
+			s.act(Covered, id, "")
+		}
+	}
+}
+
+// leads is who leads while this machine watches, or prepares a planned end: at other times nobody is sure to.
+func (s *Service) leads() string {
+	switch {
+	case s.phase == watching:
+		return s.primary
+	case s.planned && !s.stepped && (s.phase == freezing || s.phase == catching):
+		return s.old
+	}
+	return ""
+}
+
+// coverPause is for how long nothing is asked.
+func (s *Service) coverPause(now float64) float64 {
+	for _, c := range s.covers {
+		if now-c.since < coverLong {
+			return coverEvery
+		}
+	}
+	return coverSeldom
+}
+
+// noteEnded keeps the list of members that have ended.
+func (s *Service) noteEnded(v *View, now float64) {
+	old := s.covers
+	s.covers = map[string]*cover{}
+	for _, m := range v.Members {
+		if !m.Ended {
+			continue
+		}
+		if c := old[m.ID]; c != nil {
+			s.covers[m.ID] = c
+		} else {
+			s.covers[m.ID] = &cover{since: now}
+			s.coverAt = now
+		}
+	}
+}
+
+// coveredBy says whether enough replicas hold what the primary had when the member was known to have ended.
+func (s *Service) coveredBy(v *View, primary string, c *cover) bool {
+	f := s.fact(primary)
+	if !f.ok || !f.status.Primary || f.at < c.since {
+		return false
+	}
+	if c.primary != primary || c.held != f.status.Held {
+		c.primary, c.held, c.pos = primary, f.status.Held, f.status.Received
+	}
+	holders := 0
+	for _, m := range v.Members {
+		r := s.fact(m.ID)
+		if m.Absent || m.Unlisted || m.ID == primary || !r.ok || r.status.Primary {
+			continue
+		}
+		if r.status.Received.Term > c.held {
+			return false // the primary is one no longer
+		}
+		if !r.status.Received.Less(c.pos) {
+			holders++
+		}
+	}
+	return holders >= v.SyncN
+}
--- a/internal/failover/facts.go
+++ b/internal/failover/facts.go
@@ -18,7 +18,8 @@
 	waiting bool
 	paused  bool    // by its own answer
 	touched bool    // a pause was sent to it: whether it came or not
-	cont    bool    // to be let go
+	cont    bool    // its pause is to be looked for, and ended
+	held    bool    // it was found paused
 	contAt  float64 // not before
 }
 
@@ -36,11 +37,20 @@
 	f := s.fact(id)
 	f.waiting, f.ok, f.status, f.at, f.refused, f.failed = false, true, st, sent, 0, 0
 	s.term = max(s.term, st.Term, st.Held)
-	switch k {
-	case Pause:
-		f.paused = true
-	case Cont:
-		f.paused, f.cont, f.touched = false, false, false
+	f.held = !st.Primary && st.Held > 0 // a replica holds a term only while it is paused
+	switch {
+	case k == Pause:
+		f.paused = f.held
+	case !f.held: // it was let go, or has restarted
+		f.paused = false
+	}
+	switch {
+	case k == Cont:
+		f.cont, f.touched = f.held, false
+	case k == Stat && !f.held && f.touched: // a pause that got no answer may come late: it is looked for once more
+		f.touched = false
+	case k == Stat && !f.held:
+		f.cont = false
 	}
 }
 
@@ -56,6 +66,15 @@
 	}
 }
 
+// askAll asks every member that can be asked.
+func (s *Service) askAll(v *View, now float64) {
+	for _, m := range v.Members {
+		if !m.Absent {
+			s.ask(m.ID, Stat, now)
+		}
+	}
+}
+
 // ask puts a question if none is out.
 func (s *Service) ask(id string, k ActKind, now float64) {
 	if f := s.fact(id); !f.waiting {
@@ -64,8 +83,9 @@
 	}
 }
 
+// find gives a member to which questions can be put, nil for none.
 func (s *Service) find(v *View, id string) *Member {
-	if i := slices.IndexFunc(v.Members, func(m Member) bool { return m.ID == id }); i >= 0 {
+	if i := slices.IndexFunc(v.Members, func(m Member) bool { return m.ID == id && !m.Absent }); i >= 0 {
 		return &v.Members[i]
 	}
 	return nil
@@ -85,6 +105,9 @@
 	for i := range v.Members {
 		m := &v.Members[i]
 		f := s.facts[m.ID]
+		if m.Absent {
+			continue
+		}
 		if f != nil && f.ok && !f.status.Primary && m.Silent > now-f.at || !m.Primary && !(f != nil && f.ok && f.status.Primary) {
 			continue
 		}
@@ -101,6 +124,12 @@
 	return best
 }
 
-func (s *Service) allAnswered(v *View) bool {
-	return !slices.ContainsFunc(v.Members, func(m Member) bool { f := s.facts[m.ID]; return f == nil || !f.ok || f.status.Primary })
+// unanswered gives the first member of whom it isn't known that it does not lead. One that has ended does not.
+func (s *Service) unanswered(v *View) string {
+	for _, m := range v.Members {
+		if f := s.facts[m.ID]; !m.Ended && (f == nil || !f.ok || f.status.Primary) {
+			return m.ID
+		}
+	}
+	return ""
 }
--- a/internal/failover/failover.go
+++ b/internal/failover/failover.go
@@ -3,6 +3,16 @@
 // This file owns the steps of a succession at the machine that leads the core. It does no I/O and reads no clock. It must never
 // name a member whose log may lack an acknowledged commit: where that can't be known, it waits and says so.
 //
+// The invariant: when the platform is asked to promote a member, every commit that was acknowledged is in that member's log, and
+// none is acknowledged until the call is carried out or void. It rests on three things:
+//
+//   - Who may hold a commit is known. The roster of a service is agreed on a majority of disks; a member on it of which this
+//     machine knows nothing, or that has ended, is counted as a replica that has not answered. It leaves the roster only when it
+//     is gone and covered: a position that the primary gave afterwards is at syncN other replicas (cover.go).
+//   - Enough of them are paused and read, as the next paragraph says.
+//   - A paused replica is let go only when no call can be carried out any more that was made before: the fence rises with every
+//     call, and the newest one was answered (fence.go).
+//
 // A commit that was answered is on the primary and on syncN replicas. So a set of members holds all of them if it meets every
 // set of syncN replicas: of n replicas, any n-syncN+1. Each of them is asked under PAUSE, so that nothing is answered on its
 // receipt any more, and the one whose log goes furthest takes the lead. Where the old primary still leads (a planned end), all
@@ -24,7 +34,7 @@
 	pressEvery  = 150.0 // questions while something is wrong
 	darkAfter   = 1000.0
 	refusedMost = 2      // connections refused in a row: it is dead
-	headless    = 700.0  // nobody leads for so long
+	noLeadFor   = 700.0  // nobody leads for so long
 	againAfter  = 300.0  // a step that failed is taken again
 	provesMost  = 3500.0 // a call that was answered shows within that
 	stepAfter   = 700.0
@@ -35,8 +45,13 @@
 	accusedDark = 400.0
 	stuckRounds = 400.0 // replicas stand still behind a primary that goes on
 	contEvery   = 2000.0
-	settle      = 900.0 // a new leader begins nothing: a call of the one before may still be carried out
-	pauseHolds  = 900.0 // a replica that restarts forgets its pause: it is asked again so often
+	settle      = 900.0   // a new leader begins nothing: a call of the one before may still be carried out
+	pauseHolds  = 900.0   // a replica that restarts forgets its pause: it is asked again so often
+	unknownLong = 20000.0 // agents and other core machines tell of a member within that, where any of them knows it
+	fenceAgain  = 500.0   // a fencing call that failed is made again
+	coverEvery  = 250.0   // questions while a member that has ended is not covered
+	coverLong   = 3000.0  // after which they are fewer
+	coverSeldom = 2000.0
 )
 
 // Member is what is known of one.
@@ -46,6 +61,9 @@
 	Primary  bool // by its own last word
 	Replica  bool
 	Leaving  bool
+	Absent   bool    // on the roster, but no question can be put to it: it has ended, or nothing is known of it here
+	Ended    bool    // Absent, as it left or was silent for long
+	Unlisted bool    // not on the roster yet: it is not named
 	Silent   float64 // milliseconds since its last beat
 	Distance float64 // from the old primary's zone, to choose among equals
 }
@@ -54,7 +72,7 @@
 type View struct {
 	Svc     string
 	SyncN   int
-	Members []Member // without those that are gone
+	Members []Member // those that are there, and those on the roster
 	Drivers int
 	Accused int // drivers that wait for the primary in vain
 	Stuck   int // drivers that it answers, but no commit
@@ -80,6 +98,7 @@
 	Handed                  // the old primary (ID) leads no longer: its drain may bind
 	Note                    // for the log
 	StepDown                // it leads no longer, by its own word
+	Covered                 // it has ended and held nothing alone: it may leave the roster
 )
 
 type phase uint8
@@ -90,9 +109,11 @@
 	catching       // the successor catches up with those paused
 	calling
 	proving
+	fencing  // the platform is asked to leave the primary as it is, which voids calls that were made before
+	settling // what it accepted before that shows
 )
 
-var phaseNames = [...]string{"watching", "freezing", "catching", "calling", "proving"}
+var phaseNames = [...]string{"watching", "freezing", "catching", "calling", "proving", "fencing", "settling"}
 
 // Service is the state for one.
 type Service struct {
@@ -109,6 +130,10 @@
 	said    string
 	start   float64 // of this lead
 	called  bool    // the platform may carry out a call still
+	open    bool    // a call of its own got no clear answer
+	fenced  bool    // no call that was made before can be carried out any more
+	covers  map[string]*cover
+	coverAt float64 // of the next questions
 	stepped bool    // the old primary has stepped down: it holds all that was ever answered
 	oldPos  wire.Position
 	bound   bool // its drain was let bind
@@ -161,6 +186,9 @@
 		s.catch(v, now)
 	case proving:
 		s.prove(v, now)
+	case settling:
+		s.settled(v, now)
 	}
+	s.cover(v, now)
 	return s.out
 }
--- a/internal/failover/failover_test.go
+++ b/internal/failover/failover_test.go
@@ -130,7 +130,7 @@
 			case Pause:
 				m.Pause(a.Term + 1)
 			case Cont:
-				m.Paused = false
+				m.Continue()
 			case StepDown:
 				m.StepDown(a.Term + 1)
 			}
@@ -225,6 +225,11 @@
 	status := func(lead bool, term, n uint64) wire.Status {
 		return wire.Status{Primary: lead, Term: term, Held: map[bool]uint64{true: term}[lead], Received: wire.Position{Term: term, Number: n}}
 	}
+	paused := func(term, n uint64) wire.Status { // a paused replica answers the term of its pause as the one that it holds
+		st := status(false, term, n)
+		st.Held = term + 1
+		return st
+	}
 	view := func() *View {
 		return &View{Svc: "s", SyncN: 1, Drivers: 6, Members: []Member{{ID: "a", Primary: true}, {ID: "b", Replica: true}, {ID: "c", Replica: true}}}
 	}
@@ -249,11 +254,11 @@
 		s.Unanswered("a", true)
 		So(kinds(s.Step(v, 900)), ShouldEqual, "stat:a pause:b pause:c")
 		Convey("is not succeeded while a replica that may alone hold a commit is not heard", func() {
-			s.Answered("b", Pause, 900, 940, status(false, 1, 9))
+			s.Answered("b", Pause, 900, 940, paused(1, 9))
 			So(kinds(s.Step(v, 950)), ShouldEqual, "")
 			So(s.State(), ShouldEqual, "freezing: ? after a")
 			Convey("and then by the longer log", func() {
-				s.Answered("c", Pause, 900, 960, status(false, 1, 10))
+				s.Answered("c", Pause, 900, 960, paused(1, 10))
 				So(kinds(s.Step(v, 970)), ShouldEqual, "failover:c")
 			})
 			Convey("and keeps its lead if it speaks again; who was paused is let go", func() {
@@ -264,8 +269,8 @@
 			})
 		})
 		Convey("after the platform's answer is lost is not let back in", func() {
-			s.Answered("b", Pause, 900, 940, status(false, 1, 9))
-			s.Answered("c", Pause, 900, 940, status(false, 1, 9))
+			s.Answered("b", Pause, 900, 940, paused(1, 9))
+			s.Answered("c", Pause, 900, 940, paused(1, 9))
 			So(kinds(s.Step(v, 950)), ShouldStartWith, "failover:")
 			s.Called("b", 0, 2950)
 			s.Answered("a", Stat, 2960, 2970, status(true, 1, 9))
@@ -309,7 +314,7 @@
 			s.Answered("a", Stat, 1000, 1010, status(true, 1, 20))
 			s.Answered("b", Stat, 1000, 1010, status(false, 1, 18))
 			s.Step(v, 1200)
-			s.Answered("c", Pause, 1200, 1210, status(false, 1, 19))
+			s.Answered("c", Pause, 1200, 1210, paused(1, 19))
 			So(kinds(s.Step(v, 1220)), ShouldNotContainSubstring, "failover")
 			s.Answered("b", Stat, 1220, 1230, status(false, 1, 19))
 			So(kinds(s.Step(v, 1400)), ShouldContainSubstring, "failover:b")
--- a/internal/failover/freeze.go
+++ b/internal/failover/freeze.go
@@ -7,7 +7,19 @@
 	"slices"
 )
 
-// replicas are all that a commit may have been received by, apart from the old primary.
+// needOf is how many of n replicas hold every acknowledged commit between them, whichever they are: any set of that many meets
+// every set of syncN. Where who led isn't known it is one of the n, and a commit is at syncN+1 of them.
+func needOf(n, syncN int, primaryKnown bool) int {
+	switch {
+	case syncN == 0:
+		return n
+	case primaryKnown:
+		return max(n-syncN+1, 1)
+	}
+	return max(n-syncN, 1)
+}
+
+// replicas are all that a commit may have been received by, apart from the old primary: also those that can't be asked.
 func (s *Service) replicas(v *View) []Member {
 	return slices.DeleteFunc(slices.Clone(v.Members), func(m Member) bool { return m.ID == s.old })
 }
@@ -22,24 +34,15 @@
 		return
 	}
 	if s.planned && s.next == "" {
-		s.next = s.choose(rs)
+		if s.next = s.choose(rs); s.next == "" && !s.successors(v, s.old) {
+			s.giveUp(v, "nobody could take over", now)
+			return
+		}
 	}
 	if now >= s.askAt {
 		s.askAt = now + pressEvery
-		for _, m := range rs {
-			f := s.fact(m.ID)
-			switch {
-			case s.planned && m.ID == s.next:
-				s.ask(m.ID, Stat, now)
-			case !f.paused || now-f.at > pauseHolds:
-				if s.term == 0 {
-					s.ask(m.ID, Stat, now) // the newest term must be known first
-				} else {
-					s.ask(m.ID, Pause, now)
-				}
-			}
-		}
-		if s.old != "" {
+		s.hold(v, now)
+		if s.find(v, s.old) != nil {
 			s.ask(s.old, Stat, now)
 		}
 	}
@@ -62,6 +65,9 @@
 			s.say("the old primary is silent")
 			return
 		}
+		if s.next == "" {
+			return
+		}
 		if len(rs) == 1 || !slices.ContainsFunc(rs, func(m Member) bool { return m.ID != s.next && !s.fact(m.ID).paused }) {
 			s.enter(catching, now)
 			s.catch(v, now)
@@ -93,13 +99,7 @@
 			paused++
 		}
 	}
-	need := len(rs)
-	if v.SyncN > 0 {
-		need = max(len(rs)-v.SyncN+1, 1)
-		if s.old == "" { // who led is among them
-			need = max(len(rs)-v.SyncN, 1)
-		}
-	}
+	need := needOf(len(rs), v.SyncN, s.old != "")
 	if paused < need {
 		s.say(fmt.Sprintf("waits for %d more of %d replicas, as one of them may alone hold a commit", need-paused, len(rs)))
 		return
@@ -107,20 +107,45 @@
 	best := ""
 	for _, m := range rs {
 		f := s.fact(m.ID)
-		if !f.paused || best != "" && !s.further(v, m.ID, best) {
+		if m.Absent || !f.paused || best != "" && !s.further(v, m.ID, best) {
 			continue
 		}
 		best = m.ID
 	}
+	if best == "" {
+		s.say("waits for a member that could take over")
+		return
+	}
 	s.next = best
 	s.enter(catching, now)
 	s.catch(v, now)
 }
 
+// hold pauses the replicas that are not, or whose answer is so old that they may have restarted and forgotten it. The successor of a
+// planned end is only asked.
+func (s *Service) hold(v *View, now float64) {
+	for _, m := range s.replicas(v) {
+		f := s.fact(m.ID)
+		switch {
+		case m.Absent:
+		case s.planned && m.ID == s.next:
+			s.ask(m.ID, Stat, now)
+		case f.paused && now-f.at <= pauseHolds:
+		case s.term == 0:
+			s.ask(m.ID, Stat, now) // the newest term must be known first
+		default:
+			s.ask(m.ID, Pause, now)
+		}
+	}
+}
+
 // other looks whether somebody leads after all, so that there is nothing to do.
 func (s *Service) other(v *View, now float64) bool {
 	for _, m := range v.Members {
 		f := s.fact(m.ID)
+		if m.Absent {
+			continue
+		}
 		if m.ID == s.old {
 			if !s.planned && !s.called && !s.stuck && f.ok && f.status.Primary && f.at > s.since {
 				s.giveUp(v, "it answers", now)
--- a/internal/failover/watch.go
+++ b/internal/failover/watch.go
@@ -9,13 +9,8 @@
 )
 
 func (s *Service) watch(v *View, now float64) {
-	for _, m := range v.Members {
-		if f := s.fact(m.ID); f.cont && m.ID != s.primary && !f.waiting && now-s.start > settle {
-			if now >= f.contAt { // it may be cut off and still paused: it is asked for as long as it is there
-				f.contAt = now + contEvery
-				s.ask(m.ID, Cont, now)
-			}
-		}
+	if s.letPausedGo(v, now) {
+		return
 	}
 	p := s.leader(v, now)
 	if p == nil {
@@ -25,13 +20,9 @@
 		s.primary = ""
 		if now >= s.askAt {
 			s.askAt = now + pressEvery
-			for _, m := range v.Members {
-				s.ask(m.ID, Stat, now)
-			}
-		}
-		if now-s.start > settle && now-s.noLead > headless && len(v.Members) > 0 && s.allAnswered(v) {
-			s.begin(v, "", false, "nobody leads", now)
+			s.askAll(v, now)
 		}
+		s.headless(v, now)
 		return
 	}
 	s.noLead = 0
@@ -84,7 +75,7 @@
 	here := map[string]wire.Position{}
 	for _, m := range v.Members {
 		f := s.fact(m.ID)
-		if m.ID != primary {
+		if m.ID != primary && !m.Absent {
 			if !f.ok || now-f.at > 3*pressEvery || !f.status.Received.Less(p.status.Received) {
 				here = nil
 			} else if here != nil {
@@ -94,9 +85,7 @@
 	}
 	if now >= s.pressAt {
 		s.pressAt = now + pressEvery
-		for _, m := range v.Members {
-			s.ask(m.ID, Stat, now)
-		}
+		s.askAll(v, now)
 	}
 	if here == nil || len(here) == 0 || s.behind == nil || !maps.Equal(here, s.behind) {
 		s.behind, s.standAt = here, now
@@ -108,8 +97,40 @@
 	return now-s.standAt >= stuckRounds
 }
 
+// headless begins a succession where nobody leads. Everybody on the roster must have said that it doesn't; a member of which nobody
+// could tell for long is counted as one that may have led, or hold a commit, and is waited for only if the others are too few.
+func (s *Service) headless(v *View, now float64) {
+	if now-s.start <= settle || now-s.noLead <= noLeadFor || len(v.Members) == 0 {
+		return
+	}
+	missing := s.unanswered(v)
+	if missing == "" || now-max(s.noLead, s.start) > unknownLong && s.enoughAnswered(v) {
+		s.begin(v, "", false, "nobody leads", now)
+		return
+	}
+	s.say("nobody leads, and it waits for " + missing + ", which may lead or alone hold a commit")
+}
+
+// enoughAnswered says whether those who said that they don't lead hold every acknowledged commit between them.
+func (s *Service) enoughAnswered(v *View) bool {
+	answered := 0
+	for _, m := range v.Members {
+		f := s.facts[m.ID]
+		if !m.Absent && f != nil && f.ok && f.status.Primary {
+			return false
+		}
+		if !m.Absent && f != nil && f.ok {
+			answered++
+		}
+	}
+	return answered >= needOf(len(v.Members), v.SyncN, false)
+}
+
 func (s *Service) begin(v *View, old string, planned bool, why string, now float64) {
-	s.old, s.planned, s.next, s.tried, s.called, s.stuck, s.behind = old, planned, "", map[string]bool{}, false, false, nil
+	if old != s.old || s.tried == nil {
+		s.tried = map[string]bool{}
+	}
+	s.old, s.planned, s.next, s.called, s.stuck, s.behind = old, planned, "", false, false, nil
 	s.stepped, s.bound = false, false
 	for id, f := range s.facts {
 		if f.paused = false; id != old {
@@ -131,7 +152,7 @@
 
 func (s *Service) letGo(v *View, now float64) {
 	for _, m := range v.Members {
-		if f := s.fact(m.ID); f.paused || f.touched {
+		if f := s.fact(m.ID); !m.Absent && (f.paused || f.touched) {
 			f.cont, f.paused, f.contAt = true, false, now
 		}
 	}
--- a/internal/standin/cordata/cordata.go
+++ b/internal/standin/cordata/cordata.go
@@ -19,16 +19,17 @@
 
 // Member is one.
 type Member struct {
-	ID      string
-	Primary bool
-	Up      bool
-	Paused  bool
-	Deaf    bool // receives nothing, though it answers
-	Cut     bool // reaches no other member, though clients reach it
-	Drains  bool
-	Term    uint64 // newest known
-	Held    uint64 // term that it holds the lead for
-	Log     []Entry
+	ID       string
+	Primary  bool
+	Up       bool
+	Paused   bool
+	Deaf     bool // receives nothing, though it answers
+	Cut      bool // reaches no other member, though clients reach it
+	Drains   bool
+	Term     uint64 // newest known
+	Held     uint64 // term that it holds the lead for
+	PausedAt uint64 // term that it was paused with, which is what a paused replica answers that it holds
+	Log      []Entry
 }
 
 // Group is all of a service.
@@ -79,7 +80,11 @@
 
 // Status is the row that a member answers with.
 func (m *Member) Status() wire.Status {
-	return wire.Status{Primary: m.Primary, Term: m.Term, Received: m.Position(), Held: m.Held}
+	held := m.PausedAt
+	if m.Primary {
+		held = m.Held
+	}
+	return wire.Status{Primary: m.Primary, Term: m.Term, Received: m.Position(), Held: held}
 }
 
 // Write appends a commit at a member. False: it does not lead.
@@ -131,11 +136,14 @@
 
 // Pause keeps a replica from receiving.
 func (m *Member) Pause(term uint64) {
-	if term > m.Term && !m.Primary {
-		m.Paused = true
+	if term > max(m.Term, m.PausedAt) && !m.Primary {
+		m.Paused, m.PausedAt = true, term
 	}
 }
 
+// Continue lets a paused replica receive again.
+func (m *Member) Continue() { m.Paused, m.PausedAt = false, 0 }
+
 // StepDown turns a primary of a lower term into a replica.
 func (m *Member) StepDown(term uint64) {
 	if m.Primary && term > m.Held {
@@ -164,7 +172,8 @@
 	}
 	g.Leads++
 	for _, o := range g.Members {
-		o.Primary, o.Paused = o == m, false
+		o.Primary = o == m
+		o.Continue()
 		if o.Term = term; o != m {
 			n := 0
 			for n < min(len(o.Log), len(m.Log)) && o.Log[n] == m.Log[n] {
@@ -179,4 +188,7 @@
 }
 
 // Restart brings a member back with its log; a pause is forgotten.
-func (m *Member) Restart() { m.Up, m.Paused = true, false }
+func (m *Member) Restart() {
+	m.Up = true
+	m.Continue()
+}
--- a/internal/standin/town/members.go
+++ b/internal/standin/town/members.go
@@ -266,7 +266,7 @@
 		m.Pause(term)
 		return row()
 	case "CONT":
-		m.Paused = false
+		m.Continue()
 		return row()
 	case "STEPDOWN":
 		m.StepDown(term)
