--- a/internal/controlplane/tables.go
+++ b/internal/controlplane/tables.go
@@ -55,6 +55,9 @@
 	lives       map[string]uint64
 	ledAt       float64
 	contact     contactEdge
+	calls       uint64                       // to the platform in this lead
+	covered     map[config.RosterMember]bool // may leave the roster
+	rosterAt    float64                      // when the roster may be proposed again
 }
 
 type report struct {
