--- a/internal/consensus/consensus.go
+++ b/internal/consensus/consensus.go
@@ -45,6 +45,8 @@
 	Join                     // an empty machine wants to vote
 	AskPre                   // would a vote be given? (nothing is promised)
 	GivePre
+	Leave    // the sender's process ends in order
+	HandOver // the leader wants the receiver to stand for election now
 )
 
 // Message goes between two machines of the core.
@@ -54,7 +56,7 @@
 	Term      uint64 `cbor:"3,keyasint,omitempty"`
 	LastTerm  uint64 `cbor:"4,keyasint,omitempty"`
 	LastIndex uint64 `cbor:"5,keyasint,omitempty"`
-	Granted   bool   `cbor:"6,keyasint,omitempty"`
+	Granted   bool   `cbor:"6,keyasint,omitempty"` // of AskVote: the leader handed over; of Join: passed on
 	Entry     *Entry `cbor:"7,keyasint,omitempty"`
 	Commit    uint64 `cbor:"8,keyasint,omitempty"`
 	Round     uint64 `cbor:"9,keyasint,omitempty"`
@@ -73,7 +75,7 @@
 	MinVoters         int      // never fewer voters than this by a removal
 	HeartbeatInterval float64  // milliseconds between two signs of a leader
 	ElectionTimeout   float64  // without one for so long an election is begun, and up to as much again
-	RemoveAfter       float64  // a voter silent for so long gives its place to one that has joined
+	RemoveAfter       float64  // a voter silent for so long is removed where enough others vote, or one waits to join
 	Draw              func() float64
 }
 
@@ -91,7 +93,8 @@
 	round       uint64  // newest question answered
 	heard       float64 // when
 	sentAt      float64 // an entry was sent
-	sent        uint64
+	sent        uint64  // its index
+	sentRound   uint64  // the question that it went along with
 }
 
 // Node is one machine's part.
@@ -104,7 +107,12 @@
 	heardAt float64 // the leader
 	waitTil float64 // an election begins
 	votes   map[string]bool
-	pre     bool // asking whether an election could be won
+	pre     bool    // asking whether an election could be won
+	preAt   float64 // since
+	handed  bool    // this candidacy was asked for by the leader
+
+	followed     Voter // the last leader that was followed
+	followedTill float64
 
 	peers   map[string]*peer
 	round   uint64
@@ -115,12 +123,21 @@
 	joinAt  float64
 	dirty   bool
 	out     []Send
-	current bool // the leader's own term has a committed entry
+	current bool  // the leader's own term has a committed entry
+	decided Entry // the newest entry known committed; Last may be a newer one
+
+	left      map[string]bool // voters whose process ended in order and that were not heard since
+	leavingAt float64         // this process ends in order, since; 0: no
+	handAt    float64         // when another is asked to take the lead over
 }
 
 // New starts a node from what its disk holds.
 func New(o Options, h HardState, now float64) *Node {
-	n := &Node{o: o, HardState: h, peers: map[string]*peer{}, joins: map[string]joiner{}, rounds: map[uint64]float64{}}
+	n := &Node{o: o, HardState: h, peers: map[string]*peer{}, joins: map[string]joiner{}, rounds: map[uint64]float64{},
+		left: map[string]bool{}}
+	if h.Last.Index > 0 && h.Commit >= h.Last.Index && h.CommitOf == h.Last.Term {
+		n.decided = h.Last
+	}
 	n.heardAt = now - o.ElectionTimeout
 	n.waitTil = now + o.ElectionTimeout*(0.2+0.4*o.Draw()) // asking costs nobody anything where somebody leads
 	return n
@@ -160,11 +177,8 @@
 // Ready says that this node leads, and that all that was ever committed is known to it.
 func (n *Node) Ready() bool { return n.role == Leader && n.current }
 
-// Committed gives the value known committed, and its index; false for none.
-func (n *Node) Committed() (Entry, bool) {
-	e := n.HardState.Last
-	return e, e.Index > 0 && n.HardState.Commit >= e.Index && n.HardState.CommitOf == e.Term
-}
+// Committed gives the newest entry that is known committed, also while another is on its way; false for none.
+func (n *Node) Committed() (Entry, bool) { return n.decided, n.decided.Index > 0 }
 
 // Busy says that an entry is on its way.
 func (n *Node) Busy() bool { return n.HardState.Commit < n.HardState.Last.Index || !n.current }
@@ -176,17 +190,23 @@
 			n.beat(now)
 		}
 		n.advance(now)
-		if n.role == Leader {
+		if n.role == Leader && n.leavingAt > 0 {
+			n.handOver(now)
+		} else if n.role == Leader {
 			n.tend(now)
 		}
 		return
 	}
+	if n.leavingAt > 0 {
+		return
+	}
 	if !n.isVoter(n.HardState.ID) {
 		if now >= n.joinAt && now-n.heardAt > 2*n.o.HeartbeatInterval || now >= n.joinAt && n.HardState.Last.Index > 0 {
 			n.joinAt = now + 3*n.o.HeartbeatInterval
-			for _, a := range n.known() {
-				n.send(a, Message{Kind: Join})
+			if n.HardState.Last.Index == 0 { // first questions go before their links stand
+				n.joinAt = now + n.o.HeartbeatInterval
 			}
+			n.askToJoin()
 		}
 		return
 	}
@@ -202,8 +222,12 @@
 
 // Receive takes a message.
 func (n *Node) Receive(m *Message, now float64) {
+	if n.leavingAt > 0 && n.role != Leader && m.Kind != AskVote {
+		return // what it said more would count as a sign of life
+	}
 	switch m.Kind {
 	case AskPre, AskVote:
+		delete(n.left, m.From.ID)
 		n.vote(m, now)
 	case GivePre, GiveVote:
 		if m.Kind == GiveVote && m.Term > n.HardState.Term {
@@ -225,29 +249,41 @@
 			n.raise(m.Term, now)
 			return
 		}
+		if n.role != Leader || m.Term != n.HardState.Term {
+			return
+		}
 		p := n.peers[m.From.ID]
-		if n.role != Leader || m.Term != n.HardState.Term || p == nil {
+		if p == nil { // another life of a voter's disk, or one that was removed while the question was on its way
+			n.takeJoin(m.From, now)
 			return
 		}
 		p.heard = now
+		delete(n.left, m.From.ID)
 		if m.Round >= p.round {
 			p.round, p.term, p.index = m.Round, m.LastTerm, m.LastIndex
 		}
 		n.advance(now)
-		if last := &n.HardState.Last; n.role == Leader && (p.term != last.Term || p.index != last.Index) && p.sent != last.Index {
+		if n.role == Leader && n.lacks(p) && (p.sent != n.HardState.Last.Index || m.Round >= p.sentRound) {
+			p.sent = 0 // an answer to what was sent with the entry or later shows that it was lost
 			n.sendAppend(m.From, now)
 		}
+	case Leave:
+		n.left[m.From.ID] = true
+	case HandOver:
+		if n.role == Follower && m.Term == n.HardState.Term && m.From.ID == n.leader.ID && n.isVoter(n.HardState.ID) {
+			n.stand(now, true)
+		}
 	case Join:
+		if n.leader.Addr == m.From.Addr && n.leader.ID != m.From.ID {
+			n.LeaderGone(m.From.Addr, now) // its disk has another life
+		}
 		if n.role != Leader && n.leader.ID != "" && !m.Granted { // it may know none but seeds: who leads is told for it, once
 			on := *m
 			on.Granted = true
 			n.out = append(n.out, Send{n.leader.Addr, on})
 		}
-		if n.role == Leader && !n.isVoter(m.From.ID) && len(n.joins) < 64 {
-			if _, known := n.joins[m.From.ID]; !known {
-				n.peers[m.From.ID] = &peer{heard: now}
-			}
-			n.joins[m.From.ID] = joiner{m.From, now}
+		if n.role == Leader {
+			n.takeJoin(m.From, now)
 		}
 	}
 }
--- a/internal/consensus/consensus_test.go
+++ b/internal/consensus/consensus_test.go
@@ -24,11 +24,16 @@
 	lives   int
 	cut     map[[2]string]bool
 	seeds   []string
-	risk    float64 // that power goes in the middle of a change
+	risk    float64               // that power goes in the middle of a change
+	lose    float64               // share of messages that are lost
+	links   map[[2]string]float64 // when a connection stands; nil: all do at all times
+	fewest  int                   // Options.MinVoters; 0: as many as founders
+	late    map[string]float64    // how much later messages to a machine come
 }
 
 type host struct {
 	addr   string
+	seeds  []string // nil: the founders
 	node   *Node
 	disk   HardState
 	on     bool
@@ -46,7 +51,8 @@
 }
 
 func newValley(seed uint64, n int) *valley {
-	v := &valley{r: rand.New(rand.NewPCG(seed, 7)), hosts: map[string]*host{}, decided: map[uint64]string{}, cut: map[[2]string]bool{}, risk: 0.01}
+	v := &valley{r: rand.New(rand.NewPCG(seed, 7)), hosts: map[string]*host{}, decided: map[uint64]string{}, cut: map[[2]string]bool{}, risk: 0.01,
+		lose: 0.05, late: map[string]float64{}}
 	for i := range n {
 		v.seeds = append(v.seeds, fmt.Sprint("m", i))
 	}
@@ -59,7 +65,17 @@
 func (v *valley) start(h *host) {
 	v.hosts[h.addr] = h
 	h.on, h.frozen, h.wait = true, 0, ""
-	h.node = New(Options{Addr: h.addr, Seeds: v.seeds, MinVoters: len(v.seeds), HeartbeatInterval: 200, ElectionTimeout: 900, RemoveAfter: 4500, Draw: v.r.Float64}, copyOf(h.disk), v.now)
+	seeds := h.seeds
+	if seeds == nil {
+		seeds = v.seeds
+	}
+	fewest := v.fewest
+	if fewest == 0 {
+		fewest = len(v.seeds)
+	}
+	h.node = New(Options{Addr: h.addr, Seeds: seeds, MinVoters: fewest, HeartbeatInterval: 200, ElectionTimeout: 900,
+		RemoveAfter: 1800, Draw: v.r.Float64}, copyOf(h.disk), v.now)
+	v.dial(h.addr)
 }
 
 func copyOf(h HardState) HardState {
@@ -102,7 +118,7 @@
 }
 
 func (v *valley) post(from string, s Send) {
-	if v.cut[[2]string{from, s.To}] || v.r.Float64() < 0.05 {
+	if v.cut[[2]string{from, s.To}] || !v.stands(from, s.To) || v.r.Float64() < v.lose {
 		return
 	}
 	m := s.Message
@@ -111,7 +127,7 @@
 		m.Entry = &e
 	}
 	for range 1 + v.r.IntN(20)/19 {
-		v.mail = append(v.mail, letter{v.now + 1 + 60*v.r.Float64()*v.r.Float64(), s.To, m})
+		v.mail = append(v.mail, letter{v.now + 1 + v.late[s.To] + 60*v.r.Float64()*v.r.Float64(), s.To, m})
 	}
 }
 
@@ -225,7 +241,8 @@
 		h.on, h.gone = false, true
 		v.lives++
 		addr := fmt.Sprint("n", v.lives)
-		v.start(&host{addr: addr, disk: Empty(fmt.Sprintf("%d@%s", v.lives, addr))})
+		// its seeds are three of the machines that stood before the loss, as the operator's list had them
+		v.start(&host{addr: addr, seeds: live[:3], disk: Empty(fmt.Sprintf("%d@%s", v.lives, addr))})
 		return "replaced"
 	}
 	return "none"
--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -2,7 +2,8 @@
 
 // This file owns elections: when one begins, who gets a vote, and when a leader steps down.
 
-func (n *Node) rest(now float64) { n.waitTil = now + n.o.ElectionTimeout*(1+n.o.Draw()) }
+// rest puts the next election off. Pre-votes keep those apart that wake together, so that half a timeout of spread is enough.
+func (n *Node) rest(now float64) { n.waitTil = now + n.o.ElectionTimeout*(1+0.5*n.o.Draw()) }
 
 // LeaderGone is told when the connection to the leader broke.
 func (n *Node) LeaderGone(addr string, now float64) {
@@ -15,11 +16,8 @@
 func (n *Node) campaign(now float64) {
 	n.waitTil = now + n.o.ElectionTimeout*(0.3+0.5*n.o.Draw()) // a first round binds nobody: it is asked again soon
 	n.role, n.pre, n.votes, n.leader = Candidate, true, map[string]bool{n.HardState.ID: true}, Voter{}
-	if now-n.heardAt > 4*n.o.ElectionTimeout { // it may have been voted out while it was away
-		for _, a := range n.known() {
-			n.send(a, Message{Kind: Join})
-		}
-	}
+	n.preAt = now
+	n.askToJoin() // it may have been voted out while it was away; a leader that counts it among the voters passes over this
 	n.count(now)
 	if n.pre {
 		n.ask(AskPre, n.HardState.Term+1)
@@ -29,7 +27,8 @@
 func (n *Node) ask(kind Kind, term uint64) {
 	for _, v := range n.HardState.Last.Voters {
 		if v.ID != n.HardState.ID {
-			n.send(v.Addr, Message{Kind: kind, Term: term, LastTerm: n.HardState.Last.Term, LastIndex: n.HardState.Last.Index})
+			n.send(v.Addr, Message{Kind: kind, Term: term, LastTerm: n.HardState.Last.Term, LastIndex: n.HardState.Last.Index,
+				Granted: kind == AskVote && n.handed})
 		}
 	}
 }
@@ -48,11 +47,7 @@
 		return
 	}
 	if n.pre {
-		n.rest(now)
-		n.pre, n.votes = false, map[string]bool{n.HardState.ID: true}
-		n.HardState.Term, n.HardState.Vote, n.dirty = n.HardState.Term+1, n.HardState.ID, true
-		n.ask(AskVote, n.HardState.Term)
-		n.count(now)
+		n.stand(now, false)
 		return
 	}
 	n.role, n.leader, n.since, n.current = Leader, n.self(), now, false
@@ -60,6 +55,9 @@
 	for _, v := range n.HardState.Last.Voters {
 		n.peers[v.ID] = &peer{heard: now}
 	}
+	if p := n.peers[n.followed.ID]; p != nil && !n.votes[n.followed.ID] {
+		p.heard = n.followedTill // the old leader's silence did not begin with this election
+	}
 	n.put(n.HardState.Last.Voters, n.HardState.Last.Value, now) // what was accepted before is committed by an entry of this term
 }
 
@@ -75,14 +73,70 @@
 	}
 }
 
+// stand begins a term of its own. handed: the leader asked for it, so that others vote though they hear that leader.
+func (n *Node) stand(now float64, handed bool) {
+	n.waitTil = now + n.o.ElectionTimeout*(0.4+0.6*n.o.Draw()) // a vote takes a round trip and a sync; a split one is tried again soon
+	n.role, n.pre, n.handed, n.leader = Candidate, false, handed, Voter{}
+	n.votes = map[string]bool{n.HardState.ID: true}
+	n.HardState.Term, n.HardState.Vote, n.dirty = n.HardState.Term+1, n.HardState.ID, true
+	n.ask(AskVote, n.HardState.Term)
+	n.count(now)
+}
+
+// Leave is told that this process ends in order: others hear of it, and a leader hands over first. Gone says when it has.
+func (n *Node) Leave(now float64) {
+	if n.leavingAt > 0 {
+		return
+	}
+	n.leavingAt = max(now, 1)
+	for _, a := range n.known() {
+		n.send(a, Message{Kind: Leave})
+	}
+	if n.role == Leader {
+		n.handOver(now)
+	}
+}
+
+// Gone says that nothing waits for this process any more behind Leave.
+func (n *Node) Gone() bool { return n.leavingAt > 0 && n.role != Leader }
+
+// handOver asks the voter that was heard last, of those that hold the leader's entry, to stand for election; behind an entry that
+// is on its way, and another one where the first did not.
+func (n *Node) handOver(now float64) {
+	if n.Busy() || now < n.handAt {
+		return
+	}
+	n.handAt = now + n.o.ElectionTimeout/3
+	var best Voter
+	heard := 0.0
+	for _, v := range n.HardState.Last.Voters {
+		p := n.peers[v.ID]
+		if v.ID != n.HardState.ID && p != nil && !n.lacks(p) && !n.left[v.ID] && p.heard > heard {
+			best, heard = v, p.heard
+		}
+	}
+	if best.ID != "" {
+		n.send(best.Addr, Message{Kind: HandOver, Term: n.HardState.Term})
+		n.peers[best.ID].heard = heard - 2*n.o.HeartbeatInterval // the next try is another's
+	}
+}
+
+// goesFirst says that this node has just asked the same question and goes before the sender, by its id: two that wake together
+// would else split the votes. It holds for about a round trip, so that one that can't win blocks nobody for long.
+func (n *Node) goesFirst(m *Message, now float64) bool {
+	return n.role == Candidate && n.pre && n.HardState.ID < m.From.ID && now-n.preAt < 0.15*n.o.ElectionTimeout &&
+		m.LastTerm == n.HardState.Last.Term && m.LastIndex == n.HardState.Last.Index
+}
+
 func (n *Node) vote(m *Message, now float64) {
 	fresh := m.LastTerm > n.HardState.Last.Term || m.LastTerm == n.HardState.Last.Term && m.LastIndex >= n.HardState.Last.Index
 	led := n.role == Leader || n.leader.ID != "" && n.leader.ID != m.From.ID && now-n.heardAt < n.o.ElectionTimeout
 	if m.Kind == AskPre {
-		n.send(m.From.Addr, Message{Kind: GivePre, Term: m.Term, Granted: fresh && !led && m.Term > n.HardState.Term && n.HardState.Last.Index > 0})
+		granted := fresh && !led && !n.goesFirst(m, now) && m.Term > n.HardState.Term && n.HardState.Last.Index > 0
+		n.send(m.From.Addr, Message{Kind: GivePre, Term: m.Term, Granted: granted})
 		return
 	}
-	if led && m.Term > n.HardState.Term {
+	if led && !m.Granted && m.Term > n.HardState.Term {
 		return // a leader that others follow is not unseated
 	}
 	n.raise(m.Term, now)
--- a/internal/consensus/exhaustive_test.go
+++ b/internal/consensus/exhaustive_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"maps"
 	"math/rand/v2"
 	"os"
 	"slices"
@@ -45,6 +46,7 @@
 		}
 		m.rounds = map[uint64]float64{}
 		m.joins = map[string]joiner{}
+		m.left = maps.Clone(n.left)
 		c.nodes[i] = &m
 		c.disks[i] = copyOf(s.disks[i])
 	}
--- a/internal/consensus/membership.go
+++ b/internal/consensus/membership.go
@@ -9,6 +9,9 @@
 	"strconv"
 )
 
+// maxJoins bounds the machines that wait to vote; the core is a few.
+const maxJoins = 64
+
 type joiner struct {
 	v  Voter
 	at float64
@@ -79,46 +82,110 @@
 
 func (n *Node) known() []string {
 	all := slices.Clone(n.o.Seeds)
-	for _, v := range n.HardState.Last.Voters {
-		if !slices.Contains(all, v.Addr) {
+	for _, v := range append(slices.Clone(n.HardState.Last.Voters), n.leader, n.followed) { // who wrote to an earlier life of this disk too
+		if v.Addr != "" && !slices.Contains(all, v.Addr) {
 			all = append(all, v.Addr)
 		}
 	}
 	return slices.DeleteFunc(all, func(a string) bool { return a == n.o.Addr })
 }
 
+// takeJoin notes at the leader that a machine wants to vote.
+func (n *Node) takeJoin(v Voter, now float64) {
+	if n.isVoter(v.ID) || len(n.joins) >= maxJoins {
+		return
+	}
+	if _, known := n.joins[v.ID]; !known {
+		n.peers[v.ID] = &peer{heard: now}
+	}
+	n.joins[v.ID] = joiner{v, now}
+}
+
+func (n *Node) askToJoin() {
+	for _, a := range n.known() {
+		n.send(a, Message{Kind: Join})
+	}
+}
+
+// joinLag is how many entries a joiner may be behind. Each message brings it the whole value, so that one that answers is as good
+// as brought up; to wait for the newest entry would keep it out for as long as changes come faster than it answers.
+const joinLag = 8
+
 // tend changes who votes: one step at a time, and only behind an entry of its own term.
+//
+// One that must go and one that comes change places in two steps, the removal first: with 2 tolerate + 1 voters, of which one is
+// gone, the 2 tolerate that are left commit on as many disks as before (tolerate + 1), and neither step needs the joiner. In the
+// other order 2 tolerate + 2 would vote between the steps, of which the gone one and the joiner, if that fails too, are half.
 func (n *Node) tend(now float64) {
-	if n.Busy() || now-n.since < n.o.ElectionTimeout {
+	if n.Busy() {
 		return
 	}
+	last := &n.HardState.Last
+	joiner, joins := n.nextJoiner(now)
+	if i := slices.IndexFunc(last.Voters, func(v Voter) bool { return v.Addr == joiner.Addr }); joins && i >= 0 {
+		voters := slices.Clone(last.Voters)
+		voters[i] = joiner // the same machine with another disk: the old life's is gone for certain
+		delete(n.joins, joiner.ID)
+		n.put(voters, last.Value, now)
+		return
+	}
+	fewest := max(n.o.MinVoters, 1)
+	if gone := n.longestGone(now); gone >= 0 && (len(last.Voters) > fewest || len(last.Voters) == fewest && joins) {
+		voters := slices.Delete(slices.Clone(last.Voters), gone, gone+1)
+		if n.answering(voters, now) >= majority(voters) {
+			n.put(voters, last.Value, now)
+			return
+		}
+	}
+	if joins {
+		delete(n.joins, joiner.ID)
+		n.put(append(slices.Clone(last.Voters), joiner), last.Value, now)
+	}
+}
+
+// nextJoiner gives a machine that wants to vote, answers, and has nearly all.
+func (n *Node) nextJoiner(now float64) (Voter, bool) {
 	last := &n.HardState.Last
 	for _, id := range slices.Sorted(maps.Keys(n.joins)) {
-		j, p := n.joins[id], n.peers[id]
 		if n.isVoter(id) {
 			delete(n.joins, id)
 			continue
 		}
-		if p == nil || p.index != last.Index || p.term != last.Term || now-p.heard > 2*n.o.HeartbeatInterval+n.o.ElectionTimeout {
-			continue // it is brought up first
-		}
-		delete(n.joins, id)
-		voters := slices.Clone(last.Voters)
-		if i := slices.IndexFunc(voters, func(v Voter) bool { return v.Addr == j.v.Addr }); i >= 0 {
-			voters[i] = j.v // the same machine with another disk: the old life's is gone for certain
-		} else {
-			voters = append(voters, j.v)
+		p := n.peers[id]
+		if p != nil && p.term == last.Term && p.index+joinLag >= last.Index && now-p.heard < n.answerWithin() {
+			return n.joins[id].v, true
 		}
-		n.put(voters, last.Value, now)
-		return
 	}
-	if len(last.Voters) <= max(n.o.MinVoters, 1) {
-		return
+	return Voter{}, false
+}
+
+// answerWithin is how long ago the last answer of a machine may be that counts as alive for a change of voters.
+func (n *Node) answerWithin() float64 { return n.o.ElectionTimeout + 2*n.o.HeartbeatInterval }
+
+// longestGone gives the place of the voter that said that it ends, or else of the one that is silent for longest; below 0: none is.
+func (n *Node) longestGone(now float64) int {
+	found, longest := -1, n.o.RemoveAfter
+	for i, v := range n.HardState.Last.Voters {
+		p := n.peers[v.ID]
+		if v.ID == n.HardState.ID || p == nil {
+			continue
+		}
+		if n.left[v.ID] {
+			return i
+		}
+		if silent := now - p.heard; silent > longest {
+			found, longest = i, silent
+		}
 	}
-	for i, v := range last.Voters {
-		if p := n.peers[v.ID]; v.ID != n.HardState.ID && p != nil && now-p.heard > n.o.RemoveAfter {
-			n.put(slices.Delete(slices.Clone(last.Voters), i, i+1), last.Value, now)
-			return
+	return found
+}
+
+// answering counts the voters that answer, this node with them.
+func (n *Node) answering(voters []Voter, now float64) (count int) {
+	for _, v := range voters {
+		if p := n.peers[v.ID]; v.ID == n.HardState.ID || p != nil && now-p.heard < n.answerWithin() {
+			count++
 		}
 	}
+	return count
 }
--- a/internal/consensus/replication.go
+++ b/internal/consensus/replication.go
@@ -9,7 +9,7 @@
 
 // Propose offers a value behind the last one. False: not now.
 func (n *Node) Propose(value []byte, now float64) (Entry, bool) {
-	if !n.Ready() || n.Busy() {
+	if !n.Ready() || n.Busy() || n.leavingAt > 0 {
 		return Entry{}, false
 	}
 	n.put(n.HardState.Last.Voters, value, now)
@@ -73,12 +73,17 @@
 	if n.HardState.CommitOf == last.Term {
 		m.Commit = n.HardState.Commit
 	}
-	if (p.term != last.Term || p.index != last.Index) && (p.sent != last.Index || now-p.sentAt > 4*n.o.HeartbeatInterval) {
-		m.Entry, p.sent, p.sentAt = last, last.Index, now
+	if n.lacks(p) && (p.sent != last.Index || now-p.sentAt > 4*n.o.HeartbeatInterval) {
+		m.Entry, p.sent, p.sentAt, p.sentRound = last, last.Index, now, n.round
 	}
 	n.send(v.Addr, m)
 }
 
+// lacks says that a voter is not known to hold the leader's entry.
+func (n *Node) lacks(p *peer) bool {
+	return p.term != n.HardState.Last.Term || p.index != n.HardState.Last.Index
+}
+
 // advance commits what a majority holds, and lets the lead go where a majority is silent.
 func (n *Node) advance(now float64) {
 	last := &n.HardState.Last
@@ -108,6 +113,7 @@
 	}
 	if have >= majority(last.Voters) && last.Term == n.HardState.Term && (n.HardState.Commit < last.Index || n.HardState.CommitOf != last.Term) {
 		n.HardState.Commit, n.HardState.CommitOf, n.current = last.Index, last.Term, true
+		n.decided = *last
 		n.beatAt = now // followers are told
 		if !n.isVoter(n.HardState.ID) {
 			n.follow(Voter{}, now)
@@ -124,13 +130,18 @@
 	}
 	if m.Term == n.HardState.Term {
 		n.heardAt = now
+		n.followed, n.followedTill = m.From, now
 		n.rest(now)
 		last := &n.HardState.Last
+		if last.Term == m.LastTerm && last.Index > n.decided.Index && m.Commit >= last.Index {
+			n.decided = *last // the entry that is replaced below was committed: its leader wrote the next one behind it
+		}
 		if e := m.Entry; e != nil && (e.Term > last.Term || e.Term == last.Term && e.Index > last.Index) {
 			n.HardState.Last, n.dirty = *e, true
 		}
 		if last.Term == m.LastTerm && last.Index == m.LastIndex && m.Commit >= last.Index {
 			n.HardState.Commit, n.HardState.CommitOf = last.Index, last.Term // not synced for its own sake: it is learned again
+			n.decided = *last
 		}
 	}
 	n.send(m.From.Addr, Message{Kind: Appended, Term: n.HardState.Term, LastTerm: n.HardState.Last.Term, LastIndex: n.HardState.Last.Index, Round: m.Round})
--- a/internal/controlplane/consensus_loop.go
+++ b/internal/controlplane/consensus_loop.go
@@ -26,6 +26,7 @@
 const (
 	heartbeatInterval  = 200 * time.Millisecond
 	electionTimeout    = 900 * time.Millisecond
+	removeAfter        = 2 * electionTimeout // by then a leader that hears no majority has stepped down; a removed voter that lives joins again
 	requestTimeout     = 3 * time.Second
 	maxPendingRequests = 64
 	diskWrongs         = 20
@@ -72,7 +73,7 @@
 	}
 	c := &consensusLoop{h: h, store: store, q: commandqueue.New(h.ctx, 256)}
 	c.node = consensus.New(consensus.Options{Addr: s.Ctl, Seeds: s.Peers, MinVoters: 2*s.TolerateNodes + 1,
-		HeartbeatInterval: ms(heartbeatInterval), ElectionTimeout: ms(electionTimeout), RemoveAfter: 5 * ms(electionTimeout), Draw: h.draw}, hard, h.now())
+		HeartbeatInterval: ms(heartbeatInterval), ElectionTimeout: ms(electionTimeout), RemoveAfter: ms(removeAfter), Draw: h.draw}, hard, h.now())
 	c.commits()
 	return c, nil
 }
