--- a/internal/controlplane/consensus_loop.go
+++ b/internal/controlplane/consensus_loop.go
@@ -28,6 +28,8 @@
 	electionTimeout    = 900 * time.Millisecond
 	removeAfter        = electionTimeout * 7 / 4 // before a leader that hears no majority of the voters steps down, at twice the timeout
 	requestTimeout     = 3 * time.Second
+	leaveTimeout       = time.Second           // for which a process that ends in order waits until the lead is another's, or it votes no longer
+	leaveLinger        = 50 * time.Millisecond // in which its last messages are written
 	maxPendingRequests = 64
 	diskWrongs         = 20
 )
@@ -37,12 +39,14 @@
 	node  *consensus.Node
 	store *store.Store
 	q     *commandqueue.Queue
+	end   context.CancelFunc // behind Leave: the queue outlives the process's own context by that
 	asks  []*pendingRequest
 
 	state *config.State
 	seen  [2]uint64
 	known uint64 // gen told to the tables
 	led   bool
+	leads consensus.Voter // who is followed; its own where it leads
 	voted string
 	wrong int
 
@@ -71,7 +75,8 @@
 			return nil, err
 		}
 	}
-	c := &consensusLoop{h: h, store: store, q: commandqueue.New(h.ctx, 256)}
+	ctx, end := context.WithCancel(context.Background())
+	c := &consensusLoop{h: h, store: store, q: commandqueue.New(ctx, 256), end: end}
 	c.node = consensus.New(consensus.Options{Addr: s.Ctl, Seeds: s.Peers, MinVoters: 2*s.TolerateNodes + 1,
 		HeartbeatInterval: ms(heartbeatInterval), ElectionTimeout: ms(electionTimeout), RemoveAfter: ms(removeAfter), Draw: h.draw}, hard, h.now())
 	c.commits()
@@ -85,11 +90,18 @@
 func (c *consensusLoop) run(ctx context.Context) {
 	tick := time.NewTicker(50 * time.Millisecond)
 	defer tick.Stop()
+	defer c.store.Close()
+	defer c.end()
+	ended, leaveBy := ctx.Done(), math.Inf(1)
 	for {
 		select {
-		case <-ctx.Done():
-			c.store.Close()
-			return
+		case <-ended:
+			if context.Cause(ctx) != context.Canceled { // a failure: nothing more is said
+				return
+			}
+			ended, leaveBy = nil, c.h.now()+ms(leaveTimeout)
+			c.node.Leave(c.h.now())
+			c.h.log.Event(events.Leaving, "leads", c.led)
 		case f := <-c.q.C:
 			f()
 			for more := true; more; { // what came together costs one sync
@@ -104,6 +116,10 @@
 		}
 		c.node.Tick(c.h.now())
 		c.settle()
+		if ended == nil && (c.node.Gone(c.h.now()) || c.h.now() > leaveBy) {
+			time.Sleep(leaveLinger)
+			return
+		}
 	}
 }
 
@@ -138,6 +154,10 @@
 			break
 		}
 	}
+	if leader, _ := c.node.Leading(); leader != c.leads {
+		c.h.calls.lost(c.leads.Addr)
+		c.leads = leader
+	}
 	if leads := c.node.Ready(); leads != c.led {
 		c.led = leads
 		if leads {
--- a/internal/controlplane/controlplane.go
+++ b/internal/controlplane/controlplane.go
@@ -40,16 +40,15 @@
 	mu    sync.Mutex
 	cores map[string]*coreLink // by mesh address
 
-	pendMu  sync.Mutex
-	pending map[uint64]chan *controlmsg.Response
-	number  uint64
+	calls forwarder
 }
 
 type coreLink struct{ l *link }
 
 // Run serves until ctx ends, or a failure that can't be served with.
 func Run(ctx context.Context, s *settings.Settings, log events.Log) error {
-	h := &Server{set: s, log: log, start: time.Now(), cores: map[string]*coreLink{}, pending: map[uint64]chan *controlmsg.Response{}}
+	h := &Server{set: s, log: log, start: time.Now(), cores: map[string]*coreLink{}}
+	h.calls.pending = map[uint64]*forwarded{}
 	h.ctx, h.cancel = context.WithCancelCause(ctx)
 	var err error
 	if h.loop, err = openConsensusLoop(h); err != nil {
@@ -79,9 +78,9 @@
 	go h.tables.run()
 	log.Event(events.Started, "ctl", s.Ctl, "mesh", mesh.Addr().String())
 	<-h.ctx.Done()
+	<-done
 	server.Close()
 	mesh.Close()
-	<-done
 	if cause := context.Cause(h.ctx); cause != context.Canceled {
 		return cause
 	}
@@ -117,6 +116,7 @@
 	}, h.take, func() {
 		set(nil)
 		h.log.Event(events.LinkDown, "core", ctl)
+		h.calls.lost(ctl)
 		h.loop.do(func() { h.loop.node.LeaderGone(ctl, h.now()) })
 	})
 }
@@ -166,48 +166,8 @@
 		return
 	}
 	if f.Response != nil {
-		h.pendMu.Lock()
-		ch := h.pending[f.Response.Number]
-		delete(h.pending, f.Response.Number)
-		h.pendMu.Unlock()
-		if ch != nil {
-			ch <- f.Response
-		}
+		h.calls.answer(f.Response)
 		return
 	}
 	h.tables.do(func() { h.tables.take(l, f) })
 }
-
-// call answers an operator's call, here or at who leads.
-func (h *Server) call(a controlmsg.Request) (int, []byte) {
-	ch := make(chan *controlmsg.Response, 1)
-	h.pendMu.Lock()
-	h.number++
-	a.Number = h.number
-	h.pending[a.Number] = ch
-	h.pendMu.Unlock()
-	a.Node = h.set.Hostname
-	h.loop.do(func() {
-		leader, known := h.loop.node.Leading()
-		switch {
-		case known && leader.ID == h.loop.node.HardState.ID:
-			h.loop.take(&pendingRequest{Request: a, reply: func(status int, body []byte) { ch <- &controlmsg.Response{Status: status, Body: body} }})
-		case known && h.sendCore(leader.Addr, &controlmsg.Frame{Request: &a}):
-		default:
-			ch <- &controlmsg.Response{Status: 503, Body: []byte("nobody is known to lead the core\n")}
-		}
-	})
-	defer func() {
-		h.pendMu.Lock()
-		delete(h.pending, a.Number)
-		h.pendMu.Unlock()
-	}()
-	select {
-	case ans := <-ch:
-		return ans.Status, ans.Body
-	case <-time.After(requestTimeout):
-		return 503, []byte("no answer from who leads the core\n")
-	case <-h.ctx.Done():
-		return 503, []byte("stopping\n")
-	}
-}
--- a/internal/controlplane/requests.go
+++ b/internal/controlplane/requests.go
@@ -45,7 +45,7 @@
 			continue
 		}
 		if !c.node.Ready() {
-			a.reply(503, []byte("this machine leads no longer; ask again\n"))
+			a.reply(statusNotLeading, []byte("this machine leads no longer; ask again\n"))
 			continue
 		}
 		if !c.one(a, now, &blocked) {
--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -34,6 +34,7 @@
 	VotersChange Event = 204
 	DiskFailed   Event = 205
 	Joining      Event = 206
+	Leaving      Event = 207
 	ConfigTaken  Event = 301
 	ConfigNot    Event = 302
 	ConfigSeen   Event = 303
@@ -74,6 +75,7 @@
 	VotersChange: "the core agreed on other voters",
 	DiskFailed:   "the disk refused or failed; this machine gives no vote until it works",
 	Joining:      "an empty machine asks the core to become a voter",
+	Leaving:      "this machine of the core ends in order: it hands the lead on, and asks to be voted out where enough others vote",
 	ConfigTaken:  "a configuration is on a majority of disks and was acknowledged",
 	ConfigNot:    "a configuration was refused, with the reason",
 	ConfigSeen:   "a proxy goes by this configuration from now on",
