--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -36,6 +36,7 @@
 	Joining      Event = 206
 	ContactHeld  Event = 207
 	ContactLost  Event = 208
+	Leaving      Event = 209
 	ConfigTaken  Event = 301
 	ConfigNot    Event = 302
 	ConfigSeen   Event = 303
@@ -80,6 +81,7 @@
 	Joining:      "an empty machine asks the core to become a voter",
 	ContactHeld:  "this machine of the core has contact with a majority again: it answers calls and keeps agents",
 	ContactLost:  "this machine of the core has no contact with a majority: it answers 503, and its agents look for another",
+	Leaving:      "this machine of the core ends in order: it hands the lead on, and asks to be voted out where enough others vote",
 	ConfigTaken:  "a configuration is on a majority of disks and was acknowledged",
 	ConfigNot:    "a configuration was refused, with the reason",
 	ConfigSeen:   "a proxy goes by this configuration from now on",
