--- a/internal/memberconn/memberconn.go
+++ b/internal/memberconn/memberconn.go
@@ -1,6 +1,10 @@
 // Package memberconn is a connection to a member: how it is made, and how texts and answers go over it.
 //
-// This file owns its socket. The proxy's pools, its probes and the core's questions use it; it decides nothing.
+// The proxy's pools, its probes and the core's questions use it; it decides nothing.
+//
+// Answers bear no id: which question one belongs to is told by their order on the connection alone. So a connection takes the next
+// batch only once each question of the last one was answered in full; one on which anything went wrong takes none, and is no use but
+// to be closed. Whoever pools connections asks Settled.
 package memberconn
 
 import (
@@ -14,6 +18,7 @@
 	"github.com/samber/oops"
 
 	"weirwind/internal/directory"
+	"weirwind/internal/repeat"
 	"weirwind/internal/transport"
 	"weirwind/internal/wire"
 )
@@ -29,8 +34,14 @@
 	C   net.Conn
 	R   *wire.Reader
 	Pos wire.Position // by its last answer
+
+	owed   []bool // questions that wait for their answer, in order: whether one is the system's own
+	broken bool   // an answer was lost, cut short or not understood
 }
 
+// own is the id of the system's own questions, whose answers bear no stamp.
+const own = "-"
+
 // ErrRefused is the error of a member that took the connection and has no place for it.
 var ErrRefused = errors.New("refused")
 
@@ -118,15 +129,55 @@
 	b.WriteString("\r\n")
 }
 
-// Write sends a batch.
+// ErrUnsettled is the error of a batch for a connection that has not answered the last one, or never will.
+var ErrUnsettled = errors.New("an answer is owed on this connection")
+
+// Settled says whether the connection may carry another's questions: nothing is owed, and nothing came that nobody asked for.
+func (c *Conn) Settled() bool { return !c.broken && len(c.owed) == 0 && c.R.Buffered() == 0 }
+
+// Write sends a batch of questions. What fails may have come to the member all the same, but where not a byte was taken.
 func (c *Conn) Write(batch string, until time.Time) error {
+	if !c.Settled() {
+		c.broken = true
+		return &repeat.Unanswered{Progress: repeat.Unsent, Err: ErrUnsettled}
+	}
+	for line := range strings.Lines(batch) {
+		_, rest := wire.Cut(line)
+		id, _ := wire.Cut(rest)
+		c.owed = append(c.owed, id == own)
+	}
 	c.C.SetDeadline(until)
-	_, err := io.WriteString(c.C, batch)
-	return err
+	n, err := io.WriteString(c.C, batch)
+	if err == nil {
+		return nil
+	}
+	c.broken = true
+	progress := repeat.Sent
+	if n == 0 {
+		progress = repeat.Unsent
+	}
+	return &repeat.Unanswered{Progress: progress, Err: err}
 }
 
-// Read reads one answer. spill takes rows that are too many to keep; nil: they are kept.
+// Read reads the answer to the first question that waits for one. spill takes rows that are too many to keep; nil: they are kept.
 func (c *Conn) Read(spill func([]string) error) (Reply, error) {
+	if c.broken || len(c.owed) == 0 {
+		c.broken = true
+		return Reply{}, &repeat.Unanswered{Progress: repeat.Sent, Err: errors.New("no answer is owed on this connection")}
+	}
+	a, err := c.read(spill)
+	if mine := c.owed[0]; err == nil && mine && a.Done && a.Text != wire.NoStamp {
+		err = oops.In("answer").Errorf("a member answered a question of ours as another's: %.40q", a.Text)
+	}
+	if err != nil {
+		c.broken = true
+		return a, &repeat.Unanswered{Progress: repeat.Sent, Err: err}
+	}
+	c.owed = c.owed[1:]
+	return a, nil
+}
+
+func (c *Conn) read(spill func([]string) error) (Reply, error) {
 	var a Reply
 	size, ended := 0, false
 	for {
@@ -166,7 +217,7 @@
 // Ask puts one question of the system's own and gives its rows' fields; a refusal is an error.
 func (c *Conn) Ask(text string, until time.Time) ([]string, error) {
 	var b strings.Builder
-	Query(&b, "-", text)
+	Query(&b, own, text)
 	if err := c.Write(b.String(), until); err != nil {
 		return nil, err
 	}
--- a/internal/proxy/desk.go
+++ b/internal/proxy/desk.go
@@ -318,7 +318,7 @@
 // rest keeps a connection for later, or closes it where it may not be kept.
 func (d *desk) rest(g *memberGroup, m *group.Member, c *conn) {
 	p := g.pool(m.ID)
-	if m.Gone || m.Draining || g.g.Members[m.ID] != m || p.open > d.share(g) {
+	if m.Gone || m.Draining || g.g.Members[m.ID] != m || p.open > d.share(g) || !c.Settled() {
 		c.Close()
 		p.open--
 		return
--- a/internal/proxy/session.go
+++ b/internal/proxy/session.go
@@ -41,6 +41,7 @@
 	tx     *transaction
 	on     string  // ON shard epoch, in front of a statement of a sharded route
 	heard  float64 // when it was last answered
+	passed bool    // rows of the statement's answer went to the client before its end
 
 	mu      sync.Mutex
 	resting bool
--- a/internal/proxy/statement.go
+++ b/internal/proxy/statement.go
@@ -11,6 +11,7 @@
 	"weirwind/internal/config"
 	"weirwind/internal/group"
 	"weirwind/internal/memberconn"
+	"weirwind/internal/repeat"
 	"weirwind/internal/sessionstate"
 	"weirwind/internal/shard/shardnode"
 	"weirwind/internal/wire"
@@ -72,15 +73,33 @@
 		if err != nil {
 			return err
 		}
-		if !a.Done || a.Text != "-" {
+		if !a.Done || a.Text != wire.NoStamp {
 			return errors.New("a member refused what goes before a statement: " + a.Text)
 		}
 	}
 	return nil
 }
 
-// pass gives rows that are too many to keep to the client.
+// kindOf says what a second run of a statement would do, outside a transaction or as its COMMIT. Statements inside a transaction are not
+// put again at all: it ends with its connection. BEGIN is idempotent, as the end of its connection rolls it back.
+func kindOf(write bool) repeat.Kind {
+	if write {
+		return repeat.Once
+	}
+	return repeat.Idempotent
+}
+
+// stamped makes a success that bears no member's stamp an error: it belongs to another question, and this one has no answer.
+func stamped(a *memberconn.Reply, err error) error {
+	if err == nil && a.Done && a.Text == wire.NoStamp {
+		return &repeat.Unanswered{Progress: repeat.Sent, Err: errors.New("a success without a stamp")}
+	}
+	return err
+}
+
+// pass gives rows that are too many to keep to the client. From then on no other member may answer the statement.
 func (s *session) pass(rows []string) error {
+	s.passed = true
 	for _, r := range rows {
 		s.say(r)
 	}
@@ -107,6 +126,8 @@
 func (s *session) single(id, text string, t wire.Text, r *config.Route, at float64) {
 	until := at + r.Timeout - margin
 	write := s.writes(t)
+	kind := kindOf(write)
+	s.passed = false
 	w := &waiter{at: at, until: until, sum: s.kept.Sum()}
 	if w.commit = write; write {
 		w.need = group.Need{Write: true}
@@ -127,14 +148,21 @@
 		case err != nil:
 			c.Close()
 			s.done(g, nil, g.sent, group.NoAnswer, wire.Position{})
-			if write && r.Shard != "" {
+			switch {
+			case s.passed:
+				s.fail(wire.Retry, comeBack, wire.Idle)
+				return
+			case kind.May(err):
+			case r.Shard != "":
 				s.settle(r, id, at, until)
 				return
-			}
-			if write {
+			default:
 				s.fail(wire.Unknown, "no answer came from "+g.rec.ID, wire.Idle)
 				return
 			}
+			if write { // the member that leads is where it was
+				continue
+			}
 			w.avoid = append(w.avoid, g.rec.ID)
 			if w.need.Fresh {
 				w.avoid = nil
@@ -148,7 +176,7 @@
 			s.answer(a, wire.Idle)
 			return
 		}
-		if a.State != wire.Idle { // what it left open is rolled back with its connection
+		if a.State != wire.Idle || a.Code == wire.NoStmt { // what it left open is rolled back, and what it lacks prepared anew, with another connection
 			c.Close()
 			c = nil
 		}
@@ -174,7 +202,7 @@
 			s.fail(wire.Retry, comeBack, wire.Idle)
 			return
 		case wire.Failed, wire.Timeout:
-			if !write && try == 0 && !w.need.Fresh {
+			if !write && try == 0 && !w.need.Fresh && !s.passed {
 				w.avoid = append(w.avoid, g.rec.ID)
 				continue
 			}
@@ -235,7 +263,7 @@
 		}
 		return s.pass(rows)
 	})
-	if err != nil {
+	if err = stamped(&a, err); err != nil {
 		return nil, 0, err
 	}
 	word := wordOf(&a)
@@ -254,6 +282,9 @@
 	return &a, word, nil
 }
 
+// ran says whether a member that failed a statement by a code may have run it.
+func ran(code string) bool { return code == wire.Failed || code == wire.Timeout }
+
 func wordOf(a *memberconn.Reply) group.Word {
 	switch a.Code {
 	case wire.ReadOnly:
@@ -290,15 +321,16 @@
 		if err == nil {
 			a, err = c.Read(s.pass)
 		}
-		if err != nil {
+		if err = stamped(&a, err); err != nil {
 			s.p.desk.do(func() { s.p.desk.heard(g, sent, group.NoAnswer, wire.Position{}) })
 			s.leave(x, nil)
-			if t.Verb == "COMMIT" && x.wrote && x.route.Shard != "" {
+			kept := t.Verb == "COMMIT" && x.wrote && repeat.Ran(err) // else it is rolled back with its connection
+			if kept && x.route.Shard != "" {
 				s.tx = nil
 				s.settle(x.route, id, at, until)
 				return
 			}
-			if t.Verb == "COMMIT" && x.wrote {
+			if kept {
 				s.tx = nil
 				s.fail(wire.Unknown, "no answer to the commit came from "+g.rec.ID, wire.Idle)
 				return
@@ -316,7 +348,7 @@
 			continue
 		}
 		x.ran = true
-		if a.Done && s.writes(t) {
+		if s.writes(t) && (a.Done || ran(a.Code)) {
 			x.wrote = true
 		}
 		if t.Verb == "COMMIT" {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -35,6 +35,9 @@
 	Bye    = "BYE"
 )
 
+// NoStamp stands where a success bears no stamp, as what the system answers itself and what it asks for itself.
+const NoStamp = "-"
+
 // States of a session.
 const (
 	Idle   = "I"
