--- /dev/null
+++ b/internal/config/state.go
@@ -0,0 +1,167 @@
+package config
+
+// This file owns changes: which are known as taken, and what state follows when one is taken.
+
+import (
+	"bytes"
+	"crypto/sha256"
+	"fmt"
+	"slices"
+
+	"weirwind/internal/session/sites"
+	"weirwind/internal/shard/shardmap"
+)
+
+// Change is what an operator sends.
+type Change struct {
+	Amend bool
+	Base  uint64 // the version that it is built on
+	Body  []byte
+}
+
+// Digest tells exact repeats from other changes.
+func (c *Change) Digest() [32]byte {
+	h := sha256.New()
+	fmt.Fprintf(h, "%v %d ", c.Amend, c.Base)
+	h.Write(c.Body)
+	return [32]byte(h.Sum(nil))
+}
+
+// Past is a change that was taken.
+type Past struct {
+	Gen    uint64   `cbor:"1,keyasint"`
+	Base   uint64   `cbor:"2,keyasint"`
+	Digest [32]byte `cbor:"3,keyasint"`
+	Node   string   `cbor:"4,keyasint"` // machine of the core that was called
+	At     int64    `cbor:"5,keyasint"` // its time of day in milliseconds, for people; nothing decides by it
+}
+
+// mostPast is how many changes repeats are told by. Any number is safe, as what is older is left without a clear answer; each costs
+// some eighty bytes of every entry. At 22,000 changes a day it is twenty minutes, and callers send again within seconds.
+const mostPast = 512
+
+// State is the operator's word: the newest configuration as it was sent, and which changes led to it.
+type State struct {
+	Gen  uint64 `cbor:"1,keyasint"`
+	Raw  []byte `cbor:"2,keyasint"`
+	Past []Past `cbor:"3,keyasint"`
+
+	Shards *shardmap.Map `cbor:"4,keyasint,omitempty"` // who holds which; nil: none were founded
+	Sites  *sites.Map    `cbor:"5,keyasint,omitempty"` // that hold open sessions; nil: there are none
+	Roster Roster        `cbor:"9,keyasint,omitempty"` // members that may hold an acknowledged commit
+}
+
+// WithShards gives the book with a change of who holds which shard. The same book: it was taken before.
+func (b *State) WithShards(c *shardmap.Change) (*State, error) {
+	m, err := b.Shards.Apply(c)
+	if err != nil {
+		return nil, refuse(409, "shards", "%v", err)
+	}
+	if m == b.Shards {
+		return b, nil
+	}
+	next := *b
+	next.Shards = m
+	return &next, nil
+}
+
+// Undecided is why neither yes nor no can be said of a change: its caller is to send it again.
+type Undecided struct {
+	Reason string
+	Text   string
+	Later  bool // a change that is under way may decide it
+}
+
+func (u *Undecided) Error() string { return u.Text }
+
+// Taken says whether exactly this change was taken, among those that are remembered.
+func (b *State) Taken(c *Change) bool {
+	d := c.Digest()
+	return slices.ContainsFunc(b.Past, func(p Past) bool { return p.Digest == d })
+}
+
+// remembered is the oldest base of which it is known what was taken on it.
+func (b *State) remembered() uint64 {
+	if len(b.Past) == 0 {
+		return b.Gen
+	}
+	return b.Past[0].Base
+}
+
+// fits says whether a change that is not remembered may follow: each version has one successor. A base behind is refused for ever,
+// but where that is so long ago that this very change may be the one that was taken on it.
+func (b *State) fits(base uint64) error {
+	switch {
+	case base > b.Gen:
+		return &Undecided{"base_ahead", fmt.Sprintf("version %d, on which it builds, is not in place; version %d is", base, b.Gen), true}
+	case base < b.remembered():
+		return &Undecided{"forgotten", fmt.Sprintf("which change was taken on version %d is no longer known; version %d is in place", base, b.Gen), false}
+	case base < b.Gen:
+		return refuse(412, "other_base", "version %d is in place, not %d", b.Gen, base)
+	}
+	return nil
+}
+
+// Apply makes of a state and a change that was not taken before the next state, or says why not: a Refusal holds in all states that
+// can follow this one, too.
+func (b *State) Apply(c *Change, node string, at int64) (*State, error) {
+	gen, err := c.gen() // what is wrong by itself is so on any base
+	if err != nil {
+		return nil, err
+	}
+	if gen <= c.Base && c.Base > b.Gen {
+		return nil, refuse(400, "old_version", "its gen %d is not higher than %d, on which it builds", gen, c.Base)
+	}
+	if err := b.fits(c.Base); err != nil {
+		return nil, err
+	}
+	if gen <= b.Gen {
+		return nil, refuse(400, "old_version", "its gen %d is not higher than %d, which is in place", gen, b.Gen)
+	}
+	raw := c.Body
+	if c.Amend {
+		if raw, err = b.amended(c.Body); err != nil {
+			return nil, err
+		}
+		if _, err := Read(raw); err != nil {
+			return nil, err
+		}
+	}
+	past := append(slices.Clone(b.Past), Past{gen, c.Base, c.Digest(), node, at})
+	if len(past) > mostPast {
+		past = past[len(past)-mostPast:]
+	}
+	next := *b
+	next.Gen, next.Raw, next.Past = gen, bytes.Clone(raw), past
+	return &next, nil
+}
+
+// gen reads which version a change makes.
+func (c *Change) gen() (uint64, error) {
+	if c.Amend {
+		a, err := readAmendment(c.Body)
+		if err != nil {
+			return 0, err
+		}
+		return *a.Gen, nil
+	}
+	cfg, err := Read(c.Body)
+	if err != nil {
+		return 0, err
+	}
+	return cfg.Gen, nil
+}
+
+// WithSites gives the book with a change of the sites. The same book: it was so before.
+func (b *State) WithSites(c *sites.Change) (*State, error) {
+	m, err := b.Sites.Apply(c)
+	if err != nil {
+		return nil, refuse(409, "sites", "%v", err)
+	}
+	if m == b.Sites {
+		return b, nil
+	}
+	next := *b
+	next.Sites = m
+	return &next, nil
+}
--- a/internal/controlplane/consensus_loop.go
+++ b/internal/controlplane/consensus_loop.go
@@ -20,6 +20,7 @@
 	"weirwind/internal/consensus/store"
 	"weirwind/internal/controlmsg"
 	"weirwind/internal/events"
+	"weirwind/internal/orders"
 )
 
 // Times of the agreement.
@@ -35,12 +36,12 @@
 )
 
 type consensusLoop struct {
-	h     *Server
-	node  *consensus.Node
-	store *store.Store
-	q     *commandqueue.Queue
-	end   context.CancelFunc // behind Leave: the queue outlives the process's own context by that
-	asks  []*pendingRequest
+	h      *Server
+	node   *consensus.Node
+	store  *store.Store
+	q      *commandqueue.Queue
+	end    context.CancelFunc // behind Leave: the queue outlives the process's own context by that
+	orders *orders.Queue
 
 	state *config.State
 	seen  [2]uint64
@@ -78,7 +79,8 @@
 		}
 	}
 	ctx, end := context.WithCancel(context.Background())
-	c := &consensusLoop{h: h, store: store, q: commandqueue.New(ctx, 256), end: end}
+	queue := orders.New(orders.Limits{Waiting: maxPendingRequests, Time: ms(requestTimeout)})
+	c := &consensusLoop{h: h, store: store, q: commandqueue.New(ctx, 256), end: end, orders: queue}
 	c.node = consensus.New(consensus.Options{Addr: s.Ctl, Seeds: s.Peers, MinVoters: 2*s.TolerateNodes + 1,
 		HeartbeatInterval: ms(heartbeatInterval), ElectionTimeout: ms(electionTimeout), RemoveAfter: ms(removeAfter), Draw: h.draw}, hard, h.now())
 	c.commits()
@@ -158,9 +160,7 @@
 			c.wrong = 0
 			c.node.Synced(c.h.now())
 		}
-		for _, s := range c.node.Messages() {
-			c.h.sendCore(s.To, &controlmsg.Frame{Agree: &s.Message})
-		}
+		c.send()
 		c.commits()
 		c.answer()
 		if !c.node.Dirty() {
@@ -183,6 +183,13 @@
 	}
 }
 
+// send gives the node's messages to those whom they are for.
+func (c *consensusLoop) send() {
+	for _, s := range c.node.Messages() {
+		c.h.sendCore(s.To, &controlmsg.Frame{Agree: &s.Message})
+	}
+}
+
 // commits takes what is known committed for the operator's word.
 func (c *consensusLoop) commits() {
 	e, ok := c.node.Committed()
--- a/internal/controlplane/controlplane.go
+++ b/internal/controlplane/controlplane.go
@@ -164,9 +164,9 @@
 	if f.Request != nil {
 		a := f.Request
 		h.loop.do(func() {
-			h.loop.take(&pendingRequest{Request: *a, reply: func(status int, body []byte) {
+			h.loop.take(*a, func(status int, body []byte) {
 				l.Send(&controlmsg.Frame{Response: &controlmsg.Response{Number: a.Number, Status: status, Body: body}})
-			}})
+			})
 		})
 		return
 	}
--- a/internal/controlplane/forward.go
+++ b/internal/controlplane/forward.go
@@ -130,9 +130,9 @@
 	switch {
 	case known && leader.ID == h.loop.node.HardState.ID:
 		h.calls.sent(a.Number, leader.Addr)
-		h.loop.take(&pendingRequest{Request: *a, reply: func(status int, body []byte) {
+		h.loop.take(*a, func(status int, body []byte) {
 			h.calls.answer(&controlmsg.Response{Number: a.Number, Status: status, Body: body})
-		}})
+		})
 	case known && h.sendCore(leader.Addr, &controlmsg.Frame{Request: a}):
 		h.calls.sent(a.Number, leader.Addr)
 	default:
