--- a/internal/consensus/consensus.go
+++ b/internal/consensus/consensus.go
@@ -139,6 +139,7 @@
 	decided    Entry  // the newest entry known committed; Last may be a newer one
 
 	former    map[string]float64 // addresses of voters that were removed, until when a leader tells them that it leads
+	removal   removal            // that is being confirmed
 	left      map[string]float64 // when voters said that their process ends in order
 	leavingAt float64            // this process ends in order, since; 0: no
 	handAt    float64            // when another is asked to take the lead over
--- a/internal/consensus/membership.go
+++ b/internal/consensus/membership.go
@@ -159,8 +159,8 @@
 		return
 	}
 	if gone := n.longestGone(now); gone >= 0 && n.mayRemove(joins) {
-		voters := slices.Delete(slices.Clone(last.Voters), gone, gone+1)
-		if n.answering(voters, now) >= majority(voters) {
+		if voters := slices.Delete(slices.Clone(last.Voters), gone, gone+1); n.confirmedBy(voters, now) {
+			n.removal = removal{}
 			n.put(voters, last.Value, now)
 			return
 		}
@@ -234,20 +234,32 @@
 	return found
 }
 
-// suspects says that a voter missed some heartbeats.
-func (n *Node) suspects(now float64) bool {
-	return slices.ContainsFunc(n.HardState.Last.Voters, func(v Voter) bool {
-		p := n.peers[v.ID]
-		return v.ID != n.HardState.ID && p != nil && now-p.heard > 3*n.o.HeartbeatInterval
-	})
+// removal is the question that a removal of a voter waits for.
+type removal struct {
+	round   uint64
+	askedAt float64
 }
 
-// answering counts the voters that answer, this node with them.
-func (n *Node) answering(voters []Voter, now float64) (count int) {
+// confirmedBy says whether a majority of the voters that would be left has answered a heartbeat that was sent for this removal.
+// That they answered lately is not enough: one that has ended since would be part of a set in which no majority is left for ever,
+// where the one that is removed might have come back.
+func (n *Node) confirmedBy(voters []Voter, now float64) bool {
+	if n.removal.round == 0 || now-n.removal.askedAt > n.answerWithin() {
+		n.removal = removal{n.Confirm(now), now}
+	}
+	count := 0
 	for _, v := range voters {
-		if p := n.peers[v.ID]; v.ID == n.HardState.ID || p != nil && now-p.heard < n.answerWithin() {
+		if p := n.peers[v.ID]; v.ID == n.HardState.ID || p != nil && p.round >= n.removal.round {
 			count++
 		}
 	}
-	return count
+	return count >= majority(voters)
+}
+
+// suspects says that a voter missed some heartbeats.
+func (n *Node) suspects(now float64) bool {
+	return slices.ContainsFunc(n.HardState.Last.Voters, func(v Voter) bool {
+		p := n.peers[v.ID]
+		return v.ID != n.HardState.ID && p != nil && now-p.heard > 3*n.o.HeartbeatInterval
+	})
 }
