--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -113,14 +113,9 @@
 	}
 	last := &n.HardState.Last
 	rest := slices.DeleteFunc(slices.Clone(last.Voters), func(v Voter) bool { return v.ID == n.HardState.ID })
-	if _, joins := n.nextJoiner(now); n.mayRemove(joins) {
-		if n.confirmedBy(rest, now) {
-			n.put(rest, last.Value, now)
-			return
-		}
-		if now-n.leavingAt < 2*n.o.HeartbeatInterval {
-			return // they are being asked
-		}
+	if _, joins := n.nextJoiner(now); n.mayRemove(joins) && n.confirmedBy(rest, now) {
+		n.put(rest, last.Value, now)
+		return
 	}
 	n.askSuccessor(now)
 }
