--- a/Makefile
+++ b/Makefile
@@ -8,8 +8,7 @@
 	go test -race ./...
 
 lint:
-	test -z "$$(gofmt -l .)"
-	go vet ./...
+	.ci/lint
 
 run: build
 	exec bin/weirwind
--- a/internal/driver/members.go
+++ b/internal/driver/members.go
@@ -335,8 +335,8 @@
 		x.link.SetWriteDeadline(time.Unix(1, 0))
 	}
 	x.mu.Unlock()
-	x.writing.Lock()
-	x.writing.Unlock()
+	x.writing.Lock() // a write under way has ended
+	defer x.writing.Unlock()
 }
 
 // attach makes a connection the send's own, so that cancel can end it; attach(nil) ends that.
--- a/internal/group/group.go
+++ b/internal/group/group.go
@@ -58,7 +58,6 @@
 	commits   []float64 // those of them that wait for replicas, too
 	took      float64   // smoothed time of answers
 	laggedAt  float64
-	lagged    wire.Position
 	aside     float64 // until when
 	pause     float64
 	distance  float64 // 0 same zone, 1 same region, 2 elsewhere
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -52,7 +52,7 @@
 	Different                // the key was another statement's: bad input
 )
 
-// Errors of books that can't be read.
+// ErrForm says that a kept ledger can't be read.
 var ErrForm = errors.New("ledger: not a book of this version")
 
 const version = 1
--- a/internal/membership/fleet.go
+++ b/internal/membership/fleet.go
@@ -81,7 +81,6 @@
 	to, about string
 	seq       uint64
 	until     float64
-	nacked    bool
 }
 
 // rumour is word that still goes round.
--- a/internal/operator/migrate.go
+++ b/internal/operator/migrate.go
@@ -1,6 +1,7 @@
+package operator
+
 // This file owns the move of an operators' file from the shape in which drivers talk to each other to the shape in
 // which they share nothing: what is carried over, what is dropped, and why. It reads and writes nothing itself.
-package operator
 
 import "fmt"
 
--- a/internal/roster/presence.go
+++ b/internal/roster/presence.go
@@ -31,14 +31,13 @@
 
 // Presence is the state of the own lease. Times are milliseconds.
 type Presence struct {
-	ttl     float64
-	until   float64 // the lease stands until then, for certain
-	at      float64 // when the next step is due
-	leased  bool
-	taken   bool
-	draw    *rand.Rand
-	pauses  limits.Pauses
-	renewAt float64
+	ttl    float64
+	until  float64 // the lease stands until then, for certain
+	at     float64 // when the next step is due
+	leased bool
+	taken  bool
+	draw   *rand.Rand
+	pauses limits.Pauses
 }
 
 // NewPresence begins without a lease.
--- a/internal/sessionsite/sessionsite.go
+++ b/internal/sessionsite/sessionsite.go
@@ -57,7 +57,6 @@
 	peers map[string]*peer // other sites, by name
 	edges map[string]*link
 	state sites.State
-	lease float64
 }
 
 type peer struct {
--- a/internal/standin/town/sessions_test.go
+++ b/internal/standin/town/sessions_test.go
@@ -28,8 +28,6 @@
 	mu     sync.Mutex
 	id     string
 	s      *sessionclient.Session
-	plain  *websocket.Conn
-	closed bool // a plain one's socket
 	got    []string
 	queued []string
 	sent   []string
--- a/internal/standin/town/town.go
+++ b/internal/standin/town/town.go
@@ -5,7 +5,6 @@
 package town
 
 import (
-	"bufio"
 	"bytes"
 	"context"
 	"fmt"
@@ -258,7 +257,6 @@
 type Client struct {
 	c net.Conn
 	r *wire.Reader
-	b *bufio.Writer
 	n int
 	t *testing.T
 }
--- a/internal/zones/town_test.go
+++ b/internal/zones/town_test.go
@@ -22,8 +22,7 @@
 	sees   func(from, of string) Sight    // what drivers of a zone see of another
 	lies   func(d *resident, all []Sight) // changes a report
 	loss   float64
-	late   float64 // mean latency
-	moved  map[int64]map[string]bool
+	late   float64           // mean latency
 	epochs map[uint64]uint64 // sum by epoch, of all plans that were ever in force
 	began  map[uint64]float64
 	lease  float64
@@ -42,7 +41,6 @@
 	disk   *Kept
 	heard  []float64
 	wait   []func()
-	sent   map[string]float64
 }
 
 func rules() Rules {
