--- a/cmd/weirwind/zones.go
+++ b/cmd/weirwind/zones.go
@@ -66,7 +66,7 @@
 			return printJSON(out, s)
 		}
 		printPlan(out, &s)
-		for _, g := range s.Sights {
+		for _, g := range s.Observations {
 			fmt.Fprintf(out, "sees zone=%s members=%d silent=%d behind=%d slow=%.2f reads=%.1f/s\n", g.Zone, g.Members, g.Silent, g.Behind, g.Slow, g.Reads)
 		}
 		for _, x := range s.Calls {
@@ -115,7 +115,7 @@
 // Run has a zone emptied.
 func (c *zonesEvacuate) Run(out io.Writer) error {
 	return c.with(func(ctx context.Context, client *control.Client) error {
-		return client.OrderZone(ctx, zones.Saying{Zone: c.Zone, Away: true, For: float64(c.For.Milliseconds())})
+		return client.OrderZone(ctx, zones.Command{Zone: c.Zone, Away: true, Duration: float64(c.For.Milliseconds())})
 	})
 }
 
@@ -127,7 +127,7 @@
 // Run takes an evacuation back.
 func (c *zonesReturn) Run(out io.Writer) error {
 	return c.with(func(ctx context.Context, client *control.Client) error {
-		return client.OrderZone(ctx, zones.Saying{Zone: c.Zone})
+		return client.OrderZone(ctx, zones.Command{Zone: c.Zone})
 	})
 }
 
@@ -140,7 +140,7 @@
 func (c *zonesFreeze) Run(out io.Writer) error {
 	return c.with(func(ctx context.Context, client *control.Client) error {
 		on := !c.Off
-		return client.OrderZone(ctx, zones.Saying{Freeze: &on})
+		return client.OrderZone(ctx, zones.Command{Freeze: &on})
 	})
 }
 
--- a/internal/control/zones.go
+++ b/internal/control/zones.go
@@ -16,7 +16,7 @@
 type Zoner interface {
 	Status() zones.Status
 	Without(zone string) (zones.Preview, error)
-	Order(zones.Saying) error
+	Order(zones.Command) error
 }
 
 // zoned is what a Switcher also is where zones are decided on in common; nil while they are not.
@@ -35,9 +35,9 @@
 			}
 			switch {
 			case err == nil:
-			case errors.Is(err, errNoZones), errors.Is(err, zones.ErrZone):
+			case errors.Is(err, errNoZones), errors.Is(err, zones.ErrUnknownZone):
 				http.Error(w, err.Error(), http.StatusNotFound)
-			case errors.Is(err, zones.ErrNone), errors.Is(err, zones.ErrPart), errors.Is(err, zones.ErrLeads):
+			case errors.Is(err, zones.ErrNoPlan), errors.Is(err, zones.ErrNotInForce), errors.Is(err, zones.ErrNotLeader):
 				http.Error(w, err.Error(), http.StatusServiceUnavailable)
 			default:
 				http.Error(w, err.Error(), http.StatusBadRequest)
@@ -56,7 +56,7 @@
 		return err
 	}))
 	mux.HandleFunc("POST /zones/order", with(func(w http.ResponseWriter, r *http.Request, z Zoner) error {
-		var s zones.Saying
+		var s zones.Command
 		if err := read(w, r, &s); err != nil {
 			return err
 		}
@@ -75,6 +75,6 @@
 }
 
 // OrderZone gives what operators say of a zone.
-func (c *Client) OrderZone(ctx context.Context, s zones.Saying) error {
+func (c *Client) OrderZone(ctx context.Context, s zones.Command) error {
 	return c.call(ctx, http.MethodPost, "/zones/order", s, nil)
 }
--- a/internal/driver/fellows.go
+++ b/internal/driver/fellows.go
@@ -225,7 +225,7 @@
 		return false, false
 	}
 	if z := f.v.zoning; z != nil && w.Zones != nil {
-		news = z.do(func(now float64) zones.Out { return z.z.Heard(now, asked, w.Zones) })
+		news = z.do(func(now float64) zones.Out { return z.z.ReceiveSummary(now, asked, w.Zones) })
 		again = news && math.IsInf(asked, -1)
 	}
 	if s := f.v.switches; s != nil {
--- a/internal/driver/zoning.go
+++ b/internal/driver/zoning.go
@@ -83,7 +83,7 @@
 		z.names[i] = name
 	}
 	beat := milliseconds(o.Beat)
-	rules := zones.Rules{Beat: beat, Lease: milliseconds(o.Lease), Voters: o.Voters, Load: float64(o.Load) / 100, Move: 0.5,
+	rules := zones.Rules{Heartbeat: beat, Lease: milliseconds(o.Lease), Voters: o.Voters, Load: float64(o.Load) / 100, Move: 0.5,
 		Pace:   zones.Pace{Doubt: milliseconds(o.Doubt), SlowFor: 5 * milliseconds(o.Doubt), Away: milliseconds(o.Away), AwayMost: 32 * milliseconds(o.Away), Ramp: 4 * beat, Calm: 30 * milliseconds(o.Away)},
 		Limits: zones.Limits{Headroom: float64(o.Headroom) / 100, Budget: float64(o.Budget) / 100}}
 	for _, r := range o.Regions {
@@ -92,15 +92,15 @@
 	if m.Folder != "" {
 		keep, last, err := durable.OpenLast(filepath.Join(m.Folder, "plans"), plansTag, plansLimit)
 		if err == nil && len(last) > 0 {
-			rules.Kept = &zones.Kept{}
-			err = cbor.Unmarshal(last, rules.Kept)
+			rules.Saved = &zones.SavedState{}
+			err = cbor.Unmarshal(last, rules.Saved)
 		}
 		if err != nil {
 			return fmt.Errorf("zones: %v", err)
 		}
-		z.keep, rules.Keeps = keep, true
+		z.keep, rules.Persistent = keep, true
 	}
-	z.z = zones.New(v.decide.clock.now(), rules, zones.Fellow{Name: a.Name, Zone: z.zone}, uint64(v.decide.clock.unixMs))
+	z.z = zones.New(v.decide.clock.now(), rules, zones.Peer{Name: a.Name, Zone: z.zone}, uint64(v.decide.clock.unixMs))
 	v.zoning = z
 	v.decide.zoned(z)
 	return nil
@@ -133,7 +133,7 @@
 func (z *zoning) look(ctx context.Context) {
 	sights, homes, sent := z.sights(z.v.decide.clock.now())
 	fleet := z.fleet()
-	z.do(func(now float64) zones.Out { return z.z.See(now, sights, homes, sent) })
+	z.do(func(now float64) zones.Out { return z.z.Observe(now, sights, homes, sent) })
 	z.do(func(now float64) zones.Out { return z.z.Tick(now, fleet) })
 	z.hook(ctx)
 }
@@ -155,7 +155,7 @@
 		}
 		z.z.Saved(now, err == nil)
 	}
-	if out.Tolls {
+	if out.TollsChanged {
 		tolls := z.z.Tolls()
 		z.v.decide.step(logic.Event{Kind: logic.EvTolls, Tolls: tolls})
 		z.v.log.Info("zones", "reason", "tolls", "text", fmt.Sprint(tolls))
@@ -170,10 +170,10 @@
 	for _, s := range out.Sends {
 		z.send(s)
 	}
-	if out.News {
+	if out.PlanChanged {
 		z.v.fellows.mesh.Spread()
 	}
-	return out.News
+	return out.PlanChanged
 }
 
 // send has a word brought to a fellow, soon.
@@ -186,7 +186,7 @@
 
 // say brings a word to a fellow, and what it answers before the decisions.
 func (z *zoning) say(ctx context.Context, s zones.Send) {
-	b, err := cbor.Marshal([]zones.Word{s.Word})
+	b, err := cbor.Marshal([]zones.Message{s.Message})
 	if err != nil {
 		return
 	}
@@ -196,10 +196,10 @@
 	back, err := z.v.fellows.mesh.Send(within, s.To, b)
 	if err == nil {
 		for _, w := range z.take(s.To, back, asked) {
-			z.send(zones.Send{To: s.To, Word: w})
+			z.send(zones.Send{To: s.To, Message: w})
 		}
 	} else if !errors.Is(err, membership.ErrUnknown) {
-		z.v.log.Debug("zones", "reason", "word_not_sent", "to", s.To, "step", s.Word.Step, "took", z.v.decide.clock.now()-asked, "error", err)
+		z.v.log.Debug("zones", "reason", "word_not_sent", "to", s.To, "step", s.Message.Kind, "took", z.v.decide.clock.now()-asked, "error", err)
 	}
 }
 
@@ -212,18 +212,18 @@
 	return nil
 }
 
-func (z *zoning) take(from string, what []byte, asked float64) (back []zones.Word) {
-	var words []zones.Word
+func (z *zoning) take(from string, what []byte, asked float64) (back []zones.Message) {
+	var words []zones.Message
 	if len(what) == 0 || cbor.Unmarshal(what, &words) != nil || len(words) > 16 {
 		return nil
 	}
 	for _, w := range words {
 		z.do(func(now float64) zones.Out {
-			out := z.z.Got(now, asked, from, w)
+			out := z.z.Receive(now, asked, from, w)
 			if out.Save == nil { // else it goes when that is safe
 				out.Sends = slices.DeleteFunc(out.Sends, func(s zones.Send) bool {
 					if s.To == from {
-						back = append(back, s.Word)
+						back = append(back, s.Message)
 					}
 					return s.To == from
 				})
@@ -237,28 +237,28 @@
 // fleet is what membership tells.
 func (z *zoning) fleet() zones.Fleet {
 	s := z.v.fellows.mesh.Status()
-	f := zones.Fleet{Standing: s.Standing, Living: []zones.Fellow{{Name: s.Self, Zone: z.zone}}, Zones: []string{z.zone}}
+	f := zones.Fleet{Standing: s.Standing, Alive: []zones.Peer{{Name: s.Self, Zone: z.zone}}, Zones: []string{z.zone}}
 	if s.Roster != nil {
 		f.Roster, f.Names = s.Roster.Version, s.Roster.Names
 	}
 	for _, d := range s.Drivers {
 		if d.State == membership.Alive || d.State == membership.Suspect {
-			f.Living = append(f.Living, zones.Fellow{Name: d.Name, Zone: d.Zone})
+			f.Alive = append(f.Alive, zones.Peer{Name: d.Name, Zone: d.Zone})
 		}
 		f.Zones = append(f.Zones, d.Zone)
 	}
-	slices.SortFunc(f.Living, func(a, b zones.Fellow) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(f.Alive, func(a, b zones.Peer) int { return strings.Compare(a.Name, b.Name) })
 	slices.Sort(f.Zones)
 	f.Zones = slices.Compact(f.Zones)
 	return f
 }
 
 // sights are what the own module knows of members, by zone, and where own reads went.
-func (z *zoning) sights(now float64) (all []zones.Sight, homes []zones.Home, sent map[string]float64) {
+func (z *zoning) sights(now float64) (all []zones.Observation, homes []zones.Home, sent map[string]float64) {
 	var memory logic.Memory
 	z.v.decide.step(logic.Event{Kind: logic.EvRemember, Memory: &memory})
 	lines := z.v.decide.listed()
-	at := map[string]*zones.Sight{}
+	at := map[string]*zones.Observation{}
 	newest, heard := map[int64]float64{}, map[string]int{}
 	z.counting.Lock()
 	applied := maps.Clone(z.applied)
@@ -279,7 +279,7 @@
 		}
 		s := at[l.Zone]
 		if s == nil {
-			s = &zones.Sight{Zone: l.Zone}
+			s = &zones.Observation{Zone: l.Zone}
 			at[l.Zone] = s
 		}
 		if s.Members++; m.Aside > 0 {
@@ -315,7 +315,7 @@
 		}
 		all = append(all, *s)
 	}
-	slices.SortFunc(all, func(a, b zones.Sight) int { return strings.Compare(a.Zone, b.Zone) })
+	slices.SortFunc(all, func(a, b zones.Observation) int { return strings.Compare(a.Zone, b.Zone) })
 	return all, homes, sent
 }
 
@@ -356,10 +356,10 @@
 }
 
 // Order takes what operators say.
-func (z *zoning) Order(s zones.Saying) (err error) {
-	s.Asked = uint64(z.v.decide.clock.now() * 1000)
+func (z *zoning) Order(s zones.Command) (err error) {
+	s.ID = uint64(z.v.decide.clock.now() * 1000)
 	z.do(func(now float64) (out zones.Out) {
-		out, err = z.z.Order(now, s)
+		out, err = z.z.Submit(now, s)
 		return out
 	})
 	return err
@@ -369,7 +369,7 @@
 func (z *zoning) Without(zone string) (zones.Preview, error) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	return z.z.Without(z.v.decide.clock.now(), zone)
+	return z.z.Simulate(z.v.decide.clock.now(), zone)
 }
 
 // hook has the topology manager asked for moves, while this driver leads and may ask.
@@ -378,7 +378,7 @@
 		return
 	}
 	z.mu.Lock()
-	moves, epoch := z.z.Asks(z.v.decide.clock.now())
+	moves, epoch := z.z.DueMoves(z.v.decide.clock.now())
 	z.mu.Unlock()
 	for _, m := range moves {
 		if time.Since(z.asked[m.Group]) < webhookAgain {
--- a/internal/lab/fleet/zones_test.go
+++ b/internal/lab/fleet/zones_test.go
@@ -125,12 +125,12 @@
 	}))
 	t.Cleanup(manager.Close)
 	f := zoned(t, Options{Seed: 33, Webhook: manager.URL})
-	order := func(at int, s zones.Saying) {
+	order := func(at int, s zones.Command) {
 		t.Helper()
 		f.await(t, "an order taken", func() bool { return f.Drivers[at].Control.OrderZone(context.Background(), s) == nil })
 	}
 	f.under(t, func() {
-		order(4, zones.Saying{Zone: "a", Away: true})
+		order(4, zones.Command{Zone: "a", Away: true})
 		f.await(t, "evacuated", func() bool { return f.follow(zoneIs("a", zones.Away, zones.Evacuated)) })
 		f.await(t, "a primary is asked for elsewhere", func() bool {
 			return f.follow(func(p *zones.Plan) bool { return len(p.Moves) == 1 && p.Moves[0].From == "a" })
@@ -150,13 +150,13 @@
 			})
 		})
 		f.membersOf("c", "heal")
-		order(2, zones.Saying{Zone: "a"})
+		order(2, zones.Command{Zone: "a"})
 		f.await(t, "all serve again", func() bool { return f.follow(allServe) })
 	}, 0, 1, 2, 3, 4, 5)
 	on := true
-	order(0, zones.Saying{Freeze: &on})
+	order(0, zones.Command{Freeze: &on})
 	f.await(t, "frozen", func() bool { return f.follow(func(p *zones.Plan) bool { return p.Frozen }) })
-	if err := f.Drivers[5].Control.OrderZone(context.Background(), zones.Saying{Zone: "nowhere", Away: true}); err == nil || !strings.Contains(err.Error(), "404") {
+	if err := f.Drivers[5].Control.OrderZone(context.Background(), zones.Command{Zone: "nowhere", Away: true}); err == nil || !strings.Contains(err.Error(), "404") {
 		t.Errorf("an unknown zone: %v", err)
 	}
 }
@@ -182,7 +182,7 @@
 			b, too := f.Drivers[1].zones()
 			return ok && too && !a.InForce && !b.InForce
 		})
-		if err := f.Drivers[1].Control.OrderZone(context.Background(), zones.Saying{Zone: "c", Away: true}); err == nil || !strings.Contains(err.Error(), "503") {
+		if err := f.Drivers[1].Control.OrderZone(context.Background(), zones.Command{Zone: "c", Away: true}); err == nil || !strings.Contains(err.Error(), "503") {
 			t.Errorf("an order without a plan in force: %v", err)
 		}
 		f.membersOf("b", "heal")
--- a/internal/membership/roster.go
+++ b/internal/membership/roster.go
@@ -51,13 +51,13 @@
 
 // Ballot orders attempts at one change.
 type Ballot struct {
-	Turn uint32 `cbor:"1,keyasint"`
-	Name string `cbor:"2,keyasint"`
+	Number uint32 `cbor:"1,keyasint"`
+	Name   string `cbor:"2,keyasint"`
 }
 
 // Compare orders ballots, as cmp.Compare does.
 func (b Ballot) Compare(o Ballot) int {
-	return cmp.Or(cmp.Compare(b.Turn, o.Turn), strings.Compare(b.Name, o.Name))
+	return cmp.Or(cmp.Compare(b.Number, o.Number), strings.Compare(b.Name, o.Name))
 }
 
 // Step of a vote.
@@ -281,7 +281,7 @@
 	if f.version != v.Version {
 		f.version, f.promised, f.taken, f.change = v.Version, Ballot{}, Ballot{}, nil
 	}
-	f.turn = max(f.turn, min(v.Ballot.Turn, 1<<30))
+	f.turn = max(f.turn, min(v.Ballot.Number, 1<<30))
 	back := Vote{Version: v.Version, Base: v.Base, Ballot: v.Ballot}
 	r := f.round
 	mine := r != nil && v.Ballot.Compare(r.ballot) == 0
--- a/internal/zones/account.go
+++ b/internal/zones/account.go
@@ -42,7 +42,7 @@
 	if a.counts == nil {
 		a.counts, a.reads = map[Crossing]*[2]int64{}, map[string]float64{}
 	}
-	if !f.Primary && len(a.reads) < mostZones {
+	if !f.Primary && len(a.reads) < maxZones {
 		a.reads[to]++
 	}
 	if from == to {
@@ -91,7 +91,8 @@
 	return all
 }
 
-// Usual follows answering times of one zone: recent ones, and what is usual, which does not follow while they are far off.
+// Usual follows answering times of one zone: recent ones, and what is usual, which does not follow while they are far
+// off.
 type Usual struct {
 	recent, usual float64
 	n             int
--- /dev/null
+++ b/internal/zones/ballot.go
@@ -0,0 +1,219 @@
+package zones
+
+// This file owns one instance of Paxos: the voters of the plan that holds decide on the next one. It must never answer
+// for a ballot below the one promised.
+
+import (
+	"slices"
+
+	"weirwind/internal/membership"
+)
+
+const (
+	maxBallotNumber = 1 << 30 // a damaged or hostile number can't use up the rest
+	wantsPlan       = 1       // nonce of a Reject that asks for the plan in question
+)
+
+// round is a ballot that this driver leads.
+type round struct {
+	ballot         membership.Ballot
+	deadline       float64
+	bootstrap      bool
+	resendAt       float64 // those that did not answer are asked
+	accepting      bool
+	promised       map[string]bool
+	accepted       map[string]bool
+	acceptedBallot membership.Ballot
+	plan           *Plan
+}
+
+// propose begins a ballot for a next plan.
+func (c *consensus) propose(now float64, p *Plan) {
+	if c.round != nil || now < c.retryAt || c.plan == nil {
+		return
+	}
+	c.ballotNumber++
+	c.round = &round{ballot: membership.Ballot{Number: c.ballotNumber, Name: c.name},
+		deadline: now + roundBeats*c.heartbeat, promised: map[string]bool{}, accepted: map[string]bool{}, plan: p}
+	c.broadcast(now, c.plan.Voters, Message{Kind: Prepare, Epoch: c.plan.Epoch, Sum: c.planSum, Ballot: c.round.ballot})
+}
+
+// pending is a plan that this driver took and does not know to be decided: it is brought to an end before another is
+// begun.
+func (c *consensus) pending() *Plan { return c.acceptedPlan }
+
+// receive takes a message. f is the fleet as it is seen; nil where the message is this driver's own.
+func (c *consensus) receive(now float64, from string, w *Message, f *Fleet) {
+	answer := func(back Message) {
+		if from == c.name {
+			c.receive(now, from, &back, f)
+		} else {
+			c.send(from, back)
+		}
+	}
+	if w.Plan != nil && !w.Plan.valid() {
+		return
+	}
+	switch w.Kind {
+	case Bootstrap, Bootstrapped:
+		c.receiveBootstrap(now, from, w, f, answer)
+		return
+	case Decided:
+		if w.Plan != nil {
+			c.learn(now, w.Plan)
+		}
+		return
+	}
+	if !c.concernsPlanHeld(from, w) {
+		return
+	}
+	c.ballotNumber = max(c.ballotNumber, min(w.Ballot.Number, maxBallotNumber))
+	switch w.Kind {
+	case Prepare:
+		c.receivePrepare(now, w, answer)
+	case Promise:
+		c.receivePromise(now, from, w)
+	case Accept:
+		c.receiveAccept(now, w, answer)
+	case Accepted:
+		c.receiveAccepted(now, from, w)
+	case Reject:
+		c.receiveReject(now, from, w)
+	case Confirm:
+		c.receiveConfirm(now, from, w, answer)
+	case Confirmed:
+		c.receiveConfirmed(from, w)
+	}
+}
+
+// concernsPlanHeld says whether a message is about the plan that this driver holds. A sender that lags behind is shown
+// the newest plan; one that is ahead is asked for it.
+func (c *consensus) concernsPlanHeld(from string, w *Message) bool {
+	request := w.Kind == Prepare || w.Kind == Accept || w.Kind == Confirm
+	if w.Epoch < c.epoch() {
+		if from != c.name && request {
+			c.send(from, Message{Kind: Decided, Plan: c.plan})
+		}
+		return false
+	}
+	if c.plan != nil && w.Epoch == c.plan.Epoch && w.Sum == c.planSum {
+		return true
+	}
+	if c.plan != nil && w.Epoch == c.plan.Epoch {
+		c.note("two_plans", from, "founded apart")
+	}
+	if c.epoch() < w.Epoch && request {
+		c.send(from, Message{Kind: Reject, Epoch: w.Epoch, Sum: w.Sum, Nonce: wantsPlan})
+	}
+	return false
+}
+
+// ownRound is the round that a message answers; nil where it is over or another's.
+func (c *consensus) ownRound(w *Message) *round {
+	if r := c.round; r != nil && !r.bootstrap && w.Ballot.Compare(r.ballot) == 0 {
+		return r
+	}
+	return nil
+}
+
+func (c *consensus) receivePrepare(now float64, w *Message, answer func(Message)) {
+	if !c.mayVote(now) || !c.isVoter() {
+		return
+	}
+	back := Message{Kind: Promise, Epoch: w.Epoch, Sum: w.Sum, Ballot: w.Ballot}
+	if w.Ballot.Compare(c.promised) < 0 {
+		back.Kind, back.Ballot = Reject, c.promised
+	} else {
+		c.promised, c.unsaved = w.Ballot, true
+		back.Accepted, back.Plan = c.accepted, c.acceptedPlan
+	}
+	answer(back)
+}
+
+// receivePromise counts a promise. Of plans that voters accepted before the one of the highest ballot is proposed.
+func (c *consensus) receivePromise(now float64, from string, w *Message) {
+	r := c.ownRound(w)
+	if r == nil || r.accepting || !slices.Contains(c.plan.Voters, from) {
+		return
+	}
+	r.promised[from] = true
+	if w.Plan != nil && w.Accepted.Compare(r.acceptedBallot) > 0 {
+		r.acceptedBallot, r.plan = w.Accepted, w.Plan
+	}
+	if membership.Majority(c.plan.Voters, r.promised) {
+		r.accepting = true
+		c.broadcast(now, union(c.plan.Voters, r.plan.Voters),
+			Message{Kind: Accept, Epoch: w.Epoch, Sum: w.Sum, Ballot: r.ballot, Plan: r.plan})
+	}
+}
+
+func (c *consensus) receiveAccept(now float64, w *Message, answer func(Message)) {
+	if w.Plan == nil || w.Plan.Epoch != c.plan.Epoch+1 || w.Plan.Base != c.planSum || !c.mayVote(now) {
+		return
+	}
+	back := Message{Kind: Accepted, Epoch: w.Epoch, Sum: w.Sum, Ballot: w.Ballot}
+	if w.Ballot.Compare(c.promised) < 0 {
+		back.Kind, back.Ballot = Reject, c.promised
+	} else {
+		c.promised, c.accepted, c.acceptedPlan, c.acceptedAt, c.unsaved = w.Ballot, w.Ballot, w.Plan, now, true
+	}
+	answer(back)
+}
+
+// receiveAccepted counts an acceptance: a plan is decided by majorities of the voters before it and of its own.
+func (c *consensus) receiveAccepted(now float64, from string, w *Message) {
+	r := c.ownRound(w)
+	if r == nil || !r.accepting {
+		return
+	}
+	r.accepted[from] = true
+	if !membership.Majority(c.plan.Voters, r.accepted) || !membership.Majority(r.plan.Voters, r.accepted) {
+		return
+	}
+	c.round = nil
+	told := union(c.plan.Voters, r.plan.Voters)
+	began := r.deadline - roundBeats*c.heartbeat
+	c.adopt(now, r.plan)
+	c.confirmed = max(c.confirmed, began) // nothing behind it can have been decided before it was
+	for _, n := range told {
+		if n != c.name {
+			c.send(n, Message{Kind: Decided, Plan: c.plan})
+		}
+	}
+	c.confirmAt = now
+}
+
+func (c *consensus) receiveReject(now float64, from string, w *Message) {
+	if w.Nonce == wantsPlan && from != c.name {
+		c.send(from, Message{Kind: Decided, Plan: c.plan})
+		return
+	}
+	if r := c.round; r != nil && w.Ballot.Compare(r.ballot) > 0 {
+		c.round, c.retryAt = nil, now+c.heartbeat*(0.5+float64(c.nameHash()%7)/7)
+	}
+}
+
+// receiveConfirm answers a leader that asks whether the plan is still the newest, unless a later one was accepted here.
+func (c *consensus) receiveConfirm(now float64, from string, w *Message, answer func(Message)) {
+	if from != c.name && slices.Contains(c.plan.Voters, from) {
+		c.leaderSeenAt = now
+	}
+	if c.isVoter() && c.mayVote(now) && c.acceptedPlan == nil {
+		answer(Message{Kind: Confirmed, Epoch: w.Epoch, Sum: w.Sum, Nonce: w.Nonce})
+	}
+}
+
+func (c *consensus) receiveConfirmed(from string, w *Message) {
+	if w.Nonce != c.confirmNonce || c.confirmedBy == nil || !slices.Contains(c.plan.Voters, from) {
+		return
+	}
+	if c.confirmedBy[from] = true; membership.Majority(c.plan.Voters, c.confirmedBy) {
+		c.confirmed = max(c.confirmed, c.confirmAskedAt)
+	}
+}
+
+func union(a, b []string) []string {
+	all := append(slices.Clone(a), b...)
+	slices.Sort(all)
+	return slices.Compact(all)
+}
--- /dev/null
+++ b/internal/zones/bootstrap.go
@@ -0,0 +1,88 @@
+package zones
+
+// This file owns the first plan: all drivers of the roster agree to it once, so that no fleet has two.
+
+import (
+	"weirwind/internal/membership"
+)
+
+// bootstrap proposes a first plan once the fleet has been whole for a while: all drivers of the roster have to agree,
+// so that no two first plans come of one fleet. The driver whose name comes first does it.
+func (c *consensus) bootstrap(now float64, f *Fleet, first func() *Plan) {
+	if !f.complete() {
+		c.completeSince = 0
+		return
+	}
+	if c.completeSince == 0 {
+		c.completeSince = now
+	}
+	if r := c.round; r != nil && r.bootstrap && now >= r.resendAt { // word to or from some was lost
+		r.resendAt = now + c.heartbeat
+		for _, n := range f.Names {
+			if !r.accepted[n] {
+				c.send(n, Message{Kind: Bootstrap, Roster: f.Roster, Ballot: r.ballot, Plan: r.plan})
+			}
+		}
+	}
+	if now-c.completeSince < completeBeats*c.heartbeat || f.Names[0] != c.name || c.round != nil || now < c.retryAt ||
+		!c.mayVote(now) {
+		return
+	}
+	p := c.acceptedPlan
+	if p == nil {
+		p = first()
+	}
+	if p == nil {
+		return
+	}
+	c.ballotNumber++
+	c.round = &round{ballot: membership.Ballot{Number: c.ballotNumber, Name: c.name},
+		deadline: now + bootstrapBeats*c.heartbeat, bootstrap: true, accepted: map[string]bool{}, plan: p}
+	c.broadcast(now, f.Names, Message{Kind: Bootstrap, Roster: f.Roster, Ballot: c.round.ballot, Plan: p})
+}
+
+// receiveBootstrap takes a step of a first plan.
+func (c *consensus) receiveBootstrap(now float64, from string, w *Message, f *Fleet, answer func(Message)) {
+	if c.plan != nil {
+		if from != c.name && w.Kind == Bootstrap {
+			c.send(from, Message{Kind: Decided, Plan: c.plan})
+		}
+		return
+	}
+	switch w.Kind {
+	case Bootstrap:
+		if w.Plan == nil || w.Plan.Epoch != 1 || !c.mayVote(now) || w.Ballot.Compare(c.promised) < 0 ||
+			f != nil && (!f.complete() || f.Roster != w.Roster || f.Names[0] != from) {
+			return
+		}
+		c.promised, c.accepted, c.acceptedPlan, c.acceptedAt, c.unsaved = w.Ballot, w.Ballot, w.Plan, now, true
+		c.ballotNumber = max(c.ballotNumber, min(w.Ballot.Number, 1<<30))
+		answer(Message{Kind: Bootstrapped, Ballot: w.Ballot, Roster: w.Roster})
+	case Bootstrapped:
+		r := c.round
+		if r == nil || !r.bootstrap || w.Ballot.Compare(r.ballot) != 0 {
+			return
+		}
+		r.accepted[from] = true
+	}
+}
+
+// finishBootstrap ends a founding that all of the roster agreed to.
+func (c *consensus) finishBootstrap(now float64, f *Fleet) {
+	r := c.round
+	if r == nil || !r.bootstrap || !f.complete() {
+		return
+	}
+	for _, n := range f.Names {
+		if !r.accepted[n] {
+			return
+		}
+	}
+	c.round = nil
+	c.adopt(now, r.plan)
+	for _, n := range r.plan.Voters {
+		if n != c.name {
+			c.send(n, Message{Kind: Decided, Plan: c.plan})
+		}
+	}
+}
--- /dev/null
+++ b/internal/zones/consensus_test.go
@@ -0,0 +1,121 @@
+package zones
+
+import (
+	"math"
+	"testing"
+
+	"weirwind/internal/membership"
+)
+
+// decided is a driver that holds a first plan of three voters.
+func decided(name string) *consensus {
+	c := &consensus{name: name, heartbeat: 100, lease: 1000, confirmed: math.Inf(-1)}
+	c.adopt(0, &Plan{Epoch: 1, Voters: []string{"a", "b", "c"}})
+	c.notes, c.sends = nil, nil
+	return c
+}
+
+func (c *consensus) next(what string) *Plan {
+	return &Plan{Epoch: c.plan.Epoch + 1, Base: c.planSum, Voters: c.plan.Voters, Binds: []string{what}}
+}
+
+func (c *consensus) said() (all []Send) {
+	all, c.sends = c.sends, nil
+	return all
+}
+
+// An answer that was long on its way counts from when it was asked for; word that nobody asked for counts for nothing,
+// and neither does a plan's age where another one is held.
+func TestLateWordShortensALease(t *testing.T) {
+	c := decided("d")
+	c.receiveHeld(20000, 1000, nil, 1, c.planSum, 50)
+	if c.confirmed != 950 || c.inForce(2000) || !c.inForce(1900) {
+		t.Errorf("confirmed at %v", c.confirmed)
+	}
+	c.receiveHeld(30000, math.Inf(-1), nil, 1, c.planSum, -1)
+	c.receiveHeld(30000, 30000, nil, 1, c.planSum+1, 0)
+	c.receiveHeld(30000, 30000, nil, 2, c.planSum, 0)
+	c.receiveHeld(30000, 30000, nil, 1, c.planSum, math.NaN())
+	if c.confirmed != 950 {
+		t.Errorf("confirmed at %v", c.confirmed)
+	}
+}
+
+// A voter that has taken the next plan confirms this one no more, whatever was asked before.
+func TestNoRenewalBehindAVote(t *testing.T) {
+	c := decided("b")
+	renew := &Message{Kind: Confirm, Epoch: 1, Sum: c.planSum, Nonce: 7}
+	c.receive(10, "a", renew, nil)
+	if s := c.said(); len(s) != 1 || s[0].Message.Kind != Confirmed {
+		t.Fatalf("%+v", s)
+	}
+	c.receive(20, "a", &Message{Kind: Accept, Epoch: 1, Sum: c.planSum, Ballot: membership.Ballot{Number: 1, Name: "a"},
+		Plan: c.next("x")}, nil)
+	c.said()
+	c.receive(30, "a", renew, nil)
+	if s := c.said(); len(s) != 0 {
+		t.Errorf("%+v", s)
+	}
+}
+
+// Two of three are needed, answers of others and to other ballots count for nothing, and a plan that one of them took
+// before goes first.
+func TestABallot(t *testing.T) {
+	c := decided("a")
+	c.propose(10, c.next("mine"))
+	if s := c.said(); len(s) != 2 || c.round == nil || c.round.accepting {
+		t.Fatalf("one promise is no majority: %+v", s)
+	}
+	promise := Message{Kind: Promise, Epoch: 1, Sum: c.planSum, Ballot: c.round.ballot}
+	c.receive(20, "x", &promise, nil)
+	old := promise
+	old.Ballot.Number--
+	if c.receive(20, "b", &old, nil); c.round.accepting {
+		t.Fatal("a stranger's promise, or one to another ballot, counts")
+	}
+	promise.Accepted, promise.Plan = membership.Ballot{Number: 0, Name: "b"}, c.next("before")
+	c.receive(30, "b", &promise, nil)
+	s := c.said()
+	if len(s) != 2 || s[0].Message.Kind != Accept || s[0].Message.Plan.Binds[0] != "before" {
+		t.Fatalf("%+v", s)
+	}
+	accepted := Message{Kind: Accepted, Epoch: 1, Sum: c.planSum, Ballot: c.round.ballot}
+	if c.receive(40, "x", &accepted, nil); c.plan.Epoch != 1 {
+		t.Fatal("a stranger's vote counts")
+	}
+	if c.receive(40, "c", &accepted, nil); c.plan.Epoch != 2 || c.plan.Binds[0] != "before" {
+		t.Errorf("%+v", c.plan)
+	}
+}
+
+// What can't be kept is not said, and no votes are given until it can be.
+func TestVotesThatAreNotKept(t *testing.T) {
+	c := decided("b")
+	c.persistent = true
+	c.receive(10, "a", &Message{Kind: Prepare, Epoch: 1, Sum: c.planSum,
+		Ballot: membership.Ballot{Number: 1, Name: "a"}}, nil)
+	if c.save(10) == nil {
+		t.Fatal("nothing to keep")
+	}
+	c.said() // not sent
+	c.saved(10, false)
+	if c.receive(20, "a", &Message{Kind: Prepare, Epoch: 1, Sum: c.planSum,
+		Ballot: membership.Ballot{Number: 2, Name: "a"}}, nil); len(c.said()) != 0 {
+		t.Error("it votes")
+	}
+	k := c.save(300)
+	if k == nil || k.Promised.Number != 1 {
+		t.Fatalf("%+v", k)
+	}
+	c.saved(300, true)
+	if c.receive(310, "a", &Message{Kind: Prepare, Epoch: 1, Sum: c.planSum,
+		Ballot: membership.Ballot{Number: 3, Name: "a"}}, nil); len(c.said()) != 1 {
+		t.Error("it votes no more")
+	}
+	again := &consensus{name: "b", heartbeat: 100, persistent: true, confirmed: math.Inf(-1)}
+	again.restore(k)
+	if again.receive(400, "c", &Message{Kind: Prepare, Epoch: 1, Sum: c.planSum,
+		Ballot: membership.Ballot{Number: 0, Name: "c"}}, nil); again.said()[0].Message.Kind != Reject {
+		t.Error("it forgot its promise")
+	}
+}
--- a/internal/zones/follow.go
+++ b/internal/zones/follower.go
@@ -1,7 +1,7 @@
 package zones
 
-// This file owns what one driver makes of the plan: tolls for its module, which bring its own reads to the shares that are
-// planned for its zone. It must never shut the own zone's members off, or move faster than they can warm.
+// This file owns what one driver makes of the plan: tolls for its module, which bring its own reads to the shares that
+// are planned for its zone. It must never shut the own zone's members off, or move faster than they can warm.
 
 import (
 	"math"
@@ -9,26 +9,26 @@
 	"weirwind/internal/membership"
 )
 
-// Act is something that a driver could do to others' harm by itself.
-type Act uint8
+// Action is something that a driver could do to others' harm by itself.
+type Action uint8
 
 const (
-	MovePrimary Act = iota // ask for it
-	FillZone               // send a zone more than its drivers' own reads
-	KeepPlan               // go by the last plan
-	AvoidZone              // send nothing new to what the plan says is away
-	RenewPlan              // lead, and confirm the plan that holds
+	MovePrimary Action = iota // ask for it
+	FillZone                  // send a zone more than its drivers' own reads
+	KeepPlan                  // go by the last plan
+	AvoidZone                 // send nothing new to what the plan says is away
+	RenewPlan                 // lead, and confirm the plan that holds
 )
 
-// most says that a driver is with most of them.
-func most(s membership.Standing) bool { return s == membership.Whole || s == membership.Larger }
+// withMajority says that a driver is with most of them.
+func withMajority(s membership.Standing) bool { return s == membership.Whole || s == membership.Larger }
 
-// Allowed is the table of what a driver may do in its standing among its fellows, with the plan in force or not
+// Allowed is the table of what a driver may do in its standing among its peers, with the plan in force or not
 // (docs/zones.md).
-func Allowed(s membership.Standing, inForce bool, a Act) bool {
+func Allowed(s membership.Standing, inForce bool, a Action) bool {
 	switch a {
 	case MovePrimary: // once only: with most drivers, under a plan that is the newest
-		return most(s) && inForce
+		return withMajority(s) && inForce
 	case FillZone, KeepPlan: // for a lease: a majority of voters confirmed it
 		return inForce
 	case AvoidZone: // sending less breaks no rule; it lasts beyond the lease
@@ -95,8 +95,8 @@
 	}
 }
 
-// give is what the module is told: nil for nothing. Without a plan in force only what it said is away keeps its toll, and
-// all else is as it was without any.
+// give is what the module is told: nil for nothing. Without a plan in force only what it said is away keeps its toll,
+// and all else is as it was without any.
 func (f *follower) give(p *Plan, zones []string, inForce bool) map[string]float64 {
 	if p == nil {
 		return nil
--- a/internal/zones/judge.go
+++ b/internal/zones/judge.go
@@ -1,15 +1,15 @@
 package zones
 
-// This file owns what reports of several zones add up to: which zone is lost, cut off, slow or behind. It must never take
-// one driver's word for a zone's, or what one zone can't see for lost.
+// This file owns what reports of several zones add up to: which zone is lost, cut off, slow or behind. It must never
+// take one driver's word for a zone's, or what one zone can't see for lost.
 
 import (
 	"cmp"
 	"slices"
 )
 
-// Sight is what a driver sees of one zone.
-type Sight struct {
+// Observation is what a driver sees of one zone.
+type Observation struct {
 	Zone    string  `cbor:"1,keyasint" json:"zone"`
 	Members int     `cbor:"2,keyasint" json:"members"` // listed and not draining
 	Silent  int     `cbor:"3,keyasint" json:"silent"`  // of them: set aside, as they do not answer
@@ -26,27 +26,28 @@
 
 // Report is what one driver sees.
 type Report struct {
-	Zone   string  `cbor:"1,keyasint"`
-	Turn   uint64  `cbor:"2,keyasint"` // a higher one is newer
-	Run    uint64  `cbor:"3,keyasint"` // of the process
-	Sights []Sight `cbor:"4,keyasint"`
-	Homes  []Home  `cbor:"5,keyasint,omitempty"`
+	Zone         string        `cbor:"1,keyasint"`
+	Sequence     uint64        `cbor:"2,keyasint"` // a higher one is newer
+	Run          uint64        `cbor:"3,keyasint"` // of the process
+	Observations []Observation `cbor:"4,keyasint"`
+	Homes        []Home        `cbor:"5,keyasint,omitempty"`
 }
 
-func (r *Report) sane() bool {
-	ok := r != nil && len(r.Zone) <= mostNames && len(r.Sights) <= mostZones && len(r.Homes) <= mostMoves
-	for i := 0; ok && i < len(r.Sights); i++ {
-		s := &r.Sights[i]
-		ok = s.Zone != "" && len(s.Zone) <= mostNames && s.Members >= 0 && s.Silent >= 0 && s.Behind >= 0 && s.Slow >= 0 && s.Reads >= 0 && s.Reads < 1e9
+func (r *Report) valid() bool {
+	ok := r != nil && len(r.Zone) <= maxNameBytes && len(r.Observations) <= maxZones && len(r.Homes) <= maxMoves
+	for i := 0; ok && i < len(r.Observations); i++ {
+		s := &r.Observations[i]
+		ok = s.Zone != "" && len(s.Zone) <= maxNameBytes && s.Members >= 0 && s.Silent >= 0 && s.Behind >= 0 &&
+			s.Slow >= 0 && s.Reads >= 0 && s.Reads < 1e9
 	}
 	return ok
 }
 
-// eye is what a zone sees of another, as most of its reporters say.
-type eye uint8
+// health is what a zone sees of another, as most of its reporters say.
+type health uint8
 
 const (
-	unknown eye = iota
+	unknown health = iota
 	fine
 	silent
 	slow
@@ -59,7 +60,7 @@
 	behindShare = 0.8 // of a zone's members
 )
 
-func (s *Sight) eye() eye {
+func (s *Observation) health() health {
 	switch {
 	case s.Members == 0:
 		return unknown
@@ -82,74 +83,98 @@
 
 // judge adds reports up. zones are all that there are; lives says whether any driver of a zone lives.
 func judge(zones []string, reports []Report, lives map[string]bool, regionOf map[string]string) Judgement {
-	eyes := map[string]map[string]eye{} // by who sees, whom
+	views := map[string]map[string]health{} // by who sees, whom
 	for _, from := range zones {
-		eyes[from] = map[string]eye{}
+		views[from] = map[string]health{}
 		for _, of := range zones {
-			said := map[eye]int{}
-			n := 0
-			for _, r := range reports {
-				if r.Zone != from {
-					continue
-				}
-				for i := range r.Sights {
-					if s := &r.Sights[i]; s.Zone == of {
-						if e := s.eye(); e != unknown {
-							said[e]++
-							n++
-						}
-					}
-				}
-			}
-			for e, k := range said {
-				if 2*k > n { // most of those that report
-					eyes[from][of] = e
-				}
-			}
-			if n > 0 && eyes[from][of] == unknown { // they differ: what most agree on at least
-				eyes[from][of] = fine
-			}
+			views[from][of] = agreedView(reports, from, of)
 		}
 	}
 	j := Judgement{Causes: map[string]Cause{}}
 	for _, z := range zones {
-		reporting, count := 0, map[eye]int{}
+		cause, blind := causeOf(z, zones, views, lives[z])
+		if blind {
+			j.Blind = append(j.Blind, z)
+		}
+		if cause != None {
+			j.Causes[z] = cause
+		}
+		if cause == Lost || cause == MembersLost {
+			continue
+		}
 		for _, from := range zones {
-			if from == z {
-				continue
-			}
-			if e := eyes[from][z]; e != unknown {
-				reporting++
-				count[e]++
+			if from != z && views[from][z] == silent {
+				j.Cuts = append(j.Cuts, Cut{from, z})
 			}
 		}
-		own := eyes[z][z]
-		switch {
-		case reporting == 0 && own == unknown:
-			j.Blind = append(j.Blind, z)
-		case reporting > 0 && count[silent] == reporting && !lives[z]:
-			j.Causes[z] = Lost
-		case (reporting > 0 || own != unknown) && count[silent] == reporting && own == silent:
-			j.Causes[z] = MembersLost
-		case reporting > 0 && count[silent] == reporting && own != unknown:
-			j.Causes[z] = Isolated
-		case !lives[z] && reporting > 0:
-			j.Causes[z] = DriversLost
-		case 2*(count[slow]+bit(own == slow)) > reporting+bit(own != unknown):
-			j.Causes[z] = Slow
-		case 2*(count[behind]+bit(own == behind)) > reporting+bit(own != unknown):
-			j.Causes[z] = Behind
+	}
+	j.markLostRegions(zones, regionOf)
+	slices.SortFunc(j.Cuts, func(a, b Cut) int {
+		return cmp.Or(cmp.Compare(a.From, b.From), cmp.Compare(a.To, b.To))
+	})
+	return j
+}
+
+// agreedView is what most reporters of one zone see of another; where they differ it is fine, unknown where none says.
+func agreedView(reports []Report, from, of string) health {
+	votes := map[health]int{}
+	n := 0
+	for _, r := range reports {
+		if r.Zone != from {
+			continue
 		}
-		if c := j.Causes[z]; c != Lost && c != MembersLost {
-			for _, from := range zones {
-				if from != z && eyes[from][z] == silent {
-					j.Cuts = append(j.Cuts, Cut{from, z})
-				}
+		for i := range r.Observations {
+			if o := &r.Observations[i]; o.Zone == of && o.health() != unknown {
+				votes[o.health()]++
+				n++
 			}
 		}
 	}
-	lost := map[string]int{}
-	of := map[string]int{}
+	for view, k := range votes {
+		if 2*k > n {
+			return view
+		}
+	}
+	if n > 0 {
+		return fine
+	}
+	return unknown
+}
+
+// causeOf is what is the matter with one zone by its own view and those of the others; blind says that there is none.
+func causeOf(z string, zones []string, views map[string]map[string]health, lives bool) (cause Cause, blind bool) {
+	reporting, count := 0, map[health]int{}
+	for _, from := range zones {
+		if view := views[from][z]; from != z && view != unknown {
+			reporting++
+			count[view]++
+		}
+	}
+	own := views[z][z]
+	all := reporting + bit(own != unknown)
+	unseen := count[silent] == reporting
+	switch {
+	case all == 0:
+		return None, true
+	case reporting > 0 && unseen && !lives:
+		return Lost, false
+	case unseen && own == silent:
+		return MembersLost, false
+	case reporting > 0 && unseen && own != unknown:
+		return Isolated, false
+	case !lives && reporting > 0:
+		return DriversLost, false
+	case 2*(count[slow]+bit(own == slow)) > all:
+		return Slow, false
+	case 2*(count[behind]+bit(own == behind)) > all:
+		return Behind, false
+	}
+	return None, false
+}
+
+// markLostRegions gives the zones of a region of several, of which all are lost, that cause.
+func (j *Judgement) markLostRegions(zones []string, regionOf map[string]string) {
+	lost, of := map[string]int{}, map[string]int{}
 	for _, z := range zones {
 		of[regionOf[z]]++
 		if j.Causes[z] == Lost || j.Causes[z] == MembersLost {
@@ -161,8 +186,6 @@
 			j.Causes[z] = RegionLost
 		}
 	}
-	slices.SortFunc(j.Cuts, func(a, b Cut) int { return cmp.Or(cmp.Compare(a.From, b.From), cmp.Compare(a.To, b.To)) })
-	return j
 }
 
 func bit(b bool) int {
--- /dev/null
+++ b/internal/zones/leader.go
@@ -0,0 +1,182 @@
+package zones
+
+// This file owns what the leader does: it judges the reports it has and proposes the plan that is due. It must never
+// have a primary moved by what only its own zone sees.
+
+import (
+	"cmp"
+
+	"fmt"
+	"math"
+	"slices"
+	"strings"
+)
+
+// firstPlan is a first plan: it names voters and moves nothing.
+func (z *Zones) firstPlan() *Plan {
+	p := &Plan{Epoch: 1, Voters: z.chooseVoters(nil)}
+	for _, n := range z.zoneNames() {
+		p.Zones = append(p.Zones, Zone{Name: n, Part: 1})
+	}
+	p.sort()
+	return p
+}
+
+// chooseVoters are spread over the zones: those that are and live stay, as long as no zone has too many of them.
+func (z *Zones) chooseVoters(now []string) []string {
+	byZone := map[string][]string{}
+	var zones []string
+	for _, f := range z.fleet.Alive {
+		if _, listed := slices.BinarySearch(z.fleet.Names, f.Name); listed {
+			if byZone[f.Zone] == nil {
+				zones = append(zones, f.Zone)
+			}
+			byZone[f.Zone] = append(byZone[f.Zone], f.Name)
+		}
+	}
+	slices.Sort(zones)
+	for _, names := range byZone {
+		slices.SortStableFunc(names, func(a, b string) int {
+			return cmp.Or(-cmp.Compare(bit(slices.Contains(now, a)), bit(slices.Contains(now, b))), strings.Compare(a, b))
+		})
+	}
+	var all []string
+	want := min(z.rules.Voters, len(z.fleet.Alive))
+	if want%2 == 0 { // an even one more makes no majority smaller
+		want--
+	}
+	for turn := 0; len(all) < want; turn++ {
+		any := false
+		for _, zone := range zones {
+			if turn < len(byZone[zone]) && len(all) < want {
+				all, any = append(all, byZone[zone][turn]), true
+			}
+		}
+		if !any {
+			break
+		}
+	}
+	slices.Sort(all)
+	return all
+}
+
+// startLeading takes up leading: states go on from the plan, their times begin anew.
+func (z *Zones) startLeading(now float64) {
+	z.courses, z.leadingSince, z.orders = map[string]*course{}, now, map[string]float64{}
+	for _, n := range z.zoneNames() {
+		z.courses[n] = &course{Zone: z.plan.zone(n), since: now, well: now}
+	}
+	for _, o := range z.plan.Orders {
+		z.orders[o.Zone] = math.Inf(1)
+		if o.Until > 0 {
+			z.orders[o.Zone] = now + float64(o.Until)*z.heartbeat
+		}
+	}
+	z.frozen, z.flowsAt, z.goal, z.goalAt = z.plan.Frozen, now, z.plan.Flows, 0
+	z.note("leads", z.self.Name, fmt.Sprintf("epoch %d", z.plan.Epoch))
+}
+
+// recentReports are reports that are not too old.
+func (z *Zones) recentReports(now float64) (all []Report) {
+	for from, s := range z.reports {
+		if now-s.at > 4*reportMaxAgeBeats*z.heartbeat {
+			delete(z.reports, from)
+		}
+	}
+	var names []string
+	for from, s := range z.reports {
+		if now-s.at <= reportMaxAgeBeats*z.heartbeat && z.fleet.isAlive(from) {
+			names = append(names, from)
+		}
+	}
+	slices.Sort(names)
+	for _, n := range names {
+		all = append(all, z.reports[n].Report)
+	}
+	return all
+}
+
+// proposeNext proposes the plan that is due, if another one is.
+func (z *Zones) proposeNext(now float64) {
+	if z.round != nil || now < z.retryAt {
+		return
+	}
+	if offer := z.pending(); offer != nil && now-z.acceptedAt > roundBeats*z.heartbeat {
+		z.propose(now, offer)
+		return
+	}
+	reports := z.recentReports(now)
+	lives := map[string]bool{}
+	for _, f := range z.fleet.Alive {
+		lives[f.Zone] = true
+	}
+	names := z.zoneNames()
+	z.judgement = judge(names, reports, lives, z.regionOf)
+	z.expireOrders(now)
+	next := &Plan{Epoch: z.plan.Epoch + 1, Base: z.planSum, Voters: z.plan.Voters, Zones: slices.Clone(z.plan.Zones),
+		Cuts: z.plan.Cuts, Flows: z.plan.Flows,
+		Moves: z.plan.Moves, Orders: z.activeOrders(now), Frozen: z.frozen, Binds: z.plan.Binds}
+	if z.votersIncomplete() {
+		next.Voters = z.chooseVoters(z.plan.Voters)
+	}
+	// Reports of a leader that has just begun, or that hears too little, say nothing yet.
+	if enough := now-z.leadingSince > 2*z.heartbeat && len(reports) > 0; enough && !z.frozen && len(names) > 1 {
+		z.stepZones(now, next, names)
+		z.stepFlows(now, next, names, reports)
+		z.planMoves(next, reports)
+	}
+	next.sort()
+	// a plan that some took keeps this one from being confirmed
+	lapsing := now-z.confirmed > 4*z.heartbeat && !math.IsInf(z.confirmed, -1)
+	if !next.same(z.plan) || lapsing {
+		if withMajority(z.fleet.Standing) {
+			z.propose(now, next)
+		}
+	}
+}
+
+// votersIncomplete says that a voter is gone, or that more could be had.
+func (z *Zones) votersIncomplete() bool {
+	want := min(z.rules.Voters, len(z.fleet.Alive))
+	if len(z.plan.Voters) < want-1+want%2 {
+		return true
+	}
+	for _, v := range z.plan.Voters {
+		if !z.fleet.isAlive(v) {
+			return true
+		}
+	}
+	return false
+}
+
+// stepZones lets each zone's state go on.
+func (z *Zones) stepZones(now float64, p *Plan, names []string) {
+	returning := false
+	for _, n := range names {
+		if c := z.courses[n]; c == nil {
+			z.courses[n] = &course{Zone: z.plan.zone(n), since: now, well: now}
+		} else if c.State == Returning {
+			returning = true
+		}
+	}
+	p.Zones, p.Cuts = nil, z.judgement.Cuts
+	for _, n := range names {
+		c := z.courses[n]
+		cause := z.judgement.Causes[n]
+		if slices.Contains(z.judgement.Blind, n) { // nobody says anything: it stays what it is
+			cause = c.Cause
+		}
+		_, ordered := z.orders[n]
+		before := c.State
+		c.step(now, z.rules.Pace, cause, ordered, !returning)
+		if c.State == Returning {
+			returning = true
+		}
+		if c.State != before {
+			z.note("zone", n, fmt.Sprintf("%s, was %s %s", c.State, before, c.Cause))
+		}
+		shown := c.Zone
+		shown.Part = math.Round(shown.Part*4) / 4
+		p.Zones = append(p.Zones, shown)
+	}
+}
--- /dev/null
+++ b/internal/zones/persist.go
@@ -0,0 +1,47 @@
+package zones
+
+// This file owns what of the votes outlives the process.
+
+import (
+	"weirwind/internal/membership"
+)
+
+// SavedState is what must outlive the process for its votes to count when it comes back.
+type SavedState struct {
+	Name         string            `cbor:"1,keyasint"`
+	Plan         *Plan             `cbor:"2,keyasint,omitempty"`
+	Promised     membership.Ballot `cbor:"3,keyasint"`
+	Accepted     membership.Ballot `cbor:"4,keyasint"`
+	AcceptedPlan *Plan             `cbor:"5,keyasint,omitempty"`
+	Number       uint32            `cbor:"6,keyasint,omitempty"`
+}
+
+// restore takes up what an earlier process kept.
+func (c *consensus) restore(k *SavedState) {
+	if k == nil || k.Name != c.name || k.Plan != nil && !k.Plan.valid() ||
+		k.AcceptedPlan != nil && !k.AcceptedPlan.valid() {
+		return
+	}
+	if k.Plan != nil {
+		c.plan, c.planSum = k.Plan, k.Plan.sum()
+	}
+	c.promised, c.accepted, c.acceptedPlan, c.ballotNumber, c.mayVoteAt = k.Promised, k.Accepted, k.AcceptedPlan,
+		k.Number, 0
+}
+
+// save gives what is to be kept, where there is something new.
+func (c *consensus) save(now float64) *SavedState {
+	if !c.persistent || !c.unsaved || now < c.saveAt {
+		return nil
+	}
+	c.unsaved = false
+	return &SavedState{c.name, c.plan, c.promised, c.accepted, c.acceptedPlan, c.ballotNumber}
+}
+
+// saved tells what became of that.
+func (c *consensus) saved(now float64, ok bool) {
+	if !ok {
+		c.unsaved, c.saveAt, c.round = true, now+2*c.heartbeat, nil
+	}
+	c.saveFailed = !ok
+}
--- a/internal/zones/plan.go
+++ b/internal/zones/plan.go
@@ -1,8 +1,9 @@
-// Package zones decides in common which zones serve whose reads, and where primaries should be, while zones and regions fail,
-// come apart and return. It does no I/O and reads no clock: it takes what drivers report, words of other drivers and the
-// passing of time, and gives words to be sent and tolls for the module.
+// Package zones decides in common which zones serve whose reads, and where primaries should be, while zones and regions
+// fail, come apart and return. It does no I/O and reads no clock: it takes what drivers report, messages of other
+// drivers and the passing of time, and gives messages to be sent and tolls for the module.
 //
-// This file owns the plan. It must never hold a time of anybody's clock, or anything that two readers could take differently.
+// This file owns the plan. It must never hold a time of anybody's clock, or anything that two readers could take
+// differently.
 //
 // Times are milliseconds everywhere.
 package zones
@@ -89,8 +90,9 @@
 
 // Order is what operators said of a zone.
 type Order struct {
-	Zone  string `cbor:"1,keyasint" json:"zone"`
-	Until uint64 `cbor:"2,keyasint" json:"beats_left"` // beats of the leader that it still lasts; 0: until it is taken back
+	Zone string `cbor:"1,keyasint" json:"zone"`
+	// beats of the leader that it still lasts; 0: until it is taken back
+	Until uint64 `cbor:"2,keyasint" json:"beats_left"`
 }
 
 // Plan is what all go by. Each follows one that it names by its sum.
@@ -108,21 +110,23 @@
 }
 
 const (
-	mostZones  = 64
-	mostVoters = 9
-	mostNames  = 64 // bytes of a name
-	mostMoves  = 256
+	maxZones     = 64
+	maxVoters    = 9
+	maxNameBytes = 64 // bytes of a name
+	maxMoves     = 256
 )
 
-// sane says whether a plan can be one at all.
-func (p *Plan) sane() bool {
-	ok := p.Epoch > 0 && len(p.Voters) > 0 && len(p.Voters) <= mostVoters && len(p.Zones) <= mostZones && len(p.Cuts) <= mostZones*mostZones &&
-		len(p.Flows) <= mostZones*mostZones && len(p.Moves) <= mostMoves && len(p.Orders) <= mostZones && len(p.Binds) <= 2*mostZones && slices.IsSorted(p.Voters)
+// valid says whether a plan can be one at all.
+func (p *Plan) valid() bool {
+	ok := p.Epoch > 0 && len(p.Voters) > 0 && len(p.Voters) <= maxVoters && len(p.Zones) <= maxZones &&
+		len(p.Cuts) <= maxZones*maxZones &&
+		len(p.Flows) <= maxZones*maxZones && len(p.Moves) <= maxMoves && len(p.Orders) <= maxZones &&
+		len(p.Binds) <= 2*maxZones && slices.IsSorted(p.Voters)
 	for _, v := range p.Voters {
-		ok = ok && v != "" && len(v) <= mostNames
+		ok = ok && v != "" && len(v) <= maxNameBytes
 	}
 	for _, z := range p.Zones {
-		ok = ok && z.Name != "" && len(z.Name) <= mostNames && z.State <= Returning && z.Part >= 0 && z.Part <= 1
+		ok = ok && z.Name != "" && len(z.Name) <= maxNameBytes && z.State <= Returning && z.Part >= 0 && z.Part <= 1
 	}
 	for _, f := range p.Flows {
 		ok = ok && f.Share >= 0 && f.Share <= 1.001
--- a/internal/zones/plan_test.go
+++ b/internal/zones/plan_test.go
@@ -12,8 +12,8 @@
 
 func flow(all []Flow, from, to string) float64 { return (&Plan{Flows: all}).share(from, to) }
 
-// Reads stay near while there is room, spill in proportion, never to a zone that is not reached or has none, and the limit
-// that binds is named.
+// Reads stay near while there is room, spill in proportion, never to a zone that is not reached or has none, and the
+// limit that binds is named.
 func TestShares(t *testing.T) {
 	three := func(a, b, c, room float64) []Place {
 		return []Place{{"a", "r", a, room}, {"b", "r", b, room}, {"c", "s", c, room}}
@@ -21,7 +21,8 @@
 	if f, binds := shares(three(60, 60, 60, 100), Limits{0.2, 1}, open); len(f) != 0 || len(binds) != 0 {
 		t.Errorf("there is room: %v %v", f, binds)
 	}
-	for demand := 80.0; demand <= 140; demand += 5 { // no cliff: what is beyond the easy room crosses, into the own region first
+	// no cliff: what is beyond the easy room crosses, into the own region first
+	for demand := 80.0; demand <= 140; demand += 5 {
 		f, _ := shares(three(demand, 20, 20, 100), Limits{0.2, 1}, open)
 		want := max(0, demand-80) / demand
 		if got := flow(f, "a", "b"); math.Abs(got-min(want, 60/demand)) > 0.011 {
@@ -86,10 +87,11 @@
 	}
 }
 
-// Of two zones without a third the one with fewer voters changes nothing while it is cut off; an order is refused there.
+// Of two zones without a third the one with fewer voters changes nothing while it is cut off; an order is refused
+// there.
 func TestTwoZonesWithoutAWitness(t *testing.T) {
 	w := newTown(5, "a", "b", "a", "b", "a")
-	w.sees = func(f, of string) Sight { return Sight{Zone: of, Members: 4, Reads: 100} }
+	w.sees = func(f, of string) Observation { return Observation{Zone: of, Members: 4, Reads: 100} }
 	if w.until(60000, func() bool { return w.all(calm) }) < 0 {
 		t.Fatal("no first plan")
 	}
@@ -101,7 +103,7 @@
 		if z.inForce(w.Now) || z.plan.Epoch != before {
 			t.Errorf("%s: %+v", w.ds[i].name, z.Status(w.Now))
 		}
-		if _, err := z.Order(w.Now, Saying{Zone: "a", Away: true}); err != ErrPart {
+		if _, err := z.Submit(w.Now, Command{Zone: "a", Away: true}); err != ErrNotInForce {
 			t.Errorf("an order: %v", err)
 		}
 	}
@@ -120,7 +122,8 @@
 	for s := membership.Unsure; s <= membership.Whole; s++ {
 		for _, force := range []bool{false, true} {
 			most := s == membership.Larger || s == membership.Whole
-			for act, want := range map[Act]bool{MovePrimary: most && force, FillZone: force, KeepPlan: force, AvoidZone: true, RenewPlan: true} {
+			for act, want := range map[Action]bool{MovePrimary: most && force, FillZone: force, KeepPlan: force,
+				AvoidZone: true, RenewPlan: true} {
 				if got := Allowed(s, force, act); got != want {
 					t.Errorf("%s, in force %v, act %d: %v", s, force, act, got)
 				}
@@ -128,7 +131,8 @@
 		}
 	}
 	f := &follower{zone: "a", tolls: map[string]float64{"a": 1, "b": 0, "c": 0.3}}
-	p := &Plan{Zones: []Zone{{Name: "a", Part: 1}, {Name: "b", Part: 1}, {Name: "c", State: Away}}, Flows: []Flow{{"a", "b", 0.5}}}
+	p := &Plan{Zones: []Zone{{Name: "a", Part: 1}, {Name: "b", Part: 1}, {Name: "c", State: Away}},
+		Flows: []Flow{{"a", "b", 0.5}}}
 	if got := f.give(p, []string{"a", "b", "c"}, true); got["a"] != 1 || got["b"] != 0 || got["c"] != shutToll {
 		t.Errorf("in force: %v", got)
 	}
--- a/internal/zones/solve.go
+++ b/internal/zones/solve.go
@@ -1,7 +1,7 @@
 package zones
 
-// This file owns the shares: which zone serves how much of another's reads. It must never send reads to a zone that they
-// can't reach or that is away, or fill one beyond what it can do while another has room.
+// This file owns the shares: which zone serves how much of another's reads. It must never send reads to a zone that
+// they can't reach or that is away, or fill one beyond what it can do while another has room.
 
 import (
 	"fmt"
@@ -35,8 +35,8 @@
 	leastShare = 0.01
 )
 
-// shares solves for the flows that cost least, by linear programming: crossing costs, using headroom costs more, breaking
-// the budget more than that, and leaving reads unserved most. reaches says what may flow at all.
+// shares solves for the flows that cost least, by linear programming: crossing costs, using headroom costs more,
+// breaking the budget more than that, and leaving reads unserved most. reaches says what may flow at all.
 func shares(places []Place, l Limits, reaches func(from, to string) bool) (flows []Flow, binds []string) {
 	total := 0.0
 	for _, p := range places {
@@ -109,7 +109,8 @@
 		}
 	}
 	if solved[over] > 1e-6 {
-		binds = append(binds, fmt.Sprintf("budget: %.0f%% of all reads cross, beyond the budget", 100*(solved[over]+l.Budget)))
+		binds = append(binds, fmt.Sprintf("budget: %.0f%% of all reads cross, beyond the budget",
+			100*(solved[over]+l.Budget)))
 	}
 	return flows, binds
 }
--- a/internal/zones/town_test.go
+++ b/internal/zones/town_test.go
@@ -18,9 +18,9 @@
 	hours.Queue
 	ds     []*resident
 	draw   *rand.Rand
-	cut    func(a, b int) bool            // drivers, one way
-	sees   func(from, of string) Sight    // what drivers of a zone see of another
-	lies   func(d *resident, all []Sight) // changes a report
+	cut    func(a, b int) bool                  // drivers, one way
+	sees   func(from, of string) Observation    // what drivers of a zone see of another
+	lies   func(d *resident, all []Observation) // changes a report
 	loss   float64
 	late   float64           // mean latency
 	epochs map[uint64]uint64 // sum by epoch, of all plans that were ever in force
@@ -38,20 +38,23 @@
 	zone   string
 	life   int
 	frozen float64
-	disk   *Kept
+	disk   *SavedState
 	heard  []float64
 	wait   []func()
 }
 
 func rules() Rules {
-	return Rules{Beat: 500, Lease: 5000, Voters: 5, Regions: []Region{{"r", []string{"a", "b", "c"}}}, Load: 0.6, Move: 0.5,
-		Pace: Pace{Doubt: 1000, SlowFor: 3000, Away: 3000, AwayMost: 60000, Ramp: 2000, Calm: 60000}, Limits: Limits{Headroom: 0.2, Budget: 1}}
+	return Rules{Heartbeat: 500, Lease: 5000, Voters: 5, Regions: []Region{{"r", []string{"a", "b", "c"}}}, Load: 0.6,
+		Move:   0.5,
+		Pace:   Pace{Doubt: 1000, SlowFor: 3000, Away: 3000, AwayMost: 60000, Ramp: 2000, Calm: 60000},
+		Limits: Limits{Headroom: 0.2, Budget: 1}}
 }
 
 func newTown(seed uint64, zones ...string) *town {
-	t := &town{Queue: hours.Queue{Now: 1000}, draw: rand.New(rand.NewPCG(seed, 9)), late: 5, epochs: map[uint64]uint64{}, began: map[uint64]float64{}, lease: rules().Lease,
+	t := &town{Queue: hours.Queue{Now: 1000}, draw: rand.New(rand.NewPCG(seed, 9)), late: 5, epochs: map[uint64]uint64{},
+		began: map[uint64]float64{}, lease: rules().Lease,
 		home: map[int64]string{1: "a"}, keeps: true}
-	t.sees = func(from, of string) Sight { return Sight{Zone: of, Members: 4, Reads: 100} }
+	t.sees = func(from, of string) Observation { return Observation{Zone: of, Members: 4, Reads: 100} }
 	for i, zone := range zones {
 		d := &resident{i: i, name: fmt.Sprintf("n%d", i), zone: zone, heard: make([]float64, len(zones))}
 		for k := range d.heard {
@@ -76,11 +79,11 @@
 // start begins a process, which knows what an earlier one kept.
 func (t *town) start(d *resident) {
 	r := rules()
-	r.Keeps, r.Kept = t.keeps, d.disk
+	r.Persistent, r.Saved = t.keeps, d.disk
 	d.life++
-	d.z, d.frozen, d.wait = New(t.Now, r, Fellow{d.name, d.zone}, uint64(t.Now)), 0, nil
+	d.z, d.frozen, d.wait = New(t.Now, r, Peer{d.name, d.zone}, uint64(t.Now)), 0, nil
 	if !t.keeps && d.life > 1 {
-		d.z.votesAt = t.Now + forgetBeats*d.z.beat
+		d.z.mayVoteAt = t.Now + forgetBeats*d.z.heartbeat
 	}
 	life := d.life
 	var tick, gossip func()
@@ -147,7 +150,7 @@
 		s := o.z.Summary(t.Now)
 		t.pass(o, d, func() {
 			if d.life == life {
-				t.out(d, d.z.Heard(t.Now, asked, s))
+				t.out(d, d.z.ReceiveSummary(t.Now, asked, s))
 			}
 		})
 	})
@@ -164,13 +167,13 @@
 		to := t.ds[i]
 		asked, life := t.Now, d.life
 		t.pass(d, to, func() {
-			o := to.z.Got(t.Now, math.Inf(-1), d.name, s.Word)
-			if s.Word.Step == Tell {
+			o := to.z.Receive(t.Now, math.Inf(-1), d.name, s.Message)
+			if s.Message.Kind == ReportState {
 				o.Sends = slices.DeleteFunc(o.Sends, func(s Send) bool {
 					if s.To == d.name {
 						t.pass(to, d, func() {
 							if d.life == life {
-								t.out(d, d.z.Got(t.Now, asked, to.name, s.Word))
+								t.out(d, d.z.Receive(t.Now, asked, to.name, s.Message))
 							}
 						})
 					}
@@ -180,13 +183,13 @@
 			t.out(to, o)
 		})
 	}
-	if o.News {
+	if o.PlanChanged {
 		for range 3 {
 			to := t.ds[t.draw.IntN(len(t.ds))]
 			s := d.z.Summary(t.Now)
 			t.pass(d, to, func() {
-				o := to.z.Heard(t.Now, math.Inf(-1), s)
-				if t.out(to, o); o.News {
+				o := to.z.ReceiveSummary(t.Now, math.Inf(-1), s)
+				if t.out(to, o); o.PlanChanged {
 					t.ask(to, d)
 				}
 			})
@@ -211,7 +214,8 @@
 	}
 	for later, began := range t.began {
 		if later > e && t.Now-began > t.lease {
-			t.broken = append(t.broken, fmt.Sprintf("%.0f: %s goes by epoch %d, %.0f after %d began", t.Now, d.name, e, t.Now-began, later))
+			t.broken = append(t.broken, fmt.Sprintf("%.0f: %s goes by epoch %d, %.0f after %d began", t.Now, d.name, e,
+				t.Now-began, later))
 		}
 	}
 }
@@ -225,17 +229,17 @@
 			d.heard[o.i] = t.Now
 		}
 		if t.Now-d.heard[o.i] < 1500 {
-			f.Living = append(f.Living, Fellow{o.name, o.zone})
+			f.Alive = append(f.Alive, Peer{o.name, o.zone})
 		}
 	}
 	slices.Sort(f.Names)
-	slices.SortFunc(f.Living, func(a, b Fellow) int {
+	slices.SortFunc(f.Alive, func(a, b Peer) int {
 		if a.Name < b.Name {
 			return -1
 		}
 		return 1
 	})
-	switch n := len(f.Living); {
+	switch n := len(f.Alive); {
 	case n == len(f.Names):
 		f.Standing = membership.Whole
 	case 2*n > len(f.Names):
@@ -243,7 +247,7 @@
 	default:
 		f.Standing = membership.Smaller
 	}
-	var sights []Sight
+	var sights []Observation
 	for _, z := range t.zones() {
 		if s := t.sees(d.zone, z); s.Members > 0 {
 			if z != d.zone {
@@ -259,7 +263,7 @@
 	for g, zone := range t.home {
 		homes = append(homes, Home{g, zone})
 	}
-	t.out(d, d.z.See(t.Now, sights, homes, nil))
+	t.out(d, d.z.Observe(t.Now, sights, homes, nil))
 	t.out(d, d.z.Tick(t.Now, f))
 }
 
@@ -311,7 +315,7 @@
 func (t *town) dump(tt testing.TB) {
 	for _, d := range t.ds {
 		if d.z != nil {
-			tt.Logf("%.0f %s/%s: %+v judged %+v", t.Now, d.name, d.zone, d.z.Status(t.Now), d.z.judged)
+			tt.Logf("%.0f %s/%s: %+v judged %+v", t.Now, d.name, d.zone, d.z.Status(t.Now), d.z.judgement)
 			if d.z.plan != nil {
 				tt.Logf("  %s", describe(d.z.plan))
 			}
@@ -338,8 +342,8 @@
 		return all
 	}
 	silentTo := func(w *town, from ...string) {
-		w.sees = func(f, of string) Sight {
-			s := Sight{Zone: of, Members: 4, Reads: 100}
+		w.sees = func(f, of string) Observation {
+			s := Observation{Zone: of, Members: 4, Reads: 100}
 			if of == "b" && slices.Contains(from, f) {
 				s.Silent = 4
 			}
@@ -367,8 +371,8 @@
 			return p.cut("a", "b") && !p.cut("c", "b") && !p.cut("b", "a") && p.zone("b").State == Serving
 		}},
 		"slow": {func(w *town) {
-			w.sees = func(f, of string) Sight {
-				s := Sight{Zone: of, Members: 4, Reads: 100, Slow: 1}
+			w.sees = func(f, of string) Observation {
+				s := Observation{Zone: of, Members: 4, Reads: 100, Slow: 1}
 				if of == "b" {
 					s.Slow = 4
 				}
@@ -376,7 +380,7 @@
 			}
 		}, func(p *Plan) bool { return is("b", Serving, Slow)(p) && p.zone("b").Part == easedPart }},
 		"one driver says that all is lost": {func(w *town) {
-			w.lies = func(d *resident, all []Sight) {
+			w.lies = func(d *resident, all []Observation) {
 				if d.i == 4 {
 					for i := range all {
 						all[i].Silent = all[i].Members
@@ -413,8 +417,8 @@
 	}
 }
 
-// Any faults between drivers: no two plans of one epoch in force, none for longer than its lease beside a later one, and
-// after the last fault all go by one plan.
+// Any faults between drivers: no two plans of one epoch in force, none for longer than its lease beside a later one,
+// and after the last fault all go by one plan.
 func TestAnyFaults(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		n := rapid.IntRange(3, 7).Draw(r, "drivers")
@@ -432,8 +436,8 @@
 			r.Fatal("no first plan")
 		}
 		down := map[string]bool{}
-		w.sees = func(from, of string) Sight {
-			s := Sight{Zone: of, Members: 4, Reads: 100}
+		w.sees = func(from, of string) Observation {
+			s := Observation{Zone: of, Members: 4, Reads: 100}
 			if down[of] || down[from+of] {
 				s.Silent = 4
 			}
@@ -479,7 +483,7 @@
 				r.Log(b)
 			}
 			for _, d := range w.ds {
-				r.Logf("%s %s orders %v lives %v", d.name, describe(d.z.plan), d.z.orders, d.z.fleet.Living)
+				r.Logf("%s %s orders %v lives %v", d.name, describe(d.z.plan), d.z.orders, d.z.fleet.Alive)
 			}
 			r.Fatal("after the last fault")
 		}
