--- a/internal/session/queue/edge.go
+++ b/internal/session/queue/edge.go
@@ -1,7 +1,7 @@
 package queue
 
-// This file owns the edge: where sockets end. It knows of each what it wrote and what the client sent that is not safe yet, and finds
-// the session's home anew whenever that changes, so that the client notices nothing.
+// This file owns the edge: where sockets end. It knows of each what it wrote and what the client sent that is not safe
+// yet, and finds the session's home anew whenever that changes, so that the client notices nothing.
 
 import (
 	"cmp"
@@ -12,12 +12,12 @@
 )
 
 const (
-	findAgain = 100.0
-	findMost  = 15000.0 // a socket without a home for so long is closed; its session may be there still
-	knownMost = 4000.0  // one that was never opened, longer than a lease: its session is unknown, or its secret wrong
-	comeAgain = 500.0   // what is not safe by then is said again
-	comeMost  = 64      // messages of a client that are not safe yet; more are not read
-	comeBytes = 256 << 10
+	findAgain      = 100.0
+	findTimeout    = 15000.0 // a socket without a home for so long is closed; its session may be there still
+	unknownTimeout = 4000.0  // one that was never opened, longer than a lease: its session is unknown, or its secret wrong
+	republishAfter = 500.0   // what is not safe by then is said again
+	maxUnsafe      = 64      // messages of a client that are not safe yet; more are not read
+	comeBytes      = 256 << 10
 )
 
 // ToClientKind is what a socket's client is to be told.
@@ -42,7 +42,7 @@
 	ID     string
 }
 
-type sock struct {
+type socket struct {
 	id       uint64
 	session  string
 	secret   string
@@ -69,7 +69,7 @@
 	m      *sites.Map
 	zone   string
 	region string
-	socks  map[uint64]*sock
+	socks  map[uint64]*socket
 	out    []Send
 	tell   []ToClient
 	gaps   []float64 // how long sockets were without a home
@@ -77,7 +77,7 @@
 
 // NewEdge is one without a socket.
 func NewEdge(name, zone, region string) *Edge {
-	return &Edge{Name: name, zone: zone, region: region, socks: map[uint64]*sock{}}
+	return &Edge{Name: name, zone: zone, region: region, socks: map[uint64]*socket{}}
 }
 
 // Sends gives what is to be said to sites, Tells what to clients; both are forgotten.
@@ -87,7 +87,7 @@
 	return out
 }
 
-func (e *Edge) Tells() []ToClient {
+func (e *Edge) ClientMessages() []ToClient {
 	out := e.tell
 	e.tell = nil
 	return out
@@ -99,20 +99,20 @@
 // Sockets is how many are open.
 func (e *Edge) Sockets() int { return len(e.socks) }
 
-func (e *Edge) say(to string, k *sock, w Word) {
+func (e *Edge) send(to string, k *socket, w Envelope) {
 	w.Session, w.Sock = k.session, k.id
 	e.out = append(e.out, Send{to, w})
 }
 
 // Open takes a socket. fresh: its session begins; else got is what the client has of it.
 func (e *Edge) Open(id uint64, session, secret string, fresh bool, got uint64, now float64) {
-	k := &sock{id: id, session: session, secret: secret, fresh: fresh, wrote: got, got: got, since: now}
+	k := &socket{id: id, session: session, secret: secret, fresh: fresh, wrote: got, got: got, since: now}
 	e.socks[id] = k
-	e.seek(k, now)
+	e.findHome(k, now)
 }
 
-// near gives the sites that take new sessions, near ones first.
-func (e *Edge) near() []string {
+// nearestSites gives the sites that take new sessions, near ones first.
+func (e *Edge) nearestSites() []string {
 	var all []string
 	for name, s := range e.m.Sites {
 		if s.State == sites.In {
@@ -132,15 +132,15 @@
 	return all
 }
 
-// seek goes for the session's home.
-func (e *Edge) seek(k *sock, now float64) {
+// findHome goes for the session's home.
+func (e *Edge) findHome(k *socket, now float64) {
 	k.askAt = now + findAgain
 	k.tried++
 	if e.m == nil {
 		return
 	}
 	if k.fresh && k.epoch == 0 {
-		if all := e.near(); len(all) > 0 {
+		if all := e.nearestSites(); len(all) > 0 {
 			k.home = all[(k.tried-1)%len(all)]
 			e.attach(k)
 		}
@@ -159,24 +159,25 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(e.m.Sites)) {
 		if e.m.Up(name) {
-			e.say(name, k, Word{Kind: Find})
+			e.send(name, k, Envelope{Kind: Find})
 		}
 	}
 }
 
-func (e *Edge) attach(k *sock) {
-	e.say(k.home, k, Word{Kind: Attach, Secret: k.secret, Seq: k.seq, N: k.wrote, Base: k.got, New: k.fresh && k.epoch == 0})
+func (e *Edge) attach(k *socket) {
+	e.send(k.home, k, Envelope{Kind: Attach, Secret: k.secret, Seq: k.seq, N: k.wrote, Base: k.got, New: k.fresh &&
+		k.epoch == 0})
 }
 
 // lose notes that a socket has no home.
-func (k *sock) lose(now float64) {
+func (k *socket) lose(now float64) {
 	if k.attached {
 		k.attached, k.since, k.tried = false, now, 0
 	}
 }
 
-// Learn takes a newer map.
-func (e *Edge) Learn(m *sites.Map, now float64) {
+// ApplyMap takes a newer map.
+func (e *Edge) ApplyMap(m *sites.Map, now float64) {
 	if m == nil || e.m != nil && m.Version <= e.m.Version {
 		return
 	}
@@ -184,16 +185,17 @@
 	e.m = m
 	for _, id := range slices.Sorted(maps.Keys(e.socks)) {
 		k := e.socks[id]
-		if old != nil && k.home != "" && old.Sites[k.home].Epoch == m.Sites[k.home].Epoch && m.Sites[k.home].State != sites.Out {
+		if old != nil && k.home != "" && old.Sites[k.home].Epoch == m.Sites[k.home].Epoch &&
+			m.Sites[k.home].State != sites.Out {
 			continue
 		}
 		k.lose(now)
-		e.seek(k, now)
+		e.findHome(k, now)
 	}
 }
 
-// Lost notes that the link to a site has ended.
-func (e *Edge) Lost(site string, now float64) {
+// LostSite notes that the link to a site has ended.
+func (e *Edge) LostSite(site string, now float64) {
 	for _, id := range slices.Sorted(maps.Keys(e.socks)) {
 		if k := e.socks[id]; k.home == site {
 			k.lose(now)
@@ -202,20 +204,20 @@
 	}
 }
 
-// Shut takes the end of a socket.
-func (e *Edge) Shut(id uint64) {
+// Close takes the end of a socket.
+func (e *Edge) Close(id uint64) {
 	if k := e.socks[id]; k != nil {
 		if k.attached {
-			e.say(k.home, k, Word{Kind: Detach})
+			e.send(k.home, k, Envelope{Kind: Detach})
 		}
 		delete(e.socks, id)
 	}
 }
 
-// Room says whether more of a client's messages may be read now.
-func (e *Edge) Room(id uint64) bool {
+// HasRoom says whether more of a client's messages may be read now.
+func (e *Edge) HasRoom(id uint64) bool {
 	k := e.socks[id]
-	if k == nil || !k.opened || len(k.in) >= comeMost {
+	if k == nil || !k.opened || len(k.in) >= maxUnsafe {
 		return false
 	}
 	bytes := 0
@@ -225,8 +227,9 @@
 	return bytes < comeBytes
 }
 
-// From takes a client's message. n is the client's own number for it, 0 where it has none; one that came before changes nothing.
-func (e *Edge) From(id, n uint64, body []byte) {
+// Publish takes a client's message. n is the client's own number for it, 0 where it has none; one that came before
+// changes nothing.
+func (e *Edge) Publish(id, n uint64, body []byte) {
 	k := e.socks[id]
 	if k == nil || !k.opened {
 		return
@@ -236,34 +239,34 @@
 	}
 	k.inLast++
 	if n > 0 && n != k.inLast {
-		e.shut(k, "message numbers go up by one", false)
+		e.closeSocket(k, "message numbers go up by one", false)
 		return
 	}
 	m := Msg{N: k.inLast, Body: body}
 	k.in = append(k.in, m)
 	if k.attached {
-		e.say(k.home, k, Word{Kind: Come, Epoch: k.epoch, Msgs: []Msg{m}})
+		e.send(k.home, k, Envelope{Kind: Publish, Epoch: k.epoch, Msgs: []Msg{m}})
 	}
 }
 
-// Has is the client's word, or the socket's of a plain client, that it has all up to n.
-func (e *Edge) Has(id, n uint64) {
+// Ack is the client's word, or the socket's of a plain client, that it has all up to n.
+func (e *Edge) Ack(id, n uint64) {
 	if k := e.socks[id]; k != nil && n > k.got && n <= k.wrote {
 		k.got = n
 		if k.attached {
-			e.say(k.home, k, Word{Kind: Got, Epoch: k.epoch, N: n})
+			e.send(k.home, k, Envelope{Kind: Ack, Epoch: k.epoch, N: n})
 		}
 	}
 }
 
-// shut ends a socket, again: its session may be there still.
-func (e *Edge) shut(k *sock, why string, again bool) {
+// closeSocket ends a socket, again: its session may be there still.
+func (e *Edge) closeSocket(k *socket, why string, again bool) {
 	e.tell = append(e.tell, ToClient{Kind: Closed, Sock: k.id, Why: why, Again: again})
-	e.Shut(k.id)
+	e.Close(k.id)
 }
 
 // Receive takes a site's word.
-func (e *Edge) Receive(from string, w *Word, now float64) {
+func (e *Edge) Receive(from string, w *Envelope, now float64) {
 	k := e.socks[w.Sock]
 	if k == nil || k.session != w.Session || w.Epoch > 0 && w.Epoch < k.epoch {
 		return
@@ -285,9 +288,9 @@
 			k.inLast = max(k.inLast, w.N)
 			e.tell = append(e.tell, ToClient{Kind: Opened, Sock: k.id, N: w.N, Secret: k.secret, ID: k.session})
 		} else {
-			e.safe(k, w.N)
+			e.ackPublished(k, w.N)
 		}
-		e.come(k, now)
+		e.publish(k, now)
 	case Deliver:
 		if !k.attached || from != k.home {
 			return
@@ -299,11 +302,11 @@
 				e.tell = append(e.tell, ToClient{Kind: Message, Sock: k.id, N: m.N, Body: m.Body})
 			}
 		}
-	case Taken:
+	case PublishAck:
 		if k.attached && from == k.home {
-			e.safe(k, w.N)
+			e.ackPublished(k, w.N)
 		}
-	case Elsewhere:
+	case Redirect:
 		if k.attached && k.home == w.Home && w.Epoch <= k.epoch {
 			return
 		}
@@ -316,12 +319,12 @@
 		}
 	case Detach:
 		if from == k.home {
-			e.shut(k, "another connection has taken its place", false)
+			e.closeSocket(k, "another connection has taken its place", false)
 		}
 	}
 }
 
-func (e *Edge) safe(k *sock, n uint64) {
+func (e *Edge) ackPublished(k *socket, n uint64) {
 	before := len(k.in)
 	for len(k.in) > 0 && k.in[0].N <= n {
 		k.in = k.in[1:]
@@ -331,10 +334,10 @@
 	}
 }
 
-// come says all of the client's messages that are not safe yet.
-func (e *Edge) come(k *sock, now float64) {
+// publish says all of the client's messages that are not safe yet.
+func (e *Edge) publish(k *socket, now float64) {
 	if k.saidAt = now; len(k.in) > 0 {
-		e.say(k.home, k, Word{Kind: Come, Epoch: k.epoch, Msgs: slices.Clone(k.in)})
+		e.send(k.home, k, Envelope{Kind: Publish, Epoch: k.epoch, Msgs: slices.Clone(k.in)})
 	}
 }
 
@@ -344,15 +347,15 @@
 		k := e.socks[id]
 		switch {
 		case k.attached:
-			if now-k.saidAt > comeAgain {
-				e.come(k, now)
+			if now-k.saidAt > republishAfter {
+				e.publish(k, now)
 			}
-		case !k.opened && !k.fresh && e.m != nil && now-k.since > knownMost:
-			e.shut(k, "unknown session", false)
-		case now-k.since > findMost:
-			e.shut(k, "no site serves this session now", true)
+		case !k.opened && !k.fresh && e.m != nil && now-k.since > unknownTimeout:
+			e.closeSocket(k, "unknown session", false)
+		case now-k.since > findTimeout:
+			e.closeSocket(k, "no site serves this session now", true)
 		case now >= k.askAt:
-			e.seek(k, now)
+			e.findHome(k, now)
 		}
 	}
 }
--- a/internal/session/queue/evening_test.go
+++ b/internal/session/queue/evening_test.go
@@ -14,9 +14,9 @@
 	"weirwind/internal/standin/hours"
 )
 
-// evening plays sessions of sites and edges in virtual time: sites are pulled, frozen, drained and come back empty, links end,
-// edges die, clients come again by their token, producers repeat what got no answer. The audit: each message that was queued arrives
-// once and in order, in both directions.
+// evening plays sessions of sites and edges in virtual time: sites are pulled, frozen, drained and come back empty,
+// links end, edges die, clients come again by their token, producers repeat what got no answer. The audit: each message
+// that was queued arrives once and in order, in both directions.
 type evening struct {
 	hours.Queue
 	r     *rand.Rand
@@ -75,8 +75,8 @@
 	return b + " " + a
 }
 
-// link carries a word in order; a break loses what is on its way, and both ends hear of it.
-func (e *evening) link(from, to string, w Word) {
+// link carries a message in order; a break loses what is on its way, and both ends hear of it.
+func (e *evening) link(from, to string, w Envelope) {
 	key := pair(from, to)
 	n := e.conn[key]
 	e.In(3, func() {
@@ -105,7 +105,7 @@
 	e.conn[pair(a, b)]++
 	for _, x := range [][2]string{{a, b}, {b, a}} {
 		if g := e.edges[x[0]]; g != nil && g.up {
-			e.In(5, func() { g.e.Lost(x[1], e.Now); e.flushEdge(g) })
+			e.In(5, func() { g.e.LostSite(x[1], e.Now); e.flushEdge(g) })
 		}
 		if h := e.sites[x[0]]; h != nil && e.edges[x[1]] != nil {
 			e.In(5, func() { h.take(func() { h.s.LostEdge(x[1], e.Now); e.flush(h) }) })
@@ -115,12 +115,12 @@
 
 func (e *evening) flush(h *host) {
 	for _, s := range h.s.Sends() {
-		e.link(h.name, s.To, s.Word)
+		e.link(h.name, s.To, s.Envelope)
 	}
 }
 
 func (e *evening) flushEdge(g *edgeHost) {
-	for _, t := range g.e.Tells() {
+	for _, t := range g.e.ClientMessages() {
 		c := g.socks[t.Sock]
 		if c == nil {
 			continue
@@ -142,12 +142,12 @@
 			}
 			c.got = t.N
 			if c.plain {
-				g.e.Has(t.Sock, t.N)
+				g.e.Ack(t.Sock, t.N)
 			} else {
 				n := t.N
 				e.In(4+float64(e.r.IntN(3)*150), func() {
 					if g.up && g.socks[t.Sock] == c {
-						g.e.Has(t.Sock, n)
+						g.e.Ack(t.Sock, n)
 						e.flushEdge(g)
 					}
 				})
@@ -164,16 +164,17 @@
 		}
 	}
 	for _, s := range g.e.Sends() {
-		e.link(g.name, s.To, s.Word)
+		e.link(g.name, s.To, s.Envelope)
 	}
 }
 
-// resend is what a client of the subprotocol does when it is connected anew: what is not safe goes again, under its own numbers.
+// resend is what a client of the subprotocol does when it is connected anew: what is not safe goes again, under its own
+// numbers.
 func (e *evening) resend(c *client, n uint64) {
 	c.safe = max(c.safe, n)
 	g := e.edges[c.edge]
 	for i := c.safe; i < uint64(len(c.sent)); i++ {
-		g.e.From(c.sock, i+1, []byte(c.sent[i]))
+		g.e.Publish(c.sock, i+1, []byte(c.sent[i]))
 	}
 }
 
@@ -203,7 +204,7 @@
 	m := e.m
 	for _, name := range []string{"a", "b", "c", "d"} {
 		h := e.sites[name]
-		e.In(2+20*e.r.Float64(), func() { h.take(func() { h.s.Learn(m, h.life, e.Now); e.flush(h) }) })
+		e.In(2+20*e.r.Float64(), func() { h.take(func() { h.s.ApplyMap(m, h.life, e.Now); e.flush(h) }) })
 	}
 	for _, name := range []string{"e0", "e1"} {
 		g := e.edges[name]
@@ -212,7 +213,7 @@
 		}
 		e.In(2+20*e.r.Float64(), func() {
 			if g.up {
-				g.e.Learn(m, e.Now)
+				g.e.ApplyMap(m, e.Now)
 				e.flushEdge(g)
 			}
 		})
@@ -232,12 +233,14 @@
 // begin starts a life of a site, which renews its lease while it lives.
 func (e *evening) begin(h *host) {
 	h.life++
-	h.s = New(h.name, Limits{Sessions: 20000, Bytes: 1 << 20, Msgs: 200, Age: 1e9, All: 64 << 20, Message: 1 << 16, Window: 8, WindowBytes: 1 << 20, Copies: 1, Keys: 64})
+	h.s = New(h.name, Limits{Sessions: 20000, Bytes: 1 << 20, Msgs: 200, Age: 1e9, All: 64 << 20, Message: 1 << 16,
+		Window: 8, WindowBytes: 1 << 20, Copies: 1, Keys: 64})
 	h.up, h.frozen, h.inbox = true, false, nil
 	life := h.life
 	i := slices.Index([]string{"a", "b", "c", "d"}, h.name)
 	e.In(10, func() {
-		e.change(&sites.Change{Kind: sites.Join, Name: h.name, Site: sites.Site{Addr: h.name, Zone: fmt.Sprint("z", i%3), Region: "r", Life: life}})
+		e.change(&sites.Change{Kind: sites.Join, Name: h.name,
+			Site: sites.Site{Addr: h.name, Zone: fmt.Sprint("z", i%3), Region: "r", Life: life}})
 		e.grant[h.name] = e.Now
 	})
 	var tick, renew func()
@@ -356,7 +359,7 @@
 			c.tookN = m.N
 		}
 		if len(msgs) > 0 {
-			h.s.Took(c.id, c.tookN, e.Now)
+			h.s.Consumed(c.id, c.tookN, e.Now)
 			e.flush(h)
 		}
 		return
@@ -364,7 +367,8 @@
 }
 
 func newEvening(seed uint64, clients int) *evening {
-	e := &evening{r: rand.New(rand.NewPCG(seed, 5)), sites: map[string]*host{}, edges: map[string]*edgeHost{}, conn: map[string]int{}, grant: map[string]float64{}, live: true,
+	e := &evening{r: rand.New(rand.NewPCG(seed, 5)), sites: map[string]*host{}, edges: map[string]*edgeHost{},
+		conn: map[string]int{}, grant: map[string]float64{}, live: true,
 		m: &sites.Map{Sites: map[string]sites.Site{}}}
 	for _, name := range []string{"a", "b", "c", "d"} {
 		h := &host{name: name}
@@ -412,13 +416,13 @@
 		}
 		say = func() {
 			if e.Now < until {
-				if g := e.edges[c.edge]; c.open && g.up && g.e.Room(c.sock) {
+				if g := e.edges[c.edge]; c.open && g.up && g.e.HasRoom(c.sock) {
 					c.sent = append(c.sent, fmt.Sprint(c.id, ">", len(c.sent)))
 					num := uint64(len(c.sent))
 					if c.plain {
 						num = 0
 					}
-					g.e.From(c.sock, num, []byte(c.sent[len(c.sent)-1]))
+					g.e.Publish(c.sock, num, []byte(c.sent[len(c.sent)-1]))
 					e.flushEdge(g)
 				}
 				e.In(600*e.r.Float64(), say)
@@ -534,10 +538,12 @@
 		}
 	}
 	slices.Sort(gaps)
-	t.Logf("%d evenings, %d messages queued, %d changes of home: silence %.0f ms at the median, %.0f at p99, %.0f at most", seeds, queued, len(gaps), gaps[len(gaps)/2], gaps[len(gaps)*99/100], gaps[len(gaps)-1])
+	t.Logf("%d evenings, %d messages queued, %d changes of home: silence %.0f ms at the median, %.0f at p99, %.0f at most",
+		seeds, queued, len(gaps), gaps[len(gaps)/2], gaps[len(gaps)*99/100], gaps[len(gaps)-1])
 }
 
-// Edges die too: the client's next connection, at any edge, resumes its session from what it has, sometimes two at once.
+// Edges die too: the client's next connection, at any edge, resumes its session from what it has, sometimes two at
+// once.
 func TestEdgesDie(t *testing.T) {
 	for seed := range uint64(40) {
 		e := newEvening(1000+seed, 10)
@@ -559,7 +565,7 @@
 				}
 				e.In(400, func() {
 					g.e, g.up = NewEdge(g.name, "z0", "r"), true
-					g.e.Learn(e.m, e.Now)
+					g.e.ApplyMap(e.m, e.Now)
 					e.edgeTick(g)
 				})
 				for _, c := range e.cl {
@@ -587,7 +593,8 @@
 	}
 }
 
-// A drain hands 5,000 sessions on at its pace, and each socket is without a home for little longer than the words take.
+// A drain hands 5,000 sessions on at its pace, and each socket is without a home for little longer than the messages
+// take.
 func TestDrainOfThousands(t *testing.T) {
 	e := newEvening(7, 0)
 	var all []*client
@@ -613,7 +620,8 @@
 	if from < 1000 || e.sites["a"].s.Homes() > 0 || len(gaps) < from {
 		t.Fatalf("%d homes of %d are left, %d changes", e.sites["a"].s.Homes(), from, len(gaps))
 	}
-	t.Logf("%d sessions in %.0f ms; silence %.0f ms at the median, %.0f at p99, %.0f at most", from, e.Now-began-500, gaps[len(gaps)/2], gaps[len(gaps)*99/100], gaps[len(gaps)-1])
+	t.Logf("%d sessions in %.0f ms; silence %.0f ms at the median, %.0f at p99, %.0f at most", from, e.Now-began-500,
+		gaps[len(gaps)/2], gaps[len(gaps)*99/100], gaps[len(gaps)-1])
 	if gaps[len(gaps)*99/100] > 100 {
 		t.Error("over 100 ms at p99")
 	}
--- a/internal/session/queue/orders_test.go
+++ b/internal/session/queue/orders_test.go
@@ -10,16 +10,16 @@
 	"weirwind/internal/session/sites"
 )
 
-// orders plays one session of three sites and an edge through every order of few events: which link's next word comes, a message is
-// put, the client acknowledges or sends, the home is pulled or drains, a link breaks. Time stands still but for the end, when what
-// was left is let happen; then all that was queued must have come once and in order.
+// orders plays one session of three sites and an edge through every order of few events: which link's next word comes,
+// a message is put, the client acknowledges or sends, the home is pulled or drains, a link breaks. Time stands still
+// but for the end, when what was left is let happen; then all that was queued must have come once and in order.
 type orders struct {
 	now    float64
 	m      *sites.Map
 	sites  map[string]*Site
 	dead   map[string]bool
 	edge   *Edge
-	links  map[[2]string][]Word
+	links  map[[2]string][]Envelope
 	names  [][2]string // links in a fixed order
 	put    int
 	queued []uint64
@@ -33,10 +33,13 @@
 var siteNames = []string{"a", "b", "c"}
 
 func newOrders() *orders {
-	o := &orders{m: &sites.Map{Sites: map[string]sites.Site{}}, sites: map[string]*Site{}, dead: map[string]bool{}, edge: NewEdge("e", "z0", "r"), links: map[[2]string][]Word{}}
+	o := &orders{m: &sites.Map{Sites: map[string]sites.Site{}}, sites: map[string]*Site{}, dead: map[string]bool{},
+		edge: NewEdge("e", "z0", "r"), links: map[[2]string][]Envelope{}}
 	for i, n := range siteNames {
-		o.sites[n] = New(n, Limits{Sessions: 9, Bytes: 1 << 20, Msgs: 9, Age: 1e12, All: 1 << 20, Message: 99, Window: 9, WindowBytes: 1 << 20, Copies: 1, Keys: 9})
-		o.m, _ = o.m.Apply(&sites.Change{Kind: sites.Join, Name: n, Site: sites.Site{Addr: n, Zone: fmt.Sprint("z", i), Region: "r", Life: 1}})
+		o.sites[n] = New(n, Limits{Sessions: 9, Bytes: 1 << 20, Msgs: 9, Age: 1e12, All: 1 << 20, Message: 99, Window: 9,
+			WindowBytes: 1 << 20, Copies: 1, Keys: 9})
+		o.m, _ = o.m.Apply(&sites.Change{Kind: sites.Join, Name: n,
+			Site: sites.Site{Addr: n, Zone: fmt.Sprint("z", i), Region: "r", Life: 1}})
 		for _, p := range append(siteNames, "e") {
 			if p != n {
 				o.names = append(o.names, [2]string{n, p})
@@ -53,11 +56,11 @@
 func (o *orders) learn() {
 	for _, n := range siteNames {
 		if !o.dead[n] {
-			o.sites[n].Learn(o.m, 1, o.now)
+			o.sites[n].ApplyMap(o.m, 1, o.now)
 			o.sites[n].Lease(1e12)
 		}
 	}
-	o.edge.Learn(o.m, o.now)
+	o.edge.ApplyMap(o.m, o.now)
 	o.flush()
 }
 
@@ -66,11 +69,11 @@
 		for _, s := range o.sites[n].Sends() {
 			if !o.dead[n] && !o.dead[s.To] {
 				k := [2]string{n, s.To}
-				o.links[k] = append(o.links[k], s.Word)
+				o.links[k] = append(o.links[k], s.Envelope)
 			}
 		}
 	}
-	for _, t := range o.edge.Tells() {
+	for _, t := range o.edge.ClientMessages() {
 		if t.Kind == Message {
 			o.seen = append(o.seen, t.N)
 		}
@@ -78,7 +81,7 @@
 	for _, s := range o.edge.Sends() {
 		if !o.dead[s.To] {
 			k := [2]string{"e", s.To}
-			o.links[k] = append(o.links[k], s.Word)
+			o.links[k] = append(o.links[k], s.Envelope)
 		}
 	}
 }
@@ -133,8 +136,9 @@
 				}
 			})
 		}},
-		{o.edge.socks[1] != nil && o.edge.socks[1].got < o.edge.socks[1].wrote, func() { o.edge.Has(1, o.edge.socks[1].wrote) }},
-		{o.sent < 1 && o.edge.socks[1] != nil, func() { o.sent++; o.edge.From(1, o.sent, []byte("y")) }},
+		{o.edge.socks[1] != nil && o.edge.socks[1].got < o.edge.socks[1].wrote,
+			func() { o.edge.Ack(1, o.edge.socks[1].wrote) }},
+		{o.sent < 1 && o.edge.socks[1] != nil, func() { o.sent++; o.edge.Publish(1, o.sent, []byte("y")) }},
 		{!o.drains && h != nil, func() {
 			o.drains = true
 			o.m, _ = o.m.Apply(&sites.Change{Kind: sites.Drain, Name: h.Name, Pace: 1000})
@@ -150,7 +154,7 @@
 					delete(o.links, k)
 				}
 			}
-			o.edge.Lost(h.Name, o.now)
+			o.edge.LostSite(h.Name, o.now)
 			o.m, _ = o.m.Apply(&sites.Change{Kind: sites.Lapse, Name: h.Name, Epoch: 1})
 			o.learn()
 		}},
--- a/internal/session/sites/sites.go
+++ b/internal/session/sites/sites.go
@@ -1,7 +1,7 @@
 // Package sites is which sites there are for open sessions, and which of them are near to each other.
 //
-// This file owns the map of sites, which the core agrees on, and the choice of neighbours. It does no I/O and reads no clock. A
-// site's life has an epoch of its own; one whose lease lapsed is out for good by that epoch.
+// This file owns the map of sites, which the core agrees on, and the choice of neighbours. It does no I/O and reads no
+// clock. A site's life has an epoch of its own; one whose lease lapsed is out for good by that epoch.
 package sites
 
 import (
@@ -121,8 +121,9 @@
 	return ok && s.State != Out
 }
 
-// Neighbours gives up to few sites that may hold a copy beside those that hold one: no two in one zone where that can be, near
-// ones first, of equally near ones those that turn first by the session's name, so that a site's sessions spread over its neighbours.
+// Neighbours gives up to few sites that may hold a copy beside those that hold one: no two in one zone where that can
+// be, near ones first, of equally near ones those that turn first by the session's name, so that a site's sessions
+// spread over its neighbours.
 func (m *Map) Neighbours(home, session string, few int, but func(string) bool) []string {
 	h := m.Sites[home]
 	var all []string
--- a/internal/sessionedge/sessionedge.go
+++ b/internal/sessionedge/sessionedge.go
@@ -157,7 +157,7 @@
 		go sessionsite.Keep(ctx, s.Addr, sessionsite.Frame{Hello: t.set.Hostname, Edge: true}, func(l *link) {
 			t.q.Do(func() {
 				if p.l = l; l == nil {
-					t.e.Lost(name, t.now())
+					t.e.LostSite(name, t.now())
 				}
 				t.flush()
 			})
@@ -175,12 +175,12 @@
 			})
 		})
 	}
-	t.e.Learn(m, t.now())
+	t.e.ApplyMap(m, t.now())
 	t.flush()
 }
 
 func (t *Edge) flush() {
-	for _, c := range t.e.Tells() {
+	for _, c := range t.e.ClientMessages() {
 		s := t.socks[c.Sock]
 		if s == nil {
 			continue
@@ -212,7 +212,7 @@
 	}
 	for _, w := range t.e.Sends() {
 		if p := t.links[w.To]; p != nil && p.l != nil {
-			p.l.Send(&sessionsite.Frame{Word: &w.Word})
+			p.l.Send(&sessionsite.Frame{Word: &w.Envelope})
 		}
 	}
 }
@@ -286,7 +286,7 @@
 		if t.socks[s.id] == s {
 			delete(t.socks, s.id)
 		}
-		t.e.Shut(s.id)
+		t.e.Close(s.id)
 		t.flush()
 	})
 }
@@ -315,7 +315,7 @@
 		}
 		if has > 0 {
 			t.q.Do(func() {
-				t.e.Has(s.id, has)
+				t.e.Ack(s.id, has)
 				t.flush()
 			})
 		}
@@ -343,7 +343,7 @@
 			s.c.Close(websocket.StatusUnsupportedData, "m NUMBER body, or a NUMBER")
 			return
 		case word == "a":
-			t.q.Do(func() { t.e.Has(s.id, n); t.flush() })
+			t.q.Do(func() { t.e.Ack(s.id, n); t.flush() })
 		case !s.give(ctx, t, n, []byte(body)):
 			return
 		}
@@ -355,9 +355,9 @@
 	for {
 		ch := make(chan bool, 1)
 		t.q.Do(func() {
-			room := t.socks[s.id] != s || t.e.Room(s.id)
+			room := t.socks[s.id] != s || t.e.HasRoom(s.id)
 			if room {
-				t.e.From(s.id, n, body)
+				t.e.Publish(s.id, n, body)
 				t.flush()
 			}
 			ch <- room
--- a/internal/sessionsite/calls.go
+++ b/internal/sessionsite/calls.go
@@ -110,7 +110,7 @@
 	}
 	ch := make(chan bool, 1)
 	m.t.q.Do(func() {
-		ch <- m.t.s.Took(r.PathValue("id"), n, m.t.now())
+		ch <- m.t.s.Consumed(r.PathValue("id"), n, m.t.now())
 		m.t.flush()
 	})
 	if !<-ch {
@@ -134,7 +134,7 @@
 	ch := make(chan map[string]any, 1)
 	t.q.Do(func() {
 		ch <- map[string]any{"site": t.set.Hostname, "state": t.state, "epoch": t.s.Epoch, "homes": t.s.Homes(), "copies": t.s.Copied(), "bytes": t.s.Bytes(),
-			"givenUp": t.s.Given, "edges": len(t.edges), "sites": t.s.Map()}
+			"givenUp": t.s.Expired, "edges": len(t.edges), "sites": t.s.Map()}
 	})
 	w.Header().Set("Content-Type", "application/json")
 	e := json.NewEncoder(w)
--- a/internal/sessionsite/sessionsite.go
+++ b/internal/sessionsite/sessionsite.go
@@ -27,10 +27,10 @@
 
 // Frame is what goes over a link between sites and edges: first who dialled, then words.
 type Frame struct {
-	Hello string      `cbor:"1,keyasint,omitempty"`
-	Word  *queue.Word `cbor:"2,keyasint,omitempty"`
-	Ping  bool        `cbor:"3,keyasint,omitempty"`
-	Edge  bool        `cbor:"4,keyasint,omitempty"` // with Hello: an edge, which is answered over this link
+	Hello string          `cbor:"1,keyasint,omitempty"`
+	Word  *queue.Envelope `cbor:"2,keyasint,omitempty"`
+	Ping  bool            `cbor:"3,keyasint,omitempty"`
+	Edge  bool            `cbor:"4,keyasint,omitempty"` // with Hello: an edge, which is answered over this link
 }
 
 type link = transport.Link[Frame]
@@ -181,7 +181,7 @@
 
 func (t *Site) learn(m *sites.Map, asked float64) {
 	before := t.s.Map()
-	t.s.Learn(m, t.life, t.now())
+	t.s.ApplyMap(m, t.life, t.now())
 	if self := m.Sites[t.set.Hostname]; self.Life == t.life && self.State != sites.Out {
 		t.s.Lease(asked + float64(controlplane.SiteLease.Milliseconds()))
 		if self.State != t.state {
@@ -192,7 +192,7 @@
 	if before == nil || before.Version < m.Version {
 		t.reach(m)
 		for _, l := range t.edges {
-			l.Send(&Frame{Word: &queue.Word{Map: m}})
+			l.Send(&Frame{Word: &queue.Envelope{Map: m}})
 		}
 	}
 	t.flush()
@@ -255,7 +255,7 @@
 			if f.Edge {
 				t.edges[f.Hello] = l
 				if m := t.s.Map(); m != nil {
-					l.Send(&Frame{Word: &queue.Word{Map: m}})
+					l.Send(&Frame{Word: &queue.Envelope{Map: m}})
 				}
 			}
 		case f.Word != nil:
@@ -278,9 +278,9 @@
 func (t *Site) flush() {
 	for _, s := range t.s.Sends() {
 		if l := t.edges[s.To]; l != nil {
-			l.Send(&Frame{Word: &s.Word})
+			l.Send(&Frame{Word: &s.Envelope})
 		} else if p := t.peers[s.To]; p != nil && p.l != nil {
-			p.l.Send(&Frame{Word: &s.Word})
+			p.l.Send(&Frame{Word: &s.Envelope})
 		}
 	}
 }
