--- a/internal/shard/shardmap/evening_test.go
+++ b/internal/shard/shardmap/evening_test.go
@@ -15,8 +15,9 @@
 	"weirwind/internal/standin/hours"
 )
 
-// evening plays a rebalance under traffic in virtual time: nodes with disks that fill, a core whose leader dies, freezes and is
-// followed, proxies with maps of their own age, clients that try again as theirs do. Every message may be late or lost.
+// evening plays a rebalance under traffic in virtual time: nodes with disks that fill, a core whose leader dies,
+// freezes and is followed, proxies with maps of their own age, clients that try again as theirs do. Every message may
+// be late or lost.
 type evening struct {
 	hours.Queue
 	r     *rand.Rand
@@ -119,7 +120,8 @@
 	})
 }
 
-// elect lets another leader begin; the one before goes on for a while, as one that was frozen does, but commits nothing.
+// elect lets another leader begin; the one before goes on for a while, as one that was frozen does, but commits
+// nothing.
 func (e *evening) elect() {
 	old := e.lead
 	e.term++
@@ -216,21 +218,22 @@
 				end(ok)
 				return
 			}
-			e.at(a.From, func(k *shardnode.Keeper) { entries, more, refused = k.Entries(a.Shard, a.Epoch, last, a.Bytes) }, func(ok bool) {
-				if !ok || refused != nil {
-					res.Err = word(refused)
-					end(ok)
-					return
-				}
-				e.at(a.Node, func(k *shardnode.Keeper) {
-					res.Err = word(k.Receive(a.Shard, a.Epoch, entries))
-					res.Done = res.Err == "" && a.Last > 0 && k.Seal(a.Shard, a.Epoch, a.Last) == nil
-					if c := k.Copies[a.Shard]; c != nil {
-						res.Last = c.Last()
+			e.at(a.From, func(k *shardnode.Keeper) { entries, more, refused = k.Entries(a.Shard, a.Epoch, last, a.Bytes) },
+				func(ok bool) {
+					if !ok || refused != nil {
+						res.Err = word(refused)
+						end(ok)
+						return
 					}
-					res.More = more
-				}, end)
-			})
+					e.at(a.Node, func(k *shardnode.Keeper) {
+						res.Err = word(k.Receive(a.Shard, a.Epoch, entries))
+						res.Done = res.Err == "" && a.Last > 0 && k.Seal(a.Shard, a.Epoch, a.Last) == nil
+						if c := k.Copies[a.Shard]; c != nil {
+							res.Last = c.Last()
+						}
+						res.More = more
+					}, end)
+				})
 		})
 	default:
 		e.at(a.Node, func(k *shardnode.Keeper) {
@@ -439,7 +442,8 @@
 	return len(tasks)
 }
 
-// An evening with faults drawn by its seed: nothing lost, nothing doubled, no disk over its room, and all shards whole at the end.
+// An evening with faults drawn by its seed: nothing lost, nothing doubled, no disk over its room, and all shards whole
+// at the end.
 func TestEvenings(t *testing.T) {
 	seeds := 45
 	if n, err := strconv.Atoi(os.Getenv("SEEDS")); err == nil {
@@ -519,7 +523,8 @@
 		}
 		for _, task := range e.m.Tasks {
 			if task.Fate == Waiting {
-				t.Errorf("seed %d: %+v waits for ever\n%v %+v %+v", seed, task, e.log[max(0, len(e.log)-10):], e.lead.mv.runs[task.Shard], e.m)
+				t.Errorf("seed %d: %+v waits for ever\n%v %+v %+v", seed, task, e.log[max(0, len(e.log)-10):],
+					e.lead.mv.transfers[task.Shard], e.m)
 			}
 		}
 	}
@@ -527,7 +532,8 @@
 	if handed < seeds {
 		t.Errorf("%d hand-overs only", handed)
 	}
-	t.Logf("%d moves planned, %d handed over; shards closed for %.0f ms at the median, %.0f at p99, %.0f at most", moves, handed, gaps[len(gaps)/2], gaps[len(gaps)*99/100], gaps[len(gaps)-1])
+	t.Logf("%d moves planned, %d handed over; shards closed for %.0f ms at the median, %.0f at p99, %.0f at most", moves,
+		handed, gaps[len(gaps)/2], gaps[len(gaps)*99/100], gaps[len(gaps)-1])
 }
 
 // Where nothing fails a shard is closed for few round trips and one agreement.
@@ -545,7 +551,8 @@
 		gaps = append(gaps, e.lead.mv.Gaps()...)
 	}
 	slices.Sort(gaps)
-	t.Logf("%d hand-overs: closed for %.0f ms at the median, %.0f at p99, %.0f at most", len(gaps), gaps[len(gaps)/2], gaps[len(gaps)*99/100], gaps[len(gaps)-1])
+	t.Logf("%d hand-overs: closed for %.0f ms at the median, %.0f at p99, %.0f at most", len(gaps), gaps[len(gaps)/2],
+		gaps[len(gaps)*99/100], gaps[len(gaps)-1])
 	if gaps[len(gaps)*99/100] > 150 {
 		t.Error("over 150 ms at p99")
 	}
--- a/internal/shard/shardmap/map.go
+++ b/internal/shard/shardmap/map.go
@@ -1,7 +1,8 @@
 // Package shardmap decides which node holds each shard and how one is moved to another.
 //
-// This file owns the map: the operator's word on who holds what, which the core agrees on, and the changes that it may undergo.
-// The package does no I/O and reads no clock. A shard has one holder by one epoch, and no epoch is ever given out twice.
+// This file owns the map: the operator's word on who holds what, which the core agrees on, and the changes that it may
+// undergo. The package does no I/O and reads no clock. A shard has one holder by one epoch, and no epoch is ever given
+// out twice.
 package shardmap
 
 import (
@@ -182,7 +183,8 @@
 		}
 		n.Tasks[i].Fate, n.Tasks[i].Why = c.Fate, c.Why
 	case Tune:
-		if r := c.Rules; r == nil || r.PerNode < 1 || r.PerZone < 0 || r.All < 0 || r.Rate < 1 || r.Band < 0 || r.Reserve < 0 || r.Reserve >= 1 || r.Growth < 0 || r.Replans < 0 {
+		if r := c.Rules; r == nil || r.PerNode < 1 || r.PerZone < 0 || r.All < 0 || r.Rate < 1 || r.Band < 0 ||
+			r.Reserve < 0 || r.Reserve >= 1 || r.Growth < 0 || r.Replans < 0 {
 			return nil, fmt.Errorf("rules: perNode and rate from 1 on, reserve below 1, the others from 0 on")
 		}
 		n.Rules = *c.Rules
@@ -208,10 +210,14 @@
 
 // task gives the waiting task that takes a shard to a node, -1 for none.
 func (m *Map) task(shard, to string) int {
-	return slices.IndexFunc(m.Tasks, func(t Task) bool { return t.Fate == Waiting && t.Shard == shard && (to == "" || t.To == to) })
+	return slices.IndexFunc(m.Tasks, func(t Task) bool {
+		return t.Fate == Waiting && t.Shard == shard &&
+			(to == "" || t.To == to)
+	})
 }
 
-// FromPlan makes tasks of a plan's moves. A copy of a holder that is gone can't be read by one that moves single holders.
+// FromPlan makes tasks of a plan's moves. A copy of a holder that is gone can't be read by one that moves single
+// holders.
 func FromPlan(p *shardplan.Plan) (tasks []Task) {
 	for i, round := range p.Rounds {
 		for _, mv := range round {
--- a/internal/shard/shardmap/slots.go
+++ b/internal/shard/shardmap/slots.go
@@ -1,7 +1,7 @@
 package shardmap
 
-// This file owns a proxy's writer slots for shards: each names the holder that the newest map has, and is empty from a miss until a
-// newer map fills it. An old map harms nothing, as nodes refuse by the epoch.
+// This file owns a proxy's writer slots for shards: each names the holder that the newest map has, and is empty from a
+// miss until a newer map fills it. An old map harms nothing, as nodes refuse by the epoch.
 
 // Slots are one proxy's.
 type Slots struct {
@@ -38,8 +38,8 @@
 	return p, ok && p.Epoch > s.missed[shard]
 }
 
-// Missed takes a refusal of a statement sent by epoch; known is the newest epoch that the node has heard. again: it has not heard of
-// this one yet, and is to be asked again in a moment.
+// Missed takes a refusal of a statement sent by epoch; known is the newest epoch that the node has heard. again: it has
+// not heard of this one yet, and is to be asked again in a moment.
 func (s *Slots) Missed(shard string, epoch, known uint64) (again bool) {
 	if known < epoch {
 		return true
--- a/internal/shard/shardmap/words.go
+++ b/internal/shard/shardmap/wire.go
@@ -24,7 +24,8 @@
 	case Hold:
 		return fmt.Sprintf("SHARD HOLD %s %d %d", a.Shard, a.Epoch, a.Last)
 	}
-	return fmt.Sprintf("SHARD %s %s %d", map[ActKind]string{Close: "CLOSE", Cut: "CUT", Drop: "DROP", Abandon: "ABANDON"}[a.Kind], a.Shard, a.Epoch)
+	return fmt.Sprintf("SHARD %s %s %d", map[ActKind]string{Close: "CLOSE", Cut: "CUT", Drop: "DROP",
+		Abandon: "ABANDON"}[a.Kind], a.Shard, a.Epoch)
 }
 
 // ResultOf reads a node's answer: its rows, or the text of its refusal.
@@ -37,11 +38,11 @@
 	switch a.Kind {
 	case Close, Cut:
 		if n, _ := fmt.Sscan(row, &r.Last, &r.Done); n != 2 {
-			r.Err = "state"
+			r.Err = badState
 		}
 	case Fetch:
 		if n, _ := fmt.Sscan(row, &r.Last, &r.More, &r.Done, &r.Took); n != 4 {
-			r.Err = "state"
+			r.Err = badState
 		}
 	}
 	return r
--- a/internal/shard/shardnode/shardnode.go
+++ b/internal/shard/shardnode/shardnode.go
@@ -1,8 +1,8 @@
 // Package shardnode is a node's side of shards: which it holds, by which epoch, and with how much room.
 //
-// This file owns what a node may say to a write, to a copy and to the mover. It does no I/O and reads no clock: whoever runs it
-// syncs the keeper before an answer goes out. It must never run a write by an epoch that is not its own, hold more than its room,
-// or run a try whose sender was told that it never will.
+// This file owns what a node may say to a write, to a copy and to the mover. It does no I/O and reads no clock: whoever
+// runs it syncs the keeper before an answer goes out. It must never run a write by an epoch that is not its own, hold
+// more than its room, or run a try whose sender was told that it never will.
 package shardnode
 
 import (
@@ -205,7 +205,8 @@
 	}
 }
 
-// Settle says for certain what came of a try that was sent and not answered: its entry, or ErrVoid, and then it never runs.
+// Settle says for certain what came of a try that was sent and not answered: its entry, or ErrVoid, and then it never
+// runs.
 func (k *Keeper) Settle(shard string, epoch uint64, id string) (Entry, error) {
 	c, err := k.holder(shard, epoch)
 	if err != nil {
@@ -305,8 +306,8 @@
 	}
 }
 
-// Hold opens the shard here by an epoch that was agreed on: behind a move, with all up to last, or back at who closed it. Told
-// again it changes nothing.
+// Hold opens the shard here by an epoch that was agreed on: behind a move, with all up to last, or back at who closed
+// it. Told again it changes nothing.
 func (k *Keeper) Hold(shard string, epoch, last uint64) error {
 	c := k.Copies[shard]
 	if c == nil {
@@ -373,8 +374,8 @@
 	}
 }
 
-// Entries gives what follows after in a shard's log, as far as most bytes go and one entry at least; more is how many are left.
-// Only who holds it by epoch, or closed it by it, says so.
+// Entries gives what follows after in a shard's log, as far as most bytes go and one entry at least; more is how many
+// are left. Only who holds it by epoch, or closed it by it, says so.
 func (k *Keeper) Entries(shard string, epoch, after uint64, most int64) (out []Entry, more uint64, err error) {
 	c := k.Copies[shard]
 	if c == nil || c.Epoch != epoch || c.State == Receiving || c.State == Sealed {
--- a/internal/shard/shardnode/words.go
+++ b/internal/shard/shardnode/statements.go
@@ -1,7 +1,7 @@
 package shardnode
 
-// This file owns the words that a node takes on the line wire: texts of the system's own that begin with SHARD, and ON in front of
-// a client's statement. docs/rebalance.md lists them.
+// This file owns the words that a node takes on the line wire: texts of the system's own that begin with SHARD, and ON
+// in front of a client's statement. docs/rebalance.md lists them.
 
 import (
 	"encoding/json"
@@ -79,7 +79,8 @@
 	return r
 }
 
-// Fetch is what FETCH asks a node to do: to take entries from another. Its runner calls the other and gives them to Receive.
+// Fetch is what FETCH asks a node to do: to take entries from another. Its runner calls the other and gives them to
+// Receive.
 type Fetch struct {
 	Shard      string
 	Epoch      uint64
@@ -91,7 +92,8 @@
 	EntriesAsk string // the question to put there
 }
 
-// Say answers a SHARD text with rows. A FETCH gives what is to be fetched instead; the state is to be synced before the answer.
+// Say answers a SHARD text with rows. A FETCH gives what is to be fetched instead; the state is to be synced before the
+// answer.
 func (k *Keeper) Say(text string) (rows []string, fetch *Fetch, err error) {
 	f := strings.Fields(text)
 	if len(f) < 2 || f[0] != "SHARD" {
@@ -173,8 +175,10 @@
 		case len(f) != 9 || c == nil || c.Epoch != epoch || c.State != Receiving && c.State != Sealed:
 			err = ErrState
 		default:
-			fetch = &Fetch{Shard: shard, Epoch: epoch, Bytes: int64(bytes), Last: last, Addr: f[6], Svc: f[7], ID: f[8], After: c.Last(),
-				EntriesAsk: fmt.Sprintf("SHARD ENTRIES %s %d %d %d", shard, epoch, c.Last(), bytes)}
+			fetch = &Fetch{
+				Shard: shard, Epoch: epoch, Bytes: int64(bytes), Last: last,
+				Addr: f[6], Svc: f[7], ID: f[8], After: c.Last(),
+			}
 		}
 	default:
 		err = ErrState
@@ -182,7 +186,8 @@
 	return rows, fetch, err
 }
 
-// Fetched takes the rows that the other node answered, and gives those of FETCH's own answer: last, more, sealed, bytes.
+// Fetched takes the rows that the other node answered, and gives those of FETCH's own answer: last, more, sealed,
+// bytes.
 func (k *Keeper) Fetched(f *Fetch, rows []string) ([]string, error) {
 	if len(rows) == 0 {
 		return nil, ErrState
--- a/internal/shard/shardplan/order.go
+++ b/internal/shard/shardplan/order.go
@@ -1,14 +1,15 @@
 package shardplan
 
-// This file owns the order: rounds of moves in which no node is ever over its room, with stops on the way where copies stand in
-// each other's place.
+// This file owns the order: rounds of moves in which no node is ever over its room, with stops on the way where copies
+// stand in each other's place.
 
 import (
 	"fmt"
 	"slices"
 )
 
-// order puts moves into rounds. A copy is counted at its target from the start of its round, and at its source to its end.
+// order puts moves into rounds. A copy is counted at its target from the start of its round, and at its source to its
+// end.
 func (c *Cluster) order(moves []Move, plan *Plan) {
 	b := newBoard(c)
 	size := map[string]int64{}
@@ -56,7 +57,8 @@
 			m, ok := b.stop(&rest, used, size, index)
 			if !ok || stops > 2*len(moves)+8 {
 				for _, m := range rest {
-					plan.Why = append(plan.Why, fmt.Sprintf("shard %s can't go to %s: %d bytes are wanted, %d are free, and no node has room for a stop",
+					plan.Why = append(plan.Why, fmt.Sprintf(
+						"shard %s can't go to %s: %d bytes are wanted, %d are free, and no node has room for a stop",
 						m.Shard, m.To, size[m.Shard], b.byID[m.To].room-used[m.To]))
 				}
 				return
--- a/internal/shard/shardplan/plan.go
+++ b/internal/shard/shardplan/plan.go
@@ -31,7 +31,8 @@
 	moves = append(moves, b.fill(holders, moves)...)
 	for _, p := range b.nodes {
 		if p.State == In && (p.load > b.hi[p] || p.load < b.lo[p]) {
-			plan.Off = append(plan.Off, fmt.Sprintf("%s is to hold %d bytes, its band is %d to %d", p.ID, p.load, b.lo[p], b.hi[p]))
+			plan.Off = append(plan.Off, fmt.Sprintf("%s is to hold %d bytes, its band is %d to %d", p.ID, p.load, b.lo[p],
+				b.hi[p]))
 		}
 	}
 	c.order(moves, plan)
@@ -54,7 +55,8 @@
 				continue
 			}
 			for _, p := range slices.SortedFunc(slices.Values(hs), byLoad) {
-				if p.State == In && p.held[i] && slices.ContainsFunc(hs, func(o *place) bool { return o != p && o.held[i] && o.Zone == p.Zone }) {
+				if p.State == In && p.held[i] && slices.ContainsFunc(hs,
+					func(o *place) bool { return o != p && o.held[i] && o.Zone == p.Zone }) {
 					out = append(out, leaver{i, p, true})
 					b.take(p, i)
 				}
@@ -70,15 +72,19 @@
 			b.take(p, i)
 		}
 	}
-	slices.SortStableFunc(out, func(x, y leaver) int { return cmp.Compare(b.c.Shards[y.shard].Size, b.c.Shards[x.shard].Size) })
+	slices.SortStableFunc(out, func(x, y leaver) int {
+		return cmp.Compare(b.c.Shards[y.shard].Size, b.c.Shards[x.shard].Size)
+	})
 	return out
 }
 
-// subset picks copies of a node whose bytes come to need or a little more: the largest that fit, then the smallest that closes
-// the gap; and instead of all of them one that alone comes closer. Of like sizes the hottest goes, as hot nodes are the full ones.
+// subset picks copies of a node whose bytes come to need or a little more: the largest that fit, then the smallest that
+// closes the gap; and instead of all of them one that alone comes closer. Of like sizes the hottest goes, as hot nodes
+// are the full ones.
 func (b *board) subset(p *place, need int64) []int {
 	all := slices.SortedFunc(maps.Keys(p.held), func(x, y int) int {
-		return cmp.Or(cmp.Compare(b.c.Shards[y].Size, b.c.Shards[x].Size), cmp.Compare(b.c.Shards[y].Heat, b.c.Shards[x].Heat), cmp.Compare(x, y))
+		return cmp.Or(cmp.Compare(b.c.Shards[y].Size, b.c.Shards[x].Size),
+			cmp.Compare(b.c.Shards[y].Heat, b.c.Shards[x].Heat), cmp.Compare(x, y))
 	})
 	var out []int
 	left := need
@@ -148,7 +154,8 @@
 		switch {
 		case best == nil || !l.must && rank < 2:
 			if b.put(l.from, l.shard); l.must {
-				plan.Why = append(plan.Why, fmt.Sprintf("shard %s (%d bytes) finds no room beside its copies; it stays on %s", s.ID, s.Size, l.from.ID))
+				plan.Why = append(plan.Why, fmt.Sprintf("shard %s (%d bytes) finds no room beside its copies; it stays on %s",
+					s.ID, s.Size, l.from.ID))
 			}
 		case best == l.from:
 			b.put(l.from, l.shard)
@@ -194,7 +201,8 @@
 				}
 				for i := range d.held {
 					s := &b.c.Shards[i]
-					if s.Size == 0 || d.load-s.Size < b.lo[d] || p.load+s.Size > b.hi[p] || moved[s.ID] || p.held[i] || !b.apart(p, i, holders[i], d) {
+					if s.Size == 0 || d.load-s.Size < b.lo[d] || p.load+s.Size > b.hi[p] || moved[s.ID] || p.held[i] ||
+						!b.apart(p, i, holders[i], d) {
 						continue
 					}
 					if best < 0 || closer(s.Size, b.c.Shards[best].Size, need) || s.Size == b.c.Shards[best].Size && i < best {
--- a/internal/shard/shardplan/shardplan.go
+++ b/internal/shard/shardplan/shardplan.go
@@ -1,7 +1,7 @@
 // Package shardplan plans how shards are placed on nodes and in which order they move there.
 //
-// This file owns the words and what a placement must keep. The package does no I/O and reads no clock. It must never say a move
-// in whose course a node holds more than its room, counting both copies of what moves.
+// This file owns the words and what a placement must keep. The package does no I/O and reads no clock. It must never
+// say a move in whose course a node holds more than its room, counting both copies of what moves.
 package shardplan
 
 import (
@@ -68,7 +68,8 @@
 	Bytes  int64    `json:"bytes"`
 	Bound  int64    `json:"bound"`         // no plan moves less
 	Why    []string `json:"why,omitempty"` // what could not be done, and which node and bytes bind
-	Off    []string `json:"off,omitempty"` // nodes that stay outside of their band, as no shard is of a size that would help
+	// nodes that stay outside of their band, as no shard is of a size that would help
+	Off []string `json:"off,omitempty"`
 }
 
 type place struct {
@@ -174,7 +175,8 @@
 	return !slices.ContainsFunc(holders, func(o *place) bool { return o != out && o != p && o.Zone == p.Zone })
 }
 
-// Bound is what any plan must move at least: what leaves nodes that go or are over their band, or what comes to those under it.
+// Bound is what any plan must move at least: what leaves nodes that go or are over their band, or what comes to those
+// under it.
 func (b *board) bound() int64 {
 	leave, over, under := int64(0), int64(0), int64(0)
 	for _, p := range b.nodes {
@@ -192,5 +194,6 @@
 func (c *Cluster) Bound() int64 { return newBoard(c).bound() }
 
 func byLoad(a, b *place) int {
-	return cmp.Or(cmp.Compare(float64(b.load)/float64(max(b.room, 1)), float64(a.load)/float64(max(a.room, 1))), cmp.Compare(a.ID, b.ID))
+	return cmp.Or(cmp.Compare(float64(b.load)/float64(max(b.room, 1)), float64(a.load)/float64(max(a.room, 1))),
+		cmp.Compare(a.ID, b.ID))
 }
--- a/internal/shard/shardplan/shardplan_test.go
+++ b/internal/shard/shardplan/shardplan_test.go
@@ -127,8 +127,8 @@
 	return bytes
 }
 
-// greedy is the baseline of taking the largest from the fullest to the emptiest until all are within the band. fair says whether
-// it came to what a plan must come to.
+// greedy is the baseline of taking the largest from the fullest to the emptiest until all are within the band. fair
+// says whether it came to what a plan must come to.
 func greedy(c *Cluster) (bytes int64, fair bool) {
 	b := newBoard(c)
 	in := slices.DeleteFunc(slices.Clone(b.nodes), func(p *place) bool { return p.State != In })
@@ -208,7 +208,8 @@
 		}
 		slices.Sort(ratios)
 		t.Logf("%d nodes, %d shards: %d plans, bytes over the bound: median %.3f, worst %.3f; worse than a baseline %d, band or room not reached %d; %v a plan",
-			size.nodes, size.shards, size.cases, ratios[len(ratios)/2], ratios[len(ratios)-1], worse, failed, took/time.Duration(size.cases))
+			size.nodes, size.shards, size.cases, ratios[len(ratios)/2], ratios[len(ratios)-1], worse, failed,
+			took/time.Duration(size.cases))
 		if ratios[len(ratios)/2] > 1.05 || worse > 0 {
 			t.Error("more is moved than is to be")
 		}
@@ -218,11 +219,14 @@
 func TestCopiesInEachOthersPlace(t *testing.T) {
 	// Two nodes are full of what the other is to hold, as zones want; the third has one place free.
 	c := &Cluster{Rules: Rules{Band: 1, Apart: true, Round: 1},
-		Nodes:  []Node{{ID: "a", Zone: "1", Limit: 10, State: In}, {ID: "b", Zone: "2", Limit: 10, State: In}, {ID: "c", Zone: "3", Limit: 30, State: In}},
-		Shards: []Shard{{ID: "x", Size: 10, On: []string{"a"}}, {ID: "y", Size: 10, On: []string{"b"}}, {ID: "z", Size: 15, On: []string{"c"}}}}
+		Nodes: []Node{{ID: "a", Zone: "1", Limit: 10, State: In}, {ID: "b", Zone: "2", Limit: 10, State: In},
+			{ID: "c", Zone: "3", Limit: 30, State: In}},
+		Shards: []Shard{{ID: "x", Size: 10, On: []string{"a"}}, {ID: "y", Size: 10, On: []string{"b"}},
+			{ID: "z", Size: 15, On: []string{"c"}}}}
 	plan := &Plan{}
 	c.order([]Move{{Shard: "x", From: "a", To: "b", Bytes: 10}, {Shard: "y", From: "b", To: "a", Bytes: 10}}, plan)
-	if err := follow(c, plan); err != nil || len(plan.Why) > 0 || plan.Bytes != 30 || len(plan.Rounds) != 3 || !plan.Rounds[0][0].Via {
+	if err := follow(c, plan); err != nil || len(plan.Why) > 0 || plan.Bytes != 30 || len(plan.Rounds) != 3 ||
+		!plan.Rounds[0][0].Via {
 		t.Fatalf("%+v: %v", plan, err)
 	}
 	c.Nodes[2].Limit = 20 // no place is free: what binds is said, and nothing is moved
@@ -236,7 +240,8 @@
 func TestNoPrefixOfAnOrderIsOverAnyRoom(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
-		c := drawn(r, rapid.IntRange(3, 12).Draw(t, "nodes"), rapid.IntRange(1, 120).Draw(t, "shards"), rapid.Float64Range(0.4, 0.98).Draw(t, "full"))
+		c := drawn(r, rapid.IntRange(3, 12).Draw(t, "nodes"), rapid.IntRange(1, 120).Draw(t, "shards"),
+			rapid.Float64Range(0.4, 0.98).Draw(t, "full"))
 		for range rapid.IntRange(1, 3).Draw(t, "troubles") {
 			trouble(r, c)
 		}
--- a/internal/zones/leader.go
+++ b/internal/zones/leader.go
@@ -5,7 +5,6 @@
 
 import (
 	"cmp"
-
 	"fmt"
 	"math"
 	"slices"
