--- a/internal/driver/fellows.go
+++ b/internal/driver/fellows.go
@@ -105,9 +105,9 @@
 	}
 	opts := mesh.Options{Name: a.Name, Zone: zoneOf(o, a), Listen: listen, Advertise: o.Advertise, Seeds: o.Seeds, Secret: token, Period: o.Period,
 		Expect: expect, Yield: o.Yield, Seed: a.told.Opening.Seed + 2, Run: uint64(v.decide.clock.unixMs), Now: v.decide.clock.now, Log: v.log,
-		Folder: o.Folder, Words: f.words, Told: f.told, Stand: f.stand}
+		Folder: o.Folder, Gossip: f.words, ReceiveGossip: f.told, OnStanding: f.stand}
 	if v.zoning != nil {
-		opts.Heard = v.zoning.heard
+		opts.ReceivePayload = v.zoning.heard
 	}
 	if f.mesh, err = mesh.Open(opts); err != nil {
 		return fmt.Errorf("membership: %v", err)
@@ -196,8 +196,8 @@
 }
 
 // words are what a fellow is told: all changes of primaries that are known, and drains, all or those of late.
-func (f *fellows) words(all bool) *mesh.Words {
-	w := &mesh.Words{}
+func (f *fellows) words(all bool) *mesh.Gossip {
+	w := &mesh.Gossip{}
 	if z := f.v.zoning; z != nil {
 		z.mu.Lock()
 		w.Zones = z.z.Summary(f.v.decide.clock.now())
@@ -219,7 +219,7 @@
 }
 
 // told takes a fellow's words, and says whether any was news.
-func (f *fellows) told(w *mesh.Words, asked float64) (news, again bool) {
+func (f *fellows) told(w *mesh.Gossip, asked float64) (news, again bool) {
 	if len(w.Switches) > mostWords || len(w.Drains) > mostDrains {
 		f.v.log.Warn("membership", "reason", "too_many_words", "switches", len(w.Switches), "drains", len(w.Drains))
 		return false, false
--- /dev/null
+++ b/internal/mesh/datagrams.go
@@ -0,0 +1,61 @@
+package mesh
+
+// This file owns datagrams: probes and gossip, sealed, one message each.
+
+import (
+	"context"
+	"net/netip"
+	"time"
+
+	"weirwind/internal/membership"
+)
+
+func (m *Mesh) send(s *membership.Send) {
+	to, err := netip.ParseAddrPort(s.Address)
+	if err != nil {
+		return
+	}
+	b, err := m.datagramCodec.seal(&s.Message)
+	if err != nil || len(b) > maxDatagram {
+		return
+	}
+	if n, err := m.udp.WriteToUDPAddrPort(b, to); err == nil {
+		m.bytesSent.Add(int64(n))
+	}
+}
+
+// receive takes datagrams.
+func (m *Mesh) receive(ctx context.Context) {
+	buf := make([]byte, maxDatagram+1)
+	for ctx.Err() == nil {
+		n, from, err := m.udp.ReadFromUDPAddrPort(buf)
+		if err != nil {
+			select { // an error of one datagram, such as a peer that does not listen
+			case <-ctx.Done():
+			case <-time.After(time.Millisecond):
+			}
+			continue
+		}
+		var msg membership.Message
+		err = errTooLong
+		if n <= maxDatagram {
+			err = m.datagramCodec.open(buf[:n], &msg)
+		}
+		if err != nil {
+			m.refused(err, from.String())
+			continue
+		}
+		m.mu.Lock()
+		m.apply(m.view.Got(m.options.Now(), msg))
+	}
+}
+
+// refused counts what could not be taken, and says so now and then.
+func (m *Mesh) refused(err error, from string) {
+	n := m.refusedCount.Add(1)
+	now, last := int64(m.options.Now()), m.refusedLoggedAt.Load()
+	if (last == 0 || now-last >= refusedLogInterval.Milliseconds()) &&
+		m.refusedLoggedAt.CompareAndSwap(last, max(now, 1)) {
+		m.options.Log.Warn("membership", "reason", "frame_refused", "from", from, "error", err, "in_all", n)
+	}
+}
--- a/internal/mesh/frame.go
+++ b/internal/mesh/frame.go
@@ -1,7 +1,7 @@
 package mesh
 
-// This file owns the form of what goes between drivers: CBOR behind a code that only who has the secret can make. It must
-// never take more than a bounded size, or anything whose code is wrong.
+// This file owns the form of what goes between drivers: CBOR behind a code that only who has the secret can make. It
+// must never take more than a bounded size, or anything whose code is wrong.
 
 import (
 	"crypto/hmac"
@@ -19,31 +19,31 @@
 )
 
 const (
-	mostDatagram = 1400
-	mostFrame    = 2 << 20
-	codeSize     = 16
-	version      = 1
+	maxDatagram       = 1400
+	maxFrame          = 2 << 20
+	authenticatorSize = 16
+	version           = 1
 )
 
 // Errors of frames that can't be taken.
 var (
-	errCode = errors.New("its code is wrong: another secret, or damaged")
-	errLong = errors.New("it is too long")
+	errAuthentication = errors.New("its code is wrong: another secret, or damaged")
+	errTooLong        = errors.New("it is too long")
 )
 
 // frame is what goes over TCP: a call, and its answer.
 type frame struct {
 	Call     call                 `cbor:"1,keyasint"`
 	Exchange *membership.Exchange `cbor:"2,keyasint,omitempty"`
-	Words    *Words               `cbor:"3,keyasint,omitempty"`
+	Gossip   *Gossip              `cbor:"3,keyasint,omitempty"`
 	Status   []byte               `cbor:"4,keyasint,omitempty"` // JSON
 	Nonce    uint64               `cbor:"5,keyasint"`           // of the call; its answer bears it too
 	From     string               `cbor:"6,keyasint,omitempty"` // name of who sends
-	Sent     []byte               `cbor:"7,keyasint,omitempty"` // what another package has said to its like
+	Payload  []byte               `cbor:"7,keyasint,omitempty"` // what another package has said to its like
 }
 
-// Words are what drivers tell each other of members: changes of primaries, and drains.
-type Words struct {
+// Gossip is what drivers tell each other of members: changes of primaries, and drains.
+type Gossip struct {
 	Switches []switchover.Word  `cbor:"1,keyasint,omitempty"`
 	Drains   []membership.Drain `cbor:"2,keyasint,omitempty"`
 	From     string             `cbor:"3,keyasint,omitempty"` // address at which who says this is asked
@@ -53,15 +53,16 @@
 type call uint8
 
 const (
-	callExchange call = iota + 1 // whole states, and words
-	callWords                    // words alone
+	callExchange call = iota + 1 // whole states, and gossip
+	callGossip                   // gossip alone
 	callStatus
 	callSend
 )
 
 var (
 	encoder, _ = cbor.EncOptions{}.EncMode()
-	decoder, _ = cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, MaxNestedLevels: 8, MaxArrayElements: 1 << 16, MaxMapPairs: 64,
+	decoder, _ = cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, MaxNestedLevels: 8, MaxArrayElements: 1 << 16,
+		MaxMapPairs: 64,
 		IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden}.DecMode()
 )
 
@@ -76,11 +77,11 @@
 	return codec{h.Sum(nil)}
 }
 
-func (c codec) code(payload []byte) []byte {
+func (c codec) authenticate(payload []byte) []byte {
 	h := hmac.New(sha256.New, c.key)
 	h.Write([]byte{version})
 	h.Write(payload)
-	return h.Sum(nil)[:codeSize]
+	return h.Sum(nil)[:authenticatorSize]
 }
 
 func (c codec) seal(x any) ([]byte, error) {
@@ -88,20 +89,21 @@
 	if err != nil {
 		return nil, err
 	}
-	return append(c.code(payload), payload...), nil
+	return append(c.authenticate(payload), payload...), nil
 }
 
 func (c codec) open(b []byte, into any) error {
-	if len(b) < codeSize || subtle.ConstantTimeCompare(b[:codeSize], c.code(b[codeSize:])) != 1 {
-		return errCode
+	if len(b) < authenticatorSize || subtle.ConstantTimeCompare(b[:authenticatorSize],
+		c.authenticate(b[authenticatorSize:])) != 1 {
+		return errAuthentication
 	}
-	return decoder.Unmarshal(b[codeSize:], into)
+	return decoder.Unmarshal(b[authenticatorSize:], into)
 }
 
 func (c codec) write(w io.Writer, f *frame) error {
 	b, err := c.seal(f)
-	if err == nil && len(b) > mostFrame {
-		err = errLong
+	if err == nil && len(b) > maxFrame {
+		err = errTooLong
 	}
 	if err != nil {
 		return err
@@ -116,8 +118,8 @@
 		return nil, err
 	}
 	n := binary.BigEndian.Uint32(size[:])
-	if n > mostFrame {
-		return nil, errLong
+	if n > maxFrame {
+		return nil, errTooLong
 	}
 	b, err := io.ReadAll(io.LimitReader(r, int64(n))) // grows with what really comes
 	if err == nil && uint32(len(b)) < n {
--- a/internal/mesh/mesh_test.go
+++ b/internal/mesh/mesh_test.go
@@ -16,7 +16,8 @@
 )
 
 func record(i int) membership.Record {
-	return membership.Record{Name: fmt.Sprintf("driver-%04d.zone-a", i), Run: 1796000000000, Address: fmt.Sprintf("10.20.%d.%d:7434", i/250, i%250), Zone: "zone-a"}
+	return membership.Record{Name: fmt.Sprintf("driver-%04d.zone-a", i), Run: 1796000000000,
+		Address: fmt.Sprintf("10.20.%d.%d:7434", i/250, i%250), Zone: "zone-a"}
 }
 
 // What one seals the other opens, whole; another secret, another use or a changed byte is refused.
@@ -34,19 +35,21 @@
 	t.Logf("whole state of 10,000 drivers: %d bytes", w.Len())
 	text := w.Bytes()
 	f, err := b.read(bytes.NewReader(text))
-	if err != nil || f.Nonce != 7 || len(f.Exchange.Records) != 10000 || f.Exchange.Records[9999] != record(9999) || f.Exchange.Roster.Version != 3 {
+	if err != nil || f.Nonce != 7 || len(f.Exchange.Records) != 10000 || f.Exchange.Records[9999] != record(9999) ||
+		f.Exchange.Roster.Version != 3 {
 		t.Fatal(err)
 	}
-	for name, c := range map[string]codec{"another secret": newCodec("t", "frame"), "another use": newCodec("s", "datagram")} {
-		if _, err := c.read(bytes.NewReader(text)); err != errCode {
+	for name, c := range map[string]codec{"another secret": newCodec("t", "frame"),
+		"another use": newCodec("s", "datagram")} {
+		if _, err := c.read(bytes.NewReader(text)); err != errAuthentication {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 	text[len(text)/2] ^= 1
-	if _, err := b.read(bytes.NewReader(text)); err != errCode {
+	if _, err := b.read(bytes.NewReader(text)); err != errAuthentication {
 		t.Errorf("a changed byte: %v", err)
 	}
-	if _, err := b.read(bytes.NewReader(binary.BigEndian.AppendUint32(nil, mostFrame+1))); err != errLong {
+	if _, err := b.read(bytes.NewReader(binary.BigEndian.AppendUint32(nil, maxFrame+1))); err != errTooLong {
 		t.Errorf("too long: %v", err)
 	}
 	if _, err := b.read(bytes.NewReader(text[:100])); err == nil {
@@ -73,7 +76,7 @@
 		}
 		longest = max(longest, len(b))
 	}
-	if longest > mostDatagram || longest < 800 {
+	if longest > maxDatagram || longest < 800 {
 		t.Errorf("the longest of %d has %d bytes", len(sends), longest)
 	}
 }
@@ -81,8 +84,11 @@
 func open(t *testing.T, name string, seeds ...string) *Mesh {
 	t.Helper()
 	began := time.Now()
-	m, err := Open(Options{Name: name, Listen: netip.MustParseAddrPort("127.0.0.1:0"), Seeds: seeds, Secret: "s", Period: 50 * time.Millisecond, Expect: 2,
-		Yield: time.Second, Run: 5, Now: func() float64 { return 1e6 + milliseconds(time.Since(began)) }, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
+	m, err := Open(Options{Name: name, Listen: netip.MustParseAddrPort("127.0.0.1:0"), Seeds: seeds, Secret: "s",
+		Period: 50 * time.Millisecond, Expect: 2,
+		Yield: time.Second, Run: 5, Now: func() float64 {
+			return 1e6 + milliseconds(time.Since(began))
+		}, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -123,8 +129,10 @@
 }
 
 func FuzzDatagram(f *testing.F) {
-	good, _ := encoder.Marshal(&membership.Message{Kind: membership.Ping, From: record(1), Count: 3, To: "driver-0000.zone-a", Records: []membership.Record{record(2)},
-		Vote: &membership.Vote{Step: membership.Accept, Version: 2, Change: &membership.Change{Version: 2, Add: []string{"x"}}}})
+	good, _ := encoder.Marshal(&membership.Message{Kind: membership.Ping, From: record(1), Count: 3,
+		To: "driver-0000.zone-a", Records: []membership.Record{record(2)},
+		Vote: &membership.Vote{Step: membership.Accept, Version: 2,
+			Change: &membership.Change{Version: 2, Add: []string{"x"}}}})
 	f.Add(good)
 	f.Fuzz(func(t *testing.T, payload []byte) {
 		var m membership.Message
@@ -132,7 +140,7 @@
 			return
 		}
 		v := membership.New(0, membership.Rules{Period: 100, Expect: 1, Most: 50}, record(0), nil, 1)
-		for at := range 40 { // a fellow may say anything; it must be borne
+		for at := range 40 { // a peer may say anything; it must be borne
 			v.Got(float64(at*20), m)
 			v.Tick(float64(at*20 + 5))
 		}
@@ -143,8 +151,9 @@
 }
 
 func FuzzFrame(f *testing.F) {
-	good, _ := encoder.Marshal(&frame{Call: callExchange, Exchange: &membership.Exchange{From: record(1), Records: []membership.Record{record(2)},
-		Roster: &membership.Roster{Version: 1, Names: []string{"a"}}}})
+	good, _ := encoder.Marshal(&frame{Call: callExchange,
+		Exchange: &membership.Exchange{From: record(1), Records: []membership.Record{record(2)},
+			Roster: &membership.Roster{Version: 1, Names: []string{"a"}}}})
 	f.Add(good)
 	f.Fuzz(func(t *testing.T, payload []byte) {
 		var x frame
