--- a/internal/operator/migrate.go
+++ b/internal/operator/migrate.go
@@ -37,8 +37,9 @@
 		f.Control = &control
 	}
 	if m := old.Membership; m != nil {
-		dropped = append(dropped, fmt.Sprintf("membership.listen = %q: drivers that share nothing do not know of each other; "+
-			"give fleet.drivers if the platform does not tell how many there are", m.Listen))
+		dropped = append(dropped,
+			fmt.Sprintf("membership.listen = %q: drivers that share nothing do not know of each other; "+
+				"give fleet.drivers if the platform does not tell how many there are", m.Listen))
 		f.Membership = nil
 	}
 	if g := old.Registry; g != nil && g.DriversPrefix != "" {
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -34,12 +34,18 @@
 	}
 	f.Peers.Messages = 270
 	f.Ledger = &Ledger{"/var/lib/ledger", time.Minute, 7, 9}
-	f.Control = &Control{"/run/w.sock", "a:1", []string{"b:2", "c:3"}, "secret", time.Second, 2 * time.Second, 3 * time.Second}
-	f.Membership = &Membership{"10.0.0.5:1", "10.0.0.6:2", []string{"10.0.0.7:3", "[::1]:4"}, "t", "z", time.Second, 7, 20 * time.Second, "v"}
-	f.Zones = &Zones{[]Region{{"north", []string{"a", "b"}}, {"south", []string{"c"}}}, 3, 200 * time.Millisecond, 3 * time.Second, 20, 50, 70, time.Second, 5 * time.Second, "http://t:1/move"}
-	f.Registry = &Registry{"consul", []string{"https://a:1", "http://b:2"}, "p/", "db", "secret", "ca", time.Minute, time.Second, "d/", 20 * time.Second, 5 * time.Second}
+	f.Control = &Control{"/run/w.sock", "a:1", []string{"b:2", "c:3"}, "secret", time.Second, 2 * time.Second,
+		3 * time.Second}
+	f.Membership = &Membership{"10.0.0.5:1", "10.0.0.6:2", []string{"10.0.0.7:3", "[::1]:4"}, "t", "z", time.Second, 7,
+		20 * time.Second, "v"}
+	f.Zones = &Zones{[]Region{{"north", []string{"a", "b"}}, {"south", []string{"c"}}}, 3, 200 * time.Millisecond,
+		3 * time.Second, 20, 50, 70, time.Second, 5 * time.Second, "http://t:1/move"}
+	f.Registry = &Registry{"consul", []string{"https://a:1", "http://b:2"}, "p/", "db", "secret", "ca", time.Minute,
+		time.Second, "d/", 20 * time.Second, 5 * time.Second}
 	again, err := Parse("again", []byte(f.String()))
-	if err == nil && (!reflect.DeepEqual(again.Registry, f.Registry) || !reflect.DeepEqual(again.Membership, f.Membership) || !reflect.DeepEqual(again.Control, f.Control) || *again.Ledger != *f.Ledger) {
+	if err == nil && (!reflect.DeepEqual(again.Registry, f.Registry) ||
+		!reflect.DeepEqual(again.Membership, f.Membership) || !reflect.DeepEqual(again.Control, f.Control) ||
+		*again.Ledger != *f.Ledger) {
 		t.Errorf("%+v", again.Registry)
 	}
 	if err != nil || again.Log != f.Log || again.Peers != f.Peers || *again.State != *f.State {
@@ -90,7 +96,8 @@
 			t.Errorf("%q: takes effect all the same", text)
 		}
 	}
-	if _, err := Parse("x.hcl", []byte("log {\n  a = 1\n  b = 2\n}")); err == nil || strings.Count(err.Error(), "\n") != 1 {
+	if _, err := Parse("x.hcl", []byte("log {\n  a = 1\n  b = 2\n}")); err == nil ||
+		strings.Count(err.Error(), "\n") != 1 {
 		t.Errorf("two mistakes: %v", err)
 	}
 }
