--- a/internal/lab/flock/flock.go
+++ b/internal/lab/flock/flock.go
@@ -110,7 +110,7 @@
 	for s := range f.o.Seeds {
 		seeds = append(seeds, address(s))
 	}
-	d.View = membership.New(f.Now, membership.Rules{Period: f.o.Period, Expect: f.o.Expect, Keep: 600000, Most: 20000, Yield: f.o.Yield},
+	d.View = membership.New(f.Now, membership.Rules{Period: f.o.Period, Expect: f.o.Expect, Keep: 600000, MaxDrivers: 20000, Yield: f.o.Yield},
 		membership.Record{Name: d.Name, Run: d.run, Address: address(i), Zone: "a"}, seeds, f.draw.Uint64())
 	life := d.life
 	var tick func()
@@ -135,7 +135,7 @@
 // wake gives a driver what came while it stood still, as far as a socket would hold it.
 func (f *Flock) wake(d *Driver) {
 	for _, m := range d.waiting {
-		f.out(d, d.View.Got(f.Now, m))
+		f.out(d, d.View.Receive(f.Now, m))
 	}
 	d.waiting = nil
 }
@@ -183,7 +183,7 @@
 						t.waiting = append(t.waiting, m)
 					}
 				default:
-					f.out(t, t.View.Got(f.Now, m))
+					f.out(t, t.View.Receive(f.Now, m))
 				}
 			})
 		}
--- /dev/null
+++ b/internal/membership/ballot.go
@@ -0,0 +1,264 @@
+package membership
+
+// This file owns one change of the roster by Paxos: the drivers of the roster that holds, and of the one to come,
+// accept it.
+
+import (
+	"cmp"
+	"slices"
+	"strings"
+)
+
+// Ballot orders attempts at one change.
+type Ballot struct {
+	Number uint32 `cbor:"1,keyasint"`
+	Name   string `cbor:"2,keyasint"`
+}
+
+// Compare orders ballots, as cmp.Compare does.
+func (b Ballot) Compare(o Ballot) int {
+	return cmp.Or(cmp.Compare(b.Number, o.Number), strings.Compare(b.Name, o.Name))
+}
+
+// VoteKind of a vote.
+type VoteKind uint8
+
+const (
+	Bootstrap    VoteKind = iota + 1 // the sender would found a roster of the names that it sees
+	Bootstrapped                     // the receiver of Bootstrap sees the same
+	Prepare                          // of a ballot
+	Promise                          // no lower one is taken; what was taken last comes with it
+	Accept                           // this change
+	Accepted                         // it is taken
+	Reject                           // a higher ballot was promised
+)
+
+// Vote is one step between two drivers.
+type Vote struct {
+	Kind     VoteKind `cbor:"1,keyasint"`
+	Version  uint64   `cbor:"2,keyasint"` // of the roster to come
+	Base     uint64   `cbor:"3,keyasint,omitempty"`
+	Ballot   Ballot   `cbor:"4,keyasint"`
+	Accepted Ballot   `cbor:"5,keyasint"` // of the change in a promise
+	Change   *Change  `cbor:"6,keyasint,omitempty"`
+	Sum      uint64   `cbor:"7,keyasint,omitempty"` // of a founding
+}
+
+// maxBallotNumber bounds the numbers that are taken over, so that a damaged or hostile one can't use up the rest.
+const maxBallotNumber = 1 << 30
+
+// round is a ballot that this driver leads.
+type round struct {
+	ballot         Ballot
+	deadline       float64
+	accepting      bool
+	promised       map[string]bool
+	acceptedBallot Ballot
+	change         *Change
+	accepted       map[string]bool
+}
+
+// propose begins a ballot for a change.
+func (f *Fleet) propose(want *Change) {
+	f.ballotNumber++
+	f.round = &round{
+		ballot:   Ballot{f.ballotNumber, f.self.Name},
+		deadline: f.now + roundPeriods*f.rules.Period,
+		promised: map[string]bool{},
+		accepted: map[string]bool{},
+		change:   want,
+	}
+	f.retryAt = f.round.deadline
+	f.broadcastVote(f.roster.Names, Vote{Kind: Prepare, Version: f.roster.Version + 1, Base: f.roster.sum,
+		Ballot: f.round.ballot})
+}
+
+// dueChange is the change that is due by what this driver sees: who came is to be counted, who left is not. One that
+// has failed stays.
+func (f *Fleet) dueChange() *Change {
+	if f.acceptedChange != nil && f.version == f.roster.Version+1 && f.now-f.acceptedAt > roundPeriods*f.rules.Period {
+		return f.acceptedChange
+	}
+	c := &Change{Version: f.roster.Version + 1, Lineage: f.roster.Lineage, Base: f.roster.sum, Sum: f.roster.sum}
+	wait := settledPeriods * f.rules.Period
+	if !f.roster.has(f.self.Name) {
+		c.Add = append(c.Add, f.self.Name)
+	}
+	for _, m := range f.list {
+		if len(c.Add)+len(c.Remove) >= maxChange {
+			break
+		}
+		switch on := m.on; {
+		case on && m.State == Left && f.now-m.since > wait:
+			c.Remove = append(c.Remove, m.Name)
+		case !on && m.State == Alive && f.now-m.since > wait:
+			c.Add = append(c.Add, m.Name)
+		}
+	}
+	c.Sum ^= sumOf(c.Add) ^ sumOf(c.Remove)
+	if len(c.Add)+len(c.Remove) == 0 {
+		return nil
+	}
+	return c
+}
+
+// broadcastVote sends a vote to drivers, this one included.
+func (f *Fleet) broadcastVote(names []string, v Vote) {
+	for _, n := range names {
+		if m := f.byName[n]; m != nil && !m.State.ended() {
+			f.send(m.Address, Message{Kind: Gossip, To: n, Vote: &v})
+		}
+	}
+	if slices.Contains(names, f.self.Name) {
+		f.receiveVote(f.self.Name, "", v)
+	}
+}
+
+// answer sends a vote back, or takes it where it came from here.
+func (f *Fleet) answer(name, address string, v Vote) {
+	if address == "" {
+		f.receiveVote(name, "", v)
+		return
+	}
+	f.send(address, Message{Kind: Gossip, To: name, Vote: &v})
+}
+
+// Majority says whether more than half of these names are among who.
+func Majority(of []string, who map[string]bool) bool {
+	n := 0
+	for _, name := range of {
+		if who[name] {
+			n++
+		}
+	}
+	return 2*n > len(of)
+}
+
+// receiveVote takes a step of a peer.
+func (f *Fleet) receiveVote(name, address string, v Vote) {
+	if v.Change != nil && (len(v.Change.Add)+len(v.Change.Remove) > maxChange || v.Change.Version != v.Version) {
+		return
+	}
+	switch v.Kind {
+	case Bootstrap, Bootstrapped:
+		f.receiveBootstrap(name, address, v)
+		return
+	}
+	if f.roster == nil || v.Version != f.roster.Version+1 || v.Base != f.roster.sum {
+		added := f.roster == nil && v.Change != nil && slices.Contains(v.Change.Add, f.self.Name)
+		if v.Kind == Accept && added { // it is to be counted from there on
+			f.answer(name, address, Vote{Kind: Accepted, Version: v.Version, Base: v.Base, Ballot: v.Ballot})
+		}
+		return
+	}
+	if f.version != v.Version {
+		f.version, f.promised, f.accepted, f.acceptedChange = v.Version, Ballot{}, Ballot{}, nil
+	}
+	f.ballotNumber = max(f.ballotNumber, min(v.Ballot.Number, maxBallotNumber))
+	switch v.Kind {
+	case Prepare:
+		f.receivePrepare(name, address, v)
+	case Promise:
+		f.receivePromise(name, v)
+	case Accept:
+		f.receiveAccept(name, address, v)
+	case Accepted:
+		f.receiveAccepted(name, v)
+	case Reject:
+		if r := f.round; r != nil && v.Ballot.Compare(r.ballot) > 0 {
+			f.round, f.retryAt = nil, f.now+2*f.rules.Period*(0.5+f.random.Float64())
+		}
+	}
+}
+
+// ownRound is the round that a vote answers; nil where it is over or another's.
+func (f *Fleet) ownRound(v Vote) *round {
+	if r := f.round; r != nil && v.Ballot.Compare(r.ballot) == 0 {
+		return r
+	}
+	return nil
+}
+
+func (f *Fleet) receivePrepare(name, address string, v Vote) {
+	if !f.mayVote() || !f.roster.has(f.self.Name) {
+		return
+	}
+	back := Vote{Kind: Promise, Version: v.Version, Base: v.Base, Ballot: v.Ballot}
+	if v.Ballot.Compare(f.promised) < 0 {
+		back.Kind, back.Ballot = Reject, f.promised
+	} else {
+		f.promised, f.unsaved = v.Ballot, true
+		back.Accepted, back.Change = f.accepted, f.acceptedChange
+	}
+	f.answer(name, address, back)
+}
+
+// receivePromise counts a promise. Of changes that were accepted before the one of the highest ballot is proposed.
+func (f *Fleet) receivePromise(name string, v Vote) {
+	r := f.ownRound(v)
+	if r == nil || r.accepting || !f.roster.has(name) {
+		return
+	}
+	r.promised[name] = true
+	if v.Change != nil && v.Accepted.Compare(r.acceptedBallot) > 0 {
+		r.acceptedBallot, r.change = v.Accepted, v.Change
+	}
+	if Majority(f.roster.Names, r.promised) {
+		r.accepting = true
+		f.broadcastVote(f.voters(r.change),
+			Vote{Kind: Accept, Version: v.Version, Base: v.Base, Ballot: r.ballot, Change: r.change})
+	}
+}
+
+func (f *Fleet) receiveAccept(name, address string, v Vote) {
+	if v.Change == nil || v.Change.Base != f.roster.sum || !f.mayVote() {
+		return
+	}
+	back := Vote{Kind: Accepted, Version: v.Version, Base: v.Base, Ballot: v.Ballot}
+	if v.Ballot.Compare(f.promised) < 0 {
+		back.Kind, back.Ballot = Reject, f.promised
+	} else {
+		f.promised, f.accepted, f.acceptedChange, f.acceptedAt, f.unsaved = v.Ballot, v.Ballot, v.Change, f.now, true
+	}
+	f.answer(name, address, back)
+}
+
+// receiveAccepted counts an acceptance: a change is decided by majorities of the names before it and after it.
+func (f *Fleet) receiveAccepted(name string, v Vote) {
+	r := f.ownRound(v)
+	if r == nil || !r.accepting {
+		return
+	}
+	r.accepted[name] = true
+	next := f.after(r.change)
+	if Majority(f.roster.Names, r.accepted) && Majority(next.Names, r.accepted) {
+		f.round = nil
+		f.decide(*r.change)
+	}
+}
+
+// voters are the names before a change and after it.
+func (f *Fleet) voters(c *Change) []string {
+	all := slices.Clone(f.roster.Names)
+	for _, n := range c.Add {
+		if !f.roster.has(n) {
+			all = append(all, n)
+		}
+	}
+	return all
+}
+
+// after is the roster that a change makes of the one that holds.
+func (f *Fleet) after(c *Change) Roster {
+	names := slices.DeleteFunc(f.voters(c), func(n string) bool { return slices.Contains(c.Remove, n) })
+	slices.Sort(names)
+	return Roster{Version: c.Version, Lineage: c.Lineage, Names: names, sum: sumOf(names)}
+}
+
+// decide takes a change that was agreed on, and passes it on.
+func (f *Fleet) decide(c Change) {
+	if next := f.after(&c); next.sum == c.Sum {
+		f.adoptRoster(next)
+		f.decided, f.decidedLeft = &c, 4*f.times()
+	}
+}
--- a/internal/membership/drains.go
+++ b/internal/membership/drains.go
@@ -1,6 +1,6 @@
 package membership
 
-// This file owns drains that fellows tell of. It must never let one end but by a list that is at least as new as the one
+// This file owns drains that peers tell of. It must never let one end but by a list that is at least as new as the one
 // that told it, or by word of such a list: not by a heal, and not because who told it has failed.
 
 import (
@@ -28,7 +28,7 @@
 	at float64
 }
 
-// Drains holds what fellows told, and what the own lists tell others.
+// Drains holds what peers told, and what the own lists tell others.
 type Drains struct {
 	most  int
 	keep  float64
@@ -43,12 +43,13 @@
 	return &Drains{most: most, keep: keep, all: map[drainKey]held{}, own: map[uint8]int64{}, marks: map[string]bool{}}
 }
 
-// take notes a word that says more than what is held.
+// take notes a message that says more than what is held.
 func (d *Drains) take(now float64, t Drain) bool {
 	key := drainKey{t.Member, t.Source}
 	h, known := d.all[key]
 	switch {
-	case known && t.Revision < h.Revision, known && t.Revision == h.Revision && (t.Up || !h.Up): // of one revision the word by which less is sent holds
+	// of one revision the message by which less is sent holds
+	case known && t.Revision < h.Revision, known && t.Revision == h.Revision && (t.Up || !h.Up):
 		return false
 	case !known && (t.Up || len(d.all) >= d.most && !d.makeRoom()):
 		return false
@@ -57,8 +58,8 @@
 	return true
 }
 
-// Listed takes what an own list told: the revision up to which it is held now, and what it told of members. It gives the
-// members whose marks change (true: counts as draining now) and whether there is news for fellows.
+// Listed takes what an own list told: the revision up to which it is held now, and what it told of members. It gives
+// the members whose marks change (true: counts as draining now) and whether there is news for peers.
 func (d *Drains) Listed(now float64, source uint8, revision int64, told []Drain) (marks map[string]bool, news bool) {
 	d.own[source] = revision
 	for _, t := range told {
@@ -72,7 +73,7 @@
 	return d.settle(), news
 }
 
-// Told takes a fellow's word, and says whether it was news.
+// Told takes a peer's word, and says whether it was news.
 func (d *Drains) Told(now float64, t Drain) (marks map[string]bool, news bool) {
 	if t.Member == "" || len(t.Member) > 256 || t.Revision < 0 || !d.take(now, t) {
 		return nil, false
@@ -80,12 +81,13 @@
 	return d.settle(), true
 }
 
-// makeRoom forgets the oldest drain that the own list covers; one that only fellows told stays.
+// makeRoom forgets the oldest drain that the own list covers; one that only peers told stays.
 func (d *Drains) makeRoom() bool {
 	var oldest drainKey
 	found := false
 	for k, t := range d.all {
-		if t.Revision <= d.own[k.source] && (!found || t.Revision < d.all[oldest].Revision || t.Revision == d.all[oldest].Revision && k.member < oldest.member) {
+		if t.Revision <= d.own[k.source] && (!found || t.Revision < d.all[oldest].Revision ||
+			t.Revision == d.all[oldest].Revision && k.member < oldest.member) {
 			oldest, found = k, true
 		}
 	}
@@ -93,7 +95,7 @@
 	return found
 }
 
-// settle works out the marks: a member counts as draining where a fellow told so by a list newer than the own one.
+// settle works out the marks: a member counts as draining where a peer told so by a list newer than the own one.
 func (d *Drains) settle() (changes map[string]bool) {
 	want := map[string]bool{}
 	for k, t := range d.all {
@@ -116,7 +118,7 @@
 	return changes
 }
 
-// Since are the drains that came here from a time on, sorted: what a fellow should know that heard of the earlier ones.
+// Since are the drains that came here from a time on, sorted: what a peer should know that heard of the earlier ones.
 func (d *Drains) Since(from float64) (all []Drain) {
 	for _, h := range d.all {
 		if h.at >= from {
@@ -129,5 +131,5 @@
 	return all
 }
 
-// Marked are the members that count as draining by fellows' word alone, sorted.
+// Marked are the members that count as draining by peers' word alone, sorted.
 func (d *Drains) Marked() []string { return slices.Sorted(maps.Keys(d.marks)) }
--- a/internal/membership/drains_test.go
+++ b/internal/membership/drains_test.go
@@ -55,7 +55,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var words []Drain
 		for range rapid.IntRange(1, 12).Draw(t, "words") {
-			words = append(words, Drain{rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "m"), uint8(rapid.IntRange(0, 1).Draw(t, "s")),
+			words = append(words, Drain{rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "m"),
+				uint8(rapid.IntRange(0, 1).Draw(t, "s")),
 				int64(rapid.IntRange(1, 9).Draw(t, "r")), rapid.Bool().Draw(t, "up")})
 		}
 		marks := func(of []Drain) string {
--- a/internal/membership/fleet.go
+++ b/internal/membership/fleet.go
@@ -9,13 +9,13 @@
 
 // Rules are what a driver goes by.
 type Rules struct {
-	Period float64 // between two probes of a driver that is well
-	Expect int     // drivers that there are to be, before they have agreed on a roster
-	Keep   float64 // one that has ended and is on no roster is remembered for so long
-	Most   int     // drivers that are known at most
-	Yield  float64 // a larger part takes over the share of who is lost after so long (see Count)
-	Keeps  bool    // votes and rosters outlive the process: Out.Save is safe before what goes with it is sent
-	Kept   *Kept   // what an earlier run saved last; nil for none
+	Period     float64     // between two probes of a driver that is well
+	Expect     int         // drivers that there are to be, before they have agreed on a roster
+	Keep       float64     // one that has ended and is on no roster is remembered for so long
+	MaxDrivers int         // drivers that are known at most
+	Yield      float64     // a larger part takes over the share of who is lost after so long (see Count)
+	Persistent bool        // votes and rosters outlive the process: Out.Save is safe before what goes with it is sent
+	Saved      *SavedState // what an earlier run saved last; nil for none
 }
 
 // In periods, where nothing else is said.
@@ -28,23 +28,23 @@
 	confirmers   = 2   // count
 	askBefore    = 2.5 // before a suspicion that few confirm is certain, whom it is about is asked straight
 	checkers     = 4.0 // look at one that another suspects, about
-	mostChecks   = 4
+	maxChecks    = 4
 	healthMost   = 4    // how much of a driver's slowness it blames on itself
 	stillAfter   = 1.5  // between two ticks: it stood still
 	gossipEvery  = 0.2  // while there is news
-	gossipTo     = 2    // fellows at a time
+	gossipTo     = 2    // peers at a time
 	lookEvery    = 0.2  // at what changes slowly
 	quietFor     = 3.0  // views that differ though nothing was news for so long are exchanged
 	backlog      = 64   // drivers that there is news of
 	exchangeGap  = 3.0  // between exchanges begun by one driver
-	deafLeast    = 5.0  // unheard for so long, and longer the more fellows there are, up to deafMost
+	deafLeast    = 5.0  // unheard for so long, and longer the more peers there are, up to deafMost
 	deafMost     = 60.0 //
-	mostRelays   = 256
+	maxRelays    = 256
 	heardLately  = 4.0 // it lives, whatever others say
 	straight     = 4   // probes more, a period apart, to one that did not answer straight, before it counts as not heard
 )
 
-// member is what is known of a fellow.
+// member is what is known of a peer.
 type member struct {
 	Record
 	since  float64 // in its state
@@ -76,15 +76,15 @@
 	expect, nacks int
 }
 
-// relay is a probe made for a fellow.
+// relay is a probe made for a peer.
 type relay struct {
 	to, about string
 	seq       uint64
 	until     float64
 }
 
-// rumour is word that still goes round.
-type rumour struct {
+// update is word that still goes round.
+type update struct {
 	record Record
 	hears  *Hearing
 	sent   int
@@ -93,68 +93,88 @@
 
 // Fleet is one driver's view. It is not safe for use by several goroutines at a time.
 type Fleet struct {
-	r      Rules
-	draw   *rand.Rand
-	self   Record
-	count  uint64
-	seq    uint64
-	list   []*member // by name
-	byName map[string]*member
-	seeds  []string
-	check  []string // whom others suspect and this driver is to look at as well
-	probe  *probe
-	relays map[uint64]*relay
-	rumors []*rumour // by how often they were sent
-	spare  []*rumour
-	going  map[string][]*rumour // those that are not dead, by whom they are about
-	health int
-	hears  Hearing
+	rules   Rules
+	random  *rand.Rand
+	self    Record
+	count   uint64
+	seq     uint64
+	list    []*member // by name
+	byName  map[string]*member
+	seeds   []string
+	check   []string // whom others suspect and this driver is to look at as well
+	probe   *probe
+	relays  map[uint64]*relay
+	updates []*update // by how often they were sent
+	spare   []*update
+	going   map[string][]*update // those that are not dead, by whom they are about
+	health  int
+	hears   Hearing
 
-	now, ticked, probeAt, gossipAt, seedAt, exchangeAt, counselAt, reapAt, lookAt, judgeAt float64
-	changed, news                                                                          float64 // the set of those that live; anything
-	view                                                                                   uint64
+	now, ticked, probeAt, gossipAt, seedAt, exchangeAt, rosterAt, reapAt, lookAt, judgeAt float64
+	// the set of those that live; anything
+	changed, news float64
+	view          uint64
 
 	missed    int     // probes in a row that nobody answered
 	doubt     float64 // it stood still: until then it can't know
-	unproved  bool    // and until a fellow has answered
+	unproved  bool    // and until a peer has answered
 	contested float64 // its name is another's, as it was told last then
 	holder    string  // whose address that is
 	warned    map[string]float64
 
-	council
+	rosterConsensus
 	standing  Standing
 	why       string
 	stands    float64 // since when
 	leaving   bool
-	behind    float64 // since when a fellow holds a newer roster
+	behind    float64 // since when a peer holds a newer roster
 	out       Out
 	statesGen uint64
 	judged    uint64    // statesGen when the standing was last looked at
-	doubted   []*member // those that are suspected are among them
+	suspects  []*member // those that are suspected are among them
 }
 
-// New makes the view of a driver that starts. Its record names it, its run and its address; seeds are addresses of fellows.
+// randomStream keeps a driver's draws here apart from others made from the same seed.
+const randomStream = 0x6d656d62
+
+// New makes the view of a driver that starts. Its record names it, its run and its address; seeds are addresses of
+// peers.
 func New(now float64, r Rules, self Record, seeds []string, seed uint64) *Fleet {
-	f := &Fleet{r: r, draw: rand.New(rand.NewPCG(seed, 0x6d656d62)), self: self, byName: map[string]*member{}, relays: map[uint64]*relay{}, going: map[string][]*rumour{},
-		now: now, ticked: now, changed: now, news: now, warned: map[string]float64{}, stands: now, standing: Unsure, why: "no_roster",
-		view: mark(self.Name, self.Run), hears: Hearing{Name: self.Name, Run: self.Run}}
-	f.restore(r.Kept)
-	f.seq = f.draw.Uint64() >> 2 // answers to an earlier run are not taken for ones to this
-	f.probeAt = now + f.r.Period*f.draw.Float64()
+	f := &Fleet{
+		rules:    r,
+		random:   rand.New(rand.NewPCG(seed, randomStream)),
+		self:     self,
+		byName:   map[string]*member{},
+		relays:   map[uint64]*relay{},
+		going:    map[string][]*update{},
+		now:      now,
+		ticked:   now,
+		changed:  now,
+		news:     now,
+		warned:   map[string]float64{},
+		stands:   now,
+		standing: Unsure,
+		why:      "no_roster",
+		view:     mark(self.Name, self.Run),
+		hears:    Hearing{Name: self.Name, Run: self.Run},
+	}
+	f.restore(r.Saved)
+	f.seq = f.random.Uint64() >> 2 // answers to an earlier run are not taken for ones to this
+	f.probeAt = now + f.rules.Period*f.random.Float64()
 	f.Seeds(seeds)
 	return f
 }
 
-// Seeds takes the addresses at which fellows may be found; they are tried at once.
+// Seeds takes the addresses at which peers may be found; they are tried at once.
 func (f *Fleet) Seeds(all []string) {
 	f.seeds = slices.DeleteFunc(slices.Clone(all), func(a string) bool { return a == f.self.Address })
 	f.seedAt = f.now
 }
 
 // Pace takes another period.
-func (f *Fleet) Pace(period float64) { f.r.Period = period }
+func (f *Fleet) Pace(period float64) { f.rules.Period = period }
 
-func (f *Fleet) take() (out Out) {
+func (f *Fleet) output() (out Out) {
 	f.out.Save = f.save()
 	out, f.out = f.out, Out{}
 	return out
@@ -166,12 +186,12 @@
 
 // Tick lets time pass. It is to be called several times a period; a gap is time in which this driver stood still.
 func (f *Fleet) Tick(now float64) Out {
-	p := f.r.Period
-	f.pass(now)
+	p := f.rules.Period
+	f.advance(now)
 	f.ticked = now
 	if f.leaving {
 		f.gossip()
-		return f.take()
+		return f.output()
 	}
 	f.followProbe()
 	if now >= f.probeAt && f.probe == nil {
@@ -204,28 +224,29 @@
 		f.contested = 0
 		f.queue(f.self)
 	}
-	if now >= f.counselAt {
-		f.counselAt = now + lookEvery*p
-		f.counsel()
+	if now >= f.rosterAt {
+		f.rosterAt = now + lookEvery*p
+		f.tickRoster()
 	}
 	f.judge()
-	return f.take()
+	return f.output()
 }
 
-// pass brings the time up to date, and sees a gap since the last tick, whatever comes first behind it.
-func (f *Fleet) pass(now float64) {
-	if gap := now - f.ticked; gap > stillAfter*f.r.Period {
+// advance brings the time up to date, and sees a gap since the last tick, whatever comes first behind it.
+func (f *Fleet) advance(now float64) {
+	if gap := now - f.ticked; gap > stillAfter*f.rules.Period {
 		f.ticked = now
 		f.stoodStill(now, gap)
 	}
 	f.now = max(f.now, now)
 }
 
-// Got takes a message. What a stranger under a fellow's name or address says of itself counts for nothing.
-func (f *Fleet) Got(now float64, m Message) Out {
-	f.pass(now)
-	if !m.From.sane() || len(m.Records) > mostRecords || len(m.Hears) > mostRecords || m.From.Name == f.self.Name && m.From.Run == f.self.Run {
-		return f.take()
+// Receive takes a message. What a stranger under a peer's name or address says of itself counts for nothing.
+func (f *Fleet) Receive(now float64, m Message) Out {
+	f.advance(now)
+	if !m.From.sane() || len(m.Records) > maxRecords || len(m.Hears) > maxRecords ||
+		m.From.Name == f.self.Name && m.From.Run == f.self.Run {
+		return f.output()
 	}
 	f.apply(m.From)
 	from := f.byName[m.From.Name]
@@ -241,7 +262,7 @@
 		f.heardOf(m.Hears[i])
 	}
 	if f.leaving {
-		return f.take()
+		return f.output()
 	}
 	var back []Record // of the sender, where it should know better
 	if from != nil && (from.State != Alive || from.Run != m.From.Run) {
@@ -254,26 +275,11 @@
 			back = nil
 		}
 	case Ask:
-		if known && len(f.relays) < mostRelays && m.To != f.self.Name && len(m.At) <= mostName {
-			f.seq++
-			f.relays[f.seq] = &relay{to: m.From.Address, about: m.To, seq: m.Seq, until: f.now + 2*f.r.Period}
-			f.send(m.At, Message{Kind: Ping, Seq: f.seq, To: m.To})
-			if t := f.byName[m.To]; t == nil || t.fresh < f.now-nackShare*f.r.Period {
-				f.send(m.From.Address, Message{Kind: Nack, Seq: m.Seq, To: m.To})
-			}
+		if known {
+			f.receiveAsk(m)
 		}
 	case Ack:
-		if r := f.relays[m.Seq]; r != nil && r.about == m.To {
-			delete(f.relays, m.Seq)
-			f.send(r.to, Message{Kind: Ack, Seq: r.seq, To: r.about, Records: []Record{m.From}})
-		}
-		if p := f.probe; p != nil && p.seq == m.Seq && p.name == m.To {
-			f.probe = nil
-			f.answered()
-			if t := f.byName[p.name]; t != nil && m.From.Name == p.name {
-				t.silent = false
-			}
-		}
+		f.receiveAck(m)
 	case Nack:
 		if p := f.probe; p != nil && p.seq == m.Seq {
 			p.nacks++
@@ -283,17 +289,45 @@
 		f.send(m.From.Address, Message{Kind: Gossip, To: m.From.Name, Records: back})
 	}
 	if m.Vote != nil {
-		f.voted(m.From.Name, m.From.Address, *m.Vote)
+		f.receiveVote(m.From.Name, m.From.Address, *m.Vote)
 	}
 	if m.Decided != nil {
-		f.learn(*m.Decided)
+		f.receiveDecided(*m.Decided)
 	}
 	f.compare(from, m)
 	f.judge()
-	return f.take()
+	return f.output()
+}
+
+// receiveAsk probes another driver for a peer.
+func (f *Fleet) receiveAsk(m Message) {
+	if len(f.relays) >= maxRelays || m.To == f.self.Name || len(m.At) > maxNameBytes {
+		return
+	}
+	f.seq++
+	f.relays[f.seq] = &relay{to: m.From.Address, about: m.To, seq: m.Seq, until: f.now + 2*f.rules.Period}
+	f.send(m.At, Message{Kind: Ping, Seq: f.seq, To: m.To})
+	if t := f.byName[m.To]; t == nil || t.fresh < f.now-nackShare*f.rules.Period {
+		f.send(m.From.Address, Message{Kind: Nack, Seq: m.Seq, To: m.To})
+	}
+}
+
+// receiveAck takes an answer to a probe, this driver's own or one that it made for a peer.
+func (f *Fleet) receiveAck(m Message) {
+	if r := f.relays[m.Seq]; r != nil && r.about == m.To {
+		delete(f.relays, m.Seq)
+		f.send(r.to, Message{Kind: Ack, Seq: r.seq, To: r.about, Records: []Record{m.From}})
+	}
+	if p := f.probe; p != nil && p.seq == m.Seq && p.name == m.To {
+		f.probe = nil
+		f.answered()
+		if t := f.byName[p.name]; t != nil && m.From.Name == p.name {
+			t.silent = false
+		}
+	}
 }
 
-// Leave tells fellows that this driver goes on purpose. Ticks from then on only spread that.
+// Leave tells peers that this driver goes on purpose. Ticks from then on only spread that.
 func (f *Fleet) Leave(now float64) Out {
 	f.now = max(f.now, now)
 	if !f.leaving {
@@ -310,5 +344,5 @@
 		f.note("leaving", f.self.Name, "")
 		f.judge()
 	}
-	return f.take()
+	return f.output()
 }
--- a/internal/membership/fleet_test.go
+++ b/internal/membership/fleet_test.go
@@ -94,10 +94,11 @@
 			t.Errorf("a loss changed the roster: %+v", r)
 		}
 		f.Cut = nil
-		fell := "" // what the other side said of the own fellows is no news to who hears them
+		fell := "" // what the other side said of the own peers is no news to who hears them
 		notes := f.Notes
 		f.Notes = func(at float64, d string, n membership.Note) {
-			if notes(at, d, n); n.Reason == "standing" && (strings.HasPrefix(n.Text, "smaller") || strings.HasPrefix(n.Text, "alone")) {
+			if notes(at, d, n); n.Reason == "standing" &&
+				(strings.HasPrefix(n.Text, "smaller") || strings.HasPrefix(n.Text, "alone")) {
 				fell = d + " " + n.Text
 			}
 		}
@@ -230,7 +231,11 @@
 
 // One that is heard and does not hear, or is not heard at all, fails nobody else and does not count itself in.
 func TestMuteAndDeaf(t *testing.T) {
-	for name, cut := range map[string]func(a, b int) bool{"mute": func(a, b int) bool { return a == 3 }, "deaf": func(a, b int) bool { return b == 3 }} {
+	for name, cut := range map[string]func(a, b int) bool{"mute": func(a, b int) bool {
+		return a == 3
+	}, "deaf": func(a, b int) bool {
+		return b == 3
+	}} {
 		f := five(t, flock.Options{Seed: 4})
 		f.Cut = cut
 		wait(t, f, name, func() bool {
--- a/internal/membership/rumours.go
+++ b/internal/membership/gossip.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// send queues a message with what a fellow is to know: first of itself, then news.
+// send queues a message with what a peer is to know: first of itself, then news.
 func (f *Fleet) send(address string, m Message) {
 	f.count++
 	m.From, m.Count, m.View = f.self, f.count, f.view
@@ -30,8 +30,8 @@
 // carry puts news into a message, up to so many bytes: what was passed on least often first.
 func (f *Fleet) carry(m *Message, left int) {
 	i := 0
-	for ; i < len(f.rumors); i++ {
-		r := f.rumors[i]
+	for ; i < len(f.updates); i++ {
+		r := f.updates[i]
 		if r.dead {
 			continue
 		}
@@ -52,7 +52,7 @@
 	if i == 0 {
 		return
 	}
-	taken, rest, times := f.rumors[:i], f.rumors[i:], f.times()
+	taken, rest, times := f.updates[:i], f.updates[i:], f.times()
 	f.spare = f.spare[:0]
 	for len(taken) > 0 || len(rest) > 0 { // both are in order
 		switch {
@@ -69,33 +69,33 @@
 			taken = taken[1:]
 		}
 	}
-	f.rumors, f.spare = f.spare, f.rumors
+	f.updates, f.spare = f.spare, f.updates
 }
 
-// times is how often one driver passes a rumour on.
+// times is how often one driver passes an update on.
 func (f *Fleet) times() int { return 3*int(math.Ceil(math.Log10(float64(len(f.list)+2)))) + 2 }
 
-func (r *rumour) about() string {
+func (r *update) about() string {
 	if r.hears != nil {
 		return "hears " + r.hears.Name
 	}
 	return r.record.Name
 }
 
-// untell takes a rumour out of those that go round.
-func (f *Fleet) untell(r *rumour) {
+// untell takes an update out of those that go round.
+func (f *Fleet) untell(r *update) {
 	r.dead = true
 	key := r.about()
-	if left := slices.DeleteFunc(f.going[key], func(o *rumour) bool { return o.dead }); len(left) > 0 {
+	if left := slices.DeleteFunc(f.going[key], func(o *update) bool { return o.dead }); len(left) > 0 {
 		f.going[key] = left
 	} else {
 		delete(f.going, key)
 	}
 }
 
-// tell makes a rumour go round, before all others.
-func (f *Fleet) tell(r *rumour) {
-	f.rumors = slices.Insert(f.rumors, 0, r)
+// tell makes an update go round, before all others.
+func (f *Fleet) tell(r *update) {
+	f.updates = slices.Insert(f.updates, 0, r)
 	f.going[r.about()] = append(f.going[r.about()], r)
 }
 
@@ -103,11 +103,12 @@
 func (f *Fleet) queue(r Record) {
 	f.news = f.now
 	for _, o := range slices.Clone(f.going[r.Name]) {
-		if r.State != Suspect || o.record.State != Suspect || o.record.Run != r.Run || o.record.Inc != r.Inc || o.record.By == r.By {
+		if r.State != Suspect || o.record.State != Suspect || o.record.Run != r.Run || o.record.Inc != r.Inc ||
+			o.record.By == r.By {
 			f.untell(o)
 		}
 	}
-	f.tell(&rumour{record: r})
+	f.tell(&update{record: r})
 }
 
 // gossip passes news on between probes.
@@ -126,13 +127,14 @@
 	}
 }
 
-// compare begins an exchange with a fellow that sees the fleet otherwise though nothing was news for a while, or that holds
-// a newer roster.
+// compare begins an exchange with a peer that sees the fleet otherwise though nothing was news for a while, or that
+// holds a newer roster.
 func (f *Fleet) compare(from *member, m Message) {
 	if from == nil || from.Run != m.From.Run || from.State.ended() {
 		return
 	}
-	newer := m.Roster > 0 && (f.roster == nil || m.Roster > f.roster.Version || m.Roster == f.roster.Version && m.Sum != f.roster.sum)
+	newer := m.Roster > 0 && (f.roster == nil || m.Roster > f.roster.Version ||
+		m.Roster == f.roster.Version && m.Sum != f.roster.sum)
 	if f.roster != nil && m.Roster > f.roster.Version {
 		if f.behind == 0 {
 			f.behind = f.now
@@ -140,12 +142,12 @@
 	} else {
 		f.behind = 0
 	}
-	// ... or where there is more news than rumours carry: behind a heal, or as many start at once
-	differs := m.View != f.view && (f.now-f.news > quietFor*f.r.Period || len(f.going) > backlog)
+	// ... or where there is more news than updates carry: behind a heal, or as many start at once
+	differs := m.View != f.view && (f.now-f.news > quietFor*f.rules.Period || len(f.going) > backlog)
 	if !newer && !differs || f.now < f.exchangeAt || f.now < from.later {
 		return
 	}
-	f.exchangeAt, from.later = f.now+f.r.Period, f.now+exchangeGap*f.r.Period
+	f.exchangeAt, from.later = f.now+f.rules.Period, f.now+exchangeGap*f.rules.Period
 	f.out.Exchanges = append(f.out.Exchanges, from.Address)
 }
 
@@ -163,9 +165,9 @@
 	return w
 }
 
-// Merge takes all that a fellow knows: who lives and who does not, then the roster.
+// Merge takes all that a peer knows: who lives and who does not, then the roster.
 func (f *Fleet) Merge(now float64, w Exchange) Out {
-	f.pass(now)
+	f.advance(now)
 	if w.From.sane() && !(w.From.Name == f.self.Name && w.From.Run == f.self.Run) {
 		f.apply(w.From)
 		for _, r := range w.Records {
@@ -175,9 +177,9 @@
 			f.heardOf(w.Hears[i])
 		}
 		if w.Roster != nil {
-			f.adopt(*w.Roster)
+			f.receiveRoster(*w.Roster)
 		}
 		f.judge()
 	}
-	return f.take()
+	return f.output()
 }
--- a/internal/membership/hearing.go
+++ b/internal/membership/hearing.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// hear notes whether a fellow is heard straight.
+// hear notes whether a peer is heard straight.
 func (f *Fleet) hear(m *member, heard bool) {
 	if heard {
 		m.silent = false
@@ -35,14 +35,14 @@
 }
 
 func (f *Fleet) queueHearing(h Hearing) {
-	r := &rumour{hears: &h}
+	r := &update{hears: &h}
 	for _, o := range slices.Clone(f.going[r.about()]) {
 		f.untell(o)
 	}
 	f.tell(r)
 }
 
-// heardOf takes whom a fellow does not hear.
+// heardOf takes whom a peer does not hear.
 func (f *Fleet) heardOf(h Hearing) {
 	m := f.byName[h.Name]
 	if m == nil || m.Run != h.Run || h.Turn <= m.hears.Turn || len(h.Deaf) > mostDeaf {
--- a/internal/membership/memory_test.go
+++ b/internal/membership/memory_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// What a driver keeps of a thousand fellows, with a roster of all of them, is under 2 MB.
+// What a driver keeps of a thousand peers, with a roster of all of them, is under 2 MB.
 func TestMemoryOfAThousand(t *testing.T) {
 	heap := func() uint64 {
 		var m runtime.MemStats
@@ -15,14 +15,15 @@
 		return m.HeapAlloc
 	}
 	before := heap()
-	f := New(0, Rules{Period: 500, Expect: 1, Most: 20000, Yield: 15000}, Record{Name: "n0000", Run: 1, Address: "10.0.0.0:1"}, nil, 1)
+	f := New(0, Rules{Period: 500, Expect: 1, MaxDrivers: 20000, Yield: 15000},
+		Record{Name: "n0000", Run: 1, Address: "10.0.0.0:1"}, nil, 1)
 	names := []string{"n0000"}
 	for i := 1; i < 1000; i++ {
 		name := fmt.Sprintf("n%04d", i)
 		f.apply(Record{Name: name, Run: 1, Address: fmt.Sprintf("10.0.%d.%d:7434", i/250, i%250), Zone: "a"})
 		names = append(names, name)
 	}
-	f.hold(Roster{Version: 1, Lineage: 1, Names: names, sum: sumOf(names)})
+	f.adoptRoster(Roster{Version: 1, Lineage: 1, Names: names, sum: sumOf(names)})
 	for now := 0.0; now < 60000; now += 50 {
 		f.Tick(now)
 	}
--- /dev/null
+++ b/internal/membership/persist.go
@@ -0,0 +1,54 @@
+package membership
+
+// This file owns what of the votes outlives the process.
+
+// SavedState is what must outlive the process for its votes to count when it comes back.
+type SavedState struct {
+	Name     string  `cbor:"1,keyasint"`
+	Run      uint64  `cbor:"2,keyasint"`
+	Roster   Roster  `cbor:"3,keyasint"`
+	Version  uint64  `cbor:"4,keyasint,omitempty"` // of the roster to come that the votes are about
+	Promised Ballot  `cbor:"5,keyasint"`
+	Accepted Ballot  `cbor:"6,keyasint"`
+	Change   *Change `cbor:"7,keyasint,omitempty"` // taken
+	Number   uint32  `cbor:"8,keyasint,omitempty"`
+}
+
+// mayVote says that no earlier vote of this driver can have been forgotten.
+func (f *Fleet) mayVote() bool { return f.now >= f.mayVoteAt && !f.saveFailed }
+
+// restore takes up what an earlier run under the name kept: that roster and those votes, so that it votes at once.
+func (f *Fleet) restore(k *SavedState) {
+	if k == nil || k.Name != f.self.Name || k.Roster.Version == 0 {
+		return
+	}
+	if k.Run >= f.self.Run && k.Run < mostRun-1 { // the clock went back
+		f.rename(k.Run + 1)
+	}
+	f.receiveRoster(k.Roster)
+	f.version, f.promised, f.accepted, f.acceptedChange, f.acceptedAt, f.ballotNumber = k.Version, k.Promised,
+		k.Accepted, k.Change, f.now-roundPeriods*f.rules.Period, k.Number
+	f.mayVoteAt = 0
+}
+
+// save gives what is to be kept, where there is something new.
+func (f *Fleet) save() *SavedState {
+	if !f.rules.Persistent || !f.unsaved || f.roster == nil || f.now < f.saveAt {
+		return nil
+	}
+	f.unsaved = false
+	return &SavedState{f.self.Name, f.self.Run, *f.roster, f.version, f.promised, f.accepted, f.acceptedChange,
+		f.ballotNumber}
+}
+
+// Saved tells what became of the last Out.Save. Where it could not be kept, that Out's messages must not be sent, and
+// this driver gives no votes until a later one could be.
+func (f *Fleet) Saved(ok bool) {
+	if !ok {
+		f.unsaved, f.saveAt, f.round = true, f.now+settledPeriods*f.rules.Period, nil
+	}
+	if f.saveFailed == ok {
+		f.saveFailed = !ok
+		f.note(map[bool]string{true: "votes_kept", false: "votes_not_kept"}[ok], f.self.Name, "")
+	}
+}
--- a/internal/membership/probes.go
+++ b/internal/membership/probes.go
@@ -1,7 +1,8 @@
 package membership
 
-// This file owns whom this driver asks for a sign of life, when it suspects, and what a driver that stood still blames on itself. It must never take a
-// driver for failed that got through to anybody in time, as far as word of that came here.
+// This file owns whom this driver asks for a sign of life, when it suspects, and what a driver that stood still blames
+// on itself. It must never take a driver for failed that got through to anybody in time, as far as word of that came
+// here.
 
 import (
 	"math"
@@ -10,7 +11,7 @@
 
 // lookAtDoubted ends suspicions that have lasted.
 func (f *Fleet) lookAtDoubted() {
-	for _, m := range slices.Clone(f.doubted) {
+	for _, m := range slices.Clone(f.suspects) {
 		if m.State != Suspect {
 			continue
 		}
@@ -19,22 +20,23 @@
 			r := m.Record
 			r.State, r.By = Failed, f.self.Name
 			f.apply(r)
-		case len(m.by) <= confirmers && f.now >= at-askBefore*f.r.Period && f.now >= m.again: // its denial may not have come here
-			m.again = f.now + f.r.Period/2
+		// its denial may not have come here
+		case len(m.by) <= confirmers && f.now >= at-askBefore*f.rules.Period && f.now >= m.again:
+			m.again = f.now + f.rules.Period/2
 			f.send(m.Address, Message{Kind: Ping, To: m.Name, Records: []Record{m.Record}})
 		}
 	}
-	f.doubted = slices.DeleteFunc(f.doubted, func(m *member) bool { return m.State != Suspect })
+	f.suspects = slices.DeleteFunc(f.suspects, func(m *member) bool { return m.State != Suspect })
 }
 
-// look asks again who did not answer straight, and notes who is not heard. One lost datagram says nothing, and word that
-// somebody is not heard goes to all.
+// look asks again who did not answer straight, and notes who is not heard. One lost datagram says nothing, and word
+// that somebody is not heard goes to all.
 func (f *Fleet) look() {
 	for _, m := range f.list {
 		switch {
 		case m.State.ended() || m.deaf || !m.silent || f.now < m.again:
 		case m.tries < straight:
-			m.tries, m.again = m.tries+1, f.now+f.r.Period
+			m.tries, m.again = m.tries+1, f.now+f.rules.Period
 			f.send(m.Address, Message{Kind: Ping, To: m.Name})
 		case f.now-max(m.fresh, m.met) > f.deafAfter():
 			f.hear(m, false)
@@ -42,12 +44,12 @@
 	}
 }
 
-// stoodStill blames a gap on this driver itself: no probe was waited for, nobody had a chance to deny what is suspected,
-// and what it holds for true may be old.
+// stoodStill blames a gap on this driver itself: no probe was waited for, nobody had a chance to deny what is
+// suspected, and what it holds for true may be old.
 func (f *Fleet) stoodStill(now, gap float64) {
 	f.note("stood_still", f.self.Name, "")
 	f.probe, f.missed = nil, 0
-	f.health = min(healthMost, f.health+1+int(gap/(4*f.r.Period)))
+	f.health = min(healthMost, f.health+1+int(gap/(4*f.rules.Period)))
 	for _, m := range f.list {
 		if m.State == Suspect {
 			m.began += gap
@@ -56,22 +58,23 @@
 		m.silent = false
 	}
 	f.relays = map[uint64]*relay{}
-	f.doubt, f.unproved, f.judgeAt = now+2*f.r.Period, true, 0
-	f.council.stood(now)
+	f.doubt, f.unproved, f.judgeAt = now+2*f.rules.Period, true, 0
+	f.rosterConsensus.stood(now)
 	if m := f.pick(func(m *member) bool { return !m.State.ended() }); m != nil {
 		f.out.Exchanges = append(f.out.Exchanges, m.Address)
 	}
 	f.probeAt = now
 }
 
-// deafAfter is for how long a fellow may not be heard straight before that is told.
+// deafAfter is for how long a peer may not be heard straight before that is told.
 func (f *Fleet) deafAfter() float64 {
-	return f.r.Period * (1 + float64(f.health)/2) * min(max(deafLeast, float64(2*len(f.list))), deafMost)
+	return f.rules.Period * (1 + float64(f.health)/2) * min(max(deafLeast, float64(2*len(f.list))), deafMost)
 }
 
-// deadline is when a suspicion becomes certain: the more confirm it the sooner, the less well this driver was the later.
+// deadline is when a suspicion becomes certain: the more confirm it the sooner, the less well this driver was the
+// later.
 func (f *Fleet) deadline(m *member) float64 {
-	least, most := suspectLeast*f.r.Period, suspectMost*f.r.Period
+	least, most := suspectLeast*f.rules.Period, suspectMost*f.rules.Period
 	could := 0 // confirm it
 	for _, o := range f.list {
 		if o.State == Alive && o != m {
@@ -87,13 +90,13 @@
 	return m.began + length*m.scale
 }
 
-// pick draws a fellow that fits, nil where there is none.
+// pick draws a peer that fits, nil where there is none.
 func (f *Fleet) pick(fits func(*member) bool) *member {
 	if len(f.list) == 0 {
 		return nil
 	}
 	for range 8 {
-		if m := f.list[f.draw.IntN(len(f.list))]; fits(m) {
+		if m := f.list[f.random.IntN(len(f.list))]; fits(m) {
 			return m
 		}
 	}
@@ -101,7 +104,7 @@
 	n := 0
 	for _, m := range f.list {
 		if fits(m) {
-			if n++; f.draw.IntN(n) == 0 {
+			if n++; f.random.IntN(n) == 0 {
 				found = m
 			}
 		}
@@ -109,8 +112,8 @@
 	return found
 }
 
-// startProbe asks a fellow whether it lives: one that others suspect, if it is to be looked at, or the one whose turn it is.
-// Turns go by the clock that all drivers share, about, so that in each period each driver is asked by one other.
+// startProbe asks a peer whether it lives: one that others suspect, if it is to be looked at, or the one whose turn it
+// is. Turns go by the clock that all drivers share, about, so that in each period each driver is asked by one other.
 func (f *Fleet) startProbe() {
 	var m *member
 	for len(f.check) > 0 && m == nil {
@@ -120,20 +123,21 @@
 		f.check = f.check[1:]
 	}
 	if m == nil {
-		m = f.turnOf(uint64(f.now / f.r.Period))
+		m = f.turnOf(uint64(f.now / f.rules.Period))
 	}
 	if m == nil {
 		return
 	}
 	f.seq++
 	slow := 1 + float64(f.health)/2
-	f.probe = &probe{name: m.Name, seq: f.seq, began: f.now, direct: f.now + directShare*f.r.Period*slow, until: f.now + 0.95*f.r.Period*slow}
+	f.probe = &probe{name: m.Name, seq: f.seq, began: f.now, direct: f.now + directShare*f.rules.Period*slow,
+		until: f.now + 0.95*f.rules.Period*slow}
 	f.send(m.Address, Message{Kind: Ping, Seq: f.seq, To: m.Name})
 }
 
 // turnOf is whom this driver asks in a period; nil where there is nobody.
 func (f *Fleet) turnOf(period uint64) *member {
-	n, own := 0, 0 // of the fellows; of those before this driver
+	n, own := 0, 0 // of the peers; of those before this driver
 	for _, m := range f.list {
 		if !m.State.ended() {
 			if n++; m.Name < f.self.Name {
@@ -144,7 +148,7 @@
 	if n == 0 {
 		return nil
 	}
-	at := (own + int(period%uint64(n))) % n // the fellows, without this driver, from the next one on
+	at := (own + int(period%uint64(n))) % n // the peers, without this driver, from the next one on
 	for _, m := range f.list {
 		if !m.State.ended() {
 			if at == 0 {
@@ -169,7 +173,7 @@
 	}
 	if !p.asked && f.now >= p.direct {
 		if p.asked = true; !m.silent {
-			m.silent, m.tries, m.again = true, 0, f.now+f.r.Period
+			m.silent, m.tries, m.again = true, 0, f.now+f.rules.Period
 		}
 		asked := map[string]bool{p.name: true}
 		for range helpers {
@@ -206,8 +210,8 @@
 	f.missed, f.health, f.unproved = 0, max(0, f.health-1), false
 }
 
-// reconnect tries some of those that have failed: they may be behind a cut that has healed. All drivers together try each
-// about twice a period.
+// reconnect tries some of those that have failed: they may be behind a cut that has healed. All drivers together try
+// each about twice a period.
 func (f *Fleet) reconnect() {
 	failed, living := 0, 1
 	for _, m := range f.list {
@@ -217,7 +221,7 @@
 			living++
 		}
 	}
-	if failed == 0 || f.draw.Float64() > 2*float64(failed)/float64(living) {
+	if failed == 0 || f.random.Float64() > 2*float64(failed)/float64(living) {
 		return
 	}
 	if m := f.pick(func(m *member) bool { return m.State == Failed }); m != nil {
@@ -225,7 +229,7 @@
 	}
 }
 
-// trySeeds exchanges whole states with a seed that is no fellow yet.
+// trySeeds exchanges whole states with a seed that is no peer yet.
 func (f *Fleet) trySeeds() {
 	known, living := map[string]bool{}, 0
 	for _, m := range f.list {
@@ -244,8 +248,8 @@
 	if living > 0 {
 		pause = 10
 	}
-	f.seedAt = f.now + f.r.Period*pause*(0.75+0.5*f.draw.Float64())
+	f.seedAt = f.now + f.rules.Period*pause*(0.75+0.5*f.random.Float64())
 	if len(unknown) > 0 {
-		f.out.Exchanges = append(f.out.Exchanges, unknown[f.draw.IntN(len(unknown))])
+		f.out.Exchanges = append(f.out.Exchanges, unknown[f.random.IntN(len(unknown))])
 	}
 }
--- a/internal/membership/property_test.go
+++ b/internal/membership/property_test.go
@@ -10,13 +10,14 @@
 	"weirwind/internal/membership"
 )
 
-// watch notes, while a flock runs, since when two parts that can't reach each other both take themselves for the larger.
+// watch notes, while a flock runs, since when two parts that can't reach each other both take themselves for the
+// larger.
 type watch struct {
 	f     *flock.Flock
 	since float64
 }
 
-// look gives for how long two drivers that are cut from each other both ways, and from each other's fellows, have both
+// look gives for how long two drivers that are cut from each other both ways, and from each other's peers, have both
 // been with the larger part.
 func (w *watch) look() float64 {
 	both := false
@@ -106,12 +107,13 @@
 	}
 }
 
-// Whatever happens, views converge after the last fault, nobody that lives is failed for good, and no two parts both act
-// as the larger one for longer than it takes to find out.
+// Whatever happens, views converge after the last fault, nobody that lives is failed for good, and no two parts both
+// act as the larger one for longer than it takes to find out.
 func TestAnyFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 7).Draw(t, "drivers")
-		f := flock.New(flock.Options{Drivers: n, Seed: rapid.Uint64().Draw(t, "seed"), Double: 0.1, Latency: rapid.SampledFrom([]float64{1, 20, 60}).Draw(t, "latency")})
+		f := flock.New(flock.Options{Drivers: n, Seed: rapid.Uint64().Draw(t, "seed"), Double: 0.1,
+			Latency: rapid.SampledFrom([]float64{1, 20, 60}).Draw(t, "latency")})
 		for i := range n {
 			f.Start(i, 0)
 		}
@@ -119,7 +121,8 @@
 		w := &watch{f: f}
 		for range rapid.IntRange(1, 12).Draw(t, "faults") {
 			a := rapid.IntRange(0, n-1).Draw(t, "a")
-			play(f, n, rapid.IntRange(0, 10).Draw(t, "what"), a, rapid.IntRange(0, n-1).Draw(t, "b"), 500*float64(rapid.IntRange(1, 20).Draw(t, "frozen")))
+			play(f, n, rapid.IntRange(0, 10).Draw(t, "what"), a, rapid.IntRange(0, n-1).Draw(t, "b"),
+				500*float64(rapid.IntRange(1, 20).Draw(t, "frozen")))
 			for end := f.Now + 500*float64(rapid.IntRange(0, 30).Draw(t, "steps")); f.Now < end; f.Run(250) {
 				if both := w.look(); both > settleBy {
 					t.Fatalf("two parts both the larger one for %.0f ms", both)
@@ -170,8 +173,8 @@
 	return true
 }
 
-// Three drivers, and every order of three faults between them: each pair cut one way or both, each driver frozen, killed or
-// restarted, word lost, healed.
+// Three drivers, and every order of three faults between them: each pair cut one way or both, each driver frozen,
+// killed or restarted, word lost, healed.
 func TestEveryOrderOfFaults(t *testing.T) {
 	type fault struct{ what, a, b int }
 	var faults []fault
@@ -237,7 +240,8 @@
 func TestOneRosterAVersion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(3, 6).Draw(t, "drivers")
-		f := flock.New(flock.Options{Drivers: n, Seed: rapid.Uint64().Draw(t, "seed"), Double: 0.3, Latency: rapid.SampledFrom([]float64{1, 100, 400}).Draw(t, "latency")})
+		f := flock.New(flock.Options{Drivers: n, Seed: rapid.Uint64().Draw(t, "seed"), Double: 0.3,
+			Latency: rapid.SampledFrom([]float64{1, 100, 400}).Draw(t, "latency")})
 		rosters := map[uint64]string{}
 		f.Notes = func(at float64, d string, note membership.Note) {
 			if note.Reason != "roster" {
--- a/internal/membership/records.go
+++ b/internal/membership/records.go
@@ -1,7 +1,7 @@
-// Package membership decides who a driver's fellows are, who of them has failed, and what may be done while that can't be
+// Package membership decides who a driver's peers are, who of them has failed, and what may be done while that can't be
 // known. It does no I/O and reads no clock: it takes messages and the passing of time, and gives messages to be sent.
 //
-// This file owns what is said of a driver, and which of two sayings holds. It must never let an older saying undo a
+// This file owns what is said of a driver, and which of two records holds. It must never let an older record undo a
 // newer one, or take word of a process for word of another that has its name.
 //
 // Sources: Das, Gupta, Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership Protocol"
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// Record is a saying of one driver.
+// Record is what is said of one driver.
 type Record struct {
 	Name    string `cbor:"1,keyasint"`
 	Run     uint64 `cbor:"2,keyasint"` // of the process; a later one under the name has a higher one
@@ -55,14 +55,15 @@
 }
 
 const (
-	mostName = 64      // bytes
-	mostRun  = 1 << 62 // a higher one is spoilt
+	maxNameBytes = 64      // bytes
+	mostRun      = 1 << 62 // a higher one is spoilt
 )
 
 // sane says whether a record can be true at all.
 func (r *Record) sane() bool {
-	return r.Name != "" && len(r.Name) <= mostName && len(r.Zone) <= mostName && len(r.By) <= mostName && r.Address != "" &&
-		len(r.Address) <= mostName && r.State <= Left && r.Run > 0 && r.Run < mostRun
+	return r.Name != "" && len(r.Name) <= maxNameBytes && len(r.Zone) <= maxNameBytes && len(r.By) <= maxNameBytes &&
+		r.Address != "" &&
+		len(r.Address) <= maxNameBytes && r.State <= Left && r.Run > 0 && r.Run < mostRun
 }
 
 // size is about how many bytes it takes in a message.
@@ -71,7 +72,7 @@
 // ended says that nothing is expected of it.
 func (s State) ended() bool { return s >= Failed }
 
-// order compares two sayings of one process, or of processes that followed each other at one address.
+// order compares two records of one process, or of processes that followed each other at one address.
 func order(a, b *Record) int {
 	last := func(r *Record) int {
 		if r.State == Left { // for good, whatever the incarnation
@@ -79,11 +80,12 @@
 		}
 		return 0
 	}
-	return cmp.Or(cmp.Compare(a.Run, b.Run), cmp.Compare(last(a), last(b)), cmp.Compare(a.Inc, b.Inc), cmp.Compare(a.State, b.State))
+	return cmp.Or(cmp.Compare(a.Run, b.Run), cmp.Compare(last(a), last(b)), cmp.Compare(a.Inc, b.Inc),
+		cmp.Compare(a.State, b.State))
 }
 
-// supersedes says whether r is to replace what is held. Two living processes at two addresses under one name: the one that
-// was there first keeps it, as its fellows know it; the other one waits until that has ended.
+// supersedes says whether r is to replace what is held. Two living processes at two addresses under one name: the one
+// that was there first keeps it, as its peers know it; the other one waits until that has ended.
 func (r *Record) supersedes(held *Record) bool {
 	if r.Run == held.Run || r.Address == held.Address {
 		return order(r, held) > 0
@@ -157,9 +159,9 @@
 }
 
 const (
-	mostBytes   = 1000 // of word in a message, about
-	mostDeaf    = 16   // names in a hearing
-	mostRecords = 64   // in a message that is taken
+	mostBytes  = 1000 // of word in a message, about
+	mostDeaf   = 16   // names in a hearing
+	maxRecords = 64   // in a message that is taken
 )
 
 func (h *Hearing) size() int {
@@ -170,7 +172,7 @@
 	return n
 }
 
-// Exchange is all that a driver knows, for a fellow that starts or was cut off.
+// Exchange is all that a driver knows, for a peer that starts or was cut off.
 type Exchange struct {
 	From    Record    `cbor:"1,keyasint"`
 	Records []Record  `cbor:"2,keyasint,omitempty"`
@@ -194,5 +196,5 @@
 	Sends     []Send
 	Exchanges []string // addresses with which whole states are to be exchanged
 	Notes     []Note
-	Save      *Kept // to be safe before Sends go out, see Fleet.Saved; nil for nothing new
+	Save      *SavedState // to be safe before Sends go out, see Fleet.Saved; nil for nothing new
 }
--- a/internal/membership/standing.go
+++ b/internal/membership/standing.go
@@ -1,8 +1,8 @@
 package membership
 
-// This file owns what a driver may do in each standing: what it may not know decides, never what it can see. It must never
-// let two parts of a fleet that can't reach each other both act as the larger one, or count drivers that may still be at
-// work out of a share that all of them together must not exceed.
+// This file owns what a driver may do in each standing: what it may not know decides, never what it can see. It must
+// never let two parts of a fleet that can't reach each other both act as the larger one, or count drivers that may
+// still be at work out of a share that all of them together must not exceed.
 
 import (
 	"fmt"
@@ -46,12 +46,13 @@
 	RenewHold              // one that goes on
 	EndHold                // release or abort it
 	ChangeNames            // of the roster
-	HonourDrain            // told by any fellow, at any time
+	HonourDrain            // told by any peer, at any time
 	ShrinkCount            // count fewer drivers than there were, since some have failed
-	LearnRoles             // take a primary from a fellow's word alone
+	LearnRoles             // take a primary from a peer's word alone
 )
 
-// Allowed is the table of what holds in each standing (docs/membership.md). The reason is for the log and for who asked.
+// Allowed is the table of what holds in each standing (docs/membership.md). The reason is for the log and for who
+// asked.
 func Allowed(s Standing, a Act) (allowed bool, reason string) {
 	switch a {
 	case BeginHold: // hooks go on with the takeover when it was taken: most drivers must hear of it
@@ -81,7 +82,7 @@
 	if f.judged == f.statesGen && f.now < f.judgeAt {
 		return
 	}
-	f.judgeAt = f.now + lookEvery*f.r.Period
+	f.judgeAt = f.now + lookEvery*f.rules.Period
 	s, why := f.assess()
 	if s != f.standing || why != f.why {
 		f.statesGen++
@@ -126,7 +127,7 @@
 		return Unsure, "stood_still"
 	case others > 0 && f.missed >= 4:
 		return Unsure, "unheard"
-	case f.behind > 0 && f.now-f.behind > 6*f.r.Period:
+	case f.behind > 0 && f.now-f.behind > 6*f.rules.Period:
 		return Unsure, "behind"
 	case living == n:
 		return Whole, ""
@@ -144,10 +145,10 @@
 
 // pendingLives says that a change which may have been decided without this driver's knowing has its majority here too.
 func (f *Fleet) pendingLives() bool {
-	if f.change == nil || f.version != f.roster.Version+1 || f.now-f.takenAt < roundTime*f.r.Period {
+	if f.acceptedChange == nil || f.version != f.roster.Version+1 || f.now-f.acceptedAt < roundPeriods*f.rules.Period {
 		return true
 	}
-	next := f.after(f.change)
+	next := f.after(f.acceptedChange)
 	names := f.names(false)
 	who := map[string]bool{}
 	for _, n := range names {
@@ -161,13 +162,14 @@
 	return f.standing, f.why, f.stands
 }
 
-// Count is how many drivers there are, for shares that all of them together must not exceed: cold members, probes, words.
-// One that has failed may only be cut off, and goes on with its share. Where the larger part takes it over, after Yield,
-// the others have given half of theirs up by then: a of n count the harmonic mean of both, 2an/(a+n), the others 2n, so
-// that all shares add up to one. Without a roster, or where nothing can be known, as many count as were ever expected.
+// Count is how many drivers there are, for shares that all of them together must not exceed: cold members, probes,
+// words. One that has failed may only be cut off, and goes on with its share. Where the larger part takes it over,
+// after Yield, the others have given half of theirs up by then: a of n count the harmonic mean of both, 2an/(a+n), the
+// others 2n, so that all shares add up to one. Without a roster, or where nothing can be known, as many count as were
+// ever expected.
 func (f *Fleet) Count() int {
 	if f.roster == nil {
-		return max(f.r.Expect, f.alive(), 1)
+		return max(f.rules.Expect, f.alive(), 1)
 	}
 	n, living := 0, 0
 	if !f.roster.has(f.self.Name) {
@@ -191,7 +193,7 @@
 		}
 	}
 	n = max(n, 1)
-	waited := f.now-max(f.stands, f.changed) >= max(f.r.Yield, yieldLeast*f.r.Period)
+	waited := f.now-max(f.stands, f.changed) >= max(f.rules.Yield, yieldLeast*f.rules.Period)
 	switch shrink, _ := Allowed(f.standing, ShrinkCount); {
 	case f.standing == Whole, f.why == "leaving":
 		return n
@@ -206,7 +208,7 @@
 // yieldLeast, in periods, is longer than the slowest driver takes to find out that it is not with most.
 const yieldLeast = 30
 
-// View is what operators are shown of a fellow.
+// View is what operators are shown of a peer.
 type View struct {
 	Name    string   `json:"name"`
 	State   State    `json:"state"`
@@ -238,8 +240,9 @@
 
 // Status gives the view as it is now.
 func (f *Fleet) Status() Status {
-	s := Status{Self: f.self.Name, Standing: f.standing, Reason: f.why, For: f.now - f.stands, Count: f.Count(), Address: f.self.Address,
-		Run: f.self.Run, Health: f.health, Roster: f.roster, Drivers: []View{}}
+	s := Status{Self: f.self.Name, Standing: f.standing, Reason: f.why, For: f.now - f.stands, Count: f.Count(),
+		Address: f.self.Address,
+		Run:     f.self.Run, Health: f.health, Roster: f.roster, Drivers: []View{}}
 	for _, m := range f.list {
 		s.Drivers = append(s.Drivers, View{Name: m.Name, State: m.State, Heard: !m.State.ended() && !m.deaf, Listed: m.on,
 			Address: m.Address, Zone: m.Zone, Run: m.Run, Inc: m.Inc, For: f.now - m.since, Deaf: m.hears.Deaf})
@@ -255,7 +258,7 @@
 	return Left
 }
 
-// Address is where a fellow is reached that does not count as ended; empty for none.
+// Address is where a peer is reached that does not count as ended; empty for none.
 func (f *Fleet) Address(name string) string {
 	if m := f.byName[name]; m != nil && !m.State.ended() {
 		return m.Record.Address
@@ -263,7 +266,7 @@
 	return ""
 }
 
-// Living are the addresses of fellows that do not count as ended.
+// Living are the addresses of peers that do not count as ended.
 func (f *Fleet) Living() (all []string) {
 	for _, m := range f.list {
 		if !m.State.ended() {
--- a/internal/membership/sayings.go
+++ b/internal/membership/updates.go
@@ -1,13 +1,13 @@
 package membership
 
-// This file owns what a saying changes: which of two of a driver holds, and what others say of this one.
+// This file owns what a record changes: which of two of a driver holds, and what others say of this one.
 
 import (
 	"slices"
 	"strings"
 )
 
-// apply takes a saying of a driver.
+// apply takes a record of a driver.
 func (f *Fleet) apply(r Record) {
 	if !r.sane() {
 		return
@@ -21,26 +21,29 @@
 		if r.State.ended() && !f.listed(r.Name) {
 			return // nothing is lost by not knowing it
 		}
-		if len(f.list) >= f.r.Most {
-			if f.now-f.warned[""] > 60*f.r.Period {
+		if len(f.list) >= f.rules.MaxDrivers {
+			if f.now-f.warned[""] > 60*f.rules.Period {
 				f.warned[""] = f.now
 				f.note("fleet_full", r.Name, "")
 			}
 			return
 		}
 		m = &member{Record: Record{Name: r.Name, State: Left}, met: f.now, since: f.now, on: f.listed(r.Name)}
-		i, _ := slices.BinarySearchFunc(f.list, r.Name, func(m *member, name string) int { return strings.Compare(m.Name, name) })
+		i, _ := slices.BinarySearchFunc(f.list, r.Name, func(m *member, name string) int {
+			return strings.Compare(m.Name, name)
+		})
 		f.list = slices.Insert(f.list, i, m)
 		f.byName[r.Name] = m
 		f.enter(m, r)
 		return
 	}
 	switch {
-	case r.State == Failed && m.State == Alive && m.Run == r.Run && m.Inc <= r.Inc && f.now-m.fresh < heardLately*f.r.Period:
-		// Heard here a moment ago: word of the other side of a cut that healed. It is told, and denies it; if it
+	case r.State == Failed && m.State == Alive && m.Run == r.Run && m.Inc <= r.Inc &&
+		f.now-m.fresh < heardLately*f.rules.Period:
+		// Heard here a moment ago: news of the other side of a cut that healed. It is told, and denies it; if it
 		// has failed since, this driver finds out, or hears of it once more.
 		if f.now >= m.accused {
-			m.accused = f.now + f.r.Period
+			m.accused = f.now + f.rules.Period
 			f.send(m.Address, Message{Kind: Gossip, To: m.Name, Records: []Record{r}})
 		}
 	case m.Run == r.Run && m.Inc == r.Inc && m.State == Suspect && r.State == Suspect:
@@ -50,13 +53,13 @@
 		}
 	case r.supersedes(&m.Record):
 		f.enter(m, r)
-	case r.contests(&m.Record) && f.now-f.warned[r.Name] > 60*f.r.Period && len(f.warned) < 256:
+	case r.contests(&m.Record) && f.now-f.warned[r.Name] > 60*f.rules.Period && len(f.warned) < 256:
 		f.warned[r.Name] = f.now
 		f.note("name_twice", r.Name, "at "+m.Address+" and at "+r.Address)
 	}
 }
 
-// enter makes a saying the one that holds.
+// enter makes a record the one that holds.
 func (f *Fleet) enter(m *member, r Record) {
 	before, run := m.State, m.Run
 	if !before.ended() {
@@ -75,10 +78,10 @@
 	m.Record = r
 	if r.State == Suspect {
 		if before != Suspect {
-			f.doubted = append(f.doubted, m)
+			f.suspects = append(f.suspects, m)
 		}
 		m.began, m.scale, m.by = f.now, 1+float64(f.health)/2, map[string]bool{r.By: true}
-		if r.By != f.self.Name && len(f.check) < mostChecks && f.draw.Float64()*float64(f.alive()) < checkers {
+		if r.By != f.self.Name && len(f.check) < maxChecks && f.random.Float64()*float64(f.alive()) < checkers {
 			f.check = append(f.check, r.Name)
 		}
 	} else {
@@ -146,7 +149,7 @@
 
 // reap forgets those that have ended, are on no roster and were remembered for long enough.
 func (f *Fleet) reap() {
-	gone := func(m *member) bool { return m.State.ended() && f.now-m.since > f.r.Keep && !m.on }
+	gone := func(m *member) bool { return m.State.ended() && f.now-m.since > f.rules.Keep && !m.on }
 	if !slices.ContainsFunc(f.list, gone) {
 		return
 	}
--- a/internal/membership/votes_test.go
+++ b/internal/membership/votes_test.go
@@ -17,11 +17,11 @@
 	of    map[string]*Fleet
 	names []string
 	pool  []vote
-	disk  map[string]*Kept
+	disk  map[string]*SavedState
 }
 
 func newChamber(n, newcomers int) *chamber {
-	c := &chamber{of: map[string]*Fleet{}, disk: map[string]*Kept{}}
+	c := &chamber{of: map[string]*Fleet{}, disk: map[string]*SavedState{}}
 	var roster []string
 	for i := range n + newcomers {
 		name := fmt.Sprintf("n%d", i)
@@ -33,7 +33,7 @@
 	for _, name := range c.names {
 		f := c.begin(name)
 		if name < roster[len(roster)-1] || name == roster[len(roster)-1] {
-			f.hold(Roster{Version: 1, Lineage: 1, Names: roster, sum: sumOf(roster)})
+			f.adoptRoster(Roster{Version: 1, Lineage: 1, Names: roster, sum: sumOf(roster)})
 		}
 		c.out(f)
 	}
@@ -42,7 +42,8 @@
 
 // begin starts a process that knows what an earlier one kept, and all drivers.
 func (c *chamber) begin(name string) *Fleet {
-	f := New(0, Rules{Period: 100, Expect: 1, Most: 100, Keeps: true, Kept: c.disk[name]}, Record{Name: name, Run: 1, Address: name}, nil, 1)
+	f := New(0, Rules{Period: 100, Expect: 1, MaxDrivers: 100, Persistent: true, Saved: c.disk[name]},
+		Record{Name: name, Run: 1, Address: name}, nil, 1)
 	for _, o := range c.names {
 		f.apply(Record{Name: o, Run: 1, Address: o})
 	}
@@ -52,7 +53,7 @@
 
 // out keeps what a driver is to keep, and puts what it sends on its way.
 func (c *chamber) out(f *Fleet) {
-	out := f.take()
+	out := f.output()
 	if out.Save != nil {
 		c.disk[f.self.Name] = out.Save
 		f.Saved(true)
@@ -76,9 +77,9 @@
 	return c
 }
 
-// Several drivers propose different changes at once, again and again, and every message is lost, late, doubled or out of
-// order as it happens, and drivers are killed and come back, before or after what they voted was on disk, or can't write to
-// it: whoever decides on the next version decides the same, and each decision had both majorities.
+// Several drivers propose different changes at once, again and again, and every message is lost, late, doubled or out
+// of order as it happens, and drivers are killed and come back, before or after what they voted was on disk, or can't
+// write to it: whoever decides on the next version decides the same, and each decision had both majorities.
 func TestVotesInAnyOrder(t *testing.T) {
 	decided, killed := 0, 0
 	for seed := range uint64(10000) {
@@ -104,7 +105,7 @@
 					versions[f.roster.sum] = f.roster
 				}
 				f = c.begin(name)
-				f.take()
+				f.output()
 				killed++
 			case len(c.pool) > 0:
 				i := draw.IntN(len(c.pool))
@@ -116,14 +117,14 @@
 					continue // lost
 				}
 				to := c.of[m.to]
-				to.voted(m.from, m.from, m.v)
+				to.receiveVote(m.from, m.from, m.v)
 				switch draw.IntN(30) {
 				case 0: // killed before anything was written
-					c.begin(m.to).take()
+					c.begin(m.to).output()
 				case 1: // nothing can be written
-					if to.take().Save != nil {
+					if to.output().Save != nil {
 						to.Saved(false)
-						to.now += settled * 100
+						to.now += settledPeriods * 100
 					}
 				default:
 					c.out(to)
@@ -157,20 +158,20 @@
 	c := newChamber(3, 0)
 	f := c.of["n1"]
 	f.roster = nil
-	f.adopt(Roster{Version: 1, Lineage: 1, Names: []string{"n0", "n1", "n2"}})
+	f.receiveRoster(Roster{Version: 1, Lineage: 1, Names: []string{"n0", "n1", "n2"}})
 	p := c.of["n0"]
 	p.propose(change(p, "", "n2"))
-	for _, s := range p.take().Sends {
+	for _, s := range p.output().Sends {
 		if s.Address == "n1" {
-			f.voted("n0", "n0", *s.Message.Vote)
+			f.receiveVote("n0", "n0", *s.Message.Vote)
 		}
 	}
-	if out := f.take(); len(out.Sends) > 0 {
+	if out := f.output(); len(out.Sends) > 0 {
 		t.Errorf("it votes: %+v", out.Sends)
 	}
-	f.now = forgetful*100 + 1
-	f.voted("n0", "n0", Vote{Step: Prepare, Version: 2, Base: f.roster.sum, Ballot: Ballot{9, "n0"}})
-	if out := f.take(); len(out.Sends) != 1 || out.Sends[0].Message.Vote.Step != Promise {
+	f.now = forgetPeriods*100 + 1
+	f.receiveVote("n0", "n0", Vote{Kind: Prepare, Version: 2, Base: f.roster.sum, Ballot: Ballot{9, "n0"}})
+	if out := f.output(); len(out.Sends) != 1 || out.Sends[0].Message.Vote.Kind != Promise {
 		t.Errorf("it never votes again: %+v", out)
 	}
 }
@@ -180,7 +181,8 @@
 	for s := Unsure; s <= Whole; s++ {
 		for a := BeginHold; a <= LearnRoles; a++ {
 			larger := s == Larger || s == Whole
-			want := map[Act]bool{BeginHold: larger, RenewHold: true, EndHold: true, ChangeNames: larger, HonourDrain: true, ShrinkCount: larger}[a]
+			want := map[Act]bool{BeginHold: larger, RenewHold: true, EndHold: true, ChangeNames: larger, HonourDrain: true,
+				ShrinkCount: larger}[a]
 			if got, why := Allowed(s, a); got != want || got != (why == "") {
 				t.Errorf("%s, act %d: %v %q", s, a, got, why)
 			}
@@ -193,7 +195,8 @@
 	for n := 2; n <= 40; n++ {
 		for a := 1; a < n; a++ {
 			view := func(living int) int {
-				f := New(0, Rules{Period: 100, Expect: 1, Most: 100, Yield: 1000}, Record{Name: "n00", Run: 1, Address: "n00"}, nil, 1)
+				f := New(0, Rules{Period: 100, Expect: 1, MaxDrivers: 100, Yield: 1000},
+					Record{Name: "n00", Run: 1, Address: "n00"}, nil, 1)
 				names := []string{"n00"}
 				for i := 1; i < n; i++ {
 					r := Record{Name: fmt.Sprintf("n%02d", i), Run: 1, Address: fmt.Sprint(i)}
@@ -204,7 +207,7 @@
 						f.apply(r)
 					}
 				}
-				f.hold(Roster{Version: 1, Lineage: 1, Names: names, sum: sumOf(names)})
+				f.adoptRoster(Roster{Version: 1, Lineage: 1, Names: names, sum: sumOf(names)})
 				f.judge()
 				if c := f.Count(); f.standing == Larger && c < n {
 					t.Errorf("%d of %d count %d before the others can have given way", living, n, c)
@@ -237,10 +240,13 @@
 		r, held Record
 		want    bool
 	}{
-		{second, first, false}, {first, second, true}, {second, with(first, Failed, 3), true}, {first, with(second, Failed, 0), false},
-		{with(second, Failed, 0), first, false}, {with(first, Suspect, 0), first, true}, {first, with(first, Suspect, 0), false},
+		{second, first, false}, {first, second, true}, {second, with(first, Failed, 3), true},
+		{first, with(second, Failed, 0), false},
+		{with(second, Failed, 0), first, false}, {with(first, Suspect, 0), first, true},
+		{first, with(first, Suspect, 0), false},
 		{with(first, Alive, 1), with(first, Failed, 0), true}, {with(first, Alive, 9), with(first, Left, 0), false},
-		{Record{Name: "a", Run: 6, Address: "x"}, with(first, Left, 0), true}, {Record{Name: "a", Run: 4, Address: "x"}, first, false},
+		{Record{Name: "a", Run: 6, Address: "x"}, with(first, Left, 0), true},
+		{Record{Name: "a", Run: 4, Address: "x"}, first, false},
 	} {
 		if got := x.r.supersedes(&x.held); got != x.want {
 			t.Errorf("%+v over %+v: %v", x.r, x.held, got)
--- a/internal/mesh/datagrams.go
+++ b/internal/mesh/datagrams.go
@@ -46,7 +46,7 @@
 			continue
 		}
 		m.mu.Lock()
-		m.apply(m.view.Got(m.options.Now(), msg))
+		m.apply(m.view.Receive(m.options.Now(), msg))
 	}
 }
 
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -109,7 +109,7 @@
 	if m.options.Advertise == "" {
 		m.options.Advertise = m.tcp.Addr().String()
 	}
-	var kept *membership.Kept
+	var kept *membership.SavedState
 	if o.Folder != "" {
 		var err error
 		if m.votes, kept, err = openKeeper(o.Folder); err != nil {
@@ -119,13 +119,13 @@
 		}
 	}
 	rules := membership.Rules{
-		Period: milliseconds(o.Period),
-		Expect: o.Expect,
-		Keep:   milliseconds(leftKept),
-		Most:   maxDrivers,
-		Yield:  milliseconds(o.Yield),
-		Keeps:  m.votes != nil,
-		Kept:   kept,
+		Period:     milliseconds(o.Period),
+		Expect:     o.Expect,
+		Keep:       milliseconds(leftKept),
+		MaxDrivers: maxDrivers,
+		Yield:      milliseconds(o.Yield),
+		Persistent: m.votes != nil,
+		Saved:      kept,
 	}
 	self := membership.Record{Name: o.Name, Run: o.Run, Address: m.options.Advertise, Zone: o.Zone}
 	m.view = membership.New(o.Now(), rules, self, o.Seeds, o.Seed)
--- a/internal/mesh/mesh_test.go
+++ b/internal/mesh/mesh_test.go
@@ -59,7 +59,7 @@
 
 // The fullest message that the view makes goes into one datagram.
 func TestDatagramsFit(t *testing.T) {
-	f := membership.New(0, membership.Rules{Period: 500, Expect: 1, Most: 10000}, record(5000), nil, 1)
+	f := membership.New(0, membership.Rules{Period: 500, Expect: 1, MaxDrivers: 10000}, record(5000), nil, 1)
 	x := membership.Exchange{From: record(5001)}
 	for i := range 2000 {
 		x.Records = append(x.Records, record(i))
@@ -131,7 +131,7 @@
 func FuzzDatagram(f *testing.F) {
 	good, _ := encoder.Marshal(&membership.Message{Kind: membership.Ping, From: record(1), Count: 3,
 		To: "driver-0000.zone-a", Records: []membership.Record{record(2)},
-		Vote: &membership.Vote{Step: membership.Accept, Version: 2,
+		Vote: &membership.Vote{Kind: membership.Accept, Version: 2,
 			Change: &membership.Change{Version: 2, Add: []string{"x"}}}})
 	f.Add(good)
 	f.Fuzz(func(t *testing.T, payload []byte) {
@@ -139,9 +139,9 @@
 		if decoder.Unmarshal(payload, &m) != nil {
 			return
 		}
-		v := membership.New(0, membership.Rules{Period: 100, Expect: 1, Most: 50}, record(0), nil, 1)
+		v := membership.New(0, membership.Rules{Period: 100, Expect: 1, MaxDrivers: 50}, record(0), nil, 1)
 		for at := range 40 { // a peer may say anything; it must be borne
-			v.Got(float64(at*20), m)
+			v.Receive(float64(at*20), m)
 			v.Tick(float64(at*20 + 5))
 		}
 		if n := len(v.Status().Drivers); n > 50 {
@@ -160,7 +160,7 @@
 		if decoder.Unmarshal(payload, &x) != nil || x.Exchange == nil {
 			return
 		}
-		v := membership.New(0, membership.Rules{Period: 100, Expect: 1, Most: 50}, record(0), nil, 1)
+		v := membership.New(0, membership.Rules{Period: 100, Expect: 1, MaxDrivers: 50}, record(0), nil, 1)
 		v.Merge(1, *x.Exchange)
 		v.Tick(100)
 		v.Status()
--- a/internal/mesh/persist.go
+++ b/internal/mesh/persist.go
@@ -15,12 +15,12 @@
 )
 
 // openKeeper recovers what an earlier process kept; nil for nothing.
-func openKeeper(folder string) (*durable.Last, *membership.Kept, error) {
+func openKeeper(folder string) (*durable.Last, *membership.SavedState, error) {
 	store, last, err := durable.OpenLast(folder, keepTag, keepLimit)
 	if err != nil || len(last) == 0 {
 		return store, nil, err
 	}
-	kept := &membership.Kept{}
+	kept := &membership.SavedState{}
 	if err := decoder.Unmarshal(last, kept); err != nil {
 		store.Close()
 		return nil, nil, fmt.Errorf("folder: %s: %v", folder, err)
