--- a/internal/driver/bench_test.go
+++ b/internal/driver/bench_test.go
@@ -69,10 +69,11 @@
 			if keeps {
 				o.State = &operator.State{Folder: b.TempDir(), SaveEvery: time.Second, LimitMB: 16}
 			}
-			v, err := New(fmt.Appendf(nil, `{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"seed":"1","limits":{"cores":8,"memory_mb":192,"sockets":1024},`+
-				`"known":{"revision":1,"complete":true,"members":[{"id":"m","host_port":%q,"cell":3,"phase":"up","access":"writer"}]},`+
-				`"settings":{"tick":5000,"family_info":{"needs_by_class":["eventual"],"shows_role":"static"},"policy_limits":{"send_cap":4,`+
-				`"connect_timeout":1000000,"conn_idle":60000000},"profiles":[{"name":"read","aim":300000,"deadline":1e6,"effect":"repeatable","points":1}]}}`,
+			v, err := New(fmt.Appendf(nil,
+				`{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"seed":"1","limits":{"cores":8,"memory_mb":192,"sockets":1024},`+
+					`"known":{"revision":1,"complete":true,"members":[{"id":"m","host_port":%q,"cell":3,"phase":"up","access":"writer"}]},`+
+					`"settings":{"tick":5000,"family_info":{"needs_by_class":["eventual"],"shows_role":"static"},"policy_limits":{"send_cap":4,`+
+					`"connect_timeout":1000000,"conn_idle":60000000},"profiles":[{"name":"read","aim":300000,"deadline":1e6,"effect":"repeatable","points":1}]}}`,
 				lists.Addr().String(), member), o)
 			if err != nil {
 				b.Fatal(err)
@@ -102,7 +103,8 @@
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := range b.N {
-				query := pgwire.AppendQuery(nil, fmt.Sprintf("SELECT v FROM records WHERE k = 'ab' /* id=%016x,c=read,d=900,cluster=3 */", i))
+				query := pgwire.AppendQuery(nil, fmt.Sprintf(
+					"SELECT v FROM records WHERE k = 'ab' /* id=%016x,c=read,d=900,cluster=3 */", i))
 				began := time.Now()
 				conn.Write(query)
 				ready()
@@ -124,7 +126,8 @@
 	for _, side := range []int{1, 16, 128} {
 		b.Run(strconv.Itoa(side), func(b *testing.B) {
 			v := &Service{decide: &decider{clock: newClock(time.Now)}, log: slog.New(slog.DiscardHandler)}
-			if err := v.openLedger(operator.Ledger{Folder: b.TempDir(), Keep: time.Hour, Keys: 1 << 20, LimitMB: 4096}, nil); err != nil {
+			if err := v.openLedger(operator.Ledger{Folder: b.TempDir(), Keep: time.Hour, Keys: 1 << 20, LimitMB: 4096},
+				nil); err != nil {
 				b.Fatal(err)
 			}
 			defer v.ledger.finish()
--- a/internal/driver/peers.go
+++ b/internal/driver/datagrams.go
@@ -14,7 +14,7 @@
 	"weirwind/logic"
 )
 
-type peers struct {
+type datagrams struct {
 	conn  *net.UDPConn
 	known map[netip.AddrPort]bool                   // the other drivers
 	met   atomic.Pointer[map[netip.AddrPort]string] // those a registry names instead, sent to one by one
@@ -24,9 +24,9 @@
 	count *counters
 }
 
-// newPeers opens the socket; without an address to listen at there are no peers.
-func newPeers(a *Assignment, own int, registered bool, count *counters) (*peers, error) {
-	p := &peers{known: map[netip.AddrPort]bool{}, out: make(chan []byte, 64), count: count}
+// newDatagrams opens the socket; without an address to listen at there are no peers.
+func newDatagrams(a *Assignment, own int, registered bool, count *counters) (*datagrams, error) {
+	p := &datagrams{known: map[netip.AddrPort]bool{}, out: make(chan []byte, 64), count: count}
 	if a.PeerListen == "" || a.PeersAll == "" && !registered {
 		return p, nil
 	}
@@ -53,7 +53,7 @@
 }
 
 // tell queues a message to every other driver; one that can't go out soon is lost, as on the network.
-func (p *peers) tell(data []byte) {
+func (p *datagrams) tell(data []byte) {
 	if p.conn == nil || len(data) > opening.MaxMessage {
 		p.count.MessagesLost.Add(1)
 		return
@@ -65,7 +65,7 @@
 	}
 }
 
-func (p *peers) write(ctx context.Context) {
+func (p *datagrams) write(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -82,7 +82,7 @@
 	}
 }
 
-func (p *peers) send(data []byte, to netip.AddrPort) {
+func (p *datagrams) send(data []byte, to netip.AddrPort) {
 	if _, err := p.conn.WriteToUDPAddrPort(data, to); err != nil {
 		p.count.MessagesLost.Add(1)
 	} else {
@@ -90,18 +90,18 @@
 	}
 }
 
-// meet takes the fellows that a registry names.
-func (p *peers) meet(names map[netip.AddrPort]string) { p.met.Store(&names) }
+// meet takes the peers that a registry names.
+func (p *datagrams) meet(names map[netip.AddrPort]string) { p.met.Store(&names) }
 
-// knows says whether an address is a fellow's.
-func (p *peers) knows(from netip.AddrPort) bool {
+// knows says whether an address is a peer's.
+func (p *datagrams) knows(from netip.AddrPort) bool {
 	if met := p.met.Load(); met != nil {
 		return (*met)[from] != ""
 	}
 	return p.known[from]
 }
 
-func (p *peers) read(ctx context.Context, d *decider) {
+func (p *datagrams) read(ctx context.Context, d *decider) {
 	stop := context.AfterFunc(ctx, func() { p.conn.Close() })
 	defer stop()
 	buf := make([]byte, opening.MaxMessage+1)
--- a/internal/driver/decide.go
+++ b/internal/driver/decider.go
@@ -63,19 +63,19 @@
 	ids    map[string]bool // of open ops, as their clients wrote them
 	groups map[int64]bool
 	lines  map[string]logic.ListEntry // of the list, as it was told
-	marked map[string]marks           // members that count as draining whatever the list says, and why
+	marked map[string]restrictions    // members that count as draining whatever the list says, and why
 	serial uint64
 	closed bool
-	zoning *zoning        // nil where zones are not decided on
+	zoning *zoneAgent     // nil where zones are not decided on
 	near   map[int64]bool // groups with a member in the own zone; while zoning
 }
 
-// marks are reasons for which a member counts as draining whatever the list says.
-type marks uint8
+// restrictions are reasons for which a member counts as draining whatever the list says.
+type restrictions uint8
 
 const (
-	markSwitch marks = 1 << iota // its role is on its way elsewhere
-	markFellow                   // a fellow was told so
+	markSwitch restrictions = 1 << iota // its role is on its way elsewhere
+	markFellow                          // a peer was told so
 )
 
 // performer carries out what is not one op's business. None of it may block.
@@ -89,7 +89,7 @@
 func newDecider(c clock, told opening.Told, do performer) *decider {
 	told.Opening.PositionZero = 0
 	d := &decider{clock: c, opTypes: told.OpTypes, do: do, ops: map[string]*op{}, ids: map[string]bool{},
-		groups: map[int64]bool{}, lines: map[string]logic.ListEntry{}, marked: map[string]marks{}}
+		groups: map[int64]bool{}, lines: map[string]logic.ListEntry{}, marked: map[string]restrictions{}}
 	for _, t := range told.Opening.OpTypes {
 		d.bounded = append(d.bounded, t.Need == logic.Bounded)
 	}
@@ -168,7 +168,7 @@
 }
 
 // zoned has sends counted by zone from here on.
-func (d *decider) zoned(z *zoning) {
+func (d *decider) zoned(z *zoneAgent) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.zoning = z
@@ -193,8 +193,9 @@
 	return maps.Clone(d.lines)
 }
 
-// mark lets a member count as draining for a reason, or no longer for that one: without any it is as the list says again.
-func (d *decider) mark(member string, why marks, draining bool) {
+// mark lets a member count as draining for a reason, or no longer for that one: without any it is as the list says
+// again.
+func (d *decider) mark(member string, why restrictions, draining bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	before := d.marked[member]
@@ -273,14 +274,16 @@
 		o.final, o.rows = true, r.rows
 	}
 	if d.zoning != nil && r.outcome == logic.OK && n < len(o.to) {
-		d.zoning.timed(o.to[n].member, d.lines[o.to[n].member].Zone, d.clock.now()-o.to[n].at, d.clock.sight(r.role, r.position).Position)
+		d.zoning.timed(o.to[n].member, d.lines[o.to[n].member].Zone, d.clock.now()-o.to[n].at,
+			d.clock.sight(r.role, r.position).Position)
 	}
 	opened := 0.0
 	if r.outcome == logic.OK && !r.opened.IsZero() {
 		opened = d.clock.at(r.opened)
 	}
-	ev := logic.Event{Kind: logic.EvAnswer, Opened: opened, Op: o.id, Send: n, Member: r.member, Outcome: r.outcome, Closed: o.final,
-		Note: d.clock.sight(r.role, r.position), Report: d.clock.sight(r.reportRole, r.reportPosition)}
+	ev := logic.Event{Kind: logic.EvAnswer, Opened: opened, Op: o.id, Send: n, Member: r.member, Outcome: r.outcome,
+		Closed: o.final,
+		Note:   d.clock.sight(r.role, r.position), Report: d.clock.sight(r.reportRole, r.reportPosition)}
 	d.stepLocked(ev)
 	if o.rows != nil {
 		o.awake()
--- a/internal/driver/driver.go
+++ b/internal/driver/driver.go
@@ -4,19 +4,13 @@
 package driver
 
 import (
-	"bytes"
 	"context"
-	"encoding/json"
-	"errors"
 	"fmt"
 	"io"
 	"log/slog"
 	"net"
 	"runtime"
 	"runtime/debug"
-	"slices"
-	"strconv"
-	"strings"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -24,7 +18,6 @@
 	"golang.org/x/sync/errgroup"
 
 	"weirwind/internal/discovery"
-	"weirwind/internal/opening"
 	"weirwind/internal/operator"
 	"weirwind/internal/registry"
 	"weirwind/internal/roster"
@@ -32,7 +25,8 @@
 )
 
 const (
-	spareSockets = 32                      // of the limit: listener, peers, discovery, log, poller, connections being turned away
+	// of the limit: listener, peers, discovery, log, poller, connections being turned away
+	spareSockets = 32
 	clientShare  = 0.6                     // of the sockets: ops that are held need a client's and no member's
 	memoryShare  = 0.75                    // of the limit: from there on the collector works harder
 	bytesShare   = 0.25                    // of the limit, for big messages from clients
@@ -42,29 +36,6 @@
 	logTime      = time.Second // for the last lines of the log
 )
 
-// Assignment is what a driver is told at its start.
-type Assignment struct {
-	Name, Listen, Discovery, Seed string
-	Limits                        struct {
-		Cores    float64
-		MemoryMB float64 `json:"memory_mb"`
-		Sockets  int
-	}
-	PeerListen string `json:"peer_listen"`
-	Peers      []string
-	PeersAll   string `json:"peers_all"`
-	Known      json.RawMessage
-	Told       json.RawMessage `json:"settings"`
-}
-
-// file is a configuration that makes sense, and its values by name as they stand in it.
-type file struct {
-	Assignment
-	told   opening.Told
-	known  discovery.Answer
-	values map[string]json.RawMessage
-}
-
 // Service is one driver.
 type Service struct {
 	log          *slog.Logger
@@ -72,7 +43,7 @@
 	keep         *keeper // of learned state; nil where none is kept
 	count        counters
 	decide       *decider
-	members      *members
+	members      *pool
 	watching     chan struct{}
 	group        errgroup.Group // connections of clients, and sends
 	probing      errgroup.Group
@@ -93,51 +64,17 @@
 	roster  *roster.Roster
 
 	ledger    *outcomes          // nil where outcomes are not kept
-	switches  *switches          // nil where the operators switch no control socket on
+	switches  *switchovers       // nil where the operators switch no control socket on
 	registry  *operator.Registry // nil where members come from discovery alone
 	following *registry.Watcher
-	fellows   *fellows // the other drivers
-	zoning    *zoning  // nil where zones are not decided on in common
+	fleet     *fleet     // the other drivers
+	zoning    *zoneAgent // nil where zones are not decided on in common
 
 	moving  sync.Mutex // guards what follows
 	movedTo string     // where discovery is now, until the watch has moved there
 	leave   func()     // ends the call to discovery that is out
 }
 
-// parse reads a configuration, at the start and again on SIGHUP, and refuses one that makes no sense.
-func parse(text []byte) (f file, err error) {
-	if err = json.Unmarshal(text, &f.Assignment); err == nil {
-		err = json.Unmarshal(text, &f.values)
-	}
-	if err != nil {
-		return f, fmt.Errorf("configuration: %v", err)
-	}
-	seed, err := strconv.ParseUint(f.Seed, 16, 64)
-	if err != nil {
-		return f, fmt.Errorf("configuration: seed %q is no hexadecimal number", f.Seed)
-	}
-	if f.told, err = opening.Parse(f.Told, seed); err != nil {
-		return f, fmt.Errorf("configuration: %v", err)
-	}
-	if f.told.ConnectTimeout <= 0 || f.told.ConnIdle <= 0 {
-		return f, errors.New("configuration: settings lack connect_timeout or conn_idle")
-	}
-	if f.known, err = discovery.Parse(f.Known); err != nil {
-		return f, fmt.Errorf("configuration: known %v", err)
-	}
-	if f.Listen == "" {
-		return f, errors.New("configuration: lacks listen")
-	}
-	if _, _, err = net.SplitHostPort(f.Discovery); err != nil {
-		return f, fmt.Errorf("configuration: discovery: %v", err)
-	}
-	if f.Limits.Sockets < 2*spareSockets || f.Limits.MemoryMB < 16 {
-		return f, fmt.Errorf("configuration: limits of %d sockets and %g MB are too low", f.Limits.Sockets,
-			f.Limits.MemoryMB)
-	}
-	return f, nil
-}
-
 // New reads an assignment, opens the sockets and the module, which is told what an earlier run has left where the
 // operators keep that. The driver serves as soon as Run is called.
 func New(text []byte, o operator.File) (*Service, error) {
@@ -149,24 +86,8 @@
 	debug.SetMemoryLimit(int64(a.Limits.MemoryMB * memoryShare * (1 << 20)))
 	runtime.GOMAXPROCS(max(1, min(int(a.Limits.Cores+0.5), runtime.NumCPU())))
 
-	v := &Service{watching: make(chan struct{}, 1), leaving: make(chan struct{}, leavers),
-		turnAway: make(chan struct{}, turnAways), clients: clients{all: map[*client]bool{}},
-		closing: make(chan struct{}), config: a,
-		discovery: discovery.Client{Address: a.Discovery, Timeout: callTime}}
-	v.level.Set(o.Log.Level)
-	v.log, v.lines = newLog(o.Log.Format, &v.level, &v.count.LogLost)
-	sockets := a.Limits.Sockets - spareSockets
-	v.clientBudget.left.Store(int64(float64(sockets) * clientShare))
-	v.bytes.left.Store(int64(a.Limits.MemoryMB * bytesShare * (1 << 20)))
-	memberBudget := &budget{}
-	memberBudget.left.Store(int64(sockets) - v.clientBudget.left.Load())
-	v.members = &members{connectTime: duration(told.ConnectTimeout), idleTime: duration(told.ConnIdle * idleShare),
-		budget: memberBudget, count: &v.count, log: v.log, probeQuery: "SELECT 1", hosts: map[string]*host{}}
-	if told.Opening.ReportsByProbe {
-		v.members.probeQuery = "SHOW usage"
-	}
-	v.fellows = &fellows{v: v}
-	if v.fellows.peers, err = newPeers(&a.Assignment, told.Index,
+	v := newService(a, o)
+	if v.fleet.datagrams, err = newDatagrams(&a.Assignment, told.Index,
 		o.Registry != nil && o.Registry.DriversPrefix != "", &v.count); err != nil {
 		return nil, fmt.Errorf("configuration: peers: %v", err)
 	}
@@ -180,55 +101,107 @@
 	} else {
 		v.start(known)
 	}
+	if err := v.openParts(&a, o); err != nil {
+		return nil, err
+	}
+	address, err := net.ResolveTCPAddr("tcp", a.Listen)
+	if err == nil {
+		v.listener, err = net.ListenTCP("tcp", address)
+	}
+	if err != nil {
+		return nil, fmt.Errorf("configuration: listen: %v", err)
+	}
+	return v, nil
+}
+
+// newService is a driver without its sockets and optional parts.
+func newService(a file, o operator.File) *Service {
+	v := &Service{
+		watching:  make(chan struct{}, 1),
+		leaving:   make(chan struct{}, leavers),
+		turnAway:  make(chan struct{}, turnAways),
+		clients:   clients{all: map[*client]bool{}},
+		closing:   make(chan struct{}),
+		config:    a,
+		discovery: discovery.Client{Address: a.Discovery, Timeout: callTime},
+	}
+	v.level.Set(o.Log.Level)
+	v.log, v.lines = newLog(o.Log.Format, &v.level, &v.count.LogLost)
+	sockets := a.Limits.Sockets - spareSockets
+	v.clientBudget.left.Store(int64(float64(sockets) * clientShare))
+	v.bytes.left.Store(int64(a.Limits.MemoryMB * bytesShare * (1 << 20)))
+	memberBudget := &budget{}
+	memberBudget.left.Store(int64(sockets) - v.clientBudget.left.Load())
+	v.members = &pool{
+		connectTime: duration(a.told.ConnectTimeout),
+		idleTime:    duration(a.told.ConnIdle * idleShare),
+		budget:      memberBudget,
+		count:       &v.count,
+		log:         v.log,
+		probeQuery:  "SELECT 1",
+		hosts:       map[string]*host{},
+	}
+	if a.told.Opening.ReportsByProbe {
+		v.members.probeQuery = "SHOW usage"
+	}
+	v.fleet = &fleet{v: v}
+	return v
+}
+
+// openParts opens what the operators' file switches on.
+func (v *Service) openParts(a *file, o operator.File) error {
+	told := a.told
 	if o.Ledger != nil {
 		if err := v.openLedger(*o.Ledger, told.Opening.OpTypes); err != nil {
-			return nil, err
+			return err
 		}
 	}
 	if o.Control != nil {
 		if err := v.openControl(*o.Control, told.Index); err != nil {
-			return nil, err
+			return err
 		}
 	}
 	if o.Zones != nil && o.Membership != nil {
-		if err := v.openZones(*o.Zones, *o.Membership, &a); err != nil {
-			return nil, err
+		if err := v.openZones(*o.Zones, *o.Membership, a); err != nil {
+			return err
 		}
 	}
 	if o.Membership != nil {
-		if err := v.fellows.openMesh(*o.Membership, &a); err != nil {
-			return nil, err
+		if err := v.fleet.openMesh(*o.Membership, a); err != nil {
+			return err
 		}
 	}
-	if v.registry != nil {
-		if err := v.openRegistry(told.Opening.Drivers, told.Opening.Seed); err != nil {
-			return nil, err
-		}
-		if v.registry.DriversPrefix != "" {
-			address, talks := a.PeerListen, told.Opening.MayMessage && v.fellows.peers.conn != nil
-			if v.fellows.peers.conn != nil {
-				address = v.fellows.peers.conn.LocalAddr().String()
-			} else if v.fellows.mesh != nil {
-				address = v.fellows.mesh.Address()
-			} else if address == "" {
-				address = a.Listen
-			}
-			if err := v.openPresence(address, told.Opening.Drivers, told.Opening.Seed, talks); err != nil {
-				return nil, err
-			}
-			if talks {
-				v.fellows.peers.heard = v.fellows.present.heard
-			}
-		}
+	if v.registry == nil {
+		return nil
 	}
-	address, err := net.ResolveTCPAddr("tcp", a.Listen)
-	if err == nil {
-		v.listener, err = net.ListenTCP("tcp", address)
+	if err := v.openRegistry(told.Opening.Drivers, told.Opening.Seed); err != nil {
+		return err
 	}
-	if err != nil {
-		return nil, fmt.Errorf("configuration: listen: %v", err)
+	if v.registry.DriversPrefix == "" {
+		return nil
 	}
-	return v, nil
+	return v.announce(a)
+}
+
+// announce has the registry tell other drivers of this one, under the address at which they reach it.
+func (v *Service) announce(a *file) error {
+	opening, datagrams := a.told.Opening, v.fleet.datagrams
+	address, talks := a.PeerListen, opening.MayMessage && datagrams.conn != nil
+	switch {
+	case datagrams.conn != nil:
+		address = datagrams.conn.LocalAddr().String()
+	case v.fleet.mesh != nil:
+		address = v.fleet.mesh.Address()
+	case address == "":
+		address = a.Listen
+	}
+	if err := v.openPresence(address, opening.Drivers, opening.Seed, talks); err != nil {
+		return err
+	}
+	if talks {
+		datagrams.heard = v.fleet.presence.heard
+	}
+	return nil
 }
 
 // Run serves until the context ends, then finishes what was taken. The log goes to the writer.
@@ -244,7 +217,7 @@
 	var back errgroup.Group
 	back.Go(func() error { v.watch(life); return nil })
 	back.Go(func() error { v.members.reap(life); return nil })
-	back.Go(func() error { v.keepRoom(life); return nil })
+	back.Go(func() error { v.keepRoomLoop(life); return nil })
 	if v.registry != nil {
 		back.Go(func() error { v.following.Run(life); return nil })
 		back.Go(func() error { every(life, rosterTick, v.tick); return nil })
@@ -252,7 +225,7 @@
 	if v.switches != nil {
 		back.Go(func() error { return v.switches.run(life) })
 	}
-	v.fellows.run(life, &back)
+	v.fleet.run(life, &back)
 	if v.zoning != nil {
 		back.Go(func() error { return v.zoning.run(life) })
 	}
@@ -298,71 +271,6 @@
 	return time.Now()
 }
 
-// Reload takes up a configuration that has replaced the one in use. Of its values only the address of discovery
-// is one that a running driver changes; a file that makes no sense changes nothing. The operators' file goes with
-// it: the log's level, and how often and how much state is saved.
-func (v *Service) Reload(text []byte, err error, o operator.File) {
-	var f file
-	if err == nil {
-		f, err = parse(text)
-	}
-	if err != nil {
-		v.count.ReloadsFailed.Add(1)
-		v.log.Error("reload_failed", "error", err)
-		return
-	}
-	v.count.Reloads.Add(1)
-	if v.keep != nil && o.State != nil {
-		v.keep.change(*o.State)
-	}
-	v.fellows.change(o.Membership)
-	v.moving.Lock()
-	from, kept := v.config.Discovery, v.config.differs(f)
-	if v.config.Discovery = f.Discovery; from != f.Discovery {
-		if v.movedTo = f.Discovery; v.leave != nil {
-			v.leave()
-		}
-		v.askList()
-	}
-	v.moving.Unlock()
-	v.log.Info("reloaded", "discovery", f.Discovery, "before", from, "kept", strings.Join(kept, ","))
-	v.level.Set(o.Log.Level)
-}
-
-// differs names the values that another file has otherwise and that stay as they were up to a restart.
-func (f *file) differs(other file) (names []string) {
-	for name, value := range other.values {
-		switch name {
-		case "discovery", "known", "seed": // the list is discovery's to tell, and the seed is new with each start
-		default:
-			if !bytes.Equal(value, f.values[name]) {
-				names = append(names, name)
-			}
-		}
-	}
-	slices.Sort(names)
-	return names
-}
-
-// move makes discovery's calls go to where it has moved, and leave end the call that is to come.
-func (v *Service) move(leave func()) (moved bool) {
-	v.moving.Lock()
-	defer v.moving.Unlock()
-	if v.leave = leave; v.movedTo == "" {
-		return false
-	}
-	v.discovery.Close()
-	v.discovery.Address, v.movedTo = v.movedTo, ""
-	return true
-}
-
-// moves says whether the call that is out has become moot.
-func (v *Service) moves() bool {
-	v.moving.Lock()
-	defer v.moving.Unlock()
-	return v.movedTo != ""
-}
-
 // watch keeps one watch going from each time that the module asks for one until it fails. The next call follows
 // an answer at once, so that nothing is missed in between. Where discovery has moved, the old watch is left
 // at once, even while it waits, and the new one starts with a whole list, whatever its revision.
@@ -430,7 +338,7 @@
 
 func (v *Service) note(text string) { v.log.Info("decided", "text", text) }
 
-func (v *Service) tellPeers(data []byte) { v.fellows.peers.tell(data) }
+func (v *Service) tellPeers(data []byte) { v.fleet.datagrams.tell(data) }
 
 func (v *Service) askList() {
 	select {
@@ -452,26 +360,3 @@
 		}
 	}
 }
-
-// Check says what is wrong with a configuration.
-func Check(text []byte) error {
-	_, err := parse(text)
-	return err
-}
-
-// shape lays the operators' word on the deployment's shape over the platform's settings. Drivers may be told to
-// keep silent where the platform would let them talk, never the other way round.
-func shape(o *logic.Opening, f *operator.Fleet) {
-	if f == nil {
-		return
-	}
-	if f.Peers != nil {
-		o.MayMessage = o.MayMessage && *f.Peers
-	}
-	if f.Drivers > 0 {
-		o.Drivers = f.Drivers
-	}
-	if f.DrainingBinds != nil {
-		o.OnlyDrainBinds = *f.DrainingBinds
-	}
-}
--- a/internal/driver/driver_test.go
+++ b/internal/driver/driver_test.go
@@ -28,16 +28,18 @@
 
 func testDecider(t *testing.T, c clock) *decider {
 	t.Helper()
-	told, err := opening.Parse([]byte(`{"tick":5000,"siblings":1,"family_info":{"needs_by_class":["lag_bound","causal","eventual"],`+
-		`"oldest_data":[200000,0,0],"position_zero":382209024314,"write_marks":"brought"},"policy_limits":{"send_cap":4},`+
-		`"profiles":[{"name":"r","aim":300000,"deadline":1e6,"effect":"repeatable"},`+
-		`{"name":"s","aim":300000,"deadline":1e6,"effect":"repeatable"},`+
-		`{"name":"a","aim":300000,"deadline":1e6,"effect":"repeatable"}]}`), 1)
+	told, err := opening.Parse(
+		[]byte(`{"tick":5000,"siblings":1,"family_info":{"needs_by_class":["lag_bound","causal","eventual"],`+
+			`"oldest_data":[200000,0,0],"position_zero":382209024314,"write_marks":"brought"},"policy_limits":{"send_cap":4},`+
+			`"profiles":[{"name":"r","aim":300000,"deadline":1e6,"effect":"repeatable"},`+
+			`{"name":"s","aim":300000,"deadline":1e6,"effect":"repeatable"},`+
+			`{"name":"a","aim":300000,"deadline":1e6,"effect":"repeatable"}]}`), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	d := newDecider(c, told, quiet{})
-	d.list(logic.ListCached, []discovery.Entry{{ID: "p", Phase: discovery.PhaseUp, Access: discovery.AccessWriter, Cell: 1},
+	d.list(logic.ListCached, []discovery.Entry{{ID: "p", Phase: discovery.PhaseUp, Access: discovery.AccessWriter,
+		Cell: 1},
 		{ID: "r", Phase: discovery.PhaseUp, Cell: 1}})
 	return d
 }
@@ -137,14 +139,19 @@
 		want  result
 		clean bool
 	}{
-		"ok":            {[][]byte{rowOf("v"), status("server_role", "writer"), status("commit_clock", "123"), ready}, result{outcome: logic.OK, role: logic.Primary, position: 123}, true},
-		"report":        {[][]byte{status("usage", "x0=1.5,inflight=7,x1=0"), rowOf("v"), ready}, result{outcome: logic.OK, reportRole: logic.Replica, reportPosition: 1500}, true},
-		"probe":         {[][]byte{rowOf("x0=2,x1=1"), ready}, result{outcome: logic.OK, reportRole: logic.Primary, reportPosition: 2000}, true},
-		"value alike":   {[][]byte{rowOf("x0=2,x1=1"), ready}, result{outcome: logic.OK}, true},
-		"spoilt":        {[][]byte{rowOf("v"), status("server_role", "wr"), status("commit_clock", "12x"), status("usage", "x0=9,x1=x"), ready}, result{outcome: logic.OK}, true},
+		"ok": {[][]byte{rowOf("v"), status("server_role", "writer"), status("commit_clock", "123"), ready},
+			result{outcome: logic.OK, role: logic.Primary, position: 123}, true},
+		"report": {[][]byte{status("usage", "x0=1.5,inflight=7,x1=0"), rowOf("v"), ready},
+			result{outcome: logic.OK, reportRole: logic.Replica, reportPosition: 1500}, true},
+		"probe": {[][]byte{rowOf("x0=2,x1=1"), ready},
+			result{outcome: logic.OK, reportRole: logic.Primary, reportPosition: 2000}, true},
+		"value alike": {[][]byte{rowOf("x0=2,x1=1"), ready}, result{outcome: logic.OK}, true},
+		"spoilt": {[][]byte{rowOf("v"), status("server_role", "wr"), status("commit_clock", "12x"),
+			status("usage", "x0=9,x1=x"), ready}, result{outcome: logic.OK}, true},
 		"spoilt report": {[][]byte{rowOf("v"), status("usage", "x0=9,x1=1,x2"), ready}, result{outcome: logic.OK}, true},
 		"cut note":      {[][]byte{rowOf("v"), frame('S', []byte("server_role")), ready}, result{outcome: logic.OK}, true},
-		"miss":          {[][]byte{fail("25006"), status("server_role", "reader"), ready}, result{outcome: logic.Miss, role: logic.Replica}, true},
+		"miss": {[][]byte{fail("25006"), status("server_role", "reader"), ready},
+			result{outcome: logic.Miss, role: logic.Replica}, true},
 		"behind":        {[][]byte{fail("72000"), ready}, result{outcome: logic.Miss}, true},
 		"error":         {[][]byte{fail("XX000"), ready}, result{outcome: logic.Fault}, true},
 		"turned away":   {[][]byte{fail("53300"), ready}, result{outcome: logic.Full}, true},
@@ -157,10 +164,13 @@
 		"then an error": {[][]byte{rowOf("v"), fail("53300"), ready}, result{outcome: logic.OK}, false},
 		"wrong order":   {[][]byte{rowOf("v")[len(described):], described, ready}, result{outcome: noOutcome}, false},
 		"no row end":    {[][]byte{rowOf("v")[:len(rowOf("v"))-14], ready}, result{outcome: noOutcome}, false},
-		"in text":       {[][]byte{bytes.Replace(rowOf("v"), []byte{0, 1, 'D'}, []byte{0, 0, 'D'}, 1), ready}, result{outcome: noOutcome}, false},
-		"lying length":  {[][]byte{bytes.Replace(rowOf("v"), []byte{0, 1, 0, 0, 0, 1}, []byte{0, 1, 0, 0, 0, 9}, 1), ready}, result{outcome: noOutcome}, false},
-		"3 GB":          {[][]byte{described, []byte("D\xb2\xd0\x5e\x0a\x00\x01")}, result{outcome: noOutcome}, false},
-		"spoilt miss":   {[][]byte{fail("25006"), status("server_role", "reader"), frame('K', nil)}, result{outcome: noOutcome}, false},
+		"in text": {[][]byte{bytes.Replace(rowOf("v"), []byte{0, 1, 'D'}, []byte{0, 0, 'D'}, 1), ready},
+			result{outcome: noOutcome}, false},
+		"lying length": {[][]byte{bytes.Replace(rowOf("v"), []byte{0, 1, 0, 0, 0, 1}, []byte{0, 1, 0, 0, 0, 9}, 1), ready},
+			result{outcome: noOutcome}, false},
+		"3 GB": {[][]byte{described, []byte("D\xb2\xd0\x5e\x0a\x00\x01")}, result{outcome: noOutcome}, false},
+		"spoilt miss": {[][]byte{fail("25006"), status("server_role", "reader"), frame('K', nil)},
+			result{outcome: noOutcome}, false},
 		"spoilt full":   {[][]byte{fail("53300"), []byte("x\xff\xff\xff\xff")}, result{outcome: noOutcome}, false},
 		"no end":        {[][]byte{rowOf("v")}, result{outcome: logic.OK}, false},
 		"begun":         {[][]byte{rowOf("v")[:12]}, result{outcome: noOutcome}, false},
@@ -168,7 +178,7 @@
 		"without a row": {[][]byte{frame('C', []byte("INSERT 0 0\x00")), ready}, result{outcome: noOutcome}, false},
 	} {
 		all := bytes.Join(x.in, nil)
-		got, clean, err := read(bufio.NewReader(bytes.NewReader(all)), func() {})
+		got, clean, err := readAnswer(bufio.NewReader(bytes.NewReader(all)), func() {})
 		if clean != x.clean || clean == (err != nil) {
 			t.Errorf("%s: clean %v, %v", name, clean, err)
 		}
@@ -187,7 +197,8 @@
 	}
 }
 
-var described = frame('T', []byte("\x00\x01v\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x11\xff\xff\xff\xff\xff\xff\x00\x01"))
+var described = frame('T',
+	[]byte("\x00\x01v\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x11\xff\xff\xff\xff\xff\xff\x00\x01"))
 
 func frame(kind byte, body []byte) []byte {
 	n := len(body) + 4
@@ -197,7 +208,8 @@
 // An answer that goes on without end is cut off.
 func TestEndlessAnswersAreCutOff(t *testing.T) {
 	row := string(frame('N', make([]byte, pgwire.MaxMessage-8)))
-	if r, clean, err := read(bufio.NewReader(strings.NewReader(string(described)+strings.Repeat(row, 9)+"x")), func() {}); clean || err == nil ||
+	if r, clean, err := readAnswer(bufio.NewReader(strings.NewReader(string(described)+strings.Repeat(row, 9)+"x")),
+		func() {}); clean || err == nil ||
 		r.outcome != noOutcome {
 		t.Errorf("outcome %d, clean %v, %v", r.outcome, clean, err)
 	}
@@ -281,7 +293,7 @@
 	l, _ := newLog("json", slog.LevelInfo, &count.LogLost)
 	room := &budget{}
 	room.left.Store(2)
-	m := &members{connectTime: 10 * time.Second, idleTime: time.Hour, budget: room, count: &count, log: l,
+	m := &pool{connectTime: 10 * time.Second, idleTime: time.Hour, budget: room, count: &count, log: l,
 		probeQuery: "SELECT 1", hosts: map[string]*host{"m": {address: ln.Addr().String()}}}
 	first, second := m.send("m", nil, time.Minute), m.send("m", nil, time.Minute)
 	go func() { <-queries; answer <- struct{}{} }()
@@ -302,11 +314,11 @@
 		t.Errorf("outcome %d for a send cancelled before it began", r.outcome)
 	}
 	barred := m.send("m", nil, time.Minute)
-	barred.bar()
+	barred.forbidWrites()
 	if r := barred.run(); r.outcome != logic.Moot {
 		t.Errorf("outcome %d for a send that may not begin", r.outcome)
 	}
-	if l := m.kept("m"); l == nil || l.served != 2 {
+	if l := m.takeIdle("m"); l == nil || l.served != 2 {
 		t.Error("the unused connection was not kept")
 	}
 }
@@ -314,17 +326,18 @@
 // A removed member's address is let go some time after it was last wanted, also where a whole list does not name
 // it any more; one that comes back in between stays.
 func TestAddressesOfRemovedMembersAreLetGo(t *testing.T) {
-	m := &members{idleTime: time.Second, count: &counters{}, hosts: map[string]*host{}}
+	m := &pool{idleTime: time.Second, count: &counters{}, hosts: map[string]*host{}}
 	up := func(id string) discovery.Entry {
 		return discovery.Entry{ID: id, HostPort: "127.0.0.1:1", Phase: discovery.PhaseUp}
 	}
-	m.list([]discovery.Entry{up("a"), up("b"), up("c"), up("d"), up("e")}, true)
-	m.list([]discovery.Entry{{ID: "b", Phase: discovery.PhaseRemoved}, {ID: "c", Phase: discovery.PhaseRemoved}}, false)
-	m.list([]discovery.Entry{up("a"), up("c"), up("e")}, true)
-	m.list([]discovery.Entry{{ID: "e", Phase: discovery.PhaseRemoved}}, false)
+	m.setMembers([]discovery.Entry{up("a"), up("b"), up("c"), up("d"), up("e")}, true)
+	m.setMembers([]discovery.Entry{{ID: "b", Phase: discovery.PhaseRemoved}, {ID: "c", Phase: discovery.PhaseRemoved}},
+		false)
+	m.setMembers([]discovery.Entry{up("a"), up("c"), up("e")}, true)
+	m.setMembers([]discovery.Entry{{ID: "e", Phase: discovery.PhaseRemoved}}, false)
 	for _, h := range m.hosts {
 		if !h.removed.IsZero() {
-			h.removed = h.removed.Add(-forgetTime)
+			h.removed = h.removed.Add(-forgetAfter)
 		}
 	}
 	m.hosts["e"].used = time.Now()
--- a/internal/driver/fellows.go
+++ b/internal/driver/fleet.go
@@ -1,8 +1,8 @@
 package driver
 
-// This file owns all ways by which drivers hear of each other: the mesh of those that know each other, words to a fixed list
-// of fellows, the registry's presence, and peers' messages; and where the count of drivers comes from. It must never judge a
-// word or a standing itself, or keep a hook or an op waiting for a fellow.
+// This file owns all ways by which drivers hear of each other: the mesh of those that know each other, messages to a
+// fixed list of peers, the registry's presence, and peers' messages; and where the count of drivers comes from. It must
+// never judge a word or a standing itself, or keep a hook or an op waiting for a peer.
 
 import (
 	"cmp"
@@ -27,20 +27,20 @@
 )
 
 const (
-	mostDrains = 4096
-	drainKeep  = 10 * time.Minute // a drain whose revision the own list does not come to, though it speaks
-	drainLate  = time.Minute      // drains of so late go along with each word; all with whole states
-	mostWords  = 256
-	switchAsk  = time.Second // between calls for what fellows of the fixed list know
+	maxDrains = 4096
+	drainKeep = 10 * time.Minute // a drain whose revision the own list does not come to, though it speaks
+	drainLate = time.Minute      // drains of so late go along with each word; all with whole states
+	maxGossip = 256
+	switchAsk = time.Second // between calls for what peers of the fixed list know
 )
 
-// fellows are the other drivers, by whatever way they are known. Each way may be missing.
-type fellows struct {
-	v       *Service
-	peers   *peers     // the platform's messages
-	present *presence  // in the registry
-	fixed   []*fellow  // told words by HTTP
-	mesh    *mesh.Mesh // of those that know each other
+// fleet are the other drivers, by whatever way they are known. Each way may be missing.
+type fleet struct {
+	v         *Service
+	datagrams *datagrams // the platform's messages
+	presence  *presence  // in the registry
+	peers     []*peer    // told words by HTTP
+	mesh      *mesh.Mesh // of those that know each other
 
 	mu     sync.Mutex // guards what follows
 	drains *membership.Drains
@@ -49,17 +49,17 @@
 	period time.Duration
 }
 
-// run is among fellows until the context ends.
-func (f *fellows) run(ctx context.Context, back *errgroup.Group) {
-	if p := f.present; p != nil {
+// run is among peers until the context ends.
+func (f *fleet) run(ctx context.Context, back *errgroup.Group) {
+	if p := f.presence; p != nil {
 		back.Go(func() error { p.run(ctx); return nil })
 		back.Go(func() error { p.follower.Run(ctx); return nil })
 	}
-	if f.peers.conn != nil {
-		back.Go(func() error { f.peers.write(ctx); return nil })
-		back.Go(func() error { f.peers.read(ctx, f.v.decide); return nil })
+	if f.datagrams.conn != nil {
+		back.Go(func() error { f.datagrams.write(ctx); return nil })
+		back.Go(func() error { f.datagrams.read(ctx, f.v.decide); return nil })
 	}
-	for _, x := range f.fixed {
+	for _, x := range f.peers {
 		back.Go(func() error { x.exchange(ctx, f.v.switches); x.Close(); return nil })
 	}
 	if f.mesh != nil {
@@ -67,9 +67,9 @@
 	}
 }
 
-// news has fellows told of a word that is new here.
-func (f *fellows) news() {
-	for _, x := range f.fixed {
+// notifyPeers has peers told of a message that is new here.
+func (f *fleet) notifyPeers() {
+	for _, x := range f.peers {
 		select {
 		case x.wake <- struct{}{}:
 		default:
@@ -80,15 +80,15 @@
 	}
 }
 
-// fix takes the operators' fixed list.
-func (f *fellows) fix(addresses []string, token string) {
+// setPeers takes the operators' fixed list.
+func (f *fleet) setPeers(addresses []string, token string) {
 	for _, a := range addresses {
-		f.fixed = append(f.fixed, &fellow{Client: control.NewClient(a, token), wake: make(chan struct{}, 1)})
+		f.peers = append(f.peers, &peer{Client: control.NewClient(a, token), wake: make(chan struct{}, 1)})
 	}
 }
 
 // openMesh opens the sockets of drivers that know each other.
-func (f *fellows) openMesh(o operator.Membership, a *file) error {
+func (f *fleet) openMesh(o operator.Membership, a *file) error {
 	v := f.v
 	token, err := secret(o.TokenFile)
 	if err != nil {
@@ -98,23 +98,25 @@
 	if err != nil {
 		return fmt.Errorf("membership: listen: %v", err)
 	}
-	f.drains, f.seeds, f.period = membership.NewDrains(mostDrains, milliseconds(drainKeep)), o.Seeds, o.Period
+	f.drains, f.seeds, f.period = membership.NewDrains(maxDrains, milliseconds(drainKeep)), o.Seeds, o.Period
 	expect := o.Expect
 	if expect == 0 {
 		expect = max(a.told.Opening.Drivers, expected(o))
 	}
-	opts := mesh.Options{Name: a.Name, Zone: zoneOf(o, a), Listen: listen, Advertise: o.Advertise, Seeds: o.Seeds, Secret: token, Period: o.Period,
-		Expect: expect, Yield: o.Yield, Seed: a.told.Opening.Seed + 2, Run: uint64(v.decide.clock.unixMs), Now: v.decide.clock.now, Log: v.log,
-		Folder: o.Folder, Gossip: f.words, ReceiveGossip: f.told, OnStanding: f.stand}
+	opts := mesh.Options{Name: a.Name, Zone: zoneOf(o, a), Listen: listen, Advertise: o.Advertise, Seeds: o.Seeds,
+		Secret: token, Period: o.Period,
+		Expect: expect, Yield: o.Yield, Seed: a.told.Opening.Seed + 2, Run: uint64(v.decide.clock.unixMs),
+		Now: v.decide.clock.now, Log: v.log,
+		Folder: o.Folder, Gossip: f.gossip, ReceiveGossip: f.receiveGossip, OnStanding: f.onStanding}
 	if v.zoning != nil {
-		opts.ReceivePayload = v.zoning.heard
+		opts.ReceivePayload = v.zoning.receive
 	}
 	if f.mesh, err = mesh.Open(opts); err != nil {
 		return fmt.Errorf("membership: %v", err)
 	}
 	for i, text := range a.Peers {
 		if at, err := netip.ParseAddrPort(text); err == nil && i != a.told.Index {
-			f.others = append(f.others, f.near(at))
+			f.others = append(f.others, f.reachable(at))
 		}
 	}
 	f.reseed()
@@ -144,8 +146,9 @@
 	return len(slices.Compact(all))
 }
 
-// near is where a fellow is looked for of which only another address is known: the same host, at the port of this driver.
-func (f *fellows) near(at netip.AddrPort) string {
+// reachable is where a peer is looked for of which only another address is known: the same host, at the port of this
+// driver.
+func (f *fleet) reachable(at netip.AddrPort) string {
 	own, err := netip.ParseAddrPort(f.mesh.Address())
 	if err != nil {
 		return at.String()
@@ -153,15 +156,15 @@
 	return netip.AddrPortFrom(at.Addr().Unmap(), own.Port()).String()
 }
 
-// listed takes the addresses of fellows that the registry names: seeds more, and nothing else.
-func (f *fellows) listed(addresses []netip.AddrPort) {
+// listed takes the addresses of peers that the registry names: seeds more, and nothing else.
+func (f *fleet) listed(addresses []netip.AddrPort) {
 	if f.mesh == nil {
 		return
 	}
 	var others []string
 	for _, at := range addresses {
-		if f.peers.conn != nil { // those are of peers' messages
-			others = append(others, f.near(at))
+		if f.datagrams.conn != nil { // those are of peers' messages
+			others = append(others, f.reachable(at))
 		} else {
 			others = append(others, at.String())
 		}
@@ -177,7 +180,7 @@
 }
 
 // change takes the operators' seeds and period anew.
-func (f *fellows) change(o *operator.Membership) {
+func (f *fleet) change(o *operator.Membership) {
 	if f.mesh == nil || o == nil {
 		return
 	}
@@ -187,7 +190,7 @@
 	f.reseed()
 }
 
-func (f *fellows) reseed() {
+func (f *fleet) reseed() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	all := append(slices.Clone(f.seeds), f.others...)
@@ -195,8 +198,8 @@
 	f.mesh.Change(slices.Compact(all), f.period)
 }
 
-// words are what a fellow is told: all changes of primaries that are known, and drains, all or those of late.
-func (f *fellows) words(all bool) *mesh.Gossip {
+// gossip are what a peer is told: all changes of primaries that are known, and drains, all or those of late.
+func (f *fleet) gossip(all bool) *mesh.Gossip {
 	w := &mesh.Gossip{}
 	if z := f.v.zoning; z != nil {
 		z.mu.Lock()
@@ -218,14 +221,14 @@
 	return w
 }
 
-// told takes a fellow's words, and says whether any was news.
-func (f *fellows) told(w *mesh.Gossip, asked float64) (news, again bool) {
-	if len(w.Switches) > mostWords || len(w.Drains) > mostDrains {
+// receiveGossip takes a peer's words, and says whether any was news.
+func (f *fleet) receiveGossip(w *mesh.Gossip, asked float64) (news, again bool) {
+	if len(w.Switches) > maxGossip || len(w.Drains) > maxDrains {
 		f.v.log.Warn("membership", "reason", "too_many_words", "switches", len(w.Switches), "drains", len(w.Drains))
 		return false, false
 	}
 	if z := f.v.zoning; z != nil && w.Zones != nil {
-		news = z.do(func(now float64) zones.Out { return z.z.ReceiveSummary(now, asked, w.Zones) })
+		news = z.apply(func(now float64) zones.Out { return z.z.ReceiveSummary(now, asked, w.Zones) })
 		again = news && math.IsInf(asked, -1)
 	}
 	if s := f.v.switches; s != nil {
@@ -248,13 +251,14 @@
 }
 
 // list takes what a source's list told of members.
-func (f *fellows) list(source roster.Source, revision int64, changes []roster.Entry) {
+func (f *fleet) list(source roster.Source, revision int64, changes []roster.Entry) {
 	if f.mesh == nil {
 		return
 	}
 	var told []membership.Drain
 	for _, e := range changes {
-		told = append(told, membership.Drain{Member: e.ID, Source: uint8(source), Revision: revision, Up: e.Phase == roster.Up})
+		told = append(told, membership.Drain{Member: e.ID, Source: uint8(source), Revision: revision,
+			Up: e.Phase == roster.Up})
 	}
 	f.mu.Lock()
 	marks, news := f.drains.Listed(f.v.decide.clock.now(), uint8(source), revision, told)
@@ -266,19 +270,19 @@
 }
 
 // carry marks members as drains decide. The caller holds the lock.
-func (f *fellows) carry(changes map[string]bool) {
+func (f *fleet) carry(changes map[string]bool) {
 	for member, draining := range changes {
 		f.v.decide.mark(member, markFellow, draining)
 		f.v.log.Info("membership", "reason", "drain_told", "member", member, "draining", draining)
 	}
 }
 
-// stand takes a new standing, or count of drivers.
-func (f *fellows) stand(_ membership.Standing, count int) { f.counted(count, true, true) }
+// onStanding takes a new standing, or count of drivers.
+func (f *fleet) onStanding(_ membership.Standing, count int) { f.counted(count, true, true) }
 
 // counted tells of how many drivers there are. Where drivers know each other that alone decides, and what the registry
 // lists is no second truth.
-func (f *fellows) counted(n int, known, module bool) {
+func (f *fleet) counted(n int, known, module bool) {
 	if !known && f.mesh != nil {
 		return
 	}
@@ -291,16 +295,16 @@
 	}
 }
 
-// fellow is another driver that is told words and asked for its own.
-type fellow struct {
+// peer is another driver that is told words and asked for its own.
+type peer struct {
 	*control.Client
 	wake chan struct{}
 	away bool // the last call failed
 }
 
-// exchange asks a fellow what it knows, at the start and every second, and tells it at once what is new here. One that
+// exchange asks a peer what it knows, at the start and every second, and tells it at once what is new here. One that
 // can't be reached learns of it by the next call, of its own or of ours.
-func (f *fellow) exchange(ctx context.Context, s *switches) {
+func (f *peer) exchange(ctx context.Context, s *switchovers) {
 	known := map[int64]switchover.Word{}
 	for {
 		all, err := f.Client.Status(ctx)
@@ -343,7 +347,7 @@
 	}
 }
 
-// key is what of a word makes it news.
+// key is what of a message makes it news.
 func key(w switchover.Word) switchover.Word {
 	return switchover.Word{Group: w.Group, Epoch: w.Epoch, Stage: w.Stage, Beat: w.Beat}
 }
--- a/internal/driver/ledger.go
+++ b/internal/driver/ledger.go
@@ -1,7 +1,8 @@
 package driver
 
-// This file owns the way of ops with keys past internal/ledger, and its records to disk, in the order in which they were
-// given out. It must never let the first byte for an op go out before its record is safe, and never decide what a key means.
+// This file owns the way of ops with keys past internal/ledger, and its records to disk, in the order in which they
+// were given out. It must never let the first byte for an op go out before its record is safe, and never decide what a
+// key means.
 
 import (
 	"bytes"
@@ -131,7 +132,8 @@
 	badToken  = refusal(pgwire.CodeProtocol, "a key is 1 to 128 bytes of text without spaces and quotes")
 	otherOp   = refusal(pgwire.CodeProtocol, "this key was another statement's")
 	doneSince = refusal(pgwire.CodeFailed, "the op with this key was done; its answer was too long to be kept")
-	inDoubt   = refusal(pgwire.CodeFailed, "an op with this key may have taken effect, and it can't be known; it is not sent again")
+	inDoubt   = refusal(pgwire.CodeFailed,
+		"an op with this key may have taken effect, and it can't be known; it is not sent again")
 )
 
 func refusal(code, text string) []byte {
--- a/internal/driver/listing.go
+++ b/internal/driver/memberlist.go
@@ -36,7 +36,7 @@
 	out := v.roster.Told(v.decide.clock.now(), u)
 	v.give(out, logic.ListChanges)
 	if out.Verdict != roster.Gap && out.Verdict != roster.Held {
-		v.fellows.list(u.Source, u.Revision, out.Changes)
+		v.fleet.list(u.Source, u.Revision, out.Changes)
 	}
 	return out.Verdict
 }
@@ -72,9 +72,10 @@
 	}
 	if len(changes) > 0 {
 		lead, revision, _, _ := v.roster.Standing(v.decide.clock.now())
-		v.log.Info("list", "source", lead.String(), "revision", revision, "changed", len(changes), "members", strings.Join(named, ","))
+		v.log.Info("list", "source", lead.String(), "revision", revision, "changed", len(changes), "members",
+			strings.Join(named, ","))
 	}
-	v.members.list(changes, false)
+	v.members.setMembers(changes, false)
 	v.decide.list(kind, changes) // also with nothing new: a list has come
 	if v.keep != nil {
 		v.keep.list(v.held(), len(changes) > 0)
@@ -120,13 +121,16 @@
 }
 
 func toRoster(e discovery.Entry) roster.Entry {
-	return roster.Entry{ID: e.ID, Address: e.HostPort, Zone: e.Locality, Group: e.Cell, Phase: rosterPhases[e.Phase], Access: e.Access,
+	return roster.Entry{ID: e.ID, Address: e.HostPort, Zone: e.Locality, Group: e.Cell, Phase: rosterPhases[e.Phase],
+		Access:  e.Access,
 		Started: e.Started}
 }
 
 func fromRoster(e roster.Entry) discovery.Entry {
-	return discovery.Entry{ID: e.ID, HostPort: e.Address, Locality: e.Zone, Cell: e.Group, Access: e.Access, Started: e.Started,
-		Phase: [...]string{roster.Up: discovery.PhaseUp, roster.Draining: discovery.PhaseDraining, roster.Gone: discovery.PhaseRemoved}[e.Phase]}
+	return discovery.Entry{ID: e.ID, HostPort: e.Address, Locality: e.Zone, Cell: e.Group, Access: e.Access,
+		Started: e.Started,
+		Phase: [...]string{roster.Up: discovery.PhaseUp, roster.Draining: discovery.PhaseDraining,
+			roster.Gone: discovery.PhaseRemoved}[e.Phase]}
 }
 
 func rosterRules(g *operator.Registry) roster.Rules {
--- a/internal/driver/op.go
+++ b/internal/driver/op.go
@@ -123,7 +123,7 @@
 		}
 		if answer != nil || rows != nil || left {
 			for _, s := range sends {
-				s.bar()
+				s.forbidWrites()
 			}
 		}
 		switch {
--- a/internal/driver/presence.go
+++ b/internal/driver/presence.go
@@ -1,6 +1,6 @@
 package driver
 
-// This file owns a driver's presence among its fellows: it carries out the steps that roster.Presence names, follows
+// This file owns a driver's presence among its peers: it carries out the steps that roster.Presence names, follows
 // who else is listed, and tells the module how many there are. It must never decide that a lease stands, or how
 // many drivers count.
 
@@ -21,17 +21,17 @@
 
 const (
 	announceTime = 3 * time.Second // for one call about the lease
-	quietLeases  = 2.0             // a listed fellow not heard for so many leases is silent
+	quietLeases  = 2.0             // a listed peer not heard for so many leases is silent
 )
 
-// presence is the driver's own lease, and its fellows.
+// presence is the driver's own lease, and its peers.
 type presence struct {
 	v         *Service
 	announcer registry.Announcer
 	follower  *registry.Watcher
 	key       string
 	value     []byte
-	talks     bool // messages to fellows are allowed
+	talks     bool // messages to peers are allowed
 	lease     string
 	own       *roster.Presence
 
@@ -43,7 +43,7 @@
 	count   int
 }
 
-// openPresence makes the lease's keeper and the watcher of fellows.
+// openPresence makes the lease's keeper and the watcher of peers.
 func (v *Service) openPresence(address string, drivers int, seed uint64, talks bool) error {
 	o := RegistryOptions(v.registry)
 	o.Prefix, o.Service = v.registry.DriversPrefix, ""
@@ -52,17 +52,20 @@
 		return fmt.Errorf("registry: %v", err)
 	}
 	ttl := milliseconds(v.registry.Lease)
-	p := &presence{v: v, announcer: client, key: o.Prefix + v.config.Name, own: roster.NewPresence(ttl, seed), talks: talks,
+	p := &presence{v: v, announcer: client, key: o.Prefix + v.config.Name, own: roster.NewPresence(ttl, seed),
+		talks:   talks,
 		drivers: roster.New(roster.Rules{Lead: roster.Registry, Confirm: milliseconds(v.registry.Confirm)}),
 		fellows: roster.Fellows{Self: v.config.Name, Hold: ttl, Quiet: quietLeases * ttl}, count: max(drivers, 1)}
-	p.value, err = json.Marshal(map[string]any{"host_port": address, "cell": 0, "phase": "up", "locality": v.config.told.Opening.Zone,
+	p.value, err = json.Marshal(map[string]any{"host_port": address, "cell": 0, "phase": "up",
+		"locality":    v.config.told.Opening.Zone,
 		"up_since_ms": int64(v.decide.clock.unixMs)})
 	if err != nil {
 		return err
 	}
-	p.follower = &registry.Watcher{Client: client, Now: v.decide.clock.now, Position: p.position, Told: p.told, Lost: p.lost, Alive: p.alive,
+	p.follower = &registry.Watcher{Client: client, Now: v.decide.clock.now, Position: p.position, Told: p.told,
+		Lost: p.lost, Alive: p.alive,
 		Course: roster.NewCourse(roster.CourseRules{Endpoints: len(o.Endpoints), Fellows: drivers, Seed: seed + 1})}
-	v.fellows.present = p
+	v.fleet.presence = p
 	return nil
 }
 
@@ -97,7 +100,7 @@
 	p.speaks = true
 }
 
-// heard notes a datagram from a fellow.
+// heard notes a datagram from a peer.
 func (p *presence) heard(from netip.AddrPort) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -130,16 +133,16 @@
 	p.count = n
 	p.mu.Unlock()
 	if p.talks {
-		p.v.fellows.peers.meet(names)
+		p.v.fleet.datagrams.meet(names)
 	}
 	if len(fell)+len(back) > 0 {
 		p.v.log.Warn("fellows", "silent", strings.Join(fell, ","), "back", strings.Join(back, ","))
 	}
 	if changed {
-		p.v.fellows.counted(n, false, p.talks)
+		p.v.fleet.counted(n, false, p.talks)
 		p.follower.Course.Fellows(n)
 	}
-	p.v.fellows.listed(slices.Collect(maps.Keys(names)))
+	p.v.fleet.listed(slices.Collect(maps.Keys(names)))
 }
 
 // run keeps the lease and looks around until the context ends, then gives the lease up.
@@ -169,7 +172,8 @@
 			p.v.log.Info("presence", "announced", is, "lease", p.lease)
 		}
 		if other && !taken {
-			p.v.log.Warn("presence", "announced", false, "text", "another driver has the name, or an earlier run's lease still stands")
+			p.v.log.Warn("presence", "announced", false, "text",
+				"another driver has the name, or an earlier run's lease still stands")
 		}
 		stood, taken = is, other
 		p.look()
--- a/internal/driver/state.go
+++ b/internal/driver/state.go
@@ -152,7 +152,8 @@
 	if r.err != nil {
 		k.failed(now, r.err)
 	}
-	v.log.Info("state_recalled", "verdict", string(belief.Verdict), "age_ms", int64(belief.Age), "from_kept", belief.FromKept,
+	v.log.Info("state_recalled", "verdict", string(belief.Verdict), "age_ms", int64(belief.Age), "from_kept",
+		belief.FromKept,
 		"revision", known.Revision, "members", len(belief.Memory.Members), "groups", len(belief.Memory.Groups),
 		"dropped", strings.Join(belief.Dropped, "; "), "took_us", time.Since(began).Microseconds())
 }
@@ -163,7 +164,8 @@
 }
 
 func toDiscovery(e learned.Entry) discovery.Entry {
-	return discovery.Entry{ID: e.ID, HostPort: e.Address, Locality: e.Zone, Cell: e.Group, Phase: e.Phase, Access: e.Access,
+	return discovery.Entry{ID: e.ID, HostPort: e.Address, Locality: e.Zone, Cell: e.Group, Phase: e.Phase,
+		Access:  e.Access,
 		Started: e.Started}
 }
 
--- a/internal/driver/switches.go
+++ b/internal/driver/switchover.go
@@ -1,7 +1,8 @@
 package driver
 
-// This file owns what the driver does with words on changes of primaries: it puts them before internal/switchover, carries
-// out what that decides, and has fellow drivers told. It must never judge a word itself, or keep a hook waiting for a fellow.
+// This file owns what the driver does with words on changes of primaries: it puts them before internal/switchover,
+// carries out what that decides, and has peers told. It must never judge a message itself, or keep a hook waiting for a
+// peer.
 
 import (
 	"context"
@@ -26,7 +27,7 @@
 	switchGroups = 64
 )
 
-type switches struct {
+type switchovers struct {
 	v         *Service
 	listeners []net.Listener
 	token     string
@@ -37,8 +38,9 @@
 
 // openControl opens the sockets that the operators' file names.
 func (v *Service) openControl(o operator.Control, origin int) error {
-	s := &switches{v: v, book: switchover.New(switchover.Rules{Lease: milliseconds(o.Lease), Most: milliseconds(o.Most),
-		Opening: milliseconds(o.Opening), Ask: milliseconds(switchAsk), Keep: 4 * milliseconds(o.Most), Groups: switchGroups, Origin: uint64(origin)})}
+	s := &switchovers{v: v, book: switchover.New(switchover.Rules{Lease: milliseconds(o.Lease), Most: milliseconds(o.Most),
+		Opening: milliseconds(o.Opening), Ask: milliseconds(switchAsk), Keep: 4 * milliseconds(o.Most),
+		Groups: switchGroups, Origin: uint64(origin)})}
 	if o.TokenFile != "" {
 		var err error
 		if s.token, err = secret(o.TokenFile); err != nil {
@@ -64,7 +66,7 @@
 		}
 		s.listeners = append(s.listeners, ln)
 	}
-	v.fellows.fix(o.Fellows, s.token)
+	v.fleet.setPeers(o.Fellows, s.token)
 	v.switches = s
 	return nil
 }
@@ -79,14 +81,14 @@
 	return s, err
 }
 
-func (s *switches) close() {
+func (s *switchovers) close() {
 	for _, ln := range s.listeners {
 		ln.Close()
 	}
 }
 
 // run serves calls, and looks at primaries while a change is open.
-func (s *switches) run(ctx context.Context) error {
+func (s *switchovers) run(ctx context.Context) error {
 	defer s.close()
 	var all errgroup.Group
 	for _, ln := range s.listeners {
@@ -105,8 +107,8 @@
 	return all.Wait()
 }
 
-// Hook takes a word of a hook; fellows are told behind its back.
-func (s *switches) Hook(w switchover.Word) (switchover.Word, error) {
+// Hook takes a message of a hook; peers are told behind its back.
+func (s *switchovers) Hook(w switchover.Word) (switchover.Word, error) {
 	if !s.v.decide.serves(w.Group) {
 		return w, fmt.Errorf("group %d is not known here", w.Group)
 	}
@@ -123,9 +125,9 @@
 	return w, err
 }
 
-// allowed says whether a hook's word may be taken in this driver's standing among its fellows.
-func (s *switches) allowed(w switchover.Word) error {
-	if s.v.fellows.mesh == nil {
+// allowed says whether a hook's word may be taken in this driver's standing among its peers.
+func (s *switchovers) allowed(w switchover.Word) error {
+	if s.v.fleet.mesh == nil {
 		return nil
 	}
 	act := membership.EndHold
@@ -137,7 +139,7 @@
 			}
 		}
 	}
-	standing, why := s.v.fellows.mesh.Standing()
+	standing, why := s.v.fleet.mesh.Standing()
 	allowed, reason := membership.Allowed(standing, act)
 	if allowed {
 		return nil
@@ -146,30 +148,30 @@
 	return fmt.Errorf("%w (it is %s %s)", control.ErrStanding, standing, why)
 }
 
-// Fellowship is the view of fellows, nil where they do not know each other.
-func (s *switches) Fellowship() control.Fellowship {
-	if s.v.fellows.mesh == nil {
+// Peership is the view of peers, nil where they do not know each other.
+func (s *switchovers) Fellowship() control.Fellowship {
+	if s.v.fleet.mesh == nil {
 		return nil
 	}
-	return s.v.fellows.mesh
+	return s.v.fleet.mesh
 }
 
 // Zoner is this driver's part in deciding on zones; nil while there is none.
-func (s *switches) Zoner() control.Zoner {
+func (s *switchovers) Zoner() control.Zoner {
 	if s.v.zoning == nil {
 		return nil
 	}
 	return s.v.zoning
 }
 
-// Told takes a word of a fellow.
-func (s *switches) Told(w switchover.Word) error {
+// Told takes a message of a peer.
+func (s *switchovers) Told(w switchover.Word) error {
 	_, err := s.told(w)
 	return err
 }
 
-// told takes a word of a fellow, and says whether it was news.
-func (s *switches) told(w switchover.Word) (news bool, err error) {
+// told takes a message of a peer, and says whether it was news.
+func (s *switchovers) told(w switchover.Word) (news bool, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out, err := s.book.Told(s.v.decide.clock.now(), w)
@@ -178,14 +180,14 @@
 }
 
 // Status gives what is known of all changes.
-func (s *switches) Status() []switchover.Status {
+func (s *switchovers) Status() []switchover.Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.book.Status(s.v.decide.clock.now())
 }
 
 // role takes what a member said of itself when it was probed.
-func (s *switches) role(member string, r logic.Role) {
+func (s *switchovers) role(member string, r logic.Role) {
 	if r == logic.RoleUnknown {
 		return
 	}
@@ -195,7 +197,7 @@
 }
 
 // look tells the book who is primary, while a change is open.
-func (s *switches) look() {
+func (s *switchovers) look() {
 	s.mu.Lock()
 	open := s.book.Open()
 	s.mu.Unlock()
@@ -213,7 +215,7 @@
 }
 
 // carry does what was decided. The caller holds the lock.
-func (s *switches) carry(out switchover.Outcome) {
+func (s *switchovers) carry(out switchover.Outcome) {
 	for _, m := range out.Marks {
 		s.v.decide.mark(m.Member, markSwitch, m.Draining)
 	}
@@ -222,6 +224,6 @@
 	}
 	if out.Note != "" {
 		s.v.log.Info("switch", "text", out.Note)
-		s.v.fellows.news()
+		s.v.fleet.notifyPeers()
 	}
 }
--- a/internal/driver/zoning.go
+++ b/internal/driver/zones.go
@@ -1,8 +1,8 @@
 package driver
 
-// This file owns what the driver does with plans of zones: it puts what it sees and what fellows say before internal/zones,
-// carries out what that decides, and counts sends between zones. It must never judge a zone or a plan itself, or keep an op
-// waiting for either.
+// This file owns what the driver does with plans of zones: it puts what it sees and what peers say before
+// internal/zones, carries out what that decides, and counts sends between zones. It must never judge a zone or a plan
+// itself, or keep an op waiting for either.
 
 import (
 	"bytes"
@@ -31,7 +31,7 @@
 
 const (
 	zoneLooks    = 5 // a beat
-	zoneCalls    = 8 // to fellows at a time
+	zoneCalls    = 8 // to peers at a time
 	zoneQueue    = 256
 	zoneCallTime = 2 * time.Second
 	plansTag     = "PLAN"
@@ -41,8 +41,11 @@
 	toldKeep     = 2000.0 // ms that a member's position counts
 )
 
-// zoning is a driver's part in deciding on zones.
-type zoning struct {
+// countEvery is the least time between two counts of reads, in milliseconds: shorter spans say little.
+const countEvery = 900.0
+
+// zoneAgent is a driver's part in deciding on zones.
+type zoneAgent struct {
 	v       *Service
 	zone    string
 	beat    time.Duration
@@ -57,22 +60,23 @@
 
 	counting sync.Mutex // guards what follows; may be taken with the decider's lock held
 	account  zones.Account
-	usual    map[string]*zones.Usual // by zone
-	applied  map[string]told         // by member: what it said last
-	plan     map[string]bool         // zones that the plan has a share for
+	usual    map[string]*zones.Usual     // by zone
+	applied  map[string]reportedPosition // by member: what it said last
+	plan     map[string]bool             // zones that the plan has a share for
 	sent     map[string]float64
 	sentAt   float64
 
 	asked map[int64]time.Time // webhooks, by group
 }
 
-// told is a position that a member said, and when.
-type told struct{ position, at float64 }
+// reportedPosition is a position that a member said, and when.
+type reportedPosition struct{ position, at float64 }
 
 // openZones makes a driver's part in deciding on zones.
 func (v *Service) openZones(o operator.Zones, m operator.Membership, a *file) error {
-	z := &zoning{v: v, zone: zoneOf(m, a), beat: o.Beat, out: make(chan zones.Send, zoneQueue), webhook: o.Webhook,
-		usual: map[string]*zones.Usual{}, applied: map[string]told{}, asked: map[int64]time.Time{}, sentAt: v.decide.clock.now()}
+	z := &zoneAgent{v: v, zone: zoneOf(m, a), beat: o.Beat, out: make(chan zones.Send, zoneQueue), webhook: o.Webhook,
+		usual: map[string]*zones.Usual{}, applied: map[string]reportedPosition{}, asked: map[int64]time.Time{},
+		sentAt: v.decide.clock.now()}
 	for _, t := range a.told.Opening.OpTypes {
 		if t.Need == logic.Bounded && (z.bound == 0 || t.MaxAge < z.bound) {
 			z.bound = t.MaxAge
@@ -83,8 +87,10 @@
 		z.names[i] = name
 	}
 	beat := milliseconds(o.Beat)
-	rules := zones.Rules{Heartbeat: beat, Lease: milliseconds(o.Lease), Voters: o.Voters, Load: float64(o.Load) / 100, Move: 0.5,
-		Pace:   zones.Pace{Doubt: milliseconds(o.Doubt), SlowFor: 5 * milliseconds(o.Doubt), Away: milliseconds(o.Away), AwayMost: 32 * milliseconds(o.Away), Ramp: 4 * beat, Calm: 30 * milliseconds(o.Away)},
+	rules := zones.Rules{Heartbeat: beat, Lease: milliseconds(o.Lease), Voters: o.Voters, Load: float64(o.Load) / 100,
+		Move: 0.5,
+		Pace: zones.Pace{Doubt: milliseconds(o.Doubt), SlowFor: 5 * milliseconds(o.Doubt), Away: milliseconds(o.Away),
+			AwayMost: 32 * milliseconds(o.Away), Ramp: 4 * beat, Calm: 30 * milliseconds(o.Away)},
 		Limits: zones.Limits{Headroom: float64(o.Headroom) / 100, Budget: float64(o.Budget) / 100}}
 	for _, r := range o.Regions {
 		rules.Regions = append(rules.Regions, zones.Region{Name: r.Name, Zones: r.Zones})
@@ -107,7 +113,7 @@
 }
 
 // run takes part until the context ends.
-func (z *zoning) run(ctx context.Context) error {
+func (z *zoneAgent) run(ctx context.Context) error {
 	var all errgroup.Group
 	for range zoneCalls {
 		all.Go(func() error {
@@ -116,7 +122,7 @@
 				case <-ctx.Done():
 					return nil
 				case s := <-z.out:
-					z.say(ctx, s)
+					z.deliver(ctx, s)
 				}
 			}
 		})
@@ -130,17 +136,17 @@
 }
 
 // look puts what is seen before the decisions, and lets time pass.
-func (z *zoning) look(ctx context.Context) {
-	sights, homes, sent := z.sights(z.v.decide.clock.now())
+func (z *zoneAgent) look(ctx context.Context) {
+	sights, homes, sent := z.observations(z.v.decide.clock.now())
 	fleet := z.fleet()
-	z.do(func(now float64) zones.Out { return z.z.Observe(now, sights, homes, sent) })
-	z.do(func(now float64) zones.Out { return z.z.Tick(now, fleet) })
+	z.apply(func(now float64) zones.Out { return z.z.Observe(now, sights, homes, sent) })
+	z.apply(func(now float64) zones.Out { return z.z.Tick(now, fleet) })
 	z.hook(ctx)
 }
 
-// do lets something be decided and carries out what comes of it. Votes are on disk before they are sent, and before anything
-// else is decided.
-func (z *zoning) do(decide func(now float64) zones.Out) (news bool) {
+// apply lets something be decided and carries out what comes of it. Votes are on disk before they are sent, and before
+// anything else is decided.
+func (z *zoneAgent) apply(decide func(now float64) zones.Out) (news bool) {
 	z.mu.Lock()
 	now := z.v.decide.clock.now()
 	out := decide(now)
@@ -171,21 +177,21 @@
 		z.send(s)
 	}
 	if out.PlanChanged {
-		z.v.fellows.mesh.Spread()
+		z.v.fleet.mesh.Spread()
 	}
 	return out.PlanChanged
 }
 
-// send has a word brought to a fellow, soon.
-func (z *zoning) send(s zones.Send) {
+// send has a message brought to a peer, soon.
+func (z *zoneAgent) send(s zones.Send) {
 	select {
 	case z.out <- s:
 	default: // it is said again where it matters
 	}
 }
 
-// say brings a word to a fellow, and what it answers before the decisions.
-func (z *zoning) say(ctx context.Context, s zones.Send) {
+// deliver brings a message to a peer, and what it answers before the decisions.
+func (z *zoneAgent) deliver(ctx context.Context, s zones.Send) {
 	b, err := cbor.Marshal([]zones.Message{s.Message})
 	if err != nil {
 		return
@@ -193,32 +199,33 @@
 	within, stop := context.WithTimeout(ctx, zoneCallTime)
 	defer stop()
 	asked := z.v.decide.clock.now()
-	back, err := z.v.fellows.mesh.Send(within, s.To, b)
+	back, err := z.v.fleet.mesh.Send(within, s.To, b)
 	if err == nil {
-		for _, w := range z.take(s.To, back, asked) {
+		for _, w := range z.receiveMessages(s.To, back, asked) {
 			z.send(zones.Send{To: s.To, Message: w})
 		}
 	} else if !errors.Is(err, membership.ErrUnknown) {
-		z.v.log.Debug("zones", "reason", "word_not_sent", "to", s.To, "step", s.Message.Kind, "took", z.v.decide.clock.now()-asked, "error", err)
+		z.v.log.Debug("zones", "reason", "word_not_sent", "to", s.To, "step", s.Message.Kind, "took",
+			z.v.decide.clock.now()-asked, "error", err)
 	}
 }
 
-// heard takes words of a fellow; what answers them goes back at once, the rest is sent.
-func (z *zoning) heard(from string, what []byte) []byte {
-	if back := z.take(from, what, math.Inf(-1)); len(back) > 0 {
+// receive takes messages of a peer; what answers them goes back at once, the rest is sent.
+func (z *zoneAgent) receive(from string, what []byte) []byte {
+	if back := z.receiveMessages(from, what, math.Inf(-1)); len(back) > 0 {
 		b, _ := cbor.Marshal(back)
 		return b
 	}
 	return nil
 }
 
-func (z *zoning) take(from string, what []byte, asked float64) (back []zones.Message) {
+func (z *zoneAgent) receiveMessages(from string, what []byte, asked float64) (back []zones.Message) {
 	var words []zones.Message
 	if len(what) == 0 || cbor.Unmarshal(what, &words) != nil || len(words) > 16 {
 		return nil
 	}
 	for _, w := range words {
-		z.do(func(now float64) zones.Out {
+		z.apply(func(now float64) zones.Out {
 			out := z.z.Receive(now, asked, from, w)
 			if out.Save == nil { // else it goes when that is safe
 				out.Sends = slices.DeleteFunc(out.Sends, func(s zones.Send) bool {
@@ -235,8 +242,8 @@
 }
 
 // fleet is what membership tells.
-func (z *zoning) fleet() zones.Fleet {
-	s := z.v.fellows.mesh.Status()
+func (z *zoneAgent) fleet() zones.Fleet {
+	s := z.v.fleet.mesh.Status()
 	f := zones.Fleet{Standing: s.Standing, Alive: []zones.Peer{{Name: s.Self, Zone: z.zone}}, Zones: []string{z.zone}}
 	if s.Roster != nil {
 		f.Roster, f.Names = s.Roster.Version, s.Roster.Names
@@ -253,22 +260,39 @@
 	return f
 }
 
-// sights are what the own module knows of members, by zone, and where own reads went.
-func (z *zoning) sights(now float64) (all []zones.Observation, homes []zones.Home, sent map[string]float64) {
+// observations are what the own module knows of members, by zone, and where own reads went.
+func (z *zoneAgent) observations(now float64) (all []zones.Observation, homes []zones.Home, sent map[string]float64) {
 	var memory logic.Memory
 	z.v.decide.step(logic.Event{Kind: logic.EvRemember, Memory: &memory})
 	lines := z.v.decide.listed()
-	at := map[string]*zones.Observation{}
-	newest, heard := map[int64]float64{}, map[string]int{}
+	byZone, heard := z.countMembers(now, &memory, lines)
+	for _, g := range memory.Groups {
+		if l, ok := lines[g.Slot]; ok && g.Slot != "" {
+			homes = append(homes, zones.Home{Group: g.Group, Zone: l.Zone})
+		}
+	}
 	z.counting.Lock()
-	applied := maps.Clone(z.applied)
-	for member, t := range z.applied {
-		if _, ok := lines[member]; !ok || now-t.at > toldKeep {
-			delete(z.applied, member)
-			delete(applied, member)
+	defer z.counting.Unlock()
+	sent = z.sentSince(now)
+	for zone, s := range byZone {
+		if s.Reads = z.sent[zone]; 2*heard[zone] < s.Members {
+			s.Behind = 0 // too few were heard of late to tell
+		}
+		if u := z.usual[zone]; u != nil {
+			s.Slow = u.Slow()
 		}
+		all = append(all, *s)
 	}
-	z.counting.Unlock()
+	slices.SortFunc(all, func(a, b zones.Observation) int { return strings.Compare(a.Zone, b.Zone) })
+	return all, homes, sent
+}
+
+// countMembers counts the members of each zone: those that are silent, that are behind, and that were heard of late.
+func (z *zoneAgent) countMembers(now float64, memory *logic.Memory, lines map[string]logic.ListEntry) (
+	byZone map[string]*zones.Observation, heard map[string]int) {
+	byZone, heard = map[string]*zones.Observation{}, map[string]int{}
+	applied := z.appliedPositions(now, lines)
+	newest := map[int64]float64{}
 	for member, t := range applied {
 		newest[lines[member].Group] = max(newest[lines[member].Group], t.position)
 	}
@@ -277,10 +301,10 @@
 		if !ok || l.Phase != logic.Ready {
 			continue
 		}
-		s := at[l.Zone]
+		s := byZone[l.Zone]
 		if s == nil {
 			s = &zones.Observation{Zone: l.Zone}
-			at[l.Zone] = s
+			byZone[l.Zone] = s
 		}
 		if s.Members++; m.Aside > 0 {
 			s.Silent++
@@ -291,47 +315,48 @@
 			}
 		}
 	}
-	for _, g := range memory.Groups {
-		if l, ok := lines[g.Slot]; ok && g.Slot != "" {
-			homes = append(homes, zones.Home{Group: g.Group, Zone: l.Zone})
-		}
-	}
+	return byZone, heard
+}
+
+// appliedPositions are those that listed members told of late.
+func (z *zoneAgent) appliedPositions(now float64, lines map[string]logic.ListEntry) map[string]reportedPosition {
 	z.counting.Lock()
 	defer z.counting.Unlock()
-	if span := now - z.sentAt; span >= 900 || z.sent == nil {
-		z.sent = z.account.Sent()
-		for zone, n := range z.sent {
-			z.sent[zone] = n * 1000 / max(span, 1)
-		}
-		z.sentAt = now
-		sent = z.sent
+	maps.DeleteFunc(z.applied, func(member string, t reportedPosition) bool {
+		_, listed := lines[member]
+		return !listed || now-t.at > toldKeep
+	})
+	return maps.Clone(z.applied)
+}
+
+// sentSince counts reads by zone, a second, about once a second; nil in between. The caller holds counting.
+func (z *zoneAgent) sentSince(now float64) map[string]float64 {
+	span := now - z.sentAt
+	if span < countEvery && z.sent != nil {
+		return nil
 	}
-	for zone, s := range at {
-		if s.Reads = z.sent[zone]; 2*heard[zone] < s.Members {
-			s.Behind = 0 // too few were heard of late to tell
-		}
-		if u := z.usual[zone]; u != nil {
-			s.Slow = u.Slow()
-		}
-		all = append(all, *s)
+	z.sent = z.account.Sent()
+	for zone, n := range z.sent {
+		z.sent[zone] = n * 1000 / max(span, 1)
 	}
-	slices.SortFunc(all, func(a, b zones.Observation) int { return strings.Compare(a.Zone, b.Zone) })
-	return all, homes, sent
+	z.sentAt = now
+	return z.sent
 }
 
 // counted takes a send, under the decider's lock.
-func (z *zoning) counted(o *op, zone string, repeat, near bool) {
+func (z *zoneAgent) counted(o *op, zone string, repeat, near bool) {
 	z.counting.Lock()
 	defer z.counting.Unlock()
-	z.account.Count(z.zone, zone, z.names[o.opType], len(o.statement.Text), zones.Facts{Repeat: repeat, Primary: o.statement.Write, NoNear: !near}, z.plan[zone])
+	z.account.Count(z.zone, zone, z.names[o.opType], len(o.statement.Text),
+		zones.Facts{Repeat: repeat, Primary: o.statement.Write, NoNear: !near}, z.plan[zone])
 }
 
 // timed takes how long a good answer took and the position that came with it, 0 for none, under the decider's lock.
-func (z *zoning) timed(member, zone string, ms, position float64) {
+func (z *zoneAgent) timed(member, zone string, ms, position float64) {
 	z.counting.Lock()
 	defer z.counting.Unlock()
 	if position > 0 {
-		z.applied[member] = told{position, z.v.decide.clock.now()}
+		z.applied[member] = reportedPosition{position, z.v.decide.clock.now()}
 	}
 	u := z.usual[zone]
 	if u == nil {
@@ -345,7 +370,7 @@
 }
 
 // Status is the view as it is now.
-func (z *zoning) Status() zones.Status {
+func (z *zoneAgent) Status() zones.Status {
 	z.mu.Lock()
 	s := z.z.Status(z.v.decide.clock.now())
 	z.mu.Unlock()
@@ -356,9 +381,9 @@
 }
 
 // Order takes what operators say.
-func (z *zoning) Order(s zones.Command) (err error) {
+func (z *zoneAgent) Order(s zones.Command) (err error) {
 	s.ID = uint64(z.v.decide.clock.now() * 1000)
-	z.do(func(now float64) (out zones.Out) {
+	z.apply(func(now float64) (out zones.Out) {
 		out, err = z.z.Submit(now, s)
 		return out
 	})
@@ -366,14 +391,14 @@
 }
 
 // Without tells what would be planned were a zone away.
-func (z *zoning) Without(zone string) (zones.Preview, error) {
+func (z *zoneAgent) Without(zone string) (zones.Preview, error) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	return z.z.Simulate(z.v.decide.clock.now(), zone)
 }
 
 // hook has the topology manager asked for moves, while this driver leads and may ask.
-func (z *zoning) hook(ctx context.Context) {
+func (z *zoneAgent) hook(ctx context.Context) {
 	if z.webhook == "" {
 		return
 	}
