--- a/internal/membership/forget.go
+++ b/internal/membership/forget.go
@@ -13,7 +13,7 @@
 	ErrLives   = errors.New("this driver lives: stop it, or let it leave")
 	ErrPart    = errors.New(
 		"this driver is not with the larger part of the fleet: ask another one, " +
-		"or say that the forgotten one is certain not to run")
+			"or say that the forgotten one is certain not to run")
 )
 
 // Forget takes a failed driver for gone for good, so that majorities are no longer counted with it. With the larger
