--- a/internal/writerslot/slot.go
+++ b/internal/writerslot/slot.go
@@ -1,4 +1,4 @@
-// Package writerslot (a hut, the Mischabelhütte) is the writer slot that the module and the system share: what fills it, what empties it.
+// Package writerslot is the writer slot that the module and the system share: what fills it, what empties it.
 package writerslot
 
 import "math"
