--- a/internal/events/events_test.go
+++ b/internal/events/events_test.go
@@ -29,10 +29,10 @@
 
 func TestLines(t *testing.T) {
 	var b strings.Builder
-	l := New(&b, "hut")
+	l := New(&b, "core1")
 	l.Event(SlotFilled, "svc", "s", "held", 3)
 	line := strings.TrimSpace(b.String())
-	if !strings.HasSuffix(line, `hut "E501" "svc"="s" "held"=3`) {
+	if !strings.HasSuffix(line, `core1 "E501" "svc"="s" "held"=3`) {
 		t.Error(line)
 	}
 	if n := l.Newest(); len(n) != 1 || n[0] != line {
