--- a/internal/operator/migrate.go
+++ b/internal/operator/migrate.go
@@ -1,6 +1,7 @@
+package operator
+
 // This file owns the move of an operators' file from the shape in which drivers talk to each other to the shape in
 // which they share nothing: what is carried over, what is dropped, and why. It reads and writes nothing itself.
-package operator
 
 import "fmt"
 
@@ -36,8 +37,9 @@
 		f.Control = &control
 	}
 	if m := old.Membership; m != nil {
-		dropped = append(dropped, fmt.Sprintf("membership.listen = %q: drivers that share nothing do not know of each other; "+
-			"give fleet.drivers if the platform does not tell how many there are", m.Listen))
+		dropped = append(dropped,
+			fmt.Sprintf("membership.listen = %q: drivers that share nothing do not know of each other; "+
+				"give fleet.drivers if the platform does not tell how many there are", m.Listen))
 		f.Membership = nil
 	}
 	if g := old.Registry; g != nil && g.DriversPrefix != "" {
