--- a/internal/consensus/consensus.go
+++ b/internal/consensus/consensus.go
@@ -62,6 +62,7 @@
 	Round     uint64  `cbor:"9,keyasint,omitempty"`
 	Clock     float64 `cbor:"10,keyasint,omitempty"` // Appended: the sender's
 	Contact   float64 `cbor:"11,keyasint,omitempty"` // Append: the newest contact, on the receiver's clock
+	Life      uint32  `cbor:"12,keyasint,omitempty"` // of the process on whose clock Clock or Contact is
 }
 
 // Send is a message for the machine at an address.
@@ -98,6 +99,7 @@
 	sent        uint64
 	clock       float64 // its own, by its newest answer
 	clockAt     float64 // when that came
+	life        uint32  // of the process whose clock it is
 }
 
 // Node is one machine's part.
@@ -125,12 +127,13 @@
 	contactAt  float64 // see contact.go
 	probe      probe
 	knownIndex uint64
+	life       uint32 // drawn for each process
 }
 
 // New starts a node from what its disk holds.
 func New(o Options, h HardState, now float64) *Node {
 	n := &Node{o: o, HardState: h, peers: map[string]*peer{}, joins: map[string]joiner{}}
-	n.contactAt = math.Inf(-1)
+	n.contactAt, n.life = math.Inf(-1), uint32(o.Draw()*math.MaxUint32)
 	n.noteCommitted()
 	n.heardAt = now - o.ElectionTimeout
 	n.waitTil = now + o.ElectionTimeout*(0.2+0.4*o.Draw()) // asking costs nobody anything where somebody leads
@@ -241,7 +244,7 @@
 			return
 		}
 		p.heard = now
-		p.clock, p.clockAt = m.Clock, now
+		p.clock, p.clockAt, p.life = m.Clock, now, m.Life
 		if m.Round >= p.round {
 			p.round, p.term, p.index = m.Round, m.LastTerm, m.LastIndex
 		}
--- a/internal/consensus/contact.go
+++ b/internal/consensus/contact.go
@@ -62,10 +62,10 @@
 // takeContact renews a follower's contact from a leader's message, where all that the leader knew to be committed is known here.
 func (n *Node) takeContact(m *Message, now float64) {
 	n.noteCommitted()
-	if m.Contact == 0 || m.Contact > now || m.Commit == 0 || n.knownIndex < m.Commit {
-		return // a moment yet to come was computed from the clock of this machine's process before
+	ownClock := m.Contact != 0 && m.Life == n.life // else it was shifted by an answer of this machine's process before
+	if ownClock && n.knownIndex >= m.Commit {
+		n.contactAt = max(n.contactAt, min(m.Contact, now))
 	}
-	n.contactAt = max(n.contactAt, m.Contact)
 }
 
 // noteCommitted keeps the index of the newest entry whose value this process has known to be committed. HardState.Commit alone doesn't
--- a/internal/consensus/replication.go
+++ b/internal/consensus/replication.go
@@ -69,7 +69,7 @@
 	}
 	last := &n.HardState.Last
 	m := Message{Kind: Append, Term: n.HardState.Term, LastTerm: last.Term, LastIndex: last.Index, Round: n.round,
-		Contact: n.contactFor(p)}
+		Contact: n.contactFor(p), Life: p.life}
 	if n.HardState.CommitOf == last.Term {
 		m.Commit = n.HardState.Commit
 	}
@@ -136,5 +136,5 @@
 		n.takeContact(m, now)
 	}
 	n.send(m.From.Addr, Message{Kind: Appended, Term: n.HardState.Term, LastTerm: n.HardState.Last.Term, LastIndex: n.HardState.Last.Index,
-		Round: m.Round, Clock: now})
+		Round: m.Round, Clock: now, Life: n.life})
 }
