--- a/internal/standin/town/town.go
+++ b/internal/standin/town/town.go
@@ -58,6 +58,7 @@
 	dir    string
 	net    int
 	ports  int
+	mesh   map[string]int // a process's first port, where it is not ports: it reaches others' links there too
 	Svc    *Service
 	Nodes  map[string]*Service // that hold shards, by name
 	nSites int
@@ -72,6 +73,12 @@
 
 // New starts cores and fronts, and a service of three members that is beaten for.
 func New(t *testing.T, cores, fronts int) *Town {
+	t.Helper()
+	return newTown(t, cores, fronts, func(*Town) {})
+}
+
+// newTown lets before prepare what processes find as they start.
+func newTown(t *testing.T, cores, fronts int, before func(*Town)) *Town {
 	t.Helper()
 	towns++
 	w := &Town{t: t, dir: t.TempDir(), net: os.Getpid()%200 + towns, ports: 20000 + os.Getpid()%300*20, procs: map[string]*exec.Cmd{}, logs: map[string]*bytes.Buffer{}}
@@ -107,6 +114,7 @@
 	for i := range cores {
 		w.Cores = append(w.Cores, net.JoinHostPort(w.ip(1, i), fmt.Sprint(w.ports+3)))
 	}
+	before(w)
 	for i := range cores {
 		w.Start(fmt.Sprint("core", i), true)
 	}
@@ -138,7 +146,11 @@
 	if kind >= 5 { // sites and edges are in zones of their own
 		zone = fmt.Sprint("z", n%3+1)
 	}
-	lines := []string{"hostname=" + name, "zone=" + zone, "region=r1", "zones.z1=r1", "zones.z2=r1", "zones.z3=r1", fmt.Sprintf("portRange=%d,%d", w.ports, w.ports+2),
+	meshPort := w.ports
+	if port, apart := w.mesh[name]; apart {
+		meshPort = port
+	}
+	lines := []string{"hostname=" + name, "zone=" + zone, "region=r1", "zones.z1=r1", "zones.z2=r1", "zones.z3=r1", fmt.Sprintf("portRange=%d,%d", meshPort, meshPort+2),
 		"peers=" + strings.Join(w.Cores[:min(3, len(w.Cores))], ","), fmt.Sprint("init=", first), "tolerate.nodes=1", "beatMs=200", "bounds.graceS=2", "cloudApi.addr=" + w.plat}
 	switch role {
 	case "controlplane":
