--- a/internal/agent/corelink.go
+++ b/internal/agent/corelink.go
@@ -262,6 +262,5 @@
 		a.planSeek(spreadMoves)
 	}
 	d := a.digest()
-	d.Apart = true
 	a.sendToPeers(&controlmsg.Frame{Digest: &d})
 }
--- a/internal/agent/updates.go
+++ b/internal/agent/updates.go
@@ -9,7 +9,7 @@
 )
 
 func (a *Agent) digest() controlmsg.Digest {
-	d := controlmsg.Digest{Gen: a.gen, Members: a.members.Digest(), Drivers: directory.DriversDigest(a.drivers)}
+	d := controlmsg.Digest{Gen: a.gen, Members: a.members.Digest(), Drivers: directory.DriversDigest(a.drivers), Apart: !a.coreServes()}
 	if a.shards != nil {
 		d.Shards = a.shards.Version
 	}
--- a/internal/controlmsg/controlmsg.go
+++ b/internal/controlmsg/controlmsg.go
@@ -46,7 +46,7 @@
 	Drivers uint64 `cbor:"3,keyasint"`
 	Quiet   bool   `cbor:"4,keyasint,omitempty"` // no digest is wanted back
 	Shards  uint64 `cbor:"5,keyasint,omitempty"` // version of the map
-	Apart   bool   `cbor:"6,keyasint,omitempty"` // the sender's core machine has no contact: it asks for the core's addresses too
+	Apart   bool   `cbor:"6,keyasint,omitempty"` // no core machine serves the sender: it asks for the core's addresses too
 }
 
 // Update is what is new, or all of it.
--- a/internal/controlplane/calls.go
+++ b/internal/controlplane/calls.go
@@ -214,6 +214,7 @@
 			return
 		}
 	}
+	s.h.setContactHeader(w)
 	w.Header().Set("Content-Type", "application/json")
 	json.NewEncoder(w).Encode(v)
 }
--- a/internal/controlplane/sites.go
+++ b/internal/controlplane/sites.go
@@ -108,6 +108,7 @@
 	})
 	select {
 	case m := <-ch:
+		s.h.setContactHeader(w)
 		w.Header().Set("Content-Type", "application/json")
 		json.NewEncoder(w).Encode(m)
 	case <-s.h.ctx.Done():
--- a/internal/standin/town/contact_test.go
+++ b/internal/standin/town/contact_test.go
@@ -110,6 +110,20 @@
 	InContact bool
 	Gen       int
 	Members   []struct{ ID string }
+	Drivers   []struct{ Name string }
+}
+
+// laterRoute is a second configuration, with a route that the first lacks.
+var laterRoute = strings.Replace(string(Config(2)), `"routes":[`,
+	`"routes":[{"name":"p2","host":"later","prefix":"/","type":"primary","timeoutMs":3000,"svc":"svc"},`, 1)
+
+// serves says whether a proxy has a route.
+func (w *Town) serves(front int, host string) bool {
+	k, first := w.Attach(front, host)
+	if k != nil {
+		k.c.Close()
+	}
+	return first == "READY I -"
 }
 
 func (w *Town) contactStatus(core int) (s contactStatus) {
@@ -160,19 +174,12 @@
 		t.Error("the member that was not acknowledged is not in the table")
 	}
 
-	next := strings.Replace(string(Config(2)), `"name":"p","host":"prim"`, `"name":"p2","host":"later","prefix":"/","type":"primary","timeoutMs":3000,"svc":"svc"},{"name":"p","host":"prim"`, 1)
 	w.Until("the others take a change", func() bool {
-		code, _ := w.Call("POST", w.Cores[1], "/config/replace", "1", []byte(next))
+		code, _ := w.Call("POST", w.Cores[1], "/config/replace", "1", []byte(laterRoute))
 		return code == 200
 	})
 	taken := time.Now()
-	w.Until("the proxy serves by it", func() bool {
-		k, first := w.Attach(0, "later")
-		if k != nil {
-			k.c.Close()
-		}
-		return first == "READY I -"
-	})
+	w.Until("the proxy serves by it", func() bool { return w.serves(0, "later") })
 	t.Logf("served %v behind its acknowledgement", time.Since(taken).Round(time.Millisecond))
 	if w.contactStatus(0).InContact {
 		t.Error("the machine that is cut off says that it has contact")
@@ -189,3 +196,30 @@
 		return code == 200
 	})
 }
+
+// TestAgentLearnsCoresFromPeers: an agent that restarts and knows one machine of the core only, which is cut off and has just lost its disk,
+// hears of the others from the agents that knew it. Without Cores in compare (agent/peers.go) it stays there.
+func TestAgentLearnsCoresFromPeers(t *testing.T) {
+	w, cut := cuttableCore(t)
+	w.mesh["agent1"], w.mesh["proxy1"] = w.mesh["agent0"], w.mesh["agent0"]
+	w.seeds = map[string][]string{"agent1": w.Cores[:1], "proxy1": w.Cores[:1]}
+	for _, name := range []string{"agent0", "proxy0", "agent1", "proxy1"} {
+		w.Start(name, true)
+	}
+	w.Configure(2)
+	w.Until("both agents are known", func() bool { return len(w.contactStatus(1).Drivers) == 2 })
+
+	cut(true)
+	w.Kill("agent1")
+	w.Kill("core0")
+	w.Wipe("core0")
+	w.Start("core0", false)
+	w.Start("agent1", false)
+	w.Until("the agent is linked to the machine that is cut off", func() bool { return w.contactStatus(0).Agents == 1 })
+	w.Until("the others take a change", func() bool {
+		code, _ := w.Call("POST", w.Cores[1], "/config/replace", "1", []byte(laterRoute))
+		return code == 200
+	})
+	w.Until("the agent is linked to a machine that has contact", func() bool { return w.contactStatus(0).Agents == 0 })
+	w.Until("its proxy serves by the change", func() bool { return w.serves(1, "later") })
+}
--- a/internal/standin/town/town.go
+++ b/internal/standin/town/town.go
@@ -58,7 +58,8 @@
 	dir    string
 	net    int
 	ports  int
-	mesh   map[string]int // a process's first port, where it is not ports: it reaches others' links there too
+	mesh   map[string]int      // a process's first port, where it is not ports: it reaches others' links there too
+	seeds  map[string][]string // a process's, where they are not the first three machines
 	Svc    *Service
 	Nodes  map[string]*Service // that hold shards, by name
 	nSites int
@@ -150,8 +151,12 @@
 	if port, apart := w.mesh[name]; apart {
 		meshPort = port
 	}
+	seeds := w.Cores[:min(3, len(w.Cores))]
+	if own, apart := w.seeds[name]; apart {
+		seeds = own
+	}
 	lines := []string{"hostname=" + name, "zone=" + zone, "region=r1", "zones.z1=r1", "zones.z2=r1", "zones.z3=r1", fmt.Sprintf("portRange=%d,%d", meshPort, meshPort+2),
-		"peers=" + strings.Join(w.Cores[:min(3, len(w.Cores))], ","), fmt.Sprint("init=", first), "tolerate.nodes=1", "beatMs=200", "bounds.graceS=2", "cloudApi.addr=" + w.plat}
+		"peers=" + strings.Join(seeds, ","), fmt.Sprint("init=", first), "tolerate.nodes=1", "beatMs=200", "bounds.graceS=2", "cloudApi.addr=" + w.plat}
 	switch role {
 	case "controlplane":
 		lines = append(lines, "listen.ctl="+w.Cores[n], "datadir="+filepath.Join(w.dir, name))
