--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -33,6 +33,9 @@
 	memberKeep  = 90 * time.Second
 )
 
+// CoreTraffic, PeerTraffic and ProxyTraffic count the frames of this process's agents by purpose.
+var CoreTraffic, PeerTraffic, ProxyTraffic transport.Counters
+
 // Agent is one.
 type Agent struct {
 	set *settings.Settings
@@ -75,8 +78,11 @@
 	if err != nil {
 		return oops.In("listen").Wrap(err)
 	}
-	go transport.Serve(mesh, 3*digestEvery, func(*link) {}, a.take, func(*link) {})
-	go transport.Serve(loop, 0, func(l *link) { a.do(func() { a.proxyUp(l) }) }, a.fromProxy, func(l *link) { a.do(func() { delete(a.proxies, l) }) })
+	go transport.Serve(mesh, 3*digestEvery, func(l *link) { l.CountInto(&PeerTraffic) }, a.take, func(*link) {})
+	go transport.Serve(loop, 0, func(l *link) {
+		l.CountInto(&ProxyTraffic)
+		a.do(func() { a.proxyUp(l) })
+	}, a.fromProxy, func(l *link) { a.do(func() { delete(a.proxies, l) }) })
 	go a.keepCoreLink()
 	log.Event(events.Started, "agent", a.self.Name, "mesh", a.self.Addr)
 	renew, digest := time.NewTicker(renewEvery), time.NewTicker(digestEvery)
@@ -120,7 +126,7 @@
 		case <-time.After(50 * time.Millisecond):
 		}
 	}
-	a.log.Event(events.Stopped)
+	a.log.Event(events.Stopped, "coreTraffic", controlmsg.TrafficOf(&CoreTraffic), "peerTraffic", controlmsg.TrafficOf(&PeerTraffic))
 }
 
 func (a *Agent) now() float64 { return float64(time.Since(a.at)) / 1e6 }
@@ -141,6 +147,7 @@
 		}
 		began := time.Now()
 		_ = transport.Dial(ctl, transport.DialTimeout(tries/3), linkIdle, func(l *link) {
+			l.CountInto(&CoreTraffic)
 			l.Send(&controlmsg.Frame{Hello: &controlmsg.Hello{Kind: "agent", Name: a.self.Name, Addr: a.self.Addr}})
 			a.do(func() {
 				a.core = l
@@ -319,6 +326,7 @@
 
 func (a *Agent) keepPeerLink(ctx context.Context, addr string) {
 	transport.Keep(ctx, addr, transport.Backoff{First: time.Second, Most: time.Second, DialTimeout: func(int) time.Duration { return transport.DialTimeout(2) }}, func(l *link) {
+		l.CountInto(&PeerTraffic)
 		a.do(func() {
 			if f := a.peers[addr]; f != nil && ctx.Err() == nil {
 				f.l = l
--- /dev/null
+++ b/internal/controlmsg/purpose.go
@@ -0,0 +1,100 @@
+package controlmsg
+
+import "weirwind/internal/transport"
+
+// Purpose is what a frame is sent for: the classes by which traffic is counted.
+type Purpose uint8
+
+// Purposes of frames. A frame with several parts is counted by the part that grows fastest.
+const (
+	PurposeUnknown Purpose = iota
+	Discovery
+	LeaseRenewals    // an agent's renewals, and answers that hold nothing new
+	LeaseRecords     // drivers' leases between core machines
+	DriverLists      // drivers that came and went, or all of them
+	MemberRecords    // members' records that changed, or all of them
+	MemberHeartbeats // heartbeats passed on between core machines
+	Configuration
+	ShardMaps
+	Digests
+	AgreementHeartbeats // messages of the agreement without an entry
+	AgreementEntries    // with one
+	PrimaryReports      // what proxies see of primaries
+	OperatorCalls       // passed on to who leads, and their answers
+	purposeCount
+)
+
+var purposeNames = [purposeCount]string{"unknown", "discovery", "lease renewals", "lease records", "driver lists", "member records",
+	"member heartbeats", "configuration", "shard maps", "digests", "agreement heartbeats", "agreement entries", "primary reports", "operator calls"}
+
+func (p Purpose) String() string {
+	if p >= purposeCount {
+		return purposeNames[PurposeUnknown]
+	}
+	return purposeNames[p]
+}
+
+// TrafficClass makes frames countable by their purpose.
+func (f *Frame) TrafficClass() uint8 { return uint8(f.Purpose()) }
+
+// Purpose says what a frame is sent for.
+func (f *Frame) Purpose() Purpose {
+	switch {
+	case f.Hello != nil:
+		return Discovery
+	case f.Agree != nil:
+		if f.Agree.Entry != nil {
+			return AgreementEntries
+		}
+		return AgreementHeartbeats
+	case f.Renew != nil:
+		return LeaseRenewals
+	case f.Update != nil:
+		return f.Update.purpose()
+	case f.Beats != nil:
+		return MemberHeartbeats
+	case f.Report != nil:
+		return PrimaryReports
+	case f.Request != nil, f.Response != nil:
+		return OperatorCalls
+	case f.Leases != nil:
+		return LeaseRecords
+	case f.Digest != nil:
+		return Digests
+	}
+	return PurposeUnknown
+}
+
+func (u *Update) purpose() Purpose {
+	switch {
+	case u.Config != nil:
+		return Configuration
+	case u.Shards != nil:
+		return ShardMaps
+	case u.Members != nil:
+		return MemberRecords
+	case u.Drivers != nil, u.Joined != nil, u.Left != nil:
+		return DriverLists
+	}
+	return LeaseRenewals
+}
+
+// Traffic is what a process sent and received by purpose.
+type Traffic struct {
+	Sent     map[string]transport.Count `json:"sent"`
+	Received map[string]transport.Count `json:"received"`
+}
+
+// TrafficOf reads counters. Purposes of which there was nothing are left out.
+func TrafficOf(c *transport.Counters) Traffic {
+	t := Traffic{Sent: map[string]transport.Count{}, Received: map[string]transport.Count{}}
+	for p := PurposeUnknown; p < purposeCount; p++ {
+		if n := c.Sent(uint8(p)); n.Frames > 0 {
+			t.Sent[p.String()] = n
+		}
+		if n := c.Received(uint8(p)); n.Frames > 0 {
+			t.Received[p.String()] = n
+		}
+	}
+	return t
+}
--- a/internal/controlplane/calls.go
+++ b/internal/controlplane/calls.go
@@ -213,7 +213,8 @@
 	ch := make(chan map[string]any, 2)
 	s.h.tables.do(func() { ch <- s.h.tables.status() })
 	s.h.loop.do(func() { ch <- s.h.loop.status() })
-	all := map[string]any{"machine": s.h.set.Hostname}
+	all := map[string]any{"machine": s.h.set.Hostname, "traffic": map[string]controlmsg.Traffic{
+		"dialled": controlmsg.TrafficOf(&s.h.dialled), "accepted": controlmsg.TrafficOf(&s.h.accepted)}}
 	for range 2 {
 		select {
 		case part := <-ch:
--- a/internal/controlplane/controlplane.go
+++ b/internal/controlplane/controlplane.go
@@ -37,6 +37,8 @@
 	tables *tables
 	first  func()
 
+	dialled, accepted transport.Counters // links to other core machines; links of agents and other core machines to this one
+
 	mu    sync.Mutex
 	cores map[string]*coreLink // by mesh address
 
@@ -67,7 +69,7 @@
 	if err != nil {
 		return oops.In("listen").Wrap(err)
 	}
-	go transport.Serve(mesh, linkIdle, func(*link) {}, h.take, func(l *link) { h.tables.do(func() { h.tables.lost(l) }) })
+	go transport.Serve(mesh, linkIdle, func(l *link) { l.CountInto(&h.accepted) }, h.take, func(l *link) { h.tables.do(func() { h.tables.lost(l) }) })
 	for _, p := range s.Peers {
 		h.reach(p)
 	}
@@ -111,6 +113,7 @@
 		h.mu.Unlock()
 	}
 	go transport.Keep(h.ctx, addr, transport.Backoff{First: 50 * time.Millisecond, Most: time.Second, DialTimeout: transport.DialTimeout}, func(l *link) {
+		l.CountInto(&h.dialled)
 		l.Send(&controlmsg.Frame{Hello: &controlmsg.Hello{Kind: "core", Name: h.set.Hostname, Addr: h.set.Ctl}})
 		set(l)
 		h.log.Event(events.LinkUp, "core", ctl)
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -19,47 +19,67 @@
 )
 
 const (
-	mostFrame = 8 << 20
-	mostQueue = 512                    // frames that wait to be written
-	mostBytes = 4 << 20                // and their bytes, beyond the first
-	dialFirst = 250 * time.Millisecond // of a first try: one whose packet was lost, or whose peer just starts, is begun anew
-	dialMost  = 1500 * time.Millisecond
+	maxFrameBytes    = 8 << 20
+	maxQueuedFrames  = 512                    // frames that wait to be written
+	maxQueuedBytes   = 4 << 20                // and their bytes, beyond the first
+	prefixBytes      = 4                      // of the length before each frame
+	firstDialTimeout = 250 * time.Millisecond // of a first try: one whose packet was lost, or whose peer just starts, is begun anew
+	maxDialTimeout   = 1500 * time.Millisecond
 )
 
 // Link is a connection over which frames of one type go both ways.
 type Link[F any] struct {
-	Peer string // address that was dialled, or that it came from
-	c    net.Conn
-	mu   sync.Mutex
-	wake chan struct{}
-	out  [][]byte
-	size int
-	done chan struct{}
-	once sync.Once
+	Peer     string // address that was dialled, or that it came from
+	c        net.Conn
+	counters *Counters
+	mu       sync.Mutex
+	wake     chan struct{}
+	out      [][]byte
+	size     int
+	done     chan struct{}
+	once     sync.Once
 }
 
-// Send queues a frame. False: the link is down.
-func (l *Link[F]) Send(f *F) bool {
+// Encoded is a frame's bytes with its class, for a frame that goes to many.
+type Encoded struct {
+	bytes []byte
+	class uint8
+}
+
+// Encode makes a frame's bytes. A frame that can't be encoded gives none, and is not sent.
+func Encode[F any](f *F) Encoded {
 	b, err := cbor.Marshal(f)
 	if err != nil {
-		return false
+		return Encoded{}
 	}
-	return l.SendRaw(b)
+	return Encoded{bytes: b, class: classOf(f)}
 }
 
-// SendRaw queues a frame that Encode made.
-func (l *Link[F]) SendRaw(b []byte) bool {
+// CountInto has the link's frames counted. It may be called only before the link's first frame: in the up callback.
+func (l *Link[F]) CountInto(c *Counters) { l.counters = c }
+
+// Send queues a frame. False: the link is down.
+func (l *Link[F]) Send(f *F) bool { return l.SendRaw(Encode(f)) }
+
+// SendRaw queues a frame that Encode made. False: the link is down, or there are no bytes.
+func (l *Link[F]) SendRaw(e Encoded) bool {
+	if len(e.bytes) == 0 {
+		return false
+	}
 	l.mu.Lock()
-	full := len(l.out) >= mostQueue || l.size > mostBytes
+	full := len(l.out) >= maxQueuedFrames || l.size > maxQueuedBytes
 	if !full {
-		l.out = append(l.out, b)
-		l.size += len(b)
+		l.out = append(l.out, e.bytes)
+		l.size += len(e.bytes)
 	}
 	l.mu.Unlock()
 	if full {
 		l.Close()
 		return false
 	}
+	if l.counters != nil {
+		l.counters.sent[e.class].add(prefixBytes + len(e.bytes))
+	}
 	select {
 	case l.wake <- struct{}{}:
 	default:
@@ -72,12 +92,6 @@
 	}
 }
 
-// Encode makes a frame's bytes, for one that goes to many.
-func Encode[F any](f *F) []byte {
-	b, _ := cbor.Marshal(f)
-	return b
-}
-
 // Close ends the link.
 func (l *Link[F]) Close() {
 	l.once.Do(func() {
@@ -110,7 +124,7 @@
 
 func (l *Link[F]) write() {
 	defer l.Close()
-	var head [4]byte
+	var head [prefixBytes]byte
 	for {
 		select {
 		case <-l.done:
@@ -139,7 +153,7 @@
 // read hands frames on until the link ends; idle is how long nothing may come (0: for ever).
 func (l *Link[F]) read(idle time.Duration, take func(*F)) error {
 	defer l.Close()
-	var head [4]byte
+	var head [prefixBytes]byte
 	for {
 		if idle > 0 {
 			l.c.SetReadDeadline(time.Now().Add(idle))
@@ -148,7 +162,7 @@
 			return err
 		}
 		n := binary.BigEndian.Uint32(head[:])
-		if n > mostFrame {
+		if n > maxFrameBytes {
 			return errors.New("a frame too long")
 		}
 		b := make([]byte, n)
@@ -159,6 +173,9 @@
 		if err := cbor.Unmarshal(b, f); err != nil {
 			return err
 		}
+		if l.counters != nil {
+			l.counters.received[classOf(f)].add(prefixBytes + int(n))
+		}
 		take(f)
 	}
 }
@@ -185,7 +202,7 @@
 }
 
 // DialTimeout is how long the nth try to reach a peer may take.
-func DialTimeout(nth int) time.Duration { return min(dialFirst<<min(nth, 8), dialMost) }
+func DialTimeout(nth int) time.Duration { return min(firstDialTimeout<<min(nth, 8), maxDialTimeout) }
 
 // Dial makes one link and reads it until it ends; wait bounds its making. up is told when it stands.
 func Dial[F any](addr string, wait, idle time.Duration, up func(*Link[F]), take func(*Link[F], *F)) error {
