--- a/cmd/weirlab/main.go
+++ b/cmd/weirlab/main.go
@@ -19,6 +19,7 @@
 	"weirwind/internal/lab"
 	"weirwind/internal/lab/evening"
 	"weirwind/internal/lab/experiment"
+	"weirwind/internal/lab/hollow"
 )
 
 type commands struct {
@@ -34,6 +35,7 @@
 	Flock      flockCommand      `cmd:"" help:"Measure how drivers find out about each other, in virtual time."`
 	Fleet      fleetCommand      `cmd:"" help:"Play a script with processes of the program that know each other, and draw who saw whom when."`
 	Sessions   sessionsCommand   `cmd:"" help:"Play an evening of open websocket sessions with processes: a site is pulled, another drained, every message audited."`
+	Hollow     hollowCommand     `cmd:"" help:"Measure what core machines and agents cost by size: real processes, hollow drivers and members, counted by purpose."`
 	Load       loadCommand       `cmd:"" help:"Ask drivers at a rate that does not wait for them."`
 }
 
@@ -41,6 +43,9 @@
 	if code, ok := evening.Role(); ok { // one of an evening's processes
 		os.Exit(code)
 	}
+	if code, ok := hollow.Role(); ok {
+		os.Exit(code)
+	}
 	os.Exit(command(os.Args[1:], os.Stdin, os.Stdout, os.Stderr))
 }
 
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -74,10 +74,12 @@
 	if err != nil {
 		return oops.In("listen").Wrap(err)
 	}
+	defer mesh.Close()
 	loop, err := net.Listen("tcp4", s.Feed)
 	if err != nil {
 		return oops.In("listen").Wrap(err)
 	}
+	defer loop.Close()
 	go transport.Serve(mesh, 3*digestEvery, func(l *link) { l.CountInto(&PeerTraffic) }, a.take, func(*link) {})
 	go transport.Serve(loop, 0, func(l *link) {
 		l.CountInto(&ProxyTraffic)
@@ -125,6 +127,7 @@
 		case <-a.core.Done():
 		case <-time.After(50 * time.Millisecond):
 		}
+		a.core.Close()
 	}
 	a.log.Event(events.Stopped, "coreTraffic", controlmsg.TrafficOf(&CoreTraffic), "peerTraffic", controlmsg.TrafficOf(&PeerTraffic))
 }
--- a/internal/controlplane/calls.go
+++ b/internal/controlplane/calls.go
@@ -206,12 +206,13 @@
 	json.NewEncoder(w).Encode(v)
 }
 
-// statusResource is what this machine knows, for operators.
+// statusResource is what this machine knows, for operators; with ?brief=1 lists of members and drivers are left out.
 type statusResource struct{ h *Server }
 
-func (s *statusResource) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
+func (s *statusResource) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	brief := r.URL.Query().Get("brief") != ""
 	ch := make(chan map[string]any, 2)
-	s.h.tables.do(func() { ch <- s.h.tables.status() })
+	s.h.tables.do(func() { ch <- s.h.tables.status(brief) })
 	s.h.loop.do(func() { ch <- s.h.loop.status() })
 	all := map[string]any{"machine": s.h.set.Hostname, "traffic": map[string]controlmsg.Traffic{
 		"dialled": controlmsg.TrafficOf(&s.h.dialled), "accepted": controlmsg.TrafficOf(&s.h.accepted)}}
--- a/internal/controlplane/controlplane.go
+++ b/internal/controlplane/controlplane.go
@@ -124,6 +124,18 @@
 	})
 }
 
+// coreLinks counts the links to other core machines that stand.
+func (h *Server) coreLinks() (n int) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for _, c := range h.cores {
+		if c.l != nil {
+			n++
+		}
+	}
+	return n
+}
+
 // sendCore sends to a core machine, and begins to reach it where it was not known.
 func (h *Server) sendCore(ctl string, f *controlmsg.Frame) bool {
 	h.mu.Lock()
--- a/internal/controlplane/tables.go
+++ b/internal/controlplane/tables.go
@@ -138,6 +138,9 @@
 // agreed takes the operator's word as the consensus loop knows it committed.
 func (t *tables) agreed(book *config.State, news bool, cores []string) {
 	t.cores = cores
+	for _, ctl := range cores { // the settings name three: heartbeats and leases that come in elsewhere are told by the others
+		t.h.reach(ctl)
+	}
 	if t.state != nil && book.Gen < t.state.Gen {
 		return
 	}
@@ -328,10 +331,16 @@
 	t.reports[r.Svc][r.Driver] = report{*r, now}
 }
 
-func (t *tables) status() map[string]any {
+func (t *tables) status(brief bool) map[string]any {
+	members, drivers := t.members.List(), t.leases.List()
+	all := map[string]any{"leads": t.leading, "agents": len(t.agents), "coreLinks": t.h.coreLinks(), "memberCount": len(members), "driverCount": len(drivers)}
+	if brief {
+		return all
+	}
 	successions := map[string]string{}
 	for svc, s := range t.successions {
 		successions[svc] = s.State()
 	}
-	return map[string]any{"members": t.members.List(), "drivers": t.leases.List(), "leads": t.leading, "successions": successions, "agents": len(t.agents)}
+	all["members"], all["drivers"], all["successions"] = members, drivers, successions
+	return all
 }
--- a/internal/lab/experiment/report.go
+++ b/internal/lab/experiment/report.go
@@ -67,8 +67,8 @@
 	return p
 }
 
-// line adds one; Y axes begin at nothing.
-func line(p *plot.Plot, n int, name string, xy plotter.XYs) error {
+// Line adds one to a plot, in the nth colour.
+func Line(p *plot.Plot, n int, name string, xy plotter.XYs) error {
 	l, err := plotter.NewLine(xy)
 	if err != nil {
 		return err
@@ -180,7 +180,7 @@
 	}
 	for _, c := range courses {
 		err := each(c.name, c.title, c.note, "second", c.y, c.most, func(p *plot.Plot, n int, rows []Run, v string) error {
-			return line(p, n, v, overTime(rows, c.of))
+			return Line(p, n, v, overTime(rows, c.of))
 		})
 		if err != nil {
 			return nil, err
@@ -198,7 +198,7 @@
 		p.X.Tick.Marker = plot.ConstantTicks([]plot.Tick{{Value: 0, Label: "0"}, {Value: 1, Label: "0.9"}, {Value: 2, Label: "0.99"},
 			{Value: 3, Label: "0.999"}, {Value: 4, Label: "0.9999"}})
 		p.Legend.Left = true
-		return line(p, n, v, xy)
+		return Line(p, n, v, xy)
 	})
 	if err != nil {
 		return nil, err
@@ -218,7 +218,7 @@
 		for i, x := range busy {
 			xy = append(xy, plotter.XY{X: float64(i + 1), Y: x})
 		}
-		return line(p, n, v, xy)
+		return Line(p, n, v, xy)
 	})
 	if err != nil {
 		return nil, err
--- /dev/null
+++ b/internal/lab/hollow/hollow.go
@@ -0,0 +1,383 @@
+// Package hollow measures what the control plane costs by size: real core machines, real agents without proxies, many a process,
+// and members that are nothing but heartbeats, over loopback.
+//
+// This file owns the play, its phases and its account. It must never print a figure that no process counted.
+package hollow
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"path/filepath"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"weirwind/internal/controlmsg"
+	"weirwind/internal/transport"
+)
+
+const (
+	agentsPerProcess = 1000
+	maxMemory        = 14 << 30 // of all processes together: under half of the machine's
+	pollPeriod       = 100 * time.Millisecond
+)
+
+// Options of a play.
+type Options struct {
+	Drivers, Databases, Cores int
+	Renewals                  int           // of each driver's lease in a phase, at least: about as many seconds, and thrice that in the calm phase
+	Limit                     time.Duration // until all is known, at most
+	Net, Port                 int           // 127.Net and those that follow are used
+	Log                       io.Writer     // of the processes; nil: nowhere
+}
+
+// Row is one figure: what a role's processes sent or received for a purpose in a phase. A row without a purpose has the processor
+// time and the memory.
+type Row struct {
+	Phase     string  `parquet:"phase,dict"`
+	Drivers   int32   `parquet:"drivers"`
+	Members   int32   `parquet:"members"`
+	Seconds   float64 `parquet:"seconds"`
+	Events    int32   `parquet:"events"` // changes in the phase
+	Known     float64 `parquet:"known"`  // seconds until all had them; 0: not measured
+	Role      string  `parquet:"role,dict"`
+	Machines  int32   `parquet:"machines"` // of the role: figures are sums over them
+	Link      string  `parquet:"link,dict"`
+	Direction string  `parquet:"direction,dict"`
+	Purpose   string  `parquet:"purpose,dict"`
+	Frames    float64 `parquet:"frames"`
+	Bytes     float64 `parquet:"bytes"`
+	CPU       float64 `parquet:"cpu"`    // seconds
+	Memory    float64 `parquet:"memory"` // bytes
+}
+
+func groupName(n int) string { return fmt.Sprintf("lecture-core-%04d", n) }
+
+// play is one under way.
+type play struct {
+	Options
+	plan
+	folder  string
+	cores   []*child
+	drivers []*child
+	members []*child
+	http    http.Client
+	config  []byte
+}
+
+// coreStatus is what is read of a core machine's status.
+type coreStatus struct {
+	CoreLinks   int
+	MemberCount int
+	DriverCount int
+	Traffic     map[string]controlmsg.Traffic
+}
+
+// Run plays all phases at one size.
+func Run(ctx context.Context, o Options, out io.Writer) (rows []Row, err error) {
+	p := &play{Options: o, plan: plan{Net: o.Net, Port: o.Port}, http: http.Client{Timeout: 10 * time.Second}}
+	for n := range o.Cores {
+		p.plan.Cores = append(p.plan.Cores, net.JoinHostPort(p.coreIP(n), strconv.Itoa(o.Port+3)))
+	}
+	if p.folder, err = os.MkdirTemp("", "hollow"); err != nil {
+		return nil, err
+	}
+	defer os.RemoveAll(p.folder)
+	defer p.stop()
+	phases := []struct {
+		name   string
+		events int
+		begin  func(n int) error
+		known  func(n int) (bool, error)
+	}{
+		{"start", o.Drivers, p.start, p.allKnown},
+		{"steady", 0, nil, nil},
+		{"configuration", 1, p.changeConfig, p.configHeld},
+		{"member changes", max(o.Databases*membersPerGroup/100, 1), p.changeMembers, nil},
+		{"driver restarts", max(o.Drivers/100, 1), p.restartDrivers, p.allKnown},
+		{"herd", min(400, o.Drivers/2), p.restartDrivers, p.allKnown},
+	}
+	for _, ph := range phases {
+		before, err := p.sample()
+		if err != nil {
+			return rows, err
+		}
+		began := time.Now()
+		if ph.begin != nil {
+			if err := ph.begin(ph.events); err != nil {
+				return rows, fmt.Errorf("%s: %w", ph.name, err)
+			}
+		}
+		known := 0.0
+		if ph.known != nil {
+			if err := p.until(ctx, func() (bool, error) { return ph.known(ph.events) }); err != nil {
+				return rows, fmt.Errorf("%s: %w", ph.name, err)
+			}
+			known = time.Since(began).Seconds()
+		}
+		renewed := renewals(before) + o.Renewals*o.Drivers
+		if ph.begin == nil { // rates are measured in the calm phase
+			renewed += 2 * o.Renewals * o.Drivers
+		}
+		if err := p.until(ctx, func() (bool, error) { return p.renewed(renewed) }); err != nil {
+			return rows, fmt.Errorf("%s: %w", ph.name, err)
+		}
+		after, err := p.sample()
+		if err != nil {
+			return rows, err
+		}
+		added := p.account(ph.name, before, after, time.Since(began).Seconds(), ph.events, known)
+		rows = append(rows, added...)
+		printPhase(out, added)
+	}
+	return rows, nil
+}
+
+func wait(ctx context.Context, d time.Duration) error {
+	select {
+	case <-time.After(max(d, 0)):
+		return nil
+	case <-ctx.Done():
+		return ctx.Err()
+	}
+}
+
+// until polls until f holds, within the limit.
+func (p *play) until(ctx context.Context, f func() (bool, error)) error {
+	for began := time.Now(); ; {
+		if ok, err := f(); ok || err != nil {
+			return err
+		}
+		if time.Since(began) > p.Limit {
+			return fmt.Errorf("not known everywhere after %s", p.Limit)
+		}
+		if err := wait(ctx, pollPeriod); err != nil {
+			return err
+		}
+	}
+}
+
+func (p *play) start(int) error {
+	for n, ctl := range p.plan.Cores {
+		lines := []string{fmt.Sprint("hostname=core-", n), fmt.Sprintf("zone=zone-%d", n), "region=r", "init=true", "tolerate.nodes=1", "beatMs=1200", "limits.memMb=4000",
+			"listen.ctl=" + ctl, "ip=" + p.coreIP(n), fmt.Sprintf("portRange=%d,%d", p.plan.Port, p.plan.Port+2), "peers=" + strings.Join(p.plan.Cores[:min(3, p.Options.Cores)], ","),
+			"datadir=" + filepath.Join(p.folder, fmt.Sprint("core", n))}
+		file := filepath.Join(p.folder, fmt.Sprintf("core%d.conf", n))
+		if err := os.WriteFile(file, []byte(strings.Join(lines, "\n")+"\n"), 0o600); err != nil {
+			return err
+		}
+		if err := p.add(&p.cores, "core", file, 0, 0); err != nil {
+			return err
+		}
+	}
+	for first := 0; first < p.Options.Drivers; first += agentsPerProcess {
+		if err := p.add(&p.drivers, "drivers", "", first, min(agentsPerProcess, p.Options.Drivers-first)); err != nil {
+			return err
+		}
+	}
+	if err := p.add(&p.members, "members", "", 0, p.Databases*membersPerGroup); err != nil {
+		return err
+	}
+	return p.until(context.Background(), func() (bool, error) { return p.changeConfig(1) == nil, nil })
+}
+
+func (p *play) add(to *[]*child, role, file string, first, many int) error {
+	own := p.plan
+	own.First, own.Many = first, many
+	c, err := startChild(role, file, &own, p.Log)
+	if err == nil {
+		*to = append(*to, c)
+	}
+	return err
+}
+
+func (p *play) stop() {
+	for _, c := range slices.Concat(p.cores, p.drivers, p.members) {
+		c.kill()
+	}
+}
+
+// changeConfig sends the next configuration: a route and a service for each database.
+func (p *play) changeConfig(int) error {
+	var base struct{ Gen uint64 }
+	_ = json.Unmarshal(p.config, &base)
+	type route struct {
+		Name, Host, Prefix, Type, Svc           string
+		TimeoutMs, TargetMs, MaxStaleMs, Timing int
+	}
+	type service struct {
+		Name            string
+		MaxConns, SyncN int
+	}
+	next := struct {
+		Gen    uint64    `json:"gen"`
+		Routes []route   `json:"routes"`
+		Svcs   []service `json:"svcs"`
+	}{Gen: base.Gen + 1}
+	for n := range p.Databases {
+		svc := groupName(n)
+		next.Svcs = append(next.Svcs, service{svc, 320, 1})
+		next.Routes = append(next.Routes, route{Name: "route-" + svc, Host: fmt.Sprintf("%08x.database", uint32(n)*2654435761), Prefix: "/", Type: "primary", Svc: svc, TimeoutMs: 1000, TargetMs: 600, Timing: int(base.Gen)})
+	}
+	body, err := json.Marshal(next)
+	if err != nil {
+		return err
+	}
+	req, err := http.NewRequest(http.MethodPost, "http://"+p.plan.Cores[0]+"/config/replace", bytes.NewReader(body))
+	if err != nil {
+		return err
+	}
+	req.Header.Set("Weirwind-Base-Version", strconv.FormatUint(base.Gen, 10))
+	resp, err := p.http.Do(req)
+	if err != nil {
+		return err
+	}
+	defer resp.Body.Close()
+	if text, _ := io.ReadAll(resp.Body); resp.StatusCode != http.StatusOK {
+		return fmt.Errorf("the configuration was answered %d %s", resp.StatusCode, text)
+	}
+	p.config = body
+	return nil
+}
+
+// renewed says whether agents have asked for so many renewals.
+func (p *play) renewed(many int) (bool, error) {
+	all, err := p.samples(p.drivers)
+	return renewals(map[string][]Sample{"drivers": all}) >= many, err
+}
+
+func renewals(all map[string][]Sample) (n int) {
+	for _, s := range all["drivers"] {
+		n += int(s.Traffic["core"].Sent[controlmsg.LeaseRenewals.String()].Frames)
+	}
+	return n
+}
+
+func (p *play) samples(children []*child) (all []Sample, err error) {
+	for _, c := range children {
+		s, err := c.ask("sample")
+		if err != nil {
+			return nil, err
+		}
+		all = append(all, s)
+	}
+	return all, nil
+}
+
+// configHeld says whether each agent has received as many configurations as there were.
+func (p *play) configHeld(int) (bool, error) {
+	gen := uint64(0)
+	all, err := p.samples(p.drivers)
+	for _, s := range all {
+		for _, t := range s.Traffic {
+			gen += t.Received[controlmsg.Configuration.String()].Frames
+		}
+	}
+	return gen >= 2*uint64(p.Options.Drivers), err
+}
+
+func (p *play) changeMembers(n int) error {
+	_, err := p.members[0].ask(fmt.Sprint("change ", n))
+	return err
+}
+
+// restartDrivers restarts agents of the first process.
+func (p *play) restartDrivers(n int) error {
+	_, err := p.drivers[0].ask(fmt.Sprint("restart ", n))
+	return err
+}
+
+// allKnown says whether each core machine has links to all others and knows all drivers and members.
+func (p *play) allKnown(int) (bool, error) {
+	for n := range p.cores {
+		s, err := p.status(n)
+		if err != nil || s.CoreLinks != p.Options.Cores-1 || s.DriverCount != p.Options.Drivers || s.MemberCount != p.Databases*membersPerGroup {
+			return false, nil
+		}
+	}
+	return true, nil
+}
+
+func (p *play) status(n int) (s coreStatus, err error) {
+	resp, err := p.http.Get("http://" + p.plan.Cores[n] + "/status?brief=1")
+	if err != nil {
+		return s, err
+	}
+	defer resp.Body.Close()
+	return s, json.NewDecoder(resp.Body).Decode(&s)
+}
+
+// sample reads all processes, by role.
+func (p *play) sample() (map[string][]Sample, error) {
+	all := map[string][]Sample{}
+	memory := 0.0
+	for n, c := range p.cores {
+		s, err := p.status(n)
+		if err != nil {
+			return nil, err
+		}
+		x := Sample{Traffic: s.Traffic}
+		x.CPU, x.Memory = usage(c.cmd.Process.Pid)
+		memory += x.Memory
+		all["core"] = append(all["core"], x)
+	}
+	for role, children := range map[string][]*child{"drivers": p.drivers, "members": p.members} {
+		some, err := p.samples(children)
+		if err != nil {
+			return nil, err
+		}
+		for _, s := range some {
+			memory += s.Memory
+		}
+		all[role] = some
+	}
+	if memory > maxMemory {
+		return nil, fmt.Errorf("stopped: %.1f GB in use", memory/(1<<30))
+	}
+	return all, nil
+}
+
+// account makes rows of two samples.
+func (p *play) account(phase string, before, after map[string][]Sample, seconds float64, events int, known float64) (rows []Row) {
+	machines := map[string]int{"core": p.Options.Cores, "drivers": p.Options.Drivers, "members": p.Databases * membersPerGroup}
+	for _, role := range []string{"core", "drivers", "members"} {
+		base := Row{Phase: phase, Drivers: int32(p.Options.Drivers), Members: int32(machines["members"]), Seconds: seconds, Events: int32(events), Known: known, Role: role, Machines: int32(machines[role])}
+		sums, used := map[[3]string]transport.Count{}, base
+		for sign, samples := range map[int][]Sample{-1: before[role], 1: after[role]} {
+			for _, s := range samples {
+				used.CPU += float64(sign) * s.CPU
+				if sign > 0 {
+					used.Memory += s.Memory
+				}
+				for link, t := range s.Traffic {
+					for direction, counts := range map[string]map[string]transport.Count{"sent": t.Sent, "received": t.Received} {
+						for purpose, n := range counts {
+							key, sum := [3]string{link, direction, purpose}, sums[[3]string{link, direction, purpose}]
+							sums[key] = transport.Count{Frames: sum.Frames + uint64(sign)*n.Frames, Bytes: sum.Bytes + uint64(sign)*n.Bytes}
+						}
+					}
+				}
+				for direction, n := range map[string]int64{"sent": s.Sent, "received": s.Back} {
+					if role == "members" {
+						key, sum := [3]string{"http", direction, "heartbeats"}, sums[[3]string{"http", direction, "heartbeats"}]
+						sums[key] = transport.Count{Frames: sum.Frames + uint64(sign)*uint64(s.Beats), Bytes: sum.Bytes + uint64(sign)*uint64(n)}
+					}
+				}
+			}
+		}
+		rows = append(rows, used)
+		for key, n := range sums {
+			r := base
+			r.Link, r.Direction, r.Purpose, r.Frames, r.Bytes = key[0], key[1], key[2], float64(n.Frames), float64(n.Bytes)
+			rows = append(rows, r)
+		}
+	}
+	return rows
+}
