--- a/internal/controlplane/controlplane.go
+++ b/internal/controlplane/controlplane.go
@@ -84,6 +84,7 @@
 	server.Close()
 	mesh.Close()
 	<-done
+	log.Event(events.Stopped, "dialled", controlmsg.TrafficOf(&h.dialled), "accepted", controlmsg.TrafficOf(&h.accepted))
 	if cause := context.Cause(h.ctx); cause != context.Canceled {
 		return cause
 	}
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -1,6 +1,6 @@
 // Package transport carries frames between the system's own processes.
 //
-// This file owns sockets and the form of frames: CBOR behind four bytes of length. It decides nothing; what a frame says is its
+// This file owns sockets and the form of frames: CBOR behind four bytes of length, compressed where they are long. It decides nothing; what a frame says is its
 // users'. A peer that doesn't read loses its link, never anybody's memory; a peer that goes dark loses it after SetUserTimeout.
 package transport
 
@@ -32,18 +32,26 @@
 	Peer     string // address that was dialled, or that it came from
 	c        net.Conn
 	counters *Counters
+	plain    bool // long frames are not compressed
 	mu       sync.Mutex
 	wake     chan struct{}
-	out      [][]byte
+	out      []wireFrame
 	size     int
 	done     chan struct{}
 	once     sync.Once
 }
 
+// wireFrame is a frame as it is written: its length prefix and its bytes.
+type wireFrame struct {
+	prefix uint32
+	bytes  []byte
+}
+
 // Encoded is a frame's bytes with its class, for a frame that goes to many.
 type Encoded struct {
-	bytes []byte
-	class uint8
+	bytes      []byte
+	class      uint8
+	compressed *compressed // nil: it is short
 }
 
 // Encode makes a frame's bytes. A frame that can't be encoded gives none, and is not sent.
@@ -52,9 +60,27 @@
 	if err != nil {
 		return Encoded{}
 	}
-	return Encoded{bytes: b, class: classOf(f)}
+	e := Encoded{bytes: b, class: classOf(f)}
+	if len(b) > compressAbove {
+		e.compressed = &compressed{}
+	}
+	return e
 }
 
+// wire gives a frame's form on a link.
+func (e Encoded) wire(plain bool) wireFrame {
+	if e.compressed != nil && !plain {
+		if short := e.compressed.of(e.bytes); short != nil {
+			return wireFrame{uint32(len(short)) | compressedFlag, short}
+		}
+	}
+	return wireFrame{uint32(len(e.bytes)), e.bytes}
+}
+
+// LeaveUncompressed has long frames sent as they are, for a link on one machine, where bytes cost less than compressing them. It may
+// be called only before the link's first frame.
+func (l *Link[F]) LeaveUncompressed() { l.plain = true }
+
 // CountInto has the link's frames counted. It may be called only before the link's first frame: in the up callback.
 func (l *Link[F]) CountInto(c *Counters) { l.counters = c }
 
@@ -66,11 +92,12 @@
 	if len(e.bytes) == 0 {
 		return false
 	}
+	frame := e.wire(l.plain)
 	l.mu.Lock()
 	full := len(l.out) >= maxQueuedFrames || l.size > maxQueuedBytes
 	if !full {
-		l.out = append(l.out, e.bytes)
-		l.size += len(e.bytes)
+		l.out = append(l.out, frame)
+		l.size += len(frame.bytes)
 	}
 	l.mu.Unlock()
 	if full {
@@ -78,7 +105,7 @@
 		return false
 	}
 	if l.counters != nil {
-		l.counters.sent[e.class].add(prefixBytes + len(e.bytes))
+		l.counters.sent[e.class].add(prefixBytes + len(frame.bytes))
 	}
 	select {
 	case l.wake <- struct{}{}:
@@ -124,7 +151,6 @@
 
 func (l *Link[F]) write() {
 	defer l.Close()
-	var head [prefixBytes]byte
 	for {
 		select {
 		case <-l.done:
@@ -139,9 +165,8 @@
 			continue
 		}
 		var all []byte
-		for _, b := range out {
-			binary.BigEndian.PutUint32(head[:], uint32(len(b)))
-			all = append(append(all, head[:]...), b...)
+		for _, frame := range out {
+			all = append(binary.BigEndian.AppendUint32(all, frame.prefix), frame.bytes...)
 		}
 		l.c.SetWriteDeadline(time.Now().Add(10 * time.Second))
 		if _, err := l.c.Write(all); err != nil {
@@ -161,14 +186,22 @@
 		if _, err := io.ReadFull(l.c, head[:]); err != nil {
 			return err
 		}
-		n := binary.BigEndian.Uint32(head[:])
+		prefix := binary.BigEndian.Uint32(head[:])
+		n := prefix &^ compressedFlag
 		if n > maxFrameBytes {
-			return errors.New("a frame too long")
+			return errFrameTooLong
 		}
 		b := make([]byte, n)
 		if _, err := io.ReadFull(l.c, b); err != nil {
 			return err
 		}
+		if prefix&compressedFlag != 0 {
+			whole, err := decompress(b)
+			if err != nil {
+				return err
+			}
+			b = whole
+		}
 		f := new(F)
 		if err := cbor.Unmarshal(b, f); err != nil {
 			return err
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -1,7 +1,11 @@
 package transport
 
 import (
+	"bytes"
+	"encoding/binary"
+	"math/rand/v2"
 	"net"
+	"strings"
 	"testing"
 
 	. "github.com/smartystreets/goconvey/convey"
@@ -64,6 +68,62 @@
 	})
 }
 
+func TestLongFramesAreCompressed(t *testing.T) {
+	noise := make([]byte, 3*compressAbove)
+	for i := range noise {
+		noise[i] = byte(' ' + rand.IntN(90))
+	}
+	Convey("a short frame, a long one with much alike, and a long one without", t, func() {
+		frames := []testFrame{{Class: 1, Text: strings.Repeat("a", compressAbove/2)}, {Class: 2, Text: strings.Repeat(`"type":"primary",`, 4000)}, {Class: 3, Text: string(noise)}}
+		var client, server Counters
+		So(exchange(t, serveOnce(t, &server), &client, frames), ShouldResemble, frames)
+		So(client.Sent(1).Bytes, ShouldEqual, prefixBytes+len(Encode(&frames[0]).bytes))
+		So(client.Sent(2).Bytes, ShouldBeLessThan, len(frames[1].Text)/10)
+		So(client.Sent(3).Bytes, ShouldBeLessThanOrEqualTo, prefixBytes+len(Encode(&frames[2]).bytes))
+		So(server.Received(2), ShouldResemble, client.Sent(2))
+	})
+	Convey("a frame for many is compressed once", t, func() {
+		e := Encode(&testFrame{Text: strings.Repeat("abc", compressAbove)})
+		first, second := e.wire(false), e.wire(false)
+		So(&first.bytes[0], ShouldEqual, &second.bytes[0])
+		So(e.wire(true).prefix, ShouldEqual, len(e.bytes))
+	})
+	Convey("a link that is left uncompressed", t, func() {
+		frame := testFrame{Class: 2, Text: strings.Repeat("abc", compressAbove)}
+		addr, counters, back := serveOnce(t, &Counters{}), Counters{}, testFrame{}
+		_ = Dial(addr, 0, 0, func(l *Link[testFrame]) {
+			l.CountInto(&counters)
+			l.LeaveUncompressed()
+			l.Send(&frame)
+		}, func(l *Link[testFrame], f *testFrame) {
+			back = *f
+			l.Close()
+		})
+		So(back, ShouldResemble, frame)
+		So(counters.Sent(2).Bytes, ShouldEqual, prefixBytes+len(Encode(&frame).bytes))
+	})
+}
+
+// A peer that sends a few bytes which would become more than a frame may be, or bytes that are no compressed frame, loses its link.
+func TestBadCompressedFramesEndTheLink(t *testing.T) {
+	bomb := (&compressed{}).of(bytes.Repeat([]byte{0}, maxFrameBytes+1))
+	Convey("frames that must not be taken", t, func() {
+		for name, frame := range map[string][]byte{"longer than a frame": bomb, "no compressed frame": []byte("not deflated"), "cut short": bomb[:len(bomb)/2]} {
+			Convey(name, func() {
+				ours, theirs := net.Pipe()
+				go func() {
+					theirs.Write(append(binary.BigEndian.AppendUint32(nil, uint32(len(frame))|compressedFlag), frame...))
+					theirs.Close()
+				}()
+				taken := 0
+				err := start[testFrame](ours, "pipe").read(0, func(*testFrame) { taken++ })
+				So(err, ShouldNotBeNil)
+				So(taken, ShouldEqual, 0)
+			})
+		}
+	})
+}
+
 func TestCountingAllocatesNothing(t *testing.T) {
 	var counters Counters
 	frame := &testFrame{Class: 3}
