--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -30,6 +30,9 @@
 	memberKeep  = 90 * time.Second
 )
 
+// CoreTraffic, PeerTraffic and ProxyTraffic count the frames of this process's agents by purpose.
+var CoreTraffic, PeerTraffic, ProxyTraffic transport.Counters
+
 // Agent is one.
 type Agent struct {
 	set *settings.Settings
@@ -69,12 +72,18 @@
 	if err != nil {
 		return oops.In("listen").Wrap(err)
 	}
+	defer mesh.Close()
 	loop, err := net.Listen("tcp4", s.Feed)
 	if err != nil {
 		return oops.In("listen").Wrap(err)
 	}
-	go transport.Serve(mesh, 3*digestEvery, func(*link) {}, a.takeFromPeer, func(*link) {})
-	go transport.Serve(loop, 0, func(l *link) { a.do(func() { a.proxyUp(l) }) }, a.fromProxy, func(l *link) { a.do(func() { delete(a.proxies, l) }) })
+	defer loop.Close()
+	go transport.Serve(mesh, 3*digestEvery, func(l *link) { l.CountInto(&PeerTraffic) }, a.takeFromPeer, func(*link) {})
+	go transport.Serve(loop, 0, func(l *link) {
+		l.CountInto(&ProxyTraffic)
+		l.LeaveUncompressed()
+		a.do(func() { a.proxyUp(l) })
+	}, a.fromProxy, func(l *link) { a.do(func() { delete(a.proxies, l) }) })
 	a.seek()
 	log.Event(events.Started, "agent", a.self.Name, "mesh", a.self.Addr)
 	renew, digest := time.NewTicker(renewEvery), time.NewTicker(digestEvery)
@@ -114,8 +123,9 @@
 		case <-a.core.l.Done():
 		case <-time.After(50 * time.Millisecond):
 		}
+		a.core.l.Close()
 	}
-	a.log.Event(events.Stopped)
+	a.log.Event(events.Stopped, "coreTraffic", controlmsg.TrafficOf(&CoreTraffic), "peerTraffic", controlmsg.TrafficOf(&PeerTraffic))
 }
 
 func (a *Agent) now() float64 { return float64(time.Since(a.at)) / 1e6 }
--- a/internal/agent/corelink.go
+++ b/internal/agent/corelink.go
@@ -85,6 +85,7 @@
 // hold dials a machine and reads the link until it ends.
 func (a *Agent) hold(t *coreLink, dialTimeout time.Duration) {
 	_ = transport.Dial(t.addr, dialTimeout, linkIdle, func(l *link) {
+		l.CountInto(&CoreTraffic)
 		l.Send(&controlmsg.Frame{Hello: &controlmsg.Hello{Kind: "agent", Name: a.self.Name, Addr: a.self.Addr}})
 		a.do(func() { a.linkUp(t, l) })
 	}, func(_ *link, f *controlmsg.Frame) {
--- a/internal/controlplane/controlplane.go
+++ b/internal/controlplane/controlplane.go
@@ -38,7 +38,8 @@
 	tables *tables
 	first  func()
 
-	contact contactClock
+	contact           contactClock
+	dialled, accepted transport.Counters // links to other core machines; links of agents and other core machines to this one
 
 	mu    sync.Mutex
 	cores map[string]*coreLink // by mesh address
@@ -70,7 +71,7 @@
 	if err != nil {
 		return oops.In("listen").Wrap(err)
 	}
-	go transport.Serve(mesh, linkIdle, func(*link) {}, h.take, func(l *link) { h.tables.do(func() { h.tables.lost(l) }) })
+	go transport.Serve(mesh, linkIdle, func(l *link) { l.CountInto(&h.accepted) }, h.take, func(l *link) { h.tables.do(func() { h.tables.lost(l) }) })
 	for _, p := range s.Peers {
 		h.reach(p)
 	}
@@ -85,6 +86,7 @@
 	<-done
 	server.Close()
 	mesh.Close()
+	log.Event(events.Stopped, "dialled", controlmsg.TrafficOf(&h.dialled), "accepted", controlmsg.TrafficOf(&h.accepted))
 	if cause := context.Cause(h.ctx); cause != context.Canceled {
 		return cause
 	}
@@ -114,6 +116,7 @@
 		h.mu.Unlock()
 	}
 	go transport.Keep(h.ctx, addr, transport.Backoff{First: 50 * time.Millisecond, Most: time.Second, DialTimeout: transport.DialTimeout}, func(l *link) {
+		l.CountInto(&h.dialled)
 		l.Send(&controlmsg.Frame{Hello: &controlmsg.Hello{Kind: "core", Name: h.set.Hostname, Addr: h.set.Ctl}})
 		set(l)
 		h.log.Event(events.LinkUp, "core", ctl)
@@ -125,6 +128,18 @@
 	})
 }
 
+// coreLinks counts the links to other core machines that stand.
+func (h *Server) coreLinks() (n int) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for _, c := range h.cores {
+		if c.l != nil {
+			n++
+		}
+	}
+	return n
+}
+
 // sendCore sends to a core machine, and begins to reach it where it was not known.
 func (h *Server) sendCore(ctl string, f *controlmsg.Frame) bool {
 	h.mu.Lock()
