--- a/internal/consensus/exhaustive_test.go
+++ b/internal/consensus/exhaustive_test.go
@@ -227,7 +227,7 @@
 
 // TestMeasure prints how long the core is without a leader, and a change without its answer, after each kind of fault; -v shows it.
 func TestMeasure(t *testing.T) {
-	for _, fault := range []string{"leader killed", "leader frozen", "leader cut off", "follower killed", "power lost everywhere", "leader wiped"} {
+	for _, fault := range []string{"leader killed", "leader frozen", "leader cut off", "follower killed", "power lost everywhere", "leader wiped", "leader told to end"} {
 		var led []float64
 		for seed := range 200 {
 			v := newValley(uint64(seed+7000), 3)
@@ -262,12 +262,16 @@
 				for _, o := range v.names() {
 					v.start(v.hosts[o])
 				}
+			case "leader told to end":
+				h.node.Leave(v.now)
+				v.settle(h, 0)
 			case "leader wiped":
 				h.disk = Empty("9@" + h.addr)
 				v.start(h)
 			}
 			for v.now < at+20000 && len(v.acked) == acked {
 				v.run(10, 0)
+				h.on = h.on && !h.node.Gone(v.now)
 				if h.wait != "" && fault != "follower killed" && fault != "power lost everywhere" {
 					h.wait = ""
 				}
--- a/internal/consensus/store/store_test.go
+++ b/internal/consensus/store/store_test.go
@@ -111,3 +111,36 @@
 		t.Errorf("%d bytes on disk", size)
 	}
 }
+
+// Some hundreds of changes, each with a longer list behind it: the folder stays small, and opens with the newest after each hundred.
+func TestManyChanges(t *testing.T) {
+	dir := t.TempDir()
+	h := consensus.HardState{ID: "me", Term: 1, Last: consensus.Entry{Term: 1}}
+	for range 6 {
+		s, back, found, err := Open(dir)
+		if err != nil || found && (back.Last.Index != h.Last.Index || len(back.Last.Value) != len(h.Last.Value)) {
+			t.Fatal(err, found, back.Last.Index, h.Last.Index)
+		}
+		for range 100 {
+			h.Last.Index++
+			h.Last.Value = append(h.Last.Value, strings.Repeat("x", 200)...)
+			if err := s.Save(&h); err != nil {
+				t.Fatal(err)
+			}
+		}
+		if err := s.Close(); err != nil {
+			t.Fatal(err)
+		}
+	}
+	size := int64(0)
+	filepath.Walk(dir, func(_ string, i os.FileInfo, err error) error {
+		if err == nil {
+			size += i.Size()
+		}
+		return nil
+	})
+	t.Logf("%d KB on disk behind %d changes, %d KB the last", size>>10, h.Last.Index, len(h.Last.Value)>>10)
+	if size > 32<<20 {
+		t.Errorf("%d bytes on disk", size)
+	}
+}
