--- a/internal/failover/cover.go
+++ b/internal/failover/cover.go
@@ -13,7 +13,7 @@
 type cover struct {
 	since   float64 // when it was known to have ended
 	primary string  // that gave the position; "": none yet
-	held    uint64  // the term of its lead
+	term    uint64  // that it led in
 	pos     wire.Position
 }
 
@@ -79,8 +79,8 @@
 	if !f.ok || !f.status.Primary || f.at < c.since {
 		return false
 	}
-	if c.primary != primary || c.held != f.status.Held {
-		c.primary, c.held, c.pos = primary, f.status.Held, f.status.Received
+	if c.primary != primary || c.term != f.status.Term {
+		c.primary, c.term, c.pos = primary, f.status.Term, f.status.Received
 	}
 	holders := 0
 	for _, m := range v.Members {
@@ -88,7 +88,7 @@
 		if m.Absent || m.Unlisted || m.ID == primary || !r.ok || r.status.Primary {
 			continue
 		}
-		if r.status.Received.Term > c.held {
+		if r.status.Received.Term > c.term {
 			return false // the primary is one no longer
 		}
 		if !r.status.Received.Less(c.pos) {
--- a/internal/failover/facts.go
+++ b/internal/failover/facts.go
@@ -97,7 +97,7 @@
 	rank := func(m *Member) (uint64, float64) {
 		if f := s.facts[m.ID]; f != nil && f.ok {
 			if f.status.Primary {
-				return max(f.status.Held, 1), f.at
+				return max(f.status.Term, 1), f.at
 			}
 		}
 		return 0, now - m.Silent
--- a/internal/standin/cordata/cordata.go
+++ b/internal/standin/cordata/cordata.go
@@ -80,11 +80,7 @@
 
 // Status is the row that a member answers with.
 func (m *Member) Status() wire.Status {
-	held := m.PausedAt
-	if m.Primary {
-		held = m.Held
-	}
-	return wire.Status{Primary: m.Primary, Term: m.Term, Received: m.Position(), Held: held}
+	return wire.Status{Primary: m.Primary, Term: m.Term, Received: m.Position(), Held: m.PausedAt}
 }
 
 // Write appends a commit at a member. False: it does not lead.
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -253,7 +253,7 @@
 	Primary   bool
 	Term      uint64 // newest that it knows
 	Received  Position
-	Held      uint64 // term that it holds the lead for
+	Held      uint64 // term that it was paused with; 0: it is not paused
 	LagMillis uint64
 	Busy      uint64
 	Conns     uint64
