--- /dev/null
+++ b/internal/failover/cover_test.go
@@ -0,0 +1,93 @@
+package failover
+
+import (
+	"slices"
+	"testing"
+
+	"weirwind/internal/wire"
+)
+
+func answer(primary bool, number uint64) wire.Status {
+	return wire.Status{Primary: primary, Term: 1, Received: wire.Position{Term: 1, Number: number}}
+}
+
+func hasCovered(acts []Act, id string) bool {
+	return slices.ContainsFunc(acts, func(a Act) bool { return a.Kind == Covered && a.ID == id })
+}
+
+// A member that has ended leaves the roster only once a position that the primary gave afterwards is at a replica on the roster.
+func TestALeaverStaysUntilItIsCovered(t *testing.T) {
+	s := New(-5000)
+	v := &View{Svc: "s", SyncN: 1, Members: []Member{{ID: "a", Primary: true}, {ID: "b", Replica: true}, {ID: "c", Replica: true}}}
+	s.Step(v, 0)
+	for _, id := range []string{"a", "b", "c"} {
+		s.Answered(id, Stat, 0, 20, answer(id == "a", 9))
+	}
+	v.Members[2] = Member{ID: "c", Absent: true, Ended: true}
+	if hasCovered(s.Step(v, 100), "c") {
+		t.Fatal("covered by what the primary had said before it ended")
+	}
+	s.Answered("a", Stat, 100, 120, answer(true, 12))
+	s.Answered("b", Stat, 100, 120, answer(false, 11))
+	if hasCovered(s.Step(v, 150), "c") {
+		t.Fatal("covered by a replica that lacks a commit")
+	}
+	s.Answered("b", Stat, 160, 180, answer(false, 12))
+	v.Members[1].Unlisted = true
+	if hasCovered(s.Step(v, 200), "c") {
+		t.Fatal("covered by a replica that is not on the roster")
+	}
+	v.Members[1].Unlisted = false
+	if !hasCovered(s.Step(v, 250), "c") {
+		t.Fatal("not covered, though a replica has all that the primary had")
+	}
+}
+
+// Where the primary left before it was succeeded, it counts among those that may hold a commit.
+func TestAPrimaryThatLeftIsCounted(t *testing.T) {
+	s := New(-5000)
+	v := &View{Svc: "s", SyncN: 1, Members: []Member{{ID: "a", Absent: true, Ended: true}, {ID: "b", Replica: true}, {ID: "c", Replica: true}}}
+	acts := stepThrough(s, v, 0, 3000, "b")
+	if slices.ContainsFunc(acts, func(a Act) bool { return a.Kind == Failover }) {
+		t.Fatal("one of two replicas was read, and a successor named: the other may alone hold a commit")
+	}
+	acts = stepThrough(s, v, 3000, 5000, "b", "c")
+	if !slices.ContainsFunc(acts, func(a Act) bool { return a.Kind == Failover }) {
+		t.Fatal("nobody was named, though both replicas were read")
+	}
+}
+
+// A core that knows nothing of a member on the roster doesn't take it for one that doesn't lead; for long it waits for it, and then
+// only the replicas that hold every commit between them may do without it.
+func TestAnUnknownMemberIsWaitedFor(t *testing.T) {
+	s := New(-5000)
+	v := &View{Svc: "s", SyncN: 1, Members: []Member{{ID: "a", Absent: true}, {ID: "b", Replica: true}, {ID: "c", Absent: true}}}
+	if acts := stepThrough(s, v, 0, 60000, "b"); slices.ContainsFunc(acts, func(a Act) bool { return a.Kind == Pause || a.Kind == Failover }) {
+		t.Fatal("a succession was begun by one of three members")
+	}
+	v.Members[2] = Member{ID: "c", Replica: true}
+	if acts := stepThrough(s, v, 60000, 62000, "b", "c"); !slices.ContainsFunc(acts, func(a Act) bool { return a.Kind == Failover }) {
+		t.Fatal("nobody was named, though one of both has every commit")
+	}
+}
+
+// stepThrough answers for those that are up, as replicas, until then, and gives all acts.
+func stepThrough(s *Service, v *View, from, until float64, up ...string) (all []Act) {
+	for now := from; now < until; now += 50 {
+		for _, a := range s.Step(v, now) {
+			all = append(all, a)
+			st := answer(false, 9)
+			if a.Kind == Pause {
+				st.Held = a.Term + 1
+			}
+			switch {
+			case a.Kind == Note || a.Kind == Failover:
+			case slices.Contains(up, a.ID):
+				s.Answered(a.ID, a.Kind, now, now+20, st)
+			default:
+				s.Unanswered(a.ID, false)
+			}
+		}
+	}
+	return all
+}
