--- a/internal/controlplane/roster.go
+++ b/internal/controlplane/roster.go
@@ -32,8 +32,8 @@
 func (t *tables) absent(svc string, now float64) (out []failover.Member) {
 	for _, id := range t.state.Roster[svc] {
 		m, known := t.members.Get(id)
-		if known && !m.Gone {
-			continue
+		if known && !m.Gone || t.covered[config.RosterMember{Svc: svc, ID: id}] {
+			continue // a covered one is to leave the roster: what it held is at others, agreed on or not
 		}
 		ended := known || now-t.ledAt > ms(memberKeep)
 		out = append(out, failover.Member{ID: id, Absent: true, Ended: ended})
--- a/internal/failover/cover.go
+++ b/internal/failover/cover.go
@@ -20,21 +20,33 @@
 // cover asks and decides for members that have ended.
 func (s *Service) cover(v *View, now float64) {
 	s.noteEnded(v, now)
-	p := s.find(v, s.leads())
-	if len(s.covers) == 0 || p == nil || p.Unlisted || v.SyncN == 0 {
+	if len(s.covers) == 0 || v.SyncN == 0 {
 		return
 	}
-	if now >= s.coverAt {
-		s.coverAt = now + s.coverPause(now)
-		s.askAll(v, now)
+	if p := s.find(v, s.leads()); p != nil && !p.Unlisted {
+		if now >= s.coverAt {
+			s.coverAt = now + s.coverPause(now)
+			s.askAll(v, now)
+		}
+		s.notePosition(p.ID)
 	}
 	for id, c := range s.covers {
-		if s.coveredBy(v, p.ID, c) {
+		if s.coveredBy(v, c) {
 			s.act(Covered, id, "")
 		}
 	}
 }
 
+// notePosition keeps what the primary answered since each member had ended: the first of its answers in a term.
+func (s *Service) notePosition(primary string) {
+	f := s.fact(primary)
+	for _, c := range s.covers {
+		if f.ok && f.status.Primary && f.at >= c.since && (c.primary != primary || c.term != f.status.Term) {
+			c.primary, c.term, c.pos = primary, f.status.Term, f.status.Received
+		}
+	}
+}
+
 // leads is who leads while this machine watches, or prepares a planned end: at other times nobody is sure to.
 func (s *Service) leads() string {
 	switch {
@@ -73,25 +85,22 @@
 	}
 }
 
-// coveredBy says whether enough replicas hold what the primary had when the member was known to have ended.
-func (s *Service) coveredBy(v *View, primary string, c *cover) bool {
-	f := s.fact(primary)
-	if !f.ok || !f.status.Primary || f.at < c.since {
+// coveredBy says whether enough replicas hold what the primary had when the member was known to have ended. That stays true when the
+// primary has died since.
+func (s *Service) coveredBy(v *View, c *cover) bool {
+	if c.primary == "" {
 		return false
 	}
-	if c.primary != primary || c.term != f.status.Term {
-		c.primary, c.term, c.pos = primary, f.status.Term, f.status.Received
-	}
 	holders := 0
 	for _, m := range v.Members {
-		r := s.fact(m.ID)
-		if m.Absent || m.Unlisted || m.ID == primary || !r.ok || r.status.Primary {
+		f := s.fact(m.ID)
+		if m.Absent || m.Unlisted || m.ID == c.primary || !f.ok || f.status.Primary {
 			continue
 		}
-		if r.status.Received.Term > c.term {
+		if f.status.Received.Term > c.term {
 			return false // the primary is one no longer
 		}
-		if !r.status.Received.Less(c.pos) {
+		if !f.status.Received.Less(c.pos) {
 			holders++
 		}
 	}
