--- a/internal/controlplane/requests.go
+++ b/internal/controlplane/requests.go
@@ -38,6 +38,8 @@
 	case a.Outcome == orders.Refused && r.Grant == nil:
 		c.h.log.Event(events.ConfigNot, "reason", a.Reason, "why", string(a.Body), "from", r.Node)
 	case a.Outcome != orders.Taken:
+	case r.Forget != "":
+		c.h.log.Event(events.RosterChange, "forgotten", r.Forget, "from", r.Node)
 	case r.Sites != nil:
 		c.h.log.Event(events.SiteMap, "kind", r.Sites.Kind, "site", r.Sites.Name, "version", a.State.Sites.Version)
 	case r.Shards != nil:
--- a/internal/orders/orders.go
+++ b/internal/orders/orders.go
@@ -177,6 +177,8 @@
 		return s.state.WithShards(o.Shards)
 	case o.Sites != nil:
 		return s.state.WithSites(o.Sites)
+	case o.Forget != "":
+		return s.state.WithoutMember(o.Forget)
 	}
 	c := &config.Change{Amend: o.Amend, Base: o.Base, Body: o.Body}
 	if s.state.Taken(c) {
