--- a/internal/controlplane/calls.go
+++ b/internal/controlplane/calls.go
@@ -4,7 +4,9 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"io"
+	"net"
 	"net/http"
 	"strconv"
 
@@ -107,11 +109,7 @@
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, mostConfig))
 	if err != nil {
-		status := http.StatusBadRequest
-		if _, long := err.(*http.MaxBytesError); long {
-			status = http.StatusRequestEntityTooLarge
-		}
-		http.Error(w, "the body did not come whole: "+err.Error(), status)
+		http.Error(w, "the body did not come whole: "+err.Error(), statusOf(err))
 		return
 	}
 	status, answer := c.h.call(controlmsg.Request{Amend: amend, Base: base, Body: body})
@@ -120,6 +118,20 @@
 	w.Write(answer)
 }
 
+// statusOf says what an order is told whose body did not come. One that was too slow is not refused: this very order may have been taken,
+// and is to be sent again.
+func statusOf(err error) int {
+	var long *http.MaxBytesError
+	var slow net.Error
+	switch {
+	case errors.As(err, &long):
+		return http.StatusRequestEntityTooLarge
+	case errors.As(err, &slow) && slow.Timeout():
+		return http.StatusRequestTimeout
+	}
+	return http.StatusBadRequest
+}
+
 func (c *configResource) replace(w http.ResponseWriter, r *http.Request) { c.change(w, r, false) }
 func (c *configResource) amend(w http.ResponseWriter, r *http.Request)   { c.change(w, r, true) }
 
--- a/internal/controlplane/controlplane.go
+++ b/internal/controlplane/controlplane.go
@@ -40,16 +40,14 @@
 	mu    sync.Mutex
 	cores map[string]*coreLink // by mesh address
 
-	pendMu  sync.Mutex
-	pending map[uint64]chan *controlmsg.Response
-	number  uint64
+	pending *pendingCalls
 }
 
 type coreLink struct{ l *link }
 
 // Run serves until ctx ends, or a failure that can't be served with.
 func Run(ctx context.Context, s *settings.Settings, log events.Log) error {
-	h := &Server{set: s, log: log, start: time.Now(), cores: map[string]*coreLink{}, pending: map[uint64]chan *controlmsg.Response{}}
+	h := &Server{set: s, log: log, start: time.Now(), cores: map[string]*coreLink{}, pending: newPendingCalls(time.Now())}
 	h.ctx, h.cancel = context.WithCancelCause(ctx)
 	var err error
 	if h.loop, err = openConsensusLoop(h); err != nil {
@@ -105,17 +103,18 @@
 	}
 	c := &coreLink{}
 	h.cores[addr] = c
-	set := func(l *link) {
+	set := func(l *link) (old *link) {
 		h.mu.Lock()
-		c.l = l
-		h.mu.Unlock()
+		defer h.mu.Unlock()
+		old, c.l = c.l, l
+		return old
 	}
 	go transport.Keep(h.ctx, addr, transport.Backoff{First: 50 * time.Millisecond, Most: time.Second, DialTimeout: transport.DialTimeout}, func(l *link) {
 		l.Send(&controlmsg.Frame{Hello: &controlmsg.Hello{Kind: "core", Name: h.set.Hostname, Addr: h.set.Ctl}})
 		set(l)
 		h.log.Event(events.LinkUp, "core", ctl)
 	}, h.take, func() {
-		set(nil)
+		h.pending.lost(set(nil))
 		h.log.Event(events.LinkDown, "core", ctl)
 		h.loop.do(func() { h.loop.node.LeaderGone(ctl, h.now()) })
 	})
@@ -123,14 +122,21 @@
 
 // sendCore sends to a core machine, and begins to reach it where it was not known.
 func (h *Server) sendCore(ctl string, f *controlmsg.Frame) bool {
+	l := h.coreLink(ctl)
+	return l != nil && l.Send(f)
+}
+
+// coreLink gives the link to a core machine, nil for none at the moment, and begins to reach it where it was not known.
+func (h *Server) coreLink(ctl string) *link {
 	h.mu.Lock()
 	c := h.cores[h.set.MeshOf(ctl)]
-	h.mu.Unlock()
-	if c == nil {
-		h.reach(ctl)
-		return false
+	if c != nil {
+		defer h.mu.Unlock()
+		return c.l
 	}
-	return c.l != nil && c.l.Send(f)
+	h.mu.Unlock()
+	h.reach(ctl)
+	return nil
 }
 
 // sendCores sends to all other core machines.
@@ -166,48 +172,51 @@
 		return
 	}
 	if f.Response != nil {
-		h.pendMu.Lock()
-		ch := h.pending[f.Response.Number]
-		delete(h.pending, f.Response.Number)
-		h.pendMu.Unlock()
-		if ch != nil {
-			ch <- f.Response
-		}
+		h.pending.answer(l, f.Response)
 		return
 	}
 	h.tables.do(func() { h.tables.take(l, f) })
 }
 
 // call answers an operator's call, here or at who leads.
-func (h *Server) call(a controlmsg.Request) (int, []byte) {
-	ch := make(chan *controlmsg.Response, 1)
-	h.pendMu.Lock()
-	h.number++
-	a.Number = h.number
-	h.pending[a.Number] = ch
-	h.pendMu.Unlock()
-	a.Node = h.set.Hostname
-	h.loop.do(func() {
-		leader, known := h.loop.node.Leading()
-		switch {
-		case known && leader.ID == h.loop.node.HardState.ID:
-			h.loop.take(a, func(status int, body []byte) { ch <- &controlmsg.Response{Status: status, Body: body} })
-		case known && h.sendCore(leader.Addr, &controlmsg.Frame{Request: &a}):
-		default:
-			ch <- &controlmsg.Response{Status: 503, Body: []byte("nobody is known to lead the core\n")}
-		}
-	})
-	defer func() {
-		h.pendMu.Lock()
-		delete(h.pending, a.Number)
-		h.pendMu.Unlock()
-	}()
+func (h *Server) call(r controlmsg.Request) (int, []byte) {
+	answer := make(chan *controlmsg.Response, 1)
+	r.Node = h.set.Hostname
+	over := make(chan struct{}) // the caller waits no longer
+	defer close(over)
+	h.loop.do(func() { h.route(r, answer, over) })
 	select {
-	case ans := <-ch:
-		return ans.Status, ans.Body
+	case a := <-answer:
+		return a.Status, a.Body
 	case <-time.After(requestTimeout):
 		return 503, []byte("no answer from who leads the core\n")
 	case <-h.ctx.Done():
 		return 503, []byte("stopping\n")
 	}
 }
+
+// route has a call decided: in this machine's own queue, or by who leads, who is asked once.
+func (h *Server) route(r controlmsg.Request, answer chan<- *controlmsg.Response, over <-chan struct{}) {
+	leader, known := h.loop.node.Leading()
+	if known && leader.ID == h.loop.node.HardState.ID {
+		h.loop.take(r, func(status int, body []byte) { answer <- &controlmsg.Response{Status: status, Body: body} })
+		return
+	}
+	var l *link
+	if known {
+		l = h.coreLink(leader.Addr)
+	}
+	if l == nil {
+		answer <- &controlmsg.Response{Status: 503, Body: []byte("nobody is known to lead the core\n")}
+		return
+	}
+	id := h.pending.add(l, answer)
+	r.Number = id.number
+	go func() {
+		<-over
+		h.pending.forget(id)
+	}()
+	if !l.Send(&controlmsg.Frame{Request: &r}) {
+		h.pending.lost(l)
+	}
+}
--- /dev/null
+++ b/internal/controlplane/pending.go
@@ -0,0 +1,69 @@
+package controlplane
+
+// This file owns which call an answer belongs to: calls that this machine passed on to who leads, and that wait.
+
+import (
+	"sync"
+	"time"
+
+	"weirwind/internal/controlmsg"
+)
+
+// callID is a call's identity. A number is never used twice by one process, nor, as it begins at the time of day, by two lives of one;
+// an answer counts only where it comes over the very link that the call went out on.
+type callID struct {
+	link   *link
+	number uint64
+}
+
+// pendingCalls are those that wait for their answer.
+type pendingCalls struct {
+	mu     sync.Mutex
+	number uint64
+	calls  map[callID]chan<- *controlmsg.Response // each takes one without waiting
+}
+
+func newPendingCalls(start time.Time) *pendingCalls {
+	return &pendingCalls{number: uint64(start.UnixNano()), calls: map[callID]chan<- *controlmsg.Response{}}
+}
+
+// add has a call that goes out over a link wait for its answer in ch, which must have room for one.
+func (p *pendingCalls) add(l *link, ch chan<- *controlmsg.Response) callID {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.number++
+	id := callID{l, p.number}
+	p.calls[id] = ch
+	return id
+}
+
+// forget lets go of a call whose caller waits no longer: its answer will be dropped.
+func (p *pendingCalls) forget(id callID) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	delete(p.calls, id)
+}
+
+// answer gives a response to its call. One that nobody waits for is dropped.
+func (p *pendingCalls) answer(l *link, r *controlmsg.Response) {
+	p.mu.Lock()
+	id := callID{l, r.Number}
+	ch := p.calls[id]
+	delete(p.calls, id)
+	p.mu.Unlock()
+	if ch != nil {
+		ch <- r
+	}
+}
+
+// lost ends all calls that went out over a link that has ended: what came of them is not known, and no answer can come any more.
+func (p *pendingCalls) lost(l *link) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for id, ch := range p.calls {
+		if id.link == l {
+			delete(p.calls, id)
+			ch <- &controlmsg.Response{Status: 503, Body: []byte("the link to who leads the core broke; ask again\n")}
+		}
+	}
+}
--- /dev/null
+++ b/internal/controlplane/platform_test.go
@@ -0,0 +1,57 @@
+package controlplane
+
+import (
+	"bufio"
+	"net"
+	"net/http"
+	"strings"
+	"sync/atomic"
+	"testing"
+)
+
+// A platform that takes a call, and then ends the connection without an answer, was asked once: the client puts no call again, and none
+// over a connection that rested. Point 5: it fails with kept connections, which end unseen as they rest.
+func TestPlatformIsAskedOnce(t *testing.T) {
+	ln, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer ln.Close()
+	var conns, calls atomic.Int32
+	go func() {
+		for {
+			c, err := ln.Accept()
+			if err != nil {
+				return
+			}
+			conns.Add(1)
+			go func() {
+				defer c.Close()
+				r := bufio.NewReader(c)
+				for {
+					req, err := http.ReadRequest(r)
+					if err != nil {
+						return
+					}
+					req.Body.Close()
+					if calls.Add(1)%2 == 0 {
+						return // it was carried out, and its answer is lost
+					}
+					c.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
+				}
+			}()
+		}
+	}()
+	failed := 0
+	for range 10 {
+		resp, err := platformClient.Post("http://"+ln.Addr().String()+"/failover", "application/json", strings.NewReader(`{"svc":"s","id":"a"}`))
+		if err != nil {
+			failed++
+			continue
+		}
+		resp.Body.Close()
+	}
+	if calls.Load() != 10 || conns.Load() != 10 || failed != 5 {
+		t.Errorf("10 calls, of which 5 lost their answers: %d came, over %d connections, %d failed", calls.Load(), conns.Load(), failed)
+	}
+}
--- a/internal/controlplane/succession.go
+++ b/internal/controlplane/succession.go
@@ -111,6 +111,10 @@
 	})
 }
 
+// platformClient puts each call over a connection of its own: one that was kept may have ended unseen, and whether a call over it has
+// arrived would not be known. A call without an answer is not put again here; failover decides what follows.
+var platformClient = &http.Client{Timeout: callTime, Transport: &http.Transport{DisableKeepAlives: true}}
+
 // failover calls the platform, with this machine as holder and its term as fence.
 func (t *tables) failover(s *failover.Service, svc, id string, fence uint64) {
 	body, _ := json.Marshal(map[string]string{"svc": svc, "id": id})
@@ -120,9 +124,8 @@
 		req.Header.Set("Content-Type", "application/json")
 		req.Header.Set("Weirwind-Holder", t.h.set.Hostname)
 		req.Header.Set("Weirwind-Fence", strconv.FormatUint(fence, 10))
-		client := http.Client{Timeout: callTime}
 		var resp *http.Response
-		if resp, err = client.Do(req); err == nil {
+		if resp, err = platformClient.Do(req); err == nil {
 			io.Copy(io.Discard, io.LimitReader(resp.Body, 4<<10))
 			resp.Body.Close()
 			status = resp.StatusCode
