--- /dev/null
+++ b/internal/proxy/repeat_test.go
@@ -0,0 +1,240 @@
+package proxy
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"weirwind/internal/config"
+	"weirwind/internal/directory"
+	"weirwind/internal/events"
+	"weirwind/internal/group"
+	"weirwind/internal/settings"
+	"weirwind/internal/wire"
+)
+
+// What a scripted member does in place of an answer of the script.
+const (
+	cutOff  = "cut off"  // the connection ends, the statement was taken
+	byHalf  = "by half"  // so, behind many rows
+	asUsual = "as usual" // no answer of the script: the member answers as members do
+)
+
+// scripted is a member that leads, and that answers statements by a script.
+type scripted struct {
+	mu     sync.Mutex
+	script map[string][]string // by text: what comes of it, one after the other; then as usual
+	ran    []string            // texts with a client's id, as they came
+	conns  int
+}
+
+func (m *scripted) take(id, text string) string {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if id != wire.NoStamp {
+		m.ran = append(m.ran, text)
+	}
+	all := m.script[text]
+	if len(all) == 0 {
+		return asUsual
+	}
+	m.script[text] = all[1:]
+	return all[0]
+}
+
+// times counts how often a text came.
+func (m *scripted) times(text string) (n int) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	for _, t := range m.ran {
+		if t == text {
+			n++
+		}
+	}
+	return n
+}
+
+func (m *scripted) serve(c net.Conn) {
+	defer c.Close()
+	r := wire.NewReader(c)
+	if _, err := r.Line(); err != nil {
+		return
+	}
+	m.mu.Lock()
+	m.conns++
+	m.mu.Unlock()
+	fmt.Fprint(c, "READY I 1.1\r\n")
+	state := wire.Idle
+	for {
+		line, err := r.Line()
+		if err != nil {
+			return
+		}
+		_, rest := wire.Cut(line)
+		id, text := wire.Cut(rest)
+		said := m.take(id, text)
+		verb, _ := wire.Cut(text)
+		stamp := "m." + id
+		switch {
+		case said == cutOff:
+			return
+		case said == byHalf:
+			fmt.Fprint(c, strings.Repeat("ROW "+strings.Repeat("x", 1000)+"\r\n", 400))
+			return
+		case said != asUsual:
+			fmt.Fprint(c, said+"\r\nREADY "+state+" 1.1\r\n")
+			continue
+		case verb == "STAT":
+			fmt.Fprint(c, "ROW primary 1 1.1 1 0 0 0\r\n")
+		case verb == "FETCH":
+			fmt.Fprint(c, "ROW whole\r\n")
+		case verb == "BEGIN":
+			state = wire.Open
+		case verb == "COMMIT", verb == "ABORT":
+			state = wire.Idle
+		}
+		if id == wire.NoStamp || verb == "BEGIN" {
+			stamp = wire.NoStamp
+		}
+		fmt.Fprintf(c, "DONE %s\r\nREADY %s 1.1\r\n", stamp, state)
+	}
+}
+
+// client is a session with a proxy whose only member is a scripted one.
+type client struct {
+	c net.Conn
+	r *wire.Reader
+	n int
+}
+
+func visit(t *testing.T, m *scripted) *client {
+	ctx, stop := context.WithCancel(t.Context())
+	ln, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	go func() {
+		for {
+			c, err := ln.Accept()
+			if err != nil {
+				return
+			}
+			go m.serve(c)
+		}
+	}()
+	p := &Proxy{set: &settings.Settings{Zone: "z"}, log: events.Nothing(), ctx: ctx, start: time.Now().Add(-time.Minute), sessions: map[*session]struct{}{},
+		room: wire.NewRoom(1 << 20)}
+	p.desk = newDesk(p)
+	cfg, err := config.Read([]byte(`{"gen":1,"routes":[{"name":"r","host":"db","type":"primary","timeoutMs":3000,"svc":"s"}],"svcs":[{"name":"s","maxConns":50,"syncN":1}]}`))
+	if err != nil {
+		t.Fatal(err)
+	}
+	p.cfg.Store(cfg)
+	g := p.desk.group("s")
+	g.g.Learn(directory.Member{ID: "a", Svc: "s", Zone: "z", Addr: ln.Addr().String(), Role: directory.RolePrimary, Life: 1, Seq: 1}, p.now())
+	now := p.now()
+	g.g.Sent(g.g.Members["a"], now-1, false)
+	g.g.Heard(g.g.Members["a"], now-1, now, group.Led, wire.Position{Term: 1, Number: 1})
+	go p.desk.run()
+	here, there := net.Pipe()
+	k := &client{c: here, r: wire.NewReader(here)}
+	go (&session{p: p, c: there}).run()
+	Reset(func() { stop(); ln.Close(); here.Close() })
+	fmt.Fprint(here, "ATTACH db who\r\n")
+	if l, err := k.r.Line(); err != nil || l != "READY I -" {
+		t.Fatal(l, err)
+	}
+	return k
+}
+
+// ask gives an answer's lines, many alike ones as one.
+func (k *client) ask(text string) string {
+	k.n++
+	fmt.Fprintf(k.c, "QUERY q%d %s\r\n", k.n, text)
+	var all []string
+	for {
+		k.c.SetReadDeadline(time.Now().Add(10 * time.Second))
+		l, err := k.r.Line()
+		if err != nil {
+			return strings.Join(append(all, err.Error()), " | ")
+		}
+		if len(l) > 100 {
+			l = l[:10] + ".."
+		}
+		if len(all) == 0 || all[len(all)-1] != l {
+			all = append(all, l)
+		}
+		if strings.HasPrefix(l, wire.Ready) {
+			return strings.Join(all, " | ")
+		}
+	}
+}
+
+// Which statements are put again behind an answer that did not come (point 5). What is taken out to see each fail stands beside it.
+func TestWhatIsPutAgain(t *testing.T) {
+	Convey("With a member that loses answers", t, func() {
+		m := &scripted{script: map[string][]string{}}
+		k := visit(t, m)
+
+		Convey("a read is put again, and answered once (kindOf)", func() {
+			m.script["FETCH x"] = []string{cutOff}
+			So(k.ask("FETCH x"), ShouldEqual, "ROW whole | DONE m.q1 | READY I 1.1")
+			So(m.times("FETCH x"), ShouldEqual, 2)
+		})
+		Convey("a read whose first rows have gone to the client is not: they would be another answer's (passed)", func() {
+			m.script["FETCH x"] = []string{byHalf}
+			So(k.ask("FETCH x"), ShouldEqual, "ROW xxxxxx.. | FAIL RETRY come back after 200 ms | READY I -")
+			So(m.times("FETCH x"), ShouldEqual, 1)
+			So(k.ask("FETCH x"), ShouldEqual, "ROW whole | DONE m.q2 | READY I 1.1")
+		})
+		Convey("a write is not (kindOf)", func() {
+			m.script["STORE x 1"] = []string{cutOff}
+			So(k.ask("STORE x 1"), ShouldEqual, "FAIL UNKNOWN no answer came from a | READY I -")
+			So(m.times("STORE x 1"), ShouldEqual, 1)
+		})
+		Convey("a success without a stamp is another question's (stamped)", func() {
+			m.script["STORE x 1"] = []string{"DONE -"}
+			So(k.ask("STORE x 1"), ShouldEqual, "FAIL UNKNOWN no answer came from a | READY I -")
+			So(m.times("STORE x 1"), ShouldEqual, 1)
+		})
+		Convey("the beginning of a transaction is, as its connection's end rolls it back", func() {
+			m.script["BEGIN"] = []string{cutOff}
+			So(k.ask("BEGIN"), ShouldEqual, "DONE - | READY T -")
+			So(k.ask("STORE x 1"), ShouldEqual, "DONE m.q2 | READY T 1.1")
+			So(k.ask("COMMIT"), ShouldEqual, "DONE m.q3 | READY I 1.1")
+			So(m.times("BEGIN"), ShouldEqual, 2)
+			So(m.times("STORE x 1"), ShouldEqual, 1)
+		})
+		Convey("a statement of a transaction is not: it ends, with a promise", func() {
+			m.script["STORE x 1"] = []string{cutOff}
+			k.ask("BEGIN")
+			So(k.ask("STORE x 1"), ShouldEqual, "FAIL ABORTED no answer came from a | READY E -")
+			So(m.times("STORE x 1"), ShouldEqual, 1)
+		})
+		Convey("a COMMIT is not, and is promised nothing of", func() {
+			m.script["COMMIT"] = []string{cutOff}
+			k.ask("BEGIN")
+			k.ask("STORE x 1")
+			So(k.ask("COMMIT"), ShouldEqual, "FAIL UNKNOWN no answer to the commit came from a | READY I -")
+			So(m.times("COMMIT"), ShouldEqual, 1)
+		})
+		Convey("a COMMIT behind a write that failed, and may have run, is promised nothing of either (ran)", func() {
+			m.script["STORE x 1"], m.script["COMMIT"] = []string{"FAIL TIMEOUT"}, []string{cutOff}
+			k.ask("BEGIN")
+			So(k.ask("STORE x 1"), ShouldEqual, "FAIL TIMEOUT | READY T 1.1")
+			So(k.ask("COMMIT"), ShouldEqual, "FAIL UNKNOWN no answer to the commit came from a | READY I -")
+		})
+		Convey("a connection whose member forgot a prepared name is not used again (NoStmt)", func() {
+			k.ask("PREP s STORE q")
+			m.script["EXEC w1 x 1"] = []string{"FAIL NOSTMT w1"}
+			So(k.ask("EXEC s x 1"), ShouldContainSubstring, "DONE m.q2")
+			So(m.conns, ShouldBeGreaterThan, 1)
+		})
+	})
+}
