--- a/internal/config/state.go
+++ b/internal/config/state.go
@@ -36,9 +36,10 @@
 	At     int64    `cbor:"5,keyasint"` // its time of day in milliseconds, for people; nothing decides by it
 }
 
-// mostPast is how many changes repeats are told by. Any number is safe, as what is older is left without a clear answer; each costs
-// some eighty bytes of every entry. At 22,000 changes a day it is twenty minutes, and callers send again within seconds.
-const mostPast = 512
+// mostPast is how many changes repeats are told by. Any number is safe, as what is older is left without a clear answer; each costs some
+// eighty bytes of every entry, which goes over the wire whole. Callers send again within seconds: at 22,000 changes a day these are
+// a quarter of an hour, at four a second a minute.
+const mostPast = 256
 
 // State is the operator's word: the newest configuration as it was sent, and which changes led to it.
 type State struct {
--- a/internal/orders/orders_test.go
+++ b/internal/orders/orders_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"testing"
 
+	"github.com/fxamacker/cbor/v2"
 	. "github.com/smartystreets/goconvey/convey"
 
 	"weirwind/internal/config"
@@ -259,6 +260,9 @@
 	}
 }
 
+// remembered is how many changes a state tells repeats by.
+const remembered = 256
+
 // A day of a thousand changes, and a late copy of each: what is remembered is acknowledged, what is forgotten is not refused, and the
 // state's size is bounded (remembered, in config).
 func TestLateCopiesOfALongDay(t *testing.T) {
@@ -275,7 +279,7 @@
 		s, sent = next, append(sent, c)
 		most = max(most, len(s.Past))
 	}
-	if most > 512 {
+	if most != remembered {
 		t.Errorf("%d changes are remembered", most)
 	}
 	for i, c := range sent {
@@ -283,10 +287,15 @@
 			continue
 		}
 		_, err := s.Apply(c, "machine", 0)
-		if u, ok := err.(*config.Undecided); !ok || u.Later || i >= 1200-512 {
+		if u, ok := err.(*config.Undecided); !ok || u.Later || i >= 1200-remembered {
 			t.Fatalf("the copy of change %d: %v", i, err)
 		}
 	}
+	if raw, err := cbor.Marshal(s); err != nil || len(raw) > remembered*90+1000 {
+		t.Errorf("the state takes %d bytes (%v)", len(raw), err)
+	} else {
+		t.Logf("%d changes are remembered in %d bytes, the configuration among them", len(s.Past), len(raw))
+	}
 	other := replace(1000, 1001, 7)
 	if _, err := s.Apply(&config.Change{Base: other.Base, Body: other.Body}, "machine", 0); fmt.Sprintf("%T", err) != "*config.Refusal" {
 		t.Errorf("another change on a base of late: %v", err)
