--- a/internal/controlplane/consensus_loop.go
+++ b/internal/controlplane/consensus_loop.go
@@ -168,7 +168,7 @@
 		}
 	}
 	if leader, _ := c.node.Leading(); leader != c.leads {
-		c.h.calls.lost(c.leads.Addr)
+		c.h.pending.leadEnded(c.leads.Addr)
 		c.leads = leader
 	}
 	if leads := c.node.Ready(); leads != c.led {
--- a/internal/controlplane/controlplane.go
+++ b/internal/controlplane/controlplane.go
@@ -44,7 +44,7 @@
 	mu    sync.Mutex
 	cores map[string]*coreLink // by mesh address
 
-	calls forwarder
+	pending *pendingCalls
 }
 
 type coreLink struct {
@@ -54,8 +54,7 @@
 
 // Run serves until ctx ends, or a failure that can't be served with.
 func Run(ctx context.Context, s *settings.Settings, log events.Log) error {
-	h := &Server{set: s, log: log, start: time.Now(), cores: map[string]*coreLink{}}
-	h.calls.pending = map[uint64]*forwarded{}
+	h := &Server{set: s, log: log, start: time.Now(), cores: map[string]*coreLink{}, pending: newPendingCalls(time.Now())}
 	h.ctx, h.cancel = context.WithCancelCause(ctx)
 	h.contact.set(math.Inf(-1))
 	var err error
@@ -74,7 +73,7 @@
 	if err != nil {
 		return oops.In("listen").Wrap(err)
 	}
-	go transport.Serve(mesh, linkIdle, func(l *link) { l.CountInto(&h.accepted) }, h.take, func(l *link) { h.tables.do(func() { h.tables.lost(l) }) })
+	go transport.Serve(mesh, linkIdle, func(l *link) { l.CountInto(&h.accepted) }, h.take, func(l *link) { h.linkEnded(l) })
 	for _, p := range s.Peers {
 		h.reach(p)
 	}
@@ -113,10 +112,11 @@
 	}
 	c := &coreLink{}
 	h.cores[addr] = c
-	set := func(l *link) {
+	set := func(l *link) (old *link) {
 		h.mu.Lock()
-		c.l = l
-		h.mu.Unlock()
+		defer h.mu.Unlock()
+		old, c.l = c.l, l
+		return old
 	}
 	go transport.Keep(h.ctx, addr, transport.Backoff{First: 50 * time.Millisecond, Most: time.Second, DialTimeout: transport.DialTimeout}, func(l *link) {
 		l.CountInto(&h.dialled)
@@ -124,13 +124,18 @@
 		set(l)
 		h.log.Event(events.LinkUp, "core", ctl)
 	}, h.take, func() {
-		set(nil)
+		h.pending.lost(set(nil))
 		h.log.Event(events.LinkDown, "core", ctl)
-		h.calls.lost(ctl)
 		h.loop.do(func() { h.loop.node.LeaderGone(ctl, h.now()) })
 	})
 }
 
+// linkEnded is told of a link that another process made.
+func (h *Server) linkEnded(l *link) {
+	h.pending.lost(l)
+	h.tables.do(func() { h.tables.lost(l) })
+}
+
 // coreLinks counts the links to other core machines that stand.
 func (h *Server) coreLinks() (n int) {
 	h.mu.Lock()
@@ -145,6 +150,12 @@
 
 // sendCore sends to a core machine, and begins to reach it where it was not known.
 func (h *Server) sendCore(ctl string, f *controlmsg.Frame) bool {
+	l := h.coreLink(ctl)
+	return l != nil && l.Send(f)
+}
+
+// coreLink gives a link to a core machine that stands, nil for none at the moment, and begins to reach it where it was not known.
+func (h *Server) coreLink(ctl string) *link {
 	var made, back *link
 	h.mu.Lock()
 	c := h.cores[h.set.MeshOf(ctl)]
@@ -155,20 +166,12 @@
 	if c == nil {
 		h.reach(ctl)
 	}
-	return sendOn(made, f) || sendOn(back, f)
-}
-
-// sendOn sends on a link that may not stand.
-func sendOn(l *link, f *controlmsg.Frame) bool {
-	if l == nil {
-		return false
-	}
-	select {
-	case <-l.Done():
-		return false
-	default:
-		return l.Send(f)
+	for _, l := range []*link{made, back} {
+		if l != nil && l.Stands() {
+			return l
+		}
 	}
+	return nil
 }
 
 // heardFrom notes on which link a core machine spoke, and begins to reach it where it was not known.
@@ -215,7 +218,7 @@
 		return
 	}
 	if f.Response != nil {
-		h.calls.answer(f.Response)
+		h.pending.answer(l, f.Response)
 		return
 	}
 	h.tables.do(func() { h.tables.take(l, f) })
--- a/internal/controlplane/forward.go
+++ b/internal/controlplane/forward.go
@@ -4,10 +4,11 @@
 
 import (
 	"net/http"
-	"sync"
+	"sync/atomic"
 	"time"
 
 	"weirwind/internal/controlmsg"
+	"weirwind/internal/repeat"
 )
 
 const (
@@ -19,63 +20,6 @@
 	leaderPause   = 30 * time.Millisecond
 )
 
-// forwarder holds the calls that wait for an answer.
-type forwarder struct {
-	mu      sync.Mutex
-	number  uint64
-	pending map[uint64]*forwarded
-}
-
-type forwarded struct {
-	leader string // control address of who decides; "" until it was found
-	answer chan *controlmsg.Response
-}
-
-func (f *forwarder) open() (uint64, *forwarded) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.number++
-	c := &forwarded{answer: make(chan *controlmsg.Response, 1)}
-	f.pending[f.number] = c
-	return f.number, c
-}
-
-func (f *forwarder) sent(number uint64, leader string) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if c := f.pending[number]; c != nil {
-		c.leader = leader
-	}
-}
-
-// answer hands a call its answer; only the first one counts.
-func (f *forwarder) answer(r *controlmsg.Response) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if c := f.pending[r.Number]; c != nil {
-		delete(f.pending, r.Number)
-		c.answer <- r
-	}
-}
-
-func (f *forwarder) close(number uint64) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	delete(f.pending, number)
-}
-
-// lost is told when a machine leads no longer or its link broke: what was passed on to it has no answer to wait for.
-func (f *forwarder) lost(leader string) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for number, c := range f.pending {
-		if c.leader == leader && leader != "" {
-			delete(f.pending, number)
-			c.answer <- &controlmsg.Response{Number: number, Status: statusNotLeading, Body: []byte("who led the core leads no longer\n")}
-		}
-	}
-}
-
 // call answers an operator's call, here or at who leads.
 func (h *Server) call(a controlmsg.Request) (int, []byte) {
 	if !h.inContact() {
@@ -88,7 +32,7 @@
 		if r.Status != statusNotLeading {
 			return r.Status, r.Body
 		}
-		if sent && !repeatable(&a) || time.Since(began) > leaderTimeout {
+		if sent && kindOf(&a) == repeat.Once || time.Since(began) > leaderTimeout {
 			return http.StatusServiceUnavailable, r.Body
 		}
 		select {
@@ -99,17 +43,19 @@
 	}
 }
 
-// repeatable says that a call that may have been carried out can be made again as it was: one that was taken is found among those taken.
-func repeatable(a *controlmsg.Request) bool {
-	return a.Shards == nil && a.Sites == nil && a.Grant == nil
+// kindOf says which calls can be made again as they were: readings, and changes that are found among those taken.
+func kindOf(a *controlmsg.Request) repeat.Kind {
+	if a.Shards != nil || a.Sites != nil || a.Grant != nil {
+		return repeat.Once
+	}
+	return repeat.Idempotent
 }
 
 // callOnce has one machine decide. sent: it may have been carried out.
 func (h *Server) callOnce(a controlmsg.Request, until time.Time) (r *controlmsg.Response, sent bool) {
-	number, c := h.calls.open()
-	defer h.calls.close(number)
-	a.Number = number
-	h.loop.do(func() { h.decide(&a) })
+	c := &routedCall{request: a, answer: make(chan *controlmsg.Response, 1), over: make(chan struct{})}
+	defer close(c.over)
+	h.loop.do(func() { h.route(c) })
 	timer := time.NewTimer(time.Until(until))
 	defer timer.Stop()
 	select {
@@ -119,23 +65,37 @@
 	case <-h.ctx.Done():
 		r = &controlmsg.Response{Status: http.StatusServiceUnavailable, Body: []byte("stopping\n")}
 	}
-	h.calls.mu.Lock()
-	defer h.calls.mu.Unlock()
-	return r, c.leader != ""
+	return r, c.sent.Load()
+}
+
+// routedCall is a call that one machine is to decide.
+type routedCall struct {
+	request controlmsg.Request
+	answer  chan *controlmsg.Response // has room for one
+	over    chan struct{}             // closed when the caller waits no longer
+	sent    atomic.Bool               // somebody may have decided it
 }
 
-// decide runs in the consensus loop: it takes the call here, or passes it on.
-func (h *Server) decide(a *controlmsg.Request) {
+// route runs in the consensus loop: the call is decided in this machine's own queue, or by who leads, who is asked once.
+func (h *Server) route(c *routedCall) {
 	leader, known := h.loop.node.Leading()
-	switch {
-	case known && leader.ID == h.loop.node.HardState.ID:
-		h.calls.sent(a.Number, leader.Addr)
-		h.loop.take(*a, func(status int, body []byte) {
-			h.calls.answer(&controlmsg.Response{Number: a.Number, Status: status, Body: body})
-		})
-	case known && h.sendCore(leader.Addr, &controlmsg.Frame{Request: a}):
-		h.calls.sent(a.Number, leader.Addr)
-	default:
-		h.calls.answer(&controlmsg.Response{Number: a.Number, Status: statusNotLeading, Body: []byte("nobody is known to lead the core\n")})
+	if known && leader.ID == h.loop.node.HardState.ID {
+		c.sent.Store(true)
+		h.loop.take(c.request, func(status int, body []byte) { c.answer <- &controlmsg.Response{Status: status, Body: body} })
+		return
+	}
+	var l *link
+	if known {
+		l = h.coreLink(leader.Addr)
+	}
+	if l == nil {
+		c.answer <- &controlmsg.Response{Status: statusNotLeading, Body: []byte("nobody is known to lead the core\n")}
+		return
 	}
+	c.sent.Store(true)
+	id := h.pending.send(l, leader.Addr, c.request, c.answer)
+	go func() {
+		<-c.over
+		h.pending.forget(id)
+	}()
 }
--- a/internal/controlplane/succession.go
+++ b/internal/controlplane/succession.go
@@ -117,6 +117,10 @@
 	})
 }
 
+// platformClient puts each call over a connection of its own: one that was kept may have ended unseen, and whether a call over it has
+// arrived would not be known. A call without an answer is not put again here; failover decides what follows.
+var platformClient = &http.Client{Timeout: callTime, Transport: &http.Transport{DisableKeepAlives: true}}
+
 // nextFence is higher than that of every call before it, of this leader and of earlier ones: a call that is carried out late is
 // refused once a later one was seen.
 func (t *tables) nextFence() uint64 {
@@ -124,8 +128,7 @@
 	return t.term<<fenceCallBits | min(t.calls, 1<<fenceCallBits-1)
 }
 
-// failover calls the platform, with this machine as holder. It is sent once: Go's client sends a POST again only where nothing of it
-// was written.
+// failover calls the platform, with this machine as holder.
 func (t *tables) failover(s *failover.Service, svc, id string, fence uint64) {
 	body, _ := json.Marshal(map[string]string{"svc": svc, "id": id})
 	status := 0
@@ -134,9 +137,8 @@
 		req.Header.Set("Content-Type", "application/json")
 		req.Header.Set("Weirwind-Holder", t.h.set.Hostname)
 		req.Header.Set("Weirwind-Fence", strconv.FormatUint(fence, 10))
-		client := http.Client{Timeout: callTime}
 		var resp *http.Response
-		if resp, err = client.Do(req); err == nil {
+		if resp, err = platformClient.Do(req); err == nil {
 			io.Copy(io.Discard, io.LimitReader(resp.Body, 4<<10))
 			resp.Body.Close()
 			status = resp.StatusCode
--- a/internal/standin/town/contact_test.go
+++ b/internal/standin/town/contact_test.go
@@ -97,7 +97,7 @@
 			relays = append(relays, newRelay(t, at(i, apart), at(i, w.ports)))
 			newRelay(t, at(i, fronts), at(i, w.ports))
 		}
-	})
+	}, direct)
 	return w, func(on bool) {
 		for _, r := range relays {
 			r.set(on)
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -127,6 +127,16 @@
 	})
 }
 
+// Stands says that the link has not ended, as far as this end knows.
+func (l *Link[F]) Stands() bool {
+	select {
+	case <-l.done:
+		return false
+	default:
+		return true
+	}
+}
+
 // Done is closed when the link has ended.
 func (l *Link[F]) Done() <-chan struct{} { return l.done }
 
