--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -113,7 +113,7 @@
 	}
 	last := &n.HardState.Last
 	rest := slices.DeleteFunc(slices.Clone(last.Voters), func(v Voter) bool { return v.ID == n.HardState.ID })
-	if _, joins := n.nextJoiner(now); n.mayRemove(joins) && n.confirmedBy(rest, now) {
+	if _, joins := n.nextJoiner(now); n.mayRemove(joins) && n.answering(rest, now) >= majority(rest) {
 		n.put(rest, last.Value, now)
 		return
 	}
--- a/internal/consensus/membership.go
+++ b/internal/consensus/membership.go
@@ -263,3 +263,14 @@
 		return v.ID != n.HardState.ID && p != nil && now-p.heard > 3*n.o.HeartbeatInterval
 	})
 }
+
+// answering counts the voters, this node with them, that answered one of the newest heartbeats. A leader that ends has no time to ask
+// anew: its successor may end with it.
+func (n *Node) answering(voters []Voter, now float64) (count int) {
+	for _, v := range voters {
+		if p := n.peers[v.ID]; v.ID == n.HardState.ID || p != nil && now-p.heard < 3*n.o.HeartbeatInterval {
+			count++
+		}
+	}
+	return count
+}
