--- a/internal/consensus/consensus.go
+++ b/internal/consensus/consensus.go
@@ -125,7 +125,6 @@
 	peers  map[string]*peer
 	round  uint64
 	beatAt float64
-	since  float64 // leading since
 	joins  map[string]joiner
 	joinAt float64
 	dirty  bool
