--- a/internal/controlplane/consensus_loop.go
+++ b/internal/controlplane/consensus_loop.go
@@ -42,6 +42,7 @@
 	seen  [2]uint64
 	known uint64 // gen told to the tables
 	led   bool
+	split bool // a voter is silent, as the tables know
 	voted string
 	wrong int
 
@@ -137,6 +138,7 @@
 			break
 		}
 	}
+	c.watchVoters()
 	if leads := c.node.Ready(); leads != c.led {
 		c.led = leads
 		if leads {
--- a/internal/controlplane/roster.go
+++ b/internal/controlplane/roster.go
@@ -4,10 +4,12 @@
 
 import (
 	"net/http"
+	"slices"
 
 	"github.com/fxamacker/cbor/v2"
 
 	"weirwind/internal/config"
+	"weirwind/internal/consensus"
 	"weirwind/internal/controlmsg"
 	"weirwind/internal/directory"
 	"weirwind/internal/events"
@@ -16,6 +18,29 @@
 
 const rosterEvery = 200.0 // milliseconds between proposals: what comes together costs one
 
+// Times of doubt: members may beat at a machine of the core that this one doesn't hear.
+const (
+	voterSilent = 1000.0 // milliseconds after which a machine of the core is silent
+	doubtFor    = 3000.0 // after it is back, or this machine began to lead, until its members are known
+)
+
+// watchVoters tells the tables when a machine of the core falls silent, and when all are heard again.
+func (c *consensusLoop) watchVoters() {
+	split := slices.ContainsFunc(c.node.Others(c.h.now()), func(s consensus.Standing) bool {
+		return s.Silent < 0 || s.Silent > voterSilent
+	})
+	if split == c.split {
+		return
+	}
+	c.split = split
+	c.h.tables.do(func() { c.h.tables.partial, c.h.tables.partialAt = split, c.h.now() })
+}
+
+// doubtful says whether there may be members of which this leader has not heard though they live.
+func (t *tables) doubtful(now float64) bool {
+	return t.partial || now-max(t.partialAt, t.ledAt) < doubtFor
+}
+
 // present gives the members that have not ended, by service.
 func (t *tables) present() map[string][]directory.Member {
 	bySvc := map[string][]directory.Member{}
--- a/internal/controlplane/succession.go
+++ b/internal/controlplane/succession.go
@@ -53,7 +53,7 @@
 			s = failover.New(now)
 			t.successions[cs.Name] = s
 		}
-		v := &failover.View{Svc: cs.Name, SyncN: cs.SyncN, Drivers: drivers}
+		v := &failover.View{Svc: cs.Name, SyncN: cs.SyncN, Drivers: drivers, Doubt: t.doubtful(now)}
 		for _, m := range bySvc[cs.Name] {
 			v.Members = append(v.Members, failover.Member{ID: m.ID, Gen: m.Gen, Leaving: m.Leaving, Silent: t.members.Silent(m.ID, now),
 				Primary: m.Role == directory.RolePrimary, Replica: m.Role == directory.RoleReplica,
--- a/internal/controlplane/tables.go
+++ b/internal/controlplane/tables.go
@@ -57,6 +57,8 @@
 	calls       uint64                       // to the platform in this lead
 	covered     map[config.RosterMember]bool // may leave the roster
 	rosterAt    float64                      // when the roster may be proposed again
+	partial     bool                         // a machine of the core is silent
+	partialAt   float64                      // when that changed
 }
 
 type report struct {
--- a/internal/failover/cover_test.go
+++ b/internal/failover/cover_test.go
@@ -71,6 +71,35 @@
 	}
 }
 
+// While the core is in doubt about who there is, a planned end doesn't rely on pauses: the old primary steps down first.
+func TestInDoubtThePrimaryStepsDownFirst(t *testing.T) {
+	for _, doubt := range []bool{false, true} {
+		s := New(-5000)
+		v := &View{Svc: "s", SyncN: 1, Doubt: doubt, Members: []Member{{ID: "a", Primary: true, Leaving: true}, {ID: "b", Replica: true}, {ID: "c", Replica: true}}}
+		leads, called, early := true, false, false
+		for now := 0.0; now < 3000 && !called; now += 50 {
+			for _, a := range s.Step(v, now) {
+				st := answer(a.ID == "a" && leads, 9)
+				switch a.Kind {
+				case Failover:
+					called, early = true, leads
+				case StepDown:
+					leads = false
+					s.Answered("a", StepDown, now, now+20, answer(false, 9))
+				case Pause:
+					st.Held = a.Term + 1
+					s.Answered(a.ID, Pause, now, now+20, st)
+				case Stat, Cont:
+					s.Answered(a.ID, a.Kind, now, now+20, st)
+				}
+			}
+		}
+		if !called || early == doubt {
+			t.Errorf("in doubt %v: called %v, while the old primary led %v", doubt, called, early)
+		}
+	}
+}
+
 // stepThrough answers for those that are up, as replicas, until then, and gives all acts.
 func stepThrough(s *Service, v *View, from, until float64, up ...string) (all []Act) {
 	for now := from; now < until; now += 50 {
--- a/internal/failover/failover.go
+++ b/internal/failover/failover.go
@@ -74,6 +74,7 @@
 	Svc     string
 	SyncN   int
 	Members []Member // those that are there, and those on the roster
+	Doubt   bool     // members may beat at machines of the core that this one doesn't hear: there may be replicas that it doesn't know
 	Drivers int
 	Accused int // drivers that wait for the primary in vain
 	Stuck   int // drivers that it answers, but no commit
--- a/internal/failover/freeze.go
+++ b/internal/failover/freeze.go
@@ -66,12 +66,13 @@
 		if s.next == "" {
 			return
 		}
-		if len(rs) == 1 || !slices.ContainsFunc(rs, func(m Member) bool { return m.ID != s.next && !s.fact(m.ID).paused }) {
+		allPaused := !slices.ContainsFunc(rs, func(m Member) bool { return m.ID != s.next && !s.fact(m.ID).paused })
+		if allPaused && !v.Doubt {
 			s.enter(catching, now)
 			s.catch(v, now)
-		} else if now-s.since > stepAfter {
-			// A replica can't be paused, and might receive what the successor lacks: the old primary itself is the one that
-			// surely has all. Its drain binds, so that nothing new comes; once the successor has what it has, it steps down.
+		} else if allPaused || now-s.since > stepAfter {
+			// A replica can't be paused, or isn't known, and might receive what the successor lacks: the old primary itself is the
+			// one that surely has all. Its drain binds, so that nothing new comes; once the successor has what it has, it steps down.
 			if !s.bound {
 				s.bound = true
 				s.act(Handed, s.old, "")
@@ -80,7 +81,7 @@
 			switch {
 			case old.ok && !old.status.Primary && old.at >= s.since:
 				s.stepped, s.oldPos = true, old.status.Received
-				s.say("the old primary has stepped down, as a replica can't be paused")
+				s.say("the old primary has stepped down, as a replica can't be paused or isn't known")
 				s.enter(catching, now)
 				s.catch(v, now)
 			case !old.waiting && old.ok && n.ok && n.at >= s.since && !n.status.Received.Less(old.status.Received):
