--- a/internal/controlplane/roster.go
+++ b/internal/controlplane/roster.go
@@ -20,8 +20,9 @@
 
 // Times of doubt: members may beat at a machine of the core that this one doesn't hear.
 const (
-	voterSilent = 1000.0 // milliseconds after which a machine of the core is silent
-	doubtFor    = 3000.0 // after it is back, or this machine began to lead, until its members are known
+	voterSilent   = 1000.0 // milliseconds after which a machine of the core is silent
+	replacedAfter = 1.5    // beats: a late word of the old one doesn't end the new one
+	doubtFor      = 3000.0 // after it is back, or this machine began to lead, until its members are known
 )
 
 // watchVoters tells the tables when a machine of the core falls silent, and when all are heard again.
@@ -52,6 +53,17 @@
 	return bySvc
 }
 
+// endReplaced notes the end of members whose address another now has: a member that crashed comes back with its log and another id. The
+// old id stays on the roster until it is covered, which takes a living primary, but nobody waits for it to be silent for a minute.
+func (t *tables) endReplaced(by directory.Member, now float64) {
+	for _, m := range t.members.List() {
+		sameAddress := m.Svc == by.Svc && m.Addr == by.Addr && m.ID != by.ID
+		if sameAddress && !m.Gone && t.members.Silent(m.ID, now) > replacedAfter*ms(t.h.set.Beat) {
+			t.leave(m.ID)
+		}
+	}
+}
+
 // absent gives the members on the roster of a service to which no question can be put. One of which nothing is known has ended once
 // it was silent, as far as this leader can tell, for as long as a known one may be.
 func (t *tables) absent(svc string, now float64) (out []failover.Member) {
--- a/internal/controlplane/tables.go
+++ b/internal/controlplane/tables.go
@@ -210,6 +210,7 @@
 	}
 	if !known {
 		t.h.log.Event(events.MemberNew, "member", m.ID, "svc", m.Svc, "addr", m.Addr, "role", int(m.Role))
+		t.endReplaced(m, now)
 	} else if old.Role != m.Role {
 		t.h.log.Event(events.MemberRole, "member", m.ID, "svc", m.Svc, "role", int(m.Role))
 	}
