--- a/internal/controlplane/consensus_loop.go
+++ b/internal/controlplane/consensus_loop.go
@@ -48,6 +48,7 @@
 	known uint64 // gen told to the tables
 	led   bool
 	leads consensus.Voter // who is followed; its own where it leads
+	split bool            // a voter is silent, as the tables know
 	voted string
 	wrong int
 
@@ -171,6 +172,7 @@
 		c.h.pending.leadEnded(c.leads.Addr)
 		c.leads = leader
 	}
+	c.watchVoters()
 	if leads := c.node.Ready(); leads != c.led {
 		c.led = leads
 		if leads {
--- a/internal/controlplane/tables.go
+++ b/internal/controlplane/tables.go
@@ -58,6 +58,8 @@
 	calls       uint64                       // to the platform in this lead
 	covered     map[config.RosterMember]bool // may leave the roster
 	rosterAt    float64                      // when the roster may be proposed again
+	partial     bool                         // a machine of the core is silent
+	partialAt   float64                      // when that changed
 }
 
 type report struct {
@@ -219,6 +221,7 @@
 	}
 	if !known {
 		t.h.log.Event(events.MemberNew, "member", m.ID, "svc", m.Svc, "addr", m.Addr, "role", int(m.Role))
+		t.endReplaced(m, now)
 	} else if old.Role != m.Role {
 		t.h.log.Event(events.MemberRole, "member", m.ID, "svc", m.Svc, "role", int(m.Role))
 	}
