--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,8 +1,8 @@
 // Package config is the operator's configuration: what it says, what is wrong with one, and what a change makes of
 // it.
 //
-// It does no I/O. Items are kept as they were sent, fields that are not known here included, so that what is read back is what
-// was sent. This file owns reading and checking.
+// It does no I/O. Items are kept as they were sent, fields that are not known here included, so that what is read
+// back is what was sent. This file owns reading and checking.
 package config
 
 import (
--- a/internal/config/diff.go
+++ b/internal/config/diff.go
@@ -10,7 +10,8 @@
 	"slices"
 )
 
-// Diff says what differs between two configurations: lines with + for what only b has, - for what only a has, ~ for what changed.
+// Diff says what differs between two configurations: lines with + for what only b has, - for what only a has, ~ for
+// what changed.
 func Diff(a, b []byte) ([]string, error) {
 	x, y := map[string]json.RawMessage{}, map[string]json.RawMessage{}
 	if err := strict(a, &x); err != nil {
--- a/internal/config/state.go
+++ b/internal/config/state.go
@@ -36,9 +36,9 @@
 	At     int64    `cbor:"5,keyasint"` // its time of day in milliseconds, for people; nothing decides by it
 }
 
-// mostPast is how many changes repeats are told by. Any number is safe, as what is older is left without a clear answer; each costs some
-// eighty bytes of every entry, which goes over the wire whole. Callers send again within seconds: at 22,000 changes a day these are
-// a quarter of an hour, at four a second a minute.
+// mostPast is how many changes repeats are told by. Any number is safe, as what is older is left without a clear
+// answer; each costs some eighty bytes of every entry, which goes over the wire whole. Callers send again within
+// seconds: at 22,000 changes a day these are a quarter of an hour, at four a second a minute.
 const mostPast = 256
 
 // State is the operator's word: the newest configuration as it was sent, and which changes led to it.
@@ -88,22 +88,24 @@
 	return b.Past[0].Base
 }
 
-// fits says whether a change that is not remembered may follow: each version has one successor. A base behind is refused for ever,
-// but where that is so long ago that this very change may be the one that was taken on it.
+// fits says whether a change that is not remembered may follow: each version has one successor. A base behind is
+// refused for ever, but where that is so long ago that this very change may be the one that was taken on it.
 func (b *State) fits(base uint64) error {
 	switch {
 	case base > b.Gen:
-		return &Undecided{"base_ahead", fmt.Sprintf("version %d, on which it builds, is not in place; version %d is", base, b.Gen), true}
+		text := fmt.Sprintf("version %d, on which it builds, is not in place; version %d is", base, b.Gen)
+		return &Undecided{"base_ahead", text, true}
 	case base < b.remembered():
-		return &Undecided{"forgotten", fmt.Sprintf("which change was taken on version %d is no longer known; version %d is in place", base, b.Gen), false}
+		text := fmt.Sprintf("what was taken on version %d is no longer known; version %d is in place", base, b.Gen)
+		return &Undecided{"forgotten", text, false}
 	case base < b.Gen:
 		return refuse(412, "other_base", "version %d is in place, not %d", b.Gen, base)
 	}
 	return nil
 }
 
-// Apply makes of a state and a change that was not taken before the next state, or says why not: a Refusal holds in all states that
-// can follow this one, too.
+// Apply makes of a state and a change that was not taken before the next state, or says why not: a Refusal holds in
+// all states that can follow this one, too.
 func (b *State) Apply(c *Change, node string, at int64) (*State, error) {
 	gen, err := c.gen() // what is wrong by itself is so on any base
 	if err != nil {
--- a/internal/controlplane/pending.go
+++ b/internal/controlplane/pending.go
@@ -9,8 +9,8 @@
 	"weirwind/internal/controlmsg"
 )
 
-// callID is a call's identity. A number is never used twice by one process, nor, as it begins at the time of day, by two lives of one;
-// an answer counts only where it comes over the very link that the call went out on.
+// callID is a call's identity. A number is never used twice by one process, nor, as it begins at the time of day, by
+// two lives of one; an answer counts only where it comes over the very link that the call went out on.
 type callID struct {
 	link   *link
 	number uint64
@@ -66,7 +66,8 @@
 	}
 }
 
-// lost ends all calls that went out over a link that has ended: what came of them is not known, and no answer can come any more.
+// lost ends all calls that went out over a link that has ended: what came of them is not known, and no answer can
+// come any more.
 func (p *pendingCalls) lost(l *link) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/controlplane/pending_test.go
+++ b/internal/controlplane/pending_test.go
@@ -10,9 +10,10 @@
 	"weirwind/internal/controlmsg"
 )
 
-// Calls over several links, of which each ends and comes again, and answers that come late, twice, over another link or from another
-// life of this process: each caller gets its own answer, or one that says that none came; once. Point 5: it fails with the link left out
-// of callID, with numbers that begin at nought in each life, and with answer not forgetting.
+// Calls over several links, of which each ends and comes again, and answers that come late, twice, over another link
+// or from another life of this process: each caller gets its own answer, or one that says that none came; once. Point
+// 5: it fails with the link left out of callID, with numbers that begin at nought in each life, and with answer not
+// forgetting.
 func TestAnswersFindTheirCallers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type call struct {
--- a/internal/controlplane/requests.go
+++ b/internal/controlplane/requests.go
@@ -1,7 +1,7 @@
 package controlplane
 
-// This file owns operators' requests at the machine that leads: they are queued and decided by package orders; here their answers go
-// out and into the log.
+// This file owns operators' requests at the machine that leads: they are queued and decided by package orders; here
+// their answers go out and into the log.
 
 import (
 	"time"
@@ -22,7 +22,8 @@
 	}}, c.h.now())
 }
 
-// answer decides what can be decided. What that has to ask of others goes out at once, where nothing must be synced before it.
+// answer decides what can be decided. What that has to ask of others goes out at once, where nothing must be synced
+// before it.
 func (c *consensusLoop) answer() {
 	c.orders.Step(c.node, c.state, c.h.now(), time.Now().UnixMilli())
 	if !c.node.Dirty() {
@@ -36,9 +37,11 @@
 		c.h.log.Event(events.ConfigNot, "reason", a.Reason, "why", string(a.Body), "from", r.Node)
 	case a.Outcome != orders.Taken:
 	case r.Sites != nil:
-		c.h.log.Event(events.SiteMap, "kind", r.Sites.Kind, "site", r.Sites.Name, "version", a.State.Sites.Version)
+		s := r.Sites
+		c.h.log.Event(events.SiteMap, "kind", s.Kind, "site", s.Name, "version", a.State.Sites.Version)
 	case r.Shards != nil:
-		c.h.log.Event(events.ShardMap, "kind", r.Shards.Kind, "shard", r.Shards.Shard, "node", r.Shards.Node, "version", a.State.Shards.Version)
+		s := r.Shards
+		c.h.log.Event(events.ShardMap, "kind", s.Kind, "shard", s.Shard, "node", s.Node, "version", a.State.Shards.Version)
 	default:
 		c.h.log.Event(events.ConfigTaken, "gen", a.State.Gen, "base", r.Base, "from", r.Node)
 	}
--- a/internal/controlplane/resets_test.go
+++ b/internal/controlplane/resets_test.go
@@ -42,7 +42,8 @@
 	return old
 }
 
-// call puts one call as the control plane's route does, and waits until it has ended. sent is false where no link stood.
+// call puts one call as the control plane's route does, and waits until it has ended. sent is false where no link
+// stood.
 func (p *peers) call(t *testing.T, body []byte) (r *controlmsg.Response, sent bool) {
 	p.mu.Lock()
 	l, up := p.link, p.up
@@ -62,8 +63,9 @@
 	}
 }
 
-// Calls between machines of the core over links that are reset at drawn bytes, half written frames among them: each ends with its own
-// answer or with none that is clear, and runs once at most. Point 5: it fails where a link that ends leaves its calls waiting (lost).
+// Calls between machines of the core over links that are reset at drawn bytes, half written frames among them: each
+// ends with its own answer or with none that is clear, and runs once at most. Point 5: it fails where a link that
+// ends leaves its calls waiting (lost).
 func TestCallsOverLinksThatAreReset(t *testing.T) {
 	p := &peers{pending: newPendingCalls(time.Now()), up: make(chan struct{}), runs: map[uint64]int{}}
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
--- a/internal/memberconn/memberconn.go
+++ b/internal/memberconn/memberconn.go
@@ -2,9 +2,9 @@
 //
 // The proxy's pools, its probes and the core's questions use it; it decides nothing.
 //
-// Answers bear no id: which question one belongs to is told by their order on the connection alone. So a connection takes the next
-// batch only once each question of the last one was answered in full; one on which anything went wrong takes none, and is no use but
-// to be closed. Whoever pools connections asks Settled.
+// Answers bear no id: which question one belongs to is told by their order on the connection alone. So a connection
+// takes the next batch only once each question of the last one was answered in full; one on which anything went wrong
+// takes none, and is no use but to be closed. Whoever pools connections asks Settled.
 package memberconn
 
 import (
@@ -132,10 +132,12 @@
 // ErrUnsettled is the error of a batch for a connection that has not answered the last one, or never will.
 var ErrUnsettled = errors.New("an answer is owed on this connection")
 
-// Settled says whether the connection may carry another's questions: nothing is owed, and nothing came that nobody asked for.
+// Settled says whether the connection may carry another's questions: nothing is owed, and nothing came that nobody
+// asked for.
 func (c *Conn) Settled() bool { return !c.broken && len(c.owed) == 0 && c.R.Buffered() == 0 }
 
-// Write sends a batch of questions. What fails may have come to the member all the same, but where not a byte was taken.
+// Write sends a batch of questions. What fails may have come to the member all the same, but where not a byte was
+// taken.
 func (c *Conn) Write(batch string, until time.Time) error {
 	if !c.Settled() {
 		c.broken = true
@@ -159,7 +161,8 @@
 	return &repeat.Unanswered{Progress: progress, Err: err}
 }
 
-// Read reads the answer to the first question that waits for one. spill takes rows that are too many to keep; nil: they are kept.
+// Read reads the answer to the first question that waits for one. spill takes rows that are too many to keep; nil:
+// they are kept.
 func (c *Conn) Read(spill func([]string) error) (Reply, error) {
 	if c.broken || len(c.owed) == 0 {
 		c.broken = true
--- a/internal/memberconn/settled_test.go
+++ b/internal/memberconn/settled_test.go
@@ -75,9 +75,9 @@
 	return m.r.IntN(n)
 }
 
-// A careless caller keeps a connection whatever came of its last question, and puts each question again where its kind may be: it gets its
-// own answer or an error, and what may run only once does. Point 5: it fails with Settled always true, with Ran always true or always
-// false, and with May always true.
+// A careless caller keeps a connection whatever came of its last question, and puts each question again where its
+// kind may be: it gets its own answer or an error, and what may run only once does. Point 5: it fails with Settled
+// always true, with Ran always true or always false, and with May always true.
 func TestCarelessCallersGetTheirOwnAnswers(t *testing.T) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
--- a/internal/orders/core_test.go
+++ b/internal/orders/core_test.go
@@ -20,10 +20,13 @@
 	silence       = 1000.0 // a caller waits so long for a machine
 	mostTries     = 9
 	lossOfLetters = 0.05
+	shareOfSlow   = 0.05
+	slowest       = 5000.0
 )
 
-// core is machines of the core in virtual time: agreement, queues of orders, and callers' calls, which any machine passes on to who leads.
-// Messages and calls are lost and late; machines freeze, are cut off, and lose power around their syncs.
+// core is machines of the core in virtual time: agreement, queues of orders, and callers' calls, which any machine
+// passes on to who leads. Messages and calls are lost and late; machines freeze, are cut off, and lose power around
+// their syncs.
 type core struct {
 	t     *testing.T
 	r     *rand.Rand
@@ -109,7 +112,8 @@
 	m.state, m.seen = s, [2]uint64{e.Term, e.Index}
 }
 
-// settle syncs, sends, learns and decides, in the order of the control plane's loop. Power may be lost before a sync or behind it.
+// settle syncs, sends, learns and decides, in the order of the control plane's loop. Power may be lost before a sync
+// or behind it.
 func (c *core) settle(m *machine, risk float64) {
 	for range 8 {
 		if m.node.Dirty() {
@@ -157,6 +161,15 @@
 	c.mail = append(c.mail, letter{c.now + 1 + 60*c.r.Float64()*c.r.Float64(), from, to, f})
 }
 
+// slow is say over a link that may hold a call up for longer than its caller waits.
+func (c *core) slow(from, to int, f func()) {
+	if c.r.Float64() >= shareOfSlow {
+		c.say(from, to, f)
+		return
+	}
+	c.mail = append(c.mail, letter{c.now + slowest*c.r.Float64(), from, to, f})
+}
+
 // step lets time pass, and risk is that of power lost at each sync.
 func (c *core) step(risk float64) {
 	c.now += stepMillis
@@ -198,10 +211,11 @@
 	return c.hosts[l.to]
 }
 
-// call has a caller's request carried out at a machine; reply may come late, and never comes where the machine's life ended.
+// call has a caller's request carried out at a machine; reply may come late, and never comes where the machine's life
+// ended.
 func (c *core) call(at int, r controlmsg.Request, reply func(Answer)) {
 	m := c.hosts[at]
-	c.say(-1, at, func() {
+	c.slow(-1, at, func() {
 		life := m.life
 		back := func(a Answer) {
 			if m.life == life {
@@ -224,7 +238,7 @@
 	m.number++
 	number, life := m.number, m.life
 	m.pending[number] = &passed{c.now + passedFor, back}
-	c.say(m.at, leader.at, func() {
+	c.slow(m.at, leader.at, func() {
 		leader.queue.Take(&Order{Request: r, Reply: func(a Answer) {
 			c.say(leader.at, m.at, func() {
 				if p := m.pending[number]; p != nil && m.life == life {
--- a/internal/orders/history_test.go
+++ b/internal/orders/history_test.go
@@ -35,8 +35,8 @@
 
 func (v version) has(id int) bool { return strings.Contains(v.taken, fmt.Sprint(",", id, ",")) }
 
-// oneHistory is the operators' register: each version has one successor; what was taken is acknowledged or left without a clear answer; what
-// was refused is on a base that is behind, or wrong for ever.
+// oneHistory is the operators' register: each version has one successor; what was taken is acknowledged or left
+// without a clear answer; what was refused is on a base that is behind, or wrong for ever.
 var oneHistory = (&porcupine.NondeterministicModel{
 	Init: func() []any { return []any{version{taken: ","}} },
 	Step: func(state, input, output any) []any {
@@ -252,15 +252,16 @@
 	return g
 }
 
-// Operators' orders and what they were told are one history: point 2. Seen to fail with each of these taken out, alone: the look for what was
-// taken before (Taken, in orders.apply); the base's comparison (State.fits, in config); "said only of what is committed" (Committed, in
-// proposed); the hold of an order whose base is ahead (Undecided.Later, in change); the confirmation of a reading (confirmed).
+// Operators' orders and what they were told are one history: point 2. Seen to fail with each of these taken out,
+// alone: the look for what was taken before (Taken, in step.apply); the base's comparison (State.fits, in config);
+// the wait for the commit (Committed, in proposed); the hold of an order whose base is ahead (Undecided.Later, in
+// change); the confirmation of a reading (confirmed).
 func TestOperatorsOrdersAreOneHistory(t *testing.T) {
 	seeds := 500
 	if testing.Short() {
 		seeds = 100
 	}
-	if s := os.Getenv("HISTORIES"); s != "" { // 10,000 take a minute
+	if s := os.Getenv("HISTORIES"); s != "" { // 10,000 take a minute and a half
 		seeds, _ = strconv.Atoi(s)
 	}
 	codes := map[int]int{}
--- a/internal/orders/orders.go
+++ b/internal/orders/orders.go
@@ -1,5 +1,5 @@
-// Package orders is the queue of operators' orders at the machine that leads the core: which is decided when, and what each caller
-// is answered.
+// Package orders is the queue of operators' orders at the machine that leads the core: which is decided when, and
+// what each caller is answered.
 //
 // It does no I/O and reads no clock. What makes its answers safe to send again for, whoever asks and wherever:
 //
@@ -52,7 +52,8 @@
 	round       uint64 // of heartbeats that a refusal or a reading waits for; 0: not asked yet
 	index, term uint64 // of the entry that it was proposed in; 0: it was not
 
-	from, next *config.State // what it makes of a state, which costs reading it whole: kept for as long as that state is in place
+	// What it makes of a state costs reading it whole: it is kept for as long as that state is in place.
+	from, next *config.State
 	wrong      error
 }
 
@@ -127,8 +128,8 @@
 	return s.change(o)
 }
 
-// proposed answers for an order whose entry is committed, or can't be known to be. An entry of the term in which this node proposed
-// is this node's; each of its entries is behind the commit of the one before.
+// proposed answers for an order whose entry is committed, or can't be known to be. An entry of the term in which this
+// node proposed is this node's; each of its entries is behind the commit of the one before.
 func (s *step) proposed(o *Order) *Answer {
 	if o.index == 0 {
 		return nil
@@ -136,7 +137,7 @@
 	if e, ok := s.node.Committed(); ok && e.Term == o.term && e.Index >= o.index {
 		return &Answer{Status: 200, Body: []byte("taken\n"), Outcome: Taken}
 	}
-	if s.node.HardState.Term != o.term { // it was deposed meanwhile, even if it leads again: another entry may have its place
+	if s.node.HardState.Term != o.term { // deposed meanwhile, even if it leads again: another entry may have its place
 		return ref(unclear("this machine led no longer as it was decided; ask again"))
 	}
 	return nil
@@ -194,8 +195,8 @@
 	return nil
 }
 
-// confirmed answers once a majority has followed this leader since it was asked to: only who leads for certain may refuse or read. The
-// answer is made by the state of that moment.
+// confirmed answers once a majority has followed this leader since it was asked to: only who leads for certain may
+// refuse or read. The answer is made by the state of that moment.
 func (s *step) confirmed(o *Order, answer func(*Order) *Answer) *Answer {
 	if o.round > 0 && s.node.Confirmed(o.round) {
 		return answer(o)
@@ -218,7 +219,8 @@
 func (s *step) grant(o *Order) *Answer {
 	known := s.state.Sites
 	if known == nil || known.Sites[o.Grant.Site].Life != o.Grant.Life || known.Sites[o.Grant.Site].State == sites.Out {
-		return &Answer{Status: 409, Body: []byte("this life of the site is over, or has not joined\n"), Outcome: Refused, Reason: "sites"}
+		over := []byte("this life of the site is over, or has not joined\n")
+		return &Answer{Status: 409, Body: over, Outcome: Refused, Reason: "sites"}
 	}
 	body, err := json.Marshal(known)
 	if err != nil {
--- a/internal/orders/orders_test.go
+++ b/internal/orders/orders_test.go
@@ -263,8 +263,8 @@
 // remembered is how many changes a state tells repeats by.
 const remembered = 256
 
-// A day of a thousand changes, and a late copy of each: what is remembered is acknowledged, what is forgotten is not refused, and the
-// state's size is bounded (remembered, in config).
+// A day of a thousand changes, and a late copy of each: what is remembered is acknowledged, what is forgotten is not
+// refused, and the state's size is bounded (remembered, in config).
 func TestLateCopiesOfALongDay(t *testing.T) {
 	s := &config.State{}
 	var sent []*config.Change
--- a/internal/proxy/repeat_test.go
+++ b/internal/proxy/repeat_test.go
@@ -176,7 +176,8 @@
 	}
 }
 
-// Which statements are put again behind an answer that did not come (point 5). What is taken out to see each fail stands beside it.
+// Which statements are put again behind an answer that did not come (point 5). What is taken out to see each fail
+// stands beside it.
 func TestWhatIsPutAgain(t *testing.T) {
 	Convey("With a member that loses answers", t, func() {
 		m := &scripted{script: map[string][]string{}}
--- a/internal/proxy/statement.go
+++ b/internal/proxy/statement.go
@@ -1,7 +1,8 @@
 package proxy
 
-// This file owns how one statement is carried out: tried, tried again where that is harmless, and answered truthfully. What was
-// sent and not answered is never promised to be undone, unless its connection's end rolls it back.
+// This file owns how one statement is carried out: tried, tried again where that is harmless, and answered
+// truthfully. What was sent and not answered is never promised to be undone, unless its connection's end rolls it
+// back.
 
 import (
 	"errors"
@@ -80,8 +81,9 @@
 	return nil
 }
 
-// kindOf says what a second run of a statement would do, outside a transaction or as its COMMIT. Statements inside a transaction are not
-// put again at all: it ends with its connection. BEGIN is idempotent, as the end of its connection rolls it back.
+// kindOf says what a second run of a statement would do, outside a transaction or as its COMMIT. Statements inside a
+// transaction are not put again at all: it ends with its connection. BEGIN is idempotent, as the end of its
+// connection rolls it back.
 func kindOf(write bool) repeat.Kind {
 	if write {
 		return repeat.Once
@@ -89,7 +91,8 @@
 	return repeat.Idempotent
 }
 
-// stamped makes a success that bears no member's stamp an error: it belongs to another question, and this one has no answer.
+// stamped makes a success that bears no member's stamp an error: it belongs to another question, and this one has no
+// answer.
 func stamped(a *memberconn.Reply, err error) error {
 	if err == nil && a.Done && a.Text == wire.NoStamp {
 		return &repeat.Unanswered{Progress: repeat.Sent, Err: errors.New("a success without a stamp")}
@@ -176,7 +179,8 @@
 			s.answer(a, wire.Idle)
 			return
 		}
-		if a.State != wire.Idle || a.Code == wire.NoStmt { // what it left open is rolled back, and what it lacks prepared anew, with another connection
+		// What it left open is rolled back with its connection; what it forgot is prepared anew on another.
+		if a.State != wire.Idle || a.Code == wire.NoStmt {
 			c.Close()
 			c = nil
 		}
@@ -213,8 +217,9 @@
 	s.fail(wire.Retry, comeBack, wire.Idle)
 }
 
-// attempt sends a single statement and reads its answer. A read that must be fresh runs in a transaction of the system's own,
-// as a member that has lost the lead refuses to begin one; it is rolled back, and nothing of it is kept.
+// attempt sends a single statement and reads its answer. A read that must be fresh runs in a transaction of the
+// system's own, as a member that has lost the lead refuses to begin one; it is rolled back, and nothing of it is
+// kept.
 func (s *session) attempt(g *grant, c *conn, id, text string, t wire.Text, write bool, until float64) (*memberconn.Reply, group.Word, error) {
 	var b strings.Builder
 	if !write {
--- a/internal/repeat/repeat.go
+++ b/internal/repeat/repeat.go
@@ -1,7 +1,7 @@
 // Package repeat says which calls may be put again where no answer came.
 //
-// A call is one of two kinds, and each call between processes names its own: docs/control-state.md has the table. This is the one place
-// that decides; it does no I/O.
+// A call is one of two kinds, and each call between processes names its own: docs/control-state.md has the table.
+// This is the one place that decides; it does no I/O.
 package repeat
 
 import (
@@ -39,7 +39,8 @@
 
 func (u *Unanswered) Unwrap() error { return u.Err }
 
-// Ran says whether a call that ended in an error may have run at its peer. An error that says nothing of it may hide a run.
+// Ran says whether a call that ended in an error may have run at its peer. An error that says nothing of it may hide
+// a run.
 func Ran(err error) bool {
 	var u *Unanswered
 	return !errors.As(err, &u) || u.Progress != Unsent
--- a/internal/standin/links/resets.go
+++ b/internal/standin/links/resets.go
@@ -7,8 +7,8 @@
 	"sync"
 )
 
-// Resets is a relay to one address, for whoever dials it. Each of its connections is reset, both ways at once, when one of its directions
-// has carried a drawn number of bytes: within a message, between two, or before the first.
+// Resets is a relay to one address, for whoever dials it. Each of its connections is reset, both ways at once, when
+// one of its directions has carried a drawn number of bytes: within a message, between two, or before the first.
 type Resets struct {
 	ln     net.Listener
 	target string
@@ -34,7 +34,8 @@
 // Addr is where it is reached.
 func (r *Resets) Addr() string { return r.ln.Addr().String() }
 
-// Most sets how many bytes a direction of connections to come carries at most; 0: they are not reset. Open ones are reset now.
+// Most sets how many bytes a direction of connections to come carries at most; 0: they are not reset. Open ones are
+// reset now.
 func (r *Resets) Most(bytes int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/standin/town/resets_test.go
+++ b/internal/standin/town/resets_test.go
@@ -27,7 +27,8 @@
 	return false
 }
 
-// own says that an answer is a question's own: its stamp bears the id of the question, and rows what this client ever stored.
+// own says that an answer is a question's own: its stamp bears the id of the question, and rows what this client ever
+// stored.
 func own(answer, id, mark string) bool {
 	for line := range strings.SplitSeq(answer, " | ") {
 		switch {
@@ -108,10 +109,10 @@
 	}
 }
 
-// All connections of proxies and of the core to members, and of the core to the platform, are reset at drawn bytes, also while a primary
-// is replaced: each answer is its question's own, each write runs once at most, those that were answered once, and those of which it was
-// promised that nothing is kept not at all. Point 5: it fails where a connection that owes an answer goes back to its pool (Settled), and
-// where a write may be put again (kindOf).
+// All connections of proxies and of the core to members, and of the core to the platform, are reset at drawn bytes,
+// also while a primary is replaced: each answer is its question's own, each write runs once at most, those that were
+// answered once, and those of which it was promised that nothing is kept not at all. Point 5: it fails where a
+// connection that owes an answer goes back to its pool (Settled), and where a write may be put again (kindOf).
 func TestResetsAtDrawnBytes(t *testing.T) {
 	var relays []*links.Resets
 	w := newBehind(t, 3, 1, func(addr string) string {
