--- a/internal/config/state.go
+++ b/internal/config/state.go
@@ -133,7 +133,9 @@
 	if len(past) > mostPast {
 		past = past[len(past)-mostPast:]
 	}
-	return &State{gen, bytes.Clone(raw), past, b.Shards, b.Sites}, nil
+	next := *b
+	next.Gen, next.Raw, next.Past = gen, bytes.Clone(raw), past
+	return &next, nil
 }
 
 // gen reads which version a change makes.
