--- a/internal/orders/orders.go
+++ b/internal/orders/orders.go
@@ -137,7 +137,7 @@
 	if e, ok := s.node.Committed(); ok && e.Term == o.term && e.Index >= o.index {
 		return &Answer{Status: 200, Body: []byte("taken\n"), Outcome: Taken}
 	}
-	if s.node.HardState.Term != o.term { // deposed meanwhile, even if it leads again: another entry may have its place
+	if s.node.HardState.Term != o.term { // it was deposed meanwhile, even if it leads again: another entry may have its place
 		return ref(unclear("this machine led no longer as it was decided; ask again"))
 	}
 	return nil
