--- a/internal/membership/ballot.go
+++ b/internal/membership/ballot.go
@@ -4,21 +4,10 @@
 // accept it.
 
 import (
-	"cmp"
 	"slices"
-	"strings"
-)
-
-// Ballot orders attempts at one change.
-type Ballot struct {
-	Number uint32 `cbor:"1,keyasint"`
-	Name   string `cbor:"2,keyasint"`
-}
 
-// Compare orders ballots, as cmp.Compare does.
-func (b Ballot) Compare(o Ballot) int {
-	return cmp.Or(cmp.Compare(b.Number, o.Number), strings.Compare(b.Name, o.Name))
-}
+	"weirwind/internal/paxos"
+)
 
 // VoteKind of a vote.
 type VoteKind uint8
@@ -35,49 +24,36 @@
 
 // Vote is one step between two drivers.
 type Vote struct {
-	Kind     VoteKind `cbor:"1,keyasint"`
-	Version  uint64   `cbor:"2,keyasint"` // of the roster to come
-	Base     uint64   `cbor:"3,keyasint,omitempty"`
-	Ballot   Ballot   `cbor:"4,keyasint"`
-	Accepted Ballot   `cbor:"5,keyasint"` // of the change in a promise
-	Change   *Change  `cbor:"6,keyasint,omitempty"`
-	Sum      uint64   `cbor:"7,keyasint,omitempty"` // of a founding
+	Kind     VoteKind     `cbor:"1,keyasint"`
+	Version  uint64       `cbor:"2,keyasint"` // of the roster to come
+	Base     uint64       `cbor:"3,keyasint,omitempty"`
+	Ballot   paxos.Ballot `cbor:"4,keyasint"`
+	Accepted paxos.Ballot `cbor:"5,keyasint"` // of the change in a promise
+	Change   *Change      `cbor:"6,keyasint,omitempty"`
+	Sum      uint64       `cbor:"7,keyasint,omitempty"` // of a founding
 }
 
-// maxBallotNumber bounds the numbers that are taken over, so that a damaged or hostile one can't use up the rest.
-const maxBallotNumber = 1 << 30
-
 // round is a ballot that this driver leads.
 type round struct {
-	ballot         Ballot
-	deadline       float64
-	accepting      bool
-	promised       map[string]bool
-	acceptedBallot Ballot
-	change         *Change
-	accepted       map[string]bool
+	paxos.Proposer[Change]
+	deadline float64
 }
 
 // propose begins a ballot for a change.
 func (f *Fleet) propose(want *Change) {
 	f.ballotNumber++
-	f.round = &round{
-		ballot:   Ballot{f.ballotNumber, f.self.Name},
-		deadline: f.now + roundPeriods*f.rules.Period,
-		promised: map[string]bool{},
-		accepted: map[string]bool{},
-		change:   want,
-	}
+	ballot := paxos.Ballot{Number: f.ballotNumber, Name: f.self.Name}
+	f.round = &round{Proposer: paxos.Propose(ballot, want), deadline: f.now + roundPeriods*f.rules.Period}
 	f.retryAt = f.round.deadline
 	f.broadcastVote(f.roster.Names, Vote{Kind: Prepare, Version: f.roster.Version + 1, Base: f.roster.sum,
-		Ballot: f.round.ballot})
+		Ballot: f.round.Ballot})
 }
 
 // dueChange is the change that is due by what this driver sees: who came is to be counted, who left is not. One that
 // has failed stays.
 func (f *Fleet) dueChange() *Change {
-	if f.acceptedChange != nil && f.version == f.roster.Version+1 && f.now-f.acceptedAt > roundPeriods*f.rules.Period {
-		return f.acceptedChange
+	if f.vote.Value != nil && f.version == f.roster.Version+1 && f.now-f.acceptedAt > roundPeriods*f.rules.Period {
+		return f.vote.Value
 	}
 	c := &Change{Version: f.roster.Version + 1, Lineage: f.roster.Lineage, Base: f.roster.sum, Sum: f.roster.sum}
 	wait := settledPeriods * f.rules.Period
@@ -123,17 +99,6 @@
 	f.send(address, Message{Kind: Gossip, To: name, Vote: &v})
 }
 
-// Majority says whether more than half of these names are among who.
-func Majority(of []string, who map[string]bool) bool {
-	n := 0
-	for _, name := range of {
-		if who[name] {
-			n++
-		}
-	}
-	return 2*n > len(of)
-}
-
 // receiveVote takes a step of a peer.
 func (f *Fleet) receiveVote(name, address string, v Vote) {
 	if v.Change != nil && (len(v.Change.Add)+len(v.Change.Remove) > maxChange || v.Change.Version != v.Version) {
@@ -152,9 +117,9 @@
 		return
 	}
 	if f.version != v.Version {
-		f.version, f.promised, f.accepted, f.acceptedChange = v.Version, Ballot{}, Ballot{}, nil
+		f.version, f.vote = v.Version, paxos.Acceptor[Change]{}
 	}
-	f.ballotNumber = max(f.ballotNumber, min(v.Ballot.Number, maxBallotNumber))
+	f.ballotNumber = max(f.ballotNumber, min(v.Ballot.Number, paxos.MaxNumber))
 	switch v.Kind {
 	case Prepare:
 		f.receivePrepare(name, address, v)
@@ -165,7 +130,7 @@
 	case Accepted:
 		f.receiveAccepted(name, v)
 	case Reject:
-		if r := f.round; r != nil && v.Ballot.Compare(r.ballot) > 0 {
+		if r := f.round; r != nil && v.Ballot.Compare(r.Ballot) > 0 {
 			f.round, f.retryAt = nil, f.now+2*f.rules.Period*(0.5+f.random.Float64())
 		}
 	}
@@ -173,7 +138,7 @@
 
 // ownRound is the round that a vote answers; nil where it is over or another's.
 func (f *Fleet) ownRound(v Vote) *round {
-	if r := f.round; r != nil && v.Ballot.Compare(r.ballot) == 0 {
+	if r := f.round; r != nil && v.Ballot.Compare(r.Ballot) == 0 {
 		return r
 	}
 	return nil
@@ -183,30 +148,22 @@
 	if !f.mayVote() || !f.roster.has(f.self.Name) {
 		return
 	}
-	back := Vote{Kind: Promise, Version: v.Version, Base: v.Base, Ballot: v.Ballot}
-	if v.Ballot.Compare(f.promised) < 0 {
-		back.Kind, back.Ballot = Reject, f.promised
-	} else {
-		f.promised, f.unsaved = v.Ballot, true
-		back.Accepted, back.Change = f.accepted, f.acceptedChange
+	back := Vote{Kind: Reject, Version: v.Version, Base: v.Base, Ballot: f.vote.Promised}
+	if f.vote.Promise(v.Ballot) {
+		f.unsaved = true
+		back.Kind, back.Ballot, back.Accepted, back.Change = Promise, v.Ballot, f.vote.Accepted, f.vote.Value
 	}
 	f.answer(name, address, back)
 }
 
-// receivePromise counts a promise. Of changes that were accepted before the one of the highest ballot is proposed.
 func (f *Fleet) receivePromise(name string, v Vote) {
 	r := f.ownRound(v)
-	if r == nil || r.accepting || !f.roster.has(name) {
+	if r == nil || !f.roster.has(name) {
 		return
 	}
-	r.promised[name] = true
-	if v.Change != nil && v.Accepted.Compare(r.acceptedBallot) > 0 {
-		r.acceptedBallot, r.change = v.Accepted, v.Change
-	}
-	if Majority(f.roster.Names, r.promised) {
-		r.accepting = true
-		f.broadcastVote(f.voters(r.change),
-			Vote{Kind: Accept, Version: v.Version, Base: v.Base, Ballot: r.ballot, Change: r.change})
+	if r.PromisedBy(name, v.Accepted, v.Change, f.roster.Names) {
+		f.broadcastVote(f.voters(r.Value),
+			Vote{Kind: Accept, Version: v.Version, Base: v.Base, Ballot: r.Ballot, Change: r.Value})
 	}
 }
 
@@ -214,11 +171,10 @@
 	if v.Change == nil || v.Change.Base != f.roster.sum || !f.mayVote() {
 		return
 	}
-	back := Vote{Kind: Accepted, Version: v.Version, Base: v.Base, Ballot: v.Ballot}
-	if v.Ballot.Compare(f.promised) < 0 {
-		back.Kind, back.Ballot = Reject, f.promised
-	} else {
-		f.promised, f.accepted, f.acceptedChange, f.acceptedAt, f.unsaved = v.Ballot, v.Ballot, v.Change, f.now, true
+	back := Vote{Kind: Reject, Version: v.Version, Base: v.Base, Ballot: f.vote.Promised}
+	if f.vote.Accept(v.Ballot, v.Change) {
+		f.acceptedAt, f.unsaved = f.now, true
+		back.Kind, back.Ballot = Accepted, v.Ballot
 	}
 	f.answer(name, address, back)
 }
@@ -226,14 +182,13 @@
 // receiveAccepted counts an acceptance: a change is decided by majorities of the names before it and after it.
 func (f *Fleet) receiveAccepted(name string, v Vote) {
 	r := f.ownRound(v)
-	if r == nil || !r.accepting {
+	if r == nil || !r.Accepting {
 		return
 	}
-	r.accepted[name] = true
-	next := f.after(r.change)
-	if Majority(f.roster.Names, r.accepted) && Majority(next.Names, r.accepted) {
+	r.AcceptedBy(name)
+	if next := f.after(r.Value); r.Decided(f.roster.Names, next.Names) {
 		f.round = nil
-		f.decide(*r.change)
+		f.decide(*r.Value)
 	}
 }
 
--- a/internal/membership/founding.go
+++ b/internal/membership/founding.go
@@ -4,6 +4,8 @@
 
 import (
 	"slices"
+
+	"weirwind/internal/paxos"
 )
 
 // bootstrap agrees on a first roster: the driver whose name comes first asks all that it sees whether they see the
@@ -34,7 +36,7 @@
 		for _, m := range f.list {
 			if !m.State.ended() && !f.bootstrapBy[m.Name] {
 				f.send(m.Address, Message{Kind: Gossip, To: m.Name,
-					Vote: &Vote{Kind: Bootstrap, Version: 1, Sum: sum, Ballot: Ballot{Name: f.self.Name}}})
+					Vote: &Vote{Kind: Bootstrap, Version: 1, Sum: sum, Ballot: paxos.Ballot{Name: f.self.Name}}})
 			}
 		}
 	}
--- a/internal/membership/persist.go
+++ b/internal/membership/persist.go
@@ -2,16 +2,18 @@
 
 // This file owns what of the votes outlives the process.
 
+import "weirwind/internal/paxos"
+
 // SavedState is what must outlive the process for its votes to count when it comes back.
 type SavedState struct {
-	Name     string  `cbor:"1,keyasint"`
-	Run      uint64  `cbor:"2,keyasint"`
-	Roster   Roster  `cbor:"3,keyasint"`
-	Version  uint64  `cbor:"4,keyasint,omitempty"` // of the roster to come that the votes are about
-	Promised Ballot  `cbor:"5,keyasint"`
-	Accepted Ballot  `cbor:"6,keyasint"`
-	Change   *Change `cbor:"7,keyasint,omitempty"` // taken
-	Number   uint32  `cbor:"8,keyasint,omitempty"`
+	Name     string       `cbor:"1,keyasint"`
+	Run      uint64       `cbor:"2,keyasint"`
+	Roster   Roster       `cbor:"3,keyasint"`
+	Version  uint64       `cbor:"4,keyasint,omitempty"` // of the roster to come that the votes are about
+	Promised paxos.Ballot `cbor:"5,keyasint"`
+	Accepted paxos.Ballot `cbor:"6,keyasint"`
+	Change   *Change      `cbor:"7,keyasint,omitempty"` // taken
+	Number   uint32       `cbor:"8,keyasint,omitempty"`
 }
 
 // mayVote says that no earlier vote of this driver can have been forgotten.
@@ -26,8 +28,8 @@
 		f.rename(k.Run + 1)
 	}
 	f.receiveRoster(k.Roster)
-	f.version, f.promised, f.accepted, f.acceptedChange, f.acceptedAt, f.ballotNumber = k.Version, k.Promised,
-		k.Accepted, k.Change, f.now-roundPeriods*f.rules.Period, k.Number
+	f.version, f.vote = k.Version, paxos.Acceptor[Change]{Promised: k.Promised, Accepted: k.Accepted, Value: k.Change}
+	f.acceptedAt, f.ballotNumber = f.now-roundPeriods*f.rules.Period, k.Number
 	f.mayVoteAt = 0
 }
 
@@ -37,7 +39,7 @@
 		return nil
 	}
 	f.unsaved = false
-	return &SavedState{f.self.Name, f.self.Run, *f.roster, f.version, f.promised, f.accepted, f.acceptedChange,
+	return &SavedState{f.self.Name, f.self.Run, *f.roster, f.version, f.vote.Promised, f.vote.Accepted, f.vote.Value,
 		f.ballotNumber}
 }
 
--- a/internal/membership/roster.go
+++ b/internal/membership/roster.go
@@ -13,6 +13,8 @@
 	"cmp"
 	"fmt"
 	"slices"
+
+	"weirwind/internal/paxos"
 )
 
 // Roster is one that was agreed on. Names are sorted.
@@ -66,20 +68,18 @@
 type rosterConsensus struct {
 	roster *Roster
 
-	mayVoteAt      float64 // it may have forgotten a vote: none before
-	version        uint64  // that what follows is about
-	promised       Ballot
-	accepted       Ballot
-	acceptedChange *Change // accepted, and not known to be decided
-	acceptedAt     float64
-	ballotNumber   uint32
-	round          *round
-	wantedAt       float64 // since when a change is wanted
-	retryAt        float64
-	forgotten      map[string]uint64 // by operators: run
-	unsaved        bool              // something is to be kept
-	saveAt         float64           // not before
-	saveFailed     bool              // what was voted could not be kept
+	mayVoteAt    float64 // it may have forgotten a vote: none before
+	version      uint64  // that what follows is about
+	vote         paxos.Acceptor[Change]
+	acceptedAt   float64
+	ballotNumber uint32
+	round        *round
+	wantedAt     float64 // since when a change is wanted
+	retryAt      float64
+	forgotten    map[string]uint64 // by operators: run
+	unsaved      bool              // something is to be kept
+	saveAt       float64           // not before
+	saveFailed   bool              // what was voted could not be kept
 
 	bootstrapBy  map[string]bool // who sees the same
 	bootstrapSum uint64
@@ -153,8 +153,8 @@
 	for _, m := range f.list {
 		m.on = r.has(m.Name)
 	}
-	if f.acceptedChange != nil && f.version <= r.Version {
-		f.acceptedChange, f.accepted = nil, Ballot{}
+	if f.vote.Value != nil && f.version <= r.Version {
+		f.vote.Value, f.vote.Accepted = nil, paxos.Ballot{}
 	}
 	for name, run := range f.forgotten {
 		if m := f.byName[name]; m == nil || m.Run != run || !r.has(name) {
--- a/internal/membership/standing.go
+++ b/internal/membership/standing.go
@@ -8,6 +8,8 @@
 	"fmt"
 	"math"
 	"slices"
+
+	"weirwind/internal/paxos"
 )
 
 // Standing is a driver's place in the fleet, by the roster that was agreed on.
@@ -145,16 +147,16 @@
 
 // pendingLives says that a change which may have been decided without this driver's knowing has its majority here too.
 func (f *Fleet) pendingLives() bool {
-	if f.acceptedChange == nil || f.version != f.roster.Version+1 || f.now-f.acceptedAt < roundPeriods*f.rules.Period {
+	if f.vote.Value == nil || f.version != f.roster.Version+1 || f.now-f.acceptedAt < roundPeriods*f.rules.Period {
 		return true
 	}
-	next := f.after(f.acceptedChange)
+	next := f.after(f.vote.Value)
 	names := f.names(false)
 	who := map[string]bool{}
 	for _, n := range names {
 		who[n] = true
 	}
-	return Majority(next.Names, who)
+	return paxos.Majority(next.Names, who)
 }
 
 // Standing is this driver's, why, and since when.
--- a/internal/zones/ballot.go
+++ b/internal/zones/ballot.go
@@ -6,25 +6,25 @@
 import (
 	"slices"
 
-	"weirwind/internal/membership"
+	"weirwind/internal/paxos"
 )
 
-const (
-	maxBallotNumber = 1 << 30 // a damaged or hostile number can't use up the rest
-	wantsPlan       = 1       // nonce of a Reject that asks for the plan in question
-)
+// wantsPlan is the nonce of a Reject that asks for the plan in question.
+const wantsPlan = 1
 
 // round is a ballot that this driver leads.
 type round struct {
-	ballot         membership.Ballot
-	deadline       float64
-	bootstrap      bool
-	resendAt       float64 // those that did not answer are asked
-	accepting      bool
-	promised       map[string]bool
-	accepted       map[string]bool
-	acceptedBallot membership.Ballot
-	plan           *Plan
+	paxos.Proposer[Plan]
+	deadline  float64
+	bootstrap bool
+	resendAt  float64 // those that did not answer are asked
+}
+
+// newRound makes a round of the next ballot.
+func (c *consensus) newRound(p *Plan, deadline float64) *round {
+	c.ballotNumber++
+	ballot := paxos.Ballot{Number: c.ballotNumber, Name: c.name}
+	return &round{Proposer: paxos.Propose(ballot, p), deadline: deadline}
 }
 
 // propose begins a ballot for a next plan.
@@ -32,15 +32,14 @@
 	if c.round != nil || now < c.retryAt || c.plan == nil {
 		return
 	}
-	c.ballotNumber++
-	c.round = &round{ballot: membership.Ballot{Number: c.ballotNumber, Name: c.name},
-		deadline: now + roundBeats*c.heartbeat, promised: map[string]bool{}, accepted: map[string]bool{}, plan: p}
-	c.broadcast(now, c.plan.Voters, Message{Kind: Prepare, Epoch: c.plan.Epoch, Sum: c.planSum, Ballot: c.round.ballot})
+	c.round = c.newRound(p, now+roundBeats*c.heartbeat)
+	c.broadcast(now, c.plan.Voters,
+		Message{Kind: Prepare, Epoch: c.plan.Epoch, Sum: c.planSum, Ballot: c.round.Ballot})
 }
 
 // pending is a plan that this driver took and does not know to be decided: it is brought to an end before another is
 // begun.
-func (c *consensus) pending() *Plan { return c.acceptedPlan }
+func (c *consensus) pending() *Plan { return c.vote.Value }
 
 // receive takes a message. f is the fleet as it is seen; nil where the message is this driver's own.
 func (c *consensus) receive(now float64, from string, w *Message, f *Fleet) {
@@ -67,7 +66,7 @@
 	if !c.concernsPlanHeld(from, w) {
 		return
 	}
-	c.ballotNumber = max(c.ballotNumber, min(w.Ballot.Number, maxBallotNumber))
+	c.ballotNumber = max(c.ballotNumber, min(w.Ballot.Number, paxos.MaxNumber))
 	switch w.Kind {
 	case Prepare:
 		c.receivePrepare(now, w, answer)
@@ -110,7 +109,7 @@
 
 // ownRound is the round that a message answers; nil where it is over or another's.
 func (c *consensus) ownRound(w *Message) *round {
-	if r := c.round; r != nil && !r.bootstrap && w.Ballot.Compare(r.ballot) == 0 {
+	if r := c.round; r != nil && !r.bootstrap && w.Ballot.Compare(r.Ballot) == 0 {
 		return r
 	}
 	return nil
@@ -120,30 +119,22 @@
 	if !c.mayVote(now) || !c.isVoter() {
 		return
 	}
-	back := Message{Kind: Promise, Epoch: w.Epoch, Sum: w.Sum, Ballot: w.Ballot}
-	if w.Ballot.Compare(c.promised) < 0 {
-		back.Kind, back.Ballot = Reject, c.promised
-	} else {
-		c.promised, c.unsaved = w.Ballot, true
-		back.Accepted, back.Plan = c.accepted, c.acceptedPlan
+	back := Message{Kind: Reject, Epoch: w.Epoch, Sum: w.Sum, Ballot: c.vote.Promised}
+	if c.vote.Promise(w.Ballot) {
+		c.unsaved = true
+		back.Kind, back.Ballot, back.Accepted, back.Plan = Promise, w.Ballot, c.vote.Accepted, c.vote.Value
 	}
 	answer(back)
 }
 
-// receivePromise counts a promise. Of plans that voters accepted before the one of the highest ballot is proposed.
 func (c *consensus) receivePromise(now float64, from string, w *Message) {
 	r := c.ownRound(w)
-	if r == nil || r.accepting || !slices.Contains(c.plan.Voters, from) {
+	if r == nil || !slices.Contains(c.plan.Voters, from) {
 		return
 	}
-	r.promised[from] = true
-	if w.Plan != nil && w.Accepted.Compare(r.acceptedBallot) > 0 {
-		r.acceptedBallot, r.plan = w.Accepted, w.Plan
-	}
-	if membership.Majority(c.plan.Voters, r.promised) {
-		r.accepting = true
-		c.broadcast(now, union(c.plan.Voters, r.plan.Voters),
-			Message{Kind: Accept, Epoch: w.Epoch, Sum: w.Sum, Ballot: r.ballot, Plan: r.plan})
+	if r.PromisedBy(from, w.Accepted, w.Plan, c.plan.Voters) {
+		c.broadcast(now, union(c.plan.Voters, r.Value.Voters),
+			Message{Kind: Accept, Epoch: w.Epoch, Sum: w.Sum, Ballot: r.Ballot, Plan: r.Value})
 	}
 }
 
@@ -151,11 +142,10 @@
 	if w.Plan == nil || w.Plan.Epoch != c.plan.Epoch+1 || w.Plan.Base != c.planSum || !c.mayVote(now) {
 		return
 	}
-	back := Message{Kind: Accepted, Epoch: w.Epoch, Sum: w.Sum, Ballot: w.Ballot}
-	if w.Ballot.Compare(c.promised) < 0 {
-		back.Kind, back.Ballot = Reject, c.promised
-	} else {
-		c.promised, c.accepted, c.acceptedPlan, c.acceptedAt, c.unsaved = w.Ballot, w.Ballot, w.Plan, now, true
+	back := Message{Kind: Reject, Epoch: w.Epoch, Sum: w.Sum, Ballot: c.vote.Promised}
+	if c.vote.Accept(w.Ballot, w.Plan) {
+		c.acceptedAt, c.unsaved = now, true
+		back.Kind, back.Ballot = Accepted, w.Ballot
 	}
 	answer(back)
 }
@@ -163,17 +153,16 @@
 // receiveAccepted counts an acceptance: a plan is decided by majorities of the voters before it and of its own.
 func (c *consensus) receiveAccepted(now float64, from string, w *Message) {
 	r := c.ownRound(w)
-	if r == nil || !r.accepting {
+	if r == nil || !r.Accepting {
 		return
 	}
-	r.accepted[from] = true
-	if !membership.Majority(c.plan.Voters, r.accepted) || !membership.Majority(r.plan.Voters, r.accepted) {
+	if r.AcceptedBy(from); !r.Decided(c.plan.Voters, r.Value.Voters) {
 		return
 	}
 	c.round = nil
-	told := union(c.plan.Voters, r.plan.Voters)
+	told := union(c.plan.Voters, r.Value.Voters)
 	began := r.deadline - roundBeats*c.heartbeat
-	c.adopt(now, r.plan)
+	c.adopt(now, r.Value)
 	c.confirmed = max(c.confirmed, began) // nothing behind it can have been decided before it was
 	for _, n := range told {
 		if n != c.name {
@@ -188,7 +177,7 @@
 		c.send(from, Message{Kind: Decided, Plan: c.plan})
 		return
 	}
-	if r := c.round; r != nil && w.Ballot.Compare(r.ballot) > 0 {
+	if r := c.round; r != nil && w.Ballot.Compare(r.Ballot) > 0 {
 		c.round, c.retryAt = nil, now+c.heartbeat*(0.5+float64(c.nameHash()%7)/7)
 	}
 }
@@ -198,7 +187,7 @@
 	if from != c.name && slices.Contains(c.plan.Voters, from) {
 		c.leaderSeenAt = now
 	}
-	if c.isVoter() && c.mayVote(now) && c.acceptedPlan == nil {
+	if c.isVoter() && c.mayVote(now) && c.vote.Value == nil {
 		answer(Message{Kind: Confirmed, Epoch: w.Epoch, Sum: w.Sum, Nonce: w.Nonce})
 	}
 }
@@ -207,7 +196,7 @@
 	if w.Nonce != c.confirmNonce || c.confirmedBy == nil || !slices.Contains(c.plan.Voters, from) {
 		return
 	}
-	if c.confirmedBy[from] = true; membership.Majority(c.plan.Voters, c.confirmedBy) {
+	if c.confirmedBy[from] = true; paxos.Majority(c.plan.Voters, c.confirmedBy) {
 		c.confirmed = max(c.confirmed, c.confirmAskedAt)
 	}
 }
--- a/internal/zones/bootstrap.go
+++ b/internal/zones/bootstrap.go
@@ -3,7 +3,7 @@
 // This file owns the first plan: all drivers of the roster agree to it once, so that no fleet has two.
 
 import (
-	"weirwind/internal/membership"
+	"weirwind/internal/paxos"
 )
 
 // bootstrap proposes a first plan once the fleet has been whole for a while: all drivers of the roster have to agree,
@@ -19,8 +19,8 @@
 	if r := c.round; r != nil && r.bootstrap && now >= r.resendAt { // word to or from some was lost
 		r.resendAt = now + c.heartbeat
 		for _, n := range f.Names {
-			if !r.accepted[n] {
-				c.send(n, Message{Kind: Bootstrap, Roster: f.Roster, Ballot: r.ballot, Plan: r.plan})
+			if !r.HasAccepted(n) {
+				c.send(n, Message{Kind: Bootstrap, Roster: f.Roster, Ballot: r.Ballot, Plan: r.Value})
 			}
 		}
 	}
@@ -28,17 +28,16 @@
 		!c.mayVote(now) {
 		return
 	}
-	p := c.acceptedPlan
+	p := c.vote.Value
 	if p == nil {
 		p = first()
 	}
 	if p == nil {
 		return
 	}
-	c.ballotNumber++
-	c.round = &round{ballot: membership.Ballot{Number: c.ballotNumber, Name: c.name},
-		deadline: now + bootstrapBeats*c.heartbeat, bootstrap: true, accepted: map[string]bool{}, plan: p}
-	c.broadcast(now, f.Names, Message{Kind: Bootstrap, Roster: f.Roster, Ballot: c.round.ballot, Plan: p})
+	c.round = c.newRound(p, now+bootstrapBeats*c.heartbeat)
+	c.round.bootstrap = true
+	c.broadcast(now, f.Names, Message{Kind: Bootstrap, Roster: f.Roster, Ballot: c.round.Ballot, Plan: p})
 }
 
 // receiveBootstrap takes a step of a first plan.
@@ -51,19 +50,20 @@
 	}
 	switch w.Kind {
 	case Bootstrap:
-		if w.Plan == nil || w.Plan.Epoch != 1 || !c.mayVote(now) || w.Ballot.Compare(c.promised) < 0 ||
+		if w.Plan == nil || w.Plan.Epoch != 1 || !c.mayVote(now) || w.Ballot.Compare(c.vote.Promised) < 0 ||
 			f != nil && (!f.complete() || f.Roster != w.Roster || f.Names[0] != from) {
 			return
 		}
-		c.promised, c.accepted, c.acceptedPlan, c.acceptedAt, c.unsaved = w.Ballot, w.Ballot, w.Plan, now, true
-		c.ballotNumber = max(c.ballotNumber, min(w.Ballot.Number, 1<<30))
+		c.vote.Accept(w.Ballot, w.Plan)
+		c.acceptedAt, c.unsaved = now, true
+		c.ballotNumber = max(c.ballotNumber, min(w.Ballot.Number, paxos.MaxNumber))
 		answer(Message{Kind: Bootstrapped, Ballot: w.Ballot, Roster: w.Roster})
 	case Bootstrapped:
 		r := c.round
-		if r == nil || !r.bootstrap || w.Ballot.Compare(r.ballot) != 0 {
+		if r == nil || !r.bootstrap || w.Ballot.Compare(r.Ballot) != 0 {
 			return
 		}
-		r.accepted[from] = true
+		r.AcceptedBy(from)
 	}
 }
 
@@ -74,13 +74,13 @@
 		return
 	}
 	for _, n := range f.Names {
-		if !r.accepted[n] {
+		if !r.HasAccepted(n) {
 			return
 		}
 	}
 	c.round = nil
-	c.adopt(now, r.plan)
-	for _, n := range r.plan.Voters {
+	c.adopt(now, r.Value)
+	for _, n := range r.Value.Voters {
 		if n != c.name {
 			c.send(n, Message{Kind: Decided, Plan: c.plan})
 		}
--- a/internal/zones/consensus.go
+++ b/internal/zones/consensus.go
@@ -13,7 +13,7 @@
 	"math"
 	"slices"
 
-	"weirwind/internal/membership"
+	"weirwind/internal/paxos"
 )
 
 // In heartbeats.
@@ -35,10 +35,8 @@
 	planSum   uint64
 	confirmed float64 // the latest time at which that was certainly the newest, on the own clock
 
-	mayVoteAt     float64           // may have forgotten a vote: none before
-	promised      membership.Ballot // for the plan behind it
-	accepted      membership.Ballot
-	acceptedPlan  *Plan // taken, not known to be decided
+	mayVoteAt     float64              // may have forgotten a vote: none before
+	vote          paxos.Acceptor[Plan] // on the plan behind it
 	acceptedAt    float64
 	ballotNumber  uint32
 	round         *round
@@ -143,7 +141,7 @@
 		return
 	}
 	// A late answer counts from when it was asked for.
-	answered := c.confirmedBy == nil || membership.Majority(c.plan.Voters, c.confirmedBy)
+	answered := c.confirmedBy == nil || paxos.Majority(c.plan.Voters, c.confirmedBy)
 	done := answered || now-c.confirmAskedAt > roundBeats*c.heartbeat
 	if c.mayLead(now, f) && now >= c.confirmAt && done {
 		c.confirmAt = now + c.heartbeat
@@ -175,8 +173,7 @@
 // adopt makes a plan the one that is held. It is in force once it is confirmed.
 func (c *consensus) adopt(now float64, p *Plan) {
 	c.plan, c.planSum, c.confirmed = p, p.sum(), math.Inf(-1)
-	c.promised, c.accepted, c.acceptedPlan, c.round, c.confirmedBy = membership.Ballot{}, membership.Ballot{}, nil, nil,
-		nil
+	c.vote, c.round, c.confirmedBy = paxos.Acceptor[Plan]{}, nil, nil
 	c.unsaved, c.candidateSince, c.confirmAt = true, 0, now
 	c.note("plan", c.name, describe(p))
 }
--- a/internal/zones/messages.go
+++ b/internal/zones/messages.go
@@ -7,6 +7,7 @@
 	"strings"
 
 	"weirwind/internal/membership"
+	"weirwind/internal/paxos"
 )
 
 // MessageKind of a message between drivers.
@@ -33,16 +34,16 @@
 type Message struct {
 	Kind MessageKind `cbor:"1,keyasint"`
 	// of the plan in question; in Prepare to Refuse of the one before
-	Epoch    uint64            `cbor:"2,keyasint,omitempty"`
-	Sum      uint64            `cbor:"3,keyasint,omitempty"` // and its sum
-	Ballot   membership.Ballot `cbor:"4,keyasint"`
-	Accepted membership.Ballot `cbor:"5,keyasint"`
-	Plan     *Plan             `cbor:"6,keyasint,omitempty"`
-	Nonce    uint64            `cbor:"7,keyasint,omitempty"`
-	Roster   uint64            `cbor:"8,keyasint,omitempty"`
-	Report   *Report           `cbor:"9,keyasint,omitempty"`
-	Command  *Command          `cbor:"10,keyasint,omitempty"`
-	Summary  *Summary          `cbor:"11,keyasint,omitempty"`
+	Epoch    uint64       `cbor:"2,keyasint,omitempty"`
+	Sum      uint64       `cbor:"3,keyasint,omitempty"` // and its sum
+	Ballot   paxos.Ballot `cbor:"4,keyasint"`
+	Accepted paxos.Ballot `cbor:"5,keyasint"`
+	Plan     *Plan        `cbor:"6,keyasint,omitempty"`
+	Nonce    uint64       `cbor:"7,keyasint,omitempty"`
+	Roster   uint64       `cbor:"8,keyasint,omitempty"`
+	Report   *Report      `cbor:"9,keyasint,omitempty"`
+	Command  *Command     `cbor:"10,keyasint,omitempty"`
+	Summary  *Summary     `cbor:"11,keyasint,omitempty"`
 }
 
 // Send is a message that is to go to a driver.
--- a/internal/zones/persist.go
+++ b/internal/zones/persist.go
@@ -3,17 +3,17 @@
 // This file owns what of the votes outlives the process.
 
 import (
-	"weirwind/internal/membership"
+	"weirwind/internal/paxos"
 )
 
 // SavedState is what must outlive the process for its votes to count when it comes back.
 type SavedState struct {
-	Name         string            `cbor:"1,keyasint"`
-	Plan         *Plan             `cbor:"2,keyasint,omitempty"`
-	Promised     membership.Ballot `cbor:"3,keyasint"`
-	Accepted     membership.Ballot `cbor:"4,keyasint"`
-	AcceptedPlan *Plan             `cbor:"5,keyasint,omitempty"`
-	Number       uint32            `cbor:"6,keyasint,omitempty"`
+	Name         string       `cbor:"1,keyasint"`
+	Plan         *Plan        `cbor:"2,keyasint,omitempty"`
+	Promised     paxos.Ballot `cbor:"3,keyasint"`
+	Accepted     paxos.Ballot `cbor:"4,keyasint"`
+	AcceptedPlan *Plan        `cbor:"5,keyasint,omitempty"`
+	Number       uint32       `cbor:"6,keyasint,omitempty"`
 }
 
 // restore takes up what an earlier process kept.
@@ -25,8 +25,8 @@
 	if k.Plan != nil {
 		c.plan, c.planSum = k.Plan, k.Plan.sum()
 	}
-	c.promised, c.accepted, c.acceptedPlan, c.ballotNumber, c.mayVoteAt = k.Promised, k.Accepted, k.AcceptedPlan,
-		k.Number, 0
+	c.vote = paxos.Acceptor[Plan]{Promised: k.Promised, Accepted: k.Accepted, Value: k.AcceptedPlan}
+	c.ballotNumber, c.mayVoteAt = k.Number, 0
 }
 
 // save gives what is to be kept, where there is something new.
@@ -35,7 +35,7 @@
 		return nil
 	}
 	c.unsaved = false
-	return &SavedState{c.name, c.plan, c.promised, c.accepted, c.acceptedPlan, c.ballotNumber}
+	return &SavedState{c.name, c.plan, c.vote.Promised, c.vote.Accepted, c.vote.Value, c.ballotNumber}
 }
 
 // saved tells what became of that.
--- a/internal/zones/status.go
+++ b/internal/zones/status.go
@@ -62,8 +62,8 @@
 	if a := z.age(now); !math.IsInf(a, 1) {
 		s.Age = a
 	}
-	if z.promised.Number > 0 || z.round != nil {
-		s.Votes = fmt.Sprintf("promised %v, taken %v, leads a round: %v", z.promised, z.accepted, z.round != nil)
+	if z.vote.Promised.Number > 0 || z.round != nil {
+		s.Votes = fmt.Sprintf("promised %v, taken %v, leads a round: %v", z.vote.Promised, z.vote.Accepted, z.round != nil)
 	}
 	if s.Leads {
 		s.Causes = z.judgement.Causes
