--- a/internal/membership/records.go
+++ b/internal/membership/records.go
@@ -11,9 +11,9 @@
 
 import (
 	"cmp"
-	"fmt"
 	"hash/fnv"
-	"slices"
+
+	"weirwind/internal/enum"
 )
 
 // State is what a driver is taken for.
@@ -26,22 +26,15 @@
 	Left          // it left on purpose, or operators said that it is gone
 )
 
-var stateNames = [...]string{"alive", "suspect", "failed", "left"}
+var stateNames = enum.Names{"alive", "suspect", "failed", "left"}
 
-func (s State) String() string { return stateNames[min(int(s), len(stateNames)-1)] }
+func (s State) String() string { return stateNames.Of(uint8(s)) }
 
 // MarshalText gives a state its name.
 func (s State) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
 // UnmarshalText takes a state's name.
-func (s *State) UnmarshalText(text []byte) error {
-	i := slices.Index(stateNames[:], string(text))
-	if i < 0 {
-		return fmt.Errorf("state %q is not known", text)
-	}
-	*s = State(i)
-	return nil
-}
+func (s *State) UnmarshalText(text []byte) error { return enum.Parse(stateNames, "state", text, s) }
 
 // Record is what is said of one driver.
 type Record struct {
--- a/internal/membership/standing.go
+++ b/internal/membership/standing.go
@@ -5,10 +5,9 @@
 // still be at work out of a share that all of them together must not exceed.
 
 import (
-	"fmt"
 	"math"
-	"slices"
 
+	"weirwind/internal/enum"
 	"weirwind/internal/paxos"
 )
 
@@ -23,21 +22,16 @@
 	Whole                   // it is with all
 )
 
-var standingNames = [...]string{"unsure", "alone", "smaller", "larger", "whole"}
+var standingNames = enum.Names{"unsure", "alone", "smaller", "larger", "whole"}
 
-func (s Standing) String() string { return standingNames[min(int(s), len(standingNames)-1)] }
+func (s Standing) String() string { return standingNames.Of(uint8(s)) }
 
 // MarshalText gives a standing its name.
 func (s Standing) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
 // UnmarshalText takes a standing's name.
 func (s *Standing) UnmarshalText(text []byte) error {
-	i := slices.Index(standingNames[:], string(text))
-	if i < 0 {
-		return fmt.Errorf("standing %q is not known", text)
-	}
-	*s = Standing(i)
-	return nil
+	return enum.Parse(standingNames, "standing", text, s)
 }
 
 // Act is something that several drivers could do to each other's harm.
--- a/internal/membership/votes_test.go
+++ b/internal/membership/votes_test.go
@@ -172,7 +172,8 @@
 		t.Errorf("it votes: %+v", out.Sends)
 	}
 	f.now = forgetPeriods*100 + 1
-	f.receiveVote("n0", "n0", Vote{Kind: Prepare, Version: 2, Base: f.roster.sum, Ballot: paxos.Ballot{Number: 9, Name: "n0"}})
+	f.receiveVote("n0", "n0", Vote{Kind: Prepare, Version: 2, Base: f.roster.sum,
+		Ballot: paxos.Ballot{Number: 9, Name: "n0"}})
 	if out := f.output(); len(out.Sends) != 1 || out.Sends[0].Message.Vote.Kind != Promise {
 		t.Errorf("it never votes again: %+v", out)
 	}
--- a/internal/paxos/paxos.go
+++ b/internal/paxos/paxos.go
@@ -1,8 +1,9 @@
-// Package paxos is single-decree Paxos: the rules of one instance, for an acceptor and for who leads a ballot. It does no
-// I/O and reads no clock. Who the voters are, what goes over the wire and what is kept on disk is its users' concern.
+// Package paxos is single-decree Paxos: the rules of one instance, for an acceptor and for who leads a ballot. It does
+// no I/O and reads no clock. Who the voters are, what goes over the wire and what is kept on disk is its users'
+// concern.
 //
-// An acceptor must never answer for a ballot below the one it promised, and who leads a ballot must propose the value of
-// the highest ballot that its promises name, if they name any.
+// An acceptor must never answer for a ballot below the one it promised, and who leads a ballot must propose the value
+// of the highest ballot that its promises name, if they name any.
 package paxos
 
 import (
@@ -10,8 +11,8 @@
 	"strings"
 )
 
-// MaxNumber bounds the ballot numbers that are taken over from others, so that a damaged or hostile one can't use up the
-// rest.
+// MaxNumber bounds the ballot numbers that are taken over from others, so that a damaged or hostile one can't use up
+// the rest.
 const MaxNumber = 1 << 30
 
 // Ballot orders attempts at one decision.
@@ -76,8 +77,8 @@
 	return Proposer[V]{Ballot: b, Value: value, promised: map[string]bool{}, acceptedBy: map[string]bool{}}
 }
 
-// PromisedBy counts a promise, with what its sender accepted before, and says whether it is the one that makes a majority
-// of the voters.
+// PromisedBy counts a promise, with what its sender accepted before, and says whether it is the one that makes a
+// majority of the voters.
 func (p *Proposer[V]) PromisedBy(name string, accepted Ballot, value *V, voters []string) bool {
 	if p.Accepting {
 		return false
--- a/internal/switchover/switchover.go
+++ b/internal/switchover/switchover.go
@@ -7,10 +7,11 @@
 // A change of a group's primary has an epoch, which only grows, and goes through stages in one order: announced, held,
 // released or aborted. What a driver knows of a group is the highest (epoch, stage, beat) that it heard of, so that
 // states merge by taking the higher one, whatever the order and however often (a join). A hold marks the old primary as
-// draining, which is how the design empties a writer slot: writes wait, probing goes on, and the first member that is seen
-// to be primary gets them. The mark stays behind a release until somebody else is primary, as a member list may name the
-// old one for minutes, and until that one says itself that it is a replica, or nothing: a deposed primary that still answers
-// as one gets no writes. Holds are leases by the own clock of each driver: one that a hook does not renew lapses.
+// draining, which is how the design empties a writer slot: writes wait, probing goes on, and the first member that is
+// seen to be primary gets them. The mark stays behind a release until somebody else is primary, as a member list may
+// name the old one for minutes, and until that one says itself that it is a replica, or nothing: a deposed primary that
+// still answers as one gets no writes. Holds are leases by the own clock of each driver: one that a hook does not renew
+// lapses.
 package switchover
 
 import (
@@ -19,6 +20,8 @@
 	"fmt"
 	"maps"
 	"slices"
+
+	"weirwind/internal/enum"
 )
 
 // Stage is how far a change has come.
@@ -32,24 +35,18 @@
 	Aborted
 )
 
-var stageNames = [...]string{"none", "announced", "held", "released", "aborted"}
+var stageNames = enum.Names{"none", "announced", "held", "released", "aborted"}
 
-func (s Stage) String() string { return stageNames[s] }
+func (s Stage) String() string { return stageNames.Of(uint8(s)) }
 
 // MarshalText and UnmarshalText give stages their names.
 func (s Stage) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
 // UnmarshalText takes a stage's name.
-func (s *Stage) UnmarshalText(text []byte) error {
-	i := slices.Index(stageNames[:], string(text))
-	if i < 0 {
-		return fmt.Errorf("stage %q is not known", text)
-	}
-	*s = Stage(i)
-	return nil
-}
+func (s *Stage) UnmarshalText(text []byte) error { return enum.Parse(stageNames, "stage", text, s) }
 
-// Word is what a hook or a fellow driver says of a group. From is the old primary, To the one to come where that is known.
+// Word is what a hook or a fellow driver says of a group. From is the old primary, To the one to come where that is
+// known.
 type Word struct {
 	Group int64   `json:"group"`
 	Epoch uint64  `json:"epoch"` // 0 from a hook: the one that goes on, or for an announcement and a first hold a new one
@@ -61,8 +58,8 @@
 	Age   float64 `json:"age,omitempty"`   // milliseconds since the hold began, at who tells it
 }
 
-// Rules are what a driver goes by. Times are milliseconds. Clocks are Unix time, about: of two changes the later begun is to
-// have the higher epoch.
+// Rules are what a driver goes by. Times are milliseconds. Clocks are Unix time, about: of two changes the later begun
+// is to have the higher epoch.
 type Rules struct {
 	Lease   float64 // of a hold that names none
 	Most    float64 // of a hold with all its renewals
@@ -124,7 +121,8 @@
 
 // higher says whether a word tells more than what is known.
 func (c *change) higher(w Word) bool {
-	return cmp.Or(cmp.Compare(w.Epoch, c.word.Epoch), cmp.Compare(w.Stage, c.word.Stage), cmp.Compare(w.Beat, c.word.Beat)) > 0
+	return cmp.Or(cmp.Compare(w.Epoch, c.word.Epoch), cmp.Compare(w.Stage, c.word.Stage),
+		cmp.Compare(w.Beat, c.word.Beat)) > 0
 }
 
 // Hook takes a word of a hook at this driver, fills in what it leaves out, and gives the whole word for fellow drivers.
@@ -190,7 +188,8 @@
 
 // Told takes a whole word, from this driver's hook or a fellow's.
 func (b *Book) Told(now float64, w Word) (Outcome, error) {
-	if w.Epoch == 0 || w.Stage == None || w.Stage > Aborted || w.Stage == Held && w.From == "" || !(w.Lease >= 0) || !(w.Age >= 0) {
+	if w.Epoch == 0 || w.Stage == None || w.Stage > Aborted || w.Stage == Held && w.From == "" || !(w.Lease >= 0) ||
+		!(w.Age >= 0) {
 		return Outcome{}, ErrBad
 	}
 	c := b.groups[w.Group]
@@ -289,8 +288,8 @@
 	out.Probe = append(out.Probe, c.marked)
 }
 
-// Role notes what a member said of itself when it was asked. An old primary that is a replica now may be read from; one that
-// goes on as a primary beside another stays marked.
+// Role notes what a member said of itself when it was asked. An old primary that is a replica now may be read from; one
+// that goes on as a primary beside another stays marked.
 func (b *Book) Role(now float64, member string, primary bool) (out Outcome) {
 	for _, g := range slices.Sorted(maps.Keys(b.groups)) {
 		c := b.groups[g]
@@ -299,7 +298,8 @@
 		case primary:
 			if c.claims = true; !c.twice {
 				c.twice = true
-				out.Note = fmt.Sprintf("group %d: two primaries: %s is one, and %s still answers as one and gets nothing", g, c.other, member)
+				out.Note = fmt.Sprintf("group %d: two primaries: %s is one, and %s still answers as one and gets nothing", g,
+					c.other, member)
 			}
 		default:
 			b.unmark(c, &out)
--- a/internal/switchover/switchover_test.go
+++ b/internal/switchover/switchover_test.go
@@ -66,13 +66,15 @@
 		d.broken = fmt.Sprintf("%+v behind %+v", c.word, d.seen)
 	}
 	d.seen = c.word
-	if c.marked != "" && (c.word.Stage == Aborted || c.word.Stage == Announced || c.lapsed || !c.claims && now-c.began > rules.Most+rules.Opening+2*rules.Ask+120) { // the longest pause between two ticks here
+	// the longest pause between two ticks here
+	if c.marked != "" && (c.word.Stage == Aborted || c.word.Stage == Announced || c.lapsed ||
+		!c.claims && now-c.began > rules.Most+rules.Opening+2*rules.Ask+120) {
 		d.broken = fmt.Sprintf("marked: %+v at %v", *c, now)
 	}
 }
 
-// Two drivers, three members, every order of words, exchanges, sights and pauses up to a length: states never go back, marks end,
-// and drivers that have told each other everything agree.
+// Two drivers, three members, every order of words, exchanges, sights and pauses up to a length: states never go back,
+// marks end, and drivers that have told each other everything agree.
 func TestEveryOrder(t *testing.T) {
 	type step struct {
 		name string
@@ -134,7 +136,8 @@
 		tell(at, x, y)
 		tell(at, y, x)
 		if p, q := x.book.groups[1], y.book.groups[1]; (p == nil) != (q == nil) || p != nil &&
-			(p.word.Epoch != q.word.Epoch || p.word.Stage != q.word.Stage || p.word.Beat != q.word.Beat || p.word.From != q.word.From) {
+			(p.word.Epoch != q.word.Epoch || p.word.Stage != q.word.Stage || p.word.Beat != q.word.Beat ||
+				p.word.From != q.word.From) {
 			t.Fatalf("%v: told everything, they differ: %+v, %+v", path, p, q)
 		}
 		for range 4 { // nothing is held or marked for good
@@ -167,8 +170,8 @@
 
 func marks(out Outcome) string { return fmt.Sprint(out.Marks) }
 
-// A planned change as hooks tell it: the old primary is marked with the hold and stays so behind the release until another is
-// seen; repeats do nothing; what is left out is filled in.
+// A planned change as hooks tell it: the old primary is marked with the hold and stays so behind the release until
+// another is seen; repeats do nothing; what is left out is filled in.
 func TestPlannedChange(t *testing.T) {
 	b := New(rules)
 	const first = 5000 * origins
@@ -223,7 +226,8 @@
 	}
 }
 
-// A deposed primary that goes on as one beside the new one gets nothing, for as long as it says so, and is told of once.
+// A deposed primary that goes on as one beside the new one gets nothing, for as long as it says so, and is told of
+// once.
 func TestTwoPrimaries(t *testing.T) {
 	b := New(rules)
 	b.Hook(1000, Word{Group: 1, Stage: Held, From: "m1"}, "")
@@ -269,7 +273,8 @@
 	if out := b.Tick(1250); marks(out) != "[{m1 false}]" || !slices.Equal(out.Probe, []string{"m1"}) {
 		t.Error(out)
 	}
-	if _, _, err := b.Hook(1251, Word{Group: 1, Epoch: b.groups[1].word.Epoch, Stage: Held}, ""); !errors.Is(err, ErrLapsed) {
+	if _, _, err := b.Hook(1251, Word{Group: 1, Epoch: b.groups[1].word.Epoch, Stage: Held}, ""); !errors.Is(err,
+		ErrLapsed) {
 		t.Error(err)
 	}
 	// a hold that a fellow tells when its lease is nearly over is held for what is left of it alone
@@ -278,7 +283,8 @@
 	if out := c.Tick(2006); marks(out) != "[{x false}]" {
 		t.Error(out)
 	}
-	if out, err := c.Told(2010, Word{Group: 3, Epoch: 7, Stage: Held, From: "y", Beat: 1, Lease: 0, Age: 95}); err != nil || len(out.Marks) > 0 {
+	if out, err := c.Told(2010, Word{Group: 3, Epoch: 7, Stage: Held, From: "y", Beat: 1, Lease: 0,
+		Age: 95}); err != nil || len(out.Marks) > 0 {
 		t.Error("a hold that is over holds:", out, err)
 	}
 }
@@ -303,7 +309,8 @@
 		want error
 	}{
 		{Word{Group: 1}, ErrBad}, {Word{Group: 1, Stage: 9}, ErrBad}, {Word{Group: 1, Stage: Held, Lease: -1}, ErrBad},
-		{Word{Group: 1, Stage: Released}, ErrNone}, {Word{Group: 1, Stage: Held}, ErrFrom}, {Word{Group: 1, Stage: Held, From: "a", To: "a"}, ErrBad},
+		{Word{Group: 1, Stage: Released}, ErrNone}, {Word{Group: 1, Stage: Held}, ErrFrom},
+		{Word{Group: 1, Stage: Held, From: "a", To: "a"}, ErrBad},
 	} {
 		if _, out, err := b.Hook(1000, c.w, ""); !errors.Is(err, c.want) || len(out.Marks) > 0 {
 			t.Errorf("%d: %v %v", i, err, out)
--- a/internal/zones/plan.go
+++ b/internal/zones/plan.go
@@ -11,9 +11,10 @@
 import (
 	"cmp"
 	"encoding/json"
-	"fmt"
 	"hash/fnv"
 	"slices"
+
+	"weirwind/internal/enum"
 )
 
 // State is a zone's.
@@ -27,22 +28,15 @@
 	Returning       // its share comes back, step by step
 )
 
-var stateNames = [...]string{"serving", "doubted", "leaving", "away", "returning"}
+var stateNames = enum.Names{"serving", "doubted", "leaving", "away", "returning"}
 
-func (s State) String() string { return stateNames[min(int(s), len(stateNames)-1)] }
+func (s State) String() string { return stateNames.Of(uint8(s)) }
 
 // MarshalText gives a state its name.
 func (s State) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
 // UnmarshalText takes a state's name.
-func (s *State) UnmarshalText(text []byte) error {
-	i := slices.Index(stateNames[:], string(text))
-	if i < 0 {
-		return fmt.Errorf("state %q is not known", text)
-	}
-	*s = State(i)
-	return nil
-}
+func (s *State) UnmarshalText(text []byte) error { return enum.Parse(stateNames, "state", text, s) }
 
 // Cause is why a zone is not simply serving.
 type Cause string
