--- a/cmd/weirwind/zones.go
+++ b/cmd/weirwind/zones.go
@@ -67,7 +67,8 @@
 		}
 		printPlan(out, &s)
 		for _, g := range s.Observations {
-			fmt.Fprintf(out, "sees zone=%s members=%d silent=%d behind=%d slow=%.2f reads=%.1f/s\n", g.Zone, g.Members, g.Silent, g.Behind, g.Slow, g.Reads)
+			fmt.Fprintf(out, "sees zone=%s members=%d silent=%d behind=%d slow=%.2f reads=%.1f/s\n", g.Zone, g.Members,
+				g.Silent, g.Behind, g.Slow, g.Reads)
 		}
 		for _, x := range s.Calls {
 			fmt.Fprintf(out, "crossed to=%s type=%s reason=%s ops=%d bytes=%d\n", x.To, x.Type, x.Reason, x.Ops, x.Bytes)
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -1,5 +1,5 @@
-// Package control is the word to and from a driver beside its ops: HTTP over a Unix socket for hooks and operators of the
-// same machine, and, where it is switched on, over TCP with a shared secret for fellow drivers.
+// Package control is the word to and from a driver beside its ops: HTTP over a Unix socket for hooks and operators of
+// the same machine, and, where it is switched on, over TCP with a shared secret for fellow drivers.
 //
 // This file owns the form of calls and answers. It must never decide on a word, keep one, or let a caller that is
 // slow or sends too much cost anybody else anything.
@@ -173,10 +173,12 @@
 
 // Serve answers calls until the context ends.
 func Serve(ctx context.Context, ln net.Listener, s Switcher, token string) error {
-	server := &http.Server{Handler: handler(s, token), ReadTimeout: callTime, WriteTimeout: callTime, IdleTimeout: 10 * time.Second, MaxHeaderBytes: 8 << 10}
+	server := &http.Server{Handler: handler(s, token), ReadTimeout: callTime, WriteTimeout: callTime,
+		IdleTimeout: 10 * time.Second, MaxHeaderBytes: 8 << 10}
 	stop := context.AfterFunc(ctx, func() { server.Close() })
 	defer stop()
-	if err := server.Serve(&limited{Listener: ln, places: make(chan struct{}, 32)}); !errors.Is(err, http.ErrServerClosed) {
+	err := server.Serve(&limited{Listener: ln, places: make(chan struct{}, 32)})
+	if !errors.Is(err, http.ErrServerClosed) {
 		return err
 	}
 	return nil
--- a/internal/control/zones.go
+++ b/internal/control/zones.go
@@ -1,7 +1,7 @@
 package control
 
-// This file owns calls on zones: the driver's part of plans, what would be planned, and operators' orders. They are answered
-// on the Unix socket alone.
+// This file owns calls on zones: the driver's part of plans, what would be planned, and operators' orders. They are
+// answered on the Unix socket alone.
 
 import (
 	"context"
--- a/internal/group/group.go
+++ b/internal/group/group.go
@@ -1,7 +1,7 @@
 // Package group decides, for one replication group in one driver, where statements go.
 //
-// This file owns a group's members as a driver sees them: who may be sent what, what a read must have seen, who is doubted and
-// who is to be probed. It does no I/O and reads no clock. docs/system.md tells what comes from the design.
+// This file owns a group's members as a driver sees them: who may be sent what, what a read must have seen, who is
+// doubted and who is to be probed. It does no I/O and reads no clock. docs/system.md tells what comes from the design.
 package group
 
 import (
@@ -89,11 +89,12 @@
 
 // NewGroup knows no member yet. near says how far a zone is: 0, 1 or 2.
 func NewGroup(svc string, near func(zone string) float64) *Group {
-	return &Group{Svc: svc, Members: map[string]*Member{}, Slot: writerslot.NewSlot[string](), near: near, pauseP: ProbeEvery}
+	return &Group{Svc: svc, Members: map[string]*Member{}, Slot: writerslot.NewSlot[string](), near: near,
+		pauseP: ProbeEvery}
 }
 
-// Learn takes a member's record as the list has it. known is false for what an own start found in the table, which says nothing
-// of when it was said.
+// Learn takes a member's record as the list has it. known is false for what an own start found in the table, which says
+// nothing of when it was said.
 func (g *Group) Learn(r directory.Member, now float64) {
 	m := g.Members[r.ID]
 	if r.Gone {
@@ -175,9 +176,10 @@
 	return Choice{Member: p, Prove: true}
 }
 
-// companion is the replica with fewest own requests in flight among those that are fresh enough as far as is known; distance
-// counts as requests in flight, as what crosses regions is slow and dear.
-func (g *Group) companion(after wire.Position, young bool, now float64, room func(*Member) bool, avoid func(string) bool) *Member {
+// companion is the replica with fewest own requests in flight among those that are fresh enough as far as is known;
+// distance counts as requests in flight, as what crosses regions is slow and dear.
+func (g *Group) companion(after wire.Position, young bool, now float64, room func(*Member) bool,
+	avoid func(string) bool) *Member {
 	var best *Member
 	cost, ties := 0.0, 0
 	for _, m := range g.Members {
@@ -355,7 +357,8 @@
 	return p != nil && len(p.commits) > 0 && now-p.commits[0] > stuckAfter && p.heard > p.commits[0]+stuckAfter/2
 }
 
-// Owing says how long the oldest send is unanswered with nothing heard since, over all members that owe one; 0 for none.
+// Owing says how long the oldest send is unanswered with nothing heard since, over all members that owe one; 0 for
+// none.
 func (g *Group) Owing(now float64) float64 {
 	if p := g.Primary(); p != nil && len(p.owes) > 0 {
 		return now - max(p.owes[0], p.heard)
@@ -363,8 +366,8 @@
 	return 0
 }
 
-// Probes gives whom to ask now, where something waits: the design's probes of a group with an empty slot, and of a primary
-// that is doubted.
+// Probes gives whom to ask now, where something waits: the design's probes of a group with an empty slot, and of a
+// primary that is doubted.
 func (g *Group) Probes(now float64) []*Member {
 	p := g.Primary()
 	if now < g.probeAt || p != nil && !p.Doubted {
--- a/internal/lab/fleet/zones_test.go
+++ b/internal/lab/fleet/zones_test.go
@@ -1,6 +1,7 @@
 package fleet
 
-// Several processes of the built program that decide on zones in common, with three zones of members and faults among both.
+// Several processes of the built program that decide on zones in common, with three zones of members and faults among
+// both.
 
 import (
 	"context"
@@ -83,7 +84,8 @@
 	}
 }
 
-// A zone with its drivers is lost, the rest decide so and serve; it returns. Each op has one answer, no write runs twice.
+// A zone with its drivers is lost, the rest decide so and serve; it returns. Each op has one answer, no write runs
+// twice.
 func TestZoneLost(t *testing.T) {
 	f := zoned(t, Options{Seed: 31, Keep: true})
 	f.under(t, func() {
@@ -110,7 +112,9 @@
 	}, 0, 1, 2, 3, 4, 5)
 	f.Drivers[2].Kill()
 	f.Drivers[5].Kill()
-	f.await(t, "its members serve on", func() bool { return f.follow(zoneIs("c", zones.Serving, zones.DriversLost), 0, 1, 3, 4) })
+	f.await(t, "its members serve on", func() bool {
+		return f.follow(zoneIs("c", zones.Serving, zones.DriversLost), 0, 1, 3, 4)
+	})
 }
 
 // Operators empty a zone by any driver while another zone fails, freeze, and take both back.
@@ -156,19 +160,24 @@
 	on := true
 	order(0, zones.Command{Freeze: &on})
 	f.await(t, "frozen", func() bool { return f.follow(func(p *zones.Plan) bool { return p.Frozen }) })
-	if err := f.Drivers[5].Control.OrderZone(context.Background(), zones.Command{Zone: "nowhere", Away: true}); err == nil || !strings.Contains(err.Error(), "404") {
+	if err := f.Drivers[5].Control.OrderZone(context.Background(),
+		zones.Command{Zone: "nowhere", Away: true}); err == nil || !strings.Contains(err.Error(), "404") {
 		t.Errorf("an unknown zone: %v", err)
 	}
 }
 
-// Who leads is frozen and thawed with its old plan, while the rest go on: it never goes by the old one beside a newer, and
-// follows in the end. A cut that outlasts the lease leaves the smaller part without a plan in force, and it changes nothing.
+// Who leads is frozen and thawed with its old plan, while the rest go on: it never goes by the old one beside a newer,
+// and follows in the end. A cut that outlasts the lease leaves the smaller part without a plan in force, and it changes
+// nothing.
 func TestLeaderFrozenAndLeasesEnd(t *testing.T) {
 	f := zoned(t, Options{Seed: 34, Keep: true})
 	f.await(t, "the first voter leads", func() bool { s, ok := f.Drivers[0].zones(); return ok && s.Leads })
 	f.Drivers[0].Freeze()
 	f.await(t, "another one leads", func() bool {
-		return slices.ContainsFunc(f.Drivers[1:], func(d *Driver) bool { s, ok := d.zones(); return ok && s.Leads && s.InForce })
+		return slices.ContainsFunc(f.Drivers[1:], func(d *Driver) bool {
+			s, ok := d.zones()
+			return ok && s.Leads && s.InForce
+		})
 	})
 	f.under(t, func() {
 		f.membersOf("b", "kill")
@@ -182,7 +191,8 @@
 			b, too := f.Drivers[1].zones()
 			return ok && too && !a.InForce && !b.InForce
 		})
-		if err := f.Drivers[1].Control.OrderZone(context.Background(), zones.Command{Zone: "c", Away: true}); err == nil || !strings.Contains(err.Error(), "503") {
+		if err := f.Drivers[1].Control.OrderZone(context.Background(), zones.Command{Zone: "c", Away: true}); err == nil ||
+			!strings.Contains(err.Error(), "503") {
 			t.Errorf("an order without a plan in force: %v", err)
 		}
 		f.membersOf("b", "heal")
@@ -216,8 +226,8 @@
 	}
 }
 
-// Two zones and a witness in a third that has no members: with one zone lost the other goes on. A voter's secret is wrong:
-// nothing of it is taken.
+// Two zones and a witness in a third that has no members: with one zone lost the other goes on. A voter's secret is
+// wrong: nothing of it is taken.
 func TestWitness(t *testing.T) {
 	f := zoned(t, Options{Seed: 36, Zones: []string{"a", "b", "w"}})
 	f.under(t, func() {
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -1,12 +1,12 @@
-// Package ledger decides what a driver may do for an op whose client names it by a key of its own, so that a repeat behind a
-// lost answer, a killed driver or a restart never has a second effect. It does no I/O and reads no clock.
+// Package ledger decides what a driver may do for an op whose client names it by a key of its own, so that a repeat
+// behind a lost answer, a killed driver or a restart never has a second effect. It does no I/O and reads no clock.
 //
-// This file owns the book of keys, its records and its limits. It must never let an op go out of which it can't be said that
-// no earlier one with its key may have run, forget a key before its time, or grow beyond its limits.
+// This file owns the book of keys, its records and its limits. It must never let an op go out of which it can't be said
+// that no earlier one with its key may have run, forget a key before its time, or grow beyond its limits.
 //
 // A key is begun before the first byte for it goes to a member: its record is on disk by then. It ends as acked, with
-// the answer, as not run, which frees it, or as unknown. A key that was begun when its driver died is unknown. Records go
-// to a log in the order in which they were given out; a snapshot is the whole book.
+// the answer, as not run, which frees it, or as unknown. A key that was begun when its driver died is unknown. Records
+// go to a log in the order in which they were given out; a snapshot is the whole book.
 package ledger
 
 import (
@@ -102,8 +102,8 @@
 // New makes an empty book.
 func New(r Rules) *Book { return &Book{rules: r, keys: map[string]*entry{}} }
 
-// Load makes a book of a snapshot and the records behind it, as an earlier run left them. What was open then is unknown now.
-// Records that can't be read end it with an error: a key that is missing could run twice.
+// Load makes a book of a snapshot and the records behind it, as an earlier run left them. What was open then is unknown
+// now. Records that can't be read end it with an error: a key that is missing could run twice.
 func Load(r Rules, now float64, snap []byte, records [][]byte) (*Book, error) {
 	b := New(r)
 	if snap != nil {
@@ -154,7 +154,8 @@
 	return h.Sum64()
 }
 
-// Ask says what is to be done with an op. With Go the key is begun, and the record is to be safe before anything goes out.
+// Ask says what is to be done with an op. With Go the key is begun, and the record is to be safe before anything goes
+// out.
 func (b *Book) Ask(now float64, key string, print uint64) (v Verdict, answer, rec []byte) {
 	b.Tick(now)
 	if e := b.keys[key]; e != nil {
@@ -178,8 +179,8 @@
 	return Go, nil, encode(key, e)
 }
 
-// End notes what became of a key that was begun here: Acked with its answer, Free where it is proved that nothing ran, or
-// Unknown. The record need not be safe before the client is told: without it the key is unknown, which is true.
+// End notes what became of a key that was begun here: Acked with its answer, Free where it is proved that nothing ran,
+// or Unknown. The record need not be safe before the client is told: without it the key is unknown, which is true.
 func (b *Book) End(now float64, key string, s State, answer []byte) (rec []byte) {
 	e := b.keys[key]
 	if e == nil || e.State != Open || s == Open {
--- a/internal/sessionedge/sessionedge.go
+++ b/internal/sessionedge/sessionedge.go
@@ -1,7 +1,7 @@
 // Package sessionedge is an edge at work: clients' websockets on one side, links to sites on the other.
 //
-// Decisions are queue's; here are sockets and clocks. One goroutine owns the edge, with a queue of commands; each socket has one
-// that reads and one that writes. A client that doesn't read loses its socket, never anybody's memory.
+// Decisions are queue's; here are sockets and clocks. One goroutine owns the edge, with a queue of commands; each
+// socket has one that reads and one that writes. A client that doesn't read loses its socket, never anybody's memory.
 package sessionedge
 
 import (
@@ -86,7 +86,8 @@
 func Run(ctx context.Context, set *settings.Settings, log events.Log) error {
 	inner, stop := context.WithCancel(context.Background())
 	defer stop()
-	t := &Edge{set: set, log: log, ctx: inner, start: time.Now(), q: commandqueue.New(inner, 4096), links: map[string]*peer{}, socks: map[uint64]*socket{}, most: int64(max(set.Files-200, 64))}
+	t := &Edge{set: set, log: log, ctx: inner, start: time.Now(), q: commandqueue.New(inner, 4096),
+		links: map[string]*peer{}, socks: map[uint64]*socket{}, most: int64(max(set.Files-200, 64))}
 	t.e = queue.NewEdge(set.Hostname, set.Zone, set.Region)
 	ln, err := net.Listen("tcp4", set.Front)
 	if err != nil {
@@ -96,7 +97,8 @@
 	mux.HandleFunc("GET /session", t.session)
 	mux.HandleFunc("GET /status", t.status)
 	mux.Handle("GET /events", log)
-	server := &http.Server{Handler: mux, ReadHeaderTimeout: 2 * time.Second, IdleTimeout: 30 * time.Second, MaxHeaderBytes: 8 << 10}
+	server := &http.Server{Handler: mux, ReadHeaderTimeout: 2 * time.Second, IdleTimeout: 30 * time.Second,
+		MaxHeaderBytes: 8 << 10}
 	go server.Serve(ln)
 	go t.maps()
 	go t.q.Run(tickEvery, func() {
@@ -257,8 +259,11 @@
 		}
 		got = n
 	}
-	plain := !slices.Contains(strings.FieldsFunc(r.Header.Get("Sec-WebSocket-Protocol"), func(c rune) bool { return c == ',' || c == ' ' }), Subprotocol)
-	c, err := websocket.Accept(w, r, &websocket.AcceptOptions{Subprotocols: []string{Subprotocol}, InsecureSkipVerify: true, CompressionMode: websocket.CompressionDisabled})
+	plain := !slices.Contains(strings.FieldsFunc(r.Header.Get("Sec-WebSocket-Protocol"), func(c rune) bool {
+		return c == ',' || c == ' '
+	}), Subprotocol)
+	c, err := websocket.Accept(w, r, &websocket.AcceptOptions{Subprotocols: []string{Subprotocol},
+		InsecureSkipVerify: true, CompressionMode: websocket.CompressionDisabled})
 	if err != nil {
 		return
 	}
@@ -350,7 +355,8 @@
 	}
 }
 
-// give hands a client's message to the edge once it has room for it; until then nothing more is read. False: the socket has ended.
+// give hands a client's message to the edge once it has room for it; until then nothing more is read. False: the socket
+// has ended.
 func (s *socket) give(ctx context.Context, t *Edge, n uint64, body []byte) bool {
 	for {
 		ch := make(chan bool, 1)
--- a/internal/sessionsite/calls.go
+++ b/internal/sessionsite/calls.go
@@ -57,7 +57,8 @@
 	}
 	ch := make(chan answer, 1)
 	m.t.q.Do(func() {
-		m.t.s.Put(r.PathValue("id"), r.Header.Get("Weirwind-Key"), body, m.t.now(), func(status int, n uint64) { ch <- answer{status, n} })
+		m.t.s.Put(r.PathValue("id"), r.Header.Get("Weirwind-Key"), body, m.t.now(),
+			func(status int, n uint64) { ch <- answer{status, n} })
 		m.t.flush()
 	})
 	select {
@@ -133,7 +134,8 @@
 func (t *Site) status(w http.ResponseWriter, _ *http.Request) {
 	ch := make(chan map[string]any, 1)
 	t.q.Do(func() {
-		ch <- map[string]any{"site": t.set.Hostname, "state": t.state, "epoch": t.s.Epoch, "homes": t.s.Homes(), "copies": t.s.Copied(), "bytes": t.s.Bytes(),
+		ch <- map[string]any{"site": t.set.Hostname, "state": t.state, "epoch": t.s.Epoch, "homes": t.s.Homes(),
+			"copies": t.s.Copied(), "bytes": t.s.Bytes(),
 			"givenUp": t.s.Expired, "edges": len(t.edges), "sites": t.s.Map()}
 	})
 	w.Header().Set("Content-Type", "application/json")
--- a/internal/sessionsite/sessionsite.go
+++ b/internal/sessionsite/sessionsite.go
@@ -69,7 +69,8 @@
 func Run(ctx context.Context, set *settings.Settings, log events.Log) error {
 	inner, stop := context.WithCancel(context.Background())
 	defer stop()
-	t := &Site{set: set, log: log, ctx: inner, start: time.Now(), life: uint64(time.Now().UnixNano()), q: commandqueue.New(inner, 4096), peers: map[string]*peer{}, edges: map[string]*link{}}
+	t := &Site{set: set, log: log, ctx: inner, start: time.Now(), life: uint64(time.Now().UnixNano()),
+		q: commandqueue.New(inner, 4096), peers: map[string]*peer{}, edges: map[string]*link{}}
 	t.lim = queue.DefaultLimits
 	t.lim.Copies = max(set.TolerateNodes, 1)
 	t.lim.All = int64(set.MemoryMB) << 20 / 3
@@ -83,7 +84,8 @@
 		return oops.In("listen").Wrap(err)
 	}
 	go transport.Serve(mesh, linkIdle, func(*link) {}, t.take, t.gone)
-	server := &http.Server{Handler: t.routes(), ReadHeaderTimeout: 2 * time.Second, ReadTimeout: 5 * time.Second, IdleTimeout: 30 * time.Second, MaxHeaderBytes: 8 << 10}
+	server := &http.Server{Handler: t.routes(), ReadHeaderTimeout: 2 * time.Second, ReadTimeout: 5 * time.Second,
+		IdleTimeout: 30 * time.Second, MaxHeaderBytes: 8 << 10}
 	go server.Serve(ctl)
 	go t.renew()
 	go t.q.Run(tickEvery, t.tick)
@@ -151,7 +153,8 @@
 		case <-t.ctx.Done():
 			return
 		}
-		body, _ := json.Marshal(controlplane.Renewal{Addr: t.set.Port(t.set.IP, 0), HTTP: t.set.Ready, Zone: t.set.Zone, Region: t.set.Region, Life: life})
+		body, _ := json.Marshal(controlplane.Renewal{Addr: t.set.Port(t.set.IP, 0), HTTP: t.set.Ready, Zone: t.set.Zone,
+			Region: t.set.Region, Life: life})
 		asked := t.now()
 		status, answer := t.core(http.MethodPost, "/sites/"+t.set.Hostname+"/renew", body)
 		var m sites.Map
@@ -216,13 +219,17 @@
 		ctx, stop := context.WithCancel(t.ctx)
 		p := &peer{addr: s.Addr, stop: stop}
 		t.peers[name] = p
-		go Keep(ctx, s.Addr, Frame{Hello: t.set.Hostname}, func(l *link) { t.q.Do(func() { p.l = l; t.flush() }) }, func(*link, *Frame) {})
+		go Keep(ctx, s.Addr, Frame{Hello: t.set.Hostname}, func(l *link) { t.q.Do(func() { p.l = l; t.flush() }) },
+			func(*link, *Frame) {})
 	}
 }
 
 // Keep holds a link to a process, telling who dials, until ctx ends; up is told of each, and of nil when it has ended.
 func Keep(ctx context.Context, addr string, hello Frame, up func(*link), take func(*link, *Frame)) {
-	again := transport.Backoff{First: 50 * time.Millisecond, Most: 50 * time.Millisecond, DialTimeout: func(nth int) time.Duration { return transport.DialTimeout(nth / 3) }}
+	again := transport.Backoff{First: 50 * time.Millisecond, Most: 50 * time.Millisecond,
+		DialTimeout: func(nth int) time.Duration {
+			return transport.DialTimeout(nth / 3)
+		}}
 	transport.Keep(ctx, addr, again, func(l *link) {
 		l.Send(&hello)
 		go ping(ctx, l)
--- a/internal/shard/shardnode/statements.go
+++ b/internal/shard/shardnode/statements.go
@@ -178,6 +178,7 @@
 			fetch = &Fetch{
 				Shard: shard, Epoch: epoch, Bytes: int64(bytes), Last: last,
 				Addr: f[6], Svc: f[7], ID: f[8], After: c.Last(),
+				EntriesAsk: fmt.Sprintf("SHARD ENTRIES %s %d %d %d", shard, epoch, c.Last(), bytes),
 			}
 		}
 	default:
--- /dev/null
+++ b/internal/shard/shardnode/statements_test.go
@@ -0,0 +1,59 @@
+package shardnode
+
+import (
+	"fmt"
+	"testing"
+)
+
+// A shard is copied, closed, sealed and opened elsewhere by the texts that the mover sends, and by what FETCH has the
+// target ask the source.
+func TestMoveByStatements(t *testing.T) {
+	source, target := NewKeeper(1<<20, 0), NewKeeper(1<<20, 0)
+	say := func(k *Keeper, format string, args ...any) ([]string, *Fetch) {
+		t.Helper()
+		text := fmt.Sprintf(format, args...)
+		rows, fetch, err := k.Say(text)
+		if err != nil {
+			t.Fatalf("%s: %v", text, err)
+		}
+		return rows, fetch
+	}
+	say(source, "SHARD HOLD s 1 0")
+	const writes = 3
+	for i := range writes {
+		if _, err := source.Write("s", 1, fmt.Sprint("id", i), []byte("value")); err != nil {
+			t.Fatal(err)
+		}
+	}
+	say(target, "SHARD RESERVE s 1 1000")
+	fetchAll := func(last uint64) []string {
+		t.Helper()
+		_, fetch := say(target, "SHARD FETCH s 1 1000 %d 10.0.0.1:1 svc source", last)
+		if fetch == nil || fetch.Addr != "10.0.0.1:1" || fetch.Svc != "svc" || fetch.ID != "source" {
+			t.Fatalf("%+v", fetch)
+		}
+		entries, _ := say(source, "%s", fetch.EntriesAsk)
+		rows, err := target.Fetched(fetch, entries)
+		if err != nil {
+			t.Fatal(err)
+		}
+		return rows
+	}
+	fetchAll(0)
+	if got := target.Copies["s"].Last(); got != writes {
+		t.Errorf("%d of %d entries were copied", got, writes)
+	}
+	rows, _ := say(source, "SHARD CLOSE s 1")
+	if rows[0] != fmt.Sprint(writes, " true") {
+		t.Errorf("closed with %q", rows)
+	}
+	fetchAll(writes)
+	if state := target.Copies["s"].State; state != Sealed {
+		t.Errorf("it is %v", state)
+	}
+	say(target, "SHARD HOLD s 2 %d", writes)
+	say(source, "SHARD DROP s 2")
+	if target.Copies["s"].State != Open || source.Copies["s"] != nil {
+		t.Errorf("%+v %+v", target.Copies["s"], source.Copies["s"])
+	}
+}
