--- a/internal/membership/standing.go
+++ b/internal/membership/standing.go
@@ -5,9 +5,10 @@
 // still be at work out of a share that all of them together must not exceed.
 
 import (
-	"fmt"
 	"math"
-	"slices"
+
+	"weirwind/internal/enum"
+	"weirwind/internal/paxos"
 )
 
 // Standing is a driver's place in the fleet, by the roster that was agreed on.
@@ -21,21 +22,16 @@
 	Whole                   // it is with all
 )
 
-var standingNames = [...]string{"unsure", "alone", "smaller", "larger", "whole"}
+var standingNames = enum.Names{"unsure", "alone", "smaller", "larger", "whole"}
 
-func (s Standing) String() string { return standingNames[min(int(s), len(standingNames)-1)] }
+func (s Standing) String() string { return standingNames.Of(uint8(s)) }
 
 // MarshalText gives a standing its name.
 func (s Standing) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
 // UnmarshalText takes a standing's name.
 func (s *Standing) UnmarshalText(text []byte) error {
-	i := slices.Index(standingNames[:], string(text))
-	if i < 0 {
-		return fmt.Errorf("standing %q is not known", text)
-	}
-	*s = Standing(i)
-	return nil
+	return enum.Parse(standingNames, "standing", text, s)
 }
 
 // Act is something that several drivers could do to each other's harm.
@@ -145,16 +141,16 @@
 
 // pendingLives says that a change which may have been decided without this driver's knowing has its majority here too.
 func (f *Fleet) pendingLives() bool {
-	if f.acceptedChange == nil || f.version != f.roster.Version+1 || f.now-f.acceptedAt < roundPeriods*f.rules.Period {
+	if f.vote.Value == nil || f.version != f.roster.Version+1 || f.now-f.acceptedAt < roundPeriods*f.rules.Period {
 		return true
 	}
-	next := f.after(f.acceptedChange)
+	next := f.after(f.vote.Value)
 	names := f.names(false)
 	who := map[string]bool{}
 	for _, n := range names {
 		who[n] = true
 	}
-	return Majority(next.Names, who)
+	return paxos.Majority(next.Names, who)
 }
 
 // Standing is this driver's, why, and since when.
