--- a/internal/failover/watch.go
+++ b/internal/failover/watch.go
@@ -87,7 +87,7 @@
 		s.pressAt = now + pressEvery
 		s.askAll(v, now)
 	}
-	if here == nil || len(here) == 0 || s.behind == nil || !maps.Equal(here, s.behind) {
+	if len(here) == 0 || s.behind == nil || !maps.Equal(here, s.behind) {
 		s.behind, s.standAt = here, now
 		if s.behind == nil {
 			s.behind = map[string]wire.Position{}
--- a/internal/standin/town/town_test.go
+++ b/internal/standin/town/town_test.go
@@ -67,7 +67,7 @@
 	talk(k, "FETCH x", "STORE y 1", "FETCH y", "BEGIN FETCH", "STORE y 2", "FETCH y", "ABORT", "FETCH y")
 	k = open("stale")
 	talk(k, "FETCH x", "BEGIN FETCH", "FETCH x", "COMMIT")
-	k = open("nowhere")
+	open("nowhere")
 	k = open("prim")
 	k.Say("QUERY\r\n")
 	lines = append(lines, "> QUERY", "< "+k.Line(), "< "+k.Line())
