--- a/internal/controlplane/tables.go
+++ b/internal/controlplane/tables.go
@@ -125,7 +125,7 @@
 }
 
 func (t *tables) digest() controlmsg.Digest {
-	d := controlmsg.Digest{Members: t.members.Digest(), Drivers: directory.DriversDigest(t.leases.List())}
+	d := controlmsg.Digest{Members: t.members.Digest(), Drivers: t.leases.Digest()}
 	if t.state != nil {
 		d.Gen = t.state.Gen
 		if t.state.Shards != nil {
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -247,7 +247,9 @@
 
 // Leases are the drivers that the core knows: each is a member while it renews.
 type Leases struct {
-	all map[string]*lease
+	all    map[string]*lease
+	list   []Driver // by name; nil: to be made anew
+	digest uint64   // of list
 }
 
 type lease struct {
@@ -266,6 +268,7 @@
 	}
 	if old == nil || old.d != d {
 		l.all[d.Name] = &lease{d, until}
+		l.list = nil
 		return true
 	}
 	old.until = max(old.until, until)
@@ -278,6 +281,7 @@
 		return false
 	}
 	delete(l.all, name)
+	l.list = nil
 	return true
 }
 
@@ -286,6 +290,7 @@
 	for name, e := range l.all {
 		if now >= e.until {
 			delete(l.all, name)
+			l.list = nil
 			out = append(out, e.d)
 		}
 	}
@@ -300,14 +305,23 @@
 	return 0
 }
 
-// List gives the drivers that hold one, by name.
+// List gives the drivers that hold one, by name. It is shared: nobody may change it.
 func (l *Leases) List() []Driver {
-	out := make([]Driver, 0, len(l.all))
-	for _, e := range l.all {
-		out = append(out, e.d)
+	if l.list == nil {
+		l.list = make([]Driver, 0, len(l.all))
+		for _, e := range l.all {
+			l.list = append(l.list, e.d)
+		}
+		slices.SortFunc(l.list, func(a, b Driver) int { return cmp.Compare(a.Name, b.Name) })
+		l.digest = DriversDigest(l.list)
 	}
-	slices.SortFunc(out, func(a, b Driver) int { return cmp.Compare(a.Name, b.Name) })
-	return out
+	return l.list
+}
+
+// Digest is the list's. It is kept until the list changes, as each renewal compares it.
+func (l *Leases) Digest() uint64 {
+	l.List()
+	return l.digest
 }
 
 // Changed gives a list of drivers, in the order of names, behind what joined and left.
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -1,6 +1,7 @@
 package directory
 
 import (
+	"cmp"
 	"fmt"
 	"slices"
 	"testing"
@@ -153,3 +154,41 @@
 		t.Error(got)
 	}
 }
+
+func TestLeasesKeepTheirListUntilItChanges(t *testing.T) {
+	Convey("Leases under renewals, returns, ends and lapses", t, func() {
+		l := NewLeases()
+		want := map[string]Driver{}
+		same := func() {
+			var all []Driver
+			for _, d := range want {
+				all = append(all, d)
+			}
+			slices.SortFunc(all, func(a, b Driver) int { return cmp.Compare(a.Name, b.Name) })
+			So(len(l.List()), ShouldEqual, len(all))
+			So(slices.Equal(l.List(), all), ShouldBeTrue)
+			So(l.Digest(), ShouldEqual, DriversDigest(all))
+		}
+		same()
+		a, b, again := Driver{Name: "a", Addr: "1", Life: 1}, Driver{Name: "b", Addr: "2", Life: 1}, Driver{Name: "a", Addr: "3", Life: 2}
+		l.Renew(a, 10)
+		want["a"] = a
+		same()
+		l.Renew(b, 20)
+		want["b"] = b
+		same()
+		shown := l.List()
+		l.Renew(again, 10)
+		want["a"] = again
+		same()
+		So(shown[0], ShouldResemble, a) // what was given out stays as it was
+		So(l.Drop("b", 9), ShouldBeFalse)
+		same()
+		l.Lapse(15)
+		delete(want, "a")
+		same()
+		l.Drop("b", 1)
+		delete(want, "b")
+		same()
+	})
+}
