--- a/internal/controlplane/tables.go
+++ b/internal/controlplane/tables.go
@@ -41,6 +41,8 @@
 	syncAt  float64
 	leaving map[string]float64
 
+	untold map[string]bool // members whose records are told at the next tick
+
 	drivers    []directory.Driver // as agents were told last
 	driversNew bool
 
@@ -63,7 +65,7 @@
 
 func newTables(h *Server) *tables {
 	t := &tables{h: h, q: commandqueue.New(h.ctx, 1024), members: directory.NewMembers(), leases: directory.NewLeases(),
-		agents: map[*link]string{}, leaving: map[string]float64{}, successions: map[string]*failover.Service{}, reports: map[string]map[string]report{}, granted: map[string]float64{}, lives: map[string]uint64{}}
+		agents: map[*link]string{}, untold: map[string]bool{}, leaving: map[string]float64{}, successions: map[string]*failover.Service{}, reports: map[string]map[string]report{}, granted: map[string]float64{}, lives: map[string]uint64{}}
 	t.asker = newAsker()
 	return t
 }
@@ -74,10 +76,14 @@
 
 func (t *tables) tick() {
 	now := t.h.now()
-	for _, m := range t.members.Expire(now, ms(memberKeep)) {
+	silent := t.members.Expire(now, ms(memberKeep))
+	for _, m := range silent {
 		t.h.log.Event(events.MemberGone, "member", m.ID, "why", "silent")
-		t.spread([]directory.Member{m})
 	}
+	if silent != nil {
+		t.spread(silent)
+	}
+	t.tellUntold()
 	if lapsed := t.leases.Lapse(now); lapsed != nil {
 		for _, d := range lapsed {
 			t.h.log.Event(events.DriverLapsed, "driver", d.Name)
@@ -192,6 +198,21 @@
 	t.h.sendCores(&controlmsg.Frame{Update: n})
 }
 
+// tellUntold tells the records that waited for the tick, as they are by now. When many members start, each agent is sent a frame a
+// tick, not one for each of them.
+func (t *tables) tellUntold() {
+	var records []directory.Member
+	for id := range t.untold {
+		if m, ok := t.members.Get(id); ok {
+			records = append(records, m)
+		}
+	}
+	clear(t.untold)
+	if records != nil {
+		t.spread(records)
+	}
+}
+
 // beat takes a member's own word.
 func (t *tables) beat(rec directory.Member) {
 	now := t.h.now()
@@ -212,7 +233,11 @@
 		t.h.log.Event(events.MemberRole, "member", m.ID, "svc", m.Svc, "role", int(m.Role))
 	}
 	t.noteLeaving(m, now)
-	t.spread([]directory.Member{m})
+	if !known || old.Role == m.Role && old.Leaving == m.Leaving {
+		t.untold[m.ID] = true
+		return
+	}
+	t.spread([]directory.Member{m}) // statements wait for a change of role or a drain
 }
 
 // noteLeaving lets the drain of a member that does not lead bind at once; who leads successions over first.
