--- a/cmd/weirlab/hollow.go
+++ b/cmd/weirlab/hollow.go
@@ -9,6 +9,7 @@
 	"os"
 	"os/signal"
 	"path/filepath"
+	"syscall"
 	"time"
 
 	"weirwind/internal/lab/hollow"
@@ -31,7 +32,7 @@
 	if c.Cores < 1 || c.Cores > 100 || c.Net < 1 || c.Net+c.Cores > 250 || c.Port < 1024 || c.Port > 60000 || c.Renewals < 1 || c.Databases < 0 || c.Databases > 5800 {
 		return fmt.Errorf("a play has up to 100 core machines and 5800 databases, within 127/8 and the ports above 1024")
 	}
-	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
+	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	log, shut, err := logTo(c.Log)
 	if err != nil {
