--- a/internal/controlplane/tables.go
+++ b/internal/controlplane/tables.go
@@ -17,14 +17,15 @@
 
 // Times of the soft state.
 const (
-	leaseFor   = 4 * time.Second
-	memberKeep = 60 * time.Second
-	bindMost   = 3500.0 // milliseconds after which a drain binds, its lead handed over or not
-	accuseFor  = 1500.0
-	tickEvery  = 50 * time.Millisecond
-	beatsEvery = 300.0
-	syncEvery  = 1000.0
-	askAgents  = 20 * time.Second // from its start a machine asks agents for the members that it lacks
+	leaseFor     = 4 * time.Second
+	memberKeep   = 60 * time.Second
+	bindMost     = 3500.0 // milliseconds after which a drain binds, its lead handed over or not
+	accuseFor    = 1500.0
+	tickEvery    = 50 * time.Millisecond
+	beatsEvery   = 300.0
+	syncEvery    = 1000.0
+	driversEvery = 500.0            // milliseconds between two lists of who came and went: each costs every agent a pass over its list
+	askAgents    = 20 * time.Second // from its start a machine asks agents for the members that it lacks
 )
 
 type tables struct {
@@ -43,8 +44,10 @@
 
 	untold map[string]bool // members whose records are told at the next tick
 
-	drivers    []directory.Driver // as agents were told last
-	driversNew bool
+	drivers       []directory.Driver // as agents were told last
+	driversDigest uint64             // of them
+	driversAt     float64            // not told again before
+	driversNew    bool
 
 	leading     bool
 	term        uint64
@@ -65,7 +68,8 @@
 
 func newTables(h *Server) *tables {
 	t := &tables{h: h, q: commandqueue.New(h.ctx, 1024), members: directory.NewMembers(), leases: directory.NewLeases(),
-		agents: map[*link]string{}, untold: map[string]bool{}, leaving: map[string]float64{}, successions: map[string]*failover.Service{}, reports: map[string]map[string]report{}, granted: map[string]float64{}, lives: map[string]uint64{}}
+		agents: map[*link]string{}, untold: map[string]bool{}, leaving: map[string]float64{}, successions: map[string]*failover.Service{}, reports: map[string]map[string]report{}, granted: map[string]float64{}, lives: map[string]uint64{},
+		driversDigest: directory.DriversDigest(nil)}
 	t.asker = newAsker()
 	return t
 }
@@ -90,7 +94,7 @@
 		}
 		t.driversNew = true
 	}
-	t.pushDrivers()
+	t.pushDrivers(now)
 	for id, since := range t.leaving {
 		m, ok := t.members.Get(id)
 		switch {
@@ -176,16 +180,15 @@
 	}
 }
 
-// pushDrivers tells agents who came and went since they were told last, once a tick: a list of all, at each, would cost the square
+// pushDrivers tells agents who came and went since they were told last, together: a list of all, at each, would cost the square
 // of a fleet that starts together. Who missed it is told by its digest.
-func (t *tables) pushDrivers() {
-	if !t.driversNew {
+func (t *tables) pushDrivers(now float64) {
+	if !t.driversNew || now < t.driversAt {
 		return
 	}
-	t.driversNew = false
-	now := t.leases.List()
-	joined, left := directory.Came(t.drivers, now)
-	t.drivers = now
+	t.driversNew, t.driversAt = false, now+driversEvery
+	joined, left := directory.Came(t.drivers, t.leases.List())
+	t.drivers, t.driversDigest = t.leases.List(), t.leases.Digest()
 	if joined != nil || left != nil {
 		t.push(&controlmsg.Update{Joined: joined, Left: left})
 	}
@@ -331,8 +334,8 @@
 	if r.Has.Members != d.Members {
 		n.Members = t.members.List()
 	}
-	if r.Has.Drivers != d.Drivers {
-		n.Drivers = t.leases.List()
+	if r.Has.Drivers != t.driversDigest {
+		n.Drivers = t.drivers
 	}
 	f := &controlmsg.Frame{Update: n}
 	if now < ms(askAgents) && r.Has.Members != d.Members { // what was lost here is told by those who were told: also of members that are dead
