--- a/internal/controlplane/tables.go
+++ b/internal/controlplane/tables.go
@@ -34,6 +34,7 @@
 	members *directory.Members
 	leases  *directory.Leases
 	agents  map[*link]string // by the driver's name
+	differs map[*link]bool   // the agent's last renewal showed other members or drivers than it was told
 	state   *config.State
 	config  *config.Config
 	cores   []string
@@ -68,7 +69,7 @@
 
 func newTables(h *Server) *tables {
 	t := &tables{h: h, q: commandqueue.New(h.ctx, 1024), members: directory.NewMembers(), leases: directory.NewLeases(),
-		agents: map[*link]string{}, untold: map[string]bool{}, leaving: map[string]float64{}, successions: map[string]*failover.Service{}, reports: map[string]map[string]report{}, granted: map[string]float64{}, lives: map[string]uint64{},
+		agents: map[*link]string{}, differs: map[*link]bool{}, untold: map[string]bool{}, leaving: map[string]float64{}, successions: map[string]*failover.Service{}, reports: map[string]map[string]report{}, granted: map[string]float64{}, lives: map[string]uint64{},
 		driversDigest: directory.DriversDigest(nil)}
 	t.asker = newAsker()
 	return t
@@ -273,7 +274,10 @@
 }
 
 // lost notes that a link has ended.
-func (t *tables) lost(l *link) { delete(t.agents, l) }
+func (t *tables) lost(l *link) {
+	delete(t.agents, l)
+	delete(t.differs, l)
+}
 
 // take takes a frame of another core machine or of an agent.
 func (t *tables) take(l *link, f *controlmsg.Frame) {
@@ -317,6 +321,7 @@
 		t.driversNew = t.leases.Drop(r.Driver.Name, r.Driver.Life) || t.driversNew
 		return
 	}
+	_, linked := t.agents[l]
 	t.agents[l] = r.Driver.Name
 	if t.leases.Renew(r.Driver, now+ms(leaseFor)) {
 		t.h.log.Event(events.DriverNew, "driver", r.Driver.Name)
@@ -331,10 +336,14 @@
 	if r.Has.Shards < d.Shards {
 		n.Shards = t.state.Shards
 	}
-	if r.Has.Members != d.Members {
+	// A renewal that crossed a change on its way differs too: an agent is sent all only on its link's first renewal, or where the next
+	// one still differs.
+	differed := !linked || t.differs[l]
+	t.differs[l] = r.Has.Members != d.Members || r.Has.Drivers != t.driversDigest
+	if differed && r.Has.Members != d.Members {
 		n.Members = t.members.List()
 	}
-	if r.Has.Drivers != t.driversDigest {
+	if differed && r.Has.Drivers != t.driversDigest {
 		n.Drivers = t.drivers
 	}
 	f := &controlmsg.Frame{Update: n}
