--- a/internal/controlplane/tables.go
+++ b/internal/controlplane/tables.go
@@ -17,14 +17,15 @@
 
 // Times of the soft state.
 const (
-	leaseFor   = 4 * time.Second
-	memberKeep = 60 * time.Second
-	bindMost   = 3500.0 // milliseconds after which a drain binds, its lead handed over or not
-	accuseFor  = 1500.0
-	tickEvery  = 50 * time.Millisecond
-	beatsEvery = 300.0
-	syncEvery  = 1000.0
-	askAgents  = 20 * time.Second // from its start a machine asks agents for the members that it lacks
+	leaseFor     = 4 * time.Second
+	memberKeep   = 60 * time.Second
+	bindMost     = 3500.0 // milliseconds after which a drain binds, its lead handed over or not
+	accuseFor    = 1500.0
+	tickEvery    = 50 * time.Millisecond
+	beatsEvery   = 300.0
+	syncEvery    = 1000.0
+	driversEvery = 500.0            // milliseconds between two lists of who came and went: each costs every agent a pass over its list
+	askAgents    = 20 * time.Second // from its start a machine asks agents for the members that it lacks
 )
 
 type tables struct {
@@ -33,6 +34,7 @@
 	members *directory.Members
 	leases  *directory.Leases
 	agents  map[*link]string // by the driver's name
+	differs map[*link]bool   // the agent's last renewal showed other members or drivers than it was told
 	state   *config.State
 	config  *config.Config
 	cores   []string
@@ -41,8 +43,12 @@
 	syncAt  float64
 	leaving map[string]float64
 
-	drivers    []directory.Driver // as agents were told last
-	driversNew bool
+	untold map[string]bool // members whose records are told at the next tick
+
+	drivers       []directory.Driver // as agents were told last
+	driversDigest uint64             // of them
+	driversAt     float64            // not told again before
+	driversNew    bool
 
 	leading     bool
 	term        uint64
@@ -69,7 +75,8 @@
 
 func newTables(h *Server) *tables {
 	t := &tables{h: h, q: commandqueue.New(h.ctx, 1024), members: directory.NewMembers(), leases: directory.NewLeases(),
-		agents: map[*link]string{}, leaving: map[string]float64{}, successions: map[string]*failover.Service{}, reports: map[string]map[string]report{}, granted: map[string]float64{}, lives: map[string]uint64{}}
+		agents: map[*link]string{}, differs: map[*link]bool{}, untold: map[string]bool{}, leaving: map[string]float64{}, successions: map[string]*failover.Service{}, reports: map[string]map[string]report{}, granted: map[string]float64{}, lives: map[string]uint64{},
+		driversDigest: directory.DriversDigest(nil)}
 	t.asker = newAsker()
 	return t
 }
@@ -84,7 +91,8 @@
 	if t.tableComplete(now) {
 		t.expire(now)
 	}
-	t.pushDrivers()
+	t.tellUntold()
+	t.pushDrivers(now)
 	for id, since := range t.leaving {
 		m, ok := t.members.Get(id)
 		switch {
@@ -117,7 +125,7 @@
 		}
 		t.h.sendCores(f)
 	}
-	if t.leading {
+	if t.leading && t.contact.held { // one that is cut off is about to lead no longer
 		t.step(now)
 		t.move(now)
 		t.lapseSites(now)
@@ -126,9 +134,12 @@
 
 // expire lets go of members and drivers that have been silent for too long.
 func (t *tables) expire(now float64) {
-	for _, m := range t.members.Expire(now, ms(memberKeep)) {
+	silent := t.members.Expire(now, ms(memberKeep))
+	for _, m := range silent {
 		t.h.log.Event(events.MemberGone, "member", m.ID, "why", "silent")
-		t.spread([]directory.Member{m})
+	}
+	if silent != nil {
+		t.spread(silent)
 	}
 	lapsed := t.leases.Lapse(now)
 	for _, d := range lapsed {
@@ -138,7 +149,7 @@
 }
 
 func (t *tables) digest() controlmsg.Digest {
-	d := controlmsg.Digest{Members: t.members.Digest(), Drivers: directory.DriversDigest(t.leases.List())}
+	d := controlmsg.Digest{Members: t.members.Digest(), Drivers: t.leases.Digest()}
 	if t.state != nil {
 		d.Gen = t.state.Gen
 		if t.state.Shards != nil {
@@ -183,16 +194,15 @@
 	}
 }
 
-// pushDrivers tells agents who came and went since they were told last, once a tick: a list of all, at each, would cost the square
+// pushDrivers tells agents who came and went since they were told last, together: a list of all, at each, would cost the square
 // of a fleet that starts together. Who missed it is told by its digest.
-func (t *tables) pushDrivers() {
-	if !t.driversNew {
+func (t *tables) pushDrivers(now float64) {
+	if !t.driversNew || now < t.driversAt {
 		return
 	}
-	t.driversNew = false
-	now := t.leases.List()
-	joined, left := directory.Came(t.drivers, now)
-	t.drivers = now
+	t.driversNew, t.driversAt = false, now+driversEvery
+	joined, left := directory.Came(t.drivers, t.leases.List())
+	t.drivers, t.driversDigest = t.leases.List(), t.leases.Digest()
 	if joined != nil || left != nil {
 		t.push(&controlmsg.Update{Joined: joined, Left: left})
 	}
@@ -205,6 +215,21 @@
 	t.h.sendCores(&controlmsg.Frame{Update: n})
 }
 
+// tellUntold tells the records that waited for the tick, as they are by now. When many members start, each agent is sent a frame a
+// tick, not one for each of them.
+func (t *tables) tellUntold() {
+	var records []directory.Member
+	for id := range t.untold {
+		if m, ok := t.members.Get(id); ok {
+			records = append(records, m)
+		}
+	}
+	clear(t.untold)
+	if records != nil {
+		t.spread(records)
+	}
+}
+
 // beat takes a member's own word.
 func (t *tables) beat(rec directory.Member) {
 	now := t.h.now()
@@ -226,7 +251,11 @@
 		t.h.log.Event(events.MemberRole, "member", m.ID, "svc", m.Svc, "role", int(m.Role))
 	}
 	t.noteLeaving(m, now)
-	t.spread([]directory.Member{m})
+	if !known || old.Role == m.Role && old.Leaving == m.Leaving {
+		t.untold[m.ID] = true
+		return
+	}
+	t.spread([]directory.Member{m}) // statements wait for a change of role or a drain
 }
 
 // noteLeaving lets the drain of a member that does not lead bind at once; who leads successions over first.
@@ -259,7 +288,10 @@
 }
 
 // lost notes that a link has ended.
-func (t *tables) lost(l *link) { delete(t.agents, l) }
+func (t *tables) lost(l *link) {
+	delete(t.agents, l)
+	delete(t.differs, l)
+}
 
 // take takes a frame of another core machine or of an agent.
 func (t *tables) take(l *link, f *controlmsg.Frame) {
@@ -281,8 +313,8 @@
 			changed = t.leases.Renew(le.Driver, now+min(le.Left, ms(leaseFor))) || changed
 		}
 		t.driversNew = t.driversNew || changed
-		if f.Digest.Members != t.members.Digest() {
-			t.h.sendCores(&controlmsg.Frame{Update: &controlmsg.Update{Members: t.members.List()}})
+		if !f.Digest.Quiet && f.Digest.Members != t.members.Digest() { // whoever differs is told, on its own link; it tells what it has likewise
+			l.Send(&controlmsg.Frame{Update: &controlmsg.Update{Members: t.members.List()}})
 		}
 	}
 }
@@ -308,7 +340,7 @@
 		l.Send(&controlmsg.Frame{Update: &controlmsg.Update{Contact: &age}})
 		return
 	}
-	_, known := t.agents[l]
+	_, linked := t.agents[l]
 	t.agents[l] = r.Driver.Name
 	if t.leases.Renew(r.Driver, now+ms(leaseFor)) {
 		t.h.log.Event(events.DriverNew, "driver", r.Driver.Name)
@@ -316,7 +348,7 @@
 		t.h.sendCores(&controlmsg.Frame{Digest: &controlmsg.Digest{Members: t.members.Digest()}, Leases: []controlmsg.Lease{{Driver: r.Driver, Left: ms(leaseFor)}}})
 	}
 	n := &controlmsg.Update{Contact: &age}
-	if t.contact.held || !known {
+	if t.contact.held || !linked {
 		n.Cores = t.cores
 	}
 	d := t.digest()
@@ -326,14 +358,18 @@
 	if r.Has.Shards < d.Shards {
 		n.Shards = t.state.Shards
 	}
-	if r.Has.Members != d.Members {
+	// A renewal that crossed a change on its way differs too: an agent is sent all only on its link's first renewal, or where the next
+	// one still differs.
+	differed := !linked || t.differs[l]
+	t.differs[l] = r.Has.Members != d.Members || r.Has.Drivers != t.driversDigest
+	if differed && r.Has.Members != d.Members {
 		n.Members = t.members.List()
 	}
 	switch {
-	case r.Has.Drivers == d.Drivers:
+	case !differed || r.Has.Drivers == t.driversDigest:
 	case t.tableComplete(now):
-		n.Drivers = t.leases.List()
-	case !known:
+		n.Drivers = t.drivers
+	case !linked:
 		n.Joined = t.leases.List()
 	}
 	f := &controlmsg.Frame{Update: n}
