--- a/internal/consensus/consensus.go
+++ b/internal/consensus/consensus.go
@@ -130,12 +130,11 @@
 	dirty  bool
 	out    []Send
 
-	contactAt  float64 // see contact.go
-	probe      probe
-	knownIndex uint64
-	life       uint32 // drawn for each process
-	current    bool   // the leader's own term has a committed entry
-	decided    Entry  // the newest entry known committed; Last may be a newer one
+	contactAt float64 // see contact.go
+	probe     probe
+	life      uint32 // drawn for each process
+	current   bool   // the leader's own term has a committed entry
+	decided   Entry  // the newest entry known committed; Last may be a newer one
 
 	former    map[string]float64 // addresses of voters that were removed, until when a leader tells them that it leads
 	removal   removal            // that is being confirmed
@@ -152,7 +151,6 @@
 		n.decided = h.Last
 	}
 	n.contactAt, n.life = math.Inf(-1), uint32(o.Draw()*math.MaxUint32)
-	n.noteCommitted()
 	n.heardAt = now - o.ElectionTimeout
 	n.waitTil = now + o.ElectionTimeout*(0.2+0.4*o.Draw()) // asking costs nobody anything where somebody leads
 	return n
--- a/internal/consensus/contact.go
+++ b/internal/consensus/contact.go
@@ -48,7 +48,6 @@
 	}
 	n.contactAt = max(n.contactAt, n.probe.sent)
 	n.probe = probe{}
-	n.noteCommitted()
 }
 
 // contactFor gives the moment of the leader's contact with a follower on the follower's clock; 0: not known.
@@ -61,17 +60,8 @@
 
 // takeContact renews a follower's contact from a leader's message, where all that the leader knew to be committed is known here.
 func (n *Node) takeContact(m *Message, now float64) {
-	n.noteCommitted()
 	ownClock := m.Contact != 0 && m.Life == n.life // else it was shifted by an answer of this machine's process before
-	if ownClock && n.knownIndex >= m.Commit {
+	if ownClock && n.decided.Index >= m.Commit {
 		n.contactAt = max(n.contactAt, min(m.Contact, now))
 	}
 }
-
-// noteCommitted keeps the index of the newest entry whose value this process has known to be committed. HardState.Commit alone doesn't
-// tell: behind a restart the value that belongs to it may have been replaced by one that is not committed.
-func (n *Node) noteCommitted() {
-	if e, ok := n.Committed(); ok {
-		n.knownIndex = max(n.knownIndex, e.Index)
-	}
-}
--- a/internal/consensus/contact_test.go
+++ b/internal/consensus/contact_test.go
@@ -230,7 +230,7 @@
 
 // TestContactVouchesForWhatIsKnown holds, over random histories of three and five machines: a machine whose contact is younger than the
 // lease knows all that was acknowledged anywhere before that contact, and a machine that is cut off, in one direction or both, has no
-// contact once the lease is over. It fails without the condition of Confirmed in endProbe, of knownIndex or life in takeContact, and of
+// contact once the lease is over. It fails without the condition of Confirmed in endProbe, of decided or life in takeContact, and of
 // contactAt or clockAt in contactFor; without Ready there in the history numbered afterElection.
 func TestContactVouchesForWhatIsKnown(t *testing.T) {
 	const afterElection = 1607 // a new leader passes on a contact of its own that is older than its lead
--- a/internal/controlplane/moving.go
+++ b/internal/controlplane/moving.go
@@ -13,6 +13,7 @@
 	"weirwind/internal/directory"
 	"weirwind/internal/events"
 	"weirwind/internal/memberconn"
+	"weirwind/internal/repeat"
 	"weirwind/internal/shard/shardmap"
 )
 
@@ -112,7 +113,7 @@
 	go func() {
 		until := time.Now().Add(nodeTime)
 		var rows []string
-		_, err := t.asker.with(m, until, func(c *memberconn.Conn) (wrong error) {
+		_, err := t.asker.with(m, until, repeat.Idempotent, func(c *memberconn.Conn) (wrong error) {
 			rows, wrong = c.Ask(text, until)
 			return wrong
 		})
--- a/internal/controlplane/succession.go
+++ b/internal/controlplane/succession.go
@@ -18,6 +18,7 @@
 	"weirwind/internal/events"
 	"weirwind/internal/failover"
 	"weirwind/internal/memberconn"
+	"weirwind/internal/repeat"
 	"weirwind/internal/wire"
 )
 
@@ -188,10 +189,11 @@
 	all[id] = c
 }
 
-// ask puts one question of state; refused: the member takes no connection.
+// ask puts one question of state; refused: the member takes no connection. A second run of one is the same again: STAT changes
+// nothing, PAUSE and STEPDOWN name their term, CONT lets go what may be let go.
 func (a *asker) ask(m directory.Member, text string) (st wire.Status, refused bool, err error) {
 	until := time.Now().Add(statTime)
-	refused, err = a.with(m, until, func(c *memberconn.Conn) (wrong error) {
+	refused, err = a.with(m, until, repeat.Idempotent, func(c *memberconn.Conn) (wrong error) {
 		st, wrong = c.Stat(text, until)
 		return wrong
 	})
@@ -201,8 +203,8 @@
 	return st, refused, err
 }
 
-// with puts a question over a kept connection, or a new one where that has ended as it rested.
-func (a *asker) with(m directory.Member, until time.Time, put func(*memberconn.Conn) error) (refused bool, err error) {
+// with puts a question over a kept connection, or a new one where that has ended as it rested and the question may be put again.
+func (a *asker) with(m directory.Member, until time.Time, kind repeat.Kind, put func(*memberconn.Conn) error) (refused bool, err error) {
 	c := a.get(m.ID)
 	for kept := c != nil; ; kept = false {
 		if c == nil {
@@ -216,7 +218,7 @@
 		case err == nil, errors.As(err, &said):
 			a.put(m.ID, c)
 			return false, err
-		case !kept || !time.Now().Before(until):
+		case !kept || !kind.May(err) || !time.Now().Before(until):
 			c.Close()
 			return false, err
 		}
