--- a/internal/lab/hollow/hollow.go
+++ b/internal/lab/hollow/hollow.go
@@ -97,7 +97,7 @@
 		begin  func(n int) error
 		known  func(n int) (bool, error)
 	}{
-		{"start", o.Drivers, p.start, p.allKnown},
+		{"start", o.Drivers, func(int) error { return p.start(ctx) }, p.allKnown},
 		{"steady", 0, nil, nil},
 		{"configuration", 1, p.changeConfig, p.configHeld},
 		{"member changes", max(o.Databases*membersPerGroup/100, 1), p.changeMembers, nil},
@@ -164,7 +164,7 @@
 	}
 }
 
-func (p *play) start(int) error {
+func (p *play) start(ctx context.Context) error {
 	for n, ctl := range p.plan.Cores {
 		lines := []string{fmt.Sprint("hostname=core-", n), fmt.Sprintf("zone=zone-%d", n), "region=r", "init=true", "tolerate.nodes=1", "beatMs=1200", "limits.memMb=4000",
 			"listen.ctl=" + ctl, "ip=" + p.coreIP(n), fmt.Sprintf("portRange=%d,%d", p.plan.Port, p.plan.Port+2), "peers=" + strings.Join(p.plan.Cores[:min(3, p.Options.Cores)], ","),
@@ -185,7 +185,7 @@
 	if err := p.add(&p.members, "members", "", 0, p.Databases*membersPerGroup); err != nil {
 		return err
 	}
-	return p.until(context.Background(), func() (bool, error) { return p.changeConfig(1) == nil, nil })
+	return p.until(ctx, func() (bool, error) { return p.changeConfig(1) == nil, nil })
 }
 
 func (p *play) add(to *[]*child, role, file string, first, many int) error {
