--- a/internal/lab/hollow/hollow.go
+++ b/internal/lab/hollow/hollow.go
@@ -105,6 +105,11 @@
 		{"herd", min(400, o.Drivers/2), p.restartDrivers, p.allKnown},
 	}
 	for _, ph := range phases {
+		if ph.begin == nil {
+			if err := p.settle(ctx); err != nil {
+				return rows, fmt.Errorf("before %s: %w", ph.name, err)
+			}
+		}
 		before, err := p.sample()
 		if err != nil {
 			return rows, err
@@ -247,6 +252,30 @@
 	return nil
 }
 
+// settle waits until agents were told nothing new for two renewals each: core machines may know all while lists are under way.
+func (p *play) settle(ctx context.Context) error {
+	told, until := -1, 0
+	return p.until(ctx, func() (bool, error) {
+		all, err := p.samples(p.drivers)
+		if err != nil {
+			return false, err
+		}
+		now := 0
+		for _, s := range all {
+			for _, t := range s.Traffic {
+				for _, purpose := range []controlmsg.Purpose{controlmsg.MemberRecords, controlmsg.DriverLists, controlmsg.Configuration} {
+					now += int(t.Received[purpose.String()].Frames)
+				}
+			}
+		}
+		renewed := renewals(map[string][]Sample{"drivers": all})
+		if now != told {
+			told, until = now, renewed+2*p.Options.Drivers
+		}
+		return renewed >= until, nil
+	})
+}
+
 // renewed says whether agents have asked for so many renewals.
 func (p *play) renewed(many int) (bool, error) {
 	all, err := p.samples(p.drivers)
