--- a/internal/lab/hollow/hollow.go
+++ b/internal/lab/hollow/hollow.go
@@ -97,7 +97,7 @@
 		begin  func(n int) error
 		known  func(n int) (bool, error)
 	}{
-		{"start", o.Drivers, p.start, p.allKnown},
+		{"start", o.Drivers, func(int) error { return p.start(ctx) }, p.allKnown},
 		{"steady", 0, nil, nil},
 		{"configuration", 1, p.changeConfig, p.configHeld},
 		{"member changes", max(o.Databases*membersPerGroup/100, 1), p.changeMembers, nil},
@@ -105,6 +105,11 @@
 		{"herd", min(400, o.Drivers/2), p.restartDrivers, p.allKnown},
 	}
 	for _, ph := range phases {
+		if ph.begin == nil {
+			if err := p.settle(ctx); err != nil {
+				return rows, fmt.Errorf("before %s: %w", ph.name, err)
+			}
+		}
 		before, err := p.sample()
 		if err != nil {
 			return rows, err
@@ -164,7 +169,7 @@
 	}
 }
 
-func (p *play) start(int) error {
+func (p *play) start(ctx context.Context) error {
 	for n, ctl := range p.plan.Cores {
 		lines := []string{fmt.Sprint("hostname=core-", n), fmt.Sprintf("zone=zone-%d", n), "region=r", "init=true", "tolerate.nodes=1", "beatMs=1200", "limits.memMb=4000",
 			"listen.ctl=" + ctl, "ip=" + p.coreIP(n), fmt.Sprintf("portRange=%d,%d", p.plan.Port, p.plan.Port+2), "peers=" + strings.Join(p.plan.Cores[:min(3, p.Options.Cores)], ","),
@@ -185,7 +190,7 @@
 	if err := p.add(&p.members, "members", "", 0, p.Databases*membersPerGroup); err != nil {
 		return err
 	}
-	return p.until(context.Background(), func() (bool, error) { return p.changeConfig(1) == nil, nil })
+	return p.until(ctx, func() (bool, error) { return p.changeConfig(1) == nil, nil })
 }
 
 func (p *play) add(to *[]*child, role, file string, first, many int) error {
@@ -247,6 +252,30 @@
 	return nil
 }
 
+// settle waits until agents were told nothing new for two renewals each: core machines may know all while lists are under way.
+func (p *play) settle(ctx context.Context) error {
+	told, until := -1, 0
+	return p.until(ctx, func() (bool, error) {
+		all, err := p.samples(p.drivers)
+		if err != nil {
+			return false, err
+		}
+		now := 0
+		for _, s := range all {
+			for _, t := range s.Traffic {
+				for _, purpose := range []controlmsg.Purpose{controlmsg.MemberRecords, controlmsg.DriverLists, controlmsg.Configuration} {
+					now += int(t.Received[purpose.String()].Frames)
+				}
+			}
+		}
+		renewed := renewals(map[string][]Sample{"drivers": all})
+		if now != told {
+			told, until = now, renewed+2*p.Options.Drivers
+		}
+		return renewed >= until, nil
+	})
+}
+
 // renewed says whether agents have asked for so many renewals.
 func (p *play) renewed(many int) (bool, error) {
 	all, err := p.samples(p.drivers)
