--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -112,7 +112,7 @@
 }
 
 // Word that goes from each driver to its fellows only reaches all, in few steps.
-func TestFellowsReachAll(t *testing.T) {
+func TestPeersReachAll(t *testing.T) {
 	for _, n := range []int{1, 2, 3, 6, 10, 82, 300} {
 		var all []Driver
 		for i := range n {
