--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -81,7 +81,6 @@
 	go transport.Serve(mesh, 3*digestEvery, func(l *link) { l.CountInto(&PeerTraffic) }, a.takeFromPeer, func(*link) {})
 	go transport.Serve(loop, 0, func(l *link) {
 		l.CountInto(&ProxyTraffic)
-		l.LeaveUncompressed()
 		a.do(func() { a.proxyUp(l) })
 	}, a.fromProxy, func(l *link) { a.do(func() { delete(a.proxies, l) }) })
 	a.seek()
--- a/internal/agent/corelink.go
+++ b/internal/agent/corelink.go
@@ -86,7 +86,7 @@
 func (a *Agent) hold(t *coreLink, dialTimeout time.Duration) {
 	_ = transport.Dial(t.addr, dialTimeout, linkIdle, func(l *link) {
 		l.CountInto(&CoreTraffic)
-		l.Send(&controlmsg.Frame{Hello: &controlmsg.Hello{Kind: "agent", Name: a.self.Name, Addr: a.self.Addr}})
+		l.Send(controlmsg.NewHello("agent", a.self.Name, a.self.Addr))
 		a.do(func() { a.linkUp(t, l) })
 	}, func(_ *link, f *controlmsg.Frame) {
 		a.do(func() { a.takeFromCore(t, f) })
@@ -154,6 +154,10 @@
 		return
 	}
 	t.heardAt = a.now()
+	if f.Hello != nil {
+		controlmsg.TakeHello(t.l, f.Hello)
+		return
+	}
 	if f.Update != nil {
 		if f.Update.Contact != nil {
 			t.apart = *f.Update.Contact > consensus.ContactLease
--- a/internal/agent/peers.go
+++ b/internal/agent/peers.go
@@ -75,6 +75,7 @@
 func (a *Agent) keepPeerLink(ctx context.Context, addr string) {
 	transport.Keep(ctx, addr, transport.Backoff{First: time.Second, Most: time.Second, DialTimeout: func(int) time.Duration { return transport.DialTimeout(2) }}, func(l *link) {
 		l.CountInto(&PeerTraffic)
+		l.Send(controlmsg.NewHello("agent", a.self.Name, a.self.Addr))
 		a.do(func() {
 			if f := a.peers[addr]; f != nil && ctx.Err() == nil {
 				f.l = l
--- a/internal/agent/updates.go
+++ b/internal/agent/updates.go
@@ -19,6 +19,9 @@
 // takeFromPeer takes what a peer says.
 func (a *Agent) takeFromPeer(l *link, f *controlmsg.Frame) {
 	a.do(func() {
+		if f.Hello != nil {
+			controlmsg.TakeHello(l, f.Hello)
+		}
 		if f.Update != nil {
 			a.update(f.Update)
 		}
--- a/internal/controlmsg/controlmsg.go
+++ b/internal/controlmsg/controlmsg.go
@@ -24,11 +24,13 @@
 	Leases   []Lease            `cbor:"10,keyasint,omitempty"`
 }
 
-// Hello opens a link: who dialled.
+// Hello opens a link: who dialled. A Hello of kind Welcome answers it.
 type Hello struct {
-	Kind string `cbor:"1,keyasint"` // "core", "agent", "proxy"
+	Kind string `cbor:"1,keyasint"` // "core", "agent", "proxy", Welcome
 	Name string `cbor:"2,keyasint"`
 	Addr string `cbor:"3,keyasint"`
+
+	Deflate bool `cbor:"4,keyasint,omitempty"` // the sender reads compressed frames
 }
 
 // Renew asks a core machine for the lease of a driver, and says what the driver has.
--- a/internal/controlplane/controlplane.go
+++ b/internal/controlplane/controlplane.go
@@ -120,7 +120,7 @@
 	}
 	go transport.Keep(h.ctx, addr, transport.Backoff{First: 50 * time.Millisecond, Most: time.Second, DialTimeout: transport.DialTimeout}, func(l *link) {
 		l.CountInto(&h.dialled)
-		l.Send(&controlmsg.Frame{Hello: &controlmsg.Hello{Kind: "core", Name: h.set.Hostname, Addr: h.set.Ctl}})
+		l.Send(controlmsg.NewHello("core", h.set.Hostname, h.set.Ctl))
 		set(l)
 		h.log.Event(events.LinkUp, "core", ctl)
 	}, h.take, func() {
@@ -208,6 +208,10 @@
 		})
 		return
 	}
+	if f.Hello != nil {
+		controlmsg.TakeHello(l, f.Hello)
+		return
+	}
 	if f.Request != nil {
 		a := f.Request
 		h.loop.do(func() {
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -11,6 +11,7 @@
 	"io"
 	"net"
 	"sync"
+	"sync/atomic"
 	"syscall"
 	"time"
 
@@ -32,7 +33,7 @@
 	Peer     string // address that was dialled, or that it came from
 	c        net.Conn
 	counters *Counters
-	plain    bool // long frames are not compressed
+	deflates atomic.Bool // long frames are sent compressed: the peer said that it reads them
 	mu       sync.Mutex
 	wake     chan struct{}
 	out      []wireFrame
@@ -68,8 +69,8 @@
 }
 
 // wire gives a frame's form on a link.
-func (e Encoded) wire(plain bool) wireFrame {
-	if e.compressed != nil && !plain {
+func (e Encoded) wire(deflate bool) wireFrame {
+	if e.compressed != nil && deflate {
 		if short := e.compressed.of(e.bytes); short != nil {
 			return wireFrame{uint32(len(short)) | compressedFlag, short}
 		}
@@ -77,9 +78,9 @@
 	return wireFrame{uint32(len(e.bytes)), e.bytes}
 }
 
-// LeaveUncompressed has long frames sent as they are, for a link on one machine, where bytes cost less than compressing them. It may
-// be called only before the link's first frame.
-func (l *Link[F]) LeaveUncompressed() { l.plain = true }
+// Compress has long frames sent compressed from now on. It is for links whose peer has said that it reads them; one of an earlier
+// version would end the link. On one machine bytes cost less than compressing them.
+func (l *Link[F]) Compress() { l.deflates.Store(true) }
 
 // CountInto has the link's frames counted. It may be called only before the link's first frame: in the up callback.
 func (l *Link[F]) CountInto(c *Counters) { l.counters = c }
@@ -92,7 +93,7 @@
 	if len(e.bytes) == 0 {
 		return false
 	}
-	frame := e.wire(l.plain)
+	frame := e.wire(l.deflates.Load())
 	l.mu.Lock()
 	full := len(l.out) >= maxQueuedFrames || l.size > maxQueuedBytes
 	if !full {
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -26,7 +26,10 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { ln.Close() })
-	go Serve(ln, 0, func(l *Link[testFrame]) { l.CountInto(counters) }, func(l *Link[testFrame], f *testFrame) { l.Send(f) }, func(*Link[testFrame]) {})
+	go Serve(ln, 0, func(l *Link[testFrame]) {
+		l.CountInto(counters)
+		l.Compress()
+	}, func(l *Link[testFrame], f *testFrame) { l.Send(f) }, func(*Link[testFrame]) {})
 	return ln.Addr().String()
 }
 
@@ -36,6 +39,7 @@
 	var back []testFrame
 	_ = Dial(addr, 0, 0, func(l *Link[testFrame]) {
 		l.CountInto(counters)
+		l.Compress()
 		l.Send(&frames[0])
 	}, func(l *Link[testFrame], f *testFrame) {
 		if back = append(back, *f); len(back) == len(frames) {
@@ -84,16 +88,15 @@
 	})
 	Convey("a frame for many is compressed once", t, func() {
 		e := Encode(&testFrame{Text: strings.Repeat("abc", compressAbove)})
-		first, second := e.wire(false), e.wire(false)
+		first, second := e.wire(true), e.wire(true)
 		So(&first.bytes[0], ShouldEqual, &second.bytes[0])
-		So(e.wire(true).prefix, ShouldEqual, len(e.bytes))
+		So(e.wire(false).prefix, ShouldEqual, len(e.bytes))
 	})
-	Convey("a link that is left uncompressed", t, func() {
+	Convey("a link whose peer has not said that it reads compressed frames", t, func() {
 		frame := testFrame{Class: 2, Text: strings.Repeat("abc", compressAbove)}
 		addr, counters, back := serveOnce(t, &Counters{}), Counters{}, testFrame{}
 		_ = Dial(addr, 0, 0, func(l *Link[testFrame]) {
 			l.CountInto(&counters)
-			l.LeaveUncompressed()
 			l.Send(&frame)
 		}, func(l *Link[testFrame], f *testFrame) {
 			back = *f
