--- a/internal/consensus/store/store.go
+++ b/internal/consensus/store/store.go
@@ -16,10 +16,15 @@
 	"weirwind/internal/consensus"
 )
 
+// ErrBroken says that a write failed in a way behind which the database may not be used: it would wait for ever. The folder holds what
+// was saved before, and another process can open it.
+var ErrBroken = errors.New("the store is broken")
+
 // Store is an open folder.
 type Store struct {
-	db   *pebble.DB
-	last [2]uint64 // term and index of the entry that is on disk
+	db     *pebble.DB
+	last   [2]uint64 // term and index of the entry that is on disk
+	broken bool
 }
 
 type meta struct {
@@ -57,6 +62,11 @@
 }
 
 func open(folder string, only bool) (s *Store, h consensus.HardState, found bool, err error) {
+	defer func() {
+		if p := recover(); p != nil {
+			err = oops.In("disk").With("folder", folder).Errorf("open: %v", p)
+		}
+	}()
 	step := oops.In("disk").With("folder", folder)
 	cache := pebble.NewCache(1 << 20)
 	defer cache.Unref()
@@ -101,11 +111,15 @@
 	return true, cbor.Unmarshal(v, into)
 }
 
-// Save returns when it is synced, as a whole.
+// Save returns when it is synced, as a whole. Behind ErrBroken nothing can be saved any more.
 func (s *Store) Save(h *consensus.HardState) (err error) {
+	if s.broken {
+		return ErrBroken
+	}
 	defer func() {
 		if p := recover(); p != nil {
-			err = oops.In("disk").Errorf("%v", p)
+			s.broken = true
+			err = oops.In("disk").Wrapf(ErrBroken, "%v", p)
 		}
 	}()
 	b := s.db.NewBatch()
@@ -134,5 +148,10 @@
 	return nil
 }
 
-// Close lets go of the folder.
-func (s *Store) Close() error { return s.db.Close() }
+// Close lets go of the folder. A broken store is left as it is: closing it would wait for ever.
+func (s *Store) Close() error {
+	if s.broken {
+		return nil
+	}
+	return s.db.Close()
+}
--- a/internal/consensus/store/store_test.go
+++ b/internal/consensus/store/store_test.go
@@ -1,15 +1,18 @@
 package store
 
 import (
+	"errors"
 	"os"
 	"path/filepath"
 	"strings"
 	"testing"
 	"time"
 
+	"github.com/cockroachdb/pebble/vfs"
 	. "github.com/smartystreets/goconvey/convey"
 
 	"weirwind/internal/consensus"
+	"weirwind/internal/standin/disk"
 )
 
 func TestStore(t *testing.T) {
@@ -144,3 +147,36 @@
 		t.Errorf("%d bytes on disk", size)
 	}
 }
+
+// A disk that is full for a while: the change that meets it is refused, the next one too and at once, and what was saved before is
+// found by another process. It fails without broken in Save or in Close, as pebble then waits for ever (incident on a full disk).
+func TestAFullDiskHangsNobody(t *testing.T) {
+	Convey("A folder on a disk that is full", t, func() {
+		dir, control := t.TempDir(), filepath.Join(t.TempDir(), "disk")
+		FS = disk.Under(control)
+		defer func() { FS = vfs.Default }()
+		s, _, _, err := Open(dir)
+		So(err, ShouldBeNil)
+		h := consensus.HardState{ID: "me", Term: 4, Last: consensus.Entry{Term: 3, Index: 7, Value: make([]byte, 20_000)}}
+		So(s.Save(&h), ShouldBeNil)
+		So(os.WriteFile(control, []byte(disk.Refuses), 0o600), ShouldBeNil)
+		refused := h
+		for range 20 { // with changes of this size pebble's fifth commit would wait for ever
+			refused.Last.Index++
+			So(errors.Is(s.Save(&refused), ErrBroken), ShouldBeTrue)
+		}
+		So(s.Close(), ShouldBeNil)
+		copyOf := func() string { // as another process finds it: this one holds the folder's lock
+			to := filepath.Join(t.TempDir(), "copy")
+			So(os.CopyFS(to, os.DirFS(dir)), ShouldBeNil)
+			return to
+		}
+		_, _, _, err = Open(copyOf())
+		So(err, ShouldNotBeNil)
+		So(os.Remove(control), ShouldBeNil)
+		_, back, found, err := Open(copyOf())
+		So(err, ShouldBeNil)
+		So(found, ShouldBeTrue)
+		So(back, ShouldResemble, h)
+	})
+}
--- a/internal/controlplane/consensus_loop.go
+++ b/internal/controlplane/consensus_loop.go
@@ -7,6 +7,7 @@
 	"context"
 	"crypto/rand"
 	"encoding/hex"
+	"errors"
 	"math"
 	"os"
 	"slices"
@@ -152,7 +153,7 @@
 				if c.wrong++; c.wrong == 1 {
 					c.h.log.Error(events.DiskFailed, err)
 				}
-				if c.wrong > diskWrongs {
+				if c.wrong > diskWrongs || errors.Is(err, store.ErrBroken) {
 					c.h.fail(err)
 				}
 				c.node.Messages() // what would follow from it is not said
