--- a/internal/consensus/catch_up_test.go
+++ b/internal/consensus/catch_up_test.go
@@ -8,7 +8,7 @@
 )
 
 // steady has a change offered every 20 ms for so long.
-func (v *valley) steady(ms float64) {
+func (v *cluster) steady(ms float64) {
 	for end := v.now + ms; v.now < end && v.wrong == ""; {
 		v.propose()
 		v.step(0)
@@ -17,7 +17,7 @@
 }
 
 // changes offers changes until so many more were acknowledged.
-func (v *valley) changes(n int) bool {
+func (v *cluster) changes(n int) bool {
 	for want, end := len(v.acked)+n, v.now+600_000; len(v.acked) < want; {
 		if v.now > end || v.wrong != "" {
 			return false
@@ -33,22 +33,22 @@
 	cases := []struct {
 		name  string
 		leads bool // it led when it went
-		then  func(v *valley, h *host, term uint64)
+		then  func(v *cluster, h *host, term uint64)
 	}{
-		{"as it was", false, func(*valley, *host, uint64) {}},
-		{"it led", true, func(*valley, *host, uint64) {}},
-		{"it led, with an entry nobody else has", true, func(_ *valley, h *host, _ uint64) {
+		{"as it was", false, func(*cluster, *host, uint64) {}},
+		{"it led", true, func(*cluster, *host, uint64) {}},
+		{"it led, with an entry nobody else has", true, func(_ *cluster, h *host, _ uint64) {
 			h.disk.Last.Index, h.disk.Last.Value = h.disk.Last.Index+1, append(h.disk.Last.Value, "lost;"...)
 		}},
-		{"with an older term's entry of a higher index", true, func(_ *valley, h *host, _ uint64) { h.disk.Last.Index += 5000 }},
-		{"with a higher term", false, func(_ *valley, h *host, term uint64) { h.disk.Term, h.disk.Vote = term+3, "" }},
-		{"with an empty disk", false, func(v *valley, h *host, _ uint64) { h.disk = Empty("9@" + h.addr) }},
-		{"removed meanwhile", false, func(v *valley, _ *host, _ uint64) { v.fewest = 2 }},
-		{"behind a slow line", false, func(v *valley, h *host, _ uint64) { v.late[h.addr] = 150 }},
+		{"with an older term's entry of a higher index", true, func(_ *cluster, h *host, _ uint64) { h.disk.Last.Index += 5000 }},
+		{"with a higher term", false, func(_ *cluster, h *host, term uint64) { h.disk.Term, h.disk.Vote = term+3, "" }},
+		{"with an empty disk", false, func(v *cluster, h *host, _ uint64) { h.disk = Empty("9@" + h.addr) }},
+		{"removed meanwhile", false, func(v *cluster, _ *host, _ uint64) { v.fewest = 2 }},
+		{"behind a slow line", false, func(v *cluster, h *host, _ uint64) { v.late[h.addr] = 150 }},
 	}
 	for i, c := range cases {
 		for seed := range max(1, days(4)/2) {
-			v := newValley(uint64(seed), 3)
+			v := newCluster(uint64(seed), 3)
 			v.r = rand.New(rand.NewPCG(uint64(seed), uint64(100+i)))
 			v.risk, v.lose = 0, []float64{0, 0.05}[seed%2]
 			v.run(4000, 0)
@@ -80,7 +80,7 @@
 }
 
 // holds says that a machine votes, and knows committed what was acknowledged half a second ago.
-func (v *valley) holds(t *testing.T, what string, h *host) {
+func (v *cluster) holds(t *testing.T, what string, h *host) {
 	t.Helper()
 	known := len(v.acked)
 	v.steady(500)
@@ -96,7 +96,7 @@
 }
 
 // hand has a machine made the leader, while changes go on.
-func (v *valley) hand(t *testing.T, what string, h *host) {
+func (v *cluster) hand(t *testing.T, what string, h *host) {
 	t.Helper()
 	for end := v.now + 20_000; v.leader() != h; {
 		if l := v.leader(); l != nil && !l.node.Busy() {
@@ -124,7 +124,7 @@
 // TestJoinsWhileChangesGoOn has machines join behind a line so slow that changes outrun their answers.
 func TestJoinsWhileChangesGoOn(t *testing.T) {
 	for seed := range days(20) {
-		v := newValley(uint64(seed), 3)
+		v := newCluster(uint64(seed), 3)
 		v.r = rand.New(rand.NewPCG(uint64(seed), 200))
 		v.risk, v.lose, v.links, v.fewest = 0, 0, map[[2]string]float64{}, 3
 		v.run(4000, 0)
@@ -140,7 +140,7 @@
 func TestJoinsWithinASecond(t *testing.T) {
 	slowest := 0.0
 	for seed := range days(200) {
-		v := newValley(uint64(seed), 3)
+		v := newCluster(uint64(seed), 3)
 		v.r = rand.New(rand.NewPCG(uint64(seed), 201))
 		v.risk, v.lose, v.links, v.fewest = 0, 0, map[[2]string]float64{}, 3
 		v.run(4000, 0)
@@ -162,7 +162,7 @@
 // seeds is there: those that saw it removed tell it who leads.
 func TestComesBackWhenAllThatItKnewAreReplaced(t *testing.T) {
 	for seed := range days(20) {
-		v := newValley(uint64(seed), 3)
+		v := newCluster(uint64(seed), 3)
 		v.r = rand.New(rand.NewPCG(uint64(seed), 202))
 		v.risk, v.lose, v.links, v.fewest = 0, 0, map[[2]string]float64{}, 5
 		for _, addr := range []string{"m3", "m4"} {
--- a/internal/consensus/consensus_test.go
+++ b/internal/consensus/consensus_test.go
@@ -10,9 +10,9 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// valley plays machines of a core under one scheduler: messages are lost, doubled and late; machines lose power between a
+// cluster plays machines of a core under one scheduler: messages are lost, doubled and late; machines lose power between a
 // write and its sync, freeze, lose their disks, are replaced at other addresses. Values are chains, so that a lost one shows.
-type valley struct {
+type cluster struct {
 	r       *rand.Rand
 	now     float64
 	hosts   map[string]*host
@@ -51,8 +51,8 @@
 	m  Message
 }
 
-func newValley(seed uint64, n int) *valley {
-	v := &valley{r: rand.New(rand.NewPCG(seed, 7)), hosts: map[string]*host{}, decided: map[uint64]string{}, cut: map[[2]string]bool{}, risk: 0.01,
+func newCluster(seed uint64, n int) *cluster {
+	v := &cluster{r: rand.New(rand.NewPCG(seed, 7)), hosts: map[string]*host{}, decided: map[uint64]string{}, cut: map[[2]string]bool{}, risk: 0.01,
 		lose: 0.05, late: map[string]float64{}}
 	for i := range n {
 		v.seeds = append(v.seeds, fmt.Sprint("m", i))
@@ -63,7 +63,7 @@
 	return v
 }
 
-func (v *valley) start(h *host) {
+func (v *cluster) start(h *host) {
 	v.hosts[h.addr] = h
 	h.on, h.frozen, h.wait = true, 0, ""
 	seeds := h.seeds
@@ -85,7 +85,7 @@
 	return h
 }
 
-func (v *valley) names() []string {
+func (v *cluster) names() []string {
 	var out []string
 	for a := range v.hosts {
 		out = append(out, a)
@@ -95,7 +95,7 @@
 }
 
 // settle syncs and sends as the core does. Power may be lost before the sync, or behind it and before the words.
-func (v *valley) settle(h *host, danger float64) {
+func (v *cluster) settle(h *host, danger float64) {
 	for range 4 {
 		if h.node.Dirty() {
 			if v.r.Float64() < danger {
@@ -118,7 +118,7 @@
 	}
 }
 
-func (v *valley) post(from string, s Send) {
+func (v *cluster) post(from string, s Send) {
 	if v.cut[[2]string{from, s.To}] || !v.stands(from, s.To) || v.r.Float64() < v.lose {
 		return
 	}
@@ -133,7 +133,7 @@
 }
 
 // look holds what a node takes for committed against what any did before.
-func (v *valley) look(h *host) {
+func (v *cluster) look(h *host) {
 	if e, ok := h.node.Committed(); ok {
 		s := string(e.Value)
 		if old, known := v.decided[e.Index]; known && old != s {
@@ -150,7 +150,7 @@
 	}
 }
 
-func (v *valley) propose() {
+func (v *cluster) propose() {
 	for _, a := range v.names() {
 		h := v.hosts[a]
 		if !h.on || h.frozen > v.now || !h.node.Ready() || h.wait != "" {
@@ -165,7 +165,7 @@
 	}
 }
 
-func (v *valley) step(danger float64) {
+func (v *cluster) step(danger float64) {
 	v.now += 10
 	if v.diesAt > 0 && v.diesAt <= v.now {
 		if h := v.hosts[fmt.Sprint("n", v.lives)]; h != nil {
@@ -195,7 +195,7 @@
 	}
 }
 
-func (v *valley) run(ms, danger float64) {
+func (v *cluster) run(ms, danger float64) {
 	for end := v.now + ms; v.now < end && v.wrong == ""; {
 		if v.r.IntN(12) == 0 {
 			v.propose()
@@ -205,7 +205,7 @@
 }
 
 // wake gives power back to all that have a machine.
-func (v *valley) wake() {
+func (v *cluster) wake() {
 	for _, a := range v.names() {
 		if h := v.hosts[a]; !h.on && !h.gone {
 			v.start(h)
@@ -214,7 +214,7 @@
 }
 
 // trouble brings one about, of those that may be borne: one machine of three or two of five at a time.
-func (v *valley) trouble() string {
+func (v *cluster) trouble() string {
 	names := v.names()
 	live := slices.DeleteFunc(names, func(a string) bool { return v.hosts[a].gone })
 	h := v.hosts[live[v.r.IntN(len(live))]]
@@ -256,7 +256,7 @@
 }
 
 // whole waits until all live machines vote and one leads, as the rules give the core time between two losses.
-func (v *valley) whole() bool {
+func (v *cluster) whole() bool {
 	for range 60 {
 		v.run(500, 0)
 		v.wake()
@@ -289,7 +289,7 @@
 	return false
 }
 
-func (v *valley) leadValue() []byte {
+func (v *cluster) leadValue() []byte {
 	for _, a := range v.names() {
 		if h := v.hosts[a]; h.on && h.node.Ready() {
 			return h.node.HardState.Last.Value
@@ -304,7 +304,7 @@
 		seeds = 40
 	}
 	for seed := range seeds {
-		v := newValley(uint64(seed), 3+2*(seed%2))
+		v := newCluster(uint64(seed), 3+2*(seed%2))
 		v.run(4000, 0)
 		var told []string
 		for range 5 {
@@ -332,7 +332,7 @@
 
 func TestVotes(t *testing.T) {
 	Convey("Three machines that found a core", t, func() {
-		v := newValley(1, 3)
+		v := newCluster(1, 3)
 		v.run(3000, 0)
 		Convey("have one leader, which alone is ready", func() {
 			So(v.whole(), ShouldBeTrue)
--- a/internal/consensus/exhaustive_test.go
+++ b/internal/consensus/exhaustive_test.go
@@ -229,7 +229,7 @@
 	for _, fault := range []string{"leader killed", "leader frozen", "leader cut off", "follower killed", "power lost everywhere", "leader wiped", "leader told to end"} {
 		var led []float64
 		for seed := range 200 {
-			v := newValley(uint64(seed+7000), 3)
+			v := newCluster(uint64(seed+7000), 3)
 			v.r = rand.New(rand.NewPCG(uint64(seed), 99))
 			v.risk = 0
 			v.run(4000, 0)
--- a/internal/consensus/second_loss_test.go
+++ b/internal/consensus/second_loss_test.go
@@ -11,7 +11,7 @@
 )
 
 // dial has the connections of a machine that starts made anew: its own soon, those of the others at their next try.
-func (v *valley) dial(addr string) {
+func (v *cluster) dial(addr string) {
 	for _, o := range v.names() {
 		delete(v.links, [2]string{addr, o})
 		if _, known := v.links[[2]string{o, addr}]; known {
@@ -22,7 +22,7 @@
 
 // stands says whether a connection does, either one's: answers go the way that the question came. The first message to an address
 // only has one made.
-func (v *valley) stands(from, to string) bool {
+func (v *cluster) stands(from, to string) bool {
 	if v.links == nil {
 		return true
 	}
@@ -34,7 +34,7 @@
 	return known && at <= v.now || asked && back <= v.now
 }
 
-func (v *valley) leader() *host {
+func (v *cluster) leader() *host {
 	for _, a := range v.names() {
 		if h := v.hosts[a]; h.on && h.node.Ready() {
 			return h
@@ -43,7 +43,7 @@
 	return nil
 }
 
-func (v *valley) live() (out []string) {
+func (v *cluster) live() (out []string) {
 	for _, a := range v.names() {
 		if !v.hosts[a].gone {
 			out = append(out, a)
@@ -53,7 +53,7 @@
 }
 
 // terminate is a SIGTERM: the process says that it leaves, and ends when nothing waits for it.
-func (v *valley) terminate(h *host) {
+func (v *cluster) terminate(h *host) {
 	h.node.Leave(v.now)
 	v.settle(h, 0)
 	for end := v.now + 1500; v.now < end && !h.node.Gone(v.now); {
@@ -64,7 +64,7 @@
 }
 
 // victim is the leader or another machine that is not gone.
-func (v *valley) victim(leads bool, but ...string) *host {
+func (v *cluster) victim(leads bool, but ...string) *host {
 	names := slices.DeleteFunc(v.live(), func(a string) bool { return slices.Contains(but, a) })
 	if l := v.leader(); l != nil {
 		if leads && slices.Contains(names, l.addr) {
@@ -76,7 +76,7 @@
 }
 
 // replace takes one machine out for good, or only its disk, and gives the time at which its successor started.
-func (v *valley) replace(how string, h *host) (successor string, at float64) {
+func (v *cluster) replace(how string, h *host) (successor string, at float64) {
 	v.lives++
 	if how == "wiped" {
 		h.disk, h.on = Empty(fmt.Sprintf("%d@%s", v.lives, h.addr)), false
@@ -114,7 +114,7 @@
 		if seed%3 == 2 {
 			tolerate, catchUp, machines = 2, 6000, 5+seed/3%2
 		}
-		v := newValley(uint64(seed), 3)
+		v := newCluster(uint64(seed), 3)
 		v.r = rand.New(rand.NewPCG(uint64(seed), 33))
 		v.risk, v.lose, v.links, v.fewest = 0, 0, map[[2]string]float64{}, 2*tolerate+1
 		for i := 3; i < machines; i++ {
@@ -164,7 +164,7 @@
 func TestSuccessorLostToo(t *testing.T) {
 	const ackMs = 5000
 	for seed := range days(400) {
-		v := newValley(uint64(seed), 3)
+		v := newCluster(uint64(seed), 3)
 		v.r = rand.New(rand.NewPCG(uint64(seed), 34))
 		v.risk, v.lose, v.links, v.fewest = 0, 0, map[[2]string]float64{}, 3
 		v.run(4000, 0)
@@ -202,7 +202,7 @@
 }
 
 // ackedSince says whether a change was acknowledged that was offered behind the nth.
-func (v *valley) ackedSince(n int) bool {
+func (v *cluster) ackedSince(n int) bool {
 	var c int
 	return len(v.acked) > 0 && func() bool {
 		_, _ = fmt.Sscanf(v.acked[len(v.acked)-1], "c%d;", &c)
@@ -210,7 +210,7 @@
 	}()
 }
 
-func (v *valley) nothingLost(t *testing.T, what string) {
+func (v *cluster) nothingLost(t *testing.T, what string) {
 	t.Helper()
 	if !v.whole() {
 		t.Fatalf("%s: not whole again; %s\n%s", what, v.wrong, v.standing())
@@ -224,7 +224,7 @@
 }
 
 // standing tells each machine's part, for a test that failed.
-func (v *valley) standing() string {
+func (v *cluster) standing() string {
 	var b strings.Builder
 	for _, a := range v.names() {
 		h := v.hosts[a]
--- a/internal/failover/failover_test.go
+++ b/internal/failover/failover_test.go
@@ -8,7 +8,7 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"weirwind/internal/standin/cordata"
+	"weirwind/internal/standin/replicaset"
 	"weirwind/internal/wire"
 )
 
@@ -17,7 +17,7 @@
 type pass struct {
 	r      *rand.Rand
 	now    float64
-	g      *cordata.Group
+	g      *replicaset.Group
 	s      *Service
 	later  []event
 	n      int
@@ -38,7 +38,7 @@
 }
 
 func newPass(seed uint64) *pass {
-	p := &pass{r: rand.New(rand.NewPCG(seed, 3)), g: cordata.New(1, "a", "b", "c"), beats: map[string]float64{}, said: map[string]bool{"a": true}, bound: map[string]bool{},
+	p := &pass{r: rand.New(rand.NewPCG(seed, 3)), g: replicaset.New(1, "a", "b", "c"), beats: map[string]float64{}, said: map[string]bool{"a": true}, bound: map[string]bool{},
 		core: newCore("a", "b", "c")}
 	p.s = New(0)
 	return p
@@ -87,7 +87,7 @@
 			p.stuck = p.now
 		}
 	}
-	p.g.Replicate(func(*cordata.Member) bool { return p.r.IntN(3) > 0 })
+	p.g.Replicate(func(*replicaset.Member) bool { return p.r.IntN(3) > 0 })
 	s := p.s
 	for _, a := range s.Step(p.view(), p.now) {
 		p.carry(s, a)
--- a/internal/standin/cordata/cordata.go
+++ b/internal/standin/replicaset/replicaset.go
@@ -1,9 +1,9 @@
-// Package cordata is a stand-in for a replication group of the wire's members: logs, terms, who leads, who has received what. It
+// Package replicaset is a stand-in for a replication group of the wire's members: logs, terms, who leads, who has received what. It
 // is written from the pages on the wire, does no I/O, and takes time from its caller, so that a test decides the order of all.
 //
 // A commit is answered once SyncN replicas have received it. A promoted member holds what it had received and nothing beyond;
 // what it lacked and was answered is counted in Lost, which no test may see above zero.
-package cordata
+package replicaset
 
 import (
 	"slices"
--- a/internal/standin/town/members.go
+++ b/internal/standin/town/members.go
@@ -1,6 +1,6 @@
 package town
 
-// This file owns the members' sockets: the line wire over cordata's logs, beats to the core, and the platform.
+// This file owns the members' sockets: the line wire over replicaset's logs, beats to the core, and the platform.
 
 import (
 	"bytes"
@@ -16,7 +16,7 @@
 	"time"
 
 	"weirwind/internal/shard/shardnode"
-	"weirwind/internal/standin/cordata"
+	"weirwind/internal/standin/replicaset"
 	"weirwind/internal/wire"
 )
 
@@ -24,7 +24,7 @@
 type Service struct {
 	Name  string
 	mu    sync.Mutex
-	group *cordata.Group
+	group *replicaset.Group
 	addrs map[string]string
 	conns map[string]map[net.Conn]bool
 	seq   map[string]uint64
@@ -45,7 +45,7 @@
 
 func newService(name, syncN string, ids ...string) *Service {
 	n, _ := strconv.Atoi(syncN)
-	return &Service{Name: name, group: cordata.New(n, ids...), addrs: map[string]string{}, conns: map[string]map[net.Conn]bool{},
+	return &Service{Name: name, group: replicaset.New(n, ids...), addrs: map[string]string{}, conns: map[string]map[net.Conn]bool{},
 		seq: map[string]uint64{}, data: map[string]string{}, acked: make(chan struct{}), Ran: map[string]int{}, drained: map[string]time.Time{}}
 }
 
@@ -55,7 +55,7 @@
 }
 
 // With looks at or changes the group.
-func (s *Service) With(f func(*cordata.Group)) {
+func (s *Service) With(f func(*replicaset.Group)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f(s.group)
@@ -64,7 +64,7 @@
 
 // Crash ends a member's connections and takes no more until Return; dark: it leaves them silent.
 func (s *Service) Crash(id string) {
-	s.With(func(g *cordata.Group) { g.Get(id).Up = false })
+	s.With(func(g *replicaset.Group) { g.Get(id).Up = false })
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns[id] {
@@ -323,7 +323,7 @@
 }
 
 // commit writes, lets replicas receive and waits until it may be answered. The lock is held but while it waits.
-func (v *visit) commit(m *cordata.Member, qid string) (string, bool) {
+func (v *visit) commit(m *replicaset.Member, qid string) (string, bool) {
 	s := v.s
 	writes := v.writes
 	v.writes = nil
@@ -333,7 +333,7 @@
 		s.Lose--
 	}
 	for {
-		s.group.Replicate(func(*cordata.Member) bool { return true })
+		s.group.Replicate(func(*replicaset.Member) bool { return true })
 		if s.group.Acked[qid] {
 			break
 		}
@@ -401,7 +401,7 @@
 		return
 	}
 	ok := false
-	s.With(func(g *cordata.Group) {
+	s.With(func(g *replicaset.Group) {
 		if fence < s.fence {
 			s.Refused++
 			return
--- a/internal/standin/town/nodes.go
+++ b/internal/standin/town/nodes.go
@@ -14,7 +14,7 @@
 	"weirwind/internal/directory"
 	"weirwind/internal/memberconn"
 	"weirwind/internal/shard/shardnode"
-	"weirwind/internal/standin/cordata"
+	"weirwind/internal/standin/replicaset"
 	"weirwind/internal/wire"
 )
 
@@ -55,7 +55,7 @@
 func (s *Service) Crash1() { s.Crash(s.Name + "-m") }
 
 func (s *Service) Back1() {
-	s.With(func(g *cordata.Group) {
+	s.With(func(g *replicaset.Group) {
 		g.Get(s.Name + "-m").Restart()
 		s.Keeper.Restart()
 	})
--- a/internal/standin/town/resets_test.go
+++ b/internal/standin/town/resets_test.go
@@ -6,8 +6,8 @@
 	"sync"
 	"testing"
 
-	"weirwind/internal/standin/cordata"
 	"weirwind/internal/standin/links"
+	"weirwind/internal/standin/replicaset"
 )
 
 // tried is a statement or a transaction of a client: the ids of its writes, and what came of it.
@@ -147,7 +147,7 @@
 	old := w.Svc.Leader()
 	w.Svc.Crash(old)
 	w.Until("another member leads", func() bool { l := w.Svc.Leader(); return l != "" && l != old })
-	w.Svc.With(func(g *cordata.Group) { g.Get(old).Restart() })
+	w.Svc.With(func(g *replicaset.Group) { g.Get(old).Restart() })
 	visit(10)
 	most(0)
 	w.Until("no transaction is left open", func() bool { return w.Svc.Open() == 0 })
@@ -156,7 +156,7 @@
 	for _, r := range relays {
 		resets += r.Done()
 	}
-	w.Svc.With(func(g *cordata.Group) {
+	w.Svc.With(func(g *replicaset.Group) {
 		if g.Leads > 2 || len(g.Lost) > 0 {
 			t.Errorf("%d promotions, lost %v", g.Leads, g.Lost)
 		}
--- a/internal/standin/town/shards_test.go
+++ b/internal/standin/town/shards_test.go
@@ -18,7 +18,7 @@
 
 	"weirwind/internal/controlplane"
 	"weirwind/internal/shard/shardmap"
-	"weirwind/internal/standin/cordata"
+	"weirwind/internal/standin/replicaset"
 	"weirwind/internal/weirctl"
 )
 
@@ -69,7 +69,7 @@
 		return n == someShards
 	})
 	for shard, node := range found.Shards {
-		w.Nodes[node].With(func(*cordata.Group) {
+		w.Nodes[node].With(func(*replicaset.Group) {
 			for i := range 200 {
 				_, err := w.Nodes[node].Keeper.Write(shard, 1, fmt.Sprint("old", i), make([]byte, 100))
 				if err != nil {
@@ -293,10 +293,10 @@
 			for i, n := range []string{"n2", "n0", "n1"} {
 				w.Nodes[n].Crash1()
 				other := w.Nodes[[]string{"n0", "n1", "n2"}[i]]
-				other.With(func(*cordata.Group) { other.Lose = 2 })
+				other.With(func(*replicaset.Group) { other.Lose = 2 })
 				w.Until("answers are lost", func() bool {
 					left := 0
-					other.With(func(*cordata.Group) { left = other.Lose })
+					other.With(func(*replicaset.Group) { left = other.Lose })
 					return left == 0
 				})
 				w.Nodes[n].Back1()
@@ -307,7 +307,7 @@
 			apply()
 			under()
 			n2 := w.Nodes["n2"]
-			n2.With(func(*cordata.Group) { n2.Keeper.SetForeign(n2.Keeper.Limit - n2.Keeper.Used() - 1000) })
+			n2.With(func(*replicaset.Group) { n2.Keeper.SetForeign(n2.Keeper.Limit - n2.Keeper.Used() - 1000) })
 			finish()
 		})
 		Convey("a proxy is frozen over the hand-overs, and thawed with the old map", func() {
@@ -364,7 +364,7 @@
 				<-time.After(time.Duration(rand.IntN(1500)) * time.Millisecond)
 				w.Signal(p, syscall.SIGCONT)
 			case 3:
-				n.With(func(*cordata.Group) { n.Lose = 5 })
+				n.With(func(*replicaset.Group) { n.Lose = 5 })
 			case 4:
 				tell("abort", w.Cores[0])
 			case 5:
--- a/internal/standin/town/town_test.go
+++ b/internal/standin/town/town_test.go
@@ -16,8 +16,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 
 	"weirwind/internal/consensus"
-	"weirwind/internal/standin/cordata"
 	"weirwind/internal/standin/disk"
+	"weirwind/internal/standin/replicaset"
 	"weirwind/internal/weirctl"
 )
 
@@ -156,7 +156,7 @@
 }
 
 func audit(w *Town, done, undone []string) {
-	w.Svc.With(func(*cordata.Group) {
+	w.Svc.With(func(*replicaset.Group) {
 		for _, id := range done {
 			So(w.Svc.Ran[id], ShouldEqual, 1)
 		}
@@ -189,7 +189,7 @@
 			audit(w, done, undone)
 		})
 		Convey("one that is to be replaced hands over, and its clients meet no failure", func() {
-			w.Svc.With(func(g *cordata.Group) { g.Get("a").Drains = true })
+			w.Svc.With(func(g *replicaset.Group) { g.Get("a").Drains = true })
 			w.Until("another leads", func() bool { l := w.Svc.Leader(); return l != "" && l != "a" })
 			w.Until("it is asked no more", func() bool {
 				_, s := w.Call("GET", w.readyAddr(0), "/status", "", nil)
@@ -201,9 +201,9 @@
 			So(w.Svc.Late, ShouldBeEmpty)
 		})
 		Convey("one whose commits reach no replica is replaced though it speaks", func() {
-			w.Svc.With(func(g *cordata.Group) { g.Get("a").Cut = true })
+			w.Svc.With(func(g *replicaset.Group) { g.Get("a").Cut = true })
 			w.Until("another leads", func() bool { l := w.Svc.Leader(); return l != "" && l != "a" })
-			w.Svc.With(func(g *cordata.Group) { g.Get("a").Cut = false })
+			w.Svc.With(func(g *replicaset.Group) { g.Get("a").Cut = false })
 			done, undone := stop()
 			audit(w, done, undone)
 		})
@@ -217,7 +217,7 @@
 		})
 		Convey("all of the core forgets while a replica is dead that alone holds a commit: nobody else is named", func() {
 			done, undone := stop()
-			w.Svc.With(func(g *cordata.Group) { g.Get("b").Deaf = true })
+			w.Svc.With(func(g *replicaset.Group) { g.Get("b").Deaf = true })
 			k, _ := w.Attach(0, "prim")
 			id, a := k.Ask("STORE only 1")
 			So(a, ShouldStartWith, "DONE")
@@ -226,7 +226,7 @@
 				w.Kill(fmt.Sprint("core", i))
 			}
 			w.Svc.Crash("a")
-			w.Svc.With(func(g *cordata.Group) { g.Get("b").Deaf = false })
+			w.Svc.With(func(g *replicaset.Group) { g.Get("b").Deaf = false })
 			for i := range 3 {
 				w.Start(fmt.Sprint("core", i), false)
 			}
@@ -239,15 +239,15 @@
 				return false
 			})
 			So(w.Svc.Leader(), ShouldEqual, "")
-			w.Svc.With(func(g *cordata.Group) { g.Get("c").Restart() })
+			w.Svc.With(func(g *replicaset.Group) { g.Get("c").Restart() })
 			w.Until("who has it leads", func() bool { return w.Svc.Leader() == "c" })
 			audit(w, append(done, id), undone)
 		})
 		Convey("answers to writes are lost: none is promised undone, none runs twice", func() {
-			w.Svc.With(func(*cordata.Group) { w.Svc.Lose = 5 })
+			w.Svc.With(func(*replicaset.Group) { w.Svc.Lose = 5 })
 			w.Until("they were lost", func() bool {
 				n := 1
-				w.Svc.With(func(*cordata.Group) { n = w.Svc.Lose })
+				w.Svc.With(func(*replicaset.Group) { n = w.Svc.Lose })
 				return n == 0
 			})
 			done, undone := stop()
