--- a/internal/controlplane/resets_test.go
+++ b/internal/controlplane/resets_test.go
@@ -48,7 +48,7 @@
 	p.mu.Lock()
 	l, up := p.link, p.up
 	p.mu.Unlock()
-	if l == nil {
+	if l == nil || !l.Stands() { // as coreLink does: a call is put on a link that stands
 		<-up
 		return nil, false
 	}
