--- a/cmd/weirwind/registry_test.go
+++ b/cmd/weirwind/registry_test.go
@@ -103,6 +103,7 @@
 	store.Put(membersAt+"b", s.entry(1, "draining"))
 	kept(t, folder, func(s *learned.State) bool { return s.List["b"].Phase == "draining" })
 	p.ends(syscall.SIGKILL)
+	s.left()
 	v.Down.Store(true)
 	v.Cut()
 	for len(b.queries) > 0 {
--- a/cmd/weirwind/standin_test.go
+++ b/cmd/weirwind/standin_test.go
@@ -141,14 +141,23 @@
 	config   map[string]any
 	changes  chan string // answers to watches, in turn
 	asked    chan string // what discovery was asked
+	watches  sync.WaitGroup
 	lists    *httptest.Server
 	mute     atomic.Bool // discovery answers no watch that finds nothing new
 	operator string      // the operators' file, empty for none
 }
 
+// left returns once no watch of a process that was killed waits any more: it would take the next change along.
+func (s *site) left() {
+	s.lists.CloseClientConnections()
+	s.watches.Wait()
+}
+
 func newSite(t *testing.T, members ...*member) *site {
 	s := &site{members: members, changes: make(chan string, 10), asked: make(chan string, 1000)}
 	s.lists = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		s.watches.Add(1)
+		defer s.watches.Done()
 		s.asked <- r.URL.String()
 		select {
 		case text := <-s.changes:
