--- a/cmd/weirlab/hollow.go
+++ b/cmd/weirlab/hollow.go
@@ -12,6 +12,7 @@
 	"syscall"
 	"time"
 
+	"weirwind/internal/lab/experiment"
 	"weirwind/internal/lab/hollow"
 )
 
@@ -57,7 +58,7 @@
 		}
 	}
 	if len(rows) > 0 {
-		if err := hollow.Save(filepath.Join(c.Out, "hollow.parquet"), rows); err != nil {
+		if err := experiment.Save(filepath.Join(c.Out, "hollow.parquet"), rows); err != nil {
 			return err
 		}
 		if err := hollow.Draw(filepath.Join(c.Out, "hollow.png"), "steady", rows); err != nil {
--- a/internal/controlplane/contact.go
+++ b/internal/controlplane/contact.go
@@ -29,14 +29,14 @@
 
 func (h *Server) inContact() bool { return h.contactAge() <= consensus.ContactLease }
 
-const noContactText = "this machine is out of contact with the core's majority; ask another\n"
+const noContactText = "this machine is out of contact with the core's majority; ask another"
 
 // refuseWithoutContact answers 503 where there is no contact, so that the caller asks another machine at once.
 func (h *Server) refuseWithoutContact(w http.ResponseWriter) bool {
 	if h.inContact() {
 		return false
 	}
-	http.Error(w, noContactText[:len(noContactText)-1], http.StatusServiceUnavailable)
+	http.Error(w, noContactText, http.StatusServiceUnavailable)
 	return true
 }
 
--- a/internal/controlplane/forward.go
+++ b/internal/controlplane/forward.go
@@ -23,7 +23,7 @@
 // call answers an operator's call, here or at who leads.
 func (h *Server) call(a controlmsg.Request) (int, []byte) {
 	if !h.inContact() {
-		return http.StatusServiceUnavailable, []byte(noContactText)
+		return http.StatusServiceUnavailable, []byte(noContactText + "\n")
 	}
 	a.Node = h.set.Hostname
 	began := time.Now()
--- a/internal/lab/experiment/store.go
+++ b/internal/lab/experiment/store.go
@@ -137,13 +137,13 @@
 }
 
 // Save writes rows, or leaves what was there.
-func Save(path string, rows []Run) error {
+func Save[Row any](path string, rows []Row) error {
 	f, err := os.CreateTemp(filepath.Dir(path), ".part-*")
 	if err != nil {
 		return err
 	}
 	defer os.Remove(f.Name())
-	w := parquet.NewGenericWriter[Run](f, parquet.Compression(&parquet.Zstd))
+	w := parquet.NewGenericWriter[Row](f, parquet.Compression(&parquet.Zstd))
 	_, err = w.Write(rows)
 	for _, end := range []func() error{w.Close, f.Sync, f.Close} {
 		if e := end(); err == nil {
--- a/internal/lab/hollow/hollow_test.go
+++ b/internal/lab/hollow/hollow_test.go
@@ -11,6 +11,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 
 	"weirwind/internal/controlmsg"
+	"weirwind/internal/lab/experiment"
 )
 
 func TestMain(m *testing.M) {
@@ -72,7 +73,7 @@
 		})
 		Convey("rows are kept as they were", func() {
 			file := filepath.Join(t.TempDir(), "hollow.parquet")
-			So(Save(file, plays[30]), ShouldBeNil)
+			So(experiment.Save(file, plays[30]), ShouldBeNil)
 			back, err := parquet.ReadFile[Row](file)
 			So(err, ShouldBeNil)
 			So(back, ShouldResemble, plays[30])
--- a/internal/lab/hollow/results.go
+++ b/internal/lab/hollow/results.go
@@ -6,11 +6,8 @@
 	"cmp"
 	"fmt"
 	"io"
-	"os"
-	"path/filepath"
 	"slices"
 
-	"github.com/parquet-go/parquet-go"
 	"gonum.org/v1/plot"
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/vg"
@@ -37,26 +34,6 @@
 	}
 }
 
-// Save writes rows, or leaves what was there.
-func Save(path string, rows []Row) error {
-	f, err := os.CreateTemp(filepath.Dir(path), ".part-*")
-	if err != nil {
-		return err
-	}
-	defer os.Remove(f.Name())
-	w := parquet.NewGenericWriter[Row](f, parquet.Compression(&parquet.Zstd))
-	_, err = w.Write(rows)
-	for _, end := range []func() error{w.Close, f.Sync, f.Close} {
-		if e := end(); err == nil {
-			err = e
-		}
-	}
-	if err != nil {
-		return fmt.Errorf("%s: %w", path, err)
-	}
-	return os.Rename(f.Name(), path)
-}
-
 // Draw draws bytes a second of a core machine by the number of drivers in a phase, a line a purpose, both axes logarithmic.
 func Draw(path, phase string, rows []Row) error {
 	lines := map[string]map[int32]float64{}
