--- a/Makefile
+++ b/Makefile
@@ -21,8 +21,8 @@
 	go test -fuzz FuzzLoad -fuzztime 20s ./internal/learned
 	go test -fuzz FuzzParse -fuzztime 20s ./internal/operator
 	go test -fuzz FuzzParseEntry -fuzztime 20s ./internal/registry
-	go test -fuzz FuzzDatagram -fuzztime 20s ./internal/mesh
-	go test -fuzz FuzzFrame -fuzztime 20s ./internal/mesh
+	go test -fuzz FuzzDatagram -fuzztime 20s ./internal/fleet/mesh
+	go test -fuzz FuzzFrame -fuzztime 20s ./internal/fleet/mesh
 
 # BEFORE names an earlier build, whose idle memory is measured beside this one's.
 measure: build
--- a/cmd/agent/main.go
+++ b/cmd/agent/main.go
@@ -6,9 +6,9 @@
 
 	"github.com/samber/oops"
 
-	"weirwind/internal/agent"
-	"weirwind/internal/process"
-	"weirwind/internal/settings"
+	"weirwind/internal/controlplane/agent"
+	"weirwind/internal/util/process"
+	"weirwind/internal/util/settings"
 )
 
 func main() {
--- a/cmd/controlplane/main.go
+++ b/cmd/controlplane/main.go
@@ -8,8 +8,8 @@
 	"github.com/samber/oops"
 
 	"weirwind/internal/controlplane"
-	"weirwind/internal/process"
-	"weirwind/internal/settings"
+	"weirwind/internal/util/process"
+	"weirwind/internal/util/settings"
 )
 
 func main() {
--- a/cmd/proxy/main.go
+++ b/cmd/proxy/main.go
@@ -6,9 +6,9 @@
 
 	"github.com/samber/oops"
 
-	"weirwind/internal/process"
-	"weirwind/internal/proxy"
-	"weirwind/internal/settings"
+	"weirwind/internal/dataplane/proxy"
+	"weirwind/internal/util/process"
+	"weirwind/internal/util/settings"
 )
 
 func main() {
--- a/cmd/sessionedge/main.go
+++ b/cmd/sessionedge/main.go
@@ -6,13 +6,13 @@
 
 	"github.com/samber/oops"
 
-	"weirwind/internal/process"
-	"weirwind/internal/sessionedge"
-	"weirwind/internal/settings"
+	"weirwind/internal/session/edge"
+	"weirwind/internal/util/process"
+	"weirwind/internal/util/settings"
 )
 
 func main() {
-	os.Exit(process.Main(process.Role{Name: "sessionedge", About: "an edge of open sessions", Run: sessionedge.Run,
+	os.Exit(process.Main(process.Role{Name: "sessionedge", About: "an edge of open sessions", Run: edge.Run,
 		Needs: func(s *settings.Settings) error {
 			if len(s.Peers) == 0 || s.Front == "" {
 				return oops.In("settings").Errorf("an edge needs peers and listen.front")
--- a/cmd/sessionsite/main.go
+++ b/cmd/sessionsite/main.go
@@ -6,13 +6,13 @@
 
 	"github.com/samber/oops"
 
-	"weirwind/internal/process"
-	"weirwind/internal/sessionsite"
-	"weirwind/internal/settings"
+	"weirwind/internal/session/site"
+	"weirwind/internal/util/process"
+	"weirwind/internal/util/settings"
 )
 
 func main() {
-	os.Exit(process.Main(process.Role{Name: "sessionsite", About: "a site of open sessions", Run: sessionsite.Run,
+	os.Exit(process.Main(process.Role{Name: "sessionsite", About: "a site of open sessions", Run: site.Run,
 		Needs: func(s *settings.Settings) error {
 			if len(s.Peers) == 0 || s.Ready == "" {
 				return oops.In("settings").Errorf("a site needs peers and listen.readyAddr")
--- a/cmd/weirlab/evening.go
+++ b/cmd/weirlab/evening.go
@@ -11,7 +11,7 @@
 	"syscall"
 	"time"
 
-	"weirwind/internal/lab/evening"
+	"weirwind/internal/lab/sessionrun"
 )
 
 type sessionsCommand struct {
@@ -36,7 +36,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	fmt.Fprintf(out, "three machines of the core, %d sites, two edges, %d open sessions\nsecond  queued    came  longest silence\n", c.Sites, c.Clients)
-	r, err := evening.Run(ctx, evening.Options{For: c.For, Sites: c.Sites, Clients: c.Clients, Every: c.Every, Net: 60 + os.Getpid()%60, Port: 21000 + os.Getpid()%100*20}, log, func(n int, s evening.Second) {
+	r, err := sessionrun.Run(ctx, sessionrun.Options{For: c.For, Sites: c.Sites, Clients: c.Clients, Every: c.Every, Net: 60 + os.Getpid()%60, Port: 21000 + os.Getpid()%100*20}, log, func(n int, s sessionrun.Second) {
 		if s.Note != "" {
 			fmt.Fprintln(out, "      --", s.Note)
 		}
--- a/cmd/weirlab/flock.go
+++ b/cmd/weirlab/flock.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"weirwind/internal/lab/fleet"
-	"weirwind/internal/lab/flock"
+	"weirwind/internal/lab/membershipsim"
 )
 
 type flockCommand struct {
@@ -29,15 +29,15 @@
 // Run measures.
 func (c *flockCommand) Run(out io.Writer) error {
 	for _, n := range c.Drivers {
-		o := flock.Options{Drivers: n, Period: ms(c.Period), Seed: c.Seed}
-		if err := flock.Losses(out, o, c.Kills); err != nil {
+		o := membershipsim.Options{Drivers: n, Period: ms(c.Period), Seed: c.Seed}
+		if err := membershipsim.Losses(out, o, c.Kills); err != nil {
 			return err
 		}
-		if err := flock.Heals(out, o, c.Heals); err != nil {
+		if err := membershipsim.Heals(out, o, c.Heals); err != nil {
 			return err
 		}
 		o.Loss = c.Loss
-		if err := flock.Wrong(out, o, ms(c.For), c.Slow); err != nil {
+		if err := membershipsim.Wrong(out, o, ms(c.For), c.Slow); err != nil {
 			return err
 		}
 	}
--- a/cmd/weirlab/main.go
+++ b/cmd/weirlab/main.go
@@ -17,9 +17,9 @@
 
 	"weirwind/internal/cli"
 	"weirwind/internal/lab"
-	"weirwind/internal/lab/evening"
 	"weirwind/internal/lab/experiment"
 	"weirwind/internal/lab/hollow"
+	"weirwind/internal/lab/sessionrun"
 )
 
 type commands struct {
@@ -40,7 +40,7 @@
 }
 
 func main() {
-	if code, ok := evening.Role(); ok { // one of an evening's processes
+	if code, ok := sessionrun.Role(); ok { // one of an evening's processes
 		os.Exit(code)
 	}
 	if code, ok := hollow.Role(); ok {
--- a/cmd/weirwind/membership.go
+++ b/cmd/weirwind/membership.go
@@ -14,8 +14,8 @@
 	"time"
 
 	"weirwind/internal/control"
-	"weirwind/internal/membership"
-	"weirwind/internal/mesh"
+	"weirwind/internal/fleet/membership"
+	"weirwind/internal/fleet/mesh"
 )
 
 type membershipCommands struct {
--- a/cmd/weirwind/zones.go
+++ b/cmd/weirwind/zones.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"weirwind/internal/control"
-	"weirwind/internal/zones"
+	"weirwind/internal/fleet/zones"
 )
 
 type zonesCommands struct {
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -19,8 +19,8 @@
 	"sync"
 	"time"
 
-	"weirwind/internal/membership"
-	"weirwind/internal/mesh"
+	"weirwind/internal/fleet/membership"
+	"weirwind/internal/fleet/mesh"
 	"weirwind/internal/switchover"
 )
 
--- a/internal/control/zones.go
+++ b/internal/control/zones.go
@@ -9,7 +9,7 @@
 	"net/http"
 	"net/url"
 
-	"weirwind/internal/zones"
+	"weirwind/internal/fleet/zones"
 )
 
 // Zoner is a driver's part in deciding on zones. Its methods may be called from several goroutines.
--- a/internal/agent/agent.go
+++ b/internal/controlplane/agent/agent.go
@@ -12,13 +12,13 @@
 
 	"github.com/samber/oops"
 
-	"weirwind/internal/commandqueue"
-	"weirwind/internal/controlmsg"
-	"weirwind/internal/directory"
-	"weirwind/internal/events"
-	"weirwind/internal/settings"
+	"weirwind/internal/controlplane/controlmsg"
+	"weirwind/internal/controlplane/directory"
 	"weirwind/internal/shard/shardmap"
-	"weirwind/internal/transport"
+	"weirwind/internal/util/commandqueue"
+	"weirwind/internal/util/events"
+	"weirwind/internal/util/settings"
+	"weirwind/internal/util/transport"
 )
 
 type link = transport.Link[controlmsg.Frame]
--- a/internal/agent/corelink.go
+++ b/internal/controlplane/agent/corelink.go
@@ -12,10 +12,10 @@
 	"net"
 	"time"
 
-	"weirwind/internal/consensus"
-	"weirwind/internal/controlmsg"
-	"weirwind/internal/events"
-	"weirwind/internal/transport"
+	"weirwind/internal/controlplane/consensus"
+	"weirwind/internal/controlplane/controlmsg"
+	"weirwind/internal/util/events"
+	"weirwind/internal/util/transport"
 )
 
 // Times of the link to the core, in milliseconds but for linkIdle.
--- a/internal/agent/peers.go
+++ b/internal/controlplane/agent/peers.go
@@ -6,9 +6,9 @@
 	"context"
 	"time"
 
-	"weirwind/internal/controlmsg"
-	"weirwind/internal/directory"
-	"weirwind/internal/transport"
+	"weirwind/internal/controlplane/controlmsg"
+	"weirwind/internal/controlplane/directory"
+	"weirwind/internal/util/transport"
 )
 
 type peer struct {
--- a/internal/agent/updates.go
+++ b/internal/controlplane/agent/updates.go
@@ -3,9 +3,9 @@
 // This file owns what the agent knows: it takes updates from the core and from peers, and passes on what is new.
 
 import (
-	"weirwind/internal/controlmsg"
-	"weirwind/internal/directory"
-	"weirwind/internal/transport"
+	"weirwind/internal/controlplane/controlmsg"
+	"weirwind/internal/controlplane/directory"
+	"weirwind/internal/util/transport"
 )
 
 func (a *Agent) digest() controlmsg.Digest {
--- a/internal/controlplane/calls.go
+++ b/internal/controlplane/calls.go
@@ -10,9 +10,9 @@
 	"net/http"
 	"strconv"
 
-	"weirwind/internal/config"
-	"weirwind/internal/controlmsg"
-	"weirwind/internal/directory"
+	"weirwind/internal/controlplane/config"
+	"weirwind/internal/controlplane/controlmsg"
+	"weirwind/internal/controlplane/directory"
 	"weirwind/internal/session/sites"
 	"weirwind/internal/shard/shardmap"
 	"weirwind/internal/shard/shardnode"
--- a/internal/consensus/store/store.go
+++ b/internal/controlplane/consensus/store/store.go
@@ -13,7 +13,7 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/samber/oops"
 
-	"weirwind/internal/consensus"
+	"weirwind/internal/controlplane/consensus"
 )
 
 // ErrBroken says that a write failed in a way behind which the database may not be used: it would wait for ever. The folder holds what
--- a/internal/consensus/store/store_test.go
+++ b/internal/controlplane/consensus/store/store_test.go
@@ -11,7 +11,7 @@
 	"github.com/cockroachdb/pebble/vfs"
 	. "github.com/smartystreets/goconvey/convey"
 
-	"weirwind/internal/consensus"
+	"weirwind/internal/controlplane/consensus"
 	"weirwind/internal/standin/disk"
 )
 
--- a/internal/controlplane/consensus_loop.go
+++ b/internal/controlplane/consensus_loop.go
@@ -15,13 +15,13 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"weirwind/internal/commandqueue"
-	"weirwind/internal/config"
-	"weirwind/internal/consensus"
-	"weirwind/internal/consensus/store"
-	"weirwind/internal/controlmsg"
-	"weirwind/internal/events"
-	"weirwind/internal/orders"
+	"weirwind/internal/controlplane/config"
+	"weirwind/internal/controlplane/consensus"
+	"weirwind/internal/controlplane/consensus/store"
+	"weirwind/internal/controlplane/controlmsg"
+	"weirwind/internal/controlplane/orders"
+	"weirwind/internal/util/commandqueue"
+	"weirwind/internal/util/events"
 )
 
 // Times of the agreement.
--- a/internal/controlplane/contact.go
+++ b/internal/controlplane/contact.go
@@ -11,9 +11,9 @@
 	"strconv"
 	"sync/atomic"
 
-	"weirwind/internal/consensus"
-	"weirwind/internal/controlmsg"
-	"weirwind/internal/events"
+	"weirwind/internal/controlplane/consensus"
+	"weirwind/internal/controlplane/controlmsg"
+	"weirwind/internal/util/events"
 )
 
 // contactClock passes the moment of the newest contact from the consensus loop to all others. A loop that hangs, say on its disk,
--- a/internal/controlplane/contact_test.go
+++ b/internal/controlplane/contact_test.go
@@ -7,10 +7,10 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"weirwind/internal/consensus"
-	"weirwind/internal/directory"
-	"weirwind/internal/events"
-	"weirwind/internal/settings"
+	"weirwind/internal/controlplane/consensus"
+	"weirwind/internal/controlplane/directory"
+	"weirwind/internal/util/events"
+	"weirwind/internal/util/settings"
 )
 
 // silentTables gives the tables of a machine that has run for an hour, at which a driver's lease is over and a member was silent for long.
--- a/internal/controlmsg/controlmsg.go
+++ b/internal/controlplane/controlmsg/controlmsg.go
@@ -4,8 +4,8 @@
 package controlmsg
 
 import (
-	"weirwind/internal/consensus"
-	"weirwind/internal/directory"
+	"weirwind/internal/controlplane/consensus"
+	"weirwind/internal/controlplane/directory"
 	"weirwind/internal/session/sites"
 	"weirwind/internal/shard/shardmap"
 )
--- a/internal/controlmsg/costs_test.go
+++ b/internal/controlplane/controlmsg/costs_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"weirwind/internal/directory"
+	"weirwind/internal/controlplane/directory"
 )
 
 func size(f *Frame) float64 {
--- a/internal/controlmsg/hello.go
+++ b/internal/controlplane/controlmsg/hello.go
@@ -1,6 +1,6 @@
 package controlmsg
 
-import "weirwind/internal/transport"
+import "weirwind/internal/util/transport"
 
 // Welcome is the kind of a Hello that answers one.
 const Welcome = "welcome"
--- a/internal/controlmsg/hello_test.go
+++ b/internal/controlplane/controlmsg/hello_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"weirwind/internal/transport"
+	"weirwind/internal/util/transport"
 )
 
 // A peer that says that it reads compressed frames is sent them; one of an earlier version, whose Hello says nothing of them, is sent
--- a/internal/controlmsg/purpose.go
+++ b/internal/controlplane/controlmsg/purpose.go
@@ -1,6 +1,6 @@
 package controlmsg
 
-import "weirwind/internal/transport"
+import "weirwind/internal/util/transport"
 
 // Purpose is what a frame is sent for: the classes by which traffic is counted.
 type Purpose uint8
--- a/internal/controlplane/controlplane.go
+++ b/internal/controlplane/controlplane.go
@@ -16,10 +16,10 @@
 
 	"github.com/samber/oops"
 
-	"weirwind/internal/controlmsg"
-	"weirwind/internal/events"
-	"weirwind/internal/settings"
-	"weirwind/internal/transport"
+	"weirwind/internal/controlplane/controlmsg"
+	"weirwind/internal/util/events"
+	"weirwind/internal/util/settings"
+	"weirwind/internal/util/transport"
 )
 
 type link = transport.Link[controlmsg.Frame]
--- a/internal/failover/cover.go
+++ b/internal/controlplane/failover/cover.go
@@ -7,7 +7,7 @@
 // the roster were seen at or behind it. From then on every commit up to that position is at syncN others, and later ones can't be
 // at a member that receives nothing.
 
-import "weirwind/internal/wire"
+import "weirwind/internal/dataplane/wire"
 
 // cover is how far a member that has ended is covered.
 type cover struct {
--- a/internal/failover/cover_test.go
+++ b/internal/controlplane/failover/cover_test.go
@@ -4,7 +4,7 @@
 	"slices"
 	"testing"
 
-	"weirwind/internal/wire"
+	"weirwind/internal/dataplane/wire"
 )
 
 func answer(primary bool, number uint64) wire.Status {
--- a/internal/failover/facts.go
+++ b/internal/controlplane/failover/facts.go
@@ -5,7 +5,7 @@
 import (
 	"slices"
 
-	"weirwind/internal/wire"
+	"weirwind/internal/dataplane/wire"
 )
 
 type fact struct {
--- a/internal/failover/failover.go
+++ b/internal/controlplane/failover/failover.go
@@ -25,7 +25,7 @@
 	"fmt"
 	"slices"
 
-	"weirwind/internal/wire"
+	"weirwind/internal/dataplane/wire"
 )
 
 // Tuned values, in milliseconds.
--- a/internal/failover/failover_test.go
+++ b/internal/controlplane/failover/failover_test.go
@@ -8,8 +8,8 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
+	"weirwind/internal/dataplane/wire"
 	"weirwind/internal/standin/replicaset"
-	"weirwind/internal/wire"
 )
 
 // pass plays successions over a group in virtual time: questions and calls take their time or come to nothing, members fall and
--- a/internal/failover/watch.go
+++ b/internal/controlplane/failover/watch.go
@@ -5,7 +5,7 @@
 import (
 	"maps"
 
-	"weirwind/internal/wire"
+	"weirwind/internal/dataplane/wire"
 )
 
 func (s *Service) watch(v *View, now float64) {
--- a/internal/controlplane/forward.go
+++ b/internal/controlplane/forward.go
@@ -7,8 +7,8 @@
 	"sync/atomic"
 	"time"
 
-	"weirwind/internal/controlmsg"
-	"weirwind/internal/repeat"
+	"weirwind/internal/controlplane/controlmsg"
+	"weirwind/internal/util/idempotency"
 )
 
 const (
@@ -32,7 +32,7 @@
 		if r.Status != statusNotLeading {
 			return r.Status, r.Body
 		}
-		if sent && kindOf(&a) == repeat.Once || time.Since(began) > leaderTimeout {
+		if sent && kindOf(&a) == idempotency.Once || time.Since(began) > leaderTimeout {
 			return http.StatusServiceUnavailable, r.Body
 		}
 		select {
@@ -44,11 +44,11 @@
 }
 
 // kindOf says which calls can be made again as they were: readings, and changes that are found among those taken.
-func kindOf(a *controlmsg.Request) repeat.Kind {
+func kindOf(a *controlmsg.Request) idempotency.Kind {
 	if a.Shards != nil || a.Sites != nil || a.Grant != nil {
-		return repeat.Once
+		return idempotency.Once
 	}
-	return repeat.Idempotent
+	return idempotency.Idempotent
 }
 
 // callOnce has one machine decide. sent: it may have been carried out.
--- a/internal/controlplane/moving.go
+++ b/internal/controlplane/moving.go
@@ -9,12 +9,12 @@
 	"slices"
 	"time"
 
-	"weirwind/internal/controlmsg"
-	"weirwind/internal/directory"
-	"weirwind/internal/events"
-	"weirwind/internal/memberconn"
-	"weirwind/internal/repeat"
+	"weirwind/internal/controlplane/controlmsg"
+	"weirwind/internal/controlplane/directory"
+	"weirwind/internal/dataplane/memberconn"
 	"weirwind/internal/shard/shardmap"
+	"weirwind/internal/util/events"
+	"weirwind/internal/util/idempotency"
 )
 
 const (
@@ -113,7 +113,7 @@
 	go func() {
 		until := time.Now().Add(nodeTime)
 		var rows []string
-		_, err := t.asker.with(m, until, repeat.Idempotent, func(c *memberconn.Conn) (wrong error) {
+		_, err := t.asker.with(m, until, idempotency.Idempotent, func(c *memberconn.Conn) (wrong error) {
 			rows, wrong = c.Ask(text, until)
 			return wrong
 		})
--- a/internal/orders/history_test.go
+++ b/internal/controlplane/orders/history_test.go
@@ -12,7 +12,7 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"weirwind/internal/controlmsg"
+	"weirwind/internal/controlplane/controlmsg"
 )
 
 // asked is an order as its operator has it. Orders of the same bytes on the same base have the same id.
--- a/internal/orders/orders.go
+++ b/internal/controlplane/orders/orders.go
@@ -16,9 +16,9 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"weirwind/internal/config"
-	"weirwind/internal/consensus"
-	"weirwind/internal/controlmsg"
+	"weirwind/internal/controlplane/config"
+	"weirwind/internal/controlplane/consensus"
+	"weirwind/internal/controlplane/controlmsg"
 	"weirwind/internal/session/sites"
 )
 
--- a/internal/orders/orders_test.go
+++ b/internal/controlplane/orders/orders_test.go
@@ -7,9 +7,9 @@
 	"github.com/fxamacker/cbor/v2"
 	. "github.com/smartystreets/goconvey/convey"
 
-	"weirwind/internal/config"
-	"weirwind/internal/consensus"
-	"weirwind/internal/controlmsg"
+	"weirwind/internal/controlplane/config"
+	"weirwind/internal/controlplane/consensus"
+	"weirwind/internal/controlplane/controlmsg"
 )
 
 // quiet gives a core of three that serves, with a first version in place, and its leader.
--- a/internal/controlplane/pending.go
+++ b/internal/controlplane/pending.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"weirwind/internal/controlmsg"
+	"weirwind/internal/controlplane/controlmsg"
 )
 
 // callID is a call's identity. A number is never used twice by one process, nor, as it begins at the time of day, by
--- a/internal/controlplane/pending_test.go
+++ b/internal/controlplane/pending_test.go
@@ -7,7 +7,7 @@
 
 	"pgregory.net/rapid"
 
-	"weirwind/internal/controlmsg"
+	"weirwind/internal/controlplane/controlmsg"
 )
 
 // Calls over several links, of which each ends and comes again, and answers that come late, twice, over another link
--- a/internal/controlplane/requests.go
+++ b/internal/controlplane/requests.go
@@ -6,9 +6,9 @@
 import (
 	"time"
 
-	"weirwind/internal/controlmsg"
-	"weirwind/internal/events"
-	"weirwind/internal/orders"
+	"weirwind/internal/controlplane/controlmsg"
+	"weirwind/internal/controlplane/orders"
+	"weirwind/internal/util/events"
 )
 
 // take queues a call at the leader.
--- a/internal/controlplane/resets_test.go
+++ b/internal/controlplane/resets_test.go
@@ -8,9 +8,9 @@
 	"testing"
 	"time"
 
-	"weirwind/internal/controlmsg"
+	"weirwind/internal/controlplane/controlmsg"
 	"weirwind/internal/standin/links"
-	"weirwind/internal/transport"
+	"weirwind/internal/util/transport"
 )
 
 // peers is a machine that passes calls on, and one that carries them out, over a link that is reset at drawn bytes.
--- a/internal/controlplane/roster.go
+++ b/internal/controlplane/roster.go
@@ -8,12 +8,12 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"weirwind/internal/config"
-	"weirwind/internal/consensus"
-	"weirwind/internal/controlmsg"
-	"weirwind/internal/directory"
-	"weirwind/internal/events"
-	"weirwind/internal/failover"
+	"weirwind/internal/controlplane/config"
+	"weirwind/internal/controlplane/consensus"
+	"weirwind/internal/controlplane/controlmsg"
+	"weirwind/internal/controlplane/directory"
+	"weirwind/internal/controlplane/failover"
+	"weirwind/internal/util/events"
 )
 
 const rosterEvery = 200.0 // milliseconds between proposals: what comes together costs one
--- a/internal/controlplane/sites.go
+++ b/internal/controlplane/sites.go
@@ -9,9 +9,9 @@
 	"strconv"
 	"time"
 
-	"weirwind/internal/controlmsg"
-	"weirwind/internal/events"
+	"weirwind/internal/controlplane/controlmsg"
 	"weirwind/internal/session/sites"
+	"weirwind/internal/util/events"
 )
 
 // A site's lease holds for SiteLease from when it asked. The core takes it for over only siteSlack later than it can possibly
--- a/internal/controlplane/succession.go
+++ b/internal/controlplane/succession.go
@@ -13,13 +13,13 @@
 
 	"github.com/samber/oops"
 
-	"weirwind/internal/config"
-	"weirwind/internal/directory"
-	"weirwind/internal/events"
-	"weirwind/internal/failover"
-	"weirwind/internal/memberconn"
-	"weirwind/internal/repeat"
-	"weirwind/internal/wire"
+	"weirwind/internal/controlplane/config"
+	"weirwind/internal/controlplane/directory"
+	"weirwind/internal/controlplane/failover"
+	"weirwind/internal/dataplane/memberconn"
+	"weirwind/internal/dataplane/wire"
+	"weirwind/internal/util/events"
+	"weirwind/internal/util/idempotency"
 )
 
 const (
@@ -193,7 +193,7 @@
 // nothing, PAUSE and STEPDOWN name their term, CONT lets go what may be let go.
 func (a *asker) ask(m directory.Member, text string) (st wire.Status, refused bool, err error) {
 	until := time.Now().Add(statTime)
-	refused, err = a.with(m, until, repeat.Idempotent, func(c *memberconn.Conn) (wrong error) {
+	refused, err = a.with(m, until, idempotency.Idempotent, func(c *memberconn.Conn) (wrong error) {
 		st, wrong = c.Stat(text, until)
 		return wrong
 	})
@@ -204,7 +204,7 @@
 }
 
 // with puts a question over a kept connection, or a new one where that has ended as it rested and the question may be put again.
-func (a *asker) with(m directory.Member, until time.Time, kind repeat.Kind, put func(*memberconn.Conn) error) (refused bool, err error) {
+func (a *asker) with(m directory.Member, until time.Time, kind idempotency.Kind, put func(*memberconn.Conn) error) (refused bool, err error) {
 	c := a.get(m.ID)
 	for kept := c != nil; ; kept = false {
 		if c == nil {
--- a/internal/controlplane/tables.go
+++ b/internal/controlplane/tables.go
@@ -5,14 +5,14 @@
 import (
 	"time"
 
-	"weirwind/internal/commandqueue"
-	"weirwind/internal/config"
-	"weirwind/internal/controlmsg"
-	"weirwind/internal/directory"
-	"weirwind/internal/events"
-	"weirwind/internal/failover"
+	"weirwind/internal/controlplane/config"
+	"weirwind/internal/controlplane/controlmsg"
+	"weirwind/internal/controlplane/directory"
+	"weirwind/internal/controlplane/failover"
 	"weirwind/internal/shard/shardmap"
-	"weirwind/internal/transport"
+	"weirwind/internal/util/commandqueue"
+	"weirwind/internal/util/events"
+	"weirwind/internal/util/transport"
 )
 
 // Times of the soft state.
--- a/internal/group/group.go
+++ b/internal/dataplane/group/group.go
@@ -9,8 +9,8 @@
 	"math/rand/v2"
 	"slices"
 
-	"weirwind/internal/directory"
-	"weirwind/internal/wire"
+	"weirwind/internal/controlplane/directory"
+	"weirwind/internal/dataplane/wire"
 	"weirwind/internal/writerslot"
 )
 
--- a/internal/group/group_test.go
+++ b/internal/dataplane/group/group_test.go
@@ -5,8 +5,8 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"weirwind/internal/directory"
-	"weirwind/internal/wire"
+	"weirwind/internal/controlplane/directory"
+	"weirwind/internal/dataplane/wire"
 )
 
 func at(term, n uint64) wire.Position { return wire.Position{Term: term, Number: n} }
--- a/internal/memberconn/memberconn.go
+++ b/internal/dataplane/memberconn/memberconn.go
@@ -17,10 +17,10 @@
 
 	"github.com/samber/oops"
 
-	"weirwind/internal/directory"
-	"weirwind/internal/repeat"
-	"weirwind/internal/transport"
-	"weirwind/internal/wire"
+	"weirwind/internal/controlplane/directory"
+	"weirwind/internal/dataplane/wire"
+	"weirwind/internal/util/idempotency"
+	"weirwind/internal/util/transport"
 )
 
 const (
@@ -141,7 +141,7 @@
 func (c *Conn) Write(batch string, until time.Time) error {
 	if !c.Settled() {
 		c.broken = true
-		return &repeat.Unanswered{Progress: repeat.Unsent, Err: ErrUnsettled}
+		return &idempotency.Unanswered{Progress: idempotency.Unsent, Err: ErrUnsettled}
 	}
 	for line := range strings.Lines(batch) {
 		_, rest := wire.Cut(line)
@@ -154,11 +154,11 @@
 		return nil
 	}
 	c.broken = true
-	progress := repeat.Sent
+	progress := idempotency.Sent
 	if n == 0 {
-		progress = repeat.Unsent
+		progress = idempotency.Unsent
 	}
-	return &repeat.Unanswered{Progress: progress, Err: err}
+	return &idempotency.Unanswered{Progress: progress, Err: err}
 }
 
 // Read reads the answer to the first question that waits for one. spill takes rows that are too many to keep; nil:
@@ -166,7 +166,7 @@
 func (c *Conn) Read(spill func([]string) error) (Reply, error) {
 	if c.broken || len(c.owed) == 0 {
 		c.broken = true
-		return Reply{}, &repeat.Unanswered{Progress: repeat.Sent, Err: errors.New("no answer is owed on this connection")}
+		return Reply{}, &idempotency.Unanswered{Progress: idempotency.Sent, Err: errors.New("no answer is owed on this connection")}
 	}
 	a, err := c.read(spill)
 	if mine := c.owed[0]; err == nil && mine && a.Done && a.Text != wire.NoStamp {
@@ -174,7 +174,7 @@
 	}
 	if err != nil {
 		c.broken = true
-		return a, &repeat.Unanswered{Progress: repeat.Sent, Err: err}
+		return a, &idempotency.Unanswered{Progress: idempotency.Sent, Err: err}
 	}
 	c.owed = c.owed[1:]
 	return a, nil
--- a/internal/memberconn/settled_test.go
+++ b/internal/dataplane/memberconn/settled_test.go
@@ -10,9 +10,9 @@
 	"testing"
 	"time"
 
-	"weirwind/internal/directory"
-	"weirwind/internal/repeat"
-	"weirwind/internal/wire"
+	"weirwind/internal/controlplane/directory"
+	"weirwind/internal/dataplane/wire"
+	"weirwind/internal/util/idempotency"
 )
 
 // sly is a member that answers in full, late, by half, twice, or not at all, and counts what it ran.
@@ -98,7 +98,7 @@
 	var c *Conn
 	answered, unsettled, again := 0, 0, 0
 	for n := range 1500 {
-		id, kind := fmt.Sprint("q", n), repeat.Kind(n%2)
+		id, kind := fmt.Sprint("q", n), idempotency.Kind(n%2)
 		for try := 0; try < 5; try++ {
 			if c == nil {
 				if c, _, err = Dial(member, time.Now().Add(10*time.Second)); err != nil {
@@ -127,7 +127,7 @@
 			if errors.Is(err, ErrUnsettled) {
 				unsettled++
 			}
-			if !repeat.Ran(err) { // the connection was no use before
+			if !idempotency.Ran(err) { // the connection was no use before
 				c.Close()
 				c = nil
 			}
@@ -137,7 +137,7 @@
 			again++
 		}
 		m.mu.Lock()
-		if kind == repeat.Once && m.ran[id] > 1 {
+		if kind == idempotency.Once && m.ran[id] > 1 {
 			t.Errorf("%s ran %d times", id, m.ran[id])
 		}
 		m.mu.Unlock()
--- a/internal/proxy/conn.go
+++ b/internal/dataplane/proxy/conn.go
@@ -5,10 +5,10 @@
 import (
 	"time"
 
-	"weirwind/internal/directory"
-	"weirwind/internal/memberconn"
-	"weirwind/internal/sessionstate"
-	"weirwind/internal/wire"
+	"weirwind/internal/controlplane/directory"
+	"weirwind/internal/dataplane/memberconn"
+	"weirwind/internal/dataplane/sessionstate"
+	"weirwind/internal/dataplane/wire"
 )
 
 const (
--- a/internal/proxy/desk.go
+++ b/internal/dataplane/proxy/desk.go
@@ -8,15 +8,15 @@
 	"slices"
 	"time"
 
-	"weirwind/internal/commandqueue"
-	"weirwind/internal/config"
-	"weirwind/internal/controlmsg"
-	"weirwind/internal/directory"
-	"weirwind/internal/events"
-	"weirwind/internal/group"
-	"weirwind/internal/memberconn"
+	"weirwind/internal/controlplane/config"
+	"weirwind/internal/controlplane/controlmsg"
+	"weirwind/internal/controlplane/directory"
+	"weirwind/internal/dataplane/group"
+	"weirwind/internal/dataplane/memberconn"
+	"weirwind/internal/dataplane/wire"
 	"weirwind/internal/shard/shardmap"
-	"weirwind/internal/wire"
+	"weirwind/internal/util/commandqueue"
+	"weirwind/internal/util/events"
 )
 
 const (
--- a/internal/proxy/desk_test.go
+++ b/internal/dataplane/proxy/desk_test.go
@@ -6,12 +6,12 @@
 	"testing"
 	"time"
 
-	"weirwind/internal/directory"
-	"weirwind/internal/events"
-	"weirwind/internal/group"
-	"weirwind/internal/memberconn"
-	"weirwind/internal/settings"
-	"weirwind/internal/wire"
+	"weirwind/internal/controlplane/directory"
+	"weirwind/internal/dataplane/group"
+	"weirwind/internal/dataplane/memberconn"
+	"weirwind/internal/dataplane/wire"
+	"weirwind/internal/util/events"
+	"weirwind/internal/util/settings"
 )
 
 // Where many wait, a connection goes to one that still has time for an answer: given to the oldest, whose time runs out under
--- a/internal/proxy/proxy.go
+++ b/internal/dataplane/proxy/proxy.go
@@ -18,12 +18,12 @@
 
 	"github.com/samber/oops"
 
-	"weirwind/internal/config"
-	"weirwind/internal/controlmsg"
-	"weirwind/internal/events"
-	"weirwind/internal/settings"
-	"weirwind/internal/transport"
-	"weirwind/internal/wire"
+	"weirwind/internal/controlplane/config"
+	"weirwind/internal/controlplane/controlmsg"
+	"weirwind/internal/dataplane/wire"
+	"weirwind/internal/util/events"
+	"weirwind/internal/util/settings"
+	"weirwind/internal/util/transport"
 )
 
 // Proxy is one.
--- a/internal/proxy/repeat_test.go
+++ b/internal/dataplane/proxy/repeat_test.go
@@ -11,12 +11,12 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"weirwind/internal/config"
-	"weirwind/internal/directory"
-	"weirwind/internal/events"
-	"weirwind/internal/group"
-	"weirwind/internal/settings"
-	"weirwind/internal/wire"
+	"weirwind/internal/controlplane/config"
+	"weirwind/internal/controlplane/directory"
+	"weirwind/internal/dataplane/group"
+	"weirwind/internal/dataplane/wire"
+	"weirwind/internal/util/events"
+	"weirwind/internal/util/settings"
 )
 
 // What a scripted member does in place of an answer of the script.
--- a/internal/proxy/session.go
+++ b/internal/dataplane/proxy/session.go
@@ -8,12 +8,12 @@
 	"sync"
 	"time"
 
-	"weirwind/internal/config"
-	"weirwind/internal/events"
-	"weirwind/internal/group"
-	"weirwind/internal/memberconn"
-	"weirwind/internal/sessionstate"
-	"weirwind/internal/wire"
+	"weirwind/internal/controlplane/config"
+	"weirwind/internal/dataplane/group"
+	"weirwind/internal/dataplane/memberconn"
+	"weirwind/internal/dataplane/sessionstate"
+	"weirwind/internal/dataplane/wire"
+	"weirwind/internal/util/events"
 )
 
 const (
--- a/internal/proxy/shard.go
+++ b/internal/dataplane/proxy/shard.go
@@ -9,12 +9,12 @@
 	"strings"
 	"time"
 
-	"weirwind/internal/config"
-	"weirwind/internal/group"
-	"weirwind/internal/memberconn"
+	"weirwind/internal/controlplane/config"
+	"weirwind/internal/dataplane/group"
+	"weirwind/internal/dataplane/memberconn"
+	"weirwind/internal/dataplane/wire"
 	"weirwind/internal/shard/shardmap"
 	"weirwind/internal/shard/shardnode"
-	"weirwind/internal/wire"
 )
 
 const (
--- a/internal/proxy/statement.go
+++ b/internal/dataplane/proxy/statement.go
@@ -9,13 +9,13 @@
 	"strings"
 	"time"
 
-	"weirwind/internal/config"
-	"weirwind/internal/group"
-	"weirwind/internal/memberconn"
-	"weirwind/internal/repeat"
-	"weirwind/internal/sessionstate"
+	"weirwind/internal/controlplane/config"
+	"weirwind/internal/dataplane/group"
+	"weirwind/internal/dataplane/memberconn"
+	"weirwind/internal/dataplane/sessionstate"
+	"weirwind/internal/dataplane/wire"
 	"weirwind/internal/shard/shardnode"
-	"weirwind/internal/wire"
+	"weirwind/internal/util/idempotency"
 )
 
 // acquire asks the desk for a member connection, and looks that the member has not ended it while it rested.
@@ -84,18 +84,18 @@
 // kindOf says what a second run of a statement would do, outside a transaction or as its COMMIT. Statements inside a
 // transaction are not put again at all: it ends with its connection. BEGIN is idempotent, as the end of its
 // connection rolls it back.
-func kindOf(write bool) repeat.Kind {
+func kindOf(write bool) idempotency.Kind {
 	if write {
-		return repeat.Once
+		return idempotency.Once
 	}
-	return repeat.Idempotent
+	return idempotency.Idempotent
 }
 
 // stamped makes a success that bears no member's stamp an error: it belongs to another question, and this one has no
 // answer.
 func stamped(a *memberconn.Reply, err error) error {
 	if err == nil && a.Done && a.Text == wire.NoStamp {
-		return &repeat.Unanswered{Progress: repeat.Sent, Err: errors.New("a success without a stamp")}
+		return &idempotency.Unanswered{Progress: idempotency.Sent, Err: errors.New("a success without a stamp")}
 	}
 	return err
 }
--- a/internal/driver/fleet.go
+++ b/internal/driver/fleet.go
@@ -17,12 +17,12 @@
 	"golang.org/x/sync/errgroup"
 
 	"weirwind/internal/control"
-	"weirwind/internal/membership"
-	"weirwind/internal/mesh"
+	"weirwind/internal/fleet/membership"
+	"weirwind/internal/fleet/mesh"
+	"weirwind/internal/fleet/zones"
 	"weirwind/internal/operator"
 	"weirwind/internal/roster"
 	"weirwind/internal/switchover"
-	"weirwind/internal/zones"
 	"weirwind/logic"
 )
 
--- a/internal/driver/switchover.go
+++ b/internal/driver/switchover.go
@@ -16,7 +16,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"weirwind/internal/control"
-	"weirwind/internal/membership"
+	"weirwind/internal/fleet/membership"
 	"weirwind/internal/operator"
 	"weirwind/internal/switchover"
 	"weirwind/logic"
--- a/internal/driver/zones.go
+++ b/internal/driver/zones.go
@@ -1,7 +1,7 @@
 package driver
 
 // This file owns what the driver does with plans of zones: it puts what it sees and what peers say before
-// internal/zones, carries out what that decides, and counts sends between zones. It must never judge a zone or a plan
+// internal/fleet/zones, carries out what that decides, and counts sends between zones. It must never judge a zone or a plan
 // itself, or keep an op waiting for either.
 
 import (
@@ -23,9 +23,9 @@
 	"golang.org/x/sync/errgroup"
 
 	"weirwind/internal/durable"
-	"weirwind/internal/membership"
+	"weirwind/internal/fleet/membership"
+	"weirwind/internal/fleet/zones"
 	"weirwind/internal/operator"
-	"weirwind/internal/zones"
 	"weirwind/logic"
 )
 
--- a/internal/membership/ballot.go
+++ b/internal/fleet/membership/ballot.go
@@ -6,7 +6,7 @@
 import (
 	"slices"
 
-	"weirwind/internal/paxos"
+	"weirwind/internal/fleet/paxos"
 )
 
 // VoteKind of a vote.
--- a/internal/membership/fleet_test.go
+++ b/internal/fleet/membership/fleet_test.go
@@ -6,19 +6,19 @@
 	"strings"
 	"testing"
 
-	"weirwind/internal/lab/flock"
-	"weirwind/internal/membership"
+	"weirwind/internal/fleet/membership"
+	"weirwind/internal/lab/membershipsim"
 )
 
 var all = []int{0, 1, 2, 3, 4}
 
 // five is a fleet of five that has founded its roster.
-func five(t *testing.T, o flock.Options) *flock.Flock {
+func five(t *testing.T, o membershipsim.Options) *membershipsim.Flock {
 	t.Helper()
 	if o.Drivers == 0 {
 		o.Drivers = 5
 	}
-	f := flock.New(o)
+	f := membershipsim.New(o)
 	var log []string
 	f.Notes = func(at float64, d string, n membership.Note) {
 		log = append(log, fmt.Sprintf("%.0f %s: %s %s %s", at, d, n.Reason, n.Name, n.Text))
@@ -39,7 +39,7 @@
 	return f
 }
 
-func wait(t *testing.T, f *flock.Flock, what string, so func() bool) {
+func wait(t *testing.T, f *membershipsim.Flock, what string, so func() bool) {
 	t.Helper()
 	if _, ok := f.Until(60000, so); !ok {
 		for _, d := range f.Drivers {
@@ -56,7 +56,7 @@
 	return func(a, b int) bool { return of[a] != of[b] }
 }
 
-func state(f *flock.Flock, at int, of string) membership.View {
+func state(f *membershipsim.Flock, at int, of string) membership.View {
 	for _, v := range f.Drivers[at].View.Status().Drivers {
 		if v.Name == of {
 			return v
@@ -74,7 +74,7 @@
 		{[]int{0, 1, 1, 1, 1}, [2]membership.Standing{membership.Alone, membership.Larger}},
 		{[]int{0, 0, 1, 1}, [2]membership.Standing{membership.Unsure, membership.Unsure}},
 	} {
-		f := five(t, flock.Options{Drivers: len(x.parts), Seed: 7})
+		f := five(t, membershipsim.Options{Drivers: len(x.parts), Seed: 7})
 		f.Cut = parts(x.parts...)
 		for part, want := range x.want {
 			for i, p := range x.parts {
@@ -111,7 +111,7 @@
 
 // Killed ones stay on the roster until they come again, leave, or operators forget them.
 func TestKilledForgottenAndBack(t *testing.T) {
-	f := five(t, flock.Options{Seed: 3})
+	f := five(t, membershipsim.Options{Seed: 3})
 	f.Kill(4)
 	wait(t, f, "one lost", func() bool { return f.Stand(membership.Larger, 0, 1, 2, 3) })
 	f.Start(4, 0)
@@ -147,7 +147,7 @@
 
 // Leaving on purpose shrinks what majorities are counted in; starting more grows it.
 func TestShrinkAndGrowOnPurpose(t *testing.T) {
-	f := five(t, flock.Options{Seed: 5})
+	f := five(t, membershipsim.Options{Seed: 5})
 	for i := 4; i > 1; i-- {
 		f.Do(i, func(v *membership.Fleet) membership.Out { return v.Leave(f.Now) })
 		f.Run(300)
@@ -175,7 +175,7 @@
 
 // A new driver that only the smaller part hears is not admitted: majorities are not made by who happens to be there.
 func TestNewcomersOfTheSmallerPart(t *testing.T) {
-	f := five(t, flock.Options{Seed: 9, Seeds: 5})
+	f := five(t, membershipsim.Options{Seed: 9, Seeds: 5})
 	f.Cut = parts(0, 0, 1, 1, 1, 0, 0, 0, 0)
 	wait(t, f, "cut", func() bool { return f.Stand(membership.Smaller, 0, 1) && f.Stand(membership.Larger, 2, 3, 4) })
 	for i := 5; i < 9; i++ {
@@ -196,7 +196,7 @@
 // One that stood still blames itself: it fails nobody, and is believed again once it says so.
 func TestStoodStill(t *testing.T) {
 	for _, length := range []float64{1000, 3000, 5000, 20000} {
-		f := five(t, flock.Options{Seed: uint64(length)})
+		f := five(t, membershipsim.Options{Seed: uint64(length)})
 		failed := 0
 		notes := f.Notes
 		f.Notes = func(at float64, d string, n membership.Note) {
@@ -218,7 +218,7 @@
 }
 
 func TestOneDirectionOfOnePair(t *testing.T) {
-	f := five(t, flock.Options{Seed: 2})
+	f := five(t, membershipsim.Options{Seed: 2})
 	f.Cut = func(a, b int) bool { return a == 0 && b == 1 }
 	wait(t, f, "told", func() bool { return !state(f, 1, "n0").Heard && slices.Contains(state(f, 3, "n1").Deaf, "n0") })
 	f.Run(60000)
@@ -236,7 +236,7 @@
 	}, "deaf": func(a, b int) bool {
 		return b == 3
 	}} {
-		f := five(t, flock.Options{Seed: 4})
+		f := five(t, membershipsim.Options{Seed: 4})
 		f.Cut = cut
 		wait(t, f, name, func() bool {
 			s, _, _ := f.Drivers[3].View.Standing()
@@ -252,7 +252,7 @@
 }
 
 func TestRing(t *testing.T) {
-	f := five(t, flock.Options{Seed: 6})
+	f := five(t, membershipsim.Options{Seed: 6})
 	f.Cut = func(a, b int) bool { return (a+1)%5 != b && (b+1)%5 != a }
 	f.Run(30000)
 	for range 100 {
@@ -272,7 +272,7 @@
 
 // The first one under a name keeps it; the second gets it when the first has ended.
 func TestNameTwice(t *testing.T) {
-	f := five(t, flock.Options{Seed: 8})
+	f := five(t, membershipsim.Options{Seed: 8})
 	f.Add().Name = "n4"
 	f.Start(5, 0)
 	wait(t, f, "told", func() bool {
@@ -292,7 +292,7 @@
 }
 
 func TestAllRestarted(t *testing.T) {
-	f := five(t, flock.Options{Seed: 1})
+	f := five(t, membershipsim.Options{Seed: 1})
 	for i := range 5 {
 		f.Kill(i)
 		f.Run(700)
@@ -311,7 +311,7 @@
 
 // Datagrams lost, doubled and late fail nobody for good.
 func TestLossyNetwork(t *testing.T) {
-	f := five(t, flock.Options{Seed: 12, Double: 0.2, Latency: 40})
+	f := five(t, membershipsim.Options{Seed: 12, Double: 0.2, Latency: 40})
 	f.Loss = 0.3
 	f.Run(600000)
 	f.Loss = 0
--- a/internal/membership/founding.go
+++ b/internal/fleet/membership/founding.go
@@ -5,7 +5,7 @@
 import (
 	"slices"
 
-	"weirwind/internal/paxos"
+	"weirwind/internal/fleet/paxos"
 )
 
 // bootstrap agrees on a first roster: the driver whose name comes first asks all that it sees whether they see the
--- a/internal/membership/persist.go
+++ b/internal/fleet/membership/persist.go
@@ -2,7 +2,7 @@
 
 // This file owns what of the votes outlives the process.
 
-import "weirwind/internal/paxos"
+import "weirwind/internal/fleet/paxos"
 
 // SavedState is what must outlive the process for its votes to count when it comes back.
 type SavedState struct {
--- a/internal/membership/property_test.go
+++ b/internal/fleet/membership/property_test.go
@@ -6,14 +6,14 @@
 
 	"pgregory.net/rapid"
 
-	"weirwind/internal/lab/flock"
-	"weirwind/internal/membership"
+	"weirwind/internal/fleet/membership"
+	"weirwind/internal/lab/membershipsim"
 )
 
 // watch notes, while a flock runs, since when two parts that can't reach each other both take themselves for the
 // larger.
 type watch struct {
-	f     *flock.Flock
+	f     *membershipsim.Flock
 	since float64
 }
 
@@ -43,16 +43,16 @@
 }
 
 // apart says that no word goes from either to the other, by whatever way.
-func (w *watch) apart(a, b *flock.Driver) bool {
+func (w *watch) apart(a, b *membershipsim.Driver) bool {
 	return !w.reaches(a, b) && !w.reaches(b, a)
 }
 
-func (w *watch) reaches(a, b *flock.Driver) bool {
-	index := map[*flock.Driver]int{}
+func (w *watch) reaches(a, b *membershipsim.Driver) bool {
+	index := map[*membershipsim.Driver]int{}
 	for i, d := range w.f.Drivers {
 		index[d] = i
 	}
-	seen, todo := map[*flock.Driver]bool{a: true}, []*flock.Driver{a}
+	seen, todo := map[*membershipsim.Driver]bool{a: true}, []*membershipsim.Driver{a}
 	for len(todo) > 0 {
 		d := todo[0]
 		todo = todo[1:]
@@ -73,7 +73,7 @@
 const settleBy = 20000.0
 
 // play carries out one fault by a number.
-func play(f *flock.Flock, n, what, a, b int, frozen float64) {
+func play(f *membershipsim.Flock, n, what, a, b int, frozen float64) {
 	switch what {
 	case 0:
 		f.Cut = nil
@@ -112,7 +112,7 @@
 func TestAnyFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 7).Draw(t, "drivers")
-		f := flock.New(flock.Options{Drivers: n, Seed: rapid.Uint64().Draw(t, "seed"), Double: 0.1,
+		f := membershipsim.New(membershipsim.Options{Drivers: n, Seed: rapid.Uint64().Draw(t, "seed"), Double: 0.1,
 			Latency: rapid.SampledFrom([]float64{1, 20, 60}).Draw(t, "latency")})
 		for i := range n {
 			f.Start(i, 0)
@@ -147,7 +147,7 @@
 	})
 }
 
-func standing(d *flock.Driver) (membership.Standing, string, float64) {
+func standing(d *membershipsim.Driver) (membership.Standing, string, float64) {
 	if d.View == nil {
 		return membership.Unsure, "", 0
 	}
@@ -155,7 +155,7 @@
 }
 
 // agreed says that all drivers run, see each other alive and hold one roster of all.
-func agreed(f *flock.Flock, n int) bool {
+func agreed(f *membershipsim.Flock, n int) bool {
 	var version uint64
 	for i, d := range f.Drivers {
 		if d.View == nil {
@@ -204,7 +204,7 @@
 			return
 		}
 		played++
-		f := flock.New(flock.Options{Drivers: 3, Seed: uint64(played)})
+		f := membershipsim.New(membershipsim.Options{Drivers: 3, Seed: uint64(played)})
 		for i := range 3 {
 			f.Start(i, 0)
 		}
@@ -240,7 +240,7 @@
 func TestOneRosterAVersion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(3, 6).Draw(t, "drivers")
-		f := flock.New(flock.Options{Drivers: n, Seed: rapid.Uint64().Draw(t, "seed"), Double: 0.3,
+		f := membershipsim.New(membershipsim.Options{Drivers: n, Seed: rapid.Uint64().Draw(t, "seed"), Double: 0.3,
 			Latency: rapid.SampledFrom([]float64{1, 100, 400}).Draw(t, "latency")})
 		rosters := map[uint64]string{}
 		f.Notes = func(at float64, d string, note membership.Note) {
--- a/internal/membership/records.go
+++ b/internal/fleet/membership/records.go
@@ -13,7 +13,7 @@
 	"cmp"
 	"hash/fnv"
 
-	"weirwind/internal/enum"
+	"weirwind/internal/util/enum"
 )
 
 // State is what a driver is taken for.
--- a/internal/membership/roster.go
+++ b/internal/fleet/membership/roster.go
@@ -14,7 +14,7 @@
 	"fmt"
 	"slices"
 
-	"weirwind/internal/paxos"
+	"weirwind/internal/fleet/paxos"
 )
 
 // Roster is one that was agreed on. Names are sorted.
--- a/internal/membership/standing.go
+++ b/internal/fleet/membership/standing.go
@@ -7,8 +7,8 @@
 import (
 	"math"
 
-	"weirwind/internal/enum"
-	"weirwind/internal/paxos"
+	"weirwind/internal/fleet/paxos"
+	"weirwind/internal/util/enum"
 )
 
 // Standing is a driver's place in the fleet, by the roster that was agreed on.
--- a/internal/membership/votes_test.go
+++ b/internal/fleet/membership/votes_test.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"testing"
 
-	"weirwind/internal/paxos"
+	"weirwind/internal/fleet/paxos"
 )
 
 // vote is a message between two drivers of the model.
--- a/internal/mesh/calls.go
+++ b/internal/fleet/mesh/calls.go
@@ -13,7 +13,7 @@
 	"sync"
 	"time"
 
-	"weirwind/internal/membership"
+	"weirwind/internal/fleet/membership"
 )
 
 // accept serves peers' calls.
--- a/internal/mesh/datagrams.go
+++ b/internal/fleet/mesh/datagrams.go
@@ -7,7 +7,7 @@
 	"net/netip"
 	"time"
 
-	"weirwind/internal/membership"
+	"weirwind/internal/fleet/membership"
 )
 
 func (m *Mesh) send(s *membership.Send) {
--- a/internal/mesh/frame.go
+++ b/internal/fleet/mesh/frame.go
@@ -13,9 +13,9 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"weirwind/internal/membership"
+	"weirwind/internal/fleet/membership"
+	"weirwind/internal/fleet/zones"
 	"weirwind/internal/switchover"
-	"weirwind/internal/zones"
 )
 
 const (
--- a/internal/mesh/mesh.go
+++ b/internal/fleet/mesh/mesh.go
@@ -1,4 +1,4 @@
-// Package mesh carries what internal/membership decides between drivers: UDP for probes and gossip, TCP for whole
+// Package mesh carries what internal/fleet/membership decides between drivers: UDP for probes and gossip, TCP for whole
 // states, both at one address. Each outgoing socket is bound to the address it listens at, and answers go to the
 // address that a peer advertises, never to where a datagram came from.
 //
@@ -19,7 +19,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"weirwind/internal/durable"
-	"weirwind/internal/membership"
+	"weirwind/internal/fleet/membership"
 )
 
 const (
--- a/internal/mesh/mesh_test.go
+++ b/internal/fleet/mesh/mesh_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"weirwind/internal/membership"
+	"weirwind/internal/fleet/membership"
 )
 
 func record(i int) membership.Record {
--- a/internal/mesh/persist.go
+++ b/internal/fleet/mesh/persist.go
@@ -6,7 +6,7 @@
 	"fmt"
 
 	"weirwind/internal/durable"
-	"weirwind/internal/membership"
+	"weirwind/internal/fleet/membership"
 )
 
 const (
--- a/internal/mesh/status.go
+++ b/internal/fleet/mesh/status.go
@@ -10,7 +10,7 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"weirwind/internal/membership"
+	"weirwind/internal/fleet/membership"
 )
 
 // Status is the view as it is now.
--- a/internal/zones/ballot.go
+++ b/internal/fleet/zones/ballot.go
@@ -6,7 +6,7 @@
 import (
 	"slices"
 
-	"weirwind/internal/paxos"
+	"weirwind/internal/fleet/paxos"
 )
 
 // wantsPlan is the nonce of a Reject that asks for the plan in question.
--- a/internal/zones/bootstrap.go
+++ b/internal/fleet/zones/bootstrap.go
@@ -3,7 +3,7 @@
 // This file owns the first plan: all drivers of the roster agree to it once, so that no fleet has two.
 
 import (
-	"weirwind/internal/paxos"
+	"weirwind/internal/fleet/paxos"
 )
 
 // bootstrap proposes a first plan once the fleet has been whole for a while: all drivers of the roster have to agree,
--- a/internal/zones/consensus.go
+++ b/internal/fleet/zones/consensus.go
@@ -13,7 +13,7 @@
 	"math"
 	"slices"
 
-	"weirwind/internal/paxos"
+	"weirwind/internal/fleet/paxos"
 )
 
 // In heartbeats.
--- a/internal/zones/consensus_test.go
+++ b/internal/fleet/zones/consensus_test.go
@@ -4,7 +4,7 @@
 	"math"
 	"testing"
 
-	"weirwind/internal/paxos"
+	"weirwind/internal/fleet/paxos"
 )
 
 // decided is a driver that holds a first plan of three voters.
--- a/internal/zones/follower.go
+++ b/internal/fleet/zones/follower.go
@@ -6,7 +6,7 @@
 import (
 	"math"
 
-	"weirwind/internal/membership"
+	"weirwind/internal/fleet/membership"
 )
 
 // Action is something that a driver could do to others' harm by itself.
--- a/internal/zones/messages.go
+++ b/internal/fleet/zones/messages.go
@@ -6,8 +6,8 @@
 	"slices"
 	"strings"
 
-	"weirwind/internal/membership"
-	"weirwind/internal/paxos"
+	"weirwind/internal/fleet/membership"
+	"weirwind/internal/fleet/paxos"
 )
 
 // MessageKind of a message between drivers.
--- a/internal/zones/persist.go
+++ b/internal/fleet/zones/persist.go
@@ -3,7 +3,7 @@
 // This file owns what of the votes outlives the process.
 
 import (
-	"weirwind/internal/paxos"
+	"weirwind/internal/fleet/paxos"
 )
 
 // SavedState is what must outlive the process for its votes to count when it comes back.
--- a/internal/zones/plan.go
+++ b/internal/fleet/zones/plan.go
@@ -14,7 +14,7 @@
 	"hash/fnv"
 	"slices"
 
-	"weirwind/internal/enum"
+	"weirwind/internal/util/enum"
 )
 
 // State is a zone's.
--- a/internal/zones/plan_test.go
+++ b/internal/fleet/zones/plan_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"weirwind/internal/membership"
+	"weirwind/internal/fleet/membership"
 )
 
 func open(string, string) bool { return true }
--- a/internal/zones/town_test.go
+++ b/internal/fleet/zones/town_test.go
@@ -9,13 +9,13 @@
 
 	"pgregory.net/rapid"
 
-	"weirwind/internal/membership"
-	"weirwind/internal/standin/hours"
+	"weirwind/internal/fleet/membership"
+	"weirwind/internal/standin/virtualclock"
 )
 
 // town is some drivers in virtual time, with a network between them and members that are only health.
 type town struct {
-	hours.Queue
+	virtualclock.Queue
 	ds     []*resident
 	draw   *rand.Rand
 	cut    func(a, b int) bool                  // drivers, one way
@@ -51,7 +51,7 @@
 }
 
 func newTown(seed uint64, zones ...string) *town {
-	t := &town{Queue: hours.Queue{Now: 1000}, draw: rand.New(rand.NewPCG(seed, 9)), late: 5, epochs: map[uint64]uint64{},
+	t := &town{Queue: virtualclock.Queue{Now: 1000}, draw: rand.New(rand.NewPCG(seed, 9)), late: 5, epochs: map[uint64]uint64{},
 		began: map[uint64]float64{}, lease: rules().Lease,
 		home: map[int64]string{1: "a"}, keeps: true}
 	t.sees = func(from, of string) Observation { return Observation{Zone: of, Members: 4, Reads: 100} }
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -18,8 +18,8 @@
 	"time"
 
 	"weirwind/internal/control"
+	"weirwind/internal/fleet/membership"
 	"weirwind/internal/lab"
-	"weirwind/internal/membership"
 	"weirwind/internal/standin/links"
 )
 
--- a/internal/lab/fleet/script.go
+++ b/internal/lab/fleet/script.go
@@ -16,8 +16,8 @@
 
 	"github.com/hashicorp/hcl/v2/hclsimple"
 
+	"weirwind/internal/fleet/membership"
 	"weirwind/internal/lab"
-	"weirwind/internal/membership"
 	"weirwind/internal/standin/links"
 )
 
--- a/internal/lab/fleet/zones_test.go
+++ b/internal/lab/fleet/zones_test.go
@@ -13,9 +13,9 @@
 	"testing"
 	"time"
 
+	"weirwind/internal/fleet/membership"
+	"weirwind/internal/fleet/zones"
 	"weirwind/internal/lab"
-	"weirwind/internal/membership"
-	"weirwind/internal/zones"
 )
 
 var abc = []string{"a", "b", "c"}
--- a/internal/lab/hollow/hollow.go
+++ b/internal/lab/hollow/hollow.go
@@ -19,8 +19,8 @@
 	"strings"
 	"time"
 
-	"weirwind/internal/controlmsg"
-	"weirwind/internal/transport"
+	"weirwind/internal/controlplane/controlmsg"
+	"weirwind/internal/util/transport"
 )
 
 const (
--- a/internal/lab/hollow/hollow_test.go
+++ b/internal/lab/hollow/hollow_test.go
@@ -10,7 +10,7 @@
 	"github.com/parquet-go/parquet-go"
 	. "github.com/smartystreets/goconvey/convey"
 
-	"weirwind/internal/controlmsg"
+	"weirwind/internal/controlplane/controlmsg"
 	"weirwind/internal/lab/experiment"
 )
 
--- a/internal/lab/hollow/processes.go
+++ b/internal/lab/hollow/processes.go
@@ -18,13 +18,13 @@
 	"sync/atomic"
 	"time"
 
-	"weirwind/internal/agent"
-	"weirwind/internal/controlmsg"
 	"weirwind/internal/controlplane"
-	"weirwind/internal/events"
-	"weirwind/internal/process"
-	"weirwind/internal/settings"
-	"weirwind/internal/wire"
+	"weirwind/internal/controlplane/agent"
+	"weirwind/internal/controlplane/controlmsg"
+	"weirwind/internal/dataplane/wire"
+	"weirwind/internal/util/events"
+	"weirwind/internal/util/process"
+	"weirwind/internal/util/settings"
 )
 
 const (
--- a/internal/lab/flock/measure.go
+++ b/internal/lab/membershipsim/measure.go
@@ -1,4 +1,4 @@
-package flock
+package membershipsim
 
 // This file owns measurements of a flock: how soon all know of a loss, agree after a heal, and what that costs.
 
@@ -10,7 +10,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"weirwind/internal/membership"
+	"weirwind/internal/fleet/membership"
 )
 
 // Spread is of a number of durations, milliseconds.
--- a/internal/lab/flock/flock.go
+++ b/internal/lab/membershipsim/membershipsim.go
@@ -1,15 +1,15 @@
-// Package flock plays many views of membership in virtual time over a network that cuts, loses, doubles and delays, with
+// Package membershipsim plays many views of membership in virtual time over a network that cuts, loses, doubles and delays, with
 // drivers that stand still, are slow, end and start again.
 //
 // This file owns the network and the clock. It must never carry a message that the network of its day would not have.
-package flock
+package membershipsim
 
 import (
 	"fmt"
 	"math/rand/v2"
 
-	"weirwind/internal/membership"
-	"weirwind/internal/standin/hours"
+	"weirwind/internal/fleet/membership"
+	"weirwind/internal/standin/virtualclock"
 )
 
 // Options describe a flock. Times are milliseconds.
@@ -42,11 +42,11 @@
 
 // Flock is all of them.
 type Flock struct {
-	hours.Queue // Now is its time
-	Drivers     []*Driver
-	Notes       func(at float64, driver string, n membership.Note) // called for each; nil for none
-	Cut         func(from, to int) bool                            // nothing passes; nil for no cut
-	Loss        float64
+	virtualclock.Queue // Now is its time
+	Drivers            []*Driver
+	Notes              func(at float64, driver string, n membership.Note) // called for each; nil for none
+	Cut                func(from, to int) bool                            // nothing passes; nil for no cut
+	Loss               float64
 
 	o    Options
 	draw *rand.Rand
@@ -74,7 +74,7 @@
 	if o.Yield == 0 {
 		o.Yield = 30 * o.Period
 	}
-	f := &Flock{Queue: hours.Queue{Now: 1e6}, Loss: o.Loss, o: o, draw: rand.New(rand.NewPCG(o.Seed, 11))}
+	f := &Flock{Queue: virtualclock.Queue{Now: 1e6}, Loss: o.Loss, o: o, draw: rand.New(rand.NewPCG(o.Seed, 11))}
 	for i := range o.Drivers {
 		f.Drivers = append(f.Drivers, &Driver{Name: fmt.Sprintf("n%d", i), i: i})
 	}
--- a/internal/lab/flock/flock_test.go
+++ b/internal/lab/membershipsim/membershipsim_test.go
@@ -1,9 +1,9 @@
-package flock
+package membershipsim
 
 import (
 	"testing"
 
-	"weirwind/internal/membership"
+	"weirwind/internal/fleet/membership"
 )
 
 // What a second of virtual time costs a driver among a thousand that are well.
--- a/internal/lab/evening/evening.go
+++ b/internal/lab/sessionrun/sessionrun.go
@@ -1,6 +1,6 @@
-// Package evening plays an evening of open sessions with processes of the program: a core, sites and edges, clients that read and
+// Package sessionrun plays an evening of open sessions with processes of the program: a core, sites and edges, clients that read and
 // write, a site that is pulled and another that is drained. It owns the processes, the traffic and the account of every message.
-package evening
+package sessionrun
 
 import (
 	"context"
@@ -18,11 +18,11 @@
 	"time"
 
 	"weirwind/internal/controlplane"
-	"weirwind/internal/plot"
-	"weirwind/internal/process"
-	"weirwind/internal/sessionedge"
-	"weirwind/internal/sessionsite"
-	"weirwind/internal/settings"
+	"weirwind/internal/session/edge"
+	"weirwind/internal/session/site"
+	"weirwind/internal/util/plot"
+	"weirwind/internal/util/process"
+	"weirwind/internal/util/settings"
 	"weirwind/sessionclient"
 )
 
@@ -33,7 +33,7 @@
 
 // Role runs a process of the evening where this one was started as such; ok is false where it wasn't.
 func Role() (code int, ok bool) {
-	roles := map[string]process.Role{"core": {Name: "controlplane", Run: controlplane.Run}, "site": {Name: "sessionsite", Run: sessionsite.Run}, "edge": {Name: "sessionedge", Run: sessionedge.Run}}
+	roles := map[string]process.Role{"core": {Name: "controlplane", Run: controlplane.Run}, "site": {Name: "sessionsite", Run: site.Run}, "edge": {Name: "sessionedge", Run: edge.Run}}
 	r, ok := roles[os.Getenv(variable)]
 	if !ok {
 		return 0, false
--- a/internal/lab/evening/evening_test.go
+++ b/internal/lab/sessionrun/sessionrun_test.go
@@ -1,4 +1,4 @@
-package evening
+package sessionrun
 
 import (
 	"context"
--- a/internal/registry/main_test.go
+++ b/internal/registry/main_test.go
@@ -3,8 +3,8 @@
 import (
 	"testing"
 
-	"weirwind/internal/standin/draws"
+	"weirwind/internal/standin/fixedseed"
 )
 
 // Few checks, as each starts servers.
-func TestMain(m *testing.M) { draws.Main(m, "5") }
+func TestMain(m *testing.M) { fixedseed.Main(m, "5") }
--- a/internal/roster/main_test.go
+++ b/internal/roster/main_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"weirwind/internal/standin/draws"
+	"weirwind/internal/standin/fixedseed"
 )
 
-func TestMain(m *testing.M) { draws.Main(m, "") }
+func TestMain(m *testing.M) { fixedseed.Main(m, "") }
--- a/internal/sessionedge/sessionedge.go
+++ b/internal/session/edge/edge.go
@@ -1,8 +1,8 @@
-// Package sessionedge is an edge at work: clients' websockets on one side, links to sites on the other.
+// Package edge is an edge at work: clients' websockets on one side, links to sites on the other.
 //
 // Decisions are queue's; here are sockets and clocks. One goroutine owns the edge, with a queue of commands; each
 // socket has one that reads and one that writes. A client that doesn't read loses its socket, never anybody's memory.
-package sessionedge
+package edge
 
 import (
 	"context"
@@ -22,16 +22,16 @@
 	"github.com/coder/websocket"
 	"github.com/samber/oops"
 
-	"weirwind/internal/commandqueue"
-	"weirwind/internal/events"
 	"weirwind/internal/session/queue"
+	"weirwind/internal/session/site"
 	"weirwind/internal/session/sites"
-	"weirwind/internal/sessionsite"
-	"weirwind/internal/settings"
-	"weirwind/internal/transport"
+	"weirwind/internal/util/commandqueue"
+	"weirwind/internal/util/events"
+	"weirwind/internal/util/settings"
+	"weirwind/internal/util/transport"
 )
 
-type link = transport.Link[sessionsite.Frame]
+type link = transport.Link[site.Frame]
 
 // Subprotocol is spoken where the client asks for it; docs/sessions.md has its lines.
 const Subprotocol = "weirwind.session.1"
@@ -156,14 +156,14 @@
 		ctx, stop := context.WithCancel(t.ctx)
 		p := &peer{addr: s.Addr, stop: stop}
 		t.links[name] = p
-		go sessionsite.Keep(ctx, s.Addr, sessionsite.Frame{Hello: t.set.Hostname, Edge: true}, func(l *link) {
+		go site.Keep(ctx, s.Addr, site.Frame{Hello: t.set.Hostname, Edge: true}, func(l *link) {
 			t.q.Do(func() {
 				if p.l = l; l == nil {
 					t.e.LostSite(name, t.now())
 				}
 				t.flush()
 			})
-		}, func(_ *link, f *sessionsite.Frame) {
+		}, func(_ *link, f *site.Frame) {
 			if f.Word == nil {
 				return
 			}
@@ -214,7 +214,7 @@
 	}
 	for _, w := range t.e.Sends() {
 		if p := t.links[w.To]; p != nil && p.l != nil {
-			p.l.Send(&sessionsite.Frame{Word: &w.Envelope})
+			p.l.Send(&site.Frame{Word: &w.Envelope})
 		}
 	}
 }
--- a/internal/session/queue/evening_test.go
+++ b/internal/session/queue/evening_test.go
@@ -11,14 +11,14 @@
 	"testing"
 
 	"weirwind/internal/session/sites"
-	"weirwind/internal/standin/hours"
+	"weirwind/internal/standin/virtualclock"
 )
 
 // evening plays sessions of sites and edges in virtual time: sites are pulled, frozen, drained and come back empty,
 // links end, edges die, clients come again by their token, producers repeat what got no answer. The audit: each message
 // that was queued arrives once and in order, in both directions.
 type evening struct {
-	hours.Queue
+	virtualclock.Queue
 	r     *rand.Rand
 	m     *sites.Map
 	sites map[string]*host
--- a/internal/sessionsite/calls.go
+++ b/internal/session/site/calls.go
@@ -1,4 +1,4 @@
-package sessionsite
+package site
 
 // This file owns the calls of producers, consumers and operators: one handler object for each resource.
 
--- a/internal/sessionsite/sessionsite.go
+++ b/internal/session/site/site.go
@@ -1,8 +1,8 @@
-// Package sessionsite is a site that holds open sessions at work: its links to other sites and to edges, its lease at
+// Package site is a site that holds open sessions at work: its links to other sites and to edges, its lease at
 // the core, and the calls of producers, consumers and operators.
 //
 // Decisions are queue's; here are its sockets and clocks. One goroutine owns the site, with a queue of commands.
-package sessionsite
+package site
 
 import (
 	"bytes"
@@ -16,13 +16,13 @@
 
 	"github.com/samber/oops"
 
-	"weirwind/internal/commandqueue"
 	"weirwind/internal/controlplane"
-	"weirwind/internal/events"
 	"weirwind/internal/session/queue"
 	"weirwind/internal/session/sites"
-	"weirwind/internal/settings"
-	"weirwind/internal/transport"
+	"weirwind/internal/util/commandqueue"
+	"weirwind/internal/util/events"
+	"weirwind/internal/util/settings"
+	"weirwind/internal/util/transport"
 )
 
 // Frame is what goes over a link between sites and edges: first who dialled, then words.
--- a/internal/shard/shardmap/evening_test.go
+++ b/internal/shard/shardmap/evening_test.go
@@ -12,14 +12,14 @@
 
 	"weirwind/internal/shard/shardnode"
 	"weirwind/internal/shard/shardplan"
-	"weirwind/internal/standin/hours"
+	"weirwind/internal/standin/virtualclock"
 )
 
 // evening plays a rebalance under traffic in virtual time: nodes with disks that fill, a core whose leader dies,
 // freezes and is followed, proxies with maps of their own age, clients that try again as theirs do. Every message may
 // be late or lost.
 type evening struct {
-	hours.Queue
+	virtualclock.Queue
 	r     *rand.Rand
 	nodes map[string]*node
 	ids   []string
--- a/internal/standin/town/town.go
+++ b/internal/standin/cluster/cluster.go
@@ -1,8 +1,8 @@
-// Package town is a deployment of the system on loopback for tests: processes of the built programs, each machine at an address
+// Package cluster is a deployment of the system on loopback for tests: processes of the built programs, each machine at an address
 // of its own in 127/8, with stand-ins for members, the platform, the operator and clients.
 //
 // This file owns the processes: they are this test binary again, which Main turns into the role that its environment names.
-package town
+package cluster
 
 import (
 	"bytes"
@@ -20,16 +20,16 @@
 	"testing"
 	"time"
 
-	"weirwind/internal/agent"
-	"weirwind/internal/consensus/store"
 	"weirwind/internal/controlplane"
-	"weirwind/internal/process"
-	"weirwind/internal/proxy"
-	"weirwind/internal/sessionedge"
-	"weirwind/internal/sessionsite"
-	"weirwind/internal/settings"
+	"weirwind/internal/controlplane/agent"
+	"weirwind/internal/controlplane/consensus/store"
+	"weirwind/internal/dataplane/proxy"
+	"weirwind/internal/dataplane/wire"
+	"weirwind/internal/session/edge"
+	"weirwind/internal/session/site"
 	"weirwind/internal/standin/disk"
-	"weirwind/internal/wire"
+	"weirwind/internal/util/process"
+	"weirwind/internal/util/settings"
 )
 
 const (
@@ -41,7 +41,7 @@
 func Main(m *testing.M) int {
 	roles := map[string]process.Role{"proxy": {Name: "proxy", Run: proxy.Run}, "agent": {Name: "agent", Run: agent.Run},
 		"controlplane": {Name: "controlplane", Run: controlplane.Run},
-		"sessionsite":  {Name: "sessionsite", Run: sessionsite.Run}, "sessionedge": {Name: "sessionedge", Run: sessionedge.Run}}
+		"sessionsite":  {Name: "sessionsite", Run: site.Run}, "sessionedge": {Name: "sessionedge", Run: edge.Run}}
 	if control := os.Getenv(diskVariable); control != "" {
 		store.FS = disk.Under(control)
 	}
--- a/internal/standin/town/town_test.go
+++ b/internal/standin/cluster/cluster_test.go
@@ -1,4 +1,4 @@
-package town
+package cluster
 
 import (
 	"encoding/json"
@@ -15,7 +15,7 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"weirwind/internal/consensus"
+	"weirwind/internal/controlplane/consensus"
 	"weirwind/internal/standin/disk"
 	"weirwind/internal/standin/replicaset"
 	"weirwind/internal/weirctl"
--- a/internal/standin/town/members.go
+++ b/internal/standin/cluster/members.go
@@ -1,4 +1,4 @@
-package town
+package cluster
 
 // This file owns the members' sockets: the line wire over replicaset's logs, beats to the core, and the platform.
 
@@ -15,9 +15,9 @@
 	"sync"
 	"time"
 
+	"weirwind/internal/dataplane/wire"
 	"weirwind/internal/shard/shardnode"
 	"weirwind/internal/standin/replicaset"
-	"weirwind/internal/wire"
 )
 
 // Service is a replication group on sockets, with an account of all that ran.
--- a/internal/standin/town/nodes.go
+++ b/internal/standin/cluster/nodes.go
@@ -1,4 +1,4 @@
-package town
+package cluster
 
 // This file owns nodes that hold shards: a member's sockets over shardnode's keeper, with a disk that really fills, and what copies one
 // node's entries to another.
@@ -11,11 +11,11 @@
 	"strings"
 	"time"
 
-	"weirwind/internal/directory"
-	"weirwind/internal/memberconn"
+	"weirwind/internal/controlplane/directory"
+	"weirwind/internal/dataplane/memberconn"
+	"weirwind/internal/dataplane/wire"
 	"weirwind/internal/shard/shardnode"
 	"weirwind/internal/standin/replicaset"
-	"weirwind/internal/wire"
 )
 
 // AddNode starts a service of one member that holds shards, on a disk of so many bytes, and beats for it.
--- a/internal/standin/town/restore_test.go
+++ b/internal/standin/cluster/restore_test.go
@@ -1,4 +1,4 @@
-package town
+package cluster
 
 import (
 	"bytes"
--- a/internal/standin/draws/draws.go
+++ b/internal/standin/fixedseed/fixedseed.go
@@ -1,6 +1,6 @@
-// Package draws makes property tests draw the same every time. It must never weaken a seed or a number of checks that
+// Package fixedseed makes property tests draw the same every time. It must never weaken a seed or a number of checks that
 // is named on the command line.
-package draws
+package fixedseed
 
 import (
 	"flag"
--- a/internal/standin/replicaset/replicaset.go
+++ b/internal/standin/replicaset/replicaset.go
@@ -8,7 +8,7 @@
 import (
 	"slices"
 
-	"weirwind/internal/wire"
+	"weirwind/internal/dataplane/wire"
 )
 
 // Entry is a commit in a log.
--- a/internal/switchover/switchover.go
+++ b/internal/switchover/switchover.go
@@ -21,7 +21,7 @@
 	"maps"
 	"slices"
 
-	"weirwind/internal/enum"
+	"weirwind/internal/util/enum"
 )
 
 // Stage is how far a change has come.
--- a/internal/ci/knownred_test.go
+++ b/internal/util/ci/knownred_test.go
@@ -65,7 +65,7 @@
 // runTests runs .ci/test on the sample module with this list of known failures.
 func runTests(t *testing.T, list, b string) (string, error) {
 	t.Helper()
-	script, err := filepath.Abs("../../.ci/test")
+	script, err := filepath.Abs("../../../.ci/test")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/events/events_test.go
+++ b/internal/util/events/events_test.go
@@ -16,14 +16,14 @@
 	for _, e := range slices.Sorted(maps.Keys(Catalogue)) {
 		fmt.Fprintf(&b, "| E%d | %s |\n", int(e), Catalogue[e])
 	}
-	const file = "../../docs/events.md"
+	const file = "../../../docs/events.md"
 	if os.Getenv("EVENTS") == "write" {
 		if err := os.WriteFile(file, []byte(b.String()), 0o644); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if got, _ := os.ReadFile(file); string(got) != b.String() {
-		t.Error("docs/events.md is not the catalogue: EVENTS=write go test ./internal/events")
+		t.Error("docs/events.md is not the catalogue: EVENTS=write go test ./internal/util/events")
 	}
 }
 
--- a/internal/repeat/repeat.go
+++ b/internal/util/idempotency/idempotency.go
@@ -1,8 +1,8 @@
-// Package repeat says which calls may be put again where no answer came.
+// Package idempotency says which calls may be put again where no answer came.
 //
 // A call is one of two kinds, and each call between processes names its own: docs/control-state.md has the table.
 // This is the one place that decides; it does no I/O.
-package repeat
+package idempotency
 
 import (
 	"errors"
--- a/internal/process/process.go
+++ b/internal/util/process/process.go
@@ -16,8 +16,8 @@
 
 	"github.com/samber/oops"
 
-	"weirwind/internal/events"
-	"weirwind/internal/settings"
+	"weirwind/internal/util/events"
+	"weirwind/internal/util/settings"
 )
 
 // Role is what a program does with its settings until the context ends.
--- a/internal/weirctl/shards.go
+++ b/internal/weirctl/shards.go
@@ -20,9 +20,9 @@
 	"github.com/samber/oops"
 
 	"weirwind/internal/controlplane"
-	"weirwind/internal/plot"
 	"weirwind/internal/shard/shardmap"
 	"weirwind/internal/shard/shardplan"
+	"weirwind/internal/util/plot"
 )
 
 // shards carries out a call that begins with it.
--- a/internal/weirctl/weirctl.go
+++ b/internal/weirctl/weirctl.go
@@ -20,9 +20,9 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/samber/oops"
 
-	"weirwind/internal/config"
-	"weirwind/internal/consensus"
-	"weirwind/internal/consensus/store"
+	"weirwind/internal/controlplane/config"
+	"weirwind/internal/controlplane/consensus"
+	"weirwind/internal/controlplane/consensus/store"
 )
 
 const usage = `weirctl asks and tends the system.
