--- /dev/null
+++ b/internal/dataplane/group/digest_test.go
@@ -0,0 +1,182 @@
+package group
+
+import (
+	"fmt"
+	"hash/fnv"
+	"maps"
+	"math/rand/v2"
+	"slices"
+	"strings"
+	"testing"
+
+	"weirwind/internal/controlplane/directory"
+	"weirwind/internal/dataplane/wire"
+)
+
+// history plays one seeded history of a group in virtual time and records each decision.
+//
+// Two outputs depend on chance or on map iteration and are recorded as sets: equal choices are collected over repeated
+// calls (Choose changes nothing), and members to be probed are sorted.
+type history struct {
+	rng  *rand.Rand
+	g    *Group
+	now  float64
+	sent []flight
+	old  []*Member // every record that ever was: answers come late, also behind a removal
+	out  strings.Builder
+	seq  uint64
+}
+
+type flight struct {
+	m  *Member
+	at float64
+}
+
+const choiceDraws = 96 // calls of Choose by which ties of up to four members all show
+
+func (h *history) note(format string, args ...any) { fmt.Fprintf(&h.out, format+"\n", args...) }
+
+func (h *history) ids() []string { return slices.Sorted(maps.Keys(h.g.Members)) }
+
+func (h *history) member() *Member {
+	ids := h.ids()
+	if len(ids) == 0 || h.rng.IntN(20) == 0 && len(h.old) > 0 {
+		if len(h.old) == 0 {
+			return nil
+		}
+		return h.old[h.rng.IntN(len(h.old))]
+	}
+	return h.g.Members[ids[h.rng.IntN(len(ids))]]
+}
+
+func (h *history) position() wire.Position {
+	if h.rng.IntN(8) == 0 {
+		return wire.Position{}
+	}
+	return wire.Position{Term: 1 + uint64(h.now/4000), Number: uint64(h.now/10) + h.rng.Uint64N(40)}
+}
+
+func (h *history) learn() {
+	h.seq++
+	id := string(rune('a' + h.rng.IntN(4)))
+	r := directory.Member{ID: id, Svc: "s", Zone: []string{"here", "near", "far"}[h.rng.IntN(3)], Seq: h.seq,
+		Role: directory.Role(h.rng.IntN(3)), Life: 1 + uint64(h.now/3000), Draining: h.rng.IntN(8) == 0,
+		Gone: h.rng.IntN(16) == 0}
+	h.g.Learn(r, h.now)
+	if m := h.g.Members[id]; m != nil && !slices.Contains(h.old, m) {
+		h.old = append(h.old, m)
+	}
+}
+
+func (h *history) choose() {
+	need := &Need{}
+	switch h.rng.IntN(4) {
+	case 0:
+		need.Write = true
+	case 1:
+		need.Fresh = true
+	case 2:
+		need.Since = h.now - 500*h.rng.Float64()
+	case 3:
+		need.Since = h.now - 500*h.rng.Float64()
+		need.Commit, need.CommitAt = h.position(), h.now-600*h.rng.Float64()
+	}
+	full, avoided := h.rng.IntN(32), h.rng.IntN(32)
+	in := func(set int) func(id string) bool {
+		return func(id string) bool { return set < 16 && set&(1<<(id[0]-'a')) != 0 }
+	}
+	found := map[string]bool{}
+	for range choiceDraws {
+		c := h.g.Choose(need, h.now, func(m *Member) bool { return !in(full)(m.ID) }, in(avoided))
+		id := "-"
+		if c.Member != nil {
+			id = c.Member.ID
+		}
+		found[fmt.Sprint(id, c.After, c.Prove)] = true
+	}
+	h.note("choose %v", slices.Sorted(maps.Keys(found)))
+}
+
+func (h *history) answer() {
+	if len(h.sent) == 0 {
+		return
+	}
+	i := h.rng.IntN(len(h.sent))
+	f := h.sent[i]
+	h.sent = slices.Delete(h.sent, i, i+1)
+	f.m.InFlight--
+	w := Led
+	if h.rng.IntN(3) == 0 {
+		w = Word(h.rng.IntN(6))
+	}
+	h.g.Heard(f.m, f.at, h.now, w, h.position())
+}
+
+func (h *history) probes() {
+	var asked []string
+	for _, m := range h.g.Probes(h.now) {
+		asked = append(asked, m.ID)
+	}
+	slices.Sort(asked)
+	h.note("probes %v", asked)
+	for _, id := range asked {
+		m := h.g.Members[id]
+		if h.rng.IntN(4) == 0 {
+			h.g.Unprobed(m)
+			continue
+		}
+		h.g.Probed(m, h.now-20*h.rng.Float64(), h.now, wire.Status{Primary: h.rng.IntN(3) == 0, Received: h.position()})
+	}
+}
+
+func (h *history) step() {
+	h.now += 60 * h.rng.Float64()
+	switch what := h.rng.IntN(20); {
+	case what < 3:
+		h.learn()
+	case what < 8:
+		if m := h.member(); m != nil {
+			m.InFlight++
+			h.g.Sent(m, h.now, h.rng.IntN(3) == 0)
+			h.sent = append(h.sent, flight{m, h.now})
+		}
+	case what < 13:
+		h.answer()
+	case what < 17:
+		h.choose()
+	case what < 19:
+		h.note("doubt %v", h.g.Doubt(h.now))
+		h.probes()
+	default:
+		h.now += 400 * h.rng.Float64()
+	}
+	h.note("%.3f slot %v why %q usual %.6f stuck %v owing %.6f", h.now, h.g.Slot, h.g.Why, h.g.Usual(), h.g.Stuck(h.now),
+		h.g.Owing(h.now))
+}
+
+// The decisions over many histories of members that lead, drain, lag, fall silent, refuse connections and go.
+func TestDigestOfHistories(t *testing.T) {
+	const want = uint64(0xf7cc65d215e6178b)
+	sum := fnv.New64a()
+	seen := map[string]int{}
+	for seed := range uint64(60) {
+		h := &history{rng: rand.New(rand.NewPCG(seed, 7)), now: 1000}
+		h.g = NewGroup("s", func(zone string) float64 { return map[string]float64{"here": 0, "near": 1, "far": 2}[zone] })
+		for range 600 {
+			h.step()
+		}
+		sum.Write([]byte(h.out.String()))
+		for _, what := range []string{"gone", "draining", "replica\"", "by beat", "by answer", "by probe", "miss\"",
+			"miss, late", "takes no connection", "replica by probe", "doubt true", "stuck true", "probes [a"} {
+			seen[what] += strings.Count(h.out.String(), what)
+		}
+	}
+	for what, n := range seen {
+		if n < 20 {
+			t.Errorf("the histories hardly reach %q: %d", what, n)
+		}
+	}
+	if got := sum.Sum64(); got != want {
+		t.Errorf("digest %#x, want %#x", got, want)
+	}
+}
