--- a/internal/controlplane/agent/agent.go
+++ b/internal/controlplane/agent/agent.go
@@ -101,7 +101,7 @@
 		case <-last:
 			a.leave()
 			return nil
-		case f := <-a.q.C:
+		case f := <-a.q.Commands:
 			f()
 		case <-renew.C:
 			a.renew()
--- a/internal/controlplane/consensus_loop.go
+++ b/internal/controlplane/consensus_loop.go
@@ -108,11 +108,11 @@
 			ended, leaveBy = nil, c.h.now()+ms(leaveTimeout)
 			c.node.Leave(c.h.now())
 			c.h.log.Event(events.Leaving, "leads", c.led)
-		case f := <-c.q.C:
+		case f := <-c.q.Commands:
 			f()
 			for more := true; more; { // what came together costs one sync
 				select {
-				case f := <-c.q.C:
+				case f := <-c.q.Commands:
 					f()
 				default:
 					more = false
--- a/internal/util/commandqueue/commandqueue.go
+++ b/internal/util/commandqueue/commandqueue.go
@@ -1,42 +1,72 @@
-// Package commandqueue is the queue of commands to whoever owns a table inside a process.
+// Package commandqueue is the queue of commands to the goroutine that owns a piece of state.
 //
-// This file owns the queue: commands are carried out one at a time, in order, by the one goroutine that runs it. Nothing else
-// may touch what that goroutine owns.
+// State with one owner needs no lock: only the goroutine that runs the queue touches it, and everybody else sends that
+// goroutine a command, a function to run. Commands run one at a time, in the order in which they were queued. A command
+// must not block, and must not call Do or Call on its own queue: a full queue would then wait for itself.
 package commandqueue
 
 import (
 	"context"
+	"errors"
 	"time"
 )
 
-// Queue is one owner's.
+// ErrClosed is the error of a call whose queue's owner has ended: the command may have run or not.
+var ErrClosed = errors.New("the command queue's owner has ended")
+
+// Queue holds the commands that wait for one owner.
 type Queue struct {
-	C   chan func() // for an owner that waits for more than commands
-	ctx context.Context
+	Commands chan func() // to be received from only by an owner that waits for more than commands; others use Run
+
+	ctx context.Context // the owner's; behind its end commands are dropped
 }
 
-// New gives a queue that takes so many commands before who gives one waits, until ctx ends.
-func New(ctx context.Context, size int) *Queue { return &Queue{make(chan func(), size), ctx} }
+// New returns a queue that holds up to size commands before its senders wait. It closes when ctx ends.
+func New(ctx context.Context, size int) *Queue {
+	return &Queue{Commands: make(chan func(), size), ctx: ctx}
+}
 
-// Do queues a command. After the end of ctx it is dropped.
-func (q *Queue) Do(f func()) {
+// Do queues a command and doesn't wait until it has run. After the end of the queue's context it is dropped.
+func (q *Queue) Do(command func()) {
+	select {
+	case q.Commands <- command:
+	case <-q.ctx.Done():
+	}
+}
+
+// Call queues a command and waits for what it returns. It gives up with the context's error when ctx ends, and with
+// ErrClosed when the queue's own context does; the command may still run afterwards.
+func Call[T any](ctx context.Context, q *Queue, command func() T) (T, error) {
+	var none T
+	reply := make(chan T, 1) // has room for one: the owner never waits for a caller that has given up
+	select {
+	case q.Commands <- func() { reply <- command() }:
+	case <-ctx.Done():
+		return none, ctx.Err()
+	case <-q.ctx.Done():
+		return none, ErrClosed
+	}
 	select {
-	case q.C <- f:
+	case result := <-reply:
+		return result, nil
+	case <-ctx.Done():
+		return none, ctx.Err()
 	case <-q.ctx.Done():
+		return none, ErrClosed
 	}
 }
 
-// Run carries out commands, and tick every so often, until ctx ends.
-func (q *Queue) Run(every time.Duration, tick func()) {
-	t := time.NewTicker(every)
-	defer t.Stop()
+// Run runs commands as they come, and tick at each interval, until the queue's context ends. It is the owner's loop.
+func (q *Queue) Run(interval time.Duration, tick func()) {
+	ticker := time.NewTicker(interval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-q.ctx.Done():
 			return
-		case f := <-q.C:
-			f()
-		case <-t.C:
+		case command := <-q.Commands:
+			command()
+		case <-ticker.C:
 			tick()
 		}
 	}
--- a/internal/util/commandqueue/commandqueue_test.go
+++ b/internal/util/commandqueue/commandqueue_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"testing"
 	"time"
 )
@@ -27,3 +28,53 @@
 		q.Do(func() {})
 	}
 }
+
+// A call returns what its command returned, behind the commands that were queued before it.
+func TestCall(t *testing.T) {
+	q := New(t.Context(), 1)
+	go q.Run(time.Hour, func() {})
+	n := 0
+	for range 100 {
+		q.Do(func() { n++ })
+	}
+	got, err := Call(t.Context(), q, func() int { return n })
+	if got != 100 || err != nil {
+		t.Fatalf("got %d, %v, want 100 and no error", got, err)
+	}
+}
+
+// A call whose owner never answers ends with the caller's context, or with the queue's, wherever it waits. The owner of
+// a call that was given up is not held up by its reply.
+func TestCallGivesUp(t *testing.T) {
+	for _, c := range []struct {
+		name  string
+		size  int // 0: it waits to be queued; 1: for its reply
+		owner bool
+		want  error
+	}{
+		{"caller ends as it is queued", 0, false, context.Canceled},
+		{"caller ends as it waits", 1, false, context.Canceled},
+		{"owner ends as it is queued", 0, true, ErrClosed},
+		{"owner ends as it waits", 1, true, ErrClosed},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			owner, endOwner := context.WithCancel(t.Context())
+			defer endOwner()
+			caller, endCaller := context.WithCancel(t.Context())
+			defer endCaller()
+			q := New(owner, c.size)
+			if c.owner {
+				endOwner()
+			} else {
+				endCaller()
+			}
+			got, err := Call(caller, q, func() int { return 1 })
+			if got != 0 || !errors.Is(err, c.want) {
+				t.Fatalf("got %d, %v, want 0, %v", got, err, c.want)
+			}
+			for len(q.Commands) > 0 {
+				(<-q.Commands)()
+			}
+		})
+	}
+}
