--- a/internal/controlplane/failover/failover_test.go
+++ b/internal/controlplane/failover/failover_test.go
@@ -30,6 +30,10 @@
 	stuck  float64
 	core   *core
 	joined int
+
+	refuses bool          // members that are down refuse connections, in place of silence
+	alter   func(v *View) // what a history adds to the view; nil: nothing
+	record  func(...any)  // takes each thing that is done, in order
 }
 
 type event struct {
@@ -37,9 +41,11 @@
 	do func()
 }
 
-func newPass(seed uint64) *pass {
-	p := &pass{r: rand.New(rand.NewPCG(seed, 3)), g: replicaset.New(1, "a", "b", "c"), beats: map[string]float64{}, said: map[string]bool{"a": true}, bound: map[string]bool{},
-		core: newCore("a", "b", "c")}
+func newPass(seed uint64) *pass { return newPassOf(seed, 1, "a", "b", "c") }
+
+func newPassOf(seed uint64, syncN int, ids ...string) *pass {
+	p := &pass{r: rand.New(rand.NewPCG(seed, 3)), g: replicaset.New(syncN, ids...), beats: map[string]float64{}, said: map[string]bool{"a": true}, bound: map[string]bool{},
+		core: newCore(ids...), record: func(...any) {}}
 	p.s = New(0)
 	return p
 }
@@ -47,7 +53,7 @@
 func (p *pass) in(ms float64, do func()) { p.later = append(p.later, event{p.now + ms, do}) }
 
 func (p *pass) view() *View {
-	v := &View{Svc: "s", SyncN: 1, Drivers: 6}
+	v := &View{Svc: "s", SyncN: p.g.SyncN, Drivers: 6}
 	for _, m := range p.g.Members {
 		if p.core.knows[m.ID] {
 			v.Members = append(v.Members, Member{ID: m.ID, Gen: "v1", Primary: p.said[m.ID], Replica: !p.said[m.ID], Leaving: m.Drains,
@@ -58,6 +64,9 @@
 	if p.now-p.stuck < 300 {
 		v.Stuck = 2
 	}
+	if p.alter != nil {
+		p.alter(v)
+	}
 	return v
 }
 
@@ -89,7 +98,10 @@
 	}
 	p.g.Replicate(func(*replicaset.Member) bool { return p.r.IntN(3) > 0 })
 	s := p.s
-	for _, a := range s.Step(p.view(), p.now) {
+	acts := s.Step(p.view(), p.now)
+	p.record("step", p.now, s.State())
+	for _, a := range inOrder(acts) {
+		p.record(a.Kind, a.ID, a.Term, a.Why)
 		p.carry(s, a)
 	}
 	p.core.agree(p.now)
@@ -107,6 +119,7 @@
 	case Failover:
 		p.log = append(p.log, fmt.Sprintf("%.0f failover %s", p.now, a.ID))
 		fence := p.core.nextFence()
+		p.record("fence", fence)
 		if p.r.Float64() < p.lossy { // nobody hears of it
 			p.in(2000, func() { s.Called(a.ID, 0, p.now) })
 			return
@@ -129,7 +142,11 @@
 		m := p.g.Get(a.ID)
 		p.in(10+30*p.r.Float64(), func() {
 			if m == nil || !m.Up || p.r.Float64() < p.lossy {
-				p.in(700, func() { s.Unanswered(a.ID, false) })
+				wait := 700.0
+				if p.refuses {
+					wait = 10
+				}
+				p.in(wait, func() { s.Unanswered(a.ID, p.refuses) })
 				return
 			}
 			switch a.Kind {
