--- a/internal/controlplane/consensus/consensus_test.go
+++ b/internal/controlplane/consensus/consensus_test.go
@@ -30,6 +30,7 @@
 	fewest  int                   // Options.MinVoters; 0: as many as founders
 	diesAt  float64               // when the newest machine loses power
 	late    map[string]float64    // how much later messages to a machine come
+	digest  *digest               // of all that the machines put out; nil: none is taken
 }
 
 type host struct {
@@ -109,8 +110,10 @@
 			h.node.Synced(v.now)
 		}
 		for _, s := range h.node.Messages() {
+			v.digest.message(h.addr, s)
 			v.post(h.addr, s)
 		}
+		v.digest.node(h.node, v.now)
 		v.look(h)
 		if !h.node.Dirty() {
 			return
--- a/internal/controlplane/consensus/contact_test.go
+++ b/internal/controlplane/consensus/contact_test.go
@@ -19,6 +19,7 @@
 	split      float64      // machines of two sides don't reach each other until then
 	splitSince float64
 	seen       int
+	digest     *digest // see cluster
 }
 
 type contactHost struct {
@@ -97,6 +98,7 @@
 			h.node.Synced(w.clock(h))
 		}
 		for _, s := range h.node.Messages() {
+			w.digest.message(h.addr, s)
 			to := w.host(s.To)
 			if w.cut(h, to) || w.r.Float64() < 0.05 {
 				continue
@@ -107,6 +109,7 @@
 			}
 			w.mail = append(w.mail, contactLetter{w.now + 1 + 60*w.r.Float64()*w.r.Float64(), to, to.life, s.Message})
 		}
+		w.digest.node(h.node, w.clock(h))
 		w.look(h)
 		if !h.node.Dirty() {
 			return
--- /dev/null
+++ b/internal/controlplane/consensus/store/golden_test.go
@@ -0,0 +1,132 @@
+package store
+
+import (
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+
+	"github.com/cockroachdb/pebble"
+
+	"weirwind/internal/controlplane/consensus"
+)
+
+var update = flag.Bool("update", false, "write testdata/folder anew")
+
+// recorded is what testdata/folder holds.
+func recorded() consensus.HardState {
+	return consensus.HardState{ID: "0@a:1", Term: 5, Vote: "7f3a@b:2", Commit: 7, CommitOf: 3, Last: consensus.Entry{Term: 3, Index: 7,
+		Voters: []consensus.Voter{{ID: "0@a:1", Addr: "a:1"}, {ID: "7f3a@b:2", Addr: "b:2"}}, Value: []byte("value")}}
+}
+
+const (
+	recordedMeta  = "a601653040613a31020503683766336140623a320407050306820307"
+	recordedEntry = "a4010302070382a201653040613a310263613a31a201683766336140623a320263623a32044576616c7565"
+)
+
+// TestStoredForm reads a folder that an earlier build wrote, and holds the records that are written today against its.
+func TestStoredForm(t *testing.T) {
+	const folder = "testdata/folder"
+	if *update {
+		if err := os.RemoveAll(folder); err != nil {
+			t.Fatal(err)
+		}
+		write(t, folder)
+	}
+	earlier, today := filepath.Join(t.TempDir(), "earlier"), filepath.Join(t.TempDir(), "today")
+	if err := os.CopyFS(earlier, os.DirFS(folder)); err != nil {
+		t.Fatal(err)
+	}
+	write(t, today)
+	for name, dir := range map[string]string{"written by an earlier build": earlier, "written by this one": today} {
+		t.Run(name, func(t *testing.T) {
+			h, found, err := Look(dir)
+			if err != nil || !found || !reflect.DeepEqual(h, recorded()) {
+				t.Fatalf("%+v %v %v", h, found, err)
+			}
+			s, h, found, err := Open(dir)
+			if err != nil || !found || !reflect.DeepEqual(h, recorded()) {
+				t.Fatalf("%+v %v %v", h, found, err)
+			}
+			for key, want := range map[string]string{"meta": recordedMeta, "entry": recordedEntry} {
+				v, closer, err := s.db.Get([]byte(key))
+				if err != nil {
+					t.Fatal(key, err)
+				}
+				if got := fmt.Sprintf("%x", v); got != want {
+					t.Errorf("%s is %s, recorded was %s", key, got, want)
+				}
+				closer.Close()
+			}
+			if err := s.Close(); err != nil {
+				t.Fatal(err)
+			}
+		})
+	}
+}
+
+// write keeps an entry, a later one, and a term behind it.
+func write(t *testing.T, folder string) {
+	t.Helper()
+	s, _, found, err := Open(folder)
+	if err != nil || found {
+		t.Fatal(found, err)
+	}
+	h := recorded()
+	first := h
+	first.Term, first.Vote, first.Last.Index, first.Last.Value = 3, "", 6, []byte("earlier")
+	for _, state := range []consensus.HardState{first, {ID: h.ID, Term: 3, Last: h.Last}, h} {
+		if err := s.Save(&state); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if err := s.Close(); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// TestErrorTexts holds what operators read where a folder can't be read.
+func TestErrorTexts(t *testing.T) {
+	for _, c := range []struct {
+		name    string
+		corrupt func(db *pebble.DB) error
+		want    string
+	}{
+		{"no entry", func(db *pebble.DB) error { return db.Delete([]byte("entry"), pebble.Sync) },
+			"read entry: the entry [3 7] that was kept is not there"},
+		{"another entry", func(db *pebble.DB) error { return db.Set([]byte("entry"), []byte{0xa1, 0x01, 0x02}, pebble.Sync) },
+			"read entry: the entry [3 7] that was kept is not there"},
+		{"an entry that is cut", func(db *pebble.DB) error { return db.Set([]byte("entry"), []byte{0xa4, 0x01}, pebble.Sync) },
+			"read entry: unexpected EOF"},
+		{"no record", func(db *pebble.DB) error { return db.Set([]byte("meta"), []byte("!"), pebble.Sync) },
+			"read meta: cbor: cannot unmarshal negative integer into Go value of type store.meta"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			folder := filepath.Join(t.TempDir(), "folder")
+			write(t, folder)
+			s, _, _, err := Open(folder)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if err := c.corrupt(s.db); err != nil {
+				t.Fatal(err)
+			}
+			s.Close()
+			for how, open := range map[string]func() error{
+				"Look": func() error { _, _, err := Look(folder); return err },
+				"Open": func() error { _, _, _, err := Open(folder); return err },
+			} {
+				if err := open(); err == nil || err.Error() != c.want {
+					t.Errorf("%s: %v, recorded was %s", how, err, c.want)
+				}
+			}
+		})
+	}
+	_, _, err := Look(filepath.Join(t.TempDir(), "none"))
+	if err == nil || !strings.HasPrefix(err.Error(), "open: ") {
+		t.Error(err)
+	}
+}
