--- a/internal/controlplane/agent/agent.go
+++ b/internal/controlplane/agent/agent.go
@@ -67,7 +67,7 @@
 	defer stop()
 	a := &Agent{set: s, log: log, ctx: inner, q: commandqueue.New(inner, 1024), at: time.Now(), members: directory.NewMembers(),
 		proxies: map[*link]bool{}, peers: map[string]*peer{}, cores: s.Peers, pause: firstPause}
-	a.self = directory.Driver{Name: s.Hostname, Addr: s.Port(s.IP, 0), Zone: s.Zone, Life: uint64(time.Now().UnixMilli())}
+	a.self = directory.Driver{Name: s.Hostname, Addr: s.Port(s.IP, 0), Zone: s.Zone, Incarnation: uint64(time.Now().UnixMilli())}
 	mesh, err := net.Listen("tcp4", a.self.Addr)
 	if err != nil {
 		return oops.In("listen").Wrap(err)
@@ -106,7 +106,7 @@
 		case <-renew.C:
 			a.renew()
 			a.checkCore()
-			a.members.Forget(a.now(), float64(memberKeep.Milliseconds()))
+			a.members.PurgeTombstones(a.now(), float64(memberKeep.Milliseconds()))
 		case <-digest.C:
 			d := a.digest()
 			a.sendToPeers(&controlmsg.Frame{Digest: &d})
--- a/internal/controlplane/agent/peers.go
+++ b/internal/controlplane/agent/peers.go
@@ -33,7 +33,7 @@
 		n.Gen, n.Config = a.gen, a.config
 	}
 	if mine.Members != d.Members {
-		n.Members = a.members.List()
+		n.Members = a.members.Snapshot()
 	}
 	if mine.Shards > d.Shards {
 		n.Shards = a.shards
@@ -53,7 +53,7 @@
 // choose keeps links to a few peers.
 func (a *Agent) choose() {
 	want := map[string]bool{}
-	for _, d := range directory.Peers(a.drivers, a.self.Name, peerCount) {
+	for _, d := range directory.GossipPeers(a.drivers, a.self.Name, peerCount) {
 		want[d.Addr] = true
 		if a.peers[d.Addr] == nil {
 			ctx, stop := context.WithCancel(a.ctx)
--- a/internal/controlplane/agent/updates.go
+++ b/internal/controlplane/agent/updates.go
@@ -49,7 +49,7 @@
 	}
 	drivers := n.Drivers
 	if n.Joined != nil || n.Left != nil {
-		drivers = directory.Changed(a.drivers, n.Joined, n.Left)
+		drivers = directory.ApplyDiff(a.drivers, n.Joined, n.Left)
 	}
 	if drivers != nil {
 		a.drivers = drivers
@@ -78,7 +78,7 @@
 // proxyUp tells a proxy that has just come all that is known.
 func (a *Agent) proxyUp(l *link) {
 	a.proxies[l] = true
-	l.Send(&controlmsg.Frame{Update: &controlmsg.Update{Gen: a.gen, Config: a.config, Members: a.members.List(), Shards: a.shards, Count: max(len(a.drivers), 1)}})
+	l.Send(&controlmsg.Frame{Update: &controlmsg.Update{Gen: a.gen, Config: a.config, Members: a.members.Snapshot(), Shards: a.shards, Count: max(len(a.drivers), 1)}})
 }
 
 // fromProxy passes on what a proxy sees of primaries.
--- a/internal/controlplane/calls.go
+++ b/internal/controlplane/calls.go
@@ -69,7 +69,7 @@
 		http.Error(w, "a beat names its svc and addr", http.StatusBadRequest)
 		return
 	}
-	rec := directory.Member{ID: r.PathValue("id"), Svc: b.Svc, Addr: b.Addr, Zone: b.Zone, Gen: b.Gen, Slots: b.Slots,
+	rec := directory.Member{ID: r.PathValue("id"), Service: b.Svc, Addr: b.Addr, Zone: b.Zone, Generation: b.Gen, Slots: b.Slots,
 		Leaving: b.State == "draining", Seq: b.Seq}
 	switch b.Role {
 	case "primary":
--- a/internal/controlplane/contact_test.go
+++ b/internal/controlplane/contact_test.go
@@ -20,8 +20,8 @@
 	h := &Server{set: &settings.Settings{}, log: events.Nothing(), ctx: ctx, cancel: cancel, start: time.Now().Add(-time.Hour)}
 	t := newTables(h)
 	now := h.now()
-	t.leases.Renew(directory.Driver{Name: "front", Life: 1}, now-1)
-	t.members.Beat(directory.Member{ID: "member", Svc: "svc", Seq: 1}, now-2*ms(memberKeep), 1000)
+	t.leases.Renew(directory.Driver{Name: "front", Incarnation: 1}, now-1)
+	t.members.Heartbeat(directory.Member{ID: "member", Service: "svc", Seq: 1}, now-2*ms(memberKeep), 1000)
 	return h, t
 }
 
@@ -31,12 +31,12 @@
 		h, tables := silentTables()
 		known := func() (drivers, members int) {
 			tables.tick()
-			for _, m := range tables.members.List() {
-				if !m.Gone {
+			for _, m := range tables.members.Snapshot() {
+				if !m.Tombstone {
 					members++
 				}
 			}
-			return len(tables.leases.List()), members
+			return len(tables.leases.Drivers()), members
 		}
 		Convey("lets both go where it has had contact for long", func() {
 			h.contact.set(h.now())
--- a/internal/controlplane/controlmsg/costs_test.go
+++ b/internal/controlplane/controlmsg/costs_test.go
@@ -22,11 +22,11 @@
 	for _, n := range []int{10, 30, 90, 300, 1000} {
 		var drivers []directory.Driver
 		for i := range n {
-			drivers = append(drivers, directory.Driver{Name: fmt.Sprintf("front-seoul-gangnam-%d", i), Addr: fmt.Sprintf("10.%d.0.%d:7440", i/250, i%250), Zone: "seoul-gangnam", Life: 1764600000000 + uint64(i)})
+			drivers = append(drivers, directory.Driver{Name: fmt.Sprintf("front-seoul-gangnam-%d", i), Addr: fmt.Sprintf("10.%d.0.%d:7440", i/250, i%250), Zone: "seoul-gangnam", Incarnation: 1764600000000 + uint64(i)})
 		}
 		members := directory.NewMembers()
 		for i := range n { // as many members as drivers
-			members.Beat(directory.Member{ID: fmt.Sprintf("i-%08x", i), Svc: fmt.Sprint("svc", i/3), Addr: fmt.Sprintf("10.9.%d.%d:8080", i/250, i%250), Zone: "seoul-gangnam", Gen: "v1", Slots: 7, Role: directory.RoleReplica, Seq: 40}, 0, 1)
+			members.Heartbeat(directory.Member{ID: fmt.Sprintf("i-%08x", i), Service: fmt.Sprint("svc", i/3), Addr: fmt.Sprintf("10.9.%d.%d:8080", i/250, i%250), Zone: "seoul-gangnam", Generation: "v1", Slots: 7, Role: directory.RoleReplica, Seq: 40}, 0, 1)
 		}
 		has := Digest{Gen: 7, Members: members.Digest(), Drivers: directory.DriversDigest(drivers)}
 		renew := size(&Frame{Renew: &Renew{Driver: drivers[0], Has: has}})
@@ -34,12 +34,12 @@
 		digest := size(&Frame{Digest: &has})
 		beat := size(&Frame{Beats: []Beat{{ID: "i-00000001", Life: 1, Seq: 40}}})
 		lease := size(&Frame{Leases: []Lease{{Driver: drivers[0], Left: 3500}}})
-		one := size(&Frame{Update: &Update{Members: members.List()[:1]}})
+		one := size(&Frame{Update: &Update{Members: members.Snapshot()[:1]}})
 		per := float64(n) / cores // agents, and members, at a core machine
 		core := per*(renew+answer) + (cores-1)*2*per*lease + (cores-1)*2*per/1.2*beat
 		agent := renew + answer + 2*2*digest/3
 		join := per * size(&Frame{Update: &Update{Joined: drivers[:1]}})
-		whole := size(&Frame{Update: &Update{Members: members.List(), Drivers: drivers}})
+		whole := size(&Frame{Update: &Update{Members: members.Snapshot(), Drivers: drivers}})
 		t.Logf("%4d drivers, %4d members: a core machine %8.0f bytes/s, an agent %4.0f; one that joins %7.0f at a core machine; a member's word %6.0f; all lists once %7.0f", n, n, core, agent, join, per*one, whole)
 		if last > 0 && core/float64(n) > 1.2*last {
 			t.Errorf("%d drivers: %f bytes a driver, %f in the smaller fleet", n, core/float64(n), last)
--- a/internal/controlplane/directory/directory.go
+++ b/internal/controlplane/directory/directory.go
@@ -23,36 +23,36 @@
 
 // Member is a record of one, as it told it last.
 type Member struct {
-	ID    string `cbor:"1,keyasint"`
-	Svc   string `cbor:"2,keyasint"`
-	Addr  string `cbor:"3,keyasint"`
-	Zone  string `cbor:"4,keyasint"`
-	Gen   string `cbor:"5,keyasint"`
-	Slots int    `cbor:"6,keyasint"`
-	Role  Role   `cbor:"7,keyasint"`
-
-	Draining bool   `cbor:"8,keyasint,omitempty"` // binds at drivers
-	Gone     bool   `cbor:"9,keyasint,omitempty"`
-	Leaving  bool   `cbor:"10,keyasint,omitempty"` // it says that it drains; its lead may still have to be handed over
-	Life     uint64 `cbor:"11,keyasint"`           // rises when its own count starts again
-	Seq      uint64 `cbor:"12,keyasint"`
-	Mark     uint64 `cbor:"13,keyasint"` // rises with what the core adds to its word
+	ID         string `cbor:"1,keyasint"`
+	Service    string `cbor:"2,keyasint"`
+	Addr       string `cbor:"3,keyasint"`
+	Zone       string `cbor:"4,keyasint"`
+	Generation string `cbor:"5,keyasint"`
+	Slots      int    `cbor:"6,keyasint"`
+	Role       Role   `cbor:"7,keyasint"`
+
+	Draining    bool   `cbor:"8,keyasint,omitempty"` // binds at drivers
+	Tombstone   bool   `cbor:"9,keyasint,omitempty"`
+	Leaving     bool   `cbor:"10,keyasint,omitempty"` // it says that it drains; its lead may still have to be handed over
+	Incarnation uint64 `cbor:"11,keyasint"`           // rises when its own count starts again
+	Seq         uint64 `cbor:"12,keyasint"`
+	Revision    uint64 `cbor:"13,keyasint"` // rises with what the core adds to its word
 }
 
 func (m *Member) newer(o *Member) bool {
-	if m.Life != o.Life {
-		return m.Life > o.Life
+	if m.Incarnation != o.Incarnation {
+		return m.Incarnation > o.Incarnation
 	}
 	if m.Seq != o.Seq {
 		return m.Seq > o.Seq
 	}
-	return m.Mark > o.Mark
+	return m.Revision > o.Revision
 }
 
 // same says whether nothing that matters differs.
 func (m *Member) same(o *Member) bool {
 	a, b := *m, *o
-	a.Seq, b.Seq, a.Mark, b.Mark = 0, 0, 0, 0
+	a.Seq, b.Seq, a.Revision, b.Revision = 0, 0, 0, 0
 	return a == b
 }
 
@@ -72,29 +72,29 @@
 // NewMembers is empty.
 func NewMembers() *Members { return &Members{all: map[string]*entry{}} }
 
-// Beat takes a member's own word at now; fresh is false for one that came late. changed says whether drivers must know.
+// Heartbeat takes a member's own word at now; fresh is false for one that came late. changed says whether drivers must know.
 // A count that starts again is a new life where the member was silent for longer than silence.
-func (t *Members) Beat(m Member, now, silence float64) (cur Member, fresh, changed bool) {
+func (t *Members) Heartbeat(m Member, now, silence float64) (cur Member, fresh, changed bool) {
 	old := t.all[m.ID]
 	if old == nil {
-		m.Life = 1
+		m.Incarnation = 1
 		t.all[m.ID] = &entry{m: m, heard: now}
 		t.valid = false
 		return m, true, true
 	}
-	m.Life, m.Mark = old.m.Life, old.m.Mark
+	m.Incarnation, m.Revision = old.m.Incarnation, old.m.Revision
 	switch {
-	case m.Seq < old.m.Seq && (now-old.heard > silence || old.m.Gone):
-		m.Life++
-	case m.Seq > old.m.Seq && old.m.Gone && now-old.gone > silence: // it was only silent: no word is that late
-		m.Life++
+	case m.Seq < old.m.Seq && (now-old.heard > silence || old.m.Tombstone):
+		m.Incarnation++
+	case m.Seq > old.m.Seq && old.m.Tombstone && now-old.gone > silence: // it was only silent: no word is that late
+		m.Incarnation++
 	case m.Seq <= old.m.Seq:
 		return old.m, false, false
 	}
-	if old.m.Gone && m.Life == old.m.Life {
+	if old.m.Tombstone && m.Incarnation == old.m.Incarnation {
 		return old.m, false, false
 	}
-	m.Draining = m.Leaving && old.m.Draining && m.Life == old.m.Life
+	m.Draining = m.Leaving && old.m.Draining && m.Incarnation == old.m.Incarnation
 	changed = !m.same(&old.m)
 	old.m, old.heard, old.gone = m, now, 0
 	if changed {
@@ -103,9 +103,9 @@
 	return m, true, changed
 }
 
-// Heard notes that the member's word number seq came in somewhere.
-func (t *Members) Heard(id string, life, seq uint64, now float64) {
-	if e := t.all[id]; e != nil && e.m.Life == life && seq >= e.m.Seq {
+// ObserveHeartbeat notes that the member's word number seq came in somewhere.
+func (t *Members) ObserveHeartbeat(id string, life, seq uint64, now float64) {
+	if e := t.all[id]; e != nil && e.m.Incarnation == life && seq >= e.m.Seq {
 		e.m.Seq, e.heard = seq, max(e.heard, now)
 	}
 }
@@ -113,23 +113,23 @@
 // Leave notes that a member has ended.
 func (t *Members) Leave(id string, now float64) (Member, bool) {
 	e := t.all[id]
-	if e == nil || e.m.Gone {
+	if e == nil || e.m.Tombstone {
 		return Member{}, false
 	}
-	e.m.Gone, e.m.Draining, e.gone = true, true, now
-	e.m.Mark++
+	e.m.Tombstone, e.m.Draining, e.gone = true, true, now
+	e.m.Revision++
 	t.valid = false
 	return e.m, true
 }
 
-// Bind makes a leaving member's drain bind at drivers.
-func (t *Members) Bind(id string) (Member, bool) {
+// StartDraining makes a leaving member's drain bind at drivers.
+func (t *Members) StartDraining(id string) (Member, bool) {
 	e := t.all[id]
 	if e == nil || e.m.Draining || !e.m.Leaving {
 		return Member{}, false
 	}
 	e.m.Draining = true
-	e.m.Mark++
+	e.m.Revision++
 	t.valid = false
 	return e.m, true
 }
@@ -149,10 +149,10 @@
 		if !m.same(&e.m) {
 			news = append(news, m)
 		}
-		if m.Gone && !e.m.Gone {
+		if m.Tombstone && !e.m.Tombstone {
 			e.gone = now
 		}
-		if m.Seq > e.m.Seq || m.Life > e.m.Life {
+		if m.Seq > e.m.Seq || m.Incarnation > e.m.Incarnation {
 			e.heard = now
 		}
 		e.m = m
@@ -165,9 +165,9 @@
 
 // Expire lets go of those that ended, or were silent, for longer than keep. It gives the silent ones.
 func (t *Members) Expire(now, keep float64) (gone []Member) {
-	t.Forget(now, keep)
+	t.PurgeTombstones(now, keep)
 	for id, e := range t.all {
-		if !e.m.Gone && now-e.heard > keep {
+		if !e.m.Tombstone && now-e.heard > keep {
 			if m, ok := t.Leave(id, now); ok {
 				gone = append(gone, m)
 			}
@@ -176,10 +176,10 @@
 	return gone
 }
 
-// Forget lets go of those that ended longer ago than keep. Whether a silent one has ended is said by who hears its words.
-func (t *Members) Forget(now, keep float64) {
+// PurgeTombstones lets go of those that ended longer ago than keep. Whether a silent one has ended is said by who hears its words.
+func (t *Members) PurgeTombstones(now, keep float64) {
 	for id, e := range t.all {
-		if e.m.Gone && now-e.gone > keep {
+		if e.m.Tombstone && now-e.gone > keep {
 			delete(t.all, id)
 		}
 	}
@@ -193,16 +193,16 @@
 	return Member{}, false
 }
 
-// Silent is for how long none of a member's own words has come.
-func (t *Members) Silent(id string, now float64) float64 {
+// HeartbeatAge is for how long none of a member's own words has come.
+func (t *Members) HeartbeatAge(id string, now float64) float64 {
 	if e := t.all[id]; e != nil {
 		return now - e.heard
 	}
 	return 0
 }
 
-// List gives all, by id.
-func (t *Members) List() []Member {
+// Snapshot gives all, by id.
+func (t *Members) Snapshot() []Member {
 	out := make([]Member, 0, len(t.all))
 	for _, id := range slices.Sorted(maps.Keys(t.all)) {
 		out = append(out, t.all[id].m)
@@ -216,14 +216,14 @@
 		return t.digest
 	}
 	h := fnv.New64a()
-	for _, m := range t.List() {
-		if m.Gone {
+	for _, m := range t.Snapshot() {
+		if m.Tombstone {
 			continue
 		}
 		var b [11]byte
-		binary.BigEndian.PutUint64(b[:], m.Life)
+		binary.BigEndian.PutUint64(b[:], m.Incarnation)
 		b[8], b[9], b[10] = byte(m.Role), flag(m.Draining), flag(m.Leaving)
-		h.Write([]byte(m.ID + "\x00" + m.Svc + "\x00" + m.Addr))
+		h.Write([]byte(m.ID + "\x00" + m.Service + "\x00" + m.Addr))
 		h.Write(b[:])
 	}
 	t.digest, t.valid = h.Sum64(), true
@@ -239,10 +239,10 @@
 
 // Driver is a machine that takes clients, by its agent.
 type Driver struct {
-	Name string `cbor:"1,keyasint"`
-	Addr string `cbor:"2,keyasint"` // where other agents reach it
-	Zone string `cbor:"3,keyasint"`
-	Life uint64 `cbor:"4,keyasint"` // of its process
+	Name        string `cbor:"1,keyasint"`
+	Addr        string `cbor:"2,keyasint"` // where other agents reach it
+	Zone        string `cbor:"3,keyasint"`
+	Incarnation uint64 `cbor:"4,keyasint"` // of its process
 }
 
 // Leases are the drivers that the core knows: each is a member while it renews.
@@ -263,7 +263,7 @@
 // Renew takes a driver's renewal, which holds until then. changed says whether others should know.
 func (l *Leases) Renew(d Driver, until float64) (changed bool) {
 	old := l.all[d.Name]
-	if old != nil && old.d.Life > d.Life {
+	if old != nil && old.d.Incarnation > d.Incarnation {
 		return false
 	}
 	if old == nil || old.d != d {
@@ -275,9 +275,9 @@
 	return false
 }
 
-// Drop ends a lease that its holder gave back.
-func (l *Leases) Drop(name string, life uint64) bool {
-	if old := l.all[name]; old == nil || old.d.Life != life {
+// Release ends a lease that its holder gave back.
+func (l *Leases) Release(name string, life uint64) bool {
+	if old := l.all[name]; old == nil || old.d.Incarnation != life {
 		return false
 	}
 	delete(l.all, name)
@@ -285,8 +285,8 @@
 	return true
 }
 
-// Lapse drops those that ran out, and gives them.
-func (l *Leases) Lapse(now float64) (out []Driver) {
+// Expire drops those that ran out, and gives them.
+func (l *Leases) Expire(now float64) (out []Driver) {
 	for name, e := range l.all {
 		if now >= e.until {
 			delete(l.all, name)
@@ -297,16 +297,16 @@
 	return out
 }
 
-// Until is when a driver's lease ends.
-func (l *Leases) Until(name string) float64 {
+// Expiry is when a driver's lease ends.
+func (l *Leases) Expiry(name string) float64 {
 	if e := l.all[name]; e != nil {
 		return e.until
 	}
 	return 0
 }
 
-// List gives the drivers that hold one, by name. It is shared: nobody may change it.
-func (l *Leases) List() []Driver {
+// Drivers gives the drivers that hold one, by name. It is shared: nobody may change it.
+func (l *Leases) Drivers() []Driver {
 	if l.list == nil {
 		l.list = make([]Driver, 0, len(l.all))
 		for _, e := range l.all {
@@ -320,12 +320,12 @@
 
 // Digest is the list's. It is kept until the list changes, as each renewal compares it.
 func (l *Leases) Digest() uint64 {
-	l.List()
+	l.Drivers()
 	return l.digest
 }
 
-// Changed gives a list of drivers, in the order of names, behind what joined and left.
-func Changed(all, joined []Driver, left []string) []Driver {
+// ApplyDiff gives a list of drivers, in the order of names, behind what joined and left.
+func ApplyDiff(all, joined []Driver, left []string) []Driver {
 	replaced := make(map[string]bool, len(joined)+len(left))
 	for _, d := range joined {
 		replaced[d.Name] = true
@@ -339,8 +339,8 @@
 	return out
 }
 
-// Came tells what of now was not in before, and which names of before are not in now.
-func Came(before, now []Driver) (joined []Driver, left []string) {
+// Diff tells what of now was not in before, and which names of before are not in now.
+func Diff(before, now []Driver) (joined []Driver, left []string) {
 	was := map[string]Driver{}
 	for _, d := range before {
 		was[d.Name] = d
@@ -367,9 +367,9 @@
 	return h.Sum64()
 }
 
-// Peers picks the few that a driver passes news on to: the one that follows it in the order of names, so that word from
+// GossipPeers picks the few that a driver passes news on to: the one that follows it in the order of names, so that word from
 // anywhere reaches all, and others drawn by its name, so that it does so in few steps.
-func Peers(all []Driver, self string, few int) []Driver {
+func GossipPeers(all []Driver, self string, few int) []Driver {
 	i, found := slices.BinarySearchFunc(all, self, func(d Driver, name string) int { return cmp.Compare(d.Name, name) })
 	if found {
 		i++
--- a/internal/controlplane/directory/golden_test.go
+++ b/internal/controlplane/directory/golden_test.go
@@ -18,13 +18,13 @@
 		value any
 		hex   string
 	}{
-		"member, full": {&Member{ID: "i-1", Svc: "orders", Addr: "10.0.0.1:8080", Zone: "z1", Gen: "v3", Slots: 7, Role: RoleReplica,
-			Draining: true, Gone: true, Leaving: true, Life: 3, Seq: 300, Mark: 2},
+		"member, full": {&Member{ID: "i-1", Service: "orders", Addr: "10.0.0.1:8080", Zone: "z1", Generation: "v3", Slots: 7, Role: RoleReplica,
+			Draining: true, Tombstone: true, Leaving: true, Incarnation: 3, Seq: 300, Revision: 2},
 			"ad0163692d3102666f7264657273036d31302e302e302e313a38303830" +
 				"04627a31056276330607070208f509f50af50b030c19012c0d02"},
-		"member, sparse": {&Member{ID: "i-2", Svc: "s", Role: RolePrimary, Life: 1, Seq: 1},
+		"member, sparse": {&Member{ID: "i-2", Service: "s", Role: RolePrimary, Incarnation: 1, Seq: 1},
 			"aa0163692d32026173036004600560060007010b010c010d00"},
-		"driver": {&Driver{Name: "d1", Addr: "10.0.0.9:7440", Zone: "z2", Life: 1764600000000},
+		"driver": {&Driver{Name: "d1", Addr: "10.0.0.9:7440", Zone: "z2", Incarnation: 1764600000000},
 			"a401626431026d31302e302e302e393a3734343003627a32041b0000019ada5b2e00"},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -71,14 +71,14 @@
 		t.Errorf("no members: %#x", got)
 	}
 	members.Merge([]Member{
-		{ID: "b", Svc: "s", Addr: "x:1", Role: RoleReplica, Life: 2, Seq: 9, Mark: 1, Leaving: true},
-		{ID: "a", Svc: "s", Addr: "x:2", Role: RolePrimary, Life: 1, Seq: 4, Draining: true, Leaving: true},
-		{ID: "c", Svc: "s", Addr: "x:3", Role: RolePrimary, Life: 1, Seq: 4, Gone: true},
+		{ID: "b", Service: "s", Addr: "x:1", Role: RoleReplica, Incarnation: 2, Seq: 9, Revision: 1, Leaving: true},
+		{ID: "a", Service: "s", Addr: "x:2", Role: RolePrimary, Incarnation: 1, Seq: 4, Draining: true, Leaving: true},
+		{ID: "c", Service: "s", Addr: "x:3", Role: RolePrimary, Incarnation: 1, Seq: 4, Tombstone: true},
 	}, 0)
 	if got := members.Digest(); got != wantMembersDigest {
 		t.Errorf("members: %#x", got)
 	}
-	drivers := []Driver{{Name: "a", Addr: "y:1", Zone: "z", Life: 1}, {Name: "b", Addr: "y:2", Zone: "z", Life: 2}}
+	drivers := []Driver{{Name: "a", Addr: "y:1", Zone: "z", Incarnation: 1}, {Name: "b", Addr: "y:2", Zone: "z", Incarnation: 2}}
 	if got := DriversDigest(drivers); got != wantDriversDigest {
 		t.Errorf("drivers: %#x", got)
 	}
@@ -111,31 +111,31 @@
 				if seqs[n]++; r.IntN(12) == 0 {
 					seqs[n] = 1
 				}
-				m := Member{ID: id, Svc: "s", Addr: "x", Role: Role(r.IntN(3)), Leaving: r.IntN(3) == 0, Seq: seqs[n] - uint64(r.IntN(10)/9)}
-				cur, fresh, changed := table.Beat(m, now, 3000)
+				m := Member{ID: id, Service: "s", Addr: "x", Role: Role(r.IntN(3)), Leaving: r.IntN(3) == 0, Seq: seqs[n] - uint64(r.IntN(10)/9)}
+				cur, fresh, changed := table.Heartbeat(m, now, 3000)
 				fmt.Fprintln(h, cur, fresh, changed)
 			case 4:
 				m, _ := table.Get(id)
-				table.Heard(id, m.Life, m.Seq+uint64(r.IntN(4))-1, now)
+				table.ObserveHeartbeat(id, m.Incarnation, m.Seq+uint64(r.IntN(4))-1, now)
 			case 5:
 				m, ok := table.Leave(id, now)
 				fmt.Fprintln(h, m, ok)
 			case 6, 7:
-				m, ok := table.Bind(id)
+				m, ok := table.StartDraining(id)
 				fmt.Fprintln(h, m, ok)
 			case 8, 9:
-				fmt.Fprintln(h, table.Merge(tables[1-i].List(), now))
+				fmt.Fprintln(h, table.Merge(tables[1-i].Snapshot(), now))
 			case 10:
 				fmt.Fprintln(h, slices.SortedFunc(slices.Values(table.Expire(now, 12000)), byID))
 			case 11:
-				table.Forget(now, 8000)
-				fmt.Fprintln(h, table.Silent(id, now))
+				table.PurgeTombstones(now, 8000)
+				fmt.Fprintln(h, table.HeartbeatAge(id, now))
 			}
 			if r.IntN(3) == 0 {
-				fmt.Fprintln(h, table.Digest(), table.List())
+				fmt.Fprintln(h, table.Digest(), table.Snapshot())
 			}
 		}
-		fmt.Fprintln(h, tables[0].List(), tables[1].List(), tables[0].Digest(), tables[1].Digest())
+		fmt.Fprintln(h, tables[0].Snapshot(), tables[1].Snapshot(), tables[0].Digest(), tables[1].Digest())
 	}
 	if got := h.Sum64(); got != wantMemberHistory {
 		t.Errorf("%#x, recorded %#x", got, wantMemberHistory)
@@ -151,20 +151,20 @@
 		leases, told, now := NewLeases(), []Driver(nil), 0.0
 		for range 120 {
 			now += 700 * r.Float64()
-			d := Driver{Name: fmt.Sprint("d", r.IntN(7)), Addr: fmt.Sprint("y", r.IntN(2)), Life: uint64(1 + r.IntN(4))}
+			d := Driver{Name: fmt.Sprint("d", r.IntN(7)), Addr: fmt.Sprint("y", r.IntN(2)), Incarnation: uint64(1 + r.IntN(4))}
 			switch r.IntN(8) {
 			case 0, 1, 2, 3:
-				fmt.Fprintln(h, leases.Renew(d, now+4000*r.Float64()), leases.Until(d.Name))
+				fmt.Fprintln(h, leases.Renew(d, now+4000*r.Float64()), leases.Expiry(d.Name))
 			case 4:
-				fmt.Fprintln(h, leases.Drop(d.Name, d.Life))
+				fmt.Fprintln(h, leases.Release(d.Name, d.Incarnation))
 			case 5:
-				fmt.Fprintln(h, slices.SortedFunc(slices.Values(leases.Lapse(now)), byName))
+				fmt.Fprintln(h, slices.SortedFunc(slices.Values(leases.Expire(now)), byName))
 			case 6:
-				joined, left := Came(told, leases.List())
-				told = Changed(told, joined, left)
+				joined, left := Diff(told, leases.Drivers())
+				told = ApplyDiff(told, joined, left)
 				fmt.Fprintln(h, joined, left, told, DriversDigest(told), leases.Digest())
 			case 7:
-				fmt.Fprintln(h, Peers(leases.List(), d.Name, 1+r.IntN(3)), leases.Digest())
+				fmt.Fprintln(h, GossipPeers(leases.Drivers(), d.Name, 1+r.IntN(3)), leases.Digest())
 			}
 		}
 	}
@@ -172,4 +172,3 @@
 		t.Errorf("%#x, recorded %#x", got, wantDriverHistory)
 	}
 }
-
--- a/internal/controlplane/moving.go
+++ b/internal/controlplane/moving.go
@@ -33,12 +33,12 @@
 // nodes gives the member that answers for each node: who leads the service of its name.
 func (t *tables) nodes(now float64) map[string]directory.Member {
 	out := map[string]directory.Member{}
-	for _, m := range t.members.List() {
-		if m.Gone || m.Role != directory.RolePrimary || t.config.Service(m.Svc) == nil {
+	for _, m := range t.members.Snapshot() {
+		if m.Tombstone || m.Role != directory.RolePrimary || t.config.Service(m.Service) == nil {
 			continue
 		}
-		if old, found := out[m.Svc]; !found || t.members.Silent(m.ID, now) < t.members.Silent(old.ID, now) {
-			out[m.Svc] = m
+		if old, found := out[m.Service]; !found || t.members.HeartbeatAge(m.ID, now) < t.members.HeartbeatAge(old.ID, now) {
+			out[m.Service] = m
 		}
 	}
 	return out
@@ -104,7 +104,7 @@
 			go back(shardmap.Result{Err: "dark"})
 			return
 		}
-		from = src.Addr + " " + src.Svc + " " + src.ID
+		from = src.Addr + " " + src.Service + " " + src.ID
 	}
 	text := a.Text(from)
 	if a.Kind != shardmap.Look && a.Kind != shardmap.Fetch {
--- a/internal/controlplane/roster.go
+++ b/internal/controlplane/roster.go
@@ -45,9 +45,9 @@
 // present gives the members that have not ended, by service.
 func (t *tables) present() map[string][]directory.Member {
 	bySvc := map[string][]directory.Member{}
-	for _, m := range t.members.List() {
-		if !m.Gone {
-			bySvc[m.Svc] = append(bySvc[m.Svc], m)
+	for _, m := range t.members.Snapshot() {
+		if !m.Tombstone {
+			bySvc[m.Service] = append(bySvc[m.Service], m)
 		}
 	}
 	return bySvc
@@ -56,9 +56,9 @@
 // endReplaced notes the end of members whose address another now has: a member that crashed comes back with its log and another id. The
 // old id stays on the roster until it is covered, which takes a living primary, but nobody waits for it to be silent for a minute.
 func (t *tables) endReplaced(by directory.Member, now float64) {
-	for _, m := range t.members.List() {
-		sameAddress := m.Svc == by.Svc && m.Addr == by.Addr && m.ID != by.ID
-		if sameAddress && !m.Gone && t.members.Silent(m.ID, now) > replacedAfter*ms(t.h.set.Beat) {
+	for _, m := range t.members.Snapshot() {
+		sameAddress := m.Service == by.Service && m.Addr == by.Addr && m.ID != by.ID
+		if sameAddress && !m.Tombstone && t.members.HeartbeatAge(m.ID, now) > replacedAfter*ms(t.h.set.Beat) {
 			t.leave(m.ID)
 		}
 	}
@@ -69,7 +69,7 @@
 func (t *tables) absent(svc string, now float64) (out []failover.Member) {
 	for _, id := range t.state.Roster[svc] {
 		m, known := t.members.Get(id)
-		if known && !m.Gone || t.covered[config.RosterMember{Svc: svc, ID: id}] {
+		if known && !m.Tombstone || t.covered[config.RosterMember{Svc: svc, ID: id}] {
 			continue // a covered one is to leave the roster: what it held is at others, agreed on or not
 		}
 		ended := known || now-t.ledAt > ms(memberKeep)
--- a/internal/controlplane/succession.go
+++ b/internal/controlplane/succession.go
@@ -46,7 +46,7 @@
 		return // a process that has just begun doesn't know all members yet: one that it lacks may alone hold a commit, or lead
 	}
 	bySvc := t.present()
-	drivers := len(t.leases.List())
+	drivers := len(t.leases.Drivers())
 	for i := range t.config.Svcs {
 		cs := &t.config.Svcs[i]
 		s := t.successions[cs.Name]
@@ -56,7 +56,7 @@
 		}
 		v := &failover.View{Svc: cs.Name, SyncN: cs.SyncN, Drivers: drivers, Doubt: t.doubtful(now)}
 		for _, m := range bySvc[cs.Name] {
-			v.Members = append(v.Members, failover.Member{ID: m.ID, Gen: m.Gen, Leaving: m.Leaving, Silent: t.members.Silent(m.ID, now),
+			v.Members = append(v.Members, failover.Member{ID: m.ID, Gen: m.Generation, Leaving: m.Leaving, Silent: t.members.HeartbeatAge(m.ID, now),
 				Primary: m.Role == directory.RolePrimary, Replica: m.Role == directory.RoleReplica,
 				Unlisted: cs.SyncN > 0 && !t.state.Roster.Lists(cs.Name, m.ID)})
 		}
--- a/internal/controlplane/tables.go
+++ b/internal/controlplane/tables.go
@@ -117,11 +117,11 @@
 		for _, name := range t.agents {
 			here[name] = true
 		}
-		for _, dr := range t.leases.List() {
+		for _, dr := range t.leases.Drivers() {
 			if !here[dr.Name] {
 				continue
 			}
-			f.Leases = append(f.Leases, controlmsg.Lease{Driver: dr, Left: t.leases.Until(dr.Name) - now})
+			f.Leases = append(f.Leases, controlmsg.Lease{Driver: dr, Left: t.leases.Expiry(dr.Name) - now})
 		}
 		t.h.sendCores(f)
 	}
@@ -141,7 +141,7 @@
 	if silent != nil {
 		t.spread(silent)
 	}
-	lapsed := t.leases.Lapse(now)
+	lapsed := t.leases.Expire(now)
 	for _, d := range lapsed {
 		t.h.log.Event(events.DriverLapsed, "driver", d.Name)
 	}
@@ -201,8 +201,8 @@
 		return
 	}
 	t.driversNew, t.driversAt = false, now+driversEvery
-	joined, left := directory.Came(t.drivers, t.leases.List())
-	t.drivers, t.driversDigest = t.leases.List(), t.leases.Digest()
+	joined, left := directory.Diff(t.drivers, t.leases.Drivers())
+	t.drivers, t.driversDigest = t.leases.Drivers(), t.leases.Digest()
 	if joined != nil || left != nil {
 		t.push(&controlmsg.Update{Joined: joined, Left: left})
 	}
@@ -234,21 +234,21 @@
 func (t *tables) beat(rec directory.Member) {
 	now := t.h.now()
 	old, known := t.members.Get(rec.ID)
-	m, fresh, changed := t.members.Beat(rec, now, 3*ms(t.h.set.Beat))
+	m, fresh, changed := t.members.Heartbeat(rec, now, 3*ms(t.h.set.Beat))
 	if !fresh {
 		return
 	}
 	if !changed {
 		if len(t.beats) < 1024 {
-			t.beats = append(t.beats, controlmsg.Beat{ID: m.ID, Life: m.Life, Seq: m.Seq})
+			t.beats = append(t.beats, controlmsg.Beat{ID: m.ID, Life: m.Incarnation, Seq: m.Seq})
 		}
 		return
 	}
 	if !known {
-		t.h.log.Event(events.MemberNew, "member", m.ID, "svc", m.Svc, "addr", m.Addr, "role", int(m.Role))
+		t.h.log.Event(events.MemberNew, "member", m.ID, "svc", m.Service, "addr", m.Addr, "role", int(m.Role))
 		t.endReplaced(m, now)
 	} else if old.Role != m.Role {
-		t.h.log.Event(events.MemberRole, "member", m.ID, "svc", m.Svc, "role", int(m.Role))
+		t.h.log.Event(events.MemberRole, "member", m.ID, "svc", m.Service, "role", int(m.Role))
 	}
 	t.noteLeaving(m, now)
 	if !known || old.Role == m.Role && old.Leaving == m.Leaving {
@@ -260,22 +260,22 @@
 
 // noteLeaving lets the drain of a member that does not lead bind at once; who leads successions over first.
 func (t *tables) noteLeaving(m directory.Member, now float64) {
-	if !m.Leaving || m.Draining || m.Gone {
+	if !m.Leaving || m.Draining || m.Tombstone {
 		return
 	}
 	if _, ok := t.leaving[m.ID]; !ok {
 		t.leaving[m.ID] = now
-		t.h.log.Event(events.MemberDrains, "member", m.ID, "svc", m.Svc, "role", int(m.Role))
+		t.h.log.Event(events.MemberDrains, "member", m.ID, "svc", m.Service, "role", int(m.Role))
 	}
 	if m.Role != directory.RolePrimary {
-		if b, ok := t.members.Bind(m.ID); ok {
+		if b, ok := t.members.StartDraining(m.ID); ok {
 			t.spread([]directory.Member{b})
 		}
 	}
 }
 
 func (t *tables) bind(id string) {
-	if m, ok := t.members.Bind(id); ok {
+	if m, ok := t.members.StartDraining(id); ok {
 		t.spread([]directory.Member{m})
 	}
 }
@@ -303,7 +303,7 @@
 		t.merge(f.Update.Members, now)
 	case f.Beats != nil:
 		for _, b := range f.Beats {
-			t.members.Heard(b.ID, b.Life, b.Seq, now)
+			t.members.ObserveHeartbeat(b.ID, b.Life, b.Seq, now)
 		}
 	case f.Report != nil:
 		t.report(f.Report, now)
@@ -314,7 +314,7 @@
 		}
 		t.driversNew = t.driversNew || changed
 		if !f.Digest.Quiet && f.Digest.Members != t.members.Digest() { // whoever differs is told, on its own link; it tells what it has likewise
-			l.Send(&controlmsg.Frame{Update: &controlmsg.Update{Members: t.members.List()}})
+			l.Send(&controlmsg.Frame{Update: &controlmsg.Update{Members: t.members.Snapshot()}})
 		}
 	}
 }
@@ -332,7 +332,7 @@
 // renew prolongs a driver's lease and tells it what it lacks.
 func (t *tables) renew(l *link, r *controlmsg.Renew, now float64) {
 	if r.End {
-		t.driversNew = t.leases.Drop(r.Driver.Name, r.Driver.Life) || t.driversNew
+		t.driversNew = t.leases.Release(r.Driver.Name, r.Driver.Incarnation) || t.driversNew
 		return
 	}
 	age := t.h.contactAge()
@@ -363,14 +363,14 @@
 	differed := !linked || t.differs[l]
 	t.differs[l] = r.Has.Members != d.Members || r.Has.Drivers != t.driversDigest
 	if differed && r.Has.Members != d.Members {
-		n.Members = t.members.List()
+		n.Members = t.members.Snapshot()
 	}
 	switch {
 	case !differed || r.Has.Drivers == t.driversDigest:
 	case t.tableComplete(now):
 		n.Drivers = t.drivers
 	case !linked:
-		n.Joined = t.leases.List()
+		n.Joined = t.leases.Drivers()
 	}
 	f := &controlmsg.Frame{Update: n}
 	if now < ms(askAgents) && r.Has.Members != d.Members { // what was lost here is told by those who were told: also of members that are dead
@@ -395,7 +395,7 @@
 }
 
 func (t *tables) status(brief bool) map[string]any {
-	members, drivers := t.members.List(), t.leases.List()
+	members, drivers := t.members.Snapshot(), t.leases.Drivers()
 	all := map[string]any{"leads": t.leading, "agents": len(t.agents), "coreLinks": t.h.coreLinks(), "memberCount": len(members), "driverCount": len(drivers)}
 	if brief {
 		return all
--- a/internal/dataplane/group/group.go
+++ b/internal/dataplane/group/group.go
@@ -97,7 +97,7 @@
 // nothing of when it was said.
 func (g *Group) Learn(r directory.Member, now float64) {
 	m := g.Members[r.ID]
-	if r.Gone {
+	if r.Tombstone {
 		if m != nil {
 			delete(g.Members, r.ID)
 			g.drop(r.ID, now, "gone")
@@ -108,7 +108,7 @@
 		m = &Member{replicaAt: math.Inf(-1), laggedAt: math.Inf(-1), heard: now, distance: g.near(r.Zone), took: 20}
 		g.Members[r.ID] = m
 	}
-	restarted := r.Life > m.Life && m.Life > 0
+	restarted := r.Incarnation > m.Incarnation && m.Incarnation > 0
 	m.Member = r
 	if restarted {
 		m.aside = 0
--- a/internal/dataplane/group/group_test.go
+++ b/internal/dataplane/group/group_test.go
@@ -17,9 +17,9 @@
 
 func group() *Group {
 	g := NewGroup("s", func(zone string) float64 { return map[string]float64{"here": 0, "near": 1}[zone] })
-	g.Learn(directory.Member{ID: "a", Zone: "near", Role: directory.RolePrimary, Life: 1, Seq: 1}, 0)
-	g.Learn(directory.Member{ID: "b", Zone: "here", Role: directory.RoleReplica, Life: 1, Seq: 1}, 0)
-	g.Learn(directory.Member{ID: "c", Zone: "near", Role: directory.RoleReplica, Life: 1, Seq: 1}, 0)
+	g.Learn(directory.Member{ID: "a", Zone: "near", Role: directory.RolePrimary, Incarnation: 1, Seq: 1}, 0)
+	g.Learn(directory.Member{ID: "b", Zone: "here", Role: directory.RoleReplica, Incarnation: 1, Seq: 1}, 0)
+	g.Learn(directory.Member{ID: "c", Zone: "near", Role: directory.RoleReplica, Incarnation: 1, Seq: 1}, 0)
 	return g
 }
 
@@ -70,7 +70,7 @@
 					So(c.After, ShouldResemble, at(1, 9))
 				})
 				Convey("and another primary's positions cover nothing any more", func() {
-					g.Learn(directory.Member{ID: "c", Zone: "near", Role: directory.RolePrimary, Life: 1, Seq: 2}, 230)
+					g.Learn(directory.Member{ID: "c", Zone: "near", Role: directory.RolePrimary, Incarnation: 1, Seq: 2}, 230)
 					c := g.Choose(&Need{Since: 100}, 240, yes, none)
 					So(to(c), ShouldEqual, "c")
 					So(c.Prove, ShouldBeTrue)
@@ -92,7 +92,7 @@
 			})
 		})
 		Convey("holds them while its primary drains, though it still says that it leads", func() {
-			g.Learn(directory.Member{ID: "a", Role: directory.RolePrimary, Leaving: true, Draining: true, Life: 1, Seq: 2}, 100)
+			g.Learn(directory.Member{ID: "a", Role: directory.RolePrimary, Leaving: true, Draining: true, Incarnation: 1, Seq: 2}, 100)
 			So(to(g.Choose(write, 150, yes, none)), ShouldEqual, "")
 			g.Probed(a, 150, 190, wire.Status{Primary: true, Term: 1})
 			So(to(g.Choose(write, 200, yes, none)), ShouldEqual, "")
--- a/internal/dataplane/memberconn/memberconn.go
+++ b/internal/dataplane/memberconn/memberconn.go
@@ -55,7 +55,7 @@
 	transport.SetUserTimeout(nc, dark)
 	c = &Conn{C: nc, R: wire.NewReader(nc)}
 	nc.SetDeadline(until)
-	if _, err = io.WriteString(nc, wire.Attach+" "+m.Svc+" "+who+" "+m.ID+"\r\n"); err != nil {
+	if _, err = io.WriteString(nc, wire.Attach+" "+m.Service+" "+who+" "+m.ID+"\r\n"); err != nil {
 		nc.Close()
 		return nil, false, step.Wrap(err)
 	}
--- a/internal/dataplane/memberconn/settled_test.go
+++ b/internal/dataplane/memberconn/settled_test.go
@@ -94,7 +94,7 @@
 			go m.serve(c)
 		}
 	}()
-	member := directory.Member{ID: "m", Svc: "s", Addr: ln.Addr().String()}
+	member := directory.Member{ID: "m", Service: "s", Addr: ln.Addr().String()}
 	var c *Conn
 	answered, unsettled, again := 0, 0, 0
 	for n := range 1500 {
--- a/internal/dataplane/proxy/desk.go
+++ b/internal/dataplane/proxy/desk.go
@@ -124,10 +124,10 @@
 	}
 	touched := map[string]*memberGroup{}
 	for _, m := range d.table.Merge(n.Members, now) {
-		g := d.group(m.Svc)
+		g := d.group(m.Service)
 		g.g.Learn(m, now)
-		touched[m.Svc] = g
-		if m.Gone || m.Draining {
+		touched[m.Service] = g
+		if m.Tombstone || m.Draining {
 			g.shed(m.ID)
 		}
 	}
@@ -318,7 +318,7 @@
 // rest keeps a connection for later, or closes it where it may not be kept.
 func (d *desk) rest(g *memberGroup, m *group.Member, c *conn) {
 	p := g.pool(m.ID)
-	if m.Gone || m.Draining || g.g.Members[m.ID] != m || p.open > d.share(g) || !c.Settled() {
+	if m.Tombstone || m.Draining || g.g.Members[m.ID] != m || p.open > d.share(g) || !c.Settled() {
 		c.Close()
 		p.open--
 		return
--- a/internal/dataplane/proxy/desk_test.go
+++ b/internal/dataplane/proxy/desk_test.go
@@ -22,7 +22,7 @@
 	p := &Proxy{set: &settings.Settings{Zone: "z"}, log: events.Nothing(), ctx: ctx, start: time.Now().Add(-time.Minute)}
 	d := newDesk(p)
 	g := d.group("s")
-	g.g.Learn(directory.Member{ID: "a", Svc: "s", Zone: "z", Role: directory.RolePrimary, Life: 1, Seq: 1}, p.now())
+	g.g.Learn(directory.Member{ID: "a", Service: "s", Zone: "z", Role: directory.RolePrimary, Incarnation: 1, Seq: 1}, p.now())
 	a := g.g.Members["a"]
 	for range 50 { // answers take 100 ms of late
 		now := p.now()
--- a/internal/standin/cluster/nodes.go
+++ b/internal/standin/cluster/nodes.go
@@ -100,7 +100,7 @@
 		return answer(rows, err)
 	}
 	until := time.Now().Add(time.Second)
-	c, _, err := memberconn.Dial(directory.Member{ID: fetch.ID, Svc: fetch.Svc, Addr: fetch.Addr}, until)
+	c, _, err := memberconn.Dial(directory.Member{ID: fetch.ID, Service: fetch.Svc, Addr: fetch.Addr}, until)
 	if err != nil {
 		return "", false
 	}
