--- a/internal/dataplane/group/digest_test.go
+++ b/internal/dataplane/group/digest_test.go
@@ -59,9 +59,9 @@
 func (h *history) learn() {
 	h.seq++
 	id := string(rune('a' + h.rng.IntN(4)))
-	r := directory.Member{ID: id, Svc: "s", Zone: []string{"here", "near", "far"}[h.rng.IntN(3)], Seq: h.seq,
-		Role: directory.Role(h.rng.IntN(3)), Life: 1 + uint64(h.now/3000), Draining: h.rng.IntN(8) == 0,
-		Gone: h.rng.IntN(16) == 0}
+	r := directory.Member{ID: id, Service: "s", Zone: []string{"here", "near", "far"}[h.rng.IntN(3)], Seq: h.seq,
+		Role: directory.Role(h.rng.IntN(3)), Incarnation: 1 + uint64(h.now/3000), Draining: h.rng.IntN(8) == 0,
+		Tombstone: h.rng.IntN(16) == 0}
 	h.g.Learn(r, h.now)
 	if m := h.g.Members[id]; m != nil && !slices.Contains(h.old, m) {
 		h.old = append(h.old, m)
--- a/internal/dataplane/memberconn/golden_test.go
+++ b/internal/dataplane/memberconn/golden_test.go
@@ -78,7 +78,7 @@
 		first <- l
 		io.WriteString(c, says)
 	}()
-	c, refused, err := Dial(directory.Member{ID: "m1", Svc: "orders", Addr: ln.Addr().String()}, time.Now().Add(10*time.Second))
+	c, refused, err := Dial(directory.Member{ID: "m1", Service: "orders", Addr: ln.Addr().String()}, time.Now().Add(10*time.Second))
 	if err != nil {
 		return fmt.Sprintf("%q: nothing there %v, %s", <-first, refused, of(err))
 	}
