--- a/internal/controlplane/agent/agent.go
+++ b/internal/controlplane/agent/agent.go
@@ -78,9 +78,9 @@
 		return oops.In("listen").Wrap(err)
 	}
 	defer loop.Close()
-	go transport.Serve(mesh, 3*digestEvery, func(l *link) { l.CountInto(&PeerTraffic) }, a.takeFromPeer, func(*link) {})
+	go transport.Serve(mesh, 3*digestEvery, func(l *link) { l.SetCounters(&PeerTraffic) }, a.takeFromPeer, func(*link) {})
 	go transport.Serve(loop, 0, func(l *link) {
-		l.CountInto(&ProxyTraffic)
+		l.SetCounters(&ProxyTraffic)
 		a.do(func() { a.proxyUp(l) })
 	}, a.fromProxy, func(l *link) { a.do(func() { delete(a.proxies, l) }) })
 	a.seek()
@@ -117,14 +117,14 @@
 // leave gives the lease back, and lets the word of it go out.
 func (a *Agent) leave() {
 	if a.core != nil {
-		a.core.l.Send(&controlmsg.Frame{Renew: &controlmsg.Renew{Driver: a.self, End: true}})
+		a.core.l.Send(&controlmsg.Frame{LeaseRenewal: &controlmsg.LeaseRenewal{Driver: a.self, Release: true}})
 		select {
 		case <-a.core.l.Done():
 		case <-time.After(50 * time.Millisecond):
 		}
 		a.core.l.Close()
 	}
-	a.log.Event(events.Stopped, "coreTraffic", controlmsg.TrafficOf(&CoreTraffic), "peerTraffic", controlmsg.TrafficOf(&PeerTraffic))
+	a.log.Event(events.Stopped, "coreTraffic", controlmsg.ReadTraffic(&CoreTraffic), "peerTraffic", controlmsg.ReadTraffic(&PeerTraffic))
 }
 
 func (a *Agent) now() float64 { return float64(time.Since(a.at)) / 1e6 }
--- a/internal/controlplane/agent/corelink.go
+++ b/internal/controlplane/agent/corelink.go
@@ -85,7 +85,7 @@
 // hold dials a machine and reads the link until it ends.
 func (a *Agent) hold(t *coreLink, dialTimeout time.Duration) {
 	_ = transport.Dial(t.addr, dialTimeout, linkIdle, func(l *link) {
-		l.CountInto(&CoreTraffic)
+		l.SetCounters(&CoreTraffic)
 		l.Send(controlmsg.NewHello("agent", a.self.Name, a.self.Addr))
 		a.do(func() { a.linkUp(t, l) })
 	}, func(_ *link, f *controlmsg.Frame) {
@@ -101,7 +101,7 @@
 		a.use(t)
 		return
 	}
-	l.Send(&controlmsg.Frame{Renew: &controlmsg.Renew{Driver: a.self, Has: a.digest(), Trial: true}})
+	l.Send(&controlmsg.Frame{LeaseRenewal: &controlmsg.LeaseRenewal{Driver: a.self, Digest: a.digest(), Tentative: true}})
 	time.AfterFunc(time.Duration(trialWait*float64(time.Millisecond)), func() {
 		a.do(func() {
 			if a.trial == t {
@@ -155,12 +155,12 @@
 	}
 	t.heardAt = a.now()
 	if f.Hello != nil {
-		controlmsg.TakeHello(t.l, f.Hello)
+		controlmsg.HandleHello(t.l, f.Hello)
 		return
 	}
 	if f.Update != nil {
-		if f.Update.Contact != nil {
-			t.apart = *f.Update.Contact > consensus.ContactLease
+		if f.Update.QuorumContactAgeMs != nil {
+			t.apart = *f.Update.QuorumContactAgeMs > consensus.ContactLease
 		}
 		a.update(f.Update)
 	}
@@ -252,7 +252,7 @@
 // renew prolongs the driver's lease.
 func (a *Agent) renew() {
 	if a.core != nil {
-		a.core.l.Send(&controlmsg.Frame{Renew: &controlmsg.Renew{Driver: a.self, Has: a.digest()}})
+		a.core.l.Send(&controlmsg.Frame{LeaseRenewal: &controlmsg.LeaseRenewal{Driver: a.self, Digest: a.digest()}})
 	}
 }
 
--- a/internal/controlplane/agent/peers.go
+++ b/internal/controlplane/agent/peers.go
@@ -20,32 +20,32 @@
 	raw := transport.Encode(f)
 	for _, p := range a.peers {
 		if p.l != nil {
-			p.l.SendRaw(raw)
+			p.l.SendEncoded(raw)
 		}
 	}
 }
 
 // compare mends the gap that a peer's digest shows, both ways.
-func (a *Agent) compare(l *link, d *controlmsg.Digest) {
+func (a *Agent) compare(l *link, d *controlmsg.StateDigest) {
 	mine := a.digest()
-	n := &controlmsg.Update{}
-	if a.gen > d.Gen {
-		n.Gen, n.Config = a.gen, a.config
+	n := &controlmsg.StateUpdate{}
+	if a.gen > d.ConfigVersion {
+		n.ConfigVersion, n.Config = a.gen, a.config
 	}
-	if mine.Members != d.Members {
+	if mine.MembersHash != d.MembersHash {
 		n.Members = a.members.Snapshot()
 	}
-	if mine.Shards > d.Shards {
-		n.Shards = a.shards
+	if mine.ShardMapVersion > d.ShardMapVersion {
+		n.ShardMap = a.shards
 	}
-	if d.Apart && a.coreServes() {
-		n.Cores = a.cores
+	if d.Isolated && a.coreServes() {
+		n.CoreAddrs = a.cores
 	}
-	if n.Gen > 0 || n.Members != nil || n.Shards != nil || n.Cores != nil {
+	if n.ConfigVersion > 0 || n.Members != nil || n.ShardMap != nil || n.CoreAddrs != nil {
 		l.Send(&controlmsg.Frame{Update: n})
 	}
-	if !d.Quiet && (mine.Gen < d.Gen || mine.Shards < d.Shards || mine.Members != d.Members) {
-		mine.Quiet = true
+	if !d.NoReply && (mine.ConfigVersion < d.ConfigVersion || mine.ShardMapVersion < d.ShardMapVersion || mine.MembersHash != d.MembersHash) {
+		mine.NoReply = true
 		l.Send(&controlmsg.Frame{Digest: &mine})
 	}
 }
@@ -73,8 +73,8 @@
 }
 
 func (a *Agent) keepPeerLink(ctx context.Context, addr string) {
-	transport.Keep(ctx, addr, transport.Backoff{First: time.Second, Most: time.Second, DialTimeout: func(int) time.Duration { return transport.DialTimeout(2) }}, func(l *link) {
-		l.CountInto(&PeerTraffic)
+	transport.KeepConnected(ctx, addr, transport.Backoff{Initial: time.Second, Max: time.Second, DialTimeout: func(int) time.Duration { return transport.DialTimeout(2) }}, func(l *link) {
+		l.SetCounters(&PeerTraffic)
 		l.Send(controlmsg.NewHello("agent", a.self.Name, a.self.Addr))
 		a.do(func() {
 			if f := a.peers[addr]; f != nil && ctx.Err() == nil {
--- a/internal/controlplane/agent/updates.go
+++ b/internal/controlplane/agent/updates.go
@@ -8,10 +8,10 @@
 	"weirwind/internal/util/transport"
 )
 
-func (a *Agent) digest() controlmsg.Digest {
-	d := controlmsg.Digest{Gen: a.gen, Members: a.members.Digest(), Drivers: directory.DriversDigest(a.drivers), Apart: !a.coreServes()}
+func (a *Agent) digest() controlmsg.StateDigest {
+	d := controlmsg.StateDigest{ConfigVersion: a.gen, MembersHash: a.members.Digest(), DriversHash: directory.DriversDigest(a.drivers), Isolated: !a.coreServes()}
 	if a.shards != nil {
-		d.Shards = a.shards.Version
+		d.ShardMapVersion = a.shards.Version
 	}
 	return d
 }
@@ -20,7 +20,7 @@
 func (a *Agent) takeFromPeer(l *link, f *controlmsg.Frame) {
 	a.do(func() {
 		if f.Hello != nil {
-			controlmsg.TakeHello(l, f.Hello)
+			controlmsg.HandleHello(l, f.Hello)
 		}
 		if f.Update != nil {
 			a.update(f.Update)
@@ -32,45 +32,45 @@
 }
 
 // update takes what is new and passes it on: to the proxy, and to a few peers.
-func (a *Agent) update(n *controlmsg.Update) {
-	on := &controlmsg.Update{}
-	if n.Gen > a.gen {
-		a.gen, a.config = n.Gen, n.Config
-		on.Gen, on.Config = n.Gen, n.Config
+func (a *Agent) update(n *controlmsg.StateUpdate) {
+	on := &controlmsg.StateUpdate{}
+	if n.ConfigVersion > a.gen {
+		a.gen, a.config = n.ConfigVersion, n.Config
+		on.ConfigVersion, on.Config = n.ConfigVersion, n.Config
 	}
 	if n.Members != nil {
 		on.Members = a.members.Merge(n.Members, a.now())
 	}
-	if n.Shards != nil && (a.shards == nil || n.Shards.Version > a.shards.Version) {
-		a.shards, on.Shards = n.Shards, n.Shards
+	if n.ShardMap != nil && (a.shards == nil || n.ShardMap.Version > a.shards.Version) {
+		a.shards, on.ShardMap = n.ShardMap, n.ShardMap
 	}
-	if n.Cores != nil {
-		a.cores = n.Cores
+	if n.CoreAddrs != nil {
+		a.cores = n.CoreAddrs
 	}
 	drivers := n.Drivers
-	if n.Joined != nil || n.Left != nil {
-		drivers = directory.ApplyDiff(a.drivers, n.Joined, n.Left)
+	if n.DriversJoined != nil || n.DriversLeft != nil {
+		drivers = directory.ApplyDiff(a.drivers, n.DriversJoined, n.DriversLeft)
 	}
 	if drivers != nil {
 		a.drivers = drivers
 		a.choose()
 	}
-	if on.Gen > 0 || on.Members != nil || on.Shards != nil {
+	if on.ConfigVersion > 0 || on.Members != nil || on.ShardMap != nil {
 		f := &controlmsg.Frame{}
 		if on.Members != nil {
-			f.Update = &controlmsg.Update{Members: on.Members}
+			f.Update = &controlmsg.StateUpdate{Members: on.Members}
 		}
-		if on.Gen > 0 || on.Shards != nil { // a configuration is long, and most have it from the core by now: who lacks it asks
+		if on.ConfigVersion > 0 || on.ShardMap != nil { // a configuration is long, and most have it from the core by now: who lacks it asks
 			d := a.digest()
 			f.Digest = &d
 		}
 		a.sendToPeers(f)
 	}
-	if on.Gen > 0 || on.Members != nil || on.Shards != nil || drivers != nil {
-		on.Count = max(len(a.drivers), 1)
+	if on.ConfigVersion > 0 || on.Members != nil || on.ShardMap != nil || drivers != nil {
+		on.DriverCount = max(len(a.drivers), 1)
 		raw := transport.Encode(&controlmsg.Frame{Update: on})
 		for p := range a.proxies {
-			p.SendRaw(raw)
+			p.SendEncoded(raw)
 		}
 	}
 }
@@ -78,14 +78,14 @@
 // proxyUp tells a proxy that has just come all that is known.
 func (a *Agent) proxyUp(l *link) {
 	a.proxies[l] = true
-	l.Send(&controlmsg.Frame{Update: &controlmsg.Update{Gen: a.gen, Config: a.config, Members: a.members.Snapshot(), Shards: a.shards, Count: max(len(a.drivers), 1)}})
+	l.Send(&controlmsg.Frame{Update: &controlmsg.StateUpdate{ConfigVersion: a.gen, Config: a.config, Members: a.members.Snapshot(), ShardMap: a.shards, DriverCount: max(len(a.drivers), 1)}})
 }
 
 // fromProxy passes on what a proxy sees of primaries.
 func (a *Agent) fromProxy(_ *link, f *controlmsg.Frame) {
 	a.do(func() {
-		if f.Report != nil && a.core != nil {
-			f.Report.Driver = a.self.Name
+		if f.PrimaryReport != nil && a.core != nil {
+			f.PrimaryReport.Driver = a.self.Name
 			a.core.l.Send(f)
 		}
 	})
--- a/internal/controlplane/calls.go
+++ b/internal/controlplane/calls.go
@@ -121,7 +121,7 @@
 		http.Error(w, "the body did not come whole: "+err.Error(), statusOf(err))
 		return
 	}
-	status, answer := c.h.call(controlmsg.Request{Amend: amend, Base: base, Body: body})
+	status, answer := c.h.call(controlmsg.Request{Amend: amend, BaseVersion: base, Body: body})
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	w.WriteHeader(status)
 	w.Write(answer)
@@ -145,7 +145,7 @@
 func (c *configResource) amend(w http.ResponseWriter, r *http.Request)   { c.change(w, r, true) }
 
 func (c *configResource) show(w http.ResponseWriter, _ *http.Request) {
-	status, body := c.h.call(controlmsg.Request{Show: true})
+	status, body := c.h.call(controlmsg.Request{ReadConfig: true})
 	if status == http.StatusOK {
 		w.Header().Set("Content-Type", "application/json")
 	}
@@ -192,7 +192,7 @@
 		http.Error(w, "that is said by who moves shards", http.StatusBadRequest)
 		return
 	}
-	status, body := s.h.call(controlmsg.Request{Shards: &c})
+	status, body := s.h.call(controlmsg.Request{ShardChange: &c})
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	w.WriteHeader(status)
 	w.Write(body)
@@ -241,7 +241,7 @@
 	s.h.tables.do(func() { ch <- s.h.tables.status(brief) })
 	s.h.loop.do(func() { ch <- s.h.loop.status() })
 	all := map[string]any{"machine": s.h.set.Hostname, "traffic": map[string]controlmsg.Traffic{
-		"dialled": controlmsg.TrafficOf(&s.h.dialled), "accepted": controlmsg.TrafficOf(&s.h.accepted)}}
+		"dialled": controlmsg.ReadTraffic(&s.h.dialled), "accepted": controlmsg.ReadTraffic(&s.h.accepted)}}
 	for range 2 {
 		select {
 		case part := <-ch:
--- a/internal/controlplane/consensus_loop.go
+++ b/internal/controlplane/consensus_loop.go
@@ -189,7 +189,7 @@
 // send gives the node's messages to those whom they are for.
 func (c *consensusLoop) send() {
 	for _, s := range c.node.Messages() {
-		c.h.sendCore(s.To, &controlmsg.Frame{Agree: &s.Message})
+		c.h.sendCore(s.To, &controlmsg.Frame{Consensus: &s.Message})
 	}
 }
 
--- a/internal/controlplane/contact.go
+++ b/internal/controlplane/contact.go
@@ -66,7 +66,7 @@
 	} else {
 		t.h.log.Event(events.ContactLost, "ageMs", math.Round(age))
 	}
-	t.push(&controlmsg.Update{Contact: &age})
+	t.push(&controlmsg.StateUpdate{QuorumContactAgeMs: &age})
 }
 
 // tableComplete says that the others' words have come in for a whole lease of contact. Without that, silence proves nothing: neither a
--- a/internal/controlplane/controlmsg/costs_test.go
+++ b/internal/controlplane/controlmsg/costs_test.go
@@ -28,18 +28,18 @@
 		for i := range n { // as many members as drivers
 			members.Heartbeat(directory.Member{ID: fmt.Sprintf("i-%08x", i), Service: fmt.Sprint("svc", i/3), Addr: fmt.Sprintf("10.9.%d.%d:8080", i/250, i%250), Zone: "seoul-gangnam", Generation: "v1", Slots: 7, Role: directory.RoleReplica, Seq: 40}, 0, 1)
 		}
-		has := Digest{Gen: 7, Members: members.Digest(), Drivers: directory.DriversDigest(drivers)}
-		renew := size(&Frame{Renew: &Renew{Driver: drivers[0], Has: has}})
-		answer := size(&Frame{Update: &Update{Cores: []string{"10.1.0.10:8782", "10.2.0.8:8782", "10.3.0.9:8782", "10.4.0.8:8782", "10.5.0.8:8782"}}})
+		has := StateDigest{ConfigVersion: 7, MembersHash: members.Digest(), DriversHash: directory.DriversDigest(drivers)}
+		renew := size(&Frame{LeaseRenewal: &LeaseRenewal{Driver: drivers[0], Digest: has}})
+		answer := size(&Frame{Update: &StateUpdate{CoreAddrs: []string{"10.1.0.10:8782", "10.2.0.8:8782", "10.3.0.9:8782", "10.4.0.8:8782", "10.5.0.8:8782"}}})
 		digest := size(&Frame{Digest: &has})
-		beat := size(&Frame{Beats: []Beat{{ID: "i-00000001", Life: 1, Seq: 40}}})
-		lease := size(&Frame{Leases: []Lease{{Driver: drivers[0], Left: 3500}}})
-		one := size(&Frame{Update: &Update{Members: members.Snapshot()[:1]}})
+		beat := size(&Frame{Heartbeats: []Heartbeat{{MemberID: "i-00000001", Incarnation: 1, Seq: 40}}})
+		lease := size(&Frame{Leases: []DriverLease{{Driver: drivers[0], RemainingMs: 3500}}})
+		one := size(&Frame{Update: &StateUpdate{Members: members.Snapshot()[:1]}})
 		per := float64(n) / cores // agents, and members, at a core machine
 		core := per*(renew+answer) + (cores-1)*2*per*lease + (cores-1)*2*per/1.2*beat
 		agent := renew + answer + 2*2*digest/3
-		join := per * size(&Frame{Update: &Update{Joined: drivers[:1]}})
-		whole := size(&Frame{Update: &Update{Members: members.Snapshot(), Drivers: drivers}})
+		join := per * size(&Frame{Update: &StateUpdate{DriversJoined: drivers[:1]}})
+		whole := size(&Frame{Update: &StateUpdate{Members: members.Snapshot(), Drivers: drivers}})
 		t.Logf("%4d drivers, %4d members: a core machine %8.0f bytes/s, an agent %4.0f; one that joins %7.0f at a core machine; a member's word %6.0f; all lists once %7.0f", n, n, core, agent, join, per*one, whole)
 		if last > 0 && core/float64(n) > 1.2*last {
 			t.Errorf("%d drivers: %f bytes a driver, %f in the smaller fleet", n, core/float64(n), last)
--- a/internal/controlplane/controlmsg/golden_test.go
+++ b/internal/controlplane/controlmsg/golden_test.go
@@ -85,7 +85,7 @@
 	add("all", all)
 	add("none", &Frame{})
 	add("hello", NewHello("agent", "a1", "10.1.0.8:7440"))
-	add("welcome", &Frame{Hello: &Hello{Kind: Welcome, Deflate: true}})
+	add("welcome", &Frame{Hello: &Hello{Kind: KindWelcome, AcceptsCompressed: true}})
 	return names, frames
 }
 
--- a/internal/controlplane/controlmsg/hello.go
+++ b/internal/controlplane/controlmsg/hello.go
@@ -2,22 +2,22 @@
 
 import "weirwind/internal/util/transport"
 
-// Welcome is the kind of a Hello that answers one.
-const Welcome = "welcome"
+// KindWelcome is the kind of a Hello that answers one.
+const KindWelcome = "welcome"
 
 // NewHello opens a link for a process of some kind.
 func NewHello(kind, name, addr string) *Frame {
-	return &Frame{Hello: &Hello{Kind: kind, Name: name, Addr: addr, Deflate: true}}
+	return &Frame{Hello: &Hello{Kind: kind, Name: name, Addr: addr, AcceptsCompressed: true}}
 }
 
-// TakeHello agrees on the form of frames with a peer that said Hello: a process of a version that knows no compressed frames says
+// HandleHello agrees on the form of frames with a peer that said Hello: a process of a version that knows no compressed frames says
 // nothing of them, and is sent none.
-func TakeHello(l *transport.Link[Frame], h *Hello) {
-	if !h.Deflate {
+func HandleHello(l *transport.Link[Frame], h *Hello) {
+	if !h.AcceptsCompressed {
 		return
 	}
-	l.Compress()
-	if h.Kind != Welcome {
-		l.Send(&Frame{Hello: &Hello{Kind: Welcome, Deflate: true}})
+	l.EnableCompression()
+	if h.Kind != KindWelcome {
+		l.Send(&Frame{Hello: &Hello{Kind: KindWelcome, AcceptsCompressed: true}})
 	}
 }
--- a/internal/controlplane/controlmsg/purpose.go
+++ b/internal/controlplane/controlmsg/purpose.go
@@ -17,8 +17,8 @@
 	Configuration
 	ShardMaps
 	Digests
-	AgreementHeartbeats // messages of the agreement without an entry
-	AgreementEntries    // with one
+	ConsensusHeartbeats // messages of the agreement without an entry
+	ConsensusEntries    // with one
 	PrimaryReports      // what proxies see of primaries
 	OperatorCalls       // passed on to who leads, and their answers
 	purposeCount
@@ -42,18 +42,18 @@
 	switch {
 	case f.Hello != nil:
 		return Discovery
-	case f.Agree != nil:
-		if f.Agree.Entry != nil {
-			return AgreementEntries
+	case f.Consensus != nil:
+		if f.Consensus.Entry != nil {
+			return ConsensusEntries
 		}
-		return AgreementHeartbeats
-	case f.Renew != nil:
+		return ConsensusHeartbeats
+	case f.LeaseRenewal != nil:
 		return LeaseRenewals
 	case f.Update != nil:
 		return f.Update.purpose()
-	case f.Beats != nil:
+	case f.Heartbeats != nil:
 		return MemberHeartbeats
-	case f.Report != nil:
+	case f.PrimaryReport != nil:
 		return PrimaryReports
 	case f.Request != nil, f.Response != nil:
 		return OperatorCalls
@@ -65,15 +65,15 @@
 	return PurposeUnknown
 }
 
-func (u *Update) purpose() Purpose {
+func (u *StateUpdate) purpose() Purpose {
 	switch {
 	case u.Config != nil:
 		return Configuration
-	case u.Shards != nil:
+	case u.ShardMap != nil:
 		return ShardMaps
 	case u.Members != nil:
 		return MemberRecords
-	case u.Drivers != nil, u.Joined != nil, u.Left != nil:
+	case u.Drivers != nil, u.DriversJoined != nil, u.DriversLeft != nil:
 		return DriverLists
 	}
 	return LeaseRenewals
@@ -85,8 +85,8 @@
 	Received map[string]transport.Count `json:"received"`
 }
 
-// TrafficOf reads counters. Purposes of which there was nothing are left out.
-func TrafficOf(c *transport.Counters) Traffic {
+// ReadTraffic reads counters. Purposes of which there was nothing are left out.
+func ReadTraffic(c *transport.Counters) Traffic {
 	t := Traffic{Sent: map[string]transport.Count{}, Received: map[string]transport.Count{}}
 	for p := PurposeUnknown; p < purposeCount; p++ {
 		if n := c.Sent(uint8(p)); n.Frames > 0 {
--- a/internal/controlplane/controlplane.go
+++ b/internal/controlplane/controlplane.go
@@ -73,7 +73,7 @@
 	if err != nil {
 		return oops.In("listen").Wrap(err)
 	}
-	go transport.Serve(mesh, linkIdle, func(l *link) { l.CountInto(&h.accepted) }, h.take, func(l *link) { h.linkEnded(l) })
+	go transport.Serve(mesh, linkIdle, func(l *link) { l.SetCounters(&h.accepted) }, h.take, func(l *link) { h.linkEnded(l) })
 	for _, p := range s.Peers {
 		h.reach(p)
 	}
@@ -88,7 +88,7 @@
 	<-done
 	server.Close()
 	mesh.Close()
-	log.Event(events.Stopped, "dialled", controlmsg.TrafficOf(&h.dialled), "accepted", controlmsg.TrafficOf(&h.accepted))
+	log.Event(events.Stopped, "dialled", controlmsg.ReadTraffic(&h.dialled), "accepted", controlmsg.ReadTraffic(&h.accepted))
 	if cause := context.Cause(h.ctx); cause != context.Canceled {
 		return cause
 	}
@@ -118,8 +118,8 @@
 		old, c.l = c.l, l
 		return old
 	}
-	go transport.Keep(h.ctx, addr, transport.Backoff{First: 50 * time.Millisecond, Most: time.Second, DialTimeout: transport.DialTimeout}, func(l *link) {
-		l.CountInto(&h.dialled)
+	go transport.KeepConnected(h.ctx, addr, transport.Backoff{Initial: 50 * time.Millisecond, Max: time.Second, DialTimeout: transport.DialTimeout}, func(l *link) {
+		l.SetCounters(&h.dialled)
 		l.Send(controlmsg.NewHello("core", h.set.Hostname, h.set.Ctl))
 		set(l)
 		h.log.Event(events.LinkUp, "core", ctl)
@@ -167,7 +167,7 @@
 		h.reach(ctl)
 	}
 	for _, l := range []*link{made, back} {
-		if l != nil && l.Stands() {
+		if l != nil && l.Up() {
 			return l
 		}
 	}
@@ -191,25 +191,25 @@
 	defer h.mu.Unlock()
 	for _, c := range h.cores {
 		if c.l != nil {
-			c.l.SendRaw(raw)
+			c.l.SendEncoded(raw)
 		}
 	}
 }
 
 // take successions a frame to who owns what it is about.
 func (h *Server) take(l *link, f *controlmsg.Frame) {
-	if f.Agree != nil {
+	if f.Consensus != nil {
 		h.loop.do(func() {
-			if m := f.Agree; m.From.Addr != "" {
+			if m := f.Consensus; m.From.Addr != "" {
 				h.heardFrom(m.From.Addr, l)
 			}
-			h.loop.node.Receive(f.Agree, h.now())
+			h.loop.node.Receive(f.Consensus, h.now())
 			h.loop.commits() // the next message may bring an entry that takes its place
 		})
 		return
 	}
 	if f.Hello != nil {
-		controlmsg.TakeHello(l, f.Hello)
+		controlmsg.HandleHello(l, f.Hello)
 		return
 	}
 	if f.Request != nil {
--- a/internal/controlplane/forward.go
+++ b/internal/controlplane/forward.go
@@ -25,7 +25,7 @@
 	if !h.inContact() {
 		return http.StatusServiceUnavailable, []byte(noContactText + "\n")
 	}
-	a.Node = h.set.Hostname
+	a.Origin = h.set.Hostname
 	began := time.Now()
 	for {
 		r, sent := h.callOnce(a, began.Add(requestTimeout))
@@ -45,7 +45,7 @@
 
 // kindOf says which calls can be made again as they were: readings, and changes that are found among those taken.
 func kindOf(a *controlmsg.Request) idempotency.Kind {
-	if a.Shards != nil || a.Sites != nil || a.Grant != nil {
+	if a.ShardChange != nil || a.SiteChange != nil || a.SiteLease != nil {
 		return idempotency.Once
 	}
 	return idempotency.Idempotent
--- a/internal/controlplane/moving.go
+++ b/internal/controlplane/moving.go
@@ -83,7 +83,7 @@
 		return
 	case shardmap.Propose:
 		go func() {
-			status, _ := t.h.call(controlmsg.Request{Shards: a.Change})
+			status, _ := t.h.call(controlmsg.Request{ShardChange: a.Change})
 			res := shardmap.Result{}
 			if status != 200 {
 				res.Err = "refused"
--- a/internal/controlplane/orders/core_test.go
+++ b/internal/controlplane/orders/core_test.go
@@ -305,9 +305,9 @@
 }
 
 func replace(base, gen, id int) controlmsg.Request {
-	return controlmsg.Request{Base: uint64(base), Body: fmt.Appendf(nil, `{"gen":%d,"routes":[],"svcs":[],"limits":{"txIdleMs":%d}}`, gen, id)}
+	return controlmsg.Request{BaseVersion: uint64(base), Body: fmt.Appendf(nil, `{"gen":%d,"routes":[],"svcs":[],"limits":{"txIdleMs":%d}}`, gen, id)}
 }
 
 func amend(base, gen, id int) controlmsg.Request {
-	return controlmsg.Request{Amend: true, Base: uint64(base), Body: fmt.Appendf(nil, `{"gen":%d,"upsert":{"svcs":[{"name":"%d"}]}}`, gen, id)}
+	return controlmsg.Request{Amend: true, BaseVersion: uint64(base), Body: fmt.Appendf(nil, `{"gen":%d,"upsert":{"svcs":[{"name":"%d"}]}}`, gen, id)}
 }
--- a/internal/controlplane/orders/history_test.go
+++ b/internal/controlplane/orders/history_test.go
@@ -204,7 +204,7 @@
 
 func (o *operator) look() {
 	o.open++
-	o.g.send(asked{show: true}, controlmsg.Request{Show: true}, o.client, func(out told) {
+	o.g.send(asked{show: true}, controlmsg.Request{ReadConfig: true}, o.client, func(out told) {
 		o.open--
 		if out.code == 200 {
 			o.known = out.gen
--- a/internal/controlplane/orders/orders.go
+++ b/internal/controlplane/orders/orders.go
@@ -123,9 +123,9 @@
 	case o.index > 0, s.blocked, s.node.Busy(), s.state == nil:
 		s.blocked = true
 		return nil
-	case o.Grant != nil:
+	case o.SiteLease != nil:
 		return s.confirmed(o, s.grant)
-	case o.Show:
+	case o.ReadConfig:
 		return s.confirmed(o, s.show)
 	}
 	return s.change(o)
@@ -174,18 +174,18 @@
 
 func (s *step) apply(o *Order) (*config.State, error) {
 	switch {
-	case o.Shards != nil:
-		return s.state.WithShards(o.Shards)
-	case o.Sites != nil:
-		return s.state.WithSites(o.Sites)
-	case o.Forget != "":
-		return s.state.WithoutMember(o.Forget)
-	}
-	c := &config.Change{Amend: o.Amend, Base: o.Base, Body: o.Body}
+	case o.ShardChange != nil:
+		return s.state.WithShards(o.ShardChange)
+	case o.SiteChange != nil:
+		return s.state.WithSites(o.SiteChange)
+	case o.ForgetMember != "":
+		return s.state.WithoutMember(o.ForgetMember)
+	}
+	c := &config.Change{Amend: o.Amend, Base: o.BaseVersion, Body: o.Body}
 	if s.state.Taken(c) {
 		return s.state, nil
 	}
-	return s.state.Apply(c, o.Node, s.wall)
+	return s.state.Apply(c, o.Origin, s.wall)
 }
 
 func (s *step) propose(o *Order, next *config.State) *Answer {
@@ -223,7 +223,7 @@
 // grant answers for a site's lease; the sites that are known come along.
 func (s *step) grant(o *Order) *Answer {
 	known := s.state.Sites
-	if known == nil || known.Sites[o.Grant.Site].Life != o.Grant.Life || known.Sites[o.Grant.Site].State == sites.Out {
+	if known == nil || known.Sites[o.SiteLease.Site].Life != o.SiteLease.Incarnation || known.Sites[o.SiteLease.Site].State == sites.Out {
 		over := []byte("this life of the site is over, or has not joined\n")
 		return &Answer{Status: 409, Body: over, Outcome: Refused, Reason: "sites"}
 	}
--- a/internal/controlplane/orders/orders_test.go
+++ b/internal/controlplane/orders/orders_test.go
@@ -57,7 +57,7 @@
 }
 
 func (c *core) shows(m *machine) int {
-	a := c.at(m, controlmsg.Request{Show: true})
+	a := c.at(m, controlmsg.Request{ReadConfig: true})
 	if c.until(a) != 200 {
 		return -a.Status
 	}
@@ -139,7 +139,7 @@
 			c.must(lead, replace(5, 6, 2), 503)
 			c.must(lead, replace(5, 5, 2), 400)
 			c.must(lead, replace(1, 1, 2), 400)
-			c.must(lead, controlmsg.Request{Base: 1, Body: []byte(`{"gen":2`)}, 400)
+			c.must(lead, controlmsg.Request{BaseVersion: 1, Body: []byte(`{"gen":2`)}, 400)
 			So(c.shows(lead), ShouldEqual, 1)
 		})
 		Convey("an order lost with who led is taken by the next, once (Committed, in proposed)", func() {
@@ -248,7 +248,7 @@
 			continue
 		}
 		found++
-		shown, refused := c.at(lead, controlmsg.Request{Show: true}), c.at(lead, replace(0, 5, 5))
+		shown, refused := c.at(lead, controlmsg.Request{ReadConfig: true}), c.at(lead, replace(0, 5, 5))
 		c.settle(lead, 0)
 		c.settle(lead, 0)
 		if c.until(shown) != 503 || c.until(refused) != 503 {
@@ -271,7 +271,7 @@
 	most := 0
 	for i := range 1200 {
 		r := replace(i, i+1, i+1)
-		c := &config.Change{Base: r.Base, Body: r.Body}
+		c := &config.Change{Base: r.BaseVersion, Body: r.Body}
 		next, err := s.Apply(c, "machine", 0)
 		if err != nil {
 			t.Fatal(err)
@@ -297,7 +297,7 @@
 		t.Logf("%d changes are remembered in %d bytes, the configuration among them", len(s.Past), len(raw))
 	}
 	other := replace(1000, 1001, 7)
-	if _, err := s.Apply(&config.Change{Base: other.Base, Body: other.Body}, "machine", 0); fmt.Sprintf("%T", err) != "*config.Refusal" {
+	if _, err := s.Apply(&config.Change{Base: other.BaseVersion, Body: other.Body}, "machine", 0); fmt.Sprintf("%T", err) != "*config.Refusal" {
 		t.Errorf("another change on a base of late: %v", err)
 	}
 }
--- a/internal/controlplane/requests.go
+++ b/internal/controlplane/requests.go
@@ -15,8 +15,8 @@
 func (c *consensusLoop) take(r controlmsg.Request, reply func(status int, body []byte)) {
 	c.orders.Take(&orders.Order{Request: r, Reply: func(a orders.Answer) {
 		c.logAnswer(&r, &a)
-		if r.Grant != nil && a.Outcome == orders.Shown {
-			c.h.tables.do(func() { c.h.tables.granted[r.Grant.Site] = c.h.now() })
+		if r.SiteLease != nil && a.Outcome == orders.Shown {
+			c.h.tables.do(func() { c.h.tables.granted[r.SiteLease.Site] = c.h.now() })
 		}
 		if a.Reason == orders.NotLeading {
 			a.Status = statusNotLeading
@@ -36,18 +36,18 @@
 
 func (c *consensusLoop) logAnswer(r *controlmsg.Request, a *orders.Answer) {
 	switch {
-	case a.Outcome == orders.Refused && r.Grant == nil:
-		c.h.log.Event(events.ConfigNot, "reason", a.Reason, "why", string(a.Body), "from", r.Node)
+	case a.Outcome == orders.Refused && r.SiteLease == nil:
+		c.h.log.Event(events.ConfigNot, "reason", a.Reason, "why", string(a.Body), "from", r.Origin)
 	case a.Outcome != orders.Taken:
-	case r.Forget != "":
-		c.h.log.Event(events.RosterChange, "forgotten", r.Forget, "from", r.Node)
-	case r.Sites != nil:
-		s := r.Sites
+	case r.ForgetMember != "":
+		c.h.log.Event(events.RosterChange, "forgotten", r.ForgetMember, "from", r.Origin)
+	case r.SiteChange != nil:
+		s := r.SiteChange
 		c.h.log.Event(events.SiteMap, "kind", s.Kind, "site", s.Name, "version", a.State.Sites.Version)
-	case r.Shards != nil:
-		s := r.Shards
+	case r.ShardChange != nil:
+		s := r.ShardChange
 		c.h.log.Event(events.ShardMap, "kind", s.Kind, "shard", s.Shard, "node", s.Node, "version", a.State.Shards.Version)
 	default:
-		c.h.log.Event(events.ConfigTaken, "gen", a.State.Gen, "base", r.Base, "from", r.Node)
+		c.h.log.Event(events.ConfigTaken, "gen", a.State.Gen, "base", r.BaseVersion, "from", r.Origin)
 	}
 }
--- a/internal/controlplane/resets_test.go
+++ b/internal/controlplane/resets_test.go
@@ -48,7 +48,7 @@
 	p.mu.Lock()
 	l, up := p.link, p.up
 	p.mu.Unlock()
-	if l == nil || !l.Stands() { // as coreLink does: a call is put on a link that stands
+	if l == nil || !l.Up() { // as coreLink does: a call is put on a link that stands
 		<-up
 		return nil, false
 	}
@@ -82,8 +82,8 @@
 	relay.Most(2000)
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	again := transport.Backoff{First: time.Millisecond, Most: time.Millisecond, DialTimeout: transport.DialTimeout}
-	go transport.Keep(ctx, relay.Addr(), again, func(l *link) { p.set(l) }, func(l *link, f *controlmsg.Frame) { p.pending.answer(l, f.Response) },
+	again := transport.Backoff{Initial: time.Millisecond, Max: time.Millisecond, DialTimeout: transport.DialTimeout}
+	go transport.KeepConnected(ctx, relay.Addr(), again, func(l *link) { p.set(l) }, func(l *link, f *controlmsg.Frame) { p.pending.answer(l, f.Response) },
 		func() { p.pending.lost(p.set(nil)) })
 
 	const callers, each = 8, 150
--- a/internal/controlplane/roster.go
+++ b/internal/controlplane/roster.go
@@ -140,7 +140,7 @@
 func (m *membersResource) forget(w http.ResponseWriter, r *http.Request) {
 	id := r.PathValue("id")
 	m.h.tables.do(func() { m.h.tables.leave(id) })
-	status, answer := m.h.call(controlmsg.Request{Forget: id})
+	status, answer := m.h.call(controlmsg.Request{ForgetMember: id})
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	w.WriteHeader(status)
 	w.Write(answer)
--- a/internal/controlplane/sites.go
+++ b/internal/controlplane/sites.go
@@ -37,7 +37,7 @@
 		t.granted[name] = now // not again at once
 		t.h.log.Event(events.SiteLapsed, "site", name, "epoch", s.Epoch)
 		change := &sites.Change{Kind: sites.Lapse, Name: name, Epoch: s.Epoch}
-		go t.h.call(controlmsg.Request{Sites: change})
+		go t.h.call(controlmsg.Request{SiteChange: change})
 	}
 }
 
@@ -60,11 +60,11 @@
 		http.Error(w, "a renewal names its addr and life", http.StatusBadRequest)
 		return
 	}
-	grant := controlmsg.Request{Grant: &controlmsg.Grant{Site: name, Life: n.Life}}
+	grant := controlmsg.Request{SiteLease: &controlmsg.SiteLeaseRequest{Site: name, Incarnation: n.Life}}
 	status, body := s.h.call(grant)
 	if status == http.StatusConflict {
 		join := &sites.Change{Kind: sites.Join, Name: name, Site: sites.Site{Addr: n.Addr, HTTP: n.HTTP, Zone: n.Zone, Region: n.Region, Life: n.Life}}
-		if status, body = s.h.call(controlmsg.Request{Sites: join}); status == http.StatusOK {
+		if status, body = s.h.call(controlmsg.Request{SiteChange: join}); status == http.StatusOK {
 			status, body = s.h.call(grant)
 		}
 	}
@@ -91,7 +91,7 @@
 			}
 			c.Pace = n
 		}
-		status, body := s.h.call(controlmsg.Request{Sites: c})
+		status, body := s.h.call(controlmsg.Request{SiteChange: c})
 		s.answer(w, status, body)
 	}
 }
--- a/internal/controlplane/succession.go
+++ b/internal/controlplane/succession.go
@@ -65,9 +65,9 @@
 		}
 		for _, r := range t.reports[cs.Name] {
 			if now-r.at < accuseFor {
-				if r.r.Stuck {
+				if r.r.CommitsStalled {
 					v.Stuck++
-				} else if r.r.Silent > 0 || r.r.Dead {
+				} else if r.r.UnresponsiveMs > 0 || r.r.Unreachable {
 					v.Accused++
 				} else {
 					v.Cleared++
--- a/internal/controlplane/tables.go
+++ b/internal/controlplane/tables.go
@@ -38,7 +38,7 @@
 	state   *config.State
 	config  *config.Config
 	cores   []string
-	beats   []controlmsg.Beat
+	beats   []controlmsg.Heartbeat
 	beatsAt float64
 	syncAt  float64
 	leaving map[string]float64
@@ -69,7 +69,7 @@
 }
 
 type report struct {
-	r  controlmsg.Report
+	r  controlmsg.PrimaryReport
 	at float64
 }
 
@@ -105,7 +105,7 @@
 	if now >= t.beatsAt {
 		t.beatsAt = now + beatsEvery
 		if t.beats != nil {
-			t.h.sendCores(&controlmsg.Frame{Beats: t.beats})
+			t.h.sendCores(&controlmsg.Frame{Heartbeats: t.beats})
 			t.beats = nil
 		}
 	}
@@ -121,7 +121,7 @@
 			if !here[dr.Name] {
 				continue
 			}
-			f.Leases = append(f.Leases, controlmsg.Lease{Driver: dr, Left: t.leases.Expiry(dr.Name) - now})
+			f.Leases = append(f.Leases, controlmsg.DriverLease{Driver: dr, RemainingMs: t.leases.Expiry(dr.Name) - now})
 		}
 		t.h.sendCores(f)
 	}
@@ -148,12 +148,12 @@
 	t.driversNew = t.driversNew || lapsed != nil
 }
 
-func (t *tables) digest() controlmsg.Digest {
-	d := controlmsg.Digest{Members: t.members.Digest(), Drivers: t.leases.Digest()}
+func (t *tables) digest() controlmsg.StateDigest {
+	d := controlmsg.StateDigest{MembersHash: t.members.Digest(), DriversHash: t.leases.Digest()}
 	if t.state != nil {
-		d.Gen = t.state.Gen
+		d.ConfigVersion = t.state.Gen
 		if t.state.Shards != nil {
-			d.Shards = t.state.Shards.Version
+			d.ShardMapVersion = t.state.Shards.Version
 		}
 	}
 	return d
@@ -171,7 +171,7 @@
 	shards := book.Shards != nil && (t.state == nil || t.state.Shards == nil || t.state.Shards.Version < book.Shards.Version)
 	t.state = book
 	if shards {
-		t.push(&controlmsg.Update{Shards: book.Shards})
+		t.push(&controlmsg.StateUpdate{ShardMap: book.Shards})
 		t.move(t.h.now())
 	}
 	if !news {
@@ -180,17 +180,17 @@
 	if cfg, err := config.Read(book.Raw); err == nil {
 		t.config = cfg
 	}
-	t.push(&controlmsg.Update{Gen: book.Gen, Config: book.Raw, Cores: cores})
+	t.push(&controlmsg.StateUpdate{ConfigVersion: book.Gen, Config: book.Raw, CoreAddrs: cores})
 }
 
 // push tells the agents that are linked here.
-func (t *tables) push(n *controlmsg.Update) {
+func (t *tables) push(n *controlmsg.StateUpdate) {
 	if len(t.agents) == 0 {
 		return
 	}
 	raw := transport.Encode(&controlmsg.Frame{Update: n})
 	for l := range t.agents {
-		l.SendRaw(raw)
+		l.SendEncoded(raw)
 	}
 }
 
@@ -204,13 +204,13 @@
 	joined, left := directory.Diff(t.drivers, t.leases.Drivers())
 	t.drivers, t.driversDigest = t.leases.Drivers(), t.leases.Digest()
 	if joined != nil || left != nil {
-		t.push(&controlmsg.Update{Joined: joined, Left: left})
+		t.push(&controlmsg.StateUpdate{DriversJoined: joined, DriversLeft: left})
 	}
 }
 
 // spread tells agents and the other core machines of members.
 func (t *tables) spread(ms []directory.Member) {
-	n := &controlmsg.Update{Members: ms}
+	n := &controlmsg.StateUpdate{Members: ms}
 	t.push(n)
 	t.h.sendCores(&controlmsg.Frame{Update: n})
 }
@@ -240,7 +240,7 @@
 	}
 	if !changed {
 		if len(t.beats) < 1024 {
-			t.beats = append(t.beats, controlmsg.Beat{ID: m.ID, Life: m.Incarnation, Seq: m.Seq})
+			t.beats = append(t.beats, controlmsg.Heartbeat{MemberID: m.ID, Incarnation: m.Incarnation, Seq: m.Seq})
 		}
 		return
 	}
@@ -297,24 +297,24 @@
 func (t *tables) take(l *link, f *controlmsg.Frame) {
 	now := t.h.now()
 	switch {
-	case f.Renew != nil:
-		t.renew(l, f.Renew, now)
+	case f.LeaseRenewal != nil:
+		t.renew(l, f.LeaseRenewal, now)
 	case f.Update != nil:
 		t.merge(f.Update.Members, now)
-	case f.Beats != nil:
-		for _, b := range f.Beats {
-			t.members.ObserveHeartbeat(b.ID, b.Life, b.Seq, now)
+	case f.Heartbeats != nil:
+		for _, b := range f.Heartbeats {
+			t.members.ObserveHeartbeat(b.MemberID, b.Incarnation, b.Seq, now)
 		}
-	case f.Report != nil:
-		t.report(f.Report, now)
+	case f.PrimaryReport != nil:
+		t.report(f.PrimaryReport, now)
 	case f.Digest != nil:
 		changed := false
 		for _, le := range f.Leases {
-			changed = t.leases.Renew(le.Driver, now+min(le.Left, ms(leaseFor))) || changed
+			changed = t.leases.Renew(le.Driver, now+min(le.RemainingMs, ms(leaseFor))) || changed
 		}
 		t.driversNew = t.driversNew || changed
-		if !f.Digest.Quiet && f.Digest.Members != t.members.Digest() { // whoever differs is told, on its own link; it tells what it has likewise
-			l.Send(&controlmsg.Frame{Update: &controlmsg.Update{Members: t.members.Snapshot()}})
+		if !f.Digest.NoReply && f.Digest.MembersHash != t.members.Digest() { // whoever differs is told, on its own link; it tells what it has likewise
+			l.Send(&controlmsg.Frame{Update: &controlmsg.StateUpdate{Members: t.members.Snapshot()}})
 		}
 	}
 }
@@ -325,19 +325,19 @@
 		t.noteLeaving(m, now)
 	}
 	if news != nil {
-		t.push(&controlmsg.Update{Members: news})
+		t.push(&controlmsg.StateUpdate{Members: news})
 	}
 }
 
 // renew prolongs a driver's lease and tells it what it lacks.
-func (t *tables) renew(l *link, r *controlmsg.Renew, now float64) {
-	if r.End {
+func (t *tables) renew(l *link, r *controlmsg.LeaseRenewal, now float64) {
+	if r.Release {
 		t.driversNew = t.leases.Release(r.Driver.Name, r.Driver.Incarnation) || t.driversNew
 		return
 	}
 	age := t.h.contactAge()
-	if r.Trial && !t.contact.held {
-		l.Send(&controlmsg.Frame{Update: &controlmsg.Update{Contact: &age}})
+	if r.Tentative && !t.contact.held {
+		l.Send(&controlmsg.Frame{Update: &controlmsg.StateUpdate{QuorumContactAgeMs: &age}})
 		return
 	}
 	_, linked := t.agents[l]
@@ -345,53 +345,53 @@
 	if t.leases.Renew(r.Driver, now+ms(leaseFor)) {
 		t.h.log.Event(events.DriverNew, "driver", r.Driver.Name)
 		t.driversNew = true
-		t.h.sendCores(&controlmsg.Frame{Digest: &controlmsg.Digest{Members: t.members.Digest()}, Leases: []controlmsg.Lease{{Driver: r.Driver, Left: ms(leaseFor)}}})
+		t.h.sendCores(&controlmsg.Frame{Digest: &controlmsg.StateDigest{MembersHash: t.members.Digest()}, Leases: []controlmsg.DriverLease{{Driver: r.Driver, RemainingMs: ms(leaseFor)}}})
 	}
-	n := &controlmsg.Update{Contact: &age}
+	n := &controlmsg.StateUpdate{QuorumContactAgeMs: &age}
 	if t.contact.held || !linked {
-		n.Cores = t.cores
+		n.CoreAddrs = t.cores
 	}
 	d := t.digest()
-	if t.state != nil && r.Has.Gen < d.Gen {
-		n.Gen, n.Config = t.state.Gen, t.state.Raw
+	if t.state != nil && r.Digest.ConfigVersion < d.ConfigVersion {
+		n.ConfigVersion, n.Config = t.state.Gen, t.state.Raw
 	}
-	if r.Has.Shards < d.Shards {
-		n.Shards = t.state.Shards
+	if r.Digest.ShardMapVersion < d.ShardMapVersion {
+		n.ShardMap = t.state.Shards
 	}
 	// A renewal that crossed a change on its way differs too: an agent is sent all only on its link's first renewal, or where the next
 	// one still differs.
 	differed := !linked || t.differs[l]
-	t.differs[l] = r.Has.Members != d.Members || r.Has.Drivers != t.driversDigest
-	if differed && r.Has.Members != d.Members {
+	t.differs[l] = r.Digest.MembersHash != d.MembersHash || r.Digest.DriversHash != t.driversDigest
+	if differed && r.Digest.MembersHash != d.MembersHash {
 		n.Members = t.members.Snapshot()
 	}
 	switch {
-	case !differed || r.Has.Drivers == t.driversDigest:
+	case !differed || r.Digest.DriversHash == t.driversDigest:
 	case t.tableComplete(now):
 		n.Drivers = t.drivers
 	case !linked:
-		n.Joined = t.leases.Drivers()
+		n.DriversJoined = t.leases.Drivers()
 	}
 	f := &controlmsg.Frame{Update: n}
-	if now < ms(askAgents) && r.Has.Members != d.Members { // what was lost here is told by those who were told: also of members that are dead
-		f.Digest = &controlmsg.Digest{Gen: r.Has.Gen, Members: d.Members, Quiet: true}
+	if now < ms(askAgents) && r.Digest.MembersHash != d.MembersHash { // what was lost here is told by those who were told: also of members that are dead
+		f.Digest = &controlmsg.StateDigest{ConfigVersion: r.Digest.ConfigVersion, MembersHash: d.MembersHash, NoReply: true}
 	}
 	l.Send(f)
 }
 
-func (t *tables) report(r *controlmsg.Report, now float64) {
+func (t *tables) report(r *controlmsg.PrimaryReport, now float64) {
 	if !t.leading {
 		t.h.loop.do(func() {
 			if leader, ok := t.h.loop.node.Leading(); ok && leader.Addr != t.h.set.Ctl {
-				t.h.sendCore(leader.Addr, &controlmsg.Frame{Report: r})
+				t.h.sendCore(leader.Addr, &controlmsg.Frame{PrimaryReport: r})
 			}
 		})
 		return
 	}
-	if t.reports[r.Svc] == nil {
-		t.reports[r.Svc] = map[string]report{}
+	if t.reports[r.Service] == nil {
+		t.reports[r.Service] = map[string]report{}
 	}
-	t.reports[r.Svc][r.Driver] = report{*r, now}
+	t.reports[r.Service][r.Driver] = report{*r, now}
 }
 
 func (t *tables) status(brief bool) map[string]any {
--- a/internal/dataplane/proxy/desk.go
+++ b/internal/dataplane/proxy/desk.go
@@ -97,12 +97,12 @@
 func (d *desk) run() { d.q.Run(tickEvery, d.tick) }
 
 // news takes what the agent says.
-func (d *desk) news(n *controlmsg.Update) {
+func (d *desk) news(n *controlmsg.StateUpdate) {
 	now := d.p.now()
-	if n.Count > 0 {
-		d.count = n.Count
+	if n.DriverCount > 0 {
+		d.count = n.DriverCount
 	}
-	if n.Config != nil && (d.cfg == nil || n.Gen > d.cfg.Gen) { // never back
+	if n.Config != nil && (d.cfg == nil || n.ConfigVersion > d.cfg.Gen) { // never back
 		cfg, err := config.Read(n.Config)
 		if err != nil {
 			d.p.log.Error(events.ConfigNot, err)
@@ -119,7 +119,7 @@
 			}
 		}
 	}
-	if d.slots.Learn(n.Shards) {
+	if d.slots.Learn(n.ShardMap) {
 		d.release(now)
 	}
 	touched := map[string]*memberGroup{}
@@ -431,14 +431,14 @@
 		return
 	}
 	g.reported = now
-	r := &controlmsg.Report{Svc: g.g.Svc}
+	r := &controlmsg.PrimaryReport{Service: g.g.Svc}
 	switch {
 	case p == nil && bad:
-		r.ID, r.Dead = g.g.Slot.Last, true
+		r.MemberID, r.Unreachable = g.g.Slot.Last, true
 	case p != nil:
-		r.ID = p.ID
-		if r.Stuck = stuck; bad && !stuck {
-			r.Silent = max(g.g.Owing(now), 1)
+		r.MemberID = p.ID
+		if r.CommitsStalled = stuck; bad && !stuck {
+			r.UnresponsiveMs = max(g.g.Owing(now), 1)
 		}
 	}
 	g.accused = bad
--- a/internal/dataplane/proxy/proxy.go
+++ b/internal/dataplane/proxy/proxy.go
@@ -127,8 +127,8 @@
 
 // feed takes the agent's news over loopback.
 func (p *Proxy) feed() {
-	again := transport.Backoff{First: 20 * time.Millisecond, Most: 500 * time.Millisecond, DialTimeout: func(int) time.Duration { return transport.DialTimeout(0) }}
-	transport.Keep(p.ctx, p.set.Feed, again, func(l *transport.Link[controlmsg.Frame]) { p.agent.Store(l) }, func(_ *transport.Link[controlmsg.Frame], f *controlmsg.Frame) {
+	again := transport.Backoff{Initial: 20 * time.Millisecond, Max: 500 * time.Millisecond, DialTimeout: func(int) time.Duration { return transport.DialTimeout(0) }}
+	transport.KeepConnected(p.ctx, p.set.Feed, again, func(l *transport.Link[controlmsg.Frame]) { p.agent.Store(l) }, func(_ *transport.Link[controlmsg.Frame], f *controlmsg.Frame) {
 		if f.Update != nil {
 			p.desk.do(func() { p.desk.news(f.Update) })
 		}
@@ -154,9 +154,9 @@
 	}
 }
 
-func (p *Proxy) report(r *controlmsg.Report) {
+func (p *Proxy) report(r *controlmsg.PrimaryReport) {
 	if l := p.agent.Load(); l != nil {
-		l.Send(&controlmsg.Frame{Report: r})
+		l.Send(&controlmsg.Frame{PrimaryReport: r})
 	}
 }
 
--- a/internal/lab/hollow/hollow_test.go
+++ b/internal/lab/hollow/hollow_test.go
@@ -65,7 +65,7 @@
 		Convey("the count sees what encoded words alone did not: heartbeats of members, the agreement, configurations", func() {
 			beats, _ := perMachine(plays[100], "steady", "members", "heartbeats")
 			So(beats, ShouldBeGreaterThan, 0)
-			for phase, purpose := range map[string]controlmsg.Purpose{"steady": controlmsg.AgreementHeartbeats, "configuration": controlmsg.Configuration,
+			for phase, purpose := range map[string]controlmsg.Purpose{"steady": controlmsg.ConsensusHeartbeats, "configuration": controlmsg.Configuration,
 				"member changes": controlmsg.MemberRecords, "driver restarts": controlmsg.DriverLists} {
 				bytes, _ := perMachine(plays[100], phase, "core", purpose.String())
 				So(bytes, ShouldBeGreaterThan, 0)
--- a/internal/lab/hollow/processes.go
+++ b/internal/lab/hollow/processes.go
@@ -147,7 +147,7 @@
 			d.start(i)
 		}
 	}
-	return Sample{Traffic: map[string]controlmsg.Traffic{"core": controlmsg.TrafficOf(&agent.CoreTraffic), "peers": controlmsg.TrafficOf(&agent.PeerTraffic)}}
+	return Sample{Traffic: map[string]controlmsg.Traffic{"core": controlmsg.ReadTraffic(&agent.CoreTraffic), "peers": controlmsg.ReadTraffic(&agent.PeerTraffic)}}
 }
 
 // members send heartbeats by the pages' wire and answer the leader's STAT; they run no statement.
--- a/internal/session/site/site.go
+++ b/internal/session/site/site.go
@@ -226,11 +226,11 @@
 
 // Keep holds a link to a process, telling who dials, until ctx ends; up is told of each, and of nil when it has ended.
 func Keep(ctx context.Context, addr string, hello Frame, up func(*link), take func(*link, *Frame)) {
-	again := transport.Backoff{First: 50 * time.Millisecond, Most: 50 * time.Millisecond,
+	again := transport.Backoff{Initial: 50 * time.Millisecond, Max: 50 * time.Millisecond,
 		DialTimeout: func(nth int) time.Duration {
 			return transport.DialTimeout(nth / 3)
 		}}
-	transport.Keep(ctx, addr, again, func(l *link) {
+	transport.KeepConnected(ctx, addr, again, func(l *link) {
 		l.Send(&hello)
 		go ping(ctx, l)
 		up(l)
--- a/internal/util/transport/golden_test.go
+++ b/internal/util/transport/golden_test.go
@@ -54,7 +54,7 @@
 	near, far := net.Pipe()
 	l := start[testFrame](near, "pipe")
 	if compress {
-		l.Compress()
+		l.EnableCompression()
 	}
 	if !l.Send(f) {
 		t.Fatal("the link is down")
--- a/internal/util/transport/transport.go
+++ b/internal/util/transport/transport.go
@@ -78,18 +78,18 @@
 	return wireFrame{uint32(len(e.bytes)), e.bytes}
 }
 
-// Compress has long frames sent compressed from now on. It is for links whose peer has said that it reads them; one of an earlier
+// EnableCompression has long frames sent compressed from now on. It is for links whose peer has said that it reads them; one of an earlier
 // version would end the link. On one machine bytes cost less than compressing them.
-func (l *Link[F]) Compress() { l.deflates.Store(true) }
+func (l *Link[F]) EnableCompression() { l.deflates.Store(true) }
 
-// CountInto has the link's frames counted. It may be called only before the link's first frame: in the up callback.
-func (l *Link[F]) CountInto(c *Counters) { l.counters = c }
+// SetCounters has the link's frames counted. It may be called only before the link's first frame: in the up callback.
+func (l *Link[F]) SetCounters(c *Counters) { l.counters = c }
 
 // Send queues a frame. False: the link is down.
-func (l *Link[F]) Send(f *F) bool { return l.SendRaw(Encode(f)) }
+func (l *Link[F]) Send(f *F) bool { return l.SendEncoded(Encode(f)) }
 
-// SendRaw queues a frame that Encode made. False: the link is down, or there are no bytes.
-func (l *Link[F]) SendRaw(e Encoded) bool {
+// SendEncoded queues a frame that Encode made. False: the link is down, or there are no bytes.
+func (l *Link[F]) SendEncoded(e Encoded) bool {
 	if len(e.bytes) == 0 {
 		return false
 	}
@@ -128,8 +128,8 @@
 	})
 }
 
-// Stands says that the link has not ended, as far as this end knows.
-func (l *Link[F]) Stands() bool {
+// Up says that the link has not ended, as far as this end knows.
+func (l *Link[F]) Up() bool {
 	select {
 	case <-l.done:
 		return false
@@ -264,17 +264,17 @@
 // Backoff says when a link is made anew: behind one that stood after First, then after twice as long each time, up to Most. DialTimeout
 // is how long the nth try may take.
 type Backoff struct {
-	First, Most time.Duration
-	DialTimeout func(nth int) time.Duration
+	Initial, Max time.Duration
+	DialTimeout  func(nth int) time.Duration
 }
 
-// Keep keeps a link to a peer until ctx ends, between two tries. up is told of each that stands, down when it has ended.
-func Keep[F any](ctx context.Context, addr string, again Backoff, up func(*Link[F]), take func(*Link[F], *F), down func()) {
-	pause := again.First
+// KeepConnected keeps a link to a peer until ctx ends, between two tries. up is told of each that stands, down when it has ended.
+func KeepConnected[F any](ctx context.Context, addr string, again Backoff, up func(*Link[F]), take func(*Link[F], *F), down func()) {
+	pause := again.Initial
 	for nth := 0; ctx.Err() == nil; nth++ {
 		stood := false
 		_ = Dial(addr, again.DialTimeout(nth), 0, func(l *Link[F]) {
-			stood, pause, nth = true, again.First, 0
+			stood, pause, nth = true, again.Initial, 0
 			up(l)
 		}, take)
 		if stood {
@@ -284,6 +284,6 @@
 		case <-time.After(pause):
 		case <-ctx.Done():
 		}
-		pause = min(2*pause, again.Most)
+		pause = min(2*pause, again.Max)
 	}
 }
--- a/internal/util/transport/transport_test.go
+++ b/internal/util/transport/transport_test.go
@@ -27,8 +27,8 @@
 	}
 	t.Cleanup(func() { ln.Close() })
 	go Serve(ln, 0, func(l *Link[testFrame]) {
-		l.CountInto(counters)
-		l.Compress()
+		l.SetCounters(counters)
+		l.EnableCompression()
 	}, func(l *Link[testFrame], f *testFrame) { l.Send(f) }, func(*Link[testFrame]) {})
 	return ln.Addr().String()
 }
@@ -38,8 +38,8 @@
 	t.Helper()
 	var back []testFrame
 	_ = Dial(addr, 0, 0, func(l *Link[testFrame]) {
-		l.CountInto(counters)
-		l.Compress()
+		l.SetCounters(counters)
+		l.EnableCompression()
 		l.Send(&frames[0])
 	}, func(l *Link[testFrame], f *testFrame) {
 		if back = append(back, *f); len(back) == len(frames) {
@@ -96,7 +96,7 @@
 		frame := testFrame{Class: 2, Text: strings.Repeat("abc", compressAbove)}
 		addr, counters, back := serveOnce(t, &Counters{}), Counters{}, testFrame{}
 		_ = Dial(addr, 0, 0, func(l *Link[testFrame]) {
-			l.CountInto(&counters)
+			l.SetCounters(&counters)
 			l.Send(&frame)
 		}, func(l *Link[testFrame], f *testFrame) {
 			back = *f
