--- /dev/null
+++ b/internal/session/edge/golden_test.go
@@ -0,0 +1,49 @@
+package edge
+
+import (
+	"fmt"
+	"net/http/httptest"
+	"testing"
+	"time"
+
+	"weirwind/internal/session/queue"
+	"weirwind/internal/session/sites"
+	"weirwind/internal/standin/golden"
+	"weirwind/internal/util/commandqueue"
+	"weirwind/internal/util/settings"
+)
+
+// The lines that clients get, of the subprotocol and plain, and what operators are shown.
+func TestGoldenLines(t *testing.T) {
+	m, err := (*sites.Map)(nil).Apply(&sites.Change{Kind: sites.Join, Name: "a", Site: sites.Site{Addr: "a", Life: 1}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	e := &Edge{set: &settings.Settings{Hostname: "e"}, ctx: t.Context(), start: time.Now(), e: queue.NewEdge("e", "", ""),
+		q: commandqueue.New(t.Context(), 16), links: map[string]*peer{}, socks: map[uint64]*socket{}}
+	e.e.ApplyMap(m, 0)
+	var cases []golden.Case[string]
+	for id := uint64(1); id <= 2; id++ {
+		plain := id == 2
+		s := &socket{id: id, plain: plain, wake: make(chan struct{}, 1), end: func() {}}
+		e.socks[id] = s
+		name := fmt.Sprint("s", id)
+		e.e.Open(id, name, "secret", true, 0, 0)
+		for _, w := range []queue.Envelope{{Kind: queue.Attached, Home: "a", Epoch: 1, Seq: 1, N: 4},
+			{Kind: queue.Deliver, Epoch: 1, Msgs: []queue.Msg{{N: 1, Body: []byte("one")}, {N: 2, Body: []byte("t w")}}}} {
+			w.Session, w.Sock = name, id
+			e.e.Receive("a", &w, 0)
+		}
+		e.e.Publish(id, 5, []byte("mine"))
+		e.e.Receive("a", &queue.Envelope{Kind: queue.PublishAck, Session: name, Sock: id, Epoch: 1, N: 5}, 0)
+		e.flush()
+		for i, l := range s.out {
+			cases = append(cases, golden.Of(fmt.Sprint("socket ", id, " line ", i), l.text+fmt.Sprint(" n ", l.n)))
+		}
+	}
+	go e.q.Run(time.Hour, func() {})
+	w := httptest.NewRecorder()
+	e.status(w, httptest.NewRequestWithContext(t.Context(), "GET", "/status", nil))
+	cases = append(cases, golden.Of("status", w.Body.String()))
+	golden.Text(t, "testdata/lines.txt", cases)
+}
--- a/internal/session/queue/evening_test.go
+++ b/internal/session/queue/evening_test.go
@@ -2,6 +2,8 @@
 
 import (
 	"fmt"
+	"hash"
+	"hash/fnv"
 	"math/rand/v2"
 	"os"
 	"runtime"
@@ -10,6 +12,8 @@
 	"strings"
 	"testing"
 
+	"github.com/fxamacker/cbor/v2"
+
 	"weirwind/internal/session/sites"
 	"weirwind/internal/standin/virtualclock"
 )
@@ -28,6 +32,19 @@
 	cl    []*client
 	live  bool
 	log   []string
+
+	trace hash.Hash64 // over every message and answer in order; nil: none is kept
+}
+
+// record adds a decision to the trace, by the values of its fields in a fixed order.
+func (e *evening) record(values ...any) {
+	if e.trace != nil {
+		b, err := cbor.Marshal(values)
+		if err != nil {
+			panic(err)
+		}
+		_, _ = e.trace.Write(b)
+	}
 }
 
 type host struct {
@@ -115,12 +132,14 @@
 
 func (e *evening) flush(h *host) {
 	for _, s := range h.s.Sends() {
+		e.record("site", e.Now, h.name, s.To, s.Envelope)
 		e.link(h.name, s.To, s.Envelope)
 	}
 }
 
 func (e *evening) flushEdge(g *edgeHost) {
 	for _, t := range g.e.ClientMessages() {
+		e.record("client", e.Now, g.name, uint8(t.Kind), t.Sock, t.N, t.Body, t.Why, t.Again, t.Secret, t.ID)
 		c := g.socks[t.Sock]
 		if c == nil {
 			continue
@@ -164,6 +183,7 @@
 		}
 	}
 	for _, s := range g.e.Sends() {
+		e.record("edge", e.Now, g.name, s.To, s.Envelope)
 		e.link(g.name, s.To, s.Envelope)
 	}
 }
@@ -319,7 +339,8 @@
 			if !h.up || h.frozen || h.s.home[c.id] == nil {
 				continue
 			}
-			h.s.Put(c.id, key, []byte(body), e.Now, func(status int, _ uint64) {
+			h.s.Put(c.id, key, []byte(body), e.Now, func(status int, n uint64) {
+				e.record("reply", e.Now, status, n)
 				if e.r.IntN(50) == 0 { // the answer is lost
 					e.In(300, func() { try(left - 1) })
 					return
@@ -351,6 +372,7 @@
 			continue
 		}
 		msgs, ok := h.s.Inbox(c.id, c.tookN, e.Now)
+		e.record("inbox", msgs, ok)
 		if !ok {
 			continue
 		}
@@ -477,6 +499,53 @@
 	return wrong
 }
 
+// playFaults plays an evening whose sites come and go, to its quiet end.
+func playFaults(seed uint64, trace hash.Hash64) *evening {
+	e := newEvening(seed, 12)
+	e.trace = trace
+	e.Pass(1000)
+	e.traffic(12000)
+	names := []string{"a", "b", "c", "d"}
+	// One site at a time is away, and only once its sessions have copies again.
+	at := 1500.0
+	for at < 11000 {
+		h := e.sites[names[e.r.IntN(4)]]
+		k := e.r.IntN(5)
+		e.In(at-e.Now, func() {
+			if !h.up || h.frozen {
+				return
+			}
+			switch k {
+			case 0:
+				e.kill(h, 3000)
+			case 1:
+				e.note("%s is frozen", h.name)
+				h.frozen = true
+				e.In(1000+2500*e.r.Float64(), func() {
+					h.frozen = false
+					for _, f := range h.inbox {
+						f()
+					}
+					h.inbox = nil
+				})
+			case 2:
+				e.note("%s drains", h.name)
+				e.change(&sites.Change{Kind: sites.Drain, Name: h.name, Pace: 20})
+				e.In(2500, func() { e.change(&sites.Change{Kind: sites.Undrain, Name: h.name}) })
+			case 3:
+				e.cut(h.name, fmt.Sprint("e", e.r.IntN(2)))
+			case 4:
+				e.cut(h.name, names[e.r.IntN(4)])
+			}
+		})
+		at += []float64{4500, 5500, 1200, 300, 300}[k]
+	}
+	e.Pass(14000)
+	e.live = false
+	e.Pass(30000)
+	return e
+}
+
 // Sites are pulled, frozen, drained and return; links break. The edges live: every socket stays open.
 func TestEvenings(t *testing.T) {
 	seeds := 60
@@ -486,47 +555,7 @@
 	var gaps []float64
 	queued := 0
 	for seed := range uint64(seeds) {
-		e := newEvening(seed, 12)
-		e.Pass(1000)
-		e.traffic(12000)
-		names := []string{"a", "b", "c", "d"}
-		// One site at a time is away, and only once its sessions have copies again.
-		at := 1500.0
-		for at < 11000 {
-			h := e.sites[names[e.r.IntN(4)]]
-			k := e.r.IntN(5)
-			e.In(at-e.Now, func() {
-				if !h.up || h.frozen {
-					return
-				}
-				switch k {
-				case 0:
-					e.kill(h, 3000)
-				case 1:
-					e.note("%s is frozen", h.name)
-					h.frozen = true
-					e.In(1000+2500*e.r.Float64(), func() {
-						h.frozen = false
-						for _, f := range h.inbox {
-							f()
-						}
-						h.inbox = nil
-					})
-				case 2:
-					e.note("%s drains", h.name)
-					e.change(&sites.Change{Kind: sites.Drain, Name: h.name, Pace: 20})
-					e.In(2500, func() { e.change(&sites.Change{Kind: sites.Undrain, Name: h.name}) })
-				case 3:
-					e.cut(h.name, fmt.Sprint("e", e.r.IntN(2)))
-				case 4:
-					e.cut(h.name, names[e.r.IntN(4)])
-				}
-			})
-			at += []float64{4500, 5500, 1200, 300, 300}[k]
-		}
-		e.Pass(14000)
-		e.live = false
-		e.Pass(30000)
+		e := playFaults(seed, nil)
 		for _, g := range e.edges {
 			gaps = append(gaps, g.e.Gaps()...)
 		}
@@ -542,51 +571,58 @@
 		seeds, queued, len(gaps), gaps[len(gaps)/2], gaps[len(gaps)*99/100], gaps[len(gaps)-1])
 }
 
-// Edges die too: the client's next connection, at any edge, resumes its session from what it has, sometimes two at
-// once.
-func TestEdgesDie(t *testing.T) {
-	for seed := range uint64(40) {
-		e := newEvening(1000+seed, 10)
-		for _, c := range e.cl {
-			c.plain = false
-		}
-		e.Pass(1000)
-		e.traffic(12000)
-		for at := 1500.0; at < 11000; at += 1800 {
-			g := e.edges[fmt.Sprint("e", e.r.IntN(2))]
-			pull := e.r.IntN(3) == 0
-			e.In(at-e.Now, func() {
-				e.note("%s dies", g.name)
-				gone := g.socks
-				g.socks = map[uint64]*client{}
-				g.up = false
-				for _, name := range []string{"a", "b", "c", "d"} {
-					e.cut(g.name, name)
-				}
-				e.In(400, func() {
-					g.e, g.up = NewEdge(g.name, "z0", "r"), true
-					g.e.ApplyMap(e.m, e.Now)
-					e.edgeTick(g)
-				})
-				for _, c := range e.cl {
-					for _, o := range gone {
-						if o == c && c.edge == g.name {
-							c.open = false
+// playEdgeFaults plays an evening whose edges die, to its quiet end.
+func playEdgeFaults(seed uint64, trace hash.Hash64) *evening {
+	e := newEvening(seed, 10)
+	e.trace = trace
+	for _, c := range e.cl {
+		c.plain = false
+	}
+	e.Pass(1000)
+	e.traffic(12000)
+	for at := 1500.0; at < 11000; at += 1800 {
+		g := e.edges[fmt.Sprint("e", e.r.IntN(2))]
+		pull := e.r.IntN(3) == 0
+		e.In(at-e.Now, func() {
+			e.note("%s dies", g.name)
+			gone := g.socks
+			g.socks = map[uint64]*client{}
+			g.up = false
+			for _, name := range []string{"a", "b", "c", "d"} {
+				e.cut(g.name, name)
+			}
+			e.In(400, func() {
+				g.e, g.up = NewEdge(g.name, "z0", "r"), true
+				g.e.ApplyMap(e.m, e.Now)
+				e.edgeTick(g)
+			})
+			for _, c := range e.cl {
+				for _, o := range gone {
+					if o == c && c.edge == g.name {
+						c.open = false
+						e.reconnect(c)
+						if e.r.IntN(4) == 0 {
 							e.reconnect(c)
-							if e.r.IntN(4) == 0 {
-								e.reconnect(c)
-							}
 						}
 					}
 				}
-				if h := e.sites["b"]; pull && h.up {
-					e.kill(h, 3000)
-				}
-			})
-		}
-		e.Pass(14000)
-		e.live = false
-		e.Pass(30000)
+			}
+			if h := e.sites["b"]; pull && h.up {
+				e.kill(h, 3000)
+			}
+		})
+	}
+	e.Pass(14000)
+	e.live = false
+	e.Pass(30000)
+	return e
+}
+
+// Edges die too: the client's next connection, at any edge, resumes its session from what it has, sometimes two at
+// once.
+func TestEdgesDie(t *testing.T) {
+	for seed := range uint64(40) {
+		e := playEdgeFaults(1000+seed, nil)
 		if wrong := e.audit(true); len(wrong) > 0 {
 			t.Fatalf("seed %d: %v\n%s", seed, wrong[:min(len(wrong), 4)], strings.Join(e.log, "\n"))
 		}
@@ -656,3 +692,17 @@
 	}
 	runtime.KeepAlive(e)
 }
+
+// Every message of sites and edges, everything that clients are told and every reply, in order, over evenings of both
+// sorts of faults.
+func TestDecisionDigest(t *testing.T) {
+	const recorded = 0x84654f2fbf612f12
+	trace := fnv.New64a()
+	for seed := range uint64(10) {
+		playFaults(200+seed, trace)
+		playEdgeFaults(1200+seed, trace)
+	}
+	if got := trace.Sum64(); got != recorded {
+		t.Errorf("the digest is %#x, recorded is %#x", got, uint64(recorded))
+	}
+}
--- /dev/null
+++ b/internal/session/sites/sites_test.go
@@ -0,0 +1,64 @@
+package sites
+
+import (
+	"encoding/json"
+	"fmt"
+	"hash/fnv"
+	"math/rand/v2"
+	"slices"
+	"strings"
+	"testing"
+
+	"weirwind/internal/standin/golden"
+)
+
+func TestGoldenForms(t *testing.T) {
+	one := Site{"10.0.0.1:1", "10.0.0.1:2", "z1", "r1", 3, 4, Draining, 500}
+	changes := []golden.Case[Change]{
+		golden.Of("join", Change{Kind: Join, Name: "a", Site: one}),
+		golden.Of("lapse", Change{Kind: Lapse, Name: "a", Epoch: 7}),
+		golden.Of("leave", Change{Kind: Leave, Name: "a", Epoch: 8}),
+		golden.Of("drain", Change{Kind: Drain, Name: "a", Pace: 9}),
+		golden.Of("undrain", Change{Kind: Undrain, Name: "a"}),
+	}
+	golden.CBOR(t, "testdata/change.cbor", changes)
+	golden.JSON(t, "testdata/change.json", changes)
+	maps := []golden.Case[Map]{golden.Of("map", Map{Version: 5, Sites: map[string]Site{"a": one}})}
+	golden.CBOR(t, "testdata/map.cbor", maps)
+	golden.JSON(t, "testdata/map.json", maps)
+}
+
+// Drawn changes of a map: what each gives or why there is none, and where copies would go.
+func TestDecisionDigest(t *testing.T) {
+	const recorded = 0xcb07f8436d95ab21
+	trace := fnv.New64a()
+	for seed := range uint64(20) {
+		r := rand.New(rand.NewPCG(seed, 11))
+		var m *Map
+		for range 200 {
+			name := fmt.Sprint("s", r.IntN(7))
+			c := &Change{Kind: []Kind{Join, Join, Lapse, Leave, Drain, Undrain, "none"}[r.IntN(7)], Name: name,
+				Epoch: uint64(r.IntN(4)), Pace: r.IntN(3), Site: Site{Addr: strings.Repeat("x", r.IntN(5)), Life: uint64(r.IntN(4)),
+					Zone: fmt.Sprint("z", r.IntN(3)), Region: fmt.Sprint("r", r.IntN(2))}}
+			next, err := m.Apply(c)
+			_, _ = fmt.Fprint(trace, err, next == m)
+			if err != nil {
+				continue
+			}
+			m = next
+			b, err := json.Marshal(m)
+			if err != nil {
+				t.Fatal(err)
+			}
+			_, _ = trace.Write(b)
+			for _, few := range []int{1, 2, 3} {
+				but := fmt.Sprint("s", r.IntN(7))
+				near := m.Neighbours(name, fmt.Sprint("session", r.IntN(9)), few, func(s string) bool { return s == but })
+				_, _ = fmt.Fprint(trace, strings.Join(near, " "), m.Up(name), m.Lives(name, 2), slices.Contains(near, name))
+			}
+		}
+	}
+	if got := trace.Sum64(); got != recorded {
+		t.Errorf("the digest is %#x, recorded is %#x", got, uint64(recorded))
+	}
+}
--- a/internal/shard/shardmap/evening_test.go
+++ b/internal/shard/shardmap/evening_test.go
@@ -2,6 +2,9 @@
 
 import (
 	"fmt"
+	"hash"
+	"hash/fnv"
+	"maps"
 	"math/rand/v2"
 	"os"
 	"slices"
@@ -32,8 +35,24 @@
 	over  string
 	log   []string
 	live  bool // clients go on
+
+	trace hash.Hash64 // over every decision in order; nil: none is kept
+}
+
+// record adds a decision to the trace, by the values of its fields in a fixed order.
+func (e *evening) record(values ...any) {
+	if e.trace != nil {
+		b, err := canonical.Marshal(values)
+		if err != nil {
+			panic(err)
+		}
+		_, _ = e.trace.Write(b)
+	}
 }
 
+// canonical sorts the keys of maps.
+var canonical, _ = cbor.CanonicalEncOptions().EncMode()
+
 type node struct {
 	id   string
 	k    *shardnode.Keeper
@@ -165,6 +184,8 @@
 
 func (e *evening) carry(l *leader, a Act) {
 	sent := e.Now
+	e.record("act", e.Now, l.term, uint8(a.Kind), a.Node, a.Shard, a.Epoch, a.From, a.Bytes, a.Last, a.Change, a.Why,
+		l.mv.State(a.Shard))
 	told := func(res Result) {
 		if !l.dead {
 			l.mv.Told(a, res, e.Now)
@@ -195,6 +216,7 @@
 				return
 			}
 			next, err := e.m.Apply(a.Change)
+			e.record("map", next, fmt.Sprint(err))
 			if err != nil {
 				told(Result{Err: "refused"})
 				return
@@ -303,6 +325,7 @@
 	var send func()
 	send = func() {
 		place, ok := p.s.Where(shard)
+		e.record("where", p.s.Version(), place, ok)
 		if e.Now >= until {
 			if sent {
 				o.unknown = true
@@ -339,7 +362,7 @@
 				o.done = append(o.done, id)
 				end()
 			case isMoved:
-				p.s.Missed(shard, place.Epoch, moved.Epoch)
+				e.record("missed", p.s.Missed(shard, place.Epoch, moved.Epoch))
 				e.In(5, send)
 			default: // no room, or void: a promise
 				promise()
@@ -410,8 +433,8 @@
 	}
 	e.m, _ = (*Map)(nil).Apply(found)
 	e.m.Rules.Rate = 400000
-	for shard, p := range e.m.Shards {
-		k := e.nodes[p.Node].k
+	for _, shard := range slices.Sorted(maps.Keys(e.m.Shards)) { // sorted: what a seed draws is the same each time
+		k := e.nodes[e.m.Shards[shard].Node].k
 		_ = k.Hold(shard, 1, 0)
 		for i := range 20 + e.r.IntN(40) {
 			_, _ = k.Write(shard, 1, fmt.Sprint("old", i), make([]byte, 50+e.r.IntN(200)))
@@ -442,6 +465,72 @@
 	return len(tasks)
 }
 
+// playFaults plays an evening with faults drawn by its seed to its quiet end.
+func playFaults(seed uint64, trace hash.Hash64) (e *evening, planned int, movers []*Mover) {
+	e = newEvening(seed, 4, 12)
+	e.trace = trace
+	e.loss = []float64{0, 0.01, 0.05}[seed%3]
+	for i := range 12 {
+		for c := range 2 {
+			e.client(fmt.Sprint("c", i, "-", c), fmt.Sprint("s", i), 60, 20+e.r.IntN(30))
+		}
+	}
+	e.elect()
+	e.Pass(300)
+	planned = e.plan()
+	movers = []*Mover{e.lead.mv}
+	for range 8 { // faults
+		e.In(8000*e.r.Float64(), func() {
+			switch e.r.IntN(9) {
+			case 0, 1:
+				e.crash(e.ids[e.r.IntN(4)], 50+1500*e.r.Float64())
+			case 2:
+				e.elect()
+				movers = append(movers, e.lead.mv)
+			case 3:
+				p := e.proxy[e.r.IntN(3)]
+				p.frozen = true
+				e.In(2000*e.r.Float64(), func() { p.frozen = false; p.s.Learn(e.m) })
+			case 4:
+				n := e.nodes[e.ids[e.r.IntN(4)]]
+				n.cut = true
+				e.In(1500*e.r.Float64(), func() { n.cut = false })
+			case 5: // others fill a disk
+				n := e.nodes[e.ids[e.r.IntN(4)]]
+				if !n.down {
+					n.k.SetForeign(min(n.k.Foreign+n.k.Free()*3/4, n.k.Limit-n.k.Used()+n.k.Foreign))
+					e.watch(n)
+				}
+			case 6, 7: // the operator
+				kind := []Kind{Pause, Halt, Resume}[e.r.IntN(3)]
+				if next, err := e.m.Apply(&Change{Kind: kind}); err == nil {
+					e.m = next
+					e.spread()
+				}
+			case 8:
+				id := e.ids[e.r.IntN(4)]
+				node := e.m.Nodes[id]
+				node.State = shardplan.Leaving
+				if next, err := e.m.Apply(&Change{Kind: Mark, Nodes: map[string]Node{id: node}}); err == nil {
+					e.m = next
+				}
+				e.plan()
+			}
+		})
+	}
+	e.Pass(10000)
+	if next, err := e.m.Apply(&Change{Kind: Resume}); err == nil {
+		e.m = next
+	}
+	e.loss = 0
+	e.elect()
+	movers = append(movers, e.lead.mv)
+	e.Pass(20000)
+	e.live = false
+	e.Pass(26000)
+	return e, planned, movers
+}
+
 // An evening with faults drawn by its seed: nothing lost, nothing doubled, no disk over its room, and all shards whole
 // at the end.
 func TestEvenings(t *testing.T) {
@@ -451,66 +540,8 @@
 	}
 	moves, handed, gaps := 0, 0, []float64(nil)
 	for seed := range uint64(seeds) {
-		e := newEvening(seed, 4, 12)
-		e.loss = []float64{0, 0.01, 0.05}[seed%3]
-		for i := range 12 {
-			for c := range 2 {
-				e.client(fmt.Sprint("c", i, "-", c), fmt.Sprint("s", i), 60, 20+e.r.IntN(30))
-			}
-		}
-		e.elect()
-		e.Pass(300)
-		moves += e.plan()
-		movers := []*Mover{e.lead.mv}
-		for range 8 { // faults
-			e.In(8000*e.r.Float64(), func() {
-				switch e.r.IntN(9) {
-				case 0, 1:
-					e.crash(e.ids[e.r.IntN(4)], 50+1500*e.r.Float64())
-				case 2:
-					e.elect()
-					movers = append(movers, e.lead.mv)
-				case 3:
-					p := e.proxy[e.r.IntN(3)]
-					p.frozen = true
-					e.In(2000*e.r.Float64(), func() { p.frozen = false; p.s.Learn(e.m) })
-				case 4:
-					n := e.nodes[e.ids[e.r.IntN(4)]]
-					n.cut = true
-					e.In(1500*e.r.Float64(), func() { n.cut = false })
-				case 5: // others fill a disk
-					n := e.nodes[e.ids[e.r.IntN(4)]]
-					if !n.down {
-						n.k.SetForeign(min(n.k.Foreign+n.k.Free()*3/4, n.k.Limit-n.k.Used()+n.k.Foreign))
-						e.watch(n)
-					}
-				case 6, 7: // the operator
-					kind := []Kind{Pause, Halt, Resume}[e.r.IntN(3)]
-					if next, err := e.m.Apply(&Change{Kind: kind}); err == nil {
-						e.m = next
-						e.spread()
-					}
-				case 8:
-					id := e.ids[e.r.IntN(4)]
-					node := e.m.Nodes[id]
-					node.State = shardplan.Leaving
-					if next, err := e.m.Apply(&Change{Kind: Mark, Nodes: map[string]Node{id: node}}); err == nil {
-						e.m = next
-					}
-					e.plan()
-				}
-			})
-		}
-		e.Pass(10000)
-		if next, err := e.m.Apply(&Change{Kind: Resume}); err == nil {
-			e.m = next
-		}
-		e.loss = 0
-		e.elect()
-		movers = append(movers, e.lead.mv)
-		e.Pass(20000)
-		e.live = false
-		e.Pass(26000)
+		e, planned, movers := playFaults(seed, nil)
+		moves += planned
 		for _, mv := range movers {
 			gaps = append(gaps, mv.Gaps()...)
 			handed += len(mv.Gaps())
@@ -557,3 +588,22 @@
 		t.Error("over 150 ms at p99")
 	}
 }
+
+// The decisions of fifteen evenings with faults, in order: every act, every map, every answer of a proxy's slots, and
+// what the nodes hold at the end.
+func TestDecisionDigest(t *testing.T) {
+	const recorded = 0x535fca893ea8b3c7
+	trace := fnv.New64a()
+	for seed := range uint64(15) {
+		e, _, movers := playFaults(100+seed, trace)
+		for _, mv := range movers {
+			e.record("gaps", mv.Gaps(), mv.Moved())
+		}
+		for _, id := range e.ids {
+			e.record("node", id, e.nodes[id].k)
+		}
+	}
+	if got := trace.Sum64(); got != recorded {
+		t.Errorf("the digest is %#x, recorded is %#x", got, uint64(recorded))
+	}
+}
--- /dev/null
+++ b/internal/shard/shardnode/golden_test.go
@@ -0,0 +1,200 @@
+package shardnode
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"hash/fnv"
+	"math/rand/v2"
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"weirwind/internal/standin/golden"
+)
+
+func goldenKeeper(t *testing.T) *Keeper {
+	t.Helper()
+	k := NewKeeper(1<<20, 100)
+	for _, text := range []string{"SHARD HOLD open 1 0", "SHARD HOLD closed 2 0", "SHARD RESERVE comes 3 500", "SHARD RESERVE sealed 4 500"} {
+		if _, _, err := k.Say(text); err != nil {
+			t.Fatal(err)
+		}
+	}
+	k.SetForeign(77)
+	if _, err := k.Write("open", 1, "c.1", []byte("value")); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := k.Settle("open", 1, "c.2"); !errors.Is(err, ErrVoid) {
+		t.Fatal(err)
+	}
+	for _, text := range []string{"SHARD CLOSE closed 2", "SHARD SEAL sealed 4 0"} {
+		if _, _, err := k.Say(text); err != nil {
+			t.Fatal(err)
+		}
+	}
+	return k
+}
+
+// The stored form. Maps are encoded one key at a time, as their order is not fixed.
+func TestGoldenForms(t *testing.T) {
+	k := goldenKeeper(t)
+	var copies []golden.Case[Copy]
+	for _, shard := range []string{"open", "closed", "comes", "sealed"} {
+		c := *k.Copies[shard]
+		c.byID = nil
+		copies = append(copies, golden.Of(shard, c))
+	}
+	golden.CBOR(t, "testdata/copies.cbor", copies)
+	golden.CBOR(t, "testdata/keeper.cbor", []golden.Case[Keeper]{golden.Of("keeper",
+		Keeper{Limit: 9, Foreign: 1, Reserve: 2, Copies: map[string]*Copy{}, Known: map[string]uint64{"s": 4}})})
+	golden.JSON(t, "testdata/report.json", []golden.Case[Report]{golden.Of("report", k.Report())})
+	golden.JSON(t, "testdata/entry.json", []golden.Case[Entry]{golden.Of("effect", Entry{1, "c.1", 5, false, []byte("value")}),
+		golden.Of("void", Entry{2, "c.2", 0, true, nil})})
+}
+
+// Every statement's answer, in a state in which it is carried out and in ones in which it is refused.
+func TestGoldenStatements(t *testing.T) {
+	var cases []golden.Case[string]
+	for _, text := range []string{
+		"SHARD LOOK", "SHARD", "PING x", "SHARD LOOKS", "SHARD DROP", "SHARD DROP open", "SHARD DROP open x", "SHARD DROP open 1",
+		"SHARD DROP open 2", "SHARD DROP closed 3", "SHARD DROP other 3", "SHARD RESERVE new 1 5", "SHARD RESERVE new 1",
+		"SHARD RESERVE new 1 x", "SHARD RESERVE new 1 9000000", "SHARD RESERVE comes 2 5", "SHARD RESERVE open 1 5",
+		"SHARD SEAL comes 3 0", "SHARD SEAL comes 3 9", "SHARD SEAL comes 3", "SHARD SEAL open 1 2", "SHARD HOLD new 1 0",
+		"SHARD HOLD new 1 5", "SHARD HOLD closed 3 0", "SHARD HOLD closed 1 0", "SHARD HOLD sealed 5 7", "SHARD HOLD comes 4 0",
+		"SHARD SETTLE open 1 c.1", "SHARD SETTLE open 1 c.2", "SHARD SETTLE open 1 c.3", "SHARD SETTLE open 2 c.1",
+		"SHARD SETTLE open 1", "SHARD SETTLE open 1 c 1", "SHARD ABANDON comes 3", "SHARD ABANDON comes 2", "SHARD ABANDON open 1",
+		"SHARD CLOSE open 1", "SHARD CLOSE open 2", "SHARD CLOSE sealed 4", "SHARD CUT open 1", "SHARD CUT closed 2",
+		"SHARD ENTRIES open 1 0 1000", "SHARD ENTRIES open 1 1 1000", "SHARD ENTRIES open 1 0 1", "SHARD ENTRIES open 1 9 9",
+		"SHARD ENTRIES open 2 0 9", "SHARD ENTRIES open 1 0", "SHARD FETCH comes 3 100 0 10.0.0.1:1 svc id",
+		"SHARD FETCH sealed 4 100 9 10.0.0.1:1 svc id", "SHARD FETCH open 1 100 0 10.0.0.1:1 svc id", "SHARD FETCH comes 3 100 0 x",
+		"SHARD FETCH comes 3 x 0 10.0.0.1:1 svc id", "SHARD NONE open 1",
+	} {
+		rows, fetch, err := goldenKeeper(t).Say(text)
+		code := ""
+		if err != nil {
+			code = Code(err)
+		}
+		said := fmt.Sprintf("%q %q", rows, code)
+		if fetch != nil {
+			said += fmt.Sprint(fetch.Shard, fetch.Epoch, fetch.Bytes, fetch.Last, fetch.Addr, fetch.Svc, fetch.ID, fetch.After,
+				fetch.EntriesAsk)
+		}
+		cases = append(cases, golden.Of(text, said))
+	}
+	for _, text := range []string{"ON s 3 READ x y", "ON s x READ", "ON s 3", "READ x"} {
+		shard, epoch, rest, ok := On(text)
+		cases = append(cases, golden.Of(text, fmt.Sprint(shard, " ", epoch, " ", rest, " ", ok)))
+	}
+	k := goldenKeeper(t)
+	for _, rows := range [][]string{nil, {"x"}, {"0", "x"}, {"7", `{"N":1,"ID":"a","Bytes":3,"Body":"YWJj"}`}, {"0", `{"N":9}`}} {
+		got, err := k.Fetched(&Fetch{Shard: "comes", Epoch: 3, Last: 1}, rows)
+		cases = append(cases, golden.Of(fmt.Sprint("fetched ", rows), fmt.Sprint(got, err)))
+	}
+	for _, err := range []error{ErrNoRoom, ErrVoid, ErrOld, ErrBehind, ErrState, &Moved{7}, fmt.Errorf("x: %w", ErrOld), errors.New("x")} {
+		cases = append(cases, golden.Of("code "+err.Error(), Code(err)))
+	}
+	cases = append(cases, golden.Of("stamp", Stamp("s", Entry{N: 7})))
+	golden.Text(t, "testdata/statements.txt", cases)
+}
+
+// Two nodes under drawn statements: every answer and the whole state behind each, in order.
+func TestDecisionDigest(t *testing.T) {
+	const recorded = 0xa4c9691abeb21fe1
+	trace := fnv.New64a()
+	canonical, err := cbor.CanonicalEncOptions().EncMode()
+	if err != nil {
+		t.Fatal(err)
+	}
+	for seed := range uint64(40) {
+		r := rand.New(rand.NewPCG(seed, 3))
+		nodes := []*Keeper{NewKeeper(3000, 200), NewKeeper(3000, 200)}
+		epochs := map[string]uint64{"s0": 1, "s1": 1, "s2": 1}
+		for step := range 400 {
+			k, shard := nodes[r.IntN(2)], fmt.Sprint("s", r.IntN(3))
+			if r.IntN(30) == 0 {
+				epochs[shard]++
+			}
+			said := drawnStatement(r, nodes, k, shard, epochs[shard]-uint64(r.IntN(8)/7))
+			for _, k := range nodes {
+				b, err := canonical.Marshal(k)
+				if err != nil {
+					t.Fatal(err)
+				}
+				_, _ = trace.Write(b)
+				_, _ = fmt.Fprint(trace, k.Free(), k.Used())
+			}
+			_, _ = fmt.Fprint(trace, step, said)
+		}
+	}
+	if got := trace.Sum64(); got != recorded {
+		t.Errorf("the digest is %#x, recorded is %#x", got, uint64(recorded))
+	}
+}
+
+// drawnStatement has a node do one thing and gives what it answered.
+func drawnStatement(r *rand.Rand, nodes []*Keeper, k *Keeper, shard string, epoch uint64) string {
+	code := func(err error) string {
+		if err == nil {
+			return ""
+		}
+		return Code(err)
+	}
+	last := uint64(0)
+	for _, n := range nodes {
+		if c := n.Copies[shard]; c != nil {
+			last = max(last, c.Last())
+		}
+	}
+	id := fmt.Sprint("id", r.IntN(60))
+	switch what := r.IntN(22); what {
+	case 0, 1, 2, 3:
+		e, err := k.Write(shard, epoch, id, make([]byte, r.IntN(300)))
+		return fmt.Sprint(e.N, code(err))
+	case 4:
+		return code(k.Read(shard, epoch))
+	case 5:
+		return code(k.Begin(shard, epoch))
+	case 6:
+		e, err := k.Commit(shard, epoch, id, make([]byte, r.IntN(100)))
+		return fmt.Sprint(e.N, code(err))
+	case 7:
+		k.End(shard, epoch)
+	case 8:
+		e, err := k.Settle(shard, epoch, id)
+		return fmt.Sprint(e.N, code(err))
+	case 9:
+		k.SetForeign(int64(r.IntN(1200)))
+	case 10:
+		k.Restart()
+	case 11, 12, 13, 14:
+		_, fetch, err := k.Say(fmt.Sprintf("SHARD FETCH %s %d %d %d a s i", shard, epoch, 100+r.IntN(500), last*uint64(r.IntN(2))))
+		if err != nil {
+			return code(err)
+		}
+		rows, _, err := nodes[r.IntN(2)].Say(fetch.EntriesAsk)
+		if err != nil {
+			return code(err)
+		}
+		rows, err = k.Fetched(fetch, rows)
+		return fmt.Sprint(rows, code(err))
+	default:
+		text := []string{"RESERVE %s %d 700", "SEAL %s %d " + fmt.Sprint(last), "HOLD %s %d 0", "HOLD %s %d " + fmt.Sprint(last),
+			"CLOSE %s %d", "CUT %s %d", "DROP %s %d", "ABANDON %s %d", "RESERVE %s %d 100"}[r.IntN(9)]
+		rows, _, err := k.Say("SHARD " + fmt.Sprintf(text, shard, epoch))
+		return fmt.Sprint(rows, code(err))
+	}
+	return ""
+}
+
+// The entries of a report and of an answer are read by name.
+func TestEntryRowsAreReadByName(t *testing.T) {
+	rows, _, err := goldenKeeper(t).Say("SHARD ENTRIES open 1 0 1000")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var e map[string]any
+	if err := json.Unmarshal([]byte(rows[1]), &e); err != nil || e["N"] != 1.0 || e["ID"] != "c.1" {
+		t.Errorf("%v %v", e, err)
+	}
+}
--- /dev/null
+++ b/internal/shard/shardplan/golden_test.go
@@ -0,0 +1,65 @@
+package shardplan
+
+import (
+	"encoding/json"
+	"fmt"
+	"hash/fnv"
+	"math/rand/v2"
+	"testing"
+
+	"weirwind/internal/standin/golden"
+)
+
+func TestGoldenForms(t *testing.T) {
+	golden.JSON(t, "testdata/cluster.json", []golden.Case[Cluster]{golden.Of("cluster", Cluster{
+		Nodes:  []Node{{"a", "z", 9, 1, In}, {"b", "y", 8, 2, Leaving}, {"c", "y", 8, 2, Gone}},
+		Shards: []Shard{{"s", 5, 1, 0.5, []string{"a"}}},
+		Rules:  Rules{0.25, 0.125, true, 2}})})
+	golden.JSON(t, "testdata/plan.json", []golden.Case[Plan]{
+		golden.Of("plan", Plan{Rounds: [][]Move{{{"s", "a", "b", 7, true, false}}, {{"s", "b", "c", 7, false, true}}}, Bytes: 14,
+			Bound: 7, Why: []string{"why"}, Off: []string{"off"}}),
+		golden.Of("empty", Plan{})})
+}
+
+func TestGoldenRefusals(t *testing.T) {
+	node, shard := Node{ID: "a", State: In}, Shard{ID: "s", On: []string{"a"}}
+	var cases []golden.Case[string]
+	for _, c := range []Cluster{
+		{Nodes: []Node{{}}}, {Nodes: []Node{node, node}}, {Nodes: []Node{{ID: "a", State: "x"}}},
+		{Nodes: []Node{node}, Shards: []Shard{{ID: "s"}}}, {Nodes: []Node{node}, Shards: []Shard{{ID: "s", On: []string{"b"}}}},
+		{Nodes: []Node{node}, Shards: []Shard{shard}, Rules: Rules{Band: -1}},
+		{Nodes: []Node{node}, Shards: []Shard{shard}},
+	} {
+		cases = append(cases, golden.Of(fmt.Sprint("case ", len(cases)), fmt.Sprint(c.Check())))
+	}
+	golden.Text(t, "testdata/refusals.txt", cases)
+}
+
+// Whole plans, by their JSON, for drawn clusters under one to four faults. Clusters are drawn so that no two candidates
+// of fill differ in size and are worth the same, which it would tell apart by the order of a map.
+func TestDecisionDigest(t *testing.T) {
+	const recorded = 0x22a44d8c88e69381
+	trace := fnv.New64a()
+	for _, size := range []struct{ nodes, shards, seeds int }{{5, 40, 150}, {10, 300, 60}, {40, 1500, 6}} {
+		for seed := range size.seeds {
+			r := rand.New(rand.NewPCG(uint64(seed), uint64(size.shards)))
+			c := drawn(r, size.nodes, size.shards, 0.4+0.58*r.Float64())
+			for i := range c.Shards {
+				c.Shards[i].Size += int64(r.IntN(1 << 19))
+			}
+			c.Rules.Apart, c.Rules.Round = r.IntN(4) > 0, r.IntN(4)
+			for range 1 + seed%4 {
+				trouble(r, c)
+			}
+			b, err := json.Marshal(c.Make())
+			if err != nil {
+				t.Fatal(err)
+			}
+			_, _ = trace.Write(b)
+			_, _ = fmt.Fprint(trace, c.Bound())
+		}
+	}
+	if got := trace.Sum64(); got != recorded {
+		t.Errorf("the digest is %#x, recorded is %#x", got, uint64(recorded))
+	}
+}
--- /dev/null
+++ b/internal/standin/golden/golden.go
@@ -0,0 +1,123 @@
+// Package golden holds the encoded forms of values against those that a file records, so that a change of a stored or wire form
+// shows as a failing test.
+//
+// It owns the files' layout: a line for each case, its name, a tab and the form, in hexadecimal where it is binary. With
+// GOLDEN=write in the environment a missing file is written; one that is there is never overwritten.
+package golden
+
+import (
+	"encoding/hex"
+	"encoding/json"
+	"os"
+	"reflect"
+	"strings"
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
+)
+
+// Case is a value whose form is recorded under a name.
+type Case[T any] struct {
+	Name  string
+	Value T
+}
+
+// Of names a value.
+func Of[T any](name string, value T) Case[T] { return Case[T]{Name: name, Value: value} }
+
+// CBOR encodes each case and decodes the recorded bytes: both must give what the other side has.
+func CBOR[T any](t *testing.T, file string, cases []Case[T]) {
+	t.Helper()
+	check(t, file, cases, func(v T) (string, error) {
+		b, err := cbor.Marshal(v)
+		return hex.EncodeToString(b), err
+	}, func(form string, v *T) error {
+		b, err := hex.DecodeString(form)
+		if err != nil {
+			return err
+		}
+		return cbor.Unmarshal(b, v)
+	})
+}
+
+// JSON does the same for JSON forms.
+func JSON[T any](t *testing.T, file string, cases []Case[T]) {
+	t.Helper()
+	check(t, file, cases, func(v T) (string, error) {
+		b, err := json.Marshal(v)
+		return string(b), err
+	}, func(form string, v *T) error { return json.Unmarshal([]byte(form), v) })
+}
+
+// Text compares texts that nothing decodes.
+func Text(t *testing.T, file string, cases []Case[string]) {
+	t.Helper()
+	check(t, file, cases, func(v string) (string, error) {
+		b, err := json.Marshal(v)
+		return string(b), err
+	}, func(form string, v *string) error { return json.Unmarshal([]byte(form), v) })
+}
+
+func check[T any](t *testing.T, file string, cases []Case[T], encode func(T) (string, error), decode func(string, *T) error) {
+	t.Helper()
+	recorded := read(t, file)
+	if recorded == nil {
+		write(t, file, cases, encode)
+		return
+	}
+	if len(recorded) != len(cases) {
+		t.Errorf("%s records %d cases, there are %d", file, len(recorded), len(cases))
+	}
+	for _, c := range cases {
+		t.Run(c.Name, func(t *testing.T) {
+			form, there := recorded[c.Name]
+			if !there {
+				t.Fatalf("%s records no such case", file)
+			}
+			if got, err := encode(c.Value); err != nil || got != form {
+				t.Errorf("encoded as\n%s\nrecorded as\n%s\n%v", got, form, err)
+			}
+			var back T
+			if err := decode(form, &back); err != nil || !reflect.DeepEqual(back, c.Value) {
+				t.Errorf("decoded as\n%+v\nnot\n%+v\n%v", back, c.Value, err)
+			}
+		})
+	}
+}
+
+// read gives a file's forms by their names, nil where there is none and it is to be written.
+func read(t *testing.T, file string) map[string]string {
+	t.Helper()
+	b, err := os.ReadFile(file)
+	if os.IsNotExist(err) && os.Getenv("GOLDEN") == "write" {
+		return nil
+	}
+	if err != nil {
+		t.Fatal(err)
+	}
+	recorded := map[string]string{}
+	for _, line := range strings.Split(strings.TrimSpace(string(b)), "\n") {
+		name, form, _ := strings.Cut(line, "\t")
+		recorded[name] = form
+	}
+	return recorded
+}
+
+func write[T any](t *testing.T, file string, cases []Case[T], encode func(T) (string, error)) {
+	t.Helper()
+	var b strings.Builder
+	for _, c := range cases {
+		form, err := encode(c.Value)
+		if err != nil {
+			t.Fatal(err)
+		}
+		b.WriteString(c.Name + "\t" + form + "\n")
+	}
+	if err := os.MkdirAll("testdata", 0o755); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(file, []byte(b.String()), 0o644); err != nil {
+		t.Fatal(err)
+	}
+	t.Logf("%s is written", file)
+}
