--- /dev/null
+++ b/internal/controlplane/config/golden_test.go
@@ -0,0 +1,239 @@
+package config
+
+import (
+	"encoding/hex"
+	"encoding/json"
+	"errors"
+	"flag"
+	"fmt"
+	"hash/fnv"
+	"math/rand/v2"
+	"os"
+	"reflect"
+	"strings"
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
+)
+
+var update = flag.Bool("update", false, "record testdata/texts.txt anew from what the code does")
+
+// The state is kept on disk and goes over the wire as CBOR with these bytes. A roster of several services is encoded in no order, so
+// this one has one.
+func TestStoredForms(t *testing.T) {
+	full := &State{Gen: 7, Raw: []byte(`{"gen":7}`), Past: []Past{{Gen: 7, Base: 6, Digest: [32]byte{1, 2, 31: 255}, Node: "core-1", At: 1764600000000}},
+		Roster: Roster{"orders": {"a", "b"}}}
+	for name, c := range map[string]struct {
+		state *State
+		hex   string
+	}{
+		"full": {full, "a401070249" + hex.EncodeToString([]byte(`{"gen":7}`)) + "0381a50107020603" + "5820" + "0102" + strings.Repeat("00", 29) + "ff" +
+			"0466636f72652d31051b0000019ada5b2e0009a1666f72646572738261616162"},
+		"sparse": {&State{}, "a3010002f603f6"},
+	} {
+		t.Run(name, func(t *testing.T) {
+			raw, err := cbor.Marshal(c.state)
+			if got := hex.EncodeToString(raw); err != nil || got != c.hex {
+				t.Fatalf("%s (%v), recorded %s", got, err, c.hex)
+			}
+			back := &State{}
+			if err := cbor.Unmarshal(raw, back); err != nil || !reflect.DeepEqual(back, c.state) {
+				t.Errorf("decoded to %+v (%v)", back, err)
+			}
+		})
+	}
+}
+
+// GET /config/log answers with the past changes in this form, and weirctl reads it.
+func TestPastAsJSON(t *testing.T) {
+	p := Past{Gen: 7, Base: 6, Digest: [32]byte{1, 2, 31: 255}, Node: "core-1", At: 1764600000000}
+	want := `{"Gen":7,"Base":6,"Digest":[1,2` + strings.Repeat(",0", 29) + `,255],"Node":"core-1","At":1764600000000}`
+	raw, err := json.Marshal(p)
+	if err != nil || string(raw) != want {
+		t.Fatalf("%s (%v), recorded %s", raw, err, want)
+	}
+	var back Past
+	if err := json.Unmarshal(raw, &back); err != nil || back != p {
+		t.Errorf("read back as %+v (%v)", back, err)
+	}
+}
+
+func TestChangeDigests(t *testing.T) {
+	c := Change{Amend: true, Base: 3, Body: []byte(`{"gen":4}`)}
+	d := c.Digest()
+	if got := hex.EncodeToString(d[:]); got != wantChangeDigest {
+		t.Error(got)
+	}
+}
+
+// Operators see these texts. Each case in testdata/texts.txt is a line with what is done, and below it what comes of it.
+func TestTexts(t *testing.T) {
+	const file = "testdata/texts.txt"
+	raw, err := os.ReadFile(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var out strings.Builder
+	for _, line := range strings.Split(string(raw), "\n") {
+		switch {
+		case strings.HasPrefix(line, "    "): // an old outcome
+		case line == "" || strings.HasPrefix(line, "#"):
+			fmt.Fprintln(&out, line)
+		default:
+			fmt.Fprintln(&out, line)
+			for _, l := range strings.Split(outcome(t, line), "\n") {
+				fmt.Fprintln(&out, "    "+l)
+			}
+		}
+	}
+	got := strings.TrimRight(out.String(), "\n") + "\n"
+	if *update {
+		if err := os.WriteFile(file, []byte(got), 0o644); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	want := strings.Split(string(raw), "\n")
+	for i, line := range strings.Split(got, "\n") {
+		if i >= len(want) || line != want[i] {
+			t.Fatalf("line %d: %s", i+1, line)
+		}
+	}
+}
+
+// inPlace is what changes and differences of testdata/texts.txt begin from.
+const inPlace = `{"gen":5,"note":"kept","routes":[{"name":"r","host":"h","type":"primary","timeoutMs":1,"svc":"s","more":1}],"svcs":[{"name":"s"}]}`
+
+func outcome(t *testing.T, line string) string {
+	verb, body, _ := strings.Cut(line, " ")
+	state := &State{Gen: 5, Raw: []byte(inPlace), Past: []Past{{Gen: 4, Base: 3}, {Gen: 5, Base: 4}}}
+	var base uint64
+	switch verb {
+	case "read":
+		c, err := Read([]byte(body))
+		if err != nil {
+			return textOf(err)
+		}
+		return fmt.Sprintf("%d routes, %d services, limits %v", len(c.Routes), len(c.Svcs), c.Limits)
+	case "diff":
+		lines, err := Diff([]byte(inPlace), []byte(body))
+		if err != nil {
+			return err.Error()
+		}
+		return strings.Join(append(lines, fmt.Sprint(len(lines), " lines")), "\n")
+	case "first":
+		state = &State{}
+	}
+	if _, err := fmt.Sscan(body, &base); err != nil {
+		t.Fatal(line, err)
+	}
+	_, body, _ = strings.Cut(body, " ")
+	next, err := state.Apply(&Change{Amend: verb != "replace", Base: base, Body: []byte(body)}, "node", 9)
+	if err != nil {
+		return textOf(err)
+	}
+	return fmt.Sprintf("%d: %s", next.Gen, next.Raw)
+}
+
+func textOf(err error) string {
+	var refused *Refusal
+	var undecided *Undecided
+	switch {
+	case errors.As(err, &refused):
+		return fmt.Sprintf("refused %d %s: %s", refused.Status, refused.Reason, err)
+	case errors.As(err, &undecided):
+		return fmt.Sprintf("undecided %s, later %v: %s", undecided.Reason, undecided.Later, err)
+	}
+	return "error: " + err.Error()
+}
+
+const (
+	wantChangeDigest        = "ce3963d101306cc2f7f60bd14983186c6212c9d094ed2f5efd2f6f97daaf48f5"
+	wantHistory      uint64 = 0xd0fe903ab5783d86
+)
+
+// Replacements, amendments and changes of the roster, many of them wrong, on bases behind and ahead, over 20 seeds.
+func TestHistories(t *testing.T) {
+	h := fnv.New64a()
+	for seed := range uint64(20) {
+		r := rand.New(rand.NewPCG(seed, 9))
+		state := &State{}
+		var sent []*Change
+		for range 300 {
+			before := state
+			switch r.IntN(8) {
+			case 0:
+				state = state.WithRoster(RosterChange{Add: someMembers(r), Remove: someMembers(r)})
+			case 1:
+				next, err := state.WithoutMember(fmt.Sprint("m", r.IntN(4)))
+				if err != nil {
+					t.Fatal(err)
+				}
+				state = next
+			default:
+				c := someChange(r, state.Gen)
+				if len(sent) > 0 && r.IntN(8) == 0 {
+					c = sent[r.IntN(len(sent))]
+				}
+				sent = append(sent, c)
+				fmt.Fprintln(h, state.Taken(c))
+				next, err := state.Apply(c, fmt.Sprint("n", r.IntN(3)), int64(r.IntN(1000)))
+				if err != nil {
+					fmt.Fprintln(h, textOf(err))
+					continue
+				}
+				state = next
+			}
+			lines, err := Diff(append([]byte{}, orEmpty(before.Raw)...), orEmpty(state.Raw))
+			fmt.Fprintln(h, state == before, state.Gen, string(state.Raw), state.Past, state.Roster, lines, err)
+		}
+	}
+	if got := h.Sum64(); got != wantHistory {
+		t.Errorf("%#x, recorded %#x", got, wantHistory)
+	}
+}
+
+func orEmpty(raw []byte) []byte {
+	if raw == nil {
+		return []byte("{}")
+	}
+	return raw
+}
+
+func someMembers(r *rand.Rand) (out []RosterMember) {
+	for range r.IntN(3) {
+		out = append(out, RosterMember{Svc: fmt.Sprint("s", r.IntN(2)), ID: fmt.Sprint("m", r.IntN(4))})
+	}
+	return out
+}
+
+// someChange is wrong in one place at most: which of two wrong lists is named is left to chance.
+func someChange(r *rand.Rand, gen uint64) *Change {
+	c := &Change{Amend: r.IntN(2) == 0, Base: gen}
+	switch r.IntN(10) {
+	case 0:
+		c.Base = gen + 1 + uint64(r.IntN(3))
+	case 1:
+		c.Base = gen - min(gen, uint64(1+r.IntN(20)))
+	}
+	next := c.Base + 1 + uint64(r.IntN(2))
+	if r.IntN(10) == 0 {
+		next = c.Base
+	}
+	var body string
+	if c.Amend {
+		body = fmt.Sprintf(`{"gen":%d,"upsert":{"svcs":[{"name":"s%d","maxConns":%d}]},"del":{"routes":["r%d"],"svcs":["s%d"]}}`,
+			next, r.IntN(6), r.IntN(12)-1, r.IntN(4), r.IntN(6))
+	} else {
+		var routes []string
+		for i := range r.IntN(4) {
+			routes = append(routes, fmt.Sprintf(`{"name":"r%d","host":"h%d","type":"self","timeoutMs":%d,"svc":"s%d"}`, i, r.IntN(12), 1+r.IntN(9), r.IntN(2)))
+		}
+		body = fmt.Sprintf(`{"gen":%d,"routes":[%s],"svcs":[{"name":"s0"},{"name":"s1"}]}`, next, strings.Join(routes, ","))
+	}
+	if r.IntN(20) == 0 {
+		body = body[:r.IntN(len(body))]
+	}
+	c.Body = []byte(body)
+	return c
+}
--- a/internal/controlplane/orders/core_test.go
+++ b/internal/controlplane/orders/core_test.go
@@ -34,6 +34,8 @@
 	hosts []*machine
 	mail  []letter
 	cut   map[[2]int]bool
+
+	answered func(at int, a Answer) // sees each answer of a queue to a call, in order; nil: nobody does
 }
 
 type machine struct {
@@ -225,7 +227,7 @@
 		leader, known := m.node.Leading()
 		switch {
 		case known && place(leader.Addr) == at:
-			m.queue.Take(&Order{Request: r, Reply: back}, c.now)
+			m.queue.Take(&Order{Request: r, Reply: c.seen(at, back)}, c.now)
 		case known:
 			c.pass(m, c.hosts[place(leader.Addr)], r, back)
 		default:
@@ -234,19 +236,29 @@
 	})
 }
 
+func (c *core) seen(at int, reply func(Answer)) func(Answer) {
+	if c.answered == nil {
+		return reply
+	}
+	return func(a Answer) {
+		c.answered(at, a)
+		reply(a)
+	}
+}
+
 func (c *core) pass(m, leader *machine, r controlmsg.Request, back func(Answer)) {
 	m.number++
 	number, life := m.number, m.life
 	m.pending[number] = &passed{c.now + passedFor, back}
 	c.slow(m.at, leader.at, func() {
-		leader.queue.Take(&Order{Request: r, Reply: func(a Answer) {
+		leader.queue.Take(&Order{Request: r, Reply: c.seen(leader.at, func(a Answer) {
 			c.say(leader.at, m.at, func() {
 				if p := m.pending[number]; p != nil && m.life == life {
 					delete(m.pending, number)
 					p.reply(a)
 				}
 			})
-		}}, c.now)
+		})}, c.now)
 	})
 }
 
--- a/internal/controlplane/orders/history_test.go
+++ b/internal/controlplane/orders/history_test.go
@@ -213,8 +213,9 @@
 }
 
 // play gives a history of operators' orders with the core in trouble, read back at its end.
-func play(t *testing.T, seed uint64) *game {
+func play(t *testing.T, seed uint64, answered func(at int, a Answer)) *game {
 	g := &game{core: newCore(t, seed, 3+2*int(seed%2))}
+	g.answered = answered
 	for i := range 4 {
 		g.operators = append(g.operators, &operator{g: g, client: i})
 	}
@@ -266,7 +267,7 @@
 	}
 	codes := map[int]int{}
 	for seed := range seeds {
-		g := play(t, uint64(seed))
+		g := play(t, uint64(seed), nil)
 		for _, o := range g.history {
 			if !o.Input.(asked).show {
 				codes[o.Output.(told).code]++
