--- a/cmd/weirlab/emulate.go
+++ b/cmd/weirlab/emulate.go
@@ -34,8 +34,18 @@
 // Run plays each policy, side by side, and prints what came of it. Broken rules of the module are an error; the
 // baselines break some by their nature.
 func (c *emulateCommand) Run(out io.Writer) error {
-	s := emulator.Setup{Drivers: c.Drivers, Groups: c.Groups, Members: c.Members, Cores: c.Cores, Work: ms(c.Work), Load: c.Load, Lag: ms(c.Lag),
-		For: ms(c.For), Retries: c.Retries, Seed: c.Seed}
+	s := emulator.Setup{
+		Drivers: c.Drivers,
+		Groups:  c.Groups,
+		Members: c.Members,
+		Cores:   c.Cores,
+		Work:    ms(c.Work),
+		Load:    c.Load,
+		Lag:     ms(c.Lag),
+		For:     ms(c.For),
+		Retries: c.Retries,
+		Seed:    c.Seed,
+	}
 	for _, text := range c.Fault {
 		what, rest, ok := strings.Cut(text, "@")
 		when, member, ok2 := strings.Cut(rest, ":")
@@ -67,8 +77,9 @@
 		for k := range r.Types {
 			t := &r.Types[k]
 			q := func(x float64) string { return fmt.Sprintf("%.1f", t.Quantile(x)) }
-			fmt.Fprintf(out, "  %-8s acked %d (in time %d), refused tries %d, failed %d; ms: median %s, p99 %s, worst %s\n", r.Setup.Mix[k].Name,
-				t.Ends[emulator.Acked], t.InTime, t.Ends[emulator.Refused], t.Ends[emulator.Failed], q(50), q(99), q(100))
+			fmt.Fprintf(out, "  %-8s acked %d (in time %d), refused tries %d, failed %d; ms: median %s, p99 %s, worst %s\n",
+				r.Setup.Mix[k].Name, t.Ends[emulator.Acked], t.InTime, t.Ends[emulator.Refused], t.Ends[emulator.Failed], q(50),
+				q(99), q(100))
 		}
 		for _, rule := range slices.Sorted(maps.Keys(r.Broken)) {
 			fmt.Fprintf(out, "  broken: %s, %d times\n", rule, r.Broken[rule])
--- a/cmd/weirlab/evening.go
+++ b/cmd/weirlab/evening.go
@@ -25,7 +25,8 @@
 
 // Run plays the evening and audits every message.
 func (c *sessionsCommand) Run(out io.Writer) error {
-	if c.For < 6*time.Second || c.Sites < 3 || c.Sites > 9 || c.Clients < 1 || c.Clients > 2000 || c.Every < time.Millisecond {
+	if c.For < 6*time.Second || c.Sites < 3 || c.Sites > 9 || c.Clients < 1 || c.Clients > 2000 ||
+		c.Every < time.Millisecond {
 		return fmt.Errorf("an evening lasts 6s at least, with 3 to 9 sites and 1 to 2000 clients")
 	}
 	log, shut, err := logTo(c.Log)
@@ -35,23 +36,51 @@
 	defer shut()
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	fmt.Fprintf(out, "three machines of the core, %d sites, two edges, %d open sessions\nsecond  queued    came  longest silence\n", c.Sites, c.Clients)
-	r, err := sessionrun.Run(ctx, sessionrun.Options{For: c.For, Sites: c.Sites, Clients: c.Clients, Every: c.Every, Net: 60 + os.Getpid()%60, Port: 21000 + os.Getpid()%100*20}, log, func(n int, s sessionrun.Second) {
-		if s.Note != "" {
-			fmt.Fprintln(out, "      --", s.Note)
-		}
-		fmt.Fprintf(out, "%6d %7d %7d %16s\n", n, s.Queued, s.Came, s.Silence.Round(time.Millisecond))
-	})
+	fmt.Fprintf(
+		out,
+		"three machines of the core, %d sites, two edges, %d open sessions\nsecond  queued    came  longest silence\n",
+		c.Sites,
+		c.Clients,
+	)
+	r, err := sessionrun.Run(
+		ctx,
+		sessionrun.Options{
+			For:     c.For,
+			Sites:   c.Sites,
+			Clients: c.Clients,
+			Every:   c.Every,
+			Net:     60 + os.Getpid()%60,
+			Port:    21000 + os.Getpid()%100*20,
+		},
+		log,
+		func(n int, s sessionrun.Second) {
+			if s.Note != "" {
+				fmt.Fprintln(out, "      --", s.Note)
+			}
+			fmt.Fprintf(out, "%6d %7d %7d %16s\n", n, s.Queued, s.Came, s.Silence.Round(time.Millisecond))
+		},
+	)
 	if err != nil {
 		return err
 	}
 	if err := os.WriteFile(c.Report, []byte(r.Page("An evening of open sessions")), 0o644); err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "%d messages queued, %d came; %d of %d sockets stayed open; longest silence of a client %s at the median, %s at most; page %s\n", r.Queued, r.Came, r.Stayed, r.Opened,
-		r.Silence[len(r.Silence)/2].Round(time.Millisecond), r.Silence[len(r.Silence)-1].Round(time.Millisecond), c.Report)
+	fmt.Fprintf(
+		out,
+		"%d messages queued, %d came; %d of %d sockets stayed open; "+
+			"longest silence of a client %s at the median, %s at most; page %s\n",
+		r.Queued,
+		r.Came,
+		r.Stayed,
+		r.Opened,
+		r.Silence[len(r.Silence)/2].Round(time.Millisecond),
+		r.Silence[len(r.Silence)-1].Round(time.Millisecond),
+		c.Report,
+	)
 	if r.Lost+r.Doubled+r.Mess > 0 || r.Stayed < r.Opened {
-		return fmt.Errorf("audit: %d lost, %d doubled, %d out of order, %d sockets closed", r.Lost, r.Doubled, r.Mess, r.Opened-r.Stayed)
+		return fmt.Errorf("audit: %d lost, %d doubled, %d out of order, %d sockets closed", r.Lost, r.Doubled, r.Mess,
+			r.Opened-r.Stayed)
 	}
 	fmt.Fprintln(out, "audit: every queued message came once and in order, on sessions that stayed open")
 	return nil
--- a/cmd/weirlab/experiment.go
+++ b/cmd/weirlab/experiment.go
@@ -59,7 +59,11 @@
 	if err != nil {
 		return err
 	}
-	report := reportCommand{Results: c.Out, Out: filepath.Join(c.Out, "report.html"), Title: strings.TrimSuffix(filepath.Base(c.File), ".hcl")}
+	report := reportCommand{
+		Results: c.Out,
+		Out:     filepath.Join(c.Out, "report.html"),
+		Title:   strings.TrimSuffix(filepath.Base(c.File), ".hcl"),
+	}
 	if c.PNG {
 		report.PNG = c.Out
 	}
@@ -74,7 +78,8 @@
 	by := 0
 	for _, r := range rows {
 		for _, b := range r.Broken {
-			fmt.Fprintf(out, "%s, %s, %d drivers, load %g, seed %d: %s broken %d times\n", r.Experiment, r.Variant, r.Drivers, r.Load, r.Seed, b.Rule, b.Times)
+			fmt.Fprintf(out, "%s, %s, %d drivers, load %g, seed %d: %s broken %d times\n", r.Experiment, r.Variant, r.Drivers,
+				r.Load, r.Seed, b.Rule, b.Times)
 			if strings.Contains(r.Setup, `"Policy":"module"`) {
 				by++
 			}
--- a/cmd/weirlab/flock.go
+++ b/cmd/weirlab/flock.go
@@ -1,7 +1,7 @@
 package main
 
-// This file owns the commands on drivers that know each other: in virtual time, and as processes by a script. It must never
-// print a figure that the play did not give.
+// This file owns the commands on drivers that know each other: in virtual time, and as processes by a script. It must
+// never print a figure that the play did not give.
 
 import (
 	"context"
--- a/cmd/weirlab/hollow.go
+++ b/cmd/weirlab/hollow.go
@@ -30,7 +30,8 @@
 
 // Run plays each size and keeps what was counted, also of a play that broke off.
 func (c *hollowCommand) Run(out io.Writer) error {
-	if c.Cores < 1 || c.Cores > 100 || c.Net < 1 || c.Net+c.Cores > 250 || c.Port < 1024 || c.Port > 60000 || c.Renewals < 1 || c.Databases < 0 || c.Databases > 5800 {
+	if c.Cores < 1 || c.Cores > 100 || c.Net < 1 || c.Net+c.Cores > 250 || c.Port < 1024 || c.Port > 60000 ||
+		c.Renewals < 1 || c.Databases < 0 || c.Databases > 5800 {
 		return fmt.Errorf("a play has up to 100 core machines and 5800 databases, within 127/8 and the ports above 1024")
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
@@ -50,7 +51,16 @@
 		if databases == 0 {
 			databases = n * 145 / 100
 		}
-		o := hollow.Options{Drivers: n, Databases: databases, Cores: c.Cores, Renewals: c.Renewals, Limit: c.Limit, Net: c.Net, Port: c.Port, Log: log}
+		o := hollow.Options{
+			Drivers:   n,
+			Databases: databases,
+			Cores:     c.Cores,
+			Renewals:  c.Renewals,
+			Limit:     c.Limit,
+			Net:       c.Net,
+			Port:      c.Port,
+			Log:       log,
+		}
 		more, err := hollow.Run(ctx, o, out)
 		rows = append(rows, more...)
 		if failed = err; err != nil {
--- a/cmd/weirlab/main.go
+++ b/cmd/weirlab/main.go
@@ -88,8 +88,8 @@
 		end()
 		return err
 	}
-	fmt.Fprintf(out, "a cluster of 5 members, %s is primary; %d drivers at %s; %g ops a second for %s\n", cluster.Primary(1), c.Drivers,
-		strings.Join(targets, ", "), c.Rate, c.For)
+	fmt.Fprintf(out, "a cluster of 5 members, %s is primary; %d drivers at %s; %g ops a second for %s\n",
+		cluster.Primary(1), c.Drivers, strings.Join(targets, ", "), c.Rate, c.For)
 	first := cluster.Primary(1)
 	events := []*time.Timer{
 		time.AfterFunc(c.For/3, func() {
@@ -104,11 +104,22 @@
 		})}
 	var seconds []*lab.Figures
 	fmt.Fprintln(out, "second  acked refused failed  lost   median      p99")
-	result := lab.Load{Targets: targets, Rate: c.Rate, For: c.For, Mix: lab.Mix, Groups: 1, Seed: c.Seed, Slack: c.Slack}.Run(ctx, func(second int, f *lab.Figures) {
-		seconds = append(seconds, f)
-		fmt.Fprintf(out, "%6d %6d %7d %6d %5d %8s %8s\n", second, f.Ends[lab.Acked], f.Ends[lab.Refused], f.Ends[lab.Failed], f.Ends[lab.Lost],
-			f.Quantile(50).Round(100*time.Microsecond), f.Quantile(99).Round(100*time.Microsecond))
-	})
+	result := lab.Load{
+		Targets: targets,
+		Rate:    c.Rate,
+		For:     c.For,
+		Mix:     lab.Mix,
+		Groups:  1,
+		Seed:    c.Seed,
+		Slack:   c.Slack,
+	}.Run(
+		ctx,
+		func(second int, f *lab.Figures) {
+			seconds = append(seconds, f)
+			fmt.Fprintf(out, "%6d %6d %7d %6d %5d %8s %8s\n", second, f.Ends[lab.Acked], f.Ends[lab.Refused], f.Ends[lab.Failed],
+				f.Ends[lab.Lost], f.Quantile(50).Round(100*time.Microsecond), f.Quantile(99).Round(100*time.Microsecond))
+		},
+	)
 	for _, e := range events {
 		e.Stop()
 	}
@@ -121,8 +132,16 @@
 	if err != nil {
 		return err
 	}
-	notes := []string{fmt.Sprintf("%s of load at %g ops a second before %d drivers and five members. A third of the way in the primary, %s, was killed; "+
-		"at two thirds it came back and a replica was told to drain. Of a second is counted what ended in it.", c.For, c.Rate, c.Drivers, first)}
+	notes := []string{
+		fmt.Sprintf(
+			"%s of load at %g ops a second before %d drivers and five members. A third of the way in the primary, %s, "+
+				"was killed; at two thirds it came back and a replica was told to drain. Of a second is counted what ended in it.",
+			c.For,
+			c.Rate,
+			c.Drivers,
+			first,
+		),
+	}
 	if err := writeReport(out, c.Report, "weirlab demo", notes, []experiment.Run{row}, ""); err != nil {
 		return err
 	}
@@ -150,8 +169,9 @@
 	slices.Sort(names)
 	for _, name := range names {
 		f := r.Kinds[name]
-		fmt.Fprintf(out, "%-10s %6d %7d %6d %5d %8s %8s %10s\n", name, f.Ends[lab.Acked], f.Ends[lab.Refused], f.Ends[lab.Failed], f.Ends[lab.Lost],
-			f.Quantile(50).Round(100*time.Microsecond), f.Quantile(99).Round(100*time.Microsecond), f.Quantile(100).Round(100*time.Microsecond))
+		fmt.Fprintf(out, "%-10s %6d %7d %6d %5d %8s %8s %10s\n", name, f.Ends[lab.Acked], f.Ends[lab.Refused],
+			f.Ends[lab.Failed], f.Ends[lab.Lost], f.Quantile(50).Round(100*time.Microsecond),
+			f.Quantile(99).Round(100*time.Microsecond), f.Quantile(100).Round(100*time.Microsecond))
 	}
 }
 
@@ -268,14 +288,21 @@
 	if c.Clients < 1 || c.Clients > 5000 || c.Members < 1 || c.Members > 50000 {
 		return fmt.Errorf("a storm is of up to 5000 clients and 50000 members")
 	}
-	fmt.Fprintf(out, "%d clients, %d members; the registry is away for %s and loses its history\n", c.Clients, c.Members, c.Away)
+	fmt.Fprintf(out, "%d clients, %d members; the registry is away for %s and loses its history\n", c.Clients, c.Members,
+		c.Away)
 	for _, naive := range []bool{false, true} {
 		r, err := lab.Storm{Clients: c.Clients, Members: c.Members, Away: c.Away, Naive: naive, Most: 3 * time.Minute}.Run()
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(out, "%-6s %5d whole lists a second at the peak, %5d in all, all current after %s\n", map[bool]string{false: "ours", true: "naive"}[naive],
-			r.Peak, r.Reads, r.Until.Round(time.Millisecond))
+		fmt.Fprintf(
+			out,
+			"%-6s %5d whole lists a second at the peak, %5d in all, all current after %s\n",
+			map[bool]string{false: "ours", true: "naive"}[naive],
+			r.Peak,
+			r.Reads,
+			r.Until.Round(time.Millisecond),
+		)
 	}
 	return nil
 }
--- a/cmd/weirlab/sockets.go
+++ b/cmd/weirlab/sockets.go
@@ -19,8 +19,22 @@
 )
 
 // socketsRow makes a row of a load's result. Of a second it knows only what ended in it.
-func socketsRow(name, variant string, drivers int, seed uint64, mix []lab.Kind, r lab.Result, seconds []*lab.Figures) (experiment.Run, error) {
-	run := experiment.Run{Experiment: name, Scenario: name, Variant: variant, Build: "this", Drivers: int32(drivers), Seed: seed}
+func socketsRow(
+	name, variant string,
+	drivers int,
+	seed uint64,
+	mix []lab.Kind,
+	r lab.Result,
+	seconds []*lab.Figures,
+) (experiment.Run, error) {
+	run := experiment.Run{
+		Experiment: name,
+		Scenario:   name,
+		Variant:    variant,
+		Build:      "this",
+		Drivers:    int32(drivers),
+		Seed:       seed,
+	}
 	asked, served := 0.0, 0.0
 	for _, k := range mix {
 		f := r.Kinds[k.Name]
@@ -28,8 +42,14 @@
 		if err != nil {
 			return run, err
 		}
-		t := experiment.Type{Name: k.Name, Value: max(k.Value, 1), Acked: int64(f.Ends[lab.Acked]), Refused: int64(f.Ends[lab.Refused]),
-			Failed: int64(f.Ends[lab.Failed] + f.Ends[lab.Lost]), Latency: latency}
+		t := experiment.Type{
+			Name:    k.Name,
+			Value:   max(k.Value, 1),
+			Acked:   int64(f.Ends[lab.Acked]),
+			Refused: int64(f.Ends[lab.Refused]),
+			Failed:  int64(f.Ends[lab.Failed] + f.Ends[lab.Lost]),
+			Latency: latency,
+		}
 		for _, bar := range f.Latency.Distribution() {
 			if k.Target == 0 || bar.To <= k.Target.Microseconds() {
 				t.InTime += bar.Count
@@ -42,7 +62,11 @@
 	}
 	run.Worth = served / max(asked, 1)
 	for _, f := range seconds {
-		s := experiment.Second{Acked: int64(f.Ends[lab.Acked]), Refused: int64(f.Ends[lab.Refused]), Failed: int64(f.Ends[lab.Failed] + f.Ends[lab.Lost])}
+		s := experiment.Second{
+			Acked:   int64(f.Ends[lab.Acked]),
+			Refused: int64(f.Ends[lab.Refused]),
+			Failed:  int64(f.Ends[lab.Failed] + f.Ends[lab.Lost]),
+		}
 		s.Asked = s.Acked + s.Refused + s.Failed
 		s.Worth = float64(s.Acked) / float64(max(s.Asked, 1))
 		run.Seconds = append(run.Seconds, s)
@@ -77,7 +101,14 @@
 		return fmt.Errorf("a comparison lasts 3s at least, at up to 5000 ops a second, over up to 50 seeds")
 	}
 	const drivers = 2
-	o := lab.Options{Groups: 1, Members: 5, Cores: 4, Work: 8 * time.Millisecond, Lag: 20 * time.Millisecond, Elect: 2 * time.Second}
+	o := lab.Options{
+		Groups:  1,
+		Members: 5,
+		Cores:   4,
+		Work:    8 * time.Millisecond,
+		Lag:     20 * time.Millisecond,
+		Elect:   2 * time.Second,
+	}
 	idle := o // an op nearly without work: what remains are the ways, the driver and the machine's timers
 	idle.Work = 200 * time.Microsecond
 	row, err := c.sockets("idle", drivers, idle)
@@ -95,9 +126,23 @@
 				return err
 			}
 			real = append(real, row)
-			s := emulator.Setup{Drivers: drivers, Groups: o.Groups, Members: o.Members, Cores: o.Cores, Work: ms(o.Work), Lag: ms(o.Lag), For: ms(c.For),
-				Load: c.Rate * o.Work.Seconds() / float64(o.Groups*o.Members*o.Cores), Policy: "module", Seed: seed + 1, Zones: 1, Hop: way, FarHop: way,
-				Handshake: way, Elect: ms(o.Elect) - 1500} // the emulator's own watch takes 1.5 s of it
+			s := emulator.Setup{
+				Drivers:   drivers,
+				Groups:    o.Groups,
+				Members:   o.Members,
+				Cores:     o.Cores,
+				Work:      ms(o.Work),
+				Lag:       ms(o.Lag),
+				For:       ms(c.For),
+				Load:      c.Rate * o.Work.Seconds() / float64(o.Groups*o.Members*o.Cores),
+				Policy:    "module",
+				Seed:      seed + 1,
+				Zones:     1,
+				Hop:       way,
+				FarHop:    way,
+				Handshake: way,
+				Elect:     ms(o.Elect) - 1500,
+			} // the emulator's own watch takes 1.5 s of it
 			for _, k := range lab.Mix {
 				t := logic.OpType{Need: logic.Any, LatencyTarget: ms(k.Target), OpTimeout: ms(k.Timeout), Value: k.Value}
 				switch k.Name {
@@ -109,7 +154,8 @@
 				s.Mix = append(s.Mix, emulator.Kind{Name: k.Name, Share: k.Share, OpType: t})
 			}
 			if kind == "rough" {
-				s.Faults = []emulator.Fault{{At: ms(c.For) / 4, What: "kill", On: "g1m1"}, {At: ms(c.For) * 3 / 4, What: "slow", On: "g1m3"}}
+				s.Faults = []emulator.Fault{{At: ms(c.For) / 4, What: "kill", On: "g1m1"},
+					{At: ms(c.For) * 3 / 4, What: "slow", On: "g1m3"}}
 			}
 			run, err := experiment.Play(experiment.Plan{Experiment: kind, Scenario: kind, Variant: "emulator", Setup: s}, "this")
 			if err != nil {
@@ -150,7 +196,17 @@
 		defer time.AfterFunc(3*c.For/4, func() { cluster.Do("slow", third) }).Stop()
 	}
 	var seconds []*lab.Figures
-	r := lab.Load{Targets: targets, Rate: c.Rate, For: c.For, Mix: lab.Mix, Groups: 1, Seed: o.Seed}.Run(ctx, func(_ int, f *lab.Figures) { seconds = append(seconds, f) })
+	r := lab.Load{
+		Targets: targets,
+		Rate:    c.Rate,
+		For:     c.For,
+		Mix:     lab.Mix,
+		Groups:  1,
+		Seed:    o.Seed,
+	}.Run(
+		ctx,
+		func(_ int, f *lab.Figures) { seconds = append(seconds, f) },
+	)
 	end()
 	if err := wait(); err != nil {
 		return experiment.Run{}, err
--- a/cmd/weirlab/switch.go
+++ b/cmd/weirlab/switch.go
@@ -1,7 +1,7 @@
 package main
 
-// This file owns the command that changes the primary again and again under load, planned with hooks, planned without, and
-// by killing it. It must never count what it did not see.
+// This file owns the command that changes the primary again and again under load, planned with hooks, planned without,
+// and by killing it. It must never count what it did not see.
 
 import (
 	"context"
@@ -24,11 +24,17 @@
 
 // Run prints gaps, ends and effects of each kind; a broken rule is an error.
 func (c *switchCommand) Run(out io.Writer) error {
-	if c.Drivers < 1 || c.Drivers > 100 || c.Changes < 1 || c.Changes > 200 || c.Rate <= 0 || c.Rate > 5000 || c.Elect < 10*time.Millisecond {
+	if c.Drivers < 1 || c.Drivers > 100 || c.Changes < 1 || c.Changes > 200 || c.Rate <= 0 || c.Rate > 5000 ||
+		c.Elect < 10*time.Millisecond {
 		return fmt.Errorf("changes are of up to 100 drivers, 200 of each kind, at up to 5000 writes a second")
 	}
-	fmt.Fprintf(out, "%d drivers, %g writes a second, the cluster itself is without a primary for %s\n", c.Drivers, c.Rate, c.Elect)
-	fmt.Fprintln(out, "kind              changes  acked refused failed  lost  ran twice   gap of the cluster   gap that clients saw: median, worst   p99 of writes")
+	fmt.Fprintf(out, "%d drivers, %g writes a second, the cluster itself is without a primary for %s\n", c.Drivers, c.Rate,
+		c.Elect)
+	fmt.Fprintln(
+		out,
+		"kind              changes  acked refused failed  lost  ran twice   gap of the cluster   "+
+			"gap that clients saw: median, worst   p99 of writes",
+	)
 	for _, kind := range []string{"planned, hooks", "planned, no hooks", "killed"} {
 		if err := c.play(out, kind); err != nil {
 			return err
@@ -59,8 +65,15 @@
 	result := make(chan lab.Result, 1)
 	begin := time.Now()
 	go func() {
-		result <- lab.Load{Targets: h.Addresses, Rate: c.Rate, For: time.Duration(c.Changes+1) * between, Mix: mix, Groups: 1, Seed: c.Seed,
-			Slack: time.Second}.Run(ctx, nil)
+		result <- lab.Load{
+			Targets: h.Addresses,
+			Rate:    c.Rate,
+			For:     time.Duration(c.Changes+1) * between,
+			Mix:     mix,
+			Groups:  1,
+			Seed:    c.Seed,
+			Slack:   time.Second,
+		}.Run(ctx, nil)
 	}()
 	var own []time.Duration
 	for i := range c.Changes {
@@ -98,8 +111,9 @@
 	slices.Sort(own)
 	f := r.Kinds["write"]
 	round := func(d time.Duration) time.Duration { return d.Round(time.Millisecond) }
-	fmt.Fprintf(out, "%-17s %7d %6d %7d %6d %5d %10d   %18s   %24s, %s   %s\n", kind, c.Changes, f.Ends[lab.Acked], f.Ends[lab.Refused], f.Ends[lab.Failed],
-		f.Ends[lab.Lost], cluster.Twice(), round(own[len(own)/2]), round(seen[len(seen)/2]), round(seen[len(seen)-1]), round(f.Quantile(99)))
+	fmt.Fprintf(out, "%-17s %7d %6d %7d %6d %5d %10d   %18s   %24s, %s   %s\n", kind, c.Changes, f.Ends[lab.Acked],
+		f.Ends[lab.Refused], f.Ends[lab.Failed], f.Ends[lab.Lost], cluster.Twice(), round(own[len(own)/2]),
+		round(seen[len(seen)/2]), round(seen[len(seen)-1]), round(f.Quantile(99)))
 	if broken := cluster.Audit(r); len(broken) > 0 {
 		return fmt.Errorf("%s: %s", kind, broken[0])
 	}
--- a/cmd/weirwind/membership.go
+++ b/cmd/weirwind/membership.go
@@ -91,7 +91,8 @@
 
 // fellowLine is its part on one fellow.
 func fellowLine(v *membership.View) string {
-	text := fmt.Sprintf("name=%s state=%s heard=%v listed=%v address=%s zone=%s for=%s", v.Name, v.State, v.Heard, v.Listed, v.Address, v.Zone, span(v.For))
+	text := fmt.Sprintf("name=%s state=%s heard=%v listed=%v address=%s zone=%s for=%s", v.Name, v.State, v.Heard,
+		v.Listed, v.Address, v.Zone, span(v.For))
 	if len(v.Deaf) > 0 {
 		text += " does_not_hear=" + strings.Join(v.Deaf, ",")
 	}
--- a/cmd/weirwind/plan.go
+++ b/cmd/weirwind/plan.go
@@ -66,11 +66,18 @@
 		}
 		return err
 	}
-	l := plan.Limits{Need: map[int64]float64{}, NeedZone: map[string]float64{}, Cold: cmp.Or(f.Limits.Cold, 1), ColdShare: f.Limits.ColdShare, Candidates: f.Limits.Candidates}
+	l := plan.Limits{
+		Need:       map[int64]float64{},
+		NeedZone:   map[string]float64{},
+		Cold:       cmp.Or(f.Limits.Cold, 1),
+		ColdShare:  f.Limits.ColdShare,
+		Candidates: f.Limits.Candidates,
+	}
 	for _, t := range []struct {
 		to   *float64
 		text string
-	}{{&l.Away, f.Limits.Away}, {&l.Warm, f.Limits.Warm}, {&l.Gap, f.Limits.Gap}, {&l.Lost, f.Limits.Lost}, {&l.Pause, f.Limits.Pause}, {&l.Within, f.Limits.Within}} {
+	}{{&l.Away, f.Limits.Away}, {&l.Warm, f.Limits.Warm}, {&l.Gap, f.Limits.Gap}, {&l.Lost, f.Limits.Lost},
+		{&l.Pause, f.Limits.Pause}, {&l.Within, f.Limits.Within}} {
 		d, e := time.ParseDuration(cmp.Or(t.text, "0s"))
 		*t.to, err = d.Seconds(), cmp.Or(err, e)
 	}
@@ -86,7 +93,10 @@
 	}
 	var members []plan.Member
 	for _, m := range f.Members {
-		members = append(members, plan.Member{Name: m.Name, Zone: m.Zone, Group: m.Group, Capacity: m.Capacity, Primary: m.Primary})
+		members = append(
+			members,
+			plan.Member{Name: m.Name, Zone: m.Zone, Group: m.Group, Capacity: m.Capacity, Primary: m.Primary},
+		)
 	}
 	var steps []plan.Step
 	for _, m := range f.Replace {
--- a/cmd/weirwind/state.go
+++ b/cmd/weirwind/state.go
@@ -65,7 +65,8 @@
 	}
 	m := s.Meta
 	fmt.Fprintf(out, "driver %s, run %d, renewed %s, ended in order: %v\n", m.Name, m.Run, date(m.At.Wall), m.Closed)
-	fmt.Fprintf(out, "list revision %d (epoch %d), %d members; ceiling %s\n", m.Revision, m.Epoch, len(s.List), date(m.Reserved))
+	fmt.Fprintf(out, "list revision %d (epoch %d), %d members; ceiling %s\n", m.Revision, m.Epoch, len(s.List),
+		date(m.Reserved))
 	for _, id := range slices.Sorted(maps.Keys(s.Groups)) {
 		g := s.Groups[id]
 		held := "was primary"
--- a/cmd/weirwind/switch.go
+++ b/cmd/weirwind/switch.go
@@ -79,8 +79,9 @@
 		return err
 	}
 	for _, s := range all {
-		fmt.Fprintf(out, "group=%d epoch=%d stage=%s from=%s to=%s marked=%s primary=%s left=%s lapsed=%v over=%v\n", s.Group, s.Epoch, s.Stage, s.From, s.To,
-			s.Marked, s.Primary, time.Duration(s.Left*float64(time.Millisecond)).Round(time.Millisecond), s.Lapsed, s.Over)
+		fmt.Fprintf(out, "group=%d epoch=%d stage=%s from=%s to=%s marked=%s primary=%s left=%s lapsed=%v over=%v\n", s.Group,
+			s.Epoch, s.Stage, s.From, s.To, s.Marked, s.Primary,
+			time.Duration(s.Left*float64(time.Millisecond)).Round(time.Millisecond), s.Lapsed, s.Over)
 	}
 	return nil
 }
--- a/internal/driver/zones.go
+++ b/internal/driver/zones.go
@@ -1,8 +1,8 @@
 package driver
 
 // This file owns what the driver does with plans of zones: it puts what it sees and what peers say before
-// internal/fleet/zones, carries out what that decides, and counts sends between zones. It must never judge a zone or a plan
-// itself, or keep an op waiting for either.
+// internal/fleet/zones, carries out what that decides, and counts sends between zones. It must never judge a zone or a
+// plan itself, or keep an op waiting for either.
 
 import (
 	"bytes"
--- a/internal/durable/last.go
+++ b/internal/durable/last.go
@@ -8,8 +8,8 @@
 // Last keeps one value. Its methods are not for several goroutines at a time.
 type Last struct{ store *Store }
 
-// OpenLast opens a folder and gives the newest value, nil for none. A folder that has lost records is an error: the newest
-// may have been among them, and operators are to say that it is begun anew, by moving it away.
+// OpenLast opens a folder and gives the newest value, nil for none. A folder that has lost records is an error: the
+// newest may have been among them, and operators are to say that it is begun anew, by moving it away.
 func OpenLast(folder, tag string, limit int64) (*Last, []byte, error) {
 	store, found, err := Open(OS{}, Options{Folder: folder, Tag: tag, Limit: limit})
 	if err != nil {
--- a/internal/lab/audit.go
+++ b/internal/lab/audit.go
@@ -30,7 +30,8 @@
 		}
 	}
 	for _, id := range c.late {
-		broken = append(broken, fmt.Sprintf("rule 3: op %s came to a member later than the grace after its drain was told", id))
+		broken = append(broken, fmt.Sprintf("rule 3: op %s came to a member later than the grace after its drain was told",
+			id))
 	}
 	return broken
 }
--- a/internal/lab/cluster.go
+++ b/internal/lab/cluster.go
@@ -107,8 +107,18 @@
 
 // Start makes a cluster on free loopback ports.
 func Start(o Options) (*Cluster, error) {
-	c := &Cluster{o: o.filled(), revision: 1, changed: make(chan struct{}), entries: map[string]discovery.Entry{}, told: map[string]time.Time{},
-		applied: map[string]int{}, arrived: map[string]int{}, primary: map[int64]*Member{}, stopped: map[int64]float64{}, draw: rand.New(rand.NewPCG(o.Seed, 3))}
+	c := &Cluster{
+		o:        o.filled(),
+		revision: 1,
+		changed:  make(chan struct{}),
+		entries:  map[string]discovery.Entry{},
+		told:     map[string]time.Time{},
+		applied:  map[string]int{},
+		arrived:  map[string]int{},
+		primary:  map[int64]*Member{},
+		stopped:  map[int64]float64{},
+		draw:     rand.New(rand.NewPCG(o.Seed, 3)),
+	}
 	for g := range c.o.Groups {
 		for i := range c.o.Members {
 			m := &Member{ID: fmt.Sprintf("g%dm%d", g+1, i+1), c: c, group: int64(g + 1), address: "127.0.0.1:0",
@@ -118,7 +128,13 @@
 				return nil, err
 			}
 			c.members = append(c.members, m)
-			c.entries[m.ID] = discovery.Entry{ID: m.ID, HostPort: m.address, Locality: c.o.zone(i), Cell: m.group, Phase: discovery.PhaseUp}
+			c.entries[m.ID] = discovery.Entry{
+				ID:       m.ID,
+				HostPort: m.address,
+				Locality: c.o.zone(i),
+				Cell:     m.group,
+				Phase:    discovery.PhaseUp,
+			}
 			if i == 0 {
 				c.primary[m.group] = m
 			}
@@ -187,7 +203,8 @@
 	return nil
 }
 
-// Do carries out a fault: kill, heal, hang, free, slow (four times), drain, demote, mute, stubborn, undrain. It says whether it knows both words.
+// Do carries out a fault: kill, heal, hang, free, slow (four times), drain, demote, mute, stubborn, undrain. It says
+// whether it knows both words.
 func (c *Cluster) Do(what, id string) bool {
 	m := c.member(id)
 	if m == nil {
@@ -406,7 +423,9 @@
 func (m *Member) answer(text []byte) []byte {
 	if string(text) == "SHOW usage" {
 		role, position := m.stands()
-		return pgwire.AppendReady(pgwire.AppendRow(nil, fmt.Sprintf("x0=%.6f,x1=%d", position/1000, map[bool]int{true: 1}[role == "writer"])))
+		return pgwire.AppendReady(
+			pgwire.AppendRow(nil, fmt.Sprintf("x0=%.6f,x1=%d", position/1000, map[bool]int{true: 1}[role == "writer"])),
+		)
 	}
 	st, err := pgwire.ParseStatement(text)
 	if err != nil {
--- a/internal/lab/drivers.go
+++ b/internal/lab/drivers.go
@@ -15,22 +15,25 @@
 )
 
 // Mix is what the laboratory's drivers serve: bounded reads, reads of any age, and writes that must not run twice.
-var Mix = []Kind{{Name: "recent", Share: 5, Timeout: 1e9, Target: 250e6, Value: 3}, {Name: "any", Share: 3, Timeout: 1.2e9, Target: 300e6, Value: 1},
+var Mix = []Kind{{Name: "recent", Share: 5, Timeout: 1e9, Target: 250e6, Value: 3},
+	{Name: "any", Share: 3, Timeout: 1.2e9, Target: 300e6, Value: 1},
 	{Name: "write", Share: 2, Write: true, Timeout: 4e9, Target: 500e6, Value: 3}}
 
 // Configuration is that of a driver, in the platform's form; times there are in microseconds.
 func (c *Cluster) Configuration(name, listen string, drivers, index int) []byte {
 	text, err := json.MarshalIndent(map[string]any{
-		"name": name, "listen": listen, "discovery": c.Discovery(), "seed": fmt.Sprintf("%016x", 0x9E3779B97F4A7C15*uint64(index+1)),
+		"name": name, "listen": listen, "discovery": c.Discovery(),
+		"seed":   fmt.Sprintf("%016x", 0x9E3779B97F4A7C15*uint64(index+1)),
 		"limits": map[string]any{"cores": 2, "memory_mb": 192, "sockets": 1024}, "known": c.Known(),
-		"settings": map[string]any{"tick": 5000, "siblings": drivers, "index": index, "zone": "a", "registry_mode": "on_request",
-			"family_info": map[string]any{"checks": "silent", "needs_by_class": []string{"lag_bound", "eventual", "mutate"},
-				"oldest_data": []int{200000, 0, 0}, "shows_role": "silent", "stamps": true, "write_marks": "brought"},
+		"settings": map[string]any{"tick": 5000, "siblings": drivers, "index": index, "zone": "a",
+			"registry_mode": "on_request", "family_info": map[string]any{"checks": "silent",
+				"needs_by_class": []string{"lag_bound", "eventual", "mutate"}, "oldest_data": []int{200000, 0, 0},
+				"shows_role": "silent", "stamps": true, "write_marks": "brought"},
 			"report": map[string]any{"fields": []string{"x0", "x1"}, "source": "pull"},
-			"policy_limits": map[string]any{"send_cap": 6, "cancel": true, "may_probe": true, "parallel_tries": true, "retry_after": true,
-				"max_retry_after": 1000000, "connect_timeout": 250000, "conn_idle": 15000000},
-			"rules": map[string]any{"cold": 10000000, "cold_from": 0.3, "tip_multiple": 2.5, "fall": 1500000, "stop_sending_within": 500000},
-			"profiles": []any{
+			"policy_limits": map[string]any{"send_cap": 6, "cancel": true, "may_probe": true, "parallel_tries": true,
+				"retry_after": true, "max_retry_after": 1000000, "connect_timeout": 250000, "conn_idle": 15000000},
+			"rules": map[string]any{"cold": 10000000, "cold_from": 0.3, "tip_multiple": 2.5, "fall": 1500000,
+				"stop_sending_within": 500000}, "profiles": []any{
 				map[string]any{"name": "recent", "aim": 250000, "deadline": 1000000, "effect": "repeatable", "points": 3},
 				map[string]any{"name": "any", "aim": 300000, "deadline": 1200000, "effect": "repeatable", "points": 1},
 				map[string]any{"name": "write", "aim": 500000, "deadline": 4000000, "effect": "once", "points": 3}}}}, "", "  ")
@@ -52,7 +55,12 @@
 
 // Drivers runs some in this process until the context ends; their logs go to the writer, and operators gives the
 // operators' file of each, nil for none. It gives their addresses, and a function that waits for their end.
-func (c *Cluster) Drivers(ctx context.Context, n int, logTo io.Writer, operators func(i int) operator.File) (addresses []string, wait func() error, err error) {
+func (c *Cluster) Drivers(
+	ctx context.Context,
+	n int,
+	logTo io.Writer,
+	operators func(i int) operator.File,
+) (addresses []string, wait func() error, err error) {
 	if operators == nil {
 		operators = func(int) operator.File { return operator.Default() }
 	}
--- a/internal/lab/emulator/audit.go
+++ b/internal/lab/emulator/audit.go
@@ -70,7 +70,8 @@
 // unharmed says whether every send of an op is proved not to have run.
 func (o *op) unharmed() bool {
 	for _, x := range o.attempts {
-		proved := x.outcome == logic.ConnectFailed || x.outcome == logic.Moot || x.outcome == logic.Miss || x.outcome == logic.Full
+		proved := x.outcome == logic.ConnectFailed || x.outcome == logic.Moot || x.outcome == logic.Miss ||
+			x.outcome == logic.Full
 		if !x.over || !proved {
 			return false
 		}
@@ -136,7 +137,8 @@
 	for _, h := range w.hosts {
 		for id, end := range h.writes {
 			if end == Refused && ran[id] > 0 {
-				found = append(found, finding{h.now, fmt.Sprintf("rule 2: write %s ran, and its client was told that it did not", id)})
+				found = append(found, finding{h.now, fmt.Sprintf("rule 2: write %s ran, and its client was told that it did not",
+					id)})
 			} else if end == Acked && ran[id] == 0 {
 				found = append(found, finding{h.now, fmt.Sprintf("rule 1: write %s was acked and never ran", id)})
 			}
--- a/internal/lab/emulator/clients.go
+++ b/internal/lab/emulator/clients.go
@@ -61,14 +61,21 @@
 		for x -= h.w.setup.Mix[0].Share; x >= 0 && kind < len(h.w.setup.Mix)-1; x -= h.w.setup.Mix[kind].Share {
 			kind++
 		}
-		o := &op{kind: kind, group: int64(h.draw.IntN(h.w.setup.Groups) + 1), asked: h.now, due: h.now + h.w.types[kind].OpTimeout}
+		o := &op{
+			kind:  kind,
+			group: int64(h.draw.IntN(h.w.setup.Groups) + 1),
+			asked: h.now,
+			due:   h.now + h.w.types[kind].OpTimeout,
+		}
 		if h.hot {
 			o.group = 1
 		}
 		if h.w.setup.Groups == 1 { // a session's writes are one group's: positions of two can't be compared
 			o.session = &h.sessions[h.draw.IntN(len(h.sessions))]
 		} else if h.w.types[kind].Need == logic.Session || h.w.types[kind].Need == logic.Write {
-			o.session = &h.sessions[(h.draw.IntN(len(h.sessions))/h.w.setup.Groups*h.w.setup.Groups+int(o.group)-1)%len(h.sessions)]
+			groups := h.w.setup.Groups
+			session := h.draw.IntN(len(h.sessions))/groups*groups + int(o.group) - 1
+			o.session = &h.sessions[session%len(h.sessions)]
 		}
 		h.ask(o)
 		h.arrivals()
--- a/internal/lab/emulator/emulator.go
+++ b/internal/lab/emulator/emulator.go
@@ -35,7 +35,12 @@
 	{"recent", 4.5, logic.OpType{Need: logic.Bounded, MaxAge: 200, LatencyTarget: 250, OpTimeout: 1000, Value: 3}},
 	{"own", 0.5, logic.OpType{Need: logic.Session, LatencyTarget: 250, OpTimeout: 1000, Value: 3}},
 	{"any", 3.8, logic.OpType{Need: logic.Any, LatencyTarget: 300, OpTimeout: 1200, Value: 1}},
-	{"write", 1.2, logic.OpType{Need: logic.Write, Effect: logic.NonRetryable, LatencyTarget: 500, OpTimeout: 2000, Value: 3}}}
+	{
+		"write",
+		1.2,
+		logic.OpType{Need: logic.Write, Effect: logic.NonRetryable, LatencyTarget: 500, OpTimeout: 2000, Value: 3},
+	},
+}
 
 // Setup is what is to be played. Times are milliseconds. Zero values of what is marked so are filled in.
 type Setup struct {
@@ -119,18 +124,31 @@
 	}
 	capacity := float64(s.Groups*s.Members*s.Cores) / s.Work // ops a millisecond
 	for i := range s.Drivers {
-		h := &host{lane: w.clock.lane(len(w.groups)+i, s.Seed, w.begin), w: w, index: i, zone: i % s.Zones, ops: map[string]*op{},
-			links: map[*server][]link{}, sessions: make([]session, sessionsEach), writes: map[string]End{}, list: slices.Clone(list),
-			place: place, rate: capacity * s.Load / float64(s.Drivers), surge: 1}
+		h := &host{
+			lane:     w.clock.lane(len(w.groups)+i, s.Seed, w.begin),
+			w:        w,
+			index:    i,
+			zone:     i % s.Zones,
+			ops:      map[string]*op{},
+			links:    map[*server][]link{},
+			sessions: make([]session, sessionsEach),
+			writes:   map[string]End{},
+			list:     slices.Clone(list),
+			place:    place,
+			rate:     capacity * s.Load / float64(s.Drivers),
+			surge:    1,
+		}
 		h.audit = newLens(h.lane)
 		w.hosts = append(w.hosts, h)
 	}
 	for _, h := range w.hosts {
 		seed := (s.Seed + 1) * 0x9E3779B97F4A7C15 * uint64(h.index+1)
 		h.opening = logic.Opening{Seed: seed, Drivers: s.Drivers, Zone: zoneName(h.zone), OpTypes: w.types, Tick: 5,
-			ListRole: logic.RoleAtStart, SessionCarried: true, Positions: true, ReportsByProbe: true, MayProbe: true, MayCancel: true,
-			MayMessage: true, MayOverlap: true, MaxRetryAfter: 1000, SendCap: 6, ColdFrom: coldFrom, ColdFor: coldFor, FallMultiple: tipMost,
-			FallSpan: tipSpan, MaxMessageBytes: 256, MaxMessages: s.Messages}
+			ListRole: logic.RoleAtStart, SessionCarried: true, Positions: true, ReportsByProbe: true, MayProbe: true,
+			MayCancel:  true,
+			MayMessage: true, MayOverlap: true, MaxRetryAfter: 1000, SendCap: 6, ColdFrom: coldFrom, ColdFor: coldFor,
+			FallMultiple: tipMost,
+			FallSpan:     tipSpan, MaxMessageBytes: 256, MaxMessages: s.Messages}
 		if s.NoProbes {
 			h.opening.ReportsByProbe, h.opening.MayProbe = false, false
 		}
@@ -139,7 +157,10 @@
 		}
 		h.policy = h.newPolicy()
 		h.after(5*h.draw.Float64(), func() { // clocks of machines do not tick together
-			h.step(logic.Event{Kind: logic.EvOpen, Opening: &h.opening}, logic.Event{Kind: logic.EvMembers, List: logic.ListCached, Members: h.list})
+			h.step(
+				logic.Event{Kind: logic.EvOpen, Opening: &h.opening},
+				logic.Event{Kind: logic.EvMembers, List: logic.ListCached, Members: h.list},
+			)
 			h.arrivals()
 			h.sample()
 		})
@@ -214,7 +235,8 @@
 		r.First = append(r.First, fmt.Sprintf("at %.1f ms: %s", f.at-w.begin, f.text))
 	}
 	for i, m := range w.members {
-		r.Served[i] = MemberFigures{m.id, m.served, m.waited / float64(max(m.served, 1)), m.worked / (w.setup.For * float64(w.setup.Cores)), m.conned}
+		r.Served[i] = MemberFigures{m.id, m.served, m.waited / float64(max(m.served, 1)),
+			m.worked / (w.setup.For * float64(w.setup.Cores)), m.conned}
 	}
 	asked, served := 0.0, 0.0
 	for i := range r.Seconds {
--- a/internal/lab/emulator/faults.go
+++ b/internal/lab/emulator/faults.go
@@ -18,7 +18,7 @@
 	At   float64 // milliseconds
 	For  float64 // after so long it is undone; 0: never, but by heal
 	What string
-	On   string  // a member g1m1, a group g1, a zone a, a driver n0, the first part of drivers 1/4, all; for cuts a>b or a-b
+	On   string  // a member g1m1, a group g1, a zone a, a driver n0, the first 1/4 of drivers, all; for cuts a>b or a-b
 	By   float64 // times as slow, as far behind, as many ops; share of packets; 0: the usual one
 }
 
@@ -27,7 +27,8 @@
 
 // What there is.
 var (
-	onMembers = []string{"kill", "vanish", "hang", "fail", "slow", "lag", "age", "drain", "wrong", "demote", "switch", "heal"}
+	onMembers = []string{"kill", "vanish", "hang", "fail", "slow", "lag", "age", "drain", "wrong", "demote", "switch",
+		"heal"}
 	onGroups  = []string{"deploy"}
 	onDrivers = []string{"restart", "lose", "pause", "late", "burst", "hot", "end", "count"}
 	onNetwork = []string{"cut", "loss"}
@@ -127,7 +128,8 @@
 			w.cuts = append(w.cuts, c)
 		}
 	default:
-		return fmt.Errorf("fault %q; it may be %s", f.What, strings.Join(slices.Concat(onMembers, onGroups, onDrivers, onPlans, onNetwork), ", "))
+		return fmt.Errorf("fault %q; it may be %s", f.What, strings.Join(slices.Concat(onMembers, onGroups, onDrivers,
+			onPlans, onNetwork), ", "))
 	}
 	return nil
 }
@@ -209,7 +211,8 @@
 	if m.dead || m.silent {
 		m.started, m.behind = m.g.now, 0
 	}
-	m.dead, m.silent, m.hangs, m.fails, m.slow, m.ages, m.lag, m.phase = false, false, false, false, 1, 0, m.g.w.setup.Lag, logic.Ready
+	m.dead, m.silent, m.hangs, m.fails, m.slow, m.ages, m.lag, m.phase = false, false, false, false, 1, 0, m.g.w.setup.Lag,
+		logic.Ready
 	m.work()
 	m.g.announce(m)
 }
--- a/internal/lab/emulator/host.go
+++ b/internal/lab/emulator/host.go
@@ -303,7 +303,18 @@
 		closed = true
 	}
 	if !h.down {
-		h.step(logic.Event{Kind: logic.EvAnswer, Op: x.op.id, Send: x.n, Member: m.id, Outcome: o, Note: note, Closed: closed, Opened: x.opened})
+		h.step(
+			logic.Event{
+				Kind:    logic.EvAnswer,
+				Op:      x.op.id,
+				Send:    x.n,
+				Member:  m.id,
+				Outcome: o,
+				Note:    note,
+				Closed:  closed,
+				Opened:  x.opened,
+			},
+		)
 	}
 	if closed {
 		h.forget(x.op)
--- a/internal/lab/emulator/policies.go
+++ b/internal/lab/emulator/policies.go
@@ -25,8 +25,17 @@
 }
 
 func newBaseline(rule string, types []logic.OpType, seed uint64) *baseline {
-	return &baseline{rule: rule, types: types, draw: rand.New(rand.NewPCG(seed, 77)), members: map[int64][]string{}, primary: map[int64]string{},
-		drains: map[string]bool{}, group: map[string]int64{}, flying: map[string]int{}, kinds: map[string]int{}}
+	return &baseline{
+		rule:    rule,
+		types:   types,
+		draw:    rand.New(rand.NewPCG(seed, 77)),
+		members: map[int64][]string{},
+		primary: map[int64]string{},
+		drains:  map[string]bool{},
+		group:   map[string]int64{},
+		flying:  map[string]int{},
+		kinds:   map[string]int{},
+	}
 }
 
 func (b *baseline) Step(now float64, events []logic.Event) []logic.Action {
--- a/internal/lab/emulator/restart.go
+++ b/internal/lab/emulator/restart.go
@@ -15,7 +15,14 @@
 
 // rules are what the state is kept by.
 func (h *host) rules() learned.Rules {
-	r := learned.Rules{Name: h.name(), SaveEvery: 1000, SwitchLeast: handover, ColdFor: coldFor, Bound: math.Inf(1), SessionsCarried: true}
+	r := learned.Rules{
+		Name:            h.name(),
+		SaveEvery:       1000,
+		SwitchLeast:     handover,
+		ColdFor:         coldFor,
+		Bound:           math.Inf(1),
+		SessionsCarried: true,
+	}
 	for i, t := range h.w.types {
 		r.OpTypes = append(r.OpTypes, learned.OpType{Name: h.w.setup.Mix[i].Name, Target: t.LatencyTarget})
 		if t.Need == logic.Bounded {
@@ -79,7 +86,8 @@
 		h.down = false
 		h.policy = h.newPolicy()
 		h.opening.Seed = h.opening.Seed*6364136223846793005 + 1 // new with each start
-		events := []logic.Event{{Kind: logic.EvOpen, Opening: &h.opening}, {Kind: logic.EvMembers, List: logic.ListCached, Members: slices.Clone(h.list)}}
+		events := []logic.Event{{Kind: logic.EvOpen, Opening: &h.opening},
+			{Kind: logic.EvMembers, List: logic.ListCached, Members: slices.Clone(h.list)}}
 		for _, e := range h.list {
 			h.audit.told(e)
 		}
@@ -97,7 +105,10 @@
 		if e.Phase == logic.Draining {
 			phase = "draining"
 		}
-		all = append(all, learned.Entry{ID: e.Member, Address: e.Member, Zone: e.Zone, Group: e.Group, Phase: phase, Started: e.Started})
+		all = append(
+			all,
+			learned.Entry{ID: e.Member, Address: e.Member, Zone: e.Zone, Group: e.Group, Phase: phase, Started: e.Started},
+		)
 	}
 	return all
 }
--- a/internal/lab/emulator/switch.go
+++ b/internal/lab/emulator/switch.go
@@ -1,7 +1,7 @@
 package emulator
 
-// This file owns words on planned changes between a hook and drivers, which go by internal/switchover as the driver does.
-// It must never let a driver hear of a change but by a word that had its way to go.
+// This file owns words on planned changes between a hook and drivers, which go by internal/switchover as the driver
+// does. It must never let a driver hear of a change but by a word that had its way to go.
 
 import (
 	"weirwind/internal/switchover"
@@ -16,7 +16,17 @@
 
 func (h *host) switchbook() *switchover.Book {
 	if h.book == nil {
-		h.book = switchover.New(switchover.Rules{Lease: 5000, Most: 60000, Opening: 10000, Ask: 1000, Keep: 240000, Groups: 64, Origin: uint64(h.index)})
+		h.book = switchover.New(
+			switchover.Rules{
+				Lease:   5000,
+				Most:    60000,
+				Opening: 10000,
+				Ask:     1000,
+				Keep:    240000,
+				Groups:  64,
+				Origin:  uint64(h.index),
+			},
+		)
 		h.marked = map[string]bool{}
 	}
 	return h.book
--- a/internal/lab/emulator/world.go
+++ b/internal/lab/emulator/world.go
@@ -17,7 +17,7 @@
 
 // Constants of the world, in milliseconds where nothing else is said, each with its reason.
 const (
-	coldFor, coldFrom = 8000.0, 0.3 // a member that has started does this share of its work at first, and all after so long
+	coldFor, coldFrom = 8000.0, 0.3 // after its start a member does this share of its work, and all after so long
 	connectLimit      = 250.0       // a connect that never comes up is given up after so long
 	listDelay         = 300.0       // from a change to a driver's list, at most: a watch and its way
 	queueMost         = 64          // ops that wait at a member, a core: then it turns away
@@ -376,7 +376,13 @@
 func (w *world) build() {
 	s := &w.setup
 	for g := range s.Groups {
-		c := &cluster{lane: w.clock.lane(len(w.groups), s.Seed, w.begin), w: w, id: int64(g + 1), ran: map[string]int{}, slow: 1}
+		c := &cluster{
+			lane: w.clock.lane(len(w.groups), s.Seed, w.begin),
+			w:    w,
+			id:   int64(g + 1),
+			ran:  map[string]int{},
+			slow: 1,
+		}
 		c.audit = newLens(c.lane)
 		for i := range s.Members {
 			m := &server{g: c, id: fmt.Sprintf("g%dm%d", g+1, i+1), zone: i % s.Zones, slow: 1, lag: s.Lag, looked: w.begin,
--- a/internal/lab/experiment/compare.go
+++ b/internal/lab/experiment/compare.go
@@ -1,7 +1,7 @@
 package experiment
 
-// This file owns the comparison of runs: pairs by seed, means of differences and how sure they are. It must never call a
-// difference one that chance explains.
+// This file owns the comparison of runs: pairs by seed, means of differences and how sure they are. It must never call
+// a difference one that chance explains.
 
 import (
 	"cmp"
@@ -30,7 +30,8 @@
 	{"worth, last quarter", 1, (*Run).Late, false},
 	{"tries an op", -1, (*Run).Tries, false},
 	{"failed, share of tries", -1, func(r *Run) float64 { return r.share(func(t *Type) int64 { return t.Failed }) }, true},
-	{"refused, share of tries", -1, func(r *Run) float64 { return r.share(func(t *Type) int64 { return t.Refused }) }, true},
+	{"refused, share of tries", -1, func(r *Run) float64 { return r.share(func(t *Type) int64 { return t.Refused }) },
+		true},
 	{"p50 of all types, ms", -1, func(r *Run) float64 { return r.Quantile(50) }, true},
 	{"p99 of all types, ms", -1, func(r *Run) float64 { return r.Quantile(99) }, true},
 	{"longest gap of writes, ms", -1, func(r *Run) float64 { return slices.Max(append([]float64{0}, r.Gaps...)) }, false},
@@ -154,7 +155,8 @@
 				x, y := m.Of(p.a), m.Of(p.b)
 				as, bs, diffs = append(as, x), append(bs, y), append(diffs, y-x)
 			}
-			d := Difference{c.experiment, c.drivers, c.load, m, len(diffs), stat.Mean(as, nil), stat.Mean(bs, nil), 0, math.Inf(1)}
+			d := Difference{c.experiment, c.drivers, c.load, m, len(diffs), stat.Mean(as, nil), stat.Mean(bs, nil), 0,
+				math.Inf(1)}
 			d.Mean, d.Half = Interval(diffs)
 			all = append(all, d)
 		}
@@ -184,7 +186,8 @@
 	for _, d := range all {
 		if c := (cell{d.Experiment, d.Drivers, d.Load}); c != before {
 			before = c
-			fmt.Fprintf(w, "%s, %d drivers, load %g, %d pairs\t%s\t%s\tdifference\t\n", d.Experiment, d.Drivers, d.Load, d.Pairs, nameA, nameB)
+			fmt.Fprintf(w, "%s, %d drivers, load %g, %d pairs\t%s\t%s\tdifference\t\n", d.Experiment, d.Drivers, d.Load, d.Pairs,
+				nameA, nameB)
 		}
 		word := "not beyond chance"
 		switch {
--- a/internal/lab/experiment/report.go
+++ b/internal/lab/experiment/report.go
@@ -24,8 +24,8 @@
 )
 
 // Colours that are told apart by those who see few, in the order of variants.
-var colours = []color.Color{color.RGBA{0, 114, 178, 255}, color.RGBA{213, 94, 0, 255}, color.RGBA{0, 158, 115, 255}, color.RGBA{204, 121, 167, 255},
-	color.RGBA{86, 180, 233, 255}, color.RGBA{120, 94, 0, 255}}
+var colours = []color.Color{color.RGBA{0, 114, 178, 255}, color.RGBA{213, 94, 0, 255}, color.RGBA{0, 158, 115, 255},
+	color.RGBA{204, 121, 167, 255}, color.RGBA{86, 180, 233, 255}, color.RGBA{120, 94, 0, 255}}
 
 const panelWide, panelHigh = 5 * vg.Inch, 3 * vg.Inch
 
@@ -126,11 +126,17 @@
 	of                   func(*Second) float64
 	most                 float64 // of the axis; 0: what there is
 }{
-	{"worth", "Worth over time", "Value served in time, as a share of what was asked first in that second.", "share", func(s *Second) float64 { return s.Worth }, 1.4},
-	{"refused", "Refused tries", "Busy replies a second.", "a second", func(s *Second) float64 { return float64(s.Refused) }, 0},
-	{"again", "Tries an op", "First and further tries of clients, for each first one.", "tries", func(s *Second) float64 { return 1 + float64(s.Again)/float64(max(s.Asked, 1)) }, 0},
-	{"slots", "Empty writer slots", "Share of looks at drivers and groups that found the slot empty; nothing for plain policies.", "share", func(s *Second) float64 { return s.Empty }, 0},
-	{"held", "Held writes", "Writes that wait without a send out, all drivers together.", "writes", func(s *Second) float64 { return s.Held }, 0},
+	{"worth", "Worth over time", "Value served in time, as a share of what was asked first in that second.", "share",
+		func(s *Second) float64 { return s.Worth }, 1.4},
+	{"refused", "Refused tries", "Busy replies a second.", "a second",
+		func(s *Second) float64 { return float64(s.Refused) }, 0},
+	{"again", "Tries an op", "First and further tries of clients, for each first one.", "tries",
+		func(s *Second) float64 { return 1 + float64(s.Again)/float64(max(s.Asked, 1)) }, 0},
+	{"slots", "Empty writer slots",
+		"Share of looks at drivers and groups that found the slot empty; nothing for plain policies.", "share",
+		func(s *Second) float64 { return s.Empty }, 0},
+	{"held", "Held writes", "Writes that wait without a send out, all drivers together.", "writes",
+		func(s *Second) float64 { return s.Held }, 0},
 }
 
 // draws makes all panels of rows.
@@ -153,7 +159,8 @@
 		return fmt.Sprintf("%s-%s-%d-%g", kind, c.experiment, c.drivers, c.load)
 	}
 	// each makes a section with a panel a cell, lines by variant, and one scale for all.
-	each := func(kind, name, note, x, y string, most float64, add func(p *plot.Plot, n int, rows []Run, v string) error) error {
+	each := func(kind, name, note, x, y string, most float64, add func(p *plot.Plot, n int, rows []Run,
+		v string) error) error {
 		s := section{Title: name, Note: note}
 		for _, c := range cells {
 			p := newPlot(title(c), x, y)
@@ -186,40 +193,42 @@
 			return nil, err
 		}
 	}
-	err := each("latency", "Latency of acked ops", "From a client's first try; the axis counts nines.", "quantile", "ms", 0, func(p *plot.Plot, n int, rows []Run, v string) error {
-		h, err := merged(rows)
-		if err != nil || h.TotalCount() == 0 {
-			return err
-		}
-		var xy plotter.XYs
-		for nines := 0.0; nines <= 4; nines += 0.05 {
-			xy = append(xy, plotter.XY{X: nines, Y: float64(h.ValueAtQuantile(100*(1-math.Pow(10, -nines)))) / 1000})
-		}
-		p.X.Tick.Marker = plot.ConstantTicks([]plot.Tick{{Value: 0, Label: "0"}, {Value: 1, Label: "0.9"}, {Value: 2, Label: "0.99"},
-			{Value: 3, Label: "0.999"}, {Value: 4, Label: "0.9999"}})
-		p.Legend.Left = true
-		return Line(p, n, v, xy)
-	})
+	err := each("latency", "Latency of acked ops", "From a client's first try; the axis counts nines.", "quantile", "ms",
+		0, func(p *plot.Plot, n int, rows []Run, v string) error {
+			h, err := merged(rows)
+			if err != nil || h.TotalCount() == 0 {
+				return err
+			}
+			var xy plotter.XYs
+			for nines := 0.0; nines <= 4; nines += 0.05 {
+				xy = append(xy, plotter.XY{X: nines, Y: float64(h.ValueAtQuantile(100*(1-math.Pow(10, -nines)))) / 1000})
+			}
+			p.X.Tick.Marker = plot.ConstantTicks([]plot.Tick{{Value: 0, Label: "0"}, {Value: 1, Label: "0.9"},
+				{Value: 2, Label: "0.99"}, {Value: 3, Label: "0.999"}, {Value: 4, Label: "0.9999"}})
+			p.Legend.Left = true
+			return Line(p, n, v, xy)
+		})
 	if err != nil {
 		return nil, err
 	}
-	err = each("members", "Load by member", "Share of its cores' time that each member was busy, the busiest first.", "member", "share", 0, func(p *plot.Plot, n int, rows []Run, v string) error {
-		busy := make([]float64, len(rows[0].Members))
-		for i := range rows {
-			for k, m := range rows[i].Members {
-				busy[k] += m.Busy / float64(len(rows))
+	err = each("members", "Load by member", "Share of its cores' time that each member was busy, the busiest first.",
+		"member", "share", 0, func(p *plot.Plot, n int, rows []Run, v string) error {
+			busy := make([]float64, len(rows[0].Members))
+			for i := range rows {
+				for k, m := range rows[i].Members {
+					busy[k] += m.Busy / float64(len(rows))
+				}
 			}
-		}
-		if len(busy) < 2 {
-			return nil
-		}
-		slices.SortFunc(busy, func(a, b float64) int { return int(math.Copysign(1, b-a)) })
-		var xy plotter.XYs
-		for i, x := range busy {
-			xy = append(xy, plotter.XY{X: float64(i + 1), Y: x})
-		}
-		return Line(p, n, v, xy)
-	})
+			if len(busy) < 2 {
+				return nil
+			}
+			slices.SortFunc(busy, func(a, b float64) int { return int(math.Copysign(1, b-a)) })
+			var xy plotter.XYs
+			for i, x := range busy {
+				xy = append(xy, plotter.XY{X: float64(i + 1), Y: x})
+			}
+			return Line(p, n, v, xy)
+		})
 	if err != nil {
 		return nil, err
 	}
@@ -228,10 +237,17 @@
 }
 
 // outcomes are stacked bars, a panel a cell: what came of ops' tries, variant by variant.
-func outcomes(cells []cell, variants []string, in func(cell, string) []Run, title func(cell) string, label func(string, cell) string) (section, error) {
+func outcomes(
+	cells []cell,
+	variants []string,
+	in func(cell, string) []Run,
+	title func(cell) string,
+	label func(string, cell) string,
+) (section, error) {
 	s := section{Title: "Outcomes", Note: "Of all tries: acked in time, acked late, refused, failed."}
 	names := []string{"in time", "late", "refused", "failed"}
-	shades := []color.Color{color.RGBA{0, 158, 115, 255}, color.RGBA{240, 228, 66, 255}, color.RGBA{86, 180, 233, 255}, color.RGBA{213, 94, 0, 255}}
+	shades := []color.Color{color.RGBA{0, 158, 115, 255}, color.RGBA{240, 228, 66, 255}, color.RGBA{86, 180, 233, 255},
+		color.RGBA{213, 94, 0, 255}}
 	for _, c := range cells {
 		p := newPlot(title(c), "", "share of tries")
 		values := make([]plotter.Values, 4)
@@ -274,11 +290,13 @@
 <html lang="en"><head><meta charset="utf-8"><title>{{.Title}}</title><style>
 body { font: 15px/1.5 sans-serif; margin: 2em auto; max-width: 1120px; padding: 0 1em; color: #222 }
 .row { display: flex; flex-wrap: wrap; gap: 1em } .row svg { max-width: 100%; height: auto }
-table { border-collapse: collapse; font-size: 13px } td, th { padding: .25em .7em; border-bottom: 1px solid #ddd; text-align: right }
+table { border-collapse: collapse; font-size: 13px } ` +
+	`td, th { padding: .25em .7em; border-bottom: 1px solid #ddd; text-align: right }
 td:first-child, th:first-child { text-align: left } pre { background: #f6f6f6; padding: 1em; overflow-x: auto }
 </style></head><body><h1>{{.Title}}</h1>
 {{range .Notes}}<p>{{.}}</p>{{end}}
-<table><tr>{{range .Head}}<th>{{.}}</th>{{end}}</tr>{{range .Table}}<tr>{{range .}}<td>{{.}}</td>{{end}}</tr>{{end}}</table>
+<table><tr>{{range .Head}}<th>{{.}}</th>{{end}}</tr>` +
+	`{{range .Table}}<tr>{{range .}}<td>{{.}}</td>{{end}}</tr>{{end}}</table>
 {{range .Sections}}<h2>{{.Title}}</h2><p>{{.Note}}</p><div class="row">{{range .Pictures}}{{.}}{{end}}</div>{{end}}
 {{with .Text}}<h2>Comparison</h2><pre>{{.}}</pre>{{end}}
 </body></html>
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -1,7 +1,7 @@
 package experiment
 
-// This file owns the playing of plans side by side, their progress, and going on after a break. It must never play a run
-// again whose result is there, nor take a result for one of another setup or build.
+// This file owns the playing of plans side by side, their progress, and going on after a break. It must never play a
+// run again whose result is there, nor take a result for one of another setup or build.
 
 import (
 	"context"
--- a/internal/lab/experiment/scenario.go
+++ b/internal/lab/experiment/scenario.go
@@ -1,5 +1,5 @@
-// Package experiment plays scenarios in the emulator by a file: variants, sizes, seeds and faults, side by side; it keeps
-// what came of them, compares and draws it.
+// Package experiment plays scenarios in the emulator by a file: variants, sizes, seeds and faults, side by side; it
+// keeps what came of them, compares and draws it.
 //
 // This file owns the file's form, in HCL. It must never let a name or a value pass that it does not know.
 package experiment
@@ -116,7 +116,11 @@
 	for _, e := range f.Experiments {
 		base, known := scenarios[e.Scenario]
 		if !known || len(e.Variants) == 0 || seen[e.Name] || e.Seeds < 0 || e.Seeds > 1000 {
-			return nil, fmt.Errorf("%s: experiment %q wants a name of its own, a scenario that the file has, a variant and up to 1000 seeds", name, e.Name)
+			return nil, fmt.Errorf(
+				"%s: experiment %q wants a name of its own, a scenario that the file has, a variant and up to 1000 seeds",
+				name,
+				e.Name,
+			)
 		}
 		seen[e.Name] = true
 		if len(e.Drivers) == 0 {
@@ -151,8 +155,10 @@
 }
 
 var (
-	needs   = map[string]logic.Need{"any": logic.Any, "bounded": logic.Bounded, "session": logic.Session, "fresh": logic.Fresh, "write": logic.Write}
-	effects = map[string]logic.Effect{"": logic.Retryable, "retryable": logic.Retryable, "tokened": logic.Tokened, "non-retryable": logic.NonRetryable}
+	needs = map[string]logic.Need{"any": logic.Any, "bounded": logic.Bounded, "session": logic.Session,
+		"fresh": logic.Fresh, "write": logic.Write}
+	effects = map[string]logic.Effect{"": logic.Retryable, "retryable": logic.Retryable, "tokened": logic.Tokened,
+		"non-retryable": logic.NonRetryable}
 )
 
 // span reads a time, in milliseconds.
@@ -168,8 +174,17 @@
 }
 
 func (s *scenario) setup() (emulator.Setup, error) {
-	e := emulator.Setup{Drivers: cmp.Or(s.Drivers, 3), Groups: cmp.Or(s.Groups, 1), Members: cmp.Or(s.Members, 5), Cores: cmp.Or(s.Cores, 4),
-		Load: cmp.Or(s.Load, 0.4), Retries: s.Retries, Zones: s.Zones, Connections: s.Connections, Policy: "module"}
+	e := emulator.Setup{
+		Drivers:     cmp.Or(s.Drivers, 3),
+		Groups:      cmp.Or(s.Groups, 1),
+		Members:     cmp.Or(s.Members, 5),
+		Cores:       cmp.Or(s.Cores, 4),
+		Load:        cmp.Or(s.Load, 0.4),
+		Retries:     s.Retries,
+		Zones:       s.Zones,
+		Connections: s.Connections,
+		Policy:      "module",
+	}
 	var problem error
 	read := func(to *float64, text string, usual float64) {
 		x, err := span(text, usual)
--- a/internal/lab/experiment/store.go
+++ b/internal/lab/experiment/store.go
@@ -41,8 +41,8 @@
 	Gaps       []float64 `parquet:"gaps,list"`
 }
 
-// Broken is a rule that was broken, Type an op type, Second a second of the play, Member a member over all of it, Opening
-// a new primary's first second. Their fields are those of the emulator.
+// Broken is a rule that was broken, Type an op type, Second a second of the play, Member a member over all of it,
+// Opening a new primary's first second. Their fields are those of the emulator.
 type (
 	Broken struct {
 		Rule  string `parquet:"rule"`
@@ -84,9 +84,24 @@
 
 // row makes a run's row.
 func row(p Plan, build string, r *emulator.Result) (Run, error) {
-	run := Run{Experiment: p.Experiment, Scenario: p.Scenario, Variant: p.Variant, Build: build, Drivers: int32(p.Setup.Drivers), Load: p.Setup.Load,
-		Seed: p.Setup.Seed, Setup: text(p.Setup), Asked: int64(r.Asked), Worth: r.Worth, Sends: int64(r.Sends()), Words: int64(r.Words()),
-		Connects: int64(r.Connects()), Lost: int64(r.Lost), Events: int64(r.Events), Gaps: r.Gaps}
+	run := Run{
+		Experiment: p.Experiment,
+		Scenario:   p.Scenario,
+		Variant:    p.Variant,
+		Build:      build,
+		Drivers:    int32(p.Setup.Drivers),
+		Load:       p.Setup.Load,
+		Seed:       p.Setup.Seed,
+		Setup:      text(p.Setup),
+		Asked:      int64(r.Asked),
+		Worth:      r.Worth,
+		Sends:      int64(r.Sends()),
+		Words:      int64(r.Words()),
+		Connects:   int64(r.Connects()),
+		Lost:       int64(r.Lost),
+		Events:     int64(r.Events),
+		Gaps:       r.Gaps,
+	}
 	for rule, n := range r.Broken {
 		run.Broken = append(run.Broken, Broken{rule, int64(n)})
 	}
@@ -102,7 +117,12 @@
 	}
 	for i := range r.Seconds[:int(r.Setup.For/1000)] {
 		s := &r.Seconds[i]
-		x := Second{Again: int64(s.Again), Acked: int64(s.Ends[emulator.Acked]), Refused: int64(s.Ends[emulator.Refused]), Failed: int64(s.Ends[emulator.Failed])}
+		x := Second{
+			Again:   int64(s.Again),
+			Acked:   int64(s.Ends[emulator.Acked]),
+			Refused: int64(s.Ends[emulator.Refused]),
+			Failed:  int64(s.Ends[emulator.Failed]),
+		}
 		asked, served, empty := 0.0, 0.0, 0
 		for k := range s.Asked {
 			x.Asked += int64(s.Asked[k])
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -1,8 +1,8 @@
 // Package fleet runs the built program as several processes on loopback, each behind links of its own, before the
 // laboratory's cluster.
 //
-// This file owns the processes: their files, their start, and what is done to them. It must never stop a process that it
-// did not start.
+// This file owns the processes: their files, their start, and what is done to them. It must never stop a process that
+// it did not start.
 package fleet
 
 import (
@@ -178,15 +178,29 @@
 		}
 	}
 	file := d.file
-	operators := fmt.Sprintf("control {\n  socket     = %q\n  token_file = %q\n  lease      = \"3s\"\n  most       = \"1m\"\n  opening    = \"3s\"\n}\n"+
-		"membership {\n  listen    = %q\n  advertise = %q\n  seeds     = [%s]\n  period    = %q\n  expect    = %d\n  yield     = %q\n}\n",
-		d.socket, file("token"), d.f.Links.Listen(d.i), d.f.Links.Reach(d.i), strings.Join(seeds, ", "), o.Period, o.Expect, o.Yield)
+	operators := fmt.Sprintf(
+		"control {\n  socket     = %q\n  token_file = %q\n  lease      = \"3s\"\n  most       = \"1m\"\n"+
+			"  opening    = \"3s\"\n}\n"+
+			"membership {\n  listen    = %q\n  advertise = %q\n  seeds     = [%s]\n  period    = %q\n"+
+			"  expect    = %d\n  yield     = %q\n}\n",
+		d.socket,
+		file("token"),
+		d.f.Links.Listen(d.i),
+		d.f.Links.Reach(d.i),
+		strings.Join(seeds, ", "),
+		o.Period,
+		o.Expect,
+		o.Yield,
+	)
 	if o.Keep {
 		operators = strings.Replace(operators, "  period ", fmt.Sprintf("  folder    = %q\n  period ", file("votes")), 1)
 	}
 	if len(o.Zones) > 0 {
-		operators = strings.Replace(operators, "  period ", fmt.Sprintf("  zone      = %q\n  period ", o.Zones[d.i%len(o.Zones)]), 1)
-		operators += "zones {\n  region \"r\" {\n    zones = [\"a\", \"b\", \"c\"]\n  }\n  beat  = \"200ms\"\n  lease = \"3s\"\n  doubt = \"400ms\"\n  away  = \"1s\"\n  webhook = " + fmt.Sprintf("%q", o.Webhook) + "\n}\n"
+		operators = strings.Replace(operators, "  period ", fmt.Sprintf("  zone      = %q\n  period ",
+			o.Zones[d.i%len(o.Zones)]), 1)
+		operators += "zones {\n  region \"r\" {\n    zones = [\"a\", \"b\", \"c\"]\n  }\n  beat  = \"200ms\"\n" +
+			"  lease = \"3s\"\n  doubt = \"400ms\"\n  away  = \"1s\"\n  webhook = " +
+			fmt.Sprintf("%q", o.Webhook) + "\n}\n"
 	}
 	for kind, text := range map[string][]byte{"json": config, "hcl": []byte(operators), "token": []byte(secret)} {
 		if err := os.WriteFile(file(kind), text, 0o600); err != nil {
--- a/internal/lab/fleet/script.go
+++ b/internal/lab/fleet/script.go
@@ -1,7 +1,7 @@
 package fleet
 
-// This file owns scripts: what is done to which processes when, and the page that shows who saw whom when. It must never show
-// what no process said.
+// This file owns scripts: what is done to which processes when, and the page that shows who saw whom when. It must
+// never show what no process said.
 
 import (
 	"bytes"
@@ -34,8 +34,8 @@
 	period, end time.Duration
 }
 
-// Step is one thing that is done: kill, stop, freeze, thaw or start drivers, set one direction of a pair (way), cut into
-// parts, or heal all.
+// Step is one thing that is done: kill, stop, freeze, thaw or start drivers, set one direction of a pair (way), cut
+// into parts, or heal all.
 type Step struct {
 	What    string  `hcl:"what,label"`
 	At      string  `hcl:"at"`
@@ -96,7 +96,8 @@
 func (p *Step) String() string {
 	switch p.What {
 	case "way":
-		return fmt.Sprintf("n%d to n%d: cut %v, loss %g, double %g, delay %s+%s, rate %d", p.From, p.To, p.Cut, p.Loss, p.Double, p.delay, p.jitter, p.Rate)
+		return fmt.Sprintf("n%d to n%d: cut %v, loss %g, double %g, delay %s+%s, rate %d", p.From, p.To, p.Cut, p.Loss,
+			p.Double, p.delay, p.jitter, p.Rate)
 	case "cut":
 		return fmt.Sprint("cut into ", p.Parts)
 	case "heal":
@@ -108,7 +109,11 @@
 func (p *Step) do(f *Fleet) error {
 	switch p.What {
 	case "way":
-		f.Links.Set(p.From, p.To, links.Way{Cut: p.Cut, Loss: p.Loss, Double: p.Double, Delay: p.delay, Jitter: p.jitter, Rate: p.Rate})
+		f.Links.Set(
+			p.From,
+			p.To,
+			links.Way{Cut: p.Cut, Loss: p.Loss, Double: p.Double, Delay: p.delay, Jitter: p.jitter, Rate: p.Rate},
+		)
 	case "cut":
 		part := make([]int, len(f.Drivers))
 		for i, members := range p.Parts {
@@ -167,7 +172,9 @@
 		return nil, err
 	}
 	defer c.Stop()
-	f, err := New(Options{Program: s.Program, Drivers: s.Drivers, Spare: s.Spare, Period: s.period, Seed: uint64(s.Seed), Cluster: c})
+	f, err := New(
+		Options{Program: s.Program, Drivers: s.Drivers, Spare: s.Spare, Period: s.period, Seed: uint64(s.Seed), Cluster: c},
+	)
 	if err != nil {
 		return nil, err
 	}
@@ -249,14 +256,17 @@
 	return draw(f, said, steps, now())
 }
 
-var colours = map[string]string{"alive": "#4a9", "whole": "#4a9", "larger": "#8c6", "suspect": "#fc5", "unsure": "#fc5", "smaller": "#f96", "alone": "#e55",
-	"failed": "#e55", "left": "#bbb", "unheard": "#69c", "silent": "#eee"}
+var colours = map[string]string{"alive": "#4a9", "whole": "#4a9", "larger": "#8c6", "suspect": "#fc5", "unsure": "#fc5",
+	"smaller": "#f96", "alone": "#e55", "failed": "#e55", "left": "#bbb", "unheard": "#69c", "silent": "#eee"}
 
 var page = template.Must(template.New("fleet").Parse(`<!DOCTYPE html><meta charset="utf-8"><title>weirlab fleet</title>
-<style>body{font:13px sans-serif;margin:2em}td{padding:0 6px 0 0}svg{display:block}.k span{padding:2px 8px;margin-right:4px}</style>
+<style>body{font:13px sans-serif;margin:2em}td{padding:0 6px 0 0}svg{display:block}` +
+	`.k span{padding:2px 8px;margin-right:4px}</style>
 <h1>Who saw whom when</h1><p class="k">{{range .Key}}<span style="background:{{.Colour}}">{{.Name}}</span>{{end}}</p>
 <ol>{{range .Steps}}<li>{{printf "%.1f" .From}} s: {{.What}}</li>{{end}}</ol>
-{{range .Drivers}}<h2>{{.Name}}</h2><table>{{range .Rows}}<tr><td>{{.Of}}<td><svg width="900" height="12">{{range .Bars}}<rect x="{{printf "%.1f" .X}}" y="1" width="{{printf "%.1f" .W}}" height="10" fill="{{.Colour}}"><title>{{.Title}}</title></rect>{{end}}</svg>{{end}}</table>{{end}}
+{{range .Drivers}}<h2>{{.Name}}</h2><table>{{range .Rows}}<tr><td>{{.Of}}<td><svg width="900" height="12">` +
+	`{{range .Bars}}<rect x="{{printf "%.1f" .X}}" y="1" width="{{printf "%.1f" .W}}" height="10" ` +
+	`fill="{{.Colour}}"><title>{{.Title}}</title></rect>{{end}}</svg>{{end}}</table>{{end}}
 `))
 
 // draw makes the page.
@@ -280,7 +290,8 @@
 		Drivers []driver
 	}
 	x.Steps = steps
-	for _, n := range []string{"whole", "larger", "smaller", "alone", "unsure", "alive", "unheard", "suspect", "failed", "left", "silent"} {
+	for _, n := range []string{"whole", "larger", "smaller", "alone", "unsure", "alive", "unheard", "suspect", "failed",
+		"left", "silent"} {
 		x.Key = append(x.Key, key{n, colours[n]})
 	}
 	scale := 900 / max(end, 1)
@@ -302,7 +313,8 @@
 				r.Of = "standing"
 			}
 			for _, p := range h[n] {
-				r.Bars = append(r.Bars, bar{p.From * scale, max((p.To-p.From)*scale, 1), colours[p.What], fmt.Sprintf("%s %.1f to %.1f s", p.What, p.From, p.To)})
+				r.Bars = append(r.Bars, bar{p.From * scale, max((p.To-p.From)*scale, 1), colours[p.What],
+					fmt.Sprintf("%s %.1f to %.1f s", p.What, p.From, p.To)})
 			}
 			d.Rows = append(d.Rows, r)
 		}
--- a/internal/lab/hollow/hollow.go
+++ b/internal/lab/hollow/hollow.go
@@ -1,5 +1,5 @@
-// Package hollow measures what the control plane costs by size: real core machines, real agents without proxies, many a process,
-// and members that are nothing but heartbeats, over loopback.
+// Package hollow measures what the control plane costs by size: real core machines, real agents without proxies, many a
+// process, and members that are nothing but heartbeats, over loopback.
 //
 // This file owns the play, its phases and its account. It must never print a figure that no process counted.
 package hollow
@@ -32,14 +32,15 @@
 // Options of a play.
 type Options struct {
 	Drivers, Databases, Cores int
-	Renewals                  int           // of each driver's lease in a phase, at least: about as many seconds, and thrice that in the calm phase
-	Limit                     time.Duration // until all is known, at most
-	Net, Port                 int           // 127.Net and those that follow are used
-	Log                       io.Writer     // of the processes; nil: nowhere
+	// Renewals of each lease in a phase, at least: about as many seconds, and thrice that in the calm phase.
+	Renewals  int
+	Limit     time.Duration // until all is known, at most
+	Net, Port int           // 127.Net and those that follow are used
+	Log       io.Writer     // of the processes; nil: nowhere
 }
 
-// Row is one figure: what a role's processes sent or received for a purpose in a phase. A row without a purpose has the processor
-// time and the memory.
+// Row is one figure: what a role's processes sent or received for a purpose in a phase. A row without a purpose has the
+// processor time and the memory.
 type Row struct {
 	Phase     string  `parquet:"phase,dict"`
 	Drivers   int32   `parquet:"drivers"`
@@ -171,9 +172,11 @@
 
 func (p *play) start(ctx context.Context) error {
 	for n, ctl := range p.plan.Cores {
-		lines := []string{fmt.Sprint("hostname=core-", n), fmt.Sprintf("zone=zone-%d", n), "region=r", "init=true", "tolerate.nodes=1", "beatMs=1200", "limits.memMb=4000",
-			"listen.ctl=" + ctl, "ip=" + p.coreIP(n), fmt.Sprintf("portRange=%d,%d", p.plan.Port, p.plan.Port+2), "peers=" + strings.Join(p.plan.Cores[:min(3, p.Options.Cores)], ","),
-			"datadir=" + filepath.Join(p.folder, fmt.Sprint("core", n))}
+		lines := []string{fmt.Sprint("hostname=core-", n), fmt.Sprintf("zone=zone-%d", n), "region=r", "init=true",
+			"tolerate.nodes=1", "beatMs=1200", "limits.memMb=4000", "listen.ctl=" + ctl, "ip=" + p.coreIP(n),
+			fmt.Sprintf("portRange=%d,%d", p.plan.Port, p.plan.Port+2), "peers=" +
+				strings.Join(p.plan.Cores[:min(3, p.Options.Cores)], ","), "datadir=" +
+				filepath.Join(p.folder, fmt.Sprint("core", n))}
 		file := filepath.Join(p.folder, fmt.Sprintf("core%d.conf", n))
 		if err := os.WriteFile(file, []byte(strings.Join(lines, "\n")+"\n"), 0o600); err != nil {
 			return err
@@ -229,7 +232,19 @@
 	for n := range p.Databases {
 		svc := groupName(n)
 		next.Svcs = append(next.Svcs, service{svc, 320, 1})
-		next.Routes = append(next.Routes, route{Name: "route-" + svc, Host: fmt.Sprintf("%08x.database", uint32(n)*2654435761), Prefix: "/", Type: "primary", Svc: svc, TimeoutMs: 1000, TargetMs: 600, Timing: int(base.Gen)})
+		next.Routes = append(
+			next.Routes,
+			route{
+				Name:      "route-" + svc,
+				Host:      fmt.Sprintf("%08x.database", uint32(n)*2654435761),
+				Prefix:    "/",
+				Type:      "primary",
+				Svc:       svc,
+				TimeoutMs: 1000,
+				TargetMs:  600,
+				Timing:    int(base.Gen),
+			},
+		)
 	}
 	body, err := json.Marshal(next)
 	if err != nil {
@@ -252,7 +267,8 @@
 	return nil
 }
 
-// settle waits until agents were told nothing new for two renewals each: core machines may know all while lists are under way.
+// settle waits until agents were told nothing new for two renewals each: core machines may know all while lists are
+// under way.
 func (p *play) settle(ctx context.Context) error {
 	told, until := -1, 0
 	return p.until(ctx, func() (bool, error) {
@@ -263,7 +279,8 @@
 		now := 0
 		for _, s := range all {
 			for _, t := range s.Traffic {
-				for _, purpose := range []controlmsg.Purpose{controlmsg.MemberRecords, controlmsg.DriverLists, controlmsg.Configuration} {
+				for _, purpose := range []controlmsg.Purpose{controlmsg.MemberRecords, controlmsg.DriverLists,
+					controlmsg.Configuration} {
 					now += int(t.Received[purpose.String()].Frames)
 				}
 			}
@@ -327,7 +344,8 @@
 func (p *play) allKnown(int) (bool, error) {
 	for n := range p.cores {
 		s, err := p.status(n)
-		if err != nil || s.CoreLinks != p.Options.Cores-1 || s.DriverCount != p.Options.Drivers || s.MemberCount != p.Databases*membersPerGroup {
+		if err != nil || s.CoreLinks != p.Options.Cores-1 || s.DriverCount != p.Options.Drivers ||
+			s.MemberCount != p.Databases*membersPerGroup {
 			return false, nil
 		}
 	}
@@ -374,10 +392,26 @@
 }
 
 // account makes rows of two samples.
-func (p *play) account(phase string, before, after map[string][]Sample, seconds float64, events int, known float64) (rows []Row) {
-	machines := map[string]int{"core": p.Options.Cores, "drivers": p.Options.Drivers, "members": p.Databases * membersPerGroup}
+func (p *play) account(
+	phase string,
+	before, after map[string][]Sample,
+	seconds float64,
+	events int,
+	known float64,
+) (rows []Row) {
+	machines := map[string]int{"core": p.Options.Cores, "drivers": p.Options.Drivers,
+		"members": p.Databases * membersPerGroup}
 	for _, role := range []string{"core", "drivers", "members"} {
-		base := Row{Phase: phase, Drivers: int32(p.Options.Drivers), Members: int32(machines["members"]), Seconds: seconds, Events: int32(events), Known: known, Role: role, Machines: int32(machines[role])}
+		base := Row{
+			Phase:    phase,
+			Drivers:  int32(p.Options.Drivers),
+			Members:  int32(machines["members"]),
+			Seconds:  seconds,
+			Events:   int32(events),
+			Known:    known,
+			Role:     role,
+			Machines: int32(machines[role]),
+		}
 		sums, used := map[[3]string]transport.Count{}, base
 		for sign, samples := range map[int][]Sample{-1: before[role], 1: after[role]} {
 			for _, s := range samples {
@@ -396,7 +430,10 @@
 				for direction, n := range map[string]int64{"sent": s.Sent, "received": s.Back} {
 					if role == "members" {
 						key, sum := [3]string{"http", direction, "heartbeats"}, sums[[3]string{"http", direction, "heartbeats"}]
-						sums[key] = transport.Count{Frames: sum.Frames + uint64(sign)*uint64(s.Beats), Bytes: sum.Bytes + uint64(sign)*uint64(n)}
+						sums[key] = transport.Count{
+							Frames: sum.Frames + uint64(sign)*uint64(s.Beats),
+							Bytes:  sum.Bytes + uint64(sign)*uint64(n),
+						}
 					}
 				}
 			}
--- a/internal/lab/hollow/processes.go
+++ b/internal/lab/hollow/processes.go
@@ -1,7 +1,7 @@
 package hollow
 
-// This file owns the processes: this binary started again as a core machine, as many agents, or as many members. A process of
-// agents or members answers each line on its standard input with a sample of what it has used and sent.
+// This file owns the processes: this binary started again as a core machine, as many agents, or as many members. A
+// process of agents or members answers each line on its standard input with a sample of what it has used and sent.
 
 import (
 	"bufio"
@@ -118,8 +118,15 @@
 func (d *drivers) start(i int) {
 	n := d.First + i
 	ip := d.driverIP(n)
-	set := &settings.Settings{Hostname: fmt.Sprintf("front-region%d-%04d", n%len(d.Cores), n), IP: ip, Zone: fmt.Sprintf("zone-%d", n%10), Ports: [2]int{d.Port, d.Port + 2},
-		Peers: d.Cores[:min(3, len(d.Cores))], Feed: net.JoinHostPort(ip, strconv.Itoa(d.Port+1)), Grace: 2 * time.Second}
+	set := &settings.Settings{
+		Hostname: fmt.Sprintf("front-region%d-%04d", n%len(d.Cores), n),
+		IP:       ip,
+		Zone:     fmt.Sprintf("zone-%d", n%10),
+		Ports:    [2]int{d.Port, d.Port + 2},
+		Peers:    d.Cores[:min(3, len(d.Cores))],
+		Feed:     net.JoinHostPort(ip, strconv.Itoa(d.Port+1)),
+		Grace:    2 * time.Second,
+	}
 	ctx, end := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	if i < len(d.ends) {
@@ -147,7 +154,12 @@
 			d.start(i)
 		}
 	}
-	return Sample{Traffic: map[string]controlmsg.Traffic{"core": controlmsg.ReadTraffic(&agent.CoreTraffic), "peers": controlmsg.ReadTraffic(&agent.PeerTraffic)}}
+	return Sample{
+		Traffic: map[string]controlmsg.Traffic{
+			"core":  controlmsg.ReadTraffic(&agent.CoreTraffic),
+			"peers": controlmsg.ReadTraffic(&agent.PeerTraffic),
+		},
+	}
 }
 
 // members send heartbeats by the pages' wire and answer the leader's STAT; they run no statement.
@@ -235,9 +247,23 @@
 	if i%membersPerGroup == 0 {
 		role = "primary"
 	}
-	body := fmt.Sprintf(`{"svc":"%s","addr":"%s","zone":"zone-%d","gen":"v%d","slots":10,"state":"up","warmupMs":0,"dbRole":"%s","seq":%d}`,
-		groupName(i/membersPerGroup), m.addr, i%10, 1+m.generation[i].Load(), role, seq)
-	request := fmt.Sprintf("POST /members/i-%08x/heartbeat HTTP/1.1\r\nHost: %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", i, core, len(body), body)
+	body := fmt.Sprintf(
+		`{"svc":"%s","addr":"%s","zone":"zone-%d","gen":"v%d","slots":10,"state":"up","warmupMs":0,"dbRole":"%s","seq":%d}`,
+		groupName(i/membersPerGroup),
+		m.addr,
+		i%10,
+		1+m.generation[i].Load(),
+		role,
+		seq,
+	)
+	request := fmt.Sprintf(
+		"POST /members/i-%08x/heartbeat HTTP/1.1\r\nHost: %s\r\nContent-Type: application/json\r\n"+
+			"Content-Length: %d\r\n\r\n%s",
+		i,
+		core,
+		len(body),
+		body,
+	)
 	c.SetDeadline(time.Now().Add(time.Second))
 	if _, err := io.WriteString(c, request); err != nil {
 		return err
@@ -282,7 +308,8 @@
 		return nil, err
 	}
 	c := &child{role: role, cmd: exec.Command(self)}
-	c.cmd.Env = append(os.Environ(), roleVariable+"="+role, planVariable+"="+string(text), settings.Variable+"="+settingsFile, "GOMAXPROCS=1")
+	c.cmd.Env = append(os.Environ(), roleVariable+"="+role, planVariable+"="+string(text),
+		settings.Variable+"="+settingsFile, "GOMAXPROCS=1")
 	c.cmd.Stderr = log
 	if role != "core" {
 		c.in, _ = c.cmd.StdinPipe()
--- a/internal/lab/hollow/results.go
+++ b/internal/lab/hollow/results.go
@@ -18,23 +18,27 @@
 // printPhase prints a phase's rows: for each role what one of its machines used and sent.
 func printPhase(out io.Writer, rows []Row) {
 	slices.SortFunc(rows, func(a, b Row) int {
-		return cmp.Or(cmp.Compare(a.Role, b.Role), cmp.Compare(a.Link, b.Link), cmp.Compare(a.Direction, b.Direction), cmp.Compare(b.Bytes, a.Bytes))
+		return cmp.Or(cmp.Compare(a.Role, b.Role), cmp.Compare(a.Link, b.Link), cmp.Compare(a.Direction, b.Direction),
+			cmp.Compare(b.Bytes, a.Bytes))
 	})
 	for i, r := range rows {
 		if i == 0 {
-			fmt.Fprintf(out, "%s: drivers=%d members=%d seconds=%.1f events=%d known=%.2fs\n", r.Phase, r.Drivers, r.Members, r.Seconds, r.Events, r.Known)
+			fmt.Fprintf(out, "%s: drivers=%d members=%d seconds=%.1f events=%d known=%.2fs\n", r.Phase, r.Drivers, r.Members,
+				r.Seconds, r.Events, r.Known)
 		}
 		machines := float64(max(r.Machines, 1))
 		if r.Purpose == "" {
-			fmt.Fprintf(out, "  a %-8s cpu %.4f of a core, memory %.2f MB\n", r.Role, r.CPU/machines/r.Seconds, r.Memory/machines/(1<<20))
+			fmt.Fprintf(out, "  a %-8s cpu %.4f of a core, memory %.2f MB\n", r.Role, r.CPU/machines/r.Seconds,
+				r.Memory/machines/(1<<20))
 		} else if r.Bytes > 0 {
-			fmt.Fprintf(out, "  a %-8s %-9s %-9s %-21s %12.1f frames %14.0f bytes %12.1f bytes/s\n", r.Role, r.Link, r.Direction, r.Purpose,
-				r.Frames/machines, r.Bytes/machines, r.Bytes/machines/r.Seconds)
+			fmt.Fprintf(out, "  a %-8s %-9s %-9s %-21s %12.1f frames %14.0f bytes %12.1f bytes/s\n", r.Role, r.Link, r.Direction,
+				r.Purpose, r.Frames/machines, r.Bytes/machines, r.Bytes/machines/r.Seconds)
 		}
 	}
 }
 
-// Draw draws bytes a second of a core machine by the number of drivers in a phase, a line a purpose, both axes logarithmic.
+// Draw draws bytes a second of a core machine by the number of drivers in a phase, a line a purpose, both axes
+// logarithmic.
 func Draw(path, phase string, rows []Row) error {
 	lines := map[string]map[int32]float64{}
 	for _, r := range rows {
@@ -48,7 +52,8 @@
 	}
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = "a core machine, "+phase, "drivers", "bytes a second, both directions"
-	p.X.Scale, p.Y.Scale, p.X.Tick.Marker, p.Y.Tick.Marker = plot.LogScale{}, plot.LogScale{}, plot.LogTicks{}, plot.LogTicks{}
+	p.X.Scale, p.Y.Scale, p.X.Tick.Marker, p.Y.Tick.Marker = plot.LogScale{}, plot.LogScale{}, plot.LogTicks{},
+		plot.LogTicks{}
 	p.Legend.Top, p.Legend.Left = true, true
 	n := 0
 	for _, purpose := range sortedKeys(lines) {
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -221,7 +221,8 @@
 	if k.Write {
 		form = `INSERT INTO records (k, v) VALUES ('a1', '\x9f03') RETURNING v`
 	}
-	l.Write(pgwire.AppendQuery(nil, fmt.Sprintf("%s /* id=%s,c=%s,d=%d,cluster=%d */", form, id, k.Name, max(time.Until(due).Milliseconds(), 1), group)))
+	l.Write(pgwire.AppendQuery(nil, fmt.Sprintf("%s /* id=%s,c=%s,d=%d,cluster=%d */", form, id, k.Name,
+		max(time.Until(due).Milliseconds(), 1), group)))
 	value, code, ok := l.hear()
 	if !ok {
 		l.Close()
--- a/internal/lab/membershipsim/measure.go
+++ b/internal/lab/membershipsim/measure.go
@@ -25,7 +25,8 @@
 	}
 	slices.Sort(s.all)
 	at := func(q float64) float64 { return s.all[min(int(q*float64(len(s.all))), len(s.all)-1)] }
-	return fmt.Sprintf("median %.0f ms, p99 %.0f ms, worst %.0f ms of %d", at(0.5), at(0.99), s.all[len(s.all)-1], len(s.all))
+	return fmt.Sprintf("median %.0f ms, p99 %.0f ms, worst %.0f ms of %d", at(0.5), at(0.99), s.all[len(s.all)-1],
+		len(s.all))
 }
 
 // founded starts all drivers and waits until they have a roster of all.
@@ -53,14 +54,16 @@
 	return true
 }
 
-// Losses kills drivers one after the other and tells how long it took until all others knew; each returns before the next.
+// Losses kills drivers one after the other and tells how long it took until all others knew; each returns before the
+// next.
 func Losses(out io.Writer, o Options, kills int) error {
 	f := New(o)
 	took, ok := f.founded()
 	if !ok {
 		return fmt.Errorf("no roster in two minutes")
 	}
-	fmt.Fprintf(out, "drivers=%d period=%.0fms: a roster of all %.0f ms after the start of all at once\n", o.Drivers, f.o.Period, took)
+	fmt.Fprintf(out, "drivers=%d period=%.0fms: a roster of all %.0f ms after the start of all at once\n", o.Drivers,
+		f.o.Period, took)
 	var each, last Spread
 	for range kills {
 		i := f.draw.IntN(len(f.Drivers))
@@ -150,9 +153,22 @@
 		bytes, sent = bytes+d.Bytes, sent+d.Sent
 	}
 	n, s := float64(len(f.Drivers)), length/1000
-	fmt.Fprintf(out, "drivers=%d loss=%.2f throttled=%.2f for %.0f s: %d living drivers taken for failed, %d denied it; stood still %d times\n"+
-		"  a driver: %.1f messages and %.0f bytes a second (measured in CBOR with the code, without IP and UDP headers), %.3f %% of a core\n",
-		o.Drivers, o.Loss, slow, s, len(failed), denied, stood, float64(sent)/n/s, bytes/n/s, 100*real.Seconds()/n/s)
+	fmt.Fprintf(
+		out,
+		"drivers=%d loss=%.2f throttled=%.2f for %.0f s: %d living drivers taken for failed, %d denied it; "+
+			"stood still %d times\n  a driver: %.1f messages and %.0f bytes a second "+
+			"(measured in CBOR with the code, without IP and UDP headers), %.3f %% of a core\n",
+		o.Drivers,
+		o.Loss,
+		slow,
+		s,
+		len(failed),
+		denied,
+		stood,
+		float64(sent)/n/s,
+		bytes/n/s,
+		100*real.Seconds()/n/s,
+	)
 	return nil
 }
 
--- a/internal/lab/membershipsim/membershipsim.go
+++ b/internal/lab/membershipsim/membershipsim.go
@@ -1,5 +1,5 @@
-// Package membershipsim plays many views of membership in virtual time over a network that cuts, loses, doubles and delays, with
-// drivers that stand still, are slow, end and start again.
+// Package membershipsim plays many views of membership in virtual time over a network that cuts, loses, doubles and
+// delays, with drivers that stand still, are slow, end and start again.
 //
 // This file owns the network and the clock. It must never carry a message that the network of its day would not have.
 package membershipsim
@@ -110,8 +110,13 @@
 	for s := range f.o.Seeds {
 		seeds = append(seeds, address(s))
 	}
-	d.View = membership.New(f.Now, membership.Rules{Period: f.o.Period, Expect: f.o.Expect, Keep: 600000, MaxDrivers: 20000, Yield: f.o.Yield},
-		membership.Record{Name: d.Name, Run: d.run, Address: address(i), Zone: "a"}, seeds, f.draw.Uint64())
+	d.View = membership.New(
+		f.Now,
+		membership.Rules{Period: f.o.Period, Expect: f.o.Expect, Keep: 600000, MaxDrivers: 20000, Yield: f.o.Yield},
+		membership.Record{Name: d.Name, Run: d.run, Address: address(i), Zone: "a"},
+		seeds,
+		f.draw.Uint64(),
+	)
 	life := d.life
 	var tick func()
 	tick = func() {
--- a/internal/lab/sessionrun/sessionrun.go
+++ b/internal/lab/sessionrun/sessionrun.go
@@ -1,5 +1,6 @@
-// Package sessionrun plays an evening of open sessions with processes of the program: a core, sites and edges, clients that read and
-// write, a site that is pulled and another that is drained. It owns the processes, the traffic and the account of every message.
+// Package sessionrun plays an evening of open sessions with processes of the program: a core, sites and edges, clients
+// that read and write, a site that is pulled and another that is drained. It owns the processes, the traffic and the
+// account of every message.
 package sessionrun
 
 import (
@@ -33,7 +34,8 @@
 
 // Role runs a process of the evening where this one was started as such; ok is false where it wasn't.
 func Role() (code int, ok bool) {
-	roles := map[string]process.Role{"core": {Name: "controlplane", Run: controlplane.Run}, "site": {Name: "sessionsite", Run: site.Run}, "edge": {Name: "sessionedge", Run: edge.Run}}
+	roles := map[string]process.Role{"core": {Name: "controlplane", Run: controlplane.Run},
+		"site": {Name: "sessionsite", Run: site.Run}, "edge": {Name: "sessionedge", Run: edge.Run}}
 	r, ok := roles[os.Getenv(variable)]
 	if !ok {
 		return 0, false
@@ -91,12 +93,15 @@
 func (h *hall) start(role string, n int, log io.Writer) error {
 	kind := map[string]int{"core": 1, "site": 2, "edge": 3}[role]
 	name := fmt.Sprint(role, n)
-	lines := []string{"hostname=" + name, fmt.Sprintf("zone=z%d", n%3+1), "region=r", "zones.z1=r", "zones.z2=r", "zones.z3=r", fmt.Sprintf("portRange=%d,%d", h.o.Port, h.o.Port+2),
-		"peers=" + strings.Join(h.cores, ","), "init=true", "tolerate.nodes=1", "bounds.graceS=4", "limits.nofile=16384", "limits.memMb=512", "ip=" + h.ip(kind, n), "datadir=" + filepath.Join(h.dir, name)}
+	lines := []string{"hostname=" + name, fmt.Sprintf("zone=z%d", n%3+1), "region=r", "zones.z1=r", "zones.z2=r",
+		"zones.z3=r", fmt.Sprintf("portRange=%d,%d", h.o.Port, h.o.Port+2), "peers=" + strings.Join(h.cores, ","),
+		"init=true", "tolerate.nodes=1", "bounds.graceS=4", "limits.nofile=16384", "limits.memMb=512", "ip=" + h.ip(kind, n),
+		"datadir=" + filepath.Join(h.dir, name)}
 	if role == "core" {
 		lines = append(lines, "listen.ctl="+h.cores[n])
 	} else {
-		lines = append(lines, fmt.Sprintf("listen.front=%s:%d", h.ip(kind, n), h.o.Port+4), fmt.Sprintf("listen.readyAddr=%s:%d", h.ip(kind, n), h.o.Port+5))
+		lines = append(lines, fmt.Sprintf("listen.front=%s:%d", h.ip(kind, n), h.o.Port+4),
+			fmt.Sprintf("listen.readyAddr=%s:%d", h.ip(kind, n), h.o.Port+5))
 	}
 	file := filepath.Join(h.dir, name+".conf")
 	if err := os.WriteFile(file, []byte(strings.Join(lines, "\n")+"\n"), 0o600); err != nil {
@@ -323,7 +328,20 @@
 func (r *Result) Page(title string) string {
 	var b strings.Builder
 	b.WriteString(plot.Head)
-	fmt.Fprintf(&b, "<title>%s</title><h1>%s</h1><p>%d messages queued, %d came; lost %d, doubled %d, out of order %d; %d of %d sockets stayed open.</p>", title, title, r.Queued, r.Came, r.Lost, r.Doubled, r.Mess, r.Stayed, r.Opened)
+	fmt.Fprintf(
+		&b,
+		"<title>%s</title><h1>%s</h1><p>%d messages queued, %d came; lost %d, doubled %d, out of order %d; "+
+			"%d of %d sockets stayed open.</p>",
+		title,
+		title,
+		r.Queued,
+		r.Came,
+		r.Lost,
+		r.Doubled,
+		r.Mess,
+		r.Stayed,
+		r.Opened,
+	)
 	most, quiet := int64(1), time.Millisecond
 	for _, s := range r.Seconds {
 		most, quiet = max(most, s.Came, s.Queued), max(quiet, s.Silence)
@@ -337,7 +355,8 @@
 	plot.Line(&b, n, func(i int) float64 { return float64(r.Seconds[i].Silence) / float64(quiet) }, "#a40")
 	b.WriteString("<table><tr><th>second<th>queued<th>came<th>longest silence<th>")
 	for i, s := range r.Seconds {
-		fmt.Fprintf(&b, "<tr><td>%d<td>%d<td>%d<td>%s<td>%s", i+1, s.Queued, s.Came, s.Silence.Round(time.Millisecond), s.Note)
+		fmt.Fprintf(&b, "<tr><td>%d<td>%d<td>%d<td>%s<td>%s", i+1, s.Queued, s.Came, s.Silence.Round(time.Millisecond),
+			s.Note)
 	}
 	b.WriteString("</table>\n")
 	return b.String()
--- a/internal/lab/storm.go
+++ b/internal/lab/storm.go
@@ -51,7 +51,8 @@
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	out := x.roster.Told(stormNow(), u)
-	if n := len(x.roster.List()); out.Verdict == roster.Applied && (x.caught == 0 && n == x.members || x.caught == 1 && n == x.members+1) {
+	if n := len(x.roster.List()); out.Verdict == roster.Applied &&
+		(x.caught == 0 && n == x.members || x.caught == 1 && n == x.members+1) {
 		x.caught++
 		x.current <- struct{}{}
 	}
@@ -91,7 +92,8 @@
 	store := kv.NewStore("c1")
 	var pairs []any
 	for i := range s.Members {
-		pairs = append(pairs, fmt.Sprintf("%sm%05d", stormPrefix, i), fmt.Sprintf(`{"host_port":"127.0.0.1:%d","cell":1,"phase":"up"}`, i%60000+1))
+		pairs = append(pairs, fmt.Sprintf("%sm%05d", stormPrefix, i),
+			fmt.Sprintf(`{"host_port":"127.0.0.1:%d","cell":1,"phase":"up"}`, i%60000+1))
 	}
 	store.Put(pairs...)
 	server := kv.Serve(store)
@@ -105,11 +107,18 @@
 	}()
 	current := make(chan struct{}, 2*s.Clients)
 	for n := range s.Clients {
-		c, err := registry.New(registry.Options{Dialect: "etcd", Prefix: stormPrefix, Endpoints: []string{server.URL}, Silence: 10 * time.Second})
+		c, err := registry.New(
+			registry.Options{Dialect: "etcd", Prefix: stormPrefix, Endpoints: []string{server.URL}, Silence: 10 * time.Second},
+		)
 		if err != nil {
 			return r, err
 		}
-		x := &stormClient{client: c, current: current, members: s.Members, roster: roster.New(roster.Rules{Lead: roster.Registry})}
+		x := &stormClient{
+			client:  c,
+			current: current,
+			members: s.Members,
+			roster:  roster.New(roster.Rules{Lead: roster.Registry}),
+		}
 		all.Go(func() { x.run(ctx, s, n) })
 	}
 	await := func() error {
--- a/internal/lab/switch.go
+++ b/internal/lab/switch.go
@@ -23,8 +23,15 @@
 	Wait      func() error
 }
 
-// StartHooked runs n drivers; a driver i for which alone says so has no fellows and is nobody's. The folder is for sockets.
-func (c *Cluster) StartHooked(ctx context.Context, n int, folder string, logTo io.Writer, alone func(i int) bool) (*Hooked, error) {
+// StartHooked runs n drivers; a driver i for which alone says so has no fellows and is nobody's. The folder is for
+// sockets.
+func (c *Cluster) StartHooked(
+	ctx context.Context,
+	n int,
+	folder string,
+	logTo io.Writer,
+	alone func(i int) bool,
+) (*Hooked, error) {
 	token := filepath.Join(folder, "token")
 	if err := os.WriteFile(token, []byte("a secret of drivers\n"), 0o600); err != nil {
 		return nil, err
@@ -39,8 +46,13 @@
 	h := &Hooked{}
 	h.Addresses, h.Wait, err = c.Drivers(ctx, n, logTo, func(i int) operator.File {
 		f := operator.Default()
-		f.Control = &operator.Control{Socket: filepath.Join(folder, fmt.Sprintf("n%d.sock", i)), TokenFile: token, Lease: 5 * time.Second,
-			Most: time.Minute, Opening: 3 * time.Second}
+		f.Control = &operator.Control{
+			Socket:    filepath.Join(folder, fmt.Sprintf("n%d.sock", i)),
+			TokenFile: token,
+			Lease:     5 * time.Second,
+			Most:      time.Minute,
+			Opening:   3 * time.Second,
+		}
 		if alone != nil && alone(i) {
 			return f
 		}
@@ -61,8 +73,8 @@
 	return h, nil
 }
 
-// Planned changes a group's primary as a topology manager with hooks does: it speaks to one driver alone. It gives the time
-// for which the group had no primary.
+// Planned changes a group's primary as a topology manager with hooks does: it speaks to one driver alone. It gives the
+// time for which the group had no primary.
 func (c *Cluster) Planned(ctx context.Context, hook *control.Client, group int64) (gap time.Duration, err error) {
 	old := c.Primary(group)
 	if _, err = hook.Hook(ctx, switchover.Word{Group: group, Stage: switchover.Held, From: old}); err != nil {
--- a/internal/learned/believe.go
+++ b/internal/learned/believe.go
@@ -121,7 +121,8 @@
 		}
 		k := logic.MemberMemory{Member: e.ID, Group: e.Group, Position: -1}
 		restarted := e.Started > m.Started
-		if age := p.ms + s.Meta.At.Wall - m.Position; m.Position > 0 && p.sure && !p.stepped && !restarted && age < r.trust() {
+		if age := p.ms + s.Meta.At.Wall - m.Position; m.Position > 0 && p.sure && !p.stepped && !restarted &&
+			age < r.trust() {
 			k.Position = m.Position // none has been rebuilt under its old name in so little time
 		}
 		if m.Started > 0 && !restarted {
--- a/internal/learned/book.go
+++ b/internal/learned/book.go
@@ -40,8 +40,8 @@
 	return b
 }
 
-// Begin redates the state by a new run's clock, after Believe has read it: dates become those of the new wall clock, and
-// what is dated beyond the present is dropped.
+// Begin redates the state by a new run's clock, after Believe has read it: dates become those of the new wall clock,
+// and what is dated beyond the present is dropped.
 func (b *Book) Begin(now Moment) {
 	s := b.state
 	if p := between(s.Meta.At, now); s.Meta.At != (Moment{}) {
@@ -147,10 +147,11 @@
 	}
 	members := make(map[string]bool, len(k.Members))
 	for _, m := range k.Members {
-		is, was := Member{m.Member, m.Group, math.Floor(max(m.Position, 0)), m.Started, m.Aside, m.Cut, m.Window}, s.Members[m.Member]
+		is, was := Member{m.Member, m.Group, math.Floor(max(m.Position, 0)), m.Started, m.Aside, m.Cut, m.Window},
+			s.Members[m.Member]
 		members[m.Member] = true
-		if _, known := s.Members[m.Member]; !known || is.Started != was.Started || is.Aside != was.Aside || is.Cut != was.Cut ||
-			is.Group != was.Group || hints && changed(is.Window, was.Window) ||
+		if _, known := s.Members[m.Member]; !known || is.Started != was.Started || is.Aside != was.Aside ||
+			is.Cut != was.Cut || is.Group != was.Group || hints && changed(is.Window, was.Window) ||
 			is.Position > was.Position && (last || b.rules.positionsKept()) {
 			r.Members = append(r.Members, is)
 		}
@@ -172,7 +173,8 @@
 			break
 		}
 		o := b.rules.OpTypes[i]
-		if was := s.Types[o.Name]; hints && (changed(t.Took, was.Took) || changed(t.Best, was.Best) || was.Target != o.Target) {
+		if was := s.Types[o.Name]; hints && (changed(t.Took, was.Took) || changed(t.Best, was.Best) ||
+			was.Target != o.Target) {
 			r.Types = append(r.Types, Type{o.Name, o.Target, t.Took, t.Best})
 		}
 	}
--- a/internal/learned/state.go
+++ b/internal/learned/state.go
@@ -142,7 +142,12 @@
 }
 
 func newState() *State {
-	return &State{List: map[string]Entry{}, Groups: map[int64]Group{}, Members: map[string]Member{}, Types: map[string]Type{}}
+	return &State{
+		List:    map[string]Entry{},
+		Groups:  map[int64]Group{},
+		Members: map[string]Member{},
+		Types:   map[string]Type{},
+	}
 }
 
 // Load makes the state of a snapshot and the records behind it. ErrSchema or ErrRecord: there is none to be had.
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -2,13 +2,14 @@
 // is left keeps enough capacity, cold members get no more than they can take, and little write time is lost. It does no
 // I/O and reads no clock.
 //
-// This file owns the problem, the search and the word on what stands in the way. It must never give a plan that breaks a
-// limit, or call a problem impossible without naming the limit that binds.
+// This file owns the problem, the search and the word on what stands in the way. It must never give a plan that breaks
+// a limit, or call a problem impossible without naming the limit that binds.
 //
-// Steps are placed one after the other at the earliest time that all limits allow (serial schedule generation), the order
-// chosen by priority: groups with least room first; a few hundred other orders, drawn from a seed, are tried for a
-// shorter plan. A linear program was weighed: the starts are disjunctions (either this group first or that), so it would
-// need whole-number variables, for which no library at hand is kept; and a limit that binds is easier to name here.
+// Steps are placed one after the other at the earliest time that all limits allow (serial schedule generation), the
+// order chosen by priority: groups with least room first; a few hundred other orders, drawn from a seed, are tried for
+// a shorter plan. A linear program was weighed: the starts are disjunctions (either this group first or that), so it
+// would need whole-number variables, for which no library at hand is kept; and a limit that binds is easier to name
+// here.
 package plan
 
 import (
@@ -122,7 +123,10 @@
 		}
 		return left - own - l.Need[g]
 	}
-	slices.SortStableFunc(order, func(a, b Step) int { return cmp.Or(cmp.Compare(room(a), room(b)), cmp.Compare(a.Member, b.Member)) })
+	slices.SortStableFunc(order, func(a, b Step) int {
+		return cmp.Or(cmp.Compare(room(a), room(b)),
+			cmp.Compare(a.Member, b.Member))
+	})
 	var best []Placed
 	var refused error
 	draw := rand.New(rand.NewPCG(seed, 31))
@@ -138,7 +142,10 @@
 	if best == nil {
 		return nil, refused
 	}
-	slices.SortStableFunc(best, func(a, b Placed) int { return cmp.Or(cmp.Compare(a.Start, b.Start), cmp.Compare(a.Member, b.Member)) })
+	slices.SortStableFunc(best, func(a, b Placed) int {
+		return cmp.Or(cmp.Compare(a.Start, b.Start),
+			cmp.Compare(a.Member, b.Member))
+	})
 	return best, nil
 }
 
@@ -192,14 +199,21 @@
 		}
 		done[s.Member] = true
 	}
-	if l.Cold < 1 || l.Away < 0 || l.Warm < 0 || l.Gap < 0 || l.Pause < 0 || l.Lost < 0 || l.Within < 0 || l.ColdShare < 0 || l.ColdShare > 1 {
+	if l.Cold < 1 || l.Away < 0 || l.Warm < 0 || l.Gap < 0 || l.Pause < 0 || l.Lost < 0 || l.Within < 0 ||
+		l.ColdShare < 0 || l.ColdShare > 1 {
 		return fmt.Errorf("limits want one cold member at the least, and nothing below zero")
 	}
 	return nil
 }
 
 func place(members []Member, order []Step, l Limits) ([]Placed, error) {
-	s := &schedule{l: l, members: map[string]Member{}, groups: map[int64][]Member{}, gaps: map[int64]float64{}, primary: map[int64]string{}}
+	s := &schedule{
+		l:       l,
+		members: map[string]Member{},
+		groups:  map[int64][]Member{},
+		gaps:    map[int64]float64{},
+		primary: map[int64]string{},
+	}
 	for _, m := range members {
 		s.members[m.Name] = m
 		s.groups[m.Group] = append(s.groups[m.Group], m)
@@ -225,7 +239,8 @@
 	p := Placed{Step: st, Group: m.Group, Switches: s.primary[m.Group] == m.Name}
 	if p.Switches {
 		if p.WriteGap, p.Behind = s.l.Gap, s.gaps[m.Group]; p.Behind+p.WriteGap > s.l.Lost+1e-9 {
-			return &Refused{st, fmt.Sprintf("write time: group %d would lose %g s, %g are allowed", m.Group, p.Behind+p.WriteGap, s.l.Lost)}
+			return &Refused{st, fmt.Sprintf("write time: group %d would lose %g s, %g are allowed", m.Group, p.Behind+p.WriteGap,
+				s.l.Lost)}
 		}
 	}
 	starts := []float64{0}
@@ -263,7 +278,8 @@
 	away := p.Start + p.WriteGap
 	mine := []span{}
 	if p.Kind == Replace {
-		mine = append(mine, span{away, away + s.l.Away, m.Capacity, m}, span{away + s.l.Away, p.End, m.Capacity * (1 - s.l.ColdShare), m})
+		mine = append(mine, span{away, away + s.l.Away, m.Capacity, m},
+			span{away + s.l.Away, p.End, m.Capacity * (1 - s.l.ColdShare), m})
 	}
 	if p.Switches {
 		for _, c := range s.changes {
@@ -280,7 +296,8 @@
 			}
 		}
 		if able < max(s.l.Candidates, 1) {
-			return fmt.Sprintf("candidates: group %d has %d warm members beside its primary, %d are wanted", m.Group, able, max(s.l.Candidates, 1))
+			return fmt.Sprintf("candidates: group %d has %d warm members beside its primary, %d are wanted", m.Group, able,
+				max(s.l.Candidates, 1))
 		}
 	}
 	moments := []float64{}
@@ -341,7 +358,8 @@
 	}
 	if p.Kind == Replace {
 		away := p.Start + p.WriteGap
-		s.spans = append(s.spans, span{away, away + s.l.Away, m.Capacity, m}, span{away + s.l.Away, p.End, m.Capacity * (1 - s.l.ColdShare), m})
+		s.spans = append(s.spans, span{away, away + s.l.Away, m.Capacity, m},
+			span{away + s.l.Away, p.End, m.Capacity * (1 - s.l.ColdShare), m})
 	}
 	s.all = append(s.all, p)
 }
--- a/internal/registry/etcd.go
+++ b/internal/registry/etcd.go
@@ -1,8 +1,8 @@
 package registry
 
-// This file owns etcd's v3 API in its plain HTTP form (JSON; byte strings in base64, whole numbers as strings): ranges by
-// pages of one revision, watches with fragments and progress notices, and tokens. It must never tell a
-// revision before all of it has come.
+// This file owns etcd's v3 API in its plain HTTP form (JSON; byte strings in base64, whole numbers as strings): ranges
+// by pages of one revision, watches with fragments and progress notices, and tokens. It must never tell a revision
+// before all of it has come.
 
 import (
 	"context"
@@ -103,8 +103,8 @@
 		return "", err
 	}
 	name, password, _ := strings.Cut(text, ":")
-	answer, err := x.call(ctx, http.MethodPost, endpoint, "/v3/auth/authenticate", map[string]string{"Content-Type": "application/json"},
-		map[string]string{"name": name, "password": password})
+	answer, err := x.call(ctx, http.MethodPost, endpoint, "/v3/auth/authenticate",
+		map[string]string{"Content-Type": "application/json"}, map[string]string{"name": name, "password": password})
 	if err != nil {
 		return "", err
 	}
@@ -178,8 +178,9 @@
 func (x *etcd) Follow(ctx context.Context, endpoint int, from int64, sign func(), tell func(roster.Update)) error {
 	ctx, alive, stop := watchdog(ctx, x.o.Silence)
 	defer stop()
-	answer, err := x.post(ctx, endpoint, "/v3/watch", map[string]any{"create_request": map[string]any{"key": []byte(x.o.Prefix),
-		"range_end": after(x.o.Prefix), "start_revision": fmt.Sprint(from), "progress_notify": true, "fragment": true}})
+	answer, err := x.post(ctx, endpoint, "/v3/watch",
+		map[string]any{"create_request": map[string]any{"key": []byte(x.o.Prefix), "range_end": after(x.o.Prefix),
+			"start_revision": fmt.Sprint(from), "progress_notify": true, "fragment": true}})
 	if err != nil {
 		return ended(ctx, err)
 	}
--- a/internal/registry/lease.go
+++ b/internal/registry/lease.go
@@ -1,7 +1,7 @@
 package registry
 
-// This file owns the calls by which a driver announces itself: a key under a lease (etcd) or a session (Consul), written
-// only where nobody has it. It must never take a key from another, or renew what has ended.
+// This file owns the calls by which a driver announces itself: a key under a lease (etcd) or a session (Consul),
+// written only where nobody has it. It must never take a key from another, or renew what has ended.
 
 import (
 	"context"
@@ -18,7 +18,8 @@
 // Announcer holds one key for a driver. Its methods take an endpoint as Client's do.
 type Announcer interface {
 	// Grant writes the key under a new lease and gives it, with the time for which it stands without a renewal.
-	Grant(ctx context.Context, endpoint int, key string, value []byte, ttl time.Duration) (lease string, stands time.Duration, err error)
+	Grant(ctx context.Context, endpoint int, key string, value []byte, ttl time.Duration) (lease string,
+		stands time.Duration, err error)
 	// Renew makes a lease stand for its time from now on.
 	Renew(ctx context.Context, endpoint int, lease string) (stands time.Duration, err error)
 	// Revoke ends a lease, and its key with it.
@@ -54,18 +55,26 @@
 	return json.NewDecoder(http.MaxBytesReader(nil, a.Body, maxAnswer)).Decode(answer)
 }
 
-func (x *etcd) Grant(ctx context.Context, endpoint int, key string, value []byte, ttl time.Duration) (string, time.Duration, error) {
+func (x *etcd) Grant(
+	ctx context.Context,
+	endpoint int,
+	key string,
+	value []byte,
+	ttl time.Duration,
+) (string, time.Duration, error) {
 	var granted struct {
 		ID  string
 		TTL int64 `json:"TTL,string"`
 	}
-	if err := x.ask(ctx, endpoint, "/v3/lease/grant", map[string]string{"TTL": fmt.Sprint(max(int64(ttl.Seconds()), 1))}, &granted); err != nil {
+	if err := x.ask(ctx, endpoint, "/v3/lease/grant", map[string]string{"TTL": fmt.Sprint(max(int64(ttl.Seconds()), 1))},
+		&granted); err != nil {
 		return "", 0, err
 	}
 	var put struct{ Succeeded bool }
 	err := x.ask(ctx, endpoint, "/v3/kv/txn", map[string]any{
 		"compare": []any{map[string]any{"key": []byte(key), "target": "CREATE", "result": "EQUAL", "create_revision": "0"}},
-		"success": []any{map[string]any{"request_put": map[string]any{"key": []byte(key), "value": value, "lease": granted.ID}}}}, &put)
+		"success": []any{map[string]any{"request_put": map[string]any{"key": []byte(key), "value": value,
+			"lease": granted.ID}}}}, &put)
 	if err == nil && !put.Succeeded {
 		err = errTaken
 	}
@@ -115,15 +124,23 @@
 		return 0, nil, err
 	}
 	defer answer.Body.Close()
-	if text, err = bounded(answer.Body); err == nil && answer.StatusCode != http.StatusOK && answer.StatusCode != http.StatusNotFound {
+	if text, err = bounded(answer.Body); err == nil && answer.StatusCode != http.StatusOK &&
+		answer.StatusCode != http.StatusNotFound {
 		err = fmt.Errorf("status %d: %.80q", answer.StatusCode, text)
 	}
 	return answer.StatusCode, text, err
 }
 
-func (x *consul) Grant(ctx context.Context, endpoint int, key string, value []byte, ttl time.Duration) (string, time.Duration, error) {
+func (x *consul) Grant(
+	ctx context.Context,
+	endpoint int,
+	key string,
+	value []byte,
+	ttl time.Duration,
+) (string, time.Duration, error) {
 	ttl = max(ttl.Round(time.Second), 10*time.Second) // Consul grants no less
-	_, text, err := x.put(ctx, endpoint, "/v1/session/create", map[string]string{"Name": key, "TTL": ttl.String(), "Behavior": "delete", "LockDelay": "0s"})
+	_, text, err := x.put(ctx, endpoint, "/v1/session/create", map[string]string{"Name": key, "TTL": ttl.String(),
+		"Behavior": "delete", "LockDelay": "0s"})
 	if err != nil {
 		return "", 0, err
 	}
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -124,7 +124,14 @@
 }
 
 // call sends a request and gives its answer, whose body the caller closes.
-func (h *caller) call(ctx context.Context, method string, endpoint int, path string, header map[string]string, body any) (*http.Response, error) {
+func (h *caller) call(
+	ctx context.Context,
+	method string,
+	endpoint int,
+	path string,
+	header map[string]string,
+	body any,
+) (*http.Response, error) {
 	var text io.Reader
 	if body != nil {
 		b, err := json.Marshal(body)
@@ -174,11 +181,12 @@
 type Watcher struct {
 	Client   Client
 	Course   *roster.Course
-	Position func() (revision int64, told bool)            // up to where the list is known
-	Told     func(roster.Update) (roster.Verdict, float64) // takes an update; Held comes with the milliseconds after which to ask again
-	Lost     func(error)                                   // the registry can't be heard
-	Alive    func()                                        // it spoke
-	Now      func() float64                                // milliseconds
+	Position func() (revision int64, told bool) // up to where the list is known
+	// Told takes an update; Held comes with the milliseconds after which to ask again.
+	Told  func(roster.Update) (roster.Verdict, float64)
+	Lost  func(error)    // the registry can't be heard
+	Alive func()         // it spoke
+	Now   func() float64 // milliseconds
 }
 
 // Run goes on until the context ends.
--- a/internal/standin/cluster/cluster.go
+++ b/internal/standin/cluster/cluster.go
@@ -1,7 +1,8 @@
-// Package cluster is a deployment of the system on loopback for tests: processes of the built programs, each machine at an address
-// of its own in 127/8, with stand-ins for members, the platform, the operator and clients.
+// Package cluster is a deployment of the system on loopback for tests: processes of the built programs, each machine at
+// an address of its own in 127/8, with stand-ins for members, the platform, the operator and clients.
 //
-// This file owns the processes: they are this test binary again, which Main turns into the role that its environment names.
+// This file owns the processes: they are this test binary again, which Main turns into the role that its environment
+// names.
 package cluster
 
 import (
@@ -88,7 +89,14 @@
 func newTown(t *testing.T, cores, fronts int, before func(*Town), via func(addr string) string) *Town {
 	t.Helper()
 	towns++
-	w := &Town{t: t, dir: t.TempDir(), net: os.Getpid()%200 + towns, ports: 20000 + os.Getpid()%300*20, procs: map[string]*exec.Cmd{}, logs: map[string]*bytes.Buffer{}}
+	w := &Town{
+		t:     t,
+		dir:   t.TempDir(),
+		net:   os.Getpid()%200 + towns,
+		ports: 20000 + os.Getpid()%300*20,
+		procs: map[string]*exec.Cmd{},
+		logs:  map[string]*bytes.Buffer{},
+	}
 	ctx, stop := context.WithCancel(context.Background())
 	w.stop = func() {
 		stop()
@@ -148,7 +156,8 @@
 	kinds := map[string]struct {
 		role string
 		kind int
-	}{"core": {"controlplane", 1}, "agent": {"agent", 2}, "proxy": {"proxy", 2}, "site": {"sessionsite", 5}, "edge": {"sessionedge", 6}}
+	}{"core": {"controlplane", 1}, "agent": {"agent", 2}, "proxy": {"proxy", 2}, "site": {"sessionsite", 5},
+		"edge": {"sessionedge", 6}}
 	k := kinds[name[:len(name)-1]]
 	role, kind, zone := k.role, k.kind, "z1"
 	if kind >= 5 { // sites and edges are in zones of their own
@@ -162,15 +171,18 @@
 	if own, apart := w.seeds[name]; apart {
 		seeds = own
 	}
-	lines := []string{"hostname=" + name, "zone=" + zone, "region=r1", "zones.z1=r1", "zones.z2=r1", "zones.z3=r1", fmt.Sprintf("portRange=%d,%d", meshPort, meshPort+2),
-		"peers=" + strings.Join(seeds, ","), fmt.Sprint("init=", first), "tolerate.nodes=1", "beatMs=200", "bounds.graceS=2", "cloudApi.addr=" + w.plat}
+	lines := []string{"hostname=" + name, "zone=" + zone, "region=r1", "zones.z1=r1", "zones.z2=r1", "zones.z3=r1",
+		fmt.Sprintf("portRange=%d,%d", meshPort, meshPort+2), "peers=" + strings.Join(seeds, ","), fmt.Sprint("init=", first),
+		"tolerate.nodes=1", "beatMs=200", "bounds.graceS=2", "cloudApi.addr=" + w.plat}
 	switch role {
 	case "controlplane":
 		lines = append(lines, "listen.ctl="+w.Cores[n], "datadir="+filepath.Join(w.dir, name))
 	case "sessionsite", "sessionedge":
-		lines = append(lines, fmt.Sprintf("listen.front=%s:%d", w.ip(kind, n), w.ports+4), fmt.Sprintf("listen.readyAddr=%s:%d", w.ip(kind, n), w.ports+5))
+		lines = append(lines, fmt.Sprintf("listen.front=%s:%d", w.ip(kind, n), w.ports+4),
+			fmt.Sprintf("listen.readyAddr=%s:%d", w.ip(kind, n), w.ports+5))
 	default:
-		lines = append(lines, "listen.front="+w.Front(n), "listen.readyAddr="+w.readyAddr(n), fmt.Sprintf("listen.feed=%s:%d", w.ip(2, n), w.ports+1))
+		lines = append(lines, "listen.front="+w.Front(n), "listen.readyAddr="+w.readyAddr(n),
+			fmt.Sprintf("listen.feed=%s:%d", w.ip(2, n), w.ports+1))
 	}
 	lines = append(lines, "ip="+w.ip(kind, n))
 	file := filepath.Join(w.dir, name+".conf")
@@ -260,10 +272,14 @@
 
 // Config is a configuration of three routes to the service.
 func Config(gen int) []byte {
-	return fmt.Appendf(nil, `{"gen":%d,"routes":[{"name":"p","host":"prim","prefix":"/","type":"primary","timeoutMs":3000,"svc":"svc"},`+
-		`{"name":"s","host":"stale","prefix":"/","type":"stale_ok","timeoutMs":3000,"svc":"svc","maxStaleMs":1500},`+
-		`{"name":"o","host":"self","prefix":"/","type":"self","timeoutMs":3000,"svc":"svc","maxStaleMs":2500}],`+
-		`"svcs":[{"name":"svc","maxConns":80,"syncN":1}],"limits":{"txIdleMs":500}}`, gen)
+	return fmt.Appendf(
+		nil,
+		`{"gen":%d,"routes":[{"name":"p","host":"prim","prefix":"/","type":"primary","timeoutMs":3000,"svc":"svc"},`+
+			`{"name":"s","host":"stale","prefix":"/","type":"stale_ok","timeoutMs":3000,"svc":"svc","maxStaleMs":1500},`+
+			`{"name":"o","host":"self","prefix":"/","type":"self","timeoutMs":3000,"svc":"svc","maxStaleMs":2500}],`+
+			`"svcs":[{"name":"svc","maxConns":80,"syncN":1}],"limits":{"txIdleMs":500}}`,
+		gen,
+	)
 }
 
 // Configure has the operator's first configuration taken, and waits until the proxies serve by it.
--- a/internal/standin/cluster/members.go
+++ b/internal/standin/cluster/members.go
@@ -45,8 +45,17 @@
 
 func newService(name, syncN string, ids ...string) *Service {
 	n, _ := strconv.Atoi(syncN)
-	return &Service{Name: name, group: replicaset.New(n, ids...), addrs: map[string]string{}, conns: map[string]map[net.Conn]bool{},
-		seq: map[string]uint64{}, data: map[string]string{}, acked: make(chan struct{}), Ran: map[string]int{}, drained: map[string]time.Time{}}
+	return &Service{
+		Name:    name,
+		group:   replicaset.New(n, ids...),
+		addrs:   map[string]string{},
+		conns:   map[string]map[net.Conn]bool{},
+		seq:     map[string]uint64{},
+		data:    map[string]string{},
+		acked:   make(chan struct{}),
+		Ran:     map[string]int{},
+		drained: map[string]time.Time{},
+	}
 }
 
 func (s *Service) changed() {
@@ -365,8 +374,8 @@
 	if m.Drains {
 		state = "draining"
 	}
-	body, _ := json.Marshal(map[string]any{"svc": s.Name, "addr": s.addrs[id], "zone": "z1", "gen": "v1", "slots": 7, "state": state,
-		"warmupMs": 0, "dbRole": role, "seq": s.seq[id]})
+	body, _ := json.Marshal(map[string]any{"svc": s.Name, "addr": s.addrs[id], "zone": "z1", "gen": "v1", "slots": 7,
+		"state": state, "warmupMs": 0, "dbRole": role, "seq": s.seq[id]})
 	up := m.Up
 	s.mu.Unlock()
 	if !up {
--- a/internal/standin/cluster/nodes.go
+++ b/internal/standin/cluster/nodes.go
@@ -1,7 +1,7 @@
 package cluster
 
-// This file owns nodes that hold shards: a member's sockets over shardnode's keeper, with a disk that really fills, and what copies one
-// node's entries to another.
+// This file owns nodes that hold shards: a member's sockets over shardnode's keeper, with a disk that really fills, and
+// what copies one node's entries to another.
 
 import (
 	"context"
--- a/internal/standin/disk/disk.go
+++ b/internal/standin/disk/disk.go
@@ -80,7 +80,12 @@
 
 // New is an empty disk.
 func New() *Disk {
-	return &Disk{names: map[string]*inode{}, safe: map[string]*inode{}, folders: map[string]bool{}, locked: map[string]bool{}}
+	return &Disk{
+		names:   map[string]*inode{},
+		safe:    map[string]*inode{},
+		folders: map[string]bool{},
+		locked:  map[string]bool{},
+	}
 }
 
 // Ops is how many operations there have been.
--- a/internal/standin/disk/pebble.go
+++ b/internal/standin/disk/pebble.go
@@ -1,7 +1,7 @@
 package disk
 
-// This file owns a disk under a process that keeps its state in pebble: what was not synced is lost when the process is killed,
-// as by a loss of power, and the disk stalls, refuses or is slow while a test says so.
+// This file owns a disk under a process that keeps its state in pebble: what was not synced is lost when the process is
+// killed, as by a loss of power, and the disk stalls, refuses or is slow while a test says so.
 
 import (
 	"errors"
--- a/internal/standin/fixedseed/fixedseed.go
+++ b/internal/standin/fixedseed/fixedseed.go
@@ -1,5 +1,5 @@
-// Package fixedseed makes property tests draw the same every time. It must never weaken a seed or a number of checks that
-// is named on the command line.
+// Package fixedseed makes property tests draw the same every time. It must never weaken a seed or a number of checks
+// that is named on the command line.
 package fixedseed
 
 import (
--- a/internal/standin/kv/kv.go
+++ b/internal/standin/kv/kv.go
@@ -83,13 +83,20 @@
 func (s *Store) Snapshot() *Store {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return &Store{Cluster: s.Cluster, rev: s.rev, compacted: s.compacted, keys: maps.Clone(s.keys), events: slices.Clone(s.events)}
+	return &Store{
+		Cluster:   s.Cluster,
+		rev:       s.rev,
+		compacted: s.compacted,
+		keys:      maps.Clone(s.keys),
+		events:    slices.Clone(s.events),
+	}
 }
 
 func (s *Store) Restore(from *Store, cluster string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.Cluster, s.rev, s.compacted, s.keys, s.events = cluster, from.rev, from.compacted, maps.Clone(from.keys), slices.Clone(from.events)
+	s.Cluster, s.rev, s.compacted, s.keys, s.events = cluster, from.rev, from.compacted, maps.Clone(from.keys),
+		slices.Clone(from.events)
 	s.wake()
 }
 
@@ -264,8 +271,8 @@
 	if ask.Revision == 0 {
 		v.Reads.Add(1)
 	}
-	json.NewEncoder(w).Encode(map[string]any{"header": map[string]any{"cluster_id": cluster, "revision": strconv.FormatInt(rev, 10)},
-		"kvs": kvs, "more": more, "count": strconv.Itoa(len(kvs))})
+	json.NewEncoder(w).Encode(map[string]any{"header": map[string]any{"cluster_id": cluster,
+		"revision": strconv.FormatInt(rev, 10)}, "kvs": kvs, "more": more, "count": strconv.Itoa(len(kvs))})
 }
 
 func (v *Server) etcdWatch(w http.ResponseWriter, r *http.Request) {
@@ -379,7 +386,8 @@
 	}
 	all := []any{}
 	for _, x := range items {
-		all = append(all, map[string]any{"Key": x.Key, "Value": base64.StdEncoding.EncodeToString(x.Value), "ModifyIndex": x.Mod})
+		all = append(all, map[string]any{"Key": x.Key, "Value": base64.StdEncoding.EncodeToString(x.Value),
+			"ModifyIndex": x.Mod})
 	}
 	json.NewEncoder(w).Encode(all)
 }
--- a/internal/standin/links/links.go
+++ b/internal/standin/links/links.go
@@ -1,5 +1,5 @@
-// Package links stands in for the network between processes on loopback: each has an address of its own in 127.0.0.0/8, is
-// reached at another one, and what passes between the two goes as each direction of each pair is told to.
+// Package links stands in for the network between processes on loopback: each has an address of its own in 127.0.0.0/8,
+// is reached at another one, and what passes between the two goes as each direction of each pair is told to.
 //
 // This file owns the relays. It must never let anything pass that a cut is to stop, or change what it passes.
 package links
@@ -71,8 +71,14 @@
 	}
 	var err error
 	for range 32 {
-		l := &Net{n: n, prefix: [3]byte{127, byte(1 + rand.IntN(254)), byte(rand.IntN(255))}, port: uint16(20000 + rand.IntN(10000)),
-			ways: map[[2]int]Way{}, free: map[[2]int]time.Time{}, draw: rand.New(rand.NewPCG(seed, 21))}
+		l := &Net{
+			n:      n,
+			prefix: [3]byte{127, byte(1 + rand.IntN(254)), byte(rand.IntN(255))},
+			port:   uint16(20000 + rand.IntN(10000)),
+			ways:   map[[2]int]Way{},
+			free:   map[[2]int]time.Time{},
+			draw:   rand.New(rand.NewPCG(seed, 21)),
+		}
 		l.life, l.end = context.WithCancel(context.Background())
 		if err = l.open(); err == nil {
 			return l, nil
--- a/internal/standin/replicaset/replicaset.go
+++ b/internal/standin/replicaset/replicaset.go
@@ -1,8 +1,9 @@
-// Package replicaset is a stand-in for a replication group of the wire's members: logs, terms, who leads, who has received what. It
-// is written from the pages on the wire, does no I/O, and takes time from its caller, so that a test decides the order of all.
+// Package replicaset is a stand-in for a replication group of the wire's members: logs, terms, who leads, who has
+// received what. It is written from the pages on the wire, does no I/O, and takes time from its caller, so that a test
+// decides the order of all.
 //
-// A commit is answered once SyncN replicas have received it. A promoted member holds what it had received and nothing beyond;
-// what it lacked and was answered is counted in Lost, which no test may see above zero.
+// A commit is answered once SyncN replicas have received it. A promoted member holds what it had received and nothing
+// beyond; what it lacked and was answered is counted in Lost, which no test may see above zero.
 package replicaset
 
 import (
@@ -99,7 +100,8 @@
 	return wire.Position{Term: e.Term, Number: e.Number}, true
 }
 
-// Replicate lets replicas receive what the leader has, each only if may says so, and answers what is received widely enough.
+// Replicate lets replicas receive what the leader has, each only if may says so, and answers what is received widely
+// enough.
 func (g *Group) Replicate(may func(to *Member) bool) {
 	for _, p := range g.Members {
 		if !p.Up || !p.Primary || p.Cut {
--- a/internal/standin/virtualclock/virtualclock.go
+++ b/internal/standin/virtualclock/virtualclock.go
@@ -1,4 +1,5 @@
-// Package virtualclock is virtual time for what plays many parts in one goroutine: what is to happen when, in a fixed order.
+// Package virtualclock is virtual time for what plays many parts in one goroutine: what is to happen when, in a fixed
+// order.
 //
 // It owns the queue and the clock. What falls on one moment happens in the order in which it was asked for.
 package virtualclock
--- a/internal/writerslot/slot.go
+++ b/internal/writerslot/slot.go
@@ -3,8 +3,9 @@
 
 import "math"
 
-// Slot is a replication group's writer slot. M names a member; its zero value is none. Times are milliseconds on a steady
-// clock; evidence is dated by when its asking began, so that what was long on its way never undoes what is newer.
+// Slot is a replication group's writer slot. M names a member; its zero value is none. Times are milliseconds on a
+// steady clock; evidence is dated by when its asking began, so that what was long on its way never undoes what is
+// newer.
 type Slot[M comparable] struct {
 	Holder, Last  M       // the believed primary; who was there before it was emptied
 	Seen, Emptied float64 // the newest evidence for the holder; when it was emptied
@@ -14,7 +15,8 @@
 // NewSlot is empty.
 func NewSlot[M comparable]() Slot[M] { return Slot[M]{Seen: math.Inf(-1), Emptied: math.Inf(-1)} }
 
-// Takes says whether evidence of then that m is the primary fills the slot; spoke: it is m's own word, which undoes silence.
+// Takes says whether evidence of then that m is the primary fills the slot; spoke: it is m's own word, which undoes
+// silence.
 func (s *Slot[M]) Takes(m M, when, replicaAt float64, draining, spoke bool) bool {
 	if s.Holder == m {
 		s.Seen = max(s.Seen, when)
--- a/sessionclient/client.go
+++ b/sessionclient/client.go
@@ -1,7 +1,7 @@
 // Package sessionclient is the client of open sessions for Go programs: a session that outlives its connections.
 //
-// It speaks the subprotocol of docs/sessions.md: messages have numbers in both directions, each is given once and in order, and what
-// has no acknowledgement is sent again over the next connection.
+// It speaks the subprotocol of docs/sessions.md: messages have numbers in both directions, each is given once and in
+// order, and what has no acknowledgement is sent again over the next connection.
 package sessionclient
 
 import (
@@ -46,11 +46,20 @@
 	err    error
 }
 
-// Open begins a session at one of the edges ("ws://host:port"), or resumes the one that a token names ("" for a new one) behind
-// message got. It returns at once and connects on its own, again and again, until ctx ends or Close.
+// Open begins a session at one of the edges ("ws://host:port"), or resumes the one that a token names ("" for a new
+// one) behind message got. It returns at once and connects on its own, again and again, until ctx ends or Close.
 func Open(ctx context.Context, edges []string, token string, got uint64) *Session {
 	inner, stop := context.WithCancel(ctx)
-	s := &Session{ctx: inner, edges: edges, in: make(chan []byte), stop: stop, done: make(chan struct{}), token: token, got: got, opened: make(chan struct{})}
+	s := &Session{
+		ctx:    inner,
+		edges:  edges,
+		in:     make(chan []byte),
+		stop:   stop,
+		done:   make(chan struct{}),
+		token:  token,
+		got:    got,
+		opened: make(chan struct{}),
+	}
 	go s.run(inner)
 	return s
 }
@@ -82,8 +91,8 @@
 	return len(s.sent)
 }
 
-// Send queues a message for the server; it goes out again over each next connection until it is acknowledged. It waits while the
-// connection takes nothing; the error is that of a session that has ended here.
+// Send queues a message for the server; it goes out again over each next connection until it is acknowledged. It waits
+// while the connection takes nothing; the error is that of a session that has ended here.
 func (s *Session) Send(body []byte) error {
 	s.writing.Lock()
 	defer s.writing.Unlock()
--- a/sessionclient/queue.go
+++ b/sessionclient/queue.go
@@ -16,12 +16,13 @@
 
 var producer = http.Client{Timeout: 3 * time.Second}
 
-// Queue queues a message for a session at one of the sites ("host:port"), trying first the one at index from, and again under the same
-// key until a site says that home and copies hold it, that they never will (an error), or ctx ends (an error: it may be queued). It
-// gives the index of the site that answered, to begin with next time.
+// Queue queues a message for a session at one of the sites ("host:port"), trying first the one at index from, and again
+// under the same key until a site says that home and copies hold it, that they never will (an error), or ctx ends (an
+// error: it may be queued). It gives the index of the site that answered, to begin with next time.
 func Queue(ctx context.Context, sites []string, from int, session, key string, body []byte) (at int, err error) {
 	for at = from; ; at++ {
-		req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+sites[at%len(sites)]+"/sessions/"+url.PathEscape(session)+"/messages", bytes.NewReader(body))
+		req, err := http.NewRequestWithContext(ctx, http.MethodPost,
+			"http://"+sites[at%len(sites)]+"/sessions/"+url.PathEscape(session)+"/messages", bytes.NewReader(body))
 		if err != nil {
 			return at, err
 		}
