--- a/internal/dataplane/proxy/transcript_test.go
+++ b/internal/dataplane/proxy/transcript_test.go
@@ -24,6 +24,7 @@
 	"weirwind/internal/shard/shardmap"
 	"weirwind/internal/util/events"
 	"weirwind/internal/util/settings"
+	"weirwind/internal/util/transport"
 )
 
 var update = flag.Bool("update", false, "write the golden transcripts from what the proxy does now")
@@ -68,7 +69,7 @@
 	x.p.desk = newDesk(x.p)
 	go x.p.desk.run()
 	raw := []byte(transcripts)
-	x.update(&controlmsg.Update{Gen: 3, Config: raw, Count: 2, Shards: &shardmap.Map{Version: 5,
+	x.update(&controlmsg.StateUpdate{ConfigVersion: 3, Config: raw, DriverCount: 2, ShardMap: &shardmap.Map{Version: 5,
 		Shards: map[string]shardmap.Place{"sh": {Node: "s", Epoch: 8}}}})
 	x.role("a", directory.RolePrimary)
 	x.role("b", directory.RoleReplica)
@@ -106,14 +107,14 @@
 	}
 }
 
-func (x *transcript) update(u *controlmsg.Update) { x.do(func() { x.p.desk.news(u) }) }
+func (x *transcript) update(u *controlmsg.StateUpdate) { x.do(func() { x.p.desk.news(u) }) }
 
 // zones differ in distance, so that no choice between members is left to chance.
 var zones = map[string]string{"a": "z", "b": "y"}
 
 func (x *transcript) role(id string, role directory.Role) {
 	x.seq++
-	x.update(&controlmsg.Update{Members: []directory.Member{{ID: id, Svc: "s", Zone: zones[id], Role: role, Life: 1, Seq: x.seq}}})
+	x.update(&controlmsg.StateUpdate{Members: []directory.Member{{ID: id, Service: "s", Zone: zones[id], Role: role, Incarnation: 1, Seq: x.seq}}})
 }
 
 // fill puts member connections into the pools, up to seven of each.
@@ -432,7 +433,7 @@
 					x.role("a", directory.RolePrimary)
 				case 2:
 					x.seq++
-					x.update(&controlmsg.Update{Shards: &shardmap.Map{Version: 5 + x.seq, Shards: map[string]shardmap.Place{"sh": {Node: "s", Epoch: 8 + x.seq}}}})
+					x.update(&controlmsg.StateUpdate{ShardMap: &shardmap.Map{Version: 5 + x.seq, Shards: map[string]shardmap.Place{"sh": {Node: "s", Epoch: 8 + x.seq}}}})
 				}
 				x.query(texts[x.rng.IntN(len(texts))])
 			}
@@ -461,3 +462,84 @@
 	})
 	golden(t, "status.golden", b.String())
 }
+
+// oneConn is a listener that a single connection comes to.
+type oneConn struct {
+	net.Listener
+	conns chan net.Conn
+}
+
+func (l oneConn) Accept() (net.Conn, error) {
+	if c, ok := <-l.conns; ok {
+		return c, nil
+	}
+	return nil, net.ErrClosed
+}
+
+// agent puts a link to an agent that records the frames it is sent, in hex with the moment of each.
+func (x *transcript) agent() *[]string {
+	here, there := net.Pipe()
+	l := oneConn{conns: make(chan net.Conn, 1)}
+	l.conns <- here
+	close(l.conns)
+	up := make(chan struct{})
+	go transport.Serve(l, 0, func(l *transport.Link[controlmsg.Frame]) {
+		x.p.agent.Store(l)
+		close(up)
+	}, func(*transport.Link[controlmsg.Frame], *controlmsg.Frame) {}, func(*transport.Link[controlmsg.Frame]) {})
+	<-up
+	side := &[]string{}
+	x.ends = append(x.ends, there)
+	go func() {
+		b := make([]byte, 4096)
+		for {
+			n, err := there.Read(b)
+			if err != nil {
+				return
+			}
+			x.record(side, fmt.Sprintf("%.0f %x", x.p.now(), b[:n]))
+		}
+	}()
+	return side
+}
+
+// What the agent is sent of a primary that owes answers, of one that answers no commit, and of one that is dead.
+func TestGoldenReports(t *testing.T) {
+	var b strings.Builder
+	for _, c := range []struct {
+		name string
+		play func(x *transcript)
+	}{
+		{"owes an answer, then speaks", queries(map[string][]string{"FETCH a": {"late"}, "STORE a 1": {"late"}}, "FETCH a", "STORE a 1", "FETCH b")},
+		{"answers no commit", func(x *transcript) {
+			x.do(func() {
+				g := x.p.desk.group("s")
+				m := g.g.Members["a"]
+				g.g.Sent(m, x.p.now(), true)
+			})
+			time.Sleep(thinkTime)
+			for range 90 {
+				x.query("FETCH a")
+			}
+		}},
+		{"takes no connection", func(x *transcript) {
+			x.do(func() {
+				g := x.p.desk.group("s")
+				g.shed("a")
+			})
+			x.ends[0].Close()
+			time.Sleep(time.Second)
+			fmt.Fprint(x.client, "QUERY q1 STORE a 1\r\n")
+			line, err := x.replies.Line()
+			fmt.Fprintln(&b, "held, then:", line, err)
+		}},
+	} {
+		var frames *[]string
+		in(t, "db", func(x *transcript) {
+			frames = x.agent()
+			c.play(x)
+		})
+		fmt.Fprintf(&b, "== %s\n%s\n", c.name, strings.Join(*frames, "\n"))
+	}
+	golden(t, "reports.golden", b.String())
+}
