--- a/internal/controlplane/calls.go
+++ b/internal/controlplane/calls.go
@@ -213,7 +213,7 @@
 func (s *shardsResource) show(w http.ResponseWriter, _ *http.Request) {
 	lead, ch := make(chan string, 1), make(chan ShardsView, 1)
 	s.h.loop.do(func() {
-		leader, _ := s.h.loop.node.Leading()
+		leader, _ := s.h.loop.node.Leader()
 		lead <- leader.Addr
 	})
 	s.h.tables.do(func() { ch <- s.h.tables.shardsView() })
@@ -259,10 +259,10 @@
 }
 
 func (c *consensusLoop) status() map[string]any {
-	leader, _ := c.node.Leading()
+	leader, _ := c.node.Leader()
 	e, committed := c.node.Committed()
 	out := map[string]any{"id": c.node.HardState.ID, "leader": leader.Addr, "term": c.node.HardState.Term, "voters": e.Voters, "index": e.Index, "committed": committed,
-		"others": c.node.Others(c.h.now()), "syncs": c.syncs, "lastSyncMs": c.lastSync, "mostSyncMs": c.mostSync}
+		"others": c.node.PeerStatuses(c.h.now()), "syncs": c.syncs, "lastSyncMs": c.lastSync, "mostSyncMs": c.mostSync}
 	if c.state != nil {
 		out["gen"], out["changes"] = c.state.Gen, len(c.state.Past)
 	}
--- a/internal/controlplane/consensus/catch_up_test.go
+++ b/internal/controlplane/consensus/catch_up_test.go
@@ -99,9 +99,9 @@
 func (v *cluster) hand(t *testing.T, what string, h *host) {
 	t.Helper()
 	for end := v.now + 20_000; v.leader() != h; {
-		if l := v.leader(); l != nil && !l.node.Busy() {
+		if l := v.leader(); l != nil && !l.node.InFlight() {
 			if p := l.node.peers[h.node.HardState.ID]; p != nil && !l.node.lacks(p) {
-				l.node.send(h.addr, Message{Kind: HandOver, Term: l.node.HardState.Term})
+				l.node.send(h.addr, Message{Kind: TimeoutNow, Term: l.node.HardState.Term})
 				v.settle(l, 0)
 				for range 30 { // a leader that hands over takes no change meanwhile
 					v.step(0)
@@ -147,7 +147,7 @@
 		h := &host{addr: "n1", seeds: []string{"m0", "m1", "gone"}, disk: Empty("1@n1")}
 		v.start(h)
 		began := v.now
-		for l := v.leader(); l == nil || !l.node.isVoter("1@n1") || l.node.Busy(); l = v.leader() {
+		for l := v.leader(); l == nil || !l.node.isVoter("1@n1") || l.node.InFlight(); l = v.leader() {
 			if v.now > began+1000 {
 				t.Fatalf("seed %d: it does not vote after a second\n%s", seed, v.standing())
 			}
--- a/internal/controlplane/consensus/consensus.go
+++ b/internal/controlplane/consensus/consensus.go
@@ -33,22 +33,22 @@
 	Vote     string `cbor:"3,keyasint"` // who got the vote of that term
 	Last     Entry  `cbor:"4,keyasint"`
 	Commit   uint64 `cbor:"5,keyasint"` // index known committed; only a hint after a restart
-	CommitOf uint64 `cbor:"6,keyasint"` // its term
+	CommitTerm uint64 `cbor:"6,keyasint"` // its term
 }
 
 // Kind of a message.
 type Kind uint8
 
 const (
-	AskVote  Kind = iota + 1 // Term, and the sender's last entry in LastTerm, LastIndex
-	GiveVote                 // Granted
-	Append                   // the leader lives; Entry comes along for who lacks it
-	Appended                 // LastTerm, LastIndex: what the sender holds synced; Round of the question
+	RequestVote  Kind = iota + 1 // Term, and the sender's last entry in LastTerm, LastIndex
+	VoteResponse                 // Granted
+	AppendEntries                   // the leader lives; Entry comes along for who lacks it
+	AppendEntriesResponse                 // LastTerm, LastIndex: what the sender holds synced; Round of the question
 	Join                     // an empty machine wants to vote
-	AskPre                   // would a vote be given? (nothing is promised)
-	GivePre
+	RequestPreVote                   // would a vote be given? (nothing is promised)
+	PreVoteResponse
 	Leave    // the sender's process ends in order
-	HandOver // the leader wants the receiver to stand for election now
+	TimeoutNow // the leader wants the receiver to stand for election now
 )
 
 // Message goes between two machines of the core.
@@ -64,11 +64,11 @@
 	Round     uint64  `cbor:"9,keyasint,omitempty"`
 	Clock     float64 `cbor:"10,keyasint,omitempty"` // Appended: the sender's
 	Contact   float64 `cbor:"11,keyasint,omitempty"` // Append: the newest contact, on the receiver's clock
-	Life      uint32  `cbor:"12,keyasint,omitempty"` // of the process on whose clock Clock or Contact is
+	Incarnation      uint32  `cbor:"12,keyasint,omitempty"` // of the process on whose clock Clock or Contact is
 }
 
-// Send is a message for the machine at an address.
-type Send struct {
+// Envelope is a message for the machine at an address.
+type Envelope struct {
 	To      string
 	Message Message
 }
@@ -81,7 +81,7 @@
 	HeartbeatInterval float64  // milliseconds between two signs of a leader
 	ElectionTimeout   float64  // without one for so long an election is begun, and up to as much again
 	RemoveAfter       float64  // a voter silent for so long is removed where enough others vote, or one waits to join
-	Draw              func() float64
+	Random              func() float64
 }
 
 // Role of a node.
@@ -128,7 +128,7 @@
 	joins  map[string]joiner
 	joinAt float64
 	dirty  bool
-	out    []Send
+	out    []Envelope
 
 	contactAt float64 // see contact.go
 	probe     probe
@@ -147,12 +147,12 @@
 func New(o Options, h HardState, now float64) *Node {
 	n := &Node{o: o, HardState: h, peers: map[string]*peer{}, joins: map[string]joiner{},
 		left: map[string]float64{}, former: map[string]float64{}}
-	if h.Last.Index > 0 && h.Commit >= h.Last.Index && h.CommitOf == h.Last.Term {
+	if h.Last.Index > 0 && h.Commit >= h.Last.Index && h.CommitTerm == h.Last.Term {
 		n.decided = h.Last
 	}
-	n.contactAt, n.life = math.Inf(-1), uint32(o.Draw()*math.MaxUint32)
+	n.contactAt, n.life = math.Inf(-1), uint32(o.Random()*math.MaxUint32)
 	n.heardAt = now - o.ElectionTimeout
-	n.waitTil = now + o.ElectionTimeout*(0.2+0.4*o.Draw()) // asking costs nobody anything where somebody leads
+	n.waitTil = now + o.ElectionTimeout*(0.2+0.4*o.Random()) // asking costs nobody anything where somebody leads
 	return n
 }
 
@@ -170,7 +170,7 @@
 }
 
 // Messages gives what is to be sent and forgets it.
-func (n *Node) Messages() []Send {
+func (n *Node) Messages() []Envelope {
 	out := n.out
 	n.out = nil
 	return out
@@ -179,22 +179,22 @@
 // Role gives this node's.
 func (n *Node) Role() Role { return n.role }
 
-// Leading gives the leader that is known, itself included.
-func (n *Node) Leading() (Voter, bool) {
+// Leader gives the leader that is known, itself included.
+func (n *Node) Leader() (Voter, bool) {
 	if n.role == Leader {
 		return n.self(), true
 	}
 	return n.leader, n.leader.ID != ""
 }
 
-// Ready says that this node leads, and that all that was ever committed is known to it.
-func (n *Node) Ready() bool { return n.role == Leader && n.current }
+// Established says that this node leads, and that all that was ever committed is known to it.
+func (n *Node) Established() bool { return n.role == Leader && n.current }
 
 // Committed gives the newest entry that is known committed, also while another is on its way; false for none.
 func (n *Node) Committed() (Entry, bool) { return n.decided, n.decided.Index > 0 }
 
-// Busy says that an entry is on its way.
-func (n *Node) Busy() bool { return n.HardState.Commit < n.HardState.Last.Index || !n.current }
+// InFlight says that an entry is on its way.
+func (n *Node) InFlight() bool { return n.HardState.Commit < n.HardState.Last.Index || !n.current }
 
 // Tick lets time pass.
 func (n *Node) Tick(now float64) {
@@ -230,17 +230,17 @@
 
 func (n *Node) send(to string, m Message) {
 	m.From = n.self()
-	n.out = append(n.out, Send{to, m})
+	n.out = append(n.out, Envelope{to, m})
 }
 
-// Receive takes a message.
-func (n *Node) Receive(m *Message, now float64) {
+// Step takes a message.
+func (n *Node) Step(m *Message, now float64) {
 	switch m.Kind {
-	case AskPre, AskVote:
+	case RequestPreVote, RequestVote:
 		n.noteLeaving(m.From.ID, false, now)
 		n.vote(m, now)
-	case GivePre, GiveVote:
-		if m.Kind == GiveVote && m.Term > n.HardState.Term {
+	case PreVoteResponse, VoteResponse:
+		if m.Kind == VoteResponse && m.Term > n.HardState.Term {
 			n.raise(m.Term, now)
 			return
 		}
@@ -248,13 +248,13 @@
 		if n.pre {
 			want++
 		}
-		if n.role == Candidate && n.pre == (m.Kind == GivePre) && m.Term == want && m.Granted {
+		if n.role == Candidate && n.pre == (m.Kind == PreVoteResponse) && m.Term == want && m.Granted {
 			n.votes[m.From.ID] = true
 			n.count(now)
 		}
-	case Append:
+	case AppendEntries:
 		n.append(m, now)
-	case Appended:
+	case AppendEntriesResponse:
 		if m.Term > n.HardState.Term {
 			n.raise(m.Term, now)
 			return
@@ -268,7 +268,7 @@
 			return
 		}
 		p.heard = now
-		p.clock, p.clockAt, p.life = m.Clock, now, m.Life
+		p.clock, p.clockAt, p.life = m.Clock, now, m.Incarnation
 		n.noteLeaving(m.From.ID, m.Granted, now)
 		if m.Round >= p.round {
 			p.round, p.term, p.index = m.Round, m.LastTerm, m.LastIndex
@@ -280,18 +280,18 @@
 		}
 	case Leave:
 		n.noteLeaving(m.From.ID, true, now)
-	case HandOver:
+	case TimeoutNow:
 		if n.role == Follower && n.leavingAt == 0 && m.Term == n.HardState.Term && m.From.ID == n.leader.ID && n.isVoter(n.HardState.ID) {
 			n.stand(now, true)
 		}
 	case Join:
 		if n.leader.Addr == m.From.Addr && n.leader.ID != m.From.ID {
-			n.LeaderGone(m.From.Addr, now) // its disk has another life
+			n.LeaderDisconnected(m.From.Addr, now) // its disk has another life
 		}
 		if n.role != Leader && n.leader.ID != "" && !m.Granted { // it may know none but seeds: who leads is told for it, once
 			on := *m
 			on.Granted = true
-			n.out = append(n.out, Send{n.leader.Addr, on})
+			n.out = append(n.out, Envelope{n.leader.Addr, on})
 		}
 		if n.role == Leader {
 			n.takeJoin(m.From, now)
--- a/internal/controlplane/consensus/consensus_test.go
+++ b/internal/controlplane/consensus/consensus_test.go
@@ -76,7 +76,7 @@
 		fewest = len(v.seeds)
 	}
 	h.node = New(Options{Addr: h.addr, Seeds: seeds, MinVoters: fewest, HeartbeatInterval: 200, ElectionTimeout: 900,
-		RemoveAfter: 1575, Draw: v.r.Float64}, copyOf(h.disk), v.now)
+		RemoveAfter: 1575, Random: v.r.Float64}, copyOf(h.disk), v.now)
 	v.dial(h.addr)
 }
 
@@ -121,7 +121,7 @@
 	}
 }
 
-func (v *cluster) post(from string, s Send) {
+func (v *cluster) post(from string, s Envelope) {
 	if v.cut[[2]string{from, s.To}] || !v.stands(from, s.To) || v.r.Float64() < v.lose {
 		return
 	}
@@ -148,7 +148,7 @@
 			h.wait = ""
 		}
 	}
-	if h.wait != "" && !h.node.Ready() {
+	if h.wait != "" && !h.node.Established() {
 		h.wait = ""
 	}
 }
@@ -156,7 +156,7 @@
 func (v *cluster) propose() {
 	for _, a := range v.names() {
 		h := v.hosts[a]
-		if !h.on || h.frozen > v.now || !h.node.Ready() || h.wait != "" {
+		if !h.on || h.frozen > v.now || !h.node.Established() || h.wait != "" {
 			continue
 		}
 		v.ask++
@@ -183,7 +183,7 @@
 		if l.at > v.now {
 			v.mail = append(v.mail, l)
 		} else if h != nil && h.on && h.frozen <= v.now {
-			h.node.Receive(&l.m, v.now)
+			h.node.Step(&l.m, v.now)
 			v.settle(h, danger)
 		} else if h != nil && h.on && v.r.IntN(2) == 0 {
 			l.at = h.frozen + 1 // it waits in a buffer
@@ -266,7 +266,7 @@
 		lead := 0
 		var voters []Voter
 		for _, a := range v.names() {
-			if h := v.hosts[a]; h.on && h.node.Ready() && !h.node.Busy() {
+			if h := v.hosts[a]; h.on && h.node.Established() && !h.node.InFlight() {
 				lead++
 				voters = h.node.HardState.Last.Voters
 			}
@@ -294,7 +294,7 @@
 
 func (v *cluster) leadValue() []byte {
 	for _, a := range v.names() {
-		if h := v.hosts[a]; h.on && h.node.Ready() {
+		if h := v.hosts[a]; h.on && h.node.Established() {
 			return h.node.HardState.Last.Value
 		}
 	}
@@ -344,7 +344,7 @@
 			h := v.hosts["m0"]
 			h.disk = Empty("1@m0")
 			v.start(h)
-			h.node.Receive(&Message{Kind: AskVote, From: Voter{"0@m1", "m1"}, Term: 99, LastTerm: 98, LastIndex: 9}, v.now)
+			h.node.Step(&Message{Kind: RequestVote, From: Voter{"0@m1", "m1"}, Term: 99, LastTerm: 98, LastIndex: 9}, v.now)
 			out := h.node.Messages()
 			So(out[len(out)-1].Message.Granted, ShouldBeFalse)
 		})
@@ -352,7 +352,7 @@
 			for _, a := range v.names() {
 				if h := v.hosts[a]; h.node.Role() == Follower {
 					term := h.node.HardState.Term
-					h.node.Receive(&Message{Kind: AskVote, From: Voter{"0@m9", "m9"}, Term: term + 1, LastTerm: term + 1, LastIndex: 99}, v.now)
+					h.node.Step(&Message{Kind: RequestVote, From: Voter{"0@m9", "m9"}, Term: term + 1, LastTerm: term + 1, LastIndex: 99}, v.now)
 					So(h.node.HardState.Term, ShouldEqual, term)
 				}
 			}
@@ -367,10 +367,10 @@
 					v.cut[[2]string{a, o}], v.cut[[2]string{o, a}] = true, true
 				}
 				v.mail = nil
-				round := h.node.Confirm(v.now)
+				round := h.node.ReadIndex(v.now)
 				v.run(2500, 0)
-				So(h.node.Confirmed(round), ShouldBeFalse)
-				So(h.node.Ready(), ShouldBeFalse)
+				So(h.node.ReadConfirmed(round), ShouldBeFalse)
+				So(h.node.Established(), ShouldBeFalse)
 				break
 			}
 		})
--- a/internal/controlplane/consensus/contact.go
+++ b/internal/controlplane/consensus/contact.go
@@ -27,12 +27,12 @@
 	sent  float64
 }
 
-// Contact is the age in milliseconds of the newest moment at which all that had been acknowledged anywhere is certain to be known here.
+// ContactAge is the age in milliseconds of the newest moment at which all that had been acknowledged anywhere is certain to be known here.
 // +Inf: there was none since this node started.
-func (n *Node) Contact(now float64) float64 { return now - n.contactAt }
+func (n *Node) ContactAge(now float64) float64 { return now - n.contactAt }
 
-// ContactAt is the moment itself, on the caller's clock; -Inf: there was none.
-func (n *Node) ContactAt() float64 { return n.contactAt }
+// LastContact is the moment itself, on the caller's clock; -Inf: there was none.
+func (n *Node) LastContact() float64 { return n.contactAt }
 
 // startProbe times the round that is about to be sent, unless an earlier one is still out.
 func (n *Node) startProbe(now float64) {
@@ -43,7 +43,7 @@
 
 // endProbe renews the leader's contact if a majority has answered the timed round or a later one.
 func (n *Node) endProbe() {
-	if n.probe.round == 0 || !n.Confirmed(n.probe.round) {
+	if n.probe.round == 0 || !n.ReadConfirmed(n.probe.round) {
 		return
 	}
 	n.contactAt = max(n.contactAt, n.probe.sent)
@@ -52,7 +52,7 @@
 
 // contactFor gives the moment of the leader's contact with a follower on the follower's clock; 0: not known.
 func (n *Node) contactFor(p *peer) float64 {
-	if !n.Ready() || p.clock == 0 || math.IsInf(n.contactAt, -1) {
+	if !n.Established() || p.clock == 0 || math.IsInf(n.contactAt, -1) {
 		return 0
 	}
 	return p.clock - p.clockAt + min(n.contactAt, p.clockAt)
@@ -60,7 +60,7 @@
 
 // takeContact renews a follower's contact from a leader's message, where all that the leader knew to be committed is known here.
 func (n *Node) takeContact(m *Message, now float64) {
-	ownClock := m.Contact != 0 && m.Life == n.life // else it was shifted by an answer of this machine's process before
+	ownClock := m.Contact != 0 && m.Incarnation == n.life // else it was shifted by an answer of this machine's process before
 	if ownClock && n.decided.Index >= m.Commit {
 		n.contactAt = max(n.contactAt, min(m.Contact, now))
 	}
--- a/internal/controlplane/consensus/contact_test.go
+++ b/internal/controlplane/consensus/contact_test.go
@@ -70,7 +70,7 @@
 	h.life++
 	h.on, h.born, h.known = true, w.now, 0
 	h.node = New(Options{Addr: h.addr, Seeds: seeds, MinVoters: len(seeds), HeartbeatInterval: 200, ElectionTimeout: 900, RemoveAfter: 4500,
-		Draw: w.r.Float64}, copyOf(h.disk), 0)
+		Random: w.r.Float64}, copyOf(h.disk), 0)
 	w.look(h)
 }
 
@@ -124,7 +124,7 @@
 		return
 	}
 	h.known = e.Index
-	if h.node.Ready() && (len(w.acks) == 0 || e.Index > w.acks[len(w.acks)-1].index) {
+	if h.node.Established() && (len(w.acks) == 0 || e.Index > w.acks[len(w.acks)-1].index) {
 		w.acks = append(w.acks, contactAck{w.now, e.Index})
 	}
 }
@@ -141,7 +141,7 @@
 
 // check holds a machine's contact against what was acknowledged, and against the cuts that it is behind.
 func (w *contactModel) check(h *contactHost) error {
-	age := h.node.Contact(w.clock(h))
+	age := h.node.ContactAge(w.clock(h))
 	w.seen++
 	if age > ContactLease {
 		return nil
@@ -170,7 +170,7 @@
 		case l.at > w.now || l.to.life == l.life && l.to.on && l.to.frozen > w.now:
 			w.mail = append(w.mail, l)
 		case l.to.on && l.to.life == l.life:
-			l.to.node.Receive(&l.m, w.clock(l.to))
+			l.to.node.Step(&l.m, w.clock(l.to))
 			w.settle(l.to)
 		}
 	}
@@ -186,7 +186,7 @@
 		}
 		h.node.Tick(w.clock(h))
 		w.settle(h)
-		if h.node.Ready() && w.r.IntN(20) == 0 {
+		if h.node.Established() && w.r.IntN(20) == 0 {
 			h.node.Propose([]byte{byte(w.r.IntN(256))}, w.clock(h))
 			w.settle(h)
 		}
@@ -277,7 +277,7 @@
 			}
 			for _, h := range w.hosts {
 				if w.now > 5000 {
-					oldest = max(oldest, h.node.Contact(w.clock(h)))
+					oldest = max(oldest, h.node.ContactAge(w.clock(h)))
 				}
 			}
 		}
--- a/internal/controlplane/consensus/digest_test.go
+++ b/internal/controlplane/consensus/digest_test.go
@@ -24,7 +24,7 @@
 }
 
 // message takes one that a node sends, as it is on the wire.
-func (d *digest) message(from string, s Send) {
+func (d *digest) message(from string, s Envelope) {
 	if d == nil {
 		return
 	}
@@ -41,14 +41,14 @@
 		return
 	}
 	h := &n.HardState
-	leader, known := n.Leading()
-	d.add("%s %d %s %d/%d %d/%d %d %v|", h.ID, h.Term, h.Vote, h.Last.Term, h.Last.Index, h.CommitOf, h.Commit, len(h.Last.Value), h.Last.Voters)
-	d.add("%d %s %v %v %v %v %v|", n.Role(), leader, known, n.Ready(), n.Busy(), n.Dirty(), n.Gone(now))
+	leader, known := n.Leader()
+	d.add("%s %d %s %d/%d %d/%d %d %v|", h.ID, h.Term, h.Vote, h.Last.Term, h.Last.Index, h.CommitTerm, h.Commit, len(h.Last.Value), h.Last.Voters)
+	d.add("%d %s %v %v %v %v %v|", n.Role(), leader, known, n.Established(), n.InFlight(), n.Dirty(), n.LeaveDone(now))
 	if e, ok := n.Committed(); ok {
 		d.add("%d/%d %d|", e.Term, e.Index, len(e.Value))
 	}
-	d.add("%v %v|", n.Contact(now), n.ContactAt())
-	for _, o := range n.Others(now) {
+	d.add("%v %v|", n.ContactAge(now), n.LastContact())
+	for _, o := range n.PeerStatuses(now) {
 		d.add("%s %d %v %v|", o.Voter, o.Index, o.Behind, o.Silent)
 	}
 }
@@ -93,13 +93,13 @@
 		}
 		for range 4 {
 			h := v.hosts[v.names()[v.r.IntN(len(v.hosts))]]
-			round := h.node.Confirm(v.now)
+			round := h.node.ReadIndex(v.now)
 			if h.node.Role() != Leader {
 				h.node.Messages() // a caller asks leaders only
 			}
 			v.settle(h, 0)
 			v.run(100+500*v.r.Float64(), 0.002)
-			d.add("%v %v %v", h.on, round, h.node.Confirmed(round))
+			d.add("%v %v %v", h.on, round, h.node.ReadConfirmed(round))
 		}
 		clear(v.cut)
 		v.wake()
@@ -143,7 +143,7 @@
 		v.terminate(h)
 		for _, a := range v.live() {
 			if o := v.hosts[a]; o.on && v.r.IntN(2) == 0 {
-				o.node.LeaderGone(h.addr, v.now)
+				o.node.LeaderDisconnected(h.addr, v.now)
 			}
 		}
 		v.run(500+3000*v.r.Float64(), 0)
@@ -154,7 +154,7 @@
 		v.run(3000, 0)
 		if l := v.leader(); l != nil {
 			to := v.victim(false, l.addr)
-			to.node.Receive(&Message{Kind: HandOver, From: l.node.self(), Term: l.node.HardState.Term}, v.now)
+			to.node.Step(&Message{Kind: TimeoutNow, From: l.node.self(), Term: l.node.HardState.Term}, v.now)
 			v.settle(to, 0)
 		}
 		v.run(2000, 0)
@@ -183,7 +183,7 @@
 	r := rand.New(rand.NewPCG(seed, 41))
 	addrs := []string{"m0", "m1", "m2", "m3", "m4"}[:[]int{1, 2, 3, 5}[seed%4]]
 	options := Options{Addr: "m0", Seeds: addrs, MinVoters: []int{0, 2, 3}[r.IntN(3)], HeartbeatInterval: 200, ElectionTimeout: 900,
-		RemoveAfter: 1575, Draw: r.Float64}
+		RemoveAfter: 1575, Random: r.Float64}
 	now, disk := 10_000.0, Bootstrap("m0", addrs)
 	if seed%7 == 6 {
 		disk = Empty("e@m0")
@@ -193,7 +193,7 @@
 		now += math.Floor(r.Float64() * r.Float64() * 400)
 		switch r.IntN(24) {
 		default:
-			n.Receive(anyMessage(r, n), now)
+			n.Step(anyMessage(r, n), now)
 		case 0, 1, 2, 3:
 			n.Tick(now)
 		case 4, 5:
@@ -201,13 +201,13 @@
 			d.add("%d %v", e.Index, ok)
 		case 6:
 			if n.Role() == Leader {
-				d.add("%d", n.Confirm(now))
+				d.add("%d", n.ReadIndex(now))
 			}
 		case 7:
-			d.add("%v", n.Confirmed(uint64(r.IntN(40))))
+			d.add("%v", n.ReadConfirmed(uint64(r.IntN(40))))
 		case 8:
-			if leader, ok := n.Leading(); ok {
-				n.LeaderGone(leader.Addr, now)
+			if leader, ok := n.Leader(); ok {
+				n.LeaderDisconnected(leader.Addr, now)
 			}
 		case 9:
 			switch r.IntN(12) {
@@ -238,22 +238,22 @@
 			senders = append(senders, v, v)
 		}
 	}
-	if leader, ok := n.Leading(); ok && leader.ID != h.ID {
+	if leader, ok := n.Leader(); ok && leader.ID != h.ID {
 		senders = append(senders, leader, leader, leader)
 	}
 	m := &Message{Kind: Kind(1 + r.IntN(10)), From: senders[r.IntN(len(senders))], Term: near(h.Term), LastTerm: near(h.Last.Term),
 		LastIndex: near(h.Last.Index), Granted: r.IntN(3) == 0, Commit: near(h.Last.Index), Round: uint64(r.IntN(40)),
-		Clock: 1000 * r.Float64(), Contact: 10_000 + 20_000*r.Float64(), Life: uint32(r.IntN(2))}
+		Clock: 1000 * r.Float64(), Contact: 10_000 + 20_000*r.Float64(), Incarnation: uint32(r.IntN(2))}
 	if r.IntN(2) == 0 {
-		m.Life = n.life
+		m.Incarnation = n.life
 	}
-	if m.Kind == GivePre || m.Kind == GiveVote {
+	if m.Kind == PreVoteResponse || m.Kind == VoteResponse {
 		m.Granted = r.IntN(4) > 0
 	}
-	if m.Kind == GivePre {
+	if m.Kind == PreVoteResponse {
 		m.Term = near(h.Term + 1)
 	}
-	if m.Kind == Append && r.IntN(2) == 0 {
+	if m.Kind == AppendEntries && r.IntN(2) == 0 {
 		m.Entry = &Entry{Term: m.LastTerm, Index: m.LastIndex, Voters: append([]Voter{}, h.Last.Voters...), Value: []byte{byte(r.IntN(256))}}
 		if len(m.Entry.Voters) == 0 || r.IntN(4) == 0 {
 			m.Entry.Voters = append(m.Entry.Voters, m.From)
--- a/internal/controlplane/consensus/election.go
+++ b/internal/controlplane/consensus/election.go
@@ -5,24 +5,24 @@
 import "slices"
 
 // rest puts the next election off. Pre-votes keep those apart that wake together, so that half a timeout of spread is enough.
-func (n *Node) rest(now float64) { n.waitTil = now + n.o.ElectionTimeout*(1+0.5*n.o.Draw()) }
+func (n *Node) rest(now float64) { n.waitTil = now + n.o.ElectionTimeout*(1+0.5*n.o.Random()) }
 
-// LeaderGone is told when the connection to the leader broke.
-func (n *Node) LeaderGone(addr string, now float64) {
+// LeaderDisconnected is told when the connection to the leader broke.
+func (n *Node) LeaderDisconnected(addr string, now float64) {
 	if n.role != Leader && n.leader.Addr == addr {
 		n.leader, n.heardAt = Voter{}, now-n.o.ElectionTimeout
-		n.waitTil = min(n.waitTil, now+n.o.ElectionTimeout*0.4*n.o.Draw())
+		n.waitTil = min(n.waitTil, now+n.o.ElectionTimeout*0.4*n.o.Random())
 	}
 }
 
 func (n *Node) campaign(now float64) {
-	n.waitTil = now + n.o.ElectionTimeout*(0.3+0.5*n.o.Draw()) // a first round binds nobody: it is asked again soon
+	n.waitTil = now + n.o.ElectionTimeout*(0.3+0.5*n.o.Random()) // a first round binds nobody: it is asked again soon
 	n.role, n.pre, n.votes, n.leader = Candidate, true, map[string]bool{n.HardState.ID: true}, Voter{}
 	n.preAt = now
 	n.askToJoin() // it may have been voted out while it was away; who leads and counts it as a voter passes over this
 	n.count(now)
 	if n.pre {
-		n.ask(AskPre, n.HardState.Term+1)
+		n.ask(RequestPreVote, n.HardState.Term+1)
 	}
 }
 
@@ -30,7 +30,7 @@
 	for _, v := range n.HardState.Last.Voters {
 		if v.ID != n.HardState.ID {
 			n.send(v.Addr, Message{Kind: kind, Term: term, LastTerm: n.HardState.Last.Term, LastIndex: n.HardState.Last.Index,
-				Granted: kind == AskVote && n.handed})
+				Granted: kind == RequestVote && n.handed})
 		}
 	}
 }
@@ -79,11 +79,11 @@
 // stand begins a term of its own. handed: the leader asked for it, so that others vote though they hear that leader.
 func (n *Node) stand(now float64, handed bool) {
 	// A vote takes a round trip and a sync: a split one is tried again soon.
-	n.waitTil = now + n.o.ElectionTimeout*(0.4+0.6*n.o.Draw())
+	n.waitTil = now + n.o.ElectionTimeout*(0.4+0.6*n.o.Random())
 	n.role, n.pre, n.handed, n.leader = Candidate, false, handed, Voter{}
 	n.votes = map[string]bool{n.HardState.ID: true}
 	n.HardState.Term, n.HardState.Vote, n.dirty = n.HardState.Term+1, n.HardState.ID, true
-	n.ask(AskVote, n.HardState.Term)
+	n.ask(RequestVote, n.HardState.Term)
 	n.count(now)
 }
 
@@ -101,9 +101,9 @@
 	}
 }
 
-// Gone says that nothing waits for this process any more behind Leave: it votes no longer, or the time is over in which
+// LeaveDone says that nothing waits for this process any more behind Leave: it votes no longer, or the time is over in which
 // the leader would have had it removed.
-func (n *Node) Gone(now float64) bool {
+func (n *Node) LeaveDone(now float64) bool {
 	return n.leavingAt > 0 && n.role != Leader && (!n.isVoter(n.HardState.ID) || now-n.leavingAt > n.o.ElectionTimeout*2/3)
 }
 
@@ -111,7 +111,7 @@
 // first (its successor could else need a vote that went with it); where not, another is asked to stand, and one more if
 // that one did not.
 func (n *Node) handOver(now float64) {
-	if n.Busy() || now < n.handAt {
+	if n.InFlight() || now < n.handAt {
 		return
 	}
 	last := &n.HardState.Last
@@ -135,7 +135,7 @@
 		}
 	}
 	if best.ID != "" {
-		n.send(best.Addr, Message{Kind: HandOver, Term: n.HardState.Term})
+		n.send(best.Addr, Message{Kind: TimeoutNow, Term: n.HardState.Term})
 		n.peers[best.ID].heard = heard - 2*n.o.HeartbeatInterval // the next try is another's
 	}
 }
@@ -150,9 +150,9 @@
 func (n *Node) vote(m *Message, now float64) {
 	fresh := m.LastTerm > n.HardState.Last.Term || m.LastTerm == n.HardState.Last.Term && m.LastIndex >= n.HardState.Last.Index
 	led := n.role == Leader || n.leader.ID != "" && n.leader.ID != m.From.ID && now-n.heardAt < n.o.ElectionTimeout
-	if m.Kind == AskPre {
+	if m.Kind == RequestPreVote {
 		granted := fresh && !led && !n.goesFirst(m, now) && m.Term > n.HardState.Term && n.HardState.Last.Index > 0
-		n.send(m.From.Addr, Message{Kind: GivePre, Term: m.Term, Granted: granted})
+		n.send(m.From.Addr, Message{Kind: PreVoteResponse, Term: m.Term, Granted: granted})
 		return
 	}
 	if led && !m.Granted && m.Term > n.HardState.Term {
@@ -164,5 +164,5 @@
 		n.HardState.Vote, n.dirty = m.From.ID, true
 		n.rest(now)
 	}
-	n.send(m.From.Addr, Message{Kind: GiveVote, Term: n.HardState.Term, Granted: granted})
+	n.send(m.From.Addr, Message{Kind: VoteResponse, Term: n.HardState.Term, Granted: granted})
 }
--- a/internal/controlplane/consensus/exhaustive_test.go
+++ b/internal/controlplane/consensus/exhaustive_test.go
@@ -17,7 +17,7 @@
 type small struct {
 	nodes   [3]*Node
 	disks   [3]HardState
-	mail    []Send
+	mail    []Envelope
 	now     float64
 	decided map[uint64]string
 	asked   int
@@ -120,7 +120,7 @@
 	start := &small{decided: map[uint64]string{}, now: 10000}
 	for i, a := range addrs {
 		start.disks[i] = Bootstrap(a, addrs)
-		start.nodes[i] = New(Options{Addr: a, Seeds: addrs, MinVoters: fewest, HeartbeatInterval: 200, ElectionTimeout: 900, RemoveAfter: 1e9, Draw: draw}, copyOf(start.disks[i]), 0)
+		start.nodes[i] = New(Options{Addr: a, Seeds: addrs, MinVoters: fewest, HeartbeatInterval: 200, ElectionTimeout: 900, RemoveAfter: 1e9, Random: draw}, copyOf(start.disks[i]), 0)
 	}
 	if leaving { // from where one leads: all of the depth is for what comes then
 		start.nodes[0].campaign(start.now)
@@ -129,10 +129,10 @@
 			m := start.mail[0]
 			start.mail = start.mail[1:]
 			i := start.index(m.To)
-			start.nodes[i].Receive(&m.Message, start.now)
+			start.nodes[i].Step(&m.Message, start.now)
 			start.settle(i, false)
 		}
-		if !start.nodes[0].Ready() {
+		if !start.nodes[0].Established() {
 			t.Fatal("nobody leads")
 		}
 	}
@@ -174,14 +174,14 @@
 				c.settle(i, false)
 				walk(c, left-1, path+fmt.Sprint(" l", i))
 			}
-			if leaving && s.nodes[i].role == Leader && !s.nodes[i].Busy() {
+			if leaving && s.nodes[i].role == Leader && !s.nodes[i].InFlight() {
 				c := s.fork()
 				c.nodes[i].beatAt = c.now + 1
 				c.nodes[i].Tick(c.now)
 				c.settle(i, false)
 				walk(c, left-1, path+fmt.Sprint(" t", i))
 			}
-			if s.nodes[i].Ready() && s.asked < 2 {
+			if s.nodes[i].Established() && s.asked < 2 {
 				c := s.fork()
 				c.asked++
 				c.nodes[i].Propose([]byte(string(c.nodes[i].HardState.Last.Value)+fmt.Sprint(i)), c.now)
@@ -201,7 +201,7 @@
 				m := c.mail[k]
 				c.mail = slices.Delete(c.mail, k, k+1)
 				i := c.index(m.To)
-				c.nodes[i].Receive(&m.Message, c.now)
+				c.nodes[i].Step(&m.Message, c.now)
 				if die && !c.nodes[i].Dirty() {
 					continue
 				}
@@ -235,7 +235,7 @@
 			v.run(4000, 0)
 			var h *host
 			for _, a := range v.names() {
-				if o := v.hosts[a]; o.node.Ready() == (fault != "follower killed") {
+				if o := v.hosts[a]; o.node.Established() == (fault != "follower killed") {
 					h = o
 				}
 			}
@@ -248,7 +248,7 @@
 				h.on = false
 				for _, o := range v.names() {
 					if v.hosts[o].on {
-						v.hosts[o].node.LeaderGone(h.addr, v.now)
+						v.hosts[o].node.LeaderDisconnected(h.addr, v.now)
 					}
 				}
 			case "leader frozen":
@@ -270,7 +270,7 @@
 			}
 			for v.now < at+20000 && len(v.acked) == acked {
 				v.run(10, 0)
-				h.on = h.on && !h.node.Gone(v.now)
+				h.on = h.on && !h.node.LeaveDone(v.now)
 				if h.wait != "" && fault != "follower killed" && fault != "power lost everywhere" {
 					h.wait = ""
 				}
--- a/internal/controlplane/consensus/golden_test.go
+++ b/internal/controlplane/consensus/golden_test.go
@@ -31,11 +31,11 @@
 		{"vote granted", &Message{Kind: 2, From: from, Term: 4, Granted: true}},
 		{"vote denied", &Message{Kind: 2, From: from, Term: 4}},
 		{"append with entry", &Message{Kind: 3, From: from, Term: 4, LastTerm: 3, LastIndex: 7, Entry: &entry, Commit: 6, Round: 300,
-			Contact: 1234.5, Life: 0xfeedbeef}},
+			Contact: 1234.5, Incarnation: 0xfeedbeef}},
 		{"heartbeat", &Message{Kind: 3, From: from, Term: 4, LastTerm: 3, LastIndex: 7, Commit: 7, Round: 301}},
-		{"append response", &Message{Kind: 4, From: from, Term: 4, LastTerm: 3, LastIndex: 7, Round: 301, Clock: 77.25, Life: 9}},
+		{"append response", &Message{Kind: 4, From: from, Term: 4, LastTerm: 3, LastIndex: 7, Round: 301, Clock: 77.25, Incarnation: 9}},
 		{"append response of a leaver", &Message{Kind: 4, From: from, Term: 4, LastTerm: 3, LastIndex: 7, Granted: true, Round: 301, Clock: 77.25,
-			Life: 9}},
+			Incarnation: 9}},
 		{"join", &Message{Kind: 5, From: from}},
 		{"join, forwarded", &Message{Kind: 5, From: from, Granted: true}},
 		{"pre-vote request", &Message{Kind: 6, From: from, Term: 5, LastTerm: 3, LastIndex: 7}},
@@ -44,10 +44,10 @@
 		{"leadership transfer", &Message{Kind: 9, From: from, Term: 4}},
 		{"entry", &entry},
 		{"entry without value", &Entry{Index: 1, Voters: voters}},
-		{"hard state", &HardState{ID: "0@a:1", Term: 4, Vote: "7f3a@b:2", Last: entry, Commit: 6, CommitOf: 3}},
+		{"hard state", &HardState{ID: "0@a:1", Term: 4, Vote: "7f3a@b:2", Last: entry, Commit: 6, CommitTerm: 3}},
 		{"hard state, bootstrap", ref(Bootstrap("b:2", []string{"c:3", "a:1", "b:2"}))},
-		{"hard state, restored", ref(Restored("b:2", []string{"c:3", "b:2"}, entry, 1<<20+4))},
-		{"hard state, restored elsewhere", ref(Restored("d:4", []string{"c:3", "b:2"}, entry, 1<<20+4))},
+		{"hard state, restored", ref(Restore("b:2", []string{"c:3", "b:2"}, entry, 1<<20+4))},
+		{"hard state, restored elsewhere", ref(Restore("d:4", []string{"c:3", "b:2"}, entry, 1<<20+4))},
 		{"hard state, empty disk", ref(Empty("7f3a@b:2"))},
 	}
 	var now strings.Builder
@@ -94,13 +94,13 @@
 
 // TestStatusForm holds what the control plane's status call shows of voters.
 func TestStatusForm(t *testing.T) {
-	n := New(Options{Addr: "a:1", MinVoters: 3, HeartbeatInterval: 200, ElectionTimeout: 900, RemoveAfter: 1575, Draw: draw},
+	n := New(Options{Addr: "a:1", MinVoters: 3, HeartbeatInterval: 200, ElectionTimeout: 900, RemoveAfter: 1575, Random: draw},
 		Bootstrap("a:1", []string{"a:1", "b:2", "c:3"}), 1000)
 	n.campaign(1000)
-	n.Receive(&Message{Kind: GivePre, From: Voter{"0@b:2", "b:2"}, Term: 1, Granted: true}, 1000)
-	n.Receive(&Message{Kind: GiveVote, From: Voter{"0@b:2", "b:2"}, Term: 1, Granted: true}, 1000)
-	n.Receive(&Message{Kind: Appended, From: Voter{"0@b:2", "b:2"}, Term: 1, LastTerm: 1, LastIndex: 2, Round: 1}, 1010.5)
-	b, err := json.Marshal(map[string]any{"voters": n.HardState.Last.Voters, "others": n.Others(1020)})
+	n.Step(&Message{Kind: PreVoteResponse, From: Voter{"0@b:2", "b:2"}, Term: 1, Granted: true}, 1000)
+	n.Step(&Message{Kind: VoteResponse, From: Voter{"0@b:2", "b:2"}, Term: 1, Granted: true}, 1000)
+	n.Step(&Message{Kind: AppendEntriesResponse, From: Voter{"0@b:2", "b:2"}, Term: 1, LastTerm: 1, LastIndex: 2, Round: 1}, 1010.5)
+	b, err := json.Marshal(map[string]any{"voters": n.HardState.Last.Voters, "others": n.PeerStatuses(1020)})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/controlplane/consensus/membership.go
+++ b/internal/controlplane/consensus/membership.go
@@ -27,10 +27,10 @@
 	return HardState{ID: "0@" + addr, Last: Entry{Index: 1, Voters: voters}, Commit: 1}
 }
 
-// Restored gives the state of a machine of a core that is founded anew from an entry that was saved, at a term beyond all that
+// Restore gives the state of a machine of a core that is founded anew from an entry that was saved, at a term beyond all that
 // the lost core can have reached: its ids are new, so that no vote of an old machine counts, and an old one that comes back finds
 // a newer entry and joins. An id of "" says that addr is not among the voters.
-func Restored(addr string, voters []string, e Entry, term uint64) HardState {
+func Restore(addr string, voters []string, e Entry, term uint64) HardState {
 	h := HardState{Term: term, Last: Entry{Term: term, Index: e.Index + 1, Value: e.Value}}
 	for _, a := range voters {
 		v := Voter{"r" + strconv.FormatUint(term, 10) + "@" + a, a}
@@ -51,16 +51,16 @@
 
 func majority(voters []Voter) int { return len(voters)/2 + 1 }
 
-// Standing is how far a voter is, as the leader knows it.
-type Standing struct {
+// PeerStatus is how far a voter is, as the leader knows it.
+type PeerStatus struct {
 	Voter
 	Index  uint64  // of the entry that it holds synced
 	Behind bool    // it lacks the leader's entry
 	Silent float64 // milliseconds since its last word; below 0: none came
 }
 
-// Others gives the other voters' standings; nil where this node does not lead.
-func (n *Node) Others(now float64) (out []Standing) {
+// PeerStatuses gives the other voters' standings; nil where this node does not lead.
+func (n *Node) PeerStatuses(now float64) (out []PeerStatus) {
 	if n.role != Leader {
 		return nil
 	}
@@ -68,7 +68,7 @@
 		if v.ID == n.HardState.ID {
 			continue
 		}
-		s := Standing{Voter: v, Behind: true, Silent: -1}
+		s := PeerStatus{Voter: v, Behind: true, Silent: -1}
 		if p := n.peers[v.ID]; p != nil {
 			s.Index, s.Behind = p.index, p.index < n.HardState.Last.Index || p.term < n.HardState.Last.Term
 			if p.heard > 0 {
@@ -126,7 +126,7 @@
 	for _, addr := range slices.Sorted(maps.Keys(n.former)) {
 		if now <= n.former[addr] {
 			last := &n.HardState.Last
-			n.send(addr, Message{Kind: Append, Term: n.HardState.Term, LastTerm: last.Term, LastIndex: last.Index, Round: n.round})
+			n.send(addr, Message{Kind: AppendEntries, Term: n.HardState.Term, LastTerm: last.Term, LastIndex: last.Index, Round: n.round})
 		}
 	}
 }
@@ -147,7 +147,7 @@
 // gone, the 2 tolerate that are left commit on as many disks as before (tolerate + 1), and neither step needs the joiner. In the
 // other order 2 tolerate + 2 would vote between the steps, of which the gone one and the joiner, if that fails too, are half.
 func (n *Node) tend(now float64) {
-	if n.Busy() {
+	if n.InFlight() {
 		return
 	}
 	last := &n.HardState.Last
@@ -246,7 +246,7 @@
 // where the one that is removed might have come back.
 func (n *Node) confirmedBy(voters []Voter, now float64) bool {
 	if n.removal.round == 0 || now-n.removal.askedAt > n.answerWithin() {
-		n.removal = removal{n.Confirm(now), now}
+		n.removal = removal{n.ReadIndex(now), now}
 	}
 	count := 0
 	for _, v := range voters {
--- a/internal/controlplane/consensus/replication.go
+++ b/internal/controlplane/consensus/replication.go
@@ -9,7 +9,7 @@
 
 // Propose offers a value behind the last one. False: not now.
 func (n *Node) Propose(value []byte, now float64) (Entry, bool) {
-	if !n.Ready() || n.Busy() || n.leavingAt > 0 {
+	if !n.Established() || n.InFlight() || n.leavingAt > 0 {
 		return Entry{}, false
 	}
 	n.put(n.HardState.Last.Voters, value, now)
@@ -23,15 +23,15 @@
 	n.beat(now)
 }
 
-// Confirm asks whether this node still leads; Confirmed says it of that number.
-func (n *Node) Confirm(now float64) uint64 {
+// ReadIndex asks whether this node still leads; Confirmed says it of that number.
+func (n *Node) ReadIndex(now float64) uint64 {
 	n.beat(now)
 	return n.round
 }
 
-// Confirmed says whether a majority has followed since the question.
-func (n *Node) Confirmed(round uint64) bool {
-	if !n.Ready() {
+// ReadConfirmed says whether a majority has followed since the question.
+func (n *Node) ReadConfirmed(round uint64) bool {
+	if !n.Established() {
 		return false
 	}
 	have := 0
@@ -72,9 +72,9 @@
 		n.peers[v.ID] = p
 	}
 	last := &n.HardState.Last
-	m := Message{Kind: Append, Term: n.HardState.Term, LastTerm: last.Term, LastIndex: last.Index, Round: n.round,
-		Contact: n.contactFor(p), Life: p.life}
-	if n.HardState.CommitOf == last.Term {
+	m := Message{Kind: AppendEntries, Term: n.HardState.Term, LastTerm: last.Term, LastIndex: last.Index, Round: n.round,
+		Contact: n.contactFor(p), Incarnation: p.life}
+	if n.HardState.CommitTerm == last.Term {
 		m.Commit = n.HardState.Commit
 	}
 	if n.lacks(p) && (p.sent != last.Index || now-p.sentAt > 4*n.o.HeartbeatInterval) {
@@ -115,8 +115,8 @@
 		n.follow(Voter{}, now)
 		return
 	}
-	if have >= majority(last.Voters) && last.Term == n.HardState.Term && (n.HardState.Commit < last.Index || n.HardState.CommitOf != last.Term) {
-		n.HardState.Commit, n.HardState.CommitOf, n.current = last.Index, last.Term, true
+	if have >= majority(last.Voters) && last.Term == n.HardState.Term && (n.HardState.Commit < last.Index || n.HardState.CommitTerm != last.Term) {
+		n.HardState.Commit, n.HardState.CommitTerm, n.current = last.Index, last.Term, true
 		n.decided = *last
 		n.beatAt = now // followers are told
 		if !n.isVoter(n.HardState.ID) {
@@ -147,11 +147,11 @@
 			n.HardState.Last, n.dirty = *e, true
 		}
 		if last.Term == m.LastTerm && last.Index == m.LastIndex && m.Commit >= last.Index {
-			n.HardState.Commit, n.HardState.CommitOf = last.Index, last.Term // not synced for its own sake: it is learned again
+			n.HardState.Commit, n.HardState.CommitTerm = last.Index, last.Term // not synced for its own sake: it is learned again
 			n.decided = *last
 		}
 		n.takeContact(m, now)
 	}
-	n.send(m.From.Addr, Message{Kind: Appended, Term: n.HardState.Term, LastTerm: n.HardState.Last.Term, LastIndex: n.HardState.Last.Index,
-		Round: m.Round, Granted: n.leavingAt > 0, Clock: now, Life: n.life})
+	n.send(m.From.Addr, Message{Kind: AppendEntriesResponse, Term: n.HardState.Term, LastTerm: n.HardState.Last.Term, LastIndex: n.HardState.Last.Index,
+		Round: m.Round, Granted: n.leavingAt > 0, Clock: now, Incarnation: n.life})
 }
--- a/internal/controlplane/consensus/second_loss_test.go
+++ b/internal/controlplane/consensus/second_loss_test.go
@@ -36,7 +36,7 @@
 
 func (v *cluster) leader() *host {
 	for _, a := range v.names() {
-		if h := v.hosts[a]; h.on && h.node.Ready() {
+		if h := v.hosts[a]; h.on && h.node.Established() {
 			return h
 		}
 	}
@@ -56,7 +56,7 @@
 func (v *cluster) terminate(h *host) {
 	h.node.Leave(v.now)
 	v.settle(h, 0)
-	for end := v.now + 1500; v.now < end && !h.node.Gone(v.now); {
+	for end := v.now + 1500; v.now < end && !h.node.LeaveDone(v.now); {
 		v.run(10, 0)
 	}
 	v.run(100, 0)
@@ -230,7 +230,7 @@
 		h := v.hosts[a]
 		n := h.node
 		fmt.Fprintf(&b, "%s on %v gone %v role %d pre %v term %d last %d,%d busy %v voters %v\n", a, h.on, h.gone, n.role, n.pre,
-			n.HardState.Term, n.HardState.Last.Term, n.HardState.Last.Index, n.Busy(), n.HardState.Last.Voters)
+			n.HardState.Term, n.HardState.Last.Term, n.HardState.Last.Index, n.InFlight(), n.HardState.Last.Voters)
 	}
 	return b.String()
 }
--- a/internal/controlplane/consensus/store/golden_test.go
+++ b/internal/controlplane/consensus/store/golden_test.go
@@ -18,7 +18,7 @@
 
 // recorded is what testdata/folder holds.
 func recorded() consensus.HardState {
-	return consensus.HardState{ID: "0@a:1", Term: 5, Vote: "7f3a@b:2", Commit: 7, CommitOf: 3, Last: consensus.Entry{Term: 3, Index: 7,
+	return consensus.HardState{ID: "0@a:1", Term: 5, Vote: "7f3a@b:2", Commit: 7, CommitTerm: 3, Last: consensus.Entry{Term: 3, Index: 7,
 		Voters: []consensus.Voter{{ID: "0@a:1", Addr: "a:1"}, {ID: "7f3a@b:2", Addr: "b:2"}}, Value: []byte("value")}}
 }
 
@@ -43,7 +43,7 @@
 	write(t, today)
 	for name, dir := range map[string]string{"written by an earlier build": earlier, "written by this one": today} {
 		t.Run(name, func(t *testing.T) {
-			h, found, err := Look(dir)
+			h, found, err := Inspect(dir)
 			if err != nil || !found || !reflect.DeepEqual(h, recorded()) {
 				t.Fatalf("%+v %v %v", h, found, err)
 			}
@@ -116,7 +116,7 @@
 			}
 			s.Close()
 			for how, open := range map[string]func() error{
-				"Look": func() error { _, _, err := Look(folder); return err },
+				"Look": func() error { _, _, err := Inspect(folder); return err },
 				"Open": func() error { _, _, _, err := Open(folder); return err },
 			} {
 				if err := open(); err == nil || err.Error() != c.want {
@@ -125,7 +125,7 @@
 			}
 		})
 	}
-	_, _, err := Look(filepath.Join(t.TempDir(), "none"))
+	_, _, err := Inspect(filepath.Join(t.TempDir(), "none"))
 	if err == nil || !strings.HasPrefix(err.Error(), "open: ") {
 		t.Error(err)
 	}
--- a/internal/controlplane/consensus/store/store.go
+++ b/internal/controlplane/consensus/store/store.go
@@ -52,8 +52,8 @@
 	return open(folder, false)
 }
 
-// Look reads a folder that no process has open, and changes nothing in it.
-func Look(folder string) (consensus.HardState, bool, error) {
+// Inspect reads a folder that no process has open, and changes nothing in it.
+func Inspect(folder string) (consensus.HardState, bool, error) {
 	s, h, found, err := open(folder, true)
 	if err == nil {
 		err = s.Close()
@@ -84,7 +84,7 @@
 	case !ok:
 		return s, h, false, nil
 	}
-	h = consensus.HardState{ID: m.ID, Term: m.Term, Vote: m.Vote, Commit: m.Commit, CommitOf: m.CommitOf}
+	h = consensus.HardState{ID: m.ID, Term: m.Term, Vote: m.Vote, Commit: m.Commit, CommitTerm: m.CommitOf}
 	if m.Entry != [2]uint64{} {
 		ok, err := s.get(entryKey, &h.Last)
 		if err == nil && (!ok || [2]uint64{h.Last.Term, h.Last.Index} != m.Entry) {
@@ -125,7 +125,7 @@
 	b := s.db.NewBatch()
 	defer b.Close()
 	entry := [2]uint64{h.Last.Term, h.Last.Index}
-	m, err := cbor.Marshal(meta{h.ID, h.Term, h.Vote, h.Commit, h.CommitOf, entry})
+	m, err := cbor.Marshal(meta{h.ID, h.Term, h.Vote, h.Commit, h.CommitTerm, entry})
 	if err != nil {
 		return err
 	}
--- a/internal/controlplane/consensus/store/store_test.go
+++ b/internal/controlplane/consensus/store/store_test.go
@@ -21,13 +21,13 @@
 		s, _, found, err := Open(dir)
 		So(err, ShouldBeNil)
 		So(found, ShouldBeFalse)
-		h := consensus.HardState{ID: "me", Term: 4, Vote: "you", Last: consensus.Entry{Term: 3, Index: 7, Voters: []consensus.Voter{{ID: "me", Addr: "a"}}, Value: []byte("word")}, Commit: 7, CommitOf: 3}
+		h := consensus.HardState{ID: "me", Term: 4, Vote: "you", Last: consensus.Entry{Term: 3, Index: 7, Voters: []consensus.Voter{{ID: "me", Addr: "a"}}, Value: []byte("word")}, Commit: 7, CommitTerm: 3}
 		So(s.Save(&h), ShouldBeNil)
 		Convey("gives back what was saved", func() {
 			h.Term, h.Vote = 5, ""
 			So(s.Save(&h), ShouldBeNil)
 			So(s.Close(), ShouldBeNil)
-			back, found, err := Look(dir)
+			back, found, err := Inspect(dir)
 			So(err, ShouldBeNil)
 			So(found, ShouldBeTrue)
 			So(back, ShouldResemble, h)
--- a/internal/controlplane/consensus_loop.go
+++ b/internal/controlplane/consensus_loop.go
@@ -84,7 +84,7 @@
 	queue := orders.New(orders.Limits{Waiting: maxPendingRequests, Time: ms(requestTimeout)})
 	c := &consensusLoop{h: h, store: store, q: commandqueue.New(ctx, 256), end: end, orders: queue}
 	c.node = consensus.New(consensus.Options{Addr: s.Ctl, Seeds: s.Peers, MinVoters: 2*s.TolerateNodes + 1,
-		HeartbeatInterval: ms(heartbeatInterval), ElectionTimeout: ms(electionTimeout), RemoveAfter: ms(removeAfter), Draw: h.draw}, hard, h.now())
+		HeartbeatInterval: ms(heartbeatInterval), ElectionTimeout: ms(electionTimeout), RemoveAfter: ms(removeAfter), Random: h.draw}, hard, h.now())
 	c.commits()
 	return c, nil
 }
@@ -123,7 +123,7 @@
 		c.node.Tick(c.h.now())
 		c.settle()
 		c.tellContact()
-		if ended == nil && (c.node.Gone(c.h.now()) || c.h.now() > leaveBy) {
+		if ended == nil && (c.node.LeaveDone(c.h.now()) || c.h.now() > leaveBy) {
 			time.Sleep(leaveLinger)
 			return
 		}
@@ -132,7 +132,7 @@
 
 // tellContact renews the machine's contact, behind all that the tables were told before: who reads it finds what it vouches for.
 func (c *consensusLoop) tellContact() {
-	at := c.node.ContactAt()
+	at := c.node.LastContact()
 	if at == c.contactAt {
 		return
 	}
@@ -169,12 +169,12 @@
 			break
 		}
 	}
-	if leader, _ := c.node.Leading(); leader != c.leads {
+	if leader, _ := c.node.Leader(); leader != c.leads {
 		c.h.pending.leadEnded(c.leads.Addr)
 		c.leads = leader
 	}
 	c.watchVoters()
-	if leads := c.node.Ready(); leads != c.led {
+	if leads := c.node.Established(); leads != c.led {
 		c.led = leads
 		if leads {
 			c.h.log.Event(events.Leads, "term", c.node.HardState.Term)
--- a/internal/controlplane/controlplane.go
+++ b/internal/controlplane/controlplane.go
@@ -126,7 +126,7 @@
 	}, h.take, func() {
 		h.pending.lost(set(nil))
 		h.log.Event(events.LinkDown, "core", ctl)
-		h.loop.do(func() { h.loop.node.LeaderGone(ctl, h.now()) })
+		h.loop.do(func() { h.loop.node.LeaderDisconnected(ctl, h.now()) })
 	})
 }
 
@@ -203,7 +203,7 @@
 			if m := f.Consensus; m.From.Addr != "" {
 				h.heardFrom(m.From.Addr, l)
 			}
-			h.loop.node.Receive(f.Consensus, h.now())
+			h.loop.node.Step(f.Consensus, h.now())
 			h.loop.commits() // the next message may bring an entry that takes its place
 		})
 		return
--- a/internal/controlplane/forward.go
+++ b/internal/controlplane/forward.go
@@ -78,7 +78,7 @@
 
 // route runs in the consensus loop: the call is decided in this machine's own queue, or by who leads, who is asked once.
 func (h *Server) route(c *routedCall) {
-	leader, known := h.loop.node.Leading()
+	leader, known := h.loop.node.Leader()
 	if known && leader.ID == h.loop.node.HardState.ID {
 		c.sent.Store(true)
 		h.loop.take(c.request, func(status int, body []byte) { c.answer <- &controlmsg.Response{Status: status, Body: body} })
--- a/internal/controlplane/orders/core_test.go
+++ b/internal/controlplane/orders/core_test.go
@@ -90,7 +90,7 @@
 	m.life++
 	m.queue = New(Limits{Waiting: 64, Time: 3000})
 	m.node = consensus.New(consensus.Options{Addr: address(m.at), Seeds: seeds, MinVoters: len(c.hosts), HeartbeatInterval: 200, ElectionTimeout: 900,
-		RemoveAfter: 1e12, Draw: c.r.Float64}, clone(m.disk), c.now)
+		RemoveAfter: 1e12, Random: c.r.Float64}, clone(m.disk), c.now)
 	m.learn(c.t)
 }
 
@@ -150,7 +150,7 @@
 		}
 		to := c.hosts[place(s.To)]
 		for range 1 + c.r.IntN(20)/19 {
-			c.say(m.at, to.at, func() { to.node.Receive(&msg, c.now) })
+			c.say(m.at, to.at, func() { to.node.Step(&msg, c.now) })
 		}
 	}
 }
@@ -224,7 +224,7 @@
 				c.say(at, -1, func() { reply(a) })
 			}
 		}
-		leader, known := m.node.Leading()
+		leader, known := m.node.Leader()
 		switch {
 		case known && place(leader.Addr) == at:
 			m.queue.Take(&Order{Request: r, Reply: c.seen(at, back)}, c.now)
@@ -265,7 +265,7 @@
 // leader is one that takes orders, nil for none.
 func (c *core) leader() *machine {
 	for _, m := range c.hosts {
-		if m.on && m.node.Ready() {
+		if m.on && m.node.Established() {
 			return m
 		}
 	}
@@ -307,7 +307,7 @@
 // ready waits until one leads.
 func (c *core) ready() *machine {
 	for range 3000 {
-		if m := c.leader(); m != nil && m.state != nil && !m.node.Busy() {
+		if m := c.leader(); m != nil && m.state != nil && !m.node.InFlight() {
 			return m
 		}
 		c.step(0)
--- a/internal/controlplane/orders/orders.go
+++ b/internal/controlplane/orders/orders.go
@@ -116,11 +116,11 @@
 		return a
 	}
 	switch {
-	case !s.node.Ready():
+	case !s.node.Established():
 		return ref(notLeading("this machine leads no longer; ask again"))
 	case s.now >= o.until:
 		return ref(unclear("not decided in time; ask again"))
-	case o.index > 0, s.blocked, s.node.Busy(), s.state == nil:
+	case o.index > 0, s.blocked, s.node.InFlight(), s.state == nil:
 		s.blocked = true
 		return nil
 	case o.SiteLease != nil:
@@ -203,11 +203,11 @@
 // confirmed answers once a majority has followed this leader since it was asked to: only who leads for certain may
 // refuse or read. The answer is made by the state of that moment.
 func (s *step) confirmed(o *Order, answer func(*Order) *Answer) *Answer {
-	if o.round > 0 && s.node.Confirmed(o.round) {
+	if o.round > 0 && s.node.ReadConfirmed(o.round) {
 		return answer(o)
 	}
 	if o.round == 0 {
-		o.round = s.node.Confirm(s.now)
+		o.round = s.node.ReadIndex(s.now)
 		s.node.Tick(s.now)
 	}
 	return nil
--- a/internal/controlplane/orders/orders_test.go
+++ b/internal/controlplane/orders/orders_test.go
@@ -78,7 +78,7 @@
 func (c *core) other(m *machine) *machine {
 	for range 3000 {
 		for _, o := range c.hosts {
-			if o != m && o.on && o.node.Ready() && !o.node.Busy() {
+			if o != m && o.on && o.node.Established() && !o.node.InFlight() {
 				return o
 			}
 		}
@@ -190,18 +190,18 @@
 			q.Take(&Order{Request: replace(1, 2, 2), Reply: func(a Answer) { *got = a }}, c.now)
 			c.part(lead)
 			q.Step(lead.node, lead.state, c.now, 0)
-			So(lead.node.Busy(), ShouldBeTrue)
+			So(lead.node.InFlight(), ShouldBeTrue)
 			next := c.other(lead)
 			c.must(next, replace(1, 2, 3), 200)
 			c.wake()
 			c.part(next)
-			for end := c.now + 60000; c.now < end && !(lead.node.Ready() && lead.node.HardState.Term > next.node.HardState.Term); {
+			for end := c.now + 60000; c.now < end && !(lead.node.Established() && lead.node.HardState.Term > next.node.HardState.Term); {
 				if c.step(0); lead.node.Role() != consensus.Leader && c.leader() != nil && c.leader() != lead {
 					c.wake()
 					c.part(c.leader())
 				}
 			}
-			So(lead.node.Ready(), ShouldBeTrue)
+			So(lead.node.Established(), ShouldBeTrue)
 			q.Step(lead.node, lead.state, c.now, 0)
 			So(got.Status, ShouldEqual, 503)
 			So(lead.state.Gen, ShouldEqual, 2)
@@ -217,7 +217,7 @@
 				addrs = append(addrs, address(i))
 			}
 			for _, m := range c.hosts {
-				m.disk = consensus.Restored(address(m.at), addrs, old.Last, old.Term+1<<20)
+				m.disk = consensus.Restore(address(m.at), addrs, old.Last, old.Term+1<<20)
 				c.start(m)
 			}
 			lead = c.ready()
--- a/internal/controlplane/roster.go
+++ b/internal/controlplane/roster.go
@@ -27,7 +27,7 @@
 
 // watchVoters tells the tables when a machine of the core falls silent, and when all are heard again.
 func (c *consensusLoop) watchVoters() {
-	split := slices.ContainsFunc(c.node.Others(c.h.now()), func(s consensus.Standing) bool {
+	split := slices.ContainsFunc(c.node.PeerStatuses(c.h.now()), func(s consensus.PeerStatus) bool {
 		return s.Silent < 0 || s.Silent > voterSilent
 	})
 	if split == c.split {
@@ -119,7 +119,7 @@
 // proposeRoster has a change agreed on, unless another change is: then the tables ask again. It is made of the newest committed state.
 func (c *consensusLoop) proposeRoster(change config.RosterChange) {
 	e, committed := c.node.Committed()
-	if !committed || c.state == nil || c.seen != [2]uint64{e.Term, e.Index} || !c.node.Ready() || c.node.Busy() {
+	if !committed || c.state == nil || c.seen != [2]uint64{e.Term, e.Index} || !c.node.Established() || c.node.InFlight() {
 		return
 	}
 	next := c.state.WithRoster(change)
--- a/internal/controlplane/tables.go
+++ b/internal/controlplane/tables.go
@@ -382,7 +382,7 @@
 func (t *tables) report(r *controlmsg.PrimaryReport, now float64) {
 	if !t.leading {
 		t.h.loop.do(func() {
-			if leader, ok := t.h.loop.node.Leading(); ok && leader.Addr != t.h.set.Ctl {
+			if leader, ok := t.h.loop.node.Leader(); ok && leader.Addr != t.h.set.Ctl {
 				t.h.sendCore(leader.Addr, &controlmsg.Frame{PrimaryReport: r})
 			}
 		})
--- a/internal/weirctl/weirctl.go
+++ b/internal/weirctl/weirctl.go
@@ -137,7 +137,7 @@
 	Index    uint64                    `json:"index"`
 	Gen      uint64                    `json:"gen"`
 	Voters   []consensus.Voter         `json:"voters"`
-	Others   []consensus.Standing      `json:"others"`
+	Others   []consensus.PeerStatus      `json:"others"`
 	Syncs    uint64                    `json:"syncs"`
 	LastSync float64                   `json:"lastSyncMs"`
 	MostSync float64                   `json:"mostSyncMs"`
@@ -268,7 +268,7 @@
 const form = "weirwind core 1"
 
 func stateCheck(folder string, out io.Writer) error {
-	h, found, err := store.Look(folder)
+	h, found, err := store.Inspect(folder)
 	if err != nil {
 		return err
 	}
@@ -283,7 +283,7 @@
 		}
 	}
 	fmt.Fprintf(out, "voter %s, term %d, entry %d of term %d, configuration %d (%d bytes, %d changes)\n", h.ID, h.Term, h.Last.Index, h.Last.Term, b.Gen, len(b.Raw), len(b.Past))
-	if h.Commit >= h.Last.Index && h.CommitOf == h.Last.Term {
+	if h.Commit >= h.Last.Index && h.CommitTerm == h.Last.Term {
 		fmt.Fprintln(out, "the entry was known committed here")
 	} else {
 		fmt.Fprintln(out, "whether the entry was committed is not known here: another disk may hold a newer one, or none took it")
@@ -295,7 +295,7 @@
 }
 
 func export(folder, file string, out io.Writer) error {
-	h, found, err := store.Look(folder)
+	h, found, err := store.Inspect(folder)
 	if err != nil {
 		return err
 	}
@@ -333,7 +333,7 @@
 	if found {
 		return fmt.Errorf("%s is not empty: a restore goes to an empty folder only", folder)
 	}
-	h := consensus.Restored(addr, voters, e.Entry, max(e.Term, e.Entry.Term)+termJump)
+	h := consensus.Restore(addr, voters, e.Entry, max(e.Term, e.Entry.Term)+termJump)
 	if h.ID == "" {
 		return fmt.Errorf("%s is not among the voters", addr)
 	}
