--- a/cmd/proxy/main.go
+++ b/cmd/proxy/main.go
@@ -14,7 +14,7 @@
 func main() {
 	os.Exit(process.Main(process.Role{Name: "proxy", About: "the proxy between clients and members", Run: proxy.Run,
 		Needs: func(s *settings.Settings) error {
-			if s.Front == "" || s.Ready == "" {
+			if s.FrontAddr == "" || s.ReadyAddr == "" {
 				return oops.In("settings").Errorf("a proxy needs listen.front and listen.readyAddr")
 			}
 			return nil
--- a/internal/controlplane/agent/agent.go
+++ b/internal/controlplane/agent/agent.go
@@ -67,13 +67,13 @@
 	defer stop()
 	a := &Agent{set: s, log: log, ctx: inner, q: commandqueue.New(inner, 1024), at: time.Now(), members: directory.NewMembers(),
 		proxies: map[*link]bool{}, peers: map[string]*peer{}, cores: s.Peers, pause: firstPause}
-	a.self = directory.Driver{Name: s.Hostname, Addr: s.Port(s.IP, 0), Zone: s.Zone, Incarnation: uint64(time.Now().UnixMilli())}
+	a.self = directory.Driver{Name: s.Hostname, Addr: s.PortAddr(s.IP, 0), Zone: s.Zone, Incarnation: uint64(time.Now().UnixMilli())}
 	mesh, err := net.Listen("tcp4", a.self.Addr)
 	if err != nil {
 		return oops.In("listen").Wrap(err)
 	}
 	defer mesh.Close()
-	loop, err := net.Listen("tcp4", s.Feed)
+	loop, err := net.Listen("tcp4", s.FeedAddr)
 	if err != nil {
 		return oops.In("listen").Wrap(err)
 	}
@@ -96,7 +96,7 @@
 		}
 		select {
 		case <-term:
-			term, last = nil, time.After(s.Grace-600*time.Millisecond)
+			term, last = nil, time.After(s.GracePeriod-600*time.Millisecond)
 			log.Event(events.Stopping)
 		case <-last:
 			a.leave()
--- a/internal/controlplane/agent/corelink.go
+++ b/internal/controlplane/agent/corelink.go
@@ -205,9 +205,9 @@
 func (a *Agent) coresByDistance() (near, far []string) {
 	for _, c := range a.cores {
 		if a.isNear(c) {
-			near = append(near, a.set.MeshOf(c))
+			near = append(near, a.set.MeshAddr(c))
 		} else {
-			far = append(far, a.set.MeshOf(c))
+			far = append(far, a.set.MeshAddr(c))
 		}
 	}
 	return near, far
@@ -228,7 +228,7 @@
 func (a *Agent) nextCore() string {
 	near, far := a.coresByDistance()
 	for _, p := range a.set.Peers { // what the file says is tried too, at the end
-		far = append(far, a.set.MeshOf(p))
+		far = append(far, a.set.MeshAddr(p))
 	}
 	h := fnv.New32a()
 	h.Write([]byte(a.self.Name))
@@ -238,7 +238,7 @@
 		all = append(all, far[(i+turn)%len(far)])
 	}
 	if len(all) == 0 {
-		return a.set.Port(a.set.IP, 0)
+		return a.set.PortAddr(a.set.IP, 0)
 	}
 	a.nth++
 	return all[(a.nth-1)%len(all)]
--- a/internal/controlplane/consensus_loop.go
+++ b/internal/controlplane/consensus_loop.go
@@ -67,13 +67,13 @@
 		return nil, err
 	}
 	if !found {
-		if s.Init && slices.Contains(s.Peers, s.Ctl) {
-			hard = consensus.Bootstrap(s.Ctl, s.Peers)
+		if s.Bootstrap && slices.Contains(s.Peers, s.ControlAddr) {
+			hard = consensus.Bootstrap(s.ControlAddr, s.Peers)
 			h.log.Event(events.Founded, "voters", s.Peers)
 		} else {
 			var b [8]byte
 			_, _ = rand.Read(b[:])
-			hard = consensus.Empty(hex.EncodeToString(b[:]) + "@" + s.Ctl)
+			hard = consensus.Empty(hex.EncodeToString(b[:]) + "@" + s.ControlAddr)
 			h.log.Event(events.Joining, "id", hard.ID)
 		}
 		if err := store.Save(&hard); err != nil {
@@ -83,7 +83,7 @@
 	ctx, end := context.WithCancel(context.Background())
 	queue := orders.New(orders.Limits{Waiting: maxPendingRequests, Time: ms(requestTimeout)})
 	c := &consensusLoop{h: h, store: store, q: commandqueue.New(ctx, 256), end: end, orders: queue}
-	c.node = consensus.New(consensus.Options{Addr: s.Ctl, Seeds: s.Peers, MinVoters: 2*s.TolerateNodes + 1,
+	c.node = consensus.New(consensus.Options{Addr: s.ControlAddr, Seeds: s.Peers, MinVoters: 2*s.TolerateNodes + 1,
 		HeartbeatInterval: ms(heartbeatInterval), ElectionTimeout: ms(electionTimeout), RemoveAfter: ms(removeAfter), Random: h.draw}, hard, h.now())
 	c.commits()
 	return c, nil
--- a/internal/controlplane/controlplane.go
+++ b/internal/controlplane/controlplane.go
@@ -65,11 +65,11 @@
 	if h.first != nil {
 		h.first()
 	}
-	mesh, err := net.Listen("tcp4", s.Port(s.IP, 0))
+	mesh, err := net.Listen("tcp4", s.PortAddr(s.IP, 0))
 	if err != nil {
 		return oops.In("listen").Wrap(err)
 	}
-	ctl, err := net.Listen("tcp4", s.Ctl)
+	ctl, err := net.Listen("tcp4", s.ControlAddr)
 	if err != nil {
 		return oops.In("listen").Wrap(err)
 	}
@@ -83,7 +83,7 @@
 	done := make(chan struct{})
 	go func() { h.loop.run(h.ctx); close(done) }()
 	go h.tables.run()
-	log.Event(events.Started, "ctl", s.Ctl, "mesh", mesh.Addr().String())
+	log.Event(events.Started, "ctl", s.ControlAddr, "mesh", mesh.Addr().String())
 	<-h.ctx.Done()
 	<-done
 	server.Close()
@@ -101,10 +101,10 @@
 
 // reach keeps a link to the core machine with that control address.
 func (h *Server) reach(ctl string) {
-	if ctl == h.set.Ctl {
+	if ctl == h.set.ControlAddr {
 		return
 	}
-	addr := h.set.MeshOf(ctl)
+	addr := h.set.MeshAddr(ctl)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.cores[addr] != nil {
@@ -120,7 +120,7 @@
 	}
 	go transport.KeepConnected(h.ctx, addr, transport.Backoff{Initial: 50 * time.Millisecond, Max: time.Second, DialTimeout: transport.DialTimeout}, func(l *link) {
 		l.SetCounters(&h.dialled)
-		l.Send(controlmsg.NewHello("core", h.set.Hostname, h.set.Ctl))
+		l.Send(controlmsg.NewHello("core", h.set.Hostname, h.set.ControlAddr))
 		set(l)
 		h.log.Event(events.LinkUp, "core", ctl)
 	}, h.take, func() {
@@ -158,7 +158,7 @@
 func (h *Server) coreLink(ctl string) *link {
 	var made, back *link
 	h.mu.Lock()
-	c := h.cores[h.set.MeshOf(ctl)]
+	c := h.cores[h.set.MeshAddr(ctl)]
 	if c != nil {
 		made, back = c.l, c.in
 	}
@@ -179,7 +179,7 @@
 	h.reach(ctl)
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if c := h.cores[h.set.MeshOf(ctl)]; c != nil {
+	if c := h.cores[h.set.MeshAddr(ctl)]; c != nil {
 		c.in = l
 	}
 }
--- a/internal/controlplane/roster.go
+++ b/internal/controlplane/roster.go
@@ -58,7 +58,7 @@
 func (t *tables) endReplaced(by directory.Member, now float64) {
 	for _, m := range t.members.Snapshot() {
 		sameAddress := m.Service == by.Service && m.Addr == by.Addr && m.ID != by.ID
-		if sameAddress && !m.Tombstone && t.members.HeartbeatAge(m.ID, now) > replacedAfter*ms(t.h.set.Beat) {
+		if sameAddress && !m.Tombstone && t.members.HeartbeatAge(m.ID, now) > replacedAfter*ms(t.h.set.HeartbeatInterval) {
 			t.leave(m.ID)
 		}
 	}
--- a/internal/controlplane/succession.go
+++ b/internal/controlplane/succession.go
@@ -42,7 +42,7 @@
 }
 
 func (t *tables) step(now float64) {
-	if t.config == nil || now < max(ms(tableKnows), 4*ms(t.h.set.Beat)) {
+	if t.config == nil || now < max(ms(tableKnows), 4*ms(t.h.set.HeartbeatInterval)) {
 		return // a process that has just begun doesn't know all members yet: one that it lacks may alone hold a commit, or lead
 	}
 	bySvc := t.present()
@@ -133,7 +133,7 @@
 func (t *tables) failover(s *failover.Service, svc, id string, fence uint64) {
 	body, _ := json.Marshal(map[string]string{"svc": svc, "id": id})
 	status := 0
-	req, err := http.NewRequestWithContext(t.h.ctx, http.MethodPost, "http://"+t.h.set.Platform+"/failover", bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(t.h.ctx, http.MethodPost, "http://"+t.h.set.PlatformAddr+"/failover", bytes.NewReader(body))
 	if err == nil {
 		req.Header.Set("Content-Type", "application/json")
 		req.Header.Set("Weirwind-Holder", t.h.set.Hostname)
@@ -146,7 +146,7 @@
 		}
 	}
 	if err != nil {
-		t.h.log.Error(events.PlatformCall, oops.In("failover").With("peer", t.h.set.Platform).Wrap(err), "svc", svc, "member", id)
+		t.h.log.Error(events.PlatformCall, oops.In("failover").With("peer", t.h.set.PlatformAddr).Wrap(err), "svc", svc, "member", id)
 	} else {
 		t.h.log.Event(events.PlatformCall, "svc", svc, "member", id, "fence", fence, "status", status)
 	}
--- a/internal/controlplane/tables.go
+++ b/internal/controlplane/tables.go
@@ -234,7 +234,7 @@
 func (t *tables) beat(rec directory.Member) {
 	now := t.h.now()
 	old, known := t.members.Get(rec.ID)
-	m, fresh, changed := t.members.Heartbeat(rec, now, 3*ms(t.h.set.Beat))
+	m, fresh, changed := t.members.Heartbeat(rec, now, 3*ms(t.h.set.HeartbeatInterval))
 	if !fresh {
 		return
 	}
@@ -382,7 +382,7 @@
 func (t *tables) report(r *controlmsg.PrimaryReport, now float64) {
 	if !t.leading {
 		t.h.loop.do(func() {
-			if leader, ok := t.h.loop.node.Leader(); ok && leader.Addr != t.h.set.Ctl {
+			if leader, ok := t.h.loop.node.Leader(); ok && leader.Addr != t.h.set.ControlAddr {
 				t.h.sendCore(leader.Addr, &controlmsg.Frame{PrimaryReport: r})
 			}
 		})
--- a/internal/dataplane/proxy/proxy.go
+++ b/internal/dataplane/proxy/proxy.go
@@ -64,11 +64,11 @@
 	defer stop()
 	p := &Proxy{set: s, log: log, ctx: inner, start: time.Now(), sessions: map[*session]struct{}{}, room: wire.NewRoom(int64(s.MemoryMB) << 20 / 8)}
 	p.desk = newDesk(p)
-	front, err := net.Listen("tcp4", s.Front)
+	front, err := net.Listen("tcp4", s.FrontAddr)
 	if err != nil {
 		return oops.In("listen").Wrap(err)
 	}
-	ready, err := net.Listen("tcp4", s.Ready)
+	ready, err := net.Listen("tcp4", s.ReadyAddr)
 	if err != nil {
 		return oops.In("listen").Wrap(err)
 	}
@@ -78,7 +78,7 @@
 	go p.feed()
 	go p.warm()
 	go p.accept(front)
-	log.Event(events.Started, "front", s.Front, "ready", s.Ready)
+	log.Event(events.Started, "front", s.FrontAddr, "ready", s.ReadyAddr)
 	<-ctx.Done()
 	p.end(front)
 	server.Close()
@@ -128,7 +128,7 @@
 // feed takes the agent's news over loopback.
 func (p *Proxy) feed() {
 	again := transport.Backoff{Initial: 20 * time.Millisecond, Max: 500 * time.Millisecond, DialTimeout: func(int) time.Duration { return transport.DialTimeout(0) }}
-	transport.KeepConnected(p.ctx, p.set.Feed, again, func(l *transport.Link[controlmsg.Frame]) { p.agent.Store(l) }, func(_ *transport.Link[controlmsg.Frame], f *controlmsg.Frame) {
+	transport.KeepConnected(p.ctx, p.set.FeedAddr, again, func(l *transport.Link[controlmsg.Frame]) { p.agent.Store(l) }, func(_ *transport.Link[controlmsg.Frame], f *controlmsg.Frame) {
 		if f.Update != nil {
 			p.desk.do(func() { p.desk.news(f.Update) })
 		}
@@ -161,7 +161,7 @@
 }
 
 func (p *Proxy) accept(ln net.Listener) {
-	most := int32(max(p.set.Files-600, 64))
+	most := int32(max(p.set.MaxOpenFiles-600, 64))
 	for {
 		c, err := ln.Accept()
 		if err != nil {
@@ -206,11 +206,11 @@
 		}
 		return false
 	}
-	step(min(seenGone, p.set.Grace/2))
+	step(min(seenGone, p.set.GracePeriod/2))
 	p.phase.Store(closing)
-	if !step(p.set.Grace / 2) {
+	if !step(p.set.GracePeriod / 2) {
 		p.phase.Store(lastCalls)
-		step(p.set.Grace - lastOf)
+		step(p.set.GracePeriod - lastOf)
 	}
 	front.Close()
 }
--- a/internal/lab/hollow/processes.go
+++ b/internal/lab/hollow/processes.go
@@ -119,13 +119,13 @@
 	n := d.First + i
 	ip := d.driverIP(n)
 	set := &settings.Settings{
-		Hostname: fmt.Sprintf("front-region%d-%04d", n%len(d.Cores), n),
-		IP:       ip,
-		Zone:     fmt.Sprintf("zone-%d", n%10),
-		Ports:    [2]int{d.Port, d.Port + 2},
-		Peers:    d.Cores[:min(3, len(d.Cores))],
-		Feed:     net.JoinHostPort(ip, strconv.Itoa(d.Port+1)),
-		Grace:    2 * time.Second,
+		Hostname:    fmt.Sprintf("front-region%d-%04d", n%len(d.Cores), n),
+		IP:          ip,
+		Zone:        fmt.Sprintf("zone-%d", n%10),
+		PortRange:   [2]int{d.Port, d.Port + 2},
+		Peers:       d.Cores[:min(3, len(d.Cores))],
+		FeedAddr:    net.JoinHostPort(ip, strconv.Itoa(d.Port+1)),
+		GracePeriod: 2 * time.Second,
 	}
 	ctx, end := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -309,7 +309,7 @@
 	}
 	c := &child{role: role, cmd: exec.Command(self)}
 	c.cmd.Env = append(os.Environ(), roleVariable+"="+role, planVariable+"="+string(text),
-		settings.Variable+"="+settingsFile, "GOMAXPROCS=1")
+		settings.EnvVariable+"="+settingsFile, "GOMAXPROCS=1")
 	c.cmd.Stderr = log
 	if role != "core" {
 		c.in, _ = c.cmd.StdinPipe()
--- a/internal/lab/sessionrun/sessionrun.go
+++ b/internal/lab/sessionrun/sessionrun.go
@@ -112,7 +112,7 @@
 		return err
 	}
 	cmd := exec.Command(self)
-	cmd.Env = append(os.Environ(), variable+"="+role, settings.Variable+"="+file)
+	cmd.Env = append(os.Environ(), variable+"="+role, settings.EnvVariable+"="+file)
 	cmd.Stderr = log
 	h.procs[name] = cmd
 	return cmd.Start()
--- a/internal/session/edge/edge.go
+++ b/internal/session/edge/edge.go
@@ -87,9 +87,9 @@
 	inner, stop := context.WithCancel(context.Background())
 	defer stop()
 	t := &Edge{set: set, log: log, ctx: inner, start: time.Now(), q: commandqueue.New(inner, 4096),
-		links: map[string]*peer{}, socks: map[uint64]*socket{}, most: int64(max(set.Files-200, 64))}
+		links: map[string]*peer{}, socks: map[uint64]*socket{}, most: int64(max(set.MaxOpenFiles-200, 64))}
 	t.e = queue.NewEdge(set.Hostname, set.Zone, set.Region)
-	ln, err := net.Listen("tcp4", set.Front)
+	ln, err := net.Listen("tcp4", set.FrontAddr)
 	if err != nil {
 		return oops.In("listen").Wrap(err)
 	}
@@ -105,7 +105,7 @@
 		t.e.Tick(t.now())
 		t.flush()
 	})
-	log.Event(events.Started, "edge", set.Hostname, "front", set.Front)
+	log.Event(events.Started, "edge", set.Hostname, "front", set.FrontAddr)
 	<-ctx.Done()
 	log.Event(events.Stopping, "sockets", t.open.Load())
 	t.q.Do(func() { // its clients come again elsewhere, by their tokens
@@ -113,7 +113,7 @@
 			go s.c.Close(websocket.StatusGoingAway, "this edge ends")
 		}
 	})
-	for until := time.Now().Add(set.Grace / 2); t.open.Load() > 0 && time.Now().Before(until); {
+	for until := time.Now().Add(set.GracePeriod / 2); t.open.Load() > 0 && time.Now().Before(until); {
 		time.Sleep(20 * time.Millisecond)
 	}
 	server.Close()
--- a/internal/session/site/calls.go
+++ b/internal/session/site/calls.go
@@ -38,7 +38,7 @@
 		}
 		ch <- where
 	})
-	if where := <-ch; where != "" && where != m.t.set.Ready {
+	if where := <-ch; where != "" && where != m.t.set.ReadyAddr {
 		http.Redirect(w, r, "http://"+where+r.URL.RequestURI(), http.StatusTemporaryRedirect)
 		return
 	}
--- a/internal/session/site/golden_test.go
+++ b/internal/session/site/golden_test.go
@@ -24,7 +24,7 @@
 
 // The calls of producers, consumers and operators: statuses, headers and bodies.
 func TestGoldenCalls(t *testing.T) {
-	s := &Site{set: &settings.Settings{Hostname: "a", Ready: "127.0.0.1:9"}, ctx: t.Context(), start: time.Now(),
+	s := &Site{set: &settings.Settings{Hostname: "a", ReadyAddr: "127.0.0.1:9"}, ctx: t.Context(), start: time.Now(),
 		q: commandqueue.New(t.Context(), 16), lim: queue.DefaultLimits, life: 1, edges: map[string]*link{}, state: sites.In}
 	s.lim.Message = 20
 	s.s = queue.New("a", s.lim)
--- a/internal/session/site/site.go
+++ b/internal/session/site/site.go
@@ -75,11 +75,11 @@
 	t.lim.Copies = max(set.TolerateNodes, 1)
 	t.lim.All = int64(set.MemoryMB) << 20 / 3
 	t.s = queue.New(set.Hostname, t.lim)
-	mesh, err := net.Listen("tcp4", set.Port(set.IP, 0))
+	mesh, err := net.Listen("tcp4", set.PortAddr(set.IP, 0))
 	if err != nil {
 		return oops.In("listen").Wrap(err)
 	}
-	ctl, err := net.Listen("tcp4", set.Ready)
+	ctl, err := net.Listen("tcp4", set.ReadyAddr)
 	if err != nil {
 		return oops.In("listen").Wrap(err)
 	}
@@ -89,7 +89,7 @@
 	go server.Serve(ctl)
 	go t.renew()
 	go t.q.Run(tickEvery, t.tick)
-	log.Event(events.Started, "site", set.Hostname, "mesh", mesh.Addr().String(), "http", set.Ready)
+	log.Event(events.Started, "site", set.Hostname, "mesh", mesh.Addr().String(), "http", set.ReadyAddr)
 	<-ctx.Done()
 	t.end()
 	server.Close()
@@ -102,7 +102,7 @@
 // end drains the site, as far as grace goes.
 func (t *Site) end() {
 	t.log.Event(events.Stopping)
-	until := time.Now().Add(t.set.Grace - 300*time.Millisecond)
+	until := time.Now().Add(t.set.GracePeriod - 300*time.Millisecond)
 	_, _ = t.core(http.MethodPost, "/sites/"+t.set.Hostname+"/drain?pace=5000", nil)
 	for time.Now().Before(until) {
 		ch := make(chan bool, 1)
@@ -153,7 +153,7 @@
 		case <-t.ctx.Done():
 			return
 		}
-		body, _ := json.Marshal(controlplane.Renewal{Addr: t.set.Port(t.set.IP, 0), HTTP: t.set.Ready, Zone: t.set.Zone,
+		body, _ := json.Marshal(controlplane.Renewal{Addr: t.set.PortAddr(t.set.IP, 0), HTTP: t.set.ReadyAddr, Zone: t.set.Zone,
 			Region: t.set.Region, Life: life})
 		asked := t.now()
 		status, answer := t.core(http.MethodPost, "/sites/"+t.set.Hostname+"/renew", body)
--- a/internal/standin/cluster/cluster.go
+++ b/internal/standin/cluster/cluster.go
@@ -194,7 +194,7 @@
 		w.t.Fatal(err)
 	}
 	cmd := exec.Command(self)
-	cmd.Env = append(os.Environ(), roleVariable+"="+role, settings.Variable+"="+file, diskVariable+"="+w.control(name))
+	cmd.Env = append(os.Environ(), roleVariable+"="+role, settings.EnvVariable+"="+file, diskVariable+"="+w.control(name))
 	if w.logs[name] == nil {
 		w.logs[name] = &bytes.Buffer{}
 	}
--- a/internal/util/process/process.go
+++ b/internal/util/process/process.go
@@ -32,7 +32,7 @@
 func Main(r Role, args []string, out io.Writer) int {
 	flags := flag.NewFlagSet(r.Name, flag.ContinueOnError)
 	flags.SetOutput(out)
-	file := flags.String("settings", os.Getenv(settings.Variable), "settings `file`; else the variable "+settings.Variable+" names it")
+	file := flags.String("settings", os.Getenv(settings.EnvVariable), "settings `file`; else the variable "+settings.EnvVariable+" names it")
 	check := flags.Bool("check", false, "read and check the settings, and end")
 	flags.Usage = func() {
 		fmt.Fprintf(out, "%s: %s\n\nUsage: %s [-settings FILE] [-check]\n\n", r.Name, r.About, r.Name)
--- a/internal/util/settings/golden_test.go
+++ b/internal/util/settings/golden_test.go
@@ -93,8 +93,8 @@
 		}
 		b.WriteString("\n")
 	}
-	s := &Settings{Ports: [2]int{7440, 7455}}
-	fmt.Fprintln(&b, s.Port("10.0.0.1", 2), s.MeshOf("10.0.0.2:8782"), s.MeshOf("no address"), Variable)
+	s := &Settings{PortRange: [2]int{7440, 7455}}
+	fmt.Fprintln(&b, s.PortAddr("10.0.0.1", 2), s.MeshAddr("10.0.0.2:8782"), s.MeshAddr("no address"), EnvVariable)
 	const file = "testdata/settings.txt"
 	if os.Getenv("GOLDEN") == "write" {
 		if err := os.WriteFile(file, []byte(b.String()), 0o644); err != nil {
--- a/internal/util/settings/settings.go
+++ b/internal/util/settings/settings.go
@@ -15,30 +15,30 @@
 	"github.com/samber/oops"
 )
 
-// Variable names the environment's variable with the settings file's path.
-const Variable = "WEIRWIND_NODE_FILE"
+// EnvVariable names the environment's variable with the settings file's path.
+const EnvVariable = "WEIRWIND_NODE_FILE"
 
 // Settings is what a process is told.
 type Settings struct {
-	Hostname, Role, Class string
-	IP                    string
-	Zone, Region          string
-	Regions               map[string]string // region of each zone
-	Front, Ready, Ctl     string            // addresses to listen at; empty: this role does not serve it
-	Feed                  string            // where the agent feeds its proxy: a field of our own, by default on 127.0.0.1
-	Ports                 [2]int            // the first and the last that processes of the system may use
-	Peers                 []string          // control addresses of some machines of the core
-	Init                  bool              // the whole system starts for the first time
-	Voting                bool              // this machine counts for what may be lost together
-	DataDir               string            // empty: no disk
-	MemoryMB, Files       int
-	DiskMB                int
-	Beat                  time.Duration // between two beats of a member
-	TolerateNodes         int
-	Contact, Ack, Drain   time.Duration // bounds of the deployment's rules
-	Grace, Apply, Recover time.Duration
-	Platform              string // address of the platform's calls; empty: there are none
-	Fencing               bool
+	Hostname, Role, MachineClass          string
+	IP                                    string
+	Zone, Region                          string
+	Regions                               map[string]string // region of each zone
+	FrontAddr, ReadyAddr, ControlAddr     string            // addresses to listen at; empty: this role does not serve it
+	FeedAddr                              string            // where the agent feeds its proxy: a field of our own, by default on 127.0.0.1
+	PortRange                             [2]int            // the first and the last that processes of the system may use
+	Peers                                 []string          // control addresses of some machines of the core
+	Bootstrap                             bool              // the whole system starts for the first time
+	Voting                                bool              // this machine counts for what may be lost together
+	DataDir                               string            // empty: no disk
+	MemoryMB, MaxOpenFiles                int
+	DiskMB                                int
+	HeartbeatInterval                     time.Duration // between two beats of a member
+	TolerateNodes                         int
+	ContactBound, AckBound, DrainBound    time.Duration // bounds of the deployment's rules
+	GracePeriod, ApplyBound, RecoverBound time.Duration
+	PlatformAddr                          string // address of the platform's calls; empty: there are none
+	Fencing                               bool
 }
 
 // Read takes the text of a settings file. Its error names the line at fault.
@@ -50,15 +50,15 @@
 	}
 	r := reader{p: p, lines: lineNumbers(text)}
 	s := &Settings{
-		Hostname: r.need("hostname"), Role: r.text("role"), Class: r.text("mclass"),
+		Hostname: r.need("hostname"), Role: r.text("role"), MachineClass: r.text("mclass"),
 		IP: r.need("ip"), Zone: r.need("zone"), Region: r.text("region"),
-		Front: r.address("listen.front"), Ready: r.address("listen.readyAddr"), Ctl: r.address("listen.ctl"),
-		Init: r.flag("init"), Voting: r.flag("voting"), DataDir: r.text("datadir"),
-		MemoryMB: r.number("limits.memMb", 256), Files: r.number("limits.nofile", 1024), DiskMB: r.number("limits.diskMb", 0),
-		Beat: r.millis("beatMs", 1200), TolerateNodes: r.number("tolerate.nodes", 1),
-		Contact: r.millis("bounds.contactMs", 5000), Ack: r.millis("bounds.ackMs", 6000), Drain: r.millis("bounds.drainMs", 7000),
-		Grace: r.seconds("bounds.graceS", 6), Apply: r.millis("bounds.applyMs", 4000), Recover: r.seconds("bounds.recoverS", 12),
-		Platform: r.address("cloudApi.addr"), Fencing: r.flag("bounds.fencing"),
+		FrontAddr: r.address("listen.front"), ReadyAddr: r.address("listen.readyAddr"), ControlAddr: r.address("listen.ctl"),
+		Bootstrap: r.flag("init"), Voting: r.flag("voting"), DataDir: r.text("datadir"),
+		MemoryMB: r.number("limits.memMb", 256), MaxOpenFiles: r.number("limits.nofile", 1024), DiskMB: r.number("limits.diskMb", 0),
+		HeartbeatInterval: r.millis("beatMs", 1200), TolerateNodes: r.number("tolerate.nodes", 1),
+		ContactBound: r.millis("bounds.contactMs", 5000), AckBound: r.millis("bounds.ackMs", 6000), DrainBound: r.millis("bounds.drainMs", 7000),
+		GracePeriod: r.seconds("bounds.graceS", 6), ApplyBound: r.millis("bounds.applyMs", 4000), RecoverBound: r.seconds("bounds.recoverS", 12),
+		PlatformAddr: r.address("cloudApi.addr"), Fencing: r.flag("bounds.fencing"),
 		Regions: map[string]string{},
 	}
 	for _, k := range p.Keys() {
@@ -73,12 +73,12 @@
 		}
 	}
 	low, high, _ := strings.Cut(r.need("portRange"), ",")
-	s.Ports = [2]int{r.integer("portRange", low), r.integer("portRange", high)}
-	if r.err == nil && (s.Ports[0] < 1 || s.Ports[1] > 65535 || s.Ports[1]-s.Ports[0] < 2) {
+	s.PortRange = [2]int{r.integer("portRange", low), r.integer("portRange", high)}
+	if r.err == nil && (s.PortRange[0] < 1 || s.PortRange[1] > 65535 || s.PortRange[1]-s.PortRange[0] < 2) {
 		r.fail("portRange", "three ports or more are needed")
 	}
-	if s.Feed = r.address("listen.feed"); s.Feed == "" {
-		s.Feed = s.Port("127.0.0.1", 1)
+	if s.FeedAddr = r.address("listen.feed"); s.FeedAddr == "" {
+		s.FeedAddr = s.PortAddr("127.0.0.1", 1)
 	}
 	if r.err == nil && s.Region == "" {
 		s.Region = s.Regions[s.Zone]
@@ -86,18 +86,18 @@
 	return s, r.err
 }
 
-// Port gives the address at which a process of the system listens for its own kind: the nth of the range.
-func (s *Settings) Port(ip string, nth int) string {
-	return net.JoinHostPort(ip, strconv.Itoa(s.Ports[0]+nth))
+// PortAddr gives the address at which a process of the system listens for its own kind: the nth of the range.
+func (s *Settings) PortAddr(ip string, nth int) string {
+	return net.JoinHostPort(ip, strconv.Itoa(s.PortRange[0]+nth))
 }
 
-// MeshOf gives where a core machine's own kind and agents reach it, of its control address.
-func (s *Settings) MeshOf(ctl string) string {
+// MeshAddr gives where a core machine's own kind and agents reach it, of its control address.
+func (s *Settings) MeshAddr(ctl string) string {
 	host, _, err := net.SplitHostPort(ctl)
 	if err != nil {
 		return ctl
 	}
-	return s.Port(host, 0)
+	return s.PortAddr(host, 0)
 }
 
 type reader struct {
--- a/internal/util/settings/settings_test.go
+++ b/internal/util/settings/settings_test.go
@@ -27,7 +27,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Region != "a" || len(s.Peers) != 2 || !s.Init || s.Beat != 1200*time.Millisecond || s.Grace != 6*time.Second || s.Feed != "127.0.0.1:7441" || s.Port(s.IP, 0) != "10.1.0.8:7440" {
+	if s.Region != "a" || len(s.Peers) != 2 || !s.Bootstrap || s.HeartbeatInterval != 1200*time.Millisecond || s.GracePeriod != 6*time.Second || s.FeedAddr != "127.0.0.1:7441" || s.PortAddr(s.IP, 0) != "10.1.0.8:7440" {
 		t.Errorf("%+v", s)
 	}
 	for change, want := range map[string]string{
