--- a/internal/controlplane/calls.go
+++ b/internal/controlplane/calls.go
@@ -188,7 +188,7 @@
 		return
 	}
 	switch c.Kind {
-	case shardmap.Hand, shardmap.Back, shardmap.End:
+	case shardmap.ChangeHandOver, shardmap.ChangeRollBack, shardmap.ChangeEndTask:
 		http.Error(w, "that is said by who moves shards", http.StatusBadRequest)
 		return
 	}
--- a/internal/controlplane/moving.go
+++ b/internal/controlplane/moving.go
@@ -50,16 +50,16 @@
 		return
 	}
 	if t.mover == nil {
-		t.mover = shardmap.NewMover()
+		t.mover = shardmap.NewRebalancer()
 	}
 	nodes := t.nodes(now)
 	for _, a := range t.mover.Step(t.state.Shards, slices.Sorted(maps.Keys(nodes)), now) {
 		t.carryMove(t.mover, nodes, a)
 	}
 	if n := len(t.moves); n == 0 || now-t.moves[n-1].At > pointEvery {
-		p := movePoint{now, t.mover.Moved(), map[string]int64{}}
+		p := movePoint{now, t.mover.BytesMoved(), map[string]int64{}}
 		for id, r := range t.mover.Reports() {
-			p.Used[id] = r.Limit - r.Free
+			p.Used[id] = r.Capacity - r.Free
 		}
 		if t.moves = append(t.moves, p); len(t.moves) > mostPoints {
 			t.moves = slices.Delete(t.moves, 0, 1)
@@ -67,26 +67,26 @@
 	}
 }
 
-func (t *tables) carryMove(mv *shardmap.Mover, nodes map[string]directory.Member, a shardmap.Act) {
+func (t *tables) carryMove(mv *shardmap.Rebalancer, nodes map[string]directory.Member, a shardmap.Action) {
 	sent := t.h.now()
 	back := func(res shardmap.Result) {
 		t.do(func() {
 			if t.mover == mv {
-				mv.Told(a, res, t.h.now())
+				mv.HandleResult(a, res, t.h.now())
 				t.move(t.h.now())
 			}
 		})
 	}
 	switch a.Kind {
-	case shardmap.Note:
-		t.h.log.Event(events.ShardMove, "shard", a.Shard, "what", a.Why)
+	case shardmap.ActionLog:
+		t.h.log.Event(events.ShardMove, "shard", a.Shard, "what", a.Message)
 		return
-	case shardmap.Propose:
+	case shardmap.ActionPropose:
 		go func() {
 			status, _ := t.h.call(controlmsg.Request{ShardChange: a.Change})
 			res := shardmap.Result{}
 			if status != 200 {
-				res.Err = "refused"
+				res.Code = "refused"
 			}
 			back(res)
 		}()
@@ -94,20 +94,20 @@
 	}
 	m, ok := nodes[a.Node]
 	if !ok {
-		go back(shardmap.Result{Err: "dark"})
+		go back(shardmap.Result{Code: "dark"})
 		return
 	}
 	from := ""
-	if a.Kind == shardmap.Fetch {
-		src, ok := nodes[a.From]
+	if a.Kind == shardmap.ActionFetch {
+		src, ok := nodes[a.Source]
 		if !ok {
-			go back(shardmap.Result{Err: "dark"})
+			go back(shardmap.Result{Code: "dark"})
 			return
 		}
 		from = src.Addr + " " + src.Service + " " + src.ID
 	}
-	text := a.Text(from)
-	if a.Kind != shardmap.Look && a.Kind != shardmap.Fetch {
+	text := a.Statement(from)
+	if a.Kind != shardmap.ActionReport && a.Kind != shardmap.ActionFetch {
 		t.h.log.Event(events.ShardStep, "shard", a.Shard, "node", a.Node, "step", text)
 	}
 	go func() {
@@ -119,22 +119,22 @@
 		})
 		var said *memberconn.Refusal
 		refused := errors.As(err, &said)
-		if a.Kind == shardmap.Look {
+		if a.Kind == shardmap.ActionReport {
 			t.do(func() {
-				r, ok := shardmap.ReadReport(rows)
+				r, ok := shardmap.ParseReport(rows)
 				if t.mover == mv {
-					mv.Seen(a.Node, sent, r, ok && err == nil)
+					mv.HandleReport(a.Node, sent, r, ok && err == nil)
 				}
 			})
 			return
 		}
 		switch {
 		case refused:
-			back(a.ResultOf(nil, said.Text))
+			back(a.ParseResult(nil, said.Text))
 		case err != nil:
-			back(shardmap.Result{Err: "dark"})
+			back(shardmap.Result{Code: "dark"})
 		default:
-			back(a.ResultOf(rows, ""))
+			back(a.ParseResult(rows, ""))
 		}
 	}()
 }
@@ -145,9 +145,9 @@
 		v.Map = t.state.Shards
 	}
 	if t.mover != nil && v.Map != nil {
-		v.Nodes, v.Moved, v.Gaps, v.Points, v.Runs = t.mover.Reports(), t.mover.Moved(), slices.Clone(t.mover.Gaps()), slices.Clone(t.moves), map[string]string{}
+		v.Nodes, v.Moved, v.Gaps, v.Points, v.Runs = t.mover.Reports(), t.mover.BytesMoved(), slices.Clone(t.mover.WriteGaps()), slices.Clone(t.moves), map[string]string{}
 		for shard := range v.Map.Shards {
-			if state := t.mover.State(shard); state != "" {
+			if state := t.mover.TransferState(shard); state != "" {
 				v.Runs[shard] = state
 			}
 		}
--- a/internal/controlplane/orders/golden_test.go
+++ b/internal/controlplane/orders/golden_test.go
@@ -59,7 +59,7 @@
 		{SiteLease: &controlmsg.SiteLeaseRequest{Site: "a", Incarnation: 7}},
 		{SiteLease: &controlmsg.SiteLeaseRequest{Site: "a", Incarnation: 6}},
 		{SiteLease: &controlmsg.SiteLeaseRequest{Site: "b", Incarnation: 7}},
-		{ShardChange: &shardmap.Change{Kind: shardmap.End, Shard: "1"}},
+		{ShardChange: &shardmap.Change{Kind: shardmap.ChangeEndTask, Shard: "1"}},
 		{ForgetMember: "m"},
 		{BaseVersion: 0, Body: []byte("{")},
 		{Amend: true, BaseVersion: 1, Body: []byte(`{"upsert":{}}`)},
--- a/internal/controlplane/tables.go
+++ b/internal/controlplane/tables.go
@@ -55,7 +55,7 @@
 	successions map[string]*failover.Service
 	reports     map[string]map[string]report // by service and driver
 	asker       *asker
-	mover       *shardmap.Mover
+	mover       *shardmap.Rebalancer
 	moves       []movePoint        // the newest, for the page of progress
 	granted     map[string]float64 // leases of sites, when they were granted last
 	lives       map[string]uint64
--- a/internal/dataplane/proxy/desk.go
+++ b/internal/dataplane/proxy/desk.go
@@ -83,13 +83,13 @@
 	count  int
 	asked  chan struct{} // closed when a configuration is there
 
-	slots   *shardmap.Slots
+	slots   *shardmap.RoutingTable
 	atShard map[string][]*shardWaiter
 }
 
 func newDesk(p *Proxy) *desk {
 	return &desk{p: p, q: commandqueue.New(p.ctx, 4096), groups: map[string]*memberGroup{}, table: directory.NewMembers(), count: 1, asked: make(chan struct{}),
-		slots: shardmap.NewSlots(), atShard: map[string][]*shardWaiter{}}
+		slots: shardmap.NewRoutingTable(), atShard: map[string][]*shardWaiter{}}
 }
 
 func (d *desk) do(f func()) { d.q.Do(f) }
@@ -119,7 +119,7 @@
 			}
 		}
 	}
-	if d.slots.Learn(n.ShardMap) {
+	if d.slots.Update(n.ShardMap) {
 		d.release(now)
 	}
 	touched := map[string]*memberGroup{}
--- a/internal/dataplane/proxy/shard.go
+++ b/internal/dataplane/proxy/shard.go
@@ -25,12 +25,12 @@
 // shardWaiter is a session that waits for a shard's holder.
 type shardWaiter struct {
 	until float64
-	reply chan shardmap.Place
+	reply chan shardmap.Assignment
 }
 
 // where gives a shard's holder, or queues who asks.
 func (d *desk) where(shard string, w *shardWaiter) {
-	if p, ok := d.slots.Where(shard); ok {
+	if p, ok := d.slots.Owner(shard); ok {
 		w.reply <- p
 		return
 	}
@@ -44,7 +44,7 @@
 // release lets go of what waited for shards that have a holder again, and of whose time is over.
 func (d *desk) release(now float64) {
 	for shard, all := range d.atShard {
-		p, ok := d.slots.Where(shard)
+		p, ok := d.slots.Owner(shard)
 		kept := all[:0]
 		for _, w := range all {
 			switch {
@@ -65,8 +65,8 @@
 }
 
 // place waits for a shard's holder. ok is false where there was none in time.
-func (s *session) place(r *config.Route, until float64) (shardmap.Place, bool) {
-	w := &shardWaiter{until, make(chan shardmap.Place, 1)}
+func (s *session) place(r *config.Route, until float64) (shardmap.Assignment, bool) {
+	w := &shardWaiter{until, make(chan shardmap.Assignment, 1)}
 	s.p.desk.do(func() { s.p.desk.where(r.Shard, w) })
 	select {
 	case p, ok := <-w.reply:
@@ -76,12 +76,12 @@
 		}
 		return p, ok
 	case <-s.p.ctx.Done():
-		return shardmap.Place{}, false
+		return shardmap.Assignment{}, false
 	}
 }
 
 // serves gives the service that a route's statement goes to now. ok is false where it is not known in time.
-func (s *session) serves(r *config.Route, until float64) (svc string, p shardmap.Place, ok bool) {
+func (s *session) serves(r *config.Route, until float64) (svc string, p shardmap.Assignment, ok bool) {
 	if r.Shard == "" {
 		s.on = ""
 		return r.Svc, p, true
@@ -91,11 +91,11 @@
 }
 
 // missed takes a node's refusal by the epoch; what was refused is held, and goes to the next holder.
-func (s *session) missed(r *config.Route, p shardmap.Place, text string) {
+func (s *session) missed(r *config.Route, p shardmap.Assignment, text string) {
 	_, epoch := wire.Cut(text)
 	known, _ := strconv.ParseUint(epoch, 10, 64)
 	again := make(chan bool, 1)
-	s.p.desk.do(func() { again <- s.p.desk.slots.Missed(r.Shard, p.Epoch, known) })
+	s.p.desk.do(func() { again <- s.p.desk.slots.HandleMoved(r.Shard, p.Epoch, known) })
 	select {
 	case a := <-again:
 		if a {
--- a/internal/shard/shardmap/evening_test.go
+++ b/internal/shard/shardmap/evening_test.go
@@ -55,20 +55,20 @@
 
 type node struct {
 	id   string
-	k    *shardnode.Keeper
+	k    *shardnode.Store
 	down bool
 	cut  bool
 }
 
 type leader struct {
-	mv   *Mover
+	mv   *Rebalancer
 	term int
 	dead bool
 	step func()
 }
 
 type proxy struct {
-	s      *Slots
+	s      *RoutingTable
 	frozen bool
 }
 
@@ -80,7 +80,7 @@
 }
 
 // at carries a call to a node and its answer back; either may be lost, and the node may die before or behind its sync.
-func (e *evening) at(id string, f func(k *shardnode.Keeper), back func(ok bool)) {
+func (e *evening) at(id string, f func(k *shardnode.Store), back func(ok bool)) {
 	n := e.nodes[id]
 	if n == nil {
 		e.In(1, func() { back(false) })
@@ -119,8 +119,8 @@
 }
 
 func (e *evening) watch(n *node) {
-	if used := n.k.Used(); used > n.k.Limit && n.k.Foreign < n.k.Limit && e.over == "" {
-		e.over = fmt.Sprintf("%s holds %d of %d", n.id, used, n.k.Limit)
+	if used := n.k.UsedBytes(); used > n.k.Capacity && n.k.External < n.k.Capacity && e.over == "" {
+		e.over = fmt.Sprintf("%s holds %d of %d", n.id, used, n.k.Capacity)
 	}
 }
 
@@ -132,9 +132,9 @@
 	n.down = true
 	e.In(forMs, func() { // each call was synced before its answer
 		disk, _ := cbor.Marshal(n.k)
-		n.k = &shardnode.Keeper{}
+		n.k = &shardnode.Store{}
 		_ = cbor.Unmarshal(disk, n.k)
-		n.k.Restart()
+		n.k.Recover()
 		n.down = false
 	})
 }
@@ -144,7 +144,7 @@
 func (e *evening) elect() {
 	old := e.lead
 	e.term++
-	l := &leader{mv: NewMover(), term: e.term}
+	l := &leader{mv: NewRebalancer(), term: e.term}
 	e.lead = l
 	if old != nil {
 		e.In(500*e.r.Float64(), func() { old.dead = true })
@@ -169,114 +169,114 @@
 	switch err {
 	case nil:
 		return ""
-	case shardnode.ErrNoRoom:
+	case shardnode.ErrNoCapacity:
 		return "noroom"
-	case shardnode.ErrOld:
+	case shardnode.ErrStaleEpoch:
 		return "old"
-	case shardnode.ErrBehind:
+	case shardnode.ErrIncomplete:
 		return "behind"
 	}
-	if _, ok := err.(*shardnode.Moved); ok {
+	if _, ok := err.(*shardnode.MovedError); ok {
 		return "moved"
 	}
 	return "state"
 }
 
-func (e *evening) carry(l *leader, a Act) {
+func (e *evening) carry(l *leader, a Action) {
 	sent := e.Now
-	e.record("act", e.Now, l.term, uint8(a.Kind), a.Node, a.Shard, a.Epoch, a.From, a.Bytes, a.Last, a.Change, a.Why,
-		l.mv.State(a.Shard))
+	e.record("act", e.Now, l.term, uint8(a.Kind), a.Node, a.Shard, a.Epoch, a.Source, a.Bytes, a.LastIndex, a.Change, a.Message,
+		l.mv.TransferState(a.Shard))
 	told := func(res Result) {
 		if !l.dead {
-			l.mv.Told(a, res, e.Now)
+			l.mv.HandleResult(a, res, e.Now)
 			e.In(0, l.step)
 		}
 	}
 	var res Result
 	end := func(ok bool) {
 		if !ok {
-			res = Result{Err: "dark"}
+			res = Result{Code: "dark"}
 		}
 		told(res)
 	}
 	switch a.Kind {
-	case Note:
-		e.log = append(e.log, fmt.Sprintf("%.0f %s %s", e.Now, a.Shard, a.Why))
-	case Look:
+	case ActionLog:
+		e.log = append(e.log, fmt.Sprintf("%.0f %s %s", e.Now, a.Shard, a.Message))
+	case ActionReport:
 		var rep shardnode.Report
-		e.at(a.Node, func(k *shardnode.Keeper) { rep = k.Report() }, func(ok bool) {
+		e.at(a.Node, func(k *shardnode.Store) { rep = k.Report() }, func(ok bool) {
 			if !l.dead {
-				l.mv.Seen(a.Node, sent, rep, ok)
+				l.mv.HandleReport(a.Node, sent, rep, ok)
 			}
 		})
-	case Propose:
+	case ActionPropose:
 		e.In(5+20*e.r.Float64(), func() {
 			if l.term != e.term { // a deposed one commits nothing
-				told(Result{Err: "dark"})
+				told(Result{Code: "dark"})
 				return
 			}
 			next, err := e.m.Apply(a.Change)
 			e.record("map", next, fmt.Sprint(err))
 			if err != nil {
-				told(Result{Err: "refused"})
+				told(Result{Code: "refused"})
 				return
 			}
 			e.m = next
 			e.spread()
 			told(Result{})
 		})
-	case Fetch: // the target asks the source
+	case ActionFetch: // the target asks the source
 		var entries []shardnode.Entry
 		last, more, refused := uint64(0), uint64(0), error(nil)
-		e.at(a.Node, func(k *shardnode.Keeper) {
-			if c := k.Copies[a.Shard]; c != nil {
-				last = c.Last()
+		e.at(a.Node, func(k *shardnode.Store) {
+			if c := k.Replicas[a.Shard]; c != nil {
+				last = c.LastIndex()
 			} else {
-				refused = shardnode.ErrState
+				refused = shardnode.ErrWrongState
 			}
 		}, func(ok bool) {
 			if !ok || refused != nil {
-				res.Err = word(refused)
+				res.Code = word(refused)
 				end(ok)
 				return
 			}
-			e.at(a.From, func(k *shardnode.Keeper) { entries, more, refused = k.Entries(a.Shard, a.Epoch, last, a.Bytes) },
+			e.at(a.Source, func(k *shardnode.Store) { entries, more, refused = k.ReadEntries(a.Shard, a.Epoch, last, a.Bytes) },
 				func(ok bool) {
 					if !ok || refused != nil {
-						res.Err = word(refused)
+						res.Code = word(refused)
 						end(ok)
 						return
 					}
-					e.at(a.Node, func(k *shardnode.Keeper) {
-						res.Err = word(k.Receive(a.Shard, a.Epoch, entries))
-						res.Done = res.Err == "" && a.Last > 0 && k.Seal(a.Shard, a.Epoch, a.Last) == nil
-						if c := k.Copies[a.Shard]; c != nil {
-							res.Last = c.Last()
+					e.at(a.Node, func(k *shardnode.Store) {
+						res.Code = word(k.AppendEntries(a.Shard, a.Epoch, entries))
+						res.Done = res.Code == "" && a.LastIndex > 0 && k.Seal(a.Shard, a.Epoch, a.LastIndex) == nil
+						if c := k.Replicas[a.Shard]; c != nil {
+							res.LastIndex = c.LastIndex()
 						}
-						res.More = more
+						res.Remaining = more
 					}, end)
 				})
 		})
 	default:
-		e.at(a.Node, func(k *shardnode.Keeper) {
+		e.at(a.Node, func(k *shardnode.Store) {
 			switch a.Kind {
-			case Reserve:
-				res.Err = word(k.ReserveFor(a.Shard, a.Epoch, a.Bytes))
-			case Close, Cut:
+			case ActionReserve:
+				res.Code = word(k.Reserve(a.Shard, a.Epoch, a.Bytes))
+			case ActionClose, ActionAbortTransactions:
 				last, done, err := k.Close(a.Shard, a.Epoch)
-				if err == nil && a.Kind == Cut && !done {
-					k.Cut(a.Shard)
+				if err == nil && a.Kind == ActionAbortTransactions && !done {
+					k.AbortTransactions(a.Shard)
 					last, done, err = k.Close(a.Shard, a.Epoch)
 				}
-				res = Result{Err: word(err), Last: last, Done: done}
-			case Seal:
-				res.Err = word(k.Seal(a.Shard, a.Epoch, a.Last))
-			case Hold:
-				res.Err = word(k.Hold(a.Shard, a.Epoch, a.Last))
-			case Drop:
-				res.Err = word(k.Drop(a.Shard, a.Epoch))
-			case Abandon:
-				res.Err = word(k.Abandon(a.Shard, a.Epoch))
+				res = Result{Code: word(err), LastIndex: last, Done: done}
+			case ActionSeal:
+				res.Code = word(k.Seal(a.Shard, a.Epoch, a.LastIndex))
+			case ActionActivate:
+				res.Code = word(k.Activate(a.Shard, a.Epoch, a.LastIndex))
+			case ActionDrop:
+				res.Code = word(k.Drop(a.Shard, a.Epoch))
+			case ActionDiscard:
+				res.Code = word(k.Discard(a.Shard, a.Epoch))
 			}
 		}, end)
 	}
@@ -287,7 +287,7 @@
 	for _, p := range e.proxy {
 		e.In(2+30*e.r.Float64()*e.r.Float64()*10, func() {
 			if !p.frozen {
-				p.s.Learn(m)
+				p.s.Update(m)
 			}
 		})
 	}
@@ -324,7 +324,7 @@
 	sent := false
 	var send func()
 	send = func() {
-		place, ok := p.s.Where(shard)
+		place, ok := p.s.Owner(shard)
 		e.record("where", p.s.Version(), place, ok)
 		if e.Now >= until {
 			if sent {
@@ -341,19 +341,19 @@
 		}
 		var err error
 		settle := sent
-		e.at(place.Node, func(k *shardnode.Keeper) {
+		e.at(place.Node, func(k *shardnode.Store) {
 			if settle { // what was sent and not answered is settled
-				_, err = k.Settle(shard, place.Epoch, id)
+				_, err = k.ResolveAttempt(shard, place.Epoch, id)
 			} else if e.r.IntN(3) == 0 { // as a transaction
-				if err = k.Begin(shard, place.Epoch); err == nil {
-					_, err = k.Commit(shard, place.Epoch, id, make([]byte, size))
-					k.End(shard, place.Epoch)
+				if err = k.BeginTransaction(shard, place.Epoch); err == nil {
+					_, err = k.CommitTransaction(shard, place.Epoch, id, make([]byte, size))
+					k.EndTransaction(shard, place.Epoch)
 				}
 			} else {
 				_, err = k.Write(shard, place.Epoch, id, make([]byte, size))
 			}
 		}, func(ok bool) {
-			moved, isMoved := err.(*shardnode.Moved)
+			moved, isMoved := err.(*shardnode.MovedError)
 			switch {
 			case !ok:
 				sent = true
@@ -362,7 +362,7 @@
 				o.done = append(o.done, id)
 				end()
 			case isMoved:
-				e.record("missed", p.s.Missed(shard, place.Epoch, moved.Epoch))
+				e.record("missed", p.s.HandleMoved(shard, place.Epoch, moved.HighestEpoch))
 				e.In(5, send)
 			default: // no room, or void: a promise
 				promise()
@@ -377,18 +377,18 @@
 	ran := map[string]int{}
 	for shard, p := range e.m.Shards {
 		n := e.nodes[p.Node]
-		c := n.k.Copies[shard]
-		if c == nil || c.State != shardnode.Open || c.Epoch != p.Epoch {
+		c := n.k.Replicas[shard]
+		if c == nil || c.State != shardnode.StateOpen || c.Epoch != p.Epoch {
 			wrong = append(wrong, fmt.Sprintf("%s is not open at %s by %d: %+v", shard, p.Node, p.Epoch, c))
 			continue
 		}
 		for _, en := range c.Log {
-			if !en.Void {
-				ran[en.ID]++
+			if !en.Aborted {
+				ran[en.AttemptID]++
 			}
 		}
 		for id, o := range e.nodes {
-			if oc := o.k.Copies[shard]; id != p.Node && oc != nil {
+			if oc := o.k.Replicas[shard]; id != p.Node && oc != nil {
 				wrong = append(wrong, fmt.Sprintf("%s is still at %s: %s %d", shard, id, oc.State, oc.Epoch))
 			}
 		}
@@ -420,29 +420,29 @@
 
 func newEvening(seed uint64, nodes, shards int) *evening {
 	e := &evening{r: rand.New(rand.NewPCG(seed, 9)), nodes: map[string]*node{}, ops: map[string]*op{}, live: true}
-	found := &Change{Kind: Found, Shards: map[string]string{}, Nodes: map[string]Node{}}
+	found := &Change{Kind: ChangeCreate, InitialOwners: map[string]string{}, Nodes: map[string]Node{}}
 	for i := range nodes {
 		id := fmt.Sprint("n", i)
 		e.ids = append(e.ids, id)
-		k := shardnode.NewKeeper(60000, 3000)
+		k := shardnode.NewStore(60000, 3000)
 		e.nodes[id] = &node{id: id, k: k}
-		found.Nodes[id] = Node{Zone: fmt.Sprint("z", i%3), State: shardplan.In}
+		found.Nodes[id] = Node{Zone: fmt.Sprint("z", i%3), State: shardplan.NodeActive}
 	}
 	for i := range shards {
-		found.Shards[fmt.Sprint("s", i)] = e.ids[i%(nodes-1)] // the last one is new and empty
+		found.InitialOwners[fmt.Sprint("s", i)] = e.ids[i%(nodes-1)] // the last one is new and empty
 	}
 	e.m, _ = (*Map)(nil).Apply(found)
-	e.m.Rules.Rate = 400000
+	e.m.Rules.BytesPerSecond = 400000
 	for _, shard := range slices.Sorted(maps.Keys(e.m.Shards)) { // sorted: what a seed draws is the same each time
 		k := e.nodes[e.m.Shards[shard].Node].k
-		_ = k.Hold(shard, 1, 0)
+		_ = k.Activate(shard, 1, 0)
 		for i := range 20 + e.r.IntN(40) {
 			_, _ = k.Write(shard, 1, fmt.Sprint("old", i), make([]byte, 50+e.r.IntN(200)))
 		}
 	}
 	for range 3 {
-		p := &proxy{s: NewSlots()}
-		p.s.Learn(e.m)
+		p := &proxy{s: NewRoutingTable()}
+		p.s.Update(e.m)
 		e.proxy = append(e.proxy, p)
 	}
 	return e
@@ -457,8 +457,8 @@
 	if err != nil {
 		panic(err)
 	}
-	tasks := FromPlan(c.Make())
-	if next, err := e.m.Apply(&Change{Kind: Plan, Tasks: tasks}); err == nil {
+	tasks := TasksFromPlan(c.MakePlan())
+	if next, err := e.m.Apply(&Change{Kind: ChangePlan, Tasks: tasks}); err == nil {
 		e.m = next
 		e.spread()
 	}
@@ -466,7 +466,7 @@
 }
 
 // playFaults plays an evening with faults drawn by its seed to its quiet end.
-func playFaults(seed uint64, trace hash.Hash64) (e *evening, planned int, movers []*Mover) {
+func playFaults(seed uint64, trace hash.Hash64) (e *evening, planned int, movers []*Rebalancer) {
 	e = newEvening(seed, 4, 12)
 	e.trace = trace
 	e.loss = []float64{0, 0.01, 0.05}[seed%3]
@@ -478,7 +478,7 @@
 	e.elect()
 	e.Pass(300)
 	planned = e.plan()
-	movers = []*Mover{e.lead.mv}
+	movers = []*Rebalancer{e.lead.mv}
 	for range 8 { // faults
 		e.In(8000*e.r.Float64(), func() {
 			switch e.r.IntN(9) {
@@ -490,7 +490,7 @@
 			case 3:
 				p := e.proxy[e.r.IntN(3)]
 				p.frozen = true
-				e.In(2000*e.r.Float64(), func() { p.frozen = false; p.s.Learn(e.m) })
+				e.In(2000*e.r.Float64(), func() { p.frozen = false; p.s.Update(e.m) })
 			case 4:
 				n := e.nodes[e.ids[e.r.IntN(4)]]
 				n.cut = true
@@ -498,11 +498,11 @@
 			case 5: // others fill a disk
 				n := e.nodes[e.ids[e.r.IntN(4)]]
 				if !n.down {
-					n.k.SetForeign(min(n.k.Foreign+n.k.Free()*3/4, n.k.Limit-n.k.Used()+n.k.Foreign))
+					n.k.SetExternal(min(n.k.External+n.k.FreeBytes()*3/4, n.k.Capacity-n.k.UsedBytes()+n.k.External))
 					e.watch(n)
 				}
 			case 6, 7: // the operator
-				kind := []Kind{Pause, Halt, Resume}[e.r.IntN(3)]
+				kind := []ChangeKind{ChangePause, ChangeAbort, ChangeResume}[e.r.IntN(3)]
 				if next, err := e.m.Apply(&Change{Kind: kind}); err == nil {
 					e.m = next
 					e.spread()
@@ -510,8 +510,8 @@
 			case 8:
 				id := e.ids[e.r.IntN(4)]
 				node := e.m.Nodes[id]
-				node.State = shardplan.Leaving
-				if next, err := e.m.Apply(&Change{Kind: Mark, Nodes: map[string]Node{id: node}}); err == nil {
+				node.State = shardplan.NodeDraining
+				if next, err := e.m.Apply(&Change{Kind: ChangeNodes, Nodes: map[string]Node{id: node}}); err == nil {
 					e.m = next
 				}
 				e.plan()
@@ -519,7 +519,7 @@
 		})
 	}
 	e.Pass(10000)
-	if next, err := e.m.Apply(&Change{Kind: Resume}); err == nil {
+	if next, err := e.m.Apply(&Change{Kind: ChangeResume}); err == nil {
 		e.m = next
 	}
 	e.loss = 0
@@ -543,8 +543,8 @@
 		e, planned, movers := playFaults(seed, nil)
 		moves += planned
 		for _, mv := range movers {
-			gaps = append(gaps, mv.Gaps()...)
-			handed += len(mv.Gaps())
+			gaps = append(gaps, mv.WriteGaps()...)
+			handed += len(mv.WriteGaps())
 		}
 		if wrong := e.audit(); len(wrong) > 0 {
 			t.Errorf("seed %d: %v\n%v", seed, wrong[:min(len(wrong), 5)], e.log[max(0, len(e.log)-10):])
@@ -553,7 +553,7 @@
 			}
 		}
 		for _, task := range e.m.Tasks {
-			if task.Fate == Waiting {
+			if task.Status == TaskPending {
 				t.Errorf("seed %d: %+v waits for ever\n%v %+v %+v", seed, task, e.log[max(0, len(e.log)-10):],
 					e.lead.mv.transfers[task.Shard], e.m)
 			}
@@ -579,7 +579,7 @@
 		e.Pass(300)
 		e.plan()
 		e.Pass(6000)
-		gaps = append(gaps, e.lead.mv.Gaps()...)
+		gaps = append(gaps, e.lead.mv.WriteGaps()...)
 	}
 	slices.Sort(gaps)
 	t.Logf("%d hand-overs: closed for %.0f ms at the median, %.0f at p99, %.0f at most", len(gaps), gaps[len(gaps)/2],
@@ -597,7 +597,7 @@
 	for seed := range uint64(15) {
 		e, _, movers := playFaults(100+seed, trace)
 		for _, mv := range movers {
-			e.record("gaps", mv.Gaps(), mv.Moved())
+			e.record("gaps", mv.WriteGaps(), mv.BytesMoved())
 		}
 		for _, id := range e.ids {
 			e.record("node", id, e.nodes[id].k)
--- a/internal/shard/shardmap/schedule.go
+++ b/internal/shard/shardmap/schedule.go
@@ -14,11 +14,11 @@
 )
 
 // startTasks starts tasks in the plan's order, as far as the rules let them go on at a time.
-func (mv *Mover) startTasks(m *Map, now float64) {
-	if m.Abort {
+func (mv *Rebalancer) startTasks(m *Map, now float64) {
+	if m.Aborting {
 		for _, t := range m.Tasks {
-			if t.Fate == Waiting && mv.transfers[t.Shard] == nil {
-				mv.endTask(t, Aborted, "by the operator", now)
+			if t.Status == TaskPending && mv.transfers[t.Shard] == nil {
+				mv.endTask(t, TaskAborted, "by the operator", now)
 			}
 		}
 		return
@@ -26,10 +26,10 @@
 	if m.Paused {
 		return
 	}
-	busy := mv.load(m)
+	busy := mv.activeTransfers(m)
 	first := firstRounds(m.Tasks)
 	for _, t := range m.Tasks {
-		if t.Fate != Waiting || mv.transfers[t.Shard] != nil || t.Round > first[t.From] || t.Round > first[t.To] {
+		if t.Status != TaskPending || mv.transfers[t.Shard] != nil || t.Round > first[t.From] || t.Round > first[t.To] {
 			continue
 		}
 		if m.Shards[t.Shard].Node != t.From {
@@ -42,62 +42,62 @@
 		epoch := m.Shards[t.Shard].Epoch
 		if !mv.ready(t, epoch, now) {
 			if mv.nodes[t.To] == nil {
-				mv.endTask(t, Failed, "there is no such node", now)
+				mv.endTask(t, TaskFailed, "there is no such node", now)
 			}
 			continue
 		}
-		r := &transfer{Task: t, epoch: epoch, heardAt: now}
-		r.enter(reserving, now)
+		r := &transfer{Task: t, epoch: epoch, lastContactAt: now}
+		r.enter(phaseReserving, now)
 		mv.transfers[t.Shard] = r
 		busy.add(m, t)
-		busy.all++
+		busy.total++
 		mv.advance(m, r, now)
 	}
 }
 
 // load counts the moves that go on.
-type load struct {
-	nodes, zones map[string]int
-	all          int
+type transferCounts struct {
+	byNode, byZone map[string]int
+	total          int
 }
 
-func (mv *Mover) load(m *Map) *load {
-	l := &load{nodes: map[string]int{}, zones: map[string]int{}, all: len(mv.transfers)}
+func (mv *Rebalancer) activeTransfers(m *Map) *transferCounts {
+	l := &transferCounts{byNode: map[string]int{}, byZone: map[string]int{}, total: len(mv.transfers)}
 	for _, r := range mv.transfers {
-		if r.phase != over {
+		if r.phase != phaseDone {
 			l.add(m, r.Task)
 		}
 	}
 	return l
 }
 
-func (l *load) add(m *Map, t Task) {
-	l.nodes[t.From]++
-	l.nodes[t.To]++
-	l.zones[m.Nodes[t.From].Zone]++
-	l.zones[m.Nodes[t.To].Zone]++
+func (l *transferCounts) add(m *Map, t Task) {
+	l.byNode[t.From]++
+	l.byNode[t.To]++
+	l.byZone[m.Nodes[t.From].Zone]++
+	l.byZone[m.Nodes[t.To].Zone]++
 }
 
 // allows says whether the rules let one more move go on.
-func (l *load) allows(m *Map, t Task) bool {
-	if l.nodes[t.From] >= m.Rules.PerNode || l.nodes[t.To] >= m.Rules.PerNode {
+func (l *transferCounts) allows(m *Map, t Task) bool {
+	if l.byNode[t.From] >= m.Rules.MaxPerNode || l.byNode[t.To] >= m.Rules.MaxPerNode {
 		return false
 	}
-	if m.Rules.All > 0 && l.all >= m.Rules.All {
+	if m.Rules.MaxTotal > 0 && l.total >= m.Rules.MaxTotal {
 		return false
 	}
 	from, to := m.Nodes[t.From].Zone, m.Nodes[t.To].Zone
-	if m.Rules.PerZone == 0 || from == "" {
+	if m.Rules.MaxPerZone == 0 || from == "" {
 		return true
 	}
-	return l.zones[from] < m.Rules.PerZone && l.zones[to] < m.Rules.PerZone
+	return l.byZone[from] < m.Rules.MaxPerZone && l.byZone[to] < m.Rules.MaxPerZone
 }
 
 // firstRounds are the lowest rounds of tasks that wait, by node.
 func firstRounds(tasks []Task) map[string]int {
 	first := map[string]int{}
 	for _, t := range tasks {
-		if t.Fate != Waiting {
+		if t.Status != TaskPending {
 			continue
 		}
 		for _, id := range []string{t.From, t.To} {
@@ -110,63 +110,63 @@
 }
 
 // ready says whether both nodes of a task have been heard of late, and the source has the shard open.
-func (mv *Mover) ready(t Task, epoch uint64, now float64) bool {
+func (mv *Rebalancer) ready(t Task, epoch uint64, now float64) bool {
 	from, to := mv.report(t.From, now), mv.report(t.To, now)
 	if from == nil || to == nil {
 		return false
 	}
-	h := from.Copies[t.Shard]
-	return h.State == shardnode.Open && h.Epoch == epoch
+	h := from.Replicas[t.Shard]
+	return h.State == shardnode.StateOpen && h.Epoch == epoch
 }
 
 // endMisplaced ends a task whose shard is not at its source: it is done once the shard is open at the target.
-func (mv *Mover) endMisplaced(m *Map, t Task, now float64) {
+func (mv *Rebalancer) endMisplaced(m *Map, t Task, now float64) {
 	if m.Shards[t.Shard].Node != t.To {
-		mv.endTask(t, Failed, "it is no longer where the plan had it", now)
+		mv.endTask(t, TaskFailed, "it is no longer where the plan had it", now)
 		return
 	}
-	if to := mv.report(t.To, now); to != nil && to.Copies[t.Shard].State == shardnode.Open {
-		mv.endTask(t, Done, "", now)
+	if to := mv.report(t.To, now); to != nil && to.Replicas[t.Shard].State == shardnode.StateOpen {
+		mv.endTask(t, TaskDone, "", now)
 	}
 }
 
-func (mv *Mover) endTask(t Task, fate Fate, why string, now float64) {
-	end := &Change{Kind: End, Shard: t.Shard, Node: t.To, Fate: fate, Why: why}
-	mv.actOnce(Act{Kind: Propose, Change: end}, now)
+func (mv *Rebalancer) endTask(t Task, fate TaskStatus, why string, now float64) {
+	end := &Change{Kind: ChangeEndTask, Shard: t.Shard, Node: t.To, Status: fate, Reason: why}
+	mv.emitOnce(Action{Kind: ActionPropose, Change: end}, now)
 }
 
 // replan makes a plan from where things are, where tasks failed; what has moved stays where it is, as the least is
 // moved.
-func (mv *Mover) replan(m *Map, now float64) {
+func (mv *Rebalancer) replan(m *Map, now float64) {
 	failed := false
 	for _, t := range m.Tasks {
-		if t.Fate == Waiting {
+		if t.Status == TaskPending {
 			return
 		}
-		failed = failed || t.Fate == Failed
+		failed = failed || t.Status == TaskFailed
 	}
-	if !failed || m.Paused || m.Abort || len(mv.transfers) > 0 || m.Replans >= m.Rules.Replans || now < mv.planAt {
+	if !failed || m.Paused || m.Aborting || len(mv.transfers) > 0 || m.Replans >= m.Rules.MaxReplans || now < mv.replanAt {
 		return
 	}
-	mv.planAt = now + replanInterval
+	mv.replanAt = now + replanInterval
 	c, err := ClusterOf(m, mv.Reports())
 	if err != nil {
 		return
 	}
-	p := c.Make()
-	if len(FromPlan(p)) == 0 { // what failed stays to be read, with why
-		if mv.emptyPlans++; mv.emptyPlans > m.Rules.Replans {
-			mv.planAt = math.Inf(1)
+	p := c.MakePlan()
+	if len(TasksFromPlan(p)) == 0 { // what failed stays to be read, with why
+		if mv.emptyPlans++; mv.emptyPlans > m.Rules.MaxReplans {
+			mv.replanAt = math.Inf(1)
 		}
 		return
 	}
-	mv.act(Act{Kind: Note, Why: fmt.Sprintf("plans anew: %d moves, %d bytes", len(FromPlan(p)), p.Bytes)})
-	mv.act(Act{Kind: Propose, Change: &Change{Kind: Plan, Base: m.Version, Tasks: FromPlan(p), Again: true}})
+	mv.emit(Action{Kind: ActionLog, Message: fmt.Sprintf("plans anew: %d moves, %d bytes", len(TasksFromPlan(p)), p.Bytes)})
+	mv.emit(Action{Kind: ActionPropose, Change: &Change{Kind: ChangePlan, BaseVersion: m.Version, Tasks: TasksFromPlan(p), Replan: true}})
 }
 
 // ClusterOf is what a plan is made from: the map, and what nodes say that they hold.
 func ClusterOf(m *Map, reports map[string]shardnode.Report) (*shardplan.Cluster, error) {
-	c := &shardplan.Cluster{Rules: shardplan.Rules{Band: m.Rules.Band, Reserve: m.Rules.Reserve, Round: m.Rules.PerNode}}
+	c := &shardplan.Cluster{Rules: shardplan.Rules{BalanceBand: m.Rules.BalanceBand, ReservedShare: m.Rules.ReservedShare, MaxMovesPerNode: m.Rules.MaxPerNode}}
 	ids := map[string]bool{}
 	for id := range m.Nodes {
 		ids[id] = true
@@ -179,18 +179,18 @@
 	}
 	for _, id := range slices.Sorted(maps.Keys(ids)) {
 		rep, ok := reports[id]
-		n := shardplan.Node{ID: id, Zone: m.Nodes[id].Zone, Limit: rep.Limit, Foreign: rep.Foreign,
-			State: cmp.Or(m.Nodes[id].State, shardplan.In)}
+		n := shardplan.Node{ID: id, Zone: m.Nodes[id].Zone, Capacity: rep.Capacity, External: rep.External,
+			State: cmp.Or(m.Nodes[id].State, shardplan.NodeActive)}
 		if !ok {
-			n.State = shardplan.Gone
+			n.State = shardplan.NodeLost
 		}
 		c.Nodes = append(c.Nodes, n)
 	}
 	for _, shard := range slices.Sorted(maps.Keys(m.Shards)) {
 		p := m.Shards[shard]
-		h := reports[p.Node].Copies[shard]
-		c.Shards = append(c.Shards, shardplan.Shard{ID: shard, Size: h.Held,
-			Growth: int64(m.Rules.Growth * float64(h.Held)), On: []string{p.Node}})
+		h := reports[p.Node].Replicas[shard]
+		c.Shards = append(c.Shards, shardplan.Shard{ID: shard, Size: h.Size,
+			Growth: int64(m.Rules.GrowthShare * float64(h.Size)), Replicas: []string{p.Node}})
 	}
-	return c, c.Check()
+	return c, c.Validate()
 }
--- a/internal/shard/shardmap/wire.go
+++ b/internal/shard/shardmap/wire.go
@@ -11,44 +11,44 @@
 )
 
 // Text is an act's. from is FETCH's other node: address, service and id.
-func (a *Act) Text(from string) string {
+func (a *Action) Statement(from string) string {
 	switch a.Kind {
-	case Look:
+	case ActionReport:
 		return "SHARD LOOK"
-	case Reserve:
+	case ActionReserve:
 		return fmt.Sprintf("SHARD RESERVE %s %d %d", a.Shard, a.Epoch, a.Bytes)
-	case Fetch:
-		return fmt.Sprintf("SHARD FETCH %s %d %d %d %s", a.Shard, a.Epoch, a.Bytes, a.Last, from)
-	case Seal:
-		return fmt.Sprintf("SHARD SEAL %s %d %d", a.Shard, a.Epoch, a.Last)
-	case Hold:
-		return fmt.Sprintf("SHARD HOLD %s %d %d", a.Shard, a.Epoch, a.Last)
+	case ActionFetch:
+		return fmt.Sprintf("SHARD FETCH %s %d %d %d %s", a.Shard, a.Epoch, a.Bytes, a.LastIndex, from)
+	case ActionSeal:
+		return fmt.Sprintf("SHARD SEAL %s %d %d", a.Shard, a.Epoch, a.LastIndex)
+	case ActionActivate:
+		return fmt.Sprintf("SHARD HOLD %s %d %d", a.Shard, a.Epoch, a.LastIndex)
 	}
-	return fmt.Sprintf("SHARD %s %s %d", map[ActKind]string{Close: "CLOSE", Cut: "CUT", Drop: "DROP",
-		Abandon: "ABANDON"}[a.Kind], a.Shard, a.Epoch)
+	return fmt.Sprintf("SHARD %s %s %d", map[ActionKind]string{ActionClose: "CLOSE", ActionAbortTransactions: "CUT", ActionDrop: "DROP",
+		ActionDiscard: "ABANDON"}[a.Kind], a.Shard, a.Epoch)
 }
 
 // ResultOf reads a node's answer: its rows, or the text of its refusal.
-func (a *Act) ResultOf(rows []string, refusal string) Result {
+func (a *Action) ParseResult(rows []string, refusal string) Result {
 	if refusal != "" {
-		return Result{Err: strings.ToLower(strings.Fields(refusal)[0])}
+		return Result{Code: strings.ToLower(strings.Fields(refusal)[0])}
 	}
 	r := Result{}
 	row := strings.Join(rows, " ")
 	switch a.Kind {
-	case Close, Cut:
-		if n, _ := fmt.Sscan(row, &r.Last, &r.Done); n != 2 {
-			r.Err = badState
+	case ActionClose, ActionAbortTransactions:
+		if n, _ := fmt.Sscan(row, &r.LastIndex, &r.Done); n != 2 {
+			r.Code = resultWrongState
 		}
-	case Fetch:
-		if n, _ := fmt.Sscan(row, &r.Last, &r.More, &r.Done, &r.Took); n != 4 {
-			r.Err = badState
+	case ActionFetch:
+		if n, _ := fmt.Sscan(row, &r.LastIndex, &r.Remaining, &r.Done, &r.Bytes); n != 4 {
+			r.Code = resultWrongState
 		}
 	}
 	return r
 }
 
 // ReadReport reads the answer to LOOK.
-func ReadReport(rows []string) (r shardnode.Report, ok bool) {
-	return r, len(rows) == 1 && json.Unmarshal([]byte(rows[0]), &r) == nil && r.Copies != nil
+func ParseReport(rows []string) (r shardnode.Report, ok bool) {
+	return r, len(rows) == 1 && json.Unmarshal([]byte(rows[0]), &r) == nil && r.Replicas != nil
 }
--- a/internal/shard/shardnode/golden_test.go
+++ b/internal/shard/shardnode/golden_test.go
@@ -13,23 +13,23 @@
 	"weirwind/internal/standin/golden"
 )
 
-func goldenKeeper(t *testing.T) *Keeper {
+func goldenKeeper(t *testing.T) *Store {
 	t.Helper()
-	k := NewKeeper(1<<20, 100)
+	k := NewStore(1<<20, 100)
 	for _, text := range []string{"SHARD HOLD open 1 0", "SHARD HOLD closed 2 0", "SHARD RESERVE comes 3 500", "SHARD RESERVE sealed 4 500"} {
-		if _, _, err := k.Say(text); err != nil {
+		if _, _, err := k.Execute(text); err != nil {
 			t.Fatal(err)
 		}
 	}
-	k.SetForeign(77)
+	k.SetExternal(77)
 	if _, err := k.Write("open", 1, "c.1", []byte("value")); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := k.Settle("open", 1, "c.2"); !errors.Is(err, ErrVoid) {
+	if _, err := k.ResolveAttempt("open", 1, "c.2"); !errors.Is(err, ErrAborted) {
 		t.Fatal(err)
 	}
 	for _, text := range []string{"SHARD CLOSE closed 2", "SHARD SEAL sealed 4 0"} {
-		if _, _, err := k.Say(text); err != nil {
+		if _, _, err := k.Execute(text); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -39,15 +39,15 @@
 // The stored form. Maps are encoded one key at a time, as their order is not fixed.
 func TestGoldenForms(t *testing.T) {
 	k := goldenKeeper(t)
-	var copies []golden.Case[Copy]
+	var copies []golden.Case[Replica]
 	for _, shard := range []string{"open", "closed", "comes", "sealed"} {
-		c := *k.Copies[shard]
-		c.byID = nil
+		c := *k.Replicas[shard]
+		c.byAttempt = nil
 		copies = append(copies, golden.Of(shard, c))
 	}
 	golden.CBOR(t, "testdata/copies.cbor", copies)
-	golden.CBOR(t, "testdata/keeper.cbor", []golden.Case[Keeper]{golden.Of("keeper",
-		Keeper{Limit: 9, Foreign: 1, Reserve: 2, Copies: map[string]*Copy{}, Known: map[string]uint64{"s": 4}})})
+	golden.CBOR(t, "testdata/keeper.cbor", []golden.Case[Store]{golden.Of("keeper",
+		Store{Capacity: 9, External: 1, Headroom: 2, Replicas: map[string]*Replica{}, HighestEpochs: map[string]uint64{"s": 4}})})
 	golden.JSON(t, "testdata/report.json", []golden.Case[Report]{golden.Of("report", k.Report())})
 	golden.JSON(t, "testdata/entry.json", []golden.Case[Entry]{golden.Of("effect", Entry{1, "c.1", 5, false, []byte("value")}),
 		golden.Of("void", Entry{2, "c.2", 0, true, nil})})
@@ -70,31 +70,31 @@
 		"SHARD FETCH sealed 4 100 9 10.0.0.1:1 svc id", "SHARD FETCH open 1 100 0 10.0.0.1:1 svc id", "SHARD FETCH comes 3 100 0 x",
 		"SHARD FETCH comes 3 x 0 10.0.0.1:1 svc id", "SHARD NONE open 1",
 	} {
-		rows, fetch, err := goldenKeeper(t).Say(text)
+		rows, fetch, err := goldenKeeper(t).Execute(text)
 		code := ""
 		if err != nil {
 			code = Code(err)
 		}
 		said := fmt.Sprintf("%q %q", rows, code)
 		if fetch != nil {
-			said += fmt.Sprint(fetch.Shard, fetch.Epoch, fetch.Bytes, fetch.Last, fetch.Addr, fetch.Svc, fetch.ID, fetch.After,
-				fetch.EntriesAsk)
+			said += fmt.Sprint(fetch.Shard, fetch.Epoch, fetch.MaxBytes, fetch.SealAt, fetch.Addr, fetch.Service, fetch.Member, fetch.AfterIndex,
+				fetch.EntriesStatement)
 		}
 		cases = append(cases, golden.Of(text, said))
 	}
 	for _, text := range []string{"ON s 3 READ x y", "ON s x READ", "ON s 3", "READ x"} {
-		shard, epoch, rest, ok := On(text)
+		shard, epoch, rest, ok := CutShardPrefix(text)
 		cases = append(cases, golden.Of(text, fmt.Sprint(shard, " ", epoch, " ", rest, " ", ok)))
 	}
 	k := goldenKeeper(t)
 	for _, rows := range [][]string{nil, {"x"}, {"0", "x"}, {"7", `{"N":1,"ID":"a","Bytes":3,"Body":"YWJj"}`}, {"0", `{"N":9}`}} {
-		got, err := k.Fetched(&Fetch{Shard: "comes", Epoch: 3, Last: 1}, rows)
+		got, err := k.ApplyFetch(&FetchRequest{Shard: "comes", Epoch: 3, SealAt: 1}, rows)
 		cases = append(cases, golden.Of(fmt.Sprint("fetched ", rows), fmt.Sprint(got, err)))
 	}
-	for _, err := range []error{ErrNoRoom, ErrVoid, ErrOld, ErrBehind, ErrState, &Moved{7}, fmt.Errorf("x: %w", ErrOld), errors.New("x")} {
+	for _, err := range []error{ErrNoCapacity, ErrAborted, ErrStaleEpoch, ErrIncomplete, ErrWrongState, &MovedError{7}, fmt.Errorf("x: %w", ErrStaleEpoch), errors.New("x")} {
 		cases = append(cases, golden.Of("code "+err.Error(), Code(err)))
 	}
-	cases = append(cases, golden.Of("stamp", Stamp("s", Entry{N: 7})))
+	cases = append(cases, golden.Of("stamp", EffectPosition("s", Entry{Index: 7})))
 	golden.Text(t, "testdata/statements.txt", cases)
 }
 
@@ -108,7 +108,7 @@
 	}
 	for seed := range uint64(40) {
 		r := rand.New(rand.NewPCG(seed, 3))
-		nodes := []*Keeper{NewKeeper(3000, 200), NewKeeper(3000, 200)}
+		nodes := []*Store{NewStore(3000, 200), NewStore(3000, 200)}
 		epochs := map[string]uint64{"s0": 1, "s1": 1, "s2": 1}
 		for step := range 400 {
 			k, shard := nodes[r.IntN(2)], fmt.Sprint("s", r.IntN(3))
@@ -122,7 +122,7 @@
 					t.Fatal(err)
 				}
 				_, _ = trace.Write(b)
-				_, _ = fmt.Fprint(trace, k.Free(), k.Used())
+				_, _ = fmt.Fprint(trace, k.FreeBytes(), k.UsedBytes())
 			}
 			_, _ = fmt.Fprint(trace, step, said)
 		}
@@ -133,7 +133,7 @@
 }
 
 // drawnStatement has a node do one thing and gives what it answered.
-func drawnStatement(r *rand.Rand, nodes []*Keeper, k *Keeper, shard string, epoch uint64) string {
+func drawnStatement(r *rand.Rand, nodes []*Store, k *Store, shard string, epoch uint64) string {
 	code := func(err error) string {
 		if err == nil {
 			return ""
@@ -142,46 +142,46 @@
 	}
 	last := uint64(0)
 	for _, n := range nodes {
-		if c := n.Copies[shard]; c != nil {
-			last = max(last, c.Last())
+		if c := n.Replicas[shard]; c != nil {
+			last = max(last, c.LastIndex())
 		}
 	}
 	id := fmt.Sprint("id", r.IntN(60))
 	switch what := r.IntN(22); what {
 	case 0, 1, 2, 3:
 		e, err := k.Write(shard, epoch, id, make([]byte, r.IntN(300)))
-		return fmt.Sprint(e.N, code(err))
+		return fmt.Sprint(e.Index, code(err))
 	case 4:
-		return code(k.Read(shard, epoch))
+		return code(k.CheckRead(shard, epoch))
 	case 5:
-		return code(k.Begin(shard, epoch))
+		return code(k.BeginTransaction(shard, epoch))
 	case 6:
-		e, err := k.Commit(shard, epoch, id, make([]byte, r.IntN(100)))
-		return fmt.Sprint(e.N, code(err))
+		e, err := k.CommitTransaction(shard, epoch, id, make([]byte, r.IntN(100)))
+		return fmt.Sprint(e.Index, code(err))
 	case 7:
-		k.End(shard, epoch)
+		k.EndTransaction(shard, epoch)
 	case 8:
-		e, err := k.Settle(shard, epoch, id)
-		return fmt.Sprint(e.N, code(err))
+		e, err := k.ResolveAttempt(shard, epoch, id)
+		return fmt.Sprint(e.Index, code(err))
 	case 9:
-		k.SetForeign(int64(r.IntN(1200)))
+		k.SetExternal(int64(r.IntN(1200)))
 	case 10:
-		k.Restart()
+		k.Recover()
 	case 11, 12, 13, 14:
-		_, fetch, err := k.Say(fmt.Sprintf("SHARD FETCH %s %d %d %d a s i", shard, epoch, 100+r.IntN(500), last*uint64(r.IntN(2))))
+		_, fetch, err := k.Execute(fmt.Sprintf("SHARD FETCH %s %d %d %d a s i", shard, epoch, 100+r.IntN(500), last*uint64(r.IntN(2))))
 		if err != nil {
 			return code(err)
 		}
-		rows, _, err := nodes[r.IntN(2)].Say(fetch.EntriesAsk)
+		rows, _, err := nodes[r.IntN(2)].Execute(fetch.EntriesStatement)
 		if err != nil {
 			return code(err)
 		}
-		rows, err = k.Fetched(fetch, rows)
+		rows, err = k.ApplyFetch(fetch, rows)
 		return fmt.Sprint(rows, code(err))
 	default:
 		text := []string{"RESERVE %s %d 700", "SEAL %s %d " + fmt.Sprint(last), "HOLD %s %d 0", "HOLD %s %d " + fmt.Sprint(last),
 			"CLOSE %s %d", "CUT %s %d", "DROP %s %d", "ABANDON %s %d", "RESERVE %s %d 100"}[r.IntN(9)]
-		rows, _, err := k.Say("SHARD " + fmt.Sprintf(text, shard, epoch))
+		rows, _, err := k.Execute("SHARD " + fmt.Sprintf(text, shard, epoch))
 		return fmt.Sprint(rows, code(err))
 	}
 	return ""
@@ -189,7 +189,7 @@
 
 // The entries of a report and of an answer are read by name.
 func TestEntryRowsAreReadByName(t *testing.T) {
-	rows, _, err := goldenKeeper(t).Say("SHARD ENTRIES open 1 0 1000")
+	rows, _, err := goldenKeeper(t).Execute("SHARD ENTRIES open 1 0 1000")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/shard/shardnode/shardnode.go
+++ b/internal/shard/shardnode/shardnode.go
@@ -16,377 +16,379 @@
 type State string
 
 const (
-	Receiving State = "receiving" // reserved, and filled from its holder
-	Sealed    State = "sealed"    // whole, and kept until it is said who holds the shard next
-	Open      State = "open"      // this node is the holder
-	Closing   State = "closing"   // transactions that are open may end, nothing new begins
-	Closed    State = "closed"    // nothing more is written here by this epoch
+	StateReceiving State = "receiving" // reserved, and filled from its holder
+	StateSealed    State = "sealed"    // whole, and kept until it is said who holds the shard next
+	StateOpen      State = "open"      // this node is the holder
+	StateClosing   State = "closing"   // transactions that are open may end, nothing new begins
+	StateClosed    State = "closed"    // nothing more is written here by this epoch
 )
 
 // Entry is one thing in a shard's log: an effect, or the word that a try has none and never will.
 type Entry struct {
-	N     uint64 `cbor:"1,keyasint"`
-	ID    string `cbor:"2,keyasint"` // of the try: its outcome moves with the shard
-	Bytes int64  `cbor:"3,keyasint"`
-	Void  bool   `cbor:"4,keyasint,omitempty"`
-	Body  []byte `cbor:"5,keyasint,omitempty"`
+	Index     uint64 `cbor:"1,keyasint" json:"N"`
+	AttemptID string `cbor:"2,keyasint" json:"ID"` // of the try: its outcome moves with the shard
+	Bytes     int64  `cbor:"3,keyasint" json:"Bytes"`
+	Aborted   bool   `cbor:"4,keyasint,omitempty" json:"Void"`
+	Body      []byte `cbor:"5,keyasint,omitempty" json:"Body"`
 }
 
 // Copy is a shard as this node has it.
-type Copy struct {
-	Epoch    uint64  `cbor:"1,keyasint"`
-	State    State   `cbor:"2,keyasint"`
-	Log      []Entry `cbor:"3,keyasint"`
-	Held     int64   `cbor:"4,keyasint"` // bytes
-	Reserved int64   `cbor:"5,keyasint"` // bytes kept free for what is still to come
-	Open     int     `cbor:"6,keyasint"` // transactions
-
-	byID map[string]int
+type Replica struct {
+	Epoch            uint64  `cbor:"1,keyasint"`
+	State            State   `cbor:"2,keyasint"`
+	Log              []Entry `cbor:"3,keyasint"`
+	Size             int64   `cbor:"4,keyasint"` // bytes
+	Reserved         int64   `cbor:"5,keyasint"` // bytes kept free for what is still to come
+	OpenTransactions int     `cbor:"6,keyasint"` // transactions
+
+	byAttempt map[string]int
 }
 
 // Last is the number of the newest entry.
-func (c *Copy) Last() uint64 { return uint64(len(c.Log)) }
+func (c *Replica) LastIndex() uint64 { return uint64(len(c.Log)) }
 
 // Keeper is what a node holds. It is synced as a whole.
-type Keeper struct {
-	Limit   int64             `cbor:"1,keyasint"` // bytes of its disk
-	Foreign int64             `cbor:"2,keyasint"` // of them taken by others
-	Reserve int64             `cbor:"3,keyasint"` // kept free of copies that come
-	Copies  map[string]*Copy  `cbor:"4,keyasint"`
-	Known   map[string]uint64 `cbor:"5,keyasint"` // newest epoch heard for each shard, of those not held too
+type Store struct {
+	Capacity      int64               `cbor:"1,keyasint"` // bytes of its disk
+	External      int64               `cbor:"2,keyasint"` // of them taken by others
+	Headroom      int64               `cbor:"3,keyasint"` // kept free of copies that come
+	Replicas      map[string]*Replica `cbor:"4,keyasint"`
+	HighestEpochs map[string]uint64   `cbor:"5,keyasint"` // newest epoch heard for each shard, of those not held too
 }
 
 // NewKeeper is empty.
-func NewKeeper(limit, reserve int64) *Keeper {
-	return &Keeper{Limit: limit, Reserve: reserve, Copies: map[string]*Copy{}, Known: map[string]uint64{}}
+func NewStore(limit, reserve int64) *Store {
+	return &Store{Capacity: limit, Headroom: reserve, Replicas: map[string]*Replica{}, HighestEpochs: map[string]uint64{}}
 }
 
 // Refusals. Each promises that nothing was done.
 var (
-	ErrNoRoom = errors.New("no room")
-	ErrVoid   = errors.New("this try never runs")
-	ErrOld    = errors.New("an older epoch than one heard before")
-	ErrBehind = errors.New("the copy lacks what the shard had at its close")
-	ErrState  = errors.New("not in this state")
+	ErrNoCapacity = errors.New("no room")
+	ErrAborted    = errors.New("this try never runs")
+	ErrStaleEpoch = errors.New("an older epoch than one heard before")
+	ErrIncomplete = errors.New("the copy lacks what the shard had at its close")
+	ErrWrongState = errors.New("not in this state")
 )
 
 // Moved refuses by the epoch: the node doesn't hold the shard, or holds it by another.
-type Moved struct{ Epoch uint64 } // the newest that this node heard; a holder by a newer one is to be waited for
+type MovedError struct{ HighestEpoch uint64 } // the newest that this node heard; a holder by a newer one is to be waited for
 
-func (m *Moved) Error() string { return fmt.Sprint("moved ", m.Epoch) }
+func (m *MovedError) Error() string { return fmt.Sprint("moved ", m.HighestEpoch) }
 
 // Free is how many bytes are neither held, nor reserved, nor another's.
-func (k *Keeper) Free() int64 {
-	free := k.Limit - k.Foreign
-	for _, c := range k.Copies {
-		free -= c.Held + c.Reserved
+func (k *Store) FreeBytes() int64 {
+	free := k.Capacity - k.External
+	for _, c := range k.Replicas {
+		free -= c.Size + c.Reserved
 	}
 	return free
 }
 
 // Used is what stands on the disk.
-func (k *Keeper) Used() int64 {
-	used := k.Foreign
-	for _, c := range k.Copies {
-		used += c.Held
+func (k *Store) UsedBytes() int64 {
+	used := k.External
+	for _, c := range k.Replicas {
+		used += c.Size
 	}
 	return used
 }
 
-func (k *Keeper) heard(shard string, epoch uint64) { k.Known[shard] = max(k.Known[shard], epoch) }
+func (k *Store) observeEpoch(shard string, epoch uint64) {
+	k.HighestEpochs[shard] = max(k.HighestEpochs[shard], epoch)
+}
 
 // holder gives the copy that a statement by epoch may run on.
-func (k *Keeper) holder(shard string, epoch uint64) (*Copy, error) {
-	c := k.Copies[shard]
-	if c == nil || c.State != Open || c.Epoch != epoch {
-		return nil, &Moved{k.Known[shard]}
+func (k *Store) served(shard string, epoch uint64) (*Replica, error) {
+	c := k.Replicas[shard]
+	if c == nil || c.State != StateOpen || c.Epoch != epoch {
+		return nil, &MovedError{k.HighestEpochs[shard]}
 	}
 	return c, nil
 }
 
 // give lets copies that are only coming go until so many bytes are free: moves give way to writes.
-func (k *Keeper) give(bytes int64) bool {
-	for _, shard := range slices.Sorted(maps.Keys(k.Copies)) {
-		if k.Free() >= bytes {
+func (k *Store) evictUntilFree(bytes int64) bool {
+	for _, shard := range slices.Sorted(maps.Keys(k.Replicas)) {
+		if k.FreeBytes() >= bytes {
 			break
 		}
-		if k.Copies[shard].State == Receiving {
-			delete(k.Copies, shard)
+		if k.Replicas[shard].State == StateReceiving {
+			delete(k.Replicas, shard)
 		}
 	}
-	return k.Free() >= bytes
+	return k.FreeBytes() >= bytes
 }
 
 // SetForeign takes note of what others hold of the disk.
-func (k *Keeper) SetForeign(bytes int64) {
-	k.Foreign = bytes
-	k.give(0)
+func (k *Store) SetExternal(bytes int64) {
+	k.External = bytes
+	k.evictUntilFree(0)
 }
 
-func (c *Copy) find(id string) (Entry, bool) {
-	if c.byID == nil || len(c.byID) != len(c.Log) {
-		c.byID = map[string]int{}
+func (c *Replica) findAttempt(id string) (Entry, bool) {
+	if c.byAttempt == nil || len(c.byAttempt) != len(c.Log) {
+		c.byAttempt = map[string]int{}
 		for i, e := range c.Log {
-			c.byID[e.ID] = i
+			c.byAttempt[e.AttemptID] = i
 		}
 	}
-	if i, ok := c.byID[id]; ok {
+	if i, ok := c.byAttempt[id]; ok {
 		return c.Log[i], true
 	}
 	return Entry{}, false
 }
 
-func (c *Copy) add(e Entry) Entry {
-	e.N = c.Last() + 1
-	c.find(e.ID)
-	c.byID[e.ID] = len(c.Log)
+func (c *Replica) appendEntry(e Entry) Entry {
+	e.Index = c.LastIndex() + 1
+	c.findAttempt(e.AttemptID)
+	c.byAttempt[e.AttemptID] = len(c.Log)
 	c.Log = append(c.Log, e)
-	c.Held += e.Bytes
+	c.Size += e.Bytes
 	return e
 }
 
 // Read says whether a read by epoch may run.
-func (k *Keeper) Read(shard string, epoch uint64) error {
-	_, err := k.holder(shard, epoch)
+func (k *Store) CheckRead(shard string, epoch uint64) error {
+	_, err := k.served(shard, epoch)
 	return err
 }
 
 // Write runs a try, once: told of the same again it gives what came of it.
-func (k *Keeper) Write(shard string, epoch uint64, id string, body []byte) (Entry, error) {
-	c, err := k.holder(shard, epoch)
+func (k *Store) Write(shard string, epoch uint64, id string, body []byte) (Entry, error) {
+	c, err := k.served(shard, epoch)
 	if err != nil {
 		return Entry{}, err
 	}
-	return k.run(c, id, body)
+	return k.applyOnce(c, id, body)
 }
 
-func (k *Keeper) run(c *Copy, id string, body []byte) (Entry, error) {
-	if e, ok := c.find(id); ok {
-		if e.Void {
-			return Entry{}, ErrVoid
+func (k *Store) applyOnce(c *Replica, id string, body []byte) (Entry, error) {
+	if e, ok := c.findAttempt(id); ok {
+		if e.Aborted {
+			return Entry{}, ErrAborted
 		}
 		return e, nil
 	}
-	if !k.give(int64(len(body))) {
-		return Entry{}, ErrNoRoom
+	if !k.evictUntilFree(int64(len(body))) {
+		return Entry{}, ErrNoCapacity
 	}
-	return c.add(Entry{ID: id, Bytes: int64(len(body)), Body: body}), nil
+	return c.appendEntry(Entry{AttemptID: id, Bytes: int64(len(body)), Body: body}), nil
 }
 
 // Begin opens a transaction; Commit runs what it wrote under the try's id, and End counts it out, committed or not.
-func (k *Keeper) Begin(shard string, epoch uint64) error {
-	c, err := k.holder(shard, epoch)
+func (k *Store) BeginTransaction(shard string, epoch uint64) error {
+	c, err := k.served(shard, epoch)
 	if err == nil {
-		c.Open++
+		c.OpenTransactions++
 	}
 	return err
 }
 
 // Commit runs a transaction's writes as one effect. It is taken while the shard closes, not behind its close.
-func (k *Keeper) Commit(shard string, epoch uint64, id string, body []byte) (Entry, error) {
-	c := k.Copies[shard]
-	if c == nil || c.Epoch != epoch || c.State != Open && c.State != Closing {
-		return Entry{}, &Moved{k.Known[shard]}
+func (k *Store) CommitTransaction(shard string, epoch uint64, id string, body []byte) (Entry, error) {
+	c := k.Replicas[shard]
+	if c == nil || c.Epoch != epoch || c.State != StateOpen && c.State != StateClosing {
+		return Entry{}, &MovedError{k.HighestEpochs[shard]}
 	}
-	return k.run(c, id, body)
+	return k.applyOnce(c, id, body)
 }
 
 // End ends a transaction.
-func (k *Keeper) End(shard string, epoch uint64) {
-	if c := k.Copies[shard]; c != nil && c.Epoch == epoch && c.Open > 0 {
-		c.Open--
-		k.settled(c)
+func (k *Store) EndTransaction(shard string, epoch uint64) {
+	if c := k.Replicas[shard]; c != nil && c.Epoch == epoch && c.OpenTransactions > 0 {
+		c.OpenTransactions--
+		k.finishClosing(c)
 	}
 }
 
-func (k *Keeper) settled(c *Copy) {
-	if c.State == Closing && c.Open == 0 {
-		c.State = Closed
+func (k *Store) finishClosing(c *Replica) {
+	if c.State == StateClosing && c.OpenTransactions == 0 {
+		c.State = StateClosed
 	}
 }
 
 // Settle says for certain what came of a try that was sent and not answered: its entry, or ErrVoid, and then it never
 // runs.
-func (k *Keeper) Settle(shard string, epoch uint64, id string) (Entry, error) {
-	c, err := k.holder(shard, epoch)
+func (k *Store) ResolveAttempt(shard string, epoch uint64, id string) (Entry, error) {
+	c, err := k.served(shard, epoch)
 	if err != nil {
 		return Entry{}, err
 	}
-	if e, ok := c.find(id); ok && !e.Void {
+	if e, ok := c.findAttempt(id); ok && !e.Aborted {
 		return e, nil
 	} else if !ok {
-		c.add(Entry{ID: id, Void: true})
+		c.appendEntry(Entry{AttemptID: id, Aborted: true})
 	}
-	return Entry{}, ErrVoid
+	return Entry{}, ErrAborted
 }
 
 // ReserveFor makes room for a copy that is to come from the holder by epoch. The node decides, on what is really free.
-func (k *Keeper) ReserveFor(shard string, epoch uint64, bytes int64) error {
-	if epoch < k.Known[shard] {
-		return ErrOld
+func (k *Store) Reserve(shard string, epoch uint64, bytes int64) error {
+	if epoch < k.HighestEpochs[shard] {
+		return ErrStaleEpoch
 	}
-	c := k.Copies[shard]
+	c := k.Replicas[shard]
 	if c != nil {
-		if c.State == Receiving && c.Epoch == epoch {
+		if c.State == StateReceiving && c.Epoch == epoch {
 			return nil
 		}
-		if c.State != Receiving && c.State != Sealed || c.Epoch > epoch {
-			return ErrState
+		if c.State != StateReceiving && c.State != StateSealed || c.Epoch > epoch {
+			return ErrWrongState
 		}
 		if c.Epoch == epoch { // sealed: it has all
 			return nil
 		}
-		delete(k.Copies, shard) // of an older move
+		delete(k.Replicas, shard) // of an older move
 	}
-	if k.Free()-k.Reserve < bytes {
+	if k.FreeBytes()-k.Headroom < bytes {
 		if c != nil {
-			k.Copies[shard] = c
+			k.Replicas[shard] = c
 		}
-		return ErrNoRoom
+		return ErrNoCapacity
 	}
-	k.heard(shard, epoch)
-	k.Copies[shard] = &Copy{Epoch: epoch, State: Receiving, Reserved: bytes}
+	k.observeEpoch(shard, epoch)
+	k.Replicas[shard] = &Replica{Epoch: epoch, State: StateReceiving, Reserved: bytes}
 	return nil
 }
 
 // Receive takes entries that follow what is there. Beyond what was reserved it needs room that is free.
-func (k *Keeper) Receive(shard string, epoch uint64, entries []Entry) error {
-	c := k.Copies[shard]
-	if c == nil || c.State != Receiving || c.Epoch != epoch {
-		return ErrState
+func (k *Store) AppendEntries(shard string, epoch uint64, entries []Entry) error {
+	c := k.Replicas[shard]
+	if c == nil || c.State != StateReceiving || c.Epoch != epoch {
+		return ErrWrongState
 	}
 	for _, e := range entries {
-		if e.N <= c.Last() {
+		if e.Index <= c.LastIndex() {
 			continue
 		}
-		if e.N != c.Last()+1 {
-			return ErrBehind
+		if e.Index != c.LastIndex()+1 {
+			return ErrIncomplete
 		}
-		if more := e.Bytes - c.Reserved; more > 0 && k.Free()-k.Reserve < more {
-			delete(k.Copies, shard)
-			return ErrNoRoom
+		if more := e.Bytes - c.Reserved; more > 0 && k.FreeBytes()-k.Headroom < more {
+			delete(k.Replicas, shard)
+			return ErrNoCapacity
 		}
 		c.Reserved = max(0, c.Reserved-e.Bytes)
-		c.add(e)
+		c.appendEntry(e)
 	}
 	return nil
 }
 
 // Seal keeps a copy that is whole up to last, whatever comes, until it is opened or dropped.
-func (k *Keeper) Seal(shard string, epoch, last uint64) error {
-	c := k.Copies[shard]
+func (k *Store) Seal(shard string, epoch, last uint64) error {
+	c := k.Replicas[shard]
 	switch {
-	case c == nil || c.Epoch != epoch || c.State != Receiving && c.State != Sealed:
-		return ErrState
-	case c.Last() != last:
-		return ErrBehind
+	case c == nil || c.Epoch != epoch || c.State != StateReceiving && c.State != StateSealed:
+		return ErrWrongState
+	case c.LastIndex() != last:
+		return ErrIncomplete
 	}
-	c.State, c.Reserved = Sealed, 0
+	c.State, c.Reserved = StateSealed, 0
 	return nil
 }
 
 // Close ends writes by epoch. done: nothing is open any more, and last is the end of the shard's log for good.
-func (k *Keeper) Close(shard string, epoch uint64) (last uint64, done bool, err error) {
-	c := k.Copies[shard]
-	if c == nil || c.Epoch != epoch || c.State == Receiving || c.State == Sealed {
-		return 0, false, &Moved{k.Known[shard]}
+func (k *Store) Close(shard string, epoch uint64) (last uint64, done bool, err error) {
+	c := k.Replicas[shard]
+	if c == nil || c.Epoch != epoch || c.State == StateReceiving || c.State == StateSealed {
+		return 0, false, &MovedError{k.HighestEpochs[shard]}
 	}
-	if c.State == Open {
-		c.State = Closing
+	if c.State == StateOpen {
+		c.State = StateClosing
 	}
-	k.settled(c)
-	return c.Last(), c.State == Closed, nil
+	k.finishClosing(c)
+	return c.LastIndex(), c.State == StateClosed, nil
 }
 
 // Cut ends the transactions that are open as a shard closes; the runner rolls them back.
-func (k *Keeper) Cut(shard string) {
-	if c := k.Copies[shard]; c != nil && c.State == Closing {
-		c.Open = 0
-		k.settled(c)
+func (k *Store) AbortTransactions(shard string) {
+	if c := k.Replicas[shard]; c != nil && c.State == StateClosing {
+		c.OpenTransactions = 0
+		k.finishClosing(c)
 	}
 }
 
 // Hold opens the shard here by an epoch that was agreed on: behind a move, with all up to last, or back at who closed
 // it. Told again it changes nothing.
-func (k *Keeper) Hold(shard string, epoch, last uint64) error {
-	c := k.Copies[shard]
+func (k *Store) Activate(shard string, epoch, last uint64) error {
+	c := k.Replicas[shard]
 	if c == nil {
-		if last == 0 && epoch > k.Known[shard] { // a new shard
-			k.heard(shard, epoch)
-			k.Copies[shard] = &Copy{Epoch: epoch, State: Open}
+		if last == 0 && epoch > k.HighestEpochs[shard] { // a new shard
+			k.observeEpoch(shard, epoch)
+			k.Replicas[shard] = &Replica{Epoch: epoch, State: StateOpen}
 			return nil
 		}
-		return ErrBehind
+		return ErrIncomplete
 	}
 	switch {
-	case c.State == Open && c.Epoch == epoch:
+	case c.State == StateOpen && c.Epoch == epoch:
 		return nil
-	case epoch <= k.Known[shard]:
-		return ErrOld
-	case c.State == Receiving || c.Last() < last:
-		return ErrBehind
+	case epoch <= k.HighestEpochs[shard]:
+		return ErrStaleEpoch
+	case c.State == StateReceiving || c.LastIndex() < last:
+		return ErrIncomplete
 	}
-	c.Epoch, c.State, c.Reserved, c.Open = epoch, Open, 0, 0
-	k.heard(shard, epoch)
+	c.Epoch, c.State, c.Reserved, c.OpenTransactions = epoch, StateOpen, 0, 0
+	k.observeEpoch(shard, epoch)
 	return nil
 }
 
 // Drop lets a copy go that another holds by a newer epoch.
-func (k *Keeper) Drop(shard string, epoch uint64) error {
-	c := k.Copies[shard]
+func (k *Store) Drop(shard string, epoch uint64) error {
+	c := k.Replicas[shard]
 	if c == nil {
-		k.heard(shard, epoch)
+		k.observeEpoch(shard, epoch)
 		return nil
 	}
-	if epoch <= c.Epoch || epoch < k.Known[shard] {
-		return ErrOld
+	if epoch <= c.Epoch || epoch < k.HighestEpochs[shard] {
+		return ErrStaleEpoch
 	}
-	if c.State == Open || c.State == Closing {
-		return ErrState
+	if c.State == StateOpen || c.State == StateClosing {
+		return ErrWrongState
 	}
-	delete(k.Copies, shard)
-	k.heard(shard, epoch)
+	delete(k.Replicas, shard)
+	k.observeEpoch(shard, epoch)
 	return nil
 }
 
 // Abandon lets go of a copy that was coming by epoch.
-func (k *Keeper) Abandon(shard string, epoch uint64) error {
-	if c := k.Copies[shard]; c != nil && c.State == Receiving {
+func (k *Store) Discard(shard string, epoch uint64) error {
+	if c := k.Replicas[shard]; c != nil && c.State == StateReceiving {
 		if c.Epoch > epoch {
-			return ErrOld
+			return ErrStaleEpoch
 		}
-		delete(k.Copies, shard)
+		delete(k.Replicas, shard)
 	}
 	return nil
 }
 
 // Restart is what a process does with what its disk held: transactions that were open are no more.
-func (k *Keeper) Restart() {
-	if k.Copies == nil {
-		k.Copies = map[string]*Copy{}
+func (k *Store) Recover() {
+	if k.Replicas == nil {
+		k.Replicas = map[string]*Replica{}
 	}
-	if k.Known == nil {
-		k.Known = map[string]uint64{}
+	if k.HighestEpochs == nil {
+		k.HighestEpochs = map[string]uint64{}
 	}
-	for _, c := range k.Copies {
-		c.Open = 0
-		k.settled(c)
+	for _, c := range k.Replicas {
+		c.OpenTransactions = 0
+		k.finishClosing(c)
 	}
 }
 
 // Entries gives what follows after in a shard's log, as far as most bytes go and one entry at least; more is how many
 // are left. Only who holds it by epoch, or closed it by it, says so.
-func (k *Keeper) Entries(shard string, epoch, after uint64, most int64) (out []Entry, more uint64, err error) {
-	c := k.Copies[shard]
-	if c == nil || c.Epoch != epoch || c.State == Receiving || c.State == Sealed {
-		return nil, 0, &Moved{k.Known[shard]}
+func (k *Store) ReadEntries(shard string, epoch, after uint64, most int64) (out []Entry, more uint64, err error) {
+	c := k.Replicas[shard]
+	if c == nil || c.Epoch != epoch || c.State == StateReceiving || c.State == StateSealed {
+		return nil, 0, &MovedError{k.HighestEpochs[shard]}
 	}
 	size := int64(0)
-	for _, e := range c.Log[min(after, c.Last()):] {
+	for _, e := range c.Log[min(after, c.LastIndex()):] {
 		if size += e.Bytes + 32; len(out) > 0 && size > most {
 			break
 		}
 		out = append(out, e)
 	}
-	return out, c.Last() - min(after, c.Last()) - uint64(len(out)), nil
+	return out, c.LastIndex() - min(after, c.LastIndex()) - uint64(len(out)), nil
 }
--- a/internal/shard/shardnode/statements.go
+++ b/internal/shard/shardnode/statements.go
@@ -23,24 +23,24 @@
 
 // Code gives the words behind FAIL for a refusal.
 func Code(err error) string {
-	var moved *Moved
+	var moved *MovedError
 	switch {
 	case errors.As(err, &moved):
-		return CodeMoved + " " + strconv.FormatUint(moved.Epoch, 10)
-	case errors.Is(err, ErrNoRoom):
+		return CodeMoved + " " + strconv.FormatUint(moved.HighestEpoch, 10)
+	case errors.Is(err, ErrNoCapacity):
 		return CodeNoRoom
-	case errors.Is(err, ErrVoid):
+	case errors.Is(err, ErrAborted):
 		return CodeVoid
-	case errors.Is(err, ErrOld):
+	case errors.Is(err, ErrStaleEpoch):
 		return CodeOld
-	case errors.Is(err, ErrBehind):
+	case errors.Is(err, ErrIncomplete):
 		return CodeBehind
 	}
 	return CodeState
 }
 
 // On takes ON shard epoch off the front of a text; ok is false where it isn't there.
-func On(text string) (shard string, epoch uint64, rest string, ok bool) {
+func CutShardPrefix(text string) (shard string, epoch uint64, rest string, ok bool) {
 	f := strings.SplitN(text, " ", 4)
 	if len(f) < 4 || f[0] != "ON" {
 		return "", 0, text, false
@@ -50,54 +50,56 @@
 }
 
 // Stamp is what an effect is answered with, the same wherever the shard has moved since.
-func Stamp(shard string, e Entry) string { return shard + "." + strconv.FormatUint(e.N, 10) }
+func EffectPosition(shard string, e Entry) string {
+	return shard + "." + strconv.FormatUint(e.Index, 10)
+}
 
 // Report is a node's, for LOOK.
 type Report struct {
-	Limit   int64           `json:"limit"`
-	Foreign int64           `json:"foreign"`
-	Free    int64           `json:"free"`
-	Busy    int             `json:"busy"`
-	Slots   int             `json:"slots"`
-	Copies  map[string]Have `json:"copies"`
+	Capacity int64                    `json:"limit"`
+	External int64                    `json:"foreign"`
+	Free     int64                    `json:"free"`
+	Busy     int                      `json:"busy"`
+	Slots    int                      `json:"slots"`
+	Replicas map[string]ReplicaReport `json:"copies"`
 }
 
 // Have is a copy as its node says.
-type Have struct {
-	Epoch uint64 `json:"epoch"`
-	State State  `json:"state"`
-	Last  uint64 `json:"last"`
-	Held  int64  `json:"held"`
+type ReplicaReport struct {
+	Epoch     uint64 `json:"epoch"`
+	State     State  `json:"state"`
+	LastIndex uint64 `json:"last"`
+	Size      int64  `json:"held"`
 }
 
 // Report says what the keeper holds.
-func (k *Keeper) Report() Report {
-	r := Report{Limit: k.Limit, Foreign: k.Foreign, Free: k.Free(), Copies: map[string]Have{}}
-	for shard, c := range k.Copies {
-		r.Copies[shard] = Have{c.Epoch, c.State, c.Last(), c.Held}
+func (k *Store) Report() Report {
+	r := Report{Capacity: k.Capacity, External: k.External, Free: k.FreeBytes(), Replicas: map[string]ReplicaReport{}}
+	for shard, c := range k.Replicas {
+		r.Replicas[shard] = ReplicaReport{c.Epoch, c.State, c.LastIndex(), c.Size}
 	}
 	return r
 }
 
 // Fetch is what FETCH asks a node to do: to take entries from another. Its runner calls the other and gives them to
 // Receive.
-type Fetch struct {
-	Shard      string
-	Epoch      uint64
-	Bytes      int64
-	Last       uint64 // once it has that much, the copy is sealed; 0: not
-	Addr       string // of the node that holds it, with the name of its service and its id
-	Svc, ID    string
-	After      uint64 // what is here
-	EntriesAsk string // the question to put there
+type FetchRequest struct {
+	Shard            string
+	Epoch            uint64
+	MaxBytes         int64
+	SealAt           uint64 // once it has that much, the copy is sealed; 0: not
+	Addr             string // of the node that holds it, with the name of its service and its id
+	Service, Member  string
+	AfterIndex       uint64 // what is here
+	EntriesStatement string // the question to put there
 }
 
 // Say answers a SHARD text with rows. A FETCH gives what is to be fetched instead; the state is to be synced before the
 // answer.
-func (k *Keeper) Say(text string) (rows []string, fetch *Fetch, err error) {
+func (k *Store) Execute(text string) (rows []string, fetch *FetchRequest, err error) {
 	f := strings.Fields(text)
 	if len(f) < 2 || f[0] != "SHARD" {
-		return nil, nil, ErrState
+		return nil, nil, ErrWrongState
 	}
 	if f[1] == "LOOK" {
 		b, err := json.Marshal(k.Report())
@@ -105,17 +107,17 @@
 	}
 	num := func(i int) uint64 {
 		if i >= len(f) {
-			err = ErrState
+			err = ErrWrongState
 			return 0
 		}
 		n, wrong := strconv.ParseUint(f[i], 10, 63)
 		if wrong != nil {
-			err = ErrState
+			err = ErrWrongState
 		}
 		return n
 	}
 	if len(f) < 4 {
-		return nil, nil, ErrState
+		return nil, nil, ErrWrongState
 	}
 	shard, epoch := f[2], num(3)
 	if err != nil {
@@ -124,7 +126,7 @@
 	switch f[1] {
 	case "RESERVE":
 		if n := num(4); err == nil {
-			err = k.ReserveFor(shard, epoch, int64(n))
+			err = k.Reserve(shard, epoch, int64(n))
 		}
 	case "SEAL":
 		if n := num(4); err == nil {
@@ -132,25 +134,25 @@
 		}
 	case "HOLD":
 		if n := num(4); err == nil {
-			err = k.Hold(shard, epoch, n)
+			err = k.Activate(shard, epoch, n)
 		}
 	case "SETTLE":
 		if len(f) != 5 {
-			return nil, nil, ErrState
+			return nil, nil, ErrWrongState
 		}
 		var e Entry
-		if e, err = k.Settle(shard, epoch, f[4]); err == nil {
-			rows = []string{Stamp(shard, e)}
+		if e, err = k.ResolveAttempt(shard, epoch, f[4]); err == nil {
+			rows = []string{EffectPosition(shard, e)}
 		}
 	case "DROP":
 		err = k.Drop(shard, epoch)
 	case "ABANDON":
-		err = k.Abandon(shard, epoch)
+		err = k.Discard(shard, epoch)
 	case "CLOSE", "CUT":
 		var last uint64
 		var done bool
 		if last, done, err = k.Close(shard, epoch); err == nil && f[1] == "CUT" && !done {
-			k.Cut(shard)
+			k.AbortTransactions(shard)
 			last, done, err = k.Close(shard, epoch)
 		}
 		rows = []string{fmt.Sprint(last, " ", done)}
@@ -159,7 +161,7 @@
 		if err != nil {
 			break
 		}
-		entries, more, wrong := k.Entries(shard, epoch, after, int64(most))
+		entries, more, wrong := k.ReadEntries(shard, epoch, after, int64(most))
 		if err = wrong; err == nil {
 			rows = append(rows, fmt.Sprint(more))
 			for _, e := range entries {
@@ -169,49 +171,49 @@
 		}
 	case "FETCH":
 		bytes, last := num(4), num(5)
-		c := k.Copies[shard]
+		c := k.Replicas[shard]
 		switch {
 		case err != nil:
-		case len(f) != 9 || c == nil || c.Epoch != epoch || c.State != Receiving && c.State != Sealed:
-			err = ErrState
+		case len(f) != 9 || c == nil || c.Epoch != epoch || c.State != StateReceiving && c.State != StateSealed:
+			err = ErrWrongState
 		default:
-			fetch = &Fetch{
-				Shard: shard, Epoch: epoch, Bytes: int64(bytes), Last: last,
-				Addr: f[6], Svc: f[7], ID: f[8], After: c.Last(),
-				EntriesAsk: fmt.Sprintf("SHARD ENTRIES %s %d %d %d", shard, epoch, c.Last(), bytes),
+			fetch = &FetchRequest{
+				Shard: shard, Epoch: epoch, MaxBytes: int64(bytes), SealAt: last,
+				Addr: f[6], Service: f[7], Member: f[8], AfterIndex: c.LastIndex(),
+				EntriesStatement: fmt.Sprintf("SHARD ENTRIES %s %d %d %d", shard, epoch, c.LastIndex(), bytes),
 			}
 		}
 	default:
-		err = ErrState
+		err = ErrWrongState
 	}
 	return rows, fetch, err
 }
 
 // Fetched takes the rows that the other node answered, and gives those of FETCH's own answer: last, more, sealed,
 // bytes.
-func (k *Keeper) Fetched(f *Fetch, rows []string) ([]string, error) {
+func (k *Store) ApplyFetch(f *FetchRequest, rows []string) ([]string, error) {
 	if len(rows) == 0 {
-		return nil, ErrState
+		return nil, ErrWrongState
 	}
 	more, err := strconv.ParseUint(rows[0], 10, 64)
 	if err != nil {
-		return nil, ErrState
+		return nil, ErrWrongState
 	}
 	var entries []Entry
 	took := int64(0)
 	for _, r := range rows[1:] {
 		var e Entry
 		if json.Unmarshal([]byte(r), &e) != nil {
-			return nil, ErrState
+			return nil, ErrWrongState
 		}
 		entries = append(entries, e)
 		took += e.Bytes
 	}
-	if c := k.Copies[f.Shard]; c == nil || c.State != Sealed {
-		if err := k.Receive(f.Shard, f.Epoch, entries); err != nil {
+	if c := k.Replicas[f.Shard]; c == nil || c.State != StateSealed {
+		if err := k.AppendEntries(f.Shard, f.Epoch, entries); err != nil {
 			return nil, err
 		}
 	}
-	sealed := f.Last > 0 && k.Seal(f.Shard, f.Epoch, f.Last) == nil
-	return []string{fmt.Sprint(k.Copies[f.Shard].Last(), " ", more, " ", sealed, " ", took)}, nil
+	sealed := f.SealAt > 0 && k.Seal(f.Shard, f.Epoch, f.SealAt) == nil
+	return []string{fmt.Sprint(k.Replicas[f.Shard].LastIndex(), " ", more, " ", sealed, " ", took)}, nil
 }
--- a/internal/shard/shardnode/statements_test.go
+++ b/internal/shard/shardnode/statements_test.go
@@ -8,11 +8,11 @@
 // A shard is copied, closed, sealed and opened elsewhere by the texts that the mover sends, and by what FETCH has the
 // target ask the source.
 func TestMoveByStatements(t *testing.T) {
-	source, target := NewKeeper(1<<20, 0), NewKeeper(1<<20, 0)
-	say := func(k *Keeper, format string, args ...any) ([]string, *Fetch) {
+	source, target := NewStore(1<<20, 0), NewStore(1<<20, 0)
+	say := func(k *Store, format string, args ...any) ([]string, *FetchRequest) {
 		t.Helper()
 		text := fmt.Sprintf(format, args...)
-		rows, fetch, err := k.Say(text)
+		rows, fetch, err := k.Execute(text)
 		if err != nil {
 			t.Fatalf("%s: %v", text, err)
 		}
@@ -29,18 +29,18 @@
 	fetchAll := func(last uint64) []string {
 		t.Helper()
 		_, fetch := say(target, "SHARD FETCH s 1 1000 %d 10.0.0.1:1 svc source", last)
-		if fetch == nil || fetch.Addr != "10.0.0.1:1" || fetch.Svc != "svc" || fetch.ID != "source" {
+		if fetch == nil || fetch.Addr != "10.0.0.1:1" || fetch.Service != "svc" || fetch.Member != "source" {
 			t.Fatalf("%+v", fetch)
 		}
-		entries, _ := say(source, "%s", fetch.EntriesAsk)
-		rows, err := target.Fetched(fetch, entries)
+		entries, _ := say(source, "%s", fetch.EntriesStatement)
+		rows, err := target.ApplyFetch(fetch, entries)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return rows
 	}
 	fetchAll(0)
-	if got := target.Copies["s"].Last(); got != writes {
+	if got := target.Replicas["s"].LastIndex(); got != writes {
 		t.Errorf("%d of %d entries were copied", got, writes)
 	}
 	rows, _ := say(source, "SHARD CLOSE s 1")
@@ -48,12 +48,12 @@
 		t.Errorf("closed with %q", rows)
 	}
 	fetchAll(writes)
-	if state := target.Copies["s"].State; state != Sealed {
+	if state := target.Replicas["s"].State; state != StateSealed {
 		t.Errorf("it is %v", state)
 	}
 	say(target, "SHARD HOLD s 2 %d", writes)
 	say(source, "SHARD DROP s 2")
-	if target.Copies["s"].State != Open || source.Copies["s"] != nil {
-		t.Errorf("%+v %+v", target.Copies["s"], source.Copies["s"])
+	if target.Replicas["s"].State != StateOpen || source.Replicas["s"] != nil {
+		t.Errorf("%+v %+v", target.Replicas["s"], source.Replicas["s"])
 	}
 }
--- a/internal/shard/shardplan/golden_test.go
+++ b/internal/shard/shardplan/golden_test.go
@@ -12,25 +12,25 @@
 
 func TestGoldenForms(t *testing.T) {
 	golden.JSON(t, "testdata/cluster.json", []golden.Case[Cluster]{golden.Of("cluster", Cluster{
-		Nodes:  []Node{{"a", "z", 9, 1, In}, {"b", "y", 8, 2, Leaving}, {"c", "y", 8, 2, Gone}},
+		Nodes:  []Node{{"a", "z", 9, 1, NodeActive}, {"b", "y", 8, 2, NodeDraining}, {"c", "y", 8, 2, NodeLost}},
 		Shards: []Shard{{"s", 5, 1, 0.5, []string{"a"}}},
 		Rules:  Rules{0.25, 0.125, true, 2}})})
 	golden.JSON(t, "testdata/plan.json", []golden.Case[Plan]{
 		golden.Of("plan", Plan{Rounds: [][]Move{{{"s", "a", "b", 7, true, false}}, {{"s", "b", "c", 7, false, true}}}, Bytes: 14,
-			Bound: 7, Why: []string{"why"}, Off: []string{"off"}}),
+			LowerBound: 7, Unplaced: []string{"why"}, OutOfBand: []string{"off"}}),
 		golden.Of("empty", Plan{})})
 }
 
 func TestGoldenRefusals(t *testing.T) {
-	node, shard := Node{ID: "a", State: In}, Shard{ID: "s", On: []string{"a"}}
+	node, shard := Node{ID: "a", State: NodeActive}, Shard{ID: "s", Replicas: []string{"a"}}
 	var cases []golden.Case[string]
 	for _, c := range []Cluster{
 		{Nodes: []Node{{}}}, {Nodes: []Node{node, node}}, {Nodes: []Node{{ID: "a", State: "x"}}},
-		{Nodes: []Node{node}, Shards: []Shard{{ID: "s"}}}, {Nodes: []Node{node}, Shards: []Shard{{ID: "s", On: []string{"b"}}}},
-		{Nodes: []Node{node}, Shards: []Shard{shard}, Rules: Rules{Band: -1}},
+		{Nodes: []Node{node}, Shards: []Shard{{ID: "s"}}}, {Nodes: []Node{node}, Shards: []Shard{{ID: "s", Replicas: []string{"b"}}}},
+		{Nodes: []Node{node}, Shards: []Shard{shard}, Rules: Rules{BalanceBand: -1}},
 		{Nodes: []Node{node}, Shards: []Shard{shard}},
 	} {
-		cases = append(cases, golden.Of(fmt.Sprint("case ", len(cases)), fmt.Sprint(c.Check())))
+		cases = append(cases, golden.Of(fmt.Sprint("case ", len(cases)), fmt.Sprint(c.Validate())))
 	}
 	golden.Text(t, "testdata/refusals.txt", cases)
 }
@@ -47,16 +47,16 @@
 			for i := range c.Shards {
 				c.Shards[i].Size += int64(r.IntN(1 << 19))
 			}
-			c.Rules.Apart, c.Rules.Round = r.IntN(4) > 0, r.IntN(4)
+			c.Rules.SpreadZones, c.Rules.MaxMovesPerNode = r.IntN(4) > 0, r.IntN(4)
 			for range 1 + seed%4 {
 				trouble(r, c)
 			}
-			b, err := json.Marshal(c.Make())
+			b, err := json.Marshal(c.MakePlan())
 			if err != nil {
 				t.Fatal(err)
 			}
 			_, _ = trace.Write(b)
-			_, _ = fmt.Fprint(trace, c.Bound())
+			_, _ = fmt.Fprint(trace, c.LowerBound())
 		}
 	}
 	if got := trace.Sum64(); got != recorded {
--- a/internal/shard/shardplan/order.go
+++ b/internal/shard/shardplan/order.go
@@ -22,14 +22,14 @@
 		used[p.ID] = p.load
 	}
 	fits := func(to string, s string) bool { return used[to]+size[s] <= b.byID[to].room }
-	most := c.Rules.Round
+	most := c.Rules.MaxMovesPerNode
 	if most == 0 {
 		most = 2
 	}
 	on := map[string][]string{} // live holders
 	for _, s := range c.Shards {
-		for _, h := range s.On {
-			if b.byID[h].State != Gone {
+		for _, h := range s.Replicas {
+			if b.byID[h].State != NodeLost {
 				on[s.ID] = append(on[s.ID], h)
 			}
 		}
@@ -41,7 +41,7 @@
 		busy := map[string]int{}
 		var rest []Move
 		for _, m := range pending {
-			if m.Copy {
+			if m.Restore {
 				m.From = on[m.Shard][0]
 			}
 			if busy[m.From] >= most || busy[m.To] >= most || !fits(m.To, m.Shard) {
@@ -57,7 +57,7 @@
 			m, ok := b.stop(&rest, used, size, index)
 			if !ok || stops > 2*len(moves)+8 {
 				for _, m := range rest {
-					plan.Why = append(plan.Why, fmt.Sprintf(
+					plan.Unplaced = append(plan.Unplaced, fmt.Sprintf(
 						"shard %s can't go to %s: %d bytes are wanted, %d are free, and no node has room for a stop",
 						m.Shard, m.To, size[m.Shard], b.byID[m.To].room-used[m.To]))
 				}
@@ -71,7 +71,7 @@
 			plan.Bytes += m.Bytes
 			used[m.To] -= size[m.Shard] - m.Bytes // what it did not grow by is free again
 			on[m.Shard] = append(on[m.Shard], m.To)
-			if !m.Copy {
+			if !m.Restore {
 				used[m.From] -= m.Bytes
 				on[m.Shard] = slices.DeleteFunc(on[m.Shard], func(h string) bool { return h == m.From })
 			}
@@ -86,14 +86,14 @@
 	best := -1
 	var at *place
 	for k, m := range *rest {
-		if m.Copy || best >= 0 && m.Bytes >= (*rest)[best].Bytes {
+		if m.Restore || best >= 0 && m.Bytes >= (*rest)[best].Bytes {
 			continue
 		}
 		if !slices.ContainsFunc(*rest, func(o Move) bool { return o.To == m.From }) {
 			continue // it stands in nobody's way
 		}
 		for _, p := range b.nodes {
-			if p.State == In && p.ID != m.From && p.ID != m.To && !p.held[index[m.Shard]] && used[p.ID]+size[m.Shard] <= p.room {
+			if p.State == NodeActive && p.ID != m.From && p.ID != m.To && !p.held[index[m.Shard]] && used[p.ID]+size[m.Shard] <= p.room {
 				best, at = k, p
 				break
 			}
@@ -103,7 +103,7 @@
 		return Move{}, false
 	}
 	m := (*rest)[best]
-	via := Move{Shard: m.Shard, From: m.From, To: at.ID, Bytes: m.Bytes, Via: true}
+	via := Move{Shard: m.Shard, From: m.From, To: at.ID, Bytes: m.Bytes, Staging: true}
 	(*rest)[best].From = at.ID
 	return via, true
 }
--- a/internal/shard/shardplan/plan.go
+++ b/internal/shard/shardplan/plan.go
@@ -17,12 +17,12 @@
 }
 
 // Make plans for a cluster that Check has nothing against.
-func (c *Cluster) Make() *Plan {
+func (c *Cluster) MakePlan() *Plan {
 	b := newBoard(c)
-	plan := &Plan{Bound: b.bound()}
+	plan := &Plan{LowerBound: b.bound()}
 	holders := make([][]*place, len(c.Shards))
 	for i, s := range c.Shards {
-		for _, on := range s.On {
+		for _, on := range s.Replicas {
 			holders[i] = append(holders[i], b.byID[on])
 		}
 	}
@@ -30,8 +30,8 @@
 	moves := b.assign(out, holders, plan)
 	moves = append(moves, b.fill(holders, moves)...)
 	for _, p := range b.nodes {
-		if p.State == In && (p.load > b.hi[p] || p.load < b.lo[p]) {
-			plan.Off = append(plan.Off, fmt.Sprintf("%s is to hold %d bytes, its band is %d to %d", p.ID, p.load, b.lo[p],
+		if p.State == NodeActive && (p.load > b.hi[p] || p.load < b.lo[p]) {
+			plan.OutOfBand = append(plan.OutOfBand, fmt.Sprintf("%s is to hold %d bytes, its band is %d to %d", p.ID, p.load, b.lo[p],
 				b.hi[p]))
 		}
 	}
@@ -42,20 +42,20 @@
 // leavers takes off their nodes the copies that are to go, fewest bytes first.
 func (b *board) leavers(holders [][]*place) (out []leaver) {
 	for _, p := range b.nodes {
-		if p.State != In {
+		if p.State != NodeActive {
 			for _, i := range slices.Sorted(maps.Keys(p.held)) {
 				out = append(out, leaver{i, p, true})
 				b.take(p, i)
 			}
 		}
 	}
-	if b.c.Rules.Apart {
+	if b.c.Rules.SpreadZones {
 		for i, hs := range holders {
 			if b.zones < len(hs) {
 				continue
 			}
 			for _, p := range slices.SortedFunc(slices.Values(hs), byLoad) {
-				if p.State == In && p.held[i] && slices.ContainsFunc(hs,
+				if p.State == NodeActive && p.held[i] && slices.ContainsFunc(hs,
 					func(o *place) bool { return o != p && o.held[i] && o.Zone == p.Zone }) {
 					out = append(out, leaver{i, p, true})
 					b.take(p, i)
@@ -64,7 +64,7 @@
 		}
 	}
 	for _, p := range b.nodes {
-		if p.State != In || p.load <= b.hi[p] {
+		if p.State != NodeActive || p.load <= b.hi[p] {
 			continue
 		}
 		for _, i := range b.subset(p, p.load-b.hi[p]) {
@@ -84,7 +84,7 @@
 func (b *board) subset(p *place, need int64) []int {
 	all := slices.SortedFunc(maps.Keys(p.held), func(x, y int) int {
 		return cmp.Or(cmp.Compare(b.c.Shards[y].Size, b.c.Shards[x].Size),
-			cmp.Compare(b.c.Shards[y].Heat, b.c.Shards[x].Heat), cmp.Compare(x, y))
+			cmp.Compare(b.c.Shards[y].RequestRate, b.c.Shards[x].RequestRate), cmp.Compare(x, y))
 	})
 	var out []int
 	left := need
@@ -126,7 +126,7 @@
 
 // assign finds each a node: the emptiest within its band, else within its room.
 func (b *board) assign(out []leaver, holders [][]*place, plan *Plan) (moves []Move) {
-	in := slices.DeleteFunc(slices.Clone(b.nodes), func(p *place) bool { return p.State != In })
+	in := slices.DeleteFunc(slices.Clone(b.nodes), func(p *place) bool { return p.State != NodeActive })
 	for _, l := range out {
 		s := &b.c.Shards[l.shard]
 		var best *place
@@ -154,7 +154,7 @@
 		switch {
 		case best == nil || !l.must && rank < 2:
 			if b.put(l.from, l.shard); l.must {
-				plan.Why = append(plan.Why, fmt.Sprintf("shard %s (%d bytes) finds no room beside its copies; it stays on %s",
+				plan.Unplaced = append(plan.Unplaced, fmt.Sprintf("shard %s (%d bytes) finds no room beside its copies; it stays on %s",
 					s.ID, s.Size, l.from.ID))
 			}
 		case best == l.from:
@@ -165,10 +165,10 @@
 			holders[l.shard] = slices.Clone(holders[l.shard])
 			holders[l.shard][k] = best
 			m := Move{Shard: s.ID, From: l.from.ID, To: best.ID, Bytes: s.Size}
-			if l.from.State == Gone { // whom it is read from is known once its turn comes
-				m.Copy, m.From = true, ""
-				if !slices.ContainsFunc(b.c.Shards[l.shard].On, func(on string) bool { return b.byID[on].State != Gone }) {
-					plan.Why = append(plan.Why, fmt.Sprintf("shard %s was on nodes alone that are gone", s.ID))
+			if l.from.State == NodeLost { // whom it is read from is known once its turn comes
+				m.Restore, m.From = true, ""
+				if !slices.ContainsFunc(b.c.Shards[l.shard].Replicas, func(on string) bool { return b.byID[on].State != NodeLost }) {
+					plan.Unplaced = append(plan.Unplaced, fmt.Sprintf("shard %s was on nodes alone that are gone", s.ID))
 					continue
 				}
 			}
@@ -189,7 +189,7 @@
 	for _, m := range made {
 		moved[m.Shard] = true
 	}
-	in := slices.DeleteFunc(slices.Clone(b.nodes), func(p *place) bool { return p.State != In })
+	in := slices.DeleteFunc(slices.Clone(b.nodes), func(p *place) bool { return p.State != NodeActive })
 	for _, p := range in {
 		for tries := 0; p.load < b.lo[p] && tries < 4*len(in); tries++ {
 			need := b.lo[p] - p.load
--- a/internal/shard/shardplan/shardplan_test.go
+++ b/internal/shard/shardplan/shardplan_test.go
@@ -14,10 +14,10 @@
 
 // drawn is a cluster as they grow: filled evenly once, then nodes came, went, filled, and shards grew.
 func drawn(r *rand.Rand, nodes, shards int, full float64) *Cluster {
-	c := &Cluster{Rules: Rules{Band: 0.1, Reserve: 0.05, Apart: true, Round: 2}}
+	c := &Cluster{Rules: Rules{BalanceBand: 0.1, ReservedShare: 0.05, SpreadZones: true, MaxMovesPerNode: 2}}
 	zones := min(nodes, 3+r.IntN(3))
 	for i := range nodes {
-		c.Nodes = append(c.Nodes, Node{ID: fmt.Sprint("n", i), Zone: fmt.Sprint("z", i%zones), State: In})
+		c.Nodes = append(c.Nodes, Node{ID: fmt.Sprint("n", i), Zone: fmt.Sprint("z", i%zones), State: NodeActive})
 	}
 	load := make([]int64, nodes)
 	for i := range shards {
@@ -25,18 +25,18 @@
 		if r.IntN(10) == 0 {
 			size *= int64(1 + r.IntN(8))
 		}
-		s := Shard{ID: fmt.Sprint("s", i), Size: size, Growth: size / 50, Heat: r.ExpFloat64()}
+		s := Shard{ID: fmt.Sprint("s", i), Size: size, Growth: size / 50, RequestRate: r.ExpFloat64()}
 		first := r.IntN(nodes)
 		for k := range 2 {
 			n := (first + k) % nodes // the next zone
-			s.On = append(s.On, c.Nodes[n].ID)
+			s.Replicas = append(s.Replicas, c.Nodes[n].ID)
 			load[n] += size
 		}
 		c.Shards = append(c.Shards, s)
 	}
 	most := slices.Max(load)
 	for i := range c.Nodes {
-		c.Nodes[i].Limit = int64(float64(most) / 0.95 / full)
+		c.Nodes[i].Capacity = int64(float64(most) / 0.95 / full)
 	}
 	return c
 }
@@ -45,18 +45,18 @@
 	n := &c.Nodes[r.IntN(len(c.Nodes))]
 	switch r.IntN(4) {
 	case 0:
-		n.State = Leaving
+		n.State = NodeDraining
 		return "a node leaves"
 	case 1:
-		n.State = Gone
+		n.State = NodeLost
 		return "a node is gone"
 	case 2:
 		for k := range 1 + len(c.Nodes)/10 {
-			c.Nodes = append(c.Nodes, Node{ID: fmt.Sprint("new", k), Zone: c.Nodes[k].Zone, Limit: n.Limit, State: In})
+			c.Nodes = append(c.Nodes, Node{ID: fmt.Sprint("new", k), Zone: c.Nodes[k].Zone, Capacity: n.Capacity, State: NodeActive})
 		}
 		return "nodes are added"
 	}
-	n.Foreign = n.Limit / 4
+	n.External = n.Capacity / 4
 	return "others fill a node"
 }
 
@@ -67,7 +67,7 @@
 	size, grow := map[string]int64{}, map[string]int64{}
 	for _, s := range c.Shards {
 		size[s.ID], grow[s.ID], on[s.ID] = s.Size, s.Size+s.Growth, map[string]bool{}
-		for _, h := range s.On {
+		for _, h := range s.Replicas {
 			on[s.ID][h] = true
 		}
 	}
@@ -89,14 +89,14 @@
 			load[m.To] -= grow[m.Shard] - size[m.Shard]
 			on[m.Shard][m.To] = true
 			bytes += m.Bytes
-			if !m.Copy {
+			if !m.Restore {
 				load[m.From] -= size[m.Shard]
 				delete(on[m.Shard], m.From)
 			}
 		}
 	}
-	if bytes != p.Bytes || bytes < p.Bound && len(p.Why)+len(p.Off) == 0 {
-		return fmt.Errorf("%d bytes moved, %d said, bound %d", bytes, p.Bytes, p.Bound)
+	if bytes != p.Bytes || bytes < p.LowerBound && len(p.Unplaced)+len(p.OutOfBand) == 0 {
+		return fmt.Errorf("%d bytes moved, %d said, bound %d", bytes, p.Bytes, p.LowerBound)
 	}
 	return nil
 }
@@ -110,7 +110,7 @@
 		}
 		var all []w
 		for _, n := range c.Nodes {
-			if n.State != In {
+			if n.State != NodeActive {
 				continue
 			}
 			h := fnv.New64a()
@@ -118,8 +118,8 @@
 			all = append(all, w{n.ID, h.Sum64()})
 		}
 		slices.SortFunc(all, func(a, b w) int { return cmp.Compare(b.h, a.h) })
-		for _, x := range all[:min(len(all), len(s.On))] {
-			if !slices.Contains(s.On, x.id) {
+		for _, x := range all[:min(len(all), len(s.Replicas))] {
+			if !slices.Contains(s.Replicas, x.id) {
 				bytes += s.Size
 			}
 		}
@@ -131,11 +131,11 @@
 // says whether it came to what a plan must come to.
 func greedy(c *Cluster) (bytes int64, fair bool) {
 	b := newBoard(c)
-	in := slices.DeleteFunc(slices.Clone(b.nodes), func(p *place) bool { return p.State != In })
+	in := slices.DeleteFunc(slices.Clone(b.nodes), func(p *place) bool { return p.State != NodeActive })
 	empty := func() *place { return slices.MaxFunc(in, byLoad) }
 	for _, p := range b.nodes {
 		for i := range p.held {
-			if p.State != In {
+			if p.State != NodeActive {
 				bytes += c.Shards[i].Size
 				b.put(empty(), i)
 			}
@@ -182,21 +182,21 @@
 			r := rand.New(rand.NewPCG(uint64(seed), uint64(size.nodes)))
 			c := drawn(r, size.nodes, size.shards, 0.5+0.3*r.Float64())
 			what := trouble(r, c)
-			if err := c.Check(); err != nil {
+			if err := c.Validate(); err != nil {
 				t.Fatal(err)
 			}
 			began := time.Now()
-			p := c.Make()
+			p := c.MakePlan()
 			took += time.Since(began)
 			if err := follow(c, p); err != nil {
 				t.Fatalf("%d nodes, seed %d, %s: %v", size.nodes, seed, what, err)
 			}
-			if len(p.Why)+len(p.Off) > 0 {
+			if len(p.Unplaced)+len(p.OutOfBand) > 0 {
 				failed++
 				continue
 			}
-			if p.Bound > 200<<20 { // some twenty shards: below, one shard's size decides
-				ratios = append(ratios, float64(p.Bytes)/float64(p.Bound))
+			if p.LowerBound > 200<<20 { // some twenty shards: below, one shard's size decides
+				ratios = append(ratios, float64(p.Bytes)/float64(p.LowerBound))
 			}
 			if p.Bytes > rendezvous(c) {
 				worse++
@@ -218,21 +218,21 @@
 
 func TestCopiesInEachOthersPlace(t *testing.T) {
 	// Two nodes are full of what the other is to hold, as zones want; the third has one place free.
-	c := &Cluster{Rules: Rules{Band: 1, Apart: true, Round: 1},
-		Nodes: []Node{{ID: "a", Zone: "1", Limit: 10, State: In}, {ID: "b", Zone: "2", Limit: 10, State: In},
-			{ID: "c", Zone: "3", Limit: 30, State: In}},
-		Shards: []Shard{{ID: "x", Size: 10, On: []string{"a"}}, {ID: "y", Size: 10, On: []string{"b"}},
-			{ID: "z", Size: 15, On: []string{"c"}}}}
+	c := &Cluster{Rules: Rules{BalanceBand: 1, SpreadZones: true, MaxMovesPerNode: 1},
+		Nodes: []Node{{ID: "a", Zone: "1", Capacity: 10, State: NodeActive}, {ID: "b", Zone: "2", Capacity: 10, State: NodeActive},
+			{ID: "c", Zone: "3", Capacity: 30, State: NodeActive}},
+		Shards: []Shard{{ID: "x", Size: 10, Replicas: []string{"a"}}, {ID: "y", Size: 10, Replicas: []string{"b"}},
+			{ID: "z", Size: 15, Replicas: []string{"c"}}}}
 	plan := &Plan{}
 	c.order([]Move{{Shard: "x", From: "a", To: "b", Bytes: 10}, {Shard: "y", From: "b", To: "a", Bytes: 10}}, plan)
-	if err := follow(c, plan); err != nil || len(plan.Why) > 0 || plan.Bytes != 30 || len(plan.Rounds) != 3 ||
-		!plan.Rounds[0][0].Via {
+	if err := follow(c, plan); err != nil || len(plan.Unplaced) > 0 || plan.Bytes != 30 || len(plan.Rounds) != 3 ||
+		!plan.Rounds[0][0].Staging {
 		t.Fatalf("%+v: %v", plan, err)
 	}
-	c.Nodes[2].Limit = 20 // no place is free: what binds is said, and nothing is moved
+	c.Nodes[2].Capacity = 20 // no place is free: what binds is said, and nothing is moved
 	plan = &Plan{}
 	c.order([]Move{{Shard: "x", From: "a", To: "b", Bytes: 10}, {Shard: "y", From: "b", To: "a", Bytes: 10}}, plan)
-	if len(plan.Why) != 2 || len(plan.Rounds) != 0 {
+	if len(plan.Unplaced) != 2 || len(plan.Rounds) != 0 {
 		t.Fatalf("%+v", plan)
 	}
 }
@@ -245,7 +245,7 @@
 		for range rapid.IntRange(1, 3).Draw(t, "troubles") {
 			trouble(r, c)
 		}
-		if err := follow(c, c.Make()); err != nil {
+		if err := follow(c, c.MakePlan()); err != nil {
 			t.Fatal(err)
 		}
 	})
--- a/internal/standin/cluster/members.go
+++ b/internal/standin/cluster/members.go
@@ -36,9 +36,9 @@
 	Lose    int            // so many next answers to writes are lost
 	Refused int            // calls of the platform with an old fence
 	fence   uint64
-	Calls   []string          // members named to the platform
-	Over    string            // the first time that its disk held more than its room
-	Keeper  *shardnode.Keeper // of a node that holds shards; nil: it holds none
+	Calls   []string         // members named to the platform
+	Over    string           // the first time that its disk held more than its room
+	Keeper  *shardnode.Store // of a node that holds shards; nil: it holds none
 	drained map[string]time.Time
 	Late    []string // statements that reached a member long after its drain
 }
@@ -232,7 +232,7 @@
 	if p, rest := wire.Cut(text); p == "AFTER" {
 		after, text = wire.Cut(rest)
 	}
-	if shard, epoch, rest, on := shardnode.On(text); on && s.Keeper != nil {
+	if shard, epoch, rest, on := shardnode.CutShardPrefix(text); on && s.Keeper != nil {
 		return v.onShard(shard, epoch, qid, rest)
 	}
 	if v.shard != "" && qid != "-" || v.shard != "" && text == "ABORT" {
--- a/internal/standin/cluster/nodes.go
+++ b/internal/standin/cluster/nodes.go
@@ -22,7 +22,7 @@
 func (w *Town) AddNode(name string, limit int64) *Service {
 	w.t.Helper()
 	s := newService(name, "0", name+"-m")
-	s.Keeper = shardnode.NewKeeper(limit, limit/20)
+	s.Keeper = shardnode.NewStore(limit, limit/20)
 	ctx, stop := context.WithCancel(context.Background())
 	w.t.Cleanup(stop)
 	if err := s.listen(ctx, name+"-m", w.ip(3, 10+len(w.Nodes))+":0"); err != nil {
@@ -57,7 +57,7 @@
 func (s *Service) Back1() {
 	s.With(func(g *replicaset.Group) {
 		g.Get(s.Name + "-m").Restart()
-		s.Keeper.Restart()
+		s.Keeper.Recover()
 	})
 }
 
@@ -70,7 +70,7 @@
 
 func (v *visit) endShard() {
 	if v.shard != "" && v.s.Keeper != nil {
-		v.s.Keeper.End(v.shard, v.epoch)
+		v.s.Keeper.EndTransaction(v.shard, v.epoch)
 	}
 	v.shard, v.open, v.broken, v.writes = "", false, false, nil
 }
@@ -93,19 +93,19 @@
 		s.mu.Unlock()
 		return "", false
 	}
-	rows, fetch, err := s.Keeper.Say(text)
+	rows, fetch, err := s.Keeper.Execute(text)
 	s.watch()
 	s.mu.Unlock()
 	if fetch == nil {
 		return answer(rows, err)
 	}
 	until := time.Now().Add(time.Second)
-	c, _, err := memberconn.Dial(directory.Member{ID: fetch.ID, Service: fetch.Svc, Addr: fetch.Addr}, until)
+	c, _, err := memberconn.Dial(directory.Member{ID: fetch.Member, Service: fetch.Service, Addr: fetch.Addr}, until)
 	if err != nil {
 		return "", false
 	}
 	defer c.Close()
-	got, err := c.Ask(fetch.EntriesAsk, until)
+	got, err := c.Ask(fetch.EntriesStatement, until)
 	var said *memberconn.Refusal
 	if errors.As(err, &said) {
 		return wire.Fail + " " + said.Text + "\r\n", true
@@ -115,15 +115,15 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	rows, err = s.Keeper.Fetched(fetch, got)
+	rows, err = s.Keeper.ApplyFetch(fetch, got)
 	s.watch()
 	return answer(rows, err)
 }
 
 // watch notes a disk over its room. The lock is held.
 func (s *Service) watch() {
-	if used := s.Keeper.Used(); used > s.Keeper.Limit {
-		s.Over = fmt.Sprintf("%s holds %d of %d", s.Name, used, s.Keeper.Limit)
+	if used := s.Keeper.UsedBytes(); used > s.Keeper.Capacity {
+		s.Over = fmt.Sprintf("%s holds %d of %d", s.Name, used, s.Keeper.Capacity)
 	}
 }
 
@@ -134,13 +134,13 @@
 	refuse := func(err error) (string, bool) { return wire.Fail + " " + shardnode.Code(err) + "\r\n", true }
 	switch verb {
 	case "BEGIN":
-		if err := k.Begin(shard, epoch); err != nil {
+		if err := k.BeginTransaction(shard, epoch); err != nil {
 			return refuse(err)
 		}
 		v.shard, v.epoch, v.open, v.plain, v.writes = shard, epoch, true, rest == "", nil
 		return "DONE -\r\n", true
 	case "FETCH":
-		if err := k.Read(shard, epoch); err != nil {
+		if err := k.CheckRead(shard, epoch); err != nil {
 			return refuse(err)
 		}
 		return "ROW x\r\nDONE " + v.id + "." + qid + "\r\n", true
@@ -154,7 +154,7 @@
 			v.s.Lose--
 			return "", false
 		}
-		return "DONE " + shardnode.Stamp(shard, e) + "\r\n", true
+		return "DONE " + shardnode.EffectPosition(shard, e) + "\r\n", true
 	}
 	return "FAIL MALFORMED\r\n", true
 }
@@ -176,7 +176,7 @@
 		if len(v.writes) == 0 {
 			return "DONE " + v.id + "." + qid + "\r\n", true
 		}
-		e, err := v.s.Keeper.Commit(v.shard, v.epoch, qid, []byte(strings.Join(v.writes, "|")))
+		e, err := v.s.Keeper.CommitTransaction(v.shard, v.epoch, qid, []byte(strings.Join(v.writes, "|")))
 		if err != nil {
 			return "FAIL ABORTED\r\n", true
 		}
@@ -185,7 +185,7 @@
 			v.s.Lose--
 			return "", false
 		}
-		return "DONE " + shardnode.Stamp(v.shard, e) + "\r\n", true
+		return "DONE " + shardnode.EffectPosition(v.shard, e) + "\r\n", true
 	}
 	return "FAIL MALFORMED\r\n", true
 }
@@ -195,14 +195,14 @@
 	ran = map[string]int{}
 	for name, s := range w.Nodes {
 		s.mu.Lock()
-		for shard, c := range maps.All(s.Keeper.Copies) {
-			if holders[shard] != name || c.State != shardnode.Open {
+		for shard, c := range maps.All(s.Keeper.Replicas) {
+			if holders[shard] != name || c.State != shardnode.StateOpen {
 				strays = append(strays, fmt.Sprint(shard, " ", c.State, " at ", name))
 				continue
 			}
 			for _, e := range c.Log {
-				if !e.Void {
-					ran[e.ID]++
+				if !e.Aborted {
+					ran[e.AttemptID]++
 				}
 			}
 		}
--- a/internal/standin/cluster/shards_test.go
+++ b/internal/standin/cluster/shards_test.go
@@ -35,11 +35,11 @@
 	for _, n := range []string{"n0", "n1", "n2"} {
 		svcs = append(svcs, fmt.Sprintf(`{"name":%q,"maxConns":80}`, n))
 	}
-	found := shardmap.Change{Shards: map[string]string{}, Nodes: map[string]shardmap.Node{"n0": {Zone: "za", State: "in"}, "n1": {Zone: "zb", State: "in"}, "n2": {Zone: "zc", State: "in"}}}
+	found := shardmap.Change{InitialOwners: map[string]string{}, Nodes: map[string]shardmap.Node{"n0": {Zone: "za", State: "in"}, "n1": {Zone: "zb", State: "in"}, "n2": {Zone: "zc", State: "in"}}}
 	for i := range someShards {
 		shard := fmt.Sprint("s", i)
 		routes = append(routes, fmt.Sprintf(`{"name":%q,"host":"db%d","prefix":"/","type":"primary","timeoutMs":3000,"svc":"n0","shard":%q}`, shard, i, shard))
-		found.Shards[shard] = fmt.Sprint("n", i%2)
+		found.InitialOwners[shard] = fmt.Sprint("n", i%2)
 	}
 	body := fmt.Sprintf(`{"gen":1,"routes":[%s],"svcs":[%s],"limits":{"txIdleMs":2000}}`, strings.Join(routes, ","), strings.Join(svcs, ","))
 	w.Until("a configuration is taken", func() bool {
@@ -64,11 +64,11 @@
 		v := view(w)
 		n := 0
 		for _, r := range v.Nodes {
-			n += len(r.Copies)
+			n += len(r.Replicas)
 		}
 		return n == someShards
 	})
-	for shard, node := range found.Shards {
+	for shard, node := range found.InitialOwners {
 		w.Nodes[node].With(func(*replicaset.Group) {
 			for i := range 200 {
 				_, err := w.Nodes[node].Keeper.Write(shard, 1, fmt.Sprint("old", i), make([]byte, 100))
@@ -81,8 +81,8 @@
 	w.Until("the core knows what they hold", func() bool {
 		v, n := view(w), 0
 		for _, r := range v.Nodes {
-			for _, h := range r.Copies {
-				if h.Held >= 20000 {
+			for _, h := range r.Replicas {
+				if h.Size >= 20000 {
 					n++
 				}
 			}
@@ -186,7 +186,7 @@
 			return false
 		}
 		for _, t := range v.Map.Tasks {
-			if t.Fate == shardmap.Waiting {
+			if t.Status == shardmap.TaskPending {
 				return false
 			}
 		}
@@ -258,7 +258,7 @@
 					}
 				}
 			}
-			So(len(w.Nodes["n2"].Keeper.Copies), ShouldBeGreaterThan, 0)
+			So(len(w.Nodes["n2"].Keeper.Replicas), ShouldBeGreaterThan, 0)
 			said := ""
 			for _, call := range [][]string{{"status", w.Cores[2]}, {"explain", w.Cores[0], "s0"}, {"page", w.Cores[0], filepath.Join(w.dir, "page.html")}} {
 				w.Until(call[0], func() bool {
@@ -307,7 +307,7 @@
 			apply()
 			under()
 			n2 := w.Nodes["n2"]
-			n2.With(func(*replicaset.Group) { n2.Keeper.SetForeign(n2.Keeper.Limit - n2.Keeper.Used() - 1000) })
+			n2.With(func(*replicaset.Group) { n2.Keeper.SetExternal(n2.Keeper.Capacity - n2.Keeper.UsedBytes() - 1000) })
 			finish()
 		})
 		Convey("a proxy is frozen over the hand-overs, and thawed with the old map", func() {
@@ -330,7 +330,7 @@
 			w.Until("marked", func() bool { code, _ := tell("mark", w.Cores[0], "n1", "leaving"); return code == 0 })
 			apply()
 			finish()
-			So(len(w.Nodes["n1"].Keeper.Copies), ShouldEqual, 0)
+			So(len(w.Nodes["n1"].Keeper.Replicas), ShouldEqual, 0)
 		})
 	})
 }
--- a/internal/weirctl/shards.go
+++ b/internal/weirctl/shards.go
@@ -44,12 +44,12 @@
 		if err := readStrict(rest[0], &c); err != nil {
 			return err
 		}
-		c.Kind = shardmap.Found
+		c.Kind = shardmap.ChangeCreate
 		return post(addr, c, out)
 	case "apply":
 		return shardsApply(addr, out)
 	case "pause", "resume", "abort":
-		return post(addr, shardmap.Change{Kind: shardmap.Kind(args[0])}, out)
+		return post(addr, shardmap.Change{Kind: shardmap.ChangeKind(args[0])}, out)
 	case "mark":
 		if len(rest) < 2 || len(rest) > 3 {
 			return flag.ErrHelp
@@ -59,10 +59,10 @@
 			return err
 		}
 		n := v.Map.Nodes[rest[0]]
-		if n.State = shardplan.State(rest[1]); len(rest) == 3 {
+		if n.State = shardplan.NodeState(rest[1]); len(rest) == 3 {
 			n.Zone = rest[2]
 		}
-		return post(addr, shardmap.Change{Kind: shardmap.Mark, Nodes: map[string]shardmap.Node{rest[0]: n}}, out)
+		return post(addr, shardmap.Change{Kind: shardmap.ChangeNodes, Nodes: map[string]shardmap.Node{rest[0]: n}}, out)
 	case "rules":
 		if len(rest) != 1 {
 			return flag.ErrHelp
@@ -75,7 +75,7 @@
 		if err := readStrict(rest[0], &rules); err != nil {
 			return err
 		}
-		return post(addr, shardmap.Change{Kind: shardmap.Tune, Rules: &rules}, out)
+		return post(addr, shardmap.Change{Kind: shardmap.ChangeRules, Rules: &rules}, out)
 	case "explain":
 		if len(rest) != 1 {
 			return flag.ErrHelp
@@ -152,16 +152,16 @@
 	if err != nil {
 		return err
 	}
-	p := c.Make()
+	p := c.MakePlan()
 	if err := printPlan(p, out); err != nil {
 		return err
 	}
-	tasks := shardmap.FromPlan(p)
+	tasks := shardmap.TasksFromPlan(p)
 	if len(tasks) == 0 {
 		fmt.Fprintln(out, "nothing is to be moved")
 		return nil
 	}
-	return post(addr, shardmap.Change{Kind: shardmap.Plan, Base: v.Map.Version, Tasks: tasks}, out)
+	return post(addr, shardmap.Change{Kind: shardmap.ChangePlan, BaseVersion: v.Map.Version, Tasks: tasks}, out)
 }
 
 func shardsStatus(args []string, out io.Writer) error {
@@ -188,15 +188,15 @@
 			}
 		}
 		fmt.Fprintf(out, "  node %s in %s, %s: %d shards, %d of %d bytes used, %d by others\n", id, cmp.Or(v.Map.Nodes[id].Zone, "no zone"),
-			cmp.Or(v.Map.Nodes[id].State, shardplan.In), held, r.Limit-r.Free, r.Limit, r.Foreign)
+			cmp.Or(v.Map.Nodes[id].State, shardplan.NodeActive), held, r.Capacity-r.Free, r.Capacity, r.External)
 	}
-	fates := map[shardmap.Fate]int{}
+	fates := map[shardmap.TaskStatus]int{}
 	for _, t := range v.Map.Tasks {
-		if fates[t.Fate]++; t.Fate != shardmap.Done {
-			fmt.Fprintf(out, "  shard %s, %s to %s: %s %s %s\n", t.Shard, t.From, t.To, t.Fate, v.Runs[t.Shard], t.Why)
+		if fates[t.Status]++; t.Status != shardmap.TaskDone {
+			fmt.Fprintf(out, "  shard %s, %s to %s: %s %s %s\n", t.Shard, t.From, t.To, t.Status, v.Runs[t.Shard], t.Reason)
 		}
 	}
-	fmt.Fprintf(out, "  tasks: %d done, %d waiting, %d failed, %d aborted\n", fates[shardmap.Done], fates[shardmap.Waiting], fates[shardmap.Failed], fates[shardmap.Aborted])
+	fmt.Fprintf(out, "  tasks: %d done, %d waiting, %d failed, %d aborted\n", fates[shardmap.TaskDone], fates[shardmap.TaskPending], fates[shardmap.TaskFailed], fates[shardmap.TaskAborted])
 	return nil
 }
 
@@ -219,13 +219,13 @@
 	}
 	fmt.Fprintf(out, "%s is on %s by epoch %d; %s\n", shard, p.Node, p.Epoch, cmp.Or(v.Runs[shard], "it does not move"))
 	for _, id := range slices.Sorted(maps.Keys(v.Nodes)) {
-		if h, ok := v.Nodes[id].Copies[shard]; ok {
-			fmt.Fprintf(out, "  %s has a copy: %s by epoch %d, %d entries, %d bytes\n", id, h.State, h.Epoch, h.Last, h.Held)
+		if h, ok := v.Nodes[id].Replicas[shard]; ok {
+			fmt.Fprintf(out, "  %s has a copy: %s by epoch %d, %d entries, %d bytes\n", id, h.State, h.Epoch, h.LastIndex, h.Size)
 		}
 	}
 	for _, t := range v.Map.Tasks {
 		if t.Shard == shard {
-			fmt.Fprintf(out, "  planned from %s to %s: %s %s\n", t.From, t.To, t.Fate, t.Why)
+			fmt.Fprintf(out, "  planned from %s to %s: %s %s\n", t.From, t.To, t.Status, t.Reason)
 		}
 	}
 	body, err := get(cmp.Or(v.Leader, addr), "/events?about="+url.QueryEscape(`"shard"="`+shard+`"`))
@@ -253,10 +253,10 @@
 	} else if err := readStrict(flags.Arg(0), c); err != nil {
 		return err
 	}
-	if err := c.Check(); err != nil {
+	if err := c.Validate(); err != nil {
 		return err
 	}
-	p := c.Make()
+	p := c.MakePlan()
 	if *asJSON {
 		e := json.NewEncoder(out)
 		e.SetIndent("", "  ")
@@ -270,20 +270,20 @@
 		for _, m := range round {
 			note := ""
 			switch {
-			case m.Via:
+			case m.Staging:
 				note = ", a stop on its way"
-			case m.Copy:
+			case m.Restore:
 				note = ", read from there, as its holder is gone"
 			}
 			fmt.Fprintf(out, "round %d: shard %s from %s to %s, %d bytes%s\n", i+1, m.Shard, m.From, m.To, m.Bytes, note)
 		}
 	}
-	for _, w := range append(p.Why, p.Off...) {
+	for _, w := range append(p.Unplaced, p.OutOfBand...) {
 		fmt.Fprintln(out, "not reached:", w)
 	}
-	fmt.Fprintf(out, "%d bytes in %d rounds; no plan moves less than %d\n", p.Bytes, len(p.Rounds), p.Bound)
-	if len(p.Why) > 0 {
-		return fmt.Errorf("%d moves find no room", len(p.Why))
+	fmt.Fprintf(out, "%d bytes in %d rounds; no plan moves less than %d\n", p.Bytes, len(p.Rounds), p.LowerBound)
+	if len(p.Unplaced) > 0 {
+		return fmt.Errorf("%d moves find no room", len(p.Unplaced))
 	}
 	return nil
 }
@@ -300,14 +300,14 @@
 		b.WriteString("<h2>Room used, of each disk</h2>")
 		for _, id := range slices.Sorted(maps.Keys(v.Nodes)) {
 			fmt.Fprintf(&b, "<p>%s</p>", html.EscapeString(id))
-			limit := float64(max(v.Nodes[id].Limit, 1))
+			limit := float64(max(v.Nodes[id].Capacity, 1))
 			plot.Line(&b, len(v.Points), func(i int) float64 { return float64(v.Points[i].Used[id]) / limit }, "#a40")
 		}
 	}
 	b.WriteString("<h2>Tasks</h2><table><tr><th>shard<th>from<th>to<th>bytes<th>fate<th>now<th>why")
 	for _, t := range v.Map.Tasks {
-		fmt.Fprintf(&b, "<tr><td>%s<td>%s<td>%s<td>%d<td>%s<td>%s<td>%s", html.EscapeString(t.Shard), html.EscapeString(t.From), html.EscapeString(t.To), t.Bytes, t.Fate,
-			html.EscapeString(v.Runs[t.Shard]), html.EscapeString(t.Why))
+		fmt.Fprintf(&b, "<tr><td>%s<td>%s<td>%s<td>%d<td>%s<td>%s<td>%s", html.EscapeString(t.Shard), html.EscapeString(t.From), html.EscapeString(t.To), t.Bytes, t.Status,
+			html.EscapeString(v.Runs[t.Shard]), html.EscapeString(t.Reason))
 	}
 	b.WriteString("</table>\n")
 	return b.String()
