--- a/internal/dataplane/proxy/transcript_test.go
+++ b/internal/dataplane/proxy/transcript_test.go
@@ -70,7 +70,7 @@
 	go x.p.desk.run()
 	raw := []byte(transcripts)
 	x.update(&controlmsg.StateUpdate{ConfigVersion: 3, Config: raw, DriverCount: 2, ShardMap: &shardmap.Map{Version: 5,
-		Shards: map[string]shardmap.Place{"sh": {Node: "s", Epoch: 8}}}})
+		Shards: map[string]shardmap.Assignment{"sh": {Node: "s", Epoch: 8}}}})
 	x.role("a", directory.RolePrimary)
 	x.role("b", directory.RoleReplica)
 	x.fill()
@@ -433,7 +433,7 @@
 					x.role("a", directory.RolePrimary)
 				case 2:
 					x.seq++
-					x.update(&controlmsg.StateUpdate{ShardMap: &shardmap.Map{Version: 5 + x.seq, Shards: map[string]shardmap.Place{"sh": {Node: "s", Epoch: 8 + x.seq}}}})
+					x.update(&controlmsg.StateUpdate{ShardMap: &shardmap.Map{Version: 5 + x.seq, Shards: map[string]shardmap.Assignment{"sh": {Node: "s", Epoch: 8 + x.seq}}}})
 				}
 				x.query(texts[x.rng.IntN(len(texts))])
 			}
