--- a/internal/controlplane/failover/cover_test.go
+++ b/internal/controlplane/failover/cover_test.go
@@ -7,8 +7,8 @@
 	"weirwind/internal/dataplane/wire"
 )
 
-func answer(primary bool, number uint64) wire.Status {
-	return wire.Status{Primary: primary, Term: 1, Received: wire.Position{Term: 1, Number: number}}
+func answer(primary bool, number uint64) wire.MemberStatus {
+	return wire.MemberStatus{Primary: primary, Term: 1, Received: wire.Position{Term: 1, Number: number}}
 }
 
 func hasCovered(acts []Act, id string) bool {
@@ -87,7 +87,7 @@
 					leads = false
 					s.Answered("a", StepDown, now, now+20, answer(false, 9))
 				case Pause:
-					st.Held = a.Term + 1
+					st.PromisedTerm = a.Term + 1
 					s.Answered(a.ID, Pause, now, now+20, st)
 				case Stat, Cont:
 					s.Answered(a.ID, a.Kind, now, now+20, st)
@@ -107,7 +107,7 @@
 			all = append(all, a)
 			st := answer(false, 9)
 			if a.Kind == Pause {
-				st.Held = a.Term + 1
+				st.PromisedTerm = a.Term + 1
 			}
 			switch {
 			case a.Kind == Note || a.Kind == Failover:
--- a/internal/controlplane/failover/facts.go
+++ b/internal/controlplane/failover/facts.go
@@ -9,7 +9,7 @@
 )
 
 type fact struct {
-	status  wire.Status
+	status  wire.MemberStatus
 	at      float64 // when it was asked
 	ok      bool
 	refused int
@@ -33,11 +33,11 @@
 }
 
 // Answered takes a member's answer to STAT, PAUSE or CONT.
-func (s *Service) Answered(id string, k ActKind, sent, now float64, st wire.Status) {
+func (s *Service) Answered(id string, k ActKind, sent, now float64, st wire.MemberStatus) {
 	f := s.fact(id)
 	f.waiting, f.ok, f.status, f.at, f.refused, f.failed = false, true, st, sent, 0, 0
-	s.term = max(s.term, st.Term, st.Held)
-	f.held = !st.Primary && st.Held > 0 // a replica holds a term only while it is paused
+	s.term = max(s.term, st.Term, st.PromisedTerm)
+	f.held = !st.Primary && st.PromisedTerm > 0 // a replica holds a term only while it is paused
 	switch {
 	case k == Pause:
 		f.paused = f.held
--- a/internal/controlplane/failover/failover_test.go
+++ b/internal/controlplane/failover/failover_test.go
@@ -267,12 +267,12 @@
 }
 
 func TestSteps(t *testing.T) {
-	status := func(lead bool, term, n uint64) wire.Status {
-		return wire.Status{Primary: lead, Term: term, Held: map[bool]uint64{true: term}[lead], Received: wire.Position{Term: term, Number: n}}
+	status := func(lead bool, term, n uint64) wire.MemberStatus {
+		return wire.MemberStatus{Primary: lead, Term: term, PromisedTerm: map[bool]uint64{true: term}[lead], Received: wire.Position{Term: term, Number: n}}
 	}
-	paused := func(term, n uint64) wire.Status { // a paused replica answers the term of its pause as the one that it holds
+	paused := func(term, n uint64) wire.MemberStatus { // a paused replica answers the term of its pause as the one that it holds
 		st := status(false, term, n)
-		st.Held = term + 1
+		st.PromisedTerm = term + 1
 		return st
 	}
 	view := func() *View {
--- a/internal/controlplane/moving.go
+++ b/internal/controlplane/moving.go
@@ -114,10 +114,10 @@
 		until := time.Now().Add(nodeTime)
 		var rows []string
 		_, err := t.asker.with(m, until, idempotency.Idempotent, func(c *memberconn.Conn) (wrong error) {
-			rows, wrong = c.Ask(text, until)
+			rows, wrong = c.Query(text, until)
 			return wrong
 		})
-		var said *memberconn.Refusal
+		var said *memberconn.MemberError
 		refused := errors.As(err, &said)
 		if a.Kind == shardmap.ActionReport {
 			t.do(func() {
--- a/internal/controlplane/succession.go
+++ b/internal/controlplane/succession.go
@@ -191,10 +191,10 @@
 
 // ask puts one question of state; refused: the member takes no connection. A second run of one is the same again: STAT changes
 // nothing, PAUSE and STEPDOWN name their term, CONT lets go what may be let go.
-func (a *asker) ask(m directory.Member, text string) (st wire.Status, refused bool, err error) {
+func (a *asker) ask(m directory.Member, text string) (st wire.MemberStatus, refused bool, err error) {
 	until := time.Now().Add(statTime)
 	refused, err = a.with(m, until, idempotency.Idempotent, func(c *memberconn.Conn) (wrong error) {
-		st, wrong = c.Stat(text, until)
+		st, wrong = c.QueryStatus(text, until)
 		return wrong
 	})
 	if err != nil {
@@ -213,7 +213,7 @@
 			}
 		}
 		err = put(c)
-		var said *memberconn.Refusal
+		var said *memberconn.MemberError
 		switch {
 		case err == nil, errors.As(err, &said):
 			a.put(m.ID, c)
--- a/internal/dataplane/group/digest_test.go
+++ b/internal/dataplane/group/digest_test.go
@@ -125,7 +125,7 @@
 			h.g.Unprobed(m)
 			continue
 		}
-		h.g.Probed(m, h.now-20*h.rng.Float64(), h.now, wire.Status{Primary: h.rng.IntN(3) == 0, Received: h.position()})
+		h.g.Probed(m, h.now-20*h.rng.Float64(), h.now, wire.MemberStatus{Primary: h.rng.IntN(3) == 0, Received: h.position()})
 	}
 }
 
--- a/internal/dataplane/group/group.go
+++ b/internal/dataplane/group/group.go
@@ -162,7 +162,7 @@
 		after = n.Commit
 	}
 	if covered {
-		young := now-n.CommitAt < youngCommit && !n.Commit.None()
+		young := now-n.CommitAt < youngCommit && !n.Commit.IsZero()
 		if m := g.companion(after, young, now, room, avoid); m != nil {
 			return Choice{Member: m, After: after}
 		}
@@ -219,7 +219,7 @@
 
 // Sample takes a position that the primary had when it was asked.
 func (g *Group) Sample(asked float64, pos wire.Position) {
-	if pos.None() {
+	if pos.IsZero() {
 		return
 	}
 	if n := len(g.samples); n > 0 {
@@ -305,7 +305,7 @@
 }
 
 // Probed takes an answer to a probe.
-func (g *Group) Probed(m *Member, sent, now float64, s wire.Status) {
+func (g *Group) Probed(m *Member, sent, now float64, s wire.MemberStatus) {
 	m.probing = false
 	m.heard, m.Doubted, m.aside, m.pause = now, false, 0, 0
 	if m.Position.Less(s.Received) && s.Primary {
--- a/internal/dataplane/group/group_test.go
+++ b/internal/dataplane/group/group_test.go
@@ -84,7 +84,7 @@
 			probed := g.Probes(150)
 			So(len(probed), ShouldEqual, 3)
 			So(g.Probes(160), ShouldBeEmpty)
-			g.Probed(g.Members["c"], 150, 190, wire.Status{Primary: true, Term: 2, Received: at(2, 7)})
+			g.Probed(g.Members["c"], 150, 190, wire.MemberStatus{Primary: true, Term: 2, Received: at(2, 7)})
 			So(to(g.Choose(write, 200, yes, none)), ShouldEqual, "c")
 			Convey("and what the old one said before does not bring it back", func() {
 				g.Heard(a, 90, 210, Led, at(1, 7))
@@ -94,7 +94,7 @@
 		Convey("holds them while its primary drains, though it still says that it leads", func() {
 			g.Learn(directory.Member{ID: "a", Role: directory.RolePrimary, Leaving: true, Draining: true, Incarnation: 1, Seq: 2}, 100)
 			So(to(g.Choose(write, 150, yes, none)), ShouldEqual, "")
-			g.Probed(a, 150, 190, wire.Status{Primary: true, Term: 1})
+			g.Probed(a, 150, 190, wire.MemberStatus{Primary: true, Term: 1})
 			So(to(g.Choose(write, 200, yes, none)), ShouldEqual, "")
 		})
 		Convey("doubts one that owes answers in silence, until it speaks", func() {
@@ -103,7 +103,7 @@
 			So(g.Doubt(500), ShouldBeTrue)
 			So(to(g.Choose(write, 510, yes, none)), ShouldEqual, "")
 			So(len(g.Probes(510)), ShouldEqual, 1)
-			g.Probed(a, 510, 540, wire.Status{Primary: true, Term: 1, Received: at(1, 7)})
+			g.Probed(a, 510, 540, wire.MemberStatus{Primary: true, Term: 1, Received: at(1, 7)})
 			So(to(g.Choose(write, 550, yes, none)), ShouldEqual, "a")
 		})
 		Convey("holds writes, not reads, while it speaks but answers no commit", func() {
@@ -123,7 +123,7 @@
 			g.Heard(a, 600, 900, CutOff, wire.Position{})
 			So(to(g.Choose(write, 910, yes, none)), ShouldEqual, "")
 			Convey("and takes it back on its own word", func() {
-				g.Probed(a, 920, 950, wire.Status{Primary: true, Term: 1, Received: at(1, 7)})
+				g.Probed(a, 920, 950, wire.MemberStatus{Primary: true, Term: 1, Received: at(1, 7)})
 				So(to(g.Choose(write, 960, yes, none)), ShouldEqual, "a")
 			})
 		})
--- a/internal/dataplane/memberconn/golden_test.go
+++ b/internal/dataplane/memberconn/golden_test.go
@@ -45,7 +45,7 @@
 
 func scripted(in string, takes int) (*Conn, *script) {
 	s := &script{in: strings.NewReader(in), takes: takes}
-	return &Conn{C: s, R: wire.NewReader(s)}, s
+	return &Conn{NetConn: s, Reader: wire.NewReader(s)}, s
 }
 
 // of tells an error: its text, how far the call got, and which of the package's own it is.
@@ -53,10 +53,10 @@
 	if err == nil {
 		return "no error"
 	}
-	var r *Refusal
+	var r *MemberError
 	var u *idempotency.Unanswered
 	return fmt.Sprintf("%q ran %v unanswered %v refused %v unsettled %v refusal %v", err, idempotency.Ran(err), errors.As(err, &u),
-		errors.Is(err, ErrRefused), errors.Is(err, ErrUnsettled), errors.As(err, &r))
+		errors.Is(err, ErrAttachRejected), errors.Is(err, ErrNotReusable), errors.As(err, &r))
 }
 
 // dialed gives what a member that takes a connection and says this reads of it, and what comes of it.
@@ -74,7 +74,7 @@
 			return
 		}
 		defer c.Close()
-		l, _ := wire.NewReader(c).Line()
+		l, _ := wire.NewReader(c).ReadMessage()
 		first <- l
 		io.WriteString(c, says)
 	}()
@@ -83,7 +83,7 @@
 		return fmt.Sprintf("%q: nothing there %v, %s", <-first, refused, of(err))
 	}
 	defer c.Close()
-	return fmt.Sprintf("%q: position %v, settled %v", <-first, c.Pos, c.Settled())
+	return fmt.Sprintf("%q: position %v, settled %v", <-first, c.Position, c.Reusable())
 }
 
 func conversations(t *testing.T) string {
@@ -91,7 +91,7 @@
 	var b strings.Builder
 	for _, parts := range [][]string{{"FETCH a"}, {"", "FETCH a"}, {"AFTER 1.2", "FETCH a"}, {}} {
 		var q strings.Builder
-		Query(&q, "7", parts...)
+		AppendQuery(&q, "7", parts...)
 		fmt.Fprintf(&b, "query\t%q\t%q\n", parts, q.String())
 	}
 	for _, says := range []string{"READY I 3.7\r\n", "READY I -\r\n", "READY\r\n", "FAIL FULL no place\r\n", "BYE\r\n", "READY I 3.7\n", ""} {
@@ -102,43 +102,43 @@
 		"DONE -\r\nREADY I 2.5\r\nDONE -\r\n", "DONE -\r\n", "ROW a 1\r\nROW", "DONE -\r\nROW a 1\r\n", "READY I -\r\n", "BYE\r\n", "DONE -\r\nDONE -\r\n", "x\n", "",
 	} {
 		c, s := scripted(in, 1<<20)
-		rows, err := c.Ask("SHOW x", time.Time{})
-		fmt.Fprintf(&b, "ask\t%q\t%q: %q %s, position %v, settled %v\n", in, s.out.String(), rows, of(err), c.Pos, c.Settled())
-		_, err = c.Ask("SHOW y", time.Time{})
+		rows, err := c.Query("SHOW x", time.Time{})
+		fmt.Fprintf(&b, "ask\t%q\t%q: %q %s, position %v, settled %v\n", in, s.out.String(), rows, of(err), c.Position, c.Reusable())
+		_, err = c.Query("SHOW y", time.Time{})
 		fmt.Fprintf(&b, "again\t%q\t%q: %s\n", in, s.out.String(), of(err))
 	}
 	for _, in := range []string{"ROW replica 3 3.9 4 0 0 1\r\nDONE -\r\nREADY I -\r\n", "DONE -\r\nREADY I -\r\n", "ROW x\r\nDONE -\r\nREADY I -\r\n", "FAIL MALFORMED what\r\nREADY I -\r\n"} {
 		c, s := scripted(in, 1<<20)
-		st, err := c.Stat("PAUSE 4", time.Time{})
+		st, err := c.QueryStatus("PAUSE 4", time.Time{})
 		fmt.Fprintf(&b, "stat\t%q\t%q: primary %t term %d received %v held %d conns %d, %s, settled %v\n", in, s.out.String(),
-			st.Primary, st.Term, st.Received, st.Held, st.Conns, of(err), c.Settled())
+			st.Primary, st.Term, st.Received, st.PromisedTerm, st.Conns, of(err), c.Reusable())
 	}
 	for _, takes := range []int{0, 3} {
 		c, s := scripted("", takes)
-		_, err := c.Ask("SHOW x", time.Time{})
+		_, err := c.Query("SHOW x", time.Time{})
 		fmt.Fprintf(&b, "write\t%d bytes\t%q: %s\n", takes, s.out.String(), of(err))
 	}
 	c, _ := scripted("DONE m.1\r\nREADY T 1.1\r\nFAIL FULL no room\r\nREADY I 1.2\r\n", 1<<20)
-	_, err := c.Read(nil)
+	_, err := c.ReadReply(nil)
 	fmt.Fprintf(&b, "read\tunasked\t%s\n", of(err))
 	c, _ = scripted("DONE m.1\r\nREADY T 1.1\r\nFAIL FULL no room\r\nREADY I 1.2\r\n", 1<<20)
-	err = c.Write("QUERY 1 BEGIN\r\nQUERY 2 STORE a\r\n", time.Time{})
+	err = c.WriteBatch("QUERY 1 BEGIN\r\nQUERY 2 STORE a\r\n", time.Time{})
 	for range 3 {
-		fmt.Fprintf(&b, "batch\tsettled %v\t%s\n", c.Settled(), of(err))
+		fmt.Fprintf(&b, "batch\tsettled %v\t%s\n", c.Reusable(), of(err))
 		var a Reply
-		a, err = c.Read(nil)
-		fmt.Fprintf(&b, "batch\trows %q done %t text %q code %q state %q position %v\tposition %v\n", a.Rows, a.Done, a.Text, a.Code, a.State, a.Pos, c.Pos)
+		a, err = c.ReadReply(nil)
+		fmt.Fprintf(&b, "batch\trows %q done %t text %q code %q state %q position %v\tposition %v\n", a.Rows, a.OK, a.Text, a.Code, a.State, a.Position, c.Position)
 	}
-	fmt.Fprintf(&b, "batch\tsettled %v\t%s\n", c.Settled(), of(err))
+	fmt.Fprintf(&b, "batch\tsettled %v\t%s\n", c.Reusable(), of(err))
 	for _, fails := range []error{nil, errors.New("the client is gone")} {
 		c, _ = scripted(strings.Repeat("ROW "+strings.Repeat("x", 100<<10)+"\r\n", 5)+"DONE m.1\r\nREADY I 1.1\r\n", 1<<20)
-		_ = c.Write("QUERY 1 FETCH a\r\n", time.Time{})
+		_ = c.WriteBatch("QUERY 1 FETCH a\r\n", time.Time{})
 		spilled := ""
-		a, err := c.Read(func(rows []string) error {
+		a, err := c.ReadReply(func(rows []string) error {
 			spilled += fmt.Sprint(len(rows), " ")
 			return fails
 		})
-		fmt.Fprintf(&b, "spill\t%v\t%s: %d rows kept, done %v, %s\n", fails, spilled, len(a.Rows), a.Done, of(err))
+		fmt.Fprintf(&b, "spill\t%v\t%s: %d rows kept, done %v, %s\n", fails, spilled, len(a.Rows), a.OK, of(err))
 	}
 	return b.String()
 }
--- a/internal/dataplane/memberconn/memberconn.go
+++ b/internal/dataplane/memberconn/memberconn.go
@@ -24,26 +24,26 @@
 )
 
 const (
-	who      = "weirwind"
-	mostRows = 256 << 10 // bytes of rows kept before they go on
-	dark     = 4 * time.Second
+	clientName          = "weirwind"
+	maxBufferedRowBytes = 256 << 10 // bytes of rows kept before they go on
+	userTimeout         = 4 * time.Second
 )
 
 // Conn is a connection to a member.
 type Conn struct {
-	C   net.Conn
-	R   *wire.Reader
-	Pos wire.Position // by its last answer
+	NetConn  net.Conn
+	Reader   *wire.Reader
+	Position wire.Position // by its last answer
 
-	owed   []bool // questions that wait for their answer, in order: whether one is the system's own
-	broken bool   // an answer was lost, cut short or not understood
+	pendingReplies []bool // questions that wait for their answer, in order: whether one is the system's own
+	broken         bool   // an answer was lost, cut short or not understood
 }
 
-// own is the id of the system's own questions, whose answers bear no stamp.
-const own = "-"
+// internalQueryID is the id of the system's internalQueryID questions, whose answers bear no stamp.
+const internalQueryID = "-"
 
-// ErrRefused is the error of a member that took the connection and has no place for it.
-var ErrRefused = errors.New("refused")
+// ErrAttachRejected is the error of a member that took the connection and has no place for it.
+var ErrAttachRejected = errors.New("refused")
 
 // Dial makes one. refused: nothing takes connections there at all.
 func Dial(m directory.Member, until time.Time) (c *Conn, refused bool, err error) {
@@ -52,29 +52,29 @@
 	if err != nil {
 		return nil, !timeout(err), step.Wrap(err)
 	}
-	transport.SetUserTimeout(nc, dark)
-	c = &Conn{C: nc, R: wire.NewReader(nc)}
+	transport.SetUserTimeout(nc, userTimeout)
+	c = &Conn{NetConn: nc, Reader: wire.NewReader(nc)}
 	nc.SetDeadline(until)
-	if _, err = io.WriteString(nc, wire.Attach+" "+m.Service+" "+who+" "+m.ID+"\r\n"); err != nil {
+	if _, err = io.WriteString(nc, wire.MsgAttach+" "+m.Service+" "+clientName+" "+m.ID+"\r\n"); err != nil {
 		nc.Close()
 		return nil, false, step.Wrap(err)
 	}
-	line, err := c.R.Line()
+	line, err := c.Reader.ReadMessage()
 	if err != nil {
 		nc.Close()
 		if timeout(err) {
 			return nil, false, step.Wrap(err)
 		}
-		return nil, false, step.Wrapf(ErrRefused, "ended before it was ready: %v", err)
+		return nil, false, step.Wrapf(ErrAttachRejected, "ended before it was ready: %v", err)
 	}
-	word, rest := wire.Cut(line)
-	if word != wire.Ready {
+	word, rest := wire.CutField(line)
+	if word != wire.MsgReady {
 		nc.Close()
-		code, _ := wire.Cut(rest)
-		return nil, false, step.With("code", code).Wrapf(ErrRefused, "%s", line)
+		code, _ := wire.CutField(rest)
+		return nil, false, step.With("code", code).Wrapf(ErrAttachRejected, "%s", line)
 	}
-	_, p := wire.Cut(rest)
-	c.Pos, _ = wire.ParsePosition(p)
+	_, p := wire.CutField(rest)
+	c.Position, _ = wire.ParsePosition(p)
 	return c, false, nil
 }
 
@@ -84,11 +84,11 @@
 }
 
 // Close ends it; what a transaction left open there is rolled back.
-func (c *Conn) Close() { c.C.Close() }
+func (c *Conn) Close() { c.NetConn.Close() }
 
 // Alive looks, without waiting, whether the member has ended the connection.
 func (c *Conn) Alive() bool {
-	t, ok := c.C.(*net.TCPConn)
+	t, ok := c.NetConn.(*net.TCPConn)
 	if !ok {
 		return true
 	}
@@ -102,22 +102,22 @@
 		n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		alive = n < 0 && (err == syscall.EAGAIN || err == syscall.EWOULDBLOCK)
 	})
-	return alive && c.R.Buffered() == 0
+	return alive && c.Reader.Buffered() == 0
 }
 
 // Reply is one answer.
 type Reply struct {
-	Rows  []string // whole lines
-	Done  bool
-	Text  string // stamp, or code and text
-	Code  string // of a failure
-	State string
-	Pos   wire.Position
+	Rows     []string // whole lines
+	OK       bool
+	Text     string // stamp, or code and text
+	Code     string // of a failure
+	State    string
+	Position wire.Position
 }
 
-// Query adds one to a batch.
-func Query(b *strings.Builder, id string, parts ...string) {
-	b.WriteString(wire.Query)
+// AppendQuery adds one to a batch.
+func AppendQuery(b *strings.Builder, id string, parts ...string) {
+	b.WriteString(wire.MsgQuery)
 	b.WriteByte(' ')
 	b.WriteString(id)
 	for _, p := range parts {
@@ -129,27 +129,29 @@
 	b.WriteString("\r\n")
 }
 
-// ErrUnsettled is the error of a batch for a connection that has not answered the last one, or never will.
-var ErrUnsettled = errors.New("an answer is owed on this connection")
+// ErrNotReusable is the error of a batch for a connection that has not answered the last one, or never will.
+var ErrNotReusable = errors.New("an answer is owed on this connection")
 
-// Settled says whether the connection may carry another's questions: nothing is owed, and nothing came that nobody
+// Reusable says whether the connection may carry another's questions: nothing is owed, and nothing came that nobody
 // asked for.
-func (c *Conn) Settled() bool { return !c.broken && len(c.owed) == 0 && c.R.Buffered() == 0 }
+func (c *Conn) Reusable() bool {
+	return !c.broken && len(c.pendingReplies) == 0 && c.Reader.Buffered() == 0
+}
 
-// Write sends a batch of questions. What fails may have come to the member all the same, but where not a byte was
+// WriteBatch sends a batch of questions. What fails may have come to the member all the same, but where not a byte was
 // taken.
-func (c *Conn) Write(batch string, until time.Time) error {
-	if !c.Settled() {
+func (c *Conn) WriteBatch(batch string, until time.Time) error {
+	if !c.Reusable() {
 		c.broken = true
-		return &idempotency.Unanswered{Progress: idempotency.Unsent, Err: ErrUnsettled}
+		return &idempotency.Unanswered{Progress: idempotency.Unsent, Err: ErrNotReusable}
 	}
 	for line := range strings.Lines(batch) {
-		_, rest := wire.Cut(line)
-		id, _ := wire.Cut(rest)
-		c.owed = append(c.owed, id == own)
+		_, rest := wire.CutField(line)
+		id, _ := wire.CutField(rest)
+		c.pendingReplies = append(c.pendingReplies, id == internalQueryID)
 	}
-	c.C.SetDeadline(until)
-	n, err := io.WriteString(c.C, batch)
+	c.NetConn.SetDeadline(until)
+	n, err := io.WriteString(c.NetConn, batch)
 	if err == nil {
 		return nil
 	}
@@ -161,54 +163,54 @@
 	return &idempotency.Unanswered{Progress: progress, Err: err}
 }
 
-// Read reads the answer to the first question that waits for one. spill takes rows that are too many to keep; nil:
+// ReadReply reads the answer to the first question that waits for one. spill takes rows that are too many to keep; nil:
 // they are kept.
-func (c *Conn) Read(spill func([]string) error) (Reply, error) {
-	if c.broken || len(c.owed) == 0 {
+func (c *Conn) ReadReply(spill func([]string) error) (Reply, error) {
+	if c.broken || len(c.pendingReplies) == 0 {
 		c.broken = true
 		return Reply{}, &idempotency.Unanswered{Progress: idempotency.Sent, Err: errors.New("no answer is owed on this connection")}
 	}
-	a, err := c.read(spill)
-	if mine := c.owed[0]; err == nil && mine && a.Done && a.Text != wire.NoStamp {
+	a, err := c.readReply(spill)
+	if mine := c.pendingReplies[0]; err == nil && mine && a.OK && a.Text != wire.NoStamp {
 		err = oops.In("answer").Errorf("a member answered a question of ours as another's: %.40q", a.Text)
 	}
 	if err != nil {
 		c.broken = true
 		return a, &idempotency.Unanswered{Progress: idempotency.Sent, Err: err}
 	}
-	c.owed = c.owed[1:]
+	c.pendingReplies = c.pendingReplies[1:]
 	return a, nil
 }
 
-func (c *Conn) read(spill func([]string) error) (Reply, error) {
+func (c *Conn) readReply(spill func([]string) error) (Reply, error) {
 	var a Reply
 	size, ended := 0, false
 	for {
-		line, err := c.R.Line()
+		line, err := c.Reader.ReadMessage()
 		if err != nil {
 			return a, err
 		}
-		word, rest := wire.Cut(line)
+		word, rest := wire.CutField(line)
 		switch {
-		case word == wire.Row && !ended:
+		case word == wire.MsgRow && !ended:
 			a.Rows = append(a.Rows, line)
-			if size += len(line); size > mostRows && spill != nil {
+			if size += len(line); size > maxBufferedRowBytes && spill != nil {
 				if err := spill(a.Rows); err != nil {
 					return a, err
 				}
 				a.Rows, size = nil, 0
 			}
-		case word == wire.Done && !ended:
-			a.Done, a.Text, ended = true, rest, true
-		case word == wire.Fail && !ended:
+		case word == wire.MsgDone && !ended:
+			a.OK, a.Text, ended = true, rest, true
+		case word == wire.MsgFail && !ended:
 			a.Text, ended = rest, true
-			a.Code, _ = wire.Cut(rest)
-		case word == wire.Ready && ended:
-			state, pos := wire.Cut(rest)
+			a.Code, _ = wire.CutField(rest)
+		case word == wire.MsgReady && ended:
+			state, pos := wire.CutField(rest)
 			a.State = state
-			a.Pos, _ = wire.ParsePosition(pos)
-			if !a.Pos.None() {
-				c.Pos = a.Pos
+			a.Position, _ = wire.ParsePosition(pos)
+			if !a.Position.IsZero() {
+				c.Position = a.Position
 			}
 			return a, nil
 		default:
@@ -217,41 +219,41 @@
 	}
 }
 
-// Ask puts one question of the system's own and gives its rows' fields; a refusal is an error.
-func (c *Conn) Ask(text string, until time.Time) ([]string, error) {
+// Query puts one question of the system's own and gives its rows' fields; a refusal is an error.
+func (c *Conn) Query(text string, until time.Time) ([]string, error) {
 	var b strings.Builder
-	Query(&b, own, text)
-	if err := c.Write(b.String(), until); err != nil {
+	AppendQuery(&b, internalQueryID, text)
+	if err := c.WriteBatch(b.String(), until); err != nil {
 		return nil, err
 	}
-	a, err := c.Read(nil)
+	a, err := c.ReadReply(nil)
 	if err != nil {
 		return nil, err
 	}
-	if !a.Done {
-		return nil, &Refusal{a.Code, a.Text}
+	if !a.OK {
+		return nil, &MemberError{a.Code, a.Text}
 	}
 	for i, r := range a.Rows {
-		_, a.Rows[i] = wire.Cut(r)
+		_, a.Rows[i] = wire.CutField(r)
 	}
 	return a.Rows, nil
 }
 
-// Refusal is a member's FAIL to a question.
-type Refusal struct{ Code, Text string }
+// MemberError is a member's FAIL to a question.
+type MemberError struct{ Code, Text string }
 
-func (r *Refusal) Error() string { return r.Text }
+func (r *MemberError) Error() string { return r.Text }
 
-// Stat asks for the member's state by STAT, or by a word that is answered with the same row.
-func (c *Conn) Stat(text string, until time.Time) (wire.Status, error) {
-	rows, err := c.Ask(text, until)
+// QueryStatus asks for the member's state by STAT, or by a word that is answered with the same row.
+func (c *Conn) QueryStatus(text string, until time.Time) (wire.MemberStatus, error) {
+	rows, err := c.Query(text, until)
 	if err != nil {
-		return wire.Status{}, err
+		return wire.MemberStatus{}, err
 	}
 	if len(rows) == 1 {
-		if st, ok := wire.ParseStatus(rows[0]); ok {
+		if st, ok := wire.ParseMemberStatus(rows[0]); ok {
 			return st, nil
 		}
 	}
-	return wire.Status{}, oops.In("stat").Errorf("no row")
+	return wire.MemberStatus{}, oops.In("stat").Errorf("no row")
 }
--- a/internal/dataplane/memberconn/settled_test.go
+++ b/internal/dataplane/memberconn/settled_test.go
@@ -26,27 +26,27 @@
 func (m *sly) serve(c net.Conn) {
 	defer c.Close()
 	r := wire.NewReader(c)
-	if _, err := r.Line(); err != nil {
+	if _, err := r.ReadMessage(); err != nil {
 		return
 	}
 	fmt.Fprint(c, "READY I -\r\n")
 	late := ""
 	for {
-		line, err := r.Line()
+		line, err := r.ReadMessage()
 		if err != nil {
 			return
 		}
-		_, rest := wire.Cut(line)
-		id, text := wire.Cut(rest)
+		_, rest := wire.CutField(line)
+		id, text := wire.CutField(rest)
 		stamp := wire.NoStamp
-		if id != own {
+		if id != internalQueryID {
 			stamp = "member." + id
 		}
 		answer := fmt.Sprintf("ROW %s\r\nDONE %s\r\nREADY I 1.1\r\n", text, stamp)
 		m.mu.Lock()
 		m.ran[id]++
 		how := min(m.r.IntN(12), 4)
-		if how == 3 && id == own {
+		if how == 3 && id == internalQueryID {
 			how = 4 // within a batch nothing could tell it from the next answer
 		}
 		m.kind[how]++
@@ -107,15 +107,15 @@
 			}
 			until := time.Now().Add(5 * time.Millisecond)
 			var b strings.Builder
-			Query(&b, own, "SET a "+id)
-			Query(&b, id, "STORE "+id)
-			err := c.Write(b.String(), until)
+			AppendQuery(&b, internalQueryID, "SET a "+id)
+			AppendQuery(&b, id, "STORE "+id)
+			err := c.WriteBatch(b.String(), until)
 			var first, a Reply
 			if err == nil {
-				first, err = c.Read(nil)
+				first, err = c.ReadReply(nil)
 			}
 			if err == nil {
-				a, err = c.Read(nil)
+				a, err = c.ReadReply(nil)
 			}
 			if err == nil {
 				answered++
@@ -124,7 +124,7 @@
 				}
 				break
 			}
-			if errors.Is(err, ErrUnsettled) {
+			if errors.Is(err, ErrNotReusable) {
 				unsettled++
 			}
 			if !idempotency.Ran(err) { // the connection was no use before
--- a/internal/dataplane/proxy/conn.go
+++ b/internal/dataplane/proxy/conn.go
@@ -32,12 +32,12 @@
 }
 
 // probe asks a member for its state over a connection of its own.
-func probe(m directory.Member) (wire.Status, error) {
+func probe(m directory.Member) (wire.MemberStatus, error) {
 	until := time.Now().Add(probeTime)
 	c, _, err := memberconn.Dial(m, until)
 	if err != nil {
-		return wire.Status{}, err
+		return wire.MemberStatus{}, err
 	}
 	defer c.Close()
-	return c.Stat("STAT", until)
+	return c.QueryStatus("STAT", until)
 }
--- a/internal/dataplane/proxy/desk.go
+++ b/internal/dataplane/proxy/desk.go
@@ -201,7 +201,7 @@
 func (d *desk) want(svc string, w *waiter) {
 	g := d.group(svc)
 	if len(g.waiting) >= mostWaiters {
-		w.reply <- grant{fail: wire.Retry}
+		w.reply <- grant{fail: wire.CodeRetry}
 		return
 	}
 	g.waiting = append(g.waiting, w)
@@ -220,7 +220,7 @@
 	for _, w := range g.waiting {
 		// What has no time left for an answer would be sent in vain, and its connection be lost with it: where many wait, all would.
 		if now >= w.until-min(2*usual, (w.until-w.at)/3) {
-			w.reply <- grant{fail: wire.Retry}
+			w.reply <- grant{fail: wire.CodeRetry}
 			d.refused(g, w, now)
 			continue
 		}
@@ -290,7 +290,7 @@
 func (d *desk) dialled(g *memberGroup, m *group.Member, c *conn, err error, sent float64) {
 	p, now := g.pool(m.ID), d.p.now()
 	p.dialing--
-	full := errors.Is(err, memberconn.ErrRefused)
+	full := errors.Is(err, memberconn.ErrAttachRejected)
 	for _, w := range g.waiting {
 		if w.asked == m.ID {
 			if w.asked = ""; full && !w.need.Write && !w.need.Fresh {
@@ -318,7 +318,7 @@
 // rest keeps a connection for later, or closes it where it may not be kept.
 func (d *desk) rest(g *memberGroup, m *group.Member, c *conn) {
 	p := g.pool(m.ID)
-	if m.Tombstone || m.Draining || g.g.Members[m.ID] != m || p.open > d.share(g) || !c.Settled() {
+	if m.Tombstone || m.Draining || g.g.Members[m.ID] != m || p.open > d.share(g) || !c.Reusable() {
 		c.Close()
 		p.open--
 		return
--- a/internal/dataplane/proxy/desk_test.go
+++ b/internal/dataplane/proxy/desk_test.go
@@ -38,7 +38,7 @@
 	}
 	here, there := net.Pipe()
 	defer there.Close()
-	d.rest(g, a, &conn{Conn: &memberconn.Conn{C: here, R: wire.NewReader(here)}})
+	d.rest(g, a, &conn{Conn: &memberconn.Conn{NetConn: here, Reader: wire.NewReader(here)}})
 	d.pump(g)
 	for i, w := range waiters {
 		select {
--- a/internal/dataplane/proxy/proxy.go
+++ b/internal/dataplane/proxy/proxy.go
@@ -33,7 +33,7 @@
 	ctx   context.Context
 	start time.Time
 	desk  *desk
-	room  *wire.Room // for long messages that have not ended
+	room  *wire.BufferBudget // for long messages that have not ended
 	cfg   atomic.Pointer[config.Config]
 
 	phase    atomic.Int32 // of the end
@@ -62,7 +62,7 @@
 func Run(ctx context.Context, s *settings.Settings, log events.Log) error {
 	inner, stop := context.WithCancel(context.Background())
 	defer stop()
-	p := &Proxy{set: s, log: log, ctx: inner, start: time.Now(), sessions: map[*session]struct{}{}, room: wire.NewRoom(int64(s.MemoryMB) << 20 / 8)}
+	p := &Proxy{set: s, log: log, ctx: inner, start: time.Now(), sessions: map[*session]struct{}{}, room: wire.NewBufferBudget(int64(s.MemoryMB) << 20 / 8)}
 	p.desk = newDesk(p)
 	front, err := net.Listen("tcp4", s.FrontAddr)
 	if err != nil {
--- a/internal/dataplane/proxy/repeat_test.go
+++ b/internal/dataplane/proxy/repeat_test.go
@@ -63,23 +63,23 @@
 func (m *scripted) serve(c net.Conn) {
 	defer c.Close()
 	r := wire.NewReader(c)
-	if _, err := r.Line(); err != nil {
+	if _, err := r.ReadMessage(); err != nil {
 		return
 	}
 	m.mu.Lock()
 	m.conns++
 	m.mu.Unlock()
 	fmt.Fprint(c, "READY I 1.1\r\n")
-	state := wire.Idle
+	state := wire.StateIdle
 	for {
-		line, err := r.Line()
+		line, err := r.ReadMessage()
 		if err != nil {
 			return
 		}
-		_, rest := wire.Cut(line)
-		id, text := wire.Cut(rest)
+		_, rest := wire.CutField(line)
+		id, text := wire.CutField(rest)
 		said := m.take(id, text)
-		verb, _ := wire.Cut(text)
+		verb, _ := wire.CutField(text)
 		stamp := "m." + id
 		switch {
 		case said == cutOff:
@@ -95,9 +95,9 @@
 		case verb == "FETCH":
 			fmt.Fprint(c, "ROW whole\r\n")
 		case verb == "BEGIN":
-			state = wire.Open
+			state = wire.StateInTransaction
 		case verb == "COMMIT", verb == "ABORT":
-			state = wire.Idle
+			state = wire.StateIdle
 		}
 		if id == wire.NoStamp || verb == "BEGIN" {
 			stamp = wire.NoStamp
@@ -129,7 +129,7 @@
 		}
 	}()
 	p := &Proxy{set: &settings.Settings{Zone: "z"}, log: events.Nothing(), ctx: ctx, start: time.Now().Add(-time.Minute), sessions: map[*session]struct{}{},
-		room: wire.NewRoom(1 << 20)}
+		room: wire.NewBufferBudget(1 << 20)}
 	p.desk = newDesk(p)
 	cfg, err := config.Read([]byte(`{"gen":1,"routes":[{"name":"r","host":"db","type":"primary","timeoutMs":3000,"svc":"s"}],"svcs":[{"name":"s","maxConns":50,"syncN":1}]}`))
 	if err != nil {
@@ -147,7 +147,7 @@
 	go (&session{p: p, c: there}).run()
 	Reset(func() { stop(); ln.Close(); here.Close() })
 	fmt.Fprint(here, "ATTACH db who\r\n")
-	if l, err := k.r.Line(); err != nil || l != "READY I -" {
+	if l, err := k.r.ReadMessage(); err != nil || l != "READY I -" {
 		t.Fatal(l, err)
 	}
 	return k
@@ -160,7 +160,7 @@
 	var all []string
 	for {
 		k.c.SetReadDeadline(time.Now().Add(10 * time.Second))
-		l, err := k.r.Line()
+		l, err := k.r.ReadMessage()
 		if err != nil {
 			return strings.Join(append(all, err.Error()), " | ")
 		}
@@ -170,7 +170,7 @@
 		if len(all) == 0 || all[len(all)-1] != l {
 			all = append(all, l)
 		}
-		if strings.HasPrefix(l, wire.Ready) {
+		if strings.HasPrefix(l, wire.MsgReady) {
 			return strings.Join(all, " | ")
 		}
 	}
--- a/internal/dataplane/proxy/session.go
+++ b/internal/dataplane/proxy/session.go
@@ -92,14 +92,14 @@
 		}
 	}
 	s.c.SetReadDeadline(time.Now().Add(attachTime)) // a message that was begun is to be ended
-	line, err := s.r.Line()
+	line, err := s.r.ReadMessage()
 	return line, err == nil, err
 }
 
 func (s *session) run() {
 	defer s.c.Close()
 	defer s.drop()
-	s.r = wire.NewReader(s.c).Within(s.p.room)
+	s.r = wire.NewReader(s.c).WithBudget(s.p.room)
 	s.at = s.p.now()
 	if !s.attach() {
 		return
@@ -118,9 +118,9 @@
 		}
 		line, ok, err := s.line(wait)
 		switch {
-		case err == wire.ErrLine || err == wire.ErrLong || err == wire.ErrRoom:
+		case err == wire.ErrMalformedLine || err == wire.ErrMessageTooLong || err == wire.ErrBufferBudget:
 			s.p.log.Event(events.SessionBad, "peer", s.c.RemoteAddr().String(), "why", err.Error())
-			s.fail(wire.Malformed, err.Error(), "")
+			s.fail(wire.CodeMalformed, err.Error(), "")
 			s.flush()
 			return
 		case err != nil:
@@ -148,7 +148,7 @@
 func (s *session) rested() bool { return s.p.now()-s.heard >= ms(s.p.patience())/2 }
 
 // quiet says whether nothing has come from the client that was not read yet.
-func (s *session) quiet() bool { return (&memberconn.Conn{C: s.c, R: s.r}).Alive() }
+func (s *session) quiet() bool { return (&memberconn.Conn{NetConn: s.c, Reader: s.r}).Alive() }
 
 // drop lets go of a transaction whose client is gone.
 func (s *session) drop() {
@@ -161,18 +161,18 @@
 	s.mu.Lock()
 	s.c.SetReadDeadline(time.Now().Add(attachTime))
 	s.mu.Unlock()
-	line, err := s.r.Line()
+	line, err := s.r.ReadMessage()
 	if err != nil {
-		if err == wire.ErrLine || err == wire.ErrLong {
-			s.fail(wire.Malformed, err.Error(), "")
+		if err == wire.ErrMalformedLine || err == wire.ErrMessageTooLong {
+			s.fail(wire.CodeMalformed, err.Error(), "")
 			s.flush()
 		}
 		return false
 	}
-	word, rest := wire.Cut(line)
-	host, user := wire.Cut(rest)
-	if word != wire.Attach || host == "" || user == "" {
-		s.fail(wire.Malformed, "ATTACH database who begins a session", "")
+	word, rest := wire.CutField(line)
+	host, user := wire.CutField(rest)
+	if word != wire.MsgAttach || host == "" || user == "" {
+		s.fail(wire.CodeMalformed, "ATTACH database who begins a session", "")
 		s.flush()
 		return false
 	}
@@ -184,18 +184,18 @@
 		case <-s.p.ctx.Done():
 		}
 		if cfg = s.p.cfg.Load(); cfg == nil {
-			s.fail(wire.Retry, "no configuration is known yet", "")
+			s.fail(wire.CodeRetry, "no configuration is known yet", "")
 			s.flush()
 			return false
 		}
 	}
 	s.host = host
 	if cfg.Route(host) == nil {
-		s.fail(wire.NoDB, host, "")
+		s.fail(wire.CodeNoDatabase, host, "")
 		s.flush()
 		return false
 	}
-	s.say(wire.Ready + " I -")
+	s.say(wire.MsgReady + " I -")
 	return s.flush()
 }
 
@@ -216,43 +216,43 @@
 
 // fail answers with a code; state "" sends no READY, as before a close.
 func (s *session) fail(code, text, state string) {
-	s.say(strings.TrimRight(wire.Fail+" "+code+" "+text, " "))
+	s.say(strings.TrimRight(wire.MsgFail+" "+code+" "+text, " "))
 	if state != "" {
-		s.say(wire.Ready + " " + state + " -")
+		s.say(wire.MsgReady + " " + state + " -")
 	}
 }
 
 // own answers what the system answers itself.
 func (s *session) own() {
-	s.say(wire.Done + " -")
-	s.say(wire.Ready + " " + s.state() + " -")
+	s.say(wire.MsgDone + " -")
+	s.say(wire.MsgReady + " " + s.state() + " -")
 }
 
 func (s *session) state() string {
 	switch {
 	case s.tx == nil:
-		return wire.Idle
+		return wire.StateIdle
 	case s.tx.failed:
-		return wire.Broken
+		return wire.StateFailedTransaction
 	}
-	return wire.Open
+	return wire.StateInTransaction
 }
 
 // message takes one. False: the session ends.
 func (s *session) message(line string) bool {
-	word, rest := wire.Cut(line)
-	if word == wire.Bye {
+	word, rest := wire.CutField(line)
+	if word == wire.MsgBye {
 		return false
 	}
-	id, text := wire.Cut(rest)
-	if word != wire.Query || id == "" || text == "" {
-		s.fail(wire.Malformed, "QUERY id text, or BYE", "")
+	id, text := wire.CutField(rest)
+	if word != wire.MsgQuery || id == "" || text == "" {
+		s.fail(wire.CodeMalformed, "QUERY id text, or BYE", "")
 		s.flush()
 		return false
 	}
-	t := wire.Parse(text)
+	t := wire.ParseStatement(text)
 	if !t.Valid || id == "-" {
-		s.fail(wire.Malformed, "no such text", s.state())
+		s.fail(wire.CodeMalformed, "no such text", s.state())
 		return true
 	}
 	if s.tx != nil && s.tx.failed {
@@ -262,33 +262,33 @@
 			s.own()
 		case "COMMIT":
 			s.tx = nil
-			s.fail(wire.Aborted, "the transaction had failed", wire.Idle)
+			s.fail(wire.CodeAborted, "the transaction had failed", wire.StateIdle)
 		default:
 			if why := s.tx.why; why != "" { // it is told of it for the first time
 				s.tx.why = ""
-				s.fail(wire.Aborted, why, wire.Broken)
+				s.fail(wire.CodeAborted, why, wire.StateFailedTransaction)
 				return true
 			}
-			s.fail(wire.Malformed, "the transaction has failed and is to be ended", wire.Broken)
+			s.fail(wire.CodeMalformed, "the transaction has failed and is to be ended", wire.StateFailedTransaction)
 		}
 		return true
 	}
 	switch t.Verb {
 	case "SET":
-		if !s.kept.Set(t.Name, t.Rest) {
-			s.fail(wire.Malformed, "too many values", s.state())
+		if !s.kept.Set(t.Name, t.Args) {
+			s.fail(wire.CodeMalformed, "too many values", s.state())
 			return true
 		}
 		s.own()
 	case "PREP":
-		if !s.kept.Prepare(t.Name, sessionstate.Shape{Kind: t.Kind, Text: t.Rest}) {
-			s.fail(wire.Malformed, "too many prepared statements", s.state())
+		if !s.kept.Prepare(t.Name, sessionstate.Shape{Kind: t.PreparedVerb, Text: t.Args}) {
+			s.fail(wire.CodeMalformed, "too many prepared statements", s.state())
 			return true
 		}
 		s.own()
 	case "UNPREP":
 		if !s.kept.Unprepare(t.Name) {
-			s.fail(wire.NoStmt, t.Name, s.state())
+			s.fail(wire.CodeNoStatement, t.Name, s.state())
 			return true
 		}
 		s.own()
@@ -296,7 +296,7 @@
 		s.begin(id, text, t)
 	case "ABORT":
 		if s.tx == nil {
-			s.fail(wire.Malformed, "no transaction is open", wire.Idle)
+			s.fail(wire.CodeMalformed, "no transaction is open", wire.StateIdle)
 			return true
 		}
 		s.rollback(s.tx)
@@ -304,14 +304,14 @@
 		s.own()
 	case "COMMIT":
 		if s.tx == nil {
-			s.fail(wire.Malformed, "no transaction is open", wire.Idle)
+			s.fail(wire.CodeMalformed, "no transaction is open", wire.StateIdle)
 			return true
 		}
 		s.statement(id, text, t)
 	default:
 		if t.Verb == "EXEC" {
 			if _, ok := s.kept.Shape(t.Name); !ok {
-				s.fail(wire.NoStmt, t.Name, s.state())
+				s.fail(wire.CodeNoStatement, t.Name, s.state())
 				return true
 			}
 		}
@@ -320,17 +320,17 @@
 	return true
 }
 
-func (s *session) begin(id, text string, t wire.Text) {
+func (s *session) begin(id, text string, t wire.Statement) {
 	if s.tx != nil {
-		s.fail(wire.Malformed, "a transaction is open", wire.Open)
+		s.fail(wire.CodeMalformed, "a transaction is open", wire.StateInTransaction)
 		return
 	}
 	r := s.route()
 	if r == nil {
-		s.fail(wire.NoDB, s.host, wire.Idle)
+		s.fail(wire.CodeNoDatabase, s.host, wire.StateIdle)
 		return
 	}
-	s.tx = &transaction{id: id, text: text, fetch: t.Fetch, at: s.p.now(), route: r}
+	s.tx = &transaction{id: id, text: text, fetch: t.ReadOnly, at: s.p.now(), route: r}
 	s.own()
 }
 
@@ -356,7 +356,7 @@
 }
 
 // writes says whether a statement writes.
-func (s *session) writes(t wire.Text) bool {
+func (s *session) writes(t wire.Statement) bool {
 	if t.Verb == "EXEC" {
 		shape, _ := s.kept.Shape(t.Name)
 		return shape.Kind == "STORE"
@@ -364,7 +364,7 @@
 	return t.Verb == "STORE"
 }
 
-func (s *session) statement(id, text string, t wire.Text) {
+func (s *session) statement(id, text string, t wire.Statement) {
 	now := s.p.now()
 	if s.tx != nil {
 		s.inside(id, text, t, now)
@@ -372,7 +372,7 @@
 	}
 	r := s.route()
 	if r == nil {
-		s.fail(wire.NoDB, s.host, wire.Idle)
+		s.fail(wire.CodeNoDatabase, s.host, wire.StateIdle)
 		return
 	}
 	s.single(id, text, t, r, now)
--- a/internal/dataplane/proxy/shard.go
+++ b/internal/dataplane/proxy/shard.go
@@ -92,7 +92,7 @@
 
 // missed takes a node's refusal by the epoch; what was refused is held, and goes to the next holder.
 func (s *session) missed(r *config.Route, p shardmap.Assignment, text string) {
-	_, epoch := wire.Cut(text)
+	_, epoch := wire.CutField(text)
 	known, _ := strconv.ParseUint(epoch, 10, 64)
 	again := make(chan bool, 1)
 	s.p.desk.do(func() { again <- s.p.desk.slots.HandleMoved(r.Shard, p.Epoch, known) })
@@ -118,8 +118,8 @@
 		if fail != "" {
 			break
 		}
-		rows, err := c.Ask(fmt.Sprintf("SHARD SETTLE %s %d %s", r.Shard, p.Epoch, id), s.p.at(until))
-		said, refused := err.(*memberconn.Refusal)
+		rows, err := c.Query(fmt.Sprintf("SHARD SETTLE %s %d %s", r.Shard, p.Epoch, id), s.p.at(until))
+		said, refused := err.(*memberconn.MemberError)
 		if err != nil && !refused {
 			c.Close()
 			s.done(g, nil, g.sent, group.NoAnswer, wire.Position{})
@@ -128,11 +128,11 @@
 		s.done(g, c, g.sent, group.Answered, wire.Position{})
 		switch {
 		case !refused && len(rows) == 1:
-			s.say(wire.Done + " " + rows[0])
-			s.say(wire.Ready + " " + wire.Idle + " -")
+			s.say(wire.MsgDone + " " + rows[0])
+			s.say(wire.MsgReady + " " + wire.StateIdle + " -")
 			return
 		case refused && said.Code == shardnode.CodeVoid:
-			s.fail(wire.Retry, comeBack, wire.Idle)
+			s.fail(wire.CodeRetry, comeBack, wire.StateIdle)
 			return
 		case refused && said.Code == shardnode.CodeMoved:
 			s.missed(r, p, said.Text)
@@ -140,14 +140,14 @@
 			time.Sleep(shardAgain)
 		}
 	}
-	s.fail(wire.Unknown, "no node that holds "+r.Shard+" could say what came of it", wire.Idle)
+	s.fail(wire.CodeOutcomeUnknown, "no node that holds "+r.Shard+" could say what came of it", wire.StateIdle)
 }
 
 // shardRefusal says what a node's own refusal is for a client; "" for one that is passed on.
 func shardRefusal(code string) string {
 	switch strings.ToUpper(code) {
 	case shardnode.CodeNoRoom, shardnode.CodeVoid, shardnode.CodeState:
-		return wire.Retry
+		return wire.CodeRetry
 	}
 	return ""
 }
--- a/internal/dataplane/proxy/statement.go
+++ b/internal/dataplane/proxy/statement.go
@@ -27,7 +27,7 @@
 		select {
 		case g = <-w.reply:
 		case <-s.p.ctx.Done():
-			return nil, nil, wire.Retry
+			return nil, nil, wire.CodeRetry
 		}
 		if g.fail != "" {
 			return nil, nil, g.fail
@@ -48,7 +48,7 @@
 }
 
 // prepare adds what a connection must be told first, and gives the statement's text as it goes there.
-func (s *session) prepare(b *strings.Builder, c *conn, text string, t wire.Text) (string, int) {
+func (s *session) prepare(b *strings.Builder, c *conn, text string, t wire.Statement) (string, int) {
 	var shape *sessionstate.Shape
 	if t.Verb == "EXEC" {
 		sh, _ := s.kept.Shape(t.Name)
@@ -56,10 +56,10 @@
 	}
 	texts, name := c.carrier.Ready(&s.kept, shape)
 	for _, x := range texts {
-		memberconn.Query(b, "-", x)
+		memberconn.AppendQuery(b, "-", x)
 	}
 	if shape != nil {
-		text = "EXEC " + name + " " + t.Rest
+		text = "EXEC " + name + " " + t.Args
 	}
 	if s.tx == nil {
 		text = s.on + text
@@ -70,11 +70,11 @@
 // skip reads the answers of what went before a statement.
 func skip(c *conn, n int) error {
 	for range n {
-		a, err := c.Read(nil)
+		a, err := c.ReadReply(nil)
 		if err != nil {
 			return err
 		}
-		if !a.Done || a.Text != wire.NoStamp {
+		if !a.OK || a.Text != wire.NoStamp {
 			return errors.New("a member refused what goes before a statement: " + a.Text)
 		}
 	}
@@ -94,7 +94,7 @@
 // stamped makes a success that bears no member's stamp an error: it belongs to another question, and this one has no
 // answer.
 func stamped(a *memberconn.Reply, err error) error {
-	if err == nil && a.Done && a.Text == wire.NoStamp {
+	if err == nil && a.OK && a.Text == wire.NoStamp {
 		return &idempotency.Unanswered{Progress: idempotency.Sent, Err: errors.New("a success without a stamp")}
 	}
 	return err
@@ -117,16 +117,16 @@
 	for _, r := range a.Rows {
 		s.say(r)
 	}
-	if a.Done {
-		s.say(wire.Done + " " + a.Text)
+	if a.OK {
+		s.say(wire.MsgDone + " " + a.Text)
 	} else {
-		s.say(wire.Fail + " " + a.Text)
+		s.say(wire.MsgFail + " " + a.Text)
 	}
-	s.say(wire.Ready + " " + state + " " + a.Pos.String())
+	s.say(wire.MsgReady + " " + state + " " + a.Position.String())
 }
 
 // single carries out a statement outside a transaction.
-func (s *session) single(id, text string, t wire.Text, r *config.Route, at float64) {
+func (s *session) single(id, text string, t wire.Statement, r *config.Route, at float64) {
 	until := at + r.Timeout - margin
 	write := s.writes(t)
 	kind := kindOf(write)
@@ -153,14 +153,14 @@
 			s.done(g, nil, g.sent, group.NoAnswer, wire.Position{})
 			switch {
 			case s.passed:
-				s.fail(wire.Retry, comeBack, wire.Idle)
+				s.fail(wire.CodeRetry, comeBack, wire.StateIdle)
 				return
 			case kind.May(err):
 			case r.Shard != "":
 				s.settle(r, id, at, until)
 				return
 			default:
-				s.fail(wire.Unknown, "no answer came from "+g.rec.ID, wire.Idle)
+				s.fail(wire.CodeOutcomeUnknown, "no answer came from "+g.rec.ID, wire.StateIdle)
 				return
 			}
 			if write { // the member that leads is where it was
@@ -171,56 +171,56 @@
 				w.avoid = nil
 			}
 			continue
-		case a.Done:
-			s.done(g, c, g.sent, word, a.Pos)
+		case a.OK:
+			s.done(g, c, g.sent, word, a.Position)
 			if write {
-				s.commit, s.comAt = a.Pos, s.p.now()
+				s.commit, s.comAt = a.Position, s.p.now()
 			}
-			s.answer(a, wire.Idle)
+			s.answer(a, wire.StateIdle)
 			return
 		}
 		// What it left open is rolled back with its connection; what it forgot is prepared anew on another.
-		if a.State != wire.Idle || a.Code == wire.NoStmt {
+		if a.State != wire.StateIdle || a.Code == wire.CodeNoStatement {
 			c.Close()
 			c = nil
 		}
-		s.done(g, c, g.sent, word, a.Pos)
+		s.done(g, c, g.sent, word, a.Position)
 		if r.Shard != "" && a.Code == shardnode.CodeMoved {
 			s.missed(r, place, a.Text)
 			try-- // bounded by the deadline: the slot is empty until a newer map comes
 			continue
 		}
 		if code := shardRefusal(a.Code); r.Shard != "" && code != "" {
-			s.fail(code, comeBack, wire.Idle)
+			s.fail(code, comeBack, wire.StateIdle)
 			return
 		}
 		switch a.Code {
-		case wire.ReadOnly, wire.Lagging:
+		case wire.CodeReadOnly, wire.CodeLagging:
 			continue
-		case wire.Retry, wire.Full, wire.WrongHost, wire.NoStmt:
+		case wire.CodeRetry, wire.CodeFull, wire.CodeWrongHost, wire.CodeNoStatement:
 			w.avoid = append(w.avoid, g.rec.ID)
 			if s.p.now()+60 < until && try < 2 {
 				time.Sleep(20 * time.Millisecond)
 				continue
 			}
-			s.fail(wire.Retry, comeBack, wire.Idle)
+			s.fail(wire.CodeRetry, comeBack, wire.StateIdle)
 			return
-		case wire.Failed, wire.Timeout:
+		case wire.CodeFailed, wire.CodeTimeout:
 			if !write && try == 0 && !w.need.Fresh && !s.passed {
 				w.avoid = append(w.avoid, g.rec.ID)
 				continue
 			}
 		}
-		s.answer(a, wire.Idle)
+		s.answer(a, wire.StateIdle)
 		return
 	}
-	s.fail(wire.Retry, comeBack, wire.Idle)
+	s.fail(wire.CodeRetry, comeBack, wire.StateIdle)
 }
 
 // attempt sends a single statement and reads its answer. A read that must be fresh runs in a transaction of the
 // system's own, as a member that has lost the lead refuses to begin one; it is rolled back, and nothing of it is
 // kept.
-func (s *session) attempt(g *grant, c *conn, id, text string, t wire.Text, write bool, until float64) (*memberconn.Reply, group.Word, error) {
+func (s *session) attempt(g *grant, c *conn, id, text string, t wire.Statement, write bool, until float64) (*memberconn.Reply, group.Word, error) {
 	var b strings.Builder
 	if !write {
 		until = min(until, s.p.now()+readCut)
@@ -228,41 +228,41 @@
 	text, before := s.prepare(&b, c, text, t)
 	prove := g.prove && !write
 	if prove {
-		memberconn.Query(&b, "-", "BEGIN")
+		memberconn.AppendQuery(&b, "-", "BEGIN")
 		before++
 	}
 	after := ""
-	if !write && !prove && !g.after.None() {
+	if !write && !prove && !g.after.IsZero() {
 		after = "AFTER " + g.after.String()
 	}
 	if prove { // whether it leads is known before the read runs
-		if err := c.Write(b.String(), s.p.at(until)); err != nil {
+		if err := c.WriteBatch(b.String(), s.p.at(until)); err != nil {
 			return nil, 0, err
 		}
 		if err := skip(c, before-1); err != nil {
 			return nil, 0, err
 		}
-		a, err := c.Read(nil)
+		a, err := c.ReadReply(nil)
 		if err != nil {
 			return nil, 0, err
 		}
-		if !a.Done {
+		if !a.OK {
 			return &a, wordOf(&a), nil
 		}
 		b.Reset()
 		before = 0
 	}
-	memberconn.Query(&b, id, after, text)
+	memberconn.AppendQuery(&b, id, after, text)
 	if prove {
-		memberconn.Query(&b, "-", "ABORT")
+		memberconn.AppendQuery(&b, "-", "ABORT")
 	}
-	if err := c.Write(b.String(), s.p.at(until)); err != nil {
+	if err := c.WriteBatch(b.String(), s.p.at(until)); err != nil {
 		return nil, 0, err
 	}
 	if err := skip(c, before); err != nil {
 		return nil, 0, err
 	}
-	a, err := c.Read(func(rows []string) error {
+	a, err := c.ReadReply(func(rows []string) error {
 		if write {
 			return nil
 		}
@@ -273,28 +273,28 @@
 	}
 	word := wordOf(&a)
 	if prove {
-		e, err := c.Read(nil)
+		e, err := c.ReadReply(nil)
 		if err != nil {
 			return nil, 0, err
 		}
 		a.State = e.State
-		if a.Done {
+		if a.OK {
 			word = group.Led
 		}
-	} else if write && a.Done {
+	} else if write && a.OK {
 		word = group.Led
 	}
 	return &a, word, nil
 }
 
 // ran says whether a member that failed a statement by a code may have run it.
-func ran(code string) bool { return code == wire.Failed || code == wire.Timeout }
+func ran(code string) bool { return code == wire.CodeFailed || code == wire.CodeTimeout }
 
 func wordOf(a *memberconn.Reply) group.Word {
 	switch a.Code {
-	case wire.ReadOnly:
+	case wire.CodeReadOnly:
 		return group.NotLeader
-	case wire.Lagging:
+	case wire.CodeLagging:
 		return group.Lagged
 	}
 	return group.Answered
--- a/internal/dataplane/proxy/transaction.go
+++ b/internal/dataplane/proxy/transaction.go
@@ -14,7 +14,7 @@
 )
 
 // inside carries out a statement of an open transaction.
-func (s *session) inside(id, text string, t wire.Text, at float64) {
+func (s *session) inside(id, text string, t wire.Statement, at float64) {
 	x := s.tx
 	until := at + x.route.Timeout - margin
 	for try := 0; try < mostTries; try++ {
@@ -27,17 +27,17 @@
 		g, c := x.lease, x.conn
 		var b strings.Builder
 		said, before := s.prepare(&b, c, text, t)
-		memberconn.Query(&b, id, said)
+		memberconn.AppendQuery(&b, id, said)
 		sent := s.p.now()
 		commit := t.Verb == "COMMIT" && x.wrote
 		s.p.desk.do(func() { g.group.g.Sent(g.member, sent, commit) })
-		err := c.Write(b.String(), s.p.at(until))
+		err := c.WriteBatch(b.String(), s.p.at(until))
 		if err == nil {
 			err = skip(c, before)
 		}
 		var a memberconn.Reply
 		if err == nil {
-			a, err = c.Read(s.pass)
+			a, err = c.ReadReply(s.pass)
 		}
 		if err = stamped(&a, err); err != nil {
 			s.p.desk.do(func() { s.p.desk.heard(g, sent, group.NoAnswer, wire.Position{}) })
@@ -50,59 +50,59 @@
 			}
 			if kept {
 				s.tx = nil
-				s.fail(wire.Unknown, "no answer to the commit came from "+g.rec.ID, wire.Idle)
+				s.fail(wire.CodeOutcomeUnknown, "no answer to the commit came from "+g.rec.ID, wire.StateIdle)
 				return
 			}
-			s.lost(wire.Aborted, "no answer came from "+g.rec.ID, t)
+			s.lost(wire.CodeAborted, "no answer came from "+g.rec.ID, t)
 			return
 		}
 		word := wordOf(&a)
-		if a.Done && !x.fetch {
+		if a.OK && !x.fetch {
 			word = group.Led
 		}
-		s.p.desk.do(func() { s.p.desk.heard(g, sent, word, a.Pos) })
-		if a.Code == wire.ReadOnly && !x.ran && !x.fetch { // its first statement met a member without the lead: it joins those held
+		s.p.desk.do(func() { s.p.desk.heard(g, sent, word, a.Position) })
+		if a.Code == wire.CodeReadOnly && !x.ran && !x.fetch { // its first statement met a member without the lead: it joins those held
 			s.leave(x, nil)
 			continue
 		}
 		x.ran = true
-		if s.writes(t) && (a.Done || ran(a.Code)) {
+		if s.writes(t) && (a.OK || ran(a.Code)) {
 			x.wrote = true
 		}
 		if t.Verb == "COMMIT" {
 			s.tx = nil
-			if a.Done && x.wrote {
-				s.commit, s.comAt = a.Pos, s.p.now()
+			if a.OK && x.wrote {
+				s.commit, s.comAt = a.Position, s.p.now()
 			}
-			if a.State == wire.Idle {
+			if a.State == wire.StateIdle {
 				s.leave(x, c)
 			} else {
 				s.leave(x, nil)
 			}
-			s.answer(&a, wire.Idle)
+			s.answer(&a, wire.StateIdle)
 			return
 		}
-		if a.State != wire.Open {
+		if a.State != wire.StateInTransaction {
 			x.failed = true
 			s.leave(x, nil)
-			s.answer(&a, wire.Broken)
+			s.answer(&a, wire.StateFailedTransaction)
 			return
 		}
-		s.answer(&a, wire.Open)
+		s.answer(&a, wire.StateInTransaction)
 		return
 	}
-	s.lost(wire.Retry, comeBack, t)
+	s.lost(wire.CodeRetry, comeBack, t)
 }
 
 // lost answers a statement whose transaction is no more, with nothing of it kept.
-func (s *session) lost(code, why string, t wire.Text) {
+func (s *session) lost(code, why string, t wire.Statement) {
 	if t.Verb == "COMMIT" {
 		s.tx = nil
-		s.fail(code, why, wire.Idle)
+		s.fail(code, why, wire.StateIdle)
 		return
 	}
 	s.tx.failed = true
-	s.fail(code, why, wire.Broken)
+	s.fail(code, why, wire.StateFailedTransaction)
 }
 
 // open begins the transaction at a member, before its first statement.
@@ -125,24 +125,24 @@
 		var b strings.Builder
 		texts, _ := c.carrier.Ready(&s.kept, nil)
 		for _, t := range texts {
-			memberconn.Query(&b, "-", t)
+			memberconn.AppendQuery(&b, "-", t)
 		}
 		text := x.text
 		if g.prove {
 			text = "BEGIN" // only who leads takes a plain one
 		}
 		after := ""
-		if x.fetch && !g.prove && !g.after.None() {
+		if x.fetch && !g.prove && !g.after.IsZero() {
 			after = "AFTER " + g.after.String()
 		}
-		memberconn.Query(&b, x.id, after, s.on+text)
-		err := c.Write(b.String(), s.p.at(until))
+		memberconn.AppendQuery(&b, x.id, after, s.on+text)
+		err := c.WriteBatch(b.String(), s.p.at(until))
 		if err == nil {
 			err = skip(c, len(texts))
 		}
 		var a memberconn.Reply
 		if err == nil {
-			a, err = c.Read(nil)
+			a, err = c.ReadReply(nil)
 		}
 		if err != nil {
 			c.Close()
@@ -153,25 +153,25 @@
 			continue
 		}
 		word := wordOf(&a)
-		if a.Done && text == "BEGIN" {
+		if a.OK && text == "BEGIN" {
 			word = group.Led
 		}
-		if a.Done && a.State == wire.Open {
+		if a.OK && a.State == wire.StateInTransaction {
 			x.lease, x.conn = g, c
-			s.p.desk.do(func() { s.p.desk.heard(g, g.sent, word, a.Pos) })
+			s.p.desk.do(func() { s.p.desk.heard(g, g.sent, word, a.Position) })
 			return "", ""
 		}
-		if a.State != wire.Idle {
+		if a.State != wire.StateIdle {
 			c.Close()
 			c = nil
 		}
-		s.done(g, c, g.sent, word, a.Pos)
+		s.done(g, c, g.sent, word, a.Position)
 		if x.route.Shard != "" && a.Code == shardnode.CodeMoved {
 			s.missed(x.route, place, a.Text)
 			try--
 			continue
 		}
-		if a.Code != wire.ReadOnly && a.Code != wire.Lagging {
+		if a.Code != wire.CodeReadOnly && a.Code != wire.CodeLagging {
 			w.avoid = append(w.avoid, g.rec.ID)
 			if s.p.now()+60 >= until {
 				break
@@ -179,7 +179,7 @@
 			time.Sleep(20 * time.Millisecond)
 		}
 	}
-	return wire.Retry, comeBack
+	return wire.CodeRetry, comeBack
 }
 
 // leave gives a transaction's connection back; nil: it is closed, which rolls back.
@@ -204,12 +204,12 @@
 	x.conn, x.lease = nil, nil
 	go func() {
 		until := time.Now().Add(time.Second)
-		err := c.Write("QUERY - ABORT\r\n", until)
+		err := c.WriteBatch("QUERY - ABORT\r\n", until)
 		var a memberconn.Reply
 		if err == nil {
-			a, err = c.Read(nil)
+			a, err = c.ReadReply(nil)
 		}
-		if err != nil || a.State != wire.Idle {
+		if err != nil || a.State != wire.StateIdle {
 			c.Close()
 			c = nil
 		}
--- a/internal/dataplane/proxy/transcript_test.go
+++ b/internal/dataplane/proxy/transcript_test.go
@@ -64,7 +64,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	x := &transcript{t: t, script: map[string][]string{}}
 	x.p = &Proxy{set: &settings.Settings{Zone: "z"}, log: events.New(&x.log, "proxy"), ctx: ctx, start: time.Now(),
-		sessions: map[*session]struct{}{}, room: wire.NewRoom(1 << 20)}
+		sessions: map[*session]struct{}{}, room: wire.NewBufferBudget(1 << 20)}
 	time.Sleep(time.Minute + 1110*time.Microsecond)
 	x.p.desk = newDesk(x.p)
 	go x.p.desk.run()
@@ -129,7 +129,7 @@
 				rng := rand.New(rand.NewPCG(uint64(len(x.members)), 9))
 				go x.member(id, there, side, rng)
 				g.pool(id).open++
-				x.p.desk.rest(g, m, &conn{Conn: &memberconn.Conn{C: here, R: wire.NewReader(here)}})
+				x.p.desk.rest(g, m, &conn{Conn: &memberconn.Conn{NetConn: here, Reader: wire.NewReader(here)}})
 			}
 		}
 	})
@@ -139,9 +139,9 @@
 func (x *transcript) member(id string, c net.Conn, side *[]string, rng *rand.Rand) {
 	defer c.Close()
 	r := wire.NewReader(c)
-	state := wire.Idle
+	state := wire.StateIdle
 	for {
-		line, err := r.Line()
+		line, err := r.ReadMessage()
 		if err != nil {
 			x.record(side, id+" ended")
 			return
@@ -178,13 +178,13 @@
 	"FAIL OTHER a b", "late", "nonsense", "broken"}
 
 func (x *transcript) answer(id string, c net.Conn, line string, state *string, rng *rand.Rand) bool {
-	_, rest := wire.Cut(line)
-	stamp, text := wire.Cut(rest)
-	verb, _ := wire.Cut(text)
+	_, rest := wire.CutField(line)
+	stamp, text := wire.CutField(rest)
+	verb, _ := wire.CutField(text)
 	said := asUsual
 	plain := text
-	if v, rest := wire.Cut(text); v == "AFTER" {
-		_, plain = wire.Cut(rest)
+	if v, rest := wire.CutField(text); v == "AFTER" {
+		_, plain = wire.CutField(rest)
 	}
 	if next := x.scripted(plain); next != "" {
 		said = next
@@ -200,7 +200,7 @@
 	case "late":
 		time.Sleep(1003 * time.Millisecond)
 	case "broken":
-		*state = wire.Broken
+		*state = wire.StateFailedTransaction
 		said = "FAIL ABORTED by the member"
 	}
 	switch {
@@ -212,9 +212,9 @@
 	case verb == "SHARD":
 		fmt.Fprint(c, "ROW m.settled\r\n")
 	case strings.HasSuffix(text, "BEGIN") || strings.HasSuffix(text, "BEGIN FETCH"):
-		*state = wire.Open
+		*state = wire.StateInTransaction
 	case verb == "COMMIT", verb == "ABORT":
-		*state = wire.Idle
+		*state = wire.StateIdle
 	}
 	done := id + "." + stamp
 	if stamp == wire.NoStamp || verb == "BEGIN" {
@@ -236,7 +236,7 @@
 	var got []string
 	for {
 		x.client.SetReadDeadline(time.Now().Add(20 * time.Second))
-		l, err := x.replies.Line()
+		l, err := x.replies.ReadMessage()
 		if err != nil {
 			got = append(got, err.Error())
 			break
@@ -247,7 +247,7 @@
 		if len(got) == 0 || got[len(got)-1] != l {
 			got = append(got, l)
 		}
-		if strings.HasPrefix(l, wire.Ready) {
+		if strings.HasPrefix(l, wire.MsgReady) {
 			break
 		}
 	}
@@ -530,7 +530,7 @@
 			x.ends[0].Close()
 			time.Sleep(time.Second)
 			fmt.Fprint(x.client, "QUERY q1 STORE a 1\r\n")
-			line, err := x.replies.Line()
+			line, err := x.replies.ReadMessage()
 			fmt.Fprintln(&b, "held, then:", line, err)
 		}},
 	} {
--- a/internal/dataplane/wire/golden_test.go
+++ b/internal/dataplane/wire/golden_test.go
@@ -16,36 +16,36 @@
 	var b strings.Builder
 	line := func(kind string, in, out any) { fmt.Fprintf(&b, "%s\t%q\t%v\n", kind, in, out) }
 
-	for _, word := range []string{Attach, Ready, Fail, Query, Row, Done, Bye, NoStamp, Idle, Open, Broken, Retry, Aborted, Lagging,
-		ReadOnly, WrongHost, Full, NoStmt, Malformed, NoDB, Failed, Timeout, Unknown} {
+	for _, word := range []string{MsgAttach, MsgReady, MsgFail, MsgQuery, MsgRow, MsgDone, MsgBye, NoStamp, StateIdle, StateInTransaction, StateFailedTransaction, CodeRetry, CodeAborted, CodeLagging,
+		CodeReadOnly, CodeWrongHost, CodeFull, CodeNoStatement, CodeMalformed, CodeNoDatabase, CodeFailed, CodeTimeout, CodeOutcomeUnknown} {
 		line("word", word, len(word))
 	}
-	line("limit", "message", Most)
-	for _, err := range []error{ErrLong, ErrRoom, ErrLine} {
+	line("limit", "message", MaxMessageBytes)
+	for _, err := range []error{ErrMessageTooLong, ErrBufferBudget, ErrMalformedLine} {
 		line("error", err.Error(), "")
 	}
 
 	for _, s := range []string{"", "ATTACH", "ATTACH a b c", " x", "x ", "a  b", "QUERY 1 FETCH k"} {
-		field, rest := Cut(s)
+		field, rest := CutField(s)
 		line("cut", s, fmt.Sprintf("%q %q", field, rest))
 	}
 	for _, s := range []string{"BEGIN", "BEGIN FETCH", "BEGIN STORE", "BEGIN ", "COMMIT", "COMMIT x", "ABORT", "ABORT ", "FETCH a", "FETCH", "FETCH a ",
 		"FETCH a b", "STORE a", "STORE a b c", "STORE", "SET a", "SET a b c", "SET", "PREP p FETCH q", "PREP p STORE q r", "PREP p DROP q", "PREP p STORE", "PREP",
 		"EXEC p a", "EXEC p a b", "EXEC p", "EXEC", "UNPREP p", "UNPREP p q", "UNPREP", "AFTER 1.2 FETCH a", "STAT", "PAUSE 3", "begin", ""} {
-		t := Parse(s)
-		line("text", s, fmt.Sprintf("verb %q name %q rest %q kind %q fetch %t valid %t", t.Verb, t.Name, t.Rest, t.Kind, t.Fetch, t.Valid))
+		t := ParseStatement(s)
+		line("text", s, fmt.Sprintf("verb %q name %q rest %q kind %q fetch %t valid %t", t.Verb, t.Name, t.Args, t.PreparedVerb, t.ReadOnly, t.Valid))
 	}
 	for _, s := range []string{"3.1207", "0.0", "0.1", "-", "", "3.", ".3", "a.1", "3", "1.2.3", "+1.2", "1.-2", "18446744073709551615.1",
 		"576460752303423488.9", "5764607523034234880.1", "5764607523034234890.1", "99999999999999999999.1", "007.08"} {
 		p, ok := ParsePosition(s)
-		line("position", s, fmt.Sprintf("%v %d.%d none %v ok %v", p, p.Term, p.Number, p.None(), ok))
+		line("position", s, fmt.Sprintf("%v %d.%d none %v ok %v", p, p.Term, p.Number, p.IsZero(), ok))
 	}
 	for _, s := range []string{"primary 3 3.1209 3 0 2 17", "replica 3 3.1209 0 12 2 17", "replica 3 - 4 12 2 17 more fields", "replica 0 - 0 0 0 0",
 		"leader 3 3.1209 0 12 2 17", "replica 3 3.1209 0 12 2", "replica x 3.1209 0 12 2 17", "replica 3 3 0 12 2 17", "replica 3 3.1 x 12 2 17",
 		"replica 3 3.1 0 x 2 17", "replica 3 3.1 0 12 x 17", "replica 3 3.1 0 12 2 x", ""} {
-		st, ok := ParseStatus(s)
+		st, ok := ParseMemberStatus(s)
 		line("status", s, fmt.Sprintf("primary %t term %d received %v held %d lag %d busy %d conns %d ok %v",
-			st.Primary, st.Term, st.Received, st.Held, st.LagMillis, st.Busy, st.Conns, ok))
+			st.Primary, st.Term, st.Received, st.PromisedTerm, st.LagMillis, st.Busy, st.Conns, ok))
 	}
 	ps := []Position{{}, {0, 1}, {1, 0}, {1, 7}, {2, 3}, {18446744073709551615, 18446744073709551615}}
 	for _, p := range ps {
@@ -56,24 +56,24 @@
 		line("less", p.String(), less)
 	}
 
-	x := strings.Repeat("x", Most)
+	x := strings.Repeat("x", MaxMessageBytes)
 	for _, in := range []struct{ name, bytes string }{
 		{"one", "READY I -\r\n"}, {"two", "BYE\r\nBYE\r\n"}, {"tab", "a\tb\r\n"}, {"not UTF-8", "a\xff\r\n"}, {"empty", "\r\n"}, {"no return", "BYE\n"}, {"one byte", "\n"},
 		{"control", "a\x00b\r\n"}, {"return within", "a\rb\r\n"}, {"no end", "BYE"}, {"none", ""},
-		{"just fits", x[:Most-2] + "\r\n"}, {"too long by one", x[:Most-1] + "\r\n"}, {"too long", x + x + "\r\nBYE\r\n"},
+		{"just fits", x[:MaxMessageBytes-2] + "\r\n"}, {"too long by one", x[:MaxMessageBytes-1] + "\r\n"}, {"too long", x + x + "\r\nBYE\r\n"},
 		{"long without return", x[:5000] + "\n"}, {"long without end", x[:5000]}, {"long with control", x[:5000] + "\x01\r\n"},
 	} {
 		for _, shared := range []int64{-1, 4000, 1 << 22} {
 			r := NewReader(strings.NewReader(in.bytes))
 			if shared >= 0 {
-				r.Within(NewRoom(shared))
+				r.WithBudget(NewBufferBudget(shared))
 			}
 			var got []string
 			for {
-				l, err := r.Line()
+				l, err := r.ReadMessage()
 				if err != nil {
 					got = append(got, fmt.Sprintf("%v, %d buffered", err, r.Buffered()))
-					if err == io.EOF || err == ErrRoom || len(got) > 3 {
+					if err == io.EOF || err == ErrBufferBudget || len(got) > 3 {
 						break
 					}
 					continue
--- a/internal/dataplane/wire/wire.go
+++ b/internal/dataplane/wire/wire.go
@@ -12,27 +12,27 @@
 	"sync/atomic"
 )
 
-// Most is the longest message, in bytes.
-const Most = 1 << 20
+// MaxMessageBytes is the longest message, in bytes.
+const MaxMessageBytes = 1 << 20
 
-// ErrLong is the error of a message that is longer.
-var ErrLong = errors.New("message longer than 1 MiB")
+// ErrMessageTooLong is the error of a message that is longer.
+var ErrMessageTooLong = errors.New("message longer than 1 MiB")
 
-// ErrRoom is the error of a message for which there is no room beside those of others.
-var ErrRoom = errors.New("too many long messages at a time")
+// ErrBufferBudget is the error of a message for which there is no room beside those of others.
+var ErrBufferBudget = errors.New("too many long messages at a time")
 
-// ErrLine is the error of bytes that are no line of text.
-var ErrLine = errors.New("not a line of text")
+// ErrMalformedLine is the error of bytes that are no line of text.
+var ErrMalformedLine = errors.New("not a line of text")
 
 // Words that start a message.
 const (
-	Attach = "ATTACH"
-	Ready  = "READY"
-	Fail   = "FAIL"
-	Query  = "QUERY"
-	Row    = "ROW"
-	Done   = "DONE"
-	Bye    = "BYE"
+	MsgAttach = "ATTACH"
+	MsgReady  = "READY"
+	MsgFail   = "FAIL"
+	MsgQuery  = "QUERY"
+	MsgRow    = "ROW"
+	MsgDone   = "DONE"
+	MsgBye    = "BYE"
 )
 
 // NoStamp stands where a success bears no stamp, as what the system answers itself and what it asks for itself.
@@ -40,47 +40,47 @@
 
 // States of a session.
 const (
-	Idle   = "I"
-	Open   = "T" // inside a transaction
-	Broken = "E" // in one that failed
+	StateIdle              = "I"
+	StateInTransaction     = "T" // inside a transaction
+	StateFailedTransaction = "E" // in one that failed
 )
 
-// Codes of FAIL. Those up to Full promise that nothing of the try is kept.
+// Codes of FAIL. Those up to CodeFull promise that nothing of the try is kept.
 const (
-	Retry     = "RETRY"
-	Aborted   = "ABORTED"
-	Lagging   = "LAGGING"
-	ReadOnly  = "RDONLY"
-	WrongHost = "WRONGHOST"
-	Full      = "FULL"
-	NoStmt    = "NOSTMT"
-	Malformed = "MALFORMED"
-	NoDB      = "NODB"
-	Failed    = "FAILED"
-	Timeout   = "TIMEOUT"
-	Unknown   = "UNKNOWN"
+	CodeRetry          = "RETRY"
+	CodeAborted        = "ABORTED"
+	CodeLagging        = "LAGGING"
+	CodeReadOnly       = "RDONLY"
+	CodeWrongHost      = "WRONGHOST"
+	CodeFull           = "FULL"
+	CodeNoStatement    = "NOSTMT"
+	CodeMalformed      = "MALFORMED"
+	CodeNoDatabase     = "NODB"
+	CodeFailed         = "FAILED"
+	CodeTimeout        = "TIMEOUT"
+	CodeOutcomeUnknown = "UNKNOWN"
 )
 
-// Room bounds what all readers that share it hold of long messages that have not ended.
-type Room struct{ left atomic.Int64 }
+// BufferBudget bounds what all readers that share it hold of long messages that have not ended.
+type BufferBudget struct{ available atomic.Int64 }
 
-// NewRoom gives room for so many bytes.
-func NewRoom(bytes int64) *Room {
-	r := &Room{}
-	r.left.Store(bytes)
+// NewBufferBudget gives room for so many bytes.
+func NewBufferBudget(bytes int64) *BufferBudget {
+	r := &BufferBudget{}
+	r.available.Store(bytes)
 	return r
 }
 
 // Reader reads messages.
 type Reader struct {
-	b    *bufio.Reader
-	long []byte
-	room *Room // nil: not shared
+	b      *bufio.Reader
+	long   []byte
+	budget *BufferBudget // nil: not shared
 }
 
-// Within makes the reader share a room, and gives it back.
-func (r *Reader) Within(room *Room) *Reader {
-	r.room = room
+// WithBudget makes the reader share a room, and gives it back.
+func (r *Reader) WithBudget(room *BufferBudget) *Reader {
+	r.budget = room
 	return r
 }
 
@@ -96,8 +96,8 @@
 	return err
 }
 
-// Line reads one message without its end. What it returns stays as it is.
-func (r *Reader) Line() (string, error) {
+// ReadMessage reads one message without its end. What it returns stays as it is.
+func (r *Reader) ReadMessage() (string, error) {
 	part, err := r.b.ReadSlice('\n')
 	if err == nil {
 		return clean(part)
@@ -106,26 +106,26 @@
 		return "", err
 	}
 	r.long = append(r.long[:0], part...)
-	if r.room != nil {
+	if r.budget != nil {
 		held := int64(0)
-		defer func() { r.room.left.Add(held) }()
-		for errors.Is(err, bufio.ErrBufferFull) && len(r.long) <= Most {
+		defer func() { r.budget.available.Add(held) }()
+		for errors.Is(err, bufio.ErrBufferFull) && len(r.long) <= MaxMessageBytes {
 			held += int64(len(part))
-			if r.room.left.Add(-int64(len(part))) < 0 {
+			if r.budget.available.Add(-int64(len(part))) < 0 {
 				r.long = nil
-				return "", ErrRoom
+				return "", ErrBufferBudget
 			}
 			part, err = r.b.ReadSlice('\n')
 			r.long = append(r.long, part...)
 		}
 	}
-	for errors.Is(err, bufio.ErrBufferFull) && len(r.long) <= Most {
+	for errors.Is(err, bufio.ErrBufferFull) && len(r.long) <= MaxMessageBytes {
 		part, err = r.b.ReadSlice('\n')
 		r.long = append(r.long, part...)
 	}
-	if len(r.long) > Most {
+	if len(r.long) > MaxMessageBytes {
 		r.long = nil
-		return "", ErrLong
+		return "", ErrMessageTooLong
 	}
 	line := r.long
 	if cap(r.long) > 16<<10 {
@@ -140,58 +140,58 @@
 func clean(line []byte) (string, error) {
 	n := len(line)
 	if n < 2 || line[n-2] != '\r' {
-		return "", ErrLine
+		return "", ErrMalformedLine
 	}
 	for _, b := range line[:n-2] {
 		if b < ' ' && b != '\t' {
-			return "", ErrLine
+			return "", ErrMalformedLine
 		}
 	}
 	return string(line[:n-2]), nil
 }
 
-// Cut takes the next field off: what is before the first blank, and the rest.
-func Cut(s string) (field, rest string) {
+// CutField takes the next field off: what is before the first blank, and the rest.
+func CutField(s string) (field, rest string) {
 	field, rest, _ = strings.Cut(s, " ")
 	return field, rest
 }
 
-// Text is a query's text, taken apart.
-type Text struct {
-	Verb  string // BEGIN, COMMIT, ABORT, FETCH, STORE, SET, PREP, EXEC, UNPREP or none of them
-	Name  string // of a value, a prepared statement, or the thing
-	Rest  string // what follows the name
-	Kind  string // PREP: FETCH or STORE
-	Fetch bool   // BEGIN FETCH
-	Valid bool
+// Statement is a query's text, taken apart.
+type Statement struct {
+	Verb         string // BEGIN, COMMIT, ABORT, FETCH, STORE, SET, PREP, EXEC, UNPREP or none of them
+	Name         string // of a value, a prepared statement, or the thing
+	Args         string // what follows the name
+	PreparedVerb string // PREP: FETCH or STORE
+	ReadOnly     bool   // BEGIN FETCH
+	Valid        bool
 }
 
-// Parse takes a query's text apart. Texts that no client may send are not valid.
-func Parse(text string) Text {
-	verb, rest := Cut(text)
-	t := Text{Verb: verb}
+// ParseStatement takes a query's text apart. Texts that no client may send are not valid.
+func ParseStatement(text string) Statement {
+	verb, rest := CutField(text)
+	t := Statement{Verb: verb}
 	switch verb {
 	case "BEGIN":
-		t.Fetch = rest == "FETCH"
-		t.Valid = rest == "" && !strings.HasSuffix(text, " ") || t.Fetch
+		t.ReadOnly = rest == "FETCH"
+		t.Valid = rest == "" && !strings.HasSuffix(text, " ") || t.ReadOnly
 	case "COMMIT", "ABORT":
 		t.Valid = text == verb
 	case "FETCH":
-		t.Name, t.Rest = Cut(rest)
-		t.Valid = t.Name != "" && t.Rest == ""
+		t.Name, t.Args = CutField(rest)
+		t.Valid = t.Name != "" && t.Args == ""
 	case "STORE":
-		t.Name, t.Rest = Cut(rest)
+		t.Name, t.Args = CutField(rest)
 		t.Valid = t.Name != ""
 	case "SET":
-		t.Name, t.Rest = Cut(rest)
+		t.Name, t.Args = CutField(rest)
 		t.Valid = t.Name != ""
 	case "PREP":
-		t.Name, rest = Cut(rest)
-		t.Kind, t.Rest = Cut(rest)
-		t.Valid = t.Name != "" && (t.Kind == "FETCH" || t.Kind == "STORE") && t.Rest != ""
+		t.Name, rest = CutField(rest)
+		t.PreparedVerb, t.Args = CutField(rest)
+		t.Valid = t.Name != "" && (t.PreparedVerb == "FETCH" || t.PreparedVerb == "STORE") && t.Args != ""
 	case "EXEC":
-		t.Name, t.Rest = Cut(rest)
-		t.Valid = t.Name != "" && t.Rest != ""
+		t.Name, t.Args = CutField(rest)
+		t.Valid = t.Name != "" && t.Args != ""
 	case "UNPREP":
 		t.Name = rest
 		t.Valid = rest != "" && !strings.Contains(rest, " ")
@@ -229,11 +229,11 @@
 	return p.Term < q.Term || p.Term == q.Term && p.Number < q.Number
 }
 
-// None says whether it is no position.
-func (p Position) None() bool { return p == Position{} }
+// IsZero says whether it is no position.
+func (p Position) IsZero() bool { return p == Position{} }
 
 func (p Position) String() string {
-	if p.None() {
+	if p.IsZero() {
 		return "-"
 	}
 	return utoa(p.Term) + "." + utoa(p.Number)
@@ -251,28 +251,28 @@
 	}
 }
 
-// Status is a member's row for STAT, PAUSE, CONT and STEPDOWN.
-type Status struct {
-	Primary   bool
-	Term      uint64 // newest that it knows
-	Received  Position
-	Held      uint64 // term that it was paused with; 0: it is not paused
-	LagMillis uint64
-	Busy      uint64
-	Conns     uint64
+// MemberStatus is a member's row for STAT, PAUSE, CONT and STEPDOWN.
+type MemberStatus struct {
+	Primary      bool
+	Term         uint64 // newest that it knows
+	Received     Position
+	PromisedTerm uint64 // term that it was paused with; 0: it is not paused
+	LagMillis    uint64
+	Busy         uint64
+	Conns        uint64
 }
 
-// ParseStatus reads the row's fields.
-func ParseStatus(row string) (Status, bool) {
+// ParseMemberStatus reads the row's fields.
+func ParseMemberStatus(row string) (MemberStatus, bool) {
 	f := strings.Fields(row)
 	if len(f) < 7 || f[0] != "primary" && f[0] != "replica" {
-		return Status{}, false
+		return MemberStatus{}, false
 	}
-	s := Status{Primary: f[0] == "primary"}
+	s := MemberStatus{Primary: f[0] == "primary"}
 	var ok [6]bool
 	s.Term, ok[0] = digits(f[1])
 	s.Received, ok[1] = ParsePosition(f[2])
-	s.Held, ok[2] = digits(f[3])
+	s.PromisedTerm, ok[2] = digits(f[3])
 	s.LagMillis, ok[3] = digits(f[4])
 	s.Busy, ok[4] = digits(f[5])
 	s.Conns, ok[5] = digits(f[6])
--- a/internal/dataplane/wire/wire_test.go
+++ b/internal/dataplane/wire/wire_test.go
@@ -10,34 +10,34 @@
 	long := strings.Repeat("x", 100_000)
 	r := NewReader(strings.NewReader("ATTACH a b\r\n" + long + "\r\nno return\nBYE\r\n"))
 	for _, want := range []string{"ATTACH a b", long} {
-		if l, err := r.Line(); l != want || err != nil {
+		if l, err := r.ReadMessage(); l != want || err != nil {
 			t.Fatalf("%.20q %v", l, err)
 		}
 	}
-	if _, err := r.Line(); err != ErrLine {
+	if _, err := r.ReadMessage(); err != ErrMalformedLine {
 		t.Error(err)
 	}
-	if l, err := r.Line(); l != "BYE" || err != nil {
+	if l, err := r.ReadMessage(); l != "BYE" || err != nil {
 		t.Error(l, err)
 	}
-	if _, err := r.Line(); err != io.EOF {
+	if _, err := r.ReadMessage(); err != io.EOF {
 		t.Error(err)
 	}
-	if _, err := NewReader(strings.NewReader(strings.Repeat("x", Most+9) + "\r\n")).Line(); err != ErrLong {
+	if _, err := NewReader(strings.NewReader(strings.Repeat("x", MaxMessageBytes+9) + "\r\n")).ReadMessage(); err != ErrMessageTooLong {
 		t.Error(err)
 	}
-	room := NewRoom(150_000)
-	endless := NewReader(io.LimitReader(zeros{}, 140_000)).Within(room)
-	if _, err := endless.Line(); err != io.EOF {
+	room := NewBufferBudget(150_000)
+	endless := NewReader(io.LimitReader(zeros{}, 140_000)).WithBudget(room)
+	if _, err := endless.ReadMessage(); err != io.EOF {
 		t.Error(err)
 	}
-	if l, err := NewReader(strings.NewReader(long + "\r\n")).Within(room).Line(); len(l) != len(long) || err != nil {
+	if l, err := NewReader(strings.NewReader(long + "\r\n")).WithBudget(room).ReadMessage(); len(l) != len(long) || err != nil {
 		t.Error("what an ended message held was not given back", err)
 	}
-	if _, err := NewReader(strings.NewReader(long + long + "\r\n")).Within(room).Line(); err != ErrRoom {
+	if _, err := NewReader(strings.NewReader(long + long + "\r\n")).WithBudget(room).ReadMessage(); err != ErrBufferBudget {
 		t.Error(err)
 	}
-	if left := room.left.Load(); left != 150_000 {
+	if left := room.available.Load(); left != 150_000 {
 		t.Error(left)
 	}
 }
@@ -56,7 +56,7 @@
 		"FETCH a": true, "FETCH": false, "FETCH a b": false, "STORE a": true, "STORE a b c": true, "STORE": false, "SET a": true, "SET a b c": true, "SET": false,
 		"PREP p FETCH q": true, "PREP p DROP q": false, "PREP p STORE": false, "EXEC p a": true, "EXEC p": false, "UNPREP p": true, "UNPREP p q": false,
 		"AFTER 1.2 FETCH a": false, "STAT": false, "PAUSE 3": false, "RESET": false, "": false} {
-		if got := Parse(text).Valid; got != want {
+		if got := ParseStatement(text).Valid; got != want {
 			t.Errorf("%q: %v", text, got)
 		}
 	}
@@ -65,10 +65,10 @@
 			t.Errorf("%q: %v %v", s, p, ok)
 		}
 	}
-	if s, ok := ParseStatus("replica 3 3.1209 0 12 2 17"); !ok || s.Primary || s.Term != 3 || s.Received != (Position{3, 1209}) || s.LagMillis != 12 || s.Conns != 17 {
+	if s, ok := ParseMemberStatus("replica 3 3.1209 0 12 2 17"); !ok || s.Primary || s.Term != 3 || s.Received != (Position{3, 1209}) || s.LagMillis != 12 || s.Conns != 17 {
 		t.Error(s, ok)
 	}
-	if _, ok := ParseStatus("leader 3 3.1209 0 12 2 17"); ok {
+	if _, ok := ParseMemberStatus("leader 3 3.1209 0 12 2 17"); ok {
 		t.Error("a role that there is not")
 	}
 }
--- a/internal/lab/hollow/processes.go
+++ b/internal/lab/hollow/processes.go
@@ -194,7 +194,7 @@
 func answerStat(c net.Conn) {
 	defer c.Close()
 	r := wire.NewReader(c)
-	if _, err := r.Line(); err != nil {
+	if _, err := r.ReadMessage(); err != nil {
 		return
 	}
 	answer := "READY I 1.0\r\n"
@@ -202,7 +202,7 @@
 		if _, err := io.WriteString(c, answer); err != nil {
 			return
 		}
-		if _, err := r.Line(); err != nil {
+		if _, err := r.ReadMessage(); err != nil {
 			return
 		}
 		answer = "ROW primary 1 1.0 1 0 0 1\r\nDONE -\r\nREADY I 1.0\r\n"
--- a/internal/standin/cluster/cluster.go
+++ b/internal/standin/cluster/cluster.go
@@ -319,7 +319,7 @@
 
 func (k *Client) line() string {
 	k.c.SetReadDeadline(time.Now().Add(8 * time.Second))
-	l, err := k.r.Line()
+	l, err := k.r.ReadMessage()
 	if err != nil {
 		return "end: " + err.Error()
 	}
@@ -335,7 +335,7 @@
 	for {
 		l := k.line()
 		all = append(all, l)
-		if strings.HasPrefix(l, wire.Ready) || strings.HasPrefix(l, "end") {
+		if strings.HasPrefix(l, wire.MsgReady) || strings.HasPrefix(l, "end") {
 			return id, strings.Join(all, " | ")
 		}
 	}
--- a/internal/standin/cluster/members.go
+++ b/internal/standin/cluster/members.go
@@ -159,11 +159,11 @@
 		c.Close()
 	}()
 	r := wire.NewReader(c)
-	line, err := r.Line()
+	line, err := r.ReadMessage()
 	if err != nil {
 		return
 	}
-	if f := strings.Fields(line); len(f) < 3 || f[0] != wire.Attach || f[1] != s.Name || len(f) > 3 && f[3] != id {
+	if f := strings.Fields(line); len(f) < 3 || f[0] != wire.MsgAttach || f[1] != s.Name || len(f) > 3 && f[3] != id {
 		io.WriteString(c, "FAIL WRONGHOST\r\n")
 		return
 	}
@@ -172,15 +172,15 @@
 	defer v.count(false)
 	defer v.end()
 	for {
-		line, err := r.Line()
+		line, err := r.ReadMessage()
 		if err != nil {
 			return
 		}
-		word, rest := wire.Cut(line)
-		if word != wire.Query {
+		word, rest := wire.CutField(line)
+		if word != wire.MsgQuery {
 			return
 		}
-		qid, text := wire.Cut(rest)
+		qid, text := wire.CutField(rest)
 		var answer string
 		var ok bool
 		if s.Keeper != nil && qid == "-" && strings.HasPrefix(text, "SHARD ") {
@@ -229,8 +229,8 @@
 		return "", false
 	}
 	after := ""
-	if p, rest := wire.Cut(text); p == "AFTER" {
-		after, text = wire.Cut(rest)
+	if p, rest := wire.CutField(text); p == "AFTER" {
+		after, text = wire.CutField(rest)
 	}
 	if shard, epoch, rest, on := shardnode.CutShardPrefix(text); on && s.Keeper != nil {
 		return v.onShard(shard, epoch, qid, rest)
@@ -238,9 +238,9 @@
 	if v.shard != "" && qid != "-" || v.shard != "" && text == "ABORT" {
 		return v.inShard(qid, text)
 	}
-	verb, rest := wire.Cut(text)
+	verb, rest := wire.CutField(text)
 	if verb == "EXEC" {
-		name, args := wire.Cut(rest)
+		name, args := wire.CutField(rest)
 		kind, ok := v.preps[name]
 		if !ok {
 			return "FAIL NOSTMT " + name + "\r\n", true
@@ -256,7 +256,7 @@
 		if st.Primary {
 			role = "primary"
 		}
-		return fmt.Sprintf("ROW %s %d %s %d 0 0 0\r\nDONE -\r\n", role, st.Term, st.Received, st.Held), true
+		return fmt.Sprintf("ROW %s %d %s %d 0 0 0\r\nDONE -\r\n", role, st.Term, st.Received, st.PromisedTerm), true
 	}
 	if at, ok := s.drained[v.id]; ok && time.Since(at) > 7*time.Second && qid != "-" && !v.open {
 		s.Late = append(s.Late, qid)
@@ -265,7 +265,7 @@
 		return "FAIL MALFORMED\r\n", true
 	}
 	if p, ok := wire.ParsePosition(after); ok && m.Position().Less(p) {
-		return fail(wire.Lagging)
+		return fail(wire.CodeLagging)
 	}
 	term, _ := strconv.ParseUint(rest, 10, 64)
 	switch verb {
@@ -286,12 +286,12 @@
 	case "SET":
 		return "DONE -\r\n", true
 	case "PREP":
-		name, shape := wire.Cut(rest)
-		v.preps[name], _ = wire.Cut(shape)
+		name, shape := wire.CutField(rest)
+		v.preps[name], _ = wire.CutField(shape)
 		return "DONE -\r\n", true
 	case "BEGIN":
 		if rest == "" && !m.Primary {
-			return fail(wire.ReadOnly)
+			return fail(wire.CodeReadOnly)
 		}
 		v.open, v.plain, v.writes = true, rest == "", nil
 		return "DONE -\r\n", true
@@ -300,14 +300,14 @@
 		return "DONE -\r\n", true
 	case "FETCH":
 		if v.open && v.plain && !m.Primary {
-			return fail(wire.ReadOnly)
+			return fail(wire.CodeReadOnly)
 		}
 		return "ROW " + s.data[rest] + "\r\nDONE " + v.id + "." + qid + "\r\n", true
 	case "STORE":
 		if !m.Primary {
-			return fail(wire.ReadOnly)
+			return fail(wire.CodeReadOnly)
 		}
-		thing, data := wire.Cut(rest)
+		thing, data := wire.CutField(rest)
 		v.writes = append(v.writes, qid, thing, data)
 		if v.open {
 			return "DONE " + v.id + "." + qid + "\r\n", true
--- a/internal/standin/cluster/nodes.go
+++ b/internal/standin/cluster/nodes.go
@@ -80,11 +80,11 @@
 	s := v.s
 	answer := func(rows []string, err error) (string, bool) {
 		if err != nil {
-			return wire.Fail + " " + shardnode.Code(err) + "\r\n", true
+			return wire.MsgFail + " " + shardnode.Code(err) + "\r\n", true
 		}
 		var b strings.Builder
 		for _, r := range rows {
-			b.WriteString(wire.Row + " " + r + "\r\n")
+			b.WriteString(wire.MsgRow + " " + r + "\r\n")
 		}
 		return b.String() + "DONE -\r\n", true
 	}
@@ -105,10 +105,10 @@
 		return "", false
 	}
 	defer c.Close()
-	got, err := c.Ask(fetch.EntriesStatement, until)
-	var said *memberconn.Refusal
+	got, err := c.Query(fetch.EntriesStatement, until)
+	var said *memberconn.MemberError
 	if errors.As(err, &said) {
-		return wire.Fail + " " + said.Text + "\r\n", true
+		return wire.MsgFail + " " + said.Text + "\r\n", true
 	}
 	if err != nil {
 		return "", false
@@ -130,8 +130,8 @@
 // onShard runs a statement that names its shard and epoch. The lock is held.
 func (v *visit) onShard(shard string, epoch uint64, qid, text string) (string, bool) {
 	k := v.s.Keeper
-	verb, rest := wire.Cut(text)
-	refuse := func(err error) (string, bool) { return wire.Fail + " " + shardnode.Code(err) + "\r\n", true }
+	verb, rest := wire.CutField(text)
+	refuse := func(err error) (string, bool) { return wire.MsgFail + " " + shardnode.Code(err) + "\r\n", true }
 	switch verb {
 	case "BEGIN":
 		if err := k.BeginTransaction(shard, epoch); err != nil {
@@ -161,7 +161,7 @@
 
 // inShard runs a statement of an open transaction on a shard. The lock is held.
 func (v *visit) inShard(qid, text string) (string, bool) {
-	verb, rest := wire.Cut(text)
+	verb, rest := wire.CutField(text)
 	switch verb {
 	case "FETCH":
 		return "ROW x\r\nDONE " + v.id + "." + qid + "\r\n", true
--- a/internal/standin/replicaset/replicaset.go
+++ b/internal/standin/replicaset/replicaset.go
@@ -80,8 +80,8 @@
 }
 
 // Status is the row that a member answers with.
-func (m *Member) Status() wire.Status {
-	return wire.Status{Primary: m.Primary, Term: m.Term, Received: m.Position(), Held: m.PausedAt}
+func (m *Member) Status() wire.MemberStatus {
+	return wire.MemberStatus{Primary: m.Primary, Term: m.Term, Received: m.Position(), PromisedTerm: m.PausedAt}
 }
 
 // Write appends a commit at a member. False: it does not lead.
