--- a/internal/shard/shardnode/statements.go
+++ b/internal/shard/shardnode/statements.go
@@ -1,219 +1,264 @@
 package shardnode
 
-// This file owns the words that a node takes on the line wire: texts of the system's own that begin with SHARD, and ON
-// in front of a client's statement. docs/rebalance.md lists them.
+// This file owns the statements that a node takes on the line protocol: the system's own, which begin with SHARD, and
+// the prefix ON of a client's. docs/rebalance.md lists them.
 
 import (
 	"encoding/json"
-	"errors"
 	"fmt"
 	"strconv"
 	"strings"
 )
 
-// Codes of a node's FAIL, each a promise that nothing was done.
-const (
-	CodeMoved  = "MOVED" // and the newest epoch that the node has heard
-	CodeNoRoom = "NOROOM"
-	CodeVoid   = "VOID"
-	CodeOld    = "OLD"
-	CodeBehind = "BEHIND"
-	CodeState  = "STATE"
-)
-
-// Code gives the words behind FAIL for a refusal.
-func Code(err error) string {
-	var moved *MovedError
-	switch {
-	case errors.As(err, &moved):
-		return CodeMoved + " " + strconv.FormatUint(moved.HighestEpoch, 10)
-	case errors.Is(err, ErrNoCapacity):
-		return CodeNoRoom
-	case errors.Is(err, ErrAborted):
-		return CodeVoid
-	case errors.Is(err, ErrStaleEpoch):
-		return CodeOld
-	case errors.Is(err, ErrIncomplete):
-		return CodeBehind
-	}
-	return CodeState
-}
-
-// On takes ON shard epoch off the front of a text; ok is false where it isn't there.
+// CutShardPrefix takes ON shard epoch off the front of a client's statement; ok is false where it isn't there.
 func CutShardPrefix(text string) (shard string, epoch uint64, rest string, ok bool) {
-	f := strings.SplitN(text, " ", 4)
-	if len(f) < 4 || f[0] != "ON" {
+	fields := strings.SplitN(text, " ", 4)
+	if len(fields) < 4 || fields[0] != "ON" {
 		return "", 0, text, false
 	}
-	epoch, err := strconv.ParseUint(f[2], 10, 64)
-	return f[1], epoch, f[3], err == nil
+	epoch, err := strconv.ParseUint(fields[2], 10, 64)
+	return fields[1], epoch, fields[3], err == nil
 }
 
-// Stamp is what an effect is answered with, the same wherever the shard has moved since.
-func EffectPosition(shard string, e Entry) string {
-	return shard + "." + strconv.FormatUint(e.Index, 10)
+// EffectPosition is what a client is told of its effect, the same wherever the shard has moved since.
+func EffectPosition(shard string, entry Entry) string {
+	return shard + "." + strconv.FormatUint(entry.Index, 10)
 }
 
-// Report is a node's, for LOOK.
-type Report struct {
-	Capacity int64                    `json:"limit"`
-	External int64                    `json:"foreign"`
-	Free     int64                    `json:"free"`
-	Busy     int                      `json:"busy"`
-	Slots    int                      `json:"slots"`
-	Replicas map[string]ReplicaReport `json:"copies"`
+// FetchRequest is what FETCH asks the target of a transfer to do: the runner sends EntriesStatement to the source and
+// gives the rows of its answer to ApplyFetch.
+type FetchRequest struct {
+	Shard            string
+	Epoch            uint64
+	MaxBytes         int64
+	SealAt           uint64 // seal the replica once its last index is this; 0: not yet
+	Addr             string // of the source
+	Service, Member  string // of the source
+	AfterIndex       uint64 // the replica's last index
+	EntriesStatement string
 }
 
-// Have is a copy as its node says.
-type ReplicaReport struct {
-	Epoch     uint64 `json:"epoch"`
-	State     State  `json:"state"`
-	LastIndex uint64 `json:"last"`
-	Size      int64  `json:"held"`
+// statement is a parsed SHARD statement.
+type statement struct {
+	verb  string
+	shard string
+	epoch uint64
+	args  []string // behind the epoch
 }
 
-// Report says what the keeper holds.
-func (k *Store) Report() Report {
-	r := Report{Capacity: k.Capacity, External: k.External, Free: k.FreeBytes(), Replicas: map[string]ReplicaReport{}}
-	for shard, c := range k.Replicas {
-		r.Replicas[shard] = ReplicaReport{c.Epoch, c.State, c.LastIndex(), c.Size}
+// parseStatement parses SHARD verb shard epoch args...
+func parseStatement(fields []string) (*statement, error) {
+	if len(fields) < 4 {
+		return nil, ErrWrongState
+	}
+	epoch, err := parseNumber(fields[3])
+	if err != nil {
+		return nil, err
 	}
-	return r
+	return &statement{verb: fields[1], shard: fields[2], epoch: epoch, args: fields[4:]}, nil
 }
 
-// Fetch is what FETCH asks a node to do: to take entries from another. Its runner calls the other and gives them to
-// Receive.
-type FetchRequest struct {
-	Shard            string
-	Epoch            uint64
-	MaxBytes         int64
-	SealAt           uint64 // once it has that much, the copy is sealed; 0: not
-	Addr             string // of the node that holds it, with the name of its service and its id
-	Service, Member  string
-	AfterIndex       uint64 // what is here
-	EntriesStatement string // the question to put there
-}
-
-// Say answers a SHARD text with rows. A FETCH gives what is to be fetched instead; the state is to be synced before the
-// answer.
-func (k *Store) Execute(text string) (rows []string, fetch *FetchRequest, err error) {
-	f := strings.Fields(text)
-	if len(f) < 2 || f[0] != "SHARD" {
-		return nil, nil, ErrWrongState
+// number parses the i-th argument.
+func (st *statement) number(i int) (uint64, error) {
+	if i >= len(st.args) {
+		return 0, ErrWrongState
 	}
-	if f[1] == "LOOK" {
-		b, err := json.Marshal(k.Report())
-		return []string{string(b)}, nil, err
+	return parseNumber(st.args[i])
+}
+
+// numbers parses the first two arguments.
+func (st *statement) numbers() (first, second uint64, err error) {
+	if first, err = st.number(0); err != nil {
+		return 0, 0, err
 	}
-	num := func(i int) uint64 {
-		if i >= len(f) {
-			err = ErrWrongState
-			return 0
-		}
-		n, wrong := strconv.ParseUint(f[i], 10, 63)
-		if wrong != nil {
-			err = ErrWrongState
-		}
-		return n
+	second, err = st.number(1)
+	return first, second, err
+}
+
+// parseNumber parses a number that fits an int64 too.
+func parseNumber(text string) (uint64, error) {
+	n, err := strconv.ParseUint(text, 10, 63)
+	if err != nil {
+		return 0, ErrWrongState
 	}
-	if len(f) < 4 {
+	return n, nil
+}
+
+// Execute runs a SHARD statement and gives the rows of its answer; the store is to be synced before they are sent. A
+// FETCH gives what is to be fetched instead.
+func (s *Store) Execute(text string) (rows []string, fetch *FetchRequest, err error) {
+	fields := strings.Fields(text)
+	if len(fields) < 2 || fields[0] != "SHARD" {
 		return nil, nil, ErrWrongState
 	}
-	shard, epoch := f[2], num(3)
+	if fields[1] == "LOOK" {
+		rows, err = s.executeReport()
+		return rows, nil, err
+	}
+	st, err := parseStatement(fields)
 	if err != nil {
 		return nil, nil, err
 	}
-	switch f[1] {
+	switch st.verb {
 	case "RESERVE":
-		if n := num(4); err == nil {
-			err = k.Reserve(shard, epoch, int64(n))
-		}
+		err = s.executeReserve(st)
 	case "SEAL":
-		if n := num(4); err == nil {
-			err = k.Seal(shard, epoch, n)
-		}
+		err = s.executeSeal(st)
 	case "HOLD":
-		if n := num(4); err == nil {
-			err = k.Activate(shard, epoch, n)
-		}
+		err = s.executeActivate(st)
 	case "SETTLE":
-		if len(f) != 5 {
-			return nil, nil, ErrWrongState
-		}
-		var e Entry
-		if e, err = k.ResolveAttempt(shard, epoch, f[4]); err == nil {
-			rows = []string{EffectPosition(shard, e)}
-		}
+		rows, err = s.executeResolve(st)
 	case "DROP":
-		err = k.Drop(shard, epoch)
+		err = s.Drop(st.shard, st.epoch)
 	case "ABANDON":
-		err = k.Discard(shard, epoch)
-	case "CLOSE", "CUT":
-		var last uint64
-		var done bool
-		if last, done, err = k.Close(shard, epoch); err == nil && f[1] == "CUT" && !done {
-			k.AbortTransactions(shard)
-			last, done, err = k.Close(shard, epoch)
-		}
-		rows = []string{fmt.Sprint(last, " ", done)}
+		err = s.Discard(st.shard, st.epoch)
+	case "CLOSE":
+		rows, err = s.executeClose(st)
+	case "CUT":
+		rows, err = s.executeAbortTransactions(st)
 	case "ENTRIES":
-		after, most := num(4), num(5)
-		if err != nil {
-			break
-		}
-		entries, more, wrong := k.ReadEntries(shard, epoch, after, int64(most))
-		if err = wrong; err == nil {
-			rows = append(rows, fmt.Sprint(more))
-			for _, e := range entries {
-				b, _ := json.Marshal(e)
-				rows = append(rows, string(b))
-			}
-		}
+		rows, err = s.executeEntries(st)
 	case "FETCH":
-		bytes, last := num(4), num(5)
-		c := k.Replicas[shard]
-		switch {
-		case err != nil:
-		case len(f) != 9 || c == nil || c.Epoch != epoch || c.State != StateReceiving && c.State != StateSealed:
-			err = ErrWrongState
-		default:
-			fetch = &FetchRequest{
-				Shard: shard, Epoch: epoch, MaxBytes: int64(bytes), SealAt: last,
-				Addr: f[6], Service: f[7], Member: f[8], AfterIndex: c.LastIndex(),
-				EntriesStatement: fmt.Sprintf("SHARD ENTRIES %s %d %d %d", shard, epoch, c.LastIndex(), bytes),
-			}
-		}
+		fetch, err = s.executeFetch(st)
 	default:
 		err = ErrWrongState
 	}
 	return rows, fetch, err
 }
 
-// Fetched takes the rows that the other node answered, and gives those of FETCH's own answer: last, more, sealed,
-// bytes.
-func (k *Store) ApplyFetch(f *FetchRequest, rows []string) ([]string, error) {
-	if len(rows) == 0 {
-		return nil, ErrWrongState
+// executeReport answers with the report, in JSON.
+func (s *Store) executeReport() ([]string, error) {
+	report, err := json.Marshal(s.Report())
+	return []string{string(report)}, err
+}
+
+// executeReserve takes the bytes.
+func (s *Store) executeReserve(st *statement) error {
+	bytes, err := st.number(0)
+	if err != nil {
+		return err
 	}
-	more, err := strconv.ParseUint(rows[0], 10, 64)
+	return s.Reserve(st.shard, st.epoch, int64(bytes))
+}
+
+// executeSeal takes the last index.
+func (s *Store) executeSeal(st *statement) error {
+	lastIndex, err := st.number(0)
 	if err != nil {
+		return err
+	}
+	return s.Seal(st.shard, st.epoch, lastIndex)
+}
+
+// executeActivate takes the required index.
+func (s *Store) executeActivate(st *statement) error {
+	requiredIndex, err := st.number(0)
+	if err != nil {
+		return err
+	}
+	return s.Activate(st.shard, st.epoch, requiredIndex)
+}
+
+// executeResolve takes the attempt's id and answers with the effect's position.
+func (s *Store) executeResolve(st *statement) ([]string, error) {
+	if len(st.args) != 1 {
 		return nil, ErrWrongState
 	}
-	var entries []Entry
-	took := int64(0)
-	for _, r := range rows[1:] {
-		var e Entry
-		if json.Unmarshal([]byte(r), &e) != nil {
-			return nil, ErrWrongState
+	entry, err := s.ResolveAttempt(st.shard, st.epoch, st.args[0])
+	if err != nil {
+		return nil, err
+	}
+	return []string{EffectPosition(st.shard, entry)}, nil
+}
+
+// executeClose answers with the last index and whether it is final.
+func (s *Store) executeClose(st *statement) ([]string, error) {
+	lastIndex, done, err := s.Close(st.shard, st.epoch)
+	return []string{fmt.Sprint(lastIndex, " ", done)}, err
+}
+
+// executeAbortTransactions closes, and aborts the transactions that this would wait for.
+func (s *Store) executeAbortTransactions(st *statement) ([]string, error) {
+	if _, done, err := s.Close(st.shard, st.epoch); err == nil && !done {
+		s.AbortTransactions(st.shard)
+	}
+	return s.executeClose(st)
+}
+
+// executeEntries takes the index behind which entries are wanted and the most bytes of them. It answers with how many
+// are left, then with the entries in JSON.
+func (s *Store) executeEntries(st *statement) ([]string, error) {
+	afterIndex, maxBytes, err := st.numbers()
+	if err != nil {
+		return nil, err
+	}
+	entries, remaining, err := s.ReadEntries(st.shard, st.epoch, afterIndex, int64(maxBytes))
+	if err != nil {
+		return nil, err
+	}
+	rows := []string{strconv.FormatUint(remaining, 10)}
+	for _, entry := range entries {
+		row, err := json.Marshal(entry)
+		if err != nil {
+			return nil, err
 		}
-		entries = append(entries, e)
-		took += e.Bytes
+		rows = append(rows, string(row))
+	}
+	return rows, nil
+}
+
+// executeFetch takes the most bytes, the index to seal at, and the source's address, service and member.
+func (s *Store) executeFetch(st *statement) (*FetchRequest, error) {
+	maxBytes, sealAt, err := st.numbers()
+	if err != nil {
+		return nil, err
+	}
+	replica := s.Replicas[st.shard]
+	if len(st.args) != 5 || !replica.inEpoch(st.epoch, StateReceiving, StateSealed) {
+		return nil, ErrWrongState
+	}
+	return &FetchRequest{
+		Shard: st.shard, Epoch: st.epoch, MaxBytes: int64(maxBytes), SealAt: sealAt,
+		Addr: st.args[2], Service: st.args[3], Member: st.args[4], AfterIndex: replica.LastIndex(),
+		EntriesStatement: fmt.Sprintf("SHARD ENTRIES %s %d %d %d", st.shard, st.epoch, replica.LastIndex(), maxBytes),
+	}, nil
+}
+
+// ApplyFetch appends the entries of the source's answer, seals the replica if that was asked for, and gives the row of
+// FETCH's own answer: last index, entries that remain at the source, sealed, bytes.
+func (s *Store) ApplyFetch(fetch *FetchRequest, rows []string) ([]string, error) {
+	remaining, entries, err := parseEntries(rows)
+	if err != nil {
+		return nil, err
+	}
+	bytes := int64(0)
+	for _, entry := range entries {
+		bytes += entry.Bytes
 	}
-	if c := k.Replicas[f.Shard]; c == nil || c.State != StateSealed {
-		if err := k.AppendEntries(f.Shard, f.Epoch, entries); err != nil {
+	if replica := s.Replicas[fetch.Shard]; replica == nil || replica.State != StateSealed {
+		if err := s.AppendEntries(fetch.Shard, fetch.Epoch, entries); err != nil {
 			return nil, err
 		}
 	}
-	sealed := f.SealAt > 0 && k.Seal(f.Shard, f.Epoch, f.SealAt) == nil
-	return []string{fmt.Sprint(k.Replicas[f.Shard].LastIndex(), " ", more, " ", sealed, " ", took)}, nil
+	sealed := fetch.SealAt > 0 && s.Seal(fetch.Shard, fetch.Epoch, fetch.SealAt) == nil
+	lastIndex := s.Replicas[fetch.Shard].LastIndex()
+	return []string{fmt.Sprint(lastIndex, " ", remaining, " ", sealed, " ", bytes)}, nil
+}
+
+// parseEntries reads the answer to ENTRIES.
+func parseEntries(rows []string) (remaining uint64, entries []Entry, err error) {
+	if len(rows) == 0 {
+		return 0, nil, ErrWrongState
+	}
+	if remaining, err = strconv.ParseUint(rows[0], 10, 64); err != nil {
+		return 0, nil, ErrWrongState
+	}
+	for _, row := range rows[1:] {
+		var entry Entry
+		if json.Unmarshal([]byte(row), &entry) != nil {
+			return 0, nil, ErrWrongState
+		}
+		entries = append(entries, entry)
+	}
+	return remaining, entries, nil
 }
--- a/internal/shard/shardnode/statements_test.go
+++ b/internal/shard/shardnode/statements_test.go
@@ -9,7 +9,7 @@
 // target ask the source.
 func TestMoveByStatements(t *testing.T) {
 	source, target := NewStore(1<<20, 0), NewStore(1<<20, 0)
-	say := func(k *Store, format string, args ...any) ([]string, *FetchRequest) {
+	execute := func(k *Store, format string, args ...any) ([]string, *FetchRequest) {
 		t.Helper()
 		text := fmt.Sprintf(format, args...)
 		rows, fetch, err := k.Execute(text)
@@ -18,21 +18,21 @@
 		}
 		return rows, fetch
 	}
-	say(source, "SHARD HOLD s 1 0")
+	execute(source, "SHARD HOLD s 1 0")
 	const writes = 3
 	for i := range writes {
 		if _, err := source.Write("s", 1, fmt.Sprint("id", i), []byte("value")); err != nil {
 			t.Fatal(err)
 		}
 	}
-	say(target, "SHARD RESERVE s 1 1000")
+	execute(target, "SHARD RESERVE s 1 1000")
 	fetchAll := func(last uint64) []string {
 		t.Helper()
-		_, fetch := say(target, "SHARD FETCH s 1 1000 %d 10.0.0.1:1 svc source", last)
+		_, fetch := execute(target, "SHARD FETCH s 1 1000 %d 10.0.0.1:1 svc source", last)
 		if fetch == nil || fetch.Addr != "10.0.0.1:1" || fetch.Service != "svc" || fetch.Member != "source" {
 			t.Fatalf("%+v", fetch)
 		}
-		entries, _ := say(source, "%s", fetch.EntriesStatement)
+		entries, _ := execute(source, "%s", fetch.EntriesStatement)
 		rows, err := target.ApplyFetch(fetch, entries)
 		if err != nil {
 			t.Fatal(err)
@@ -43,7 +43,7 @@
 	if got := target.Replicas["s"].LastIndex(); got != writes {
 		t.Errorf("%d of %d entries were copied", got, writes)
 	}
-	rows, _ := say(source, "SHARD CLOSE s 1")
+	rows, _ := execute(source, "SHARD CLOSE s 1")
 	if rows[0] != fmt.Sprint(writes, " true") {
 		t.Errorf("closed with %q", rows)
 	}
@@ -51,8 +51,8 @@
 	if state := target.Replicas["s"].State; state != StateSealed {
 		t.Errorf("it is %v", state)
 	}
-	say(target, "SHARD HOLD s 2 %d", writes)
-	say(source, "SHARD DROP s 2")
+	execute(target, "SHARD HOLD s 2 %d", writes)
+	execute(source, "SHARD DROP s 2")
 	if target.Replicas["s"].State != StateOpen || source.Replicas["s"] != nil {
 		t.Errorf("%+v %+v", target.Replicas["s"], source.Replicas["s"])
 	}
