--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -11,7 +11,7 @@
 func main() {
 	if p := os.Getenv("BENCHLINK_CPUPROFILE"); p != "" {
 		f, _ := os.Create(fmt.Sprintf("%s.%d", p, os.Getpid()))
-		pprof.StartCPUProfile(f)
+		_ = pprof.StartCPUProfile(f) // without a file there is no profile
 		defer pprof.StopCPUProfile()
 	}
 	if err := benchwire.Serve(os.Stdin, os.Stdout); err != nil {
--- a/cmd/weirlab/flock.go
+++ b/cmd/weirlab/flock.go
@@ -65,7 +65,7 @@
 		if err != nil {
 			return err
 		}
-		defer os.RemoveAll(folder)
+		defer func() { _ = os.RemoveAll(folder) }()
 		if s.Program, err = fleet.Build(folder); err != nil {
 			return err
 		}
--- a/cmd/weirlab/main.go
+++ b/cmd/weirlab/main.go
@@ -157,7 +157,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	return f, func() { f.Close() }, nil
+	return f, func() { _ = f.Close() }, nil
 }
 
 func summary(out io.Writer, r lab.Result) {
--- a/cmd/weirlab/sockets.go
+++ b/cmd/weirlab/sockets.go
@@ -80,7 +80,7 @@
 	if err != nil {
 		return err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }() // a write that failed has said so
 	if err := experiment.Page(f, title, notes, rows, "", pictures); err != nil {
 		return err
 	}
--- a/cmd/weirlab/switch.go
+++ b/cmd/weirlab/switch.go
@@ -53,7 +53,7 @@
 	if err != nil {
 		return err
 	}
-	defer os.RemoveAll(folder)
+	defer func() { _ = os.RemoveAll(folder) }()
 	ctx, end := context.WithCancel(context.Background())
 	defer end()
 	h, err := cluster.StartHooked(ctx, c.Drivers, folder, io.Discard, nil)
--- a/cmd/weirwind/migrate.go
+++ b/cmd/weirwind/migrate.go
@@ -60,7 +60,7 @@
 	if err != nil {
 		return err
 	}
-	defer os.Remove(tmp.Name())
+	defer func() { _ = os.Remove(tmp.Name()) }() // renamed by then, if all went well
 	if _, err = tmp.Write(text); err == nil {
 		err = tmp.Sync()
 	}
--- a/cmd/weirwind/state.go
+++ b/cmd/weirwind/state.go
@@ -158,7 +158,7 @@
 	if err != nil {
 		return err
 	}
-	defer store.Close()
+	defer func() { _ = store.Close() }() // what was written is on disk
 	if found.Snapshot == nil {
 		return fmt.Errorf("%s: nothing readable; remove the folder", c.Folder)
 	}
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -78,7 +78,7 @@
 	mux := http.NewServeMux()
 	answer := func(w http.ResponseWriter, x any) {
 		w.Header().Set("Content-Type", "application/json")
-		json.NewEncoder(w).Encode(x)
+		_ = json.NewEncoder(w).Encode(x) // the caller may have left
 	}
 	mux.HandleFunc("GET /switch", func(w http.ResponseWriter, r *http.Request) { answer(w, s.Status()) })
 	mux.HandleFunc("POST /switch", func(w http.ResponseWriter, r *http.Request) {
@@ -148,7 +148,7 @@
 		return nil
 	}))
 	mux.HandleFunc("GET /membership/compare", with(func(w http.ResponseWriter, r *http.Request, f Fellowship) error {
-		http.NewResponseController(w).SetWriteDeadline(time.Now().Add(compareTime))
+		_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(compareTime)) // every server here has one
 		answer(w, f.Compare(r.Context()))
 		return nil
 	}))
@@ -175,7 +175,7 @@
 func Serve(ctx context.Context, ln net.Listener, s Switcher, token string) error {
 	server := &http.Server{Handler: handler(s, token), ReadTimeout: callTime, WriteTimeout: callTime,
 		IdleTimeout: 10 * time.Second, MaxHeaderBytes: 8 << 10}
-	stop := context.AfterFunc(ctx, func() { server.Close() })
+	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
 	err := server.Serve(&limited{Listener: ln, places: make(chan struct{}, 32)})
 	if !errors.Is(err, http.ErrServerClosed) {
--- a/internal/driver/admission.go
+++ b/internal/driver/admission.go
@@ -143,7 +143,7 @@
 		close(c.done)
 		conn.CloseWrite()
 		conn.SetReadDeadline(time.Now().Add(lingerTime))
-		reader.Wait()
+		_ = reader.Wait() // its functions return no error
 		conn.Close()
 		v.clients.mu.Lock()
 		if delete(v.clients.all, c); c.given {
@@ -175,7 +175,7 @@
 	}
 	v.group.Go(func() error {
 		c.conn.SetDeadline(time.Now().Add(lingerTime / 5))
-		c.conn.Write(pgwire.AppendError(nil, "FATAL", pgwire.CodeBusy, "too many connections", ""))
+		_, _ = c.conn.Write(pgwire.AppendError(nil, "FATAL", pgwire.CodeBusy, "too many connections", ""))
 		c.conn.CloseWrite()
 		c.drain()
 		c.conn.Close()
--- a/internal/driver/clients.go
+++ b/internal/driver/clients.go
@@ -93,7 +93,7 @@
 }
 
 // drain reads away what a client still sends, so that it sees the last answer; not without end.
-func (c *client) drain() { io.CopyN(io.Discard, c.conn, drainMost) }
+func (c *client) drain() { _, _ = io.CopyN(io.Discard, c.conn, drainMost) }
 
 // serve lets a client in and answers what it sends, one after the other. It returns the reason for the end.
 func (c *client) serve(reader *errgroup.Group) string {
--- a/internal/driver/counters.go
+++ b/internal/driver/counters.go
@@ -71,12 +71,12 @@
 	for {
 		select {
 		case line := <-q.lines:
-			to.Write(line)
+			_, _ = to.Write(line) // there is no other place to say that the log fails
 		case <-ctx.Done():
 			for {
 				select {
 				case line := <-q.lines:
-					to.Write(line)
+					_, _ = to.Write(line) // there is no other place to say that the log fails
 				default:
 					return
 				}
--- a/internal/driver/driver.go
+++ b/internal/driver/driver.go
@@ -239,7 +239,7 @@
 	})
 	defer stop()
 	err := v.accept(ctx, v.listener)
-	v.group.Wait()
+	_ = v.group.Wait() // its functions return no error
 	if v.keep != nil {
 		v.keep.finish()
 	}
@@ -247,9 +247,9 @@
 		v.ledger.finish()
 	}
 	v.decide.close()
-	v.probing.Wait()
+	_ = v.probing.Wait() // likewise
 	end()
-	back.Wait()
+	_ = back.Wait() // what failed has been logged
 	v.log.Info("stopped", v.count.attrs()...)
 	stopLog()
 	select {
--- a/internal/driver/ledger.go
+++ b/internal/driver/ledger.go
@@ -63,7 +63,7 @@
 		err = store.Compact(l.book.Snapshot())
 	}
 	if err != nil {
-		store.Close()
+		_ = store.Close() // err is what went wrong
 		return fmt.Errorf("ledger: %v", err)
 	}
 	open, acked, unknown, size := l.book.Counts()
@@ -120,7 +120,7 @@
 	l.mu.Unlock()
 	select {
 	case <-l.done:
-		l.store.Close()
+		_ = l.store.Close() // what was appended is on disk
 	case <-time.After(openTime): // the disk does not answer
 	}
 }
--- a/internal/driver/presence.go
+++ b/internal/driver/presence.go
@@ -181,7 +181,7 @@
 		case <-ctx.Done():
 			if p.lease != "" {
 				call, end := context.WithTimeout(context.Background(), time.Second)
-				p.announcer.Revoke(call, endpoint, p.lease)
+				_ = p.announcer.Revoke(call, endpoint, p.lease) // else the lease lapses
 				end()
 			}
 			return
--- a/internal/driver/state.go
+++ b/internal/driver/state.go
@@ -127,7 +127,7 @@
 		r.err = errors.New("the disk does not answer")
 		go func() {
 			if late := <-came; late.store != nil {
-				late.store.Close()
+				_ = late.store.Close() // unused
 			}
 		}()
 	}
@@ -255,7 +255,7 @@
 		k.v.log.Info("state_saved", "text", "saving goes on")
 	}
 	if last && k.store != nil {
-		k.store.Close()
+		_ = k.store.Close() // what was appended is on disk
 	}
 }
 
@@ -283,7 +283,7 @@
 		err = k.store.Check()
 	}
 	if err != nil { // the folder may be gone, and its lock with it
-		k.store.Close()
+		_ = k.store.Close() // what was appended is on disk
 		k.store = nil
 		return err
 	}
--- a/internal/driver/switchover.go
+++ b/internal/driver/switchover.go
@@ -51,7 +51,7 @@
 		c.Close()
 		return fmt.Errorf("control: another driver serves %s", o.Socket)
 	}
-	os.Remove(o.Socket) // of a driver that was killed: nobody answers there
+	_ = os.Remove(o.Socket) // of a driver that was killed: nobody answers there
 	for _, at := range []struct{ network, address string }{{"unix", o.Socket}, {"tcp", o.Listen}} {
 		if at.address == "" {
 			continue
--- a/internal/driver/zones.go
+++ b/internal/driver/zones.go
@@ -130,7 +130,7 @@
 	every(ctx, z.beat/zoneLooks, func() { z.look(ctx) })
 	err := all.Wait()
 	if z.keep != nil {
-		z.keep.Close()
+		_ = z.keep.Close() // what was appended is on disk
 	}
 	return err
 }
--- a/internal/durable/format.go
+++ b/internal/durable/format.go
@@ -103,7 +103,7 @@
 	if err != nil {
 		panic(err) // the options are constants
 	}
-	defer pack.Close()
+	defer func() { _ = pack.Close() }() // frees its memory
 	body := pack.EncodeAll(state, nil)
 	b := append(encodeHead(snapshotFile, tag, generation, seq, uint64(len(body))), body...)
 	return binary.BigEndian.AppendUint32(b, crc32.Checksum(body, castagnoli))
--- a/internal/durable/fs.go
+++ b/internal/durable/fs.go
@@ -38,7 +38,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer d.Close()
+	defer func() { _ = d.Close() }() // nothing was written
 	return d.Readdirnames(-1)
 }
 
@@ -51,7 +51,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }() // nothing was written
 	if info, err := f.Stat(); err != nil || info.Size() > limit || !info.Mode().IsRegular() {
 		return nil, fmt.Errorf("%s is longer than %d bytes or no file: %w", name, limit, ErrDamaged)
 	}
@@ -67,7 +67,7 @@
 	if err != nil {
 		return err
 	}
-	defer d.Close()
+	defer func() { _ = d.Close() }() // nothing was written
 	return d.Sync()
 }
 
@@ -78,7 +78,7 @@
 		return nil, err
 	}
 	if err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		f.Close()
+		_ = f.Close() // nothing was written
 		if err == syscall.EWOULDBLOCK {
 			return nil, ErrLocked
 		}
--- a/internal/durable/last.go
+++ b/internal/durable/last.go
@@ -25,7 +25,7 @@
 		err = store.Compact(last)
 	}
 	if err != nil {
-		store.Close()
+		_ = store.Close() // err is what went wrong
 		return nil, nil, err
 	}
 	return &Last{store}, last, nil
--- a/internal/fleet/mesh/calls.go
+++ b/internal/fleet/mesh/calls.go
@@ -69,7 +69,7 @@
 	case callStatus:
 		back.Status, _ = json.Marshal(m.Status())
 	}
-	m.frameCodec.write(c, back)
+	_ = m.frameCodec.write(c, back) // the caller sees that no answer comes
 }
 
 // gossip is what this driver says to peers; nil for nothing.
--- a/internal/fleet/mesh/mesh.go
+++ b/internal/fleet/mesh/mesh.go
@@ -160,7 +160,7 @@
 	m.udp.Close()
 	m.tcp.Close()
 	if m.votes != nil {
-		m.votes.Close()
+		_ = m.votes.Close() // what was appended is on disk
 	}
 }
 
--- a/internal/fleet/mesh/persist.go
+++ b/internal/fleet/mesh/persist.go
@@ -22,7 +22,7 @@
 	}
 	kept := &membership.SavedState{}
 	if err := decoder.Unmarshal(last, kept); err != nil {
-		store.Close()
+		_ = store.Close() // err is what went wrong
 		return nil, nil, fmt.Errorf("folder: %s: %v", folder, err)
 	}
 	return store, kept, nil
--- a/internal/fleet/mesh/status.go
+++ b/internal/fleet/mesh/status.go
@@ -70,7 +70,7 @@
 			return nil
 		})
 	}
-	asked.Wait()
+	_ = asked.Wait() // its functions return no error
 	return all
 }
 
--- a/internal/lab/cluster.go
+++ b/internal/lab/cluster.go
@@ -220,7 +220,7 @@
 		m.stubborn.Store(false)
 		m.slow.Store(0)
 		if !m.listens() {
-			m.up()
+			_ = m.up() // its port was free a moment ago; if not, it stays down
 		}
 	case "hang":
 		m.hangs.Store(true)
@@ -311,7 +311,7 @@
 		}
 	}
 	c.mu.Unlock()
-	w.Write(text)
+	_, _ = w.Write(text) // the reader may have left
 }
 
 func (c *Cluster) list() []byte {
@@ -393,7 +393,7 @@
 	if _, _, err := pgwire.ReadStartup(r); err != nil || m.hung() {
 		return
 	}
-	conn.Write(pgwire.AppendWelcome(nil, 0))
+	_, _ = conn.Write(pgwire.AppendWelcome(nil, 0)) // the reads behind it see a broken connection
 	var buf []byte
 	for {
 		var err error
--- a/internal/lab/emulator/tally.go
+++ b/internal/lab/emulator/tally.go
@@ -99,7 +99,7 @@
 		return
 	}
 	took := h.now - o.asked
-	f.Latency.RecordValue(max(int64(took*1000), 1))
+	_ = f.Latency.RecordValue(max(int64(took*1000), 1)) // what is beyond its range isn't counted
 	if took <= h.w.types[o.kind].LatencyTarget {
 		f.InTime++
 		t.second(o.asked - h.w.begin).InTime[o.kind]++
--- a/internal/lab/experiment/report.go
+++ b/internal/lab/experiment/report.go
@@ -53,7 +53,7 @@
 	if err != nil {
 		return err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }() // a write that failed has said so
 	_, err = c.WriteTo(f)
 	return err
 }
--- a/internal/lab/experiment/store.go
+++ b/internal/lab/experiment/store.go
@@ -162,7 +162,7 @@
 	if err != nil {
 		return err
 	}
-	defer os.Remove(f.Name())
+	defer func() { _ = os.Remove(f.Name()) }() // renamed by then, if all went well
 	w := parquet.NewGenericWriter[Row](f, parquet.Compression(&parquet.Zstd))
 	_, err = w.Write(rows)
 	for _, end := range []func() error{w.Close, f.Sync, f.Close} {
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -116,7 +116,7 @@
 	}
 	f := &Fleet{o: o, folder: folder}
 	if f.Links, err = links.New(o.Drivers+o.Spare, o.Seed); err != nil {
-		os.RemoveAll(folder)
+		_ = os.RemoveAll(folder)
 		return nil, err
 	}
 	for i := range o.Drivers + o.Spare {
@@ -135,7 +135,7 @@
 		d.Control.Close()
 	}
 	f.Links.Close()
-	os.RemoveAll(f.folder)
+	_ = os.RemoveAll(f.folder)
 }
 
 // StartAll starts every driver but the spare ones.
@@ -229,7 +229,7 @@
 	d.cmd, d.ended = cmd, ended
 	d.mu.Unlock()
 	go func() {
-		cmd.Wait()
+		_ = cmd.Wait() // how it ended is for the page
 		close(ended)
 	}()
 	return nil
@@ -240,7 +240,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.cmd != nil {
-		d.cmd.Process.Signal(s)
+		_ = d.cmd.Process.Signal(s) // it may have ended
 	}
 }
 
@@ -256,7 +256,7 @@
 	d.cmd = nil
 	d.mu.Unlock()
 	if cmd != nil {
-		cmd.Process.Signal(s)
+		_ = cmd.Process.Signal(s) // it may have ended
 		<-ended
 	}
 }
--- a/internal/lab/hollow/hollow.go
+++ b/internal/lab/hollow/hollow.go
@@ -90,7 +90,7 @@
 	if p.folder, err = os.MkdirTemp("", "hollow"); err != nil {
 		return nil, err
 	}
-	defer os.RemoveAll(p.folder)
+	defer func() { _ = os.RemoveAll(p.folder) }()
 	defer p.stop()
 	phases := []struct {
 		name   string
--- a/internal/lab/hollow/processes.go
+++ b/internal/lab/hollow/processes.go
@@ -83,7 +83,7 @@
 		n, _ := strconv.Atoi(number)
 		s := command(word, n)
 		s.CPU, s.Memory = usage(os.Getpid())
-		out.Encode(s)
+		_ = out.Encode(s) // a parent that is gone reads nothing
 	}
 }
 
@@ -327,6 +327,6 @@
 }
 
 func (c *child) kill() {
-	c.cmd.Process.Kill()
-	c.cmd.Wait()
+	_ = c.cmd.Process.Kill() // it may have ended
+	_ = c.cmd.Wait()         // it was killed
 }
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -142,7 +142,7 @@
 			defer mu.Unlock()
 			for _, f := range []*Figures{r.Kinds[kind.Name], second} {
 				if f.Ends[end]++; end == Acked {
-					f.Latency.RecordValue(max(took.Microseconds(), 1))
+					_ = f.Latency.RecordValue(max(took.Microseconds(), 1)) // what is beyond its range isn't counted
 				}
 			}
 			if kind.Write {
@@ -210,7 +210,7 @@
 		}
 		l = &line{conn, bufio.NewReader(conn)}
 		conn.SetDeadline(limit)
-		conn.Write(pgwire.AppendStartup(nil, "svc", "main"))
+		_, _ = conn.Write(pgwire.AppendStartup(nil, "svc", "main")) // the reads behind it see a broken connection
 		if _, _, ok := l.hear(); !ok {
 			conn.Close()
 			return Lost, ""
@@ -221,7 +221,7 @@
 	if k.Write {
 		form = `INSERT INTO records (k, v) VALUES ('a1', '\x9f03') RETURNING v`
 	}
-	l.Write(pgwire.AppendQuery(nil, fmt.Sprintf("%s /* id=%s,c=%s,d=%d,cluster=%d */", form, id, k.Name,
+	_, _ = l.Write(pgwire.AppendQuery(nil, fmt.Sprintf("%s /* id=%s,c=%s,d=%d,cluster=%d */", form, id, k.Name,
 		max(time.Until(due).Milliseconds(), 1), group)))
 	value, code, ok := l.hear()
 	if !ok {
--- a/internal/lab/sessionrun/sessionrun.go
+++ b/internal/lab/sessionrun/sessionrun.go
@@ -120,8 +120,8 @@
 
 func (h *hall) kill(name string) {
 	if c := h.procs[name]; c != nil {
-		c.Process.Kill()
-		c.Wait()
+		_ = c.Process.Kill() // it may have ended
+		_ = c.Wait()         // it was killed
 		delete(h.procs, name)
 	}
 }
@@ -160,7 +160,7 @@
 	if err != nil {
 		return Result{}, err
 	}
-	defer os.RemoveAll(dir)
+	defer func() { _ = os.RemoveAll(dir) }()
 	h := &hall{o: o, dir: dir, procs: map[string]*exec.Cmd{}}
 	defer func() {
 		for name := range h.procs {
--- a/internal/lab/storm.go
+++ b/internal/lab/storm.go
@@ -82,7 +82,7 @@
 	for ctx.Err() == nil {
 		if x.client.Read(ctx, 0, true, tell) == nil {
 			revision, _ := x.position()
-			x.client.Follow(ctx, 0, revision+1, func() {}, tell)
+			_ = x.client.Follow(ctx, 0, revision+1, func() {}, tell) // naive: it reads all anew, whatever ended it
 		}
 	}
 }
--- a/internal/operator/blocks.go
+++ b/internal/operator/blocks.go
@@ -18,7 +18,8 @@
 func (r *reader) log(b *hcl.Block) Log {
 	attrs := r.block(b, "format", "level")
 	l := Log{Format: r.oneOf(attrs, "format", "text", "text", "json")}
-	l.Level.UnmarshalText([]byte(r.oneOf(attrs, "level", "info", "debug", "info", "warn", "error")))
+	// oneOf lets only levels through that slog knows.
+	_ = l.Level.UnmarshalText([]byte(r.oneOf(attrs, "level", "info", "debug", "info", "warn", "error")))
 	return l
 }
 
--- a/internal/registry/lease.go
+++ b/internal/registry/lease.go
@@ -79,7 +79,7 @@
 		err = errTaken
 	}
 	if err != nil {
-		x.Revoke(ctx, endpoint, granted.ID)
+		_ = x.Revoke(ctx, endpoint, granted.ID) // else the lease lapses
 		return "", 0, err
 	}
 	return granted.ID, time.Duration(granted.TTL) * time.Second, nil
@@ -153,7 +153,7 @@
 		err = errTaken
 	}
 	if err != nil {
-		x.Revoke(ctx, endpoint, session.ID)
+		_ = x.Revoke(ctx, endpoint, session.ID) // else the session lapses
 		return "", 0, err
 	}
 	return session.ID, ttl, nil
--- a/internal/standin/cluster/cluster.go
+++ b/internal/standin/cluster/cluster.go
@@ -125,7 +125,7 @@
 		t.Fatal(err)
 	}
 	w.plat = via(pl.Addr().String())
-	go http.Serve(pl, w.Svc)
+	go func() { _ = http.Serve(pl, w.Svc) }() // until its listener is closed
 	context.AfterFunc(ctx, func() { pl.Close() })
 	for i := range cores {
 		w.Cores = append(w.Cores, net.JoinHostPort(w.ip(1, i), fmt.Sprint(w.ports+3)))
@@ -206,14 +206,14 @@
 }
 
 // Signal sends one to a process.
-func (w *Town) Signal(name string, s syscall.Signal) { w.procs[name].Process.Signal(s) }
+func (w *Town) Signal(name string, s syscall.Signal) { _ = w.procs[name].Process.Signal(s) }
 
 // Kill ends a process at once and waits for it.
 func (w *Town) Kill(name string) {
 	if c := w.procs[name]; c != nil {
-		c.Process.Signal(syscall.SIGCONT)
-		c.Process.Kill()
-		c.Wait()
+		_ = c.Process.Signal(syscall.SIGCONT)
+		_ = c.Process.Kill() // it may have ended
+		_ = c.Wait()         // it was killed
 		delete(w.procs, name)
 	}
 }
@@ -229,7 +229,7 @@
 }
 
 // Wipe empties a stopped core machine's disk.
-func (w *Town) Wipe(name string) { os.RemoveAll(filepath.Join(w.dir, name)) }
+func (w *Town) Wipe(name string) { _ = os.RemoveAll(filepath.Join(w.dir, name)) }
 
 // Front is a proxy's address for clients.
 func (w *Town) Front(n int) string { return fmt.Sprintf("%s:%d", w.ip(2, n), w.ports+4) }
@@ -342,7 +342,7 @@
 }
 
 // Say sends raw bytes.
-func (k *Client) Say(s string) { io.WriteString(k.c, s) }
+func (k *Client) Say(s string) { _, _ = io.WriteString(k.c, s) }
 
 // Line reads one line.
 func (k *Client) Line() string { return k.line() }
--- a/internal/standin/cluster/members.go
+++ b/internal/standin/cluster/members.go
@@ -164,7 +164,7 @@
 		return
 	}
 	if f := strings.Fields(line); len(f) < 3 || f[0] != wire.MsgAttach || f[1] != s.Name || len(f) > 3 && f[3] != id {
-		io.WriteString(c, "FAIL WRONGHOST\r\n")
+		_, _ = io.WriteString(c, "FAIL WRONGHOST\r\n")
 		return
 	}
 	v := &visit{s: s, id: id, preps: map[string]string{}}
@@ -387,7 +387,7 @@
 		if err != nil {
 			continue
 		}
-		io.Copy(io.Discard, resp.Body)
+		_, _ = io.Copy(io.Discard, resp.Body)
 		resp.Body.Close()
 		if resp.StatusCode == 200 {
 			s.mu.Lock()
--- a/internal/standin/fixedseed/fixedseed.go
+++ b/internal/standin/fixedseed/fixedseed.go
@@ -15,7 +15,9 @@
 	flag.Parse()
 	set := func(name, unset, value string) {
 		if f := flag.Lookup(name); f.Value.String() == unset {
-			f.Value.Set(value)
+			if err := f.Value.Set(value); err != nil {
+				panic(err) // a flag of rapid's has another type now
+			}
 		}
 	}
 	set("rapid.seed", "0", "20261201")
--- a/internal/standin/kv/kv.go
+++ b/internal/standin/kv/kv.go
@@ -206,7 +206,7 @@
 
 func (v *Server) etcdToken(w http.ResponseWriter, r *http.Request) {
 	var ask struct{ Name, Password string }
-	json.NewDecoder(r.Body).Decode(&ask)
+	_ = json.NewDecoder(r.Body).Decode(&ask) // what is missing is zero
 	if p := v.Password.Load(); p == nil || *p != ask.Password {
 		etcdFailure(w, http.StatusBadRequest, 3, "etcdserver: authentication failed, invalid user ID or password")
 		return
@@ -271,7 +271,7 @@
 	if ask.Revision == 0 {
 		v.Reads.Add(1)
 	}
-	json.NewEncoder(w).Encode(map[string]any{"header": map[string]any{"cluster_id": cluster,
+	_ = json.NewEncoder(w).Encode(map[string]any{"header": map[string]any{"cluster_id": cluster,
 		"revision": strconv.FormatInt(rev, 10)}, "kvs": kvs, "more": more, "count": strconv.Itoa(len(kvs))})
 }
 
@@ -299,7 +299,7 @@
 		s.mu.Lock()
 		fields["header"] = map[string]any{"cluster_id": s.Cluster, "revision": strconv.FormatInt(s.rev, 10)}
 		s.mu.Unlock()
-		out.Encode(map[string]any{"result": fields})
+		_ = out.Encode(map[string]any{"result": fields}) // the caller may have left
 		w.(http.Flusher).Flush()
 	}
 	say(map[string]any{"created": true})
@@ -389,7 +389,7 @@
 		all = append(all, map[string]any{"Key": x.Key, "Value": base64.StdEncoding.EncodeToString(x.Value),
 			"ModifyIndex": x.Mod})
 	}
-	json.NewEncoder(w).Encode(all)
+	_ = json.NewEncoder(w).Encode(all) // the caller may have left
 }
 
 // consulService takes the values under the service's name for instances as Consul writes them.
@@ -404,5 +404,5 @@
 	for _, x := range items {
 		all = append(all, x.Value)
 	}
-	json.NewEncoder(w).Encode(all)
+	_ = json.NewEncoder(w).Encode(all) // the caller may have left
 }
--- a/internal/standin/kv/lease.go
+++ b/internal/standin/kv/lease.go
@@ -85,11 +85,11 @@
 	etcd := func(path string, serve func(w http.ResponseWriter, body map[string]json.RawMessage)) {
 		m.HandleFunc("POST "+path, v.fault(func(w http.ResponseWriter, r *http.Request) {
 			var body map[string]json.RawMessage
-			json.NewDecoder(r.Body).Decode(&body)
+			_ = json.NewDecoder(r.Body).Decode(&body) // what is missing is zero
 			serve(w, body)
 		}))
 	}
-	text := func(raw json.RawMessage) (s string) { json.Unmarshal(raw, &s); return s }
+	text := func(raw json.RawMessage) (s string) { _ = json.Unmarshal(raw, &s); return s }
 	etcd("/v3/lease/grant", func(w http.ResponseWriter, body map[string]json.RawMessage) {
 		seconds, _ := strconv.Atoi(text(body["TTL"]))
 		fmt.Fprintf(w, `{"header":{},"ID":%q,"TTL":"%d"}`, v.store.grant(time.Duration(seconds)*time.Second), seconds)
@@ -113,13 +113,13 @@
 				Lease      string
 			} `json:"request_put"`
 		}
-		json.Unmarshal(body["success"], &success)
+		_ = json.Unmarshal(body["success"], &success) // what is missing is empty
 		p := success[0].Put
 		fmt.Fprintf(w, `{"header":{},"succeeded":%v}`, v.store.hold(string(p.Key), string(p.Value), p.Lease))
 	})
 	m.HandleFunc("PUT /v1/session/create", v.fault(func(w http.ResponseWriter, r *http.Request) {
 		var ask struct{ TTL string }
-		json.NewDecoder(r.Body).Decode(&ask)
+		_ = json.NewDecoder(r.Body).Decode(&ask) // what is missing is zero
 		ttl, _ := time.ParseDuration(ask.TTL)
 		fmt.Fprintf(w, `{"ID":%q}`, v.store.grant(ttl))
 	}))
@@ -137,7 +137,7 @@
 	}))
 	m.HandleFunc("PUT /v1/kv/{key...}", v.fault(func(w http.ResponseWriter, r *http.Request) {
 		var value json.RawMessage
-		json.NewDecoder(r.Body).Decode(&value)
+		_ = json.NewDecoder(r.Body).Decode(&value) // what is missing is empty
 		fmt.Fprint(w, v.store.hold(r.PathValue("key"), string(value), r.FormValue("acquire")))
 	}))
 }
--- a/internal/standin/links/links.go
+++ b/internal/standin/links/links.go
@@ -197,7 +197,7 @@
 	l.mu.Unlock()
 	for i, b := range seen {
 		r := l.relays[i%l.n]
-		r.udp.WriteToUDPAddrPort(b, l.address(r.to+1))
+		_, _ = r.udp.WriteToUDPAddrPort(b, l.address(r.to+1)) // a datagram may be lost
 	}
 	return len(seen)
 }
@@ -245,7 +245,7 @@
 		}
 		r.net.mu.Unlock()
 		for _, wait := range waits {
-			pass := func() { r.udp.WriteToUDPAddrPort(b, r.net.address(r.to+1)) }
+			pass := func() { _, _ = r.udp.WriteToUDPAddrPort(b, r.net.address(r.to+1)) }
 			if wait <= 0 {
 				pass()
 			} else {
--- a/internal/standin/links/resets.go
+++ b/internal/standin/links/resets.go
@@ -100,7 +100,7 @@
 	defer reset(to)
 	defer reset(from)
 	if budget < 0 {
-		io.Copy(to, from)
+		_, _ = io.Copy(to, from) // both ends are closed behind it
 		return
 	}
 	if n, _ := io.CopyN(to, from, budget); n == budget {
--- a/sessionclient/queue.go
+++ b/sessionclient/queue.go
@@ -28,7 +28,7 @@
 		}
 		req.Header.Set("Weirwind-Key", key)
 		if resp, err := producer.Do(req); err == nil {
-			io.Copy(io.Discard, resp.Body)
+			_, _ = io.Copy(io.Discard, resp.Body)
 			resp.Body.Close()
 			switch resp.StatusCode {
 			case http.StatusOK, http.StatusAccepted:
