--- a/cmd/weirlab/main.go
+++ b/cmd/weirlab/main.go
@@ -254,7 +254,7 @@
 		}
 		mix = nil
 		if err := json.Unmarshal(text, &mix); err != nil || len(mix) == 0 {
-			return fmt.Errorf("%s: no mix: %v", c.Mix, err)
+			return fmt.Errorf("%s: no mix: %w", c.Mix, err)
 		}
 		for _, k := range mix {
 			if k.Name == "" || k.Share <= 0 || k.Timeout < time.Millisecond {
--- a/cmd/weirwind/main.go
+++ b/cmd/weirwind/main.go
@@ -60,7 +60,7 @@
 		return nil, o, errors.New("PROXY_CONFIG names no file")
 	}
 	if text, err = os.ReadFile(f.Config); err != nil {
-		return nil, o, fmt.Errorf("PROXY_CONFIG: %v", err)
+		return nil, o, fmt.Errorf("PROXY_CONFIG: %w", err)
 	}
 	o, err = f.operators()
 	return text, o, err
@@ -72,7 +72,7 @@
 	}
 	text, err := os.ReadFile(f.Operator)
 	if err != nil {
-		return operator.Default(), fmt.Errorf("operators' file: %v", err)
+		return operator.Default(), fmt.Errorf("operators' file: %w", err)
 	}
 	return operator.Parse(f.Operator, text)
 }
@@ -92,7 +92,7 @@
 			err = driver.Check(text)
 		}
 		if err != nil {
-			return fmt.Errorf("%s: %v", c.Config, err)
+			return fmt.Errorf("%s: %w", c.Config, err)
 		}
 		fmt.Fprintf(out, "%s: good\n", c.Config)
 	}
--- a/cmd/weirwind/migrate.go
+++ b/cmd/weirwind/migrate.go
@@ -23,7 +23,7 @@
 func (c *migrateCommand) Run(out io.Writer) error {
 	text, err := os.ReadFile(c.From)
 	if err != nil {
-		return fmt.Errorf("operators' file: %v", err)
+		return fmt.Errorf("operators' file: %w", err)
 	}
 	old, err := operator.Parse(c.From, text)
 	if err != nil {
@@ -38,7 +38,7 @@
 	}
 	b.WriteString(moved.String())
 	if _, err := operator.Parse("the migrated file", []byte(b.String())); err != nil {
-		return fmt.Errorf("the migrated file would not be read back: %v", err)
+		return fmt.Errorf("the migrated file would not be read back: %w", err)
 	}
 	if c.DryRun || c.Out == "" {
 		_, err = io.WriteString(out, b.String())
--- a/cmd/weirwind/plan.go
+++ b/cmd/weirwind/plan.go
@@ -61,7 +61,7 @@
 	}
 	var f planFile
 	if err := hclsimple.Decode(cmp.Or(c.File, "plan.hcl"), text, nil, &f); err != nil {
-		if all, ok := err.(hcl.Diagnostics); ok && len(all) > 0 {
+		if all := (hcl.Diagnostics)(nil); errors.As(err, &all) && len(all) > 0 {
 			return all[0]
 		}
 		return err
@@ -89,7 +89,7 @@
 		l.NeedZone[z.Name] = z.Capacity
 	}
 	if err != nil {
-		return fmt.Errorf("%s: %v", c.File, err)
+		return fmt.Errorf("%s: %w", c.File, err)
 	}
 	var members []plan.Member
 	for _, m := range f.Members {
--- a/cmd/weirwind/state.go
+++ b/cmd/weirwind/state.go
@@ -134,7 +134,7 @@
 		return fmt.Errorf("%s: no state", c.Folder)
 	case s == nil:
 		_, err := learned.Load(found.Snapshot, found.Records)
-		return fmt.Errorf("%s: %v", c.Folder, err)
+		return fmt.Errorf("%s: %w", c.Folder, err)
 	}
 	return nil
 }
--- a/internal/benchwire/benchwire.go
+++ b/internal/benchwire/benchwire.go
@@ -5,6 +5,7 @@
 import (
 	"bufio"
 	"encoding/base64"
+	"errors"
 	"fmt"
 	"io"
 	"math"
@@ -56,7 +57,7 @@
 	for {
 		more, err := s.turn()
 		if err != nil {
-			return fmt.Errorf("line %d: %v", s.line, err)
+			return fmt.Errorf("line %d: %w", s.line, err)
 		}
 		if !more {
 			return nil
@@ -84,7 +85,7 @@
 // turn reads one batch and writes its reply.
 func (s *server) turn() (bool, error) {
 	f, err := s.read()
-	if err == io.EOF {
+	if errors.Is(err, io.EOF) {
 		return false, nil
 	}
 	if err != nil {
@@ -100,7 +101,7 @@
 	}
 	s.batch, s.at = s.batch[:0], nil
 	for {
-		if f, err = s.read(); err == io.EOF {
+		if f, err = s.read(); errors.Is(err, io.EOF) {
 			return false, fmt.Errorf("input ends inside a batch")
 		} else if err != nil {
 			return false, err
@@ -201,7 +202,7 @@
 	case "MAIL":
 		data, err := decode(f.need("payload"))
 		if f.err == nil && err != nil {
-			return fmt.Errorf("payload: %v", err)
+			return fmt.Errorf("payload: %w", err)
 		}
 		ev.Kind, ev.Data = logic.EvMessage, data
 	default:
@@ -236,7 +237,7 @@
 	var entries []logic.ListEntry
 	for range n {
 		e, err := s.read()
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			return fmt.Errorf("LIST of %d items is cut short", n)
 		} else if err != nil {
 			return err
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -56,7 +56,7 @@
 		Members  *[]Entry
 	}
 	if err := json.Unmarshal(text, &a); err != nil {
-		return Answer{}, fmt.Errorf("list: %v", err)
+		return Answer{}, fmt.Errorf("list: %w", err)
 	}
 	if a.Revision == nil || a.Complete == nil || a.Members == nil {
 		return Answer{}, errors.New("list: lacks revision, complete or members")
@@ -210,8 +210,12 @@
 		if _, err = io.ReadFull(c.r, body[len(body)-int(n):]); err != nil {
 			return nil, err
 		}
-		if line, err = c.line(); err != nil || line != "" {
-			return nil, fmt.Errorf("chunk without its end: %v", err)
+		line, err = c.line()
+		switch {
+		case err != nil:
+			return nil, fmt.Errorf("chunk without its end: %w", err)
+		case line != "":
+			return nil, errors.New("chunk without its end: <nil>") // logs are searched for this text
 		}
 	}
 }
--- a/internal/driver/assignment.go
+++ b/internal/driver/assignment.go
@@ -44,26 +44,26 @@
 		err = json.Unmarshal(text, &f.values)
 	}
 	if err != nil {
-		return f, fmt.Errorf("configuration: %v", err)
+		return f, fmt.Errorf("configuration: %w", err)
 	}
 	seed, err := strconv.ParseUint(f.Seed, 16, 64)
 	if err != nil {
 		return f, fmt.Errorf("configuration: seed %q is no hexadecimal number", f.Seed)
 	}
 	if f.told, err = opening.Parse(f.Told, seed); err != nil {
-		return f, fmt.Errorf("configuration: %v", err)
+		return f, fmt.Errorf("configuration: %w", err)
 	}
 	if f.told.ConnectTimeout <= 0 || f.told.ConnIdle <= 0 {
 		return f, errors.New("configuration: settings lack connect_timeout or conn_idle")
 	}
 	if f.known, err = discovery.Parse(f.Known); err != nil {
-		return f, fmt.Errorf("configuration: known %v", err)
+		return f, fmt.Errorf("configuration: known %w", err)
 	}
 	if f.Listen == "" {
 		return f, errors.New("configuration: lacks listen")
 	}
 	if _, _, err = net.SplitHostPort(f.Discovery); err != nil {
-		return f, fmt.Errorf("configuration: discovery: %v", err)
+		return f, fmt.Errorf("configuration: discovery: %w", err)
 	}
 	if f.Limits.Sockets < 2*spareSockets || f.Limits.MemoryMB < 16 {
 		return f, fmt.Errorf("configuration: limits of %d sockets and %g MB are too low", f.Limits.Sockets,
--- a/internal/driver/driver.go
+++ b/internal/driver/driver.go
@@ -89,7 +89,7 @@
 	v := newService(a, o)
 	if v.fleet.datagrams, err = newDatagrams(&a.Assignment, told.Index,
 		o.Registry != nil && o.Registry.DriversPrefix != "", &v.count); err != nil {
-		return nil, fmt.Errorf("configuration: peers: %v", err)
+		return nil, fmt.Errorf("configuration: peers: %w", err)
 	}
 	told.Opening.MaxMessages = float64(o.Peers.Messages)
 	shape(told.Opening, o.Fleet)
@@ -109,7 +109,7 @@
 		v.listener, err = net.ListenTCP("tcp", address)
 	}
 	if err != nil {
-		return nil, fmt.Errorf("configuration: listen: %v", err)
+		return nil, fmt.Errorf("configuration: listen: %w", err)
 	}
 	return v, nil
 }
--- a/internal/driver/fleet.go
+++ b/internal/driver/fleet.go
@@ -92,11 +92,11 @@
 	v := f.v
 	token, err := secret(o.TokenFile)
 	if err != nil {
-		return fmt.Errorf("membership: token: %v", err)
+		return fmt.Errorf("membership: token: %w", err)
 	}
 	listen, err := netip.ParseAddrPort(o.Listen)
 	if err != nil {
-		return fmt.Errorf("membership: listen: %v", err)
+		return fmt.Errorf("membership: listen: %w", err)
 	}
 	f.drains, f.seeds, f.period = membership.NewDrains(maxDrains, milliseconds(drainKeep)), o.Seeds, o.Period
 	expect := o.Expect
@@ -112,7 +112,7 @@
 		opts.ReceivePayload = v.zoning.receive
 	}
 	if f.mesh, err = mesh.Open(opts); err != nil {
-		return fmt.Errorf("membership: %v", err)
+		return fmt.Errorf("membership: %w", err)
 	}
 	for i, text := range a.Peers {
 		if at, err := netip.ParseAddrPort(text); err == nil && i != a.told.Index {
--- a/internal/driver/ledger.go
+++ b/internal/driver/ledger.go
@@ -54,7 +54,7 @@
 	}
 	store, found, err := durable.Open(durable.OS{}, durable.Options{Folder: o.Folder, Tag: ledgerTag, Limit: limit})
 	if err != nil {
-		return fmt.Errorf("ledger: %v", err)
+		return fmt.Errorf("ledger: %w", err)
 	}
 	l := &outcomes{v: v, store: store, types: types, queue: make(chan queued, mostQueued), done: make(chan struct{})}
 	if found.Lost {
@@ -64,7 +64,7 @@
 	}
 	if err != nil {
 		_ = store.Close() // err is what went wrong
-		return fmt.Errorf("ledger: %v", err)
+		return fmt.Errorf("ledger: %w", err)
 	}
 	open, acked, unknown, size := l.book.Counts()
 	v.log.Info("ledger", "folder", o.Folder, "open", open, "acked", acked, "unknown", unknown, "bytes", size)
--- a/internal/driver/presence.go
+++ b/internal/driver/presence.go
@@ -49,7 +49,7 @@
 	o.Prefix, o.Service = v.registry.DriversPrefix, ""
 	client, err := registry.New(o)
 	if err != nil {
-		return fmt.Errorf("registry: %v", err)
+		return fmt.Errorf("registry: %w", err)
 	}
 	ttl := milliseconds(v.registry.Lease)
 	p := &presence{v: v, announcer: client, key: o.Prefix + v.config.Name, own: roster.NewPresence(ttl, seed),
--- a/internal/driver/registry.go
+++ b/internal/driver/registry.go
@@ -24,7 +24,7 @@
 func (v *Service) openRegistry(drivers int, seed uint64) error {
 	c, err := registry.New(RegistryOptions(v.registry))
 	if err != nil {
-		return fmt.Errorf("registry: %v", err)
+		return fmt.Errorf("registry: %w", err)
 	}
 	v.following = &registry.Watcher{Client: c, Now: v.decide.clock.now,
 		Course: roster.NewCourse(roster.CourseRules{Endpoints: len(v.registry.Endpoints), Fellows: drivers, Seed: seed}),
--- a/internal/driver/switchover.go
+++ b/internal/driver/switchover.go
@@ -44,7 +44,7 @@
 	if o.TokenFile != "" {
 		var err error
 		if s.token, err = secret(o.TokenFile); err != nil {
-			return fmt.Errorf("control: token: %v", err)
+			return fmt.Errorf("control: token: %w", err)
 		}
 	}
 	if c, err := net.Dial("unix", o.Socket); err == nil {
@@ -62,7 +62,7 @@
 		}
 		if err != nil {
 			s.close()
-			return fmt.Errorf("control: %v", err)
+			return fmt.Errorf("control: %w", err)
 		}
 		s.listeners = append(s.listeners, ln)
 	}
--- a/internal/driver/zones.go
+++ b/internal/driver/zones.go
@@ -102,7 +102,7 @@
 			err = cbor.Unmarshal(last, rules.Saved)
 		}
 		if err != nil {
-			return fmt.Errorf("zones: %v", err)
+			return fmt.Errorf("zones: %w", err)
 		}
 		z.keep, rules.Persistent = keep, true
 	}
--- a/internal/durable/format.go
+++ b/internal/durable/format.go
@@ -130,7 +130,7 @@
 	}
 	defer unpack.Close()
 	if state, err = unpack.DecodeAll(body, nil); err != nil {
-		return nil, 0, fmt.Errorf("body: %v: %w", err, ErrDamaged)
+		return nil, 0, fmt.Errorf("body: %w: %w", err, ErrDamaged)
 	}
 	return state, seq, nil
 }
--- a/internal/fleet/mesh/persist.go
+++ b/internal/fleet/mesh/persist.go
@@ -23,7 +23,7 @@
 	kept := &membership.SavedState{}
 	if err := decoder.Unmarshal(last, kept); err != nil {
 		_ = store.Close() // err is what went wrong
-		return nil, nil, fmt.Errorf("folder: %s: %v", folder, err)
+		return nil, nil, fmt.Errorf("folder: %s: %w", folder, err)
 	}
 	return store, kept, nil
 }
--- a/internal/lab/experiment/scenario.go
+++ b/internal/lab/experiment/scenario.go
@@ -7,6 +7,7 @@
 import (
 	"cmp"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"time"
 
@@ -95,7 +96,7 @@
 func Read(name string, text []byte) ([]Plan, error) {
 	var f File
 	if err := hclsimple.Decode(name, text, nil, &f); err != nil {
-		if all, ok := err.(hcl.Diagnostics); ok && len(all) > 0 {
+		if all := (hcl.Diagnostics)(nil); errors.As(err, &all) && len(all) > 0 {
 			return nil, all[0]
 		}
 		return nil, err
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -85,7 +85,7 @@
 	path := filepath.Join(folder, "weirwind")
 	cmd := exec.Command("go", append(append([]string{"build", "-o", path}, flags...), "weirwind/cmd/weirwind")...)
 	if text, err := cmd.CombinedOutput(); err != nil {
-		return "", fmt.Errorf("%v: %s", err, text)
+		return "", fmt.Errorf("%w: %s", err, text)
 	}
 	return path, nil
 }
--- a/internal/learned/state.go
+++ b/internal/learned/state.go
@@ -156,7 +156,7 @@
 	for _, text := range append([][]byte{snapshot}, records...) {
 		var r record
 		if err := decoding.Unmarshal(text, &r); err != nil {
-			return nil, fmt.Errorf("%w: %v", ErrRecord, err)
+			return nil, fmt.Errorf("%w: %w", ErrRecord, err)
 		}
 		if r.Meta != nil && r.Meta.Schema != Schema {
 			return nil, fmt.Errorf("%w: %d", ErrSchema, r.Meta.Schema)
--- a/internal/opening/opening.go
+++ b/internal/opening/opening.go
@@ -103,7 +103,7 @@
 func Parse(text []byte, seed uint64) (Told, error) {
 	var s setup
 	if err := json.Unmarshal(text, &s); err != nil {
-		return Told{}, fmt.Errorf("setup: %v", err)
+		return Told{}, fmt.Errorf("setup: %w", err)
 	}
 	if len(s.Family.Needs) != len(s.Profiles) {
 		return Told{}, fmt.Errorf("setup: %d profiles but %d needs_by_class", len(s.Profiles),
--- a/internal/pgwire/pgwire.go
+++ b/internal/pgwire/pgwire.go
@@ -112,7 +112,7 @@
 }
 
 func noEOF(err error) error {
-	if err == io.EOF {
+	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
 	return err
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -118,7 +118,7 @@
 	}
 	text, err := os.ReadFile(h.o.CredentialsFile)
 	if err != nil {
-		return "", fmt.Errorf("%w: %v", errRefused, err)
+		return "", fmt.Errorf("%w: %w", errRefused, err)
 	}
 	return strings.TrimSpace(string(text)), nil
 }
