--- a/cmd/weirlab/main.go
+++ b/cmd/weirlab/main.go
@@ -253,9 +253,12 @@
 			return err
 		}
 		mix = nil
-		if err := json.Unmarshal(text, &mix); err != nil || len(mix) == 0 {
+		if err := json.Unmarshal(text, &mix); err != nil {
 			return fmt.Errorf("%s: no mix: %w", c.Mix, err)
 		}
+		if len(mix) == 0 {
+			return fmt.Errorf("%s: no mix: <nil>", c.Mix)
+		}
 		for _, k := range mix {
 			if k.Name == "" || k.Share <= 0 || k.Timeout < time.Millisecond {
 				return fmt.Errorf("%s: op type %q wants a name, a share and a timeout of 1 ms at least", c.Mix, k.Name)
