--- a/internal/dataplane/group/digest_test.go
+++ b/internal/dataplane/group/digest_test.go
@@ -16,7 +16,7 @@
 // history plays one seeded history of a group in virtual time and records each decision.
 //
 // Two outputs depend on chance or on map iteration and are recorded as sets: equal choices are collected over repeated
-// calls (Choose changes nothing), and members to be probed are sorted.
+// calls (Route changes nothing), and members to be probed are sorted.
 type history struct {
 	rng  *rand.Rand
 	g    *Group
@@ -32,7 +32,7 @@
 	at float64
 }
 
-const choiceDraws = 96 // calls of Choose by which ties of up to four members all show
+const choiceDraws = 96 // calls of Route by which ties of up to four members all show
 
 func (h *history) note(format string, args ...any) { fmt.Fprintf(&h.out, format+"\n", args...) }
 
@@ -62,24 +62,24 @@
 	r := directory.Member{ID: id, Service: "s", Zone: []string{"here", "near", "far"}[h.rng.IntN(3)], Seq: h.seq,
 		Role: directory.Role(h.rng.IntN(3)), Incarnation: 1 + uint64(h.now/3000), Draining: h.rng.IntN(8) == 0,
 		Tombstone: h.rng.IntN(16) == 0}
-	h.g.Learn(r, h.now)
+	h.g.UpdateMember(r, h.now)
 	if m := h.g.Members[id]; m != nil && !slices.Contains(h.old, m) {
 		h.old = append(h.old, m)
 	}
 }
 
 func (h *history) choose() {
-	need := &Need{}
+	need := &Requirement{}
 	switch h.rng.IntN(4) {
 	case 0:
 		need.Write = true
 	case 1:
-		need.Fresh = true
+		need.Linearizable = true
 	case 2:
-		need.Since = h.now - 500*h.rng.Float64()
+		need.AckedBefore = h.now - 500*h.rng.Float64()
 	case 3:
-		need.Since = h.now - 500*h.rng.Float64()
-		need.Commit, need.CommitAt = h.position(), h.now-600*h.rng.Float64()
+		need.AckedBefore = h.now - 500*h.rng.Float64()
+		need.SessionCommit, need.SessionCommitAt = h.position(), h.now-600*h.rng.Float64()
 	}
 	full, avoided := h.rng.IntN(32), h.rng.IntN(32)
 	in := func(set int) func(id string) bool {
@@ -87,12 +87,12 @@
 	}
 	found := map[string]bool{}
 	for range choiceDraws {
-		c := h.g.Choose(need, h.now, func(m *Member) bool { return !in(full)(m.ID) }, in(avoided))
+		c := h.g.Route(need, h.now, func(m *Member) bool { return !in(full)(m.ID) }, in(avoided))
 		id := "-"
 		if c.Member != nil {
 			id = c.Member.ID
 		}
-		found[fmt.Sprint(id, c.After, c.Prove)] = true
+		found[fmt.Sprint(id, c.MinPosition, c.VerifyPrimary)] = true
 	}
 	h.note("choose %v", slices.Sorted(maps.Keys(found)))
 }
@@ -105,16 +105,16 @@
 	f := h.sent[i]
 	h.sent = slices.Delete(h.sent, i, i+1)
 	f.m.InFlight--
-	w := Led
+	w := AnsweredAsPrimary
 	if h.rng.IntN(3) == 0 {
-		w = Word(h.rng.IntN(6))
+		w = Outcome(h.rng.IntN(6))
 	}
-	h.g.Heard(f.m, f.at, h.now, w, h.position())
+	h.g.RecordOutcome(f.m, f.at, h.now, w, h.position())
 }
 
 func (h *history) probes() {
 	var asked []string
-	for _, m := range h.g.Probes(h.now) {
+	for _, m := range h.g.DueProbes(h.now) {
 		asked = append(asked, m.ID)
 	}
 	slices.Sort(asked)
@@ -122,10 +122,10 @@
 	for _, id := range asked {
 		m := h.g.Members[id]
 		if h.rng.IntN(4) == 0 {
-			h.g.Unprobed(m)
+			h.g.RecordProbeFailure(m)
 			continue
 		}
-		h.g.Probed(m, h.now-20*h.rng.Float64(), h.now, wire.MemberStatus{Primary: h.rng.IntN(3) == 0, Received: h.position()})
+		h.g.RecordProbe(m, h.now-20*h.rng.Float64(), h.now, wire.MemberStatus{Primary: h.rng.IntN(3) == 0, Received: h.position()})
 	}
 }
 
@@ -137,7 +137,7 @@
 	case what < 8:
 		if m := h.member(); m != nil {
 			m.InFlight++
-			h.g.Sent(m, h.now, h.rng.IntN(3) == 0)
+			h.g.RecordSend(m, h.now, h.rng.IntN(3) == 0)
 			h.sent = append(h.sent, flight{m, h.now})
 		}
 	case what < 13:
@@ -145,13 +145,13 @@
 	case what < 17:
 		h.choose()
 	case what < 19:
-		h.note("doubt %v", h.g.Doubt(h.now))
+		h.note("doubt %v", h.g.SuspectPrimary(h.now))
 		h.probes()
 	default:
 		h.now += 400 * h.rng.Float64()
 	}
-	h.note("%.3f slot %v why %q usual %.6f stuck %v owing %.6f", h.now, h.g.Slot, h.g.Why, h.g.Usual(), h.g.Stuck(h.now),
-		h.g.Owing(h.now))
+	h.note("%.3f slot %v why %q usual %.6f stuck %v owing %.6f", h.now, h.g.Slot, h.g.SlotReason, h.g.TypicalLatency(), h.g.CommitsStalled(h.now),
+		h.g.PrimaryUnresponsiveFor(h.now))
 }
 
 // The decisions over many histories of members that lead, drain, lag, fall silent, refuse connections and go.
@@ -161,7 +161,7 @@
 	seen := map[string]int{}
 	for seed := range uint64(60) {
 		h := &history{rng: rand.New(rand.NewPCG(seed, 7)), now: 1000}
-		h.g = NewGroup("s", func(zone string) float64 { return map[string]float64{"here": 0, "near": 1, "far": 2}[zone] })
+		h.g = NewGroup("s", func(zone string) Distance { return map[string]Distance{"here": 0, "near": 1, "far": 2}[zone] })
 		for range 600 {
 			h.step()
 		}
--- /dev/null
+++ b/internal/dataplane/group/health.go
@@ -0,0 +1,178 @@
+package group
+
+import "weirwind/internal/dataplane/wire"
+
+// Failure detection, in milliseconds unless said otherwise.
+const (
+	// ProbeInterval is the first interval between two probes while the slot is empty and something waits.
+	ProbeInterval = 200.0
+
+	maxProbeInterval = 800.0
+	probeBackoff     = 1.5 // factor of an interval over the one before
+
+	minSuspicion       = 220.0 // silence of a primary that owes answers until it is suspected, at the least
+	suspicionLatencies = 6.0   // and at the least so many times its latency
+	commitStall        = 450.0 // a commit unanswered for so long, while its member answers other requests, is stalled
+)
+
+// Outcome is how a request to a member ended.
+type Outcome uint8
+
+// Outcomes of requests.
+const (
+	Answered          Outcome = iota // as a member of any role may answer
+	AnsweredAsPrimary                // as only a primary answers
+	RefusedReadOnly                  // it is no primary: the request missed
+	RefusedLagging                   // its log lacks the position that was asked for
+	NoAnswer                         // the connection ended, or the deadline passed
+	ConnectFailed                    // no connection could be made
+)
+
+// RecordSend notes a request to a member at now. commit: its answer waits for replicas too.
+func (g *Group) RecordSend(m *Member, now float64, commit bool) {
+	m.pendingSends = append(m.pendingSends, now)
+	if commit {
+		m.pendingCommits = append(m.pendingCommits, now)
+	}
+}
+
+// RecordOutcome notes how the request that was sent at sentAt ended, and the position that its answer bore.
+func (g *Group) RecordOutcome(m *Member, sentAt, now float64, outcome Outcome, position wire.Position) {
+	m.pendingSends = remove(m.pendingSends, sentAt)
+	m.pendingCommits = remove(m.pendingCommits, sentAt)
+	switch outcome {
+	case NoAnswer:
+		return
+	case ConnectFailed:
+		g.recordConnectFailure(m, now)
+		return
+	}
+	m.responded(now)
+	m.latency += (now - sentAt - m.latency) * latencySmoothing
+	if m.Position.Less(position) {
+		m.Position = position
+	}
+	switch outcome {
+	case AnsweredAsPrimary:
+		g.confirmPrimary(m, sentAt, "answer", position)
+	case RefusedReadOnly:
+		m.replicaSeenAt = now
+		reason := "miss"
+		if sentAt < g.Slot.Seen {
+			reason = "miss, late"
+		}
+		g.vacateSlot(m.ID, now, reason)
+	case RefusedLagging:
+		m.laggedAt = now
+	}
+}
+
+// recordConnectFailure ejects a member that takes no connection. One that answers on other connections has only no
+// capacity for more at the moment.
+func (g *Group) recordConnectFailure(m *Member, now float64) {
+	if now-m.lastResponse < minEjection {
+		return
+	}
+	m.eject(now)
+	if g.Slot.Holder == m.ID {
+		g.emptySlot(now, true, m.ID+" takes no connection")
+	}
+}
+
+// confirmPrimary takes an answer that only a primary gives, to a request of the time askedAt.
+func (g *Group) confirmPrimary(m *Member, askedAt float64, source string, position wire.Position) {
+	g.offerSlot(m, askedAt, source)
+	if g.Slot.Holder == m.ID {
+		g.watermarks.add(askedAt, position)
+	}
+}
+
+// RecordProbe notes the answer to a probe that was sent at sentAt.
+func (g *Group) RecordProbe(m *Member, sentAt, now float64, status wire.MemberStatus) {
+	m.probing = false
+	m.responded(now)
+	if !status.Primary {
+		m.replicaSeenAt = now
+		g.vacateSlot(m.ID, now, "replica by probe")
+		return
+	}
+	if m.Position.Less(status.Received) {
+		m.Position = status.Received
+	}
+	g.confirmPrimary(m, sentAt, "probe", status.Received)
+}
+
+// RecordProbeFailure notes that a probe was not answered.
+func (g *Group) RecordProbeFailure(m *Member) { m.probing = false }
+
+// SuspectPrimary checks whether the primary has owed answers in silence for too long, and returns true if it is
+// suspected from now on.
+func (g *Group) SuspectPrimary(now float64) bool {
+	p := g.Primary()
+	if p == nil || p.Suspected || len(p.pendingSends) == 0 {
+		return false
+	}
+	if p.unresponsiveFor(now) < max(minSuspicion, suspicionLatencies*p.latency) {
+		return false
+	}
+	p.Suspected = true
+	g.resetProbes(now)
+	return true
+}
+
+// TypicalLatency is the primary's average time from a request to its answer, in milliseconds; while there is no primary,
+// that of the slowest member.
+func (g *Group) TypicalLatency() float64 {
+	if p := g.Primary(); p != nil {
+		return p.latency
+	}
+	slowest := 0.0
+	for _, m := range g.Members {
+		slowest = max(slowest, m.latency)
+	}
+	return slowest
+}
+
+// CommitsStalled says that the primary answers requests, but has not answered a commit for too long: its replicas may
+// not receive what it writes.
+func (g *Group) CommitsStalled(now float64) bool {
+	p := g.Primary()
+	if p == nil || len(p.pendingCommits) == 0 {
+		return false
+	}
+	oldest := p.pendingCommits[0]
+	return now-oldest > commitStall && p.lastResponse > oldest+commitStall/2
+}
+
+// PrimaryUnresponsiveFor is how long the primary's oldest request is unanswered with nothing heard since, in
+// milliseconds; 0 if it owes no answer.
+func (g *Group) PrimaryUnresponsiveFor(now float64) float64 {
+	if p := g.Primary(); p != nil {
+		return p.unresponsiveFor(now)
+	}
+	return 0
+}
+
+// DueProbes returns the members to send a health check now, and takes them for being checked: all that may lead while
+// the slot is empty, or a suspected primary. The caller asks only while something waits for a primary.
+func (g *Group) DueProbes(now float64) []*Member {
+	p := g.Primary()
+	if now < g.nextProbe || p != nil && !p.Suspected {
+		return nil
+	}
+	g.nextProbe = now + g.probeInterval
+	g.probeInterval = min(g.probeInterval*probeBackoff, maxProbeInterval)
+	var due []*Member
+	for _, m := range g.Members {
+		if !m.Draining && !m.probing && (p == nil || m == p) {
+			m.probing = true
+			due = append(due, m)
+		}
+	}
+	return due
+}
+
+// resetProbes makes a probe due at once, the next ones at short intervals.
+func (g *Group) resetProbes(now float64) {
+	g.nextProbe, g.probeInterval = now, ProbeInterval
+}
--- a/internal/dataplane/proxy/conn.go
+++ b/internal/dataplane/proxy/conn.go
@@ -19,7 +19,7 @@
 // conn is a connection to a member, with what it carries.
 type conn struct {
 	*memberconn.Conn
-	carrier sessionstate.Carrier
+	carrier sessionstate.Conn
 	rested  float64
 }
 
--- a/internal/dataplane/proxy/desk.go
+++ b/internal/dataplane/proxy/desk.go
@@ -34,7 +34,7 @@
 
 // waiter is a session that waits for a member connection.
 type waiter struct {
-	need   group.Need
+	need   group.Requirement
 	sum    uint64 // of the session's values: a connection that holds them is preferred
 	at     float64
 	until  float64
@@ -125,7 +125,7 @@
 	touched := map[string]*memberGroup{}
 	for _, m := range d.table.Merge(n.Members, now) {
 		g := d.group(m.Service)
-		g.g.Learn(m, now)
+		g.g.UpdateMember(m, now)
 		touched[m.Service] = g
 		if m.Tombstone || m.Draining {
 			g.shed(m.ID)
@@ -215,7 +215,7 @@
 	}
 	now := d.p.now()
 	room := d.room(g)
-	usual := g.g.Usual()
+	usual := g.g.TypicalLatency()
 	kept := g.waiting[:0]
 	for _, w := range g.waiting {
 		// What has no time left for an answer would be sent in vain, and its connection be lost with it: where many wait, all would.
@@ -224,7 +224,7 @@
 			d.refused(g, w, now)
 			continue
 		}
-		c := g.g.Choose(&w.need, now, room, func(id string) bool { return slices.Contains(w.avoid, id) })
+		c := g.g.Route(&w.need, now, room, func(id string) bool { return slices.Contains(w.avoid, id) })
 		if c.Member != nil && len(g.pool(c.Member.ID).idle) > 0 {
 			w.reply <- d.grant(g, w, c, now)
 			continue
@@ -245,9 +245,9 @@
 		return
 	}
 	g.toldAt = now
-	pairs := []any{"svc", g.g.Svc, "count", g.unsent, "write", w.need.Write, "slot", g.g.Slot.Holder, "share", d.share(g), "stuck", g.g.Stuck(now)}
+	pairs := []any{"svc", g.g.Service, "count", g.unsent, "write", w.need.Write, "slot", g.g.Slot.Holder, "share", d.share(g), "stuck", g.g.CommitsStalled(now)}
 	if p := g.g.Primary(); p != nil {
-		pairs = append(pairs, "doubted", p.Doubted)
+		pairs = append(pairs, "doubted", p.Suspected)
 		if pl := g.pools[p.ID]; pl != nil {
 			pairs = append(pairs, "open", pl.open, "idle", len(pl.idle), "dialing", pl.dialing)
 		}
@@ -257,19 +257,19 @@
 }
 
 // grant gives an idle connection: the newest that holds the session's values, else the newest.
-func (d *desk) grant(g *memberGroup, w *waiter, c group.Choice, now float64) grant {
+func (d *desk) grant(g *memberGroup, w *waiter, c group.Target, now float64) grant {
 	m := c.Member
 	p := g.pool(m.ID)
 	m.InFlight++
-	g.g.Sent(m, now, w.commit)
+	g.g.RecordSend(m, now, w.commit)
 	i := len(p.idle) - 1
 	for k := i; k >= 0; k-- {
-		if p.idle[k].carrier.Sum() == w.sum {
+		if p.idle[k].carrier.ValuesHash() == w.sum {
 			i = k
 			break
 		}
 	}
-	out := grant{group: g, member: m, rec: m.Member, conn: p.idle[i], after: c.After, prove: c.Prove, sent: now}
+	out := grant{group: g, member: m, rec: m.Member, conn: p.idle[i], after: c.MinPosition, prove: c.VerifyPrimary, sent: now}
 	p.idle = slices.Delete(p.idle, i, i+1)
 	return out
 }
@@ -293,7 +293,7 @@
 	full := errors.Is(err, memberconn.ErrAttachRejected)
 	for _, w := range g.waiting {
 		if w.asked == m.ID {
-			if w.asked = ""; full && !w.need.Write && !w.need.Fresh {
+			if w.asked = ""; full && !w.need.Write && !w.need.Linearizable {
 				w.avoid = append(w.avoid, m.ID)
 			}
 		}
@@ -305,7 +305,7 @@
 		p.open--
 	default:
 		p.open--
-		g.g.Heard(m, sent, now, group.CutOff, wire.Position{})
+		g.g.RecordOutcome(m, sent, now, group.ConnectFailed, wire.Position{})
 		d.look(g)
 	}
 	if full && p.open <= p.dialing { // not at once again, where this driver has none
@@ -346,9 +346,9 @@
 }
 
 // heard takes the end of a send, on a connection that is kept by its session.
-func (d *desk) heard(gr *grant, sent float64, w group.Word, pos wire.Position) {
+func (d *desk) heard(gr *grant, sent float64, w group.Outcome, pos wire.Position) {
 	g := gr.group
-	g.g.Heard(gr.member, sent, d.p.now(), w, pos)
+	g.g.RecordOutcome(gr.member, sent, d.p.now(), w, pos)
 	d.look(g)
 }
 
@@ -371,9 +371,9 @@
 func (d *desk) look(g *memberGroup) {
 	if s := g.g.Slot.Holder; s != g.slot {
 		if g.slot = s; s == "" {
-			d.p.log.Event(events.SlotEmptied, "svc", g.g.Svc, "why", g.g.Why, "held", len(g.waiting))
+			d.p.log.Event(events.SlotEmptied, "svc", g.g.Service, "why", g.g.SlotReason, "held", len(g.waiting))
 		} else {
-			d.p.log.Event(events.SlotFilled, "svc", g.g.Svc, "by", g.g.Why, "held", len(g.waiting))
+			d.p.log.Event(events.SlotFilled, "svc", g.g.Service, "by", g.g.SlotReason, "held", len(g.waiting))
 		}
 	}
 }
@@ -382,7 +382,7 @@
 	now := d.p.now()
 	d.release(now)
 	for _, g := range d.groups {
-		g.g.Doubt(now)
+		g.g.SuspectPrimary(now)
 		d.pump(g)
 		d.probe(g)
 		d.tell(g, now)
@@ -401,19 +401,19 @@
 
 // probe asks members where something waits for a primary.
 func (d *desk) probe(g *memberGroup) {
-	if p := g.g.Primary(); len(g.waiting) == 0 && (p == nil || !p.Doubted) {
+	if p := g.g.Primary(); len(g.waiting) == 0 && (p == nil || !p.Suspected) {
 		return
 	}
 	now := d.p.now()
-	for _, m := range g.g.Probes(now) {
+	for _, m := range g.g.DueProbes(now) {
 		rec, m := m.Member, m
 		go func() {
 			st, err := probe(rec)
 			d.do(func() {
 				if err != nil {
-					g.g.Unprobed(m)
+					g.g.RecordProbeFailure(m)
 				} else {
-					g.g.Probed(m, now, d.p.now(), st)
+					g.g.RecordProbe(m, now, d.p.now(), st)
 				}
 				d.look(g)
 				d.pump(g)
@@ -425,20 +425,20 @@
 // tell reports to the core what this driver sees of the primary: that it owes answers, and that it speaks again.
 func (d *desk) tell(g *memberGroup, now float64) {
 	p := g.g.Primary()
-	stuck := g.g.Stuck(now)
-	bad := stuck || p != nil && p.Doubted || p == nil && g.g.Slot.Silent && g.g.Slot.Last != ""
+	stuck := g.g.CommitsStalled(now)
+	bad := stuck || p != nil && p.Suspected || p == nil && g.g.Slot.Silent && g.g.Slot.Last != ""
 	if !bad && !g.accused || now < g.reported+reportEvery {
 		return
 	}
 	g.reported = now
-	r := &controlmsg.PrimaryReport{Service: g.g.Svc}
+	r := &controlmsg.PrimaryReport{Service: g.g.Service}
 	switch {
 	case p == nil && bad:
 		r.MemberID, r.Unreachable = g.g.Slot.Last, true
 	case p != nil:
 		r.MemberID = p.ID
 		if r.CommitsStalled = stuck; bad && !stuck {
-			r.UnresponsiveMs = max(g.g.Owing(now), 1)
+			r.UnresponsiveMs = max(g.g.PrimaryUnresponsiveFor(now), 1)
 		}
 	}
 	g.accused = bad
@@ -453,7 +453,7 @@
 		for id, p := range g.pools {
 			pools[id] = p.open
 		}
-		groups[svc] = map[string]any{"slot": g.g.Slot.Holder, "why": g.g.Why, "waiting": len(g.waiting), "connections": pools, "share": d.share(g)}
+		groups[svc] = map[string]any{"slot": g.g.Slot.Holder, "why": g.g.SlotReason, "waiting": len(g.waiting), "connections": pools, "share": d.share(g)}
 	}
 	out := map[string]any{"groups": groups, "drivers": d.count}
 	if v := d.slots.Version(); v > 0 {
--- a/internal/dataplane/proxy/desk_test.go
+++ b/internal/dataplane/proxy/desk_test.go
@@ -22,17 +22,17 @@
 	p := &Proxy{set: &settings.Settings{Zone: "z"}, log: events.Nothing(), ctx: ctx, start: time.Now().Add(-time.Minute)}
 	d := newDesk(p)
 	g := d.group("s")
-	g.g.Learn(directory.Member{ID: "a", Service: "s", Zone: "z", Role: directory.RolePrimary, Incarnation: 1, Seq: 1}, p.now())
+	g.g.UpdateMember(directory.Member{ID: "a", Service: "s", Zone: "z", Role: directory.RolePrimary, Incarnation: 1, Seq: 1}, p.now())
 	a := g.g.Members["a"]
 	for range 50 { // answers take 100 ms of late
 		now := p.now()
-		g.g.Sent(a, now-100, false)
-		g.g.Heard(a, now-100, now, group.Led, wire.Position{Term: 1, Number: 1})
+		g.g.RecordSend(a, now-100, false)
+		g.g.RecordOutcome(a, now-100, now, group.AnsweredAsPrimary, wire.Position{Term: 1, Number: 1})
 	}
 	g.pool("a").open = d.share(g) // none can be made
 	var waiters []*waiter
 	for _, left := range []float64{60, 110, 700} {
-		w := &waiter{need: group.Need{Write: true}, at: p.now() + left - 1000, until: p.now() + left, reply: make(chan grant, 1)}
+		w := &waiter{need: group.Requirement{Write: true}, at: p.now() + left - 1000, until: p.now() + left, reply: make(chan grant, 1)}
 		waiters = append(waiters, w)
 		d.want("s", w)
 	}
--- a/internal/dataplane/proxy/proxy.go
+++ b/internal/dataplane/proxy/proxy.go
@@ -20,6 +20,7 @@
 
 	"weirwind/internal/controlplane/config"
 	"weirwind/internal/controlplane/controlmsg"
+	"weirwind/internal/dataplane/group"
 	"weirwind/internal/dataplane/wire"
 	"weirwind/internal/util/events"
 	"weirwind/internal/util/settings"
@@ -92,14 +93,14 @@
 func (p *Proxy) at(ms float64) time.Time { return p.start.Add(time.Duration(ms * 1e6)) }
 
 // near says how far a zone is: 0 the same, 1 in the same region, 2 elsewhere.
-func (p *Proxy) near(zone string) float64 {
+func (p *Proxy) near(zone string) group.Distance {
 	switch {
 	case zone == p.set.Zone:
-		return 0
+		return group.SameZone
 	case p.set.Regions[zone] != "" && p.set.Regions[zone] == p.set.Region:
-		return 1
+		return group.SameRegion
 	}
-	return 2
+	return group.OtherRegion
 }
 
 func (p *Proxy) routes() http.Handler {
--- a/internal/dataplane/proxy/repeat_test.go
+++ b/internal/dataplane/proxy/repeat_test.go
@@ -137,10 +137,10 @@
 	}
 	p.cfg.Store(cfg)
 	g := p.desk.group("s")
-	g.g.Learn(directory.Member{ID: "a", Service: "s", Zone: "z", Addr: ln.Addr().String(), Role: directory.RolePrimary, Incarnation: 1, Seq: 1}, p.now())
+	g.g.UpdateMember(directory.Member{ID: "a", Service: "s", Zone: "z", Addr: ln.Addr().String(), Role: directory.RolePrimary, Incarnation: 1, Seq: 1}, p.now())
 	now := p.now()
-	g.g.Sent(g.g.Members["a"], now-1, false)
-	g.g.Heard(g.g.Members["a"], now-1, now, group.Led, wire.Position{Term: 1, Number: 1})
+	g.g.RecordSend(g.g.Members["a"], now-1, false)
+	g.g.RecordOutcome(g.g.Members["a"], now-1, now, group.AnsweredAsPrimary, wire.Position{Term: 1, Number: 1})
 	go p.desk.run()
 	here, there := net.Pipe()
 	k := &client{c: here, r: wire.NewReader(here)}
--- a/internal/dataplane/proxy/session.go
+++ b/internal/dataplane/proxy/session.go
@@ -275,13 +275,13 @@
 	}
 	switch t.Verb {
 	case "SET":
-		if !s.kept.Set(t.Name, t.Args) {
+		if !s.kept.SetValue(t.Name, t.Args) {
 			s.fail(wire.CodeMalformed, "too many values", s.state())
 			return true
 		}
 		s.own()
 	case "PREP":
-		if !s.kept.Prepare(t.Name, sessionstate.Shape{Kind: t.PreparedVerb, Text: t.Args}) {
+		if !s.kept.Prepare(t.Name, sessionstate.Statement{Kind: t.PreparedVerb, Text: t.Args}) {
 			s.fail(wire.CodeMalformed, "too many prepared statements", s.state())
 			return true
 		}
@@ -310,7 +310,7 @@
 		s.statement(id, text, t)
 	default:
 		if t.Verb == "EXEC" {
-			if _, ok := s.kept.Shape(t.Name); !ok {
+			if _, ok := s.kept.Prepared(t.Name); !ok {
 				s.fail(wire.CodeNoStatement, t.Name, s.state())
 				return true
 			}
@@ -343,22 +343,22 @@
 }
 
 // need is what a read or a transaction that reads demands.
-func (s *session) need(r *config.Route, at float64) group.Need {
+func (s *session) need(r *config.Route, at float64) group.Requirement {
 	switch {
 	case r.Shard != "":
 	case r.Type == config.StaleOK:
-		return group.Need{Since: at - r.MaxStale}
+		return group.Requirement{AckedBefore: at - r.MaxStale}
 	case r.Type == config.Self:
 		// What the client wrote before this session began, perhaps at another driver, was acknowledged before it.
-		return group.Need{Since: max(at-r.MaxStale, s.at), Commit: s.commit, CommitAt: s.comAt}
+		return group.Requirement{AckedBefore: max(at-r.MaxStale, s.at), SessionCommit: s.commit, SessionCommitAt: s.comAt}
 	}
-	return group.Need{Fresh: true}
+	return group.Requirement{Linearizable: true}
 }
 
 // writes says whether a statement writes.
 func (s *session) writes(t wire.Statement) bool {
 	if t.Verb == "EXEC" {
-		shape, _ := s.kept.Shape(t.Name)
+		shape, _ := s.kept.Prepared(t.Name)
 		return shape.Kind == "STORE"
 	}
 	return t.Verb == "STORE"
--- a/internal/dataplane/proxy/shard.go
+++ b/internal/dataplane/proxy/shard.go
@@ -108,7 +108,7 @@
 // settle finds out what came of a try that was sent to a shard and not answered: at whichever node holds it now its outcome is
 // known, or is made never to be. It gives the answer for the client.
 func (s *session) settle(r *config.Route, id string, at, until float64) {
-	w := &waiter{at: at, until: until, need: group.Need{Write: true}}
+	w := &waiter{at: at, until: until, need: group.Requirement{Write: true}}
 	for s.p.now() < until {
 		node, p, ok := s.serves(r, until)
 		if !ok {
--- a/internal/dataplane/proxy/statement.go
+++ b/internal/dataplane/proxy/statement.go
@@ -40,7 +40,7 @@
 	}
 }
 
-func (s *session) done(g *grant, c *conn, sent float64, word group.Word, pos wire.Position) {
+func (s *session) done(g *grant, c *conn, sent float64, word group.Outcome, pos wire.Position) {
 	s.p.desk.do(func() {
 		s.p.desk.heard(g, sent, word, pos)
 		s.p.desk.back(g, c)
@@ -49,12 +49,12 @@
 
 // prepare adds what a connection must be told first, and gives the statement's text as it goes there.
 func (s *session) prepare(b *strings.Builder, c *conn, text string, t wire.Statement) (string, int) {
-	var shape *sessionstate.Shape
+	var shape *sessionstate.Statement
 	if t.Verb == "EXEC" {
-		sh, _ := s.kept.Shape(t.Name)
+		sh, _ := s.kept.Prepared(t.Name)
 		shape = &sh
 	}
-	texts, name := c.carrier.Ready(&s.kept, shape)
+	texts, name := c.carrier.Sync(&s.kept, shape)
 	for _, x := range texts {
 		memberconn.AppendQuery(b, "-", x)
 	}
@@ -131,9 +131,9 @@
 	write := s.writes(t)
 	kind := kindOf(write)
 	s.passed = false
-	w := &waiter{at: at, until: until, sum: s.kept.Sum()}
+	w := &waiter{at: at, until: until, sum: s.kept.ValuesHash()}
 	if w.commit = write; write {
-		w.need = group.Need{Write: true}
+		w.need = group.Requirement{Write: true}
 	} else {
 		w.need = s.need(r, at)
 	}
@@ -167,7 +167,7 @@
 				continue
 			}
 			w.avoid = append(w.avoid, g.rec.ID)
-			if w.need.Fresh {
+			if w.need.Linearizable {
 				w.avoid = nil
 			}
 			continue
@@ -206,7 +206,7 @@
 			s.fail(wire.CodeRetry, comeBack, wire.StateIdle)
 			return
 		case wire.CodeFailed, wire.CodeTimeout:
-			if !write && try == 0 && !w.need.Fresh && !s.passed {
+			if !write && try == 0 && !w.need.Linearizable && !s.passed {
 				w.avoid = append(w.avoid, g.rec.ID)
 				continue
 			}
@@ -220,7 +220,7 @@
 // attempt sends a single statement and reads its answer. A read that must be fresh runs in a transaction of the
 // system's own, as a member that has lost the lead refuses to begin one; it is rolled back, and nothing of it is
 // kept.
-func (s *session) attempt(g *grant, c *conn, id, text string, t wire.Statement, write bool, until float64) (*memberconn.Reply, group.Word, error) {
+func (s *session) attempt(g *grant, c *conn, id, text string, t wire.Statement, write bool, until float64) (*memberconn.Reply, group.Outcome, error) {
 	var b strings.Builder
 	if !write {
 		until = min(until, s.p.now()+readCut)
@@ -279,10 +279,10 @@
 		}
 		a.State = e.State
 		if a.OK {
-			word = group.Led
+			word = group.AnsweredAsPrimary
 		}
 	} else if write && a.OK {
-		word = group.Led
+		word = group.AnsweredAsPrimary
 	}
 	return &a, word, nil
 }
@@ -290,12 +290,12 @@
 // ran says whether a member that failed a statement by a code may have run it.
 func ran(code string) bool { return code == wire.CodeFailed || code == wire.CodeTimeout }
 
-func wordOf(a *memberconn.Reply) group.Word {
+func wordOf(a *memberconn.Reply) group.Outcome {
 	switch a.Code {
 	case wire.CodeReadOnly:
-		return group.NotLeader
+		return group.RefusedReadOnly
 	case wire.CodeLagging:
-		return group.Lagged
+		return group.RefusedLagging
 	}
 	return group.Answered
 }
--- a/internal/dataplane/proxy/transaction.go
+++ b/internal/dataplane/proxy/transaction.go
@@ -30,7 +30,7 @@
 		memberconn.AppendQuery(&b, id, said)
 		sent := s.p.now()
 		commit := t.Verb == "COMMIT" && x.wrote
-		s.p.desk.do(func() { g.group.g.Sent(g.member, sent, commit) })
+		s.p.desk.do(func() { g.group.g.RecordSend(g.member, sent, commit) })
 		err := c.WriteBatch(b.String(), s.p.at(until))
 		if err == nil {
 			err = skip(c, before)
@@ -58,7 +58,7 @@
 		}
 		word := wordOf(&a)
 		if a.OK && !x.fetch {
-			word = group.Led
+			word = group.AnsweredAsPrimary
 		}
 		s.p.desk.do(func() { s.p.desk.heard(g, sent, word, a.Position) })
 		if a.Code == wire.CodeReadOnly && !x.ran && !x.fetch { // its first statement met a member without the lead: it joins those held
@@ -107,11 +107,11 @@
 
 // open begins the transaction at a member, before its first statement.
 func (s *session) open(x *transaction, until float64) (code, why string) {
-	w := &waiter{at: x.at, until: until, sum: s.kept.Sum()}
+	w := &waiter{at: x.at, until: until, sum: s.kept.ValuesHash()}
 	if x.fetch {
 		w.need = s.need(x.route, x.at)
 	} else {
-		w.need = group.Need{Write: true}
+		w.need = group.Requirement{Write: true}
 	}
 	for try := 0; try < mostTries; try++ {
 		svc, place, ok := s.serves(x.route, until)
@@ -123,7 +123,7 @@
 			return fail, comeBack
 		}
 		var b strings.Builder
-		texts, _ := c.carrier.Ready(&s.kept, nil)
+		texts, _ := c.carrier.Sync(&s.kept, nil)
 		for _, t := range texts {
 			memberconn.AppendQuery(&b, "-", t)
 		}
@@ -147,14 +147,14 @@
 		if err != nil {
 			c.Close()
 			s.done(g, nil, g.sent, group.NoAnswer, wire.Position{})
-			if !w.need.Write && !w.need.Fresh {
+			if !w.need.Write && !w.need.Linearizable {
 				w.avoid = append(w.avoid, g.rec.ID)
 			}
 			continue
 		}
 		word := wordOf(&a)
 		if a.OK && text == "BEGIN" {
-			word = group.Led
+			word = group.AnsweredAsPrimary
 		}
 		if a.OK && a.State == wire.StateInTransaction {
 			x.lease, x.conn = g, c
--- a/internal/dataplane/proxy/transcript_test.go
+++ b/internal/dataplane/proxy/transcript_test.go
@@ -515,7 +515,7 @@
 			x.do(func() {
 				g := x.p.desk.group("s")
 				m := g.g.Members["a"]
-				g.g.Sent(m, x.p.now(), true)
+				g.g.RecordSend(m, x.p.now(), true)
 			})
 			time.Sleep(thinkTime)
 			for range 90 {
--- a/internal/dataplane/sessionstate/golden_test.go
+++ b/internal/dataplane/sessionstate/golden_test.go
@@ -10,15 +10,15 @@
 
 // What is said on a connection, byte for byte, as sessions share it.
 func TestTextsBeforeStatements(t *testing.T) {
-	var c Carrier
+	var c Conn
 	var first, second Session
-	first.Set("zone", "eu west")
-	first.Set("app", "")
-	second.Set("app", "x")
-	fetch, store := &Shape{"FETCH", "a b"}, &Shape{"STORE", "a b"}
+	first.SetValue("zone", "eu west")
+	first.SetValue("app", "")
+	second.SetValue("app", "x")
+	fetch, store := &Statement{"FETCH", "a b"}, &Statement{"STORE", "a b"}
 	for i, step := range []struct {
 		s     *Session
-		shape *Shape
+		shape *Statement
 		texts []string
 		name  string
 		sum   uint64
@@ -31,9 +31,9 @@
 		{&second, fetch, []string{"RESET", "SET app x", "PREP w3 FETCH a b"}, "w3", 0x195492412f2ee2fd},
 		{&Session{}, nil, []string{"RESET"}, "", 0},
 	} {
-		texts, name := c.Ready(step.s, step.shape)
-		if !slices.Equal(texts, step.texts) || name != step.name || c.Sum() != step.sum {
-			t.Errorf("step %d: %q %q %#x", i, texts, name, c.Sum())
+		texts, name := c.Sync(step.s, step.shape)
+		if !slices.Equal(texts, step.texts) || name != step.name || c.ValuesHash() != step.sum {
+			t.Errorf("step %d: %q %q %#x", i, texts, name, c.ValuesHash())
 		}
 	}
 }
@@ -45,15 +45,15 @@
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 3))
 		var sessions [5]Session
-		var carriers [3]Carrier
+		var conns [3]Conn
 		for range 1500 {
 			s := &sessions[rng.IntN(len(sessions))]
 			name := fmt.Sprint("n", rng.IntN(300))
 			switch rng.IntN(8) {
 			case 0:
-				fmt.Fprintln(sum, "set", s.Set(fmt.Sprint("v", rng.IntN(4)), fmt.Sprint(rng.IntN(3))), s.Sum())
+				fmt.Fprintln(sum, "set", s.SetValue(fmt.Sprint("v", rng.IntN(4)), fmt.Sprint(rng.IntN(3))), s.ValuesHash())
 			case 1, 2:
-				fmt.Fprintln(sum, "prepare", s.Prepare(name, Shape{"FETCH", fmt.Sprint("q", rng.IntN(200))}))
+				fmt.Fprintln(sum, "prepare", s.Prepare(name, Statement{"FETCH", fmt.Sprint("q", rng.IntN(200))}))
 			case 3:
 				fmt.Fprintln(sum, "unprepare", s.Unprepare(name))
 			case 4:
@@ -61,21 +61,21 @@
 					*s = Session{}
 				}
 			default:
-				var shape *Shape
-				if sh, ok := s.Shape(name); ok {
+				var shape *Statement
+				if sh, ok := s.Prepared(name); ok {
 					shape = &sh
 				}
-				c := &carriers[rng.IntN(len(carriers))]
-				texts, called := c.Ready(s, shape)
-				fmt.Fprintf(sum, "ready %q %q %x\n", texts, called, c.Sum())
+				c := &conns[rng.IntN(len(conns))]
+				texts, called := c.Sync(s, shape)
+				fmt.Fprintf(sum, "ready %q %q %x\n", texts, called, c.ValuesHash())
 			}
 		}
 	}
 	var full Session
-	for i := range MostValues + 2 {
-		fmt.Fprintln(sum, full.Set(fmt.Sprint(i), ""), full.Prepare(fmt.Sprint(i), Shape{"STORE", "x"}))
+	for i := range MaxValues + 2 {
+		fmt.Fprintln(sum, full.SetValue(fmt.Sprint(i), ""), full.Prepare(fmt.Sprint(i), Statement{"STORE", "x"}))
 	}
-	fmt.Fprintln(sum, full.Set("0", "again"), full.Sum())
+	fmt.Fprintln(sum, full.SetValue("0", "again"), full.ValuesHash())
 	if got := sum.Sum64(); got != want {
 		t.Errorf("digest %#x, want %#x", got, want)
 	}
--- a/internal/dataplane/sessionstate/sessionstate_test.go
+++ b/internal/dataplane/sessionstate/sessionstate_test.go
@@ -9,27 +9,27 @@
 	"pgregory.net/rapid"
 )
 
-// line is a member connection as the wire's pages have it: RESET drops values and prepared names.
-type line struct {
+// memberSide is the member's side of a connection, as the wire protocol has it: RESET drops values and prepared names.
+type memberSide struct {
 	values   map[string]string
-	prepared map[string]Shape
-	carrier  Carrier
+	prepared map[string]Statement
+	conn     Conn
 }
 
-func (l *line) say(t *rapid.T, text string) {
+func (m *memberSide) say(t *rapid.T, text string) {
 	verb, rest, _ := strings.Cut(text, " ")
 	name, value, _ := strings.Cut(rest, " ")
 	switch verb {
 	case "RESET":
-		l.values, l.prepared = map[string]string{}, map[string]Shape{}
+		m.values, m.prepared = map[string]string{}, map[string]Statement{}
 	case "SET":
-		l.values[name] = value
+		m.values[name] = value
 	case "PREP":
-		if _, taken := l.prepared[name]; taken {
+		if _, taken := m.prepared[name]; taken {
 			t.Fatalf("%s is prepared twice", name)
 		}
 		kind, shape, _ := strings.Cut(value, " ")
-		l.prepared[name] = Shape{kind, shape}
+		m.prepared[name] = Statement{kind, shape}
 	default:
 		t.Fatal(text)
 	}
@@ -41,15 +41,15 @@
 		type client struct {
 			s        Session
 			values   map[string]string
-			prepared map[string]Shape
+			prepared map[string]Statement
 		}
 		var clients []*client
 		for range 4 {
-			clients = append(clients, &client{values: map[string]string{}, prepared: map[string]Shape{}})
+			clients = append(clients, &client{values: map[string]string{}, prepared: map[string]Statement{}})
 		}
-		lines := []*line{}
+		conns := []*memberSide{}
 		for range 3 {
-			lines = append(lines, &line{values: map[string]string{}, prepared: map[string]Shape{}})
+			conns = append(conns, &memberSide{values: map[string]string{}, prepared: map[string]Statement{}})
 		}
 		for range rapid.IntRange(1, 150).Draw(t, "steps") {
 			c := clients[rapid.IntRange(0, 3).Draw(t, "client")]
@@ -57,10 +57,10 @@
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0:
 				v := rapid.SampledFrom([]string{"", "1", "two words"}).Draw(t, "value")
-				c.s.Set(name, v)
+				c.s.SetValue(name, v)
 				c.values[name] = v
 			case 1:
-				sh := Shape{rapid.SampledFrom([]string{"FETCH", "STORE"}).Draw(t, "kind"), fmt.Sprint("q", rapid.IntRange(0, 200).Draw(t, "shape"))}
+				sh := Statement{rapid.SampledFrom([]string{"FETCH", "STORE"}).Draw(t, "kind"), fmt.Sprint("q", rapid.IntRange(0, 200).Draw(t, "shape"))}
 				c.s.Prepare(name, sh)
 				c.prepared[name] = sh
 			case 2:
@@ -70,25 +70,25 @@
 				}
 				delete(c.prepared, name)
 			case 3: // the client goes, another comes
-				*c = client{values: map[string]string{}, prepared: map[string]Shape{}}
+				*c = client{values: map[string]string{}, prepared: map[string]Statement{}}
 			case 4:
-				l := lines[rapid.IntRange(0, 2).Draw(t, "line")]
-				var shape *Shape
-				if sh, ok := c.s.Shape(name); ok {
+				m := conns[rapid.IntRange(0, 2).Draw(t, "conn")]
+				var shape *Statement
+				if sh, ok := c.s.Prepared(name); ok {
 					shape = &sh
 				}
-				texts, called := l.carrier.Ready(&c.s, shape)
+				texts, called := m.conn.Sync(&c.s, shape)
 				for _, x := range texts {
-					l.say(t, x)
+					m.say(t, x)
 				}
-				if !maps.Equal(l.values, c.values) {
-					t.Fatalf("the connection has %v, its client %v", l.values, c.values)
+				if !maps.Equal(m.values, c.values) {
+					t.Fatalf("the connection has %v, its client %v", m.values, c.values)
 				}
-				if shape != nil && l.prepared[called] != c.prepared[name] {
-					t.Fatalf("%s runs %v, its client prepared %v", called, l.prepared[called], c.prepared[name])
+				if shape != nil && m.prepared[called] != c.prepared[name] {
+					t.Fatalf("%s runs %v, its client prepared %v", called, m.prepared[called], c.prepared[name])
 				}
-				if l.carrier.Sum() != c.s.Sum() || len(l.prepared) > mostCarried {
-					t.Fatal(l.carrier.Sum(), c.s.Sum(), len(l.prepared))
+				if m.conn.ValuesHash() != c.s.ValuesHash() || len(m.prepared) > maxPreparedPerConn {
+					t.Fatal(m.conn.ValuesHash(), c.s.ValuesHash(), len(m.prepared))
 				}
 			}
 		}
