--- a/internal/controlplane/calls.go
+++ b/internal/controlplane/calls.go
@@ -159,11 +159,11 @@
 		return
 	}
 	c.h.setContactHeader(w)
-	ch := make(chan []config.Past, 1)
+	ch := make(chan []config.AppliedChange, 1)
 	c.h.loop.do(func() {
-		var past []config.Past
+		var past []config.AppliedChange
 		if c.h.loop.state != nil {
-			past = c.h.loop.state.Past
+			past = c.h.loop.state.History
 		}
 		ch <- past
 	})
@@ -264,7 +264,7 @@
 	out := map[string]any{"id": c.node.HardState.ID, "leader": leader.Addr, "term": c.node.HardState.Term, "voters": e.Voters, "index": e.Index, "committed": committed,
 		"others": c.node.PeerStatuses(c.h.now()), "syncs": c.syncs, "lastSyncMs": c.lastSync, "mostSyncMs": c.mostSync}
 	if c.state != nil {
-		out["gen"], out["changes"] = c.state.Gen, len(c.state.Past)
+		out["gen"], out["changes"] = c.state.Version, len(c.state.History)
 	}
 	return out
 }
--- a/internal/controlplane/config/amend.go
+++ b/internal/controlplane/config/amend.go
@@ -33,7 +33,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if b.Gen == 0 {
+	if b.Version == 0 {
 		return nil, refuse(412, "other_base", "there is no configuration yet that could be changed")
 	}
 	doc := map[string]json.RawMessage{}
--- a/internal/controlplane/config/config.go
+++ b/internal/controlplane/config/config.go
@@ -11,73 +11,80 @@
 	"errors"
 	"fmt"
 	"io"
+	"reflect"
 
 	"github.com/go-playground/validator/v10"
 )
 
 // Types of routes: what a read must have seen.
 const (
-	Primary = "primary"  // every commit
-	StaleOK = "stale_ok" // all but those of the last MaxStale
-	Self    = "self"     // those, and all of its own session
+	ConsistencyPrimary          = "primary"  // every commit
+	ConsistencyBoundedStaleness = "stale_ok" // all but those of the last MaxStale
+	ConsistencySession          = "self"     // those, and all of its own session
 )
 
 // Route leads clients of a host to a service.
 type Route struct {
-	Name     string  `json:"name" validate:"required"`
-	Host     string  `json:"host" validate:"required"`
-	Prefix   string  `json:"prefix"`
-	Type     string  `json:"type" validate:"oneof=primary stale_ok self"`
-	Timeout  float64 `json:"timeoutMs" validate:"gt=0"` // milliseconds
-	Target   float64 `json:"targetMs" validate:"gte=0"`
-	Prio     int     `json:"prio" validate:"gte=0"`
-	Svc      string  `json:"svc" validate:"required"`
-	Tries    int     `json:"tries" validate:"gte=0"`
-	MaxStale float64 `json:"maxStaleMs" validate:"gte=0"` // milliseconds
-	Shard    string  `json:"shard"`                       // who holds it serves the route, whatever svc says; "": svc does
+	Name          string  `json:"name" validate:"required"`
+	Host          string  `json:"host" validate:"required"`
+	Prefix        string  `json:"prefix"`
+	Consistency   string  `json:"type" reported:"Type" validate:"oneof=primary stale_ok self"`
+	Timeout       float64 `json:"timeoutMs" validate:"gt=0"` // milliseconds
+	LatencyTarget float64 `json:"targetMs" reported:"Target" validate:"gte=0"`
+	Priority      int     `json:"prio" reported:"Prio" validate:"gte=0"`
+	Service       string  `json:"svc" reported:"Svc" validate:"required"`
+	Attempts      int     `json:"tries" reported:"Tries" validate:"gte=0"`
+	MaxStaleness  float64 `json:"maxStaleMs" reported:"MaxStale" validate:"gte=0"` // milliseconds
+	Shard         string  `json:"shard"`                                           // who holds it serves the route, whatever svc says; "": svc does
 }
 
 // Service is a replication group.
 type Service struct {
-	Name     string `json:"name" validate:"required"`
-	MaxConns int    `json:"maxConns" validate:"gte=0"` // at each member, from all callers
-	SyncN    int    `json:"syncN" validate:"gte=0"`    // replicas that have received a commit when it is answered
+	Name           string `json:"name" validate:"required"`
+	MaxConnections int    `json:"maxConns" reported:"MaxConns" validate:"gte=0"` // at each member, from all callers
+	SyncReplicas   int    `json:"syncN" reported:"SyncN" validate:"gte=0"`       // replicas that have received a commit when it is answered
 }
 
 // Limits bound what clients may do.
 type Limits struct {
-	TxIdle float64 `json:"txIdleMs" validate:"gte=0"` // milliseconds; 0: not bounded
-	Idle   float64 `json:"idleMs" validate:"gte=0"`
+	IdleInTransactionTimeout float64 `json:"txIdleMs" reported:"TxIdle" validate:"gte=0"` // milliseconds; 0: not bounded
+	IdleTimeout              float64 `json:"idleMs" reported:"Idle" validate:"gte=0"`
 }
 
 // Config is a configuration, read and checked.
 type Config struct {
-	Gen    uint64    `json:"gen" validate:"gt=0"`
-	Routes []Route   `json:"routes" validate:"dive"`
-	Svcs   []Service `json:"svcs" validate:"dive"`
-	Limits Limits    `json:"limits"`
+	Version  uint64    `json:"gen" reported:"Gen" validate:"gt=0"`
+	Routes   []Route   `json:"routes" validate:"dive"`
+	Services []Service `json:"svcs" reported:"Svcs" validate:"dive"`
+	Limits   Limits    `json:"limits"`
 
 	byHost map[string]*Route
 	bySvc  map[string]*Service
 }
 
-// Refusal is why a configuration is not taken. Status is the answer's: 400, 409 or 412.
-type Refusal struct {
+// RejectedError is why a configuration is not taken. Status is the answer's: 400, 409 or 412.
+type RejectedError struct {
 	Status int
 	Reason string // a word for logs
 	Text   string
 }
 
-func (r *Refusal) Error() string { return r.Text }
+func (r *RejectedError) Error() string { return r.Text }
 
 func refuse(status int, reason, format string, args ...any) error {
-	return &Refusal{status, reason, fmt.Sprintf(format, args...)}
+	return &RejectedError{status, reason, fmt.Sprintf(format, args...)}
 }
 
-var check = validator.New(validator.WithRequiredStructEnabled())
+var check = newValidator()
 
-// Read reads a whole configuration and checks it against itself.
-func Read(raw []byte) (*Config, error) {
+func newValidator() *validator.Validate {
+	v := validator.New(validator.WithRequiredStructEnabled())
+	v.RegisterTagNameFunc(func(f reflect.StructField) string { return f.Tag.Get("reported") })
+	return v
+}
+
+// Parse reads a whole configuration and checks it against itself.
+func Parse(raw []byte) (*Config, error) {
 	c := &Config{}
 	if err := strict(raw, c); err != nil {
 		return nil, refuse(400, "cut_short", "the configuration can't be read in full: %v", err)
@@ -90,8 +97,8 @@
 		return nil, refuse(400, "bad_field", "%v", err)
 	}
 	c.byHost, c.bySvc = map[string]*Route{}, map[string]*Service{}
-	for i := range c.Svcs {
-		s := &c.Svcs[i]
+	for i := range c.Services {
+		s := &c.Services[i]
 		if c.bySvc[s.Name] != nil {
 			return nil, refuse(400, "same_service", "two services are named %q", s.Name)
 		}
@@ -104,8 +111,8 @@
 			return nil, refuse(400, "same_name", "two routes are named %q", r.Name)
 		}
 		names[r.Name] = true
-		if c.bySvc[r.Svc] == nil {
-			return nil, refuse(400, "unknown_service", "route %q names service %q, which there is not", r.Name, r.Svc)
+		if c.bySvc[r.Service] == nil {
+			return nil, refuse(400, "unknown_service", "route %q names service %q, which there is not", r.Name, r.Service)
 		}
 		place := [2]string{r.Host, r.Prefix}
 		if other, taken := places[place]; taken {
@@ -130,8 +137,8 @@
 	return nil
 }
 
-// Route gives the route of a host, nil for none.
-func (c *Config) Route(host string) *Route { return c.byHost[host] }
+// RouteForHost gives the route of a host, nil for none.
+func (c *Config) RouteForHost(host string) *Route { return c.byHost[host] }
 
 // Service gives a service, nil for none.
 func (c *Config) Service(name string) *Service { return c.bySvc[name] }
--- a/internal/controlplane/config/golden_test.go
+++ b/internal/controlplane/config/golden_test.go
@@ -21,7 +21,7 @@
 // The state is kept on disk and goes over the wire as CBOR with these bytes. A roster of several services is encoded in no order, so
 // this one has one.
 func TestStoredForms(t *testing.T) {
-	full := &State{Gen: 7, Raw: []byte(`{"gen":7}`), Past: []Past{{Gen: 7, Base: 6, Digest: [32]byte{1, 2, 31: 255}, Node: "core-1", At: 1764600000000}},
+	full := &State{Version: 7, Raw: []byte(`{"gen":7}`), History: []AppliedChange{{Version: 7, BaseVersion: 6, Digest: [32]byte{1, 2, 31: 255}, Origin: "core-1", AppliedAt: 1764600000000}},
 		Roster: Roster{"orders": {"a", "b"}}}
 	for name, c := range map[string]struct {
 		state *State
@@ -46,20 +46,20 @@
 
 // GET /config/log answers with the past changes in this form, and weirctl reads it.
 func TestPastAsJSON(t *testing.T) {
-	p := Past{Gen: 7, Base: 6, Digest: [32]byte{1, 2, 31: 255}, Node: "core-1", At: 1764600000000}
+	p := AppliedChange{Version: 7, BaseVersion: 6, Digest: [32]byte{1, 2, 31: 255}, Origin: "core-1", AppliedAt: 1764600000000}
 	want := `{"Gen":7,"Base":6,"Digest":[1,2` + strings.Repeat(",0", 29) + `,255],"Node":"core-1","At":1764600000000}`
 	raw, err := json.Marshal(p)
 	if err != nil || string(raw) != want {
 		t.Fatalf("%s (%v), recorded %s", raw, err, want)
 	}
-	var back Past
+	var back AppliedChange
 	if err := json.Unmarshal(raw, &back); err != nil || back != p {
 		t.Errorf("read back as %+v (%v)", back, err)
 	}
 }
 
 func TestChangeDigests(t *testing.T) {
-	c := Change{Amend: true, Base: 3, Body: []byte(`{"gen":4}`)}
+	c := Change{Amend: true, BaseVersion: 3, Body: []byte(`{"gen":4}`)}
 	d := c.Digest()
 	if got := hex.EncodeToString(d[:]); got != wantChangeDigest {
 		t.Error(got)
@@ -106,15 +106,15 @@
 
 func outcome(t *testing.T, line string) string {
 	verb, body, _ := strings.Cut(line, " ")
-	state := &State{Gen: 5, Raw: []byte(inPlace), Past: []Past{{Gen: 4, Base: 3}, {Gen: 5, Base: 4}}}
+	state := &State{Version: 5, Raw: []byte(inPlace), History: []AppliedChange{{Version: 4, BaseVersion: 3}, {Version: 5, BaseVersion: 4}}}
 	var base uint64
 	switch verb {
 	case "read":
-		c, err := Read([]byte(body))
+		c, err := Parse([]byte(body))
 		if err != nil {
 			return textOf(err)
 		}
-		return fmt.Sprintf("%d routes, %d services, limits %v", len(c.Routes), len(c.Svcs), c.Limits)
+		return fmt.Sprintf("%d routes, %d services, limits %v", len(c.Routes), len(c.Services), c.Limits)
 	case "diff":
 		lines, err := Diff([]byte(inPlace), []byte(body))
 		if err != nil {
@@ -128,16 +128,16 @@
 		t.Fatal(line, err)
 	}
 	_, body, _ = strings.Cut(body, " ")
-	next, err := state.Apply(&Change{Amend: verb != "replace", Base: base, Body: []byte(body)}, "node", 9)
+	next, err := state.Apply(&Change{Amend: verb != "replace", BaseVersion: base, Body: []byte(body)}, "node", 9)
 	if err != nil {
 		return textOf(err)
 	}
-	return fmt.Sprintf("%d: %s", next.Gen, next.Raw)
+	return fmt.Sprintf("%d: %s", next.Version, next.Raw)
 }
 
 func textOf(err error) string {
-	var refused *Refusal
-	var undecided *Undecided
+	var refused *RejectedError
+	var undecided *UndecidedError
 	switch {
 	case errors.As(err, &refused):
 		return fmt.Sprintf("refused %d %s: %s", refused.Status, refused.Reason, err)
@@ -171,12 +171,12 @@
 				}
 				state = next
 			default:
-				c := someChange(r, state.Gen)
+				c := someChange(r, state.Version)
 				if len(sent) > 0 && r.IntN(8) == 0 {
 					c = sent[r.IntN(len(sent))]
 				}
 				sent = append(sent, c)
-				fmt.Fprintln(h, state.Taken(c))
+				fmt.Fprintln(h, state.HasApplied(c))
 				next, err := state.Apply(c, fmt.Sprint("n", r.IntN(3)), int64(r.IntN(1000)))
 				if err != nil {
 					fmt.Fprintln(h, textOf(err))
@@ -185,7 +185,7 @@
 				state = next
 			}
 			lines, err := Diff(append([]byte{}, orEmpty(before.Raw)...), orEmpty(state.Raw))
-			fmt.Fprintln(h, state == before, state.Gen, string(state.Raw), state.Past, state.Roster, lines, err)
+			fmt.Fprintln(h, state == before, state.Version, string(state.Raw), state.History, state.Roster, lines, err)
 		}
 	}
 	if got := h.Sum64(); got != wantHistory {
@@ -202,23 +202,23 @@
 
 func someMembers(r *rand.Rand) (out []RosterMember) {
 	for range r.IntN(3) {
-		out = append(out, RosterMember{Svc: fmt.Sprint("s", r.IntN(2)), ID: fmt.Sprint("m", r.IntN(4))})
+		out = append(out, RosterMember{Service: fmt.Sprint("s", r.IntN(2)), ID: fmt.Sprint("m", r.IntN(4))})
 	}
 	return out
 }
 
 // someChange is wrong in one place at most: which of two wrong lists is named is left to chance.
 func someChange(r *rand.Rand, gen uint64) *Change {
-	c := &Change{Amend: r.IntN(2) == 0, Base: gen}
+	c := &Change{Amend: r.IntN(2) == 0, BaseVersion: gen}
 	switch r.IntN(10) {
 	case 0:
-		c.Base = gen + 1 + uint64(r.IntN(3))
+		c.BaseVersion = gen + 1 + uint64(r.IntN(3))
 	case 1:
-		c.Base = gen - min(gen, uint64(1+r.IntN(20)))
+		c.BaseVersion = gen - min(gen, uint64(1+r.IntN(20)))
 	}
-	next := c.Base + 1 + uint64(r.IntN(2))
+	next := c.BaseVersion + 1 + uint64(r.IntN(2))
 	if r.IntN(10) == 0 {
-		next = c.Base
+		next = c.BaseVersion
 	}
 	var body string
 	if c.Amend {
--- a/internal/controlplane/config/roster.go
+++ b/internal/controlplane/config/roster.go
@@ -13,8 +13,8 @@
 
 // RosterMember is an entry of a roster.
 type RosterMember struct {
-	Svc string `cbor:"1,keyasint"`
-	ID  string `cbor:"2,keyasint"`
+	Service string `cbor:"1,keyasint"`
+	ID      string `cbor:"2,keyasint"`
 }
 
 // RosterChange adds and removes members. Entries that are there already, or are not, change nothing.
@@ -23,8 +23,8 @@
 	Remove []RosterMember
 }
 
-// Lists says whether a member is on the roster of a service.
-func (r Roster) Lists(svc, id string) bool {
+// Contains says whether a member is on the roster of a service.
+func (r Roster) Contains(svc, id string) bool {
 	_, found := slices.BinarySearch(r[svc], id)
 	return found
 }
@@ -36,14 +36,14 @@
 		roster = Roster{}
 	}
 	for _, m := range c.Add {
-		if at, found := slices.BinarySearch(roster[m.Svc], m.ID); !found {
-			roster[m.Svc] = slices.Insert(slices.Clone(roster[m.Svc]), at, m.ID)
+		if at, found := slices.BinarySearch(roster[m.Service], m.ID); !found {
+			roster[m.Service] = slices.Insert(slices.Clone(roster[m.Service]), at, m.ID)
 			changed = true
 		}
 	}
 	for _, m := range c.Remove {
-		if at, found := slices.BinarySearch(roster[m.Svc], m.ID); found {
-			roster[m.Svc] = slices.Delete(slices.Clone(roster[m.Svc]), at, at+1)
+		if at, found := slices.BinarySearch(roster[m.Service], m.ID); found {
+			roster[m.Service] = slices.Delete(slices.Clone(roster[m.Service]), at, at+1)
 			changed = true
 		}
 	}
@@ -60,7 +60,7 @@
 func (b *State) WithoutMember(id string) (*State, error) {
 	var c RosterChange
 	for svc := range b.Roster {
-		if b.Roster.Lists(svc, id) {
+		if b.Roster.Contains(svc, id) {
 			c.Remove = append(c.Remove, RosterMember{svc, id})
 		}
 	}
--- a/internal/controlplane/config/roster_test.go
+++ b/internal/controlplane/config/roster_test.go
@@ -4,19 +4,19 @@
 
 // A change of the roster leaves the state that it was made of alone, and one that changes nothing gives that very state.
 func TestRosterChanges(t *testing.T) {
-	first := &State{Gen: 3}
+	first := &State{Version: 3}
 	two := first.WithRoster(RosterChange{Add: []RosterMember{{"s", "b"}, {"s", "a"}, {"r", "c"}}})
-	if first.Roster != nil || !two.Roster.Lists("s", "a") || !two.Roster.Lists("s", "b") || two.Roster.Lists("s", "c") || two.Gen != 3 {
+	if first.Roster != nil || !two.Roster.Contains("s", "a") || !two.Roster.Contains("s", "b") || two.Roster.Contains("s", "c") || two.Version != 3 {
 		t.Fatal(first.Roster, two.Roster)
 	}
 	if same := two.WithRoster(RosterChange{Add: []RosterMember{{"s", "a"}}, Remove: []RosterMember{{"s", "x"}}}); same != two {
 		t.Error("a change that changes nothing gave another state")
 	}
 	one := two.WithRoster(RosterChange{Remove: []RosterMember{{"s", "a"}}})
-	if one.Roster.Lists("s", "a") || !one.Roster.Lists("s", "b") || !two.Roster.Lists("s", "a") {
+	if one.Roster.Contains("s", "a") || !one.Roster.Contains("s", "b") || !two.Roster.Contains("s", "a") {
 		t.Error(one.Roster, two.Roster)
 	}
-	if gone, err := two.WithoutMember("c"); err != nil || gone.Roster.Lists("r", "c") || !gone.Roster.Lists("s", "a") {
+	if gone, err := two.WithoutMember("c"); err != nil || gone.Roster.Contains("r", "c") || !gone.Roster.Contains("s", "a") {
 		t.Error(gone, err)
 	}
 }
@@ -25,7 +25,7 @@
 func TestAConfigurationKeepsTheRoster(t *testing.T) {
 	s := (&State{}).WithRoster(RosterChange{Add: []RosterMember{{"s", "a"}}})
 	next, err := s.Apply(&Change{Body: []byte(`{"gen":1,"routes":[],"svcs":[]}`)}, "n", 0)
-	if err != nil || !next.Roster.Lists("s", "a") {
+	if err != nil || !next.Roster.Contains("s", "a") {
 		t.Error(next, err)
 	}
 }
--- a/internal/controlplane/config/state.go
+++ b/internal/controlplane/config/state.go
@@ -14,26 +14,26 @@
 
 // Change is what an operator sends.
 type Change struct {
-	Amend bool
-	Base  uint64 // the version that it is built on
-	Body  []byte
+	Amend       bool
+	BaseVersion uint64 // the version that it is built on
+	Body        []byte
 }
 
 // Digest tells exact repeats from other changes.
 func (c *Change) Digest() [32]byte {
 	h := sha256.New()
-	fmt.Fprintf(h, "%v %d ", c.Amend, c.Base)
+	fmt.Fprintf(h, "%v %d ", c.Amend, c.BaseVersion)
 	h.Write(c.Body)
 	return [32]byte(h.Sum(nil))
 }
 
-// Past is a change that was taken.
-type Past struct {
-	Gen    uint64   `cbor:"1,keyasint"`
-	Base   uint64   `cbor:"2,keyasint"`
-	Digest [32]byte `cbor:"3,keyasint"`
-	Node   string   `cbor:"4,keyasint"` // machine of the core that was called
-	At     int64    `cbor:"5,keyasint"` // its time of day in milliseconds, for people; nothing decides by it
+// AppliedChange is a change that was taken.
+type AppliedChange struct {
+	Version     uint64   `cbor:"1,keyasint" json:"Gen"`
+	BaseVersion uint64   `cbor:"2,keyasint" json:"Base"`
+	Digest      [32]byte `cbor:"3,keyasint" json:"Digest"`
+	Origin      string   `cbor:"4,keyasint" json:"Node"` // machine of the core that was called
+	AppliedAt   int64    `cbor:"5,keyasint" json:"At"`   // its time of day in milliseconds, for people; nothing decides by it
 }
 
 // mostPast is how many changes repeats are told by. Any number is safe, as what is older is left without a clear
@@ -43,9 +43,9 @@
 
 // State is the operator's word: the newest configuration as it was sent, and which changes led to it.
 type State struct {
-	Gen  uint64 `cbor:"1,keyasint"`
-	Raw  []byte `cbor:"2,keyasint"`
-	Past []Past `cbor:"3,keyasint"`
+	Version uint64          `cbor:"1,keyasint"`
+	Raw     []byte          `cbor:"2,keyasint"`
+	History []AppliedChange `cbor:"3,keyasint"`
 
 	Shards *shardmap.Map `cbor:"4,keyasint,omitempty"` // who holds which; nil: none were founded
 	Sites  *sites.Map    `cbor:"5,keyasint,omitempty"` // that hold open sessions; nil: there are none
@@ -66,41 +66,41 @@
 	return &next, nil
 }
 
-// Undecided is why neither yes nor no can be said of a change: its caller is to send it again.
-type Undecided struct {
+// UndecidedError is why neither yes nor no can be said of a change: its caller is to send it again.
+type UndecidedError struct {
 	Reason string
 	Text   string
 	Later  bool // a change that is under way may decide it
 }
 
-func (u *Undecided) Error() string { return u.Text }
+func (u *UndecidedError) Error() string { return u.Text }
 
-// Taken says whether exactly this change was taken, among those that are remembered.
-func (b *State) Taken(c *Change) bool {
+// HasApplied says whether exactly this change was taken, among those that are remembered.
+func (b *State) HasApplied(c *Change) bool {
 	d := c.Digest()
-	return slices.ContainsFunc(b.Past, func(p Past) bool { return p.Digest == d })
+	return slices.ContainsFunc(b.History, func(p AppliedChange) bool { return p.Digest == d })
 }
 
 // remembered is the oldest base of which it is known what was taken on it.
 func (b *State) remembered() uint64 {
-	if len(b.Past) == 0 {
-		return b.Gen
+	if len(b.History) == 0 {
+		return b.Version
 	}
-	return b.Past[0].Base
+	return b.History[0].BaseVersion
 }
 
 // fits says whether a change that is not remembered may follow: each version has one successor. A base behind is
 // refused for ever, but where that is so long ago that this very change may be the one that was taken on it.
 func (b *State) fits(base uint64) error {
 	switch {
-	case base > b.Gen:
-		text := fmt.Sprintf("version %d, on which it builds, is not in place; version %d is", base, b.Gen)
-		return &Undecided{"base_ahead", text, true}
+	case base > b.Version:
+		text := fmt.Sprintf("version %d, on which it builds, is not in place; version %d is", base, b.Version)
+		return &UndecidedError{"base_ahead", text, true}
 	case base < b.remembered():
-		text := fmt.Sprintf("what was taken on version %d is no longer known; version %d is in place", base, b.Gen)
-		return &Undecided{"forgotten", text, false}
-	case base < b.Gen:
-		return refuse(412, "other_base", "version %d is in place, not %d", b.Gen, base)
+		text := fmt.Sprintf("what was taken on version %d is no longer known; version %d is in place", base, b.Version)
+		return &UndecidedError{"forgotten", text, false}
+	case base < b.Version:
+		return refuse(412, "other_base", "version %d is in place, not %d", b.Version, base)
 	}
 	return nil
 }
@@ -112,30 +112,30 @@
 	if err != nil {
 		return nil, err
 	}
-	if gen <= c.Base && c.Base > b.Gen {
-		return nil, refuse(400, "old_version", "its gen %d is not higher than %d, on which it builds", gen, c.Base)
+	if gen <= c.BaseVersion && c.BaseVersion > b.Version {
+		return nil, refuse(400, "old_version", "its gen %d is not higher than %d, on which it builds", gen, c.BaseVersion)
 	}
-	if err := b.fits(c.Base); err != nil {
+	if err := b.fits(c.BaseVersion); err != nil {
 		return nil, err
 	}
-	if gen <= b.Gen {
-		return nil, refuse(400, "old_version", "its gen %d is not higher than %d, which is in place", gen, b.Gen)
+	if gen <= b.Version {
+		return nil, refuse(400, "old_version", "its gen %d is not higher than %d, which is in place", gen, b.Version)
 	}
 	raw := c.Body
 	if c.Amend {
 		if raw, err = b.amended(c.Body); err != nil {
 			return nil, err
 		}
-		if _, err := Read(raw); err != nil {
+		if _, err := Parse(raw); err != nil {
 			return nil, err
 		}
 	}
-	past := append(slices.Clone(b.Past), Past{gen, c.Base, c.Digest(), node, at})
+	past := append(slices.Clone(b.History), AppliedChange{gen, c.BaseVersion, c.Digest(), node, at})
 	if len(past) > mostPast {
 		past = past[len(past)-mostPast:]
 	}
 	next := *b
-	next.Gen, next.Raw, next.Past = gen, bytes.Clone(raw), past
+	next.Version, next.Raw, next.History = gen, bytes.Clone(raw), past
 	return &next, nil
 }
 
@@ -148,11 +148,11 @@
 		}
 		return *a.Gen, nil
 	}
-	cfg, err := Read(c.Body)
+	cfg, err := Parse(c.Body)
 	if err != nil {
 		return 0, err
 	}
-	return cfg.Gen, nil
+	return cfg.Version, nil
 }
 
 // WithSites gives the book with a change of the sites. The same book: it was so before.
--- a/internal/controlplane/consensus_loop.go
+++ b/internal/controlplane/consensus_loop.go
@@ -81,7 +81,7 @@
 		}
 	}
 	ctx, end := context.WithCancel(context.Background())
-	queue := orders.New(orders.Limits{Waiting: maxPendingRequests, Time: ms(requestTimeout)})
+	queue := orders.New(orders.Limits{Pending: maxPendingRequests, Timeout: ms(requestTimeout)})
 	c := &consensusLoop{h: h, store: store, q: commandqueue.New(ctx, 256), end: end, orders: queue}
 	c.node = consensus.New(consensus.Options{Addr: s.ControlAddr, Seeds: s.Peers, MinVoters: 2*s.TolerateNodes + 1,
 		HeartbeatInterval: ms(heartbeatInterval), ElectionTimeout: ms(electionTimeout), RemoveAfter: ms(removeAfter), Random: h.draw}, hard, h.now())
@@ -218,8 +218,8 @@
 		c.voted = voters
 		c.h.log.Event(events.VotersChange, "voters", voters, "index", e.Index)
 	}
-	news := book.Gen > c.known
-	c.known = max(c.known, book.Gen)
+	news := book.Version > c.known
+	c.known = max(c.known, book.Version)
 	if c.h.tables != nil {
 		c.h.tables.do(func() { c.h.tables.agreed(book, news, addrs) })
 	} else {
--- a/internal/controlplane/forward.go
+++ b/internal/controlplane/forward.go
@@ -32,7 +32,7 @@
 		if r.Status != statusNotLeading {
 			return r.Status, r.Body
 		}
-		if sent && kindOf(&a) == idempotency.Once || time.Since(began) > leaderTimeout {
+		if sent && kindOf(&a) == idempotency.AtMostOnce || time.Since(began) > leaderTimeout {
 			return http.StatusServiceUnavailable, r.Body
 		}
 		select {
@@ -46,7 +46,7 @@
 // kindOf says which calls can be made again as they were: readings, and changes that are found among those taken.
 func kindOf(a *controlmsg.Request) idempotency.Kind {
 	if a.ShardChange != nil || a.SiteChange != nil || a.SiteLease != nil {
-		return idempotency.Once
+		return idempotency.AtMostOnce
 	}
 	return idempotency.Idempotent
 }
--- a/internal/controlplane/orders/core_test.go
+++ b/internal/controlplane/orders/core_test.go
@@ -88,7 +88,7 @@
 	}
 	m.on, m.frozen, m.state, m.pending = true, 0, nil, map[int]*passed{}
 	m.life++
-	m.queue = New(Limits{Waiting: 64, Time: 3000})
+	m.queue = New(Limits{Pending: 64, Timeout: 3000})
 	m.node = consensus.New(consensus.Options{Addr: address(m.at), Seeds: seeds, MinVoters: len(c.hosts), HeartbeatInterval: 200, ElectionTimeout: 900,
 		RemoveAfter: 1e12, Random: c.r.Float64}, clone(m.disk), c.now)
 	m.learn(c.t)
@@ -227,7 +227,7 @@
 		leader, known := m.node.Leader()
 		switch {
 		case known && place(leader.Addr) == at:
-			m.queue.Take(&Order{Request: r, Reply: c.seen(at, back)}, c.now)
+			m.queue.Submit(&Order{Request: r, Reply: c.seen(at, back)}, c.now)
 		case known:
 			c.pass(m, c.hosts[place(leader.Addr)], r, back)
 		default:
@@ -251,7 +251,7 @@
 	number, life := m.number, m.life
 	m.pending[number] = &passed{c.now + passedFor, back}
 	c.slow(m.at, leader.at, func() {
-		leader.queue.Take(&Order{Request: r, Reply: c.seen(leader.at, func(a Answer) {
+		leader.queue.Submit(&Order{Request: r, Reply: c.seen(leader.at, func(a Answer) {
 			c.say(leader.at, m.at, func() {
 				if p := m.pending[number]; p != nil && m.life == life {
 					delete(m.pending, number)
--- a/internal/controlplane/orders/golden_test.go
+++ b/internal/controlplane/orders/golden_test.go
@@ -25,7 +25,7 @@
 		see := func(at int, a Answer) {
 			gen := uint64(0)
 			if a.State != nil {
-				gen = a.State.Gen
+				gen = a.State.Version
 			}
 			fmt.Fprintf(h, "%d %d %q %d %q %d\n", at, a.Status, a.Body, a.Outcome, a.Reason, gen)
 			kinds[fmt.Sprint(a.Status, a.Outcome, a.Reason)]++
@@ -69,7 +69,7 @@
 	} {
 		a := c.at(lead, r)
 		c.until(a)
-		fmt.Fprintf(h, "%d %q %d %q %d\n", a.Status, a.Body, a.Outcome, a.Reason, a.State.Gen)
+		fmt.Fprintf(h, "%d %q %d %q %d\n", a.Status, a.Body, a.Outcome, a.Reason, a.State.Version)
 	}
 	if got := h.Sum64(); got != wantKinds {
 		t.Errorf("%#x, recorded %#x", got, wantKinds)
@@ -82,9 +82,9 @@
 	lead := c.ready()
 	var got []Answer
 	ask := func(q *Queue) {
-		q.Take(&Order{Request: replace(0, 1, 1), Reply: func(a Answer) { got = append(got, a) }}, c.now)
+		q.Submit(&Order{Request: replace(0, 1, 1), Reply: func(a Answer) { got = append(got, a) }}, c.now)
 	}
-	q := New(Limits{Waiting: 2, Time: 3000})
+	q := New(Limits{Pending: 2, Timeout: 3000})
 	ask(q)
 	ask(q)
 	ask(q)
@@ -94,7 +94,7 @@
 			break
 		}
 	}
-	deposed := New(Limits{Waiting: 2, Time: 1e9})
+	deposed := New(Limits{Pending: 2, Timeout: 1e9})
 	ask(deposed)
 	c.part(lead)
 	deposed.Step(lead.node, lead.state, c.now, 0)
--- a/internal/controlplane/orders/orders.go
+++ b/internal/controlplane/orders/orders.go
@@ -27,11 +27,11 @@
 
 // Outcomes.
 const (
-	Unclear  Outcome = iota // in force, or not, or not yet: the caller asks again
-	Taken                   // by this call
-	Repeated                // it had been taken before
-	Refused                 // it is not in force, and never will be
-	Shown                   // a reading, or a lease that is granted
+	OutcomeUnknown        Outcome = iota // in force, or not, or not yet: the caller asks again
+	OutcomeApplied                       // by this call
+	OutcomeAlreadyApplied                // it had been taken before
+	OutcomeRejected                      // it is not in force, and never will be
+	OutcomeRead                          // a reading, or a lease that is granted
 )
 
 // Answer is what a caller is told. State is the committed one by which it was decided.
@@ -62,8 +62,8 @@
 
 // Limits of a queue.
 type Limits struct {
-	Waiting int     // orders at a time
-	Time    float64 // milliseconds in which each is answered
+	Pending int     // orders at a time
+	Timeout float64 // milliseconds in which each is answered
 }
 
 // Queue holds orders in the order in which they came.
@@ -75,13 +75,13 @@
 // New gives an empty queue.
 func New(l Limits) *Queue { return &Queue{limits: l} }
 
-// Take queues an order.
-func (q *Queue) Take(o *Order, now float64) {
-	if len(q.waiting) >= q.limits.Waiting {
+// Submit queues an order.
+func (q *Queue) Submit(o *Order, now float64) {
+	if len(q.waiting) >= q.limits.Pending {
 		o.Reply(unclear("too many calls wait"))
 		return
 	}
-	o.until = now + q.limits.Time
+	o.until = now + q.limits.Timeout
 	q.waiting = append(q.waiting, o)
 }
 
@@ -138,7 +138,7 @@
 		return nil
 	}
 	if e, ok := s.node.Committed(); ok && e.Term == o.term && e.Index >= o.index {
-		return &Answer{Status: 200, Body: []byte("taken\n"), Outcome: Taken}
+		return &Answer{Status: 200, Body: []byte("taken\n"), Outcome: OutcomeApplied}
 	}
 	if s.node.HardState.Term != o.term { // it was deposed meanwhile, even if it leads again: another entry may have its place
 		return ref(notLeading("this machine led no longer as it was decided; ask again"))
@@ -149,10 +149,10 @@
 // change decides a change of the state.
 func (s *step) change(o *Order) *Answer {
 	next, err := s.next(o)
-	var undecided *config.Undecided
+	var undecided *config.UndecidedError
 	switch {
 	case err == nil && next == s.state:
-		return &Answer{Status: 200, Body: []byte("taken before\n"), Outcome: Repeated}
+		return &Answer{Status: 200, Body: []byte("taken before\n"), Outcome: OutcomeAlreadyApplied}
 	case err == nil:
 		return s.propose(o, next)
 	case errors.As(err, &undecided) && undecided.Later:
@@ -181,8 +181,8 @@
 	case o.ForgetMember != "":
 		return s.state.WithoutMember(o.ForgetMember)
 	}
-	c := &config.Change{Amend: o.Amend, Base: o.BaseVersion, Body: o.Body}
-	if s.state.Taken(c) {
+	c := &config.Change{Amend: o.Amend, BaseVersion: o.BaseVersion, Body: o.Body}
+	if s.state.HasApplied(c) {
 		return s.state, nil
 	}
 	return s.state.Apply(c, o.Origin, s.wall)
@@ -214,10 +214,10 @@
 }
 
 func (s *step) show(*Order) *Answer {
-	if s.state.Gen == 0 {
-		return &Answer{Status: 404, Body: []byte("there is no configuration yet\n"), Outcome: Shown}
+	if s.state.Version == 0 {
+		return &Answer{Status: 404, Body: []byte("there is no configuration yet\n"), Outcome: OutcomeRead}
 	}
-	return &Answer{Status: 200, Body: s.state.Raw, Outcome: Shown}
+	return &Answer{Status: 200, Body: s.state.Raw, Outcome: OutcomeRead}
 }
 
 // grant answers for a site's lease; the sites that are known come along.
@@ -225,25 +225,25 @@
 	known := s.state.Sites
 	if known == nil || known.Sites[o.SiteLease.Site].Life != o.SiteLease.Incarnation || known.Sites[o.SiteLease.Site].State == sites.Out {
 		over := []byte("this life of the site is over, or has not joined\n")
-		return &Answer{Status: 409, Body: over, Outcome: Refused, Reason: "sites"}
+		return &Answer{Status: 409, Body: over, Outcome: OutcomeRejected, Reason: "sites"}
 	}
 	body, err := json.Marshal(known)
 	if err != nil {
 		return ref(unclear(err.Error()))
 	}
-	return &Answer{Status: 200, Body: body, Outcome: Shown}
+	return &Answer{Status: 200, Body: body, Outcome: OutcomeRead}
 }
 
 func refusal(err error) *Answer {
-	var r *config.Refusal
+	var r *config.RejectedError
 	if errors.As(err, &r) {
-		return &Answer{Status: r.Status, Body: []byte(r.Text + "\n"), Outcome: Refused, Reason: r.Reason}
+		return &Answer{Status: r.Status, Body: []byte(r.Text + "\n"), Outcome: OutcomeRejected, Reason: r.Reason}
 	}
 	return ref(unclear(err.Error()))
 }
 
 func unclear(text string) Answer {
-	return Answer{Status: 503, Body: []byte(text + "\n"), Outcome: Unclear}
+	return Answer{Status: 503, Body: []byte(text + "\n"), Outcome: OutcomeUnknown}
 }
 
 func notLeading(text string) Answer {
--- a/internal/controlplane/orders/orders_test.go
+++ b/internal/controlplane/orders/orders_test.go
@@ -23,7 +23,7 @@
 // at puts a call into a machine's own queue and gives where its answer will be.
 func (c *core) at(m *machine, r controlmsg.Request) *Answer {
 	out := &Answer{Status: -1}
-	m.queue.Take(&Order{Request: r, Reply: func(a Answer) {
+	m.queue.Submit(&Order{Request: r, Reply: func(a Answer) {
 		if out.Status != -1 {
 			c.t.Error("two answers to one call")
 		}
@@ -96,14 +96,14 @@
 		Convey("an order sent again is taken before, also as an amendment, also behind others (Taken)", func() {
 			for i, r := range []controlmsg.Request{replace(1, 2, 2), amend(2, 3, 3), replace(3, 4, 4)} {
 				c.must(lead, r, 200)
-				So(lead.state.Gen, ShouldEqual, i+2)
+				So(lead.state.Version, ShouldEqual, i+2)
 			}
 			for _, r := range []controlmsg.Request{replace(1, 2, 2), amend(2, 3, 3), replace(3, 4, 4), replace(0, 1, 1)} {
 				a := c.at(lead, r)
 				So(c.until(a), ShouldEqual, 200)
-				So(a.Outcome, ShouldEqual, Repeated)
+				So(a.Outcome, ShouldEqual, OutcomeAlreadyApplied)
 			}
-			So(lead.state.Gen, ShouldEqual, 4)
+			So(lead.state.Version, ShouldEqual, 4)
 		})
 		Convey("of two operators with one number one wins; the other is refused, and again (fits)", func() {
 			a, b := c.at(lead, replace(1, 7, 2)), c.at(lead, replace(1, 7, 3))
@@ -117,7 +117,7 @@
 			a, b := c.at(lead, replace(1, 7, 2)), c.at(lead, replace(1, 7, 2))
 			So(c.until(a), ShouldEqual, 200)
 			So(c.until(b), ShouldEqual, 200)
-			So(len(lead.state.Past), ShouldEqual, 2)
+			So(len(lead.state.History), ShouldEqual, 2)
 		})
 		Convey("the same bytes as a replacement and as an amendment are two orders (Digest)", func() {
 			r := replace(1, 7, 2)
@@ -186,8 +186,8 @@
 			So(c.until(a), ShouldEqual, 412)
 		})
 		Convey("an entry that has the place of an order, of a later term of the same leader, is not its acknowledgement (term)", func() {
-			q, got := New(Limits{Waiting: 8, Time: 1e9}), &Answer{Status: -1}
-			q.Take(&Order{Request: replace(1, 2, 2), Reply: func(a Answer) { *got = a }}, c.now)
+			q, got := New(Limits{Pending: 8, Timeout: 1e9}), &Answer{Status: -1}
+			q.Submit(&Order{Request: replace(1, 2, 2), Reply: func(a Answer) { *got = a }}, c.now)
 			c.part(lead)
 			q.Step(lead.node, lead.state, c.now, 0)
 			So(lead.node.InFlight(), ShouldBeTrue)
@@ -204,7 +204,7 @@
 			So(lead.node.Established(), ShouldBeTrue)
 			q.Step(lead.node, lead.state, c.now, 0)
 			So(got.Status, ShouldEqual, 503)
-			So(lead.state.Gen, ShouldEqual, 2)
+			So(lead.state.Version, ShouldEqual, 2)
 		})
 		Convey("an order taken before all power goes, and before a restore from one disk, is known behind it", func() {
 			c.must(lead, replace(1, 2, 2), 200)
@@ -271,33 +271,33 @@
 	most := 0
 	for i := range 1200 {
 		r := replace(i, i+1, i+1)
-		c := &config.Change{Base: r.BaseVersion, Body: r.Body}
+		c := &config.Change{BaseVersion: r.BaseVersion, Body: r.Body}
 		next, err := s.Apply(c, "machine", 0)
 		if err != nil {
 			t.Fatal(err)
 		}
 		s, sent = next, append(sent, c)
-		most = max(most, len(s.Past))
+		most = max(most, len(s.History))
 	}
 	if most != remembered {
 		t.Errorf("%d changes are remembered", most)
 	}
 	for i, c := range sent {
-		if s.Taken(c) {
+		if s.HasApplied(c) {
 			continue
 		}
 		_, err := s.Apply(c, "machine", 0)
-		if u, ok := err.(*config.Undecided); !ok || u.Later || i >= 1200-remembered {
+		if u, ok := err.(*config.UndecidedError); !ok || u.Later || i >= 1200-remembered {
 			t.Fatalf("the copy of change %d: %v", i, err)
 		}
 	}
 	if raw, err := cbor.Marshal(s); err != nil || len(raw) > remembered*90+1000 {
 		t.Errorf("the state takes %d bytes (%v)", len(raw), err)
 	} else {
-		t.Logf("%d changes are remembered in %d bytes, the configuration among them", len(s.Past), len(raw))
+		t.Logf("%d changes are remembered in %d bytes, the configuration among them", len(s.History), len(raw))
 	}
 	other := replace(1000, 1001, 7)
-	if _, err := s.Apply(&config.Change{Base: other.BaseVersion, Body: other.Body}, "machine", 0); fmt.Sprintf("%T", err) != "*config.Refusal" {
+	if _, err := s.Apply(&config.Change{BaseVersion: other.BaseVersion, Body: other.Body}, "machine", 0); fmt.Sprintf("%T", err) != "*config.RejectedError" {
 		t.Errorf("another change on a base of late: %v", err)
 	}
 }
--- a/internal/controlplane/requests.go
+++ b/internal/controlplane/requests.go
@@ -13,9 +13,9 @@
 
 // take queues a call at the leader.
 func (c *consensusLoop) take(r controlmsg.Request, reply func(status int, body []byte)) {
-	c.orders.Take(&orders.Order{Request: r, Reply: func(a orders.Answer) {
+	c.orders.Submit(&orders.Order{Request: r, Reply: func(a orders.Answer) {
 		c.logAnswer(&r, &a)
-		if r.SiteLease != nil && a.Outcome == orders.Shown {
+		if r.SiteLease != nil && a.Outcome == orders.OutcomeRead {
 			c.h.tables.do(func() { c.h.tables.granted[r.SiteLease.Site] = c.h.now() })
 		}
 		if a.Reason == orders.NotLeading {
@@ -36,9 +36,9 @@
 
 func (c *consensusLoop) logAnswer(r *controlmsg.Request, a *orders.Answer) {
 	switch {
-	case a.Outcome == orders.Refused && r.SiteLease == nil:
+	case a.Outcome == orders.OutcomeRejected && r.SiteLease == nil:
 		c.h.log.Event(events.ConfigNot, "reason", a.Reason, "why", string(a.Body), "from", r.Origin)
-	case a.Outcome != orders.Taken:
+	case a.Outcome != orders.OutcomeApplied:
 	case r.ForgetMember != "":
 		c.h.log.Event(events.RosterChange, "forgotten", r.ForgetMember, "from", r.Origin)
 	case r.SiteChange != nil:
@@ -48,6 +48,6 @@
 		s := r.ShardChange
 		c.h.log.Event(events.ShardMap, "kind", s.Kind, "shard", s.Shard, "node", s.Node, "version", a.State.Shards.Version)
 	default:
-		c.h.log.Event(events.ConfigTaken, "gen", a.State.Gen, "base", r.BaseVersion, "from", r.Origin)
+		c.h.log.Event(events.ConfigTaken, "gen", a.State.Version, "base", r.BaseVersion, "from", r.Origin)
 	}
 }
--- a/internal/controlplane/roster.go
+++ b/internal/controlplane/roster.go
@@ -69,7 +69,7 @@
 func (t *tables) absent(svc string, now float64) (out []failover.Member) {
 	for _, id := range t.state.Roster[svc] {
 		m, known := t.members.Get(id)
-		if known && !m.Tombstone || t.covered[config.RosterMember{Svc: svc, ID: id}] {
+		if known && !m.Tombstone || t.covered[config.RosterMember{Service: svc, ID: id}] {
 			continue // a covered one is to leave the roster: what it held is at others, agreed on or not
 		}
 		ended := known || now-t.ledAt > ms(memberKeep)
@@ -93,21 +93,21 @@
 
 // rosterChange compares the members that are there with the roster.
 func (t *tables) rosterChange(bySvc map[string][]directory.Member) (change config.RosterChange) {
-	for i := range t.config.Svcs {
-		svc := t.config.Svcs[i].Name
-		if t.config.Svcs[i].SyncN == 0 {
+	for i := range t.config.Services {
+		svc := t.config.Services[i].Name
+		if t.config.Services[i].SyncReplicas == 0 {
 			continue // nothing is promised of its commits
 		}
 		for _, m := range bySvc[svc] {
-			item := config.RosterMember{Svc: svc, ID: m.ID}
+			item := config.RosterMember{Service: svc, ID: m.ID}
 			delete(t.covered, item) // it is back
-			if !t.state.Roster.Lists(svc, m.ID) {
+			if !t.state.Roster.Contains(svc, m.ID) {
 				change.Add = append(change.Add, item)
 			}
 		}
 	}
 	for item := range t.covered {
-		if t.state.Roster.Lists(item.Svc, item.ID) {
+		if t.state.Roster.Contains(item.Service, item.ID) {
 			change.Remove = append(change.Remove, item)
 		} else {
 			delete(t.covered, item)
--- a/internal/controlplane/succession.go
+++ b/internal/controlplane/succession.go
@@ -47,20 +47,20 @@
 	}
 	bySvc := t.present()
 	drivers := len(t.leases.Drivers())
-	for i := range t.config.Svcs {
-		cs := &t.config.Svcs[i]
+	for i := range t.config.Services {
+		cs := &t.config.Services[i]
 		s := t.successions[cs.Name]
 		if s == nil {
 			s = failover.New(now)
 			t.successions[cs.Name] = s
 		}
-		v := &failover.View{Svc: cs.Name, SyncN: cs.SyncN, Drivers: drivers, Doubt: t.doubtful(now)}
+		v := &failover.View{Svc: cs.Name, SyncN: cs.SyncReplicas, Drivers: drivers, Doubt: t.doubtful(now)}
 		for _, m := range bySvc[cs.Name] {
 			v.Members = append(v.Members, failover.Member{ID: m.ID, Gen: m.Generation, Leaving: m.Leaving, Silent: t.members.HeartbeatAge(m.ID, now),
 				Primary: m.Role == directory.RolePrimary, Replica: m.Role == directory.RoleReplica,
-				Unlisted: cs.SyncN > 0 && !t.state.Roster.Lists(cs.Name, m.ID)})
+				Unlisted: cs.SyncReplicas > 0 && !t.state.Roster.Contains(cs.Name, m.ID)})
 		}
-		if cs.SyncN > 0 {
+		if cs.SyncReplicas > 0 {
 			v.Members = append(v.Members, t.absent(cs.Name, now)...)
 		}
 		for _, r := range t.reports[cs.Name] {
@@ -90,7 +90,7 @@
 			t.h.log.Event(events.SuccessStep, "svc", v.Svc, "step", "failover", "to", a.ID, "from", a.Why)
 			go t.failover(s, v.Svc, a.ID, t.nextFence())
 		case failover.Covered:
-			t.covered[config.RosterMember{Svc: v.Svc, ID: a.ID}] = true
+			t.covered[config.RosterMember{Service: v.Svc, ID: a.ID}] = true
 		default:
 			if m, ok := t.members.Get(a.ID); ok {
 				text := [...]string{failover.Stat: "STAT", failover.Pause: "PAUSE " + strconv.FormatUint(a.Term+1, 10), failover.Cont: "CONT",
@@ -218,7 +218,7 @@
 		case err == nil, errors.As(err, &said):
 			a.put(m.ID, c)
 			return false, err
-		case !kept || !kind.May(err) || !time.Now().Before(until):
+		case !kept || !kind.MayRetry(err) || !time.Now().Before(until):
 			c.Close()
 			return false, err
 		}
--- a/internal/controlplane/tables.go
+++ b/internal/controlplane/tables.go
@@ -151,7 +151,7 @@
 func (t *tables) digest() controlmsg.StateDigest {
 	d := controlmsg.StateDigest{MembersHash: t.members.Digest(), DriversHash: t.leases.Digest()}
 	if t.state != nil {
-		d.ConfigVersion = t.state.Gen
+		d.ConfigVersion = t.state.Version
 		if t.state.Shards != nil {
 			d.ShardMapVersion = t.state.Shards.Version
 		}
@@ -165,7 +165,7 @@
 	for _, ctl := range cores { // the settings name three: heartbeats and leases that come in elsewhere are told by the others
 		t.h.reach(ctl)
 	}
-	if t.state != nil && book.Gen < t.state.Gen {
+	if t.state != nil && book.Version < t.state.Version {
 		return
 	}
 	shards := book.Shards != nil && (t.state == nil || t.state.Shards == nil || t.state.Shards.Version < book.Shards.Version)
@@ -177,10 +177,10 @@
 	if !news {
 		return
 	}
-	if cfg, err := config.Read(book.Raw); err == nil {
+	if cfg, err := config.Parse(book.Raw); err == nil {
 		t.config = cfg
 	}
-	t.push(&controlmsg.StateUpdate{ConfigVersion: book.Gen, Config: book.Raw, CoreAddrs: cores})
+	t.push(&controlmsg.StateUpdate{ConfigVersion: book.Version, Config: book.Raw, CoreAddrs: cores})
 }
 
 // push tells the agents that are linked here.
@@ -353,7 +353,7 @@
 	}
 	d := t.digest()
 	if t.state != nil && r.Digest.ConfigVersion < d.ConfigVersion {
-		n.ConfigVersion, n.Config = t.state.Gen, t.state.Raw
+		n.ConfigVersion, n.Config = t.state.Version, t.state.Raw
 	}
 	if r.Digest.ShardMapVersion < d.ShardMapVersion {
 		n.ShardMap = t.state.Shards
--- a/internal/dataplane/memberconn/golden_test.go
+++ b/internal/dataplane/memberconn/golden_test.go
@@ -54,8 +54,8 @@
 		return "no error"
 	}
 	var r *MemberError
-	var u *idempotency.Unanswered
-	return fmt.Sprintf("%q ran %v unanswered %v refused %v unsettled %v refusal %v", err, idempotency.Ran(err), errors.As(err, &u),
+	var u *idempotency.NoResponseError
+	return fmt.Sprintf("%q ran %v unanswered %v refused %v unsettled %v refusal %v", err, idempotency.MayHaveRun(err), errors.As(err, &u),
 		errors.Is(err, ErrAttachRejected), errors.Is(err, ErrNotReusable), errors.As(err, &r))
 }
 
--- a/internal/dataplane/memberconn/memberconn.go
+++ b/internal/dataplane/memberconn/memberconn.go
@@ -143,7 +143,7 @@
 func (c *Conn) WriteBatch(batch string, until time.Time) error {
 	if !c.Reusable() {
 		c.broken = true
-		return &idempotency.Unanswered{Progress: idempotency.Unsent, Err: ErrNotReusable}
+		return &idempotency.NoResponseError{Progress: idempotency.NotSent, Err: ErrNotReusable}
 	}
 	for line := range strings.Lines(batch) {
 		_, rest := wire.CutField(line)
@@ -156,11 +156,11 @@
 		return nil
 	}
 	c.broken = true
-	progress := idempotency.Sent
+	progress := idempotency.MaybeSent
 	if n == 0 {
-		progress = idempotency.Unsent
+		progress = idempotency.NotSent
 	}
-	return &idempotency.Unanswered{Progress: progress, Err: err}
+	return &idempotency.NoResponseError{Progress: progress, Err: err}
 }
 
 // ReadReply reads the answer to the first question that waits for one. spill takes rows that are too many to keep; nil:
@@ -168,7 +168,7 @@
 func (c *Conn) ReadReply(spill func([]string) error) (Reply, error) {
 	if c.broken || len(c.pendingReplies) == 0 {
 		c.broken = true
-		return Reply{}, &idempotency.Unanswered{Progress: idempotency.Sent, Err: errors.New("no answer is owed on this connection")}
+		return Reply{}, &idempotency.NoResponseError{Progress: idempotency.MaybeSent, Err: errors.New("no answer is owed on this connection")}
 	}
 	a, err := c.readReply(spill)
 	if mine := c.pendingReplies[0]; err == nil && mine && a.OK && a.Text != wire.NoStamp {
@@ -176,7 +176,7 @@
 	}
 	if err != nil {
 		c.broken = true
-		return a, &idempotency.Unanswered{Progress: idempotency.Sent, Err: err}
+		return a, &idempotency.NoResponseError{Progress: idempotency.MaybeSent, Err: err}
 	}
 	c.pendingReplies = c.pendingReplies[1:]
 	return a, nil
--- a/internal/dataplane/memberconn/settled_test.go
+++ b/internal/dataplane/memberconn/settled_test.go
@@ -127,17 +127,17 @@
 			if errors.Is(err, ErrNotReusable) {
 				unsettled++
 			}
-			if !idempotency.Ran(err) { // the connection was no use before
+			if !idempotency.MayHaveRun(err) { // the connection was no use before
 				c.Close()
 				c = nil
 			}
-			if !kind.May(err) {
+			if !kind.MayRetry(err) {
 				break
 			}
 			again++
 		}
 		m.mu.Lock()
-		if kind == idempotency.Once && m.ran[id] > 1 {
+		if kind == idempotency.AtMostOnce && m.ran[id] > 1 {
 			t.Errorf("%s ran %d times", id, m.ran[id])
 		}
 		m.mu.Unlock()
--- a/internal/dataplane/proxy/desk.go
+++ b/internal/dataplane/proxy/desk.go
@@ -102,17 +102,17 @@
 	if n.DriverCount > 0 {
 		d.count = n.DriverCount
 	}
-	if n.Config != nil && (d.cfg == nil || n.ConfigVersion > d.cfg.Gen) { // never back
-		cfg, err := config.Read(n.Config)
+	if n.Config != nil && (d.cfg == nil || n.ConfigVersion > d.cfg.Version) { // never back
+		cfg, err := config.Parse(n.Config)
 		if err != nil {
 			d.p.log.Error(events.ConfigNot, err)
 		} else {
 			first := d.cfg == nil
 			d.cfg = cfg
 			d.p.cfg.Store(cfg)
-			d.p.log.Event(events.ConfigSeen, "gen", cfg.Gen, "routes", len(cfg.Routes))
-			for i := range cfg.Svcs {
-				d.group(cfg.Svcs[i].Name).max = cfg.Svcs[i].MaxConns
+			d.p.log.Event(events.ConfigSeen, "gen", cfg.Version, "routes", len(cfg.Routes))
+			for i := range cfg.Services {
+				d.group(cfg.Services[i].Name).max = cfg.Services[i].MaxConnections
 			}
 			if first {
 				close(d.asked)
@@ -460,7 +460,7 @@
 		out["shards"] = v
 	}
 	if d.cfg != nil {
-		out["gen"] = d.cfg.Gen
+		out["gen"] = d.cfg.Version
 	}
 	return out
 }
--- a/internal/dataplane/proxy/proxy.go
+++ b/internal/dataplane/proxy/proxy.go
@@ -144,14 +144,14 @@
 		return
 	}
 	cfg := p.cfg.Load()
-	pause := warmFor / time.Duration(max(len(cfg.Svcs), 1))
-	for _, i := range rand.Perm(len(cfg.Svcs)) {
+	pause := warmFor / time.Duration(max(len(cfg.Services), 1))
+	for _, i := range rand.Perm(len(cfg.Services)) {
 		select {
 		case <-time.After(time.Duration(rand.Int64N(int64(2*pause) + 1))):
 		case <-p.ctx.Done():
 			return
 		}
-		p.desk.do(func() { p.desk.warm(p.desk.group(cfg.Svcs[i].Name)) })
+		p.desk.do(func() { p.desk.warm(p.desk.group(cfg.Services[i].Name)) })
 	}
 }
 
--- a/internal/dataplane/proxy/repeat_test.go
+++ b/internal/dataplane/proxy/repeat_test.go
@@ -131,7 +131,7 @@
 	p := &Proxy{set: &settings.Settings{Zone: "z"}, log: events.Nothing(), ctx: ctx, start: time.Now().Add(-time.Minute), sessions: map[*session]struct{}{},
 		room: wire.NewBufferBudget(1 << 20)}
 	p.desk = newDesk(p)
-	cfg, err := config.Read([]byte(`{"gen":1,"routes":[{"name":"r","host":"db","type":"primary","timeoutMs":3000,"svc":"s"}],"svcs":[{"name":"s","maxConns":50,"syncN":1}]}`))
+	cfg, err := config.Parse([]byte(`{"gen":1,"routes":[{"name":"r","host":"db","type":"primary","timeoutMs":3000,"svc":"s"}],"svcs":[{"name":"s","maxConns":50,"syncN":1}]}`))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/dataplane/proxy/session.go
+++ b/internal/dataplane/proxy/session.go
@@ -109,8 +109,8 @@
 		wait := time.Duration(0)
 		if s.tx != nil {
 			idle := txIdleElse
-			if cfg := s.p.cfg.Load(); cfg != nil && cfg.Limits.TxIdle > 0 {
-				idle = cfg.Limits.TxIdle
+			if cfg := s.p.cfg.Load(); cfg != nil && cfg.Limits.IdleInTransactionTimeout > 0 {
+				idle = cfg.Limits.IdleInTransactionTimeout
 			}
 			wait = time.Duration(idle * 1e6)
 		} else if w := s.p.patience(); w > 0 {
@@ -190,7 +190,7 @@
 		}
 	}
 	s.host = host
-	if cfg.Route(host) == nil {
+	if cfg.RouteForHost(host) == nil {
 		s.fail(wire.CodeNoDatabase, host, "")
 		s.flush()
 		return false
@@ -337,7 +337,7 @@
 // route is the host's now; it binds a single statement or a whole transaction.
 func (s *session) route() *config.Route {
 	if cfg := s.p.cfg.Load(); cfg != nil {
-		return cfg.Route(s.host)
+		return cfg.RouteForHost(s.host)
 	}
 	return nil
 }
@@ -346,11 +346,11 @@
 func (s *session) need(r *config.Route, at float64) group.Requirement {
 	switch {
 	case r.Shard != "":
-	case r.Type == config.StaleOK:
-		return group.Requirement{AckedBefore: at - r.MaxStale}
-	case r.Type == config.Self:
+	case r.Consistency == config.ConsistencyBoundedStaleness:
+		return group.Requirement{AckedBefore: at - r.MaxStaleness}
+	case r.Consistency == config.ConsistencySession:
 		// What the client wrote before this session began, perhaps at another driver, was acknowledged before it.
-		return group.Requirement{AckedBefore: max(at-r.MaxStale, s.at), SessionCommit: s.commit, SessionCommitAt: s.comAt}
+		return group.Requirement{AckedBefore: max(at-r.MaxStaleness, s.at), SessionCommit: s.commit, SessionCommitAt: s.comAt}
 	}
 	return group.Requirement{Linearizable: true}
 }
--- a/internal/dataplane/proxy/shard.go
+++ b/internal/dataplane/proxy/shard.go
@@ -84,7 +84,7 @@
 func (s *session) serves(r *config.Route, until float64) (svc string, p shardmap.Assignment, ok bool) {
 	if r.Shard == "" {
 		s.on = ""
-		return r.Svc, p, true
+		return r.Service, p, true
 	}
 	p, ok = s.place(r, until)
 	return p.Node, p, ok
--- a/internal/dataplane/proxy/statement.go
+++ b/internal/dataplane/proxy/statement.go
@@ -86,7 +86,7 @@
 // connection rolls it back.
 func kindOf(write bool) idempotency.Kind {
 	if write {
-		return idempotency.Once
+		return idempotency.AtMostOnce
 	}
 	return idempotency.Idempotent
 }
@@ -95,7 +95,7 @@
 // answer.
 func stamped(a *memberconn.Reply, err error) error {
 	if err == nil && a.OK && a.Text == wire.NoStamp {
-		return &idempotency.Unanswered{Progress: idempotency.Sent, Err: errors.New("a success without a stamp")}
+		return &idempotency.NoResponseError{Progress: idempotency.MaybeSent, Err: errors.New("a success without a stamp")}
 	}
 	return err
 }
@@ -155,7 +155,7 @@
 			case s.passed:
 				s.fail(wire.CodeRetry, comeBack, wire.StateIdle)
 				return
-			case kind.May(err):
+			case kind.MayRetry(err):
 			case r.Shard != "":
 				s.settle(r, id, at, until)
 				return
--- a/internal/dataplane/proxy/transaction.go
+++ b/internal/dataplane/proxy/transaction.go
@@ -42,7 +42,7 @@
 		if err = stamped(&a, err); err != nil {
 			s.p.desk.do(func() { s.p.desk.heard(g, sent, group.NoAnswer, wire.Position{}) })
 			s.leave(x, nil)
-			kept := t.Verb == "COMMIT" && x.wrote && idempotency.Ran(err) // else it is rolled back with its connection
+			kept := t.Verb == "COMMIT" && x.wrote && idempotency.MayHaveRun(err) // else it is rolled back with its connection
 			if kept && x.route.Shard != "" {
 				s.tx = nil
 				s.settle(x.route, id, at, until)
--- a/internal/util/idempotency/idempotency.go
+++ b/internal/util/idempotency/idempotency.go
@@ -13,7 +13,7 @@
 type Kind uint8
 
 const (
-	Once       Kind = iota // another effect, or one that can't be told from the first: it runs at most once
+	AtMostOnce Kind = iota // another effect, or one that can't be told from the first: it runs at most once
 	Idempotent             // nothing, or the same again
 )
 
@@ -23,28 +23,28 @@
 type Progress uint8
 
 const (
-	Sent   Progress = iota // some of its bytes may have come to the peer
-	Unsent                 // none left this process
+	MaybeSent Progress = iota // some of its bytes may have come to the peer
+	NotSent                   // none left this process
 )
 
-// Unanswered is the error of a call that ended without an answer.
-type Unanswered struct {
+// NoResponseError is the error of a call that ended without an answer.
+type NoResponseError struct {
 	Progress Progress
 	Err      error
 }
 
-func (u *Unanswered) Error() string {
+func (u *NoResponseError) Error() string {
 	return fmt.Sprintf("%v (%s)", u.Err, [...]string{"it may have run", "nothing of it was sent"}[u.Progress])
 }
 
-func (u *Unanswered) Unwrap() error { return u.Err }
+func (u *NoResponseError) Unwrap() error { return u.Err }
 
-// Ran says whether a call that ended in an error may have run at its peer. An error that says nothing of it may hide
+// MayHaveRun says whether a call that ended in an error may have run at its peer. An error that says nothing of it may hide
 // a run.
-func Ran(err error) bool {
-	var u *Unanswered
-	return !errors.As(err, &u) || u.Progress != Unsent
+func MayHaveRun(err error) bool {
+	var u *NoResponseError
+	return !errors.As(err, &u) || u.Progress != NotSent
 }
 
-// May says whether a call that ended without an answer may be put again, over another connection or to another peer.
-func (k Kind) May(err error) bool { return k == Idempotent || !Ran(err) }
+// MayRetry says whether a call that ended without an answer may be put again, over another connection or to another peer.
+func (k Kind) MayRetry(err error) bool { return k == Idempotent || !MayHaveRun(err) }
--- a/internal/weirctl/weirctl.go
+++ b/internal/weirctl/weirctl.go
@@ -220,9 +220,9 @@
 	if err != nil {
 		return err
 	}
-	c, err := config.Read(raw)
+	c, err := config.Parse(raw)
 	if err == nil {
-		fmt.Fprintf(out, "version %d can be served: %d routes, %d services\n", c.Gen, len(c.Routes), len(c.Svcs))
+		fmt.Fprintf(out, "version %d can be served: %d routes, %d services\n", c.Version, len(c.Routes), len(c.Services))
 	}
 	return err
 }
@@ -232,12 +232,12 @@
 	if err != nil {
 		return err
 	}
-	var past []config.Past
+	var past []config.AppliedChange
 	if err := json.Unmarshal(body, &past); err != nil {
 		return err
 	}
 	for _, p := range past {
-		fmt.Fprintf(out, "%s version %d on %d, taken at %s, digest %x\n", time.UnixMilli(p.At).UTC().Format(time.RFC3339), p.Gen, p.Base, p.Node, p.Digest[:6])
+		fmt.Fprintf(out, "%s version %d on %d, taken at %s, digest %x\n", time.UnixMilli(p.AppliedAt).UTC().Format(time.RFC3339), p.Version, p.BaseVersion, p.Origin, p.Digest[:6])
 	}
 	return nil
 }
@@ -282,7 +282,7 @@
 			return err
 		}
 	}
-	fmt.Fprintf(out, "voter %s, term %d, entry %d of term %d, configuration %d (%d bytes, %d changes)\n", h.ID, h.Term, h.Last.Index, h.Last.Term, b.Gen, len(b.Raw), len(b.Past))
+	fmt.Fprintf(out, "voter %s, term %d, entry %d of term %d, configuration %d (%d bytes, %d changes)\n", h.ID, h.Term, h.Last.Index, h.Last.Term, b.Version, len(b.Raw), len(b.History))
 	if h.Commit >= h.Last.Index && h.CommitTerm == h.Last.Term {
 		fmt.Fprintln(out, "the entry was known committed here")
 	} else {
