--- a/internal/util/transport/compress.go
+++ b/internal/util/transport/compress.go
@@ -1,11 +1,10 @@
 package transport
 
-// This file owns the compressed form of long frames: DEFLATE, marked by the highest bit of the length prefix. The encoder keeps
-// no state between frames, as an agent has two megabytes in all; decoders are pooled.
+// This file owns the compressed form of long frames: DEFLATE, marked by the highest bit of the length prefix. The
+// encoder keeps no state between frames, as an agent has two megabytes in all; decoders are pooled.
 
 import (
 	"bytes"
-	"errors"
 	"io"
 	"sync"
 
@@ -17,10 +16,7 @@
 	compressedFlag = 1 << 31 // in the length prefix; lengths are at most maxFrameBytes
 )
 
-var (
-	errFrameTooLong = errors.New("a frame too long")
-	decoders        = sync.Pool{New: func() any { return flate.NewReader(nil) }}
-)
+var decoders = sync.Pool{New: func() any { return flate.NewReader(nil) }}
 
 // compressed is a frame's compressed form, made when the first link wants it.
 type compressed struct {
@@ -28,6 +24,7 @@
 	bytes []byte // nil: it would not be shorter
 }
 
+// of returns the compressed form of a frame, always the same one; nil: it would not be shorter.
 func (c *compressed) of(frame []byte) []byte {
 	c.once.Do(func() {
 		var out bytes.Buffer
@@ -38,7 +35,8 @@
 	return c.bytes
 }
 
-// decompress gives a frame back; one that would be longer than a frame may be is refused before it is held whole.
+// decompress returns the frame that was compressed; one that would be longer than a frame may be is refused before
+// all of it is in memory.
 func decompress(frame []byte) ([]byte, error) {
 	decoder := decoders.Get().(io.ReadCloser)
 	defer decoders.Put(decoder)
@@ -50,7 +48,7 @@
 		return nil, err
 	}
 	if out.Len() > maxFrameBytes {
-		return nil, errFrameTooLong
+		return nil, ErrFrameTooLong
 	}
 	return out.Bytes(), nil
 }
--- a/internal/util/transport/counters.go
+++ b/internal/util/transport/counters.go
@@ -1,5 +1,7 @@
 package transport
 
+// This file owns the counting of traffic by class.
+
 import "sync/atomic"
 
 // MaxClasses bounds the classes of traffic that frames may name; a class beyond it is counted as class 0.
@@ -8,7 +10,8 @@
 // Classified is a frame that names the class of traffic it belongs to. Frames that don't are counted as class 0.
 type Classified interface{ TrafficClass() uint8 }
 
-// Count is a number of frames and of their bytes on the wire, the length prefix included. Headers of TCP and IP are not counted.
+// Count is a number of frames and of their bytes on the wire, the length prefix included. Headers of TCP and IP are
+// not counted.
 type Count struct {
 	Frames uint64 `json:"frames"`
 	Bytes  uint64 `json:"bytes"`
@@ -28,10 +31,10 @@
 	sent, received [MaxClasses]counter
 }
 
-// Sent gives what was queued for sending in a class.
+// Sent returns what was queued for sending in a class.
 func (c *Counters) Sent(class uint8) Count { return c.sent[boundClass(class)].count() }
 
-// Received gives what was read in a class.
+// Received returns what was read in a class.
 func (c *Counters) Received(class uint8) Count { return c.received[boundClass(class)].count() }
 
 func boundClass(class uint8) uint8 {
--- a/internal/util/transport/golden_test.go
+++ b/internal/util/transport/golden_test.go
@@ -11,8 +11,8 @@
 	"testing"
 )
 
-// A link's bytes, plain and compressed, are those of testdata/frames.txt, and are read back as what was sent. GOLDEN=write records
-// them anew, which changes what processes of two versions say to each other.
+// A link's bytes, plain and compressed, are those of testdata/frames.txt, and are read back as what was sent.
+// GOLDEN=write records them anew, which changes what processes of two versions say to each other.
 func TestFramingKeepsItsBytes(t *testing.T) {
 	var b strings.Builder
 	for _, sample := range []struct {
@@ -28,7 +28,8 @@
 		for _, compress := range []bool{false, true} {
 			raw := written(t, &sample.frame, compress)
 			if len(raw) > 200 {
-				fmt.Fprintf(&b, "%s, compress %v: %d bytes, %s...\n", sample.name, compress, len(raw), hex.EncodeToString(raw[:100]))
+				start := hex.EncodeToString(raw[:100])
+				fmt.Fprintf(&b, "%s, compress %v: %d bytes, %s...\n", sample.name, compress, len(raw), start)
 			} else {
 				fmt.Fprintf(&b, "%s, compress %v: %s\n", sample.name, compress, hex.EncodeToString(raw))
 			}
@@ -88,7 +89,8 @@
 	return frames
 }
 
-// A frame longer than the bound ends the link before its bytes are read, and so does one that is no CBOR or is cut short.
+// A frame longer than the bound ends the link before its bytes are read, and so does one that is no CBOR or is cut
+// short.
 func TestBadFramesEndTheLink(t *testing.T) {
 	for name, raw := range map[string]string{
 		"too long":       "00800001",
--- a/internal/util/transport/transport_test.go
+++ b/internal/util/transport/link_test.go
@@ -3,9 +3,12 @@
 import (
 	"bytes"
 	"encoding/binary"
+	"errors"
+	"io"
 	"math/rand/v2"
 	"net"
 	"strings"
+	"syscall"
 	"testing"
 
 	. "github.com/smartystreets/goconvey/convey"
@@ -78,7 +81,11 @@
 		noise[i] = byte(' ' + rand.IntN(90))
 	}
 	Convey("a short frame, a long one with much alike, and a long one without", t, func() {
-		frames := []testFrame{{Class: 1, Text: strings.Repeat("a", compressAbove/2)}, {Class: 2, Text: strings.Repeat(`"type":"primary",`, 4000)}, {Class: 3, Text: string(noise)}}
+		frames := []testFrame{
+			{Class: 1, Text: strings.Repeat("a", compressAbove/2)},
+			{Class: 2, Text: strings.Repeat(`"type":"primary",`, 4000)},
+			{Class: 3, Text: string(noise)},
+		}
 		var client, server Counters
 		So(exchange(t, serveOnce(t, &server), &client, frames), ShouldResemble, frames)
 		So(client.Sent(1).Bytes, ShouldEqual, prefixBytes+len(Encode(&frames[0]).bytes))
@@ -107,11 +114,16 @@
 	})
 }
 
-// A peer that sends a few bytes which would become more than a frame may be, or bytes that are no compressed frame, loses its link.
+// A peer that sends a few bytes which would become more than a frame may be, or bytes that are no compressed frame,
+// loses its link.
 func TestBadCompressedFramesEndTheLink(t *testing.T) {
 	bomb := (&compressed{}).of(bytes.Repeat([]byte{0}, maxFrameBytes+1))
 	Convey("frames that must not be taken", t, func() {
-		for name, frame := range map[string][]byte{"longer than a frame": bomb, "no compressed frame": []byte("not deflated"), "cut short": bomb[:len(bomb)/2]} {
+		for name, frame := range map[string][]byte{
+			"longer than a frame": bomb,
+			"no compressed frame": []byte("not deflated"),
+			"cut short":           bomb[:len(bomb)/2],
+		} {
 			Convey(name, func() {
 				ours, theirs := net.Pipe()
 				go func() {
@@ -127,6 +139,52 @@
 	})
 }
 
+// A peer that reads nothing loses its link once the queue is full: its frames never take more memory than that.
+func TestAPeerThatDoesNotReadLosesItsLink(t *testing.T) {
+	ours, theirs := net.Pipe()
+	t.Cleanup(func() { theirs.Close() })
+	l := start[testFrame](ours, "pipe")
+	sent := 0
+	for l.Send(&testFrame{Text: "abc"}) {
+		if sent++; sent > 2*maxQueuedFrames { // the writer may have taken all that waited once, and blocks with it
+			t.Fatal("the link still stands")
+		}
+	}
+	<-l.Done()
+	if l.Up() || l.Send(&testFrame{}) {
+		t.Error("a frame is taken after the link's end")
+	}
+}
+
+// An error names the step and the peer, and its cause is found by errors.Is.
+func TestErrorsNameStepAndPeer(t *testing.T) {
+	ln, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	addr := ln.Addr().String()
+	go func() {
+		if c, err := ln.Accept(); err == nil {
+			c.Close()
+		}
+	}()
+	none := func(*Link[testFrame]) {}
+	take := func(*Link[testFrame], *testFrame) {}
+	ended := Dial(addr, 0, 0, none, take)
+	ln.Close()
+	refused := Dial(addr, 0, 0, none, take)
+	for _, c := range []struct {
+		err   error
+		step  Step
+		cause error
+	}{{ended, StepRead, io.EOF}, {refused, StepDial, syscall.ECONNREFUSED}} {
+		var e *Error
+		if !errors.As(c.err, &e) || e.Step != c.step || e.Peer != addr || !errors.Is(c.err, c.cause) {
+			t.Errorf("%v: want step %s, peer %s, cause %v", c.err, c.step, addr, c.cause)
+		}
+	}
+}
+
 func TestCountingAllocatesNothing(t *testing.T) {
 	var counters Counters
 	frame := &testFrame{Class: 3}
--- /dev/null
+++ b/internal/util/transport/read.go
@@ -0,0 +1,57 @@
+package transport
+
+// This file owns a link's receiving half: the reader, which checks frames' lengths before it allocates for them.
+
+import (
+	"encoding/binary"
+	"io"
+	"time"
+
+	"github.com/fxamacker/cbor/v2"
+)
+
+// read hands frames to take, one at a time, until the link ends, and returns why. The link ends where nothing came
+// for idle; 0: it may be idle for ever.
+func (l *Link[Frame]) read(idle time.Duration, take func(*Frame)) error {
+	defer l.Close()
+	var head [prefixBytes]byte
+	for {
+		if idle > 0 {
+			_ = l.conn.SetReadDeadline(time.Now().Add(idle)) // fails only on a closed connection, as the read then does
+		}
+		if _, err := io.ReadFull(l.conn, head[:]); err != nil {
+			return err
+		}
+		payload, length, err := l.readPayload(binary.BigEndian.Uint32(head[:]))
+		if err != nil {
+			return err
+		}
+		frame := new(Frame)
+		if err := cbor.Unmarshal(payload, frame); err != nil {
+			return err
+		}
+		if l.counters != nil {
+			l.counters.received[classOf(frame)].add(prefixBytes + length)
+		}
+		take(frame)
+	}
+}
+
+// readPayload reads what is behind a prefix. length is that on the wire, which for a compressed frame is less than
+// the payload's.
+func (l *Link[Frame]) readPayload(prefix uint32) (payload []byte, length int, err error) {
+	n := prefix &^ compressedFlag
+	if n > maxFrameBytes {
+		return nil, 0, ErrFrameTooLong
+	}
+	payload = make([]byte, n)
+	if _, err := io.ReadFull(l.conn, payload); err != nil {
+		return nil, 0, err
+	}
+	if prefix&compressedFlag != 0 {
+		if payload, err = decompress(payload); err != nil {
+			return nil, 0, err
+		}
+	}
+	return payload, int(n), nil
+}
