--- a/internal/shard/shardplan/golden_test.go
+++ b/internal/shard/shardplan/golden_test.go
@@ -43,13 +43,13 @@
 	for _, size := range []struct{ nodes, shards, seeds int }{{5, 40, 150}, {10, 300, 60}, {40, 1500, 6}} {
 		for seed := range size.seeds {
 			r := rand.New(rand.NewPCG(uint64(seed), uint64(size.shards)))
-			c := drawn(r, size.nodes, size.shards, 0.4+0.58*r.Float64())
+			c := randomCluster(r, size.nodes, size.shards, 0.4+0.58*r.Float64())
 			for i := range c.Shards {
 				c.Shards[i].Size += int64(r.IntN(1 << 19))
 			}
 			c.Rules.SpreadZones, c.Rules.MaxMovesPerNode = r.IntN(4) > 0, r.IntN(4)
 			for range 1 + seed%4 {
-				trouble(r, c)
+				injectFault(r, c)
 			}
 			b, err := json.Marshal(c.MakePlan())
 			if err != nil {
--- a/internal/shard/shardplan/shardplan_test.go
+++ b/internal/shard/shardplan/shardplan_test.go
@@ -12,8 +12,8 @@
 	"pgregory.net/rapid"
 )
 
-// drawn is a cluster as they grow: filled evenly once, then nodes came, went, filled, and shards grew.
-func drawn(r *rand.Rand, nodes, shards int, full float64) *Cluster {
+// randomCluster is a cluster as they grow: filled evenly once, then nodes came, went, filled, and shards grew.
+func randomCluster(r *rand.Rand, nodes, shards int, full float64) *Cluster {
 	c := &Cluster{Rules: Rules{BalanceBand: 0.1, ReservedShare: 0.05, SpreadZones: true, MaxMovesPerNode: 2}}
 	zones := min(nodes, 3+r.IntN(3))
 	for i := range nodes {
@@ -41,7 +41,7 @@
 	return c
 }
 
-func trouble(r *rand.Rand, c *Cluster) string {
+func injectFault(r *rand.Rand, c *Cluster) string {
 	n := &c.Nodes[r.IntN(len(c.Nodes))]
 	switch r.IntN(4) {
 	case 0:
@@ -60,9 +60,9 @@
 	return "others fill a node"
 }
 
-// follow plays a plan and holds it against the rooms at each moment.
-func follow(c *Cluster, p *Plan) error {
-	b := newBoard(c)
+// replay plays a plan and checks the capacities at each moment.
+func replay(c *Cluster, p *Plan) error {
+	b := newPlacement(c)
 	on := map[string]map[string]bool{}
 	size, grow := map[string]int64{}, map[string]int64{}
 	for _, s := range c.Shards {
@@ -73,7 +73,7 @@
 	}
 	load := map[string]int64{}
 	for _, n := range b.nodes {
-		load[n.ID] = n.load
+		load[n.ID] = n.used
 	}
 	bytes := int64(0)
 	for k, round := range p.Rounds {
@@ -81,8 +81,8 @@
 			if !on[m.Shard][m.From] || on[m.Shard][m.To] {
 				return fmt.Errorf("round %d: %+v, held by %v", k, m, on[m.Shard])
 			}
-			if load[m.To] += grow[m.Shard]; load[m.To] > b.byID[m.To].room {
-				return fmt.Errorf("round %d: %s holds %d of %d", k, m.To, load[m.To], b.byID[m.To].room)
+			if load[m.To] += grow[m.Shard]; load[m.To] > b.byID[m.To].capacity {
+				return fmt.Errorf("round %d: %s holds %d of %d", k, m.To, load[m.To], b.byID[m.To].capacity)
 			}
 		}
 		for _, m := range round {
@@ -130,11 +130,11 @@
 // greedy is the baseline of taking the largest from the fullest to the emptiest until all are within the band. fair
 // says whether it came to what a plan must come to.
 func greedy(c *Cluster) (bytes int64, fair bool) {
-	b := newBoard(c)
-	in := slices.DeleteFunc(slices.Clone(b.nodes), func(p *place) bool { return p.State != NodeActive })
-	empty := func() *place { return slices.MaxFunc(in, byLoad) }
+	b := newPlacement(c)
+	in := slices.DeleteFunc(slices.Clone(b.nodes), func(p *nodeLoad) bool { return p.State != NodeActive })
+	empty := func() *nodeLoad { return slices.MaxFunc(in, byUtilization) }
 	for _, p := range b.nodes {
-		for i := range p.held {
+		for i := range p.shards {
 			if p.State != NodeActive {
 				bytes += c.Shards[i].Size
 				b.put(empty(), i)
@@ -142,18 +142,18 @@
 		}
 	}
 	for range 100000 {
-		p := slices.MinFunc(in, byLoad)
-		if p.load <= b.hi[p] {
+		p := slices.MinFunc(in, byUtilization)
+		if p.used <= p.maxUsed {
 			break
 		}
 		best := -1
-		for i := range p.held {
+		for i := range p.shards {
 			if best < 0 || c.Shards[i].Size > c.Shards[best].Size {
 				best = i
 			}
 		}
 		to := empty()
-		if best < 0 || to == p || to.load+c.Shards[best].Size >= p.load {
+		if best < 0 || to == p || to.used+c.Shards[best].Size >= p.used {
 			break
 		}
 		b.take(p, best)
@@ -161,11 +161,11 @@
 		bytes += c.Shards[best].Size
 	}
 	for _, p := range in {
-		if p.load > b.hi[p] || p.load < b.lo[p] {
+		if p.used > p.maxUsed || p.used < p.minUsed {
 			return bytes, false
 		}
-		for i := range p.held {
-			if slices.ContainsFunc(in, func(o *place) bool { return o != p && o.Zone == p.Zone && o.held[i] }) {
+		for i := range p.shards {
+			if slices.ContainsFunc(in, func(o *nodeLoad) bool { return o != p && o.Zone == p.Zone && o.shards[i] }) {
 				return bytes, false
 			}
 		}
@@ -180,15 +180,15 @@
 		took := time.Duration(0)
 		for seed := range size.cases {
 			r := rand.New(rand.NewPCG(uint64(seed), uint64(size.nodes)))
-			c := drawn(r, size.nodes, size.shards, 0.5+0.3*r.Float64())
-			what := trouble(r, c)
+			c := randomCluster(r, size.nodes, size.shards, 0.5+0.3*r.Float64())
+			what := injectFault(r, c)
 			if err := c.Validate(); err != nil {
 				t.Fatal(err)
 			}
 			began := time.Now()
 			p := c.MakePlan()
 			took += time.Since(began)
-			if err := follow(c, p); err != nil {
+			if err := replay(c, p); err != nil {
 				t.Fatalf("%d nodes, seed %d, %s: %v", size.nodes, seed, what, err)
 			}
 			if len(p.Unplaced)+len(p.OutOfBand) > 0 {
@@ -216,36 +216,36 @@
 	}
 }
 
-func TestCopiesInEachOthersPlace(t *testing.T) {
-	// Two nodes are full of what the other is to hold, as zones want; the third has one place free.
+func TestReplicasThatWaitForEachOthersSpace(t *testing.T) {
+	// Two nodes are full of what the other is to hold, as zones want; the third has space for one replica.
 	c := &Cluster{Rules: Rules{BalanceBand: 1, SpreadZones: true, MaxMovesPerNode: 1},
 		Nodes: []Node{{ID: "a", Zone: "1", Capacity: 10, State: NodeActive}, {ID: "b", Zone: "2", Capacity: 10, State: NodeActive},
 			{ID: "c", Zone: "3", Capacity: 30, State: NodeActive}},
 		Shards: []Shard{{ID: "x", Size: 10, Replicas: []string{"a"}}, {ID: "y", Size: 10, Replicas: []string{"b"}},
 			{ID: "z", Size: 15, Replicas: []string{"c"}}}}
 	plan := &Plan{}
-	c.order([]Move{{Shard: "x", From: "a", To: "b", Bytes: 10}, {Shard: "y", From: "b", To: "a", Bytes: 10}}, plan)
-	if err := follow(c, plan); err != nil || len(plan.Unplaced) > 0 || plan.Bytes != 30 || len(plan.Rounds) != 3 ||
+	c.scheduleRounds([]Move{{Shard: "x", From: "a", To: "b", Bytes: 10}, {Shard: "y", From: "b", To: "a", Bytes: 10}}, plan)
+	if err := replay(c, plan); err != nil || len(plan.Unplaced) > 0 || plan.Bytes != 30 || len(plan.Rounds) != 3 ||
 		!plan.Rounds[0][0].Staging {
 		t.Fatalf("%+v: %v", plan, err)
 	}
-	c.Nodes[2].Capacity = 20 // no place is free: what binds is said, and nothing is moved
+	c.Nodes[2].Capacity = 20 // no space is free: what binds is said, and nothing is moved
 	plan = &Plan{}
-	c.order([]Move{{Shard: "x", From: "a", To: "b", Bytes: 10}, {Shard: "y", From: "b", To: "a", Bytes: 10}}, plan)
+	c.scheduleRounds([]Move{{Shard: "x", From: "a", To: "b", Bytes: 10}, {Shard: "y", From: "b", To: "a", Bytes: 10}}, plan)
 	if len(plan.Unplaced) != 2 || len(plan.Rounds) != 0 {
 		t.Fatalf("%+v", plan)
 	}
 }
 
-func TestNoPrefixOfAnOrderIsOverAnyRoom(t *testing.T) {
+func TestNoPrefixOfAPlanExceedsACapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
-		c := drawn(r, rapid.IntRange(3, 12).Draw(t, "nodes"), rapid.IntRange(1, 120).Draw(t, "shards"),
+		c := randomCluster(r, rapid.IntRange(3, 12).Draw(t, "nodes"), rapid.IntRange(1, 120).Draw(t, "shards"),
 			rapid.Float64Range(0.4, 0.98).Draw(t, "full"))
-		for range rapid.IntRange(1, 3).Draw(t, "troubles") {
-			trouble(r, c)
+		for range rapid.IntRange(1, 3).Draw(t, "faults") {
+			injectFault(r, c)
 		}
-		if err := follow(c, c.MakePlan()); err != nil {
+		if err := replay(c, c.MakePlan()); err != nil {
 			t.Fatal(err)
 		}
 	})
