--- a/internal/controlplane/failover/catchup.go
+++ b/internal/controlplane/failover/catchup.go
@@ -3,7 +3,7 @@
 // This file owns the later steps: the successor catches up, the platform is called, and the successor proves its lead.
 
 // swap gives a planned end another successor. Where the platform may still carry out a call, nobody is let go before a fence.
-func (s *Service) swap(v *View, now float64) {
+func (s *Controller) swap(v *View, now float64) {
 	s.say(s.next + " does not catch up")
 	s.tried[s.next] = true
 	if !s.fenced {
@@ -14,7 +14,7 @@
 	for _, m := range v.Members {
 		if f := s.fact(m.ID); f.cont {
 			f.cont = false
-			s.act(Cont, m.ID, "")
+			s.act(ResumeReplication, m.ID, "")
 		}
 		s.fact(m.ID).ok = m.ID == s.old && s.fact(m.ID).ok
 	}
@@ -23,7 +23,7 @@
 }
 
 // catch waits until the successor has all that those paused have, then calls.
-func (s *Service) catch(v *View, now float64) {
+func (s *Controller) catch(v *View, now float64) {
 	if s.find(v, s.next) == nil {
 		s.restart(now)
 		return
@@ -58,7 +58,7 @@
 		s.askAt = now + nearReplica/5
 		s.hold(v, now)
 		if s.next == s.old {
-			s.ask(s.next, Stat, now)
+			s.ask(s.next, QueryStatus, now)
 		}
 	}
 	if !have && now-s.since > swapAfter {
@@ -71,15 +71,15 @@
 }
 
 // call has the platform make the successor the primary.
-func (s *Service) call(now float64) {
+func (s *Controller) call(now float64) {
 	s.enter(calling, now)
 	s.askAt = now + pressEvery
 	s.called, s.open, s.fenced = true, true, false
-	s.act(Failover, s.next, s.old)
+	s.act(Promote, s.next, s.old)
 }
 
 // awaitCall keeps replicas paused while the platform is slow: one that restarts or joins now would receive what the successor lacks.
-func (s *Service) awaitCall(v *View, now float64) {
+func (s *Controller) awaitCall(v *View, now float64) {
 	s.hold(v, now)
 	if now >= s.askAt {
 		s.askAt = now + pressEvery
@@ -87,8 +87,8 @@
 	}
 }
 
-// Called takes the platform's answer: its status, 0 for none.
-func (s *Service) Called(id string, status int, now float64) {
+// HandlePromoteResult takes the platform's answer: its status, 0 for none.
+func (s *Controller) HandlePromoteResult(id string, status int, now float64) {
 	if s.next != id {
 		return
 	}
@@ -112,7 +112,7 @@
 	}
 }
 
-func (s *Service) restart(now float64) {
+func (s *Controller) restart(now float64) {
 	for _, f := range s.facts { // all is asked anew
 		f.ok, f.paused = false, false
 	}
@@ -121,7 +121,7 @@
 }
 
 // prove waits until the successor says that it leads.
-func (s *Service) prove(v *View, now float64) {
+func (s *Controller) prove(v *View, now float64) {
 	f := s.fact(s.next)
 	m := s.find(v, s.next)
 	if m == nil {
@@ -129,9 +129,9 @@
 		return
 	}
 	if m.Primary || f.ok && f.status.Primary && f.at >= s.since {
-		s.act(Note, s.next, "leads")
+		s.act(Log, s.next, "leads")
 		if s.old != "" {
-			s.act(Handed, s.old, "")
+			s.act(EnforceDrain, s.old, "")
 			s.fact(s.old).ok = false
 		}
 		s.letGo(v, now)
@@ -144,7 +144,7 @@
 		s.askAt = now + pressEvery
 		s.depose(v, now)
 		if now-s.since > proveAsk {
-			s.ask(s.next, Stat, now)
+			s.ask(s.next, QueryStatus, now)
 		}
 	}
 	if now-s.since > provesMost {
--- a/internal/controlplane/failover/cover.go
+++ b/internal/controlplane/failover/cover.go
@@ -18,9 +18,9 @@
 }
 
 // cover asks and decides for members that have ended.
-func (s *Service) cover(v *View, now float64) {
+func (s *Controller) cover(v *View, now float64) {
 	s.noteEnded(v, now)
-	if len(s.covers) == 0 || v.SyncN == 0 {
+	if len(s.covers) == 0 || v.SyncReplicas == 0 {
 		return
 	}
 	if p := s.find(v, s.leads()); p != nil && !p.Unlisted {
@@ -32,13 +32,13 @@
 	}
 	for id, c := range s.covers {
 		if s.coveredBy(v, c) {
-			s.act(Covered, id, "")
+			s.act(AllowRemoval, id, "")
 		}
 	}
 }
 
 // notePosition keeps what the primary answered since each member had ended: the first of its answers in a term.
-func (s *Service) notePosition(primary string) {
+func (s *Controller) notePosition(primary string) {
 	f := s.fact(primary)
 	for _, c := range s.covers {
 		if f.ok && f.status.Primary && f.at >= c.since && (c.primary != primary || c.term != f.status.Term) {
@@ -48,7 +48,7 @@
 }
 
 // leads is who leads while this machine watches, or prepares a planned end: at other times nobody is sure to.
-func (s *Service) leads() string {
+func (s *Controller) leads() string {
 	switch {
 	case s.phase == watching:
 		return s.primary
@@ -59,7 +59,7 @@
 }
 
 // coverPause is for how long nothing is asked.
-func (s *Service) coverPause(now float64) float64 {
+func (s *Controller) coverPause(now float64) float64 {
 	for _, c := range s.covers {
 		if now-c.since < coverLong {
 			return coverEvery
@@ -69,11 +69,11 @@
 }
 
 // noteEnded keeps the list of members that have ended.
-func (s *Service) noteEnded(v *View, now float64) {
+func (s *Controller) noteEnded(v *View, now float64) {
 	old := s.covers
 	s.covers = map[string]*cover{}
 	for _, m := range v.Members {
-		if !m.Ended {
+		if !m.Departed {
 			continue
 		}
 		if c := old[m.ID]; c != nil {
@@ -87,7 +87,7 @@
 
 // coveredBy says whether enough replicas hold what the primary had when the member was known to have ended. That stays true when the
 // primary has died since.
-func (s *Service) coveredBy(v *View, c *cover) bool {
+func (s *Controller) coveredBy(v *View, c *cover) bool {
 	if c.primary == "" {
 		return false
 	}
@@ -104,5 +104,5 @@
 			holders++
 		}
 	}
-	return holders >= v.SyncN
+	return holders >= v.SyncReplicas
 }
--- a/internal/controlplane/failover/cover_test.go
+++ b/internal/controlplane/failover/cover_test.go
@@ -11,28 +11,28 @@
 	return wire.MemberStatus{Primary: primary, Term: 1, Received: wire.Position{Term: 1, Number: number}}
 }
 
-func hasCovered(acts []Act, id string) bool {
-	return slices.ContainsFunc(acts, func(a Act) bool { return a.Kind == Covered && a.ID == id })
+func hasCovered(acts []Action, id string) bool {
+	return slices.ContainsFunc(acts, func(a Action) bool { return a.Kind == AllowRemoval && a.ID == id })
 }
 
 // A member that has ended leaves the roster only once a position that the primary gave afterwards is at a replica on the roster.
 func TestALeaverStaysUntilItIsCovered(t *testing.T) {
 	s := New(-5000)
-	v := &View{Svc: "s", SyncN: 1, Members: []Member{{ID: "a", Primary: true}, {ID: "b", Replica: true}, {ID: "c", Replica: true}}}
+	v := &View{Service: "s", SyncReplicas: 1, Members: []Member{{ID: "a", Primary: true}, {ID: "b", Replica: true}, {ID: "c", Replica: true}}}
 	s.Step(v, 0)
 	for _, id := range []string{"a", "b", "c"} {
-		s.Answered(id, Stat, 0, 20, answer(id == "a", 9))
+		s.HandleStatus(id, QueryStatus, 0, 20, answer(id == "a", 9))
 	}
-	v.Members[2] = Member{ID: "c", Absent: true, Ended: true}
+	v.Members[2] = Member{ID: "c", Absent: true, Departed: true}
 	if hasCovered(s.Step(v, 100), "c") {
 		t.Fatal("covered by what the primary had said before it ended")
 	}
-	s.Answered("a", Stat, 100, 120, answer(true, 12))
-	s.Answered("b", Stat, 100, 120, answer(false, 11))
+	s.HandleStatus("a", QueryStatus, 100, 120, answer(true, 12))
+	s.HandleStatus("b", QueryStatus, 100, 120, answer(false, 11))
 	if hasCovered(s.Step(v, 150), "c") {
 		t.Fatal("covered by a replica that lacks a commit")
 	}
-	s.Answered("b", Stat, 160, 180, answer(false, 12))
+	s.HandleStatus("b", QueryStatus, 160, 180, answer(false, 12))
 	v.Members[1].Unlisted = true
 	if hasCovered(s.Step(v, 200), "c") {
 		t.Fatal("covered by a replica that is not on the roster")
@@ -46,13 +46,13 @@
 // Where the primary left before it was succeeded, it counts among those that may hold a commit.
 func TestAPrimaryThatLeftIsCounted(t *testing.T) {
 	s := New(-5000)
-	v := &View{Svc: "s", SyncN: 1, Members: []Member{{ID: "a", Absent: true, Ended: true}, {ID: "b", Replica: true}, {ID: "c", Replica: true}}}
+	v := &View{Service: "s", SyncReplicas: 1, Members: []Member{{ID: "a", Absent: true, Departed: true}, {ID: "b", Replica: true}, {ID: "c", Replica: true}}}
 	acts := stepThrough(s, v, 0, 3000, "b")
-	if slices.ContainsFunc(acts, func(a Act) bool { return a.Kind == Failover }) {
+	if slices.ContainsFunc(acts, func(a Action) bool { return a.Kind == Promote }) {
 		t.Fatal("one of two replicas was read, and a successor named: the other may alone hold a commit")
 	}
 	acts = stepThrough(s, v, 3000, 5000, "b", "c")
-	if !slices.ContainsFunc(acts, func(a Act) bool { return a.Kind == Failover }) {
+	if !slices.ContainsFunc(acts, func(a Action) bool { return a.Kind == Promote }) {
 		t.Fatal("nobody was named, though both replicas were read")
 	}
 }
@@ -61,12 +61,12 @@
 // only the replicas that hold every commit between them may do without it.
 func TestAnUnknownMemberIsWaitedFor(t *testing.T) {
 	s := New(-5000)
-	v := &View{Svc: "s", SyncN: 1, Members: []Member{{ID: "a", Absent: true}, {ID: "b", Replica: true}, {ID: "c", Absent: true}}}
-	if acts := stepThrough(s, v, 0, 60000, "b"); slices.ContainsFunc(acts, func(a Act) bool { return a.Kind == Pause || a.Kind == Failover }) {
+	v := &View{Service: "s", SyncReplicas: 1, Members: []Member{{ID: "a", Absent: true}, {ID: "b", Replica: true}, {ID: "c", Absent: true}}}
+	if acts := stepThrough(s, v, 0, 60000, "b"); slices.ContainsFunc(acts, func(a Action) bool { return a.Kind == PauseReplication || a.Kind == Promote }) {
 		t.Fatal("a succession was begun by one of three members")
 	}
 	v.Members[2] = Member{ID: "c", Replica: true}
-	if acts := stepThrough(s, v, 60000, 62000, "b", "c"); !slices.ContainsFunc(acts, func(a Act) bool { return a.Kind == Failover }) {
+	if acts := stepThrough(s, v, 60000, 62000, "b", "c"); !slices.ContainsFunc(acts, func(a Action) bool { return a.Kind == Promote }) {
 		t.Fatal("nobody was named, though one of both has every commit")
 	}
 }
@@ -75,22 +75,22 @@
 func TestInDoubtThePrimaryStepsDownFirst(t *testing.T) {
 	for _, doubt := range []bool{false, true} {
 		s := New(-5000)
-		v := &View{Svc: "s", SyncN: 1, Doubt: doubt, Members: []Member{{ID: "a", Primary: true, Leaving: true}, {ID: "b", Replica: true}, {ID: "c", Replica: true}}}
+		v := &View{Service: "s", SyncReplicas: 1, MembershipUncertain: doubt, Members: []Member{{ID: "a", Primary: true, Draining: true}, {ID: "b", Replica: true}, {ID: "c", Replica: true}}}
 		leads, called, early := true, false, false
 		for now := 0.0; now < 3000 && !called; now += 50 {
 			for _, a := range s.Step(v, now) {
 				st := answer(a.ID == "a" && leads, 9)
 				switch a.Kind {
-				case Failover:
+				case Promote:
 					called, early = true, leads
 				case StepDown:
 					leads = false
-					s.Answered("a", StepDown, now, now+20, answer(false, 9))
-				case Pause:
+					s.HandleStatus("a", StepDown, now, now+20, answer(false, 9))
+				case PauseReplication:
 					st.PromisedTerm = a.Term + 1
-					s.Answered(a.ID, Pause, now, now+20, st)
-				case Stat, Cont:
-					s.Answered(a.ID, a.Kind, now, now+20, st)
+					s.HandleStatus(a.ID, PauseReplication, now, now+20, st)
+				case QueryStatus, ResumeReplication:
+					s.HandleStatus(a.ID, a.Kind, now, now+20, st)
 				}
 			}
 		}
@@ -101,20 +101,20 @@
 }
 
 // stepThrough answers for those that are up, as replicas, until then, and gives all acts.
-func stepThrough(s *Service, v *View, from, until float64, up ...string) (all []Act) {
+func stepThrough(s *Controller, v *View, from, until float64, up ...string) (all []Action) {
 	for now := from; now < until; now += 50 {
 		for _, a := range s.Step(v, now) {
 			all = append(all, a)
 			st := answer(false, 9)
-			if a.Kind == Pause {
+			if a.Kind == PauseReplication {
 				st.PromisedTerm = a.Term + 1
 			}
 			switch {
-			case a.Kind == Note || a.Kind == Failover:
+			case a.Kind == Log || a.Kind == Promote:
 			case slices.Contains(up, a.ID):
-				s.Answered(a.ID, a.Kind, now, now+20, st)
+				s.HandleStatus(a.ID, a.Kind, now, now+20, st)
 			default:
-				s.Unanswered(a.ID, false)
+				s.HandleStatusFailure(a.ID, false)
 			}
 		}
 	}
--- a/internal/controlplane/failover/digest_test.go
+++ b/internal/controlplane/failover/digest_test.go
@@ -9,10 +9,10 @@
 )
 
 // inOrder gives a step's acts with those of kind Covered, which come last and from a map, in order of their members.
-func inOrder(acts []Act) []Act {
-	first := slices.IndexFunc(acts, func(a Act) bool { return a.Kind == Covered })
+func inOrder(acts []Action) []Action {
+	first := slices.IndexFunc(acts, func(a Action) bool { return a.Kind == AllowRemoval })
 	if first >= 0 {
-		slices.SortFunc(acts[first:], func(a, b Act) int { return cmp.Compare(a.ID, b.ID) })
+		slices.SortFunc(acts[first:], func(a, b Action) int { return cmp.Compare(a.ID, b.ID) })
 	}
 	return acts
 }
@@ -25,7 +25,7 @@
 	sum, kinds := fnv.New64a(), map[string]int{}
 	p.record = func(parts ...any) {
 		fmt.Fprintln(sum, parts...)
-		if k, ok := parts[0].(ActKind); ok {
+		if k, ok := parts[0].(ActionKind); ok {
 			kinds[fmt.Sprint("act ", k)]++
 		} else if parts[0] == "step" {
 			kinds[p.s.State()[:4]]++
@@ -34,14 +34,14 @@
 	var accused, cleared, stuck int
 	doubt, mute := false, ""
 	p.alter = func(v *View) {
-		v.Accused, v.Cleared, v.Doubt = accused, cleared, doubt
-		v.Stuck += stuck
+		v.SuspectReports, v.HealthyReports, v.MembershipUncertain = accused, cleared, doubt
+		v.StallReports += stuck
 		for i := range v.Members {
 			v.Members[i].Distance = float64(i % 2)
 			if v.Members[i].ID == mute {
-				v.Members[i].Silent += 5000
+				v.Members[i].SinceHeartbeat += 5000
 			}
-			v.Members[i].Gen = [...]string{"v1", "v2"}[int(seed+uint64(i))/2%2]
+			v.Members[i].Generation = [...]string{"v1", "v2"}[int(seed+uint64(i))/2%2]
 		}
 	}
 	drain := func() {
@@ -109,7 +109,7 @@
 				}
 				p.run(24000)
 			case 10: // an answer that nobody waits for
-				p.s.Called(p.g.Members[0].ID, 200, p.now)
+				p.s.HandlePromoteResult(p.g.Members[0].ID, 200, p.now)
 			default:
 				p.hardTrouble()
 			}
--- a/internal/controlplane/failover/facts.go
+++ b/internal/controlplane/failover/facts.go
@@ -23,7 +23,7 @@
 	contAt  float64 // not before
 }
 
-func (s *Service) fact(id string) *fact {
+func (s *Controller) fact(id string) *fact {
 	f := s.facts[id]
 	if f == nil {
 		f = &fact{cont: true}
@@ -32,30 +32,30 @@
 	return f
 }
 
-// Answered takes a member's answer to STAT, PAUSE or CONT.
-func (s *Service) Answered(id string, k ActKind, sent, now float64, st wire.MemberStatus) {
+// HandleStatus takes a member's answer to STAT, PAUSE or CONT.
+func (s *Controller) HandleStatus(id string, k ActionKind, sent, now float64, st wire.MemberStatus) {
 	f := s.fact(id)
 	f.waiting, f.ok, f.status, f.at, f.refused, f.failed = false, true, st, sent, 0, 0
 	s.term = max(s.term, st.Term, st.PromisedTerm)
 	f.held = !st.Primary && st.PromisedTerm > 0 // a replica holds a term only while it is paused
 	switch {
-	case k == Pause:
+	case k == PauseReplication:
 		f.paused = f.held
 	case !f.held: // it was let go, or has restarted
 		f.paused = false
 	}
 	switch {
-	case k == Cont:
+	case k == ResumeReplication:
 		f.cont, f.touched = f.held, false
-	case k == Stat && !f.held && f.touched: // a pause that got no answer may come late: it is looked for once more
+	case k == QueryStatus && !f.held && f.touched: // a pause that got no answer may come late: it is looked for once more
 		f.touched = false
-	case k == Stat && !f.held:
+	case k == QueryStatus && !f.held:
 		f.cont = false
 	}
 }
 
-// Unanswered takes a question that came to nothing; refused: the member takes no connection.
-func (s *Service) Unanswered(id string, refused bool) {
+// HandleStatusFailure takes a question that came to nothing; refused: the member takes no connection.
+func (s *Controller) HandleStatusFailure(id string, refused bool) {
 	f := s.fact(id)
 	f.waiting = false
 	f.failed++
@@ -67,24 +67,24 @@
 }
 
 // askAll asks every member that can be asked.
-func (s *Service) askAll(v *View, now float64) {
+func (s *Controller) askAll(v *View, now float64) {
 	for _, m := range v.Members {
 		if !m.Absent {
-			s.ask(m.ID, Stat, now)
+			s.ask(m.ID, QueryStatus, now)
 		}
 	}
 }
 
 // ask puts a question if none is out.
-func (s *Service) ask(id string, k ActKind, now float64) {
+func (s *Controller) ask(id string, k ActionKind, now float64) {
 	if f := s.fact(id); !f.waiting {
-		f.waiting, f.asked, f.touched = true, now, f.touched || k == Pause
+		f.waiting, f.asked, f.touched = true, now, f.touched || k == PauseReplication
 		s.act(k, id, "")
 	}
 }
 
 // find gives a member to which questions can be put, nil for none.
-func (s *Service) find(v *View, id string) *Member {
+func (s *Controller) find(v *View, id string) *Member {
 	if i := slices.IndexFunc(v.Members, func(m Member) bool { return m.ID == id && !m.Absent }); i >= 0 {
 		return &v.Members[i]
 	}
@@ -92,7 +92,7 @@
 }
 
 // leader is the member that most lately said that it leads, by answers before beats.
-func (s *Service) leader(v *View, now float64) *Member {
+func (s *Controller) leader(v *View, now float64) *Member {
 	var best *Member
 	rank := func(m *Member) (uint64, float64) {
 		if f := s.facts[m.ID]; f != nil && f.ok {
@@ -100,7 +100,7 @@
 				return max(f.status.Term, 1), f.at
 			}
 		}
-		return 0, now - m.Silent
+		return 0, now - m.SinceHeartbeat
 	}
 	for i := range v.Members {
 		m := &v.Members[i]
@@ -108,7 +108,7 @@
 		if m.Absent {
 			continue
 		}
-		if f != nil && f.ok && !f.status.Primary && m.Silent > now-f.at || !m.Primary && !(f != nil && f.ok && f.status.Primary) {
+		if f != nil && f.ok && !f.status.Primary && m.SinceHeartbeat > now-f.at || !m.Primary && !(f != nil && f.ok && f.status.Primary) {
 			continue
 		}
 		if best == nil {
@@ -125,9 +125,9 @@
 }
 
 // unanswered gives the first member of whom it isn't known that it does not lead. One that has ended does not.
-func (s *Service) unanswered(v *View) string {
+func (s *Controller) unanswered(v *View) string {
 	for _, m := range v.Members {
-		if f := s.facts[m.ID]; !m.Ended && (f == nil || !f.ok || f.status.Primary) {
+		if f := s.facts[m.ID]; !m.Departed && (f == nil || !f.ok || f.status.Primary) {
 			return m.ID
 		}
 	}
--- a/internal/controlplane/failover/failover.go
+++ b/internal/controlplane/failover/failover.go
@@ -57,50 +57,50 @@
 
 // Member is what is known of one.
 type Member struct {
-	ID       string
-	Gen      string
-	Primary  bool // by its own last word
-	Replica  bool
-	Leaving  bool
-	Absent   bool    // on the roster, but no question can be put to it: it has ended, or nothing is known of it here
-	Ended    bool    // Absent, as it left or was silent for long
-	Unlisted bool    // not on the roster yet: it is not named
-	Silent   float64 // milliseconds since its last beat
-	Distance float64 // from the old primary's zone, to choose among equals
+	ID             string
+	Generation     string
+	Primary        bool // by its own last word
+	Replica        bool
+	Draining       bool
+	Absent         bool    // on the roster, but no question can be put to it: it has ended, or nothing is known of it here
+	Departed       bool    // Absent, as it left or was silent for long
+	Unlisted       bool    // not on the roster yet: it is not named
+	SinceHeartbeat float64 // milliseconds since its last beat
+	Distance       float64 // from the old primary's zone, to choose among equals
 }
 
 // View is a service at a moment.
 type View struct {
-	Svc     string
-	SyncN   int
-	Members []Member // those that are there, and those on the roster
-	Doubt   bool     // members may beat at machines of the core that this one doesn't hear: there may be replicas that it doesn't know
-	Drivers int
-	Accused int // drivers that wait for the primary in vain
-	Stuck   int // drivers that it answers, but no commit
-	Cleared int // drivers that hear it
+	Service             string
+	SyncReplicas        int
+	Members             []Member // those that are there, and those on the roster
+	MembershipUncertain bool     // members may beat at machines of the core that this one doesn't hear: there may be replicas that it doesn't know
+	Drivers             int
+	SuspectReports      int // drivers that wait for the primary in vain
+	StallReports        int // drivers that it answers, but no commit
+	HealthyReports      int // drivers that hear it
 }
 
-// Act is a thing to be done.
-type Act struct {
-	Kind ActKind
-	ID   string
-	Term uint64 // PAUSE
-	Why  string
+// Action is a thing to be done.
+type Action struct {
+	Kind   ActionKind
+	ID     string
+	Term   uint64 // PAUSE
+	Reason string
 }
 
-// ActKind of it.
-type ActKind uint8
+// ActionKind of it.
+type ActionKind uint8
 
 const (
-	Stat     ActKind = iota // ask its state
-	Pause                   // keep it from receiving
-	Cont                    // let it receive again
-	Failover                // the platform is asked to make it the primary
-	Handed                  // the old primary (ID) leads no longer: its drain may bind
-	Note                    // for the log
-	StepDown                // it leads no longer, by its own word
-	Covered                 // it has ended and held nothing alone: it may leave the roster
+	QueryStatus       ActionKind = iota // ask its state
+	PauseReplication                    // keep it from receiving
+	ResumeReplication                   // let it receive again
+	Promote                             // the platform is asked to make it the primary
+	EnforceDrain                        // the old primary (ID) leads no longer: its drain may bind
+	Log                                 // for the log
+	StepDown                            // it leads no longer, by its own word
+	AllowRemoval                        // it has ended and held nothing alone: it may leave the roster
 )
 
 type phase uint8
@@ -117,8 +117,8 @@
 
 var phaseNames = [...]string{"watching", "freezing", "catching", "calling", "proving", "fencing", "settling"}
 
-// Service is the state for one.
-type Service struct {
+// Controller is the state for one.
+type Controller struct {
 	phase   phase
 	since   float64 // of the phase
 	primary string  // who is taken to lead
@@ -144,35 +144,35 @@
 	pressAt float64
 	standAt float64 // since when they stand
 	tried   map[string]bool
-	out     []Act
+	out     []Action
 }
 
 // New starts a watch. The machine has just begun to lead: replicas that another leader paused are let go.
-func New(now float64) *Service { return &Service{facts: map[string]*fact{}, start: now} }
+func New(now float64) *Controller { return &Controller{facts: map[string]*fact{}, start: now} }
 
 // State is a line for operators.
-func (s *Service) State() string {
+func (s *Controller) State() string {
 	if s.phase == watching {
 		return "watching " + cmp.Or(s.primary, "for a primary")
 	}
 	return fmt.Sprintf("%s: %s after %s", phaseNames[s.phase], cmp.Or(s.next, "?"), cmp.Or(s.old, "?"))
 }
 
-func (s *Service) act(k ActKind, id, why string) {
-	s.out = append(s.out, Act{Kind: k, ID: id, Term: s.term, Why: why})
+func (s *Controller) act(k ActionKind, id, why string) {
+	s.out = append(s.out, Action{Kind: k, ID: id, Term: s.term, Reason: why})
 }
 
-func (s *Service) say(why string) {
+func (s *Controller) say(why string) {
 	if why != s.said {
 		s.said = why
-		s.act(Note, "", why)
+		s.act(Log, "", why)
 	}
 }
 
-func (s *Service) enter(p phase, now float64) { s.phase, s.since, s.askAt = p, now, now }
+func (s *Controller) enter(p phase, now float64) { s.phase, s.since, s.askAt = p, now, now }
 
 // Step takes the view and gives what is to be done.
-func (s *Service) Step(v *View, now float64) []Act {
+func (s *Controller) Step(v *View, now float64) []Action {
 	s.out = nil
 	for id := range s.facts {
 		if !slices.ContainsFunc(v.Members, func(m Member) bool { return m.ID == id }) {
--- a/internal/controlplane/failover/failover_test.go
+++ b/internal/controlplane/failover/failover_test.go
@@ -18,7 +18,7 @@
 	r      *rand.Rand
 	now    float64
 	g      *replicaset.Group
-	s      *Service
+	s      *Controller
 	later  []event
 	n      int
 	seen   uint64 // fence that the platform has seen
@@ -53,16 +53,16 @@
 func (p *pass) in(ms float64, do func()) { p.later = append(p.later, event{p.now + ms, do}) }
 
 func (p *pass) view() *View {
-	v := &View{Svc: "s", SyncN: p.g.SyncN, Drivers: 6}
+	v := &View{Service: "s", SyncReplicas: p.g.SyncN, Drivers: 6}
 	for _, m := range p.g.Members {
 		if p.core.knows[m.ID] {
-			v.Members = append(v.Members, Member{ID: m.ID, Gen: "v1", Primary: p.said[m.ID], Replica: !p.said[m.ID], Leaving: m.Drains,
-				Silent: p.now - p.beats[m.ID], Unlisted: !p.core.roster[m.ID]})
+			v.Members = append(v.Members, Member{ID: m.ID, Generation: "v1", Primary: p.said[m.ID], Replica: !p.said[m.ID], Draining: m.Drains,
+				SinceHeartbeat: p.now - p.beats[m.ID], Unlisted: !p.core.roster[m.ID]})
 		}
 	}
 	v.Members = append(v.Members, p.core.absent()...)
 	if p.now-p.stuck < 300 {
-		v.Stuck = 2
+		v.StallReports = 2
 	}
 	if p.alter != nil {
 		p.alter(v)
@@ -101,40 +101,40 @@
 	acts := s.Step(p.view(), p.now)
 	p.record("step", p.now, s.State())
 	for _, a := range inOrder(acts) {
-		p.record(a.Kind, a.ID, a.Term, a.Why)
+		p.record(a.Kind, a.ID, a.Term, a.Reason)
 		p.carry(s, a)
 	}
 	p.core.agree(p.now)
 }
 
-func (p *pass) carry(s *Service, a Act) {
+func (p *pass) carry(s *Controller, a Action) {
 	switch a.Kind {
-	case Covered:
+	case AllowRemoval:
 		p.core.covered(a.ID)
-	case Note, Handed:
-		if a.Kind == Handed {
+	case Log, EnforceDrain:
+		if a.Kind == EnforceDrain {
 			p.bound[a.ID] = true
 		}
-		p.log = append(p.log, fmt.Sprintf("%.0f %s %s", p.now, a.ID, a.Why))
-	case Failover:
+		p.log = append(p.log, fmt.Sprintf("%.0f %s %s", p.now, a.ID, a.Reason))
+	case Promote:
 		p.log = append(p.log, fmt.Sprintf("%.0f failover %s", p.now, a.ID))
 		fence := p.core.nextFence()
 		p.record("fence", fence)
 		if p.r.Float64() < p.lossy { // nobody hears of it
-			p.in(2000, func() { s.Called(a.ID, 0, p.now) })
+			p.in(2000, func() { s.HandlePromoteResult(a.ID, 0, p.now) })
 			return
 		}
 		if p.r.Float64() < p.core.late { // it comes when it is given up
-			p.in(2000, func() { s.Called(a.ID, 0, p.now) })
+			p.in(2000, func() { s.HandlePromoteResult(a.ID, 0, p.now) })
 			p.callLate(a.ID, fence)
 			return
 		}
 		p.in(20+80*p.r.Float64(), func() {
 			status := p.platform(a.ID, fence)
 			if p.r.Float64() < p.lossy { // its answer is lost
-				p.in(2000, func() { s.Called(a.ID, 0, p.now) })
+				p.in(2000, func() { s.HandlePromoteResult(a.ID, 0, p.now) })
 			} else {
-				p.in(20, func() { s.Called(a.ID, status, p.now) })
+				p.in(20, func() { s.HandlePromoteResult(a.ID, status, p.now) })
 			}
 		})
 	default:
@@ -146,19 +146,19 @@
 				if p.refuses {
 					wait = 10
 				}
-				p.in(wait, func() { s.Unanswered(a.ID, p.refuses) })
+				p.in(wait, func() { s.HandleStatusFailure(a.ID, p.refuses) })
 				return
 			}
 			switch a.Kind {
-			case Pause:
+			case PauseReplication:
 				m.Pause(a.Term + 1)
-			case Cont:
+			case ResumeReplication:
 				m.Continue()
 			case StepDown:
 				m.StepDown(a.Term + 1)
 			}
 			st := m.Status()
-			p.in(10+30*p.r.Float64(), func() { s.Answered(a.ID, a.Kind, sent, p.now, st) })
+			p.in(10+30*p.r.Float64(), func() { s.HandleStatus(a.ID, a.Kind, sent, p.now, st) })
 		})
 	}
 }
@@ -276,12 +276,12 @@
 		return st
 	}
 	view := func() *View {
-		return &View{Svc: "s", SyncN: 1, Drivers: 6, Members: []Member{{ID: "a", Primary: true}, {ID: "b", Replica: true}, {ID: "c", Replica: true}}}
+		return &View{Service: "s", SyncReplicas: 1, Drivers: 6, Members: []Member{{ID: "a", Primary: true}, {ID: "b", Replica: true}, {ID: "c", Replica: true}}}
 	}
-	kinds := func(acts []Act) string {
+	kinds := func(acts []Action) string {
 		var b strings.Builder
 		for _, a := range acts {
-			if a.Kind != Note {
+			if a.Kind != Log {
 				fmt.Fprintf(&b, "%s:%s ", [...]string{"stat", "pause", "cont", "failover", "handed", "note", "stepdown"}[a.Kind], a.ID)
 			}
 		}
@@ -290,78 +290,78 @@
 	Convey("A primary that takes no connection", t, func() {
 		s, v := New(-5000), view()
 		s.Step(v, 0)
-		s.Answered("a", Stat, 0, 30, status(true, 1, 9))
+		s.HandleStatus("a", QueryStatus, 0, 30, status(true, 1, 9))
 		for _, id := range []string{"b", "c"} {
-			s.Answered(id, Cont, 0, 30, status(false, 1, 9))
+			s.HandleStatus(id, ResumeReplication, 0, 30, status(false, 1, 9))
 		}
-		v.Members[0].Silent = 800
-		s.Unanswered("a", true)
-		s.Unanswered("a", true)
+		v.Members[0].SinceHeartbeat = 800
+		s.HandleStatusFailure("a", true)
+		s.HandleStatusFailure("a", true)
 		So(kinds(s.Step(v, 900)), ShouldEqual, "stat:a pause:b pause:c")
 		Convey("is not succeeded while a replica that may alone hold a commit is not heard", func() {
-			s.Answered("b", Pause, 900, 940, paused(1, 9))
+			s.HandleStatus("b", PauseReplication, 900, 940, paused(1, 9))
 			So(kinds(s.Step(v, 950)), ShouldEqual, "")
 			So(s.State(), ShouldEqual, "freezing: ? after a")
 			Convey("and then by the longer log", func() {
-				s.Answered("c", Pause, 900, 960, paused(1, 10))
+				s.HandleStatus("c", PauseReplication, 900, 960, paused(1, 10))
 				So(kinds(s.Step(v, 970)), ShouldEqual, "failover:c")
 			})
 			Convey("and keeps its lead if it speaks again; who was paused is let go", func() {
-				s.Answered("a", Stat, 960, 970, status(true, 1, 9))
+				s.HandleStatus("a", QueryStatus, 960, 970, status(true, 1, 9))
 				s.Step(v, 980)
 				So(s.State(), ShouldStartWith, "watching")
 				So(kinds(s.Step(v, 1000)), ShouldStartWith, "cont:b")
 			})
 		})
 		Convey("after the platform's answer is lost is not let back in", func() {
-			s.Answered("b", Pause, 900, 940, paused(1, 9))
-			s.Answered("c", Pause, 900, 940, paused(1, 9))
+			s.HandleStatus("b", PauseReplication, 900, 940, paused(1, 9))
+			s.HandleStatus("c", PauseReplication, 900, 940, paused(1, 9))
 			So(kinds(s.Step(v, 950)), ShouldStartWith, "failover:")
-			s.Called("b", 0, 2950)
-			s.Answered("a", Stat, 2960, 2970, status(true, 1, 9))
+			s.HandlePromoteResult("b", 0, 2950)
+			s.HandleStatus("a", QueryStatus, 2960, 2970, status(true, 1, 9))
 			s.Step(v, 2980)
 			So(s.State(), ShouldNotStartWith, "watching")
 		})
 	})
 	Convey("A primary that is to be replaced while a replica is dead for good", t, func() {
 		s, v := New(-5000), view()
-		v.Members[0].Leaving = true
+		v.Members[0].Draining = true
 		s.Step(v, 0)
 		for _, id := range []string{"a", "b"} {
-			s.Answered(id, Stat, 0, 30, status(id == "a", 1, 9))
+			s.HandleStatus(id, QueryStatus, 0, 30, status(id == "a", 1, 9))
 		}
-		s.Unanswered("c", false)
+		s.HandleStatusFailure("c", false)
 		for now := 200.0; now < 700; now += 100 {
 			s.Step(v, now)
-			s.Answered("a", Stat, now, now+10, status(true, 1, 9))
-			s.Answered("b", Stat, now, now+10, status(false, 1, 9))
-			s.Unanswered("c", false)
+			s.HandleStatus("a", QueryStatus, now, now+10, status(true, 1, 9))
+			s.HandleStatus("b", QueryStatus, now, now+10, status(false, 1, 9))
+			s.HandleStatusFailure("c", false)
 		}
 		So(kinds(s.Step(v, 1000)), ShouldContainSubstring, "handed:a") // nothing new comes to it
-		s.Answered("a", Stat, 1000, 1010, status(true, 1, 11))
-		s.Answered("b", Stat, 1000, 1010, status(false, 1, 10))
+		s.HandleStatus("a", QueryStatus, 1000, 1010, status(true, 1, 11))
+		s.HandleStatus("b", QueryStatus, 1000, 1010, status(false, 1, 10))
 		So(kinds(s.Step(v, 1020)), ShouldNotContainSubstring, "stepdown") // what is under way has not come to the successor
 		s.Step(v, 1200)
-		s.Answered("a", Stat, 1200, 1210, status(true, 1, 11))
-		s.Answered("b", Stat, 1200, 1210, status(false, 1, 11))
+		s.HandleStatus("a", QueryStatus, 1200, 1210, status(true, 1, 11))
+		s.HandleStatus("b", QueryStatus, 1200, 1210, status(false, 1, 11))
 		So(kinds(s.Step(v, 1220)), ShouldContainSubstring, "stepdown:a")
-		s.Answered("a", StepDown, 1220, 1230, status(false, 1, 11))
+		s.HandleStatus("a", StepDown, 1220, 1230, status(false, 1, 11))
 		So(kinds(s.Step(v, 1240)), ShouldContainSubstring, "failover:b")
 	})
 	Convey("A new leader of the core begins nothing at once", t, func() {
 		s, v := New(0), view()
-		v.Members[0].Leaving = true
+		v.Members[0].Draining = true
 		So(kinds(s.Step(v, 100)), ShouldEqual, "stat:a")
 		Convey("then hands over from a primary that drains, with the other replica paused", func() {
-			s.Answered("b", Cont, 950, 960, status(false, 1, 18))
-			s.Answered("c", Cont, 950, 960, status(false, 1, 18))
+			s.HandleStatus("b", ResumeReplication, 950, 960, status(false, 1, 18))
+			s.HandleStatus("c", ResumeReplication, 950, 960, status(false, 1, 18))
 			So(kinds(s.Step(v, 1000)), ShouldContainSubstring, "stat:b")
-			s.Answered("a", Stat, 1000, 1010, status(true, 1, 20))
-			s.Answered("b", Stat, 1000, 1010, status(false, 1, 18))
+			s.HandleStatus("a", QueryStatus, 1000, 1010, status(true, 1, 20))
+			s.HandleStatus("b", QueryStatus, 1000, 1010, status(false, 1, 18))
 			s.Step(v, 1200)
-			s.Answered("c", Pause, 1200, 1210, paused(1, 19))
+			s.HandleStatus("c", PauseReplication, 1200, 1210, paused(1, 19))
 			So(kinds(s.Step(v, 1220)), ShouldNotContainSubstring, "failover")
-			s.Answered("b", Stat, 1220, 1230, status(false, 1, 19))
+			s.HandleStatus("b", QueryStatus, 1220, 1230, status(false, 1, 19))
 			So(kinds(s.Step(v, 1400)), ShouldContainSubstring, "failover:b")
 		})
 	})
--- a/internal/controlplane/failover/fence.go
+++ b/internal/controlplane/failover/fence.go
@@ -9,7 +9,7 @@
 
 // letPausedGo looks for replicas that were left paused, by this leader or an earlier one, and lets them go. True: it has begun to
 // fence, and there is nothing else to do.
-func (s *Service) letPausedGo(v *View, now float64) bool {
+func (s *Controller) letPausedGo(v *View, now float64) bool {
 	if now-s.start <= settle {
 		return false
 	}
@@ -26,19 +26,19 @@
 		}
 		f.contAt = now + contEvery
 		if f.held && s.fenced {
-			s.ask(m.ID, Cont, now)
+			s.ask(m.ID, ResumeReplication, now)
 		} else {
-			s.ask(m.ID, Stat, now)
+			s.ask(m.ID, QueryStatus, now)
 		}
 	}
 	return false
 }
 
 // untouched says whether every member was asked since this machine is settled as leader, and none is paused.
-func (s *Service) untouched(v *View) bool {
+func (s *Controller) untouched(v *View) bool {
 	for _, m := range v.Members {
 		f := s.facts[m.ID]
-		if m.Ended {
+		if m.Departed {
 			continue
 		}
 		if f == nil || !f.ok || f.held || f.at < s.start+settle {
@@ -49,7 +49,7 @@
 }
 
 // fence begins a fencing call where a replica is to be let go and the primary has said that it leads.
-func (s *Service) fence(v *View, now float64) bool {
+func (s *Controller) fence(v *View, now float64) bool {
 	wanted := false
 	for _, m := range v.Members {
 		if f := s.facts[m.ID]; f != nil && !m.Absent && f.cont && f.held {
@@ -65,14 +65,14 @@
 		return false // it is asked by the watch
 	}
 	s.primary, s.next = p.ID, p.ID
-	s.act(Note, p.ID, "a fence before paused replicas are let go")
+	s.act(Log, p.ID, "a fence before paused replicas are let go")
 	s.enter(fencing, now)
-	s.act(Failover, p.ID, "")
+	s.act(Promote, p.ID, "")
 	return true
 }
 
 // fenceAnswered takes the platform's answer to a fencing call.
-func (s *Service) fenceAnswered(status int, now float64) {
+func (s *Controller) fenceAnswered(status int, now float64) {
 	if status == 200 {
 		s.enter(settling, now)
 		return
@@ -82,7 +82,7 @@
 }
 
 // settled ends the fence once what was accepted before it would have shown.
-func (s *Service) settled(v *View, now float64) {
+func (s *Controller) settled(v *View, now float64) {
 	if now-s.since < settle {
 		return
 	}
--- a/internal/controlplane/failover/freeze.go
+++ b/internal/controlplane/failover/freeze.go
@@ -20,11 +20,11 @@
 }
 
 // replicas are all that a commit may have been received by, apart from the old primary: also those that can't be asked.
-func (s *Service) replicas(v *View) []Member {
+func (s *Controller) replicas(v *View) []Member {
 	return slices.DeleteFunc(slices.Clone(v.Members), func(m Member) bool { return m.ID == s.old })
 }
 
-func (s *Service) freeze(v *View, now float64) {
+func (s *Controller) freeze(v *View, now float64) {
 	rs := s.replicas(v)
 	if len(rs) == 0 {
 		s.giveUp(v, "there is no replica", now)
@@ -67,7 +67,7 @@
 			return
 		}
 		allPaused := !slices.ContainsFunc(rs, func(m Member) bool { return m.ID != s.next && !s.fact(m.ID).paused })
-		if allPaused && !v.Doubt {
+		if allPaused && !v.MembershipUncertain {
 			s.enter(catching, now)
 			s.catch(v, now)
 		} else if allPaused || now-s.since > stepAfter {
@@ -75,7 +75,7 @@
 			// one that surely has all. Its drain binds, so that nothing new comes; once the successor has what it has, it steps down.
 			if !s.bound {
 				s.bound = true
-				s.act(Handed, s.old, "")
+				s.act(EnforceDrain, s.old, "")
 			}
 			n := s.fact(s.next)
 			switch {
@@ -98,7 +98,7 @@
 			paused++
 		}
 	}
-	need := needOf(len(rs), v.SyncN, s.old != "")
+	need := needOf(len(rs), v.SyncReplicas, s.old != "")
 	if paused < need {
 		s.say(fmt.Sprintf("waits for %d more of %d replicas, as one of them may alone hold a commit", need-paused, len(rs)))
 		return
@@ -122,25 +122,25 @@
 
 // hold pauses the replicas that are not, or whose answer is so old that they may have restarted and forgotten it. The successor of a
 // planned end is only asked.
-func (s *Service) hold(v *View, now float64) {
+func (s *Controller) hold(v *View, now float64) {
 	for _, m := range s.replicas(v) {
 		f := s.fact(m.ID)
 		switch {
 		case m.Absent, m.ID == s.next && s.phase == proving:
 		case s.planned && m.ID == s.next:
-			s.ask(m.ID, Stat, now)
+			s.ask(m.ID, QueryStatus, now)
 		case f.paused && now-f.at <= pauseHolds:
 		case s.term == 0:
-			s.ask(m.ID, Stat, now) // the newest term must be known first
+			s.ask(m.ID, QueryStatus, now) // the newest term must be known first
 		default:
-			s.ask(m.ID, Pause, now)
+			s.ask(m.ID, PauseReplication, now)
 		}
 	}
 }
 
 // depose asks the old primary for its state. Once its word can't end the succession any more it is told to step down, so that it
 // has nothing acknowledged by a replica that is not paused yet.
-func (s *Service) depose(v *View, now float64) {
+func (s *Controller) depose(v *View, now float64) {
 	if s.find(v, s.old) == nil {
 		return
 	}
@@ -149,11 +149,11 @@
 		s.ask(s.old, StepDown, now)
 		return
 	}
-	s.ask(s.old, Stat, now)
+	s.ask(s.old, QueryStatus, now)
 }
 
 // other looks whether somebody leads after all, so that there is nothing to do.
-func (s *Service) other(v *View, now float64) bool {
+func (s *Controller) other(v *View, now float64) bool {
 	for _, m := range v.Members {
 		f := s.fact(m.ID)
 		if m.Absent {
@@ -169,7 +169,7 @@
 		if f.ok && f.status.Primary && f.at >= s.since {
 			s.giveUp(v, m.ID+" leads", now)
 			if s.old != "" {
-				s.act(Handed, s.old, "")
+				s.act(EnforceDrain, s.old, "")
 			}
 			return true
 		}
--- a/internal/controlplane/failover/roster_test.go
+++ b/internal/controlplane/failover/roster_test.go
@@ -93,7 +93,7 @@
 func (c *core) absent() (out []Member) {
 	for _, id := range slices.Sorted(maps.Keys(c.roster)) {
 		if !c.knows[id] && !c.withoutRoster {
-			out = append(out, Member{ID: id, Absent: true, Ended: c.ended[id]})
+			out = append(out, Member{ID: id, Absent: true, Departed: c.ended[id]})
 		}
 	}
 	return out
--- a/internal/controlplane/failover/watch.go
+++ b/internal/controlplane/failover/watch.go
@@ -8,7 +8,7 @@
 	"weirwind/internal/dataplane/wire"
 )
 
-func (s *Service) watch(v *View, now float64) {
+func (s *Controller) watch(v *View, now float64) {
 	if s.letPausedGo(v, now) {
 		return
 	}
@@ -29,7 +29,7 @@
 	s.primary = p.ID
 	settled := now-s.start > settle
 	f := s.fact(p.ID)
-	if p.Leaving && settled {
+	if p.Draining && settled {
 		if s.successors(v, p.ID) {
 			s.begin(v, p.ID, true, "it is to be replaced", now)
 			return
@@ -38,20 +38,20 @@
 	}
 	if now >= s.askAt && !f.waiting {
 		s.askAt = now + watchEvery
-		if f.failed > 0 || p.Silent > 2*watchEvery {
+		if f.failed > 0 || p.SinceHeartbeat > 2*watchEvery {
 			s.askAt = now + pressEvery
 		}
-		s.ask(p.ID, Stat, now)
+		s.ask(p.ID, QueryStatus, now)
 	}
-	heard := min(p.Silent, now-f.at)
-	if f.waiting && v.Accused >= max(2, v.Drivers/3) && now-f.asked > accusedWait && heard >= accusedDark && v.Cleared == 0 && settled {
+	heard := min(p.SinceHeartbeat, now-f.at)
+	if f.waiting && v.SuspectReports >= max(2, v.Drivers/3) && now-f.asked > accusedWait && heard >= accusedDark && v.HealthyReports == 0 && settled {
 		s.begin(v, p.ID, false, "drivers wait for it in vain", now)
 		return
 	}
-	if v.Accused > 0 && !f.waiting && now-f.at > accusedWait {
-		s.ask(p.ID, Stat, now)
+	if v.SuspectReports > 0 && !f.waiting && now-f.at > accusedWait {
+		s.ask(p.ID, QueryStatus, now)
 	}
-	if v.Stuck+v.Accused > 0 && settled {
+	if v.StallReports+v.SuspectReports > 0 && settled {
 		if s.cutFromReplicas(v, p.ID, now) {
 			s.begin(v, p.ID, false, "its commits reach no replica", now)
 			s.stuck = true
@@ -64,13 +64,13 @@
 	case !settled:
 	case f.refused >= refusedMost:
 		s.begin(v, p.ID, false, "it takes no connection", now)
-	case f.failed > 0 && heard >= darkAfter && v.Cleared == 0:
+	case f.failed > 0 && heard >= darkAfter && v.HealthyReports == 0:
 		s.begin(v, p.ID, false, "it is silent", now)
 	}
 }
 
 // cutFromReplicas asks all, and says whether every replica has stood still behind the primary for a while.
-func (s *Service) cutFromReplicas(v *View, primary string, now float64) bool {
+func (s *Controller) cutFromReplicas(v *View, primary string, now float64) bool {
 	p := s.fact(primary)
 	here := map[string]wire.Position{}
 	for _, m := range v.Members {
@@ -99,7 +99,7 @@
 
 // headless begins a succession where nobody leads. Everybody on the roster must have said that it doesn't; a member of which nobody
 // could tell for long is counted as one that may have led, or hold a commit, and is waited for only if the others are too few.
-func (s *Service) headless(v *View, now float64) {
+func (s *Controller) headless(v *View, now float64) {
 	if now-s.start <= settle || now-s.noLead <= noLeadFor || len(v.Members) == 0 {
 		return
 	}
@@ -112,7 +112,7 @@
 }
 
 // enoughAnswered says whether those who said that they don't lead hold every acknowledged commit between them.
-func (s *Service) enoughAnswered(v *View) bool {
+func (s *Controller) enoughAnswered(v *View) bool {
 	answered := 0
 	for _, m := range v.Members {
 		f := s.facts[m.ID]
@@ -123,10 +123,10 @@
 			answered++
 		}
 	}
-	return answered >= needOf(len(v.Members), v.SyncN, false)
+	return answered >= needOf(len(v.Members), v.SyncReplicas, false)
 }
 
-func (s *Service) begin(v *View, old string, planned bool, why string, now float64) {
+func (s *Controller) begin(v *View, old string, planned bool, why string, now float64) {
 	if old != s.old || s.tried == nil {
 		s.tried = map[string]bool{}
 	}
@@ -137,20 +137,20 @@
 			f.ok = false
 		}
 	}
-	s.act(Note, old, "begins: "+why)
+	s.act(Log, old, "begins: "+why)
 	s.said = ""
 	s.enter(freezing, now)
 	s.freeze(v, now)
 }
 
 // giveUp lets the paused go.
-func (s *Service) giveUp(v *View, why string, now float64) {
-	s.act(Note, s.old, "given up: "+why)
+func (s *Controller) giveUp(v *View, why string, now float64) {
+	s.act(Log, s.old, "given up: "+why)
 	s.letGo(v, now)
 	s.enter(watching, now)
 }
 
-func (s *Service) letGo(v *View, now float64) {
+func (s *Controller) letGo(v *View, now float64) {
 	for _, m := range v.Members {
 		if f := s.fact(m.ID); !m.Absent && (f.paused || f.touched) {
 			f.cont, f.paused, f.contAt = true, false, now
--- a/internal/controlplane/roster.go
+++ b/internal/controlplane/roster.go
@@ -73,7 +73,7 @@
 			continue // a covered one is to leave the roster: what it held is at others, agreed on or not
 		}
 		ended := known || now-t.ledAt > ms(memberKeep)
-		out = append(out, failover.Member{ID: id, Absent: true, Ended: ended})
+		out = append(out, failover.Member{ID: id, Absent: true, Departed: ended})
 	}
 	return out
 }
--- a/internal/controlplane/succession.go
+++ b/internal/controlplane/succession.go
@@ -34,7 +34,7 @@
 // lead begins or ends this machine's lead.
 func (t *tables) lead(leads bool, term uint64) {
 	t.leading, t.term = leads, term
-	t.successions, t.reports = map[string]*failover.Service{}, map[string]map[string]report{}
+	t.successions, t.reports = map[string]*failover.Controller{}, map[string]map[string]report{}
 	t.asker.forget()
 	t.mover = nil
 	t.calls, t.covered, t.rosterAt = 0, map[config.RosterMember]bool{}, 0
@@ -54,9 +54,9 @@
 			s = failover.New(now)
 			t.successions[cs.Name] = s
 		}
-		v := &failover.View{Svc: cs.Name, SyncN: cs.SyncReplicas, Drivers: drivers, Doubt: t.doubtful(now)}
+		v := &failover.View{Service: cs.Name, SyncReplicas: cs.SyncReplicas, Drivers: drivers, MembershipUncertain: t.doubtful(now)}
 		for _, m := range bySvc[cs.Name] {
-			v.Members = append(v.Members, failover.Member{ID: m.ID, Gen: m.Generation, Leaving: m.Leaving, Silent: t.members.HeartbeatAge(m.ID, now),
+			v.Members = append(v.Members, failover.Member{ID: m.ID, Generation: m.Generation, Draining: m.Leaving, SinceHeartbeat: t.members.HeartbeatAge(m.ID, now),
 				Primary: m.Role == directory.RolePrimary, Replica: m.Role == directory.RoleReplica,
 				Unlisted: cs.SyncReplicas > 0 && !t.state.Roster.Contains(cs.Name, m.ID)})
 		}
@@ -66,11 +66,11 @@
 		for _, r := range t.reports[cs.Name] {
 			if now-r.at < accuseFor {
 				if r.r.CommitsStalled {
-					v.Stuck++
+					v.StallReports++
 				} else if r.r.UnresponsiveMs > 0 || r.r.Unreachable {
-					v.Accused++
+					v.SuspectReports++
 				} else {
-					v.Cleared++
+					v.HealthyReports++
 				}
 			}
 		}
@@ -79,42 +79,42 @@
 	t.tendRoster(bySvc, now)
 }
 
-func (t *tables) carry(s *failover.Service, v *failover.View, now float64) {
+func (t *tables) carry(s *failover.Controller, v *failover.View, now float64) {
 	for _, a := range s.Step(v, now) {
 		switch a.Kind {
-		case failover.Note:
-			t.h.log.Event(events.Succession, "svc", v.Svc, "member", a.ID, "what", a.Why)
-		case failover.Handed:
+		case failover.Log:
+			t.h.log.Event(events.Succession, "svc", v.Service, "member", a.ID, "what", a.Reason)
+		case failover.EnforceDrain:
 			t.bind(a.ID)
-		case failover.Failover:
-			t.h.log.Event(events.SuccessStep, "svc", v.Svc, "step", "failover", "to", a.ID, "from", a.Why)
-			go t.failover(s, v.Svc, a.ID, t.nextFence())
-		case failover.Covered:
-			t.covered[config.RosterMember{Service: v.Svc, ID: a.ID}] = true
+		case failover.Promote:
+			t.h.log.Event(events.SuccessStep, "svc", v.Service, "step", "failover", "to", a.ID, "from", a.Reason)
+			go t.failover(s, v.Service, a.ID, t.nextFence())
+		case failover.AllowRemoval:
+			t.covered[config.RosterMember{Service: v.Service, ID: a.ID}] = true
 		default:
 			if m, ok := t.members.Get(a.ID); ok {
-				text := [...]string{failover.Stat: "STAT", failover.Pause: "PAUSE " + strconv.FormatUint(a.Term+1, 10), failover.Cont: "CONT",
+				text := [...]string{failover.QueryStatus: "STAT", failover.PauseReplication: "PAUSE " + strconv.FormatUint(a.Term+1, 10), failover.ResumeReplication: "CONT",
 					failover.StepDown: "STEPDOWN " + strconv.FormatUint(a.Term+1, 10)}[a.Kind]
-				if a.Kind != failover.Stat {
-					t.h.log.Event(events.SuccessStep, "svc", v.Svc, "step", text, "member", a.ID)
+				if a.Kind != failover.QueryStatus {
+					t.h.log.Event(events.SuccessStep, "svc", v.Service, "step", text, "member", a.ID)
 				}
 				go t.question(s, m, a.Kind, text)
 			} else {
-				s.Unanswered(a.ID, false)
+				s.HandleStatusFailure(a.ID, false)
 			}
 		}
 	}
 }
 
-func (t *tables) question(s *failover.Service, m directory.Member, k failover.ActKind, text string) {
+func (t *tables) question(s *failover.Controller, m directory.Member, k failover.ActionKind, text string) {
 	sent := t.h.now()
 	st, refused, err := t.asker.ask(m, text)
 	t.do(func() {
 		if err != nil {
-			s.Unanswered(m.ID, refused)
+			s.HandleStatusFailure(m.ID, refused)
 			return
 		}
-		s.Answered(m.ID, k, sent, t.h.now(), st)
+		s.HandleStatus(m.ID, k, sent, t.h.now(), st)
 	})
 }
 
@@ -130,7 +130,7 @@
 }
 
 // failover calls the platform, with this machine as holder.
-func (t *tables) failover(s *failover.Service, svc, id string, fence uint64) {
+func (t *tables) failover(s *failover.Controller, svc, id string, fence uint64) {
 	body, _ := json.Marshal(map[string]string{"svc": svc, "id": id})
 	status := 0
 	req, err := http.NewRequestWithContext(t.h.ctx, http.MethodPost, "http://"+t.h.set.PlatformAddr+"/failover", bytes.NewReader(body))
@@ -150,7 +150,7 @@
 	} else {
 		t.h.log.Event(events.PlatformCall, "svc", svc, "member", id, "fence", fence, "status", status)
 	}
-	t.do(func() { s.Called(id, status, t.h.now()) })
+	t.do(func() { s.HandlePromoteResult(id, status, t.h.now()) })
 }
 
 // asker keeps a connection to each member that is asked.
--- a/internal/controlplane/tables.go
+++ b/internal/controlplane/tables.go
@@ -52,7 +52,7 @@
 
 	leading     bool
 	term        uint64
-	successions map[string]*failover.Service
+	successions map[string]*failover.Controller
 	reports     map[string]map[string]report // by service and driver
 	asker       *asker
 	mover       *shardmap.Rebalancer
@@ -75,7 +75,7 @@
 
 func newTables(h *Server) *tables {
 	t := &tables{h: h, q: commandqueue.New(h.ctx, 1024), members: directory.NewMembers(), leases: directory.NewLeases(),
-		agents: map[*link]string{}, differs: map[*link]bool{}, untold: map[string]bool{}, leaving: map[string]float64{}, successions: map[string]*failover.Service{}, reports: map[string]map[string]report{}, granted: map[string]float64{}, lives: map[string]uint64{},
+		agents: map[*link]string{}, differs: map[*link]bool{}, untold: map[string]bool{}, leaving: map[string]float64{}, successions: map[string]*failover.Controller{}, reports: map[string]map[string]report{}, granted: map[string]float64{}, lives: map[string]uint64{},
 		driversDigest: directory.DriversDigest(nil)}
 	t.asker = newAsker()
 	return t
