--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -1,3 +1,4 @@
+// Command benchlink serves the wire of the operators' simulator on standard input and output, decided by the module.
 package main
 
 import (
@@ -9,13 +10,17 @@
 )
 
 func main() {
+	if err := run(); err != nil {
+		fmt.Fprintln(os.Stderr, "benchlink:", err)
+		os.Exit(1)
+	}
+}
+
+func run() error {
 	if p := os.Getenv("BENCHLINK_CPUPROFILE"); p != "" {
 		f, _ := os.Create(fmt.Sprintf("%s.%d", p, os.Getpid()))
 		_ = pprof.StartCPUProfile(f) // without a file there is no profile
 		defer pprof.StopCPUProfile()
 	}
-	if err := benchwire.Serve(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "benchlink:", err)
-		os.Exit(1)
-	}
+	return benchwire.Serve(os.Stdin, os.Stdout)
 }
--- a/cmd/weirwind/membership.go
+++ b/cmd/weirwind/membership.go
@@ -159,7 +159,7 @@
 type leaveCommand struct{ socketFlag }
 
 // Run has the driver leave.
-func (c *leaveCommand) Run(out io.Writer) error {
+func (c *leaveCommand) Run() error {
 	return c.with(func(ctx context.Context, client *control.Client) error { return client.Leave(ctx) })
 }
 
@@ -170,7 +170,7 @@
 }
 
 // Run has a driver forgotten.
-func (c *forgetFellowCommand) Run(out io.Writer) error {
+func (c *forgetFellowCommand) Run() error {
 	return c.with(func(ctx context.Context, client *control.Client) error {
 		return client.Forget(ctx, control.Forgotten{Name: c.Name, Certain: c.Certain})
 	})
--- a/cmd/weirwind/zones.go
+++ b/cmd/weirwind/zones.go
@@ -114,7 +114,7 @@
 }
 
 // Run has a zone emptied.
-func (c *zonesEvacuate) Run(out io.Writer) error {
+func (c *zonesEvacuate) Run() error {
 	return c.with(func(ctx context.Context, client *control.Client) error {
 		return client.OrderZone(ctx, zones.Command{Zone: c.Zone, Away: true, Duration: float64(c.For.Milliseconds())})
 	})
@@ -126,7 +126,7 @@
 }
 
 // Run takes an evacuation back.
-func (c *zonesReturn) Run(out io.Writer) error {
+func (c *zonesReturn) Run() error {
 	return c.with(func(ctx context.Context, client *control.Client) error {
 		return client.OrderZone(ctx, zones.Command{Zone: c.Zone})
 	})
@@ -138,7 +138,7 @@
 }
 
 // Run has the plan stay as it is.
-func (c *zonesFreeze) Run(out io.Writer) error {
+func (c *zonesFreeze) Run() error {
 	return c.with(func(ctx context.Context, client *control.Client) error {
 		on := !c.Off
 		return client.OrderZone(ctx, zones.Command{Freeze: &on})
--- a/internal/driver/driver.go
+++ b/internal/driver/driver.go
@@ -206,8 +206,8 @@
 
 // Run serves until the context ends, then finishes what was taken. The log goes to the writer.
 func (v *Service) Run(ctx context.Context, logTo io.Writer) error {
-	life, end := context.WithCancel(context.Background())
-	logging, stopLog := context.WithCancel(context.Background())
+	life, end := context.WithCancel(context.WithoutCancel(ctx)) // what was taken is finished once ctx ends
+	logging, stopLog := context.WithCancel(context.WithoutCancel(ctx))
 	logged := make(chan struct{})
 	go func() {
 		v.lines.run(logging, logTo)
--- a/internal/driver/presence.go
+++ b/internal/driver/presence.go
@@ -180,7 +180,7 @@
 		select {
 		case <-ctx.Done():
 			if p.lease != "" {
-				call, end := context.WithTimeout(context.Background(), time.Second)
+				call, end := context.WithTimeout(context.WithoutCancel(ctx), time.Second)
 				_ = p.announcer.Revoke(call, endpoint, p.lease) // else the lease lapses
 				end()
 			}
--- a/internal/durable/fs.go
+++ b/internal/durable/fs.go
@@ -31,8 +31,10 @@
 // OS is the file system of the machine.
 type OS struct{}
 
+// MkdirAll makes a folder for the process's own user, and those above it.
 func (OS) MkdirAll(folder string) error { return os.MkdirAll(folder, 0o700) }
 
+// List gives the names in a folder, in no order.
 func (OS) List(folder string) ([]string, error) {
 	d, err := os.Open(folder)
 	if err != nil {
@@ -42,10 +44,12 @@
 	return d.Readdirnames(-1)
 }
 
+// Create opens a file for writing, empty, for the process's own user.
 func (OS) Create(name string) (File, error) {
 	return os.OpenFile(name, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
 }
 
+// ReadFile gives a file's content. ErrDamaged: it is longer than the limit in bytes, or no regular file.
 func (OS) ReadFile(name string, limit int64) ([]byte, error) {
 	f, err := os.Open(name)
 	if err != nil {
@@ -58,10 +62,13 @@
 	return io.ReadAll(io.LimitReader(f, limit))
 }
 
+// Rename puts a file in the place of another at once.
 func (OS) Rename(from, to string) error { return os.Rename(from, to) }
 
+// Remove takes a name away.
 func (OS) Remove(name string) error { return os.Remove(name) }
 
+// SyncDir makes the names in a folder durable.
 func (OS) SyncDir(folder string) error {
 	d, err := os.Open(folder)
 	if err != nil {
--- a/internal/fleet/membership/ballot.go
+++ b/internal/fleet/membership/ballot.go
@@ -12,6 +12,7 @@
 // VoteKind of a vote.
 type VoteKind uint8
 
+// The kinds of votes: two to found a roster, five of the agreement on a change (Paxos).
 const (
 	Bootstrap    VoteKind = iota + 1 // the sender would found a roster of the names that it sees
 	Bootstrapped                     // the receiver of Bootstrap sees the same
--- a/internal/fleet/membership/probes.go
+++ b/internal/fleet/membership/probes.go
@@ -59,7 +59,7 @@
 	}
 	f.relays = map[uint64]*relay{}
 	f.doubt, f.unproved, f.judgeAt = now+2*f.rules.Period, true, 0
-	f.rosterConsensus.stood(now)
+	f.rosterConsensus.stood()
 	if m := f.pick(func(m *member) bool { return !m.State.ended() }); m != nil {
 		f.out.Exchanges = append(f.out.Exchanges, m.Address)
 	}
--- a/internal/fleet/membership/records.go
+++ b/internal/fleet/membership/records.go
@@ -19,6 +19,7 @@
 // State is what a driver is taken for.
 type State uint8
 
+// The states of a driver, as SWIM has them.
 const (
 	Alive   State = iota
 	Suspect       // it did not answer, and may still say that it lives
@@ -118,6 +119,7 @@
 // Kind of a message.
 type Kind uint8
 
+// The kinds of messages.
 const (
 	Ping   Kind = iota + 1 // To answers by Ack
 	Ask                    // the receiver pings To at At for the sender
--- a/internal/fleet/membership/roster.go
+++ b/internal/fleet/membership/roster.go
@@ -92,7 +92,7 @@
 }
 
 // stood forgets what this driver leads, as it may be over.
-func (c *rosterConsensus) stood(now float64) { c.round, c.bootstrapBy, c.joinUntil = nil, nil, 0 }
+func (c *rosterConsensus) stood() { c.round, c.bootstrapBy, c.joinUntil = nil, nil, 0 }
 
 func (f *Fleet) listed(name string) bool { return f.roster != nil && f.roster.has(name) }
 
--- a/internal/fleet/membership/standing.go
+++ b/internal/fleet/membership/standing.go
@@ -14,6 +14,7 @@
 // Standing is a driver's place in the fleet, by the roster that was agreed on.
 type Standing uint8
 
+// The standings, from the least that is known to the most.
 const (
 	Unsure  Standing = iota // too much is unknown, or two halves are alike
 	Alone                   // it reaches nobody of the roster
@@ -37,6 +38,7 @@
 // Act is something that several drivers could do to each other's harm.
 type Act uint8
 
+// What Allowed is asked for.
 const (
 	BeginHold   Act = iota // of a group's writes, or announce one
 	RenewHold              // one that goes on
--- a/internal/fleet/mesh/mesh.go
+++ b/internal/fleet/mesh/mesh.go
@@ -166,7 +166,7 @@
 
 // Run is among peers until the context ends, then leaves.
 func (m *Mesh) Run(ctx context.Context) error {
-	life, end := context.WithCancel(context.Background())
+	life, end := context.WithCancel(context.WithoutCancel(ctx)) // it leaves in order once ctx ends
 	var all errgroup.Group
 	all.Go(func() error { m.receive(life); return nil })
 	all.Go(func() error { m.accept(life); return nil })
--- a/internal/fleet/zones/follower.go
+++ b/internal/fleet/zones/follower.go
@@ -12,6 +12,7 @@
 // Action is something that a driver could do to others' harm by itself.
 type Action uint8
 
+// What Allowed is asked for.
 const (
 	MovePrimary Action = iota // ask for it
 	FillZone                  // send a zone more than its drivers' own reads
--- a/internal/fleet/zones/messages.go
+++ b/internal/fleet/zones/messages.go
@@ -13,6 +13,7 @@
 // MessageKind of a message between drivers.
 type MessageKind uint8
 
+// The kinds of messages: the agreement on a plan (Paxos), the first plan, its leases, reports and orders.
 const (
 	Prepare      MessageKind = iota + 1 // of a ballot for the plan behind Base
 	Promise                             // no lower one is taken; what was taken last comes with it
@@ -25,7 +26,7 @@
 	Confirmed                           // it is
 	Decided                             // here is the newest decided; also the answer to who holds an older one
 	ReportState                         // a report
-	// the answer to it: what the sender holds, and since when that is certainly the newest
+	// ReportAnswer answers it: what the sender holds, and since when that is certainly the newest.
 	ReportAnswer
 	ForwardCommand // an order of operators, passed on to who leads
 )
--- a/internal/fleet/zones/orders.go
+++ b/internal/fleet/zones/orders.go
@@ -36,7 +36,7 @@
 	case s.Freeze == nil && !slices.Contains(z.zoneNames(), s.Zone):
 		return Out{}, ErrUnknownZone
 	}
-	z.apply(now, s, "")
+	z.apply(now, s)
 	for _, v := range z.plan.Voters {
 		if v != z.self.Name {
 			z.send(v, Message{Kind: ForwardCommand, Command: &s})
@@ -46,7 +46,7 @@
 }
 
 // apply takes one, where this driver leads.
-func (z *Zones) apply(now float64, s Command, from string) {
+func (z *Zones) apply(now float64, s Command) {
 	if z.courses == nil || z.applied[s.ID] {
 		return
 	}
--- a/internal/fleet/zones/plan.go
+++ b/internal/fleet/zones/plan.go
@@ -20,6 +20,7 @@
 // State is a zone's.
 type State uint8
 
+// The states of a zone, in the order in which it leaves and returns.
 const (
 	Serving   State = iota
 	Doubted         // something is wrong, for a short time yet
@@ -41,6 +42,7 @@
 // Cause is why a zone is not simply serving.
 type Cause string
 
+// The causes. Their texts are on the wire and in logs.
 const (
 	None        Cause = ""
 	Lost        Cause = "zone_lost"    // its drivers and its members
--- a/internal/fleet/zones/zones.go
+++ b/internal/fleet/zones/zones.go
@@ -135,7 +135,7 @@
 	z.fleet = f
 	z.finishBootstrap(now, &z.fleet)
 	z.consensus.tick(now, &z.fleet, func() *Plan { return z.firstPlan() })
-	if now >= z.reportAt && z.plan != nil && z.reporting(now) {
+	if now >= z.reportAt && z.plan != nil && z.reporting() {
 		z.reportAt = now + z.heartbeat
 		z.sequence++
 		r := &Report{Zone: z.self.Zone, Sequence: z.sequence, Run: z.run, Observations: z.observations, Homes: z.homes}
@@ -159,7 +159,7 @@
 }
 
 // reporting says whether this driver is among those of its zone that report.
-func (z *Zones) reporting(now float64) bool {
+func (z *Zones) reporting() bool {
 	n := 0
 	for _, f := range z.fleet.Alive {
 		if f.Name == z.self.Name {
@@ -190,7 +190,7 @@
 		}
 	case w.Kind == ForwardCommand:
 		if w.Command != nil && z.plan != nil {
-			z.apply(now, *w.Command, from)
+			z.apply(now, *w.Command)
 		}
 	default:
 		epoch := z.epoch()
--- a/internal/lab/emulator/audit.go
+++ b/internal/lab/emulator/audit.go
@@ -91,7 +91,7 @@
 	}
 }
 
-func (a *lens) answered(o *op, end End) {
+func (a *lens) answered(o *op) {
 	if o.answers++; o.answers > 1 {
 		a.broken("rule 1: op %s got %d answers", o.id, o.answers)
 	}
@@ -109,7 +109,8 @@
 
 // push counts what a cold member gets over the span, all drivers together.
 func (a *lens) push(m *server) {
-	times := append(m.cold, a.l.now)
+	m.cold = append(m.cold, a.l.now)
+	times := m.cold
 	for len(times) > 0 && times[0] < a.l.now-tipSpan {
 		times = times[1:]
 	}
--- a/internal/lab/emulator/emulator.go
+++ b/internal/lab/emulator/emulator.go
@@ -16,6 +16,7 @@
 // End is what came of a try.
 type End uint8
 
+// What may come of an attempt.
 const (
 	Acked End = iota
 	Refused
--- a/internal/lab/emulator/host.go
+++ b/internal/lab/emulator/host.go
@@ -338,7 +338,7 @@
 		h.audit.broken("rule 1: an answer to an op that is not open")
 		return
 	}
-	h.audit.answered(o, end)
+	h.audit.answered(o)
 	if o.over {
 		return
 	}
--- a/internal/lab/experiment/store.go
+++ b/internal/lab/experiment/store.go
@@ -41,13 +41,14 @@
 	Gaps       []float64 `parquet:"gaps,list"`
 }
 
-// Broken is a rule that was broken, Type an op type, Second a second of the play, Member a member over all of it,
-// Opening a new primary's first second. Their fields are those of the emulator.
+// The parts of a run. Their fields are those of the emulator.
 type (
+	// Broken is a rule that was broken.
 	Broken struct {
 		Rule  string `parquet:"rule"`
 		Times int64  `parquet:"times"`
 	}
+	// Type is an op type.
 	Type struct {
 		Name    string  `parquet:"name"`
 		Value   float64 `parquet:"value"`
@@ -57,6 +58,7 @@
 		InTime  int64   `parquet:"in_time"`
 		Latency []byte  `parquet:"latency"` // HdrHistogram's compressed form, microseconds
 	}
+	// Second is a second of the play.
 	Second struct {
 		Asked   int64   `parquet:"asked"`
 		Again   int64   `parquet:"again"`
@@ -67,6 +69,7 @@
 		Empty   float64 `parquet:"empty"` // share of looks at slots that found none filled
 		Held    float64 `parquet:"held"`  // writes held, all drivers, on average
 	}
+	// Member is a member over all of the play.
 	Member struct {
 		Name   string  `parquet:"name"`
 		Served int64   `parquet:"served"`
@@ -74,6 +77,7 @@
 		Busy   float64 `parquet:"busy"`
 		Conns  int32   `parquet:"conns"`
 	}
+	// Opening is a new primary's first second.
 	Opening struct {
 		At    float64 `parquet:"at"`
 		Group int64   `parquet:"group"`
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -43,6 +43,7 @@
 // End is what came of an op.
 type End uint8
 
+// What may come of an op.
 const (
 	Acked End = iota
 	Refused
--- a/internal/lab/sessionrun/sessionrun.go
+++ b/internal/lab/sessionrun/sessionrun.go
@@ -312,7 +312,8 @@
 		case <-tick.C:
 		}
 		body := fmt.Sprint(g.id[:6], "-", i)
-		answer, stop := context.WithTimeout(context.Background(), answerMost) // the evening's end leaves none in doubt
+		// The end of the run leaves no answer in doubt.
+		answer, stop := context.WithTimeout(context.WithoutCancel(ctx), answerMost)
 		at, err := sessionclient.Queue(answer, sites, home, g.id, fmt.Sprint(i), []byte(body))
 		stop()
 		if home = at; err == nil {
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -24,6 +24,7 @@
 // State is how far a key has come.
 type State uint8
 
+// The states of a key.
 const (
 	Free    State = iota // never begun, proved not to have run, or forgotten in its time
 	Open                 // begun, and its op is open in this driver
@@ -42,6 +43,7 @@
 // Verdict says what is to be done with an op that names a key.
 type Verdict uint8
 
+// The verdicts on an op that bears a key.
 const (
 	Go        Verdict = iota // it is begun: write its record, then let it go
 	Known                    // it was acked: give the answer
--- a/internal/operator/reader.go
+++ b/internal/operator/reader.go
@@ -93,11 +93,12 @@
 func (r *reader) duration(attrs hcl.Attributes, name string, otherwise, least, most time.Duration) time.Duration {
 	s, at := r.text(attrs, name, otherwise.String())
 	d, err := time.ParseDuration(s)
-	if err != nil {
+	switch {
+	case err != nil:
 		r.problem(at, "%s is %q; it wants a time such as %q.", name, s, otherwise)
-	} else if d < least || d > most {
+	case d < least || d > most:
 		r.problem(at, "%s is %s; it may be %s to %s.", name, d, least, most)
-	} else {
+	default:
 		return d
 	}
 	return otherwise
--- a/internal/pgwire/pgwire.go
+++ b/internal/pgwire/pgwire.go
@@ -39,6 +39,7 @@
 // Startup is the first message on a connection.
 type Startup uint8
 
+// The kinds of startup messages.
 const (
 	StartupSession Startup = iota
 	StartupEncrypt         // SSLRequest or GSSENCRequest, answered by one byte N
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -33,6 +33,7 @@
 // Kind is what a step does.
 type Kind uint8
 
+// The kinds of steps.
 const (
 	Switch  Kind = iota // the group's primary hands its role over; nobody is away
 	Replace             // the member is away, then cold; a primary hands over first
--- a/internal/registry/etcd.go
+++ b/internal/registry/etcd.go
@@ -11,6 +11,7 @@
 	"fmt"
 	"io"
 	"net/http"
+	"slices"
 	"strings"
 	"sync"
 
@@ -170,7 +171,7 @@
 		if tell(u); !u.More {
 			return nil
 		}
-		from = append(page.KVs[len(page.KVs)-1].Key, 0)
+		from = slices.Concat(page.KVs[len(page.KVs)-1].Key, []byte{0})
 	}
 }
 
--- a/internal/roster/course.go
+++ b/internal/roster/course.go
@@ -14,6 +14,7 @@
 // CallKind is what to do next.
 type CallKind uint8
 
+// The calls to a source of the list.
 const (
 	Read   CallKind = iota // the whole list
 	Follow                 // a watch, from Call.Revision on
@@ -32,6 +33,7 @@
 // End is how a call ended.
 type End uint8
 
+// How a call may end.
 const (
 	Answered  End = iota // a read is done, or a watch has lasted for its time
 	Broken               // refused, reset, timed out
@@ -54,7 +56,7 @@
 const (
 	pauseLeast, pauseMost = 100.0, 10000.0 // of pauses after failures
 	retryRate, retryMost  = 1.0, 5.0       // calls a second beyond the first, and how many at once
-	readsASecond          = 100.0          // whole reads of all fellows together that a registry is to bear after its start
+	readsASecond          = 100.0          // whole reads of all peers together that a registry is to bear after its start
 	refusedPause          = 5000.0         // credentials don't mend themselves sooner
 	rereadDefault         = 600e3          // at 1,000 drivers two whole lists a second
 	restTime              = 30000.0        // an endpoint that failed is the last choice for so long
--- a/internal/roster/presence.go
+++ b/internal/roster/presence.go
@@ -13,6 +13,7 @@
 // PresenceStep is what to do about the own lease.
 type PresenceStep uint8
 
+// The steps.
 const (
 	Rest  PresenceStep = iota
 	Grant              // a new lease, and the own key under it where nobody has it
@@ -22,6 +23,7 @@
 // PresenceEnd is how a step ended.
 type PresenceEnd uint8
 
+// How a step may end.
 const (
 	Done      PresenceEnd = iota
 	LeaseGone             // the lease is not there any more
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -15,6 +15,7 @@
 // Source is where a list comes from, the one that is trusted least first.
 type Source uint8
 
+// The sources of a list.
 const (
 	Known     Source = iota // what the start was given, or an earlier run has kept
 	Discovery               // the platform's discovery
@@ -27,6 +28,7 @@
 // Phase is a member's state in a list.
 type Phase uint8
 
+// The phases of a member.
 const (
 	Up Phase = iota
 	Draining
@@ -84,6 +86,7 @@
 // Verdict says what became of an update.
 type Verdict uint8
 
+// The verdicts on an update.
 const (
 	Applied Verdict = iota
 	Partial         // it goes on in the next one
@@ -250,7 +253,8 @@
 		}
 	}
 	if r.doubts(now, v, usable, lost) {
-		out.Notes = append(out.Notes, fmt.Sprintf("%s lost %d of %d members at once: held until it says so again", u.Source, len(lost), usable))
+		out.Notes = append(out.Notes, fmt.Sprintf("%s lost %d of %d members at once: held until it says so again", u.Source,
+			len(lost), usable))
 		return Held
 	}
 	slices.Sort(lost)
--- a/internal/standin/cluster/cluster.go
+++ b/internal/standin/cluster/cluster.go
@@ -80,11 +80,6 @@
 
 func direct(addr string) string { return addr }
 
-// newBehind starts a town whose members and platform are reached at what via makes of their addresses.
-func newBehind(t *testing.T, cores, fronts int, via func(addr string) string) *Town {
-	return newTown(t, cores, fronts, func(*Town) {}, via)
-}
-
 // newTown lets before prepare what processes find as they start.
 func newTown(t *testing.T, cores, fronts int, before func(*Town), via func(addr string) string) *Town {
 	t.Helper()
--- a/internal/standin/cluster/nodes.go
+++ b/internal/standin/cluster/nodes.go
@@ -51,9 +51,10 @@
 	}()
 }
 
-// Crash1 ends a node's process: its connections end, and it takes none. Back1 starts it with what its disk held.
+// Crash1 ends a node's process: its connections end, and it takes none.
 func (s *Service) Crash1() { s.Crash(s.Name + "-m") }
 
+// Back1 starts it with what its disk held.
 func (s *Service) Back1() {
 	s.With(func(g *replicaset.Group) {
 		g.Get(s.Name + "-m").Restart()
--- a/internal/standin/cluster/resets_test.go
+++ b/internal/standin/cluster/resets_test.go
@@ -10,6 +10,12 @@
 	"weirwind/internal/standin/replicaset"
 )
 
+// newBehind starts a town whose members and platform are reached at what via makes of their addresses.
+func newBehind(t *testing.T, cores, fronts int, via func(addr string) string) *Town {
+	t.Helper()
+	return newTown(t, cores, fronts, func(*Town) {}, via)
+}
+
 // tried is a statement or a transaction of a client: the ids of its writes, and what came of it.
 type tried struct {
 	writes  []string
--- a/internal/standin/disk/disk.go
+++ b/internal/standin/disk/disk.go
@@ -23,6 +23,7 @@
 // Fate is what becomes of what was not synced.
 type Fate uint8
 
+// The fates; Fates is how many there are.
 const (
 	Nothing Fate = iota // all of it is lost
 	All                 // all of it is there
@@ -183,6 +184,7 @@
 	d.names[name], d.safe[name], d.folders[filepath.Dir(name)] = n, n, true
 }
 
+// Get gives a file's content as it is read now; nil where there is none.
 func (d *Disk) Get(name string) []byte {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -195,6 +197,7 @@
 // Copy is the disk as it is, with nothing of it lost.
 func (d *Disk) Copy() *Disk { return d.After(All, 0) }
 
+// MkdirAll makes a folder, which is durable at once.
 func (d *Disk) MkdirAll(folder string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -213,6 +216,7 @@
 	return nil
 }
 
+// List gives the names in a folder, sorted.
 func (d *Disk) List(folder string) (names []string, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -231,6 +235,7 @@
 	return names, nil
 }
 
+// Create opens an empty file, whose name is durable behind SyncDir.
 func (d *Disk) Create(name string) (durable.File, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -246,6 +251,7 @@
 	return &file{d: d, n: n}, d.end()
 }
 
+// ReadFile gives a file's content, synced or not.
 func (d *Disk) ReadFile(name string, limit int64) ([]byte, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -263,6 +269,7 @@
 	return b, nil
 }
 
+// Rename moves a name, durable behind SyncDir.
 func (d *Disk) Rename(from, to string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -279,6 +286,7 @@
 	return d.end()
 }
 
+// Remove takes a name away, durable behind SyncDir.
 func (d *Disk) Remove(name string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -293,6 +301,7 @@
 	return d.end()
 }
 
+// SyncDir makes all names durable; a crash in the middle of it promises nothing.
 func (d *Disk) SyncDir(folder string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -310,6 +319,7 @@
 	return nil
 }
 
+// Lock takes a lock that ends with its Close; ErrLocked while somebody has it.
 func (d *Disk) Lock(name string) (io.Closer, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/standin/golden/golden.go
+++ b/internal/standin/golden/golden.go
@@ -1,8 +1,8 @@
-// Package golden holds the encoded forms of values against those that a file records, so that a change of a stored or wire form
-// shows as a failing test.
+// Package golden holds the encoded forms of values against those that a file records, so that a change of a stored or
+// wire form shows as a failing test.
 //
-// It owns the files' layout: a line for each case, its name, a tab and the form, in hexadecimal where it is binary. With
-// GOLDEN=write in the environment a missing file is written; one that is there is never overwritten.
+// It owns the files' layout: a line for each case, its name, a tab and the form, in hexadecimal where it is binary.
+// With GOLDEN=write in the environment a missing file is written; one that is there is never overwritten.
 package golden
 
 import (
@@ -58,7 +58,13 @@
 	}, func(form string, v *string) error { return json.Unmarshal([]byte(form), v) })
 }
 
-func check[T any](t *testing.T, file string, cases []Case[T], encode func(T) (string, error), decode func(string, *T) error) {
+func check[T any](
+	t *testing.T,
+	file string,
+	cases []Case[T],
+	encode func(T) (string, error),
+	decode func(string, *T) error,
+) {
 	t.Helper()
 	recorded := read(t, file)
 	if recorded == nil {
--- a/internal/standin/kv/kv.go
+++ b/internal/standin/kv/kv.go
@@ -92,6 +92,7 @@
 	}
 }
 
+// Restore puts the content of another store in place, under another cluster id, as from a backup.
 func (s *Store) Restore(from *Store, cluster string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -133,13 +134,14 @@
 	tokens   atomic.Int64
 }
 
-// Serve starts a server on a free loopback port; ServeTLS one that wants TLS, under httptest's certificate.
+// Serve starts a server on a free loopback port.
 func Serve(s *Store) *Server {
 	v := prepare(s)
 	v.Start()
 	return v
 }
 
+// ServeTLS starts one that wants TLS, under httptest's certificate.
 func ServeTLS(s *Store) *Server {
 	v := prepare(s)
 	v.StartTLS()
--- a/internal/standin/kv/lease.go
+++ b/internal/standin/kv/lease.go
@@ -43,6 +43,7 @@
 	}
 }
 
+// LoseLeases ends all leases at once, with the keys under them.
 func (s *Store) LoseLeases() {
 	s.mu.Lock()
 	var ids []string
--- a/internal/switchover/switchover.go
+++ b/internal/switchover/switchover.go
@@ -27,6 +27,7 @@
 // Stage is how far a change has come.
 type Stage uint8
 
+// The stages of a change.
 const (
 	None Stage = iota
 	Announced
