--- a/internal/controlplane/agent/updates.go
+++ b/internal/controlplane/agent/updates.go
@@ -48,8 +48,8 @@
 		a.cores = n.CoreAddrs
 	}
 	drivers := n.Drivers
-	if n.DriversJoined != nil || n.DriversLeft != nil {
-		drivers = directory.ApplyDiff(a.drivers, n.DriversJoined, n.DriversLeft)
+	if n.DriversAdded != nil || n.DriversRemoved != nil {
+		drivers = directory.ApplyDiff(a.drivers, n.DriversAdded, n.DriversRemoved)
 	}
 	if drivers != nil {
 		a.drivers = drivers
--- a/internal/controlplane/controlmsg/costs_test.go
+++ b/internal/controlplane/controlmsg/costs_test.go
@@ -14,8 +14,8 @@
 	return float64(len(b) + 4)
 }
 
-// What the control plane's words cost by fleet size, in bytes as they are encoded: nothing at a core machine may grow by drivers
-// times members, or by drivers times drivers, but for the one start of all. docs/scale.md has the table.
+// What the control plane's words cost by fleet size, in bytes as they are encoded: nothing at a core machine may grow
+// by drivers times members, or by drivers times drivers, but for the one start of all. docs/scale.md has the table.
 func TestCostsBySize(t *testing.T) {
 	const cores = 5
 	var last float64
@@ -38,7 +38,7 @@
 		per := float64(n) / cores // agents, and members, at a core machine
 		core := per*(renew+answer) + (cores-1)*2*per*lease + (cores-1)*2*per/1.2*beat
 		agent := renew + answer + 2*2*digest/3
-		join := per * size(&Frame{Update: &StateUpdate{DriversJoined: drivers[:1]}})
+		join := per * size(&Frame{Update: &StateUpdate{DriversAdded: drivers[:1]}})
 		whole := size(&Frame{Update: &StateUpdate{Members: members.Snapshot(), Drivers: drivers}})
 		t.Logf("%4d drivers, %4d members: a core machine %8.0f bytes/s, an agent %4.0f; one that joins %7.0f at a core machine; a member's word %6.0f; all lists once %7.0f", n, n, core, agent, join, per*one, whole)
 		if last > 0 && core/float64(n) > 1.2*last {
--- a/internal/controlplane/controlmsg/golden_test.go
+++ b/internal/controlplane/controlmsg/golden_test.go
@@ -12,8 +12,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// fill sets every field of a value to one that follows from the CBOR key alone, so that renamed Go fields give the same bytes.
-// Slices get two elements and maps one entry.
+// fill sets every field of a value to one that follows from the CBOR key alone, so that renamed Go fields give the
+// same bytes. Slices get two elements and maps one entry.
 func fill(t *testing.T, v reflect.Value, key int) {
 	t.Helper()
 	switch v.Kind() {
@@ -59,7 +59,8 @@
 	}
 }
 
-// samples gives for each field of Frame one with that field alone, all fields in it set, and one where what it holds is empty.
+// samples gives for each field of Frame one with that field alone, all fields in it set, and one where what it holds
+// is empty.
 func samples(t *testing.T) (names []string, frames map[string]*Frame) {
 	t.Helper()
 	frames = map[string]*Frame{}
@@ -89,8 +90,8 @@
 	return names, frames
 }
 
-// Each frame's bytes and traffic class are those of testdata/frames.txt, and its bytes give the frame back. GOLDEN=write records
-// them anew, which changes what processes of two versions say to each other.
+// Each frame's bytes and traffic class are those of testdata/frames.txt, and its bytes give the frame back.
+// GOLDEN=write records them anew, which changes what processes of two versions say to each other.
 func TestFramesKeepTheirBytes(t *testing.T) {
 	names, frames := samples(t)
 	var b strings.Builder
--- a/internal/controlplane/controlmsg/hello_test.go
+++ b/internal/controlplane/controlmsg/hello_test.go
@@ -8,8 +8,8 @@
 	"weirwind/internal/util/transport"
 )
 
-// A peer that says that it reads compressed frames is sent them; one of an earlier version, whose Hello says nothing of them, is sent
-// long frames as they are. It fails for the second with Compress called at every Hello.
+// A peer that says that it reads compressed frames is sent them; one of an earlier version, whose Hello says nothing
+// of them, is sent long frames as they are. It fails for the second with Compress called at every Hello.
 func TestOnlyThoseWhoReadThemGetCompressedFrames(t *testing.T) {
 	long := &Frame{Update: &StateUpdate{ConfigVersion: 1, Config: []byte(strings.Repeat(`"type":"primary",`, 1000))}}
 	for _, h := range []*Frame{NewHello("agent", "a", "addr"), {Hello: &Hello{Kind: "agent", Name: "a", Addr: "addr"}}} {
--- a/internal/controlplane/controlmsg/purpose.go
+++ b/internal/controlplane/controlmsg/purpose.go
@@ -1,32 +1,50 @@
 package controlmsg
 
+// This file owns the counting of frames by what they are sent for.
+
 import "weirwind/internal/util/transport"
 
-// Purpose is what a frame is sent for: the classes by which traffic is counted.
+// Purpose is what a frame is sent for: the class by which its traffic is counted.
 type Purpose uint8
 
-// Purposes of frames. A frame with several parts is counted by the part that grows fastest.
+// Purposes of frames. A frame with several parts is counted by the part that grows fastest with the fleet.
 const (
-	PurposeUnknown Purpose = iota
-	Discovery
-	LeaseRenewals    // an agent's renewals, and answers that hold nothing new
-	LeaseRecords     // drivers' leases between core machines
-	DriverLists      // drivers that came and went, or all of them
-	MemberRecords    // members' records that changed, or all of them
-	MemberHeartbeats // heartbeats passed on between core machines
-	Configuration
-	ShardMaps
-	Digests
-	ConsensusHeartbeats // messages of the agreement without an entry
-	ConsensusEntries    // with one
-	PrimaryReports      // what proxies see of primaries
-	OperatorCalls       // passed on to who leads, and their answers
+	PurposeUnknown      Purpose = iota
+	Discovery                   // the opening of links
+	LeaseRenewals               // an agent's renewals, and answers with nothing new
+	LeaseRecords                // drivers' leases between core machines
+	DriverLists                 // drivers that were added or removed, or all of them
+	MemberRecords               // members' records that changed, or all of them
+	MemberHeartbeats            // heartbeats passed on between core machines
+	Configuration               // the operator's configuration
+	ShardMaps                   // which node owns which shard
+	Digests                     // of state, between agents
+	ConsensusHeartbeats         // messages of the consensus protocol without an entry
+	ConsensusEntries            // and with one
+	PrimaryReports              // what proxies observe of primaries
+	OperatorCalls               // forwarded to the leader, and their answers
 	purposeCount
 )
 
-var purposeNames = [purposeCount]string{"unknown", "discovery", "lease renewals", "lease records", "driver lists", "member records",
-	"member heartbeats", "configuration", "shard maps", "digests", "agreement heartbeats", "agreement entries", "primary reports", "operator calls"}
+// purposeNames are keys of the status that processes answer with, and stay as they are.
+var purposeNames = [purposeCount]string{
+	PurposeUnknown:      "unknown",
+	Discovery:           "discovery",
+	LeaseRenewals:       "lease renewals",
+	LeaseRecords:        "lease records",
+	DriverLists:         "driver lists",
+	MemberRecords:       "member records",
+	MemberHeartbeats:    "member heartbeats",
+	Configuration:       "configuration",
+	ShardMaps:           "shard maps",
+	Digests:             "digests",
+	ConsensusHeartbeats: "agreement heartbeats",
+	ConsensusEntries:    "agreement entries",
+	PrimaryReports:      "primary reports",
+	OperatorCalls:       "operator calls",
+}
 
+// String returns the purpose's name in a process's status.
 func (p Purpose) String() string {
 	if p >= purposeCount {
 		return purposeNames[PurposeUnknown]
@@ -34,10 +52,10 @@
 	return purposeNames[p]
 }
 
-// TrafficClass makes frames countable by their purpose.
+// TrafficClass returns the frame's purpose as the class that package transport counts it in.
 func (f *Frame) TrafficClass() uint8 { return uint8(f.Purpose()) }
 
-// Purpose says what a frame is sent for.
+// Purpose returns what the frame is sent for.
 func (f *Frame) Purpose() Purpose {
 	switch {
 	case f.Hello != nil:
@@ -73,26 +91,26 @@
 		return ShardMaps
 	case u.Members != nil:
 		return MemberRecords
-	case u.Drivers != nil, u.DriversJoined != nil, u.DriversLeft != nil:
+	case u.Drivers != nil, u.DriversAdded != nil, u.DriversRemoved != nil:
 		return DriverLists
 	}
 	return LeaseRenewals
 }
 
-// Traffic is what a process sent and received by purpose.
+// Traffic is what a process sent and received, by name of purpose.
 type Traffic struct {
 	Sent     map[string]transport.Count `json:"sent"`
 	Received map[string]transport.Count `json:"received"`
 }
 
-// ReadTraffic reads counters. Purposes of which there was nothing are left out.
-func ReadTraffic(c *transport.Counters) Traffic {
+// ReadTraffic reads counters. Purposes without a frame are left out.
+func ReadTraffic(counters *transport.Counters) Traffic {
 	t := Traffic{Sent: map[string]transport.Count{}, Received: map[string]transport.Count{}}
 	for p := PurposeUnknown; p < purposeCount; p++ {
-		if n := c.Sent(uint8(p)); n.Frames > 0 {
+		if n := counters.Sent(uint8(p)); n.Frames > 0 {
 			t.Sent[p.String()] = n
 		}
-		if n := c.Received(uint8(p)); n.Frames > 0 {
+		if n := counters.Received(uint8(p)); n.Frames > 0 {
 			t.Received[p.String()] = n
 		}
 	}
--- a/internal/controlplane/tables.go
+++ b/internal/controlplane/tables.go
@@ -204,7 +204,7 @@
 	joined, left := directory.Diff(t.drivers, t.leases.Drivers())
 	t.drivers, t.driversDigest = t.leases.Drivers(), t.leases.Digest()
 	if joined != nil || left != nil {
-		t.push(&controlmsg.StateUpdate{DriversJoined: joined, DriversLeft: left})
+		t.push(&controlmsg.StateUpdate{DriversAdded: joined, DriversRemoved: left})
 	}
 }
 
@@ -370,7 +370,7 @@
 	case t.tableComplete(now):
 		n.Drivers = t.drivers
 	case !linked:
-		n.DriversJoined = t.leases.Drivers()
+		n.DriversAdded = t.leases.Drivers()
 	}
 	f := &controlmsg.Frame{Update: n}
 	if now < ms(askAgents) && r.Digest.MembersHash != d.MembersHash { // what was lost here is told by those who were told: also of members that are dead
