--- a/internal/controlplane/controlmsg/golden_test.go
+++ b/internal/controlplane/controlmsg/golden_test.go
@@ -133,8 +133,9 @@
 
 // The names of purposes are keys of a machine's status, and their numbers are classes of traffic.
 func TestPurposesKeepTheirNames(t *testing.T) {
-	want := []string{"unknown", "discovery", "lease renewals", "lease records", "driver lists", "member records", "member heartbeats",
-		"configuration", "shard maps", "digests", "agreement heartbeats", "agreement entries", "primary reports", "operator calls", "unknown"}
+	want := []string{"unknown", "discovery", "lease renewals", "lease records", "driver lists", "member records",
+		"member heartbeats", "configuration", "shard maps", "digests", "agreement heartbeats", "agreement entries",
+		"primary reports", "operator calls", "unknown"}
 	for i, name := range want {
 		if got := Purpose(i).String(); got != name {
 			t.Errorf("purpose %d is %q, want %q", i, got, name)
--- a/internal/controlplane/controlmsg/hello_test.go
+++ b/internal/controlplane/controlmsg/hello_test.go
@@ -10,7 +10,7 @@
 
 // A peer that says that it reads compressed frames is sent them; one of an earlier version, whose Hello says nothing
 // of them, is sent long frames as they are. It fails for the second with Compress called at every Hello.
-func TestOnlyThoseWhoReadThemGetCompressedFrames(t *testing.T) {
+func TestOnlyPeersThatReadThemAreSentCompressedFrames(t *testing.T) {
 	long := &Frame{Update: &StateUpdate{ConfigVersion: 1, Config: []byte(strings.Repeat(`"type":"primary",`, 1000))}}
 	for _, h := range []*Frame{NewHello("agent", "a", "addr"), {Hello: &Hello{Kind: "agent", Name: "a", Addr: "addr"}}} {
 		ln, err := net.Listen("tcp4", "127.0.0.1:0")
