--- a/internal/controlplane/controlmsg/costs_test.go
+++ b/internal/controlplane/controlmsg/costs_test.go
@@ -14,8 +14,9 @@
 	return float64(len(b) + 4)
 }
 
-// What the control plane's messages cost by fleet size, in bytes as they are encoded: nothing at a core machine may grow
-// by drivers times members, or by drivers times drivers, but for the one start of all. docs/scale.md has the table.
+// What the control plane's messages cost by fleet size, in bytes as they are encoded: nothing at a core machine may
+// grow by drivers times members, or by drivers times drivers, but for the one start of all. docs/scale.md has the
+// table.
 func TestCostsBySize(t *testing.T) {
 	const cores = 5
 	var last float64
