--- a/internal/controlplane/consensus/catch_up_test.go
+++ b/internal/controlplane/consensus/catch_up_test.go
@@ -27,8 +27,9 @@
 	return true
 }
 
-// TestCatchesUpFromAnyAge has a machine away from the tenth of some hundreds of changes on, and back while changes go on every
-// 20 ms, from each state that its disk may have; then made the leader. It must hold all that was acknowledged.
+// TestCatchesUpFromAnyAge has a machine away from the tenth of some hundreds of changes on, and back while
+// changes go on every 20 ms, from each state that its disk may have; then made the leader. It must hold all
+// that was acknowledged.
 func TestCatchesUpFromAnyAge(t *testing.T) {
 	cases := []struct {
 		name  string
@@ -60,7 +61,7 @@
 			h.on = false
 			if c.name == "removed meanwhile" {
 				for _, a := range v.live() {
-					v.hosts[a].node.o.MinVoters = 2
+					v.hosts[a].node.options.MinVoters = 2
 				}
 			}
 			v.run(6000, 0)
@@ -100,7 +101,7 @@
 	t.Helper()
 	for end := v.now + 20_000; v.leader() != h; {
 		if l := v.leader(); l != nil && !l.node.InFlight() {
-			if p := l.node.peers[h.node.HardState.ID]; p != nil && !l.node.lacks(p) {
+			if p := l.node.progress[h.node.HardState.ID]; p != nil && !l.node.lacksLast(p) {
 				l.node.send(h.addr, Message{Kind: TimeoutNow, Term: l.node.HardState.Term})
 				v.settle(l, 0)
 				for range 30 { // a leader that hands over takes no change meanwhile
@@ -136,7 +137,8 @@
 	}
 }
 
-// TestJoinsWithinASecond has an empty machine start at a new address. One of its seeds was replaced, and connections are made first.
+// TestJoinsWithinASecond has an empty machine start at a new address. One of its seeds was replaced, and
+// connections are made first.
 func TestJoinsWithinASecond(t *testing.T) {
 	slowest := 0.0
 	for seed := range days(200) {
@@ -158,8 +160,8 @@
 	t.Logf("the slowest took %.0f ms", slowest)
 }
 
-// TestComesBackWhenAllThatItKnewAreReplaced has a machine removed while it is away, and come back with an empty disk when none of its
-// seeds is there: those that saw it removed tell it who leads.
+// TestComesBackWhenAllThatItKnewAreReplaced has a machine removed while it is away, and come back with an
+// empty disk when none of its seeds is there: those that saw it removed tell it who leads.
 func TestComesBackWhenAllThatItKnewAreReplaced(t *testing.T) {
 	for seed := range days(20) {
 		v := newCluster(uint64(seed), 3)
--- a/internal/controlplane/consensus/consensus_test.go
+++ b/internal/controlplane/consensus/consensus_test.go
@@ -10,8 +10,9 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// cluster plays machines of a core under one scheduler: messages are lost, doubled and late; machines lose power between a
-// write and its sync, freeze, lose their disks, are replaced at other addresses. Values are chains, so that a lost one shows.
+// cluster plays machines of a core under one scheduler: messages are lost, doubled and late; machines lose
+// power between a write and its sync, freeze, lose their disks, are replaced at other addresses. Values are
+// chains, so that a lost one shows.
 type cluster struct {
 	r       *rand.Rand
 	now     float64
--- a/internal/controlplane/consensus/contact_test.go
+++ b/internal/controlplane/consensus/contact_test.go
@@ -7,8 +7,9 @@
 	"testing"
 )
 
-// contactModel plays machines whose clocks start with their processes and run apart by up to one in a thousand. Messages are lost, late
-// and, at a frozen machine, kept; machines are cut off both ways or one way, freeze and lose power.
+// contactModel plays machines whose clocks start with their processes and run apart by up to one in a
+// thousand. Messages are lost, late and, at a frozen machine, kept; machines are cut off both ways or one
+// way, freeze and lose power.
 type contactModel struct {
 	r          *rand.Rand
 	now        float64
@@ -46,7 +47,8 @@
 	m    Message
 }
 
-// contactAck is the moment at which some leader knew an entry to be committed: what is acknowledged is, then or later.
+// contactAck is the moment at which some leader knew an entry to be committed: what is acknowledged is, then
+// or later.
 type contactAck struct {
 	at    float64
 	index uint64
@@ -176,7 +178,7 @@
 	}
 	for _, h := range w.hosts {
 		if !h.on && h.offTill <= w.now {
-			w.start(h, h.node.o.Seeds)
+			w.start(h, h.node.options.Seeds)
 		}
 		if max(h.cutOut, h.cutIn) <= w.now {
 			h.cutSince = math.Inf(1)
@@ -220,7 +222,8 @@
 	h.cutSince = min(h.cutSince, w.now)
 }
 
-// divide puts up to as many machines as a majority can do without on a side of their own, a leader and its followers maybe among them.
+// divide puts up to as many machines as a majority can do without on a side of their own, a leader and its
+// followers maybe among them.
 func (w *contactModel) divide(until float64) {
 	if w.split > w.now {
 		return
@@ -231,10 +234,11 @@
 	}
 }
 
-// TestContactVouchesForWhatIsKnown holds, over random histories of three and five machines: a machine whose contact is younger than the
-// lease knows all that was acknowledged anywhere before that contact, and a machine that is cut off, in one direction or both, has no
-// contact once the lease is over. It fails without the condition of Confirmed in endProbe, of decided or life in takeContact, and of
-// contactAt or clockAt in contactFor; without Ready there in the history numbered afterElection.
+// TestContactVouchesForWhatIsKnown holds, over random histories of three and five machines: a machine whose
+// contact is younger than the lease knows all that was acknowledged anywhere before that contact, and a
+// machine that is cut off, in one direction or both, has no contact once the lease is over. It fails without
+// the condition of Confirmed in endProbe, of decided or life in takeContact, and of contactAt or clockAt in
+// contactFor; without Ready there in the history numbered afterElection.
 func TestContactVouchesForWhatIsKnown(t *testing.T) {
 	const afterElection = 1607 // a new leader passes on a contact of its own that is older than its lead
 	seeds := 300
@@ -266,7 +270,8 @@
 	}
 }
 
-// TestContactIsKeptUp: where nothing is wrong but a message in twenty is lost, each machine has contact, well under the lease.
+// TestContactIsKeptUp: where nothing is wrong but a message in twenty is lost, each machine has contact, well
+// under the lease.
 func TestContactIsKeptUp(t *testing.T) {
 	for seed := range 20 {
 		w := newContactModel(uint64(seed), 3+2*(seed%2))
--- a/internal/controlplane/consensus/digest_test.go
+++ b/internal/controlplane/consensus/digest_test.go
@@ -11,8 +11,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// digest folds all that nodes put out, in order, into one number: messages, hard state, role, what is known committed, the other
-// voters' progress, and contact. A nil digest takes nothing.
+// digest folds all that nodes put out, in order, into one number: messages, hard state, role, what is known
+// committed, the other voters' progress, and contact. A nil digest takes nothing.
 type digest struct{ sum hash.Hash64 }
 
 func newDigest() *digest { return &digest{fnv.New64a()} }
@@ -82,7 +82,8 @@
 	}
 }
 
-// playLosses has machines lose power and disks, freeze, be cut off and replaced; with changes, and reads that are confirmed.
+// playLosses has machines lose power and disks, freeze, be cut off and replaced; with changes, and reads that
+// are confirmed.
 func playLosses(d *digest, seed uint64) {
 	v := newCluster(seed, 3+2*int(seed%2))
 	v.digest = d
@@ -131,8 +132,8 @@
 	d.add("%v %v", v.acked, v.wrong)
 }
 
-// playLeaving has processes end in order where their voters may be removed and where not, connections to leaders break, and
-// leaders asked to transfer their leadership.
+// playLeaving has processes end in order where their voters may be removed and where not, connections to
+// leaders break, and leaders asked to transfer their leadership.
 func playLeaving(d *digest, seed uint64) {
 	v := newCluster(seed, 3+2*int(seed/2%2))
 	v.digest = d
@@ -177,8 +178,8 @@
 	d.add("%v %v", w.held, w.seen)
 }
 
-// playAnyMessage calls one node in any order with messages of every kind, from voters, joiners and strangers, of terms, entries and
-// rounds around its own.
+// playAnyMessage calls one node in any order with messages of every kind, from voters, joiners and strangers,
+// of terms, entries and rounds around its own.
 func playAnyMessage(d *digest, seed uint64) {
 	r := rand.New(rand.NewPCG(seed, 41))
 	addrs := []string{"m0", "m1", "m2", "m3", "m4"}[:[]int{1, 2, 3, 5}[seed%4]]
@@ -245,7 +246,7 @@
 		LastIndex: near(h.Last.Index), Granted: r.IntN(3) == 0, Commit: near(h.Last.Index), Round: uint64(r.IntN(40)),
 		Clock: 1000 * r.Float64(), Contact: 10_000 + 20_000*r.Float64(), Incarnation: uint32(r.IntN(2))}
 	if r.IntN(2) == 0 {
-		m.Incarnation = n.life
+		m.Incarnation = n.incarnation
 	}
 	if m.Kind == PreVoteResponse || m.Kind == VoteResponse {
 		m.Granted = r.IntN(4) > 0
--- a/internal/controlplane/consensus/election.go
+++ b/internal/controlplane/consensus/election.go
@@ -1,168 +1,168 @@
 package consensus
 
-// This file owns elections: when one begins, who gets a vote, and when a leader steps down or hands over.
-
-import "slices"
-
-// rest puts the next election off. Pre-votes keep those apart that wake together, so that half a timeout of spread is enough.
-func (n *Node) rest(now float64) { n.waitTil = now + n.o.ElectionTimeout*(1+0.5*n.o.Random()) }
+// resetElectionDeadline puts the next election off. Pre-votes keep those apart that wake together, so that
+// half a timeout of spread is enough.
+func (n *Node) resetElectionDeadline(now float64) {
+	n.electionDeadline = now + n.options.ElectionTimeout*(1+0.5*n.options.Random())
+}
 
-// LeaderDisconnected is told when the connection to the leader broke.
-func (n *Node) LeaderDisconnected(addr string, now float64) {
-	if n.role != Leader && n.leader.Addr == addr {
-		n.leader, n.heardAt = Voter{}, now-n.o.ElectionTimeout
-		n.waitTil = min(n.waitTil, now+n.o.ElectionTimeout*0.4*n.o.Random())
-	}
+// becomeFollower follows a leader, or nobody yet, in the current term.
+func (n *Node) becomeFollower(leader Voter, now float64) {
+	n.role, n.leader, n.votes, n.termCommitted = Follower, leader, nil, false
+	n.resetElectionDeadline(now)
 }
 
-func (n *Node) campaign(now float64) {
-	n.waitTil = now + n.o.ElectionTimeout*(0.3+0.5*n.o.Random()) // a first round binds nobody: it is asked again soon
-	n.role, n.pre, n.votes, n.leader = Candidate, true, map[string]bool{n.HardState.ID: true}, Voter{}
-	n.preAt = now
-	n.askToJoin() // it may have been voted out while it was away; who leads and counts it as a voter passes over this
-	n.count(now)
-	if n.pre {
-		n.ask(RequestPreVote, n.HardState.Term+1)
-	}
+// becomePreCandidate begins a round of pre-votes. It binds nobody, so that it is soon begun again.
+func (n *Node) becomePreCandidate(now float64) {
+	n.electionDeadline = now + n.options.ElectionTimeout*(0.3+0.5*n.options.Random())
+	n.role, n.leader, n.votes = preCandidate, Voter{}, map[string]bool{n.HardState.ID: true}
+	n.preVoteStartedAt = now
 }
 
-func (n *Node) ask(kind Kind, term uint64) {
-	for _, v := range n.HardState.Last.Voters {
-		if v.ID != n.HardState.ID {
-			n.send(v.Addr, Message{Kind: kind, Term: term, LastTerm: n.HardState.Last.Term, LastIndex: n.HardState.Last.Index,
-				Granted: kind == RequestVote && n.handed})
-		}
-	}
+// becomeCandidate begins a term and votes for itself. A vote takes a round trip and a sync: a split one is
+// soon tried again.
+func (n *Node) becomeCandidate(transferred bool, now float64) {
+	n.electionDeadline = now + n.options.ElectionTimeout*(0.4+0.6*n.options.Random())
+	n.role, n.leader, n.votes = Candidate, Voter{}, map[string]bool{n.HardState.ID: true}
+	n.transferredElection = transferred
+	n.setTerm(n.HardState.Term+1, n.HardState.ID)
 }
 
-func (n *Node) count(now float64) {
-	if n.role != Candidate {
-		return
-	}
-	have := 0
+// becomeLeader begins a lead. What was accepted before is committed by an entry of its own term (Raft,
+// section 5.4.2).
+func (n *Node) becomeLeader(now float64) {
+	n.role, n.leader, n.termCommitted = Leader, n.self(), false
+	n.progress = map[string]*progress{}
 	for _, v := range n.HardState.Last.Voters {
-		if n.votes[v.ID] {
-			have++
-		}
-	}
-	if have < majority(n.HardState.Last.Voters) {
-		return
-	}
-	if n.pre {
-		n.stand(now, false)
-		return
-	}
-	n.role, n.leader, n.current = Leader, n.self(), false
-	n.peers = map[string]*peer{}
-	for _, v := range n.HardState.Last.Voters {
-		n.peers[v.ID] = &peer{heard: now}
+		n.progress[v.ID] = &progress{lastResponse: now}
 	}
-	if p := n.peers[n.followed.ID]; p != nil && !n.votes[n.followed.ID] {
+	if p := n.progress[n.lastFollowed.voter.ID]; p != nil && !n.votes[n.lastFollowed.voter.ID] {
 		// The old leader's silence did not begin with this election; it has time for one answer all the same.
-		p.heard = max(n.followedTill, now-n.o.ElectionTimeout)
+		p.lastResponse = max(n.lastFollowed.lastMessageAt, now-n.options.ElectionTimeout)
 	}
-	n.put(n.HardState.Last.Voters, n.HardState.Last.Value, now) // what was accepted before is committed by an entry of this term
+	n.appendEntry(n.HardState.Last.Voters, n.HardState.Last.Value, now)
 }
 
-func (n *Node) follow(leader Voter, now float64) {
-	n.role, n.leader, n.pre, n.votes, n.current = Follower, leader, false, nil, false
-	n.rest(now)
+// setTerm changes the term, and who has this node's vote in it.
+func (n *Node) setTerm(term uint64, vote string) {
+	n.HardState.Term, n.HardState.Vote, n.unsynced = term, vote, true
 }
 
-func (n *Node) raise(term uint64, now float64) {
+// observeTerm follows nobody in a term that is newer than this node's.
+func (n *Node) observeTerm(term uint64, now float64) {
 	if term > n.HardState.Term {
-		n.HardState.Term, n.HardState.Vote, n.dirty = term, "", true
-		n.follow(Voter{}, now)
+		n.setTerm(term, "")
+		n.becomeFollower(Voter{}, now)
 	}
 }
 
-// stand begins a term of its own. handed: the leader asked for it, so that others vote though they hear that leader.
-func (n *Node) stand(now float64, handed bool) {
-	// A vote takes a round trip and a sync: a split one is tried again soon.
-	n.waitTil = now + n.o.ElectionTimeout*(0.4+0.6*n.o.Random())
-	n.role, n.pre, n.handed, n.leader = Candidate, false, handed, Voter{}
-	n.votes = map[string]bool{n.HardState.ID: true}
-	n.HardState.Term, n.HardState.Vote, n.dirty = n.HardState.Term+1, n.HardState.ID, true
-	n.ask(RequestVote, n.HardState.Term)
-	n.count(now)
+// LeaderDisconnected says that the connection to a machine broke. Where that leads, an election begins early.
+func (n *Node) LeaderDisconnected(addr string, now float64) {
+	if n.role != Leader && n.leader.Addr == addr {
+		n.leader, n.lastLeaderMessage = Voter{}, now-n.options.ElectionTimeout
+		n.electionDeadline = min(n.electionDeadline, now+n.options.ElectionTimeout*0.4*n.options.Random())
+	}
 }
 
-// Leave is told that this process ends in order: others hear of it, and a leader hands over first. Gone says when it has.
-func (n *Node) Leave(now float64) {
-	if n.leavingAt > 0 {
-		return
-	}
-	n.leavingAt = max(now, 1)
-	for _, a := range n.known() {
-		n.send(a, Message{Kind: Leave})
-	}
-	if n.role == Leader {
-		n.handOver(now)
+// preCampaign asks whether an election could be won, and begins it at once where this node alone is a majority.
+func (n *Node) preCampaign(now float64) {
+	n.becomePreCandidate(now)
+	n.requestJoin() // it may have been voted out while it was away; a leader that counts it as a voter ignores this
+	n.countVotes(now)
+	if n.role == preCandidate {
+		n.requestVotes(RequestPreVote, n.HardState.Term+1)
 	}
 }
 
-// LeaveDone says that nothing waits for this process any more behind Leave: it votes no longer, or the time is over in which
-// the leader would have had it removed.
-func (n *Node) LeaveDone(now float64) bool {
-	return n.leavingAt > 0 && n.role != Leader && (!n.isVoter(n.HardState.ID) || now-n.leavingAt > n.o.ElectionTimeout*2/3)
+// campaign begins an election; transferred: the leader asked for it, and others vote though they hear that leader.
+func (n *Node) campaign(transferred bool, now float64) {
+	n.becomeCandidate(transferred, now)
+	n.requestVotes(RequestVote, n.HardState.Term)
+	n.countVotes(now)
 }
 
-// handOver ends a leader's part behind an entry that is on its way. Where it may be removed, the rest votes without it
-// first (its successor could else need a vote that went with it); where not, another is asked to stand, and one more if
-// that one did not.
-func (n *Node) handOver(now float64) {
-	if n.InFlight() || now < n.handAt {
-		return
-	}
+func (n *Node) requestVotes(kind Kind, term uint64) {
 	last := &n.HardState.Last
-	rest := slices.DeleteFunc(slices.Clone(last.Voters), func(v Voter) bool { return v.ID == n.HardState.ID })
-	if _, joins := n.nextJoiner(now); n.mayRemove(joins) && n.answering(rest, now) >= majority(rest) {
-		n.put(rest, last.Value, now)
-		return
+	for _, v := range last.Voters {
+		if v.ID != n.HardState.ID {
+			n.send(v.Addr, Message{Kind: kind, Term: term, LastTerm: last.Term, LastIndex: last.Index,
+				Granted: kind == RequestVote && n.transferredElection})
+		}
 	}
-	n.askSuccessor(now)
 }
 
-// askSuccessor has the voter stand for election that was heard last, of those that hold this leader's entry.
-func (n *Node) askSuccessor(now float64) {
-	n.handAt = now + n.o.ElectionTimeout/3
-	var best Voter
-	heard := 0.0
-	for _, v := range n.HardState.Last.Voters {
-		p := n.peers[v.ID]
-		if v.ID != n.HardState.ID && p != nil && !n.lacks(p) && !n.leaving(v.ID, now) && p.heard > heard {
-			best, heard = v, p.heard
-		}
+// countVotes goes on to the election, or to the lead, where a majority granted it.
+func (n *Node) countVotes(now float64) {
+	if n.role != preCandidate && n.role != Candidate {
+		return
 	}
-	if best.ID != "" {
-		n.send(best.Addr, Message{Kind: TimeoutNow, Term: n.HardState.Term})
-		n.peers[best.ID].heard = heard - 2*n.o.HeartbeatInterval // the next try is another's
+	if !hasMajority(n.HardState.Last.Voters, func(v Voter) bool { return n.votes[v.ID] }) {
+		return
+	}
+	if n.role == preCandidate {
+		n.campaign(false, now)
+		return
 	}
+	n.becomeLeader(now)
 }
 
-// goesFirst says that this node has just asked the same question and goes before the sender, by its id: two that wake
-// together would else split the votes. It holds for about a round trip, so that one that can't win blocks nobody for long.
-func (n *Node) goesFirst(m *Message, now float64) bool {
-	return n.role == Candidate && n.pre && n.HardState.ID < m.From.ID && now-n.preAt < 0.15*n.o.ElectionTimeout &&
-		m.LastTerm == n.HardState.Last.Term && m.LastIndex == n.HardState.Last.Index
+func (n *Node) handlePreVoteResponse(m *Message, now float64) {
+	if n.role == preCandidate && m.Term == n.HardState.Term+1 && m.Granted {
+		n.votes[m.From.ID] = true
+		n.countVotes(now)
+	}
 }
 
-func (n *Node) vote(m *Message, now float64) {
-	fresh := m.LastTerm > n.HardState.Last.Term || m.LastTerm == n.HardState.Last.Term && m.LastIndex >= n.HardState.Last.Index
-	led := n.role == Leader || n.leader.ID != "" && n.leader.ID != m.From.ID && now-n.heardAt < n.o.ElectionTimeout
-	if m.Kind == RequestPreVote {
-		granted := fresh && !led && !n.goesFirst(m, now) && m.Term > n.HardState.Term && n.HardState.Last.Index > 0
-		n.send(m.From.Addr, Message{Kind: PreVoteResponse, Term: m.Term, Granted: granted})
+func (n *Node) handleVoteResponse(m *Message, now float64) {
+	if m.Term > n.HardState.Term {
+		n.observeTerm(m.Term, now)
 		return
 	}
-	if led && !m.Granted && m.Term > n.HardState.Term {
-		return // a leader that others follow is not unseated
+	if n.role == Candidate && m.Term == n.HardState.Term && m.Granted {
+		n.votes[m.From.ID] = true
+		n.countVotes(now)
+	}
+}
+
+// handlePreVoteRequest says whether a vote would be given. It changes nothing that decides.
+func (n *Node) handlePreVoteRequest(m *Message, now float64) {
+	n.setLeaving(m.From.ID, false, now)
+	granted := m.Term > n.HardState.Term && n.canVoteFor(m) && !n.hasOtherLeader(m.From, now) && !n.precedes(m, now)
+	n.send(m.From.Addr, Message{Kind: PreVoteResponse, Term: m.Term, Granted: granted})
+}
+
+// handleVoteRequest gives the vote of a term to the first that asks for it and holds all that this node holds.
+func (n *Node) handleVoteRequest(m *Message, now float64) {
+	n.setLeaving(m.From.ID, false, now)
+	if m.Term > n.HardState.Term && !m.leadershipTransfer() && n.hasOtherLeader(m.From, now) {
+		return // a leader that others follow is not unseated (Raft, section 6)
 	}
-	n.raise(m.Term, now)
-	granted := m.Term == n.HardState.Term && fresh && n.HardState.Last.Index > 0 && (n.HardState.Vote == "" || n.HardState.Vote == m.From.ID)
+	n.observeTerm(m.Term, now)
+	free := n.HardState.Vote == "" || n.HardState.Vote == m.From.ID
+	granted := m.Term == n.HardState.Term && n.canVoteFor(m) && free
 	if granted && n.HardState.Vote == "" {
-		n.HardState.Vote, n.dirty = m.From.ID, true
-		n.rest(now)
+		n.HardState.Vote, n.unsynced = m.From.ID, true
+		n.resetElectionDeadline(now)
 	}
 	n.send(m.From.Addr, Message{Kind: VoteResponse, Term: n.HardState.Term, Granted: granted})
 }
+
+// canVoteFor says that a candidate's last entry is as new as this node's, which has one: an empty disk knows
+// nothing to compare with.
+func (n *Node) canVoteFor(m *Message) bool {
+	return n.HardState.Last.Index > 0 && !n.HardState.Last.id().newerThan(m.lastID())
+}
+
+// hasOtherLeader says that this node leads, or hears a leader other than the candidate.
+func (n *Node) hasOtherLeader(candidate Voter, now float64) bool {
+	hears := n.leader.ID != "" && n.leader.ID != candidate.ID && now-n.lastLeaderMessage < n.options.ElectionTimeout
+	return n.role == Leader || hears
+}
+
+// precedes says that this node has just asked the same question and goes before the sender, by its ID: two
+// that wake together would else split the votes. It holds for about a round trip, so that one that can't win
+// blocks nobody for long.
+func (n *Node) precedes(m *Message, now float64) bool {
+	justAsked := n.role == preCandidate && now-n.preVoteStartedAt < 0.15*n.options.ElectionTimeout
+	return justAsked && n.HardState.ID < m.From.ID && m.lastID() == n.HardState.Last.id()
+}
--- a/internal/controlplane/consensus/exhaustive_test.go
+++ b/internal/controlplane/consensus/exhaustive_test.go
@@ -12,8 +12,8 @@
 	"testing"
 )
 
-// small is three machines whose every order of events is tried up to a depth: who acts, which letter comes, whose power goes
-// between its sync and its words.
+// small is three machines whose every order of events is tried up to a depth: who acts, which letter comes,
+// whose power goes between its sync and its words.
 type small struct {
 	nodes   [3]*Node
 	disks   [3]HardState
@@ -39,13 +39,13 @@
 		for k, v := range n.votes {
 			m.votes[k] = v
 		}
-		m.peers = map[string]*peer{}
-		for k, v := range n.peers {
+		m.progress = map[string]*progress{}
+		for k, v := range n.progress {
 			p := *v
-			m.peers[k] = &p
+			m.progress[k] = &p
 		}
-		m.joins = map[string]joiner{}
-		m.left, m.former = maps.Clone(n.left), maps.Clone(n.former)
+		m.joiners = map[string]joiner{}
+		m.leavingVoters, m.removedAddrs = maps.Clone(n.leavingVoters), maps.Clone(n.removedAddrs)
 		c.nodes[i] = &m
 		c.disks[i] = copyOf(s.disks[i])
 	}
@@ -61,7 +61,7 @@
 		if n.Dirty() {
 			s.disks[i] = copyOf(n.HardState)
 			if die {
-				s.nodes[i] = New(n.o, copyOf(s.disks[i]), s.now)
+				s.nodes[i] = New(n.options, copyOf(s.disks[i]), s.now)
 				return
 			}
 			n.Synced(s.now)
@@ -98,8 +98,8 @@
 func (s *small) key() string {
 	var b strings.Builder
 	for _, n := range s.nodes {
-		fmt.Fprintf(&b, "%d %d %s %d %d %q %d %v %d %v %v|", n.role, n.HardState.Term, n.HardState.Vote, n.HardState.Last.Term, n.HardState.Last.Index, n.HardState.Last.Value, n.HardState.Commit, n.pre, len(n.HardState.Last.Voters),
-			n.leavingAt, n.left)
+		fmt.Fprintf(&b, "%d %d %s %d %d %q %d %v %d %v %v|", n.role, n.HardState.Term, n.HardState.Vote, n.HardState.Last.Term, n.HardState.Last.Index, n.HardState.Last.Value, n.HardState.Commit, n.role == preCandidate, len(n.HardState.Last.Voters),
+			n.leavingSince, n.leavingVoters)
 	}
 	var mail []string
 	for _, m := range s.mail {
@@ -111,8 +111,8 @@
 
 func TestEveryOrderOfFewEvents(t *testing.T) { everyOrder(t, 3, false) }
 
-// TestEveryOrderOfLeaving has one machine end in order as well, at any time, where two voters are enough: a leader hands over, or is
-// removed by itself; a follower is removed by who leads then.
+// TestEveryOrderOfLeaving has one machine end in order as well, at any time, where two voters are enough: a
+// leader hands over, or is removed by itself; a follower is removed by who leads then.
 func TestEveryOrderOfLeaving(t *testing.T) { everyOrder(t, 2, true) }
 
 func everyOrder(t *testing.T, fewest int, leaving bool) {
@@ -123,7 +123,7 @@
 		start.nodes[i] = New(Options{Addr: a, Seeds: addrs, MinVoters: fewest, HeartbeatInterval: 200, ElectionTimeout: 900, RemoveAfter: 1e9, Random: draw}, copyOf(start.disks[i]), 0)
 	}
 	if leaving { // from where one leads: all of the depth is for what comes then
-		start.nodes[0].campaign(start.now)
+		start.nodes[0].preCampaign(start.now)
 		start.settle(0, false)
 		for len(start.mail) > 0 {
 			m := start.mail[0]
@@ -149,7 +149,7 @@
 			if e, ok := n.Committed(); ok && len(e.Voters) == 2 {
 				removed++
 			}
-			if n.role == Leader && n.handed && i == 1 {
+			if n.role == Leader && n.transferredElection && i == 1 {
 				handed++
 			}
 		}
@@ -164,7 +164,7 @@
 		for i := range 2 { // the third only answers: who is third is no matter
 			if s.nodes[i].role != Leader && strings.Count(path, fmt.Sprint("c", i)) < 2 {
 				c := s.fork()
-				c.nodes[i].campaign(c.now)
+				c.nodes[i].preCampaign(c.now)
 				c.settle(i, false)
 				walk(c, left-1, path+fmt.Sprint(" c", i))
 			}
@@ -176,7 +176,7 @@
 			}
 			if leaving && s.nodes[i].role == Leader && !s.nodes[i].InFlight() {
 				c := s.fork()
-				c.nodes[i].beatAt = c.now + 1
+				c.nodes[i].nextHeartbeat = c.now + 1
 				c.nodes[i].Tick(c.now)
 				c.settle(i, false)
 				walk(c, left-1, path+fmt.Sprint(" t", i))
@@ -210,7 +210,7 @@
 				if die {
 					mark = " !"
 				}
-				walk(c, left-1, path+fmt.Sprint(mark, m.To, m.Message.Kind))
+				walk(c, left-1, path+fmt.Sprint(mark, m.To, uint8(m.Message.Kind)))
 			}
 		}
 	}
@@ -224,7 +224,8 @@
 	t.Log(states, "states")
 }
 
-// TestMeasure prints how long the core is without a leader, and a change without its answer, after each kind of fault; -v shows it.
+// TestMeasure prints how long the core is without a leader, and a change without its answer, after each kind
+// of fault; -v shows it.
 func TestMeasure(t *testing.T) {
 	for _, fault := range []string{"leader killed", "leader frozen", "leader cut off", "follower killed", "power lost everywhere", "leader wiped", "leader told to end"} {
 		var led []float64
--- a/internal/controlplane/consensus/golden_test.go
+++ b/internal/controlplane/consensus/golden_test.go
@@ -15,8 +15,8 @@
 
 var update = flag.Bool("update", false, "write testdata/wire.txt anew")
 
-// TestWireForm holds the bytes of each kind of message, and of what is stored and exported, against those that were recorded: they are
-// what other machines of another build send, and what their disks hold.
+// TestWireForm holds the bytes of each kind of message, and of what is stored and exported, against those
+// that were recorded: they are what other machines of another build send, and what their disks hold.
 func TestWireForm(t *testing.T) {
 	const file = "testdata/wire.txt"
 	voters := []Voter{{"0@a:1", "a:1"}, {"7f3a@b:2", "b:2"}}
@@ -96,7 +96,7 @@
 func TestStatusForm(t *testing.T) {
 	n := New(Options{Addr: "a:1", MinVoters: 3, HeartbeatInterval: 200, ElectionTimeout: 900, RemoveAfter: 1575, Random: draw},
 		Bootstrap("a:1", []string{"a:1", "b:2", "c:3"}), 1000)
-	n.campaign(1000)
+	n.preCampaign(1000)
 	n.Step(&Message{Kind: PreVoteResponse, From: Voter{"0@b:2", "b:2"}, Term: 1, Granted: true}, 1000)
 	n.Step(&Message{Kind: VoteResponse, From: Voter{"0@b:2", "b:2"}, Term: 1, Granted: true}, 1000)
 	n.Step(&Message{Kind: AppendEntriesResponse, From: Voter{"0@b:2", "b:2"}, Term: 1, LastTerm: 1, LastIndex: 2, Round: 1}, 1010.5)
--- a/internal/controlplane/consensus/replication.go
+++ b/internal/controlplane/consensus/replication.go
@@ -1,157 +1,172 @@
 package consensus
 
-// This file owns replication: heartbeats, entries on their way, what is committed, and confirmation by a majority.
-
 import (
 	"maps"
 	"slices"
 )
 
-// Propose offers a value behind the last one. False: not now.
+// Propose offers a value behind the last one. False: this node is no established leader, shuts down, or has
+// an entry in flight.
 func (n *Node) Propose(value []byte, now float64) (Entry, bool) {
-	if !n.Established() || n.InFlight() || n.leavingAt > 0 {
+	if !n.Established() || n.InFlight() || n.leaving() {
 		return Entry{}, false
 	}
-	n.put(n.HardState.Last.Voters, value, now)
+	n.appendEntry(n.HardState.Last.Voters, value, now)
 	return n.HardState.Last, true
 }
 
-func (n *Node) put(voters []Voter, value []byte, now float64) {
-	n.noteFormer(voters, now)
+// appendEntry replaces the leader's last entry by the next, and sends it to all.
+func (n *Node) appendEntry(voters []Voter, value []byte, now float64) {
+	n.recordRemoved(voters, now)
 	n.HardState.Last = Entry{n.HardState.Term, n.HardState.Last.Index + 1, voters, value}
-	n.dirty = true
-	n.beat(now)
-}
-
-// ReadIndex asks whether this node still leads; Confirmed says it of that number.
-func (n *Node) ReadIndex(now float64) uint64 {
-	n.beat(now)
-	return n.round
+	n.unsynced = true
+	n.broadcastAppend(now)
 }
 
-// ReadConfirmed says whether a majority has followed since the question.
-func (n *Node) ReadConfirmed(round uint64) bool {
-	if !n.Established() {
-		return false
-	}
-	have := 0
-	for _, v := range n.HardState.Last.Voters {
-		if p := n.peers[v.ID]; v.ID == n.HardState.ID || p != nil && p.round >= round {
-			have++
-		}
-	}
-	return have >= majority(n.HardState.Last.Voters)
-}
-
-func (n *Node) beat(now float64) {
+// broadcastAppend begins a heartbeat round: to voters, to joiners, and now and then to removed ones.
+func (n *Node) broadcastAppend(now float64) {
 	n.round++
-	n.startProbe(now)
-	n.beatAt = now + n.o.HeartbeatInterval
+	n.startContactRound(now)
+	n.nextHeartbeat = now + n.options.HeartbeatInterval
 	for _, v := range n.HardState.Last.Voters {
 		if v.ID != n.HardState.ID {
 			n.sendAppend(v, now)
 		}
 	}
-	for _, id := range slices.Sorted(maps.Keys(n.joins)) {
-		j := n.joins[id]
-		if now-j.at > 10*n.o.HeartbeatInterval {
-			delete(n.joins, id)
+	for _, id := range slices.Sorted(maps.Keys(n.joiners)) {
+		j := n.joiners[id]
+		if now-j.requestedAt > 10*n.options.HeartbeatInterval {
+			delete(n.joiners, id)
 		} else if !n.isVoter(id) {
-			n.sendAppend(j.v, now)
+			n.sendAppend(j.voter, now)
 		}
 	}
-	if n.round%formerEvery == 0 {
-		n.tellFormer(now)
+	if n.round%removedHeartbeatEvery == 0 {
+		n.notifyRemoved(now)
 	}
 }
 
-func (n *Node) sendAppend(v Voter, now float64) {
-	p := n.peers[v.ID]
+// sendAppend sends a heartbeat, with the last entry if the peer lacks it and none is on its way.
+func (n *Node) sendAppend(to Voter, now float64) {
+	p := n.progress[to.ID]
 	if p == nil {
-		p = &peer{heard: now}
-		n.peers[v.ID] = p
+		p = &progress{lastResponse: now}
+		n.progress[to.ID] = p
 	}
 	last := &n.HardState.Last
 	m := Message{Kind: AppendEntries, Term: n.HardState.Term, LastTerm: last.Term, LastIndex: last.Index, Round: n.round,
-		Contact: n.contactFor(p), Incarnation: p.life}
+		Contact: n.contactFor(p), Incarnation: p.clock.incarnation}
 	if n.HardState.CommitTerm == last.Term {
 		m.Commit = n.HardState.Commit
 	}
-	if n.lacks(p) && (p.sent != last.Index || now-p.sentAt > 4*n.o.HeartbeatInterval) {
-		m.Entry, p.sent, p.sentAt, p.sentRound = last, last.Index, now, n.round
+	if n.lacksLast(p) && (p.inflight.index != last.Index || now-p.inflight.sentAt > 4*n.options.HeartbeatInterval) {
+		m.Entry = last
+		p.inflight = inflightEntry{index: last.Index, round: n.round, sentAt: now}
 	}
-	n.send(v.Addr, m)
+	n.send(to.Addr, m)
 }
 
-// lacks says that a voter is not known to hold the leader's entry.
-func (n *Node) lacks(p *peer) bool {
-	return p.term != n.HardState.Last.Term || p.index != n.HardState.Last.Index
+func (n *Node) handleAppendResponse(m *Message, now float64) {
+	if m.Term > n.HardState.Term {
+		n.observeTerm(m.Term, now)
+		return
+	}
+	if n.role != Leader || m.Term != n.HardState.Term {
+		return
+	}
+	p := n.progress[m.From.ID]
+	if p == nil { // another life of a voter's disk, or one that was removed while the heartbeat was on its way
+		n.addJoiner(m.From, now)
+		return
+	}
+	p.recordResponse(m, now)
+	n.setLeaving(m.From.ID, m.senderLeaving(), now)
+	n.advance(now)
+	if n.role == Leader && n.lacksLast(p) && (p.inflight.index != n.HardState.Last.Index || m.Round >= p.inflight.round) {
+		p.inflight.index = 0 // an answer to what was sent with the entry or later shows that it was lost
+		n.sendAppend(m.From, now)
+	}
 }
 
-// advance commits what a majority holds, and lets the lead go where a majority is silent.
+// advance steps down where a majority is silent (Raft's CheckQuorum), and else commits what a majority holds synced.
 func (n *Node) advance(now float64) {
+	if !n.quorumActive(now) {
+		n.becomeFollower(Voter{}, now)
+		return
+	}
+	if n.canCommitLast() {
+		n.commitLast(now)
+	}
+	n.endContactRound()
+}
+
+// quorumActive says that a majority has answered within two election timeouts.
+func (n *Node) quorumActive(now float64) bool {
+	limit := 2 * n.options.ElectionTimeout
+	return n.quorumOf(n.HardState.Last.Voters, func(p *progress) bool { return p.silentFor(now) < limit })
+}
+
+// canCommitLast says that a majority of the voters that the last entry names hold it synced, and that it is
+// of this leader's own term.
+func (n *Node) canCommitLast() bool {
 	last := &n.HardState.Last
-	have, alive := 0, 0
-	for _, v := range last.Voters {
+	if n.HardState.lastCommitted() || last.Term != n.HardState.Term {
+		return false
+	}
+	return hasMajority(last.Voters, func(v Voter) bool {
 		if v.ID == n.HardState.ID {
-			alive++
-			if !n.dirty {
-				have++
-			}
-			continue
-		}
-		p := n.peers[v.ID]
-		if p == nil {
-			continue
-		}
-		if p.term == last.Term && p.index == last.Index {
-			have++
-		}
-		if now-p.heard < 2*n.o.ElectionTimeout {
-			alive++
+			return !n.unsynced
 		}
+		p := n.progress[v.ID]
+		return p != nil && p.match == last.id()
+	})
+}
+
+// commitLast commits the last entry, and ends a lead that it voted out.
+func (n *Node) commitLast(now float64) {
+	last := &n.HardState.Last
+	n.HardState.Commit, n.HardState.CommitTerm, n.termCommitted = last.Index, last.Term, true
+	n.committed = *last
+	n.nextHeartbeat = now // followers learn of it at the next Tick
+	if !n.isVoter(n.HardState.ID) {
+		n.transferLeadership(now)
+		n.becomeFollower(Voter{}, now)
 	}
-	if alive < majority(last.Voters) {
-		n.follow(Voter{}, now)
-		return
+}
+
+// handleAppend follows the leader of the term, takes its entry if that is newer, and answers with what this
+// node holds. The answer waits for the sync, as all messages do.
+func (n *Node) handleAppend(m *Message, now float64) {
+	if m.Term > n.HardState.Term {
+		n.setTerm(m.Term, "")
+		n.becomeFollower(m.From, now)
+	} else if m.Term == n.HardState.Term && (n.role != Follower || n.leader.ID != m.From.ID) {
+		n.becomeFollower(m.From, now)
 	}
-	if have >= majority(last.Voters) && last.Term == n.HardState.Term && (n.HardState.Commit < last.Index || n.HardState.CommitTerm != last.Term) {
-		n.HardState.Commit, n.HardState.CommitTerm, n.current = last.Index, last.Term, true
-		n.decided = *last
-		n.beatAt = now // followers are told
-		if !n.isVoter(n.HardState.ID) {
-			n.askSuccessor(now)
-			n.follow(Voter{}, now)
-		}
+	if m.Term == n.HardState.Term {
+		n.lastLeaderMessage = now
+		n.lastFollowed = followedLeader{m.From, now}
+		n.resetElectionDeadline(now)
+		n.acceptEntry(m, now)
+		n.updateContact(m, now)
 	}
-	n.endProbe()
+	n.send(m.From.Addr, Message{Kind: AppendEntriesResponse, Term: n.HardState.Term, LastTerm: n.HardState.Last.Term,
+		LastIndex: n.HardState.Last.Index, Round: m.Round, Granted: n.leaving(), Clock: now, Incarnation: n.incarnation})
 }
 
-func (n *Node) append(m *Message, now float64) {
-	if m.Term >= n.HardState.Term && (m.Term > n.HardState.Term || n.role != Follower || n.leader.ID != m.From.ID) {
-		if m.Term > n.HardState.Term {
-			n.HardState.Term, n.HardState.Vote, n.dirty = m.Term, "", true
-		}
-		n.follow(m.From, now)
+// acceptEntry takes what the leader of the term says of its entry and of what is committed.
+func (n *Node) acceptEntry(m *Message, now float64) {
+	last := &n.HardState.Last
+	if last.Term == m.LastTerm && last.Index > n.committed.Index && m.Commit >= last.Index {
+		n.committed = *last // the entry that is replaced below was committed: its leader wrote the next one behind it
 	}
-	if m.Term == n.HardState.Term {
-		n.heardAt = now
-		n.followed, n.followedTill = m.From, now
-		n.rest(now)
-		last := &n.HardState.Last
-		if last.Term == m.LastTerm && last.Index > n.decided.Index && m.Commit >= last.Index {
-			n.decided = *last // the entry that is replaced below was committed: its leader wrote the next one behind it
-		}
-		if e := m.Entry; e != nil && (e.Term > last.Term || e.Term == last.Term && e.Index > last.Index) {
-			n.noteFormer(e.Voters, now)
-			n.HardState.Last, n.dirty = *e, true
-		}
-		if last.Term == m.LastTerm && last.Index == m.LastIndex && m.Commit >= last.Index {
-			n.HardState.Commit, n.HardState.CommitTerm = last.Index, last.Term // not synced for its own sake: it is learned again
-			n.decided = *last
-		}
-		n.takeContact(m, now)
+	if e := m.Entry; e != nil && e.id().newerThan(last.id()) {
+		n.recordRemoved(e.Voters, now)
+		*last, n.unsynced = *e, true
+	}
+	if last.id() == m.lastID() && m.Commit >= last.Index {
+		// Not synced for its own sake: it is learned again.
+		n.HardState.Commit, n.HardState.CommitTerm = last.Index, last.Term
+		n.committed = *last
 	}
-	n.send(m.From.Addr, Message{Kind: AppendEntriesResponse, Term: n.HardState.Term, LastTerm: n.HardState.Last.Term, LastIndex: n.HardState.Last.Index,
-		Round: m.Round, Granted: n.leavingAt > 0, Clock: now, Incarnation: n.life})
 }
--- a/internal/controlplane/consensus/second_loss_test.go
+++ b/internal/controlplane/consensus/second_loss_test.go
@@ -20,8 +20,8 @@
 	}
 }
 
-// stands says whether a connection does, either one's: answers go the way that the question came. The first message to an address
-// only has one made.
+// stands says whether a connection does, either one's: answers go the way that the question came. The first
+// message to an address only has one made.
 func (v *cluster) stands(from, to string) bool {
 	if v.links == nil {
 		return true
@@ -102,8 +102,9 @@
 	return addr, at
 }
 
-// TestSecondLossRightAfterReplacement replaces as many machines as may be lost, one way or another, and loses as many others at the
-// earliest moment that the rules give: catchupS after the successors' start. A change must be acknowledged while they are away.
+// TestSecondLossRightAfterReplacement replaces as many machines as may be lost, one way or another, and loses
+// as many others at the earliest moment that the rules give: catchupS after the successors' start. A change
+// must be acknowledged while they are away.
 func TestSecondLossRightAfterReplacement(t *testing.T) {
 	const ackMs = 5000
 	seeds := days(150)
@@ -160,7 +161,8 @@
 	t.Logf("%d days; the slowest first change took %.0f ms", seeds, slowest)
 }
 
-// TestSuccessorLostToo replaces a machine and loses its successor within its first seconds: the others go on without either.
+// TestSuccessorLostToo replaces a machine and loses its successor within its first seconds: the others go on
+// without either.
 func TestSuccessorLostToo(t *testing.T) {
 	const ackMs = 5000
 	for seed := range days(400) {
@@ -229,7 +231,7 @@
 	for _, a := range v.names() {
 		h := v.hosts[a]
 		n := h.node
-		fmt.Fprintf(&b, "%s on %v gone %v role %d pre %v term %d last %d,%d busy %v voters %v\n", a, h.on, h.gone, n.role, n.pre,
+		fmt.Fprintf(&b, "%s on %v gone %v role %d pre %v term %d last %d,%d busy %v voters %v\n", a, h.on, h.gone, n.role, n.role == preCandidate,
 			n.HardState.Term, n.HardState.Last.Term, n.HardState.Last.Index, n.InFlight(), n.HardState.Last.Voters)
 	}
 	return b.String()
--- a/internal/controlplane/consensus/store/golden_test.go
+++ b/internal/controlplane/consensus/store/golden_test.go
@@ -27,7 +27,8 @@
 	recordedEntry = "a4010302070382a201653040613a310263613a31a201683766336140623a320263623a32044576616c7565"
 )
 
-// TestStoredForm reads a folder that an earlier build wrote, and holds the records that are written today against its.
+// TestStoredForm reads a folder that an earlier build wrote, and holds the records that are written today
+// against its.
 func TestStoredForm(t *testing.T) {
 	const folder = "testdata/folder"
 	if *update {
--- a/internal/controlplane/consensus/store/store.go
+++ b/internal/controlplane/consensus/store/store.go
@@ -1,7 +1,7 @@
 // Package store keeps a core machine's part of the agreement on its disk.
 //
-// This file owns the folder and the form of what is in it. It decides nothing: a record that can't be read is an error, never
-// an empty one.
+// This file owns the folder and the form of what is in it. It decides nothing: a record that can't be read is
+// an error, never an empty one.
 package store
 
 import (
@@ -16,8 +16,8 @@
 	"weirwind/internal/controlplane/consensus"
 )
 
-// ErrBroken says that a write failed in a way behind which the database may not be used: it would wait for ever. The folder holds what
-// was saved before, and another process can open it.
+// ErrBroken says that a write failed in a way behind which the database may not be used: it would wait for
+// ever. The folder holds what was saved before, and another process can open it.
 var ErrBroken = errors.New("the store is broken")
 
 // Store is an open folder.
--- a/internal/controlplane/consensus/store/store_test.go
+++ b/internal/controlplane/consensus/store/store_test.go
@@ -78,7 +78,8 @@
 	})
 }
 
-// The largest configuration that is taken, kept many times over: how long a change and a start take, and what is on the disk.
+// The largest configuration that is taken, kept many times over: how long a change and a start take, and what
+// is on the disk.
 func TestLargestState(t *testing.T) {
 	dir := t.TempDir()
 	s, _, _, err := Open(dir)
@@ -115,7 +116,8 @@
 	}
 }
 
-// Some hundreds of changes, each with a longer list behind it: the folder stays small, and opens with the newest after each hundred.
+// Some hundreds of changes, each with a longer list behind it: the folder stays small, and opens with the
+// newest after each hundred.
 func TestManyChanges(t *testing.T) {
 	dir := t.TempDir()
 	h := consensus.HardState{ID: "me", Term: 1, Last: consensus.Entry{Term: 1}}
@@ -148,8 +150,9 @@
 	}
 }
 
-// A disk that is full for a while: the change that meets it is refused, the next one too and at once, and what was saved before is
-// found by another process. It fails without broken in Save or in Close, as pebble then waits for ever (incident on a full disk).
+// A disk that is full for a while: the change that meets it is refused, the next one too and at once, and
+// what was saved before is found by another process. It fails without broken in Save or in Close, as pebble
+// then waits for ever (incident on a full disk).
 func TestAFullDiskHangsNobody(t *testing.T) {
 	Convey("A folder on a disk that is full", t, func() {
 		dir, control := t.TempDir(), filepath.Join(t.TempDir(), "disk")
