--- a/internal/controlplane/config/amend.go
+++ b/internal/controlplane/config/amend.go
@@ -1,6 +1,6 @@
 package config
 
-// This file owns amendments: changes of named items of the configuration that is in place.
+// Amendments: changes of named items of the configuration in place.
 
 import (
 	"encoding/json"
@@ -10,91 +10,128 @@
 	"github.com/samber/oops"
 )
 
+// amendment adds or replaces items by their names, and then deletes others, in each of the configuration's lists. The name
+// of the type and its JSON stand in errors that operators see.
 type amendment struct {
-	Gen    *uint64                      `json:"gen"`
-	Upsert map[string][]json.RawMessage `json:"upsert"`
-	Del    map[string][]string          `json:"del"`
+	Version *uint64                      `json:"gen"`
+	Upsert  map[string][]json.RawMessage `json:"upsert"` // by list
+	Delete  map[string][]string          `json:"del"`    // names by list
 }
 
-// readAmendment reads one, which has its gen.
-func readAmendment(body []byte) (*amendment, error) {
+func parseAmendment(body []byte) (*amendment, error) {
 	var a amendment
-	if err := strict(body, &a); err != nil {
-		return nil, refuse(400, "cut_short", "the change can't be read in full: %v", err)
+	if err := decodeWhole(body, &a); err != nil {
+		return nil, invalid(reasonTruncated, "the change can't be read in full: %v", err)
 	}
-	if a.Gen == nil {
-		return nil, refuse(400, "bad_field", "a change needs its gen")
+	if a.Version == nil {
+		return nil, invalid(reasonInvalidField, "a change needs its gen")
 	}
 	return &a, nil
 }
 
-func (b *State) amended(body []byte) ([]byte, error) {
-	a, err := readAmendment(body)
+// lists gives the names of the lists that change.
+func (a *amendment) lists() map[string]bool {
+	lists := map[string]bool{}
+	for list := range a.Upsert {
+		lists[list] = true
+	}
+	for list := range a.Delete {
+		lists[list] = true
+	}
+	return lists
+}
+
+// amendRaw gives the configuration in place with an amendment, valid as a whole. Items and fields unknown to this version
+// stay.
+func (s *State) amendRaw(body []byte) ([]byte, error) {
+	a, err := parseAmendment(body)
 	if err != nil {
 		return nil, err
 	}
-	if b.Version == 0 {
-		return nil, refuse(412, "other_base", "there is no configuration yet that could be changed")
+	if s.Version == 0 {
+		return nil, reject(ErrBaseVersionMismatch, reasonBaseMismatch,
+			"there is no configuration yet that could be changed")
 	}
 	doc := map[string]json.RawMessage{}
-	if err := strict(b.Raw, &doc); err != nil {
+	if err := decodeWhole(s.Raw, &doc); err != nil {
 		return nil, oops.In("amend").Wrap(err)
 	}
-	lists := map[string]bool{}
-	for k := range a.Upsert {
-		lists[k] = true
-	}
-	for k := range a.Del {
-		lists[k] = true
-	}
-	for list := range lists {
-		var items []json.RawMessage
-		if old, ok := doc[list]; ok {
-			if err := json.Unmarshal(old, &items); err != nil {
-				return nil, refuse(400, "bad_field", "%q is no list of items", list)
-			}
-		}
-		items, err := amendList(items, a.Upsert[list], a.Del[list])
-		if err != nil {
+	for list := range a.lists() {
+		if doc[list], err = amendList(list, doc[list], a.Upsert[list], a.Delete[list]); err != nil {
 			return nil, err
 		}
-		if doc[list], err = json.Marshal(items); err != nil {
-			return nil, oops.In("amend").Wrap(err)
+	}
+	if doc["gen"], err = json.Marshal(*a.Version); err != nil {
+		return nil, oops.In("amend").Wrap(err)
+	}
+	raw, err := json.Marshal(doc)
+	if err != nil {
+		return nil, err
+	}
+	if _, err := Parse(raw); err != nil {
+		return nil, err
+	}
+	return raw, nil
+}
+
+// amendList amends one list; raw is nil where there is none yet.
+func amendList(list string, raw json.RawMessage, upserts []json.RawMessage, deletes []string) (json.RawMessage, error) {
+	var items []json.RawMessage
+	if raw != nil {
+		if err := json.Unmarshal(raw, &items); err != nil {
+			return nil, invalid(reasonInvalidField, "%q is no list of items", list)
 		}
 	}
-	doc["gen"], _ = json.Marshal(*a.Gen)
-	return json.Marshal(doc)
+	items, upserted, err := upsertItems(items, upserts)
+	if err != nil {
+		return nil, err
+	}
+	raw, err = json.Marshal(deleteItems(items, deletes, upserted))
+	if err != nil {
+		return nil, oops.In("amend").Wrap(err)
+	}
+	return raw, nil
 }
 
-func amendList(items, upsert []json.RawMessage, del []string) ([]json.RawMessage, error) {
-	at := map[string]int{}
+// upsertItems replaces items in their places and appends new ones. upserted has their names.
+func upsertItems(items, upserts []json.RawMessage) (_ []json.RawMessage, upserted map[string]bool, _ error) {
+	index := map[string]int{}
 	for i, item := range items {
-		at[itemName(item)] = i
+		index[itemName(item)] = i
 	}
-	seen := map[string]bool{}
-	for _, item := range upsert {
+	upserted = map[string]bool{}
+	for _, item := range upserts {
 		name := itemName(item)
-		if name == "" || seen[name] {
-			return nil, refuse(400, "bad_field", "an item without a name of its own: %.80s", item)
+		if name == "" || upserted[name] {
+			return nil, nil, invalid(reasonInvalidField, "an item without a name of its own: %.80s", item)
 		}
-		seen[name] = true
-		if i, ok := at[name]; ok {
+		upserted[name] = true
+		if i, found := index[name]; found {
 			items[i] = item
-		} else {
-			at[name] = len(items)
-			items = append(items, item)
+			continue
 		}
+		index[name] = len(items)
+		items = append(items, item)
 	}
-	if len(del) == 0 {
-		return items, nil
+	return items, upserted, nil
+}
+
+// deleteItems deletes by name, but never an item that the same amendment upserted.
+func deleteItems(items []json.RawMessage, names []string, upserted map[string]bool) []json.RawMessage {
+	if len(names) == 0 {
+		return items
 	}
-	gone := map[string]bool{}
-	for _, name := range del {
-		gone[strings.TrimSpace(name)] = true
+	deleted := map[string]bool{}
+	for _, name := range names {
+		deleted[strings.TrimSpace(name)] = true
 	}
-	return slices.DeleteFunc(items, func(item json.RawMessage) bool { return gone[itemName(item)] && !seen[itemName(item)] }), nil
+	return slices.DeleteFunc(items, func(item json.RawMessage) bool {
+		name := itemName(item)
+		return deleted[name] && !upserted[name]
+	})
 }
 
+// itemName gives "" for an item without a name.
 func itemName(item json.RawMessage) string {
 	var named struct {
 		Name string `json:"name"`
--- a/internal/controlplane/config/diff.go
+++ b/internal/controlplane/config/diff.go
@@ -1,7 +1,5 @@
 package config
 
-// This file owns what differs between two configurations, for people.
-
 import (
 	"bytes"
 	"encoding/json"
@@ -10,57 +8,61 @@
 	"slices"
 )
 
-// Diff says what differs between two configurations: lines with + for what only b has, - for what only a has, ~ for
-// what changed.
+// Diff says for people what differs between two configurations, in lines: + for an item that only b has, - for one that
+// only a has, ~ for what changed. Keys are in order; items are in b's, followed by those that b lacks, by name.
 func Diff(a, b []byte) ([]string, error) {
-	x, y := map[string]json.RawMessage{}, map[string]json.RawMessage{}
-	if err := strict(a, &x); err != nil {
+	before, after := map[string]json.RawMessage{}, map[string]json.RawMessage{}
+	if err := decodeWhole(a, &before); err != nil {
 		return nil, err
 	}
-	if err := strict(b, &y); err != nil {
+	if err := decodeWhole(b, &after); err != nil {
 		return nil, err
 	}
-	keys := map[string]bool{}
-	for k := range x {
-		keys[k] = true
+	keys := maps.Clone(before)
+	maps.Copy(keys, after)
+	var lines []string
+	for _, key := range slices.Sorted(maps.Keys(keys)) {
+		lines = append(lines, diffKey(key, before[key], after[key])...)
 	}
-	for k := range y {
-		keys[k] = true
+	return lines, nil
+}
+
+// diffKey compares item by item where both values are lists.
+func diffKey(key string, before, after json.RawMessage) []string {
+	var oldItems, newItems []json.RawMessage
+	lists := json.Unmarshal(before, &oldItems) == nil && json.Unmarshal(after, &newItems) == nil
+	if lists && (oldItems != nil || newItems != nil) {
+		return diffList(key, oldItems, newItems)
 	}
-	var out []string
-	for _, k := range slices.Sorted(maps.Keys(keys)) {
-		var old, now []json.RawMessage
-		if json.Unmarshal(x[k], &old) == nil && json.Unmarshal(y[k], &now) == nil && (old != nil || now != nil) {
-			out = append(out, diffList(k, old, now)...)
-		} else if compact(x[k]) != compact(y[k]) {
-			out = append(out, fmt.Sprintf("~ %s: %s -> %s", k, compact(x[k]), compact(y[k])))
-		}
+	if oldText, newText := compact(before), compact(after); oldText != newText {
+		return []string{fmt.Sprintf("~ %s: %s -> %s", key, oldText, newText)}
 	}
-	return out, nil
+	return nil
 }
 
-func diffList(list string, old, now []json.RawMessage) (out []string) {
-	was := map[string]string{}
-	for _, i := range old {
-		was[itemName(i)] = compact(i)
+func diffList(list string, oldItems, newItems []json.RawMessage) (lines []string) {
+	removed := map[string]string{} // texts by name
+	for _, item := range oldItems {
+		removed[itemName(item)] = compact(item)
 	}
-	for _, i := range now {
-		name := itemName(i)
-		text, known := was[name]
+	for _, item := range newItems {
+		name, text := itemName(item), compact(item)
+		oldText, found := removed[name]
 		switch {
-		case !known:
-			out = append(out, fmt.Sprintf("+ %s %s: %s", list, name, compact(i)))
-		case text != compact(i):
-			out = append(out, fmt.Sprintf("~ %s %s: %s -> %s", list, name, text, compact(i)))
+		case !found:
+			lines = append(lines, fmt.Sprintf("+ %s %s: %s", list, name, text))
+		case oldText != text:
+			lines = append(lines, fmt.Sprintf("~ %s %s: %s -> %s", list, name, oldText, text))
 		}
-		delete(was, name)
+		delete(removed, name)
 	}
-	for _, name := range slices.Sorted(maps.Keys(was)) {
-		out = append(out, fmt.Sprintf("- %s %s", list, name))
+	for _, name := range slices.Sorted(maps.Keys(removed)) {
+		lines = append(lines, fmt.Sprintf("- %s %s", list, name))
 	}
-	return out
+	return lines
 }
 
+// compact gives JSON without its white space, and anything else as it is.
 func compact(raw json.RawMessage) string {
 	var b bytes.Buffer
 	if json.Compact(&b, raw) != nil {
--- a/internal/controlplane/config/golden_test.go
+++ b/internal/controlplane/config/golden_test.go
@@ -135,14 +135,17 @@
 	return fmt.Sprintf("%d: %s", next.Version, next.Raw)
 }
 
+// statusOf is what orders makes of an error: its kind is as good as the status that was recorded.
+var statusOf = map[error]int{ErrInvalid: 400, ErrVersionNotIncreasing: 400, ErrConflict: 409, ErrBaseVersionMismatch: 412}
+
 func textOf(err error) string {
 	var refused *RejectedError
 	var undecided *UndecidedError
 	switch {
 	case errors.As(err, &refused):
-		return fmt.Sprintf("refused %d %s: %s", refused.Status, refused.Reason, err)
+		return fmt.Sprintf("refused %d %s: %s", statusOf[refused.Err], refused.Reason, err)
 	case errors.As(err, &undecided):
-		return fmt.Sprintf("undecided %s, later %v: %s", undecided.Reason, undecided.Later, err)
+		return fmt.Sprintf("undecided %s, later %v: %s", undecided.Reason, errors.Is(err, ErrBaseVersionAhead), err)
 	}
 	return "error: " + err.Error()
 }
@@ -165,11 +168,7 @@
 			case 0:
 				state = state.WithRoster(RosterChange{Add: someMembers(r), Remove: someMembers(r)})
 			case 1:
-				next, err := state.WithoutMember(fmt.Sprint("m", r.IntN(4)))
-				if err != nil {
-					t.Fatal(err)
-				}
-				state = next
+				state = state.WithoutMember(fmt.Sprint("m", r.IntN(4)))
 			default:
 				c := someChange(r, state.Version)
 				if len(sent) > 0 && r.IntN(8) == 0 {
--- /dev/null
+++ b/internal/controlplane/config/parse.go
@@ -0,0 +1,104 @@
+package config
+
+// Reading a configuration and validating it against itself.
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"io"
+	"reflect"
+
+	"github.com/go-playground/validator/v10"
+)
+
+// Parse reads a whole configuration and validates it. Its errors are RejectedErrors.
+func Parse(raw []byte) (*Config, error) {
+	c := &Config{}
+	if err := decodeWhole(raw, c); err != nil {
+		return nil, invalid(reasonTruncated, "the configuration can't be read in full: %v", err)
+	}
+	if err := checkFields(c); err != nil {
+		return nil, err
+	}
+	if err := c.indexServices(); err != nil {
+		return nil, err
+	}
+	if err := c.indexRoutes(); err != nil {
+		return nil, err
+	}
+	return c, nil
+}
+
+// decodeWhole reads JSON that must be one value with nothing behind it.
+func decodeWhole(raw []byte, into any) error {
+	d := json.NewDecoder(bytes.NewReader(raw))
+	if err := d.Decode(into); err != nil {
+		return err
+	}
+	if _, err := d.Token(); !errors.Is(err, io.EOF) {
+		return errors.New("something follows its end")
+	}
+	return nil
+}
+
+var fieldValidator = newFieldValidator()
+
+func newFieldValidator() *validator.Validate {
+	v := validator.New(validator.WithRequiredStructEnabled())
+	v.RegisterTagNameFunc(func(f reflect.StructField) string { return f.Tag.Get("reported") })
+	return v
+}
+
+// checkFields checks each field by itself, and reports the first that is wrong.
+func checkFields(c *Config) error {
+	err := fieldValidator.Struct(c)
+	if err == nil {
+		return nil
+	}
+	var wrong validator.ValidationErrors
+	if !errors.As(err, &wrong) {
+		return invalid(reasonInvalidField, "%v", err)
+	}
+	first := wrong[0]
+	return invalid(reasonInvalidField, "%s is %v, which %s does not allow",
+		first.Namespace(), first.Value(), first.ActualTag())
+}
+
+func (c *Config) indexServices() error {
+	c.serviceByName = map[string]*Service{}
+	for i := range c.Services {
+		s := &c.Services[i]
+		if c.serviceByName[s.Name] != nil {
+			return invalid(reasonDuplicateService, "two services are named %q", s.Name)
+		}
+		c.serviceByName[s.Name] = s
+	}
+	return nil
+}
+
+// indexRoutes needs the services' index.
+func (c *Config) indexRoutes() error {
+	c.routeByHost = map[string]*Route{}
+	type match struct{ host, prefix string }
+	names, nameByMatch := map[string]bool{}, map[match]string{}
+	for i := range c.Routes {
+		r := &c.Routes[i]
+		if names[r.Name] {
+			return invalid(reasonDuplicateRoute, "two routes are named %q", r.Name)
+		}
+		names[r.Name] = true
+		if c.serviceByName[r.Service] == nil {
+			return invalid(reasonUnknownService, "route %q names service %q, which there is not", r.Name, r.Service)
+		}
+		m := match{r.Host, r.Prefix}
+		if other, found := nameByMatch[m]; found {
+			return invalid(reasonDuplicateMatch, "routes %q and %q have the same host and prefix", other, r.Name)
+		}
+		nameByMatch[m] = r.Name
+		if old := c.routeByHost[r.Host]; old == nil || len(r.Prefix) < len(old.Prefix) {
+			c.routeByHost[r.Host] = r
+		}
+	}
+	return nil
+}
--- a/internal/controlplane/config/roster.go
+++ b/internal/controlplane/config/roster.go
@@ -1,14 +1,13 @@
 package config
 
-// This file owns the roster: which members of each service may hold a commit that was acknowledged.
-
 import (
 	"maps"
 	"slices"
 )
 
-// Roster gives the ids of members by service, each list in order. It is agreed on because nobody can tell it again: a member that
-// is dead says nothing, and who lost its tables doesn't know that there is one.
+// Roster gives the ids of each service's members that may hold an acknowledged commit, sorted; Kafka's in-sync replicas
+// are kin to it. It is replicated, as nobody can restore it: a member that is dead says nothing, and a table of members
+// that was lost doesn't tell that there was one.
 type Roster map[string][]string
 
 // RosterMember is an entry of a roster.
@@ -17,52 +16,64 @@
 	ID      string `cbor:"2,keyasint"`
 }
 
-// RosterChange adds and removes members. Entries that are there already, or are not, change nothing.
+// RosterChange adds members and then removes others. To add one that is there, or remove one that is not, changes nothing.
 type RosterChange struct {
 	Add    []RosterMember
 	Remove []RosterMember
 }
 
 // Contains says whether a member is on the roster of a service.
-func (r Roster) Contains(svc, id string) bool {
-	_, found := slices.BinarySearch(r[svc], id)
+func (r Roster) Contains(service, id string) bool {
+	_, found := slices.BinarySearch(r[service], id)
+	return found
+}
+
+// add keeps the lists that r shares with other rosters as they are. It says whether r changed.
+func (r Roster) add(m RosterMember) bool {
+	i, found := slices.BinarySearch(r[m.Service], m.ID)
+	if !found {
+		r[m.Service] = slices.Insert(slices.Clone(r[m.Service]), i, m.ID)
+	}
+	return !found
+}
+
+// remove keeps the lists that r shares with other rosters as they are. It says whether r changed.
+func (r Roster) remove(m RosterMember) bool {
+	i, found := slices.BinarySearch(r[m.Service], m.ID)
+	if found {
+		r[m.Service] = slices.Delete(slices.Clone(r[m.Service]), i, i+1)
+	}
 	return found
 }
 
-// WithRoster gives the state with a change of the roster. The same state: it was so before.
-func (b *State) WithRoster(c RosterChange) *State {
-	roster, changed := maps.Clone(b.Roster), false
+// WithRoster gives the state with a change of the roster; the same state if the change makes no difference.
+func (s *State) WithRoster(c RosterChange) *State {
+	roster, changed := maps.Clone(s.Roster), false
 	if roster == nil {
 		roster = Roster{}
 	}
 	for _, m := range c.Add {
-		if at, found := slices.BinarySearch(roster[m.Service], m.ID); !found {
-			roster[m.Service] = slices.Insert(slices.Clone(roster[m.Service]), at, m.ID)
-			changed = true
-		}
+		changed = roster.add(m) || changed
 	}
 	for _, m := range c.Remove {
-		if at, found := slices.BinarySearch(roster[m.Service], m.ID); found {
-			roster[m.Service] = slices.Delete(slices.Clone(roster[m.Service]), at, at+1)
-			changed = true
-		}
+		changed = roster.remove(m) || changed
 	}
 	if !changed {
-		return b
+		return s
 	}
-	next := *b
+	next := *s
 	next.Roster = roster
 	return &next
 }
 
-// WithoutMember gives the state with a member struck from every roster, by an operator's word that it is gone for good and that
-// what it alone held is given up.
-func (b *State) WithoutMember(id string) (*State, error) {
+// WithoutMember gives the state with a member removed from every roster: an operator says that it is gone for good, and
+// gives up what it alone held.
+func (s *State) WithoutMember(id string) *State {
 	var c RosterChange
-	for svc := range b.Roster {
-		if b.Roster.Contains(svc, id) {
-			c.Remove = append(c.Remove, RosterMember{svc, id})
+	for service := range s.Roster {
+		if s.Roster.Contains(service, id) {
+			c.Remove = append(c.Remove, RosterMember{Service: service, ID: id})
 		}
 	}
-	return b.WithRoster(c), nil
+	return s.WithRoster(c)
 }
--- a/internal/controlplane/config/roster_test.go
+++ b/internal/controlplane/config/roster_test.go
@@ -16,8 +16,8 @@
 	if one.Roster.Contains("s", "a") || !one.Roster.Contains("s", "b") || !two.Roster.Contains("s", "a") {
 		t.Error(one.Roster, two.Roster)
 	}
-	if gone, err := two.WithoutMember("c"); err != nil || gone.Roster.Contains("r", "c") || !gone.Roster.Contains("s", "a") {
-		t.Error(gone, err)
+	if gone := two.WithoutMember("c"); gone.Roster.Contains("r", "c") || !gone.Roster.Contains("s", "a") {
+		t.Error(gone)
 	}
 }
 
--- a/internal/controlplane/config/state.go
+++ b/internal/controlplane/config/state.go
@@ -1,170 +1,142 @@
 package config
 
-// This file owns changes: which are known as taken, and what state follows when one is taken.
-
 import (
 	"bytes"
-	"crypto/sha256"
-	"fmt"
 	"slices"
 
 	"weirwind/internal/session/sites"
 	"weirwind/internal/shard/shardmap"
 )
 
-// Change is what an operator sends.
-type Change struct {
-	Amend       bool
-	BaseVersion uint64 // the version that it is built on
-	Body        []byte
-}
-
-// Digest tells exact repeats from other changes.
-func (c *Change) Digest() [32]byte {
-	h := sha256.New()
-	fmt.Fprintf(h, "%v %d ", c.Amend, c.BaseVersion)
-	h.Write(c.Body)
-	return [32]byte(h.Sum(nil))
-}
-
-// AppliedChange is a change that was taken.
-type AppliedChange struct {
-	Version     uint64   `cbor:"1,keyasint" json:"Gen"`
-	BaseVersion uint64   `cbor:"2,keyasint" json:"Base"`
-	Digest      [32]byte `cbor:"3,keyasint" json:"Digest"`
-	Origin      string   `cbor:"4,keyasint" json:"Node"` // machine of the core that was called
-	AppliedAt   int64    `cbor:"5,keyasint" json:"At"`   // its time of day in milliseconds, for people; nothing decides by it
-}
-
-// mostPast is how many changes repeats are told by. Any number is safe, as what is older is left without a clear
-// answer; each costs some eighty bytes of every entry, which goes over the wire whole. Callers send again within
-// seconds: at 22,000 changes a day these are a quarter of an hour, at four a second a minute.
-const mostPast = 256
-
-// State is the operator's word: the newest configuration as it was sent, and which changes led to it.
+// State is what the control plane agrees on. It is replicated and stored whole, as CBOR by the keys of its tags. A State
+// is never changed once it is made: each change makes another.
 type State struct {
-	Version uint64          `cbor:"1,keyasint"`
-	Raw     []byte          `cbor:"2,keyasint"`
-	History []AppliedChange `cbor:"3,keyasint"`
+	Version uint64          `cbor:"1,keyasint"` // of the configuration in place; 0: there is none yet
+	Raw     []byte          `cbor:"2,keyasint"` // the configuration as it was sent, or as amendments left it
+	History []AppliedChange `cbor:"3,keyasint"` // newest last, at most maxHistory
 
-	Shards *shardmap.Map `cbor:"4,keyasint,omitempty"` // who holds which; nil: none were founded
+	Shards *shardmap.Map `cbor:"4,keyasint,omitempty"` // who owns which shard; nil: none were founded
 	Sites  *sites.Map    `cbor:"5,keyasint,omitempty"` // that hold open sessions; nil: there are none
 	Roster Roster        `cbor:"9,keyasint,omitempty"` // members that may hold an acknowledged commit
 }
 
-// WithShards gives the book with a change of who holds which shard. The same book: it was taken before.
-func (b *State) WithShards(c *shardmap.Change) (*State, error) {
-	m, err := b.Shards.Apply(c)
-	if err != nil {
-		return nil, refuse(409, "shards", "%v", err)
-	}
-	if m == b.Shards {
-		return b, nil
-	}
-	next := *b
-	next.Shards = m
-	return &next, nil
-}
-
-// UndecidedError is why neither yes nor no can be said of a change: its caller is to send it again.
-type UndecidedError struct {
-	Reason string
-	Text   string
-	Later  bool // a change that is under way may decide it
+// AppliedChange is an entry of the history. GET /config/log shows it as JSON.
+type AppliedChange struct {
+	Version     uint64   `cbor:"1,keyasint" json:"Gen"`  // that the change made
+	BaseVersion uint64   `cbor:"2,keyasint" json:"Base"` // that it was built on
+	Digest      [32]byte `cbor:"3,keyasint" json:"Digest"`
+	Origin      string   `cbor:"4,keyasint" json:"Node"` // machine of the control plane that was called
+	AppliedAt   int64    `cbor:"5,keyasint" json:"At"`   // time of day in milliseconds, for people; nothing decides by it
 }
 
-func (u *UndecidedError) Error() string { return u.Text }
+// maxHistory is how many changes a retry is recognized among. Any number is safe, as a change on an older base is left
+// undecided; each costs some eighty bytes of every log entry, which is replicated whole. Callers retry within seconds: at
+// 22,000 changes a day these are a quarter of an hour, at four a second a minute.
+const maxHistory = 256
 
-// HasApplied says whether exactly this change was taken, among those that are remembered.
-func (b *State) HasApplied(c *Change) bool {
+// HasApplied says whether exactly this change is in the history.
+func (s *State) HasApplied(c *Change) bool {
 	d := c.Digest()
-	return slices.ContainsFunc(b.History, func(p AppliedChange) bool { return p.Digest == d })
+	return slices.ContainsFunc(s.History, func(a AppliedChange) bool { return a.Digest == d })
 }
 
-// remembered is the oldest base of which it is known what was taken on it.
-func (b *State) remembered() uint64 {
-	if len(b.History) == 0 {
-		return b.Version
+// oldestKnownBase is the oldest version of which it is known which change followed it.
+func (s *State) oldestKnownBase() uint64 {
+	if len(s.History) == 0 {
+		return s.Version
 	}
-	return b.History[0].BaseVersion
+	return s.History[0].BaseVersion
 }
 
-// fits says whether a change that is not remembered may follow: each version has one successor. A base behind is
-// refused for ever, but where that is so long ago that this very change may be the one that was taken on it.
-func (b *State) fits(base uint64) error {
+// checkBase says whether a change on a base may follow, given that it is not in the history.
+func (s *State) checkBase(base uint64) error {
 	switch {
-	case base > b.Version:
-		text := fmt.Sprintf("version %d, on which it builds, is not in place; version %d is", base, b.Version)
-		return &UndecidedError{"base_ahead", text, true}
-	case base < b.remembered():
-		text := fmt.Sprintf("what was taken on version %d is no longer known; version %d is in place", base, b.Version)
-		return &UndecidedError{"forgotten", text, false}
-	case base < b.Version:
-		return refuse(412, "other_base", "version %d is in place, not %d", b.Version, base)
+	case base > s.Version:
+		return undecided(ErrBaseVersionAhead, reasonBaseAhead,
+			"version %d, on which it builds, is not in place; version %d is", base, s.Version)
+	case base < s.oldestKnownBase():
+		return undecided(ErrBaseVersionCompacted, reasonBaseCompacted,
+			"what was taken on version %d is no longer known; version %d is in place", base, s.Version)
+	case base < s.Version:
+		return reject(ErrBaseVersionMismatch, reasonBaseMismatch, "version %d is in place, not %d", s.Version, base)
 	}
 	return nil
 }
 
-// Apply makes of a state and a change that was not taken before the next state, or says why not: a Refusal holds in
-// all states that can follow this one, too.
-func (b *State) Apply(c *Change, node string, at int64) (*State, error) {
-	gen, err := c.gen() // what is wrong by itself is so on any base
+// Apply gives the state behind a change that is not in the history. origin and at (milliseconds) are for people. The error
+// is a RejectedError, which holds in every state that can follow this one, or an UndecidedError.
+func (s *State) Apply(c *Change, origin string, at int64) (*State, error) {
+	version, err := c.version() // first, as what is wrong by itself is so on any base
 	if err != nil {
 		return nil, err
 	}
-	if gen <= c.BaseVersion && c.BaseVersion > b.Version {
-		return nil, refuse(400, "old_version", "its gen %d is not higher than %d, on which it builds", gen, c.BaseVersion)
-	}
-	if err := b.fits(c.BaseVersion); err != nil {
+	if err := s.checkVersions(c.BaseVersion, version); err != nil {
 		return nil, err
 	}
-	if gen <= b.Version {
-		return nil, refuse(400, "old_version", "its gen %d is not higher than %d, which is in place", gen, b.Version)
-	}
 	raw := c.Body
 	if c.Amend {
-		if raw, err = b.amended(c.Body); err != nil {
-			return nil, err
-		}
-		if _, err := Parse(raw); err != nil {
+		if raw, err = s.amendRaw(c.Body); err != nil {
 			return nil, err
 		}
 	}
-	past := append(slices.Clone(b.History), AppliedChange{gen, c.BaseVersion, c.Digest(), node, at})
-	if len(past) > mostPast {
-		past = past[len(past)-mostPast:]
+	applied := AppliedChange{
+		Version:     version,
+		BaseVersion: c.BaseVersion,
+		Digest:      c.Digest(),
+		Origin:      origin,
+		AppliedAt:   at,
 	}
-	next := *b
-	next.Version, next.Raw, next.History = gen, bytes.Clone(raw), past
+	next := *s
+	next.Version, next.Raw, next.History = version, bytes.Clone(raw), appendHistory(s.History, applied)
 	return &next, nil
 }
 
-// gen reads which version a change makes.
-func (c *Change) gen() (uint64, error) {
-	if c.Amend {
-		a, err := readAmendment(c.Body)
-		if err != nil {
-			return 0, err
-		}
-		return *a.Gen, nil
+// checkVersions says whether a change from base to version may follow. A version that doesn't exceed its own base is wrong
+// even before that base is in place.
+func (s *State) checkVersions(base, version uint64) error {
+	if version <= base && base > s.Version {
+		return reject(ErrVersionNotIncreasing, reasonVersion,
+			"its gen %d is not higher than %d, on which it builds", version, base)
+	}
+	if err := s.checkBase(base); err != nil {
+		return err
+	}
+	if version <= s.Version {
+		return reject(ErrVersionNotIncreasing, reasonVersion,
+			"its gen %d is not higher than %d, which is in place", version, s.Version)
 	}
-	cfg, err := Parse(c.Body)
+	return nil
+}
+
+func appendHistory(history []AppliedChange, a AppliedChange) []AppliedChange {
+	history = append(slices.Clone(history), a)
+	return history[max(len(history)-maxHistory, 0):]
+}
+
+// WithShards gives the state with a change of the shard map; the same state if the change was applied before.
+func (s *State) WithShards(c *shardmap.Change) (*State, error) {
+	m, err := s.Shards.Apply(c)
 	if err != nil {
-		return 0, err
+		return nil, reject(ErrConflict, reasonShards, "%v", err)
+	}
+	if m == s.Shards {
+		return s, nil
 	}
-	return cfg.Version, nil
+	next := *s
+	next.Shards = m
+	return &next, nil
 }
 
-// WithSites gives the book with a change of the sites. The same book: it was so before.
-func (b *State) WithSites(c *sites.Change) (*State, error) {
-	m, err := b.Sites.Apply(c)
+// WithSites gives the state with a change of the site map; the same state if the change makes no difference.
+func (s *State) WithSites(c *sites.Change) (*State, error) {
+	m, err := s.Sites.Apply(c)
 	if err != nil {
-		return nil, refuse(409, "sites", "%v", err)
+		return nil, reject(ErrConflict, reasonSites, "%v", err)
 	}
-	if m == b.Sites {
-		return b, nil
+	if m == s.Sites {
+		return s, nil
 	}
-	next := *b
+	next := *s
 	next.Sites = m
 	return &next, nil
 }
--- a/internal/controlplane/orders/core_test.go
+++ b/internal/controlplane/orders/core_test.go
@@ -198,7 +198,7 @@
 		for _, n := range slices.Sorted(maps.Keys(m.pending)) {
 			if p := m.pending[n]; c.now >= p.until {
 				delete(m.pending, n)
-				p.reply(unclear("no answer from who leads"))
+				p.reply(*unknown(ErrTimeout, "no answer from who leads"))
 			}
 		}
 		m.node.Tick(c.now)
@@ -231,7 +231,7 @@
 		case known:
 			c.pass(m, c.hosts[place(leader.Addr)], r, back)
 		default:
-			back(unclear("nobody is known to lead"))
+			back(*unknown(ErrNotLeader, "nobody is known to lead"))
 		}
 	})
 }
--- a/internal/controlplane/orders/golden_test.go
+++ b/internal/controlplane/orders/golden_test.go
@@ -1,6 +1,7 @@
 package orders
 
 import (
+	"errors"
 	"fmt"
 	"hash/fnv"
 	"testing"
@@ -27,8 +28,8 @@
 			if a.State != nil {
 				gen = a.State.Version
 			}
-			fmt.Fprintf(h, "%d %d %q %d %q %d\n", at, a.Status, a.Body, a.Outcome, a.Reason, gen)
-			kinds[fmt.Sprint(a.Status, a.Outcome, a.Reason)]++
+			fmt.Fprintf(h, "%d %d %q %d %q %d\n", at, a.Status, a.Body, a.Outcome, reasonOf(a), gen)
+			kinds[fmt.Sprint(a.Status, a.Outcome, reasonOf(a))]++
 		}
 		g = play(t, seed, see)
 		for _, o := range g.history {
@@ -42,6 +43,14 @@
 	t.Log(kinds)
 }
 
+// reasonOf is an answer's reason as it was recorded, when a machine that leads no longer gave one.
+func reasonOf(a Answer) string {
+	if errors.Is(a.Err, ErrNotLeader) {
+		return "not_leading"
+	}
+	return a.Reason
+}
+
 // Calls of the other kinds: shards, sites, grants and members that are struck, right and wrong, and what the entries carry.
 func TestOtherKindsAsRecorded(t *testing.T) {
 	h := fnv.New64a()
@@ -69,7 +78,7 @@
 	} {
 		a := c.at(lead, r)
 		c.until(a)
-		fmt.Fprintf(h, "%d %q %d %q %d\n", a.Status, a.Body, a.Outcome, a.Reason, a.State.Version)
+		fmt.Fprintf(h, "%d %q %d %q %d\n", a.Status, a.Body, a.Outcome, reasonOf(*a), a.State.Version)
 	}
 	if got := h.Sum64(); got != wantKinds {
 		t.Errorf("%#x, recorded %#x", got, wantKinds)
@@ -111,7 +120,7 @@
 		`503 "this machine led no longer as it was decided; ask again\n" 0 "not_leading" true`,
 	}
 	for i, a := range got {
-		if text := fmt.Sprintf("%d %q %d %q %t", a.Status, a.Body, a.Outcome, a.Reason, a.State != nil); i >= len(want) || text != want[i] {
+		if text := fmt.Sprintf("%d %q %d %q %t", a.Status, a.Body, a.Outcome, reasonOf(a), a.State != nil); i >= len(want) || text != want[i] {
 			t.Errorf("answer %d: %s", i, text)
 		}
 	}
--- a/internal/controlplane/orders/orders_test.go
+++ b/internal/controlplane/orders/orders_test.go
@@ -1,7 +1,7 @@
 package orders
 
 import (
-	"fmt"
+	"errors"
 	"testing"
 
 	"github.com/fxamacker/cbor/v2"
@@ -287,7 +287,7 @@
 			continue
 		}
 		_, err := s.Apply(c, "machine", 0)
-		if u, ok := err.(*config.UndecidedError); !ok || u.Later || i >= 1200-remembered {
+		if !errors.Is(err, config.ErrBaseVersionCompacted) || i >= 1200-remembered {
 			t.Fatalf("the copy of change %d: %v", i, err)
 		}
 	}
@@ -297,7 +297,7 @@
 		t.Logf("%d changes are remembered in %d bytes, the configuration among them", len(s.History), len(raw))
 	}
 	other := replace(1000, 1001, 7)
-	if _, err := s.Apply(&config.Change{BaseVersion: other.BaseVersion, Body: other.Body}, "machine", 0); fmt.Sprintf("%T", err) != "*config.RejectedError" {
+	if _, err := s.Apply(&config.Change{BaseVersion: other.BaseVersion, Body: other.Body}, "machine", 0); !errors.Is(err, config.ErrBaseVersionMismatch) {
 		t.Errorf("another change on a base of late: %v", err)
 	}
 }
--- a/internal/controlplane/requests.go
+++ b/internal/controlplane/requests.go
@@ -4,6 +4,7 @@
 // their answers go out and into the log.
 
 import (
+	"errors"
 	"time"
 
 	"weirwind/internal/controlplane/controlmsg"
@@ -18,7 +19,7 @@
 		if r.SiteLease != nil && a.Outcome == orders.OutcomeRead {
 			c.h.tables.do(func() { c.h.tables.granted[r.SiteLease.Site] = c.h.now() })
 		}
-		if a.Reason == orders.NotLeading {
+		if errors.Is(a.Err, orders.ErrNotLeader) {
 			a.Status = statusNotLeading
 		}
 		reply(a.Status, a.Body)
