--- /dev/null
+++ b/internal/shard/shardmap/reconcile.go
@@ -0,0 +1,95 @@
+package shardmap
+
+// This file owns the reconciliation: what nodes store is brought in line with the map, whoever began it and died.
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+
+	"weirwind/internal/shard/shardnode"
+)
+
+// emitOnce emits an action of the reconciliation, and not again for a while.
+func (rb *Rebalancer) emitOnce(action Action, now float64) {
+	key := fmt.Sprint(action.Kind, action.Node, action.Shard, action.Epoch)
+	if action.Change != nil {
+		key = fmt.Sprint(action.Change.Kind, action.Change.Shard, action.Change.Epoch)
+	}
+	if now >= rb.reconcileAt[key] {
+		rb.reconcileAt[key] = now + reconcileInterval
+		rb.emit(action)
+	}
+}
+
+// reconcile goes through all shards, and of each through all nodes.
+func (rb *Rebalancer) reconcile(m *Map, now float64) {
+	for key, at := range rb.reconcileAt {
+		if now > at+reconcileMemory {
+			delete(rb.reconcileAt, key)
+		}
+	}
+	nodes := slices.Sorted(maps.Keys(rb.nodes))
+	for _, shard := range slices.Sorted(maps.Keys(m.Shards)) {
+		served := rb.reconcileOwner(m, shard, now)
+		for _, node := range nodes {
+			if node != m.Shards[shard].Node {
+				rb.reconcileReplica(m, shard, node, served, now)
+			}
+		}
+	}
+}
+
+// reconcileOwner has the owner of a shard activate it, and says whether the shard is open there.
+func (rb *Rebalancer) reconcileOwner(m *Map, shard string, now float64) (served bool) {
+	assignment := m.Shards[shard]
+	owner := rb.report(assignment.Node, now)
+	if owner == nil {
+		return false
+	}
+	replica, found := owner.Replicas[shard]
+	current := found && replica.Epoch == assignment.Epoch
+	closed := replica.State == shardnode.StateClosing || replica.State == shardnode.StateClosed
+	t := rb.transfers[shard]
+	switch {
+	case !found && assignment.Epoch == 1, // a new shard
+		found && replica.Epoch < assignment.Epoch && replica.State != shardnode.StateReceiving:
+		rb.emitOnce(Action{Kind: ActionActivate, Node: assignment.Node, Shard: shard, Epoch: assignment.Epoch,
+			LastIndex: assignment.RequiredIndex}, now)
+	case current && closed && (t == nil || t.phase < phaseClosing): // by a transfer that nobody carries on
+		rb.reopenOwner(shard, assignment, now)
+	}
+	return current && replica.State == shardnode.StateOpen
+}
+
+// reconcileReplica removes the replica of a node that isn't the owner, unless a transfer is making it.
+func (rb *Rebalancer) reconcileReplica(m *Map, shard, node string, served bool, now float64) {
+	report := rb.report(node, now)
+	if report == nil {
+		return
+	}
+	replica, found := report.Replicas[shard]
+	if !found {
+		return
+	}
+	assignment, t := m.Shards[shard], rb.transfers[shard]
+	if t != nil && t.To == node && t.epoch == replica.Epoch && replica.Epoch >= assignment.Epoch {
+		return
+	}
+	switch {
+	case replica.Epoch < assignment.Epoch && (served || replica.State == shardnode.StateReceiving):
+		rb.emitOnce(Action{Kind: ActionDrop, Node: node, Shard: shard, Epoch: assignment.Epoch}, now)
+	case replica.Epoch != assignment.Epoch:
+	case replica.State == shardnode.StateReceiving:
+		rb.emitOnce(Action{Kind: ActionDiscard, Node: node, Shard: shard, Epoch: assignment.Epoch}, now)
+	case replica.State == shardnode.StateSealed && m.pendingTask(shard, node) < 0:
+		// A hand-over to it may have been proposed, and can't be agreed on once the owner has another epoch.
+		rb.reopenOwner(shard, assignment, now)
+	}
+}
+
+// reopenOwner gives a shard's owner the next epoch.
+func (rb *Rebalancer) reopenOwner(shard string, assignment Assignment, now float64) {
+	rb.emitOnce(Action{Kind: ActionPropose, Change: &Change{Kind: ChangeRollBack, Shard: shard,
+		Epoch: assignment.Epoch, Node: assignment.Node}}, now)
+}
--- a/internal/shard/shardmap/results.go
+++ b/internal/shard/shardmap/results.go
@@ -1,131 +1,146 @@
 package shardmap
 
-// This file owns what follows from the result of an act.
+// This file owns what follows from the results of actions.
 
-// What a Result's Err may say.
+// ResultCode is how an action failed: a code of this package, or a node's in lower case.
+type ResultCode string
+
+// Codes that the rebalancer tells apart.
 const (
-	resultNoAnswer   = "dark"
-	resultNoCapacity = "noroom"
-	resultWrongState = "state" // the copy is not in a state in which this can be done, or the answer makes no sense
-	resultMoved      = "moved"
+	ResultOK         ResultCode = ""
+	ResultNoAnswer   ResultCode = "dark"
+	ResultNoCapacity ResultCode = "noroom"
+	ResultWrongState ResultCode = "state" // the replica is in another state, or the answer makes no sense
+	ResultMoved      ResultCode = "moved"
 )
 
-// Result is what came of an act. Err is "" for good; "dark": no answer; else the node's code.
+// Result is the outcome of an action.
 type Result struct {
-	Code      string
-	LastIndex uint64
-	Remaining uint64 // entries that the source has beyond Last
-	Done      bool
-	Bytes     int64 // bytes that a fetch brought
+	Code      ResultCode
+	LastIndex uint64 // of the replica that was closed or fetched to
+	Remaining uint64 // entries that the source has beyond LastIndex
+	Done      bool   // the source is closed; the target is sealed
+	Bytes     int64  // that a fetch brought
 }
 
-// Told takes what came of an act.
-func (mv *Rebalancer) HandleResult(a Action, res Result, now float64) {
-	if a.Kind == ActionPropose && a.Change.Kind == ChangeEndTask || a.Kind == ActionReport {
+// HandleResult takes the result of an action. It may come late, or after the transfer has ended.
+func (rb *Rebalancer) HandleResult(action Action, result Result, now float64) {
+	if action.Kind == ActionReport || action.Kind == ActionPropose && action.Change.Kind == ChangeEndTask {
 		return
 	}
-	if s := mv.nodes[a.Node]; s != nil && a.Kind != ActionFetch { // what it did shows at once
-		s.nextAt = min(s.nextAt, now)
+	if view := rb.nodes[action.Node]; view != nil && action.Kind != ActionFetch { // its effect is to show at once
+		view.nextAt = min(view.nextAt, now)
 	}
-	shard := a.Shard
-	if a.Change != nil {
-		shard = a.Change.Shard
+	shard, epoch := action.Shard, action.Epoch
+	if action.Change != nil {
+		shard, epoch = action.Change.Shard, action.Change.Epoch
 	}
-	r := mv.transfers[shard]
-	if r == nil || r.phase == phaseDone || a.Kind == ActionDiscard || a.Kind == ActionDrop {
+	t := rb.transfers[shard]
+	if t == nil || t.phase == phaseDone {
 		return
 	}
-	if a.Kind == ActionActivate {
-		mv.handleActivated(r, a, res, now)
+	switch action.Kind {
+	case ActionDiscard, ActionDrop:
+		return // asked for by the reconciliation, or behind the end
+	case ActionActivate:
+		rb.handleActivated(t, action, result, now)
 		return
 	}
-	epoch := a.Epoch
-	if a.Kind == ActionPropose {
-		epoch = a.Change.Epoch
-	}
-	if epoch != r.epoch {
+	if epoch != t.epoch {
 		return
 	}
-	r.pending = false
-	if res.Code != resultNoAnswer {
-		r.lastContactAt = now
+	t.pending = false
+	if result.Code != ResultNoAnswer {
+		t.lastContactAt = now
 	}
-	if res.Code != "" {
-		mv.handleFailure(r, a, res, now)
+	if result.Code != ResultOK {
+		rb.handleFailure(t, action, result, now)
 		return
 	}
-	mv.handleSuccess(r, a, res, now)
+	rb.handleSuccess(t, action, result, now)
 }
 
-// held notes that the target has opened: the shard is served again.
-func (mv *Rebalancer) handleActivated(r *transfer, a Action, res Result, now float64) {
-	if a.Epoch != r.epoch+1 {
+// handleActivated notes that the target has activated: the shard is served again.
+func (rb *Rebalancer) handleActivated(t *transfer, action Action, result Result, now float64) {
+	if action.Epoch != t.epoch+1 {
 		return
 	}
-	if r.pending = false; res.Code != "" || a.Node != r.To || r.activated {
+	t.pending = false
+	if result.Code != ResultOK || action.Node != t.To || t.activated {
 		return
 	}
-	r.activated, r.nextAt = true, now
-	mv.writeGaps = append(mv.writeGaps, now-r.closedAt)
-	if len(mv.writeGaps) > maxGaps {
-		mv.writeGaps = mv.writeGaps[maxGaps/4:]
+	t.activated, t.nextAt = true, now
+	rb.writeGaps = append(rb.writeGaps, now-t.closedAt)
+	if len(rb.writeGaps) > maxWriteGaps {
+		rb.writeGaps = rb.writeGaps[maxWriteGaps/4:]
 	}
 }
 
-// failed tries an act again soon, unless the node's refusal ends the move.
-func (mv *Rebalancer) handleFailure(r *transfer, a Action, res Result, now float64) {
-	r.nextAt = now + retryAfter/2
+// handleFailure has the action repeated soon, unless the refusal ends the transfer.
+func (rb *Rebalancer) handleFailure(t *transfer, action Action, result Result, now float64) {
+	t.nextAt = now + retryAfter/2
+	code := string(result.Code)
 	switch {
-	case a.Kind == ActionReserve && res.Code != resultNoAnswer:
-		mv.rollBack(r, TaskFailed, r.To+" has no room: "+res.Code, now)
-	case a.Kind == ActionFetch && (res.Code == resultNoCapacity || res.Code == resultWrongState):
-		mv.rollBack(r, TaskFailed, r.To+" let the copy go: "+res.Code, now)
-	case a.Kind == ActionFetch && res.Code == resultMoved:
-		mv.rollBack(r, TaskFailed, r.From+" doesn't hold it", now)
-	case a.Kind == ActionSeal && res.Code != resultNoAnswer:
-		mv.rollBack(r, TaskFailed, r.To+" can't seal it: "+res.Code, now)
+	case action.Kind == ActionReserve && result.Code != ResultNoAnswer:
+		rb.abortTransfer(t, TaskFailed, t.To+" has no room: "+code, now)
+	case action.Kind == ActionFetch && (result.Code == ResultNoCapacity || result.Code == ResultWrongState):
+		rb.abortTransfer(t, TaskFailed, t.To+" let the copy go: "+code, now)
+	case action.Kind == ActionFetch && result.Code == ResultMoved:
+		rb.abortTransfer(t, TaskFailed, t.From+" doesn't hold it", now)
+	case action.Kind == ActionSeal && result.Code != ResultNoAnswer:
+		rb.abortTransfer(t, TaskFailed, t.To+" can't seal it: "+code, now)
 	}
 }
 
-// succeeded takes a move to its next phase where the act ends this one.
-func (mv *Rebalancer) handleSuccess(r *transfer, a Action, res Result, now float64) {
-	switch a.Kind {
-	case ActionPropose:
-		r.nextAt = now
+// handleSuccess moves the transfer to its next phase where the action ends the present one.
+func (rb *Rebalancer) handleSuccess(t *transfer, action Action, result Result, now float64) {
+	switch action.Kind {
 	case ActionReserve:
-		if r.phase == phaseReserving {
-			mv.emit(Action{Kind: ActionLog, Shard: r.Shard, Message: "begins from " + r.From + " to " + r.To})
-			r.enter(phaseCopying, now)
-		}
+		rb.handleReserved(t, now)
 	case ActionFetch:
-		mv.handleFetched(r, res, now)
+		rb.handleFetched(t, result, now)
 	case ActionClose, ActionAbortTransactions:
-		if res.Done && r.phase == phaseClosing {
-			r.lastIndex, r.closed = res.LastIndex, true
-		} else {
-			r.nextAt = now + closeRetryAfter
-		}
+		t.handleClosed(result, now)
 	case ActionSeal:
-		if r.phase == phaseSealing {
-			r.phase = phaseHandingOver
+		if t.phase == phaseSealing {
+			t.phase = phaseHandingOver
 		}
+	case ActionPropose:
+		t.nextAt = now // the map has it
+	}
+}
+
+func (rb *Rebalancer) handleReserved(t *transfer, now float64) {
+	if t.phase != phaseReserving {
+		return
 	}
+	rb.emit(Action{Kind: ActionLog, Shard: t.Shard, Message: "begins from " + t.From + " to " + t.To})
+	t.enter(phaseCopying, now)
 }
 
-// fetched takes a chunk. A shard that grows faster than it is copied is copied faster.
-func (mv *Rebalancer) handleFetched(r *transfer, res Result, now float64) {
-	mv.bytesMoved += res.Bytes
-	if r.phase == phaseCopying && r.remaining > 0 && res.Remaining >= r.remaining {
-		r.rateFactor = min(max(r.rateFactor, 1)*rateStep, maxRateFactor)
+// handleFetched takes a chunk. A shard that grows as fast as it is copied is copied faster.
+func (rb *Rebalancer) handleFetched(t *transfer, result Result, now float64) {
+	rb.bytesMoved += result.Bytes
+	if t.phase == phaseCopying && t.remaining > 0 && result.Remaining >= t.remaining {
+		t.rateFactor = min(max(t.rateFactor, 1)*rateStep, maxRateFactor)
 	}
-	r.remaining = res.Remaining
+	t.remaining = result.Remaining
 	switch {
-	case r.phase == phaseCopying && res.Remaining <= maxGapToClose:
-		r.closedAt = now
-		r.enter(phaseClosing, now)
-	case r.phase == phaseClosing && r.closed && res.Done:
-		r.phase = phaseHandingOver
-	case r.phase == phaseClosing && r.closed && res.LastIndex == r.lastIndex:
-		r.phase = phaseSealing // since stays: the whole close is bounded
+	case t.phase == phaseCopying && result.Remaining <= maxGapToClose:
+		t.closedAt = now
+		t.enter(phaseClosing, now)
+	case t.phase == phaseClosing && t.closed && result.Done:
+		t.phase = phaseHandingOver
+	case t.phase == phaseClosing && t.closed && result.LastIndex == t.lastIndex:
+		t.phase = phaseSealing
+	}
+}
+
+// handleClosed takes the source's final index, or has the close repeated while transactions are open.
+func (t *transfer) handleClosed(result Result, now float64) {
+	if result.Done && t.phase == phaseClosing {
+		t.lastIndex, t.closed = result.LastIndex, true
+		return
 	}
+	t.nextAt = now + closeRetryAfter
 }
--- a/internal/shard/shardmap/schedule.go
+++ b/internal/shard/shardmap/schedule.go
@@ -13,160 +13,194 @@
 	"weirwind/internal/shard/shardplan"
 )
 
-// startTasks starts tasks in the plan's order, as far as the rules let them go on at a time.
-func (mv *Rebalancer) startTasks(m *Map, now float64) {
+// startTasks starts tasks in the plan's order, as far as the rules allow.
+func (rb *Rebalancer) startTasks(m *Map, now float64) {
 	if m.Aborting {
-		for _, t := range m.Tasks {
-			if t.Status == TaskPending && mv.transfers[t.Shard] == nil {
-				mv.endTask(t, TaskAborted, "by the operator", now)
-			}
-		}
+		rb.abortTasks(m, now)
 		return
 	}
 	if m.Paused {
 		return
 	}
-	busy := mv.activeTransfers(m)
+	counts := rb.countTransfers(m)
 	first := firstRounds(m.Tasks)
-	for _, t := range m.Tasks {
-		if t.Status != TaskPending || mv.transfers[t.Shard] != nil || t.Round > first[t.From] || t.Round > first[t.To] {
+	for _, task := range m.Tasks {
+		if task.Status != TaskPending || rb.transfers[task.Shard] != nil || task.Round > first[task.From] ||
+			task.Round > first[task.To] {
 			continue
 		}
-		if m.Shards[t.Shard].Node != t.From {
-			mv.endMisplaced(m, t, now)
+		if m.Shards[task.Shard].Node != task.From {
+			rb.endMisplaced(m, task, now)
 			continue
 		}
-		if !busy.allows(m, t) {
-			continue
+		if counts.allows(m, task) && rb.startTask(m, task, now) {
+			counts.add(m, task)
+			counts.total++
 		}
-		epoch := m.Shards[t.Shard].Epoch
-		if !mv.ready(t, epoch, now) {
-			if mv.nodes[t.To] == nil {
-				mv.endTask(t, TaskFailed, "there is no such node", now)
-			}
-			continue
+	}
+}
+
+// startTask starts a task if its nodes are ready.
+func (rb *Rebalancer) startTask(m *Map, task Task, now float64) (started bool) {
+	epoch := m.Shards[task.Shard].Epoch
+	if !rb.ready(task, epoch, now) {
+		if rb.nodes[task.To] == nil {
+			rb.endTask(task, TaskFailed, "there is no such node", now)
+		}
+		return false
+	}
+	t := &transfer{Task: task, epoch: epoch, lastContactAt: now}
+	t.enter(phaseReserving, now)
+	rb.transfers[task.Shard] = t
+	rb.advance(m, t, now)
+	return true
+}
+
+// abortTasks ends the tasks that have not begun.
+func (rb *Rebalancer) abortTasks(m *Map, now float64) {
+	for _, task := range m.Tasks {
+		if task.Status == TaskPending && rb.transfers[task.Shard] == nil {
+			rb.endTask(task, TaskAborted, "by the operator", now)
 		}
-		r := &transfer{Task: t, epoch: epoch, lastContactAt: now}
-		r.enter(phaseReserving, now)
-		mv.transfers[t.Shard] = r
-		busy.add(m, t)
-		busy.total++
-		mv.advance(m, r, now)
 	}
 }
 
-// load counts the moves that go on.
+// transferCounts are the transfers under way.
 type transferCounts struct {
-	byNode, byZone map[string]int
-	total          int
+	byNode, byZone map[string]int // those that are not done
+	total          int            // with those that are done and not recorded yet
 }
 
-func (mv *Rebalancer) activeTransfers(m *Map) *transferCounts {
-	l := &transferCounts{byNode: map[string]int{}, byZone: map[string]int{}, total: len(mv.transfers)}
-	for _, r := range mv.transfers {
-		if r.phase != phaseDone {
-			l.add(m, r.Task)
+func (rb *Rebalancer) countTransfers(m *Map) *transferCounts {
+	counts := &transferCounts{byNode: map[string]int{}, byZone: map[string]int{}, total: len(rb.transfers)}
+	for _, t := range rb.transfers {
+		if t.phase != phaseDone {
+			counts.add(m, t.Task)
 		}
 	}
-	return l
+	return counts
 }
 
-func (l *transferCounts) add(m *Map, t Task) {
-	l.byNode[t.From]++
-	l.byNode[t.To]++
-	l.byZone[m.Nodes[t.From].Zone]++
-	l.byZone[m.Nodes[t.To].Zone]++
+func (c *transferCounts) add(m *Map, task Task) {
+	c.byNode[task.From]++
+	c.byNode[task.To]++
+	c.byZone[m.Nodes[task.From].Zone]++
+	c.byZone[m.Nodes[task.To].Zone]++
 }
 
-// allows says whether the rules let one more move go on.
-func (l *transferCounts) allows(m *Map, t Task) bool {
-	if l.byNode[t.From] >= m.Rules.MaxPerNode || l.byNode[t.To] >= m.Rules.MaxPerNode {
+// allows says whether the rules allow one more transfer.
+func (c *transferCounts) allows(m *Map, task Task) bool {
+	if c.byNode[task.From] >= m.Rules.MaxPerNode || c.byNode[task.To] >= m.Rules.MaxPerNode {
 		return false
 	}
-	if m.Rules.MaxTotal > 0 && l.total >= m.Rules.MaxTotal {
+	if m.Rules.MaxTotal > 0 && c.total >= m.Rules.MaxTotal {
 		return false
 	}
-	from, to := m.Nodes[t.From].Zone, m.Nodes[t.To].Zone
+	from, to := m.Nodes[task.From].Zone, m.Nodes[task.To].Zone
 	if m.Rules.MaxPerZone == 0 || from == "" {
 		return true
 	}
-	return l.byZone[from] < m.Rules.MaxPerZone && l.byZone[to] < m.Rules.MaxPerZone
+	return c.byZone[from] < m.Rules.MaxPerZone && c.byZone[to] < m.Rules.MaxPerZone
 }
 
-// firstRounds are the lowest rounds of tasks that wait, by node.
+// firstRounds gives the lowest round of each node's pending tasks.
 func firstRounds(tasks []Task) map[string]int {
 	first := map[string]int{}
-	for _, t := range tasks {
-		if t.Status != TaskPending {
+	for _, task := range tasks {
+		if task.Status != TaskPending {
 			continue
 		}
-		for _, id := range []string{t.From, t.To} {
-			if r, ok := first[id]; !ok || t.Round < r {
-				first[id] = t.Round
+		for _, node := range []string{task.From, task.To} {
+			if round, ok := first[node]; !ok || task.Round < round {
+				first[node] = task.Round
 			}
 		}
 	}
 	return first
 }
 
-// ready says whether both nodes of a task have been heard of late, and the source has the shard open.
-func (mv *Rebalancer) ready(t Task, epoch uint64, now float64) bool {
-	from, to := mv.report(t.From, now), mv.report(t.To, now)
+// ready says whether both nodes of a task have reported lately, and the source has the shard open.
+func (rb *Rebalancer) ready(task Task, epoch uint64, now float64) bool {
+	from, to := rb.report(task.From, now), rb.report(task.To, now)
 	if from == nil || to == nil {
 		return false
 	}
-	h := from.Replicas[t.Shard]
-	return h.State == shardnode.StateOpen && h.Epoch == epoch
+	replica := from.Replicas[task.Shard]
+	return replica.State == shardnode.StateOpen && replica.Epoch == epoch
 }
 
 // endMisplaced ends a task whose shard is not at its source: it is done once the shard is open at the target.
-func (mv *Rebalancer) endMisplaced(m *Map, t Task, now float64) {
-	if m.Shards[t.Shard].Node != t.To {
-		mv.endTask(t, TaskFailed, "it is no longer where the plan had it", now)
+func (rb *Rebalancer) endMisplaced(m *Map, task Task, now float64) {
+	if m.Shards[task.Shard].Node != task.To {
+		rb.endTask(task, TaskFailed, "it is no longer where the plan had it", now)
 		return
 	}
-	if to := mv.report(t.To, now); to != nil && to.Replicas[t.Shard].State == shardnode.StateOpen {
-		mv.endTask(t, TaskDone, "", now)
+	if to := rb.report(task.To, now); to != nil && to.Replicas[task.Shard].State == shardnode.StateOpen {
+		rb.endTask(task, TaskDone, "", now)
 	}
 }
 
-func (mv *Rebalancer) endTask(t Task, fate TaskStatus, why string, now float64) {
-	end := &Change{Kind: ChangeEndTask, Shard: t.Shard, Node: t.To, Status: fate, Reason: why}
-	mv.emitOnce(Action{Kind: ActionPropose, Change: end}, now)
+func (rb *Rebalancer) endTask(task Task, status TaskStatus, reason string, now float64) {
+	end := &Change{Kind: ChangeEndTask, Shard: task.Shard, Node: task.To, Status: status, Reason: reason}
+	rb.emitOnce(Action{Kind: ActionPropose, Change: end}, now)
 }
 
-// replan makes a plan from where things are, where tasks failed; what has moved stays where it is, as the least is
-// moved.
-func (mv *Rebalancer) replan(m *Map, now float64) {
-	failed := false
-	for _, t := range m.Tasks {
-		if t.Status == TaskPending {
-			return
-		}
-		failed = failed || t.Status == TaskFailed
-	}
-	if !failed || m.Paused || m.Aborting || len(mv.transfers) > 0 || m.Replans >= m.Rules.MaxReplans || now < mv.replanAt {
+// replan makes a plan from the present placement where tasks of the last one failed. What has moved stays where it is,
+// as plans move little.
+func (rb *Rebalancer) replan(m *Map, now float64) {
+	if !rb.mayReplan(m, now) {
 		return
 	}
-	mv.replanAt = now + replanInterval
-	c, err := ClusterOf(m, mv.Reports())
+	rb.replanAt = now + replanInterval
+	cluster, err := ClusterOf(m, rb.Reports())
 	if err != nil {
 		return
 	}
-	p := c.MakePlan()
-	if len(TasksFromPlan(p)) == 0 { // what failed stays to be read, with why
-		if mv.emptyPlans++; mv.emptyPlans > m.Rules.MaxReplans {
-			mv.replanAt = math.Inf(1)
+	plan := cluster.MakePlan()
+	tasks := TasksFromPlan(plan)
+	if len(tasks) == 0 { // the failed tasks stay, for operators to read
+		if rb.emptyPlans++; rb.emptyPlans > m.Rules.MaxReplans {
+			rb.replanAt = math.Inf(1)
 		}
 		return
 	}
-	mv.emit(Action{Kind: ActionLog, Message: fmt.Sprintf("plans anew: %d moves, %d bytes", len(TasksFromPlan(p)), p.Bytes)})
-	mv.emit(Action{Kind: ActionPropose, Change: &Change{Kind: ChangePlan, BaseVersion: m.Version, Tasks: TasksFromPlan(p), Replan: true}})
+	rb.emit(Action{Kind: ActionLog, Message: fmt.Sprintf("plans anew: %d moves, %d bytes", len(tasks), plan.Bytes)})
+	rb.emit(Action{Kind: ActionPropose, Change: &Change{Kind: ChangePlan, BaseVersion: m.Version, Tasks: tasks,
+		Replan: true}})
 }
 
-// ClusterOf is what a plan is made from: the map, and what nodes say that they hold.
+// mayReplan says whether all tasks have ended and one has failed, and an automatic plan is due.
+func (rb *Rebalancer) mayReplan(m *Map, now float64) bool {
+	failed := slices.ContainsFunc(m.Tasks, func(task Task) bool { return task.Status == TaskFailed })
+	return failed && !m.hasPending() && !m.Paused && !m.Aborting && len(rb.transfers) == 0 &&
+		m.Replans < m.Rules.MaxReplans && now >= rb.replanAt
+}
+
+// ClusterOf gives what a plan is made from, out of the map and the nodes' reports. A node without a report counts as
+// lost.
 func ClusterOf(m *Map, reports map[string]shardnode.Report) (*shardplan.Cluster, error) {
-	c := &shardplan.Cluster{Rules: shardplan.Rules{BalanceBand: m.Rules.BalanceBand, ReservedShare: m.Rules.ReservedShare, MaxMovesPerNode: m.Rules.MaxPerNode}}
+	cluster := &shardplan.Cluster{Rules: shardplan.Rules{BalanceBand: m.Rules.BalanceBand,
+		ReservedShare: m.Rules.ReservedShare, MaxMovesPerNode: m.Rules.MaxPerNode}}
+	for _, id := range nodeIDs(m, reports) {
+		report, ok := reports[id]
+		node := shardplan.Node{ID: id, Zone: m.Nodes[id].Zone, Capacity: report.Capacity, External: report.External,
+			State: cmp.Or(m.Nodes[id].State, shardplan.NodeActive)}
+		if !ok {
+			node.State = shardplan.NodeLost
+		}
+		cluster.Nodes = append(cluster.Nodes, node)
+	}
+	for _, shard := range slices.Sorted(maps.Keys(m.Shards)) {
+		owner := m.Shards[shard].Node
+		size := reports[owner].Replicas[shard].Size
+		cluster.Shards = append(cluster.Shards, shardplan.Shard{ID: shard, Size: size,
+			Growth: int64(m.Rules.GrowthShare * float64(size)), Replicas: []string{owner}})
+	}
+	return cluster, cluster.Validate()
+}
+
+// nodeIDs gives all nodes that the map or a report names, sorted.
+func nodeIDs(m *Map, reports map[string]shardnode.Report) []string {
 	ids := map[string]bool{}
 	for id := range m.Nodes {
 		ids[id] = true
@@ -174,23 +208,8 @@
 	for id := range reports {
 		ids[id] = true
 	}
-	for _, p := range m.Shards {
-		ids[p.Node] = true
-	}
-	for _, id := range slices.Sorted(maps.Keys(ids)) {
-		rep, ok := reports[id]
-		n := shardplan.Node{ID: id, Zone: m.Nodes[id].Zone, Capacity: rep.Capacity, External: rep.External,
-			State: cmp.Or(m.Nodes[id].State, shardplan.NodeActive)}
-		if !ok {
-			n.State = shardplan.NodeLost
-		}
-		c.Nodes = append(c.Nodes, n)
-	}
-	for _, shard := range slices.Sorted(maps.Keys(m.Shards)) {
-		p := m.Shards[shard]
-		h := reports[p.Node].Replicas[shard]
-		c.Shards = append(c.Shards, shardplan.Shard{ID: shard, Size: h.Size,
-			Growth: int64(m.Rules.GrowthShare * float64(h.Size)), Replicas: []string{p.Node}})
+	for _, assignment := range m.Shards {
+		ids[assignment.Node] = true
 	}
-	return c, c.Validate()
+	return slices.Sorted(maps.Keys(ids))
 }
--- a/internal/shard/shardmap/transfer.go
+++ b/internal/shard/shardmap/transfer.go
@@ -1,12 +1,10 @@
 package shardmap
 
-// This file owns one move of a shard: its phases, which act each asks for, and how it ends or goes back.
+// This file owns a transfer: its phases, the request that each sends, and how it ends. doc.go has them in a table.
 
-import (
-	"weirwind/internal/shard/shardnode"
-)
+import "weirwind/internal/shard/shardnode"
 
-// phase of a move.
+// phase of a transfer. Phases are entered in this order; rolling back may follow any from closing on, and done any.
 type phase uint8
 
 const (
@@ -15,168 +13,198 @@
 	phaseClosing
 	phaseSealing
 	phaseHandingOver
-	phaseRollingBack // it is to go back
+	phaseRollingBack
 	phaseDone
 )
 
+// phaseNames are shown to operators.
 var phaseNames = [...]string{"reserving", "copying", "closing", "sealing", "handing over", "going back", "over"}
 
-// transfer is a move that goes on.
+// transfer is a task that is being carried out.
 type transfer struct {
 	Task
-	epoch         uint64
-	phase         phase
-	enteredAt     float64
-	nextAt        float64 // not before
-	pending       bool    // something is out
-	lastIndex     uint64
-	closed        bool
-	lastContactAt float64    // its source and target, last
-	status        TaskStatus // of the task as it goes back
-	reason        string
-	activated     bool // the target has opened
-	closedAt      float64
-	remaining     uint64  // entries, by the last fetch
-	rateFactor    float64 // times the rate: a shard that grows faster than it is copied would never be whole
+	epoch uint64 // of the source as owner; the hand-over or roll-back makes it epoch+1
+	phase phase
+
+	enteredAt     float64 // when the phase began; sealing and handing over keep closing's: the whole close is bounded
+	nextAt        float64 // no request is sent before
+	pending       bool    // a request is sent and not answered
+	lastContactAt float64 // newest answer of the source or the target
+
+	remaining  uint64  // entries that the target lacked, by the last fetch
+	rateFactor float64 // times the rules' rate; 0: 1
+	closed     bool    // the source is closed, and lastIndex is final
+	lastIndex  uint64
+	closedAt   float64 // when closing began
+	activated  bool    // the target is open by epoch+1
+
+	status TaskStatus // of the task, once it is known how the transfer ends; "" before
+	reason string
 }
 
-func (r *transfer) enter(p phase, now float64) { r.phase, r.enteredAt, r.nextAt = p, now, now }
-
-func (mv *Rebalancer) send(r *transfer, a Action) {
-	r.pending = true
-	a.Shard, a.Epoch = r.Shard, r.epoch
-	mv.emit(a)
-}
+func (t *transfer) enter(p phase, now float64) { t.phase, t.enteredAt, t.nextAt = p, now, now }
 
-// rollBack gives a move up: at once while the source serves on, else by another epoch of the source.
-func (mv *Rebalancer) rollBack(r *transfer, fate TaskStatus, why string, now float64) {
-	switch {
-	case r.phase < phaseClosing: // the source never stopped: the sweep lets the copy go
-		mv.emit(Action{Kind: ActionLog, Shard: r.Shard, Message: "given up: " + why})
-		mv.finish(r, fate, why, now)
-	case r.phase < phaseRollingBack:
-		r.status, r.reason = fate, why
-		mv.emit(Action{Kind: ActionLog, Shard: r.Shard, Message: "goes back: " + why})
-		r.enter(phaseRollingBack, now)
-	}
+// send sends a request of the transfer.
+func (rb *Rebalancer) send(t *transfer, action Action) {
+	t.pending = true
+	action.Shard, action.Epoch = t.Shard, t.epoch
+	rb.emit(action)
 }
 
-// advance takes a move on.
-func (mv *Rebalancer) advance(m *Map, r *transfer, now float64) {
-	p := m.Shards[r.Shard]
-	// it was handed over: the target opens, the source drops
-	if r.phase != phaseDone && p.Node == r.To && p.Epoch == r.epoch+1 {
-		mv.finishHandOver(m, r, now)
+// advance sends a transfer's next request if it is due, or ends the transfer by what the map says.
+func (rb *Rebalancer) advance(m *Map, t *transfer, now float64) {
+	if t.phase == phaseDone {
+		if now >= t.nextAt { // until the map has it
+			rb.finish(t, t.status, t.reason, now)
+		}
 		return
 	}
-	if p.Epoch != r.epoch && r.phase != phaseDone {
-		mv.finish(r, TaskFailed, "it went back", now)
+	assignment := m.Shards[t.Shard]
+	if assignment.Node == t.To && assignment.Epoch == t.epoch+1 {
+		rb.completeHandOver(t, assignment, now)
 		return
 	}
-	if m.Aborting && r.phase != phaseDone {
-		mv.rollBack(r, TaskAborted, "by the operator", now)
+	if assignment.Epoch != t.epoch {
+		rb.finish(t, TaskFailed, "it went back", now)
+		return
 	}
-	if r.phase >= phaseClosing && r.phase <= phaseSealing && now-r.enteredAt > closeTimeout {
-		mv.rollBack(r, TaskFailed, "the hand-over took too long", now)
+	rb.checkTimeouts(m, t, now)
+	if t.phase == phaseDone || t.pending || now < t.nextAt {
+		return
 	}
-	if r.phase < phaseClosing && now-r.lastContactAt > silenceTimeout {
-		mv.rollBack(r, TaskFailed, "its source or target is silent", now)
+	rb.sendNext(m, t, now)
+}
+
+// checkTimeouts ends a transfer that the operator aborts or that takes too long.
+func (rb *Rebalancer) checkTimeouts(m *Map, t *transfer, now float64) {
+	if m.Aborting {
+		rb.abortTransfer(t, TaskAborted, "by the operator", now)
 	}
-	if r.phase == phaseDone {
-		if now >= r.nextAt {
-			mv.finish(r, r.status, r.reason, now)
-		}
-		return
+	if t.phase >= phaseClosing && t.phase <= phaseSealing && now-t.enteredAt > closeTimeout {
+		rb.abortTransfer(t, TaskFailed, "the hand-over took too long", now)
 	}
-	if r.pending || now < r.nextAt {
-		return
+	if t.phase < phaseClosing && now-t.lastContactAt > silenceTimeout {
+		rb.abortTransfer(t, TaskFailed, "its source or target is silent", now)
 	}
-	mv.sendNext(m, r, now)
 }
 
-// askNext lets out the act that a move's phase asks for.
-func (mv *Rebalancer) sendNext(m *Map, r *transfer, now float64) {
-	switch r.phase {
+// sendNext sends the request of a transfer's phase.
+func (rb *Rebalancer) sendNext(m *Map, t *transfer, now float64) {
+	switch t.phase {
 	case phaseReserving:
-		if !m.Paused {
-			mv.send(r, Action{Kind: ActionReserve, Node: r.To, Bytes: mv.reservation(m, r, now)})
-		}
+		rb.sendReserve(m, t, now)
 	case phaseCopying:
-		if m.Paused {
-			return
-		}
-		rate := pace(int64(float64(m.Rules.BytesPerSecond)*max(r.rateFactor, 1)), mv.report(r.From, now), mv.report(r.To, now))
-		bytes := min(maxChunk, max(int64(float64(rate)*chunkInterval/1000), 1))
-		r.nextAt = now + float64(bytes)/float64(rate)*1000
-		mv.send(r, Action{Kind: ActionFetch, Node: r.To, Source: r.From, Bytes: bytes})
+		rb.sendFetch(m, t, now)
 	case phaseClosing:
-		switch {
-		case r.closed:
-			mv.send(r, Action{Kind: ActionFetch, Node: r.To, Source: r.From, Bytes: maxChunk, LastIndex: r.lastIndex})
-		case now-r.enteredAt > abortTransactionsAfter:
-			mv.send(r, Action{Kind: ActionAbortTransactions, Node: r.From})
-		default:
-			mv.send(r, Action{Kind: ActionClose, Node: r.From})
-		}
+		rb.sendClose(t, now)
 	case phaseSealing:
-		mv.send(r, Action{Kind: ActionSeal, Node: r.To, LastIndex: r.lastIndex})
+		rb.send(t, Action{Kind: ActionSeal, Node: t.To, LastIndex: t.lastIndex})
 	case phaseHandingOver:
-		r.nextAt = now + retryAfter
-		hand := &Change{Kind: ChangeHandOver, Shard: r.Shard, Epoch: r.epoch, Node: r.To, LastIndex: r.lastIndex}
-		mv.send(r, Action{Kind: ActionPropose, Change: hand})
-	case phaseRollingBack: // nothing of it may be handed over any more
-		r.nextAt = now + retryAfter
-		back := &Change{Kind: ChangeRollBack, Shard: r.Shard, Epoch: r.epoch, Node: r.From}
-		mv.send(r, Action{Kind: ActionPropose, Change: back})
+		rb.proposeHandOver(t, now)
+	case phaseRollingBack:
+		rb.proposeRollBack(t, now)
 	}
 }
 
-// reservation is how many bytes the target is to keep free: the shard's size with what it may grow by meanwhile.
-func (mv *Rebalancer) reservation(m *Map, r *transfer, now float64) int64 {
-	size := r.Bytes
-	if rep := mv.report(r.From, now); rep != nil {
-		size = max(rep.Replicas[r.Shard].Size, 1)
+// sendReserve has the target reserve the shard's size and what it may grow by meanwhile.
+func (rb *Rebalancer) sendReserve(m *Map, t *transfer, now float64) {
+	if m.Paused {
+		return
 	}
-	return size + int64(m.Rules.GrowthShare*float64(size)) + 1
+	size := t.Bytes
+	if report := rb.report(t.From, now); report != nil {
+		size = max(report.Replicas[t.Shard].Size, 1)
+	}
+	size += int64(m.Rules.GrowthShare*float64(size)) + 1
+	rb.send(t, Action{Kind: ActionReserve, Node: t.To, Bytes: size})
+}
+
+// sendFetch has the target fetch a chunk from the source; the next one follows at the transfer's rate.
+func (rb *Rebalancer) sendFetch(m *Map, t *transfer, now float64) {
+	if m.Paused {
+		return
+	}
+	rate := int64(float64(m.Rules.BytesPerSecond) * max(t.rateFactor, 1))
+	rate = throttle(rate, rb.report(t.From, now), rb.report(t.To, now))
+	bytes := min(maxChunk, max(int64(float64(rate)*chunkInterval/1000), 1))
+	t.nextAt = now + float64(bytes)/float64(rate)*1000
+	rb.send(t, Action{Kind: ActionFetch, Node: t.To, Source: t.From, Bytes: bytes})
+}
+
+// sendClose has the source close, then the target fetch the rest and seal.
+func (rb *Rebalancer) sendClose(t *transfer, now float64) {
+	switch {
+	case t.closed:
+		rb.send(t, Action{Kind: ActionFetch, Node: t.To, Source: t.From, Bytes: maxChunk, LastIndex: t.lastIndex})
+	case now-t.enteredAt > abortTransactionsAfter:
+		rb.send(t, Action{Kind: ActionAbortTransactions, Node: t.From})
+	default:
+		rb.send(t, Action{Kind: ActionClose, Node: t.From})
+	}
+}
+
+func (rb *Rebalancer) proposeHandOver(t *transfer, now float64) {
+	t.nextAt = now + retryAfter
+	rb.send(t, Action{Kind: ActionPropose, Change: &Change{Kind: ChangeHandOver, Shard: t.Shard, Epoch: t.epoch,
+		Node: t.To, LastIndex: t.lastIndex}})
+}
+
+// proposeRollBack gives the source the next epoch, after which a hand-over that is still in flight is refused.
+func (rb *Rebalancer) proposeRollBack(t *transfer, now float64) {
+	t.nextAt = now + retryAfter
+	rb.send(t, Action{Kind: ActionPropose, Change: &Change{Kind: ChangeRollBack, Shard: t.Shard, Epoch: t.epoch,
+		Node: t.From}})
 }
 
-// finishHandOver opens what was handed over and lets the source drop it.
-func (mv *Rebalancer) finishHandOver(m *Map, r *transfer, now float64) {
-	p := m.Shards[r.Shard]
-	if r.pending || now < r.nextAt {
+// completeHandOver activates the target and has the source drop its replica, once the map has the hand-over.
+func (rb *Rebalancer) completeHandOver(t *transfer, assignment Assignment, now float64) {
+	if t.pending || now < t.nextAt {
 		return
 	}
-	r.nextAt = now + retryAfter
-	if r.phase = phaseHandingOver; !r.activated {
-		mv.emit(Action{Kind: ActionActivate, Node: r.To, Shard: r.Shard, Epoch: p.Epoch, LastIndex: p.RequiredIndex})
-		r.pending = true
+	t.nextAt = now + retryAfter
+	t.phase = phaseHandingOver // a roll-back that was proposed meanwhile came too late
+	if !t.activated {
+		rb.emit(Action{Kind: ActionActivate, Node: t.To, Shard: t.Shard, Epoch: assignment.Epoch,
+			LastIndex: assignment.RequiredIndex})
+		t.pending = true
 		return
 	}
-	mv.emit(Action{Kind: ActionDrop, Node: r.From, Shard: r.Shard, Epoch: p.Epoch})
-	r.status = ""
-	mv.finish(r, TaskDone, "", now)
+	rb.emit(Action{Kind: ActionDrop, Node: t.From, Shard: t.Shard, Epoch: assignment.Epoch})
+	t.status = ""
+	rb.finish(t, TaskDone, "", now)
 }
 
-// end tells the fate of a move.
-func (mv *Rebalancer) finish(r *transfer, fate TaskStatus, why string, now float64) {
-	if r.status == "" {
-		r.status, r.reason = fate, why
+// abortTransfer ends a transfer that has not begun to hand over: at once while the source still serves, else by a roll-back.
+func (rb *Rebalancer) abortTransfer(t *transfer, status TaskStatus, reason string, now float64) {
+	switch {
+	case t.phase < phaseClosing: // the reconciliation discards the target's replica
+		rb.emit(Action{Kind: ActionLog, Shard: t.Shard, Message: "given up: " + reason})
+		rb.finish(t, status, reason, now)
+	case t.phase < phaseRollingBack:
+		t.status, t.reason = status, reason
+		rb.emit(Action{Kind: ActionLog, Shard: t.Shard, Message: "goes back: " + reason})
+		t.enter(phaseRollingBack, now)
 	}
-	r.phase, r.nextAt = phaseDone, now+2*pollBusy // told again until the map has it
-	mv.emit(Action{Kind: ActionPropose, Change: &Change{Kind: ChangeEndTask, Shard: r.Shard, Node: r.To, Status: r.status, Reason: r.reason}})
 }
 
-// leastShare of its rate is a move's even while its nodes are full.
-const leastShare = 0.05
+// finish proposes the task's status, that of an earlier failure if there was one.
+func (rb *Rebalancer) finish(t *transfer, status TaskStatus, reason string, now float64) {
+	if t.status == "" {
+		t.status, t.reason = status, reason
+	}
+	t.phase, t.nextAt = phaseDone, now+reconcileInterval
+	rb.emit(Action{Kind: ActionPropose, Change: &Change{Kind: ChangeEndTask, Shard: t.Shard, Node: t.To,
+		Status: t.status, Reason: t.reason}})
+}
 
-// pace is how many bytes a second a move may take: all of its rate while a node has nothing else to do, little while it
-// is full.
-func pace(rate int64, reps ...*shardnode.Report) int64 {
+// throttle gives the rate that a transfer may take, in bytes a second: all of it while its nodes are idle, little while
+// one is full. A nil report counts as idle.
+func throttle(rate int64, reports ...*shardnode.Report) int64 {
 	share := 1.0
-	for _, r := range reps {
-		if r != nil && r.Slots > 0 {
-			share = min(share, 1-float64(r.Busy)/float64(r.Slots))
+	for _, report := range reports {
+		if report != nil && report.Slots > 0 {
+			share = min(share, 1-float64(report.Busy)/float64(report.Slots))
 		}
 	}
-	return max(int64(float64(rate)*max(share, leastShare)), 1)
+	return max(int64(float64(rate)*max(share, minRateShare)), 1)
 }
--- a/internal/shard/shardplan/cluster.go
+++ b/internal/shard/shardplan/cluster.go
@@ -17,7 +17,8 @@
 	NodeLost     NodeState = "gone"    // its replicas can't be read
 )
 
-func (s NodeState) valid() bool { return s == NodeActive || s == NodeDraining || s == NodeLost }
+// Valid says whether a state is one of them.
+func (s NodeState) Valid() bool { return s == NodeActive || s == NodeDraining || s == NodeLost }
 
 // Node stores replicas of shards.
 type Node struct {
@@ -74,7 +75,7 @@
 		if node.ID == "" || ids[node.ID] {
 			return nil, fmt.Errorf("node %q: it needs a name of its own", node.ID)
 		}
-		if node.Capacity < 0 || node.External < 0 || !node.State.valid() {
+		if node.Capacity < 0 || node.External < 0 || !node.State.Valid() {
 			return nil, fmt.Errorf("node %q: limit and foreign are bytes from 0 on, state is in, leaving or gone", node.ID)
 		}
 		ids[node.ID] = true
