--- /dev/null
+++ b/internal/controlplane/failover/candidate.go
@@ -0,0 +1,79 @@
+package failover
+
+import (
+	"cmp"
+	"slices"
+)
+
+// This file chooses the candidate: the longest log first, then the better machine.
+
+// hasSuccessor is whether any member could take over from the primary.
+func hasSuccessor(v *View, primary string) bool {
+	return slices.ContainsFunc(v.Members, func(m Member) bool { return m.ID != primary && !m.Draining && !m.Absent })
+}
+
+// betterCandidate is whether a goes before b in a failover: the longer log, then as comparePreference says.
+func (c *Controller) betterCandidate(v *View, a, b string) bool {
+	endA, endB := c.observation(a).status.Received, c.observation(b).status.Received
+	if endA != endB {
+		return endB.Less(endA)
+	}
+	return comparePreference(member(v, a), member(v, b)) < 0
+}
+
+// comparePreference orders members that would do as well by their logs: fresh heartbeats first, then who does not
+// drain, then the newer software, then who is nearer to the old primary.
+func comparePreference(a, b *Member) int {
+	return cmp.Or(
+		compareBool(a.SinceHeartbeat > staleHeartbeat, b.SinceHeartbeat > staleHeartbeat),
+		compareBool(a.Draining, b.Draining),
+		cmp.Compare(b.Generation, a.Generation),
+		cmp.Compare(a.Distance, b.Distance),
+		cmp.Compare(a.ID, b.ID),
+	)
+}
+
+// compareBool orders false before true.
+func compareBool(a, b bool) int {
+	switch {
+	case a == b:
+		return 0
+	case b:
+		return -1
+	}
+	return 1
+}
+
+// longestLog returns the paused replica with the longest log, "" for none.
+func (c *Controller) longestLog(v *View, replicas []Member) string {
+	best := ""
+	for _, m := range replicas {
+		if m.Absent || !c.observation(m.ID).paused {
+			continue
+		}
+		if best == "" || c.betterCandidate(v, m.ID, best) {
+			best = m.ID
+		}
+	}
+	return best
+}
+
+// preferredReplica returns the candidate of a switchover, which has yet to catch up. If all were rejected it returns
+// "", and all may be tried again.
+func (c *Controller) preferredReplica(replicas []Member) string {
+	var best *Member
+	for i := range replicas {
+		m := &replicas[i]
+		if m.Draining || m.Absent || m.Unlisted || c.rejected[m.ID] {
+			continue
+		}
+		if best == nil || comparePreference(m, best) < 0 {
+			best = m
+		}
+	}
+	if best == nil {
+		c.rejected = map[string]bool{}
+		return ""
+	}
+	return best.ID
+}
--- a/internal/controlplane/failover/catchup.go
+++ b/internal/controlplane/failover/catchup.go
@@ -1,154 +1,87 @@
 package failover
 
-// This file owns the later steps: the successor catches up, the platform is called, and the successor proves its lead.
+import "weirwind/internal/dataplane/wire"
 
-// swap gives a planned end another successor. Where the platform may still carry out a call, nobody is let go before a fence.
-func (s *Controller) swap(v *View, now float64) {
-	s.say(s.next + " does not catch up")
-	s.tried[s.next] = true
-	if !s.fenced {
-		s.giveUp(v, s.next+" does not catch up", now)
-		return
-	}
-	s.letGo(v, now)
-	for _, m := range v.Members {
-		if f := s.fact(m.ID); f.cont {
-			f.cont = false
-			s.act(ResumeReplication, m.ID, "")
-		}
-		s.fact(m.ID).ok = m.ID == s.old && s.fact(m.ID).ok
-	}
-	s.next = ""
-	s.enter(freezing, now)
-}
+// This file has phaseCatchingUp: the candidate catches up with all that the paused replicas, or the old primary, have.
 
-// catch waits until the successor has all that those paused have, then calls.
-func (s *Controller) catch(v *View, now float64) {
-	if s.find(v, s.next) == nil {
-		s.restart(now)
+// stepCatchingUp promotes the candidate once its log is complete.
+func (c *Controller) stepCatchingUp(v *View, now float64) {
+	m := member(v, c.candidate)
+	if m == nil {
+		c.restart(now)
 		return
 	}
-	if s.other(v, now) {
+	if c.abandonIfLed(v, now) {
 		return
 	}
-	f := s.fact(s.next)
-	have := f.ok && !s.find(v, s.next).Unlisted
-	for _, m := range s.replicas(v) {
-		o := s.fact(m.ID)
-		if o.paused && f.status.Received.Less(o.status.Received) {
-			have = false
-		}
-		if o.paused && !m.Absent && now-o.at > pauseHolds {
-			have = false // it may have restarted and forgotten its pause
-		}
-	}
-	if s.stepped && s.next != s.old && f.status.Received.Less(s.oldPos) {
-		if have = false; now-s.since > stepAfter { // something came in between: it leads again, as it alone surely has it
-			s.say("the old primary is to lead again")
-			s.next = s.old
-			s.call(now)
+	candidate := c.observation(c.candidate)
+	end := candidate.status.Received
+	complete := candidate.known && !m.Unlisted && c.hasAllOfPaused(v, end, now)
+	if c.mode == switchoverSteppedDown && c.candidate != c.oldPrimary && end.Less(c.oldPosition) {
+		complete = false
+		if now-c.phaseStart > pauseTimeout {
+			// A commit came in between: the old primary alone surely has it, so it leads again.
+			c.logOnce("the old primary is to lead again")
+			c.candidate = c.oldPrimary
+			c.promote(now)
 			return
 		}
 	}
-	if have && now >= s.askAt {
-		s.call(now)
+	if complete && now >= c.nextQueryAt {
+		c.promote(now)
 		return
 	}
-	if now >= s.askAt {
-		s.askAt = now + nearReplica/5
-		s.hold(v, now)
-		if s.next == s.old {
-			s.ask(s.next, QueryStatus, now)
-		}
-	}
-	if !have && now-s.since > swapAfter {
-		if s.planned {
-			s.swap(v, now)
-		} else {
-			s.restart(now)
+	if now >= c.nextQueryAt {
+		c.nextQueryAt = now + catchUpInterval
+		c.pauseReplicas(v, now)
+		if c.candidate == c.oldPrimary {
+			c.query(c.candidate, QueryStatus, now)
 		}
 	}
-}
-
-// call has the platform make the successor the primary.
-func (s *Controller) call(now float64) {
-	s.enter(calling, now)
-	s.askAt = now + pressEvery
-	s.called, s.open, s.fenced = true, true, false
-	s.act(Promote, s.next, s.old)
-}
-
-// awaitCall keeps replicas paused while the platform is slow: one that restarts or joins now would receive what the successor lacks.
-func (s *Controller) awaitCall(v *View, now float64) {
-	s.hold(v, now)
-	if now >= s.askAt {
-		s.askAt = now + pressEvery
-		s.depose(v, now)
-	}
-}
-
-// HandlePromoteResult takes the platform's answer: its status, 0 for none.
-func (s *Controller) HandlePromoteResult(id string, status int, now float64) {
-	if s.next != id {
-		return
-	}
-	if s.phase == fencing {
-		s.fenceAnswered(status, now)
-		return
-	}
-	if s.phase != calling {
+	if complete || now-c.phaseStart <= catchUpTimeout {
 		return
 	}
-	switch {
-	case status == 200:
-		s.open, s.fenced = false, true // its fence is the newest: what was called before is refused
-		s.enter(proving, now)
-	case status == 409:
-		s.called = false
-		s.say("the platform refuses " + id)
-		s.restart(now)
-	default: // it may be carried out at any time until a later call: what was read is too old by now to call again by it
-		s.restart(now)
+	if c.mode.planned() {
+		c.replaceCandidate(v, now)
+	} else {
+		c.restart(now)
 	}
 }
 
-func (s *Controller) restart(now float64) {
-	for _, f := range s.facts { // all is asked anew
-		f.ok, f.paused = false, false
+// hasAllOfPaused is whether a log up to end has all that the paused replicas have. A reply that is too old proves
+// nothing, as the replica may have restarted and forgotten its pause.
+func (c *Controller) hasAllOfPaused(v *View, end wire.Position, now float64) bool {
+	for _, m := range c.replicas(v) {
+		o := c.observation(m.ID)
+		if !o.paused {
+			continue
+		}
+		if end.Less(o.status.Received) || !m.Absent && now-o.queriedAt > pauseValidity {
+			return false
+		}
 	}
-	s.enter(freezing, now)
-	s.askAt = now + againAfter
+	return true
 }
 
-// prove waits until the successor says that it leads.
-func (s *Controller) prove(v *View, now float64) {
-	f := s.fact(s.next)
-	m := s.find(v, s.next)
-	if m == nil {
-		s.restart(now)
+// replaceCandidate has a switchover try another candidate. If the platform may still carry out a promote, it is
+// abandoned instead, as nobody may be resumed before a fence.
+func (c *Controller) replaceCandidate(v *View, now float64) {
+	reason := c.candidate + " does not catch up"
+	c.logOnce(reason)
+	c.rejected[c.candidate] = true
+	if !c.earlierPromotesVoid {
+		c.abandon(v, reason, now)
 		return
 	}
-	if m.Primary || f.ok && f.status.Primary && f.at >= s.since {
-		s.act(Log, s.next, "leads")
-		if s.old != "" {
-			s.act(EnforceDrain, s.old, "")
-			s.fact(s.old).ok = false
-		}
-		s.letGo(v, now)
-		s.primary = s.next
-		s.enter(watching, now)
-		return
-	}
-	s.hold(v, now)
-	if now >= s.askAt {
-		s.askAt = now + pressEvery
-		s.depose(v, now)
-		if now-s.since > proveAsk {
-			s.ask(s.next, QueryStatus, now)
+	c.releaseReplicas(v, now)
+	for _, m := range v.Members {
+		o := c.observation(m.ID)
+		if o.resumeDue {
+			o.resumeDue = false
+			c.act(ResumeReplication, m.ID, "")
 		}
+		o.known = m.ID == c.oldPrimary && o.known
 	}
-	if now-s.since > provesMost {
-		s.say(s.next + " does not take the lead")
-		s.restart(now)
-	}
+	c.candidate = ""
+	c.enter(phasePausing, now)
 }
--- a/internal/controlplane/failover/cover_test.go
+++ b/internal/controlplane/failover/cover_test.go
@@ -21,18 +21,18 @@
 	v := &View{Service: "s", SyncReplicas: 1, Members: []Member{{ID: "a", Primary: true}, {ID: "b", Replica: true}, {ID: "c", Replica: true}}}
 	s.Step(v, 0)
 	for _, id := range []string{"a", "b", "c"} {
-		s.HandleStatus(id, QueryStatus, 0, 20, answer(id == "a", 9))
+		s.HandleStatus(id, QueryStatus, 0, answer(id == "a", 9))
 	}
 	v.Members[2] = Member{ID: "c", Absent: true, Departed: true}
 	if hasCovered(s.Step(v, 100), "c") {
 		t.Fatal("covered by what the primary had said before it ended")
 	}
-	s.HandleStatus("a", QueryStatus, 100, 120, answer(true, 12))
-	s.HandleStatus("b", QueryStatus, 100, 120, answer(false, 11))
+	s.HandleStatus("a", QueryStatus, 100, answer(true, 12))
+	s.HandleStatus("b", QueryStatus, 100, answer(false, 11))
 	if hasCovered(s.Step(v, 150), "c") {
 		t.Fatal("covered by a replica that lacks a commit")
 	}
-	s.HandleStatus("b", QueryStatus, 160, 180, answer(false, 12))
+	s.HandleStatus("b", QueryStatus, 160, answer(false, 12))
 	v.Members[1].Unlisted = true
 	if hasCovered(s.Step(v, 200), "c") {
 		t.Fatal("covered by a replica that is not on the roster")
@@ -85,12 +85,12 @@
 					called, early = true, leads
 				case StepDown:
 					leads = false
-					s.HandleStatus("a", StepDown, now, now+20, answer(false, 9))
+					s.HandleStatus("a", StepDown, now, answer(false, 9))
 				case PauseReplication:
 					st.PromisedTerm = a.Term + 1
-					s.HandleStatus(a.ID, PauseReplication, now, now+20, st)
+					s.HandleStatus(a.ID, PauseReplication, now, st)
 				case QueryStatus, ResumeReplication:
-					s.HandleStatus(a.ID, a.Kind, now, now+20, st)
+					s.HandleStatus(a.ID, a.Kind, now, st)
 				}
 			}
 		}
@@ -112,7 +112,7 @@
 			switch {
 			case a.Kind == Log || a.Kind == Promote:
 			case slices.Contains(up, a.ID):
-				s.HandleStatus(a.ID, a.Kind, now, now+20, st)
+				s.HandleStatus(a.ID, a.Kind, now, st)
 			default:
 				s.HandleStatusFailure(a.ID, false)
 			}
--- a/internal/controlplane/failover/digest_test.go
+++ b/internal/controlplane/failover/digest_test.go
@@ -69,17 +69,17 @@
 			case 5: // both ends of a planned hand-over fall
 				drain()
 				p.in(800*p.r.Float64(), func() {
-					if m := p.g.Get(p.s.next); m != nil {
+					if m := p.g.Get(p.s.candidate); m != nil {
 						m.Up = false
 					}
-					if m := p.g.Get(p.s.old); m != nil && p.r.IntN(2) == 0 {
+					if m := p.g.Get(p.s.oldPrimary); m != nil && p.r.IntN(2) == 0 {
 						m.Up = false
 					}
 				})
 			case 6: // the primary leaves while it hands over
 				drain()
 				p.in(700*p.r.Float64(), func() {
-					if m := p.g.Get(p.s.old); m != nil && len(p.g.Members) > 2 {
+					if m := p.g.Get(p.s.oldPrimary); m != nil && len(p.g.Members) > 2 {
 						p.g.End(m.ID)
 						p.core.ends(m.ID)
 						p.joined++
--- a/internal/controlplane/failover/failover_test.go
+++ b/internal/controlplane/failover/failover_test.go
@@ -158,7 +158,7 @@
 				m.StepDown(a.Term + 1)
 			}
 			st := m.Status()
-			p.in(10+30*p.r.Float64(), func() { s.HandleStatus(a.ID, a.Kind, sent, p.now, st) })
+			p.in(10+30*p.r.Float64(), func() { s.HandleStatus(a.ID, a.Kind, sent, st) })
 		})
 	}
 }
@@ -290,35 +290,35 @@
 	Convey("A primary that takes no connection", t, func() {
 		s, v := New(-5000), view()
 		s.Step(v, 0)
-		s.HandleStatus("a", QueryStatus, 0, 30, status(true, 1, 9))
+		s.HandleStatus("a", QueryStatus, 0, status(true, 1, 9))
 		for _, id := range []string{"b", "c"} {
-			s.HandleStatus(id, ResumeReplication, 0, 30, status(false, 1, 9))
+			s.HandleStatus(id, ResumeReplication, 0, status(false, 1, 9))
 		}
 		v.Members[0].SinceHeartbeat = 800
 		s.HandleStatusFailure("a", true)
 		s.HandleStatusFailure("a", true)
 		So(kinds(s.Step(v, 900)), ShouldEqual, "stat:a pause:b pause:c")
 		Convey("is not succeeded while a replica that may alone hold a commit is not heard", func() {
-			s.HandleStatus("b", PauseReplication, 900, 940, paused(1, 9))
+			s.HandleStatus("b", PauseReplication, 900, paused(1, 9))
 			So(kinds(s.Step(v, 950)), ShouldEqual, "")
 			So(s.State(), ShouldEqual, "freezing: ? after a")
 			Convey("and then by the longer log", func() {
-				s.HandleStatus("c", PauseReplication, 900, 960, paused(1, 10))
+				s.HandleStatus("c", PauseReplication, 900, paused(1, 10))
 				So(kinds(s.Step(v, 970)), ShouldEqual, "failover:c")
 			})
 			Convey("and keeps its lead if it speaks again; who was paused is let go", func() {
-				s.HandleStatus("a", QueryStatus, 960, 970, status(true, 1, 9))
+				s.HandleStatus("a", QueryStatus, 960, status(true, 1, 9))
 				s.Step(v, 980)
 				So(s.State(), ShouldStartWith, "watching")
 				So(kinds(s.Step(v, 1000)), ShouldStartWith, "cont:b")
 			})
 		})
 		Convey("after the platform's answer is lost is not let back in", func() {
-			s.HandleStatus("b", PauseReplication, 900, 940, paused(1, 9))
-			s.HandleStatus("c", PauseReplication, 900, 940, paused(1, 9))
+			s.HandleStatus("b", PauseReplication, 900, paused(1, 9))
+			s.HandleStatus("c", PauseReplication, 900, paused(1, 9))
 			So(kinds(s.Step(v, 950)), ShouldStartWith, "failover:")
 			s.HandlePromoteResult("b", 0, 2950)
-			s.HandleStatus("a", QueryStatus, 2960, 2970, status(true, 1, 9))
+			s.HandleStatus("a", QueryStatus, 2960, status(true, 1, 9))
 			s.Step(v, 2980)
 			So(s.State(), ShouldNotStartWith, "watching")
 		})
@@ -328,24 +328,24 @@
 		v.Members[0].Draining = true
 		s.Step(v, 0)
 		for _, id := range []string{"a", "b"} {
-			s.HandleStatus(id, QueryStatus, 0, 30, status(id == "a", 1, 9))
+			s.HandleStatus(id, QueryStatus, 0, status(id == "a", 1, 9))
 		}
 		s.HandleStatusFailure("c", false)
 		for now := 200.0; now < 700; now += 100 {
 			s.Step(v, now)
-			s.HandleStatus("a", QueryStatus, now, now+10, status(true, 1, 9))
-			s.HandleStatus("b", QueryStatus, now, now+10, status(false, 1, 9))
+			s.HandleStatus("a", QueryStatus, now, status(true, 1, 9))
+			s.HandleStatus("b", QueryStatus, now, status(false, 1, 9))
 			s.HandleStatusFailure("c", false)
 		}
 		So(kinds(s.Step(v, 1000)), ShouldContainSubstring, "handed:a") // nothing new comes to it
-		s.HandleStatus("a", QueryStatus, 1000, 1010, status(true, 1, 11))
-		s.HandleStatus("b", QueryStatus, 1000, 1010, status(false, 1, 10))
+		s.HandleStatus("a", QueryStatus, 1000, status(true, 1, 11))
+		s.HandleStatus("b", QueryStatus, 1000, status(false, 1, 10))
 		So(kinds(s.Step(v, 1020)), ShouldNotContainSubstring, "stepdown") // what is under way has not come to the successor
 		s.Step(v, 1200)
-		s.HandleStatus("a", QueryStatus, 1200, 1210, status(true, 1, 11))
-		s.HandleStatus("b", QueryStatus, 1200, 1210, status(false, 1, 11))
+		s.HandleStatus("a", QueryStatus, 1200, status(true, 1, 11))
+		s.HandleStatus("b", QueryStatus, 1200, status(false, 1, 11))
 		So(kinds(s.Step(v, 1220)), ShouldContainSubstring, "stepdown:a")
-		s.HandleStatus("a", StepDown, 1220, 1230, status(false, 1, 11))
+		s.HandleStatus("a", StepDown, 1220, status(false, 1, 11))
 		So(kinds(s.Step(v, 1240)), ShouldContainSubstring, "failover:b")
 	})
 	Convey("A new leader of the core begins nothing at once", t, func() {
@@ -353,15 +353,15 @@
 		v.Members[0].Draining = true
 		So(kinds(s.Step(v, 100)), ShouldEqual, "stat:a")
 		Convey("then hands over from a primary that drains, with the other replica paused", func() {
-			s.HandleStatus("b", ResumeReplication, 950, 960, status(false, 1, 18))
-			s.HandleStatus("c", ResumeReplication, 950, 960, status(false, 1, 18))
+			s.HandleStatus("b", ResumeReplication, 950, status(false, 1, 18))
+			s.HandleStatus("c", ResumeReplication, 950, status(false, 1, 18))
 			So(kinds(s.Step(v, 1000)), ShouldContainSubstring, "stat:b")
-			s.HandleStatus("a", QueryStatus, 1000, 1010, status(true, 1, 20))
-			s.HandleStatus("b", QueryStatus, 1000, 1010, status(false, 1, 18))
+			s.HandleStatus("a", QueryStatus, 1000, status(true, 1, 20))
+			s.HandleStatus("b", QueryStatus, 1000, status(false, 1, 18))
 			s.Step(v, 1200)
-			s.HandleStatus("c", PauseReplication, 1200, 1210, paused(1, 19))
+			s.HandleStatus("c", PauseReplication, 1200, paused(1, 19))
 			So(kinds(s.Step(v, 1220)), ShouldNotContainSubstring, "failover")
-			s.HandleStatus("b", QueryStatus, 1220, 1230, status(false, 1, 19))
+			s.HandleStatus("b", QueryStatus, 1220, status(false, 1, 19))
 			So(kinds(s.Step(v, 1400)), ShouldContainSubstring, "failover:b")
 		})
 	})
--- /dev/null
+++ b/internal/controlplane/failover/fencing.go
@@ -0,0 +1,103 @@
+package failover
+
+// This file resumes paused replicas, behind a fence where one is needed.
+//
+// A promote may reach the platform late, and its answer may be lost. While every replica that the promote relied on
+// is paused, nothing is acknowledged that the candidate lacks; so they stay paused until a promote with a higher
+// fencing token was answered. Where nothing is to be changed, that promote names the present primary. A new leader of
+// the control plane issues one only if it finds a replica that an earlier leader paused: where all members replied
+// and none was paused, no failover is under way.
+
+// resumePaused looks for replicas that were left paused, by this leader or an earlier one, and resumes them. It
+// reports whether it has begun to fence, with nothing else to be done in this step.
+func (c *Controller) resumePaused(v *View, now float64) (fencing bool) {
+	if !c.pastEarlierPromotes(now) {
+		return false
+	}
+	if !c.earlierPromotesVoid && !c.promoteUnresolved && c.nonePaused(v) {
+		c.earlierPromotesVoid = true
+	}
+	if !c.earlierPromotesVoid && c.startFencing(v, now) {
+		return true
+	}
+	for _, m := range v.Members {
+		o := c.observation(m.ID)
+		if m.Absent || !o.resumeDue || m.ID == c.primary || o.pending || now < o.nextResumeAt {
+			continue // it may be cut off and still paused: it is queried for as long as it is there
+		}
+		o.nextResumeAt = now + resumeInterval
+		if o.reportsPause && c.earlierPromotesVoid {
+			c.query(m.ID, ResumeReplication, now)
+		} else {
+			c.query(m.ID, QueryStatus, now)
+		}
+	}
+	return false
+}
+
+// nonePaused is whether every member was queried since earlier promotes would have been carried out, and none is
+// paused.
+func (c *Controller) nonePaused(v *View) bool {
+	for _, m := range v.Members {
+		if m.Departed {
+			continue
+		}
+		o := c.observations[m.ID]
+		if o == nil || !o.known || o.reportsPause || o.queriedAt < c.startedAt+promoteLatency {
+			return false
+		}
+	}
+	return len(v.Members) > 0
+}
+
+// startFencing promotes the present primary anew if a replica is to be resumed and the primary has just reported that
+// it leads. It reports whether it did.
+func (c *Controller) startFencing(v *View, now float64) bool {
+	p := c.leader(v, now)
+	if p == nil || !c.anyToResume(v) || now < c.nextQueryAt {
+		return false
+	}
+	o := c.observation(p.ID)
+	if !o.known || !o.status.Primary || now-o.queriedAt > watchInterval {
+		return false // stepWatching queries it
+	}
+	c.primary, c.candidate = p.ID, p.ID
+	c.act(Log, p.ID, "a fence before paused replicas are let go")
+	c.enter(phaseFencing, now)
+	c.act(Promote, p.ID, "")
+	return true
+}
+
+// anyToResume is whether a member that can be queried is known to be paused, with no failover under way.
+func (c *Controller) anyToResume(v *View) bool {
+	for _, m := range v.Members {
+		o := c.observations[m.ID]
+		if o != nil && !m.Absent && o.resumeDue && o.reportsPause {
+			return true
+		}
+	}
+	return false
+}
+
+func (c *Controller) handleFenceResult(status int, now float64) {
+	if status == statusAccepted {
+		c.enter(phaseQuiescing, now)
+		return
+	}
+	c.enter(phaseWatching, now)
+	c.nextQueryAt = now + fenceRetryDelay
+}
+
+// stepQuiescing ends the fence once promotes that the platform accepted before it would have shown. Who leads is
+// queried anew.
+func (c *Controller) stepQuiescing(now float64) {
+	if now-c.phaseStart < promoteLatency {
+		return
+	}
+	c.promoteIssued, c.promoteUnresolved, c.earlierPromotesVoid = false, false, true
+	for _, o := range c.observations {
+		o.known = false
+		o.nextResumeAt = now
+	}
+	c.enter(phaseWatching, now)
+}
--- /dev/null
+++ b/internal/controlplane/failover/observation.go
@@ -0,0 +1,152 @@
+package failover
+
+import (
+	"slices"
+
+	"weirwind/internal/dataplane/wire"
+)
+
+// observation is what a member reported, and which queries to it are under way.
+type observation struct {
+	status    wire.MemberStatus // latest reply; meaningful only while known
+	queriedAt float64           // when the query that it replied to was sent: the status is at least as new as that
+	known     bool              // cleared where a phase needs newer statuses
+
+	refusals     int     // connections refused in a row
+	failures     int     // queries without a reply in a row
+	pending      bool    // at most one query is under way
+	pendingSince float64 // when the latest query was sent
+
+	// paused: it replied to a pause of this failover that it is paused, and no reply since contradicts that.
+	paused bool
+	// reportsPause: by its latest reply it is paused, whoever paused it.
+	reportsPause bool
+	// pauseSent: a pause was sent, and it isn't known whether it still has an effect or may yet arrive.
+	pauseSent bool
+	// resumeDue: it may be paused with no failover under way. It is queried until it reports that it isn't, and resumed
+	// if it is.
+	resumeDue bool
+	// nextResumeAt: it is not queried for resumeDue before.
+	nextResumeAt float64
+}
+
+// observation returns the one for a member. A member of which nothing is known may have been paused by an earlier
+// leader.
+func (c *Controller) observation(id string) *observation {
+	o := c.observations[id]
+	if o == nil {
+		o = &observation{resumeDue: true}
+		c.observations[id] = o
+	}
+	return o
+}
+
+func (c *Controller) forgetRemovedMembers(v *View) {
+	for id := range c.observations {
+		if !slices.ContainsFunc(v.Members, func(m Member) bool { return m.ID == id }) {
+			delete(c.observations, id)
+		}
+	}
+}
+
+// HandleStatus takes a member's reply to QueryStatus, PauseReplication, ResumeReplication or StepDown. The query was
+// sent at the time sent.
+func (c *Controller) HandleStatus(id string, kind ActionKind, sent float64, status wire.MemberStatus) {
+	o := c.observation(id)
+	o.pending, o.known, o.status, o.queriedAt = false, true, status, sent
+	o.refusals, o.failures = 0, 0
+	c.highestTerm = max(c.highestTerm, status.Term, status.PromisedTerm)
+	o.reportsPause = !status.Primary && status.PromisedTerm > 0 // a replica promises a term only while it is paused
+	switch {
+	case kind == PauseReplication:
+		o.paused = o.reportsPause
+	case !o.reportsPause: // it was resumed, or has restarted
+		o.paused = false
+	}
+	switch {
+	case kind == ResumeReplication:
+		o.resumeDue, o.pauseSent = o.reportsPause, false
+	case kind == QueryStatus && !o.reportsPause && o.pauseSent:
+		o.pauseSent = false // a pause that got no reply may arrive late: it is queried once more
+	case kind == QueryStatus && !o.reportsPause:
+		o.resumeDue = false
+	}
+}
+
+// HandleStatusFailure takes a query without a reply. refused: the member accepts no connection.
+func (c *Controller) HandleStatusFailure(id string, refused bool) {
+	o := c.observation(id)
+	o.pending = false
+	o.failures++
+	if refused {
+		o.refusals++
+	} else {
+		o.refusals = 0
+	}
+}
+
+// queryAll queries the status of every member that can be queried.
+func (c *Controller) queryAll(v *View, now float64) {
+	for _, m := range v.Members {
+		if !m.Absent {
+			c.query(m.ID, QueryStatus, now)
+		}
+	}
+}
+
+// query sends a query unless one is under way.
+func (c *Controller) query(id string, kind ActionKind, now float64) {
+	o := c.observation(id)
+	if o.pending {
+		return
+	}
+	o.pending, o.pendingSince = true, now
+	o.pauseSent = o.pauseSent || kind == PauseReplication
+	c.act(kind, id, "")
+}
+
+// leader returns the member with the latest claim to lead, nil for none. Claims in replies go by term and come before
+// those in heartbeats, which bear none.
+func (c *Controller) leader(v *View, now float64) *Member {
+	var leader *Member
+	var leaderTerm uint64
+	var leaderAt float64
+	for i := range v.Members {
+		m := &v.Members[i]
+		term, at, ok := c.leadershipClaim(m, now)
+		if ok && (leader == nil || term > leaderTerm || term == leaderTerm && at > leaderAt) {
+			leader, leaderTerm, leaderAt = m, term, at
+		}
+	}
+	return leader
+}
+
+// leadershipClaim returns the term in which a member claims to lead, 0 if it did so by a heartbeat, and since when
+// that is known.
+func (c *Controller) leadershipClaim(m *Member, now float64) (term uint64, at float64, ok bool) {
+	o := c.observations[m.ID]
+	replied := o != nil && o.known
+	switch {
+	case m.Absent:
+		return 0, 0, false
+	case replied && o.status.Primary:
+		return max(o.status.Term, 1), o.queriedAt, true
+	case !m.Primary:
+		return 0, 0, false
+	case replied && m.SinceHeartbeat > now-o.queriedAt: // the reply that it doesn't lead is newer
+		return 0, 0, false
+	}
+	return 0, now - m.SinceHeartbeat, true
+}
+
+// possibleLeader returns the first member that may lead, as it has not replied that it doesn't, "" for none. One that
+// has departed does not.
+func (c *Controller) possibleLeader(v *View) string {
+	for _, m := range v.Members {
+		o := c.observations[m.ID]
+		if !m.Departed && (o == nil || !o.known || o.status.Primary) {
+			return m.ID
+		}
+	}
+	return ""
+}
--- /dev/null
+++ b/internal/controlplane/failover/pausing.go
@@ -0,0 +1,188 @@
+package failover
+
+import (
+	"fmt"
+	"slices"
+)
+
+// This file has phasePausing: replicas are paused and queried until the mode's condition for a candidate holds.
+
+// pauseQuorum is how many of n replicas hold every acknowledged commit between them, whichever they are: any set of
+// that many meets every set of syncReplicas. If the old primary isn't known, it is one of the n, and a commit is on
+// syncReplicas+1 of them.
+func pauseQuorum(n, syncReplicas int, primaryKnown bool) int {
+	switch {
+	case syncReplicas == 0:
+		return n
+	case primaryKnown:
+		return max(n-syncReplicas+1, 1)
+	}
+	return max(n-syncReplicas, 1)
+}
+
+// replicas returns all members that may have received a commit apart from the old primary, also those that can't be
+// queried.
+func (c *Controller) replicas(v *View) []Member {
+	return slices.DeleteFunc(slices.Clone(v.Members), func(m Member) bool { return m.ID == c.oldPrimary })
+}
+
+// stepPausing pauses replicas, and goes on to phaseCatchingUp once the mode's condition holds.
+func (c *Controller) stepPausing(v *View, now float64) {
+	replicas := c.replicas(v)
+	if len(replicas) == 0 {
+		c.abandon(v, "there is no replica", now)
+		return
+	}
+	if c.abandonIfLed(v, now) {
+		return
+	}
+	if c.mode.planned() && c.candidate == "" {
+		c.candidate = c.preferredReplica(replicas)
+		if c.candidate == "" && !hasSuccessor(v, c.oldPrimary) {
+			c.abandon(v, "nobody could take over", now)
+			return
+		}
+	}
+	if now >= c.nextQueryAt {
+		c.nextQueryAt = now + urgentInterval
+		c.pauseReplicas(v, now)
+		c.queryOldPrimary(v, now)
+	}
+	switch c.mode {
+	case failover:
+		c.pauseForFailover(v, replicas, now)
+	case switchover, switchoverDraining:
+		c.pauseForSwitchover(v, replicas, now)
+	case switchoverSteppedDown:
+		if c.candidate != "" {
+			c.startCatchingUp(v, now)
+		}
+	}
+}
+
+// startCatchingUp takes the first step of phaseCatchingUp at once.
+func (c *Controller) startCatchingUp(v *View, now float64) {
+	c.enter(phaseCatchingUp, now)
+	c.stepCatchingUp(v, now)
+}
+
+// pauseForFailover waits for a quorum of paused replicas. The one with the longest log becomes the candidate.
+func (c *Controller) pauseForFailover(v *View, replicas []Member, now float64) {
+	paused := 0
+	for _, m := range replicas {
+		if c.observation(m.ID).paused {
+			paused++
+		}
+	}
+	quorum := pauseQuorum(len(replicas), v.SyncReplicas, c.oldPrimary != "")
+	if paused < quorum {
+		c.logOnce(fmt.Sprintf("waits for %d more of %d replicas, as one of them may alone hold a commit",
+			quorum-paused, len(replicas)))
+		return
+	}
+	candidate := c.longestLog(v, replicas)
+	if candidate == "" {
+		c.logOnce("waits for a member that could take over")
+		return
+	}
+	c.candidate = candidate
+	c.startCatchingUp(v, now)
+}
+
+// pauseForSwitchover waits until all replicas but the candidate are paused. Where that can't be had, or unknown
+// replicas may exist, the old primary is to step down first.
+func (c *Controller) pauseForSwitchover(v *View, replicas []Member, now float64) {
+	if member(v, c.oldPrimary) == nil {
+		c.turnIntoFailover("the old primary has left")
+		return
+	}
+	old := c.observation(c.oldPrimary)
+	if old.refusals >= maxRefusals || old.failures > 1 && now-old.queriedAt > silenceTimeout {
+		c.turnIntoFailover("the old primary is silent")
+		return
+	}
+	if c.candidate == "" {
+		return
+	}
+	allPaused := !slices.ContainsFunc(replicas, func(m Member) bool {
+		return m.ID != c.candidate && !c.observation(m.ID).paused
+	})
+	switch {
+	case allPaused && !v.MembershipUncertain:
+		c.startCatchingUp(v, now)
+	case allPaused || now-c.phaseStart > pauseTimeout:
+		c.stepDownOldPrimary(v, now)
+	}
+}
+
+// turnIntoFailover holds the candidate to the stricter terms of a failover, as the old primary no longer cooperates.
+func (c *Controller) turnIntoFailover(reason string) {
+	c.mode, c.candidate = failover, ""
+	c.logOnce(reason)
+}
+
+// stepDownOldPrimary leads a switchover through the old primary itself: a replica can't be paused, or isn't known,
+// and might receive what the candidate lacks, so the old primary is the only one that surely has all. Its drain is
+// enforced, so that nothing new comes; once the candidate has what it has, it steps down.
+func (c *Controller) stepDownOldPrimary(v *View, now float64) {
+	if c.mode == switchover {
+		c.mode = switchoverDraining
+		c.act(EnforceDrain, c.oldPrimary, "")
+	}
+	old, candidate := c.observation(c.oldPrimary), c.observation(c.candidate)
+	caughtUp := candidate.known && candidate.queriedAt >= c.phaseStart &&
+		!candidate.status.Received.Less(old.status.Received)
+	switch {
+	case old.known && !old.status.Primary && old.queriedAt >= c.phaseStart:
+		c.mode, c.oldPosition = switchoverSteppedDown, old.status.Received
+		c.logOnce("the old primary has stepped down, as a replica can't be paused or isn't known")
+		c.startCatchingUp(v, now)
+	case !old.pending && old.known && caughtUp:
+		c.query(c.oldPrimary, StepDown, now)
+	case now-c.phaseStart > 2*catchUpTimeout:
+		c.replaceCandidate(v, now)
+	}
+}
+
+// pauseReplicas pauses the replicas that are not, or whose reply is so old that they may have restarted and forgotten
+// the pause. The candidate of a switchover is only queried, as it has to receive.
+func (c *Controller) pauseReplicas(v *View, now float64) {
+	for _, m := range c.replicas(v) {
+		o := c.observation(m.ID)
+		switch {
+		case m.Absent, m.ID == c.candidate && c.phase == phaseConfirming:
+		case c.mode.planned() && m.ID == c.candidate:
+			c.query(m.ID, QueryStatus, now)
+		case o.paused && now-o.queriedAt <= pauseValidity:
+		case c.highestTerm == 0: // a pause must bear a term above the highest
+			c.query(m.ID, QueryStatus, now)
+		default:
+			c.query(m.ID, PauseReplication, now)
+		}
+	}
+}
+
+// queryOldPrimary queries the old primary. In a failover that its claim to lead can't end any more, it is told to
+// step down instead, so that nothing of its is acknowledged by a replica that isn't paused yet.
+func (c *Controller) queryOldPrimary(v *View, now float64) {
+	if member(v, c.oldPrimary) == nil {
+		return
+	}
+	o := c.observation(c.oldPrimary)
+	leads := o.known && o.status.Primary && o.queriedAt >= c.phaseStart
+	replaced := !c.mode.planned() && (c.promoteIssued || c.primaryStalled) && c.candidate != c.oldPrimary
+	if leads && replaced {
+		c.query(c.oldPrimary, StepDown, now)
+		return
+	}
+	c.query(c.oldPrimary, QueryStatus, now)
+}
+
+// releaseReplicas marks every replica that may be paused: phaseWatching resumes it once earlier promotes are void.
+func (c *Controller) releaseReplicas(v *View, now float64) {
+	for _, m := range v.Members {
+		if o := c.observation(m.ID); !m.Absent && (o.paused || o.pauseSent) {
+			o.resumeDue, o.paused, o.nextResumeAt = true, false, now
+		}
+	}
+}
--- /dev/null
+++ b/internal/controlplane/failover/promoting.go
@@ -0,0 +1,86 @@
+package failover
+
+// This file has phasePromoting and phaseConfirming: the platform is called, and the candidate reports that it leads.
+
+// promote has the platform make the candidate the primary.
+func (c *Controller) promote(now float64) {
+	c.enter(phasePromoting, now)
+	c.nextQueryAt = now + urgentInterval
+	c.promoteIssued, c.promoteUnresolved, c.earlierPromotesVoid = true, true, false
+	c.act(Promote, c.candidate, c.oldPrimary)
+}
+
+// stepPromoting keeps replicas paused while the platform is slow: one that restarts or joins now would receive what
+// the candidate lacks.
+func (c *Controller) stepPromoting(v *View, now float64) {
+	c.pauseReplicas(v, now)
+	if now >= c.nextQueryAt {
+		c.nextQueryAt = now + urgentInterval
+		c.queryOldPrimary(v, now)
+	}
+}
+
+// HandlePromoteResult takes the platform's answer to a promote: its HTTP status, 0 for none.
+func (c *Controller) HandlePromoteResult(id string, status int, now float64) {
+	if c.candidate != id {
+		return
+	}
+	switch c.phase {
+	case phaseFencing:
+		c.handleFenceResult(status, now)
+	case phasePromoting:
+		c.handlePromoteResult(status, now)
+	}
+}
+
+func (c *Controller) handlePromoteResult(status int, now float64) {
+	switch status {
+	case statusAccepted: // its fencing token is the highest: earlier promotes are rejected from now on
+		c.promoteUnresolved, c.earlierPromotesVoid = false, true
+		c.enter(phaseConfirming, now)
+	case statusRejected:
+		c.promoteIssued = false
+		c.logOnce("the platform refuses " + c.candidate)
+		c.restart(now)
+	default: // it may be carried out at any time until a later call; statuses are too old by now to promote by them again
+		c.restart(now)
+	}
+}
+
+// stepConfirming waits until the candidate reports that it leads.
+func (c *Controller) stepConfirming(v *View, now float64) {
+	o := c.observation(c.candidate)
+	m := member(v, c.candidate)
+	if m == nil {
+		c.restart(now)
+		return
+	}
+	if m.Primary || o.known && o.status.Primary && o.queriedAt >= c.phaseStart {
+		c.complete(v, now)
+		return
+	}
+	c.pauseReplicas(v, now)
+	if now >= c.nextQueryAt {
+		c.nextQueryAt = now + urgentInterval
+		c.queryOldPrimary(v, now)
+		if now-c.phaseStart > confirmQueryDelay {
+			c.query(c.candidate, QueryStatus, now)
+		}
+	}
+	if now-c.phaseStart > confirmTimeout {
+		c.logOnce(c.candidate + " does not take the lead")
+		c.restart(now)
+	}
+}
+
+// complete ends a failover or switchover: the candidate is the primary.
+func (c *Controller) complete(v *View, now float64) {
+	c.act(Log, c.candidate, "leads")
+	if c.oldPrimary != "" {
+		c.act(EnforceDrain, c.oldPrimary, "")
+		c.observation(c.oldPrimary).known = false
+	}
+	c.releaseReplicas(v, now)
+	c.primary = c.candidate
+	c.enter(phaseWatching, now)
+}
--- a/internal/controlplane/failover/roster_test.go
+++ b/internal/controlplane/failover/roster_test.go
@@ -158,7 +158,7 @@
 		}
 		lead.Up = false
 		p.in(1600+1000*p.r.Float64(), func() { // who was named falls before the platform gets to it, and comes back
-			if next := p.g.Get(p.s.next); next != nil && next.Up && !next.Primary {
+			if next := p.g.Get(p.s.candidate); next != nil && next.Up && !next.Primary {
 				next.Up = false
 				p.in(1500*p.r.Float64(), func() { p.restart(next.ID) })
 			}
--- a/internal/controlplane/succession.go
+++ b/internal/controlplane/succession.go
@@ -114,7 +114,7 @@
 			s.HandleStatusFailure(m.ID, refused)
 			return
 		}
-		s.HandleStatus(m.ID, k, sent, t.h.now(), st)
+		s.HandleStatus(m.ID, k, sent, st)
 	})
 }
 
