--- a/internal/controlplane/consensus/store/golden_test.go
+++ b/internal/controlplane/consensus/store/golden_test.go
@@ -1,6 +1,7 @@
 package store
 
 import (
+	"errors"
 	"flag"
 	"fmt"
 	"os"
@@ -18,8 +19,9 @@
 
 // recorded is what testdata/folder holds.
 func recorded() consensus.HardState {
-	return consensus.HardState{ID: "0@a:1", Term: 5, Vote: "7f3a@b:2", Commit: 7, CommitTerm: 3, Last: consensus.Entry{Term: 3, Index: 7,
-		Voters: []consensus.Voter{{ID: "0@a:1", Addr: "a:1"}, {ID: "7f3a@b:2", Addr: "b:2"}}, Value: []byte("value")}}
+	voters := []consensus.Voter{{ID: "0@a:1", Addr: "a:1"}, {ID: "7f3a@b:2", Addr: "b:2"}}
+	return consensus.HardState{ID: "0@a:1", Term: 5, Vote: "7f3a@b:2", Commit: 7, CommitTerm: 3,
+		Last: consensus.Entry{Term: 3, Index: 7, Voters: voters, Value: []byte("value")}}
 }
 
 const (
@@ -60,7 +62,7 @@
 				if got := fmt.Sprintf("%x", v); got != want {
 					t.Errorf("%s is %s, recorded was %s", key, got, want)
 				}
-				closer.Close()
+				_ = closer.Close()
 			}
 			if err := s.Close(); err != nil {
 				t.Fatal(err)
@@ -92,17 +94,15 @@
 // TestErrorTexts holds what operators read where a folder can't be read.
 func TestErrorTexts(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		corrupt func(db *pebble.DB) error
-		want    string
+		name   string
+		record string // that is wrong
+		value  []byte // nil: it is deleted
+		want   string
 	}{
-		{"no entry", func(db *pebble.DB) error { return db.Delete([]byte("entry"), pebble.Sync) },
-			"read entry: the entry [3 7] that was kept is not there"},
-		{"another entry", func(db *pebble.DB) error { return db.Set([]byte("entry"), []byte{0xa1, 0x01, 0x02}, pebble.Sync) },
-			"read entry: the entry [3 7] that was kept is not there"},
-		{"an entry that is cut", func(db *pebble.DB) error { return db.Set([]byte("entry"), []byte{0xa4, 0x01}, pebble.Sync) },
-			"read entry: unexpected EOF"},
-		{"no record", func(db *pebble.DB) error { return db.Set([]byte("meta"), []byte("!"), pebble.Sync) },
+		{"no entry", "entry", nil, "read entry: the entry [3 7] that was kept is not there"},
+		{"another entry", "entry", []byte{0xa1, 0x01, 0x02}, "read entry: the entry [3 7] that was kept is not there"},
+		{"an entry that is cut", "entry", []byte{0xa4, 0x01}, "read entry: unexpected EOF"},
+		{"no meta", "meta", []byte("!"),
 			"read meta: cbor: cannot unmarshal negative integer into Go value of type store.meta"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -112,22 +112,32 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if err := c.corrupt(s.db); err != nil {
+			if c.value == nil {
+				err = s.db.Delete([]byte(c.record), pebble.Sync)
+			} else {
+				err = s.db.Set([]byte(c.record), c.value, pebble.Sync)
+			}
+			if err := errors.Join(err, s.Close()); err != nil {
 				t.Fatal(err)
 			}
-			s.Close()
 			for how, open := range map[string]func() error{
 				"Look": func() error { _, _, err := Inspect(folder); return err },
 				"Open": func() error { _, _, _, err := Open(folder); return err },
 			} {
-				if err := open(); err == nil || err.Error() != c.want {
+				err := open()
+				if err == nil || err.Error() != c.want {
 					t.Errorf("%s: %v, recorded was %s", how, err, c.want)
 				}
+				var corrupt *CorruptError
+				if !errors.As(err, &corrupt) || corrupt.Record != c.record {
+					t.Errorf("%s: %v is no CorruptError of %s", how, err, c.record)
+				}
 			}
 		})
 	}
 	_, _, err := Inspect(filepath.Join(t.TempDir(), "none"))
-	if err == nil || !strings.HasPrefix(err.Error(), "open: ") {
+	var corrupt *CorruptError
+	if err == nil || !strings.HasPrefix(err.Error(), "open: ") || errors.As(err, &corrupt) {
 		t.Error(err)
 	}
 }
--- a/internal/controlplane/consensus/store/store.go
+++ b/internal/controlplane/consensus/store/store.go
@@ -1,7 +1,9 @@
-// Package store keeps a core machine's part of the agreement on its disk.
+// Package store keeps a core machine's part of the agreement, its consensus.HardState, on its disk.
 //
-// This file owns the folder and the form of what is in it. It decides nothing: a record that can't be read is
-// an error, never an empty one.
+// The folder is a pebble database with two records in CBOR: "meta", with all but the entry, and "entry", which is
+// as large as the value and is written only where it changed. Both are written in one batch, and meta says which
+// entry belongs to it, so that a folder never gives back parts of two states. It decides nothing: a record that
+// can't be read is an error, never an empty one.
 package store
 
 import (
@@ -16,38 +18,35 @@
 	"weirwind/internal/controlplane/consensus"
 )
 
-// ErrBroken says that a write failed in a way behind which the database may not be used: it would wait for
-// ever. The folder holds what was saved before, and another process can open it.
-var ErrBroken = errors.New("the store is broken")
+// FS is the file system below. Tests put one that fails in its place, before they open a store.
+var FS vfs.FS = vfs.Default
 
-// Store is an open folder.
+// Store is an open folder. Its process has the folder to itself. It isn't safe for concurrent use.
 type Store struct {
-	db     *pebble.DB
-	last   [2]uint64 // term and index of the entry that is on disk
+	db *pebble.DB
+	// savedEntry identifies the entry that is on disk, so that it is written only where it changed.
+	savedEntry entryID
+	// broken says that a write failed for good, and the database hangs whoever calls it.
 	broken bool
 }
 
+// entryID is the term and the index of an entry, in the form in which meta holds them.
+type entryID [2]uint64
+
+// meta is the record of all but the entry.
 type meta struct {
-	ID       string    `cbor:"1,keyasint"`
-	Term     uint64    `cbor:"2,keyasint"`
-	Vote     string    `cbor:"3,keyasint"`
-	Commit   uint64    `cbor:"4,keyasint"`
-	CommitOf uint64    `cbor:"5,keyasint"`
-	Entry    [2]uint64 `cbor:"6,keyasint"` // term and index that the record of the entry must have
+	ID         string  `cbor:"1,keyasint"`
+	Term       uint64  `cbor:"2,keyasint"`
+	Vote       string  `cbor:"3,keyasint"`
+	Commit     uint64  `cbor:"4,keyasint"`
+	CommitTerm uint64  `cbor:"5,keyasint"`
+	Entry      entryID `cbor:"6,keyasint"` // that the other record must have; zero: there is none
 }
 
 var metaKey, entryKey = []byte("meta"), []byte("entry")
 
-type quiet struct{}
-
-func (quiet) Infof(string, ...any)              {}
-func (quiet) Errorf(string, ...any)             {}
-func (quiet) Fatalf(format string, args ...any) { panic(oops.In("disk").Errorf(format, args...)) }
-
-// FS is the file system below; tests put one that fails in its place.
-var FS vfs.FS = vfs.Default
-
-// Open opens or makes the folder. found is false where nothing was ever kept there.
+// Open opens a folder, or makes it. found is false where nothing was ever saved there. A record that isn't what was
+// saved is a *CorruptError.
 func Open(folder string) (s *Store, h consensus.HardState, found bool, err error) {
 	return open(folder, false)
 }
@@ -61,44 +60,76 @@
 	return h, found, err
 }
 
-func open(folder string, only bool) (s *Store, h consensus.HardState, found bool, err error) {
+func open(folder string, readOnly bool) (s *Store, h consensus.HardState, found bool, err error) {
+	step := oops.In("disk").With("folder", folder)
 	defer func() {
 		if p := recover(); p != nil {
-			err = oops.In("disk").With("folder", folder).Errorf("open: %v", p)
+			err = step.Errorf("open: %w", panicError(p))
 		}
 	}()
-	step := oops.In("disk").With("folder", folder)
-	cache := pebble.NewCache(1 << 20)
-	defer cache.Unref()
-	db, err := pebble.Open(folder, &pebble.Options{Cache: cache, MemTableSize: 4 << 20, MaxOpenFiles: 32,
-		MaxConcurrentCompactions: func() int { return 1 }, ReadOnly: only, FS: FS, Logger: quiet{}, MaxManifestFileSize: 1 << 20})
+	db, err := openDB(folder, readOnly)
 	if err != nil {
 		return nil, h, false, step.Wrapf(err, "open")
 	}
 	s = &Store{db: db}
+	h, found, err = s.read(step)
+	if err != nil {
+		_ = db.Close() // the error that is returned says more
+		return nil, consensus.HardState{}, false, err
+	}
+	return s, h, found, nil
+}
+
+// openDB opens the database with small buffers: it holds one value.
+func openDB(folder string, readOnly bool) (*pebble.DB, error) {
+	cache := pebble.NewCache(1 << 20)
+	defer cache.Unref()
+	return pebble.Open(folder, &pebble.Options{
+		Cache:                    cache,
+		MemTableSize:             4 << 20,
+		MaxOpenFiles:             32,
+		MaxConcurrentCompactions: func() int { return 1 },
+		MaxManifestFileSize:      1 << 20,
+		ReadOnly:                 readOnly,
+		FS:                       FS,
+		Logger:                   panicLogger{},
+	})
+}
+
+// read gives what is saved; false: nothing is.
+func (s *Store) read(step oops.OopsErrorBuilder) (h consensus.HardState, found bool, err error) {
 	var m meta
-	switch ok, err := s.get(metaKey, &m); {
-	case err != nil:
-		db.Close()
-		return nil, h, false, step.Wrapf(err, "read meta")
-	case !ok:
-		return s, h, false, nil
-	}
-	h = consensus.HardState{ID: m.ID, Term: m.Term, Vote: m.Vote, Commit: m.Commit, CommitTerm: m.CommitOf}
-	if m.Entry != [2]uint64{} {
-		ok, err := s.get(entryKey, &h.Last)
-		if err == nil && (!ok || [2]uint64{h.Last.Term, h.Last.Index} != m.Entry) {
-			err = fmt.Errorf("the entry %v that was kept is not there", m.Entry)
-		}
-		if err != nil {
-			db.Close()
-			return nil, h, false, step.Wrapf(err, "read entry")
+	if found, err = s.get(metaKey, &m); err != nil {
+		return h, false, step.Wrapf(err, "read meta")
+	}
+	if !found {
+		return h, false, nil
+	}
+	h = consensus.HardState{ID: m.ID, Term: m.Term, Vote: m.Vote, Commit: m.Commit, CommitTerm: m.CommitTerm}
+	if m.Entry != (entryID{}) {
+		if err := s.getEntry(m.Entry, &h.Last); err != nil {
+			return h, false, step.Wrapf(err, "read entry")
 		}
 	}
-	s.last = m.Entry
-	return s, h, true, nil
+	s.savedEntry = m.Entry
+	return h, true, nil
+}
+
+// getEntry reads the entry, which must be the one that meta names.
+func (s *Store) getEntry(id entryID, into *consensus.Entry) error {
+	found, err := s.get(entryKey, into)
+	if err != nil {
+		return err
+	}
+	if !found || idOf(into) != id {
+		return &CorruptError{Record: string(entryKey), Err: fmt.Errorf("the entry %v that was kept is not there", id)}
+	}
+	return nil
 }
 
+func idOf(e *consensus.Entry) entryID { return entryID{e.Term, e.Index} }
+
+// get reads a record; false: there is none.
 func (s *Store) get(key []byte, into any) (bool, error) {
 	v, closer, err := s.db.Get(key)
 	if errors.Is(err, pebble.ErrNotFound) {
@@ -107,11 +138,15 @@
 	if err != nil {
 		return false, err
 	}
-	defer closer.Close()
-	return true, cbor.Unmarshal(v, into)
+	defer func() { _ = closer.Close() }() // lets go of v, and gives no error
+	if err := cbor.Unmarshal(v, into); err != nil {
+		return true, &CorruptError{Record: string(key), Err: err}
+	}
+	return true, nil
 }
 
-// Save returns when it is synced, as a whole. Behind ErrBroken nothing can be saved any more.
+// Save returns when the whole state is synced. After another error than ErrBroken it may be tried again;
+// after ErrBroken nothing can be saved any more.
 func (s *Store) Save(h *consensus.HardState) (err error) {
 	if s.broken {
 		return ErrBroken
@@ -119,35 +154,36 @@
 	defer func() {
 		if p := recover(); p != nil {
 			s.broken = true
-			err = oops.In("disk").Wrapf(ErrBroken, "%v", p)
+			err = oops.In("disk").Wrapf(&brokenError{panicError(p)}, "%v", p)
 		}
 	}()
 	b := s.db.NewBatch()
-	defer b.Close()
-	entry := [2]uint64{h.Last.Term, h.Last.Index}
-	m, err := cbor.Marshal(meta{h.ID, h.Term, h.Vote, h.Commit, h.CommitTerm, entry})
-	if err != nil {
-		return err
-	}
-	if err := b.Set(metaKey, m, nil); err != nil {
+	defer func() { _ = b.Close() }() // frees the batch, and gives no error
+	id := idOf(&h.Last)
+	if err := set(b, metaKey, meta{h.ID, h.Term, h.Vote, h.Commit, h.CommitTerm, id}); err != nil {
 		return err
 	}
-	if entry != s.last {
-		e, err := cbor.Marshal(&h.Last)
-		if err != nil {
-			return err
-		}
-		if err := b.Set(entryKey, e, nil); err != nil {
+	if id != s.savedEntry {
+		if err := set(b, entryKey, &h.Last); err != nil {
 			return err
 		}
 	}
 	if err := b.Commit(pebble.Sync); err != nil {
 		return oops.In("disk").Wrapf(err, "sync")
 	}
-	s.last = entry
+	s.savedEntry = id
 	return nil
 }
 
+// set puts a record into a batch.
+func set(b *pebble.Batch, key []byte, record any) error {
+	v, err := cbor.Marshal(record)
+	if err != nil {
+		return err
+	}
+	return b.Set(key, v, nil)
+}
+
 // Close lets go of the folder. A broken store is left as it is: closing it would wait for ever.
 func (s *Store) Close() error {
 	if s.broken {
--- a/internal/controlplane/consensus/store/store_test.go
+++ b/internal/controlplane/consensus/store/store_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"io/fs"
 	"os"
 	"path/filepath"
 	"strings"
@@ -15,13 +16,56 @@
 	"weirwind/internal/standin/disk"
 )
 
+// folderSize is that of all files in a folder, in bytes.
+func folderSize(t *testing.T, folder string) (size int64) {
+	t.Helper()
+	err := filepath.Walk(folder, func(_ string, i fs.FileInfo, err error) error {
+		if err == nil {
+			size += i.Size()
+		}
+		return nil
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return size
+}
+
+// filesIn are those of a folder whose names match.
+func filesIn(folder, pattern string) []string {
+	names, err := filepath.Glob(filepath.Join(folder, pattern))
+	So(err, ShouldBeNil)
+	So(names, ShouldNotBeEmpty)
+	return names
+}
+
+// appendTo writes behind the end of a file.
+func appendTo(name, text string) {
+	f, err := os.OpenFile(name, os.O_APPEND|os.O_WRONLY, 0)
+	So(err, ShouldBeNil)
+	_, err = f.WriteString(text)
+	So(err, ShouldBeNil)
+	So(f.Close(), ShouldBeNil)
+}
+
+// damage flips bits of a file's beginning.
+func damage(name string) {
+	b, err := os.ReadFile(name)
+	So(err, ShouldBeNil)
+	for i := range min(len(b)/2, 200) {
+		b[i] ^= 0x5a
+	}
+	So(os.WriteFile(name, b, 0o600), ShouldBeNil)
+}
+
 func TestStore(t *testing.T) {
 	Convey("A folder", t, func() {
 		dir := t.TempDir()
 		s, _, found, err := Open(dir)
 		So(err, ShouldBeNil)
 		So(found, ShouldBeFalse)
-		h := consensus.HardState{ID: "me", Term: 4, Vote: "you", Last: consensus.Entry{Term: 3, Index: 7, Voters: []consensus.Voter{{ID: "me", Addr: "a"}}, Value: []byte("word")}, Commit: 7, CommitTerm: 3}
+		h := consensus.HardState{ID: "me", Term: 4, Vote: "you", Commit: 7, CommitTerm: 3,
+			Last: consensus.Entry{Term: 3, Index: 7, Voters: []consensus.Voter{{ID: "me", Addr: "a"}}, Value: []byte("word")}}
 		So(s.Save(&h), ShouldBeNil)
 		Convey("gives back what was saved", func() {
 			h.Term, h.Vote = 5, ""
@@ -32,13 +76,10 @@
 			So(found, ShouldBeTrue)
 			So(back, ShouldResemble, h)
 		})
-		Convey("whose log lost its end holds all that was saved before, whole", func() {
+		Convey("whose log lost its end holds all that was saved before, complete", func() {
 			So(s.Close(), ShouldBeNil)
-			logs, _ := filepath.Glob(filepath.Join(dir, "*.log"))
-			So(logs, ShouldNotBeEmpty)
-			f, _ := os.OpenFile(logs[len(logs)-1], os.O_APPEND|os.O_WRONLY, 0)
-			f.Write([]byte("half a record that was torn"))
-			f.Close()
+			logs := filesIn(dir, "*.log")
+			appendTo(logs[len(logs)-1], "half a record that was torn")
 			_, back, found, err := Open(dir)
 			So(err, ShouldBeNil)
 			So(found, ShouldBeTrue)
@@ -47,46 +88,34 @@
 		Convey("in which a table is damaged is an error, never empty", func() {
 			So(s.db.Flush(), ShouldBeNil)
 			So(s.Close(), ShouldBeNil)
-			tables, _ := filepath.Glob(filepath.Join(dir, "*.sst"))
-			So(tables, ShouldNotBeEmpty)
-			for _, name := range tables {
-				b, _ := os.ReadFile(name)
-				for i := range min(len(b)/2, 200) {
-					b[i] ^= 0x5a
-				}
-				os.WriteFile(name, b, 0o600)
+			for _, name := range filesIn(dir, "*.sst") {
+				damage(name)
 			}
 			_, _, found, err := Open(dir)
 			So(err != nil || found, ShouldBeTrue)
 		})
-		Convey("grows by no more than a few changes' worth over thousands", func() {
+		Convey("grows by no more than a few changes' size over thousands", func() {
 			h.Last.Value = []byte(strings.Repeat("route ", 20000))
 			for i := range 300 {
 				h.Last.Index = uint64(8 + i)
 				So(s.Save(&h), ShouldBeNil)
 			}
 			So(s.Close(), ShouldBeNil)
-			size := int64(0)
-			filepath.Walk(dir, func(_ string, i os.FileInfo, err error) error {
-				if err == nil {
-					size += i.Size()
-				}
-				return nil
-			})
-			So(size, ShouldBeLessThan, 40<<20)
+			So(folderSize(t, dir), ShouldBeLessThan, 40<<20)
 		})
 	})
 }
 
-// The largest configuration that is taken, kept many times over: how long a change and a start take, and what
-// is on the disk.
+// TestLargestState saves the largest configuration that is accepted, many times over: how long a change and a
+// start take, and what is on the disk.
 func TestLargestState(t *testing.T) {
 	dir := t.TempDir()
 	s, _, _, err := Open(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := consensus.HardState{ID: "me", Term: 1, Last: consensus.Entry{Term: 1, Value: []byte(strings.Repeat("0123456789abcdef", 4<<20/16))}}
+	value := []byte(strings.Repeat("0123456789abcdef", 4<<20/16))
+	h := consensus.HardState{ID: "me", Term: 1, Last: consensus.Entry{Term: 1, Value: value}}
 	const changes = 25
 	began := time.Now()
 	for i := range changes {
@@ -96,28 +125,27 @@
 		}
 	}
 	each := time.Since(began) / changes
-	s.Close()
-	size := int64(0)
-	filepath.Walk(dir, func(_ string, i os.FileInfo, err error) error {
-		if err == nil {
-			size += i.Size()
-		}
-		return nil
-	})
+	if err := s.Close(); err != nil {
+		t.Fatal(err)
+	}
+	size := folderSize(t, dir)
 	began = time.Now()
 	s, back, found, err := Open(dir)
 	if err != nil || !found || back.Last.Index != changes || len(back.Last.Value) != 4<<20 {
 		t.Fatal(err, found, back.Last.Index)
 	}
-	t.Logf("4 MB: %v a change, %d MB on disk behind %d, open again in %v", each.Round(time.Millisecond), size>>20, changes, time.Since(began).Round(time.Millisecond))
-	s.Close()
+	t.Logf("4 MB: %v a change, %d MB on disk behind %d, open again in %v", each.Round(time.Millisecond), size>>20, changes,
+		time.Since(began).Round(time.Millisecond))
+	if err := s.Close(); err != nil {
+		t.Fatal(err)
+	}
 	if size > 100<<20 {
 		t.Errorf("%d bytes on disk", size)
 	}
 }
 
-// Some hundreds of changes, each with a longer list behind it: the folder stays small, and opens with the
-// newest after each hundred.
+// TestManyChanges saves some hundreds of changes, each with a longer list behind it: the folder stays small,
+// and opens with the newest after each hundred.
 func TestManyChanges(t *testing.T) {
 	dir := t.TempDir()
 	h := consensus.HardState{ID: "me", Term: 1, Last: consensus.Entry{Term: 1}}
@@ -137,22 +165,16 @@
 			t.Fatal(err)
 		}
 	}
-	size := int64(0)
-	filepath.Walk(dir, func(_ string, i os.FileInfo, err error) error {
-		if err == nil {
-			size += i.Size()
-		}
-		return nil
-	})
+	size := folderSize(t, dir)
 	t.Logf("%d KB on disk behind %d changes, %d KB the last", size>>10, h.Last.Index, len(h.Last.Value)>>10)
 	if size > 32<<20 {
 		t.Errorf("%d bytes on disk", size)
 	}
 }
 
-// A disk that is full for a while: the change that meets it is refused, the next one too and at once, and
-// what was saved before is found by another process. It fails without broken in Save or in Close, as pebble
-// then waits for ever (incident on a full disk).
+// TestAFullDiskHangsNobody has a disk full for a while: the change that meets it is refused, the next one too
+// and at once, and what was saved before is found by another process. It fails without broken in Save or in
+// Close, as pebble then waits for ever (incident on a full disk).
 func TestAFullDiskHangsNobody(t *testing.T) {
 	Convey("A folder on a disk that is full", t, func() {
 		dir, control := t.TempDir(), filepath.Join(t.TempDir(), "disk")
@@ -164,9 +186,14 @@
 		So(s.Save(&h), ShouldBeNil)
 		So(os.WriteFile(control, []byte(disk.Refuses), 0o600), ShouldBeNil)
 		refused := h
-		for range 20 { // with changes of this size pebble's fifth commit would wait for ever
+		for i := range 20 { // with changes of this size pebble's fifth commit would wait for ever
 			refused.Last.Index++
-			So(errors.Is(s.Save(&refused), ErrBroken), ShouldBeTrue)
+			err := s.Save(&refused)
+			So(errors.Is(err, ErrBroken), ShouldBeTrue)
+			if i == 0 {
+				So(err.Error(), ShouldEqual, "pebble: fatal commit error: disk: refused: the store is broken")
+				So(errors.Is(err, disk.ErrRefused), ShouldBeTrue)
+			}
 		}
 		So(s.Close(), ShouldBeNil)
 		copyOf := func() string { // as another process finds it: this one holds the folder's lock
