--- /dev/null
+++ b/internal/dataplane/proxy/bench_test.go
@@ -0,0 +1,118 @@
+package proxy
+
+import (
+	"context"
+	"net"
+	"strings"
+	"testing"
+
+	"weirwind/internal/controlplane/controlmsg"
+	"weirwind/internal/controlplane/directory"
+	"weirwind/internal/dataplane/memberconn"
+	"weirwind/internal/dataplane/wire"
+	"weirwind/internal/shard/shardmap"
+	"weirwind/internal/util/events"
+	"weirwind/internal/util/settings"
+)
+
+// BenchmarkStatements measures the way of a statement, client and member included: what it allocates is the same in each
+// run, and is not to grow.
+func BenchmarkStatements(b *testing.B) {
+	for _, c := range []struct {
+		name, host string
+		texts      []string
+	}{
+		{"verified read", "db", []string{"FETCH x"}},
+		{"stale read", "old", []string{"FETCH x"}},
+		{"write", "db", []string{"STORE x 1"}},
+		{"write at a shard", "part", []string{"STORE x 1"}},
+		{"transaction", "db", []string{"BEGIN", "STORE x 1", "COMMIT"}},
+	} {
+		b.Run(c.name, func(b *testing.B) {
+			client := attachBenchClient(b, c.host)
+			replies := wire.NewReader(client)
+			b.ReportAllocs()
+			for b.Loop() {
+				for _, text := range c.texts {
+					if _, err := client.Write([]byte("QUERY q1 " + text + "\r\n")); err != nil {
+						b.Fatal(err)
+					}
+					awaitReady(b, replies)
+				}
+			}
+		})
+	}
+}
+
+// attachBenchClient starts a proxy with three idle connections to a primary, and attaches a client to it.
+func attachBenchClient(b *testing.B, host string) net.Conn {
+	b.Helper()
+	ctx, stop := context.WithCancel(context.Background())
+	p := newProxy(ctx, &settings.Settings{Zone: "z", MemoryMB: 8}, events.Nothing())
+	go p.router.run()
+	done := make(chan struct{})
+	p.router.do(func() {
+		defer close(done)
+		p.router.update(&controlmsg.StateUpdate{ConfigVersion: 3, Config: []byte(transcripts), DriverCount: 2,
+			ShardMap: &shardmap.Map{Version: 5, Shards: map[string]shardmap.Assignment{"sh": {Node: "s", Epoch: 8}}},
+			Members: []directory.Member{{ID: "a", Service: "s", Zone: "z", Role: directory.RolePrimary, Incarnation: 1,
+				Seq: 1}}})
+		g := p.router.group("s")
+		for range 3 {
+			here, there := net.Pipe()
+			b.Cleanup(func() { there.Close() })
+			go serveBenchMember(there)
+			g.pool("a").open++
+			conn := &memberConn{Conn: &memberconn.Conn{NetConn: here, Reader: wire.NewReader(here)}}
+			p.router.keep(g, g.group.Members["a"], conn)
+		}
+	})
+	<-done
+	here, there := net.Pipe()
+	go p.serve(there)
+	b.Cleanup(func() { here.Close(); stop() })
+	if _, err := here.Write([]byte("ATTACH " + host + " who\r\n")); err != nil {
+		b.Fatal(err)
+	}
+	awaitReady(b, wire.NewReader(here))
+	return here
+}
+
+func awaitReady(b *testing.B, replies *wire.Reader) {
+	b.Helper()
+	for {
+		line, err := replies.ReadMessage()
+		if err != nil || strings.HasPrefix(line, wire.MsgFail) {
+			b.Fatal(line, err)
+		}
+		if strings.HasPrefix(line, wire.MsgReady) {
+			return
+		}
+	}
+}
+
+// serveBenchMember answers as a primary does, with a success to everything.
+func serveBenchMember(c net.Conn) {
+	queries, state := wire.NewReader(c), wire.StateIdle
+	for {
+		line, err := queries.ReadMessage()
+		if err != nil {
+			return
+		}
+		_, rest := wire.CutField(line)
+		id, text := wire.CutField(rest)
+		stamp := "a." + id
+		switch {
+		case strings.HasSuffix(text, "BEGIN"):
+			state, stamp = wire.StateInTransaction, wire.NoStamp
+		case text == "COMMIT", text == "ABORT":
+			state = wire.StateIdle
+		}
+		if id == wire.NoStamp {
+			stamp = wire.NoStamp
+		}
+		if _, err := c.Write([]byte("ROW x\r\nDONE " + stamp + "\r\nREADY " + state + " 1.4\r\n")); err != nil {
+			return
+		}
+	}
+}
--- /dev/null
+++ b/internal/dataplane/proxy/connpool.go
@@ -0,0 +1,222 @@
+package proxy
+
+import (
+	"errors"
+	"slices"
+	"time"
+
+	"weirwind/internal/controlplane/directory"
+	"weirwind/internal/dataplane/group"
+	"weirwind/internal/dataplane/memberconn"
+	"weirwind/internal/dataplane/sessionstate"
+	"weirwind/internal/dataplane/wire"
+)
+
+const (
+	dialTimeout  = 700 * time.Millisecond
+	probeTimeout = 500 * time.Millisecond
+
+	defaultShare = 64 // connections to a member while no configuration bounds them
+	minShare     = 2
+	// Dials that all drivers together make to a member at a time: each takes a slot of the member for a while, and all
+	// drivers come at once when it starts.
+	maxDials          = 24
+	minDialsPerDriver = 2
+
+	minIdleConns = 2 // of a member, kept however long they are idle
+	maxIdleTime  = 4 * time.Second
+
+	// A member that rejected a connection for want of capacity is not dialled again at once if this proxy has none
+	// there, as other drivers have to let go first.
+	rejectedDialBackoff = 40 * time.Millisecond
+)
+
+// memberConn is a connection to a member, with the session state that it holds. A session that has checked it out owns
+// it; while it is idle, its pool does.
+type memberConn struct {
+	*memberconn.Conn
+	state     sessionstate.Conn
+	idleSince float64 // milliseconds
+}
+
+func dialMember(record directory.Member, deadline time.Time) (*memberConn, error) {
+	c, _, err := memberconn.Dial(record, deadline)
+	if err != nil {
+		return nil, err
+	}
+	return &memberConn{Conn: c}, nil
+}
+
+// queryStatus sends a member a health check, over a connection of its own.
+func queryStatus(record directory.Member) (wire.MemberStatus, error) {
+	deadline := time.Now().Add(probeTimeout)
+	c, _, err := memberconn.Dial(record, deadline)
+	if err != nil {
+		return wire.MemberStatus{}, err
+	}
+	defer c.Close()
+	return c.QueryStatus("STAT", deadline)
+}
+
+// connPool is this proxy's connections to one member.
+//
+// open counts all of them: len(idle) idle ones, dialing ones that are being made, and those that are checked out. Each
+// has its place in open from the start of its dial until it is closed.
+type connPool struct {
+	idle    []*memberConn // the longest idle first; all are reusable
+	open    int
+	dialing int
+}
+
+// take removes an idle connection, of which there must be one: the newest that holds values of the hash, else the newest.
+func (p *connPool) take(valuesHash uint64) *memberConn {
+	chosen := len(p.idle) - 1
+	for i := chosen; i >= 0; i-- {
+		if p.idle[i].state.ValuesHash() == valuesHash {
+			chosen = i
+			break
+		}
+	}
+	c := p.idle[chosen]
+	p.idle = slices.Delete(p.idle, chosen, chosen+1)
+	return c
+}
+
+// put adds a connection that is no longer in use.
+func (p *connPool) put(c *memberConn, now float64) {
+	c.idleSince = now
+	p.idle = append(p.idle, c)
+}
+
+// closeIdle closes all idle connections.
+func (p *connPool) closeIdle() {
+	for _, c := range p.idle {
+		c.Close()
+	}
+	p.open -= len(p.idle)
+	p.idle = nil
+}
+
+// closeExpired closes connections that were idle for too long, but keeps a few.
+func (p *connPool) closeExpired(now float64) {
+	for len(p.idle) > minIdleConns && now-p.idle[0].idleSince > milliseconds(maxIdleTime) {
+		p.idle[0].Close()
+		p.idle = slices.Delete(p.idle, 0, 1)
+		p.open--
+	}
+}
+
+func (g *memberGroup) pool(id string) *connPool {
+	p := g.pools[id]
+	if p == nil {
+		p = &connPool{}
+		g.pools[id] = p
+	}
+	return p
+}
+
+// closeIdle closes a member's idle connections, as it drains or was removed.
+func (g *memberGroup) closeIdle(id string) {
+	if p := g.pools[id]; p != nil {
+		p.closeIdle()
+		g.dropUnusedPool(id)
+	}
+}
+
+func (g *memberGroup) dropUnusedPool(id string) {
+	if p := g.pools[id]; p != nil && p.open <= 0 && len(p.idle) == 0 {
+		delete(g.pools, id)
+	}
+}
+
+// connShare is how many connections this proxy may have to one member of the group: its part of nine tenths of what the
+// member takes, as the drivers don't see the same number of drivers at all times.
+func (r *router) connShare(g *memberGroup) int {
+	if g.maxConns == 0 {
+		return defaultShare
+	}
+	return max((g.maxConns-g.maxConns/10)/r.drivers(), minShare)
+}
+
+// availability returns a function that says whether a connection to a member is idle or may be made.
+func (r *router) availability(g *memberGroup) func(*group.Member) bool {
+	share := r.connShare(g)
+	dials := max(maxDials/r.drivers(), minDialsPerDriver)
+	return func(m *group.Member) bool {
+		p := g.pools[m.ID]
+		return p == nil || len(p.idle) > 0 || p.open < share && p.dialing < dials
+	}
+}
+
+// dial makes a connection, which serves whichever request is next when it stands. It has a deadline of its own: bound to
+// that of the request that waited longest, and so has the least time left, none would ever stand where many wait.
+func (r *router) dial(g *memberGroup, m *group.Member) {
+	p := g.pool(m.ID)
+	p.open++
+	p.dialing++
+	record, startedAt := m.Member, r.proxy.now()
+	go func() {
+		c, err := dialMember(record, time.Now().Add(dialTimeout))
+		r.do(func() { r.dialed(g, m, c, err, startedAt) })
+	}()
+}
+
+// dialed takes the result of a dial.
+func (r *router) dialed(g *memberGroup, m *group.Member, c *memberConn, err error, startedAt float64) {
+	p := g.pool(m.ID)
+	p.dialing--
+	rejected := errors.Is(err, memberconn.ErrAttachRejected) // the member is there, and has no capacity
+	for _, request := range g.queue.waiting {
+		if request.dialing != m.ID {
+			continue
+		}
+		request.dialing = ""
+		if rejected && !request.requirement.Write && !request.requirement.Linearizable {
+			request.avoidMember(m.ID)
+		}
+	}
+	switch {
+	case err == nil:
+		r.keep(g, m, c)
+	case rejected:
+		p.open--
+	default:
+		p.open--
+		g.group.RecordOutcome(m, startedAt, r.proxy.now(), group.ConnectFailed, wire.Position{})
+		r.logSlot(g)
+	}
+	if rejected && p.open <= p.dialing {
+		time.AfterFunc(rejectedDialBackoff, func() { r.do(func() { r.dispatch(g) }) })
+		return
+	}
+	r.dispatch(g)
+}
+
+// keep puts a connection into its member's pool, or closes it if the pool may not keep it.
+func (r *router) keep(g *memberGroup, m *group.Member, c *memberConn) {
+	p := g.pool(m.ID)
+	if m.Tombstone || m.Draining || g.group.Members[m.ID] != m || p.open > r.connShare(g) || !c.Reusable() {
+		c.Close()
+		p.open--
+		return
+	}
+	p.put(c, r.proxy.now())
+}
+
+// warmUp makes a first connection to a group's primary and to its nearest replica, so that the first requests of a
+// process don't all wait for one at the same time.
+func (r *router) warmUp(g *memberGroup) {
+	primary := g.group.Primary()
+	var nearest *group.Member
+	for _, m := range g.group.Members {
+		if m != primary && !m.Draining && (nearest == nil || m.Nearer(nearest)) {
+			nearest = m
+		}
+	}
+	for _, m := range []*group.Member{primary, nearest} {
+		if m == nil || g.pools[m.ID] != nil && g.pools[m.ID].open > 0 {
+			continue
+		}
+		r.dial(g, m)
+	}
+}
--- /dev/null
+++ b/internal/dataplane/proxy/dispatch.go
@@ -0,0 +1,140 @@
+package proxy
+
+import (
+	"slices"
+
+	"weirwind/internal/controlplane/directory"
+	"weirwind/internal/dataplane/group"
+	"weirwind/internal/dataplane/wire"
+	"weirwind/internal/util/events"
+)
+
+const (
+	maxQueuedRequests = 2000   // of a group
+	rejectionInterval = 1000.0 // milliseconds between two log lines on a group's rejections
+)
+
+// connRequest asks for a member connection on which a statement, or a transaction, can be run. A session makes one for
+// each statement and uses it for all its attempts; while it is queued, the router owns it.
+type connRequest struct {
+	requirement group.Requirement
+	commit      bool   // the answer to what is sent waits for replicas
+	valuesHash  uint64 // of the session's values: a connection that holds them already is preferred
+	// Milliseconds: when its statement came, and when it must be answered at the latest.
+	startedAt, deadline float64
+	avoid               []string // members at which earlier attempts failed
+	dialing             string   // the member that a connection is being made to on its behalf, "" for none
+	reply               chan checkout
+}
+
+// avoidMember keeps further attempts away from a member, where another may do.
+func (q *connRequest) avoidMember(id string) { q.avoid = append(q.avoid, id) }
+
+// checkout is a connection that is lent to a session, with what the session must ask of the member.
+type checkout struct {
+	group  *memberGroup
+	member *group.Member
+	record directory.Member // the member's, as it was then
+	conn   *memberConn
+
+	minPosition   wire.Position // as group.Target has it
+	verifyPrimary bool
+	sentAt        float64 // when it was lent, which counts as the time of the first request
+
+	err error // why there is no connection; nothing else is set then
+}
+
+// enqueue queues a request for a connection to a group, or answers it at once.
+func (r *router) enqueue(service string, request *connRequest) {
+	g := r.group(service)
+	if !g.queue.push(request) {
+		request.reply <- checkout{err: errRetryLater}
+		return
+	}
+	r.dispatch(g)
+}
+
+// dispatch answers the queued requests that can be answered, in order of arrival: with an idle connection to the member
+// that the request is routed to, or with an error once too little time is left. For others it has connections made.
+//
+// While there is no primary, requests of writes and linearizable reads are routed nowhere and so stay queued; the
+// dispatch after the writer slot was filled releases them in order.
+func (r *router) dispatch(g *memberGroup) {
+	if g.queue.len() == 0 {
+		return
+	}
+	now := r.proxy.now()
+	available := r.availability(g)
+	latency := g.group.TypicalLatency()
+	g.queue.removeIf(func(request *connRequest) bool {
+		// What has no time left for an answer would be sent in vain, and its connection be lost with it: where many
+		// wait, each connection would be, and none would serve anybody.
+		if now >= request.deadline-min(2*latency, (request.deadline-request.startedAt)/3) {
+			request.reply <- checkout{err: errRetryLater}
+			r.logRejection(g, request, now)
+			return true
+		}
+		target := g.group.Route(&request.requirement, now, available,
+			func(id string) bool { return slices.Contains(request.avoid, id) })
+		if target.Member == nil {
+			return false
+		}
+		if pool := g.pool(target.Member.ID); len(pool.idle) > 0 {
+			request.reply <- r.checkOut(g, pool, request, target, now)
+			return true
+		}
+		if request.dialing == "" {
+			request.dialing = target.Member.ID
+			r.dial(g, target.Member)
+		}
+		return false
+	})
+	r.probe(g)
+}
+
+// checkOut lends an idle connection of a pool that has one.
+func (r *router) checkOut(g *memberGroup, pool *connPool, request *connRequest, target group.Target, now float64) checkout {
+	m := target.Member
+	m.InFlight++
+	g.group.RecordSend(m, now, request.commit)
+	return checkout{group: g, member: m, record: m.Member, conn: pool.take(request.valuesHash),
+		minPosition: target.MinPosition, verifyPrimary: target.VerifyPrimary, sentAt: now}
+}
+
+// checkIn takes a connection back. not reusable: it was closed.
+func (r *router) checkIn(c *checkout, reusable bool) {
+	g, m := c.group, c.member
+	m.InFlight--
+	if reusable {
+		r.keep(g, m, c.conn)
+	} else {
+		g.pool(m.ID).open--
+	}
+	g.dropUnusedPool(m.ID)
+	r.dispatch(g)
+}
+
+// rejectionLog counts the requests of a group that were rejected since the last log line on them.
+type rejectionLog struct {
+	count    int
+	loggedAt float64
+}
+
+// logRejection logs what a request waited for in vain, at most a line a second for each group.
+func (r *router) logRejection(g *memberGroup, request *connRequest, now float64) {
+	log := &g.rejections
+	if log.count++; now < log.loggedAt+rejectionInterval {
+		return
+	}
+	log.loggedAt = now
+	pairs := []any{"svc", g.group.Service, "count", log.count, "write", request.requirement.Write,
+		"slot", g.group.Slot.Holder, "share", r.connShare(g), "stuck", g.group.CommitsStalled(now)}
+	if p := g.group.Primary(); p != nil {
+		pairs = append(pairs, "doubted", p.Suspected)
+		if pool := g.pools[p.ID]; pool != nil {
+			pairs = append(pairs, "open", pool.open, "idle", len(pool.idle), "dialing", pool.dialing)
+		}
+	}
+	log.count = 0
+	r.proxy.log.Event(events.Refused, pairs...)
+}
--- a/internal/dataplane/proxy/proxy.go
+++ b/internal/dataplane/proxy/proxy.go
@@ -1,13 +1,7 @@
-// Package proxy is the proxy: clients' sessions on one side, member connections on the other.
-//
-// Decisions are in group (where a statement goes) and sessionstate (what a connection must be told first). Three kinds of
-// goroutines: the desk owns groups, pools and who waits; each session does its own I/O, with its client and with the member
-// connection that the desk granted it; the feed takes the agent's news.
 package proxy
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
 	"math/rand/v2"
 	"net"
@@ -27,44 +21,45 @@
 	"weirwind/internal/util/transport"
 )
 
-// Proxy is one.
-type Proxy struct {
-	set   *settings.Settings
-	log   events.Log
-	ctx   context.Context
-	start time.Time
-	desk  *desk
-	room  *wire.BufferBudget // for long messages that have not ended
-	cfg   atomic.Pointer[config.Config]
-
-	phase    atomic.Int32 // of the end
-	mu       sync.Mutex
-	sessions map[*session]struct{}
-	conns    atomic.Int32
-	agent    atomic.Pointer[transport.Link[controlmsg.Frame]]
-}
-
-// Phases of an end.
 const (
-	serving   int32 = iota
-	leaving         // not ready; sessions close behind what they asked
-	closing         // resting sessions are closed too
-	lastCalls       // open transactions are ended
-)
+	warmUpPeriod = 2 * time.Second // in which the first connections are made
 
-// Times of an end.
-const (
-	seenGone = 2300 * time.Millisecond // the platform has seen that it is not ready
-	lastOf   = 500 * time.Millisecond  // before the platform kills
-	warmFor  = 2 * time.Second         // first connections are made in
+	acceptPause     = 5 * time.Millisecond // behind an error of accept, as when there are no file descriptors left
+	reservedFiles   = 600                  // of the process's limit: what is not clients' connections
+	minClientConns  = 64
+	bufferBudgetDiv = 8 // part of the memory that long messages that have not ended may take
 )
 
-// Run serves until ctx ends and what was open is answered.
+// Proxy is the state that the sessions and the router share. Its fields but the last group are set before it serves.
+type Proxy struct {
+	settings     *settings.Settings
+	log          events.Log
+	ctx          context.Context // of its goroutines: it ends once the last session has been let go of
+	startedAt    time.Time
+	router       *router
+	bufferBudget *wire.BufferBudget // for long messages that have not ended
+
+	config        atomic.Pointer[config.Config] // nil until the first came
+	agent         atomic.Pointer[transport.Link[controlmsg.Frame]]
+	shutdownPhase atomic.Int32 // a phase
+	clientConns   atomic.Int32
+	mu            sync.Mutex
+	sessions      map[*session]struct{} // guarded by mu
+}
+
+// newProxy returns a proxy whose goroutines end with ctx.
+func newProxy(ctx context.Context, s *settings.Settings, log events.Log) *Proxy {
+	p := &Proxy{settings: s, log: log, ctx: ctx, startedAt: time.Now(), sessions: map[*session]struct{}{},
+		bufferBudget: wire.NewBufferBudget(int64(s.MemoryMB) << 20 / bufferBudgetDiv)}
+	p.router = newRouter(p)
+	return p
+}
+
+// Run serves until ctx ends and what was open then is answered. All goroutines that it starts end with it.
 func Run(ctx context.Context, s *settings.Settings, log events.Log) error {
-	inner, stop := context.WithCancel(context.Background())
+	inner, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	p := &Proxy{set: s, log: log, ctx: inner, start: time.Now(), sessions: map[*session]struct{}{}, room: wire.NewBufferBudget(int64(s.MemoryMB) << 20 / 8)}
-	p.desk = newDesk(p)
+	p := newProxy(inner, s, log)
 	front, err := net.Listen("tcp4", s.FrontAddr)
 	if err != nil {
 		return oops.In("listen").Wrap(err)
@@ -73,167 +68,110 @@
 	if err != nil {
 		return oops.In("listen").Wrap(err)
 	}
-	server := &http.Server{Handler: p.routes(), ReadHeaderTimeout: 2 * time.Second, IdleTimeout: 30 * time.Second, MaxHeaderBytes: 8 << 10}
-	go server.Serve(ready)
-	go p.desk.run()
-	go p.feed()
-	go p.warm()
+	server := &http.Server{Handler: p.routes(), ReadHeaderTimeout: 2 * time.Second, IdleTimeout: 30 * time.Second,
+		MaxHeaderBytes: 8 << 10}
+	go func() { _ = server.Serve(ready) }() // until Close
+	go p.router.run()
+	go p.followAgent()
+	go p.warmUp()
 	go p.accept(front)
 	log.Event(events.Started, "front", s.FrontAddr, "ready", s.ReadyAddr)
 	<-ctx.Done()
-	p.end(front)
-	server.Close()
+	p.shutDown(front)
+	_ = server.Close()
 	log.Event(events.Stopped)
 	return nil
 }
 
-func (p *Proxy) now() float64 { return float64(time.Since(p.start)) / 1e6 }
+// now is the time since the proxy's start, in milliseconds: the clock of all that it decides.
+func (p *Proxy) now() float64 { return milliseconds(time.Since(p.startedAt)) }
 
-// at turns a moment of now into one of the runtime's clock.
-func (p *Proxy) at(ms float64) time.Time { return p.start.Add(time.Duration(ms * 1e6)) }
+// timeAt turns a time of now into one of the runtime's clock.
+func (p *Proxy) timeAt(ms float64) time.Time { return p.startedAt.Add(time.Duration(ms * 1e6)) }
 
-// near says how far a zone is: 0 the same, 1 in the same region, 2 elsewhere.
-func (p *Proxy) near(zone string) group.Distance {
+// distanceTo says how far a zone is from the proxy's.
+func (p *Proxy) distanceTo(zone string) group.Distance {
+	region := p.settings.Regions[zone]
 	switch {
-	case zone == p.set.Zone:
+	case zone == p.settings.Zone:
 		return group.SameZone
-	case p.set.Regions[zone] != "" && p.set.Regions[zone] == p.set.Region:
+	case region != "" && region == p.settings.Region:
 		return group.SameRegion
 	}
 	return group.OtherRegion
 }
 
-func (p *Proxy) routes() http.Handler {
-	mux := http.NewServeMux()
-	mux.HandleFunc("GET /ready", func(w http.ResponseWriter, _ *http.Request) {
-		if p.phase.Load() != serving || p.cfg.Load() == nil {
-			w.WriteHeader(http.StatusServiceUnavailable)
-		}
-	})
-	mux.Handle("GET /events", p.log)
-	mux.HandleFunc("GET /status", func(w http.ResponseWriter, _ *http.Request) {
-		ch := make(chan map[string]any, 1)
-		p.desk.do(func() { ch <- p.desk.status() })
-		select {
-		case all := <-ch:
-			all["sessions"] = p.conns.Load()
-			e := json.NewEncoder(w)
-			e.SetIndent("", "  ")
-			e.Encode(all)
-		case <-p.ctx.Done():
-		}
-	})
-	return mux
+// followAgent takes what the agent on this machine sends, over loopback.
+func (p *Proxy) followAgent() {
+	backoff := transport.Backoff{Initial: 20 * time.Millisecond, Max: 500 * time.Millisecond,
+		DialTimeout: func(int) time.Duration { return transport.DialTimeout(0) }}
+	transport.KeepConnected(p.ctx, p.settings.FeedAddr, backoff,
+		func(l *transport.Link[controlmsg.Frame]) { p.agent.Store(l) },
+		func(_ *transport.Link[controlmsg.Frame], f *controlmsg.Frame) {
+			if f.Update != nil {
+				p.router.do(func() { p.router.update(f.Update) })
+			}
+		},
+		func() { p.agent.Store(nil) })
 }
 
-// feed takes the agent's news over loopback.
-func (p *Proxy) feed() {
-	again := transport.Backoff{Initial: 20 * time.Millisecond, Max: 500 * time.Millisecond, DialTimeout: func(int) time.Duration { return transport.DialTimeout(0) }}
-	transport.KeepConnected(p.ctx, p.set.FeedAddr, again, func(l *transport.Link[controlmsg.Frame]) { p.agent.Store(l) }, func(_ *transport.Link[controlmsg.Frame], f *controlmsg.Frame) {
-		if f.Update != nil {
-			p.desk.do(func() { p.desk.news(f.Update) })
-		}
-	}, func() { p.agent.Store(nil) })
+// report sends the agent what the control plane is to know of a primary. Without an agent it is dropped: the next one
+// says the same again.
+func (p *Proxy) report(report *controlmsg.PrimaryReport) {
+	if l := p.agent.Load(); l != nil {
+		l.Send(&controlmsg.Frame{PrimaryReport: report})
+	}
 }
 
-// warm has first connections made once there is a configuration, spread over a while as all proxies may start at once.
-func (p *Proxy) warm() {
+// warmUp has the first connections made once there is a configuration, at random times as all proxies may start at once.
+func (p *Proxy) warmUp() {
 	select {
-	case <-p.desk.asked:
+	case <-p.router.configured:
 	case <-p.ctx.Done():
 		return
 	}
-	cfg := p.cfg.Load()
-	pause := warmFor / time.Duration(max(len(cfg.Services), 1))
+	cfg := p.config.Load()
+	meanPause := warmUpPeriod / time.Duration(max(len(cfg.Services), 1))
 	for _, i := range rand.Perm(len(cfg.Services)) {
 		select {
-		case <-time.After(time.Duration(rand.Int64N(int64(2*pause) + 1))):
+		case <-time.After(time.Duration(rand.Int64N(int64(2*meanPause) + 1))):
 		case <-p.ctx.Done():
 			return
 		}
-		p.desk.do(func() { p.desk.warm(p.desk.group(cfg.Services[i].Name)) })
-	}
-}
-
-func (p *Proxy) report(r *controlmsg.PrimaryReport) {
-	if l := p.agent.Load(); l != nil {
-		l.Send(&controlmsg.Frame{PrimaryReport: r})
+		p.router.do(func() { p.router.warmUp(p.router.group(cfg.Services[i].Name)) })
 	}
 }
 
-func (p *Proxy) accept(ln net.Listener) {
-	most := int32(max(p.set.MaxOpenFiles-600, 64))
+// accept takes clients' connections until the listener is closed, and closes those that are too many at once.
+func (p *Proxy) accept(listener net.Listener) {
+	maxConns := int32(max(p.settings.MaxOpenFiles-reservedFiles, minClientConns))
 	for {
-		c, err := ln.Accept()
+		c, err := listener.Accept()
 		if err != nil {
 			if p.ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
 				return
 			}
-			time.Sleep(5 * time.Millisecond)
+			time.Sleep(acceptPause)
 			continue
 		}
-		if p.conns.Add(1) > most {
-			p.conns.Add(-1)
-			c.Close()
+		if p.clientConns.Add(1) > maxConns {
+			p.clientConns.Add(-1)
+			_ = c.Close()
 			continue
 		}
-		s := &session{p: p, c: c}
-		p.mu.Lock()
-		p.sessions[s] = struct{}{}
-		p.mu.Unlock()
-		go func() {
-			s.run()
-			p.mu.Lock()
-			delete(p.sessions, s)
-			p.mu.Unlock()
-			p.conns.Add(-1)
-		}()
-	}
-}
-
-// end lets go of clients in order: new ones still come for as long as the platform hasn't seen that it is not ready, or has
-// nobody else in their zone, and are served to the end.
-func (p *Proxy) end(front net.Listener) {
-	p.log.Event(events.Stopping, "sessions", p.conns.Load())
-	began := time.Now()
-	p.phase.Store(leaving)
-	step := func(until time.Duration) bool {
-		for time.Since(began) < until {
-			p.kick()
-			time.Sleep(25 * time.Millisecond)
-			if p.phase.Load() >= closing && p.conns.Load() == 0 {
-				return true
-			}
-		}
-		return false
-	}
-	step(min(seenGone, p.set.GracePeriod/2))
-	p.phase.Store(closing)
-	if !step(p.set.GracePeriod / 2) {
-		p.phase.Store(lastCalls)
-		step(p.set.GracePeriod - lastOf)
-	}
-	front.Close()
-}
-
-// patience is how long a session may rest before it is closed: 0 for ever.
-func (p *Proxy) patience() time.Duration {
-	switch p.phase.Load() {
-	case leaving:
-		return 300 * time.Millisecond
-	case closing:
-		return 100 * time.Millisecond
-	case lastCalls:
-		return 40 * time.Millisecond
+		go p.serve(c)
 	}
-	return 0
 }
 
-// kick wakes sessions that rest, so that they see the phase.
-func (p *Proxy) kick() {
+// serve runs a client's session to its end.
+func (p *Proxy) serve(c net.Conn) {
+	s := &session{proxy: p, client: c}
 	p.mu.Lock()
-	defer p.mu.Unlock()
-	for s := range p.sessions {
-		s.kick()
-	}
+	p.sessions[s] = struct{}{}
+	p.mu.Unlock()
+	s.run()
+	p.mu.Lock()
+	delete(p.sessions, s)
+	p.mu.Unlock()
+	p.clientConns.Add(-1)
 }
--- a/internal/dataplane/proxy/repeat_test.go
+++ b/internal/dataplane/proxy/retry_test.go
@@ -128,23 +128,22 @@
 			go m.serve(c)
 		}
 	}()
-	p := &Proxy{set: &settings.Settings{Zone: "z"}, log: events.Nothing(), ctx: ctx, start: time.Now().Add(-time.Minute), sessions: map[*session]struct{}{},
-		room: wire.NewBufferBudget(1 << 20)}
-	p.desk = newDesk(p)
+	p := newProxy(ctx, &settings.Settings{Zone: "z", MemoryMB: 8}, events.Nothing())
+	p.startedAt = time.Now().Add(-time.Minute)
 	cfg, err := config.Parse([]byte(`{"gen":1,"routes":[{"name":"r","host":"db","type":"primary","timeoutMs":3000,"svc":"s"}],"svcs":[{"name":"s","maxConns":50,"syncN":1}]}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.cfg.Store(cfg)
-	g := p.desk.group("s")
-	g.g.UpdateMember(directory.Member{ID: "a", Service: "s", Zone: "z", Addr: ln.Addr().String(), Role: directory.RolePrimary, Incarnation: 1, Seq: 1}, p.now())
+	p.config.Store(cfg)
+	g := p.router.group("s")
+	g.group.UpdateMember(directory.Member{ID: "a", Service: "s", Zone: "z", Addr: ln.Addr().String(), Role: directory.RolePrimary, Incarnation: 1, Seq: 1}, p.now())
 	now := p.now()
-	g.g.RecordSend(g.g.Members["a"], now-1, false)
-	g.g.RecordOutcome(g.g.Members["a"], now-1, now, group.AnsweredAsPrimary, wire.Position{Term: 1, Number: 1})
-	go p.desk.run()
+	g.group.RecordSend(g.group.Members["a"], now-1, false)
+	g.group.RecordOutcome(g.group.Members["a"], now-1, now, group.AnsweredAsPrimary, wire.Position{Term: 1, Number: 1})
+	go p.router.run()
 	here, there := net.Pipe()
 	k := &client{c: here, r: wire.NewReader(here)}
-	go (&session{p: p, c: there}).run()
+	go (&session{proxy: p, client: there}).run()
 	Reset(func() { stop(); ln.Close(); here.Close() })
 	fmt.Fprint(here, "ATTACH db who\r\n")
 	if l, err := k.r.ReadMessage(); err != nil || l != "READY I -" {
--- a/internal/dataplane/proxy/session.go
+++ b/internal/dataplane/proxy/session.go
@@ -1,15 +1,12 @@
 package proxy
 
-// This file owns a client's session: its messages, its state, and what it is answered.
-
 import (
+	"errors"
 	"net"
-	"strings"
 	"sync"
 	"time"
 
 	"weirwind/internal/controlplane/config"
-	"weirwind/internal/dataplane/group"
 	"weirwind/internal/dataplane/memberconn"
 	"weirwind/internal/dataplane/sessionstate"
 	"weirwind/internal/dataplane/wire"
@@ -17,372 +14,216 @@
 )
 
 const (
-	attachTime  = 10 * time.Second
-	configWait  = 1500 * time.Millisecond
-	writeTime   = 5 * time.Second
-	margin      = 25.0  // milliseconds before a deadline at which what was held is refused
-	readCut     = 450.0 // a read's answer is waited for so long before another member is asked
-	comeBack    = "come back after 200 ms"
-	mostTries   = 5
-	txIdleElse  = 60000.0
-	bytesMostly = 4096
+	messageTimeout = 10 * time.Second // for the rest of a message that has begun, and for ATTACH
+	configTimeout  = 1500 * time.Millisecond
+
+	defaultTxIdle = 60000.0 // milliseconds, where the configuration sets no bound
+	txIdleSlack   = 5.0     // milliseconds that a read deadline may fire early
 )
 
+// session is a client's connection. Its goroutine (run) reads the client's messages one at a time, carries each out to
+// the end and writes the answer; all fields but mu and waiting belong to it.
 type session struct {
-	p      *Proxy
-	c      net.Conn
-	r      *wire.Reader
-	host   string
-	out    []byte
-	kept   sessionstate.Session
-	at     float64 // of its start
-	commit wire.Position
-	comAt  float64
-	tx     *transaction
-	on     string  // ON shard epoch, in front of a statement of a sharded route
-	heard  float64 // when it was last answered
-	passed bool    // rows of the statement's answer went to the client before its end
+	proxy  *Proxy
+	client net.Conn
+	reader *wire.Reader
+	out    []byte // answers that were not written yet
+	host   string // the database that the client attached to
 
-	mu      sync.Mutex
-	resting bool
-}
+	startedAt  float64 // milliseconds, as the two below
+	answeredAt float64 // of its last answer
+	kept       sessionstate.Session
 
-// transaction is one that the client has open.
-type transaction struct {
-	id, text string // of its BEGIN
-	fetch    bool
-	at       float64 // of its first byte
-	route    *config.Route
-	lease    *grant
-	conn     *conn
-	ran      bool // a statement went to a member
-	wrote    bool
-	failed   bool
-	why      string // that its client was not told yet
-}
+	lastCommit   wire.Position // of this session, which its reads by type self must see
+	lastCommitAt float64
 
-func (s *session) kick() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.resting {
-		s.c.SetReadDeadline(time.Unix(1, 0))
-	}
-}
+	tx *transaction // nil: none is open
 
-// line waits for the client's next message. ok false with a nil error: there is none, and the session's state is to be looked at.
-func (s *session) line(wait time.Duration) (string, bool, error) {
-	if s.r.Buffered() == 0 {
-		s.mu.Lock()
-		s.resting = true
-		if wait > 0 {
-			s.c.SetReadDeadline(time.Now().Add(wait))
-		} else {
-			s.c.SetReadDeadline(time.Time{})
-		}
-		s.mu.Unlock()
-		err := s.r.Wait()
-		s.mu.Lock()
-		s.resting = false
-		s.mu.Unlock()
-		if err != nil {
-			if ne, ok := err.(net.Error); ok && ne.Timeout() {
-				return "", false, nil
-			}
-			return "", false, err
-		}
-	}
-	s.c.SetReadDeadline(time.Now().Add(attachTime)) // a message that was begun is to be ended
-	line, err := s.r.ReadMessage()
-	return line, err == nil, err
+	// shardPrefix is "ON shard epoch ", which goes in front of a statement, or a BEGIN, of a route with a shard. It is
+	// that of the last resolveService, and empty for other routes.
+	shardPrefix string
+	// rowsForwarded: rows of the current answer went to the client before the answer's end was known.
+	rowsForwarded bool
+
+	mu      sync.Mutex
+	waiting bool // for the client's next message: wake may interrupt it
 }
 
+// errClientGone ends a statement whose client doesn't take the rows.
+var errClientGone = errors.New("the client is gone")
+
+// run serves the client until it goes, breaks the protocol, or the process shuts down.
 func (s *session) run() {
-	defer s.c.Close()
-	defer s.drop()
-	s.r = wire.NewReader(s.c).WithBudget(s.p.room)
-	s.at = s.p.now()
+	defer s.client.Close()
+	defer s.abandonTransaction()
+	s.reader = wire.NewReader(s.client).WithBudget(s.proxy.bufferBudget)
+	s.startedAt = s.proxy.now()
 	if !s.attach() {
 		return
 	}
-	s.heard = s.p.now()
+	s.answeredAt = s.proxy.now()
 	for {
-		wait := time.Duration(0)
-		if s.tx != nil {
-			idle := txIdleElse
-			if cfg := s.p.cfg.Load(); cfg != nil && cfg.Limits.IdleInTransactionTimeout > 0 {
-				idle = cfg.Limits.IdleInTransactionTimeout
-			}
-			wait = time.Duration(idle * 1e6)
-		} else if w := s.p.patience(); w > 0 {
-			wait = w
-		}
-		line, ok, err := s.line(wait)
-		switch {
-		case err == wire.ErrMalformedLine || err == wire.ErrMessageTooLong || err == wire.ErrBufferBudget:
-			s.p.log.Event(events.SessionBad, "peer", s.c.RemoteAddr().String(), "why", err.Error())
-			s.fail(wire.CodeMalformed, err.Error(), "")
-			s.flush()
-			return
-		case err != nil:
-			return
-		case !ok:
-			if s.tx != nil && (s.p.now()-s.heard > ms(wait)-5 || s.p.phase.Load() >= lastCalls) {
-				s.abandon() // it rested for too long, or this process ends
-			}
-			if s.tx == nil && s.p.phase.Load() >= leaving && s.rested() && s.quiet() {
-				return // with nothing asked
+		wait := s.idleTimeout()
+		line, err := s.readMessage(wait)
+		if err != nil {
+			if s.endsOnReadError(err, wait) {
+				return
 			}
 			continue
 		}
-		if !s.message(line) || !s.flush() {
+		if !s.handleMessage(line) || !s.flush() {
 			return
 		}
-		s.heard = s.p.now()
+		s.answeredAt = s.proxy.now()
 	}
 }
 
-func ms(d time.Duration) float64 { return float64(d) / 1e6 }
-
-// rested says whether the session has asked nothing for so long that its client is hardly about to: one that has just come, or
-// was just answered, may have its next message on the way.
-func (s *session) rested() bool { return s.p.now()-s.heard >= ms(s.p.patience())/2 }
-
-// quiet says whether nothing has come from the client that was not read yet.
-func (s *session) quiet() bool { return (&memberconn.Conn{NetConn: s.c, Reader: s.r}).Alive() }
-
-// drop lets go of a transaction whose client is gone.
-func (s *session) drop() {
-	if s.tx != nil {
-		s.rollback(s.tx)
+// endsOnReadError takes an error of readMessage. true: the session ends.
+func (s *session) endsOnReadError(err error, wait time.Duration) bool {
+	if errors.Is(err, errInterrupted) {
+		return s.endsWhileIdle(wait)
+	}
+	if isProtocolError(err) {
+		s.proxy.log.Event(events.SessionBad, "peer", s.client.RemoteAddr().String(), "why", err.Error())
+		s.rejectSession(err)
 	}
+	return true
 }
 
+// attach takes the client's first message and answers it. false: the session ends.
 func (s *session) attach() bool {
 	s.mu.Lock()
-	s.c.SetReadDeadline(time.Now().Add(attachTime))
+	_ = s.client.SetReadDeadline(time.Now().Add(messageTimeout))
 	s.mu.Unlock()
-	line, err := s.r.ReadMessage()
+	line, err := s.reader.ReadMessage()
 	if err != nil {
-		if err == wire.ErrMalformedLine || err == wire.ErrMessageTooLong {
-			s.fail(wire.CodeMalformed, err.Error(), "")
-			s.flush()
+		if errors.Is(err, wire.ErrMalformedLine) || errors.Is(err, wire.ErrMessageTooLong) {
+			s.rejectSession(err)
 		}
 		return false
 	}
 	word, rest := wire.CutField(line)
 	host, user := wire.CutField(rest)
 	if word != wire.MsgAttach || host == "" || user == "" {
-		s.fail(wire.CodeMalformed, "ATTACH database who begins a session", "")
-		s.flush()
+		s.rejectSession(errAttachExpected)
 		return false
 	}
-	cfg := s.p.cfg.Load()
+	cfg := s.awaitConfig()
 	if cfg == nil {
-		select {
-		case <-s.p.desk.asked:
-		case <-time.After(configWait):
-		case <-s.p.ctx.Done():
-		}
-		if cfg = s.p.cfg.Load(); cfg == nil {
-			s.fail(wire.CodeRetry, "no configuration is known yet", "")
-			s.flush()
-			return false
-		}
+		s.rejectSession(errNotConfigured)
+		return false
 	}
 	s.host = host
 	if cfg.RouteForHost(host) == nil {
-		s.fail(wire.CodeNoDatabase, host, "")
-		s.flush()
+		s.rejectSession(databaseError(host))
 		return false
 	}
-	s.say(wire.MsgReady + " I -")
+	s.replyReady(wire.StateIdle, wire.NoStamp)
 	return s.flush()
 }
 
-func (s *session) say(line string) { s.out = append(append(s.out, line...), '\r', '\n') }
-
-func (s *session) flush() bool {
-	if len(s.out) == 0 {
-		return true
+// awaitConfig waits for a configuration where a process has just started; nil: none came in time.
+func (s *session) awaitConfig() *config.Config {
+	if cfg := s.proxy.config.Load(); cfg != nil {
+		return cfg
 	}
-	s.c.SetWriteDeadline(time.Now().Add(writeTime))
-	_, err := s.c.Write(s.out)
-	if cap(s.out) > bytesMostly {
-		s.out = nil
+	select {
+	case <-s.proxy.router.configured:
+	case <-time.After(configTimeout):
+	case <-s.proxy.ctx.Done():
 	}
-	s.out = s.out[:0]
-	return err == nil
+	return s.proxy.config.Load()
 }
 
-// fail answers with a code; state "" sends no READY, as before a close.
-func (s *session) fail(code, text, state string) {
-	s.say(strings.TrimRight(wire.MsgFail+" "+code+" "+text, " "))
-	if state != "" {
-		s.say(wire.MsgReady + " " + state + " -")
+// errInterrupted: no message came in time, or wake was called. The session's state is to be looked at.
+var errInterrupted = errors.New("no message yet")
+
+// readMessage waits for the client's next message, for as long as wait says; 0: for ever.
+func (s *session) readMessage(wait time.Duration) (string, error) {
+	if s.reader.Buffered() == 0 {
+		if err := s.awaitBytes(wait); err != nil {
+			return "", err
+		}
 	}
+	_ = s.client.SetReadDeadline(time.Now().Add(messageTimeout))
+	return s.reader.ReadMessage()
 }
 
-// own answers what the system answers itself.
-func (s *session) own() {
-	s.say(wire.MsgDone + " -")
-	s.say(wire.MsgReady + " " + s.state() + " -")
+func (s *session) awaitBytes(wait time.Duration) error {
+	s.mu.Lock()
+	s.waiting = true
+	var deadline time.Time
+	if wait > 0 {
+		deadline = time.Now().Add(wait)
+	}
+	_ = s.client.SetReadDeadline(deadline)
+	s.mu.Unlock()
+	err := s.reader.Wait()
+	s.mu.Lock()
+	s.waiting = false
+	s.mu.Unlock()
+	if err != nil && isTimeout(err) {
+		return errInterrupted
+	}
+	return err
 }
 
-func (s *session) state() string {
-	switch {
-	case s.tx == nil:
-		return wire.StateIdle
-	case s.tx.failed:
-		return wire.StateFailedTransaction
-	}
-	return wire.StateInTransaction
+func isTimeout(err error) bool {
+	var netErr net.Error
+	return errors.As(err, &netErr) && netErr.Timeout()
 }
 
-// message takes one. False: the session ends.
-func (s *session) message(line string) bool {
-	word, rest := wire.CutField(line)
-	if word == wire.MsgBye {
-		return false
-	}
-	id, text := wire.CutField(rest)
-	if word != wire.MsgQuery || id == "" || text == "" {
-		s.fail(wire.CodeMalformed, "QUERY id text, or BYE", "")
-		s.flush()
-		return false
-	}
-	t := wire.ParseStatement(text)
-	if !t.Valid || id == "-" {
-		s.fail(wire.CodeMalformed, "no such text", s.state())
-		return true
-	}
-	if s.tx != nil && s.tx.failed {
-		switch t.Verb {
-		case "ABORT":
-			s.tx = nil
-			s.own()
-		case "COMMIT":
-			s.tx = nil
-			s.fail(wire.CodeAborted, "the transaction had failed", wire.StateIdle)
-		default:
-			if why := s.tx.why; why != "" { // it is told of it for the first time
-				s.tx.why = ""
-				s.fail(wire.CodeAborted, why, wire.StateFailedTransaction)
-				return true
-			}
-			s.fail(wire.CodeMalformed, "the transaction has failed and is to be ended", wire.StateFailedTransaction)
-		}
-		return true
-	}
-	switch t.Verb {
-	case "SET":
-		if !s.kept.SetValue(t.Name, t.Args) {
-			s.fail(wire.CodeMalformed, "too many values", s.state())
-			return true
-		}
-		s.own()
-	case "PREP":
-		if !s.kept.Prepare(t.Name, sessionstate.Statement{Kind: t.PreparedVerb, Text: t.Args}) {
-			s.fail(wire.CodeMalformed, "too many prepared statements", s.state())
-			return true
-		}
-		s.own()
-	case "UNPREP":
-		if !s.kept.Unprepare(t.Name) {
-			s.fail(wire.CodeNoStatement, t.Name, s.state())
-			return true
-		}
-		s.own()
-	case "BEGIN":
-		s.begin(id, text, t)
-	case "ABORT":
-		if s.tx == nil {
-			s.fail(wire.CodeMalformed, "no transaction is open", wire.StateIdle)
-			return true
-		}
-		s.rollback(s.tx)
-		s.tx = nil
-		s.own()
-	case "COMMIT":
-		if s.tx == nil {
-			s.fail(wire.CodeMalformed, "no transaction is open", wire.StateIdle)
-			return true
-		}
-		s.statement(id, text, t)
-	default:
-		if t.Verb == "EXEC" {
-			if _, ok := s.kept.Prepared(t.Name); !ok {
-				s.fail(wire.CodeNoStatement, t.Name, s.state())
-				return true
-			}
-		}
-		s.statement(id, text, t)
+// wake interrupts a session that waits for its client, so that it looks at the process's phase.
+func (s *session) wake() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.waiting {
+		_ = s.client.SetReadDeadline(time.Unix(1, 0))
 	}
-	return true
 }
 
-func (s *session) begin(id, text string, t wire.Statement) {
-	if s.tx != nil {
-		s.fail(wire.CodeMalformed, "a transaction is open", wire.StateInTransaction)
-		return
+// idleTimeout is how long the session waits for its client's next message; 0: for ever.
+func (s *session) idleTimeout() time.Duration {
+	if s.tx == nil {
+		return s.proxy.idleTimeout()
 	}
-	r := s.route()
-	if r == nil {
-		s.fail(wire.CodeNoDatabase, s.host, wire.StateIdle)
-		return
+	idle := defaultTxIdle
+	if cfg := s.proxy.config.Load(); cfg != nil && cfg.Limits.IdleInTransactionTimeout > 0 {
+		idle = cfg.Limits.IdleInTransactionTimeout
 	}
-	s.tx = &transaction{id: id, text: text, fetch: t.ReadOnly, at: s.p.now(), route: r}
-	s.own()
+	return time.Duration(idle * 1e6)
 }
 
-// route is the host's now; it binds a single statement or a whole transaction.
-func (s *session) route() *config.Route {
-	if cfg := s.p.cfg.Load(); cfg != nil {
-		return cfg.RouteForHost(s.host)
+// endsWhileIdle looks at a session whose client sent nothing for the time wait, or that was woken. A transaction that is
+// idle for too long, or still open at the end of the process, is rolled back. true: the session ends.
+func (s *session) endsWhileIdle(wait time.Duration) bool {
+	phase := s.proxy.phase()
+	if s.tx != nil && (s.proxy.now()-s.answeredAt > milliseconds(wait)-txIdleSlack || phase >= closingAll) {
+		s.failIdleTransaction()
 	}
-	return nil
+	return s.tx == nil && phase >= draining && s.isIdle() && s.nothingUnread()
 }
 
-// need is what a read or a transaction that reads demands.
-func (s *session) need(r *config.Route, at float64) group.Requirement {
-	switch {
-	case r.Shard != "":
-	case r.Consistency == config.ConsistencyBoundedStaleness:
-		return group.Requirement{AckedBefore: at - r.MaxStaleness}
-	case r.Consistency == config.ConsistencySession:
-		// What the client wrote before this session began, perhaps at another driver, was acknowledged before it.
-		return group.Requirement{AckedBefore: max(at-r.MaxStaleness, s.at), SessionCommit: s.commit, SessionCommitAt: s.comAt}
-	}
-	return group.Requirement{Linearizable: true}
+// isIdle says whether the session has been idle for so long that its client is hardly about to send anything: one that
+// has just attached, or was just answered, may have its next message on the way.
+func (s *session) isIdle() bool {
+	return s.proxy.now()-s.answeredAt >= milliseconds(s.proxy.idleTimeout())/2
 }
 
-// writes says whether a statement writes.
-func (s *session) writes(t wire.Statement) bool {
-	if t.Verb == "EXEC" {
-		shape, _ := s.kept.Prepared(t.Name)
-		return shape.Kind == "STORE"
-	}
-	return t.Verb == "STORE"
+// nothingUnread says whether the client has sent nothing that was not read yet.
+func (s *session) nothingUnread() bool {
+	return (&memberconn.Conn{NetConn: s.client, Reader: s.reader}).Alive()
 }
 
-func (s *session) statement(id, text string, t wire.Statement) {
-	now := s.p.now()
-	if s.tx != nil {
-		s.inside(id, text, t, now)
-		return
-	}
-	r := s.route()
-	if r == nil {
-		s.fail(wire.CodeNoDatabase, s.host, wire.StateIdle)
-		return
+// state is the session's state as READY has it.
+func (s *session) state() string {
+	switch {
+	case s.tx == nil:
+		return wire.StateIdle
+	case s.tx.failed:
+		return wire.StateFailedTransaction
 	}
-	s.single(id, text, t, r, now)
+	return wire.StateInTransaction
 }
 
-// abandon ends a transaction whose client rests in it.
-func (s *session) abandon() {
-	if s.tx.failed {
-		return
-	}
-	s.rollback(s.tx)
-	s.tx.failed, s.tx.why = true, "it rested for too long"
-}
+func milliseconds(d time.Duration) float64 { return float64(d) / 1e6 }
--- /dev/null
+++ b/internal/dataplane/proxy/status.go
@@ -0,0 +1,68 @@
+package proxy
+
+import (
+	"encoding/json"
+	"net/http"
+
+	"weirwind/internal/util/commandqueue"
+)
+
+// status is the answer to GET /status. Its keys are in order of the alphabet.
+type status struct {
+	Drivers  int                    `json:"drivers"`
+	Gen      uint64                 `json:"gen,omitempty"` // of the configuration
+	Groups   map[string]groupStatus `json:"groups"`        // by service
+	Sessions int32                  `json:"sessions"`
+	Shards   uint64                 `json:"shards,omitempty"` // version of the shard map
+}
+
+type groupStatus struct {
+	Connections map[string]int `json:"connections"` // by member
+	Share       int            `json:"share"`       // connections that may be open to each member
+	Slot        string         `json:"slot"`        // the primary's id, "" for none
+	Waiting     int            `json:"waiting"`     // requests in the queue
+	Why         string         `json:"why"`         // of the slot's last change
+}
+
+// routes are the calls of the platform and of operators.
+func (p *Proxy) routes() http.Handler {
+	mux := http.NewServeMux()
+	mux.HandleFunc("GET /ready", p.handleReady)
+	mux.Handle("GET /events", p.log)
+	mux.HandleFunc("GET /status", p.handleStatus)
+	return mux
+}
+
+func (p *Proxy) handleReady(w http.ResponseWriter, _ *http.Request) {
+	if p.phase() != serving || p.config.Load() == nil {
+		w.WriteHeader(http.StatusServiceUnavailable)
+	}
+}
+
+func (p *Proxy) handleStatus(w http.ResponseWriter, _ *http.Request) {
+	all, err := commandqueue.Call(p.ctx, p.router.commands, p.router.status)
+	if err != nil {
+		return // the process ends
+	}
+	all.Sessions = p.clientConns.Load()
+	e := json.NewEncoder(w)
+	e.SetIndent("", "  ")
+	_ = e.Encode(all) // whoever asked may be gone
+}
+
+// status is what the router knows, for operators.
+func (r *router) status() status {
+	all := status{Drivers: r.driverCount, Groups: map[string]groupStatus{}, Shards: r.shards.table.Version()}
+	if r.config != nil {
+		all.Gen = r.config.Version
+	}
+	for service, g := range r.groups {
+		conns := map[string]int{}
+		for id, pool := range g.pools {
+			conns[id] = pool.open
+		}
+		all.Groups[service] = groupStatus{Connections: conns, Share: r.connShare(g), Slot: g.group.Slot.Holder,
+			Waiting: g.queue.len(), Why: g.group.SlotReason}
+	}
+	return all
+}
--- a/internal/dataplane/proxy/transaction.go
+++ b/internal/dataplane/proxy/transaction.go
@@ -1,11 +1,10 @@
 package proxy
 
-// This file owns open transactions: how one is begun at a member, how its statements go there, and how it ends.
-
 import (
 	"strings"
 	"time"
 
+	"weirwind/internal/controlplane/config"
 	"weirwind/internal/dataplane/group"
 	"weirwind/internal/dataplane/memberconn"
 	"weirwind/internal/dataplane/wire"
@@ -13,206 +12,289 @@
 	"weirwind/internal/util/idempotency"
 )
 
-// inside carries out a statement of an open transaction.
-func (s *session) inside(id, text string, t wire.Statement, at float64) {
-	x := s.tx
-	until := at + x.route.Timeout - margin
-	for try := 0; try < mostTries; try++ {
-		if x.conn == nil {
-			if code, why := s.open(x, until); code != "" {
-				s.lost(code, why, t)
+const rollbackTimeout = time.Second
+
+// transaction is one that the client has open. It begins at a member only before its first statement, so that one that
+// is begun and not used takes no connection; from then on its connection is pinned, as only there it exists.
+type transaction struct {
+	id, text  string // of the client's BEGIN
+	readOnly  bool
+	startedAt float64 // milliseconds, when the BEGIN came
+	route     *config.Route
+
+	pinned *checkout // nil: it has not begun at a member, or has ended there
+	ran    bool      // a statement went to a member and was answered
+	wrote  bool      // one that writes ran, or may have run
+
+	failed     bool  // it is rolled back; only its end is taken
+	unreported error // why, while the client has not been answered with it
+}
+
+// begin opens a transaction, as yet at no member.
+func (s *session) begin(id, text string, readOnly bool) {
+	if s.tx != nil {
+		s.replyError(errTransactionOpen, wire.StateInTransaction)
+		return
+	}
+	route := s.route()
+	if route == nil {
+		s.replyError(databaseError(s.host), wire.StateIdle)
+		return
+	}
+	s.tx = &transaction{id: id, text: text, readOnly: readOnly, startedAt: s.proxy.now(), route: route}
+	s.replyDone()
+}
+
+// abort ends the transaction on the client's ABORT.
+func (s *session) abort() {
+	if s.tx == nil {
+		s.replyError(errNoTransaction, wire.StateIdle)
+		return
+	}
+	s.rollBack(s.tx)
+	s.tx = nil
+	s.replyDone()
+}
+
+// runInTransaction carries out a statement, or the COMMIT, of the open transaction. A statement is sent once: without an
+// answer the transaction ends, rolled back with its connection. Only a first statement that a member refused as
+// read-only is sent to another one, in a new transaction.
+func (s *session) runInTransaction(st *statement) {
+	tx := s.tx
+	deadline := st.receivedAt + tx.route.Timeout - deadlineMargin
+	for range maxAttempts {
+		if tx.pinned == nil {
+			if err := s.pin(tx, deadline); err != nil {
+				s.failTransaction(err, st)
 				return
 			}
 		}
-		g, c := x.lease, x.conn
-		var b strings.Builder
-		said, before := s.prepare(&b, c, text, t)
-		memberconn.AppendQuery(&b, id, said)
-		sent := s.p.now()
-		commit := t.Verb == "COMMIT" && x.wrote
-		s.p.desk.do(func() { g.group.g.RecordSend(g.member, sent, commit) })
-		err := c.WriteBatch(b.String(), s.p.at(until))
-		if err == nil {
-			err = skip(c, before)
-		}
-		var a memberconn.Reply
-		if err == nil {
-			a, err = c.ReadReply(s.pass)
-		}
-		if err = stamped(&a, err); err != nil {
-			s.p.desk.do(func() { s.p.desk.heard(g, sent, group.NoAnswer, wire.Position{}) })
-			s.leave(x, nil)
-			kept := t.Verb == "COMMIT" && x.wrote && idempotency.MayHaveRun(err) // else it is rolled back with its connection
-			if kept && x.route.Shard != "" {
-				s.tx = nil
-				s.settle(x.route, id, at, until)
-				return
-			}
-			if kept {
-				s.tx = nil
-				s.fail(wire.CodeOutcomeUnknown, "no answer to the commit came from "+g.rec.ID, wire.StateIdle)
-				return
-			}
-			s.lost(wire.CodeAborted, "no answer came from "+g.rec.ID, t)
+		reply, err := s.sendInTransaction(tx, st, deadline)
+		if err != nil {
+			s.transactionUnanswered(tx, st, deadline, err)
 			return
 		}
-		word := wordOf(&a)
-		if a.OK && !x.fetch {
-			word = group.AnsweredAsPrimary
-		}
-		s.p.desk.do(func() { s.p.desk.heard(g, sent, word, a.Position) })
-		if a.Code == wire.CodeReadOnly && !x.ran && !x.fetch { // its first statement met a member without the lead: it joins those held
-			s.leave(x, nil)
+		if reply.Code == wire.CodeReadOnly && !tx.ran && !tx.readOnly {
+			s.unpin(tx, false)
 			continue
 		}
-		x.ran = true
-		if s.writes(t) && (a.OK || ran(a.Code)) {
-			x.wrote = true
-		}
-		if t.Verb == "COMMIT" {
-			s.tx = nil
-			if a.OK && x.wrote {
-				s.commit, s.comAt = a.Position, s.p.now()
-			}
-			if a.State == wire.StateIdle {
-				s.leave(x, c)
-			} else {
-				s.leave(x, nil)
-			}
-			s.answer(&a, wire.StateIdle)
-			return
-		}
-		if a.State != wire.StateInTransaction {
-			x.failed = true
-			s.leave(x, nil)
-			s.answer(&a, wire.StateFailedTransaction)
-			return
-		}
-		s.answer(&a, wire.StateInTransaction)
+		s.forwardInTransaction(tx, st, &reply)
 		return
 	}
-	s.lost(wire.CodeRetry, comeBack, t)
+	s.failTransaction(errRetryLater, st)
+}
+
+// sendInTransaction sends a statement over the pinned connection and reads its answer.
+func (s *session) sendInTransaction(tx *transaction, st *statement, deadline float64) (memberconn.Reply, error) {
+	router, c := s.proxy.router, tx.pinned
+	var batch strings.Builder
+	text, preludes := s.appendPrelude(&batch, c.conn, st)
+	memberconn.AppendQuery(&batch, st.id, text)
+	sentAt := s.proxy.now()
+	commit := st.parsed.Verb == "COMMIT" && tx.wrote
+	router.do(func() { c.group.group.RecordSend(c.member, sentAt, commit) })
+	reply, err := exchange(c.conn, batch.String(), preludes, s.proxy.timeAt(deadline), s.forwardRows)
+	switch {
+	case err != nil:
+		s.recordOutcome(c, sentAt, group.NoAnswer, wire.Position{})
+	case reply.OK && !tx.readOnly:
+		s.recordOutcome(c, sentAt, group.AnsweredAsPrimary, reply.Position)
+	default:
+		s.recordOutcome(c, sentAt, outcomeOf(&reply), reply.Position)
+	}
+	return reply, err
+}
+
+// transactionUnanswered ends a transaction one of whose statements was not answered. Its connection's end rolls it back,
+// unless it was a COMMIT that may have come to the member behind writes.
+func (s *session) transactionUnanswered(tx *transaction, st *statement, deadline float64, err error) {
+	memberID := tx.pinned.record.ID
+	s.unpin(tx, false)
+	switch {
+	case st.parsed.Verb != "COMMIT" || !tx.wrote || !idempotency.MayHaveRun(err):
+		s.failTransaction(unansweredError(aborted, memberID), st)
+	case tx.route.Shard != "":
+		s.tx = nil
+		s.resolveOutcome(tx.route, st.id, st.receivedAt, deadline)
+	default:
+		s.tx = nil
+		s.replyError(commitUnansweredError(memberID), wire.StateIdle)
+	}
+}
+
+// forwardInTransaction forwards a member's answer and takes what it says of the transaction.
+func (s *session) forwardInTransaction(tx *transaction, st *statement, reply *memberconn.Reply) {
+	tx.ran = true
+	if s.writes(st) && (reply.OK || mayHaveRun(reply.Code)) {
+		tx.wrote = true
+	}
+	switch {
+	case st.parsed.Verb == "COMMIT":
+		s.tx = nil
+		if reply.OK && tx.wrote {
+			s.recordCommit(reply.Position)
+		}
+		s.unpin(tx, reply.State == wire.StateIdle)
+		s.forwardReply(reply, wire.StateIdle)
+	case reply.State != wire.StateInTransaction:
+		tx.failed = true
+		s.unpin(tx, false)
+		s.forwardReply(reply, wire.StateFailedTransaction)
+	default:
+		s.forwardReply(reply, wire.StateInTransaction)
+	}
 }
 
-// lost answers a statement whose transaction is no more, with nothing of it kept.
-func (s *session) lost(code, why string, t wire.Statement) {
-	if t.Verb == "COMMIT" {
+// failTransaction answers a statement whose transaction has ended, with nothing of it kept.
+func (s *session) failTransaction(err error, st *statement) {
+	if st.parsed.Verb == "COMMIT" {
 		s.tx = nil
-		s.fail(code, why, wire.StateIdle)
+		s.replyError(err, wire.StateIdle)
 		return
 	}
 	s.tx.failed = true
-	s.fail(code, why, wire.StateFailedTransaction)
+	s.replyError(err, wire.StateFailedTransaction)
 }
 
-// open begins the transaction at a member, before its first statement.
-func (s *session) open(x *transaction, until float64) (code, why string) {
-	w := &waiter{at: x.at, until: until, sum: s.kept.ValuesHash()}
-	if x.fetch {
-		w.need = s.need(x.route, x.at)
+// pin begins the transaction at a member, whose connection is then pinned. Attempts are free: BEGIN is idempotent.
+func (s *session) pin(tx *transaction, deadline float64) error {
+	request := &connRequest{startedAt: tx.startedAt, deadline: deadline, valuesHash: s.kept.ValuesHash()}
+	if tx.readOnly {
+		request.requirement = s.readRequirement(tx.route, tx.startedAt)
 	} else {
-		w.need = group.Requirement{Write: true}
+		request.requirement = group.Requirement{Write: true}
 	}
-	for try := 0; try < mostTries; try++ {
-		svc, place, ok := s.serves(x.route, until)
-		if !ok {
-			break
-		}
-		g, c, fail := s.acquire(svc, w)
-		if fail != "" {
-			return fail, comeBack
-		}
-		var b strings.Builder
-		texts, _ := c.carrier.Sync(&s.kept, nil)
-		for _, t := range texts {
-			memberconn.AppendQuery(&b, "-", t)
-		}
-		text := x.text
-		if g.prove {
-			text = "BEGIN" // only who leads takes a plain one
-		}
-		after := ""
-		if x.fetch && !g.prove && !g.after.IsZero() {
-			after = "AFTER " + g.after.String()
-		}
-		memberconn.AppendQuery(&b, x.id, after, s.on+text)
-		err := c.WriteBatch(b.String(), s.p.at(until))
-		if err == nil {
-			err = skip(c, len(texts))
-		}
-		var a memberconn.Reply
-		if err == nil {
-			a, err = c.ReadReply(nil)
-		}
-		if err != nil {
-			c.Close()
-			s.done(g, nil, g.sent, group.NoAnswer, wire.Position{})
-			if !w.need.Write && !w.need.Linearizable {
-				w.avoid = append(w.avoid, g.rec.ID)
-			}
-			continue
-		}
-		word := wordOf(&a)
-		if a.OK && text == "BEGIN" {
-			word = group.AnsweredAsPrimary
-		}
-		if a.OK && a.State == wire.StateInTransaction {
-			x.lease, x.conn = g, c
-			s.p.desk.do(func() { s.p.desk.heard(g, g.sent, word, a.Position) })
-			return "", ""
-		}
-		if a.State != wire.StateIdle {
-			c.Close()
-			c = nil
-		}
-		s.done(g, c, g.sent, word, a.Position)
-		if x.route.Shard != "" && a.Code == shardnode.CodeMoved {
-			s.missed(x.route, place, a.Text)
-			try--
-			continue
-		}
-		if a.Code != wire.CodeReadOnly && a.Code != wire.CodeLagging {
-			w.avoid = append(w.avoid, g.rec.ID)
-			if s.p.now()+60 >= until {
-				break
-			}
-			time.Sleep(20 * time.Millisecond)
+	for attempts := 0; attempts < maxAttempts; {
+		switch s.attemptPin(tx, request) {
+		case answered:
+			return nil
+		case giveUp:
+			return errRetryLater
+		case retry:
+			attempts++
+		case retryAtOwner:
 		}
 	}
-	return wire.CodeRetry, comeBack
+	return errRetryLater
 }
 
-// leave gives a transaction's connection back; nil: it is closed, which rolls back.
-func (s *session) leave(x *transaction, c *conn) {
-	if x.conn == nil {
-		return
+// attemptPin begins the transaction at one member. answered: its connection is pinned.
+func (s *session) attemptPin(tx *transaction, request *connRequest) verdict {
+	service, epoch, ok := s.resolveService(tx.route, request.deadline)
+	if !ok {
+		return giveUp
+	}
+	c, err := s.acquire(service, request)
+	if err != nil {
+		return giveUp
+	}
+	reply, outcome, err := s.sendBegin(c, tx, request.deadline)
+	if err != nil {
+		s.finish(c, false, group.NoAnswer, wire.Position{})
+		request.avoidMember(c.record.ID)
+		return retry
+	}
+	if reply.OK && reply.State == wire.StateInTransaction {
+		tx.pinned = c
+		s.recordOutcome(c, c.sentAt, outcome, reply.Position)
+		return answered
+	}
+	s.finish(c, reply.State == wire.StateIdle, outcome, reply.Position)
+	switch {
+	case tx.route.Shard != "" && reply.Code == shardnode.CodeMoved:
+		s.shardMoved(tx.route, epoch, reply.Text)
+		return retryAtOwner
+	case reply.Code == wire.CodeReadOnly || reply.Code == wire.CodeLagging:
+		return retry
+	}
+	request.avoidMember(c.record.ID)
+	if s.proxy.now()+minRetryTime >= request.deadline {
+		return giveUp
 	}
+	time.Sleep(retryPause)
+	return retry
+}
+
+// sendBegin sends the transaction's BEGIN. Where the member must prove that it is the primary, that of a reading
+// transaction goes as a plain BEGIN, which only the primary takes.
+func (s *session) sendBegin(c *checkout, tx *transaction, deadline float64) (memberconn.Reply, group.Outcome, error) {
+	var batch strings.Builder
+	texts, _ := c.conn.state.Sync(&s.kept, nil)
+	for _, text := range texts {
+		memberconn.AppendQuery(&batch, internalQueryID, text)
+	}
+	text, clause := tx.text, ""
+	if c.verifyPrimary {
+		text = "BEGIN"
+	} else if tx.readOnly {
+		clause = c.positionClause()
+	}
+	memberconn.AppendQuery(&batch, tx.id, clause, s.shardPrefix+text)
+	reply, err := exchangeInternal(c.conn, batch.String(), len(texts), s.proxy.timeAt(deadline))
+	if err != nil {
+		return reply, group.NoAnswer, err
+	}
+	outcome := outcomeOf(&reply)
+	if reply.OK && text == "BEGIN" {
+		outcome = group.AnsweredAsPrimary
+	}
+	return reply, outcome, nil
+}
+
+// recordCommit notes the log position of a commit of this session.
+func (s *session) recordCommit(position wire.Position) {
+	s.lastCommit, s.lastCommitAt = position, s.proxy.now()
+}
+
+// unpin gives the transaction's connection back. One that is not reusable is closed, which rolls the transaction back.
+func (s *session) unpin(tx *transaction, reusable bool) {
+	c := tx.pinned
 	if c == nil {
-		x.conn.Close()
+		return
 	}
-	g := x.lease
-	x.conn, x.lease = nil, nil
-	s.p.desk.do(func() { s.p.desk.back(g, c) })
+	if !reusable {
+		c.conn.Close()
+	}
+	tx.pinned = nil
+	router := s.proxy.router
+	router.do(func() { router.checkIn(c, reusable) })
 }
 
-// rollback ends a transaction at its member without waiting: the connection comes back once the member has answered.
-func (s *session) rollback(x *transaction) {
-	c, g := x.conn, x.lease
+// rollBack ends a transaction at its member without waiting: the connection comes back once the member has answered.
+func (s *session) rollBack(tx *transaction) {
+	c := tx.pinned
 	if c == nil {
 		return
 	}
-	x.conn, x.lease = nil, nil
-	go func() {
-		until := time.Now().Add(time.Second)
-		err := c.WriteBatch("QUERY - ABORT\r\n", until)
-		var a memberconn.Reply
-		if err == nil {
-			a, err = c.ReadReply(nil)
-		}
-		if err != nil || a.State != wire.StateIdle {
-			c.Close()
-			c = nil
+	tx.pinned = nil
+	router := s.proxy.router
+	go func() { // ends by its timeout
+		reusable := rolledBack(c.conn)
+		if !reusable {
+			c.conn.Close()
 		}
-		s.p.desk.do(func() { s.p.desk.back(g, c) })
+		router.do(func() { router.checkIn(c, reusable) })
 	}()
 }
+
+// rolledBack has a member roll back the transaction on a connection, and says whether it did.
+func rolledBack(c *memberConn) bool {
+	reply, err := exchangeInternal(c, "QUERY - ABORT\r\n", 0, time.Now().Add(rollbackTimeout))
+	return err == nil && reply.State == wire.StateIdle
+}
+
+// failIdleTransaction rolls back a transaction whose client is idle in it, and is answered so at its next statement.
+func (s *session) failIdleTransaction() {
+	if s.tx.failed {
+		return
+	}
+	s.rollBack(s.tx)
+	s.tx.failed, s.tx.unreported = true, errIdleTooLong
+}
+
+// abandonTransaction rolls back the transaction of a client that is gone.
+func (s *session) abandonTransaction() {
+	if s.tx != nil {
+		s.rollBack(s.tx)
+	}
+}
--- a/internal/dataplane/proxy/transcript_test.go
+++ b/internal/dataplane/proxy/transcript_test.go
@@ -63,11 +63,9 @@
 func newTranscript(t *testing.T, host string) *transcript {
 	ctx, stop := context.WithCancel(context.Background())
 	x := &transcript{t: t, script: map[string][]string{}}
-	x.p = &Proxy{set: &settings.Settings{Zone: "z"}, log: events.New(&x.log, "proxy"), ctx: ctx, start: time.Now(),
-		sessions: map[*session]struct{}{}, room: wire.NewBufferBudget(1 << 20)}
+	x.p = newProxy(ctx, &settings.Settings{Zone: "z", MemoryMB: 8}, events.New(&x.log, "proxy"))
 	time.Sleep(time.Minute + 1110*time.Microsecond)
-	x.p.desk = newDesk(x.p)
-	go x.p.desk.run()
+	go x.p.router.run()
 	raw := []byte(transcripts)
 	x.update(&controlmsg.StateUpdate{ConfigVersion: 3, Config: raw, DriverCount: 2, ShardMap: &shardmap.Map{Version: 5,
 		Shards: map[string]shardmap.Assignment{"sh": {Node: "s", Epoch: 8}}}})
@@ -77,7 +75,7 @@
 	here, there := net.Pipe()
 	x.client, x.replies = here, wire.NewReader(here)
 	done := make(chan struct{})
-	s := &session{p: x.p, c: there}
+	s := &session{proxy: x.p, client: there}
 	x.p.sessions[s] = struct{}{}
 	go func() {
 		s.run()
@@ -100,14 +98,14 @@
 
 func (x *transcript) do(f func()) {
 	done := make(chan struct{})
-	x.p.desk.do(func() { f(); close(done) })
+	x.p.router.do(func() { f(); close(done) })
 	select {
 	case <-done:
 	case <-x.p.ctx.Done():
 	}
 }
 
-func (x *transcript) update(u *controlmsg.StateUpdate) { x.do(func() { x.p.desk.news(u) }) }
+func (x *transcript) update(u *controlmsg.StateUpdate) { x.do(func() { x.p.router.update(u) }) }
 
 // zones differ in distance, so that no choice between members is left to chance.
 var zones = map[string]string{"a": "z", "b": "y"}
@@ -120,16 +118,16 @@
 // fill puts member connections into the pools, up to seven of each.
 func (x *transcript) fill() {
 	x.do(func() {
-		g := x.p.desk.group("s")
+		g := x.p.router.group("s")
 		for _, id := range []string{"a", "b"} {
-			for m := g.g.Members[id]; m != nil && len(g.pool(id).idle) < 7; {
+			for m := g.group.Members[id]; m != nil && len(g.pool(id).idle) < 7; {
 				here, there := net.Pipe()
 				side := &[]string{}
 				x.members, x.ends = append(x.members, side), append(x.ends, there)
 				rng := rand.New(rand.NewPCG(uint64(len(x.members)), 9))
 				go x.member(id, there, side, rng)
 				g.pool(id).open++
-				x.p.desk.rest(g, m, &conn{Conn: &memberconn.Conn{NetConn: here, Reader: wire.NewReader(here)}})
+				x.p.router.keep(g, m, &memberConn{Conn: &memberconn.Conn{NetConn: here, Reader: wire.NewReader(here)}})
 			}
 		}
 	})
@@ -382,8 +380,8 @@
 		{"rested transaction", "db", then(queries(nil, "BEGIN", "STORE a 1"), func(*transcript) { time.Sleep(5 * time.Second) },
 			queries(nil, "FETCH a", "FETCH a", "COMMIT", "FETCH a"))},
 		{"end of the process", "db", then(queries(nil, "BEGIN", "STORE a 1"), func(x *transcript) {
-			x.p.phase.Store(lastCalls)
-			x.p.kick()
+			x.p.enter(closingAll)
+			x.p.wakeSessions()
 			synctest.Wait()
 		}, queries(nil, "FETCH a", "COMMIT"))},
 	} {
@@ -455,7 +453,7 @@
 			x.p.routes().ServeHTTP(w, httptest.NewRequest("GET", path, nil))
 			fmt.Fprintf(&b, "GET %s\n%d\n%s", path, w.Code, w.Body)
 		}
-		x.p.phase.Store(leaving)
+		x.p.enter(draining)
 		w := httptest.NewRecorder()
 		x.p.routes().ServeHTTP(w, httptest.NewRequest("GET", "/ready", nil))
 		fmt.Fprintf(&b, "leaving: %d\n", w.Code)
@@ -513,9 +511,9 @@
 		{"owes an answer, then speaks", queries(map[string][]string{"FETCH a": {"late"}, "STORE a 1": {"late"}}, "FETCH a", "STORE a 1", "FETCH b")},
 		{"answers no commit", func(x *transcript) {
 			x.do(func() {
-				g := x.p.desk.group("s")
-				m := g.g.Members["a"]
-				g.g.RecordSend(m, x.p.now(), true)
+				g := x.p.router.group("s")
+				m := g.group.Members["a"]
+				g.group.RecordSend(m, x.p.now(), true)
 			})
 			time.Sleep(thinkTime)
 			for range 90 {
@@ -524,8 +522,8 @@
 		}},
 		{"takes no connection", func(x *transcript) {
 			x.do(func() {
-				g := x.p.desk.group("s")
-				g.shed("a")
+				g := x.p.router.group("s")
+				g.closeIdle("a")
 			})
 			x.ends[0].Close()
 			time.Sleep(time.Second)
