--- a/internal/controlplane/calls.go
+++ b/internal/controlplane/calls.go
@@ -37,9 +37,9 @@
 	mux.HandleFunc("POST /shards", sh.change)
 	mux.HandleFunc("GET /sites", si.show)
 	mux.HandleFunc("POST /sites/{name}/renew", si.renew)
-	mux.HandleFunc("POST /sites/{name}/drain", si.change(sites.Drain))
-	mux.HandleFunc("POST /sites/{name}/undrain", si.change(sites.Undrain))
-	mux.HandleFunc("POST /sites/{name}/leave", si.change(sites.Leave))
+	mux.HandleFunc("POST /sites/{name}/drain", si.change(sites.ChangeDrain))
+	mux.HandleFunc("POST /sites/{name}/undrain", si.change(sites.ChangeUndrain))
+	mux.HandleFunc("POST /sites/{name}/leave", si.change(sites.ChangeLeave))
 	mux.Handle("GET /status", &statusResource{h})
 	mux.Handle("GET /events", h.log)
 	return mux
--- a/internal/controlplane/orders/golden_test.go
+++ b/internal/controlplane/orders/golden_test.go
@@ -56,15 +56,15 @@
 	h := fnv.New64a()
 	c := newCore(t, 9, 3)
 	lead := c.ready()
-	site := sites.Site{Addr: "s:1", HTTP: "s:2", Zone: "z", Region: "r", Life: 7}
+	site := sites.Site{Addr: "s:1", HTTPAddr: "s:2", Zone: "z", Region: "r", Incarnation: 7}
 	for _, r := range []controlmsg.Request{
 		{ReadConfig: true},
 		{SiteLease: &controlmsg.SiteLeaseRequest{Site: "a", Incarnation: 7}},
 		replace(0, 1, 1),
 		{ReadConfig: true},
-		{SiteChange: &sites.Change{Kind: sites.Join, Name: "a", Site: site}},
-		{SiteChange: &sites.Change{Kind: sites.Join, Name: "a", Site: site}},
-		{SiteChange: &sites.Change{Kind: sites.Join, Name: "", Site: site}},
+		{SiteChange: &sites.Change{Kind: sites.ChangeJoin, Name: "a", Site: site}},
+		{SiteChange: &sites.Change{Kind: sites.ChangeJoin, Name: "a", Site: site}},
+		{SiteChange: &sites.Change{Kind: sites.ChangeJoin, Name: "", Site: site}},
 		{SiteLease: &controlmsg.SiteLeaseRequest{Site: "a", Incarnation: 7}},
 		{SiteLease: &controlmsg.SiteLeaseRequest{Site: "a", Incarnation: 6}},
 		{SiteLease: &controlmsg.SiteLeaseRequest{Site: "b", Incarnation: 7}},
--- a/internal/controlplane/orders/step.go
+++ b/internal/controlplane/orders/step.go
@@ -145,7 +145,7 @@
 }
 
 func isIn(s sites.Site, incarnation uint64) bool {
-	return s.Life == incarnation && s.State != sites.Out
+	return s.Incarnation == incarnation && s.State != sites.StateRemoved
 }
 
 // propose has the node propose the state behind a change. Where the node can't now, the order stays as it was.
--- a/internal/controlplane/sites.go
+++ b/internal/controlplane/sites.go
@@ -28,15 +28,15 @@
 		return
 	}
 	for name, s := range t.state.Sites.Sites {
-		if t.lives[name] != s.Life { // it has just joined
-			t.lives[name], t.granted[name] = s.Life, now
+		if t.lives[name] != s.Incarnation { // it has just joined
+			t.lives[name], t.granted[name] = s.Incarnation, now
 		}
-		if s.State == sites.Out || now-max(t.granted[name], t.ledAt) < ms(SiteLease+siteSlack) {
+		if s.State == sites.StateRemoved || now-max(t.granted[name], t.ledAt) < ms(SiteLease+siteSlack) {
 			continue
 		}
 		t.granted[name] = now // not again at once
 		t.h.log.Event(events.SiteLapsed, "site", name, "epoch", s.Epoch)
-		change := &sites.Change{Kind: sites.Lapse, Name: name, Epoch: s.Epoch}
+		change := &sites.Change{Kind: sites.ChangeExpire, Name: name, Epoch: s.Epoch}
 		go t.h.call(controlmsg.Request{SiteChange: change})
 	}
 }
@@ -63,7 +63,7 @@
 	grant := controlmsg.Request{SiteLease: &controlmsg.SiteLeaseRequest{Site: name, Incarnation: n.Life}}
 	status, body := s.h.call(grant)
 	if status == http.StatusConflict {
-		join := &sites.Change{Kind: sites.Join, Name: name, Site: sites.Site{Addr: n.Addr, HTTP: n.HTTP, Zone: n.Zone, Region: n.Region, Life: n.Life}}
+		join := &sites.Change{Kind: sites.ChangeJoin, Name: name, Site: sites.Site{Addr: n.Addr, HTTPAddr: n.HTTP, Zone: n.Zone, Region: n.Region, Incarnation: n.Life}}
 		if status, body = s.h.call(controlmsg.Request{SiteChange: join}); status == http.StatusOK {
 			status, body = s.h.call(grant)
 		}
@@ -79,7 +79,7 @@
 	w.Write(body)
 }
 
-func (s *sitesResource) change(kind sites.Kind) http.HandlerFunc {
+func (s *sitesResource) change(kind sites.ChangeKind) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		c := &sites.Change{Kind: kind, Name: r.PathValue("name")}
 		c.Epoch, _ = strconv.ParseUint(r.URL.Query().Get("epoch"), 10, 64)
@@ -89,7 +89,7 @@
 				http.Error(w, "pace is how many sessions a second are handed on, from 1 on", http.StatusBadRequest)
 				return
 			}
-			c.Pace = n
+			c.DrainRate = n
 		}
 		status, body := s.h.call(controlmsg.Request{SiteChange: c})
 		s.answer(w, status, body)
--- a/internal/session/edge/edge.go
+++ b/internal/session/edge/edge.go
@@ -150,28 +150,28 @@
 		}
 	}
 	for name, s := range m.Sites {
-		if s.State == sites.Out || t.links[name] != nil {
+		if s.State == sites.StateRemoved || t.links[name] != nil {
 			continue
 		}
 		ctx, stop := context.WithCancel(t.ctx)
 		p := &peer{addr: s.Addr, stop: stop}
 		t.links[name] = p
-		go site.Keep(ctx, s.Addr, site.Frame{Hello: t.set.Hostname, Edge: true}, func(l *link) {
+		go site.KeepLink(ctx, s.Addr, site.Frame{Hello: t.set.Hostname, Edge: true}, func(l *link) {
 			t.q.Do(func() {
 				if p.l = l; l == nil {
-					t.e.LostSite(name, t.now())
+					t.e.HandleSiteLost(name, t.now())
 				}
 				t.flush()
 			})
 		}, func(_ *link, f *site.Frame) {
-			if f.Word == nil {
+			if f.Envelope == nil {
 				return
 			}
 			t.q.Do(func() {
-				if f.Word.Map != nil {
-					t.learn(f.Word.Map)
+				if f.Envelope.Map != nil {
+					t.learn(f.Envelope.Map)
 				} else {
-					t.e.Receive(name, f.Word, t.now())
+					t.e.Receive(name, f.Envelope, t.now())
 				}
 				t.flush()
 			})
@@ -182,39 +182,39 @@
 }
 
 func (t *Edge) flush() {
-	for _, c := range t.e.ClientMessages() {
-		s := t.socks[c.Sock]
+	for _, c := range t.e.TakeClientEvents() {
+		s := t.socks[c.Socket]
 		if s == nil {
 			continue
 		}
 		switch c.Kind {
-		case queue.Opened:
+		case queue.EventOpened:
 			if !s.plain {
-				s.say(line{text: "s " + c.ID + "." + c.Secret + " " + strconv.FormatUint(c.N, 10)})
+				s.say(line{text: "s " + c.Session + "." + c.Secret + " " + strconv.FormatUint(c.Number, 10)})
 			}
-		case queue.Message:
+		case queue.EventMessage:
 			if s.plain {
-				s.say(line{string(c.Body), c.N})
+				s.say(line{string(c.Body), c.Number})
 			} else {
-				s.say(line{text: "m " + strconv.FormatUint(c.N, 10) + " " + string(c.Body)})
+				s.say(line{text: "m " + strconv.FormatUint(c.Number, 10) + " " + string(c.Body)})
 			}
-		case queue.Safe:
+		case queue.EventPublishAcked:
 			if !s.plain {
-				s.say(line{text: "a " + strconv.FormatUint(c.N, 10)})
+				s.say(line{text: "a " + strconv.FormatUint(c.Number, 10)})
 			}
-		case queue.Closed:
-			delete(t.socks, c.Sock)
-			t.log.Event(events.SocketEnd, "sock", c.Sock, "why", c.Why)
+		case queue.EventClosed:
+			delete(t.socks, c.Socket)
+			t.log.Event(events.SocketEnd, "sock", c.Socket, "why", c.Reason)
 			status := websocket.StatusPolicyViolation
-			if c.Again {
+			if c.Resumable {
 				status = websocket.StatusTryAgainLater
 			}
-			go s.c.Close(status, c.Why)
+			go s.c.Close(status, c.Reason)
 		}
 	}
-	for _, w := range t.e.Sends() {
+	for _, w := range t.e.TakeOutgoing() {
 		if p := t.links[w.To]; p != nil && p.l != nil {
-			p.l.Send(&site.Frame{Word: &w.Envelope})
+			p.l.Send(&site.Frame{Envelope: &w.Envelope})
 		}
 	}
 }
@@ -282,7 +282,7 @@
 		t.next++
 		s.id = t.next
 		t.socks[s.id] = s
-		t.e.Open(s.id, id, secret, fresh, got, t.now())
+		t.e.OpenSocket(s.id, id, secret, fresh, got, t.now())
 		t.flush()
 	})
 	go s.write(ctx, t)
@@ -291,7 +291,7 @@
 		if t.socks[s.id] == s {
 			delete(t.socks, s.id)
 		}
-		t.e.Close(s.id)
+		t.e.CloseSocket(s.id)
 		t.flush()
 	})
 }
@@ -361,7 +361,7 @@
 	for {
 		ch := make(chan bool, 1)
 		t.q.Do(func() {
-			room := t.socks[s.id] != s || t.e.HasRoom(s.id)
+			room := t.socks[s.id] != s || t.e.CanPublish(s.id)
 			if room {
 				t.e.Publish(s.id, n, body)
 				t.flush()
@@ -383,7 +383,7 @@
 func (t *Edge) status(w http.ResponseWriter, _ *http.Request) {
 	ch := make(chan map[string]any, 1)
 	t.q.Do(func() {
-		ch <- map[string]any{"edge": t.set.Hostname, "sockets": t.e.Sockets(), "gapsMs": slices.Clone(t.e.Gaps())}
+		ch <- map[string]any{"edge": t.set.Hostname, "sockets": t.e.Sockets(), "gapsMs": slices.Clone(t.e.OwnerGaps())}
 	})
 	w.Header().Set("Content-Type", "application/json")
 	json.NewEncoder(w).Encode(<-ch)
--- a/internal/session/edge/golden_test.go
+++ b/internal/session/edge/golden_test.go
@@ -15,7 +15,7 @@
 
 // The lines that clients get, of the subprotocol and plain, and what operators are shown.
 func TestGoldenLines(t *testing.T) {
-	m, err := (*sites.Map)(nil).Apply(&sites.Change{Kind: sites.Join, Name: "a", Site: sites.Site{Addr: "a", Life: 1}})
+	m, err := (*sites.Map)(nil).Apply(&sites.Change{Kind: sites.ChangeJoin, Name: "a", Site: sites.Site{Addr: "a", Incarnation: 1}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -28,14 +28,14 @@
 		s := &socket{id: id, plain: plain, wake: make(chan struct{}, 1), end: func() {}}
 		e.socks[id] = s
 		name := fmt.Sprint("s", id)
-		e.e.Open(id, name, "secret", true, 0, 0)
-		for _, w := range []queue.Envelope{{Kind: queue.Attached, Home: "a", Epoch: 1, Seq: 1, N: 4},
-			{Kind: queue.Deliver, Epoch: 1, Msgs: []queue.Msg{{N: 1, Body: []byte("one")}, {N: 2, Body: []byte("t w")}}}} {
-			w.Session, w.Sock = name, id
+		e.e.OpenSocket(id, name, "secret", true, 0, 0)
+		for _, w := range []queue.Envelope{{Kind: queue.KindAttached, Owner: "a", Epoch: 1, Connection: 1, Number: 4},
+			{Kind: queue.KindDeliver, Epoch: 1, Messages: []queue.Message{{Number: 1, Body: []byte("one")}, {Number: 2, Body: []byte("t w")}}}} {
+			w.Session, w.Socket = name, id
 			e.e.Receive("a", &w, 0)
 		}
 		e.e.Publish(id, 5, []byte("mine"))
-		e.e.Receive("a", &queue.Envelope{Kind: queue.PublishAck, Session: name, Sock: id, Epoch: 1, N: 5}, 0)
+		e.e.Receive("a", &queue.Envelope{Kind: queue.KindPublishAck, Session: name, Socket: id, Epoch: 1, Number: 5}, 0)
 		e.flush()
 		for i, l := range s.out {
 			cases = append(cases, golden.Of(fmt.Sprint("socket ", id, " line ", i), l.text+fmt.Sprint(" n ", l.n)))
--- a/internal/session/queue/bounds_test.go
+++ b/internal/session/queue/bounds_test.go
@@ -12,9 +12,9 @@
 	Convey("A session whose client reads, but acknowledges nothing", t, func() {
 		o := newOrders()
 		h := o.home()
-		h.Limits.Msgs, h.Limits.WindowBytes, h.Limits.Message = 4, 100, 50
+		h.Limits.SessionMessages, h.Limits.WindowBytes, h.Limits.MessageBytes = 4, 100, 50
 		put := func(key string, body string) (status int) {
-			h.Put("s", key, []byte(body), o.now, func(got int, _ uint64) { status = got })
+			h.Enqueue("s", key, []byte(body), o.now, func(got int, _ uint64) { status = got })
 			o.flush()
 			o.quiet()
 			return status
@@ -38,7 +38,7 @@
 				So(put("k5", "x"), ShouldEqual, 429)
 				Convey("which all come once it acknowledges", func() {
 					for range 4 {
-						o.edge.Ack(1, o.edge.socks[1].wrote)
+						o.edge.Ack(1, o.edge.sockets[1].delivered)
 						o.flush()
 						o.quiet()
 					}
@@ -50,14 +50,14 @@
 			h.leaseUntil = 0
 			So(put("k6", "x"), ShouldEqual, 503)
 			h.leaseUntil = 1e12
-			h.home["s"].Copies = nil
+			h.owned["s"].Replicas = nil
 			So(put("k7", "x"), ShouldEqual, 503)
 		})
 		Convey("gives up what nobody fetches in time, and counts it", func() {
-			h.Limits.Age = 1
+			h.Limits.MaxAge = 1
 			o.now += 10
 			h.Tick(o.now)
-			So(h.Expired, ShouldBeGreaterThan, 0)
+			So(h.ExpiredMessages, ShouldBeGreaterThan, 0)
 		})
 	})
 }
@@ -68,10 +68,10 @@
 	for _, size := range []int{1, 100 << 10} {
 		o := newOrders()
 		n := 0
-		for ; o.edge.HasRoom(1) && n < 1000; n++ { // nothing comes to any site meanwhile
+		for ; o.edge.CanPublish(1) && n < 1000; n++ { // nothing comes to any site meanwhile
 			o.edge.Publish(1, uint64(n+1), make([]byte, size))
 		}
-		if want := map[int]int{1: maxUnsafe, 100 << 10: 3}[size]; n != want {
+		if want := map[int]int{1: maxUnacked, 100 << 10: 3}[size]; n != want {
 			t.Errorf("%d messages of %d bytes, not %d", n, size, want)
 		}
 	}
--- a/internal/session/queue/evening_test.go
+++ b/internal/session/queue/evening_test.go
@@ -122,67 +122,67 @@
 	e.conn[pair(a, b)]++
 	for _, x := range [][2]string{{a, b}, {b, a}} {
 		if g := e.edges[x[0]]; g != nil && g.up {
-			e.In(5, func() { g.e.LostSite(x[1], e.Now); e.flushEdge(g) })
+			e.In(5, func() { g.e.HandleSiteLost(x[1], e.Now); e.flushEdge(g) })
 		}
 		if h := e.sites[x[0]]; h != nil && e.edges[x[1]] != nil {
-			e.In(5, func() { h.take(func() { h.s.LostEdge(x[1], e.Now); e.flush(h) }) })
+			e.In(5, func() { h.take(func() { h.s.HandleEdgeLost(x[1], e.Now); e.flush(h) }) })
 		}
 	}
 }
 
 func (e *evening) flush(h *host) {
-	for _, s := range h.s.Sends() {
+	for _, s := range h.s.TakeOutgoing() {
 		e.record("site", e.Now, h.name, s.To, s.Envelope)
 		e.link(h.name, s.To, s.Envelope)
 	}
 }
 
 func (e *evening) flushEdge(g *edgeHost) {
-	for _, t := range g.e.ClientMessages() {
-		e.record("client", e.Now, g.name, uint8(t.Kind), t.Sock, t.N, t.Body, t.Why, t.Again, t.Secret, t.ID)
-		c := g.socks[t.Sock]
+	for _, t := range g.e.TakeClientEvents() {
+		e.record("client", e.Now, g.name, uint8(t.Kind), t.Socket, t.Number, t.Body, t.Reason, t.Resumable, t.Secret, t.Session)
+		c := g.socks[t.Socket]
 		if c == nil {
 			continue
 		}
 		switch t.Kind {
-		case Opened:
-			if c.edge == g.name && c.sock == t.Sock {
+		case EventOpened:
+			if c.edge == g.name && c.sock == t.Socket {
 				c.open = true
-				e.resend(c, t.N)
+				e.resend(c, t.Number)
 			}
-		case Message:
-			if !c.plain && (t.N <= c.got || c.edge != g.name || c.sock != t.Sock) {
+		case EventMessage:
+			if !c.plain && (t.Number <= c.got || c.edge != g.name || c.sock != t.Socket) {
 				break // what it has, or on a connection that it has given up
 			}
 			c.seen = append(c.seen, string(t.Body))
-			if c.got+1 != t.N && c.got != 0 {
-				e.note("client %s got %d behind %d", c.id, t.N, c.got)
+			if c.got+1 != t.Number && c.got != 0 {
+				e.note("client %s got %d behind %d", c.id, t.Number, c.got)
 				c.seen = append(c.seen, "!gap")
 			}
-			c.got = t.N
+			c.got = t.Number
 			if c.plain {
-				g.e.Ack(t.Sock, t.N)
+				g.e.Ack(t.Socket, t.Number)
 			} else {
-				n := t.N
+				n := t.Number
 				e.In(4+float64(e.r.IntN(3)*150), func() {
-					if g.up && g.socks[t.Sock] == c {
-						g.e.Ack(t.Sock, n)
+					if g.up && g.socks[t.Socket] == c {
+						g.e.Ack(t.Socket, n)
 						e.flushEdge(g)
 					}
 				})
 			}
-		case Safe:
-			c.safe = max(c.safe, t.N)
-		case Closed:
-			delete(g.socks, t.Sock)
-			if c.edge == g.name && c.sock == t.Sock {
-				e.note("%s closed: %s", c.id, t.Why)
+		case EventPublishAcked:
+			c.safe = max(c.safe, t.Number)
+		case EventClosed:
+			delete(g.socks, t.Socket)
+			if c.edge == g.name && c.sock == t.Socket {
+				e.note("%s closed: %s", c.id, t.Reason)
 				c.open = false
 				e.reconnect(c)
 			}
 		}
 	}
-	for _, s := range g.e.Sends() {
+	for _, s := range g.e.TakeOutgoing() {
 		e.record("edge", e.Now, g.name, s.To, s.Envelope)
 		e.link(g.name, s.To, s.Envelope)
 	}
@@ -216,7 +216,7 @@
 	g.next++
 	c.edge, c.sock = g.name, g.next
 	g.socks[g.next] = c
-	g.e.Open(g.next, c.id, c.secret, fresh, c.got, e.Now)
+	g.e.OpenSocket(g.next, c.id, c.secret, fresh, c.got, e.Now)
 	e.flushEdge(g)
 }
 
@@ -253,14 +253,14 @@
 // begin starts a life of a site, which renews its lease while it lives.
 func (e *evening) begin(h *host) {
 	h.life++
-	h.s = New(h.name, Limits{Sessions: 20000, Bytes: 1 << 20, Msgs: 200, Age: 1e9, All: 64 << 20, Message: 1 << 16,
-		Window: 8, WindowBytes: 1 << 20, Copies: 1, Keys: 64})
+	h.s = NewSite(h.name, Limits{Sessions: 20000, SessionBytes: 1 << 20, SessionMessages: 200, MaxAge: 1e9, TotalBytes: 64 << 20, MessageBytes: 1 << 16,
+		WindowMessages: 8, WindowBytes: 1 << 20, Replicas: 1, RecentKeys: 64})
 	h.up, h.frozen, h.inbox = true, false, nil
 	life := h.life
 	i := slices.Index([]string{"a", "b", "c", "d"}, h.name)
 	e.In(10, func() {
-		e.change(&sites.Change{Kind: sites.Join, Name: h.name,
-			Site: sites.Site{Addr: h.name, Zone: fmt.Sprint("z", i%3), Region: "r", Life: life}})
+		e.change(&sites.Change{Kind: sites.ChangeJoin, Name: h.name,
+			Site: sites.Site{Addr: h.name, Zone: fmt.Sprint("z", i%3), Region: "r", Incarnation: life}})
 		e.grant[h.name] = e.Now
 	})
 	var tick, renew func()
@@ -271,9 +271,9 @@
 		if !h.frozen {
 			asked := e.Now
 			e.In(5, func() { // the core's answer, confirmed
-				if s := e.m.Sites[h.name]; s.Life == life && s.State != sites.Out && h.up {
+				if s := e.m.Sites[h.name]; s.Incarnation == life && s.State != sites.StateRemoved && h.up {
 					e.grant[h.name] = e.Now
-					e.In(5, func() { h.take(func() { h.s.Lease(asked + leaseFor) }) })
+					e.In(5, func() { h.take(func() { h.s.ExtendLease(asked + leaseFor) }) })
 				}
 			})
 		}
@@ -296,9 +296,9 @@
 func (e *evening) lapse() {
 	for _, name := range []string{"a", "b", "c", "d"} {
 		s, ok := e.m.Sites[name]
-		if ok && s.State != sites.Out && e.Now-e.grant[name] > leaseFor+200 {
+		if ok && s.State != sites.StateRemoved && e.Now-e.grant[name] > leaseFor+200 {
 			e.note("%s lapses", name)
-			e.change(&sites.Change{Kind: sites.Lapse, Name: name, Epoch: s.Epoch})
+			e.change(&sites.Change{Kind: sites.ChangeExpire, Name: name, Epoch: s.Epoch})
 			if h := e.sites[name]; h.up && !h.frozen { // it begins anew under another life
 				h.up = false
 				e.In(500, func() { e.begin(h) })
@@ -336,10 +336,10 @@
 		done := false
 		for _, name := range []string{"a", "b", "c", "d"} { // whoever is home answers
 			h := e.sites[name]
-			if !h.up || h.frozen || h.s.home[c.id] == nil {
+			if !h.up || h.frozen || h.s.owned[c.id] == nil {
 				continue
 			}
-			h.s.Put(c.id, key, []byte(body), e.Now, func(status int, n uint64) {
+			h.s.Enqueue(c.id, key, []byte(body), e.Now, func(status int, n uint64) {
 				e.record("reply", e.Now, status, n)
 				if e.r.IntN(50) == 0 { // the answer is lost
 					e.In(300, func() { try(left - 1) })
@@ -378,10 +378,10 @@
 		}
 		for _, m := range msgs {
 			c.took = append(c.took, string(m.Body))
-			c.tookN = m.N
+			c.tookN = m.Number
 		}
 		if len(msgs) > 0 {
-			h.s.Consumed(c.id, c.tookN, e.Now)
+			h.s.Consume(c.id, c.tookN, e.Now)
 			e.flush(h)
 		}
 		return
@@ -438,7 +438,7 @@
 		}
 		say = func() {
 			if e.Now < until {
-				if g := e.edges[c.edge]; c.open && g.up && g.e.HasRoom(c.sock) {
+				if g := e.edges[c.edge]; c.open && g.up && g.e.CanPublish(c.sock) {
 					c.sent = append(c.sent, fmt.Sprint(c.id, ">", len(c.sent)))
 					num := uint64(len(c.sent))
 					if c.plain {
@@ -530,8 +530,8 @@
 				})
 			case 2:
 				e.note("%s drains", h.name)
-				e.change(&sites.Change{Kind: sites.Drain, Name: h.name, Pace: 20})
-				e.In(2500, func() { e.change(&sites.Change{Kind: sites.Undrain, Name: h.name}) })
+				e.change(&sites.Change{Kind: sites.ChangeDrain, Name: h.name, DrainRate: 20})
+				e.In(2500, func() { e.change(&sites.Change{Kind: sites.ChangeUndrain, Name: h.name}) })
 			case 3:
 				e.cut(h.name, fmt.Sprint("e", e.r.IntN(2)))
 			case 4:
@@ -557,7 +557,7 @@
 	for seed := range uint64(seeds) {
 		e := playFaults(seed, nil)
 		for _, g := range e.edges {
-			gaps = append(gaps, g.e.Gaps()...)
+			gaps = append(gaps, g.e.OwnerGaps()...)
 		}
 		for _, c := range e.cl {
 			queued += len(c.queued)
@@ -641,20 +641,20 @@
 		e.connect(c, true)
 	}
 	e.Pass(4000)
-	from := e.sites["a"].s.Homes()
-	e.change(&sites.Change{Kind: sites.Drain, Name: "a", Pace: 1000})
+	from := e.sites["a"].s.OwnedSessions()
+	e.change(&sites.Change{Kind: sites.ChangeDrain, Name: "a", DrainRate: 1000})
 	began := e.Now
-	for e.sites["a"].s.Homes() > 0 && e.Now < began+30000 {
+	for e.sites["a"].s.OwnedSessions() > 0 && e.Now < began+30000 {
 		e.Pass(e.Now + 50)
 	}
 	e.Pass(e.Now + 500)
 	var gaps []float64
 	for _, g := range e.edges {
-		gaps = append(gaps, g.e.Gaps()...)
+		gaps = append(gaps, g.e.OwnerGaps()...)
 	}
 	slices.Sort(gaps)
-	if from < 1000 || e.sites["a"].s.Homes() > 0 || len(gaps) < from {
-		t.Fatalf("%d homes of %d are left, %d changes", e.sites["a"].s.Homes(), from, len(gaps))
+	if from < 1000 || e.sites["a"].s.OwnedSessions() > 0 || len(gaps) < from {
+		t.Fatalf("%d homes of %d are left, %d changes", e.sites["a"].s.OwnedSessions(), from, len(gaps))
 	}
 	t.Logf("%d sessions in %.0f ms; silence %.0f ms at the median, %.0f at p99, %.0f at most", from, e.Now-began-500,
 		gaps[len(gaps)/2], gaps[len(gaps)*99/100], gaps[len(gaps)-1])
@@ -683,7 +683,7 @@
 	runtime.ReadMemStats(&after)
 	homes := 0
 	for _, h := range e.sites {
-		homes += h.s.Homes()
+		homes += h.s.OwnedSessions()
 	}
 	each := float64(after.HeapAlloc-before.HeapAlloc) / float64(max(homes, 1))
 	t.Logf("%d sessions: %.0f bytes each at home, copy and edge", homes, each)
--- a/internal/session/queue/golden_test.go
+++ b/internal/session/queue/golden_test.go
@@ -11,30 +11,30 @@
 
 // One envelope of each kind, with the fields that it uses; the state and each kind of op among them.
 func TestGoldenForms(t *testing.T) {
-	msgs := []Msg{{7, "key", []byte("body"), 12.5}, {N: 8, Body: []byte("b")}}
-	state := &State{"secret", 3, "a", 4, []string{"b", "c"}, 19, msgs, 8, []Msg{{N: 2, Body: []byte("in")}}, 2, 5,
-		[]Msg{{N: 7, Key: "key"}}}
+	msgs := []Message{{7, "key", []byte("body"), 12.5}, {Number: 8, Body: []byte("b")}}
+	state := &SessionState{"secret", 3, "a", 4, []string{"b", "c"}, 19, msgs, 8, []Message{{Number: 2, Body: []byte("in")}}, 2, 5,
+		[]Message{{Number: 7, Key: "key"}}}
 	ops := []Op{{OpPut, 0, &msgs[0]}, {OpAck, 7, nil}, {OpPublish, 0, &msgs[1]}, {OpConsume, 2, nil}, {OpAttach, 6, nil}}
 	golden.CBOR(t, "testdata/envelopes.cbor", []golden.Case[Envelope]{
-		golden.Of("attach", Envelope{Kind: Attach, Session: "s", Secret: "x", Seq: 1, Sock: 2, N: 3, Base: 4, New: true}),
-		golden.Of("attached", Envelope{Kind: Attached, Session: "s", Epoch: 2, Site: 3, Seq: 4, Sock: 5, Home: "a",
-			Copies: []string{"b"}, N: 6, Base: 7}),
-		golden.Of("refused", Envelope{Kind: Refused, Session: "s", Sock: 5, Why: "not now"}),
-		golden.Of("deliver", Envelope{Kind: Deliver, Session: "s", Epoch: 2, Site: 3, Sock: 5, Msgs: msgs}),
-		golden.Of("ack", Envelope{Kind: Ack, Session: "s", Epoch: 2, Sock: 5, N: 9}),
-		golden.Of("publish", Envelope{Kind: Publish, Session: "s", Epoch: 2, Sock: 5, Msgs: msgs[1:]}),
-		golden.Of("publish ack", Envelope{Kind: PublishAck, Session: "s", Epoch: 2, Site: 3, Sock: 5, N: 9}),
-		golden.Of("detach", Envelope{Kind: Detach, Session: "s", Sock: 5, Epoch: 2}),
-		golden.Of("redirect", Envelope{Kind: Redirect, Session: "s", Sock: 5, Home: "b", Copies: []string{"a"}, Epoch: 3}),
-		golden.Of("replicate", Envelope{Kind: Replicate, Session: "s", Epoch: 2, Site: 3, Base: 11, Log: ops}),
-		golden.Of("replicate ack", Envelope{Kind: ReplicateAck, Session: "s", Epoch: 2, Site: 3, Base: 11}),
-		golden.Of("snapshot", Envelope{Kind: Snapshot, Session: "s", Epoch: 2, Site: 3, State: state}),
-		golden.Of("hand over", Envelope{Kind: HandOver, Session: "s", Epoch: 3, Site: 3}),
-		golden.Of("hand over done", Envelope{Kind: HandOverDone, Session: "s", Epoch: 3, Site: 3, Home: "b"}),
-		golden.Of("forget", Envelope{Kind: Forget, Session: "s", Epoch: 3, Site: 3}),
-		golden.Of("find", Envelope{Kind: Find, Session: "s", Sock: 5}),
-		golden.Of("defer", Envelope{Kind: Defer, Session: "s", Epoch: 3, Site: 3, New: true}),
-		golden.Of("map", Envelope{Map: &sites.Map{Version: 2, Sites: map[string]sites.Site{"a": {Addr: "x", State: sites.In}}}}),
+		golden.Of("attach", Envelope{Kind: KindAttach, Session: "s", Secret: "x", Connection: 1, Socket: 2, Number: 3, Base: 4, New: true}),
+		golden.Of("attached", Envelope{Kind: KindAttached, Session: "s", Epoch: 2, SiteEpoch: 3, Connection: 4, Socket: 5, Owner: "a",
+			Replicas: []string{"b"}, Number: 6, Base: 7}),
+		golden.Of("refused", Envelope{Kind: KindRejected, Session: "s", Socket: 5, Reason: "not now"}),
+		golden.Of("deliver", Envelope{Kind: KindDeliver, Session: "s", Epoch: 2, SiteEpoch: 3, Socket: 5, Messages: msgs}),
+		golden.Of("ack", Envelope{Kind: KindAck, Session: "s", Epoch: 2, Socket: 5, Number: 9}),
+		golden.Of("publish", Envelope{Kind: KindPublish, Session: "s", Epoch: 2, Socket: 5, Messages: msgs[1:]}),
+		golden.Of("publish ack", Envelope{Kind: KindPublishAck, Session: "s", Epoch: 2, SiteEpoch: 3, Socket: 5, Number: 9}),
+		golden.Of("detach", Envelope{Kind: KindDetach, Session: "s", Socket: 5, Epoch: 2}),
+		golden.Of("redirect", Envelope{Kind: KindRedirect, Session: "s", Socket: 5, Owner: "b", Replicas: []string{"a"}, Epoch: 3}),
+		golden.Of("replicate", Envelope{Kind: KindReplicate, Session: "s", Epoch: 2, SiteEpoch: 3, Base: 11, Ops: ops}),
+		golden.Of("replicate ack", Envelope{Kind: KindReplicateAck, Session: "s", Epoch: 2, SiteEpoch: 3, Base: 11}),
+		golden.Of("snapshot", Envelope{Kind: KindSnapshot, Session: "s", Epoch: 2, SiteEpoch: 3, State: state}),
+		golden.Of("hand over", Envelope{Kind: KindHandOver, Session: "s", Epoch: 3, SiteEpoch: 3}),
+		golden.Of("hand over done", Envelope{Kind: KindHandOverDone, Session: "s", Epoch: 3, SiteEpoch: 3, Owner: "b"}),
+		golden.Of("forget", Envelope{Kind: KindDiscard, Session: "s", Epoch: 3, SiteEpoch: 3}),
+		golden.Of("find", Envelope{Kind: KindLocate, Session: "s", Socket: 5}),
+		golden.Of("defer", Envelope{Kind: KindDefer, Session: "s", Epoch: 3, SiteEpoch: 3, New: true}),
+		golden.Of("map", Envelope{Map: &sites.Map{Version: 2, Sites: map[string]sites.Site{"a": {Addr: "x", State: sites.StateActive}}}}),
 	})
 }
 
@@ -42,17 +42,17 @@
 func TestGoldenShown(t *testing.T) {
 	o := newOrders()
 	h := o.home()
-	h.Put("s", "k", []byte("body"), o.now, func(int, uint64) {})
+	h.Enqueue("s", "k", []byte("body"), o.now, func(int, uint64) {})
 	o.flush()
 	o.quiet()
-	b, err := json.Marshal(h.Show("s"))
+	b, err := json.Marshal(h.Describe("s"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	none, err := json.Marshal(h.Show("none"))
+	none, err := json.Marshal(h.Describe("none"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	golden.Text(t, "testdata/shown.txt", []golden.Case[string]{golden.Of("shown", string(b)), golden.Of("none", string(none)),
-		golden.Of("counts", fmt.Sprint(h.Homes(), h.Copied(), h.Bytes(), h.Expired))})
+		golden.Of("counts", fmt.Sprint(h.OwnedSessions(), h.ReplicatedSessions(), h.Bytes(), h.ExpiredMessages))})
 }
--- a/internal/session/queue/orders_test.go
+++ b/internal/session/queue/orders_test.go
@@ -36,10 +36,10 @@
 	o := &orders{m: &sites.Map{Sites: map[string]sites.Site{}}, sites: map[string]*Site{}, dead: map[string]bool{},
 		edge: NewEdge("e", "z0", "r"), links: map[[2]string][]Envelope{}}
 	for i, n := range siteNames {
-		o.sites[n] = New(n, Limits{Sessions: 9, Bytes: 1 << 20, Msgs: 9, Age: 1e12, All: 1 << 20, Message: 99, Window: 9,
-			WindowBytes: 1 << 20, Copies: 1, Keys: 9})
-		o.m, _ = o.m.Apply(&sites.Change{Kind: sites.Join, Name: n,
-			Site: sites.Site{Addr: n, Zone: fmt.Sprint("z", i), Region: "r", Life: 1}})
+		o.sites[n] = NewSite(n, Limits{Sessions: 9, SessionBytes: 1 << 20, SessionMessages: 9, MaxAge: 1e12, TotalBytes: 1 << 20, MessageBytes: 99, WindowMessages: 9,
+			WindowBytes: 1 << 20, Replicas: 1, RecentKeys: 9})
+		o.m, _ = o.m.Apply(&sites.Change{Kind: sites.ChangeJoin, Name: n,
+			Site: sites.Site{Addr: n, Zone: fmt.Sprint("z", i), Region: "r", Incarnation: 1}})
 		for _, p := range append(siteNames, "e") {
 			if p != n {
 				o.names = append(o.names, [2]string{n, p})
@@ -48,7 +48,7 @@
 		o.names = append(o.names, [2]string{"e", n})
 	}
 	o.learn()
-	o.edge.Open(1, "s", "x", true, 0, o.now)
+	o.edge.OpenSocket(1, "s", "x", true, 0, o.now)
 	o.quiet()
 	return o
 }
@@ -57,7 +57,7 @@
 	for _, n := range siteNames {
 		if !o.dead[n] {
 			o.sites[n].ApplyMap(o.m, 1, o.now)
-			o.sites[n].Lease(1e12)
+			o.sites[n].ExtendLease(1e12)
 		}
 	}
 	o.edge.ApplyMap(o.m, o.now)
@@ -66,19 +66,19 @@
 
 func (o *orders) flush() {
 	for _, n := range siteNames {
-		for _, s := range o.sites[n].Sends() {
+		for _, s := range o.sites[n].TakeOutgoing() {
 			if !o.dead[n] && !o.dead[s.To] {
 				k := [2]string{n, s.To}
 				o.links[k] = append(o.links[k], s.Envelope)
 			}
 		}
 	}
-	for _, t := range o.edge.ClientMessages() {
-		if t.Kind == Message {
-			o.seen = append(o.seen, t.N)
+	for _, t := range o.edge.TakeClientEvents() {
+		if t.Kind == EventMessage {
+			o.seen = append(o.seen, t.Number)
 		}
 	}
-	for _, s := range o.edge.Sends() {
+	for _, s := range o.edge.TakeOutgoing() {
 		if !o.dead[s.To] {
 			k := [2]string{"e", s.To}
 			o.links[k] = append(o.links[k], s.Envelope)
@@ -104,7 +104,7 @@
 
 func (o *orders) home() *Site {
 	for _, n := range siteNames {
-		if s := o.sites[n]; !o.dead[n] && s.home["s"] != nil {
+		if s := o.sites[n]; !o.dead[n] && s.owned["s"] != nil {
 			return s
 		}
 	}
@@ -130,18 +130,18 @@
 		{h != nil && o.put < 2, func() {
 			o.put++
 			n := uint64(o.put)
-			h.Put("s", fmt.Sprint(n), []byte("x"), o.now, func(status int, got uint64) {
+			h.Enqueue("s", fmt.Sprint(n), []byte("x"), o.now, func(status int, got uint64) {
 				if status == 202 || status == 200 {
 					o.queued = append(o.queued, got)
 				}
 			})
 		}},
-		{o.edge.socks[1] != nil && o.edge.socks[1].got < o.edge.socks[1].wrote,
-			func() { o.edge.Ack(1, o.edge.socks[1].wrote) }},
-		{o.sent < 1 && o.edge.socks[1] != nil, func() { o.sent++; o.edge.Publish(1, o.sent, []byte("y")) }},
+		{o.edge.sockets[1] != nil && o.edge.sockets[1].acked < o.edge.sockets[1].delivered,
+			func() { o.edge.Ack(1, o.edge.sockets[1].delivered) }},
+		{o.sent < 1 && o.edge.sockets[1] != nil, func() { o.sent++; o.edge.Publish(1, o.sent, []byte("y")) }},
 		{!o.drains && h != nil, func() {
 			o.drains = true
-			o.m, _ = o.m.Apply(&sites.Change{Kind: sites.Drain, Name: h.Name, Pace: 1000})
+			o.m, _ = o.m.Apply(&sites.Change{Kind: sites.ChangeDrain, Name: h.Name, DrainRate: 1000})
 			o.learn()
 			o.now += 60
 			h.Tick(o.now)
@@ -154,8 +154,8 @@
 					delete(o.links, k)
 				}
 			}
-			o.edge.LostSite(h.Name, o.now)
-			o.m, _ = o.m.Apply(&sites.Change{Kind: sites.Lapse, Name: h.Name, Epoch: 1})
+			o.edge.HandleSiteLost(h.Name, o.now)
+			o.m, _ = o.m.Apply(&sites.Change{Kind: sites.ChangeExpire, Name: h.Name, Epoch: 1})
 			o.learn()
 		}},
 		{!o.broke && h != nil, func() { // the home's links to other sites lose what is on its way
@@ -205,14 +205,14 @@
 	o.quiet()
 	if h := o.home(); h == nil {
 		return "no home"
-	} else if k := o.edge.socks[1]; k == nil || !k.attached || k.home != h.Name {
+	} else if k := o.edge.sockets[1]; k == nil || !k.attached || k.owner != h.Name {
 		return "the socket has no home"
 	} else if msgs, _ := h.Inbox("s", 0, o.now); uint64(len(msgs)) != o.sent {
 		return fmt.Sprintf("%d of the client's %d messages are there", len(msgs), o.sent)
 	}
 	homes := 0
 	for _, n := range siteNames {
-		if !o.dead[n] && o.sites[n].home["s"] != nil {
+		if !o.dead[n] && o.sites[n].owned["s"] != nil {
 			homes++
 		}
 	}
--- a/internal/session/queue/queue.go
+++ b/internal/session/queue/queue.go
@@ -4,32 +4,32 @@
 
 // Limits bound what a site holds.
 type Limits struct {
-	Sessions int     // at home
-	Bytes    int64   // of a session's queues
-	Msgs     int     // in a session's queue
-	Age      float64 // milliseconds after which a message that nobody fetched is given up, and its session told
-	All      int64   // bytes of all queues, copies included
-	Message  int     // bytes of one
-	Window   int     // messages on the way to a client
+	Sessions        int     // at home
+	SessionBytes    int64   // of a session's queues
+	SessionMessages int     // in a session's queue
+	MaxAge          float64 // milliseconds after which a message that nobody fetched is given up, and its session told
+	TotalBytes      int64   // bytes of all queues, copies included
+	MessageBytes    int     // bytes of one
+	WindowMessages  int     // messages on the way to a client
 
 	WindowBytes int64 // and their bytes, beyond the first
 
-	Copies int // beside home
-	Keys   int // producer's keys kept of a session
+	Replicas   int // beside home
+	RecentKeys int // producer's keys kept of a session
 }
 
 // DefaultLimits are a site's where nothing else is said.
 var DefaultLimits = Limits{
-	Sessions:    20000,
-	Bytes:       1 << 20,
-	Msgs:        1000,
-	Age:         15 * 60 * 1000,
-	All:         128 << 20,
-	Message:     64 << 10,
-	Window:      64,
-	WindowBytes: 256 << 10,
-	Copies:      1,
-	Keys:        256,
+	Sessions:        20000,
+	SessionBytes:    1 << 20,
+	SessionMessages: 1000,
+	MaxAge:          15 * 60 * 1000,
+	TotalBytes:      128 << 20,
+	MessageBytes:    64 << 10,
+	WindowMessages:  64,
+	WindowBytes:     256 << 10,
+	Replicas:        1,
+	RecentKeys:      256,
 }
 
 const (
@@ -53,61 +53,61 @@
 )
 
 type session struct {
-	State
-	id        string
-	bytes     int64
-	acked     map[string]uint64 // of the log, by each copy
-	sent      map[string]uint64 // what each was sent
-	sentAt    map[string]float64
-	copyEpoch map[string]uint64 // epoch of each copy's site as it was told
-	ops       []Op              // those that some copy may lack, the last one is Log
-	waiting   []waiter
+	SessionState
+	id           string
+	bytes        int64
+	ackedIndex   map[string]uint64 // of the log, by each copy
+	sentIndex    map[string]uint64 // what each was sent
+	sentAt       map[string]float64
+	replicaEpoch map[string]uint64 // epoch of each copy's site as it was told
+	ops          []Op              // those that some copy may lack, the last one is Log
+	waiters      []waiter
 
 	edge       string
-	sock       uint64
+	socket     uint64
 	delivered  uint64 // messages on the way to the edge
 	handOverTo string // it is being handed to; nothing changes meanwhile
 	handOverAt float64
-	idleAt     float64 // no socket since
+	idleSince  float64 // no socket since
 	attached   bool
 }
 
 // Receive takes a message of a site or an edge.
 func (s *Site) Receive(from string, w *Envelope, now float64) {
 	if s.Epoch == 0 || s.current == nil {
-		if w.Kind == Attach {
-			s.send(from, Envelope{Kind: Refused, Session: w.Session, Sock: w.Sock, Why: "not now"})
+		if w.Kind == KindAttach {
+			s.send(from, Envelope{Kind: KindRejected, Session: w.Session, Socket: w.Socket, Reason: "not now"})
 		}
 		return
 	}
-	if site, ok := s.current.Sites[from]; ok && w.Site != site.Epoch {
+	if site, ok := s.current.Sites[from]; ok && w.SiteEpoch != site.Epoch {
 		return // of another life of it, or of one that this site has not heard of yet: it is said again
 	}
 	switch w.Kind {
-	case Attach:
+	case KindAttach:
 		s.attach(from, w, now)
-	case Find:
-		if x := s.home[w.Session]; x != nil && s.holdsLease(now) {
-			s.send(from, Envelope{Kind: Redirect, Session: w.Session, Sock: w.Sock, Home: s.Name, Copies: x.Copies,
+	case KindLocate:
+		if x := s.owned[w.Session]; x != nil && s.holdsLease(now) {
+			s.send(from, Envelope{Kind: KindRedirect, Session: w.Session, Socket: w.Socket, Owner: s.Name, Replicas: x.Replicas,
 				Epoch: x.Epoch})
 		}
-	case Ack, Publish, Detach:
-		s.fromEdge(from, w, now)
-	case Snapshot:
+	case KindAck, KindPublish, KindDetach:
+		s.receiveFromEdge(from, w, now)
+	case KindSnapshot:
 		s.receiveSnapshot(from, w)
-	case Replicate:
+	case KindReplicate:
 		s.receiveOps(from, w)
-	case ReplicateAck:
+	case KindReplicateAck:
 		s.receiveReplicateAck(from, w, now)
-	case HandOver:
+	case KindHandOver:
 		s.acceptHandOver(from, w, now)
-	case HandOverDone:
-		if x := s.home[w.Session]; x != nil && x.handOverTo == from && w.Epoch == x.Epoch+1 {
+	case KindHandOverDone:
+		if x := s.owned[w.Session]; x != nil && x.handOverTo == from && w.Epoch == x.Epoch+1 {
 			s.finishHandOver(x, from, w.Epoch)
 		}
-	case Forget:
-		s.receiveForget(w)
-	case Defer:
+	case KindDiscard:
+		s.receiveDiscard(w)
+	case KindDefer:
 		s.receiveDefer(from, w, now)
 	}
 }
--- a/internal/session/site/calls.go
+++ b/internal/session/site/calls.go
@@ -33,8 +33,8 @@
 	ch := make(chan string, 1)
 	m.t.q.Do(func() {
 		where := ""
-		if home, ok := m.t.s.HomeOf(r.PathValue("id")); ok && m.t.s.Map() != nil {
-			where = m.t.s.Map().Sites[home].HTTP
+		if home, ok := m.t.s.OwnerOf(r.PathValue("id")); ok && m.t.s.Map() != nil {
+			where = m.t.s.Map().Sites[home].HTTPAddr
 		}
 		ch <- where
 	})
@@ -46,9 +46,9 @@
 }
 
 func (m *messages) put(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, int64(m.t.lim.Message)))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, int64(m.t.lim.MessageBytes)))
 	if err != nil {
-		http.Error(w, fmt.Sprintf("a message has at most %d bytes", m.t.lim.Message), http.StatusRequestEntityTooLarge)
+		http.Error(w, fmt.Sprintf("a message has at most %d bytes", m.t.lim.MessageBytes), http.StatusRequestEntityTooLarge)
 		return
 	}
 	type answer struct {
@@ -57,7 +57,7 @@
 	}
 	ch := make(chan answer, 1)
 	m.t.q.Do(func() {
-		m.t.s.Put(r.PathValue("id"), r.Header.Get("Weirwind-Key"), body, m.t.now(),
+		m.t.s.Enqueue(r.PathValue("id"), r.Header.Get("Weirwind-Key"), body, m.t.now(),
 			func(status int, n uint64) { ch <- answer{status, n} })
 		m.t.flush()
 	})
@@ -82,7 +82,7 @@
 func (m *messages) inbox(w http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	type answer struct {
-		msgs []queue.Msg
+		msgs []queue.Message
 		ok   bool
 	}
 	ch := make(chan answer, 1)
@@ -97,7 +97,7 @@
 	}
 	out := []map[string]any{}
 	for _, x := range a.msgs {
-		out = append(out, map[string]any{"n": x.N, "body": string(x.Body)})
+		out = append(out, map[string]any{"n": x.Number, "body": string(x.Body)})
 	}
 	w.Header().Set("Content-Type", "application/json")
 	json.NewEncoder(w).Encode(out)
@@ -111,7 +111,7 @@
 	}
 	ch := make(chan bool, 1)
 	m.t.q.Do(func() {
-		ch <- m.t.s.Consumed(r.PathValue("id"), n, m.t.now())
+		ch <- m.t.s.Consume(r.PathValue("id"), n, m.t.now())
 		m.t.flush()
 	})
 	if !<-ch {
@@ -121,7 +121,7 @@
 
 func (m *messages) show(w http.ResponseWriter, r *http.Request) {
 	ch := make(chan map[string]any, 1)
-	m.t.q.Do(func() { ch <- m.t.s.Show(r.PathValue("id")) })
+	m.t.q.Do(func() { ch <- m.t.s.Describe(r.PathValue("id")) })
 	v := <-ch
 	if v == nil {
 		m.at(w, r)
@@ -134,9 +134,9 @@
 func (t *Site) status(w http.ResponseWriter, _ *http.Request) {
 	ch := make(chan map[string]any, 1)
 	t.q.Do(func() {
-		ch <- map[string]any{"site": t.set.Hostname, "state": t.state, "epoch": t.s.Epoch, "homes": t.s.Homes(),
-			"copies": t.s.Copied(), "bytes": t.s.Bytes(),
-			"givenUp": t.s.Expired, "edges": len(t.edges), "sites": t.s.Map()}
+		ch <- map[string]any{"site": t.set.Hostname, "state": t.state, "epoch": t.s.Epoch, "homes": t.s.OwnedSessions(),
+			"copies": t.s.ReplicatedSessions(), "bytes": t.s.Bytes(),
+			"givenUp": t.s.ExpiredMessages, "edges": len(t.edges), "sites": t.s.Map()}
 	})
 	w.Header().Set("Content-Type", "application/json")
 	e := json.NewEncoder(w)
--- a/internal/session/site/golden_test.go
+++ b/internal/session/site/golden_test.go
@@ -19,19 +19,19 @@
 	golden.CBOR(t, "testdata/frames.cbor", []golden.Case[Frame]{
 		golden.Of("hello of a site", Frame{Hello: "a"}), golden.Of("hello of an edge", Frame{Hello: "e", Edge: true}),
 		golden.Of("ping", Frame{Ping: true}),
-		golden.Of("word", Frame{Word: &queue.Envelope{Kind: queue.Ack, Session: "s", N: 4}})})
+		golden.Of("word", Frame{Envelope: &queue.Envelope{Kind: queue.KindAck, Session: "s", Number: 4}})})
 }
 
 // The calls of producers, consumers and operators: statuses, headers and bodies.
 func TestGoldenCalls(t *testing.T) {
 	s := &Site{set: &settings.Settings{Hostname: "a", ReadyAddr: "127.0.0.1:9"}, ctx: t.Context(), start: time.Now(),
-		q: commandqueue.New(t.Context(), 16), lim: queue.DefaultLimits, life: 1, edges: map[string]*link{}, state: sites.In}
-	s.lim.Message = 20
-	s.s = queue.New("a", s.lim)
-	other := queue.New("b", s.lim)
+		q: commandqueue.New(t.Context(), 16), lim: queue.DefaultLimits, life: 1, edges: map[string]*link{}, state: sites.StateActive}
+	s.lim.MessageBytes = 20
+	s.s = queue.NewSite("a", s.lim)
+	other := queue.NewSite("b", s.lim)
 	var m *sites.Map
 	for _, name := range []string{"a", "b"} {
-		next, err := m.Apply(&sites.Change{Kind: sites.Join, Name: name, Site: sites.Site{Addr: name, HTTP: "http-" + name, Life: 1}})
+		next, err := m.Apply(&sites.Change{Kind: sites.ChangeJoin, Name: name, Site: sites.Site{Addr: name, HTTPAddr: "http-" + name, Incarnation: 1}})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -41,22 +41,22 @@
 	e.ApplyMap(m, 0)
 	for _, x := range []*queue.Site{s.s, other} {
 		x.ApplyMap(m, 1, 0)
-		x.Lease(1e12)
+		x.ExtendLease(1e12)
 	}
-	e.Open(1, "here", "secret", true, 0, 0)
+	e.OpenSocket(1, "here", "secret", true, 0, 0)
 	carry := func() {
 		for range 20 {
-			for _, send := range e.Sends() {
+			for _, send := range e.TakeOutgoing() {
 				s.s.Receive("e", &send.Envelope, 0)
 			}
-			for _, send := range s.s.Sends() {
+			for _, send := range s.s.TakeOutgoing() {
 				if send.To == "e" {
 					e.Receive("a", &send.Envelope, 0)
 				} else {
 					other.Receive("a", &send.Envelope, 0)
 				}
 			}
-			for _, send := range other.Sends() {
+			for _, send := range other.TakeOutgoing() {
 				s.s.Receive("b", &send.Envelope, 0)
 			}
 		}
@@ -64,8 +64,8 @@
 	carry()
 	e.Publish(1, 1, []byte("from the client"))
 	carry()
-	s.s.Receive("b", &queue.Envelope{Kind: queue.Snapshot, Session: "there", Epoch: 1, Site: 1,
-		State: &queue.State{Epoch: 1, Home: "b", HomeEpoch: 1, Copies: []string{"a"}}}, 0)
+	s.s.Receive("b", &queue.Envelope{Kind: queue.KindSnapshot, Session: "there", Epoch: 1, SiteEpoch: 1,
+		State: &queue.SessionState{Epoch: 1, Owner: "b", OwnerEpoch: 1, Replicas: []string{"a"}}}, 0)
 	go s.q.Run(time.Hour, func() {})
 	var cases []golden.Case[string]
 	for _, call := range []string{
--- a/internal/session/site/site.go
+++ b/internal/session/site/site.go
@@ -27,10 +27,10 @@
 
 // Frame is what goes over a link between sites and edges: first who dialled, then words.
 type Frame struct {
-	Hello string          `cbor:"1,keyasint,omitempty"`
-	Word  *queue.Envelope `cbor:"2,keyasint,omitempty"`
-	Ping  bool            `cbor:"3,keyasint,omitempty"`
-	Edge  bool            `cbor:"4,keyasint,omitempty"` // with Hello: an edge, which is answered over this link
+	Hello    string          `cbor:"1,keyasint,omitempty"`
+	Envelope *queue.Envelope `cbor:"2,keyasint,omitempty"`
+	Ping     bool            `cbor:"3,keyasint,omitempty"`
+	Edge     bool            `cbor:"4,keyasint,omitempty"` // with Hello: an edge, which is answered over this link
 }
 
 type link = transport.Link[Frame]
@@ -72,9 +72,9 @@
 	t := &Site{set: set, log: log, ctx: inner, start: time.Now(), life: uint64(time.Now().UnixNano()),
 		q: commandqueue.New(inner, 4096), peers: map[string]*peer{}, edges: map[string]*link{}}
 	t.lim = queue.DefaultLimits
-	t.lim.Copies = max(set.TolerateNodes, 1)
-	t.lim.All = int64(set.MemoryMB) << 20 / 3
-	t.s = queue.New(set.Hostname, t.lim)
+	t.lim.Replicas = max(set.TolerateNodes, 1)
+	t.lim.TotalBytes = int64(set.MemoryMB) << 20 / 3
+	t.s = queue.NewSite(set.Hostname, t.lim)
 	mesh, err := net.Listen("tcp4", set.PortAddr(set.IP, 0))
 	if err != nil {
 		return oops.In("listen").Wrap(err)
@@ -107,7 +107,7 @@
 	for time.Now().Before(until) {
 		ch := make(chan bool, 1)
 		t.q.Do(func() {
-			ch <- t.s.Homes() == 0 && t.s.Map() != nil && t.s.Map().Sites[t.set.Hostname].State == sites.Draining
+			ch <- t.s.OwnedSessions() == 0 && t.s.Map() != nil && t.s.Map().Sites[t.set.Hostname].State == sites.StateDraining
 		})
 		if <-ch {
 			break
@@ -173,11 +173,11 @@
 
 // reborn begins another life: the one before is over, and what it held is its neighbours'.
 func (t *Site) reborn(over uint64) {
-	if m := t.s.Map(); over != t.life || m == nil || m.Sites[t.set.Hostname].Life != over {
+	if m := t.s.Map(); over != t.life || m == nil || m.Sites[t.set.Hostname].Incarnation != over {
 		return
 	}
 	t.log.Event(events.SiteSelf, "site", t.set.Hostname, "what", "this life is over; another begins")
-	t.s = queue.New(t.set.Hostname, t.lim)
+	t.s = queue.NewSite(t.set.Hostname, t.lim)
 	t.life = uint64(time.Now().UnixNano())
 	t.state = ""
 }
@@ -185,8 +185,8 @@
 func (t *Site) learn(m *sites.Map, asked float64) {
 	before := t.s.Map()
 	t.s.ApplyMap(m, t.life, t.now())
-	if self := m.Sites[t.set.Hostname]; self.Life == t.life && self.State != sites.Out {
-		t.s.Lease(asked + float64(controlplane.SiteLease.Milliseconds()))
+	if self := m.Sites[t.set.Hostname]; self.Incarnation == t.life && self.State != sites.StateRemoved {
+		t.s.ExtendLease(asked + float64(controlplane.SiteLease.Milliseconds()))
 		if self.State != t.state {
 			t.state = self.State
 			t.log.Event(events.SiteSelf, "site", t.set.Hostname, "what", string(self.State), "epoch", self.Epoch)
@@ -195,7 +195,7 @@
 	if before == nil || before.Version < m.Version {
 		t.reach(m)
 		for _, l := range t.edges {
-			l.Send(&Frame{Word: &queue.Envelope{Map: m}})
+			l.Send(&Frame{Envelope: &queue.Envelope{Map: m}})
 		}
 	}
 	t.flush()
@@ -204,7 +204,7 @@
 // reach keeps links to the sites that live.
 func (t *Site) reach(m *sites.Map) {
 	for name, p := range t.peers {
-		if s, ok := m.Sites[name]; !ok || s.Addr != p.addr || s.State == sites.Out {
+		if s, ok := m.Sites[name]; !ok || s.Addr != p.addr || s.State == sites.StateRemoved {
 			p.stop()
 			if p.l != nil {
 				p.l.Close()
@@ -213,19 +213,19 @@
 		}
 	}
 	for name, s := range m.Sites {
-		if name == t.set.Hostname || s.State == sites.Out || t.peers[name] != nil {
+		if name == t.set.Hostname || s.State == sites.StateRemoved || t.peers[name] != nil {
 			continue
 		}
 		ctx, stop := context.WithCancel(t.ctx)
 		p := &peer{addr: s.Addr, stop: stop}
 		t.peers[name] = p
-		go Keep(ctx, s.Addr, Frame{Hello: t.set.Hostname}, func(l *link) { t.q.Do(func() { p.l = l; t.flush() }) },
+		go KeepLink(ctx, s.Addr, Frame{Hello: t.set.Hostname}, func(l *link) { t.q.Do(func() { p.l = l; t.flush() }) },
 			func(*link, *Frame) {})
 	}
 }
 
 // Keep holds a link to a process, telling who dials, until ctx ends; up is told of each, and of nil when it has ended.
-func Keep(ctx context.Context, addr string, hello Frame, up func(*link), take func(*link, *Frame)) {
+func KeepLink(ctx context.Context, addr string, hello Frame, up func(*link), take func(*link, *Frame)) {
 	again := transport.Backoff{Initial: 50 * time.Millisecond, Max: 50 * time.Millisecond,
 		DialTimeout: func(nth int) time.Duration {
 			return transport.DialTimeout(nth / 3)
@@ -262,11 +262,11 @@
 			if f.Edge {
 				t.edges[f.Hello] = l
 				if m := t.s.Map(); m != nil {
-					l.Send(&Frame{Word: &queue.Envelope{Map: m}})
+					l.Send(&Frame{Envelope: &queue.Envelope{Map: m}})
 				}
 			}
-		case f.Word != nil:
-			t.s.Receive(l.Peer, f.Word, t.now())
+		case f.Envelope != nil:
+			t.s.Receive(l.Peer, f.Envelope, t.now())
 			t.flush()
 		}
 	})
@@ -276,18 +276,18 @@
 	t.q.Do(func() {
 		if t.edges[l.Peer] == l {
 			delete(t.edges, l.Peer)
-			t.s.LostEdge(l.Peer, t.now())
+			t.s.HandleEdgeLost(l.Peer, t.now())
 			t.flush()
 		}
 	})
 }
 
 func (t *Site) flush() {
-	for _, s := range t.s.Sends() {
+	for _, s := range t.s.TakeOutgoing() {
 		if l := t.edges[s.To]; l != nil {
-			l.Send(&Frame{Word: &s.Envelope})
+			l.Send(&Frame{Envelope: &s.Envelope})
 		} else if p := t.peers[s.To]; p != nil && p.l != nil {
-			p.l.Send(&Frame{Word: &s.Envelope})
+			p.l.Send(&Frame{Envelope: &s.Envelope})
 		}
 	}
 }
--- a/internal/session/sites/sites.go
+++ b/internal/session/sites/sites.go
@@ -15,21 +15,21 @@
 type State string
 
 const (
-	In       State = "in"
-	Draining State = "draining" // it hands its sessions on
-	Out      State = "out"      // its lease lapsed, or it left: what it held is its neighbours'
+	StateActive   State = "in"
+	StateDraining State = "draining" // it hands its sessions on
+	StateRemoved  State = "out"      // its lease lapsed, or it left: what it held is its neighbours'
 )
 
 // Site is one process that holds sessions.
 type Site struct {
-	Addr   string `cbor:"1,keyasint" json:"addr"` // where other sites and edges reach it
-	HTTP   string `cbor:"8,keyasint" json:"http"` // where producers and consumers call it
-	Zone   string `cbor:"2,keyasint" json:"zone"`
-	Region string `cbor:"3,keyasint" json:"region"`
-	Epoch  uint64 `cbor:"4,keyasint" json:"epoch"`
-	Life   uint64 `cbor:"5,keyasint" json:"life"` // of its process, by its own word: another one is another epoch
-	State  State  `cbor:"6,keyasint" json:"state"`
-	Pace   int    `cbor:"7,keyasint" json:"pace"` // sessions a second that it hands on as it drains
+	Addr        string `cbor:"1,keyasint" json:"addr"` // where other sites and edges reach it
+	HTTPAddr    string `cbor:"8,keyasint" json:"http"` // where producers and consumers call it
+	Zone        string `cbor:"2,keyasint" json:"zone"`
+	Region      string `cbor:"3,keyasint" json:"region"`
+	Epoch       uint64 `cbor:"4,keyasint" json:"epoch"`
+	Incarnation uint64 `cbor:"5,keyasint" json:"life"` // of its process, by its own word: another one is another epoch
+	State       State  `cbor:"6,keyasint" json:"state"`
+	DrainRate   int    `cbor:"7,keyasint" json:"pace"` // sessions a second that it hands on as it drains
 }
 
 // Map is all of them.
@@ -39,27 +39,27 @@
 }
 
 // Kind of a change.
-type Kind string
+type ChangeKind string
 
 const (
-	Join    Kind = "join"    // a site's process has begun
-	Lapse   Kind = "lapse"   // its lease is over, by that epoch
-	Leave   Kind = "leave"   // it has handed all on, and ends
-	Drain   Kind = "drain"   // by the operator
-	Undrain Kind = "undrain" //
+	ChangeJoin    ChangeKind = "join"    // a site's process has begun
+	ChangeExpire  ChangeKind = "lapse"   // its lease is over, by that epoch
+	ChangeLeave   ChangeKind = "leave"   // it has handed all on, and ends
+	ChangeDrain   ChangeKind = "drain"   // by the operator
+	ChangeUndrain ChangeKind = "undrain" //
 )
 
 // Change is one step of the map.
 type Change struct {
-	Kind  Kind   `cbor:"1,keyasint" json:"kind"`
-	Name  string `cbor:"2,keyasint" json:"name"`
-	Epoch uint64 `cbor:"3,keyasint,omitempty" json:"epoch,omitempty"` // lapse, leave: of the life that is over
-	Site  Site   `cbor:"4,keyasint,omitempty" json:"site"`            // join
-	Pace  int    `cbor:"5,keyasint,omitempty" json:"pace,omitempty"`
+	Kind      ChangeKind `cbor:"1,keyasint" json:"kind"`
+	Name      string     `cbor:"2,keyasint" json:"name"`
+	Epoch     uint64     `cbor:"3,keyasint,omitempty" json:"epoch,omitempty"` // lapse, leave: of the life that is over
+	Site      Site       `cbor:"4,keyasint,omitempty" json:"site"`            // join
+	DrainRate int        `cbor:"5,keyasint,omitempty" json:"pace,omitempty"`
 }
 
 // DefaultPace is how many sessions a second a drain hands on where the operator says nothing.
-const DefaultPace = 500
+const DefaultDrainRate = 500
 
 // Apply gives the next map, or says why there is none. The same map: it was so before.
 func (m *Map) Apply(c *Change) (*Map, error) {
@@ -68,38 +68,38 @@
 		n.Version, n.Sites = m.Version+1, maps.Clone(m.Sites)
 	}
 	s, there := n.Sites[c.Name]
-	if c.Kind != Join && !there {
+	if c.Kind != ChangeJoin && !there {
 		return nil, fmt.Errorf("there is no site %q", c.Name)
 	}
 	switch c.Kind {
-	case Join:
-		if c.Name == "" || c.Site.Addr == "" || c.Site.Life == 0 {
+	case ChangeJoin:
+		if c.Name == "" || c.Site.Addr == "" || c.Site.Incarnation == 0 {
 			return nil, fmt.Errorf("a site has a name, an address and a life")
 		}
-		if there && s.Life == c.Site.Life {
+		if there && s.Incarnation == c.Site.Incarnation {
 			return m, nil // also one that is out: another life is needed
 		}
 		next := c.Site
-		next.Epoch, next.State, next.Pace = s.Epoch+1, In, 0
-		if s.State == Draining {
-			next.State, next.Pace = Draining, s.Pace
+		next.Epoch, next.State, next.DrainRate = s.Epoch+1, StateActive, 0
+		if s.State == StateDraining {
+			next.State, next.DrainRate = StateDraining, s.DrainRate
 		}
 		s = next
-	case Lapse, Leave:
-		if s.Epoch != c.Epoch || s.State == Out {
+	case ChangeExpire, ChangeLeave:
+		if s.Epoch != c.Epoch || s.State == StateRemoved {
 			return m, nil
 		}
-		s.State = Out
-	case Drain:
-		if s.State == Out {
+		s.State = StateRemoved
+	case ChangeDrain:
+		if s.State == StateRemoved {
 			return nil, fmt.Errorf("site %q is out", c.Name)
 		}
-		s.State, s.Pace = Draining, cmp.Or(c.Pace, DefaultPace)
-	case Undrain:
-		if s.State != Draining {
+		s.State, s.DrainRate = StateDraining, cmp.Or(c.DrainRate, DefaultDrainRate)
+	case ChangeUndrain:
+		if s.State != StateDraining {
 			return m, nil
 		}
-		s.State = In
+		s.State = StateActive
 	default:
 		return nil, fmt.Errorf("no such change: %q", c.Kind)
 	}
@@ -108,27 +108,27 @@
 }
 
 // Lives says whether the life of a site that has an epoch is not over.
-func (m *Map) Lives(name string, epoch uint64) bool {
+func (m *Map) AliveAt(name string, epoch uint64) bool {
 	if m == nil {
 		return false
 	}
-	return m.Up(name) && m.Sites[name].Epoch == epoch
+	return m.Alive(name) && m.Sites[name].Epoch == epoch
 }
 
 // Up says whether there is such a site whose life is not over.
-func (m *Map) Up(name string) bool {
+func (m *Map) Alive(name string) bool {
 	s, ok := m.Sites[name]
-	return ok && s.State != Out
+	return ok && s.State != StateRemoved
 }
 
 // Neighbours gives up to few sites that may hold a copy beside those that hold one: no two in one zone where that can
 // be, near ones first, of equally near ones those that turn first by the session's name, so that a site's sessions
 // spread over its neighbours.
-func (m *Map) Neighbours(home, session string, few int, but func(string) bool) []string {
+func (m *Map) ReplicaCandidates(home, session string, few int, but func(string) bool) []string {
 	h := m.Sites[home]
 	var all []string
 	for name, s := range m.Sites {
-		if name != home && s.State == In && (but == nil || !but(name)) {
+		if name != home && s.State == StateActive && (but == nil || !but(name)) {
 			all = append(all, name)
 		}
 	}
--- a/internal/session/sites/sites_test.go
+++ b/internal/session/sites/sites_test.go
@@ -13,13 +13,13 @@
 )
 
 func TestGoldenForms(t *testing.T) {
-	one := Site{"10.0.0.1:1", "10.0.0.1:2", "z1", "r1", 3, 4, Draining, 500}
+	one := Site{"10.0.0.1:1", "10.0.0.1:2", "z1", "r1", 3, 4, StateDraining, 500}
 	changes := []golden.Case[Change]{
-		golden.Of("join", Change{Kind: Join, Name: "a", Site: one}),
-		golden.Of("lapse", Change{Kind: Lapse, Name: "a", Epoch: 7}),
-		golden.Of("leave", Change{Kind: Leave, Name: "a", Epoch: 8}),
-		golden.Of("drain", Change{Kind: Drain, Name: "a", Pace: 9}),
-		golden.Of("undrain", Change{Kind: Undrain, Name: "a"}),
+		golden.Of("join", Change{Kind: ChangeJoin, Name: "a", Site: one}),
+		golden.Of("lapse", Change{Kind: ChangeExpire, Name: "a", Epoch: 7}),
+		golden.Of("leave", Change{Kind: ChangeLeave, Name: "a", Epoch: 8}),
+		golden.Of("drain", Change{Kind: ChangeDrain, Name: "a", DrainRate: 9}),
+		golden.Of("undrain", Change{Kind: ChangeUndrain, Name: "a"}),
 	}
 	golden.CBOR(t, "testdata/change.cbor", changes)
 	golden.JSON(t, "testdata/change.json", changes)
@@ -37,8 +37,8 @@
 		var m *Map
 		for range 200 {
 			name := fmt.Sprint("s", r.IntN(7))
-			c := &Change{Kind: []Kind{Join, Join, Lapse, Leave, Drain, Undrain, "none"}[r.IntN(7)], Name: name,
-				Epoch: uint64(r.IntN(4)), Pace: r.IntN(3), Site: Site{Addr: strings.Repeat("x", r.IntN(5)), Life: uint64(r.IntN(4)),
+			c := &Change{Kind: []ChangeKind{ChangeJoin, ChangeJoin, ChangeExpire, ChangeLeave, ChangeDrain, ChangeUndrain, "none"}[r.IntN(7)], Name: name,
+				Epoch: uint64(r.IntN(4)), DrainRate: r.IntN(3), Site: Site{Addr: strings.Repeat("x", r.IntN(5)), Incarnation: uint64(r.IntN(4)),
 					Zone: fmt.Sprint("z", r.IntN(3)), Region: fmt.Sprint("r", r.IntN(2))}}
 			next, err := m.Apply(c)
 			_, _ = fmt.Fprint(trace, err, next == m)
@@ -53,8 +53,8 @@
 			_, _ = trace.Write(b)
 			for _, few := range []int{1, 2, 3} {
 				but := fmt.Sprint("s", r.IntN(7))
-				near := m.Neighbours(name, fmt.Sprint("session", r.IntN(9)), few, func(s string) bool { return s == but })
-				_, _ = fmt.Fprint(trace, strings.Join(near, " "), m.Up(name), m.Lives(name, 2), slices.Contains(near, name))
+				near := m.ReplicaCandidates(name, fmt.Sprint("session", r.IntN(9)), few, func(s string) bool { return s == but })
+				_, _ = fmt.Fprint(trace, strings.Join(near, " "), m.Alive(name), m.AliveAt(name, 2), slices.Contains(near, name))
 			}
 		}
 	}
--- a/internal/shard/shardmap/doc.go
+++ b/internal/shard/shardmap/doc.go
@@ -44,8 +44,9 @@
 //     replica that ends at n. Change.LastIndex carries n into the map as Assignment.RequiredIndex, and the target
 //     refuses to activate with less. So no acknowledged write is lost; package shardnode's doc.go has the whole
 //     argument.
-//   - A leader that was deposed can do no harm: its proposals aren't agreed on, and its requests to nodes bear an epoch
-//     that is over or repeat what was asked for anyway.
+//   - A leader that was deposed can do no lasting harm: its proposals aren't agreed on, its requests to nodes bear an
+//     epoch that is over or repeat what was asked for anyway, and a close that comes late is undone by the
+//     reconciliation.
 //   - A transfer whose leader died leaves a receiving or sealed replica, or a closed shard. The next leader's
 //     reconciliation discards the first, and rolls the others back to the owner by a new epoch before it touches the
 //     replica, since a hand-over may still be in flight.
--- a/internal/shard/shardmap/transfer.go
+++ b/internal/shard/shardmap/transfer.go
@@ -174,7 +174,8 @@
 	rb.finish(t, TaskDone, "", now)
 }
 
-// abortTransfer ends a transfer that has not begun to hand over: at once while the source still serves, else by a roll-back.
+// abortTransfer ends a transfer that has not been rolled back yet: at once while the source still serves, else by a
+// roll-back.
 func (rb *Rebalancer) abortTransfer(t *transfer, status TaskStatus, reason string, now float64) {
 	switch {
 	case t.phase < phaseClosing: // the reconciliation discards the target's replica
--- a/internal/standin/cluster/sessions_test.go
+++ b/internal/standin/cluster/sessions_test.go
@@ -61,7 +61,7 @@
 			var m sites.Map
 			json.Unmarshal([]byte(s), &m)
 			for name, site := range m.Sites {
-				if site.State == sites.In {
+				if site.State == sites.StateActive {
 					in = append(in, name)
 				}
 			}
--- a/internal/weirctl/sessions.go
+++ b/internal/weirctl/sessions.go
@@ -25,7 +25,7 @@
 		return sessionsStatus(args[1], out)
 	case "drain":
 		flags := flag.NewFlagSet("sessions drain", flag.ContinueOnError)
-		pace := flags.Int("pace", sites.DefaultPace, "sessions a second that are handed on")
+		pace := flags.Int("pace", sites.DefaultDrainRate, "sessions a second that are handed on")
 		if flags.Parse(args[1:]) != nil || flags.NArg() != 2 {
 			return flag.ErrHelp
 		}
@@ -63,7 +63,7 @@
 	fmt.Fprintf(out, "version %d\n", m.Version)
 	for _, name := range slices.Sorted(maps.Keys(m.Sites)) {
 		s := m.Sites[name]
-		fmt.Fprintf(out, "  site %s in %s, %s, epoch %d, at %s", name, s.Zone, s.State, s.Epoch, s.HTTP)
+		fmt.Fprintf(out, "  site %s in %s, %s, epoch %d, at %s", name, s.Zone, s.State, s.Epoch, s.HTTPAddr)
 		var v struct {
 			Homes  int   `json:"homes"`
 			Copies int   `json:"copies"`
@@ -71,9 +71,9 @@
 			Given  int   `json:"givenUp"`
 			Edges  int   `json:"edges"`
 		}
-		if body, err := get(s.HTTP, "/status"); s.State != sites.Out && err == nil && json.Unmarshal(body, &v) == nil {
+		if body, err := get(s.HTTPAddr, "/status"); s.State != sites.StateRemoved && err == nil && json.Unmarshal(body, &v) == nil {
 			fmt.Fprintf(out, ": home of %d sessions, copies of %d, %d bytes, %d messages given up for their age, %d edges", v.Homes, v.Copies, v.Bytes, v.Given, v.Edges)
-		} else if s.State != sites.Out {
+		} else if s.State != sites.StateRemoved {
 			fmt.Fprint(out, ": it does not answer here")
 		}
 		fmt.Fprintln(out)
@@ -88,10 +88,10 @@
 	}
 	id, _, _ = strings.Cut(id, ".") // the secret of a token is nobody's business
 	for _, s := range m.Sites {
-		if s.State == sites.Out {
+		if s.State == sites.StateRemoved {
 			continue
 		}
-		if body, err := get(s.HTTP, "/sessions/"+url.PathEscape(id)); err == nil {
+		if body, err := get(s.HTTPAddr, "/sessions/"+url.PathEscape(id)); err == nil {
 			_, err = out.Write(body)
 			return err
 		}
