--- a/internal/controlplane/config/amend.go
+++ b/internal/controlplane/config/amend.go
@@ -10,8 +10,8 @@
 	"github.com/samber/oops"
 )
 
-// amendment adds or replaces items by their names, and then deletes others, in each of the configuration's lists. The name
-// of the type and its JSON stand in errors that operators see.
+// amendment adds or replaces items by their names, and then deletes others, in each of the configuration's lists. The
+// name of the type and its JSON stand in errors that operators see.
 type amendment struct {
 	Version *uint64                      `json:"gen"`
 	Upsert  map[string][]json.RawMessage `json:"upsert"` // by list
@@ -20,7 +20,7 @@
 
 func parseAmendment(body []byte) (*amendment, error) {
 	var a amendment
-	if err := decodeWhole(body, &a); err != nil {
+	if err := decodeStrict(body, &a); err != nil {
 		return nil, invalid(reasonTruncated, "the change can't be read in full: %v", err)
 	}
 	if a.Version == nil {
@@ -41,8 +41,8 @@
 	return lists
 }
 
-// amendRaw gives the configuration in place with an amendment, valid as a whole. Items and fields unknown to this version
-// stay.
+// amendRaw gives the configuration in place with an amendment, valid as a whole. Items and fields unknown to this
+// version stay.
 func (s *State) amendRaw(body []byte) ([]byte, error) {
 	a, err := parseAmendment(body)
 	if err != nil {
@@ -53,7 +53,7 @@
 			"there is no configuration yet that could be changed")
 	}
 	doc := map[string]json.RawMessage{}
-	if err := decodeWhole(s.Raw, &doc); err != nil {
+	if err := decodeStrict(s.Raw, &doc); err != nil {
 		return nil, oops.In("amend").Wrap(err)
 	}
 	for list := range a.lists() {
--- a/internal/controlplane/config/config.go
+++ b/internal/controlplane/config/config.go
@@ -30,15 +30,20 @@
 
 // Service is a replication group.
 type Service struct {
-	Name           string `json:"name" validate:"required"`
-	MaxConnections int    `json:"maxConns" reported:"MaxConns" validate:"gte=0"` // at each member, of all drivers together
-	SyncReplicas   int    `json:"syncN" reported:"SyncN" validate:"gte=0"`       // that have received a commit by its acknowledgement
+	Name string `json:"name" validate:"required"`
+
+	// MaxConnections bounds the connections to each member, of all drivers together.
+	MaxConnections int `json:"maxConns" reported:"MaxConns" validate:"gte=0"`
+	// SyncReplicas is how many replicas have received a commit when it is acknowledged.
+	SyncReplicas int `json:"syncN" reported:"SyncN" validate:"gte=0"`
 }
 
 // Limits bound what clients may do.
 type Limits struct {
-	IdleInTransactionTimeout float64 `json:"txIdleMs" reported:"TxIdle" validate:"gte=0"` // milliseconds; 0: unbounded
-	IdleTimeout              float64 `json:"idleMs" reported:"Idle" validate:"gte=0"`     // milliseconds; validated, but unused
+	// IdleInTransactionTimeout ends an open transaction that rests for so long, in milliseconds; 0: unbounded.
+	IdleInTransactionTimeout float64 `json:"txIdleMs" reported:"TxIdle" validate:"gte=0"`
+	// IdleTimeout is validated, but nothing in this version uses it.
+	IdleTimeout float64 `json:"idleMs" reported:"Idle" validate:"gte=0"`
 }
 
 // Config is a configuration that was parsed and is valid. It is not changed any more.
--- a/internal/controlplane/config/diff.go
+++ b/internal/controlplane/config/diff.go
@@ -8,21 +8,22 @@
 	"slices"
 )
 
-// Diff says for people what differs between two configurations, in lines: + for an item that only b has, - for one that
-// only a has, ~ for what changed. Keys are in order; items are in b's, followed by those that b lacks, by name.
-func Diff(a, b []byte) ([]string, error) {
-	before, after := map[string]json.RawMessage{}, map[string]json.RawMessage{}
-	if err := decodeWhole(a, &before); err != nil {
+// Diff says for people what differs between two configurations, in lines: + for an item that only after has, - for
+// one that only before has, ~ for what changed. Keys are in order; items are in the order of after, followed by the
+// removed ones by name.
+func Diff(before, after []byte) ([]string, error) {
+	oldDoc, newDoc := map[string]json.RawMessage{}, map[string]json.RawMessage{}
+	if err := decodeStrict(before, &oldDoc); err != nil {
 		return nil, err
 	}
-	if err := decodeWhole(b, &after); err != nil {
+	if err := decodeStrict(after, &newDoc); err != nil {
 		return nil, err
 	}
-	keys := maps.Clone(before)
-	maps.Copy(keys, after)
+	keys := maps.Clone(oldDoc)
+	maps.Copy(keys, newDoc)
 	var lines []string
 	for _, key := range slices.Sorted(maps.Keys(keys)) {
-		lines = append(lines, diffKey(key, before[key], after[key])...)
+		lines = append(lines, diffKey(key, oldDoc[key], newDoc[key])...)
 	}
 	return lines, nil
 }
--- a/internal/controlplane/config/doc.go
+++ b/internal/controlplane/config/doc.go
@@ -11,9 +11,9 @@
 //
 // # The replicated state
 //
-// A State is what the control plane agrees on: each entry of the consensus log is one State, whole. It holds the newest
-// configuration, the history of the changes that led to it, the maps of shards and sites, and the roster of members that
-// may hold an acknowledged commit.
+// A State is what the control plane agrees on: each entry of the consensus log is one State, whole. It holds the
+// newest configuration, the history of the changes that led to it, the maps of shards and sites, and the roster of
+// members that may hold an acknowledged commit.
 //
 // # Optimistic concurrency
 //
@@ -22,12 +22,13 @@
 //   - Each version has at most one successor: a change applies only where its base is the version in place.
 //   - Versions increase.
 //
-// A change that is sent again is recognized by its digest in State.History (HasApplied), so that a retry of one that was
-// applied can be acknowledged and not rejected for its base. The history is bounded: a change on a base older than
-// what it reaches back to is neither acknowledged nor rejected.
+// A change that is sent again is recognized by its digest in State.History (HasApplied), so that a retry of one that
+// was applied can be acknowledged and not rejected for its base. The history is bounded: a change on a base older
+// than what it reaches back to is neither acknowledged nor rejected.
 //
 // # Errors
 //
-// Apply and its kin answer with a RejectedError, which holds in every state that can follow this one, or with an
-// UndecidedError, which says nothing for ever. Both wrap one of the sentinels Err..., by which errors.Is tells them apart.
+// Apply and the With functions return a RejectedError, which holds in every state that can follow this one, or an
+// UndecidedError, which says nothing of later states. Both wrap one of the sentinels Err..., by which errors.Is tells
+// them apart.
 package config
--- a/internal/controlplane/config/parse.go
+++ b/internal/controlplane/config/parse.go
@@ -15,7 +15,7 @@
 // Parse reads a whole configuration and validates it. Its errors are RejectedErrors.
 func Parse(raw []byte) (*Config, error) {
 	c := &Config{}
-	if err := decodeWhole(raw, c); err != nil {
+	if err := decodeStrict(raw, c); err != nil {
 		return nil, invalid(reasonTruncated, "the configuration can't be read in full: %v", err)
 	}
 	if err := checkFields(c); err != nil {
@@ -30,8 +30,8 @@
 	return c, nil
 }
 
-// decodeWhole reads JSON that must be one value with nothing behind it.
-func decodeWhole(raw []byte, into any) error {
+// decodeStrict reads JSON that must be one value with nothing behind it.
+func decodeStrict(raw []byte, into any) error {
 	d := json.NewDecoder(bytes.NewReader(raw))
 	if err := d.Decode(into); err != nil {
 		return err
@@ -46,13 +46,13 @@
 
 func newFieldValidator() *validator.Validate {
 	v := validator.New(validator.WithRequiredStructEnabled())
-	v.RegisterTagNameFunc(func(f reflect.StructField) string { return f.Tag.Get("reported") })
+	v.RegisterTagNameFunc(func(field reflect.StructField) string { return field.Tag.Get("reported") })
 	return v
 }
 
 // checkFields checks each field by itself, and reports the first that is wrong.
-func checkFields(c *Config) error {
-	err := fieldValidator.Struct(c)
+func checkFields(config *Config) error {
+	err := fieldValidator.Struct(config)
 	if err == nil {
 		return nil
 	}
--- a/internal/controlplane/config/state.go
+++ b/internal/controlplane/config/state.go
@@ -8,8 +8,8 @@
 	"weirwind/internal/shard/shardmap"
 )
 
-// State is what the control plane agrees on. It is replicated and stored whole, as CBOR by the keys of its tags. A State
-// is never changed once it is made: each change makes another.
+// State is what the control plane agrees on. It is replicated and stored whole, as CBOR by the keys of its tags. A
+// State is never changed once it is made: each change makes another.
 type State struct {
 	Version uint64          `cbor:"1,keyasint"` // of the configuration in place; 0: there is none yet
 	Raw     []byte          `cbor:"2,keyasint"` // the configuration as it was sent, or as amendments left it
@@ -29,15 +29,15 @@
 	AppliedAt   int64    `cbor:"5,keyasint" json:"At"`   // time of day in milliseconds, for people; nothing decides by it
 }
 
-// maxHistory is how many changes a retry is recognized among. Any number is safe, as a change on an older base is left
-// undecided; each costs some eighty bytes of every log entry, which is replicated whole. Callers retry within seconds: at
-// 22,000 changes a day these are a quarter of an hour, at four a second a minute.
+// maxHistory is how many changes a retry is recognized among. Any number is safe, as a change on an older base is
+// left undecided; each costs some eighty bytes of every log entry, which is replicated whole. Callers retry within
+// seconds: at 22,000 changes a day these are a quarter of an hour, at four a second a minute.
 const maxHistory = 256
 
 // HasApplied says whether exactly this change is in the history.
-func (s *State) HasApplied(c *Change) bool {
-	d := c.Digest()
-	return slices.ContainsFunc(s.History, func(a AppliedChange) bool { return a.Digest == d })
+func (s *State) HasApplied(change *Change) bool {
+	digest := change.Digest()
+	return slices.ContainsFunc(s.History, func(applied AppliedChange) bool { return applied.Digest == digest })
 }
 
 // oldestKnownBase is the oldest version of which it is known which change followed it.
@@ -63,26 +63,27 @@
 	return nil
 }
 
-// Apply gives the state behind a change that is not in the history. origin and at (milliseconds) are for people. The error
-// is a RejectedError, which holds in every state that can follow this one, or an UndecidedError.
-func (s *State) Apply(c *Change, origin string, at int64) (*State, error) {
-	version, err := c.version() // first, as what is wrong by itself is so on any base
+// Apply gives the state behind a change that is not in the history. origin and at (milliseconds) are for people. The
+// error is a RejectedError, which holds in every state that can follow this one, or an UndecidedError; any other is a
+// fault of the stored document, and says as little as an UndecidedError.
+func (s *State) Apply(change *Change, origin string, at int64) (*State, error) {
+	version, err := change.version() // first, as what is wrong by itself is so on any base
 	if err != nil {
 		return nil, err
 	}
-	if err := s.checkVersions(c.BaseVersion, version); err != nil {
+	if err := s.checkVersions(change.BaseVersion, version); err != nil {
 		return nil, err
 	}
-	raw := c.Body
-	if c.Amend {
-		if raw, err = s.amendRaw(c.Body); err != nil {
+	raw := change.Body
+	if change.Amend {
+		if raw, err = s.amendRaw(change.Body); err != nil {
 			return nil, err
 		}
 	}
 	applied := AppliedChange{
 		Version:     version,
-		BaseVersion: c.BaseVersion,
-		Digest:      c.Digest(),
+		BaseVersion: change.BaseVersion,
+		Digest:      change.Digest(),
 		Origin:      origin,
 		AppliedAt:   at,
 	}
@@ -91,8 +92,8 @@
 	return &next, nil
 }
 
-// checkVersions says whether a change from base to version may follow. A version that doesn't exceed its own base is wrong
-// even before that base is in place.
+// checkVersions says whether a change from base to version may follow. A version that doesn't exceed its own base is
+// wrong even before that base is in place.
 func (s *State) checkVersions(base, version uint64) error {
 	if version <= base && base > s.Version {
 		return reject(ErrVersionNotIncreasing, reasonVersion,
@@ -108,14 +109,14 @@
 	return nil
 }
 
-func appendHistory(history []AppliedChange, a AppliedChange) []AppliedChange {
-	history = append(slices.Clone(history), a)
+func appendHistory(history []AppliedChange, applied AppliedChange) []AppliedChange {
+	history = append(slices.Clone(history), applied)
 	return history[max(len(history)-maxHistory, 0):]
 }
 
 // WithShards gives the state with a change of the shard map; the same state if the change was applied before.
-func (s *State) WithShards(c *shardmap.Change) (*State, error) {
-	m, err := s.Shards.Apply(c)
+func (s *State) WithShards(change *shardmap.Change) (*State, error) {
+	m, err := s.Shards.Apply(change)
 	if err != nil {
 		return nil, reject(ErrConflict, reasonShards, "%v", err)
 	}
@@ -128,8 +129,8 @@
 }
 
 // WithSites gives the state with a change of the site map; the same state if the change makes no difference.
-func (s *State) WithSites(c *sites.Change) (*State, error) {
-	m, err := s.Sites.Apply(c)
+func (s *State) WithSites(change *sites.Change) (*State, error) {
+	m, err := s.Sites.Apply(change)
 	if err != nil {
 		return nil, reject(ErrConflict, reasonSites, "%v", err)
 	}
--- a/internal/controlplane/orders/queue.go
+++ b/internal/controlplane/orders/queue.go
@@ -36,30 +36,30 @@
 }
 
 // New gives an empty queue.
-func New(l Limits) *Queue { return &Queue{limits: l} }
+func New(limits Limits) *Queue { return &Queue{limits: limits} }
 
 // Submit queues an order, or rejects it with ErrQueueFull.
-func (q *Queue) Submit(o *Order, now float64) {
+func (q *Queue) Submit(order *Order, now float64) {
 	if len(q.pending) >= q.limits.Pending {
-		o.Reply(*unknown(ErrQueueFull, "too many calls wait"))
+		order.Reply(*unknown(ErrQueueFull, "too many calls wait"))
 		return
 	}
-	o.deadline = now + q.limits.Timeout
-	q.pending = append(q.pending, o)
+	order.deadline = now + q.limits.Timeout
+	q.pending = append(q.pending, order)
 }
 
-// Step answers what can be answered, and has the node propose the next change. state is the committed one, nil where none
-// is known yet; now is in the milliseconds of Submit, wall is the time of day in milliseconds.
+// Step answers what can be answered, and has the node propose the next change. state is the committed one, nil where
+// none is known yet; now is in the milliseconds of Submit, wall is the time of day in milliseconds.
 func (q *Queue) Step(node *consensus.Node, state *config.State, now float64, wall int64) {
 	s := &step{node: node, state: state, now: now, wall: wall}
 	kept := q.pending[:0]
-	for _, o := range q.pending {
-		if a := s.decide(o); a != nil {
+	for _, order := range q.pending {
+		if a := s.decide(order); a != nil {
 			a.State = state
-			o.Reply(*a)
+			order.Reply(*a)
 			continue
 		}
-		kept = append(kept, o)
+		kept = append(kept, order)
 	}
 	clear(q.pending[len(kept):])
 	q.pending = kept
--- a/internal/controlplane/orders/step.go
+++ b/internal/controlplane/orders/step.go
@@ -30,57 +30,57 @@
 }
 
 // decide gives an order's answer, nil while it stays pending.
-func (s *step) decide(o *Order) *Answer {
-	switch o.phase {
+func (s *step) decide(order *Order) *Answer {
+	switch order.phase {
 	case phaseProposed:
-		return s.stepProposed(o)
+		return s.stepProposed(order)
 	case phaseConfirming:
-		return s.stepConfirming(o)
+		return s.stepConfirming(order)
 	default:
-		return s.stepQueued(o)
+		return s.stepQueued(order)
 	}
 }
 
-func (s *step) stepQueued(o *Order) *Answer {
-	if a := s.expired(o); a != nil || s.blocks() {
+func (s *step) stepQueued(order *Order) *Answer {
+	if a := s.expired(order); a != nil || s.blocks() {
 		return a
 	}
-	v := s.evaluate(o)
-	if v == verdictConfirm {
-		s.confirmLeader(o)
+	result := s.evaluate(order)
+	if result == verdictConfirm {
+		s.confirmLeader(order)
 		return nil
 	}
-	return s.conclude(o, v)
+	return s.conclude(order, result)
 }
 
 // stepConfirming evaluates the order anew: the state may be another than the one when the confirmation began, and the
 // answer is made by the state of now.
-func (s *step) stepConfirming(o *Order) *Answer {
-	if a := s.expired(o); a != nil || s.blocks() {
+func (s *step) stepConfirming(order *Order) *Answer {
+	if a := s.expired(order); a != nil || s.blocks() {
 		return a
 	}
-	v := s.evaluate(o)
-	if v != verdictConfirm {
-		return s.conclude(o, v)
+	result := s.evaluate(order)
+	if result != verdictConfirm {
+		return s.conclude(order, result)
 	}
-	if !s.node.ReadConfirmed(o.round) {
+	if !s.node.ReadConfirmed(order.round) {
 		return nil
 	}
-	return s.confirmed(o)
+	return s.confirmed(order)
 }
 
 // stepProposed answers once the order's entry is committed, or can't be known to be. An entry of the term in which this
 // node proposed is this node's own, and it proposes none before the one before it is committed: so a committed entry of
 // that term at or behind the order's index covers it.
-func (s *step) stepProposed(o *Order) *Answer {
-	if e, found := s.node.Committed(); found && e.Term == o.term && e.Index >= o.index {
+func (s *step) stepProposed(order *Order) *Answer {
+	if e, found := s.node.Committed(); found && e.Term == order.term && e.Index >= order.index {
 		return succeeded(OutcomeApplied, []byte("taken\n"))
 	}
-	if s.node.HardState.Term != o.term {
+	if s.node.HardState.Term != order.term {
 		// It was deposed meanwhile, even if it leads again: another entry may have the place of the order's.
 		return unknown(ErrNotLeader, "this machine led no longer as it was decided; ask again")
 	}
-	if a := s.expired(o); a != nil {
+	if a := s.expired(order); a != nil {
 		return a
 	}
 	s.blocked = true
@@ -88,11 +88,11 @@
 }
 
 // expired answers for an order that can't be decided here, or not in time.
-func (s *step) expired(o *Order) *Answer {
+func (s *step) expired(order *Order) *Answer {
 	switch {
 	case !s.node.Established():
 		return unknown(ErrNotLeader, "this machine leads no longer; ask again")
-	case s.now >= o.deadline:
+	case s.now >= order.deadline:
 		return unknown(ErrTimeout, "not decided in time; ask again")
 	}
 	return nil
@@ -105,21 +105,21 @@
 }
 
 // confirmLeader asks a quorum whether this node still leads: only who leads for certain may reject or read.
-func (s *step) confirmLeader(o *Order) {
-	o.phase = phaseConfirming
-	o.round = s.node.ReadIndex(s.now)
+func (s *step) confirmLeader(order *Order) {
+	order.phase = phaseConfirming
+	order.round = s.node.ReadIndex(s.now)
 	s.node.Tick(s.now)
 }
 
 // confirmed answers for an order on which a quorum has confirmed this node as the leader.
-func (s *step) confirmed(o *Order) *Answer {
+func (s *step) confirmed(order *Order) *Answer {
 	switch {
-	case o.SiteLease != nil:
-		return s.grantSiteLease(o)
-	case o.ReadConfig:
+	case order.SiteLease != nil:
+		return s.grantSiteLease(order)
+	case order.ReadConfig:
 		return s.readConfig()
 	}
-	return rejection(o.err)
+	return rejection(order.err)
 }
 
 func (s *step) readConfig() *Answer {
@@ -130,9 +130,9 @@
 }
 
 // grantSiteLease answers with the map of sites, which the site needs along with its lease.
-func (s *step) grantSiteLease(o *Order) *Answer {
+func (s *step) grantSiteLease(order *Order) *Answer {
 	known := s.state.Sites
-	if known == nil || !isIn(known.Sites[o.SiteLease.Site], o.SiteLease.Incarnation) {
+	if known == nil || !isIn(known.Sites[order.SiteLease.Site], order.SiteLease.Incarnation) {
 		a := failed(OutcomeRejected, ErrSiteNotIn, "this life of the site is over, or has not joined")
 		a.Reason = "sites"
 		return a
@@ -144,32 +144,32 @@
 	return succeeded(OutcomeRead, body)
 }
 
-func isIn(s sites.Site, incarnation uint64) bool {
-	return s.Incarnation == incarnation && s.State != sites.StateRemoved
+func isIn(site sites.Site, incarnation uint64) bool {
+	return site.Incarnation == incarnation && site.State != sites.StateRemoved
 }
 
 // propose has the node propose the state behind a change. Where the node can't now, the order stays as it was.
-func (s *step) propose(o *Order) *Answer {
-	value, err := cbor.Marshal(o.next)
+func (s *step) propose(order *Order) *Answer {
+	value, err := cbor.Marshal(order.next)
 	if err != nil {
 		return unknown(err, err.Error())
 	}
 	if e, proposed := s.node.Propose(value, s.now); proposed {
-		o.phase, o.index, o.term = phaseProposed, e.Index, e.Term
+		order.phase, order.index, order.term = phaseProposed, e.Index, e.Term
 	}
 	s.blocked = true
 	return nil
 }
 
 // conclude carries out a verdict that needs no confirmation.
-func (s *step) conclude(o *Order, v verdict) *Answer {
-	switch v {
+func (s *step) conclude(order *Order, result verdict) *Answer {
+	switch result {
 	case verdictAlreadyApplied:
 		return succeeded(OutcomeAlreadyApplied, []byte("taken before\n"))
 	case verdictPropose:
-		return s.propose(o)
+		return s.propose(order)
 	case verdictUndecided:
-		return unknown(o.err, o.err.Error())
+		return unknown(order.err, order.err.Error())
 	}
 	return nil
 }
@@ -185,41 +185,41 @@
 	verdictConfirm                       // it is a read or is rejected, once the leader is confirmed
 )
 
-func (s *step) evaluate(o *Order) verdict {
-	if o.SiteLease != nil || o.ReadConfig {
+func (s *step) evaluate(order *Order) verdict {
+	if order.SiteLease != nil || order.ReadConfig {
 		return verdictConfirm
 	}
-	if o.evaluated != s.state {
-		o.next, o.err = s.apply(o)
-		o.evaluated = s.state
+	if order.evaluated != s.state {
+		order.next, order.err = s.apply(order)
+		order.evaluated = s.state
 	}
 	var undecided *config.UndecidedError
 	switch {
-	case o.err == nil && o.next == s.state:
+	case order.err == nil && order.next == s.state:
 		return verdictAlreadyApplied
-	case o.err == nil:
+	case order.err == nil:
 		return verdictPropose
-	case errors.Is(o.err, config.ErrBaseVersionAhead):
+	case errors.Is(order.err, config.ErrBaseVersionAhead):
 		return verdictPending
-	case errors.As(o.err, &undecided):
+	case errors.As(order.err, &undecided):
 		return verdictUndecided
 	}
 	return verdictConfirm
 }
 
 // apply gives the state behind an order's change, the same state where the change was applied before.
-func (s *step) apply(o *Order) (*config.State, error) {
+func (s *step) apply(order *Order) (*config.State, error) {
 	switch {
-	case o.ShardChange != nil:
-		return s.state.WithShards(o.ShardChange)
-	case o.SiteChange != nil:
-		return s.state.WithSites(o.SiteChange)
-	case o.ForgetMember != "":
-		return s.state.WithoutMember(o.ForgetMember), nil
-	}
-	c := &config.Change{Amend: o.Amend, BaseVersion: o.BaseVersion, Body: o.Body}
+	case order.ShardChange != nil:
+		return s.state.WithShards(order.ShardChange)
+	case order.SiteChange != nil:
+		return s.state.WithSites(order.SiteChange)
+	case order.ForgetMember != "":
+		return s.state.WithoutMember(order.ForgetMember), nil
+	}
+	c := &config.Change{Amend: order.Amend, BaseVersion: order.BaseVersion, Body: order.Body}
 	if s.state.HasApplied(c) {
 		return s.state, nil
 	}
-	return s.state.Apply(c, o.Origin, s.wall)
+	return s.state.Apply(c, order.Origin, s.wall)
 }
--- a/internal/util/idempotency/idempotency.go
+++ b/internal/util/idempotency/idempotency.go
@@ -1,7 +1,8 @@
-// Package idempotency says which calls may be put again where no answer came.
+// Package idempotency says which calls may be retried where no response arrived.
 //
-// A call is one of two kinds, and each call between processes names its own: docs/control-state.md has the table.
-// This is the one place that decides; it does no I/O.
+// A call between processes is idempotent or runs at most once; docs/control-state.md has the table of all calls. A
+// retry is safe where the call is idempotent, or where the error shows that nothing of it was sent. This is the one
+// place that decides; it does no I/O.
 package idempotency
 
 import (
@@ -12,39 +13,45 @@
 // Kind is what a second run of a call would do.
 type Kind uint8
 
+// Kinds of calls.
 const (
-	AtMostOnce Kind = iota // another effect, or one that can't be told from the first: it runs at most once
+	AtMostOnce Kind = iota // another effect, or one that can't be told from the first
 	Idempotent             // nothing, or the same again
 )
 
+// String names the kind as logs do.
 func (k Kind) String() string { return [...]string{"once", "idempotent"}[k] }
 
-// Progress is how far a call got that has no answer.
+// Progress is how far a call got that has no response.
 type Progress uint8
 
+// Kinds of progress.
 const (
-	MaybeSent Progress = iota // some of its bytes may have come to the peer
+	MaybeSent Progress = iota // some of its bytes may have reached the peer
 	NotSent                   // none left this process
 )
 
-// NoResponseError is the error of a call that ended without an answer.
+// NoResponseError is the error of a call that ended without a response.
 type NoResponseError struct {
 	Progress Progress
-	Err      error
+	Err      error // why
 }
 
-func (u *NoResponseError) Error() string {
-	return fmt.Sprintf("%v (%s)", u.Err, [...]string{"it may have run", "nothing of it was sent"}[u.Progress])
+// Error gives the cause, and whether the call may have run.
+func (e *NoResponseError) Error() string {
+	return fmt.Sprintf("%v (%s)", e.Err, [...]string{"it may have run", "nothing of it was sent"}[e.Progress])
 }
 
-func (u *NoResponseError) Unwrap() error { return u.Err }
+// Unwrap gives the cause.
+func (e *NoResponseError) Unwrap() error { return e.Err }
 
-// MayHaveRun says whether a call that ended in an error may have run at its peer. An error that says nothing of it may hide
-// a run.
+// MayHaveRun says whether a call that ended in an error may have run at its peer. It may, unless the error says that it
+// did not.
 func MayHaveRun(err error) bool {
-	var u *NoResponseError
-	return !errors.As(err, &u) || u.Progress != NotSent
+	var e *NoResponseError
+	return !errors.As(err, &e) || e.Progress != NotSent
 }
 
-// MayRetry says whether a call that ended without an answer may be put again, over another connection or to another peer.
+// MayRetry says whether a call that ended without a response may be retried, over another connection or at another
+// peer.
 func (k Kind) MayRetry(err error) bool { return k == Idempotent || !MayHaveRun(err) }
