--- a/internal/controlplane/agent/agent.go
+++ b/internal/controlplane/agent/agent.go
@@ -1,10 +1,7 @@
-// Package agent is the agent beside each proxy: it holds the driver's lease at the core, takes updates from there and
-// from a few peer agents, passes it on to them, and feeds the proxy on its machine over loopback.
-//
-// This file owns the agent's life and its tables, in one goroutine with a queue of commands. It decides nothing about traffic: what it has
-// not heard, its proxy doesn't know, and what it heard once holds until it hears better.
 package agent
 
+// This file owns the agent's life: its tables, the loop that owns them, and the shutdown.
+
 import (
 	"context"
 	"net"
@@ -21,112 +18,138 @@
 	"weirwind/internal/util/transport"
 )
 
-type link = transport.Link[controlmsg.Frame]
+type controlLink = transport.Link[controlmsg.Frame]
 
 const (
-	renewEvery  = time.Second
-	digestEvery = 3 * time.Second
-	peerCount   = 2
-	memberKeep  = 90 * time.Second
+	renewInterval  = time.Second     // between two renewals of the lease
+	digestInterval = 3 * time.Second // between two digests to peers
+	peerCount      = 2               // agents to which a link is kept
+	memberTTL      = 90 * time.Second
+	queueCapacity  = 1024 // commands
+
+	shutdownMargin = 600 * time.Millisecond // before the platform kills the process
+	releaseTimeout = 50 * time.Millisecond  // for the lease's release to go out
 )
 
-// CoreTraffic, PeerTraffic and ProxyTraffic count the frames of this process's agents by purpose.
-var CoreTraffic, PeerTraffic, ProxyTraffic transport.Counters
+// Frames of this process's agents, counted by purpose.
+var (
+	CoreTraffic  transport.Counters // over links to core machines
+	PeerTraffic  transport.Counters // between agents, whoever dialled
+	ProxyTraffic transport.Counters // over links of proxies, not in the log
+)
 
-// Agent is one.
+// Agent is the agent beside a proxy. Its fields belong to the goroutine of Run, but for those that never change.
 type Agent struct {
-	set *settings.Settings
-	log events.Log
-	ctx context.Context
-	q   *commandqueue.Queue
-	at  time.Time
-
-	self    directory.Driver
-	gen     uint64
-	config  []byte
-	members *directory.Members
-	drivers []directory.Driver
-	cores   []string
-	shards  *shardmap.Map
-
-	core        *coreLink // in use
-	trial       *coreLink // dialled or on trial beside it
-	seekPlanned bool
-	pause       float64 // before the next try, in milliseconds
-	tries       int     // since a link stood well
-	nth         int     // of the known core machines
-	nearAt      float64 // when a near machine is tried again
-
-	proxies map[*link]bool
-	peers   map[string]*peer // by address
+	settings  *settings.Settings
+	log       events.Log
+	ctx       context.Context // ends with Run; outlives Run's own context, for the shutdown
+	commands  *commandqueue.Queue
+	startedAt time.Time        // origin of now
+	self      directory.Driver // this driver, with the incarnation that this process began
+
+	// What is known, each at its newest version. Nothing here goes back.
+	configVersion uint64
+	config        []byte
+	members       *directory.Members
+	drivers       []directory.Driver
+	coreAddrs     []string // control addresses of the core machines
+	shardMap      *shardmap.Map
+
+	// The core machine in use and the next one: corelink.go. Times are in milliseconds.
+	core              *coreLink // in use; nil: none
+	candidate         *coreLink // dialled, or asked whether it can take the agent over; nil: none
+	failoverScheduled bool      // a timer for dialNextCore runs
+	backoff           float64   // before the next attempt
+	attempts          int       // since a link was stable
+	nextCore          int       // how many addresses nextCoreAddr has returned
+	nextNearAttempt   float64   // when a machine of the own region is tried again, on the clock of now
+
+	proxies map[*controlLink]bool // one, but for a moment as it restarts
+	peers   map[string]*peer      // by address
 }
 
-// Run serves until ctx ends.
-func Run(ctx context.Context, s *settings.Settings, log events.Log) error {
-	inner, stop := context.WithCancel(context.Background())
+// Run serves until ctx ends and the proxy has ended too, or the grace period is nearly over.
+func Run(ctx context.Context, set *settings.Settings, log events.Log) error {
+	inner, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	a := &Agent{set: s, log: log, ctx: inner, q: commandqueue.New(inner, 1024), at: time.Now(), members: directory.NewMembers(),
-		proxies: map[*link]bool{}, peers: map[string]*peer{}, cores: s.Peers, pause: firstPause}
-	a.self = directory.Driver{Name: s.Hostname, Addr: s.PortAddr(s.IP, 0), Zone: s.Zone, Incarnation: uint64(time.Now().UnixMilli())}
+	a := newAgent(inner, set, log)
 	mesh, err := net.Listen("tcp4", a.self.Addr)
 	if err != nil {
 		return oops.In("listen").Wrap(err)
 	}
 	defer mesh.Close()
-	loop, err := net.Listen("tcp4", s.FeedAddr)
+	feed, err := net.Listen("tcp4", set.FeedAddr)
 	if err != nil {
 		return oops.In("listen").Wrap(err)
 	}
-	defer loop.Close()
-	go transport.Serve(mesh, 3*digestEvery, func(l *link) { l.SetCounters(&PeerTraffic) }, a.takeFromPeer, func(*link) {})
-	go transport.Serve(loop, 0, func(l *link) {
-		l.SetCounters(&ProxyTraffic)
-		a.do(func() { a.proxyUp(l) })
-	}, a.fromProxy, func(l *link) { a.do(func() { delete(a.proxies, l) }) })
-	a.seek()
+	defer feed.Close()
+	go a.servePeers(mesh)
+	go a.serveProxies(feed)
 	log.Event(events.Started, "agent", a.self.Name, "mesh", a.self.Addr)
-	renew, digest := time.NewTicker(renewEvery), time.NewTicker(digestEvery)
+	a.run(ctx.Done()) //nolint:contextcheck // links to peers end with the inner context, after ctx
+	a.shutdown()
+	return nil
+}
+
+func newAgent(ctx context.Context, set *settings.Settings, log events.Log) *Agent {
+	return &Agent{
+		settings: set, log: log, ctx: ctx, commands: commandqueue.New(ctx, queueCapacity), startedAt: time.Now(),
+		self: directory.Driver{
+			Name: set.Hostname, Addr: set.PortAddr(set.IP, 0), Zone: set.Zone,
+			Incarnation: uint64(time.Now().UnixMilli()),
+		},
+		members: directory.NewMembers(), coreAddrs: set.Peers, backoff: initialBackoff,
+		proxies: map[*controlLink]bool{}, peers: map[string]*peer{},
+	}
+}
+
+// run is the loop that owns the tables. It ends when the agent may shut down.
+func (a *Agent) run(terminated <-chan struct{}) {
+	a.dialNextCore()
+	renew, digest := time.NewTicker(renewInterval), time.NewTicker(digestInterval)
 	defer renew.Stop()
 	defer digest.Stop()
-	term, last := ctx.Done(), (<-chan time.Time)(nil)
-	for {
-		if term == nil && len(a.proxies) == 0 { // the proxy is fed to its end
-			a.leave()
-			return nil
-		}
+	var deadline <-chan time.Time                 // set once terminated
+	for terminated != nil || len(a.proxies) > 0 { // the proxy is fed to its end
 		select {
-		case <-term:
-			term, last = nil, time.After(s.GracePeriod-600*time.Millisecond)
-			log.Event(events.Stopping)
-		case <-last:
-			a.leave()
-			return nil
-		case f := <-a.q.Commands:
-			f()
+		case <-terminated:
+			terminated, deadline = nil, time.After(a.settings.GracePeriod-shutdownMargin)
+			a.log.Event(events.Stopping)
+		case <-deadline:
+			return
+		case command := <-a.commands.Commands:
+			command()
 		case <-renew.C:
-			a.renew()
+			a.renewLease()
 			a.checkCore()
-			a.members.PurgeTombstones(a.now(), float64(memberKeep.Milliseconds()))
+			a.members.Expire(a.now(), float64(memberTTL.Milliseconds()))
 		case <-digest.C:
-			d := a.digest()
-			a.sendToPeers(&controlmsg.Frame{Digest: &d})
+			a.sendDigestToPeers()
 		}
 	}
 }
 
-// leave gives the lease back, and lets the word of it go out.
-func (a *Agent) leave() {
+// shutdown releases the lease, and waits a moment for that to go out.
+func (a *Agent) shutdown() {
 	if a.core != nil {
-		a.core.l.Send(&controlmsg.Frame{LeaseRenewal: &controlmsg.LeaseRenewal{Driver: a.self, Release: true}})
+		a.core.link.Send(&controlmsg.Frame{LeaseRenewal: &controlmsg.LeaseRenewal{Driver: a.self, Release: true}})
 		select {
-		case <-a.core.l.Done():
-		case <-time.After(50 * time.Millisecond):
+		case <-a.core.link.Done():
+		case <-time.After(releaseTimeout):
 		}
-		a.core.l.Close()
+		a.core.link.Close()
 	}
-	a.log.Event(events.Stopped, "coreTraffic", controlmsg.ReadTraffic(&CoreTraffic), "peerTraffic", controlmsg.ReadTraffic(&PeerTraffic))
+	a.log.Event(events.Stopped,
+		"coreTraffic", controlmsg.ReadTraffic(&CoreTraffic), "peerTraffic", controlmsg.ReadTraffic(&PeerTraffic))
 }
 
-func (a *Agent) now() float64 { return float64(time.Since(a.at)) / 1e6 }
+// now is the time since the agent started, in milliseconds.
+func (a *Agent) now() float64 { return float64(time.Since(a.startedAt)) / float64(time.Millisecond) }
+
+// do queues a command for the loop.
+func (a *Agent) do(command func()) { a.commands.Do(command) }
 
-func (a *Agent) do(f func()) { a.q.Do(f) }
+// after queues a command for the loop once some milliseconds are over.
+func (a *Agent) after(ms float64, command func()) {
+	time.AfterFunc(time.Duration(ms*float64(time.Millisecond)), func() { a.do(command) })
+}
--- a/internal/controlplane/agent/corelink.go
+++ b/internal/controlplane/agent/corelink.go
@@ -1,15 +1,10 @@
 package agent
 
-// This file owns the link to the core: which machine it goes to, and when another is looked for.
-//
-// One machine of the core is enough as long as it has contact with the majority. Where it says that it has none, or is silent, another
-// is tried beside it, and the link moves once one with contact has answered; until then the old one is kept, as what it knows is better
-// than nothing. All of this runs on the agent's queue of commands, but for the reading of links.
+// This file owns the link to the core: the renewal of the lease over it, and the failover to another core machine.
+// See the package's documentation. All of it runs on the agent's loop, but for the reading of links.
 
 import (
-	"hash/fnv"
 	"math/rand/v2"
-	"net"
 	"time"
 
 	"weirwind/internal/controlplane/consensus"
@@ -18,254 +13,222 @@
 	"weirwind/internal/util/transport"
 )
 
-// Times of the link to the core, in milliseconds but for linkIdle.
+// coreIdleTimeout ends a link over which nothing comes: three renewals and a half.
+const coreIdleTimeout = 3500 * time.Millisecond
+
+// Times of the failover, in milliseconds.
 const (
-	linkIdle     = 3500 * time.Millisecond
-	answerWait   = 2500.0 // two renewals and what an answer takes: a machine that left them unanswered may be frozen or cut off
-	trialWait    = 1000.0 // for the first answer over a link that is tried
-	firstPause   = 50.0   // before the next machine is tried
-	mostPause    = 1000.0
-	apartPause   = 3000.0   // the most where machines answer that none has contact: they tell their own agents when they have it again
-	spreadMoves  = 300.0    // drivers that lose one machine's contact together look for another within this time, not at once
-	steadyBehind = 5000.0   // a link that stood for so long ends the growth of pauses
-	nearEvery    = 15_000.0 // an agent whose machine is far tries a near one about so often
+	responseTimeout    = 2500.0   // two renewals and what an answer takes: a silent machine may be frozen or cut off
+	candidateTimeout   = 1000.0   // for a candidate's first answer
+	initialBackoff     = 50.0     // before the next machine is tried
+	maxBackoff         = 1000.0   // bound of its growth
+	maxIsolatedBackoff = 3000.0   // where machines answer without contact: they report its return
+	failoverSpread     = 300.0    // drivers that lose a machine together fail over within this time
+	stableAfter        = 5000.0   // a link that stood for so long resets the backoff
+	nearRetryInterval  = 15_000.0 // about how often an agent whose machine is far tries a near one
+
+	backoffFactor       = 1.25
+	attemptsPerDoubling = 3 // attempts before the dial timeout doubles
 )
 
-// coreLink is a link to a machine of the core, in use or on trial.
+// coreLink is a link to a core machine, in use or as a candidate.
 type coreLink struct {
-	l       *link // nil while it is dialled
-	addr    string
-	began   float64
-	heardAt float64 // its newest frame
-	apart   bool    // it said that it has no contact
+	link        *controlLink // nil while it is dialled
+	addr        string
+	upAt        float64 // when it was made
+	lastFrameAt float64 // when its newest frame came; upAt before the first
+	isolated    bool    // the machine's newest word: it has no contact with a majority
 }
 
-// coreServes says whether the machine in use answers and has contact.
+// coreServes reports whether the machine in use answers and has contact.
 func (a *Agent) coreServes() bool {
-	return a.core != nil && !a.core.apart && a.now()-a.core.heardAt <= answerWait
+	return a.core != nil && !a.core.isolated && a.now()-a.core.lastFrameAt <= responseTimeout
 }
 
-// planSeek has another machine looked for after so many milliseconds, drawn between half and one and a half of them.
-func (a *Agent) planSeek(after float64) {
-	if a.seekPlanned || a.trial != nil {
+// jittered draws between half and one and a half of a time.
+func jittered(ms float64) float64 { return ms * (0.5 + rand.Float64()) }
+
+// scheduleFailover has another machine tried after about so many milliseconds.
+func (a *Agent) scheduleFailover(after float64) {
+	if a.failoverScheduled || a.candidate != nil {
 		return
 	}
-	a.seekPlanned = true
-	drawn := after * (0.5 + rand.Float64())
-	time.AfterFunc(time.Duration(drawn*float64(time.Millisecond)), func() { a.do(a.seek) })
+	a.failoverScheduled = true
+	a.after(jittered(after), a.dialNextCore)
 }
 
-// planNext plans a try behind one that failed.
-func (a *Agent) planNext(most float64) {
-	a.planSeek(a.pause)
-	a.pause = min(a.pause*1.25, most)
+// scheduleRetry schedules the attempt behind one that failed, and lets the backoff grow up to a bound.
+func (a *Agent) scheduleRetry(bound float64) {
+	a.scheduleFailover(a.backoff)
+	a.backoff = min(a.backoff*backoffFactor, bound)
 }
 
-// seek tries the next machine, unless that is needless or under way.
-func (a *Agent) seek() {
-	a.seekPlanned = false
-	if a.trial != nil || a.coreServes() {
+// resetBackoff ends the growth of the backoff once a link has been stable.
+func (a *Agent) resetBackoff() { a.backoff, a.attempts = initialBackoff, 0 }
+
+// stable reports whether a link has stood for so long that the backoff is reset.
+func (a *Agent) stable(c *coreLink) bool { return a.now()-c.upAt > stableAfter }
+
+// dialNextCore dials the next machine, unless that is needless or a candidate is being tried.
+func (a *Agent) dialNextCore() {
+	a.failoverScheduled = false
+	if a.candidate != nil || a.coreServes() {
 		return
 	}
 	addr, found := a.otherCore()
 	if !found {
-		a.planNext(apartPause)
+		a.scheduleRetry(maxIsolatedBackoff)
 		return
 	}
-	a.try(addr)
+	a.dialCandidate(addr)
 }
 
-func (a *Agent) try(addr string) {
-	a.tries++
-	t := &coreLink{addr: addr}
-	a.trial = t
-	go a.hold(t, transport.DialTimeout(a.tries/3))
+func (a *Agent) dialCandidate(addr string) {
+	a.attempts++
+	candidate := &coreLink{addr: addr}
+	a.candidate = candidate
+	go a.runCoreLink(candidate, transport.DialTimeout(a.attempts/attemptsPerDoubling))
 }
 
-// hold dials a machine and reads the link until it ends.
-func (a *Agent) hold(t *coreLink, dialTimeout time.Duration) {
-	_ = transport.Dial(t.addr, dialTimeout, linkIdle, func(l *link) {
-		l.SetCounters(&CoreTraffic)
-		l.Send(controlmsg.NewHello("agent", a.self.Name, a.self.Addr))
-		a.do(func() { a.linkUp(t, l) })
-	}, func(_ *link, f *controlmsg.Frame) {
-		a.do(func() { a.takeFromCore(t, f) })
+// runCoreLink dials a machine and reads the link until it ends. It runs on a goroutine of its own, which ends with
+// the link.
+func (a *Agent) runCoreLink(c *coreLink, dialTimeout time.Duration) {
+	_ = transport.Dial(c.addr, dialTimeout, coreIdleTimeout, func(link *controlLink) {
+		link.SetCounters(&CoreTraffic)
+		link.Send(controlmsg.NewHello("agent", a.self.Name, a.self.Addr))
+		a.do(func() { a.coreUp(c, link) })
+	}, func(_ *controlLink, frame *controlmsg.Frame) {
+		a.do(func() { a.takeFromCore(c, frame) })
 	})
-	a.do(func() { a.linkDown(t) })
+	a.do(func() { a.coreDown(c) })
 }
 
-// linkUp puts a new link to use where there is none, else on trial.
-func (a *Agent) linkUp(t *coreLink, l *link) {
-	t.l, t.began, t.heardAt = l, a.now(), a.now()
+// coreUp puts a new link to use where there is none; else it is a candidate until its machine has answered.
+func (a *Agent) coreUp(c *coreLink, link *controlLink) {
+	now := a.now()
+	c.link, c.upAt, c.lastFrameAt = link, now, now
 	if a.core == nil {
-		a.use(t)
+		a.moveTo(c)
 		return
 	}
-	l.Send(&controlmsg.Frame{LeaseRenewal: &controlmsg.LeaseRenewal{Driver: a.self, Digest: a.digest(), Tentative: true}})
-	time.AfterFunc(time.Duration(trialWait*float64(time.Millisecond)), func() {
-		a.do(func() {
-			if a.trial == t {
-				l.Close()
-			}
-		})
+	renewal := &controlmsg.LeaseRenewal{Driver: a.self, Digest: a.digest(), Tentative: true}
+	link.Send(&controlmsg.Frame{LeaseRenewal: renewal})
+	a.after(candidateTimeout, func() {
+		if a.candidate == c {
+			link.Close()
+		}
 	})
 }
 
-// use makes a link the one in use, and ends the one before it.
-func (a *Agent) use(t *coreLink) {
-	a.nearAt = a.now() + nearEvery*(0.5+rand.Float64())
-	before := a.core
-	a.core, a.trial = t, nil
-	a.log.Event(events.LinkUp, "core", t.addr)
-	if before != nil {
-		a.log.Event(events.CoreMoved, "from", before.addr, "to", t.addr, "apart", before.apart, "silentMs", int(a.now()-before.heardAt))
-		before.l.Close()
+// moveTo makes a link the one in use, and ends the one before it.
+func (a *Agent) moveTo(c *coreLink) {
+	a.nextNearAttempt = a.now() + jittered(nearRetryInterval)
+	former := a.core
+	a.core, a.candidate = c, nil
+	a.log.Event(events.LinkUp, "core", c.addr)
+	if former != nil {
+		a.log.Event(events.CoreMoved, "from", former.addr, "to", c.addr,
+			"apart", former.isolated, "silentMs", int(a.now()-former.lastFrameAt))
+		former.link.Close()
 	}
-	a.renew()
+	a.renewLease()
 }
 
-// linkDown follows the end of a link or of a dial.
-func (a *Agent) linkDown(t *coreLink) {
-	switch t {
-	case a.trial:
-		a.trial = nil
-		if t.apart {
-			a.planNext(apartPause)
+// coreDown follows the end of a link, or of a dial that failed. A link that was replaced before needs nothing.
+func (a *Agent) coreDown(c *coreLink) {
+	switch c {
+	case a.candidate:
+		a.candidate = nil
+		if c.isolated {
+			a.scheduleRetry(maxIsolatedBackoff)
 		} else {
-			a.planNext(mostPause)
+			a.scheduleRetry(maxBackoff)
 		}
 	case a.core:
-		a.log.Event(events.LinkDown, "core", t.addr)
+		a.log.Event(events.LinkDown, "core", c.addr)
 		a.core = nil
-		if a.now()-t.began > steadyBehind {
-			a.pause, a.tries = firstPause, 0
+		if a.stable(c) {
+			a.resetBackoff()
 		}
-		if a.trial != nil && a.trial.l != nil {
-			a.use(a.trial)
+		if a.candidate != nil && a.candidate.link != nil {
+			a.moveTo(a.candidate)
 			return
 		}
-		a.planNext(mostPause)
+		a.scheduleRetry(maxBackoff)
 	}
 }
 
-// takeFromCore takes what a machine of the core says. What comes late over a link that was left is not taken.
-func (a *Agent) takeFromCore(t *coreLink, f *controlmsg.Frame) {
-	if t != a.core && t != a.trial {
+// takeFromCore takes a core machine's frame. What comes late over a link that was replaced is dropped.
+func (a *Agent) takeFromCore(c *coreLink, frame *controlmsg.Frame) {
+	if c != a.core && c != a.candidate {
 		return
 	}
-	t.heardAt = a.now()
-	if f.Hello != nil {
-		controlmsg.HandleHello(t.l, f.Hello)
+	c.lastFrameAt = a.now()
+	if frame.Hello != nil {
+		controlmsg.HandleHello(c.link, frame.Hello)
 		return
 	}
-	if f.Update != nil {
-		if f.Update.QuorumContactAgeMs != nil {
-			t.apart = *f.Update.QuorumContactAgeMs > consensus.ContactLease
+	if update := frame.Update; update != nil {
+		if update.QuorumContactAgeMs != nil {
+			c.isolated = *update.QuorumContactAgeMs > consensus.ContactLease
 		}
-		a.update(f.Update)
+		a.applyUpdate(update)
 	}
-	if f.Digest != nil {
-		a.compare(t.l, f.Digest)
+	if frame.Digest != nil {
+		a.reconcile(c.link, frame.Digest)
 	}
-	a.judge(t)
+	a.evaluate(c)
 }
 
-// judge moves over to a machine on trial that has contact, and looks for another where the one in use has none.
-func (a *Agent) judge(t *coreLink) {
+// evaluate follows an answer: it moves to a candidate that has contact, and fails over where the machine in use has
+// none.
+func (a *Agent) evaluate(c *coreLink) {
 	switch {
-	case t == a.trial && (t.apart || a.coreServes() && (a.isNear(a.core.addr) || !a.isNear(t.addr))):
-		t.l.Close()
-	case t == a.trial:
-		a.use(t)
-	case t.apart:
-		a.planSeek(spreadMoves)
-	case a.now()-t.began > steadyBehind:
-		a.pause, a.tries = firstPause, 0
+	case c == a.candidate && (c.isolated || !a.prefers(c)):
+		c.link.Close()
+	case c == a.candidate:
+		a.moveTo(c)
+	case c.isolated:
+		a.scheduleFailover(failoverSpread)
+	case a.stable(c):
+		a.resetBackoff()
 	}
 }
 
-// otherCore gives the next core machine that is not the one in use.
-func (a *Agent) otherCore() (addr string, found bool) {
-	for range len(a.cores) + len(a.set.Peers) + 1 {
-		addr = a.nextCore()
-		if a.core == nil || addr != a.core.addr {
-			return addr, true
-		}
-	}
-	return "", false
-}
-
-// isNear says whether a machine is in the own /16: a region's machines, where addresses say so.
-func (a *Agent) isNear(addr string) bool {
-	host, _, _ := net.SplitHostPort(addr)
-	return sameNet(host, a.set.IP)
+// prefers reports whether a candidate is better than the machine in use: that one serves no longer, or is far and the
+// candidate near.
+func (a *Agent) prefers(candidate *coreLink) bool {
+	return !a.coreServes() || !a.isNear(a.core.addr) && a.isNear(candidate.addr)
 }
 
-// coresByDistance gives the addresses of the known core machines.
-func (a *Agent) coresByDistance() (near, far []string) {
-	for _, c := range a.cores {
-		if a.isNear(c) {
-			near = append(near, a.set.MeshAddr(c))
-		} else {
-			far = append(far, a.set.MeshAddr(c))
-		}
-	}
-	return near, far
-}
-
-// tryNear tries to get back to a near machine, from time to time, where the one in use is far: all agents would otherwise stay where a
-// trouble that is over has driven them.
-func (a *Agent) tryNear() {
+// dialNearCore tries to return to a near machine, from time to time, where the one in use is far: all agents would
+// otherwise stay where a fault that is over has driven them.
+func (a *Agent) dialNearCore() {
 	near, _ := a.coresByDistance()
-	if len(near) == 0 || a.trial != nil || a.isNear(a.core.addr) || a.now() < a.nearAt {
+	if len(near) == 0 || a.candidate != nil || a.isNear(a.core.addr) || a.now() < a.nextNearAttempt {
 		return
 	}
-	a.nearAt = a.now() + nearEvery*(0.5+rand.Float64())
-	a.try(near[rand.IntN(len(near))])
-}
-
-// nextCore goes through the known core machines, near ones first.
-func (a *Agent) nextCore() string {
-	near, far := a.coresByDistance()
-	for _, p := range a.set.Peers { // what the file says is tried too, at the end
-		far = append(far, a.set.MeshAddr(p))
-	}
-	h := fnv.New32a()
-	h.Write([]byte(a.self.Name))
-	turn := int(h.Sum32() % 97)
-	all := near
-	for i := range far {
-		all = append(all, far[(i+turn)%len(far)])
-	}
-	if len(all) == 0 {
-		return a.set.PortAddr(a.set.IP, 0)
-	}
-	a.nth++
-	return all[(a.nth-1)%len(all)]
-}
-
-func sameNet(x, y string) bool {
-	a, b := net.ParseIP(x).To4(), net.ParseIP(y).To4()
-	return a != nil && b != nil && a[0] == b[0] && a[1] == b[1]
+	a.nextNearAttempt = a.now() + jittered(nearRetryInterval)
+	a.dialCandidate(near[rand.IntN(len(near))])
 }
 
-// renew prolongs the driver's lease.
-func (a *Agent) renew() {
+// renewLease renews the driver's lease at the machine in use.
+func (a *Agent) renewLease() {
 	if a.core != nil {
-		a.core.l.Send(&controlmsg.Frame{LeaseRenewal: &controlmsg.LeaseRenewal{Driver: a.self, Digest: a.digest()}})
+		renewal := &controlmsg.LeaseRenewal{Driver: a.self, Digest: a.digest()}
+		a.core.link.Send(&controlmsg.Frame{LeaseRenewal: renewal})
 	}
 }
 
-// checkCore has another machine looked for where the one in use is silent. Meanwhile peers are asked for what is new, and for the
-// addresses of the core: those known here may all be on the wrong side of a cut.
+// checkCore fails over where the machine in use does not serve. Meanwhile peers are asked for what is new, and for
+// the addresses of the core: those known here may all be on the wrong side of a partition.
 func (a *Agent) checkCore() {
 	if a.coreServes() {
-		a.tryNear()
+		a.dialNearCore()
 		return
 	}
 	if a.core != nil {
-		a.planSeek(spreadMoves)
+		a.scheduleFailover(failoverSpread)
 	}
-	d := a.digest()
-	a.sendToPeers(&controlmsg.Frame{Digest: &d})
+	a.sendDigestToPeers()
 }
--- a/internal/controlplane/agent/history_test.go
+++ b/internal/controlplane/agent/history_test.go
@@ -41,13 +41,13 @@
 	links []*sentOver
 	out   io.Writer
 	ln    *pipes
-	up    chan *link
+	up    chan *controlLink
 }
 
 // sentOver is a link of the agent with what the agent sent over it.
 type sentOver struct {
 	name     string
-	l        *link
+	l        *controlLink
 	counters transport.Counters
 }
 
@@ -56,13 +56,16 @@
 	stop() // commands of dials and peers' links are dropped
 	s := &settings.Settings{Hostname: "front-1", IP: "127.1.0.9", Zone: "z", PortRange: [2]int{1, 3},
 		Peers: []string{"127.1.0.1:8782", "127.2.0.1:8782"}}
-	h := &history{t: t, draw: rand.New(rand.NewPCG(seed, 1)), out: out, ln: &pipes{make(chan net.Conn)}, up: make(chan *link)}
-	h.a = &Agent{set: s, log: events.Nothing(), ctx: ctx, q: commandqueue.New(ctx, 0), members: directory.NewMembers(),
-		proxies: map[*link]bool{}, peers: map[string]*peer{}, cores: s.Peers, pause: firstPause,
+	h := &history{t: t, draw: rand.New(rand.NewPCG(seed, 1)), out: out, ln: &pipes{make(chan net.Conn)},
+		up: make(chan *controlLink)}
+	h.a = &Agent{settings: s, log: events.Nothing(), ctx: ctx, commands: commandqueue.New(ctx, 0),
+		members: directory.NewMembers(), proxies: map[*controlLink]bool{}, peers: map[string]*peer{},
+		coreAddrs: s.Peers, backoff: initialBackoff,
 		self: directory.Driver{Name: "front-1", Addr: "127.1.0.9:1", Zone: "z", Incarnation: 5}}
 	var ended sync.WaitGroup
 	ended.Go(func() {
-		transport.Serve(h.ln, 0, func(l *link) { h.up <- l }, func(*link, *controlmsg.Frame) {}, func(*link) {})
+		up := func(l *controlLink) { h.up <- l }
+		transport.Serve(h.ln, 0, up, func(*controlLink, *controlmsg.Frame) {}, func(*controlLink) {})
 	})
 	t.Cleanup(func() {
 		close(h.ln.conns)
@@ -74,7 +77,7 @@
 	return h
 }
 
-func (h *history) link(name string) *link {
+func (h *history) link(name string) *controlLink {
 	near, far := net.Pipe()
 	go io.Copy(io.Discard, far)
 	h.ln.conns <- near
@@ -87,7 +90,7 @@
 // pass lets virtual time go on.
 func (h *history) pass(ms float64) {
 	h.ms += ms
-	h.a.at = time.Now().Add(-time.Duration(h.ms * float64(time.Millisecond)))
+	h.a.startedAt = time.Now().Add(-time.Duration(h.ms * float64(time.Millisecond)))
 }
 
 func (h *history) update() *controlmsg.StateUpdate {
@@ -110,7 +113,8 @@
 	drivers := func() (d []directory.Driver) {
 		for i := range 6 {
 			if r.IntN(2) == 0 {
-				d = append(d, directory.Driver{Name: fmt.Sprint("front-", i), Addr: fmt.Sprintf("127.3.0.%d:1", i), Incarnation: uint64(r.IntN(3))})
+				d = append(d, directory.Driver{Name: fmt.Sprint("front-", i), Addr: fmt.Sprintf("127.3.0.%d:1", i),
+					Incarnation: uint64(r.IntN(3))})
 			}
 		}
 		return d
@@ -146,8 +150,8 @@
 
 // anyCore gives a link to the core: the one in use, the one on trial, or one that was left.
 func (h *history) anyCore() *coreLink {
-	switch t := []*coreLink{h.a.core, h.a.trial, {addr: "127.9.0.1:1"}}[h.draw.IntN(8)/3]; {
-	case t == nil || t.l == nil:
+	switch t := []*coreLink{h.a.core, h.a.candidate, {addr: "127.9.0.1:1"}}[h.draw.IntN(8)/3]; {
+	case t == nil || t.link == nil:
 		return h.a.core
 	default:
 		return t
@@ -156,25 +160,26 @@
 
 func (h *history) step() string {
 	a, r := h.a, h.draw
-	h.pass(70 * float64(1+r.IntN(13))) // no sum of these is within 20 ms of a bound, so that the machine's own time does not tell
+	// No sum of these is within 20 ms of a bound, so that the time which the machine itself takes makes no difference.
+	h.pass(70 * float64(1+r.IntN(13)))
 	switch n := r.IntN(20); {
 	case n < 2:
-		a.seek()
+		a.dialNextCore()
 		return "seek"
-	case n < 5 && a.trial != nil && a.trial.l == nil:
-		a.linkUp(a.trial, h.link(a.trial.addr))
+	case n < 5 && a.candidate != nil && a.candidate.link == nil:
+		a.coreUp(a.candidate, h.link(a.candidate.addr))
 		return "link up"
-	case n < 6 && a.trial != nil:
-		t := a.trial
-		if t.l != nil {
-			t.l.Close()
+	case n < 6 && a.candidate != nil:
+		t := a.candidate
+		if t.link != nil {
+			t.link.Close()
 		}
-		a.linkDown(t)
+		a.coreDown(t)
 		return "trial ended"
 	case n < 7 && a.core != nil && r.IntN(3) == 0:
 		t := a.core
-		t.l.Close()
-		a.linkDown(t)
+		t.link.Close()
+		a.coreDown(t)
 		return "core ended"
 	case n < 12:
 		if t := h.anyCore(); t != nil {
@@ -192,26 +197,26 @@
 		}
 		return "hello of core"
 	case n < 15:
-		a.update(h.update())
+		a.applyUpdate(h.update())
 		return "from peer"
 	case n < 16:
-		a.compare(h.link("peer that dialled"), h.digest())
+		a.reconcile(h.link("peer that dialled"), h.digest())
 		return "digest of peer"
 	case n < 17 && len(a.proxies) < 2:
 		a.proxyUp(h.link("proxy"))
 		return "proxy up"
 	case n < 18:
 		for _, addr := range []string{"127.3.0.0:1", "127.3.0.1:1", "127.3.0.2:1", "127.3.0.3:1"} {
-			if p := a.peers[addr]; p != nil && p.l == nil {
-				p.l = h.link("peer " + addr)
+			if p := a.peers[addr]; p != nil && p.link == nil {
+				p.link = h.link("peer " + addr)
 			}
 		}
 		return "peers up"
 	default:
-		a.nearAt = []float64{0, 1e12}[r.IntN(2)]
-		a.renew()
+		a.nextNearAttempt = []float64{0, 1e12}[r.IntN(2)]
+		a.renewLease()
 		a.checkCore()
-		a.members.Expire(a.now(), float64(memberKeep.Milliseconds()))
+		a.members.Expire(a.now(), float64(memberTTL.Milliseconds()))
 		return "renew"
 	}
 }
@@ -219,18 +224,19 @@
 // state is what the agent is and has sent, without what is drawn at random.
 func (h *history) state(step string) {
 	a := h.a
-	fmt.Fprintf(h.out, "%.1f %s: gen %d shards %v members %x cores %v drivers %d proxies %d pause %.3f tries %d nth %d planned %v",
-		h.ms, step, a.gen, a.shards != nil, a.members.Digest(), a.cores, len(a.drivers), len(a.proxies), a.pause, a.tries, a.nth, a.seekPlanned)
-	for _, c := range []*coreLink{a.core, a.trial} {
+	fmt.Fprintf(h.out, "%.1f %s: gen %d shards %v members %x cores %v drivers %d proxies %d ", h.ms, step,
+		a.configVersion, a.shardMap != nil, a.members.Digest(), a.coreAddrs, len(a.drivers), len(a.proxies))
+	fmt.Fprintf(h.out, "pause %.3f tries %d nth %d planned %v", a.backoff, a.attempts, a.nextCore, a.failoverScheduled)
+	for _, c := range []*coreLink{a.core, a.candidate} {
 		if c == nil {
 			fmt.Fprint(h.out, " none")
 		} else {
-			fmt.Fprintf(h.out, " %s linked %v apart %v", c.addr, c.l != nil, c.apart)
+			fmt.Fprintf(h.out, " %s linked %v apart %v", c.addr, c.link != nil, c.isolated)
 		}
 	}
 	for i := range 6 {
 		if p := a.peers[fmt.Sprintf("127.3.0.%d:1", i)]; p != nil {
-			fmt.Fprintf(h.out, " peer %d %v", i, p.l != nil)
+			fmt.Fprintf(h.out, " peer %d %v", i, p.link != nil)
 		}
 	}
 	for i, o := range h.links {
@@ -244,8 +250,8 @@
 	fmt.Fprintln(h.out)
 }
 
-// What the agent does in random histories in virtual time: which core machines it goes to, what it sends over which link, and what
-// it knows. The digests are those of the code before it was taken apart.
+// What the agent does in random histories in virtual time: which core machines it goes to, what it sends over which
+// link, and what it knows. The digests are those of the code before it was taken apart.
 func TestHistoriesStay(t *testing.T) {
 	want := []uint64{0x9f59ac16ec5a5ace, 0xadb661ce94cbd6c3, 0x673731a9712aa658, 0x83d05d6bd8c95e52}
 	for seed, digest := range want {
@@ -253,9 +259,9 @@
 			sum := fnv.New64a()
 			h := newHistory(t, uint64(seed), sum)
 			for range 600 {
-				if h.a.seekPlanned && h.draw.IntN(3) > 0 {
-					h.a.seekPlanned = false // as if the timer had run
-					h.a.seek()
+				if h.a.failoverScheduled && h.draw.IntN(3) > 0 {
+					h.a.failoverScheduled = false // as if the timer had run
+					h.a.dialNextCore()
 				}
 				h.state(h.step())
 			}
--- a/internal/controlplane/agent/updates.go
+++ b/internal/controlplane/agent/updates.go
@@ -1,92 +1,69 @@
 package agent
 
-// This file owns what the agent knows: it takes updates from the core and from peers, and passes on what is new.
+// This file owns what the agent knows: it merges updates from the core and from peers, and passes on what was new.
 
 import (
 	"weirwind/internal/controlplane/controlmsg"
 	"weirwind/internal/controlplane/directory"
-	"weirwind/internal/util/transport"
 )
 
-func (a *Agent) digest() controlmsg.StateDigest {
-	d := controlmsg.StateDigest{ConfigVersion: a.gen, MembersHash: a.members.Digest(), DriversHash: directory.DriversDigest(a.drivers), Isolated: !a.coreServes()}
-	if a.shards != nil {
-		d.ShardMapVersion = a.shards.Version
+// applyUpdate merges an update and passes on what was new: to the proxy, and to a few peers.
+func (a *Agent) applyUpdate(update *controlmsg.StateUpdate) {
+	changes := a.merge(update)
+	driversChanged := a.mergeDrivers(update)
+	changed := changes.ConfigVersion > 0 || changes.Members != nil || changes.ShardMap != nil
+	if changed {
+		a.sendChangesToPeers(changes)
+	}
+	if changed || driversChanged {
+		a.sendChangesToProxies(changes)
 	}
-	return d
-}
-
-// takeFromPeer takes what a peer says.
-func (a *Agent) takeFromPeer(l *link, f *controlmsg.Frame) {
-	a.do(func() {
-		if f.Hello != nil {
-			controlmsg.HandleHello(l, f.Hello)
-		}
-		if f.Update != nil {
-			a.update(f.Update)
-		}
-		if f.Digest != nil {
-			a.compare(l, f.Digest)
-		}
-	})
 }
 
-// update takes what is new and passes it on: to the proxy, and to a few peers.
-func (a *Agent) update(n *controlmsg.StateUpdate) {
-	on := &controlmsg.StateUpdate{}
-	if n.ConfigVersion > a.gen {
-		a.gen, a.config = n.ConfigVersion, n.Config
-		on.ConfigVersion, on.Config = n.ConfigVersion, n.Config
-	}
-	if n.Members != nil {
-		on.Members = a.members.Merge(n.Members, a.now())
-	}
-	if n.ShardMap != nil && (a.shards == nil || n.ShardMap.Version > a.shards.Version) {
-		a.shards, on.ShardMap = n.ShardMap, n.ShardMap
-	}
-	if n.CoreAddrs != nil {
-		a.cores = n.CoreAddrs
+// merge takes the configuration, the shard map, members and core addresses. It returns those of them that were new
+// and are passed on.
+func (a *Agent) merge(update *controlmsg.StateUpdate) *controlmsg.StateUpdate {
+	changes := &controlmsg.StateUpdate{}
+	if update.ConfigVersion > a.configVersion {
+		a.configVersion, a.config = update.ConfigVersion, update.Config
+		changes.ConfigVersion, changes.Config = update.ConfigVersion, update.Config
 	}
-	drivers := n.Drivers
-	if n.DriversAdded != nil || n.DriversRemoved != nil {
-		drivers = directory.ApplyDiff(a.drivers, n.DriversAdded, n.DriversRemoved)
+	if update.Members != nil {
+		changes.Members = a.members.Merge(update.Members, a.now())
 	}
-	if drivers != nil {
-		a.drivers = drivers
-		a.choose()
+	if update.ShardMap != nil && (a.shardMap == nil || update.ShardMap.Version > a.shardMap.Version) {
+		a.shardMap, changes.ShardMap = update.ShardMap, update.ShardMap
 	}
-	if on.ConfigVersion > 0 || on.Members != nil || on.ShardMap != nil {
-		f := &controlmsg.Frame{}
-		if on.Members != nil {
-			f.Update = &controlmsg.StateUpdate{Members: on.Members}
-		}
-		if on.ConfigVersion > 0 || on.ShardMap != nil { // a configuration is long, and most have it from the core by now: who lacks it asks
-			d := a.digest()
-			f.Digest = &d
-		}
-		a.sendToPeers(f)
-	}
-	if on.ConfigVersion > 0 || on.Members != nil || on.ShardMap != nil || drivers != nil {
-		on.DriverCount = max(len(a.drivers), 1)
-		raw := transport.Encode(&controlmsg.Frame{Update: on})
-		for p := range a.proxies {
-			p.SendEncoded(raw)
-		}
+	if update.CoreAddrs != nil {
+		a.coreAddrs = update.CoreAddrs
 	}
+	return changes
 }
 
-// proxyUp tells a proxy that has just come all that is known.
-func (a *Agent) proxyUp(l *link) {
-	a.proxies[l] = true
-	l.Send(&controlmsg.Frame{Update: &controlmsg.StateUpdate{ConfigVersion: a.gen, Config: a.config, Members: a.members.Snapshot(), ShardMap: a.shards, DriverCount: max(len(a.drivers), 1)}})
+// mergeDrivers takes the list of drivers, or its changes, and reports whether there were any.
+func (a *Agent) mergeDrivers(update *controlmsg.StateUpdate) bool {
+	drivers := update.Drivers
+	if update.DriversAdded != nil || update.DriversRemoved != nil {
+		drivers = directory.ApplyDiff(a.drivers, update.DriversAdded, update.DriversRemoved)
+	}
+	if drivers == nil {
+		return false
+	}
+	a.drivers = drivers
+	a.choosePeers()
+	return true
 }
 
-// fromProxy passes on what a proxy sees of primaries.
-func (a *Agent) fromProxy(_ *link, f *controlmsg.Frame) {
-	a.do(func() {
-		if f.PrimaryReport != nil && a.core != nil {
-			f.PrimaryReport.Driver = a.self.Name
-			a.core.l.Send(f)
-		}
-	})
+// sendChangesToPeers sends members as they are, and for a new configuration or shard map a digest only: they are
+// long, and most peers have them from the core by now. One that lacks them asks.
+func (a *Agent) sendChangesToPeers(changes *controlmsg.StateUpdate) {
+	frame := &controlmsg.Frame{}
+	if changes.Members != nil {
+		frame.Update = &controlmsg.StateUpdate{Members: changes.Members}
+	}
+	if changes.ConfigVersion > 0 || changes.ShardMap != nil {
+		digest := a.digest()
+		frame.Digest = &digest
+	}
+	a.sendToPeers(frame)
 }
