--- a/internal/dataplane/group/digest_test.go
+++ b/internal/dataplane/group/digest_test.go
@@ -114,7 +114,7 @@
 
 func (h *history) probes() {
 	var asked []string
-	for _, m := range h.g.DueProbes(h.now) {
+	for _, m := range h.g.ProbesToSend(h.now) {
 		asked = append(asked, m.ID)
 	}
 	slices.Sort(asked)
--- a/internal/dataplane/group/group.go
+++ b/internal/dataplane/group/group.go
@@ -69,8 +69,8 @@
 	}
 }
 
-// emptySlot empties the slot and makes a probe due at once. silent: its member did not say so itself, and fills the slot
-// again by its next word.
+// emptySlot empties the slot and makes a probe due at once. silent: its member did not say so itself, and fills the
+// slot again by its next word.
 func (g *Group) emptySlot(now float64, silent bool, reason string) {
 	g.Slot.Clear(now, silent)
 	g.SlotReason = reason
@@ -78,13 +78,13 @@
 }
 
 // offerSlot puts a member into the slot if evidence of the time when allows it.
-func (g *Group) offerSlot(m *Member, when float64, source string) {
-	if !g.Slot.Takes(m.ID, when, m.replicaSeenAt, m.Draining, true) {
+func (g *Group) offerSlot(member *Member, when float64, source string) {
+	if !g.Slot.Takes(member.ID, when, member.replicaSeenAt, member.Draining, true) {
 		return
 	}
-	g.Slot.Fill(m.ID, when)
-	g.SlotReason = m.ID + " by " + source
-	m.Suspected, m.ejectedUntil = false, 0
+	g.Slot.Fill(member.ID, when)
+	g.SlotReason = member.ID + " by " + source
+	member.Suspected, member.ejectedUntil = false, 0
 	g.watermarks = nil // another primary's positions cover nothing that this one acknowledges
 }
 
--- a/internal/dataplane/group/health.go
+++ b/internal/dataplane/group/health.go
@@ -29,81 +29,81 @@
 )
 
 // RecordSend notes a request to a member at now. commit: its answer waits for replicas too.
-func (g *Group) RecordSend(m *Member, now float64, commit bool) {
-	m.pendingSends = append(m.pendingSends, now)
+func (g *Group) RecordSend(member *Member, now float64, commit bool) {
+	member.pendingSends = append(member.pendingSends, now)
 	if commit {
-		m.pendingCommits = append(m.pendingCommits, now)
+		member.pendingCommits = append(member.pendingCommits, now)
 	}
 }
 
 // RecordOutcome notes how the request that was sent at sentAt ended, and the position that its answer bore.
-func (g *Group) RecordOutcome(m *Member, sentAt, now float64, outcome Outcome, position wire.Position) {
-	m.pendingSends = remove(m.pendingSends, sentAt)
-	m.pendingCommits = remove(m.pendingCommits, sentAt)
+func (g *Group) RecordOutcome(member *Member, sentAt, now float64, outcome Outcome, position wire.Position) {
+	member.pendingSends = remove(member.pendingSends, sentAt)
+	member.pendingCommits = remove(member.pendingCommits, sentAt)
 	switch outcome {
 	case NoAnswer:
 		return
 	case ConnectFailed:
-		g.recordConnectFailure(m, now)
+		g.recordConnectFailure(member, now)
 		return
 	}
-	m.responded(now)
-	m.latency += (now - sentAt - m.latency) * latencySmoothing
-	if m.Position.Less(position) {
-		m.Position = position
+	member.responded(now)
+	member.latency += (now - sentAt - member.latency) * latencySmoothing
+	if member.Position.Less(position) {
+		member.Position = position
 	}
 	switch outcome {
 	case AnsweredAsPrimary:
-		g.confirmPrimary(m, sentAt, "answer", position)
+		g.confirmPrimary(member, sentAt, "answer", position)
 	case RefusedReadOnly:
-		m.replicaSeenAt = now
+		member.replicaSeenAt = now
 		reason := "miss"
 		if sentAt < g.Slot.Seen {
 			reason = "miss, late"
 		}
-		g.vacateSlot(m.ID, now, reason)
+		g.vacateSlot(member.ID, now, reason)
 	case RefusedLagging:
-		m.laggedAt = now
+		member.laggedAt = now
 	}
 }
 
 // recordConnectFailure ejects a member that takes no connection. One that answers on other connections has only no
 // capacity for more at the moment.
-func (g *Group) recordConnectFailure(m *Member, now float64) {
-	if now-m.lastResponse < minEjection {
+func (g *Group) recordConnectFailure(member *Member, now float64) {
+	if now-member.lastResponse < minEjection {
 		return
 	}
-	m.eject(now)
-	if g.Slot.Holder == m.ID {
-		g.emptySlot(now, true, m.ID+" takes no connection")
+	member.eject(now)
+	if g.Slot.Holder == member.ID {
+		g.emptySlot(now, true, member.ID+" takes no connection")
 	}
 }
 
-// confirmPrimary takes an answer that only a primary gives, to a request of the time askedAt.
-func (g *Group) confirmPrimary(m *Member, askedAt float64, source string, position wire.Position) {
-	g.offerSlot(m, askedAt, source)
-	if g.Slot.Holder == m.ID {
-		g.watermarks.add(askedAt, position)
+// confirmPrimary takes an answer that only a primary gives, to a request of the time requestedAt.
+func (g *Group) confirmPrimary(member *Member, requestedAt float64, source string, position wire.Position) {
+	g.offerSlot(member, requestedAt, source)
+	if g.Slot.Holder == member.ID {
+		g.watermarks.add(requestedAt, position)
 	}
 }
 
 // RecordProbe notes the answer to a probe that was sent at sentAt.
-func (g *Group) RecordProbe(m *Member, sentAt, now float64, status wire.MemberStatus) {
-	m.probing = false
-	m.responded(now)
+func (g *Group) RecordProbe(member *Member, sentAt, now float64, status wire.MemberStatus) {
+	member.probing = false
+	member.responded(now)
 	if !status.Primary {
-		m.replicaSeenAt = now
-		g.vacateSlot(m.ID, now, "replica by probe")
+		member.replicaSeenAt = now
+		g.vacateSlot(member.ID, now, "replica by probe")
 		return
 	}
-	if m.Position.Less(status.Received) {
-		m.Position = status.Received
+	if member.Position.Less(status.Received) {
+		member.Position = status.Received
 	}
-	g.confirmPrimary(m, sentAt, "probe", status.Received)
+	g.confirmPrimary(member, sentAt, "probe", status.Received)
 }
 
 // RecordProbeFailure notes that a probe was not answered.
-func (g *Group) RecordProbeFailure(m *Member) { m.probing = false }
+func (g *Group) RecordProbeFailure(member *Member) { member.probing = false }
 
 // SuspectPrimary checks whether the primary has owed answers in silence for too long, and returns true if it is
 // suspected from now on.
@@ -120,8 +120,8 @@
 	return true
 }
 
-// TypicalLatency is the primary's average time from a request to its answer, in milliseconds; while there is no primary,
-// that of the slowest member.
+// TypicalLatency is the primary's average time from a request to its answer, in milliseconds; while there is no
+// primary, that of the slowest member.
 func (g *Group) TypicalLatency() float64 {
 	if p := g.Primary(); p != nil {
 		return p.latency
@@ -153,9 +153,9 @@
 	return 0
 }
 
-// DueProbes returns the members to send a health check now, and takes them for being checked: all that may lead while
-// the slot is empty, or a suspected primary. The caller asks only while something waits for a primary.
-func (g *Group) DueProbes(now float64) []*Member {
+// ProbesToSend returns the members to send a health check now, and takes them for being checked: all that may lead
+// while the slot is empty, or a suspected primary. The caller asks only while something waits for a primary.
+func (g *Group) ProbesToSend(now float64) []*Member {
 	p := g.Primary()
 	if now < g.nextProbe || p != nil && !p.Suspected {
 		return nil
--- a/internal/dataplane/group/member.go
+++ b/internal/dataplane/group/member.go
@@ -52,8 +52,8 @@
 }
 
 // Nearer says whether m is nearer than o. It draws lots between equally near ones, so that proxies differ.
-func (m *Member) Nearer(o *Member) bool {
-	return m.distance < o.distance || m.distance == o.distance && rand.IntN(2) == 0
+func (m *Member) Nearer(other *Member) bool {
+	return m.distance < other.distance || m.distance == other.distance && rand.IntN(2) == 0
 }
 
 // responded notes that the member answered: it is neither suspected nor ejected any more.
--- a/internal/dataplane/proxy/attempt.go
+++ b/internal/dataplane/proxy/attempt.go
@@ -12,69 +12,71 @@
 	"weirwind/internal/util/idempotency"
 )
 
-// readTimeout bounds one attempt of a read, in milliseconds: then another member is asked. A write has no second try, and
-// waits until its deadline.
+// readTimeout bounds one attempt of a read, in milliseconds: then another member is asked. A write has no second
+// try, and waits until its deadline.
 const readTimeout = 450.0
 
-// acquire checks out a member connection, and checks that the member has not closed it while it was idle. It waits until
+// acquire borrows a member connection, and checks that the member has not closed it while it was idle. It waits until
 // there is one, at the latest until the request's deadline is near.
-func (s *session) acquire(service string, request *connRequest) (*checkout, error) {
+func (s *session) acquire(service string, request *connRequest) (*lentConn, error) {
 	router := s.proxy.router
 	for {
-		request.reply, request.dialing = make(chan checkout, 1), ""
+		request.reply, request.dialing = make(chan lentConn, 1), ""
 		router.do(func() { router.enqueue(service, request) })
-		var c checkout
+		var lent lentConn
 		select {
-		case c = <-request.reply:
+		case lent = <-request.reply:
 		case <-s.proxy.ctx.Done():
 			return nil, errRetryLater
 		}
-		if c.err != nil {
-			return nil, c.err
+		if lent.err != nil {
+			return nil, lent.err
 		}
-		if c.conn.Alive() {
-			return &c, nil
+		if lent.conn.Alive() {
+			return &lent, nil
 		}
-		s.finish(&c, false, group.NoAnswer, wire.Position{})
+		s.finish(&lent, false, group.NoAnswer, wire.Position{})
 	}
 }
 
-// finish ends a checkout whose one request ended with the outcome. A connection that is not reusable is closed, which
-// rolls back what is open on it.
-func (s *session) finish(c *checkout, reusable bool, outcome group.Outcome, position wire.Position) {
+// finish gives back a connection whose one request ended with the outcome. A connection that is not reusable is
+// closed, which rolls back what is open on it.
+func (s *session) finish(lent *lentConn, reusable bool, outcome group.Outcome, position wire.Position) {
 	if !reusable {
-		c.conn.Close()
+		lent.conn.Close()
 	}
 	router := s.proxy.router
 	router.do(func() {
-		router.recordOutcome(c, c.sentAt, outcome, position)
-		router.checkIn(c, reusable)
+		router.recordOutcome(lent, lent.sentAt, outcome, position)
+		router.checkIn(lent, reusable)
 	})
 }
 
 // recordOutcome notes how a request ended on a connection that stays checked out.
-func (s *session) recordOutcome(c *checkout, sentAt float64, outcome group.Outcome, position wire.Position) {
+func (s *session) recordOutcome(lent *lentConn, sentAt float64, outcome group.Outcome, position wire.Position) {
 	router := s.proxy.router
-	router.do(func() { router.recordOutcome(c, sentAt, outcome, position) })
+	router.do(func() { router.recordOutcome(lent, sentAt, outcome, position) })
 }
 
 // send sends a single statement to a member and reads its answer, with the outcome that it is for routing.
-func (s *session) send(c *checkout, st *statement, write bool, deadline float64) (*memberconn.Reply, group.Outcome, error) {
+func (s *session) send(lent *lentConn, st *statement, write bool, deadline float64) (
+	*memberconn.Reply, group.Outcome, error) {
 	if write {
-		return s.sendWrite(c, st, s.proxy.timeAt(deadline))
+		return s.sendWrite(lent, st, s.proxy.timeAt(deadline))
 	}
 	until := s.proxy.timeAt(min(deadline, s.proxy.now()+readTimeout))
-	if c.verifyPrimary {
-		return s.sendVerifiedRead(c, st, until)
+	if lent.verifyPrimary {
+		return s.sendVerifiedRead(lent, st, until)
 	}
-	return s.sendRead(c, st, until)
+	return s.sendRead(lent, st, until)
 }
 
-func (s *session) sendWrite(c *checkout, st *statement, deadline time.Time) (*memberconn.Reply, group.Outcome, error) {
+func (s *session) sendWrite(lent *lentConn, st *statement, deadline time.Time) (
+	*memberconn.Reply, group.Outcome, error) {
 	var batch strings.Builder
-	text, preludes := s.appendPrelude(&batch, c.conn, st)
+	text, preludes := s.appendPrelude(&batch, lent.conn, st)
 	memberconn.AppendQuery(&batch, st.id, text)
-	reply, err := exchange(c.conn, batch.String(), preludes, deadline, discardRows)
+	reply, err := exchange(lent.conn, batch.String(), preludes, deadline, discardRows)
 	if err != nil {
 		return nil, 0, err
 	}
@@ -85,26 +87,29 @@
 	return &reply, outcome, nil
 }
 
-// sendRead sends a read that any member may answer whose log reaches the checkout's position.
-func (s *session) sendRead(c *checkout, st *statement, deadline time.Time) (*memberconn.Reply, group.Outcome, error) {
+// sendRead sends a read that any member may answer whose log reaches the position that the read must see.
+func (s *session) sendRead(lent *lentConn, st *statement, deadline time.Time) (
+	*memberconn.Reply, group.Outcome, error) {
 	var batch strings.Builder
-	text, preludes := s.appendPrelude(&batch, c.conn, st)
-	memberconn.AppendQuery(&batch, st.id, c.positionClause(), text)
-	reply, err := exchange(c.conn, batch.String(), preludes, deadline, s.forwardRows)
+	text, preludes := s.appendPrelude(&batch, lent.conn, st)
+	memberconn.AppendQuery(&batch, st.id, lent.positionClause(), text)
+	reply, err := exchange(lent.conn, batch.String(), preludes, deadline, s.forwardRows)
 	if err != nil {
 		return nil, 0, err
 	}
 	return &reply, outcomeOf(&reply), nil
 }
 
-// sendVerifiedRead sends a read in a transaction of the proxy's own, as a member that is no longer the primary refuses to
-// begin one. The answer to BEGIN is awaited before the read is sent: had the member lost its role in between, its rows
-// could be forwarded before that is known. The transaction is rolled back, and nothing of it is kept.
-func (s *session) sendVerifiedRead(c *checkout, st *statement, deadline time.Time) (*memberconn.Reply, group.Outcome, error) {
+// sendVerifiedRead sends a read in a transaction of the proxy's own, as a member that is no longer the primary
+// refuses to begin one. The answer to BEGIN is awaited before the read is sent: had the member lost its role in
+// between, its rows could be forwarded before that is known. The transaction is rolled back, and nothing of it is
+// kept.
+func (s *session) sendVerifiedRead(lent *lentConn, st *statement, deadline time.Time) (
+	*memberconn.Reply, group.Outcome, error) {
 	var batch strings.Builder
-	text, preludes := s.appendPrelude(&batch, c.conn, st)
+	text, preludes := s.appendPrelude(&batch, lent.conn, st)
 	memberconn.AppendQuery(&batch, internalQueryID, "BEGIN")
-	begun, err := exchangeInternal(c.conn, batch.String(), preludes, deadline)
+	begun, err := exchangeInternal(lent.conn, batch.String(), preludes, deadline)
 	if err != nil {
 		return nil, 0, err
 	}
@@ -114,12 +119,12 @@
 	batch.Reset()
 	memberconn.AppendQuery(&batch, st.id, text)
 	memberconn.AppendQuery(&batch, internalQueryID, "ABORT")
-	reply, err := exchange(c.conn, batch.String(), 0, deadline, s.forwardRows)
+	reply, err := exchange(lent.conn, batch.String(), 0, deadline, s.forwardRows)
 	if err != nil {
 		return nil, 0, err
 	}
 	outcome := outcomeOf(&reply)
-	ended, err := c.conn.ReadReply(nil)
+	ended, err := lent.conn.ReadReply(nil)
 	if err != nil {
 		return nil, 0, err
 	}
@@ -131,7 +136,7 @@
 }
 
 // positionClause makes the member check that its log reaches the position that the read must see; "" for none.
-func (c *checkout) positionClause() string {
+func (c *lentConn) positionClause() string {
 	if c.minPosition.IsZero() {
 		return ""
 	}
@@ -140,14 +145,14 @@
 
 // appendPrelude adds to a batch what the connection must be sent before the statement, so that it holds the session's
 // state. It returns the statement's text as it goes to the connection, and the number of queries added.
-func (s *session) appendPrelude(batch *strings.Builder, c *memberConn, st *statement) (text string, preludes int) {
+func (s *session) appendPrelude(batch *strings.Builder, conn *memberConn, st *statement) (text string, preludes int) {
 	text = st.text
 	var prepared *sessionstate.Statement
 	if st.parsed.Verb == "EXEC" {
 		p, _ := s.kept.Prepared(st.parsed.Name)
 		prepared = &p
 	}
-	texts, name := c.state.Sync(&s.kept, prepared)
+	texts, name := conn.state.Sync(&s.kept, prepared)
 	for _, t := range texts {
 		memberconn.AppendQuery(batch, internalQueryID, t)
 	}
@@ -162,30 +167,30 @@
 
 // exchange sends a batch and reads the answer to its statement, behind those to the preludes. forward takes rows that
 // are too many to keep.
-func exchange(c *memberConn, batch string, preludes int, deadline time.Time,
+func exchange(conn *memberConn, batch string, preludes int, deadline time.Time,
 	forward func(rows []string) error) (memberconn.Reply, error) {
-	if err := sendBatch(c, batch, preludes, deadline); err != nil {
+	if err := sendBatch(conn, batch, preludes, deadline); err != nil {
 		return memberconn.Reply{}, err
 	}
-	reply, err := c.ReadReply(forward)
+	reply, err := conn.ReadReply(forward)
 	return reply, requireStamp(&reply, err)
 }
 
 // exchangeInternal is exchange for a query of the proxy's own or a BEGIN, whose answers bear no stamp.
-func exchangeInternal(c *memberConn, batch string, preludes int, deadline time.Time) (memberconn.Reply, error) {
-	if err := sendBatch(c, batch, preludes, deadline); err != nil {
+func exchangeInternal(conn *memberConn, batch string, preludes int, deadline time.Time) (memberconn.Reply, error) {
+	if err := sendBatch(conn, batch, preludes, deadline); err != nil {
 		return memberconn.Reply{}, err
 	}
-	return c.ReadReply(nil)
+	return conn.ReadReply(nil)
 }
 
 // sendBatch sends a batch and reads the answers to the preludes, all of which must be successes.
-func sendBatch(c *memberConn, batch string, preludes int, deadline time.Time) error {
-	if err := c.WriteBatch(batch, deadline); err != nil {
+func sendBatch(conn *memberConn, batch string, preludes int, deadline time.Time) error {
+	if err := conn.WriteBatch(batch, deadline); err != nil {
 		return err
 	}
 	for range preludes {
-		reply, err := c.ReadReply(nil)
+		reply, err := conn.ReadReply(nil)
 		if err != nil {
 			return err
 		}
@@ -196,8 +201,8 @@
 	return nil
 }
 
-// requireStamp makes a success that bears no member's stamp an error: it belongs to another question, and this one has
-// no answer.
+// requireStamp makes a success that bears no member's stamp an error: it belongs to another question, and this one
+// has no answer.
 func requireStamp(reply *memberconn.Reply, err error) error {
 	if err == nil && reply.OK && reply.Text == wire.NoStamp {
 		return &idempotency.NoResponseError{Progress: idempotency.MaybeSent, Err: errors.New("a success without a stamp")}
--- a/internal/dataplane/proxy/connpool.go
+++ b/internal/dataplane/proxy/connpool.go
@@ -31,8 +31,8 @@
 	rejectedDialBackoff = 40 * time.Millisecond
 )
 
-// memberConn is a connection to a member, with the session state that it holds. A session that has checked it out owns
-// it; while it is idle, its pool does.
+// memberConn is a connection to a member, with the session state that it holds. A session that has checked it out
+// owns it; while it is idle, its pool does.
 type memberConn struct {
 	*memberconn.Conn
 	state     sessionstate.Conn
@@ -60,15 +60,16 @@
 
 // connPool is this proxy's connections to one member.
 //
-// open counts all of them: len(idle) idle ones, dialing ones that are being made, and those that are checked out. Each
-// has its place in open from the start of its dial until it is closed.
+// open counts all of them: len(idle) idle ones, dialing ones that are being made, and those that are checked out.
+// Each has its place in open from the start of its dial until it is closed.
 type connPool struct {
 	idle    []*memberConn // the longest idle first; all are reusable
 	open    int
 	dialing int
 }
 
-// take removes an idle connection, of which there must be one: the newest that holds values of the hash, else the newest.
+// take removes an idle connection, of which there must be one: the newest that holds values of the hash, else the
+// newest.
 func (p *connPool) take(valuesHash uint64) *memberConn {
 	chosen := len(p.idle) - 1
 	for i := chosen; i >= 0; i-- {
@@ -83,9 +84,9 @@
 }
 
 // put adds a connection that is no longer in use.
-func (p *connPool) put(c *memberConn, now float64) {
-	c.idleSince = now
-	p.idle = append(p.idle, c)
+func (p *connPool) put(conn *memberConn, now float64) {
+	conn.idleSince = now
+	p.idle = append(p.idle, conn)
 }
 
 // closeIdle closes all idle connections.
@@ -129,94 +130,96 @@
 	}
 }
 
-// connShare is how many connections this proxy may have to one member of the group: its part of nine tenths of what the
-// member takes, as the drivers don't see the same number of drivers at all times.
-func (r *router) connShare(g *memberGroup) int {
-	if g.maxConns == 0 {
+// connShare is how many connections this proxy may have to one member of the group: its part of nine tenths of what
+// the member takes, as the drivers don't see the same number of drivers at all times.
+func (r *router) connShare(grp *memberGroup) int {
+	if grp.maxConns == 0 {
 		return defaultShare
 	}
-	return max((g.maxConns-g.maxConns/10)/r.drivers(), minShare)
+	return max((grp.maxConns-grp.maxConns/10)/r.drivers(), minShare)
 }
 
 // availability returns a function that says whether a connection to a member is idle or may be made.
-func (r *router) availability(g *memberGroup) func(*group.Member) bool {
-	share := r.connShare(g)
+func (r *router) availability(grp *memberGroup) func(*group.Member) bool {
+	share := r.connShare(grp)
 	dials := max(maxDials/r.drivers(), minDialsPerDriver)
 	return func(m *group.Member) bool {
-		p := g.pools[m.ID]
+		p := grp.pools[m.ID]
 		return p == nil || len(p.idle) > 0 || p.open < share && p.dialing < dials
 	}
 }
 
-// dial makes a connection, which serves whichever request is next when it stands. It has a deadline of its own: bound to
-// that of the request that waited longest, and so has the least time left, none would ever stand where many wait.
-func (r *router) dial(g *memberGroup, m *group.Member) {
-	p := g.pool(m.ID)
+// dial makes a connection, which serves whichever request is next when it stands. It has a deadline of its own:
+// bound to that of the request that waited longest, and so has the least time left, none would ever stand where
+// many wait.
+func (r *router) dial(grp *memberGroup, member *group.Member) {
+	p := grp.pool(member.ID)
 	p.open++
 	p.dialing++
-	record, startedAt := m.Member, r.proxy.now()
+	record, startedAt := member.Member, r.proxy.now()
 	go func() {
 		c, err := dialMember(record, time.Now().Add(dialTimeout))
-		r.do(func() { r.dialed(g, m, c, err, startedAt) })
+		r.do(func() { r.dialed(grp, member, c, err, startedAt) })
 	}()
 }
 
 // dialed takes the result of a dial.
-func (r *router) dialed(g *memberGroup, m *group.Member, c *memberConn, err error, startedAt float64) {
-	p := g.pool(m.ID)
+func (r *router) dialed(grp *memberGroup, member *group.Member, conn *memberConn, err error, startedAt float64) {
+	p := grp.pool(member.ID)
 	p.dialing--
 	rejected := errors.Is(err, memberconn.ErrAttachRejected) // the member is there, and has no capacity
-	for _, request := range g.queue.waiting {
-		if request.dialing != m.ID {
+	for _, request := range grp.queue.waiting {
+		if request.dialing != member.ID {
 			continue
 		}
 		request.dialing = ""
 		if rejected && !request.requirement.Write && !request.requirement.Linearizable {
-			request.avoidMember(m.ID)
+			request.avoidMember(member.ID)
 		}
 	}
 	switch {
 	case err == nil:
-		r.keep(g, m, c)
+		r.keep(grp, member, conn)
 	case rejected:
 		p.open--
 	default:
 		p.open--
-		g.group.RecordOutcome(m, startedAt, r.proxy.now(), group.ConnectFailed, wire.Position{})
-		r.logSlot(g)
+		grp.routing.RecordOutcome(member, startedAt, r.proxy.now(), group.ConnectFailed, wire.Position{})
+		r.logSlot(grp)
 	}
 	if rejected && p.open <= p.dialing {
-		time.AfterFunc(rejectedDialBackoff, func() { r.do(func() { r.dispatch(g) }) })
+		time.AfterFunc(rejectedDialBackoff, func() { r.do(func() { r.dispatch(grp) }) })
 		return
 	}
-	r.dispatch(g)
+	r.dispatch(grp)
 }
 
 // keep puts a connection into its member's pool, or closes it if the pool may not keep it.
-func (r *router) keep(g *memberGroup, m *group.Member, c *memberConn) {
-	p := g.pool(m.ID)
-	if m.Tombstone || m.Draining || g.group.Members[m.ID] != m || p.open > r.connShare(g) || !c.Reusable() {
-		c.Close()
+func (r *router) keep(grp *memberGroup, member *group.Member, conn *memberConn) {
+	p := grp.pool(member.ID)
+	removed := member.Tombstone || grp.routing.Members[member.ID] != member
+	if removed || member.Draining || p.open > r.connShare(grp) || !conn.Reusable() {
+		conn.Close()
 		p.open--
 		return
 	}
-	p.put(c, r.proxy.now())
+	p.put(conn, r.proxy.now())
 }
 
 // warmUp makes a first connection to a group's primary and to its nearest replica, so that the first requests of a
 // process don't all wait for one at the same time.
-func (r *router) warmUp(g *memberGroup) {
-	primary := g.group.Primary()
+func (r *router) warmUp(grp *memberGroup) {
+	primary := grp.routing.Primary()
 	var nearest *group.Member
-	for _, m := range g.group.Members {
+	for _, m := range grp.routing.Members {
 		if m != primary && !m.Draining && (nearest == nil || m.Nearer(nearest)) {
 			nearest = m
 		}
 	}
 	for _, m := range []*group.Member{primary, nearest} {
-		if m == nil || g.pools[m.ID] != nil && g.pools[m.ID].open > 0 {
+		if m == nil || grp.pools[m.ID] != nil && grp.pools[m.ID].open > 0 {
 			continue
 		}
-		r.dial(g, m)
+		r.dial(grp, m)
 	}
 }
--- a/internal/dataplane/proxy/dispatch.go
+++ b/internal/dataplane/proxy/dispatch.go
@@ -14,8 +14,8 @@
 	rejectionInterval = 1000.0 // milliseconds between two log lines on a group's rejections
 )
 
-// connRequest asks for a member connection on which a statement, or a transaction, can be run. A session makes one for
-// each statement and uses it for all its attempts; while it is queued, the router owns it.
+// connRequest asks for a member connection on which a statement, or a transaction, can be run. A session makes one
+// for each statement and uses it for all its attempts; while it is queued, the router owns it.
 type connRequest struct {
 	requirement group.Requirement
 	commit      bool   // the answer to what is sent waits for replicas
@@ -24,14 +24,14 @@
 	startedAt, deadline float64
 	avoid               []string // members at which earlier attempts failed
 	dialing             string   // the member that a connection is being made to on its behalf, "" for none
-	reply               chan checkout
+	reply               chan lentConn
 }
 
 // avoidMember keeps further attempts away from a member, where another may do.
 func (q *connRequest) avoidMember(id string) { q.avoid = append(q.avoid, id) }
 
-// checkout is a connection that is lent to a session, with what the session must ask of the member.
-type checkout struct {
+// lentConn is a connection that is lent to a session, with what the session must ask of the member.
+type lentConn struct {
 	group  *memberGroup
 	member *group.Member
 	record directory.Member // the member's, as it was then
@@ -48,65 +48,67 @@
 func (r *router) enqueue(service string, request *connRequest) {
 	g := r.group(service)
 	if !g.queue.push(request) {
-		request.reply <- checkout{err: errRetryLater}
+		request.reply <- lentConn{err: errRetryLater}
 		return
 	}
 	r.dispatch(g)
 }
 
-// dispatch answers the queued requests that can be answered, in order of arrival: with an idle connection to the member
-// that the request is routed to, or with an error once too little time is left. For others it has connections made.
+// dispatch answers the queued requests that can be answered, in order of arrival: with an idle connection to the
+// member that the request is routed to, or with an error once too little time is left. For others it has
+// connections made.
 //
 // While there is no primary, requests of writes and linearizable reads are routed nowhere and so stay queued; the
 // dispatch after the writer slot was filled releases them in order.
-func (r *router) dispatch(g *memberGroup) {
-	if g.queue.len() == 0 {
+func (r *router) dispatch(grp *memberGroup) {
+	if grp.queue.len() == 0 {
 		return
 	}
 	now := r.proxy.now()
-	available := r.availability(g)
-	latency := g.group.TypicalLatency()
-	g.queue.removeIf(func(request *connRequest) bool {
+	available := r.availability(grp)
+	latency := grp.routing.TypicalLatency()
+	grp.queue.removeIf(func(request *connRequest) bool {
 		// What has no time left for an answer would be sent in vain, and its connection be lost with it: where many
 		// wait, each connection would be, and none would serve anybody.
 		if now >= request.deadline-min(2*latency, (request.deadline-request.startedAt)/3) {
-			request.reply <- checkout{err: errRetryLater}
-			r.logRejection(g, request, now)
+			request.reply <- lentConn{err: errRetryLater}
+			r.logRejection(grp, request, now)
 			return true
 		}
-		target := g.group.Route(&request.requirement, now, available,
+		target := grp.routing.Route(&request.requirement, now, available,
 			func(id string) bool { return slices.Contains(request.avoid, id) })
 		if target.Member == nil {
 			return false
 		}
-		if pool := g.pool(target.Member.ID); len(pool.idle) > 0 {
-			request.reply <- r.checkOut(g, pool, request, target, now)
+		if pool := grp.pool(target.Member.ID); len(pool.idle) > 0 {
+			request.reply <- r.checkOut(grp, pool, request, target, now)
 			return true
 		}
 		if request.dialing == "" {
 			request.dialing = target.Member.ID
-			r.dial(g, target.Member)
+			r.dial(grp, target.Member)
 		}
 		return false
 	})
-	r.probe(g)
+	r.probe(grp)
 }
 
 // checkOut lends an idle connection of a pool that has one.
-func (r *router) checkOut(g *memberGroup, pool *connPool, request *connRequest, target group.Target, now float64) checkout {
+func (r *router) checkOut(grp *memberGroup, pool *connPool, request *connRequest, target group.Target,
+	now float64) lentConn {
 	m := target.Member
 	m.InFlight++
-	g.group.RecordSend(m, now, request.commit)
-	return checkout{group: g, member: m, record: m.Member, conn: pool.take(request.valuesHash),
+	grp.routing.RecordSend(m, now, request.commit)
+	return lentConn{group: grp, member: m, record: m.Member, conn: pool.take(request.valuesHash),
 		minPosition: target.MinPosition, verifyPrimary: target.VerifyPrimary, sentAt: now}
 }
 
 // checkIn takes a connection back. not reusable: it was closed.
-func (r *router) checkIn(c *checkout, reusable bool) {
-	g, m := c.group, c.member
+func (r *router) checkIn(lent *lentConn, reusable bool) {
+	g, m := lent.group, lent.member
 	m.InFlight--
 	if reusable {
-		r.keep(g, m, c.conn)
+		r.keep(g, m, lent.conn)
 	} else {
 		g.pool(m.ID).open--
 	}
@@ -121,17 +123,17 @@
 }
 
 // logRejection logs what a request waited for in vain, at most a line a second for each group.
-func (r *router) logRejection(g *memberGroup, request *connRequest, now float64) {
-	log := &g.rejections
+func (r *router) logRejection(grp *memberGroup, request *connRequest, now float64) {
+	log := &grp.rejections
 	if log.count++; now < log.loggedAt+rejectionInterval {
 		return
 	}
 	log.loggedAt = now
-	pairs := []any{"svc", g.group.Service, "count", log.count, "write", request.requirement.Write,
-		"slot", g.group.Slot.Holder, "share", r.connShare(g), "stuck", g.group.CommitsStalled(now)}
-	if p := g.group.Primary(); p != nil {
+	pairs := []any{"svc", grp.routing.Service, "count", log.count, "write", request.requirement.Write,
+		"slot", grp.routing.Slot.Holder, "share", r.connShare(grp), "stuck", grp.routing.CommitsStalled(now)}
+	if p := grp.routing.Primary(); p != nil {
 		pairs = append(pairs, "doubted", p.Suspected)
-		if pool := g.pools[p.ID]; pool != nil {
+		if pool := grp.pools[p.ID]; pool != nil {
 			pairs = append(pairs, "open", pool.open, "idle", len(pool.idle), "dialing", pool.dialing)
 		}
 	}
--- a/internal/dataplane/proxy/dispatch_test.go
+++ b/internal/dataplane/proxy/dispatch_test.go
@@ -24,18 +24,18 @@
 	p.startedAt = time.Now().Add(-time.Minute)
 	r := p.router
 	g := r.group("s")
-	g.group.UpdateMember(directory.Member{ID: "a", Service: "s", Zone: "z", Role: directory.RolePrimary, Incarnation: 1, Seq: 1}, p.now())
-	a := g.group.Members["a"]
+	g.routing.UpdateMember(directory.Member{ID: "a", Service: "s", Zone: "z", Role: directory.RolePrimary, Incarnation: 1, Seq: 1}, p.now())
+	a := g.routing.Members["a"]
 	for range 50 { // answers take 100 ms of late
 		now := p.now()
-		g.group.RecordSend(a, now-100, false)
-		g.group.RecordOutcome(a, now-100, now, group.AnsweredAsPrimary, wire.Position{Term: 1, Number: 1})
+		g.routing.RecordSend(a, now-100, false)
+		g.routing.RecordOutcome(a, now-100, now, group.AnsweredAsPrimary, wire.Position{Term: 1, Number: 1})
 	}
 	g.pool("a").open = r.connShare(g) // none can be made
 	var requests []*connRequest
 	for _, left := range []float64{60, 110, 700} {
 		request := &connRequest{requirement: group.Requirement{Write: true}, startedAt: p.now() + left - 1000,
-			deadline: p.now() + left, reply: make(chan checkout, 1)}
+			deadline: p.now() + left, reply: make(chan lentConn, 1)}
 		requests = append(requests, request)
 		r.enqueue("s", request)
 	}
--- a/internal/dataplane/proxy/doc.go
+++ b/internal/dataplane/proxy/doc.go
@@ -3,15 +3,15 @@
 //
 // # Goroutines
 //
-// One goroutine runs the router (type router). It owns what sessions share: the configuration, the groups with their
-// connection pools (connPool) and queues (waitQueue), and the shards' routing table (shardRouter). Others reach it by
-// commands, and it never does I/O. Each client's connection has a goroutine that runs its session (type session), does
-// that session's I/O with the client and with the member connection that it has checked out, and carries out one
-// statement at a time. Further goroutines follow the agent, accept clients, and make one dial, health check or rollback
-// each. All end with the context of Run, or by a timeout of their own.
+// One goroutine runs the router (type router). It owns what sessions share: the configuration, the groups with
+// their connection pools (connPool) and queues (waitQueue), and the shards' routing table (shardRouter). Others
+// reach it by commands, and it never does I/O. Each client's connection has a goroutine that runs its session (type
+// session), does that session's I/O with the client and with the member connection that it has checked out, and
+// carries out one statement at a time. Further goroutines follow the agent, accept clients, and make one dial,
+// health check or rollback each. All end with the context of Run, or by a timeout of their own.
 //
-// Decisions are made elsewhere, without I/O: package group says where a statement goes, sessionstate what a connection
-// must be sent first, idempotency what may be put again.
+// Decisions are made elsewhere, without I/O: package group says where a statement goes, sessionstate what a
+// connection must be sent first, idempotency what may be put again.
 //
 // # The way of a statement
 //
@@ -30,29 +30,31 @@
 //	execution.succeeded,    answer the client, or say that there is another attempt
 //	refused, unanswered
 //
-// A transaction begins at a member before its first statement (session.pin), which takes the same steps with BEGIN. Its
-// connection stays pinned until its end (unpin, rollBack); its statements go there by sendInTransaction, once each.
+// A transaction begins at a member before its first statement (session.pin), which takes the same steps with BEGIN.
+// Its connection stays pinned until its end (unpin, rollBack); its statements go there by sendInTransaction, once
+// each.
 //
-// Answers are collected (reply.go) and written once the statement has its whole answer. Only rows that are too many to
-// keep are forwarded earlier; then no other member may answer the statement.
+// Answers are collected (reply.go) and written once the statement has its whole answer. Only rows that are too many
+// to keep are forwarded earlier; then no other member may answer the statement.
 //
 // # While there is no primary
 //
-// A write, a transaction or a linearizable read is routed nowhere while the group's writer slot is empty, or its member
-// is suspected: its request stays in the queue, and the router sends health checks. Once the slot is filled, by a
-// heartbeat, an answer or a health check, dispatch releases the queue in order of arrival. A request whose deadline comes
-// too near for an answer is rejected with RETRY: nothing of its statement was sent. A write that a member refused as
-// read-only (its role had changed) joins the queue in the same way. A request for a shard without an owner waits in the
-// shard's queue until a newer map names one.
+// A write, a transaction or a linearizable read is routed nowhere while the group's writer slot is empty, or its
+// member is suspected: its request stays in the queue, and the router sends health checks. Once the slot is filled,
+// by a heartbeat, an answer or a health check, dispatch releases the queue in order of arrival. A request whose
+// deadline comes too near for an answer is rejected with RETRY: nothing of its statement was sent. A write that a
+// member refused as read-only (its role had changed) joins the queue in the same way. A request for a shard without
+// an owner waits in the shard's queue until a newer map names one.
 //
-// A write that was sent and not answered is neither queued nor sent again, as it may have been committed: its client is
-// answered UNKNOWN. At a shard, whose nodes know the outcome of each attempt, it is asked for (resolveOutcome).
+// A write that was sent and not answered is neither queued nor sent again, as it may have been committed: its
+// client is answered UNKNOWN. At a shard, whose nodes know the outcome of each attempt, it is asked for
+// (resolveOutcome).
 //
 // # Deadlines
 //
-// A statement must be answered deadlineMargin before its route's timeout. The router gives a request up while there is
-// still time for an answer, by the group's usual latency. One attempt of a read is cut at readTimeout, so that there is
-// time to ask another member; a write waits for its one answer until the deadline.
+// A statement must be answered deadlineMargin before its route's timeout. The router gives a request up while there
+// is still time for an answer, by the group's usual latency. One attempt of a read is cut at readTimeout, so that
+// there is time to ask another member; a write waits for its one answer until the deadline.
 //
 // # Errors
 //
--- a/internal/dataplane/proxy/errors.go
+++ b/internal/dataplane/proxy/errors.go
@@ -82,8 +82,8 @@
 		errors.Is(err, wire.ErrBufferBudget)
 }
 
-// failCode maps an error to the code of FAIL that a client is answered with. No other place does. An error that was not
-// made for clients promises nothing.
+// failCode maps an error to the code of FAIL that a client is answered with. No other place does. An error that was
+// not made for clients promises nothing.
 func failCode(err error) string {
 	var own *clientError
 	switch {
@@ -97,7 +97,8 @@
 
 // The codes of members' own FAILs are forwarded to clients, but for those that the proxy acts on itself:
 
-// isRetryableShardCode says whether a shard node's refusal only means that nothing was kept: the client may try again.
+// isRetryableShardCode says whether a shard node's refusal only means that nothing was kept: the client may try
+// again.
 func isRetryableShardCode(code string) bool {
 	switch strings.ToUpper(code) {
 	case shardnode.CodeNoRoom, shardnode.CodeVoid, shardnode.CodeState:
--- a/internal/dataplane/proxy/message.go
+++ b/internal/dataplane/proxy/message.go
@@ -59,7 +59,8 @@
 	}
 }
 
-// handleStatement carries out a statement: by the session alone if it only changes the session's state, else by a member.
+// handleStatement carries out a statement: by the session alone if it only changes the session's state, else by a
+// member.
 func (s *session) handleStatement(id, text string, parsed wire.Statement) {
 	switch parsed.Verb {
 	case "SET":
@@ -117,8 +118,8 @@
 	s.runSingle(st, route)
 }
 
-// route is the host's in the configuration of the moment, nil for none any more. It binds a single statement, or a whole
-// transaction.
+// route is the host's in the configuration of the moment, nil for none any more. It binds a single statement, or a
+// whole transaction.
 func (s *session) route() *config.Route {
 	if cfg := s.proxy.config.Load(); cfg != nil {
 		return cfg.RouteForHost(s.host)
--- a/internal/dataplane/proxy/proxy.go
+++ b/internal/dataplane/proxy/proxy.go
@@ -123,7 +123,8 @@
 	}
 }
 
-// warmUp has the first connections made once there is a configuration, at random times as all proxies may start at once.
+// warmUp has the first connections made once there is a configuration, at random times as all proxies may start at
+// once.
 func (p *Proxy) warmUp() {
 	select {
 	case <-p.router.configured:
@@ -164,8 +165,8 @@
 }
 
 // serve runs a client's session to its end.
-func (p *Proxy) serve(c net.Conn) {
-	s := &session{proxy: p, client: c}
+func (p *Proxy) serve(client net.Conn) {
+	s := &session{proxy: p, client: client}
 	p.mu.Lock()
 	p.sessions[s] = struct{}{}
 	p.mu.Unlock()
--- a/internal/dataplane/proxy/retry_test.go
+++ b/internal/dataplane/proxy/retry_test.go
@@ -136,10 +136,10 @@
 	}
 	p.config.Store(cfg)
 	g := p.router.group("s")
-	g.group.UpdateMember(directory.Member{ID: "a", Service: "s", Zone: "z", Addr: ln.Addr().String(), Role: directory.RolePrimary, Incarnation: 1, Seq: 1}, p.now())
+	g.routing.UpdateMember(directory.Member{ID: "a", Service: "s", Zone: "z", Addr: ln.Addr().String(), Role: directory.RolePrimary, Incarnation: 1, Seq: 1}, p.now())
 	now := p.now()
-	g.group.RecordSend(g.group.Members["a"], now-1, false)
-	g.group.RecordOutcome(g.group.Members["a"], now-1, now, group.AnsweredAsPrimary, wire.Position{Term: 1, Number: 1})
+	g.routing.RecordSend(g.routing.Members["a"], now-1, false)
+	g.routing.RecordOutcome(g.routing.Members["a"], now-1, now, group.AnsweredAsPrimary, wire.Position{Term: 1, Number: 1})
 	go p.router.run()
 	here, there := net.Pipe()
 	k := &client{c: here, r: wire.NewReader(here)}
--- a/internal/dataplane/proxy/router.go
+++ b/internal/dataplane/proxy/router.go
@@ -24,12 +24,12 @@
 	startupDriverCount = 6
 )
 
-// router owns what the sessions of a proxy share: the configuration, the replication groups with their connection pools
-// and queues, and the shards' routing table.
+// router owns what the sessions of a proxy share: the configuration, the replication groups with their connection
+// pools and queues, and the shards' routing table.
 //
-// All its fields but commands and configured, and all its methods but do, run and the commands' wrappers, belong to the
-// one goroutine that runs it. Sessions reach it by commands only. It does no I/O itself: connections are made, and health
-// checks sent, by goroutines that hand their result back as a command.
+// All its fields but commands and configured, and all its methods but do, run and the commands' wrappers, belong to
+// the one goroutine that runs it. Sessions reach it by commands only. It does no I/O itself: connections are made,
+// and health checks sent, by goroutines that hand their result back as a command.
 type router struct {
 	proxy    *Proxy
 	commands *commandqueue.Queue
@@ -44,7 +44,7 @@
 
 // memberGroup is a replication group with this proxy's connections to its members.
 type memberGroup struct {
-	group      *group.Group
+	routing    *group.Group         // decides where statements go
 	pools      map[string]*connPool // by member id; a member without connections has none
 	queue      waitQueue[*connRequest]
 	maxConns   int // connections that each member may have from all drivers; 0: not configured
@@ -53,9 +53,16 @@
 	reporter   reporter
 }
 
-func newRouter(p *Proxy) *router {
-	return &router{proxy: p, commands: commandqueue.New(p.ctx, commandBacklog), configured: make(chan struct{}),
-		members: directory.NewMembers(), driverCount: 1, groups: map[string]*memberGroup{}, shards: newShardRouter()}
+func newRouter(proxy *Proxy) *router {
+	return &router{
+		proxy:       proxy,
+		commands:    commandqueue.New(proxy.ctx, commandBacklog),
+		configured:  make(chan struct{}),
+		members:     directory.NewMembers(),
+		driverCount: 1,
+		groups:      map[string]*memberGroup{},
+		shards:      newShardRouter(),
+	}
 }
 
 // do queues a command. After the proxy's context has ended, it never runs.
@@ -68,10 +75,10 @@
 	now := r.proxy.now()
 	r.shards.dispatch(now)
 	for _, g := range r.groups {
-		g.group.SuspectPrimary(now)
+		g.routing.SuspectPrimary(now)
 		r.dispatch(g)
 		r.probe(g)
-		if report := g.reporter.next(g.group, now); report != nil {
+		if report := g.reporter.next(g.routing, now); report != nil {
 			r.proxy.report(report)
 		}
 		for id, pool := range g.pools {
@@ -82,18 +89,18 @@
 }
 
 // update takes what the agent sends: whatever of it is set.
-func (r *router) update(u *controlmsg.StateUpdate) {
+func (r *router) update(update *controlmsg.StateUpdate) {
 	now := r.proxy.now()
-	if u.DriverCount > 0 {
-		r.driverCount = u.DriverCount
+	if update.DriverCount > 0 {
+		r.driverCount = update.DriverCount
 	}
-	if u.Config != nil && (r.config == nil || u.ConfigVersion > r.config.Version) { // never an older one
-		r.updateConfig(u.Config)
+	if update.Config != nil && (r.config == nil || update.ConfigVersion > r.config.Version) { // never an older one
+		r.updateConfig(update.Config)
 	}
-	if r.shards.table.Update(u.ShardMap) {
+	if r.shards.table.Update(update.ShardMap) {
 		r.shards.dispatch(now)
 	}
-	r.updateMembers(u.Members, now)
+	r.updateMembers(update.Members, now)
 }
 
 func (r *router) updateConfig(raw []byte) {
@@ -118,7 +125,7 @@
 	changed := map[string]*memberGroup{}
 	for _, m := range r.members.Merge(records, now) {
 		g := r.group(m.Service)
-		g.group.UpdateMember(m, now)
+		g.routing.UpdateMember(m, now)
 		changed[m.Service] = g
 		if m.Tombstone || m.Draining {
 			g.closeIdle(m.ID)
@@ -130,12 +137,12 @@
 	}
 }
 
-// group returns a service's group, a new one if the service was never heard of: its members may become known before the
-// configuration that names it.
+// group returns a service's group, a new one if the service was never heard of: its members may become known before
+// the configuration that names it.
 func (r *router) group(service string) *memberGroup {
 	g := r.groups[service]
 	if g == nil {
-		g = &memberGroup{group: group.NewGroup(service, r.proxy.distanceTo), pools: map[string]*connPool{},
+		g = &memberGroup{routing: group.NewGroup(service, r.proxy.distanceTo), pools: map[string]*connPool{},
 			queue: waitQueue[*connRequest]{max: maxQueuedRequests}}
 		r.groups[service] = g
 	}
@@ -151,46 +158,48 @@
 }
 
 // recordOutcome takes how a request ended on a connection that stays checked out.
-func (r *router) recordOutcome(c *checkout, sentAt float64, outcome group.Outcome, position wire.Position) {
-	c.group.group.RecordOutcome(c.member, sentAt, r.proxy.now(), outcome, position)
-	r.logSlot(c.group)
+func (r *router) recordOutcome(lent *lentConn, sentAt float64, outcome group.Outcome, position wire.Position) {
+	lent.group.routing.RecordOutcome(lent.member, sentAt, r.proxy.now(), outcome, position)
+	r.logSlot(lent.group)
 }
 
 // logSlot logs the change of a group's writer slot, if there was one.
-func (r *router) logSlot(g *memberGroup) {
-	holder := g.group.Slot.Holder
-	if holder == g.loggedSlot {
+func (r *router) logSlot(grp *memberGroup) {
+	holder := grp.routing.Slot.Holder
+	if holder == grp.loggedSlot {
 		return
 	}
-	g.loggedSlot = holder
+	grp.loggedSlot = holder
+	service, reason, queued := grp.routing.Service, grp.routing.SlotReason, grp.queue.len()
 	if holder == "" {
-		r.proxy.log.Event(events.SlotEmptied, "svc", g.group.Service, "why", g.group.SlotReason, "held", g.queue.len())
+		r.proxy.log.Event(events.SlotEmptied, "svc", service, "why", reason, "held", queued)
 	} else {
-		r.proxy.log.Event(events.SlotFilled, "svc", g.group.Service, "by", g.group.SlotReason, "held", g.queue.len())
+		r.proxy.log.Event(events.SlotFilled, "svc", service, "by", reason, "held", queued)
 	}
 }
 
 // probe sends the health checks that are due, while something waits for a primary.
-func (r *router) probe(g *memberGroup) {
-	if p := g.group.Primary(); g.queue.len() == 0 && (p == nil || !p.Suspected) {
+func (r *router) probe(grp *memberGroup) {
+	if p := grp.routing.Primary(); grp.queue.len() == 0 && (p == nil || !p.Suspected) {
 		return
 	}
 	now := r.proxy.now()
-	for _, m := range g.group.DueProbes(now) {
+	for _, m := range grp.routing.ProbesToSend(now) {
 		record := m.Member
 		go func() {
 			status, err := queryStatus(record)
-			r.do(func() { r.recordProbe(g, m, now, status, err) })
+			r.do(func() { r.recordProbe(grp, m, now, status, err) })
 		}()
 	}
 }
 
-func (r *router) recordProbe(g *memberGroup, m *group.Member, sentAt float64, status wire.MemberStatus, err error) {
+func (r *router) recordProbe(grp *memberGroup, member *group.Member, sentAt float64, status wire.MemberStatus,
+	err error) {
 	if err != nil {
-		g.group.RecordProbeFailure(m)
+		grp.routing.RecordProbeFailure(member)
 	} else {
-		g.group.RecordProbe(m, sentAt, r.proxy.now(), status)
+		grp.routing.RecordProbe(member, sentAt, r.proxy.now(), status)
 	}
-	r.logSlot(g)
-	r.dispatch(g)
+	r.logSlot(grp)
+	r.dispatch(grp)
 }
--- a/internal/dataplane/proxy/session.go
+++ b/internal/dataplane/proxy/session.go
@@ -21,8 +21,8 @@
 	txIdleSlack   = 5.0     // milliseconds that a read deadline may fire early
 )
 
-// session is a client's connection. Its goroutine (run) reads the client's messages one at a time, carries each out to
-// the end and writes the answer; all fields but mu and waiting belong to it.
+// session is a client's connection. Its goroutine (run) reads the client's messages one at a time, carries each out
+// to the end and writes the answer; all fields but mu and waiting belong to it.
 type session struct {
 	proxy  *Proxy
 	client net.Conn
@@ -194,8 +194,8 @@
 	return time.Duration(idle * 1e6)
 }
 
-// endsWhileIdle looks at a session whose client sent nothing for the time wait, or that was woken. A transaction that is
-// idle for too long, or still open at the end of the process, is rolled back. true: the session ends.
+// endsWhileIdle looks at a session whose client sent nothing for the time wait, or that was woken. A transaction
+// that is idle for too long, or still open at the end of the process, is rolled back. true: the session ends.
 func (s *session) endsWhileIdle(wait time.Duration) bool {
 	phase := s.proxy.phase()
 	if s.tx != nil && (s.proxy.now()-s.answeredAt > milliseconds(wait)-txIdleSlack || phase >= closingAll) {
@@ -204,8 +204,8 @@
 	return s.tx == nil && phase >= draining && s.isIdle() && s.nothingUnread()
 }
 
-// isIdle says whether the session has been idle for so long that its client is hardly about to send anything: one that
-// has just attached, or was just answered, may have its next message on the way.
+// isIdle says whether the session has been idle for so long that its client is hardly about to send anything: one
+// that has just attached, or was just answered, may have its next message on the way.
 func (s *session) isIdle() bool {
 	return s.proxy.now()-s.answeredAt >= milliseconds(s.proxy.idleTimeout())/2
 }
--- a/internal/dataplane/proxy/shard.go
+++ b/internal/dataplane/proxy/shard.go
@@ -38,9 +38,9 @@
 	}
 }
 
-// shardMoved takes a node's refusal of a statement that was sent by an epoch: text is the refusal's code and the newest
-// epoch that the node has heard of. A node that has not heard of the epoch yet is given a moment; otherwise the shard has
-// another owner, and the next resolveService waits for a map that names it.
+// shardMoved takes a node's refusal of a statement that was sent by an epoch: text is the refusal's code and the
+// newest epoch that the node has heard of. A node that has not heard of the epoch yet is given a moment; otherwise
+// the shard has another owner, and the next resolveService waits for a map that names it.
 func (s *session) shardMoved(route *config.Route, epoch uint64, text string) {
 	_, number := wire.CutField(text)
 	known, _ := strconv.ParseUint(number, 10, 64) // a refusal without one is as of epoch 0
@@ -62,19 +62,19 @@
 		if !ok {
 			break
 		}
-		c, err := s.acquire(node, request)
+		lent, err := s.acquire(node, request)
 		if err != nil {
 			break
 		}
 		question := fmt.Sprintf("SHARD SETTLE %s %d %s", route.Shard, epoch, id)
-		rows, err := c.conn.Query(question, s.proxy.timeAt(deadline))
+		rows, err := lent.conn.Query(question, s.proxy.timeAt(deadline))
 		var refusal *memberconn.MemberError
 		refused := errors.As(err, &refusal)
 		if err != nil && !refused {
-			s.finish(c, false, group.NoAnswer, wire.Position{})
+			s.finish(lent, false, group.NoAnswer, wire.Position{})
 			continue
 		}
-		s.finish(c, true, group.Answered, wire.Position{})
+		s.finish(lent, true, group.Answered, wire.Position{})
 		switch {
 		case !refused && len(rows) == 1:
 			s.replyLine(wire.MsgDone + " " + rows[0])
--- a/internal/dataplane/proxy/shardrouter.go
+++ b/internal/dataplane/proxy/shardrouter.go
@@ -6,8 +6,8 @@
 
 const maxQueuedAtShard = 4000 // requests that wait for one shard's owner
 
-// shardRouter owns the shards' routing table and the requests that wait for a shard without an owner. It belongs to the
-// router's goroutine.
+// shardRouter owns the shards' routing table and the requests that wait for a shard without an owner. It belongs to
+// the router's goroutine.
 type shardRouter struct {
 	table  *shardmap.RoutingTable
 	queues map[string]*waitQueue[*shardRequest] // by shard; a shard that nothing waits for has none
--- a/internal/dataplane/proxy/shutdown.go
+++ b/internal/dataplane/proxy/shutdown.go
@@ -37,8 +37,9 @@
 
 func (p *Proxy) idleTimeout() time.Duration { return idleTimeouts[p.phase()] }
 
-// shutDown lets go of the clients, phase by phase, within the grace period. New clients are served in all of them: they
-// still come for as long as the platform hasn't seen that the process is not ready, or has no other in their zone.
+// shutDown lets go of the clients, phase by phase, within the grace period. New clients are served in all of them:
+// they still come for as long as the platform hasn't seen that the process is not ready, or has no other in their
+// zone.
 func (p *Proxy) shutDown(front net.Listener) {
 	p.log.Event(events.Stopping, "sessions", p.clientConns.Load())
 	startedAt, grace := time.Now(), p.settings.GracePeriod
--- a/internal/dataplane/proxy/statement.go
+++ b/internal/dataplane/proxy/statement.go
@@ -25,7 +25,8 @@
 // What was sent to a member and not answered is put again only if a second run is harmless (idempotency): reads are
 // idempotent, writes are not. The client of a write without an answer is told that its outcome is unknown.
 //
-// An execution, its statement included, stays on the stack: the statement is a value, as what a field points to would not.
+// An execution, its statement included, stays on the stack: the statement is a value, as what a field points to
+// would not.
 type execution struct {
 	*session
 	statement statement
@@ -50,7 +51,8 @@
 func (s *session) runSingle(st *statement, route *config.Route) {
 	e := execution{session: s, statement: *st, route: route, write: s.writes(st),
 		deadline: st.receivedAt + route.Timeout - deadlineMargin}
-	e.request = &connRequest{startedAt: st.receivedAt, deadline: e.deadline, valuesHash: s.kept.ValuesHash(), commit: e.write}
+	e.request = &connRequest{startedAt: st.receivedAt, deadline: e.deadline, valuesHash: s.kept.ValuesHash(),
+		commit: e.write}
 	if e.write {
 		e.request.requirement = group.Requirement{Write: true}
 	} else {
@@ -78,22 +80,22 @@
 	if !ok {
 		return giveUp
 	}
-	c, err := e.acquire(service, e.request)
+	lent, err := e.acquire(service, e.request)
 	if err != nil {
 		return giveUp
 	}
-	reply, outcome, err := e.send(c, &e.statement, e.write, e.deadline)
+	reply, outcome, err := e.send(lent, &e.statement, e.write, e.deadline)
 	switch {
 	case err != nil:
-		return e.unanswered(c, err)
+		return e.unanswered(lent, err)
 	case reply.OK:
-		return e.succeeded(c, reply, outcome)
+		return e.succeeded(lent, reply, outcome)
 	}
-	return e.refused(c, epoch, reply, outcome)
+	return e.refused(lent, epoch, reply, outcome)
 }
 
-func (e *execution) succeeded(c *checkout, reply *memberconn.Reply, outcome group.Outcome) verdict {
-	e.finish(c, true, outcome, reply.Position)
+func (e *execution) succeeded(lent *lentConn, reply *memberconn.Reply, outcome group.Outcome) verdict {
+	e.finish(lent, true, outcome, reply.Position)
 	if e.write {
 		e.recordCommit(reply.Position)
 	}
@@ -102,30 +104,30 @@
 }
 
 // unanswered follows a member that gave no answer, or none that can be believed.
-func (e *execution) unanswered(c *checkout, err error) verdict {
-	e.finish(c, false, group.NoAnswer, wire.Position{})
+func (e *execution) unanswered(lent *lentConn, err error) verdict {
+	e.finish(lent, false, group.NoAnswer, wire.Position{})
 	switch {
 	case e.rowsForwarded: // another member's rows would not be those that the client has the first of
 		e.replyError(errRetryLater, wire.StateIdle)
 	case kindOf(e.write).MayRetry(err):
 		if !e.write { // a write's next attempt goes to the primary, wherever that is
-			e.request.avoidMember(c.record.ID)
+			e.request.avoidMember(lent.record.ID)
 		}
 		return retry
 	case e.route.Shard != "":
 		e.resolveOutcome(e.route, e.statement.id, e.statement.receivedAt, e.deadline)
 	default:
-		e.replyError(unansweredError(outcomeUnknown, c.record.ID), wire.StateIdle)
+		e.replyError(unansweredError(outcomeUnknown, lent.record.ID), wire.StateIdle)
 	}
 	return answered
 }
 
 // refused follows a member's FAIL.
-func (e *execution) refused(c *checkout, epoch uint64, reply *memberconn.Reply, outcome group.Outcome) verdict {
+func (e *execution) refused(lent *lentConn, epoch uint64, reply *memberconn.Reply, outcome group.Outcome) verdict {
 	// What it left open is rolled back with its connection. One that forgot a prepared statement is not asked again, as
 	// the connection's state is not what it is taken for.
 	reusable := reply.State == wire.StateIdle && reply.Code != wire.CodeNoStatement
-	e.finish(c, reusable, outcome, reply.Position)
+	e.finish(lent, reusable, outcome, reply.Position)
 	if e.route.Shard != "" {
 		switch {
 		case reply.Code == shardnode.CodeMoved:
@@ -139,7 +141,7 @@
 	case wire.CodeReadOnly, wire.CodeLagging: // it joins what is queued, and is routed again
 		return retry
 	case wire.CodeRetry, wire.CodeFull, wire.CodeWrongHost, wire.CodeNoStatement:
-		e.request.avoidMember(c.record.ID)
+		e.request.avoidMember(lent.record.ID)
 		if e.proxy.now()+minRetryTime >= e.deadline || e.attempts >= maxPausedRetries {
 			return giveUp
 		}
@@ -147,7 +149,7 @@
 		return retry
 	case wire.CodeFailed, wire.CodeTimeout:
 		if e.mayRetryFailedRead() {
-			e.request.avoidMember(c.record.ID)
+			e.request.avoidMember(lent.record.ID)
 			return retry
 		}
 	}
@@ -160,9 +162,9 @@
 	return !e.write && e.attempts == 0 && !e.request.requirement.Linearizable && !e.rowsForwarded
 }
 
-// kindOf says what a second run of a statement would do, outside a transaction or as its COMMIT. Statements inside a
-// transaction are never put again: it ends with its connection. BEGIN is idempotent, as the end of its connection rolls
-// it back.
+// kindOf says what a second run of a statement would do, outside a transaction or as its COMMIT. Statements inside
+// a transaction are never put again: it ends with its connection. BEGIN is idempotent, as the end of its connection
+// rolls it back.
 func kindOf(write bool) idempotency.Kind {
 	if write {
 		return idempotency.AtMostOnce
--- a/internal/dataplane/proxy/status.go
+++ b/internal/dataplane/proxy/status.go
@@ -39,10 +39,10 @@
 	}
 }
 
-func (p *Proxy) handleStatus(w http.ResponseWriter, _ *http.Request) {
-	all, err := commandqueue.Call(p.ctx, p.router.commands, p.router.status)
+func (p *Proxy) handleStatus(w http.ResponseWriter, r *http.Request) {
+	all, err := commandqueue.Call(r.Context(), p.router.commands, p.router.status)
 	if err != nil {
-		return // the process ends
+		return // whoever asked is gone, or the process ends
 	}
 	all.Sessions = p.clientConns.Load()
 	e := json.NewEncoder(w)
@@ -61,8 +61,8 @@
 		for id, pool := range g.pools {
 			conns[id] = pool.open
 		}
-		all.Groups[service] = groupStatus{Connections: conns, Share: r.connShare(g), Slot: g.group.Slot.Holder,
-			Waiting: g.queue.len(), Why: g.group.SlotReason}
+		all.Groups[service] = groupStatus{Connections: conns, Share: r.connShare(g), Slot: g.routing.Slot.Holder,
+			Waiting: g.queue.len(), Why: g.routing.SlotReason}
 	}
 	return all
 }
--- a/internal/dataplane/proxy/transaction.go
+++ b/internal/dataplane/proxy/transaction.go
@@ -14,15 +14,15 @@
 
 const rollbackTimeout = time.Second
 
-// transaction is one that the client has open. It begins at a member only before its first statement, so that one that
-// is begun and not used takes no connection; from then on its connection is pinned, as only there it exists.
+// transaction is one that the client has open. It begins at a member only before its first statement, so that one
+// that is begun and not used takes no connection; from then on its connection is pinned, as only there it exists.
 type transaction struct {
 	id, text  string // of the client's BEGIN
 	readOnly  bool
 	startedAt float64 // milliseconds, when the BEGIN came
 	route     *config.Route
 
-	pinned *checkout // nil: it has not begun at a member, or has ended there
+	pinned *lentConn // nil: it has not begun at a member, or has ended there
 	ran    bool      // a statement went to a member and was answered
 	wrote  bool      // one that writes ran, or may have run
 
@@ -56,9 +56,9 @@
 	s.replyDone()
 }
 
-// runInTransaction carries out a statement, or the COMMIT, of the open transaction. A statement is sent once: without an
-// answer the transaction ends, rolled back with its connection. Only a first statement that a member refused as
-// read-only is sent to another one, in a new transaction.
+// runInTransaction carries out a statement, or the COMMIT, of the open transaction. A statement is sent once:
+// without an answer the transaction ends, rolled back with its connection. Only a first statement that a member
+// refused as read-only is sent to another one, in a new transaction.
 func (s *session) runInTransaction(st *statement) {
 	tx := s.tx
 	deadline := st.receivedAt + tx.route.Timeout - deadlineMargin
@@ -86,27 +86,27 @@
 
 // sendInTransaction sends a statement over the pinned connection and reads its answer.
 func (s *session) sendInTransaction(tx *transaction, st *statement, deadline float64) (memberconn.Reply, error) {
-	router, c := s.proxy.router, tx.pinned
+	router, lent := s.proxy.router, tx.pinned
 	var batch strings.Builder
-	text, preludes := s.appendPrelude(&batch, c.conn, st)
+	text, preludes := s.appendPrelude(&batch, lent.conn, st)
 	memberconn.AppendQuery(&batch, st.id, text)
 	sentAt := s.proxy.now()
 	commit := st.parsed.Verb == "COMMIT" && tx.wrote
-	router.do(func() { c.group.group.RecordSend(c.member, sentAt, commit) })
-	reply, err := exchange(c.conn, batch.String(), preludes, s.proxy.timeAt(deadline), s.forwardRows)
+	router.do(func() { lent.group.routing.RecordSend(lent.member, sentAt, commit) })
+	reply, err := exchange(lent.conn, batch.String(), preludes, s.proxy.timeAt(deadline), s.forwardRows)
 	switch {
 	case err != nil:
-		s.recordOutcome(c, sentAt, group.NoAnswer, wire.Position{})
+		s.recordOutcome(lent, sentAt, group.NoAnswer, wire.Position{})
 	case reply.OK && !tx.readOnly:
-		s.recordOutcome(c, sentAt, group.AnsweredAsPrimary, reply.Position)
+		s.recordOutcome(lent, sentAt, group.AnsweredAsPrimary, reply.Position)
 	default:
-		s.recordOutcome(c, sentAt, outcomeOf(&reply), reply.Position)
+		s.recordOutcome(lent, sentAt, outcomeOf(&reply), reply.Position)
 	}
 	return reply, err
 }
 
-// transactionUnanswered ends a transaction one of whose statements was not answered. Its connection's end rolls it back,
-// unless it was a COMMIT that may have come to the member behind writes.
+// transactionUnanswered ends a transaction one of whose statements was not answered. Its connection's end rolls it
+// back, unless it was a COMMIT that may have come to the member behind writes.
 func (s *session) transactionUnanswered(tx *transaction, st *statement, deadline float64, err error) {
 	memberID := tx.pinned.record.ID
 	s.unpin(tx, false)
@@ -184,22 +184,22 @@
 	if !ok {
 		return giveUp
 	}
-	c, err := s.acquire(service, request)
+	lent, err := s.acquire(service, request)
 	if err != nil {
 		return giveUp
 	}
-	reply, outcome, err := s.sendBegin(c, tx, request.deadline)
+	reply, outcome, err := s.sendBegin(lent, tx, request.deadline)
 	if err != nil {
-		s.finish(c, false, group.NoAnswer, wire.Position{})
-		request.avoidMember(c.record.ID)
+		s.finish(lent, false, group.NoAnswer, wire.Position{})
+		request.avoidMember(lent.record.ID)
 		return retry
 	}
 	if reply.OK && reply.State == wire.StateInTransaction {
-		tx.pinned = c
-		s.recordOutcome(c, c.sentAt, outcome, reply.Position)
+		tx.pinned = lent
+		s.recordOutcome(lent, lent.sentAt, outcome, reply.Position)
 		return answered
 	}
-	s.finish(c, reply.State == wire.StateIdle, outcome, reply.Position)
+	s.finish(lent, reply.State == wire.StateIdle, outcome, reply.Position)
 	switch {
 	case tx.route.Shard != "" && reply.Code == shardnode.CodeMoved:
 		s.shardMoved(tx.route, epoch, reply.Text)
@@ -207,7 +207,7 @@
 	case reply.Code == wire.CodeReadOnly || reply.Code == wire.CodeLagging:
 		return retry
 	}
-	request.avoidMember(c.record.ID)
+	request.avoidMember(lent.record.ID)
 	if s.proxy.now()+minRetryTime >= request.deadline {
 		return giveUp
 	}
@@ -217,20 +217,21 @@
 
 // sendBegin sends the transaction's BEGIN. Where the member must prove that it is the primary, that of a reading
 // transaction goes as a plain BEGIN, which only the primary takes.
-func (s *session) sendBegin(c *checkout, tx *transaction, deadline float64) (memberconn.Reply, group.Outcome, error) {
+func (s *session) sendBegin(lent *lentConn, tx *transaction, deadline float64) (
+	memberconn.Reply, group.Outcome, error) {
 	var batch strings.Builder
-	texts, _ := c.conn.state.Sync(&s.kept, nil)
+	texts, _ := lent.conn.state.Sync(&s.kept, nil)
 	for _, text := range texts {
 		memberconn.AppendQuery(&batch, internalQueryID, text)
 	}
 	text, clause := tx.text, ""
-	if c.verifyPrimary {
+	if lent.verifyPrimary {
 		text = "BEGIN"
 	} else if tx.readOnly {
-		clause = c.positionClause()
+		clause = lent.positionClause()
 	}
 	memberconn.AppendQuery(&batch, tx.id, clause, s.shardPrefix+text)
-	reply, err := exchangeInternal(c.conn, batch.String(), len(texts), s.proxy.timeAt(deadline))
+	reply, err := exchangeInternal(lent.conn, batch.String(), len(texts), s.proxy.timeAt(deadline))
 	if err != nil {
 		return reply, group.NoAnswer, err
 	}
@@ -246,40 +247,41 @@
 	s.lastCommit, s.lastCommitAt = position, s.proxy.now()
 }
 
-// unpin gives the transaction's connection back. One that is not reusable is closed, which rolls the transaction back.
+// unpin gives the transaction's connection back. One that is not reusable is closed, which rolls the transaction
+// back.
 func (s *session) unpin(tx *transaction, reusable bool) {
-	c := tx.pinned
-	if c == nil {
+	lent := tx.pinned
+	if lent == nil {
 		return
 	}
 	if !reusable {
-		c.conn.Close()
+		lent.conn.Close()
 	}
 	tx.pinned = nil
 	router := s.proxy.router
-	router.do(func() { router.checkIn(c, reusable) })
+	router.do(func() { router.checkIn(lent, reusable) })
 }
 
 // rollBack ends a transaction at its member without waiting: the connection comes back once the member has answered.
 func (s *session) rollBack(tx *transaction) {
-	c := tx.pinned
-	if c == nil {
+	lent := tx.pinned
+	if lent == nil {
 		return
 	}
 	tx.pinned = nil
 	router := s.proxy.router
 	go func() { // ends by its timeout
-		reusable := rolledBack(c.conn)
+		reusable := rolledBack(lent.conn)
 		if !reusable {
-			c.conn.Close()
+			lent.conn.Close()
 		}
-		router.do(func() { router.checkIn(c, reusable) })
+		router.do(func() { router.checkIn(lent, reusable) })
 	}()
 }
 
 // rolledBack has a member roll back the transaction on a connection, and says whether it did.
-func rolledBack(c *memberConn) bool {
-	reply, err := exchangeInternal(c, "QUERY - ABORT\r\n", 0, time.Now().Add(rollbackTimeout))
+func rolledBack(conn *memberConn) bool {
+	reply, err := exchangeInternal(conn, "QUERY - ABORT\r\n", 0, time.Now().Add(rollbackTimeout))
 	return err == nil && reply.State == wire.StateIdle
 }
 
--- a/internal/dataplane/proxy/transcript_test.go
+++ b/internal/dataplane/proxy/transcript_test.go
@@ -120,7 +120,7 @@
 	x.do(func() {
 		g := x.p.router.group("s")
 		for _, id := range []string{"a", "b"} {
-			for m := g.group.Members[id]; m != nil && len(g.pool(id).idle) < 7; {
+			for m := g.routing.Members[id]; m != nil && len(g.pool(id).idle) < 7; {
 				here, there := net.Pipe()
 				side := &[]string{}
 				x.members, x.ends = append(x.members, side), append(x.ends, there)
@@ -512,8 +512,8 @@
 		{"answers no commit", func(x *transcript) {
 			x.do(func() {
 				g := x.p.router.group("s")
-				m := g.group.Members["a"]
-				g.group.RecordSend(m, x.p.now(), true)
+				m := g.routing.Members["a"]
+				g.routing.RecordSend(m, x.p.now(), true)
 			})
 			time.Sleep(thinkTime)
 			for range 90 {
--- a/internal/dataplane/proxy/waitqueue.go
+++ b/internal/dataplane/proxy/waitqueue.go
@@ -2,19 +2,19 @@
 
 import "slices"
 
-// waitQueue holds what waits, in order of arrival. Each waiter is answered exactly once, at the latest when its deadline
-// is near: whoever removes it has answered it.
+// waitQueue holds what waits, in order of arrival. Each waiter is answered exactly once, at the latest when its
+// deadline is near: whoever removes it has answered it.
 type waitQueue[W any] struct {
 	waiting []W
 	max     int // waiters beyond it are rejected at once
 }
 
 // push appends a waiter. false: the queue is full.
-func (q *waitQueue[W]) push(w W) bool {
+func (q *waitQueue[W]) push(waiter W) bool {
 	if len(q.waiting) >= q.max {
 		return false
 	}
-	q.waiting = append(q.waiting, w)
+	q.waiting = append(q.waiting, waiter)
 	return true
 }
 
--- a/internal/dataplane/sessionstate/conn.go
+++ b/internal/dataplane/sessionstate/conn.go
@@ -19,15 +19,15 @@
 // ValuesHash is the hash of the values that the connection holds, comparable with a session's.
 func (c *Conn) ValuesHash() uint64 { return c.valuesHash }
 
-// Sync returns the texts to send before a statement of the session, in order, nil for none, and takes them for sent: a
-// connection on which one of them fails is to be closed. prepared is the prepared statement that is to run, nil for
-// none; name is what the connection calls it.
-func (c *Conn) Sync(s *Session, prepared *Statement) (texts []string, name string) {
-	if c.hasForeignValues(s) || prepared != nil && len(c.prepared) >= maxPreparedPerConn {
+// Sync returns the texts to send before a statement of the session, in order, nil for none, and takes them for
+// sent: a connection on which one of them fails is to be closed. prepared is the prepared statement that is to run,
+// nil for none; name is what the connection calls it.
+func (c *Conn) Sync(session *Session, prepared *Statement) (texts []string, name string) {
+	if c.hasForeignValues(session) || prepared != nil && len(c.prepared) >= maxPreparedPerConn {
 		texts = append(texts, "RESET")
 		c.values, c.prepared = nil, nil
 	}
-	texts = c.syncValues(texts, s)
+	texts = c.syncValues(texts, session)
 	if prepared == nil {
 		return texts, ""
 	}
@@ -40,9 +40,9 @@
 }
 
 // hasForeignValues says whether the connection holds a value that the session has not set.
-func (c *Conn) hasForeignValues(s *Session) bool {
+func (c *Conn) hasForeignValues(session *Session) bool {
 	for name := range c.values {
-		if _, known := s.values[name]; !known {
+		if _, known := session.values[name]; !known {
 			return true
 		}
 	}
@@ -50,9 +50,9 @@
 }
 
 // syncValues appends a SET for each value that the connection lacks, in order of their names.
-func (c *Conn) syncValues(texts []string, s *Session) []string {
-	for _, name := range slices.Sorted(maps.Keys(s.values)) {
-		value := s.values[name]
+func (c *Conn) syncValues(texts []string, session *Session) []string {
+	for _, name := range slices.Sorted(maps.Keys(session.values)) {
+		value := session.values[name]
 		if held, known := c.values[name]; known && held == value {
 			continue
 		}
@@ -66,7 +66,7 @@
 		}
 		texts = append(texts, text)
 	}
-	c.valuesHash = s.valuesHash
+	c.valuesHash = session.valuesHash
 	return texts
 }
 
--- a/internal/dataplane/sessionstate/doc.go
+++ b/internal/dataplane/sessionstate/doc.go
@@ -1,12 +1,14 @@
-// Package sessionstate tracks the state of client sessions, so that any pooled member connection can serve any of them.
+// Package sessionstate tracks the state of client sessions, so that any pooled member connection can serve any of
+// them.
 //
 // A session's state is its values (SET) and its prepared statements (PREP). The proxy answers both itself, without a
 // member: Session keeps them. Before a statement goes to a member, Conn.Sync compares the session with what the
 // connection holds from the sessions that it served before, and returns the texts that make them equal: RESET and SET
 // for values, PREP for the one prepared statement that is to run.
 //
-// The invariant is that a statement never runs with values that its client did not set, nor without those that it did.
-// Values that the connection has too many can only be dropped by RESET, which drops its prepared statements too.
+// The invariant is that a statement never runs with values that its client did not set, nor without those that it
+// did. Values that the connection has too many can only be dropped by RESET, which drops its prepared statements
+// too.
 //
 // Prepared statements are kept on a connection under names of its own ("w1", "w2", ..), by kind and text, so that
 // sessions share them whatever their clients call them.
--- a/internal/writerslot/doc.go
+++ b/internal/writerslot/doc.go
@@ -1,9 +1,8 @@
 // Package writerslot is a replication group's writer slot, which names the believed primary.
 //
-// The slot holds the member that writes are sent to, or none; while it holds none, its owner queues writes and never
-// guesses. The driver's decision module (logic) and
-// the proxy's routing (internal/dataplane/group) share these rules; deploy/balancer.toml lists slot.go among the files
-// that decide.
+// The slot holds the member that writes are sent to, or none; while it holds none, its owner queues writes and
+// never guesses. The driver's decision module (logic) and the proxy's routing (internal/dataplane/group) share
+// these rules; deploy/balancer.toml lists slot.go among the files that decide.
 //
 // # What fills the slot
 //
