--- a/cmd/agent/main.go
+++ b/cmd/agent/main.go
@@ -12,8 +12,8 @@
 )
 
 func main() {
-	os.Exit(process.Main(process.Role{Name: "agent", About: "the agent beside a proxy", Run: agent.Run,
-		Needs: func(s *settings.Settings) error {
+	os.Exit(process.Main(process.Role{Name: "agent", Summary: "the agent beside a proxy", Run: agent.Run,
+		Check: func(s *settings.Settings) error {
 			if len(s.Peers) == 0 {
 				return oops.In("settings").Errorf("an agent needs peers")
 			}
--- a/cmd/controlplane/main.go
+++ b/cmd/controlplane/main.go
@@ -13,8 +13,8 @@
 )
 
 func main() {
-	os.Exit(process.Main(process.Role{Name: "controlplane", About: "a machine of the core, the control plane", Run: controlplane.Run,
-		Needs: func(s *settings.Settings) error {
+	os.Exit(process.Main(process.Role{Name: "controlplane", Summary: "a machine of the core, the control plane", Run: controlplane.Run,
+		Check: func(s *settings.Settings) error {
 			if s.ControlAddr == "" || s.DataDir == "" {
 				return oops.In("settings").Errorf("a machine of the core needs listen.ctl and datadir")
 			}
--- a/cmd/proxy/main.go
+++ b/cmd/proxy/main.go
@@ -12,8 +12,8 @@
 )
 
 func main() {
-	os.Exit(process.Main(process.Role{Name: "proxy", About: "the proxy between clients and members", Run: proxy.Run,
-		Needs: func(s *settings.Settings) error {
+	os.Exit(process.Main(process.Role{Name: "proxy", Summary: "the proxy between clients and members", Run: proxy.Run,
+		Check: func(s *settings.Settings) error {
 			if s.FrontAddr == "" || s.ReadyAddr == "" {
 				return oops.In("settings").Errorf("a proxy needs listen.front and listen.readyAddr")
 			}
--- a/cmd/sessionedge/main.go
+++ b/cmd/sessionedge/main.go
@@ -12,8 +12,8 @@
 )
 
 func main() {
-	os.Exit(process.Main(process.Role{Name: "sessionedge", About: "an edge of open sessions", Run: edge.Run,
-		Needs: func(s *settings.Settings) error {
+	os.Exit(process.Main(process.Role{Name: "sessionedge", Summary: "an edge of open sessions", Run: edge.Run,
+		Check: func(s *settings.Settings) error {
 			if len(s.Peers) == 0 || s.FrontAddr == "" {
 				return oops.In("settings").Errorf("an edge needs peers and listen.front")
 			}
--- a/cmd/sessionsite/main.go
+++ b/cmd/sessionsite/main.go
@@ -12,8 +12,8 @@
 )
 
 func main() {
-	os.Exit(process.Main(process.Role{Name: "sessionsite", About: "a site of open sessions", Run: site.Run,
-		Needs: func(s *settings.Settings) error {
+	os.Exit(process.Main(process.Role{Name: "sessionsite", Summary: "a site of open sessions", Run: site.Run,
+		Check: func(s *settings.Settings) error {
 			if len(s.Peers) == 0 || s.ReadyAddr == "" {
 				return oops.In("settings").Errorf("a site needs peers and listen.readyAddr")
 			}
--- a/internal/controlplane/agent/history_test.go
+++ b/internal/controlplane/agent/history_test.go
@@ -58,7 +58,7 @@
 		Peers: []string{"127.1.0.1:8782", "127.2.0.1:8782"}}
 	h := &history{t: t, draw: rand.New(rand.NewPCG(seed, 1)), out: out, ln: &pipes{make(chan net.Conn)},
 		up: make(chan *controlLink)}
-	h.a = &Agent{settings: s, log: events.Nothing(), ctx: ctx, commands: commandqueue.New(ctx, 0),
+	h.a = &Agent{settings: s, log: events.Discard(), ctx: ctx, commands: commandqueue.New(ctx, 0),
 		members: directory.NewMembers(), proxies: map[*controlLink]bool{}, peers: map[string]*peer{},
 		coreAddrs: s.Peers, backoff: initialBackoff,
 		self: directory.Driver{Name: "front-1", Addr: "127.1.0.9:1", Zone: "z", Incarnation: 5}}
--- a/internal/controlplane/contact_test.go
+++ b/internal/controlplane/contact_test.go
@@ -17,7 +17,7 @@
 func silentTables() (*Server, *tables) {
 	ctx, cancel := context.WithCancelCause(context.Background())
 	Reset(func() { cancel(nil) })
-	h := &Server{set: &settings.Settings{}, log: events.Nothing(), ctx: ctx, cancel: cancel, start: time.Now().Add(-time.Hour)}
+	h := &Server{set: &settings.Settings{}, log: events.Discard(), ctx: ctx, cancel: cancel, start: time.Now().Add(-time.Hour)}
 	t := newTables(h)
 	now := h.now()
 	t.leases.Renew(directory.Driver{Name: "front", Incarnation: 1}, now-1)
--- a/internal/dataplane/proxy/bench_test.go
+++ b/internal/dataplane/proxy/bench_test.go
@@ -48,7 +48,7 @@
 func attachBenchClient(b *testing.B, host string) net.Conn {
 	b.Helper()
 	ctx, stop := context.WithCancel(context.Background())
-	p := newProxy(ctx, &settings.Settings{Zone: "z", MemoryMB: 8}, events.Nothing())
+	p := newProxy(ctx, &settings.Settings{Zone: "z", MemoryMB: 8}, events.Discard())
 	go p.router.run()
 	done := make(chan struct{})
 	p.router.do(func() {
--- a/internal/dataplane/proxy/dispatch_test.go
+++ b/internal/dataplane/proxy/dispatch_test.go
@@ -20,7 +20,7 @@
 func TestConnectionsGoToRequestsWithTimeLeft(t *testing.T) {
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	p := newProxy(ctx, &settings.Settings{Zone: "z"}, events.Nothing())
+	p := newProxy(ctx, &settings.Settings{Zone: "z"}, events.Discard())
 	p.startedAt = time.Now().Add(-time.Minute)
 	r := p.router
 	g := r.group("s")
--- a/internal/dataplane/proxy/retry_test.go
+++ b/internal/dataplane/proxy/retry_test.go
@@ -128,7 +128,7 @@
 			go m.serve(c)
 		}
 	}()
-	p := newProxy(ctx, &settings.Settings{Zone: "z", MemoryMB: 8}, events.Nothing())
+	p := newProxy(ctx, &settings.Settings{Zone: "z", MemoryMB: 8}, events.Discard())
 	p.startedAt = time.Now().Add(-time.Minute)
 	cfg, err := config.Parse([]byte(`{"gen":1,"routes":[{"name":"r","host":"db","type":"primary","timeoutMs":3000,"svc":"s"}],"svcs":[{"name":"s","maxConns":50,"syncN":1}]}`))
 	if err != nil {
--- a/internal/lab/hollow/processes.go
+++ b/internal/lab/hollow/processes.go
@@ -136,7 +136,7 @@
 	}
 	go func() {
 		defer close(done)
-		if err := agent.Run(ctx, set, events.Nothing()); err != nil {
+		if err := agent.Run(ctx, set, events.Discard()); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 		}
 	}()
--- a/internal/util/events/events.go
+++ b/internal/util/events/events.go
@@ -150,8 +150,8 @@
 
 var tidy = strings.NewReplacer(`"level"=0 `, "", `"msg"=`, "")
 
-// Nothing logs nowhere.
-func Nothing() Log { return Log{logr.Discard(), &ring{}} }
+// Discard logs nowhere.
+func Discard() Log { return Log{logr.Discard(), &ring{}} }
 
 // Event logs one with pairs of keys and values.
 func (l Log) Event(e Event, pairs ...any) { l.l.Info(fmt.Sprintf("E%d", int(e)), pairs...) }
@@ -167,8 +167,8 @@
 	l.l.Info(fmt.Sprintf("E%d", int(e)), append(pairs, "error", err.Error())...)
 }
 
-// Newest gives the lines that are kept.
-func (l Log) Newest() []string {
+// Recent gives the lines that are kept.
+func (l Log) Recent() []string {
 	l.kept.mu.Lock()
 	defer l.kept.mu.Unlock()
 	return append([]string(nil), l.kept.lines...)
@@ -177,7 +177,7 @@
 // ServeHTTP answers with the newest events; ?about=WORD leaves those that don't have the word.
 func (l Log) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	about := r.URL.Query().Get("about")
-	for _, line := range l.Newest() {
+	for _, line := range l.Recent() {
 		if strings.Contains(line, about) {
 			io.WriteString(w, line+"\n")
 		}
--- a/internal/util/events/events_test.go
+++ b/internal/util/events/events_test.go
@@ -35,13 +35,13 @@
 	if !strings.HasSuffix(line, `core1 "E501" "svc"="s" "held"=3`) {
 		t.Error(line)
 	}
-	if n := l.Newest(); len(n) != 1 || n[0] != line {
+	if n := l.Recent(); len(n) != 1 || n[0] != line {
 		t.Error(n)
 	}
 	for range 2 * mostKept {
 		l.Event(SlotFilled)
 	}
-	if n := len(l.Newest()); n > mostKept {
+	if n := len(l.Recent()); n > mostKept {
 		t.Error(n)
 	}
 }
--- a/internal/util/events/golden_test.go
+++ b/internal/util/events/golden_test.go
@@ -48,5 +48,5 @@
 			t.Errorf("%q gives %d lines, want %d", query, n, lines)
 		}
 	}
-	Nothing().Event(Started, "nowhere", true)
+	Discard().Event(Started, "nowhere", true)
 }
--- a/internal/util/process/process.go
+++ b/internal/util/process/process.go
@@ -23,8 +23,8 @@
 // Role is what a program does with its settings until the context ends.
 type Role struct {
 	Name  string
-	About string
-	Needs func(*settings.Settings) error
+	Summary string
+	Check func(*settings.Settings) error
 	Run   func(context.Context, *settings.Settings, events.Log) error
 }
 
@@ -35,7 +35,7 @@
 	file := flags.String("settings", os.Getenv(settings.EnvVariable), "settings `file`; else the variable "+settings.EnvVariable+" names it")
 	check := flags.Bool("check", false, "read and check the settings, and end")
 	flags.Usage = func() {
-		fmt.Fprintf(out, "%s: %s\n\nUsage: %s [-settings FILE] [-check]\n\n", r.Name, r.About, r.Name)
+		fmt.Fprintf(out, "%s: %s\n\nUsage: %s [-settings FILE] [-check]\n\n", r.Name, r.Summary, r.Name)
 		flags.PrintDefaults()
 		fmt.Fprintln(out, "\nSIGHUP reads the settings again, SIGTERM ends in order. The log, on standard error, has numbered events: docs/events.md.")
 	}
@@ -87,8 +87,8 @@
 		return nil, oops.In("settings").Wrap(err)
 	}
 	s, err := settings.Read(text)
-	if err == nil && r.Needs != nil {
-		err = r.Needs(s)
+	if err == nil && r.Check != nil {
+		err = r.Check(s)
 	}
 	return s, err
 }
