--- a/internal/dataplane/wire/golden_test.go
+++ b/internal/dataplane/wire/golden_test.go
@@ -11,7 +11,8 @@
 
 var update = flag.Bool("update", false, "write testdata/messages.golden anew")
 
-// render writes what each kind of message parses to, the limits, the errors' texts and the words on the wire, one a line.
+// render writes what each kind of message parses to, the limits, the errors' texts and the words on the wire, one a
+// line.
 func render() string {
 	var b strings.Builder
 	line := func(kind string, in, out any) { fmt.Fprintf(&b, "%s\t%q\t%v\n", kind, in, out) }
