--- a/internal/dataplane/group/doc.go
+++ b/internal/dataplane/group/doc.go
@@ -1,7 +1,7 @@
 // Package group decides, for one replication group as one proxy sees it, which member each statement is routed to.
 //
 // It is a pure state machine: it does no I/O and reads no clock. The caller (package proxy) reports what happens,
-// with the time in milliseconds on its own steady clock, and asks for decisions:
+// with the time in milliseconds on its own monotonic clock, and asks for decisions:
 //
 //	event                                   method
 //	a member's record in the directory      UpdateMember
@@ -13,7 +13,7 @@
 //	question                                method
 //	where may this statement go now?        Route
 //	who is the primary?                     Primary
-//	do commits hang, does the primary?      CommitsStalled, PrimaryUnresponsiveFor
+//	does the primary hang, do commits?      PrimaryUnresponsiveFor, CommitsStalled
 //
 // # The writer slot
 //
--- a/internal/dataplane/group/group.go
+++ b/internal/dataplane/group/group.go
@@ -61,16 +61,16 @@
 	}
 }
 
-// vacateSlot empties the slot if the member is in it. It is the member's own word, or the control plane's, that it no
-// longer leads: evidence from before now can't bring it back.
+// vacateSlot empties the slot if the member is in it, on evidence from the member or the control plane that it no
+// longer leads: older evidence can't put it back.
 func (g *Group) vacateSlot(id string, now float64, reason string) {
 	if g.Slot.Holder == id {
 		g.emptySlot(now, false, id+" "+reason)
 	}
 }
 
-// emptySlot empties the slot and makes a probe due at once. silent: its member did not say so itself, and fills the
-// slot again by its next word.
+// emptySlot empties the slot and makes a probe due at once. silent: there is no evidence but missing answers, so that
+// the member's next answer may put it back.
 func (g *Group) emptySlot(now float64, silent bool, reason string) {
 	g.Slot.Clear(now, silent)
 	g.SlotReason = reason
--- a/internal/dataplane/group/health.go
+++ b/internal/dataplane/group/health.go
@@ -2,7 +2,7 @@
 
 import "weirwind/internal/dataplane/wire"
 
-// Failure detection, in milliseconds unless said otherwise.
+// Failure detection. Times are in milliseconds.
 const (
 	// ProbeInterval is the first interval between two probes while the slot is empty and something waits.
 	ProbeInterval = 200.0
@@ -10,8 +10,8 @@
 	maxProbeInterval = 800.0
 	probeBackoff     = 1.5 // factor of an interval over the one before
 
-	minSuspicion       = 220.0 // silence of a primary that owes answers until it is suspected, at the least
-	suspicionLatencies = 6.0   // and at the least so many times its latency
+	minSuspicion       = 220.0 // time without any answer until a primary with pending requests is suspected, at least
+	suspicionLatencies = 6.0   // and at least so many times its latency
 	commitStall        = 450.0 // a commit unanswered for so long, while its member answers other requests, is stalled
 )
 
@@ -23,7 +23,7 @@
 	Answered          Outcome = iota // as a member of any role may answer
 	AnsweredAsPrimary                // as only a primary answers
 	RefusedReadOnly                  // it is no primary: the request missed
-	RefusedLagging                   // its log lacks the position that was asked for
+	RefusedLagging                   // its log does not reach the required position
 	NoAnswer                         // the connection ended, or the deadline passed
 	ConnectFailed                    // no connection could be made
 )
@@ -36,7 +36,7 @@
 	}
 }
 
-// RecordOutcome notes how the request that was sent at sentAt ended, and the position that its answer bore.
+// RecordOutcome notes how the request that was sent at sentAt ended, and the log position in its answer.
 func (g *Group) RecordOutcome(member *Member, sentAt, now float64, outcome Outcome, position wire.Position) {
 	member.pendingSends = remove(member.pendingSends, sentAt)
 	member.pendingCommits = remove(member.pendingCommits, sentAt)
@@ -105,8 +105,8 @@
 // RecordProbeFailure notes that a probe was not answered.
 func (g *Group) RecordProbeFailure(member *Member) { member.probing = false }
 
-// SuspectPrimary checks whether the primary has owed answers in silence for too long, and returns true if it is
-// suspected from now on.
+// SuspectPrimary checks whether the primary has requests pending and has answered nothing for too long. It returns
+// true if the primary is suspected from now on.
 func (g *Group) SuspectPrimary(now float64) bool {
 	p := g.Primary()
 	if p == nil || p.Suspected || len(p.pendingSends) == 0 {
@@ -144,8 +144,8 @@
 	return now-oldest > commitStall && p.lastResponse > oldest+commitStall/2
 }
 
-// PrimaryUnresponsiveFor is how long the primary's oldest request is unanswered with nothing heard since, in
-// milliseconds; 0 if it owes no answer.
+// PrimaryUnresponsiveFor is how long the primary's oldest request is pending with no other answer since, in
+// milliseconds; 0 if none is pending.
 func (g *Group) PrimaryUnresponsiveFor(now float64) float64 {
 	if p := g.Primary(); p != nil {
 		return p.unresponsiveFor(now)
@@ -154,7 +154,7 @@
 }
 
 // ProbesToSend returns the members to send a health check now, and takes them for being checked: all that may lead
-// while the slot is empty, or a suspected primary. The caller asks only while something waits for a primary.
+// while the slot is empty, or a suspected primary. The caller calls it only while something waits for a primary.
 func (g *Group) ProbesToSend(now float64) []*Member {
 	p := g.Primary()
 	if now < g.nextProbe || p != nil && !p.Suspected {
--- a/internal/dataplane/group/member.go
+++ b/internal/dataplane/group/member.go
@@ -30,11 +30,12 @@
 type Member struct {
 	directory.Member
 
-	// Position is the furthest log position that the member is known to have. It never goes back.
+	// Position is the furthest log position that the member is known to have. It never decreases.
 	Position wire.Position
 	// InFlight counts the connections of this proxy on which a request or a transaction is open. The caller keeps it.
 	InFlight int
-	// Suspected says that the member was the primary and owed answers in silence. Any answer ends it.
+	// Suspected says that the member, as primary, answered nothing for too long while requests were pending. Any
+	// answer ends it.
 	Suspected bool
 
 	lastResponse   float64   // when it last answered anything here, or when it became known
@@ -67,7 +68,8 @@
 	m.ejectedUntil = now + m.ejection
 }
 
-// unresponsiveFor is how long the oldest unanswered request waits with nothing heard since; 0 if there is none.
+// unresponsiveFor is how long the oldest pending request has been waiting with no other answer since; 0 if none is
+// pending.
 func (m *Member) unresponsiveFor(now float64) float64 {
 	if len(m.pendingSends) == 0 {
 		return 0
--- a/internal/dataplane/group/routing.go
+++ b/internal/dataplane/group/routing.go
@@ -76,9 +76,9 @@
 }
 
 // leastLoadedReplica returns the replica with the fewest requests of this proxy in flight among those whose log may
-// reach the position, nil for none. A replica that is not known to reach it is tried, as its own check decides, but
-// not if the session's commit is so recent that it can hardly have arrived there, nor if the replica just refused a
-// read.
+// reach the position, nil for none. A replica that is not known to reach it is a candidate, as its own check
+// decides, but not if the session's commit is so recent that it can hardly have arrived there, nor if the replica
+// just refused a read.
 func (g *Group) leastLoadedReplica(position wire.Position, recent bool, now float64, available func(*Member) bool,
 	avoid func(id string) bool) *Member {
 	var best *Member
--- a/internal/dataplane/group/watermarks.go
+++ b/internal/dataplane/group/watermarks.go
@@ -8,8 +8,8 @@
 	watermarkRetention = 5000.0
 )
 
-// watermark is a position that the primary had when it was asked: all that was acknowledged before requestedAt lies
-// at or before it.
+// watermark is a log position from an answer of the primary: all that was acknowledged before requestedAt lies at or
+// before it.
 type watermark struct {
 	requestedAt float64
 	position    wire.Position
@@ -28,7 +28,7 @@
 	return wire.Position{}, false
 }
 
-// add appends a position that the primary had when it was asked at requestedAt. What is out of order says nothing
+// add appends the position in the answer to a request that was sent at requestedAt. What is out of order says nothing
 // new and is dropped.
 func (w *watermarks) add(requestedAt float64, position wire.Position) {
 	if position.IsZero() {
--- a/internal/dataplane/proxy/attempt.go
+++ b/internal/dataplane/proxy/attempt.go
@@ -12,8 +12,8 @@
 	"weirwind/internal/util/idempotency"
 )
 
-// readTimeout bounds one attempt of a read, in milliseconds: then another member is asked. A write has no second
-// try, and waits until its deadline.
+// readTimeout bounds one attempt of a read, in milliseconds: then the read is retried at another member. A
+// write is not retried, and waits until its deadline.
 const readTimeout = 450.0
 
 // acquire borrows a member connection, and checks that the member has not closed it while it was idle. It waits until
@@ -58,7 +58,7 @@
 	router.do(func() { router.recordOutcome(lent, sentAt, outcome, position) })
 }
 
-// send sends a single statement to a member and reads its answer, with the outcome that it is for routing.
+// send sends a single statement to a member and reads its answer, with what it means for routing.
 func (s *session) send(lent *lentConn, st *statement, write bool, deadline float64) (
 	*memberconn.Reply, group.Outcome, error) {
 	if write {
@@ -159,14 +159,14 @@
 	if prepared != nil {
 		text = "EXEC " + name + " " + st.parsed.Args
 	}
-	if s.tx == nil { // a transaction's BEGIN bore it
+	if s.tx == nil { // the BEGIN of a transaction has it already
 		text = s.shardPrefix + text
 	}
 	return text, len(texts)
 }
 
-// exchange sends a batch and reads the answer to its statement, behind those to the preludes. forward takes rows that
-// are too many to keep.
+// exchange sends a batch and reads the answer to its statement, after those to the preludes. forward takes rows
+// that are too many to keep.
 func exchange(conn *memberConn, batch string, preludes int, deadline time.Time,
 	forward func(rows []string) error) (memberconn.Reply, error) {
 	if err := sendBatch(conn, batch, preludes, deadline); err != nil {
@@ -176,7 +176,7 @@
 	return reply, requireStamp(&reply, err)
 }
 
-// exchangeInternal is exchange for a query of the proxy's own or a BEGIN, whose answers bear no stamp.
+// exchangeInternal is exchange for a query of the proxy's own or a BEGIN, whose answers have no stamp.
 func exchangeInternal(conn *memberConn, batch string, preludes int, deadline time.Time) (memberconn.Reply, error) {
 	if err := sendBatch(conn, batch, preludes, deadline); err != nil {
 		return memberconn.Reply{}, err
@@ -201,8 +201,8 @@
 	return nil
 }
 
-// requireStamp makes a success that bears no member's stamp an error: it belongs to another question, and this one
-// has no answer.
+// requireStamp makes a success without a member's stamp an error: it is the answer to another query, and this one has
+// none.
 func requireStamp(reply *memberconn.Reply, err error) error {
 	if err == nil && reply.OK && reply.Text == wire.NoStamp {
 		return &idempotency.NoResponseError{Progress: idempotency.MaybeSent, Err: errors.New("a success without a stamp")}
@@ -210,10 +210,10 @@
 	return err
 }
 
-// discardRows drops rows that are too many to keep, of a write, which has none of use.
+// discardRows drops rows that are too many to keep. Those of a write are not forwarded early: they are not needed.
 func discardRows([]string) error { return nil }
 
-// outcomeOf is what a member's answer says for routing, wherever it came from.
+// outcomeOf is what a member's answer means for routing, whatever the member's role.
 func outcomeOf(reply *memberconn.Reply) group.Outcome {
 	switch reply.Code {
 	case wire.CodeReadOnly:
--- a/internal/dataplane/proxy/connpool.go
+++ b/internal/dataplane/proxy/connpool.go
@@ -27,7 +27,7 @@
 	maxIdleTime  = 4 * time.Second
 
 	// A member that rejected a connection for want of capacity is not dialled again at once if this proxy has none
-	// there, as other drivers have to let go first.
+	// there, as other drivers have to close theirs first.
 	rejectedDialBackoff = 40 * time.Millisecond
 )
 
@@ -149,9 +149,9 @@
 	}
 }
 
-// dial makes a connection, which serves whichever request is next when it stands. It has a deadline of its own:
-// bound to that of the request that waited longest, and so has the least time left, none would ever stand where
-// many wait.
+// dial makes a connection, which goes to whichever request is next once it is established. It has a deadline of its
+// own: bound to that of the oldest request, which has the least time left, no connection would ever be established
+// while many wait.
 func (r *router) dial(grp *memberGroup, member *group.Member) {
 	p := grp.pool(member.ID)
 	p.open++
--- a/internal/dataplane/proxy/dispatch.go
+++ b/internal/dataplane/proxy/dispatch.go
@@ -30,7 +30,7 @@
 // avoidMember keeps further attempts away from a member, where another may do.
 func (q *connRequest) avoidMember(id string) { q.avoid = append(q.avoid, id) }
 
-// lentConn is a connection that is lent to a session, with what the session must ask of the member.
+// lentConn is a connection that is lent to a session, with what the member must check.
 type lentConn struct {
 	group  *memberGroup
 	member *group.Member
@@ -68,8 +68,8 @@
 	available := r.availability(grp)
 	latency := grp.routing.TypicalLatency()
 	grp.queue.removeIf(func(request *connRequest) bool {
-		// What has no time left for an answer would be sent in vain, and its connection be lost with it: where many
-		// wait, each connection would be, and none would serve anybody.
+		// A request without enough time for an answer would time out, and its connection be closed with it: while
+		// many wait, every connection would be, and no request would ever be answered.
 		if now >= request.deadline-min(2*latency, (request.deadline-request.startedAt)/3) {
 			request.reply <- lentConn{err: errRetryLater}
 			r.logRejection(grp, request, now)
@@ -122,7 +122,7 @@
 	loggedAt float64
 }
 
-// logRejection logs what a request waited for in vain, at most a line a second for each group.
+// logRejection logs what a rejected request was waiting for, at most one line a second for each group.
 func (r *router) logRejection(grp *memberGroup, request *connRequest, now float64) {
 	log := &grp.rejections
 	if log.count++; now < log.loggedAt+rejectionInterval {
--- a/internal/dataplane/proxy/doc.go
+++ b/internal/dataplane/proxy/doc.go
@@ -11,18 +11,18 @@
 // health check or rollback each. All end with the context of Run, or by a timeout of their own.
 //
 // Decisions are made elsewhere, without I/O: package group says where a statement goes, sessionstate what a
-// connection must be sent first, idempotency what may be put again.
+// connection must be sent first, idempotency what may be retried.
 //
 // # The way of a statement
 //
 //	session.run             reads a message of the client
 //	session.handleMessage   parses it; SET, PREP, UNPREP, BEGIN and ABORT are answered by the session itself
-//	session.runStatement    sends the others on: to runInTransaction if a transaction is open, else to runSingle
+//	session.runStatement    passes the others to runInTransaction if a transaction is open, else to runSingle
 //
 // A single statement is an execution, which makes attempts until its client is answered. Each attempt is
 //
 //	session.resolveService  the replication group that serves the route; for a route with a shard, the shard's owner
-//	session.acquire         asks the router for a connection to a member that will do
+//	session.acquire         requests a connection to a suitable member from the router
 //	router.enqueue          queues the request (connRequest)
 //	router.dispatch         asks group.Route for the member, and lends an idle connection or has one made (dial)
 //	session.send            sends what the connection lacks of the session's state, then the statement, reads the answer
@@ -34,8 +34,8 @@
 // Its connection stays pinned until its end (unpin, rollBack); its statements go there by sendInTransaction, once
 // each.
 //
-// Answers are collected (reply.go) and written once the statement has its whole answer. Only rows that are too many
-// to keep are forwarded earlier; then no other member may answer the statement.
+// Answers are collected (reply.go) and written once the answer to the statement is complete. Only rows that are too
+// many to keep are forwarded earlier; then no other member may answer the statement.
 //
 // # While there is no primary
 //
@@ -46,15 +46,14 @@
 // member refused as read-only (its role had changed) joins the queue in the same way. A request for a shard without
 // an owner waits in the shard's queue until a newer map names one.
 //
-// A write that was sent and not answered is neither queued nor sent again, as it may have been committed: its
-// client is answered UNKNOWN. At a shard, whose nodes know the outcome of each attempt, it is asked for
-// (resolveOutcome).
+// A write that was sent and not answered is neither queued nor retried, as it may have been committed: its client is
+// answered UNKNOWN. The nodes of a shard know the outcome of each attempt; there it is looked up (resolveOutcome).
 //
 // # Deadlines
 //
 // A statement must be answered deadlineMargin before its route's timeout. The router gives a request up while there
 // is still time for an answer, by the group's usual latency. One attempt of a read is cut at readTimeout, so that
-// there is time to ask another member; a write waits for its one answer until the deadline.
+// there is time for a retry at another member; a write waits for its one answer until the deadline.
 //
 // # Errors
 //
@@ -63,5 +62,5 @@
 //
 // # Shutdown
 //
-// shutdown.go has the phases in which the proxy lets go of its clients when the platform ends it.
+// shutdown.go has the phases in which the proxy disconnects its clients when the platform ends the process.
 package proxy
--- a/internal/dataplane/proxy/errors.go
+++ b/internal/dataplane/proxy/errors.go
@@ -12,7 +12,7 @@
 type errorKind uint8
 
 const (
-	// unavailable: nothing of the statement was kept, and the client may send it again.
+	// unavailable: nothing of the statement was kept, and the client may retry it.
 	unavailable errorKind = iota
 	// aborted: the transaction has ended, and nothing of it was kept.
 	aborted
@@ -97,8 +97,8 @@
 
 // The codes of members' own FAILs are forwarded to clients, but for those that the proxy acts on itself:
 
-// isRetryableShardCode says whether a shard node's refusal only means that nothing was kept: the client may try
-// again.
+// isRetryableShardCode says whether a shard node's refusal only means that nothing was kept: the client may
+// retry.
 func isRetryableShardCode(code string) bool {
 	switch strings.ToUpper(code) {
 	case shardnode.CodeNoRoom, shardnode.CodeVoid, shardnode.CodeState:
--- a/internal/dataplane/proxy/proxy.go
+++ b/internal/dataplane/proxy/proxy.go
@@ -24,7 +24,7 @@
 const (
 	warmUpPeriod = 2 * time.Second // in which the first connections are made
 
-	acceptPause     = 5 * time.Millisecond // behind an error of accept, as when there are no file descriptors left
+	acceptPause     = 5 * time.Millisecond // after an error of accept, as when there are no file descriptors left
 	reservedFiles   = 600                  // of the process's limit: what is not clients' connections
 	minClientConns  = 64
 	bufferBudgetDiv = 8 // part of the memory that long messages that have not ended may take
@@ -34,7 +34,7 @@
 type Proxy struct {
 	settings     *settings.Settings
 	log          events.Log
-	ctx          context.Context // of its goroutines: it ends once the last session has been let go of
+	ctx          context.Context // of its goroutines: it ends after the shutdown of the last session
 	startedAt    time.Time
 	router       *router
 	bufferBudget *wire.BufferBudget // for long messages that have not ended
--- a/internal/dataplane/proxy/reply.go
+++ b/internal/dataplane/proxy/reply.go
@@ -38,7 +38,7 @@
 	s.replyLine(strings.TrimRight(wire.MsgFail+" "+failCode(err)+" "+err.Error(), " "))
 }
 
-// rejectSession answers with an error behind which the session ends.
+// rejectSession answers with an error, after which the session ends.
 func (s *session) rejectSession(err error) {
 	s.replyFail(err)
 	s.flush()
--- a/internal/dataplane/proxy/reporter.go
+++ b/internal/dataplane/proxy/reporter.go
@@ -7,8 +7,8 @@
 
 const reportInterval = 400.0 // milliseconds between two reports on one group
 
-// reporter says what the control plane is to know of one group's primary: that it owes answers, answers no commit, or
-// takes no connection, again and again while it is so, and once that it is healthy again.
+// reporter makes the reports to the control plane on one group's primary: that it doesn't answer, answers no commit,
+// or takes no connection, repeated while it is so, and once that it is healthy again.
 type reporter struct {
 	reportedAt float64
 	unhealthy  bool // the last report said so
--- a/internal/dataplane/proxy/router.go
+++ b/internal/dataplane/proxy/router.go
@@ -17,8 +17,8 @@
 	commandBacklog = 4096 // commands queued before a session that sends one has to wait
 )
 
-// Who has just started doesn't know all drivers yet, nor what the connections of those that just died still hold: for
-// startupPeriod (milliseconds) at least startupDriverCount are assumed.
+// A process that has just started doesn't know all drivers yet, nor how many connections are still open of drivers
+// that have just died: for startupPeriod (milliseconds) at least startupDriverCount drivers are assumed.
 const (
 	startupPeriod      = 1500.0
 	startupDriverCount = 6
@@ -27,8 +27,8 @@
 // router owns what the sessions of a proxy share: the configuration, the replication groups with their connection
 // pools and queues, and the shards' routing table.
 //
-// All its fields but commands and configured, and all its methods but do, run and the commands' wrappers, belong to
-// the one goroutine that runs it. Sessions reach it by commands only. It does no I/O itself: connections are made,
+// All its fields but commands and configured, and all its methods but do and run, belong to the one goroutine that
+// runs it. Sessions reach it by commands only. It does no I/O itself: connections are made,
 // and health checks sent, by goroutines that hand their result back as a command.
 type router struct {
 	proxy    *Proxy
@@ -37,7 +37,7 @@
 	config      *config.Config // nil until the agent has sent the first
 	configured  chan struct{}  // closed then
 	members     *directory.Members
-	driverCount int // drivers (proxies) with a lease, as the agent said last; at least 1
+	driverCount int // drivers (proxies) with a lease, by the agent's last update; at least 1
 	groups      map[string]*memberGroup
 	shards      *shardRouter
 }
@@ -88,7 +88,7 @@
 	}
 }
 
-// update takes what the agent sends: whatever of it is set.
+// update applies an update from the agent. Fields that are not set change nothing.
 func (r *router) update(update *controlmsg.StateUpdate) {
 	now := r.proxy.now()
 	if update.DriverCount > 0 {
@@ -137,7 +137,7 @@
 	}
 }
 
-// group returns a service's group, a new one if the service was never heard of: its members may become known before
+// group returns a service's group, a new one if the service was not known: its members may become known before
 // the configuration that names it.
 func (r *router) group(service string) *memberGroup {
 	g := r.groups[service]
@@ -157,7 +157,7 @@
 	return max(r.driverCount, 1)
 }
 
-// recordOutcome takes how a request ended on a connection that stays checked out.
+// recordOutcome notes how a request ended on a connection that stays lent.
 func (r *router) recordOutcome(lent *lentConn, sentAt float64, outcome group.Outcome, position wire.Position) {
 	lent.group.routing.RecordOutcome(lent.member, sentAt, r.proxy.now(), outcome, position)
 	r.logSlot(lent.group)
--- a/internal/dataplane/proxy/session.go
+++ b/internal/dataplane/proxy/session.go
@@ -49,10 +49,10 @@
 	waiting bool // for the client's next message: wake may interrupt it
 }
 
-// errClientGone ends a statement whose client doesn't take the rows.
+// errClientGone ends a statement whose client doesn't read the rows.
 var errClientGone = errors.New("the client is gone")
 
-// run serves the client until it goes, breaks the protocol, or the process shuts down.
+// run serves the client until it disconnects or breaks the protocol, or the process shuts down.
 func (s *session) run() {
 	defer s.client.Close()
 	defer s.abandonTransaction()
--- a/internal/dataplane/proxy/shard.go
+++ b/internal/dataplane/proxy/shard.go
@@ -15,7 +15,7 @@
 	"weirwind/internal/util/commandqueue"
 )
 
-const shardRetryPause = 15 * time.Millisecond // before a node is asked again that has not heard of its epoch yet
+const shardRetryPause = 15 * time.Millisecond // before a retry at a node that doesn't know its epoch yet
 
 // resolveService returns the service that a route's statement goes to now, and the epoch by which it owns the route's
 // shard, if the route has one. While the shard has no owner, it waits. false: none is known in time.
@@ -39,7 +39,7 @@
 }
 
 // shardMoved takes a node's refusal of a statement that was sent by an epoch: text is the refusal's code and the
-// newest epoch that the node has heard of. A node that has not heard of the epoch yet is given a moment; otherwise
+// newest epoch that the node knows. A node that doesn't know the epoch yet is given a moment; otherwise
 // the shard has another owner, and the next resolveService waits for a map that names it.
 func (s *session) shardMoved(route *config.Route, epoch uint64, text string) {
 	_, number := wire.CutField(text)
--- a/internal/dataplane/proxy/shutdown.go
+++ b/internal/dataplane/proxy/shutdown.go
@@ -12,7 +12,7 @@
 
 const (
 	serving     phase = iota
-	draining          // not ready any more; idle sessions end, others behind the answers that they wait for
+	draining          // not ready any more; idle sessions end, others after the answers that they wait for
 	closingIdle       // the same, with less patience
 	closingAll        // transactions that are still open are rolled back
 )
@@ -37,7 +37,7 @@
 
 func (p *Proxy) idleTimeout() time.Duration { return idleTimeouts[p.phase()] }
 
-// shutDown lets go of the clients, phase by phase, within the grace period. New clients are served in all of them:
+// shutDown disconnects the clients, phase by phase, within the grace period. New clients are served in all of them:
 // they still come for as long as the platform hasn't seen that the process is not ready, or has no other in their
 // zone.
 func (p *Proxy) shutDown(front net.Listener) {
--- a/internal/dataplane/proxy/statement.go
+++ b/internal/dataplane/proxy/statement.go
@@ -15,15 +15,15 @@
 	deadlineMargin = 25.0 // milliseconds before a route's timeout by which the client must be answered
 	maxAttempts    = 5
 
-	retryPause       = 20 * time.Millisecond // before an attempt behind a member's refusal
+	retryPause       = 20 * time.Millisecond // before an attempt that follows a member's refusal
 	minRetryTime     = 60.0                  // milliseconds to the deadline below which there is none
 	maxPausedRetries = 2                     // attempts of a single statement that may be followed by such a pause
 )
 
-// execution is the way of a statement outside a transaction: attempt after attempt, until its client is answered.
+// execution carries out a statement outside a transaction: attempt after attempt, until its client is answered.
 //
-// What was sent to a member and not answered is put again only if a second run is harmless (idempotency): reads are
-// idempotent, writes are not. The client of a write without an answer is told that its outcome is unknown.
+// What was sent to a member and not answered is retried only if a second run is harmless (idempotency): reads are
+// idempotent, writes are not. The client of a write without an answer is answered that the outcome is unknown.
 //
 // An execution, its statement included, stays on the stack: the statement is a value, as what a field points to
 // would not.
@@ -43,8 +43,8 @@
 const (
 	answered     verdict = iota // the client has its answer
 	retry                       // another attempt, if there were not too many
-	retryAtOwner                // so, but this one doesn't count: the shard's next owner decides
-	giveUp                      // nothing of the statement is kept, and no attempt is left to it
+	retryAtOwner                // another attempt at the shard's next owner; this one doesn't count
+	giveUp                      // no attempt is left, and nothing of the statement was kept
 )
 
 // runSingle carries out a statement outside a transaction.
@@ -103,7 +103,7 @@
 	return answered
 }
 
-// unanswered follows a member that gave no answer, or none that can be believed.
+// unanswered takes an attempt without an answer, or with one that doesn't belong to it.
 func (e *execution) unanswered(lent *lentConn, err error) verdict {
 	e.finish(lent, false, group.NoAnswer, wire.Position{})
 	switch {
@@ -122,10 +122,10 @@
 	return answered
 }
 
-// refused follows a member's FAIL.
+// refused takes a member's FAIL.
 func (e *execution) refused(lent *lentConn, epoch uint64, reply *memberconn.Reply, outcome group.Outcome) verdict {
-	// What it left open is rolled back with its connection. One that forgot a prepared statement is not asked again, as
-	// the connection's state is not what it is taken for.
+	// A connection on which a transaction is still open is closed, which rolls it back. So is one whose member doesn't
+	// know a prepared statement any more, as its state is not the one that is kept here.
 	reusable := reply.State == wire.StateIdle && reply.Code != wire.CodeNoStatement
 	e.finish(lent, reusable, outcome, reply.Position)
 	if e.route.Shard != "" {
@@ -138,7 +138,7 @@
 		}
 	}
 	switch reply.Code {
-	case wire.CodeReadOnly, wire.CodeLagging: // it joins what is queued, and is routed again
+	case wire.CodeReadOnly, wire.CodeLagging: // the statement is queued and routed anew
 		return retry
 	case wire.CodeRetry, wire.CodeFull, wire.CodeWrongHost, wire.CodeNoStatement:
 		e.request.avoidMember(lent.record.ID)
@@ -157,13 +157,13 @@
 	return answered
 }
 
-// mayRetryFailedRead: a read that failed at a replica may be the replica's fault, and is tried once more, elsewhere.
+// mayRetryFailedRead: that a read failed may be the replica's fault, so that it is retried once, elsewhere.
 func (e *execution) mayRetryFailedRead() bool {
 	return !e.write && e.attempts == 0 && !e.request.requirement.Linearizable && !e.rowsForwarded
 }
 
 // kindOf says what a second run of a statement would do, outside a transaction or as its COMMIT. Statements inside
-// a transaction are never put again: it ends with its connection. BEGIN is idempotent, as the end of its connection
+// a transaction are never retried: it ends with its connection. BEGIN is idempotent, as the end of its connection
 // rolls it back.
 func kindOf(write bool) idempotency.Kind {
 	if write {
--- a/internal/dataplane/proxy/status.go
+++ b/internal/dataplane/proxy/status.go
@@ -42,12 +42,12 @@
 func (p *Proxy) handleStatus(w http.ResponseWriter, r *http.Request) {
 	all, err := commandqueue.Call(r.Context(), p.router.commands, p.router.status)
 	if err != nil {
-		return // whoever asked is gone, or the process ends
+		return // the caller is gone, or the process ends
 	}
 	all.Sessions = p.clientConns.Load()
 	e := json.NewEncoder(w)
 	e.SetIndent("", "  ")
-	_ = e.Encode(all) // whoever asked may be gone
+	_ = e.Encode(all) // the caller may be gone
 }
 
 // status is what the router knows, for operators.
--- a/internal/dataplane/proxy/transaction.go
+++ b/internal/dataplane/proxy/transaction.go
@@ -106,7 +106,7 @@
 }
 
 // transactionUnanswered ends a transaction one of whose statements was not answered. Its connection's end rolls it
-// back, unless it was a COMMIT that may have come to the member behind writes.
+// back, unless it was a COMMIT, after writes, that may have reached the member.
 func (s *session) transactionUnanswered(tx *transaction, st *statement, deadline float64, err error) {
 	memberID := tx.pinned.record.ID
 	s.unpin(tx, false)
@@ -216,7 +216,7 @@
 }
 
 // sendBegin sends the transaction's BEGIN. Where the member must prove that it is the primary, that of a reading
-// transaction goes as a plain BEGIN, which only the primary takes.
+// transaction is sent as a plain BEGIN, which only the primary accepts.
 func (s *session) sendBegin(lent *lentConn, tx *transaction, deadline float64) (
 	memberconn.Reply, group.Outcome, error) {
 	var batch strings.Builder
--- a/internal/dataplane/proxy/waitqueue.go
+++ b/internal/dataplane/proxy/waitqueue.go
@@ -3,7 +3,7 @@
 import "slices"
 
 // waitQueue holds what waits, in order of arrival. Each waiter is answered exactly once, at the latest when its
-// deadline is near: whoever removes it has answered it.
+// deadline is near; it is removed by the code that answers it.
 type waitQueue[W any] struct {
 	waiting []W
 	max     int // waiters beyond it are rejected at once
