--- a/internal/util/events/events_test.go
+++ b/internal/util/events/events_test.go
@@ -9,10 +9,22 @@
 	"testing"
 )
 
+const docsHeader = "" +
+	"# Events\n" +
+	"\n" +
+	"Each line of the log is: milliseconds since the process began, the process, the event's number, its keys and\n" +
+	"values. Numbers by concern: 1xx the process, 2xx consensus, 3xx configuration, 4xx members and drivers, 5xx\n" +
+	"writer slots, 6xx failovers, 7xx clients' sessions, 8xx links, 9xx shards, 10xx sites of open sessions. `GET\n" +
+	"/events` at a `ctl` or ready address gives the newest lines, `?about=TEXT` those that contain a text. An\n" +
+	"error has the step and the peer at which it arose.\n" +
+	"\n" +
+	"| event | meaning |\n" +
+	"| --- | --- |\n"
+
 // The catalogue in the docs is the one in the code; run with EVENTS=write to write it anew.
 func TestCatalogueInDocs(t *testing.T) {
 	var b strings.Builder
-	b.WriteString("# Events\n\nEach line of the log is: milliseconds since the process began, the process, the event's number, its keys and values. Numbers by\nconcern: 1xx the process, 2xx agreement, 3xx configuration, 4xx members and drivers, 5xx slots, 6xx successions, 7xx sessions, 8xx links, 9xx shards, 10xx sessions of sites.\n`GET /events` at a `ctl` or ready address gives the newest, `?about=WORD` those with a word. An error bears the step and the peer at\nwhich it arose.\n\n| event | meaning |\n| --- | --- |\n")
+	b.WriteString(docsHeader)
 	for _, e := range slices.Sorted(maps.Keys(Catalogue)) {
 		fmt.Fprintf(&b, "| E%d | %s |\n", int(e), Catalogue[e])
 	}
@@ -38,10 +50,10 @@
 	if n := l.Recent(); len(n) != 1 || n[0] != line {
 		t.Error(n)
 	}
-	for range 2 * mostKept {
+	for range 2 * maxRecent {
 		l.Event(SlotFilled)
 	}
-	if n := len(l.Recent()); n > mostKept {
+	if n := len(l.Recent()); n > maxRecent {
 		t.Error(n)
 	}
 }
