--- /dev/null
+++ b/internal/dataplane/memberconn/dial.go
@@ -0,0 +1,71 @@
+package memberconn
+
+import (
+	"errors"
+	"io"
+	"net"
+	"time"
+
+	"github.com/samber/oops"
+
+	"weirwind/internal/controlplane/directory"
+	"weirwind/internal/dataplane/wire"
+	"weirwind/internal/util/transport"
+)
+
+const (
+	// clientName is what the system attaches as.
+	clientName = "weirwind"
+	// userTimeout is how long a member may leave bytes unacknowledged.
+	userTimeout = 4 * time.Second
+)
+
+// ErrAttachRejected is the error of a member that accepted the connection and did not open a session on it.
+var ErrAttachRejected = errors.New("refused")
+
+// Dial connects to a member and opens a session. refused: nothing accepts connections at its address. After the
+// deadline the connection's own deadline has passed, too: each batch sets another.
+func Dial(m directory.Member, deadline time.Time) (c *Conn, refused bool, err error) {
+	step := oops.In("dial").With("peer", m.Addr)
+	conn, err := net.DialTimeout("tcp4", m.Addr, time.Until(deadline))
+	if err != nil {
+		return nil, !isTimeout(err), step.Wrap(err)
+	}
+	transport.SetUserTimeout(conn, userTimeout)
+	conn.SetDeadline(deadline)
+	c = &Conn{NetConn: conn, Reader: wire.NewReader(conn)}
+	if err := c.attach(m, step); err != nil {
+		conn.Close()
+		return nil, false, err
+	}
+	return c, false, nil
+}
+
+// attach opens the session.
+func (c *Conn) attach(m directory.Member, step oops.OopsErrorBuilder) error {
+	request := wire.MsgAttach + " " + m.Service + " " + clientName + " " + m.ID + "\r\n"
+	if _, err := io.WriteString(c.NetConn, request); err != nil {
+		return step.Wrap(err)
+	}
+	line, err := c.Reader.ReadMessage()
+	switch {
+	case err == nil:
+	case isTimeout(err):
+		return step.Wrap(err)
+	default:
+		return step.Wrapf(ErrAttachRejected, "ended before it was ready: %v", err)
+	}
+	word, rest := wire.CutField(line)
+	if word != wire.MsgReady {
+		code, _ := wire.CutField(rest)
+		return step.With("code", code).Wrapf(ErrAttachRejected, "%s", line)
+	}
+	_, position := wire.CutField(rest)
+	c.Position, _ = wire.ParsePosition(position)
+	return nil
+}
+
+func isTimeout(err error) bool {
+	var netErr net.Error
+	return errors.As(err, &netErr) && netErr.Timeout()
+}
