--- /dev/null
+++ b/internal/controlplane/consensus/contact_model_test.go
@@ -0,0 +1,242 @@
+package consensus
+
+import (
+	"fmt"
+	"math"
+	"math/rand/v2"
+)
+
+// contactModel runs machines whose clocks start with their processes and drift apart by up to one in a
+// thousand. Messages are lost, late and, at a frozen machine, buffered; machines are partitioned off in both
+// directions or one, freeze and lose power.
+type contactModel struct {
+	random    *rand.Rand
+	now       float64 // milliseconds of the true time
+	machines  []*contactMachine
+	inTransit []contactDelivery
+	commits   []commitMoment // in the order of time
+
+	// Machines of two sides don't reach each other until splitUntil.
+	splitUntil float64
+	splitSince float64
+
+	samples, inContact int
+	digest             *digest // see cluster
+}
+
+type contactMachine struct {
+	addr      string
+	node      *Node
+	disk      HardState
+	process   int     // number of the process that runs
+	startedAt float64 // of that process
+	clockRate float64
+
+	running     bool
+	offUntil    float64
+	frozenUntil float64
+
+	// committed is the index of the newest entry that this process has known committed.
+	committed uint64
+
+	minority                bool    // the side of a split
+	outCutUntil, inCutUntil float64 // none of its messages goes out, or comes in
+	partitionedSince        float64 // by these; +Inf: it is not
+}
+
+type contactDelivery struct {
+	at      float64
+	to      *contactMachine
+	process int
+	message Message
+}
+
+// commitMoment is when some leader knew an entry committed: what is acknowledged is, then or later.
+type commitMoment struct {
+	at    float64
+	index uint64
+}
+
+func newContactModel(seed uint64, n int) *contactModel {
+	c := &contactModel{random: rand.New(rand.NewPCG(seed, 11))}
+	var seeds []string
+	for i := range n {
+		seeds = append(seeds, fmt.Sprint("m", i))
+	}
+	for _, addr := range seeds {
+		m := &contactMachine{addr: addr, disk: Bootstrap(addr, seeds), partitionedSince: math.Inf(1)}
+		m.clockRate = 1 + 0.001*(2*c.random.Float64()-1)
+		c.machines = append(c.machines, m)
+		c.start(m, seeds)
+	}
+	return c
+}
+
+func (c *contactModel) start(m *contactMachine, seeds []string) {
+	m.process++
+	m.running, m.startedAt, m.committed = true, c.now, 0
+	m.node = New(Options{Addr: m.addr, Seeds: seeds, MinVoters: len(seeds), HeartbeatInterval: 200, ElectionTimeout: 900,
+		RemoveAfter: 4500, Random: c.random.Float64}, copyOf(m.disk), 0)
+	c.noteCommitted(m)
+}
+
+// clock is a reading of a machine's own, in milliseconds since its process started.
+func (c *contactModel) clock(m *contactMachine) float64 { return (c.now - m.startedAt) * m.clockRate }
+
+func (c *contactModel) runs(m *contactMachine) bool { return m.running && m.frozenUntil <= c.now }
+
+func (c *contactModel) machine(addr string) *contactMachine {
+	for _, m := range c.machines {
+		if m.addr == addr {
+			return m
+		}
+	}
+	return nil
+}
+
+func (c *contactModel) partitioned(from, to *contactMachine) bool {
+	return from.outCutUntil > c.now || to.inCutUntil > c.now || c.splitUntil > c.now && from.minority != to.minority
+}
+
+func (c *contactModel) flush(m *contactMachine) {
+	for range 4 {
+		if m.node.Dirty() {
+			m.disk = copyOf(m.node.HardState)
+			m.node.Synced(c.clock(m))
+		}
+		for _, e := range m.node.Messages() {
+			c.digest.message(m.addr, e)
+			to := c.machine(e.To)
+			if c.partitioned(m, to) || c.random.Float64() < 0.05 {
+				continue
+			}
+			if e.Message.Entry != nil {
+				entry := *e.Message.Entry
+				e.Message.Entry = &entry
+			}
+			at := c.now + 1 + 60*c.random.Float64()*c.random.Float64()
+			c.inTransit = append(c.inTransit, contactDelivery{at, to, to.process, e.Message})
+		}
+		c.digest.node(m.node, c.clock(m))
+		c.noteCommitted(m)
+		if !m.node.Dirty() {
+			return
+		}
+	}
+}
+
+// noteCommitted notes what a machine knows committed.
+func (c *contactModel) noteCommitted(m *contactMachine) {
+	e, ok := m.node.Committed()
+	if !ok || e.Index <= m.committed {
+		return
+	}
+	m.committed = e.Index
+	if m.node.Established() && (len(c.commits) == 0 || e.Index > c.commits[len(c.commits)-1].index) {
+		c.commits = append(c.commits, commitMoment{c.now, e.Index})
+	}
+}
+
+// acknowledged is the newest index that was acknowledged before a moment.
+func (c *contactModel) acknowledged(before float64) uint64 {
+	for i := len(c.commits) - 1; i >= 0; i-- {
+		if c.commits[i].at < before {
+			return c.commits[i].index
+		}
+	}
+	return 0
+}
+
+// check holds a machine's contact against what was acknowledged, and against the partitions that it is behind.
+func (c *contactModel) check(m *contactMachine) error {
+	age := m.node.ContactAge(c.clock(m))
+	c.samples++
+	if age > ContactLease {
+		return nil
+	}
+	c.inContact++
+	drift := 1 + 0.003*age
+	if need := c.acknowledged(c.now - age - drift); m.committed < need {
+		return fmt.Errorf("at %.0f %s has contact of %.0f ms ago and knows entry %d; %d was acknowledged before",
+			c.now, m.addr, age, m.committed, need)
+	}
+	apart := m.partitionedSince
+	if m.minority && c.splitUntil > c.now {
+		apart = min(apart, c.splitSince)
+	}
+	if inTransit := 70.0; c.now-apart > ContactLease+inTransit+drift {
+		return fmt.Errorf("at %.0f %s has contact of %.0f ms ago and is apart since %.0f", c.now, m.addr, age, apart)
+	}
+	return nil
+}
+
+func (c *contactModel) step() error {
+	c.now += 5
+	due := c.inTransit
+	c.inTransit = nil
+	for _, d := range due {
+		switch {
+		case d.at > c.now || d.to.process == d.process && d.to.running && d.to.frozenUntil > c.now:
+			c.inTransit = append(c.inTransit, d)
+		case d.to.running && d.to.process == d.process:
+			d.to.node.Step(&d.message, c.clock(d.to))
+			c.flush(d.to)
+		}
+	}
+	for _, m := range c.machines {
+		if !m.running && m.offUntil <= c.now {
+			c.start(m, m.node.options.Seeds)
+		}
+		if max(m.outCutUntil, m.inCutUntil) <= c.now {
+			m.partitionedSince = math.Inf(1)
+		}
+		if !c.runs(m) {
+			continue
+		}
+		m.node.Tick(c.clock(m))
+		c.flush(m)
+		if m.node.Established() && c.random.IntN(20) == 0 {
+			m.node.Propose([]byte{byte(c.random.IntN(256))}, c.clock(m))
+			c.flush(m)
+		}
+		if err := c.check(m); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func (c *contactModel) fault() {
+	m := c.machines[c.random.IntN(len(c.machines))]
+	duration := 500 + 6000*c.random.Float64()
+	switch c.random.IntN(6) {
+	case 0:
+		m.outCutUntil, m.inCutUntil = c.now+duration, c.now+duration
+	case 1:
+		m.outCutUntil = c.now + duration
+	case 2:
+		m.inCutUntil = c.now + duration
+	case 3:
+		m.frozenUntil = c.now + duration/2
+		return
+	case 4:
+		m.running, m.offUntil = false, c.now+100+duration/3
+		return
+	case 5:
+		c.divide(c.now + duration)
+		return
+	}
+	m.partitionedSince = min(m.partitionedSince, c.now)
+}
+
+// divide puts up to as many machines as a majority can do without on a side of their own, a leader and its
+// followers maybe among them.
+func (c *contactModel) divide(until float64) {
+	if c.splitUntil > c.now {
+		return
+	}
+	c.splitUntil, c.splitSince = until, c.now
+	for i, k := range c.random.Perm(len(c.machines)) {
+		c.machines[k].minority = i < len(c.machines)/2
+	}
+}
--- a/internal/controlplane/consensus/digest_test.go
+++ b/internal/controlplane/consensus/digest_test.go
@@ -42,7 +42,8 @@
 	}
 	h := &n.HardState
 	leader, known := n.Leader()
-	d.add("%s %d %s %d/%d %d/%d %d %v|", h.ID, h.Term, h.Vote, h.Last.Term, h.Last.Index, h.CommitTerm, h.Commit, len(h.Last.Value), h.Last.Voters)
+	d.add("%s %d %s %d/%d %d/%d ", h.ID, h.Term, h.Vote, h.Last.Term, h.Last.Index, h.CommitTerm, h.Commit)
+	d.add("%d %v|", len(h.Last.Value), h.Last.Voters)
 	d.add("%d %s %v %v %v %v %v|", n.Role(), leader, known, n.Established(), n.InFlight(), n.Dirty(), n.LeaveDone(now))
 	if e, ok := n.Committed(); ok {
 		d.add("%d/%d %d|", e.Term, e.Index, len(e.Value))
@@ -85,82 +86,82 @@
 // playLosses has machines lose power and disks, freeze, be cut off and replaced; with changes, and reads that
 // are confirmed.
 func playLosses(d *digest, seed uint64) {
-	v := newCluster(seed, 3+2*int(seed%2))
-	v.digest = d
-	v.run(4000, 0)
+	c := newCluster(seed, 3+2*int(seed%2))
+	c.digest = d
+	c.run(4000, 0)
 	for range 4 {
 		for range 1 + seed%2 {
-			v.trouble()
+			c.fault()
 		}
 		for range 4 {
-			h := v.hosts[v.names()[v.r.IntN(len(v.hosts))]]
-			round := h.node.ReadIndex(v.now)
-			if h.node.Role() != Leader {
-				h.node.Messages() // a caller asks leaders only
+			m := c.machines[c.addrs()[c.random.IntN(len(c.machines))]]
+			round := m.node.ReadIndex(c.now)
+			if m.node.Role() != Leader {
+				m.node.Messages() // a caller asks leaders only
 			}
-			v.settle(h, 0)
-			v.run(100+500*v.r.Float64(), 0.002)
-			d.add("%v %v %v", h.on, round, h.node.ReadConfirmed(round))
+			c.flush(m, 0)
+			c.run(100+500*c.random.Float64(), 0.002)
+			d.add("%v %v %v", m.running, round, m.node.ReadConfirmed(round))
 		}
-		clear(v.cut)
-		v.wake()
-		d.add("%v", v.whole())
+		clear(c.partitioned)
+		c.restartAll()
+		d.add("%v", c.awaitRecovery())
 	}
-	d.add("%v %v", v.acked, v.wrong)
+	d.add("%v %v", c.acknowledged, c.violation)
 }
 
 // playReplacements replaces machines in each way, and loses others right behind.
 func playReplacements(d *digest, seed uint64) {
 	tolerate := 1 + int(seed%2)
-	v := newCluster(seed, 3)
-	v.digest = d
-	v.risk, v.lose, v.links, v.fewest = 0, 0.02, map[[2]string]float64{}, 2*tolerate+1
+	c := newCluster(seed, 3)
+	c.digest = d
+	c.crashRate, c.lossRate, c.connectedAt, c.minVoters = 0, 0.02, map[[2]string]float64{}, 2*tolerate+1
 	for i := 3; i < 2*tolerate+1; i++ {
 		addr := fmt.Sprint("m", i)
-		v.start(&host{addr: addr, disk: Empty("0@" + addr)})
+		c.start(&machine{addr: addr, disk: Empty("0@" + addr)})
 	}
-	v.run(5000, 0)
+	c.run(5000, 0)
 	for _, how := range []string{"gone", "planned", "wiped"} {
-		v.replace(how, v.victim(v.r.IntN(2) == 0))
-		v.run(4000, 0)
-		h := v.victim(v.r.IntN(2) == 0)
-		h.on = false
-		v.run(1500+3000*v.r.Float64(), 0)
-		v.wake()
-		v.run(3000, 0)
+		c.replace(how, c.pick(c.random.IntN(2) == 0))
+		c.run(4000, 0)
+		m := c.pick(c.random.IntN(2) == 0)
+		m.running = false
+		c.run(1500+3000*c.random.Float64(), 0)
+		c.restartAll()
+		c.run(3000, 0)
 	}
-	d.add("%v %v", v.acked, v.wrong)
+	d.add("%v %v", c.acknowledged, c.violation)
 }
 
 // playLeaving has processes end in order where their voters may be removed and where not, connections to
 // leaders break, and leaders asked to transfer their leadership.
 func playLeaving(d *digest, seed uint64) {
-	v := newCluster(seed, 3+2*int(seed/2%2))
-	v.digest = d
-	v.lose, v.risk, v.fewest = 0.02*float64(seed%3), 0, []int{2, 3, 5}[seed%3]
-	v.run(4000, 0)
+	c := newCluster(seed, 3+2*int(seed/2%2))
+	c.digest = d
+	c.lossRate, c.crashRate, c.minVoters = 0.02*float64(seed%3), 0, []int{2, 3, 5}[seed%3]
+	c.run(4000, 0)
 	for range 4 {
-		h := v.victim(v.r.IntN(2) == 0)
-		v.terminate(h)
-		for _, a := range v.live() {
-			if o := v.hosts[a]; o.on && v.r.IntN(2) == 0 {
-				o.node.LeaderDisconnected(h.addr, v.now)
+		m := c.pick(c.random.IntN(2) == 0)
+		c.terminate(m)
+		for _, a := range c.liveAddrs() {
+			if o := c.machines[a]; o.running && c.random.IntN(2) == 0 {
+				o.node.LeaderDisconnected(m.addr, c.now)
 			}
 		}
-		v.run(500+3000*v.r.Float64(), 0)
-		if v.r.IntN(3) == 0 {
-			h.disk = Empty(fmt.Sprint(v.now, "@", h.addr))
+		c.run(500+3000*c.random.Float64(), 0)
+		if c.random.IntN(3) == 0 {
+			m.disk = Empty(fmt.Sprint(c.now, "@", m.addr))
 		}
-		v.wake()
-		v.run(3000, 0)
-		if l := v.leader(); l != nil {
-			to := v.victim(false, l.addr)
-			to.node.Step(&Message{Kind: TimeoutNow, From: l.node.self(), Term: l.node.HardState.Term}, v.now)
-			v.settle(to, 0)
+		c.restartAll()
+		c.run(3000, 0)
+		if l := c.leader(); l != nil {
+			to := c.pick(false, l.addr)
+			to.node.Step(&Message{Kind: TimeoutNow, From: l.node.self(), Term: l.node.HardState.Term}, c.now)
+			c.flush(to, 0)
 		}
-		v.run(2000, 0)
+		c.run(2000, 0)
 	}
-	d.add("%v %v", v.acked, v.wrong)
+	d.add("%v %v", c.acknowledged, c.violation)
 }
 
 // playContact runs the model of contact through its partitions, freezes and restarts.
@@ -168,14 +169,14 @@
 	w := newContactModel(seed, 3+2*int(seed%2))
 	w.digest = d
 	for w.now < 30_000 {
-		if w.now > 3000 && w.r.IntN(400) == 0 {
-			w.trouble()
+		if w.now > 3000 && w.random.IntN(400) == 0 {
+			w.fault()
 		}
 		if err := w.step(); err != nil {
 			panic(err)
 		}
 	}
-	d.add("%v %v", w.held, w.seen)
+	d.add("%v %v", w.inContact, w.samples)
 }
 
 // playAnyMessage calls one node in any order with messages of every kind, from voters, joiners and strangers,
@@ -183,8 +184,8 @@
 func playAnyMessage(d *digest, seed uint64) {
 	r := rand.New(rand.NewPCG(seed, 41))
 	addrs := []string{"m0", "m1", "m2", "m3", "m4"}[:[]int{1, 2, 3, 5}[seed%4]]
-	options := Options{Addr: "m0", Seeds: addrs, MinVoters: []int{0, 2, 3}[r.IntN(3)], HeartbeatInterval: 200, ElectionTimeout: 900,
-		RemoveAfter: 1575, Random: r.Float64}
+	options := Options{Addr: "m0", Seeds: addrs, MinVoters: []int{0, 2, 3}[r.IntN(3)], HeartbeatInterval: 200,
+		ElectionTimeout: 900, RemoveAfter: 1575, Random: r.Float64}
 	now, disk := 10_000.0, Bootstrap("m0", addrs)
 	if seed%7 == 6 {
 		disk = Empty("e@m0")
@@ -233,7 +234,8 @@
 func anyMessage(r *rand.Rand, n *Node) *Message {
 	h := &n.HardState
 	near := func(v uint64) uint64 { return uint64(max(0, int(v)+[]int{0, 0, 0, 0, 1, -1, 2}[r.IntN(7)])) }
-	senders := []Voter{{"0@m1", "m1"}, {"0@m2", "m2"}, {"0@m3", "m3"}, {"0@m4", "m4"}, {"x@m1", "m1"}, {"j@n1", "n1"}, {"k@n2", "n2"}}
+	senders := []Voter{{"0@m1", "m1"}, {"0@m2", "m2"}, {"0@m3", "m3"}, {"0@m4", "m4"}, {"x@m1", "m1"}, {"j@n1", "n1"},
+		{"k@n2", "n2"}}
 	for _, v := range h.Last.Voters {
 		if v.ID != h.ID {
 			senders = append(senders, v, v)
@@ -242,8 +244,8 @@
 	if leader, ok := n.Leader(); ok && leader.ID != h.ID {
 		senders = append(senders, leader, leader, leader)
 	}
-	m := &Message{Kind: Kind(1 + r.IntN(10)), From: senders[r.IntN(len(senders))], Term: near(h.Term), LastTerm: near(h.Last.Term),
-		LastIndex: near(h.Last.Index), Granted: r.IntN(3) == 0, Commit: near(h.Last.Index), Round: uint64(r.IntN(40)),
+	m := &Message{Kind: Kind(1 + r.IntN(10)), From: senders[r.IntN(len(senders))], Term: near(h.Term),
+		LastTerm: near(h.Last.Term), LastIndex: near(h.Last.Index), Granted: r.IntN(3) == 0, Commit: near(h.Last.Index), Round: uint64(r.IntN(40)),
 		Clock: 1000 * r.Float64(), Contact: 10_000 + 20_000*r.Float64(), Incarnation: uint32(r.IntN(2))}
 	if r.IntN(2) == 0 {
 		m.Incarnation = n.incarnation
@@ -255,7 +257,8 @@
 		m.Term = near(h.Term + 1)
 	}
 	if m.Kind == AppendEntries && r.IntN(2) == 0 {
-		m.Entry = &Entry{Term: m.LastTerm, Index: m.LastIndex, Voters: append([]Voter{}, h.Last.Voters...), Value: []byte{byte(r.IntN(256))}}
+		m.Entry = &Entry{Term: m.LastTerm, Index: m.LastIndex, Voters: append([]Voter{}, h.Last.Voters...),
+			Value: []byte{byte(r.IntN(256))}}
 		if len(m.Entry.Voters) == 0 || r.IntN(4) == 0 {
 			m.Entry.Voters = append(m.Entry.Voters, m.From)
 		} else if len(m.Entry.Voters) > 1 && r.IntN(4) == 0 {
--- a/internal/controlplane/consensus/golden_test.go
+++ b/internal/controlplane/consensus/golden_test.go
@@ -27,15 +27,17 @@
 		value any
 	}{
 		{"vote request", &Message{Kind: 1, From: from, Term: 4, LastTerm: 3, LastIndex: 7}},
-		{"vote request of a leadership transfer", &Message{Kind: 1, From: from, Term: 4, LastTerm: 3, LastIndex: 7, Granted: true}},
+		{"vote request of a leadership transfer", &Message{Kind: 1, From: from, Term: 4, LastTerm: 3, LastIndex: 7,
+			Granted: true}},
 		{"vote granted", &Message{Kind: 2, From: from, Term: 4, Granted: true}},
 		{"vote denied", &Message{Kind: 2, From: from, Term: 4}},
-		{"append with entry", &Message{Kind: 3, From: from, Term: 4, LastTerm: 3, LastIndex: 7, Entry: &entry, Commit: 6, Round: 300,
-			Contact: 1234.5, Incarnation: 0xfeedbeef}},
+		{"append with entry", &Message{Kind: 3, From: from, Term: 4, LastTerm: 3, LastIndex: 7, Entry: &entry, Commit: 6,
+			Round: 300, Contact: 1234.5, Incarnation: 0xfeedbeef}},
 		{"heartbeat", &Message{Kind: 3, From: from, Term: 4, LastTerm: 3, LastIndex: 7, Commit: 7, Round: 301}},
-		{"append response", &Message{Kind: 4, From: from, Term: 4, LastTerm: 3, LastIndex: 7, Round: 301, Clock: 77.25, Incarnation: 9}},
-		{"append response of a leaver", &Message{Kind: 4, From: from, Term: 4, LastTerm: 3, LastIndex: 7, Granted: true, Round: 301, Clock: 77.25,
-			Incarnation: 9}},
+		{"append response", &Message{Kind: 4, From: from, Term: 4, LastTerm: 3, LastIndex: 7, Round: 301,
+			Clock: 77.25, Incarnation: 9}},
+		{"append response of a leaver", &Message{Kind: 4, From: from, Term: 4, LastTerm: 3, LastIndex: 7, Granted: true,
+			Round: 301, Clock: 77.25, Incarnation: 9}},
 		{"join", &Message{Kind: 5, From: from}},
 		{"join, forwarded", &Message{Kind: 5, From: from, Granted: true}},
 		{"pre-vote request", &Message{Kind: 6, From: from, Term: 5, LastTerm: 3, LastIndex: 7}},
@@ -94,12 +96,13 @@
 
 // TestStatusForm holds what the control plane's status call shows of voters.
 func TestStatusForm(t *testing.T) {
-	n := New(Options{Addr: "a:1", MinVoters: 3, HeartbeatInterval: 200, ElectionTimeout: 900, RemoveAfter: 1575, Random: draw},
-		Bootstrap("a:1", []string{"a:1", "b:2", "c:3"}), 1000)
+	n := New(Options{Addr: "a:1", MinVoters: 3, HeartbeatInterval: 200, ElectionTimeout: 900, RemoveAfter: 1575,
+		Random: lowest}, Bootstrap("a:1", []string{"a:1", "b:2", "c:3"}), 1000)
 	n.preCampaign(1000)
 	n.Step(&Message{Kind: PreVoteResponse, From: Voter{"0@b:2", "b:2"}, Term: 1, Granted: true}, 1000)
 	n.Step(&Message{Kind: VoteResponse, From: Voter{"0@b:2", "b:2"}, Term: 1, Granted: true}, 1000)
-	n.Step(&Message{Kind: AppendEntriesResponse, From: Voter{"0@b:2", "b:2"}, Term: 1, LastTerm: 1, LastIndex: 2, Round: 1}, 1010.5)
+	n.Step(&Message{Kind: AppendEntriesResponse, From: Voter{"0@b:2", "b:2"}, Term: 1, LastTerm: 1, LastIndex: 2,
+		Round: 1}, 1010.5)
 	b, err := json.Marshal(map[string]any{"voters": n.HardState.Last.Voters, "others": n.PeerStatuses(1020)})
 	if err != nil {
 		t.Fatal(err)
