--- a/cmd/agent/main.go
+++ b/cmd/agent/main.go
@@ -1,4 +1,4 @@
-// Command agent is the agent beside a proxy: it keeps the link to the core and feeds the proxy over loopback.
+// Command agent is the agent beside a proxy: it holds the driver's lease at the core and feeds the proxy over loopback.
 package main
 
 import (
@@ -11,12 +11,18 @@
 	"weirwind/internal/util/settings"
 )
 
-func main() {
-	os.Exit(process.Main(process.Role{Name: "agent", Summary: "the agent beside a proxy", Run: agent.Run,
-		Check: func(s *settings.Settings) error {
-			if len(s.Peers) == 0 {
-				return oops.In("settings").Errorf("an agent needs peers")
-			}
-			return nil
-		}}, os.Args[1:], os.Stdout))
+var role = process.Role{
+	Name:    "agent",
+	Summary: "the agent beside a proxy",
+	Check:   checkSettings,
+	Run:     agent.Run,
+}
+
+func main() { os.Exit(process.Main(role, os.Args[1:], os.Stdout)) }
+
+func checkSettings(set *settings.Settings) error {
+	if len(set.Peers) == 0 {
+		return oops.In("settings").Errorf("an agent needs peers")
+	}
+	return nil
 }
--- a/cmd/controlplane/main.go
+++ b/cmd/controlplane/main.go
@@ -1,5 +1,5 @@
-// Command controlplane is a machine of the core: the control plane that keeps the operator's word, knows members and drivers, and
-// has primaries replaced.
+// Command controlplane is a core machine: it replicates the operator's configuration, keeps the directory of members
+// and drivers, and fails primaries over.
 package main
 
 import (
@@ -12,12 +12,18 @@
 	"weirwind/internal/util/settings"
 )
 
-func main() {
-	os.Exit(process.Main(process.Role{Name: "controlplane", Summary: "a machine of the core, the control plane", Run: controlplane.Run,
-		Check: func(s *settings.Settings) error {
-			if s.ControlAddr == "" || s.DataDir == "" {
-				return oops.In("settings").Errorf("a machine of the core needs listen.ctl and datadir")
-			}
-			return nil
-		}}, os.Args[1:], os.Stdout))
+var role = process.Role{
+	Name:    "controlplane",
+	Summary: "a machine of the core, the control plane",
+	Check:   checkSettings,
+	Run:     controlplane.Run,
+}
+
+func main() { os.Exit(process.Main(role, os.Args[1:], os.Stdout)) }
+
+func checkSettings(set *settings.Settings) error {
+	if set.ControlAddr == "" || set.DataDir == "" {
+		return oops.In("settings").Errorf("a machine of the core needs listen.ctl and datadir")
+	}
+	return nil
 }
--- a/cmd/proxy/main.go
+++ b/cmd/proxy/main.go
@@ -1,4 +1,4 @@
-// Command proxy is the proxy on a front machine: it takes clients' sessions and carries their statements to members.
+// Command proxy is the proxy on a front machine: it accepts clients' sessions and forwards their statements to members.
 package main
 
 import (
@@ -11,12 +11,18 @@
 	"weirwind/internal/util/settings"
 )
 
-func main() {
-	os.Exit(process.Main(process.Role{Name: "proxy", Summary: "the proxy between clients and members", Run: proxy.Run,
-		Check: func(s *settings.Settings) error {
-			if s.FrontAddr == "" || s.ReadyAddr == "" {
-				return oops.In("settings").Errorf("a proxy needs listen.front and listen.readyAddr")
-			}
-			return nil
-		}}, os.Args[1:], os.Stdout))
+var role = process.Role{
+	Name:    "proxy",
+	Summary: "the proxy between clients and members",
+	Check:   checkSettings,
+	Run:     proxy.Run,
+}
+
+func main() { os.Exit(process.Main(role, os.Args[1:], os.Stdout)) }
+
+func checkSettings(set *settings.Settings) error {
+	if set.FrontAddr == "" || set.ReadyAddr == "" {
+		return oops.In("settings").Errorf("a proxy needs listen.front and listen.readyAddr")
+	}
+	return nil
 }
--- a/cmd/sessionedge/main.go
+++ b/cmd/sessionedge/main.go
@@ -1,4 +1,4 @@
-// Command sessionedge is an edge, where the websockets of open sessions end. docs/sessions.md.
+// Command sessionedge is an edge, where the websockets of open sessions end: docs/sessions.md.
 package main
 
 import (
@@ -11,12 +11,18 @@
 	"weirwind/internal/util/settings"
 )
 
-func main() {
-	os.Exit(process.Main(process.Role{Name: "sessionedge", Summary: "an edge of open sessions", Run: edge.Run,
-		Check: func(s *settings.Settings) error {
-			if len(s.Peers) == 0 || s.FrontAddr == "" {
-				return oops.In("settings").Errorf("an edge needs peers and listen.front")
-			}
-			return nil
-		}}, os.Args[1:], os.Stdout))
+var role = process.Role{
+	Name:    "sessionedge",
+	Summary: "an edge of open sessions",
+	Check:   checkSettings,
+	Run:     edge.Run,
+}
+
+func main() { os.Exit(process.Main(role, os.Args[1:], os.Stdout)) }
+
+func checkSettings(set *settings.Settings) error {
+	if len(set.Peers) == 0 || set.FrontAddr == "" {
+		return oops.In("settings").Errorf("an edge needs peers and listen.front")
+	}
+	return nil
 }
--- a/cmd/sessionsite/main.go
+++ b/cmd/sessionsite/main.go
@@ -1,4 +1,4 @@
-// Command sessionsite is a site that holds open websocket sessions with what is queued for them. docs/sessions.md.
+// Command sessionsite is a site, which holds open websocket sessions with what is queued for them: docs/sessions.md.
 package main
 
 import (
@@ -11,12 +11,18 @@
 	"weirwind/internal/util/settings"
 )
 
-func main() {
-	os.Exit(process.Main(process.Role{Name: "sessionsite", Summary: "a site of open sessions", Run: site.Run,
-		Check: func(s *settings.Settings) error {
-			if len(s.Peers) == 0 || s.ReadyAddr == "" {
-				return oops.In("settings").Errorf("a site needs peers and listen.readyAddr")
-			}
-			return nil
-		}}, os.Args[1:], os.Stdout))
+var role = process.Role{
+	Name:    "sessionsite",
+	Summary: "a site of open sessions",
+	Check:   checkSettings,
+	Run:     site.Run,
+}
+
+func main() { os.Exit(process.Main(role, os.Args[1:], os.Stdout)) }
+
+func checkSettings(set *settings.Settings) error {
+	if len(set.Peers) == 0 || set.ReadyAddr == "" {
+		return oops.In("settings").Errorf("a site needs peers and listen.readyAddr")
+	}
+	return nil
 }
--- a/internal/util/events/catalogue.go
+++ b/internal/util/events/catalogue.go
@@ -102,7 +102,7 @@
 	Joining:      "a machine without state asks the core to become a voter",
 	ContactHeld:  "this core machine has contact with a majority again: it answers calls and serves agents",
 	ContactLost:  "this core machine has lost contact with a majority: it answers 503, and its agents fail over",
-	Leaving:      "this core machine shuts down: it transfers leadership, and asks to be removed where enough voters remain",
+	Leaving:      "this core machine shuts down: it transfers leadership, and asks to be removed where enough remain",
 
 	ConfigTaken: "a configuration is synced on a majority of disks and was acknowledged",
 	ConfigNot:   "a configuration was rejected, with the reason",
--- a/internal/util/process/process.go
+++ b/internal/util/process/process.go
@@ -1,11 +1,14 @@
-// Package process is what every process of the system starts and ends with: its command line, its settings, its
+// Package process is what every process of the system starts and ends with: its command line, its settings and its
 // signals.
 //
-// This file owns the frame round a role; what the role does is its own.
+// A program of the system is a Role and a main function that calls Main. SIGTERM and SIGINT end the role's context,
+// on which it shuts down gracefully; SIGHUP has the settings file read and checked again. What the role does in
+// between is its own.
 package process
 
 import (
 	"context"
+	"errors"
 	"flag"
 	"fmt"
 	"io"
@@ -20,75 +23,128 @@
 	"weirwind/internal/util/settings"
 )
 
-// Role is what a program does with its settings until the context ends.
+// Exit codes.
+const (
+	exitOK      = 0
+	exitFailure = 1
+	exitUsage   = 2 // the command line is wrong
+)
+
+// gcPercent is by how much the heap may grow between two collections.
+const gcPercent = 60
+
+// memoryLimit is what the Go runtime keeps within, in bytes: seven tenths of the machine's limit. The rest is for the
+// binary and the kernel's buffers.
+func memoryLimit(set *settings.Settings) int64 { return int64(set.MemoryMB) << 20 * 7 / 10 }
+
+// Role is a program of the system.
 type Role struct {
-	Name  string
-	Summary string
+	Name    string
+	Summary string // one line for the usage
+	// Check reports what the role lacks in settings that can be read; nil: it needs nothing beyond them.
 	Check func(*settings.Settings) error
-	Run   func(context.Context, *settings.Settings, events.Log) error
+	// Run serves until the context ends, and then shuts down. An error means that it failed.
+	Run func(context.Context, *settings.Settings, events.Log) error
+}
+
+// commandLine is a program's parsed arguments.
+type commandLine struct {
+	settingsFile string
+	checkOnly    bool // the settings are read and checked, and nothing is run
+}
+
+// Main runs a role's program and returns its exit code: 0 for a shutdown in order, 1 for a failure, 2 for a wrong
+// command line.
+func Main(role Role, args []string, out io.Writer) int {
+	line, code := parse(role, args, out)
+	if line == nil {
+		return code
+	}
+	log := events.New(os.Stderr, role.Name)
+	set, err := load(line.settingsFile, role)
+	if err != nil {
+		log.Error(events.BadSettings, err)
+		return exitFailure
+	}
+	if line.checkOnly {
+		fmt.Fprintln(out, "the settings can be served with")
+		return exitOK
+	}
+	debug.SetGCPercent(gcPercent)
+	debug.SetMemoryLimit(memoryLimit(set))
+	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
+	defer stop()
+	defer reloadOnHangup(line.settingsFile, role, log)()
+	if err := role.Run(ctx, set, log); err != nil {
+		log.Error(events.Stopped, err)
+		return exitFailure
+	}
+	return exitOK
 }
 
-// Main runs a role's program and gives its exit code: 0 for an end in order, 1 for a failure, 2 for a wrong call.
-func Main(r Role, args []string, out io.Writer) int {
-	flags := flag.NewFlagSet(r.Name, flag.ContinueOnError)
+// parse reads the command line. Where there is nothing to run, line is nil and code the program's exit code.
+func parse(role Role, args []string, out io.Writer) (line *commandLine, code int) {
+	line = &commandLine{}
+	flags := flag.NewFlagSet(role.Name, flag.ContinueOnError)
 	flags.SetOutput(out)
-	file := flags.String("settings", os.Getenv(settings.EnvVariable), "settings `file`; else the variable "+settings.EnvVariable+" names it")
-	check := flags.Bool("check", false, "read and check the settings, and end")
+	flags.StringVar(&line.settingsFile, "settings", os.Getenv(settings.EnvVariable),
+		"settings `file`; else the variable "+settings.EnvVariable+" names it")
+	flags.BoolVar(&line.checkOnly, "check", false, "read and check the settings, and end")
 	flags.Usage = func() {
-		fmt.Fprintf(out, "%s: %s\n\nUsage: %s [-settings FILE] [-check]\n\n", r.Name, r.Summary, r.Name)
+		fmt.Fprintf(out, "%s: %s\n\nUsage: %s [-settings FILE] [-check]\n\n", role.Name, role.Summary, role.Name)
 		flags.PrintDefaults()
-		fmt.Fprintln(out, "\nSIGHUP reads the settings again, SIGTERM ends in order. The log, on standard error, has numbered events: docs/events.md.")
+		fmt.Fprintln(out, "\nSIGHUP reads the settings again, SIGTERM ends in order. "+
+			"The log, on standard error, has numbered events: docs/events.md.")
 	}
 	if err := flags.Parse(args); err != nil {
-		if err == flag.ErrHelp {
-			return 0
+		if errors.Is(err, flag.ErrHelp) {
+			return nil, exitOK
 		}
-		return 2
+		return nil, exitUsage
 	}
-	if flags.NArg() > 0 || *file == "" {
+	if flags.NArg() > 0 || line.settingsFile == "" {
 		flags.Usage()
-		return 2
-	}
-	log := events.New(os.Stderr, r.Name)
-	s, err := load(*file, r)
-	if err != nil {
-		log.Error(events.BadSettings, err)
-		return 1
-	}
-	if *check {
-		fmt.Fprintln(out, "the settings can be served with")
-		return 0
+		return nil, exitUsage
 	}
-	debug.SetGCPercent(60)
-	debug.SetMemoryLimit(int64(s.MemoryMB) << 20 * 7 / 10)
-	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
-	defer stop()
-	hup := make(chan os.Signal, 1)
-	signal.Notify(hup, syscall.SIGHUP)
+	return line, exitOK
+}
+
+// reloadOnHangup reads and checks the settings again at each SIGHUP, and logs the result; the settings in force stay.
+// It returns a function that ends this; a SIGHUP after that is ignored, as the process is about to end.
+func reloadOnHangup(file string, role Role, log events.Log) (stop func()) {
+	hangups, done := make(chan os.Signal, 1), make(chan struct{})
+	signal.Notify(hangups, syscall.SIGHUP)
 	go func() {
-		for range hup {
-			if now, err := load(*file, r); err != nil {
-				log.Error(events.BadSettings, err)
-			} else {
-				log.Event(events.Reloaded, "peers", now.Peers)
+		for {
+			select {
+			case <-done:
+				return
+			case <-hangups:
+				reload(file, role, log)
 			}
 		}
 	}()
-	if err := r.Run(ctx, s, log); err != nil {
-		log.Error(events.Stopped, err)
-		return 1
+	return func() { close(done) }
+}
+
+func reload(file string, role Role, log events.Log) {
+	set, err := load(file, role)
+	if err != nil {
+		log.Error(events.BadSettings, err)
+		return
 	}
-	return 0
+	log.Event(events.Reloaded, "peers", set.Peers)
 }
 
-func load(file string, r Role) (*settings.Settings, error) {
+// load reads a settings file and checks it for a role.
+func load(file string, role Role) (*settings.Settings, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return nil, oops.In("settings").Wrap(err)
 	}
-	s, err := settings.Read(text)
-	if err == nil && r.Check != nil {
-		err = r.Check(s)
+	set, err := settings.Read(text)
+	if err == nil && role.Check != nil {
+		err = role.Check(set)
 	}
-	return s, err
+	return set, err
 }
