--- a/internal/controlplane/calls.go
+++ b/internal/controlplane/calls.go
@@ -200,14 +200,14 @@
 
 // ShardsView is what GET /shards answers. Only who leads knows what nodes say and what goes on.
 type ShardsView struct {
-	Leads  bool                        `json:"leads"`
-	Leader string                      `json:"leader"`
-	Map    *shardmap.Map               `json:"map"`
-	Nodes  map[string]shardnode.Report `json:"nodes,omitempty"`
-	Runs   map[string]string           `json:"runs,omitempty"`
-	Moved  int64                       `json:"moved"`
-	Gaps   []float64                   `json:"gapsMs,omitempty"`
-	Points []movePoint                 `json:"points,omitempty"`
+	Leading     bool                        `json:"leads"`
+	Leader      string                      `json:"leader"`
+	Map         *shardmap.Map               `json:"map"`
+	Nodes       map[string]shardnode.Report `json:"nodes,omitempty"`
+	Transfers   map[string]string           `json:"runs,omitempty"`
+	BytesMoved  int64                       `json:"moved"`
+	WriteGapsMs []float64                   `json:"gapsMs,omitempty"`
+	Progress    []movePoint                 `json:"points,omitempty"`
 }
 
 func (s *shardsResource) show(w http.ResponseWriter, _ *http.Request) {
@@ -231,40 +231,3 @@
 	w.Header().Set("Content-Type", "application/json")
 	json.NewEncoder(w).Encode(v)
 }
-
-// statusResource is what this machine knows, for operators; with ?brief=1 lists of members and drivers are left out.
-type statusResource struct{ h *Server }
-
-func (s *statusResource) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	brief := r.URL.Query().Get("brief") != ""
-	ch := make(chan map[string]any, 2)
-	s.h.tables.do(func() { ch <- s.h.tables.status(brief) })
-	s.h.loop.do(func() { ch <- s.h.loop.status() })
-	all := map[string]any{"machine": s.h.set.Hostname, "traffic": map[string]controlmsg.Traffic{
-		"dialled": controlmsg.ReadTraffic(&s.h.dialled), "accepted": controlmsg.ReadTraffic(&s.h.accepted)}}
-	for range 2 {
-		select {
-		case part := <-ch:
-			for k, v := range part {
-				all[k] = v
-			}
-		case <-s.h.ctx.Done():
-			return
-		}
-	}
-	w.Header().Set("Content-Type", "application/json")
-	e := json.NewEncoder(w)
-	e.SetIndent("", "  ")
-	e.Encode(all)
-}
-
-func (c *consensusLoop) status() map[string]any {
-	leader, _ := c.node.Leader()
-	e, committed := c.node.Committed()
-	out := map[string]any{"id": c.node.HardState.ID, "leader": leader.Addr, "term": c.node.HardState.Term, "voters": e.Voters, "index": e.Index, "committed": committed,
-		"others": c.node.PeerStatuses(c.h.now()), "syncs": c.syncs, "lastSyncMs": c.lastSync, "mostSyncMs": c.mostSync}
-	if c.state != nil {
-		out["gen"], out["changes"] = c.state.Version, len(c.state.History)
-	}
-	return out
-}
--- /dev/null
+++ b/internal/controlplane/calls_golden_test.go
@@ -0,0 +1,162 @@
+package controlplane
+
+import (
+	"net/http"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"weirwind/internal/controlplane/directory"
+)
+
+type member = directory.Member
+
+const twoServices = `{"gen":1,"routes":[{"name":"r","host":"db","type":"primary","timeoutMs":3000,"svc":"s"}],` +
+	`"svcs":[{"name":"s","maxConns":50,"syncN":1},{"name":"n1","maxConns":5}]}`
+
+type httpCall struct {
+	method, path, base, body string
+}
+
+// Every call of members, operators and sites, with its status, headers and body byte for byte, at a machine that leads. The machine
+// is alone, so each moment is known.
+func TestCallsKeepTheirAnswers(t *testing.T) {
+	inVirtualTime(t, func(t *testing.T) {
+		record := newTranscript()
+		h := startServer(t, "10.0.0.1:7000", []string{"10.0.0.1:7000"}, "", newTranscript())
+		time.Sleep(8011 * time.Millisecond) // never at the moment of a tick
+		beat := `{"svc":"s","addr":"10.0.1.1:1","zone":"z","gen":"g","slots":3,"state":"ok","dbRole":"primary","seq":1}`
+		for _, c := range []httpCall{
+			{"GET", "/status", "", ""},
+			{"GET", "/status?brief=1", "", ""},
+			{"GET", "/config/show", "", ""},
+			{"GET", "/config/log", "", ""},
+			{"GET", "/shards", "", ""},
+			{"GET", "/sites", "", ""},
+			{"GET", "/none", "", ""},
+			{"GET", "/config/replace", "", ""},
+			{"POST", "/members/a/heartbeat", "", beat},
+			{"POST", "/members/b/heartbeat", "", strings.ReplaceAll(beat, "primary", "replica")},
+			{"POST", "/members/c/heartbeat", "", `{"svc":"s","addr":"10.0.1.3:1","state":"draining","seq":7}`},
+			{"POST", "/members/d/heartbeat", "", `{"svc":"s"}`},
+			{"POST", "/members/d/heartbeat", "", `no`},
+			{"POST", "/members/d/heartbeat", "", strings.Repeat(" ", 5000)},
+			{"POST", "/members/c/leave", "", ""},
+			{"POST", "/members/unknown/leave", "", ""},
+			{"POST", "/config/replace", "", twoServices},
+			{"POST", "/config/replace", "x", twoServices},
+			{"POST", "/config/replace", "0", `{`},
+			{"POST", "/config/replace", "0", `{"gen":1,"routes":[{"name":"a","host":"h","type":"primary","timeoutMs":9,"svc":"none"}],"svcs":[]}`},
+			{"POST", "/config/replace", "0", twoServices},
+			{"POST", "/config/replace", "0", twoServices},
+			{"POST", "/config/replace", "0", strings.ReplaceAll(twoServices, "3000", "4000")},
+			{"POST", "/config/amend", "1", `{"gen":2,"upsert":{"svcs":[{"name":"n2"}]}}`},
+			{"POST", "/config/amend", "1", `{"gen":2,"upsert":{"svcs":[{"name":"n3"}]}}`},
+			{"POST", "/config/amend", "7", `{"gen":8,"upsert":{"svcs":[{"name":"n3"}]}}`},
+			{"POST", "/config/replace", "2", strings.Repeat(" ", 4<<20+1)},
+			{"GET", "/config/show", "", ""},
+			{"GET", "/config/log", "", ""},
+			{"POST", "/members/a/forget", "", ""},
+			{"POST", "/members/unknown/forget", "", ""},
+			{"POST", "/shards", "", `{`},
+			{"POST", "/shards", "", `{"other":1}`},
+			{"POST", "/shards", "", `{"kind":"hand"}`},
+			{"POST", "/shards", "", `{"kind":"back"}`},
+			{"POST", "/shards", "", `{"kind":"end"}`},
+			{"POST", "/shards", "", `{"kind":"pause"}`},
+			{"POST", "/shards", "", `{"kind":"found","shards":{"x":"n1","y":"n2"},"nodes":{"n1":{"zone":"z1"},"n2":{"zone":"z2"}}}`},
+			{"POST", "/shards", "", `{"kind":"plan","base":9}`},
+			{"POST", "/shards", "", `{"kind":"pause","base":1}`},
+			{"GET", "/shards", "", ""},
+			{"POST", "/sites/one/renew", "", `{}`},
+			{"POST", "/sites/one/renew", "", `no`},
+			{"POST", "/sites/one/renew", "", `{"addr":"10.0.2.1:1","http":"10.0.2.1:2","zone":"z1","region":"r","life":5}`},
+			{"POST", "/sites/one/renew", "", `{"addr":"10.0.2.1:1","http":"10.0.2.1:2","zone":"z1","region":"r","life":5}`},
+			{"POST", "/sites/one/drain?epoch=1&pace=0", "", ""},
+			{"POST", "/sites/one/drain?epoch=1&pace=x", "", ""},
+			{"POST", "/sites/one/drain?epoch=1&pace=3", "", ""},
+			{"POST", "/sites/one/undrain?epoch=1", "", ""},
+			{"POST", "/sites/none/drain", "", ""},
+			{"GET", "/sites", "", ""},
+			{"POST", "/sites/one/leave?epoch=1", "", ""},
+			{"GET", "/sites", "", ""},
+			{"GET", "/status", "", ""},
+			{"GET", "/events?about=E402", "", ""},
+		} {
+			var header map[string]string
+			if c.base != "" {
+				header = map[string]string{"Weirwind-Base-Version": c.base}
+			}
+			call(record, h, c.method, c.path, header, c.body)
+			time.Sleep(100 * time.Millisecond)
+		}
+		compareGolden(t, "calls.txt", record.String())
+	})
+}
+
+// The same at a machine that has had no contact with a majority, at one that has contact but knows no leader, and at one that is
+// stopping.
+func TestCallsKeepTheirRefusals(t *testing.T) {
+	inVirtualTime(t, func(t *testing.T) {
+		record := newTranscript()
+		h := startServer(t, "10.0.0.1:7000", []string{"10.0.0.1:7000", "10.0.0.2:7000", "10.0.0.3:7000"}, "", newTranscript())
+		time.Sleep(111 * time.Millisecond)
+		all := func() {
+			for _, c := range []httpCall{
+				{"POST", "/members/a/heartbeat", "", `{"svc":"s","addr":"10.0.1.1:1"}`},
+				{"POST", "/members/a/leave", "", ""},
+				{"POST", "/members/a/forget", "", ""},
+				{"POST", "/config/replace", "0", twoServices},
+				{"POST", "/config/amend", "0", `{"gen":2}`},
+				{"GET", "/config/show", "", ""},
+				{"GET", "/config/log", "", ""},
+				{"POST", "/shards", "", `{"kind":"pause"}`},
+				{"GET", "/shards", "", ""},
+				{"POST", "/sites/one/renew", "", `{"addr":"10.0.2.1:1","life":5}`},
+				{"POST", "/sites/one/leave?epoch=1", "", ""},
+				{"GET", "/sites", "", ""},
+			} {
+				call(record, h, c.method, c.path, map[string]string{"Weirwind-Base-Version": c.base}, c.body)
+			}
+		}
+		record.step("no contact")
+		all()
+		record.step("contact, but no leader")
+		h.contact.set(h.now() + 100_000)
+		all()
+		record.step("stopping")
+		h.cancel(nil)
+		synctest.Wait()
+		for _, c := range []httpCall{
+			{"POST", "/config/replace", "0", twoServices},
+			{"GET", "/config/show", "", ""},
+			{"POST", "/sites/one/drain", "", ""},
+		} {
+			call(record, h, c.method, c.path, map[string]string{"Weirwind-Base-Version": c.base}, c.body)
+		}
+		compareGolden(t, "refusals.txt", record.String())
+	})
+}
+
+// A body that comes too slowly, is too long or is cut short is answered by its own status.
+func TestBodiesThatDoNotCome(t *testing.T) {
+	for _, c := range []struct {
+		err  error
+		want int
+	}{
+		{&http.MaxBytesError{Limit: 1}, http.StatusRequestEntityTooLarge},
+		{slowError{}, http.StatusRequestTimeout},
+		{http.ErrBodyReadAfterClose, http.StatusBadRequest},
+	} {
+		if got := statusOf(c.err); got != c.want {
+			t.Errorf("%v: status %d, want %d", c.err, got, c.want)
+		}
+	}
+}
+
+type slowError struct{}
+
+func (slowError) Error() string   { return "slow" }
+func (slowError) Timeout() bool   { return true }
+func (slowError) Temporary() bool { return true }
--- a/internal/controlplane/moving.go
+++ b/internal/controlplane/moving.go
@@ -140,15 +140,15 @@
 }
 
 func (t *tables) shardsView() ShardsView {
-	v := ShardsView{Leads: t.leading}
+	v := ShardsView{Leading: t.leading}
 	if t.state != nil {
 		v.Map = t.state.Shards
 	}
 	if t.mover != nil && v.Map != nil {
-		v.Nodes, v.Moved, v.Gaps, v.Points, v.Runs = t.mover.Reports(), t.mover.BytesMoved(), slices.Clone(t.mover.WriteGaps()), slices.Clone(t.moves), map[string]string{}
+		v.Nodes, v.BytesMoved, v.WriteGapsMs, v.Progress, v.Transfers = t.mover.Reports(), t.mover.BytesMoved(), slices.Clone(t.mover.WriteGaps()), slices.Clone(t.moves), map[string]string{}
 		for shard := range v.Map.Shards {
 			if state := t.mover.TransferState(shard); state != "" {
-				v.Runs[shard] = state
+				v.Transfers[shard] = state
 			}
 		}
 	}
--- a/internal/controlplane/roster.go
+++ b/internal/controlplane/roster.go
@@ -132,10 +132,23 @@
 		return
 	}
 	if _, ok := c.node.Propose(value, c.h.now()); ok {
-		c.h.log.Event(events.RosterChange, "added", change.Add, "removed", change.Remove)
+		c.h.log.Event(events.RosterChange, "added", loggedMembers(change.Add), "removed", loggedMembers(change.Remove))
 	}
 }
 
+// loggedMember is a member as the log shows it: readers of logs know its keys.
+type loggedMember struct {
+	Service string `json:"Svc"`
+	ID      string `json:"ID"`
+}
+
+func loggedMembers(members []config.RosterMember) (out []loggedMember) {
+	for _, m := range members {
+		out = append(out, loggedMember{Service: m.Service, ID: m.ID})
+	}
+	return out
+}
+
 // forget takes an operator's word that a member is gone for good: its group waits for it no longer. What it alone held is given up.
 func (m *membersResource) forget(w http.ResponseWriter, r *http.Request) {
 	id := r.PathValue("id")
--- a/internal/controlplane/sites.go
+++ b/internal/controlplane/sites.go
@@ -14,11 +14,11 @@
 	"weirwind/internal/util/events"
 )
 
-// A site's lease holds for SiteLease from when it asked. The core takes it for over only siteSlack later than it can possibly
+// A site's lease holds for SiteLeaseDuration from when it asked. The core takes it for over only siteSlack later than it can possibly
 // hold: a tenth for clocks that run apart, and what an answer takes.
 const (
-	SiteLease = 1500 * time.Millisecond
-	siteSlack = 300 * time.Millisecond
+	SiteLeaseDuration = 1500 * time.Millisecond
+	siteSlack         = 300 * time.Millisecond
 )
 
 // lapseSites proposes the end of sites whose lease is over. A new leader grants every site a lease's time: it doesn't know what was
@@ -31,7 +31,7 @@
 		if t.lives[name] != s.Incarnation { // it has just joined
 			t.lives[name], t.granted[name] = s.Incarnation, now
 		}
-		if s.State == sites.StateRemoved || now-max(t.granted[name], t.ledAt) < ms(SiteLease+siteSlack) {
+		if s.State == sites.StateRemoved || now-max(t.granted[name], t.ledAt) < ms(SiteLeaseDuration+siteSlack) {
 			continue
 		}
 		t.granted[name] = now // not again at once
@@ -44,26 +44,26 @@
 // sitesResource is the resource of the sites that hold open sessions.
 type sitesResource struct{ h *Server }
 
-// Renewal is what a site says of itself; the answer is the map of sites.
-type Renewal struct {
-	Addr   string `json:"addr"`
-	HTTP   string `json:"http"`
-	Zone   string `json:"zone"`
-	Region string `json:"region"`
-	Life   uint64 `json:"life"`
+// SiteRenewal is what a site says of itself; the answer is the map of sites.
+type SiteRenewal struct {
+	Addr        string `json:"addr"`
+	HTTPAddr    string `json:"http"`
+	Zone        string `json:"zone"`
+	Region      string `json:"region"`
+	Incarnation uint64 `json:"life"`
 }
 
 func (s *sitesResource) renew(w http.ResponseWriter, r *http.Request) {
-	var n Renewal
+	var n SiteRenewal
 	name := r.PathValue("name")
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, mostBeat)).Decode(&n); err != nil || n.Addr == "" || n.Life == 0 {
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, mostBeat)).Decode(&n); err != nil || n.Addr == "" || n.Incarnation == 0 {
 		http.Error(w, "a renewal names its addr and life", http.StatusBadRequest)
 		return
 	}
-	grant := controlmsg.Request{SiteLease: &controlmsg.SiteLeaseRequest{Site: name, Incarnation: n.Life}}
+	grant := controlmsg.Request{SiteLease: &controlmsg.SiteLeaseRequest{Site: name, Incarnation: n.Incarnation}}
 	status, body := s.h.call(grant)
 	if status == http.StatusConflict {
-		join := &sites.Change{Kind: sites.ChangeJoin, Name: name, Site: sites.Site{Addr: n.Addr, HTTPAddr: n.HTTP, Zone: n.Zone, Region: n.Region, Incarnation: n.Life}}
+		join := &sites.Change{Kind: sites.ChangeJoin, Name: name, Site: sites.Site{Addr: n.Addr, HTTPAddr: n.HTTPAddr, Zone: n.Zone, Region: n.Region, Incarnation: n.Incarnation}}
 		if status, body = s.h.call(controlmsg.Request{SiteChange: join}); status == http.StatusOK {
 			status, body = s.h.call(grant)
 		}
--- /dev/null
+++ b/internal/controlplane/status.go
@@ -0,0 +1,150 @@
+package controlplane
+
+import (
+	"encoding/json"
+	"net/http"
+
+	"weirwind/internal/controlplane/consensus"
+	"weirwind/internal/controlplane/controlmsg"
+	"weirwind/internal/controlplane/directory"
+	"weirwind/internal/util/commandqueue"
+)
+
+// statusResource serves GET /status: what this machine knows, for operators. With ?brief=1 the lists of members and drivers are
+// left out.
+type statusResource struct{ h *Server }
+
+// serverStatus is the body of GET /status. Its keys are in order of the alphabet, which readers may rely on. Pointers are nil where
+// a key is left out: those of a brief status, and of a machine that knows no committed state.
+type serverStatus struct {
+	Agents      int                    `json:"agents"`
+	Changes     *int                   `json:"changes,omitempty"`
+	Committed   bool                   `json:"committed"`
+	CoreLinks   int                    `json:"coreLinks"`
+	DriverCount int                    `json:"driverCount"`
+	Drivers     *[]driverStatus        `json:"drivers,omitempty"`
+	Version     *uint64                `json:"gen,omitempty"`
+	ID          string                 `json:"id"`
+	InContact   *bool                  `json:"inContact,omitempty"`
+	Index       uint64                 `json:"index"`
+	LastSyncMs  float64                `json:"lastSyncMs"`
+	Leader      string                 `json:"leader"`
+	Leading     bool                   `json:"leads"`
+	Machine     string                 `json:"machine"`
+	MemberCount int                    `json:"memberCount"`
+	Members     *[]memberStatus        `json:"members,omitempty"`
+	MaxSyncMs   float64                `json:"mostSyncMs"`
+	Peers       []consensus.PeerStatus `json:"others"`
+	Failovers   *map[string]string     `json:"successions,omitempty"`
+	Syncs       uint64                 `json:"syncs"`
+	Term        uint64                 `json:"term"`
+	Traffic     trafficStatus          `json:"traffic"`
+	Voters      []consensus.Voter      `json:"voters"`
+}
+
+// trafficStatus counts the frames of the links that this machine dialled, and of those that it accepted.
+type trafficStatus struct {
+	Accepted controlmsg.Traffic `json:"accepted"`
+	Dialled  controlmsg.Traffic `json:"dialled"`
+}
+
+// memberStatus is a member's record.
+type memberStatus struct {
+	ID          string         `json:"ID"`
+	Service     string         `json:"Svc"`
+	Addr        string         `json:"Addr"`
+	Zone        string         `json:"Zone"`
+	Generation  string         `json:"Gen"`
+	Slots       int            `json:"Slots"`
+	Role        directory.Role `json:"Role"`
+	Draining    bool           `json:"Draining"`
+	Tombstone   bool           `json:"Gone"`
+	Leaving     bool           `json:"Leaving"`
+	Incarnation uint64         `json:"Life"`
+	Seq         uint64         `json:"Seq"`
+	Revision    uint64         `json:"Mark"`
+}
+
+// driverStatus is a driver that holds a lease.
+type driverStatus struct {
+	Name        string `json:"Name"`
+	Addr        string `json:"Addr"`
+	Zone        string `json:"Zone"`
+	Incarnation uint64 `json:"Life"`
+}
+
+// memberStatuses gives members' records as GET /status shows them; nil for nil, which is null in JSON.
+func memberStatuses(members []directory.Member) (out []memberStatus) {
+	if members != nil {
+		out = make([]memberStatus, 0, len(members))
+	}
+	for _, m := range members {
+		out = append(out, memberStatus{ID: m.ID, Service: m.Service, Addr: m.Addr, Zone: m.Zone, Generation: m.Generation,
+			Slots: m.Slots, Role: m.Role, Draining: m.Draining, Tombstone: m.Tombstone, Leaving: m.Leaving,
+			Incarnation: m.Incarnation, Seq: m.Seq, Revision: m.Revision})
+	}
+	return out
+}
+
+// driverStatuses gives drivers as GET /status shows them; nil for nil, which is null in JSON.
+func driverStatuses(drivers []directory.Driver) (out []driverStatus) {
+	if drivers != nil {
+		out = make([]driverStatus, 0, len(drivers))
+	}
+	for _, d := range drivers {
+		out = append(out, driverStatus{Name: d.Name, Addr: d.Addr, Zone: d.Zone, Incarnation: d.Incarnation})
+	}
+	return out
+}
+
+// ServeHTTP asks the two owners for their parts.
+func (r *statusResource) ServeHTTP(w http.ResponseWriter, request *http.Request) {
+	brief := request.URL.Query().Get("brief") != ""
+	h := r.h
+	status := serverStatus{Machine: h.set.Hostname, Traffic: trafficStatus{
+		Accepted: controlmsg.ReadTraffic(&h.accepted), Dialled: controlmsg.ReadTraffic(&h.dialled)}}
+	fill := func(q *commandqueue.Queue, report func(*serverStatus)) error {
+		_, err := commandqueue.Call(h.ctx, q, func() struct{} {
+			report(&status)
+			return struct{}{}
+		})
+		return err
+	}
+	if fill(h.tables.q, func(s *serverStatus) { h.tables.reportStatus(s, brief) }) != nil || fill(h.loop.q, h.loop.reportStatus) != nil {
+		return
+	}
+	w.Header().Set("Content-Type", "application/json")
+	e := json.NewEncoder(w)
+	e.SetIndent("", "  ")
+	_ = e.Encode(&status)
+}
+
+// reportStatus fills in the tables' part.
+func (t *tables) reportStatus(status *serverStatus, brief bool) {
+	members, drivers := t.members.Snapshot(), t.leases.Drivers()
+	status.Leading, status.Agents, status.CoreLinks = t.leading, len(t.agents), t.h.coreLinks()
+	status.MemberCount, status.DriverCount = len(members), len(drivers)
+	if brief {
+		return
+	}
+	states := map[string]string{}
+	for service, c := range t.successions {
+		states[service] = c.State()
+	}
+	inContact, memberList, driverList := t.contact.held, memberStatuses(members), driverStatuses(drivers)
+	status.InContact, status.Members, status.Drivers, status.Failovers = &inContact, &memberList, &driverList, &states
+}
+
+// reportStatus fills in the loop's part.
+func (c *consensusLoop) reportStatus(status *serverStatus) {
+	leader, _ := c.node.Leader()
+	entry, committed := c.node.Committed()
+	status.ID, status.Term, status.Leader = c.node.HardState.ID, c.node.HardState.Term, leader.Addr
+	status.Voters, status.Index, status.Committed = entry.Voters, entry.Index, committed
+	status.Peers = c.node.PeerStatuses(c.h.now())
+	status.Syncs, status.LastSyncMs, status.MaxSyncMs = c.syncs, c.lastSync, c.mostSync
+	if c.state != nil {
+		version, changes := c.state.Version, len(c.state.History)
+		status.Version, status.Changes = &version, &changes
+	}
+}
--- a/internal/controlplane/tables.go
+++ b/internal/controlplane/tables.go
@@ -393,18 +393,3 @@
 	}
 	t.reports[r.Service][r.Driver] = report{*r, now}
 }
-
-func (t *tables) status(brief bool) map[string]any {
-	members, drivers := t.members.Snapshot(), t.leases.Drivers()
-	all := map[string]any{"leads": t.leading, "agents": len(t.agents), "coreLinks": t.h.coreLinks(), "memberCount": len(members), "driverCount": len(drivers)}
-	if brief {
-		return all
-	}
-	successions := map[string]string{}
-	for svc, s := range t.successions {
-		successions[svc] = s.State()
-	}
-	all["inContact"] = t.contact.held
-	all["members"], all["drivers"], all["successions"] = members, drivers, successions
-	return all
-}
--- a/internal/session/site/site.go
+++ b/internal/session/site/site.go
@@ -153,8 +153,8 @@
 		case <-t.ctx.Done():
 			return
 		}
-		body, _ := json.Marshal(controlplane.Renewal{Addr: t.set.PortAddr(t.set.IP, 0), HTTP: t.set.ReadyAddr, Zone: t.set.Zone,
-			Region: t.set.Region, Life: life})
+		body, _ := json.Marshal(controlplane.SiteRenewal{Addr: t.set.PortAddr(t.set.IP, 0), HTTPAddr: t.set.ReadyAddr, Zone: t.set.Zone,
+			Region: t.set.Region, Incarnation: life})
 		asked := t.now()
 		status, answer := t.core(http.MethodPost, "/sites/"+t.set.Hostname+"/renew", body)
 		var m sites.Map
@@ -186,7 +186,7 @@
 	before := t.s.Map()
 	t.s.ApplyMap(m, t.life, t.now())
 	if self := m.Sites[t.set.Hostname]; self.Incarnation == t.life && self.State != sites.StateRemoved {
-		t.s.ExtendLease(asked + float64(controlplane.SiteLease.Milliseconds()))
+		t.s.ExtendLease(asked + float64(controlplane.SiteLeaseDuration.Milliseconds()))
 		if self.State != t.state {
 			t.state = self.State
 			t.log.Event(events.SiteSelf, "site", t.set.Hostname, "what", string(self.State), "epoch", self.Epoch)
--- a/internal/standin/cluster/shards_test.go
+++ b/internal/standin/cluster/shards_test.go
@@ -96,7 +96,7 @@
 	for _, c := range w.Cores {
 		if code, s := w.Call("GET", c, "/shards", "", nil); code == 200 {
 			var got controlplane.ShardsView
-			if json.Unmarshal([]byte(s), &got) == nil && got.Leads && got.Map != nil {
+			if json.Unmarshal([]byte(s), &got) == nil && got.Leading && got.Map != nil {
 				return got
 			}
 		}
@@ -231,7 +231,7 @@
 		Reset(w.Stop)
 		stop := w.evening()
 		under := func() { // a move goes on
-			w.Until("something moves", func() bool { return len(view(w).Runs) > 0 })
+			w.Until("something moves", func() bool { return len(view(w).Transfers) > 0 })
 		}
 		apply := func() {
 			w.Until("a plan is taken", func() bool { code, _ := tell("apply", w.Cores[1]); return code == 0 })
@@ -377,6 +377,6 @@
 		v := view(w)
 		ops := stop()
 		settled(w, ops)
-		t.Logf("%d faults, %d ops, %d bytes moved by the last leader, its shards closed for %v ms", faults, len(ops), v.Moved, v.Gaps)
+		t.Logf("%d faults, %d ops, %d bytes moved by the last leader, its shards closed for %v ms", faults, len(ops), v.BytesMoved, v.WriteGapsMs)
 	})
 }
--- a/internal/weirctl/shards.go
+++ b/internal/weirctl/shards.go
@@ -118,7 +118,7 @@
 		if err := json.Unmarshal(body, &v); err != nil {
 			return v, err
 		}
-		if v.Leads {
+		if v.Leading {
 			if v.Map == nil {
 				return v, fmt.Errorf("no shards were founded")
 			}
@@ -179,7 +179,7 @@
 		e.SetIndent("", "  ")
 		return e.Encode(v)
 	}
-	fmt.Fprintf(out, "version %d, paused %v, %d bytes moved by this leader, %d hand-overs, closed for %s\n", v.Map.Version, v.Map.Paused, v.Moved, len(v.Gaps), spread(v.Gaps))
+	fmt.Fprintf(out, "version %d, paused %v, %d bytes moved by this leader, %d hand-overs, closed for %s\n", v.Map.Version, v.Map.Paused, v.BytesMoved, len(v.WriteGapsMs), spread(v.WriteGapsMs))
 	for _, id := range slices.Sorted(maps.Keys(v.Nodes)) {
 		r, held := v.Nodes[id], 0
 		for _, p := range v.Map.Shards {
@@ -193,7 +193,7 @@
 	fates := map[shardmap.TaskStatus]int{}
 	for _, t := range v.Map.Tasks {
 		if fates[t.Status]++; t.Status != shardmap.TaskDone {
-			fmt.Fprintf(out, "  shard %s, %s to %s: %s %s %s\n", t.Shard, t.From, t.To, t.Status, v.Runs[t.Shard], t.Reason)
+			fmt.Fprintf(out, "  shard %s, %s to %s: %s %s %s\n", t.Shard, t.From, t.To, t.Status, v.Transfers[t.Shard], t.Reason)
 		}
 	}
 	fmt.Fprintf(out, "  tasks: %d done, %d waiting, %d failed, %d aborted\n", fates[shardmap.TaskDone], fates[shardmap.TaskPending], fates[shardmap.TaskFailed], fates[shardmap.TaskAborted])
@@ -217,7 +217,7 @@
 	if !ok {
 		return fmt.Errorf("there is no shard %s", shard)
 	}
-	fmt.Fprintf(out, "%s is on %s by epoch %d; %s\n", shard, p.Node, p.Epoch, cmp.Or(v.Runs[shard], "it does not move"))
+	fmt.Fprintf(out, "%s is on %s by epoch %d; %s\n", shard, p.Node, p.Epoch, cmp.Or(v.Transfers[shard], "it does not move"))
 	for _, id := range slices.Sorted(maps.Keys(v.Nodes)) {
 		if h, ok := v.Nodes[id].Replicas[shard]; ok {
 			fmt.Fprintf(out, "  %s has a copy: %s by epoch %d, %d entries, %d bytes\n", id, h.State, h.Epoch, h.LastIndex, h.Size)
@@ -292,22 +292,22 @@
 func page(v controlplane.ShardsView) string {
 	var b strings.Builder
 	b.WriteString(plot.Head + "<title>Shards</title>")
-	fmt.Fprintf(&b, "<h1>Shards, version %d</h1><p>%d bytes moved, %d hand-overs, closed for %s.</p>", v.Map.Version, v.Moved, len(v.Gaps), spread(v.Gaps))
-	if len(v.Points) > 1 {
-		most := max(v.Points[len(v.Points)-1].Moved, 1)
+	fmt.Fprintf(&b, "<h1>Shards, version %d</h1><p>%d bytes moved, %d hand-overs, closed for %s.</p>", v.Map.Version, v.BytesMoved, len(v.WriteGapsMs), spread(v.WriteGapsMs))
+	if len(v.Progress) > 1 {
+		most := max(v.Progress[len(v.Progress)-1].Moved, 1)
 		b.WriteString("<h2>Bytes moved</h2>")
-		plot.Line(&b, len(v.Points), func(i int) float64 { return float64(v.Points[i].Moved) / float64(most) }, "#246")
+		plot.Line(&b, len(v.Progress), func(i int) float64 { return float64(v.Progress[i].Moved) / float64(most) }, "#246")
 		b.WriteString("<h2>Room used, of each disk</h2>")
 		for _, id := range slices.Sorted(maps.Keys(v.Nodes)) {
 			fmt.Fprintf(&b, "<p>%s</p>", html.EscapeString(id))
 			limit := float64(max(v.Nodes[id].Capacity, 1))
-			plot.Line(&b, len(v.Points), func(i int) float64 { return float64(v.Points[i].Used[id]) / limit }, "#a40")
+			plot.Line(&b, len(v.Progress), func(i int) float64 { return float64(v.Progress[i].Used[id]) / limit }, "#a40")
 		}
 	}
 	b.WriteString("<h2>Tasks</h2><table><tr><th>shard<th>from<th>to<th>bytes<th>fate<th>now<th>why")
 	for _, t := range v.Map.Tasks {
 		fmt.Fprintf(&b, "<tr><td>%s<td>%s<td>%s<td>%d<td>%s<td>%s<td>%s", html.EscapeString(t.Shard), html.EscapeString(t.From), html.EscapeString(t.To), t.Bytes, t.Status,
-			html.EscapeString(v.Runs[t.Shard]), html.EscapeString(t.Reason))
+			html.EscapeString(v.Transfers[t.Shard]), html.EscapeString(t.Reason))
 	}
 	b.WriteString("</table>\n")
 	return b.String()
