--- a/internal/dataplane/group/digest_test.go
+++ b/internal/dataplane/group/digest_test.go
@@ -15,8 +15,8 @@
 
 // history plays one seeded history of a group in virtual time and records each decision.
 //
-// Two outputs depend on chance or on map iteration and are recorded as sets: equal choices are collected over repeated
-// calls (Route changes nothing), and members to be probed are sorted.
+// Two outputs depend on chance or on map iteration and are recorded as sets: equal choices are collected over
+// repeated calls (Route changes nothing), and members to be probed are sorted.
 type history struct {
 	rng  *rand.Rand
 	g    *Group
@@ -125,7 +125,9 @@
 			h.g.RecordProbeFailure(m)
 			continue
 		}
-		h.g.RecordProbe(m, h.now-20*h.rng.Float64(), h.now, wire.MemberStatus{Primary: h.rng.IntN(3) == 0, Received: h.position()})
+		sentAt := h.now - 20*h.rng.Float64()
+		status := wire.MemberStatus{Primary: h.rng.IntN(3) == 0, Received: h.position()}
+		h.g.RecordProbe(m, sentAt, h.now, status)
 	}
 }
 
@@ -150,8 +152,8 @@
 	default:
 		h.now += 400 * h.rng.Float64()
 	}
-	h.note("%.3f slot %v why %q usual %.6f stuck %v owing %.6f", h.now, h.g.Slot, h.g.SlotReason, h.g.TypicalLatency(), h.g.CommitsStalled(h.now),
-		h.g.PrimaryUnresponsiveFor(h.now))
+	h.note("%.3f slot %v why %q usual %.6f stuck %v owing %.6f", h.now, h.g.Slot, h.g.SlotReason,
+		h.g.TypicalLatency(), h.g.CommitsStalled(h.now), h.g.PrimaryUnresponsiveFor(h.now))
 }
 
 // The decisions over many histories of members that lead, drain, lag, fall silent, refuse connections and go.
--- a/internal/dataplane/proxy/bench_test.go
+++ b/internal/dataplane/proxy/bench_test.go
@@ -15,8 +15,8 @@
 	"weirwind/internal/util/settings"
 )
 
-// BenchmarkStatements measures the way of a statement, client and member included: what it allocates is the same in each
-// run, and is not to grow.
+// BenchmarkStatements measures the way of a statement, client and member included: what it allocates is the same in
+// each run, and is not to grow.
 func BenchmarkStatements(b *testing.B) {
 	for _, c := range []struct {
 		name, host string
--- a/internal/dataplane/proxy/dispatch_test.go
+++ b/internal/dataplane/proxy/dispatch_test.go
@@ -14,9 +14,9 @@
 	"weirwind/internal/util/settings"
 )
 
-// Where many wait, a connection goes to one that still has time for an answer: given to the oldest, whose deadline passes
-// under way, each would be closed unused, and a proxy would never serve again (seen for fifteen seconds after power was
-// lost).
+// Where many wait, a connection goes to one that still has time for an answer: given to the oldest, whose deadline
+// passes under way, each would be closed unused, and a proxy would never serve again (seen for fifteen seconds
+// after power was lost).
 func TestConnectionsGoToRequestsWithTimeLeft(t *testing.T) {
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
@@ -24,7 +24,8 @@
 	p.startedAt = time.Now().Add(-time.Minute)
 	r := p.router
 	g := r.group("s")
-	g.routing.UpdateMember(directory.Member{ID: "a", Service: "s", Zone: "z", Role: directory.RolePrimary, Incarnation: 1, Seq: 1}, p.now())
+	g.routing.UpdateMember(directory.Member{ID: "a", Service: "s", Zone: "z", Role: directory.RolePrimary, Incarnation: 1,
+		Seq: 1}, p.now())
 	a := g.routing.Members["a"]
 	for range 50 { // answers take 100 ms of late
 		now := p.now()
--- a/internal/dataplane/proxy/retry_test.go
+++ b/internal/dataplane/proxy/retry_test.go
@@ -21,20 +21,20 @@
 
 // What a scripted member does in place of an answer of the script.
 const (
-	cutOff  = "cut off"  // the connection ends, the statement was taken
-	byHalf  = "by half"  // so, behind many rows
-	asUsual = "as usual" // no answer of the script: the member answers as members do
+	cutOff  = "cut off"  // it takes the statement and closes the connection
+	byHalf  = "by half"  // the same, after many rows
+	asUsual = "as usual" // there is no answer of the script: it answers as members do
 )
 
-// scripted is a member that leads, and that answers statements by a script.
-type scripted struct {
+// scriptedMember is a primary that answers statements by a script.
+type scriptedMember struct {
 	mu     sync.Mutex
-	script map[string][]string // by text: what comes of it, one after the other; then as usual
-	ran    []string            // texts with a client's id, as they came
+	script map[string][]string // by text: the answers to it, one after the other; then as usual
+	ran    []string            // texts with a client's id, in order of arrival
 	conns  int
 }
 
-func (m *scripted) take(id, text string) string {
+func (m *scriptedMember) take(id, text string) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if id != wire.NoStamp {
@@ -48,8 +48,8 @@
 	return all[0]
 }
 
-// times counts how often a text came.
-func (m *scripted) times(text string) (n int) {
+// times counts how often a text arrived.
+func (m *scriptedMember) times(text string) (n int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, t := range m.ran {
@@ -60,7 +60,7 @@
 	return n
 }
 
-func (m *scripted) serve(c net.Conn) {
+func (m *scriptedMember) serve(c net.Conn) {
 	defer c.Close()
 	r := wire.NewReader(c)
 	if _, err := r.ReadMessage(); err != nil {
@@ -108,12 +108,12 @@
 
 // client is a session with a proxy whose only member is a scripted one.
 type client struct {
-	c net.Conn
-	r *wire.Reader
-	n int
+	conn    net.Conn
+	replies *wire.Reader
+	queries int
 }
 
-func visit(t *testing.T, m *scripted) *client {
+func attachClient(t *testing.T, m *scriptedMember) *client {
 	ctx, stop := context.WithCancel(t.Context())
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -130,36 +130,39 @@
 	}()
 	p := newProxy(ctx, &settings.Settings{Zone: "z", MemoryMB: 8}, events.Discard())
 	p.startedAt = time.Now().Add(-time.Minute)
-	cfg, err := config.Parse([]byte(`{"gen":1,"routes":[{"name":"r","host":"db","type":"primary","timeoutMs":3000,"svc":"s"}],"svcs":[{"name":"s","maxConns":50,"syncN":1}]}`))
+	cfg, err := config.Parse([]byte(`{"gen":1,
+		"routes":[{"name":"r","host":"db","type":"primary","timeoutMs":3000,"svc":"s"}],
+		"svcs":[{"name":"s","maxConns":50,"syncN":1}]}`))
 	if err != nil {
 		t.Fatal(err)
 	}
 	p.config.Store(cfg)
 	g := p.router.group("s")
-	g.routing.UpdateMember(directory.Member{ID: "a", Service: "s", Zone: "z", Addr: ln.Addr().String(), Role: directory.RolePrimary, Incarnation: 1, Seq: 1}, p.now())
+	g.routing.UpdateMember(directory.Member{ID: "a", Service: "s", Zone: "z", Addr: ln.Addr().String(),
+		Role: directory.RolePrimary, Incarnation: 1, Seq: 1}, p.now())
 	now := p.now()
 	g.routing.RecordSend(g.routing.Members["a"], now-1, false)
 	g.routing.RecordOutcome(g.routing.Members["a"], now-1, now, group.AnsweredAsPrimary, wire.Position{Term: 1, Number: 1})
 	go p.router.run()
 	here, there := net.Pipe()
-	k := &client{c: here, r: wire.NewReader(here)}
+	k := &client{conn: here, replies: wire.NewReader(here)}
 	go (&session{proxy: p, client: there}).run()
 	Reset(func() { stop(); ln.Close(); here.Close() })
 	fmt.Fprint(here, "ATTACH db who\r\n")
-	if l, err := k.r.ReadMessage(); err != nil || l != "READY I -" {
+	if l, err := k.replies.ReadMessage(); err != nil || l != "READY I -" {
 		t.Fatal(l, err)
 	}
 	return k
 }
 
-// ask gives an answer's lines, many alike ones as one.
-func (k *client) ask(text string) string {
-	k.n++
-	fmt.Fprintf(k.c, "QUERY q%d %s\r\n", k.n, text)
+// query returns the lines of an answer, equal ones that follow each other as one.
+func (k *client) query(text string) string {
+	k.queries++
+	fmt.Fprintf(k.conn, "QUERY q%d %s\r\n", k.queries, text)
 	var all []string
 	for {
-		k.c.SetReadDeadline(time.Now().Add(10 * time.Second))
-		l, err := k.r.ReadMessage()
+		k.conn.SetReadDeadline(time.Now().Add(10 * time.Second))
+		l, err := k.replies.ReadMessage()
 		if err != nil {
 			return strings.Join(append(all, err.Error()), " | ")
 		}
@@ -175,65 +178,64 @@
 	}
 }
 
-// Which statements are put again behind an answer that did not come (point 5). What is taken out to see each fail
-// stands beside it.
-func TestWhatIsPutAgain(t *testing.T) {
+// Which statements are retried after an answer that did not come. In brackets: what to take out to see the case fail.
+func TestRetries(t *testing.T) {
 	Convey("With a member that loses answers", t, func() {
-		m := &scripted{script: map[string][]string{}}
-		k := visit(t, m)
+		m := &scriptedMember{script: map[string][]string{}}
+		k := attachClient(t, m)
 
-		Convey("a read is put again, and answered once (kindOf)", func() {
+		Convey("a read is retried, and answered once (kindOf)", func() {
 			m.script["FETCH x"] = []string{cutOff}
-			So(k.ask("FETCH x"), ShouldEqual, "ROW whole | DONE m.q1 | READY I 1.1")
+			So(k.query("FETCH x"), ShouldEqual, "ROW whole | DONE m.q1 | READY I 1.1")
 			So(m.times("FETCH x"), ShouldEqual, 2)
 		})
-		Convey("a read whose first rows have gone to the client is not: they would be another answer's (passed)", func() {
+		Convey("a read whose first rows have gone to the client is not: they would be another answer's (rowsForwarded)", func() {
 			m.script["FETCH x"] = []string{byHalf}
-			So(k.ask("FETCH x"), ShouldEqual, "ROW xxxxxx.. | FAIL RETRY come back after 200 ms | READY I -")
+			So(k.query("FETCH x"), ShouldEqual, "ROW xxxxxx.. | FAIL RETRY come back after 200 ms | READY I -")
 			So(m.times("FETCH x"), ShouldEqual, 1)
-			So(k.ask("FETCH x"), ShouldEqual, "ROW whole | DONE m.q2 | READY I 1.1")
+			So(k.query("FETCH x"), ShouldEqual, "ROW whole | DONE m.q2 | READY I 1.1")
 		})
 		Convey("a write is not (kindOf)", func() {
 			m.script["STORE x 1"] = []string{cutOff}
-			So(k.ask("STORE x 1"), ShouldEqual, "FAIL UNKNOWN no answer came from a | READY I -")
+			So(k.query("STORE x 1"), ShouldEqual, "FAIL UNKNOWN no answer came from a | READY I -")
 			So(m.times("STORE x 1"), ShouldEqual, 1)
 		})
-		Convey("a success without a stamp is another question's (stamped)", func() {
+		Convey("a success without a stamp is another query's (requireStamp)", func() {
 			m.script["STORE x 1"] = []string{"DONE -"}
-			So(k.ask("STORE x 1"), ShouldEqual, "FAIL UNKNOWN no answer came from a | READY I -")
+			So(k.query("STORE x 1"), ShouldEqual, "FAIL UNKNOWN no answer came from a | READY I -")
 			So(m.times("STORE x 1"), ShouldEqual, 1)
 		})
 		Convey("the beginning of a transaction is, as its connection's end rolls it back", func() {
 			m.script["BEGIN"] = []string{cutOff}
-			So(k.ask("BEGIN"), ShouldEqual, "DONE - | READY T -")
-			So(k.ask("STORE x 1"), ShouldEqual, "DONE m.q2 | READY T 1.1")
-			So(k.ask("COMMIT"), ShouldEqual, "DONE m.q3 | READY I 1.1")
+			So(k.query("BEGIN"), ShouldEqual, "DONE - | READY T -")
+			So(k.query("STORE x 1"), ShouldEqual, "DONE m.q2 | READY T 1.1")
+			So(k.query("COMMIT"), ShouldEqual, "DONE m.q3 | READY I 1.1")
 			So(m.times("BEGIN"), ShouldEqual, 2)
 			So(m.times("STORE x 1"), ShouldEqual, 1)
 		})
 		Convey("a statement of a transaction is not: it ends, with a promise", func() {
 			m.script["STORE x 1"] = []string{cutOff}
-			k.ask("BEGIN")
-			So(k.ask("STORE x 1"), ShouldEqual, "FAIL ABORTED no answer came from a | READY E -")
+			k.query("BEGIN")
+			So(k.query("STORE x 1"), ShouldEqual, "FAIL ABORTED no answer came from a | READY E -")
 			So(m.times("STORE x 1"), ShouldEqual, 1)
 		})
 		Convey("a COMMIT is not, and is promised nothing of", func() {
 			m.script["COMMIT"] = []string{cutOff}
-			k.ask("BEGIN")
-			k.ask("STORE x 1")
-			So(k.ask("COMMIT"), ShouldEqual, "FAIL UNKNOWN no answer to the commit came from a | READY I -")
+			k.query("BEGIN")
+			k.query("STORE x 1")
+			So(k.query("COMMIT"), ShouldEqual, "FAIL UNKNOWN no answer to the commit came from a | READY I -")
 			So(m.times("COMMIT"), ShouldEqual, 1)
 		})
-		Convey("a COMMIT behind a write that failed, and may have run, is promised nothing of either (ran)", func() {
+		Convey("a COMMIT behind a write that failed, and may have run, is promised nothing of either (mayHaveRun)", func() {
 			m.script["STORE x 1"], m.script["COMMIT"] = []string{"FAIL TIMEOUT"}, []string{cutOff}
-			k.ask("BEGIN")
-			So(k.ask("STORE x 1"), ShouldEqual, "FAIL TIMEOUT | READY T 1.1")
-			So(k.ask("COMMIT"), ShouldEqual, "FAIL UNKNOWN no answer to the commit came from a | READY I -")
+			k.query("BEGIN")
+			So(k.query("STORE x 1"), ShouldEqual, "FAIL TIMEOUT | READY T 1.1")
+			So(k.query("COMMIT"), ShouldEqual, "FAIL UNKNOWN no answer to the commit came from a | READY I -")
 		})
-		Convey("a connection whose member forgot a prepared name is not used again (NoStmt)", func() {
-			k.ask("PREP s STORE q")
+		Convey("a connection whose member forgot a prepared name is not used again (CodeNoStatement)", func() {
+			k.query("PREP s STORE q")
 			m.script["EXEC w1 x 1"] = []string{"FAIL NOSTMT w1"}
-			So(k.ask("EXEC s x 1"), ShouldContainSubstring, "DONE m.q2")
+			So(k.query("EXEC s x 1"), ShouldContainSubstring, "DONE m.q2")
 			So(m.conns, ShouldBeGreaterThan, 1)
 		})
 	})
--- a/internal/dataplane/proxy/transcript_test.go
+++ b/internal/dataplane/proxy/transcript_test.go
@@ -2,14 +2,9 @@
 
 import (
 	"context"
-	"flag"
 	"fmt"
-	"hash/fnv"
 	"math/rand/v2"
 	"net"
-	"net/http/httptest"
-	"os"
-	"path/filepath"
 	"slices"
 	"strings"
 	"sync"
@@ -24,11 +19,8 @@
 	"weirwind/internal/shard/shardmap"
 	"weirwind/internal/util/events"
 	"weirwind/internal/util/settings"
-	"weirwind/internal/util/transport"
 )
 
-var update = flag.Bool("update", false, "write the golden transcripts from what the proxy does now")
-
 // transcript plays one client against members in virtual time, without sockets: each member connection is a pipe that
 // was put into the pool before, and the members have no address, so that each dial and each probe fails at once. The
 // member's answers come 1.37 ms late, the client thinks for 7.13 ms and the clock of the proxy is odd to the router's
@@ -112,7 +104,8 @@
 
 func (x *transcript) role(id string, role directory.Role) {
 	x.seq++
-	x.update(&controlmsg.StateUpdate{Members: []directory.Member{{ID: id, Service: "s", Zone: zones[id], Role: role, Incarnation: 1, Seq: x.seq}}})
+	x.update(&controlmsg.StateUpdate{Members: []directory.Member{{ID: id, Service: "s", Zone: zones[id],
+		Role: role, Incarnation: 1, Seq: x.seq}}})
 }
 
 // fill puts member connections into the pools, up to seven of each.
@@ -171,8 +164,10 @@
 }
 
 // replies of members by chance, in place of the usual ones.
-var odd = []string{cutOff, byHalf, "DONE -", "FAIL RDONLY no", "FAIL LAGGING no", "FAIL RETRY no", "FAIL FULL", "FAIL WRONGHOST x",
-	"FAIL NOSTMT w1", "FAIL FAILED no such thing", "FAIL TIMEOUT", "FAIL MOVED 9", "FAIL MOVED 7", "FAIL NOROOM", "FAIL VOID", "FAIL OLD",
+var odd = []string{cutOff, byHalf, "DONE -", "FAIL RDONLY no", "FAIL LAGGING no", "FAIL RETRY no", "FAIL FULL",
+	"FAIL WRONGHOST x",
+	"FAIL NOSTMT w1", "FAIL FAILED no such thing", "FAIL TIMEOUT", "FAIL MOVED 9", "FAIL MOVED 7",
+	"FAIL NOROOM", "FAIL VOID", "FAIL OLD",
 	"FAIL OTHER a b", "late", "nonsense", "broken"}
 
 func (x *transcript) answer(id string, c net.Conn, line string, state *string, rng *rand.Rand) bool {
@@ -297,247 +292,3 @@
 		}
 	}
 }
-
-// What a client is answered to each kind of message, and what its members were sent, byte for byte.
-func TestGoldenTranscripts(t *testing.T) {
-	script := func(pairs ...string) map[string][]string {
-		out := map[string][]string{}
-		for i := 0; i < len(pairs); i += 2 {
-			out[pairs[i]] = append(out[pairs[i]], pairs[i+1])
-		}
-		return out
-	}
-	many := func(format string, n int) (out []string) {
-		for i := range n {
-			out = append(out, fmt.Sprintf(format, i))
-		}
-		return out
-	}
-	lines := func(all ...string) func(x *transcript) {
-		return func(x *transcript) {
-			for _, l := range all {
-				x.say(l)
-			}
-		}
-	}
-	empty := func(x *transcript) { x.role("a", directory.RoleReplica) }
-	then := func(steps ...func(x *transcript)) func(x *transcript) {
-		return func(x *transcript) {
-			for _, s := range steps {
-				s(x)
-			}
-		}
-	}
-	var b strings.Builder
-	for _, c := range []struct {
-		name, host string
-		play       func(x *transcript)
-	}{
-		{"attach to none", "", lines("ATTACH nowhere who")},
-		{"attach without a name", "", lines("ATTACH db")},
-		{"no attach", "", lines("QUERY q1 FETCH x")},
-		{"too long", "db", lines("QUERY q1 STORE x " + strings.Repeat("y", 1<<20))},
-		{"no message", "db", lines("HELLO there")},
-		{"no text", "db", lines("QUERY q1")},
-		{"control byte", "db", lines("QUERY q1 FETCH \x01")},
-		{"bye", "db", lines("BYE")},
-		{"bad texts", "db", queries(nil, "DROP x", "FETCH", "COMMIT", "ABORT", "BEGIN ", "UNPREP p", "EXEC p x")},
-		{"own id", "db", lines("QUERY - FETCH x")},
-		{"values", "db", queries(nil, append(many("SET v%d 1", 257), "SET v0 2")...)},
-		{"prepared", "db", queries(nil, append(many("PREP p%d FETCH q", 257), "EXEC p3 x", "UNPREP p3", "EXEC p3 x")...)},
-		{"usual", "db", queries(nil, "SET z 1", "FETCH x", "STORE x 1", "PREP p STORE q", "EXEC p x", "SET z 2", "FETCH x")},
-		{"transaction", "db", queries(nil, "BEGIN", "BEGIN", "FETCH x", "STORE x 1", "SET a b", "FETCH y", "COMMIT", "COMMIT", "BEGIN", "ABORT",
-			"BEGIN", "COMMIT", "BEGIN", "STORE x 1", "ABORT", "FETCH x")},
-		{"reading transaction", "db", queries(nil, "BEGIN FETCH", "FETCH x", "COMMIT", "STORE x 1", "BEGIN FETCH", "FETCH x", "ABORT")},
-		{"stale", "old", queries(nil, "FETCH x", "STORE x 1", "FETCH x", "BEGIN FETCH", "FETCH x", "COMMIT", "FETCH x")},
-		{"own commits", "own", queries(nil, "STORE x 1", "FETCH x", "FETCH x", "BEGIN", "STORE x 2", "COMMIT", "BEGIN FETCH", "FETCH x", "COMMIT")},
-		{"shard", "part", queries(nil, "STORE x 1", "FETCH x", "BEGIN", "STORE x 2", "COMMIT", "BEGIN FETCH", "FETCH x", "COMMIT")},
-		{"codes to a read", "db", queries(script("FETCH a", "FAIL FAILED x", "FETCH b", "FAIL TIMEOUT", "FETCH c", "FAIL RETRY", "FETCH d", "FAIL RDONLY",
-			"FETCH e", "FAIL OTHER of a kind"), "FETCH a", "FETCH b", "FETCH c", "FETCH e", "FETCH d")},
-		{"codes to a stale read", "old", queries(script("FETCH a", "FAIL FAILED x", "FETCH b", "FAIL TIMEOUT", "FETCH c", "FAIL FULL", "FETCH d", "FAIL LAGGING",
-			"FETCH e", cutOff), "STORE x 1", "FETCH a", "FETCH b", "FETCH c", "FETCH d", "FETCH e")},
-		{"codes to a write", "db", queries(script("STORE a 1", "FAIL FAILED x", "STORE b 1", "FAIL TIMEOUT", "STORE c 1", "FAIL RETRY", "STORE d 1", "FAIL WRONGHOST",
-			"STORE e 1", "FAIL OTHER of a kind", "STORE f 1", cutOff, "STORE g 1", "FAIL RDONLY"), "STORE a 1", "STORE b 1", "STORE c 1", "STORE d 1", "STORE e 1", "STORE f 1", "STORE g 1")},
-		{"refused again and again", "db", queries(map[string][]string{"STORE a 1": {"FAIL RETRY", "FAIL FULL", "FAIL RETRY", "FAIL RETRY"}}, "STORE a 1")},
-		{"failed transaction", "db", queries(script("STORE a 1", cutOff), "BEGIN", "STORE a 1", "STORE a 1", "COMMIT", "BEGIN", "STORE b 1", "ABORT")},
-		{"failed transaction aborted", "db", queries(script("STORE a 1", cutOff), "BEGIN", "STORE a 1", "ABORT", "FETCH a")},
-		{"lost commit", "db", queries(script("COMMIT", cutOff), "BEGIN", "STORE a 1", "COMMIT", "FETCH a")},
-		{"lost commit of reads", "db", queries(script("COMMIT", cutOff), "BEGIN", "FETCH a", "COMMIT", "FETCH a")},
-		{"failed commit", "db", queries(script("COMMIT", "FAIL FAILED x"), "BEGIN", "STORE a 1", "COMMIT", "FETCH a")},
-		{"late", "db", queries(script("STORE a 1", "late", "FETCH a", "late"), "STORE a 1", "FETCH a")},
-		{"moved", "part", queries(script("ON sh 8 STORE a 1", "FAIL MOVED 7"), "STORE a 1", "STORE a 1")},
-		{"moved on", "part", queries(script("ON sh 8 STORE a 1", "FAIL MOVED 9"), "STORE a 1", "STORE a 1")},
-		{"moved transaction", "part", queries(script("ON sh 8 BEGIN", "FAIL MOVED 9"), "BEGIN", "STORE a 1", "COMMIT")},
-		{"settled", "part", queries(script("ON sh 8 STORE a 1", cutOff, "ON sh 8 STORE b 1", cutOff, "SHARD SETTLE sh 8 q2", "FAIL VOID", "ON sh 8 STORE c 1", cutOff,
-			"SHARD SETTLE sh 8 q3", "FAIL STATE"), "STORE a 1", "STORE b 1", "STORE c 1")},
-		{"settled commit", "part", queries(script("COMMIT", cutOff), "BEGIN", "STORE a 1", "COMMIT")},
-		{"shard refusals", "part", queries(script("ON sh 8 STORE a 1", "FAIL NOROOM", "ON sh 8 STORE b 1", "FAIL VOID", "ON sh 8 STORE c 1", "FAIL STATE",
-			"ON sh 8 STORE d 1", "FAIL OLD"), "STORE a 1", "STORE b 1", "STORE c 1", "STORE d 1")},
-		{"no primary", "db", then(empty, queries(nil, "STORE a 1", "FETCH a", "BEGIN", "STORE a 1", "COMMIT"))},
-		{"held write", "db", then(empty, func(x *transcript) {
-			time.AfterFunc(300*time.Millisecond, func() { x.role("b", directory.RolePrimary) })
-		}, queries(nil, "STORE a 1", "FETCH a"))},
-		{"rested transaction", "db", then(queries(nil, "BEGIN", "STORE a 1"), func(*transcript) { time.Sleep(5 * time.Second) },
-			queries(nil, "FETCH a", "FETCH a", "COMMIT", "FETCH a"))},
-		{"end of the process", "db", then(queries(nil, "BEGIN", "STORE a 1"), func(x *transcript) {
-			x.p.enter(closingAll)
-			x.p.wakeSessions()
-			synctest.Wait()
-		}, queries(nil, "FETCH a", "COMMIT"))},
-	} {
-		fmt.Fprintf(&b, "== %s\n%s\n", c.name, in(t, c.host, c.play))
-	}
-	golden(t, "transcripts.golden", b.String())
-}
-
-func golden(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *update {
-		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	a, b := strings.Split(string(want), "\n"), strings.Split(got, "\n")
-	for i := range min(len(a), len(b)) {
-		if a[i] != b[i] {
-			t.Fatalf("%s:%d\nwant %s\ngot  %s", path, i+1, a[i], b[i])
-		}
-	}
-	if len(a) != len(b) {
-		t.Errorf("%s has %d lines, got %d", path, len(a), len(b))
-	}
-}
-
-// Histories by chance: members that answer anything, roles and shards that move while a client asks.
-func TestDigestOfTranscripts(t *testing.T) {
-	const want = uint64(0xe7ace19efc37ad52)
-	texts := []string{"FETCH x", "FETCH y", "STORE x 1", "STORE y 2", "BEGIN", "BEGIN FETCH", "COMMIT", "COMMIT", "ABORT", "SET a 1", "SET a 2",
-		"PREP p STORE q", "PREP r FETCH q", "EXEC p x", "EXEC r y", "UNPREP p"}
-	sum := fnv.New64a()
-	for seed := range uint64(80) {
-		host := []string{"db", "old", "own", "part"}[seed%4]
-		all := in(t, host, func(x *transcript) {
-			x.rng = rand.New(rand.NewPCG(seed, 5))
-			for range 60 {
-				switch x.rng.IntN(12) {
-				case 0:
-					x.role([]string{"a", "b"}[x.rng.IntN(2)], directory.Role(1+x.rng.IntN(2)))
-				case 1:
-					x.role("a", directory.RolePrimary)
-				case 2:
-					x.seq++
-					x.update(&controlmsg.StateUpdate{ShardMap: &shardmap.Map{Version: 5 + x.seq, Shards: map[string]shardmap.Assignment{"sh": {Node: "s", Epoch: 8 + x.seq}}}})
-				}
-				x.query(texts[x.rng.IntN(len(texts))])
-			}
-		})
-		sum.Write([]byte(all))
-	}
-	if got := sum.Sum64(); got != want {
-		t.Errorf("digest %#x, want %#x", got, want)
-	}
-}
-
-// What GET /status and GET /ready answer.
-func TestGoldenStatus(t *testing.T) {
-	var b strings.Builder
-	in(t, "db", func(x *transcript) {
-		x.query("STORE a 1")
-		for _, path := range []string{"/status", "/ready"} {
-			w := httptest.NewRecorder()
-			x.p.routes().ServeHTTP(w, httptest.NewRequest("GET", path, nil))
-			fmt.Fprintf(&b, "GET %s\n%d\n%s", path, w.Code, w.Body)
-		}
-		x.p.enter(draining)
-		w := httptest.NewRecorder()
-		x.p.routes().ServeHTTP(w, httptest.NewRequest("GET", "/ready", nil))
-		fmt.Fprintf(&b, "leaving: %d\n", w.Code)
-	})
-	golden(t, "status.golden", b.String())
-}
-
-// oneConn is a listener that a single connection comes to.
-type oneConn struct {
-	net.Listener
-	conns chan net.Conn
-}
-
-func (l oneConn) Accept() (net.Conn, error) {
-	if c, ok := <-l.conns; ok {
-		return c, nil
-	}
-	return nil, net.ErrClosed
-}
-
-// agent puts a link to an agent that records the frames it is sent, in hex with the moment of each.
-func (x *transcript) agent() *[]string {
-	here, there := net.Pipe()
-	l := oneConn{conns: make(chan net.Conn, 1)}
-	l.conns <- here
-	close(l.conns)
-	up := make(chan struct{})
-	go transport.Serve(l, 0, func(l *transport.Link[controlmsg.Frame]) {
-		x.p.agent.Store(l)
-		close(up)
-	}, func(*transport.Link[controlmsg.Frame], *controlmsg.Frame) {}, func(*transport.Link[controlmsg.Frame]) {})
-	<-up
-	side := &[]string{}
-	x.ends = append(x.ends, there)
-	go func() {
-		b := make([]byte, 4096)
-		for {
-			n, err := there.Read(b)
-			if err != nil {
-				return
-			}
-			x.record(side, fmt.Sprintf("%.0f %x", x.p.now(), b[:n]))
-		}
-	}()
-	return side
-}
-
-// What the agent is sent of a primary that owes answers, of one that answers no commit, and of one that is dead.
-func TestGoldenReports(t *testing.T) {
-	var b strings.Builder
-	for _, c := range []struct {
-		name string
-		play func(x *transcript)
-	}{
-		{"owes an answer, then speaks", queries(map[string][]string{"FETCH a": {"late"}, "STORE a 1": {"late"}}, "FETCH a", "STORE a 1", "FETCH b")},
-		{"answers no commit", func(x *transcript) {
-			x.do(func() {
-				g := x.p.router.group("s")
-				m := g.routing.Members["a"]
-				g.routing.RecordSend(m, x.p.now(), true)
-			})
-			time.Sleep(thinkTime)
-			for range 90 {
-				x.query("FETCH a")
-			}
-		}},
-		{"takes no connection", func(x *transcript) {
-			x.do(func() {
-				g := x.p.router.group("s")
-				g.closeIdle("a")
-			})
-			x.ends[0].Close()
-			time.Sleep(time.Second)
-			fmt.Fprint(x.client, "QUERY q1 STORE a 1\r\n")
-			line, err := x.replies.ReadMessage()
-			fmt.Fprintln(&b, "held, then:", line, err)
-		}},
-	} {
-		var frames *[]string
-		in(t, "db", func(x *transcript) {
-			frames = x.agent()
-			c.play(x)
-		})
-		fmt.Fprintf(&b, "== %s\n%s\n", c.name, strings.Join(*frames, "\n"))
-	}
-	golden(t, "reports.golden", b.String())
-}
--- a/internal/dataplane/sessionstate/sessionstate_test.go
+++ b/internal/dataplane/sessionstate/sessionstate_test.go
@@ -35,7 +35,8 @@
 	}
 }
 
-// Sessions share connections in any order; each statement finds its own client's values, all and no others, and its own shape.
+// Sessions share connections in any order; each statement finds its own client's values, all and no others, and its own
+// prepared statement.
 func TestNothingLeaksBetweenSessions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type client struct {
