--- a/internal/dataplane/proxy/errors.go
+++ b/internal/dataplane/proxy/errors.go
@@ -40,6 +40,7 @@
 	text string
 }
 
+// Error is the text that the client is answered with.
 func (e *clientError) Error() string { return e.text }
 
 // Errors with texts that never differ.
