--- a/internal/session/queue/bounds_test.go
+++ b/internal/session/queue/bounds_test.go
@@ -13,8 +13,8 @@
 		o := newOrders()
 		h := o.home()
 		h.Limits.SessionMessages, h.Limits.WindowBytes, h.Limits.MessageBytes = 4, 100, 50
-		put := func(key string, body string) (status int) {
-			h.Enqueue("s", key, []byte(body), o.now, func(got int, _ uint64) { status = got })
+		put := func(key string, body string) (status Status) {
+			h.Enqueue("s", key, []byte(body), o.now, func(got Status, _ uint64) { status = got })
 			o.flush()
 			o.quiet()
 			return status
--- a/internal/session/queue/evening_test.go
+++ b/internal/session/queue/evening_test.go
@@ -19,8 +19,8 @@
 )
 
 // evening plays sessions of sites and edges in virtual time: sites are pulled, frozen, drained and come back empty,
-// links end, edges die, clients come again by their token, producers repeat what got no answer. The audit: each message
-// that was queued arrives once and in order, in both directions.
+// links end, edges die, clients come again by their token, producers repeat what got no answer. The audit: each
+// message that was queued arrives once and in order, in both directions.
 type evening struct {
 	virtualclock.Queue
 	r     *rand.Rand
@@ -188,8 +188,8 @@
 	}
 }
 
-// resend is what a client of the subprotocol does when it is connected anew: what is not safe goes again, under its own
-// numbers.
+// resend is what a client of the subprotocol does when it is connected anew: what is not safe goes again, under its
+// own numbers.
 func (e *evening) resend(c *client, n uint64) {
 	c.safe = max(c.safe, n)
 	g := e.edges[c.edge]
@@ -339,7 +339,7 @@
 			if !h.up || h.frozen || h.s.owned[c.id] == nil {
 				continue
 			}
-			h.s.Enqueue(c.id, key, []byte(body), e.Now, func(status int, n uint64) {
+			h.s.Enqueue(c.id, key, []byte(body), e.Now, func(status Status, n uint64) {
 				e.record("reply", e.Now, status, n)
 				if e.r.IntN(50) == 0 { // the answer is lost
 					e.In(300, func() { try(left - 1) })
--- a/internal/session/queue/golden_test.go
+++ b/internal/session/queue/golden_test.go
@@ -42,7 +42,7 @@
 func TestGoldenShown(t *testing.T) {
 	o := newOrders()
 	h := o.home()
-	h.Enqueue("s", "k", []byte("body"), o.now, func(int, uint64) {})
+	h.Enqueue("s", "k", []byte("body"), o.now, func(Status, uint64) {})
 	o.flush()
 	o.quiet()
 	b, err := json.Marshal(h.Describe("s"))
--- /dev/null
+++ b/internal/session/queue/locate.go
@@ -0,0 +1,110 @@
+package queue
+
+// This file owns how an edge finds a session's owner, and finds it again.
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+
+	"weirwind/internal/session/sites"
+)
+
+// locateEvery is how often, in attempts, all sites are asked for the owner instead of the one that is assumed.
+const locateEvery = 3
+
+// locateOwner attaches a socket to the owner that is assumed: for a new session the nearest sites in turn, else the
+// last one known, else a replica. Now and then, and where none of them is alive, it asks all sites.
+func (e *Edge) locateOwner(sock *socket, now float64) {
+	sock.retryAt = now + locateInterval
+	sock.attempts++
+	if e.current == nil {
+		return
+	}
+	if sock.newSession && sock.epoch == 0 {
+		if nearest := e.nearestSites(); len(nearest) > 0 {
+			sock.owner = nearest[(sock.attempts-1)%len(nearest)]
+			e.attach(sock)
+		}
+		return
+	}
+	if sock.attempts%locateEvery != 0 {
+		if sock.owner != "" && e.current.Alive(sock.owner) {
+			e.attach(sock)
+			return
+		}
+		if i := slices.IndexFunc(sock.replicas, e.current.Alive); i >= 0 {
+			sock.owner = sock.replicas[i]
+			e.attach(sock)
+			return
+		}
+	}
+	for _, name := range slices.Sorted(maps.Keys(e.current.Sites)) {
+		if e.current.Alive(name) {
+			e.send(name, sock, Envelope{Kind: KindLocate})
+		}
+	}
+}
+
+// nearestSites gives the sites that take new sessions, near ones first.
+func (e *Edge) nearestSites() []string {
+	var active []string
+	for name, site := range e.current.Sites {
+		if site.State == sites.StateActive {
+			active = append(active, name)
+		}
+	}
+	distance := func(name string) int {
+		switch site := e.current.Sites[name]; {
+		case site.Zone == e.zone:
+			return 0
+		case site.Region == e.region:
+			return 1
+		}
+		return 2
+	}
+	slices.SortFunc(active, func(a, b string) int {
+		return cmp.Or(cmp.Compare(distance(a), distance(b)), cmp.Compare(a, b))
+	})
+	return active
+}
+
+func (e *Edge) attach(sock *socket) {
+	e.send(sock.owner, sock, Envelope{Kind: KindAttach, Secret: sock.secret, Connection: sock.connection,
+		Number: sock.delivered, Base: sock.acked, New: sock.newSession && sock.epoch == 0})
+}
+
+// detach notes that a socket has no owner.
+func (sock *socket) detach(now float64) {
+	if sock.attached {
+		sock.attached, sock.detachedAt, sock.attempts = false, now, 0
+	}
+}
+
+// ApplyMap takes a newer map. Sockets whose owner's epoch is over look for another.
+func (e *Edge) ApplyMap(m *sites.Map, now float64) {
+	if m == nil || e.current != nil && m.Version <= e.current.Version {
+		return
+	}
+	before := e.current
+	e.current = m
+	for _, id := range slices.Sorted(maps.Keys(e.sockets)) {
+		sock := e.sockets[id]
+		if before != nil && sock.owner != "" && before.Sites[sock.owner].Epoch == m.Sites[sock.owner].Epoch &&
+			m.Sites[sock.owner].State != sites.StateRemoved {
+			continue
+		}
+		sock.detach(now)
+		e.locateOwner(sock, now)
+	}
+}
+
+// HandleSiteLost takes that the link to a site has ended.
+func (e *Edge) HandleSiteLost(site string, now float64) {
+	for _, id := range slices.Sorted(maps.Keys(e.sockets)) {
+		if sock := e.sockets[id]; sock.owner == site {
+			sock.detach(now)
+			sock.retryAt = min(sock.retryAt, now+locateInterval/2)
+		}
+	}
+}
--- a/internal/session/queue/orders_test.go
+++ b/internal/session/queue/orders_test.go
@@ -10,9 +10,10 @@
 	"weirwind/internal/session/sites"
 )
 
-// orders plays one session of three sites and an edge through every order of few events: which link's next word comes,
-// a message is put, the client acknowledges or sends, the home is pulled or drains, a link breaks. Time stands still
-// but for the end, when what was left is let happen; then all that was queued must have come once and in order.
+// orders plays one session of three sites and an edge through every order of few events: which link's next word
+// comes, a message is put, the client acknowledges or sends, the home is pulled or drains, a link breaks. Time
+// stands still but for the end, when what was left is let happen; then all that was queued must have come once and
+// in order.
 type orders struct {
 	now    float64
 	m      *sites.Map
@@ -130,7 +131,7 @@
 		{h != nil && o.put < 2, func() {
 			o.put++
 			n := uint64(o.put)
-			h.Enqueue("s", fmt.Sprint(n), []byte("x"), o.now, func(status int, got uint64) {
+			h.Enqueue("s", fmt.Sprint(n), []byte("x"), o.now, func(status Status, got uint64) {
 				if status == 202 || status == 200 {
 					o.queued = append(o.queued, got)
 				}
--- a/internal/session/queue/site.go
+++ b/internal/session/queue/site.go
@@ -1,6 +1,6 @@
 package queue
 
-// This file owns the site as a whole: what it holds, the map that it knows, and the lease under which it serves.
+// This file owns a site as a whole: what it holds, the map that it knows, and the lease under which it serves.
 
 import (
 	"maps"
@@ -9,86 +9,102 @@
 	"weirwind/internal/session/sites"
 )
 
-// Site is one process.
+// Site is one incarnation of a site.
 type Site struct {
-	Name   string
-	Epoch  uint64 // by the map; 0: not in it yet
-	Limits Limits
-
-	current         *sites.Map
-	leaseUntil      float64
-	owned           map[string]*session
-	replicas        map[string]*session
-	bytes           int64
-	outgoing        []Outgoing
-	drainBudget     float64 // of a drain
-	drainBudgetAt   float64
-	takeOverAt      float64
-	ExpiredMessages int // messages that were given up for their age
+	Name            string
+	Epoch           uint64 // by the map; 0: not in it yet, and nothing is held
+	Limits          Limits
+	ExpiredMessages int // that were dropped for their age
+
+	current    *sites.Map
+	leaseUntil float64
+	owned      map[string]*session // by id; no session is in both maps
+	replicas   map[string]*session
+	bytes      int64 // of the sessions in both
+	outgoing   []Outgoing
+
+	drainBudget   float64 // sessions that a drain may hand over now
+	drainBudgetAt float64 // as of
+	takeOverAt    float64 // next check for sessions whose owner is gone
 }
 
-// New is a site with no session.
-func NewSite(name string, lim Limits) *Site {
-	return &Site{Name: name, Limits: lim, owned: map[string]*session{}, replicas: map[string]*session{}}
+// NewSite holds no session.
+func NewSite(name string, limits Limits) *Site {
+	return &Site{Name: name, Limits: limits, owned: map[string]*session{}, replicas: map[string]*session{}}
 }
 
-// Sends gives what is to be said, and forgets it.
+// TakeOutgoing gives what is to be sent since the last call.
 func (s *Site) TakeOutgoing() []Outgoing {
-	out := s.outgoing
+	outgoing := s.outgoing
 	s.outgoing = nil
-	return out
+	return outgoing
 }
 
-func (s *Site) send(to string, w Envelope) {
-	w.SiteEpoch = s.Epoch
-	s.outgoing = append(s.outgoing, Outgoing{to, w})
+func (s *Site) send(to string, envelope Envelope) {
+	envelope.SiteEpoch = s.Epoch
+	s.outgoing = append(s.outgoing, Outgoing{to, envelope})
 }
 
-// Lease holds until then: only while it holds is anything delivered, taken or answered for.
+// ExtendLease has the lease hold until then: only while it holds is anything delivered, accepted or acknowledged.
 func (s *Site) ExtendLease(until float64) { s.leaseUntil = max(s.leaseUntil, until) }
 
 func (s *Site) holdsLease(now float64) bool { return s.Epoch > 0 && now < s.leaseUntil }
 
-// Homes is how many sessions are at home here.
+// OwnedSessions is how many sessions the site owns.
 func (s *Site) OwnedSessions() int { return len(s.owned) }
 
-// Copied is how many sessions have a copy here.
+// ReplicatedSessions is how many sessions it has a replica of.
 func (s *Site) ReplicatedSessions() int { return len(s.replicas) }
 
-// Bytes is what all queues take, copies included.
+// Bytes is what all its sessions take, replicas included.
 func (s *Site) Bytes() int64 { return s.bytes }
 
-// HomeOf says where a session is that this site has a copy of.
-func (s *Site) OwnerOf(id string) (string, bool) {
-	if x := s.replicas[id]; x != nil {
-		return x.Owner, true
+// Map is the map that the site knows, nil for none.
+func (s *Site) Map() *sites.Map { return s.current }
+
+// OwnerOf gives the owner of a session that the site has a replica of.
+func (s *Site) OwnerOf(id string) (owner string, ok bool) {
+	if sess := s.replicas[id]; sess != nil {
+		return sess.Owner, true
 	}
 	return "", false
 }
 
-// Show says what is here of a session, for operators; nil for nothing.
-func (s *Site) Describe(id string) map[string]any {
-	x := s.owned[id]
-	if x == nil {
+// SessionInfo is what operators are shown of a session. Its fields stand in the order of their JSON names.
+type SessionInfo struct {
+	Attached     bool     `json:"attached"`
+	Bytes        int64    `json:"bytes"`
+	Connections  uint64   `json:"connections"`
+	Replicas     []string `json:"copies"`
+	Edge         string   `json:"edge"`
+	Epoch        uint64   `json:"epoch"`
+	Inbox        int      `json:"fromClient"` // messages
+	HandOverTo   string   `json:"handedTo"`
+	Owner        string   `json:"home"`
+	OutboxLast   uint64   `json:"last"`
+	OutboxLength int      `json:"queued"`
+}
+
+// Describe describes a session that the site owns, nil for another.
+func (s *Site) Describe(id string) *SessionInfo {
+	sess := s.owned[id]
+	if sess == nil {
 		return nil
 	}
-	return map[string]any{"home": x.Owner, "copies": x.Replicas, "epoch": x.Epoch, "queued": len(x.Outbox), "last": x.OutboxLast,
-		"fromClient": len(x.Inbox),
-		"bytes":      x.bytes, "attached": x.attached, "edge": x.edge, "handedTo": x.handOverTo, "connections": x.Connection}
+	return &SessionInfo{Attached: sess.attached, Bytes: sess.bytes, Connections: sess.Connection,
+		Replicas: sess.Replicas, Edge: sess.edge, Epoch: sess.Epoch, Inbox: len(sess.Inbox),
+		HandOverTo: sess.handOverTo, Owner: sess.Owner, OutboxLast: sess.OutboxLast, OutboxLength: len(sess.Outbox)}
 }
 
-// Map is the one that it knows.
-func (s *Site) Map() *sites.Map { return s.current }
-
-// ApplyMap takes a newer map. A life of this site that is over has no session any more; those of others that are out
-// become this site's where it is the first of their copies that lives.
-func (s *Site) ApplyMap(m *sites.Map, life uint64, now float64) {
+// ApplyMap takes a newer map. If the epoch of this incarnation is over the site holds nothing any more; sessions
+// whose owner's epoch is over become this site's where it is the first of their replicas that is alive.
+func (s *Site) ApplyMap(m *sites.Map, incarnation uint64, now float64) {
 	if m == nil || s.current != nil && m.Version <= s.current.Version {
 		return
 	}
 	s.current = m
 	self, ok := m.Sites[s.Name]
-	if !ok || self.Incarnation != life || self.State == sites.StateRemoved {
+	if !ok || self.Incarnation != incarnation || self.State == sites.StateRemoved {
 		if s.Epoch > 0 {
 			s.reset()
 		}
@@ -104,84 +120,80 @@
 	}
 }
 
-// reset lets go of everything: others have it, or will.
+// reset drops everything: other sites have it, or will.
 func (s *Site) reset() {
-	for _, x := range s.owned {
-		s.failWaiters(x, statusUnavailable)
-	}
-	s.owned, s.replicas, s.bytes, s.Epoch, s.leaseUntil = map[string]*session{}, map[string]*session{}, 0, 0, 0
-}
-
-func (s *Site) failWaiters(x *session, status int) {
-	for _, w := range x.waiters {
-		w.reply(status, 0)
+	for _, sess := range s.owned {
+		sess.failWaiters(StatusUnavailable)
 	}
-	x.waiters = nil
+	s.owned, s.replicas = map[string]*session{}, map[string]*session{}
+	s.bytes, s.Epoch, s.leaseUntil = 0, 0, 0
 }
 
-// remove forgets a session, as home or as copy; who still waits for it is answered.
-func (s *Site) remove(from map[string]*session, x *session, status int) {
-	s.failWaiters(x, status)
-	s.bytes -= x.bytes
-	delete(from, x.id)
+// remove drops a session from one of the site's maps; producers that wait get the status.
+func (s *Site) remove(from map[string]*session, sess *session, status Status) {
+	sess.failWaiters(status)
+	s.bytes -= sess.bytes
+	delete(from, sess.id)
 }
 
-// Tick goes on with what waits: messages that were not answered, drains, messages too old.
+// Tick does what is due: resending, drains, messages and sessions that expire. It is to be called every few
+// milliseconds.
 func (s *Site) Tick(now float64) {
 	if s.current == nil || s.Epoch == 0 {
 		return
 	}
 	self := s.current.Sites[s.Name]
-	if self.State == sites.StateDraining {
-		s.drainBudget = min(s.drainBudget+float64(self.DrainRate)*(now-s.drainBudgetAt)/1000, float64(self.DrainRate))
+	draining := self.State == sites.StateDraining
+	if draining {
+		rate := float64(self.DrainRate)
+		s.drainBudget = min(s.drainBudget+rate*(now-s.drainBudgetAt)/1000, rate)
 	}
 	s.drainBudgetAt = now
 	if now >= s.takeOverAt {
-		s.takeOverAt = now + 5*resendAfter
+		s.takeOverAt = now + takeOverInterval
 		s.takeOverOrphans(now)
 	}
 	for _, id := range slices.Sorted(maps.Keys(s.owned)) {
-		s.tickSession(s.owned[id], self.State == sites.StateDraining, now)
+		s.tickSession(s.owned[id], draining, now)
 	}
 }
 
-// tickSession goes on with one session at home.
-func (s *Site) tickSession(x *session, draining bool, now float64) {
-	for _, c := range x.Replicas {
-		if x.ackedIndex[c] < x.LogLength && now-x.sentAt[c] >= resendAfter {
-			s.replicate(x, now)
+func (s *Site) tickSession(sess *session, draining bool, now float64) {
+	for _, replica := range sess.Replicas {
+		if sess.ackedIndex[replica] < sess.LogLength && now-sess.sentAt[replica] >= resendAfter {
+			s.replicate(sess, now)
 			break
 		}
 	}
-	if s.holdsLease(now) && x.handOverTo == "" {
-		s.expireMessages(x, now)
+	if s.holdsLease(now) && sess.handOverTo == "" {
+		s.expireMessages(sess, now)
 		if draining && s.drainBudget >= 1 {
-			s.startHandOver(x, now)
+			s.startHandOver(sess, now)
 		}
-		if !x.attached && len(x.Outbox) == 0 && len(x.Inbox) == 0 && now-x.idleSince > idleTimeout {
-			s.discardIdle(x)
+		if !sess.attached && len(sess.Outbox) == 0 && len(sess.Inbox) == 0 && now-sess.idleSince > idleTimeout {
+			s.discardIdle(sess)
 			return
 		}
 	}
-	s.progress(x, now)
-	if x.attached && len(x.Inbox) > 0 { // its client may still wait for the answer
-		s.ackPublished(x)
+	s.progress(sess, now)
+	if sess.attached && len(sess.Inbox) > 0 { // its acknowledgement may have been lost
+		s.ackPublished(sess)
 	}
 }
 
-// expireMessages gives up messages that nobody fetched in time.
-func (s *Site) expireMessages(x *session, now float64) {
-	for len(x.Outbox) > 0 && now-x.Outbox[0].EnqueuedAt > s.Limits.MaxAge && x.Outbox[0].EnqueuedAt > 0 {
+// expireMessages drops messages that were not acknowledged in time.
+func (s *Site) expireMessages(sess *session, now float64) {
+	for len(sess.Outbox) > 0 && now-sess.Outbox[0].EnqueuedAt > s.Limits.MaxAge && sess.Outbox[0].EnqueuedAt > 0 {
 		s.ExpiredMessages++
-		s.applyAsOwner(x, Op{Kind: OpAck, Number: x.Outbox[0].Number}, now)
-		x.delivered = max(x.delivered, x.OutboxLast-uint64(len(x.Outbox)))
+		s.applyAsOwner(sess, Op{Kind: OpAck, Number: sess.Outbox[0].Number}, now)
+		sess.delivered = max(sess.delivered, sess.outboxAcked())
 	}
 }
 
-// forget ends an idle session here and at its copies.
-func (s *Site) discardIdle(x *session) {
-	for _, c := range x.Replicas {
-		s.send(c, Envelope{Kind: KindDiscard, Session: x.id, Epoch: x.Epoch})
+// discardIdle ends an idle session here and at its replicas.
+func (s *Site) discardIdle(sess *session) {
+	for _, replica := range sess.Replicas {
+		s.send(replica, Envelope{Kind: KindDiscard, Session: sess.id, Epoch: sess.Epoch})
 	}
-	s.remove(s.owned, x, statusNoSession)
+	s.remove(s.owned, sess, StatusNoSession)
 }
