--- a/internal/session/queue/doc.go
+++ b/internal/session/queue/doc.go
@@ -26,12 +26,12 @@
 //
 // # How the owner changes
 //
-//   - Takeover: the map says that the owner's epoch is over. The first of SessionState.Replicas that is alive becomes the
-//     owner by the next epoch. Replicas further back don't wait in vain: they ask the one before them (KindDefer), which
-//     tells if it has nothing of the session, or that it is the owner and they are no replicas any more.
-//   - Hand-over: the owner drains. Once its first active replica has the whole log the owner stops changing the session and
-//     sends KindHandOver until it is answered; the new owner keeps the old one as a replica until another has all. If the
-//     new owner is removed meanwhile the old one goes on, two epochs further: the one between may have been used.
+//   - Takeover: the map says that the owner's epoch is over. The first of SessionState.Replicas that is alive becomes
+//     the owner by the next epoch. Replicas further back don't wait in vain: they ask the one before them (KindDefer),
+//     which tells if it has nothing of the session, or that it is the owner and they are no replicas any more.
+//   - Hand-over: the owner drains. Once its first active replica has the whole log the owner stops changing the session
+//     and sends KindHandOver until it is answered; the new owner keeps the old one as a replica until another has all.
+//     If the new owner is removed meanwhile the old one goes on, two epochs further: the one between may be used.
 //
 // Invariant: only a site that has all acknowledged ops becomes the owner. A takeover's new owner was named a replica
 // by the owner's newest snapshot, and no op is acknowledged before all replicas that are named have it; a replica
--- a/internal/session/queue/edge.go
+++ b/internal/session/queue/edge.go
@@ -27,7 +27,7 @@
 
 // The kinds of client events, with their fields beside Socket.
 const (
-	EventOpened       ClientEventKind = iota + 1 // the session is attached: Session, Secret, Number as in EventPublishAcked
+	EventOpened       ClientEventKind = iota + 1 // the session is attached: Session, Secret, Number as below
 	EventMessage                                 // Number, Body
 	EventPublishAcked                            // the client's messages up to Number are replicated
 	EventClosed                                  // Reason, Resumable
@@ -121,7 +121,7 @@
 	e.outgoing = append(e.outgoing, Outgoing{to, envelope})
 }
 
-func (e *Edge) tell(event ClientEvent) { e.events = append(e.events, event) }
+func (e *Edge) emit(event ClientEvent) { e.events = append(e.events, event) }
 
 // OpenSocket takes a client's socket. newSession: its session begins with it; else acked is the last message that the
 // client has of it.
@@ -144,7 +144,7 @@
 
 // endSocket has a client's socket closed.
 func (e *Edge) endSocket(sock *socket, reason string, resumable bool) {
-	e.tell(ClientEvent{Kind: EventClosed, Socket: sock.id, Reason: reason, Resumable: resumable})
+	e.emit(ClientEvent{Kind: EventClosed, Socket: sock.id, Reason: reason, Resumable: resumable})
 	e.CloseSocket(sock.id)
 }
 
--- a/internal/session/queue/edgereceive.go
+++ b/internal/session/queue/edgereceive.go
@@ -45,7 +45,7 @@
 	sock.epoch, sock.connection, sock.replicas = envelope.Epoch, envelope.Connection, envelope.Replicas
 	if first {
 		sock.published = max(sock.published, envelope.Number)
-		e.tell(ClientEvent{Kind: EventOpened, Socket: sock.id, Number: envelope.Number, Secret: sock.secret,
+		e.emit(ClientEvent{Kind: EventOpened, Socket: sock.id, Number: envelope.Number, Secret: sock.secret,
 			Session: sock.session})
 	} else {
 		e.receivePublishAck(sock, envelope.Number)
@@ -59,7 +59,7 @@
 	for _, m := range envelope.Messages {
 		if m.Number == sock.delivered+1 {
 			sock.delivered = m.Number
-			e.tell(ClientEvent{Kind: EventMessage, Socket: sock.id, Number: m.Number, Body: m.Body})
+			e.emit(ClientEvent{Kind: EventMessage, Socket: sock.id, Number: m.Number, Body: m.Body})
 		}
 	}
 }
@@ -71,7 +71,7 @@
 		sock.unacked = sock.unacked[1:]
 	}
 	if len(sock.unacked) != before {
-		e.tell(ClientEvent{Kind: EventPublishAcked, Socket: sock.id, Number: number})
+		e.emit(ClientEvent{Kind: EventPublishAcked, Socket: sock.id, Number: number})
 	}
 }
 
--- a/internal/session/site/calls.go
+++ b/internal/session/site/calls.go
@@ -1,8 +1,9 @@
 package site
 
-// This file owns the calls of producers, consumers and operators: one handler object for each resource.
+// This file owns the HTTP calls of producers, consumers and operators: a handler object for each resource.
 
 import (
+	"context"
 	"encoding/json"
 	"fmt"
 	"io"
@@ -11,135 +12,201 @@
 	"time"
 
 	"weirwind/internal/session/queue"
+	"weirwind/internal/session/sites"
+	"weirwind/internal/util/commandqueue"
 )
 
-func (t *Site) routes() http.Handler {
+// enqueueTimeout is longer than the decider lets a producer wait.
+const enqueueTimeout = 2500 * time.Millisecond
+
+func (r *runner) routes() http.Handler {
 	mux := http.NewServeMux()
-	m := &messages{t}
-	mux.HandleFunc("POST /sessions/{id}/messages", m.put)
-	mux.HandleFunc("GET /sessions/{id}/inbox", m.inbox)
-	mux.HandleFunc("POST /sessions/{id}/took", m.took)
-	mux.HandleFunc("GET /sessions/{id}", m.show)
-	mux.HandleFunc("GET /status", t.status)
-	mux.Handle("GET /events", t.log)
+	session := &sessionResource{r}
+	mux.HandleFunc("POST /sessions/{id}/messages", session.enqueue)
+	mux.HandleFunc("GET /sessions/{id}/inbox", session.inbox)
+	mux.HandleFunc("POST /sessions/{id}/took", session.consume)
+	mux.HandleFunc("GET /sessions/{id}", session.show)
+	mux.HandleFunc("GET /status", (&statusResource{r}).show)
+	mux.Handle("GET /events", r.log)
 	return mux
 }
 
-// messages is the resource of a session's messages.
-type messages struct{ t *Site }
+// sessionResource is a session with its messages.
+type sessionResource struct{ runner *runner }
 
-// at sends a caller to the session's home where this site knows it, else says that it is not here.
-func (m *messages) at(w http.ResponseWriter, r *http.Request) {
-	ch := make(chan string, 1)
-	m.t.q.Do(func() {
-		where := ""
-		if home, ok := m.t.s.OwnerOf(r.PathValue("id")); ok && m.t.s.Map() != nil {
-			where = m.t.s.Map().Sites[home].HTTPAddr
+// elsewhere redirects a caller to the session's owner where this site knows it, else says that it is not here.
+func (s *sessionResource) elsewhere(w http.ResponseWriter, req *http.Request) {
+	addr, err := commandqueue.Call(req.Context(), s.runner.commands, func() string {
+		owner, ok := s.runner.decider.OwnerOf(req.PathValue("id"))
+		if m := s.runner.decider.Map(); ok && m != nil {
+			return m.Sites[owner].HTTPAddr
 		}
-		ch <- where
+		return ""
 	})
-	if where := <-ch; where != "" && where != m.t.set.ReadyAddr {
-		http.Redirect(w, r, "http://"+where+r.URL.RequestURI(), http.StatusTemporaryRedirect)
-		return
+	switch {
+	case err != nil:
+		writeUnavailable(w, err)
+	case addr != "" && addr != s.runner.settings.ReadyAddr:
+		http.Redirect(w, req, "http://"+addr+req.URL.RequestURI(), http.StatusTemporaryRedirect)
+	default:
+		http.Error(w, "the session is not at this site", http.StatusNotFound)
 	}
-	http.Error(w, "the session is not at this site", http.StatusNotFound)
 }
 
-func (m *messages) put(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, int64(m.t.lim.MessageBytes)))
+// enqueued is the decider's answer to a producer.
+type enqueued struct {
+	status queue.Status
+	number uint64
+}
+
+// enqueue queues a message under the producer's key.
+func (s *sessionResource) enqueue(w http.ResponseWriter, req *http.Request) {
+	maxBytes := s.runner.limits.MessageBytes
+	body, err := io.ReadAll(http.MaxBytesReader(w, req.Body, int64(maxBytes)))
 	if err != nil {
-		http.Error(w, fmt.Sprintf("a message has at most %d bytes", m.t.lim.MessageBytes), http.StatusRequestEntityTooLarge)
+		http.Error(w, fmt.Sprintf("a message has at most %d bytes", maxBytes), http.StatusRequestEntityTooLarge)
 		return
 	}
-	type answer struct {
-		status int
-		n      uint64
-	}
-	ch := make(chan answer, 1)
-	m.t.q.Do(func() {
-		m.t.s.Enqueue(r.PathValue("id"), r.Header.Get("Weirwind-Key"), body, m.t.now(),
-			func(status int, n uint64) { ch <- answer{status, n} })
-		m.t.flush()
+	// The reply comes from a later command, so that this is no Call. It has room for one: nobody waits for the caller.
+	reply := make(chan enqueued, 1)
+	s.runner.commands.Do(func() {
+		s.runner.decider.Enqueue(req.PathValue("id"), req.Header.Get("Weirwind-Key"), body, s.runner.now(),
+			func(status queue.Status, number uint64) { reply <- enqueued{status, number} })
+		s.runner.flush()
 	})
+	timer := time.NewTimer(enqueueTimeout)
+	defer timer.Stop()
 	select {
-	case a := <-ch:
-		switch a.status {
-		case http.StatusNotFound:
-			m.at(w, r)
-			return
-		case http.StatusServiceUnavailable:
-			w.Header().Set("Retry-After", "1")
-		}
-		w.Header().Set("Content-Type", "application/json")
-		w.WriteHeader(a.status)
-		fmt.Fprintf(w, `{"n":%d}`+"\n", a.n)
-	case <-time.After(putMost):
+	case answer := <-reply:
+		s.writeEnqueued(w, req, answer)
+	case <-timer.C:
 		http.Error(w, "not known yet; send it again under the same Weirwind-Key", http.StatusServiceUnavailable)
-	case <-m.t.ctx.Done():
+	case <-s.runner.ctx.Done():
 	}
 }
 
-func (m *messages) inbox(w http.ResponseWriter, r *http.Request) {
-	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
-	type answer struct {
-		msgs []queue.Message
-		ok   bool
-	}
-	ch := make(chan answer, 1)
-	m.t.q.Do(func() {
-		msgs, ok := m.t.s.Inbox(r.PathValue("id"), after, m.t.now())
-		ch <- answer{msgs, ok}
-	})
-	a := <-ch
-	if !a.ok {
-		m.at(w, r)
+// writeEnqueued maps the decider's status to HTTP's, whose terms it is in.
+func (s *sessionResource) writeEnqueued(w http.ResponseWriter, req *http.Request, answer enqueued) {
+	switch answer.status {
+	case queue.StatusNoSession:
+		s.elsewhere(w, req)
 		return
-	}
-	out := []map[string]any{}
-	for _, x := range a.msgs {
-		out = append(out, map[string]any{"n": x.Number, "body": string(x.Body)})
+	case queue.StatusUnavailable:
+		w.Header().Set("Retry-After", "1")
 	}
 	w.Header().Set("Content-Type", "application/json")
-	json.NewEncoder(w).Encode(out)
+	w.WriteHeader(int(answer.status))
+	fmt.Fprintf(w, `{"n":%d}`+"\n", answer.number)
+}
+
+// inboxMessage is a message of the client in JSON. Its fields stand in the order of their names.
+type inboxMessage struct {
+	Body   string `json:"body"`
+	Number uint64 `json:"n"`
+}
+
+// inbox gives the client's messages behind the number in the query, to the consumer.
+func (s *sessionResource) inbox(w http.ResponseWriter, req *http.Request) {
+	after, _ := strconv.ParseUint(req.URL.Query().Get("after"), 10, 64) // none or nonsense: from the first on
+	type result struct {
+		messages []queue.Message
+		ok       bool
+	}
+	got, err := commandqueue.Call(req.Context(), s.runner.commands, func() (r result) {
+		r.messages, r.ok = s.runner.decider.Inbox(req.PathValue("id"), after, s.runner.now())
+		return r
+	})
+	switch {
+	case err != nil:
+		writeUnavailable(w, err)
+	case !got.ok:
+		s.elsewhere(w, req)
+	default:
+		messages := []inboxMessage{}
+		for _, m := range got.messages {
+			messages = append(messages, inboxMessage{string(m.Body), m.Number})
+		}
+		writeJSON(w, messages, "")
+	}
 }
 
-func (m *messages) took(w http.ResponseWriter, r *http.Request) {
-	n, err := strconv.ParseUint(r.URL.Query().Get("n"), 10, 64)
+// consume takes that the consumer has all messages up to the number in the query.
+func (s *sessionResource) consume(w http.ResponseWriter, req *http.Request) {
+	number, err := strconv.ParseUint(req.URL.Query().Get("n"), 10, 64)
 	if err != nil {
 		http.Error(w, "n is the number of the last message that was taken", http.StatusBadRequest)
 		return
 	}
-	ch := make(chan bool, 1)
-	m.t.q.Do(func() {
-		ch <- m.t.s.Consume(r.PathValue("id"), n, m.t.now())
-		m.t.flush()
+	ok, err := commandqueue.Call(req.Context(), s.runner.commands, func() bool {
+		ok := s.runner.decider.Consume(req.PathValue("id"), number, s.runner.now())
+		s.runner.flush()
+		return ok
+	})
+	switch {
+	case err != nil:
+		writeUnavailable(w, err)
+	case !ok:
+		s.elsewhere(w, req)
+	}
+}
+
+// show describes the session to operators.
+func (s *sessionResource) show(w http.ResponseWriter, req *http.Request) {
+	info, err := commandqueue.Call(req.Context(), s.runner.commands, func() *queue.SessionInfo {
+		return s.runner.decider.Describe(req.PathValue("id"))
 	})
-	if !<-ch {
-		m.at(w, r)
+	switch {
+	case err != nil:
+		writeUnavailable(w, err)
+	case info == nil:
+		s.elsewhere(w, req)
+	default:
+		writeJSON(w, info, "")
 	}
 }
 
-func (m *messages) show(w http.ResponseWriter, r *http.Request) {
-	ch := make(chan map[string]any, 1)
-	m.t.q.Do(func() { ch <- m.t.s.Describe(r.PathValue("id")) })
-	v := <-ch
-	if v == nil {
-		m.at(w, r)
+// statusResource is the site as a whole.
+type statusResource struct{ runner *runner }
+
+// status is what operators are shown of the site. Its fields stand in the order of their names.
+type status struct {
+	Bytes    int64       `json:"bytes"`
+	Replicas int         `json:"copies"`
+	Edges    int         `json:"edges"`
+	Epoch    uint64      `json:"epoch"`
+	Expired  int         `json:"givenUp"` // messages
+	Owned    int         `json:"homes"`   // sessions
+	Site     string      `json:"site"`
+	Sites    *sites.Map  `json:"sites"`
+	State    sites.State `json:"state"`
+}
+
+func (s *statusResource) show(w http.ResponseWriter, req *http.Request) {
+	got, err := s.get(req.Context())
+	if err != nil {
+		writeUnavailable(w, err)
 		return
 	}
-	w.Header().Set("Content-Type", "application/json")
-	json.NewEncoder(w).Encode(v)
+	writeJSON(w, got, "  ")
 }
 
-func (t *Site) status(w http.ResponseWriter, _ *http.Request) {
-	ch := make(chan map[string]any, 1)
-	t.q.Do(func() {
-		ch <- map[string]any{"site": t.set.Hostname, "state": t.state, "epoch": t.s.Epoch, "homes": t.s.OwnedSessions(),
-			"copies": t.s.ReplicatedSessions(), "bytes": t.s.Bytes(),
-			"givenUp": t.s.ExpiredMessages, "edges": len(t.edges), "sites": t.s.Map()}
+func (s *statusResource) get(ctx context.Context) (status, error) {
+	r := s.runner
+	return commandqueue.Call(ctx, r.commands, func() status {
+		return status{Bytes: r.decider.Bytes(), Replicas: r.decider.ReplicatedSessions(), Edges: len(r.edges),
+			Epoch: r.decider.Epoch, Expired: r.decider.ExpiredMessages, Owned: r.decider.OwnedSessions(),
+			Site: r.settings.Hostname, Sites: r.decider.Map(), State: r.state}
 	})
+}
+
+// writeUnavailable answers a call that the process is too far into its end to serve, or whose caller has gone.
+func writeUnavailable(w http.ResponseWriter, err error) {
+	http.Error(w, err.Error(), http.StatusServiceUnavailable)
+}
+
+func writeJSON(w http.ResponseWriter, value any, indent string) {
 	w.Header().Set("Content-Type", "application/json")
-	e := json.NewEncoder(w)
-	e.SetIndent("", "  ")
-	e.Encode(<-ch)
+	encoder := json.NewEncoder(w)
+	encoder.SetIndent("", indent)
+	_ = encoder.Encode(value) // an error is the caller's, who has gone
 }
--- a/internal/session/site/golden_test.go
+++ b/internal/session/site/golden_test.go
@@ -24,11 +24,11 @@
 
 // The calls of producers, consumers and operators: statuses, headers and bodies.
 func TestGoldenCalls(t *testing.T) {
-	s := &Site{set: &settings.Settings{Hostname: "a", ReadyAddr: "127.0.0.1:9"}, ctx: t.Context(), start: time.Now(),
-		q: commandqueue.New(t.Context(), 16), lim: queue.DefaultLimits, life: 1, edges: map[string]*link{}, state: sites.StateActive}
-	s.lim.MessageBytes = 20
-	s.s = queue.NewSite("a", s.lim)
-	other := queue.NewSite("b", s.lim)
+	s := &runner{settings: &settings.Settings{Hostname: "a", ReadyAddr: "127.0.0.1:9"}, ctx: t.Context(), startedAt: time.Now(),
+		commands: commandqueue.New(t.Context(), 16), limits: queue.DefaultLimits, incarnation: 1, edges: map[string]*link{}, state: sites.StateActive}
+	s.limits.MessageBytes = 20
+	s.decider = queue.NewSite("a", s.limits)
+	other := queue.NewSite("b", s.limits)
 	var m *sites.Map
 	for _, name := range []string{"a", "b"} {
 		next, err := m.Apply(&sites.Change{Kind: sites.ChangeJoin, Name: name, Site: sites.Site{Addr: name, HTTPAddr: "http-" + name, Incarnation: 1}})
@@ -39,7 +39,7 @@
 	}
 	e := queue.NewEdge("e", "", "")
 	e.ApplyMap(m, 0)
-	for _, x := range []*queue.Site{s.s, other} {
+	for _, x := range []*queue.Site{s.decider, other} {
 		x.ApplyMap(m, 1, 0)
 		x.ExtendLease(1e12)
 	}
@@ -47,9 +47,9 @@
 	carry := func() {
 		for range 20 {
 			for _, send := range e.TakeOutgoing() {
-				s.s.Receive("e", &send.Envelope, 0)
+				s.decider.Receive("e", &send.Envelope, 0)
 			}
-			for _, send := range s.s.TakeOutgoing() {
+			for _, send := range s.decider.TakeOutgoing() {
 				if send.To == "e" {
 					e.Receive("a", &send.Envelope, 0)
 				} else {
@@ -57,16 +57,16 @@
 				}
 			}
 			for _, send := range other.TakeOutgoing() {
-				s.s.Receive("b", &send.Envelope, 0)
+				s.decider.Receive("b", &send.Envelope, 0)
 			}
 		}
 	}
 	carry()
 	e.Publish(1, 1, []byte("from the client"))
 	carry()
-	s.s.Receive("b", &queue.Envelope{Kind: queue.KindSnapshot, Session: "there", Epoch: 1, SiteEpoch: 1,
+	s.decider.Receive("b", &queue.Envelope{Kind: queue.KindSnapshot, Session: "there", Epoch: 1, SiteEpoch: 1,
 		State: &queue.SessionState{Epoch: 1, Owner: "b", OwnerEpoch: 1, Replicas: []string{"a"}}}, 0)
-	go s.q.Run(time.Hour, func() {})
+	go s.commands.Run(time.Hour, func() {})
 	var cases []golden.Case[string]
 	for _, call := range []string{
 		"GET /sessions/here", "GET /sessions/there", "GET /sessions/none", "GET /sessions/here/inbox?after=0",
--- /dev/null
+++ b/internal/session/site/lease.go
@@ -0,0 +1,81 @@
+package site
+
+// This file owns the site's lease, and what it does with the map that comes with it.
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	"weirwind/internal/controlplane"
+	"weirwind/internal/session/queue"
+	"weirwind/internal/session/sites"
+	"weirwind/internal/util/commandqueue"
+	"weirwind/internal/util/events"
+)
+
+const renewInterval = 400 * time.Millisecond
+
+// keepLease renews the lease until ctx ends. The lease holds from when it was asked for, so that a late answer
+// extends nothing.
+func (r *runner) keepLease(ctx context.Context) {
+	ticker := time.NewTicker(renewInterval)
+	defer ticker.Stop()
+	for {
+		incarnation, err := commandqueue.Call(ctx, r.commands, func() uint64 { return r.incarnation })
+		if err != nil {
+			return
+		}
+		r.renewLease(ctx, incarnation)
+		select {
+		case <-ticker.C:
+		case <-ctx.Done():
+			return
+		}
+	}
+}
+
+func (r *runner) renewLease(ctx context.Context, incarnation uint64) {
+	askedAt := r.now()
+	m, err := r.core.renew(ctx, r.settings.Hostname, controlplane.SiteRenewal{Addr: r.meshAddr(),
+		HTTPAddr: r.settings.ReadyAddr, Zone: r.settings.Zone, Region: r.settings.Region, Incarnation: incarnation})
+	switch {
+	case err == nil:
+		r.commands.Do(func() { r.applyMap(ctx, m, askedAt) })
+	case errors.Is(err, errIncarnationEnded):
+		r.commands.Do(func() { r.beginIncarnation(incarnation) })
+	}
+}
+
+// beginIncarnation replaces an incarnation that the core has removed: what it held is its replicas'.
+func (r *runner) beginIncarnation(ended uint64) {
+	m := r.decider.Map()
+	if ended != r.incarnation || m == nil || m.Sites[r.settings.Hostname].Incarnation != ended {
+		return
+	}
+	r.log.Event(events.SiteSelf, "site", r.settings.Hostname, "what", "this life is over; another begins")
+	r.decider = queue.NewSite(r.settings.Hostname, r.limits)
+	r.incarnation = newIncarnation()
+	r.state = ""
+}
+
+// applyMap takes the answer to a renewal that was asked for at that time. Links to new sites end with ctx.
+func (r *runner) applyMap(ctx context.Context, m *sites.Map, askedAt float64) {
+	before := r.decider.Map()
+	r.decider.ApplyMap(m, r.incarnation, r.now())
+	self := m.Sites[r.settings.Hostname]
+	if self.Incarnation == r.incarnation && self.State != sites.StateRemoved {
+		r.decider.ExtendLease(askedAt + float64(controlplane.SiteLeaseDuration.Milliseconds()))
+		if self.State != r.state {
+			r.state = self.State
+			r.log.Event(events.SiteSelf, "site", r.settings.Hostname, "what", string(self.State), "epoch", self.Epoch)
+		}
+	}
+	if before == nil || before.Version < m.Version {
+		r.connectPeers(ctx, m)
+		for _, l := range r.edges {
+			l.Send(&Frame{Envelope: &queue.Envelope{Map: m}})
+		}
+	}
+	r.flush()
+}
--- /dev/null
+++ b/internal/session/site/links.go
@@ -0,0 +1,140 @@
+package site
+
+// This file owns the links between sites and edges.
+
+import (
+	"context"
+	"time"
+
+	"weirwind/internal/session/queue"
+	"weirwind/internal/session/sites"
+	"weirwind/internal/util/transport"
+)
+
+const (
+	pingInterval   = 500 * time.Millisecond
+	redialInterval = 50 * time.Millisecond
+)
+
+// Frame is what goes over a link: who connects, then envelopes and pings.
+type Frame struct {
+	Hello    string          `cbor:"1,keyasint,omitempty"` // the sender's name; the first frame of a link
+	Envelope *queue.Envelope `cbor:"2,keyasint,omitempty"`
+	Ping     bool            `cbor:"3,keyasint,omitempty"` // keeps an idle link up
+	Edge     bool            `cbor:"4,keyasint,omitempty"` // with Hello: an edge, which is answered over this link
+}
+
+type link = transport.Link[Frame]
+
+// peer is another site. This site sends over a link of its own and receives over the peer's.
+type peer struct {
+	addr string
+	link *link // nil while there is none
+	stop context.CancelFunc
+}
+
+// connectPeers keeps links to the other sites that are alive.
+func (r *runner) connectPeers(ctx context.Context, m *sites.Map) {
+	for name, p := range r.peers {
+		if site, ok := m.Sites[name]; !ok || site.Addr != p.addr || site.State == sites.StateRemoved {
+			p.stop()
+			if p.link != nil {
+				p.link.Close()
+			}
+			delete(r.peers, name)
+		}
+	}
+	for name, site := range m.Sites {
+		if name != r.settings.Hostname && site.State != sites.StateRemoved && r.peers[name] == nil {
+			r.peers[name] = r.connectPeer(ctx, site.Addr)
+		}
+	}
+}
+
+func (r *runner) connectPeer(ctx context.Context, addr string) *peer {
+	ctx, stop := context.WithCancel(ctx)
+	p := &peer{addr: addr, stop: stop}
+	up := func(l *link) {
+		r.commands.Do(func() {
+			p.link = l
+			r.flush()
+		})
+	}
+	go KeepLink(ctx, addr, Frame{Hello: r.settings.Hostname}, up, func(*link, *Frame) {})
+	return p
+}
+
+// KeepLink keeps a link to a process until ctx ends, and begins each with hello. up gets each link, and nil when it
+// has ended; take gets the frames.
+func KeepLink(ctx context.Context, addr string, hello Frame, up func(*link), take func(*link, *Frame)) {
+	backoff := transport.Backoff{Initial: redialInterval, Max: redialInterval,
+		DialTimeout: func(nth int) time.Duration { return transport.DialTimeout(nth / 3) }}
+	begin := func(l *link) {
+		l.Send(&hello)
+		go ping(ctx, l)
+		up(l)
+	}
+	transport.KeepConnected(ctx, addr, backoff, begin, take, func() { up(nil) })
+}
+
+// ping keeps a link up until it ends, and closes it when ctx ends.
+func ping(ctx context.Context, l *link) {
+	ticker := time.NewTicker(pingInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-l.Done():
+			return
+		case <-ctx.Done():
+			l.Close()
+			return
+		case <-ticker.C:
+			l.Send(&Frame{Ping: true})
+		}
+	}
+}
+
+// receive takes a frame of a site or an edge that has connected.
+func (r *runner) receive(l *link, frame *Frame) {
+	r.commands.Do(func() {
+		switch {
+		case frame.Hello != "":
+			r.receiveHello(l, frame)
+		case frame.Envelope != nil:
+			r.decider.Receive(l.Peer, frame.Envelope, r.now())
+			r.flush()
+		}
+	})
+}
+
+func (r *runner) receiveHello(l *link, frame *Frame) {
+	l.Peer = frame.Hello
+	if !frame.Edge {
+		return
+	}
+	r.edges[frame.Hello] = l
+	if m := r.decider.Map(); m != nil {
+		l.Send(&Frame{Envelope: &queue.Envelope{Map: m}})
+	}
+}
+
+func (r *runner) handleLinkLost(l *link) {
+	r.commands.Do(func() {
+		if r.edges[l.Peer] == l {
+			delete(r.edges, l.Peer)
+			r.decider.HandleEdgeLost(l.Peer, r.now())
+			r.flush()
+		}
+	})
+}
+
+// flush sends what the decider has to send. What has no link is dropped: it is sent again.
+func (r *runner) flush() {
+	for _, outgoing := range r.decider.TakeOutgoing() {
+		if l := r.edges[outgoing.To]; l != nil {
+			l.Send(&Frame{Envelope: &outgoing.Envelope})
+		} else if p := r.peers[outgoing.To]; p != nil && p.link != nil {
+			p.link.Send(&Frame{Envelope: &outgoing.Envelope})
+		}
+	}
+}
