--- a/internal/controlplane/consensus/contact.go
+++ b/internal/controlplane/consensus/contact.go
@@ -57,7 +57,7 @@
 
 // quorumAcked says that a majority of voters, this node with them, has answered a heartbeat round or a later one.
 func (n *Node) quorumAcked(voters []Voter, round uint64) bool {
-	return n.quorumOf(voters, func(p *progress) bool { return p.ackedRound >= round })
+	return n.quorumOf(voters, func(peer *progress) bool { return peer.ackedRound >= round })
 }
 
 // ContactAge is the age in milliseconds of the newest moment at which all that had been acknowledged anywhere
@@ -84,19 +84,19 @@
 }
 
 // contactFor gives the moment of the leader's contact with a follower on the follower's clock; 0: not known.
-func (n *Node) contactFor(p *progress) float64 {
-	if !n.Established() || p.clock.reading == 0 || math.IsInf(n.lastContact, -1) {
+func (n *Node) contactFor(peer *progress) float64 {
+	if !n.Established() || peer.clock.reading == 0 || math.IsInf(n.lastContact, -1) {
 		return 0
 	}
-	return p.clock.reading - p.clock.receivedAt + min(n.lastContact, p.clock.receivedAt)
+	return peer.clock.reading - peer.clock.receivedAt + min(n.lastContact, peer.clock.receivedAt)
 }
 
 // updateContact renews a follower's contact from a leader's message, where all that the leader knew to be
 // committed is known here.
-func (n *Node) updateContact(m *Message, now float64) {
+func (n *Node) updateContact(msg *Message, now float64) {
 	// Of another incarnation, it is on the clock of this machine's process before.
-	ownClock := m.Contact != 0 && m.Incarnation == n.incarnation
-	if ownClock && n.committed.Index >= m.Commit {
-		n.lastContact = max(n.lastContact, min(m.Contact, now))
+	ownClock := msg.Contact != 0 && msg.Incarnation == n.incarnation
+	if ownClock && n.committed.Index >= msg.Commit {
+		n.lastContact = max(n.lastContact, min(msg.Contact, now))
 	}
 }
--- a/internal/controlplane/consensus/doc.go
+++ b/internal/controlplane/consensus/doc.go
@@ -111,4 +111,7 @@
 //   - contact.go: reads and contact
 //   - join.go, confchange.go: joiners, and changes of voters
 //   - shutdown.go: processes that leave, leadership transfers
+//
+// testdata/transcripts shows an election, a partition, a lost disk, joins and removals, and shutdowns, message by
+// message.
 package consensus
--- a/internal/controlplane/consensus/election.go
+++ b/internal/controlplane/consensus/election.go
@@ -106,51 +106,52 @@
 	n.becomeLeader(now)
 }
 
-func (n *Node) handlePreVoteResponse(m *Message, now float64) {
-	if n.role == preCandidate && m.Term == n.HardState.Term+1 && m.Granted {
-		n.votes[m.From.ID] = true
+func (n *Node) handlePreVoteResponse(msg *Message, now float64) {
+	if n.role == preCandidate && msg.Term == n.HardState.Term+1 && msg.Granted {
+		n.votes[msg.From.ID] = true
 		n.countVotes(now)
 	}
 }
 
-func (n *Node) handleVoteResponse(m *Message, now float64) {
-	if m.Term > n.HardState.Term {
-		n.observeTerm(m.Term, now)
+func (n *Node) handleVoteResponse(msg *Message, now float64) {
+	if msg.Term > n.HardState.Term {
+		n.observeTerm(msg.Term, now)
 		return
 	}
-	if n.role == Candidate && m.Term == n.HardState.Term && m.Granted {
-		n.votes[m.From.ID] = true
+	if n.role == Candidate && msg.Term == n.HardState.Term && msg.Granted {
+		n.votes[msg.From.ID] = true
 		n.countVotes(now)
 	}
 }
 
 // handlePreVoteRequest says whether a vote would be given. It changes nothing that decides.
-func (n *Node) handlePreVoteRequest(m *Message, now float64) {
-	n.setLeaving(m.From.ID, false, now)
-	granted := m.Term > n.HardState.Term && n.canVoteFor(m) && !n.hasOtherLeader(m.From, now) && !n.precedes(m, now)
-	n.send(m.From.Addr, Message{Kind: PreVoteResponse, Term: m.Term, Granted: granted})
+func (n *Node) handlePreVoteRequest(msg *Message, now float64) {
+	n.setLeaving(msg.From.ID, false, now)
+	free := !n.hasOtherLeader(msg.From, now) && !n.precedes(msg, now)
+	granted := msg.Term > n.HardState.Term && n.canVoteFor(msg) && free
+	n.send(msg.From.Addr, Message{Kind: PreVoteResponse, Term: msg.Term, Granted: granted})
 }
 
 // handleVoteRequest gives the vote of a term to the first that asks for it and holds all that this node holds.
-func (n *Node) handleVoteRequest(m *Message, now float64) {
-	n.setLeaving(m.From.ID, false, now)
-	if m.Term > n.HardState.Term && !m.leadershipTransfer() && n.hasOtherLeader(m.From, now) {
+func (n *Node) handleVoteRequest(msg *Message, now float64) {
+	n.setLeaving(msg.From.ID, false, now)
+	if msg.Term > n.HardState.Term && !msg.leadershipTransfer() && n.hasOtherLeader(msg.From, now) {
 		return // a leader that others follow is not unseated (Raft, section 6)
 	}
-	n.observeTerm(m.Term, now)
-	free := n.HardState.Vote == "" || n.HardState.Vote == m.From.ID
-	granted := m.Term == n.HardState.Term && n.canVoteFor(m) && free
+	n.observeTerm(msg.Term, now)
+	free := n.HardState.Vote == "" || n.HardState.Vote == msg.From.ID
+	granted := msg.Term == n.HardState.Term && n.canVoteFor(msg) && free
 	if granted && n.HardState.Vote == "" {
-		n.HardState.Vote, n.unsynced = m.From.ID, true
+		n.HardState.Vote, n.unsynced = msg.From.ID, true
 		n.resetElectionDeadline(now)
 	}
-	n.send(m.From.Addr, Message{Kind: VoteResponse, Term: n.HardState.Term, Granted: granted})
+	n.send(msg.From.Addr, Message{Kind: VoteResponse, Term: n.HardState.Term, Granted: granted})
 }
 
 // canVoteFor says that a candidate's last entry is as new as this node's, which has one: an empty disk knows
 // nothing to compare with.
-func (n *Node) canVoteFor(m *Message) bool {
-	return n.HardState.Last.Index > 0 && !n.HardState.Last.id().newerThan(m.lastID())
+func (n *Node) canVoteFor(msg *Message) bool {
+	return n.HardState.Last.Index > 0 && !n.HardState.Last.id().newerThan(msg.lastID())
 }
 
 // hasOtherLeader says that this node leads, or hears a leader other than the candidate.
@@ -162,7 +163,7 @@
 // precedes says that this node has just asked the same question and goes before the sender, by its ID: two
 // that wake together would else split the votes. It holds for about a round trip, so that one that can't win
 // blocks nobody for long.
-func (n *Node) precedes(m *Message, now float64) bool {
+func (n *Node) precedes(msg *Message, now float64) bool {
 	justAsked := n.role == preCandidate && now-n.preVoteStartedAt < 0.15*n.options.ElectionTimeout
-	return justAsked && n.HardState.ID < m.From.ID && m.lastID() == n.HardState.Last.id()
+	return justAsked && n.HardState.ID < msg.From.ID && msg.lastID() == n.HardState.Last.id()
 }
--- a/internal/controlplane/consensus/join.go
+++ b/internal/controlplane/consensus/join.go
@@ -63,30 +63,30 @@
 
 // handleJoin takes a machine's request to vote at the leader. Another node forwards it, once, as the joiner
 // may know none but seeds.
-func (n *Node) handleJoin(m *Message, now float64) {
-	if n.leader.Addr == m.From.Addr && n.leader.ID != m.From.ID {
-		n.LeaderDisconnected(m.From.Addr, now) // its disk has another life
+func (n *Node) handleJoin(msg *Message, now float64) {
+	if n.leader.Addr == msg.From.Addr && n.leader.ID != msg.From.ID {
+		n.LeaderDisconnected(msg.From.Addr, now) // its disk has another life
 	}
 	if n.role == Leader {
-		n.addJoiner(m.From, now)
+		n.addJoiner(msg.From, now)
 		return
 	}
-	if n.leader.ID != "" && !m.forwarded() {
-		forwarded := *m
+	if n.leader.ID != "" && !msg.forwarded() {
+		forwarded := *msg
 		forwarded.Granted = true
 		n.forward(n.leader.Addr, forwarded)
 	}
 }
 
 // addJoiner notes at the leader that a machine wants to vote. It gets heartbeats from then on.
-func (n *Node) addJoiner(v Voter, now float64) {
-	if n.isVoter(v.ID) || len(n.joiners) >= maxJoiners {
+func (n *Node) addJoiner(voter Voter, now float64) {
+	if n.isVoter(voter.ID) || len(n.joiners) >= maxJoiners {
 		return
 	}
-	if _, known := n.joiners[v.ID]; !known {
-		n.progress[v.ID] = &progress{lastResponse: now}
+	if _, known := n.joiners[voter.ID]; !known {
+		n.progress[voter.ID] = &progress{lastResponse: now}
 	}
-	n.joiners[v.ID] = joiner{v, now}
+	n.joiners[voter.ID] = joiner{voter, now}
 }
 
 // nextJoiner gives the first machine, by ID, that wants to vote, answers, and has nearly all.
--- a/internal/controlplane/consensus/message.go
+++ b/internal/controlplane/consensus/message.go
@@ -93,12 +93,12 @@
 }
 
 // send queues a message of this node's own.
-func (n *Node) send(to string, m Message) {
-	m.From = n.self()
-	n.outbox = append(n.outbox, Envelope{to, m})
+func (n *Node) send(to string, msg Message) {
+	msg.From = n.self()
+	n.outbox = append(n.outbox, Envelope{to, msg})
 }
 
 // forward queues a message that another node sent.
-func (n *Node) forward(to string, m Message) {
-	n.outbox = append(n.outbox, Envelope{to, m})
+func (n *Node) forward(to string, msg Message) {
+	n.outbox = append(n.outbox, Envelope{to, msg})
 }
--- a/internal/controlplane/consensus/node.go
+++ b/internal/controlplane/consensus/node.go
@@ -86,17 +86,17 @@
 }
 
 // New starts a node from what its disk holds.
-func New(o Options, h HardState, now float64) *Node {
-	n := &Node{options: o, HardState: h}
+func New(options Options, state HardState, now float64) *Node {
+	n := &Node{options: options, HardState: state}
 	n.progress = map[string]*progress{}
 	n.joiners, n.leavingVoters, n.removedAddrs = map[string]joiner{}, map[string]float64{}, map[string]float64{}
-	if h.lastCommitted() {
-		n.committed = h.Last
+	if state.lastCommitted() {
+		n.committed = state.Last
 	}
-	n.lastContact, n.incarnation = math.Inf(-1), uint32(o.Random()*math.MaxUint32)
-	n.lastLeaderMessage = now - o.ElectionTimeout
+	n.lastContact, n.incarnation = math.Inf(-1), uint32(options.Random()*math.MaxUint32)
+	n.lastLeaderMessage = now - options.ElectionTimeout
 	// Early: a pre-vote costs nobody anything where somebody leads.
-	n.electionDeadline = now + o.ElectionTimeout*(0.2+0.4*o.Random())
+	n.electionDeadline = now + options.ElectionTimeout*(0.2+0.4*options.Random())
 	return n
 }
 
@@ -129,26 +129,26 @@
 }
 
 // Step takes a message.
-func (n *Node) Step(m *Message, now float64) {
-	switch m.Kind {
+func (n *Node) Step(msg *Message, now float64) {
+	switch msg.Kind {
 	case RequestPreVote:
-		n.handlePreVoteRequest(m, now)
+		n.handlePreVoteRequest(msg, now)
 	case PreVoteResponse:
-		n.handlePreVoteResponse(m, now)
+		n.handlePreVoteResponse(msg, now)
 	case RequestVote:
-		n.handleVoteRequest(m, now)
+		n.handleVoteRequest(msg, now)
 	case VoteResponse:
-		n.handleVoteResponse(m, now)
+		n.handleVoteResponse(msg, now)
 	case AppendEntries:
-		n.handleAppend(m, now)
+		n.handleAppend(msg, now)
 	case AppendEntriesResponse:
-		n.handleAppendResponse(m, now)
+		n.handleAppendResponse(msg, now)
 	case Join:
-		n.handleJoin(m, now)
+		n.handleJoin(msg, now)
 	case Leave:
-		n.setLeaving(m.From.ID, true, now)
+		n.setLeaving(msg.From.ID, true, now)
 	case TimeoutNow:
-		n.handleTimeoutNow(m, now)
+		n.handleTimeoutNow(msg, now)
 	}
 }
 
--- a/internal/controlplane/consensus/progress.go
+++ b/internal/controlplane/consensus/progress.go
@@ -32,11 +32,11 @@
 
 // recordResponse takes an answer. An answer to an earlier round than ackedRound was overtaken and says
 // nothing of what is synced now.
-func (p *progress) recordResponse(m *Message, now float64) {
+func (p *progress) recordResponse(msg *Message, now float64) {
 	p.lastResponse = now
-	p.clock = peerClock{reading: m.Clock, receivedAt: now, incarnation: m.Incarnation}
-	if m.Round >= p.ackedRound {
-		p.ackedRound, p.match = m.Round, m.lastID()
+	p.clock = peerClock{reading: msg.Clock, receivedAt: now, incarnation: msg.Incarnation}
+	if msg.Round >= p.ackedRound {
+		p.ackedRound, p.match = msg.Round, msg.lastID()
 	}
 }
 
@@ -44,7 +44,7 @@
 func (p *progress) silentFor(now float64) float64 { return now - p.lastResponse }
 
 // lacksLast says that a peer is not known to hold the leader's last entry.
-func (n *Node) lacksLast(p *progress) bool { return p.match != n.HardState.Last.id() }
+func (n *Node) lacksLast(peer *progress) bool { return peer.match != n.HardState.Last.id() }
 
 // PeerStatus is how far another voter is, as the leader knows it. Its JSON form is shown by the control
 // plane's status call.
--- a/internal/controlplane/consensus/replication.go
+++ b/internal/controlplane/consensus/replication.go
@@ -66,25 +66,28 @@
 	n.send(to.Addr, m)
 }
 
-func (n *Node) handleAppendResponse(m *Message, now float64) {
-	if m.Term > n.HardState.Term {
-		n.observeTerm(m.Term, now)
+func (n *Node) handleAppendResponse(msg *Message, now float64) {
+	if msg.Term > n.HardState.Term {
+		n.observeTerm(msg.Term, now)
 		return
 	}
-	if n.role != Leader || m.Term != n.HardState.Term {
+	if n.role != Leader || msg.Term != n.HardState.Term {
 		return
 	}
-	p := n.progress[m.From.ID]
+	p := n.progress[msg.From.ID]
 	if p == nil { // another life of a voter's disk, or one that was removed while the heartbeat was on its way
-		n.addJoiner(m.From, now)
+		n.addJoiner(msg.From, now)
 		return
 	}
-	p.recordResponse(m, now)
-	n.setLeaving(m.From.ID, m.senderLeaving(), now)
+	p.recordResponse(msg, now)
+	n.setLeaving(msg.From.ID, msg.senderLeaving(), now)
 	n.advance(now)
-	if n.role == Leader && n.lacksLast(p) && (p.inflight.index != n.HardState.Last.Index || m.Round >= p.inflight.round) {
+	if n.role != Leader || !n.lacksLast(p) {
+		return
+	}
+	if p.inflight.index != n.HardState.Last.Index || msg.Round >= p.inflight.round {
 		p.inflight.index = 0 // an answer to what was sent with the entry or later shows that it was lost
-		n.sendAppend(m.From, now)
+		n.sendAppend(msg.From, now)
 	}
 }
 
@@ -103,7 +106,7 @@
 // quorumActive says that a majority has answered within two election timeouts.
 func (n *Node) quorumActive(now float64) bool {
 	limit := 2 * n.options.ElectionTimeout
-	return n.quorumOf(n.HardState.Last.Voters, func(p *progress) bool { return p.silentFor(now) < limit })
+	return n.quorumOf(n.HardState.Last.Voters, func(peer *progress) bool { return peer.silentFor(now) < limit })
 }
 
 // canCommitLast says that a majority of the voters that the last entry names hold it synced, and that it is
@@ -136,35 +139,35 @@
 
 // handleAppend follows the leader of the term, takes its entry if that is newer, and answers with what this
 // node holds. The answer waits for the sync, as all messages do.
-func (n *Node) handleAppend(m *Message, now float64) {
-	if m.Term > n.HardState.Term {
-		n.setTerm(m.Term, "")
-		n.becomeFollower(m.From, now)
-	} else if m.Term == n.HardState.Term && (n.role != Follower || n.leader.ID != m.From.ID) {
-		n.becomeFollower(m.From, now)
-	}
-	if m.Term == n.HardState.Term {
+func (n *Node) handleAppend(msg *Message, now float64) {
+	if msg.Term > n.HardState.Term {
+		n.setTerm(msg.Term, "")
+		n.becomeFollower(msg.From, now)
+	} else if msg.Term == n.HardState.Term && (n.role != Follower || n.leader.ID != msg.From.ID) {
+		n.becomeFollower(msg.From, now)
+	}
+	if msg.Term == n.HardState.Term {
 		n.lastLeaderMessage = now
-		n.lastFollowed = followedLeader{m.From, now}
+		n.lastFollowed = followedLeader{msg.From, now}
 		n.resetElectionDeadline(now)
-		n.acceptEntry(m, now)
-		n.updateContact(m, now)
+		n.acceptEntry(msg, now)
+		n.updateContact(msg, now)
 	}
-	n.send(m.From.Addr, Message{Kind: AppendEntriesResponse, Term: n.HardState.Term, LastTerm: n.HardState.Last.Term,
-		LastIndex: n.HardState.Last.Index, Round: m.Round, Granted: n.leaving(), Clock: now, Incarnation: n.incarnation})
+	n.send(msg.From.Addr, Message{Kind: AppendEntriesResponse, Term: n.HardState.Term, LastTerm: n.HardState.Last.Term,
+		LastIndex: n.HardState.Last.Index, Round: msg.Round, Granted: n.leaving(), Clock: now, Incarnation: n.incarnation})
 }
 
 // acceptEntry takes what the leader of the term says of its entry and of what is committed.
-func (n *Node) acceptEntry(m *Message, now float64) {
+func (n *Node) acceptEntry(msg *Message, now float64) {
 	last := &n.HardState.Last
-	if last.Term == m.LastTerm && last.Index > n.committed.Index && m.Commit >= last.Index {
+	if last.Term == msg.LastTerm && last.Index > n.committed.Index && msg.Commit >= last.Index {
 		n.committed = *last // the entry that is replaced below was committed: its leader wrote the next one behind it
 	}
-	if e := m.Entry; e != nil && e.id().newerThan(last.id()) {
+	if e := msg.Entry; e != nil && e.id().newerThan(last.id()) {
 		n.recordRemoved(e.Voters, now)
 		*last, n.unsynced = *e, true
 	}
-	if last.id() == m.lastID() && m.Commit >= last.Index {
+	if last.id() == msg.lastID() && msg.Commit >= last.Index {
 		// Not synced for its own sake: it is learned again.
 		n.HardState.Commit, n.HardState.CommitTerm = last.Index, last.Term
 		n.committed = *last
--- a/internal/controlplane/consensus/shutdown.go
+++ b/internal/controlplane/consensus/shutdown.go
@@ -71,7 +71,7 @@
 // quorumAnswers says that a majority of voters answered one of the newest heartbeats. A leader that leaves
 // has no time to ask anew: its successor may end with it.
 func (n *Node) quorumAnswers(voters []Voter, now float64) bool {
-	return n.quorumOf(voters, func(p *progress) bool { return p.silentFor(now) < 3*n.options.HeartbeatInterval })
+	return n.quorumOf(voters, func(peer *progress) bool { return peer.silentFor(now) < 3*n.options.HeartbeatInterval })
 }
 
 // transferLeadership has the voter stand for election that answered last, of those that hold this leader's
@@ -97,8 +97,8 @@
 }
 
 // handleTimeoutNow begins an election for the leader that is followed.
-func (n *Node) handleTimeoutNow(m *Message, now float64) {
-	fromLeader := m.Term == n.HardState.Term && m.From.ID == n.leader.ID
+func (n *Node) handleTimeoutNow(msg *Message, now float64) {
+	fromLeader := msg.Term == n.HardState.Term && msg.From.ID == n.leader.ID
 	if n.role == Follower && !n.leaving() && fromLeader && n.isVoter(n.HardState.ID) {
 		n.campaign(true, now)
 	}
--- a/internal/controlplane/consensus/state.go
+++ b/internal/controlplane/consensus/state.go
@@ -65,8 +65,8 @@
 // all that the lost core can have reached: the voters' IDs are drawn from it, so that no vote of an old
 // machine counts, and an old one that comes back finds a newer entry and joins. The result's ID is "" where
 // addr isn't among the voters.
-func Restore(addr string, voters []string, e Entry, term uint64) HardState {
-	h := HardState{Term: term, Last: Entry{Term: term, Index: e.Index + 1, Value: e.Value}}
+func Restore(addr string, voters []string, entry Entry, term uint64) HardState {
+	h := HardState{Term: term, Last: Entry{Term: term, Index: entry.Index + 1, Value: entry.Value}}
 	for _, a := range voters {
 		v := Voter{"r" + strconv.FormatUint(term, 10) + "@" + a, a}
 		h.Last.Voters = append(h.Last.Voters, v)
--- a/internal/controlplane/consensus/store/errors.go
+++ b/internal/controlplane/consensus/store/errors.go
@@ -13,6 +13,7 @@
 // brokenError is ErrBroken with its cause.
 type brokenError struct{ cause error }
 
+// Error is the text of ErrBroken; the caller puts the cause before it.
 func (e *brokenError) Error() string { return ErrBroken.Error() }
 
 // Is says that the error is ErrBroken.
@@ -40,6 +41,7 @@
 	cause error // nil: pebble gave none
 }
 
+// Error is what pebble said.
 func (e *fatalError) Error() string { return e.text }
 
 // Unwrap gives the cause.
--- a/internal/controlplane/consensus/store/store.go
+++ b/internal/controlplane/consensus/store/store.go
@@ -47,20 +47,20 @@
 
 // Open opens a folder, or makes it. found is false where nothing was ever saved there. A record that isn't what was
 // saved is a *CorruptError.
-func Open(folder string) (s *Store, h consensus.HardState, found bool, err error) {
+func Open(folder string) (s *Store, state consensus.HardState, found bool, err error) {
 	return open(folder, false)
 }
 
 // Inspect reads a folder that no process has open, and changes nothing in it.
 func Inspect(folder string) (consensus.HardState, bool, error) {
-	s, h, found, err := open(folder, true)
+	s, state, found, err := open(folder, true)
 	if err == nil {
 		err = s.Close()
 	}
-	return h, found, err
+	return state, found, err
 }
 
-func open(folder string, readOnly bool) (s *Store, h consensus.HardState, found bool, err error) {
+func open(folder string, readOnly bool) (s *Store, state consensus.HardState, found bool, err error) {
 	step := oops.In("disk").With("folder", folder)
 	defer func() {
 		if p := recover(); p != nil {
@@ -69,15 +69,15 @@
 	}()
 	db, err := openDB(folder, readOnly)
 	if err != nil {
-		return nil, h, false, step.Wrapf(err, "open")
+		return nil, state, false, step.Wrapf(err, "open")
 	}
 	s = &Store{db: db}
-	h, found, err = s.read(step)
+	state, found, err = s.read(step)
 	if err != nil {
 		_ = db.Close() // the error that is returned says more
 		return nil, consensus.HardState{}, false, err
 	}
-	return s, h, found, nil
+	return s, state, found, nil
 }
 
 // openDB opens the database with small buffers: it holds one value.
@@ -97,22 +97,22 @@
 }
 
 // read gives what is saved; false: nothing is.
-func (s *Store) read(step oops.OopsErrorBuilder) (h consensus.HardState, found bool, err error) {
+func (s *Store) read(step oops.OopsErrorBuilder) (state consensus.HardState, found bool, err error) {
 	var m meta
 	if found, err = s.get(metaKey, &m); err != nil {
-		return h, false, step.Wrapf(err, "read meta")
+		return state, false, step.Wrapf(err, "read meta")
 	}
 	if !found {
-		return h, false, nil
+		return state, false, nil
 	}
-	h = consensus.HardState{ID: m.ID, Term: m.Term, Vote: m.Vote, Commit: m.Commit, CommitTerm: m.CommitTerm}
+	state = consensus.HardState{ID: m.ID, Term: m.Term, Vote: m.Vote, Commit: m.Commit, CommitTerm: m.CommitTerm}
 	if m.Entry != (entryID{}) {
-		if err := s.getEntry(m.Entry, &h.Last); err != nil {
-			return h, false, step.Wrapf(err, "read entry")
+		if err := s.getEntry(m.Entry, &state.Last); err != nil {
+			return state, false, step.Wrapf(err, "read entry")
 		}
 	}
 	s.savedEntry = m.Entry
-	return h, true, nil
+	return state, true, nil
 }
 
 // getEntry reads the entry, which must be the one that meta names.
@@ -127,7 +127,7 @@
 	return nil
 }
 
-func idOf(e *consensus.Entry) entryID { return entryID{e.Term, e.Index} }
+func idOf(entry *consensus.Entry) entryID { return entryID{entry.Term, entry.Index} }
 
 // get reads a record; false: there is none.
 func (s *Store) get(key []byte, into any) (bool, error) {
@@ -147,7 +147,7 @@
 
 // Save returns when the whole state is synced. After another error than ErrBroken it may be tried again;
 // after ErrBroken nothing can be saved any more.
-func (s *Store) Save(h *consensus.HardState) (err error) {
+func (s *Store) Save(state *consensus.HardState) (err error) {
 	if s.broken {
 		return ErrBroken
 	}
@@ -159,12 +159,12 @@
 	}()
 	b := s.db.NewBatch()
 	defer func() { _ = b.Close() }() // frees the batch, and gives no error
-	id := idOf(&h.Last)
-	if err := set(b, metaKey, meta{h.ID, h.Term, h.Vote, h.Commit, h.CommitTerm, id}); err != nil {
+	id := idOf(&state.Last)
+	if err := set(b, metaKey, meta{state.ID, state.Term, state.Vote, state.Commit, state.CommitTerm, id}); err != nil {
 		return err
 	}
 	if id != s.savedEntry {
-		if err := set(b, entryKey, &h.Last); err != nil {
+		if err := set(b, entryKey, &state.Last); err != nil {
 			return err
 		}
 	}
--- /dev/null
+++ b/internal/controlplane/consensus/transcript_test.go
@@ -0,0 +1,272 @@
+package consensus
+
+import (
+	"bufio"
+	"fmt"
+	"os"
+	"path/filepath"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+)
+
+// TestTranscripts plays the scripts in testdata/transcripts and holds what happens against what the files say. Lines that
+// begin with "> " are commands, see transcript.run; those behind a command are what follows from it. Run with -update to
+// write the files anew, and read the difference.
+func TestTranscripts(t *testing.T) {
+	files, err := filepath.Glob("testdata/transcripts/*.txt")
+	if err != nil || len(files) == 0 {
+		t.Fatal("no transcripts", err)
+	}
+	for _, file := range files {
+		t.Run(strings.TrimSuffix(filepath.Base(file), ".txt"), func(t *testing.T) {
+			recorded, err := os.ReadFile(file)
+			if err != nil {
+				t.Fatal(err)
+			}
+			got := play(t, string(recorded))
+			if *update {
+				if err := os.WriteFile(file, []byte(got), 0o644); err != nil {
+					t.Fatal(err)
+				}
+			} else if got != string(recorded) {
+				t.Errorf("the transcript is\n%s\nrecorded was\n%s", got, recorded)
+			}
+		})
+	}
+}
+
+// play runs a script's commands, and gives it with what follows from each.
+func play(t *testing.T, script string) string {
+	t.Helper()
+	p := &transcript{t: t, minVoters: 3, nodes: map[string]*scriptedNode{}, down: map[string]bool{},
+		shown: map[string]bool{}}
+	lines := bufio.NewScanner(strings.NewReader(script))
+	for lines.Scan() {
+		switch line := lines.Text(); {
+		case strings.HasPrefix(line, "> "):
+			fmt.Fprintln(&p.out, line)
+			p.run(strings.Fields(line)[1:])
+		case line == "" || strings.HasPrefix(line, "#"):
+			fmt.Fprintln(&p.out, line)
+		}
+	}
+	return p.out.String()
+}
+
+// transcript plays nodes in virtual time and writes what they do. Messages arrive at once and in order; heartbeats and
+// answers that say nothing new aren't shown.
+type transcript struct {
+	t         *testing.T
+	minVoters int
+	out       strings.Builder
+	now       float64
+	nodes     map[string]*scriptedNode
+	inTransit []Envelope
+	down      map[string]bool // machines that nothing reaches, and that reach nobody
+	shown     map[string]bool // answers
+}
+
+type scriptedNode struct {
+	*Node
+	disk    HardState
+	running bool
+	state   string // as it was last shown
+}
+
+// run runs a command:
+//
+//	minvoters 2         as the option; it is 3 without this
+//	found m0 m1 m2      the machines found a core
+//	start m0            a machine that was killed starts again
+//	empty n0            a machine starts with an empty disk; it knows m0
+//	wait 300            so many milliseconds pass
+//	propose m0 text     a value is offered
+//	leave m0            its process begins to shut down
+//	kill m0             its process ends
+//	isolate m0          nothing reaches it, and it reaches nobody
+//	heal                all reach all
+//	read m0             it asks for a confirmation that its knowledge is the newest
+//	status              what each node shows
+func (p *transcript) run(command []string) {
+	p.t.Helper()
+	addrs := command[1:]
+	switch command[0] {
+	case "minvoters":
+		p.minVoters = p.number(command[1])
+	case "found":
+		for _, addr := range addrs {
+			p.start(addr, Bootstrap(addr, addrs))
+		}
+	case "start":
+		p.start(addrs[0], p.nodes[addrs[0]].disk)
+	case "empty":
+		p.start(addrs[0], Empty("1@"+addrs[0]))
+	case "wait":
+		p.wait(float64(p.number(command[1])))
+	case "propose":
+		e, ok := p.nodes[addrs[0]].Propose([]byte(command[2]), p.now)
+		p.show("%s proposes entry %d/%d: %v", addrs[0], e.Term, e.Index, ok)
+	case "leave":
+		p.nodes[addrs[0]].Leave(p.now)
+	case "kill":
+		p.nodes[addrs[0]].running = false
+	case "isolate":
+		p.down[addrs[0]] = true
+	case "heal":
+		clear(p.down)
+	case "read":
+		n := p.nodes[addrs[0]]
+		round := n.ReadIndex(p.now)
+		p.flush(addrs[0])
+		p.settle()
+		p.show("%s read confirmed: %v", addrs[0], n.ReadConfirmed(round))
+	case "status":
+		p.status()
+	default:
+		p.t.Fatalf("unknown command %v", command)
+	}
+	for _, addr := range p.addrs() {
+		p.flush(addr)
+	}
+	p.settle()
+}
+
+func (p *transcript) number(word string) int {
+	p.t.Helper()
+	n, err := strconv.Atoi(word)
+	if err != nil {
+		p.t.Fatal(err)
+	}
+	return n
+}
+
+func (p *transcript) show(format string, args ...any) {
+	fmt.Fprintf(&p.out, "  "+format+"\n", args...)
+}
+
+func (p *transcript) addrs() (out []string) {
+	for addr := range p.nodes {
+		out = append(out, addr)
+	}
+	slices.Sort(out)
+	return out
+}
+
+// start starts a machine. Its place in the order of addresses spreads its elections.
+func (p *transcript) start(addr string, disk HardState) {
+	spread := float64(addr[1]-'0') / 5
+	n := New(Options{Addr: addr, Seeds: []string{"m0"}, MinVoters: p.minVoters, HeartbeatInterval: 200, ElectionTimeout: 900,
+		RemoveAfter: 1575, Random: func() float64 { return spread }}, copyOf(disk), p.now)
+	p.nodes[addr] = &scriptedNode{Node: n, disk: disk, running: true}
+}
+
+// wait lets time pass in steps of 50 ms.
+func (p *transcript) wait(ms float64) {
+	for end := p.now + ms; p.now < end; {
+		p.now += 50
+		for _, addr := range p.addrs() {
+			if n := p.nodes[addr]; n.running {
+				n.Tick(p.now)
+				p.flush(addr)
+			}
+		}
+		p.settle()
+	}
+}
+
+// settle delivers until nothing is in transit.
+func (p *transcript) settle() {
+	for len(p.inTransit) > 0 {
+		e := p.inTransit[0]
+		p.inTransit = p.inTransit[1:]
+		to := p.nodes[e.To]
+		if to == nil || !to.running || p.down[e.To] || p.down[e.Message.From.Addr] {
+			continue
+		}
+		to.Step(&e.Message, p.now)
+		p.flush(e.To)
+	}
+}
+
+// flush syncs and sends, and shows both.
+func (p *transcript) flush(addr string) {
+	n := p.nodes[addr]
+	for n.running {
+		if n.Dirty() {
+			n.disk = copyOf(n.HardState)
+			h := &n.disk
+			p.show("%s syncs term %d, vote %q, entry %d/%d", addr, h.Term, h.Vote, h.Last.Term, h.Last.Index)
+			n.Synced(p.now)
+		}
+		p.showState(addr, n)
+		for _, e := range n.Messages() {
+			p.showMessage(addr, e)
+			if entry := e.Message.Entry; entry != nil {
+				copied := *entry
+				e.Message.Entry = &copied
+			}
+			p.inTransit = append(p.inTransit, e)
+		}
+		if !n.Dirty() {
+			return
+		}
+	}
+}
+
+// showState shows a node's role and what is committed where they changed.
+func (p *transcript) showState(addr string, n *scriptedNode) {
+	role := [...]string{Follower: "follower", Candidate: "candidate", Leader: "leader", preCandidate: "pre-candidate"}[n.role]
+	if n.Established() {
+		role = "established leader"
+	}
+	state := fmt.Sprintf("%s of term %d", role, n.HardState.Term)
+	if e, ok := n.Committed(); ok {
+		state += fmt.Sprintf(", committed %d/%d %q by %d voters", e.Term, e.Index, e.Value, len(e.Voters))
+	}
+	if state != n.state {
+		n.state = state
+		p.show("%s is %s", addr, state)
+	}
+}
+
+func (p *transcript) showMessage(addr string, e Envelope) {
+	m := &e.Message
+	text := fmt.Sprintf("%s -> %s %s", addr, e.To, m.Kind)
+	if m.Term > 0 {
+		text += fmt.Sprintf(" of term %d", m.Term)
+	}
+	switch m.Kind {
+	case RequestVote, RequestPreVote:
+		text += fmt.Sprintf(", last entry %d/%d", m.LastTerm, m.LastIndex)
+	case VoteResponse, PreVoteResponse:
+		text += fmt.Sprintf(", granted: %v", m.Granted)
+	case AppendEntries:
+		if m.Entry == nil {
+			return
+		}
+		text += fmt.Sprintf(", entry %d/%d %q for %d voters", m.Entry.Term, m.Entry.Index, m.Entry.Value, len(m.Entry.Voters))
+	case AppendEntriesResponse:
+		text += fmt.Sprintf(", holds %d/%d", m.LastTerm, m.LastIndex)
+		if p.shown[text] {
+			return
+		}
+		p.shown[text] = true
+	case Join, Leave, TimeoutNow:
+	}
+	p.show("%s", text)
+}
+
+func (p *transcript) status() {
+	for _, addr := range p.addrs() {
+		n := p.nodes[addr]
+		contact := "none"
+		if n.ContactAge(p.now) <= ContactLease {
+			contact = "held"
+		}
+		leader, _ := n.Leader()
+		p.show("%s running %v: leader %q, contact %s, %d voters, leave done: %v", addr, n.running, leader.Addr, contact,
+			len(n.HardState.Last.Voters), n.LeaveDone(p.now))
+	}
+}
