--- a/internal/controlplane/consensus/confchange.go
+++ b/internal/controlplane/consensus/confchange.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// membershipState is what a node knows of machines that come and go. It lives for as long as the process,
+// membershipState is what a node knows of machines that join and leave. It lives for as long as the process,
 // across terms.
 type membershipState struct {
 	joiners         map[string]joiner  // machines that want to vote, by ID; at most maxJoiners
@@ -19,7 +19,7 @@
 	beganAt float64
 }
 
-// maintainVoters changes who votes: one step at a time, and only behind an entry of its own term.
+// maintainVoters changes who votes: one step at a time, and only after an entry of its own term is committed.
 //
 // One that must go and one that comes change places in two steps, the removal first: with 2 tolerate + 1
 // voters, of which one is gone, the 2 tolerate that are left commit on as many disks as before (tolerate +
@@ -68,7 +68,7 @@
 	return true
 }
 
-// addVoter adds a joiner behind the others.
+// addVoter adds a joiner after the others.
 func (n *Node) addVoter(joiner Voter, now float64) {
 	delete(n.joiners, joiner.ID)
 	n.appendEntry(append(slices.Clone(n.HardState.Last.Voters), joiner), n.HardState.Last.Value, now)
--- a/internal/controlplane/consensus/doc.go
+++ b/internal/controlplane/consensus/doc.go
@@ -52,7 +52,7 @@
 // anew in its own term, and proposes nothing else until that is committed (section 5.4.2); only then is it
 // established.
 //
-// Voters change by one at a time (thesis, section 4.1), behind a committed entry of the leader's own term,
+// Voters change by one at a time (thesis, section 4.1), after a committed entry of the leader's own term,
 // and with the entry that names them: from the moment at which it is accepted, whether or not it commits. The
 // majorities of two sets that differ by one voter meet. Only a voter that comes back with an empty disk is
 // exchanged for its new life in one step: the old one answers nobody any more, so every later majority of the
--- a/internal/controlplane/consensus/join.go
+++ b/internal/controlplane/consensus/join.go
@@ -36,7 +36,7 @@
 		return
 	}
 	n.nextJoinRequest = now + 3*n.options.HeartbeatInterval
-	if empty { // the first requests go before their links stand
+	if empty { // the first requests go before their connections stand
 		n.nextJoinRequest = now + n.options.HeartbeatInterval
 	}
 	n.requestJoin()
@@ -108,7 +108,7 @@
 	return Voter{}, false
 }
 
-// recordRemoved notes the addresses at which nobody votes any more behind a change to other voters.
+// recordRemoved notes the addresses at which nobody votes any more after a change to other voters.
 func (n *Node) recordRemoved(voters []Voter, now float64) {
 	for _, v := range n.HardState.Last.Voters {
 		if indexOfAddr(voters, v.Addr) < 0 && v.Addr != n.options.Addr {
--- a/internal/controlplane/consensus/node.go
+++ b/internal/controlplane/consensus/node.go
@@ -37,7 +37,7 @@
 	role Role
 	// leader is that of HardState.Term as far as it is known, this node itself included; zero: none is.
 	leader Voter
-	// lastLeaderMessage is when that leader was last heard. Before any was, and behind a broken connection to
+	// lastLeaderMessage is when that leader was last heard. Before any was, and after a broken connection to
 	// it, it is one ElectionTimeout ago, so that no vote is refused on its account.
 	lastLeaderMessage float64
 
@@ -65,7 +65,7 @@
 	transferredElection bool
 }
 
-// followedLeader is the last leader that was followed, also behind its lead.
+// followedLeader is the last leader that was followed, also after its lead.
 type followedLeader struct {
 	voter         Voter
 	lastMessageAt float64
--- a/internal/controlplane/consensus/replication.go
+++ b/internal/controlplane/consensus/replication.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Propose offers a value behind the last one. False: this node is no established leader, shuts down, or has
+// Propose offers a value to follow the last one. False: this node is no established leader, shuts down, or has
 // an entry in flight.
 func (n *Node) Propose(value []byte, now float64) (Entry, bool) {
 	if !n.Established() || n.InFlight() || n.leaving() {
@@ -161,7 +161,7 @@
 func (n *Node) acceptEntry(msg *Message, now float64) {
 	last := &n.HardState.Last
 	if last.Term == msg.LastTerm && last.Index > n.committed.Index && msg.Commit >= last.Index {
-		n.committed = *last // the entry that is replaced below was committed: its leader wrote the next one behind it
+		n.committed = *last // the entry that is replaced below was committed: its leader wrote the next one after it
 	}
 	if e := msg.Entry; e != nil && e.id().newerThan(last.id()) {
 		n.recordRemoved(e.Voters, now)
--- a/internal/controlplane/consensus/shutdown.go
+++ b/internal/controlplane/consensus/shutdown.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// LeaveDone says that nothing waits for this process any more behind Leave: it votes no longer, or the time
+// LeaveDone says that nothing waits for this process any more after Leave: it votes no longer, or the time
 // is over in which the leader would have had it removed.
 func (n *Node) LeaveDone(now float64) bool {
 	if !n.leaving() || n.role == Leader {
@@ -45,14 +45,14 @@
 	}
 }
 
-// isLeaving says that a voter told of its shutdown not long ago; behind that its silence counts, as it may be
+// isLeaving says that a voter told of its shutdown not long ago; after that its silence counts, as it may be
 // back unheard.
 func (n *Node) isLeaving(id string, now float64) bool {
 	at, notified := n.leavingVoters[id]
 	return notified && now-at < n.options.RemoveAfter
 }
 
-// transferOrLeave ends a leaving leader's part behind an entry that is in flight. Where it may be removed,
+// transferOrLeave ends a leaving leader's part once no entry is in flight. Where it may be removed,
 // the rest votes without it first (its successor could else need a vote that went with it); where not,
 // another is asked to stand, and one more if that one did not.
 func (n *Node) transferOrLeave(now float64) {
