--- a/internal/session/edge/golden_test.go
+++ b/internal/session/edge/golden_test.go
@@ -19,31 +19,31 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	e := &Edge{set: &settings.Settings{Hostname: "e"}, ctx: t.Context(), start: time.Now(), e: queue.NewEdge("e", "", ""),
-		q: commandqueue.New(t.Context(), 16), links: map[string]*peer{}, socks: map[uint64]*socket{}}
-	e.e.ApplyMap(m, 0)
+	e := &runner{settings: &settings.Settings{Hostname: "e"}, startedAt: time.Now(), decider: queue.NewEdge("e", "", ""),
+		commands: commandqueue.New(t.Context(), 16), sites: map[string]*siteLink{}, sockets: map[uint64]*socket{}}
+	e.decider.ApplyMap(m, 0)
 	var cases []golden.Case[string]
 	for id := uint64(1); id <= 2; id++ {
 		plain := id == 2
-		s := &socket{id: id, plain: plain, wake: make(chan struct{}, 1), end: func() {}}
-		e.socks[id] = s
+		s := &socket{id: id, plain: plain, wakeWriter: make(chan struct{}, 1), cancel: func() {}}
+		e.sockets[id] = s
 		name := fmt.Sprint("s", id)
-		e.e.OpenSocket(id, name, "secret", true, 0, 0)
+		e.decider.OpenSocket(id, name, "secret", true, 0, 0)
 		for _, w := range []queue.Envelope{{Kind: queue.KindAttached, Owner: "a", Epoch: 1, Connection: 1, Number: 4},
 			{Kind: queue.KindDeliver, Epoch: 1, Messages: []queue.Message{{Number: 1, Body: []byte("one")}, {Number: 2, Body: []byte("t w")}}}} {
 			w.Session, w.Socket = name, id
-			e.e.Receive("a", &w, 0)
+			e.decider.Receive("a", &w, 0)
 		}
-		e.e.Publish(id, 5, []byte("mine"))
-		e.e.Receive("a", &queue.Envelope{Kind: queue.KindPublishAck, Session: name, Socket: id, Epoch: 1, Number: 5}, 0)
+		e.decider.Publish(id, 5, []byte("mine"))
+		e.decider.Receive("a", &queue.Envelope{Kind: queue.KindPublishAck, Session: name, Socket: id, Epoch: 1, Number: 5}, 0)
 		e.flush()
-		for i, l := range s.out {
-			cases = append(cases, golden.Of(fmt.Sprint("socket ", id, " line ", i), l.text+fmt.Sprint(" n ", l.n)))
+		for i, l := range s.outgoing {
+			cases = append(cases, golden.Of(fmt.Sprint("socket ", id, " line ", i), l.text+fmt.Sprint(" n ", l.number)))
 		}
 	}
-	go e.q.Run(time.Hour, func() {})
+	go e.commands.Run(time.Hour, func() {})
 	w := httptest.NewRecorder()
-	e.status(w, httptest.NewRequestWithContext(t.Context(), "GET", "/status", nil))
+	e.showStatus(w, httptest.NewRequestWithContext(t.Context(), "GET", "/status", nil))
 	cases = append(cases, golden.Of("status", w.Body.String()))
 	golden.Text(t, "testdata/lines.txt", cases)
 }
--- /dev/null
+++ b/internal/session/edge/sites.go
@@ -0,0 +1,131 @@
+package edge
+
+// This file owns the edge's links to sites, and its map of them.
+
+import (
+	"context"
+	"encoding/json"
+	"io"
+	"net/http"
+	"time"
+
+	"github.com/samber/oops"
+
+	"weirwind/internal/session/site"
+	"weirwind/internal/session/sites"
+	"weirwind/internal/util/transport"
+)
+
+const (
+	mapInterval    = 500 * time.Millisecond
+	mapTimeout     = 900 * time.Millisecond
+	maxAnswerBytes = 4 << 20
+)
+
+type link = transport.Link[site.Frame]
+
+// siteLink is a site with the link to it.
+type siteLink struct {
+	addr string
+	link *link // nil while there is none
+	stop context.CancelFunc
+}
+
+// pollMap asks the machines of the core in turn for the map of sites; sites send their changes sooner.
+func (r *runner) pollMap(ctx context.Context) {
+	client := http.Client{Timeout: mapTimeout}
+	machines := r.settings.Peers
+	for n := 0; ctx.Err() == nil; n++ {
+		if m, err := fetchMap(ctx, &client, machines[n%len(machines)]); err == nil {
+			r.commands.Do(func() { r.applyMap(ctx, m) })
+		}
+		select {
+		case <-time.After(mapInterval):
+		case <-ctx.Done():
+		}
+	}
+}
+
+// fetchMap asks one machine of the core.
+func fetchMap(ctx context.Context, client *http.Client, machine string) (*sites.Map, error) {
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+machine+"/sites", http.NoBody)
+	if err != nil {
+		return nil, err
+	}
+	response, err := client.Do(request)
+	if err != nil {
+		return nil, err
+	}
+	defer response.Body.Close()
+	var m sites.Map
+	if err := json.NewDecoder(io.LimitReader(response.Body, maxAnswerBytes)).Decode(&m); err != nil {
+		return nil, err
+	}
+	if response.StatusCode != http.StatusOK || m.Version == 0 {
+		return nil, oops.In("map").Errorf("status %d, version %d", response.StatusCode, m.Version)
+	}
+	return &m, nil
+}
+
+// applyMap keeps links to the sites that are alive, until ctx ends, and gives the decider the map.
+func (r *runner) applyMap(ctx context.Context, m *sites.Map) {
+	for name, s := range r.sites {
+		if current, ok := m.Sites[name]; !ok || current.Addr != s.addr {
+			s.stop()
+			delete(r.sites, name)
+		}
+	}
+	for name, s := range m.Sites {
+		if s.State != sites.StateRemoved && r.sites[name] == nil {
+			r.sites[name] = r.connectSite(ctx, name, s.Addr)
+		}
+	}
+	r.decider.ApplyMap(m, r.now())
+	r.flush()
+}
+
+func (r *runner) connectSite(ctx context.Context, name, addr string) *siteLink {
+	ctx, stop := context.WithCancel(ctx)
+	s := &siteLink{addr: addr, stop: stop}
+	up := func(l *link) {
+		r.commands.Do(func() {
+			s.link = l
+			if l == nil {
+				r.decider.HandleSiteLost(name, r.now())
+			}
+			r.flush()
+		})
+	}
+	receive := func(_ *link, frame *site.Frame) {
+		if frame.Envelope != nil {
+			r.commands.Do(func() { r.receive(ctx, name, frame) })
+		}
+	}
+	go site.KeepLink(ctx, addr, site.Frame{Hello: r.settings.Hostname, Edge: true}, up, receive)
+	return s
+}
+
+// receive takes an envelope of a site, or a map.
+func (r *runner) receive(ctx context.Context, name string, frame *site.Frame) {
+	if frame.Envelope.Map != nil {
+		r.applyMap(ctx, frame.Envelope.Map)
+	} else {
+		r.decider.Receive(name, frame.Envelope, r.now())
+	}
+	r.flush()
+}
+
+// flush sends what the decider has for clients and for sites. What has no link to its site is dropped: it is sent
+// again.
+func (r *runner) flush() {
+	for _, event := range r.decider.TakeClientEvents() {
+		if s := r.sockets[event.Socket]; s != nil {
+			r.writeEvent(s, event)
+		}
+	}
+	for _, outgoing := range r.decider.TakeOutgoing() {
+		if s := r.sites[outgoing.To]; s != nil && s.link != nil {
+			s.link.Send(&site.Frame{Envelope: &outgoing.Envelope})
+		}
+	}
+}
