--- a/cmd/weirlab/emulate.go
+++ b/cmd/weirlab/emulate.go
@@ -47,18 +47,11 @@
 		Seed:    c.Seed,
 	}
 	for _, text := range c.Fault {
-		what, rest, ok := strings.Cut(text, "@")
-		when, member, ok2 := strings.Cut(rest, ":")
-		when, length, lasts := strings.Cut(when, "+")
-		at, err := time.ParseDuration(when)
-		span, err2 := time.Duration(0), error(nil)
-		if lasts {
-			span, err2 = time.ParseDuration(length)
+		fault, err := parseFault(text)
+		if err != nil {
+			return err
 		}
-		if !ok || !ok2 || err != nil || err2 != nil || at < 0 || span < 0 {
-			return fmt.Errorf("fault %q is not of the form kill@10s:g1m1", text)
-		}
-		s.Faults = append(s.Faults, emulator.Fault{At: ms(at), For: ms(span), What: what, On: member})
+		s.Faults = append(s.Faults, fault)
 	}
 	results, errs := make([]*emulator.Result, len(c.Policy)), make([]error, len(c.Policy))
 	var all sync.WaitGroup
@@ -73,22 +66,8 @@
 		if errs[i] != nil {
 			return errs[i]
 		}
-		fmt.Fprintf(out, "%s: %d ops, %.3f of their worth served in time\n", c.Policy[i], r.Asked, r.Worth)
-		for k := range r.Types {
-			t := &r.Types[k]
-			q := func(x float64) string { return fmt.Sprintf("%.1f", t.Quantile(x)) }
-			fmt.Fprintf(out, "  %-8s acked %d (in time %d), refused tries %d, failed %d; ms: median %s, p99 %s, worst %s\n",
-				r.Setup.Mix[k].Name, t.Ends[emulator.Acked], t.InTime, t.Ends[emulator.Refused], t.Ends[emulator.Failed], q(50),
-				q(99), q(100))
-		}
-		for _, rule := range slices.Sorted(maps.Keys(r.Broken)) {
-			fmt.Fprintf(out, "  broken: %s, %d times\n", rule, r.Broken[rule])
-			if c.Policy[i] == "module" {
-				broken += r.Broken[rule]
-			}
-		}
-		for _, text := range r.First[:min(len(r.First), 3)] {
-			fmt.Fprintf(out, "    %s\n", text)
+		if n := printPlay(out, c.Policy[i], r); c.Policy[i] == "module" {
+			broken += n
 		}
 	}
 	if broken > 0 {
@@ -97,4 +76,40 @@
 	return nil
 }
 
+// parseFault reads a fault of the form kill@10s:g1m1 or, with a duration, kill@10s+4s:g1m1.
+func parseFault(text string) (emulator.Fault, error) {
+	what, rest, hasTime := strings.Cut(text, "@")
+	when, member, hasMember := strings.Cut(rest, ":")
+	when, length, lasts := strings.Cut(when, "+")
+	at, err := time.ParseDuration(when)
+	duration := time.Duration(0)
+	if lasts && err == nil {
+		duration, err = time.ParseDuration(length)
+	}
+	if !hasTime || !hasMember || err != nil || at < 0 || duration < 0 {
+		return emulator.Fault{}, fmt.Errorf("fault %q is not of the form kill@10s:g1m1", text)
+	}
+	return emulator.Fault{At: ms(at), For: ms(duration), What: what, On: member}, nil
+}
+
+// printPlay prints what came of one policy's play, and returns how many times rules were broken.
+func printPlay(out io.Writer, policy string, r *emulator.Result) (broken int) {
+	fmt.Fprintf(out, "%s: %d ops, %.3f of their worth served in time\n", policy, r.Asked, r.Worth)
+	for k := range r.Types {
+		t := &r.Types[k]
+		q := func(x float64) string { return fmt.Sprintf("%.1f", t.Quantile(x)) }
+		fmt.Fprintf(out, "  %-8s acked %d (in time %d), refused tries %d, failed %d; ms: median %s, p99 %s, worst %s\n",
+			r.Setup.Mix[k].Name, t.Ends[emulator.Acked], t.InTime, t.Ends[emulator.Refused], t.Ends[emulator.Failed], q(50),
+			q(99), q(100))
+	}
+	for _, rule := range slices.Sorted(maps.Keys(r.Broken)) {
+		fmt.Fprintf(out, "  broken: %s, %d times\n", rule, r.Broken[rule])
+		broken += r.Broken[rule]
+	}
+	for _, text := range r.First[:min(len(r.First), 3)] {
+		fmt.Fprintf(out, "    %s\n", text)
+	}
+	return broken
+}
+
 func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/cmd/weirlab/main.go
+++ b/cmd/weirlab/main.go
@@ -91,20 +91,37 @@
 	fmt.Fprintf(out, "a cluster of 5 members, %s is primary; %d drivers at %s; %g ops a second for %s\n",
 		cluster.Primary(1), c.Drivers, strings.Join(targets, ", "), c.Rate, c.For)
 	first := cluster.Primary(1)
-	events := []*time.Timer{
-		time.AfterFunc(c.For/3, func() {
-			fmt.Fprintf(out, "      -- %s, the primary, is killed\n", first)
-			cluster.Do("kill", first)
-		}),
-		time.AfterFunc(2*c.For/3, func() {
-			replica := cluster.Replica(1)
-			fmt.Fprintf(out, "      -- %s is primary; %s is back; %s is told to drain\n", cluster.Primary(1), first, replica)
-			cluster.Do("heal", first)
-			cluster.Do("drain", replica)
-		})}
-	var seconds []*lab.Figures
+	result, seconds := c.play(ctx, out, cluster, targets, first)
+	end()
+	if err := wait(); err != nil {
+		return err
+	}
+	summary(out, result)
+	return c.report(out, cluster, first, result, seconds)
+}
+
+// play puts the load before the drivers and carries out what happens to the cluster.
+func (c *demoCommand) play(
+	ctx context.Context,
+	out io.Writer,
+	cluster *lab.Cluster,
+	targets []string,
+	first string,
+) (result lab.Result, seconds []*lab.Figures) {
+	kill := time.AfterFunc(c.For/3, func() {
+		fmt.Fprintf(out, "      -- %s, the primary, is killed\n", first)
+		cluster.Do("kill", first)
+	})
+	defer kill.Stop()
+	drain := time.AfterFunc(2*c.For/3, func() {
+		replica := cluster.Replica(1)
+		fmt.Fprintf(out, "      -- %s is primary; %s is back; %s is told to drain\n", cluster.Primary(1), first, replica)
+		cluster.Do("heal", first)
+		cluster.Do("drain", replica)
+	})
+	defer drain.Stop()
 	fmt.Fprintln(out, "second  acked refused failed  lost   median      p99")
-	result := lab.Load{
+	load := lab.Load{
 		Targets: targets,
 		Rate:    c.Rate,
 		For:     c.For,
@@ -112,22 +129,23 @@
 		Groups:  1,
 		Seed:    c.Seed,
 		Slack:   c.Slack,
-	}.Run(
-		ctx,
-		func(second int, f *lab.Figures) {
-			seconds = append(seconds, f)
-			fmt.Fprintf(out, "%6d %6d %7d %6d %5d %8s %8s\n", second, f.Ends[lab.Acked], f.Ends[lab.Refused], f.Ends[lab.Failed],
-				f.Ends[lab.Lost], f.Quantile(50).Round(100*time.Microsecond), f.Quantile(99).Round(100*time.Microsecond))
-		},
-	)
-	for _, e := range events {
-		e.Stop()
 	}
-	end()
-	if err := wait(); err != nil {
-		return err
-	}
-	summary(out, result)
+	result = load.Run(ctx, func(second int, f *lab.Figures) {
+		seconds = append(seconds, f)
+		fmt.Fprintf(out, "%6d %6d %7d %6d %5d %8s %8s\n", second, f.Ends[lab.Acked], f.Ends[lab.Refused], f.Ends[lab.Failed],
+			f.Ends[lab.Lost], f.Quantile(50).Round(100*time.Microsecond), f.Quantile(99).Round(100*time.Microsecond))
+	})
+	return result, seconds
+}
+
+// report draws the page and gives the audit's verdict.
+func (c *demoCommand) report(
+	out io.Writer,
+	cluster *lab.Cluster,
+	first string,
+	result lab.Result,
+	seconds []*lab.Figures,
+) error {
 	row, err := socketsRow("demonstration", "two drivers", c.Drivers, c.Seed, lab.Mix, result, seconds)
 	if err != nil {
 		return err
--- a/cmd/weirlab/sockets.go
+++ b/cmd/weirlab/sockets.go
@@ -88,6 +88,42 @@
 	return nil
 }
 
+// emulated is the scenario in virtual time that a play on sockets is compared with; a way takes so many milliseconds.
+func (c *trustCommand) emulated(kind string, drivers int, o lab.Options, way float64) emulator.Setup {
+	s := emulator.Setup{
+		Drivers:   drivers,
+		Groups:    o.Groups,
+		Members:   o.Members,
+		Cores:     o.Cores,
+		Work:      ms(o.Work),
+		Lag:       ms(o.Lag),
+		For:       ms(c.For),
+		Load:      c.Rate * o.Work.Seconds() / float64(o.Groups*o.Members*o.Cores),
+		Policy:    "module",
+		Seed:      o.Seed,
+		Zones:     1,
+		Hop:       way,
+		FarHop:    way,
+		Handshake: way,
+		Elect:     ms(o.Elect) - 1500, // the emulator's own watch takes 1.5 s of it
+	}
+	for _, k := range lab.Mix {
+		t := logic.OpType{Need: logic.Any, LatencyTarget: ms(k.Target), OpTimeout: ms(k.Timeout), Value: k.Value}
+		switch k.Name {
+		case "recent":
+			t.Need, t.MaxAge = logic.Bounded, 200
+		case "write":
+			t.Need, t.Effect = logic.Write, logic.NonRetryable
+		}
+		s.Mix = append(s.Mix, emulator.Kind{Name: k.Name, Share: k.Share, OpType: t})
+	}
+	if kind == "rough" {
+		s.Faults = []emulator.Fault{{At: ms(c.For) / 4, What: "kill", On: "g1m1"},
+			{At: ms(c.For) * 3 / 4, What: "slow", On: "g1m3"}}
+	}
+	return s
+}
+
 type trustCommand struct {
 	For    time.Duration `help:"Of each play." default:"10s"`
 	Rate   float64       `help:"Ops a second." default:"400"`
@@ -126,37 +162,7 @@
 				return err
 			}
 			real = append(real, row)
-			s := emulator.Setup{
-				Drivers:   drivers,
-				Groups:    o.Groups,
-				Members:   o.Members,
-				Cores:     o.Cores,
-				Work:      ms(o.Work),
-				Lag:       ms(o.Lag),
-				For:       ms(c.For),
-				Load:      c.Rate * o.Work.Seconds() / float64(o.Groups*o.Members*o.Cores),
-				Policy:    "module",
-				Seed:      seed + 1,
-				Zones:     1,
-				Hop:       way,
-				FarHop:    way,
-				Handshake: way,
-				Elect:     ms(o.Elect) - 1500,
-			} // the emulator's own watch takes 1.5 s of it
-			for _, k := range lab.Mix {
-				t := logic.OpType{Need: logic.Any, LatencyTarget: ms(k.Target), OpTimeout: ms(k.Timeout), Value: k.Value}
-				switch k.Name {
-				case "recent":
-					t.Need, t.MaxAge = logic.Bounded, 200
-				case "write":
-					t.Need, t.Effect = logic.Write, logic.NonRetryable
-				}
-				s.Mix = append(s.Mix, emulator.Kind{Name: k.Name, Share: k.Share, OpType: t})
-			}
-			if kind == "rough" {
-				s.Faults = []emulator.Fault{{At: ms(c.For) / 4, What: "kill", On: "g1m1"},
-					{At: ms(c.For) * 3 / 4, What: "slow", On: "g1m3"}}
-			}
+			s := c.emulated(kind, drivers, o, way)
 			run, err := experiment.Play(experiment.Plan{Experiment: kind, Scenario: kind, Variant: "emulator", Setup: s}, "this")
 			if err != nil {
 				return err
--- a/cmd/weirlab/switch.go
+++ b/cmd/weirlab/switch.go
@@ -11,6 +11,7 @@
 	"slices"
 	"time"
 
+	"weirwind/internal/control"
 	"weirwind/internal/lab"
 )
 
@@ -43,6 +44,25 @@
 	return nil
 }
 
+// change replaces the primary in one of the three ways and gives the time without one as the cluster sees it.
+func change(ctx context.Context, cluster *lab.Cluster, kind string, hooks *control.Client) (time.Duration, error) {
+	old, from := cluster.Primary(1), time.Now()
+	switch kind {
+	case "planned, hooks":
+		return cluster.Planned(ctx, hooks, 1)
+	case "planned, no hooks":
+		cluster.Do("demote", old)
+	case "killed":
+		cluster.Do("kill", old)
+	}
+	for cluster.Primary(1) == "" {
+		time.Sleep(time.Millisecond)
+	}
+	gap := time.Since(from)
+	cluster.Do("heal", old)
+	return gap, nil
+}
+
 func (c *switchCommand) play(out io.Writer, kind string) error {
 	cluster, err := lab.Start(lab.Options{Seed: c.Seed, Elect: c.Elect})
 	if err != nil {
@@ -78,25 +98,11 @@
 	var own []time.Duration
 	for i := range c.Changes {
 		time.Sleep(time.Until(begin.Add(time.Duration(i)*between + between/2)))
-		old, from := cluster.Primary(1), time.Now()
-		switch kind {
-		case "planned, hooks":
-			gap, err := cluster.Planned(ctx, h.Clients[i%c.Drivers], 1)
-			if err != nil {
-				return err
-			}
-			own = append(own, gap)
-			continue
-		case "planned, no hooks":
-			cluster.Do("demote", old)
-		case "killed":
-			cluster.Do("kill", old)
-		}
-		for cluster.Primary(1) == "" {
-			time.Sleep(time.Millisecond)
+		gap, err := change(ctx, cluster, kind, h.Clients[i%c.Drivers])
+		if err != nil {
+			return err
 		}
-		own = append(own, time.Since(from))
-		cluster.Do("heal", old)
+		own = append(own, gap)
 	}
 	r := <-result
 	end()
--- a/internal/benchwire/benchwire.go
+++ b/internal/benchwire/benchwire.go
@@ -139,53 +139,19 @@
 		return fmt.Errorf("%s inside a batch, outside its place", f.name)
 	}
 	ev := logic.Event{}
+	var err error
 	switch f.name {
 	case "OPEN_INSTANCE":
-		seed, err := strconv.ParseUint(f.need("init_seed"), 10, 64)
-		if f.err == nil && err != nil {
-			n, err := strconv.ParseInt(f.need("init_seed"), 10, 64)
-			if err != nil {
-				return fmt.Errorf("init_seed is not a whole number: %q", f.need("init_seed"))
-			}
-			seed = uint64(n)
-		}
-		told, err := opening.Parse([]byte(f.need("setup")), seed)
-		if f.err == nil && err != nil {
-			return err
-		}
-		if f.err == nil && s.at != nil {
-			s.at.driver, s.at.opTypes, s.at.events = &logic.Driver{}, told.OpTypes, s.at.events[:0]
-		}
-		ev.Kind, ev.Opening = logic.EvOpen, told.Opening
+		err = s.open(f, &ev)
 	case "STOP":
 		if s.at != nil {
 			s.at.driver, s.at.events = nil, s.at.events[:0]
 		}
 		return f.err
 	case "TARGETS":
-		ev.Kind = logic.EvMembers
-		kind, ok := listKinds[f.need("how")]
-		if f.err == nil && !ok {
-			return fmt.Errorf("TARGETS has the unknown kind %q", f.need("how"))
-		}
-		ev.List = kind
-		if kind != logic.ListFailed {
-			if ev.Members, ok = s.lists[f.need("table")]; f.err == nil && !ok {
-				return fmt.Errorf("TARGETS names list %s, which was never given", f.need("table"))
-			}
-		}
+		err = s.members(f, &ev)
 	case "WORK_ITEM":
-		ev.Kind, ev.Op, ev.Left = logic.EvOp, f.need("txn"), ms(f.num("grace"))
-		ev.Group = int64(f.num("cluster_no"))
-		ev.WroteAgo = f.opt("wrote_ms_ago")
-		category := f.need("category")
-		if s.at != nil && s.at.driver != nil {
-			i, ok := s.at.opTypes[category]
-			if !ok {
-				return fmt.Errorf("category %q is not among the profiles", category)
-			}
-			ev.OpType = i
-		}
+		err = s.op(f, &ev)
 	case "BELL":
 		ev.Kind = logic.EvTimer
 	case "STATUS_BACK":
@@ -200,14 +166,13 @@
 	case "CLIENT_GONE":
 		ev.Kind, ev.Op = logic.EvGone, f.need("txn")
 	case "MAIL":
-		data, err := decode(f.need("payload"))
-		if f.err == nil && err != nil {
-			return fmt.Errorf("payload: %w", err)
-		}
-		ev.Kind, ev.Data = logic.EvMessage, data
+		err = message(f, &ev)
 	default:
 		return nil // later additions to the wire, and HEADERS, which no op type here has
 	}
+	if err != nil {
+		return err
+	}
 	if f.err != nil {
 		return f.err
 	}
@@ -225,6 +190,69 @@
 	return nil
 }
 
+// open reads OPEN_INSTANCE: the instance begins anew.
+func (s *server) open(f *fields, ev *logic.Event) error {
+	seed, err := strconv.ParseUint(f.need("init_seed"), 10, 64)
+	if f.err == nil && err != nil {
+		n, err := strconv.ParseInt(f.need("init_seed"), 10, 64)
+		if err != nil {
+			return fmt.Errorf("init_seed is not a whole number: %q", f.need("init_seed"))
+		}
+		seed = uint64(n)
+	}
+	told, err := opening.Parse([]byte(f.need("setup")), seed)
+	if f.err == nil && err != nil {
+		return err
+	}
+	if f.err == nil && s.at != nil {
+		s.at.driver, s.at.opTypes, s.at.events = &logic.Driver{}, told.OpTypes, s.at.events[:0]
+	}
+	ev.Kind, ev.Opening = logic.EvOpen, told.Opening
+	return nil
+}
+
+// members reads TARGETS: a list that was given before, or that none could be had.
+func (s *server) members(f *fields, ev *logic.Event) error {
+	ev.Kind = logic.EvMembers
+	kind, ok := listKinds[f.need("how")]
+	if f.err == nil && !ok {
+		return fmt.Errorf("TARGETS has the unknown kind %q", f.need("how"))
+	}
+	ev.List = kind
+	if kind != logic.ListFailed {
+		if ev.Members, ok = s.lists[f.need("table")]; f.err == nil && !ok {
+			return fmt.Errorf("TARGETS names list %s, which was never given", f.need("table"))
+		}
+	}
+	return nil
+}
+
+// op reads WORK_ITEM.
+func (s *server) op(f *fields, ev *logic.Event) error {
+	ev.Kind, ev.Op, ev.Left = logic.EvOp, f.need("txn"), ms(f.num("grace"))
+	ev.Group = int64(f.num("cluster_no"))
+	ev.WroteAgo = f.opt("wrote_ms_ago")
+	category := f.need("category")
+	if s.at != nil && s.at.driver != nil {
+		i, ok := s.at.opTypes[category]
+		if !ok {
+			return fmt.Errorf("category %q is not among the profiles", category)
+		}
+		ev.OpType = i
+	}
+	return nil
+}
+
+// message reads MAIL, a message of another instance.
+func message(f *fields, ev *logic.Event) error {
+	data, err := decode(f.need("payload"))
+	if f.err == nil && err != nil {
+		return fmt.Errorf("payload: %w", err)
+	}
+	ev.Kind, ev.Data = logic.EvMessage, data
+	return nil
+}
+
 // list reads the entries of one LIST.
 func (s *server) list(f *fields) error {
 	table, n := f.need("table"), int(f.num("items"))
--- a/internal/lab/emulator/emulator.go
+++ b/internal/lab/emulator/emulator.go
@@ -115,6 +115,34 @@
 		k.tally = newTally(&s)
 	}
 	w.build()
+	w.addHosts()
+	for _, h := range w.hosts {
+		h.start()
+	}
+	for _, f := range s.Faults {
+		if err := w.schedule(f); err != nil {
+			return nil, err
+		}
+	}
+	last := 0.0
+	for _, t := range w.types {
+		last = max(last, t.OpTimeout)
+	}
+	until := w.begin + s.For + last + 2*grace
+	stopped := false
+	w.clock.run(until, func(now float64) bool {
+		stopped = each != nil && !each((now-w.begin)/(until-w.begin))
+		return !stopped
+	})
+	if stopped {
+		return nil, fmt.Errorf("stopped")
+	}
+	return w.result(), nil
+}
+
+// addHosts makes the drivers, which all know the same list of members.
+func (w *world) addHosts() {
+	s := &w.setup
 	var list []logic.ListEntry
 	place := map[string]int{}
 	for i, m := range w.members {
@@ -142,49 +170,46 @@
 		h.audit = newLens(h.lane)
 		w.hosts = append(w.hosts, h)
 	}
-	for _, h := range w.hosts {
-		seed := (s.Seed + 1) * 0x9E3779B97F4A7C15 * uint64(h.index+1)
-		h.opening = logic.Opening{Seed: seed, Drivers: s.Drivers, Zone: zoneName(h.zone), OpTypes: w.types, Tick: 5,
-			ListRole: logic.RoleAtStart, SessionCarried: true, Positions: true, ReportsByProbe: true, MayProbe: true,
-			MayCancel:  true,
-			MayMessage: true, MayOverlap: true, MaxRetryAfter: 1000, SendCap: 6, ColdFrom: coldFrom, ColdFor: coldFor,
-			FallMultiple: tipMost,
-			FallSpan:     tipSpan, MaxMessageBytes: 256, MaxMessages: s.Messages}
-		if s.NoProbes {
-			h.opening.ReportsByProbe, h.opening.MayProbe = false, false
-		}
-		if s.NoAdvice {
-			h.opening.MaxRetryAfter = 0
-		}
-		h.policy = h.newPolicy()
-		h.after(5*h.draw.Float64(), func() { // clocks of machines do not tick together
-			h.step(
-				logic.Event{Kind: logic.EvOpen, Opening: &h.opening},
-				logic.Event{Kind: logic.EvMembers, List: logic.ListCached, Members: h.list},
-			)
-			h.arrivals()
-			h.sample()
-		})
-	}
-	for _, f := range s.Faults {
-		if err := w.schedule(f); err != nil {
-			return nil, err
-		}
+}
+
+// start opens the host's policy within the first tick, and lets its clients come.
+func (h *host) start() {
+	s := &h.w.setup
+	h.opening = logic.Opening{
+		Seed:            (s.Seed + 1) * 0x9E3779B97F4A7C15 * uint64(h.index+1),
+		Drivers:         s.Drivers,
+		Zone:            zoneName(h.zone),
+		OpTypes:         h.w.types,
+		Tick:            5,
+		ListRole:        logic.RoleAtStart,
+		SessionCarried:  true,
+		Positions:       true,
+		ReportsByProbe:  !s.NoProbes,
+		MayProbe:        !s.NoProbes,
+		MayCancel:       true,
+		MayMessage:      true,
+		MayOverlap:      true,
+		MaxRetryAfter:   1000,
+		SendCap:         6,
+		ColdFrom:        coldFrom,
+		ColdFor:         coldFor,
+		FallMultiple:    tipMost,
+		FallSpan:        tipSpan,
+		MaxMessageBytes: 256,
+		MaxMessages:     s.Messages,
 	}
-	last := 0.0
-	for _, t := range w.types {
-		last = max(last, t.OpTimeout)
+	if s.NoAdvice {
+		h.opening.MaxRetryAfter = 0
 	}
-	until := w.begin + s.For + last + 2*grace
-	stopped := false
-	w.clock.run(until, func(now float64) bool {
-		stopped = each != nil && !each((now-w.begin)/(until-w.begin))
-		return !stopped
+	h.policy = h.newPolicy()
+	h.after(5*h.draw.Float64(), func() { // clocks of machines do not tick together
+		h.step(
+			logic.Event{Kind: logic.EvOpen, Opening: &h.opening},
+			logic.Event{Kind: logic.EvMembers, List: logic.ListCached, Members: h.list},
+		)
+		h.arrivals()
+		h.sample()
 	})
-	if stopped {
-		return nil, fmt.Errorf("stopped")
-	}
-	return w.result(), nil
 }
 
 func (h *host) newPolicy() policy {
--- a/internal/lab/emulator/faults.go
+++ b/internal/lab/emulator/faults.go
@@ -37,99 +37,122 @@
 
 // schedule puts a fault into the lanes that it strikes. An error: its words are not known.
 func (w *world) schedule(f Fault) error {
-	at := f.At
 	switch {
 	case slices.Contains(onMembers, f.What):
-		if f.What == "slow" && f.On == "all" { // a shared slowdown is no member's own
-			for _, g := range w.groups {
-				g.after(at, func() { g.slow = f.by(slowTimes) })
-				if f.For > 0 {
-					g.after(at+f.For, func() { g.slow = 1 })
-				}
-			}
-			return nil
-		}
-		struck := w.struck(f.On)
-		if len(struck) == 0 {
-			return fmt.Errorf("fault %q: no member, group or zone %q", f.What, f.On)
-		}
-		for _, m := range struck {
-			m.g.after(at, func() { m.strike(f) })
-			if f.For > 0 {
-				m.g.after(at+f.For, m.heal)
-			}
-		}
+		return w.scheduleMembers(f)
 	case slices.Contains(onGroups, f.What):
-		n := 0
-		for _, g := range w.groups {
-			if f.On == "all" || f.On == fmt.Sprintf("g%d", g.id) {
-				g.after(at, func() { g.deploy(max(f.For, deployPause)) })
-				n++
-			}
-		}
-		if n == 0 {
-			return fmt.Errorf("fault %q: no group %q", f.What, f.On)
-		}
+		return w.scheduleDeploy(f)
 	case slices.Contains(onDrivers, f.What):
-		n := 0
-		for _, h := range w.hosts {
-			if w.isOne(h, f.On) {
-				h.after(at, func() { h.strike(f) })
-				n++
-			}
-		}
-		if n == 0 || f.What == "end" && n == len(w.hosts) {
-			return fmt.Errorf("fault %q: no driver %q, or none is left", f.What, f.On)
-		}
-		for _, h := range w.hosts { // the clients of those that end come to the rest
-			if f.What == "end" && !w.isOne(h, f.On) {
-				h.after(at, func() { h.surge *= float64(len(w.hosts)) / float64(len(w.hosts)-n) })
-			}
-		}
+		return w.scheduleDrivers(f)
 	case slices.Contains(onPlans, f.What):
-		from, zone, some := strings.Cut(f.On, ">")
-		if !some {
-			from, zone = "all", f.On
-		}
-		if len(w.struck(zone)) == 0 {
-			return fmt.Errorf("fault toll: no zone %q", zone)
-		}
-		for _, h := range w.hosts {
-			if !w.isOne(h, from) {
-				continue
-			}
-			h.after(at, func() {
-				h.step(logic.Event{Kind: logic.EvTolls, Tolls: map[string]float64{zone: f.by(60)}})
-			})
+		return w.scheduleToll(f)
+	case slices.Contains(onNetwork, f.What):
+		return w.scheduleNetwork(f)
+	}
+	return fmt.Errorf("fault %q; it may be %s", f.What, strings.Join(slices.Concat(onMembers, onGroups, onDrivers,
+		onPlans, onNetwork), ", "))
+}
+
+func (w *world) scheduleMembers(f Fault) error {
+	if f.What == "slow" && f.On == "all" { // a shared slowdown is no member's own
+		for _, g := range w.groups {
+			g.after(f.At, func() { g.slow = f.by(slowTimes) })
 			if f.For > 0 {
-				h.after(at+f.For, func() { h.step(logic.Event{Kind: logic.EvTolls}) })
+				g.after(f.At+f.For, func() { g.slow = 1 })
 			}
 		}
-	case slices.Contains(onNetwork, f.What):
-		c := cut{from: w.begin + at, until: w.begin + at + f.For}
-		if f.For <= 0 {
-			c.until = w.begin + w.setup.For
+		return nil
+	}
+	struck := w.struck(f.On)
+	if len(struck) == 0 {
+		return fmt.Errorf("fault %q: no member, group or zone %q", f.What, f.On)
+	}
+	for _, m := range struck {
+		m.g.after(f.At, func() { m.strike(f) })
+		if f.For > 0 {
+			m.g.after(f.At+f.For, m.heal)
 		}
-		if f.What == "loss" {
-			c.loss = f.by(0.05)
-			w.cuts = append(w.cuts, c)
-			return nil
+	}
+	return nil
+}
+
+func (w *world) scheduleDeploy(f Fault) error {
+	n := 0
+	for _, g := range w.groups {
+		if f.On == "all" || f.On == fmt.Sprintf("g%d", g.id) {
+			g.after(f.At, func() { g.deploy(max(f.For, deployPause)) })
+			n++
 		}
-		a, b, oneWay := strings.Cut(f.On, ">")
-		if !oneWay {
-			a, b, _ = strings.Cut(f.On, "-")
+	}
+	if n == 0 {
+		return fmt.Errorf("fault %q: no group %q", f.What, f.On)
+	}
+	return nil
+}
+
+func (w *world) scheduleDrivers(f Fault) error {
+	n := 0
+	for _, h := range w.hosts {
+		if w.isOne(h, f.On) {
+			h.after(f.At, func() { h.strike(f) })
+			n++
 		}
-		if len(a) != 1 || len(b) != 1 || a == b || int(a[0]-'a') >= w.setup.Zones || int(b[0]-'a') >= w.setup.Zones {
-			return fmt.Errorf("fault cut: %q is not of the form a>b or a-b with two zones", f.On)
+	}
+	if n == 0 || f.What == "end" && n == len(w.hosts) {
+		return fmt.Errorf("fault %q: no driver %q, or none is left", f.What, f.On)
+	}
+	for _, h := range w.hosts { // the clients of those that end come to the rest
+		if f.What == "end" && !w.isOne(h, f.On) {
+			h.after(f.At, func() { h.surge *= float64(len(w.hosts)) / float64(len(w.hosts)-n) })
 		}
-		c.a, c.b = int(a[0]-'a'), int(b[0]-'a')
-		if w.cuts = append(w.cuts, c); !oneWay {
-			c.a, c.b = c.b, c.a
-			w.cuts = append(w.cuts, c)
+	}
+	return nil
+}
+
+// scheduleToll tells drivers, all or those of zone a in a>b, that zone b costs more.
+func (w *world) scheduleToll(f Fault) error {
+	from, zone, some := strings.Cut(f.On, ">")
+	if !some {
+		from, zone = "all", f.On
+	}
+	if len(w.struck(zone)) == 0 {
+		return fmt.Errorf("fault toll: no zone %q", zone)
+	}
+	for _, h := range w.hosts {
+		if !w.isOne(h, from) {
+			continue
 		}
-	default:
-		return fmt.Errorf("fault %q; it may be %s", f.What, strings.Join(slices.Concat(onMembers, onGroups, onDrivers,
-			onPlans, onNetwork), ", "))
+		h.after(f.At, func() {
+			h.step(logic.Event{Kind: logic.EvTolls, Tolls: map[string]float64{zone: f.by(60)}})
+		})
+		if f.For > 0 {
+			h.after(f.At+f.For, func() { h.step(logic.Event{Kind: logic.EvTolls}) })
+		}
+	}
+	return nil
+}
+
+func (w *world) scheduleNetwork(f Fault) error {
+	c := cut{from: w.begin + f.At, until: w.begin + f.At + f.For}
+	if f.For <= 0 {
+		c.until = w.begin + w.setup.For
+	}
+	if f.What == "loss" {
+		c.loss = f.by(0.05)
+		w.cuts = append(w.cuts, c)
+		return nil
+	}
+	a, b, oneWay := strings.Cut(f.On, ">")
+	if !oneWay {
+		a, b, _ = strings.Cut(f.On, "-")
+	}
+	if len(a) != 1 || len(b) != 1 || a == b || int(a[0]-'a') >= w.setup.Zones || int(b[0]-'a') >= w.setup.Zones {
+		return fmt.Errorf("fault cut: %q is not of the form a>b or a-b with two zones", f.On)
+	}
+	c.a, c.b = int(a[0]-'a'), int(b[0]-'a')
+	if w.cuts = append(w.cuts, c); !oneWay {
+		c.a, c.b = c.b, c.a
+		w.cuts = append(w.cuts, c)
 	}
 	return nil
 }
