--- /dev/null
+++ b/internal/weirctl/client.go
@@ -0,0 +1,74 @@
+package weirctl
+
+// This file owns the HTTP calls to the system's machines.
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net/http"
+	"strings"
+	"time"
+
+	"github.com/samber/oops"
+)
+
+const (
+	callTimeout    = 5 * time.Second
+	maxAnswerBytes = 64 << 20
+)
+
+// statusError is an answer other than 200.
+type statusError struct {
+	url, status, body string // url without its scheme
+}
+
+// Error names the call, the status and the answer's text.
+func (e *statusError) Error() string { return fmt.Sprintf("%s: %s: %s", e.url, e.status, e.body) }
+
+func get(addr, path string) ([]byte, error) { return call(http.MethodGet, addr, path, nil) }
+
+// getJSON decodes an answer.
+func getJSON(addr, path string, into any) error {
+	body, err := get(addr, path)
+	if err != nil {
+		return err
+	}
+	return json.Unmarshal(body, into)
+}
+
+// postAndPrint makes a call that changes something, and prints its answer.
+func postAndPrint(addr, path string, out io.Writer) error {
+	answer, err := call(http.MethodPost, addr, path, nil)
+	if err == nil {
+		_, err = out.Write(answer)
+	}
+	return err
+}
+
+// call makes a call and returns its answer's body, with an error where its status is not 200.
+func call(method, addr, path string, body []byte) ([]byte, error) {
+	request, err := http.NewRequest(method, "http://"+addr+path, bytes.NewReader(body))
+	if err != nil {
+		return nil, err
+	}
+	client := http.Client{Timeout: callTimeout}
+	response, err := client.Do(request)
+	if err != nil {
+		return nil, oops.In("ask").With("peer", addr).Wrap(err)
+	}
+	defer response.Body.Close()
+	answer, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
+	if err == nil && response.StatusCode != http.StatusOK {
+		err = &statusError{addr + path, response.Status, strings.TrimSpace(string(answer))}
+	}
+	return answer, err
+}
+
+// printJSON prints a value indented.
+func printJSON(value any, out io.Writer) error {
+	e := json.NewEncoder(out)
+	e.SetIndent("", "  ")
+	return e.Encode(value)
+}
--- a/internal/weirctl/golden_test.go
+++ b/internal/weirctl/golden_test.go
@@ -18,29 +18,30 @@
 )
 
 const (
-	coreStatus = `{"machine":"core-1","leader":"10.0.0.1:8782","leads":true,"term":7,"index":42,"gen":9,"syncs":11,"lastSyncMs":0.25,"mostSyncMs":12.5,
+	coreStatusJSON = `{"machine":"core-1","leader":"10.0.0.1:8782","leads":true,"term":7,"index":42,"gen":9,"syncs":11,"lastSyncMs":0.25,"mostSyncMs":12.5,
 "voters":[{"ID":"v1","Addr":"10.0.0.1:8782"},{"ID":"v2","Addr":"10.0.0.2:8782"},{"ID":"v3","Addr":"10.0.0.3:8782"},{"ID":"v4","Addr":"10.0.0.4:8782"}],
 "others":[{"ID":"v2","Addr":"x","Index":42,"Behind":false,"Silent":18.4},{"ID":"v3","Addr":"x","Index":40,"Behind":true,"Silent":1900.6},{"ID":"v4","Addr":"x","Index":0,"Behind":true,"Silent":-1}],
 "members":[{"ID":"m1","Svc":"orders","Addr":"10.0.1.1:5432","Zone":"z1","Gen":"v1","Role":1,"Draining":false,"Gone":false},{"ID":"m2","Svc":"orders","Addr":"10.0.1.2:5432","Zone":"z2","Role":2,"Draining":true,"Gone":true},{"ID":"m3"}],
 "drivers":[{"Name":"front-1"}],"successions":{"orders":"waits for m2"}}` + "\n"
-	proxyStatus = `{"gen":9,"sessions":3,"drivers":4,"groups":{"orders":{"slot":"m1","why":"m1 by heartbeat","waiting":2,"connections":{"m1":5,"m2":1},"share":12.5}}}`
-	odd         = `{"sessions":0,"groups":{"orders":{}}}`
-	configLogs  = `[{"Gen":8,"Base":7,"Digest":[1,2,3,4,5,250,7],"Node":"core-1","At":1764600000000},{"Gen":9,"Base":8,"Digest":[9],"Node":"core-2","At":1764600060000}]`
-	shardsJSON  = `{"leads":true,"leader":"","map":{"version":5,"shards":{"s1":{"node":"a","epoch":3,"last":17},"s2":{"node":"b","epoch":1,"last":0}},
+	proxyStatusJSON = `{"gen":9,"sessions":3,"drivers":4,"groups":{"orders":{"slot":"m1","why":"m1 by heartbeat","waiting":2,"connections":{"m1":5,"m2":1},"share":12.5}}}`
+	oddStatusJSON   = `{"sessions":0,"groups":{"orders":{}}}`
+	configLogJSON   = `[{"Gen":8,"Base":7,"Digest":[1,2,3,4,5,250,7],"Node":"core-1","At":1764600000000},{"Gen":9,"Base":8,"Digest":[9],"Node":"core-2","At":1764600060000}]`
+	shardsJSON      = `{"leads":true,"leader":"","map":{"version":5,"shards":{"s1":{"node":"a","epoch":3,"last":17},"s2":{"node":"b","epoch":1,"last":0}},
 "tasks":[{"shard":"s1","from":"a","to":"b","bytes":100,"round":1,"fate":"waiting"},{"shard":"s2","from":"b","to":"a","bytes":70,"round":1,"fate":"failed","why":"no <room>"},{"shard":"s3","from":"b","to":"a","bytes":7,"round":2,"fate":"done"}],
 "paused":true,"rules":{"perNode":1,"rate":8388608,"band":0.1,"reserve":0.05,"growth":0.1,"replans":3},"nodes":{"b":{"zone":"z2","state":"leaving"}}},
 "nodes":{"a":{"limit":1000,"foreign":10,"free":300,"busy":1,"slots":4,"copies":{"s1":{"epoch":3,"state":"open","last":17,"held":500}}},"b":{"limit":2000,"foreign":0,"free":1900,"copies":{}}},
 "runs":{"s1":"copies from a"},"moved":170,"gapsMs":[3,1,2.4],"points":[{"moved":0},{"moved":170}]}`
-	sitesJSON   = `{"version":4,"sites":{"s1":{"addr":"x","http":"ADDR","zone":"z1","state":"in","epoch":2},"s2":{"http":"127.0.0.1:1","zone":"z2","state":"draining","epoch":1},"s3":{"http":"ADDR","zone":"z3","state":"out","epoch":9}}}`
-	siteStatus  = `{"homes":3,"copies":4,"bytes":500,"givenUp":6,"edges":7}`
-	clusterJSON = `{"nodes":[{"id":"a","zone":"z1","limit":1000,"state":"in"},{"id":"b","zone":"z2","limit":1000,"state":"in"},{"id":"c","zone":"z3","limit":1000,"state":"in"}],"shards":[{"id":"s1","size":300,"on":["a"]},{"id":"s2","size":300,"on":["a"]},{"id":"s3","size":200,"on":["a"]}],"rules":{"band":0.25,"reserve":0.125,"round":2}}`
-	configJSON  = `{"gen":10,"routes":[{"host":"db","svc":"orders"}],"svcs":[{"name":"orders"}],"limits":{"txIdleMs":1000}}`
+	sitesJSON      = `{"version":4,"sites":{"s1":{"addr":"x","http":"ADDR","zone":"z1","state":"in","epoch":2},"s2":{"http":"127.0.0.1:1","zone":"z2","state":"draining","epoch":1},"s3":{"http":"ADDR","zone":"z3","state":"out","epoch":9}}}`
+	siteStatusJSON = `{"homes":3,"copies":4,"bytes":500,"givenUp":6,"edges":7}`
+	clusterJSON    = `{"nodes":[{"id":"a","zone":"z1","limit":1000,"state":"in"},{"id":"b","zone":"z2","limit":1000,"state":"in"},{"id":"c","zone":"z3","limit":1000,"state":"in"}],"shards":[{"id":"s1","size":300,"on":["a"]},{"id":"s2","size":300,"on":["a"]},{"id":"s3","size":200,"on":["a"]}],"rules":{"band":0.25,"reserve":0.125,"round":2}}`
+	configJSON     = `{"gen":10,"routes":[{"host":"db","svc":"orders"}],"svcs":[{"name":"orders"}],"limits":{"txIdleMs":1000}}`
 )
 
 // machines answers the calls that weirctl makes, and writes down those that change something.
 func machines(calls *strings.Builder) *httptest.Server {
-	answers := map[string]string{"/status": coreStatus, "/config/log": configLogs, "/config/show": `{"gen":9,"routes":[],"svcs":[]}`, "/shards": shardsJSON,
-		"/events": "1 core \"E501\"\n2 core \"E502\"\n", "/sessions/id1": `{"session":"id1"}` + "\n", "/proxy/status": proxyStatus, "/odd/status": odd}
+	answers := map[string]string{"/status": coreStatusJSON, "/config/log": configLogJSON, "/shards": shardsJSON,
+		"/config/show": `{"gen":9,"routes":[],"svcs":[]}`,
+		"/events":      "1 core \"E501\"\n2 core \"E502\"\n", "/sessions/id1": `{"session":"id1"}` + "\n", "/proxy/status": proxyStatusJSON, "/odd/status": oddStatusJSON}
 	s := httptest.NewUnstartedServer(nil)
 	s.Config.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		path, addr := r.URL.Path, s.Listener.Addr().String()
@@ -58,7 +59,7 @@
 		case path == "/sites":
 			io.WriteString(w, strings.ReplaceAll(sitesJSON, "ADDR", addr+"/site"))
 		case path == "/site/status":
-			io.WriteString(w, siteStatus)
+			io.WriteString(w, siteStatusJSON)
 		case path == "/site/sessions/id1":
 			io.WriteString(w, answers["/sessions/id1"])
 		case path == "/follower/shards":
@@ -89,7 +90,8 @@
 		t.Fatal(err)
 	}
 	voters := []consensus.Voter{{ID: "v1", Addr: "10.0.0.1:8782"}, {ID: "v2", Addr: "10.0.0.2:8782"}}
-	h := consensus.HardState{ID: "v1", Term: 7, Last: consensus.Entry{Term: 6, Index: 42, Voters: voters, Value: value}, Commit: commit, CommitTerm: 6}
+	last := consensus.Entry{Term: 6, Index: 42, Voters: voters, Value: value}
+	h := consensus.HardState{ID: "v1", Term: 7, Last: last, Commit: commit, CommitTerm: 6}
 	if err := s.Save(&h); err != nil {
 		t.Fatal(err)
 	}
@@ -105,8 +107,8 @@
 	}
 }
 
-// Every call's exit code, output, errors and requests are as in testdata/calls.txt; GOLDEN=write records them anew. ADDR is a machine
-// whose answers are the constants above, DIR a folder.
+// Every call's exit code, output, errors and requests are as in testdata/calls.txt; GOLDEN=write records them anew.
+// ADDR is a machine whose answers are the constants above, DIR a folder.
 func TestCallsKeepTheirOutput(t *testing.T) {
 	var calls strings.Builder
 	s := machines(&calls)
@@ -121,13 +123,15 @@
 	write(t, file("found.json"), `{"shards":{"s1":"a"},"nodes":{"a":{"zone":"z1","state":"in"}}}`)
 	write(t, file("bad.json"), `{"unknown":1}`)
 	var b strings.Builder
+	var usage bytes.Buffer
+	printUsage(&usage)
 	for _, line := range strings.Split(strings.TrimSpace(goldenCalls), "\n") {
 		args := strings.Fields(strings.NewReplacer("ADDR", addr, "DIR", dir).Replace(line))
 		var out, errs bytes.Buffer
 		calls.Reset()
 		code := Main(args, &out, &errs)
 		fmt.Fprintf(&b, "$ weirctl %s\n%s", line, calls.String())
-		if errs.String() == usage {
+		if errs.String() == usage.String() {
 			errs.Reset()
 			errs.WriteString("(usage)\n")
 		}
--- a/internal/weirctl/sessions.go
+++ b/internal/weirctl/sessions.go
@@ -1,9 +1,8 @@
 package weirctl
 
-// This file owns the operators' calls about open sessions: docs/sessions.md.
+// This file owns the commands about open sessions: docs/sessions.md.
 
 import (
-	"encoding/json"
 	"flag"
 	"fmt"
 	"io"
@@ -16,82 +15,90 @@
 	"weirwind/internal/session/sites"
 )
 
-func sessions(args []string, out io.Writer) error {
-	if len(args) < 2 {
-		return flag.ErrHelp
-	}
-	switch args[0] {
-	case "status":
-		return sessionsStatus(args[1], out)
-	case "drain":
-		flags := flag.NewFlagSet("sessions drain", flag.ContinueOnError)
-		pace := flags.Int("pace", sites.DefaultDrainRate, "sessions a second that are handed on")
-		if flags.Parse(args[1:]) != nil || flags.NArg() != 2 {
-			return flag.ErrHelp
-		}
-		return command(flags.Arg(0), "/sites/"+url.PathEscape(flags.Arg(1))+"/drain?pace="+strconv.Itoa(*pace), out)
-	case "undrain":
-		if len(args) != 3 {
-			return flag.ErrHelp
-		}
-		return command(args[1], "/sites/"+url.PathEscape(args[2])+"/undrain", out)
-	case "show":
-		if len(args) != 3 {
-			return flag.ErrHelp
-		}
-		return sessionsShow(args[1], args[2], out)
-	}
-	return flag.ErrHelp
+var sessionCommands = []command{
+	{"sessions status", minimum(1), sessionsStatus, `  weirctl sessions status ADDR              ` +
+		`sites of open sessions, and what they hold: docs/sessions.md
+`},
+	{"sessions drain", minimum(1), sessionsDrain, "  weirctl sessions drain [-pace N] ADDR SITE, undrain ADDR SITE\n" +
+		continuation + "hands a site's sessions to its neighbours, N a second\n"},
+	{"sessions undrain", exactly(2), sessionsUndrain, ""},
+	{"sessions show", exactly(2), sessionsShow, `  weirctl sessions show ADDR ID             ` +
+		`where a session is and what is queued
+`},
 }
 
-func siteMap(addr string) (m sites.Map, err error) {
-	body, err := get(addr, "/sites")
-	if err == nil {
-		err = json.Unmarshal(body, &m)
+// siteStatus is what GET /status of a site answers.
+type siteStatus struct {
+	Primaries int   `json:"homes"`
+	Replicas  int   `json:"copies"`
+	Bytes     int64 `json:"bytes"`
+	Expired   int   `json:"givenUp"` // messages
+	Edges     int   `json:"edges"`
+}
+
+func sessionsDrain(args []string, out io.Writer) error {
+	flags := flag.NewFlagSet("sessions drain", flag.ContinueOnError)
+	rate := flags.Int("pace", sites.DefaultDrainRate, "sessions a second that are handed on")
+	if flags.Parse(args) != nil || flags.NArg() != 2 {
+		return errUsage
 	}
+	return postAndPrint(flags.Arg(0), sitePath(flags.Arg(1), "/drain?pace="+strconv.Itoa(*rate)), out)
+}
+
+func sessionsUndrain(args []string, out io.Writer) error {
+	return postAndPrint(args[0], sitePath(args[1], "/undrain"), out)
+}
+
+func sitePath(site, action string) string { return "/sites/" + url.PathEscape(site) + action }
+
+// fetchSites asks a core machine for the map of sites.
+func fetchSites(addr string) (m sites.Map, err error) {
+	err = getJSON(addr, "/sites", &m)
 	if err == nil && m.Version == 0 {
 		err = fmt.Errorf("no site has joined")
 	}
 	return m, err
 }
 
-func sessionsStatus(addr string, out io.Writer) error {
-	m, err := siteMap(addr)
+func sessionsStatus(args []string, out io.Writer) error {
+	m, err := fetchSites(args[0])
 	if err != nil {
 		return err
 	}
 	fmt.Fprintf(out, "version %d\n", m.Version)
 	for _, name := range slices.Sorted(maps.Keys(m.Sites)) {
-		s := m.Sites[name]
-		fmt.Fprintf(out, "  site %s in %s, %s, epoch %d, at %s", name, s.Zone, s.State, s.Epoch, s.HTTPAddr)
-		var v struct {
-			Homes  int   `json:"homes"`
-			Copies int   `json:"copies"`
-			Bytes  int64 `json:"bytes"`
-			Given  int   `json:"givenUp"`
-			Edges  int   `json:"edges"`
-		}
-		if body, err := get(s.HTTPAddr, "/status"); s.State != sites.StateRemoved && err == nil && json.Unmarshal(body, &v) == nil {
-			fmt.Fprintf(out, ": home of %d sessions, copies of %d, %d bytes, %d messages given up for their age, %d edges", v.Homes, v.Copies, v.Bytes, v.Given, v.Edges)
-		} else if s.State != sites.StateRemoved {
-			fmt.Fprint(out, ": it does not answer here")
-		}
-		fmt.Fprintln(out)
+		site := m.Sites[name]
+		fmt.Fprintf(out, "  site %s in %s, %s, epoch %d, at %s%s\n",
+			name, site.Zone, site.State, site.Epoch, site.HTTPAddr, siteDetail(&site))
 	}
 	return nil
 }
 
-func sessionsShow(addr, id string, out io.Writer) error {
-	m, err := siteMap(addr)
+// siteDetail is what a site itself answers; "" for one that was removed, which is asked all the same.
+func siteDetail(site *sites.Site) string {
+	var s siteStatus
+	err := getJSON(site.HTTPAddr, "/status", &s)
+	switch {
+	case site.State == sites.StateRemoved:
+		return ""
+	case err != nil:
+		return ": it does not answer here"
+	}
+	return fmt.Sprintf(": home of %d sessions, copies of %d, %d bytes, %d messages given up for their age, %d edges",
+		s.Primaries, s.Replicas, s.Bytes, s.Expired, s.Edges)
+}
+
+func sessionsShow(args []string, out io.Writer) error {
+	m, err := fetchSites(args[0])
 	if err != nil {
 		return err
 	}
-	id, _, _ = strings.Cut(id, ".") // the secret of a token is nobody's business
-	for _, s := range m.Sites {
-		if s.State == sites.StateRemoved {
+	id, _, _ := strings.Cut(args[1], ".") // what follows in a token is its secret, which no site is sent
+	for _, site := range m.Sites {
+		if site.State == sites.StateRemoved {
 			continue
 		}
-		if body, err := get(s.HTTPAddr, "/sessions/"+url.PathEscape(id)); err == nil {
+		if body, err := get(site.HTTPAddr, "/sessions/"+url.PathEscape(id)); err == nil {
 			_, err = out.Write(body)
 			return err
 		}
--- /dev/null
+++ b/internal/weirctl/status.go
@@ -0,0 +1,171 @@
+package weirctl
+
+// This file owns the commands about what the system is doing and why.
+
+import (
+	"encoding/json"
+	"flag"
+	"fmt"
+	"io"
+	"net/url"
+
+	"weirwind/internal/controlplane/consensus"
+)
+
+var statusCommands = []command{
+	{"status", minimum(1), status, `  weirctl status [-json] ADDR...            ` +
+		`versions, voters, members, drivers, slots; ADDR is a machine's ctl or ready address
+`},
+	{"explain", minimum(2), explain, `  weirctl explain GROUP ADDR...            ` +
+		`why a group's slot is as it is: the newest events of these machines about it
+`},
+}
+
+// machineStatus is what GET /status answers: a core machine, or a proxy, which has Sessions.
+type machineStatus struct {
+	Version uint64 `json:"gen"` // of the configuration
+
+	// Of a core machine.
+	Machine     string                 `json:"machine"`
+	Leader      string                 `json:"leader"`
+	Leading     bool                   `json:"leads"`
+	Term        uint64                 `json:"term"`
+	Index       uint64                 `json:"index"`
+	Voters      []consensus.Voter      `json:"voters"`
+	Peers       []consensus.PeerStatus `json:"others"` // the other voters, where this machine leads
+	Syncs       uint64                 `json:"syncs"`
+	LastSyncMs  float64                `json:"lastSyncMs"`
+	SlowestSync float64                `json:"mostSyncMs"` // milliseconds
+	Members     []memberStatus         `json:"members"`
+	Failovers   map[string]string      `json:"successions"` // by service: what each waits for
+	Drivers     json.RawMessage        `json:"drivers"`     // a list; a proxy's is their number
+	Sessions    *int                   `json:"sessions"`    // a proxy's; nil: it is a core machine
+
+	Groups map[string]groupStatus `json:"groups"` // a proxy's, by service
+}
+
+// memberStatus is a member as a core machine knows it.
+type memberStatus struct {
+	ID       optional[string]  `json:"ID"`
+	Service  optional[string]  `json:"Svc"`
+	Addr     optional[string]  `json:"Addr"`
+	Zone     optional[string]  `json:"Zone"`
+	Role     optional[float64] `json:"Role"`
+	Draining optional[bool]    `json:"Draining"`
+	Departed optional[bool]    `json:"Gone"`
+}
+
+// groupStatus is a group as a proxy knows it.
+type groupStatus struct {
+	Slot        optional[string]             `json:"slot"`
+	Reason      optional[string]             `json:"why"`
+	Waiting     optional[float64]            `json:"waiting"`
+	Connections optional[map[string]float64] `json:"connections"`
+	Share       optional[float64]            `json:"share"`
+}
+
+// optional is a value that a machine of another version may leave out. It then prints as <nil>. Numbers are float64
+// so that they print as they always have.
+type optional[T any] struct{ value *T }
+
+// UnmarshalJSON sets the value; null is as if it were left out.
+func (o *optional[T]) UnmarshalJSON(raw []byte) error { return json.Unmarshal(raw, &o.value) }
+
+// String returns the value in its usual form.
+func (o optional[T]) String() string {
+	if o.value == nil {
+		return "<nil>"
+	}
+	return fmt.Sprint(*o.value)
+}
+
+// status prints the status of each machine. One that doesn't answer is said so, and the others are asked still.
+func status(args []string, out io.Writer) error {
+	flags := flag.NewFlagSet("status", flag.ContinueOnError)
+	raw := flags.Bool("json", false, "as JSON")
+	if flags.Parse(args) != nil {
+		return errUsage
+	}
+	var failed error
+	for _, addr := range flags.Args() {
+		body, err := get(addr, "/status")
+		if err != nil {
+			failed = err
+			fmt.Fprintf(out, "%s: %v\n", addr, err)
+			continue
+		}
+		if *raw {
+			_, _ = out.Write(body) // nobody is left to be told
+			continue
+		}
+		var machine machineStatus
+		if err := json.Unmarshal(body, &machine); err != nil {
+			return err
+		}
+		if machine.Sessions != nil {
+			printProxy(addr, &machine, out)
+		} else {
+			printCore(addr, &machine, out)
+		}
+	}
+	return failed
+}
+
+func printProxy(addr string, proxy *machineStatus, out io.Writer) {
+	fmt.Fprintf(out, "%s: proxy, configuration %d, %d sessions, %s drivers\n",
+		addr, proxy.Version, *proxy.Sessions, proxy.Drivers)
+	for service, group := range proxy.Groups {
+		fmt.Fprintf(out, "  %s: slot %v (%v), %v wait, %v connections of %v a member\n",
+			service, group.Slot, group.Reason, group.Waiting, group.Connections, group.Share)
+	}
+}
+
+func printCore(addr string, core *machineStatus, out io.Writer) {
+	fmt.Fprintf(out, "%s: core %s, leads %v, leader %s, term %d, entry %d, configuration %d\n",
+		addr, core.Machine, core.Leading, core.Leader, core.Term, core.Index, core.Version)
+	fmt.Fprintf(out, "  disk: %d syncs, the last %.1f ms, the slowest %.1f ms\n",
+		core.Syncs, core.LastSyncMs, core.SlowestSync)
+	for _, voter := range core.Voters {
+		fmt.Fprintf(out, "  voter %s at %s%s\n", voter.ID, voter.Addr, peerDetail(core.Peers, voter.ID))
+	}
+	for _, m := range core.Members {
+		fmt.Fprintf(out, "  member %v of %v at %v in %v: role %v, draining %v, gone %v\n",
+			m.ID, m.Service, m.Addr, m.Zone, m.Role, m.Draining, m.Departed)
+	}
+	for service, state := range core.Failovers {
+		fmt.Fprintf(out, "  succession of %s: %s\n", service, state)
+	}
+}
+
+// peerDetail says how a voter stands with the leader; "" where nothing is known of it.
+func peerDetail(peers []consensus.PeerStatus, id string) (detail string) {
+	for _, peer := range peers {
+		switch {
+		case peer.ID != id:
+		case peer.Silent < 0:
+			detail = ", not heard of by this leader"
+		case peer.Behind:
+			detail = fmt.Sprintf(", behind: it has entry %d, heard %.0f ms ago", peer.Index, peer.Silent)
+		default:
+			detail = fmt.Sprintf(", heard %.0f ms ago", peer.Silent)
+		}
+	}
+	return detail
+}
+
+// explain prints the newest events of machines about a group.
+func explain(args []string, out io.Writer) error {
+	for _, addr := range args[1:] {
+		body, err := get(addr, eventsAbout("svc", args[0]))
+		if err != nil {
+			return err
+		}
+		fmt.Fprintf(out, "%s:\n%s", addr, body)
+	}
+	return nil
+}
+
+// eventsAbout returns the path of the events that have a key with a value.
+func eventsAbout(key, value string) string {
+	return "/events?about=" + url.QueryEscape(`"`+key+`"="`+value+`"`)
+}
