--- a/internal/controlplane/failover/candidate.go
+++ b/internal/controlplane/failover/candidate.go
@@ -8,17 +8,17 @@
 // This file chooses the candidate: the longest log first, then the better machine.
 
 // hasSuccessor is whether any member could take over from the primary.
-func hasSuccessor(v *View, primary string) bool {
-	return slices.ContainsFunc(v.Members, func(m Member) bool { return m.ID != primary && !m.Draining && !m.Absent })
+func hasSuccessor(view *View, primary string) bool {
+	return slices.ContainsFunc(view.Members, func(m Member) bool { return m.ID != primary && !m.Draining && !m.Absent })
 }
 
 // betterCandidate is whether a goes before b in a failover: the longer log, then as comparePreference says.
-func (c *Controller) betterCandidate(v *View, a, b string) bool {
+func (c *Controller) betterCandidate(view *View, a, b string) bool {
 	endA, endB := c.observation(a).status.Received, c.observation(b).status.Received
 	if endA != endB {
 		return endB.Less(endA)
 	}
-	return comparePreference(member(v, a), member(v, b)) < 0
+	return comparePreference(findMember(view, a), findMember(view, b)) < 0
 }
 
 // comparePreference orders members that would do as well by their logs: fresh heartbeats first, then who does not
@@ -45,13 +45,13 @@
 }
 
 // longestLog returns the paused replica with the longest log, "" for none.
-func (c *Controller) longestLog(v *View, replicas []Member) string {
+func (c *Controller) longestLog(view *View, replicas []Member) string {
 	best := ""
 	for _, m := range replicas {
 		if m.Absent || !c.observation(m.ID).paused {
 			continue
 		}
-		if best == "" || c.betterCandidate(v, m.ID, best) {
+		if best == "" || c.betterCandidate(view, m.ID, best) {
 			best = m.ID
 		}
 	}
--- a/internal/controlplane/failover/catchup.go
+++ b/internal/controlplane/failover/catchup.go
@@ -5,18 +5,18 @@
 // This file has phaseCatchingUp: the candidate catches up with all that the paused replicas, or the old primary, have.
 
 // stepCatchingUp promotes the candidate once its log is complete.
-func (c *Controller) stepCatchingUp(v *View, now float64) {
-	m := member(v, c.candidate)
+func (c *Controller) stepCatchingUp(view *View, now float64) {
+	m := findMember(view, c.candidate)
 	if m == nil {
 		c.restart(now)
 		return
 	}
-	if c.abandonIfLed(v, now) {
+	if c.abandonIfLed(view, now) {
 		return
 	}
 	candidate := c.observation(c.candidate)
 	end := candidate.status.Received
-	complete := candidate.known && !m.Unlisted && c.hasAllOfPaused(v, end, now)
+	complete := candidate.known && !m.Unlisted && c.hasAllOfPaused(view, end, now)
 	if c.mode == switchoverSteppedDown && c.candidate != c.oldPrimary && end.Less(c.oldPosition) {
 		complete = false
 		if now-c.phaseStart > pauseTimeout {
@@ -33,7 +33,7 @@
 	}
 	if now >= c.nextQueryAt {
 		c.nextQueryAt = now + catchUpInterval
-		c.pauseReplicas(v, now)
+		c.pauseReplicas(view, now)
 		if c.candidate == c.oldPrimary {
 			c.query(c.candidate, QueryStatus, now)
 		}
@@ -42,7 +42,7 @@
 		return
 	}
 	if c.mode.planned() {
-		c.replaceCandidate(v, now)
+		c.replaceCandidate(view, now)
 	} else {
 		c.restart(now)
 	}
@@ -50,8 +50,8 @@
 
 // hasAllOfPaused is whether a log up to end has all that the paused replicas have. A reply that is too old proves
 // nothing, as the replica may have restarted and forgotten its pause.
-func (c *Controller) hasAllOfPaused(v *View, end wire.Position, now float64) bool {
-	for _, m := range c.replicas(v) {
+func (c *Controller) hasAllOfPaused(view *View, end wire.Position, now float64) bool {
+	for _, m := range c.replicas(view) {
 		o := c.observation(m.ID)
 		if !o.paused {
 			continue
@@ -65,16 +65,16 @@
 
 // replaceCandidate has a switchover try another candidate. If the platform may still carry out a promote, it is
 // abandoned instead, as nobody may be resumed before a fence.
-func (c *Controller) replaceCandidate(v *View, now float64) {
+func (c *Controller) replaceCandidate(view *View, now float64) {
 	reason := c.candidate + " does not catch up"
 	c.logOnce(reason)
 	c.rejected[c.candidate] = true
 	if !c.earlierPromotesVoid {
-		c.abandon(v, reason, now)
+		c.abandon(view, reason, now)
 		return
 	}
-	c.releaseReplicas(v, now)
-	for _, m := range v.Members {
+	c.releaseReplicas(view, now)
+	for _, m := range view.Members {
 		o := c.observation(m.ID)
 		if o.resumeDue {
 			o.resumeDue = false
--- a/internal/controlplane/failover/controller.go
+++ b/internal/controlplane/failover/controller.go
@@ -54,25 +54,25 @@
 }
 
 // Step advances the state machine and returns what is to be done, in order. The result is valid until the next call.
-func (c *Controller) Step(v *View, now float64) []Action {
+func (c *Controller) Step(view *View, now float64) []Action {
 	c.actions = nil
-	c.forgetRemovedMembers(v)
+	c.forgetRemovedMembers(view)
 	switch c.phase {
 	case phaseWatching:
-		c.stepWatching(v, now)
+		c.stepWatching(view, now)
 	case phasePausing:
-		c.stepPausing(v, now)
+		c.stepPausing(view, now)
 	case phaseCatchingUp:
-		c.stepCatchingUp(v, now)
+		c.stepCatchingUp(view, now)
 	case phasePromoting:
-		c.stepPromoting(v, now)
+		c.stepPromoting(view, now)
 	case phaseConfirming:
-		c.stepConfirming(v, now)
+		c.stepConfirming(view, now)
 	case phaseFencing: // HandlePromoteResult ends it
 	case phaseQuiescing:
 		c.stepQuiescing(now)
 	}
-	c.updateCoverage(v, now)
+	c.updateCoverage(view, now)
 	return c.actions
 }
 
@@ -81,11 +81,11 @@
 func (c *Controller) pastEarlierPromotes(now float64) bool { return now-c.startedAt > promoteLatency }
 
 // begin starts a failover or switchover. Statuses from before it don't count, apart from the old primary's.
-func (c *Controller) begin(v *View, oldPrimary string, m mode, reason string, now float64) {
+func (c *Controller) begin(view *View, oldPrimary string, newMode mode, reason string, now float64) {
 	if oldPrimary != c.oldPrimary || c.rejected == nil {
 		c.rejected = map[string]bool{}
 	}
-	c.mode, c.oldPrimary, c.candidate = m, oldPrimary, ""
+	c.mode, c.oldPrimary, c.candidate = newMode, oldPrimary, ""
 	c.promoteIssued, c.primaryStalled, c.stalledPositions = false, false, nil
 	for id, o := range c.observations {
 		o.paused = false
@@ -96,13 +96,13 @@
 	c.act(Log, oldPrimary, "begins: "+reason)
 	c.lastReason = ""
 	c.enter(phasePausing, now)
-	c.stepPausing(v, now)
+	c.stepPausing(view, now)
 }
 
 // abandon ends a failover or switchover without a new primary, and resumes replicas.
-func (c *Controller) abandon(v *View, reason string, now float64) {
+func (c *Controller) abandon(view *View, reason string, now float64) {
 	c.act(Log, c.oldPrimary, "given up: "+reason)
-	c.releaseReplicas(v, now)
+	c.releaseReplicas(view, now)
 	c.enter(phaseWatching, now)
 }
 
@@ -116,18 +116,18 @@
 }
 
 // abandonIfLed abandons the failover if somebody leads after all, and tells whether it did.
-func (c *Controller) abandonIfLed(v *View, now float64) bool {
-	for _, m := range v.Members {
+func (c *Controller) abandonIfLed(view *View, now float64) bool {
+	for _, m := range view.Members {
 		o := c.observation(m.ID)
 		switch {
 		case m.Absent || !o.known || !o.status.Primary:
 		case m.ID == c.oldPrimary:
 			if !c.mode.planned() && !c.promoteIssued && !c.primaryStalled && o.queriedAt > c.phaseStart {
-				c.abandon(v, "it answers", now)
+				c.abandon(view, "it answers", now)
 				return true
 			}
 		case o.queriedAt >= c.phaseStart:
-			c.abandon(v, m.ID+" leads", now)
+			c.abandon(view, m.ID+" leads", now)
 			if c.oldPrimary != "" {
 				c.act(EnforceDrain, c.oldPrimary, "")
 			}
@@ -149,11 +149,11 @@
 	}
 }
 
-// member returns a member that can be queried, nil for none.
-func member(v *View, id string) *Member {
-	i := slices.IndexFunc(v.Members, func(m Member) bool { return m.ID == id && !m.Absent })
+// findMember returns a member that can be queried, nil for none.
+func findMember(view *View, id string) *Member {
+	i := slices.IndexFunc(view.Members, func(m Member) bool { return m.ID == id && !m.Absent })
 	if i < 0 {
 		return nil
 	}
-	return &v.Members[i]
+	return &view.Members[i]
 }
--- a/internal/controlplane/failover/coverage.go
+++ b/internal/controlplane/failover/coverage.go
@@ -18,30 +18,30 @@
 }
 
 // updateCoverage queries members while one that has departed isn't covered, and allows the removal of those that are.
-func (c *Controller) updateCoverage(v *View, now float64) {
-	c.trackDeparted(v, now)
-	if len(c.coverages) == 0 || v.SyncReplicas == 0 {
+func (c *Controller) updateCoverage(view *View, now float64) {
+	c.trackDeparted(view, now)
+	if len(c.coverages) == 0 || view.SyncReplicas == 0 {
 		return
 	}
-	if p := member(v, c.currentPrimary()); p != nil && !p.Unlisted {
+	if p := findMember(view, c.currentPrimary()); p != nil && !p.Unlisted {
 		if now >= c.nextCoverageQueryAt {
 			c.nextCoverageQueryAt = now + c.coverageQueryInterval(now)
-			c.queryAll(v, now)
+			c.queryAll(view, now)
 		}
 		c.recordPosition(p.ID)
 	}
 	for id, cov := range c.coverages {
-		if c.covered(v, cov) {
+		if c.covered(view, cov) {
 			c.act(AllowRemoval, id, "")
 		}
 	}
 }
 
 // trackDeparted keeps one coverage for each member that has departed.
-func (c *Controller) trackDeparted(v *View, now float64) {
+func (c *Controller) trackDeparted(view *View, now float64) {
 	previous := c.coverages
 	c.coverages = map[string]*coverage{}
-	for _, m := range v.Members {
+	for _, m := range view.Members {
 		if !m.Departed {
 			continue
 		}
@@ -91,12 +91,12 @@
 
 // covered is whether enough replicas hold what the primary had after the member departed. That stays true if the
 // primary has died since.
-func (c *Controller) covered(v *View, cov *coverage) bool {
+func (c *Controller) covered(view *View, cov *coverage) bool {
 	if cov.primary == "" {
 		return false
 	}
 	holders := 0
-	for _, m := range v.Members {
+	for _, m := range view.Members {
 		o := c.observation(m.ID)
 		if m.Absent || m.Unlisted || m.ID == cov.primary || !o.known || o.status.Primary {
 			continue
@@ -108,5 +108,5 @@
 			holders++
 		}
 	}
-	return holders >= v.SyncReplicas
+	return holders >= view.SyncReplicas
 }
--- a/internal/controlplane/failover/fencing.go
+++ b/internal/controlplane/failover/fencing.go
@@ -10,17 +10,17 @@
 
 // resumePaused looks for replicas that were left paused, by this leader or an earlier one, and resumes them. It
 // reports whether it has begun to fence, with nothing else to be done in this step.
-func (c *Controller) resumePaused(v *View, now float64) (fencing bool) {
+func (c *Controller) resumePaused(view *View, now float64) (fencing bool) {
 	if !c.pastEarlierPromotes(now) {
 		return false
 	}
-	if !c.earlierPromotesVoid && !c.promoteUnresolved && c.nonePaused(v) {
+	if !c.earlierPromotesVoid && !c.promoteUnresolved && c.nonePaused(view) {
 		c.earlierPromotesVoid = true
 	}
-	if !c.earlierPromotesVoid && c.startFencing(v, now) {
+	if !c.earlierPromotesVoid && c.startFencing(view, now) {
 		return true
 	}
-	for _, m := range v.Members {
+	for _, m := range view.Members {
 		o := c.observation(m.ID)
 		if m.Absent || !o.resumeDue || m.ID == c.primary || o.pending || now < o.nextResumeAt {
 			continue // it may be cut off and still paused: it is queried for as long as it is there
@@ -37,8 +37,8 @@
 
 // nonePaused is whether every member was queried since earlier promotes would have been carried out, and none is
 // paused.
-func (c *Controller) nonePaused(v *View) bool {
-	for _, m := range v.Members {
+func (c *Controller) nonePaused(view *View) bool {
+	for _, m := range view.Members {
 		if m.Departed {
 			continue
 		}
@@ -47,14 +47,14 @@
 			return false
 		}
 	}
-	return len(v.Members) > 0
+	return len(view.Members) > 0
 }
 
 // startFencing promotes the present primary anew if a replica is to be resumed and the primary has just reported that
 // it leads. It reports whether it did.
-func (c *Controller) startFencing(v *View, now float64) bool {
-	p := c.leader(v, now)
-	if p == nil || !c.anyToResume(v) || now < c.nextQueryAt {
+func (c *Controller) startFencing(view *View, now float64) bool {
+	p := c.leader(view, now)
+	if p == nil || !c.anyToResume(view) || now < c.nextQueryAt {
 		return false
 	}
 	o := c.observation(p.ID)
@@ -69,8 +69,8 @@
 }
 
 // anyToResume is whether a member that can be queried is known to be paused, with no failover under way.
-func (c *Controller) anyToResume(v *View) bool {
-	for _, m := range v.Members {
+func (c *Controller) anyToResume(view *View) bool {
+	for _, m := range view.Members {
 		o := c.observations[m.ID]
 		if o != nil && !m.Absent && o.resumeDue && o.reportsPause {
 			return true
--- a/internal/controlplane/failover/observation.go
+++ b/internal/controlplane/failover/observation.go
@@ -41,9 +41,9 @@
 	return o
 }
 
-func (c *Controller) forgetRemovedMembers(v *View) {
+func (c *Controller) forgetRemovedMembers(view *View) {
 	for id := range c.observations {
-		if !slices.ContainsFunc(v.Members, func(m Member) bool { return m.ID == id }) {
+		if !slices.ContainsFunc(view.Members, func(m Member) bool { return m.ID == id }) {
 			delete(c.observations, id)
 		}
 	}
@@ -86,8 +86,8 @@
 }
 
 // queryAll queries the status of every member that can be queried.
-func (c *Controller) queryAll(v *View, now float64) {
-	for _, m := range v.Members {
+func (c *Controller) queryAll(view *View, now float64) {
+	for _, m := range view.Members {
 		if !m.Absent {
 			c.query(m.ID, QueryStatus, now)
 		}
@@ -107,12 +107,12 @@
 
 // leader returns the member with the latest claim to lead, nil for none. Claims in replies go by term and come before
 // those in heartbeats, which bear none.
-func (c *Controller) leader(v *View, now float64) *Member {
+func (c *Controller) leader(view *View, now float64) *Member {
 	var leader *Member
 	var leaderTerm uint64
 	var leaderAt float64
-	for i := range v.Members {
-		m := &v.Members[i]
+	for i := range view.Members {
+		m := &view.Members[i]
 		term, at, ok := c.leadershipClaim(m, now)
 		if ok && (leader == nil || term > leaderTerm || term == leaderTerm && at > leaderAt) {
 			leader, leaderTerm, leaderAt = m, term, at
@@ -123,26 +123,26 @@
 
 // leadershipClaim returns the term in which a member claims to lead, 0 if it did so by a heartbeat, and since when
 // that is known.
-func (c *Controller) leadershipClaim(m *Member, now float64) (term uint64, at float64, ok bool) {
-	o := c.observations[m.ID]
+func (c *Controller) leadershipClaim(member *Member, now float64) (term uint64, at float64, ok bool) {
+	o := c.observations[member.ID]
 	replied := o != nil && o.known
 	switch {
-	case m.Absent:
+	case member.Absent:
 		return 0, 0, false
 	case replied && o.status.Primary:
 		return max(o.status.Term, 1), o.queriedAt, true
-	case !m.Primary:
+	case !member.Primary:
 		return 0, 0, false
-	case replied && m.SinceHeartbeat > now-o.queriedAt: // the reply that it doesn't lead is newer
+	case replied && member.SinceHeartbeat > now-o.queriedAt: // the reply that it doesn't lead is newer
 		return 0, 0, false
 	}
-	return 0, now - m.SinceHeartbeat, true
+	return 0, now - member.SinceHeartbeat, true
 }
 
 // possibleLeader returns the first member that may lead, as it has not replied that it doesn't, "" for none. One that
 // has departed does not.
-func (c *Controller) possibleLeader(v *View) string {
-	for _, m := range v.Members {
+func (c *Controller) possibleLeader(view *View) string {
+	for _, m := range view.Members {
 		o := c.observations[m.ID]
 		if !m.Departed && (o == nil || !o.known || o.status.Primary) {
 			return m.ID
--- a/internal/controlplane/failover/pausing.go
+++ b/internal/controlplane/failover/pausing.go
@@ -7,92 +7,92 @@
 
 // This file has phasePausing: replicas are paused and queried until the mode's condition for a candidate holds.
 
-// pauseQuorum is how many of n replicas hold every acknowledged commit between them, whichever they are: any set of
-// that many meets every set of syncReplicas. If the old primary isn't known, it is one of the n, and a commit is on
-// syncReplicas+1 of them.
-func pauseQuorum(n, syncReplicas int, primaryKnown bool) int {
+// pauseQuorum is how many of so many replicas hold every acknowledged commit between them, whichever they are: any
+// set of that many meets every set of syncReplicas. If the old primary isn't known, it is one of them, and a commit
+// is on syncReplicas+1 of them.
+func pauseQuorum(replicas, syncReplicas int, primaryKnown bool) int {
 	switch {
 	case syncReplicas == 0:
-		return n
+		return replicas
 	case primaryKnown:
-		return max(n-syncReplicas+1, 1)
+		return max(replicas-syncReplicas+1, 1)
 	}
-	return max(n-syncReplicas, 1)
+	return max(replicas-syncReplicas, 1)
 }
 
 // replicas returns all members that may have received a commit apart from the old primary, also those that can't be
 // queried.
-func (c *Controller) replicas(v *View) []Member {
-	return slices.DeleteFunc(slices.Clone(v.Members), func(m Member) bool { return m.ID == c.oldPrimary })
+func (c *Controller) replicas(view *View) []Member {
+	return slices.DeleteFunc(slices.Clone(view.Members), func(m Member) bool { return m.ID == c.oldPrimary })
 }
 
 // stepPausing pauses replicas, and goes on to phaseCatchingUp once the mode's condition holds.
-func (c *Controller) stepPausing(v *View, now float64) {
-	replicas := c.replicas(v)
+func (c *Controller) stepPausing(view *View, now float64) {
+	replicas := c.replicas(view)
 	if len(replicas) == 0 {
-		c.abandon(v, "there is no replica", now)
+		c.abandon(view, "there is no replica", now)
 		return
 	}
-	if c.abandonIfLed(v, now) {
+	if c.abandonIfLed(view, now) {
 		return
 	}
 	if c.mode.planned() && c.candidate == "" {
 		c.candidate = c.preferredReplica(replicas)
-		if c.candidate == "" && !hasSuccessor(v, c.oldPrimary) {
-			c.abandon(v, "nobody could take over", now)
+		if c.candidate == "" && !hasSuccessor(view, c.oldPrimary) {
+			c.abandon(view, "nobody could take over", now)
 			return
 		}
 	}
 	if now >= c.nextQueryAt {
 		c.nextQueryAt = now + urgentInterval
-		c.pauseReplicas(v, now)
-		c.queryOldPrimary(v, now)
+		c.pauseReplicas(view, now)
+		c.queryOldPrimary(view, now)
 	}
 	switch c.mode {
 	case failover:
-		c.pauseForFailover(v, replicas, now)
+		c.pauseForFailover(view, replicas, now)
 	case switchover, switchoverDraining:
-		c.pauseForSwitchover(v, replicas, now)
+		c.pauseForSwitchover(view, replicas, now)
 	case switchoverSteppedDown:
 		if c.candidate != "" {
-			c.startCatchingUp(v, now)
+			c.startCatchingUp(view, now)
 		}
 	}
 }
 
 // startCatchingUp takes the first step of phaseCatchingUp at once.
-func (c *Controller) startCatchingUp(v *View, now float64) {
+func (c *Controller) startCatchingUp(view *View, now float64) {
 	c.enter(phaseCatchingUp, now)
-	c.stepCatchingUp(v, now)
+	c.stepCatchingUp(view, now)
 }
 
 // pauseForFailover waits for a quorum of paused replicas. The one with the longest log becomes the candidate.
-func (c *Controller) pauseForFailover(v *View, replicas []Member, now float64) {
+func (c *Controller) pauseForFailover(view *View, replicas []Member, now float64) {
 	paused := 0
 	for _, m := range replicas {
 		if c.observation(m.ID).paused {
 			paused++
 		}
 	}
-	quorum := pauseQuorum(len(replicas), v.SyncReplicas, c.oldPrimary != "")
+	quorum := pauseQuorum(len(replicas), view.SyncReplicas, c.oldPrimary != "")
 	if paused < quorum {
 		c.logOnce(fmt.Sprintf("waits for %d more of %d replicas, as one of them may alone hold a commit",
 			quorum-paused, len(replicas)))
 		return
 	}
-	candidate := c.longestLog(v, replicas)
+	candidate := c.longestLog(view, replicas)
 	if candidate == "" {
 		c.logOnce("waits for a member that could take over")
 		return
 	}
 	c.candidate = candidate
-	c.startCatchingUp(v, now)
+	c.startCatchingUp(view, now)
 }
 
 // pauseForSwitchover waits until all replicas but the candidate are paused. Where that can't be had, or unknown
 // replicas may exist, the old primary is to step down first.
-func (c *Controller) pauseForSwitchover(v *View, replicas []Member, now float64) {
-	if member(v, c.oldPrimary) == nil {
+func (c *Controller) pauseForSwitchover(view *View, replicas []Member, now float64) {
+	if findMember(view, c.oldPrimary) == nil {
 		c.turnIntoFailover("the old primary has left")
 		return
 	}
@@ -108,10 +108,10 @@
 		return m.ID != c.candidate && !c.observation(m.ID).paused
 	})
 	switch {
-	case allPaused && !v.MembershipUncertain:
-		c.startCatchingUp(v, now)
+	case allPaused && !view.MembershipUncertain:
+		c.startCatchingUp(view, now)
 	case allPaused || now-c.phaseStart > pauseTimeout:
-		c.stepDownOldPrimary(v, now)
+		c.stepDownOldPrimary(view, now)
 	}
 }
 
@@ -124,7 +124,7 @@
 // stepDownOldPrimary leads a switchover through the old primary itself: a replica can't be paused, or isn't known,
 // and might receive what the candidate lacks, so the old primary is the only one that surely has all. Its drain is
 // enforced, so that nothing new comes; once the candidate has what it has, it steps down.
-func (c *Controller) stepDownOldPrimary(v *View, now float64) {
+func (c *Controller) stepDownOldPrimary(view *View, now float64) {
 	if c.mode == switchover {
 		c.mode = switchoverDraining
 		c.act(EnforceDrain, c.oldPrimary, "")
@@ -136,18 +136,18 @@
 	case old.known && !old.status.Primary && old.queriedAt >= c.phaseStart:
 		c.mode, c.oldPosition = switchoverSteppedDown, old.status.Received
 		c.logOnce("the old primary has stepped down, as a replica can't be paused or isn't known")
-		c.startCatchingUp(v, now)
+		c.startCatchingUp(view, now)
 	case !old.pending && old.known && caughtUp:
 		c.query(c.oldPrimary, StepDown, now)
 	case now-c.phaseStart > 2*catchUpTimeout:
-		c.replaceCandidate(v, now)
+		c.replaceCandidate(view, now)
 	}
 }
 
 // pauseReplicas pauses the replicas that are not, or whose reply is so old that they may have restarted and forgotten
 // the pause. The candidate of a switchover is only queried, as it has to receive.
-func (c *Controller) pauseReplicas(v *View, now float64) {
-	for _, m := range c.replicas(v) {
+func (c *Controller) pauseReplicas(view *View, now float64) {
+	for _, m := range c.replicas(view) {
 		o := c.observation(m.ID)
 		switch {
 		case m.Absent, m.ID == c.candidate && c.phase == phaseConfirming:
@@ -164,8 +164,8 @@
 
 // queryOldPrimary queries the old primary. In a failover that its claim to lead can't end any more, it is told to
 // step down instead, so that nothing of its is acknowledged by a replica that isn't paused yet.
-func (c *Controller) queryOldPrimary(v *View, now float64) {
-	if member(v, c.oldPrimary) == nil {
+func (c *Controller) queryOldPrimary(view *View, now float64) {
+	if findMember(view, c.oldPrimary) == nil {
 		return
 	}
 	o := c.observation(c.oldPrimary)
@@ -179,8 +179,8 @@
 }
 
 // releaseReplicas marks every replica that may be paused: phaseWatching resumes it once earlier promotes are void.
-func (c *Controller) releaseReplicas(v *View, now float64) {
-	for _, m := range v.Members {
+func (c *Controller) releaseReplicas(view *View, now float64) {
+	for _, m := range view.Members {
 		if o := c.observation(m.ID); !m.Absent && (o.paused || o.pauseSent) {
 			o.resumeDue, o.paused, o.nextResumeAt = true, false, now
 		}
--- a/internal/controlplane/failover/phase.go
+++ b/internal/controlplane/failover/phase.go
@@ -21,6 +21,7 @@
 // phaseNames are the names that operators see.
 var phaseNames = [...]string{"watching", "freezing", "catching", "calling", "proving", "fencing", "settling"}
 
+// String returns the name that operators see.
 func (p phase) String() string { return phaseNames[p] }
 
 // mode is the way by which the candidate is ensured to have every acknowledged commit. It is one of a failover or
@@ -50,6 +51,6 @@
 	return fmt.Sprintf("%s: %s after %s", c.phase, cmp.Or(c.candidate, "?"), cmp.Or(c.oldPrimary, "?"))
 }
 
-func (c *Controller) enter(p phase, now float64) {
-	c.phase, c.phaseStart, c.nextQueryAt = p, now, now
+func (c *Controller) enter(next phase, now float64) {
+	c.phase, c.phaseStart, c.nextQueryAt = next, now, now
 }
--- a/internal/controlplane/failover/promoting.go
+++ b/internal/controlplane/failover/promoting.go
@@ -12,11 +12,11 @@
 
 // stepPromoting keeps replicas paused while the platform is slow: one that restarts or joins now would receive what
 // the candidate lacks.
-func (c *Controller) stepPromoting(v *View, now float64) {
-	c.pauseReplicas(v, now)
+func (c *Controller) stepPromoting(view *View, now float64) {
+	c.pauseReplicas(view, now)
 	if now >= c.nextQueryAt {
 		c.nextQueryAt = now + urgentInterval
-		c.queryOldPrimary(v, now)
+		c.queryOldPrimary(view, now)
 	}
 }
 
@@ -48,21 +48,21 @@
 }
 
 // stepConfirming waits until the candidate reports that it leads.
-func (c *Controller) stepConfirming(v *View, now float64) {
+func (c *Controller) stepConfirming(view *View, now float64) {
 	o := c.observation(c.candidate)
-	m := member(v, c.candidate)
+	m := findMember(view, c.candidate)
 	if m == nil {
 		c.restart(now)
 		return
 	}
 	if m.Primary || o.known && o.status.Primary && o.queriedAt >= c.phaseStart {
-		c.complete(v, now)
+		c.complete(view, now)
 		return
 	}
-	c.pauseReplicas(v, now)
+	c.pauseReplicas(view, now)
 	if now >= c.nextQueryAt {
 		c.nextQueryAt = now + urgentInterval
-		c.queryOldPrimary(v, now)
+		c.queryOldPrimary(view, now)
 		if now-c.phaseStart > confirmQueryDelay {
 			c.query(c.candidate, QueryStatus, now)
 		}
@@ -74,13 +74,13 @@
 }
 
 // complete ends a failover or switchover: the candidate is the primary.
-func (c *Controller) complete(v *View, now float64) {
+func (c *Controller) complete(view *View, now float64) {
 	c.act(Log, c.candidate, "leads")
 	if c.oldPrimary != "" {
 		c.act(EnforceDrain, c.oldPrimary, "")
 		c.observation(c.oldPrimary).known = false
 	}
-	c.releaseReplicas(v, now)
+	c.releaseReplicas(view, now)
 	c.primary = c.candidate
 	c.enter(phaseWatching, now)
 }
--- a/internal/controlplane/failover/watching.go
+++ b/internal/controlplane/failover/watching.go
@@ -10,85 +10,85 @@
 
 // stepWatching queries the primary, and begins a switchover if it drains, or a failover if it has failed or nobody
 // leads.
-func (c *Controller) stepWatching(v *View, now float64) {
-	if c.resumePaused(v, now) {
+func (c *Controller) stepWatching(view *View, now float64) {
+	if c.resumePaused(view, now) {
 		return
 	}
-	p := c.leader(v, now)
-	if p == nil {
-		c.watchLeaderless(v, now)
+	primary := c.leader(view, now)
+	if primary == nil {
+		c.watchLeaderless(view, now)
 		return
 	}
 	c.leaderlessSince = 0
-	c.primary = p.ID
-	if p.Draining && c.pastEarlierPromotes(now) {
-		if hasSuccessor(v, p.ID) {
-			c.begin(v, p.ID, switchover, "it is to be replaced", now)
+	c.primary = primary.ID
+	if primary.Draining && c.pastEarlierPromotes(now) {
+		if hasSuccessor(view, primary.ID) {
+			c.begin(view, primary.ID, switchover, "it is to be replaced", now)
 			return
 		}
-		c.logOnce("nobody could take over from " + p.ID)
+		c.logOnce("nobody could take over from " + primary.ID)
 	}
-	c.queryPrimary(p, now)
-	c.detectFailure(v, p, now)
+	c.queryPrimary(primary, now)
+	c.detectFailure(view, primary, now)
 }
 
 // queryPrimary queries the primary's status at the interval that its state calls for.
-func (c *Controller) queryPrimary(p *Member, now float64) {
-	o := c.observation(p.ID)
+func (c *Controller) queryPrimary(primary *Member, now float64) {
+	o := c.observation(primary.ID)
 	if now < c.nextQueryAt || o.pending {
 		return
 	}
 	c.nextQueryAt = now + watchInterval
-	if o.failures > 0 || p.SinceHeartbeat > 2*watchInterval {
+	if o.failures > 0 || primary.SinceHeartbeat > 2*watchInterval {
 		c.nextQueryAt = now + urgentInterval
 	}
-	c.query(p.ID, QueryStatus, now)
+	c.query(primary.ID, QueryStatus, now)
 }
 
 // detectFailure begins a failover if the primary has failed: it is suspected, stalled, dead or silent.
-func (c *Controller) detectFailure(v *View, p *Member, now float64) {
-	o := c.observation(p.ID)
+func (c *Controller) detectFailure(view *View, primary *Member, now float64) {
+	o := c.observation(primary.ID)
 	mayBegin := c.pastEarlierPromotes(now)
-	silence := min(p.SinceHeartbeat, now-o.queriedAt)
-	if mayBegin && suspected(v, o, silence, now) {
-		c.begin(v, p.ID, failover, "drivers wait for it in vain", now)
+	sinceHeard := min(primary.SinceHeartbeat, now-o.queriedAt)
+	if mayBegin && suspected(view, o, sinceHeard, now) {
+		c.begin(view, primary.ID, failover, "drivers wait for it in vain", now)
 		return
 	}
-	if v.SuspectReports > 0 && !o.pending && now-o.queriedAt > suspectedReplyTimeout {
-		c.query(p.ID, QueryStatus, now)
+	if view.SuspectReports > 0 && !o.pending && now-o.queriedAt > suspectedReplyTimeout {
+		c.query(primary.ID, QueryStatus, now)
 	}
-	if v.StallReports+v.SuspectReports == 0 || !mayBegin {
+	if view.StallReports+view.SuspectReports == 0 || !mayBegin {
 		c.stalledPositions = nil
-	} else if c.stalled(v, p.ID, now) {
-		c.begin(v, p.ID, failover, "its commits reach no replica", now)
+	} else if c.stalled(view, primary.ID, now) {
+		c.begin(view, primary.ID, failover, "its commits reach no replica", now)
 		c.primaryStalled = true
 		return
 	}
 	switch {
 	case !mayBegin:
 	case o.refusals >= maxRefusals:
-		c.begin(v, p.ID, failover, "it takes no connection", now)
-	case o.failures > 0 && silence >= silenceTimeout && v.HealthyReports == 0:
-		c.begin(v, p.ID, failover, "it is silent", now)
+		c.begin(view, primary.ID, failover, "it takes no connection", now)
+	case o.failures > 0 && sinceHeard >= silenceTimeout && view.HealthyReports == 0:
+		c.begin(view, primary.ID, failover, "it is silent", now)
 	}
 }
 
 // suspected is whether the primary does not reply while enough drivers get no reply from it either.
-func suspected(v *View, o *observation, silence, now float64) bool {
-	return o.pending && now-o.pendingSince > suspectedReplyTimeout &&
-		v.SuspectReports >= max(2, v.Drivers/3) && v.HealthyReports == 0 &&
-		silence >= suspectedSilence
+func suspected(view *View, primary *observation, sinceHeard, now float64) bool {
+	return primary.pending && now-primary.pendingSince > suspectedReplyTimeout &&
+		view.SuspectReports >= max(2, view.Drivers/3) && view.HealthyReports == 0 &&
+		sinceHeard >= suspectedSilence
 }
 
 // stalled queries all members, and tells whether every replica has stood still behind the primary for stallTimeout:
 // its commits reach none of them.
-func (c *Controller) stalled(v *View, primary string, now float64) bool {
-	positions := c.positionsBehind(v, primary, now)
+func (c *Controller) stalled(view *View, primary string, now float64) bool {
+	positions := c.positionsBehind(view, primary, now)
 	if now >= c.nextStallQueryAt {
 		c.nextStallQueryAt = now + urgentInterval
-		c.queryAll(v, now)
+		c.queryAll(view, now)
 	}
-	if len(positions) == 0 || c.stalledPositions == nil || !maps.Equal(positions, c.stalledPositions) {
+	if len(positions) == 0 || !maps.Equal(positions, c.stalledPositions) {
 		c.stalledPositions, c.stalledSince = positions, now
 		return false
 	}
@@ -97,10 +97,10 @@
 
 // positionsBehind returns the positions of all replicas that can be queried, none if one of them isn't known to be
 // behind the primary.
-func (c *Controller) positionsBehind(v *View, primary string, now float64) map[string]wire.Position {
+func (c *Controller) positionsBehind(view *View, primary string, now float64) map[string]wire.Position {
 	end := c.observation(primary).status.Received
 	positions := map[string]wire.Position{}
-	for _, m := range v.Members {
+	for _, m := range view.Members {
 		if m.ID == primary || m.Absent {
 			continue
 		}
@@ -116,31 +116,31 @@
 // watchLeaderless queries all members while nobody claims to lead, and begins a failover without an old primary once
 // each member on the roster replied that it doesn't lead. A member that nobody knows anything of for long counts as
 // one that may have led, or may hold a commit; it is waited for only if the others are too few.
-func (c *Controller) watchLeaderless(v *View, now float64) {
+func (c *Controller) watchLeaderless(view *View, now float64) {
 	if c.leaderlessSince == 0 {
 		c.leaderlessSince = now
 	}
 	c.primary = ""
 	if now >= c.nextQueryAt {
 		c.nextQueryAt = now + urgentInterval
-		c.queryAll(v, now)
+		c.queryAll(view, now)
 	}
-	if !c.pastEarlierPromotes(now) || now-c.leaderlessSince <= leaderlessTimeout || len(v.Members) == 0 {
+	if !c.pastEarlierPromotes(now) || now-c.leaderlessSince <= leaderlessTimeout || len(view.Members) == 0 {
 		return
 	}
-	possible := c.possibleLeader(v)
+	possible := c.possibleLeader(view)
 	waitedLong := now-max(c.leaderlessSince, c.startedAt) > unknownMemberTimeout
-	if possible == "" || waitedLong && c.repliesCoverCommits(v) {
-		c.begin(v, "", failover, "nobody leads", now)
+	if possible == "" || waitedLong && c.repliesCoverCommits(view) {
+		c.begin(view, "", failover, "nobody leads", now)
 		return
 	}
 	c.logOnce("nobody leads, and it waits for " + possible + ", which may lead or alone hold a commit")
 }
 
 // repliesCoverCommits is whether those who replied that they don't lead hold every acknowledged commit between them.
-func (c *Controller) repliesCoverCommits(v *View) bool {
+func (c *Controller) repliesCoverCommits(view *View) bool {
 	replies := 0
-	for _, m := range v.Members {
+	for _, m := range view.Members {
 		o := c.observations[m.ID]
 		if m.Absent || o == nil || !o.known {
 			continue
@@ -150,5 +150,5 @@
 		}
 		replies++
 	}
-	return replies >= pauseQuorum(len(v.Members), v.SyncReplicas, false)
+	return replies >= pauseQuorum(len(view.Members), view.SyncReplicas, false)
 }
--- a/internal/dataplane/memberconn/dial.go
+++ b/internal/dataplane/memberconn/dial.go
@@ -25,16 +25,16 @@
 
 // Dial connects to a member and opens a session. refused: nothing accepts connections at its address. After the
 // deadline the connection's own deadline has passed, too: each batch sets another.
-func Dial(m directory.Member, deadline time.Time) (c *Conn, refused bool, err error) {
-	step := oops.In("dial").With("peer", m.Addr)
-	conn, err := net.DialTimeout("tcp4", m.Addr, time.Until(deadline))
+func Dial(member directory.Member, deadline time.Time) (c *Conn, refused bool, err error) {
+	step := oops.In("dial").With("peer", member.Addr)
+	conn, err := net.DialTimeout("tcp4", member.Addr, time.Until(deadline))
 	if err != nil {
 		return nil, !isTimeout(err), step.Wrap(err)
 	}
 	transport.SetUserTimeout(conn, userTimeout)
 	conn.SetDeadline(deadline)
 	c = &Conn{NetConn: conn, Reader: wire.NewReader(conn)}
-	if err := c.attach(m, step); err != nil {
+	if err := c.attach(member, step); err != nil {
 		conn.Close()
 		return nil, false, err
 	}
@@ -42,8 +42,8 @@
 }
 
 // attach opens the session.
-func (c *Conn) attach(m directory.Member, step oops.OopsErrorBuilder) error {
-	request := wire.MsgAttach + " " + m.Service + " " + clientName + " " + m.ID + "\r\n"
+func (c *Conn) attach(member directory.Member, step oops.OopsErrorBuilder) error {
+	request := wire.MsgAttach + " " + member.Service + " " + clientName + " " + member.ID + "\r\n"
 	if _, err := io.WriteString(c.NetConn, request); err != nil {
 		return step.Wrap(err)
 	}
--- a/internal/dataplane/wire/message.go
+++ b/internal/dataplane/wire/message.go
@@ -44,8 +44,8 @@
 	CodeOutcomeUnknown = "UNKNOWN" // a write whose reply was lost
 )
 
-// CutField splits s around its first blank, into the next field and the rest.
-func CutField(s string) (field, rest string) {
-	field, rest, _ = strings.Cut(s, " ")
+// CutField splits a text around its first blank, into the next field and the rest.
+func CutField(text string) (field, rest string) {
+	field, rest, _ = strings.Cut(text, " ")
 	return field, rest
 }
--- a/internal/dataplane/wire/position.go
+++ b/internal/dataplane/wire/position.go
@@ -16,23 +16,23 @@
 }
 
 // ParsePosition parses TERM.NUMBER, and reports whether the text is that. "-" is not.
-func ParsePosition(s string) (Position, bool) {
-	term, number, found := strings.Cut(s, ".")
+func ParsePosition(text string) (Position, bool) {
+	term, number, found := strings.Cut(text, ".")
 	t, termOK := parseUint(term)
 	n, numberOK := parseUint(number)
 	return Position{Term: t, Number: n}, found && termOK && numberOK
 }
 
 // parseUint parses decimal digits. Numbers from about 2^62 on are no numbers: the protocol has none as large.
-func parseUint(s string) (uint64, bool) {
+func parseUint(digits string) (uint64, bool) {
 	n := uint64(0)
-	for _, digit := range s {
+	for _, digit := range digits {
 		if digit < '0' || digit > '9' || n > 1<<59 {
 			return 0, false
 		}
 		n = n*10 + uint64(digit-'0')
 	}
-	return n, s != ""
+	return n, digits != ""
 }
 
 // Less orders positions by term, then by number.
