--- a/internal/dataplane/wire/doc.go
+++ b/internal/dataplane/wire/doc.go
@@ -12,8 +12,8 @@
 //	                DONE stamp                      the statement succeeded
 //	                FAIL code text                  the statement failed, or the session isn't opened
 //
-// The system's processes may send a member AFTER position ahead of the statement: it fails with LAGGING on a member that
-// has not received that position.
+// The system's processes may send a member AFTER position ahead of the statement: it fails with LAGGING on a member
+// that has not received that position.
 //
 // A reply is any number of ROWs, one DONE or FAIL, and READY. It bears no id, so it belongs to the oldest query
 // without a reply.
