--- a/internal/controlplane/config/golden_test.go
+++ b/internal/controlplane/config/golden_test.go
@@ -18,16 +18,20 @@
 
 var update = flag.Bool("update", false, "record testdata/texts.txt anew from what the code does")
 
-// The state is kept on disk and goes over the wire as CBOR with these bytes. A roster of several services is encoded in no order, so
-// this one has one.
+var applied = AppliedChange{Version: 7, BaseVersion: 6, Digest: [32]byte{1, 2, 31: 255}, Origin: "core-1",
+	AppliedAt: 1764600000000}
+
+// The state is kept on disk and goes over the wire as CBOR with these bytes. A roster of several services is
+// encoded in no order, so this one has one.
 func TestStoredForms(t *testing.T) {
-	full := &State{Version: 7, Raw: []byte(`{"gen":7}`), History: []AppliedChange{{Version: 7, BaseVersion: 6, Digest: [32]byte{1, 2, 31: 255}, Origin: "core-1", AppliedAt: 1764600000000}},
+	full := &State{Version: 7, Raw: []byte(`{"gen":7}`), History: []AppliedChange{applied},
 		Roster: Roster{"orders": {"a", "b"}}}
 	for name, c := range map[string]struct {
 		state *State
 		hex   string
 	}{
-		"full": {full, "a401070249" + hex.EncodeToString([]byte(`{"gen":7}`)) + "0381a50107020603" + "5820" + "0102" + strings.Repeat("00", 29) + "ff" +
+		"full": {full, "a401070249" + hex.EncodeToString([]byte(`{"gen":7}`)) +
+			"0381a50107020603" + "5820" + "0102" + strings.Repeat("00", 29) + "ff" +
 			"0466636f72652d31051b0000019ada5b2e0009a1666f72646572738261616162"},
 		"sparse": {&State{}, "a3010002f603f6"},
 	} {
@@ -46,14 +50,13 @@
 
 // GET /config/log answers with the past changes in this form, and weirctl reads it.
 func TestPastAsJSON(t *testing.T) {
-	p := AppliedChange{Version: 7, BaseVersion: 6, Digest: [32]byte{1, 2, 31: 255}, Origin: "core-1", AppliedAt: 1764600000000}
 	want := `{"Gen":7,"Base":6,"Digest":[1,2` + strings.Repeat(",0", 29) + `,255],"Node":"core-1","At":1764600000000}`
-	raw, err := json.Marshal(p)
+	raw, err := json.Marshal(applied)
 	if err != nil || string(raw) != want {
 		t.Fatalf("%s (%v), recorded %s", raw, err, want)
 	}
 	var back AppliedChange
-	if err := json.Unmarshal(raw, &back); err != nil || back != p {
+	if err := json.Unmarshal(raw, &back); err != nil || back != applied {
 		t.Errorf("read back as %+v (%v)", back, err)
 	}
 }
@@ -66,7 +69,8 @@
 	}
 }
 
-// Operators see these texts. Each case in testdata/texts.txt is a line with what is done, and below it what comes of it.
+// Operators see these texts. Each case in testdata/texts.txt is a line with what is done, and below it what comes
+// of it.
 func TestTexts(t *testing.T) {
 	const file = "testdata/texts.txt"
 	raw, err := os.ReadFile(file)
@@ -102,11 +106,13 @@
 }
 
 // inPlace is what changes and differences of testdata/texts.txt begin from.
-const inPlace = `{"gen":5,"note":"kept","routes":[{"name":"r","host":"h","type":"primary","timeoutMs":1,"svc":"s","more":1}],"svcs":[{"name":"s"}]}`
+const inPlace = `{"gen":5,"note":"kept",` +
+	`"routes":[{"name":"r","host":"h","type":"primary","timeoutMs":1,"svc":"s","more":1}],"svcs":[{"name":"s"}]}`
 
 func outcome(t *testing.T, line string) string {
 	verb, body, _ := strings.Cut(line, " ")
-	state := &State{Version: 5, Raw: []byte(inPlace), History: []AppliedChange{{Version: 4, BaseVersion: 3}, {Version: 5, BaseVersion: 4}}}
+	history := []AppliedChange{{Version: 4, BaseVersion: 3}, {Version: 5, BaseVersion: 4}}
+	state := &State{Version: 5, Raw: []byte(inPlace), History: history}
 	var base uint64
 	switch verb {
 	case "read":
@@ -136,7 +142,12 @@
 }
 
 // statusOf is what orders makes of an error: its kind is as good as the status that was recorded.
-var statusOf = map[error]int{ErrInvalid: 400, ErrVersionNotIncreasing: 400, ErrConflict: 409, ErrBaseVersionMismatch: 412}
+var statusOf = map[error]int{
+	ErrInvalid:              400,
+	ErrVersionNotIncreasing: 400,
+	ErrConflict:             409,
+	ErrBaseVersionMismatch:  412,
+}
 
 func textOf(err error) string {
 	var refused *RejectedError
@@ -221,12 +232,13 @@
 	}
 	var body string
 	if c.Amend {
-		body = fmt.Sprintf(`{"gen":%d,"upsert":{"svcs":[{"name":"s%d","maxConns":%d}]},"del":{"routes":["r%d"],"svcs":["s%d"]}}`,
-			next, r.IntN(6), r.IntN(12)-1, r.IntN(4), r.IntN(6))
+		body = fmt.Sprintf(`{"gen":%d,"upsert":{"svcs":[{"name":"s%d","maxConns":%d}]},`+
+			`"del":{"routes":["r%d"],"svcs":["s%d"]}}`, next, r.IntN(6), r.IntN(12)-1, r.IntN(4), r.IntN(6))
 	} else {
 		var routes []string
 		for i := range r.IntN(4) {
-			routes = append(routes, fmt.Sprintf(`{"name":"r%d","host":"h%d","type":"self","timeoutMs":%d,"svc":"s%d"}`, i, r.IntN(12), 1+r.IntN(9), r.IntN(2)))
+			routes = append(routes, fmt.Sprintf(`{"name":"r%d","host":"h%d","type":"self","timeoutMs":%d,"svc":"s%d"}`,
+				i, r.IntN(12), 1+r.IntN(9), r.IntN(2)))
 		}
 		body = fmt.Sprintf(`{"gen":%d,"routes":[%s],"svcs":[{"name":"s0"},{"name":"s1"}]}`, next, strings.Join(routes, ","))
 	}
--- a/internal/controlplane/config/roster_test.go
+++ b/internal/controlplane/config/roster_test.go
@@ -2,14 +2,17 @@
 
 import "testing"
 
-// A change of the roster leaves the state that it was made of alone, and one that changes nothing gives that very state.
+// A change of the roster leaves the state that it was made of alone, and one that changes nothing gives that very
+// state.
 func TestRosterChanges(t *testing.T) {
 	first := &State{Version: 3}
 	two := first.WithRoster(RosterChange{Add: []RosterMember{{"s", "b"}, {"s", "a"}, {"r", "c"}}})
-	if first.Roster != nil || !two.Roster.Contains("s", "a") || !two.Roster.Contains("s", "b") || two.Roster.Contains("s", "c") || two.Version != 3 {
+	if first.Roster != nil || two.Version != 3 ||
+		!two.Roster.Contains("s", "a") || !two.Roster.Contains("s", "b") || two.Roster.Contains("s", "c") {
 		t.Fatal(first.Roster, two.Roster)
 	}
-	if same := two.WithRoster(RosterChange{Add: []RosterMember{{"s", "a"}}, Remove: []RosterMember{{"s", "x"}}}); same != two {
+	noop := RosterChange{Add: []RosterMember{{"s", "a"}}, Remove: []RosterMember{{"s", "x"}}}
+	if same := two.WithRoster(noop); same != two {
 		t.Error("a change that changes nothing gave another state")
 	}
 	one := two.WithRoster(RosterChange{Remove: []RosterMember{{"s", "a"}}})
@@ -21,8 +24,8 @@
 	}
 }
 
-// An operator's change keeps the roster: which members hold commits is not the operator's word.
-func TestAConfigurationKeepsTheRoster(t *testing.T) {
+// An operator's change of the configuration keeps the roster, which operators don't set.
+func TestApplyKeepsRoster(t *testing.T) {
 	s := (&State{}).WithRoster(RosterChange{Add: []RosterMember{{"s", "a"}}})
 	next, err := s.Apply(&Change{Body: []byte(`{"gen":1,"routes":[],"svcs":[]}`)}, "n", 0)
 	if err != nil || !next.Roster.Contains("s", "a") {
--- a/internal/controlplane/directory/golden_test.go
+++ b/internal/controlplane/directory/golden_test.go
@@ -18,7 +18,8 @@
 		value any
 		hex   string
 	}{
-		"member, full": {&Member{ID: "i-1", Service: "orders", Addr: "10.0.0.1:8080", Zone: "z1", Generation: "v3", Slots: 7, Role: RoleReplica,
+		"member, full": {&Member{ID: "i-1", Service: "orders", Addr: "10.0.0.1:8080", Zone: "z1", Generation: "v3",
+			Slots: 7, Role: RoleReplica,
 			Draining: true, Tombstone: true, Leaving: true, Incarnation: 3, Seq: 300, Revision: 2},
 			"ad0163692d3102666f7264657273036d31302e302e302e313a38303830" +
 				"04627a31056276330607070208f509f50af50b030c19012c0d02"},
@@ -78,7 +79,10 @@
 	if got := members.Digest(); got != wantMembersDigest {
 		t.Errorf("members: %#x", got)
 	}
-	drivers := []Driver{{Name: "a", Addr: "y:1", Zone: "z", Incarnation: 1}, {Name: "b", Addr: "y:2", Zone: "z", Incarnation: 2}}
+	drivers := []Driver{
+		{Name: "a", Addr: "y:1", Zone: "z", Incarnation: 1},
+		{Name: "b", Addr: "y:2", Zone: "z", Incarnation: 2},
+	}
 	if got := DriversDigest(drivers); got != wantDriversDigest {
 		t.Errorf("drivers: %#x", got)
 	}
@@ -92,8 +96,8 @@
 	wantDriverHistory uint64 = 0x4f8056062cb71c14
 )
 
-// Two tables of members under heartbeats, forwarded heartbeats, merges, leaves, drains, expiry: every output goes into the digest.
-// Expire gives its members in no order: they are sorted here.
+// Two tables of members under heartbeats, forwarded heartbeats, merges, leaves, drains, expiry: every output goes
+// into the digest. Expire gives its members in no order: they are sorted here.
 func TestMemberHistories(t *testing.T) {
 	h := fnv.New64a()
 	byID := func(a, b Member) int { return cmp.Compare(a.ID, b.ID) }
@@ -111,7 +115,8 @@
 				if seqs[n]++; r.IntN(12) == 0 {
 					seqs[n] = 1
 				}
-				m := Member{ID: id, Service: "s", Addr: "x", Role: Role(r.IntN(3)), Leaving: r.IntN(3) == 0, Seq: seqs[n] - uint64(r.IntN(10)/9)}
+				m := Member{ID: id, Service: "s", Addr: "x", Role: Role(r.IntN(3)), Leaving: r.IntN(3) == 0,
+					Seq: seqs[n] - uint64(r.IntN(10)/9)}
 				cur, fresh, changed := table.Heartbeat(m, now, 3000)
 				fmt.Fprintln(h, cur, fresh, changed)
 			case 4:
@@ -142,13 +147,13 @@
 	}
 }
 
-// A table of leases under renewals, releases and expiry, and what others are told of it.
+// A table of leases under renewals, releases and expiry, and the diffs that others get.
 func TestDriverHistories(t *testing.T) {
 	h := fnv.New64a()
 	byName := func(a, b Driver) int { return cmp.Compare(a.Name, b.Name) }
 	for seed := range uint64(400) {
 		r := rand.New(rand.NewPCG(seed, 8))
-		leases, told, now := NewLeases(), []Driver(nil), 0.0
+		leases, known, now := NewLeases(), []Driver(nil), 0.0
 		for range 120 {
 			now += 700 * r.Float64()
 			d := Driver{Name: fmt.Sprint("d", r.IntN(7)), Addr: fmt.Sprint("y", r.IntN(2)), Incarnation: uint64(1 + r.IntN(4))}
@@ -160,9 +165,9 @@
 			case 5:
 				fmt.Fprintln(h, slices.SortedFunc(slices.Values(leases.Expire(now)), byName))
 			case 6:
-				joined, left := Diff(told, leases.Drivers())
-				told = ApplyDiff(told, joined, left)
-				fmt.Fprintln(h, joined, left, told, DriversDigest(told), leases.Digest())
+				joined, left := Diff(known, leases.Drivers())
+				known = ApplyDiff(known, joined, left)
+				fmt.Fprintln(h, joined, left, known, DriversDigest(known), leases.Digest())
 			case 7:
 				fmt.Fprintln(h, GossipPeers(leases.Drivers(), d.Name, 1+r.IntN(3)), leases.Digest())
 			}
--- a/internal/controlplane/orders/history_test.go
+++ b/internal/controlplane/orders/history_test.go
@@ -15,39 +15,39 @@
 	"weirwind/internal/controlplane/controlmsg"
 )
 
-// asked is an order as its operator has it. Orders of the same bytes on the same base have the same id.
-type asked struct {
-	show          bool
+// request is the input of an operation. Changes of the same bytes on the same base have the same id.
+type request struct {
+	read          bool
 	base, gen, id int
 	valid         bool
 }
 
-// told is what its operator was told: 0 is no clear answer, however often it was sent again.
-type told struct {
+// response is the output of an operation. Code 0 is an unknown outcome after all retries.
+type response struct {
 	code, gen, id int
 }
 
-// version is the newest version, and what was taken on the way to it.
-type version struct {
+// register is the model's state: the newest version, and the ids of the changes that led to it.
+type register struct {
 	gen, id int
-	taken   string
+	applied string
 }
 
-func (v version) has(id int) bool { return strings.Contains(v.taken, fmt.Sprint(",", id, ",")) }
+func (r register) has(id int) bool { return strings.Contains(r.applied, fmt.Sprint(",", id, ",")) }
 
-// oneHistory is the operators' register: each version has one successor; what was taken is acknowledged or left
-// without a clear answer; what was refused is on a base that is behind, or wrong for ever.
-var oneHistory = (&porcupine.NondeterministicModel{
-	Init: func() []any { return []any{version{taken: ","}} },
+// registerModel is a versioned register: each version has one successor; a change that was applied is acknowledged or
+// its outcome is unknown; a change that was rejected is on a base that is behind, or invalid for good.
+var registerModel = (&porcupine.NondeterministicModel{
+	Init: func() []any { return []any{register{applied: ","}} },
 	Step: func(state, input, output any) []any {
-		s, in, out := state.(version), input.(asked), output.(told)
-		if in.show {
+		s, in, out := state.(register), input.(request), output.(response)
+		if in.read {
 			if out.code == 0 || out.code == 404 && s.gen == 0 || out.code == 200 && out.gen == s.gen && out.id == s.id {
 				return []any{s}
 			}
 			return nil
 		}
-		next := version{in.gen, in.id, s.taken + fmt.Sprint(in.id, ",")}
+		next := register{in.gen, in.id, s.applied + fmt.Sprint(in.id, ",")}
 		fits := in.valid && in.base == s.gen && in.gen > s.gen && !s.has(in.id)
 		switch {
 		case out.code == 200 && fits:
@@ -66,29 +66,29 @@
 	Equal: func(a, b any) bool { return a == b },
 }).ToModel()
 
-// operator sends one order after the other, at times the next before the last was answered.
+// operator is a client that submits one change after the other, at times the next before the last was answered.
 type operator struct {
-	g       *game
-	client  int
-	known   int // the newest version that it believes in
-	open    int // orders under way
-	newest  asked
-	request controlmsg.Request
+	sim         *simulation
+	client      int
+	base        int // the newest version that it knows of, or expects
+	inFlight    int // calls
+	lastInput   request
+	lastRequest controlmsg.Request
 }
 
-// game is one run of operators over a core.
-type game struct {
-	*core
+// simulation is one run of operators against a cluster.
+type simulation struct {
+	*cluster
 	operators []*operator
 	history   []porcupine.Operation
-	ids       int
-	due       []func() bool // timers of callers; true: over
+	lastID    int
+	timers    []func() bool // true: it fired
 }
 
-func (g *game) after(wait float64, f func()) {
-	at := g.now + wait
-	g.due = append(g.due, func() bool {
-		if g.now < at {
+func (sim *simulation) after(wait float64, f func()) {
+	at := sim.now + wait
+	sim.timers = append(sim.timers, func() bool {
+		if sim.now < at {
 			return false
 		}
 		f()
@@ -96,66 +96,66 @@
 	})
 }
 
-func (g *game) timers() {
-	due := g.due
-	g.due = nil
+func (sim *simulation) runTimers() {
+	due := sim.timers
+	sim.timers = nil
 	for _, f := range due {
 		if !f() {
-			g.due = append(g.due, f)
+			sim.timers = append(sim.timers, f)
 		}
 	}
 }
 
-// send carries out a call as callers do: a second of silence or a 5xx, and it goes to another machine, as it was.
-func (g *game) send(in asked, r controlmsg.Request, client int, done func(told)) {
-	op := porcupine.Operation{ClientId: client, Input: in, Call: int64(g.now * 1000)}
+// callWithRetries retries as callers do: after a timeout or a 5xx, unchanged, at any server.
+func (sim *simulation) callWithRetries(in request, r controlmsg.Request, client int, done func(response)) {
+	op := porcupine.Operation{ClientId: client, Input: in, Call: int64(sim.now * 1000)}
 	over := false
-	end := func(out told) {
+	end := func(out response) {
 		if over {
 			return
 		}
 		over = true
-		op.Output, op.Return = out, int64(g.now*1000)+1
-		if out.code == 0 && !in.show {
-			op.Return = math.MaxInt64 / 2 // copies of it may be under way
+		op.Output, op.Return = out, int64(sim.now*1000)+1
+		if out.code == 0 && !in.read {
+			op.Return = math.MaxInt64 / 2 // copies of it may be in flight
 		}
-		g.history = append(g.history, op)
+		sim.history = append(sim.history, op)
 		done(out)
 	}
-	var try func(nth int)
-	try = func(nth int) {
-		if nth == mostTries || over {
-			end(told{})
+	var attempt func(nth int)
+	attempt = func(nth int) {
+		if nth == maxAttempts || over {
+			end(response{})
 			return
 		}
-		heard := false
-		g.call(g.r.IntN(len(g.hosts)), r, func(a Answer) {
-			if heard || over {
+		answered := false
+		sim.call(sim.r.IntN(len(sim.servers)), r, func(a Answer) {
+			if answered || over {
 				return
 			}
-			heard = true
+			answered = true
 			if a.Status >= 500 {
-				g.after(100*float64(nth+1), func() { try(nth + 1) })
+				sim.after(100*float64(nth+1), func() { attempt(nth + 1) })
 				return
 			}
-			out := told{code: a.Status}
-			if in.show && a.Status == 200 {
-				out.gen, out.id = read(g.t, a.Body)
+			out := response{code: a.Status}
+			if in.read && a.Status == 200 {
+				out.gen, out.id = parseVersion(sim.t, a.Body)
 			}
 			end(out)
 		})
-		g.after(silence, func() {
-			if !heard {
-				heard = true
-				try(nth + 1)
+		sim.after(callTimeoutMs, func() {
+			if !answered {
+				answered = true
+				attempt(nth + 1)
 			}
 		})
 	}
-	try(0)
+	attempt(0)
 }
 
-// read tells which order made a version: its amendments add services, its replacements have none.
-func read(t *testing.T, raw []byte) (gen, id int) {
+// parseVersion gives the id of the change that made a version: amendments add services, replacements have none.
+func parseVersion(t *testing.T, raw []byte) (gen, id int) {
 	var c struct {
 		Gen    int
 		Svcs   []struct{ Name string }
@@ -171,93 +171,93 @@
 	return c.Gen, c.Limits.TxIdleMs
 }
 
-// order sends the operator's next.
-func (o *operator) order() {
-	g := o.g
-	other := g.operators[g.r.IntN(len(g.operators))]
-	in, r := asked{base: o.known, valid: true}, controlmsg.Request{}
+// submitChange calls with the operator's next change.
+func (o *operator) submitChange() {
+	sim := o.sim
+	other := sim.operators[sim.r.IntN(len(sim.operators))]
+	in, r := request{base: o.base, valid: true}, controlmsg.Request{}
 	switch {
-	case g.r.IntN(6) == 0 && other.newest.id > 0: // two operators send the same
-		in, r = other.newest, other.request
+	case sim.r.IntN(6) == 0 && other.lastInput.id > 0: // the same change from two operators
+		in, r = other.lastInput, other.lastRequest
 	default:
-		g.ids++
-		in.id, in.gen = g.ids, in.base+1+g.r.IntN(3) // and others the same number
-		if g.r.IntN(10) == 0 {
+		sim.lastID++
+		in.id, in.gen = sim.lastID, in.base+1+sim.r.IntN(3) // and different changes with the same version
+		if sim.r.IntN(10) == 0 {
 			in.gen, in.valid = in.base, false
 		}
-		if r = replace(in.base, in.gen, in.id); in.base > 0 && g.r.IntN(3) == 0 {
-			r = amend(in.base, in.gen, in.id)
+		if r = replacement(in.base, in.gen, in.id); in.base > 0 && sim.r.IntN(3) == 0 {
+			r = amendment(in.base, in.gen, in.id)
 		}
 	}
-	o.newest, o.request = in, r
-	if in.valid && g.r.IntN(3) == 0 {
-		o.known = in.gen // the next is built on it, before it was answered
+	o.lastInput, o.lastRequest = in, r
+	if in.valid && sim.r.IntN(3) == 0 {
+		o.base = in.gen // the next builds on it before it is answered
 	}
-	o.open++
-	g.send(in, r, o.client, func(out told) {
-		o.open--
-		if out.code == 200 && in.gen > o.known {
-			o.known = in.gen
+	o.inFlight++
+	sim.callWithRetries(in, r, o.client, func(out response) {
+		o.inFlight--
+		if out.code == 200 && in.gen > o.base {
+			o.base = in.gen
 		}
 	})
 }
 
-func (o *operator) look() {
-	o.open++
-	o.g.send(asked{show: true}, controlmsg.Request{ReadConfig: true}, o.client, func(out told) {
-		o.open--
+func (o *operator) readConfig() {
+	o.inFlight++
+	o.sim.callWithRetries(request{read: true}, controlmsg.Request{ReadConfig: true}, o.client, func(out response) {
+		o.inFlight--
 		if out.code == 200 {
-			o.known = out.gen
+			o.base = out.gen
 		}
 	})
 }
 
-// play gives a history of operators' orders with the core in trouble, read back at its end.
-func play(t *testing.T, seed uint64, answered func(at int, a Answer)) *game {
-	g := &game{core: newCore(t, seed, 3+2*int(seed%2))}
-	g.answered = answered
+// simulate gives a history of operators' calls under faults, with a read at its end.
+func simulate(t *testing.T, seed uint64, onAnswer func(at int, a Answer)) *simulation {
+	sim := &simulation{cluster: newCluster(t, seed, 3+2*int(seed%2))}
+	sim.onAnswer = onAnswer
 	for i := range 4 {
-		g.operators = append(g.operators, &operator{g: g, client: i})
+		sim.operators = append(sim.operators, &operator{sim: sim, client: i})
 	}
 	run := func(ms, risk float64) {
-		for end := g.now + ms; g.now < end; {
-			for _, o := range g.operators {
+		for end := sim.now + ms; sim.now < end; {
+			for _, o := range sim.operators {
 				switch {
-				case o.open >= 2 || g.r.IntN(40) > 0 || g.ids > 12:
-				case g.r.IntN(3) == 0:
-					o.look()
+				case o.inFlight >= 2 || sim.r.IntN(40) > 0 || sim.lastID > 12:
+				case sim.r.IntN(3) == 0:
+					o.readConfig()
 				default:
-					o.order()
+					o.submitChange()
 				}
 			}
-			g.step(risk)
-			g.timers()
+			sim.step(risk)
+			sim.runTimers()
 		}
 	}
 	run(1500, 0)
 	for range 3 {
-		g.trouble()
-		run(300+1800*g.r.Float64(), 0.003)
-		g.wake()
+		sim.injectFault()
+		run(300+1800*sim.r.Float64(), 0.003)
+		sim.recoverAll()
 		run(600, 0)
 	}
-	for len(g.due) > 0 {
-		g.step(0)
-		g.timers()
+	for len(sim.timers) > 0 {
+		sim.step(0)
+		sim.runTimers()
 	}
-	g.operators[0].look()
-	for len(g.due) > 0 {
-		g.step(0)
-		g.timers()
+	sim.operators[0].readConfig()
+	for len(sim.timers) > 0 {
+		sim.step(0)
+		sim.runTimers()
 	}
-	return g
+	return sim
 }
 
-// Operators' orders and what they were told are one history: point 2. Seen to fail with each of these taken out,
-// alone: the look for what was taken before (Taken, in step.apply); the base's comparison (State.fits, in config);
-// the wait for the commit (Committed, in proposed); the hold of an order whose base is ahead (Undecided.Later, in
-// change); the confirmation of a reading (confirmed).
-func TestOperatorsOrdersAreOneHistory(t *testing.T) {
+// What operators asked and were answered is linearizable. Seen to fail with each of these removed, alone: the
+// search in the history (State.HasApplied, in step.apply); the comparison of the base (State.checkBase, in config);
+// the wait for the commit (Committed, in stepProposed); the wait for a base that is ahead, by a rejection
+// (verdictPending); the confirmation of a read (ReadConfirmed, in stepConfirming).
+func TestOrdersAreLinearizable(t *testing.T) {
 	seeds := 500
 	if testing.Short() {
 		seeds = 100
@@ -267,17 +267,17 @@
 	}
 	codes := map[int]int{}
 	for seed := range seeds {
-		g := play(t, uint64(seed), nil)
-		for _, o := range g.history {
-			if !o.Input.(asked).show {
-				codes[o.Output.(told).code]++
+		sim := simulate(t, uint64(seed), nil)
+		for _, o := range sim.history {
+			if !o.Input.(request).read {
+				codes[o.Output.(response).code]++
 			}
 		}
-		if r := porcupine.CheckOperationsTimeout(oneHistory, g.history, 20*time.Second); r != porcupine.Ok {
-			for _, o := range g.history {
+		if r := porcupine.CheckOperationsTimeout(registerModel, sim.history, 20*time.Second); r != porcupine.Ok {
+			for _, o := range sim.history {
 				t.Logf("%8d %8d client %d %+v: %+v", o.Call/1000, o.Return/1000, o.ClientId, o.Input, o.Output)
 			}
-			t.Fatalf("seed %d, %d calls: %v", seed, len(g.history), r)
+			t.Fatalf("seed %d, %d calls: %v", seed, len(sim.history), r)
 		}
 	}
 	t.Log("orders by their answers:", codes)
