--- /dev/null
+++ b/internal/switchover/golden_test.go
@@ -0,0 +1,159 @@
+package switchover
+
+import (
+	"encoding/hex"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"hash/fnv"
+	"math/rand/v2"
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
+)
+
+// Words and states go between drivers and to operators as they did when these texts were recorded, and are read back the same.
+func TestStoredFormsMatchTheGoldenBytes(t *testing.T) {
+	whole := Word{Group: 3, Epoch: 5120007, Stage: Held, From: "m1", To: "m2", Beat: 2, Lease: 99.5, Age: 12.25}
+	for _, c := range []struct {
+		word              Word
+		wantJSON, wantHex string
+	}{
+		{Word{}, `{"group":0,"epoch":0,"stage":"none"}`, "a36567726f7570006565706f63680065737461676500"},
+		{Word{Group: 1, Epoch: 7, Stage: Announced, To: "m2"}, `{"group":1,"epoch":7,"stage":"announced","to":"m2"}`, "a46567726f7570016565706f6368076573746167650162746f626d32"},
+		{whole, `{"group":3,"epoch":5120007,"stage":"held","from":"m1","to":"m2","beat":2,"lease":99.5,"age":12.25}`, "a86567726f7570036565706f63681a004e2007657374616765026466726f6d626d3162746f626d32646265617402656c65617365fb4058e0000000000063616765fb4028800000000000"},
+		{Word{Group: -1, Epoch: 9, Stage: Released}, `{"group":-1,"epoch":9,"stage":"released"}`, "a36567726f7570206565706f63680965737461676503"},
+		{Word{Group: 1, Epoch: 9, Stage: Aborted, From: "m1"}, `{"group":1,"epoch":9,"stage":"aborted","from":"m1"}`, "a46567726f7570016565706f636809657374616765046466726f6d626d31"},
+	} {
+		text, err := json.Marshal(c.word)
+		if err != nil || string(text) != c.wantJSON {
+			t.Errorf("%s, %v", text, err)
+		}
+		var back Word
+		if err := json.Unmarshal([]byte(c.wantJSON), &back); err != nil || back != c.word {
+			t.Error(back, err)
+		}
+		bytes, err := cbor.Marshal(c.word)
+		if got := hex.EncodeToString(bytes); err != nil || got != c.wantHex {
+			t.Errorf("%s, %v", got, err)
+		}
+		golden, _ := hex.DecodeString(c.wantHex)
+		back = Word{}
+		if err := cbor.Unmarshal(golden, &back); err != nil || back != c.word {
+			t.Error(back, err)
+		}
+	}
+	for _, c := range []struct {
+		status Status
+		want   string
+	}{
+		{Status{}, `{"group":0,"epoch":0,"stage":"none"}`},
+		{Status{Word: whole, Marked: "m1", Primary: "m2", Twice: true, Left: 4, Lapsed: true, Over: true},
+			`{"group":3,"epoch":5120007,"stage":"held","from":"m1","to":"m2","beat":2,"lease":99.5,"age":12.25,` +
+				`"marked":"m1","primary":"m2","two_primaries":true,"left":4,"lapsed":true,"over":true}`},
+	} {
+		text, err := json.Marshal(c.status)
+		if err != nil || string(text) != c.want {
+			t.Errorf("%s, %v", text, err)
+		}
+		var back Status
+		if err := json.Unmarshal(text, &back); err != nil || back != c.status {
+			t.Error(back, err)
+		}
+	}
+	for err, want := range map[error]string{ErrFrom: "the old primary is not known here: name it",
+		ErrOld: "a newer change of this group has begun", ErrNone: "no change of this group is under way", ErrOver: "this change is over",
+		ErrLapsed: "the lease of this hold has lapsed", ErrFull: "too many groups have changes", ErrBad: "the word makes no sense"} {
+		if err.Error() != want {
+			t.Error(err)
+		}
+	}
+	var s Stage
+	if err := s.UnmarshalText([]byte("hold")); err == nil || err.Error() != `stage "hold" is not known` {
+		t.Error(err)
+	}
+}
+
+// What drivers decide in seeded histories stays as it was when the digest was recorded: hooks, words of fellows that come late, twice
+// or not at all, members that are seen, roles, pauses and restarts, at three drivers and six groups.
+func TestDecisionsMatchTheRecordedDigest(t *testing.T) {
+	sum, counts := fnv.New64a(), map[string]int{}
+	for seed := range uint64(200) {
+		r := rand.New(rand.NewPCG(seed, 5))
+		now := 1000.0
+		books := make([]*Book, 3)
+		restart := func(i int) {
+			own := rules
+			own.Origin = uint64(i + 1)
+			books[i] = New(own)
+		}
+		for i := range books {
+			restart(i)
+		}
+		var sent []Word
+		member := func() string { return [...]string{"", "m1", "m2", "m3"}[r.IntN(4)] }
+		took := func(kind string, out Outcome, err error) {
+			for _, known := range []error{ErrFrom, ErrOld, ErrNone, ErrOver, ErrLapsed, ErrFull, ErrBad} {
+				if errors.Is(err, known) {
+					kind += " " + known.Error()
+				}
+			}
+			counts[kind]++
+			for _, m := range out.Marks {
+				fmt.Fprintln(sum, m.Member, m.Draining)
+			}
+			fmt.Fprintln(sum, now, kind, out.Probe, out.Note)
+		}
+		for range 400 {
+			b := books[r.IntN(len(books))]
+			switch r.IntN(10) {
+			case 0, 1, 2:
+				w := Word{Group: int64(r.IntN(6)), Stage: Stage(r.IntN(6)), From: member(), To: member()}
+				if r.IntN(3) == 0 {
+					w.Lease = float64(r.IntN(400) - 20)
+				}
+				if r.IntN(4) == 0 && len(sent) > 0 {
+					w.Epoch = sent[r.IntN(len(sent))].Epoch
+				}
+				whole, out, err := b.Hook(now, w, member())
+				if err == nil {
+					sent = append(sent, whole)
+				}
+				text, _ := json.Marshal(whole)
+				fmt.Fprintln(sum, string(text))
+				took("hook", out, err)
+			case 3, 4:
+				if len(sent) > 0 {
+					out, err := b.Told(now, sent[r.IntN(len(sent))])
+					took("told", out, err)
+				}
+			case 5:
+				for _, s := range books[r.IntN(len(books))].Status(now) {
+					out, err := b.Told(now, s.Word)
+					took("told status", out, err)
+				}
+			case 6:
+				took("seen", b.Seen(now, int64(r.IntN(6)), member()), nil)
+			case 7:
+				took("role", b.Role(now, member(), r.IntN(2) == 0), nil)
+			case 8:
+				now += float64(r.IntN(60))
+				took("tick", b.Tick(now), nil)
+			default:
+				if r.IntN(30) == 0 {
+					restart(r.IntN(len(books)))
+				}
+				if r.IntN(20) == 0 {
+					now += 1200
+				}
+				took("tick", b.Tick(now), nil)
+			}
+			text, _ := json.Marshal(b.Status(now))
+			fmt.Fprintln(sum, string(text), b.Marked(), b.Open())
+		}
+	}
+	t.Log(counts)
+	if got, want := sum.Sum64(), uint64(0x89ef699709a09e56); got != want {
+		t.Errorf("digest %#016x, recorded %#016x", got, want)
+	}
+}
