--- a/internal/dataplane/group/group.go
+++ b/internal/dataplane/group/group.go
@@ -27,7 +27,7 @@
 // NewGroup returns the group of a service without members. distanceTo says how far a zone is from this proxy's.
 func NewGroup(service string, distanceTo func(zone string) Distance) *Group {
 	return &Group{Service: service, Members: map[string]*Member{}, Slot: writerslot.NewSlot[string](),
-		distanceTo: distanceTo, probeInterval: ProbeInterval}
+		distanceTo: distanceTo, probeInterval: minProbeInterval}
 }
 
 // UpdateMember takes over a member's record from the directory at now, and what it says of the writer slot.
--- a/internal/dataplane/group/health.go
+++ b/internal/dataplane/group/health.go
@@ -4,9 +4,7 @@
 
 // Failure detection. Times are in milliseconds.
 const (
-	// ProbeInterval is the first interval between two probes while the slot is empty and something waits.
-	ProbeInterval = 200.0
-
+	minProbeInterval = 200.0 // between two probes while the slot is empty and something waits, at first
 	maxProbeInterval = 800.0
 	probeBackoff     = 1.5 // factor of an interval over the one before
 
@@ -174,5 +172,5 @@
 
 // resetProbes makes a probe due at once, the next ones at short intervals.
 func (g *Group) resetProbes(now float64) {
-	g.nextProbe, g.probeInterval = now, ProbeInterval
+	g.nextProbe, g.probeInterval = now, minProbeInterval
 }
--- a/internal/dataplane/proxy/shard.go
+++ b/internal/dataplane/proxy/shard.go
@@ -39,8 +39,8 @@
 }
 
 // shardMoved takes a node's refusal of a statement that was sent by an epoch: text is the refusal's code and the
-// newest epoch that the node knows. A node that doesn't know the epoch yet is given a moment; otherwise
-// the shard has another owner, and the next resolveService waits for a map that names it.
+// newest epoch that the node knows. A node that doesn't know the epoch yet is given a moment; otherwise the shard has
+// another owner, and the next resolveService waits for a map that names it.
 func (s *session) shardMoved(route *config.Route, epoch uint64, text string) {
 	_, number := wire.CutField(text)
 	known, _ := strconv.ParseUint(number, 10, 64) // a refusal without one is as of epoch 0
--- a/internal/dataplane/proxy/statement.go
+++ b/internal/dataplane/proxy/statement.go
@@ -34,7 +34,7 @@
 	write     bool
 	deadline  float64      // milliseconds
 	request   *connRequest // of a connection, the same for all attempts
-	attempts  int          // that have ended and count
+	attempts  int          // attempts before the current one that count
 }
 
 // verdict is what follows from an attempt.
@@ -59,23 +59,31 @@
 		e.request.requirement = s.readRequirement(route, st.receivedAt)
 	}
 	s.rowsForwarded = false
-	for e.attempts < maxAttempts {
-		switch e.attempt() {
+	if !attemptUntilAnswered(e.attempt) {
+		s.replyError(errRetryLater, wire.StateIdle)
+	}
+}
+
+// attemptUntilAnswered makes attempts, each of which is passed the number of those before it that count. false: none is
+// left, and nothing was kept of those that were made.
+func attemptUntilAnswered(attempt func(previous int) verdict) bool {
+	for attempts := 0; attempts < maxAttempts; {
+		switch attempt(attempts) {
 		case answered:
-			return
+			return true
 		case giveUp:
-			s.replyError(errRetryLater, wire.StateIdle)
-			return
+			return false
 		case retry:
-			e.attempts++
+			attempts++
 		case retryAtOwner: // bounded by the deadline: the shard has no owner until a newer map names one
 		}
 	}
-	s.replyError(errRetryLater, wire.StateIdle)
+	return false
 }
 
 // attempt sends the statement to one member.
-func (e *execution) attempt() verdict {
+func (e *execution) attempt(previous int) verdict {
+	e.attempts = previous
 	service, epoch, ok := e.resolveService(e.route, e.deadline)
 	if !ok {
 		return giveUp
--- a/internal/dataplane/proxy/transaction.go
+++ b/internal/dataplane/proxy/transaction.go
@@ -164,18 +164,10 @@
 	} else {
 		request.requirement = group.Requirement{Write: true}
 	}
-	for attempts := 0; attempts < maxAttempts; {
-		switch s.attemptPin(tx, request) {
-		case answered:
-			return nil
-		case giveUp:
-			return errRetryLater
-		case retry:
-			attempts++
-		case retryAtOwner:
-		}
+	if !attemptUntilAnswered(func(int) verdict { return s.attemptPin(tx, request) }) {
+		return errRetryLater
 	}
-	return errRetryLater
+	return nil
 }
 
 // attemptPin begins the transaction at one member. answered: its connection is pinned.
