--- /dev/null
+++ b/internal/roster/golden_test.go
@@ -0,0 +1,207 @@
+package roster
+
+import (
+	"fmt"
+	"hash/fnv"
+	"io"
+	"math/rand/v2"
+	"testing"
+)
+
+// Recorded from the code as it was before its names and shape changed; a change of any decision, of its order or of a note's text
+// changes them.
+const (
+	wantRoster    uint64 = 0xe3238b3740cfd2ab
+	wantBars      uint64 = 0x2eeeafb63d860a97
+	wantCourse    uint64 = 0x8c04bb05174cda47
+	wantPresence  uint64 = 0x51d32e5bfd0cda00
+	wantFellows   uint64 = 0x841b5a16a0fb4677
+	memberCount          = 7
+	recordedSeeds        = 150
+)
+
+func check(t *testing.T, got, want uint64) {
+	t.Helper()
+	if got != want {
+		t.Errorf("%#x, recorded %#x", got, want)
+	}
+}
+
+// Sources that speak, break, lag, lose members, begin new epochs, and tell revisions in parts and bad entries.
+func TestRosterAsRecorded(t *testing.T) {
+	h := fnv.New64a()
+	for seed := range uint64(recordedSeeds) {
+		r := rand.New(rand.NewPCG(seed, 11))
+		rules := Rules{Lead: Source(1 + r.IntN(2)), TakeOver: 4000, Confirm: float64(2000 * r.IntN(2))}
+		roster := New(rules)
+		now := 0.0
+		var heads [sources]int64
+		for range 200 {
+			now += 700 * r.Float64()
+			s := Source(r.IntN(int(sources)))
+			switch r.IntN(14) {
+			case 0:
+				roster.Broke(s)
+			case 1:
+				roster.Alive(now, s)
+			case 2:
+				out := roster.Tick(now)
+				record(h, roster, now, out)
+			default:
+				out := roster.Told(now, someUpdate(r, s, now, &heads[s]))
+				record(h, roster, now, out)
+			}
+		}
+	}
+	check(t, h.Sum64(), wantRoster)
+}
+
+func record(h io.Writer, roster *Roster, now float64, out Outcome) {
+	fmt.Fprintln(h, out.Verdict, out.Changes, out.Notes, roster.List())
+	lead, revision, age, epochs := roster.Standing(now)
+	fmt.Fprintln(h, lead, revision, age, epochs)
+	for s := range sources {
+		epoch, revision, told := roster.Revision(s)
+		fmt.Fprintln(h, s, epoch, revision, told)
+	}
+}
+
+func someUpdate(r *rand.Rand, s Source, now float64, head *int64) Update {
+	u := Update{Source: s, Whole: r.IntN(3) == 0, Exact: r.IntN(2) == 0, More: r.IntN(10) == 0}
+	u.Since = *head
+	switch r.IntN(10) {
+	case 0:
+		u.Since, *head = *head+2, *head+4
+	case 1:
+		u.Revision = max(*head-int64(r.IntN(5)), 0)
+	default:
+		*head++
+	}
+	if u.Revision == 0 {
+		u.Revision = *head
+	}
+	if s == Registry {
+		u.Epoch = "e"
+		if r.IntN(20) == 0 {
+			u.Epoch = "f"
+		}
+	}
+	entries := r.IntN(3)
+	if u.Whole {
+		entries = r.IntN(2 * memberCount)
+	}
+	for range entries {
+		e := Entry{ID: fmt.Sprint("m", r.IntN(memberCount)), Address: fmt.Sprint("a:", r.IntN(2)), Group: int64(r.IntN(2))}
+		if r.IntN(3) == 0 {
+			e.Phase = Phase(r.IntN(3))
+		}
+		if r.IntN(6) == 0 {
+			e.Started = now - 500 + 600*r.Float64()
+		}
+		if s == Registry {
+			e.Mod = max(u.Revision-int64(r.IntN(4)), 1)
+		}
+		u.Entries = append(u.Entries, e)
+	}
+	if r.IntN(8) == 0 {
+		u.Bad = append(u.Bad, Bad{ID: fmt.Sprint("m", r.IntN(memberCount)), Why: "no address", Phase: Phase(r.IntN(3))})
+	}
+	return u
+}
+
+// More members than are remembered are told gone: the oldest are forgotten.
+func TestForgettingAsRecorded(t *testing.T) {
+	h := fnv.New64a()
+	roster := New(Rules{Lead: Registry})
+	roster.Told(0, Update{Source: Registry, Epoch: "e", Revision: 1, Whole: true})
+	for i := range 60 {
+		u := Update{Source: Registry, Epoch: "e", Revision: int64(i + 2), Since: int64(i + 1)}
+		for k := range 1000 {
+			u.Entries = append(u.Entries, Entry{ID: fmt.Sprint(i, "-", k), Phase: Gone})
+		}
+		fmt.Fprintln(h, roster.Told(float64(i)*100000, u), len(roster.bars))
+	}
+	u := Update{Source: Registry, Epoch: "f", Revision: 100, Whole: true}
+	for i := range 60 {
+		u.Entries = append(u.Entries, Entry{ID: fmt.Sprint(i, "-", i), Address: "x", Mod: 1})
+	}
+	fmt.Fprintln(h, roster.Told(1e8, u))
+	u = Update{Source: Registry, Epoch: "f", Revision: 101, Since: 100, More: true, Entries: make([]Entry, 200001)}
+	fmt.Fprintln(h, roster.Told(1e8, u)) // more than is kept of one revision
+	u.More, u.Entries = false, nil
+	fmt.Fprintln(h, roster.Told(1e8, u))
+	check(t, h.Sum64(), wantBars)
+}
+
+func TestCourseAsRecorded(t *testing.T) {
+	h := fnv.New64a()
+	for seed := range uint64(recordedSeeds) {
+		r := rand.New(rand.NewPCG(seed, 12))
+		c := NewCourse(CourseRules{Endpoints: r.IntN(5), Fellows: r.IntN(900), Seed: seed, Reread: float64(r.IntN(2)) * 20000})
+		now := 0.0
+		for range 120 {
+			call := c.Next(int64(r.IntN(100)), r.IntN(5) > 0)
+			fmt.Fprintln(h, call.Kind, call.Endpoint, call.After, call.Revision, call.Exact, call.For)
+			now += call.After + 3000*r.Float64()
+			c.Ended(now, call.Kind, End(r.IntN(6)), r.IntN(2) == 0)
+			switch r.IntN(15) {
+			case 0:
+				c.Fellows(r.IntN(2000))
+			case 1:
+				c.Gap(now)
+			case 2:
+				c.Again(3000)
+			}
+		}
+	}
+	check(t, h.Sum64(), wantCourse)
+}
+
+func TestPresenceAsRecorded(t *testing.T) {
+	h := fnv.New64a()
+	for seed := range uint64(recordedSeeds) {
+		r := rand.New(rand.NewPCG(seed, 13))
+		p := NewPresence(9000, seed)
+		now := 0.0
+		for range 200 {
+			step, wait := p.Next(now)
+			stands, taken := p.Stands(now)
+			fmt.Fprintln(h, step, wait, stands, taken)
+			if step != Rest {
+				began := now
+				now += 900 * r.Float64()
+				p.Ended(began, now, step, PresenceEnd(r.IntN(4)), float64(r.IntN(2)*6000))
+				continue
+			}
+			if now += wait; r.IntN(12) == 0 {
+				now += 20000 * r.Float64()
+			}
+		}
+	}
+	check(t, h.Sum64(), wantPresence)
+}
+
+func TestFellowsAsRecorded(t *testing.T) {
+	h := fnv.New64a()
+	for seed := range uint64(recordedSeeds) {
+		r := rand.New(rand.NewPCG(seed, 14))
+		f := Fellows{Self: "m0", Hold: 5000, Quiet: 3000}
+		now := 0.0
+		for range 150 {
+			now += 900 * r.Float64()
+			var listed []Entry
+			for i := range memberCount {
+				if r.IntN(5) > 0 {
+					listed = append(listed, Entry{ID: fmt.Sprint("m", i), Phase: Phase(r.IntN(8) / 6)})
+				}
+			}
+			fmt.Fprintln(h, f.Count(now, listed, r.IntN(4) > 0))
+			for range r.IntN(4) {
+				f.Heard(now, fmt.Sprint("m", r.IntN(memberCount)))
+			}
+			fell, back := f.Silent(now, listed)
+			fmt.Fprintln(h, fell, back, len(f.heard))
+		}
+	}
+	check(t, h.Sum64(), wantFellows)
+}
