--- a/internal/fleet/zones/solve.go
+++ b/internal/fleet/zones/solve.go
@@ -35,84 +35,132 @@
 	leastShare = 0.01
 )
 
-// shares solves for the flows that cost least, by linear programming: crossing costs, using headroom costs more,
-// breaking the budget more than that, and leaving reads unserved most. reaches says what may flow at all.
-func shares(places []Place, l Limits, reaches func(from, to string) bool) (flows []Flow, binds []string) {
-	total := 0.0
-	for _, p := range places {
-		total += p.Demand
-	}
-	if total <= 0 {
-		return nil, nil
-	}
-	type pair struct{ f, z int }
-	var pairs []pair
+// pair is a flow that may be: reads of the zone from, served by the zone to. Both are indices of places.
+type pair struct{ from, to int }
+
+// program is the linear program of the flows. Reads are in parts of all reads. Its columns are the flows of the pairs;
+// the unmet reads of each zone; the easy load of each zone (below its headroom) and the tight one (within it), and the
+// slack of each; the slack of the budget, and what is over it. Its rows are each zone's demand, its load, the limits of
+// its easy and of its tight load, and last the budget.
+type program struct {
+	places []Place
+	limits Limits
+	total  float64 // of all reads, a second
+	pairs  []pair
+
+	unmet, easy, tight, slackEasy, slackTight, slackBudget, over int // where the columns of a kind begin
+
+	rows, columns int
+	cost, a, b    []float64 // cost by column, coefficients by row and column, bounds by row
+}
+
+func newProgram(places []Place, l Limits, total float64, reaches func(from, to string) bool) *program {
+	p := &program{places: places, limits: l, total: total}
 	for f := range places {
 		for z := range places {
 			if places[z].Room > 0 && reaches(places[f].Name, places[z].Name) {
-				pairs = append(pairs, pair{f, z})
+				p.pairs = append(p.pairs, pair{f, z})
 			}
 		}
 	}
-	n, x := len(places), len(pairs)
-	// columns: pairs; unmet by zone; easy and tight load by zone, their slacks; slack of the budget, and what is over it
-	unmet, easy, tight := x, x+n, x+2*n
-	slackEasy, slackTight, slackBudget, over := x+3*n, x+4*n, x+5*n, x+5*n+1
-	columns, rows := x+5*n+2, 4*n+1
-	cost := make([]float64, columns)
-	a, b := make([]float64, rows*columns), make([]float64, rows)
-	at := func(r, c int, v float64) { a[r*columns+c] = v }
-	for i, p := range pairs {
-		if p.f != p.z {
-			cost[i] = costCross
-			if places[p.f].Region != places[p.z].Region {
-				cost[i] = costRegion
+	n, x := len(places), len(p.pairs)
+	p.unmet, p.easy, p.tight = x, x+n, x+2*n
+	p.slackEasy, p.slackTight, p.slackBudget, p.over = x+3*n, x+4*n, x+5*n, x+5*n+1
+	p.columns, p.rows = x+5*n+2, 4*n+1
+	p.cost = make([]float64, p.columns)
+	p.a, p.b = make([]float64, p.rows*p.columns), make([]float64, p.rows)
+	p.fillFlows()
+	p.fillZones()
+	p.set(4*n, p.slackBudget, 1)
+	p.set(4*n, p.over, -1)
+	p.cost[p.over] = costBudget
+	p.b[4*n] = l.Budget
+	return p
+}
+
+func (p *program) set(row, column int, v float64) { p.a[row*p.columns+column] = v }
+
+// fillFlows sets what flows cost, and that they serve demand, load zones and use the budget.
+func (p *program) fillFlows() {
+	n := len(p.places)
+	for i, flow := range p.pairs {
+		if flow.from != flow.to {
+			p.cost[i] = costCross
+			if p.places[flow.from].Region != p.places[flow.to].Region {
+				p.cost[i] = costRegion
 			}
-			at(4*n, i, 1)
+			p.set(4*n, i, 1)
 		}
-		at(p.f, i, 1)
-		at(n+p.z, i, 1)
-	}
-	for i, p := range places {
-		room := p.Room / total
-		b[i], cost[unmet+i] = p.Demand/total, costUnmet
-		at(i, unmet+i, 1)
-		cost[tight+i] = costTight
-		at(n+i, easy+i, -1)
-		at(n+i, tight+i, -1)
-		at(2*n+i, easy+i, 1)
-		at(2*n+i, slackEasy+i, 1)
-		b[2*n+i] = room * (1 - l.Headroom)
-		at(3*n+i, tight+i, 1)
-		at(3*n+i, slackTight+i, 1)
-		b[3*n+i] = room * l.Headroom
+		p.set(flow.from, i, 1)
+		p.set(n+flow.to, i, 1)
 	}
-	at(4*n, slackBudget, 1)
-	at(4*n, over, -1)
-	cost[over] = costBudget
-	b[4*n] = l.Budget
-	solved, ok := simplex(cost, a, rows, columns, b)
-	if !ok {
-		return nil, []string{"no solution was found: each zone keeps its own reads"}
+}
+
+// fillZones sets each zone's demand and the limits of its load.
+func (p *program) fillZones() {
+	n := len(p.places)
+	for i, z := range p.places {
+		room := z.Room / p.total
+		p.b[i], p.cost[p.unmet+i] = z.Demand/p.total, costUnmet
+		p.set(i, p.unmet+i, 1)
+		p.cost[p.tight+i] = costTight
+		p.set(n+i, p.easy+i, -1)
+		p.set(n+i, p.tight+i, -1)
+		p.set(2*n+i, p.easy+i, 1)
+		p.set(2*n+i, p.slackEasy+i, 1)
+		p.b[2*n+i] = room * (1 - p.limits.Headroom)
+		p.set(3*n+i, p.tight+i, 1)
+		p.set(3*n+i, p.slackTight+i, 1)
+		p.b[3*n+i] = room * p.limits.Headroom
 	}
-	for i, p := range pairs {
-		if d := places[p.f].Demand / total; p.f != p.z && d > 0 && solved[i]/d >= leastShare {
-			flows = append(flows, Flow{places[p.f].Name, places[p.z].Name, math.Round(min(solved[i]/d, 1)*100) / 100})
+}
+
+// flows are those of a solution that are worth an entry, in parts of their zone's reads.
+func (p *program) flows(solved []float64) (flows []Flow) {
+	for i, flow := range p.pairs {
+		d := p.places[flow.from].Demand / p.total
+		if flow.from == flow.to || d <= 0 || solved[i]/d < leastShare {
+			continue
 		}
+		part := math.Round(min(solved[i]/d, 1)*100) / 100
+		flows = append(flows, Flow{p.places[flow.from].Name, p.places[flow.to].Name, part})
 	}
-	for i, p := range places {
-		if solved[unmet+i] > 1e-6 {
-			binds = append(binds, fmt.Sprintf("room: %.0f%% of the reads of %s find none", 100*solved[unmet+i]/b[i], p.Name))
+	return flows
+}
+
+// binds says which limits a solution meets, for operators.
+func (p *program) binds(solved []float64) (binds []string) {
+	for i, z := range p.places {
+		if unmet := solved[p.unmet+i]; unmet > 1e-6 {
+			binds = append(binds, fmt.Sprintf("room: %.0f%% of the reads of %s find none", 100*unmet/p.b[i], z.Name))
 		}
-		if solved[tight+i] > 1e-6 {
-			binds = append(binds, fmt.Sprintf("headroom of %s is used", p.Name))
+		if solved[p.tight+i] > 1e-6 {
+			binds = append(binds, fmt.Sprintf("headroom of %s is used", z.Name))
 		}
 	}
-	if solved[over] > 1e-6 {
+	if over := solved[p.over]; over > 1e-6 {
 		binds = append(binds, fmt.Sprintf("budget: %.0f%% of all reads cross, beyond the budget",
-			100*(solved[over]+l.Budget)))
+			100*(over+p.limits.Budget)))
+	}
+	return binds
+}
+
+// shares solves for the flows that cost least, by linear programming: crossing costs, using headroom costs more,
+// breaking the budget more than that, and leaving reads unserved most. reaches says what may flow at all.
+func shares(places []Place, l Limits, reaches func(from, to string) bool) (flows []Flow, binds []string) {
+	total := 0.0
+	for _, p := range places {
+		total += p.Demand
+	}
+	if total <= 0 {
+		return nil, nil
+	}
+	p := newProgram(places, l, total, reaches)
+	solved, ok := simplex(p.cost, p.a, p.rows, p.columns, p.b)
+	if !ok {
+		return nil, []string{"no solution was found: each zone keeps its own reads"}
 	}
-	return flows, binds
+	return p.flows(solved), p.binds(solved)
 }
 
 // simplex minimises cost under a·x = b, x >= 0. The library panics where a basis is singular; that is no solution.
--- a/internal/lab/storm.go
+++ b/internal/lab/storm.go
@@ -89,13 +89,7 @@
 
 // Run plays the storm on loopback. An error: not all clients were current in time.
 func (s Storm) Run() (r StormResult, err error) {
-	store := kv.NewStore("c1")
-	var pairs []any
-	for i := range s.Members {
-		pairs = append(pairs, fmt.Sprintf("%sm%05d", stormPrefix, i),
-			fmt.Sprintf(`{"host_port":"127.0.0.1:%d","cell":1,"phase":"up"}`, i%60000+1))
-	}
-	store.Put(pairs...)
+	store := s.newStore()
 	server := kv.Serve(store)
 	ctx, stop := context.WithCancel(context.Background())
 	var all sync.WaitGroup
@@ -121,18 +115,7 @@
 		}
 		all.Go(func() { x.run(ctx, s, n) })
 	}
-	await := func() error {
-		limit := time.After(s.Most)
-		for range s.Clients {
-			select {
-			case <-current:
-			case <-limit:
-				return errors.New("not all clients were current in time")
-			}
-		}
-		return nil
-	}
-	if err := await(); err != nil {
+	if err := s.await(current); err != nil {
 		return r, err
 	}
 	server.Down.Store(true)
@@ -145,30 +128,60 @@
 	before, began := server.Reads.Load(), time.Now()
 	server.Down.Store(false)
 	sampled, ended := make(chan []int64, 1), make(chan struct{})
-	go func() { // reads by tenths of a second
-		var tenths []int64
-		for last := before; ; {
-			select {
-			case <-ended:
-				n := server.Reads.Load()
-				sampled <- append(tenths, n-last)
-				return
-			case <-time.After(100 * time.Millisecond):
-				n := server.Reads.Load()
-				tenths, last = append(tenths, n-last), n
-			}
-		}
-	}()
-	err = await()
+	go func() { sampled <- sampleReads(server, before, ended) }()
+	err = s.await(current)
 	r.Until, r.Reads = time.Since(began), int(server.Reads.Load()-before)
 	close(ended)
-	tenths := <-sampled
+	r.Peak = peakReads(<-sampled)
+	return r, err
+}
+
+// newStore is the registry's content: a list of members.
+func (s Storm) newStore() *kv.Store {
+	store := kv.NewStore("c1")
+	var pairs []any
+	for i := range s.Members {
+		pairs = append(pairs, fmt.Sprintf("%sm%05d", stormPrefix, i),
+			fmt.Sprintf(`{"host_port":"127.0.0.1:%d","cell":1,"phase":"up"}`, i%60000+1))
+	}
+	store.Put(pairs...)
+	return store
+}
+
+// await waits until each client has said that it is current.
+func (s Storm) await(current <-chan struct{}) error {
+	limit := time.After(s.Most)
+	for range s.Clients {
+		select {
+		case <-current:
+		case <-limit:
+			return errors.New("not all clients were current in time")
+		}
+	}
+	return nil
+}
+
+// sampleReads counts whole reads by tenths of a second until ended is closed.
+func sampleReads(server *kv.Server, before int64, ended <-chan struct{}) (tenths []int64) {
+	for last := before; ; {
+		select {
+		case <-ended:
+			return append(tenths, server.Reads.Load()-last)
+		case <-time.After(100 * time.Millisecond):
+			n := server.Reads.Load()
+			tenths, last = append(tenths, n-last), n
+		}
+	}
+}
+
+// peakReads is the most of them within a second.
+func peakReads(tenths []int64) (peak int) {
 	for i := range tenths {
 		sum := 0
 		for _, n := range tenths[i:min(i+10, len(tenths))] {
 			sum += int(n)
 		}
-		r.Peak = max(r.Peak, sum)
+		peak = max(peak, sum)
 	}
-	return r, err
+	return peak
 }
--- a/internal/standin/kv/kv.go
+++ b/internal/standin/kv/kv.go
@@ -5,6 +5,7 @@
 
 import (
 	"bytes"
+	"context"
 	"encoding/base64"
 	"encoding/json"
 	"fmt"
@@ -292,62 +293,81 @@
 		return
 	}
 	v.Watches.Add(1)
-	s, next, out := v.from(), ask.Create.Start, json.NewEncoder(w)
-	say := func(fields map[string]any) {
-		if v.Silent.Load() {
-			<-r.Context().Done()
-			return
-		}
-		s.mu.Lock()
-		fields["header"] = map[string]any{"cluster_id": s.Cluster, "revision": strconv.FormatInt(s.rev, 10)}
-		s.mu.Unlock()
-		_ = out.Encode(map[string]any{"result": fields}) // the caller may have left
-		w.(http.Flusher).Flush()
-	}
-	say(map[string]any{"created": true})
+	s, next := v.from(), ask.Create.Start
+	watch := &etcdWatcher{server: v, store: s, ctx: r.Context(), w: w, out: json.NewEncoder(w)}
+	watch.say(map[string]any{"created": true})
 	for {
-		s.mu.Lock()
-		compacted, changed := s.compacted, s.changed
-		var events []Item
-		for _, x := range s.events {
-			if x.Mod >= next && strings.HasPrefix(x.Key, string(ask.Create.Key)) {
-				events = append(events, x)
-			}
-		}
-		head := s.rev
-		s.mu.Unlock()
+		events, head, compacted, changed := s.since(next, string(ask.Create.Key))
 		if v.Passes.Load() {
 			events = nil
 		}
 		if next <= compacted && next <= head {
-			say(map[string]any{"canceled": true, "compact_revision": strconv.FormatInt(compacted, 10)})
+			watch.say(map[string]any{"canceled": true, "compact_revision": strconv.FormatInt(compacted, 10)})
 			return
 		}
-		size := len(events)
-		if n := int(v.Fragment.Load()); n > 0 {
-			size = n
-		}
-		for len(events) > 0 {
-			n := min(size, len(events))
-			kvs := []any{}
-			for _, x := range events[:n] {
-				e := map[string]any{"kv": etcdKV(x)}
-				if x.Deleted {
-					e["type"] = "DELETE"
-				}
-				kvs = append(kvs, e)
-			}
-			events = events[n:]
-			say(map[string]any{"events": kvs, "fragment": len(events) > 0})
-		}
+		watch.sayEvents(events)
 		next = max(next, head+1)
 		select {
 		case <-changed:
 		case <-r.Context().Done():
 			return
 		case <-time.After(100 * time.Millisecond):
-			say(map[string]any{})
+			watch.say(map[string]any{})
+		}
+	}
+}
+
+// since is what happened to keys under a prefix from a revision on, up to head; changed is closed with the next change.
+func (s *Store) since(revision int64, prefix string) (events []Item, head, compacted int64, changed chan struct{}) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, x := range s.events {
+		if x.Mod >= revision && strings.HasPrefix(x.Key, prefix) {
+			events = append(events, x)
+		}
+	}
+	return events, s.rev, s.compacted, s.changed
+}
+
+// etcdWatcher writes the messages of one watch.
+type etcdWatcher struct {
+	server *Server
+	store  *Store
+	ctx    context.Context // of the request
+	w      http.ResponseWriter
+	out    *json.Encoder
+}
+
+func (x *etcdWatcher) say(fields map[string]any) {
+	if x.server.Silent.Load() {
+		<-x.ctx.Done()
+		return
+	}
+	x.store.mu.Lock()
+	fields["header"] = map[string]any{"cluster_id": x.store.Cluster, "revision": strconv.FormatInt(x.store.rev, 10)}
+	x.store.mu.Unlock()
+	_ = x.out.Encode(map[string]any{"result": fields}) // the caller may have left
+	x.w.(http.Flusher).Flush()
+}
+
+// sayEvents writes events, in fragments where the server is to.
+func (x *etcdWatcher) sayEvents(events []Item) {
+	size := len(events)
+	if n := int(x.server.Fragment.Load()); n > 0 {
+		size = n
+	}
+	for len(events) > 0 {
+		n := min(size, len(events))
+		kvs := []any{}
+		for _, item := range events[:n] {
+			e := map[string]any{"kv": etcdKV(item)}
+			if item.Deleted {
+				e["type"] = "DELETE"
+			}
+			kvs = append(kvs, e)
 		}
+		events = events[n:]
+		x.say(map[string]any{"events": kvs, "fragment": len(events) > 0})
 	}
 }
 
--- a/sessionclient/client.go
+++ b/sessionclient/client.go
@@ -189,30 +189,35 @@
 				s.mu.Unlock()
 			}
 		case "m":
-			n, err := strconv.ParseUint(first, 10, 64)
-			if err != nil {
-				return ok
-			}
-			s.mu.Lock()
-			old := n <= s.got
-			s.mu.Unlock()
-			if !old {
-				select {
-				case s.in <- []byte(body):
-				case <-ctx.Done():
-					return ok
-				}
-				s.mu.Lock()
-				s.got = n
-				s.mu.Unlock()
-			}
-			if c.Write(ctx, websocket.MessageText, []byte("a "+first)) != nil {
+			if !s.receive(ctx, c, first, body) {
 				return ok
 			}
 		}
 	}
 }
 
+// receive gives a message to the program, unless it came before, and acknowledges it. false: the connection is over.
+func (s *Session) receive(ctx context.Context, c *websocket.Conn, number, body string) bool {
+	n, err := strconv.ParseUint(number, 10, 64)
+	if err != nil {
+		return false
+	}
+	s.mu.Lock()
+	old := n <= s.got
+	s.mu.Unlock()
+	if !old {
+		select {
+		case s.in <- []byte(body):
+		case <-ctx.Done():
+			return false
+		}
+		s.mu.Lock()
+		s.got = n
+		s.mu.Unlock()
+	}
+	return c.Write(ctx, websocket.MessageText, []byte("a "+number)) == nil
+}
+
 func (s *Session) safe(n uint64) {
 	for s.acked < n && len(s.sent) > 0 {
 		s.sent = s.sent[1:]
