--- a/internal/controlplane/consensus/store/errors.go
+++ b/internal/controlplane/consensus/store/errors.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// ErrBroken says that a write failed in a way behind which the database may not be used: it would wait for ever.
+// ErrBroken says that a write failed in a way after which the database may not be used: it would wait for ever.
 // The folder holds what was saved before, and another process can open it. Where the operating system said why
 // the write failed, say syscall.ENOSPC for a full disk, errors.Is finds that too.
 var ErrBroken = errors.New("the store is broken")
