--- a/cmd/weirwind/switch.go
+++ b/cmd/weirwind/switch.go
@@ -39,13 +39,14 @@
 	defer stop()
 	client := control.NewClient(c.Socket, "")
 	defer client.Close()
-	w, err := client.Hook(ctx, switchover.Word{Group: c.Group, From: c.From, To: c.To, Epoch: c.Epoch, Stage: stage,
+	w, err := client.Hook(ctx, switchover.Notification{Group: c.Group, From: c.From, To: c.To, Epoch: c.Epoch,
+		Stage: stage,
 		Lease: float64(lease) / float64(time.Millisecond)})
 	if err != nil {
 		return err
 	}
 	fmt.Fprintf(out, "group=%d epoch=%d stage=%s from=%s to=%s", w.Group, w.Epoch, w.Stage, w.From, w.To)
-	if stage == switchover.Held {
+	if stage == switchover.StageHeld {
 		fmt.Fprintf(out, " lease=%s", time.Duration(w.Lease*float64(time.Millisecond)))
 	}
 	fmt.Fprintln(out)
@@ -61,10 +62,10 @@
 }
 
 // Run says the word of each.
-func (c *announceCommand) Run(out io.Writer) error { return c.say(out, switchover.Announced, 0) }
-func (c *holdCommand) Run(out io.Writer) error     { return c.say(out, switchover.Held, c.Lease) }
-func (c *releaseCommand) Run(out io.Writer) error  { return c.say(out, switchover.Released, 0) }
-func (c *abortCommand) Run(out io.Writer) error    { return c.say(out, switchover.Aborted, 0) }
+func (c *announceCommand) Run(out io.Writer) error { return c.say(out, switchover.StageAnnounced, 0) }
+func (c *holdCommand) Run(out io.Writer) error     { return c.say(out, switchover.StageHeld, c.Lease) }
+func (c *releaseCommand) Run(out io.Writer) error  { return c.say(out, switchover.StageReleased, 0) }
+func (c *abortCommand) Run(out io.Writer) error    { return c.say(out, switchover.StageAborted, 0) }
 
 type statusCommand struct{ socketFlag }
 
@@ -80,8 +81,8 @@
 	}
 	for _, s := range all {
 		fmt.Fprintf(out, "group=%d epoch=%d stage=%s from=%s to=%s marked=%s primary=%s left=%s lapsed=%v over=%v\n", s.Group,
-			s.Epoch, s.Stage, s.From, s.To, s.Marked, s.Primary,
-			time.Duration(s.Left*float64(time.Millisecond)).Round(time.Millisecond), s.Lapsed, s.Over)
+			s.Epoch, s.Stage, s.From, s.To, s.Draining, s.Primary,
+			time.Duration(s.Remaining*float64(time.Millisecond)).Round(time.Millisecond), s.Expired, s.Finished)
 	}
 	return nil
 }
--- a/cmd/weirwind/switch_test.go
+++ b/cmd/weirwind/switch_test.go
@@ -16,24 +16,24 @@
 
 type told struct {
 	mu   sync.Mutex
-	book *switchover.Book
+	book *switchover.Tracker
 }
 
-func (s *told) Hook(w switchover.Word) (switchover.Word, error) {
+func (s *told) Hook(w switchover.Notification) (switchover.Notification, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	w, _, err := s.book.Hook(1000, w, "m1")
+	w, _, err := s.book.HandleHook(1000, w, "m1")
 	return w, err
 }
 
-func (s *told) Told(w switchover.Word) error {
+func (s *told) Told(w switchover.Notification) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	_, err := s.book.Told(1000, w)
+	_, err := s.book.HandleNotification(1000, w)
 	return err
 }
 
-func (s *told) Status() []switchover.Status {
+func (s *told) Status() []switchover.ChangeStatus {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.book.Status(1000)
@@ -43,7 +43,7 @@
 func TestSwitchCommands(t *testing.T) {
 	dir := t.TempDir()
 	socket := filepath.Join(dir, "w.sock")
-	s := &told{book: switchover.New(switchover.Rules{Lease: 100, Most: 1000, Opening: 100, Keep: 1000, Groups: 8})}
+	s := &told{book: switchover.New(switchover.Config{DefaultLease: 100, MaxHold: 1000, ReleaseTimeout: 100, Retention: 1000, MaxGroups: 8})}
 	serve := func(network, address, token string) net.Listener {
 		ln, err := net.Listen(network, address)
 		if err != nil {
@@ -81,17 +81,17 @@
 
 	// fellows show a secret; who lacks it is told so, and changes nothing
 	ln := serve("tcp", "127.0.0.1:0", "open sesame")
-	word := switchover.Word{Group: 5, Epoch: 9, Stage: switchover.Announced}
+	word := switchover.Notification{Group: 5, Epoch: 9, Stage: switchover.StageAnnounced}
 	for token, good := range map[string]bool{"": false, "open sesam": false, "open sesame": true} {
 		c := control.NewClient(ln.Addr().String(), token)
-		if err := c.Tell(context.Background(), []switchover.Word{word}); (err == nil) != good {
+		if err := c.Tell(context.Background(), []switchover.Notification{word}); (err == nil) != good {
 			t.Errorf("token %q: %v", token, err)
 		}
 		c.Close()
 	}
 	c := control.NewClient(socket, "")
 	defer c.Close()
-	if err := c.Tell(context.Background(), make([]switchover.Word, 300)); err == nil || !strings.Contains(err.Error(), "at most") {
+	if err := c.Tell(context.Background(), make([]switchover.Notification, 300)); err == nil || !strings.Contains(err.Error(), "at most") {
 		t.Error(err)
 	}
 
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -26,9 +26,9 @@
 
 // Switcher takes words on changes of primaries. Its methods may be called from several goroutines.
 type Switcher interface {
-	Hook(switchover.Word) (switchover.Word, error)
-	Told(switchover.Word) error
-	Status() []switchover.Status
+	Hook(switchover.Notification) (switchover.Notification, error)
+	Told(switchover.Notification) error
+	Status() []switchover.ChangeStatus
 }
 
 // Fellowship is a driver's view of its fellows. Its methods may be called from several goroutines.
@@ -59,15 +59,16 @@
 // status gives an error's HTTP status.
 func status(err error) int {
 	switch {
-	case errors.Is(err, switchover.ErrOld), errors.Is(err, switchover.ErrOver), errors.Is(err, switchover.ErrLapsed):
+	case errors.Is(err, switchover.ErrStale), errors.Is(err, switchover.ErrChangeFinished),
+		errors.Is(err, switchover.ErrLeaseExpired):
 		return http.StatusConflict
-	case errors.Is(err, switchover.ErrNone), errors.Is(err, errNoFellows), errors.Is(err, membership.ErrUnknown):
+	case errors.Is(err, switchover.ErrNoChange), errors.Is(err, errNoFellows), errors.Is(err, membership.ErrUnknown):
 		return http.StatusNotFound
 	case errors.Is(err, ErrStanding), errors.Is(err, membership.ErrPart):
 		return http.StatusServiceUnavailable
 	case errors.Is(err, membership.ErrLives):
 		return http.StatusConflict
-	case errors.Is(err, switchover.ErrFull):
+	case errors.Is(err, switchover.ErrTooManyGroups):
 		return http.StatusTooManyRequests
 	}
 	return http.StatusBadRequest
@@ -82,7 +83,7 @@
 	}
 	mux.HandleFunc("GET /switch", func(w http.ResponseWriter, r *http.Request) { answer(w, s.Status()) })
 	mux.HandleFunc("POST /switch", func(w http.ResponseWriter, r *http.Request) {
-		var word switchover.Word
+		var word switchover.Notification
 		if err := read(w, r, &word); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
@@ -95,7 +96,7 @@
 		answer(w, word)
 	})
 	mux.HandleFunc("POST /switch/told", func(w http.ResponseWriter, r *http.Request) {
-		var words []switchover.Word
+		var words []switchover.Notification
 		err := read(w, r, &words)
 		if err == nil && len(words) > mostWords {
 			err = fmt.Errorf("%d words; %d at most", len(words), mostWords)
@@ -235,17 +236,17 @@
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
 // Hook gives a word as a hook does; the word that comes back is whole.
-func (c *Client) Hook(ctx context.Context, w switchover.Word) (whole switchover.Word, err error) {
+func (c *Client) Hook(ctx context.Context, w switchover.Notification) (whole switchover.Notification, err error) {
 	return whole, c.call(ctx, http.MethodPost, "/switch", w, &whole)
 }
 
 // Tell gives words as a fellow driver does.
-func (c *Client) Tell(ctx context.Context, words []switchover.Word) error {
+func (c *Client) Tell(ctx context.Context, words []switchover.Notification) error {
 	return c.call(ctx, http.MethodPost, "/switch/told", words, nil)
 }
 
 // Status asks what is known.
-func (c *Client) Status(ctx context.Context) (all []switchover.Status, err error) {
+func (c *Client) Status(ctx context.Context) (all []switchover.ChangeStatus, err error) {
 	return all, c.call(ctx, http.MethodGet, "/switch", nil, &all)
 }
 
--- a/internal/driver/fleet.go
+++ b/internal/driver/fleet.go
@@ -208,7 +208,7 @@
 	}
 	if f.v.switches != nil {
 		for _, s := range f.v.switches.Status() {
-			w.Switches = append(w.Switches, s.Word)
+			w.Switches = append(w.Switches, s.Notification)
 		}
 	}
 	from := 0.0
@@ -305,20 +305,20 @@
 // exchange asks a peer what it knows, at the start and every second, and tells it at once what is new here. One that
 // can't be reached learns of it by the next call, of its own or of ours.
 func (f *peer) exchange(ctx context.Context, s *switchovers) {
-	known := map[int64]switchover.Word{}
+	known := map[int64]switchover.Notification{}
 	for {
 		all, err := f.Client.Status(ctx)
 		for _, k := range all {
-			if err := s.Told(k.Word); err != nil {
+			if err := s.Told(k.Notification); err != nil {
 				s.v.log.Warn("switch", "fellow", f.Address, "error", err)
 			}
-			known[k.Group] = key(k.Word)
+			known[k.Group] = key(k.Notification)
 		}
 		for tell := err == nil; tell; {
-			var news []switchover.Word
+			var news []switchover.Notification
 			for _, k := range s.Status() {
-				if known[k.Group] != key(k.Word) {
-					news = append(news, k.Word)
+				if known[k.Group] != key(k.Notification) {
+					news = append(news, k.Notification)
 				}
 			}
 			if len(news) > 0 {
@@ -348,6 +348,6 @@
 }
 
 // key is what of a message makes it news.
-func key(w switchover.Word) switchover.Word {
-	return switchover.Word{Group: w.Group, Epoch: w.Epoch, Stage: w.Stage, Beat: w.Beat}
+func key(w switchover.Notification) switchover.Notification {
+	return switchover.Notification{Group: w.Group, Epoch: w.Epoch, Stage: w.Stage, Renewals: w.Renewals}
 }
--- a/internal/driver/switchover.go
+++ b/internal/driver/switchover.go
@@ -33,14 +33,15 @@
 	token     string
 
 	mu   sync.Mutex
-	book *switchover.Book
+	book *switchover.Tracker
 }
 
 // openControl opens the sockets that the operators' file names.
 func (v *Service) openControl(o operator.Control, origin int) error {
-	s := &switchovers{v: v, book: switchover.New(switchover.Rules{Lease: milliseconds(o.Lease), Most: milliseconds(o.Most),
-		Opening: milliseconds(o.Opening), Ask: milliseconds(switchAsk), Keep: 4 * milliseconds(o.Most),
-		Groups: switchGroups, Origin: uint64(origin)})}
+	s := &switchovers{v: v, book: switchover.New(switchover.Config{
+		DefaultLease: milliseconds(o.Lease), MaxHold: milliseconds(o.Most), ReleaseTimeout: milliseconds(o.Opening),
+		RoleQueryInterval: milliseconds(switchAsk), Retention: 4 * milliseconds(o.Most),
+		MaxGroups: switchGroups, Origin: uint64(origin)})}
 	if o.TokenFile != "" {
 		var err error
 		if s.token, err = secret(o.TokenFile); err != nil {
@@ -108,7 +109,7 @@
 }
 
 // Hook takes a message of a hook; peers are told behind its back.
-func (s *switchovers) Hook(w switchover.Word) (switchover.Word, error) {
+func (s *switchovers) Hook(w switchover.Notification) (switchover.Notification, error) {
 	if !s.v.decide.serves(w.Group) {
 		return w, fmt.Errorf("group %d is not known here", w.Group)
 	}
@@ -118,7 +119,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	w, out, err := s.book.Hook(s.v.decide.clock.now(), w, primary)
+	w, out, err := s.book.HandleHook(s.v.decide.clock.now(), w, primary)
 	if err == nil {
 		s.carry(out)
 	}
@@ -126,15 +127,15 @@
 }
 
 // allowed says whether a hook's word may be taken in this driver's standing among its peers.
-func (s *switchovers) allowed(w switchover.Word) error {
+func (s *switchovers) allowed(w switchover.Notification) error {
 	if s.v.fleet.mesh == nil {
 		return nil
 	}
 	act := membership.EndHold
-	if w.Stage <= switchover.Held {
+	if w.Stage <= switchover.StageHeld {
 		act = membership.BeginHold
 		for _, k := range s.Status() {
-			if k.Group == w.Group && k.Stage == switchover.Held && !k.Over && (w.Epoch == 0 || w.Epoch == k.Epoch) {
+			if k.Group == w.Group && k.Stage == switchover.StageHeld && !k.Finished && (w.Epoch == 0 || w.Epoch == k.Epoch) {
 				act = membership.RenewHold
 			}
 		}
@@ -165,22 +166,22 @@
 }
 
 // Told takes a message of a peer.
-func (s *switchovers) Told(w switchover.Word) error {
+func (s *switchovers) Told(w switchover.Notification) error {
 	_, err := s.told(w)
 	return err
 }
 
 // told takes a message of a peer, and says whether it was news.
-func (s *switchovers) told(w switchover.Word) (news bool, err error) {
+func (s *switchovers) told(w switchover.Notification) (news bool, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out, err := s.book.Told(s.v.decide.clock.now(), w)
+	out, err := s.book.HandleNotification(s.v.decide.clock.now(), w)
 	s.carry(out)
-	return out.Note != "", err
+	return out.LogText != "", err
 }
 
 // Status gives what is known of all changes.
-func (s *switchovers) Status() []switchover.Status {
+func (s *switchovers) Status() []switchover.ChangeStatus {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.book.Status(s.v.decide.clock.now())
@@ -193,13 +194,13 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.carry(s.book.Role(s.v.decide.clock.now(), member, r == logic.Primary))
+	s.carry(s.book.ObserveRole(s.v.decide.clock.now(), member, r == logic.Primary))
 }
 
 // look tells the book who is primary, while a change is open.
 func (s *switchovers) look() {
 	s.mu.Lock()
-	open := s.book.Open()
+	open := s.book.Active()
 	s.mu.Unlock()
 	var primaries map[int64]string
 	if open {
@@ -209,7 +210,7 @@
 	defer s.mu.Unlock()
 	now := s.v.decide.clock.now()
 	for group, primary := range primaries {
-		s.carry(s.book.Seen(now, group, primary))
+		s.carry(s.book.ObservePrimary(now, group, primary))
 	}
 	s.carry(s.book.Tick(now))
 }
@@ -219,11 +220,11 @@
 	for _, m := range out.Marks {
 		s.v.decide.mark(m.Member, markSwitch, m.Draining)
 	}
-	for _, member := range out.Probe {
+	for _, member := range out.QueryRoles {
 		s.v.probe(member)
 	}
-	if out.Note != "" {
-		s.v.log.Info("switch", "text", out.Note)
+	if out.LogText != "" {
+		s.v.log.Info("switch", "text", out.LogText)
 		s.v.fleet.notifyPeers()
 	}
 }
--- a/internal/lab/emulator/faults.go
+++ b/internal/lab/emulator/faults.go
@@ -216,7 +216,9 @@
 	case "switch": // and one whose hooks tell one of them
 		if h := g.w.hosts[0]; m.primary() {
 			g.planned = true
-			g.post(h.lane, hookWay, func() { h.hook(switchover.Word{Group: g.id, Stage: switchover.Held, From: m.id}) })
+			g.post(h.lane, hookWay, func() {
+				h.hook(switchover.Notification{Group: g.id, Stage: switchover.StageHeld, From: m.id})
+			})
 			g.after(hookAhead, func() { g.change(m, g.w.setup.Elect) })
 		}
 	case "wrong": // the list errs, and the member is as it was
--- a/internal/lab/emulator/host.go
+++ b/internal/lab/emulator/host.go
@@ -72,11 +72,11 @@
 	place    map[string]int    // of a member in it
 	deaf     float64           // its list stands still until then
 	missed   []logic.ListEntry
-	rate     float64          // ops a millisecond
-	surge    float64          // times the usual rate
-	ended    bool             // for good: its clients go to the rest
-	hot      bool             // its clients ask of one group
-	book     *switchover.Book // of words on changes, from the first one on
+	rate     float64             // ops a millisecond
+	surge    float64             // times the usual rate
+	ended    bool                // for good: its clients go to the rest
+	hot      bool                // its clients ask of one group
+	book     *switchover.Tracker // of words on changes, from the first one on
 	marked   map[string]bool
 	looks    bool // while a change is open
 	audit    *lens
@@ -179,7 +179,7 @@
 			answered = true
 			h.step(logic.Event{Kind: logic.EvProbed, Member: m.id, Outcome: o, Took: h.now - asked, Report: s})
 			if h.book != nil && o == logic.OK {
-				h.switches(h.book.Role(h.now, m.id, s.Role == logic.Primary))
+				h.switches(h.book.ObserveRole(h.now, m.id, s.Role == logic.Primary))
 			}
 		}
 	}
--- a/internal/lab/emulator/switch.go
+++ b/internal/lab/emulator/switch.go
@@ -14,17 +14,17 @@
 	switchLook = 20.0 // as in the driver
 )
 
-func (h *host) switchbook() *switchover.Book {
+func (h *host) switchbook() *switchover.Tracker {
 	if h.book == nil {
 		h.book = switchover.New(
-			switchover.Rules{
-				Lease:   5000,
-				Most:    60000,
-				Opening: 10000,
-				Ask:     1000,
-				Keep:    240000,
-				Groups:  64,
-				Origin:  uint64(h.index),
+			switchover.Config{
+				DefaultLease:      5000,
+				MaxHold:           60000,
+				ReleaseTimeout:    10000,
+				RoleQueryInterval: 1000,
+				Retention:         240000,
+				MaxGroups:         64,
+				Origin:            uint64(h.index),
 			},
 		)
 		h.marked = map[string]bool{}
@@ -33,11 +33,11 @@
 }
 
 // hook takes a word of a hook and tells all fellows.
-func (h *host) hook(w switchover.Word) {
+func (h *host) hook(w switchover.Notification) {
 	if h.down || h.keeps(func() { h.hook(w) }) {
 		return
 	}
-	w, out, err := h.switchbook().Hook(h.now, w, "")
+	w, out, err := h.switchbook().HandleHook(h.now, w, "")
 	if err != nil {
 		h.audit.broken("switch: %v", err)
 		return
@@ -52,11 +52,11 @@
 	}
 }
 
-func (h *host) hearsWord(w switchover.Word) {
+func (h *host) hearsWord(w switchover.Notification) {
 	if h.down || h.keeps(func() { h.hearsWord(w) }) {
 		return
 	}
-	out, err := h.switchbook().Told(h.now, w)
+	out, err := h.switchbook().HandleNotification(h.now, w)
 	if err != nil {
 		h.audit.broken("switch: %v", err)
 	}
@@ -74,10 +74,10 @@
 			h.step(logic.Event{Kind: logic.EvMembers, List: logic.ListChanges, Members: []logic.ListEntry{e}})
 		}
 	}
-	for _, member := range out.Probe {
+	for _, member := range out.QueryRoles {
 		h.probe(h.w.byID[member])
 	}
-	if !h.looks && h.book.Open() {
+	if !h.looks && h.book.Active() {
 		h.looks = true
 		h.look()
 	}
@@ -85,7 +85,7 @@
 
 func (h *host) look() {
 	h.after(switchLook, func() {
-		if h.down || !h.book.Open() {
+		if h.down || !h.book.Active() {
 			h.looks = false
 			return
 		}
@@ -93,7 +93,7 @@
 			if memory, module := h.memory(); module {
 				for _, g := range memory.Groups {
 					if g.Held {
-						h.switches(h.book.Seen(h.now, g.Group, g.Slot))
+						h.switches(h.book.ObservePrimary(h.now, g.Group, g.Slot))
 					}
 				}
 				h.switches(h.book.Tick(h.now))
--- a/internal/lab/emulator/world.go
+++ b/internal/lab/emulator/world.go
@@ -353,7 +353,9 @@
 	g.openings = append(g.openings, best.opening)
 	if h := g.w.hosts[0]; g.planned {
 		g.planned = false
-		g.post(h.lane, hookWay, func() { h.hook(switchover.Word{Group: g.id, Stage: switchover.Released, To: best.id}) })
+		g.post(h.lane, hookWay, func() {
+			h.hook(switchover.Notification{Group: g.id, Stage: switchover.StageReleased, To: best.id})
+		})
 	}
 }
 
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -140,7 +140,7 @@
 		t.Fatal(err)
 	}
 	f.await(t, "the first one back is alone", func() bool { return f.Stands(membership.Alone, 0) })
-	if _, err := f.Drivers[0].Control.Hook(context.Background(), switchover.Word{Group: 1, Stage: switchover.Held}); err == nil || !strings.Contains(err.Error(), "503") {
+	if _, err := f.Drivers[0].Control.Hook(context.Background(), switchover.Notification{Group: 1, Stage: switchover.StageHeld}); err == nil || !strings.Contains(err.Error(), "503") {
 		t.Errorf("a hold begun alone: %v", err)
 	}
 	if err := f.StartThese(1, 2); err != nil {
@@ -188,7 +188,7 @@
 	if s, err := f.Drivers[0].Status(); err != nil || s.Count != 10 || len(s.Roster.Names) != 5 {
 		t.Errorf("a loss may not shrink what is counted: %+v %v", s, err)
 	}
-	if _, err := f.Drivers[0].Control.Hook(context.Background(), switchover.Word{Group: 1, Stage: switchover.Held}); err == nil || !strings.Contains(err.Error(), "503") {
+	if _, err := f.Drivers[0].Control.Hook(context.Background(), switchover.Notification{Group: 1, Stage: switchover.StageHeld}); err == nil || !strings.Contains(err.Error(), "503") {
 		t.Errorf("a hold begun alone: %v", err)
 	}
 	for i := 1; i < 5; i++ {
@@ -427,16 +427,16 @@
 	return r
 }
 
-func stage(d *Driver) switchover.Status {
+func stage(d *Driver) switchover.ChangeStatus {
 	s, err := d.Control.Status(context.Background())
 	if err != nil || len(s) == 0 {
-		return switchover.Status{}
+		return switchover.ChangeStatus{}
 	}
 	return s[0]
 }
 
 // stages says whether the change of group 1 is so at every driver.
-func (f *Fleet) stages(so func(switchover.Status) bool) bool {
+func (f *Fleet) stages(so func(switchover.ChangeStatus) bool) bool {
 	return !slices.ContainsFunc(f.Drivers, func(d *Driver) bool { return !so(stage(d)) })
 }
 
@@ -448,7 +448,7 @@
 		f.Links.Parts(0, 0, 1, 1, 1)
 		f.await(t, "two parts", func() bool { return f.Stands(membership.Smaller, 0, 1) && f.Stands(membership.Larger, 2, 3, 4) })
 		old := c.Primary(1)
-		word := switchover.Word{Group: 1, Stage: switchover.Held, From: old, Lease: 20000}
+		word := switchover.Notification{Group: 1, Stage: switchover.StageHeld, From: old, Lease: 20000}
 		if _, err := f.Drivers[1].Control.Hook(context.Background(), word); err == nil || !strings.Contains(err.Error(), "larger part") {
 			t.Errorf("a hold begun with the smaller part: %v", err)
 		}
@@ -458,19 +458,19 @@
 			return
 		}
 		f.await(t, "held with the larger part", func() bool {
-			return stage(f.Drivers[3]).Stage == switchover.Held && stage(f.Drivers[4]).Stage == switchover.Held
+			return stage(f.Drivers[3]).Stage == switchover.StageHeld && stage(f.Drivers[4]).Stage == switchover.StageHeld
 		})
-		if s := stage(f.Drivers[0]); s.Stage != switchover.None {
+		if s := stage(f.Drivers[0]); s.Stage != switchover.StageNone {
 			t.Errorf("it passed the cut: %+v", s)
 		}
 		c.Do("demote", old)
 		f.await(t, "a new primary", func() bool { p := c.Primary(1); return p != "" && p != old })
-		if _, err := f.Drivers[0].Control.Hook(context.Background(), switchover.Word{Group: 1, Stage: switchover.Released, Epoch: word.Epoch, From: old, To: c.Primary(1)}); err != nil {
+		if _, err := f.Drivers[0].Control.Hook(context.Background(), switchover.Notification{Group: 1, Stage: switchover.StageReleased, Epoch: word.Epoch, From: old, To: c.Primary(1)}); err != nil {
 			t.Error(err)
 		}
 		f.Links.Heal()
 		f.await(t, "released everywhere", func() bool {
-			return f.stages(func(s switchover.Status) bool { return s.Stage == switchover.Released && s.Over })
+			return f.stages(func(s switchover.ChangeStatus) bool { return s.Stage == switchover.StageReleased && s.Finished })
 		})
 	}, all...)
 }
@@ -495,8 +495,8 @@
 			t.Error(err)
 		}
 		f.await(t, "all know", func() bool {
-			return f.stages(func(s switchover.Status) bool {
-				return s.Stage == switchover.Released && s.Epoch == stage(f.Drivers[0]).Epoch
+			return f.stages(func(s switchover.ChangeStatus) bool {
+				return s.Stage == switchover.StageReleased && s.Epoch == stage(f.Drivers[0]).Epoch
 			})
 		})
 	}, all...)
@@ -508,12 +508,14 @@
 	c := f.o.Cluster
 	f.under(t, func() {
 		old := c.Primary(1)
-		word, err := f.Drivers[4].Control.Hook(context.Background(), switchover.Word{Group: 1, Stage: switchover.Held, From: old, Lease: 20000})
+		word, err := f.Drivers[4].Control.Hook(context.Background(), switchover.Notification{Group: 1, Stage: switchover.StageHeld, From: old, Lease: 20000})
 		if err != nil {
 			t.Error(err)
 			return
 		}
-		f.await(t, "held by all", func() bool { return f.stages(func(s switchover.Status) bool { return s.Stage == switchover.Held }) })
+		f.await(t, "held by all", func() bool {
+			return f.stages(func(s switchover.ChangeStatus) bool { return s.Stage == switchover.StageHeld })
+		})
 		f.Drivers[4].Kill()
 		c.Do("demote", old)
 		f.await(t, "a new primary", func() bool { p := c.Primary(1); return p != "" && p != old })
@@ -522,10 +524,12 @@
 			return
 		}
 		f.await(t, "the killed one, started again, knows of the hold", func() bool { return stage(f.Drivers[4]).Epoch == word.Epoch })
-		if _, err := f.Drivers[1].Control.Hook(context.Background(), switchover.Word{Group: 1, Stage: switchover.Released, To: c.Primary(1)}); err != nil {
+		if _, err := f.Drivers[1].Control.Hook(context.Background(), switchover.Notification{Group: 1, Stage: switchover.StageReleased, To: c.Primary(1)}); err != nil {
 			t.Error(err)
 		}
-		f.await(t, "released by all", func() bool { return f.stages(func(s switchover.Status) bool { return s.Stage == switchover.Released }) })
+		f.await(t, "released by all", func() bool {
+			return f.stages(func(s switchover.ChangeStatus) bool { return s.Stage == switchover.StageReleased })
+		})
 	}, 0, 1, 2, 3)
 }
 
--- a/internal/lab/switch.go
+++ b/internal/lab/switch.go
@@ -77,7 +77,7 @@
 // time for which the group had no primary.
 func (c *Cluster) Planned(ctx context.Context, hook *control.Client, group int64) (gap time.Duration, err error) {
 	old := c.Primary(group)
-	if _, err = hook.Hook(ctx, switchover.Word{Group: group, Stage: switchover.Held, From: old}); err != nil {
+	if _, err = hook.Hook(ctx, switchover.Notification{Group: group, Stage: switchover.StageHeld, From: old}); err != nil {
 		return 0, err
 	}
 	began := time.Now()
@@ -89,6 +89,6 @@
 		time.Sleep(2 * time.Millisecond)
 	}
 	gap = time.Since(began)
-	_, err = hook.Hook(ctx, switchover.Word{Group: group, Stage: switchover.Released, To: c.Primary(group)})
+	_, err = hook.Hook(ctx, switchover.Notification{Group: group, Stage: switchover.StageReleased, To: c.Primary(group)})
 	return gap, err
 }
--- a/internal/lab/switch_test.go
+++ b/internal/lab/switch_test.go
@@ -63,10 +63,10 @@
 }
 
 // stage is what a driver knows of group 1.
-func stage(h *Hooked, i int) switchover.Status {
+func stage(h *Hooked, i int) switchover.ChangeStatus {
 	all, err := h.Clients[i].Status(context.Background())
 	if err != nil || len(all) == 0 {
-		return switchover.Status{}
+		return switchover.ChangeStatus{}
 	}
 	return all[0]
 }
@@ -95,7 +95,7 @@
 		until(t, "agreement", func() bool {
 			a := stage(h, 0)
 			for i := range 4 {
-				if b := stage(h, i); i != deaf && (b.Epoch != a.Epoch || b.Stage != switchover.Released || b.Marked != "" || !b.Over) {
+				if b := stage(h, i); i != deaf && (b.Epoch != a.Epoch || b.Stage != switchover.StageReleased || b.Draining != "" || !b.Finished) {
 					return false
 				}
 			}
@@ -115,10 +115,10 @@
 	if warm.Kinds["write"].Ends[Acked] == 0 {
 		t.Fatal("no write was acked to begin with")
 	}
-	if _, err := h.Clients[0].Hook(ctx, switchover.Word{Group: 1, Stage: switchover.Held, Lease: 700}); err != nil {
+	if _, err := h.Clients[0].Hook(ctx, switchover.Notification{Group: 1, Stage: switchover.StageHeld, Lease: 700}); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "the hold at the fellow", func() bool { return stage(h, 1).Marked == c.Primary(1) })
+	until(t, "the hold at the fellow", func() bool { return stage(h, 1).Draining == c.Primary(1) })
 	r := Load{Targets: h.Addresses[1:], Rate: 50, For: 300 * time.Millisecond, Mix: writes, Groups: 1, Seed: 7, Slack: 2 * time.Second}.Run(ctx, nil)
 	f := r.Kinds["write"]
 	if broken := c.Audit(r); len(broken) > 0 || f.Ends[Acked] < 5 || f.Ends[Failed]+f.Ends[Lost] > 0 {
@@ -128,7 +128,7 @@
 		t.Errorf("nothing was held: the slowest write took %v", f.Quantile(100))
 	}
 	for i := range 2 { // each looks now and then
-		until(t, "the lapse", func() bool { s := stage(h, i); return s.Lapsed && s.Marked == "" })
+		until(t, "the lapse", func() bool { s := stage(h, i); return s.Expired && s.Draining == "" })
 	}
 }
 
@@ -138,7 +138,7 @@
 	c, h, end := hooked(t, 1, nil)
 	defer end()
 	ctx := context.Background()
-	word := switchover.Word{Group: 1, Stage: switchover.Held, From: c.Primary(1)}
+	word := switchover.Notification{Group: 1, Stage: switchover.StageHeld, From: c.Primary(1)}
 	if _, err := h.Clients[0].Hook(ctx, word); err != nil {
 		t.Fatal(err)
 	}
@@ -147,7 +147,7 @@
 	if f := r.Kinds["write"]; f.Ends[Refused] < 10 || f.Ends[Acked]+f.Ends[Failed]+f.Ends[Lost] > 0 || len(c.Audit(r)) > 0 {
 		t.Errorf("%v, broken %v", f.Ends, c.Audit(r))
 	}
-	word.Stage = switchover.Aborted
+	word.Stage = switchover.StageAborted
 	if _, err := h.Clients[0].Hook(ctx, word); err != nil {
 		t.Fatal(err)
 	}
@@ -155,10 +155,10 @@
 	if f := r.Kinds["write"]; f.Ends[Acked] == 0 || f.Ends[Refused]+f.Ends[Failed]+f.Ends[Lost] > 0 || len(c.Audit(r)) > 0 {
 		t.Errorf("%v, broken %v", f.Ends, c.Audit(r))
 	}
-	for want, w := range map[string]switchover.Word{"409": word, "not known here": {Group: 9, Stage: switchover.Held, From: "x"}, "400": {Group: 1}} {
+	for want, w := range map[string]switchover.Notification{"409": word, "not known here": {Group: 9, Stage: switchover.StageHeld, From: "x"}, "400": {Group: 1}} {
 		w.Lease = 1
 		if w.Group == 1 && w.Stage != 0 {
-			w.Stage, w.Epoch = switchover.Held, 1
+			w.Stage, w.Epoch = switchover.StageHeld, 1
 		}
 		if _, err := h.Clients[0].Hook(ctx, w); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", want, err)
@@ -196,10 +196,10 @@
 	defer end()
 	ctx := context.Background()
 	old := c.Primary(1)
-	if _, err := h.Clients[0].Hook(ctx, switchover.Word{Group: 1, Stage: switchover.Held, From: old}); err != nil {
+	if _, err := h.Clients[0].Hook(ctx, switchover.Notification{Group: 1, Stage: switchover.StageHeld, From: old}); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "the hold at the fellow", func() bool { return stage(h, 1).Marked == old })
+	until(t, "the hold at the fellow", func() bool { return stage(h, 1).Draining == old })
 	for i := range 20 { // they ask and leave
 		conn, err := net.Dial("tcp", h.Addresses[i%2])
 		if err != nil {
@@ -219,7 +219,7 @@
 		result <- Load{Targets: h.Addresses, Rate: 300, For: 2 * time.Second, Mix: mix, Groups: 1, Seed: 12, Slack: 2 * time.Second, Most: 4000}.Run(ctx, nil)
 	}()
 	time.Sleep(1500 * time.Millisecond) // so many are held by then
-	if _, err := h.Clients[1].Hook(ctx, switchover.Word{Group: 1, Stage: switchover.Aborted}); err != nil {
+	if _, err := h.Clients[1].Hook(ctx, switchover.Notification{Group: 1, Stage: switchover.StageAborted}); err != nil {
 		t.Fatal(err)
 	}
 	r := <-result
@@ -252,7 +252,7 @@
 		t.Fatal(err)
 	}
 	before := old.wrote.Load()
-	until(t, "word of two primaries", func() bool { return stage(h, 0).Twice && stage(h, 1).Twice && stage(h, 2).Twice })
+	until(t, "word of two primaries", func() bool { return stage(h, 0).TwoPrimaries && stage(h, 1).TwoPrimaries && stage(h, 2).TwoPrimaries })
 	r := <-result
 	if n := old.wrote.Load() - before; n > 0 {
 		t.Errorf("%d writes ran at the deposed primary", n)
@@ -261,5 +261,5 @@
 		t.Errorf("%v, broken %v", f.Ends, c.Audit(r))
 	}
 	c.Do("heal", old.ID)
-	until(t, "its end", func() bool { return stage(h, 0).Over && stage(h, 0).Marked == "" })
+	until(t, "its end", func() bool { return stage(h, 0).Finished && stage(h, 0).Draining == "" })
 }
--- a/internal/switchover/golden_test.go
+++ b/internal/switchover/golden_test.go
@@ -14,22 +14,22 @@
 
 // Words and states go between drivers and to operators as they did when these texts were recorded, and are read back the same.
 func TestStoredFormsMatchTheGoldenBytes(t *testing.T) {
-	whole := Word{Group: 3, Epoch: 5120007, Stage: Held, From: "m1", To: "m2", Beat: 2, Lease: 99.5, Age: 12.25}
+	whole := Notification{Group: 3, Epoch: 5120007, Stage: StageHeld, From: "m1", To: "m2", Renewals: 2, Lease: 99.5, HoldAge: 12.25}
 	for _, c := range []struct {
-		word              Word
+		word              Notification
 		wantJSON, wantHex string
 	}{
-		{Word{}, `{"group":0,"epoch":0,"stage":"none"}`, "a36567726f7570006565706f63680065737461676500"},
-		{Word{Group: 1, Epoch: 7, Stage: Announced, To: "m2"}, `{"group":1,"epoch":7,"stage":"announced","to":"m2"}`, "a46567726f7570016565706f6368076573746167650162746f626d32"},
+		{Notification{}, `{"group":0,"epoch":0,"stage":"none"}`, "a36567726f7570006565706f63680065737461676500"},
+		{Notification{Group: 1, Epoch: 7, Stage: StageAnnounced, To: "m2"}, `{"group":1,"epoch":7,"stage":"announced","to":"m2"}`, "a46567726f7570016565706f6368076573746167650162746f626d32"},
 		{whole, `{"group":3,"epoch":5120007,"stage":"held","from":"m1","to":"m2","beat":2,"lease":99.5,"age":12.25}`, "a86567726f7570036565706f63681a004e2007657374616765026466726f6d626d3162746f626d32646265617402656c65617365fb4058e0000000000063616765fb4028800000000000"},
-		{Word{Group: -1, Epoch: 9, Stage: Released}, `{"group":-1,"epoch":9,"stage":"released"}`, "a36567726f7570206565706f63680965737461676503"},
-		{Word{Group: 1, Epoch: 9, Stage: Aborted, From: "m1"}, `{"group":1,"epoch":9,"stage":"aborted","from":"m1"}`, "a46567726f7570016565706f636809657374616765046466726f6d626d31"},
+		{Notification{Group: -1, Epoch: 9, Stage: StageReleased}, `{"group":-1,"epoch":9,"stage":"released"}`, "a36567726f7570206565706f63680965737461676503"},
+		{Notification{Group: 1, Epoch: 9, Stage: StageAborted, From: "m1"}, `{"group":1,"epoch":9,"stage":"aborted","from":"m1"}`, "a46567726f7570016565706f636809657374616765046466726f6d626d31"},
 	} {
 		text, err := json.Marshal(c.word)
 		if err != nil || string(text) != c.wantJSON {
 			t.Errorf("%s, %v", text, err)
 		}
-		var back Word
+		var back Notification
 		if err := json.Unmarshal([]byte(c.wantJSON), &back); err != nil || back != c.word {
 			t.Error(back, err)
 		}
@@ -38,17 +38,17 @@
 			t.Errorf("%s, %v", got, err)
 		}
 		golden, _ := hex.DecodeString(c.wantHex)
-		back = Word{}
+		back = Notification{}
 		if err := cbor.Unmarshal(golden, &back); err != nil || back != c.word {
 			t.Error(back, err)
 		}
 	}
 	for _, c := range []struct {
-		status Status
+		status ChangeStatus
 		want   string
 	}{
-		{Status{}, `{"group":0,"epoch":0,"stage":"none"}`},
-		{Status{Word: whole, Marked: "m1", Primary: "m2", Twice: true, Left: 4, Lapsed: true, Over: true},
+		{ChangeStatus{}, `{"group":0,"epoch":0,"stage":"none"}`},
+		{ChangeStatus{Notification: whole, Draining: "m1", Primary: "m2", TwoPrimaries: true, Remaining: 4, Expired: true, Finished: true},
 			`{"group":3,"epoch":5120007,"stage":"held","from":"m1","to":"m2","beat":2,"lease":99.5,"age":12.25,` +
 				`"marked":"m1","primary":"m2","two_primaries":true,"left":4,"lapsed":true,"over":true}`},
 	} {
@@ -56,14 +56,14 @@
 		if err != nil || string(text) != c.want {
 			t.Errorf("%s, %v", text, err)
 		}
-		var back Status
+		var back ChangeStatus
 		if err := json.Unmarshal(text, &back); err != nil || back != c.status {
 			t.Error(back, err)
 		}
 	}
-	for err, want := range map[error]string{ErrFrom: "the old primary is not known here: name it",
-		ErrOld: "a newer change of this group has begun", ErrNone: "no change of this group is under way", ErrOver: "this change is over",
-		ErrLapsed: "the lease of this hold has lapsed", ErrFull: "too many groups have changes", ErrBad: "the word makes no sense"} {
+	for err, want := range map[error]string{ErrUnknownPrimary: "the old primary is not known here: name it",
+		ErrStale: "a newer change of this group has begun", ErrNoChange: "no change of this group is under way", ErrChangeFinished: "this change is over",
+		ErrLeaseExpired: "the lease of this hold has lapsed", ErrTooManyGroups: "too many groups have changes", ErrInvalid: "the word makes no sense"} {
 		if err.Error() != want {
 			t.Error(err)
 		}
@@ -81,7 +81,7 @@
 	for seed := range uint64(200) {
 		r := rand.New(rand.NewPCG(seed, 5))
 		now := 1000.0
-		books := make([]*Book, 3)
+		books := make([]*Tracker, 3)
 		restart := func(i int) {
 			own := rules
 			own.Origin = uint64(i + 1)
@@ -90,10 +90,10 @@
 		for i := range books {
 			restart(i)
 		}
-		var sent []Word
+		var sent []Notification
 		member := func() string { return [...]string{"", "m1", "m2", "m3"}[r.IntN(4)] }
 		took := func(kind string, out Outcome, err error) {
-			for _, known := range []error{ErrFrom, ErrOld, ErrNone, ErrOver, ErrLapsed, ErrFull, ErrBad} {
+			for _, known := range []error{ErrUnknownPrimary, ErrStale, ErrNoChange, ErrChangeFinished, ErrLeaseExpired, ErrTooManyGroups, ErrInvalid} {
 				if errors.Is(err, known) {
 					kind += " " + known.Error()
 				}
@@ -102,20 +102,20 @@
 			for _, m := range out.Marks {
 				fmt.Fprintln(sum, m.Member, m.Draining)
 			}
-			fmt.Fprintln(sum, now, kind, out.Probe, out.Note)
+			fmt.Fprintln(sum, now, kind, out.QueryRoles, out.LogText)
 		}
 		for range 400 {
 			b := books[r.IntN(len(books))]
 			switch r.IntN(10) {
 			case 0, 1, 2:
-				w := Word{Group: int64(r.IntN(6)), Stage: Stage(r.IntN(6)), From: member(), To: member()}
+				w := Notification{Group: int64(r.IntN(6)), Stage: Stage(r.IntN(6)), From: member(), To: member()}
 				if r.IntN(3) == 0 {
 					w.Lease = float64(r.IntN(400) - 20)
 				}
 				if r.IntN(4) == 0 && len(sent) > 0 {
 					w.Epoch = sent[r.IntN(len(sent))].Epoch
 				}
-				whole, out, err := b.Hook(now, w, member())
+				whole, out, err := b.HandleHook(now, w, member())
 				if err == nil {
 					sent = append(sent, whole)
 				}
@@ -124,18 +124,18 @@
 				took("hook", out, err)
 			case 3, 4:
 				if len(sent) > 0 {
-					out, err := b.Told(now, sent[r.IntN(len(sent))])
+					out, err := b.HandleNotification(now, sent[r.IntN(len(sent))])
 					took("told", out, err)
 				}
 			case 5:
 				for _, s := range books[r.IntN(len(books))].Status(now) {
-					out, err := b.Told(now, s.Word)
+					out, err := b.HandleNotification(now, s.Notification)
 					took("told status", out, err)
 				}
 			case 6:
-				took("seen", b.Seen(now, int64(r.IntN(6)), member()), nil)
+				took("seen", b.ObservePrimary(now, int64(r.IntN(6)), member()), nil)
 			case 7:
-				took("role", b.Role(now, member(), r.IntN(2) == 0), nil)
+				took("role", b.ObserveRole(now, member(), r.IntN(2) == 0), nil)
 			case 8:
 				now += float64(r.IntN(60))
 				took("tick", b.Tick(now), nil)
@@ -149,7 +149,7 @@
 				took("tick", b.Tick(now), nil)
 			}
 			text, _ := json.Marshal(b.Status(now))
-			fmt.Fprintln(sum, string(text), b.Marked(), b.Open())
+			fmt.Fprintln(sum, string(text), b.Draining(), b.Active())
 		}
 	}
 	t.Log(counts)
--- a/internal/switchover/switchover.go
+++ b/internal/switchover/switchover.go
@@ -29,11 +29,11 @@
 
 // The stages of a change.
 const (
-	None Stage = iota
-	Announced
-	Held
-	Released
-	Aborted
+	StageNone Stage = iota
+	StageAnnounced
+	StageHeld
+	StageReleased
+	StageAborted
 )
 
 var stageNames = enum.Names{"none", "announced", "held", "released", "aborted"}
@@ -46,60 +46,60 @@
 // UnmarshalText takes a stage's name.
 func (s *Stage) UnmarshalText(text []byte) error { return enum.Parse(stageNames, "stage", text, s) }
 
-// Word is what a hook or a fellow driver says of a group. From is the old primary, To the one to come where that is
+// Notification is what a hook or a fellow driver says of a group. From is the old primary, To the one to come where that is
 // known.
-type Word struct {
-	Group int64   `json:"group"`
-	Epoch uint64  `json:"epoch"` // 0 from a hook: the one that goes on, or for an announcement and a first hold a new one
-	Stage Stage   `json:"stage"`
-	From  string  `json:"from,omitempty"`
-	To    string  `json:"to,omitempty"`
-	Beat  uint64  `json:"beat,omitempty"`  // counts renewals of the hold
-	Lease float64 `json:"lease,omitempty"` // of a hold, milliseconds that are left of it
-	Age   float64 `json:"age,omitempty"`   // milliseconds since the hold began, at who tells it
+type Notification struct {
+	Group    int64   `json:"group"`
+	Epoch    uint64  `json:"epoch"` // 0 from a hook: the one that goes on, or for an announcement and a first hold a new one
+	Stage    Stage   `json:"stage"`
+	From     string  `json:"from,omitempty"`
+	To       string  `json:"to,omitempty"`
+	Renewals uint64  `json:"beat,omitempty"`  // counts renewals of the hold
+	Lease    float64 `json:"lease,omitempty"` // of a hold, milliseconds that are left of it
+	HoldAge  float64 `json:"age,omitempty"`   // milliseconds since the hold began, at who tells it
 }
 
-// Rules are what a driver goes by. Times are milliseconds. Clocks are Unix time, about: of two changes the later begun
+// Config are what a driver goes by. Times are milliseconds. Clocks are Unix time, about: of two changes the later begun
 // is to have the higher epoch.
-type Rules struct {
-	Lease   float64 // of a hold that names none
-	Most    float64 // of a hold with all its renewals
-	Opening float64 // behind a release the old primary stays marked for so long, if nobody else is seen as primary
-	Ask     float64 // an old primary that may still answer as one is asked so often; one that says nothing in it is let be
-	Keep    float64 // a change that is over is remembered for so long, for drivers that missed it
-	Groups  int     // groups at a time that are remembered
-	Origin  uint64  // of this driver, other than its fellows'; its last ten bits count
+type Config struct {
+	DefaultLease      float64 // of a hold that names none
+	MaxHold           float64 // of a hold with all its renewals
+	ReleaseTimeout    float64 // behind a release the old primary stays marked for so long, if nobody else is seen as primary
+	RoleQueryInterval float64 // an old primary that may still answer as one is asked so often; one that says nothing in it is let be
+	Retention         float64 // a change that is over is remembered for so long, for drivers that missed it
+	MaxGroups         int     // groups at a time that are remembered
+	Origin            uint64  // of this driver, other than its fellows'; its last ten bits count
 }
 
 const origins = 1024
 
 // Errors of words that can't be taken. A word that is merely old, or known already, is none.
 var (
-	ErrFrom   = errors.New("the old primary is not known here: name it")
-	ErrOld    = errors.New("a newer change of this group has begun")
-	ErrNone   = errors.New("no change of this group is under way")
-	ErrOver   = errors.New("this change is over")
-	ErrLapsed = errors.New("the lease of this hold has lapsed")
-	ErrFull   = errors.New("too many groups have changes")
-	ErrBad    = errors.New("the word makes no sense")
+	ErrUnknownPrimary = errors.New("the old primary is not known here: name it")
+	ErrStale          = errors.New("a newer change of this group has begun")
+	ErrNoChange       = errors.New("no change of this group is under way")
+	ErrChangeFinished = errors.New("this change is over")
+	ErrLeaseExpired   = errors.New("the lease of this hold has lapsed")
+	ErrTooManyGroups  = errors.New("too many groups have changes")
+	ErrInvalid        = errors.New("the word makes no sense")
 )
 
-// Mark says that a member is to be treated as draining, or no longer.
-type Mark struct {
+// DrainMark says that a member is to be treated as draining, or no longer.
+type DrainMark struct {
 	Member   string
 	Draining bool
 }
 
 // Outcome is what is to be done: marks first, then probes.
 type Outcome struct {
-	Marks []Mark
-	Probe []string // to be asked for its role at once
-	Note  string   // for the log; empty where nothing changed
+	Marks      []DrainMark
+	QueryRoles []string // to be asked for its role at once
+	LogText    string   // for the log; empty where nothing changed
 }
 
 // change is one group's.
 type change struct {
-	word   Word
+	word   Notification
 	until  float64 // end of the lease, or of the opening
 	began  float64 // of the hold
 	lapsed bool    // the hold has ended by itself, here
@@ -111,42 +111,42 @@
 	over   float64 // since when nothing of it is open; 0: it is
 }
 
-// Book holds the changes of all groups.
-type Book struct {
-	rules  Rules
+// Tracker holds the changes of all groups.
+type Tracker struct {
+	rules  Config
 	groups map[int64]*change
 }
 
 // New makes an empty book.
-func New(r Rules) *Book { return &Book{rules: r, groups: map[int64]*change{}} }
+func New(r Config) *Tracker { return &Tracker{rules: r, groups: map[int64]*change{}} }
 
 // higher says whether a word tells more than what is known.
-func (c *change) higher(w Word) bool {
+func (c *change) higher(w Notification) bool {
 	return cmp.Or(cmp.Compare(w.Epoch, c.word.Epoch), cmp.Compare(w.Stage, c.word.Stage),
-		cmp.Compare(w.Beat, c.word.Beat)) > 0
+		cmp.Compare(w.Renewals, c.word.Renewals)) > 0
 }
 
-// Hook takes a word of a hook at this driver, fills in what it leaves out, and gives the whole word for fellow drivers.
+// HandleHook takes a word of a hook at this driver, fills in what it leaves out, and gives the whole word for fellow drivers.
 // primary is the member that this driver takes for the primary, "" for none.
-func (b *Book) Hook(now float64, w Word, primary string) (Word, Outcome, error) {
-	if w.Stage == None || w.Stage > Aborted || w.Lease < 0 {
-		return w, Outcome{}, ErrBad
+func (b *Tracker) HandleHook(now float64, w Notification, primary string) (Notification, Outcome, error) {
+	if w.Stage == StageNone || w.Stage > StageAborted || w.Lease < 0 {
+		return w, Outcome{}, ErrInvalid
 	}
 	c := b.groups[w.Group]
-	open := c != nil && c.word.Stage < Released && !c.lapsed
+	open := c != nil && c.word.Stage < StageReleased && !c.lapsed
 	switch {
 	case c != nil && w.Epoch != 0 && w.Epoch < c.word.Epoch:
-		return w, Outcome{}, ErrOld
+		return w, Outcome{}, ErrStale
 	case w.Epoch == 0 && open:
 		w.Epoch = c.word.Epoch
-	case w.Epoch == 0 && w.Stage > Held && c == nil:
-		return w, Outcome{}, ErrNone
-	case w.Epoch == 0 && w.Stage > Held:
+	case w.Epoch == 0 && w.Stage > StageHeld && c == nil:
+		return w, Outcome{}, ErrNoChange
+	case w.Epoch == 0 && w.Stage > StageHeld:
 		if c.word.Stage == w.Stage || c.lapsed { // repeated, or too late: nothing is open any more
 			w.Epoch = c.word.Epoch
 			break
 		}
-		return w, Outcome{}, ErrOver
+		return w, Outcome{}, ErrChangeFinished
 	case w.Epoch == 0: // by the clock, so that it grows also where what went before is forgotten
 		w.Epoch = uint64(max(now, 1))
 		if c != nil {
@@ -162,41 +162,41 @@
 		w.From = primary
 	}
 	switch {
-	case w.Stage == Held && same && c.lapsed:
-		return w, Outcome{}, ErrLapsed
-	case w.Stage <= Held && same && c.word.Stage >= Released:
-		return w, Outcome{}, ErrOver
-	case w.Stage == Held && w.From == "":
-		return w, Outcome{}, ErrFrom
+	case w.Stage == StageHeld && same && c.lapsed:
+		return w, Outcome{}, ErrLeaseExpired
+	case w.Stage <= StageHeld && same && c.word.Stage >= StageReleased:
+		return w, Outcome{}, ErrChangeFinished
+	case w.Stage == StageHeld && w.From == "":
+		return w, Outcome{}, ErrUnknownPrimary
 	case w.From != "" && w.From == w.To:
-		return w, Outcome{}, ErrBad
+		return w, Outcome{}, ErrInvalid
 	}
-	if w.Stage == Held {
-		w.Beat, w.Age = 1, 0
+	if w.Stage == StageHeld {
+		w.Renewals, w.HoldAge = 1, 0
 		if same {
-			w.Beat = c.word.Beat + 1
-			if c.word.Stage == Held {
-				w.Age = now - c.began
+			w.Renewals = c.word.Renewals + 1
+			if c.word.Stage == StageHeld {
+				w.HoldAge = now - c.began
 			}
 		}
-		w.Lease = min(cmp.Or(w.Lease, b.rules.Lease), b.rules.Most-w.Age)
+		w.Lease = min(cmp.Or(w.Lease, b.rules.DefaultLease), b.rules.MaxHold-w.HoldAge)
 	} else {
-		w.Lease, w.Age, w.Beat = 0, 0, 0
+		w.Lease, w.HoldAge, w.Renewals = 0, 0, 0
 	}
-	out, err := b.Told(now, w)
+	out, err := b.HandleNotification(now, w)
 	return w, out, err
 }
 
-// Told takes a whole word, from this driver's hook or a fellow's.
-func (b *Book) Told(now float64, w Word) (Outcome, error) {
-	if w.Epoch == 0 || w.Stage == None || w.Stage > Aborted || w.Stage == Held && w.From == "" || !(w.Lease >= 0) ||
-		!(w.Age >= 0) {
-		return Outcome{}, ErrBad
+// HandleNotification takes a whole word, from this driver's hook or a fellow's.
+func (b *Tracker) HandleNotification(now float64, w Notification) (Outcome, error) {
+	if w.Epoch == 0 || w.Stage == StageNone || w.Stage > StageAborted || w.Stage == StageHeld && w.From == "" || !(w.Lease >= 0) ||
+		!(w.HoldAge >= 0) {
+		return Outcome{}, ErrInvalid
 	}
 	c := b.groups[w.Group]
 	if c == nil {
-		if len(b.groups) >= b.rules.Groups {
-			return Outcome{}, ErrFull
+		if len(b.groups) >= b.rules.MaxGroups {
+			return Outcome{}, ErrTooManyGroups
 		}
 		c = &change{}
 		b.groups[w.Group] = c
@@ -206,7 +206,7 @@
 	}
 	var out Outcome
 	if w.Epoch > c.word.Epoch { // what was open of an older change is over
-		if c.marked != "" && (c.marked != w.From || w.Stage != Held) {
+		if c.marked != "" && (c.marked != w.From || w.Stage != StageHeld) {
 			b.unmark(c, &out)
 		}
 		*c = change{marked: c.marked}
@@ -215,83 +215,83 @@
 	c.word, c.over = w, 0
 	c.word.From, c.word.To = cmp.Or(w.From, before.From), cmp.Or(w.To, before.To)
 	switch w.Stage {
-	case Announced:
+	case StageAnnounced:
 		c.over = now // nothing is held
 		if w.To != "" {
-			out.Probe = append(out.Probe, w.To)
+			out.QueryRoles = append(out.QueryRoles, w.To)
 		}
-	case Held:
-		if before.Stage != Held {
-			c.began, c.other = now-w.Age, ""
+	case StageHeld:
+		if before.Stage != StageHeld {
+			c.began, c.other = now-w.HoldAge, ""
 		}
-		c.until = min(now+w.Lease, c.began+b.rules.Most)
+		c.until = min(now+w.Lease, c.began+b.rules.MaxHold)
 		switch {
 		case c.lapsed || c.until <= now: // it ended on its way here, or here before it was renewed
 			b.lapse(now, c, &out)
 		case c.marked == "" && c.other == "":
 			c.marked = c.word.From
-			out.Marks = append(out.Marks, Mark{c.marked, true})
+			out.Marks = append(out.Marks, DrainMark{c.marked, true})
 		}
-	case Released:
-		if c.until = now + b.rules.Opening; c.marked == "" {
+	case StageReleased:
+		if c.until = now + b.rules.ReleaseTimeout; c.marked == "" {
 			c.over = now
 		} else if c.other != "" {
 			b.ask(now, c, &out)
 		}
 		if c.word.To != "" {
-			out.Probe = append(out.Probe, c.word.To)
+			out.QueryRoles = append(out.QueryRoles, c.word.To)
 		}
-	case Aborted:
+	case StageAborted:
 		if b.unmark(c, &out); c.word.From != "" {
-			out.Probe = append(out.Probe, c.word.From)
+			out.QueryRoles = append(out.QueryRoles, c.word.From)
 		}
 		c.over = now
 	}
-	out.Note = fmt.Sprintf("group %d: change %d is %s, from %q to %q", w.Group, w.Epoch, w.Stage, c.word.From, c.word.To)
+	out.LogText = fmt.Sprintf("group %d: change %d is %s, from %q to %q", w.Group, w.Epoch, w.Stage, c.word.From, c.word.To)
 	if c.lapsed {
-		out.Note += "; its lease has lapsed here"
+		out.LogText += "; its lease has lapsed here"
 	}
 	return out, nil
 }
 
-func (b *Book) unmark(c *change, out *Outcome) {
+func (b *Tracker) unmark(c *change, out *Outcome) {
 	if c.marked != "" {
-		out.Marks = append(out.Marks, Mark{c.marked, false})
+		out.Marks = append(out.Marks, DrainMark{c.marked, false})
 		c.marked = ""
 	}
 }
 
-func (b *Book) lapse(now float64, c *change, out *Outcome) {
+func (b *Tracker) lapse(now float64, c *change, out *Outcome) {
 	b.unmark(c, out)
 	c.lapsed, c.over = true, now
 	if c.word.From != "" {
-		out.Probe = append(out.Probe, c.word.From)
+		out.QueryRoles = append(out.QueryRoles, c.word.From)
 	}
 }
 
-// Seen notes which member this driver takes for a group's primary now, "" for none. Another than the old one ends the
+// ObservePrimary notes which member this driver takes for a group's primary now, "" for none. Another than the old one ends the
 // waiting: the old one is a replica by then and may be read from.
-func (b *Book) Seen(now float64, group int64, primary string) (out Outcome) {
+func (b *Tracker) ObservePrimary(now float64, group int64, primary string) (out Outcome) {
 	c := b.groups[group]
 	if c == nil || primary == "" || c.marked == "" || primary == c.marked {
 		return out
 	}
 	c.other = primary
-	if c.word.Stage == Released && c.asked == 0 {
+	if c.word.Stage == StageReleased && c.asked == 0 {
 		b.ask(now, c, &out)
-		out.Note = fmt.Sprintf("group %d: change %d: %s is primary", group, c.word.Epoch, primary)
+		out.LogText = fmt.Sprintf("group %d: change %d: %s is primary", group, c.word.Epoch, primary)
 	}
 	return out
 }
 
-func (b *Book) ask(now float64, c *change, out *Outcome) {
+func (b *Tracker) ask(now float64, c *change, out *Outcome) {
 	c.asked, c.claims = now, false
-	out.Probe = append(out.Probe, c.marked)
+	out.QueryRoles = append(out.QueryRoles, c.marked)
 }
 
-// Role notes what a member said of itself when it was asked. An old primary that is a replica now may be read from; one
+// ObserveRole notes what a member said of itself when it was asked. An old primary that is a replica now may be read from; one
 // that goes on as a primary beside another stays marked.
-func (b *Book) Role(now float64, member string, primary bool) (out Outcome) {
+func (b *Tracker) ObserveRole(now float64, member string, primary bool) (out Outcome) {
 	for _, g := range slices.Sorted(maps.Keys(b.groups)) {
 		c := b.groups[g]
 		switch {
@@ -299,48 +299,48 @@
 		case primary:
 			if c.claims = true; !c.twice {
 				c.twice = true
-				out.Note = fmt.Sprintf("group %d: two primaries: %s is one, and %s still answers as one and gets nothing", g,
+				out.LogText = fmt.Sprintf("group %d: two primaries: %s is one, and %s still answers as one and gets nothing", g,
 					c.other, member)
 			}
 		default:
 			b.unmark(c, &out)
 			c.over = now
-			out.Note = fmt.Sprintf("group %d: change %d is done, %s is a replica", g, c.word.Epoch, member)
+			out.LogText = fmt.Sprintf("group %d: change %d is done, %s is a replica", g, c.word.Epoch, member)
 		}
 	}
 	return out
 }
 
 // Tick lets leases and openings end, and forgets changes that are long over.
-func (b *Book) Tick(now float64) (out Outcome) {
+func (b *Tracker) Tick(now float64) (out Outcome) {
 	for _, g := range slices.Sorted(maps.Keys(b.groups)) {
 		c := b.groups[g]
 		switch {
 		case c.over > 0:
-			if now-c.over > b.rules.Keep {
+			if now-c.over > b.rules.Retention {
 				delete(b.groups, g)
 			}
-		case c.word.Stage == Held && now >= c.until:
+		case c.word.Stage == StageHeld && now >= c.until:
 			b.lapse(now, c, &out)
-			out.Note = fmt.Sprintf("group %d: the hold of change %d has lapsed", g, c.word.Epoch)
-		case c.asked > 0 && now-c.asked < b.rules.Ask:
+			out.LogText = fmt.Sprintf("group %d: the hold of change %d has lapsed", g, c.word.Epoch)
+		case c.asked > 0 && now-c.asked < b.rules.RoleQueryInterval:
 		case c.asked > 0 && c.claims:
 			b.ask(now, c, &out)
 		case c.asked > 0:
 			b.unmark(c, &out)
 			c.over = now
-			out.Note = fmt.Sprintf("group %d: change %d is done, the old primary says nothing", g, c.word.Epoch)
-		case c.word.Stage == Released && now >= c.until:
+			out.LogText = fmt.Sprintf("group %d: change %d is done, the old primary says nothing", g, c.word.Epoch)
+		case c.word.Stage == StageReleased && now >= c.until:
 			b.unmark(c, &out)
 			c.over = now
-			out.Note = fmt.Sprintf("group %d: change %d: nobody else was seen as primary in time", g, c.word.Epoch)
+			out.LogText = fmt.Sprintf("group %d: change %d: nobody else was seen as primary in time", g, c.word.Epoch)
 		}
 	}
 	return out
 }
 
-// Marked are the members that are to be treated as draining now, sorted.
-func (b *Book) Marked() (all []string) {
+// Draining are the members that are to be treated as draining now, sorted.
+func (b *Tracker) Draining() (all []string) {
 	for _, c := range b.groups {
 		if c.marked != "" {
 			all = append(all, c.marked)
@@ -350,28 +350,28 @@
 	return all
 }
 
-// Status is what is known of one change.
-type Status struct {
-	Word
-	Marked  string  `json:"marked,omitempty"`
-	Primary string  `json:"primary,omitempty"`       // seen, other than the old one
-	Twice   bool    `json:"two_primaries,omitempty"` // the old one answered as primary beside it
-	Left    float64 `json:"left,omitempty"`          // of the lease or the opening, milliseconds
-	Lapsed  bool    `json:"lapsed,omitempty"`
-	Over    bool    `json:"over,omitempty"`
+// ChangeStatus is what is known of one change.
+type ChangeStatus struct {
+	Notification
+	Draining     string  `json:"marked,omitempty"`
+	Primary      string  `json:"primary,omitempty"`       // seen, other than the old one
+	TwoPrimaries bool    `json:"two_primaries,omitempty"` // the old one answered as primary beside it
+	Remaining    float64 `json:"left,omitempty"`          // of the lease or the opening, milliseconds
+	Expired      bool    `json:"lapsed,omitempty"`
+	Finished     bool    `json:"over,omitempty"`
 }
 
 // Status gives all changes by group, their words as a fellow driver may be told them now.
-func (b *Book) Status(now float64) (all []Status) {
+func (b *Tracker) Status(now float64) (all []ChangeStatus) {
 	for _, g := range slices.Sorted(maps.Keys(b.groups)) {
 		c := b.groups[g]
-		s := Status{Word: c.word, Marked: c.marked, Primary: c.other, Twice: c.twice, Lapsed: c.lapsed, Over: c.over > 0}
+		s := ChangeStatus{Notification: c.word, Draining: c.marked, Primary: c.other, TwoPrimaries: c.twice, Expired: c.lapsed, Finished: c.over > 0}
 		if c.over == 0 {
-			s.Left = max(0, c.until-now)
+			s.Remaining = max(0, c.until-now)
 		}
-		if c.word.Stage == Held {
-			if s.Word.Lease, s.Word.Age = 0, now-c.began; c.over == 0 {
-				s.Word.Lease = s.Left
+		if c.word.Stage == StageHeld {
+			if s.Notification.Lease, s.Notification.HoldAge = 0, now-c.began; c.over == 0 {
+				s.Notification.Lease = s.Remaining
 			}
 		}
 		all = append(all, s)
@@ -379,8 +379,8 @@
 	return all
 }
 
-// Open says whether any change still wants ticks and looks at primaries.
-func (b *Book) Open() bool {
+// Active says whether any change still wants ticks and looks at primaries.
+func (b *Tracker) Active() bool {
 	for _, c := range b.groups {
 		if c.over == 0 {
 			return true
--- a/internal/switchover/switchover_test.go
+++ b/internal/switchover/switchover_test.go
@@ -7,13 +7,13 @@
 	"testing"
 )
 
-var rules = Rules{Lease: 100, Most: 250, Opening: 50, Ask: 30, Keep: 1000, Groups: 4}
+var rules = Config{DefaultLease: 100, MaxHold: 250, ReleaseTimeout: 50, RoleQueryInterval: 30, Retention: 1000, MaxGroups: 4}
 
 // driver is a book and what its outcomes have marked.
 type driver struct {
-	book   *Book
+	book   *Tracker
 	marks  map[string]bool
-	seen   Word
+	seen   Notification
 	holds  float64 // when the hold of the newest epoch was first marked
 	broken string
 }
@@ -55,7 +55,7 @@
 		all = append(all, m)
 	}
 	slices.Sort(all)
-	if marked := d.book.Marked(); !slices.Equal(all, marked) {
+	if marked := d.book.Draining(); !slices.Equal(all, marked) {
 		d.broken = fmt.Sprintf("marks are %v, the book says %v", all, marked)
 	}
 	c := d.book.groups[1]
@@ -67,8 +67,8 @@
 	}
 	d.seen = c.word
 	// the longest pause between two ticks here
-	if c.marked != "" && (c.word.Stage == Aborted || c.word.Stage == Announced || c.lapsed ||
-		!c.claims && now-c.began > rules.Most+rules.Opening+2*rules.Ask+120) {
+	if c.marked != "" && (c.word.Stage == StageAborted || c.word.Stage == StageAnnounced || c.lapsed ||
+		!c.claims && now-c.began > rules.MaxHold+rules.ReleaseTimeout+2*rules.RoleQueryInterval+120) {
 		d.broken = fmt.Sprintf("marked: %+v at %v", *c, now)
 	}
 }
@@ -80,18 +80,18 @@
 		name string
 		do   func(now *float64, a, b *driver)
 	}
-	hook := func(name string, second bool, w Word) step {
+	hook := func(name string, second bool, w Notification) step {
 		return step{name, func(now *float64, a, b *driver) {
 			if second {
 				a = b
 			}
-			_, out, _ := a.book.Hook(*now, w, "m1")
+			_, out, _ := a.book.HandleHook(*now, w, "m1")
 			a.takes(*now, out)
 		}}
 	}
 	tell := func(now float64, from, to *driver) {
 		for _, s := range from.book.Status(now) {
-			out, err := to.book.Told(now, s.Word)
+			out, err := to.book.HandleNotification(now, s.Notification)
 			if err != nil {
 				to.broken = err.Error()
 			}
@@ -107,17 +107,17 @@
 		}}
 	}
 	steps := []step{
-		hook("a announces", false, Word{Group: 1, Stage: Announced, To: "m2"}),
-		hook("a holds", false, Word{Group: 1, Stage: Held}),
-		hook("b holds to m3", true, Word{Group: 1, Stage: Held, From: "m2", To: "m3"}),
-		hook("a releases", false, Word{Group: 1, Stage: Released}),
-		hook("b releases", true, Word{Group: 1, Stage: Released}),
-		hook("b aborts", true, Word{Group: 1, Stage: Aborted}),
+		hook("a announces", false, Notification{Group: 1, Stage: StageAnnounced, To: "m2"}),
+		hook("a holds", false, Notification{Group: 1, Stage: StageHeld}),
+		hook("b holds to m3", true, Notification{Group: 1, Stage: StageHeld, From: "m2", To: "m3"}),
+		hook("a releases", false, Notification{Group: 1, Stage: StageReleased}),
+		hook("b releases", true, Notification{Group: 1, Stage: StageReleased}),
+		hook("b aborts", true, Notification{Group: 1, Stage: StageAborted}),
 		{"a tells b", func(now *float64, a, b *driver) { tell(*now, a, b) }},
 		{"b tells a", func(now *float64, a, b *driver) { tell(*now, b, a) }},
-		{"a sees m2", func(now *float64, a, b *driver) { a.takes(*now, a.book.Seen(*now, 1, "m2")) }},
-		{"a hears m1 as replica", func(now *float64, a, b *driver) { a.takes(*now, a.book.Role(*now, "m1", false)) }},
-		{"a hears m1 as primary", func(now *float64, a, b *driver) { a.takes(*now, a.book.Role(*now, "m1", true)) }},
+		{"a sees m2", func(now *float64, a, b *driver) { a.takes(*now, a.book.ObservePrimary(*now, 1, "m2")) }},
+		{"a hears m1 as replica", func(now *float64, a, b *driver) { a.takes(*now, a.book.ObserveRole(*now, "m1", false)) }},
+		{"a hears m1 as primary", func(now *float64, a, b *driver) { a.takes(*now, a.book.ObserveRole(*now, "m1", true)) }},
 		{"b forgets all", func(now *float64, a, b *driver) { *b = *newDriver(2) }}, // a driver that starts in the middle
 		pause(60), pause(120),
 	}
@@ -136,20 +136,20 @@
 		tell(at, x, y)
 		tell(at, y, x)
 		if p, q := x.book.groups[1], y.book.groups[1]; (p == nil) != (q == nil) || p != nil &&
-			(p.word.Epoch != q.word.Epoch || p.word.Stage != q.word.Stage || p.word.Beat != q.word.Beat ||
+			(p.word.Epoch != q.word.Epoch || p.word.Stage != q.word.Stage || p.word.Renewals != q.word.Renewals ||
 				p.word.From != q.word.From) {
 			t.Fatalf("%v: told everything, they differ: %+v, %+v", path, p, q)
 		}
 		for range 4 { // nothing is held or marked for good
-			at += rules.Most
+			at += rules.MaxHold
 			for _, d := range []*driver{x, y} {
 				d.takes(at, d.book.Tick(at))
 			}
 		}
-		at += rules.Keep
+		at += rules.Retention
 		for _, d := range []*driver{x, y} {
 			d.takes(at, d.book.Tick(at))
-			if d.takes(at, d.book.Tick(at)); d.broken != "" || len(d.marks) > 0 || len(d.book.groups) > 0 || d.book.Open() {
+			if d.takes(at, d.book.Tick(at)); d.broken != "" || len(d.marks) > 0 || len(d.book.groups) > 0 || d.book.Active() {
 				t.Fatalf("%v: at the end %q, marks %v, %v", path, d.broken, d.marks, d.book.Status(at))
 			}
 		}
@@ -175,53 +175,53 @@
 func TestPlannedChange(t *testing.T) {
 	b := New(rules)
 	const first = 5000 * origins
-	w, out, err := b.Hook(5000, Word{Group: 1, Stage: Announced, To: "m2"}, "m1")
-	if err != nil || w.Epoch != first || w.From != "m1" || marks(out) != "[]" || !slices.Equal(out.Probe, []string{"m2"}) {
+	w, out, err := b.HandleHook(5000, Notification{Group: 1, Stage: StageAnnounced, To: "m2"}, "m1")
+	if err != nil || w.Epoch != first || w.From != "m1" || marks(out) != "[]" || !slices.Equal(out.QueryRoles, []string{"m2"}) {
 		t.Fatal(w, out, err)
 	}
-	w, out, err = b.Hook(5010, Word{Group: 1, Stage: Held}, "")
+	w, out, err = b.HandleHook(5010, Notification{Group: 1, Stage: StageHeld}, "")
 	if err != nil || w.Epoch != first || w.From != "m1" || w.To != "m2" || w.Lease != 100 || marks(out) != "[{m1 true}]" {
 		t.Fatal(w, out, err)
 	}
-	if out, err = b.Told(5011, w); err != nil || out.Note != "" || len(out.Marks) > 0 {
+	if out, err = b.HandleNotification(5011, w); err != nil || out.LogText != "" || len(out.Marks) > 0 {
 		t.Error("a repeat does something:", out, err)
 	}
-	if out = b.Seen(5020, 1, "m1"); len(out.Marks) > 0 {
+	if out = b.ObservePrimary(5020, 1, "m1"); len(out.Marks) > 0 {
 		t.Error("the old one ends the change:", out)
 	}
-	w, out, err = b.Hook(5030, Word{Group: 1, Stage: Released}, "")
-	if err != nil || marks(out) != "[]" || !slices.Equal(out.Probe, []string{"m2"}) {
+	w, out, err = b.HandleHook(5030, Notification{Group: 1, Stage: StageReleased}, "")
+	if err != nil || marks(out) != "[]" || !slices.Equal(out.QueryRoles, []string{"m2"}) {
 		t.Fatal(w, out, err)
 	}
-	if out = b.Seen(5040, 1, "m2"); len(out.Marks) > 0 || !slices.Equal(out.Probe, []string{"m1"}) {
+	if out = b.ObservePrimary(5040, 1, "m2"); len(out.Marks) > 0 || !slices.Equal(out.QueryRoles, []string{"m1"}) {
 		t.Error(out)
 	}
-	if out = b.Seen(5041, 1, "m2"); len(out.Probe) > 0 {
+	if out = b.ObservePrimary(5041, 1, "m2"); len(out.QueryRoles) > 0 {
 		t.Error("asked twice:", out)
 	}
-	if out = b.Role(5042, "m1", false); marks(out) != "[{m1 false}]" || b.Open() {
+	if out = b.ObserveRole(5042, "m1", false); marks(out) != "[{m1 false}]" || b.Active() {
 		t.Error(out)
 	}
-	if _, out, err = b.Hook(5050, Word{Group: 1, Stage: Released}, ""); err != nil || out.Note != "" {
+	if _, out, err = b.HandleHook(5050, Notification{Group: 1, Stage: StageReleased}, ""); err != nil || out.LogText != "" {
 		t.Error("a repeated release:", out, err)
 	}
-	for stage, want := range map[Stage]error{Aborted: ErrOver} {
-		if _, _, err := b.Hook(5050, Word{Group: 1, Stage: stage}, ""); !errors.Is(err, want) {
+	for stage, want := range map[Stage]error{StageAborted: ErrChangeFinished} {
+		if _, _, err := b.HandleHook(5050, Notification{Group: 1, Stage: stage}, ""); !errors.Is(err, want) {
 			t.Error(stage, err)
 		}
 	}
-	if _, _, err = b.Hook(5050, Word{Group: 1, Epoch: first, Stage: Held}, "m2"); !errors.Is(err, ErrOver) {
+	if _, _, err = b.HandleHook(5050, Notification{Group: 1, Epoch: first, Stage: StageHeld}, "m2"); !errors.Is(err, ErrChangeFinished) {
 		t.Error(err)
 	}
 	// a switch back is a change of its own, and the older one's words do nothing to it
-	w, out, err = b.Hook(5060, Word{Group: 1, Stage: Held}, "m2")
+	w, out, err = b.HandleHook(5060, Notification{Group: 1, Stage: StageHeld}, "m2")
 	if err != nil || w.Epoch <= first || w.From != "m2" || marks(out) != "[{m2 true}]" {
 		t.Fatal(w, out, err)
 	}
-	if out, err = b.Told(5061, Word{Group: 1, Epoch: first, Stage: Aborted, From: "m1"}); err != nil || out.Note != "" {
+	if out, err = b.HandleNotification(5061, Notification{Group: 1, Epoch: first, Stage: StageAborted, From: "m1"}); err != nil || out.LogText != "" {
 		t.Error("an older word does something:", out, err)
 	}
-	if _, _, err = b.Hook(5062, Word{Group: 1, Epoch: first, Stage: Aborted}, ""); !errors.Is(err, ErrOld) {
+	if _, _, err = b.HandleHook(5062, Notification{Group: 1, Epoch: first, Stage: StageAborted}, ""); !errors.Is(err, ErrStale) {
 		t.Error(err)
 	}
 }
@@ -230,20 +230,20 @@
 // once.
 func TestTwoPrimaries(t *testing.T) {
 	b := New(rules)
-	b.Hook(1000, Word{Group: 1, Stage: Held, From: "m1"}, "")
-	b.Hook(1010, Word{Group: 1, Stage: Released}, "")
-	b.Seen(1020, 1, "m2")
+	b.HandleHook(1000, Notification{Group: 1, Stage: StageHeld, From: "m1"}, "")
+	b.HandleHook(1010, Notification{Group: 1, Stage: StageReleased}, "")
+	b.ObservePrimary(1020, 1, "m2")
 	notes := 0
 	for now := 1021.0; now < 3000; now += 10 {
-		out := b.Role(now, "m1", true)
-		if out.Note != "" {
+		out := b.ObserveRole(now, "m1", true)
+		if out.LogText != "" {
 			notes++
 		}
 		if tick := b.Tick(now); len(out.Marks)+len(tick.Marks) > 0 {
 			t.Fatalf("at %v: %+v %+v", now, out, tick)
 		}
 	}
-	if s := b.Status(3000)[0]; notes != 1 || !s.Twice || s.Marked != "m1" {
+	if s := b.Status(3000)[0]; notes != 1 || !s.TwoPrimaries || s.Draining != "m1" {
 		t.Errorf("%d notes, %+v", notes, s)
 	}
 	b.Tick(3030)
@@ -255,13 +255,13 @@
 // Holds are leases: they lapse, can be renewed up to a limit, and can't be had back.
 func TestLeases(t *testing.T) {
 	b := New(rules)
-	hold := func(now, lease float64) (Word, Outcome, error) {
-		return b.Hook(now, Word{Group: 1, Stage: Held, Lease: lease}, "m1")
+	hold := func(now, lease float64) (Notification, Outcome, error) {
+		return b.HandleHook(now, Notification{Group: 1, Stage: StageHeld, Lease: lease}, "m1")
 	}
 	if w, _, err := hold(1000, 0); err != nil || w.Lease != 100 {
 		t.Fatal(w, err)
 	}
-	if w, out, err := hold(1090, 0); err != nil || w.Beat != 2 || w.Lease != 100 || len(out.Marks) > 0 {
+	if w, out, err := hold(1090, 0); err != nil || w.Renewals != 2 || w.Lease != 100 || len(out.Marks) > 0 {
 		t.Fatal(w, out, err)
 	}
 	if w, _, err := hold(1180, 900); err != nil || w.Lease != 70 { // 250 in all
@@ -270,21 +270,21 @@
 	if out := b.Tick(1249); len(out.Marks) > 0 {
 		t.Error("lapsed early:", out)
 	}
-	if out := b.Tick(1250); marks(out) != "[{m1 false}]" || !slices.Equal(out.Probe, []string{"m1"}) {
+	if out := b.Tick(1250); marks(out) != "[{m1 false}]" || !slices.Equal(out.QueryRoles, []string{"m1"}) {
 		t.Error(out)
 	}
-	if _, _, err := b.Hook(1251, Word{Group: 1, Epoch: b.groups[1].word.Epoch, Stage: Held}, ""); !errors.Is(err,
-		ErrLapsed) {
+	if _, _, err := b.HandleHook(1251, Notification{Group: 1, Epoch: b.groups[1].word.Epoch, Stage: StageHeld}, ""); !errors.Is(err,
+		ErrLeaseExpired) {
 		t.Error(err)
 	}
 	// a hold that a fellow tells when its lease is nearly over is held for what is left of it alone
 	c := New(rules)
-	c.Told(2000, Word{Group: 2, Epoch: 7, Stage: Held, From: "x", Beat: 1, Lease: 5, Age: 95})
+	c.HandleNotification(2000, Notification{Group: 2, Epoch: 7, Stage: StageHeld, From: "x", Renewals: 1, Lease: 5, HoldAge: 95})
 	if out := c.Tick(2006); marks(out) != "[{x false}]" {
 		t.Error(out)
 	}
-	if out, err := c.Told(2010, Word{Group: 3, Epoch: 7, Stage: Held, From: "y", Beat: 1, Lease: 0,
-		Age: 95}); err != nil || len(out.Marks) > 0 {
+	if out, err := c.HandleNotification(2010, Notification{Group: 3, Epoch: 7, Stage: StageHeld, From: "y", Renewals: 1, Lease: 0,
+		HoldAge: 95}); err != nil || len(out.Marks) > 0 {
 		t.Error("a hold that is over holds:", out, err)
 	}
 }
@@ -292,8 +292,8 @@
 // Behind a release that nobody follows the old primary is let go after a while.
 func TestOpeningEnds(t *testing.T) {
 	b := New(rules)
-	b.Hook(1000, Word{Group: 1, Stage: Held, From: "m1"}, "")
-	b.Hook(1010, Word{Group: 1, Stage: Released}, "")
+	b.HandleHook(1000, Notification{Group: 1, Stage: StageHeld, From: "m1"}, "")
+	b.HandleHook(1010, Notification{Group: 1, Stage: StageReleased}, "")
 	if out := b.Tick(1059); len(out.Marks) > 0 {
 		t.Error(out)
 	}
@@ -305,14 +305,14 @@
 func TestWordsThatMakeNoSense(t *testing.T) {
 	b := New(rules)
 	for i, c := range []struct {
-		w    Word
+		w    Notification
 		want error
 	}{
-		{Word{Group: 1}, ErrBad}, {Word{Group: 1, Stage: 9}, ErrBad}, {Word{Group: 1, Stage: Held, Lease: -1}, ErrBad},
-		{Word{Group: 1, Stage: Released}, ErrNone}, {Word{Group: 1, Stage: Held}, ErrFrom},
-		{Word{Group: 1, Stage: Held, From: "a", To: "a"}, ErrBad},
+		{Notification{Group: 1}, ErrInvalid}, {Notification{Group: 1, Stage: 9}, ErrInvalid}, {Notification{Group: 1, Stage: StageHeld, Lease: -1}, ErrInvalid},
+		{Notification{Group: 1, Stage: StageReleased}, ErrNoChange}, {Notification{Group: 1, Stage: StageHeld}, ErrUnknownPrimary},
+		{Notification{Group: 1, Stage: StageHeld, From: "a", To: "a"}, ErrInvalid},
 	} {
-		if _, out, err := b.Hook(1000, c.w, ""); !errors.Is(err, c.want) || len(out.Marks) > 0 {
+		if _, out, err := b.HandleHook(1000, c.w, ""); !errors.Is(err, c.want) || len(out.Marks) > 0 {
 			t.Errorf("%d: %v %v", i, err, out)
 		}
 	}
@@ -320,13 +320,13 @@
 		t.Error("words that make no sense are kept")
 	}
 	for g := range int64(6) {
-		_, err := b.Told(1000, Word{Group: g, Epoch: 1, Stage: Announced})
+		_, err := b.HandleNotification(1000, Notification{Group: g, Epoch: 1, Stage: StageAnnounced})
 		if (err != nil) != (g >= 4) {
 			t.Error(g, err)
 		}
 	}
 	var s Stage
-	if s.UnmarshalText([]byte("held")) != nil || s != Held || s.UnmarshalText([]byte("hold")) == nil {
+	if s.UnmarshalText([]byte("held")) != nil || s != StageHeld || s.UnmarshalText([]byte("hold")) == nil {
 		t.Error(s)
 	}
 }
