--- /dev/null
+++ b/internal/controlplane/agentlinks.go
@@ -0,0 +1,121 @@
+package controlplane
+
+import (
+	"weirwind/internal/controlplane/controlmsg"
+	"weirwind/internal/util/transport"
+)
+
+// agentLinks are the agents that renew their drivers' leases at this machine: who is notified of changes. It belongs
+// to softState.
+type agentLinks struct {
+	subscriptions map[*link]*subscription
+}
+
+// subscription is an agent's, from its first renewal on a link until the link ends.
+type subscription struct {
+	driver string // name
+	// outdated is whether the agent's last renewal showed other members or drivers than it had been notified of. A
+	// renewal that crosses an update on its way shows that, too: only one that is outdated twice in a row is sent the
+	// whole lists.
+	outdated bool
+}
+
+func newAgentLinks() agentLinks { return agentLinks{subscriptions: map[*link]*subscription{}} }
+
+// subscribe notes a renewal that came on a link. first: it is the link's first.
+func (a *agentLinks) subscribe(l *link, driver string) (s *subscription, first bool) {
+	s, known := a.subscriptions[l]
+	if !known {
+		s = &subscription{}
+		a.subscriptions[l] = s
+	}
+	s.driver = driver
+	return s, !known
+}
+
+// remove forgets the agent of a link that has ended.
+func (a *agentLinks) remove(l *link) { delete(a.subscriptions, l) }
+
+// driverNames gives the names of the drivers that renew at this machine.
+func (a *agentLinks) driverNames() map[string]bool {
+	names := map[string]bool{}
+	for _, s := range a.subscriptions {
+		names[s.driver] = true
+	}
+	return names
+}
+
+// notify sends an update to all agents.
+func (a *agentLinks) notify(update *controlmsg.StateUpdate) {
+	if len(a.subscriptions) == 0 {
+		return
+	}
+	encoded := transport.Encode(&controlmsg.Frame{Update: update})
+	for l := range a.subscriptions {
+		l.SendEncoded(encoded)
+	}
+}
+
+// handleLeaseRenewal prolongs a driver's lease, and sends its agent what it lacks.
+func (s *softState) handleLeaseRenewal(l *link, r *controlmsg.LeaseRenewal, now float64) {
+	if r.Release {
+		s.drivers.release(r.Driver)
+		return
+	}
+	contactAgeMs := s.server.contactAge()
+	if r.Tentative && !s.contact.established {
+		l.Send(&controlmsg.Frame{Update: &controlmsg.StateUpdate{QuorumContactAgeMs: &contactAgeMs}})
+		return
+	}
+	agent, first := s.agents.subscribe(l, r.Driver.Name)
+	if s.drivers.renew(r.Driver, now) {
+		s.peers.broadcast(&controlmsg.Frame{
+			Digest: &controlmsg.StateDigest{MembersHash: s.members.table.Digest()},
+			Leases: []controlmsg.DriverLease{{Driver: r.Driver, RemainingMs: ms(driverLeaseDuration)}},
+		})
+	}
+	own := s.digest()
+	update := &controlmsg.StateUpdate{QuorumContactAgeMs: &contactAgeMs}
+	if s.contact.established || first {
+		update.CoreAddrs = s.coreAddrs
+	}
+	s.addCommitted(update, &r.Digest, &own)
+	s.addDirectory(update, &r.Digest, &own, agent, first, now)
+	f := &controlmsg.Frame{Update: update}
+	if now < ms(recoveryPeriod) && r.Digest.MembersHash != own.MembersHash {
+		// What was lost here is known to those who were notified, tombstones included.
+		f.Digest = &controlmsg.StateDigest{ConfigVersion: r.Digest.ConfigVersion, MembersHash: own.MembersHash, NoReply: true}
+	}
+	l.Send(f)
+}
+
+// addCommitted adds the configuration and the shard map to an answer, where the agent's are older.
+func (s *softState) addCommitted(update *controlmsg.StateUpdate, agents, own *controlmsg.StateDigest) {
+	if s.committed != nil && agents.ConfigVersion < own.ConfigVersion {
+		update.ConfigVersion, update.Config = s.committed.Version, s.committed.Raw
+	}
+	if agents.ShardMapVersion < own.ShardMapVersion {
+		update.ShardMap = s.committed.Shards
+	}
+}
+
+// addDirectory adds the lists of members and drivers to an answer, where the agent's differ on a link's first renewal
+// or twice in a row. A list of drivers that may lack some is given as an addition to what the agent has, and once
+// only.
+func (s *softState) addDirectory(update *controlmsg.StateUpdate, agents, own *controlmsg.StateDigest,
+	agent *subscription, first bool, now float64) {
+	membersDiffer := agents.MembersHash != own.MembersHash
+	driversDiffer := agents.DriversHash != s.drivers.notifiedDigest
+	due := first || agent.outdated
+	agent.outdated = membersDiffer || driversDiffer
+	if due && membersDiffer {
+		update.Members = s.members.table.Snapshot()
+	}
+	switch {
+	case !due || !driversDiffer:
+	case s.directoryComplete(now):
+		update.Drivers = s.drivers.notified
+	case first:
+		update.DriversAdded = s.drivers.table.Drivers()
+	}
+}
--- a/internal/controlplane/calls_golden_test.go
+++ b/internal/controlplane/calls_golden_test.go
@@ -19,8 +19,8 @@
 	method, path, base, body string
 }
 
-// Every call of members, operators and sites, with its status, headers and body byte for byte, at a machine that leads. The machine
-// is alone, so each moment is known.
+// Every call of members, operators and sites, with its status, headers and body byte for byte, at a machine that
+// leads. The machine is alone, so each moment is known.
 func TestCallsKeepTheirAnswers(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		record := newTranscript()
@@ -95,8 +95,8 @@
 	})
 }
 
-// The same at a machine that has had no contact with a majority, at one that has contact but knows no leader, and at one that is
-// stopping.
+// The same at a machine that has had no contact with a majority, at one that has contact but knows no leader, and at
+// one that is stopping.
 func TestCallsKeepTheirRefusals(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		record := newTranscript()
@@ -149,7 +149,7 @@
 		{slowError{}, http.StatusRequestTimeout},
 		{http.ErrBodyReadAfterClose, http.StatusBadRequest},
 	} {
-		if got := statusOf(c.err); got != c.want {
+		if got := statusOf(&bodyError{c.err}); got != c.want {
 			t.Errorf("%v: status %d, want %d", c.err, got, c.want)
 		}
 	}
--- a/internal/controlplane/contact.go
+++ b/internal/controlplane/contact.go
@@ -1,10 +1,5 @@
 package controlplane
 
-// This file owns what a machine does about its contact with the core's majority: how old it is, and what is not said without one.
-//
-// A machine without contact goes on taking what it is told, as it may be the only one that its members and agents reach. It gives
-// nobody a reason to stay with it: calls are answered 503, and agents are told at once, so that they look for another.
-
 import (
 	"math"
 	"net/http"
@@ -16,61 +11,62 @@
 	"weirwind/internal/util/events"
 )
 
-// contactClock passes the moment of the newest contact from the consensus loop to all others. A loop that hangs, say on its disk,
-// renews nothing, and the contact ages.
+// A machine without contact with a quorum goes on accepting what it is sent, as it may be the only one that its
+// members and agents reach. It gives nobody a reason to stay with it: calls are answered 503, and agents are notified
+// at once, so that they look for another.
+
+// contactClock passes the moment of the newest contact with a quorum, in ms, from the consensus loop to all others. A
+// loop that hangs, say on its disk, renews nothing, and the contact ages. Any goroutine may use it.
 type contactClock struct{ bits atomic.Uint64 }
 
 func (c *contactClock) set(at float64) { c.bits.Store(math.Float64bits(at)) }
 
 func (c *contactClock) at() float64 { return math.Float64frombits(c.bits.Load()) }
 
-// contactAge is the age of this machine's newest contact with a majority, in milliseconds; +Inf: there was none.
+// contactAge is the age of this machine's newest contact with a quorum, in ms; +Inf: there was none.
 func (h *Server) contactAge() float64 { return h.now() - h.contact.at() }
 
 func (h *Server) inContact() bool { return h.contactAge() <= consensus.ContactLease }
 
-const noContactText = "this machine is out of contact with the core's majority; ask another"
-
-// refuseWithoutContact answers 503 where there is no contact, so that the caller asks another machine at once.
-func (h *Server) refuseWithoutContact(w http.ResponseWriter) bool {
+// rejectWithoutContact answers with an error where there is no contact, so that the caller turns to another machine
+// at once.
+func (h *Server) rejectWithoutContact(w http.ResponseWriter) bool {
 	if h.inContact() {
 		return false
 	}
-	http.Error(w, noContactText, http.StatusServiceUnavailable)
+	writeError(w, errNoContact)
 	return true
 }
 
-// contactHeader bears the age in milliseconds of what a machine answers from its own knowledge.
-const contactHeader = "Weirwind-Contact-Age-Ms"
-
+// setContactHeader says how old the contact is for an answer that this machine gives from its own knowledge.
 func (h *Server) setContactHeader(w http.ResponseWriter) {
-	w.Header().Set(contactHeader, strconv.FormatFloat(math.Ceil(h.contactAge()), 'f', 0, 64))
+	w.Header().Set(headerContactAgeMs, strconv.FormatFloat(math.Ceil(h.contactAge()), 'f', 0, 64))
 }
 
-// contactEdge is the tables' view of the contact.
-type contactEdge struct {
-	held  bool
-	since float64
+// contactState is the soft state's view of the contact, as of its last tick.
+type contactState struct {
+	established bool
+	since       float64 // when established changed last, in ms
 }
 
-// watchContact tells agents when contact is lost or regained.
-func (t *tables) watchContact(now float64) {
-	held := t.h.inContact()
-	if held == t.contact.held {
+// updateContact notifies agents when contact is lost or regained.
+func (s *softState) updateContact(now float64) {
+	established := s.server.inContact()
+	if established == s.contact.established {
 		return
 	}
-	t.contact = contactEdge{held, now}
-	age := t.h.contactAge()
-	if held {
-		t.h.log.Event(events.ContactHeld, "ageMs", math.Round(age))
-	} else {
-		t.h.log.Event(events.ContactLost, "ageMs", math.Round(age))
+	s.contact = contactState{established: established, since: now}
+	age := s.server.contactAge()
+	event := events.ContactLost
+	if established {
+		event = events.ContactHeld
 	}
-	t.push(&controlmsg.StateUpdate{QuorumContactAgeMs: &age})
+	s.server.log.Event(event, "ageMs", math.Round(age))
+	s.agents.notify(&controlmsg.StateUpdate{QuorumContactAgeMs: &age})
 }
 
-// tableComplete says that the others' words have come in for a whole lease of contact. Without that, silence proves nothing: neither a
-// member nor a driver is taken for gone, and a list of drivers is not given out as if it were all of them.
-func (t *tables) tableComplete(now float64) bool {
-	return t.contact.held && now-t.contact.since >= ms(leaseFor)
+// directoryComplete says that what other core machines know has arrived for a whole lease of contact. Before that
+// silence proves nothing: neither a member nor a driver expires, and a list of drivers is not given out as complete.
+func (s *softState) directoryComplete(now float64) bool {
+	return s.contact.established && now-s.contact.since >= ms(driverLeaseDuration)
 }
--- /dev/null
+++ b/internal/controlplane/corelinks.go
@@ -0,0 +1,134 @@
+package controlplane
+
+import (
+	"sync"
+	"time"
+
+	"weirwind/internal/controlplane/controlmsg"
+	"weirwind/internal/util/events"
+	"weirwind/internal/util/transport"
+)
+
+// Pauses between two attempts to connect to another core machine.
+const (
+	initialReconnectPause = 50 * time.Millisecond
+	maxReconnectPause     = time.Second
+)
+
+// coreLinks are this machine's links to the other machines of the core. Any goroutine may use them.
+//
+// Each pair of machines dials both ways. A machine sends over the link that it dialled itself, or, while that is
+// down, over the one on which the peer was heard last.
+type coreLinks struct {
+	server *Server
+
+	mu sync.Mutex
+	// byAddr is by mesh address. Entries are never removed, as each has a goroutine that keeps it connected.
+	byAddr map[string]*coreLink
+}
+
+// coreLink is the two links between this machine and another one.
+type coreLink struct {
+	dialled  *link // nil while it is down
+	accepted *link // on which the peer was heard last: it may be up while dialled is still down
+}
+
+func newCoreLinks(h *Server) *coreLinks {
+	return &coreLinks{server: h, byAddr: map[string]*coreLink{}}
+}
+
+// connect keeps a link to the core machine with that control address, until the process ends.
+func (c *coreLinks) connect(controlAddr string) {
+	h := c.server
+	if controlAddr == h.settings.ControlAddr {
+		return
+	}
+	addr := h.settings.MeshAddr(controlAddr)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.byAddr[addr] != nil {
+		return
+	}
+	core := &coreLink{}
+	c.byAddr[addr] = core
+	pauses := transport.Backoff{Initial: initialReconnectPause, Max: maxReconnectPause, DialTimeout: transport.DialTimeout}
+	go transport.KeepConnected(h.ctx, addr, pauses, func(l *link) {
+		l.SetCounters(&h.dialled)
+		l.Send(controlmsg.NewHello("core", h.settings.Hostname, h.settings.ControlAddr))
+		c.setDialled(core, l)
+		h.log.Event(events.LinkUp, "core", controlAddr)
+	}, h.handleFrame, func() {
+		h.pending.failLink(c.setDialled(core, nil))
+		h.log.Event(events.LinkDown, "core", controlAddr)
+		h.loop.do(func() { h.loop.node.LeaderDisconnected(controlAddr, h.now()) })
+	})
+}
+
+// setDialled replaces the link that this machine dialled, and gives the one before it.
+func (c *coreLinks) setDialled(core *coreLink, l *link) (previous *link) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	previous, core.dialled = core.dialled, l
+	return previous
+}
+
+// noteSender notes on which link a core machine was heard, and connects to one that was unknown.
+func (c *coreLinks) noteSender(controlAddr string, l *link) {
+	c.connect(controlAddr)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if core := c.byAddr[c.server.settings.MeshAddr(controlAddr)]; core != nil {
+		core.accepted = l
+	}
+}
+
+// count counts the dialled links that are up.
+func (c *coreLinks) count() (n int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, core := range c.byAddr {
+		if core.dialled != nil {
+			n++
+		}
+	}
+	return n
+}
+
+// linkTo gives a link to a core machine that is up, nil for none at the moment, and connects to one that was unknown.
+func (c *coreLinks) linkTo(controlAddr string) *link {
+	var dialled, accepted *link
+	c.mu.Lock()
+	core := c.byAddr[c.server.settings.MeshAddr(controlAddr)]
+	if core != nil {
+		dialled, accepted = core.dialled, core.accepted
+	}
+	c.mu.Unlock()
+	if core == nil {
+		c.connect(controlAddr)
+	}
+	for _, l := range []*link{dialled, accepted} {
+		if l != nil && l.Up() {
+			return l
+		}
+	}
+	return nil
+}
+
+// send sends to a core machine. A frame for which no link is up is dropped: whoever needs an answer retries.
+func (c *coreLinks) send(controlAddr string, f *controlmsg.Frame) {
+	if l := c.linkTo(controlAddr); l != nil {
+		l.Send(f)
+	}
+}
+
+// broadcast sends to all other core machines whose dialled link is up.
+func (c *coreLinks) broadcast(f *controlmsg.Frame) {
+	encoded := transport.Encode(f)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, core := range c.byAddr {
+		if core.dialled != nil {
+			core.dialled.SendEncoded(encoded)
+		}
+	}
+}
--- /dev/null
+++ b/internal/controlplane/failovers.go
@@ -0,0 +1,235 @@
+package controlplane
+
+import (
+	"strconv"
+	"time"
+
+	"weirwind/internal/controlplane/config"
+	"weirwind/internal/controlplane/controlmsg"
+	"weirwind/internal/controlplane/directory"
+	"weirwind/internal/controlplane/failover"
+	"weirwind/internal/util/events"
+)
+
+// Times of failovers.
+const (
+	// minDirectoryAge, and four heartbeat intervals, are how long a process runs before it decides anything about
+	// failovers: all members have sent a heartbeat by then. One that it lacks may alone hold a commit, or be the
+	// primary.
+	minDirectoryAge       = 2 * time.Second
+	minDirectoryIntervals = 4
+	reportMaxAgeMs        = 1500.0 // of what drivers report of a primary
+	voterSilentMs         = 1000.0 // after which another machine of the core counts as silent
+	// uncertainForMs is for how long members may be unknown after a silent machine is heard again, or after this one
+	// began to lead.
+	uncertainForMs = 3000.0
+)
+
+// fenceCallBits is how many of a fencing token's bits number the leader's calls to the platform. The higher bits are
+// its term.
+const fenceCallBits = 16
+
+// failovers carries out what package failover decides, for each service, while this machine leads. It belongs to
+// softState.
+type failovers struct {
+	owner *softState
+
+	controllers map[string]*failover.Controller     // by service
+	reports     map[string]map[string]primaryReport // by service and driver
+	// platformCalls counts the calls of this lead: with the term it makes a fencing token that is never used twice.
+	platformCalls uint64
+
+	members *memberClient
+
+	// voterSilent is whether another machine of the core is silent: members may send their heartbeats to it.
+	voterSilent          bool
+	voterSilentChangedAt float64
+}
+
+// primaryReport is what a driver reported last of a service's primary.
+type primaryReport struct {
+	report     controlmsg.PrimaryReport
+	receivedAt float64
+}
+
+func newFailovers(owner *softState) failovers {
+	return failovers{owner: owner, controllers: map[string]*failover.Controller{},
+		reports: map[string]map[string]primaryReport{}, members: newMemberClient()}
+}
+
+// reset forgets what an earlier lead knew.
+func (f *failovers) reset() {
+	f.controllers, f.reports = map[string]*failover.Controller{}, map[string]map[string]primaryReport{}
+	f.platformCalls = 0
+	f.members.closeAll()
+}
+
+// setVoterSilent notes that another machine of the core fell silent, or that all are heard again.
+func (f *failovers) setVoterSilent(silent bool, now float64) {
+	f.voterSilent, f.voterSilentChangedAt = silent, now
+}
+
+// membershipUncertain says whether there may be live members that this leader has not heard of.
+func (f *failovers) membershipUncertain(now float64) bool {
+	return f.voterSilent || now-max(f.voterSilentChangedAt, f.owner.leadership.since) < uncertainForMs
+}
+
+// nextFence gives a fencing token higher than that of every call before it, of this leader and of earlier ones: a
+// call that arrives late is refused by the platform once a later one was seen.
+func (f *failovers) nextFence() uint64 {
+	f.platformCalls++
+	return f.owner.leadership.term<<fenceCallBits | min(f.platformCalls, 1<<fenceCallBits-1)
+}
+
+// handlePrimaryReport takes what a driver reports of a primary. A machine that does not lead forwards it to the one
+// that does.
+func (s *softState) handlePrimaryReport(r *controlmsg.PrimaryReport, now float64) {
+	h := s.server
+	if !s.leadership.active {
+		h.loop.do(func() {
+			if leader, ok := h.loop.node.Leader(); ok && leader.Addr != h.settings.ControlAddr {
+				h.cores.send(leader.Addr, &controlmsg.Frame{PrimaryReport: r})
+			}
+		})
+		return
+	}
+	byDriver := s.failovers.reports[r.Service]
+	if byDriver == nil {
+		byDriver = map[string]primaryReport{}
+		s.failovers.reports[r.Service] = byDriver
+	}
+	byDriver[r.Driver] = primaryReport{report: *r, receivedAt: now}
+}
+
+// stepFailovers steps each service's controller with what is known now, and the roster behind them.
+func (s *softState) stepFailovers(now float64) {
+	heartbeatInterval := ms(s.server.settings.HeartbeatInterval)
+	if s.config == nil || now < max(ms(minDirectoryAge), minDirectoryIntervals*heartbeatInterval) {
+		return
+	}
+	live := s.members.live()
+	drivers := len(s.drivers.table.Drivers())
+	for i := range s.config.Services {
+		service := &s.config.Services[i]
+		c := s.failovers.controllers[service.Name]
+		if c == nil {
+			c = failover.New(now)
+			s.failovers.controllers[service.Name] = c
+		}
+		view := s.failoverView(service, live[service.Name], drivers, now)
+		for _, action := range c.Step(view, now) {
+			s.failovers.perform(c, service.Name, action)
+		}
+	}
+	s.roster.step(live, now)
+}
+
+// failoverView is what a service's controller decides by.
+func (s *softState) failoverView(service *config.Service, live []directory.Member, drivers int,
+	now float64) *failover.View {
+	view := &failover.View{Service: service.Name, SyncReplicas: service.SyncReplicas, Drivers: drivers,
+		MembershipUncertain: s.failovers.membershipUncertain(now)}
+	for _, m := range live {
+		view.Members = append(view.Members, failover.Member{
+			ID: m.ID, Generation: m.Generation, Draining: m.Leaving,
+			SinceHeartbeat: s.members.table.HeartbeatAge(m.ID, now),
+			Primary:        m.Role == directory.RolePrimary,
+			Replica:        m.Role == directory.RoleReplica,
+			Unlisted:       service.SyncReplicas > 0 && !s.committed.Roster.Contains(service.Name, m.ID),
+		})
+	}
+	if service.SyncReplicas > 0 {
+		view.Members = append(view.Members, s.roster.absent(service.Name, now)...)
+	}
+	for _, r := range s.failovers.reports[service.Name] {
+		if now-r.receivedAt < reportMaxAgeMs {
+			countReport(view, &r.report)
+		}
+	}
+	return view
+}
+
+func countReport(view *failover.View, r *controlmsg.PrimaryReport) {
+	switch {
+	case r.CommitsStalled:
+		view.StallReports++
+	case r.UnresponsiveMs > 0 || r.Unreachable:
+		view.SuspectReports++
+	default:
+		view.HealthyReports++
+	}
+}
+
+// perform carries out an action of a service's controller. What waits for others runs in a goroutine of its own,
+// whose result is a command to the owner; it ends by its own timeout.
+func (f *failovers) perform(c *failover.Controller, service string, action failover.Action) {
+	s := f.owner
+	log := s.server.log
+	switch action.Kind {
+	case failover.Log:
+		log.Event(events.Succession, "svc", service, "member", action.ID, "what", action.Reason)
+	case failover.EnforceDrain:
+		s.members.enforceDrain(action.ID)
+	case failover.Promote:
+		log.Event(events.SuccessStep, "svc", service, "step", "failover", "to", action.ID, "from", action.Reason)
+		go f.promote(c, service, action.ID, f.nextFence())
+	case failover.AllowRemoval:
+		s.roster.removable[config.RosterMember{Service: service, ID: action.ID}] = true
+	default:
+		member, ok := s.members.table.Get(action.ID)
+		if !ok {
+			c.HandleStatusFailure(action.ID, false)
+			return
+		}
+		statement := statusStatement(action)
+		if action.Kind != failover.QueryStatus {
+			log.Event(events.SuccessStep, "svc", service, "step", statement, "member", action.ID)
+		}
+		go f.queryStatus(c, member, action.Kind, statement)
+	}
+}
+
+// statusStatement is the statement to a member that carries out an action and is answered with the member's status.
+// PAUSE and STEPDOWN name the next term, so that a second run of one changes nothing more.
+func statusStatement(action failover.Action) string {
+	nextTerm := strconv.FormatUint(action.Term+1, 10)
+	switch action.Kind {
+	case failover.PauseReplication:
+		return "PAUSE " + nextTerm
+	case failover.ResumeReplication:
+		return "CONT"
+	case failover.StepDown:
+		return "STEPDOWN " + nextTerm
+	}
+	return "STAT"
+}
+
+// queryStatus sends a member a statement, and its controller the result.
+func (f *failovers) queryStatus(c *failover.Controller, member directory.Member, kind failover.ActionKind,
+	statement string) {
+	s := f.owner
+	sentAt := s.server.now()
+	status, refused, err := f.members.queryStatus(member, statement)
+	s.do(func() {
+		if err != nil {
+			c.HandleStatusFailure(member.ID, refused)
+			return
+		}
+		c.HandleStatus(member.ID, kind, sentAt, status)
+	})
+}
+
+// promote has the platform make a member the primary, and its controller told the result.
+func (f *failovers) promote(c *failover.Controller, service, id string, fence uint64) {
+	s := f.owner
+	h := s.server
+	call := platformCall{addr: h.settings.PlatformAddr, caller: h.settings.Hostname, fence: fence,
+		service: service, member: id}
+	status, err := call.do(h.ctx)
+	if err != nil {
+		h.log.Error(events.PlatformCall, err, "svc", service, "member", id)
+	} else {
+		h.log.Event(events.PlatformCall, "svc", service, "member", id, "fence", fence, "status", status)
+	}
+	s.do(func() { c.HandlePromoteResult(id, status, h.now()) })
+}
--- a/internal/controlplane/fixture_test.go
+++ b/internal/controlplane/fixture_test.go
@@ -1,7 +1,8 @@
 package controlplane
 
-// This file owns the fixture of the tests that record behaviour: whole servers in virtual time (testing/synctest), on a disk
-// in memory, with fixed random numbers, over links that are pipes. Nothing sleeps but virtually, and no port is taken.
+// This file owns the fixture of the tests that record behaviour: whole servers in virtual time (testing/synctest), on
+// a disk in memory, with fixed random numbers, over links that are pipes. Nothing sleeps but virtually, and no port
+// is taken.
 
 import (
 	"bytes"
@@ -13,7 +14,6 @@
 	"hash/fnv"
 	"io"
 	"maps"
-	"math"
 	"net"
 	"net/http"
 	"net/http/httptest"
@@ -51,11 +51,11 @@
 	})
 }
 
-// transcript is what a test records, compared with a file of testdata. GOLDEN=write records it anew, which changes what
-// members, agents, operators or other machines of the core see.
+// transcript is what a test records, compared with a file of testdata. GOLDEN=write records it anew, which changes
+// what members, agents, operators or other machines of the core see.
 //
-// Its entries are in the order of their moments, then of their sources, then as they came: what two goroutines do at one moment has
-// no order of its own. Where several goroutines log at one moment, sortLogs orders their lines.
+// Its entries are in the order of their moments, then of their sources, then as they came: what two goroutines do at
+// one moment has no order of its own. Where several goroutines log at one moment, sortLogs orders their lines.
 type transcript struct {
 	mu       sync.Mutex
 	start    time.Time
@@ -135,34 +135,27 @@
 	}
 }
 
-// startServer starts a machine of the core as Run does, but for its listeners. Its two goroutines tick at moments of their own,
-// offset behind those of other machines, so that what happens at one moment happens in one order.
+// startServer starts a machine of the core as Run does, but for its listeners. Its two goroutines tick at moments of
+// their own, offset behind those of other machines, so that what happens at one moment happens in one order.
 func startServer(t *testing.T, ctl string, peers []string, platform string, log io.Writer) *Server {
 	t.Helper()
 	host, _, _ := net.SplitHostPort(ctl)
 	name := "core" + host[strings.LastIndexByte(host, '.')+1:]
 	set := &settings.Settings{Hostname: name, ControlAddr: ctl, IP: host, PortRange: [2]int{7100, 7110}, Peers: peers, Bootstrap: true, DataDir: name,
 		HeartbeatInterval: 600 * time.Millisecond, TolerateNodes: (len(peers) - 1) / 2, PlatformAddr: platform}
-	h := &Server{set: set, log: events.New(log, name), start: time.Now(), cores: map[string]*coreLink{}, pending: newPendingCalls(time.Now())}
-	h.ctx, h.cancel = context.WithCancelCause(context.Background())
-	h.contact.set(math.Inf(-1))
+	h := newServer(context.Background(), set, events.New(log, name))
 	for _, p := range peers { // links to them are the test's to make
 		if p != ctl {
-			h.cores[set.MeshAddr(p)] = &coreLink{}
+			h.cores.byAddr[set.MeshAddr(p)] = &coreLink{}
 		}
 	}
-	var err error
-	if h.loop, err = openConsensusLoop(h); err != nil {
+	if err := h.open(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	h.tables = newTables(h)
-	if h.first != nil {
-		h.first()
-	}
 	done := make(chan struct{})
 	go func() { h.loop.run(h.ctx); close(done) }()
 	time.Sleep(17 * time.Millisecond)
-	go h.tables.run()
+	go h.state.run()
 	t.Cleanup(func() {
 		h.cancel(nil)
 		<-done
@@ -214,7 +207,7 @@
 func newPeer(t *testing.T, h *Server, name string, record *transcript) *peer {
 	t.Helper()
 	near, far := net.Pipe()
-	p := &peer{conn: far, link: linkOver(t, near, h.take, h.linkEnded)}
+	p := &peer{conn: far, link: linkOver(t, near, h.handleFrame, h.handleLinkDown)}
 	t.Cleanup(func() { far.Close() })
 	go func() {
 		var head [4]byte
@@ -245,8 +238,8 @@
 	synctest.Wait()
 }
 
-// frameText gives a frame's bytes, a long one's by their number and digest. Records in one frame that waited for a tick come in the
-// order of a map: they are sorted first.
+// frameText gives a frame's bytes, a long one's by their number and digest. Records in one frame that waited for a
+// tick come in the order of a map: they are sorted first.
 func frameText(raw []byte) string {
 	var f controlmsg.Frame
 	if err := cbor.Unmarshal(raw, &f); err != nil {
@@ -284,14 +277,14 @@
 	headers := map[string][]string(w.Header())
 	for _, k := range slices.Sorted(maps.Keys(headers)) {
 		value := strings.Join(headers[k], " | ")
-		if age, err := strconv.Atoi(value); k == contactHeader && err == nil && age >= 0 && age <= consensus.ContactLease {
+		if age, err := strconv.Atoi(value); k == headerContactAgeMs && err == nil && age >= 0 && age <= consensus.ContactLease {
 			value = "(age)" // the call itself may have the loop renew the contact, before or after it is read
 		}
 		fmt.Fprintf(&out, "  %s: %s\n", k, value)
 	}
 	answer := w.Body.String()
 	if path == "/shards" { // the leader is left out of it where the loop answers before the tables do: which comes first is not fixed
-		answer = strings.Replace(answer, `"leader":"`+h.set.ControlAddr+`"`, `"leader":""`, 1)
+		answer = strings.Replace(answer, `"leader":"`+h.settings.ControlAddr+`"`, `"leader":""`, 1)
 	}
 	fmt.Fprintf(&out, "  %q", answer)
 	record.add(httpSource, out.String())
--- a/internal/controlplane/forward.go
+++ b/internal/controlplane/forward.go
@@ -1,9 +1,6 @@
 package controlplane
 
-// This file owns operators' calls on their way to the machine that leads, and what becomes of them when the lead is another's.
-
 import (
-	"net/http"
 	"sync/atomic"
 	"time"
 
@@ -12,90 +9,98 @@
 )
 
 const (
-	// statusNotLeading is said between core machines only: the call was not decided where it went.
-	statusNotLeading = http.StatusMisdirectedRequest
-	// leaderTimeout is for how long a call is held while nobody is known to lead. Callers go on to another machine after a second
-	// of silence, and wait longer before each try, so that a call that outlasts an election is answered sooner than its next try.
+	// leaderTimeout is for how long a request is retried while no leader is known. Callers turn to another machine after
+	// a second of silence, and back off before each retry, so that a request that outlasts an election is answered
+	// sooner than its retry.
 	leaderTimeout = 800 * time.Millisecond
-	leaderPause   = 30 * time.Millisecond
+	leaderPause   = 30 * time.Millisecond // between two attempts
 )
 
-// call answers an operator's call, here or at who leads.
-func (h *Server) call(a controlmsg.Request) (int, []byte) {
+// submit has the leader decide a request, here or by forwarding it, and gives the caller's answer. It waits for
+// requestTimeout at most, after the last attempt, or until the process ends. It is not bound to the context of a
+// caller: a request whose caller has gone is decided all the same, and recognized when the caller retries.
+func (h *Server) submit(request controlmsg.Request) answer {
 	if !h.inContact() {
-		return http.StatusServiceUnavailable, []byte(noContactText + "\n")
+		return answerTo(errNoContact)
 	}
-	a.Origin = h.set.Hostname
+	request.Origin = h.settings.Hostname
 	began := time.Now()
 	for {
-		r, sent := h.callOnce(a, began.Add(requestTimeout))
-		if r.Status != statusNotLeading {
-			return r.Status, r.Body
+		a, mayHaveRun := h.attempt(request, began.Add(requestTimeout))
+		if !a.undecided() {
+			return a
 		}
-		if sent && kindOf(&a) == idempotency.AtMostOnce || time.Since(began) > leaderTimeout {
-			return http.StatusServiceUnavailable, r.Body
+		if mayHaveRun && effectOf(&request) == idempotency.AtMostOnce || time.Since(began) > leaderTimeout {
+			return a.forCaller()
 		}
 		select {
 		case <-time.After(leaderPause):
 		case <-h.ctx.Done():
-			return http.StatusServiceUnavailable, []byte("stopping\n")
+			return answerTo(errStopping)
 		}
 	}
 }
 
-// kindOf says which calls can be made again as they were: readings, and changes that are found among those taken.
-func kindOf(a *controlmsg.Request) idempotency.Kind {
-	if a.ShardChange != nil || a.SiteChange != nil || a.SiteLease != nil {
+// effectOf says which requests can be retried as they were: reads, and changes that are recognized among those that
+// were applied.
+func effectOf(r *controlmsg.Request) idempotency.Kind {
+	if r.ShardChange != nil || r.SiteChange != nil || r.SiteLease != nil {
 		return idempotency.AtMostOnce
 	}
 	return idempotency.Idempotent
 }
 
-// callOnce has one machine decide. sent: it may have been carried out.
-func (h *Server) callOnce(a controlmsg.Request, until time.Time) (r *controlmsg.Response, sent bool) {
-	c := &routedCall{request: a, answer: make(chan *controlmsg.Response, 1), over: make(chan struct{})}
-	defer close(c.over)
-	h.loop.do(func() { h.route(c) })
-	timer := time.NewTimer(time.Until(until))
+// attempt has one machine decide. mayHaveRun: it may have been carried out.
+func (h *Server) attempt(request controlmsg.Request, deadline time.Time) (a answer, mayHaveRun bool) {
+	call := &routedCall{request: request, response: make(chan *controlmsg.Response, 1), done: make(chan struct{})}
+	defer close(call.done)
+	h.loop.do(func() { h.route(call) })
+	timer := time.NewTimer(time.Until(deadline))
 	defer timer.Stop()
 	select {
-	case r = <-c.answer:
+	case r := <-call.response:
+		a = answer{status: r.Status, body: r.Body}
 	case <-timer.C:
-		r = &controlmsg.Response{Status: http.StatusServiceUnavailable, Body: []byte("no answer from who leads the core\n")}
+		a = answerTo(errNoAnswer)
 	case <-h.ctx.Done():
-		r = &controlmsg.Response{Status: http.StatusServiceUnavailable, Body: []byte("stopping\n")}
+		a = answerTo(errStopping)
 	}
-	return r, c.sent.Load()
+	return a, call.mayHaveRun.Load()
 }
 
-// routedCall is a call that one machine is to decide.
+// routedCall is a request that one machine is to decide.
 type routedCall struct {
-	request controlmsg.Request
-	answer  chan *controlmsg.Response // has room for one
-	over    chan struct{}             // closed when the caller waits no longer
-	sent    atomic.Bool               // somebody may have decided it
+	request    controlmsg.Request
+	response   chan *controlmsg.Response // has room for one
+	done       chan struct{}             // closed when the caller waits no longer
+	mayHaveRun atomic.Bool               // a machine may have decided it
 }
 
-// route runs in the consensus loop: the call is decided in this machine's own queue, or by who leads, who is asked once.
-func (h *Server) route(c *routedCall) {
-	leader, known := h.loop.node.Leader()
-	if known && leader.ID == h.loop.node.HardState.ID {
-		c.sent.Store(true)
-		h.loop.take(c.request, func(status int, body []byte) { c.answer <- &controlmsg.Response{Status: status, Body: body} })
+// route has a request decided by this machine's own queue, or by the leader, which is asked once. It runs in the
+// consensus loop.
+func (h *Server) route(call *routedCall) {
+	node := h.loop.node
+	leader, known := node.Leader()
+	if known && leader.ID == node.HardState.ID {
+		call.mayHaveRun.Store(true)
+		h.loop.submit(call.request, func(status int, body []byte) {
+			call.response <- &controlmsg.Response{Status: status, Body: body}
+		})
 		return
 	}
 	var l *link
 	if known {
-		l = h.coreLink(leader.Addr)
+		l = h.cores.linkTo(leader.Addr)
 	}
 	if l == nil {
-		c.answer <- &controlmsg.Response{Status: statusNotLeading, Body: []byte("nobody is known to lead the core\n")}
+		unknown := answerTo(errNoLeader)
+		call.response <- &controlmsg.Response{Status: unknown.status, Body: unknown.body}
 		return
 	}
-	c.sent.Store(true)
-	id := h.pending.send(l, leader.Addr, c.request, c.answer)
+	call.mayHaveRun.Store(true)
+	id := h.pending.send(l, leader.Addr, call.request, call.response)
 	go func() {
-		<-c.over
+		<-call.done
 		h.pending.forget(id)
 	}()
 }
--- a/internal/controlplane/frames_golden_test.go
+++ b/internal/controlplane/frames_golden_test.go
@@ -21,9 +21,9 @@
 	"weirwind/internal/controlplane/directory"
 )
 
-// What a machine that leads says to two agents and to another machine of the core, with its moment and byte for byte: answers to
-// renewals, members' records, drivers that come and go, configurations, shard maps, heartbeats passed on, digests, and what is said
-// as contact is lost and regained.
+// What a machine that leads says to two agents and to another machine of the core, with its moment and byte for byte:
+// answers to renewals, members' records, drivers that come and go, configurations, shard maps, heartbeats passed on,
+// digests, and what is said as contact is lost and regained.
 func TestFramesKeepTheirBytes(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		record := newTranscript()
@@ -31,9 +31,9 @@
 		h := startServer(t, "10.0.0.1:7000", []string{"10.0.0.1:7000"}, "", record)
 		time.Sleep(3011 * time.Millisecond)
 		agent, other, core := newPeer(t, h, "agent", record), newPeer(t, h, "other", record), newPeer(t, h, "core", record)
-		h.mu.Lock()
-		h.cores["10.0.0.2:7100"] = &coreLink{l: core.link}
-		h.mu.Unlock()
+		h.cores.mu.Lock()
+		h.cores.byAddr["10.0.0.2:7100"] = &coreLink{dialled: core.link}
+		h.cores.mu.Unlock()
 		pause := func(d time.Duration) {
 			time.Sleep(d)
 			synctest.Wait()
@@ -229,8 +229,8 @@
 	r.ln.Close()
 }
 
-// A leader whose service loses its primary: what members are asked, what the platform is called with, what is logged and when. Then
-// a planned hand-over, shards on two nodes, and the end of a lead.
+// A leader whose service loses its primary: what members are asked, what the platform is called with, what is logged
+// and when. Then a planned hand-over, shards on two nodes, and the end of a lead.
 func TestFailoverKeepsItsSteps(t *testing.T) {
 	members := []*replica{newReplica(t, "m1", "primary", "3.10"), newReplica(t, "m2", "replica", "3.10"),
 		newReplica(t, "m3", "replica", "3.9"), newReplica(t, "n1", "primary", "1.1")}
@@ -282,10 +282,10 @@
 		call(log, h, "GET", "/status", nil, "")
 		log.step("the primary dies")
 		members[0].kill()
-		h.tables.do(func() {
-			h.tables.report(&controlmsg.PrimaryReport{Service: "s", MemberID: "m1", UnresponsiveMs: 100, Driver: "d1", Unreachable: true}, h.now())
-			h.tables.report(&controlmsg.PrimaryReport{Service: "s", MemberID: "m1", Driver: "d2", CommitsStalled: true}, h.now())
-			h.tables.report(&controlmsg.PrimaryReport{Service: "s", MemberID: "m1", Driver: "d3"}, h.now())
+		h.state.do(func() {
+			h.state.handlePrimaryReport(&controlmsg.PrimaryReport{Service: "s", MemberID: "m1", UnresponsiveMs: 100, Driver: "d1", Unreachable: true}, h.now())
+			h.state.handlePrimaryReport(&controlmsg.PrimaryReport{Service: "s", MemberID: "m1", Driver: "d2", CommitsStalled: true}, h.now())
+			h.state.handlePrimaryReport(&controlmsg.PrimaryReport{Service: "s", MemberID: "m1", Driver: "d3"}, h.now())
 		})
 		run(12*time.Second, "m1")
 		log.step("it stays away, and the other one drains")
@@ -302,7 +302,7 @@
 		call(log, h, "GET", "/shards", nil, "")
 		call(log, h, "GET", "/status", nil, "")
 		log.step("the lead ends")
-		h.tables.do(func() { h.tables.lead(false, 9) })
+		h.state.do(func() { h.state.setLeadership(false, 9) })
 		run(2*time.Second, "m1")
 		call(log, h, "GET", "/shards", nil, "")
 		call(log, h, "GET", "/status", nil, "")
@@ -326,7 +326,8 @@
 	compareGolden(t, "failover.txt", all.String())
 }
 
-// trio is three machines of the core, all linked. Which of them is elected is not fixed, so that they are recorded by their roles.
+// trio is three machines of the core, all linked. Which of them is elected is not fixed, so that they are recorded by
+// their roles.
 type trio struct {
 	servers []*Server
 	conns   map[*Server][]net.Conn
@@ -357,22 +358,19 @@
 func (c *trio) connect(t *testing.T, from, to *Server) {
 	t.Helper()
 	near, far := net.Pipe()
+	core := from.cores.byAddr[from.settings.MeshAddr(to.settings.ControlAddr)]
 	linkOver(t, far, func(l *link, f *controlmsg.Frame) {
 		if f.Consensus == nil && f.Digest == nil {
 			c.record.add(c.role(from)+" > "+c.role(to), c.textOf(f, from))
 		}
-		to.take(l, f)
-	}, to.linkEnded)
-	l := linkOver(t, near, from.take, func(l *link) {
-		from.pending.lost(l)
-		from.mu.Lock()
-		from.cores[from.set.MeshAddr(to.set.ControlAddr)].l = nil
-		from.mu.Unlock()
-		from.loop.do(func() { from.loop.node.LeaderDisconnected(to.set.ControlAddr, from.now()) })
+		to.handleFrame(l, f)
+	}, to.handleLinkDown)
+	l := linkOver(t, near, from.handleFrame, func(l *link) {
+		from.pending.failLink(l)
+		from.cores.setDialled(core, nil)
+		from.loop.do(func() { from.loop.node.LeaderDisconnected(to.settings.ControlAddr, from.now()) })
 	})
-	from.mu.Lock()
-	from.cores[from.set.MeshAddr(to.set.ControlAddr)].l = l
-	from.mu.Unlock()
+	from.cores.setDialled(core, l)
 	c.conns[from], c.conns[to] = append(c.conns[from], far), append(c.conns[to], far)
 }
 
@@ -391,7 +389,7 @@
 			continue
 		}
 		leads := make(chan bool, 1)
-		h.loop.do(func() { leads <- h.loop.led })
+		h.loop.do(func() { leads <- h.loop.established })
 		if <-leads {
 			all = slices.Insert(all, 0, h)
 		} else {
@@ -426,8 +424,8 @@
 	return frameText(raw)
 }
 
-// Three machines of the core: calls put to each are forwarded to who leads and answered from there; then the leader is cut off, and
-// calls are forwarded to the next.
+// Three machines of the core: calls put to each are forwarded to who leads and answered from there; then the leader
+// is cut off, and calls are forwarded to the next.
 func TestForwardedCallsKeepTheirFrames(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		record := newTranscript()
@@ -456,8 +454,8 @@
 			if heartbeat(h, "m", "s0", "10.0.1.1:1", "primary", "ok", i+1) != 200 {
 				t.Error("a heartbeat was refused")
 			}
-			h.tables.do(func() {
-				h.tables.take(nil, &controlmsg.Frame{PrimaryReport: &controlmsg.PrimaryReport{Service: "s0", MemberID: "m", UnresponsiveMs: 3, Driver: c.role(h)}})
+			h.state.do(func() {
+				h.state.handleFrame(nil, &controlmsg.Frame{PrimaryReport: &controlmsg.PrimaryReport{Service: "s0", MemberID: "m", UnresponsiveMs: 3, Driver: c.role(h)}})
 			})
 			time.Sleep(time.Second)
 		}
--- /dev/null
+++ b/internal/controlplane/memberclient.go
@@ -0,0 +1,107 @@
+package controlplane
+
+import (
+	"errors"
+	"sync"
+	"time"
+
+	"github.com/samber/oops"
+
+	"weirwind/internal/controlplane/directory"
+	"weirwind/internal/dataplane/memberconn"
+	"weirwind/internal/dataplane/wire"
+	"weirwind/internal/util/idempotency"
+)
+
+// statusTimeout bounds a question of a member's status.
+const statusTimeout = 700 * time.Millisecond
+
+// memberClient puts the control plane's own questions to members, and keeps an idle connection to each. Any goroutine
+// may use it.
+type memberClient struct {
+	mu   sync.Mutex
+	idle map[string]*memberconn.Conn // by the member's id; a connection in use is not in it
+}
+
+func newMemberClient() *memberClient { return &memberClient{idle: map[string]*memberconn.Conn{}} }
+
+// closeAll closes the idle connections.
+func (c *memberClient) closeAll() {
+	c.mu.Lock()
+	idle := c.idle
+	c.idle = map[string]*memberconn.Conn{}
+	c.mu.Unlock()
+	for _, conn := range idle {
+		conn.Close()
+	}
+}
+
+// acquire gives the idle connection to a member, nil for none.
+func (c *memberClient) acquire(id string) *memberconn.Conn {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	conn := c.idle[id]
+	delete(c.idle, id)
+	return conn
+}
+
+// release keeps a connection for the next question, in place of another that was kept meanwhile.
+func (c *memberClient) release(id string, conn *memberconn.Conn) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if other := c.idle[id]; other != nil {
+		other.Close()
+	}
+	c.idle[id] = conn
+}
+
+// queryStatus sends a statement that is answered with the member's status; refused: the member accepts no connection.
+// A second run of one is the same again: STAT changes nothing, PAUSE and STEPDOWN name their term, CONT resumes what
+// may be resumed.
+func (c *memberClient) queryStatus(m directory.Member,
+	statement string) (status wire.MemberStatus, refused bool, err error) {
+	deadline := time.Now().Add(statusTimeout)
+	refused, err = c.do(m, deadline, idempotency.Idempotent, func(conn *memberconn.Conn) (err error) {
+		status, err = conn.QueryStatus(statement, deadline)
+		return err
+	})
+	if err != nil {
+		err = oops.In("stat").With("peer", m.Addr).Wrap(err)
+	}
+	return status, refused, err
+}
+
+// query sends a statement that is answered with rows.
+func (c *memberClient) query(m directory.Member, statement string, deadline time.Time) (rows []string, err error) {
+	_, err = c.do(m, deadline, idempotency.Idempotent, func(conn *memberconn.Conn) (err error) {
+		rows, err = conn.Query(statement, deadline)
+		return err
+	})
+	return rows, err
+}
+
+// do puts a question over the idle connection, or over a new one where that ended as it rested and the question may
+// be retried. A member's own error leaves the connection usable.
+func (c *memberClient) do(m directory.Member, deadline time.Time, effect idempotency.Kind,
+	put func(*memberconn.Conn) error) (refused bool, err error) {
+	conn := c.acquire(m.ID)
+	for reused := conn != nil; ; reused = false {
+		if conn == nil {
+			if conn, refused, err = memberconn.Dial(m, deadline); err != nil {
+				return refused, err
+			}
+		}
+		err = put(conn)
+		var memberError *memberconn.MemberError
+		switch {
+		case err == nil, errors.As(err, &memberError):
+			c.release(m.ID, conn)
+			return false, err
+		case !reused || !effect.MayRetry(err) || !time.Now().Before(deadline):
+			conn.Close()
+			return false, err
+		}
+		conn.Close()
+		conn = nil
+	}
+}
--- /dev/null
+++ b/internal/controlplane/membersresource.go
@@ -0,0 +1,86 @@
+package controlplane
+
+import (
+	"encoding/json"
+	"io"
+	"net/http"
+
+	"weirwind/internal/controlplane/controlmsg"
+	"weirwind/internal/controlplane/directory"
+)
+
+// membersResource serves the calls of members.
+type membersResource struct{ h *Server }
+
+// heartbeatBody is the body of a heartbeat, as members send it. Fields that are not known here are ignored.
+type heartbeatBody struct {
+	Service    string `json:"svc"`
+	Addr       string `json:"addr"`
+	Zone       string `json:"zone"`
+	Generation string `json:"gen"`
+	Slots      int    `json:"slots"`
+	State      string `json:"state"`  // "draining": it wants to leave
+	Role       string `json:"dbRole"` // "primary" or "replica"; any other is unknown
+	Seq        uint64 `json:"seq"`
+}
+
+// record gives the member's record, as it describes itself.
+func (b *heartbeatBody) record(id string) directory.Member {
+	record := directory.Member{ID: id, Service: b.Service, Addr: b.Addr, Zone: b.Zone, Generation: b.Generation,
+		Slots: b.Slots, Leaving: b.State == "draining", Seq: b.Seq}
+	switch b.Role {
+	case "primary":
+		record.Role = directory.RolePrimary
+	case "replica":
+		record.Role = directory.RoleReplica
+	}
+	return record
+}
+
+// heartbeat takes a member's heartbeat, and acknowledges it once it is in the table here.
+func (m *membersResource) heartbeat(w http.ResponseWriter, r *http.Request) {
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxHeartbeatBytes))
+	var b heartbeatBody
+	if err == nil {
+		err = json.Unmarshal(body, &b)
+	}
+	if err != nil || b.Service == "" || b.Addr == "" {
+		writeError(w, &invalidCallError{"a beat names its svc and addr"})
+		return
+	}
+	record, state := b.record(r.PathValue("id")), m.h.state
+	if err := state.call(func() { state.members.handleHeartbeat(record, m.h.now()) }); err != nil {
+		writeError(w, errStopping)
+		return
+	}
+	m.acknowledge(w)
+}
+
+// leave takes a member's notice that it ends.
+func (m *membersResource) leave(w http.ResponseWriter, r *http.Request) {
+	m.removeMember(r.PathValue("id"))
+	m.acknowledge(w)
+}
+
+// forget removes a member that is gone for good from the roster, by an operator's call: its group waits for it no
+// longer. What it alone held is given up.
+func (m *membersResource) forget(w http.ResponseWriter, r *http.Request) {
+	id := r.PathValue("id")
+	m.removeMember(id)
+	writeAnswer(w, m.h.submit(controlmsg.Request{ForgetMember: id}), contentTypeText)
+}
+
+func (m *membersResource) removeMember(id string) {
+	state := m.h.state
+	state.do(func() { state.members.leave(id, m.h.now()) })
+}
+
+// acknowledge answers a member whose record is in the table here. Without contact it would be in no other: the member
+// is to repeat its call to another machine.
+func (m *membersResource) acknowledge(w http.ResponseWriter) {
+	if m.h.rejectWithoutContact(w) {
+		return
+	}
+	w.Header().Set(headerContentType, contentTypeJSON)
+	_, _ = io.WriteString(w, "{}\n")
+}
--- a/internal/controlplane/pending.go
+++ b/internal/controlplane/pending.go
@@ -1,7 +1,5 @@
 package controlplane
 
-// This file owns which call an answer belongs to: calls that this machine passed on to who leads, and that wait.
-
 import (
 	"sync"
 	"time"
@@ -9,50 +7,53 @@
 	"weirwind/internal/controlplane/controlmsg"
 )
 
-// callID is a call's identity. A number is never used twice by one process, nor, as it begins at the time of day, by
-// two lives of one; an answer counts only where it comes over the very link that the call went out on.
+// callID is a forwarded request's identity. A number is never used twice by one process, nor, as it begins at the
+// time of day, by two incarnations of one; a response counts only where it comes over the very link that the request
+// went out on.
 type callID struct {
 	link   *link
 	number uint64
 }
 
-// pendingCalls are those that wait for their answer.
+// pendingCalls are the requests that were forwarded to the leader and wait for their response. Any goroutine may use
+// them. Each call gets one response at most: the leader's, or one by statusNotLeader where none can come any more.
 type pendingCalls struct {
 	mu     sync.Mutex
-	number uint64
+	number uint64 // of the newest
 	calls  map[callID]pendingCall
 }
 
 type pendingCall struct {
-	leader string                      // control address of who was asked
-	answer chan<- *controlmsg.Response // takes one without waiting
+	leader   string                      // control address of the machine that was asked
+	response chan<- *controlmsg.Response // accepts one without waiting
 }
 
 func newPendingCalls(start time.Time) *pendingCalls {
 	return &pendingCalls{number: uint64(start.UnixNano()), calls: map[callID]pendingCall{}}
 }
 
-// add has a call that goes out to a leader over a link wait for its answer in ch, which must have room for one.
-func (p *pendingCalls) add(l *link, leader string, ch chan<- *controlmsg.Response) callID {
+// add registers a request that goes out to a leader over a link. Its response goes to response, which must have room
+// for one.
+func (p *pendingCalls) add(l *link, leader string, response chan<- *controlmsg.Response) callID {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.number++
 	id := callID{l, p.number}
-	p.calls[id] = pendingCall{leader, ch}
+	p.calls[id] = pendingCall{leader, response}
 	return id
 }
 
-// send puts a call over a link to a leader, once, and has its answer come to ch.
-func (p *pendingCalls) send(l *link, leader string, r controlmsg.Request, ch chan<- *controlmsg.Response) callID {
-	id := p.add(l, leader, ch)
+// send sends a request over a link to a leader, once, and has its response go to response.
+func (p *pendingCalls) send(l *link, leader string, r controlmsg.Request, response chan<- *controlmsg.Response) callID {
+	id := p.add(l, leader, response)
 	r.Number = id.number
 	if !l.Send(&controlmsg.Frame{Request: &r}) {
-		p.lost(l)
+		p.failLink(l)
 	}
 	return id
 }
 
-// forget lets go of a call whose caller waits no longer: its answer will be dropped.
+// forget drops a call whose caller waits no longer: its response will be dropped.
 func (p *pendingCalls) forget(id callID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -63,32 +64,33 @@
 func (p *pendingCalls) answer(l *link, r *controlmsg.Response) {
 	p.mu.Lock()
 	id := callID{l, r.Number}
-	c, waits := p.calls[id]
+	call, pending := p.calls[id]
 	delete(p.calls, id)
 	p.mu.Unlock()
-	if waits {
-		c.answer <- r
+	if pending {
+		call.response <- r
 	}
 }
 
-// lost ends all calls that went out over a link that has ended: what came of them is not known, and no answer can
-// come any more.
-func (p *pendingCalls) lost(l *link) {
-	p.end(func(id callID, _ pendingCall) bool { return id.link == l })
+// failLink ends the calls that went out over a link that has ended: what became of them is not known, and no response
+// can come any more.
+func (p *pendingCalls) failLink(l *link) {
+	p.fail(func(id callID, _ pendingCall) bool { return id.link == l })
 }
 
-// leadEnded ends all calls that were passed on to a machine that leads no longer.
-func (p *pendingCalls) leadEnded(leader string) {
-	p.end(func(_ callID, c pendingCall) bool { return leader != "" && c.leader == leader })
+// failLeader ends the calls that were forwarded to a machine that leads no longer.
+func (p *pendingCalls) failLeader(leader string) {
+	p.fail(func(_ callID, c pendingCall) bool { return leader != "" && c.leader == leader })
 }
 
-func (p *pendingCalls) end(which func(callID, pendingCall) bool) {
+func (p *pendingCalls) fail(matches func(callID, pendingCall) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for id, c := range p.calls {
-		if which(id, c) {
+	for id, call := range p.calls {
+		if matches(id, call) {
 			delete(p.calls, id)
-			c.answer <- &controlmsg.Response{Status: statusNotLeading, Body: []byte("who led the core leads no longer, or can't be reached\n")}
+			lost := answerTo(errLeaderLost)
+			call.response <- &controlmsg.Response{Status: lost.status, Body: lost.body}
 		}
 	}
 }
--- a/internal/controlplane/pending_test.go
+++ b/internal/controlplane/pending_test.go
@@ -59,7 +59,7 @@
 				}
 				p.answer(over, &controlmsg.Response{Number: id.number, Status: 200, Body: []byte(body(callID{over, id.number}))})
 			case 5:
-				p.lost(l)
+				p.failLink(l)
 				for _, c := range calls {
 					if c.id.link == l && len(c.ch) == 0 && !c.over {
 						t.Fatalf("%s waits on a link that has ended", c.body)
--- a/internal/controlplane/requests.go
+++ b/internal/controlplane/requests.go
@@ -1,10 +1,6 @@
 package controlplane
 
-// This file owns operators' requests at the machine that leads: they are queued and decided by package orders; here
-// their answers go out and into the log.
-
 import (
-	"errors"
 	"time"
 
 	"weirwind/internal/controlplane/controlmsg"
@@ -12,43 +8,45 @@
 	"weirwind/internal/util/events"
 )
 
-// take queues a call at the leader.
-func (c *consensusLoop) take(r controlmsg.Request, reply func(status int, body []byte)) {
-	c.orders.Submit(&orders.Order{Request: r, Reply: func(a orders.Answer) {
-		c.logAnswer(&r, &a)
-		if r.SiteLease != nil && a.Outcome == orders.OutcomeRead {
-			c.h.tables.do(func() { c.h.tables.granted[r.SiteLease.Site] = c.h.now() })
-		}
-		if errors.Is(a.Err, orders.ErrNotLeader) {
-			a.Status = statusNotLeading
+// submit queues a request at the leader. reply is called once, with an HTTP status and a body, or with statusNotLeader.
+func (c *consensusLoop) submit(request controlmsg.Request, reply func(status int, body []byte)) {
+	order := &orders.Order{Request: request, Reply: func(a orders.Answer) {
+		c.logAnswer(&request, &a)
+		if request.SiteLease != nil && a.Outcome == orders.OutcomeRead {
+			s := c.server.state
+			s.do(func() { s.siteLeases.renewed(request.SiteLease.Site, c.server.now()) })
 		}
-		reply(a.Status, a.Body)
-	}}, c.h.now())
+		reply(statusOfOrder(&a), a.Body)
+	}}
+	c.orders.Submit(order, c.server.now())
 }
 
-// answer decides what can be decided. What that has to ask of others goes out at once, where nothing must be synced
-// before it.
-func (c *consensusLoop) answer() {
-	c.orders.Step(c.node, c.state, c.h.now(), time.Now().UnixMilli())
+// decideOrders decides the orders that can be decided, and has the next change proposed. What that has to ask of
+// other machines is sent at once, where nothing must be synced before it.
+func (c *consensusLoop) decideOrders() {
+	c.orders.Step(c.node, c.committed, c.server.now(), time.Now().UnixMilli())
 	if !c.node.Dirty() {
-		c.send()
+		c.sendMessages()
 	}
 }
 
+// logAnswer logs what was applied or rejected.
 func (c *consensusLoop) logAnswer(r *controlmsg.Request, a *orders.Answer) {
+	log := c.server.log
 	switch {
 	case a.Outcome == orders.OutcomeRejected && r.SiteLease == nil:
-		c.h.log.Event(events.ConfigNot, "reason", a.Reason, "why", string(a.Body), "from", r.Origin)
+		log.Event(events.ConfigNot, "reason", a.Reason, "why", string(a.Body), "from", r.Origin)
 	case a.Outcome != orders.OutcomeApplied:
 	case r.ForgetMember != "":
-		c.h.log.Event(events.RosterChange, "forgotten", r.ForgetMember, "from", r.Origin)
+		log.Event(events.RosterChange, "forgotten", r.ForgetMember, "from", r.Origin)
 	case r.SiteChange != nil:
-		s := r.SiteChange
-		c.h.log.Event(events.SiteMap, "kind", s.Kind, "site", s.Name, "version", a.State.Sites.Version)
+		change := r.SiteChange
+		log.Event(events.SiteMap, "kind", change.Kind, "site", change.Name, "version", a.State.Sites.Version)
 	case r.ShardChange != nil:
-		s := r.ShardChange
-		c.h.log.Event(events.ShardMap, "kind", s.Kind, "shard", s.Shard, "node", s.Node, "version", a.State.Shards.Version)
+		change := r.ShardChange
+		log.Event(events.ShardMap, "kind", change.Kind, "shard", change.Shard, "node", change.Node,
+			"version", a.State.Shards.Version)
 	default:
-		c.h.log.Event(events.ConfigTaken, "gen", a.State.Version, "base", r.BaseVersion, "from", r.Origin)
+		log.Event(events.ConfigTaken, "gen", a.State.Version, "base", r.BaseVersion, "from", r.Origin)
 	}
 }
--- a/internal/controlplane/resets_test.go
+++ b/internal/controlplane/resets_test.go
@@ -42,13 +42,13 @@
 	return old
 }
 
-// call puts one call as the control plane's route does, and waits until it has ended. sent is false where no link
+// call puts one call as Server.route does, and waits until it has ended. sent is false where no link
 // stood.
 func (p *peers) call(t *testing.T, body []byte) (r *controlmsg.Response, sent bool) {
 	p.mu.Lock()
 	l, up := p.link, p.up
 	p.mu.Unlock()
-	if l == nil || !l.Up() { // as coreLink does: a call is put on a link that stands
+	if l == nil || !l.Up() { // as linkTo does: a call is put on a link that stands
 		<-up
 		return nil, false
 	}
@@ -65,7 +65,7 @@
 
 // Calls between machines of the core over links that are reset at drawn bytes, half written frames among them: each
 // ends with its own answer or with none that is clear, and runs once at most. Point 5: it fails where a link that
-// ends leaves its calls waiting (lost).
+// ends leaves its calls waiting (failLink).
 func TestCallsOverLinksThatAreReset(t *testing.T) {
 	p := &peers{pending: newPendingCalls(time.Now()), up: make(chan struct{}), runs: map[uint64]int{}}
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -84,7 +84,7 @@
 	defer stop()
 	again := transport.Backoff{Initial: time.Millisecond, Max: time.Millisecond, DialTimeout: transport.DialTimeout}
 	go transport.KeepConnected(ctx, relay.Addr(), again, func(l *link) { p.set(l) }, func(l *link, f *controlmsg.Frame) { p.pending.answer(l, f.Response) },
-		func() { p.pending.lost(p.set(nil)) })
+		func() { p.pending.failLink(p.set(nil)) })
 
 	const callers, each = 8, 150
 	var all sync.WaitGroup
--- a/internal/controlplane/roster.go
+++ b/internal/controlplane/roster.go
@@ -1,138 +1,113 @@
 package controlplane
 
-// This file owns the roster at the machine that leads: which members it adds, which it removes, and the proposals of both.
-
 import (
-	"net/http"
 	"slices"
 
 	"github.com/fxamacker/cbor/v2"
 
 	"weirwind/internal/controlplane/config"
 	"weirwind/internal/controlplane/consensus"
-	"weirwind/internal/controlplane/controlmsg"
 	"weirwind/internal/controlplane/directory"
 	"weirwind/internal/controlplane/failover"
 	"weirwind/internal/util/events"
 )
 
-const rosterEvery = 200.0 // milliseconds between proposals: what comes together costs one
-
-// Times of doubt: members may beat at a machine of the core that this one doesn't hear.
-const (
-	voterSilent   = 1000.0 // milliseconds after which a machine of the core is silent
-	replacedAfter = 1.5    // beats: a late word of the old one doesn't end the new one
-	doubtFor      = 3000.0 // after it is back, or this machine began to lead, until its members are known
-)
+// rosterIntervalMs is the time between two proposals of a roster: what comes together costs one.
+const rosterIntervalMs = 200.0
 
-// watchVoters tells the tables when a machine of the core falls silent, and when all are heard again.
-func (c *consensusLoop) watchVoters() {
-	split := slices.ContainsFunc(c.node.PeerStatuses(c.h.now()), func(s consensus.PeerStatus) bool {
-		return s.Silent < 0 || s.Silent > voterSilent
-	})
-	if split == c.split {
-		return
-	}
-	c.split = split
-	c.h.tables.do(func() { c.h.tables.partial, c.h.tables.partialAt = split, c.h.now() })
-}
+// rosterTracker has the leader keep the committed roster up to date: the members that may hold an acknowledged
+// commit. It belongs to softState.
+type rosterTracker struct {
+	owner *softState
 
-// doubtful says whether there may be members of which this leader has not heard though they live.
-func (t *tables) doubtful(now float64) bool {
-	return t.partial || now-max(t.partialAt, t.ledAt) < doubtFor
+	// removable are members that ended and hold no commit alone: they may leave the roster. It holds for this lead.
+	removable      map[config.RosterMember]bool
+	nextProposalAt float64
 }
 
-// present gives the members that have not ended, by service.
-func (t *tables) present() map[string][]directory.Member {
-	bySvc := map[string][]directory.Member{}
-	for _, m := range t.members.Snapshot() {
-		if !m.Tombstone {
-			bySvc[m.Service] = append(bySvc[m.Service], m)
-		}
-	}
-	return bySvc
+func newRosterTracker(owner *softState) rosterTracker {
+	return rosterTracker{owner: owner}
 }
 
-// endReplaced notes the end of members whose address another now has: a member that crashed comes back with its log and another id. The
-// old id stays on the roster until it is covered, which takes a living primary, but nobody waits for it to be silent for a minute.
-func (t *tables) endReplaced(by directory.Member, now float64) {
-	for _, m := range t.members.Snapshot() {
-		sameAddress := m.Service == by.Service && m.Addr == by.Addr && m.ID != by.ID
-		if sameAddress && !m.Tombstone && t.members.HeartbeatAge(m.ID, now) > replacedAfter*ms(t.h.set.HeartbeatInterval) {
-			t.leave(m.ID)
-		}
-	}
+// reset forgets what an earlier lead knew.
+func (r *rosterTracker) reset() {
+	r.removable, r.nextProposalAt = map[config.RosterMember]bool{}, 0
 }
 
-// absent gives the members on the roster of a service to which no question can be put. One of which nothing is known has ended once
-// it was silent, as far as this leader can tell, for as long as a known one may be.
-func (t *tables) absent(svc string, now float64) (out []failover.Member) {
-	for _, id := range t.state.Roster[svc] {
-		m, known := t.members.Get(id)
-		if known && !m.Tombstone || t.covered[config.RosterMember{Service: svc, ID: id}] {
-			continue // a covered one is to leave the roster: what it held is at others, agreed on or not
+// absent gives the members on the roster of a service to which no question can be put. One of which nothing is known
+// has ended once it was silent, as far as this leader can tell, for as long as a known one may be.
+func (r *rosterTracker) absent(service string, now float64) (out []failover.Member) {
+	s := r.owner
+	for _, id := range s.committed.Roster[service] {
+		record, known := s.members.table.Get(id)
+		if known && !record.Tombstone || r.removable[config.RosterMember{Service: service, ID: id}] {
+			continue // a removable one is about to leave the roster: what it held is at others, committed or not
 		}
-		ended := known || now-t.ledAt > ms(memberKeep)
-		out = append(out, failover.Member{ID: id, Absent: true, Departed: ended})
+		departed := known || now-s.leadership.since > ms(memberTimeout)
+		out = append(out, failover.Member{ID: id, Absent: true, Departed: departed})
 	}
 	return out
 }
 
-// tendRoster proposes what the roster lacks, and what may leave it.
-func (t *tables) tendRoster(bySvc map[string][]directory.Member, now float64) {
-	if now < t.rosterAt {
+// step proposes the members that the roster lacks, and those that may leave it.
+func (r *rosterTracker) step(live map[string][]directory.Member, now float64) {
+	if now < r.nextProposalAt {
 		return
 	}
-	change := t.rosterChange(bySvc)
+	change := r.change(live)
 	if len(change.Add)+len(change.Remove) == 0 {
 		return
 	}
-	t.rosterAt = now + rosterEvery
-	t.h.loop.do(func() { t.h.loop.proposeRoster(change) })
+	r.nextProposalAt = now + rosterIntervalMs
+	loop := r.owner.server.loop
+	loop.do(func() { loop.proposeRoster(change) })
 }
 
-// rosterChange compares the members that are there with the roster.
-func (t *tables) rosterChange(bySvc map[string][]directory.Member) (change config.RosterChange) {
-	for i := range t.config.Services {
-		svc := t.config.Services[i].Name
-		if t.config.Services[i].SyncReplicas == 0 {
+// change compares the live members with the roster.
+func (r *rosterTracker) change(live map[string][]directory.Member) (change config.RosterChange) {
+	s := r.owner
+	for i := range s.config.Services {
+		service := &s.config.Services[i]
+		if service.SyncReplicas == 0 {
 			continue // nothing is promised of its commits
 		}
-		for _, m := range bySvc[svc] {
-			item := config.RosterMember{Service: svc, ID: m.ID}
-			delete(t.covered, item) // it is back
-			if !t.state.Roster.Contains(svc, m.ID) {
-				change.Add = append(change.Add, item)
+		for _, m := range live[service.Name] {
+			entry := config.RosterMember{Service: service.Name, ID: m.ID}
+			delete(r.removable, entry) // it is back
+			if !s.committed.Roster.Contains(service.Name, m.ID) {
+				change.Add = append(change.Add, entry)
 			}
 		}
 	}
-	for item := range t.covered {
-		if t.state.Roster.Contains(item.Service, item.ID) {
-			change.Remove = append(change.Remove, item)
+	for entry := range r.removable {
+		if s.committed.Roster.Contains(entry.Service, entry.ID) {
+			change.Remove = append(change.Remove, entry)
 		} else {
-			delete(t.covered, item)
+			delete(r.removable, entry)
 		}
 	}
 	return change
 }
 
-// proposeRoster has a change agreed on, unless another change is: then the tables ask again. It is made of the newest committed state.
+// proposeRoster proposes a change of the roster on top of the newest committed state, unless an entry is in flight:
+// then the soft state asks again.
 func (c *consensusLoop) proposeRoster(change config.RosterChange) {
-	e, committed := c.node.Committed()
-	if !committed || c.state == nil || c.seen != [2]uint64{e.Term, e.Index} || !c.node.Established() || c.node.InFlight() {
+	entry, committed := c.node.Committed()
+	upToDate := committed && c.committed != nil && c.applied == entryIDOf(&entry)
+	if !upToDate || !c.node.Established() || c.node.InFlight() {
 		return
 	}
-	next := c.state.WithRoster(change)
-	if next == c.state {
+	next := c.committed.WithRoster(change)
+	if next == c.committed {
 		return
 	}
 	value, err := cbor.Marshal(next)
 	if err != nil {
-		c.h.fail(err)
+		c.server.fail(err)
 		return
 	}
-	if _, ok := c.node.Propose(value, c.h.now()); ok {
-		c.h.log.Event(events.RosterChange, "added", loggedMembers(change.Add), "removed", loggedMembers(change.Remove))
+	if _, ok := c.node.Propose(value, c.server.now()); ok {
+		c.server.log.Event(events.RosterChange, "added", loggedMembers(change.Add), "removed", loggedMembers(change.Remove))
 	}
 }
 
@@ -149,12 +124,15 @@
 	return out
 }
 
-// forget takes an operator's word that a member is gone for good: its group waits for it no longer. What it alone held is given up.
-func (m *membersResource) forget(w http.ResponseWriter, r *http.Request) {
-	id := r.PathValue("id")
-	m.h.tables.do(func() { m.h.tables.leave(id) })
-	status, answer := m.h.call(controlmsg.Request{ForgetMember: id})
-	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-	w.WriteHeader(status)
-	w.Write(answer)
+// watchVoters notifies the soft state when another machine of the core falls silent, and when all are heard again.
+func (c *consensusLoop) watchVoters() {
+	silent := slices.ContainsFunc(c.node.PeerStatuses(c.server.now()), func(p consensus.PeerStatus) bool {
+		return p.Silent < 0 || p.Silent > voterSilentMs
+	})
+	if silent == c.voterSilent {
+		return
+	}
+	c.voterSilent = silent
+	s := c.server.state
+	s.do(func() { s.failovers.setVoterSilent(silent, c.server.now()) })
 }
--- /dev/null
+++ b/internal/controlplane/routes.go
@@ -0,0 +1,49 @@
+package controlplane
+
+import (
+	"net/http"
+
+	"weirwind/internal/session/sites"
+)
+
+// routes gives the HTTP calls of members, sites and operators: one handler object for each resource.
+func (h *Server) routes() http.Handler {
+	mux := http.NewServeMux()
+	members, configuration := &membersResource{h}, &configResource{h}
+	shards, sessionSites := &shardsResource{h}, &sitesResource{h}
+	mux.HandleFunc("POST /members/{id}/heartbeat", members.heartbeat)
+	mux.HandleFunc("POST /members/{id}/leave", members.leave)
+	mux.HandleFunc("POST /members/{id}/forget", members.forget)
+	mux.HandleFunc("POST /config/replace", configuration.replace)
+	mux.HandleFunc("POST /config/amend", configuration.amend)
+	mux.HandleFunc("GET /config/show", configuration.show)
+	mux.HandleFunc("GET /config/log", configuration.log)
+	mux.HandleFunc("GET /shards", shards.show)
+	mux.HandleFunc("POST /shards", shards.change)
+	mux.HandleFunc("GET /sites", sessionSites.show)
+	mux.HandleFunc("POST /sites/{name}/renew", sessionSites.renew)
+	mux.HandleFunc("POST /sites/{name}/drain", sessionSites.change(sites.ChangeDrain))
+	mux.HandleFunc("POST /sites/{name}/undrain", sessionSites.change(sites.ChangeUndrain))
+	mux.HandleFunc("POST /sites/{name}/leave", sessionSites.change(sites.ChangeLeave))
+	mux.Handle("GET /status", &statusResource{h})
+	mux.Handle("GET /events", h.log)
+	return mux
+}
+
+// writeAnswer answers with what the leader decided. contentType is the answer's; "" for none of its own.
+func writeAnswer(w http.ResponseWriter, a answer, contentType string) {
+	if contentType != "" {
+		w.Header().Set(headerContentType, contentType)
+	}
+	w.WriteHeader(a.status)
+	_, _ = w.Write(a.body)
+}
+
+// writeJSONAnswer answers with what the leader decided: JSON, unless it is an error.
+func writeJSONAnswer(w http.ResponseWriter, a answer) {
+	if a.status == http.StatusOK {
+		writeAnswer(w, a, contentTypeJSON)
+		return
+	}
+	writeAnswer(w, a, "")
+}
--- /dev/null
+++ b/internal/controlplane/siteleases.go
@@ -0,0 +1,57 @@
+package controlplane
+
+import (
+	"time"
+
+	"weirwind/internal/controlplane/controlmsg"
+	"weirwind/internal/session/sites"
+	"weirwind/internal/util/events"
+)
+
+// A site's lease holds for SiteLeaseDuration from when it asked. The core takes it for over only siteLeaseSlack later
+// than it can possibly hold: a tenth for clocks that drift apart, and what an answer takes.
+const (
+	SiteLeaseDuration = 1500 * time.Millisecond
+	siteLeaseSlack    = 300 * time.Millisecond
+)
+
+// siteLeases are the leases of the sites of open sessions, while this machine leads. It belongs to softState.
+type siteLeases struct {
+	owner *softState
+
+	grantedAt    map[string]float64 // by site, the last time in this lead
+	incarnations map[string]uint64  // by site, as of the last step: a new one has just joined
+}
+
+func newSiteLeases(owner *softState) siteLeases {
+	return siteLeases{owner: owner, grantedAt: map[string]float64{}, incarnations: map[string]uint64{}}
+}
+
+// reset grants every site a lease's time from now on: a new leader doesn't know what was granted before it.
+func (l *siteLeases) reset() { l.grantedAt = map[string]float64{} }
+
+// renewed notes that a site's lease was granted.
+func (l *siteLeases) renewed(site string, now float64) { l.grantedAt[site] = now }
+
+// expire proposes the removal of sites whose lease is over. Each proposal is a goroutine of its own that ends by the
+// request's timeout; one that is not applied is made again after another lease's time.
+func (l *siteLeases) expire(now float64) {
+	s := l.owner
+	if s.committed == nil || s.committed.Sites == nil {
+		return
+	}
+	h := s.server
+	for name, site := range s.committed.Sites.Sites {
+		if l.incarnations[name] != site.Incarnation {
+			l.incarnations[name], l.grantedAt[name] = site.Incarnation, now
+		}
+		heldSince := max(l.grantedAt[name], s.leadership.since)
+		if site.State == sites.StateRemoved || now-heldSince < ms(SiteLeaseDuration+siteLeaseSlack) {
+			continue
+		}
+		l.grantedAt[name] = now
+		h.log.Event(events.SiteLapsed, "site", name, "epoch", site.Epoch)
+		change := &sites.Change{Kind: sites.ChangeExpire, Name: name, Epoch: site.Epoch}
+		go h.submit(controlmsg.Request{SiteChange: change})
+	}
+}
--- /dev/null
+++ b/internal/controlplane/state.go
@@ -0,0 +1,191 @@
+package controlplane
+
+import (
+	"time"
+
+	"weirwind/internal/controlplane/config"
+	"weirwind/internal/controlplane/controlmsg"
+	"weirwind/internal/util/commandqueue"
+)
+
+// Times of the soft state.
+const (
+	tickInterval = 50 * time.Millisecond
+	// recoveryPeriod is for how long after its start a machine asks agents for the members that it lacks.
+	recoveryPeriod   = 20 * time.Second
+	maxStateCommands = 1024 // commands that wait for the owner before their senders wait
+)
+
+// softState owns what a machine learns from others and keeps in memory only, and what it does as the leader. One
+// goroutine, run, touches it; others send it commands through do. A restarted machine learns it anew: members and
+// drivers repeat their heartbeats and renewals, and other machines tell what they know.
+//
+// Each concern is a type of its own, in the file of its name. What involves several of them is a method of softState.
+type softState struct {
+	server *Server
+	queue  *commandqueue.Queue
+
+	// committed is the newest state that this machine knows to be committed, nil for none. Its version never decreases.
+	committed *config.State
+	config    *config.Config // parsed from committed; nil: none
+	coreAddrs []string       // control addresses of the voters
+	contact   contactState
+
+	members membership
+	drivers driverLeases
+	agents  agentLinks
+	peers   peerExchange
+
+	leadership leadership
+	failovers  failovers
+	roster     rosterTracker
+	shardMoves shardMoves
+	siteLeases siteLeases
+}
+
+// leadership is whether this machine leads the core, as the consensus loop notified last.
+type leadership struct {
+	active bool
+	term   uint64
+	since  float64 // when active or term changed last, in ms
+}
+
+// committedUpdate is a newly committed entry, from the consensus loop.
+type committedUpdate struct {
+	state      *config.State
+	newVersion bool // its configuration is newer than all before it
+	voterAddrs []string
+}
+
+func newSoftState(h *Server) *softState {
+	s := &softState{server: h, queue: commandqueue.New(h.ctx, maxStateCommands)}
+	s.agents = newAgentLinks()
+	s.peers = newPeerExchange(h.cores)
+	s.members = newMembership(h.log, ms(h.settings.HeartbeatInterval), &s.agents, &s.peers)
+	s.drivers = newDriverLeases(h.log, &s.agents)
+	s.failovers = newFailovers(s)
+	s.roster = newRosterTracker(s)
+	s.shardMoves = newShardMoves(s)
+	s.siteLeases = newSiteLeases(s)
+	return s
+}
+
+// do queues a command for the owner.
+func (s *softState) do(command func()) { s.queue.Do(command) }
+
+// call runs a command in the owner's goroutine and waits until it has run. On an error, which is that the process is
+// stopping, it may still run: what it writes must not be read then.
+func (s *softState) call(command func()) error { return callOwner(s.server, s.queue, command) }
+
+func callOwner(h *Server, queue *commandqueue.Queue, command func()) error {
+	_, err := commandqueue.Call(h.ctx, queue, func() struct{} {
+		command()
+		return struct{}{}
+	})
+	return err
+}
+
+// run is the owner's goroutine, until the process's context ends.
+func (s *softState) run() { s.queue.Run(tickInterval, s.tick) }
+
+// tick does what is due, concern by concern. The order is part of the behaviour: members that expire are published
+// before the pending records, and the leader decides by tables that are up to date.
+func (s *softState) tick() {
+	now := s.server.now()
+	s.updateContact(now)
+	if s.directoryComplete(now) {
+		s.members.expire(now)
+		s.drivers.expire(now)
+	}
+	s.members.publishPending()
+	s.drivers.notifyAgents(now)
+	s.members.enforceDrains(now)
+	s.peers.sendHeartbeats(now)
+	s.sendDigest(now)
+	if s.leadership.active && s.contact.established { // a machine without contact is about to lead no longer
+		s.stepFailovers(now)
+		s.shardMoves.step(now)
+		s.siteLeases.expire(now)
+	}
+}
+
+// digest is what this machine has, in short.
+func (s *softState) digest() controlmsg.StateDigest {
+	d := controlmsg.StateDigest{MembersHash: s.members.table.Digest(), DriversHash: s.drivers.table.Digest()}
+	if s.committed != nil {
+		d.ConfigVersion = s.committed.Version
+		if s.committed.Shards != nil {
+			d.ShardMapVersion = s.committed.Shards.Version
+		}
+	}
+	return d
+}
+
+// setLeadership begins or ends this machine's lead. What an earlier lead knew of failovers and transfers is
+// forgotten: another machine may have led since.
+func (s *softState) setLeadership(active bool, term uint64) {
+	s.leadership = leadership{active: active, term: term, since: s.server.now()}
+	s.failovers.reset()
+	s.roster.reset()
+	s.shardMoves.reset()
+	s.siteLeases.reset()
+}
+
+// applyCommitted takes a newly committed state, and notifies the agents of what is new in it.
+func (s *softState) applyCommitted(update committedUpdate) {
+	s.coreAddrs = update.voterAddrs
+	for _, addr := range s.coreAddrs { // the settings may name fewer
+		s.server.cores.connect(addr)
+	}
+	next := update.state
+	if s.committed != nil && next.Version < s.committed.Version {
+		return
+	}
+	newShardMap := next.Shards != nil && s.shardMapVersion() < next.Shards.Version
+	s.committed = next
+	if newShardMap {
+		s.agents.notify(&controlmsg.StateUpdate{ShardMap: next.Shards})
+		s.shardMoves.step(s.server.now())
+	}
+	if !update.newVersion {
+		return
+	}
+	if parsed, err := config.Parse(next.Raw); err == nil {
+		s.config = parsed
+	}
+	s.agents.notify(&controlmsg.StateUpdate{ConfigVersion: next.Version, Config: next.Raw, CoreAddrs: s.coreAddrs})
+}
+
+// shardMapVersion is that of the committed shard map, 0 for none.
+func (s *softState) shardMapVersion() uint64 {
+	if s.committed == nil || s.committed.Shards == nil {
+		return 0
+	}
+	return s.committed.Shards.Version
+}
+
+// handleFrame takes a frame of another core machine or of an agent.
+func (s *softState) handleFrame(l *link, f *controlmsg.Frame) {
+	now := s.server.now()
+	switch {
+	case f.LeaseRenewal != nil:
+		s.handleLeaseRenewal(l, f.LeaseRenewal, now)
+	case f.Update != nil:
+		s.members.merge(f.Update.Members, now)
+	case f.Heartbeats != nil:
+		s.members.observe(f.Heartbeats, now)
+	case f.PrimaryReport != nil:
+		s.handlePrimaryReport(f.PrimaryReport, now)
+	case f.Digest != nil:
+		s.handleDigest(l, f, now)
+	}
+}
+
+// handleDigest takes another core machine's digest, and the driver leases that came with it. Where its members differ
+// from this machine's it is sent all of them, on its own link; it does likewise by this machine's digests.
+func (s *softState) handleDigest(l *link, f *controlmsg.Frame, now float64) {
+	s.drivers.merge(f.Leases, now)
+	if !f.Digest.NoReply && f.Digest.MembersHash != s.members.table.Digest() {
+		l.Send(&controlmsg.Frame{Update: &controlmsg.StateUpdate{Members: s.members.table.Snapshot()}})
+	}
+}
--- a/internal/controlplane/status.go
+++ b/internal/controlplane/status.go
@@ -7,15 +7,14 @@
 	"weirwind/internal/controlplane/consensus"
 	"weirwind/internal/controlplane/controlmsg"
 	"weirwind/internal/controlplane/directory"
-	"weirwind/internal/util/commandqueue"
 )
 
-// statusResource serves GET /status: what this machine knows, for operators. With ?brief=1 the lists of members and drivers are
-// left out.
+// statusResource serves GET /status: what this machine knows, for operators. With ?brief=1 the lists of members and
+// drivers are left out.
 type statusResource struct{ h *Server }
 
-// serverStatus is the body of GET /status. Its keys are in order of the alphabet, which readers may rely on. Pointers are nil where
-// a key is left out: those of a brief status, and of a machine that knows no committed state.
+// serverStatus is the body of GET /status. Its keys are in order of the alphabet, which readers may rely on. Pointers
+// are nil where a key is left out: those of a brief status, and of a machine that knows no committed state.
 type serverStatus struct {
 	Agents      int                    `json:"agents"`
 	Changes     *int                   `json:"changes,omitempty"`
@@ -101,38 +100,36 @@
 func (r *statusResource) ServeHTTP(w http.ResponseWriter, request *http.Request) {
 	brief := request.URL.Query().Get("brief") != ""
 	h := r.h
-	status := serverStatus{Machine: h.set.Hostname, Traffic: trafficStatus{
+	status := serverStatus{Machine: h.settings.Hostname, Traffic: trafficStatus{
 		Accepted: controlmsg.ReadTraffic(&h.accepted), Dialled: controlmsg.ReadTraffic(&h.dialled)}}
-	fill := func(q *commandqueue.Queue, report func(*serverStatus)) error {
-		_, err := commandqueue.Call(h.ctx, q, func() struct{} {
-			report(&status)
-			return struct{}{}
-		})
-		return err
+	err := h.state.call(func() { h.state.reportStatus(&status, brief) })
+	if err == nil {
+		err = h.loop.call(func() { h.loop.reportStatus(&status) })
 	}
-	if fill(h.tables.q, func(s *serverStatus) { h.tables.reportStatus(s, brief) }) != nil || fill(h.loop.q, h.loop.reportStatus) != nil {
+	if err != nil {
 		return
 	}
-	w.Header().Set("Content-Type", "application/json")
+	w.Header().Set(headerContentType, contentTypeJSON)
 	e := json.NewEncoder(w)
 	e.SetIndent("", "  ")
 	_ = e.Encode(&status)
 }
 
-// reportStatus fills in the tables' part.
-func (t *tables) reportStatus(status *serverStatus, brief bool) {
-	members, drivers := t.members.Snapshot(), t.leases.Drivers()
-	status.Leading, status.Agents, status.CoreLinks = t.leading, len(t.agents), t.h.coreLinks()
+// reportStatus fills in the soft state's part.
+func (s *softState) reportStatus(status *serverStatus, brief bool) {
+	members, drivers := s.members.table.Snapshot(), s.drivers.table.Drivers()
+	status.Leading = s.leadership.active
+	status.Agents, status.CoreLinks = len(s.agents.subscriptions), s.server.cores.count()
 	status.MemberCount, status.DriverCount = len(members), len(drivers)
 	if brief {
 		return
 	}
-	states := map[string]string{}
-	for service, c := range t.successions {
-		states[service] = c.State()
+	failovers := map[string]string{}
+	for service, c := range s.failovers.controllers {
+		failovers[service] = c.State()
 	}
-	inContact, memberList, driverList := t.contact.held, memberStatuses(members), driverStatuses(drivers)
-	status.InContact, status.Members, status.Drivers, status.Failovers = &inContact, &memberList, &driverList, &states
+	inContact, memberList, driverList := s.contact.established, memberStatuses(members), driverStatuses(drivers)
+	status.InContact, status.Members, status.Drivers, status.Failovers = &inContact, &memberList, &driverList, &failovers
 }
 
 // reportStatus fills in the loop's part.
@@ -141,10 +138,10 @@
 	entry, committed := c.node.Committed()
 	status.ID, status.Term, status.Leader = c.node.HardState.ID, c.node.HardState.Term, leader.Addr
 	status.Voters, status.Index, status.Committed = entry.Voters, entry.Index, committed
-	status.Peers = c.node.PeerStatuses(c.h.now())
-	status.Syncs, status.LastSyncMs, status.MaxSyncMs = c.syncs, c.lastSync, c.mostSync
-	if c.state != nil {
-		version, changes := c.state.Version, len(c.state.History)
+	status.Peers = c.node.PeerStatuses(c.server.now())
+	status.Syncs, status.LastSyncMs, status.MaxSyncMs = c.syncs, c.lastSyncMs, c.maxSyncMs
+	if c.committed != nil {
+		version, changes := c.committed.Version, len(c.committed.History)
 		status.Version, status.Changes = &version, &changes
 	}
 }
--- a/internal/weirctl/shardpage.go
+++ b/internal/weirctl/shardpage.go
@@ -51,13 +51,13 @@
 // renderProgress draws bytes moved, of those moved so far, and each node's disk, of its capacity.
 func renderProgress(b *strings.Builder, view *controlplane.ShardsView) {
 	n := len(view.Progress)
-	moved := float64(max(view.Progress[n-1].Moved, 1))
+	moved := float64(max(view.Progress[n-1].BytesMoved, 1))
 	b.WriteString("<h2>Bytes moved</h2>")
-	plot.Line(b, n, func(i int) float64 { return float64(view.Progress[i].Moved) / moved }, bytesColour)
+	plot.Line(b, n, func(i int) float64 { return float64(view.Progress[i].BytesMoved) / moved }, bytesColour)
 	b.WriteString("<h2>Room used, of each disk</h2>")
 	for _, id := range slices.Sorted(maps.Keys(view.Nodes)) {
 		fmt.Fprintf(b, "<p>%s</p>", html.EscapeString(id))
 		capacity := float64(max(view.Nodes[id].Capacity, 1))
-		plot.Line(b, n, func(i int) float64 { return float64(view.Progress[i].Used[id]) / capacity }, diskColour)
+		plot.Line(b, n, func(i int) float64 { return float64(view.Progress[i].BytesUsed[id]) / capacity }, diskColour)
 	}
 }
