--- a/internal/session/edge/sites.go
+++ b/internal/session/edge/sites.go
@@ -84,8 +84,10 @@
 	r.flush()
 }
 
+// connectSite keeps a link to a site until it is stopped or ctx ends. What the site sends may have other links made,
+// which outlive this one: they end with ctx, not with the link.
 func (r *runner) connectSite(ctx context.Context, name, addr string) *siteLink {
-	ctx, stop := context.WithCancel(ctx)
+	linkCtx, stop := context.WithCancel(ctx)
 	s := &siteLink{addr: addr, stop: stop}
 	up := func(l *link) {
 		r.commands.Do(func() {
@@ -101,7 +103,7 @@
 			r.commands.Do(func() { r.receive(ctx, name, frame) })
 		}
 	}
-	go site.KeepLink(ctx, addr, site.Frame{Hello: r.settings.Hostname, Edge: true}, up, receive)
+	go site.KeepLink(linkCtx, addr, site.Frame{Hello: r.settings.Hostname, Edge: true}, up, receive)
 	return s
 }
 
