--- a/cmd/weirwind/registry.go
+++ b/cmd/weirwind/registry.go
@@ -59,16 +59,16 @@
 		defer end()
 	}
 	now := func() float64 { return float64(time.Now().UnixMicro()) / 1000 }
-	r := roster.New(roster.Rules{Lead: roster.Registry, Confirm: float64(g.Confirm.Milliseconds())})
+	r := roster.New(roster.Options{Preferred: roster.SourceRegistry, ConfirmAfter: float64(g.Confirm.Milliseconds())})
 	w := registry.Watcher{Client: client, Now: now, Alive: func() {},
-		Course: roster.NewCourse(roster.CourseRules{Endpoints: len(g.Endpoints), Fellows: 1, Seed: uint64(os.Getpid())}),
+		Scheduler: roster.NewScheduler(roster.SchedulerOptions{Endpoints: len(g.Endpoints), Drivers: 1, Seed: uint64(os.Getpid())}),
 		Position: func() (int64, bool) {
-			_, revision, told := r.Revision(roster.Registry)
+			_, revision, told := r.Revision(roster.SourceRegistry)
 			return revision, told
 		},
 		Told: func(u roster.Update) (roster.Verdict, float64) {
-			o := r.Told(now(), u)
-			lead, revision, age, epochs := r.Standing(now())
+			o := r.Apply(now(), u)
+			lead, revision, age, epochs := r.Leader(now())
 			for _, e := range o.Changes {
 				fmt.Fprintf(out, "%s %s revision=%d epoch=%d age_ms=%.0f member=%s phase=%s cell=%d host_port=%s\n",
 					time.Now().UTC().Format(time.RFC3339Nano), lead, revision, epochs, age, e.ID,
@@ -80,7 +80,7 @@
 			return o.Verdict, float64(g.Confirm.Milliseconds())
 		},
 		Lost: func(err error) {
-			r.Broke(roster.Registry)
+			r.MarkDisconnected(roster.SourceRegistry)
 			fmt.Fprintf(out, "%s lost: %v\n", time.Now().UTC().Format(time.RFC3339Nano), err)
 		}}
 	w.Run(ctx)
@@ -103,9 +103,9 @@
 		members, revision := 0, int64(0)
 		err := client.Read(ctx, i, true, func(u roster.Update) {
 			members, revision = members+len(u.Entries), u.Revision
-			for _, b := range u.Bad {
+			for _, b := range u.Invalid {
 				bad++
-				fmt.Fprintf(out, "%s: entry %s: %s\n", endpoint, b.ID, b.Why)
+				fmt.Fprintf(out, "%s: entry %s: %s\n", endpoint, b.ID, b.Reason)
 			}
 		})
 		if end(); err != nil {
--- a/internal/driver/driver.go
+++ b/internal/driver/driver.go
@@ -302,14 +302,14 @@
 			}
 			if err != nil {
 				v.count.ListsFailed.Add(1)
-				v.lost(roster.Discovery)
+				v.lost(roster.SourceDiscovery)
 				v.log.Warn("list_failed", "error", err)
 				v.decide.list(logic.ListFailed, nil)
 				break
 			}
 			v.count.Lists.Add(1)
 			held := v.revision()
-			if whole = v.told(discoveryUpdate(a)) == roster.Gap; whole {
+			if whole = v.told(discoveryUpdate(a)) == roster.VerdictGap; whole {
 				v.log.Warn("list_went_back", "from", held, "to", a.Revision)
 			}
 		}
--- a/internal/driver/fleet.go
+++ b/internal/driver/fleet.go
@@ -123,11 +123,11 @@
 	revision, entries := v.listed()
 	var draining []roster.Entry
 	for _, e := range entries {
-		if e := toRoster(toDiscovery(e)); e.Phase != roster.Up {
+		if e := toRoster(toDiscovery(e)); e.Phase != roster.PhaseUp {
 			draining = append(draining, e)
 		}
 	}
-	f.list(roster.Discovery, revision, draining)
+	f.list(roster.SourceDiscovery, revision, draining)
 	return nil
 }
 
@@ -258,7 +258,7 @@
 	var told []membership.Drain
 	for _, e := range changes {
 		told = append(told, membership.Drain{Member: e.ID, Source: uint8(source), Revision: revision,
-			Up: e.Phase == roster.Up})
+			Up: e.Phase == roster.PhaseUp})
 	}
 	f.mu.Lock()
 	marks, news := f.drains.Listed(f.v.decide.clock.now(), uint8(source), revision, told)
@@ -291,7 +291,7 @@
 		f.v.decide.step(logic.Event{Kind: logic.EvDrivers, Drivers: n})
 	}
 	if f.v.following != nil {
-		f.v.following.Course.Fellows(n)
+		f.v.following.Scheduler.SetDrivers(n)
 	}
 }
 
--- a/internal/driver/memberlist.go
+++ b/internal/driver/memberlist.go
@@ -19,13 +19,13 @@
 // is a registry beside it, nobody knows who told it.
 func (v *Service) start(known discovery.Answer) {
 	u := discoveryUpdate(known)
-	if u.Whole = true; v.registry != nil {
-		u.Source = roster.Known
+	if u.Snapshot = true; v.registry != nil {
+		u.Source = roster.SourceKnown
 	}
 	v.listing.Lock()
 	defer v.listing.Unlock()
-	out := v.roster.Told(v.decide.clock.now(), u)
-	v.roster.Broke(u.Source)
+	out := v.roster.Apply(v.decide.clock.now(), u)
+	v.roster.MarkDisconnected(u.Source)
 	v.give(out, logic.ListCached)
 }
 
@@ -33,9 +33,9 @@
 func (v *Service) told(u roster.Update) roster.Verdict {
 	v.listing.Lock()
 	defer v.listing.Unlock()
-	out := v.roster.Told(v.decide.clock.now(), u)
+	out := v.roster.Apply(v.decide.clock.now(), u)
 	v.give(out, logic.ListChanges)
-	if out.Verdict != roster.Gap && out.Verdict != roster.Held {
+	if out.Verdict != roster.VerdictGap && out.Verdict != roster.VerdictUnconfirmed {
 		v.fleet.list(u.Source, u.Revision, out.Changes)
 	}
 	return out.Verdict
@@ -45,7 +45,7 @@
 func (v *Service) lost(s roster.Source) {
 	v.listing.Lock()
 	defer v.listing.Unlock()
-	v.roster.Broke(s)
+	v.roster.MarkDisconnected(s)
 	v.give(v.roster.Tick(v.decide.clock.now()), logic.ListChanges)
 }
 
@@ -71,7 +71,7 @@
 		}
 	}
 	if len(changes) > 0 {
-		lead, revision, _, _ := v.roster.Standing(v.decide.clock.now())
+		lead, revision, _, _ := v.roster.Leader(v.decide.clock.now())
 		v.log.Info("list", "source", lead.String(), "revision", revision, "changed", len(changes), "members",
 			strings.Join(named, ","))
 	}
@@ -93,7 +93,7 @@
 func (v *Service) listed() (revision int64, entries []learned.Entry) {
 	v.listing.Lock()
 	defer v.listing.Unlock()
-	for _, e := range v.roster.List() {
+	for _, e := range v.roster.Members() {
 		entries = append(entries, toLearned(fromRoster(e)))
 	}
 	return v.held(), entries
@@ -102,18 +102,18 @@
 // held is up to where discovery's list is held, or what the start was given; a registry counts in revisions of its own.
 // The caller holds the lock.
 func (v *Service) held() int64 {
-	if _, revision, told := v.roster.Revision(roster.Discovery); told {
+	if _, revision, told := v.roster.Revision(roster.SourceDiscovery); told {
 		return revision
 	}
-	_, revision, _ := v.roster.Revision(roster.Known)
+	_, revision, _ := v.roster.Revision(roster.SourceKnown)
 	return revision
 }
 
-var rosterPhases = map[string]roster.Phase{discovery.PhaseUp: roster.Up, discovery.PhaseDraining: roster.Draining,
-	discovery.PhaseRemoved: roster.Gone}
+var rosterPhases = map[string]roster.Phase{discovery.PhaseUp: roster.PhaseUp, discovery.PhaseDraining: roster.PhaseDraining,
+	discovery.PhaseRemoved: roster.PhaseRemoved}
 
 func discoveryUpdate(a discovery.Answer) roster.Update {
-	u := roster.Update{Source: roster.Discovery, Revision: a.Revision, Whole: a.Complete, Exact: true}
+	u := roster.Update{Source: roster.SourceDiscovery, Revision: a.Revision, Snapshot: a.Complete, Linearizable: true}
 	for _, e := range a.Members {
 		u.Entries = append(u.Entries, toRoster(e))
 	}
@@ -122,20 +122,20 @@
 
 func toRoster(e discovery.Entry) roster.Entry {
 	return roster.Entry{ID: e.ID, Address: e.HostPort, Zone: e.Locality, Group: e.Cell, Phase: rosterPhases[e.Phase],
-		Access:  e.Access,
-		Started: e.Started}
+		Access:    e.Access,
+		StartedAt: e.Started}
 }
 
 func fromRoster(e roster.Entry) discovery.Entry {
 	return discovery.Entry{ID: e.ID, HostPort: e.Address, Locality: e.Zone, Cell: e.Group, Access: e.Access,
-		Started: e.Started,
-		Phase: [...]string{roster.Up: discovery.PhaseUp, roster.Draining: discovery.PhaseDraining,
-			roster.Gone: discovery.PhaseRemoved}[e.Phase]}
+		Started: e.StartedAt,
+		Phase: [...]string{roster.PhaseUp: discovery.PhaseUp, roster.PhaseDraining: discovery.PhaseDraining,
+			roster.PhaseRemoved: discovery.PhaseRemoved}[e.Phase]}
 }
 
-func rosterRules(g *operator.Registry) roster.Rules {
+func rosterRules(g *operator.Registry) roster.Options {
 	if g == nil {
-		return roster.Rules{Lead: roster.Discovery}
+		return roster.Options{Preferred: roster.SourceDiscovery}
 	}
-	return roster.Rules{Lead: roster.Registry, TakeOver: milliseconds(g.TakeOver), Confirm: milliseconds(g.Confirm)}
+	return roster.Options{Preferred: roster.SourceRegistry, FailoverAfter: milliseconds(g.TakeOver), ConfirmAfter: milliseconds(g.Confirm)}
 }
--- a/internal/driver/presence.go
+++ b/internal/driver/presence.go
@@ -37,7 +37,7 @@
 
 	mu      sync.Mutex // guards what follows
 	drivers *roster.Roster
-	fellows roster.Fellows
+	fellows roster.Peers
 	names   map[netip.AddrPort]string
 	speaks  bool
 	count   int
@@ -54,8 +54,8 @@
 	ttl := milliseconds(v.registry.Lease)
 	p := &presence{v: v, announcer: client, key: o.Prefix + v.config.Name, own: roster.NewPresence(ttl, seed),
 		talks:   talks,
-		drivers: roster.New(roster.Rules{Lead: roster.Registry, Confirm: milliseconds(v.registry.Confirm)}),
-		fellows: roster.Fellows{Self: v.config.Name, Hold: ttl, Quiet: quietLeases * ttl}, count: max(drivers, 1)}
+		drivers: roster.New(roster.Options{Preferred: roster.SourceRegistry, ConfirmAfter: milliseconds(v.registry.Confirm)}),
+		fellows: roster.Peers{Self: v.config.Name, ShrinkAfter: ttl, SilenceTimeout: quietLeases * ttl}, count: max(drivers, 1)}
 	p.value, err = json.Marshal(map[string]any{"host_port": address, "cell": 0, "phase": "up",
 		"locality":    v.config.told.Opening.Zone,
 		"up_since_ms": int64(v.decide.clock.unixMs)})
@@ -64,7 +64,7 @@
 	}
 	p.follower = &registry.Watcher{Client: client, Now: v.decide.clock.now, Position: p.position, Told: p.told,
 		Lost: p.lost, Alive: p.alive,
-		Course: roster.NewCourse(roster.CourseRules{Endpoints: len(o.Endpoints), Fellows: drivers, Seed: seed + 1})}
+		Scheduler: roster.NewScheduler(roster.SchedulerOptions{Endpoints: len(o.Endpoints), Drivers: drivers, Seed: seed + 1})}
 	v.fleet.presence = p
 	return nil
 }
@@ -72,7 +72,7 @@
 func (p *presence) position() (int64, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	_, revision, told := p.drivers.Revision(roster.Registry)
+	_, revision, told := p.drivers.Revision(roster.SourceRegistry)
 	return revision, told
 }
 
@@ -80,7 +80,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.speaks = true
-	out := p.drivers.Told(p.v.decide.clock.now(), u)
+	out := p.drivers.Apply(p.v.decide.clock.now(), u)
 	for _, text := range out.Notes {
 		p.v.log.Warn("drivers", "text", text)
 	}
@@ -91,7 +91,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.speaks = false
-	p.drivers.Broke(roster.Registry)
+	p.drivers.MarkDisconnected(roster.SourceRegistry)
 }
 
 func (p *presence) alive() {
@@ -105,7 +105,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if name := p.names[from]; name != "" {
-		p.fellows.Heard(p.v.decide.clock.now(), name)
+		p.fellows.Observe(p.v.decide.clock.now(), name)
 	}
 }
 
@@ -113,9 +113,9 @@
 func (p *presence) look() {
 	p.mu.Lock()
 	now := p.v.decide.clock.now()
-	listed := p.drivers.List()
+	listed := p.drivers.Members()
 	n := p.count
-	if _, _, told := p.drivers.Revision(roster.Registry); told {
+	if _, _, told := p.drivers.Revision(roster.SourceRegistry); told {
 		n = p.fellows.Count(now, listed, p.speaks)
 	}
 	names := map[netip.AddrPort]string{}
@@ -127,7 +127,7 @@
 	p.names = names
 	var fell, back []string
 	if p.talks {
-		fell, back = p.fellows.Silent(now, listed)
+		fell, back = p.fellows.CheckSilence(now, listed)
 	}
 	changed := n != p.count
 	p.count = n
@@ -140,7 +140,7 @@
 	}
 	if changed {
 		p.v.fleet.counted(n, false, p.talks)
-		p.follower.Course.Fellows(n)
+		p.follower.Scheduler.SetDrivers(n)
 	}
 	p.v.fleet.listed(slices.Collect(maps.Keys(names)))
 }
@@ -152,21 +152,21 @@
 	endpoint, stood, taken, logged := 0, false, false, ""
 	for {
 		now := p.v.decide.clock.now()
-		if step, _ := p.own.Next(now); step != roster.Rest {
+		if step, _ := p.own.Next(now); step != roster.StepWait {
 			call, end := context.WithTimeout(ctx, announceTime)
 			var stands time.Duration
 			var err error
-			if step == roster.Grant {
+			if step == roster.StepGrant {
 				p.lease, stands, err = p.announcer.Grant(call, endpoint, p.key, p.value, p.v.registry.Lease)
 			} else {
 				stands, err = p.announcer.Renew(call, endpoint, p.lease)
 			}
-			if end(); err != nil && registry.PresenceEndOf(err) == roster.Failed {
+			if end(); err != nil && registry.PresenceEndOf(err) == roster.StepFailed {
 				endpoint = (endpoint + 1) % len(p.v.registry.Endpoints)
 			}
-			p.own.Ended(now, p.v.decide.clock.now(), step, registry.PresenceEndOf(err), milliseconds(stands))
+			p.own.StepEnded(now, p.v.decide.clock.now(), step, registry.PresenceEndOf(err), milliseconds(stands))
 		}
-		is, other := p.own.Stands(p.v.decide.clock.now())
+		is, other := p.own.Status(p.v.decide.clock.now())
 		if is != stood || is && p.lease != logged {
 			logged = p.lease
 			p.v.log.Info("presence", "announced", is, "lease", p.lease)
--- a/internal/driver/registry.go
+++ b/internal/driver/registry.go
@@ -27,17 +27,17 @@
 		return fmt.Errorf("registry: %w", err)
 	}
 	v.following = &registry.Watcher{Client: c, Now: v.decide.clock.now,
-		Course: roster.NewCourse(roster.CourseRules{Endpoints: len(v.registry.Endpoints), Fellows: drivers, Seed: seed}),
+		Scheduler: roster.NewScheduler(roster.SchedulerOptions{Endpoints: len(v.registry.Endpoints), Drivers: drivers, Seed: seed}),
 		Position: func() (int64, bool) {
 			v.listing.Lock()
 			defer v.listing.Unlock()
-			_, revision, told := v.roster.Revision(roster.Registry)
+			_, revision, told := v.roster.Revision(roster.SourceRegistry)
 			return revision, told
 		},
 		Told: func(u roster.Update) (roster.Verdict, float64) {
 			v.count.Registries.Add(1)
 			verdict := v.told(u)
-			if verdict == roster.Gap || verdict == roster.Held {
+			if verdict == roster.VerdictGap || verdict == roster.VerdictUnconfirmed {
 				v.log.Warn("registry_"+verdict.String(), "revision", u.Revision)
 			}
 			return verdict, milliseconds(v.registry.Confirm)
@@ -45,12 +45,12 @@
 		Lost: func(err error) {
 			v.count.RegistriesFailed.Add(1)
 			v.log.Warn("registry_failed", "error", err)
-			v.lost(roster.Registry)
+			v.lost(roster.SourceRegistry)
 		},
 		Alive: func() {
 			v.listing.Lock()
 			defer v.listing.Unlock()
-			v.roster.Alive(v.decide.clock.now(), roster.Registry)
+			v.roster.MarkAlive(v.decide.clock.now(), roster.SourceRegistry)
 		}}
 	return nil
 }
--- a/internal/lab/storm.go
+++ b/internal/lab/storm.go
@@ -50,8 +50,8 @@
 func (x *stormClient) told(u roster.Update) (roster.Verdict, float64) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	out := x.roster.Told(stormNow(), u)
-	if n := len(x.roster.List()); out.Verdict == roster.Applied &&
+	out := x.roster.Apply(stormNow(), u)
+	if n := len(x.roster.Members()); out.Verdict == roster.VerdictApplied &&
 		(x.caught == 0 && n == x.members || x.caught == 1 && n == x.members+1) {
 		x.caught++
 		x.current <- struct{}{}
@@ -62,17 +62,17 @@
 func (x *stormClient) position() (int64, bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	_, revision, told := x.roster.Revision(roster.Registry)
+	_, revision, told := x.roster.Revision(roster.SourceRegistry)
 	return revision, told
 }
 
 func (x *stormClient) run(ctx context.Context, s Storm, n int) {
 	if !s.Naive {
 		w := registry.Watcher{Client: x.client, Told: x.told, Position: x.position, Now: stormNow, Alive: func() {},
-			Course: roster.NewCourse(roster.CourseRules{Endpoints: 1, Fellows: s.Clients, Seed: uint64(n)}),
+			Scheduler: roster.NewScheduler(roster.SchedulerOptions{Endpoints: 1, Drivers: s.Clients, Seed: uint64(n)}),
 			Lost: func(error) {
 				x.mu.Lock()
-				x.roster.Broke(roster.Registry)
+				x.roster.MarkDisconnected(roster.SourceRegistry)
 				x.mu.Unlock()
 			}}
 		w.Run(ctx)
@@ -111,7 +111,7 @@
 			client:  c,
 			current: current,
 			members: s.Members,
-			roster:  roster.New(roster.Rules{Lead: roster.Registry}),
+			roster:  roster.New(roster.Options{Preferred: roster.SourceRegistry}),
 		}
 		all.Go(func() { x.run(ctx, s, n) })
 	}
--- a/internal/registry/consul.go
+++ b/internal/registry/consul.go
@@ -33,7 +33,7 @@
 	if err != nil {
 		return err
 	}
-	u.Exact = exact
+	u.Linearizable = exact
 	tell(u)
 	return nil
 }
@@ -97,7 +97,7 @@
 	case answer.Header.Get("X-Consul-KnownLeader") == "false":
 		return u, fmt.Errorf("%w: the server knows no leader", errLagging)
 	}
-	u = roster.Update{Source: roster.Registry, Whole: true}
+	u = roster.Update{Source: roster.SourceRegistry, Snapshot: true}
 	if u.Revision, err = strconv.ParseInt(answer.Header.Get("X-Consul-Index"), 10, 64); err != nil || u.Revision < 1 {
 		return u, fmt.Errorf("index %.20q", answer.Header.Get("X-Consul-Index"))
 	}
@@ -160,7 +160,7 @@
 		}
 		value, err := json.Marshal(fields)
 		if err != nil { // a number that is none
-			u.Bad = append(u.Bad, roster.Bad{ID: s.ID, Why: err.Error(), Phase: phases[phase]})
+			u.Invalid = append(u.Invalid, roster.InvalidEntry{ID: s.ID, Reason: err.Error(), Phase: phases[phase]})
 			continue
 		}
 		add(u, "", s.ID, value, 0, false) // an instance's own index does not move with its checks
--- a/internal/registry/entry.go
+++ b/internal/registry/entry.go
@@ -16,7 +16,7 @@
 const mostEntry = 16 << 10
 
 // phases are the words that an entry may hold.
-var phases = map[string]roster.Phase{"up": roster.Up, "draining": roster.Draining, "removed": roster.Gone}
+var phases = map[string]roster.Phase{"up": roster.PhaseUp, "draining": roster.PhaseDraining, "removed": roster.PhaseRemoved}
 
 // ParseEntry reads the value under a member's key. What is wrong comes as why; the entry then holds no more than the
 // id and, where it can be told, the phase.
@@ -64,7 +64,7 @@
 	case x.Started < 0 || x.Started > 1e14:
 		return bad("up_since_ms %g", x.Started)
 	}
-	e.Address, e.Zone, e.Group, e.Access, e.Started = x.HostPort, x.Locality, *x.Cell, x.Access, x.Started
+	e.Address, e.Zone, e.Group, e.Access, e.StartedAt = x.HostPort, x.Locality, *x.Cell, x.Access, x.Started
 	return e, ""
 }
 
@@ -72,14 +72,14 @@
 func add(u *roster.Update, prefix, key string, value []byte, mod int64, deleted bool) {
 	id := strings.TrimPrefix(key, prefix)
 	if deleted {
-		u.Entries = append(u.Entries, roster.Entry{ID: id, Phase: roster.Gone, Mod: mod})
+		u.Entries = append(u.Entries, roster.Entry{ID: id, Phase: roster.PhaseRemoved, ModRevision: mod})
 		return
 	}
 	e, why := ParseEntry(id, value)
 	if why != "" {
-		u.Bad = append(u.Bad, roster.Bad{ID: id, Why: why, Phase: e.Phase})
+		u.Invalid = append(u.Invalid, roster.InvalidEntry{ID: id, Reason: why, Phase: e.Phase})
 		return
 	}
-	e.Mod = mod
+	e.ModRevision = mod
 	u.Entries = append(u.Entries, e)
 }
--- a/internal/registry/lease.go
+++ b/internal/registry/lease.go
@@ -33,16 +33,16 @@
 )
 
 // PresenceEndOf gives the meaning of an announcement's error.
-func PresenceEndOf(err error) roster.PresenceEnd {
+func PresenceEndOf(err error) roster.PresenceResult {
 	switch {
 	case err == nil:
-		return roster.Done
+		return roster.StepDone
 	case errors.Is(err, errTaken):
-		return roster.Taken
+		return roster.StepNameTaken
 	case errors.Is(err, errGone):
-		return roster.LeaseGone
+		return roster.StepLeaseLost
 	}
-	return roster.Failed
+	return roster.StepFailed
 }
 
 // ask makes a call of etcd's and reads its answer whole.
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -66,20 +66,20 @@
 )
 
 // EndOf gives the meaning of a call's error.
-func EndOf(err error) roster.End {
+func EndOf(err error) roster.CallResult {
 	switch {
 	case err == nil:
-		return roster.Answered
+		return roster.CallSucceeded
 	case errors.Is(err, errCompacted):
-		return roster.Compacted
+		return roster.CallCompacted
 	case errors.Is(err, errRefused):
-		return roster.Refused
+		return roster.CallRejected
 	case errors.Is(err, errLagging):
-		return roster.Lagging
+		return roster.CallStale
 	case errors.Is(err, errSilent):
-		return roster.Silent
+		return roster.CallTimedOut
 	}
-	return roster.Broken
+	return roster.CallBroken
 }
 
 // New makes a client. An error: the certificates can't be read.
@@ -179,9 +179,9 @@
 
 // Watcher carries out a course: it keeps a list current until its context ends.
 type Watcher struct {
-	Client   Client
-	Course   *roster.Course
-	Position func() (revision int64, told bool) // up to where the list is known
+	Client    Client
+	Scheduler *roster.Scheduler
+	Position  func() (revision int64, told bool) // up to where the list is known
 	// Told takes an update; Held comes with the milliseconds after which to ask again.
 	Told  func(roster.Update) (roster.Verdict, float64)
 	Lost  func(error)    // the registry can't be heard
@@ -192,28 +192,28 @@
 // Run goes on until the context ends.
 func (w *Watcher) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		call := w.Course.Next(w.Position())
-		if !sleep(ctx, call.After) {
+		call := w.Scheduler.Next(w.Position())
+		if !sleep(ctx, call.Delay) {
 			return
 		}
-		began, verdict, again := false, roster.Applied, 0.0
+		began, verdict, again := false, roster.VerdictApplied, 0.0
 		broken, stop := context.WithCancel(ctx)
 		tell := func(u roster.Update) {
-			if verdict != roster.Applied && verdict != roster.Partial && verdict != roster.Old {
+			if verdict != roster.VerdictApplied && verdict != roster.VerdictFragment && verdict != roster.VerdictStale {
 				return // what follows a gap waits for the whole list
 			}
 			began = true
-			if verdict, again = w.Told(u); verdict == roster.Gap || verdict == roster.Held {
+			if verdict, again = w.Told(u); verdict == roster.VerdictGap || verdict == roster.VerdictUnconfirmed {
 				stop()
 			}
 		}
 		var err error
-		if call.Kind == roster.Read {
+		if call.Kind == roster.CallRead {
 			limited, done := context.WithTimeout(broken, callTime)
-			err = w.Client.Read(limited, call.Endpoint, call.Exact, tell)
+			err = w.Client.Read(limited, call.Endpoint, call.Linearizable, tell)
 			done()
 		} else {
-			limited, done := context.WithTimeout(broken, time.Duration(call.For*float64(time.Millisecond)))
+			limited, done := context.WithTimeout(broken, time.Duration(call.MaxDuration*float64(time.Millisecond)))
 			err = w.Client.Follow(limited, call.Endpoint, call.Revision, func() { began = true; w.Alive() }, tell)
 			if broken.Err() == nil && limited.Err() != nil {
 				err = nil
@@ -225,20 +225,20 @@
 			return
 		}
 		switch {
-		case verdict == roster.Held:
-			w.Course.Again(again)
-		case verdict == roster.Gap:
-			w.Course.Gap(w.Now())
-		case verdict == roster.Partial && err == nil && call.Kind == roster.Follow:
+		case verdict == roster.VerdictUnconfirmed:
+			w.Scheduler.ResyncAfter(again)
+		case verdict == roster.VerdictGap:
+			w.Scheduler.Resync(w.Now())
+		case verdict == roster.VerdictFragment && err == nil && call.Kind == roster.CallWatch:
 			w.Lost(errCancelled) // its time was over in the middle of a revision: half of it is none
-			w.Course.Ended(w.Now(), call.Kind, roster.Answered, began)
-		case verdict == roster.Old && call.Kind == roster.Read && err == nil:
-			w.Course.Ended(w.Now(), call.Kind, roster.Lagging, began)
+			w.Scheduler.CallEnded(w.Now(), call.Kind, roster.CallSucceeded, began)
+		case verdict == roster.VerdictStale && call.Kind == roster.CallRead && err == nil:
+			w.Scheduler.CallEnded(w.Now(), call.Kind, roster.CallStale, began)
 		default:
-			if err != nil && EndOf(err) != roster.Compacted {
+			if err != nil && EndOf(err) != roster.CallCompacted {
 				w.Lost(err)
 			}
-			w.Course.Ended(w.Now(), call.Kind, EndOf(err), began)
+			w.Scheduler.CallEnded(w.Now(), call.Kind, EndOf(err), began)
 		}
 	}
 }
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -46,7 +46,7 @@
 
 func now() float64 { return float64(time.Now().UnixMicro()) / 1000 }
 
-func follow(t *testing.T, dialect string, rules roster.Rules, servers ...*kv.Server) *reader {
+func follow(t *testing.T, dialect string, rules roster.Options, servers ...*kv.Server) *reader {
 	t.Helper()
 	o := Options{Dialect: dialect, Prefix: prefix, Silence: 300 * time.Millisecond}
 	for _, s := range servers {
@@ -56,30 +56,30 @@
 }
 
 // followWith follows a registry; the whole list is read anew after reread milliseconds, 0 for as long as usual.
-func followWith(t *testing.T, o Options, rules roster.Rules, reread float64) *reader {
+func followWith(t *testing.T, o Options, rules roster.Options, reread float64) *reader {
 	t.Helper()
 	c, err := New(o)
 	if err != nil {
 		t.Fatal(err)
 	}
-	rules.Lead = roster.Registry
+	rules.Preferred = roster.SourceRegistry
 	r := &reader{t: t, reread: reread, ups: map[string]int64{}, downs: map[string]int64{}, roster: roster.New(rules), never: map[string]bool{}, news: make(chan struct{}, 1)}
-	w := &Watcher{Client: c, Course: roster.NewCourse(roster.CourseRules{Endpoints: len(o.Endpoints), Fellows: 1, Seed: 1, Reread: r.reread}), Now: now,
+	w := &Watcher{Client: c, Scheduler: roster.NewScheduler(roster.SchedulerOptions{Endpoints: len(o.Endpoints), Drivers: 1, Seed: 1, ResyncInterval: r.reread}), Now: now,
 		Alive: func() {}}
 	w.Position = func() (int64, bool) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		_, revision, told := r.roster.Revision(roster.Registry)
+		_, revision, told := r.roster.Revision(roster.SourceRegistry)
 		return revision, told
 	}
 	w.Told = func(u roster.Update) (roster.Verdict, float64) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		r.note(u)
-		out := r.roster.Told(now(), u)
+		out := r.roster.Apply(now(), u)
 		r.notes = append(r.notes, out.Notes...)
 		for _, e := range out.Changes {
-			if e.Phase == roster.Up && (r.never[e.ID] || r.ups[e.ID] < r.downs[e.ID]) {
+			if e.Phase == roster.PhaseUp && (r.never[e.ID] || r.ups[e.ID] < r.downs[e.ID]) {
 				r.broke = e.ID
 			}
 		}
@@ -87,12 +87,12 @@
 		case r.news <- struct{}{}:
 		default:
 		}
-		return out.Verdict, rules.Confirm
+		return out.Verdict, rules.ConfirmAfter
 	}
 	w.Lost = func(err error) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.roster.Broke(roster.Registry)
+		r.roster.MarkDisconnected(roster.SourceRegistry)
 		r.losses = append(r.losses, err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
@@ -108,13 +108,13 @@
 	named := map[string]bool{}
 	for _, e := range u.Entries {
 		named[e.ID] = true
-		if e.Phase == roster.Up {
-			r.ups[e.ID] = max(r.ups[e.ID], e.Mod)
+		if e.Phase == roster.PhaseUp {
+			r.ups[e.ID] = max(r.ups[e.ID], e.ModRevision)
 		} else {
-			r.downs[e.ID] = max(r.downs[e.ID], e.Mod)
+			r.downs[e.ID] = max(r.downs[e.ID], e.ModRevision)
 		}
 	}
-	if _, known, _ := r.roster.Revision(roster.Registry); u.Whole && !u.More && u.Revision >= known {
+	if _, known, _ := r.roster.Revision(roster.SourceRegistry); u.Snapshot && !u.Fragment && u.Revision >= known {
 		for id := range r.ups {
 			if !named[id] {
 				r.downs[id] = max(r.downs[id], u.Revision)
@@ -125,8 +125,8 @@
 
 func (r *reader) list() string {
 	var s []string
-	for _, e := range r.roster.List() {
-		s = append(s, e.ID+map[roster.Phase]string{roster.Draining: "-"}[e.Phase])
+	for _, e := range r.roster.Members() {
+		s = append(s, e.ID+map[roster.Phase]string{roster.PhaseDraining: "-"}[e.Phase])
 	}
 	return strings.Join(s, " ")
 }
@@ -173,7 +173,7 @@
 		s := kv.NewStore("c1")
 		s.Put(prefix+"a", entry(1, "up"), prefix+"b", entry(2, "up"), "elsewhere", "x")
 		v := serve(t, s)
-		r := follow(t, dialect, roster.Rules{}, v)
+		r := follow(t, dialect, roster.Options{}, v)
 		r.shows("a b")
 		s.Put(prefix+"c", entry(3, "up"))
 		r.shows("a b c")
@@ -206,7 +206,7 @@
 	s := kv.NewStore("c1")
 	s.Put(prefix+"a", entry(1, "up"))
 	v := serve(t, s)
-	r := follow(t, "etcd", roster.Rules{}, v)
+	r := follow(t, "etcd", roster.Options{}, v)
 	r.shows("a")
 	v.Silent.Store(true)
 	v.Cut()
@@ -225,7 +225,7 @@
 	v := serve(t, s)
 	v.Fragment.Store(1)
 	s.Put(prefix+"a", entry(1, "up"))
-	r := follow(t, "etcd", roster.Rules{}, v)
+	r := follow(t, "etcd", roster.Options{}, v)
 	r.shows("a")
 	seen := map[string]bool{}
 	for i := range 10 {
@@ -251,7 +251,7 @@
 		s := kv.NewStore("c1")
 		s.Put(prefix+"a", entry(1, "up"), prefix+"b", entry(2, "up"))
 		v, w := serve(t, s), serve(t, s)
-		r := follow(t, dialect, roster.Rules{}, v, w)
+		r := follow(t, dialect, roster.Options{}, v, w)
 		r.shows("a b")
 		v.Silent.Store(true)
 		w.Silent.Store(true)
@@ -271,7 +271,7 @@
 		behind := kv.NewStore("c1")
 		behind.Restore(old, "c1")
 		v, w := serve(t, s), serve(t, s)
-		r := follow(t, dialect, roster.Rules{}, v, w)
+		r := follow(t, dialect, roster.Options{}, v, w)
 		s.Put(prefix+"a", entry(1, "draining"))
 		r.shows("a- b")
 		r.mu.Lock()
@@ -298,7 +298,7 @@
 		s := kv.NewStore("c1")
 		s.Put(prefix+"a", entry(1, "up"), prefix+"b", entry(2, "up"), prefix+"c", entry(3, "up"))
 		v := serve(t, s)
-		r := follow(t, dialect, roster.Rules{Confirm: 400}, v)
+		r := follow(t, dialect, roster.Options{ConfirmAfter: 400}, v)
 		r.shows("a b c")
 		before := s.Snapshot()
 		empty := kv.NewStore("c2")
@@ -333,7 +333,7 @@
 	s.Put(prefix+"a", entry(1, "up"), prefix+"b", entry(2, "up"))
 	before := s.Snapshot()
 	v := serve(t, s)
-	r := follow(t, "etcd", roster.Rules{}, v)
+	r := follow(t, "etcd", roster.Options{}, v)
 	s.Put(prefix+"a", entry(1, "draining"))
 	r.shows("a- b")
 	r.mu.Lock()
@@ -355,7 +355,7 @@
 	s := kv.NewStore("c1")
 	s.Put(prefix+"a", entry(1, "up"), prefix+"b", entry(2, "up"))
 	v := serve(t, s)
-	r := followWith(t, Options{Dialect: "etcd", Prefix: prefix, Endpoints: []string{v.URL}, Silence: time.Second}, roster.Rules{}, 300)
+	r := followWith(t, Options{Dialect: "etcd", Prefix: prefix, Endpoints: []string{v.URL}, Silence: time.Second}, roster.Options{}, 300)
 	r.shows("a b")
 	v.Passes.Store(true)
 	s.Put(prefix+"a", entry(1, "draining"))
@@ -374,7 +374,7 @@
 		s := kv.NewStore("c1")
 		s.Put(prefix+"a", entry(1, "up"))
 		v := serve(t, s)
-		r := follow(t, dialect, roster.Rules{}, v)
+		r := follow(t, dialect, roster.Options{}, v)
 		r.shows("a")
 		v.Down.Store(true)
 		v.Cut()
@@ -398,7 +398,7 @@
 	for i, id := range []string{"a", "b", "c", "d"} {
 		s.Put(prefix+id, entry(i+1, "up"))
 	}
-	r := follow(t, "etcd", roster.Rules{}, serve(t, s))
+	r := follow(t, "etcd", roster.Options{}, serve(t, s))
 	r.shows("a b c d")
 	s.Put(prefix+"a", "{", prefix+"b", `{"phase":"draining","cell":"three"}`, prefix+"e", entry(5, "asleep"), prefix+"d", entry(4, "draining"))
 	r.shows("a b- c d-")
@@ -445,7 +445,7 @@
 	secret, file := "right", filepath.Join(t.TempDir(), "secret")
 	v.Password.Store(&secret)
 	os.WriteFile(file, []byte("driver:right\n"), 0o600)
-	r := followWith(t, Options{Dialect: "etcd", Prefix: prefix, Silence: time.Second, Endpoints: []string{v.URL}, CredentialsFile: file}, roster.Rules{}, 0)
+	r := followWith(t, Options{Dialect: "etcd", Prefix: prefix, Silence: time.Second, Endpoints: []string{v.URL}, CredentialsFile: file}, roster.Options{}, 0)
 	r.shows("a")
 	v.Expire()
 	v.Cut()
@@ -457,7 +457,7 @@
 	time.Sleep(300 * time.Millisecond)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if n := len(r.losses); n > 4 || EndOf(r.losses[n-1]) != roster.Refused {
+	if n := len(r.losses); n > 4 || EndOf(r.losses[n-1]) != roster.CallRejected {
 		t.Errorf("%d losses, the last %v", n, r.losses[n-1])
 	}
 }
@@ -472,7 +472,7 @@
 	}
 	s.Put("db/a", instance("a", "passing", "3"), "db/b", instance("b", "critical", "3"), "db/c", instance("c", "passing", "x"))
 	v := serve(t, s)
-	r := followWith(t, Options{Dialect: "consul", Service: "db", Silence: time.Second, Endpoints: []string{v.URL}}, roster.Rules{}, 0)
+	r := followWith(t, Options{Dialect: "consul", Service: "db", Silence: time.Second, Endpoints: []string{v.URL}}, roster.Options{}, 0)
 	r.shows("a b-")
 	s.Put("db/a", instance("a", "critical", "3"), "db/b", instance("b", "passing", "3"))
 	r.shows("a- b")
@@ -487,11 +487,11 @@
 	}
 	s.Put(pairs...)
 	v := serve(t, s)
-	r := follow(t, "etcd", roster.Rules{}, v)
+	r := follow(t, "etcd", roster.Options{}, v)
 	count := func(p roster.Phase) (n int) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		for _, e := range r.roster.List() {
+		for _, e := range r.roster.Members() {
 			if e.Phase == p {
 				n++
 			}
@@ -508,7 +508,7 @@
 		}
 		return time.Since(began)
 	}
-	t.Logf("10,000 members read in %v", await(10000, roster.Up))
+	t.Logf("10,000 members read in %v", await(10000, roster.PhaseUp))
 	for i := 0; i < 10000; i += 100 {
 		var batch []any
 		for j := i; j < i+100; j++ {
@@ -516,7 +516,7 @@
 		}
 		s.Put(batch...)
 	}
-	t.Logf("10,000 drains in 100 revisions learned in %v", await(10000, roster.Draining))
+	t.Logf("10,000 drains in 100 revisions learned in %v", await(10000, roster.PhaseDraining))
 }
 
 // Both dialects against the store itself, with random writes, breaks, lags and compactions: once quiet all are
@@ -526,7 +526,7 @@
 		rapid.Check(t, func(rt *rapid.T) {
 			s := kv.NewStore("c1")
 			v, w := kv.Serve(s), kv.Serve(s)
-			r := follow(t, dialect, roster.Rules{}, v, w)
+			r := follow(t, dialect, roster.Options{}, v, w)
 			defer func() { r.stop(); v.Cut(); v.Close(); w.Cut(); w.Close() }()
 			ids := []string{"a", "b", "c", "d", "e", "f"}
 			phases := map[string]string{}
@@ -590,9 +590,9 @@
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				r := roster.New(roster.Rules{Lead: roster.Registry})
-				if err := c.Read(context.Background(), 0, true, func(u roster.Update) { r.Told(now(), u) }); err != nil || len(r.List()) != 10000 {
-					b.Fatal(err, len(r.List()))
+				r := roster.New(roster.Options{Preferred: roster.SourceRegistry})
+				if err := c.Read(context.Background(), 0, true, func(u roster.Update) { r.Apply(now(), u) }); err != nil || len(r.Members()) != 10000 {
+					b.Fatal(err, len(r.Members()))
 				}
 			}
 		})
@@ -608,13 +608,13 @@
 	file := filepath.Join(t.TempDir(), "ca.pem")
 	os.WriteFile(file, pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: v.Certificate().Raw}), 0o600)
 	o := Options{Dialect: "etcd", Prefix: prefix, Endpoints: []string{v.URL}, Silence: time.Second, CAFile: file}
-	followWith(t, o, roster.Rules{}, 0).shows("a")
+	followWith(t, o, roster.Options{}, 0).shows("a")
 	o.CAFile = ""
 	c, err := New(o)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := c.Read(context.Background(), 0, true, func(roster.Update) {}); err == nil || EndOf(err) != roster.Broken {
+	if err := c.Read(context.Background(), 0, true, func(roster.Update) {}); err == nil || EndOf(err) != roster.CallBroken {
 		t.Errorf("a certificate that nobody signs: %v", err)
 	}
 	o.CAFile = filepath.Join(t.TempDir(), "none")
--- a/internal/roster/course.go
+++ b/internal/roster/course.go
@@ -16,41 +16,41 @@
 
 // The calls to a source of the list.
 const (
-	Read   CallKind = iota // the whole list
-	Follow                 // a watch, from Call.Revision on
+	CallRead  CallKind = iota // the whole list
+	CallWatch                 // a watch, from Call.Revision on
 )
 
 // Call is the next call. After is in milliseconds.
 type Call struct {
-	Kind     CallKind
-	Endpoint int     // its number
-	After    float64 // wait so long first
-	Revision int64   // of a watch: the first one wanted
-	Exact    bool    // of a read: the registry's newest state is wanted, not a follower's
-	For      float64 // of a watch: leave it after so long, and read the whole list
+	Kind         CallKind
+	Endpoint     int     // its number
+	Delay        float64 // wait so long first
+	Revision     int64   // of a watch: the first one wanted
+	Linearizable bool    // of a read: the registry's newest state is wanted, not a follower's
+	MaxDuration  float64 // of a watch: leave it after so long, and read the whole list
 }
 
-// End is how a call ended.
-type End uint8
+// CallResult is how a call ended.
+type CallResult uint8
 
 // How a call may end.
 const (
-	Answered  End = iota // a read is done, or a watch has lasted for its time
-	Broken               // refused, reset, timed out
-	Silent               // open, with no sign for too long
-	Compacted            // the revision asked for is not kept any more
-	Refused              // credentials, or a wrong call: another endpoint will not do better
-	Lagging              // what came was older than what is known
+	CallSucceeded CallResult = iota // a read is done, or a watch has lasted for its time
+	CallBroken                      // refused, reset, timed out
+	CallTimedOut                    // open, with no sign for too long
+	CallCompacted                   // the revision asked for is not kept any more
+	CallRejected                    // credentials, or a wrong call: another endpoint will not do better
+	CallStale                       // what came was older than what is known
 )
 
-// CourseRules are what the calls go by. Times are milliseconds.
-type CourseRules struct {
+// SchedulerOptions are what the calls go by. Times are milliseconds.
+type SchedulerOptions struct {
 	Endpoints int
-	Fellows   int // drivers that may lose the registry at the same time, this one included
+	Drivers   int // drivers that may lose the registry at the same time, this one included
 	Seed      uint64
-	// Reread: a watch is checked against the whole list after so long, drawn from half of it up: what a watch has passed
+	// ResyncInterval: a watch is checked against the whole list after so long, drawn from half of it up: what a watch has passed
 	// over without a word can't be seen in any other way. 0 for 10 minutes.
-	Reread float64
+	ResyncInterval float64
 }
 
 const (
@@ -62,9 +62,9 @@
 	restTime              = 30000.0        // an endpoint that failed is the last choice for so long
 )
 
-// Course is the state of the calls to one registry.
-type Course struct {
-	rules    CourseRules
+// Scheduler is the state of the calls to one registry.
+type Scheduler struct {
+	rules    SchedulerOptions
 	draw     *rand.Rand
 	pauses   limits.Pauses
 	budget   limits.Budget
@@ -76,57 +76,57 @@
 	fellows  atomic.Int64
 }
 
-// NewCourse begins at an endpoint drawn by the seed.
-func NewCourse(r CourseRules) *Course {
-	if r.Endpoints, r.Fellows = max(r.Endpoints, 1), max(r.Fellows, 1); r.Reread <= 0 {
-		r.Reread = rereadDefault
+// NewScheduler begins at an endpoint drawn by the seed.
+func NewScheduler(r SchedulerOptions) *Scheduler {
+	if r.Endpoints, r.Drivers = max(r.Endpoints, 1), max(r.Drivers, 1); r.ResyncInterval <= 0 {
+		r.ResyncInterval = rereadDefault
 	}
-	c := &Course{rules: r, draw: rand.New(rand.NewPCG(r.Seed, 0x9E3779B97F4A7C15)), whole: true,
+	c := &Scheduler{rules: r, draw: rand.New(rand.NewPCG(r.Seed, 0x9E3779B97F4A7C15)), whole: true,
 		pauses: limits.Pauses{Least: pauseLeast, Most: pauseMost}, budget: limits.Budget{Rate: retryRate, Most: retryMost},
 		failedAt: make([]float64, r.Endpoints)}
 	for i := range c.failedAt {
 		c.failedAt[i] = -restTime
 	}
 	c.endpoint = c.draw.IntN(r.Endpoints)
-	c.fellows.Store(int64(r.Fellows))
+	c.fellows.Store(int64(r.Drivers))
 	return c
 }
 
-// Fellows notes how many drivers there are now; it may be called while the course is in use.
-func (c *Course) Fellows(n int) { c.fellows.Store(int64(max(n, 1))) }
+// SetDrivers notes how many drivers there are now; it may be called while the course is in use.
+func (c *Scheduler) SetDrivers(n int) { c.fellows.Store(int64(max(n, 1))) }
 
 // Next gives the next call; revision is up to where the list is known, told false where none is.
-func (c *Course) Next(revision int64, told bool) Call {
-	call := Call{Kind: Follow, Endpoint: c.endpoint, After: c.after, Revision: revision + 1, Exact: c.exact}
-	call.For = c.rules.Reread * (0.5 + 0.5*c.draw.Float64())
+func (c *Scheduler) Next(revision int64, told bool) Call {
+	call := Call{Kind: CallWatch, Endpoint: c.endpoint, Delay: c.after, Revision: revision + 1, Linearizable: c.exact}
+	call.MaxDuration = c.rules.ResyncInterval * (0.5 + 0.5*c.draw.Float64())
 	if c.whole || !told {
-		call.Kind = Read
+		call.Kind = CallRead
 	}
 	c.after = 0
 	return call
 }
 
 // spread is a pause that keeps all fellows' whole reads under what a registry bears, if all of them want one now.
-func (c *Course) spread() float64 {
+func (c *Scheduler) spread() float64 {
 	return c.draw.Float64() * float64(c.fellows.Load()) / readsASecond * 1000
 }
 
-// Ended takes the end of a call. began says whether the call had got any answer before; now is in milliseconds.
-func (c *Course) Ended(now float64, kind CallKind, end End, began bool) {
+// CallEnded takes the end of a call. began says whether the call had got any answer before; now is in milliseconds.
+func (c *Scheduler) CallEnded(now float64, kind CallKind, end CallResult, began bool) {
 	switch end {
-	case Answered:
+	case CallSucceeded:
 		c.pauses.Done()
-		c.whole, c.exact = kind == Follow, kind == Follow
+		c.whole, c.exact = kind == CallWatch, kind == CallWatch
 		return
-	case Compacted: // the watch can't resume: the one case in which a whole list is wanted at once by all
+	case CallCompacted: // the watch can't resume: the one case in which a whole list is wanted at once by all
 		c.whole, c.after = true, c.spread()
 		return
-	case Lagging:
+	case CallStale:
 		c.whole, c.exact = true, true
 		c.next(now)
 		c.after = c.budget.Take(now)
 		return
-	case Refused:
+	case CallRejected:
 		c.after = refusedPause * (0.5 + c.draw.Float64())
 		c.next(now)
 		return
@@ -136,22 +136,24 @@
 	}
 	c.next(now)
 	c.after = max(c.pauses.Failed(c.draw), c.budget.Take(now))
-	if kind == Read && c.pauses.Row() > c.rules.Endpoints { // down for all: they will all be back at once
+	if kind == CallRead && c.pauses.Row() > c.rules.Endpoints { // down for all: they will all be back at once
 		c.after = max(c.after, c.spread())
 	}
 }
 
-// Gap notes that something is missing in what was told: the whole list is wanted, from the newest state.
-func (c *Course) Gap(now float64) {
+// Resync notes that something is missing in what was told: the whole list is wanted, from the newest state.
+func (c *Scheduler) Resync(now float64) {
 	c.whole, c.exact = true, true
 	c.after = max(c.after, c.budget.Take(now))
 }
 
-// Again asks for a whole list after a pause: to confirm one that was held.
-func (c *Course) Again(after float64) { c.whole, c.exact, c.after = true, true, max(c.after, after) }
+// ResyncAfter asks for a whole list after a pause: to confirm one that was held.
+func (c *Scheduler) ResyncAfter(after float64) {
+	c.whole, c.exact, c.after = true, true, max(c.after, after)
+}
 
 // next moves on to the endpoint that failed the longest ago, in turn.
-func (c *Course) next(now float64) {
+func (c *Scheduler) next(now float64) {
 	c.failedAt[c.endpoint] = now
 	best := c.endpoint
 	for i := 1; i <= c.rules.Endpoints; i++ {
--- a/internal/roster/golden_test.go
+++ b/internal/roster/golden_test.go
@@ -32,7 +32,7 @@
 	h := fnv.New64a()
 	for seed := range uint64(recordedSeeds) {
 		r := rand.New(rand.NewPCG(seed, 11))
-		rules := Rules{Lead: Source(1 + r.IntN(2)), TakeOver: 4000, Confirm: float64(2000 * r.IntN(2))}
+		rules := Options{Preferred: Source(1 + r.IntN(2)), FailoverAfter: 4000, ConfirmAfter: float64(2000 * r.IntN(2))}
 		roster := New(rules)
 		now := 0.0
 		var heads [sources]int64
@@ -41,14 +41,14 @@
 			s := Source(r.IntN(int(sources)))
 			switch r.IntN(14) {
 			case 0:
-				roster.Broke(s)
+				roster.MarkDisconnected(s)
 			case 1:
-				roster.Alive(now, s)
+				roster.MarkAlive(now, s)
 			case 2:
 				out := roster.Tick(now)
 				record(h, roster, now, out)
 			default:
-				out := roster.Told(now, someUpdate(r, s, now, &heads[s]))
+				out := roster.Apply(now, someUpdate(r, s, now, &heads[s]))
 				record(h, roster, now, out)
 			}
 		}
@@ -57,8 +57,8 @@
 }
 
 func record(h io.Writer, roster *Roster, now float64, out Outcome) {
-	fmt.Fprintln(h, out.Verdict, out.Changes, out.Notes, roster.List())
-	lead, revision, age, epochs := roster.Standing(now)
+	fmt.Fprintln(h, out.Verdict, out.Changes, out.Notes, roster.Members())
+	lead, revision, age, epochs := roster.Leader(now)
 	fmt.Fprintln(h, lead, revision, age, epochs)
 	for s := range sources {
 		epoch, revision, told := roster.Revision(s)
@@ -67,11 +67,11 @@
 }
 
 func someUpdate(r *rand.Rand, s Source, now float64, head *int64) Update {
-	u := Update{Source: s, Whole: r.IntN(3) == 0, Exact: r.IntN(2) == 0, More: r.IntN(10) == 0}
-	u.Since = *head
+	u := Update{Source: s, Snapshot: r.IntN(3) == 0, Linearizable: r.IntN(2) == 0, Fragment: r.IntN(10) == 0}
+	u.PreviousRevision = *head
 	switch r.IntN(10) {
 	case 0:
-		u.Since, *head = *head+2, *head+4
+		u.PreviousRevision, *head = *head+2, *head+4
 	case 1:
 		u.Revision = max(*head-int64(r.IntN(5)), 0)
 	default:
@@ -80,14 +80,14 @@
 	if u.Revision == 0 {
 		u.Revision = *head
 	}
-	if s == Registry {
+	if s == SourceRegistry {
 		u.Epoch = "e"
 		if r.IntN(20) == 0 {
 			u.Epoch = "f"
 		}
 	}
 	entries := r.IntN(3)
-	if u.Whole {
+	if u.Snapshot {
 		entries = r.IntN(2 * memberCount)
 	}
 	for range entries {
@@ -96,15 +96,15 @@
 			e.Phase = Phase(r.IntN(3))
 		}
 		if r.IntN(6) == 0 {
-			e.Started = now - 500 + 600*r.Float64()
+			e.StartedAt = now - 500 + 600*r.Float64()
 		}
-		if s == Registry {
-			e.Mod = max(u.Revision-int64(r.IntN(4)), 1)
+		if s == SourceRegistry {
+			e.ModRevision = max(u.Revision-int64(r.IntN(4)), 1)
 		}
 		u.Entries = append(u.Entries, e)
 	}
 	if r.IntN(8) == 0 {
-		u.Bad = append(u.Bad, Bad{ID: fmt.Sprint("m", r.IntN(memberCount)), Why: "no address", Phase: Phase(r.IntN(3))})
+		u.Invalid = append(u.Invalid, InvalidEntry{ID: fmt.Sprint("m", r.IntN(memberCount)), Reason: "no address", Phase: Phase(r.IntN(3))})
 	}
 	return u
 }
@@ -112,24 +112,24 @@
 // More members than are remembered are told gone: the oldest are forgotten.
 func TestForgettingAsRecorded(t *testing.T) {
 	h := fnv.New64a()
-	roster := New(Rules{Lead: Registry})
-	roster.Told(0, Update{Source: Registry, Epoch: "e", Revision: 1, Whole: true})
+	roster := New(Options{Preferred: SourceRegistry})
+	roster.Apply(0, Update{Source: SourceRegistry, Epoch: "e", Revision: 1, Snapshot: true})
 	for i := range 60 {
-		u := Update{Source: Registry, Epoch: "e", Revision: int64(i + 2), Since: int64(i + 1)}
+		u := Update{Source: SourceRegistry, Epoch: "e", Revision: int64(i + 2), PreviousRevision: int64(i + 1)}
 		for k := range 1000 {
-			u.Entries = append(u.Entries, Entry{ID: fmt.Sprint(i, "-", k), Phase: Gone})
+			u.Entries = append(u.Entries, Entry{ID: fmt.Sprint(i, "-", k), Phase: PhaseRemoved})
 		}
-		fmt.Fprintln(h, roster.Told(float64(i)*100000, u), len(roster.bars))
+		fmt.Fprintln(h, roster.Apply(float64(i)*100000, u), len(roster.bars))
 	}
-	u := Update{Source: Registry, Epoch: "f", Revision: 100, Whole: true}
+	u := Update{Source: SourceRegistry, Epoch: "f", Revision: 100, Snapshot: true}
 	for i := range 60 {
-		u.Entries = append(u.Entries, Entry{ID: fmt.Sprint(i, "-", i), Address: "x", Mod: 1})
+		u.Entries = append(u.Entries, Entry{ID: fmt.Sprint(i, "-", i), Address: "x", ModRevision: 1})
 	}
-	fmt.Fprintln(h, roster.Told(1e8, u))
-	u = Update{Source: Registry, Epoch: "f", Revision: 101, Since: 100, More: true, Entries: make([]Entry, 200001)}
-	fmt.Fprintln(h, roster.Told(1e8, u)) // more than is kept of one revision
-	u.More, u.Entries = false, nil
-	fmt.Fprintln(h, roster.Told(1e8, u))
+	fmt.Fprintln(h, roster.Apply(1e8, u))
+	u = Update{Source: SourceRegistry, Epoch: "f", Revision: 101, PreviousRevision: 100, Fragment: true, Entries: make([]Entry, 200001)}
+	fmt.Fprintln(h, roster.Apply(1e8, u)) // more than is kept of one revision
+	u.Fragment, u.Entries = false, nil
+	fmt.Fprintln(h, roster.Apply(1e8, u))
 	check(t, h.Sum64(), wantBars)
 }
 
@@ -137,20 +137,20 @@
 	h := fnv.New64a()
 	for seed := range uint64(recordedSeeds) {
 		r := rand.New(rand.NewPCG(seed, 12))
-		c := NewCourse(CourseRules{Endpoints: r.IntN(5), Fellows: r.IntN(900), Seed: seed, Reread: float64(r.IntN(2)) * 20000})
+		c := NewScheduler(SchedulerOptions{Endpoints: r.IntN(5), Drivers: r.IntN(900), Seed: seed, ResyncInterval: float64(r.IntN(2)) * 20000})
 		now := 0.0
 		for range 120 {
 			call := c.Next(int64(r.IntN(100)), r.IntN(5) > 0)
-			fmt.Fprintln(h, call.Kind, call.Endpoint, call.After, call.Revision, call.Exact, call.For)
-			now += call.After + 3000*r.Float64()
-			c.Ended(now, call.Kind, End(r.IntN(6)), r.IntN(2) == 0)
+			fmt.Fprintln(h, call.Kind, call.Endpoint, call.Delay, call.Revision, call.Linearizable, call.MaxDuration)
+			now += call.Delay + 3000*r.Float64()
+			c.CallEnded(now, call.Kind, CallResult(r.IntN(6)), r.IntN(2) == 0)
 			switch r.IntN(15) {
 			case 0:
-				c.Fellows(r.IntN(2000))
+				c.SetDrivers(r.IntN(2000))
 			case 1:
-				c.Gap(now)
+				c.Resync(now)
 			case 2:
-				c.Again(3000)
+				c.ResyncAfter(3000)
 			}
 		}
 	}
@@ -165,12 +165,12 @@
 		now := 0.0
 		for range 200 {
 			step, wait := p.Next(now)
-			stands, taken := p.Stands(now)
+			stands, taken := p.Status(now)
 			fmt.Fprintln(h, step, wait, stands, taken)
-			if step != Rest {
+			if step != StepWait {
 				began := now
 				now += 900 * r.Float64()
-				p.Ended(began, now, step, PresenceEnd(r.IntN(4)), float64(r.IntN(2)*6000))
+				p.StepEnded(began, now, step, PresenceResult(r.IntN(4)), float64(r.IntN(2)*6000))
 				continue
 			}
 			if now += wait; r.IntN(12) == 0 {
@@ -185,7 +185,7 @@
 	h := fnv.New64a()
 	for seed := range uint64(recordedSeeds) {
 		r := rand.New(rand.NewPCG(seed, 14))
-		f := Fellows{Self: "m0", Hold: 5000, Quiet: 3000}
+		f := Peers{Self: "m0", ShrinkAfter: 5000, SilenceTimeout: 3000}
 		now := 0.0
 		for range 150 {
 			now += 900 * r.Float64()
@@ -197,9 +197,9 @@
 			}
 			fmt.Fprintln(h, f.Count(now, listed, r.IntN(4) > 0))
 			for range r.IntN(4) {
-				f.Heard(now, fmt.Sprint("m", r.IntN(memberCount)))
+				f.Observe(now, fmt.Sprint("m", r.IntN(memberCount)))
 			}
-			fell, back := f.Silent(now, listed)
+			fell, back := f.CheckSilence(now, listed)
 			fmt.Fprintln(h, fell, back, len(f.heard))
 		}
 	}
--- a/internal/roster/presence.go
+++ b/internal/roster/presence.go
@@ -15,20 +15,20 @@
 
 // The steps.
 const (
-	Rest  PresenceStep = iota
-	Grant              // a new lease, and the own key under it where nobody has it
-	Renew
+	StepWait  PresenceStep = iota
+	StepGrant              // a new lease, and the own key under it where nobody has it
+	StepRenew
 )
 
-// PresenceEnd is how a step ended.
-type PresenceEnd uint8
+// PresenceResult is how a step ended.
+type PresenceResult uint8
 
 // How a step may end.
 const (
-	Done      PresenceEnd = iota
-	LeaseGone             // the lease is not there any more
-	Taken                 // another driver has the name
-	Failed
+	StepDone      PresenceResult = iota
+	StepLeaseLost                // the lease is not there any more
+	StepNameTaken                // another driver has the name
+	StepFailed
 )
 
 // Presence is the state of the own lease. Times are milliseconds.
@@ -54,43 +54,43 @@
 	}
 	switch {
 	case now < p.at:
-		return Rest, p.at - now
+		return StepWait, p.at - now
 	case p.leased:
-		return Renew, 0
+		return StepRenew, 0
 	}
-	return Grant, 0
+	return StepGrant, 0
 }
 
-// Ended takes the end of a step that was begun at a time: a lease stands from the sending of its request, as the
+// StepEnded takes the end of a step that was begun at a time: a lease stands from the sending of its request, as the
 // registry may have counted from then. ttl is the one that the registry granted.
-func (p *Presence) Ended(began, now float64, step PresenceStep, end PresenceEnd, ttl float64) {
+func (p *Presence) StepEnded(began, now float64, step PresenceStep, end PresenceResult, ttl float64) {
 	switch end {
-	case Done:
+	case StepDone:
 		if ttl <= 0 {
 			ttl = p.ttl
 		}
 		p.pauses.Done()
 		p.leased, p.taken, p.until, p.at = true, false, began+ttl, began+ttl/3
-	case LeaseGone:
+	case StepLeaseLost:
 		p.leased, p.at = false, now
-	case Taken: // an earlier run's lease, which ends by itself, or another driver of the same name
+	case StepNameTaken: // an earlier run's lease, which ends by itself, or another driver of the same name
 		p.leased, p.taken, p.at = false, true, now+p.ttl*(0.5+0.5*p.draw.Float64())
 	default:
 		p.at = now + p.pauses.Failed(p.draw)
 	}
 }
 
-// Stands says whether the own lease stands for certain; taken, whether another driver has the name.
-func (p *Presence) Stands(now float64) (stands, taken bool) {
+// Status says whether the own lease stands for certain; taken, whether another driver has the name.
+func (p *Presence) Status(now float64) (stands, taken bool) {
 	return p.leased && now < p.until, p.taken
 }
 
-// Fellows counts the drivers. More are believed at once, as that makes every driver more careful; fewer only when they
+// Peers counts the drivers. More are believed at once, as that makes every driver more careful; fewer only when they
 // have been fewer for Hold, from a registry that speaks.
-type Fellows struct {
-	Self  string
-	Hold  float64 // milliseconds
-	Quiet float64 // a listed fellow that was not heard for so long is silent
+type Peers struct {
+	Self           string
+	ShrinkAfter    float64 // milliseconds
+	SilenceTimeout float64 // a listed fellow that was not heard for so long is silent
 
 	count  int
 	fewer  float64 // since when they have been fewer
@@ -100,10 +100,10 @@
 }
 
 // Count takes who is listed now, ordered as the list is, and gives how many drivers there are, this one included.
-func (f *Fellows) Count(now float64, listed []Entry, speaks bool) int {
+func (f *Peers) Count(now float64, listed []Entry, speaks bool) int {
 	n := 1
 	for _, e := range listed {
-		if e.ID != f.Self && e.Phase == Up {
+		if e.ID != f.Self && e.Phase == PhaseUp {
 			n++
 		}
 	}
@@ -115,30 +115,30 @@
 	case f.fewer == 0:
 		f.fewer, f.most = now, n
 	default:
-		if f.most = max(f.most, n); now-f.fewer >= f.Hold {
+		if f.most = max(f.most, n); now-f.fewer >= f.ShrinkAfter {
 			f.count, f.fewer, f.most = f.most, 0, 0
 		}
 	}
 	return f.count
 }
 
-// Heard notes a word from a fellow.
-func (f *Fellows) Heard(now float64, name string) {
+// Observe notes a word from a fellow.
+func (f *Peers) Observe(now float64, name string) {
 	if f.heard == nil {
 		f.heard, f.silent = map[string]float64{}, map[string]bool{}
 	}
 	f.heard[name] = now
 }
 
-// Silent gives the listed fellows that have newly fallen silent, and those that speak again. They are counted all
+// CheckSilence gives the listed fellows that have newly fallen silent, and those that speak again. They are counted all
 // the same: who is listed may well serve clients, and only does not get through to this driver.
-func (f *Fellows) Silent(now float64, listed []Entry) (fell, back []string) {
+func (f *Peers) CheckSilence(now float64, listed []Entry) (fell, back []string) {
 	if f.heard == nil {
 		f.heard, f.silent = map[string]float64{}, map[string]bool{}
 	}
 	there := map[string]bool{}
 	for _, e := range listed {
-		if e.ID == f.Self || e.Phase != Up {
+		if e.ID == f.Self || e.Phase != PhaseUp {
 			continue
 		}
 		there[e.ID] = true
@@ -147,7 +147,7 @@
 			f.heard[e.ID] = now // from its first sight on
 			continue
 		}
-		if quiet := now-at > f.Quiet; quiet && !f.silent[e.ID] {
+		if quiet := now-at > f.SilenceTimeout; quiet && !f.silent[e.ID] {
 			f.silent[e.ID] = true
 			fell = append(fell, e.ID)
 		} else if !quiet && f.silent[e.ID] {
--- a/internal/roster/presence_test.go
+++ b/internal/roster/presence_test.go
@@ -14,40 +14,40 @@
 			t.Fatalf("at %g: step %d, want %d", now, step, want)
 		}
 	}
-	expect(0, Grant)
-	p.Ended(0, 500, Grant, Done, 0)
-	expect(500, Rest)
-	if ok, _ := p.Stands(8999); !ok {
+	expect(0, StepGrant)
+	p.StepEnded(0, 500, StepGrant, StepDone, 0)
+	expect(500, StepWait)
+	if ok, _ := p.Status(8999); !ok {
 		t.Error("does not stand for its time")
 	}
-	expect(3000, Renew)
-	p.Ended(3000, 3400, Renew, Done, 9000)
-	if ok, _ := p.Stands(12000); ok {
+	expect(3000, StepRenew)
+	p.StepEnded(3000, 3400, StepRenew, StepDone, 9000)
+	if ok, _ := p.Status(12000); ok {
 		t.Error("stands for longer than from the sending of the renewal")
 	}
-	expect(6000, Renew)
-	p.Ended(6000, 6001, Renew, Failed, 0)
+	expect(6000, StepRenew)
+	p.StepEnded(6000, 6001, StepRenew, StepFailed, 0)
 	step, wait := p.Next(6001)
-	if step != Rest || wait > 200 {
+	if step != StepWait || wait > 200 {
 		t.Errorf("after a failure: %d, %g", step, wait)
 	}
-	expect(6300, Renew)
-	p.Ended(6300, 6301, Renew, LeaseGone, 0)
-	expect(6301, Grant)
-	p.Ended(6301, 6400, Grant, Done, 9000)
-	expect(60000, Grant) // it stood still meanwhile: others may have taken it for gone, so it does not renew
-	p.Ended(60000, 60001, Grant, Taken, 0)
-	if _, taken := p.Stands(60001); !taken {
+	expect(6300, StepRenew)
+	p.StepEnded(6300, 6301, StepRenew, StepLeaseLost, 0)
+	expect(6301, StepGrant)
+	p.StepEnded(6301, 6400, StepGrant, StepDone, 9000)
+	expect(60000, StepGrant) // it stood still meanwhile: others may have taken it for gone, so it does not renew
+	p.StepEnded(60000, 60001, StepGrant, StepNameTaken, 0)
+	if _, taken := p.Status(60001); !taken {
 		t.Error("does not say that its name is taken")
 	}
-	if step, wait = p.Next(60001); step != Rest || wait < 4500 || wait > 9000 {
+	if step, wait = p.Next(60001); step != StepWait || wait < 4500 || wait > 9000 {
 		t.Errorf("while another has the name: %d, %g", step, wait)
 	}
-	expect(69002, Grant)
+	expect(69002, StepGrant)
 }
 
 func TestFellows(t *testing.T) {
-	f := Fellows{Self: "n0", Hold: 5000, Quiet: 3000}
+	f := Peers{Self: "n0", ShrinkAfter: 5000, SilenceTimeout: 3000}
 	count := func(now float64, speaks bool, want int, ids ...string) {
 		t.Helper()
 		if got := f.Count(now, up(ids...), speaks); got != want {
@@ -67,17 +67,17 @@
 	count(99001, true, 2)
 	count(104002, true, 1)
 	fellows := up("n0", "n1", "n2")
-	f.Silent(0, fellows)
-	f.Heard(2000, "n1")
-	if fell, _ := f.Silent(4000, fellows); !slices.Equal(fell, []string{"n2"}) {
+	f.CheckSilence(0, fellows)
+	f.Observe(2000, "n1")
+	if fell, _ := f.CheckSilence(4000, fellows); !slices.Equal(fell, []string{"n2"}) {
 		t.Errorf("silent: %v", fell)
 	}
-	f.Heard(4500, "n2")
-	f.Heard(4500, "n1")
-	if fell, back := f.Silent(5000, fellows); len(fell) > 0 || !slices.Equal(back, []string{"n2"}) {
+	f.Observe(4500, "n2")
+	f.Observe(4500, "n1")
+	if fell, back := f.CheckSilence(5000, fellows); len(fell) > 0 || !slices.Equal(back, []string{"n2"}) {
 		t.Errorf("silent %v, back %v", fell, back)
 	}
-	if f.Silent(6000, up("n1")); len(f.heard) != 1 {
+	if f.CheckSilence(6000, up("n1")); len(f.heard) != 1 {
 		t.Errorf("who has left is kept in mind: %v", f.heard)
 	}
 }
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -17,9 +17,9 @@
 
 // The sources of a list.
 const (
-	Known     Source = iota // what the start was given, or an earlier run has kept
-	Discovery               // the platform's discovery
-	Registry                // a key-value registry
+	SourceKnown     Source = iota // what the start was given, or an earlier run has kept
+	SourceDiscovery               // the platform's discovery
+	SourceRegistry                // a key-value registry
 	sources
 )
 
@@ -30,49 +30,49 @@
 
 // The phases of a member.
 const (
-	Up Phase = iota
-	Draining
-	Gone
+	PhaseUp Phase = iota
+	PhaseDraining
+	PhaseRemoved
 )
 
 // Entry is one member as a source tells it. Started is in Unix milliseconds, 0 for long ago.
 type Entry struct {
-	ID      string
-	Address string
-	Zone    string
-	Group   int64
-	Phase   Phase
-	Access  string
-	Started float64
-	Mod     int64 // the revision at which it was written; 0 where the source does not tell
+	ID          string
+	Address     string
+	Zone        string
+	Group       int64
+	Phase       Phase
+	Access      string
+	StartedAt   float64
+	ModRevision int64 // the revision at which it was written; 0 where the source does not tell
 }
 
 // Update is what a source told at once. Epoch names the history that its revisions count in; empty where the
 // source has no name for it.
 type Update struct {
-	Source   Source
-	Epoch    string
-	Revision int64
-	Whole    bool  // a snapshot: what it does not name is not there
-	Exact    bool  // of the whole: the source answered by its own newest state, not by a follower's
-	More     bool  // part of a revision that goes on in the next update
-	Since    int64 // of changes: the revision that they continue from; 0 where the source does not tell
-	Entries  []Entry
-	Bad      []Bad
+	Source           Source
+	Epoch            string
+	Revision         int64
+	Snapshot         bool  // a snapshot: what it does not name is not there
+	Linearizable     bool  // of the whole: the source answered by its own newest state, not by a follower's
+	Fragment         bool  // part of a revision that goes on in the next update
+	PreviousRevision int64 // of changes: the revision that they continue from; 0 where the source does not tell
+	Entries          []Entry
+	Invalid          []InvalidEntry
 }
 
-// Bad is an entry that can't be used as it is. What of it says that the member drains or is gone counts all the same.
-type Bad struct {
-	ID    string
-	Why   string
-	Phase Phase
+// InvalidEntry is an entry that can't be used as it is. What of it says that the member drains or is gone counts all the same.
+type InvalidEntry struct {
+	ID     string
+	Reason string
+	Phase  Phase
 }
 
-// Rules are what decisions here go by. Times are milliseconds.
-type Rules struct {
-	Lead     Source  // leads while it speaks
-	TakeOver float64 // so long after it fell silent another one that speaks leads
-	Confirm  float64 // a list that lost most members must say so again after so long; 0: it is believed at once
+// Options are what decisions here go by. Times are milliseconds.
+type Options struct {
+	Preferred     Source  // leads while it speaks
+	FailoverAfter float64 // so long after it fell silent another one that speaks leads
+	ConfirmAfter  float64 // a list that lost most members must say so again after so long; 0: it is believed at once
 }
 
 const (
@@ -88,11 +88,11 @@
 
 // The verdicts on an update.
 const (
-	Applied Verdict = iota
-	Partial         // it goes on in the next one
-	Old             // a duplicate, or from before what is known
-	Gap             // something in between is missing: the whole list is wanted
-	Held            // it lost most members: the whole list is wanted again, after Rules.Confirm
+	VerdictApplied     Verdict = iota
+	VerdictFragment            // it goes on in the next one
+	VerdictStale               // a duplicate, or from before what is known
+	VerdictGap                 // something in between is missing: the whole list is wanted
+	VerdictUnconfirmed         // it lost most members: the whole list is wanted again, after Rules.Confirm
 )
 
 func (v Verdict) String() string { return [...]string{"applied", "partial", "old", "gap", "held"}[v] }
@@ -115,7 +115,7 @@
 	speaks   bool
 	heard    float64
 	parts    []Entry
-	bads     []Bad
+	bads     []InvalidEntry
 	spoilt   bool            // the parts are more than can be kept
 	missing  map[string]bool // from a list that lost most members, not confirmed yet
 	lostAt   float64
@@ -132,7 +132,7 @@
 
 // Roster is the state of all sources. The zero Roster is not one: use New.
 type Roster struct {
-	rules Rules
+	rules Options
 	views [sources]view
 	bars  map[string]bar
 	shown map[string]Entry
@@ -140,7 +140,7 @@
 }
 
 // New begins without any list.
-func New(rules Rules) *Roster {
+func New(rules Options) *Roster {
 	r := &Roster{rules: rules, bars: map[string]bar{}, shown: map[string]Entry{}}
 	for i := range r.views {
 		r.views[i].entries = map[string]Entry{}
@@ -148,29 +148,29 @@
 	return r
 }
 
-// Told takes an update. now is in milliseconds, by the clock in which entries tell their starts.
-func (r *Roster) Told(now float64, u Update) (out Outcome) {
+// Apply takes an update. now is in milliseconds, by the clock in which entries tell their starts.
+func (r *Roster) Apply(now float64, u Update) (out Outcome) {
 	v := &r.views[u.Source]
-	v.heard, v.speaks = now, u.Source != Known // what was known at the start is nobody's word now
+	v.heard, v.speaks = now, u.Source != SourceKnown // what was known at the start is nobody's word now
 	if v.parts = append(v.parts, u.Entries...); len(v.parts) > mostParts {
 		v.parts, v.spoilt = nil, true
 	}
-	if v.bads = append(v.bads, u.Bad...); u.More {
-		out.Verdict = Partial
+	if v.bads = append(v.bads, u.Invalid...); u.Fragment {
+		out.Verdict = VerdictFragment
 		return out
 	}
-	u.Entries, u.Bad = v.parts, v.bads
+	u.Entries, u.Invalid = v.parts, v.bads
 	spoilt := v.spoilt
 	v.parts, v.bads, v.spoilt = nil, nil, false
 	touched := map[string]bool{}
 	if out.Verdict = r.place(v, &u); spoilt {
-		out.Verdict = Gap
+		out.Verdict = VerdictGap
 	}
 	switch out.Verdict {
-	case Gap:
+	case VerdictGap:
 		r.restrain(now, v, &u, touched) // a gap hides what makes members usable, not what forbids them
-	case Applied:
-		out.Verdict = r.apply(now, v, &u, touched, &out)
+	case VerdictApplied:
+		out.Verdict = r.applyInOrder(now, v, &u, touched, &out)
 	}
 	before := r.lead
 	r.choose(now)
@@ -186,39 +186,39 @@
 	another := v.epochs > 0 && u.Epoch != v.epoch
 	back := !another && u.Revision < v.revision
 	switch {
-	case !u.Whole && (!v.told || another):
-		return Gap
-	case !u.Whole && back:
+	case !u.Snapshot && (!v.told || another):
+		return VerdictGap
+	case !u.Snapshot && back:
 		if u.Epoch == "" {
-			return Gap // nothing tells a rebuilt source from a late word: the whole list does
+			return VerdictGap // nothing tells a rebuilt source from a late word: the whole list does
 		}
-		return Old
-	case !u.Whole && u.Since > v.revision:
-		return Gap
-	case u.Whole && back && !u.Exact:
-		return Old // a follower that lags
-	case u.Whole && (another || back || v.epochs == 0):
+		return VerdictStale
+	case !u.Snapshot && u.PreviousRevision > v.revision:
+		return VerdictGap
+	case u.Snapshot && back && !u.Linearizable:
+		return VerdictStale // a follower that lags
+	case u.Snapshot && (another || back || v.epochs == 0):
 		v.epochs++
 		v.epoch, v.first = u.Epoch, u.Revision
 	}
-	return Applied
+	return VerdictApplied
 }
 
-// apply takes an update over that stands in its place.
-func (r *Roster) apply(now float64, v *view, u *Update, touched map[string]bool, out *Outcome) Verdict {
+// applyInOrder takes an update over that stands in its place.
+func (r *Roster) applyInOrder(now float64, v *view, u *Update, touched map[string]bool, out *Outcome) Verdict {
 	v.revision = u.Revision
-	named := make(map[string]bool, len(u.Entries)+len(u.Bad))
+	named := make(map[string]bool, len(u.Entries)+len(u.Invalid))
 	for _, e := range u.Entries {
 		named[e.ID], touched[e.ID] = true, true
 		delete(v.missing, e.ID)
-		if e.Mod == 0 {
-			e.Mod = u.Revision
+		if e.ModRevision == 0 {
+			e.ModRevision = u.Revision
 		}
 		switch e.Phase {
-		case Gone:
+		case PhaseRemoved:
 			delete(v.entries, e.ID)
 			r.bar(now, v.epochs, u.Source, e)
-		case Draining:
+		case PhaseDraining:
 			v.entries[e.ID] = e
 			r.bar(now, v.epochs, u.Source, e)
 		default:
@@ -226,26 +226,26 @@
 			r.lift(v, u.Source, e)
 		}
 	}
-	for _, b := range u.Bad {
+	for _, b := range u.Invalid {
 		named[b.ID], touched[b.ID] = true, true
 		delete(v.missing, b.ID)
 		e, known := v.entries[b.ID]
-		if out.Notes = append(out.Notes, fmt.Sprintf("entry %s: %s", b.ID, b.Why)); b.Phase != Up {
-			e.ID, e.Phase, e.Mod = b.ID, b.Phase, u.Revision
+		if out.Notes = append(out.Notes, fmt.Sprintf("entry %s: %s", b.ID, b.Reason)); b.Phase != PhaseUp {
+			e.ID, e.Phase, e.ModRevision = b.ID, b.Phase, u.Revision
 			r.bar(now, v.epochs, u.Source, e)
 			if known {
 				v.entries[b.ID] = e
 			}
 		}
 	}
-	if !u.Whole {
-		return Applied
+	if !u.Snapshot {
+		return VerdictApplied
 	}
 	v.told = true
 	var lost []string
 	usable := 0
 	for id, e := range v.entries {
-		if e.Phase == Up {
+		if e.Phase == PhaseUp {
 			usable++
 		}
 		if !named[id] {
@@ -255,17 +255,17 @@
 	if r.doubts(now, v, usable, lost) {
 		out.Notes = append(out.Notes, fmt.Sprintf("%s lost %d of %d members at once: held until it says so again", u.Source,
 			len(lost), usable))
-		return Held
+		return VerdictUnconfirmed
 	}
 	slices.Sort(lost)
 	for _, id := range lost {
 		e := v.entries[id]
-		e.Mod, touched[id] = u.Revision, true
+		e.ModRevision, touched[id] = u.Revision, true
 		delete(v.entries, id)
 		r.bar(now, v.epochs, u.Source, e)
 	}
 	v.missing = nil
-	return Applied
+	return VerdictApplied
 }
 
 // doubts says whether a list that lost so many members is to be held. A source that has lost its data tells an
@@ -273,16 +273,16 @@
 func (r *Roster) doubts(now float64, v *view, usable int, lost []string) bool {
 	up := 0
 	for _, id := range lost {
-		if v.entries[id].Phase == Up {
+		if v.entries[id].Phase == PhaseUp {
 			up++
 		}
 	}
-	if r.rules.Confirm <= 0 || up < leastLost || float64(up) <= mostLost*float64(usable) {
+	if r.rules.ConfirmAfter <= 0 || up < leastLost || float64(up) <= mostLost*float64(usable) {
 		return false
 	}
 	if v.missing == nil {
 		v.lostAt = now
-	} else if now-v.lostAt >= r.rules.Confirm {
+	} else if now-v.lostAt >= r.rules.ConfirmAfter {
 		return false
 	}
 	v.missing = make(map[string]bool, len(lost))
@@ -295,10 +295,10 @@
 // restrain takes from an update that can't be placed what forbids members.
 func (r *Roster) restrain(now float64, v *view, u *Update, touched map[string]bool) {
 	for _, e := range u.Entries {
-		if e.Phase != Up && (u.Epoch == v.epoch && u.Revision >= v.revision || u.Epoch != v.epoch) {
+		if e.Phase != PhaseUp && (u.Epoch == v.epoch && u.Revision >= v.revision || u.Epoch != v.epoch) {
 			touched[e.ID] = true
-			if e.Mod == 0 {
-				e.Mod = u.Revision
+			if e.ModRevision == 0 {
+				e.ModRevision = u.Revision
 			}
 			epochs := max(v.epochs, 1) // the one that a whole list will begin, where this is the first word of it
 			if v.epochs > 0 && u.Epoch != v.epoch {
@@ -314,10 +314,10 @@
 	if len(r.bars) >= mostBars {
 		r.forget(now)
 	}
-	if b, barred := r.bars[e.ID]; barred && b.source == s && b.epochs == epochs && b.revision > e.Mod {
+	if b, barred := r.bars[e.ID]; barred && b.source == s && b.epochs == epochs && b.revision > e.ModRevision {
 		return // an older word of the same
 	}
-	r.bars[e.ID] = bar{source: s, epochs: epochs, revision: e.Mod, at: now, gone: e.Phase != Draining}
+	r.bars[e.ID] = bar{source: s, epochs: epochs, revision: e.ModRevision, at: now, gone: e.Phase != PhaseDraining}
 }
 
 // forget makes room among the bars: the oldest tenth goes, and all that have stood for long.
@@ -339,22 +339,22 @@
 	if !barred {
 		return
 	}
-	same := b.source == s && b.epochs == v.epochs && e.Mod > b.revision
-	since := b.source == s && b.epochs < v.epochs && (e.Mod > v.first || v.epoch == "")
-	kept := b.source == Known && s == r.rules.Lead // told in an earlier run, nobody knows by whom
-	if same || since || kept || e.Started > b.at {
+	same := b.source == s && b.epochs == v.epochs && e.ModRevision > b.revision
+	since := b.source == s && b.epochs < v.epochs && (e.ModRevision > v.first || v.epoch == "")
+	kept := b.source == SourceKnown && s == r.rules.Preferred // told in an earlier run, nobody knows by whom
+	if same || since || kept || e.StartedAt > b.at {
 		delete(r.bars, e.ID)
 	}
 }
 
-// Broke notes that a source can't be heard any more.
-func (r *Roster) Broke(s Source) {
+// MarkDisconnected notes that a source can't be heard any more.
+func (r *Roster) MarkDisconnected(s Source) {
 	v := &r.views[s]
 	v.speaks, v.parts, v.bads, v.spoilt = false, nil, nil, false // half a revision is none
 }
 
-// Alive notes that a source has spoken without anything new.
-func (r *Roster) Alive(now float64, s Source) { r.views[s].heard, r.views[s].speaks = now, true }
+// MarkAlive notes that a source has spoken without anything new.
+func (r *Roster) MarkAlive(now float64, s Source) { r.views[s].heard, r.views[s].speaks = now, true }
 
 // Tick lets time pass: another source may take the lead.
 func (r *Roster) Tick(now float64) (out Outcome) {
@@ -379,7 +379,7 @@
 		if v.speaks {
 			x += 1 + float64(s)
 		}
-		if s == r.rules.Lead && (v.speaks || now-v.heard <= r.rules.TakeOver) {
+		if s == r.rules.Preferred && (v.speaks || now-v.heard <= r.rules.FailoverAfter) {
 			x += 10
 		}
 		if x > rank {
@@ -402,28 +402,28 @@
 	}
 	for _, id := range slices.Sorted(maps.Keys(touched)) {
 		e, there := r.views[r.lead].entries[id]
-		if b, barred := r.bars[id]; barred && there && e.Phase == Up {
-			if e.Phase = Draining; b.gone {
+		if b, barred := r.bars[id]; barred && there && e.Phase == PhaseUp {
+			if e.Phase = PhaseDraining; b.gone {
 				there = false
 			}
 		}
 		was, before := r.shown[id]
-		e.Mod = 0
+		e.ModRevision = 0
 		switch {
 		case there && (!before || was != e):
 			r.shown[id] = e
 			changes = append(changes, e)
 		case !there && before:
 			delete(r.shown, id)
-			was.Phase = Gone
+			was.Phase = PhaseRemoved
 			changes = append(changes, was)
 		}
 	}
 	return changes
 }
 
-// List is what is shown, ordered by id.
-func (r *Roster) List() []Entry {
+// Members is what is shown, ordered by id.
+func (r *Roster) Members() []Entry {
 	all := make([]Entry, 0, len(r.shown))
 	for _, id := range slices.Sorted(maps.Keys(r.shown)) {
 		all = append(all, r.shown[id])
@@ -431,8 +431,8 @@
 	return all
 }
 
-// Standing tells who leads, at which revision, how long ago it was heard, and how many epochs it has had.
-func (r *Roster) Standing(now float64) (lead Source, revision int64, age float64, epochs int) {
+// Leader tells who leads, at which revision, how long ago it was heard, and how many epochs it has had.
+func (r *Roster) Leader(now float64) (lead Source, revision int64, age float64, epochs int) {
 	v := &r.views[r.lead]
 	return r.lead, v.revision, now - v.heard, v.epochs
 }
