--- a/internal/switchover/golden_test.go
+++ b/internal/switchover/golden_test.go
@@ -12,11 +12,11 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Words and states go between drivers and to operators as they did when these texts were recorded, and are read back the same.
+// Notifications and statuses go between drivers and to operators as they did when these texts were recorded, and are read back the same.
 func TestStoredFormsMatchTheGoldenBytes(t *testing.T) {
 	whole := Notification{Group: 3, Epoch: 5120007, Stage: StageHeld, From: "m1", To: "m2", Renewals: 2, Lease: 99.5, HoldAge: 12.25}
 	for _, c := range []struct {
-		word              Notification
+		notification      Notification
 		wantJSON, wantHex string
 	}{
 		{Notification{}, `{"group":0,"epoch":0,"stage":"none"}`, "a36567726f7570006565706f63680065737461676500"},
@@ -25,21 +25,21 @@
 		{Notification{Group: -1, Epoch: 9, Stage: StageReleased}, `{"group":-1,"epoch":9,"stage":"released"}`, "a36567726f7570206565706f63680965737461676503"},
 		{Notification{Group: 1, Epoch: 9, Stage: StageAborted, From: "m1"}, `{"group":1,"epoch":9,"stage":"aborted","from":"m1"}`, "a46567726f7570016565706f636809657374616765046466726f6d626d31"},
 	} {
-		text, err := json.Marshal(c.word)
+		text, err := json.Marshal(c.notification)
 		if err != nil || string(text) != c.wantJSON {
 			t.Errorf("%s, %v", text, err)
 		}
 		var back Notification
-		if err := json.Unmarshal([]byte(c.wantJSON), &back); err != nil || back != c.word {
+		if err := json.Unmarshal([]byte(c.wantJSON), &back); err != nil || back != c.notification {
 			t.Error(back, err)
 		}
-		bytes, err := cbor.Marshal(c.word)
+		bytes, err := cbor.Marshal(c.notification)
 		if got := hex.EncodeToString(bytes); err != nil || got != c.wantHex {
 			t.Errorf("%s, %v", got, err)
 		}
 		golden, _ := hex.DecodeString(c.wantHex)
 		back = Notification{}
-		if err := cbor.Unmarshal(golden, &back); err != nil || back != c.word {
+		if err := cbor.Unmarshal(golden, &back); err != nil || back != c.notification {
 			t.Error(back, err)
 		}
 	}
@@ -74,20 +74,20 @@
 	}
 }
 
-// What drivers decide in seeded histories stays as it was when the digest was recorded: hooks, words of fellows that come late, twice
+// What drivers decide in seeded histories stays as it was when the digest was recorded: hooks, notifications of peers that come late, twice
 // or not at all, members that are seen, roles, pauses and restarts, at three drivers and six groups.
 func TestDecisionsMatchTheRecordedDigest(t *testing.T) {
 	sum, counts := fnv.New64a(), map[string]int{}
 	for seed := range uint64(200) {
 		r := rand.New(rand.NewPCG(seed, 5))
 		now := 1000.0
-		books := make([]*Tracker, 3)
+		trackers := make([]*Tracker, 3)
 		restart := func(i int) {
-			own := rules
+			own := config
 			own.Origin = uint64(i + 1)
-			books[i] = New(own)
+			trackers[i] = New(own)
 		}
-		for i := range books {
+		for i := range trackers {
 			restart(i)
 		}
 		var sent []Notification
@@ -105,7 +105,7 @@
 			fmt.Fprintln(sum, now, kind, out.QueryRoles, out.LogText)
 		}
 		for range 400 {
-			b := books[r.IntN(len(books))]
+			b := trackers[r.IntN(len(trackers))]
 			switch r.IntN(10) {
 			case 0, 1, 2:
 				w := Notification{Group: int64(r.IntN(6)), Stage: Stage(r.IntN(6)), From: member(), To: member()}
@@ -128,7 +128,7 @@
 					took("told", out, err)
 				}
 			case 5:
-				for _, s := range books[r.IntN(len(books))].Status(now) {
+				for _, s := range trackers[r.IntN(len(trackers))].Status(now) {
 					out, err := b.HandleNotification(now, s.Notification)
 					took("told status", out, err)
 				}
@@ -141,7 +141,7 @@
 				took("tick", b.Tick(now), nil)
 			default:
 				if r.IntN(30) == 0 {
-					restart(r.IntN(len(books)))
+					restart(r.IntN(len(trackers)))
 				}
 				if r.IntN(20) == 0 {
 					now += 1200
--- a/internal/switchover/switchover_test.go
+++ b/internal/switchover/switchover_test.go
@@ -7,32 +7,32 @@
 	"testing"
 )
 
-var rules = Config{DefaultLease: 100, MaxHold: 250, ReleaseTimeout: 50, RoleQueryInterval: 30, Retention: 1000, MaxGroups: 4}
+var config = Config{DefaultLease: 100, MaxHold: 250, ReleaseTimeout: 50, RoleQueryInterval: 30, Retention: 1000, MaxGroups: 4}
 
-// driver is a book and what its outcomes have marked.
+// driver is a tracker and what its outcomes have marked.
 type driver struct {
-	book   *Tracker
-	marks  map[string]bool
-	seen   Notification
-	holds  float64 // when the hold of the newest epoch was first marked
-	broken string
+	tracker *Tracker
+	marks   map[string]bool
+	seen    Notification
+	holds   float64 // when the hold of the newest epoch was first marked
+	broken  string
 }
 
 func newDriver(origin uint64) *driver {
-	r := rules
-	r.Origin = origin
-	return &driver{book: New(r), marks: map[string]bool{}}
+	own := config
+	own.Origin = origin
+	return &driver{tracker: New(own), marks: map[string]bool{}}
 }
 
 func (d *driver) clone() *driver {
-	x := newDriver(d.book.rules.Origin)
+	x := newDriver(d.tracker.config.Origin)
 	x.seen, x.holds = d.seen, d.holds
 	for m := range d.marks {
 		x.marks[m] = true
 	}
-	for g, c := range d.book.groups {
+	for g, c := range d.tracker.changes {
 		y := *c
-		x.book.groups[g] = &y
+		x.tracker.changes[g] = &y
 	}
 	return x
 }
@@ -55,20 +55,20 @@
 		all = append(all, m)
 	}
 	slices.Sort(all)
-	if marked := d.book.Draining(); !slices.Equal(all, marked) {
-		d.broken = fmt.Sprintf("marks are %v, the book says %v", all, marked)
+	if marked := d.tracker.Draining(); !slices.Equal(all, marked) {
+		d.broken = fmt.Sprintf("marks are %v, the tracker says %v", all, marked)
 	}
-	c := d.book.groups[1]
+	c := d.tracker.changes[1]
 	if c == nil {
 		return
 	}
-	if (&change{word: c.word}).higher(d.seen) {
-		d.broken = fmt.Sprintf("%+v behind %+v", c.word, d.seen)
+	if d.seen.newerThan(&c.latest) {
+		d.broken = fmt.Sprintf("%+v behind %+v", c.latest, d.seen)
 	}
-	d.seen = c.word
+	d.seen = c.latest
 	// the longest pause between two ticks here
-	if c.marked != "" && (c.word.Stage == StageAborted || c.word.Stage == StageAnnounced || c.lapsed ||
-		!c.claims && now-c.began > rules.MaxHold+rules.ReleaseTimeout+2*rules.RoleQueryInterval+120) {
+	if c.draining != "" && (c.latest.Stage == StageAborted || c.latest.Stage == StageAnnounced || c.expired ||
+		!c.claimsPrimary && now-c.heldSince > config.MaxHold+config.ReleaseTimeout+2*config.RoleQueryInterval+120) {
 		d.broken = fmt.Sprintf("marked: %+v at %v", *c, now)
 	}
 }
@@ -80,18 +80,18 @@
 		name string
 		do   func(now *float64, a, b *driver)
 	}
-	hook := func(name string, second bool, w Notification) step {
+	hook := func(name string, second bool, n Notification) step {
 		return step{name, func(now *float64, a, b *driver) {
 			if second {
 				a = b
 			}
-			_, out, _ := a.book.HandleHook(*now, w, "m1")
+			_, out, _ := a.tracker.HandleHook(*now, n, "m1")
 			a.takes(*now, out)
 		}}
 	}
 	tell := func(now float64, from, to *driver) {
-		for _, s := range from.book.Status(now) {
-			out, err := to.book.HandleNotification(now, s.Notification)
+		for _, s := range from.tracker.Status(now) {
+			out, err := to.tracker.HandleNotification(now, s.Notification)
 			if err != nil {
 				to.broken = err.Error()
 			}
@@ -102,7 +102,7 @@
 		return step{fmt.Sprintf("pause %g", ms), func(now *float64, a, b *driver) {
 			*now += ms
 			for _, d := range []*driver{a, b} {
-				d.takes(*now, d.book.Tick(*now))
+				d.takes(*now, d.tracker.Tick(*now))
 			}
 		}}
 	}
@@ -115,9 +115,9 @@
 		hook("b aborts", true, Notification{Group: 1, Stage: StageAborted}),
 		{"a tells b", func(now *float64, a, b *driver) { tell(*now, a, b) }},
 		{"b tells a", func(now *float64, a, b *driver) { tell(*now, b, a) }},
-		{"a sees m2", func(now *float64, a, b *driver) { a.takes(*now, a.book.ObservePrimary(*now, 1, "m2")) }},
-		{"a hears m1 as replica", func(now *float64, a, b *driver) { a.takes(*now, a.book.ObserveRole(*now, "m1", false)) }},
-		{"a hears m1 as primary", func(now *float64, a, b *driver) { a.takes(*now, a.book.ObserveRole(*now, "m1", true)) }},
+		{"a sees m2", func(now *float64, a, b *driver) { a.takes(*now, a.tracker.ObservePrimary(*now, 1, "m2")) }},
+		{"a hears m1 as replica", func(now *float64, a, b *driver) { a.takes(*now, a.tracker.ObserveRole(*now, "m1", false)) }},
+		{"a hears m1 as primary", func(now *float64, a, b *driver) { a.takes(*now, a.tracker.ObserveRole(*now, "m1", true)) }},
 		{"b forgets all", func(now *float64, a, b *driver) { *b = *newDriver(2) }}, // a driver that starts in the middle
 		pause(60), pause(120),
 	}
@@ -135,22 +135,22 @@
 		x, y, at := a.clone(), b.clone(), now
 		tell(at, x, y)
 		tell(at, y, x)
-		if p, q := x.book.groups[1], y.book.groups[1]; (p == nil) != (q == nil) || p != nil &&
-			(p.word.Epoch != q.word.Epoch || p.word.Stage != q.word.Stage || p.word.Renewals != q.word.Renewals ||
-				p.word.From != q.word.From) {
+		if p, q := x.tracker.changes[1], y.tracker.changes[1]; (p == nil) != (q == nil) || p != nil &&
+			(p.latest.Epoch != q.latest.Epoch || p.latest.Stage != q.latest.Stage || p.latest.Renewals != q.latest.Renewals ||
+				p.latest.From != q.latest.From) {
 			t.Fatalf("%v: told everything, they differ: %+v, %+v", path, p, q)
 		}
 		for range 4 { // nothing is held or marked for good
-			at += rules.MaxHold
+			at += config.MaxHold
 			for _, d := range []*driver{x, y} {
-				d.takes(at, d.book.Tick(at))
+				d.takes(at, d.tracker.Tick(at))
 			}
 		}
-		at += rules.Retention
+		at += config.Retention
 		for _, d := range []*driver{x, y} {
-			d.takes(at, d.book.Tick(at))
-			if d.takes(at, d.book.Tick(at)); d.broken != "" || len(d.marks) > 0 || len(d.book.groups) > 0 || d.book.Active() {
-				t.Fatalf("%v: at the end %q, marks %v, %v", path, d.broken, d.marks, d.book.Status(at))
+			d.takes(at, d.tracker.Tick(at))
+			if d.takes(at, d.tracker.Tick(at)); d.broken != "" || len(d.marks) > 0 || len(d.tracker.changes) > 0 || d.tracker.Active() {
+				t.Fatalf("%v: at the end %q, marks %v, %v", path, d.broken, d.marks, d.tracker.Status(at))
 			}
 		}
 		if len(path) == depth {
@@ -173,8 +173,8 @@
 // A planned change as hooks tell it: the old primary is marked with the hold and stays so behind the release until
 // another is seen; repeats do nothing; what is left out is filled in.
 func TestPlannedChange(t *testing.T) {
-	b := New(rules)
-	const first = 5000 * origins
+	b := New(config)
+	const first = 5000 * maxOrigins
 	w, out, err := b.HandleHook(5000, Notification{Group: 1, Stage: StageAnnounced, To: "m2"}, "m1")
 	if err != nil || w.Epoch != first || w.From != "m1" || marks(out) != "[]" || !slices.Equal(out.QueryRoles, []string{"m2"}) {
 		t.Fatal(w, out, err)
@@ -229,7 +229,7 @@
 // A deposed primary that goes on as one beside the new one gets nothing, for as long as it says so, and is told of
 // once.
 func TestTwoPrimaries(t *testing.T) {
-	b := New(rules)
+	b := New(config)
 	b.HandleHook(1000, Notification{Group: 1, Stage: StageHeld, From: "m1"}, "")
 	b.HandleHook(1010, Notification{Group: 1, Stage: StageReleased}, "")
 	b.ObservePrimary(1020, 1, "m2")
@@ -254,7 +254,7 @@
 
 // Holds are leases: they lapse, can be renewed up to a limit, and can't be had back.
 func TestLeases(t *testing.T) {
-	b := New(rules)
+	b := New(config)
 	hold := func(now, lease float64) (Notification, Outcome, error) {
 		return b.HandleHook(now, Notification{Group: 1, Stage: StageHeld, Lease: lease}, "m1")
 	}
@@ -273,12 +273,12 @@
 	if out := b.Tick(1250); marks(out) != "[{m1 false}]" || !slices.Equal(out.QueryRoles, []string{"m1"}) {
 		t.Error(out)
 	}
-	if _, _, err := b.HandleHook(1251, Notification{Group: 1, Epoch: b.groups[1].word.Epoch, Stage: StageHeld}, ""); !errors.Is(err,
+	if _, _, err := b.HandleHook(1251, Notification{Group: 1, Epoch: b.changes[1].latest.Epoch, Stage: StageHeld}, ""); !errors.Is(err,
 		ErrLeaseExpired) {
 		t.Error(err)
 	}
 	// a hold that a fellow tells when its lease is nearly over is held for what is left of it alone
-	c := New(rules)
+	c := New(config)
 	c.HandleNotification(2000, Notification{Group: 2, Epoch: 7, Stage: StageHeld, From: "x", Renewals: 1, Lease: 5, HoldAge: 95})
 	if out := c.Tick(2006); marks(out) != "[{x false}]" {
 		t.Error(out)
@@ -291,7 +291,7 @@
 
 // Behind a release that nobody follows the old primary is let go after a while.
 func TestOpeningEnds(t *testing.T) {
-	b := New(rules)
+	b := New(config)
 	b.HandleHook(1000, Notification{Group: 1, Stage: StageHeld, From: "m1"}, "")
 	b.HandleHook(1010, Notification{Group: 1, Stage: StageReleased}, "")
 	if out := b.Tick(1059); len(out.Marks) > 0 {
@@ -303,20 +303,20 @@
 }
 
 func TestWordsThatMakeNoSense(t *testing.T) {
-	b := New(rules)
+	b := New(config)
 	for i, c := range []struct {
-		w    Notification
-		want error
+		notification Notification
+		want         error
 	}{
 		{Notification{Group: 1}, ErrInvalid}, {Notification{Group: 1, Stage: 9}, ErrInvalid}, {Notification{Group: 1, Stage: StageHeld, Lease: -1}, ErrInvalid},
 		{Notification{Group: 1, Stage: StageReleased}, ErrNoChange}, {Notification{Group: 1, Stage: StageHeld}, ErrUnknownPrimary},
 		{Notification{Group: 1, Stage: StageHeld, From: "a", To: "a"}, ErrInvalid},
 	} {
-		if _, out, err := b.HandleHook(1000, c.w, ""); !errors.Is(err, c.want) || len(out.Marks) > 0 {
+		if _, out, err := b.HandleHook(1000, c.notification, ""); !errors.Is(err, c.want) || len(out.Marks) > 0 {
 			t.Errorf("%d: %v %v", i, err, out)
 		}
 	}
-	if len(b.groups) > 0 {
+	if len(b.changes) > 0 {
 		t.Error("words that make no sense are kept")
 	}
 	for g := range int64(6) {
