--- a/cmd/weirwind/membership.go
+++ b/cmd/weirwind/membership.go
@@ -75,7 +75,7 @@
 
 // line is a driver's own part of its view.
 func line(s *membership.Status) string {
-	text := fmt.Sprintf("self=%s standing=%s", s.Self, s.Standing)
+	text := fmt.Sprintf("self=%s standing=%s", s.Self, s.Partition)
 	if s.Reason != "" {
 		text += " reason=" + s.Reason
 	}
@@ -91,10 +91,10 @@
 
 // fellowLine is its part on one fellow.
 func fellowLine(v *membership.View) string {
-	text := fmt.Sprintf("name=%s state=%s heard=%v listed=%v address=%s zone=%s for=%s", v.Name, v.State, v.Heard,
-		v.Listed, v.Address, v.Zone, span(v.For))
-	if len(v.Deaf) > 0 {
-		text += " does_not_hear=" + strings.Join(v.Deaf, ",")
+	text := fmt.Sprintf("name=%s state=%s heard=%v listed=%v address=%s zone=%s for=%s", v.Name, v.State, v.Reachable,
+		v.OnRoster, v.Address, v.Zone, span(v.For))
+	if len(v.Unreachable) > 0 {
+		text += " does_not_hear=" + strings.Join(v.Unreachable, ",")
 	}
 	return text
 }
@@ -144,10 +144,10 @@
 				}
 			}
 		}
-		say("", fmt.Sprint(s.Standing, s.Reason, s.Count, s.Roster), line(&s))
+		say("", fmt.Sprint(s.Partition, s.Reason, s.Count, s.Roster), line(&s))
 		for i := range s.Drivers {
 			v := &s.Drivers[i]
-			say(v.Name, fmt.Sprint(v.State, v.Heard, v.Listed, v.Run, v.Deaf), fellowLine(v))
+			say(v.Name, fmt.Sprint(v.State, v.Reachable, v.OnRoster, v.Run, v.Unreachable), fellowLine(v))
 		}
 		if c.JSON && changed {
 			return printJSON(out, s)
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -62,11 +62,11 @@
 	case errors.Is(err, switchover.ErrStale), errors.Is(err, switchover.ErrChangeFinished),
 		errors.Is(err, switchover.ErrLeaseExpired):
 		return http.StatusConflict
-	case errors.Is(err, switchover.ErrNoChange), errors.Is(err, errNoFellows), errors.Is(err, membership.ErrUnknown):
+	case errors.Is(err, switchover.ErrNoChange), errors.Is(err, errNoFellows), errors.Is(err, membership.ErrUnknownDriver):
 		return http.StatusNotFound
-	case errors.Is(err, ErrStanding), errors.Is(err, membership.ErrPart):
+	case errors.Is(err, ErrStanding), errors.Is(err, membership.ErrNoMajority):
 		return http.StatusServiceUnavailable
-	case errors.Is(err, membership.ErrLives):
+	case errors.Is(err, membership.ErrAlive):
 		return http.StatusConflict
 	case errors.Is(err, switchover.ErrTooManyGroups):
 		return http.StatusTooManyRequests
--- a/internal/driver/fleet.go
+++ b/internal/driver/fleet.go
@@ -243,7 +243,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, d := range w.Drains {
-		marks, n := f.drains.Told(f.v.decide.clock.now(), d)
+		marks, n := f.drains.ApplyPeer(f.v.decide.clock.now(), d)
 		f.carry(marks)
 		news = news || n
 	}
@@ -261,7 +261,7 @@
 			Up: e.Phase == roster.PhaseUp})
 	}
 	f.mu.Lock()
-	marks, news := f.drains.Listed(f.v.decide.clock.now(), uint8(source), revision, told)
+	marks, news := f.drains.ApplyList(f.v.decide.clock.now(), uint8(source), revision, told)
 	f.carry(marks)
 	f.mu.Unlock()
 	if news {
@@ -278,7 +278,7 @@
 }
 
 // onStanding takes a new standing, or count of drivers.
-func (f *fleet) onStanding(_ membership.Standing, count int) { f.counted(count, true, true) }
+func (f *fleet) onStanding(_ membership.PartitionStatus, count int) { f.counted(count, true, true) }
 
 // counted tells of how many drivers there are. Where drivers know each other that alone decides, and what the registry
 // lists is no second truth.
--- a/internal/driver/switchover.go
+++ b/internal/driver/switchover.go
@@ -131,12 +131,12 @@
 	if s.v.fleet.mesh == nil {
 		return nil
 	}
-	act := membership.EndHold
+	act := membership.EndWritePause
 	if w.Stage <= switchover.StageHeld {
-		act = membership.BeginHold
+		act = membership.BeginWritePause
 		for _, k := range s.Status() {
 			if k.Group == w.Group && k.Stage == switchover.StageHeld && !k.Finished && (w.Epoch == 0 || w.Epoch == k.Epoch) {
-				act = membership.RenewHold
+				act = membership.RenewWritePause
 			}
 		}
 	}
--- a/internal/driver/zones.go
+++ b/internal/driver/zones.go
@@ -204,7 +204,7 @@
 		for _, w := range z.receiveMessages(s.To, back, asked) {
 			z.send(zones.Send{To: s.To, Message: w})
 		}
-	} else if !errors.Is(err, membership.ErrUnknown) {
+	} else if !errors.Is(err, membership.ErrUnknownDriver) {
 		z.v.log.Debug("zones", "reason", "word_not_sent", "to", s.To, "step", s.Message.Kind, "took",
 			z.v.decide.clock.now()-asked, "error", err)
 	}
@@ -244,7 +244,7 @@
 // fleet is what membership tells.
 func (z *zoneAgent) fleet() zones.Fleet {
 	s := z.v.fleet.mesh.Status()
-	f := zones.Fleet{Standing: s.Standing, Alive: []zones.Peer{{Name: s.Self, Zone: z.zone}}, Zones: []string{z.zone}}
+	f := zones.Fleet{Standing: s.Partition, Alive: []zones.Peer{{Name: s.Self, Zone: z.zone}}, Zones: []string{z.zone}}
 	if s.Roster != nil {
 		f.Roster, f.Names = s.Roster.Version, s.Roster.Names
 	}
--- a/internal/fleet/membership/ballot.go
+++ b/internal/fleet/membership/ballot.go
@@ -27,11 +27,11 @@
 type Vote struct {
 	Kind     VoteKind     `cbor:"1,keyasint"`
 	Version  uint64       `cbor:"2,keyasint"` // of the roster to come
-	Base     uint64       `cbor:"3,keyasint,omitempty"`
+	BaseHash uint64       `cbor:"3,keyasint,omitempty"`
 	Ballot   paxos.Ballot `cbor:"4,keyasint"`
 	Accepted paxos.Ballot `cbor:"5,keyasint"` // of the change in a promise
 	Change   *Change      `cbor:"6,keyasint,omitempty"`
-	Sum      uint64       `cbor:"7,keyasint,omitempty"` // of a founding
+	Hash     uint64       `cbor:"7,keyasint,omitempty"` // of a founding
 }
 
 // round is a ballot that this driver leads.
@@ -43,10 +43,10 @@
 // propose begins a ballot for a change.
 func (f *Fleet) propose(want *Change) {
 	f.ballotNumber++
-	ballot := paxos.Ballot{Number: f.ballotNumber, Name: f.self.Name}
-	f.round = &round{Proposer: paxos.Propose(ballot, want), deadline: f.now + roundPeriods*f.rules.Period}
+	ballot := paxos.Ballot{Number: f.ballotNumber, Proposer: f.self.Name}
+	f.round = &round{Proposer: paxos.NewProposer(ballot, want), deadline: f.now + roundPeriods*f.rules.Period}
 	f.retryAt = f.round.deadline
-	f.broadcastVote(f.roster.Names, Vote{Kind: Prepare, Version: f.roster.Version + 1, Base: f.roster.sum,
+	f.broadcastVote(f.roster.Names, Vote{Kind: Prepare, Version: f.roster.Version + 1, BaseHash: f.roster.sum,
 		Ballot: f.round.Ballot})
 }
 
@@ -56,7 +56,7 @@
 	if f.vote.Value != nil && f.version == f.roster.Version+1 && f.now-f.acceptedAt > roundPeriods*f.rules.Period {
 		return f.vote.Value
 	}
-	c := &Change{Version: f.roster.Version + 1, Lineage: f.roster.Lineage, Base: f.roster.sum, Sum: f.roster.sum}
+	c := &Change{Version: f.roster.Version + 1, Lineage: f.roster.Lineage, BaseHash: f.roster.sum, Hash: f.roster.sum}
 	wait := settledPeriods * f.rules.Period
 	if !f.roster.has(f.self.Name) {
 		c.Add = append(c.Add, f.self.Name)
@@ -72,7 +72,7 @@
 			c.Add = append(c.Add, m.Name)
 		}
 	}
-	c.Sum ^= sumOf(c.Add) ^ sumOf(c.Remove)
+	c.Hash ^= sumOf(c.Add) ^ sumOf(c.Remove)
 	if len(c.Add)+len(c.Remove) == 0 {
 		return nil
 	}
@@ -83,7 +83,7 @@
 func (f *Fleet) broadcastVote(names []string, v Vote) {
 	for _, n := range names {
 		if m := f.byName[n]; m != nil && !m.State.ended() {
-			f.send(m.Address, Message{Kind: Gossip, To: n, Vote: &v})
+			f.send(m.Address, Message{Kind: Gossip, Target: n, Vote: &v})
 		}
 	}
 	if slices.Contains(names, f.self.Name) {
@@ -97,7 +97,7 @@
 		f.receiveVote(name, "", v)
 		return
 	}
-	f.send(address, Message{Kind: Gossip, To: name, Vote: &v})
+	f.send(address, Message{Kind: Gossip, Target: name, Vote: &v})
 }
 
 // receiveVote takes a step of a peer.
@@ -110,10 +110,10 @@
 		f.receiveBootstrap(name, address, v)
 		return
 	}
-	if f.roster == nil || v.Version != f.roster.Version+1 || v.Base != f.roster.sum {
+	if f.roster == nil || v.Version != f.roster.Version+1 || v.BaseHash != f.roster.sum {
 		added := f.roster == nil && v.Change != nil && slices.Contains(v.Change.Add, f.self.Name)
 		if v.Kind == Accept && added { // it is to be counted from there on
-			f.answer(name, address, Vote{Kind: Accepted, Version: v.Version, Base: v.Base, Ballot: v.Ballot})
+			f.answer(name, address, Vote{Kind: Accepted, Version: v.Version, BaseHash: v.BaseHash, Ballot: v.Ballot})
 		}
 		return
 	}
@@ -149,8 +149,8 @@
 	if !f.mayVote() || !f.roster.has(f.self.Name) {
 		return
 	}
-	back := Vote{Kind: Reject, Version: v.Version, Base: v.Base, Ballot: f.vote.Promised}
-	if f.vote.Promise(v.Ballot) {
+	back := Vote{Kind: Reject, Version: v.Version, BaseHash: v.BaseHash, Ballot: f.vote.Promised}
+	if f.vote.Prepare(v.Ballot) {
 		f.unsaved = true
 		back.Kind, back.Ballot, back.Accepted, back.Change = Promise, v.Ballot, f.vote.Accepted, f.vote.Value
 	}
@@ -162,17 +162,17 @@
 	if r == nil || !f.roster.has(name) {
 		return
 	}
-	if r.PromisedBy(name, v.Accepted, v.Change, f.roster.Names) {
+	if r.RecordPromise(name, v.Accepted, v.Change, f.roster.Names) {
 		f.broadcastVote(f.voters(r.Value),
-			Vote{Kind: Accept, Version: v.Version, Base: v.Base, Ballot: r.Ballot, Change: r.Value})
+			Vote{Kind: Accept, Version: v.Version, BaseHash: v.BaseHash, Ballot: r.Ballot, Change: r.Value})
 	}
 }
 
 func (f *Fleet) receiveAccept(name, address string, v Vote) {
-	if v.Change == nil || v.Change.Base != f.roster.sum || !f.mayVote() {
+	if v.Change == nil || v.Change.BaseHash != f.roster.sum || !f.mayVote() {
 		return
 	}
-	back := Vote{Kind: Reject, Version: v.Version, Base: v.Base, Ballot: f.vote.Promised}
+	back := Vote{Kind: Reject, Version: v.Version, BaseHash: v.BaseHash, Ballot: f.vote.Promised}
 	if f.vote.Accept(v.Ballot, v.Change) {
 		f.acceptedAt, f.unsaved = f.now, true
 		back.Kind, back.Ballot = Accepted, v.Ballot
@@ -186,7 +186,7 @@
 	if r == nil || !r.Accepting {
 		return
 	}
-	r.AcceptedBy(name)
+	r.RecordAccepted(name)
 	if next := f.after(r.Value); r.Decided(f.roster.Names, next.Names) {
 		f.round = nil
 		f.decide(*r.Value)
@@ -213,7 +213,7 @@
 
 // decide takes a change that was agreed on, and passes it on.
 func (f *Fleet) decide(c Change) {
-	if next := f.after(&c); next.sum == c.Sum {
+	if next := f.after(&c); next.sum == c.Hash {
 		f.adoptRoster(next)
 		f.decided, f.decidedLeft = &c, 4*f.times()
 	}
--- a/internal/fleet/membership/digest_test.go
+++ b/internal/fleet/membership/digest_test.go
@@ -30,15 +30,15 @@
 	d.sum.Write(b)
 }
 
-func (d *digest) out(name string, out Out) {
-	for _, s := range out.Sends {
+func (d *digest) out(name string, out Output) {
+	for _, s := range out.Messages {
 		d.add(name, s.Address)
 		d.encoded(&s.Message)
 	}
-	for _, n := range out.Notes {
+	for _, n := range out.Events {
 		d.add(name, n.Reason, n.Name, n.Text)
 	}
-	d.add(out.Exchanges)
+	d.add(out.SyncWith)
 	if out.Save != nil {
 		d.encoded(out.Save)
 	}
@@ -50,9 +50,9 @@
 		panic(err)
 	}
 	d.sum.Write(b)
-	d.encoded(f.Exchange())
-	standing, why, since := f.Standing()
-	d.add(f.Count(), f.Living(), standing, why, since, f.State("n1"), f.Address("n1"))
+	d.encoded(f.Snapshot())
+	standing, why, since := f.PartitionStatus()
+	d.add(f.DriverCount(), f.LiveAddresses(), standing, why, since, f.StateOf("n1"), f.AddressOf("n1"))
 }
 
 // TestDigests holds what drivers put out over seeded histories against what they put out when this was recorded.
@@ -105,7 +105,7 @@
 func (n *network) start(i int) {
 	d := n.drivers[i]
 	d.run = uint64(n.Now) + 1 - uint64(50_000*(n.r.IntN(4)/3))
-	rules := Rules{Period: 500, Expect: n.founders, Keep: 20_000, MaxDrivers: n.founders + 3, Yield: 15_000, Persistent: i%2 == 0}
+	rules := Options{Period: 500, ExpectedDrivers: n.founders, RetainFor: 20_000, MaxDrivers: n.founders + 3, TakeoverAfter: 15_000, Persistent: i%2 == 0}
 	if rules.Persistent {
 		rules.Saved = d.saved
 	}
@@ -124,7 +124,7 @@
 	n.In(50*n.r.Float64(), tick)
 }
 
-func (n *network) out(d *driver, out Out) {
+func (n *network) out(d *driver, out Output) {
 	n.d.out(d.name, out)
 	if out.Save != nil {
 		kept := n.r.IntN(20) > 0
@@ -133,13 +133,13 @@
 		}
 		d.saved = out.Save
 	}
-	for _, s := range out.Sends {
+	for _, s := range out.Messages {
 		n.send(d, s.Address, func(t *driver) { n.out(t, t.view.Receive(n.Now, s.Message)) })
 	}
-	for _, address := range out.Exchanges {
-		asked := d.view.Exchange()
+	for _, address := range out.SyncWith {
+		asked := d.view.Snapshot()
 		n.send(d, address, func(t *driver) {
-			answer := t.view.Exchange()
+			answer := t.view.Snapshot()
 			n.out(t, t.view.Merge(n.Now, asked))
 			n.send(t, fmt.Sprint(d.at), func(d *driver) { n.out(d, d.view.Merge(n.Now, answer)) })
 		})
@@ -201,7 +201,7 @@
 				name = "n2" // it is another's
 			}
 			if x.view != nil {
-				x.view.Pace(400)
+				x.view.SetPeriod(400)
 			}
 			n.drivers = append(n.drivers, &driver{name: name, at: len(n.drivers)})
 			n.start(len(n.drivers) - 1)
@@ -232,10 +232,10 @@
 	r := rand.New(rand.NewPCG(seed, 52))
 	now := 10_000.0
 	names := []string{"a", "b", "c", "d", "e"}[:2+seed%4]
-	rules := Rules{Period: 500, Expect: len(names), Keep: 5000, MaxDrivers: 6, Yield: 5000, Persistent: seed%2 == 0}
+	rules := Options{Period: 500, ExpectedDrivers: len(names), RetainFor: 5000, MaxDrivers: 6, TakeoverAfter: 5000, Persistent: seed%2 == 0}
 	f := New(now, rules, Record{Name: "c", Run: 5, Address: "c"}, []string{"a", "b"}, seed)
 	if seed%4 > 0 {
-		out := f.Merge(now, Exchange{From: Record{Name: "a", Run: 3, Address: "a"}, Roster: &Roster{Version: 3, Lineage: 3, Names: names}})
+		out := f.Merge(now, Snapshot{From: Record{Name: "a", Run: 3, Address: "a"}, Roster: &Roster{Version: 3, Lineage: 3, Names: names}})
 		d.out("c", out)
 		now += 15_000
 	}
@@ -246,7 +246,7 @@
 			d.out("c", f.Tick(now))
 		case 5:
 			from := anyRecord(r, names)
-			x := Exchange{From: from, Records: []Record{anyRecord(r, names), anyRecord(r, names)}}
+			x := Snapshot{From: from, Records: []Record{anyRecord(r, names), anyRecord(r, names)}}
 			if r.IntN(2) == 0 {
 				x.Roster = &Roster{Version: uint64(r.IntN(6)), Lineage: uint64(3 + r.IntN(2)), Names: names[:1+r.IntN(len(names))]}
 			}
@@ -274,8 +274,8 @@
 	if r.IntN(10) == 0 {
 		address = "other"
 	}
-	return Record{Name: name, Run: uint64(3 + r.IntN(8)/7), Inc: uint32(r.IntN(4)), State: State(r.IntN(9) / 2 % 4), Address: address,
-		Zone: "z", By: names[r.IntN(len(names))]}
+	return Record{Name: name, Run: uint64(3 + r.IntN(8)/7), Incarnation: uint32(r.IntN(4)), State: State(r.IntN(9) / 2 % 4), Address: address,
+		Zone: "z", ReportedBy: names[r.IntN(len(names))]}
 }
 
 func anyMessage(r *rand.Rand, f *Fleet, names []string) Message {
@@ -283,28 +283,28 @@
 	if r.IntN(3) > 0 {
 		from.State, from.Run, from.Address = Alive, 3, from.Name
 	}
-	m := Message{Kind: Kind(1 + r.IntN(6)), From: from, Count: uint64(r.IntN(1000)), Seq: f.seq - uint64(r.IntN(3)),
-		To: append([]string{"c"}, names...)[r.IntN(len(names)+1)], At: "b", View: uint64(r.IntN(2)), Roster: uint64(r.IntN(6))}
+	m := Message{Kind: Kind(1 + r.IntN(6)), From: from, Counter: uint64(r.IntN(1000)), ProbeID: f.seq - uint64(r.IntN(3)),
+		Target: append([]string{"c"}, names...)[r.IntN(len(names)+1)], TargetAddress: "b", ViewHash: uint64(r.IntN(2)), RosterVersion: uint64(r.IntN(6))}
 	for range r.IntN(3) {
 		m.Records = append(m.Records, anyRecord(r, names))
 	}
 	if r.IntN(6) == 0 {
-		m.Hears = []Hearing{{Name: from.Name, Run: from.Run, Turn: uint32(r.IntN(9)), Deaf: names[:r.IntN(len(names))]}}
+		m.Reachability = []Reachability{{Name: from.Name, Run: from.Run, Sequence: uint32(r.IntN(9)), Unreachable: names[:r.IntN(len(names))]}}
 	}
 	if f.roster == nil || r.IntN(2) == 0 {
 		if r.IntN(4) == 0 {
-			m.Vote = &Vote{Kind: VoteKind(1 + r.IntN(2)), Version: 1, Sum: sumOf(names), Ballot: paxos.Ballot{Name: from.Name}}
+			m.Vote = &Vote{Kind: VoteKind(1 + r.IntN(2)), Version: 1, Hash: sumOf(names), Ballot: paxos.Ballot{Proposer: from.Name}}
 		}
 		return m
 	}
-	change := &Change{Version: f.roster.Version + 1, Lineage: f.roster.Lineage, Base: f.roster.sum, Add: []string{"x"}}
+	change := &Change{Version: f.roster.Version + 1, Lineage: f.roster.Lineage, BaseHash: f.roster.sum, Add: []string{"x"}}
 	if r.IntN(2) == 0 {
 		change.Add, change.Remove = nil, []string{names[r.IntN(len(names))]}
 	}
-	change.Sum = change.Base ^ sumOf(change.Add) ^ sumOf(change.Remove)
-	m.Vote = &Vote{Kind: VoteKind(3 + r.IntN(5)), Version: change.Version, Base: change.Base,
-		Ballot:   paxos.Ballot{Number: uint32(r.IntN(5)), Name: names[r.IntN(len(names))]},
-		Accepted: paxos.Ballot{Number: uint32(r.IntN(5)), Name: names[r.IntN(len(names))]}}
+	change.Hash = change.BaseHash ^ sumOf(change.Add) ^ sumOf(change.Remove)
+	m.Vote = &Vote{Kind: VoteKind(3 + r.IntN(5)), Version: change.Version, BaseHash: change.BaseHash,
+		Ballot:   paxos.Ballot{Number: uint32(r.IntN(5)), Proposer: names[r.IntN(len(names))]},
+		Accepted: paxos.Ballot{Number: uint32(r.IntN(5)), Proposer: names[r.IntN(len(names))]}}
 	if f.round != nil && r.IntN(3) > 0 {
 		m.Vote.Ballot = f.round.Ballot
 	}
@@ -312,7 +312,7 @@
 		m.Vote.Change = change
 	}
 	if r.IntN(8) == 0 {
-		m.Decided = change
+		m.DecidedChange = change
 	}
 	return m
 }
@@ -321,14 +321,14 @@
 func playCrowd(d *digest, seed uint64) {
 	r := rand.New(rand.NewPCG(seed, 54))
 	now := 10_000.0
-	f := New(now, Rules{Period: 500, Expect: 2, Keep: 2000, MaxDrivers: 60}, Record{Name: "c", Run: 5, Address: "c"}, nil, seed)
+	f := New(now, Options{Period: 500, ExpectedDrivers: 2, RetainFor: 2000, MaxDrivers: 60}, Record{Name: "c", Run: 5, Address: "c"}, nil, seed)
 	record := func() Record {
 		name := fmt.Sprintf("driver-with-a-name-%02d", r.IntN(70))
-		return Record{Name: name, Run: 3, Inc: uint32(r.IntN(4)), State: State(r.IntN(6) / 4), Address: name, By: "c"}
+		return Record{Name: name, Run: 3, Incarnation: uint32(r.IntN(4)), State: State(r.IntN(6) / 4), Address: name, ReportedBy: "c"}
 	}
 	for range 100 {
 		now += 100 * r.Float64()
-		x := Exchange{From: record()}
+		x := Snapshot{From: record()}
 		for range 20 {
 			x.Records = append(x.Records, record())
 		}
@@ -337,10 +337,10 @@
 			x.Records[0].Address = ""
 		}
 		d.out("c", f.Merge(now, x))
-		m := Message{Kind: Ping, From: record(), To: "c", Count: uint64(r.IntN(50)), Hears: []Hearing{{Name: record().Name, Run: 3,
-			Turn: uint32(r.IntN(9)), Deaf: []string{"driver-with-a-name-01"}}}}
+		m := Message{Kind: Ping, From: record(), Target: "c", Counter: uint64(r.IntN(50)), Reachability: []Reachability{{Name: record().Name, Run: 3,
+			Sequence: uint32(r.IntN(9)), Unreachable: []string{"driver-with-a-name-01"}}}}
 		if r.IntN(5) == 0 {
-			m.Vote = &Vote{Kind: Accept, Version: 2, Base: 1, Ballot: paxos.Ballot{Number: 1, Name: "x"},
+			m.Vote = &Vote{Kind: Accept, Version: 2, BaseHash: 1, Ballot: paxos.Ballot{Number: 1, Proposer: "x"},
 				Change: &Change{Version: uint64(1 + r.IntN(3)), Add: []string{"c"}}}
 		}
 		if r.IntN(10) == 0 {
@@ -362,12 +362,12 @@
 			one.Revision++ // which of two sources' drains of one revision is forgotten first is not determined
 		}
 		if r.IntN(2) == 0 {
-			marks, news := all.Told(now, one)
+			marks, news := all.ApplyPeer(now, one)
 			d.add(marks, news)
 		} else {
-			marks, news := all.Listed(now, one.Source, int64(r.IntN(20)), []Drain{one})
+			marks, news := all.ApplyList(now, one.Source, int64(r.IntN(20)), []Drain{one})
 			d.add(marks, news)
 		}
-		d.add(all.Marked(), all.Since(now-200))
+		d.add(all.Draining(), all.Since(now-200))
 	}
 }
--- a/internal/fleet/membership/drains.go
+++ b/internal/fleet/membership/drains.go
@@ -58,9 +58,9 @@
 	return true
 }
 
-// Listed takes what an own list told: the revision up to which it is held now, and what it told of members. It gives
+// ApplyList takes what an own list told: the revision up to which it is held now, and what it told of members. It gives
 // the members whose marks change (true: counts as draining now) and whether there is news for peers.
-func (d *Drains) Listed(now float64, source uint8, revision int64, told []Drain) (marks map[string]bool, news bool) {
+func (d *Drains) ApplyList(now float64, source uint8, revision int64, told []Drain) (marks map[string]bool, news bool) {
 	d.own[source] = revision
 	for _, t := range told {
 		news = d.take(now, t) || news
@@ -73,8 +73,8 @@
 	return d.settle(), news
 }
 
-// Told takes a peer's word, and says whether it was news.
-func (d *Drains) Told(now float64, t Drain) (marks map[string]bool, news bool) {
+// ApplyPeer takes a peer's word, and says whether it was news.
+func (d *Drains) ApplyPeer(now float64, t Drain) (marks map[string]bool, news bool) {
 	if t.Member == "" || len(t.Member) > 256 || t.Revision < 0 || !d.take(now, t) {
 		return nil, false
 	}
@@ -131,5 +131,5 @@
 	return all
 }
 
-// Marked are the members that count as draining by peers' word alone, sorted.
-func (d *Drains) Marked() []string { return slices.Sorted(maps.Keys(d.marks)) }
+// Draining are the members that count as draining by peers' word alone, sorted.
+func (d *Drains) Draining() []string { return slices.Sorted(maps.Keys(d.marks)) }
--- a/internal/fleet/membership/fleet.go
+++ b/internal/fleet/membership/fleet.go
@@ -7,15 +7,15 @@
 	"slices"
 )
 
-// Rules are what a driver goes by.
-type Rules struct {
-	Period     float64     // between two probes of a driver that is well
-	Expect     int         // drivers that there are to be, before they have agreed on a roster
-	Keep       float64     // one that has ended and is on no roster is remembered for so long
-	MaxDrivers int         // drivers that are known at most
-	Yield      float64     // a larger part takes over the share of who is lost after so long (see Count)
-	Persistent bool        // votes and rosters outlive the process: Out.Save is safe before what goes with it is sent
-	Saved      *SavedState // what an earlier run saved last; nil for none
+// Options are what a driver goes by.
+type Options struct {
+	Period          float64     // between two probes of a driver that is well
+	ExpectedDrivers int         // drivers that there are to be, before they have agreed on a roster
+	RetainFor       float64     // one that has ended and is on no roster is remembered for so long
+	MaxDrivers      int         // drivers that are known at most
+	TakeoverAfter   float64     // a larger part takes over the share of who is lost after so long (see Count)
+	Persistent      bool        // votes and rosters outlive the process: Out.Save is safe before what goes with it is sent
+	Saved           *SavedState // what an earlier run saved last; nil for none
 }
 
 // In periods, where nothing else is said.
@@ -54,7 +54,7 @@
 	tries  int     // made since
 	again  float64 // the next one
 	deaf   bool    // it is not heard, though it is said to live
-	hears  Hearing
+	hears  Reachability
 
 	began float64         // of the suspicion
 	scale float64         // by how unwell this driver was then
@@ -86,14 +86,14 @@
 // update is word that still goes round.
 type update struct {
 	record Record
-	hears  *Hearing
+	hears  *Reachability
 	sent   int
 	dead   bool // another one has taken its place
 }
 
 // Fleet is one driver's view. It is not safe for use by several goroutines at a time.
 type Fleet struct {
-	rules   Rules
+	rules   Options
 	random  *rand.Rand
 	self    Record
 	count   uint64
@@ -108,7 +108,7 @@
 	spare   []*update
 	going   map[string][]*update // those that are not dead, by whom they are about
 	health  int
-	hears   Hearing
+	hears   Reachability
 
 	now, ticked, probeAt, gossipAt, seedAt, exchangeAt, rosterAt, reapAt, lookAt, judgeAt float64
 	// the set of those that live; anything
@@ -123,12 +123,12 @@
 	warned    map[string]float64
 
 	rosterConsensus
-	standing  Standing
+	standing  PartitionStatus
 	why       string
 	stands    float64 // since when
 	leaving   bool
 	behind    float64 // since when a peer holds a newer roster
-	out       Out
+	out       Output
 	statesGen uint64
 	judged    uint64    // statesGen when the standing was last looked at
 	suspects  []*member // those that are suspected are among them
@@ -139,7 +139,7 @@
 
 // New makes the view of a driver that starts. Its record names it, its run and its address; seeds are addresses of
 // peers.
-func New(now float64, r Rules, self Record, seeds []string, seed uint64) *Fleet {
+func New(now float64, r Options, self Record, seeds []string, seed uint64) *Fleet {
 	f := &Fleet{
 		rules:    r,
 		random:   rand.New(rand.NewPCG(seed, randomStream)),
@@ -153,39 +153,39 @@
 		news:     now,
 		warned:   map[string]float64{},
 		stands:   now,
-		standing: Unsure,
+		standing: Undetermined,
 		why:      "no_roster",
 		view:     mark(self.Name, self.Run),
-		hears:    Hearing{Name: self.Name, Run: self.Run},
+		hears:    Reachability{Name: self.Name, Run: self.Run},
 	}
 	f.restore(r.Saved)
 	f.seq = f.random.Uint64() >> 2 // answers to an earlier run are not taken for ones to this
 	f.probeAt = now + f.rules.Period*f.random.Float64()
-	f.Seeds(seeds)
+	f.SetSeeds(seeds)
 	return f
 }
 
-// Seeds takes the addresses at which peers may be found; they are tried at once.
-func (f *Fleet) Seeds(all []string) {
+// SetSeeds takes the addresses at which peers may be found; they are tried at once.
+func (f *Fleet) SetSeeds(all []string) {
 	f.seeds = slices.DeleteFunc(slices.Clone(all), func(a string) bool { return a == f.self.Address })
 	f.seedAt = f.now
 }
 
-// Pace takes another period.
-func (f *Fleet) Pace(period float64) { f.rules.Period = period }
+// SetPeriod takes another period.
+func (f *Fleet) SetPeriod(period float64) { f.rules.Period = period }
 
-func (f *Fleet) output() (out Out) {
+func (f *Fleet) output() (out Output) {
 	f.out.Save = f.save()
-	out, f.out = f.out, Out{}
+	out, f.out = f.out, Output{}
 	return out
 }
 
 func (f *Fleet) note(reason, name, text string) {
-	f.out.Notes = append(f.out.Notes, Note{reason, name, text})
+	f.out.Events = append(f.out.Events, Event{reason, name, text})
 }
 
 // Tick lets time pass. It is to be called several times a period; a gap is time in which this driver stood still.
-func (f *Fleet) Tick(now float64) Out {
+func (f *Fleet) Tick(now float64) Output {
 	p := f.rules.Period
 	f.advance(now)
 	f.ticked = now
@@ -242,24 +242,24 @@
 }
 
 // Receive takes a message. What a stranger under a peer's name or address says of itself counts for nothing.
-func (f *Fleet) Receive(now float64, m Message) Out {
+func (f *Fleet) Receive(now float64, m Message) Output {
 	f.advance(now)
-	if !m.From.sane() || len(m.Records) > maxRecords || len(m.Hears) > maxRecords ||
+	if !m.From.sane() || len(m.Records) > maxRecords || len(m.Reachability) > maxRecords ||
 		m.From.Name == f.self.Name && m.From.Run == f.self.Run {
 		return f.output()
 	}
 	f.apply(m.From)
 	from := f.byName[m.From.Name]
-	if from != nil && from.Run == m.From.Run && m.Count > from.count {
-		from.count, from.fresh = m.Count, f.now
+	if from != nil && from.Run == m.From.Run && m.Counter > from.count {
+		from.count, from.fresh = m.Counter, f.now
 		f.hear(from, true)
 	}
 	known := from != nil && from.Run == m.From.Run
 	for _, r := range m.Records {
 		f.apply(r)
 	}
-	for i := range m.Hears {
-		f.heardOf(m.Hears[i])
+	for i := range m.Reachability {
+		f.heardOf(m.Reachability[i])
 	}
 	if f.leaving {
 		return f.output()
@@ -270,29 +270,29 @@
 	}
 	switch m.Kind {
 	case Ping:
-		if m.To == f.self.Name {
-			f.send(m.From.Address, Message{Kind: Ack, Seq: m.Seq, To: f.self.Name, Records: back})
+		if m.Target == f.self.Name {
+			f.send(m.From.Address, Message{Kind: Ack, ProbeID: m.ProbeID, Target: f.self.Name, Records: back})
 			back = nil
 		}
-	case Ask:
+	case PingRequest:
 		if known {
 			f.receiveAsk(m)
 		}
 	case Ack:
 		f.receiveAck(m)
 	case Nack:
-		if p := f.probe; p != nil && p.seq == m.Seq {
+		if p := f.probe; p != nil && p.seq == m.ProbeID {
 			p.nacks++
 		}
 	}
 	if back != nil && m.Kind != Ack { // an answer to an answer could go on for ever
-		f.send(m.From.Address, Message{Kind: Gossip, To: m.From.Name, Records: back})
+		f.send(m.From.Address, Message{Kind: Gossip, Target: m.From.Name, Records: back})
 	}
 	if m.Vote != nil {
 		f.receiveVote(m.From.Name, m.From.Address, *m.Vote)
 	}
-	if m.Decided != nil {
-		f.receiveDecided(*m.Decided)
+	if m.DecidedChange != nil {
+		f.receiveDecided(*m.DecidedChange)
 	}
 	f.compare(from, m)
 	f.judge()
@@ -301,24 +301,24 @@
 
 // receiveAsk probes another driver for a peer.
 func (f *Fleet) receiveAsk(m Message) {
-	if len(f.relays) >= maxRelays || m.To == f.self.Name || len(m.At) > maxNameBytes {
+	if len(f.relays) >= maxRelays || m.Target == f.self.Name || len(m.TargetAddress) > maxNameBytes {
 		return
 	}
 	f.seq++
-	f.relays[f.seq] = &relay{to: m.From.Address, about: m.To, seq: m.Seq, until: f.now + 2*f.rules.Period}
-	f.send(m.At, Message{Kind: Ping, Seq: f.seq, To: m.To})
-	if t := f.byName[m.To]; t == nil || t.fresh < f.now-nackShare*f.rules.Period {
-		f.send(m.From.Address, Message{Kind: Nack, Seq: m.Seq, To: m.To})
+	f.relays[f.seq] = &relay{to: m.From.Address, about: m.Target, seq: m.ProbeID, until: f.now + 2*f.rules.Period}
+	f.send(m.TargetAddress, Message{Kind: Ping, ProbeID: f.seq, Target: m.Target})
+	if t := f.byName[m.Target]; t == nil || t.fresh < f.now-nackShare*f.rules.Period {
+		f.send(m.From.Address, Message{Kind: Nack, ProbeID: m.ProbeID, Target: m.Target})
 	}
 }
 
 // receiveAck takes an answer to a probe, this driver's own or one that it made for a peer.
 func (f *Fleet) receiveAck(m Message) {
-	if r := f.relays[m.Seq]; r != nil && r.about == m.To {
-		delete(f.relays, m.Seq)
-		f.send(r.to, Message{Kind: Ack, Seq: r.seq, To: r.about, Records: []Record{m.From}})
+	if r := f.relays[m.ProbeID]; r != nil && r.about == m.Target {
+		delete(f.relays, m.ProbeID)
+		f.send(r.to, Message{Kind: Ack, ProbeID: r.seq, Target: r.about, Records: []Record{m.From}})
 	}
-	if p := f.probe; p != nil && p.seq == m.Seq && p.name == m.To {
+	if p := f.probe; p != nil && p.seq == m.ProbeID && p.name == m.Target {
 		f.probe = nil
 		f.answered()
 		if t := f.byName[p.name]; t != nil && m.From.Name == p.name {
@@ -328,7 +328,7 @@
 }
 
 // Leave tells peers that this driver goes on purpose. Ticks from then on only spread that.
-func (f *Fleet) Leave(now float64) Out {
+func (f *Fleet) Leave(now float64) Output {
 	f.now = max(f.now, now)
 	if !f.leaving {
 		f.leaving, f.judgeAt = true, 0
@@ -338,7 +338,7 @@
 		for range 2 * helpers {
 			if m := f.pick(func(m *member) bool { return !m.State.ended() && !told[m.Name] }); m != nil {
 				told[m.Name] = true
-				f.send(m.Address, Message{Kind: Gossip, To: m.Name})
+				f.send(m.Address, Message{Kind: Gossip, Target: m.Name})
 			}
 		}
 		f.note("leaving", f.self.Name, "")
--- a/internal/fleet/membership/fleet_test.go
+++ b/internal/fleet/membership/fleet_test.go
@@ -20,7 +20,7 @@
 	}
 	f := membershipsim.New(o)
 	var log []string
-	f.Notes = func(at float64, d string, n membership.Note) {
+	f.Notes = func(at float64, d string, n membership.Event) {
 		log = append(log, fmt.Sprintf("%.0f %s: %s %s %s", at, d, n.Reason, n.Name, n.Text))
 	}
 	t.Cleanup(func() {
@@ -35,7 +35,7 @@
 		f.Start(i, 0)
 		each = append(each, i)
 	}
-	wait(t, f, "founding", func() bool { return f.Stand(membership.Whole, each...) })
+	wait(t, f, "founding", func() bool { return f.Stand(membership.Complete, each...) })
 	return f
 }
 
@@ -68,11 +68,11 @@
 func TestStandingsOfParts(t *testing.T) {
 	for _, x := range []struct {
 		parts []int
-		want  [2]membership.Standing
+		want  [2]membership.PartitionStatus
 	}{
-		{[]int{0, 0, 1, 1, 1}, [2]membership.Standing{membership.Smaller, membership.Larger}},
-		{[]int{0, 1, 1, 1, 1}, [2]membership.Standing{membership.Alone, membership.Larger}},
-		{[]int{0, 0, 1, 1}, [2]membership.Standing{membership.Unsure, membership.Unsure}},
+		{[]int{0, 0, 1, 1, 1}, [2]membership.PartitionStatus{membership.Minority, membership.Majority}},
+		{[]int{0, 1, 1, 1, 1}, [2]membership.PartitionStatus{membership.Isolated, membership.Majority}},
+		{[]int{0, 0, 1, 1}, [2]membership.PartitionStatus{membership.Undetermined, membership.Undetermined}},
 	} {
 		f := five(t, membershipsim.Options{Drivers: len(x.parts), Seed: 7})
 		f.Cut = parts(x.parts...)
@@ -86,7 +86,7 @@
 		f.Run(60000) // and it stays so
 		for i, p := range x.parts {
 			if !f.Stand(x.want[p], i) {
-				s, why, _ := f.Drivers[i].View.Standing()
+				s, why, _ := f.Drivers[i].View.PartitionStatus()
 				t.Errorf("%v: n%d is %s (%s) after a minute", x.parts, i, s, why)
 			}
 		}
@@ -96,13 +96,13 @@
 		f.Cut = nil
 		fell := "" // what the other side said of the own peers is no news to who hears them
 		notes := f.Notes
-		f.Notes = func(at float64, d string, n membership.Note) {
+		f.Notes = func(at float64, d string, n membership.Event) {
 			if notes(at, d, n); n.Reason == "standing" &&
 				(strings.HasPrefix(n.Text, "smaller") || strings.HasPrefix(n.Text, "alone")) {
 				fell = d + " " + n.Text
 			}
 		}
-		wait(t, f, "heal", func() bool { return f.Stand(membership.Whole, all[:len(x.parts)]...) })
+		wait(t, f, "heal", func() bool { return f.Stand(membership.Complete, all[:len(x.parts)]...) })
 		if fell != "" {
 			t.Errorf("%v: by the heal alone: %s", x.parts, fell)
 		}
@@ -113,22 +113,22 @@
 func TestKilledForgottenAndBack(t *testing.T) {
 	f := five(t, membershipsim.Options{Seed: 3})
 	f.Kill(4)
-	wait(t, f, "one lost", func() bool { return f.Stand(membership.Larger, 0, 1, 2, 3) })
+	wait(t, f, "one lost", func() bool { return f.Stand(membership.Majority, 0, 1, 2, 3) })
 	f.Start(4, 0)
-	wait(t, f, "one back", func() bool { return f.Stand(membership.Whole, all...) })
+	wait(t, f, "one back", func() bool { return f.Stand(membership.Complete, all...) })
 	for i := 1; i < 5; i++ {
 		f.Kill(i)
 	}
-	wait(t, f, "all but one lost", func() bool { return f.Stand(membership.Alone, 0) })
-	if n := f.Drivers[0].View.Count(); n != 10 {
+	wait(t, f, "all but one lost", func() bool { return f.Stand(membership.Isolated, 0) })
+	if n := f.Drivers[0].View.DriverCount(); n != 10 {
 		t.Errorf("alone of five it counts %d drivers: it may be cut off, and takes half of its share", n)
 	}
 	_, err := f.Drivers[0].View.Forget(f.Now, "n4", false)
-	if err != membership.ErrPart {
+	if err != membership.ErrNoMajority {
 		t.Error(err)
 	}
 	for i := 1; i < 5; i++ {
-		f.Do(0, func(v *membership.Fleet) membership.Out {
+		f.Do(0, func(v *membership.Fleet) membership.Output {
 			out, err := v.Forget(f.Now, fmt.Sprintf("n%d", i), true)
 			if err != nil {
 				t.Error(err)
@@ -136,12 +136,12 @@
 			return out
 		})
 	}
-	if !f.Stand(membership.Whole, 0) || f.Drivers[0].View.Count() != 1 {
+	if !f.Stand(membership.Complete, 0) || f.Drivers[0].View.DriverCount() != 1 {
 		t.Errorf("all others forgotten: %+v", f.Drivers[0].View.Status())
 	}
 	f.Start(2, 0)
 	wait(t, f, "a forgotten one comes anew", func() bool {
-		return f.Stand(membership.Whole, 0, 2) && len(f.Drivers[0].View.Status().Roster.Names) == 2
+		return f.Stand(membership.Complete, 0, 2) && len(f.Drivers[0].View.Status().Roster.Names) == 2
 	})
 }
 
@@ -149,11 +149,11 @@
 func TestShrinkAndGrowOnPurpose(t *testing.T) {
 	f := five(t, membershipsim.Options{Seed: 5})
 	for i := 4; i > 1; i-- {
-		f.Do(i, func(v *membership.Fleet) membership.Out { return v.Leave(f.Now) })
+		f.Do(i, func(v *membership.Fleet) membership.Output { return v.Leave(f.Now) })
 		f.Run(300)
 		f.Kill(i)
 		wait(t, f, "one left", func() bool {
-			return f.Stand(membership.Whole, all[:i]...) && len(f.Drivers[0].View.Status().Roster.Names) == i
+			return f.Stand(membership.Complete, all[:i]...) && len(f.Drivers[0].View.Status().Roster.Names) == i
 		})
 		if s := state(f, 0, fmt.Sprintf("n%d", i)).State; s != membership.Left {
 			t.Errorf("n%d left on purpose and is taken for %s", i, s)
@@ -162,11 +162,11 @@
 	f.Add()
 	f.Start(5, 0)
 	wait(t, f, "one more", func() bool {
-		return f.Stand(membership.Whole, 0, 1, 5) && len(f.Drivers[5].View.Status().Roster.Names) == 3
+		return f.Stand(membership.Complete, 0, 1, 5) && len(f.Drivers[5].View.Status().Roster.Names) == 3
 	})
-	f.Do(1, func(v *membership.Fleet) membership.Out {
+	f.Do(1, func(v *membership.Fleet) membership.Output {
 		out, err := v.Forget(f.Now, "n0", false)
-		if err != membership.ErrLives {
+		if err != membership.ErrAlive {
 			t.Error(err)
 		}
 		return out
@@ -177,19 +177,19 @@
 func TestNewcomersOfTheSmallerPart(t *testing.T) {
 	f := five(t, membershipsim.Options{Seed: 9, Seeds: 5})
 	f.Cut = parts(0, 0, 1, 1, 1, 0, 0, 0, 0)
-	wait(t, f, "cut", func() bool { return f.Stand(membership.Smaller, 0, 1) && f.Stand(membership.Larger, 2, 3, 4) })
+	wait(t, f, "cut", func() bool { return f.Stand(membership.Minority, 0, 1) && f.Stand(membership.Majority, 2, 3, 4) })
 	for i := 5; i < 9; i++ {
 		f.Add()
 		f.Start(i, 0)
 	}
-	wait(t, f, "newcomers", func() bool { return f.Stand(membership.Smaller, 0, 1, 5, 6, 7, 8) })
+	wait(t, f, "newcomers", func() bool { return f.Stand(membership.Minority, 0, 1, 5, 6, 7, 8) })
 	f.Run(60000)
-	if !f.Stand(membership.Smaller, 0, 1, 5, 6, 7, 8) || !f.Stand(membership.Larger, 2, 3, 4) {
+	if !f.Stand(membership.Minority, 0, 1, 5, 6, 7, 8) || !f.Stand(membership.Majority, 2, 3, 4) {
 		t.Error("six of nine that are there, two of five that count")
 	}
 	f.Cut = nil
 	wait(t, f, "heal", func() bool {
-		return f.Stand(membership.Whole, 0, 1, 2, 3, 4, 5, 6, 7, 8) && len(f.Drivers[8].View.Status().Roster.Names) == 9
+		return f.Stand(membership.Complete, 0, 1, 2, 3, 4, 5, 6, 7, 8) && len(f.Drivers[8].View.Status().Roster.Names) == 9
 	})
 }
 
@@ -199,19 +199,19 @@
 		f := five(t, membershipsim.Options{Seed: uint64(length)})
 		failed := 0
 		notes := f.Notes
-		f.Notes = func(at float64, d string, n membership.Note) {
+		f.Notes = func(at float64, d string, n membership.Event) {
 			if notes(at, d, n); n.Reason == "fellow_failed" && (d == "n2" || n.Name != "n2") {
 				failed++
 			}
 		}
 		f.Freeze(2, length)
 		f.Run(length + 100)
-		if s, _, _ := f.Drivers[2].View.Standing(); s != membership.Unsure {
+		if s, _, _ := f.Drivers[2].View.PartitionStatus(); s != membership.Undetermined {
 			t.Errorf("thawed after %.0f ms it is %s", length, s)
 		}
-		wait(t, f, "thawed", func() bool { return f.Stand(membership.Whole, all...) })
+		wait(t, f, "thawed", func() bool { return f.Stand(membership.Complete, all...) })
 		f.Run(20000)
-		if failed > 0 || !f.Stand(membership.Whole, all...) {
+		if failed > 0 || !f.Stand(membership.Complete, all...) {
 			t.Errorf("%.0f ms: %d failed wrongly", length, failed)
 		}
 	}
@@ -220,13 +220,15 @@
 func TestOneDirectionOfOnePair(t *testing.T) {
 	f := five(t, membershipsim.Options{Seed: 2})
 	f.Cut = func(a, b int) bool { return a == 0 && b == 1 }
-	wait(t, f, "told", func() bool { return !state(f, 1, "n0").Heard && slices.Contains(state(f, 3, "n1").Deaf, "n0") })
+	wait(t, f, "told", func() bool {
+		return !state(f, 1, "n0").Reachable && slices.Contains(state(f, 3, "n1").Unreachable, "n0")
+	})
 	f.Run(60000)
-	if !state(f, 0, "n1").Heard || state(f, 1, "n0").State == membership.Failed || !f.Stand(membership.Whole, all...) {
+	if !state(f, 0, "n1").Reachable || state(f, 1, "n0").State == membership.Failed || !f.Stand(membership.Complete, all...) {
 		t.Errorf("cut from one alone: %+v %+v", f.Drivers[0].View.Status(), f.Drivers[1].View.Status())
 	}
 	f.Cut = nil
-	wait(t, f, "heal", func() bool { return state(f, 1, "n0").Heard && len(state(f, 3, "n1").Deaf) == 0 })
+	wait(t, f, "heal", func() bool { return state(f, 1, "n0").Reachable && len(state(f, 3, "n1").Unreachable) == 0 })
 }
 
 // One that is heard and does not hear, or is not heard at all, fails nobody else and does not count itself in.
@@ -239,15 +241,15 @@
 		f := five(t, membershipsim.Options{Seed: 4})
 		f.Cut = cut
 		wait(t, f, name, func() bool {
-			s, _, _ := f.Drivers[3].View.Standing()
-			return s < membership.Larger && f.Stand(membership.Larger, 0, 1, 2, 4)
+			s, _, _ := f.Drivers[3].View.PartitionStatus()
+			return s < membership.Majority && f.Stand(membership.Majority, 0, 1, 2, 4)
 		})
 		f.Run(30000)
-		if s, _, _ := f.Drivers[3].View.Standing(); s >= membership.Larger || !f.Stand(membership.Larger, 0, 1, 2, 4) {
+		if s, _, _ := f.Drivers[3].View.PartitionStatus(); s >= membership.Majority || !f.Stand(membership.Majority, 0, 1, 2, 4) {
 			t.Errorf("%s: it is %s", name, s)
 		}
 		f.Cut = nil
-		wait(t, f, "heal", func() bool { return f.Stand(membership.Whole, all...) })
+		wait(t, f, "heal", func() bool { return f.Stand(membership.Complete, all...) })
 	}
 }
 
@@ -265,7 +267,7 @@
 			}
 		}
 	}
-	if state(f, 0, "n2").Heard || !state(f, 0, "n1").Heard {
+	if state(f, 0, "n2").Reachable || !state(f, 0, "n1").Reachable {
 		t.Error("who hears whom is not told")
 	}
 }
@@ -276,19 +278,19 @@
 	f.Add().Name = "n4"
 	f.Start(5, 0)
 	wait(t, f, "told", func() bool {
-		s, why, _ := f.Drivers[5].View.Standing()
-		return s == membership.Unsure && why == "name_taken"
+		s, why, _ := f.Drivers[5].View.PartitionStatus()
+		return s == membership.Undetermined && why == "name_taken"
 	})
 	f.Run(30000)
-	if !f.Stand(membership.Whole, all...) || state(f, 0, "n4").Address != f.Drivers[4].View.Status().Address {
+	if !f.Stand(membership.Complete, all...) || state(f, 0, "n4").Address != f.Drivers[4].View.Status().Address {
 		t.Error("the second one took the name")
 	}
 	f.Kill(4)
-	wait(t, f, "taken over", func() bool { return f.Stand(membership.Whole, 0, 1, 2, 3, 5) })
+	wait(t, f, "taken over", func() bool { return f.Stand(membership.Complete, 0, 1, 2, 3, 5) })
 	// a clock that went back, at the same address
 	f.Kill(0)
 	f.Start(0, -500000)
-	wait(t, f, "back in time", func() bool { return f.Stand(membership.Whole, 0, 1, 2, 3, 5) })
+	wait(t, f, "back in time", func() bool { return f.Stand(membership.Complete, 0, 1, 2, 3, 5) })
 }
 
 func TestAllRestarted(t *testing.T) {
@@ -299,14 +301,14 @@
 		f.Start(i, 0)
 		f.Run(700)
 	}
-	wait(t, f, "one by one", func() bool { return f.Stand(membership.Whole, all...) })
+	wait(t, f, "one by one", func() bool { return f.Stand(membership.Complete, all...) })
 	for i := range 5 {
 		f.Kill(i)
 	}
 	for i := range 5 {
 		f.Start(i, 0)
 	}
-	wait(t, f, "at once", func() bool { return f.Stand(membership.Whole, all...) })
+	wait(t, f, "at once", func() bool { return f.Stand(membership.Complete, all...) })
 }
 
 // Datagrams lost, doubled and late fail nobody for good.
@@ -315,5 +317,5 @@
 	f.Loss = 0.3
 	f.Run(600000)
 	f.Loss = 0
-	wait(t, f, "calm again", func() bool { return f.Stand(membership.Whole, all...) })
+	wait(t, f, "calm again", func() bool { return f.Stand(membership.Complete, all...) })
 }
--- a/internal/fleet/membership/forget.go
+++ b/internal/fleet/membership/forget.go
@@ -9,37 +9,37 @@
 
 // Errors of what operators ask for.
 var (
-	ErrUnknown = errors.New("no driver of this name is known")
-	ErrLives   = errors.New("this driver lives: stop it, or let it leave")
-	ErrPart    = errors.New(
+	ErrUnknownDriver = errors.New("no driver of this name is known")
+	ErrAlive         = errors.New("this driver lives: stop it, or let it leave")
+	ErrNoMajority    = errors.New(
 		"this driver is not with the larger part of the fleet: ask another one, " +
 			"or say that the forgotten one is certain not to run")
 )
 
 // Forget takes a failed driver for gone for good, so that majorities are no longer counted with it. With the larger
 // part the rest agrees on that; otherwise operators must be certain that it does not run, as nobody else can be asked.
-func (f *Fleet) Forget(now float64, name string, certain bool) (Out, error) {
+func (f *Fleet) Forget(now float64, name string, certain bool) (Output, error) {
 	f.now = max(f.now, now)
 	m := f.byName[name]
 	switch {
 	case m == nil && !f.listed(name) || name == f.self.Name:
-		return Out{}, ErrUnknown
+		return Output{}, ErrUnknownDriver
 	case m != nil && !m.State.ended():
-		return Out{}, ErrLives
+		return Output{}, ErrAlive
 	}
-	agreed := f.standing == Whole || f.standing == Larger
+	agreed := f.standing == Complete || f.standing == Majority
 	if !agreed && !certain {
-		return Out{}, ErrPart
+		return Output{}, ErrNoMajority
 	}
 	if m != nil && m.State == Failed {
 		r := m.Record
-		r.State, r.By = Left, f.self.Name
+		r.State, r.ReportedBy = Left, f.self.Name
 		f.apply(r)
 	}
 	if f.listed(name) && !agreed || f.listed(name) && m == nil {
 		names := slices.DeleteFunc(slices.Clone(f.roster.Names), func(n string) bool { return n == name })
 		if len(names) == 0 {
-			return f.output(), ErrUnknown
+			return f.output(), ErrUnknownDriver
 		}
 		f.adoptRoster(Roster{Version: f.roster.Version + forcedVersionStep, Lineage: f.roster.Lineage, Names: names,
 			sum: sumOf(names)})
--- a/internal/fleet/membership/golden_test.go
+++ b/internal/fleet/membership/golden_test.go
@@ -20,37 +20,37 @@
 // TestWireForm holds the bytes of what drivers send each other and keep on disk against those that were recorded.
 func TestWireForm(t *testing.T) {
 	const file = "testdata/wire.txt"
-	self := Record{Name: "n1", Run: 1700000000000, Inc: 3, State: Alive, Address: "10.0.0.1:7400", Zone: "a"}
-	suspect := Record{Name: "n2", Run: 5, Inc: 1, State: Suspect, Address: "10.0.0.2:7400", By: "n1"}
-	hears := Hearing{Name: "n1", Run: 7, Turn: 2, Deaf: []string{"n2", "n3"}}
-	change := Change{Version: 5, Lineage: 9, Base: 11, Sum: 12, Add: []string{"n4"}, Remove: []string{"n2"}}
+	self := Record{Name: "n1", Run: 1700000000000, Incarnation: 3, State: Alive, Address: "10.0.0.1:7400", Zone: "a"}
+	suspect := Record{Name: "n2", Run: 5, Incarnation: 1, State: Suspect, Address: "10.0.0.2:7400", ReportedBy: "n1"}
+	hears := Reachability{Name: "n1", Run: 7, Sequence: 2, Unreachable: []string{"n2", "n3"}}
+	change := Change{Version: 5, Lineage: 9, BaseHash: 11, Hash: 12, Add: []string{"n4"}, Remove: []string{"n2"}}
 	roster := Roster{Version: 4, Lineage: 9, Names: []string{"n1", "n2"}}
-	ballot, accepted := paxos.Ballot{Number: 2, Name: "n1"}, paxos.Ballot{Number: 1, Name: "n3"}
+	ballot, accepted := paxos.Ballot{Number: 2, Proposer: "n1"}, paxos.Ballot{Number: 1, Proposer: "n3"}
 	values := []struct {
 		name  string
 		value any
 	}{
 		{"record", &self},
 		{"suspected", &suspect},
-		{"failed", &Record{Name: "n2", Run: 5, State: Failed, Address: "10.0.0.2:7400", By: "n3"}},
+		{"failed", &Record{Name: "n2", Run: 5, State: Failed, Address: "10.0.0.2:7400", ReportedBy: "n3"}},
 		{"left", &Record{Name: "n2", Run: 5, State: Left, Address: "10.0.0.2:7400"}},
-		{"ping", &Message{Kind: 1, From: self, Count: 8, Seq: 77, To: "n2", View: 0xfeedbeef, Roster: 4, Sum: 11}},
-		{"ping request", &Message{Kind: 2, From: self, Count: 9, Seq: 77, To: "n2", At: "10.0.0.2:7400"}},
-		{"ack", &Message{Kind: 3, From: self, Count: 10, Seq: 77, To: "n1", Records: []Record{suspect}}},
-		{"nack", &Message{Kind: 4, From: self, Count: 11, Seq: 77, To: "n2"}},
-		{"gossip", &Message{Kind: 5, From: self, Count: 12, To: "n2", Records: []Record{self, suspect}, Hears: []Hearing{hears},
-			Decided: &change}},
-		{"vote", &Message{Kind: 5, From: self, Count: 13, To: "n2", Vote: &Vote{Kind: 3, Version: 5, Base: 11, Ballot: ballot}}},
-		{"bootstrap", &Vote{Kind: 1, Version: 1, Sum: 12, Ballot: paxos.Ballot{Name: "n1"}}},
-		{"bootstrapped", &Vote{Kind: 2, Version: 1, Sum: 12, Ballot: paxos.Ballot{Name: "n1"}}},
-		{"prepare", &Vote{Kind: 3, Version: 5, Base: 11, Ballot: ballot}},
-		{"promise", &Vote{Kind: 4, Version: 5, Base: 11, Ballot: ballot, Accepted: accepted, Change: &change}},
-		{"accept", &Vote{Kind: 5, Version: 5, Base: 11, Ballot: ballot, Change: &change}},
-		{"accepted", &Vote{Kind: 6, Version: 5, Base: 11, Ballot: ballot}},
-		{"reject", &Vote{Kind: 7, Version: 5, Base: 11, Ballot: ballot}},
-		{"exchange", &Exchange{From: self, Records: []Record{suspect}, Hears: []Hearing{hears}, Roster: &roster}},
+		{"ping", &Message{Kind: 1, From: self, Counter: 8, ProbeID: 77, Target: "n2", ViewHash: 0xfeedbeef, RosterVersion: 4, RosterHash: 11}},
+		{"ping request", &Message{Kind: 2, From: self, Counter: 9, ProbeID: 77, Target: "n2", TargetAddress: "10.0.0.2:7400"}},
+		{"ack", &Message{Kind: 3, From: self, Counter: 10, ProbeID: 77, Target: "n1", Records: []Record{suspect}}},
+		{"nack", &Message{Kind: 4, From: self, Counter: 11, ProbeID: 77, Target: "n2"}},
+		{"gossip", &Message{Kind: 5, From: self, Counter: 12, Target: "n2", Records: []Record{self, suspect}, Reachability: []Reachability{hears},
+			DecidedChange: &change}},
+		{"vote", &Message{Kind: 5, From: self, Counter: 13, Target: "n2", Vote: &Vote{Kind: 3, Version: 5, BaseHash: 11, Ballot: ballot}}},
+		{"bootstrap", &Vote{Kind: 1, Version: 1, Hash: 12, Ballot: paxos.Ballot{Proposer: "n1"}}},
+		{"bootstrapped", &Vote{Kind: 2, Version: 1, Hash: 12, Ballot: paxos.Ballot{Proposer: "n1"}}},
+		{"prepare", &Vote{Kind: 3, Version: 5, BaseHash: 11, Ballot: ballot}},
+		{"promise", &Vote{Kind: 4, Version: 5, BaseHash: 11, Ballot: ballot, Accepted: accepted, Change: &change}},
+		{"accept", &Vote{Kind: 5, Version: 5, BaseHash: 11, Ballot: ballot, Change: &change}},
+		{"accepted", &Vote{Kind: 6, Version: 5, BaseHash: 11, Ballot: ballot}},
+		{"reject", &Vote{Kind: 7, Version: 5, BaseHash: 11, Ballot: ballot}},
+		{"exchange", &Snapshot{From: self, Records: []Record{suspect}, Reachability: []Reachability{hears}, Roster: &roster}},
 		{"saved", &SavedState{Name: "n1", Run: 7, Roster: roster, Version: 5, Promised: ballot, Accepted: accepted,
-			Change: &change, Number: 2}},
+			Change: &change, BallotNumber: 2}},
 	}
 	var now strings.Builder
 	for _, v := range values {
@@ -96,10 +96,10 @@
 
 // TestTexts holds what operators see: the status of a driver, names of states and standings, reasons and errors.
 func TestTexts(t *testing.T) {
-	f := New(1000, Rules{Period: 500, Expect: 3, MaxDrivers: 10, Yield: 15000}, Record{Name: "n1", Run: 7, Address: "a:1", Zone: "z"},
+	f := New(1000, Options{Period: 500, ExpectedDrivers: 3, MaxDrivers: 10, TakeoverAfter: 15000}, Record{Name: "n1", Run: 7, Address: "a:1", Zone: "z"},
 		nil, 1)
-	f.Merge(1000, Exchange{From: Record{Name: "n2", Run: 8, Address: "b:2"}, Hears: []Hearing{{Name: "n2", Run: 8, Turn: 1,
-		Deaf: []string{"n3"}}}, Records: []Record{{Name: "n3", Run: 9, Address: "c:3", State: Suspect, By: "n2"}},
+	f.Merge(1000, Snapshot{From: Record{Name: "n2", Run: 8, Address: "b:2"}, Reachability: []Reachability{{Name: "n2", Run: 8, Sequence: 1,
+		Unreachable: []string{"n3"}}}, Records: []Record{{Name: "n3", Run: 9, Address: "c:3", State: Suspect, ReportedBy: "n2"}},
 		Roster: &Roster{Version: 2, Lineage: 8, Names: []string{"n1", "n2", "n3"}}})
 	status, err := json.Marshal(f.Status())
 	if err != nil {
@@ -113,15 +113,15 @@
 	for s := range State(5) {
 		texts = append(texts, s.String())
 	}
-	for s := range Standing(6) {
+	for s := range PartitionStatus(6) {
 		texts = append(texts, s.String())
-		for a := range Act(8) {
+		for a := range Action(8) {
 			allowed, reason := Allowed(s, a)
 			texts = append(texts, fmt.Sprint(allowed, reason))
 		}
 	}
-	for _, err := range []error{ErrUnknown, ErrLives, ErrPart, new(State).UnmarshalText([]byte("x")),
-		new(Standing).UnmarshalText([]byte("x"))} {
+	for _, err := range []error{ErrUnknownDriver, ErrAlive, ErrNoMajority, new(State).UnmarshalText([]byte("x")),
+		new(PartitionStatus).UnmarshalText([]byte("x"))} {
 		texts = append(texts, err.Error())
 	}
 	got := fmt.Sprintf("%s\n%s\n%s\n", status, drain, strings.Join(texts, "\n"))
--- a/internal/fleet/membership/gossip.go
+++ b/internal/fleet/membership/gossip.go
@@ -10,9 +10,9 @@
 // send queues a message with what a peer is to know: first of itself, then news.
 func (f *Fleet) send(address string, m Message) {
 	f.count++
-	m.From, m.Count, m.View = f.self, f.count, f.view
+	m.From, m.Counter, m.ViewHash = f.self, f.count, f.view
 	if f.roster != nil {
-		m.Roster, m.Sum = f.roster.Version, f.roster.sum
+		m.RosterVersion, m.RosterHash = f.roster.Version, f.roster.sum
 	}
 	left := mostBytes
 	for i := range m.Records {
@@ -20,11 +20,11 @@
 	}
 	if d := f.decided; d != nil && f.decidedLeft > 0 && m.Vote == nil {
 		f.decidedLeft--
-		m.Decided = d
+		m.DecidedChange = d
 		left -= d.size()
 	}
 	f.carry(&m, left)
-	f.out.Sends = append(f.out.Sends, Send{address, m})
+	f.out.Messages = append(f.out.Messages, Envelope{address, m})
 }
 
 // carry puts news into a message, up to so many bytes: what was passed on least often first.
@@ -43,7 +43,7 @@
 			break
 		}
 		if left -= n; r.hears != nil {
-			m.Hears = append(m.Hears, *r.hears)
+			m.Reachability = append(m.Reachability, *r.hears)
 		} else {
 			m.Records = append(m.Records, r.record)
 		}
@@ -103,8 +103,8 @@
 func (f *Fleet) queue(r Record) {
 	f.news = f.now
 	for _, o := range slices.Clone(f.going[r.Name]) {
-		if r.State != Suspect || o.record.State != Suspect || o.record.Run != r.Run || o.record.Inc != r.Inc ||
-			o.record.By == r.By {
+		if r.State != Suspect || o.record.State != Suspect || o.record.Run != r.Run || o.record.Incarnation != r.Incarnation ||
+			o.record.ReportedBy == r.ReportedBy {
 			f.untell(o)
 		}
 	}
@@ -123,7 +123,7 @@
 			return
 		}
 		to[m.Name] = true
-		f.send(m.Address, Message{Kind: Gossip, To: m.Name})
+		f.send(m.Address, Message{Kind: Gossip, Target: m.Name})
 	}
 }
 
@@ -133,9 +133,9 @@
 	if from == nil || from.Run != m.From.Run || from.State.ended() {
 		return
 	}
-	newer := m.Roster > 0 && (f.roster == nil || m.Roster > f.roster.Version ||
-		m.Roster == f.roster.Version && m.Sum != f.roster.sum)
-	if f.roster != nil && m.Roster > f.roster.Version {
+	newer := m.RosterVersion > 0 && (f.roster == nil || m.RosterVersion > f.roster.Version ||
+		m.RosterVersion == f.roster.Version && m.RosterHash != f.roster.sum)
+	if f.roster != nil && m.RosterVersion > f.roster.Version {
 		if f.behind == 0 {
 			f.behind = f.now
 		}
@@ -143,38 +143,38 @@
 		f.behind = 0
 	}
 	// ... or where there is more news than updates carry: behind a heal, or as many start at once
-	differs := m.View != f.view && (f.now-f.news > quietFor*f.rules.Period || len(f.going) > backlog)
+	differs := m.ViewHash != f.view && (f.now-f.news > quietFor*f.rules.Period || len(f.going) > backlog)
 	if !newer && !differs || f.now < f.exchangeAt || f.now < from.later {
 		return
 	}
 	f.exchangeAt, from.later = f.now+f.rules.Period, f.now+exchangeGap*f.rules.Period
-	f.out.Exchanges = append(f.out.Exchanges, from.Address)
+	f.out.SyncWith = append(f.out.SyncWith, from.Address)
 }
 
-// Exchange is all that this driver knows.
-func (f *Fleet) Exchange() Exchange {
-	w := Exchange{From: f.self, Roster: f.roster}
+// Snapshot is all that this driver knows.
+func (f *Fleet) Snapshot() Snapshot {
+	w := Snapshot{From: f.self, Roster: f.roster}
 	for _, m := range f.list {
-		if w.Records = append(w.Records, m.Record); len(m.hears.Deaf) > 0 {
-			w.Hears = append(w.Hears, m.hears)
+		if w.Records = append(w.Records, m.Record); len(m.hears.Unreachable) > 0 {
+			w.Reachability = append(w.Reachability, m.hears)
 		}
 	}
-	if len(f.hears.Deaf) > 0 {
-		w.Hears = append(w.Hears, f.hears)
+	if len(f.hears.Unreachable) > 0 {
+		w.Reachability = append(w.Reachability, f.hears)
 	}
 	return w
 }
 
 // Merge takes all that a peer knows: who lives and who does not, then the roster.
-func (f *Fleet) Merge(now float64, w Exchange) Out {
+func (f *Fleet) Merge(now float64, w Snapshot) Output {
 	f.advance(now)
 	if w.From.sane() && !(w.From.Name == f.self.Name && w.From.Run == f.self.Run) {
 		f.apply(w.From)
 		for _, r := range w.Records {
 			f.apply(r)
 		}
-		for i := range w.Hears {
-			f.heardOf(w.Hears[i])
+		for i := range w.Reachability {
+			f.heardOf(w.Reachability[i])
 		}
 		if w.Roster != nil {
 			f.receiveRoster(*w.Roster)
--- a/internal/fleet/membership/hearing.go
+++ b/internal/fleet/membership/hearing.go
@@ -24,17 +24,17 @@
 }
 
 func (f *Fleet) tellHearing() {
-	h := Hearing{Name: f.self.Name, Run: f.self.Run, Turn: f.hears.Turn + 1}
+	h := Reachability{Name: f.self.Name, Run: f.self.Run, Sequence: f.hears.Sequence + 1}
 	for _, m := range f.list {
-		if m.deaf && len(h.Deaf) < mostDeaf {
-			h.Deaf = append(h.Deaf, m.Name)
+		if m.deaf && len(h.Unreachable) < mostDeaf {
+			h.Unreachable = append(h.Unreachable, m.Name)
 		}
 	}
 	f.hears = h
 	f.queueHearing(h)
 }
 
-func (f *Fleet) queueHearing(h Hearing) {
+func (f *Fleet) queueHearing(h Reachability) {
 	r := &update{hears: &h}
 	for _, o := range slices.Clone(f.going[r.about()]) {
 		f.untell(o)
@@ -43,9 +43,9 @@
 }
 
 // heardOf takes whom a peer does not hear.
-func (f *Fleet) heardOf(h Hearing) {
+func (f *Fleet) heardOf(h Reachability) {
 	m := f.byName[h.Name]
-	if m == nil || m.Run != h.Run || h.Turn <= m.hears.Turn || len(h.Deaf) > mostDeaf {
+	if m == nil || m.Run != h.Run || h.Sequence <= m.hears.Sequence || len(h.Unreachable) > mostDeaf {
 		return
 	}
 	m.hears = h
--- a/internal/fleet/membership/memory_test.go
+++ b/internal/fleet/membership/memory_test.go
@@ -15,7 +15,7 @@
 		return m.HeapAlloc
 	}
 	before := heap()
-	f := New(0, Rules{Period: 500, Expect: 1, MaxDrivers: 20000, Yield: 15000},
+	f := New(0, Options{Period: 500, ExpectedDrivers: 1, MaxDrivers: 20000, TakeoverAfter: 15000},
 		Record{Name: "n0000", Run: 1, Address: "10.0.0.0:1"}, nil, 1)
 	names := []string{"n0000"}
 	for i := 1; i < 1000; i++ {
--- a/internal/fleet/membership/persist.go
+++ b/internal/fleet/membership/persist.go
@@ -6,14 +6,14 @@
 
 // SavedState is what must outlive the process for its votes to count when it comes back.
 type SavedState struct {
-	Name     string       `cbor:"1,keyasint"`
-	Run      uint64       `cbor:"2,keyasint"`
-	Roster   Roster       `cbor:"3,keyasint"`
-	Version  uint64       `cbor:"4,keyasint,omitempty"` // of the roster to come that the votes are about
-	Promised paxos.Ballot `cbor:"5,keyasint"`
-	Accepted paxos.Ballot `cbor:"6,keyasint"`
-	Change   *Change      `cbor:"7,keyasint,omitempty"` // taken
-	Number   uint32       `cbor:"8,keyasint,omitempty"`
+	Name         string       `cbor:"1,keyasint"`
+	Run          uint64       `cbor:"2,keyasint"`
+	Roster       Roster       `cbor:"3,keyasint"`
+	Version      uint64       `cbor:"4,keyasint,omitempty"` // of the roster to come that the votes are about
+	Promised     paxos.Ballot `cbor:"5,keyasint"`
+	Accepted     paxos.Ballot `cbor:"6,keyasint"`
+	Change       *Change      `cbor:"7,keyasint,omitempty"` // taken
+	BallotNumber uint32       `cbor:"8,keyasint,omitempty"`
 }
 
 // mayVote says that no earlier vote of this driver can have been forgotten.
@@ -29,7 +29,7 @@
 	}
 	f.receiveRoster(k.Roster)
 	f.version, f.vote = k.Version, paxos.Acceptor[Change]{Promised: k.Promised, Accepted: k.Accepted, Value: k.Change}
-	f.acceptedAt, f.ballotNumber = f.now-roundPeriods*f.rules.Period, k.Number
+	f.acceptedAt, f.ballotNumber = f.now-roundPeriods*f.rules.Period, k.BallotNumber
 	f.mayVoteAt = 0
 }
 
--- a/internal/fleet/membership/probes.go
+++ b/internal/fleet/membership/probes.go
@@ -18,12 +18,12 @@
 		switch at := f.deadline(m); {
 		case f.now >= at:
 			r := m.Record
-			r.State, r.By = Failed, f.self.Name
+			r.State, r.ReportedBy = Failed, f.self.Name
 			f.apply(r)
 		// its denial may not have come here
 		case len(m.by) <= confirmers && f.now >= at-askBefore*f.rules.Period && f.now >= m.again:
 			m.again = f.now + f.rules.Period/2
-			f.send(m.Address, Message{Kind: Ping, To: m.Name, Records: []Record{m.Record}})
+			f.send(m.Address, Message{Kind: Ping, Target: m.Name, Records: []Record{m.Record}})
 		}
 	}
 	f.suspects = slices.DeleteFunc(f.suspects, func(m *member) bool { return m.State != Suspect })
@@ -37,7 +37,7 @@
 		case m.State.ended() || m.deaf || !m.silent || f.now < m.again:
 		case m.tries < straight:
 			m.tries, m.again = m.tries+1, f.now+f.rules.Period
-			f.send(m.Address, Message{Kind: Ping, To: m.Name})
+			f.send(m.Address, Message{Kind: Ping, Target: m.Name})
 		case f.now-max(m.fresh, m.met) > f.deafAfter():
 			f.hear(m, false)
 		}
@@ -61,7 +61,7 @@
 	f.doubt, f.unproved, f.judgeAt = now+2*f.rules.Period, true, 0
 	f.rosterConsensus.stood()
 	if m := f.pick(func(m *member) bool { return !m.State.ended() }); m != nil {
-		f.out.Exchanges = append(f.out.Exchanges, m.Address)
+		f.out.SyncWith = append(f.out.SyncWith, m.Address)
 	}
 	f.probeAt = now
 }
@@ -132,7 +132,7 @@
 	slow := 1 + float64(f.health)/2
 	f.probe = &probe{name: m.Name, seq: f.seq, began: f.now, direct: f.now + directShare*f.rules.Period*slow,
 		until: f.now + 0.95*f.rules.Period*slow}
-	f.send(m.Address, Message{Kind: Ping, Seq: f.seq, To: m.Name})
+	f.send(m.Address, Message{Kind: Ping, ProbeID: f.seq, Target: m.Name})
 }
 
 // turnOf is whom this driver asks in a period; nil where there is nobody.
@@ -183,7 +183,7 @@
 			}
 			asked[h.Name] = true
 			p.expect++
-			f.send(h.Address, Message{Kind: Ask, Seq: p.seq, To: m.Name, At: m.Address})
+			f.send(h.Address, Message{Kind: PingRequest, ProbeID: p.seq, Target: m.Name, TargetAddress: m.Address})
 		}
 	}
 	if f.now < p.until {
@@ -198,7 +198,7 @@
 		f.health = min(healthMost, f.health+1)
 	}
 	r := m.Record
-	r.State, r.By = Suspect, f.self.Name
+	r.State, r.ReportedBy = Suspect, f.self.Name
 	f.apply(r)
 }
 
@@ -225,7 +225,7 @@
 		return
 	}
 	if m := f.pick(func(m *member) bool { return m.State == Failed }); m != nil {
-		f.send(m.Address, Message{Kind: Ping, To: m.Name, Records: []Record{m.Record}})
+		f.send(m.Address, Message{Kind: Ping, Target: m.Name, Records: []Record{m.Record}})
 	}
 }
 
@@ -250,6 +250,6 @@
 	}
 	f.seedAt = f.now + f.rules.Period*pause*(0.75+0.5*f.random.Float64())
 	if len(unknown) > 0 {
-		f.out.Exchanges = append(f.out.Exchanges, unknown[f.random.IntN(len(unknown))])
+		f.out.SyncWith = append(f.out.SyncWith, unknown[f.random.IntN(len(unknown))])
 	}
 }
--- a/internal/fleet/membership/property_test.go
+++ b/internal/fleet/membership/property_test.go
@@ -24,9 +24,9 @@
 	run := w.f.Running()
 	for i, a := range run {
 		for _, b := range run[i+1:] {
-			sa, _, _ := a.View.Standing()
-			sb, _, _ := b.View.Standing()
-			if sa >= membership.Larger && sb >= membership.Larger && w.apart(a, b) {
+			sa, _, _ := a.View.PartitionStatus()
+			sb, _, _ := b.View.PartitionStatus()
+			if sa >= membership.Majority && sb >= membership.Majority && w.apart(a, b) {
 				both = true
 			}
 		}
@@ -102,7 +102,7 @@
 		f.Loss = 0
 	case 10:
 		if f.Drivers[a].View != nil {
-			f.Do(a, func(v *membership.Fleet) membership.Out { return v.Leave(f.Now) })
+			f.Do(a, func(v *membership.Fleet) membership.Output { return v.Leave(f.Now) })
 		}
 	}
 }
@@ -147,11 +147,11 @@
 	})
 }
 
-func standing(d *membershipsim.Driver) (membership.Standing, string, float64) {
+func standing(d *membershipsim.Driver) (membership.PartitionStatus, string, float64) {
 	if d.View == nil {
-		return membership.Unsure, "", 0
+		return membership.Undetermined, "", 0
 	}
-	return d.View.Standing()
+	return d.View.PartitionStatus()
 }
 
 // agreed says that all drivers run, see each other alive and hold one roster of all.
@@ -162,7 +162,7 @@
 			return false
 		}
 		s := d.View.Status()
-		if s.Standing != membership.Whole || len(s.Roster.Names) != n {
+		if s.Partition != membership.Complete || len(s.Roster.Names) != n {
 			return false
 		}
 		if i > 0 && s.Roster.Version != version {
@@ -243,7 +243,7 @@
 		f := membershipsim.New(membershipsim.Options{Drivers: n, Seed: rapid.Uint64().Draw(t, "seed"), Double: 0.3,
 			Latency: rapid.SampledFrom([]float64{1, 100, 400}).Draw(t, "latency")})
 		rosters := map[uint64]string{}
-		f.Notes = func(at float64, d string, note membership.Note) {
+		f.Notes = func(at float64, d string, note membership.Event) {
 			if note.Reason != "roster" {
 				return
 			}
@@ -272,7 +272,7 @@
 			case 1: // one leaves
 				if d := f.Drivers[rapid.IntRange(0, len(f.Drivers)-1).Draw(t, "who")]; d.View != nil {
 					i := f.Index(d)
-					f.Do(i, func(v *membership.Fleet) membership.Out { return v.Leave(f.Now) })
+					f.Do(i, func(v *membership.Fleet) membership.Output { return v.Leave(f.Now) })
 					f.Run(400)
 					f.Kill(i)
 				}
--- a/internal/fleet/membership/records.go
+++ b/internal/fleet/membership/records.go
@@ -39,13 +39,13 @@
 
 // Record is what is said of one driver.
 type Record struct {
-	Name    string `cbor:"1,keyasint"`
-	Run     uint64 `cbor:"2,keyasint"` // of the process; a later one under the name has a higher one
-	Inc     uint32 `cbor:"3,keyasint"` // raised by the process alone, to deny that it has failed
-	State   State  `cbor:"4,keyasint"`
-	Address string `cbor:"5,keyasint"` // host:port at which it is reached
-	Zone    string `cbor:"6,keyasint,omitempty"`
-	By      string `cbor:"7,keyasint,omitempty"` // who suspects it
+	Name        string `cbor:"1,keyasint"`
+	Run         uint64 `cbor:"2,keyasint"` // of the process; a later one under the name has a higher one
+	Incarnation uint32 `cbor:"3,keyasint"` // raised by the process alone, to deny that it has failed
+	State       State  `cbor:"4,keyasint"`
+	Address     string `cbor:"5,keyasint"` // host:port at which it is reached
+	Zone        string `cbor:"6,keyasint,omitempty"`
+	ReportedBy  string `cbor:"7,keyasint,omitempty"` // who suspects it
 }
 
 const (
@@ -55,13 +55,15 @@
 
 // sane says whether a record can be true at all.
 func (r *Record) sane() bool {
-	return r.Name != "" && len(r.Name) <= maxNameBytes && len(r.Zone) <= maxNameBytes && len(r.By) <= maxNameBytes &&
+	return r.Name != "" && len(r.Name) <= maxNameBytes && len(r.Zone) <= maxNameBytes && len(r.ReportedBy) <= maxNameBytes &&
 		r.Address != "" &&
 		len(r.Address) <= maxNameBytes && r.State <= Left && r.Run > 0 && r.Run < mostRun
 }
 
 // size is about how many bytes it takes in a message.
-func (r *Record) size() int { return 28 + len(r.Name) + len(r.Address) + len(r.Zone) + len(r.By) }
+func (r *Record) size() int {
+	return 28 + len(r.Name) + len(r.Address) + len(r.Zone) + len(r.ReportedBy)
+}
 
 // ended says that nothing is expected of it.
 func (s State) ended() bool { return s >= Failed }
@@ -74,7 +76,7 @@
 		}
 		return 0
 	}
-	return cmp.Or(cmp.Compare(a.Run, b.Run), cmp.Compare(last(a), last(b)), cmp.Compare(a.Inc, b.Inc),
+	return cmp.Or(cmp.Compare(a.Run, b.Run), cmp.Compare(last(a), last(b)), cmp.Compare(a.Incarnation, b.Incarnation),
 		cmp.Compare(a.State, b.State))
 }
 
@@ -121,36 +123,36 @@
 
 // The kinds of messages.
 const (
-	Ping   Kind = iota + 1 // To answers by Ack
-	Ask                    // the receiver pings To at At for the sender
-	Ack                    // To lives: from itself, or from who asked it
-	Nack                   // who was asked lives, and To does not answer
-	Gossip                 // carries word alone
+	Ping        Kind = iota + 1 // To answers by Ack
+	PingRequest                 // the receiver pings To at At for the sender
+	Ack                         // To lives: from itself, or from who asked it
+	Nack                        // who was asked lives, and To does not answer
+	Gossip                      // carries word alone
 )
 
 // Message is what goes between two drivers by UDP.
 type Message struct {
-	Kind    Kind      `cbor:"1,keyasint"`
-	From    Record    `cbor:"2,keyasint"`
-	Count   uint64    `cbor:"3,keyasint"`           // of the sender's messages: one that is not higher is old, or a copy
-	Seq     uint64    `cbor:"4,keyasint,omitempty"` // of the probe
-	To      string    `cbor:"5,keyasint,omitempty"`
-	At      string    `cbor:"6,keyasint,omitempty"`
-	View    uint64    `cbor:"7,keyasint,omitempty"` // of the drivers that live, as the sender sees it
-	Roster  uint64    `cbor:"8,keyasint,omitempty"` // version of the roster that the sender holds
-	Sum     uint64    `cbor:"9,keyasint,omitempty"` // and its names
-	Records []Record  `cbor:"10,keyasint,omitempty"`
-	Hears   []Hearing `cbor:"11,keyasint,omitempty"`
-	Vote    *Vote     `cbor:"12,keyasint,omitempty"`
-	Decided *Change   `cbor:"13,keyasint,omitempty"`
+	Kind          Kind           `cbor:"1,keyasint"`
+	From          Record         `cbor:"2,keyasint"`
+	Counter       uint64         `cbor:"3,keyasint"`           // of the sender's messages: one that is not higher is old, or a copy
+	ProbeID       uint64         `cbor:"4,keyasint,omitempty"` // of the probe
+	Target        string         `cbor:"5,keyasint,omitempty"`
+	TargetAddress string         `cbor:"6,keyasint,omitempty"`
+	ViewHash      uint64         `cbor:"7,keyasint,omitempty"` // of the drivers that live, as the sender sees it
+	RosterVersion uint64         `cbor:"8,keyasint,omitempty"` // version of the roster that the sender holds
+	RosterHash    uint64         `cbor:"9,keyasint,omitempty"` // and its names
+	Records       []Record       `cbor:"10,keyasint,omitempty"`
+	Reachability  []Reachability `cbor:"11,keyasint,omitempty"`
+	Vote          *Vote          `cbor:"12,keyasint,omitempty"`
+	DecidedChange *Change        `cbor:"13,keyasint,omitempty"`
 }
 
-// Hearing is whom a driver does not hear itself, though they are said to live.
-type Hearing struct {
-	Name string   `cbor:"1,keyasint"`
-	Run  uint64   `cbor:"2,keyasint"`
-	Turn uint32   `cbor:"3,keyasint"` // a higher one is newer
-	Deaf []string `cbor:"4,keyasint,omitempty"`
+// Reachability is whom a driver does not hear itself, though they are said to live.
+type Reachability struct {
+	Name        string   `cbor:"1,keyasint"`
+	Run         uint64   `cbor:"2,keyasint"`
+	Sequence    uint32   `cbor:"3,keyasint"` // a higher one is newer
+	Unreachable []string `cbor:"4,keyasint,omitempty"`
 }
 
 const (
@@ -159,37 +161,37 @@
 	maxRecords = 64   // in a message that is taken
 )
 
-func (h *Hearing) size() int {
+func (h *Reachability) size() int {
 	n := 24 + len(h.Name)
-	for _, d := range h.Deaf {
+	for _, d := range h.Unreachable {
 		n += 2 + len(d)
 	}
 	return n
 }
 
-// Exchange is all that a driver knows, for a peer that starts or was cut off.
-type Exchange struct {
-	From    Record    `cbor:"1,keyasint"`
-	Records []Record  `cbor:"2,keyasint,omitempty"`
-	Hears   []Hearing `cbor:"3,keyasint,omitempty"`
-	Roster  *Roster   `cbor:"4,keyasint,omitempty"`
+// Snapshot is all that a driver knows, for a peer that starts or was cut off.
+type Snapshot struct {
+	From         Record         `cbor:"1,keyasint"`
+	Records      []Record       `cbor:"2,keyasint,omitempty"`
+	Reachability []Reachability `cbor:"3,keyasint,omitempty"`
+	Roster       *Roster        `cbor:"4,keyasint,omitempty"`
 }
 
-// Send is a message that is to go out.
-type Send struct {
+// Envelope is a message that is to go out.
+type Envelope struct {
 	Address string
 	Message Message
 }
 
-// Note is a line for the log: a reason code, whom it is about, and more.
-type Note struct {
+// Event is a line for the log: a reason code, whom it is about, and more.
+type Event struct {
 	Reason, Name, Text string
 }
 
-// Out is what is to be done.
-type Out struct {
-	Sends     []Send
-	Exchanges []string // addresses with which whole states are to be exchanged
-	Notes     []Note
-	Save      *SavedState // to be safe before Sends go out, see Fleet.Saved; nil for nothing new
+// Output is what is to be done.
+type Output struct {
+	Messages []Envelope
+	SyncWith []string // addresses with which whole states are to be exchanged
+	Events   []Event
+	Save     *SavedState // to be safe before Sends go out, see Fleet.Saved; nil for nothing new
 }
--- a/internal/fleet/membership/roster.go
+++ b/internal/fleet/membership/roster.go
@@ -34,12 +34,12 @@
 // Change makes a roster out of the one before it; the first one has no base, and its names are those whose sum it
 // bears.
 type Change struct {
-	Version uint64   `cbor:"1,keyasint"`
-	Lineage uint64   `cbor:"2,keyasint"`
-	Base    uint64   `cbor:"3,keyasint,omitempty"` // sum of the names before
-	Sum     uint64   `cbor:"4,keyasint"`           // and after
-	Add     []string `cbor:"5,keyasint,omitempty"`
-	Remove  []string `cbor:"6,keyasint,omitempty"`
+	Version  uint64   `cbor:"1,keyasint"`
+	Lineage  uint64   `cbor:"2,keyasint"`
+	BaseHash uint64   `cbor:"3,keyasint,omitempty"` // sum of the names before
+	Hash     uint64   `cbor:"4,keyasint"`           // and after
+	Add      []string `cbor:"5,keyasint,omitempty"`
+	Remove   []string `cbor:"6,keyasint,omitempty"`
 }
 
 func (c *Change) size() int {
@@ -142,7 +142,7 @@
 		!f.roster.has(f.self.Name) {
 		return
 	}
-	if allowed, _ := Allowed(f.standing, ChangeNames); allowed {
+	if allowed, _ := Allowed(f.standing, ChangeRoster); allowed {
 		f.propose(want)
 	}
 }
@@ -169,13 +169,13 @@
 func (f *Fleet) receiveDecided(c Change) {
 	switch {
 	case f.roster == nil && c.Version == 1:
-		if names := f.names(true); sumOf(names) == c.Sum {
-			f.adoptRoster(Roster{Version: 1, Lineage: c.Lineage, Names: names, sum: c.Sum})
+		if names := f.names(true); sumOf(names) == c.Hash {
+			f.adoptRoster(Roster{Version: 1, Lineage: c.Lineage, Names: names, sum: c.Hash})
 			f.decided, f.decidedLeft = &c, f.times()
 		}
-	case f.roster != nil && c.Version == f.roster.Version+1 && c.Base == f.roster.sum && c.Lineage == f.roster.Lineage &&
+	case f.roster != nil && c.Version == f.roster.Version+1 && c.BaseHash == f.roster.sum && c.Lineage == f.roster.Lineage &&
 		len(c.Add)+len(c.Remove) <= maxChange:
-		if next := f.after(&c); next.sum == c.Sum {
+		if next := f.after(&c); next.sum == c.Hash {
 			f.adoptRoster(next)
 			f.decided, f.decidedLeft = &c, f.times()
 		}
--- a/internal/fleet/membership/standing.go
+++ b/internal/fleet/membership/standing.go
@@ -11,65 +11,65 @@
 	"weirwind/internal/util/enum"
 )
 
-// Standing is a driver's place in the fleet, by the roster that was agreed on.
-type Standing uint8
+// PartitionStatus is a driver's place in the fleet, by the roster that was agreed on.
+type PartitionStatus uint8
 
 // The standings, from the least that is known to the most.
 const (
-	Unsure  Standing = iota // too much is unknown, or two halves are alike
-	Alone                   // it reaches nobody of the roster
-	Smaller                 // it is with less than half
-	Larger                  // it is with more than half
-	Whole                   // it is with all
+	Undetermined PartitionStatus = iota // too much is unknown, or two halves are alike
+	Isolated                            // it reaches nobody of the roster
+	Minority                            // it is with less than half
+	Majority                            // it is with more than half
+	Complete                            // it is with all
 )
 
 var standingNames = enum.Names{"unsure", "alone", "smaller", "larger", "whole"}
 
-func (s Standing) String() string { return standingNames.Of(uint8(s)) }
+func (s PartitionStatus) String() string { return standingNames.Of(uint8(s)) }
 
 // MarshalText gives a standing its name.
-func (s Standing) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
+func (s PartitionStatus) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
 // UnmarshalText takes a standing's name.
-func (s *Standing) UnmarshalText(text []byte) error {
+func (s *PartitionStatus) UnmarshalText(text []byte) error {
 	return enum.Parse(standingNames, "standing", text, s)
 }
 
-// Act is something that several drivers could do to each other's harm.
-type Act uint8
+// Action is something that several drivers could do to each other's harm.
+type Action uint8
 
 // What Allowed is asked for.
 const (
-	BeginHold   Act = iota // of a group's writes, or announce one
-	RenewHold              // one that goes on
-	EndHold                // release or abort it
-	ChangeNames            // of the roster
-	HonourDrain            // told by any peer, at any time
-	ShrinkCount            // count fewer drivers than there were, since some have failed
-	LearnRoles             // take a primary from a peer's word alone
+	BeginWritePause Action = iota // of a group's writes, or announce one
+	RenewWritePause               // one that goes on
+	EndWritePause                 // release or abort it
+	ChangeRoster                  // of the roster
+	ApplyDrain                    // told by any peer, at any time
+	ReduceCount                   // count fewer drivers than there were, since some have failed
+	LearnPrimary                  // take a primary from a peer's word alone
 )
 
 // Allowed is the table of what holds in each standing (docs/membership.md). The reason is for the log and for who
 // asked.
-func Allowed(s Standing, a Act) (allowed bool, reason string) {
+func Allowed(s PartitionStatus, a Action) (allowed bool, reason string) {
 	switch a {
-	case BeginHold: // hooks go on with the takeover when it was taken: most drivers must hear of it
-		if s == Whole || s == Larger {
+	case BeginWritePause: // hooks go on with the takeover when it was taken: most drivers must hear of it
+		if s == Complete || s == Majority {
 			return true, ""
 		}
 		return false, "not_with_the_larger_part"
-	case RenewHold: // writes that wait break no rule, and the lease ends it
+	case RenewWritePause: // writes that wait break no rule, and the lease ends it
 		return true, ""
-	case EndHold: // each driver looks itself for who is primary
+	case EndWritePause: // each driver looks itself for who is primary
 		return true, ""
-	case ChangeNames, ShrinkCount:
-		if s == Whole || s == Larger {
+	case ChangeRoster, ReduceCount:
+		if s == Complete || s == Majority {
 			return true, ""
 		}
 		return false, "not_with_the_larger_part"
-	case HonourDrain: // too many drains lose capacity, one too few breaks a rule
+	case ApplyDrain: // too many drains lose capacity, one too few breaks a rule
 		return true, ""
-	case LearnRoles: // a member's own word decides, in every standing
+	case LearnPrimary: // a member's own word decides, in every standing
 		return false, "members_speak_for_themselves"
 	}
 	return false, "unknown"
@@ -92,14 +92,14 @@
 	f.standing, f.why, f.judged = s, why, f.statesGen
 }
 
-func (f *Fleet) assess() (Standing, string) {
+func (f *Fleet) assess() (PartitionStatus, string) {
 	switch {
 	case f.leaving:
-		return Unsure, "leaving"
+		return Undetermined, "leaving"
 	case f.contested > 0:
-		return Unsure, "name_taken"
+		return Undetermined, "name_taken"
 	case f.roster == nil:
-		return Unsure, "no_roster"
+		return Undetermined, "no_roster"
 	}
 	others := 0 // that do not count as ended
 	living, doubted, n := 0, 0, len(f.roster.Names)
@@ -122,23 +122,23 @@
 	}
 	switch {
 	case f.now < f.doubt || f.unproved && others > 0:
-		return Unsure, "stood_still"
+		return Undetermined, "stood_still"
 	case others > 0 && f.missed >= 4:
-		return Unsure, "unheard"
+		return Undetermined, "unheard"
 	case f.behind > 0 && f.now-f.behind > 6*f.rules.Period:
-		return Unsure, "behind"
+		return Undetermined, "behind"
 	case living == n:
-		return Whole, ""
+		return Complete, ""
 	case 2*living > n && f.pendingLives():
-		return Larger, ""
+		return Majority, ""
 	case doubted == 0 && others == 0:
-		return Alone, ""
+		return Isolated, ""
 	case 2*(living+doubted) > n:
-		return Unsure, "suspects"
+		return Undetermined, "suspects"
 	case 2*(living+doubted) == n:
-		return Unsure, "halves"
+		return Undetermined, "halves"
 	}
-	return Smaller, ""
+	return Minority, ""
 }
 
 // pendingLives says that a change which may have been decided without this driver's knowing has its majority here too.
@@ -155,19 +155,19 @@
 	return paxos.Majority(next.Names, who)
 }
 
-// Standing is this driver's, why, and since when.
-func (f *Fleet) Standing() (s Standing, why string, since float64) {
+// PartitionStatus is this driver's, why, and since when.
+func (f *Fleet) PartitionStatus() (s PartitionStatus, why string, since float64) {
 	return f.standing, f.why, f.stands
 }
 
-// Count is how many drivers there are, for shares that all of them together must not exceed: cold members, probes,
+// DriverCount is how many drivers there are, for shares that all of them together must not exceed: cold members, probes,
 // words. One that has failed may only be cut off, and goes on with its share. Where the larger part takes it over,
 // after Yield, the others have given half of theirs up by then: a of n count the harmonic mean of both, 2an/(a+n), the
 // others 2n, so that all shares add up to one. Without a roster, or where nothing can be known, as many count as were
 // ever expected.
-func (f *Fleet) Count() int {
+func (f *Fleet) DriverCount() int {
 	if f.roster == nil {
-		return max(f.rules.Expect, f.alive(), 1)
+		return max(f.rules.ExpectedDrivers, f.alive(), 1)
 	}
 	n, living := 0, 0
 	if !f.roster.has(f.self.Name) {
@@ -191,9 +191,9 @@
 		}
 	}
 	n = max(n, 1)
-	waited := f.now-max(f.stands, f.changed) >= max(f.rules.Yield, yieldLeast*f.rules.Period)
-	switch shrink, _ := Allowed(f.standing, ShrinkCount); {
-	case f.standing == Whole, f.why == "leaving":
+	waited := f.now-max(f.stands, f.changed) >= max(f.rules.TakeoverAfter, yieldLeast*f.rules.Period)
+	switch shrink, _ := Allowed(f.standing, ReduceCount); {
+	case f.standing == Complete, f.why == "leaving":
 		return n
 	case shrink && waited && living < n:
 		return int(math.Ceil(2 * float64(living) * float64(n) / float64(living+n)))
@@ -208,64 +208,64 @@
 
 // View is what operators are shown of a peer.
 type View struct {
-	Name    string   `json:"name"`
-	State   State    `json:"state"`
-	Heard   bool     `json:"heard"` // by this driver itself
-	Listed  bool     `json:"listed"`
-	Address string   `json:"address"`
-	Zone    string   `json:"zone,omitempty"`
-	Run     uint64   `json:"run"`
-	Inc     uint32   `json:"inc"`
-	For     float64  `json:"for_ms"` // in this state
-	Deaf    []string `json:"does_not_hear,omitempty"`
+	Name        string   `json:"name"`
+	State       State    `json:"state"`
+	Reachable   bool     `json:"heard"` // by this driver itself
+	OnRoster    bool     `json:"listed"`
+	Address     string   `json:"address"`
+	Zone        string   `json:"zone,omitempty"`
+	Run         uint64   `json:"run"`
+	Incarnation uint32   `json:"inc"`
+	For         float64  `json:"for_ms"` // in this state
+	Unreachable []string `json:"does_not_hear,omitempty"`
 }
 
 // Status is a driver's view as operators are shown it.
 type Status struct {
-	Self     string   `json:"self"`
-	Standing Standing `json:"standing"`
-	Reason   string   `json:"reason,omitempty"`
-	For      float64  `json:"for_ms"`
-	Count    int      `json:"count"` // of drivers, as the module is told
-	Address  string   `json:"address"`
-	Run      uint64   `json:"run"`
-	Health   int      `json:"health"` // 0: well
-	Roster   *Roster  `json:"roster"`
-	Refused  int64    `json:"frames_refused"` // that could not be taken: another secret, or damaged
-	Sent     int64    `json:"bytes_sent"`     // by UDP
-	Drivers  []View   `json:"drivers"`
+	Self      string          `json:"self"`
+	Partition PartitionStatus `json:"standing"`
+	Reason    string          `json:"reason,omitempty"`
+	For       float64         `json:"for_ms"`
+	Count     int             `json:"count"` // of drivers, as the module is told
+	Address   string          `json:"address"`
+	Run       uint64          `json:"run"`
+	Health    int             `json:"health"` // 0: well
+	Roster    *Roster         `json:"roster"`
+	Refused   int64           `json:"frames_refused"` // that could not be taken: another secret, or damaged
+	Sent      int64           `json:"bytes_sent"`     // by UDP
+	Drivers   []View          `json:"drivers"`
 }
 
 // Status gives the view as it is now.
 func (f *Fleet) Status() Status {
-	s := Status{Self: f.self.Name, Standing: f.standing, Reason: f.why, For: f.now - f.stands, Count: f.Count(),
+	s := Status{Self: f.self.Name, Partition: f.standing, Reason: f.why, For: f.now - f.stands, Count: f.DriverCount(),
 		Address: f.self.Address,
 		Run:     f.self.Run, Health: f.health, Roster: f.roster, Drivers: []View{}}
 	for _, m := range f.list {
-		s.Drivers = append(s.Drivers, View{Name: m.Name, State: m.State, Heard: !m.State.ended() && !m.deaf, Listed: m.on,
-			Address: m.Address, Zone: m.Zone, Run: m.Run, Inc: m.Inc, For: f.now - m.since, Deaf: m.hears.Deaf})
+		s.Drivers = append(s.Drivers, View{Name: m.Name, State: m.State, Reachable: !m.State.ended() && !m.deaf, OnRoster: m.on,
+			Address: m.Address, Zone: m.Zone, Run: m.Run, Incarnation: m.Incarnation, For: f.now - m.since, Unreachable: m.hears.Unreachable})
 	}
 	return s
 }
 
-// State is what a driver is taken for; Left where it is not known.
-func (f *Fleet) State(name string) State {
+// StateOf is what a driver is taken for; Left where it is not known.
+func (f *Fleet) StateOf(name string) State {
 	if m := f.byName[name]; m != nil {
 		return m.Record.State
 	}
 	return Left
 }
 
-// Address is where a peer is reached that does not count as ended; empty for none.
-func (f *Fleet) Address(name string) string {
+// AddressOf is where a peer is reached that does not count as ended; empty for none.
+func (f *Fleet) AddressOf(name string) string {
 	if m := f.byName[name]; m != nil && !m.State.ended() {
 		return m.Record.Address
 	}
 	return ""
 }
 
-// Living are the addresses of peers that do not count as ended.
-func (f *Fleet) Living() (all []string) {
+// LiveAddresses are the addresses of peers that do not count as ended.
+func (f *Fleet) LiveAddresses() (all []string) {
 	for _, m := range f.list {
 		if !m.State.ended() {
 			all = append(all, m.Address)
--- a/internal/fleet/membership/updates.go
+++ b/internal/fleet/membership/updates.go
@@ -38,17 +38,17 @@
 		return
 	}
 	switch {
-	case r.State == Failed && m.State == Alive && m.Run == r.Run && m.Inc <= r.Inc &&
+	case r.State == Failed && m.State == Alive && m.Run == r.Run && m.Incarnation <= r.Incarnation &&
 		f.now-m.fresh < heardLately*f.rules.Period:
 		// Heard here a moment ago: news of the other side of a cut that healed. It is told, and denies it; if it
 		// has failed since, this driver finds out, or hears of it once more.
 		if f.now >= m.accused {
 			m.accused = f.now + f.rules.Period
-			f.send(m.Address, Message{Kind: Gossip, To: m.Name, Records: []Record{r}})
+			f.send(m.Address, Message{Kind: Gossip, Target: m.Name, Records: []Record{r}})
 		}
-	case m.Run == r.Run && m.Inc == r.Inc && m.State == Suspect && r.State == Suspect:
-		if !m.by[r.By] && len(m.by) <= confirmers {
-			m.by[r.By] = true
+	case m.Run == r.Run && m.Incarnation == r.Incarnation && m.State == Suspect && r.State == Suspect:
+		if !m.by[r.ReportedBy] && len(m.by) <= confirmers {
+			m.by[r.ReportedBy] = true
 			f.queue(r)
 		}
 	case r.supersedes(&m.Record):
@@ -69,7 +69,7 @@
 		f.view ^= mark(r.Name, r.Run)
 	}
 	if r.Run != run {
-		m.count, m.fresh, m.silent, m.deaf, m.hears = 0, 0, false, false, Hearing{}
+		m.count, m.fresh, m.silent, m.deaf, m.hears = 0, 0, false, false, Reachability{}
 	}
 	if before != r.State || r.Run != run {
 		m.since = f.now
@@ -80,8 +80,8 @@
 		if before != Suspect {
 			f.suspects = append(f.suspects, m)
 		}
-		m.began, m.scale, m.by = f.now, 1+float64(f.health)/2, map[string]bool{r.By: true}
-		if r.By != f.self.Name && len(f.check) < maxChecks && f.random.Float64()*float64(f.alive()) < checkers {
+		m.began, m.scale, m.by = f.now, 1+float64(f.health)/2, map[string]bool{r.ReportedBy: true}
+		if r.ReportedBy != f.self.Name && len(f.check) < maxChecks && f.random.Float64()*float64(f.alive()) < checkers {
 			f.check = append(f.check, r.Name)
 		}
 	} else {
@@ -98,7 +98,7 @@
 		case r.State == Left:
 			f.note("fellow_left", r.Name, "")
 		default:
-			f.note("fellow_failed", r.Name, "told by "+r.By)
+			f.note("fellow_failed", r.Name, "told by "+r.ReportedBy)
 		}
 	}
 	if r.State.ended() && m.deaf {
@@ -115,11 +115,11 @@
 		f.rename(r.Run + 1)
 		f.note("forgotten", f.self.Name, "")
 	case r.Run == f.self.Run:
-		if (r.State == Suspect || r.State == Failed) && r.Inc >= f.self.Inc && !f.leaving {
-			f.self.Inc = r.Inc + 1
+		if (r.State == Suspect || r.State == Failed) && r.Incarnation >= f.self.Incarnation && !f.leaving {
+			f.self.Incarnation = r.Incarnation + 1
 			f.health = min(healthMost, f.health+1)
 			if r.State == Failed {
-				f.note("denied", f.self.Name, "said to have failed, by "+r.By)
+				f.note("denied", f.self.Name, "said to have failed, by "+r.ReportedBy)
 			}
 			f.queue(f.self)
 		}
@@ -142,14 +142,14 @@
 // rename takes a higher run: what is said of the earlier ones is not about this process.
 func (f *Fleet) rename(run uint64) {
 	f.view ^= mark(f.self.Name, f.self.Run) ^ mark(f.self.Name, run)
-	f.self.Run, f.self.Inc = run, 0
+	f.self.Run, f.self.Incarnation = run, 0
 	f.hears.Run = run
 	f.queue(f.self)
 }
 
 // reap forgets those that have ended, are on no roster and were remembered for long enough.
 func (f *Fleet) reap() {
-	gone := func(m *member) bool { return m.State.ended() && f.now-m.since > f.rules.Keep && !m.on }
+	gone := func(m *member) bool { return m.State.ended() && f.now-m.since > f.rules.RetainFor && !m.on }
 	if !slices.ContainsFunc(f.list, gone) {
 		return
 	}
--- a/internal/fleet/membership/votes_test.go
+++ b/internal/fleet/membership/votes_test.go
@@ -44,7 +44,7 @@
 
 // begin starts a process that knows what an earlier one kept, and all drivers.
 func (c *chamber) begin(name string) *Fleet {
-	f := New(0, Rules{Period: 100, Expect: 1, MaxDrivers: 100, Persistent: true, Saved: c.disk[name]},
+	f := New(0, Options{Period: 100, ExpectedDrivers: 1, MaxDrivers: 100, Persistent: true, Saved: c.disk[name]},
 		Record{Name: name, Run: 1, Address: name}, nil, 1)
 	for _, o := range c.names {
 		f.apply(Record{Name: o, Run: 1, Address: o})
@@ -60,7 +60,7 @@
 		c.disk[f.self.Name] = out.Save
 		f.Saved(true)
 	}
-	for _, s := range out.Sends {
+	for _, s := range out.Messages {
 		if s.Message.Vote != nil {
 			c.pool = append(c.pool, vote{f.self.Name, s.Address, *s.Message.Vote})
 		}
@@ -68,14 +68,14 @@
 }
 
 func change(f *Fleet, add, remove string) *Change {
-	c := &Change{Version: f.roster.Version + 1, Lineage: 1, Base: f.roster.sum, Sum: f.roster.sum}
+	c := &Change{Version: f.roster.Version + 1, Lineage: 1, BaseHash: f.roster.sum, Hash: f.roster.sum}
 	if add != "" {
 		c.Add = []string{add}
 	}
 	if remove != "" {
 		c.Remove = []string{remove}
 	}
-	c.Sum ^= sumOf(c.Add) ^ sumOf(c.Remove)
+	c.Hash ^= sumOf(c.Add) ^ sumOf(c.Remove)
 	return c
 }
 
@@ -163,29 +163,29 @@
 	f.receiveRoster(Roster{Version: 1, Lineage: 1, Names: []string{"n0", "n1", "n2"}})
 	p := c.of["n0"]
 	p.propose(change(p, "", "n2"))
-	for _, s := range p.output().Sends {
+	for _, s := range p.output().Messages {
 		if s.Address == "n1" {
 			f.receiveVote("n0", "n0", *s.Message.Vote)
 		}
 	}
-	if out := f.output(); len(out.Sends) > 0 {
-		t.Errorf("it votes: %+v", out.Sends)
+	if out := f.output(); len(out.Messages) > 0 {
+		t.Errorf("it votes: %+v", out.Messages)
 	}
 	f.now = forgetPeriods*100 + 1
-	f.receiveVote("n0", "n0", Vote{Kind: Prepare, Version: 2, Base: f.roster.sum,
-		Ballot: paxos.Ballot{Number: 9, Name: "n0"}})
-	if out := f.output(); len(out.Sends) != 1 || out.Sends[0].Message.Vote.Kind != Promise {
+	f.receiveVote("n0", "n0", Vote{Kind: Prepare, Version: 2, BaseHash: f.roster.sum,
+		Ballot: paxos.Ballot{Number: 9, Proposer: "n0"}})
+	if out := f.output(); len(out.Messages) != 1 || out.Messages[0].Message.Vote.Kind != Promise {
 		t.Errorf("it never votes again: %+v", out)
 	}
 }
 
 // The table: what each standing allows.
 func TestWhatStandingsAllow(t *testing.T) {
-	for s := Unsure; s <= Whole; s++ {
-		for a := BeginHold; a <= LearnRoles; a++ {
-			larger := s == Larger || s == Whole
-			want := map[Act]bool{BeginHold: larger, RenewHold: true, EndHold: true, ChangeNames: larger, HonourDrain: true,
-				ShrinkCount: larger}[a]
+	for s := Undetermined; s <= Complete; s++ {
+		for a := BeginWritePause; a <= LearnPrimary; a++ {
+			larger := s == Majority || s == Complete
+			want := map[Action]bool{BeginWritePause: larger, RenewWritePause: true, EndWritePause: true, ChangeRoster: larger, ApplyDrain: true,
+				ReduceCount: larger}[a]
 			if got, why := Allowed(s, a); got != want || got != (why == "") {
 				t.Errorf("%s, act %d: %v %q", s, a, got, why)
 			}
@@ -198,7 +198,7 @@
 	for n := 2; n <= 40; n++ {
 		for a := 1; a < n; a++ {
 			view := func(living int) int {
-				f := New(0, Rules{Period: 100, Expect: 1, MaxDrivers: 100, Yield: 1000},
+				f := New(0, Options{Period: 100, ExpectedDrivers: 1, MaxDrivers: 100, TakeoverAfter: 1000},
 					Record{Name: "n00", Run: 1, Address: "n00"}, nil, 1)
 				names := []string{"n00"}
 				for i := 1; i < n; i++ {
@@ -212,17 +212,17 @@
 				}
 				f.adoptRoster(Roster{Version: 1, Lineage: 1, Names: names, sum: sumOf(names)})
 				f.judge()
-				if c := f.Count(); f.standing == Larger && c < n {
+				if c := f.DriverCount(); f.standing == Majority && c < n {
 					t.Errorf("%d of %d count %d before the others can have given way", living, n, c)
 				}
 				f.now = 4000
-				c := f.Count()
+				c := f.DriverCount()
 				if n > 3 && living == n-1 { // another one is lost: the wait begins anew
 					r := f.list[0].Record
 					r.State = Failed
 					f.apply(r)
-					if f.judge(); f.standing == Larger && f.Count() != n {
-						t.Errorf("%d of %d count %d at once", living-1, n, f.Count())
+					if f.judge(); f.standing == Majority && f.DriverCount() != n {
+						t.Errorf("%d of %d count %d at once", living-1, n, f.DriverCount())
 					}
 				}
 				return c
@@ -238,7 +238,7 @@
 func TestWhichSayingHolds(t *testing.T) {
 	first := Record{Name: "a", Run: 5, Address: "x"}
 	second := Record{Name: "a", Run: 9, Address: "y"}
-	with := func(r Record, s State, inc uint32) Record { r.State, r.Inc = s, inc; return r }
+	with := func(r Record, s State, inc uint32) Record { r.State, r.Incarnation = s, inc; return r }
 	for _, x := range []struct {
 		r, held Record
 		want    bool
--- a/internal/fleet/mesh/calls.go
+++ b/internal/fleet/mesh/calls.go
@@ -56,7 +56,7 @@
 	case callExchange, callGossip:
 		if f.Call == callExchange && f.Exchange != nil {
 			m.mu.Lock()
-			x := m.view.Exchange()
+			x := m.view.Snapshot()
 			back.Exchange = &x
 			m.apply(m.view.Merge(m.options.Now(), *f.Exchange))
 		}
@@ -102,10 +102,10 @@
 // Send has a peer take something, and gives what it sends back.
 func (m *Mesh) Send(ctx context.Context, to string, what []byte) ([]byte, error) {
 	m.mu.Lock()
-	address := m.view.Address(to)
+	address := m.view.AddressOf(to)
 	m.mu.Unlock()
 	if address == "" {
-		return nil, membership.ErrUnknown
+		return nil, membership.ErrUnknownDriver
 	}
 	back, err := m.call(ctx, address, &frame{Call: callSend, From: m.options.Name, Payload: what})
 	if err != nil {
@@ -153,7 +153,7 @@
 // exchange trades whole states, and gossip, with a peer.
 func (m *Mesh) exchange(ctx context.Context, address string) {
 	m.mu.Lock()
-	x := m.view.Exchange()
+	x := m.view.Snapshot()
 	m.mu.Unlock()
 	f, asked := &frame{Call: callExchange, Exchange: &x, Gossip: m.gossip(true)}, m.options.Now()
 	back, err := m.call(ctx, address, f)
@@ -196,7 +196,7 @@
 			n = gossipFanout
 		}
 		m.mu.Lock()
-		living := m.view.Living()
+		living := m.view.LiveAddresses()
 		m.mu.Unlock()
 		rand.Shuffle(len(living), func(i, j int) { living[i], living[j] = living[j], living[i] })
 		for _, at := range living[:min(n, len(living))] {
--- a/internal/fleet/mesh/datagrams.go
+++ b/internal/fleet/mesh/datagrams.go
@@ -10,7 +10,7 @@
 	"weirwind/internal/fleet/membership"
 )
 
-func (m *Mesh) send(s *membership.Send) {
+func (m *Mesh) send(s *membership.Envelope) {
 	to, err := netip.ParseAddrPort(s.Address)
 	if err != nil {
 		return
--- a/internal/fleet/mesh/frame.go
+++ b/internal/fleet/mesh/frame.go
@@ -34,7 +34,7 @@
 // frame is what goes over TCP: a call, and its answer.
 type frame struct {
 	Call     call                 `cbor:"1,keyasint"`
-	Exchange *membership.Exchange `cbor:"2,keyasint,omitempty"`
+	Exchange *membership.Snapshot `cbor:"2,keyasint,omitempty"`
 	Gossip   *Gossip              `cbor:"3,keyasint,omitempty"`
 	Status   []byte               `cbor:"4,keyasint,omitempty"` // JSON
 	Nonce    uint64               `cbor:"5,keyasint"`           // of the call; its answer bears it too
--- a/internal/fleet/mesh/mesh.go
+++ b/internal/fleet/mesh/mesh.go
@@ -59,8 +59,10 @@
 	ReceiveGossip func(g *Gossip, asked float64) (changed, again bool)
 	// ReceivePayload takes what a peer sent by Send, and gives what goes back. Nil: nothing is taken.
 	ReceivePayload func(from string, what []byte) (back []byte)
-	OnStanding     func(membership.Standing, int)  // is told of the standing and the count of drivers, when they change
-	OnNote         func(note membership.Note) bool // sees each note; false keeps it out of the log. Nil: all are logged
+	// OnStanding is told of the standing and the count of drivers, when they change.
+	OnStanding func(membership.PartitionStatus, int)
+	// OnNote sees each note; false keeps it out of the log. Nil: all are logged.
+	OnNote func(note membership.Event) bool
 }
 
 // Mesh is a driver's place among its peers.
@@ -83,7 +85,7 @@
 
 	mu           sync.Mutex // guards what follows
 	view         *membership.Fleet
-	standing     membership.Standing
+	standing     membership.PartitionStatus
 	count        int
 	standingTold bool
 	period       time.Duration
@@ -118,14 +120,14 @@
 			return nil, err
 		}
 	}
-	rules := membership.Rules{
-		Period:     milliseconds(o.Period),
-		Expect:     o.Expect,
-		Keep:       milliseconds(leftKept),
-		MaxDrivers: maxDrivers,
-		Yield:      milliseconds(o.Yield),
-		Persistent: m.votes != nil,
-		Saved:      kept,
+	rules := membership.Options{
+		Period:          milliseconds(o.Period),
+		ExpectedDrivers: o.Expect,
+		RetainFor:       milliseconds(leftKept),
+		MaxDrivers:      maxDrivers,
+		TakeoverAfter:   milliseconds(o.Yield),
+		Persistent:      m.votes != nil,
+		Saved:           kept,
 	}
 	self := membership.Record{Name: o.Name, Run: o.Run, Address: m.options.Advertise, Zone: o.Zone}
 	m.view = membership.New(o.Now(), rules, self, o.Seeds, o.Seed)
@@ -213,7 +215,7 @@
 		if m.period != period {
 			period = m.period
 			tick.Reset(period / ticksPerPeriod)
-			m.view.Pace(milliseconds(period))
+			m.view.SetPeriod(milliseconds(period))
 		}
 		out := m.view.Tick(m.options.Now())
 		m.apply(out)
@@ -222,7 +224,7 @@
 
 // apply carries out what was decided and tells of changes. It is called with the lock, and lets go of it. Votes are on
 // disk before they are sent, and before anything else is decided.
-func (m *Mesh) apply(out membership.Out) {
+func (m *Mesh) apply(out membership.Output) {
 	if out.Save != nil {
 		b, err := encoder.Marshal(out.Save)
 		if err == nil {
@@ -230,16 +232,16 @@
 		}
 		if err != nil {
 			m.options.Log.Warn("membership", "reason", "votes_not_kept", "error", err)
-			out.Sends = nil
+			out.Messages = nil
 		}
 		m.view.Saved(err == nil)
 	}
-	standing, _, _ := m.view.Standing()
-	count := m.view.Count()
+	standing, _, _ := m.view.PartitionStatus()
+	count := m.view.DriverCount()
 	changed := !m.standingTold || standing != m.standing || count != m.count
 	m.standing, m.count, m.standingTold = standing, count, true
 	m.mu.Unlock()
-	for _, n := range out.Notes {
+	for _, n := range out.Events {
 		if m.options.OnNote == nil || m.options.OnNote(n) {
 			m.options.Log.Info("membership", "reason", n.Reason, "name", n.Name, "text", n.Text)
 		}
@@ -247,10 +249,10 @@
 	if changed && m.options.OnStanding != nil {
 		m.notifyStanding()
 	}
-	for i := range out.Sends {
-		m.send(&out.Sends[i])
+	for i := range out.Messages {
+		m.send(&out.Messages[i])
 	}
-	for _, at := range out.Exchanges {
+	for _, at := range out.SyncWith {
 		select {
 		case m.exchanges <- at:
 		default: // another one follows
@@ -289,5 +291,5 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.period = period
-	m.view.Seeds(seeds)
+	m.view.SetSeeds(seeds)
 }
--- a/internal/fleet/mesh/mesh_test.go
+++ b/internal/fleet/mesh/mesh_test.go
@@ -23,7 +23,7 @@
 // What one seals the other opens, whole; another secret, another use or a changed byte is refused.
 func TestFrames(t *testing.T) {
 	a, b := newCodec("s", "frame"), newCodec("s", "frame")
-	x := &membership.Exchange{From: record(0), Roster: &membership.Roster{Version: 3}}
+	x := &membership.Snapshot{From: record(0), Roster: &membership.Roster{Version: 3}}
 	for i := range 10000 {
 		x.Records = append(x.Records, record(i))
 		x.Roster.Names = append(x.Roster.Names, record(i).Name)
@@ -59,14 +59,14 @@
 
 // The fullest message that the view makes goes into one datagram.
 func TestDatagramsFit(t *testing.T) {
-	f := membership.New(0, membership.Rules{Period: 500, Expect: 1, MaxDrivers: 10000}, record(5000), nil, 1)
-	x := membership.Exchange{From: record(5001)}
+	f := membership.New(0, membership.Options{Period: 500, ExpectedDrivers: 1, MaxDrivers: 10000}, record(5000), nil, 1)
+	x := membership.Snapshot{From: record(5001)}
 	for i := range 2000 {
 		x.Records = append(x.Records, record(i))
 	}
-	sends := f.Merge(1, x).Sends
+	sends := f.Merge(1, x).Messages
 	for at := 50.0; at < 3000; at += 50 {
-		sends = append(sends, f.Tick(at).Sends...)
+		sends = append(sends, f.Tick(at).Messages...)
 	}
 	c, longest := newCodec("s", "datagram"), 0
 	for i := range sends {
@@ -129,8 +129,8 @@
 }
 
 func FuzzDatagram(f *testing.F) {
-	good, _ := encoder.Marshal(&membership.Message{Kind: membership.Ping, From: record(1), Count: 3,
-		To: "driver-0000.zone-a", Records: []membership.Record{record(2)},
+	good, _ := encoder.Marshal(&membership.Message{Kind: membership.Ping, From: record(1), Counter: 3,
+		Target: "driver-0000.zone-a", Records: []membership.Record{record(2)},
 		Vote: &membership.Vote{Kind: membership.Accept, Version: 2,
 			Change: &membership.Change{Version: 2, Add: []string{"x"}}}})
 	f.Add(good)
@@ -139,7 +139,7 @@
 		if decoder.Unmarshal(payload, &m) != nil {
 			return
 		}
-		v := membership.New(0, membership.Rules{Period: 100, Expect: 1, MaxDrivers: 50}, record(0), nil, 1)
+		v := membership.New(0, membership.Options{Period: 100, ExpectedDrivers: 1, MaxDrivers: 50}, record(0), nil, 1)
 		for at := range 40 { // a peer may say anything; it must be borne
 			v.Receive(float64(at*20), m)
 			v.Tick(float64(at*20 + 5))
@@ -152,7 +152,7 @@
 
 func FuzzFrame(f *testing.F) {
 	good, _ := encoder.Marshal(&frame{Call: callExchange,
-		Exchange: &membership.Exchange{From: record(1), Records: []membership.Record{record(2)},
+		Exchange: &membership.Snapshot{From: record(1), Records: []membership.Record{record(2)},
 			Roster: &membership.Roster{Version: 1, Names: []string{"a"}}}})
 	f.Add(good)
 	f.Fuzz(func(t *testing.T, payload []byte) {
@@ -160,7 +160,7 @@
 		if decoder.Unmarshal(payload, &x) != nil || x.Exchange == nil {
 			return
 		}
-		v := membership.New(0, membership.Rules{Period: 100, Expect: 1, MaxDrivers: 50}, record(0), nil, 1)
+		v := membership.New(0, membership.Options{Period: 100, ExpectedDrivers: 1, MaxDrivers: 50}, record(0), nil, 1)
 		v.Merge(1, *x.Exchange)
 		v.Tick(100)
 		v.Status()
--- a/internal/fleet/mesh/status.go
+++ b/internal/fleet/mesh/status.go
@@ -25,12 +25,12 @@
 }
 
 // Standing is this driver's as it is now.
-func (m *Mesh) Standing() (membership.Standing, string) {
+func (m *Mesh) Standing() (membership.PartitionStatus, string) {
 	m.mu.Lock()
 	m.apply(m.view.Tick(m.options.Now()))
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	s, why, _ := m.view.Standing()
+	s, why, _ := m.view.PartitionStatus()
 	return s, why
 }
 
--- a/internal/fleet/paxos/golden_test.go
+++ b/internal/fleet/paxos/golden_test.go
@@ -39,16 +39,16 @@
 		for range 150 {
 			if len(proposers) == 0 || r.IntN(12) == 0 {
 				value := fmt.Sprint(len(proposers))
-				p := Propose(Ballot{uint32(1 + r.IntN(6)), value}, &value)
+				p := NewProposer(Ballot{uint32(1 + r.IntN(6)), value}, &value)
 				proposers = append(proposers, &p)
 			}
 			p, name := proposers[r.IntN(len(proposers))], voters[r.IntN(len(voters))]
 			a := acceptors[name]
 			if !p.Accepting {
-				promised := a.Promise(p.Ballot)
-				fmt.Fprint(sum, promised, promised && p.PromisedBy(name, a.Accepted, a.Value, voters))
+				promised := a.Prepare(p.Ballot)
+				fmt.Fprint(sum, promised, promised && p.RecordPromise(name, a.Accepted, a.Value, voters))
 			} else if accepted := a.Accept(p.Ballot, p.Value); accepted {
-				p.AcceptedBy(name)
+				p.RecordAccepted(name)
 			}
 			for _, v := range voters {
 				fmt.Fprint(sum, acceptors[v].Promised, acceptors[v].Accepted, p.HasAccepted(v), " ")
--- a/internal/fleet/paxos/paxos.go
+++ b/internal/fleet/paxos/paxos.go
@@ -17,13 +17,13 @@
 
 // Ballot orders attempts at one decision.
 type Ballot struct {
-	Number uint32 `cbor:"1,keyasint"`
-	Name   string `cbor:"2,keyasint"` // of who leads it
+	Number   uint32 `cbor:"1,keyasint"`
+	Proposer string `cbor:"2,keyasint"` // of who leads it
 }
 
 // Compare orders ballots, as cmp.Compare does.
 func (b Ballot) Compare(o Ballot) int {
-	return cmp.Or(cmp.Compare(b.Number, o.Number), strings.Compare(b.Name, o.Name))
+	return cmp.Or(cmp.Compare(b.Number, o.Number), strings.Compare(b.Proposer, o.Proposer))
 }
 
 // Majority says whether more than half of these names are among who.
@@ -44,8 +44,8 @@
 	Value    *V // accepted, and not known to be decided
 }
 
-// Promise answers a prepare: false where a higher ballot was promised.
-func (a *Acceptor[V]) Promise(b Ballot) bool {
+// Prepare answers a prepare: false where a higher ballot was promised.
+func (a *Acceptor[V]) Prepare(b Ballot) bool {
 	if b.Compare(a.Promised) < 0 {
 		return false
 	}
@@ -55,7 +55,7 @@
 
 // Accept takes a value: false where a higher ballot was promised.
 func (a *Acceptor[V]) Accept(b Ballot, value *V) bool {
-	if !a.Promise(b) {
+	if !a.Prepare(b) {
 		return false
 	}
 	a.Accepted, a.Value = b, value
@@ -72,14 +72,14 @@
 	highest    Ballot // of the values that promises named
 }
 
-// Propose begins a ballot for a value.
-func Propose[V any](b Ballot, value *V) Proposer[V] {
+// NewProposer begins a ballot for a value.
+func NewProposer[V any](b Ballot, value *V) Proposer[V] {
 	return Proposer[V]{Ballot: b, Value: value, promised: map[string]bool{}, acceptedBy: map[string]bool{}}
 }
 
-// PromisedBy counts a promise, with what its sender accepted before, and says whether it is the one that makes a
+// RecordPromise counts a promise, with what its sender accepted before, and says whether it is the one that makes a
 // majority of the voters.
-func (p *Proposer[V]) PromisedBy(name string, accepted Ballot, value *V, voters []string) bool {
+func (p *Proposer[V]) RecordPromise(name string, accepted Ballot, value *V, voters []string) bool {
 	if p.Accepting {
 		return false
 	}
@@ -91,8 +91,8 @@
 	return p.Accepting
 }
 
-// AcceptedBy counts an acceptance.
-func (p *Proposer[V]) AcceptedBy(name string) { p.acceptedBy[name] = true }
+// RecordAccepted counts an acceptance.
+func (p *Proposer[V]) RecordAccepted(name string) { p.acceptedBy[name] = true }
 
 // HasAccepted says whether one has accepted.
 func (p *Proposer[V]) HasAccepted(name string) bool { return p.acceptedBy[name] }
--- a/internal/fleet/paxos/paxos_test.go
+++ b/internal/fleet/paxos/paxos_test.go
@@ -20,20 +20,20 @@
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			if len(proposers) == 0 || rapid.IntRange(0, 9).Draw(t, "new") == 0 {
 				value := fmt.Sprint("value ", len(proposers))
-				p := Propose(Ballot{Number: uint32(rapid.IntRange(1, 6).Draw(t, "number")), Name: value}, &value)
+				p := NewProposer(Ballot{Number: uint32(rapid.IntRange(1, 6).Draw(t, "number")), Proposer: value}, &value)
 				proposers = append(proposers, &p)
 			}
 			p := rapid.SampledFrom(proposers).Draw(t, "proposer")
 			name := rapid.SampledFrom(voters).Draw(t, "voter")
 			a := acceptors[name]
 			if !p.Accepting {
-				if a.Promise(p.Ballot) {
-					p.PromisedBy(name, a.Accepted, a.Value, voters)
+				if a.Prepare(p.Ballot) {
+					p.RecordPromise(name, a.Accepted, a.Value, voters)
 				}
 				continue
 			}
 			if a.Accept(p.Ballot, p.Value) {
-				p.AcceptedBy(name)
+				p.RecordAccepted(name)
 			}
 			if p.Decided(voters) {
 				if decided != "" && decided != *p.Value {
--- a/internal/fleet/zones/ballot.go
+++ b/internal/fleet/zones/ballot.go
@@ -23,8 +23,8 @@
 // newRound makes a round of the next ballot.
 func (c *consensus) newRound(p *Plan, deadline float64) *round {
 	c.ballotNumber++
-	ballot := paxos.Ballot{Number: c.ballotNumber, Name: c.name}
-	return &round{Proposer: paxos.Propose(ballot, p), deadline: deadline}
+	ballot := paxos.Ballot{Number: c.ballotNumber, Proposer: c.name}
+	return &round{Proposer: paxos.NewProposer(ballot, p), deadline: deadline}
 }
 
 // propose begins a ballot for a next plan.
@@ -120,7 +120,7 @@
 		return
 	}
 	back := Message{Kind: Reject, Epoch: w.Epoch, Sum: w.Sum, Ballot: c.vote.Promised}
-	if c.vote.Promise(w.Ballot) {
+	if c.vote.Prepare(w.Ballot) {
 		c.unsaved = true
 		back.Kind, back.Ballot, back.Accepted, back.Plan = Promise, w.Ballot, c.vote.Accepted, c.vote.Value
 	}
@@ -132,7 +132,7 @@
 	if r == nil || !slices.Contains(c.plan.Voters, from) {
 		return
 	}
-	if r.PromisedBy(from, w.Accepted, w.Plan, c.plan.Voters) {
+	if r.RecordPromise(from, w.Accepted, w.Plan, c.plan.Voters) {
 		c.broadcast(now, union(c.plan.Voters, r.Value.Voters),
 			Message{Kind: Accept, Epoch: w.Epoch, Sum: w.Sum, Ballot: r.Ballot, Plan: r.Value})
 	}
@@ -156,7 +156,7 @@
 	if r == nil || !r.Accepting {
 		return
 	}
-	if r.AcceptedBy(from); !r.Decided(c.plan.Voters, r.Value.Voters) {
+	if r.RecordAccepted(from); !r.Decided(c.plan.Voters, r.Value.Voters) {
 		return
 	}
 	c.round = nil
--- a/internal/fleet/zones/bootstrap.go
+++ b/internal/fleet/zones/bootstrap.go
@@ -63,7 +63,7 @@
 		if r == nil || !r.bootstrap || w.Ballot.Compare(r.Ballot) != 0 {
 			return
 		}
-		r.AcceptedBy(from)
+		r.RecordAccepted(from)
 	}
 }
 
--- a/internal/fleet/zones/consensus_test.go
+++ b/internal/fleet/zones/consensus_test.go
@@ -49,7 +49,7 @@
 	if s := c.said(); len(s) != 1 || s[0].Message.Kind != Confirmed {
 		t.Fatalf("%+v", s)
 	}
-	c.receive(20, "a", &Message{Kind: Accept, Epoch: 1, Sum: c.planSum, Ballot: paxos.Ballot{Number: 1, Name: "a"},
+	c.receive(20, "a", &Message{Kind: Accept, Epoch: 1, Sum: c.planSum, Ballot: paxos.Ballot{Number: 1, Proposer: "a"},
 		Plan: c.next("x")}, nil)
 	c.said()
 	c.receive(30, "a", renew, nil)
@@ -73,7 +73,7 @@
 	if c.receive(20, "b", &old, nil); c.round.Accepting {
 		t.Fatal("a stranger's promise, or one to another ballot, counts")
 	}
-	promise.Accepted, promise.Plan = paxos.Ballot{Number: 0, Name: "b"}, c.next("before")
+	promise.Accepted, promise.Plan = paxos.Ballot{Number: 0, Proposer: "b"}, c.next("before")
 	c.receive(30, "b", &promise, nil)
 	s := c.said()
 	if len(s) != 2 || s[0].Message.Kind != Accept || s[0].Message.Plan.Binds[0] != "before" {
@@ -93,14 +93,14 @@
 	c := decided("b")
 	c.persistent = true
 	c.receive(10, "a", &Message{Kind: Prepare, Epoch: 1, Sum: c.planSum,
-		Ballot: paxos.Ballot{Number: 1, Name: "a"}}, nil)
+		Ballot: paxos.Ballot{Number: 1, Proposer: "a"}}, nil)
 	if c.save(10) == nil {
 		t.Fatal("nothing to keep")
 	}
 	c.said() // not sent
 	c.saved(10, false)
 	if c.receive(20, "a", &Message{Kind: Prepare, Epoch: 1, Sum: c.planSum,
-		Ballot: paxos.Ballot{Number: 2, Name: "a"}}, nil); len(c.said()) != 0 {
+		Ballot: paxos.Ballot{Number: 2, Proposer: "a"}}, nil); len(c.said()) != 0 {
 		t.Error("it votes")
 	}
 	k := c.save(300)
@@ -109,13 +109,13 @@
 	}
 	c.saved(300, true)
 	if c.receive(310, "a", &Message{Kind: Prepare, Epoch: 1, Sum: c.planSum,
-		Ballot: paxos.Ballot{Number: 3, Name: "a"}}, nil); len(c.said()) != 1 {
+		Ballot: paxos.Ballot{Number: 3, Proposer: "a"}}, nil); len(c.said()) != 1 {
 		t.Error("it votes no more")
 	}
 	again := &consensus{name: "b", heartbeat: 100, persistent: true, confirmed: math.Inf(-1)}
 	again.restore(k)
 	if again.receive(400, "c", &Message{Kind: Prepare, Epoch: 1, Sum: c.planSum,
-		Ballot: paxos.Ballot{Number: 0, Name: "c"}}, nil); again.said()[0].Message.Kind != Reject {
+		Ballot: paxos.Ballot{Number: 0, Proposer: "c"}}, nil); again.said()[0].Message.Kind != Reject {
 		t.Error("it forgot its promise")
 	}
 }
--- a/internal/fleet/zones/follower.go
+++ b/internal/fleet/zones/follower.go
@@ -22,11 +22,13 @@
 )
 
 // withMajority says that a driver is with most of them.
-func withMajority(s membership.Standing) bool { return s == membership.Whole || s == membership.Larger }
+func withMajority(s membership.PartitionStatus) bool {
+	return s == membership.Complete || s == membership.Majority
+}
 
 // Allowed is the table of what a driver may do in its standing among its peers, with the plan in force or not
 // (docs/zones.md).
-func Allowed(s membership.Standing, inForce bool, a Action) bool {
+func Allowed(s membership.PartitionStatus, inForce bool, a Action) bool {
 	switch a {
 	case MovePrimary: // once only: with most drivers, under a plan that is the newest
 		return withMajority(s) && inForce
--- a/internal/fleet/zones/messages.go
+++ b/internal/fleet/zones/messages.go
@@ -63,7 +63,7 @@
 
 // Fleet is what membership tells, at the moment.
 type Fleet struct {
-	Standing membership.Standing
+	Standing membership.PartitionStatus
 	Roster   uint64   // version
 	Names    []string // of the roster, sorted
 	Alive    []Peer   // by name, this driver among them
--- a/internal/fleet/zones/plan_test.go
+++ b/internal/fleet/zones/plan_test.go
@@ -119,9 +119,9 @@
 
 // The table: what each standing allows, with a plan in force and without.
 func TestWhatIsAllowed(t *testing.T) {
-	for s := membership.Unsure; s <= membership.Whole; s++ {
+	for s := membership.Undetermined; s <= membership.Complete; s++ {
 		for _, force := range []bool{false, true} {
-			most := s == membership.Larger || s == membership.Whole
+			most := s == membership.Majority || s == membership.Complete
 			for act, want := range map[Action]bool{MovePrimary: most && force, FillZone: force, KeepPlan: force,
 				AvoidZone: true, RenewPlan: true} {
 				if got := Allowed(s, force, act); got != want {
--- a/internal/fleet/zones/town_test.go
+++ b/internal/fleet/zones/town_test.go
@@ -241,11 +241,11 @@
 	})
 	switch n := len(f.Alive); {
 	case n == len(f.Names):
-		f.Standing = membership.Whole
+		f.Standing = membership.Complete
 	case 2*n > len(f.Names):
-		f.Standing = membership.Larger
+		f.Standing = membership.Majority
 	default:
-		f.Standing = membership.Smaller
+		f.Standing = membership.Minority
 	}
 	var sights []Observation
 	for _, z := range t.zones() {
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -275,9 +275,9 @@
 }
 
 // Stands says whether all of these drivers have a standing now.
-func (f *Fleet) Stands(want membership.Standing, of ...int) bool {
+func (f *Fleet) Stands(want membership.PartitionStatus, of ...int) bool {
 	for _, i := range of {
-		if s, err := f.Drivers[i].Status(); err != nil || s.Standing != want {
+		if s, err := f.Drivers[i].Status(); err != nil || s.Partition != want {
 			return false
 		}
 	}
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -57,7 +57,7 @@
 	if err := f.StartAll(); err != nil {
 		t.Fatal(err)
 	}
-	f.await(t, "a whole fleet", func() bool { return f.Stands(membership.Whole, all...) })
+	f.await(t, "a whole fleet", func() bool { return f.Stands(membership.Complete, all...) })
 	return f
 }
 
@@ -139,14 +139,14 @@
 	if err := f.StartThese(0); err != nil {
 		t.Fatal(err)
 	}
-	f.await(t, "the first one back is alone", func() bool { return f.Stands(membership.Alone, 0) })
+	f.await(t, "the first one back is alone", func() bool { return f.Stands(membership.Isolated, 0) })
 	if _, err := f.Drivers[0].Control.Hook(context.Background(), switchover.Notification{Group: 1, Stage: switchover.StageHeld}); err == nil || !strings.Contains(err.Error(), "503") {
 		t.Errorf("a hold begun alone: %v", err)
 	}
 	if err := f.StartThese(1, 2); err != nil {
 		t.Fatal(err)
 	}
-	f.await(t, "three of five", func() bool { return f.Stands(membership.Larger, 0, 1, 2) })
+	f.await(t, "three of five", func() bool { return f.Stands(membership.Majority, 0, 1, 2) })
 	s, err := f.Drivers[0].Status()
 	if err != nil || s.Roster.Lineage != before.Roster.Lineage || !slices.Equal(s.Roster.Names, before.Roster.Names) {
 		t.Fatalf("another fleet: %+v %v, before %+v", s.Roster, err, before.Roster)
@@ -178,13 +178,13 @@
 	f := start(t, Options{Seed: 1})
 	f.Drivers[4].Kill()
 	f.await(t, "one killed", func() bool {
-		return f.sees(4, membership.Failed, 0, 1, 2, 3) && f.Stands(membership.Larger, 0, 1, 2, 3)
+		return f.sees(4, membership.Failed, 0, 1, 2, 3) && f.Stands(membership.Majority, 0, 1, 2, 3)
 	})
 	f.Drivers[3].Kill()
 	f.Drivers[2].Kill()
-	f.await(t, "the majority killed", func() bool { return f.Stands(membership.Smaller, 0, 1) })
+	f.await(t, "the majority killed", func() bool { return f.Stands(membership.Minority, 0, 1) })
 	f.Drivers[1].Kill()
-	f.await(t, "all but one killed", func() bool { return f.Stands(membership.Alone, 0) })
+	f.await(t, "all but one killed", func() bool { return f.Stands(membership.Isolated, 0) })
 	if s, err := f.Drivers[0].Status(); err != nil || s.Count != 10 || len(s.Roster.Names) != 5 {
 		t.Errorf("a loss may not shrink what is counted: %+v %v", s, err)
 	}
@@ -196,24 +196,24 @@
 			t.Fatal(err)
 		}
 	}
-	f.await(t, "all back", func() bool { return f.Stands(membership.Whole, all...) && f.rosterIs(5, all...) })
+	f.await(t, "all back", func() bool { return f.Stands(membership.Complete, all...) && f.rosterIs(5, all...) })
 }
 
 func TestStopsAndGrowth(t *testing.T) {
 	f := start(t, Options{Seed: 2, Spare: 1})
 	f.Drivers[4].Stop()
 	f.await(t, "one stopped", func() bool {
-		return f.sees(4, membership.Left, 0, 1, 2, 3) && f.Stands(membership.Whole, 0, 1, 2, 3) && f.rosterIs(4, 0, 1, 2, 3)
+		return f.sees(4, membership.Left, 0, 1, 2, 3) && f.Stands(membership.Complete, 0, 1, 2, 3) && f.rosterIs(4, 0, 1, 2, 3)
 	})
 	if err := f.Drivers[5].Start(); err != nil {
 		t.Fatal(err)
 	}
-	f.await(t, "another one", func() bool { return f.Stands(membership.Whole, 0, 1, 2, 3, 5) && f.rosterIs(5, 0, 1, 2, 3, 5) })
+	f.await(t, "another one", func() bool { return f.Stands(membership.Complete, 0, 1, 2, 3, 5) && f.rosterIs(5, 0, 1, 2, 3, 5) })
 	f.Drivers[5].Kill()
 	f.await(t, "and it fails", func() bool { return f.sees(5, membership.Failed, 0, 1, 2, 3) })
 	f.await(t, "and is forgotten", func() bool {
 		err := f.Drivers[0].Control.Forget(context.Background(), control.Forgotten{Name: "n5"})
-		return err == nil && f.Stands(membership.Whole, 0, 1, 2, 3) && f.rosterIs(4, 0, 1, 2, 3)
+		return err == nil && f.Stands(membership.Complete, 0, 1, 2, 3) && f.rosterIs(4, 0, 1, 2, 3)
 	})
 	if err := f.Drivers[0].Control.Forget(context.Background(), control.Forgotten{Name: "n1"}); err == nil || !strings.Contains(err.Error(), "lives") {
 		t.Errorf("one that lives was forgotten: %v", err)
@@ -225,11 +225,11 @@
 	f.Drivers[2].Freeze()
 	f.await(t, "it is missed", func() bool { return f.sees(2, membership.Suspect, 0) || f.sees(2, membership.Failed, 0) })
 	f.Drivers[2].Thaw()
-	f.await(t, "thawed as it is missed", func() bool { return f.Stands(membership.Whole, all...) })
+	f.await(t, "thawed as it is missed", func() bool { return f.Stands(membership.Complete, all...) })
 	f.Drivers[2].Freeze()
 	f.await(t, "it failed", func() bool { return f.sees(2, membership.Failed, 0, 1, 3, 4) })
 	f.Drivers[2].Thaw()
-	f.await(t, "thawed when it had failed", func() bool { return f.Stands(membership.Whole, all...) })
+	f.await(t, "thawed when it had failed", func() bool { return f.Stands(membership.Complete, all...) })
 	if log := f.Drivers[2].Log(); !strings.Contains(log, "reason=stood_still") || strings.Contains(log, "reason=fellow_failed") {
 		t.Errorf("the one that stood still blames others:\n%s", log)
 	}
@@ -238,26 +238,26 @@
 func TestParts(t *testing.T) {
 	f := start(t, Options{Seed: 4, Spare: 2})
 	f.Links.Parts(0, 0, 1, 1, 1, 0, 0)
-	f.await(t, "two against three", func() bool { return f.Stands(membership.Smaller, 0, 1) && f.Stands(membership.Larger, 2, 3, 4) })
+	f.await(t, "two against three", func() bool { return f.Stands(membership.Minority, 0, 1) && f.Stands(membership.Majority, 2, 3, 4) })
 	for _, i := range []int{5, 6} {
 		if err := f.Drivers[i].Start(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	f.await(t, "newcomers of the smaller part", func() bool { return f.Stands(membership.Smaller, 0, 1, 5, 6) && f.rosterIs(5, 0, 1, 2, 3, 4, 5, 6) })
+	f.await(t, "newcomers of the smaller part", func() bool { return f.Stands(membership.Minority, 0, 1, 5, 6) && f.rosterIs(5, 0, 1, 2, 3, 4, 5, 6) })
 	f.Drivers[4].Kill() // both views change, then they meet
-	f.await(t, "three of five less one", func() bool { return f.Stands(membership.Unsure, 2, 3) || f.Stands(membership.Smaller, 2, 3) })
+	f.await(t, "three of five less one", func() bool { return f.Stands(membership.Undetermined, 2, 3) || f.Stands(membership.Minority, 2, 3) })
 	f.Links.Heal()
 	f.await(t, "two changed views meet", func() bool {
-		return f.Stands(membership.Larger, 0, 1, 2, 3, 5, 6) && f.rosterIs(7, 0, 1, 2, 3, 5, 6) && f.sees(4, membership.Failed, 0, 1, 2, 3, 5, 6)
+		return f.Stands(membership.Majority, 0, 1, 2, 3, 5, 6) && f.rosterIs(7, 0, 1, 2, 3, 5, 6) && f.sees(4, membership.Failed, 0, 1, 2, 3, 5, 6)
 	})
 	f.Links.Parts(0, 1, 1, 1, 1, 1, 1)
-	f.await(t, "one against the rest", func() bool { return f.Stands(membership.Alone, 0) && f.Stands(membership.Larger, 1, 2, 3, 5, 6) })
+	f.await(t, "one against the rest", func() bool { return f.Stands(membership.Isolated, 0) && f.Stands(membership.Majority, 1, 2, 3, 5, 6) })
 	f.Links.Heal()
 	if err := f.Drivers[4].Start(); err != nil {
 		t.Fatal(err)
 	}
-	f.await(t, "all there", func() bool { return f.Stands(membership.Whole, 0, 1, 2, 3, 4, 5, 6) })
+	f.await(t, "all there", func() bool { return f.Stands(membership.Complete, 0, 1, 2, 3, 4, 5, 6) })
 	for _, d := range f.Drivers {
 		d.views(t)
 	}
@@ -270,11 +270,11 @@
 		v, ok := f.View(3, 1)
 		own, known := f.View(1, 0)
 		back, heard := f.View(0, 1)
-		return ok && slices.Contains(v.Deaf, "n0") && known && !own.Heard && own.State == membership.Alive && heard && back.Heard
+		return ok && slices.Contains(v.Unreachable, "n0") && known && !own.Reachable && own.State == membership.Alive && heard && back.Reachable
 	})
-	f.await(t, "nobody is lost by it", func() bool { return f.Stands(membership.Whole, all...) })
+	f.await(t, "nobody is lost by it", func() bool { return f.Stands(membership.Complete, all...) })
 	f.Links.Heal()
-	f.await(t, "healed", func() bool { own, ok := f.View(1, 0); return ok && own.Heard })
+	f.await(t, "healed", func() bool { own, ok := f.View(1, 0); return ok && own.Reachable })
 	f.Links.Each(func(a, b int) (w links.Way) {
 		w.Cut = (a+1)%5 != b && (b+1)%5 != a
 		return w
@@ -282,10 +282,13 @@
 	f.await(t, "a ring", func() bool {
 		far, ok := f.View(0, 2)
 		near, known := f.View(0, 1)
-		return ok && known && !far.Heard && near.Heard && f.Stands(membership.Whole, all...)
+		return ok && known && !far.Reachable && near.Reachable && f.Stands(membership.Complete, all...)
 	})
 	f.Links.Heal()
-	f.await(t, "the ring is gone", func() bool { far, ok := f.View(0, 2); return ok && far.Heard && f.Stands(membership.Whole, all...) })
+	f.await(t, "the ring is gone", func() bool {
+		far, ok := f.View(0, 2)
+		return ok && far.Reachable && f.Stands(membership.Complete, all...)
+	})
 }
 
 func TestLossDoublesAndDisorder(t *testing.T) {
@@ -299,9 +302,9 @@
 	if err := f.Drivers[3].Start(); err != nil {
 		t.Fatal(err)
 	}
-	f.await(t, "and a return", func() bool { return f.Stands(membership.Whole, all...) })
+	f.await(t, "and a return", func() bool { return f.Stands(membership.Complete, all...) })
 	f.Links.Heal()
-	f.await(t, "calm again", func() bool { return f.Stands(membership.Whole, all...) })
+	f.await(t, "calm again", func() bool { return f.Stands(membership.Complete, all...) })
 }
 
 func TestRestarts(t *testing.T) {
@@ -311,7 +314,7 @@
 		if err := d.Start(); err != nil {
 			t.Fatal(err)
 		}
-		f.await(t, "one by one", func() bool { return f.Stands(membership.Whole, all...) })
+		f.await(t, "one by one", func() bool { return f.Stands(membership.Complete, all...) })
 	}
 	for _, d := range f.Drivers {
 		d.Kill()
@@ -319,7 +322,7 @@
 	if err := f.StartAll(); err != nil {
 		t.Fatal(err)
 	}
-	f.await(t, "all at once", func() bool { return f.Stands(membership.Whole, all...) && f.rosterIs(5, all...) })
+	f.await(t, "all at once", func() bool { return f.Stands(membership.Complete, all...) && f.rosterIs(5, all...) })
 }
 
 func TestNameTwiceAndDeadSeeds(t *testing.T) {
@@ -333,25 +336,25 @@
 	if err := f.Drivers[4].Start(); err != nil {
 		t.Fatal(err)
 	}
-	f.await(t, "seeds that are dead", func() bool { return f.Stands(membership.Unsure, 4) })
+	f.await(t, "seeds that are dead", func() bool { return f.Stands(membership.Undetermined, 4) })
 	if err := f.StartThese(0, 1, 2, 3); err != nil {
 		t.Fatal(err)
 	}
-	f.await(t, "found by others", func() bool { return f.Stands(membership.Whole, all...) })
+	f.await(t, "found by others", func() bool { return f.Stands(membership.Complete, all...) })
 	f.Drivers[5].Name = "n4"
 	if err := f.Drivers[5].Start(); err != nil {
 		t.Fatal(err)
 	}
 	f.await(t, "a name used twice", func() bool {
 		s, err := f.Drivers[5].Status()
-		return err == nil && s.Standing == membership.Unsure && s.Reason == "name_taken" && f.Stands(membership.Whole, all...)
+		return err == nil && s.Partition == membership.Undetermined && s.Reason == "name_taken" && f.Stands(membership.Complete, all...)
 	})
 	v, _ := f.View(0, 4)
 	if v.Address != f.Links.Reach(4) {
 		t.Errorf("the second one took the name: %+v", v)
 	}
 	f.Drivers[4].Kill()
-	f.await(t, "the second one gets it", func() bool { return f.Stands(membership.Whole, 0, 1, 2, 3, 5) })
+	f.await(t, "the second one gets it", func() bool { return f.Stands(membership.Complete, 0, 1, 2, 3, 5) })
 }
 
 func TestStrangers(t *testing.T) {
@@ -365,11 +368,11 @@
 	if err := f.StartAll(); err != nil {
 		t.Fatal(err)
 	}
-	f.await(t, "a whole fleet", func() bool { return f.Stands(membership.Whole, all...) })
+	f.await(t, "a whole fleet", func() bool { return f.Stands(membership.Complete, all...) })
 	if err := f.Drivers[5].Start(); err != nil {
 		t.Fatal(err)
 	}
-	f.await(t, "a stranger", func() bool { return f.Stands(membership.Unsure, 5) })
+	f.await(t, "a stranger", func() bool { return f.Stands(membership.Undetermined, 5) })
 	// whatever comes at the sockets, nobody is lost by it, and nobody is made up
 	udp, err := net.Dial("udp", f.Links.Listen(0))
 	if err != nil {
@@ -395,7 +398,7 @@
 		}
 	}
 	f.await(t, "old word changes nothing", func() bool {
-		return f.sees(3, membership.Failed, 0, 1, 2, 4) && f.Stands(membership.Larger, 0, 1, 2, 4)
+		return f.sees(3, membership.Failed, 0, 1, 2, 4) && f.Stands(membership.Majority, 0, 1, 2, 4)
 	})
 	s, err := f.Drivers[0].Status()
 	if err != nil || len(s.Drivers) != 4 {
@@ -446,7 +449,7 @@
 	c := f.o.Cluster
 	f.under(t, func() {
 		f.Links.Parts(0, 0, 1, 1, 1)
-		f.await(t, "two parts", func() bool { return f.Stands(membership.Smaller, 0, 1) && f.Stands(membership.Larger, 2, 3, 4) })
+		f.await(t, "two parts", func() bool { return f.Stands(membership.Minority, 0, 1) && f.Stands(membership.Majority, 2, 3, 4) })
 		old := c.Primary(1)
 		word := switchover.Notification{Group: 1, Stage: switchover.StageHeld, From: old, Lease: 20000}
 		if _, err := f.Drivers[1].Control.Hook(context.Background(), word); err == nil || !strings.Contains(err.Error(), "larger part") {
@@ -481,7 +484,7 @@
 	c := f.o.Cluster
 	f.under(t, func() {
 		f.Links.Parts(0, 0, 1, 1, 1)
-		f.await(t, "two parts", func() bool { return f.Stands(membership.Smaller, 0, 1) && f.Stands(membership.Larger, 2, 3, 4) })
+		f.await(t, "two parts", func() bool { return f.Stands(membership.Minority, 0, 1) && f.Stands(membership.Majority, 2, 3, 4) })
 		old := c.Primary(1)
 		c.Do("kill", old)
 		f.await(t, "a new primary", func() bool { p := c.Primary(1); return p != "" && p != old })
@@ -490,7 +493,7 @@
 			t.Error(err)
 		}
 		f.Links.Heal()
-		f.await(t, "whole again", func() bool { return f.Stands(membership.Whole, all...) })
+		f.await(t, "whole again", func() bool { return f.Stands(membership.Complete, all...) })
 		if _, err := c.Planned(context.Background(), f.Drivers[0].Control, 1); err != nil {
 			t.Error(err)
 		}
@@ -559,7 +562,7 @@
 		return late.Listener.Addr().String()
 	}})
 	f.Links.Parts(0, 0, 1, 1, 1)
-	f.await(t, "two parts", func() bool { return f.Stands(membership.Smaller, 0, 1) && f.Stands(membership.Larger, 2, 3, 4) })
+	f.await(t, "two parts", func() bool { return f.Stands(membership.Minority, 0, 1) && f.Stands(membership.Majority, 2, 3, 4) })
 	drained := c.Replica(1)
 	c.Do("drain", drained)
 	said := func(what string, of ...int) bool {
@@ -588,7 +591,7 @@
 	}
 	quiet("after the heal")
 	f.Links.Parts(0, 0, 1, 1, 1)
-	f.await(t, "two parts again", func() bool { return f.Stands(membership.Larger, 2, 3, 4) })
+	f.await(t, "two parts again", func() bool { return f.Stands(membership.Majority, 2, 3, 4) })
 	f.Drivers[0].Kill()
 	f.Drivers[1].Kill()
 	quiet("those that told it are gone")
@@ -598,7 +601,7 @@
 			t.Fatal(err)
 		}
 	}
-	f.await(t, "whole", func() bool { return f.Stands(membership.Whole, all...) })
+	f.await(t, "whole", func() bool { return f.Stands(membership.Complete, all...) })
 	quiet("after another heal")
 	c.Do("undrain", drained)
 	f.await(t, "up again by a newer list", func() bool { return said("false", 2, 3, 4) })
@@ -650,7 +653,7 @@
 		t.Error(code, text)
 	}
 	f.Links.Parts(0, 0, 1, 1, 1)
-	f.await(t, "two parts", func() bool { return f.Stands(membership.Smaller, 0, 1) && f.Stands(membership.Larger, 2, 3, 4) })
+	f.await(t, "two parts", func() bool { return f.Stands(membership.Minority, 0, 1) && f.Stands(membership.Majority, 2, 3, 4) })
 	if text, code = f.command(0, "compare"); code != 1 || !strings.Contains(text, "gives no view") {
 		t.Error(code, text)
 	}
@@ -661,11 +664,13 @@
 		t.Error(code, text)
 	}
 	f.Links.Heal()
-	f.await(t, "whole", func() bool { return f.Stands(membership.Whole, all...) })
+	f.await(t, "whole", func() bool { return f.Stands(membership.Complete, all...) })
 	if text, code = f.command(4, "leave"); code != 0 {
 		t.Error(text)
 	}
-	f.await(t, "it left", func() bool { return f.sees(4, membership.Left, 0, 1, 2, 3) && f.Stands(membership.Whole, 0, 1, 2, 3) })
+	f.await(t, "it left", func() bool {
+		return f.sees(4, membership.Left, 0, 1, 2, 3) && f.Stands(membership.Complete, 0, 1, 2, 3)
+	})
 	// SIGHUP takes other seeds and another period, without a restart
 	f.o.Period = 150 * time.Millisecond
 	if err := f.Drivers[1].write(); err != nil {
@@ -673,7 +678,7 @@
 	}
 	f.Drivers[1].Signal(syscall.SIGHUP)
 	f.await(t, "reloaded", func() bool { return strings.Contains(f.Drivers[1].Log(), "event=reloaded") })
-	f.await(t, "and goes on", func() bool { return f.Stands(membership.Whole, 0, 1, 2, 3) })
+	f.await(t, "and goes on", func() bool { return f.Stands(membership.Complete, 0, 1, 2, 3) })
 }
 
 // The count of drivers reaches the module, and falls only where the rest may take the share over.
@@ -682,7 +687,7 @@
 	f.await(t, "told at the start", func() bool { return strings.Contains(f.Drivers[0].Log(), "event=drivers count=5") })
 	f.Drivers[4].Kill()
 	f.Drivers[3].Kill()
-	f.await(t, "three of five", func() bool { return f.Stands(membership.Larger, 0, 1, 2) })
+	f.await(t, "three of five", func() bool { return f.Stands(membership.Majority, 0, 1, 2) })
 	f.await(t, "they take over what those two must have given up: 2*3*5/8", func() bool {
 		for _, i := range []int{0, 1, 2} {
 			if s, err := f.Drivers[i].Status(); err != nil || s.Count != 4 {
--- a/internal/lab/fleet/script.go
+++ b/internal/lab/fleet/script.go
@@ -202,13 +202,13 @@
 					said[i].say(now(), "", "silent")
 					return
 				}
-				said[i].say(now(), "", st.Standing.String())
+				said[i].say(now(), "", st.Partition.String())
 				for _, v := range st.Drivers {
 					if v.State != membership.Failed {
 						unknown[v.Name] = true
 					}
 					what := v.State.String()
-					if v.State == membership.Alive && !v.Heard {
+					if v.State == membership.Alive && !v.Reachable {
 						what = "unheard"
 					}
 					said[i].say(now(), v.Name, what)
--- a/internal/lab/fleet/zones_test.go
+++ b/internal/lab/fleet/zones_test.go
@@ -236,5 +236,5 @@
 		f.Drivers[4].Kill()
 		f.await(t, "away", func() bool { return f.follow(zoneIs("b", zones.Away, zones.Lost), 0, 2, 3, 5) })
 	}, 0, 2, 3, 5)
-	f.await(t, "standing", func() bool { return f.Stands(membership.Larger, 0, 2, 3, 5) })
+	f.await(t, "standing", func() bool { return f.Stands(membership.Majority, 0, 2, 3, 5) })
 }
--- a/internal/lab/membershipsim/measure.go
+++ b/internal/lab/membershipsim/measure.go
@@ -42,12 +42,12 @@
 	})
 }
 
-func (f *Flock) standAll(want membership.Standing, not map[int]bool) bool {
+func (f *Flock) standAll(want membership.PartitionStatus, not map[int]bool) bool {
 	for i, d := range f.Drivers {
 		if d.View == nil || not[i] {
 			continue
 		}
-		if s, _, _ := d.View.Standing(); s != want {
+		if s, _, _ := d.View.PartitionStatus(); s != want {
 			return false
 		}
 	}
@@ -75,7 +75,7 @@
 				if d.View == nil || knows[k] {
 					continue
 				}
-				if d.View.State(f.Drivers[i].Name) != membership.Failed {
+				if d.View.StateOf(f.Drivers[i].Name) != membership.Failed {
 					continue
 				}
 				knows[k] = true
@@ -88,7 +88,7 @@
 		}
 		last.Add(took)
 		f.Start(i, 0)
-		if _, ok := f.Until(60000, func() bool { return f.standAll(membership.Whole, nil) }); !ok {
+		if _, ok := f.Until(60000, func() bool { return f.standAll(membership.Complete, nil) }); !ok {
 			return fmt.Errorf("not whole a minute after a return")
 		}
 	}
@@ -108,7 +108,7 @@
 		f.Cut = func(a, b int) bool { return (a < at) != (b < at) }
 		f.Run(60 * f.o.Period)
 		f.Cut = nil
-		took, ok := f.Until(120000, func() bool { return f.standAll(membership.Whole, nil) })
+		took, ok := f.Until(120000, func() bool { return f.standAll(membership.Complete, nil) })
 		if !ok {
 			return fmt.Errorf("not agreed two minutes after a heal")
 		}
@@ -128,7 +128,7 @@
 	}
 	failed := map[string]bool{}
 	stood, denied := 0, 0
-	f.Notes = func(at float64, d string, n membership.Note) {
+	f.Notes = func(at float64, d string, n membership.Event) {
 		switch n.Reason {
 		case "fellow_failed":
 			failed[fmt.Sprintf("%s %.0f", n.Name, at/20000)] = true
--- a/internal/lab/membershipsim/membershipsim.go
+++ b/internal/lab/membershipsim/membershipsim.go
@@ -44,8 +44,8 @@
 type Flock struct {
 	virtualclock.Queue // Now is its time
 	Drivers            []*Driver
-	Notes              func(at float64, driver string, n membership.Note) // called for each; nil for none
-	Cut                func(from, to int) bool                            // nothing passes; nil for no cut
+	Notes              func(at float64, driver string, n membership.Event) // called for each; nil for none
+	Cut                func(from, to int) bool                             // nothing passes; nil for no cut
 	Loss               float64
 
 	o    Options
@@ -112,7 +112,8 @@
 	}
 	d.View = membership.New(
 		f.Now,
-		membership.Rules{Period: f.o.Period, Expect: f.o.Expect, Keep: 600000, MaxDrivers: 20000, Yield: f.o.Yield},
+		membership.Options{Period: f.o.Period, ExpectedDrivers: f.o.Expect, RetainFor: 600000, MaxDrivers: 20000,
+			TakeoverAfter: f.o.Yield},
 		membership.Record{Name: d.Name, Run: d.run, Address: address(i), Zone: "a"},
 		seeds,
 		f.draw.Uint64(),
@@ -157,13 +158,13 @@
 
 func (f *Flock) late() float64 { return f.o.Latency * (0.5 + f.draw.ExpFloat64()/2) }
 
-func (f *Flock) out(d *Driver, out membership.Out) {
+func (f *Flock) out(d *Driver, out membership.Output) {
 	if f.Notes != nil {
-		for _, n := range out.Notes {
+		for _, n := range out.Events {
 			f.Notes(f.Now, d.Name, n)
 		}
 	}
-	for _, s := range out.Sends {
+	for _, s := range out.Messages {
 		to := f.index(s.Address)
 		if d.Sent++; f.sample {
 			if f.Turn%50 == 0 || f.count == 0 { // one of many tells for all
@@ -193,18 +194,18 @@
 			})
 		}
 	}
-	for _, at := range out.Exchanges {
+	for _, at := range out.SyncWith {
 		to := f.index(at)
 		if to < 0 || f.cut(d.i, to) {
 			continue
 		}
-		t, ask, life := f.Drivers[to], d.View.Exchange(), d.life
+		t, ask, life := f.Drivers[to], d.View.Snapshot(), d.life
 		d.Bytes += 60 * float64(len(ask.Records)) // about
 		f.In(2*f.late(), func() {
 			if t.View == nil || f.Now < t.Frozen {
 				return
 			}
-			answer := t.View.Exchange()
+			answer := t.View.Snapshot()
 			f.out(t, t.View.Merge(f.Now, ask))
 			if f.cut(to, d.i) {
 				return
@@ -220,7 +221,7 @@
 }
 
 // Do carries out what a driver decided outside messages and time, such as leaving.
-func (f *Flock) Do(i int, what func(*membership.Fleet) membership.Out) {
+func (f *Flock) Do(i int, what func(*membership.Fleet) membership.Output) {
 	f.out(f.Drivers[i], what(f.Drivers[i].View))
 }
 
@@ -252,11 +253,11 @@
 }
 
 // Stand says that all of these drivers have a standing.
-func (f *Flock) Stand(want membership.Standing, of ...int) bool {
+func (f *Flock) Stand(want membership.PartitionStatus, of ...int) bool {
 	for _, i := range of {
 		if v := f.Drivers[i].View; v == nil {
 			return false
-		} else if s, _, _ := v.Standing(); s != want {
+		} else if s, _, _ := v.PartitionStatus(); s != want {
 			return false
 		}
 	}
--- a/internal/lab/membershipsim/membershipsim_test.go
+++ b/internal/lab/membershipsim/membershipsim_test.go
@@ -17,7 +17,7 @@
 		f.Run(1000)
 	}
 	b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(b.N)/1000, "us/driver")
-	if !f.standAll(membership.Whole, nil) {
+	if !f.standAll(membership.Complete, nil) {
 		b.Error("not whole")
 	}
 }
