--- a/internal/session/edge/golden_test.go
+++ b/internal/session/edge/golden_test.go
@@ -15,7 +15,8 @@
 
 // The lines that clients get, of the subprotocol and plain, and what operators are shown.
 func TestGoldenLines(t *testing.T) {
-	m, err := (*sites.Map)(nil).Apply(&sites.Change{Kind: sites.ChangeJoin, Name: "a", Site: sites.Site{Addr: "a", Incarnation: 1}})
+	m, err := (*sites.Map)(nil).Apply(&sites.Change{Kind: sites.ChangeJoin, Name: "a", Site: sites.Site{Addr: "a",
+		Incarnation: 1}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -30,7 +31,8 @@
 		name := fmt.Sprint("s", id)
 		e.decider.OpenSocket(id, name, "secret", true, 0, 0)
 		for _, w := range []queue.Envelope{{Kind: queue.KindAttached, Owner: "a", Epoch: 1, Connection: 1, Number: 4},
-			{Kind: queue.KindDeliver, Epoch: 1, Messages: []queue.Message{{Number: 1, Body: []byte("one")}, {Number: 2, Body: []byte("t w")}}}} {
+			{Kind: queue.KindDeliver, Epoch: 1, Messages: []queue.Message{{Number: 1, Body: []byte("one")}, {Number: 2,
+				Body: []byte("t w")}}}} {
 			w.Session, w.Socket = name, id
 			e.decider.Receive("a", &w, 0)
 		}
--- a/internal/session/queue/bounds_test.go
+++ b/internal/session/queue/bounds_test.go
@@ -10,23 +10,23 @@
 // What a session may hold, and what its producers are told beyond it.
 func TestBounds(t *testing.T) {
 	Convey("A session whose client reads, but acknowledges nothing", t, func() {
-		o := newOrders()
-		h := o.home()
+		o := newInterleaving()
+		h := o.owner()
 		h.Limits.SessionMessages, h.Limits.WindowBytes, h.Limits.MessageBytes = 4, 100, 50
 		put := func(key string, body string) (status Status) {
 			h.Enqueue("s", key, []byte(body), o.now, func(got Status, _ uint64) { status = got })
 			o.flush()
-			o.quiet()
+			o.settle()
 			return status
 		}
 		So(put("k1", strings.Repeat("x", 40)), ShouldEqual, 202)
 		So(put("k2", strings.Repeat("x", 40)), ShouldEqual, 202)
 		Convey("gets one message, as two are over its window's bytes", func() {
-			So(o.seen, ShouldResemble, []uint64{1})
+			So(o.received, ShouldResemble, []uint64{1})
 			o.edge.Ack(1, 1)
 			o.flush()
-			o.quiet()
-			So(o.seen, ShouldResemble, []uint64{1, 2})
+			o.settle()
+			So(o.received, ShouldResemble, []uint64{1, 2})
 		})
 		Convey("refuses what is too long, a key that is, and the fifth message, and says the same of a repeat as before",
 			func() {
@@ -40,9 +40,9 @@
 					for range 4 {
 						o.edge.Ack(1, o.edge.sockets[1].delivered)
 						o.flush()
-						o.quiet()
+						o.settle()
 					}
-					So(o.seen, ShouldResemble, []uint64{1, 2, 3, 4})
+					So(o.received, ShouldResemble, []uint64{1, 2, 3, 4})
 					So(put("k5", "x"), ShouldEqual, 202)
 				})
 			})
@@ -66,7 +66,7 @@
 // bytes.
 func TestEdgeHoldsNoMore(t *testing.T) {
 	for _, size := range []int{1, 100 << 10} {
-		o := newOrders()
+		o := newInterleaving()
 		n := 0
 		for ; o.edge.CanPublish(1) && n < 1000; n++ { // nothing comes to any site meanwhile
 			o.edge.Publish(1, uint64(n+1), make([]byte, size))
--- a/internal/session/queue/golden_test.go
+++ b/internal/session/queue/golden_test.go
@@ -12,12 +12,15 @@
 // One envelope of each kind, with the fields that it uses; the state and each kind of op among them.
 func TestGoldenForms(t *testing.T) {
 	msgs := []Message{{7, "key", []byte("body"), 12.5}, {Number: 8, Body: []byte("b")}}
-	state := &SessionState{"secret", 3, "a", 4, []string{"b", "c"}, 19, msgs, 8, []Message{{Number: 2, Body: []byte("in")}}, 2, 5,
+	state := &SessionState{"secret", 3, "a", 4, []string{"b", "c"}, 19, msgs, 8, []Message{{Number: 2,
+		Body: []byte("in")}}, 2, 5,
 		[]Message{{Number: 7, Key: "key"}}}
 	ops := []Op{{OpPut, 0, &msgs[0]}, {OpAck, 7, nil}, {OpPublish, 0, &msgs[1]}, {OpConsume, 2, nil}, {OpAttach, 6, nil}}
 	golden.CBOR(t, "testdata/envelopes.cbor", []golden.Case[Envelope]{
-		golden.Of("attach", Envelope{Kind: KindAttach, Session: "s", Secret: "x", Connection: 1, Socket: 2, Number: 3, Base: 4, New: true}),
-		golden.Of("attached", Envelope{Kind: KindAttached, Session: "s", Epoch: 2, SiteEpoch: 3, Connection: 4, Socket: 5, Owner: "a",
+		golden.Of("attach", Envelope{Kind: KindAttach, Session: "s", Secret: "x", Connection: 1, Socket: 2, Number: 3,
+			Base: 4, New: true}),
+		golden.Of("attached", Envelope{Kind: KindAttached, Session: "s", Epoch: 2, SiteEpoch: 3, Connection: 4, Socket: 5,
+			Owner:    "a",
 			Replicas: []string{"b"}, Number: 6, Base: 7}),
 		golden.Of("refused", Envelope{Kind: KindRejected, Session: "s", Socket: 5, Reason: "not now"}),
 		golden.Of("deliver", Envelope{Kind: KindDeliver, Session: "s", Epoch: 2, SiteEpoch: 3, Socket: 5, Messages: msgs}),
@@ -25,7 +28,8 @@
 		golden.Of("publish", Envelope{Kind: KindPublish, Session: "s", Epoch: 2, Socket: 5, Messages: msgs[1:]}),
 		golden.Of("publish ack", Envelope{Kind: KindPublishAck, Session: "s", Epoch: 2, SiteEpoch: 3, Socket: 5, Number: 9}),
 		golden.Of("detach", Envelope{Kind: KindDetach, Session: "s", Socket: 5, Epoch: 2}),
-		golden.Of("redirect", Envelope{Kind: KindRedirect, Session: "s", Socket: 5, Owner: "b", Replicas: []string{"a"}, Epoch: 3}),
+		golden.Of("redirect", Envelope{Kind: KindRedirect, Session: "s", Socket: 5, Owner: "b", Replicas: []string{"a"},
+			Epoch: 3}),
 		golden.Of("replicate", Envelope{Kind: KindReplicate, Session: "s", Epoch: 2, SiteEpoch: 3, Base: 11, Ops: ops}),
 		golden.Of("replicate ack", Envelope{Kind: KindReplicateAck, Session: "s", Epoch: 2, SiteEpoch: 3, Base: 11}),
 		golden.Of("snapshot", Envelope{Kind: KindSnapshot, Session: "s", Epoch: 2, SiteEpoch: 3, State: state}),
@@ -34,17 +38,18 @@
 		golden.Of("forget", Envelope{Kind: KindDiscard, Session: "s", Epoch: 3, SiteEpoch: 3}),
 		golden.Of("find", Envelope{Kind: KindLocate, Session: "s", Socket: 5}),
 		golden.Of("defer", Envelope{Kind: KindDefer, Session: "s", Epoch: 3, SiteEpoch: 3, New: true}),
-		golden.Of("map", Envelope{Map: &sites.Map{Version: 2, Sites: map[string]sites.Site{"a": {Addr: "x", State: sites.StateActive}}}}),
+		golden.Of("map", Envelope{Map: &sites.Map{Version: 2, Sites: map[string]sites.Site{"a": {Addr: "x",
+			State: sites.StateActive}}}}),
 	})
 }
 
 // What operators are shown of a session.
 func TestGoldenShown(t *testing.T) {
-	o := newOrders()
-	h := o.home()
+	o := newInterleaving()
+	h := o.owner()
 	h.Enqueue("s", "k", []byte("body"), o.now, func(Status, uint64) {})
 	o.flush()
-	o.quiet()
+	o.settle()
 	b, err := json.Marshal(h.Describe("s"))
 	if err != nil {
 		t.Fatal(err)
@@ -53,6 +58,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden.Text(t, "testdata/shown.txt", []golden.Case[string]{golden.Of("shown", string(b)), golden.Of("none", string(none)),
+	golden.Text(t, "testdata/shown.txt", []golden.Case[string]{golden.Of("shown", string(b)), golden.Of("none",
+		string(none)),
 		golden.Of("counts", fmt.Sprint(h.OwnedSessions(), h.ReplicatedSessions(), h.Bytes(), h.ExpiredMessages))})
 }
--- a/internal/session/site/golden_test.go
+++ b/internal/session/site/golden_test.go
@@ -24,14 +24,17 @@
 
 // The calls of producers, consumers and operators: statuses, headers and bodies.
 func TestGoldenCalls(t *testing.T) {
-	s := &runner{settings: &settings.Settings{Hostname: "a", ReadyAddr: "127.0.0.1:9"}, ctx: t.Context(), startedAt: time.Now(),
-		commands: commandqueue.New(t.Context(), 16), limits: queue.DefaultLimits, incarnation: 1, edges: map[string]*link{}, state: sites.StateActive}
+	s := &runner{settings: &settings.Settings{Hostname: "a", ReadyAddr: "127.0.0.1:9"}, ctx: t.Context(),
+		startedAt: time.Now(),
+		commands:  commandqueue.New(t.Context(), 16), limits: queue.DefaultLimits, incarnation: 1, edges: map[string]*link{},
+		state: sites.StateActive}
 	s.limits.MessageBytes = 20
 	s.decider = queue.NewSite("a", s.limits)
 	other := queue.NewSite("b", s.limits)
 	var m *sites.Map
 	for _, name := range []string{"a", "b"} {
-		next, err := m.Apply(&sites.Change{Kind: sites.ChangeJoin, Name: name, Site: sites.Site{Addr: name, HTTPAddr: "http-" + name, Incarnation: 1}})
+		next, err := m.Apply(&sites.Change{Kind: sites.ChangeJoin, Name: name, Site: sites.Site{Addr: name,
+			HTTPAddr: "http-" + name, Incarnation: 1}})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -71,7 +74,8 @@
 	for _, call := range []string{
 		"GET /sessions/here", "GET /sessions/there", "GET /sessions/none", "GET /sessions/here/inbox?after=0",
 		"GET /sessions/here/inbox?after=1", "GET /sessions/there/inbox?after=0", "POST /sessions/none/messages",
-		"POST /sessions/there/messages", "POST /sessions/here/messages " + strings.Repeat("x", 30), "POST /sessions/here/messages long key", "POST /sessions/here/took",
+		"POST /sessions/there/messages", "POST /sessions/here/messages " + strings.Repeat("x", 30),
+		"POST /sessions/here/messages long key", "POST /sessions/here/took",
 		"POST /sessions/none/took?n=1", "POST /sessions/here/took?n=1", "GET /status", "POST /status",
 	} {
 		method, rest, _ := strings.Cut(call, " ")
--- a/internal/session/sites/sites_test.go
+++ b/internal/session/sites/sites_test.go
@@ -37,9 +37,11 @@
 		var m *Map
 		for range 200 {
 			name := fmt.Sprint("s", r.IntN(7))
-			c := &Change{Kind: []ChangeKind{ChangeJoin, ChangeJoin, ChangeExpire, ChangeLeave, ChangeDrain, ChangeUndrain, "none"}[r.IntN(7)], Name: name,
-				Epoch: uint64(r.IntN(4)), DrainRate: r.IntN(3), Site: Site{Addr: strings.Repeat("x", r.IntN(5)), Incarnation: uint64(r.IntN(4)),
-					Zone: fmt.Sprint("z", r.IntN(3)), Region: fmt.Sprint("r", r.IntN(2))}}
+			c := &Change{Kind: []ChangeKind{ChangeJoin, ChangeJoin, ChangeExpire, ChangeLeave, ChangeDrain, ChangeUndrain,
+				"none"}[r.IntN(7)], Name: name,
+				Epoch: uint64(r.IntN(4)), DrainRate: r.IntN(3), Site: Site{Addr: strings.Repeat("x", r.IntN(5)),
+					Incarnation: uint64(r.IntN(4)),
+					Zone:        fmt.Sprint("z", r.IntN(3)), Region: fmt.Sprint("r", r.IntN(2))}}
 			next, err := m.Apply(c)
 			_, _ = fmt.Fprint(trace, err, next == m)
 			if err != nil {
--- a/internal/shard/shardmap/golden_test.go
+++ b/internal/shard/shardmap/golden_test.go
@@ -14,7 +14,8 @@
 	rules := Rules{2, 3, 4, 1 << 20, 0.25, 0.125, 0.5, 6}
 	tasks := []Task{{"s1", "a", "b", 7000, 1, TaskPending, ""}, {"s2", "b", "a", 9, 2, TaskFailed, "no room"}}
 	return []golden.Case[Change]{
-		golden.Of("found", Change{Kind: ChangeCreate, BaseVersion: 3, InitialOwners: map[string]string{"s1": "a"}, Nodes: map[string]Node{"a": {"z1", shardplan.NodeActive}}}),
+		golden.Of("found", Change{Kind: ChangeCreate, BaseVersion: 3, InitialOwners: map[string]string{"s1": "a"},
+			Nodes: map[string]Node{"a": {"z1", shardplan.NodeActive}}}),
 		golden.Of("plan", Change{Kind: ChangePlan, BaseVersion: 4, Tasks: tasks, Replan: true}),
 		golden.Of("pause", Change{Kind: ChangePause}),
 		golden.Of("resume", Change{Kind: ChangeResume}),
@@ -33,7 +34,8 @@
 	golden.JSON(t, "testdata/change.json", cases)
 	maps := []golden.Case[Map]{golden.Of("map", Map{Version: 9, Shards: map[string]Assignment{"s1": {"a", 3, 41}},
 		Tasks:  []Task{{"s1", "a", "b", 7000, 1, TaskDone, ""}, {"s2", "b", "a", 9, 2, TaskFailed, "no room"}},
-		Paused: true, Aborting: true, Rules: DefaultRules, Nodes: map[string]Node{"a": {"z1", shardplan.NodeLost}}, Replans: 2})}
+		Paused: true, Aborting: true, Rules: DefaultRules, Nodes: map[string]Node{"a": {"z1", shardplan.NodeLost}},
+		Replans: 2})}
 	golden.CBOR(t, "testdata/map.cbor", maps)
 	golden.JSON(t, "testdata/map.json", maps)
 }
--- a/internal/shard/shardmap/rebalance_test.go
+++ b/internal/shard/shardmap/rebalance_test.go
@@ -144,8 +144,8 @@
 	}
 }
 
-// The decisions of fifteen scenarios with faults, in order: every act, every map, every answer of a proxy's routes, and
-// what the nodes hold at the end.
+// The decisions of fifteen scenarios with faults, in order: every act, every map, every answer of a proxy's routes,
+// and what the nodes hold at the end.
 func TestDecisionDigest(t *testing.T) {
 	const recorded = 0x535fca893ea8b3c7
 	trace := fnv.New64a()
--- a/internal/shard/shardmap/scenario_test.go
+++ b/internal/shard/shardmap/scenario_test.go
@@ -116,7 +116,8 @@
 }
 
 func (e *scenario) checkCapacity(n *node) {
-	if used := n.store.UsedBytes(); used > n.store.Capacity && n.store.External < n.store.Capacity && e.overCapacity == "" {
+	if used := n.store.UsedBytes(); used > n.store.Capacity && n.store.External < n.store.Capacity &&
+		e.overCapacity == "" {
 		e.overCapacity = fmt.Sprintf("%s holds %d of %d", n.id, used, n.store.Capacity)
 	}
 }
--- a/internal/shard/shardnode/golden_test.go
+++ b/internal/shard/shardnode/golden_test.go
@@ -13,43 +13,46 @@
 	"weirwind/internal/standin/golden"
 )
 
-func goldenKeeper(t *testing.T) *Store {
+func goldenStore(t *testing.T) *Store {
 	t.Helper()
-	k := NewStore(1<<20, 100)
-	for _, text := range []string{"SHARD HOLD open 1 0", "SHARD HOLD closed 2 0", "SHARD RESERVE comes 3 500", "SHARD RESERVE sealed 4 500"} {
-		if _, _, err := k.Execute(text); err != nil {
+	store := NewStore(1<<20, 100)
+	for _, text := range []string{"SHARD HOLD open 1 0", "SHARD HOLD closed 2 0", "SHARD RESERVE comes 3 500",
+		"SHARD RESERVE sealed 4 500"} {
+		if _, _, err := store.Execute(text); err != nil {
 			t.Fatal(err)
 		}
 	}
-	k.SetExternal(77)
-	if _, err := k.Write("open", 1, "c.1", []byte("value")); err != nil {
+	store.SetExternal(77)
+	if _, err := store.Write("open", 1, "c.1", []byte("value")); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := k.ResolveAttempt("open", 1, "c.2"); !errors.Is(err, ErrAborted) {
+	if _, err := store.ResolveAttempt("open", 1, "c.2"); !errors.Is(err, ErrAborted) {
 		t.Fatal(err)
 	}
 	for _, text := range []string{"SHARD CLOSE closed 2", "SHARD SEAL sealed 4 0"} {
-		if _, _, err := k.Execute(text); err != nil {
+		if _, _, err := store.Execute(text); err != nil {
 			t.Fatal(err)
 		}
 	}
-	return k
+	return store
 }
 
 // The stored form. Maps are encoded one key at a time, as their order is not fixed.
 func TestGoldenForms(t *testing.T) {
-	k := goldenKeeper(t)
+	store := goldenStore(t)
 	var copies []golden.Case[Replica]
 	for _, shard := range []string{"open", "closed", "comes", "sealed"} {
-		c := *k.Replicas[shard]
+		c := *store.Replicas[shard]
 		c.byAttempt = nil
 		copies = append(copies, golden.Of(shard, c))
 	}
 	golden.CBOR(t, "testdata/copies.cbor", copies)
 	golden.CBOR(t, "testdata/keeper.cbor", []golden.Case[Store]{golden.Of("keeper",
-		Store{Capacity: 9, External: 1, Headroom: 2, Replicas: map[string]*Replica{}, HighestEpochs: map[string]uint64{"s": 4}})})
-	golden.JSON(t, "testdata/report.json", []golden.Case[Report]{golden.Of("report", k.Report())})
-	golden.JSON(t, "testdata/entry.json", []golden.Case[Entry]{golden.Of("effect", Entry{1, "c.1", 5, false, []byte("value")}),
+		Store{Capacity: 9, External: 1, Headroom: 2, Replicas: map[string]*Replica{},
+			HighestEpochs: map[string]uint64{"s": 4}})})
+	golden.JSON(t, "testdata/report.json", []golden.Case[Report]{golden.Of("report", store.Report())})
+	golden.JSON(t, "testdata/entry.json", []golden.Case[Entry]{golden.Of("effect", Entry{1, "c.1", 5, false,
+		[]byte("value")}),
 		golden.Of("void", Entry{2, "c.2", 0, true, nil})})
 }
 
@@ -57,27 +60,32 @@
 func TestGoldenStatements(t *testing.T) {
 	var cases []golden.Case[string]
 	for _, text := range []string{
-		"SHARD LOOK", "SHARD", "PING x", "SHARD LOOKS", "SHARD DROP", "SHARD DROP open", "SHARD DROP open x", "SHARD DROP open 1",
+		"SHARD LOOK", "SHARD", "PING x", "SHARD LOOKS", "SHARD DROP", "SHARD DROP open", "SHARD DROP open x",
+		"SHARD DROP open 1",
 		"SHARD DROP open 2", "SHARD DROP closed 3", "SHARD DROP other 3", "SHARD RESERVE new 1 5", "SHARD RESERVE new 1",
 		"SHARD RESERVE new 1 x", "SHARD RESERVE new 1 9000000", "SHARD RESERVE comes 2 5", "SHARD RESERVE open 1 5",
 		"SHARD SEAL comes 3 0", "SHARD SEAL comes 3 9", "SHARD SEAL comes 3", "SHARD SEAL open 1 2", "SHARD HOLD new 1 0",
-		"SHARD HOLD new 1 5", "SHARD HOLD closed 3 0", "SHARD HOLD closed 1 0", "SHARD HOLD sealed 5 7", "SHARD HOLD comes 4 0",
+		"SHARD HOLD new 1 5", "SHARD HOLD closed 3 0", "SHARD HOLD closed 1 0", "SHARD HOLD sealed 5 7",
+		"SHARD HOLD comes 4 0",
 		"SHARD SETTLE open 1 c.1", "SHARD SETTLE open 1 c.2", "SHARD SETTLE open 1 c.3", "SHARD SETTLE open 2 c.1",
-		"SHARD SETTLE open 1", "SHARD SETTLE open 1 c 1", "SHARD ABANDON comes 3", "SHARD ABANDON comes 2", "SHARD ABANDON open 1",
+		"SHARD SETTLE open 1", "SHARD SETTLE open 1 c 1", "SHARD ABANDON comes 3", "SHARD ABANDON comes 2",
+		"SHARD ABANDON open 1",
 		"SHARD CLOSE open 1", "SHARD CLOSE open 2", "SHARD CLOSE sealed 4", "SHARD CUT open 1", "SHARD CUT closed 2",
 		"SHARD ENTRIES open 1 0 1000", "SHARD ENTRIES open 1 1 1000", "SHARD ENTRIES open 1 0 1", "SHARD ENTRIES open 1 9 9",
 		"SHARD ENTRIES open 2 0 9", "SHARD ENTRIES open 1 0", "SHARD FETCH comes 3 100 0 10.0.0.1:1 svc id",
-		"SHARD FETCH sealed 4 100 9 10.0.0.1:1 svc id", "SHARD FETCH open 1 100 0 10.0.0.1:1 svc id", "SHARD FETCH comes 3 100 0 x",
+		"SHARD FETCH sealed 4 100 9 10.0.0.1:1 svc id", "SHARD FETCH open 1 100 0 10.0.0.1:1 svc id",
+		"SHARD FETCH comes 3 100 0 x",
 		"SHARD FETCH comes 3 x 0 10.0.0.1:1 svc id", "SHARD NONE open 1",
 	} {
-		rows, fetch, err := goldenKeeper(t).Execute(text)
+		rows, fetch, err := goldenStore(t).Execute(text)
 		code := ""
 		if err != nil {
 			code = Code(err)
 		}
 		said := fmt.Sprintf("%q %q", rows, code)
 		if fetch != nil {
-			said += fmt.Sprint(fetch.Shard, fetch.Epoch, fetch.MaxBytes, fetch.SealAt, fetch.Addr, fetch.Service, fetch.Member, fetch.AfterIndex,
+			said += fmt.Sprint(fetch.Shard, fetch.Epoch, fetch.MaxBytes, fetch.SealAt, fetch.Addr, fetch.Service, fetch.Member,
+				fetch.AfterIndex,
 				fetch.EntriesStatement)
 		}
 		cases = append(cases, golden.Of(text, said))
@@ -86,12 +94,14 @@
 		shard, epoch, rest, ok := CutShardPrefix(text)
 		cases = append(cases, golden.Of(text, fmt.Sprint(shard, " ", epoch, " ", rest, " ", ok)))
 	}
-	k := goldenKeeper(t)
-	for _, rows := range [][]string{nil, {"x"}, {"0", "x"}, {"7", `{"N":1,"ID":"a","Bytes":3,"Body":"YWJj"}`}, {"0", `{"N":9}`}} {
-		got, err := k.ApplyFetch(&FetchRequest{Shard: "comes", Epoch: 3, SealAt: 1}, rows)
+	store := goldenStore(t)
+	for _, rows := range [][]string{nil, {"x"}, {"0", "x"}, {"7", `{"N":1,"ID":"a","Bytes":3,"Body":"YWJj"}`}, {"0",
+		`{"N":9}`}} {
+		got, err := store.ApplyFetch(&FetchRequest{Shard: "comes", Epoch: 3, SealAt: 1}, rows)
 		cases = append(cases, golden.Of(fmt.Sprint("fetched ", rows), fmt.Sprint(got, err)))
 	}
-	for _, err := range []error{ErrNoCapacity, ErrAborted, ErrStaleEpoch, ErrIncomplete, ErrWrongState, &MovedError{7}, fmt.Errorf("x: %w", ErrStaleEpoch), errors.New("x")} {
+	for _, err := range []error{ErrNoCapacity, ErrAborted, ErrStaleEpoch, ErrIncomplete, ErrWrongState, &MovedError{7},
+		fmt.Errorf("x: %w", ErrStaleEpoch), errors.New("x")} {
 		cases = append(cases, golden.Of("code "+err.Error(), Code(err)))
 	}
 	cases = append(cases, golden.Of("stamp", EffectPosition("s", Entry{Index: 7})))
@@ -111,18 +121,18 @@
 		nodes := []*Store{NewStore(3000, 200), NewStore(3000, 200)}
 		epochs := map[string]uint64{"s0": 1, "s1": 1, "s2": 1}
 		for step := range 400 {
-			k, shard := nodes[r.IntN(2)], fmt.Sprint("s", r.IntN(3))
+			store, shard := nodes[r.IntN(2)], fmt.Sprint("s", r.IntN(3))
 			if r.IntN(30) == 0 {
 				epochs[shard]++
 			}
-			said := drawnStatement(r, nodes, k, shard, epochs[shard]-uint64(r.IntN(8)/7))
-			for _, k := range nodes {
-				b, err := canonical.Marshal(k)
+			said := drawnStatement(r, nodes, store, shard, epochs[shard]-uint64(r.IntN(8)/7))
+			for _, store := range nodes {
+				b, err := canonical.Marshal(store)
 				if err != nil {
 					t.Fatal(err)
 				}
 				_, _ = trace.Write(b)
-				_, _ = fmt.Fprint(trace, k.FreeBytes(), k.UsedBytes())
+				_, _ = fmt.Fprint(trace, store.FreeBytes(), store.UsedBytes())
 			}
 			_, _ = fmt.Fprint(trace, step, said)
 		}
@@ -133,7 +143,7 @@
 }
 
 // drawnStatement has a node do one thing and gives what it answered.
-func drawnStatement(r *rand.Rand, nodes []*Store, k *Store, shard string, epoch uint64) string {
+func drawnStatement(r *rand.Rand, nodes []*Store, store *Store, shard string, epoch uint64) string {
 	code := func(err error) string {
 		if err == nil {
 			return ""
@@ -149,26 +159,27 @@
 	id := fmt.Sprint("id", r.IntN(60))
 	switch what := r.IntN(22); what {
 	case 0, 1, 2, 3:
-		e, err := k.Write(shard, epoch, id, make([]byte, r.IntN(300)))
+		e, err := store.Write(shard, epoch, id, make([]byte, r.IntN(300)))
 		return fmt.Sprint(e.Index, code(err))
 	case 4:
-		return code(k.CheckRead(shard, epoch))
+		return code(store.CheckRead(shard, epoch))
 	case 5:
-		return code(k.BeginTransaction(shard, epoch))
+		return code(store.BeginTransaction(shard, epoch))
 	case 6:
-		e, err := k.CommitTransaction(shard, epoch, id, make([]byte, r.IntN(100)))
+		e, err := store.CommitTransaction(shard, epoch, id, make([]byte, r.IntN(100)))
 		return fmt.Sprint(e.Index, code(err))
 	case 7:
-		k.EndTransaction(shard, epoch)
+		store.EndTransaction(shard, epoch)
 	case 8:
-		e, err := k.ResolveAttempt(shard, epoch, id)
+		e, err := store.ResolveAttempt(shard, epoch, id)
 		return fmt.Sprint(e.Index, code(err))
 	case 9:
-		k.SetExternal(int64(r.IntN(1200)))
+		store.SetExternal(int64(r.IntN(1200)))
 	case 10:
-		k.Recover()
+		store.Recover()
 	case 11, 12, 13, 14:
-		_, fetch, err := k.Execute(fmt.Sprintf("SHARD FETCH %s %d %d %d a s i", shard, epoch, 100+r.IntN(500), last*uint64(r.IntN(2))))
+		_, fetch, err := store.Execute(fmt.Sprintf("SHARD FETCH %s %d %d %d a s i", shard, epoch, 100+r.IntN(500),
+			last*uint64(r.IntN(2))))
 		if err != nil {
 			return code(err)
 		}
@@ -176,12 +187,13 @@
 		if err != nil {
 			return code(err)
 		}
-		rows, err = k.ApplyFetch(fetch, rows)
+		rows, err = store.ApplyFetch(fetch, rows)
 		return fmt.Sprint(rows, code(err))
 	default:
-		text := []string{"RESERVE %s %d 700", "SEAL %s %d " + fmt.Sprint(last), "HOLD %s %d 0", "HOLD %s %d " + fmt.Sprint(last),
+		text := []string{"RESERVE %s %d 700", "SEAL %s %d " + fmt.Sprint(last), "HOLD %s %d 0",
+			"HOLD %s %d " + fmt.Sprint(last),
 			"CLOSE %s %d", "CUT %s %d", "DROP %s %d", "ABANDON %s %d", "RESERVE %s %d 100"}[r.IntN(9)]
-		rows, _, err := k.Execute("SHARD " + fmt.Sprintf(text, shard, epoch))
+		rows, _, err := store.Execute("SHARD " + fmt.Sprintf(text, shard, epoch))
 		return fmt.Sprint(rows, code(err))
 	}
 	return ""
@@ -189,7 +201,7 @@
 
 // The entries of a report and of an answer are read by name.
 func TestEntryRowsAreReadByName(t *testing.T) {
-	rows, _, err := goldenKeeper(t).Execute("SHARD ENTRIES open 1 0 1000")
+	rows, _, err := goldenStore(t).Execute("SHARD ENTRIES open 1 0 1000")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/shard/shardnode/statements_test.go
+++ b/internal/shard/shardnode/statements_test.go
@@ -9,10 +9,10 @@
 // target ask the source.
 func TestMoveByStatements(t *testing.T) {
 	source, target := NewStore(1<<20, 0), NewStore(1<<20, 0)
-	execute := func(k *Store, format string, args ...any) ([]string, *FetchRequest) {
+	execute := func(store *Store, format string, args ...any) ([]string, *FetchRequest) {
 		t.Helper()
 		text := fmt.Sprintf(format, args...)
-		rows, fetch, err := k.Execute(text)
+		rows, fetch, err := store.Execute(text)
 		if err != nil {
 			t.Fatalf("%s: %v", text, err)
 		}
--- a/internal/shard/shardplan/golden_test.go
+++ b/internal/shard/shardplan/golden_test.go
@@ -16,7 +16,8 @@
 		Shards: []Shard{{"s", 5, 1, 0.5, []string{"a"}}},
 		Rules:  Rules{0.25, 0.125, true, 2}})})
 	golden.JSON(t, "testdata/plan.json", []golden.Case[Plan]{
-		golden.Of("plan", Plan{Rounds: [][]Move{{{"s", "a", "b", 7, true, false}}, {{"s", "b", "c", 7, false, true}}}, Bytes: 14,
+		golden.Of("plan", Plan{Rounds: [][]Move{{{"s", "a", "b", 7, true, false}}, {{"s", "b", "c", 7, false, true}}},
+			Bytes:      14,
 			LowerBound: 7, Unplaced: []string{"why"}, OutOfBand: []string{"off"}}),
 		golden.Of("empty", Plan{})})
 }
@@ -26,7 +27,8 @@
 	var cases []golden.Case[string]
 	for _, c := range []Cluster{
 		{Nodes: []Node{{}}}, {Nodes: []Node{node, node}}, {Nodes: []Node{{ID: "a", State: "x"}}},
-		{Nodes: []Node{node}, Shards: []Shard{{ID: "s"}}}, {Nodes: []Node{node}, Shards: []Shard{{ID: "s", Replicas: []string{"b"}}}},
+		{Nodes: []Node{node}, Shards: []Shard{{ID: "s"}}}, {Nodes: []Node{node}, Shards: []Shard{{ID: "s",
+			Replicas: []string{"b"}}}},
 		{Nodes: []Node{node}, Shards: []Shard{shard}, Rules: Rules{BalanceBand: -1}},
 		{Nodes: []Node{node}, Shards: []Shard{shard}},
 	} {
@@ -35,8 +37,8 @@
 	golden.Text(t, "testdata/refusals.txt", cases)
 }
 
-// Whole plans, by their JSON, for drawn clusters under one to four faults. Clusters are drawn so that no two candidates
-// of fill differ in size and are worth the same, which it would tell apart by the order of a map.
+// Whole plans, by their JSON, for drawn clusters under one to four faults. Clusters are drawn so that no two
+// candidates of fill differ in size and are worth the same, which it would tell apart by the order of a map.
 func TestDecisionDigest(t *testing.T) {
 	const recorded = 0x22a44d8c88e69381
 	trace := fnv.New64a()
--- a/internal/shard/shardplan/shardplan_test.go
+++ b/internal/shard/shardplan/shardplan_test.go
@@ -52,7 +52,8 @@
 		return "a node is gone"
 	case 2:
 		for k := range 1 + len(c.Nodes)/10 {
-			c.Nodes = append(c.Nodes, Node{ID: fmt.Sprint("new", k), Zone: c.Nodes[k].Zone, Capacity: n.Capacity, State: NodeActive})
+			c.Nodes = append(c.Nodes, Node{ID: fmt.Sprint("new", k), Zone: c.Nodes[k].Zone, Capacity: n.Capacity,
+				State: NodeActive})
 		}
 		return "nodes are added"
 	}
@@ -219,19 +220,22 @@
 func TestReplicasThatWaitForEachOthersSpace(t *testing.T) {
 	// Two nodes are full of what the other is to hold, as zones want; the third has space for one replica.
 	c := &Cluster{Rules: Rules{BalanceBand: 1, SpreadZones: true, MaxMovesPerNode: 1},
-		Nodes: []Node{{ID: "a", Zone: "1", Capacity: 10, State: NodeActive}, {ID: "b", Zone: "2", Capacity: 10, State: NodeActive},
+		Nodes: []Node{{ID: "a", Zone: "1", Capacity: 10, State: NodeActive}, {ID: "b", Zone: "2", Capacity: 10,
+			State: NodeActive},
 			{ID: "c", Zone: "3", Capacity: 30, State: NodeActive}},
 		Shards: []Shard{{ID: "x", Size: 10, Replicas: []string{"a"}}, {ID: "y", Size: 10, Replicas: []string{"b"}},
 			{ID: "z", Size: 15, Replicas: []string{"c"}}}}
 	plan := &Plan{}
-	c.scheduleRounds([]Move{{Shard: "x", From: "a", To: "b", Bytes: 10}, {Shard: "y", From: "b", To: "a", Bytes: 10}}, plan)
+	c.scheduleRounds([]Move{{Shard: "x", From: "a", To: "b", Bytes: 10}, {Shard: "y", From: "b", To: "a", Bytes: 10}},
+		plan)
 	if err := replay(c, plan); err != nil || len(plan.Unplaced) > 0 || plan.Bytes != 30 || len(plan.Rounds) != 3 ||
 		!plan.Rounds[0][0].Staging {
 		t.Fatalf("%+v: %v", plan, err)
 	}
 	c.Nodes[2].Capacity = 20 // no space is free: what binds is said, and nothing is moved
 	plan = &Plan{}
-	c.scheduleRounds([]Move{{Shard: "x", From: "a", To: "b", Bytes: 10}, {Shard: "y", From: "b", To: "a", Bytes: 10}}, plan)
+	c.scheduleRounds([]Move{{Shard: "x", From: "a", To: "b", Bytes: 10}, {Shard: "y", From: "b", To: "a", Bytes: 10}},
+		plan)
 	if len(plan.Unplaced) != 2 || len(plan.Rounds) != 0 {
 		t.Fatalf("%+v", plan)
 	}
