--- a/cmd/weirwind/registry.go
+++ b/cmd/weirwind/registry.go
@@ -80,7 +80,7 @@
 			return o.Verdict, float64(g.Confirm.Milliseconds())
 		},
 		Lost: func(err error) {
-			r.MarkDisconnected(roster.SourceRegistry)
+			r.SetDisconnected(roster.SourceRegistry)
 			fmt.Fprintf(out, "%s lost: %v\n", time.Now().UTC().Format(time.RFC3339Nano), err)
 		}}
 	w.Run(ctx)
--- a/internal/driver/memberlist.go
+++ b/internal/driver/memberlist.go
@@ -25,7 +25,7 @@
 	v.listing.Lock()
 	defer v.listing.Unlock()
 	out := v.roster.Apply(v.decide.clock.now(), u)
-	v.roster.MarkDisconnected(u.Source)
+	v.roster.SetDisconnected(u.Source)
 	v.give(out, logic.ListCached)
 }
 
@@ -45,7 +45,7 @@
 func (v *Service) lost(s roster.Source) {
 	v.listing.Lock()
 	defer v.listing.Unlock()
-	v.roster.MarkDisconnected(s)
+	v.roster.SetDisconnected(s)
 	v.give(v.roster.Tick(v.decide.clock.now()), logic.ListChanges)
 }
 
--- a/internal/driver/presence.go
+++ b/internal/driver/presence.go
@@ -55,7 +55,7 @@
 	p := &presence{v: v, announcer: client, key: o.Prefix + v.config.Name, own: roster.NewPresence(ttl, seed),
 		talks:   talks,
 		drivers: roster.New(roster.Options{Preferred: roster.SourceRegistry, ConfirmAfter: milliseconds(v.registry.Confirm)}),
-		fellows: roster.Peers{Self: v.config.Name, ShrinkAfter: ttl, SilenceTimeout: quietLeases * ttl}, count: max(drivers, 1)}
+		fellows: roster.Peers{Self: v.config.Name, ShrinkAfter: ttl, MessageTimeout: quietLeases * ttl}, count: max(drivers, 1)}
 	p.value, err = json.Marshal(map[string]any{"host_port": address, "cell": 0, "phase": "up",
 		"locality":    v.config.told.Opening.Zone,
 		"up_since_ms": int64(v.decide.clock.unixMs)})
@@ -91,7 +91,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.speaks = false
-	p.drivers.MarkDisconnected(roster.SourceRegistry)
+	p.drivers.SetDisconnected(roster.SourceRegistry)
 }
 
 func (p *presence) alive() {
@@ -127,7 +127,7 @@
 	p.names = names
 	var fell, back []string
 	if p.talks {
-		fell, back = p.fellows.CheckSilence(now, listed)
+		fell, back = p.fellows.CheckTimeouts(now, listed)
 	}
 	changed := n != p.count
 	p.count = n
@@ -164,7 +164,7 @@
 			if end(); err != nil && registry.PresenceEndOf(err) == roster.StepFailed {
 				endpoint = (endpoint + 1) % len(p.v.registry.Endpoints)
 			}
-			p.own.StepEnded(now, p.v.decide.clock.now(), step, registry.PresenceEndOf(err), milliseconds(stands))
+			p.own.StepEnded(now, p.v.decide.clock.now(), registry.PresenceEndOf(err), milliseconds(stands))
 		}
 		is, other := p.own.Status(p.v.decide.clock.now())
 		if is != stood || is && p.lease != logged {
--- a/internal/driver/registry.go
+++ b/internal/driver/registry.go
@@ -50,7 +50,7 @@
 		Alive: func() {
 			v.listing.Lock()
 			defer v.listing.Unlock()
-			v.roster.MarkAlive(v.decide.clock.now(), roster.SourceRegistry)
+			v.roster.SetConnected(v.decide.clock.now(), roster.SourceRegistry)
 		}}
 	return nil
 }
--- a/internal/lab/storm.go
+++ b/internal/lab/storm.go
@@ -72,7 +72,7 @@
 			Scheduler: roster.NewScheduler(roster.SchedulerOptions{Endpoints: 1, Drivers: s.Clients, Seed: uint64(n)}),
 			Lost: func(error) {
 				x.mu.Lock()
-				x.roster.MarkDisconnected(roster.SourceRegistry)
+				x.roster.SetDisconnected(roster.SourceRegistry)
 				x.mu.Unlock()
 			}}
 		w.Run(ctx)
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -1,5 +1,5 @@
 // Package registry speaks to key-value registries that hold members: etcd's v3 API in its plain HTTP form, and Consul's
-// HTTP API. It carries out the calls that a roster.Course names and tells what came. It must never choose an
+// HTTP API. It carries out the calls that a roster.Scheduler names and tells what came. It must never choose an
 // endpoint, a pause or a revision itself, keep a list, or wait without an end.
 //
 // This file owns the calls' way over HTTP, what their ends mean, and the loop that carries out a course.
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -92,7 +92,7 @@
 	w.Lost = func(err error) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.roster.MarkDisconnected(roster.SourceRegistry)
+		r.roster.SetDisconnected(roster.SourceRegistry)
 		r.losses = append(r.losses, err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
--- a/internal/roster/golden_test.go
+++ b/internal/roster/golden_test.go
@@ -41,9 +41,9 @@
 			s := Source(r.IntN(int(sources)))
 			switch r.IntN(14) {
 			case 0:
-				roster.MarkDisconnected(s)
+				roster.SetDisconnected(s)
 			case 1:
-				roster.MarkAlive(now, s)
+				roster.SetConnected(now, s)
 			case 2:
 				out := roster.Tick(now)
 				record(h, roster, now, out)
@@ -119,7 +119,7 @@
 		for k := range 1000 {
 			u.Entries = append(u.Entries, Entry{ID: fmt.Sprint(i, "-", k), Phase: PhaseRemoved})
 		}
-		fmt.Fprintln(h, roster.Apply(float64(i)*100000, u), len(roster.bars))
+		fmt.Fprintln(h, roster.Apply(float64(i)*100000, u), len(roster.tombstones))
 	}
 	u := Update{Source: SourceRegistry, Epoch: "f", Revision: 100, Snapshot: true}
 	for i := range 60 {
@@ -170,7 +170,7 @@
 			if step != StepWait {
 				began := now
 				now += 900 * r.Float64()
-				p.StepEnded(began, now, step, PresenceResult(r.IntN(4)), float64(r.IntN(2)*6000))
+				p.StepEnded(began, now, PresenceResult(r.IntN(4)), float64(r.IntN(2)*6000))
 				continue
 			}
 			if now += wait; r.IntN(12) == 0 {
@@ -185,7 +185,7 @@
 	h := fnv.New64a()
 	for seed := range uint64(recordedSeeds) {
 		r := rand.New(rand.NewPCG(seed, 14))
-		f := Peers{Self: "m0", ShrinkAfter: 5000, SilenceTimeout: 3000}
+		f := Peers{Self: "m0", ShrinkAfter: 5000, MessageTimeout: 3000}
 		now := 0.0
 		for range 150 {
 			now += 900 * r.Float64()
@@ -199,8 +199,8 @@
 			for range r.IntN(4) {
 				f.Observe(now, fmt.Sprint("m", r.IntN(memberCount)))
 			}
-			fell, back := f.CheckSilence(now, listed)
-			fmt.Fprintln(h, fell, back, len(f.heard))
+			fell, back := f.CheckTimeouts(now, listed)
+			fmt.Fprintln(h, fell, back, len(f.lastMessage))
 		}
 	}
 	check(t, h.Sum64(), wantFellows)
--- a/internal/roster/presence_test.go
+++ b/internal/roster/presence_test.go
@@ -15,28 +15,28 @@
 		}
 	}
 	expect(0, StepGrant)
-	p.StepEnded(0, 500, StepGrant, StepDone, 0)
+	p.StepEnded(0, 500, StepDone, 0)
 	expect(500, StepWait)
 	if ok, _ := p.Status(8999); !ok {
 		t.Error("does not stand for its time")
 	}
 	expect(3000, StepRenew)
-	p.StepEnded(3000, 3400, StepRenew, StepDone, 9000)
+	p.StepEnded(3000, 3400, StepDone, 9000)
 	if ok, _ := p.Status(12000); ok {
 		t.Error("stands for longer than from the sending of the renewal")
 	}
 	expect(6000, StepRenew)
-	p.StepEnded(6000, 6001, StepRenew, StepFailed, 0)
+	p.StepEnded(6000, 6001, StepFailed, 0)
 	step, wait := p.Next(6001)
 	if step != StepWait || wait > 200 {
 		t.Errorf("after a failure: %d, %g", step, wait)
 	}
 	expect(6300, StepRenew)
-	p.StepEnded(6300, 6301, StepRenew, StepLeaseLost, 0)
+	p.StepEnded(6300, 6301, StepLeaseLost, 0)
 	expect(6301, StepGrant)
-	p.StepEnded(6301, 6400, StepGrant, StepDone, 9000)
+	p.StepEnded(6301, 6400, StepDone, 9000)
 	expect(60000, StepGrant) // it stood still meanwhile: others may have taken it for gone, so it does not renew
-	p.StepEnded(60000, 60001, StepGrant, StepNameTaken, 0)
+	p.StepEnded(60000, 60001, StepNameTaken, 0)
 	if _, taken := p.Status(60001); !taken {
 		t.Error("does not say that its name is taken")
 	}
@@ -47,7 +47,7 @@
 }
 
 func TestFellows(t *testing.T) {
-	f := Peers{Self: "n0", ShrinkAfter: 5000, SilenceTimeout: 3000}
+	f := Peers{Self: "n0", ShrinkAfter: 5000, MessageTimeout: 3000}
 	count := func(now float64, speaks bool, want int, ids ...string) {
 		t.Helper()
 		if got := f.Count(now, up(ids...), speaks); got != want {
@@ -67,17 +67,17 @@
 	count(99001, true, 2)
 	count(104002, true, 1)
 	fellows := up("n0", "n1", "n2")
-	f.CheckSilence(0, fellows)
+	f.CheckTimeouts(0, fellows)
 	f.Observe(2000, "n1")
-	if fell, _ := f.CheckSilence(4000, fellows); !slices.Equal(fell, []string{"n2"}) {
+	if fell, _ := f.CheckTimeouts(4000, fellows); !slices.Equal(fell, []string{"n2"}) {
 		t.Errorf("silent: %v", fell)
 	}
 	f.Observe(4500, "n2")
 	f.Observe(4500, "n1")
-	if fell, back := f.CheckSilence(5000, fellows); len(fell) > 0 || !slices.Equal(back, []string{"n2"}) {
+	if fell, back := f.CheckTimeouts(5000, fellows); len(fell) > 0 || !slices.Equal(back, []string{"n2"}) {
 		t.Errorf("silent %v, back %v", fell, back)
 	}
-	if f.CheckSilence(6000, up("n1")); len(f.heard) != 1 {
-		t.Errorf("who has left is kept in mind: %v", f.heard)
+	if f.CheckTimeouts(6000, up("n1")); len(f.lastMessage) != 1 {
+		t.Errorf("who has left is kept in mind: %v", f.lastMessage)
 	}
 }
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -129,7 +129,7 @@
 		t.Errorf("the registry does not take the lead: %+v", out)
 	}
 	r.Apply(30, change(6, "b=drains"))
-	r.MarkDisconnected(SourceRegistry)
+	r.SetDisconnected(SourceRegistry)
 	r.Apply(9000, Update{Source: SourceDiscovery, Revision: 41, PreviousRevision: 40, Entries: up("d")})
 	if r.shows() != "a b- c" {
 		t.Errorf("taken over too early: %q", r.shows())
@@ -148,7 +148,7 @@
 	if r.shows() != "a b d" {
 		t.Errorf("it has started since: %q", r.shows())
 	}
-	r.MarkDisconnected(SourceDiscovery)
+	r.SetDisconnected(SourceDiscovery)
 	if r.Tick(1e7); r.shows() != "a b d" {
 		t.Errorf("with nobody heard the last one heard leads: %q", r.shows())
 	}
@@ -265,7 +265,7 @@
 				note(u)
 				r.Apply(now, u)
 			case 6:
-				r.MarkDisconnected(SourceRegistry)
+				r.SetDisconnected(SourceRegistry)
 			}
 			for _, e := range r.Members() {
 				if e.Phase == PhaseUp && r.views[SourceRegistry].entries[e.ID].ModRevision < told[e.ID] {
@@ -303,7 +303,7 @@
 			now := float64(step * 20)
 			out := r.Apply(now, u)
 			if rapid.Bool().Draw(t, "breaks") {
-				r.MarkDisconnected(u.Source)
+				r.SetDisconnected(u.Source)
 			}
 			for _, e := range append(out.Changes, r.Tick(now+10).Changes...) {
 				if held[e.ID] = e; e.Phase == PhaseRemoved {
@@ -334,11 +334,11 @@
 	}
 	c.CallEnded(100, CallWatch, CallBroken, true) // a blip: the watch resumes, elsewhere, soon
 	call := c.Next(50, true)
-	if call.Kind != CallWatch || call.Revision != 51 || call.Delay > pauseLeast || call.Endpoint == NewScheduler(SchedulerOptions{Endpoints: 3, Seed: 7}).endpoint {
+	if call.Kind != CallWatch || call.Revision != 51 || call.Delay > minBackoff || call.Endpoint == NewScheduler(SchedulerOptions{Endpoints: 3, Seed: 7}).endpoint {
 		t.Fatalf("resumes with %+v", call)
 	}
 	c.CallEnded(200, CallWatch, CallCompacted, true)
-	if call = c.Next(50, true); call.Kind != CallRead || call.Delay > 500/readsASecond*1000 {
+	if call = c.Next(50, true); call.Kind != CallRead || call.Delay > 500/fleetReadRate*1000 {
 		t.Fatalf("behind compaction: %+v", call)
 	}
 	c.CallEnded(300, CallRead, CallStale, true)
@@ -346,7 +346,7 @@
 		t.Fatalf("behind a lagging read: %+v", call)
 	}
 	c.CallEnded(400, CallRead, CallRejected, false)
-	if call = c.Next(50, true); call.Delay < refusedPause/2 {
+	if call = c.Next(50, true); call.Delay < rejectedDelay/2 {
 		t.Fatalf("refused: %+v", call)
 	}
 	at, calls := 1000.0, 0 // down for an hour: few calls, and never a storm
