--- /dev/null
+++ b/sessionclient/client_test.go
@@ -0,0 +1,177 @@
+package sessionclient
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"slices"
+	"strings"
+	"testing"
+
+	"github.com/coder/websocket"
+)
+
+// edge is a server that takes connections one at a time, for a test that plays its part.
+type edge struct {
+	t     *testing.T
+	conns chan *websocket.Conn
+	query chan string
+}
+
+func newEdge(t *testing.T) (e *edge, addr string) {
+	t.Helper()
+	e = &edge{t, make(chan *websocket.Conn), make(chan string, 9)}
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		e.query <- r.URL.String()
+		c, err := websocket.Accept(w, r, &websocket.AcceptOptions{Subprotocols: []string{subprotocol}})
+		if err != nil {
+			t.Error(err)
+			return
+		}
+		select {
+		case e.conns <- c:
+			<-r.Context().Done()
+		case <-t.Context().Done():
+		}
+	}))
+	t.Cleanup(server.CloseClientConnections)
+	return e, "ws" + strings.TrimPrefix(server.URL, "http")
+}
+
+// accept takes the next connection, whose request is to be this one.
+func (e *edge) accept(want string) *websocket.Conn {
+	e.t.Helper()
+	if got := <-e.query; got != want {
+		e.t.Errorf("the request is %q, not %q", got, want)
+	}
+	return <-e.conns
+}
+
+func (e *edge) send(c *websocket.Conn, text string) {
+	e.t.Helper()
+	if err := c.Write(e.t.Context(), websocket.MessageText, []byte(text)); err != nil {
+		e.t.Fatal(err)
+	}
+}
+
+func (e *edge) expect(c *websocket.Conn, want string) {
+	e.t.Helper()
+	if _, got, err := c.Read(e.t.Context()); err != nil || string(got) != want {
+		e.t.Fatalf("the client sent %q, not %q: %v", got, want, err)
+	}
+}
+
+// A session over two connections, line by line: what has no acknowledgement is sent again, what came before is given
+// once, and an end by the server is told.
+func TestSessionTranscript(t *testing.T) {
+	e, addr := newEdge(t)
+	s := Open(t.Context(), []string{addr}, "", 0)
+	first := e.accept("/session")
+	e.send(first, "s id.secret 0")
+	<-s.Opened()
+	for _, body := range []string{"one", "two"} {
+		if err := s.Send([]byte(body)); err != nil {
+			t.Fatal(err)
+		}
+	}
+	e.expect(first, "m 1 one")
+	e.expect(first, "m 2 two")
+	e.send(first, "m 1 hello there")
+	if got := string(<-s.Messages()); got != "hello there" {
+		t.Errorf("%q came", got)
+	}
+	e.expect(first, "a 1")
+	e.send(first, "a 1")
+	e.send(first, "m 2 more")
+	if got := string(<-s.Messages()); got != "more" {
+		t.Errorf("%q came", got)
+	}
+	e.expect(first, "a 2")
+	if s.Pending() != 1 || s.Connections() != 1 {
+		t.Errorf("%d pending, %d connections", s.Pending(), s.Connections())
+	}
+	_ = first.CloseNow()
+
+	second := e.accept("/session?token=id.secret&got=2")
+	e.send(second, "s id.secret 1")
+	e.expect(second, "m 2 two")
+	e.send(second, "m 2 more") // it has that one
+	e.expect(second, "a 2")
+	e.send(second, "m 3 last")
+	if got := string(<-s.Messages()); got != "last" {
+		t.Errorf("%q came", got)
+	}
+	e.expect(second, "a 3")
+	e.send(second, "a 2")
+	go second.Close(websocket.StatusPolicyViolation, "unknown session")
+	if _, open := <-s.Messages(); open {
+		t.Error("it goes on")
+	}
+	token, got := s.Token()
+	if err := s.Err(); err == nil || !strings.HasPrefix(err.Error(), "the server ended the session: ") ||
+		websocket.CloseStatus(err) != websocket.StatusPolicyViolation {
+		t.Errorf("it ended with %v", err)
+	}
+	if token != "id.secret" || got != 3 || s.Pending() != 0 || s.Connections() != 2 {
+		t.Errorf("%s %d, %d pending, %d connections", token, got, s.Pending(), s.Connections())
+	}
+}
+
+// Another process goes on with a session: what the one before sent is not its own.
+func TestResumedTranscript(t *testing.T) {
+	e, addr := newEdge(t)
+	s := Open(t.Context(), []string{addr}, "id.secret", 7)
+	c := e.accept("/session?token=id.secret&got=7")
+	e.send(c, "s id.secret 4")
+	<-s.Opened()
+	if err := s.Send([]byte("five")); err != nil {
+		t.Fatal(err)
+	}
+	e.expect(c, "m 5 five")
+	s.Close()
+	if err := s.Send(nil); !errors.Is(err, context.Canceled) {
+		t.Errorf("behind the end it sends: %v", err)
+	}
+}
+
+// A producer goes from site to site until one has the message, or says that it never will.
+func TestQueueTranscript(t *testing.T) {
+	var calls []string
+	site := func(name string, statuses ...int) string {
+		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+			body, _ := io.ReadAll(r.Body)
+			calls = append(calls, fmt.Sprint(name, " ", r.Method, " ", r.URL, " ", r.Header.Get("Weirwind-Key"), " ",
+				string(body)))
+			w.WriteHeader(statuses[0])
+			statuses = statuses[1:]
+		}))
+		t.Cleanup(server.Close)
+		return strings.TrimPrefix(server.URL, "http://")
+	}
+	sites := []string{site("a", 404, 202, 413), site("b", 503, 200)}
+	at, err := Queue(t.Context(), sites, 1, "s/1", "k", []byte("body"))
+	if at != 1 || err != nil {
+		t.Errorf("%d %v", at, err)
+	}
+	at, err = Queue(t.Context(), sites, 0, "s", "k", []byte("body"))
+	if at != 0 || err != nil {
+		t.Errorf("%d %v", at, err)
+	}
+	at, err = Queue(t.Context(), sites, at, "s", "k", []byte("body"))
+	if at != 0 || fmt.Sprint(err) != "session s: 413 Request Entity Too Large" {
+		t.Errorf("%d %v", at, err)
+	}
+	want := []string{"b POST /sessions/s%2F1/messages k body", "a POST /sessions/s%2F1/messages k body",
+		"b POST /sessions/s%2F1/messages k body"}
+	if !slices.Equal(calls[:3], want) {
+		t.Errorf("%q", calls)
+	}
+	ended, stop := context.WithCancel(t.Context())
+	stop()
+	if at, err = Queue(ended, sites, 3, "s", "k", nil); at != 1 || !errors.Is(err, context.Canceled) {
+		t.Errorf("%d %v", at, err)
+	}
+}
