--- a/internal/controlplane/calls_golden_test.go
+++ b/internal/controlplane/calls_golden_test.go
@@ -6,14 +6,16 @@
 	"testing"
 	"testing/synctest"
 	"time"
-
-	"weirwind/internal/controlplane/directory"
 )
 
-type member = directory.Member
-
-const twoServices = `{"gen":1,"routes":[{"name":"r","host":"db","type":"primary","timeoutMs":3000,"svc":"s"}],` +
-	`"svcs":[{"name":"s","maxConns":50,"syncN":1},{"name":"n1","maxConns":5}]}`
+// Bodies of calls.
+const (
+	twoServices = `{"gen":1,"routes":[{"name":"r","host":"db","type":"primary","timeoutMs":3000,"svc":"s"}],` +
+		`"svcs":[{"name":"s","maxConns":50,"syncN":1},{"name":"n1","maxConns":5}]}`
+	unknownService = `{"gen":1,"routes":[{"name":"a","host":"h","type":"primary","timeoutMs":9,"svc":"none"}],"svcs":[]}`
+	twoShards      = `{"kind":"found","shards":{"x":"n1","y":"n2"},"nodes":{"n1":{"zone":"z1"},"n2":{"zone":"z2"}}}`
+	siteRenewal    = `{"addr":"10.0.2.1:1","http":"10.0.2.1:2","zone":"z1","region":"r","life":5}`
+)
 
 type httpCall struct {
 	method, path, base, body string
@@ -47,7 +49,7 @@
 			{"POST", "/config/replace", "", twoServices},
 			{"POST", "/config/replace", "x", twoServices},
 			{"POST", "/config/replace", "0", `{`},
-			{"POST", "/config/replace", "0", `{"gen":1,"routes":[{"name":"a","host":"h","type":"primary","timeoutMs":9,"svc":"none"}],"svcs":[]}`},
+			{"POST", "/config/replace", "0", unknownService},
 			{"POST", "/config/replace", "0", twoServices},
 			{"POST", "/config/replace", "0", twoServices},
 			{"POST", "/config/replace", "0", strings.ReplaceAll(twoServices, "3000", "4000")},
@@ -65,14 +67,14 @@
 			{"POST", "/shards", "", `{"kind":"back"}`},
 			{"POST", "/shards", "", `{"kind":"end"}`},
 			{"POST", "/shards", "", `{"kind":"pause"}`},
-			{"POST", "/shards", "", `{"kind":"found","shards":{"x":"n1","y":"n2"},"nodes":{"n1":{"zone":"z1"},"n2":{"zone":"z2"}}}`},
+			{"POST", "/shards", "", twoShards},
 			{"POST", "/shards", "", `{"kind":"plan","base":9}`},
 			{"POST", "/shards", "", `{"kind":"pause","base":1}`},
 			{"GET", "/shards", "", ""},
 			{"POST", "/sites/one/renew", "", `{}`},
 			{"POST", "/sites/one/renew", "", `no`},
-			{"POST", "/sites/one/renew", "", `{"addr":"10.0.2.1:1","http":"10.0.2.1:2","zone":"z1","region":"r","life":5}`},
-			{"POST", "/sites/one/renew", "", `{"addr":"10.0.2.1:1","http":"10.0.2.1:2","zone":"z1","region":"r","life":5}`},
+			{"POST", "/sites/one/renew", "", siteRenewal},
+			{"POST", "/sites/one/renew", "", siteRenewal},
 			{"POST", "/sites/one/drain?epoch=1&pace=0", "", ""},
 			{"POST", "/sites/one/drain?epoch=1&pace=x", "", ""},
 			{"POST", "/sites/one/drain?epoch=1&pace=3", "", ""},
--- a/internal/controlplane/fixture_test.go
+++ b/internal/controlplane/fixture_test.go
@@ -34,6 +34,7 @@
 	"weirwind/internal/controlplane/consensus"
 	"weirwind/internal/controlplane/consensus/store"
 	"weirwind/internal/controlplane/controlmsg"
+	"weirwind/internal/controlplane/directory"
 	"weirwind/internal/util/events"
 	"weirwind/internal/util/settings"
 	"weirwind/internal/util/transport"
@@ -141,8 +142,9 @@
 	t.Helper()
 	host, _, _ := net.SplitHostPort(ctl)
 	name := "core" + host[strings.LastIndexByte(host, '.')+1:]
-	set := &settings.Settings{Hostname: name, ControlAddr: ctl, IP: host, PortRange: [2]int{7100, 7110}, Peers: peers, Bootstrap: true, DataDir: name,
-		HeartbeatInterval: 600 * time.Millisecond, TolerateNodes: (len(peers) - 1) / 2, PlatformAddr: platform}
+	set := &settings.Settings{Hostname: name, ControlAddr: ctl, IP: host, PortRange: [2]int{7100, 7110}, Peers: peers,
+		Bootstrap: true, DataDir: name, HeartbeatInterval: 600 * time.Millisecond, TolerateNodes: (len(peers) - 1) / 2,
+		PlatformAddr: platform}
 	h := newServer(context.Background(), set, events.New(log, name))
 	for _, p := range peers { // links to them are the test's to make
 		if p != ctl {
@@ -250,7 +252,7 @@
 	}
 	if f.Update != nil && f.Update.Members != nil {
 		ms := f.Update.Members
-		slices.SortFunc(ms, func(a, b member) int { return strings.Compare(a.ID, b.ID) })
+		slices.SortFunc(ms, func(a, b directory.Member) int { return strings.Compare(a.ID, b.ID) })
 		raw, _ = cbor.Marshal(&f)
 	}
 	if len(raw) <= 100 {
@@ -262,7 +264,8 @@
 }
 
 // call puts an HTTP call to a server in process, and records it with its answer.
-func call(record *transcript, h *Server, method, path string, header map[string]string, body string) *httptest.ResponseRecorder {
+func call(record *transcript, h *Server, method, path string, header map[string]string,
+	body string) *httptest.ResponseRecorder {
 	r := httptest.NewRequest(method, path, strings.NewReader(body))
 	for k, v := range header {
 		r.Header.Set(k, v)
@@ -277,13 +280,14 @@
 	headers := map[string][]string(w.Header())
 	for _, k := range slices.Sorted(maps.Keys(headers)) {
 		value := strings.Join(headers[k], " | ")
-		if age, err := strconv.Atoi(value); k == headerContactAgeMs && err == nil && age >= 0 && age <= consensus.ContactLease {
+		age, err := strconv.Atoi(value)
+		if k == headerContactAgeMs && err == nil && age >= 0 && age <= consensus.ContactLease {
 			value = "(age)" // the call itself may have the loop renew the contact, before or after it is read
 		}
 		fmt.Fprintf(&out, "  %s: %s\n", k, value)
 	}
 	answer := w.Body.String()
-	if path == "/shards" { // the leader is left out of it where the loop answers before the tables do: which comes first is not fixed
+	if path == "/shards" { // a known fault: the leader is lost where the loop answers before the soft state does
 		answer = strings.Replace(answer, `"leader":"`+h.settings.ControlAddr+`"`, `"leader":""`, 1)
 	}
 	fmt.Fprintf(&out, "  %q", answer)
@@ -294,6 +298,7 @@
 
 // heartbeat puts a member's heartbeat.
 func heartbeat(h *Server, id, svc, addr, role, state string, seq int) int {
-	body := fmt.Sprintf(`{"svc":%q,"addr":%q,"zone":"z1","gen":"g","slots":4,"state":%q,"dbRole":%q,"seq":%d}`, svc, addr, state, role, seq)
+	body := fmt.Sprintf(`{"svc":%q,"addr":%q,"zone":"z1","gen":"g","slots":4,"state":%q,"dbRole":%q,"seq":%d}`,
+		svc, addr, state, role, seq)
 	return call(nil, h, http.MethodPost, "/members/"+id+"/heartbeat", nil, body).Code
 }
--- a/internal/controlplane/platform_test.go
+++ b/internal/controlplane/platform_test.go
@@ -45,7 +45,8 @@
 	}()
 	failed := 0
 	for range 10 {
-		resp, err := platformClient.Post("http://"+ln.Addr().String()+"/failover", "application/json", strings.NewReader(`{"svc":"s","id":"a"}`))
+		body := strings.NewReader(`{"svc":"s","id":"a"}`)
+		resp, err := platformClient.Post("http://"+ln.Addr().String()+"/failover", "application/json", body)
 		if err != nil {
 			failed++
 			continue
@@ -53,6 +54,7 @@
 		resp.Body.Close()
 	}
 	if calls.Load() != 10 || conns.Load() != 10 || failed != 5 {
-		t.Errorf("10 calls, of which 5 lost their answers: %d came, over %d connections, %d failed", calls.Load(), conns.Load(), failed)
+		t.Errorf("10 calls, of which 5 lost their answers: %d came, over %d connections, %d failed",
+			calls.Load(), conns.Load(), failed)
 	}
 }
--- a/internal/controlplane/resets_test.go
+++ b/internal/controlplane/resets_test.go
@@ -83,7 +83,8 @@
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	again := transport.Backoff{Initial: time.Millisecond, Max: time.Millisecond, DialTimeout: transport.DialTimeout}
-	go transport.KeepConnected(ctx, relay.Addr(), again, func(l *link) { p.set(l) }, func(l *link, f *controlmsg.Frame) { p.pending.answer(l, f.Response) },
+	go transport.KeepConnected(ctx, relay.Addr(), again, func(l *link) { p.set(l) },
+		func(l *link, f *controlmsg.Frame) { p.pending.answer(l, f.Response) },
 		func() { p.pending.failLink(p.set(nil)) })
 
 	const callers, each = 8, 150
