--- a/internal/controlplane/agentlinks.go
+++ b/internal/controlplane/agentlinks.go
@@ -83,7 +83,7 @@
 	s.addDirectory(update, &r.Digest, &own, agent, first, now)
 	f := &controlmsg.Frame{Update: update}
 	if now < ms(recoveryPeriod) && r.Digest.MembersHash != own.MembersHash {
-		// What was lost here is known to those who were notified, tombstones included.
+		// A restarted machine's agents know the members that it had before, tombstones included: it asks for them.
 		f.Digest = &controlmsg.StateDigest{ConfigVersion: r.Digest.ConfigVersion, MembersHash: own.MembersHash, NoReply: true}
 	}
 	l.Send(f)
--- a/internal/controlplane/contact.go
+++ b/internal/controlplane/contact.go
@@ -16,7 +16,7 @@
 // at once, so that they look for another.
 
 // contactClock passes the moment of the newest contact with a quorum, in ms, from the consensus loop to all others. A
-// loop that hangs, say on its disk, renews nothing, and the contact ages. Any goroutine may use it.
+// loop that hangs, as on its disk, renews nothing, and the contact ages. Any goroutine may use it.
 type contactClock struct{ bits atomic.Uint64 }
 
 func (c *contactClock) set(at float64) { c.bits.Store(math.Float64bits(at)) }
@@ -38,7 +38,7 @@
 	return true
 }
 
-// setContactHeader says how old the contact is for an answer that this machine gives from its own knowledge.
+// setContactHeader adds the age of the contact to an answer that this machine gives from its own knowledge.
 func (h *Server) setContactHeader(w http.ResponseWriter) {
 	w.Header().Set(headerContactAgeMs, strconv.FormatFloat(math.Ceil(h.contactAge()), 'f', 0, 64))
 }
@@ -65,8 +65,9 @@
 	s.agents.notify(&controlmsg.StateUpdate{QuorumContactAgeMs: &age})
 }
 
-// directoryComplete says that what other core machines know has arrived for a whole lease of contact. Before that
-// silence proves nothing: neither a member nor a driver expires, and a list of drivers is not given out as complete.
+// directoryComplete reports whether contact has lasted for a full driver lease, so that what other core machines know
+// has arrived. Before that silence proves nothing: neither a member nor a driver expires, and a list of drivers is
+// not given out as complete.
 func (s *softState) directoryComplete(now float64) bool {
 	return s.contact.established && now-s.contact.since >= ms(driverLeaseDuration)
 }
--- a/internal/controlplane/corelinks.go
+++ b/internal/controlplane/corelinks.go
@@ -18,7 +18,7 @@
 // coreLinks are this machine's links to the other machines of the core. Any goroutine may use them.
 //
 // Each pair of machines dials both ways. A machine sends over the link that it dialled itself, or, while that is
-// down, over the one on which the peer was heard last.
+// down, over the one on which the peer sent its last consensus message.
 type coreLinks struct {
 	server *Server
 
@@ -30,7 +30,7 @@
 // coreLink is the two links between this machine and another one.
 type coreLink struct {
 	dialled  *link // nil while it is down
-	accepted *link // on which the peer was heard last: it may be up while dialled is still down
+	accepted *link // on which the peer sent its last consensus message: it may be up while dialled is still down
 }
 
 func newCoreLinks(h *Server) *coreLinks {
@@ -72,7 +72,7 @@
 	return previous
 }
 
-// noteSender notes on which link a core machine was heard, and connects to one that was unknown.
+// noteSender records the link on which a core machine sent a message, and connects to one that was unknown.
 func (c *coreLinks) noteSender(controlAddr string, l *link) {
 	c.connect(controlAddr)
 	c.mu.Lock()
--- a/internal/controlplane/doc.go
+++ b/internal/controlplane/doc.go
@@ -26,7 +26,7 @@
 // bounded by a timeout; its result comes back as a command. A result that outlives the lead it was of is dropped by
 // what it belongs to.
 //
-// All of them end with the context that Run is given. The loop ends last: it hands the lead on first.
+// All of them end with the context that Run is given. The loop ends last: the node first transfers its leadership.
 //
 // # The way of a change of the configuration
 //
@@ -36,8 +36,8 @@
 //  1. Request: configResource.change reads it, and Server.submit begins. A machine without contact with a quorum
 //     answers 503 at once.
 //  2. Forwarded: Server.route runs in the loop. Where this machine leads the request goes to its own orders; else
-//     over a link to the leader, as a controlmsg.Request, and pendingCalls keeps who waits for the response. Without
-//     a known leader the attempt is repeated for leaderTimeout.
+//     over a link to the leader, as a controlmsg.Request, and pendingCalls keeps the caller that waits for the
+//     response. Without a known leader the attempt is repeated for leaderTimeout.
 //  3. Queued: consensusLoop.submit gives it to package orders at the leader.
 //  4. Proposed: consensusLoop.decideOrders has it evaluated on the committed state. One that is rejected is answered
 //     once a quorum has confirmed the leader; one that applies is proposed as the next entry.
@@ -46,16 +46,16 @@
 //  6. Notified: on each machine that learns of the commit, takeCommitted reads the new state and
 //     softState.applyCommitted takes it and notifies the agents that are linked there, which notify their proxies.
 //     Agents that miss it are found by the digest in their next lease renewal.
-//  7. Acknowledged: at the leader, orders answers the request behind the commit. The response goes back the way the
+//  7. Acknowledged: at the leader, orders answers the request after the commit. The response goes back the way the
 //     request came, and the operator is answered 200. The answer waits for the commit only, not for agents.
 //
 // # Contact
 //
 // A machine is in contact while a quorum has confirmed within consensus.ContactLease that it takes part, directly or
 // through the leader. Without contact it goes on accepting heartbeats and renewals, but acknowledges none with 200,
-// decides and forwards no request, tells its agents to look for another machine, and lets neither members nor drivers
-// expire (contact.go). Views that it gives all the same bear the contact's age in a header (/sites, /shards), or
-// describe the machine alone (/status, /events).
+// decides and forwards no request, notifies its agents, which look for another machine, and lets neither members nor
+// drivers expire (contact.go). Views that it gives all the same bear the contact's age in a header (/sites, /shards),
+// or describe the machine alone (/status, /events).
 //
 // # Errors
 //
--- a/internal/controlplane/driverleases.go
+++ b/internal/controlplane/driverleases.go
@@ -36,7 +36,7 @@
 		log: log, agents: agents}
 }
 
-// renew grants or prolongs a driver's lease. It says whether the list of drivers changed.
+// renew grants or prolongs a driver's lease. It reports whether the list of drivers changed.
 func (d *driverLeases) renew(driver directory.Driver, now float64) bool {
 	if !d.table.Renew(driver, now+ms(driverLeaseDuration)) {
 		return false
--- a/internal/controlplane/errors.go
+++ b/internal/controlplane/errors.go
@@ -8,8 +8,8 @@
 	"weirwind/internal/controlplane/orders"
 )
 
-// Why a call has no result. The texts are the callers' answers. What becomes of a request once the leader decides it
-// is told by the errors of packages orders and config, which map them to statuses of their own.
+// Why a call has no result. The texts are the callers' answers. Why the leader rejects a request stands in the errors
+// of packages orders and config, with statuses of their own.
 var (
 	// errNoContact is a call to a machine without contact with a quorum: another one may answer at once.
 	errNoContact = errors.New("this machine is out of contact with the core's majority; ask another")
@@ -39,7 +39,7 @@
 // Unwrap gives the reader's error.
 func (e *bodyError) Unwrap() error { return e.Err }
 
-// statusNotLeader is said between core machines only: the request was not decided where it was sent.
+// statusNotLeader is sent between core machines only: the request was not decided where it was sent.
 const statusNotLeader = http.StatusMisdirectedRequest
 
 // statusOf maps an error to the HTTP status of its answer, for all calls. A body that came too slowly is not rejected
@@ -84,10 +84,10 @@
 	return answer{status: statusOf(err), body: []byte(err.Error() + "\n")}
 }
 
-// undecided says that the request was not decided where it was sent, and another machine may decide it.
+// undecided reports whether the request was not decided where it was sent, and another machine may decide it.
 func (a answer) undecided() bool { return a.status == statusNotLeader }
 
-// forCaller gives the answer as callers see it, who know nothing of statusNotLeader: it is one on which they retry.
+// forCaller gives the answer as callers see it: statusNotLeader is 503 to them, on which they retry.
 func (a answer) forCaller() answer {
 	if a.undecided() {
 		a.status = http.StatusServiceUnavailable
--- a/internal/controlplane/failovers.go
+++ b/internal/controlplane/failovers.go
@@ -20,7 +20,7 @@
 	minDirectoryIntervals = 4
 	reportMaxAgeMs        = 1500.0 // of what drivers report of a primary
 	voterSilentMs         = 1000.0 // after which another machine of the core counts as silent
-	// uncertainForMs is for how long members may be unknown after a silent machine is heard again, or after this one
+	// uncertainForMs is for how long members may be unknown after a silent machine sends again, or after this one
 	// began to lead.
 	uncertainForMs = 3000.0
 )
@@ -39,8 +39,6 @@
 	// platformCalls counts the calls of this lead: with the term it makes a fencing token that is never used twice.
 	platformCalls uint64
 
-	members *memberClient
-
 	// voterSilent is whether another machine of the core is silent: members may send their heartbeats to it.
 	voterSilent          bool
 	voterSilentChangedAt float64
@@ -54,22 +52,21 @@
 
 func newFailovers(owner *softState) failovers {
 	return failovers{owner: owner, controllers: map[string]*failover.Controller{},
-		reports: map[string]map[string]primaryReport{}, members: newMemberClient()}
+		reports: map[string]map[string]primaryReport{}}
 }
 
 // reset forgets what an earlier lead knew.
 func (f *failovers) reset() {
 	f.controllers, f.reports = map[string]*failover.Controller{}, map[string]map[string]primaryReport{}
 	f.platformCalls = 0
-	f.members.closeAll()
 }
 
-// setVoterSilent notes that another machine of the core fell silent, or that all are heard again.
+// setVoterSilent notes that another machine of the core fell silent, or that none is silent any more.
 func (f *failovers) setVoterSilent(silent bool, now float64) {
 	f.voterSilent, f.voterSilentChangedAt = silent, now
 }
 
-// membershipUncertain says whether there may be live members that this leader has not heard of.
+// membershipUncertain reports whether there may be live members that this leader does not know.
 func (f *failovers) membershipUncertain(now float64) bool {
 	return f.voterSilent || now-max(f.voterSilentChangedAt, f.owner.leadership.since) < uncertainForMs
 }
@@ -101,7 +98,7 @@
 	byDriver[r.Driver] = primaryReport{report: *r, receivedAt: now}
 }
 
-// stepFailovers steps each service's controller with what is known now, and the roster behind them.
+// stepFailovers steps each service's controller with what is known now, and then the roster.
 func (s *softState) stepFailovers(now float64) {
 	heartbeatInterval := ms(s.server.settings.HeartbeatInterval)
 	if s.config == nil || now < max(ms(minDirectoryAge), minDirectoryIntervals*heartbeatInterval) {
@@ -209,7 +206,7 @@
 	statement string) {
 	s := f.owner
 	sentAt := s.server.now()
-	status, refused, err := f.members.queryStatus(member, statement)
+	status, refused, err := s.memberClient.queryStatus(member, statement)
 	s.do(func() {
 		if err != nil {
 			c.HandleStatusFailure(member.ID, refused)
@@ -219,7 +216,7 @@
 	})
 }
 
-// promote has the platform make a member the primary, and its controller told the result.
+// promote has the platform make a member the primary, and gives the controller the result.
 func (f *failovers) promote(c *failover.Controller, service, id string, fence uint64) {
 	s := f.owner
 	h := s.server
--- a/internal/controlplane/forward.go
+++ b/internal/controlplane/forward.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// effectOf says which requests can be retried as they were: reads, and changes that are recognized among those that
+// effectOf tells which requests can be retried as they were: reads, and changes that are recognized among those that
 // were applied.
 func effectOf(r *controlmsg.Request) idempotency.Kind {
 	if r.ShardChange != nil || r.SiteChange != nil || r.SiteLease != nil {
--- a/internal/controlplane/loop.go
+++ b/internal/controlplane/loop.go
@@ -26,7 +26,7 @@
 const (
 	heartbeatInterval = 200 * time.Millisecond
 	electionTimeout   = 900 * time.Millisecond
-	// removeAfter is when a silent voter may be removed: before a leader that hears no quorum steps down, at twice the
+	// removeAfter is when a silent voter may be removed: before a leader without a quorum steps down, at twice the
 	// timeout.
 	removeAfter        = electionTimeout * 7 / 4
 	consensusTick      = 50 * time.Millisecond
@@ -45,7 +45,7 @@
 // consensusLoop owns the consensus node, its disk and the queue of orders. One goroutine, run, touches them; others
 // send it commands through do.
 //
-// The loop never says anything that the disk doesn't hold yet. Each turn takes all commands that have arrived, ticks
+// The loop sends nothing that the disk doesn't hold yet. Each turn takes all commands that have arrived, ticks
 // the node, and flushes: sync the hard state, then send the messages that follow from it, take what became committed,
 // and decide orders, until nothing more follows. Commands that arrived together thus share one sync. A disk that
 // hangs holds up this loop, and so the contact's renewal, but not the soft state: heartbeats and driver leases go on.
@@ -133,8 +133,8 @@
 // call runs a command in the loop and waits until it has run, as softState.call does.
 func (c *consensusLoop) call(command func()) error { return callOwner(c.server, c.queue, command) }
 
-// run is the owner's goroutine. When ctx ends the node first leaves in order: it hands its lead on, and asks to be
-// removed from the voters where enough others vote. Behind a failure it says nothing more.
+// run is the owner's goroutine. When ctx ends the node first leaves in order: it transfers its leadership, and asks
+// to be removed from the voters where enough others vote. After a failure it sends nothing more.
 func (c *consensusLoop) run(ctx context.Context) {
 	tick := time.NewTicker(consensusTick)
 	defer tick.Stop()
@@ -213,7 +213,7 @@
 	return true
 }
 
-// handleDiskFailure ends the process where the disk fails too often, or in a way behind which nothing can be written
+// handleDiskFailure ends the process where the disk fails too often, or in a way after which nothing can be written
 // any more.
 func (c *consensusLoop) handleDiskFailure(err error) {
 	c.diskFailures++
@@ -299,8 +299,8 @@
 	s.do(func() { s.setLeadership(established, term) })
 }
 
-// notifyContact renews the machine's contact, behind all that the soft state was notified of before: who reads it
-// finds what it vouches for.
+// notifyContact renews the machine's contact, after all that the soft state was notified of before: a reader of the
+// contact finds what it vouches for.
 func (c *consensusLoop) notifyContact() {
 	at := c.node.LastContact()
 	if at == c.notifiedContact {
--- a/internal/controlplane/membership.go
+++ b/internal/controlplane/membership.go
@@ -28,7 +28,7 @@
 	// pendingRecords are the ids of members whose records are published at the next tick, as they are by then. When many
 	// members start, each agent is sent a frame a tick, not one for each of them.
 	pendingRecords map[string]bool
-	// drainingSince is when each member that drains was heard to, until its drain takes effect at drivers.
+	// drainingSince is when each leaving member was first known to leave, until its drain takes effect at drivers.
 	drainingSince map[string]float64
 
 	heartbeatInterval float64 // of a member, in ms
--- a/internal/controlplane/peerexchange.go
+++ b/internal/controlplane/peerexchange.go
@@ -45,7 +45,7 @@
 }
 
 // sendDigest sends what this machine has, in short, where that is due, and the leases of the drivers that renew at it:
-// each machine speaks for its own.
+// each machine reports its own.
 func (s *softState) sendDigest(now float64) {
 	if now < s.peers.nextDigestAt {
 		return
--- a/internal/controlplane/pending_test.go
+++ b/internal/controlplane/pending_test.go
@@ -11,9 +11,9 @@
 )
 
 // Calls over several links, of which each ends and comes again, and answers that come late, twice, over another link
-// or from another life of this process: each caller gets its own answer, or one that says that none came; once. Point
-// 5: it fails with the link left out of callID, with numbers that begin at nought in each life, and with answer not
-// forgetting.
+// or from another incarnation of this process: each caller gets its own answer, or one that says that none came;
+// once. It fails with the link left out of callID, with numbers that begin at nought in each incarnation, and with
+// answer not forgetting.
 func TestAnswersFindTheirCallers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type call struct {
@@ -26,7 +26,7 @@
 		p := newPendingCalls(start)
 		links := []*link{{}, {}, {}}
 		var calls []*call
-		var wire []callID // answers under way, from any life
+		var wire []callID // answers under way, from any incarnation
 		body := func(id callID) string { return fmt.Sprintf("%p %d", id.link, id.number) }
 		look := func() {
 			for _, c := range calls {
@@ -66,7 +66,7 @@
 					}
 				}
 			case 6:
-				if rapid.Bool().Draw(t, "again") { // another life of this process, over the same links as far as anybody can tell
+				if rapid.Bool().Draw(t, "again") { // another incarnation of this process, over the same links as far as anybody can tell
 					for _, c := range calls {
 						c.over = true
 					}
--- a/internal/controlplane/platform_test.go
+++ b/internal/controlplane/platform_test.go
@@ -10,7 +10,7 @@
 )
 
 // A platform that takes a call, and then ends the connection without an answer, was asked once: the client puts no
-// call again, and none over a connection that rested. Point 5: it fails with kept connections, which end unseen as
+// call again, and none over an idle connection. It fails with kept connections, which end unseen as
 // they rest.
 func TestPlatformIsAskedOnce(t *testing.T) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
--- a/internal/controlplane/resets_test.go
+++ b/internal/controlplane/resets_test.go
@@ -48,7 +48,7 @@
 	p.mu.Lock()
 	l, up := p.link, p.up
 	p.mu.Unlock()
-	if l == nil || !l.Up() { // as linkTo does: a call is put on a link that stands
+	if l == nil || !l.Up() { // as linkTo does: a call is put on a link that is up
 		<-up
 		return nil, false
 	}
@@ -64,7 +64,7 @@
 }
 
 // Calls between machines of the core over links that are reset at drawn bytes, half written frames among them: each
-// ends with its own answer or with none that is clear, and runs once at most. Point 5: it fails where a link that
+// ends with its own answer or with none that is clear, and runs once at most. It fails where a link that
 // ends leaves its calls waiting (failLink).
 func TestCallsOverLinksThatAreReset(t *testing.T) {
 	p := &peers{pending: newPendingCalls(time.Now()), up: make(chan struct{}), runs: map[uint64]int{}}
--- a/internal/controlplane/restarts_golden_test.go
+++ b/internal/controlplane/restarts_golden_test.go
@@ -9,8 +9,9 @@
 	"weirwind/internal/controlplane/directory"
 )
 
-// Members whose count of heartbeats starts again, sooner and later than an incarnation may; members that join one after another,
-// whose proposals of a roster share an interval; an agent's first renewal at a machine without contact.
+// Members whose count of heartbeats starts again, sooner and later than an incarnation may; members that join one
+// after another, whose proposals of a roster share an interval; an agent's first renewal at a machine without
+// contact.
 func TestRestartsKeepTheirFrames(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		record := newTranscript()
--- a/internal/controlplane/roster.go
+++ b/internal/controlplane/roster.go
@@ -35,7 +35,7 @@
 }
 
 // absent gives the members on the roster of a service to which no question can be put. One of which nothing is known
-// has ended once it was silent, as far as this leader can tell, for as long as a known one may be.
+// has ended once it was silent, as far as this leader knows, for as long as a known one may be.
 func (r *rosterTracker) absent(service string, now float64) (out []failover.Member) {
 	s := r.owner
 	for _, id := range s.committed.Roster[service] {
@@ -90,7 +90,7 @@
 }
 
 // proposeRoster proposes a change of the roster on top of the newest committed state, unless an entry is in flight:
-// then the soft state asks again.
+// then the soft state repeats the change.
 func (c *consensusLoop) proposeRoster(change config.RosterChange) {
 	entry, committed := c.node.Committed()
 	upToDate := committed && c.committed != nil && c.applied == entryIDOf(&entry)
@@ -124,7 +124,7 @@
 	return out
 }
 
-// watchVoters notifies the soft state when another machine of the core falls silent, and when all are heard again.
+// watchVoters notifies the soft state when another machine of the core falls silent, and when none is silent any more.
 func (c *consensusLoop) watchVoters() {
 	silent := slices.ContainsFunc(c.node.PeerStatuses(c.server.now()), func(p consensus.PeerStatus) bool {
 		return p.Silent < 0 || p.Silent > voterSilentMs
--- a/internal/controlplane/routes.go
+++ b/internal/controlplane/routes.go
@@ -6,6 +6,16 @@
 	"weirwind/internal/session/sites"
 )
 
+// Headers of calls, and their values.
+const (
+	headerContentType  = "Content-Type"
+	headerBaseVersion  = "Weirwind-Base-Version"   // of an operator's change: the version that it is built on
+	headerContactAgeMs = "Weirwind-Contact-Age-Ms" // of what a machine answers from its own knowledge
+
+	contentTypeJSON = "application/json"
+	contentTypeText = "text/plain; charset=utf-8"
+)
+
 // routes gives the HTTP calls of members, sites and operators: one handler object for each resource.
 func (h *Server) routes() http.Handler {
 	mux := http.NewServeMux()
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -21,17 +21,12 @@
 
 // Bounds of HTTP calls.
 const (
-	readHeaderTimeout  = 3 * time.Second
-	readTimeout        = 10 * time.Second
-	connIdleTimeout    = 30 * time.Second
-	maxHeaderBytes     = 16 << 10
-	maxHeartbeatBytes  = 4 << 10 // body of a member's heartbeat or of a site's renewal
-	maxOperatorBytes   = 4 << 20 // body of an operator's change
-	contentTypeJSON    = "application/json"
-	contentTypeText    = "text/plain; charset=utf-8"
-	headerContentType  = "Content-Type"
-	headerBaseVersion  = "Weirwind-Base-Version"
-	headerContactAgeMs = "Weirwind-Contact-Age-Ms" // age of what a machine answers from its own knowledge
+	readHeaderTimeout = 3 * time.Second
+	readTimeout       = 10 * time.Second
+	connIdleTimeout   = 30 * time.Second
+	maxHeaderBytes    = 16 << 10
+	maxHeartbeatBytes = 4 << 10 // body of a member's heartbeat or of a site's renewal
+	maxOperatorBytes  = 4 << 20 // body of an operator's change
 )
 
 // link is a connection to another process of the system.
--- a/internal/controlplane/shardmoves.go
+++ b/internal/controlplane/shardmoves.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// nodeMembers gives the member that answers for each node: the primary of the service of its name, the last heard of
-// several.
+// nodeMembers gives the member that answers for each node: the primary of the service of its name, the one with the
+// newest heartbeat of several.
 func (s *softState) nodeMembers(now float64) map[string]directory.Member {
 	nodes := map[string]directory.Member{}
 	age := func(m directory.Member) float64 { return s.members.table.HeartbeatAge(m.ID, now) }
@@ -141,7 +141,7 @@
 
 // request puts an action to a node.
 func (m *shardMoves) request(rb *shardmap.Rebalancer, node directory.Member, action shardmap.Action, statement string) {
-	rows, err := m.owner.failovers.members.query(node, statement, time.Now().Add(nodeTimeout))
+	rows, err := m.owner.memberClient.query(node, statement, time.Now().Add(nodeTimeout))
 	var refusal *memberconn.MemberError
 	switch {
 	case errors.As(err, &refusal):
@@ -153,10 +153,10 @@
 	}
 }
 
-// requestReport asks a node what it holds.
+// requestReport requests a node's report.
 func (m *shardMoves) requestReport(rb *shardmap.Rebalancer, member directory.Member, node, statement string,
 	sentAt float64) {
-	rows, err := m.owner.failovers.members.query(member, statement, time.Now().Add(nodeTimeout))
+	rows, err := m.owner.memberClient.query(member, statement, time.Now().Add(nodeTimeout))
 	m.owner.do(func() {
 		report, ok := shardmap.ParseReport(rows)
 		if m.rebalancer == rb {
@@ -176,7 +176,7 @@
 	})
 }
 
-// shardsView is what GET /shards answers, but for who leads.
+// shardsView is the body of GET /shards but for the leader.
 func (s *softState) shardsView() ShardsView {
 	view := ShardsView{Leading: s.leadership.active}
 	if s.committed != nil {
--- a/internal/controlplane/shardsresource.go
+++ b/internal/controlplane/shardsresource.go
@@ -41,7 +41,7 @@
 	writeAnswer(w, s.h.submit(controlmsg.Request{ShardChange: &change}), contentTypeText)
 }
 
-// show asks both owners at once: the loop for the leader, the soft state for all else.
+// show queries both owners at once: the loop for the leader, the soft state for all else.
 //
 // A known fault, kept until it is mended with a test of its own: where the loop answers first, the leader is lost, as
 // the right side of the assignment is evaluated before the left one is set.
--- a/internal/controlplane/state.go
+++ b/internal/controlplane/state.go
@@ -11,14 +11,14 @@
 // Times of the soft state.
 const (
 	tickInterval = 50 * time.Millisecond
-	// recoveryPeriod is for how long after its start a machine asks agents for the members that it lacks.
+	// recoveryPeriod is for how long after its start a machine requests from agents the members that it lacks.
 	recoveryPeriod   = 20 * time.Second
 	maxStateCommands = 1024 // commands that wait for the owner before their senders wait
 )
 
 // softState owns what a machine learns from others and keeps in memory only, and what it does as the leader. One
 // goroutine, run, touches it; others send it commands through do. A restarted machine learns it anew: members and
-// drivers repeat their heartbeats and renewals, and other machines tell what they know.
+// drivers repeat their heartbeats and renewals, and other machines send what they know.
 //
 // Each concern is a type of its own, in the file of its name. What involves several of them is a method of softState.
 type softState struct {
@@ -41,6 +41,8 @@
 	roster     rosterTracker
 	shardMoves shardMoves
 	siteLeases siteLeases
+
+	memberClient *memberClient // for the questions of failovers and shardMoves
 }
 
 // leadership is whether this machine leads the core, as the consensus loop notified last.
@@ -58,7 +60,7 @@
 }
 
 func newSoftState(h *Server) *softState {
-	s := &softState{server: h, queue: commandqueue.New(h.ctx, maxStateCommands)}
+	s := &softState{server: h, queue: commandqueue.New(h.ctx, maxStateCommands), memberClient: newMemberClient()}
 	s.agents = newAgentLinks()
 	s.peers = newPeerExchange(h.cores)
 	s.members = newMembership(h.log, ms(h.settings.HeartbeatInterval), &s.agents, &s.peers)
@@ -125,6 +127,7 @@
 // forgotten: another machine may have led since.
 func (s *softState) setLeadership(active bool, term uint64) {
 	s.leadership = leadership{active: active, term: term, since: s.server.now()}
+	s.memberClient.closeAll()
 	s.failovers.reset()
 	s.roster.reset()
 	s.shardMoves.reset()
--- a/internal/controlplane/status.go
+++ b/internal/controlplane/status.go
@@ -96,7 +96,7 @@
 	return out
 }
 
-// ServeHTTP asks the two owners for their parts.
+// ServeHTTP has the two owners fill in their parts.
 func (r *statusResource) ServeHTTP(w http.ResponseWriter, request *http.Request) {
 	brief := request.URL.Query().Get("brief") != ""
 	h := r.h
