--- a/internal/roster/golden_test.go
+++ b/internal/roster/golden_test.go
@@ -8,14 +8,14 @@
 	"testing"
 )
 
-// Recorded from the code as it was before its names and shape changed; a change of any decision, of its order or of a note's text
-// changes them.
+// Recorded from the code as it was before its names and shape changed; a change of any decision, of its order or of
+// a note's text changes them.
 const (
 	wantRoster    uint64 = 0xe3238b3740cfd2ab
-	wantBars      uint64 = 0x2eeeafb63d860a97
-	wantCourse    uint64 = 0x8c04bb05174cda47
+	wantEviction  uint64 = 0x2eeeafb63d860a97
+	wantScheduler uint64 = 0x8c04bb05174cda47
 	wantPresence  uint64 = 0x51d32e5bfd0cda00
-	wantFellows   uint64 = 0x841b5a16a0fb4677
+	wantPeers     uint64 = 0x841b5a16a0fb4677
 	memberCount          = 7
 	recordedSeeds        = 150
 )
@@ -27,7 +27,7 @@
 	}
 }
 
-// Sources that speak, break, lag, lose members, begin new epochs, and tell revisions in parts and bad entries.
+// Sources that connect, disconnect, lag, lose members, begin epochs, and send fragments and invalid entries.
 func TestRosterAsRecorded(t *testing.T) {
 	h := fnv.New64a()
 	for seed := range uint64(recordedSeeds) {
@@ -104,13 +104,14 @@
 		u.Entries = append(u.Entries, e)
 	}
 	if r.IntN(8) == 0 {
-		u.Invalid = append(u.Invalid, InvalidEntry{ID: fmt.Sprint("m", r.IntN(memberCount)), Reason: "no address", Phase: Phase(r.IntN(3))})
+		id := fmt.Sprint("m", r.IntN(memberCount))
+		u.Invalid = append(u.Invalid, InvalidEntry{ID: id, Reason: "no address", Phase: Phase(r.IntN(3))})
 	}
 	return u
 }
 
-// More members than are remembered are told gone: the oldest are forgotten.
-func TestForgettingAsRecorded(t *testing.T) {
+// More members are removed than there may be tombstones: the oldest are evicted.
+func TestEvictionAsRecorded(t *testing.T) {
 	h := fnv.New64a()
 	roster := New(Options{Preferred: SourceRegistry})
 	roster.Apply(0, Update{Source: SourceRegistry, Epoch: "e", Revision: 1, Snapshot: true})
@@ -126,18 +127,21 @@
 		u.Entries = append(u.Entries, Entry{ID: fmt.Sprint(i, "-", i), Address: "x", ModRevision: 1})
 	}
 	fmt.Fprintln(h, roster.Apply(1e8, u))
-	u = Update{Source: SourceRegistry, Epoch: "f", Revision: 101, PreviousRevision: 100, Fragment: true, Entries: make([]Entry, 200001)}
+	u = Update{Source: SourceRegistry, Epoch: "f", Revision: 101, PreviousRevision: 100, Fragment: true}
+	u.Entries = make([]Entry, 200001)
 	fmt.Fprintln(h, roster.Apply(1e8, u)) // more than is kept of one revision
 	u.Fragment, u.Entries = false, nil
 	fmt.Fprintln(h, roster.Apply(1e8, u))
-	check(t, h.Sum64(), wantBars)
+	check(t, h.Sum64(), wantEviction)
 }
 
-func TestCourseAsRecorded(t *testing.T) {
+func TestSchedulerAsRecorded(t *testing.T) {
 	h := fnv.New64a()
 	for seed := range uint64(recordedSeeds) {
 		r := rand.New(rand.NewPCG(seed, 12))
-		c := NewScheduler(SchedulerOptions{Endpoints: r.IntN(5), Drivers: r.IntN(900), Seed: seed, ResyncInterval: float64(r.IntN(2)) * 20000})
+		options := SchedulerOptions{Endpoints: r.IntN(5), Drivers: r.IntN(900), Seed: seed}
+		options.ResyncInterval = float64(r.IntN(2)) * 20000
+		c := NewScheduler(options)
 		now := 0.0
 		for range 120 {
 			call := c.Next(int64(r.IntN(100)), r.IntN(5) > 0)
@@ -154,7 +158,7 @@
 			}
 		}
 	}
-	check(t, h.Sum64(), wantCourse)
+	check(t, h.Sum64(), wantScheduler)
 }
 
 func TestPresenceAsRecorded(t *testing.T) {
@@ -181,7 +185,7 @@
 	check(t, h.Sum64(), wantPresence)
 }
 
-func TestFellowsAsRecorded(t *testing.T) {
+func TestPeersAsRecorded(t *testing.T) {
 	h := fnv.New64a()
 	for seed := range uint64(recordedSeeds) {
 		r := rand.New(rand.NewPCG(seed, 14))
@@ -203,5 +207,5 @@
 			fmt.Fprintln(h, fell, back, len(f.lastMessage))
 		}
 	}
-	check(t, h.Sum64(), wantFellows)
+	check(t, h.Sum64(), wantPeers)
 }
