--- a/sessionclient/queue.go
+++ b/sessionclient/queue.go
@@ -1,6 +1,6 @@
 package sessionclient
 
-// This file owns a producer's side: a message queued for a session, at whichever site is its home.
+// This file owns a producer's side: a message queued for a session, at whichever site owns it.
 
 import (
 	"bytes"
@@ -12,35 +12,55 @@
 	"time"
 )
 
-const askAgain = 15 * time.Millisecond
+const (
+	queueInterval = 15 * time.Millisecond // between attempts
+	queueTimeout  = 3 * time.Second       // of an attempt
+)
+
+var producer = http.Client{Timeout: queueTimeout}
+
+// RejectedError is a site's answer that a message never will be queued.
+type RejectedError struct {
+	Session string
+	Status  string // HTTP's
+}
 
-var producer = http.Client{Timeout: 3 * time.Second}
+// Error gives the session and the status.
+func (e *RejectedError) Error() string { return fmt.Sprintf("session %s: %s", e.Session, e.Status) }
 
-// Queue queues a message for a session at one of the sites ("host:port"), trying first the one at index from, and again
-// under the same key until a site says that home and copies hold it, that they never will (an error), or ctx ends (an
-// error: it may be queued). It gives the index of the site that answered, to begin with next time.
+// Queue queues a message for a session at one of the sites ("host:port"), trying first the one at index from, and
+// again under the same key, which makes the attempts idempotent, until a site says that the session's owner and
+// replicas have it, or that they never will (a *RejectedError), or ctx ends (its error: the message may be queued).
+// It gives the index of the site that answered, to begin with next time.
 func Queue(ctx context.Context, sites []string, from int, session, key string, body []byte) (at int, err error) {
 	for at = from; ; at++ {
-		req, err := http.NewRequestWithContext(ctx, http.MethodPost,
-			"http://"+sites[at%len(sites)]+"/sessions/"+url.PathEscape(session)+"/messages", bytes.NewReader(body))
+		request, err := newQueueRequest(ctx, sites[at%len(sites)], session, key, body)
 		if err != nil {
 			return at, err
 		}
-		req.Header.Set("Weirwind-Key", key)
-		if resp, err := producer.Do(req); err == nil {
-			_, _ = io.Copy(io.Discard, resp.Body)
-			resp.Body.Close()
-			switch resp.StatusCode {
+		if response, err := producer.Do(request); err == nil {
+			_, _ = io.Copy(io.Discard, response.Body)
+			_ = response.Body.Close()
+			switch response.StatusCode {
 			case http.StatusOK, http.StatusAccepted:
 				return at % len(sites), nil
 			case http.StatusBadRequest, http.StatusRequestEntityTooLarge:
-				return at % len(sites), fmt.Errorf("session %s: %s", session, resp.Status)
+				return at % len(sites), &RejectedError{session, response.Status}
 			}
 		}
 		select {
-		case <-time.After(askAgain):
+		case <-time.After(queueInterval):
 		case <-ctx.Done():
 			return at % len(sites), ctx.Err()
 		}
 	}
 }
+
+func newQueueRequest(ctx context.Context, site, session, key string, body []byte) (*http.Request, error) {
+	address := "http://" + site + "/sessions/" + url.PathEscape(session) + "/messages"
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, address, bytes.NewReader(body))
+	if err == nil {
+		request.Header.Set("Weirwind-Key", key)
+	}
+	return request, err
+}
