--- a/internal/controlplane/doc.go
+++ b/internal/controlplane/doc.go
@@ -23,8 +23,8 @@
 // members). contactClock is a single atomic number.
 //
 // Whatever takes time, as a question to a member or a call to the platform, runs in a goroutine of its own that is
-// bounded by a timeout; its result comes back as a command. A result that outlives the lead it was of is dropped by
-// what it belongs to.
+// bounded by a timeout; its result comes back as a command. A result of an earlier lead reaches the controller of
+// that lead, which takes no more steps, or is dropped.
 //
 // All of them end with the context that Run is given. The loop ends last: the node first transfers its leadership.
 //
@@ -52,10 +52,10 @@
 // # Contact
 //
 // A machine is in contact while a quorum has confirmed within consensus.ContactLease that it takes part, directly or
-// through the leader. Without contact it goes on accepting heartbeats and renewals, but acknowledges none with 200,
-// decides and forwards no request, notifies its agents, which look for another machine, and lets neither members nor
-// drivers expire (contact.go). Views that it gives all the same bear the contact's age in a header (/sites, /shards),
-// or describe the machine alone (/status, /events).
+// through the leader. Without contact it goes on accepting heartbeats and renewals, but answers members 503, decides
+// and forwards no request of its own callers, notifies its agents, which look for another machine, and lets neither
+// members nor drivers expire (contact.go). Views that it gives all the same bear the contact's age in a header
+// (/sites, /shards), or describe the machine alone (/status, /events).
 //
 // # Errors
 //
--- a/internal/controlplane/failovers.go
+++ b/internal/controlplane/failovers.go
@@ -36,7 +36,7 @@
 
 	controllers map[string]*failover.Controller     // by service
 	reports     map[string]map[string]primaryReport // by service and driver
-	// platformCalls counts the calls of this lead: with the term it makes a fencing token that is never used twice.
+	// platformCalls counts the calls of this lead, for their fencing tokens.
 	platformCalls uint64
 
 	// voterSilent is whether another machine of the core is silent: members may send their heartbeats to it.
@@ -72,7 +72,8 @@
 }
 
 // nextFence gives a fencing token higher than that of every call before it, of this leader and of earlier ones: a
-// call that arrives late is refused by the platform once a later one was seen.
+// call that arrives late is refused by the platform once a later one was seen. The count within a lead saturates,
+// after 65,535 calls, rather than reach into the term.
 func (f *failovers) nextFence() uint64 {
 	f.platformCalls++
 	return f.owner.leadership.term<<fenceCallBits | min(f.platformCalls, 1<<fenceCallBits-1)
--- a/internal/controlplane/loop.go
+++ b/internal/controlplane/loop.go
@@ -60,14 +60,14 @@
 	close  context.CancelFunc // of the queue: it outlives the process's context until the node has left
 	orders *orders.Queue
 
-	committed       *config.State // newest that is known committed; nil: none
-	applied         entryID       // the entry that committed was read from
-	notifiedVersion uint64        // newest configuration that the soft state was notified of
-	notifiedContact float64       // newest contact that the soft state was notified of
-	established     bool          // this machine leads and may decide, as the soft state was notified last
-	leader          consensus.Voter
-	voterSilent     bool   // another machine of the core is silent, as the soft state was notified last
-	voters          string // ids, as logged last
+	committed       *config.State   // newest that is known committed; nil: none
+	applied         entryID         // the entry that committed was read from
+	notifiedVersion uint64          // newest configuration that the soft state was notified of
+	notifiedContact float64         // newest contact that the soft state was notified of
+	established     bool            // this machine leads and may decide, as the soft state was notified last
+	leader          consensus.Voter // that is followed, or this machine; the zero value: none
+	voterSilent     bool            // another machine of the core is silent, as the soft state was notified last
+	voters          string          // ids, as logged last
 
 	diskFailures int // in a row
 	syncs        uint64
