--- a/internal/benchwire/benchwire.go
+++ b/internal/benchwire/benchwire.go
@@ -179,15 +179,20 @@
 	if s.at == nil {
 		return fmt.Errorf("%s before any TARGET_INSTANCE", f.name)
 	}
+	s.queue(ev)
+	return nil
+}
+
+// queue puts an event before the instance that the batch is at.
+func (s *server) queue(ev logic.Event) {
 	if s.at.driver == nil {
-		return nil // what is in flight toward an instance that was killed
+		return // what is in flight toward an instance that was killed
 	}
 	s.at.events = append(s.at.events, ev)
 	if !s.at.queued {
 		s.at.queued = true
 		s.batch = append(s.batch, s.at)
 	}
-	return nil
 }
 
 // open reads OPEN_INSTANCE: the instance begins anew.
--- a/internal/driver/op.go
+++ b/internal/driver/op.go
@@ -98,15 +98,7 @@
 		for _, a := range orders {
 			switch a.Kind {
 			case logic.ActSend:
-				s, n := v.members.send(a.Member, &o.statement, duration(a.Wait)), len(sends)
-				if v.decide.ages(o) {
-					s.writeBy = a.at.Add(slack)
-				}
-				sends = append(sends, s)
-				v.group.Go(func() error {
-					v.decide.answered(o, n, s.run())
-					return nil
-				})
+				sends = append(sends, v.send(o, a, len(sends)))
 			case logic.ActCancel:
 				if s := sends[a.Send]; a.Wait > 0 {
 					time.AfterFunc(duration(a.Wait), s.cancel)
@@ -142,6 +134,19 @@
 	}
 }
 
+// send begins the op's n-th send; what comes of it goes to the decider.
+func (v *Service) send(o *op, a order, n int) *send {
+	s := v.members.send(a.Member, &o.statement, duration(a.Wait))
+	if v.decide.ages(o) {
+		s.writeBy = a.at.Add(slack)
+	}
+	v.group.Go(func() error {
+		v.decide.answered(o, n, s.run())
+		return nil
+	})
+	return s
+}
+
 var repeated = pgwire.AppendReady(pgwire.AppendError(nil, "ERROR", pgwire.CodeProtocol, "an op of this id is open", ""))
 
 var failed = pgwire.AppendReady(pgwire.AppendError(nil, "ERROR", pgwire.CodeFailed,
--- a/internal/lab/emulator/lanes.go
+++ b/internal/lab/emulator/lanes.go
@@ -167,20 +167,7 @@
 func (c *clock) run(until float64, each func(now float64) bool) {
 	var helpers sync.WaitGroup
 	for _, k := range c.cores[1:] {
-		helpers.Go(func() {
-			for phase := uint64(1); ; phase++ {
-				for spins := 0; k.begins.Load() < phase; spins++ {
-					if spins > 200 {
-						runtime.Gosched()
-					}
-				}
-				if c.over.Load() {
-					return
-				}
-				k.work(phase)
-				c.done.Add(1)
-			}
-		})
+		helpers.Go(func() { c.help(k) })
 	}
 	all := func(work func(*core)) {
 		c.phase++
@@ -222,6 +209,22 @@
 	}
 }
 
+// help works on a core of its own in each phase, until the play is over.
+func (c *clock) help(k *core) {
+	for phase := uint64(1); ; phase++ {
+		for spins := 0; k.begins.Load() < phase; spins++ {
+			if spins > 200 {
+				runtime.Gosched()
+			}
+		}
+		if c.over.Load() {
+			return
+		}
+		k.work(phase)
+		c.done.Add(1)
+	}
+}
+
 func (k *core) work(phase uint64) {
 	if phase%2 == 1 {
 		k.collect()
--- a/internal/lab/emulator/policies.go
+++ b/internal/lab/emulator/policies.go
@@ -44,15 +44,7 @@
 		ev := &events[i]
 		switch ev.Kind {
 		case logic.EvMembers:
-			for _, e := range ev.Members {
-				if _, known := b.group[e.Member]; !known {
-					b.members[e.Group] = append(b.members[e.Group], e.Member)
-					b.group[e.Member] = e.Group
-				}
-				if b.drains[e.Member] = e.Phase != logic.Ready; e.Primary {
-					b.primary[e.Group] = e.Member
-				}
-			}
+			b.update(ev.Members)
 		case logic.EvOp:
 			to := b.choose(ev)
 			if to == "" {
@@ -85,6 +77,19 @@
 	return b.out
 }
 
+// update takes a list of members.
+func (b *baseline) update(members []logic.ListEntry) {
+	for _, e := range members {
+		if _, known := b.group[e.Member]; !known {
+			b.members[e.Group] = append(b.members[e.Group], e.Member)
+			b.group[e.Member] = e.Group
+		}
+		if b.drains[e.Member] = e.Phase != logic.Ready; e.Primary {
+			b.primary[e.Group] = e.Member
+		}
+	}
+}
+
 func (b *baseline) choose(ev *logic.Event) string {
 	var can []string
 	for _, m := range b.members[ev.Group] {
--- a/internal/lab/experiment/report.go
+++ b/internal/lab/experiment/report.go
@@ -139,122 +139,138 @@
 		func(s *Second) float64 { return s.Held }, 0},
 }
 
-// draws makes all panels of rows.
-func draws(rows []Run) ([]section, error) {
-	var variants []string
-	for i := range rows {
-		if !slices.Contains(variants, rows[i].Variant) {
-			variants = append(variants, rows[i].Variant)
-		}
-	}
-	var all []section
-	cells := sizes(rows)
-	in := func(c cell, v string) []Run {
-		return slices.DeleteFunc(slices.Clone(rows), func(r Run) bool {
-			return r.cell() != c || r.Variant != v
-		})
-	}
-	title := func(c cell) string { return fmt.Sprintf("%s: %d drivers, load %g", c.experiment, c.drivers, c.load) }
-	label := func(kind string, c cell) string {
-		return fmt.Sprintf("%s-%s-%d-%g", kind, c.experiment, c.drivers, c.load)
-	}
-	// each makes a section with a panel a cell, lines by variant, and one scale for all.
-	each := func(kind, name, note, x, y string, most float64, add func(p *plot.Plot, n int, rows []Run,
-		v string) error) error {
-		s := section{Title: name, Note: note}
-		for _, c := range cells {
-			p := newPlot(title(c), x, y)
-			for n, v := range variants {
-				if some := in(c, v); len(some) > 0 {
-					if err := add(p, n, some, v); err != nil {
-						return err
-					}
+// drawing is rows taken apart by size and variant, and the sections that were drawn of them.
+type drawing struct {
+	rows     []Run
+	cells    []cell
+	variants []string
+	sections []section
+}
+
+// in are the rows of a variant at a size.
+func (d *drawing) in(c cell, variant string) []Run {
+	return slices.DeleteFunc(slices.Clone(d.rows), func(r Run) bool {
+		return r.cell() != c || r.Variant != variant
+	})
+}
+
+func (c cell) title() string {
+	return fmt.Sprintf("%s: %d drivers, load %g", c.experiment, c.drivers, c.load)
+}
+
+func (c cell) label(kind string) string {
+	return fmt.Sprintf("%s-%s-%d-%g", kind, c.experiment, c.drivers, c.load)
+}
+
+// chart is how a section is drawn: a panel a cell, lines by variant, and one scale for all.
+type chart struct {
+	kind, title, note, x, y string
+	most                    float64 // of the y axis; 0: what there is
+	add                     func(p *plot.Plot, n int, rows []Run, variant string) error
+}
+
+// draw adds a section.
+func (d *drawing) draw(h chart) error {
+	s := section{Title: h.title, Note: h.note}
+	for _, c := range d.cells {
+		p := newPlot(c.title(), h.x, h.y)
+		for n, v := range d.variants {
+			if some := d.in(c, v); len(some) > 0 {
+				if err := h.add(p, n, some, v); err != nil {
+					return err
 				}
 			}
-			s.panels = append(s.panels, panel{label(kind, c), p})
 		}
-		high := most
-		for _, p := range s.panels {
-			if most == 0 && !math.IsInf(p.plot.Y.Max, 0) {
-				high = max(high, p.plot.Y.Max*1.15)
-			}
+		s.panels = append(s.panels, panel{c.label(h.kind), p})
+	}
+	high := h.most
+	for _, p := range s.panels {
+		if h.most == 0 && !math.IsInf(p.plot.Y.Max, 0) {
+			high = max(high, p.plot.Y.Max*1.15)
 		}
-		for _, p := range s.panels {
-			p.plot.Y.Min, p.plot.Y.Max = 0, max(high, 1e-3)
+	}
+	for _, p := range s.panels {
+		p.plot.Y.Min, p.plot.Y.Max = 0, max(high, 1e-3)
+	}
+	d.sections = append(d.sections, s)
+	return nil
+}
+
+// draws makes all panels of rows: outcomes, courses over time, latencies, load by member.
+func draws(rows []Run) ([]section, error) {
+	d := &drawing{rows: rows, cells: sizes(rows)}
+	for i := range rows {
+		if !slices.Contains(d.variants, rows[i].Variant) {
+			d.variants = append(d.variants, rows[i].Variant)
 		}
-		all = append(all, s)
-		return nil
 	}
+	var charts []chart
 	for _, c := range courses {
-		err := each(c.name, c.title, c.note, "second", c.y, c.most, func(p *plot.Plot, n int, rows []Run, v string) error {
-			return Line(p, n, v, overTime(rows, c.of))
-		})
-		if err != nil {
+		charts = append(charts, chart{c.name, c.title, c.note, "second", c.y, c.most,
+			func(p *plot.Plot, n int, rows []Run, v string) error { return Line(p, n, v, overTime(rows, c.of)) }})
+	}
+	charts = append(charts,
+		chart{"latency", "Latency of acked ops", "From a client's first try; the axis counts nines.", "quantile", "ms", 0,
+			addLatency},
+		chart{"members", "Load by member", "Share of its cores' time that each member was busy, the busiest first.", "member",
+			"share", 0, addMembers})
+	for _, h := range charts {
+		if err := d.draw(h); err != nil {
 			return nil, err
 		}
 	}
-	err := each("latency", "Latency of acked ops", "From a client's first try; the axis counts nines.", "quantile", "ms",
-		0, func(p *plot.Plot, n int, rows []Run, v string) error {
-			h, err := merged(rows)
-			if err != nil || h.TotalCount() == 0 {
-				return err
-			}
-			var xy plotter.XYs
-			for nines := 0.0; nines <= 4; nines += 0.05 {
-				xy = append(xy, plotter.XY{X: nines, Y: float64(h.ValueAtQuantile(100*(1-math.Pow(10, -nines)))) / 1000})
-			}
-			p.X.Tick.Marker = plot.ConstantTicks([]plot.Tick{{Value: 0, Label: "0"}, {Value: 1, Label: "0.9"},
-				{Value: 2, Label: "0.99"}, {Value: 3, Label: "0.999"}, {Value: 4, Label: "0.9999"}})
-			p.Legend.Left = true
-			return Line(p, n, v, xy)
-		})
-	if err != nil {
-		return nil, err
+	outcomes, err := d.outcomes()
+	return append([]section{outcomes}, d.sections...), err
+}
+
+// addLatency draws the quantiles of a variant's acked ops.
+func addLatency(p *plot.Plot, n int, rows []Run, variant string) error {
+	h, err := merged(rows)
+	if err != nil || h.TotalCount() == 0 {
+		return err
 	}
-	err = each("members", "Load by member", "Share of its cores' time that each member was busy, the busiest first.",
-		"member", "share", 0, func(p *plot.Plot, n int, rows []Run, v string) error {
-			busy := make([]float64, len(rows[0].Members))
-			for i := range rows {
-				for k, m := range rows[i].Members {
-					busy[k] += m.Busy / float64(len(rows))
-				}
-			}
-			if len(busy) < 2 {
-				return nil
-			}
-			slices.SortFunc(busy, func(a, b float64) int { return int(math.Copysign(1, b-a)) })
-			var xy plotter.XYs
-			for i, x := range busy {
-				xy = append(xy, plotter.XY{X: float64(i + 1), Y: x})
-			}
-			return Line(p, n, v, xy)
-		})
-	if err != nil {
-		return nil, err
+	var xy plotter.XYs
+	for nines := 0.0; nines <= 4; nines += 0.05 {
+		xy = append(xy, plotter.XY{X: nines, Y: float64(h.ValueAtQuantile(100*(1-math.Pow(10, -nines)))) / 1000})
 	}
-	outcomes, err := outcomes(cells, variants, in, title, label)
-	return append([]section{outcomes}, all...), err
+	p.X.Tick.Marker = plot.ConstantTicks([]plot.Tick{{Value: 0, Label: "0"}, {Value: 1, Label: "0.9"},
+		{Value: 2, Label: "0.99"}, {Value: 3, Label: "0.999"}, {Value: 4, Label: "0.9999"}})
+	p.Legend.Left = true
+	return Line(p, n, variant, xy)
+}
+
+// addMembers draws how busy members were, the mean over a variant's seeds.
+func addMembers(p *plot.Plot, n int, rows []Run, variant string) error {
+	busy := make([]float64, len(rows[0].Members))
+	for i := range rows {
+		for k, m := range rows[i].Members {
+			busy[k] += m.Busy / float64(len(rows))
+		}
+	}
+	if len(busy) < 2 {
+		return nil
+	}
+	slices.SortFunc(busy, func(a, b float64) int { return int(math.Copysign(1, b-a)) })
+	var xy plotter.XYs
+	for i, x := range busy {
+		xy = append(xy, plotter.XY{X: float64(i + 1), Y: x})
+	}
+	return Line(p, n, variant, xy)
 }
 
 // outcomes are stacked bars, a panel a cell: what came of ops' tries, variant by variant.
-func outcomes(
-	cells []cell,
-	variants []string,
-	in func(cell, string) []Run,
-	title func(cell) string,
-	label func(string, cell) string,
-) (section, error) {
+func (d *drawing) outcomes() (section, error) {
 	s := section{Title: "Outcomes", Note: "Of all tries: acked in time, acked late, refused, failed."}
 	names := []string{"in time", "late", "refused", "failed"}
 	shades := []color.Color{color.RGBA{0, 158, 115, 255}, color.RGBA{240, 228, 66, 255}, color.RGBA{86, 180, 233, 255},
 		color.RGBA{213, 94, 0, 255}}
-	for _, c := range cells {
-		p := newPlot(title(c), "", "share of tries")
+	for _, c := range d.cells {
+		p := newPlot(c.title(), "", "share of tries")
 		values := make([]plotter.Values, 4)
-		for _, v := range variants {
+		for _, v := range d.variants {
 			var n [4]float64
 			all := 1e-9
-			for _, r := range in(c, v) {
+			for _, r := range d.in(c, v) {
 				for _, t := range r.Types {
 					for i, x := range [4]int64{t.InTime, t.Acked - t.InTime, t.Refused, t.Failed} {
 						n[i], all = n[i]+float64(x), all+float64(x)
@@ -267,7 +283,7 @@
 		}
 		var below *plotter.BarChart
 		for i := range values {
-			bars, err := plotter.NewBarChart(values[i], vg.Points(200/float64(len(variants))))
+			bars, err := plotter.NewBarChart(values[i], vg.Points(200/float64(len(d.variants))))
 			if err != nil {
 				return s, err
 			}
@@ -279,9 +295,9 @@
 			p.Legend.Add(names[i], bars)
 			below = bars
 		}
-		p.NominalX(variants...)
+		p.NominalX(d.variants...)
 		p.Y.Min, p.Y.Max = 0, 1.35
-		s.panels = append(s.panels, panel{label("outcomes", c), p})
+		s.panels = append(s.panels, panel{c.label("outcomes"), p})
 	}
 	return s, nil
 }
@@ -312,37 +328,56 @@
 	if err != nil {
 		return err
 	}
-	type shown struct {
-		Title, Note string
-		Pictures    []template.HTML
-	}
-	data := struct {
-		Title    string
-		Notes    []string
-		Head     []string
-		Table    [][]string
-		Sections []shown
-		Text     string
-	}{Title: title, Notes: notes, Text: text, Head: []string{"run"}}
+	data := pageData{Title: title, Notes: notes, Text: text, Head: []string{"run"}, Table: table(rows)}
 	for _, s := range sections {
-		x := shown{Title: s.Title, Note: s.Note}
-		for i := range s.panels {
-			picture, err := s.panels[i].svg()
-			if err != nil {
-				return err
-			}
-			x.Pictures = append(x.Pictures, picture)
-			if pngs != "" {
-				if err := s.panels[i].png(pngs); err != nil {
-					return err
-				}
-			}
+		x, err := s.show(pngs)
+		if err != nil {
+			return err
 		}
 		data.Sections = append(data.Sections, x)
 	}
 	for _, m := range Measures {
 		data.Head = append(data.Head, m.Name)
 	}
+	return page.Execute(out, data)
+}
+
+// pageData is what the page's template takes.
+type pageData struct {
+	Title    string
+	Notes    []string
+	Head     []string
+	Table    [][]string
+	Sections []shown
+	Text     string
+}
+
+// shown is a section with its pictures drawn.
+type shown struct {
+	Title, Note string
+	Pictures    []template.HTML
+}
+
+// show draws a section's pictures; with a folder, there as PNG too.
+func (s *section) show(pngs string) (shown, error) {
+	x := shown{Title: s.Title, Note: s.Note}
+	for i := range s.panels {
+		picture, err := s.panels[i].svg()
+		if err != nil {
+			return x, err
+		}
+		x.Pictures = append(x.Pictures, picture)
+		if pngs != "" {
+			if err := s.panels[i].png(pngs); err != nil {
+				return x, err
+			}
+		}
+	}
+	return x, nil
+}
+
+// table is a line for each variant at each size: every measure's mean over seeds, and half its interval.
+func table(rows []Run) (lines [][]string) {
 	for _, c := range sizes(rows) {
 		seen := map[string]bool{}
 		for _, r := range rows {
@@ -352,21 +387,25 @@
 			seen[r.Variant] = true
 			line := []string{fmt.Sprintf("%s, %d drivers, load %g: %s", c.experiment, c.drivers, c.load, r.Variant)}
 			for _, m := range Measures {
-				var values []float64
-				for i := range rows {
-					if x := &rows[i]; x.cell() == c && x.Variant == r.Variant {
-						values = append(values, m.Of(x))
-					}
-				}
-				mean, half := Interval(values)
-				cell := fmt.Sprintf("%.4g", mean)
-				if !math.IsInf(half, 0) {
-					cell += fmt.Sprintf(" ± %.2g", half)
-				}
-				line = append(line, cell)
+				line = append(line, measured(rows, c, r.Variant, m))
 			}
-			data.Table = append(data.Table, line)
+			lines = append(lines, line)
 		}
 	}
-	return page.Execute(out, data)
+	return lines
+}
+
+func measured(rows []Run, c cell, variant string, m Measure) string {
+	var values []float64
+	for i := range rows {
+		if x := &rows[i]; x.cell() == c && x.Variant == variant {
+			values = append(values, m.Of(x))
+		}
+	}
+	mean, half := Interval(values)
+	text := fmt.Sprintf("%.4g", mean)
+	if !math.IsInf(half, 0) {
+		text += fmt.Sprintf(" ± %.2g", half)
+	}
+	return text
 }
--- a/internal/lab/experiment/scenario.go
+++ b/internal/lab/experiment/scenario.go
@@ -114,7 +114,8 @@
 	}
 	var plans []Plan
 	seen := map[string]bool{}
-	for _, e := range f.Experiments {
+	for i := range f.Experiments {
+		e := &f.Experiments[i]
 		base, known := scenarios[e.Scenario]
 		if !known || len(e.Variants) == 0 || seen[e.Name] || e.Seeds < 0 || e.Seeds > 1000 {
 			return nil, fmt.Errorf(
@@ -124,30 +125,34 @@
 			)
 		}
 		seen[e.Name] = true
-		if len(e.Drivers) == 0 {
-			e.Drivers = []int{base.Drivers}
-		}
-		if len(e.Loads) == 0 {
-			e.Loads = []float64{base.Load}
+		some, err := e.plans(base)
+		if err != nil {
+			return nil, fmt.Errorf("%s: %w", name, err)
 		}
-		for _, drivers := range e.Drivers {
-			for _, load := range e.Loads {
-				for seed := range max(e.Seeds, 1) {
-					for _, v := range e.Variants {
-						s := base
-						s.Drivers, s.Load, s.Seed, s.Policy = drivers, load, uint64(seed+1), cmp.Or(v.Policy, "module")
-						if v.Retries != nil {
-							s.Retries = *v.Retries
-						}
-						s.NoAdvice = v.Advice != nil && !*v.Advice
-						s.Messages, s.NoProbes = v.Messages, v.Probes != nil && !*v.Probes
-						more, err := faults(v.Faults)
-						s.Faults = append(append([]emulator.Fault{}, base.Faults...), more...)
-						if err = cmp.Or(err, s.Check()); err != nil {
-							return nil, fmt.Errorf("%s: experiment %q, variant %q: %w", name, e.Name, v.Name, err)
-						}
-						plans = append(plans, Plan{e.Name, e.Scenario, v.Name, s})
+		plans = append(plans, some...)
+	}
+	return plans, nil
+}
+
+// plans are an experiment's runs of a scenario: each number of drivers with each load, seed and variant.
+func (e *Experiment) plans(base emulator.Setup) (plans []Plan, err error) {
+	sizes, loads := e.Drivers, e.Loads
+	if len(sizes) == 0 {
+		sizes = []int{base.Drivers}
+	}
+	if len(loads) == 0 {
+		loads = []float64{base.Load}
+	}
+	for _, drivers := range sizes {
+		for _, load := range loads {
+			for seed := range max(e.Seeds, 1) {
+				for i := range e.Variants {
+					v, s := &e.Variants[i], base
+					s.Drivers, s.Load, s.Seed = drivers, load, uint64(seed+1)
+					if err := v.change(&s); err != nil {
+						return nil, fmt.Errorf("experiment %q, variant %q: %w", e.Name, v.Name, err)
 					}
+					plans = append(plans, Plan{e.Name, e.Scenario, v.Name, s})
 				}
 			}
 		}
@@ -155,6 +160,19 @@
 	return plans, nil
 }
 
+// change puts what a variant has of its own into a setup.
+func (v *variant) change(s *emulator.Setup) error {
+	s.Policy = cmp.Or(v.Policy, "module")
+	if v.Retries != nil {
+		s.Retries = *v.Retries
+	}
+	s.NoAdvice = v.Advice != nil && !*v.Advice
+	s.Messages, s.NoProbes = v.Messages, v.Probes != nil && !*v.Probes
+	more, err := faults(v.Faults)
+	s.Faults = append(append([]emulator.Fault{}, s.Faults...), more...)
+	return cmp.Or(err, s.Check())
+}
+
 var (
 	needs = map[string]logic.Need{"any": logic.Any, "bounded": logic.Bounded, "session": logic.Session,
 		"fresh": logic.Fresh, "write": logic.Write}
--- a/internal/lab/fleet/script.go
+++ b/internal/lab/fleet/script.go
@@ -182,65 +182,15 @@
 	if err := f.StartAll(); err != nil {
 		return nil, err
 	}
-	began := time.Now()
-	now := func() float64 { return time.Since(began).Seconds() }
-	said := make([]history, len(f.Drivers))
-	for i := range said {
-		said[i] = history{}
+	p := &performance{script: s, fleet: f, out: out, began: time.Now(), killed: map[string]float64{}}
+	for range f.Drivers {
+		p.said = append(p.said, history{})
 	}
-	var mu sync.Mutex
-	killed := map[string]float64{} // since when, of those that not all know of
-	look := func() {
-		var each sync.WaitGroup
-		unknown := map[string]bool{}
-		for i, d := range f.Drivers {
-			each.Go(func() {
-				st, err := d.Status()
-				mu.Lock()
-				defer mu.Unlock()
-				if err != nil {
-					said[i].say(now(), "", "silent")
-					return
-				}
-				said[i].say(now(), "", st.Partition.String())
-				for _, v := range st.Drivers {
-					if v.State != membership.Failed {
-						unknown[v.Name] = true
-					}
-					what := v.State.String()
-					if v.State == membership.Alive && !v.Reachable {
-						what = "unheard"
-					}
-					said[i].say(now(), v.Name, what)
-				}
-			})
-		}
-		each.Wait()
-		for name, at := range killed {
-			if !unknown[name] {
-				fmt.Fprintf(out, "%6.1fs all know that %s failed, %.2f s after the kill\n", now(), name, now()-at)
-				delete(killed, name)
-			}
-		}
-	}
-	next := 0
-	var steps []span
-	for ctx.Err() == nil && time.Since(began) < s.end {
-		for next < len(s.Steps) && time.Since(began) >= s.Steps[next].at {
-			p := &s.Steps[next]
-			next++
-			fmt.Fprintf(out, "%6.1fs %s\n", now(), p)
-			steps = append(steps, span{now(), 0, p.String()})
-			for _, i := range p.Drivers {
-				if p.What == "kill" {
-					killed[f.Drivers[i].Name] = now()
-				}
-			}
-			if err := p.do(f); err != nil {
-				return nil, err
-			}
+	for ctx.Err() == nil && time.Since(p.began) < s.end {
+		if err := p.steps(); err != nil {
+			return nil, err
 		}
-		look()
+		p.look()
 		select {
 		case <-ctx.Done():
 		case <-time.After(s.period / 4):
@@ -248,12 +198,84 @@
 	}
 	for i, d := range f.Drivers {
 		var text []string
-		for _, p := range said[i][""] {
-			text = append(text, fmt.Sprintf("%.1fs %s", p.From, p.What))
+		for _, x := range p.said[i][""] {
+			text = append(text, fmt.Sprintf("%.1fs %s", x.From, x.What))
 		}
 		fmt.Fprintf(out, "%s: %s\n", d.Name, strings.Join(text, ", "))
 	}
-	return draw(f, said, steps, now())
+	return draw(f, p.said, p.taken, p.now())
+}
+
+// performance is a script while it is played.
+type performance struct {
+	script *Script
+	fleet  *Fleet
+	out    io.Writer
+	began  time.Time
+
+	next   int                // of the script's steps
+	taken  []span             // those that were carried out
+	killed map[string]float64 // since when, of those that not all know of
+
+	mu   sync.Mutex
+	said []history // by driver
+}
+
+// now is the time since the begin, in seconds.
+func (p *performance) now() float64 { return time.Since(p.began).Seconds() }
+
+// steps carries out what is due.
+func (p *performance) steps() error {
+	for p.next < len(p.script.Steps) && time.Since(p.began) >= p.script.Steps[p.next].at {
+		step := &p.script.Steps[p.next]
+		p.next++
+		fmt.Fprintf(p.out, "%6.1fs %s\n", p.now(), step)
+		p.taken = append(p.taken, span{p.now(), 0, step.String()})
+		for _, i := range step.Drivers {
+			if step.What == "kill" {
+				p.killed[p.fleet.Drivers[i].Name] = p.now()
+			}
+		}
+		if err := step.do(p.fleet); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// look asks all drivers for their view, and says which of the killed all know of.
+func (p *performance) look() {
+	var each sync.WaitGroup
+	unknown := map[string]bool{}
+	for i, d := range p.fleet.Drivers {
+		each.Go(func() {
+			st, err := d.Status()
+			p.mu.Lock()
+			defer p.mu.Unlock()
+			if err != nil {
+				p.said[i].say(p.now(), "", "silent")
+				return
+			}
+			p.said[i].say(p.now(), "", st.Partition.String())
+			for _, v := range st.Drivers {
+				if v.State != membership.Failed {
+					unknown[v.Name] = true
+				}
+				what := v.State.String()
+				if v.State == membership.Alive && !v.Reachable {
+					what = "unheard"
+				}
+				p.said[i].say(p.now(), v.Name, what)
+			}
+		})
+	}
+	each.Wait()
+	for name, at := range p.killed {
+		if !unknown[name] {
+			fmt.Fprintf(p.out, "%6.1fs all know that %s failed, %.2f s after the kill\n", p.now(), name, p.now()-at)
+			delete(p.killed, name)
+		}
+	}
 }
 
 var colours = map[string]string{"alive": "#4a9", "whole": "#4a9", "larger": "#8c6", "suspect": "#fc5", "unsure": "#fc5",
--- a/internal/lab/hollow/hollow.go
+++ b/internal/lab/hollow/hollow.go
@@ -391,6 +391,23 @@
 	return all, nil
 }
 
+// add counts n into the sum of a link, a direction and a purpose; sign is 1, or the -1 of two's complement.
+func add(sums map[[3]string]transport.Count, key [3]string, sign uint64, n transport.Count) {
+	sum := sums[key]
+	sums[key] = transport.Count{Frames: sum.Frames + sign*n.Frames, Bytes: sum.Bytes + sign*n.Bytes}
+}
+
+func (s *Sample) addTraffic(sums map[[3]string]transport.Count, sign uint64) {
+	for link, t := range s.Traffic {
+		for purpose, n := range t.Sent {
+			add(sums, [3]string{link, "sent", purpose}, sign, n)
+		}
+		for purpose, n := range t.Received {
+			add(sums, [3]string{link, "received", purpose}, sign, n)
+		}
+	}
+}
+
 // account makes rows of two samples.
 func (p *play) account(
 	phase string,
@@ -419,21 +436,11 @@
 				if sign > 0 {
 					used.Memory += s.Memory
 				}
-				for link, t := range s.Traffic {
-					for direction, counts := range map[string]map[string]transport.Count{"sent": t.Sent, "received": t.Received} {
-						for purpose, n := range counts {
-							key, sum := [3]string{link, direction, purpose}, sums[[3]string{link, direction, purpose}]
-							sums[key] = transport.Count{Frames: sum.Frames + uint64(sign)*n.Frames, Bytes: sum.Bytes + uint64(sign)*n.Bytes}
-						}
-					}
-				}
-				for direction, n := range map[string]int64{"sent": s.Sent, "received": s.Back} {
-					if role == "members" {
-						key, sum := [3]string{"http", direction, "heartbeats"}, sums[[3]string{"http", direction, "heartbeats"}]
-						sums[key] = transport.Count{
-							Frames: sum.Frames + uint64(sign)*uint64(s.Beats),
-							Bytes:  sum.Bytes + uint64(sign)*uint64(n),
-						}
+				s.addTraffic(sums, uint64(sign))
+				if role == "members" {
+					for direction, n := range map[string]int64{"sent": s.Sent, "received": s.Back} {
+						add(sums, [3]string{"http", direction, "heartbeats"}, uint64(sign),
+							transport.Count{Frames: uint64(s.Beats), Bytes: uint64(n)})
 					}
 				}
 			}
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -84,18 +84,11 @@
 	if l.Slack == 0 {
 		l.Slack = 50 * time.Millisecond
 	}
-	r := Result{Kinds: map[string]*Figures{}, Writes: map[string]End{}}
-	sum := 0.0
-	for _, k := range l.Mix {
-		r.Kinds[k.Name] = newFigures()
-		sum += k.Share
-	}
-	var mu sync.Mutex
-	second := newFigures()
+	t := l.newTally()
 	draw := rand.New(rand.NewPCG(l.Seed, 9))
 	pools := make([]pool, len(l.Targets))
-	for i, t := range l.Targets {
-		pools[i].address = t
+	for i, target := range l.Targets {
+		pools[i].address = target
 	}
 	var open sync.WaitGroup
 	places := make(chan struct{}, l.Most)
@@ -109,58 +102,92 @@
 			continue
 		case <-time.After(time.Until(begin.Add(due))):
 		}
-		kind, x := l.Mix[len(l.Mix)-1], draw.Float64()*sum
-		for _, k := range l.Mix {
-			if x -= k.Share; x < 0 {
-				kind = k
-				break
-			}
-		}
+		kind := l.pick(draw.Float64() * t.shares)
 		p, group := &pools[draw.IntN(len(pools))], draw.IntN(max(l.Groups, 1))+1
 		id := fmt.Sprintf("%08x%08x", l.Seed&0xffffffff, serial)
 		if s := int(due / time.Second); s > shown && each != nil {
-			mu.Lock()
-			done := second
-			second = newFigures()
-			mu.Unlock()
-			each(shown, done)
+			each(shown, t.nextSecond())
 			shown = s
 		}
 		select {
 		case places <- struct{}{}:
 		default:
-			mu.Lock()
-			r.Kinds[kind.Name].Skipped++
-			mu.Unlock()
+			t.skip(kind)
 			continue
 		}
 		intended := begin.Add(due)
 		open.Go(func() {
 			defer func() { <-places }()
 			end, value := p.ask(kind, id, group, intended, l.Slack)
-			took := time.Since(intended)
-			mu.Lock()
-			defer mu.Unlock()
-			for _, f := range []*Figures{r.Kinds[kind.Name], second} {
-				if f.Ends[end]++; end == Acked {
-					_ = f.Latency.RecordValue(max(took.Microseconds(), 1)) // what is beyond its range isn't counted
-				}
-			}
-			if kind.Write {
-				if r.Writes[id] = end; end == Acked {
-					r.Acks = append(r.Acks, time.Since(begin))
-				}
-			}
-			if end == Acked && value != "v:"+id {
-				r.Wrong = append(r.Wrong, id)
-			}
+			t.count(kind, id, end, value, time.Since(intended), begin)
 		})
 	}
 	open.Wait()
 	for i := range pools {
 		pools[i].close()
 	}
-	return r
+	return t.result
+}
+
+// pick gives the kind at a place in the sum of shares.
+func (l *Load) pick(x float64) Kind {
+	for _, k := range l.Mix {
+		if x -= k.Share; x < 0 {
+			return k
+		}
+	}
+	return l.Mix[len(l.Mix)-1]
+}
+
+// tally counts what comes of a load's ops.
+type tally struct {
+	shares float64 // of all kinds
+
+	mu     sync.Mutex
+	result Result
+	second *Figures // of the second that runs
+}
+
+func (l *Load) newTally() *tally {
+	t := &tally{result: Result{Kinds: map[string]*Figures{}, Writes: map[string]End{}}, second: newFigures()}
+	for _, k := range l.Mix {
+		t.result.Kinds[k.Name] = newFigures()
+		t.shares += k.Share
+	}
+	return t
+}
+
+// nextSecond gives the figures of the second that ends.
+func (t *tally) nextSecond() *Figures {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	done := t.second
+	t.second = newFigures()
+	return done
+}
+
+func (t *tally) skip(kind Kind) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.result.Kinds[kind.Name].Skipped++
+}
+
+func (t *tally) count(kind Kind, id string, end End, value string, took time.Duration, begin time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for _, f := range []*Figures{t.result.Kinds[kind.Name], t.second} {
+		if f.Ends[end]++; end == Acked {
+			_ = f.Latency.RecordValue(max(took.Microseconds(), 1)) // what is beyond its range isn't counted
+		}
+	}
+	if kind.Write {
+		if t.result.Writes[id] = end; end == Acked {
+			t.result.Acks = append(t.result.Acks, time.Since(begin))
+		}
+	}
+	if end == Acked && value != "v:"+id {
+		t.result.Wrong = append(t.result.Wrong, id)
+	}
 }
 
 // Gap is the longest time without an acked write between two moments of the load.
--- a/internal/lab/membershipsim/membershipsim.go
+++ b/internal/lab/membershipsim/membershipsim.go
@@ -180,44 +180,51 @@
 			times = 2
 		}
 		for range times {
-			t, m := f.Drivers[to], s.Message
-			f.In(f.late(), func() {
-				switch {
-				case t.View == nil:
-				case f.Now < t.Frozen:
-					if len(t.waiting) < 200 {
-						t.waiting = append(t.waiting, m)
-					}
-				default:
-					f.out(t, t.View.Receive(f.Now, m))
-				}
-			})
+			f.deliver(f.Drivers[to], s.Message)
 		}
 	}
 	for _, at := range out.SyncWith {
-		to := f.index(at)
-		if to < 0 || f.cut(d.i, to) {
-			continue
+		if to := f.index(at); to >= 0 && !f.cut(d.i, to) {
+			f.exchange(d, f.Drivers[to])
 		}
-		t, ask, life := f.Drivers[to], d.View.Snapshot(), d.life
-		d.Bytes += 60 * float64(len(ask.Records)) // about
-		f.In(2*f.late(), func() {
-			if t.View == nil || f.Now < t.Frozen {
-				return
+	}
+}
+
+// deliver brings a datagram after its way; a driver that stands still takes it when it wakes, as far as there is room.
+func (f *Flock) deliver(to *Driver, m membership.Message) {
+	f.In(f.late(), func() {
+		switch {
+		case to.View == nil:
+		case f.Now < to.Frozen:
+			if len(to.waiting) < 200 {
+				to.waiting = append(to.waiting, m)
 			}
-			answer := t.View.Snapshot()
-			f.out(t, t.View.Merge(f.Now, ask))
-			if f.cut(to, d.i) {
-				return
+		default:
+			f.out(to, to.View.Receive(f.Now, m))
+		}
+	})
+}
+
+// exchange has d and to merge all that they know, over a connection.
+func (f *Flock) exchange(d, to *Driver) {
+	ask, life := d.View.Snapshot(), d.life
+	d.Bytes += 60 * float64(len(ask.Records)) // about
+	f.In(2*f.late(), func() {
+		if to.View == nil || f.Now < to.Frozen {
+			return
+		}
+		answer := to.View.Snapshot()
+		f.out(to, to.View.Merge(f.Now, ask))
+		if f.cut(to.i, d.i) {
+			return
+		}
+		to.Bytes += 60 * float64(len(answer.Records))
+		f.In(f.late(), func() {
+			if d.View != nil && d.life == life && f.Now >= d.Frozen {
+				f.out(d, d.View.Merge(f.Now, answer))
 			}
-			t.Bytes += 60 * float64(len(answer.Records))
-			f.In(f.late(), func() {
-				if d.View != nil && d.life == life && f.Now >= d.Frozen {
-					f.out(d, d.View.Merge(f.Now, answer))
-				}
-			})
 		})
-	}
+	})
 }
 
 // Do carries out what a driver decided outside messages and time, such as leaving.
--- a/internal/lab/sessionrun/sessionrun.go
+++ b/internal/lab/sessionrun/sessionrun.go
@@ -84,6 +84,10 @@
 	dir   string
 	procs map[string]*exec.Cmd
 	cores []string
+
+	guests       []*guest
+	queued, came atomic.Int64 // messages, of all guests
+	note         atomic.Value // string: what was done since the last second
 }
 
 func (h *hall) ip(kind, n int) string { return fmt.Sprintf("127.%d.%d.%d", h.o.Net, kind, n+1) }
@@ -167,96 +171,136 @@
 			h.kill(name)
 		}
 	}()
+	if err := h.startAll(log); err != nil {
+		return Result{}, err
+	}
+	if err := h.awaitSites(); err != nil {
+		return Result{}, err
+	}
+	live, stop := context.WithCancel(ctx)
+	defer stop()
+	if err := h.openSessions(live); err != nil {
+		return Result{}, err
+	}
+	producing, end := context.WithCancel(live)
+	var writers sync.WaitGroup
+	for i, g := range h.guests {
+		writers.Go(func() { h.produce(producing, g, i, &h.queued) })
+	}
+	var r Result
+	h.note.Store("")
+	h.strike()
+	h.watch(ctx, &r, tell)
+	end()
+	writers.Wait()
+	for until := time.Now().Add(10 * time.Second); h.came.Load() < h.queued.Load() && time.Now().Before(until); {
+		time.Sleep(50 * time.Millisecond)
+	}
+	for _, g := range h.guests {
+		g.audit(&r)
+	}
+	slices.Sort(r.Silence)
+	r.Queued, r.Came = h.queued.Load(), h.came.Load()
+	return r, nil
+}
+
+// startAll starts three core machines, the sites and two edges.
+func (h *hall) startAll(log io.Writer) error {
 	for n := range 3 {
-		h.cores = append(h.cores, fmt.Sprintf("%s:%d", h.ip(1, n), o.Port+3))
+		h.cores = append(h.cores, fmt.Sprintf("%s:%d", h.ip(1, n), h.o.Port+3))
 	}
-	for role, count := range map[string]int{"core": 3, "site": o.Sites, "edge": 2} {
+	for role, count := range map[string]int{"core": 3, "site": h.o.Sites, "edge": 2} {
 		for n := range count {
 			if err := h.start(role, n, log); err != nil {
-				return Result{}, err
+				return err
 			}
 		}
 	}
+	return nil
+}
+
+// awaitSites waits until all sites serve.
+func (h *hall) awaitSites() error {
 	for until := time.Now().Add(15 * time.Second); ; {
 		in := 0
-		for n := range o.Sites {
+		for n := range h.o.Sites {
 			if h.homes(n) >= 0 {
 				in++
 			}
 		}
-		if in == o.Sites {
-			break
+		if in == h.o.Sites {
+			return nil
 		}
 		if time.Now().After(until) {
-			return Result{}, fmt.Errorf("%d of %d sites are in after 15 s", in, o.Sites)
+			return fmt.Errorf("%d of %d sites are in after 15 s", in, h.o.Sites)
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	live, stop := context.WithCancel(ctx)
-	defer stop()
-	var queued, came atomic.Int64
-	var guests []*guest
+}
+
+// openSessions opens the clients' sessions, one after the other, and lets each take its messages.
+func (h *hall) openSessions(ctx context.Context) error {
 	var edges []string
 	for n := range 2 {
-		edges = append(edges, fmt.Sprintf("ws://%s:%d", h.ip(3, n), o.Port+4))
+		edges = append(edges, fmt.Sprintf("ws://%s:%d", h.ip(3, n), h.o.Port+4))
 	}
-	for i := range o.Clients {
-		g := &guest{last: time.Now(), s: sessionclient.Open(live, []string{edges[i%2], edges[(i+1)%2]}, "", 0)}
-		guests = append(guests, g)
+	for i := range h.o.Clients {
+		g := &guest{last: time.Now(), s: sessionclient.Open(ctx, []string{edges[i%2], edges[(i+1)%2]}, "", 0)}
+		h.guests = append(h.guests, g)
 		select {
 		case <-g.s.Opened():
 		case <-time.After(10 * time.Second):
-			return Result{}, fmt.Errorf("client %d: its session does not open", i)
+			return fmt.Errorf("client %d: its session does not open", i)
 		}
 		token, _ := g.s.Token()
 		g.id, _, _ = strings.Cut(token, ".")
-		go func() {
-			for m := range g.s.Messages() {
-				came.Add(1)
-				g.mu.Lock()
-				now := time.Now()
-				if g.got = append(g.got, string(m)); len(g.got) > 1 {
-					g.silence = max(g.silence, now.Sub(g.last))
-				}
-				g.last = now
-				g.mu.Unlock()
-			}
-		}()
+		go g.take(&h.came)
 	}
-	producing, end := context.WithCancel(live)
-	var writers sync.WaitGroup
-	for i, g := range guests {
-		writers.Add(1)
-		go func() {
-			defer writers.Done()
-			h.produce(producing, g, i, &queued)
-		}()
+	return nil
+}
+
+// take counts what comes until the session ends.
+func (g *guest) take(came *atomic.Int64) {
+	for m := range g.s.Messages() {
+		came.Add(1)
+		g.mu.Lock()
+		now := time.Now()
+		if g.got = append(g.got, string(m)); len(g.got) > 1 {
+			g.silence = max(g.silence, now.Sub(g.last))
+		}
+		g.last = now
+		g.mu.Unlock()
 	}
-	var r Result
-	var note atomic.Value
-	note.Store("")
+}
+
+// strike pulls the busiest site after a third of the time, and drains the busiest other one after two thirds.
+func (h *hall) strike() {
 	pulled := -1
-	time.AfterFunc(o.For/3, func() {
+	time.AfterFunc(h.o.For/3, func() {
 		pulled = h.busiest(-1)
-		note.Store(fmt.Sprintf("site%d is pulled", pulled))
+		h.note.Store(fmt.Sprintf("site%d is pulled", pulled))
 		h.kill(fmt.Sprint("site", pulled))
 	})
-	time.AfterFunc(2*o.For/3, func() {
+	time.AfterFunc(2*h.o.For/3, func() {
 		n := h.busiest(pulled)
-		note.Store(fmt.Sprintf("site%d is drained", n))
+		h.note.Store(fmt.Sprintf("site%d is drained", n))
 		if resp, err := http.Post(fmt.Sprintf("http://%s/sites/site%d/drain", h.cores[0], n), "", nil); err == nil {
 			resp.Body.Close()
 		}
 	})
+}
+
+// watch tells what each second brought.
+func (h *hall) watch(ctx context.Context, r *Result, tell func(int, Second)) {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	q0, c0 := int64(0), int64(0)
-	for s := 1; time.Duration(s)*time.Second <= o.For && ctx.Err() == nil; s++ {
+	for s := 1; time.Duration(s)*time.Second <= h.o.For && ctx.Err() == nil; s++ {
 		<-tick.C
-		q, c := queued.Load(), came.Load()
-		sec := Second{Queued: q - q0, Came: c - c0, Note: note.Swap("").(string)}
+		q, c := h.queued.Load(), h.came.Load()
+		sec := Second{Queued: q - q0, Came: c - c0, Note: h.note.Swap("").(string)}
 		q0, c0 = q, c
-		for _, g := range guests {
+		for _, g := range h.guests {
 			g.mu.Lock()
 			sec.Silence = max(sec.Silence, time.Since(g.last))
 			g.mu.Unlock()
@@ -264,37 +308,31 @@
 		r.Seconds = append(r.Seconds, sec)
 		tell(s, sec)
 	}
-	end()
-	writers.Wait()
-	for until := time.Now().Add(10 * time.Second); came.Load() < queued.Load() && time.Now().Before(until); {
-		time.Sleep(50 * time.Millisecond)
-	}
-	for _, g := range guests {
-		g.mu.Lock()
-		seen := map[string]int{}
-		for _, m := range g.got {
-			if seen[m]++; seen[m] == 2 {
-				r.Doubled++
-			}
-		}
-		for _, m := range g.queued {
-			if seen[m] == 0 {
-				r.Lost++
-			}
-		}
-		if !slices.Equal(g.got, g.queued) && r.Lost+r.Doubled == 0 {
-			r.Mess++
+}
+
+// audit lays what one client got beside what was queued for it.
+func (g *guest) audit(r *Result) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	seen := map[string]int{}
+	for _, m := range g.got {
+		if seen[m]++; seen[m] == 2 {
+			r.Doubled++
 		}
-		r.Opened++
-		if g.s.Connections() == 1 {
-			r.Stayed++
+	}
+	for _, m := range g.queued {
+		if seen[m] == 0 {
+			r.Lost++
 		}
-		r.Silence = append(r.Silence, g.silence)
-		g.mu.Unlock()
 	}
-	slices.Sort(r.Silence)
-	r.Queued, r.Came = queued.Load(), came.Load()
-	return r, nil
+	if !slices.Equal(g.got, g.queued) && r.Lost+r.Doubled == 0 {
+		r.Mess++
+	}
+	r.Opened++
+	if g.s.Connections() == 1 {
+		r.Stayed++
+	}
+	r.Silence = append(r.Silence, g.silence)
 }
 
 // produce queues messages for one client.
--- a/internal/learned/believe.go
+++ b/internal/learned/believe.go
@@ -119,27 +119,7 @@
 			b.drop("member %s: it has moved", e.ID)
 			continue
 		}
-		k := logic.MemberMemory{Member: e.ID, Group: e.Group, Position: -1}
-		restarted := e.Started > m.Started
-		if age := p.ms + s.Meta.At.Wall - m.Position; m.Position > 0 && p.sure && !p.stepped && !restarted &&
-			age < r.trust() {
-			k.Position = m.Position // none has been rebuilt under its old name in so little time
-		}
-		if m.Started > 0 && !restarted {
-			if started := redate(m.Started, s.Meta.At, now, p); now.Wall-started < r.ColdFor {
-				k.Started = m.Started
-				if p.stepped && e.Started != m.Started { // told by a clock that is not this one any more
-					k.Started = started
-				}
-			}
-		}
-		if aside := redate(m.Aside, s.Meta.At, now, p); m.Aside > 0 && !restarted && now.Wall-aside < r.warmUp() {
-			k.Aside, k.Cut = aside, m.Cut
-		}
-		if w := m.Window * r.fade(p.ms); w >= windowLeast {
-			k.Window = w
-		}
-		b.Memory.Members = append(b.Memory.Members, k)
+		b.Memory.Members = append(b.Memory.Members, memberEvidence(e, m, s.Meta.At, r, now, p))
 	}
 	for id, g := range s.Groups {
 		k := logic.GroupMemory{Group: id, Rate: g.Rate * r.fade(p.ms)}
@@ -151,6 +131,30 @@
 	slices.SortFunc(b.Memory.Groups, func(x, y logic.GroupMemory) int { return cmp.Compare(x.Group, y.Group) })
 }
 
+// memberEvidence is what was seen of a member, at saved, as far as it still holds: a restart ends most of it.
+func memberEvidence(e Entry, m Member, saved Moment, r Rules, now Moment, p passage) logic.MemberMemory {
+	k := logic.MemberMemory{Member: e.ID, Group: e.Group, Position: -1}
+	restarted := e.Started > m.Started
+	if age := p.ms + saved.Wall - m.Position; m.Position > 0 && p.sure && !p.stepped && !restarted && age < r.trust() {
+		k.Position = m.Position // none has been rebuilt under its old name in so little time
+	}
+	if m.Started > 0 && !restarted {
+		if started := redate(m.Started, saved, now, p); now.Wall-started < r.ColdFor {
+			k.Started = m.Started
+			if p.stepped && e.Started != m.Started { // told by a clock that is not this one any more
+				k.Started = started
+			}
+		}
+	}
+	if aside := redate(m.Aside, saved, now, p); m.Aside > 0 && !restarted && now.Wall-aside < r.warmUp() {
+		k.Aside, k.Cut = aside, m.Cut
+	}
+	if w := m.Window * r.fade(p.ms); w >= windowLeast {
+		k.Window = w
+	}
+	return k
+}
+
 // hints gives the usual times, drawn toward what a start without them assumes as they age: a third of the latency
 // target. A type whose target has changed is another.
 func (b *Belief) hints(s *State, r Rules, p passage) {
--- a/internal/learned/book.go
+++ b/internal/learned/book.go
@@ -128,9 +128,25 @@
 // Tick takes what the module knows and gives what of it is worth a write now. With last, all of it is, as nothing
 // will follow.
 func (b *Book) Tick(now Moment, k *logic.Memory, last bool) [][]byte {
-	s := b.state
 	var r record
 	hints := last || now.Wall-b.hinted >= hintEvery
+	b.recordGroups(&r, now, k, last, hints)
+	b.recordMembers(&r, k, last, hints)
+	if hints {
+		b.recordTypes(&r, k)
+		b.hinted = now.Wall
+	}
+	meta := b.state.Meta
+	meta.Closed = last
+	if r.empty() && !last && !b.renew(now) {
+		return nil
+	}
+	return b.write(now, meta, &r)
+}
+
+// recordGroups puts into a record which groups are new, have changed or are gone.
+func (b *Book) recordGroups(r *record, now Moment, k *logic.Memory, last, hints bool) {
+	s := b.state
 	groups := make(map[int64]bool, len(k.Groups))
 	for _, g := range k.Groups {
 		is, was := Group{g.Group, g.Slot, g.Held, math.Floor(g.Seen), g.Rate, g.Commit}, s.Groups[g.Group]
@@ -145,6 +161,17 @@
 			r.Sightings = append(r.Sightings, Sighting{Group: is.ID, Ago: int64(math.Ceil(now.Wall - is.Seen))})
 		}
 	}
+	for id := range s.Groups {
+		if !groups[id] {
+			r.Left = append(r.Left, id)
+		}
+	}
+	slices.Sort(r.Left)
+}
+
+// recordMembers does so for members.
+func (b *Book) recordMembers(r *record, k *logic.Memory, last, hints bool) {
+	s := b.state
 	members := make(map[string]bool, len(k.Members))
 	for _, m := range k.Members {
 		is, was := Member{m.Member, m.Group, math.Floor(max(m.Position, 0)), m.Started, m.Aside, m.Cut, m.Window},
@@ -161,32 +188,21 @@
 			r.Forgotten = append(r.Forgotten, id)
 		}
 	}
-	for id := range s.Groups {
-		if !groups[id] {
-			r.Left = append(r.Left, id)
-		}
-	}
 	slices.Sort(r.Forgotten)
-	slices.Sort(r.Left)
+}
+
+// recordTypes does so for op types, whose usual times are hints alone.
+func (b *Book) recordTypes(r *record, k *logic.Memory) {
 	for i, t := range k.OpTypes {
 		if i >= len(b.rules.OpTypes) {
 			break
 		}
 		o := b.rules.OpTypes[i]
-		if was := s.Types[o.Name]; hints && (changed(t.Took, was.Took) || changed(t.Best, was.Best) ||
-			was.Target != o.Target) {
+		was := b.state.Types[o.Name]
+		if changed(t.Took, was.Took) || changed(t.Best, was.Best) || was.Target != o.Target {
 			r.Types = append(r.Types, Type{o.Name, o.Target, t.Took, t.Best})
 		}
 	}
-	if hints {
-		b.hinted = now.Wall
-	}
-	meta := s.Meta
-	meta.Closed = last
-	if r.empty() && !last && !b.renew(now) {
-		return nil
-	}
-	return b.write(now, meta, &r)
 }
 
 // renew says whether the moment alone is worth a write: the ceilings' is, before they run out, where sessions
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -267,6 +267,28 @@
 	return &Refused{st, why}
 }
 
+// bindsChange names the first limit that forbids a change of the group's primary at the step's start.
+func (s *schedule) bindsChange(p *Placed, m Member) string {
+	for _, c := range s.changes {
+		if math.Abs(c-p.Start) < s.l.Pause-1e-9 {
+			return fmt.Sprintf("pause: a change of a primary at %g s is nearer than %g s", c, s.l.Pause)
+		}
+	}
+	able := 0
+	for _, o := range s.groups[m.Group] {
+		if o.Name != m.Name && !slices.ContainsFunc(s.spans, func(x span) bool {
+			return x.member.Name == o.Name && x.from < p.Start+p.WriteGap+1e-9 && x.to > p.Start+1e-9
+		}) {
+			able++
+		}
+	}
+	if able < max(s.l.Candidates, 1) {
+		return fmt.Sprintf("candidates: group %d has %d warm members beside its primary, %d are wanted", m.Group, able,
+			max(s.l.Candidates, 1))
+	}
+	return ""
+}
+
 // binds sets the step's times to a start and names the first limit that forbids it.
 func (s *schedule) binds(p *Placed, m Member, at float64) string {
 	p.Start, p.End = at, at+p.WriteGap
@@ -283,22 +305,8 @@
 			span{away + s.l.Away, p.End, m.Capacity * (1 - s.l.ColdShare), m})
 	}
 	if p.Switches {
-		for _, c := range s.changes {
-			if math.Abs(c-at) < s.l.Pause-1e-9 {
-				return fmt.Sprintf("pause: a change of a primary at %g s is nearer than %g s", c, s.l.Pause)
-			}
-		}
-		able := 0
-		for _, o := range s.groups[m.Group] {
-			if o.Name != m.Name && !slices.ContainsFunc(s.spans, func(x span) bool {
-				return x.member.Name == o.Name && x.from < p.Start+p.WriteGap+1e-9 && x.to > p.Start+1e-9
-			}) {
-				able++
-			}
-		}
-		if able < max(s.l.Candidates, 1) {
-			return fmt.Sprintf("candidates: group %d has %d warm members beside its primary, %d are wanted", m.Group, able,
-				max(s.l.Candidates, 1))
+		if limit := s.bindsChange(p, m); limit != "" {
+			return limit
 		}
 	}
 	moments := []float64{}
--- a/internal/standin/cluster/members.go
+++ b/internal/standin/cluster/members.go
@@ -247,17 +247,6 @@
 		}
 		verb, rest = kind, args
 	}
-	fail := func(code string) (string, bool) {
-		v.broken = v.open
-		return "FAIL " + code + "\r\n", true
-	}
-	row := func() (string, bool) {
-		st, role := m.Status(), "replica"
-		if st.Primary {
-			role = "primary"
-		}
-		return fmt.Sprintf("ROW %s %d %s %d 0 0 0\r\nDONE -\r\n", role, st.Term, st.Received, st.PromisedTerm), true
-	}
 	if at, ok := s.drained[v.id]; ok && time.Since(at) > 7*time.Second && qid != "-" && !v.open {
 		s.Late = append(s.Late, qid)
 	}
@@ -265,21 +254,45 @@
 		return "FAIL MALFORMED\r\n", true
 	}
 	if p, ok := wire.ParsePosition(after); ok && m.Position().Less(p) {
-		return fail(wire.CodeLagging)
+		return v.fail(wire.CodeLagging)
+	}
+	if answer, ok := manage(m, verb, rest); ok {
+		return answer, true
 	}
+	return v.statement(m, qid, verb, rest)
+}
+
+// fail breaks a transaction that is open.
+func (v *visit) fail(code string) (string, bool) {
+	v.broken = v.open
+	return "FAIL " + code + "\r\n", true
+}
+
+// manage carries out what the control plane asks of a member; ok is false for other verbs.
+func manage(m *replicaset.Member, verb, rest string) (answer string, ok bool) {
 	term, _ := strconv.ParseUint(rest, 10, 64)
 	switch verb {
 	case "STAT":
-		return row()
 	case "PAUSE":
 		m.Pause(term)
-		return row()
 	case "CONT":
 		m.Continue()
-		return row()
 	case "STEPDOWN":
 		m.StepDown(term)
-		return row()
+	default:
+		return "", false
+	}
+	st, role := m.Status(), "replica"
+	if st.Primary {
+		role = "primary"
+	}
+	return fmt.Sprintf("ROW %s %d %s %d 0 0 0\r\nDONE -\r\n", role, st.Term, st.Received, st.PromisedTerm), true
+}
+
+// statement carries out what a client asks.
+func (v *visit) statement(m *replicaset.Member, qid, verb, rest string) (string, bool) {
+	done := "DONE " + v.id + "." + qid + "\r\n"
+	switch verb {
 	case "RESET":
 		v.preps = map[string]string{}
 		return "DONE -\r\n", true
@@ -291,7 +304,7 @@
 		return "DONE -\r\n", true
 	case "BEGIN":
 		if rest == "" && !m.Primary {
-			return fail(wire.CodeReadOnly)
+			return v.fail(wire.CodeReadOnly)
 		}
 		v.open, v.plain, v.writes = true, rest == "", nil
 		return "DONE -\r\n", true
@@ -300,17 +313,17 @@
 		return "DONE -\r\n", true
 	case "FETCH":
 		if v.open && v.plain && !m.Primary {
-			return fail(wire.CodeReadOnly)
+			return v.fail(wire.CodeReadOnly)
 		}
-		return "ROW " + s.data[rest] + "\r\nDONE " + v.id + "." + qid + "\r\n", true
+		return "ROW " + v.s.data[rest] + "\r\n" + done, true
 	case "STORE":
 		if !m.Primary {
-			return fail(wire.CodeReadOnly)
+			return v.fail(wire.CodeReadOnly)
 		}
 		thing, data := wire.CutField(rest)
 		v.writes = append(v.writes, qid, thing, data)
 		if v.open {
-			return "DONE " + v.id + "." + qid + "\r\n", true
+			return done, true
 		}
 		return v.commit(m, qid)
 	case "COMMIT":
@@ -320,7 +333,7 @@
 		}
 		v.open = false
 		if len(v.writes) == 0 {
-			return "DONE " + v.id + "." + qid + "\r\n", true
+			return done, true
 		}
 		if !m.Primary {
 			v.writes = nil
