--- a/cmd/weirwind/registry.go
+++ b/cmd/weirwind/registry.go
@@ -60,8 +60,13 @@
 	}
 	now := func() float64 { return float64(time.Now().UnixMicro()) / 1000 }
 	r := roster.New(roster.Options{Preferred: roster.SourceRegistry, ConfirmAfter: float64(g.Confirm.Milliseconds())})
-	w := registry.Watcher{Client: client, Now: now, Alive: func() {},
-		Scheduler: roster.NewScheduler(roster.SchedulerOptions{Endpoints: len(g.Endpoints), Drivers: 1, Seed: uint64(os.Getpid())}),
+	w := registry.Watcher{
+		Client: client,
+		Now:    now,
+		Alive:  func() {},
+		Scheduler: roster.NewScheduler(
+			roster.SchedulerOptions{Endpoints: len(g.Endpoints), Drivers: 1, Seed: uint64(os.Getpid())},
+		),
 		Position: func() (int64, bool) {
 			_, revision, told := r.Revision(roster.SourceRegistry)
 			return revision, told
@@ -82,7 +87,8 @@
 		Lost: func(err error) {
 			r.SetDisconnected(roster.SourceRegistry)
 			fmt.Fprintf(out, "%s lost: %v\n", time.Now().UTC().Format(time.RFC3339Nano), err)
-		}}
+		},
+	}
 	w.Run(ctx)
 	return nil
 }
--- a/internal/driver/memberlist.go
+++ b/internal/driver/memberlist.go
@@ -109,8 +109,8 @@
 	return revision
 }
 
-var rosterPhases = map[string]roster.Phase{discovery.PhaseUp: roster.PhaseUp, discovery.PhaseDraining: roster.PhaseDraining,
-	discovery.PhaseRemoved: roster.PhaseRemoved}
+var rosterPhases = map[string]roster.Phase{discovery.PhaseUp: roster.PhaseUp,
+	discovery.PhaseDraining: roster.PhaseDraining, discovery.PhaseRemoved: roster.PhaseRemoved}
 
 func discoveryUpdate(a discovery.Answer) roster.Update {
 	u := roster.Update{Source: roster.SourceDiscovery, Revision: a.Revision, Snapshot: a.Complete, Linearizable: true}
@@ -137,5 +137,9 @@
 	if g == nil {
 		return roster.Options{Preferred: roster.SourceDiscovery}
 	}
-	return roster.Options{Preferred: roster.SourceRegistry, FailoverAfter: milliseconds(g.TakeOver), ConfirmAfter: milliseconds(g.Confirm)}
+	return roster.Options{
+		Preferred:     roster.SourceRegistry,
+		FailoverAfter: milliseconds(g.TakeOver),
+		ConfirmAfter:  milliseconds(g.Confirm),
+	}
 }
--- a/internal/driver/presence.go
+++ b/internal/driver/presence.go
@@ -52,19 +52,39 @@
 		return fmt.Errorf("registry: %w", err)
 	}
 	ttl := milliseconds(v.registry.Lease)
-	p := &presence{v: v, announcer: client, key: o.Prefix + v.config.Name, own: roster.NewPresence(ttl, seed),
-		talks:   talks,
-		drivers: roster.New(roster.Options{Preferred: roster.SourceRegistry, ConfirmAfter: milliseconds(v.registry.Confirm)}),
-		fellows: roster.Peers{Self: v.config.Name, ShrinkAfter: ttl, MessageTimeout: quietLeases * ttl}, count: max(drivers, 1)}
+	p := &presence{
+		v:         v,
+		announcer: client,
+		key:       o.Prefix + v.config.Name,
+		own:       roster.NewPresence(ttl, seed),
+		talks:     talks,
+		drivers: roster.New(
+			roster.Options{Preferred: roster.SourceRegistry, ConfirmAfter: milliseconds(v.registry.Confirm)},
+		),
+		fellows: roster.Peers{
+			Self:           v.config.Name,
+			ShrinkAfter:    ttl,
+			MessageTimeout: quietLeases * ttl,
+		},
+		count: max(drivers, 1),
+	}
 	p.value, err = json.Marshal(map[string]any{"host_port": address, "cell": 0, "phase": "up",
 		"locality":    v.config.told.Opening.Zone,
 		"up_since_ms": int64(v.decide.clock.unixMs)})
 	if err != nil {
 		return err
 	}
-	p.follower = &registry.Watcher{Client: client, Now: v.decide.clock.now, Position: p.position, Told: p.told,
-		Lost: p.lost, Alive: p.alive,
-		Scheduler: roster.NewScheduler(roster.SchedulerOptions{Endpoints: len(o.Endpoints), Drivers: drivers, Seed: seed + 1})}
+	p.follower = &registry.Watcher{
+		Client:   client,
+		Now:      v.decide.clock.now,
+		Position: p.position,
+		Told:     p.told,
+		Lost:     p.lost,
+		Alive:    p.alive,
+		Scheduler: roster.NewScheduler(
+			roster.SchedulerOptions{Endpoints: len(o.Endpoints), Drivers: drivers, Seed: seed + 1},
+		),
+	}
 	v.fleet.presence = p
 	return nil
 }
--- a/internal/driver/registry.go
+++ b/internal/driver/registry.go
@@ -26,8 +26,12 @@
 	if err != nil {
 		return fmt.Errorf("registry: %w", err)
 	}
-	v.following = &registry.Watcher{Client: c, Now: v.decide.clock.now,
-		Scheduler: roster.NewScheduler(roster.SchedulerOptions{Endpoints: len(v.registry.Endpoints), Drivers: drivers, Seed: seed}),
+	v.following = &registry.Watcher{
+		Client: c,
+		Now:    v.decide.clock.now,
+		Scheduler: roster.NewScheduler(
+			roster.SchedulerOptions{Endpoints: len(v.registry.Endpoints), Drivers: drivers, Seed: seed},
+		),
 		Position: func() (int64, bool) {
 			v.listing.Lock()
 			defer v.listing.Unlock()
@@ -51,6 +55,7 @@
 			v.listing.Lock()
 			defer v.listing.Unlock()
 			v.roster.SetConnected(v.decide.clock.now(), roster.SourceRegistry)
-		}}
+		},
+	}
 	return nil
 }
--- a/internal/registry/entry.go
+++ b/internal/registry/entry.go
@@ -16,7 +16,8 @@
 const mostEntry = 16 << 10
 
 // phases are the words that an entry may hold.
-var phases = map[string]roster.Phase{"up": roster.PhaseUp, "draining": roster.PhaseDraining, "removed": roster.PhaseRemoved}
+var phases = map[string]roster.Phase{"up": roster.PhaseUp, "draining": roster.PhaseDraining,
+	"removed": roster.PhaseRemoved}
 
 // ParseEntry reads the value under a member's key. What is wrong comes as why; the entry then holds no more than the
 // id and, where it can be told, the phase.
--- a/internal/registry/etcd.go
+++ b/internal/registry/etcd.go
@@ -163,8 +163,14 @@
 				return errors.New("an answer without a revision")
 			}
 		}
-		u := roster.Update{Source: roster.SourceRegistry, Epoch: page.Header.Cluster, Revision: revision, Snapshot: true, Linearizable: exact,
-			Fragment: page.More && len(page.KVs) > 0}
+		u := roster.Update{
+			Source:       roster.SourceRegistry,
+			Epoch:        page.Header.Cluster,
+			Revision:     revision,
+			Snapshot:     true,
+			Linearizable: exact,
+			Fragment:     page.More && len(page.KVs) > 0,
+		}
 		for _, k := range page.KVs {
 			add(&u, x.o.Prefix, string(k.Key), k.Value, k.Mod, false)
 		}
@@ -225,7 +231,13 @@
 		case r.Created && r.Header.Revision < held:
 			return fmt.Errorf("%w: %d, not %d", errLagging, r.Header.Revision, held)
 		}
-		u := roster.Update{Source: roster.SourceRegistry, Epoch: r.Header.Cluster, Revision: held, PreviousRevision: held, Fragment: r.Fragment}
+		u := roster.Update{
+			Source:           roster.SourceRegistry,
+			Epoch:            r.Header.Cluster,
+			Revision:         held,
+			PreviousRevision: held,
+			Fragment:         r.Fragment,
+		}
 		for _, e := range r.Events {
 			add(&u, x.o.Prefix, string(e.KV.Key), e.KV.Value, e.KV.Mod, e.Type == "DELETE")
 			u.Revision = max(u.Revision, e.KV.Mod)
