--- a/internal/standin/cluster/resets_test.go
+++ b/internal/standin/cluster/resets_test.go
@@ -118,7 +118,7 @@
 // All connections of proxies and of the core to members, and of the core to the platform, are reset at drawn bytes,
 // also while a primary is replaced: each answer is its question's own, each write runs once at most, those that were
 // answered once, and those of which it was promised that nothing is kept not at all. Point 5: it fails where a
-// connection that owes an answer goes back to its pool (Settled), and where a write may be put again (kindOf).
+// connection that owes an answer goes back to its pool (Reusable), and where a write may be put again (kindOf).
 func TestResetsAtDrawnBytes(t *testing.T) {
 	var relays []*links.Resets
 	w := newBehind(t, 3, 1, func(addr string) string {
