--- a/internal/util/plot/plot.go
+++ b/internal/util/plot/plot.go
@@ -19,4 +19,6 @@
 }
 
 // Head begins a page.
-const Head = "<!doctype html><meta charset=utf-8><style>body{font:14px sans-serif;margin:2em}table{border-collapse:collapse}td,th{padding:2px 10px;text-align:left;border-bottom:1px solid #ddd}svg{background:#f7f7f7}</style>"
+const Head = "<!doctype html><meta charset=utf-8><style>body{font:14px sans-serif;margin:2em}" +
+	"table{border-collapse:collapse}" +
+	"td,th{padding:2px 10px;text-align:left;border-bottom:1px solid #ddd}svg{background:#f7f7f7}</style>"
