--- a/internal/controlplane/orders/doc.go
+++ b/internal/controlplane/orders/doc.go
@@ -6,7 +6,7 @@
 // package does no I/O and reads no clock: its owner, the consensus loop, submits orders (Queue.Submit) and calls
 // Queue.Step whenever time has passed, a message was received, or an entry was committed.
 //
-// # The life of an order
+// # Phases of an order
 //
 //	             evaluate: a read, a lease, a rejection
 //	phaseQueued ------------------------------------------> phaseConfirming ---> answered
