--- /dev/null
+++ b/internal/driver/golden_test.go
@@ -0,0 +1,57 @@
+package driver
+
+import (
+	"fmt"
+	"log/slog"
+	"strings"
+	"testing"
+
+	"weirwind/internal/pgwire"
+	"weirwind/internal/standin/golden"
+)
+
+// What clients are told in place of an answer, byte for byte.
+func TestRecordedRefusals(t *testing.T) {
+	golden.Text(t, "testdata/refusals.golden", []golden.Case[string]{
+		golden.Of("unsupported", string(unsupported)), golden.Of("bad token", string(badToken)),
+		golden.Of("another statement's", string(otherOp)), golden.Of("done", string(doneSince)),
+		golden.Of("in doubt", string(inDoubt)), golden.Of("repeated", string(repeated)),
+		golden.Of("failed", string(failed)), golden.Of("busy", string(busy(0))), golden.Of("busy with advice", string(busy(12.6))),
+		golden.Of("ledger's form", string(form(&pgwire.Statement{OpType: []byte("w"), Group: 7, Text: []byte("insert /* a */ b /* c */")}))),
+	})
+}
+
+// The counters of the log, in their order, and a line in both forms.
+func TestRecordedLog(t *testing.T) {
+	var c counters
+	c.Sends.Add(3)
+	var names []string
+	for _, a := range c.attrs() {
+		names = append(names, a.(slog.Attr).String())
+	}
+	texts := []golden.Case[string]{golden.Of("counters", strings.Join(names, " "))}
+	for _, form := range []string{"text", "json"} {
+		l, q := newLog(form, slog.LevelInfo, &c.LogLost)
+		l.Info("decided", "text", "a b", "ops", 1)
+		line := string(<-q.lines)
+		texts = append(texts, golden.Of(form, line[strings.Index(line, "level"):]))
+	}
+	golden.Text(t, "testdata/log.golden", texts)
+}
+
+// What operators read of a configuration that makes no sense.
+func TestRecordedConfigurationErrors(t *testing.T) {
+	settings := `"settings":{"policy_limits":{"connect_timeout":1,"conn_idle":1}}`
+	var texts []golden.Case[string]
+	for _, c := range []struct{ name, text string }{
+		{"no JSON", `{`}, {"type of limits", `{"limits":{"cores":"x"}}`}, {"type of a name", `{"peer_listen":1}`}, {"type", `{"name":1}`},
+		{"seed", `{"seed":"x"}`}, {"settings", `{"seed":"1","settings":{"index":"x"}}`}, {"timeouts", `{"seed":"1","settings":{}}`},
+		{"known", `{"seed":"1",` + settings + `,"known":{"members":1}}`},
+		{"listen", `{"seed":"1",` + settings + `,"known":{"revision":1,"complete":true,"members":[]}}`},
+		{"discovery", `{"seed":"1",` + settings + `,"known":{"revision":1,"complete":true,"members":[]},"listen":"a"}`},
+		{"limits", `{"seed":"1",` + settings + `,"known":{"revision":1,"complete":true,"members":[]},"listen":"a","discovery":"a:1"}`},
+	} {
+		texts = append(texts, golden.Of(c.name, fmt.Sprint(Check([]byte(c.text)))))
+	}
+	golden.Text(t, "testdata/configuration.golden", texts)
+}
--- /dev/null
+++ b/internal/learned/golden_test.go
@@ -0,0 +1,181 @@
+package learned
+
+import (
+	"encoding/hex"
+	"fmt"
+	"hash/fnv"
+	"io"
+	"math/rand/v2"
+	"reflect"
+	"testing"
+
+	"weirwind/internal/standin/golden"
+	"weirwind/logic"
+)
+
+// recordedStates are a state with every field set, and one with none.
+func recordedStates() []golden.Case[*State] {
+	full := newState()
+	full.Meta = Meta{Schema: 1, Name: "n0", Run: 3, At: Moment{Wall: day + 0.5, Up: 7e6, Boot: "one"}, Reserved: day + 2100,
+		Closed: true, Revision: 41, Epoch: 2, EpochMost: 77}
+	full.List["m1"] = Entry{ID: "m1", Address: "127.0.0.1:1", Zone: "a", Group: 3, Phase: "draining", Access: "writer", Started: day - 9}
+	full.Groups[3] = Group{ID: 3, Slot: "m1", Held: true, Seen: day - 20, Rate: 1.5, Commit: day - 30}
+	full.Members["m1"] = Member{ID: "m1", Group: 3, Position: day - 40, Started: day - 9, Aside: day - 2, Cut: true, Window: 16.25}
+	full.Types["read"] = Type{Name: "read", Target: 300, Took: 80.5, Best: 40}
+	return []golden.Case[*State]{golden.Of("full", full), golden.Of("empty", newState())}
+}
+
+// The JSON form is what the state command prints.
+func TestRecordedJSON(t *testing.T) { golden.JSON(t, "testdata/state.json.golden", recordedStates()) }
+
+func TestRecordedRecords(t *testing.T) {
+	state := recordedStates()[0].Value
+	values := []golden.Case[record]{
+		golden.Of("snapshot", record{Meta: &state.Meta, Listed: []Entry{state.List["m1"]}, Groups: []Group{state.Groups[3]},
+			Members: []Member{state.Members["m1"]}, Types: []Type{state.Types["read"]}}),
+		golden.Of("removals", record{Meta: &Meta{Schema: 1, Name: "n0"}, Unlisted: []string{"a", "b"}, Forgotten: []string{"c"}, Left: []int64{1, 7}}),
+		golden.Of("sightings", record{Meta: &Meta{Schema: 1}, Sightings: []Sighting{{Group: 3, Ago: 20}, {Group: 4, Ago: 1e6}}}),
+		golden.Of("zero fields", record{Listed: []Entry{{}}, Groups: []Group{{}}, Members: []Member{{}}, Types: []Type{{}}}),
+		golden.Of("nothing", record{}),
+	}
+	var forms []golden.Case[string]
+	for _, v := range values {
+		form := v.Value.encode()
+		forms = append(forms, golden.Of(v.Name, hex.EncodeToString(form)))
+		var back record
+		if err := decoding.Unmarshal(form, &back); err != nil || !reflect.DeepEqual(back, v.Value) {
+			t.Errorf("%s decodes as %+v, not %+v: %v", v.Name, back, v.Value, err)
+		}
+	}
+	if snapshot := hex.EncodeToString(state.Snapshot()); snapshot != forms[0].Value {
+		t.Errorf("the snapshot is %s", snapshot)
+	}
+	golden.Text(t, "testdata/records.golden", forms)
+}
+
+// history is a seeded run of restarts, lists, ticks, clock steps and forgetting; every output goes into the digest.
+type history struct {
+	draw           *rand.Rand
+	out            io.Writer
+	wall, up, boot float64
+	rules          Rules
+}
+
+func (h *history) moment() Moment {
+	return Moment{Wall: h.wall, Up: h.up, Boot: fmt.Sprint("boot", h.boot)}
+}
+
+func (h *history) pass(most float64) {
+	ms := h.draw.Float64() * most
+	h.wall += ms
+	h.up += ms
+}
+
+func (h *history) entries() (all []Entry) {
+	for id := range 6 {
+		if h.draw.IntN(3) > 0 {
+			all = append(all, Entry{ID: fmt.Sprint(id), Address: fmt.Sprint("127.0.0.1:", h.draw.IntN(2)), Zone: "z", Group: int64(id % 2),
+				Phase: []string{PhaseUp, PhaseUp, "draining", PhaseRemoved}[h.draw.IntN(4)], Access: []string{"writer", "reader"}[h.draw.IntN(2)],
+				Started: []float64{0, h.wall - 5000}[h.draw.IntN(2)]})
+		}
+	}
+	return all
+}
+
+func (h *history) memory() *logic.Memory {
+	k := &logic.Memory{OpTypes: []logic.TypeMemory{{Took: 100 * h.draw.Float64(), Best: 40}, {Took: 120, Best: 100 * h.draw.Float64()}}}
+	for g := range int64(2) {
+		if h.draw.IntN(8) > 0 {
+			k.Groups = append(k.Groups, logic.GroupMemory{Group: g, Slot: fmt.Sprint(g + 2*int64(h.draw.IntN(2))), Held: h.draw.IntN(3) > 0,
+				Seen: h.wall - 3000*h.draw.Float64(), Rate: 5 * h.draw.Float64(), Commit: h.wall - 500})
+		}
+	}
+	for id := range 6 {
+		if h.draw.IntN(8) > 0 {
+			k.Members = append(k.Members, logic.MemberMemory{Member: fmt.Sprint(id), Group: int64(id % 2), Position: h.wall - 400*h.draw.Float64(),
+				Started: []float64{0, h.wall - 5000}[h.draw.IntN(2)], Aside: []float64{0, 0, h.wall - 900}[h.draw.IntN(3)],
+				Cut: h.draw.IntN(2) > 0, Window: 30 * h.draw.Float64()})
+		}
+	}
+	return k
+}
+
+// life is one run of the driver, from the state that the one before has left.
+func (h *history) life(t *testing.T, before *State) *State {
+	t.Helper()
+	given := List{Revision: int64(h.draw.IntN(60)), Entries: h.entries()}
+	fmt.Fprintf(h.out, "%v\n", Believe(before, h.rules, h.moment(), given))
+	b := NewBook(h.rules, before, h.moment())
+	b.Begin(h.moment())
+	var retry Retry
+	revision := int64(h.draw.IntN(60))
+	for range 1 + h.draw.IntN(25) {
+		h.pass(2500)
+		var records [][]byte
+		if h.draw.IntN(4) == 0 {
+			if revision++; h.draw.IntN(10) == 0 {
+				revision = int64(h.draw.IntN(5))
+			}
+			records = b.List(h.moment(), revision, h.draw.IntN(2) > 0, h.entries())
+		} else {
+			records = b.Tick(h.moment(), h.memory(), h.draw.IntN(20) == 0)
+		}
+		due := retry.Due(h.moment())
+		if h.draw.IntN(3) == 0 {
+			fmt.Fprintln(h.out, due, retry.Failed(h.moment()))
+		} else {
+			fmt.Fprintln(h.out, due, retry.Done())
+		}
+		fmt.Fprintf(h.out, "%x\n", records)
+	}
+	if h.draw.IntN(2) > 0 {
+		fmt.Fprintf(h.out, "%x\n", b.Tick(h.moment(), h.memory(), true))
+	}
+	if h.draw.IntN(8) == 0 {
+		fmt.Fprintln(h.out, b.State().Forget([][]string{nil, {"1"}}[h.draw.IntN(2)], [][]int64{nil, {0}}[h.draw.IntN(2)]))
+	}
+	fmt.Fprintf(h.out, "%x\n", b.Snapshot())
+	s, err := Load(b.Snapshot(), nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return s
+}
+
+// restart lets time pass between two runs, with clocks stepped and machines started anew.
+func (h *history) restart() {
+	h.pass([]float64{300, 3000, 20000, 4e6}[h.draw.IntN(4)])
+	switch h.draw.IntN(6) {
+	case 0:
+		h.wall += 2e4 * (h.draw.Float64() - 0.5)
+	case 1:
+		h.up, h.boot = 100, h.boot+1
+	case 2:
+		h.wall -= 60e3 * h.draw.Float64()
+		h.up, h.boot = 100, h.boot+1
+	}
+	h.rules.SessionsCarried = h.draw.IntN(2) > 0
+	h.rules.SwitchLeast = []float64{0, 2000}[h.draw.IntN(2)]
+	h.rules.Bound = []float64{200, 5000}[h.draw.IntN(2)]
+	h.rules.ColdFor = []float64{0, 10000}[h.draw.IntN(2)]
+	if h.rules.Name = "n0"; h.draw.IntN(20) == 0 {
+		h.rules.Name = "n1"
+	}
+}
+
+// What is kept and what is believed of it, over many seeded histories, is what it was when the digest was recorded.
+func TestRecordedDecisions(t *testing.T) {
+	digest := fnv.New64a()
+	for seed := range uint64(60) {
+		h := &history{draw: rand.New(rand.NewPCG(seed, 1)), out: digest, wall: day, up: 5e6, rules: rules()}
+		var s *State
+		for range 12 {
+			s = h.life(t, s)
+			h.restart()
+		}
+	}
+	const recorded = 0xd91cc1da2ecb45dd
+	if got := digest.Sum64(); got != recorded {
+		t.Errorf("digest %#x, recorded %#x", got, uint64(recorded))
+	}
+}
--- /dev/null
+++ b/internal/opening/golden_test.go
@@ -0,0 +1,82 @@
+package opening
+
+import (
+	"fmt"
+	"hash/fnv"
+	"math/rand/v2"
+	"strings"
+	"testing"
+
+	"weirwind/internal/standin/golden"
+)
+
+// settingsOf are settings with every key that is read, words drawn from those of the wire and a few that are none.
+func settingsOf(draw *rand.Rand) string {
+	word := func(all ...string) string {
+		if draw.IntN(60) == 0 {
+			return `"other"`
+		}
+		return fmt.Sprintf("%q", all[draw.IntN(len(all))])
+	}
+	n := func() int { return draw.IntN(1000000) }
+	yes := func() bool { return draw.IntN(2) > 0 }
+	var profiles, needs []string
+	for i := range 1 + draw.IntN(3) {
+		profiles = append(profiles, fmt.Sprintf(`{"name":"p%d","aim":%d,"deadline":%d,"effect":%s,"key_scope":%s,"window":%d,"points":%d}`,
+			i, n(), n(), word("repeatable", "by_key", "once"), word("", "all", "zone", "cell"), n(), n()))
+		needs = append(needs, word("eventual", "lag_bound", "causal", "strong", "mutate"))
+	}
+	if draw.IntN(40) == 0 {
+		needs = nil
+	}
+	return fmt.Sprintf(`{"index":%d,"siblings":%d,"zone":"z%d","tick":%d,"profiles":[%s],"family_info":{"checks":%s,`+
+		`"needs_by_class":[%s],"oldest_data":[%d],"position_zero":%d,"shows_role":%s,"write_marks":%s,"stamps":%v},`+
+		`"policy_limits":{"cancel":%v,"may_probe":%v,"parallel_tries":%v,"peers":%v,"retry_after":%v,"max_retry_after":%d,`+
+		`"send_cap":%d,"conn_idle":%d,"connect_timeout":%d},"registry_mode":%s,"report":{"fields":["x0",%s],"source":%s},`+
+		`"rules":{"cold":%d,"cold_from":%d,"fall":%d,"tip_multiple":%d,"only_draining_binds":%v,"stop_sending_within":%d},"more":1}`,
+		draw.IntN(9), draw.IntN(9), draw.IntN(3), n(), strings.Join(profiles, ","), word("", "silent", "bounce", "await"),
+		strings.Join(needs, ","), n(), n(), word("", "silent", "static", "trailing"), word("", "kept", "brought"), yes(),
+		yes(), yes(), yes(), yes(), yes(), n(),
+		draw.IntN(9), n(), n(), word("on_request", "push"), word("x1", "x2"), word("silent", "notes"),
+		n(), draw.IntN(9), n(), draw.IntN(9), yes(), n())
+}
+
+// What settings mean, over many drawn at random, is what it meant when the digest was recorded.
+func TestRecordedOpenings(t *testing.T) {
+	digest, failed := fnv.New64a(), 0
+	draw := rand.New(rand.NewPCG(1, 1))
+	for seed := range uint64(500) {
+		told, err := Parse([]byte(settingsOf(draw)), seed)
+		if err != nil {
+			failed++
+			fmt.Fprintln(digest, err)
+			continue
+		}
+		fmt.Fprintf(digest, "%v %v %v %v %v %v\n", *told.Opening, told.OpTypes, told.Index, told.ConnectTimeout, told.ConnIdle, told.DrainGrace)
+	}
+	if failed < 50 || failed > 300 {
+		t.Errorf("%d of 500 settings make no sense", failed)
+	}
+	const recorded = 0xe01f536dbee228a3
+	if got := digest.Sum64(); got != recorded {
+		t.Errorf("digest %#x, recorded %#x", got, uint64(recorded))
+	}
+}
+
+func TestRecordedErrors(t *testing.T) {
+	var texts []golden.Case[string]
+	for _, c := range []struct{ name, settings string }{
+		{"no JSON", `{`}, {"another type", `{"index":"x"}`}, {"type of a profile's", `{"profiles":[{"aim":"x"}]}`},
+		{"type of a family's", `{"family_info":{"stamps":"x"}}`}, {"type of a limit", `{"policy_limits":{"peers":1}}`},
+		{"type of a report's", `{"report":{"source":1}}`}, {"type of a rule", `{"rules":{"cold":"x"}}`}, {"lengths", `{"profiles":[{}]}`},
+		{"checks", `{"family_info":{"checks":"x"}}`}, {"write_marks", `{"family_info":{"write_marks":"x"}}`},
+		{"shows_role", `{"family_info":{"shows_role":"x"}}`},
+		{"needs_by_class", `{"profiles":[{}],"family_info":{"needs_by_class":["x"]}}`},
+		{"effect", `{"profiles":[{"effect":"x"}],"family_info":{"needs_by_class":["strong"]}}`},
+		{"key_scope", `{"profiles":[{"effect":"once","key_scope":"x"}],"family_info":{"needs_by_class":["strong"]}}`},
+	} {
+		_, err := Parse([]byte(c.settings), 1)
+		texts = append(texts, golden.Of(c.name, fmt.Sprint(err)))
+	}
+	golden.Text(t, "testdata/errors.golden", texts)
+}
