--- /dev/null
+++ b/internal/fleet/zones/digest_test.go
@@ -0,0 +1,170 @@
+package zones
+
+import (
+	"encoding/json"
+	"fmt"
+	"hash/fnv"
+	"math"
+	"math/rand/v2"
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
+)
+
+// TestDigest holds all decisions of whole fleets, in their order, over seeded histories against those recorded.
+func TestDigest(t *testing.T) {
+	for seed, want := range map[uint64]string{1: "a882e0ee7c0fc3c4", 2: "e238720a41cd23a3",
+		3: "38c44fddcba97811", 4: "0ff31894163fc9d8", 5: "41f88d6b2bd26d4c", 6: "c16821e130feff77"} {
+		t.Run(fmt.Sprint(seed), func(t *testing.T) {
+			if got := digest(t, seed); got != want {
+				t.Errorf("digest %s, recorded %s", got, want)
+			}
+		})
+	}
+}
+
+// digest plays one fleet through faults and orders, and hashes what each driver puts out.
+func digest(t *testing.T, seed uint64) string {
+	w := newTown(seed, "a", "b", "c", "a", "b", "c", "a", "b")
+	w.keeps, w.loss = seed%2 == 0, []float64{0, 0.05, 0.2}[seed%3]
+	w.home = map[int64]string{1: "b"}
+	sum, lines, outputs := fnv.New64a(), map[string]int{}, 0
+	w.sees = func(from, of string) Observation {
+		return Observation{Zone: of, Members: 4, Reads: 100}
+	}
+	w.watch = func(d *resident, o Out) {
+		fmt.Fprintf(sum, "%v %s %v %v\n", w.Now, d.name, o.PlanChanged, o.TollsChanged)
+		for _, s := range o.Sends {
+			b, err := cbor.Marshal(s.Message)
+			if err != nil {
+				t.Fatal(err)
+			}
+			fmt.Fprintf(sum, "%s %x\n", s.To, b)
+			lines[fmt.Sprint("message ", s.Message.Kind)]++
+		}
+		for _, n := range o.Notes {
+			fmt.Fprintln(sum, n.Reason, n.Name, n.Text)
+			lines["note "+n.Reason]++
+		}
+		if b, err := cbor.Marshal(o.Save); err == nil && o.Save != nil {
+			fmt.Fprintf(sum, "save %x\n", b)
+		}
+		if outputs++; outputs%50 > 0 {
+			return
+		}
+		moves, epoch := d.z.DueMoves(w.Now)
+		preview, err := d.z.Simulate(w.Now, "b")
+		shown, _ := json.Marshal([]any{d.z.Status(w.Now), preview, d.z.Tolls(), d.z.Planned(), moves, epoch})
+		fmt.Fprintln(sum, string(shown), err)
+		lines["moves"] += len(moves)
+		lines["flows"] += len(preview.Flows)
+	}
+	w.until(60000, func() bool { return w.all(func(*Plan) bool { return true }) })
+	r := rand.New(rand.NewPCG(seed, 77))
+	for range 14 {
+		digestFault(w, r)
+		w.run(12000 * r.Float64())
+	}
+	w.cut, w.loss = nil, 0
+	w.sees = func(from, of string) Observation { return Observation{Zone: of, Members: 4, Reads: 100} }
+	w.run(60000)
+	t.Log(lines)
+	return fmt.Sprintf("%016x", sum.Sum64())
+}
+
+// digestFault draws one fault or order.
+func digestFault(w *town, r *rand.Rand) {
+	d, to := w.ds[r.IntN(len(w.ds))], w.ds[r.IntN(len(w.ds))]
+	switch r.IntN(8) {
+	case 0:
+		w.kill(d)
+	case 1, 2:
+		for _, d := range w.ds {
+			if d.z == nil {
+				w.start(d)
+			}
+		}
+		w.cut = nil
+	case 3:
+		d.frozen = w.Now + 8000*r.Float64()
+	case 4:
+		side := r.Uint64()
+		w.cut = func(a, b int) bool { return side>>a&1 != side>>b&1 }
+	case 5:
+		silent, lag, slow, rate := r.IntN(5), r.IntN(5), 4*r.Float64(), 200*r.Float64()
+		w.sees = func(from, of string) Observation {
+			if of == d.zone && (from != to.zone || silent%2 == 0) {
+				return Observation{Zone: of, Members: 4, Reads: rate, Silent: silent, Slow: slow, Behind: lag}
+			}
+			return Observation{Zone: of, Members: 4, Reads: 100, Slow: 1}
+		}
+	case 6, 7:
+		if on := r.IntN(2) == 0; d.z != nil {
+			o, err := d.z.Submit(w.Now, Command{Zone: "b", Away: r.IntN(3) > 0, Duration: 20000 * float64(r.IntN(2)),
+				ID: r.Uint64()})
+			if err == nil && r.IntN(4) == 0 {
+				w.out(d, o)
+				o, err = d.z.Submit(w.Now, Command{Freeze: &on, ID: r.Uint64()})
+			}
+			if err == nil {
+				w.out(d, o)
+			}
+		}
+	}
+}
+
+// TestDigestOfParts holds the parts that no fleet of the above runs widely: courses, causes, shares, tolls, accounts.
+func TestDigestOfParts(t *testing.T) {
+	r := rand.New(rand.NewPCG(5, 5))
+	sum, names := fnv.New64a(), []string{"a", "b", "c", "d"}
+	causes := []Cause{None, None, None, Lost, MembersLost, DriversLost, Isolated, Slow, Behind, RegionLost}
+	pace := Pace{Doubt: 1000, SlowFor: 3000, Away: 3000, AwayMost: 60000, Ramp: 2000, Calm: 20000}
+	for range 40 {
+		c, now := &course{Zone: Zone{Name: "a", Part: 1}}, 0.0
+		for range 200 {
+			cause, ordered, may := causes[r.IntN(len(causes))], r.IntN(6) == 0, r.IntN(4) > 0
+			for range 1 + r.IntN(20) {
+				c.step(now, pace, cause, ordered, may)
+				fmt.Fprintln(sum, c.Zone, c.since, c.well, c.eased, c.slow)
+				now += 300
+			}
+		}
+	}
+	for range 400 {
+		var reports []Report
+		var places []Place
+		for _, n := range names {
+			places = append(places, Place{n, string('r' + n[0]%2), 100 * r.Float64(), float64(r.IntN(3)) * 60})
+			for range r.IntN(4) {
+				p := Report{Zone: n}
+				for _, of := range names {
+					p.Observations = append(p.Observations, Observation{Zone: of, Members: r.IntN(4), Silent: r.IntN(4),
+						Slow: 4 * r.Float64(), Behind: r.IntN(4)})
+				}
+				p.Homes = []Home{{1, names[r.IntN(2)]}, {2, names[r.IntN(4)]}}
+				reports = append(reports, p)
+			}
+		}
+		lives := map[string]bool{"a": r.IntN(2) == 0, "b": r.IntN(2) == 0, "c": true}
+		j := judge(names, reports, lives, map[string]string{"a": "r", "b": "r", "c": "s"})
+		flows, binds := shares(places, Limits{0.3 * r.Float64(), r.Float64()}, func(f, t string) bool {
+			return f == t || f != "a" || t != "b"
+		})
+		fmt.Fprintln(sum, j.Causes, j.Cuts, j.Blind, primaryZones(reports), flows, binds)
+	}
+	f, a, u := &follower{zone: "a"}, &Account{}, &Usual{}
+	for i := range 2000 {
+		p := goldenPlan()
+		p.Flows = []Flow{{"a", "b", float64(r.IntN(10)) / 10}, {"b", "a", r.Float64()}}
+		p.Zones[r.IntN(3)].State = State(r.IntN(5))
+		f.steer(float64(i*700), p, names, map[string]float64{"a": 100 * r.Float64(), "b": 100 * r.Float64()})
+		facts := Facts{r.IntN(3) == 0, r.IntN(3) == 0, r.IntN(3) == 0}
+		a.Count("a", names[r.IntN(4)], "get", r.IntN(100), facts, r.IntN(2) == 0)
+		u.Add(math.Exp(5 * r.Float64()))
+		fmt.Fprintln(sum, f.tolls, f.give(p, names, i%3 > 0), u.Slow())
+	}
+	fmt.Fprintln(sum, a.Sent(), a.All())
+	if got := fmt.Sprintf("%016x", sum.Sum64()); got != "907853c319422bd0" {
+		t.Errorf("digest %s", got)
+	}
+}
--- /dev/null
+++ b/internal/fleet/zones/golden_test.go
@@ -0,0 +1,74 @@
+package zones
+
+import (
+	"fmt"
+	"testing"
+
+	"weirwind/internal/fleet/paxos"
+	"weirwind/internal/standin/golden"
+)
+
+func goldenPlan() *Plan {
+	return &Plan{Epoch: 7, Base: 1 << 60, Voters: []string{"n0", "n1", "n2"},
+		Zones: []Zone{{"a", Serving, None, 1, 0}, {"b", Away, Lost, 0, 2}, {"c", Returning, Slow, 0.25, 1}},
+		Cuts:  []Cut{{"a", "b"}}, Flows: []Flow{{"b", "a", 0.4}, {"b", "c", 0.6}}, Moves: []Move{{3, "b", "a"}},
+		Orders: []Order{{"b", 60}, {"c", 0}}, Frozen: true, Binds: []string{"headroom of a is used"}}
+}
+
+func goldenReport() *Report {
+	return &Report{Zone: "a", Sequence: 9, Run: 1796000000000, Observations: []Observation{{"b", 4, 1, 1.5, 2, 100.25}},
+		Homes: []Home{{3, "b"}}}
+}
+
+// TestMessageForms holds the bytes of each kind of message.
+func TestMessageForms(t *testing.T) {
+	on, ballot, earlier := true, paxos.Ballot{Number: 5, Proposer: "n1"}, paxos.Ballot{Number: 4, Proposer: "n0"}
+	var cases []golden.Case[Message]
+	for kind := Prepare; kind <= ForwardCommand; kind++ {
+		m := Message{Kind: kind, Epoch: 6, Sum: 1 << 63, Ballot: ballot}
+		switch kind {
+		case Promise, Accept, Decided:
+			m.Accepted, m.Plan = earlier, goldenPlan()
+		case Reject, Confirm, Confirmed:
+			m.Nonce = 17
+		case Bootstrap, Bootstrapped:
+			m.Roster = 3
+		case ReportState:
+			m.Report = goldenReport()
+		case ReportAnswer:
+			m.Summary = &Summary{7, 99, 12.5, goldenPlan()}
+		case ForwardCommand:
+			m.Command = &Command{"b", true, 60000, &on, 1796000000001}
+		}
+		cases = append(cases, golden.Of(fmt.Sprint("kind ", kind), m))
+	}
+	golden.CBOR(t, "testdata/messages.golden", append(cases, golden.Of("empty", Message{})))
+}
+
+// TestSavedForms holds the bytes of what outlives the process.
+func TestSavedForms(t *testing.T) {
+	golden.CBOR(t, "testdata/saved.golden", []golden.Case[SavedState]{golden.Of("empty", SavedState{Name: "n0"}),
+		golden.Of("full", SavedState{"n0", goldenPlan(), paxos.Ballot{Number: 5, Proposer: "n1"},
+			paxos.Ballot{Number: 4, Proposer: "n0"}, goldenPlan(), 6})})
+}
+
+// TestStatusForms holds what operators are shown, and the sum of a plan, which is over its JSON.
+func TestStatusForms(t *testing.T) {
+	golden.JSON(t, "testdata/status.golden", []golden.Case[Status]{
+		golden.Of("empty", Status{}),
+		golden.Of("full", Status{Self: "n0", Zone: "a", Leads: true, InForce: true, Age: 1.5, Lease: 15000,
+			Plan: goldenPlan(), Tolls: map[string]float64{"a": 0, "b": 60}, Observations: goldenReport().Observations,
+			Causes: map[string]Cause{"b": Lost}, Votes: "promised {5 n1}, taken {4 n0}, leads a round: true",
+			Calls: []Crossing{{"b", "get", ByPlan, 3, 4}}})})
+	golden.JSON(t, "testdata/preview.golden", []golden.Case[Preview]{golden.Of("empty", Preview{}), golden.Of("full",
+		Preview{[]Place{{"a", "r", 10, 20}}, goldenPlan().Flows, goldenPlan().Binds})})
+	on := false
+	golden.JSON(t, "testdata/command.golden", []golden.Case[Command]{golden.Of("empty", Command{}),
+		golden.Of("full", Command{"b", true, 60000, &on, 1796000000001})})
+	golden.Text(t, "testdata/texts.golden", []golden.Case[string]{
+		golden.Of("plan", describe(goldenPlan())),
+		golden.Of("sum", fmt.Sprintf("%016x %016x", goldenPlan().sum(), (*Plan)(nil).sum())),
+		golden.Of("errors", fmt.Sprint(ErrNoPlan, ErrNotInForce, ErrUnknownZone, ErrNotLeader)),
+		golden.Of("reasons", fmt.Sprint(ByPlan, ByWrite, ByRepeat, ByNoNear, ByLoad)),
+		golden.Of("states", fmt.Sprint(Serving, Doubted, Leaving, Away, Returning))})
+}
--- a/internal/fleet/zones/town_test.go
+++ b/internal/fleet/zones/town_test.go
@@ -29,6 +29,7 @@
 	home   map[int64]string
 	keeps  bool
 	broken []string
+	watch  func(d *resident, o Out) // sees what each driver puts out; nil: nobody does
 }
 
 type resident struct {
@@ -157,6 +158,9 @@
 }
 
 func (t *town) out(d *resident, o Out) {
+	if t.watch != nil {
+		t.watch(d, o)
+	}
 	if o.Save != nil {
 		k := *o.Save
 		d.disk = &k
