--- a/internal/controlplane/agent/agent.go
+++ b/internal/controlplane/agent/agent.go
@@ -118,7 +118,7 @@
 		case <-deadline:
 			return
 		case command := <-a.commands.Commands:
-			command()
+			command.Run()
 		case <-renew.C:
 			a.renewLease()
 			a.checkCore()
--- a/internal/controlplane/loop.go
+++ b/internal/controlplane/loop.go
@@ -51,7 +51,7 @@
 // hangs holds up this loop, and so the contact's renewal, but not the soft state: heartbeats and driver leases go on.
 //
 // The loop sends commands to the soft state, and the soft state to the loop. Neither waits for the other's reply, so
-// that they can't wait for each other; only HTTP handlers wait (commandqueue.Call).
+// that they can't wait for each other; only HTTP handlers wait (commandqueue.Queue.Wait).
 type consensusLoop struct {
 	server *Server
 	node   *consensus.Node
@@ -131,7 +131,7 @@
 func (c *consensusLoop) do(command func()) { c.queue.Do(command) }
 
 // call runs a command in the loop and waits until it has run, as softState.call does.
-func (c *consensusLoop) call(command func()) error { return callOwner(c.server, c.queue, command) }
+func (c *consensusLoop) call(command func()) error { return c.queue.Wait(c.server.ctx, command) }
 
 // run is the owner's goroutine. When ctx ends the node first leaves in order: it transfers its leadership, and asks
 // to be removed from the voters where enough others vote. After a failure it sends nothing more.
@@ -151,7 +151,7 @@
 			c.node.Leave(c.server.now())
 			c.server.log.Event(events.Leaving, "leads", c.established)
 		case command := <-c.queue.Commands:
-			command()
+			command.Run()
 			c.runQueued()
 		case <-tick.C:
 		}
@@ -170,7 +170,7 @@
 	for {
 		select {
 		case command := <-c.queue.Commands:
-			command()
+			command.Run()
 		default:
 			return
 		}
--- a/internal/controlplane/state.go
+++ b/internal/controlplane/state.go
@@ -77,15 +77,7 @@
 
 // call runs a command in the owner's goroutine and waits until it has run. On an error, which is that the process is
 // stopping, it may still run: what it writes must not be read then.
-func (s *softState) call(command func()) error { return callOwner(s.server, s.queue, command) }
-
-func callOwner(h *Server, queue *commandqueue.Queue, command func()) error {
-	_, err := commandqueue.Call(h.ctx, queue, func() struct{} {
-		command()
-		return struct{}{}
-	})
-	return err
-}
+func (s *softState) call(command func()) error { return s.queue.Wait(s.server.ctx, command) }
 
 // run is the owner's goroutine, until the process's context ends.
 func (s *softState) run() { s.queue.Run(tickInterval, s.tick) }
--- a/internal/util/commandqueue/commandqueue.go
+++ b/internal/util/commandqueue/commandqueue.go
@@ -14,23 +14,58 @@
 // ErrClosed is the error of a call whose queue's owner has ended: the command may have run or not.
 var ErrClosed = errors.New("the command queue's owner has ended")
 
+// Command is a queued command.
+type Command struct {
+	run  func()
+	done chan<- struct{} // closed when it has run; nil: nobody waits
+}
+
+// Run carries the command out. Only the queue's owner calls it.
+func (c Command) Run() {
+	c.run()
+	if c.done != nil {
+		close(c.done)
+	}
+}
+
 // Queue holds the commands that wait for one owner.
 type Queue struct {
-	Commands chan func() // to be received from only by an owner that waits for more than commands; others use Run
+	Commands chan Command // to be received from only by an owner that waits for more than commands; others use Run
 
 	ctx context.Context // the owner's; behind its end commands are dropped
 }
 
 // New returns a queue that holds up to size commands before its senders wait. It closes when ctx ends.
 func New(ctx context.Context, size int) *Queue {
-	return &Queue{Commands: make(chan func(), size), ctx: ctx}
+	return &Queue{Commands: make(chan Command, size), ctx: ctx}
 }
 
 // Do queues a command and doesn't wait until it has run. After the end of the queue's context it is dropped.
 func (q *Queue) Do(command func()) {
 	select {
-	case q.Commands <- command:
+	case q.Commands <- Command{run: command}:
+	case <-q.ctx.Done():
+	}
+}
+
+// Wait queues a command and waits until it has run. It gives up as Call does; what the command writes must not be read
+// then.
+func (q *Queue) Wait(ctx context.Context, command func()) error {
+	done := make(chan struct{})
+	select {
+	case q.Commands <- Command{run: command, done: done}:
+	case <-ctx.Done():
+		return ctx.Err()
+	case <-q.ctx.Done():
+		return ErrClosed
+	}
+	select {
+	case <-done:
+		return nil
+	case <-ctx.Done():
+		return ctx.Err()
 	case <-q.ctx.Done():
+		return ErrClosed
 	}
 }
 
@@ -40,7 +75,7 @@
 	var none T
 	reply := make(chan T, 1) // has room for one: the owner never waits for a caller that has given up
 	select {
-	case q.Commands <- func() { reply <- command() }:
+	case q.Commands <- Command{run: func() { reply <- command() }}:
 	case <-ctx.Done():
 		return none, ctx.Err()
 	case <-q.ctx.Done():
@@ -65,7 +100,7 @@
 		case <-q.ctx.Done():
 			return
 		case command := <-q.Commands:
-			command()
+			command.Run()
 		case <-ticker.C:
 			tick()
 		}
--- a/internal/util/commandqueue/commandqueue_test.go
+++ b/internal/util/commandqueue/commandqueue_test.go
@@ -41,6 +41,13 @@
 	if got != 100 || err != nil {
 		t.Fatalf("got %d, %v, want 100 and no error", got, err)
 	}
+	for range 100 {
+		q.Do(func() { n++ })
+	}
+	waited := 0
+	if err := q.Wait(t.Context(), func() { waited = n }); waited != 200 || err != nil {
+		t.Fatalf("waited until %d, %v, want 200 and no error", waited, err)
+	}
 }
 
 // A call whose owner never answers ends with the caller's context, or with the queue's, wherever it waits. The owner of
@@ -72,8 +79,11 @@
 			if got != 0 || !errors.Is(err, c.want) {
 				t.Fatalf("got %d, %v, want 0, %v", got, err, c.want)
 			}
+			if err := q.Wait(caller, func() {}); !errors.Is(err, c.want) {
+				t.Fatalf("Wait gave %v, want %v", err, c.want)
+			}
 			for len(q.Commands) > 0 {
-				(<-q.Commands)()
+				(<-q.Commands).Run()
 			}
 		})
 	}
