--- a/internal/fleet/paxos/paxos_test.go
+++ b/internal/fleet/paxos/paxos_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// However prepares and accepts of several ballots meet, no two values are decided.
+// TestOneValue has prepares and accepts of several ballots meet in any order: no two values are decided.
 func TestOneValue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		voters := []string{"a", "b", "c", "d", "e"}[:rapid.IntRange(1, 5).Draw(t, "voters")]
