--- a/internal/fleet/membership/ballot.go
+++ b/internal/fleet/membership/ballot.go
@@ -44,35 +44,35 @@
 func (f *Fleet) propose(want *Change) {
 	f.ballotNumber++
 	ballot := paxos.Ballot{Number: f.ballotNumber, Proposer: f.self.Name}
-	f.round = &round{Proposer: paxos.NewProposer(ballot, want), deadline: f.now + roundPeriods*f.rules.Period}
-	f.retryAt = f.round.deadline
-	f.broadcastVote(f.roster.Names, Vote{Kind: Prepare, Version: f.roster.Version + 1, BaseHash: f.roster.sum,
+	f.round = &round{Proposer: paxos.NewProposer(ballot, want), deadline: f.now + roundPeriods*f.options.Period}
+	f.nextProposal = f.round.deadline
+	f.broadcastVote(f.roster.Names, Vote{Kind: Prepare, Version: f.roster.Version + 1, BaseHash: f.roster.hash,
 		Ballot: f.round.Ballot})
 }
 
-// dueChange is the change that is due by what this driver sees: who came is to be counted, who left is not. One that
+// wantedChange is the change that is due by what this driver sees: who came is to be counted, who left is not. One that
 // has failed stays.
-func (f *Fleet) dueChange() *Change {
-	if f.vote.Value != nil && f.version == f.roster.Version+1 && f.now-f.acceptedAt > roundPeriods*f.rules.Period {
-		return f.vote.Value
+func (f *Fleet) wantedChange() *Change {
+	if f.acceptor.Value != nil && f.voteVersion == f.roster.Version+1 && f.now-f.acceptedAt > roundPeriods*f.options.Period {
+		return f.acceptor.Value
 	}
-	c := &Change{Version: f.roster.Version + 1, Lineage: f.roster.Lineage, BaseHash: f.roster.sum, Hash: f.roster.sum}
-	wait := settledPeriods * f.rules.Period
+	c := &Change{Version: f.roster.Version + 1, Lineage: f.roster.Lineage, BaseHash: f.roster.hash, Hash: f.roster.hash}
+	wait := settledPeriods * f.options.Period
 	if !f.roster.has(f.self.Name) {
 		c.Add = append(c.Add, f.self.Name)
 	}
-	for _, m := range f.list {
+	for _, m := range f.peers {
 		if len(c.Add)+len(c.Remove) >= maxChange {
 			break
 		}
-		switch on := m.on; {
-		case on && m.State == Left && f.now-m.since > wait:
+		switch on := m.onRoster; {
+		case on && m.State == Left && f.now-m.stateSince > wait:
 			c.Remove = append(c.Remove, m.Name)
-		case !on && m.State == Alive && f.now-m.since > wait:
+		case !on && m.State == Alive && f.now-m.stateSince > wait:
 			c.Add = append(c.Add, m.Name)
 		}
 	}
-	c.Hash ^= sumOf(c.Add) ^ sumOf(c.Remove)
+	c.Hash ^= namesHash(c.Add) ^ namesHash(c.Remove)
 	if len(c.Add)+len(c.Remove) == 0 {
 		return nil
 	}
@@ -82,7 +82,7 @@
 // broadcastVote sends a vote to drivers, this one included.
 func (f *Fleet) broadcastVote(names []string, v Vote) {
 	for _, n := range names {
-		if m := f.byName[n]; m != nil && !m.State.ended() {
+		if m := f.peersByName[n]; m != nil && !m.State.ended() {
 			f.send(m.Address, Message{Kind: Gossip, Target: n, Vote: &v})
 		}
 	}
@@ -91,8 +91,8 @@
 	}
 }
 
-// answer sends a vote back, or takes it where it came from here.
-func (f *Fleet) answer(name, address string, v Vote) {
+// replyVote sends a vote back, or takes it where it came from here.
+func (f *Fleet) replyVote(name, address string, v Vote) {
 	if address == "" {
 		f.receiveVote(name, "", v)
 		return
@@ -110,15 +110,15 @@
 		f.receiveBootstrap(name, address, v)
 		return
 	}
-	if f.roster == nil || v.Version != f.roster.Version+1 || v.BaseHash != f.roster.sum {
+	if f.roster == nil || v.Version != f.roster.Version+1 || v.BaseHash != f.roster.hash {
 		added := f.roster == nil && v.Change != nil && slices.Contains(v.Change.Add, f.self.Name)
 		if v.Kind == Accept && added { // it is to be counted from there on
-			f.answer(name, address, Vote{Kind: Accepted, Version: v.Version, BaseHash: v.BaseHash, Ballot: v.Ballot})
+			f.replyVote(name, address, Vote{Kind: Accepted, Version: v.Version, BaseHash: v.BaseHash, Ballot: v.Ballot})
 		}
 		return
 	}
-	if f.version != v.Version {
-		f.version, f.vote = v.Version, paxos.Acceptor[Change]{}
+	if f.voteVersion != v.Version {
+		f.voteVersion, f.acceptor = v.Version, paxos.Acceptor[Change]{}
 	}
 	f.ballotNumber = max(f.ballotNumber, min(v.Ballot.Number, paxos.MaxNumber))
 	switch v.Kind {
@@ -132,7 +132,7 @@
 		f.receiveAccepted(name, v)
 	case Reject:
 		if r := f.round; r != nil && v.Ballot.Compare(r.Ballot) > 0 {
-			f.round, f.retryAt = nil, f.now+2*f.rules.Period*(0.5+f.random.Float64())
+			f.round, f.nextProposal = nil, f.now+2*f.options.Period*(0.5+f.random.Float64())
 		}
 	}
 }
@@ -149,12 +149,12 @@
 	if !f.mayVote() || !f.roster.has(f.self.Name) {
 		return
 	}
-	back := Vote{Kind: Reject, Version: v.Version, BaseHash: v.BaseHash, Ballot: f.vote.Promised}
-	if f.vote.Prepare(v.Ballot) {
-		f.unsaved = true
-		back.Kind, back.Ballot, back.Accepted, back.Change = Promise, v.Ballot, f.vote.Accepted, f.vote.Value
+	back := Vote{Kind: Reject, Version: v.Version, BaseHash: v.BaseHash, Ballot: f.acceptor.Promised}
+	if f.acceptor.Prepare(v.Ballot) {
+		f.unsavedVotes = true
+		back.Kind, back.Ballot, back.Accepted, back.Change = Promise, v.Ballot, f.acceptor.Accepted, f.acceptor.Value
 	}
-	f.answer(name, address, back)
+	f.replyVote(name, address, back)
 }
 
 func (f *Fleet) receivePromise(name string, v Vote) {
@@ -169,15 +169,15 @@
 }
 
 func (f *Fleet) receiveAccept(name, address string, v Vote) {
-	if v.Change == nil || v.Change.BaseHash != f.roster.sum || !f.mayVote() {
+	if v.Change == nil || v.Change.BaseHash != f.roster.hash || !f.mayVote() {
 		return
 	}
-	back := Vote{Kind: Reject, Version: v.Version, BaseHash: v.BaseHash, Ballot: f.vote.Promised}
-	if f.vote.Accept(v.Ballot, v.Change) {
-		f.acceptedAt, f.unsaved = f.now, true
+	back := Vote{Kind: Reject, Version: v.Version, BaseHash: v.BaseHash, Ballot: f.acceptor.Promised}
+	if f.acceptor.Accept(v.Ballot, v.Change) {
+		f.acceptedAt, f.unsavedVotes = f.now, true
 		back.Kind, back.Ballot = Accepted, v.Ballot
 	}
-	f.answer(name, address, back)
+	f.replyVote(name, address, back)
 }
 
 // receiveAccepted counts an acceptance: a change is decided by majorities of the names before it and after it.
@@ -187,7 +187,7 @@
 		return
 	}
 	r.RecordAccepted(name)
-	if next := f.after(r.Value); r.Decided(f.roster.Names, next.Names) {
+	if next := f.rosterAfter(r.Value); r.Decided(f.roster.Names, next.Names) {
 		f.round = nil
 		f.decide(*r.Value)
 	}
@@ -204,17 +204,17 @@
 	return all
 }
 
-// after is the roster that a change makes of the one that holds.
-func (f *Fleet) after(c *Change) Roster {
+// rosterAfter is the roster that a change makes of the one that holds.
+func (f *Fleet) rosterAfter(c *Change) Roster {
 	names := slices.DeleteFunc(f.voters(c), func(n string) bool { return slices.Contains(c.Remove, n) })
 	slices.Sort(names)
-	return Roster{Version: c.Version, Lineage: c.Lineage, Names: names, sum: sumOf(names)}
+	return Roster{Version: c.Version, Lineage: c.Lineage, Names: names, hash: namesHash(names)}
 }
 
 // decide takes a change that was agreed on, and passes it on.
 func (f *Fleet) decide(c Change) {
-	if next := f.after(&c); next.sum == c.Hash {
+	if next := f.rosterAfter(&c); next.hash == c.Hash {
 		f.adoptRoster(next)
-		f.decided, f.decidedLeft = &c, 4*f.times()
+		f.decidedChange, f.decidedTransmissions = &c, 4*f.retransmitLimit()
 	}
 }
--- a/internal/fleet/membership/digest_test.go
+++ b/internal/fleet/membership/digest_test.go
@@ -283,7 +283,7 @@
 	if r.IntN(3) > 0 {
 		from.State, from.Run, from.Address = Alive, 3, from.Name
 	}
-	m := Message{Kind: Kind(1 + r.IntN(6)), From: from, Counter: uint64(r.IntN(1000)), ProbeID: f.seq - uint64(r.IntN(3)),
+	m := Message{Kind: Kind(1 + r.IntN(6)), From: from, Counter: uint64(r.IntN(1000)), ProbeID: f.probeSeq - uint64(r.IntN(3)),
 		Target: append([]string{"c"}, names...)[r.IntN(len(names)+1)], TargetAddress: "b", ViewHash: uint64(r.IntN(2)), RosterVersion: uint64(r.IntN(6))}
 	for range r.IntN(3) {
 		m.Records = append(m.Records, anyRecord(r, names))
@@ -293,15 +293,15 @@
 	}
 	if f.roster == nil || r.IntN(2) == 0 {
 		if r.IntN(4) == 0 {
-			m.Vote = &Vote{Kind: VoteKind(1 + r.IntN(2)), Version: 1, Hash: sumOf(names), Ballot: paxos.Ballot{Proposer: from.Name}}
+			m.Vote = &Vote{Kind: VoteKind(1 + r.IntN(2)), Version: 1, Hash: namesHash(names), Ballot: paxos.Ballot{Proposer: from.Name}}
 		}
 		return m
 	}
-	change := &Change{Version: f.roster.Version + 1, Lineage: f.roster.Lineage, BaseHash: f.roster.sum, Add: []string{"x"}}
+	change := &Change{Version: f.roster.Version + 1, Lineage: f.roster.Lineage, BaseHash: f.roster.hash, Add: []string{"x"}}
 	if r.IntN(2) == 0 {
 		change.Add, change.Remove = nil, []string{names[r.IntN(len(names))]}
 	}
-	change.Hash = change.BaseHash ^ sumOf(change.Add) ^ sumOf(change.Remove)
+	change.Hash = change.BaseHash ^ namesHash(change.Add) ^ namesHash(change.Remove)
 	m.Vote = &Vote{Kind: VoteKind(3 + r.IntN(5)), Version: change.Version, BaseHash: change.BaseHash,
 		Ballot:   paxos.Ballot{Number: uint32(r.IntN(5)), Proposer: names[r.IntN(len(names))]},
 		Accepted: paxos.Ballot{Number: uint32(r.IntN(5)), Proposer: names[r.IntN(len(names))]}}
--- a/internal/fleet/membership/drains.go
+++ b/internal/fleet/membership/drains.go
@@ -22,71 +22,71 @@
 	source uint8
 }
 
-// held is a drain, and when it came here.
-type held struct {
+// heldDrain is a drain, and when it came here.
+type heldDrain struct {
 	Drain
 	at float64
 }
 
 // Drains holds what peers told, and what the own lists tell others.
 type Drains struct {
-	most  int
-	keep  float64
-	all   map[drainKey]held
-	own   map[uint8]int64 // revision held, by source
-	marks map[string]bool
+	limit        int
+	retainFor    float64
+	all          map[drainKey]heldDrain
+	ownRevisions map[uint8]int64 // revision held, by source
+	draining     map[string]bool
 }
 
 // NewDrains makes a book of at most so many. A drain that the own list never came to, though it speaks, is let go after
 // keep: its revisions are of another list than the one that told it.
 func NewDrains(most int, keep float64) *Drains {
-	return &Drains{most: most, keep: keep, all: map[drainKey]held{}, own: map[uint8]int64{}, marks: map[string]bool{}}
+	return &Drains{limit: most, retainFor: keep, all: map[drainKey]heldDrain{}, ownRevisions: map[uint8]int64{}, draining: map[string]bool{}}
 }
 
-// take notes a message that says more than what is held.
-func (d *Drains) take(now float64, t Drain) bool {
+// record notes a message that says more than what is held.
+func (d *Drains) record(now float64, t Drain) bool {
 	key := drainKey{t.Member, t.Source}
 	h, known := d.all[key]
 	switch {
 	// of one revision the message by which less is sent holds
 	case known && t.Revision < h.Revision, known && t.Revision == h.Revision && (t.Up || !h.Up):
 		return false
-	case !known && (t.Up || len(d.all) >= d.most && !d.makeRoom()):
+	case !known && (t.Up || len(d.all) >= d.limit && !d.evictOldest()):
 		return false
 	}
-	d.all[key] = held{t, now}
+	d.all[key] = heldDrain{t, now}
 	return true
 }
 
 // ApplyList takes what an own list told: the revision up to which it is held now, and what it told of members. It gives
 // the members whose marks change (true: counts as draining now) and whether there is news for peers.
 func (d *Drains) ApplyList(now float64, source uint8, revision int64, told []Drain) (marks map[string]bool, news bool) {
-	d.own[source] = revision
+	d.ownRevisions[source] = revision
 	for _, t := range told {
-		news = d.take(now, t) || news
+		news = d.record(now, t) || news
 	}
 	for k, h := range d.all {
-		if k.source == source && h.Revision > revision && now-h.at > d.keep {
+		if k.source == source && h.Revision > revision && now-h.at > d.retainFor {
 			delete(d.all, k)
 		}
 	}
-	return d.settle(), news
+	return d.updateDraining(), news
 }
 
 // ApplyPeer takes a peer's word, and says whether it was news.
 func (d *Drains) ApplyPeer(now float64, t Drain) (marks map[string]bool, news bool) {
-	if t.Member == "" || len(t.Member) > 256 || t.Revision < 0 || !d.take(now, t) {
+	if t.Member == "" || len(t.Member) > 256 || t.Revision < 0 || !d.record(now, t) {
 		return nil, false
 	}
-	return d.settle(), true
+	return d.updateDraining(), true
 }
 
-// makeRoom forgets the oldest drain that the own list covers; one that only peers told stays.
-func (d *Drains) makeRoom() bool {
+// evictOldest forgets the oldest drain that the own list covers; one that only peers told stays.
+func (d *Drains) evictOldest() bool {
 	var oldest drainKey
 	found := false
 	for k, t := range d.all {
-		if t.Revision <= d.own[k.source] && (!found || t.Revision < d.all[oldest].Revision ||
+		if t.Revision <= d.ownRevisions[k.source] && (!found || t.Revision < d.all[oldest].Revision ||
 			t.Revision == d.all[oldest].Revision && k.member < oldest.member) {
 			oldest, found = k, true
 		}
@@ -95,26 +95,26 @@
 	return found
 }
 
-// settle works out the marks: a member counts as draining where a peer told so by a list newer than the own one.
-func (d *Drains) settle() (changes map[string]bool) {
+// updateDraining works out the marks: a member counts as draining where a peer told so by a list newer than the own one.
+func (d *Drains) updateDraining() (changes map[string]bool) {
 	want := map[string]bool{}
 	for k, t := range d.all {
-		if !t.Up && t.Revision > d.own[k.source] {
+		if !t.Up && t.Revision > d.ownRevisions[k.source] {
 			want[k.member] = true
 		}
 	}
 	changes = map[string]bool{}
 	for m := range want {
-		if !d.marks[m] {
+		if !d.draining[m] {
 			changes[m] = true
 		}
 	}
-	for m := range d.marks {
+	for m := range d.draining {
 		if !want[m] {
 			changes[m] = false
 		}
 	}
-	d.marks = want
+	d.draining = want
 	return changes
 }
 
@@ -132,4 +132,4 @@
 }
 
 // Draining are the members that count as draining by peers' word alone, sorted.
-func (d *Drains) Draining() []string { return slices.Sorted(maps.Keys(d.marks)) }
+func (d *Drains) Draining() []string { return slices.Sorted(maps.Keys(d.draining)) }
--- a/internal/fleet/membership/fleet.go
+++ b/internal/fleet/membership/fleet.go
@@ -20,118 +20,118 @@
 
 // In periods, where nothing else is said.
 const (
-	directShare  = 0.4 // of the period: an answer by then, or others are asked
-	nackShare    = 0.3 // who is asked says after so long that there is no answer
-	helpers      = 3   // are asked
-	suspectLeast = 3.0 // with as many that confirm it as count
-	suspectMost  = 9.0 // with none
-	confirmers   = 2   // count
-	askBefore    = 2.5 // before a suspicion that few confirm is certain, whom it is about is asked straight
-	checkers     = 4.0 // look at one that another suspects, about
-	maxChecks    = 4
-	healthMost   = 4    // how much of a driver's slowness it blames on itself
-	stillAfter   = 1.5  // between two ticks: it stood still
-	gossipEvery  = 0.2  // while there is news
-	gossipTo     = 2    // peers at a time
-	lookEvery    = 0.2  // at what changes slowly
-	quietFor     = 3.0  // views that differ though nothing was news for so long are exchanged
-	backlog      = 64   // drivers that there is news of
-	exchangeGap  = 3.0  // between exchanges begun by one driver
-	deafLeast    = 5.0  // unheard for so long, and longer the more peers there are, up to deafMost
-	deafMost     = 60.0 //
-	maxRelays    = 256
-	heardLately  = 4.0 // it lives, whatever others say
-	straight     = 4   // probes more, a period apart, to one that did not answer straight, before it counts as not heard
+	directProbeShare    = 0.4 // of the period: an answer by then, or others are asked
+	nackShare           = 0.3 // who is asked says after so long that there is no answer
+	indirectProbes      = 3   // are asked
+	minSuspicion        = 3.0 // with as many that confirm it as count
+	maxSuspicion        = 9.0 // with none
+	maxConfirmations    = 2   // count
+	lastProbeBefore     = 2.5 // before a suspicion that few confirm is certain, whom it is about is asked straight
+	suspicionCheckers   = 4.0 // look at one that another suspects, about
+	maxRechecks         = 4
+	maxHealth           = 4    // how much of a driver's slowness it blames on itself
+	pauseAfter          = 1.5  // between two ticks: it stood still
+	gossipInterval      = 0.2  // while there is news
+	gossipFanout        = 2    // peers at a time
+	checkInterval       = 0.2  // at what changes slowly
+	viewsSettleAfter    = 3.0  // views that differ though nothing was news for so long are exchanged
+	maxBroadcastBacklog = 64   // drivers that there is news of
+	syncInterval        = 3.0  // between exchanges begun by one driver
+	minUnreachableAfter = 5.0  // unheard for so long, and longer the more peers there are, up to deafMost
+	maxUnreachableAfter = 60.0 //
+	maxRelays           = 256
+	recentlyHeard       = 4.0 // it lives, whatever others say
+	maxReprobes         = 4   // probes more, a period apart, to one that did not answer straight, before it counts as not heard
 )
 
-// member is what is known of a peer.
-type member struct {
+// peer is what is known of a peer.
+type peer struct {
 	Record
-	since  float64 // in its state
-	count  uint64  // of its newest message that came straight from it
-	fresh  float64 // when that came
-	silent bool    // the last probe straight to it was not answered
-	tries  int     // made since
-	again  float64 // the next one
-	deaf   bool    // it is not heard, though it is said to live
-	hears  Reachability
+	stateSince   float64 // in its state
+	lastCounter  uint64  // of its newest message that came straight from it
+	lastDirect   float64 // when that came
+	unanswered   bool    // the last probe straight to it was not answered
+	reprobes     int     // made since
+	nextReprobe  float64 // the next one
+	unreachable  bool    // it is not heard, though it is said to live
+	reachability Reachability
 
-	began float64         // of the suspicion
-	scale float64         // by how unwell this driver was then
-	by    map[string]bool // who confirmed it
-	met   float64         // first known of, in this run
-	on    bool            // the roster that holds
-	later float64         // no exchange with it before
+	suspectedAt    float64         // of the suspicion
+	suspicionScale float64         // by how unwell this driver was then
+	accusers       map[string]bool // who confirmed it
+	aliveSince     float64         // first known of, in this run
+	onRoster       bool            // the roster that holds
+	nextSync       float64         // no exchange with it before
 
-	accused float64 // no word to it of what is said of it before
+	nextAccusation float64 // no word to it of what is said of it before
 }
 
 // probe is the one that is out.
 type probe struct {
-	name          string
-	seq           uint64
-	began         float64
-	direct, until float64
-	asked         bool
-	expect, nacks int
+	name                 string
+	id                   uint64
+	sentAt               float64
+	indirectAt, deadline float64
+	indirect             bool
+	helpers, nacks       int
 }
 
 // relay is a probe made for a peer.
 type relay struct {
-	to, about string
-	seq       uint64
-	until     float64
+	requester, target string
+	probeID           uint64
+	expiresAt         float64
 }
 
-// update is word that still goes round.
-type update struct {
-	record Record
-	hears  *Reachability
-	sent   int
-	dead   bool // another one has taken its place
+// broadcast is word that still goes round.
+type broadcast struct {
+	record        Record
+	reachability  *Reachability
+	transmissions int
+	superseded    bool // another one has taken its place
 }
 
 // Fleet is one driver's view. It is not safe for use by several goroutines at a time.
 type Fleet struct {
-	rules   Options
-	random  *rand.Rand
-	self    Record
-	count   uint64
-	seq     uint64
-	list    []*member // by name
-	byName  map[string]*member
-	seeds   []string
-	check   []string // whom others suspect and this driver is to look at as well
-	probe   *probe
-	relays  map[uint64]*relay
-	updates []*update // by how often they were sent
-	spare   []*update
-	going   map[string][]*update // those that are not dead, by whom they are about
-	health  int
-	hears   Reachability
+	options         Options
+	random          *rand.Rand
+	self            Record
+	counter         uint64
+	probeSeq        uint64
+	peers           []*peer // by name
+	peersByName     map[string]*peer
+	seeds           []string
+	recheck         []string // whom others suspect and this driver is to look at as well
+	probe           *probe
+	relays          map[uint64]*relay
+	broadcasts      []*broadcast // by how often they were sent
+	spareBroadcasts []*broadcast
+	broadcastsAbout map[string][]*broadcast // those that are not dead, by whom they are about
+	health          int
+	reachability    Reachability
 
-	now, ticked, probeAt, gossipAt, seedAt, exchangeAt, rosterAt, reapAt, lookAt, judgeAt float64
+	now, lastTick, nextProbe, nextGossip, nextSeedSync, nextSync, nextRosterTick, nextReap, nextReachabilityCheck, nextAssessment float64
 	// the set of those that live; anything
-	changed, news float64
-	view          uint64
+	liveSetChangedAt, lastNews float64
+	viewHash                   uint64
 
-	missed    int     // probes in a row that nobody answered
-	doubt     float64 // it stood still: until then it can't know
-	unproved  bool    // and until a peer has answered
-	contested float64 // its name is another's, as it was told last then
-	holder    string  // whose address that is
-	warned    map[string]float64
+	missedProbes   int     // probes in a row that nobody answered
+	uncertainUntil float64 // it stood still: until then it can't know
+	unconfirmed    bool    // and until a peer has answered
+	nameTakenAt    float64 // its name is another's, as it was told last then
+	nameOwner      string  // whose address that is
+	warnedAt       map[string]float64
 
 	rosterConsensus
-	standing  PartitionStatus
-	why       string
-	stands    float64 // since when
-	leaving   bool
-	behind    float64 // since when a peer holds a newer roster
-	out       Output
-	statesGen uint64
-	judged    uint64    // statesGen when the standing was last looked at
-	suspects  []*member // those that are suspected are among them
+	partition         PartitionStatus
+	partitionReason   string
+	partitionSince    float64 // since when
+	leaving           bool
+	rosterBehindSince float64 // since when a peer holds a newer roster
+	pending           Output
+	stateVersion      uint64
+	assessedVersion   uint64  // statesGen when the standing was last looked at
+	suspects          []*peer // those that are suspected are among them
 }
 
 // randomStream keeps a driver's draws here apart from others made from the same seed.
@@ -141,26 +141,26 @@
 // peers.
 func New(now float64, r Options, self Record, seeds []string, seed uint64) *Fleet {
 	f := &Fleet{
-		rules:    r,
-		random:   rand.New(rand.NewPCG(seed, randomStream)),
-		self:     self,
-		byName:   map[string]*member{},
-		relays:   map[uint64]*relay{},
-		going:    map[string][]*update{},
-		now:      now,
-		ticked:   now,
-		changed:  now,
-		news:     now,
-		warned:   map[string]float64{},
-		stands:   now,
-		standing: Undetermined,
-		why:      "no_roster",
-		view:     mark(self.Name, self.Run),
-		hears:    Reachability{Name: self.Name, Run: self.Run},
+		options:          r,
+		random:           rand.New(rand.NewPCG(seed, randomStream)),
+		self:             self,
+		peersByName:      map[string]*peer{},
+		relays:           map[uint64]*relay{},
+		broadcastsAbout:  map[string][]*broadcast{},
+		now:              now,
+		lastTick:         now,
+		liveSetChangedAt: now,
+		lastNews:         now,
+		warnedAt:         map[string]float64{},
+		partitionSince:   now,
+		partition:        Undetermined,
+		partitionReason:  "no_roster",
+		viewHash:         processHash(self.Name, self.Run),
+		reachability:     Reachability{Name: self.Name, Run: self.Run},
 	}
 	f.restore(r.Saved)
-	f.seq = f.random.Uint64() >> 2 // answers to an earlier run are not taken for ones to this
-	f.probeAt = now + f.rules.Period*f.random.Float64()
+	f.probeSeq = f.random.Uint64() >> 2 // answers to an earlier run are not taken for ones to this
+	f.nextProbe = now + f.options.Period*f.random.Float64()
 	f.SetSeeds(seeds)
 	return f
 }
@@ -168,75 +168,75 @@
 // SetSeeds takes the addresses at which peers may be found; they are tried at once.
 func (f *Fleet) SetSeeds(all []string) {
 	f.seeds = slices.DeleteFunc(slices.Clone(all), func(a string) bool { return a == f.self.Address })
-	f.seedAt = f.now
+	f.nextSeedSync = f.now
 }
 
 // SetPeriod takes another period.
-func (f *Fleet) SetPeriod(period float64) { f.rules.Period = period }
+func (f *Fleet) SetPeriod(period float64) { f.options.Period = period }
 
-func (f *Fleet) output() (out Output) {
-	f.out.Save = f.save()
-	out, f.out = f.out, Output{}
+func (f *Fleet) takeOutput() (out Output) {
+	f.pending.Save = f.save()
+	out, f.pending = f.pending, Output{}
 	return out
 }
 
-func (f *Fleet) note(reason, name, text string) {
-	f.out.Events = append(f.out.Events, Event{reason, name, text})
+func (f *Fleet) emit(reason, name, text string) {
+	f.pending.Events = append(f.pending.Events, Event{reason, name, text})
 }
 
 // Tick lets time pass. It is to be called several times a period; a gap is time in which this driver stood still.
 func (f *Fleet) Tick(now float64) Output {
-	p := f.rules.Period
+	p := f.options.Period
 	f.advance(now)
-	f.ticked = now
+	f.lastTick = now
 	if f.leaving {
 		f.gossip()
-		return f.output()
+		return f.takeOutput()
 	}
-	f.followProbe()
-	if now >= f.probeAt && f.probe == nil {
-		f.probeAt = max(f.probeAt+p, now+p/2) + 0.25*p*float64(f.health)
+	f.advanceProbe()
+	if now >= f.nextProbe && f.probe == nil {
+		f.nextProbe = max(f.nextProbe+p, now+p/2) + 0.25*p*float64(f.health)
 		f.startProbe()
-		f.reconnect()
+		f.probeFailedPeer()
 	}
 	for seq, r := range f.relays {
-		if now >= r.until {
+		if now >= r.expiresAt {
 			delete(f.relays, seq)
 		}
 	}
-	f.lookAtDoubted()
-	if now >= f.lookAt {
-		f.lookAt = now + lookEvery*p
-		f.look()
+	f.advanceSuspicions()
+	if now >= f.nextReachabilityCheck {
+		f.nextReachabilityCheck = now + checkInterval*p
+		f.checkReachability()
 	}
-	if now >= f.reapAt {
-		f.reapAt = now + 4*p
-		f.reap()
+	if now >= f.nextReap {
+		f.nextReap = now + 4*p
+		f.reapEnded()
 	}
-	if now >= f.gossipAt {
-		f.gossipAt = now + gossipEvery*p
+	if now >= f.nextGossip {
+		f.nextGossip = now + gossipInterval*p
 		f.gossip()
 	}
-	if now >= f.seedAt {
-		f.trySeeds()
+	if now >= f.nextSeedSync {
+		f.syncWithSeed()
 	}
-	if f.contested > 0 && now-f.contested > 12*p {
-		f.contested = 0
-		f.queue(f.self)
+	if f.nameTakenAt > 0 && now-f.nameTakenAt > 12*p {
+		f.nameTakenAt = 0
+		f.broadcastRecord(f.self)
 	}
-	if now >= f.rosterAt {
-		f.rosterAt = now + lookEvery*p
+	if now >= f.nextRosterTick {
+		f.nextRosterTick = now + checkInterval*p
 		f.tickRoster()
 	}
-	f.judge()
-	return f.output()
+	f.updatePartition()
+	return f.takeOutput()
 }
 
 // advance brings the time up to date, and sees a gap since the last tick, whatever comes first behind it.
 func (f *Fleet) advance(now float64) {
-	if gap := now - f.ticked; gap > stillAfter*f.rules.Period {
-		f.ticked = now
-		f.stoodStill(now, gap)
+	if gap := now - f.lastTick; gap > pauseAfter*f.options.Period {
+		f.lastTick = now
+		f.resumeAfterPause(now, gap)
 	}
 	f.now = max(f.now, now)
 }
@@ -244,25 +244,25 @@
 // Receive takes a message. What a stranger under a peer's name or address says of itself counts for nothing.
 func (f *Fleet) Receive(now float64, m Message) Output {
 	f.advance(now)
-	if !m.From.sane() || len(m.Records) > maxRecords || len(m.Reachability) > maxRecords ||
+	if !m.From.valid() || len(m.Records) > maxRecords || len(m.Reachability) > maxRecords ||
 		m.From.Name == f.self.Name && m.From.Run == f.self.Run {
-		return f.output()
+		return f.takeOutput()
 	}
-	f.apply(m.From)
-	from := f.byName[m.From.Name]
-	if from != nil && from.Run == m.From.Run && m.Counter > from.count {
-		from.count, from.fresh = m.Counter, f.now
-		f.hear(from, true)
+	f.applyRecord(m.From)
+	from := f.peersByName[m.From.Name]
+	if from != nil && from.Run == m.From.Run && m.Counter > from.lastCounter {
+		from.lastCounter, from.lastDirect = m.Counter, f.now
+		f.setReachable(from, true)
 	}
 	known := from != nil && from.Run == m.From.Run
 	for _, r := range m.Records {
-		f.apply(r)
+		f.applyRecord(r)
 	}
 	for i := range m.Reachability {
-		f.heardOf(m.Reachability[i])
+		f.receiveReachability(m.Reachability[i])
 	}
 	if f.leaving {
-		return f.output()
+		return f.takeOutput()
 	}
 	var back []Record // of the sender, where it should know better
 	if from != nil && (from.State != Alive || from.Run != m.From.Run) {
@@ -281,7 +281,7 @@
 	case Ack:
 		f.receiveAck(m)
 	case Nack:
-		if p := f.probe; p != nil && p.seq == m.ProbeID {
+		if p := f.probe; p != nil && p.id == m.ProbeID {
 			p.nacks++
 		}
 	}
@@ -294,9 +294,9 @@
 	if m.DecidedChange != nil {
 		f.receiveDecided(*m.DecidedChange)
 	}
-	f.compare(from, m)
-	f.judge()
-	return f.output()
+	f.compareViews(from, m)
+	f.updatePartition()
+	return f.takeOutput()
 }
 
 // receiveAsk probes another driver for a peer.
@@ -304,25 +304,25 @@
 	if len(f.relays) >= maxRelays || m.Target == f.self.Name || len(m.TargetAddress) > maxNameBytes {
 		return
 	}
-	f.seq++
-	f.relays[f.seq] = &relay{to: m.From.Address, about: m.Target, seq: m.ProbeID, until: f.now + 2*f.rules.Period}
-	f.send(m.TargetAddress, Message{Kind: Ping, ProbeID: f.seq, Target: m.Target})
-	if t := f.byName[m.Target]; t == nil || t.fresh < f.now-nackShare*f.rules.Period {
+	f.probeSeq++
+	f.relays[f.probeSeq] = &relay{requester: m.From.Address, target: m.Target, probeID: m.ProbeID, expiresAt: f.now + 2*f.options.Period}
+	f.send(m.TargetAddress, Message{Kind: Ping, ProbeID: f.probeSeq, Target: m.Target})
+	if t := f.peersByName[m.Target]; t == nil || t.lastDirect < f.now-nackShare*f.options.Period {
 		f.send(m.From.Address, Message{Kind: Nack, ProbeID: m.ProbeID, Target: m.Target})
 	}
 }
 
 // receiveAck takes an answer to a probe, this driver's own or one that it made for a peer.
 func (f *Fleet) receiveAck(m Message) {
-	if r := f.relays[m.ProbeID]; r != nil && r.about == m.Target {
+	if r := f.relays[m.ProbeID]; r != nil && r.target == m.Target {
 		delete(f.relays, m.ProbeID)
-		f.send(r.to, Message{Kind: Ack, ProbeID: r.seq, Target: r.about, Records: []Record{m.From}})
+		f.send(r.requester, Message{Kind: Ack, ProbeID: r.probeID, Target: r.target, Records: []Record{m.From}})
 	}
-	if p := f.probe; p != nil && p.seq == m.ProbeID && p.name == m.Target {
+	if p := f.probe; p != nil && p.id == m.ProbeID && p.name == m.Target {
 		f.probe = nil
-		f.answered()
-		if t := f.byName[p.name]; t != nil && m.From.Name == p.name {
-			t.silent = false
+		f.probeAnswered()
+		if t := f.peersByName[p.name]; t != nil && m.From.Name == p.name {
+			t.unanswered = false
 		}
 	}
 }
@@ -331,18 +331,18 @@
 func (f *Fleet) Leave(now float64) Output {
 	f.now = max(f.now, now)
 	if !f.leaving {
-		f.leaving, f.judgeAt = true, 0
+		f.leaving, f.nextAssessment = true, 0
 		f.self.State = Left
-		f.queue(f.self)
+		f.broadcastRecord(f.self)
 		told := map[string]bool{}
-		for range 2 * helpers {
-			if m := f.pick(func(m *member) bool { return !m.State.ended() && !told[m.Name] }); m != nil {
+		for range 2 * indirectProbes {
+			if m := f.randomPeer(func(m *peer) bool { return !m.State.ended() && !told[m.Name] }); m != nil {
 				told[m.Name] = true
 				f.send(m.Address, Message{Kind: Gossip, Target: m.Name})
 			}
 		}
-		f.note("leaving", f.self.Name, "")
-		f.judge()
+		f.emit("leaving", f.self.Name, "")
+		f.updatePartition()
 	}
-	return f.output()
+	return f.takeOutput()
 }
--- a/internal/fleet/membership/forget.go
+++ b/internal/fleet/membership/forget.go
@@ -20,31 +20,31 @@
 // part the rest agrees on that; otherwise operators must be certain that it does not run, as nobody else can be asked.
 func (f *Fleet) Forget(now float64, name string, certain bool) (Output, error) {
 	f.now = max(f.now, now)
-	m := f.byName[name]
+	m := f.peersByName[name]
 	switch {
-	case m == nil && !f.listed(name) || name == f.self.Name:
+	case m == nil && !f.onRoster(name) || name == f.self.Name:
 		return Output{}, ErrUnknownDriver
 	case m != nil && !m.State.ended():
 		return Output{}, ErrAlive
 	}
-	agreed := f.standing == Complete || f.standing == Majority
+	agreed := f.partition == Complete || f.partition == Majority
 	if !agreed && !certain {
 		return Output{}, ErrNoMajority
 	}
 	if m != nil && m.State == Failed {
 		r := m.Record
 		r.State, r.ReportedBy = Left, f.self.Name
-		f.apply(r)
+		f.applyRecord(r)
 	}
-	if f.listed(name) && !agreed || f.listed(name) && m == nil {
+	if f.onRoster(name) && !agreed || f.onRoster(name) && m == nil {
 		names := slices.DeleteFunc(slices.Clone(f.roster.Names), func(n string) bool { return n == name })
 		if len(names) == 0 {
-			return f.output(), ErrUnknownDriver
+			return f.takeOutput(), ErrUnknownDriver
 		}
 		f.adoptRoster(Roster{Version: f.roster.Version + forcedVersionStep, Lineage: f.roster.Lineage, Names: names,
-			sum: sumOf(names)})
+			hash: namesHash(names)})
 	}
-	f.note("forgets", name, "as operators say")
-	f.judge()
-	return f.output(), nil
+	f.emit("forgets", name, "as operators say")
+	f.updatePartition()
+	return f.takeOutput(), nil
 }
--- a/internal/fleet/membership/hearing.go
+++ b/internal/fleet/membership/hearing.go
@@ -6,49 +6,49 @@
 	"slices"
 )
 
-// hear notes whether a peer is heard straight.
-func (f *Fleet) hear(m *member, heard bool) {
+// setReachable notes whether a peer is heard straight.
+func (f *Fleet) setReachable(m *peer, heard bool) {
 	if heard {
-		m.silent = false
+		m.unanswered = false
 	}
-	if m.deaf == !heard {
+	if m.unreachable == !heard {
 		return
 	}
-	m.deaf = !heard
-	f.statesGen++
-	if f.tellHearing(); heard {
-		f.note("fellow_heard", m.Name, "")
+	m.unreachable = !heard
+	f.stateVersion++
+	if f.broadcastReachability(); heard {
+		f.emit("fellow_heard", m.Name, "")
 	} else {
-		f.note("fellow_unheard", m.Name, "others hear it")
+		f.emit("fellow_unheard", m.Name, "others hear it")
 	}
 }
 
-func (f *Fleet) tellHearing() {
-	h := Reachability{Name: f.self.Name, Run: f.self.Run, Sequence: f.hears.Sequence + 1}
-	for _, m := range f.list {
-		if m.deaf && len(h.Unreachable) < mostDeaf {
+func (f *Fleet) broadcastReachability() {
+	h := Reachability{Name: f.self.Name, Run: f.self.Run, Sequence: f.reachability.Sequence + 1}
+	for _, m := range f.peers {
+		if m.unreachable && len(h.Unreachable) < maxUnreachable {
 			h.Unreachable = append(h.Unreachable, m.Name)
 		}
 	}
-	f.hears = h
-	f.queueHearing(h)
+	f.reachability = h
+	f.queueReachability(h)
 }
 
-func (f *Fleet) queueHearing(h Reachability) {
-	r := &update{hears: &h}
-	for _, o := range slices.Clone(f.going[r.about()]) {
-		f.untell(o)
+func (f *Fleet) queueReachability(h Reachability) {
+	r := &broadcast{reachability: &h}
+	for _, o := range slices.Clone(f.broadcastsAbout[r.about()]) {
+		f.dropBroadcast(o)
 	}
-	f.tell(r)
+	f.addBroadcast(r)
 }
 
-// heardOf takes whom a peer does not hear.
-func (f *Fleet) heardOf(h Reachability) {
-	m := f.byName[h.Name]
-	if m == nil || m.Run != h.Run || h.Sequence <= m.hears.Sequence || len(h.Unreachable) > mostDeaf {
+// receiveReachability takes whom a peer does not hear.
+func (f *Fleet) receiveReachability(h Reachability) {
+	m := f.peersByName[h.Name]
+	if m == nil || m.Run != h.Run || h.Sequence <= m.reachability.Sequence || len(h.Unreachable) > maxUnreachable {
 		return
 	}
-	m.hears = h
-	f.statesGen++
-	f.queueHearing(h)
+	m.reachability = h
+	f.stateVersion++
+	f.queueReachability(h)
 }
--- a/internal/fleet/membership/memory_test.go
+++ b/internal/fleet/membership/memory_test.go
@@ -20,10 +20,10 @@
 	names := []string{"n0000"}
 	for i := 1; i < 1000; i++ {
 		name := fmt.Sprintf("n%04d", i)
-		f.apply(Record{Name: name, Run: 1, Address: fmt.Sprintf("10.0.%d.%d:7434", i/250, i%250), Zone: "a"})
+		f.applyRecord(Record{Name: name, Run: 1, Address: fmt.Sprintf("10.0.%d.%d:7434", i/250, i%250), Zone: "a"})
 		names = append(names, name)
 	}
-	f.adoptRoster(Roster{Version: 1, Lineage: 1, Names: names, sum: sumOf(names)})
+	f.adoptRoster(Roster{Version: 1, Lineage: 1, Names: names, hash: namesHash(names)})
 	for now := 0.0; now < 60000; now += 50 {
 		f.Tick(now)
 	}
--- a/internal/fleet/membership/persist.go
+++ b/internal/fleet/membership/persist.go
@@ -24,22 +24,22 @@
 	if k == nil || k.Name != f.self.Name || k.Roster.Version == 0 {
 		return
 	}
-	if k.Run >= f.self.Run && k.Run < mostRun-1 { // the clock went back
-		f.rename(k.Run + 1)
+	if k.Run >= f.self.Run && k.Run < maxRun-1 { // the clock went back
+		f.adoptRun(k.Run + 1)
 	}
 	f.receiveRoster(k.Roster)
-	f.version, f.vote = k.Version, paxos.Acceptor[Change]{Promised: k.Promised, Accepted: k.Accepted, Value: k.Change}
-	f.acceptedAt, f.ballotNumber = f.now-roundPeriods*f.rules.Period, k.BallotNumber
+	f.voteVersion, f.acceptor = k.Version, paxos.Acceptor[Change]{Promised: k.Promised, Accepted: k.Accepted, Value: k.Change}
+	f.acceptedAt, f.ballotNumber = f.now-roundPeriods*f.options.Period, k.BallotNumber
 	f.mayVoteAt = 0
 }
 
 // save gives what is to be kept, where there is something new.
 func (f *Fleet) save() *SavedState {
-	if !f.rules.Persistent || !f.unsaved || f.roster == nil || f.now < f.saveAt {
+	if !f.options.Persistent || !f.unsavedVotes || f.roster == nil || f.now < f.nextSave {
 		return nil
 	}
-	f.unsaved = false
-	return &SavedState{f.self.Name, f.self.Run, *f.roster, f.version, f.vote.Promised, f.vote.Accepted, f.vote.Value,
+	f.unsavedVotes = false
+	return &SavedState{f.self.Name, f.self.Run, *f.roster, f.voteVersion, f.acceptor.Promised, f.acceptor.Accepted, f.acceptor.Value,
 		f.ballotNumber}
 }
 
@@ -47,10 +47,10 @@
 // this driver gives no votes until a later one could be.
 func (f *Fleet) Saved(ok bool) {
 	if !ok {
-		f.unsaved, f.saveAt, f.round = true, f.now+settledPeriods*f.rules.Period, nil
+		f.unsavedVotes, f.nextSave, f.round = true, f.now+settledPeriods*f.options.Period, nil
 	}
 	if f.saveFailed == ok {
 		f.saveFailed = !ok
-		f.note(map[bool]string{true: "votes_kept", false: "votes_not_kept"}[ok], f.self.Name, "")
+		f.emit(map[bool]string{true: "votes_kept", false: "votes_not_kept"}[ok], f.self.Name, "")
 	}
 }
--- a/internal/fleet/membership/probes.go
+++ b/internal/fleet/membership/probes.go
@@ -9,100 +9,100 @@
 	"slices"
 )
 
-// lookAtDoubted ends suspicions that have lasted.
-func (f *Fleet) lookAtDoubted() {
+// advanceSuspicions ends suspicions that have lasted.
+func (f *Fleet) advanceSuspicions() {
 	for _, m := range slices.Clone(f.suspects) {
 		if m.State != Suspect {
 			continue
 		}
-		switch at := f.deadline(m); {
+		switch at := f.suspicionDeadline(m); {
 		case f.now >= at:
 			r := m.Record
 			r.State, r.ReportedBy = Failed, f.self.Name
-			f.apply(r)
+			f.applyRecord(r)
 		// its denial may not have come here
-		case len(m.by) <= confirmers && f.now >= at-askBefore*f.rules.Period && f.now >= m.again:
-			m.again = f.now + f.rules.Period/2
+		case len(m.accusers) <= maxConfirmations && f.now >= at-lastProbeBefore*f.options.Period && f.now >= m.nextReprobe:
+			m.nextReprobe = f.now + f.options.Period/2
 			f.send(m.Address, Message{Kind: Ping, Target: m.Name, Records: []Record{m.Record}})
 		}
 	}
-	f.suspects = slices.DeleteFunc(f.suspects, func(m *member) bool { return m.State != Suspect })
+	f.suspects = slices.DeleteFunc(f.suspects, func(m *peer) bool { return m.State != Suspect })
 }
 
-// look asks again who did not answer straight, and notes who is not heard. One lost datagram says nothing, and word
+// checkReachability asks again who did not answer straight, and notes who is not heard. One lost datagram says nothing, and word
 // that somebody is not heard goes to all.
-func (f *Fleet) look() {
-	for _, m := range f.list {
+func (f *Fleet) checkReachability() {
+	for _, m := range f.peers {
 		switch {
-		case m.State.ended() || m.deaf || !m.silent || f.now < m.again:
-		case m.tries < straight:
-			m.tries, m.again = m.tries+1, f.now+f.rules.Period
+		case m.State.ended() || m.unreachable || !m.unanswered || f.now < m.nextReprobe:
+		case m.reprobes < maxReprobes:
+			m.reprobes, m.nextReprobe = m.reprobes+1, f.now+f.options.Period
 			f.send(m.Address, Message{Kind: Ping, Target: m.Name})
-		case f.now-max(m.fresh, m.met) > f.deafAfter():
-			f.hear(m, false)
+		case f.now-max(m.lastDirect, m.aliveSince) > f.unreachableAfter():
+			f.setReachable(m, false)
 		}
 	}
 }
 
-// stoodStill blames a gap on this driver itself: no probe was waited for, nobody had a chance to deny what is
+// resumeAfterPause blames a gap on this driver itself: no probe was waited for, nobody had a chance to deny what is
 // suspected, and what it holds for true may be old.
-func (f *Fleet) stoodStill(now, gap float64) {
-	f.note("stood_still", f.self.Name, "")
-	f.probe, f.missed = nil, 0
-	f.health = min(healthMost, f.health+1+int(gap/(4*f.rules.Period)))
-	for _, m := range f.list {
+func (f *Fleet) resumeAfterPause(now, gap float64) {
+	f.emit("stood_still", f.self.Name, "")
+	f.probe, f.missedProbes = nil, 0
+	f.health = min(maxHealth, f.health+1+int(gap/(4*f.options.Period)))
+	for _, m := range f.peers {
 		if m.State == Suspect {
-			m.began += gap
+			m.suspectedAt += gap
 		}
-		m.fresh += gap
-		m.silent = false
+		m.lastDirect += gap
+		m.unanswered = false
 	}
 	f.relays = map[uint64]*relay{}
-	f.doubt, f.unproved, f.judgeAt = now+2*f.rules.Period, true, 0
-	f.rosterConsensus.stood()
-	if m := f.pick(func(m *member) bool { return !m.State.ended() }); m != nil {
-		f.out.SyncWith = append(f.out.SyncWith, m.Address)
+	f.uncertainUntil, f.unconfirmed, f.nextAssessment = now+2*f.options.Period, true, 0
+	f.rosterConsensus.abandon()
+	if m := f.randomPeer(func(m *peer) bool { return !m.State.ended() }); m != nil {
+		f.pending.SyncWith = append(f.pending.SyncWith, m.Address)
 	}
-	f.probeAt = now
+	f.nextProbe = now
 }
 
-// deafAfter is for how long a peer may not be heard straight before that is told.
-func (f *Fleet) deafAfter() float64 {
-	return f.rules.Period * (1 + float64(f.health)/2) * min(max(deafLeast, float64(2*len(f.list))), deafMost)
+// unreachableAfter is for how long a peer may not be heard straight before that is told.
+func (f *Fleet) unreachableAfter() float64 {
+	return f.options.Period * (1 + float64(f.health)/2) * min(max(minUnreachableAfter, float64(2*len(f.peers))), maxUnreachableAfter)
 }
 
-// deadline is when a suspicion becomes certain: the more confirm it the sooner, the less well this driver was the
+// suspicionDeadline is when a suspicion becomes certain: the more confirm it the sooner, the less well this driver was the
 // later.
-func (f *Fleet) deadline(m *member) float64 {
-	least, most := suspectLeast*f.rules.Period, suspectMost*f.rules.Period
+func (f *Fleet) suspicionDeadline(m *peer) float64 {
+	least, most := minSuspicion*f.options.Period, maxSuspicion*f.options.Period
 	could := 0 // confirm it
-	for _, o := range f.list {
+	for _, o := range f.peers {
 		if o.State == Alive && o != m {
-			if could++; could == confirmers {
+			if could++; could == maxConfirmations {
 				break
 			}
 		}
 	}
 	length := least
 	if could > 0 {
-		length = max(least, most-(most-least)*math.Log(float64(len(m.by)))/math.Log(float64(could+1)))
+		length = max(least, most-(most-least)*math.Log(float64(len(m.accusers)))/math.Log(float64(could+1)))
 	}
-	return m.began + length*m.scale
+	return m.suspectedAt + length*m.suspicionScale
 }
 
-// pick draws a peer that fits, nil where there is none.
-func (f *Fleet) pick(fits func(*member) bool) *member {
-	if len(f.list) == 0 {
+// randomPeer draws a peer that fits, nil where there is none.
+func (f *Fleet) randomPeer(fits func(*peer) bool) *peer {
+	if len(f.peers) == 0 {
 		return nil
 	}
 	for range 8 {
-		if m := f.list[f.random.IntN(len(f.list))]; fits(m) {
+		if m := f.peers[f.random.IntN(len(f.peers))]; fits(m) {
 			return m
 		}
 	}
-	var found *member
+	var found *peer
 	n := 0
-	for _, m := range f.list {
+	for _, m := range f.peers {
 		if fits(m) {
 			if n++; f.random.IntN(n) == 0 {
 				found = m
@@ -115,30 +115,30 @@
 // startProbe asks a peer whether it lives: one that others suspect, if it is to be looked at, or the one whose turn it
 // is. Turns go by the clock that all drivers share, about, so that in each period each driver is asked by one other.
 func (f *Fleet) startProbe() {
-	var m *member
-	for len(f.check) > 0 && m == nil {
-		if m = f.byName[f.check[0]]; m == nil || m.State != Suspect {
+	var m *peer
+	for len(f.recheck) > 0 && m == nil {
+		if m = f.peersByName[f.recheck[0]]; m == nil || m.State != Suspect {
 			m = nil
 		}
-		f.check = f.check[1:]
+		f.recheck = f.recheck[1:]
 	}
 	if m == nil {
-		m = f.turnOf(uint64(f.now / f.rules.Period))
+		m = f.scheduledTarget(uint64(f.now / f.options.Period))
 	}
 	if m == nil {
 		return
 	}
-	f.seq++
+	f.probeSeq++
 	slow := 1 + float64(f.health)/2
-	f.probe = &probe{name: m.Name, seq: f.seq, began: f.now, direct: f.now + directShare*f.rules.Period*slow,
-		until: f.now + 0.95*f.rules.Period*slow}
-	f.send(m.Address, Message{Kind: Ping, ProbeID: f.seq, Target: m.Name})
+	f.probe = &probe{name: m.Name, id: f.probeSeq, sentAt: f.now, indirectAt: f.now + directProbeShare*f.options.Period*slow,
+		deadline: f.now + 0.95*f.options.Period*slow}
+	f.send(m.Address, Message{Kind: Ping, ProbeID: f.probeSeq, Target: m.Name})
 }
 
-// turnOf is whom this driver asks in a period; nil where there is nobody.
-func (f *Fleet) turnOf(period uint64) *member {
+// scheduledTarget is whom this driver asks in a period; nil where there is nobody.
+func (f *Fleet) scheduledTarget(period uint64) *peer {
 	n, own := 0, 0 // of the peers; of those before this driver
-	for _, m := range f.list {
+	for _, m := range f.peers {
 		if !m.State.ended() {
 			if n++; m.Name < f.self.Name {
 				own++
@@ -149,7 +149,7 @@
 		return nil
 	}
 	at := (own + int(period%uint64(n))) % n // the peers, without this driver, from the next one on
-	for _, m := range f.list {
+	for _, m := range f.peers {
 		if !m.State.ended() {
 			if at == 0 {
 				return m
@@ -160,61 +160,61 @@
 	return nil
 }
 
-// followProbe asks others where no answer came, and suspects who did not answer them either.
-func (f *Fleet) followProbe() {
+// advanceProbe asks others where no answer came, and suspects who did not answer them either.
+func (f *Fleet) advanceProbe() {
 	p := f.probe
 	if p == nil {
 		return
 	}
-	m := f.byName[p.name]
+	m := f.peersByName[p.name]
 	if m == nil || m.State.ended() {
 		f.probe = nil
 		return
 	}
-	if !p.asked && f.now >= p.direct {
-		if p.asked = true; !m.silent {
-			m.silent, m.tries, m.again = true, 0, f.now+f.rules.Period
+	if !p.indirect && f.now >= p.indirectAt {
+		if p.indirect = true; !m.unanswered {
+			m.unanswered, m.reprobes, m.nextReprobe = true, 0, f.now+f.options.Period
 		}
 		asked := map[string]bool{p.name: true}
-		for range helpers {
-			h := f.pick(func(h *member) bool { return h.State == Alive && !asked[h.Name] })
+		for range indirectProbes {
+			h := f.randomPeer(func(h *peer) bool { return h.State == Alive && !asked[h.Name] })
 			if h == nil {
 				break
 			}
 			asked[h.Name] = true
-			p.expect++
-			f.send(h.Address, Message{Kind: PingRequest, ProbeID: p.seq, Target: m.Name, TargetAddress: m.Address})
+			p.helpers++
+			f.send(h.Address, Message{Kind: PingRequest, ProbeID: p.id, Target: m.Name, TargetAddress: m.Address})
 		}
 	}
-	if f.now < p.until {
+	if f.now < p.deadline {
 		return
 	}
 	f.probe = nil
-	if m.fresh >= p.began { // it lives, whatever became of the answer
+	if m.lastDirect >= p.sentAt { // it lives, whatever became of the answer
 		return
 	}
-	f.missed++
-	if short := p.expect - p.nacks; short > 0 || p.expect == 0 && f.alive() > 1 {
-		f.health = min(healthMost, f.health+1)
+	f.missedProbes++
+	if short := p.helpers - p.nacks; short > 0 || p.helpers == 0 && f.aliveCount() > 1 {
+		f.health = min(maxHealth, f.health+1)
 	}
 	r := m.Record
 	r.State, r.ReportedBy = Suspect, f.self.Name
-	f.apply(r)
+	f.applyRecord(r)
 }
 
-// answered notes a sign of life that this driver asked for.
-func (f *Fleet) answered() {
-	if f.unproved || f.missed > 0 {
-		f.judgeAt = 0
+// probeAnswered notes a sign of life that this driver asked for.
+func (f *Fleet) probeAnswered() {
+	if f.unconfirmed || f.missedProbes > 0 {
+		f.nextAssessment = 0
 	}
-	f.missed, f.health, f.unproved = 0, max(0, f.health-1), false
+	f.missedProbes, f.health, f.unconfirmed = 0, max(0, f.health-1), false
 }
 
-// reconnect tries some of those that have failed: they may be behind a cut that has healed. All drivers together try
+// probeFailedPeer tries some of those that have failed: they may be behind a cut that has healed. All drivers together try
 // each about twice a period.
-func (f *Fleet) reconnect() {
+func (f *Fleet) probeFailedPeer() {
 	failed, living := 0, 1
-	for _, m := range f.list {
+	for _, m := range f.peers {
 		if m.State == Failed {
 			failed++
 		} else if m.State == Alive {
@@ -224,15 +224,15 @@
 	if failed == 0 || f.random.Float64() > 2*float64(failed)/float64(living) {
 		return
 	}
-	if m := f.pick(func(m *member) bool { return m.State == Failed }); m != nil {
+	if m := f.randomPeer(func(m *peer) bool { return m.State == Failed }); m != nil {
 		f.send(m.Address, Message{Kind: Ping, Target: m.Name, Records: []Record{m.Record}})
 	}
 }
 
-// trySeeds exchanges whole states with a seed that is no peer yet.
-func (f *Fleet) trySeeds() {
+// syncWithSeed exchanges whole states with a seed that is no peer yet.
+func (f *Fleet) syncWithSeed() {
 	known, living := map[string]bool{}, 0
-	for _, m := range f.list {
+	for _, m := range f.peers {
 		if !m.State.ended() {
 			known[m.Address] = true
 			living++
@@ -248,8 +248,8 @@
 	if living > 0 {
 		pause = 10
 	}
-	f.seedAt = f.now + f.rules.Period*pause*(0.75+0.5*f.random.Float64())
+	f.nextSeedSync = f.now + f.options.Period*pause*(0.75+0.5*f.random.Float64())
 	if len(unknown) > 0 {
-		f.out.SyncWith = append(f.out.SyncWith, unknown[f.random.IntN(len(unknown))])
+		f.pending.SyncWith = append(f.pending.SyncWith, unknown[f.random.IntN(len(unknown))])
 	}
 }
--- a/internal/fleet/membership/records.go
+++ b/internal/fleet/membership/records.go
@@ -50,14 +50,14 @@
 
 const (
 	maxNameBytes = 64      // bytes
-	mostRun      = 1 << 62 // a higher one is spoilt
+	maxRun       = 1 << 62 // a higher one is spoilt
 )
 
-// sane says whether a record can be true at all.
-func (r *Record) sane() bool {
+// valid says whether a record can be true at all.
+func (r *Record) valid() bool {
 	return r.Name != "" && len(r.Name) <= maxNameBytes && len(r.Zone) <= maxNameBytes && len(r.ReportedBy) <= maxNameBytes &&
 		r.Address != "" &&
-		len(r.Address) <= maxNameBytes && r.State <= Left && r.Run > 0 && r.Run < mostRun
+		len(r.Address) <= maxNameBytes && r.State <= Left && r.Run > 0 && r.Run < maxRun
 }
 
 // size is about how many bytes it takes in a message.
@@ -68,8 +68,8 @@
 // ended says that nothing is expected of it.
 func (s State) ended() bool { return s >= Failed }
 
-// order compares two records of one process, or of processes that followed each other at one address.
-func order(a, b *Record) int {
+// compareRecords compares two records of one process, or of processes that followed each other at one address.
+func compareRecords(a, b *Record) int {
 	last := func(r *Record) int {
 		if r.State == Left { // for good, whatever the incarnation
 			return 1
@@ -84,7 +84,7 @@
 // that was there first keeps it, as its peers know it; the other one waits until that has ended.
 func (r *Record) supersedes(held *Record) bool {
 	if r.Run == held.Run || r.Address == held.Address {
-		return order(r, held) > 0
+		return compareRecords(r, held) > 0
 	}
 	switch {
 	case held.State.ended():
@@ -95,13 +95,13 @@
 	return r.Run < held.Run
 }
 
-// contests says that both are of living processes with one name.
-func (r *Record) contests(held *Record) bool {
+// conflictsWith says that both are of living processes with one name.
+func (r *Record) conflictsWith(held *Record) bool {
 	return r.Run != held.Run && r.Address != held.Address && !r.State.ended() && !held.State.ended()
 }
 
-// mark is a number that stands for a process that lives, to compare views by.
-func mark(name string, run uint64) uint64 {
+// processHash is a number that stands for a process that lives, to compare views by.
+func processHash(name string, run uint64) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(name))
 	for i := range 8 {
@@ -110,10 +110,10 @@
 	return h.Sum64()
 }
 
-// sumOf is a number that stands for a set of names.
-func sumOf(names []string) (sum uint64) {
+// namesHash is a number that stands for a set of names.
+func namesHash(names []string) (sum uint64) {
 	for _, n := range names {
-		sum ^= mark(n, 0)
+		sum ^= processHash(n, 0)
 	}
 	return sum
 }
@@ -156,9 +156,9 @@
 }
 
 const (
-	mostBytes  = 1000 // of word in a message, about
-	mostDeaf   = 16   // names in a hearing
-	maxRecords = 64   // in a message that is taken
+	maxPiggybackBytes = 1000 // of word in a message, about
+	maxUnreachable    = 16   // names in a hearing
+	maxRecords        = 64   // in a message that is taken
 )
 
 func (h *Reachability) size() int {
--- a/internal/fleet/membership/roster.go
+++ b/internal/fleet/membership/roster.go
@@ -23,7 +23,7 @@
 	Lineage uint64   `cbor:"2,keyasint" json:"lineage"` // the run that founded it
 	Names   []string `cbor:"3,keyasint" json:"names"`
 
-	sum uint64
+	hash uint64
 }
 
 func (r *Roster) has(name string) bool {
@@ -68,38 +68,40 @@
 type rosterConsensus struct {
 	roster *Roster
 
-	mayVoteAt    float64 // it may have forgotten a vote: none before
-	version      uint64  // that what follows is about
-	vote         paxos.Acceptor[Change]
-	acceptedAt   float64
-	ballotNumber uint32
-	round        *round
-	wantedAt     float64 // since when a change is wanted
-	retryAt      float64
-	forgotten    map[string]uint64 // by operators: run
-	unsaved      bool              // something is to be kept
-	saveAt       float64           // not before
-	saveFailed   bool              // what was voted could not be kept
-
-	bootstrapBy  map[string]bool // who sees the same
-	bootstrapSum uint64
-	bootstrapAt  float64
-	joinedSum    uint64 // a founding that this driver agreed to, until
-	joinUntil    float64
-
-	decided     *Change
-	decidedLeft int
+	mayVoteAt         float64 // it may have forgotten a vote: none before
+	voteVersion       uint64  // that what follows is about
+	acceptor          paxos.Acceptor[Change]
+	acceptedAt        float64
+	ballotNumber      uint32
+	round             *round
+	changeWantedSince float64 // since when a change is wanted
+	nextProposal      float64
+	forgotten         map[string]uint64 // by operators: run
+	unsavedVotes      bool              // something is to be kept
+	nextSave          float64           // not before
+	saveFailed        bool              // what was voted could not be kept
+
+	bootstrapConfirmedBy    map[string]bool // who sees the same
+	bootstrapHash           uint64
+	nextBootstrapRequest    float64
+	confirmedBootstrapHash  uint64 // a founding that this driver agreed to, until
+	bootstrapConfirmedUntil float64
+
+	decidedChange        *Change
+	decidedTransmissions int
 }
 
-// stood forgets what this driver leads, as it may be over.
-func (c *rosterConsensus) stood() { c.round, c.bootstrapBy, c.joinUntil = nil, nil, 0 }
+// abandon forgets what this driver leads, as it may be over.
+func (c *rosterConsensus) abandon() {
+	c.round, c.bootstrapConfirmedBy, c.bootstrapConfirmedUntil = nil, nil, 0
+}
 
-func (f *Fleet) listed(name string) bool { return f.roster != nil && f.roster.has(name) }
+func (f *Fleet) onRoster(name string) bool { return f.roster != nil && f.roster.has(name) }
 
 // names are those of all that live, sorted; doubted ones among them or not.
 func (f *Fleet) names(doubted bool) []string {
-	all := append(make([]string, 0, len(f.list)+1), f.self.Name)
-	for _, m := range f.list {
+	all := append(make([]string, 0, len(f.peers)+1), f.self.Name)
+	for _, m := range f.peers {
 		if m.State == Alive || doubted && m.State == Suspect {
 			all = append(all, m.Name)
 		}
@@ -110,7 +112,7 @@
 
 // tickRoster founds a roster, or proposes a change of the one that holds.
 func (f *Fleet) tickRoster() {
-	if f.contested > 0 || f.now < f.doubt {
+	if f.nameTakenAt > 0 || f.now < f.uncertainUntil {
 		return
 	}
 	if f.roster == nil {
@@ -120,82 +122,82 @@
 	if f.round != nil {
 		if f.now >= f.round.deadline {
 			f.round = nil
-			f.retryAt = f.now + 2*f.rules.Period*(0.5+f.random.Float64())
+			f.nextProposal = f.now + 2*f.options.Period*(0.5+f.random.Float64())
 		}
 		return
 	}
-	want := f.dueChange()
+	want := f.wantedChange()
 	if want == nil {
-		f.wantedAt = 0
+		f.changeWantedSince = 0
 		return
 	}
-	if f.wantedAt == 0 {
-		f.wantedAt = f.now
+	if f.changeWantedSince == 0 {
+		f.changeWantedSince = f.now
 	}
 	rank := 0
-	for _, m := range f.list {
-		if m.Name < f.self.Name && m.State == Alive && m.on {
+	for _, m := range f.peers {
+		if m.Name < f.self.Name && m.State == Alive && m.onRoster {
 			rank++
 		}
 	}
-	if f.now < f.retryAt || !f.mayVote() || f.now-f.wantedAt < float64(min(rank, 8))*rankPeriods*f.rules.Period ||
+	if f.now < f.nextProposal || !f.mayVote() || f.now-f.changeWantedSince < float64(min(rank, 8))*rankPeriods*f.options.Period ||
 		!f.roster.has(f.self.Name) {
 		return
 	}
-	if allowed, _ := Allowed(f.standing, ChangeRoster); allowed {
+	if allowed, _ := Allowed(f.partition, ChangeRoster); allowed {
 		f.propose(want)
 	}
 }
 
 // adoptRoster makes a roster the one that holds.
 func (f *Fleet) adoptRoster(r Roster) {
-	f.roster, f.round, f.behind, f.unsaved = &r, nil, 0, true
-	for _, m := range f.list {
-		m.on = r.has(m.Name)
+	f.roster, f.round, f.rosterBehindSince, f.unsavedVotes = &r, nil, 0, true
+	for _, m := range f.peers {
+		m.onRoster = r.has(m.Name)
 	}
-	if f.vote.Value != nil && f.version <= r.Version {
-		f.vote.Value, f.vote.Accepted = nil, paxos.Ballot{}
+	if f.acceptor.Value != nil && f.voteVersion <= r.Version {
+		f.acceptor.Value, f.acceptor.Accepted = nil, paxos.Ballot{}
 	}
 	for name, run := range f.forgotten {
-		if m := f.byName[name]; m == nil || m.Run != run || !r.has(name) {
+		if m := f.peersByName[name]; m == nil || m.Run != run || !r.has(name) {
 			delete(f.forgotten, name)
 		}
 	}
-	f.statesGen++
-	f.note("roster", f.self.Name, fmt.Sprintf("version %d, %d drivers", r.Version, len(r.Names)))
+	f.stateVersion++
+	f.emit("roster", f.self.Name, fmt.Sprintf("version %d, %d drivers", r.Version, len(r.Names)))
 }
 
 // receiveDecided takes a change that others decided.
 func (f *Fleet) receiveDecided(c Change) {
 	switch {
 	case f.roster == nil && c.Version == 1:
-		if names := f.names(true); sumOf(names) == c.Hash {
-			f.adoptRoster(Roster{Version: 1, Lineage: c.Lineage, Names: names, sum: c.Hash})
-			f.decided, f.decidedLeft = &c, f.times()
+		if names := f.names(true); namesHash(names) == c.Hash {
+			f.adoptRoster(Roster{Version: 1, Lineage: c.Lineage, Names: names, hash: c.Hash})
+			f.decidedChange, f.decidedTransmissions = &c, f.retransmitLimit()
 		}
-	case f.roster != nil && c.Version == f.roster.Version+1 && c.BaseHash == f.roster.sum && c.Lineage == f.roster.Lineage &&
+	case f.roster != nil && c.Version == f.roster.Version+1 && c.BaseHash == f.roster.hash && c.Lineage == f.roster.Lineage &&
 		len(c.Add)+len(c.Remove) <= maxChange:
-		if next := f.after(&c); next.sum == c.Hash {
+		if next := f.rosterAfter(&c); next.hash == c.Hash {
 			f.adoptRoster(next)
-			f.decided, f.decidedLeft = &c, f.times()
+			f.decidedChange, f.decidedTransmissions = &c, f.retransmitLimit()
 		}
 	}
 }
 
 // receiveRoster takes a peer's roster where it is newer. Of two that were founded apart the one with more names holds.
 func (f *Fleet) receiveRoster(r Roster) {
-	if r.Version == 0 || len(r.Names) == 0 || len(r.Names) > f.rules.MaxDrivers || !slices.IsSorted(r.Names) ||
+	if r.Version == 0 || len(r.Names) == 0 || len(r.Names) > f.options.MaxDrivers || !slices.IsSorted(r.Names) ||
 		slices.ContainsFunc(r.Names, func(n string) bool {
 			return n == "" || len(n) > maxNameBytes
 		}) {
 		return
 	}
 	r.Names = slices.Compact(slices.Clone(r.Names))
-	r.sum = sumOf(r.Names)
+	r.hash = namesHash(r.Names)
 	switch held := f.roster; {
 	case held == nil:
 		if r.has(f.self.Name) { // an earlier run may have voted
-			f.mayVoteAt = f.now + forgetPeriods*f.rules.Period
+			f.mayVoteAt = f.now + forgetPeriods*f.options.Period
 		}
 	case held.Lineage == r.Lineage && r.Version <= held.Version:
 		return
@@ -203,7 +205,7 @@
 		if cmp.Or(cmp.Compare(len(r.Names), len(held.Names)), cmp.Compare(held.Lineage, r.Lineage)) <= 0 {
 			return
 		}
-		f.note("two_rosters", f.self.Name, "founded apart; the larger one holds")
+		f.emit("two_rosters", f.self.Name, "founded apart; the larger one holds")
 	}
 	f.adoptRoster(r)
 }
--- a/internal/fleet/membership/standing.go
+++ b/internal/fleet/membership/standing.go
@@ -75,28 +75,28 @@
 	return false, "unknown"
 }
 
-// judge brings the standing up to date, where something has changed and from time to time.
-func (f *Fleet) judge() {
-	if f.judged == f.statesGen && f.now < f.judgeAt {
+// updatePartition brings the standing up to date, where something has changed and from time to time.
+func (f *Fleet) updatePartition() {
+	if f.assessedVersion == f.stateVersion && f.now < f.nextAssessment {
 		return
 	}
-	f.judgeAt = f.now + lookEvery*f.rules.Period
-	s, why := f.assess()
-	if s != f.standing || why != f.why {
-		f.statesGen++
+	f.nextAssessment = f.now + checkInterval*f.options.Period
+	s, why := f.assessPartition()
+	if s != f.partition || why != f.partitionReason {
+		f.stateVersion++
 	}
-	if s != f.standing {
-		f.stands = f.now
-		f.note("standing", f.self.Name, s.String()+" "+why)
+	if s != f.partition {
+		f.partitionSince = f.now
+		f.emit("standing", f.self.Name, s.String()+" "+why)
 	}
-	f.standing, f.why, f.judged = s, why, f.statesGen
+	f.partition, f.partitionReason, f.assessedVersion = s, why, f.stateVersion
 }
 
-func (f *Fleet) assess() (PartitionStatus, string) {
+func (f *Fleet) assessPartition() (PartitionStatus, string) {
 	switch {
 	case f.leaving:
 		return Undetermined, "leaving"
-	case f.contested > 0:
+	case f.nameTakenAt > 0:
 		return Undetermined, "name_taken"
 	case f.roster == nil:
 		return Undetermined, "no_roster"
@@ -106,11 +106,11 @@
 	if f.roster.has(f.self.Name) {
 		living++
 	}
-	for _, m := range f.list {
+	for _, m := range f.peers {
 		if !m.State.ended() {
 			others++
 		}
-		if !m.on {
+		if !m.onRoster {
 			continue
 		}
 		switch m.State {
@@ -121,15 +121,15 @@
 		}
 	}
 	switch {
-	case f.now < f.doubt || f.unproved && others > 0:
+	case f.now < f.uncertainUntil || f.unconfirmed && others > 0:
 		return Undetermined, "stood_still"
-	case others > 0 && f.missed >= 4:
+	case others > 0 && f.missedProbes >= 4:
 		return Undetermined, "unheard"
-	case f.behind > 0 && f.now-f.behind > 6*f.rules.Period:
+	case f.rosterBehindSince > 0 && f.now-f.rosterBehindSince > 6*f.options.Period:
 		return Undetermined, "behind"
 	case living == n:
 		return Complete, ""
-	case 2*living > n && f.pendingLives():
+	case 2*living > n && f.pendingChangeHasMajority():
 		return Majority, ""
 	case doubted == 0 && others == 0:
 		return Isolated, ""
@@ -141,12 +141,12 @@
 	return Minority, ""
 }
 
-// pendingLives says that a change which may have been decided without this driver's knowing has its majority here too.
-func (f *Fleet) pendingLives() bool {
-	if f.vote.Value == nil || f.version != f.roster.Version+1 || f.now-f.acceptedAt < roundPeriods*f.rules.Period {
+// pendingChangeHasMajority says that a change which may have been decided without this driver's knowing has its majority here too.
+func (f *Fleet) pendingChangeHasMajority() bool {
+	if f.acceptor.Value == nil || f.voteVersion != f.roster.Version+1 || f.now-f.acceptedAt < roundPeriods*f.options.Period {
 		return true
 	}
-	next := f.after(f.vote.Value)
+	next := f.rosterAfter(f.acceptor.Value)
 	names := f.names(false)
 	who := map[string]bool{}
 	for _, n := range names {
@@ -157,7 +157,7 @@
 
 // PartitionStatus is this driver's, why, and since when.
 func (f *Fleet) PartitionStatus() (s PartitionStatus, why string, since float64) {
-	return f.standing, f.why, f.stands
+	return f.partition, f.partitionReason, f.partitionSince
 }
 
 // DriverCount is how many drivers there are, for shares that all of them together must not exceed: cold members, probes,
@@ -167,7 +167,7 @@
 // ever expected.
 func (f *Fleet) DriverCount() int {
 	if f.roster == nil {
-		return max(f.rules.ExpectedDrivers, f.alive(), 1)
+		return max(f.options.ExpectedDrivers, f.aliveCount(), 1)
 	}
 	n, living := 0, 0
 	if !f.roster.has(f.self.Name) {
@@ -177,8 +177,8 @@
 	if f.roster.has(f.self.Name) {
 		living++
 	}
-	for _, m := range f.list {
-		on := m.on
+	for _, m := range f.peers {
+		on := m.onRoster
 		switch {
 		case m.State == Left && on:
 			n--
@@ -191,9 +191,9 @@
 		}
 	}
 	n = max(n, 1)
-	waited := f.now-max(f.stands, f.changed) >= max(f.rules.TakeoverAfter, yieldLeast*f.rules.Period)
-	switch shrink, _ := Allowed(f.standing, ReduceCount); {
-	case f.standing == Complete, f.why == "leaving":
+	waited := f.now-max(f.partitionSince, f.liveSetChangedAt) >= max(f.options.TakeoverAfter, yieldLeast*f.options.Period)
+	switch shrink, _ := Allowed(f.partition, ReduceCount); {
+	case f.partition == Complete, f.partitionReason == "leaving":
 		return n
 	case shrink && waited && living < n:
 		return int(math.Ceil(2 * float64(living) * float64(n) / float64(living+n)))
@@ -238,19 +238,19 @@
 
 // Status gives the view as it is now.
 func (f *Fleet) Status() Status {
-	s := Status{Self: f.self.Name, Partition: f.standing, Reason: f.why, For: f.now - f.stands, Count: f.DriverCount(),
+	s := Status{Self: f.self.Name, Partition: f.partition, Reason: f.partitionReason, For: f.now - f.partitionSince, Count: f.DriverCount(),
 		Address: f.self.Address,
 		Run:     f.self.Run, Health: f.health, Roster: f.roster, Drivers: []View{}}
-	for _, m := range f.list {
-		s.Drivers = append(s.Drivers, View{Name: m.Name, State: m.State, Reachable: !m.State.ended() && !m.deaf, OnRoster: m.on,
-			Address: m.Address, Zone: m.Zone, Run: m.Run, Incarnation: m.Incarnation, For: f.now - m.since, Unreachable: m.hears.Unreachable})
+	for _, m := range f.peers {
+		s.Drivers = append(s.Drivers, View{Name: m.Name, State: m.State, Reachable: !m.State.ended() && !m.unreachable, OnRoster: m.onRoster,
+			Address: m.Address, Zone: m.Zone, Run: m.Run, Incarnation: m.Incarnation, For: f.now - m.stateSince, Unreachable: m.reachability.Unreachable})
 	}
 	return s
 }
 
 // StateOf is what a driver is taken for; Left where it is not known.
 func (f *Fleet) StateOf(name string) State {
-	if m := f.byName[name]; m != nil {
+	if m := f.peersByName[name]; m != nil {
 		return m.Record.State
 	}
 	return Left
@@ -258,7 +258,7 @@
 
 // AddressOf is where a peer is reached that does not count as ended; empty for none.
 func (f *Fleet) AddressOf(name string) string {
-	if m := f.byName[name]; m != nil && !m.State.ended() {
+	if m := f.peersByName[name]; m != nil && !m.State.ended() {
 		return m.Record.Address
 	}
 	return ""
@@ -266,7 +266,7 @@
 
 // LiveAddresses are the addresses of peers that do not count as ended.
 func (f *Fleet) LiveAddresses() (all []string) {
-	for _, m := range f.list {
+	for _, m := range f.peers {
 		if !m.State.ended() {
 			all = append(all, m.Address)
 		}
--- a/internal/fleet/membership/updates.go
+++ b/internal/fleet/membership/updates.go
@@ -7,165 +7,165 @@
 	"strings"
 )
 
-// apply takes a record of a driver.
-func (f *Fleet) apply(r Record) {
-	if !r.sane() {
+// applyRecord takes a record of a driver.
+func (f *Fleet) applyRecord(r Record) {
+	if !r.valid() {
 		return
 	}
 	if r.Name == f.self.Name {
-		f.ofSelf(r)
+		f.applyOwnRecord(r)
 		return
 	}
-	m := f.byName[r.Name]
+	m := f.peersByName[r.Name]
 	if m == nil {
-		if r.State.ended() && !f.listed(r.Name) {
+		if r.State.ended() && !f.onRoster(r.Name) {
 			return // nothing is lost by not knowing it
 		}
-		if len(f.list) >= f.rules.MaxDrivers {
-			if f.now-f.warned[""] > 60*f.rules.Period {
-				f.warned[""] = f.now
-				f.note("fleet_full", r.Name, "")
+		if len(f.peers) >= f.options.MaxDrivers {
+			if f.now-f.warnedAt[""] > 60*f.options.Period {
+				f.warnedAt[""] = f.now
+				f.emit("fleet_full", r.Name, "")
 			}
 			return
 		}
-		m = &member{Record: Record{Name: r.Name, State: Left}, met: f.now, since: f.now, on: f.listed(r.Name)}
-		i, _ := slices.BinarySearchFunc(f.list, r.Name, func(m *member, name string) int {
+		m = &peer{Record: Record{Name: r.Name, State: Left}, aliveSince: f.now, stateSince: f.now, onRoster: f.onRoster(r.Name)}
+		i, _ := slices.BinarySearchFunc(f.peers, r.Name, func(m *peer, name string) int {
 			return strings.Compare(m.Name, name)
 		})
-		f.list = slices.Insert(f.list, i, m)
-		f.byName[r.Name] = m
-		f.enter(m, r)
+		f.peers = slices.Insert(f.peers, i, m)
+		f.peersByName[r.Name] = m
+		f.setRecord(m, r)
 		return
 	}
 	switch {
 	case r.State == Failed && m.State == Alive && m.Run == r.Run && m.Incarnation <= r.Incarnation &&
-		f.now-m.fresh < heardLately*f.rules.Period:
+		f.now-m.lastDirect < recentlyHeard*f.options.Period:
 		// Heard here a moment ago: news of the other side of a cut that healed. It is told, and denies it; if it
 		// has failed since, this driver finds out, or hears of it once more.
-		if f.now >= m.accused {
-			m.accused = f.now + f.rules.Period
+		if f.now >= m.nextAccusation {
+			m.nextAccusation = f.now + f.options.Period
 			f.send(m.Address, Message{Kind: Gossip, Target: m.Name, Records: []Record{r}})
 		}
 	case m.Run == r.Run && m.Incarnation == r.Incarnation && m.State == Suspect && r.State == Suspect:
-		if !m.by[r.ReportedBy] && len(m.by) <= confirmers {
-			m.by[r.ReportedBy] = true
-			f.queue(r)
+		if !m.accusers[r.ReportedBy] && len(m.accusers) <= maxConfirmations {
+			m.accusers[r.ReportedBy] = true
+			f.broadcastRecord(r)
 		}
 	case r.supersedes(&m.Record):
-		f.enter(m, r)
-	case r.contests(&m.Record) && f.now-f.warned[r.Name] > 60*f.rules.Period && len(f.warned) < 256:
-		f.warned[r.Name] = f.now
-		f.note("name_twice", r.Name, "at "+m.Address+" and at "+r.Address)
+		f.setRecord(m, r)
+	case r.conflictsWith(&m.Record) && f.now-f.warnedAt[r.Name] > 60*f.options.Period && len(f.warnedAt) < 256:
+		f.warnedAt[r.Name] = f.now
+		f.emit("name_twice", r.Name, "at "+m.Address+" and at "+r.Address)
 	}
 }
 
-// enter makes a record the one that holds.
-func (f *Fleet) enter(m *member, r Record) {
+// setRecord makes a record the one that holds.
+func (f *Fleet) setRecord(m *peer, r Record) {
 	before, run := m.State, m.Run
 	if !before.ended() {
-		f.view ^= mark(m.Name, m.Run)
+		f.viewHash ^= processHash(m.Name, m.Run)
 	}
 	if !r.State.ended() {
-		f.view ^= mark(r.Name, r.Run)
+		f.viewHash ^= processHash(r.Name, r.Run)
 	}
 	if r.Run != run {
-		m.count, m.fresh, m.silent, m.deaf, m.hears = 0, 0, false, false, Reachability{}
+		m.lastCounter, m.lastDirect, m.unanswered, m.unreachable, m.reachability = 0, 0, false, false, Reachability{}
 	}
 	if before != r.State || r.Run != run {
-		m.since = f.now
-		f.statesGen++
+		m.stateSince = f.now
+		f.stateVersion++
 	}
 	m.Record = r
 	if r.State == Suspect {
 		if before != Suspect {
 			f.suspects = append(f.suspects, m)
 		}
-		m.began, m.scale, m.by = f.now, 1+float64(f.health)/2, map[string]bool{r.ReportedBy: true}
-		if r.ReportedBy != f.self.Name && len(f.check) < maxChecks && f.random.Float64()*float64(f.alive()) < checkers {
-			f.check = append(f.check, r.Name)
+		m.suspectedAt, m.suspicionScale, m.accusers = f.now, 1+float64(f.health)/2, map[string]bool{r.ReportedBy: true}
+		if r.ReportedBy != f.self.Name && len(f.recheck) < maxRechecks && f.random.Float64()*float64(f.aliveCount()) < suspicionCheckers {
+			f.recheck = append(f.recheck, r.Name)
 		}
 	} else {
-		m.by = nil
+		m.accusers = nil
 	}
 	if before.ended() != r.State.ended() || r.Run != run {
-		f.changed = f.now
+		f.liveSetChangedAt = f.now
 		switch {
 		case !r.State.ended() && r.Run != run:
-			f.note("fellow_came", r.Name, r.Address)
+			f.emit("fellow_came", r.Name, r.Address)
 		case !r.State.ended():
-			m.met, m.silent = f.now, false
-			f.note("fellow_back", r.Name, r.Address)
+			m.aliveSince, m.unanswered = f.now, false
+			f.emit("fellow_back", r.Name, r.Address)
 		case r.State == Left:
-			f.note("fellow_left", r.Name, "")
+			f.emit("fellow_left", r.Name, "")
 		default:
-			f.note("fellow_failed", r.Name, "told by "+r.ReportedBy)
+			f.emit("fellow_failed", r.Name, "told by "+r.ReportedBy)
 		}
 	}
-	if r.State.ended() && m.deaf {
-		m.deaf = false
-		f.tellHearing()
+	if r.State.ended() && m.unreachable {
+		m.unreachable = false
+		f.broadcastReachability()
 	}
-	f.queue(r)
+	f.broadcastRecord(r)
 }
 
-// ofSelf takes what others say of this driver, or of another process with its name.
-func (f *Fleet) ofSelf(r Record) {
+// applyOwnRecord takes what others say of this driver, or of another process with its name.
+func (f *Fleet) applyOwnRecord(r Record) {
 	switch {
 	case r.Run == f.self.Run && r.State == Left && !f.leaving: // operators took it for gone: it comes as a new one
-		f.rename(r.Run + 1)
-		f.note("forgotten", f.self.Name, "")
+		f.adoptRun(r.Run + 1)
+		f.emit("forgotten", f.self.Name, "")
 	case r.Run == f.self.Run:
 		if (r.State == Suspect || r.State == Failed) && r.Incarnation >= f.self.Incarnation && !f.leaving {
 			f.self.Incarnation = r.Incarnation + 1
-			f.health = min(healthMost, f.health+1)
+			f.health = min(maxHealth, f.health+1)
 			if r.State == Failed {
-				f.note("denied", f.self.Name, "said to have failed, by "+r.ReportedBy)
+				f.emit("denied", f.self.Name, "said to have failed, by "+r.ReportedBy)
 			}
-			f.queue(f.self)
+			f.broadcastRecord(f.self)
 		}
 	case r.Address == f.self.Address || r.State.ended(): // an earlier run of its own, or one that has ended elsewhere
 		if r.Run > f.self.Run {
-			f.rename(r.Run + 1)
+			f.adoptRun(r.Run + 1)
 		}
-		if r.Address == f.holder {
-			f.contested, f.holder, f.judgeAt = 0, "", 0
-			f.queue(f.self)
+		if r.Address == f.nameOwner {
+			f.nameTakenAt, f.nameOwner, f.nextAssessment = 0, "", 0
+			f.broadcastRecord(f.self)
 		}
 	case r.Run < f.self.Run: // it was there first
-		if f.contested == 0 && f.holder != r.Address {
-			f.note("name_taken", f.self.Name, "by the driver at "+r.Address)
+		if f.nameTakenAt == 0 && f.nameOwner != r.Address {
+			f.emit("name_taken", f.self.Name, "by the driver at "+r.Address)
 		}
-		f.contested, f.holder, f.judgeAt = f.now, r.Address, 0
+		f.nameTakenAt, f.nameOwner, f.nextAssessment = f.now, r.Address, 0
 	}
 }
 
-// rename takes a higher run: what is said of the earlier ones is not about this process.
-func (f *Fleet) rename(run uint64) {
-	f.view ^= mark(f.self.Name, f.self.Run) ^ mark(f.self.Name, run)
+// adoptRun takes a higher run: what is said of the earlier ones is not about this process.
+func (f *Fleet) adoptRun(run uint64) {
+	f.viewHash ^= processHash(f.self.Name, f.self.Run) ^ processHash(f.self.Name, run)
 	f.self.Run, f.self.Incarnation = run, 0
-	f.hears.Run = run
-	f.queue(f.self)
+	f.reachability.Run = run
+	f.broadcastRecord(f.self)
 }
 
-// reap forgets those that have ended, are on no roster and were remembered for long enough.
-func (f *Fleet) reap() {
-	gone := func(m *member) bool { return m.State.ended() && f.now-m.since > f.rules.RetainFor && !m.on }
-	if !slices.ContainsFunc(f.list, gone) {
+// reapEnded forgets those that have ended, are on no roster and were remembered for long enough.
+func (f *Fleet) reapEnded() {
+	gone := func(m *peer) bool { return m.State.ended() && f.now-m.stateSince > f.options.RetainFor && !m.onRoster }
+	if !slices.ContainsFunc(f.peers, gone) {
 		return
 	}
-	f.list = slices.DeleteFunc(f.list, func(m *member) bool {
+	f.peers = slices.DeleteFunc(f.peers, func(m *peer) bool {
 		if gone(m) {
-			delete(f.byName, m.Name)
+			delete(f.peersByName, m.Name)
 			return true
 		}
 		return false
 	})
 }
 
-// alive counts the drivers that live, this one included.
-func (f *Fleet) alive() int {
+// aliveCount counts the drivers that live, this one included.
+func (f *Fleet) aliveCount() int {
 	n := 1
-	for _, m := range f.list {
+	for _, m := range f.peers {
 		if m.State == Alive {
 			n++
 		}
--- a/internal/fleet/membership/votes_test.go
+++ b/internal/fleet/membership/votes_test.go
@@ -35,7 +35,7 @@
 	for _, name := range c.names {
 		f := c.begin(name)
 		if name < roster[len(roster)-1] || name == roster[len(roster)-1] {
-			f.adoptRoster(Roster{Version: 1, Lineage: 1, Names: roster, sum: sumOf(roster)})
+			f.adoptRoster(Roster{Version: 1, Lineage: 1, Names: roster, hash: namesHash(roster)})
 		}
 		c.out(f)
 	}
@@ -47,7 +47,7 @@
 	f := New(0, Options{Period: 100, ExpectedDrivers: 1, MaxDrivers: 100, Persistent: true, Saved: c.disk[name]},
 		Record{Name: name, Run: 1, Address: name}, nil, 1)
 	for _, o := range c.names {
-		f.apply(Record{Name: o, Run: 1, Address: o})
+		f.applyRecord(Record{Name: o, Run: 1, Address: o})
 	}
 	c.of[name] = f
 	return f
@@ -55,7 +55,7 @@
 
 // out keeps what a driver is to keep, and puts what it sends on its way.
 func (c *chamber) out(f *Fleet) {
-	out := f.output()
+	out := f.takeOutput()
 	if out.Save != nil {
 		c.disk[f.self.Name] = out.Save
 		f.Saved(true)
@@ -68,14 +68,14 @@
 }
 
 func change(f *Fleet, add, remove string) *Change {
-	c := &Change{Version: f.roster.Version + 1, Lineage: 1, BaseHash: f.roster.sum, Hash: f.roster.sum}
+	c := &Change{Version: f.roster.Version + 1, Lineage: 1, BaseHash: f.roster.hash, Hash: f.roster.hash}
 	if add != "" {
 		c.Add = []string{add}
 	}
 	if remove != "" {
 		c.Remove = []string{remove}
 	}
-	c.Hash ^= sumOf(c.Add) ^ sumOf(c.Remove)
+	c.Hash ^= namesHash(c.Add) ^ namesHash(c.Remove)
 	return c
 }
 
@@ -104,10 +104,10 @@
 				c.out(f)
 			case draw.IntN(20) == 0: // killed, and back with what it kept
 				if f.roster.Version > 1 {
-					versions[f.roster.sum] = f.roster
+					versions[f.roster.hash] = f.roster
 				}
 				f = c.begin(name)
-				f.output()
+				f.takeOutput()
 				killed++
 			case len(c.pool) > 0:
 				i := draw.IntN(len(c.pool))
@@ -122,9 +122,9 @@
 				to.receiveVote(m.from, m.from, m.v)
 				switch draw.IntN(30) {
 				case 0: // killed before anything was written
-					c.begin(m.to).output()
+					c.begin(m.to).takeOutput()
 				case 1: // nothing can be written
-					if to.output().Save != nil {
+					if to.takeOutput().Save != nil {
 						to.Saved(false)
 						to.now += settledPeriods * 100
 					}
@@ -135,7 +135,7 @@
 		}
 		var first *Roster
 		for _, name := range c.names[:n] {
-			versions[c.of[name].roster.sum] = c.of[name].roster
+			versions[c.of[name].roster.hash] = c.of[name].roster
 		}
 		for _, r := range versions {
 			if r.Version == 1 {
@@ -145,7 +145,7 @@
 			if first == nil {
 				first = r
 			}
-			if r.Version != 2 || r.sum != first.sum {
+			if r.Version != 2 || r.hash != first.hash {
 				t.Fatalf("seed %d: version 2 is %v and %v", seed, first.Names, r.Names)
 			}
 		}
@@ -163,18 +163,18 @@
 	f.receiveRoster(Roster{Version: 1, Lineage: 1, Names: []string{"n0", "n1", "n2"}})
 	p := c.of["n0"]
 	p.propose(change(p, "", "n2"))
-	for _, s := range p.output().Messages {
+	for _, s := range p.takeOutput().Messages {
 		if s.Address == "n1" {
 			f.receiveVote("n0", "n0", *s.Message.Vote)
 		}
 	}
-	if out := f.output(); len(out.Messages) > 0 {
+	if out := f.takeOutput(); len(out.Messages) > 0 {
 		t.Errorf("it votes: %+v", out.Messages)
 	}
 	f.now = forgetPeriods*100 + 1
-	f.receiveVote("n0", "n0", Vote{Kind: Prepare, Version: 2, BaseHash: f.roster.sum,
+	f.receiveVote("n0", "n0", Vote{Kind: Prepare, Version: 2, BaseHash: f.roster.hash,
 		Ballot: paxos.Ballot{Number: 9, Proposer: "n0"}})
-	if out := f.output(); len(out.Messages) != 1 || out.Messages[0].Message.Vote.Kind != Promise {
+	if out := f.takeOutput(); len(out.Messages) != 1 || out.Messages[0].Message.Vote.Kind != Promise {
 		t.Errorf("it never votes again: %+v", out)
 	}
 }
@@ -204,24 +204,24 @@
 				for i := 1; i < n; i++ {
 					r := Record{Name: fmt.Sprintf("n%02d", i), Run: 1, Address: fmt.Sprint(i)}
 					names = append(names, r.Name)
-					f.apply(r)
+					f.applyRecord(r)
 					if i >= living {
 						r.State = Failed
-						f.apply(r)
+						f.applyRecord(r)
 					}
 				}
-				f.adoptRoster(Roster{Version: 1, Lineage: 1, Names: names, sum: sumOf(names)})
-				f.judge()
-				if c := f.DriverCount(); f.standing == Majority && c < n {
+				f.adoptRoster(Roster{Version: 1, Lineage: 1, Names: names, hash: namesHash(names)})
+				f.updatePartition()
+				if c := f.DriverCount(); f.partition == Majority && c < n {
 					t.Errorf("%d of %d count %d before the others can have given way", living, n, c)
 				}
 				f.now = 4000
 				c := f.DriverCount()
 				if n > 3 && living == n-1 { // another one is lost: the wait begins anew
-					r := f.list[0].Record
+					r := f.peers[0].Record
 					r.State = Failed
-					f.apply(r)
-					if f.judge(); f.standing == Majority && f.DriverCount() != n {
+					f.applyRecord(r)
+					if f.updatePartition(); f.partition == Majority && f.DriverCount() != n {
 						t.Errorf("%d of %d count %d at once", living-1, n, f.DriverCount())
 					}
 				}
