--- /dev/null
+++ b/internal/lab/membershipsim/golden_test.go
@@ -0,0 +1,31 @@
+package membershipsim
+
+import (
+	"bytes"
+	"regexp"
+	"testing"
+
+	"weirwind/internal/standin/golden"
+)
+
+// What seeded measurements print is as recorded, but for the share of a core, which is the machine's.
+func TestMeasurementsAreThoseRecorded(t *testing.T) {
+	var cases []golden.Case[string]
+	record := func(name string, measure func(out *bytes.Buffer) error) {
+		var out bytes.Buffer
+		if err := measure(&out); err != nil {
+			t.Fatal(err)
+		}
+		text := regexp.MustCompile(`[0-9.]+ % of a core`).ReplaceAllString(out.String(), "* % of a core")
+		cases = append(cases, golden.Of(name, text))
+	}
+	record("losses", func(out *bytes.Buffer) error { return Losses(out, Options{Drivers: 7, Seed: 3}, 6) })
+	record("heals", func(out *bytes.Buffer) error { return Heals(out, Options{Drivers: 9, Seed: 4}, 4) })
+	record("losses under loss and doubles", func(out *bytes.Buffer) error {
+		return Losses(out, Options{Drivers: 12, Seed: 5, Loss: 0.05, Double: 0.1}, 4)
+	})
+	record("calm", func(out *bytes.Buffer) error {
+		return Wrong(out, Options{Drivers: 20, Seed: 6, Loss: 0.1}, 120000, 0.1)
+	})
+	golden.Text(t, "testdata/measurements.golden", cases)
+}
