--- a/internal/controlplane/agent/agent.go
+++ b/internal/controlplane/agent/agent.go
@@ -86,7 +86,7 @@
 	go a.servePeers(mesh)
 	go a.serveProxies(feed)
 	log.Event(events.Started, "agent", a.self.Name, "mesh", a.self.Addr)
-	a.run(ctx.Done()) //nolint:contextcheck // links to peers end with the inner context, after ctx
+	a.run(ctx.Done()) // links to peers end with the inner context, after ctx
 	a.shutdown()
 	return nil
 }
--- /dev/null
+++ b/internal/util/ci/docs_test.go
@@ -0,0 +1,83 @@
+package ci
+
+import (
+	"io/fs"
+	"os"
+	"path/filepath"
+	"regexp"
+	"strings"
+	"testing"
+)
+
+const root = "../../.."
+
+var (
+	quoted     = regexp.MustCompile("`([^`]+)`")
+	place      = regexp.MustCompile(`^(internal|cmd|docs|deploy|logic|tools)/[\w./-]+$`)
+	qualified  = regexp.MustCompile(`^[A-Za-z]+(\.[A-Za-z]+)+$`)
+	identifier = regexp.MustCompile(`[A-Za-z_]\w*`)
+	fileName   = regexp.MustCompile(`\.(go|md|toml|hcl|yml|mod)$`)
+)
+
+// What the pages for newcomers point at is there: folders and files, and what is named as one part of another
+// (`Controller.Step`) is a name in the code.
+func TestPagesPointAtWhatIsThere(t *testing.T) {
+	names := identifiers(t)
+	for _, page := range []string{"README.md", "docs/ARCHITECTURE.md", "docs/glossary.md", "docs/CONTRIBUTING.md"} {
+		t.Run(page, func(t *testing.T) {
+			text, err := os.ReadFile(filepath.Join(root, page))
+			if err != nil {
+				t.Fatal(err)
+			}
+			for _, line := range strings.Split(string(text), "\n") {
+				for _, word := range quoted.FindAllStringSubmatch(pointing(page, line), -1) {
+					check(t, names, word[1])
+				}
+			}
+		})
+	}
+}
+
+// pointing is the part of a line that points into the code: of the glossary's tables the last column.
+func pointing(page, line string) string {
+	if cells := strings.Split(line, "|"); page == "docs/glossary.md" && len(cells) > 2 {
+		return cells[len(cells)-2]
+	}
+	return line
+}
+
+func check(t *testing.T, names map[string]bool, word string) {
+	t.Helper()
+	switch {
+	case place.MatchString(word):
+		if _, err := os.Stat(filepath.Join(root, word)); err != nil && !strings.Contains(word, "...") {
+			t.Errorf("%s: no such place", word)
+		}
+	case qualified.MatchString(word) && !fileName.MatchString(word):
+		if last := word[strings.LastIndex(word, ".")+1:]; !names[last] {
+			t.Errorf("%s: nothing in the code is named %s", word, last)
+		}
+	}
+}
+
+// identifiers are all words of the Go files, comments included.
+func identifiers(t *testing.T) map[string]bool {
+	t.Helper()
+	names := map[string]bool{}
+	for _, folder := range []string{"internal", "cmd", "logic", "sessionclient"} {
+		err := filepath.WalkDir(filepath.Join(root, folder), func(path string, e fs.DirEntry, err error) error {
+			if err != nil || e.IsDir() || !strings.HasSuffix(path, ".go") {
+				return err
+			}
+			text, err := os.ReadFile(path)
+			for _, name := range identifier.FindAllString(string(text), -1) {
+				names[name] = true
+			}
+			return err
+		})
+		if err != nil {
+			t.Fatal(err)
+		}
+	}
+	return names
+}
