--- a/cmd/weirwind/registry_test.go
+++ b/cmd/weirwind/registry_test.go
@@ -101,7 +101,7 @@
 	p := s.start(t)
 	p.said("registry leads")
 	store.Put(membersAt+"b", s.entry(1, "draining"))
-	kept(t, folder, func(s *learned.State) bool { return s.List["b"].Phase == "draining" })
+	kept(t, folder, func(s *learned.State) bool { return s.Membership["b"].Phase == "draining" })
 	p.ends(syscall.SIGKILL)
 	s.left()
 	v.Down.Store(true)
--- a/cmd/weirwind/state.go
+++ b/cmd/weirwind/state.go
@@ -64,25 +64,25 @@
 		return pretty.Encode(s)
 	}
 	m := s.Meta
-	fmt.Fprintf(out, "driver %s, run %d, renewed %s, ended in order: %v\n", m.Name, m.Run, date(m.At.Wall), m.Closed)
-	fmt.Fprintf(out, "list revision %d (epoch %d), %d members; ceiling %s\n", m.Revision, m.Epoch, len(s.List),
-		date(m.Reserved))
+	fmt.Fprintf(out, "driver %s, run %d, renewed %s, ended in order: %v\n", m.Name, m.Run, date(m.SavedAt.Wall), m.CleanShutdown)
+	fmt.Fprintf(out, "list revision %d (epoch %d), %d members; ceiling %s\n", m.Revision, m.Epoch, len(s.Membership),
+		date(m.MaxPosition))
 	for _, id := range slices.Sorted(maps.Keys(s.Groups)) {
 		g := s.Groups[id]
 		held := "was primary"
-		if g.Held {
+		if g.InSlot {
 			held = "primary"
 		}
-		if g.Slot == "" {
+		if g.Primary == "" {
 			held = "no primary known"
 		}
-		fmt.Fprintf(out, "group %d: %s %s, last seen so %s\n", id, held, g.Slot, date(g.Seen))
+		fmt.Fprintf(out, "group %d: %s %s, last seen so %s\n", id, held, g.Primary, date(g.SeenAt))
 	}
-	for _, id := range slices.Sorted(maps.Keys(s.List)) {
-		e, k := s.List[id], s.Members[id]
+	for _, id := range slices.Sorted(maps.Keys(s.Membership)) {
+		e, k := s.Membership[id], s.Members[id]
 		fmt.Fprintf(out, "member %s: group %d at %s, %s", id, e.Group, e.Address, e.Phase)
-		if k.Aside > 0 {
-			fmt.Fprintf(out, ", set aside %s", date(k.Aside))
+		if k.EjectedAt > 0 {
+			fmt.Fprintf(out, ", set aside %s", date(k.EjectedAt))
 		}
 		if k.Position > 0 {
 			fmt.Fprintf(out, ", position %s", date(k.Position))
--- a/cmd/weirwind/state_test.go
+++ b/cmd/weirwind/state_test.go
@@ -42,7 +42,7 @@
 }
 
 func slotIs(id string) func(*learned.State) bool {
-	return func(s *learned.State) bool { return s.Groups[3].Slot == id && s.Groups[3].Held }
+	return func(s *learned.State) bool { return s.Groups[3].Primary == id && s.Groups[3].InSlot }
 }
 
 // takes answers as a primary; refuses answers as a replica, which turns writes away.
@@ -138,7 +138,7 @@
 	folder := s.keeps(t, "")
 	p := s.start(t)
 	s.changes <- s.list(42, false, "b=draining")
-	kept(t, folder, func(s *learned.State) bool { return s.List["b"].Phase == "draining" && s.Meta.Revision == 42 })
+	kept(t, folder, func(s *learned.State) bool { return s.Membership["b"].Phase == "draining" && s.Meta.Revision == 42 })
 	p.ends(syscall.SIGKILL)
 	s.lists.Close()
 	for len(b.queries) > 0 {
@@ -280,9 +280,9 @@
 	dir := t.TempDir()
 	bad, folder := filepath.Join(dir, "bad.hcl"), filepath.Join(dir, "state")
 	os.WriteFile(bad, []byte("state {\n}"), 0o600)
-	b := learned.NewBook(learned.Rules{Name: "n0"}, nil, learned.Moment{})
-	b.Begin(learned.Moment{Wall: 1767225600000})
-	b.List(learned.Moment{Wall: 1767225600000}, 7, true, []learned.Entry{{ID: "m1", Address: "127.0.0.1:1", Group: 3, Phase: "up"},
+	b := learned.NewTable(learned.Config{Name: "n0"}, nil, learned.Timestamp{})
+	b.StartRun(learned.Timestamp{Wall: 1767225600000})
+	b.UpdateMembership(learned.Timestamp{Wall: 1767225600000}, 7, true, []learned.Entry{{ID: "m1", Address: "127.0.0.1:1", Group: 3, Phase: "up"},
 		{ID: "m2", Address: "127.0.0.1:2", Group: 3, Phase: "draining"}})
 	store, _, err := durable.Open(durable.OS{}, durable.Options{Folder: folder, Tag: learned.Tag})
 	if err != nil || store.Compact(b.Snapshot()) != nil {
@@ -316,7 +316,7 @@
 	run(1, "no state", "state", "verify", filepath.Join(dir, "none"))
 	run(1, "no state", "state", "forget", filepath.Join(dir, "none"))
 	s := kept(t, folder, func(*learned.State) bool { return true })
-	if len(s.List) != 1 || s.Meta.Revision != 7 {
+	if len(s.Membership) != 1 || s.Meta.Revision != 7 {
 		t.Errorf("%+v", s)
 	}
 }
--- a/internal/driver/state.go
+++ b/internal/driver/state.go
@@ -41,10 +41,10 @@
 
 	saving sync.Mutex // guards what follows; held through a save
 	store  *durable.Store
-	book   *learned.Book
+	book   *learned.Table
 	memory logic.Memory
 	behind bool // the book holds what the store does not
-	retry  learned.Retry
+	retry  learned.Backoff
 	ended  bool
 }
 
@@ -56,30 +56,30 @@
 
 // moment reads both clocks: the driver's own, which is not stepped while it runs, and the machine's time since its
 // start, which survives the driver. Where the machine does not tell, Boot is empty.
-func (d *decider) moment() learned.Moment {
-	m := learned.Moment{Wall: d.clock.now()}
+func (d *decider) moment() learned.Timestamp {
+	m := learned.Timestamp{Wall: d.clock.now()}
 	if up, err := os.ReadFile("/proc/uptime"); err == nil {
 		first, _, _ := strings.Cut(string(up), " ")
 		if s, err := strconv.ParseFloat(first, 64); err == nil {
-			m.Up, m.Boot = s*1000, bootID()
+			m.Uptime, m.BootID = s*1000, bootID()
 		}
 	}
-	if m.Boot == "" {
-		m.Up = float64(time.Since(d.clock.start).Milliseconds())
+	if m.BootID == "" {
+		m.Uptime = float64(time.Since(d.clock.start).Milliseconds())
 	}
 	return m
 }
 
 // rulesOf gathers what the settings tell that decisions about state go by.
-func rulesOf(name string, told opening.Told, o operator.State) learned.Rules {
-	r := learned.Rules{Name: name, SaveEvery: milliseconds(o.SaveEvery), ColdFor: told.Opening.ColdFor,
-		SwitchLeast: cmp.Or(milliseconds(o.SwitchLeast), told.DrainGrace), Bound: math.Inf(1),
-		SessionsCarried: told.Opening.SessionCarried, OpTypes: make([]learned.OpType, len(told.OpTypes))}
+func rulesOf(name string, told opening.Told, o operator.State) learned.Config {
+	r := learned.Config{Name: name, SaveInterval: milliseconds(o.SaveEvery), WarmUp: told.Opening.ColdFor,
+		MinSwitchover: cmp.Or(milliseconds(o.SwitchLeast), told.DrainGrace), StalenessBound: math.Inf(1),
+		SessionsTrackPosition: told.Opening.SessionCarried, OpTypes: make([]learned.OpType, len(told.OpTypes))}
 	for name, i := range told.OpTypes {
 		t := &told.Opening.OpTypes[i]
-		r.OpTypes[i] = learned.OpType{Name: name, Target: t.LatencyTarget}
+		r.OpTypes[i] = learned.OpType{Name: name, LatencyTarget: t.LatencyTarget}
 		if t.Need == logic.Bounded {
-			r.Bound = min(r.Bound, t.MaxAge)
+			r.StalenessBound = min(r.StalenessBound, t.MaxAge)
 		}
 	}
 	return r
@@ -132,19 +132,19 @@
 		}()
 	}
 	now, rules := v.decide.moment(), rulesOf(v.config.Name, told, o)
-	given := learned.List{Revision: known.Revision}
+	given := learned.Membership{Revision: known.Revision}
 	for _, e := range known.Members {
 		given.Entries = append(given.Entries, toLearned(e))
 	}
-	belief := learned.Believe(r.state, rules, now, given)
-	if belief.FromKept {
-		known = discovery.Answer{Revision: belief.List.Revision, Complete: true}
-		for _, e := range belief.List.Entries {
+	belief := learned.Restore(r.state, rules, now, given)
+	if belief.FromSaved {
+		known = discovery.Answer{Revision: belief.Membership.Revision, Complete: true}
+		for _, e := range belief.Membership.Entries {
 			known.Members = append(known.Members, toDiscovery(e))
 		}
 	}
-	k.book = learned.NewBook(rules, r.state, now)
-	k.book.Begin(now)
+	k.book = learned.NewTable(rules, r.state, now)
+	k.book.StartRun(now)
 	v.keep = k
 	v.start(known)
 	v.decide.step(logic.Event{Kind: logic.EvRecall, Memory: &belief.Memory})
@@ -153,20 +153,20 @@
 		k.failed(now, r.err)
 	}
 	v.log.Info("state_recalled", "verdict", string(belief.Verdict), "age_ms", int64(belief.Age), "from_kept",
-		belief.FromKept,
+		belief.FromSaved,
 		"revision", known.Revision, "members", len(belief.Memory.Members), "groups", len(belief.Memory.Groups),
-		"dropped", strings.Join(belief.Dropped, "; "), "took_us", time.Since(began).Microseconds())
+		"dropped", strings.Join(belief.Discarded, "; "), "took_us", time.Since(began).Microseconds())
 }
 
 func toLearned(e discovery.Entry) learned.Entry {
 	return learned.Entry{ID: e.ID, Address: e.HostPort, Zone: e.Locality, Group: e.Cell, Phase: e.Phase, Access: e.Access,
-		Started: e.Started}
+		StartedAt: e.Started}
 }
 
 func toDiscovery(e learned.Entry) discovery.Entry {
 	return discovery.Entry{ID: e.ID, HostPort: e.Address, Locality: e.Zone, Cell: e.Group, Phase: e.Phase,
 		Access:  e.Access,
-		Started: e.Started}
+		Started: e.StartedAt}
 }
 
 // list notes that the list has changed, or its revision, and wakes the saver; it waits for nothing.
@@ -240,18 +240,18 @@
 	var records [][]byte
 	if news { // what changes from here on is news again
 		revision, entries := k.v.listed()
-		records = k.book.List(now, revision, true, entries)
+		records = k.book.UpdateMembership(now, revision, true, entries)
 	}
 	k.v.decide.step(logic.Event{Kind: logic.EvRemember, Memory: &k.memory})
-	records = append(records, k.book.Tick(now, &k.memory, last)...)
-	if !last && !k.retry.Due(now) {
+	records = append(records, k.book.Update(now, &k.memory, last)...)
+	if !last && !k.retry.Ready(now) {
 		k.behind = k.behind || len(records) > 0
 		return
 	}
 	if err := k.put(records, limit); err != nil {
 		k.behind = true
 		k.failed(now, err)
-	} else if k.v.count.StateSaves.Add(1); k.retry.Done() {
+	} else if k.v.count.StateSaves.Add(1); k.retry.RecordSuccess() {
 		k.v.log.Info("state_saved", "text", "saving goes on")
 	}
 	if last && k.store != nil {
@@ -292,10 +292,10 @@
 }
 
 // failed counts a failure; the first of a row gets a line.
-func (k *keeper) failed(now learned.Moment, err error) {
+func (k *keeper) failed(now learned.Timestamp, err error) {
 	k.v.count.StateFailed.Add(1)
-	first := k.retry == (learned.Retry{})
-	if wait := k.retry.Failed(now); first {
+	first := k.retry == (learned.Backoff{})
+	if wait := k.retry.RecordFailure(now); first {
 		k.v.log.Error("state_failed", "error", err, "retry_ms", int64(wait))
 	}
 }
--- a/internal/lab/emulator/restart.go
+++ b/internal/lab/emulator/restart.go
@@ -14,26 +14,26 @@
 const downFor = 200.0 // milliseconds from a driver's end to its next life
 
 // rules are what the state is kept by.
-func (h *host) rules() learned.Rules {
-	r := learned.Rules{
+func (h *host) rules() learned.Config {
+	r := learned.Config{
 		Name:            h.name(),
-		SaveEvery:       1000,
-		SwitchLeast:     handover,
-		ColdFor:         coldFor,
-		Bound:           math.Inf(1),
-		SessionsCarried: true,
+		SaveInterval:       1000,
+		MinSwitchover:     handover,
+		WarmUp:         coldFor,
+		StalenessBound:           math.Inf(1),
+		SessionsTrackPosition: true,
 	}
 	for i, t := range h.w.types {
-		r.OpTypes = append(r.OpTypes, learned.OpType{Name: h.w.setup.Mix[i].Name, Target: t.LatencyTarget})
+		r.OpTypes = append(r.OpTypes, learned.OpType{Name: h.w.setup.Mix[i].Name, LatencyTarget: t.LatencyTarget})
 		if t.Need == logic.Bounded {
-			r.Bound = min(r.Bound, t.MaxAge)
+			r.StalenessBound = min(r.StalenessBound, t.MaxAge)
 		}
 	}
 	return r
 }
 
-func (h *host) moment() learned.Moment {
-	return learned.Moment{Wall: h.now, Up: h.now, Boot: "emulated"}
+func (h *host) moment() learned.Timestamp {
+	return learned.Timestamp{Wall: h.now, Uptime: h.now, BootID: "emulated"}
 }
 
 // restart ends a driver at once, with all that was open, and begins it anew: with the state as it was saved at the end
@@ -44,12 +44,12 @@
 	}
 	var state *learned.State
 	if memory, module := h.memory(); module && keep {
-		book := learned.NewBook(h.rules(), nil, h.moment())
-		book.Begin(h.moment())
-		book.List(h.moment(), 1, true, h.listed())
-		book.Tick(h.moment(), &memory, true)
+		table := learned.NewTable(h.rules(), nil, h.moment())
+		table.StartRun(h.moment())
+		table.UpdateMembership(h.moment(), 1, true, h.listed())
+		table.Update(h.moment(), &memory, true)
 		var err error
-		if state, err = learned.Load(book.Snapshot(), nil); err != nil {
+		if state, err = learned.Load(table.Snapshot(), nil); err != nil {
 			h.audit.broken("state: %v", err)
 		}
 	}
@@ -92,8 +92,8 @@
 			h.audit.told(e)
 		}
 		if state != nil {
-			belief := learned.Believe(state, h.rules(), h.moment(), learned.List{Revision: 1, Entries: h.listed()})
-			events = append(events, logic.Event{Kind: logic.EvRecall, Memory: &belief.Memory})
+			restored := learned.Restore(state, h.rules(), h.moment(), learned.Membership{Revision: 1, Entries: h.listed()})
+			events = append(events, logic.Event{Kind: logic.EvRecall, Memory: &restored.Memory})
 		}
 		h.step(events...)
 	})
@@ -107,7 +107,7 @@
 		}
 		all = append(
 			all,
-			learned.Entry{ID: e.Member, Address: e.Member, Zone: e.Zone, Group: e.Group, Phase: phase, Started: e.Started},
+			learned.Entry{ID: e.Member, Address: e.Member, Zone: e.Zone, Group: e.Group, Phase: phase, StartedAt: e.Started},
 		)
 	}
 	return all
--- a/internal/learned/golden_test.go
+++ b/internal/learned/golden_test.go
@@ -16,12 +16,12 @@
 // recordedStates are a state with every field set, and one with none.
 func recordedStates() []golden.Case[*State] {
 	full := newState()
-	full.Meta = Meta{Schema: 1, Name: "n0", Run: 3, At: Moment{Wall: day + 0.5, Up: 7e6, Boot: "one"}, Reserved: day + 2100,
-		Closed: true, Revision: 41, Epoch: 2, EpochMost: 77}
-	full.List["m1"] = Entry{ID: "m1", Address: "127.0.0.1:1", Zone: "a", Group: 3, Phase: "draining", Access: "writer", Started: day - 9}
-	full.Groups[3] = Group{ID: 3, Slot: "m1", Held: true, Seen: day - 20, Rate: 1.5, Commit: day - 30}
-	full.Members["m1"] = Member{ID: "m1", Group: 3, Position: day - 40, Started: day - 9, Aside: day - 2, Cut: true, Window: 16.25}
-	full.Types["read"] = Type{Name: "read", Target: 300, Took: 80.5, Best: 40}
+	full.Meta = Meta{Schema: 1, Name: "n0", Run: 3, SavedAt: Timestamp{Wall: day + 0.5, Uptime: 7e6, BootID: "one"}, MaxPosition: day + 2100,
+		CleanShutdown: true, Revision: 41, Epoch: 2, PriorRevision: 77}
+	full.Membership["m1"] = Entry{ID: "m1", Address: "127.0.0.1:1", Zone: "a", Group: 3, Phase: "draining", Access: "writer", StartedAt: day - 9}
+	full.Groups[3] = Group{ID: 3, Primary: "m1", InSlot: true, SeenAt: day - 20, WorkRate: 1.5, LastCommit: day - 30}
+	full.Members["m1"] = Member{ID: "m1", Group: 3, Position: day - 40, StartedAt: day - 9, EjectedAt: day - 2, Disconnected: true, Window: 16.25}
+	full.OpTypes["read"] = OpTypeStats{Name: "read", LatencyTarget: 300, Typical: 80.5, Best: 40}
 	return []golden.Case[*State]{golden.Of("full", full), golden.Of("empty", newState())}
 }
 
@@ -31,11 +31,11 @@
 func TestRecordedRecords(t *testing.T) {
 	state := recordedStates()[0].Value
 	values := []golden.Case[record]{
-		golden.Of("snapshot", record{Meta: &state.Meta, Listed: []Entry{state.List["m1"]}, Groups: []Group{state.Groups[3]},
-			Members: []Member{state.Members["m1"]}, Types: []Type{state.Types["read"]}}),
-		golden.Of("removals", record{Meta: &Meta{Schema: 1, Name: "n0"}, Unlisted: []string{"a", "b"}, Forgotten: []string{"c"}, Left: []int64{1, 7}}),
-		golden.Of("sightings", record{Meta: &Meta{Schema: 1}, Sightings: []Sighting{{Group: 3, Ago: 20}, {Group: 4, Ago: 1e6}}}),
-		golden.Of("zero fields", record{Listed: []Entry{{}}, Groups: []Group{{}}, Members: []Member{{}}, Types: []Type{{}}}),
+		golden.Of("snapshot", record{Meta: &state.Meta, Entries: []Entry{state.Membership["m1"]}, Groups: []Group{state.Groups[3]},
+			Members: []Member{state.Members["m1"]}, OpTypes: []OpTypeStats{state.OpTypes["read"]}}),
+		golden.Of("removals", record{Meta: &Meta{Schema: 1, Name: "n0"}, RemovedEntries: []string{"a", "b"}, RemovedMembers: []string{"c"}, RemovedGroups: []int64{1, 7}}),
+		golden.Of("sightings", record{Meta: &Meta{Schema: 1}, Sightings: []Sighting{{Group: 3, Age: 20}, {Group: 4, Age: 1e6}}}),
+		golden.Of("zero fields", record{Entries: []Entry{{}}, Groups: []Group{{}}, Members: []Member{{}}, OpTypes: []OpTypeStats{{}}}),
 		golden.Of("nothing", record{}),
 	}
 	var forms []golden.Case[string]
@@ -53,16 +53,16 @@
 	golden.Text(t, "testdata/records.golden", forms)
 }
 
-// history is a seeded run of restarts, lists, ticks, clock steps and forgetting; every output goes into the digest.
+// history is a seeded run of restarts, memberships, updates, clock steps and forgetting; every output goes into the digest.
 type history struct {
 	draw           *rand.Rand
 	out            io.Writer
 	wall, up, boot float64
-	rules          Rules
+	config         Config
 }
 
-func (h *history) moment() Moment {
-	return Moment{Wall: h.wall, Up: h.up, Boot: fmt.Sprint("boot", h.boot)}
+func (h *history) moment() Timestamp {
+	return Timestamp{Wall: h.wall, Uptime: h.up, BootID: fmt.Sprint("boot", h.boot)}
 }
 
 func (h *history) pass(most float64) {
@@ -76,7 +76,7 @@
 		if h.draw.IntN(3) > 0 {
 			all = append(all, Entry{ID: fmt.Sprint(id), Address: fmt.Sprint("127.0.0.1:", h.draw.IntN(2)), Zone: "z", Group: int64(id % 2),
 				Phase: []string{PhaseUp, PhaseUp, "draining", PhaseRemoved}[h.draw.IntN(4)], Access: []string{"writer", "reader"}[h.draw.IntN(2)],
-				Started: []float64{0, h.wall - 5000}[h.draw.IntN(2)]})
+				StartedAt: []float64{0, h.wall - 5000}[h.draw.IntN(2)]})
 		}
 	}
 	return all
@@ -100,14 +100,14 @@
 	return k
 }
 
-// life is one run of the driver, from the state that the one before has left.
-func (h *history) life(t *testing.T, before *State) *State {
+// run is one run of the driver, from the state that the one before saved.
+func (h *history) run(t *testing.T, before *State) *State {
 	t.Helper()
-	given := List{Revision: int64(h.draw.IntN(60)), Entries: h.entries()}
-	fmt.Fprintf(h.out, "%v\n", Believe(before, h.rules, h.moment(), given))
-	b := NewBook(h.rules, before, h.moment())
-	b.Begin(h.moment())
-	var retry Retry
+	given := Membership{Revision: int64(h.draw.IntN(60)), Entries: h.entries()}
+	fmt.Fprintf(h.out, "%v\n", Restore(before, h.config, h.moment(), given))
+	b := NewTable(h.config, before, h.moment())
+	b.StartRun(h.moment())
+	var retry Backoff
 	revision := int64(h.draw.IntN(60))
 	for range 1 + h.draw.IntN(25) {
 		h.pass(2500)
@@ -116,20 +116,20 @@
 			if revision++; h.draw.IntN(10) == 0 {
 				revision = int64(h.draw.IntN(5))
 			}
-			records = b.List(h.moment(), revision, h.draw.IntN(2) > 0, h.entries())
+			records = b.UpdateMembership(h.moment(), revision, h.draw.IntN(2) > 0, h.entries())
 		} else {
-			records = b.Tick(h.moment(), h.memory(), h.draw.IntN(20) == 0)
+			records = b.Update(h.moment(), h.memory(), h.draw.IntN(20) == 0)
 		}
-		due := retry.Due(h.moment())
+		due := retry.Ready(h.moment())
 		if h.draw.IntN(3) == 0 {
-			fmt.Fprintln(h.out, due, retry.Failed(h.moment()))
+			fmt.Fprintln(h.out, due, retry.RecordFailure(h.moment()))
 		} else {
-			fmt.Fprintln(h.out, due, retry.Done())
+			fmt.Fprintln(h.out, due, retry.RecordSuccess())
 		}
 		fmt.Fprintf(h.out, "%x\n", records)
 	}
 	if h.draw.IntN(2) > 0 {
-		fmt.Fprintf(h.out, "%x\n", b.Tick(h.moment(), h.memory(), true))
+		fmt.Fprintf(h.out, "%x\n", b.Update(h.moment(), h.memory(), true))
 	}
 	if h.draw.IntN(8) == 0 {
 		fmt.Fprintln(h.out, b.State().Forget([][]string{nil, {"1"}}[h.draw.IntN(2)], [][]int64{nil, {0}}[h.draw.IntN(2)]))
@@ -154,23 +154,23 @@
 		h.wall -= 60e3 * h.draw.Float64()
 		h.up, h.boot = 100, h.boot+1
 	}
-	h.rules.SessionsCarried = h.draw.IntN(2) > 0
-	h.rules.SwitchLeast = []float64{0, 2000}[h.draw.IntN(2)]
-	h.rules.Bound = []float64{200, 5000}[h.draw.IntN(2)]
-	h.rules.ColdFor = []float64{0, 10000}[h.draw.IntN(2)]
-	if h.rules.Name = "n0"; h.draw.IntN(20) == 0 {
-		h.rules.Name = "n1"
+	h.config.SessionsTrackPosition = h.draw.IntN(2) > 0
+	h.config.MinSwitchover = []float64{0, 2000}[h.draw.IntN(2)]
+	h.config.StalenessBound = []float64{200, 5000}[h.draw.IntN(2)]
+	h.config.WarmUp = []float64{0, 10000}[h.draw.IntN(2)]
+	if h.config.Name = "n0"; h.draw.IntN(20) == 0 {
+		h.config.Name = "n1"
 	}
 }
 
-// What is kept and what is believed of it, over many seeded histories, is what it was when the digest was recorded.
+// What is saved and what of it is restored, over many seeded histories, is what it was when the digest was recorded.
 func TestRecordedDecisions(t *testing.T) {
 	digest := fnv.New64a()
 	for seed := range uint64(60) {
-		h := &history{draw: rand.New(rand.NewPCG(seed, 1)), out: digest, wall: day, up: 5e6, rules: rules()}
+		h := &history{draw: rand.New(rand.NewPCG(seed, 1)), out: digest, wall: day, up: 5e6, config: testConfig()}
 		var s *State
 		for range 12 {
-			s = h.life(t, s)
+			s = h.run(t, s)
 			h.restart()
 		}
 	}
--- a/internal/learned/scale_test.go
+++ b/internal/learned/scale_test.go
@@ -14,16 +14,16 @@
 
 const manyMembers, manyGroups = 10000, 1000
 
-// large is a book of many members, and what the module would tell of them at a time.
-func large() (*Book, func(ms float64) *logic.Memory) {
-	b := NewBook(rules(), nil, at(0))
-	b.Begin(at(0))
+// large is a table of many members, and the decision module's memory of them at a time.
+func largeTable() (*Table, func(ms float64) *logic.Memory) {
+	b := NewTable(testConfig(), nil, at(0))
+	b.StartRun(at(0))
 	var entries []Entry
 	for i := range manyMembers {
 		entries = append(entries, Entry{ID: fmt.Sprintf("s-%08x", i*2654435761%(1<<32)), Address: fmt.Sprintf("10.%d.%d.%d:6432", i>>16, i>>8&255, i&255),
 			Zone: "a", Group: int64(i % manyGroups), Phase: PhaseUp, Access: "reader"})
 	}
-	b.List(at(0), 41, true, entries)
+	b.UpdateMembership(at(0), 41, true, entries)
 	return b, func(ms float64) *logic.Memory {
 		k := &logic.Memory{OpTypes: []logic.TypeMemory{{Took: 80, Best: 40}, {Took: 120, Best: 100}}}
 		for i := range manyGroups {
@@ -36,24 +36,24 @@
 	}
 }
 
-// BenchmarkSave: a tick of a large book, nearly all of whose slots were seen anew, down to the disk.
+// BenchmarkSave: an update of a large table, nearly all of whose primaries were seen anew, down to the disk.
 func BenchmarkSave(b *testing.B) {
-	book, tell := large()
+	table, memory := largeTable()
 	store, _, err := durable.Open(durable.OS{}, durable.Options{Folder: b.TempDir(), Tag: Tag})
-	if err != nil || store.Compact(book.Snapshot()) != nil {
+	if err != nil || store.Compact(table.Snapshot()) != nil {
 		b.Fatal(err)
 	}
-	book.Tick(at(0), tell(0), true)
+	table.Update(at(0), memory(0), true)
 	ms := 0.0
 	b.ReportAllocs()
 	for b.Loop() {
 		ms += 1000
 		b.StopTimer()
-		k := tell(ms)
+		k := memory(ms)
 		b.StartTimer()
-		records := book.Tick(at(ms), k, false)
+		records := table.Update(at(ms), k, false)
 		if store.Due() {
-			err = store.Compact(book.Snapshot())
+			err = store.Compact(table.Snapshot())
 		} else {
 			err = store.Append(records...)
 		}
@@ -66,8 +66,8 @@
 
 // BenchmarkSnapshot: all of it anew, as at a start and when the log has grown long.
 func BenchmarkSnapshot(b *testing.B) {
-	book, tell := large()
-	book.Tick(at(0), tell(0), true)
+	table, memory := largeTable()
+	table.Update(at(0), memory(0), true)
 	folder := b.TempDir()
 	store, _, err := durable.Open(durable.OS{}, durable.Options{Folder: folder, Tag: Tag})
 	if err != nil {
@@ -75,7 +75,7 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		if err := store.Compact(book.Snapshot()); err != nil {
+		if err := store.Compact(table.Snapshot()); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -87,15 +87,15 @@
 	b.ReportMetric(float64(info.Size()), "B-file")
 }
 
-// BenchmarkRecovery: from files to a belief.
+// BenchmarkRecovery: from files to what is restored.
 func BenchmarkRecovery(b *testing.B) {
-	book, tell := large()
+	table, memory := largeTable()
 	o := durable.Options{Folder: b.TempDir(), Tag: Tag}
 	store, _, err := durable.Open(durable.OS{}, o)
-	if err != nil || store.Compact(book.Snapshot()) != nil {
+	if err != nil || store.Compact(table.Snapshot()) != nil {
 		b.Fatal(err)
 	}
-	if err := store.Append(book.Tick(at(0), tell(0), true)...); err != nil {
+	if err := store.Append(table.Update(at(0), memory(0), true)...); err != nil {
 		b.Fatal(err)
 	}
 	b.ReportAllocs()
@@ -108,30 +108,30 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		if belief := Believe(s, rules(), at(100), List{}); len(belief.Memory.Members) != manyMembers {
-			b.Fatal(len(belief.Memory.Members))
+		if restored := Restore(s, testConfig(), at(100), Membership{}); len(restored.Memory.Members) != manyMembers {
+			b.Fatal(len(restored.Memory.Members))
 		}
 	}
 }
 
-// TestSteadyDay counts what an hour of a steady day writes, for a group of five members and for a large book.
+// TestSteadyDay counts what an hour of a steady day writes, for a small group and for a large table.
 func TestSteadyDay(t *testing.T) {
-	hour := func(b *Book, tell func(float64) *logic.Memory, seconds int) (bytes int) {
+	hour := func(b *Table, memory func(float64) *logic.Memory, seconds int) (bytes int) {
 		for s := range seconds {
-			for _, r := range b.Tick(at(float64(s)*1000), tell(float64(s)*1000), false) {
+			for _, r := range b.Update(at(float64(s)*1000), memory(float64(s)*1000), false) {
 				bytes += len(r) + 16
 			}
 		}
 		return bytes * 3600 / seconds
 	}
-	b := NewBook(rules(), nil, at(0))
-	b.Begin(at(0))
-	b.List(at(0), 41, true, listed("1", "2", "3"))
-	small := hour(b, func(ms float64) *logic.Memory { return memory(ms) }, 3600)
-	book, tell := large()
-	big := hour(book, tell, 60)
-	t.Logf("bytes an hour in records: 3 members %d, %d members %d", small, manyMembers, big)
-	if small > 1<<20 || big > 256<<20 {
-		t.Errorf("%d and %d bytes an hour", small, big)
+	b := NewTable(testConfig(), nil, at(0))
+	b.StartRun(at(0))
+	b.UpdateMembership(at(0), 41, true, entriesUp("1", "2", "3"))
+	small := hour(b, func(ms float64) *logic.Memory { return memoryAt(ms) }, 3600)
+	many, memory := largeTable()
+	large := hour(many, memory, 60)
+	t.Logf("bytes an hour in records: 3 members %d, %d members %d", small, manyMembers, large)
+	if small > 1<<20 || large > 256<<20 {
+		t.Errorf("%d and %d bytes an hour", small, large)
 	}
 }
