--- a/internal/lab/emulator/restart.go
+++ b/internal/lab/emulator/restart.go
@@ -16,11 +16,11 @@
 // rules are what the state is kept by.
 func (h *host) rules() learned.Config {
 	r := learned.Config{
-		Name:            h.name(),
-		SaveInterval:       1000,
-		MinSwitchover:     handover,
-		WarmUp:         coldFor,
-		StalenessBound:           math.Inf(1),
+		Name:                  h.name(),
+		SaveInterval:          1000,
+		MinSwitchover:         handover,
+		WarmUp:                coldFor,
+		StalenessBound:        math.Inf(1),
 		SessionsTrackPosition: true,
 	}
 	for i, t := range h.w.types {
--- a/internal/learned/recorded_test.go
+++ b/internal/learned/recorded_test.go
@@ -9,7 +9,7 @@
 	"weirwind/logic"
 )
 
-// What was written and believed over drawn histories, as the build that these sums come from had it: a change of a stored
+// What was saved and restored over drawn histories, as the build that these sums come from had it: a change of a stored
 // form, or of what is worth a write, changes them.
 func TestRecordedHistories(t *testing.T) {
 	for seed, want := range map[uint64]uint64{1: 0x8d5bb80f564c8132, 2: 0x125957c11f5568d, 3: 0xb0fc57968f8003b9} {
@@ -21,13 +21,13 @@
 	}
 }
 
-// historyDigest sums up every record of 400 steps, the snapshot behind them, and what starts at several ages believe.
+// historyDigest sums up every record of 400 steps, the snapshot behind them, and what starts at several ages restore.
 func historyDigest(t *testing.T, seed uint64) uint64 {
 	t.Helper()
 	draw := rand.New(rand.NewPCG(seed, 1))
 	sum := fnv.New64a()
-	b := NewBook(rules(), nil, at(0))
-	b.Begin(at(0))
+	b := NewTable(testConfig(), nil, at(0))
+	b.StartRun(at(0))
 	var k logic.Memory
 	now := 0.0
 	for step := range 400 {
@@ -35,10 +35,10 @@
 		switch draw.IntN(6) {
 		case 0:
 			entries := drawEntries(draw)
-			hashAll(sum.Write, b.List(at(now), int64(step/(1+draw.IntN(2))), draw.IntN(2) == 0, entries))
+			hashAll(sum.Write, b.UpdateMembership(at(now), int64(step/(1+draw.IntN(2))), draw.IntN(2) == 0, entries))
 		default:
 			k = drawMemory(draw, now)
-			hashAll(sum.Write, b.Tick(at(now), &k, draw.IntN(50) == 0))
+			hashAll(sum.Write, b.Update(at(now), &k, draw.IntN(50) == 0))
 		}
 	}
 	hashAll(sum.Write, [][]byte{b.Snapshot()})
@@ -47,8 +47,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		x := Believe(s, rules(), at(now+age), List{Revision: 3, Entries: drawEntries(draw)})
-		fmt.Fprintf(sum, "%v %v %v %v\n", x.Verdict, x.Age, x.Memory, x.List)
+		restored := Restore(s, testConfig(), at(now+age), Membership{Revision: 3, Entries: drawEntries(draw)})
+		fmt.Fprintf(sum, "%v %v %v %v\n", restored.Verdict, restored.Age, restored.Memory, restored.Membership)
 	}
 	return sum.Sum64()
 }
@@ -67,7 +67,7 @@
 		}
 		all = append(all, Entry{ID: fmt.Sprint(id), Address: fmt.Sprint("127.0.0.", draw.IntN(2), ":", id), Zone: "a",
 			Group: int64(id / 3), Phase: []string{PhaseUp, PhaseUp, PhaseRemoved}[draw.IntN(3)],
-			Started: float64(draw.IntN(2)) * (day + 5000)})
+			StartedAt: float64(draw.IntN(2)) * (day + 5000)})
 	}
 	return all
 }
