--- a/cmd/weirwind/zones.go
+++ b/cmd/weirwind/zones.go
@@ -23,20 +23,20 @@
 }
 
 func printPlan(out io.Writer, s *zones.Status) {
-	fmt.Fprintf(out, "self=%s zone=%s leads=%v in_force=%v age=%s", s.Self, s.Zone, s.Leads, s.InForce, span(s.Age))
+	fmt.Fprintf(out, "self=%s zone=%s leads=%v in_force=%v age=%s", s.Self, s.Zone, s.Leader, s.InForce, span(s.Age))
 	if s.Plan == nil {
 		fmt.Fprintln(out, " epoch=none")
 		return
 	}
 	fmt.Fprintf(out, " epoch=%d voters=%v frozen=%v\n", s.Plan.Epoch, s.Plan.Voters, s.Plan.Frozen)
 	for _, z := range s.Plan.Zones {
-		fmt.Fprintf(out, "zone=%s state=%s cause=%s part=%.2f", z.Name, z.State, z.Cause, z.Part)
+		fmt.Fprintf(out, "zone=%s state=%s cause=%s part=%.2f", z.Name, z.State, z.Cause, z.Capacity)
 		if t, ok := s.Tolls[z.Name]; ok {
 			fmt.Fprintf(out, " toll=%.2f", t)
 		}
 		fmt.Fprintln(out)
 	}
-	for _, c := range s.Plan.Cuts {
+	for _, c := range s.Plan.Partitions {
 		fmt.Fprintf(out, "cut from=%s to=%s\n", c.From, c.To)
 	}
 	for _, f := range s.Plan.Flows {
@@ -45,7 +45,7 @@
 	for _, m := range s.Plan.Moves {
 		fmt.Fprintf(out, "move group=%d from=%s to=%s\n", m.Group, m.From, m.To)
 	}
-	for _, b := range s.Plan.Binds {
+	for _, b := range s.Plan.BindingConstraints {
 		fmt.Fprintf(out, "binds %s\n", b)
 	}
 }
@@ -68,9 +68,9 @@
 		printPlan(out, &s)
 		for _, g := range s.Observations {
 			fmt.Fprintf(out, "sees zone=%s members=%d silent=%d behind=%d slow=%.2f reads=%.1f/s\n", g.Zone, g.Members,
-				g.Silent, g.Behind, g.Slow, g.Reads)
+				g.Unreachable, g.Lagging, g.LatencyRatio, g.Reads)
 		}
-		for _, x := range s.Calls {
+		for _, x := range s.CrossZone {
 			fmt.Fprintf(out, "crossed to=%s type=%s reason=%s ops=%d bytes=%d\n", x.To, x.Type, x.Reason, x.Ops, x.Bytes)
 		}
 		return nil
@@ -94,13 +94,13 @@
 		if c.JSON {
 			return printJSON(out, p)
 		}
-		for _, z := range p.Places {
-			fmt.Fprintf(out, "zone=%s region=%s reads=%.1f/s room=%.1f/s\n", z.Name, z.Region, z.Demand, z.Room)
+		for _, z := range p.Zones {
+			fmt.Fprintf(out, "zone=%s region=%s reads=%.1f/s room=%.1f/s\n", z.Name, z.Region, z.Demand, z.Capacity)
 		}
 		for _, f := range p.Flows {
 			fmt.Fprintf(out, "share from=%s to=%s of=%.2f\n", f.From, f.To, f.Share)
 		}
-		for _, b := range p.Binds {
+		for _, b := range p.BindingConstraints {
 			fmt.Fprintf(out, "binds %s\n", b)
 		}
 		return nil
@@ -116,7 +116,7 @@
 // Run has a zone emptied.
 func (c *zonesEvacuate) Run() error {
 	return c.with(func(ctx context.Context, client *control.Client) error {
-		return client.OrderZone(ctx, zones.Command{Zone: c.Zone, Away: true, Duration: float64(c.For.Milliseconds())})
+		return client.OrderZone(ctx, zones.Command{Zone: c.Zone, Evacuate: true, Duration: float64(c.For.Milliseconds())})
 	})
 }
 
--- a/internal/driver/fleet.go
+++ b/internal/driver/fleet.go
@@ -228,7 +228,7 @@
 		return false, false
 	}
 	if z := f.v.zoning; z != nil && w.Zones != nil {
-		news = z.apply(func(now float64) zones.Out { return z.z.ReceiveSummary(now, asked, w.Zones) })
+		news = z.apply(func(now float64) zones.Output { return z.z.ReceiveSummary(now, asked, w.Zones) })
 		again = news && math.IsInf(asked, -1)
 	}
 	if s := f.v.switches; s != nil {
--- a/internal/driver/zones.go
+++ b/internal/driver/zones.go
@@ -50,19 +50,19 @@
 	zone    string
 	beat    time.Duration
 	keep    *durable.Last // nil where votes do not outlive the process
-	out     chan zones.Send
+	out     chan zones.Envelope
 	webhook string
 	bound   float64 // the tightest bound on the age of data; 0: there is none
 	names   []string
 
 	mu sync.Mutex // guards what follows; never taken with the decider's lock held
-	z  *zones.Zones
+	z  *zones.Coordinator
 
 	counting sync.Mutex // guards what follows; may be taken with the decider's lock held
-	account  zones.Account
-	usual    map[string]*zones.Usual     // by zone
-	applied  map[string]reportedPosition // by member: what it said last
-	plan     map[string]bool             // zones that the plan has a share for
+	account  zones.TrafficCounter
+	usual    map[string]*zones.LatencyBaseline // by zone
+	applied  map[string]reportedPosition       // by member: what it said last
+	plan     map[string]bool                   // zones that the plan has a share for
 	sent     map[string]float64
 	sentAt   float64
 
@@ -74,8 +74,8 @@
 
 // openZones makes a driver's part in deciding on zones.
 func (v *Service) openZones(o operator.Zones, m operator.Membership, a *file) error {
-	z := &zoneAgent{v: v, zone: zoneOf(m, a), beat: o.Beat, out: make(chan zones.Send, zoneQueue), webhook: o.Webhook,
-		usual: map[string]*zones.Usual{}, applied: map[string]reportedPosition{}, asked: map[int64]time.Time{},
+	z := &zoneAgent{v: v, zone: zoneOf(m, a), beat: o.Beat, out: make(chan zones.Envelope, zoneQueue), webhook: o.Webhook,
+		usual: map[string]*zones.LatencyBaseline{}, applied: map[string]reportedPosition{}, asked: map[int64]time.Time{},
 		sentAt: v.decide.clock.now()}
 	for _, t := range a.told.Opening.OpTypes {
 		if t.Need == logic.Bounded && (z.bound == 0 || t.MaxAge < z.bound) {
@@ -87,11 +87,11 @@
 		z.names[i] = name
 	}
 	beat := milliseconds(o.Beat)
-	rules := zones.Rules{Heartbeat: beat, Lease: milliseconds(o.Lease), Voters: o.Voters, Load: float64(o.Load) / 100,
-		Move: 0.5,
-		Pace: zones.Pace{Doubt: milliseconds(o.Doubt), SlowFor: 5 * milliseconds(o.Doubt), Away: milliseconds(o.Away),
-			AwayMost: 32 * milliseconds(o.Away), Ramp: 4 * beat, Calm: 30 * milliseconds(o.Away)},
-		Limits: zones.Limits{Headroom: float64(o.Headroom) / 100, Budget: float64(o.Budget) / 100}}
+	rules := zones.Options{Heartbeat: beat, Lease: milliseconds(o.Lease), Voters: o.Voters, BaselineUtilization: float64(o.Load) / 100,
+		MaxShiftRate: 0.5,
+		Timing: zones.Timing{SuspectFor: milliseconds(o.Doubt), DegradedFor: 5 * milliseconds(o.Doubt), BaseEjection: milliseconds(o.Away),
+			MaxEjection: 32 * milliseconds(o.Away), SlowStart: 4 * beat, ForgiveAfter: 30 * milliseconds(o.Away)},
+		Limits: zones.Limits{Headroom: float64(o.Headroom) / 100, CrossZoneBudget: float64(o.Budget) / 100}}
 	for _, r := range o.Regions {
 		rules.Regions = append(rules.Regions, zones.Region{Name: r.Name, Zones: r.Zones})
 	}
@@ -139,14 +139,14 @@
 func (z *zoneAgent) look(ctx context.Context) {
 	sights, homes, sent := z.observations(z.v.decide.clock.now())
 	fleet := z.fleet()
-	z.apply(func(now float64) zones.Out { return z.z.Observe(now, sights, homes, sent) })
-	z.apply(func(now float64) zones.Out { return z.z.Tick(now, fleet) })
+	z.apply(func(now float64) zones.Output { return z.z.Observe(now, sights, homes, sent) })
+	z.apply(func(now float64) zones.Output { return z.z.Tick(now, fleet) })
 	z.hook(ctx)
 }
 
 // apply lets something be decided and carries out what comes of it. Votes are on disk before they are sent, and before
 // anything else is decided.
-func (z *zoneAgent) apply(decide func(now float64) zones.Out) (news bool) {
+func (z *zoneAgent) apply(decide func(now float64) zones.Output) (news bool) {
 	z.mu.Lock()
 	now := z.v.decide.clock.now()
 	out := decide(now)
@@ -157,7 +157,7 @@
 		}
 		if err != nil {
 			z.v.log.Warn("zones", "reason", "votes_not_kept", "error", err)
-			out.Sends = nil
+			out.Messages = nil
 		}
 		z.z.Saved(now, err == nil)
 	}
@@ -166,14 +166,14 @@
 		z.v.decide.step(logic.Event{Kind: logic.EvTolls, Tolls: tolls})
 		z.v.log.Info("zones", "reason", "tolls", "text", fmt.Sprint(tolls))
 		z.counting.Lock()
-		z.plan = z.z.Planned()
+		z.plan = z.z.PlannedZones()
 		z.counting.Unlock()
 	}
 	z.mu.Unlock()
-	for _, n := range out.Notes {
+	for _, n := range out.Events {
 		z.v.log.Info("zones", "reason", n.Reason, "name", n.Name, "text", n.Text)
 	}
-	for _, s := range out.Sends {
+	for _, s := range out.Messages {
 		z.send(s)
 	}
 	if out.PlanChanged {
@@ -183,7 +183,7 @@
 }
 
 // send has a message brought to a peer, soon.
-func (z *zoneAgent) send(s zones.Send) {
+func (z *zoneAgent) send(s zones.Envelope) {
 	select {
 	case z.out <- s:
 	default: // it is said again where it matters
@@ -191,7 +191,7 @@
 }
 
 // deliver brings a message to a peer, and what it answers before the decisions.
-func (z *zoneAgent) deliver(ctx context.Context, s zones.Send) {
+func (z *zoneAgent) deliver(ctx context.Context, s zones.Envelope) {
 	b, err := cbor.Marshal([]zones.Message{s.Message})
 	if err != nil {
 		return
@@ -202,7 +202,7 @@
 	back, err := z.v.fleet.mesh.Send(within, s.To, b)
 	if err == nil {
 		for _, w := range z.receiveMessages(s.To, back, asked) {
-			z.send(zones.Send{To: s.To, Message: w})
+			z.send(zones.Envelope{To: s.To, Message: w})
 		}
 	} else if !errors.Is(err, membership.ErrUnknownDriver) {
 		z.v.log.Debug("zones", "reason", "word_not_sent", "to", s.To, "step", s.Message.Kind, "took",
@@ -225,10 +225,10 @@
 		return nil
 	}
 	for _, w := range words {
-		z.apply(func(now float64) zones.Out {
+		z.apply(func(now float64) zones.Output {
 			out := z.z.Receive(now, asked, from, w)
 			if out.Save == nil { // else it goes when that is safe
-				out.Sends = slices.DeleteFunc(out.Sends, func(s zones.Send) bool {
+				out.Messages = slices.DeleteFunc(out.Messages, func(s zones.Envelope) bool {
 					if s.To == from {
 						back = append(back, s.Message)
 					}
@@ -244,9 +244,9 @@
 // fleet is what membership tells.
 func (z *zoneAgent) fleet() zones.Fleet {
 	s := z.v.fleet.mesh.Status()
-	f := zones.Fleet{Standing: s.Partition, Alive: []zones.Peer{{Name: s.Self, Zone: z.zone}}, Zones: []string{z.zone}}
+	f := zones.Fleet{Partition: s.Partition, Alive: []zones.Peer{{Name: s.Self, Zone: z.zone}}, Zones: []string{z.zone}}
 	if s.Roster != nil {
-		f.Roster, f.Names = s.Roster.Version, s.Roster.Names
+		f.RosterVersion, f.Roster = s.Roster.Version, s.Roster.Names
 	}
 	for _, d := range s.Drivers {
 		if d.State == membership.Alive || d.State == membership.Suspect {
@@ -261,14 +261,14 @@
 }
 
 // observations are what the own module knows of members, by zone, and where own reads went.
-func (z *zoneAgent) observations(now float64) (all []zones.Observation, homes []zones.Home, sent map[string]float64) {
+func (z *zoneAgent) observations(now float64) (all []zones.Observation, homes []zones.PrimaryLocation, sent map[string]float64) {
 	var memory logic.Memory
 	z.v.decide.step(logic.Event{Kind: logic.EvRemember, Memory: &memory})
 	lines := z.v.decide.listed()
 	byZone, heard := z.countMembers(now, &memory, lines)
 	for _, g := range memory.Groups {
 		if l, ok := lines[g.Slot]; ok && g.Slot != "" {
-			homes = append(homes, zones.Home{Group: g.Group, Zone: l.Zone})
+			homes = append(homes, zones.PrimaryLocation{Group: g.Group, Zone: l.Zone})
 		}
 	}
 	z.counting.Lock()
@@ -276,10 +276,10 @@
 	sent = z.sentSince(now)
 	for zone, s := range byZone {
 		if s.Reads = z.sent[zone]; 2*heard[zone] < s.Members {
-			s.Behind = 0 // too few were heard of late to tell
+			s.Lagging = 0 // too few were heard of late to tell
 		}
 		if u := z.usual[zone]; u != nil {
-			s.Slow = u.Slow()
+			s.LatencyRatio = u.Ratio()
 		}
 		all = append(all, *s)
 	}
@@ -307,11 +307,11 @@
 			byZone[l.Zone] = s
 		}
 		if s.Members++; m.Aside > 0 {
-			s.Silent++
+			s.Unreachable++
 		}
 		if t, ok := applied[m.Member]; ok {
 			if heard[l.Zone]++; z.bound > 0 && newest[m.Group]-t.position > z.bound {
-				s.Behind++
+				s.Lagging++
 			}
 		}
 	}
@@ -335,7 +335,7 @@
 	if span < countEvery && z.sent != nil {
 		return nil
 	}
-	z.sent = z.account.Sent()
+	z.sent = z.account.TakeReads()
 	for zone, n := range z.sent {
 		z.sent[zone] = n * 1000 / max(span, 1)
 	}
@@ -347,8 +347,8 @@
 func (z *zoneAgent) counted(o *op, zone string, repeat, near bool) {
 	z.counting.Lock()
 	defer z.counting.Unlock()
-	z.account.Count(z.zone, zone, z.names[o.opType], len(o.statement.Text),
-		zones.Facts{Repeat: repeat, Primary: o.statement.Write, NoNear: !near}, z.plan[zone])
+	z.account.Record(z.zone, zone, z.names[o.opType], len(o.statement.Text),
+		zones.SendAttributes{Retry: repeat, Primary: o.statement.Write, NoLocalMember: !near}, z.plan[zone])
 }
 
 // timed takes how long a good answer took and the position that came with it, 0 for none, under the decider's lock.
@@ -363,7 +363,7 @@
 		if len(z.usual) >= 64 {
 			return
 		}
-		u = &zones.Usual{}
+		u = &zones.LatencyBaseline{}
 		z.usual[zone] = u
 	}
 	u.Add(ms)
@@ -375,7 +375,7 @@
 	s := z.z.Status(z.v.decide.clock.now())
 	z.mu.Unlock()
 	z.counting.Lock()
-	s.Calls = z.account.All()
+	s.CrossZone = z.account.CrossZone()
 	z.counting.Unlock()
 	return s
 }
@@ -383,7 +383,7 @@
 // Order takes what operators say.
 func (z *zoneAgent) Order(s zones.Command) (err error) {
 	s.ID = uint64(z.v.decide.clock.now() * 1000)
-	z.apply(func(now float64) (out zones.Out) {
+	z.apply(func(now float64) (out zones.Output) {
 		out, err = z.z.Submit(now, s)
 		return out
 	})
--- a/internal/fleet/zones/account.go
+++ b/internal/fleet/zones/account.go
@@ -7,8 +7,8 @@
 	"slices"
 )
 
-// Crossing is a count of sends from drivers of one zone to members of another.
-type Crossing struct {
+// CrossZoneTraffic is a count of sends from drivers of one zone to members of another.
+type CrossZoneTraffic struct {
 	To     string `json:"to"`
 	Type   string `json:"type"`
 	Reason string `json:"reason"`
@@ -18,29 +18,29 @@
 
 // Reasons of sends to another zone.
 const (
-	ByPlan      = "plan"        // shares say so
-	ByWrite     = "primary"     // the group's primary is there, and it is a write or needs it
-	ByRepeat    = "repeat"      // a send before it failed
-	ByNoNear    = "no_near"     // the group has no member near that could
-	ByLoad      = "near_loaded" // the near ones have more to do, or are too far behind
-	mostEntries = 4096
+	ReasonPlan          = "plan"        // shares say so
+	ReasonPrimary       = "primary"     // the group's primary is there, and it is a write or needs it
+	ReasonRetry         = "repeat"      // a send before it failed
+	ReasonNoLocalMember = "no_near"     // the group has no member near that could
+	ReasonLocalLoaded   = "near_loaded" // the near ones have more to do, or are too far behind
+	mostEntries         = 4096
 )
 
-// Facts are what is known of a send.
-type Facts struct {
-	Repeat, Primary, NoNear bool
+// SendAttributes are what is known of a send.
+type SendAttributes struct {
+	Retry, Primary, NoLocalMember bool
 }
 
-// Account counts crossings.
-type Account struct {
-	counts map[Crossing]*[2]int64
+// TrafficCounter counts crossings.
+type TrafficCounter struct {
+	counts map[CrossZoneTraffic]*[2]int64
 	reads  map[string]float64 // to where since the last Sent
 }
 
-// Count takes a send of so many bytes. planned says that the plan has shares for that zone.
-func (a *Account) Count(from, to, opType string, bytes int, f Facts, planned bool) {
+// Record takes a send of so many bytes. planned says that the plan has shares for that zone.
+func (a *TrafficCounter) Record(from, to, opType string, bytes int, f SendAttributes, planned bool) {
 	if a.counts == nil {
-		a.counts, a.reads = map[Crossing]*[2]int64{}, map[string]float64{}
+		a.counts, a.reads = map[CrossZoneTraffic]*[2]int64{}, map[string]float64{}
 	}
 	if !f.Primary && len(a.reads) < maxZones {
 		a.reads[to]++
@@ -48,18 +48,18 @@
 	if from == to {
 		return
 	}
-	reason := ByLoad
+	reason := ReasonLocalLoaded
 	switch {
-	case f.Repeat:
-		reason = ByRepeat
+	case f.Retry:
+		reason = ReasonRetry
 	case f.Primary:
-		reason = ByWrite
+		reason = ReasonPrimary
 	case planned:
-		reason = ByPlan
-	case f.NoNear:
-		reason = ByNoNear
+		reason = ReasonPlan
+	case f.NoLocalMember:
+		reason = ReasonNoLocalMember
 	}
-	key := Crossing{To: to, Type: opType, Reason: reason}
+	key := CrossZoneTraffic{To: to, Type: opType, Reason: reason}
 	n := a.counts[key]
 	if n == nil {
 		if len(a.counts) >= mostEntries {
@@ -72,28 +72,28 @@
 	n[1] += int64(bytes)
 }
 
-// Sent gives where reads went since it was called last, by zone.
-func (a *Account) Sent() map[string]float64 {
+// TakeReads gives where reads went since it was called last, by zone.
+func (a *TrafficCounter) TakeReads() map[string]float64 {
 	sent := a.reads
 	a.reads = map[string]float64{}
 	return sent
 }
 
-// All are the counts since the start.
-func (a *Account) All() (all []Crossing) {
+// CrossZone are the counts since the start.
+func (a *TrafficCounter) CrossZone() (all []CrossZoneTraffic) {
 	for k, n := range a.counts {
 		k.Ops, k.Bytes = n[0], n[1]
 		all = append(all, k)
 	}
-	slices.SortFunc(all, func(a, b Crossing) int {
+	slices.SortFunc(all, func(a, b CrossZoneTraffic) int {
 		return cmp.Or(cmp.Compare(a.To, b.To), cmp.Compare(a.Type, b.Type), cmp.Compare(a.Reason, b.Reason))
 	})
 	return all
 }
 
-// Usual follows answering times of one zone: recent ones, and what is usual, which does not follow while they are far
+// LatencyBaseline follows answering times of one zone: recent ones, and what is usual, which does not follow while they are far
 // off.
-type Usual struct {
+type LatencyBaseline struct {
 	recent, usual float64
 	n             int
 }
@@ -106,7 +106,7 @@
 )
 
 // Add takes an answer that took so long.
-func (u *Usual) Add(ms float64) {
+func (u *LatencyBaseline) Add(ms float64) {
 	if u.n++; u.n == 1 {
 		u.recent, u.usual = ms, ms
 	}
@@ -119,7 +119,7 @@
 }
 
 // Slow is the recent time over the usual one; 0 while there were too few answers.
-func (u *Usual) Slow() float64 {
+func (u *LatencyBaseline) Ratio() float64 {
 	if u.n < usualLeast || u.usual <= 0 {
 		return 0
 	}
--- a/internal/fleet/zones/ballot.go
+++ b/internal/fleet/zones/ballot.go
@@ -139,7 +139,7 @@
 }
 
 func (c *consensus) receiveAccept(now float64, w *Message, answer func(Message)) {
-	if w.Plan == nil || w.Plan.Epoch != c.plan.Epoch+1 || w.Plan.Base != c.planSum || !c.mayVote(now) {
+	if w.Plan == nil || w.Plan.Epoch != c.plan.Epoch+1 || w.Plan.BaseSum != c.planSum || !c.mayVote(now) {
 		return
 	}
 	back := Message{Kind: Reject, Epoch: w.Epoch, Sum: w.Sum, Ballot: c.vote.Promised}
--- a/internal/fleet/zones/bootstrap.go
+++ b/internal/fleet/zones/bootstrap.go
@@ -18,13 +18,13 @@
 	}
 	if r := c.round; r != nil && r.bootstrap && now >= r.resendAt { // word to or from some was lost
 		r.resendAt = now + c.heartbeat
-		for _, n := range f.Names {
+		for _, n := range f.Roster {
 			if !r.HasAccepted(n) {
-				c.send(n, Message{Kind: Bootstrap, Roster: f.Roster, Ballot: r.Ballot, Plan: r.Value})
+				c.send(n, Message{Kind: Bootstrap, Roster: f.RosterVersion, Ballot: r.Ballot, Plan: r.Value})
 			}
 		}
 	}
-	if now-c.completeSince < completeBeats*c.heartbeat || f.Names[0] != c.name || c.round != nil || now < c.retryAt ||
+	if now-c.completeSince < completeBeats*c.heartbeat || f.Roster[0] != c.name || c.round != nil || now < c.retryAt ||
 		!c.mayVote(now) {
 		return
 	}
@@ -37,7 +37,7 @@
 	}
 	c.round = c.newRound(p, now+bootstrapBeats*c.heartbeat)
 	c.round.bootstrap = true
-	c.broadcast(now, f.Names, Message{Kind: Bootstrap, Roster: f.Roster, Ballot: c.round.Ballot, Plan: p})
+	c.broadcast(now, f.Roster, Message{Kind: Bootstrap, Roster: f.RosterVersion, Ballot: c.round.Ballot, Plan: p})
 }
 
 // receiveBootstrap takes a step of a first plan.
@@ -51,7 +51,7 @@
 	switch w.Kind {
 	case Bootstrap:
 		if w.Plan == nil || w.Plan.Epoch != 1 || !c.mayVote(now) || w.Ballot.Compare(c.vote.Promised) < 0 ||
-			f != nil && (!f.complete() || f.Roster != w.Roster || f.Names[0] != from) {
+			f != nil && (!f.complete() || f.RosterVersion != w.Roster || f.Roster[0] != from) {
 			return
 		}
 		c.vote.Accept(w.Ballot, w.Plan)
@@ -73,7 +73,7 @@
 	if r == nil || !r.bootstrap || !f.complete() {
 		return
 	}
-	for _, n := range f.Names {
+	for _, n := range f.Roster {
 		if !r.HasAccepted(n) {
 			return
 		}
--- a/internal/fleet/zones/consensus.go
+++ b/internal/fleet/zones/consensus.go
@@ -55,13 +55,13 @@
 	persistent, unsaved, saveFailed bool
 	saveAt                          float64
 
-	sends []Send
-	notes []Note
+	sends []Envelope
+	notes []Event
 }
 
-func (c *consensus) send(to string, w Message) { c.sends = append(c.sends, Send{to, w}) }
+func (c *consensus) send(to string, w Message) { c.sends = append(c.sends, Envelope{to, w}) }
 func (c *consensus) note(reason, name, text string) {
-	c.notes = append(c.notes, Note{reason, name, text})
+	c.notes = append(c.notes, Event{reason, name, text})
 }
 
 func (c *consensus) mayVote(now float64) bool { return now >= c.mayVoteAt && !c.saveFailed }
--- a/internal/fleet/zones/consensus_test.go
+++ b/internal/fleet/zones/consensus_test.go
@@ -16,10 +16,10 @@
 }
 
 func (c *consensus) next(what string) *Plan {
-	return &Plan{Epoch: c.plan.Epoch + 1, Base: c.planSum, Voters: c.plan.Voters, Binds: []string{what}}
+	return &Plan{Epoch: c.plan.Epoch + 1, BaseSum: c.planSum, Voters: c.plan.Voters, BindingConstraints: []string{what}}
 }
 
-func (c *consensus) said() (all []Send) {
+func (c *consensus) said() (all []Envelope) {
 	all, c.sends = c.sends, nil
 	return all
 }
@@ -76,14 +76,14 @@
 	promise.Accepted, promise.Plan = paxos.Ballot{Number: 0, Proposer: "b"}, c.next("before")
 	c.receive(30, "b", &promise, nil)
 	s := c.said()
-	if len(s) != 2 || s[0].Message.Kind != Accept || s[0].Message.Plan.Binds[0] != "before" {
+	if len(s) != 2 || s[0].Message.Kind != Accept || s[0].Message.Plan.BindingConstraints[0] != "before" {
 		t.Fatalf("%+v", s)
 	}
 	accepted := Message{Kind: Accepted, Epoch: 1, Sum: c.planSum, Ballot: c.round.Ballot}
 	if c.receive(40, "x", &accepted, nil); c.plan.Epoch != 1 {
 		t.Fatal("a stranger's vote counts")
 	}
-	if c.receive(40, "c", &accepted, nil); c.plan.Epoch != 2 || c.plan.Binds[0] != "before" {
+	if c.receive(40, "c", &accepted, nil); c.plan.Epoch != 2 || c.plan.BindingConstraints[0] != "before" {
 		t.Errorf("%+v", c.plan)
 	}
 }
--- a/internal/fleet/zones/course.go
+++ b/internal/fleet/zones/course.go
@@ -5,14 +5,14 @@
 
 import "math"
 
-// Pace says how fast zones are taken out and come back.
-type Pace struct {
-	Doubt    float64 // a loss lasts so long before it counts
-	SlowFor  float64 // and slowness, or replicas behind
-	Away     float64 // least stay; doubled with each return that failed
-	AwayMost float64
-	Ramp     float64 // of a return, from nothing to all
-	Calm     float64 // serving for so long forgets the failed returns
+// Timing says how fast zones are taken out and come back.
+type Timing struct {
+	SuspectFor   float64 // a loss lasts so long before it counts
+	DegradedFor  float64 // and slowness, or replicas behind
+	BaseEjection float64 // least stay; doubled with each return that failed
+	MaxEjection  float64
+	SlowStart    float64 // of a return, from nothing to all
+	ForgiveAfter float64 // serving for so long forgets the failed returns
 }
 
 // course is where one zone stands, at who leads.
@@ -26,10 +26,10 @@
 
 // stops says whether a cause takes a zone out. A slow zone, or one whose replicas lag, still carries some: to shut it
 // costs more than it saves (docs/zones.md), so that it keeps a part.
-func (c Cause) stops() bool { return c != None && c != DriversLost && !c.eases() }
+func (c Cause) stops() bool { return c != NoCause && c != DriversLost && !c.eases() }
 
 // eases says whether a cause leaves a zone a part of its room.
-func (c Cause) eases() bool { return c == Slow || c == Behind }
+func (c Cause) eases() bool { return c == Slow || c == Lagging }
 
 const easedPart = 0.5
 
@@ -41,11 +41,11 @@
 
 // isHard says whether a cause leaves nothing to be carried: the zone is away at once.
 func (c Cause) isHard() bool {
-	return c == Lost || c == MembersLost || c == RegionLost || c == Isolated
+	return c == ZoneLost || c == MembersLost || c == RegionLost || c == Isolated
 }
 
 // step lets one zone go on. may says that no other one returns now.
-func (c *course) step(now float64, p Pace, cause Cause, ordered, may bool) {
+func (c *course) step(now float64, p Timing, cause Cause, ordered, may bool) {
 	if ordered {
 		cause = Evacuated
 	}
@@ -64,33 +64,33 @@
 		case ordered:
 			c.takeOut(now, cause)
 		default:
-			c.enter(now, Doubted, cause)
+			c.enter(now, Suspected, cause)
 		}
-	case Doubted:
+	case Suspected:
 		c.Cause = cause
 		switch {
 		case !stops:
 			c.enter(now, Serving, cause)
-		case ordered || now-c.since >= p.Doubt:
+		case ordered || now-c.since >= p.SuspectFor:
 			c.takeOut(now, cause)
 		}
-	case Leaving: // shares follow by their own pace; it is away when none is left
+	case Draining: // shares follow by their own pace; it is away when none is left
 		if cause.isHard() {
 			c.takeOut(now, cause)
-		} else if c.Part = max(0, c.Part-leaveStep); c.Part == 0 {
-			c.enter(now, Away, c.Cause)
+		} else if c.Capacity = max(0, c.Capacity-leaveStep); c.Capacity == 0 {
+			c.enter(now, Ejected, c.Cause)
 		}
-	case Away:
-		stay := min(p.Away*math.Exp2(float64(c.Flaps)), p.AwayMost)
+	case Ejected:
+		stay := min(p.BaseEjection*math.Exp2(float64(c.Flaps)), p.MaxEjection)
 		if stops {
 			c.Cause = cause
-		} else if may && now-c.since >= stay && now-c.well >= min(stay, p.Away*2) {
-			c.enter(now, Returning, c.Cause)
+		} else if may && now-c.since >= stay && now-c.well >= min(stay, p.BaseEjection*2) {
+			c.enter(now, Recovering, c.Cause)
 		}
-	case Returning:
+	case Recovering:
 		if stops {
 			c.takeOut(now, cause)
-		} else if c.Part = min(1, max(0, now-c.since)/p.Ramp); c.Part == 1 {
+		} else if c.Capacity = min(1, max(0, now-c.since)/p.SlowStart); c.Capacity == 1 {
 			c.enter(now, Serving, cause)
 		}
 	}
@@ -106,29 +106,29 @@
 
 // takeOut ends serving, at once or step by step.
 func (c *course) takeOut(now float64, cause Cause) {
-	if c.State == Returning {
+	if c.State == Recovering {
 		c.Flaps = min(c.Flaps+1, mostFlaps)
 	}
 	if cause.isHard() {
-		c.Part = 0
-		c.enter(now, Away, cause)
+		c.Capacity = 0
+		c.enter(now, Ejected, cause)
 	} else {
-		c.enter(now, Leaving, cause)
+		c.enter(now, Draining, cause)
 	}
 }
 
 // serve goes on serving: slowness that lasts leaves a part, and a long calm forgets failed returns.
-func (c *course) serve(now float64, p Pace, cause Cause) {
+func (c *course) serve(now float64, p Timing, cause Cause) {
 	if c.slow != cause.eases() {
 		c.slow, c.eased = !c.slow, now
 	}
-	if c.Cause = cause; now-c.eased >= p.SlowFor {
-		c.Part = 1
+	if c.Cause = cause; now-c.eased >= p.DegradedFor {
+		c.Capacity = 1
 		if c.slow {
-			c.Part = easedPart
+			c.Capacity = easedPart
 		}
 	}
-	if c.Flaps > 0 && now-c.since > p.Calm {
+	if c.Flaps > 0 && now-c.since > p.ForgiveAfter {
 		c.Flaps, c.since = c.Flaps-1, now
 	}
 }
--- a/internal/fleet/zones/digest_test.go
+++ b/internal/fleet/zones/digest_test.go
@@ -32,9 +32,9 @@
 	w.sees = func(from, of string) Observation {
 		return Observation{Zone: of, Members: 4, Reads: 100}
 	}
-	w.watch = func(d *resident, o Out) {
+	w.watch = func(d *resident, o Output) {
 		fmt.Fprintf(sum, "%v %s %v %v\n", w.Now, d.name, o.PlanChanged, o.TollsChanged)
-		for _, s := range o.Sends {
+		for _, s := range o.Messages {
 			b, err := cbor.Marshal(s.Message)
 			if err != nil {
 				t.Fatal(err)
@@ -42,7 +42,7 @@
 			fmt.Fprintf(sum, "%s %x\n", s.To, b)
 			lines[fmt.Sprint("message ", s.Message.Kind)]++
 		}
-		for _, n := range o.Notes {
+		for _, n := range o.Events {
 			fmt.Fprintln(sum, n.Reason, n.Name, n.Text)
 			lines["note "+n.Reason]++
 		}
@@ -54,7 +54,7 @@
 		}
 		moves, epoch := d.z.DueMoves(w.Now)
 		preview, err := d.z.Simulate(w.Now, "b")
-		shown, _ := json.Marshal([]any{d.z.Status(w.Now), preview, d.z.Tolls(), d.z.Planned(), moves, epoch})
+		shown, _ := json.Marshal([]any{d.z.Status(w.Now), preview, d.z.Tolls(), d.z.PlannedZones(), moves, epoch})
 		fmt.Fprintln(sum, string(shown), err)
 		lines["moves"] += len(moves)
 		lines["flows"] += len(preview.Flows)
@@ -94,13 +94,13 @@
 		silent, lag, slow, rate := r.IntN(5), r.IntN(5), 4*r.Float64(), 200*r.Float64()
 		w.sees = func(from, of string) Observation {
 			if of == d.zone && (from != to.zone || silent%2 == 0) {
-				return Observation{Zone: of, Members: 4, Reads: rate, Silent: silent, Slow: slow, Behind: lag}
+				return Observation{Zone: of, Members: 4, Reads: rate, Unreachable: silent, LatencyRatio: slow, Lagging: lag}
 			}
-			return Observation{Zone: of, Members: 4, Reads: 100, Slow: 1}
+			return Observation{Zone: of, Members: 4, Reads: 100, LatencyRatio: 1}
 		}
 	case 6, 7:
 		if on := r.IntN(2) == 0; d.z != nil {
-			o, err := d.z.Submit(w.Now, Command{Zone: "b", Away: r.IntN(3) > 0, Duration: 20000 * float64(r.IntN(2)),
+			o, err := d.z.Submit(w.Now, Command{Zone: "b", Evacuate: r.IntN(3) > 0, Duration: 20000 * float64(r.IntN(2)),
 				ID: r.Uint64()})
 			if err == nil && r.IntN(4) == 0 {
 				w.out(d, o)
@@ -117,10 +117,10 @@
 func TestDigestOfParts(t *testing.T) {
 	r := rand.New(rand.NewPCG(5, 5))
 	sum, names := fnv.New64a(), []string{"a", "b", "c", "d"}
-	causes := []Cause{None, None, None, Lost, MembersLost, DriversLost, Isolated, Slow, Behind, RegionLost}
-	pace := Pace{Doubt: 1000, SlowFor: 3000, Away: 3000, AwayMost: 60000, Ramp: 2000, Calm: 20000}
+	causes := []Cause{NoCause, NoCause, NoCause, ZoneLost, MembersLost, DriversLost, Isolated, Slow, Lagging, RegionLost}
+	pace := Timing{SuspectFor: 1000, DegradedFor: 3000, BaseEjection: 3000, MaxEjection: 60000, SlowStart: 2000, ForgiveAfter: 20000}
 	for range 40 {
-		c, now := &course{Zone: Zone{Name: "a", Part: 1}}, 0.0
+		c, now := &course{Zone: Zone{Name: "a", Capacity: 1}}, 0.0
 		for range 200 {
 			cause, ordered, may := causes[r.IntN(len(causes))], r.IntN(6) == 0, r.IntN(4) > 0
 			for range 1 + r.IntN(20) {
@@ -132,16 +132,16 @@
 	}
 	for range 400 {
 		var reports []Report
-		var places []Place
+		var places []ZoneLoad
 		for _, n := range names {
-			places = append(places, Place{n, string('r' + n[0]%2), 100 * r.Float64(), float64(r.IntN(3)) * 60})
+			places = append(places, ZoneLoad{n, string('r' + n[0]%2), 100 * r.Float64(), float64(r.IntN(3)) * 60})
 			for range r.IntN(4) {
 				p := Report{Zone: n}
 				for _, of := range names {
-					p.Observations = append(p.Observations, Observation{Zone: of, Members: r.IntN(4), Silent: r.IntN(4),
-						Slow: 4 * r.Float64(), Behind: r.IntN(4)})
+					p.Observations = append(p.Observations, Observation{Zone: of, Members: r.IntN(4), Unreachable: r.IntN(4),
+						LatencyRatio: 4 * r.Float64(), Lagging: r.IntN(4)})
 				}
-				p.Homes = []Home{{1, names[r.IntN(2)]}, {2, names[r.IntN(4)]}}
+				p.Primaries = []PrimaryLocation{{1, names[r.IntN(2)]}, {2, names[r.IntN(4)]}}
 				reports = append(reports, p)
 			}
 		}
@@ -150,20 +150,20 @@
 		flows, binds := shares(places, Limits{0.3 * r.Float64(), r.Float64()}, func(f, t string) bool {
 			return f == t || f != "a" || t != "b"
 		})
-		fmt.Fprintln(sum, j.Causes, j.Cuts, j.Blind, primaryZones(reports), flows, binds)
+		fmt.Fprintln(sum, j.Causes, j.Partitions, j.Unobserved, primaryZones(reports), flows, binds)
 	}
-	f, a, u := &follower{zone: "a"}, &Account{}, &Usual{}
+	f, a, u := &follower{zone: "a"}, &TrafficCounter{}, &LatencyBaseline{}
 	for i := range 2000 {
 		p := goldenPlan()
 		p.Flows = []Flow{{"a", "b", float64(r.IntN(10)) / 10}, {"b", "a", r.Float64()}}
 		p.Zones[r.IntN(3)].State = State(r.IntN(5))
 		f.steer(float64(i*700), p, names, map[string]float64{"a": 100 * r.Float64(), "b": 100 * r.Float64()})
-		facts := Facts{r.IntN(3) == 0, r.IntN(3) == 0, r.IntN(3) == 0}
-		a.Count("a", names[r.IntN(4)], "get", r.IntN(100), facts, r.IntN(2) == 0)
+		facts := SendAttributes{r.IntN(3) == 0, r.IntN(3) == 0, r.IntN(3) == 0}
+		a.Record("a", names[r.IntN(4)], "get", r.IntN(100), facts, r.IntN(2) == 0)
 		u.Add(math.Exp(5 * r.Float64()))
-		fmt.Fprintln(sum, f.tolls, f.give(p, names, i%3 > 0), u.Slow())
+		fmt.Fprintln(sum, f.tolls, f.give(p, names, i%3 > 0), u.Ratio())
 	}
-	fmt.Fprintln(sum, a.Sent(), a.All())
+	fmt.Fprintln(sum, a.TakeReads(), a.CrossZone())
 	if got := fmt.Sprintf("%016x", sum.Sum64()); got != "907853c319422bd0" {
 		t.Errorf("digest %s", got)
 	}
--- a/internal/fleet/zones/flows.go
+++ b/internal/fleet/zones/flows.go
@@ -8,7 +8,7 @@
 )
 
 // stepFlows solves for shares, and lets them move as fast as they may.
-func (z *Zones) stepFlows(now float64, p *Plan, names []string, reports []Report) {
+func (z *Coordinator) stepFlows(now float64, p *Plan, names []string, reports []Report) {
 	places := z.places(p, names, reports)
 	var want []Flow
 	var binds []string
@@ -17,10 +17,10 @@
 	}
 	// Another goal only where zones are no longer the same, or the old one is far off for a while: demand is noisy, and of
 	// several plans that cost the same the solver gives any.
-	hard := !slices.Equal(p.Zones, z.plan.Zones) || !slices.Equal(p.Cuts, z.plan.Cuts) || z.goalAt == 0
+	hard := !slices.Equal(p.Zones, z.plan.Zones) || !slices.Equal(p.Partitions, z.plan.Partitions) || z.goalAt == 0
 	old := now-z.goalAt > goalBeats*z.heartbeat
 	if hard || old && (len(want) == 0 || apart(names, want, z.goal) >= flowsOff) {
-		z.goal, z.goalAt, p.Binds = want, now, binds
+		z.goal, z.goalAt, p.BindingConstraints = want, now, binds
 	}
 	if !hard && now-z.flowsAt < z.heartbeat {
 		p.Flows = z.plan.Flows
@@ -33,32 +33,32 @@
 }
 
 // disturbed says whether near reads can't all stay near: a zone is not whole or not reached, or has too little room.
-func (z *Zones) disturbed(p *Plan, places []Place) bool {
-	if len(p.Cuts) > 0 {
+func (z *Coordinator) disturbed(p *Plan, places []ZoneLoad) bool {
+	if len(p.Partitions) > 0 {
 		return true
 	}
 	for i := range p.Zones {
-		if p.Zones[i].Part < 1 || p.Zones[i].State != Serving && p.Zones[i].State != Doubted {
+		if p.Zones[i].Capacity < 1 || p.Zones[i].State != Serving && p.Zones[i].State != Suspected {
 			return true
 		}
 	}
-	return slices.ContainsFunc(places, func(pl Place) bool {
-		return pl.Demand > pl.Room*(1-z.rules.Limits.Headroom)
+	return slices.ContainsFunc(places, func(pl ZoneLoad) bool {
+		return pl.Demand > pl.Capacity*(1-z.rules.Limits.Headroom)
 	})
 }
 
 // limitedFlows moves the shares toward the goal, no faster than the rules allow.
-func (z *Zones) limitedFlows(now float64, p *Plan, names []string) (flows []Flow) {
-	most := z.rules.Move * (now - z.flowsAt) / 1000
+func (z *Coordinator) limitedFlows(now float64, p *Plan, names []string) (flows []Flow) {
+	most := z.rules.MaxShiftRate * (now - z.flowsAt) / 1000
 	goal := &Plan{Flows: z.goal}
 	for _, from := range names {
-		gone := p.zone(from).Part == 0 // nothing to be kept there
+		gone := p.zone(from).Capacity == 0 // nothing to be kept there
 		for _, to := range names {
 			if from == to {
 				continue
 			}
 			was, is := z.plan.share(from, to), goal.share(from, to)
-			if !gone && p.zone(to).State != Away {
+			if !gone && p.zone(to).State != Ejected {
 				is = was + min(max(is-was, -most), most)
 			}
 			if is = math.Round(is*100) / 100; is >= leastShare {
@@ -81,14 +81,14 @@
 }
 
 // places are the zones with their demand and room, in members' usual work.
-func (z *Zones) places(p *Plan, names []string, reports []Report) []Place {
+func (z *Coordinator) places(p *Plan, names []string, reports []Report) []ZoneLoad {
 	members, up, reads, n := map[string]float64{}, map[string]float64{}, map[string]float64{}, map[string]float64{}
 	for _, r := range reports {
 		n[r.Zone]++
 		for _, s := range r.Observations {
 			reads[r.Zone] += s.Reads
 			members[s.Zone] = max(members[s.Zone], float64(s.Members))
-			up[s.Zone] = max(up[s.Zone], float64(s.Members-s.Silent))
+			up[s.Zone] = max(up[s.Zone], float64(s.Members-s.Unreachable))
 		}
 	}
 	drivers := map[string]float64{}
@@ -104,13 +104,13 @@
 		total += demand[name]
 		all += members[name]
 	}
-	if calm := len(z.judgement.Causes) == 0 && len(z.judgement.Cuts) == 0; total > 0 && all > 0 && (calm || z.unit == 0) {
-		z.unit = max(total/(all*z.rules.Load), 0.98*z.unit)
+	if calm := len(z.judgement.Causes) == 0 && len(z.judgement.Partitions) == 0; total > 0 && all > 0 && (calm || z.unit == 0) {
+		z.unit = max(total/(all*z.rules.BaselineUtilization), 0.98*z.unit)
 	}
-	var places []Place
+	var places []ZoneLoad
 	for _, name := range names {
 		zone := p.zone(name)
-		places = append(places, Place{name, z.regionOf[name], demand[name], up[name] * z.unit * zone.Part})
+		places = append(places, ZoneLoad{name, z.regionOf[name], demand[name], up[name] * z.unit * zone.Capacity})
 	}
 	return places
 }
--- a/internal/fleet/zones/follower.go
+++ b/internal/fleet/zones/follower.go
@@ -15,10 +15,10 @@
 // What Allowed is asked for.
 const (
 	MovePrimary Action = iota // ask for it
-	FillZone                  // send a zone more than its drivers' own reads
-	KeepPlan                  // go by the last plan
+	SpillToZone               // send a zone more than its drivers' own reads
+	FollowPlan                // go by the last plan
 	AvoidZone                 // send nothing new to what the plan says is away
-	RenewPlan                 // lead, and confirm the plan that holds
+	ConfirmPlan               // lead, and confirm the plan that holds
 )
 
 // withMajority says that a driver is with most of them.
@@ -32,11 +32,11 @@
 	switch a {
 	case MovePrimary: // once only: with most drivers, under a plan that is the newest
 		return withMajority(s) && inForce
-	case FillZone, KeepPlan: // for a lease: a majority of voters confirmed it
+	case SpillToZone, FollowPlan: // for a lease: a majority of voters confirmed it
 		return inForce
 	case AvoidZone: // sending less breaks no rule; it lasts beyond the lease
 		return true
-	case RenewPlan: // a majority of the voters has to agree, whatever the standing
+	case ConfirmPlan: // a majority of the voters has to agree, whatever the standing
 		return true
 	}
 	return false
@@ -120,7 +120,7 @@
 				t = shutToll
 			}
 		}
-		if (st.State == Away || st.State == Leaving && st.Part == 0) && !(z == f.zone && st.Cause == Isolated) {
+		if (st.State == Ejected || st.State == Draining && st.Capacity == 0) && !(z == f.zone && st.Cause == Isolated) {
 			t = shutToll
 		}
 		if told[z] = t; t != base {
--- a/internal/fleet/zones/golden_test.go
+++ b/internal/fleet/zones/golden_test.go
@@ -9,15 +9,15 @@
 )
 
 func goldenPlan() *Plan {
-	return &Plan{Epoch: 7, Base: 1 << 60, Voters: []string{"n0", "n1", "n2"},
-		Zones: []Zone{{"a", Serving, None, 1, 0}, {"b", Away, Lost, 0, 2}, {"c", Returning, Slow, 0.25, 1}},
-		Cuts:  []Cut{{"a", "b"}}, Flows: []Flow{{"b", "a", 0.4}, {"b", "c", 0.6}}, Moves: []Move{{3, "b", "a"}},
-		Orders: []Order{{"b", 60}, {"c", 0}}, Frozen: true, Binds: []string{"headroom of a is used"}}
+	return &Plan{Epoch: 7, BaseSum: 1 << 60, Voters: []string{"n0", "n1", "n2"},
+		Zones:      []Zone{{"a", Serving, NoCause, 1, 0}, {"b", Ejected, ZoneLost, 0, 2}, {"c", Recovering, Slow, 0.25, 1}},
+		Partitions: []Partition{{"a", "b"}}, Flows: []Flow{{"b", "a", 0.4}, {"b", "c", 0.6}}, Moves: []Move{{3, "b", "a"}},
+		Evacuations: []Evacuation{{"b", 60}, {"c", 0}}, Frozen: true, BindingConstraints: []string{"headroom of a is used"}}
 }
 
 func goldenReport() *Report {
 	return &Report{Zone: "a", Sequence: 9, Run: 1796000000000, Observations: []Observation{{"b", 4, 1, 1.5, 2, 100.25}},
-		Homes: []Home{{3, "b"}}}
+		Primaries: []PrimaryLocation{{3, "b"}}}
 }
 
 // TestMessageForms holds the bytes of each kind of message.
@@ -35,7 +35,7 @@
 			m.Roster = 3
 		case ReportState:
 			m.Report = goldenReport()
-		case ReportAnswer:
+		case ReportReply:
 			m.Summary = &Summary{7, 99, 12.5, goldenPlan()}
 		case ForwardCommand:
 			m.Command = &Command{"b", true, 60000, &on, 1796000000001}
@@ -56,12 +56,12 @@
 func TestStatusForms(t *testing.T) {
 	golden.JSON(t, "testdata/status.golden", []golden.Case[Status]{
 		golden.Of("empty", Status{}),
-		golden.Of("full", Status{Self: "n0", Zone: "a", Leads: true, InForce: true, Age: 1.5, Lease: 15000,
+		golden.Of("full", Status{Self: "n0", Zone: "a", Leader: true, InForce: true, Age: 1.5, Lease: 15000,
 			Plan: goldenPlan(), Tolls: map[string]float64{"a": 0, "b": 60}, Observations: goldenReport().Observations,
-			Causes: map[string]Cause{"b": Lost}, Votes: "promised {5 n1}, taken {4 n0}, leads a round: true",
-			Calls: []Crossing{{"b", "get", ByPlan, 3, 4}}})})
+			Causes: map[string]Cause{"b": ZoneLost}, Votes: "promised {5 n1}, taken {4 n0}, leads a round: true",
+			CrossZone: []CrossZoneTraffic{{"b", "get", ReasonPlan, 3, 4}}})})
 	golden.JSON(t, "testdata/preview.golden", []golden.Case[Preview]{golden.Of("empty", Preview{}), golden.Of("full",
-		Preview{[]Place{{"a", "r", 10, 20}}, goldenPlan().Flows, goldenPlan().Binds})})
+		Preview{[]ZoneLoad{{"a", "r", 10, 20}}, goldenPlan().Flows, goldenPlan().BindingConstraints})})
 	on := false
 	golden.JSON(t, "testdata/command.golden", []golden.Case[Command]{golden.Of("empty", Command{}),
 		golden.Of("full", Command{"b", true, 60000, &on, 1796000000001})})
@@ -69,6 +69,6 @@
 		golden.Of("plan", describe(goldenPlan())),
 		golden.Of("sum", fmt.Sprintf("%016x %016x", goldenPlan().sum(), (*Plan)(nil).sum())),
 		golden.Of("errors", fmt.Sprint(ErrNoPlan, ErrNotInForce, ErrUnknownZone, ErrNotLeader)),
-		golden.Of("reasons", fmt.Sprint(ByPlan, ByWrite, ByRepeat, ByNoNear, ByLoad)),
-		golden.Of("states", fmt.Sprint(Serving, Doubted, Leaving, Away, Returning))})
+		golden.Of("reasons", fmt.Sprint(ReasonPlan, ReasonPrimary, ReasonRetry, ReasonNoLocalMember, ReasonLocalLoaded)),
+		golden.Of("states", fmt.Sprint(Serving, Suspected, Draining, Ejected, Recovering))})
 }
--- a/internal/fleet/zones/judge.go
+++ b/internal/fleet/zones/judge.go
@@ -10,35 +10,35 @@
 
 // Observation is what a driver sees of one zone.
 type Observation struct {
-	Zone    string  `cbor:"1,keyasint" json:"zone"`
-	Members int     `cbor:"2,keyasint" json:"members"` // listed and not draining
-	Silent  int     `cbor:"3,keyasint" json:"silent"`  // of them: set aside, as they do not answer
-	Slow    float64 `cbor:"4,keyasint" json:"slow"`    // recent answering time over the usual one; 0: too few answers
-	Behind  int     `cbor:"5,keyasint" json:"behind"`  // too far for the tightest bound on the age of data
-	Reads   float64 `cbor:"6,keyasint" json:"reads"`   // that this driver sent there, a second
+	Zone         string  `cbor:"1,keyasint" json:"zone"`
+	Members      int     `cbor:"2,keyasint" json:"members"` // listed and not draining
+	Unreachable  int     `cbor:"3,keyasint" json:"silent"`  // of them: set aside, as they do not answer
+	LatencyRatio float64 `cbor:"4,keyasint" json:"slow"`    // recent answering time over the usual one; 0: too few answers
+	Lagging      int     `cbor:"5,keyasint" json:"behind"`  // too far for the tightest bound on the age of data
+	Reads        float64 `cbor:"6,keyasint" json:"reads"`   // that this driver sent there, a second
 }
 
-// Home is the zone of a group's primary, as a driver sees it.
-type Home struct {
+// PrimaryLocation is the zone of a group's primary, as a driver sees it.
+type PrimaryLocation struct {
 	Group int64  `cbor:"1,keyasint" json:"group"`
 	Zone  string `cbor:"2,keyasint" json:"zone"`
 }
 
 // Report is what one driver sees.
 type Report struct {
-	Zone         string        `cbor:"1,keyasint"`
-	Sequence     uint64        `cbor:"2,keyasint"` // a higher one is newer
-	Run          uint64        `cbor:"3,keyasint"` // of the process
-	Observations []Observation `cbor:"4,keyasint"`
-	Homes        []Home        `cbor:"5,keyasint,omitempty"`
+	Zone         string            `cbor:"1,keyasint"`
+	Sequence     uint64            `cbor:"2,keyasint"` // a higher one is newer
+	Run          uint64            `cbor:"3,keyasint"` // of the process
+	Observations []Observation     `cbor:"4,keyasint"`
+	Primaries    []PrimaryLocation `cbor:"5,keyasint,omitempty"`
 }
 
 func (r *Report) valid() bool {
-	ok := r != nil && len(r.Zone) <= maxNameBytes && len(r.Observations) <= maxZones && len(r.Homes) <= maxMoves
+	ok := r != nil && len(r.Zone) <= maxNameBytes && len(r.Observations) <= maxZones && len(r.Primaries) <= maxMoves
 	for i := 0; ok && i < len(r.Observations); i++ {
 		s := &r.Observations[i]
-		ok = s.Zone != "" && len(s.Zone) <= maxNameBytes && s.Members >= 0 && s.Silent >= 0 && s.Behind >= 0 &&
-			s.Slow >= 0 && s.Reads >= 0 && s.Reads < 1e9
+		ok = s.Zone != "" && len(s.Zone) <= maxNameBytes && s.Members >= 0 && s.Unreachable >= 0 && s.Lagging >= 0 &&
+			s.LatencyRatio >= 0 && s.Reads >= 0 && s.Reads < 1e9
 	}
 	return ok
 }
@@ -64,25 +64,25 @@
 	switch {
 	case s.Members == 0:
 		return unknown
-	case float64(s.Silent) >= silentShare*float64(s.Members):
+	case float64(s.Unreachable) >= silentShare*float64(s.Members):
 		return silent
-	case s.Slow > slowTimes:
+	case s.LatencyRatio > slowTimes:
 		return slow
-	case float64(s.Behind) >= behindShare*float64(s.Members) && s.Members > 1:
+	case float64(s.Lagging) >= behindShare*float64(s.Members) && s.Members > 1:
 		return behind
 	}
 	return fine
 }
 
-// Judgement is what is the matter, zone by zone.
-type Judgement struct {
-	Causes map[string]Cause
-	Cuts   []Cut
-	Blind  []string // zones of which nobody reports anything
+// Assessment is what is the matter, zone by zone.
+type Assessment struct {
+	Causes     map[string]Cause
+	Partitions []Partition
+	Unobserved []string // zones of which nobody reports anything
 }
 
 // judge adds reports up. zones are all that there are; lives says whether any driver of a zone lives.
-func judge(zones []string, reports []Report, lives map[string]bool, regionOf map[string]string) Judgement {
+func judge(zones []string, reports []Report, lives map[string]bool, regionOf map[string]string) Assessment {
 	views := map[string]map[string]health{} // by who sees, whom
 	for _, from := range zones {
 		views[from] = map[string]health{}
@@ -90,26 +90,26 @@
 			views[from][of] = agreedView(reports, from, of)
 		}
 	}
-	j := Judgement{Causes: map[string]Cause{}}
+	j := Assessment{Causes: map[string]Cause{}}
 	for _, z := range zones {
 		cause, blind := causeOf(z, zones, views, lives[z])
 		if blind {
-			j.Blind = append(j.Blind, z)
+			j.Unobserved = append(j.Unobserved, z)
 		}
-		if cause != None {
+		if cause != NoCause {
 			j.Causes[z] = cause
 		}
-		if cause == Lost || cause == MembersLost {
+		if cause == ZoneLost || cause == MembersLost {
 			continue
 		}
 		for _, from := range zones {
 			if from != z && views[from][z] == silent {
-				j.Cuts = append(j.Cuts, Cut{from, z})
+				j.Partitions = append(j.Partitions, Partition{from, z})
 			}
 		}
 	}
 	j.markLostRegions(zones, regionOf)
-	slices.SortFunc(j.Cuts, func(a, b Cut) int {
+	slices.SortFunc(j.Partitions, func(a, b Partition) int {
 		return cmp.Or(cmp.Compare(a.From, b.From), cmp.Compare(a.To, b.To))
 	})
 	return j
@@ -155,9 +155,9 @@
 	unseen := count[silent] == reporting
 	switch {
 	case all == 0:
-		return None, true
+		return NoCause, true
 	case reporting > 0 && unseen && !lives:
-		return Lost, false
+		return ZoneLost, false
 	case unseen && own == silent:
 		return MembersLost, false
 	case reporting > 0 && unseen && own != unknown:
@@ -167,17 +167,17 @@
 	case 2*(count[slow]+bit(own == slow)) > all:
 		return Slow, false
 	case 2*(count[behind]+bit(own == behind)) > all:
-		return Behind, false
+		return Lagging, false
 	}
-	return None, false
+	return NoCause, false
 }
 
 // markLostRegions gives the zones of a region of several, of which all are lost, that cause.
-func (j *Judgement) markLostRegions(zones []string, regionOf map[string]string) {
+func (j *Assessment) markLostRegions(zones []string, regionOf map[string]string) {
 	lost, of := map[string]int{}, map[string]int{}
 	for _, z := range zones {
 		of[regionOf[z]]++
-		if j.Causes[z] == Lost || j.Causes[z] == MembersLost {
+		if j.Causes[z] == ZoneLost || j.Causes[z] == MembersLost {
 			lost[regionOf[z]]++
 		}
 	}
--- a/internal/fleet/zones/leader.go
+++ b/internal/fleet/zones/leader.go
@@ -12,21 +12,21 @@
 )
 
 // firstPlan is a first plan: it names voters and moves nothing.
-func (z *Zones) firstPlan() *Plan {
+func (z *Coordinator) firstPlan() *Plan {
 	p := &Plan{Epoch: 1, Voters: z.chooseVoters(nil)}
 	for _, n := range z.zoneNames() {
-		p.Zones = append(p.Zones, Zone{Name: n, Part: 1})
+		p.Zones = append(p.Zones, Zone{Name: n, Capacity: 1})
 	}
 	p.sort()
 	return p
 }
 
 // chooseVoters are spread over the zones: those that are and live stay, as long as no zone has too many of them.
-func (z *Zones) chooseVoters(now []string) []string {
+func (z *Coordinator) chooseVoters(now []string) []string {
 	byZone := map[string][]string{}
 	var zones []string
 	for _, f := range z.fleet.Alive {
-		if _, listed := slices.BinarySearch(z.fleet.Names, f.Name); listed {
+		if _, listed := slices.BinarySearch(z.fleet.Roster, f.Name); listed {
 			if byZone[f.Zone] == nil {
 				zones = append(zones, f.Zone)
 			}
@@ -60,15 +60,15 @@
 }
 
 // startLeading takes up leading: states go on from the plan, their times begin anew.
-func (z *Zones) startLeading(now float64) {
+func (z *Coordinator) startLeading(now float64) {
 	z.courses, z.leadingSince, z.orders = map[string]*course{}, now, map[string]float64{}
 	for _, n := range z.zoneNames() {
 		z.courses[n] = &course{Zone: z.plan.zone(n), since: now, well: now}
 	}
-	for _, o := range z.plan.Orders {
+	for _, o := range z.plan.Evacuations {
 		z.orders[o.Zone] = math.Inf(1)
-		if o.Until > 0 {
-			z.orders[o.Zone] = now + float64(o.Until)*z.heartbeat
+		if o.HeartbeatsLeft > 0 {
+			z.orders[o.Zone] = now + float64(o.HeartbeatsLeft)*z.heartbeat
 		}
 	}
 	z.frozen, z.flowsAt, z.goal, z.goalAt = z.plan.Frozen, now, z.plan.Flows, 0
@@ -76,7 +76,7 @@
 }
 
 // recentReports are reports that are not too old.
-func (z *Zones) recentReports(now float64) (all []Report) {
+func (z *Coordinator) recentReports(now float64) (all []Report) {
 	for from, s := range z.reports {
 		if now-s.at > 4*reportMaxAgeBeats*z.heartbeat {
 			delete(z.reports, from)
@@ -96,7 +96,7 @@
 }
 
 // proposeNext proposes the plan that is due, if another one is.
-func (z *Zones) proposeNext(now float64) {
+func (z *Coordinator) proposeNext(now float64) {
 	if z.round != nil || now < z.retryAt {
 		return
 	}
@@ -112,9 +112,9 @@
 	names := z.zoneNames()
 	z.judgement = judge(names, reports, lives, z.regionOf)
 	z.expireOrders(now)
-	next := &Plan{Epoch: z.plan.Epoch + 1, Base: z.planSum, Voters: z.plan.Voters, Zones: slices.Clone(z.plan.Zones),
-		Cuts: z.plan.Cuts, Flows: z.plan.Flows,
-		Moves: z.plan.Moves, Orders: z.activeOrders(now), Frozen: z.frozen, Binds: z.plan.Binds}
+	next := &Plan{Epoch: z.plan.Epoch + 1, BaseSum: z.planSum, Voters: z.plan.Voters, Zones: slices.Clone(z.plan.Zones),
+		Partitions: z.plan.Partitions, Flows: z.plan.Flows,
+		Moves: z.plan.Moves, Evacuations: z.activeOrders(now), Frozen: z.frozen, BindingConstraints: z.plan.BindingConstraints}
 	if z.votersIncomplete() {
 		next.Voters = z.chooseVoters(z.plan.Voters)
 	}
@@ -128,14 +128,14 @@
 	// a plan that some took keeps this one from being confirmed
 	lapsing := now-z.confirmed > 4*z.heartbeat && !math.IsInf(z.confirmed, -1)
 	if !next.same(z.plan) || lapsing {
-		if withMajority(z.fleet.Standing) {
+		if withMajority(z.fleet.Partition) {
 			z.propose(now, next)
 		}
 	}
 }
 
 // votersIncomplete says that a voter is gone, or that more could be had.
-func (z *Zones) votersIncomplete() bool {
+func (z *Coordinator) votersIncomplete() bool {
 	want := min(z.rules.Voters, len(z.fleet.Alive))
 	if len(z.plan.Voters) < want-1+want%2 {
 		return true
@@ -149,33 +149,33 @@
 }
 
 // stepZones lets each zone's state go on.
-func (z *Zones) stepZones(now float64, p *Plan, names []string) {
+func (z *Coordinator) stepZones(now float64, p *Plan, names []string) {
 	returning := false
 	for _, n := range names {
 		if c := z.courses[n]; c == nil {
 			z.courses[n] = &course{Zone: z.plan.zone(n), since: now, well: now}
-		} else if c.State == Returning {
+		} else if c.State == Recovering {
 			returning = true
 		}
 	}
-	p.Zones, p.Cuts = nil, z.judgement.Cuts
+	p.Zones, p.Partitions = nil, z.judgement.Partitions
 	for _, n := range names {
 		c := z.courses[n]
 		cause := z.judgement.Causes[n]
-		if slices.Contains(z.judgement.Blind, n) { // nobody says anything: it stays what it is
+		if slices.Contains(z.judgement.Unobserved, n) { // nobody says anything: it stays what it is
 			cause = c.Cause
 		}
 		_, ordered := z.orders[n]
 		before := c.State
-		c.step(now, z.rules.Pace, cause, ordered, !returning)
-		if c.State == Returning {
+		c.step(now, z.rules.Timing, cause, ordered, !returning)
+		if c.State == Recovering {
 			returning = true
 		}
 		if c.State != before {
 			z.note("zone", n, fmt.Sprintf("%s, was %s %s", c.State, before, c.Cause))
 		}
 		shown := c.Zone
-		shown.Part = math.Round(shown.Part*4) / 4
+		shown.Capacity = math.Round(shown.Capacity*4) / 4
 		p.Zones = append(p.Zones, shown)
 	}
 }
--- a/internal/fleet/zones/messages.go
+++ b/internal/fleet/zones/messages.go
@@ -27,7 +27,7 @@
 	Decided                             // here is the newest decided; also the answer to who holds an older one
 	ReportState                         // a report
 	// ReportAnswer answers it: what the sender holds, and since when that is certainly the newest.
-	ReportAnswer
+	ReportReply
 	ForwardCommand // an order of operators, passed on to who leads
 )
 
@@ -47,14 +47,14 @@
 	Summary  *Summary     `cbor:"11,keyasint,omitempty"`
 }
 
-// Send is a message that is to go to a driver.
-type Send struct {
+// Envelope is a message that is to go to a driver.
+type Envelope struct {
 	To      string
 	Message Message
 }
 
-// Note is a line for the log.
-type Note struct {
+// Event is a line for the log.
+type Event struct {
 	Reason, Name, Text string
 }
 
@@ -63,18 +63,18 @@
 
 // Fleet is what membership tells, at the moment.
 type Fleet struct {
-	Standing membership.PartitionStatus
-	Roster   uint64   // version
-	Names    []string // of the roster, sorted
-	Alive    []Peer   // by name, this driver among them
-	Zones    []string // of which a driver was ever known, sorted
+	Partition     membership.PartitionStatus
+	RosterVersion uint64   // version
+	Roster        []string // of the roster, sorted
+	Alive         []Peer   // by name, this driver among them
+	Zones         []string // of which a driver was ever known, sorted
 }
 
 // complete says that all of the roster live, as far as is seen here. Some may be suspected: among many there always is
 // one.
 func (f *Fleet) complete() bool {
-	return withMajority(f.Standing) && len(f.Names) > 0 &&
-		!slices.ContainsFunc(f.Names, func(n string) bool { return !f.isAlive(n) })
+	return withMajority(f.Partition) && len(f.Roster) > 0 &&
+		!slices.ContainsFunc(f.Roster, func(n string) bool { return !f.isAlive(n) })
 }
 
 func (f *Fleet) isAlive(name string) bool {
--- a/internal/fleet/zones/orders.go
+++ b/internal/fleet/zones/orders.go
@@ -12,7 +12,7 @@
 // Command is an order of operators.
 type Command struct {
 	Zone     string  `cbor:"1,keyasint,omitempty" json:"zone,omitempty"`
-	Away     bool    `cbor:"2,keyasint,omitempty" json:"away,omitempty"`     // else it is to return
+	Evacuate bool    `cbor:"2,keyasint,omitempty" json:"away,omitempty"`     // else it is to return
 	Duration float64 `cbor:"3,keyasint,omitempty" json:"for_ms,omitempty"`   // 0: until it is taken back
 	Freeze   *bool   `cbor:"4,keyasint,omitempty" json:"freeze,omitempty"`   // nothing is changed but what voters need
 	ID       uint64  `cbor:"5,keyasint,omitempty" json:"asked_at,omitempty"` // one order is taken once
@@ -27,14 +27,14 @@
 )
 
 // Submit takes what operators say, and passes it on to the voters.
-func (z *Zones) Submit(now float64, s Command) (Out, error) {
+func (z *Coordinator) Submit(now float64, s Command) (Output, error) {
 	switch {
 	case z.plan == nil:
-		return Out{}, ErrNoPlan
+		return Output{}, ErrNoPlan
 	case !z.inForce(now):
-		return Out{}, ErrNotInForce
+		return Output{}, ErrNotInForce
 	case s.Freeze == nil && !slices.Contains(z.zoneNames(), s.Zone):
-		return Out{}, ErrUnknownZone
+		return Output{}, ErrUnknownZone
 	}
 	z.apply(now, s)
 	for _, v := range z.plan.Voters {
@@ -46,7 +46,7 @@
 }
 
 // apply takes one, where this driver leads.
-func (z *Zones) apply(now float64, s Command) {
+func (z *Coordinator) apply(now float64, s Command) {
 	if z.courses == nil || z.applied[s.ID] {
 		return
 	}
@@ -57,7 +57,7 @@
 	switch {
 	case s.Freeze != nil:
 		z.frozen = *s.Freeze
-	case s.Away:
+	case s.Evacuate:
 		z.orders[s.Zone] = math.Inf(1)
 		if s.Duration > 0 {
 			z.orders[s.Zone] = now + s.Duration
@@ -65,10 +65,10 @@
 	default:
 		delete(z.orders, s.Zone)
 	}
-	z.note("order", s.Zone, fmt.Sprintf("away=%v for=%.0fms", s.Away, s.Duration))
+	z.note("order", s.Zone, fmt.Sprintf("away=%v for=%.0fms", s.Evacuate, s.Duration))
 }
 
-func (z *Zones) expireOrders(now float64) {
+func (z *Coordinator) expireOrders(now float64) {
 	for zone, until := range z.orders {
 		if now >= until {
 			delete(z.orders, zone)
@@ -77,11 +77,11 @@
 }
 
 // activeOrders are the orders that hold, for a plan. Times left are told in steps: a plan for each beat would be none.
-func (z *Zones) activeOrders(now float64) (all []Order) {
+func (z *Coordinator) activeOrders(now float64) (all []Evacuation) {
 	for zone, until := range z.orders {
-		o := Order{Zone: zone}
+		o := Evacuation{Zone: zone}
 		if !math.IsInf(until, 1) {
-			o.Until = uint64(math.Ceil((until-now)/z.heartbeat/60)) * 60
+			o.HeartbeatsLeft = uint64(math.Ceil((until-now)/z.heartbeat/60)) * 60
 		}
 		all = append(all, o)
 	}
--- a/internal/fleet/zones/plan.go
+++ b/internal/fleet/zones/plan.go
@@ -22,11 +22,11 @@
 
 // The states of a zone, in the order in which it leaves and returns.
 const (
-	Serving   State = iota
-	Doubted         // something is wrong, for a short time yet
-	Leaving         // its share moves away
-	Away            // nothing goes there but what can go nowhere else
-	Returning       // its share comes back, step by step
+	Serving    State = iota
+	Suspected        // something is wrong, for a short time yet
+	Draining         // its share moves away
+	Ejected          // nothing goes there but what can go nowhere else
+	Recovering       // its share comes back, step by step
 )
 
 var stateNames = enum.Names{"serving", "doubted", "leaving", "away", "returning"}
@@ -44,28 +44,28 @@
 
 // The causes. Their texts are on the wire and in logs.
 const (
-	None        Cause = ""
-	Lost        Cause = "zone_lost"    // its drivers and its members
+	NoCause     Cause = ""
+	ZoneLost    Cause = "zone_lost"    // its drivers and its members
 	MembersLost Cause = "members_lost" // while its drivers live
 	DriversLost Cause = "drivers_lost" // while its members live: it serves on
 	Isolated    Cause = "isolated"     // it sees itself, nobody else does
 	Slow        Cause = "slow"
-	Behind      Cause = "behind" // its replicas
+	Lagging     Cause = "behind" // its replicas
 	Evacuated   Cause = "evacuated"
 	RegionLost  Cause = "region_lost"
 )
 
 // Zone is one's part of a plan.
 type Zone struct {
-	Name  string  `cbor:"1,keyasint" json:"zone"`
-	State State   `cbor:"2,keyasint" json:"state"`
-	Cause Cause   `cbor:"3,keyasint,omitempty" json:"cause,omitempty"`
-	Part  float64 `cbor:"4,keyasint" json:"part"` // of its capacity that may be used: what it can warm
-	Flaps int     `cbor:"5,keyasint,omitempty" json:"flaps,omitempty"`
+	Name     string  `cbor:"1,keyasint" json:"zone"`
+	State    State   `cbor:"2,keyasint" json:"state"`
+	Cause    Cause   `cbor:"3,keyasint,omitempty" json:"cause,omitempty"`
+	Capacity float64 `cbor:"4,keyasint" json:"part"` // of its capacity that may be used: what it can warm
+	Flaps    int     `cbor:"5,keyasint,omitempty" json:"flaps,omitempty"`
 }
 
-// Cut is a pair of zones of which drivers in From do not reach members in To.
-type Cut struct {
+// Partition is a pair of zones of which drivers in From do not reach members in To.
+type Partition struct {
 	From string `cbor:"1,keyasint" json:"from"`
 	To   string `cbor:"2,keyasint" json:"to"`
 }
@@ -84,25 +84,25 @@
 	To    string `cbor:"3,keyasint" json:"to"`
 }
 
-// Order is what operators said of a zone.
-type Order struct {
+// Evacuation is what operators said of a zone.
+type Evacuation struct {
 	Zone string `cbor:"1,keyasint" json:"zone"`
 	// beats of the leader that it still lasts; 0: until it is taken back
-	Until uint64 `cbor:"2,keyasint" json:"beats_left"`
+	HeartbeatsLeft uint64 `cbor:"2,keyasint" json:"beats_left"`
 }
 
 // Plan is what all go by. Each follows one that it names by its sum.
 type Plan struct {
-	Epoch  uint64   `cbor:"1,keyasint" json:"epoch"`
-	Base   uint64   `cbor:"2,keyasint" json:"base"` // sum of the plan before
-	Voters []string `cbor:"3,keyasint" json:"voters"`
-	Zones  []Zone   `cbor:"4,keyasint,omitempty" json:"zones"`
-	Cuts   []Cut    `cbor:"5,keyasint,omitempty" json:"cuts,omitempty"`
-	Flows  []Flow   `cbor:"6,keyasint,omitempty" json:"flows,omitempty"`
-	Moves  []Move   `cbor:"7,keyasint,omitempty" json:"moves,omitempty"`
-	Orders []Order  `cbor:"8,keyasint,omitempty" json:"orders,omitempty"`
-	Frozen bool     `cbor:"9,keyasint,omitempty" json:"frozen,omitempty"`
-	Binds  []string `cbor:"10,keyasint,omitempty" json:"binds,omitempty"` // which limits leave no better plan
+	Epoch              uint64       `cbor:"1,keyasint" json:"epoch"`
+	BaseSum            uint64       `cbor:"2,keyasint" json:"base"` // sum of the plan before
+	Voters             []string     `cbor:"3,keyasint" json:"voters"`
+	Zones              []Zone       `cbor:"4,keyasint,omitempty" json:"zones"`
+	Partitions         []Partition  `cbor:"5,keyasint,omitempty" json:"cuts,omitempty"`
+	Flows              []Flow       `cbor:"6,keyasint,omitempty" json:"flows,omitempty"`
+	Moves              []Move       `cbor:"7,keyasint,omitempty" json:"moves,omitempty"`
+	Evacuations        []Evacuation `cbor:"8,keyasint,omitempty" json:"orders,omitempty"`
+	Frozen             bool         `cbor:"9,keyasint,omitempty" json:"frozen,omitempty"`
+	BindingConstraints []string     `cbor:"10,keyasint,omitempty" json:"binds,omitempty"` // which limits leave no better plan
 }
 
 const (
@@ -115,14 +115,14 @@
 // valid says whether a plan can be one at all.
 func (p *Plan) valid() bool {
 	ok := p.Epoch > 0 && len(p.Voters) > 0 && len(p.Voters) <= maxVoters && len(p.Zones) <= maxZones &&
-		len(p.Cuts) <= maxZones*maxZones &&
-		len(p.Flows) <= maxZones*maxZones && len(p.Moves) <= maxMoves && len(p.Orders) <= maxZones &&
-		len(p.Binds) <= 2*maxZones && slices.IsSorted(p.Voters)
+		len(p.Partitions) <= maxZones*maxZones &&
+		len(p.Flows) <= maxZones*maxZones && len(p.Moves) <= maxMoves && len(p.Evacuations) <= maxZones &&
+		len(p.BindingConstraints) <= 2*maxZones && slices.IsSorted(p.Voters)
 	for _, v := range p.Voters {
 		ok = ok && v != "" && len(v) <= maxNameBytes
 	}
 	for _, z := range p.Zones {
-		ok = ok && z.Name != "" && len(z.Name) <= maxNameBytes && z.State <= Returning && z.Part >= 0 && z.Part <= 1
+		ok = ok && z.Name != "" && len(z.Name) <= maxNameBytes && z.State <= Recovering && z.Capacity >= 0 && z.Capacity <= 1
 	}
 	for _, f := range p.Flows {
 		ok = ok && f.Share >= 0 && f.Share <= 1.001
@@ -151,11 +151,13 @@
 			return p.Zones[i]
 		}
 	}
-	return Zone{Name: name, Part: 1}
+	return Zone{Name: name, Capacity: 1}
 }
 
 // cut says whether drivers of one zone do not reach members of another.
-func (p *Plan) cut(from, to string) bool { return p != nil && slices.Contains(p.Cuts, Cut{from, to}) }
+func (p *Plan) cut(from, to string) bool {
+	return p != nil && slices.Contains(p.Partitions, Partition{from, to})
+}
 
 // share is of a zone's reads that another one, or itself, is to serve.
 func (p *Plan) share(from, to string) float64 {
@@ -177,7 +179,7 @@
 // same says whether two plans ask for the same, whatever their epochs.
 func (p *Plan) same(o *Plan) bool {
 	a, b := *p, *o
-	a.Epoch, a.Base, b.Epoch, b.Base = 0, 0, 0, 0
+	a.Epoch, a.BaseSum, b.Epoch, b.BaseSum = 0, 0, 0, 0
 	return a.sum() == b.sum()
 }
 
@@ -185,8 +187,8 @@
 func (p *Plan) sort() {
 	slices.Sort(p.Voters)
 	slices.SortFunc(p.Zones, func(a, b Zone) int { return cmp.Compare(a.Name, b.Name) })
-	slices.SortFunc(p.Cuts, func(a, b Cut) int { return cmp.Or(cmp.Compare(a.From, b.From), cmp.Compare(a.To, b.To)) })
+	slices.SortFunc(p.Partitions, func(a, b Partition) int { return cmp.Or(cmp.Compare(a.From, b.From), cmp.Compare(a.To, b.To)) })
 	slices.SortFunc(p.Flows, func(a, b Flow) int { return cmp.Or(cmp.Compare(a.From, b.From), cmp.Compare(a.To, b.To)) })
 	slices.SortFunc(p.Moves, func(a, b Move) int { return cmp.Compare(a.Group, b.Group) })
-	slices.SortFunc(p.Orders, func(a, b Order) int { return cmp.Compare(a.Zone, b.Zone) })
+	slices.SortFunc(p.Evacuations, func(a, b Evacuation) int { return cmp.Compare(a.Zone, b.Zone) })
 }
--- a/internal/fleet/zones/plan_test.go
+++ b/internal/fleet/zones/plan_test.go
@@ -15,8 +15,8 @@
 // Reads stay near while there is room, spill in proportion, never to a zone that is not reached or has none, and the
 // limit that binds is named.
 func TestShares(t *testing.T) {
-	three := func(a, b, c, room float64) []Place {
-		return []Place{{"a", "r", a, room}, {"b", "r", b, room}, {"c", "s", c, room}}
+	three := func(a, b, c, room float64) []ZoneLoad {
+		return []ZoneLoad{{"a", "r", a, room}, {"b", "r", b, room}, {"c", "s", c, room}}
 	}
 	if f, binds := shares(three(60, 60, 60, 100), Limits{0.2, 1}, open); len(f) != 0 || len(binds) != 0 {
 		t.Errorf("there is room: %v %v", f, binds)
@@ -30,7 +30,7 @@
 		}
 	}
 	lost := three(60, 60, 60, 100)
-	lost[1].Room = 0
+	lost[1].Capacity = 0
 	f, binds := shares(lost, Limits{0, 1}, open)
 	if got := flow(f, "b", "a"); got < 0.66 || flow(f, "b", "b") > 0.01 || flow(f, "b", "a")+flow(f, "b", "c") < 0.99 {
 		t.Errorf("a zone without members: %v %v", f, binds)
@@ -39,11 +39,11 @@
 	if flow(f, "b", "a") > 0 || flow(f, "b", "c") < 0.6 {
 		t.Errorf("not reached: %v", f)
 	}
-	lost[0].Room, lost[2].Room = 70, 70
+	lost[0].Capacity, lost[2].Capacity = 70, 70
 	if _, binds := shares(lost, Limits{0, 1}, open); !strings.Contains(strings.Join(binds, ";"), "room: ") {
 		t.Errorf("nobody can carry it: %v", binds)
 	}
-	lost[0].Room, lost[2].Room = 200, 200
+	lost[0].Capacity, lost[2].Capacity = 200, 200
 	if _, binds := shares(lost, Limits{0, 0.1}, open); !strings.Contains(strings.Join(binds, ";"), "budget: 33%") {
 		t.Errorf("a budget that no plan keeps: %v", binds)
 	}
@@ -51,19 +51,19 @@
 
 // A zone that flaps stays away longer each time, one returns at a time, and what does not last takes no zone out.
 func TestCourses(t *testing.T) {
-	p := Pace{Doubt: 1000, SlowFor: 5000, Away: 5000, AwayMost: 100000, Ramp: 2000, Calm: 60000}
-	c := &course{Zone: Zone{Name: "a", Part: 1}, well: 0}
+	p := Timing{SuspectFor: 1000, DegradedFor: 5000, BaseEjection: 5000, MaxEjection: 100000, SlowStart: 2000, ForgiveAfter: 60000}
+	c := &course{Zone: Zone{Name: "a", Capacity: 1}, well: 0}
 	leaves, last, now := 0, c.State, 0.0
 	var stays []float64
 	for ; now < 600000; now += 200 {
-		cause := None
+		cause := NoCause
 		if int(now/3000)%2 == 1 && now < 120000 { // every 3 s
 			cause = MembersLost
 		}
-		if c.step(now, p, cause, false, true); c.State == Away && last != Away {
+		if c.step(now, p, cause, false, true); c.State == Ejected && last != Ejected {
 			leaves++
 		}
-		if last == Away && c.State == Returning {
+		if last == Ejected && c.State == Recovering {
 			stays = append(stays, now)
 		}
 		last = c.State
@@ -71,18 +71,18 @@
 	if leaves > 6 || c.State != Serving || c.Flaps != 0 {
 		t.Errorf("%d times away, returns at %v, ends %+v", leaves, stays, c.Zone)
 	}
-	c = &course{Zone: Zone{Name: "a", Part: 1}}
+	c = &course{Zone: Zone{Name: "a", Capacity: 1}}
 	for now = 0; now < 10000; now += 200 {
-		cause := None
+		cause := NoCause
 		if int(now)%1000 < 800 {
-			cause = Lost
+			cause = ZoneLost
 		}
-		if c.step(now, p, cause, false, true); c.State == Away {
+		if c.step(now, p, cause, false, true); c.State == Ejected {
 			t.Fatal("a cause of 0.8 s took it out")
 		}
 	}
-	c = &course{Zone: Zone{Name: "a", State: Away}, well: 0}
-	if c.step(50000, p, None, false, false); c.State != Away {
+	c = &course{Zone: Zone{Name: "a", State: Ejected}, well: 0}
+	if c.step(50000, p, NoCause, false, false); c.State != Ejected {
 		t.Error("it returns beside another one")
 	}
 }
@@ -103,7 +103,7 @@
 		if z.inForce(w.Now) || z.plan.Epoch != before {
 			t.Errorf("%s: %+v", w.ds[i].name, z.Status(w.Now))
 		}
-		if _, err := z.Submit(w.Now, Command{Zone: "a", Away: true}); err != ErrNotInForce {
+		if _, err := z.Submit(w.Now, Command{Zone: "a", Evacuate: true}); err != ErrNotInForce {
 			t.Errorf("an order: %v", err)
 		}
 	}
@@ -122,8 +122,8 @@
 	for s := membership.Undetermined; s <= membership.Complete; s++ {
 		for _, force := range []bool{false, true} {
 			most := s == membership.Majority || s == membership.Complete
-			for act, want := range map[Action]bool{MovePrimary: most && force, FillZone: force, KeepPlan: force,
-				AvoidZone: true, RenewPlan: true} {
+			for act, want := range map[Action]bool{MovePrimary: most && force, SpillToZone: force, FollowPlan: force,
+				AvoidZone: true, ConfirmPlan: true} {
 				if got := Allowed(s, force, act); got != want {
 					t.Errorf("%s, in force %v, act %d: %v", s, force, act, got)
 				}
@@ -131,7 +131,7 @@
 		}
 	}
 	f := &follower{zone: "a", tolls: map[string]float64{"a": 1, "b": 0, "c": 0.3}}
-	p := &Plan{Zones: []Zone{{Name: "a", Part: 1}, {Name: "b", Part: 1}, {Name: "c", State: Away}},
+	p := &Plan{Zones: []Zone{{Name: "a", Capacity: 1}, {Name: "b", Capacity: 1}, {Name: "c", State: Ejected}},
 		Flows: []Flow{{"a", "b", 0.5}}}
 	if got := f.give(p, []string{"a", "b", "c"}, true); got["a"] != 1 || got["b"] != 0 || got["c"] != shutToll {
 		t.Errorf("in force: %v", got)
--- a/internal/fleet/zones/primaries.go
+++ b/internal/fleet/zones/primaries.go
@@ -9,10 +9,10 @@
 )
 
 // planMoves asks for primaries out of zones that are to be empty. Where most zones see one elsewhere it has moved.
-func (z *Zones) planMoves(p *Plan, reports []Report) {
+func (z *Coordinator) planMoves(p *Plan, reports []Report) {
 	p.Moves = nil
 	for group, home := range primaryZones(reports) {
-		if st := p.zone(home); st.State != Leaving && st.State != Away {
+		if st := p.zone(home); st.State != Draining && st.State != Ejected {
 			continue
 		}
 		to, best := "", -1.0
@@ -35,7 +35,7 @@
 func primaryZones(reports []Report) map[int64]string {
 	votes := map[int64]map[string]int{}
 	for _, r := range reports {
-		for _, h := range r.Homes {
+		for _, h := range r.Primaries {
 			if votes[h.Group] == nil {
 				votes[h.Group] = map[string]int{}
 			}
@@ -58,7 +58,7 @@
 }
 
 // suitability is how well a zone would do for a primary: reached by all, of the same region, with members.
-func (z *Zones) suitability(s Zone, p *Plan, from string) float64 {
+func (z *Coordinator) suitability(s Zone, p *Plan, from string) float64 {
 	room := 0.0
 	for _, o := range p.Zones {
 		if o.State == Serving && p.cut(o.Name, s.Name) {
@@ -70,7 +70,7 @@
 	}
 	for _, r := range z.observations {
 		if r.Zone == s.Name {
-			room += min(float64(r.Members-r.Silent), 100) / 100
+			room += min(float64(r.Members-r.Unreachable), 100) / 100
 			if r.Members == 0 { // a witness
 				room = math.Inf(-1)
 			}
@@ -80,8 +80,8 @@
 }
 
 // DueMoves are the moves of primaries that this driver is to ask the topology manager for, and the plan's epoch.
-func (z *Zones) DueMoves(now float64) ([]Move, uint64) {
-	if z.courses == nil || !Allowed(z.fleet.Standing, z.inForce(now), MovePrimary) {
+func (z *Coordinator) DueMoves(now float64) ([]Move, uint64) {
+	if z.courses == nil || !Allowed(z.fleet.Partition, z.inForce(now), MovePrimary) {
 		return nil, 0
 	}
 	return z.plan.Moves, z.plan.Epoch
--- a/internal/fleet/zones/solve.go
+++ b/internal/fleet/zones/solve.go
@@ -11,18 +11,18 @@
 	"gonum.org/v1/gonum/optimize/convex/lp"
 )
 
-// Place is a zone as the solver sees it. Demand and Room are in the same unit, reads a second.
-type Place struct {
-	Name   string  `json:"zone"`
-	Region string  `json:"region"`
-	Demand float64 `json:"reads"` // its own, a second
-	Room   float64 `json:"room"`  // what its members can do, warm, at the moment
+// ZoneLoad is a zone as the solver sees it. Demand and Room are in the same unit, reads a second.
+type ZoneLoad struct {
+	Name     string  `json:"zone"`
+	Region   string  `json:"region"`
+	Demand   float64 `json:"reads"` // its own, a second
+	Capacity float64 `json:"room"`  // what its members can do, warm, at the moment
 }
 
 // Limits are the operators'.
 type Limits struct {
-	Headroom float64 // share of a zone's room kept free for one more loss; using it costs more than crossing
-	Budget   float64 // share of all reads that may cross between zones; 1: any
+	Headroom        float64 // share of a zone's room kept free for one more loss; using it costs more than crossing
+	CrossZoneBudget float64 // share of all reads that may cross between zones; 1: any
 }
 
 // Costs of a unit of reads.
@@ -43,7 +43,7 @@
 // slack of each; the slack of the budget, and what is over it. Its rows are each zone's demand, its load, the limits of
 // its easy and of its tight load, and last the budget.
 type program struct {
-	places []Place
+	places []ZoneLoad
 	limits Limits
 	total  float64 // of all reads, a second
 	pairs  []pair
@@ -54,11 +54,11 @@
 	cost, a, b    []float64 // cost by column, coefficients by row and column, bounds by row
 }
 
-func newProgram(places []Place, l Limits, total float64, reaches func(from, to string) bool) *program {
+func newProgram(places []ZoneLoad, l Limits, total float64, reaches func(from, to string) bool) *program {
 	p := &program{places: places, limits: l, total: total}
 	for f := range places {
 		for z := range places {
-			if places[z].Room > 0 && reaches(places[f].Name, places[z].Name) {
+			if places[z].Capacity > 0 && reaches(places[f].Name, places[z].Name) {
 				p.pairs = append(p.pairs, pair{f, z})
 			}
 		}
@@ -74,7 +74,7 @@
 	p.set(4*n, p.slackBudget, 1)
 	p.set(4*n, p.over, -1)
 	p.cost[p.over] = costBudget
-	p.b[4*n] = l.Budget
+	p.b[4*n] = l.CrossZoneBudget
 	return p
 }
 
@@ -100,7 +100,7 @@
 func (p *program) fillZones() {
 	n := len(p.places)
 	for i, z := range p.places {
-		room := z.Room / p.total
+		room := z.Capacity / p.total
 		p.b[i], p.cost[p.unmet+i] = z.Demand/p.total, costUnmet
 		p.set(i, p.unmet+i, 1)
 		p.cost[p.tight+i] = costTight
@@ -140,14 +140,14 @@
 	}
 	if over := solved[p.over]; over > 1e-6 {
 		binds = append(binds, fmt.Sprintf("budget: %.0f%% of all reads cross, beyond the budget",
-			100*(over+p.limits.Budget)))
+			100*(over+p.limits.CrossZoneBudget)))
 	}
 	return binds
 }
 
 // shares solves for the flows that cost least, by linear programming: crossing costs, using headroom costs more,
 // breaking the budget more than that, and leaving reads unserved most. reaches says what may flow at all.
-func shares(places []Place, l Limits, reaches func(from, to string) bool) (flows []Flow, binds []string) {
+func shares(places []ZoneLoad, l Limits, reaches func(from, to string) bool) (flows []Flow, binds []string) {
 	total := 0.0
 	for _, p := range places {
 		total += p.Demand
--- a/internal/fleet/zones/status.go
+++ b/internal/fleet/zones/status.go
@@ -11,13 +11,13 @@
 
 // Preview is what would be planned.
 type Preview struct {
-	Places []Place  `json:"places"`
-	Flows  []Flow   `json:"flows"`
-	Binds  []string `json:"binds"`
+	Zones              []ZoneLoad `json:"places"`
+	Flows              []Flow     `json:"flows"`
+	BindingConstraints []string   `json:"binds"`
 }
 
 // Simulate tells what would be planned were a zone away, by the reports that who leads has; empty: as it is.
-func (z *Zones) Simulate(now float64, zone string) (Preview, error) {
+func (z *Coordinator) Simulate(now float64, zone string) (Preview, error) {
 	switch {
 	case z.plan == nil:
 		return Preview{}, ErrNoPlan
@@ -30,11 +30,11 @@
 	p.Zones = slices.Clone(p.Zones)
 	for i := range p.Zones {
 		if p.Zones[i].Name == zone {
-			p.Zones[i].Part = 0
+			p.Zones[i].Capacity = 0
 		}
 	}
-	v := Preview{Places: z.places(&p, z.zoneNames(), z.recentReports(now))}
-	v.Flows, v.Binds = shares(v.Places, z.rules.Limits, func(from, to string) bool { return !p.cut(from, to) })
+	v := Preview{Zones: z.places(&p, z.zoneNames(), z.recentReports(now))}
+	v.Flows, v.BindingConstraints = shares(v.Zones, z.rules.Limits, func(from, to string) bool { return !p.cut(from, to) })
 	return v, nil
 }
 
@@ -42,7 +42,7 @@
 type Status struct {
 	Self         string             `json:"self"`
 	Zone         string             `json:"zone"`
-	Leads        bool               `json:"leads"`
+	Leader       bool               `json:"leads"`
 	InForce      bool               `json:"in_force"`
 	Age          float64            `json:"age_ms"` // since the plan was certainly the newest; -1: not known
 	Lease        float64            `json:"lease_ms"`
@@ -51,12 +51,12 @@
 	Observations []Observation      `json:"sights"`
 	Causes       map[string]Cause   `json:"causes,omitempty"` // as the leader judges
 	Votes        string             `json:"votes,omitempty"`  // promised and taken, where a next plan is voted on
-	Calls        []Crossing         `json:"crossings,omitempty"`
+	CrossZone    []CrossZoneTraffic `json:"crossings,omitempty"`
 }
 
 // Status gives the view as it is now.
-func (z *Zones) Status(now float64) Status {
-	s := Status{Self: z.self.Name, Zone: z.self.Zone, Leads: z.leading && z.plan != nil, InForce: z.inForce(now),
+func (z *Coordinator) Status(now float64) Status {
+	s := Status{Self: z.self.Name, Zone: z.self.Zone, Leader: z.leading && z.plan != nil, InForce: z.inForce(now),
 		Age: -1, Lease: z.lease, Plan: z.plan,
 		Tolls: z.tolls, Observations: z.observations}
 	if a := z.age(now); !math.IsInf(a, 1) {
@@ -65,7 +65,7 @@
 	if z.vote.Promised.Number > 0 || z.round != nil {
 		s.Votes = fmt.Sprintf("promised %v, taken %v, leads a round: %v", z.vote.Promised, z.vote.Accepted, z.round != nil)
 	}
-	if s.Leads {
+	if s.Leader {
 		s.Causes = z.judgement.Causes
 	}
 	return s
@@ -74,11 +74,11 @@
 func describe(p *Plan) string {
 	text := fmt.Sprintf("epoch %d, voters %s", p.Epoch, strings.Join(p.Voters, ","))
 	for _, z := range p.Zones {
-		if z.State != Serving || z.Cause != None {
+		if z.State != Serving || z.Cause != NoCause {
 			text += fmt.Sprintf("; %s %s %s", z.Name, z.State, z.Cause)
 		}
 	}
-	for _, c := range p.Cuts {
+	for _, c := range p.Partitions {
 		text += fmt.Sprintf("; %s does not reach %s", c.From, c.To)
 	}
 	for _, f := range p.Flows {
--- a/internal/fleet/zones/town_test.go
+++ b/internal/fleet/zones/town_test.go
@@ -29,11 +29,11 @@
 	home   map[int64]string
 	keeps  bool
 	broken []string
-	watch  func(d *resident, o Out) // sees what each driver puts out; nil: nobody does
+	watch  func(d *resident, o Output) // sees what each driver puts out; nil: nobody does
 }
 
 type resident struct {
-	z      *Zones
+	z      *Coordinator
 	i      int
 	name   string
 	zone   string
@@ -44,11 +44,11 @@
 	wait   []func()
 }
 
-func rules() Rules {
-	return Rules{Heartbeat: 500, Lease: 5000, Voters: 5, Regions: []Region{{"r", []string{"a", "b", "c"}}}, Load: 0.6,
-		Move:   0.5,
-		Pace:   Pace{Doubt: 1000, SlowFor: 3000, Away: 3000, AwayMost: 60000, Ramp: 2000, Calm: 60000},
-		Limits: Limits{Headroom: 0.2, Budget: 1}}
+func rules() Options {
+	return Options{Heartbeat: 500, Lease: 5000, Voters: 5, Regions: []Region{{"r", []string{"a", "b", "c"}}}, BaselineUtilization: 0.6,
+		MaxShiftRate: 0.5,
+		Timing:       Timing{SuspectFor: 1000, DegradedFor: 3000, BaseEjection: 3000, MaxEjection: 60000, SlowStart: 2000, ForgiveAfter: 60000},
+		Limits:       Limits{Headroom: 0.2, CrossZoneBudget: 1}}
 }
 
 func newTown(seed uint64, zones ...string) *town {
@@ -157,7 +157,7 @@
 	})
 }
 
-func (t *town) out(d *resident, o Out) {
+func (t *town) out(d *resident, o Output) {
 	if t.watch != nil {
 		t.watch(d, o)
 	}
@@ -166,14 +166,14 @@
 		d.disk = &k
 		d.z.Saved(t.Now, true)
 	}
-	for _, s := range o.Sends {
+	for _, s := range o.Messages {
 		i := slices.IndexFunc(t.ds, func(o *resident) bool { return o.name == s.To })
 		to := t.ds[i]
 		asked, life := t.Now, d.life
 		t.pass(d, to, func() {
 			o := to.z.Receive(t.Now, math.Inf(-1), d.name, s.Message)
 			if s.Message.Kind == ReportState {
-				o.Sends = slices.DeleteFunc(o.Sends, func(s Send) bool {
+				o.Messages = slices.DeleteFunc(o.Messages, func(s Envelope) bool {
 					if s.To == d.name {
 						t.pass(to, d, func() {
 							if d.life == life {
@@ -226,9 +226,9 @@
 
 // tick lets a driver see what membership and its own sends would tell it.
 func (t *town) tick(d *resident) {
-	f := Fleet{Roster: 1, Zones: t.zones()}
+	f := Fleet{RosterVersion: 1, Zones: t.zones()}
 	for _, o := range t.ds {
-		f.Names = append(f.Names, o.name)
+		f.Roster = append(f.Roster, o.name)
 		if o == d || o.z != nil && t.Now >= o.frozen && !(t.cut != nil && (t.cut(o.i, d.i) || t.cut(d.i, o.i))) {
 			d.heard[o.i] = t.Now
 		}
@@ -236,7 +236,7 @@
 			f.Alive = append(f.Alive, Peer{o.name, o.zone})
 		}
 	}
-	slices.Sort(f.Names)
+	slices.Sort(f.Roster)
 	slices.SortFunc(f.Alive, func(a, b Peer) int {
 		if a.Name < b.Name {
 			return -1
@@ -244,12 +244,12 @@
 		return 1
 	})
 	switch n := len(f.Alive); {
-	case n == len(f.Names):
-		f.Standing = membership.Complete
-	case 2*n > len(f.Names):
-		f.Standing = membership.Majority
+	case n == len(f.Roster):
+		f.Partition = membership.Complete
+	case 2*n > len(f.Roster):
+		f.Partition = membership.Majority
 	default:
-		f.Standing = membership.Minority
+		f.Partition = membership.Minority
 	}
 	var sights []Observation
 	for _, z := range t.zones() {
@@ -263,9 +263,9 @@
 	if t.lies != nil {
 		t.lies(d, sights)
 	}
-	homes := []Home{}
+	homes := []PrimaryLocation{}
 	for g, zone := range t.home {
-		homes = append(homes, Home{g, zone})
+		homes = append(homes, PrimaryLocation{g, zone})
 	}
 	t.out(d, d.z.Observe(t.Now, sights, homes, nil))
 	t.out(d, d.z.Tick(t.Now, f))
@@ -302,11 +302,11 @@
 
 func calm(p *Plan) bool {
 	for _, z := range p.Zones {
-		if z.State != Serving || z.Part < 1 {
+		if z.State != Serving || z.Capacity < 1 {
 			return false
 		}
 	}
-	return len(p.Cuts) == 0 && len(p.Flows) == 0
+	return len(p.Partitions) == 0 && len(p.Flows) == 0
 }
 
 // serving says that all zones are; one with more drivers may still spill over.
@@ -349,7 +349,7 @@
 		w.sees = func(f, of string) Observation {
 			s := Observation{Zone: of, Members: 4, Reads: 100}
 			if of == "b" && slices.Contains(from, f) {
-				s.Silent = 4
+				s.Unreachable = 4
 			}
 			return s
 		}
@@ -363,31 +363,31 @@
 			for _, d := range drivers("b", w) {
 				w.kill(d)
 			}
-		}, is("b", Away, Lost)},
-		"members lost": {func(w *town) { silentTo(w, "a", "b", "c") }, is("b", Away, MembersLost)},
+		}, is("b", Ejected, ZoneLost)},
+		"members lost": {func(w *town) { silentTo(w, "a", "b", "c") }, is("b", Ejected, MembersLost)},
 		"drivers lost": {func(w *town) {
 			for _, d := range drivers("b", w) {
 				w.kill(d)
 			}
 		}, is("b", Serving, DriversLost)},
-		"isolated": {func(w *town) { silentTo(w, "a", "c") }, is("b", Away, Isolated)},
+		"isolated": {func(w *town) { silentTo(w, "a", "c") }, is("b", Ejected, Isolated)},
 		"cut one way": {func(w *town) { silentTo(w, "a") }, func(p *Plan) bool {
 			return p.cut("a", "b") && !p.cut("c", "b") && !p.cut("b", "a") && p.zone("b").State == Serving
 		}},
 		"slow": {func(w *town) {
 			w.sees = func(f, of string) Observation {
-				s := Observation{Zone: of, Members: 4, Reads: 100, Slow: 1}
+				s := Observation{Zone: of, Members: 4, Reads: 100, LatencyRatio: 1}
 				if of == "b" {
-					s.Slow = 4
+					s.LatencyRatio = 4
 				}
 				return s
 			}
-		}, func(p *Plan) bool { return is("b", Serving, Slow)(p) && p.zone("b").Part == easedPart }},
+		}, func(p *Plan) bool { return is("b", Serving, Slow)(p) && p.zone("b").Capacity == easedPart }},
 		"one driver says that all is lost": {func(w *town) {
 			w.lies = func(d *resident, all []Observation) {
 				if d.i == 4 {
 					for i := range all {
-						all[i].Silent = all[i].Members
+						all[i].Unreachable = all[i].Members
 					}
 				}
 			}
@@ -443,7 +443,7 @@
 		w.sees = func(from, of string) Observation {
 			s := Observation{Zone: of, Members: 4, Reads: 100}
 			if down[of] || down[from+of] {
-				s.Silent = 4
+				s.Unreachable = 4
 			}
 			return s
 		}
--- a/internal/fleet/zones/zones.go
+++ b/internal/fleet/zones/zones.go
@@ -14,18 +14,18 @@
 	Zones []string
 }
 
-// Rules are what operators say.
-type Rules struct {
-	Heartbeat  float64 // between two looks of the leader, and two reports
-	Lease      float64 // of a plan on each driver
-	Voters     int     // at most
-	Regions    []Region
-	Pace       Pace
-	Limits     Limits
-	Load       float64 // share of what all members can do that reads take usually
-	Move       float64 // most of a zone's reads that go elsewhere more or less within a second
-	Persistent bool
-	Saved      *SavedState
+// Options are what operators say.
+type Options struct {
+	Heartbeat           float64 // between two looks of the leader, and two reports
+	Lease               float64 // of a plan on each driver
+	Voters              int     // at most
+	Regions             []Region
+	Timing              Timing
+	Limits              Limits
+	BaselineUtilization float64 // share of what all members can do that reads take usually
+	MaxShiftRate        float64 // most of a zone's reads that go elsewhere more or less within a second
+	Persistent          bool
+	Saved               *SavedState
 }
 
 const (
@@ -43,16 +43,16 @@
 	at   float64
 }
 
-// Zones is one driver's part. It is not safe for use by several goroutines at a time.
-type Zones struct {
+// Coordinator is one driver's part. It is not safe for use by several goroutines at a time.
+type Coordinator struct {
 	consensus
-	rules        Rules
+	rules        Options
 	self         Peer
 	fleet        Fleet
 	run          uint64
 	sequence     uint64
 	observations []Observation
-	homes        []Home
+	homes        []PrimaryLocation
 	reportAt     float64
 	reports      map[string]*receivedReport
 	regionOf     map[string]string
@@ -65,24 +65,24 @@
 	applied      map[uint64]bool
 	frozen       bool
 	leadingSince float64 // it has led since
-	judgement    Judgement
+	judgement    Assessment
 	flowsAt      float64 // when flows changed last
 	goal         []Flow  // to which they move
 	goalAt       float64
 }
 
-// Out is what is to be done.
-type Out struct {
-	Sends        []Send
-	Notes        []Note
+// Output is what is to be done.
+type Output struct {
+	Messages     []Envelope
+	Events       []Event
 	Save         *SavedState // to be safe before Sends go out
 	PlanChanged  bool        // a plan that peers are to be told of at once
 	TollsChanged bool        // they changed
 }
 
 // New makes the part of a driver that starts.
-func New(now float64, r Rules, self Peer, run uint64) *Zones {
-	z := &Zones{rules: r, self: self, run: run, reports: map[string]*receivedReport{}, regionOf: map[string]string{},
+func New(now float64, r Options, self Peer, run uint64) *Coordinator {
+	z := &Coordinator{rules: r, self: self, run: run, reports: map[string]*receivedReport{}, regionOf: map[string]string{},
 		orders: map[string]float64{}, applied: map[uint64]bool{}, follower: follower{zone: self.Zone, last: now}}
 	z.consensus = consensus{name: self.Name, heartbeat: r.Heartbeat, lease: r.Lease, confirmed: math.Inf(-1),
 		persistent: r.Persistent}
@@ -96,7 +96,7 @@
 }
 
 // zoneNames are all zones that are known: of regions, of drivers and of members.
-func (z *Zones) zoneNames() []string {
+func (z *Coordinator) zoneNames() []string {
 	all := slices.Clone(z.fleet.Zones)
 	for n := range z.regionOf {
 		all = append(all, n)
@@ -115,7 +115,7 @@
 }
 
 // Observe takes what the own driver sees; sent is where its reads went of late.
-func (z *Zones) Observe(now float64, sights []Observation, homes []Home, sent map[string]float64) Out {
+func (z *Coordinator) Observe(now float64, sights []Observation, homes []PrimaryLocation, sent map[string]float64) Output {
 	changed := len(sights) != len(z.observations)
 	for i := 0; !changed && i < len(sights); i++ {
 		changed = sights[i].Zone != z.observations[i].Zone || sights[i].health() != z.observations[i].health()
@@ -131,14 +131,14 @@
 }
 
 // Tick lets time pass.
-func (z *Zones) Tick(now float64, f Fleet) Out {
+func (z *Coordinator) Tick(now float64, f Fleet) Output {
 	z.fleet = f
 	z.finishBootstrap(now, &z.fleet)
 	z.consensus.tick(now, &z.fleet, func() *Plan { return z.firstPlan() })
 	if now >= z.reportAt && z.plan != nil && z.reporting() {
 		z.reportAt = now + z.heartbeat
 		z.sequence++
-		r := &Report{Zone: z.self.Zone, Sequence: z.sequence, Run: z.run, Observations: z.observations, Homes: z.homes}
+		r := &Report{Zone: z.self.Zone, Sequence: z.sequence, Run: z.run, Observations: z.observations, Primaries: z.homes}
 		for _, v := range z.plan.Voters {
 			if v == z.self.Name {
 				z.storeReport(now, v, r)
@@ -159,7 +159,7 @@
 }
 
 // reporting says whether this driver is among those of its zone that report.
-func (z *Zones) reporting() bool {
+func (z *Coordinator) reporting() bool {
 	n := 0
 	for _, f := range z.fleet.Alive {
 		if f.Name == z.self.Name {
@@ -176,16 +176,16 @@
 
 // Receive takes a message of a peer. asked is when the peer was asked for it, on the own clock, and -Inf where it was
 // not.
-func (z *Zones) Receive(now, asked float64, from string, w Message) Out {
+func (z *Coordinator) Receive(now, asked float64, from string, w Message) Output {
 	switch {
-	case w.Kind == ReportAnswer:
+	case w.Kind == ReportReply:
 		return z.ReceiveSummary(now, asked, w.Summary)
 	case from == z.self.Name || from == "" || len(from) > maxNameBytes:
 	case w.Kind == ReportState:
 		if w.Report.valid() && z.fleet.isAlive(from) {
 			z.storeReport(now, from, w.Report)
 			if s := z.Summary(now); s != nil {
-				z.send(from, Message{Kind: ReportAnswer, Summary: s})
+				z.send(from, Message{Kind: ReportReply, Summary: s})
 			}
 		}
 	case w.Kind == ForwardCommand:
@@ -205,7 +205,7 @@
 }
 
 // storeReport takes a report.
-func (z *Zones) storeReport(now float64, from string, r *Report) {
+func (z *Coordinator) storeReport(now float64, from string, r *Report) {
 	if o := z.reports[from]; o != nil && o.Run == r.Run && o.Sequence >= r.Sequence || o != nil && o.Run > r.Run {
 		return
 	}
@@ -224,7 +224,7 @@
 }
 
 // Summary is this driver's.
-func (z *Zones) Summary(now float64) *Summary {
+func (z *Coordinator) Summary(now float64) *Summary {
 	if z.plan == nil {
 		return nil
 	}
@@ -237,9 +237,9 @@
 
 // ReceiveSummary takes a peer's summary. asked is when the peer was asked for it, on the own clock; what came unasked
 // says nothing of now, and only its plan counts. It says in Out whether that was news, and wants to ask the peer then.
-func (z *Zones) ReceiveSummary(now, asked float64, s *Summary) Out {
+func (z *Coordinator) ReceiveSummary(now, asked float64, s *Summary) Output {
 	if s == nil {
-		return Out{}
+		return Output{}
 	}
 	age := s.Age
 	if math.IsInf(asked, -1) {
@@ -254,10 +254,10 @@
 }
 
 // Saved tells what became of Out.Save.
-func (z *Zones) Saved(now float64, ok bool) { z.saved(now, ok) }
+func (z *Coordinator) Saved(now float64, ok bool) { z.saved(now, ok) }
 
-func (z *Zones) output(now float64) (out Out) {
-	out = Out{Sends: z.sends, Notes: z.notes, Save: z.save(now)}
+func (z *Coordinator) output(now float64) (out Output) {
+	out = Output{Messages: z.sends, Events: z.notes, Save: z.save(now)}
 	z.sends, z.notes = nil, nil
 	if t := z.follower.give(z.plan, z.zoneNames(), z.inForce(now)); !sameTolls(t, z.tolls) {
 		z.tolls, out.TollsChanged = t, true
@@ -278,10 +278,10 @@
 }
 
 // Tolls are what the module is to be told; nil for nothing.
-func (z *Zones) Tolls() map[string]float64 { return z.tolls }
+func (z *Coordinator) Tolls() map[string]float64 { return z.tolls }
 
-// Planned are the zones that the plan has a share of this driver's reads for.
-func (z *Zones) Planned() map[string]bool {
+// PlannedZones are the zones that the plan has a share of this driver's reads for.
+func (z *Coordinator) PlannedZones() map[string]bool {
 	all := map[string]bool{}
 	if z.plan != nil {
 		for _, f := range z.plan.Flows {
--- a/internal/lab/fleet/zones_test.go
+++ b/internal/lab/fleet/zones_test.go
@@ -72,7 +72,7 @@
 }
 
 func allServe(p *zones.Plan) bool {
-	return !slices.ContainsFunc(p.Zones, func(z zones.Zone) bool { return z.State != zones.Serving }) && len(p.Cuts) == 0
+	return !slices.ContainsFunc(p.Zones, func(z zones.Zone) bool { return z.State != zones.Serving }) && len(p.Partitions) == 0
 }
 
 // members does something to all members of a zone.
@@ -92,7 +92,7 @@
 		f.membersOf("b", "kill")
 		f.Drivers[1].Kill()
 		f.Drivers[4].Kill()
-		f.await(t, "away", func() bool { return f.follow(zoneIs("b", zones.Away, zones.Lost), 0, 2, 3, 5) })
+		f.await(t, "away", func() bool { return f.follow(zoneIs("b", zones.Ejected, zones.ZoneLost), 0, 2, 3, 5) })
 		f.membersOf("b", "heal")
 		if err := f.StartThese(1, 4); err != nil {
 			t.Error(err)
@@ -106,7 +106,7 @@
 	f := zoned(t, Options{Seed: 32})
 	f.under(t, func() {
 		f.membersOf("c", "kill")
-		f.await(t, "away", func() bool { return f.follow(zoneIs("c", zones.Away, zones.MembersLost)) })
+		f.await(t, "away", func() bool { return f.follow(zoneIs("c", zones.Ejected, zones.MembersLost)) })
 		f.membersOf("c", "heal")
 		f.await(t, "all serve again", func() bool { return f.follow(allServe) })
 	}, 0, 1, 2, 3, 4, 5)
@@ -134,8 +134,8 @@
 		f.await(t, "an order taken", func() bool { return f.Drivers[at].Control.OrderZone(context.Background(), s) == nil })
 	}
 	f.under(t, func() {
-		order(4, zones.Command{Zone: "a", Away: true})
-		f.await(t, "evacuated", func() bool { return f.follow(zoneIs("a", zones.Away, zones.Evacuated)) })
+		order(4, zones.Command{Zone: "a", Evacuate: true})
+		f.await(t, "evacuated", func() bool { return f.follow(zoneIs("a", zones.Ejected, zones.Evacuated)) })
 		f.await(t, "a primary is asked for elsewhere", func() bool {
 			return f.follow(func(p *zones.Plan) bool { return len(p.Moves) == 1 && p.Moves[0].From == "a" })
 		})
@@ -150,7 +150,7 @@
 		f.membersOf("c", "kill")
 		f.await(t, "both away", func() bool {
 			return f.follow(func(p *zones.Plan) bool {
-				return zoneIs("a", zones.Away)(p) && zoneIs("c", zones.Away, zones.MembersLost)(p)
+				return zoneIs("a", zones.Ejected)(p) && zoneIs("c", zones.Ejected, zones.MembersLost)(p)
 			})
 		})
 		f.membersOf("c", "heal")
@@ -161,7 +161,7 @@
 	order(0, zones.Command{Freeze: &on})
 	f.await(t, "frozen", func() bool { return f.follow(func(p *zones.Plan) bool { return p.Frozen }) })
 	if err := f.Drivers[5].Control.OrderZone(context.Background(),
-		zones.Command{Zone: "nowhere", Away: true}); err == nil || !strings.Contains(err.Error(), "404") {
+		zones.Command{Zone: "nowhere", Evacuate: true}); err == nil || !strings.Contains(err.Error(), "404") {
 		t.Errorf("an unknown zone: %v", err)
 	}
 }
@@ -171,19 +171,19 @@
 // nothing.
 func TestLeaderFrozenAndLeasesEnd(t *testing.T) {
 	f := zoned(t, Options{Seed: 34, Keep: true})
-	f.await(t, "the first voter leads", func() bool { s, ok := f.Drivers[0].zones(); return ok && s.Leads })
+	f.await(t, "the first voter leads", func() bool { s, ok := f.Drivers[0].zones(); return ok && s.Leader })
 	f.Drivers[0].Freeze()
 	f.await(t, "another one leads", func() bool {
 		return slices.ContainsFunc(f.Drivers[1:], func(d *Driver) bool {
 			s, ok := d.zones()
-			return ok && s.Leads && s.InForce
+			return ok && s.Leader && s.InForce
 		})
 	})
 	f.under(t, func() {
 		f.membersOf("b", "kill")
-		f.await(t, "away", func() bool { return f.follow(zoneIs("b", zones.Away), 1, 2, 3, 4, 5) })
+		f.await(t, "away", func() bool { return f.follow(zoneIs("b", zones.Ejected), 1, 2, 3, 4, 5) })
 		f.Drivers[0].Thaw()
-		f.await(t, "the thawed one follows", func() bool { return f.follow(zoneIs("b", zones.Away)) })
+		f.await(t, "the thawed one follows", func() bool { return f.follow(zoneIs("b", zones.Ejected)) })
 		before, _ := f.Drivers[0].zones()
 		f.Links.Parts(0, 0, 1, 1, 1, 1)
 		f.await(t, "the lease of the smaller part ends", func() bool {
@@ -191,7 +191,7 @@
 			b, too := f.Drivers[1].zones()
 			return ok && too && !a.InForce && !b.InForce
 		})
-		if err := f.Drivers[1].Control.OrderZone(context.Background(), zones.Command{Zone: "c", Away: true}); err == nil ||
+		if err := f.Drivers[1].Control.OrderZone(context.Background(), zones.Command{Zone: "c", Evacuate: true}); err == nil ||
 			!strings.Contains(err.Error(), "503") {
 			t.Errorf("an order without a plan in force: %v", err)
 		}
@@ -210,7 +210,7 @@
 	f := zoned(t, Options{Seed: 35, Keep: true})
 	f.under(t, func() {
 		f.membersOf("c", "kill")
-		f.await(t, "away", func() bool { return f.follow(zoneIs("c", zones.Away)) })
+		f.await(t, "away", func() bool { return f.follow(zoneIs("c", zones.Ejected)) })
 	}, 0, 1, 2, 3, 4, 5)
 	before, _ := f.Drivers[3].zones()
 	for _, d := range f.Drivers {
@@ -234,7 +234,7 @@
 		f.membersOf("b", "kill")
 		f.Drivers[1].Kill()
 		f.Drivers[4].Kill()
-		f.await(t, "away", func() bool { return f.follow(zoneIs("b", zones.Away, zones.Lost), 0, 2, 3, 5) })
+		f.await(t, "away", func() bool { return f.follow(zoneIs("b", zones.Ejected, zones.ZoneLost), 0, 2, 3, 5) })
 	}, 0, 2, 3, 5)
 	f.await(t, "standing", func() bool { return f.Stands(membership.Majority, 0, 2, 3, 5) })
 }
