--- a/internal/control/golden_test.go
+++ b/internal/control/golden_test.go
@@ -72,7 +72,7 @@
 func (f *fakeZones) Status() zones.Status { return zones.Status{Self: "n0", Zone: "a", Age: -1} }
 func (f *fakeZones) Without(zone string) (zones.Preview, error) {
 	f.d.taken = append(f.d.taken, "without "+zone)
-	return zones.Preview{Binds: []string{"none"}}, f.d.err
+	return zones.Preview{BindingConstraints: []string{"none"}}, f.d.err
 }
 
 func (f *fakeZones) Order(c zones.Command) error {
