--- a/internal/control/golden_test.go
+++ b/internal/control/golden_test.go
@@ -76,7 +76,7 @@
 }
 
 func (f *fakeZones) Order(c zones.Command) error {
-	f.d.taken = append(f.d.taken, fmt.Sprintf("order %s %v %g %v", c.Zone, c.Away, c.Duration, c.Freeze != nil))
+	f.d.taken = append(f.d.taken, fmt.Sprintf("order %s %v %g %v", c.Zone, c.Evacuate, c.Duration, c.Freeze != nil))
 	return f.d.err
 }
 
