--- a/internal/controlplane/agentlinks.go
+++ b/internal/controlplane/agentlinks.go
@@ -23,18 +23,18 @@
 func newAgentLinks() agentLinks { return agentLinks{subscriptions: map[*link]*subscription{}} }
 
 // subscribe notes a renewal that came on a link. first: it is the link's first.
-func (a *agentLinks) subscribe(l *link, driver string) (s *subscription, first bool) {
-	s, known := a.subscriptions[l]
+func (a *agentLinks) subscribe(agent *link, driver string) (sub *subscription, first bool) {
+	sub, known := a.subscriptions[agent]
 	if !known {
-		s = &subscription{}
-		a.subscriptions[l] = s
+		sub = &subscription{}
+		a.subscriptions[agent] = sub
 	}
-	s.driver = driver
-	return s, !known
+	sub.driver = driver
+	return sub, !known
 }
 
 // remove forgets the agent of a link that has ended.
-func (a *agentLinks) remove(l *link) { delete(a.subscriptions, l) }
+func (a *agentLinks) remove(agent *link) { delete(a.subscriptions, agent) }
 
 // driverNames gives the names of the drivers that renew at this machine.
 func (a *agentLinks) driverNames() map[string]bool {
@@ -57,17 +57,17 @@
 }
 
 // handleLeaseRenewal prolongs a driver's lease, and sends its agent what it lacks.
-func (s *softState) handleLeaseRenewal(l *link, r *controlmsg.LeaseRenewal, now float64) {
+func (s *softState) handleLeaseRenewal(from *link, r *controlmsg.LeaseRenewal, now float64) {
 	if r.Release {
 		s.drivers.release(r.Driver)
 		return
 	}
 	contactAgeMs := s.server.contactAge()
 	if r.Tentative && !s.contact.established {
-		l.Send(&controlmsg.Frame{Update: &controlmsg.StateUpdate{QuorumContactAgeMs: &contactAgeMs}})
+		from.Send(&controlmsg.Frame{Update: &controlmsg.StateUpdate{QuorumContactAgeMs: &contactAgeMs}})
 		return
 	}
-	agent, first := s.agents.subscribe(l, r.Driver.Name)
+	agent, first := s.agents.subscribe(from, r.Driver.Name)
 	if s.drivers.renew(r.Driver, now) {
 		s.peers.broadcast(&controlmsg.Frame{
 			Digest: &controlmsg.StateDigest{MembersHash: s.members.table.Digest()},
@@ -86,7 +86,7 @@
 		// A restarted machine's agents know the members that it had before, tombstones included: it asks for them.
 		f.Digest = &controlmsg.StateDigest{ConfigVersion: r.Digest.ConfigVersion, MembersHash: own.MembersHash, NoReply: true}
 	}
-	l.Send(f)
+	from.Send(f)
 }
 
 // addCommitted adds the configuration and the shard map to an answer, where the agent's are older.
--- a/internal/controlplane/configresource.go
+++ b/internal/controlplane/configresource.go
@@ -11,7 +11,7 @@
 )
 
 // configResource serves the operators' configuration.
-type configResource struct{ h *Server }
+type configResource struct{ server *Server }
 
 // replace takes a whole configuration.
 func (c *configResource) replace(w http.ResponseWriter, r *http.Request) { c.change(w, r, false) }
@@ -32,24 +32,24 @@
 		return
 	}
 	request := controlmsg.Request{Amend: amend, BaseVersion: base, Body: body}
-	writeAnswer(w, c.h.submit(request), contentTypeText)
+	writeAnswer(w, c.server.submit(request), contentTypeText)
 }
 
 // show reads the configuration from the leader.
 func (c *configResource) show(w http.ResponseWriter, _ *http.Request) {
-	writeJSONAnswer(w, c.h.submit(controlmsg.Request{ReadConfig: true}))
+	writeJSONAnswer(w, c.server.submit(controlmsg.Request{ReadConfig: true}))
 }
 
 // log gives the changes that this machine knows to be applied: all that were acknowledged before the age that its
 // header names.
 func (c *configResource) log(w http.ResponseWriter, _ *http.Request) {
-	if c.h.rejectWithoutContact(w) {
+	if c.server.rejectWithoutContact(w) {
 		return
 	}
-	c.h.setContactHeader(w)
+	c.server.setContactHeader(w)
 	var history []config.AppliedChange
-	err := c.h.loop.call(func() {
-		if committed := c.h.loop.committed; committed != nil {
+	err := c.server.loop.call(func() {
+		if committed := c.server.loop.committed; committed != nil {
 			history = committed.History
 		}
 	})
--- a/internal/controlplane/corelinks.go
+++ b/internal/controlplane/corelinks.go
@@ -33,8 +33,8 @@
 	accepted *link // on which the peer sent its last consensus message: it may be up while dialled is still down
 }
 
-func newCoreLinks(h *Server) *coreLinks {
-	return &coreLinks{server: h, byAddr: map[string]*coreLink{}}
+func newCoreLinks(server *Server) *coreLinks {
+	return &coreLinks{server: server, byAddr: map[string]*coreLink{}}
 }
 
 // connect keeps a link to the core machine with that control address, until the process ends.
@@ -52,10 +52,10 @@
 	core := &coreLink{}
 	c.byAddr[addr] = core
 	pauses := transport.Backoff{Initial: initialReconnectPause, Max: maxReconnectPause, DialTimeout: transport.DialTimeout}
-	go transport.KeepConnected(h.ctx, addr, pauses, func(l *link) {
-		l.SetCounters(&h.dialled)
-		l.Send(controlmsg.NewHello("core", h.settings.Hostname, h.settings.ControlAddr))
-		c.setDialled(core, l)
+	go transport.KeepConnected(h.ctx, addr, pauses, func(dialled *link) {
+		dialled.SetCounters(&h.dialled)
+		dialled.Send(controlmsg.NewHello("core", h.settings.Hostname, h.settings.ControlAddr))
+		c.setDialled(core, dialled)
 		h.log.Event(events.LinkUp, "core", controlAddr)
 	}, h.handleFrame, func() {
 		h.pending.failLink(c.setDialled(core, nil))
@@ -65,33 +65,33 @@
 }
 
 // setDialled replaces the link that this machine dialled, and gives the one before it.
-func (c *coreLinks) setDialled(core *coreLink, l *link) (previous *link) {
+func (c *coreLinks) setDialled(core *coreLink, dialled *link) (previous *link) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	previous, core.dialled = core.dialled, l
+	previous, core.dialled = core.dialled, dialled
 	return previous
 }
 
 // noteSender records the link on which a core machine sent a message, and connects to one that was unknown.
-func (c *coreLinks) noteSender(controlAddr string, l *link) {
+func (c *coreLinks) noteSender(controlAddr string, accepted *link) {
 	c.connect(controlAddr)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if core := c.byAddr[c.server.settings.MeshAddr(controlAddr)]; core != nil {
-		core.accepted = l
+		core.accepted = accepted
 	}
 }
 
 // count counts the dialled links that are up.
-func (c *coreLinks) count() (n int) {
+func (c *coreLinks) count() (up int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, core := range c.byAddr {
 		if core.dialled != nil {
-			n++
+			up++
 		}
 	}
-	return n
+	return up
 }
 
 // linkTo gives a link to a core machine that is up, nil for none at the moment, and connects to one that was unknown.
@@ -115,15 +115,15 @@
 }
 
 // send sends to a core machine. A frame for which no link is up is dropped: whoever needs an answer retries.
-func (c *coreLinks) send(controlAddr string, f *controlmsg.Frame) {
+func (c *coreLinks) send(controlAddr string, frame *controlmsg.Frame) {
 	if l := c.linkTo(controlAddr); l != nil {
-		l.Send(f)
+		l.Send(frame)
 	}
 }
 
 // broadcast sends to all other core machines whose dialled link is up.
-func (c *coreLinks) broadcast(f *controlmsg.Frame) {
-	encoded := transport.Encode(f)
+func (c *coreLinks) broadcast(frame *controlmsg.Frame) {
+	encoded := transport.Encode(frame)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, core := range c.byAddr {
--- a/internal/controlplane/errors.go
+++ b/internal/controlplane/errors.go
@@ -96,9 +96,9 @@
 }
 
 // statusOfOrder gives the status of an order's answer, for the machine that forwarded it.
-func statusOfOrder(a *orders.Answer) int {
-	if errors.Is(a.Err, orders.ErrNotLeader) {
-		return statusOf(a.Err)
+func statusOfOrder(result *orders.Answer) int {
+	if errors.Is(result.Err, orders.ErrNotLeader) {
+		return statusOf(result.Err)
 	}
-	return a.Status
+	return result.Status
 }
--- a/internal/controlplane/failovers.go
+++ b/internal/controlplane/failovers.go
@@ -160,7 +160,7 @@
 
 // perform carries out an action of a service's controller. What waits for others runs in a goroutine of its own,
 // whose result is a command to the owner; it ends by its own timeout.
-func (f *failovers) perform(c *failover.Controller, service string, action failover.Action) {
+func (f *failovers) perform(controller *failover.Controller, service string, action failover.Action) {
 	s := f.owner
 	log := s.server.log
 	switch action.Kind {
@@ -170,20 +170,20 @@
 		s.members.enforceDrain(action.ID)
 	case failover.Promote:
 		log.Event(events.SuccessStep, "svc", service, "step", "failover", "to", action.ID, "from", action.Reason)
-		go f.promote(c, service, action.ID, f.nextFence())
+		go f.promote(controller, service, action.ID, f.nextFence())
 	case failover.AllowRemoval:
 		s.roster.removable[config.RosterMember{Service: service, ID: action.ID}] = true
 	default:
 		member, ok := s.members.table.Get(action.ID)
 		if !ok {
-			c.HandleStatusFailure(action.ID, false)
+			controller.HandleStatusFailure(action.ID, false)
 			return
 		}
 		statement := statusStatement(action)
 		if action.Kind != failover.QueryStatus {
 			log.Event(events.SuccessStep, "svc", service, "step", statement, "member", action.ID)
 		}
-		go f.queryStatus(c, member, action.Kind, statement)
+		go f.queryStatus(controller, member, action.Kind, statement)
 	}
 }
 
@@ -203,22 +203,22 @@
 }
 
 // queryStatus sends a member a statement, and its controller the result.
-func (f *failovers) queryStatus(c *failover.Controller, member directory.Member, kind failover.ActionKind,
+func (f *failovers) queryStatus(controller *failover.Controller, member directory.Member, kind failover.ActionKind,
 	statement string) {
 	s := f.owner
 	sentAt := s.server.now()
 	status, refused, err := s.memberClient.queryStatus(member, statement)
 	s.do(func() {
 		if err != nil {
-			c.HandleStatusFailure(member.ID, refused)
+			controller.HandleStatusFailure(member.ID, refused)
 			return
 		}
-		c.HandleStatus(member.ID, kind, sentAt, status)
+		controller.HandleStatus(member.ID, kind, sentAt, status)
 	})
 }
 
 // promote has the platform make a member the primary, and gives the controller the result.
-func (f *failovers) promote(c *failover.Controller, service, id string, fence uint64) {
+func (f *failovers) promote(controller *failover.Controller, service, id string, fence uint64) {
 	s := f.owner
 	h := s.server
 	call := platformCall{addr: h.settings.PlatformAddr, caller: h.settings.Hostname, fence: fence,
@@ -229,5 +229,5 @@
 	} else {
 		h.log.Event(events.PlatformCall, "svc", service, "member", id, "fence", fence, "status", status)
 	}
-	s.do(func() { c.HandlePromoteResult(id, status, h.now()) })
+	s.do(func() { controller.HandlePromoteResult(id, status, h.now()) })
 }
--- a/internal/controlplane/forward.go
+++ b/internal/controlplane/forward.go
@@ -51,7 +51,7 @@
 }
 
 // attempt has one machine decide. mayHaveRun: it may have been carried out.
-func (h *Server) attempt(request controlmsg.Request, deadline time.Time) (a answer, mayHaveRun bool) {
+func (h *Server) attempt(request controlmsg.Request, deadline time.Time) (result answer, mayHaveRun bool) {
 	call := &routedCall{request: request, response: make(chan *controlmsg.Response, 1), done: make(chan struct{})}
 	defer close(call.done)
 	h.loop.do(func() { h.route(call) })
@@ -59,13 +59,13 @@
 	defer timer.Stop()
 	select {
 	case r := <-call.response:
-		a = answer{status: r.Status, body: r.Body}
+		result = answer{status: r.Status, body: r.Body}
 	case <-timer.C:
-		a = answerTo(errNoAnswer)
+		result = answerTo(errNoAnswer)
 	case <-h.ctx.Done():
-		a = answerTo(errStopping)
+		result = answerTo(errStopping)
 	}
-	return a, call.mayHaveRun.Load()
+	return result, call.mayHaveRun.Load()
 }
 
 // routedCall is a request that one machine is to decide.
--- a/internal/controlplane/frames.go
+++ b/internal/controlplane/frames.go
@@ -6,43 +6,43 @@
 )
 
 // handleFrame gives a frame to the owner of what it is about. It runs in the link's reading goroutine.
-func (h *Server) handleFrame(l *link, f *controlmsg.Frame) {
+func (h *Server) handleFrame(from *link, frame *controlmsg.Frame) {
 	switch {
-	case f.Consensus != nil:
-		h.handleConsensusMessage(l, f.Consensus)
-	case f.Hello != nil:
-		controlmsg.HandleHello(l, f.Hello)
-	case f.Request != nil:
-		h.handleForwardedRequest(l, f.Request)
-	case f.Response != nil:
-		h.pending.answer(l, f.Response)
+	case frame.Consensus != nil:
+		h.handleConsensusMessage(from, frame.Consensus)
+	case frame.Hello != nil:
+		controlmsg.HandleHello(from, frame.Hello)
+	case frame.Request != nil:
+		h.handleForwardedRequest(from, frame.Request)
+	case frame.Response != nil:
+		h.pending.answer(from, frame.Response)
 	default:
-		h.state.do(func() { h.state.handleFrame(l, f) })
+		h.state.do(func() { h.state.handleFrame(from, frame) })
 	}
 }
 
-func (h *Server) handleConsensusMessage(l *link, m *consensus.Message) {
+func (h *Server) handleConsensusMessage(from *link, message *consensus.Message) {
 	h.loop.do(func() {
-		if m.From.Addr != "" {
-			h.cores.noteSender(m.From.Addr, l)
+		if message.From.Addr != "" {
+			h.cores.noteSender(message.From.Addr, from)
 		}
-		h.loop.node.Step(m, h.now())
+		h.loop.node.Step(message, h.now())
 		h.loop.notifyCommitted() // the next message may bring an entry that replaces this one
 	})
 }
 
 // handleForwardedRequest has a request of another core machine decided here, and answers it over the link that it
 // came on.
-func (h *Server) handleForwardedRequest(l *link, r *controlmsg.Request) {
+func (h *Server) handleForwardedRequest(from *link, r *controlmsg.Request) {
 	h.loop.do(func() {
 		h.loop.submit(*r, func(status int, body []byte) {
-			l.Send(&controlmsg.Frame{Response: &controlmsg.Response{Number: r.Number, Status: status, Body: body}})
+			from.Send(&controlmsg.Frame{Response: &controlmsg.Response{Number: r.Number, Status: status, Body: body}})
 		})
 	})
 }
 
 // handleLinkDown follows the end of a link that another process dialled.
-func (h *Server) handleLinkDown(l *link) {
-	h.pending.failLink(l)
-	h.state.do(func() { h.state.agents.remove(l) })
+func (h *Server) handleLinkDown(down *link) {
+	h.pending.failLink(down)
+	h.state.do(func() { h.state.agents.remove(down) })
 }
--- a/internal/controlplane/loop.go
+++ b/internal/controlplane/loop.go
@@ -78,43 +78,43 @@
 // entryID is an entry's term and index.
 type entryID struct{ term, index uint64 }
 
-func entryIDOf(e *consensus.Entry) entryID { return entryID{e.Term, e.Index} }
+func entryIDOf(entry *consensus.Entry) entryID { return entryID{entry.Term, entry.Index} }
 
 // openConsensusLoop opens the disk, and founds the core or joins it where the disk is empty.
-func openConsensusLoop(ctx context.Context, h *Server) (*consensusLoop, error) {
-	s := h.settings
+func openConsensusLoop(ctx context.Context, server *Server) (*consensusLoop, error) {
+	s := server.settings
 	disk, hardState, found, err := store.Open(s.DataDir)
 	if err != nil {
 		return nil, err
 	}
 	if !found {
-		hardState = initialHardState(h)
+		hardState = initialHardState(server)
 		if err := disk.Save(&hardState); err != nil {
 			return nil, err
 		}
 	}
 	queueCtx, closeQueue := context.WithCancel(context.WithoutCancel(ctx))
-	c := &consensusLoop{server: h, store: disk, queue: commandqueue.New(queueCtx, maxLoopCommands), close: closeQueue,
+	c := &consensusLoop{server: server, store: disk, queue: commandqueue.New(queueCtx, maxLoopCommands), close: closeQueue,
 		orders: orders.New(orders.Limits{Pending: maxPendingRequests, Timeout: ms(requestTimeout)})}
 	options := consensus.Options{Addr: s.ControlAddr, Seeds: s.Peers, MinVoters: 2*s.TolerateNodes + 1,
 		HeartbeatInterval: ms(heartbeatInterval), ElectionTimeout: ms(electionTimeout), RemoveAfter: ms(removeAfter),
 		Random: drawFraction}
-	c.node = consensus.New(options, hardState, h.now())
+	c.node = consensus.New(options, hardState, server.now())
 	return c, nil
 }
 
 // initialHardState is that of an empty disk: of a founding voter, or of a machine that asks to join.
-func initialHardState(h *Server) consensus.HardState {
-	s := h.settings
+func initialHardState(server *Server) consensus.HardState {
+	s := server.settings
 	if s.Bootstrap && slices.Contains(s.Peers, s.ControlAddr) {
 		hardState := consensus.Bootstrap(s.ControlAddr, s.Peers)
-		h.log.Event(events.Founded, "voters", s.Peers)
+		server.log.Event(events.Founded, "voters", s.Peers)
 		return hardState
 	}
 	var id [8]byte
 	_, _ = rand.Read(id[:])
 	hardState := consensus.Empty(hex.EncodeToString(id[:]) + "@" + s.ControlAddr)
-	h.log.Event(events.Joining, "id", hardState.ID)
+	server.log.Event(events.Joining, "id", hardState.ID)
 	return hardState
 }
 
--- a/internal/controlplane/memberclient.go
+++ b/internal/controlplane/memberclient.go
@@ -58,22 +58,22 @@
 // queryStatus sends a statement that is answered with the member's status; refused: the member accepts no connection.
 // A second run of one is the same again: STAT changes nothing, PAUSE and STEPDOWN name their term, CONT resumes what
 // may be resumed.
-func (c *memberClient) queryStatus(m directory.Member,
+func (c *memberClient) queryStatus(member directory.Member,
 	statement string) (status wire.MemberStatus, refused bool, err error) {
 	deadline := time.Now().Add(statusTimeout)
-	refused, err = c.do(m, deadline, idempotency.Idempotent, func(conn *memberconn.Conn) (err error) {
+	refused, err = c.do(member, deadline, idempotency.Idempotent, func(conn *memberconn.Conn) (err error) {
 		status, err = conn.QueryStatus(statement, deadline)
 		return err
 	})
 	if err != nil {
-		err = oops.In("stat").With("peer", m.Addr).Wrap(err)
+		err = oops.In("stat").With("peer", member.Addr).Wrap(err)
 	}
 	return status, refused, err
 }
 
 // query sends a statement that is answered with rows.
-func (c *memberClient) query(m directory.Member, statement string, deadline time.Time) (rows []string, err error) {
-	_, err = c.do(m, deadline, idempotency.Idempotent, func(conn *memberconn.Conn) (err error) {
+func (c *memberClient) query(member directory.Member, statement string, deadline time.Time) (rows []string, err error) {
+	_, err = c.do(member, deadline, idempotency.Idempotent, func(conn *memberconn.Conn) (err error) {
 		rows, err = conn.Query(statement, deadline)
 		return err
 	})
@@ -82,12 +82,12 @@
 
 // do puts a question over the idle connection, or over a new one where that ended as it rested and the question may
 // be retried. A member's own error leaves the connection usable.
-func (c *memberClient) do(m directory.Member, deadline time.Time, effect idempotency.Kind,
+func (c *memberClient) do(member directory.Member, deadline time.Time, effect idempotency.Kind,
 	put func(*memberconn.Conn) error) (refused bool, err error) {
-	conn := c.acquire(m.ID)
+	conn := c.acquire(member.ID)
 	for reused := conn != nil; ; reused = false {
 		if conn == nil {
-			if conn, refused, err = memberconn.Dial(m, deadline); err != nil {
+			if conn, refused, err = memberconn.Dial(member, deadline); err != nil {
 				return refused, err
 			}
 		}
@@ -95,7 +95,7 @@
 		var memberError *memberconn.MemberError
 		switch {
 		case err == nil, errors.As(err, &memberError):
-			c.release(m.ID, conn)
+			c.release(member.ID, conn)
 			return false, err
 		case !reused || !effect.MayRetry(err) || !time.Now().Before(deadline):
 			conn.Close()
--- a/internal/controlplane/membersresource.go
+++ b/internal/controlplane/membersresource.go
@@ -10,7 +10,7 @@
 )
 
 // membersResource serves the calls of members.
-type membersResource struct{ h *Server }
+type membersResource struct{ server *Server }
 
 // heartbeatBody is the body of a heartbeat, as members send it. Fields that are not known here are ignored.
 type heartbeatBody struct {
@@ -48,8 +48,8 @@
 		writeError(w, &invalidCallError{"a beat names its svc and addr"})
 		return
 	}
-	record, state := b.record(r.PathValue("id")), m.h.state
-	if err := state.call(func() { state.members.handleHeartbeat(record, m.h.now()) }); err != nil {
+	record, state := b.record(r.PathValue("id")), m.server.state
+	if err := state.call(func() { state.members.handleHeartbeat(record, m.server.now()) }); err != nil {
 		writeError(w, errStopping)
 		return
 	}
@@ -67,18 +67,18 @@
 func (m *membersResource) forget(w http.ResponseWriter, r *http.Request) {
 	id := r.PathValue("id")
 	m.removeMember(id)
-	writeAnswer(w, m.h.submit(controlmsg.Request{ForgetMember: id}), contentTypeText)
+	writeAnswer(w, m.server.submit(controlmsg.Request{ForgetMember: id}), contentTypeText)
 }
 
 func (m *membersResource) removeMember(id string) {
-	state := m.h.state
-	state.do(func() { state.members.leave(id, m.h.now()) })
+	state := m.server.state
+	state.do(func() { state.members.leave(id, m.server.now()) })
 }
 
 // acknowledge answers a member whose record is in the table here. Without contact it would be in no other: the member
 // is to repeat its call to another machine.
 func (m *membersResource) acknowledge(w http.ResponseWriter) {
-	if m.h.rejectWithoutContact(w) {
+	if m.server.rejectWithoutContact(w) {
 		return
 	}
 	w.Header().Set(headerContentType, contentTypeJSON)
--- a/internal/controlplane/peerexchange.go
+++ b/internal/controlplane/peerexchange.go
@@ -23,12 +23,13 @@
 func newPeerExchange(cores *coreLinks) peerExchange { return peerExchange{cores: cores} }
 
 // broadcast sends a frame to all other core machines at once.
-func (p *peerExchange) broadcast(f *controlmsg.Frame) { p.cores.broadcast(f) }
+func (p *peerExchange) broadcast(frame *controlmsg.Frame) { p.cores.broadcast(frame) }
 
 // addHeartbeat passes on, with the next batch, a member's heartbeat that changed nothing but its number.
-func (p *peerExchange) addHeartbeat(m directory.Member) {
+func (p *peerExchange) addHeartbeat(member directory.Member) {
 	if len(p.heartbeats) < maxBatchedHeartbeats {
-		p.heartbeats = append(p.heartbeats, controlmsg.Heartbeat{MemberID: m.ID, Incarnation: m.Incarnation, Seq: m.Seq})
+		heartbeat := controlmsg.Heartbeat{MemberID: member.ID, Incarnation: member.Incarnation, Seq: member.Seq}
+		p.heartbeats = append(p.heartbeats, heartbeat)
 	}
 }
 
--- a/internal/controlplane/pending.go
+++ b/internal/controlplane/pending.go
@@ -34,21 +34,22 @@
 
 // add registers a request that goes out to a leader over a link. Its response goes to response, which must have room
 // for one.
-func (p *pendingCalls) add(l *link, leader string, response chan<- *controlmsg.Response) callID {
+func (p *pendingCalls) add(over *link, leader string, response chan<- *controlmsg.Response) callID {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.number++
-	id := callID{l, p.number}
+	id := callID{over, p.number}
 	p.calls[id] = pendingCall{leader, response}
 	return id
 }
 
 // send sends a request over a link to a leader, once, and has its response go to response.
-func (p *pendingCalls) send(l *link, leader string, r controlmsg.Request, response chan<- *controlmsg.Response) callID {
-	id := p.add(l, leader, response)
+func (p *pendingCalls) send(over *link, leader string, r controlmsg.Request,
+	response chan<- *controlmsg.Response) callID {
+	id := p.add(over, leader, response)
 	r.Number = id.number
-	if !l.Send(&controlmsg.Frame{Request: &r}) {
-		p.failLink(l)
+	if !over.Send(&controlmsg.Frame{Request: &r}) {
+		p.failLink(over)
 	}
 	return id
 }
@@ -61,9 +62,9 @@
 }
 
 // answer gives a response to its call. One that nobody waits for is dropped.
-func (p *pendingCalls) answer(l *link, r *controlmsg.Response) {
+func (p *pendingCalls) answer(from *link, r *controlmsg.Response) {
 	p.mu.Lock()
-	id := callID{l, r.Number}
+	id := callID{from, r.Number}
 	call, pending := p.calls[id]
 	delete(p.calls, id)
 	p.mu.Unlock()
@@ -74,13 +75,13 @@
 
 // failLink ends the calls that went out over a link that has ended: what became of them is not known, and no response
 // can come any more.
-func (p *pendingCalls) failLink(l *link) {
-	p.fail(func(id callID, _ pendingCall) bool { return id.link == l })
+func (p *pendingCalls) failLink(down *link) {
+	p.fail(func(id callID, _ pendingCall) bool { return id.link == down })
 }
 
 // failLeader ends the calls that were forwarded to a machine that leads no longer.
 func (p *pendingCalls) failLeader(leader string) {
-	p.fail(func(_ callID, c pendingCall) bool { return leader != "" && c.leader == leader })
+	p.fail(func(_ callID, call pendingCall) bool { return leader != "" && call.leader == leader })
 }
 
 func (p *pendingCalls) fail(matches func(callID, pendingCall) bool) {
--- a/internal/controlplane/pending_test.go
+++ b/internal/controlplane/pending_test.go
@@ -66,7 +66,7 @@
 					}
 				}
 			case 6:
-				if rapid.Bool().Draw(t, "again") { // another incarnation of this process, over the same links as far as anybody can tell
+				if rapid.Bool().Draw(t, "again") { // another incarnation of this process, over what seem the same links
 					for _, c := range calls {
 						c.over = true
 					}
--- a/internal/controlplane/requests.go
+++ b/internal/controlplane/requests.go
@@ -10,13 +10,13 @@
 
 // submit queues a request at the leader. reply is called once, with an HTTP status and a body, or with statusNotLeader.
 func (c *consensusLoop) submit(request controlmsg.Request, reply func(status int, body []byte)) {
-	order := &orders.Order{Request: request, Reply: func(a orders.Answer) {
-		c.logAnswer(&request, &a)
-		if request.SiteLease != nil && a.Outcome == orders.OutcomeRead {
+	order := &orders.Order{Request: request, Reply: func(result orders.Answer) {
+		c.logAnswer(&request, &result)
+		if request.SiteLease != nil && result.Outcome == orders.OutcomeRead {
 			s := c.server.state
 			s.do(func() { s.siteLeases.renewed(request.SiteLease.Site, c.server.now()) })
 		}
-		reply(statusOfOrder(&a), a.Body)
+		reply(statusOfOrder(&result), result.Body)
 	}}
 	c.orders.Submit(order, c.server.now())
 }
@@ -31,22 +31,22 @@
 }
 
 // logAnswer logs what was applied or rejected.
-func (c *consensusLoop) logAnswer(r *controlmsg.Request, a *orders.Answer) {
+func (c *consensusLoop) logAnswer(r *controlmsg.Request, result *orders.Answer) {
 	log := c.server.log
 	switch {
-	case a.Outcome == orders.OutcomeRejected && r.SiteLease == nil:
-		log.Event(events.ConfigNot, "reason", a.Reason, "why", string(a.Body), "from", r.Origin)
-	case a.Outcome != orders.OutcomeApplied:
+	case result.Outcome == orders.OutcomeRejected && r.SiteLease == nil:
+		log.Event(events.ConfigNot, "reason", result.Reason, "why", string(result.Body), "from", r.Origin)
+	case result.Outcome != orders.OutcomeApplied:
 	case r.ForgetMember != "":
 		log.Event(events.RosterChange, "forgotten", r.ForgetMember, "from", r.Origin)
 	case r.SiteChange != nil:
 		change := r.SiteChange
-		log.Event(events.SiteMap, "kind", change.Kind, "site", change.Name, "version", a.State.Sites.Version)
+		log.Event(events.SiteMap, "kind", change.Kind, "site", change.Name, "version", result.State.Sites.Version)
 	case r.ShardChange != nil:
 		change := r.ShardChange
 		log.Event(events.ShardMap, "kind", change.Kind, "shard", change.Shard, "node", change.Node,
-			"version", a.State.Shards.Version)
+			"version", result.State.Shards.Version)
 	default:
-		log.Event(events.ConfigTaken, "gen", a.State.Version, "base", r.BaseVersion, "from", r.Origin)
+		log.Event(events.ConfigTaken, "gen", result.State.Version, "base", r.BaseVersion, "from", r.Origin)
 	}
 }
--- a/internal/controlplane/roster.go
+++ b/internal/controlplane/roster.go
@@ -126,8 +126,8 @@
 
 // watchVoters notifies the soft state when another machine of the core falls silent, and when none is silent any more.
 func (c *consensusLoop) watchVoters() {
-	silent := slices.ContainsFunc(c.node.PeerStatuses(c.server.now()), func(p consensus.PeerStatus) bool {
-		return p.Silent < 0 || p.Silent > voterSilentMs
+	silent := slices.ContainsFunc(c.node.PeerStatuses(c.server.now()), func(peer consensus.PeerStatus) bool {
+		return peer.Silent < 0 || peer.Silent > voterSilentMs
 	})
 	if silent == c.voterSilent {
 		return
--- a/internal/controlplane/routes.go
+++ b/internal/controlplane/routes.go
@@ -41,19 +41,19 @@
 }
 
 // writeAnswer answers with what the leader decided. contentType is the answer's; "" for none of its own.
-func writeAnswer(w http.ResponseWriter, a answer, contentType string) {
+func writeAnswer(w http.ResponseWriter, result answer, contentType string) {
 	if contentType != "" {
 		w.Header().Set(headerContentType, contentType)
 	}
-	w.WriteHeader(a.status)
-	_, _ = w.Write(a.body)
+	w.WriteHeader(result.status)
+	_, _ = w.Write(result.body)
 }
 
 // writeJSONAnswer answers with what the leader decided: JSON, unless it is an error.
-func writeJSONAnswer(w http.ResponseWriter, a answer) {
-	if a.status == http.StatusOK {
-		writeAnswer(w, a, contentTypeJSON)
+func writeJSONAnswer(w http.ResponseWriter, result answer) {
+	if result.status == http.StatusOK {
+		writeAnswer(w, result, contentTypeJSON)
 		return
 	}
-	writeAnswer(w, a, "")
+	writeAnswer(w, result, "")
 }
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -52,16 +52,16 @@
 }
 
 // Run serves until ctx ends, or until a failure that can't be served with.
-func Run(ctx context.Context, s *settings.Settings, log events.Log) error {
-	h := newServer(ctx, s, log)
+func Run(ctx context.Context, set *settings.Settings, log events.Log) error {
+	h := newServer(ctx, set, log)
 	if err := h.open(ctx); err != nil {
 		return err
 	}
-	mesh, err := net.Listen("tcp4", s.PortAddr(s.IP, 0))
+	mesh, err := net.Listen("tcp4", set.PortAddr(set.IP, 0))
 	if err != nil {
 		return oops.In("listen").Wrap(err)
 	}
-	control, err := net.Listen("tcp4", s.ControlAddr)
+	control, err := net.Listen("tcp4", set.ControlAddr)
 	if err != nil {
 		_ = mesh.Close()
 		return oops.In("listen").Wrap(err)
@@ -70,9 +70,9 @@
 }
 
 // newServer gives a machine that is not opened yet: it has no owners.
-func newServer(ctx context.Context, s *settings.Settings, log events.Log) *Server {
+func newServer(ctx context.Context, set *settings.Settings, log events.Log) *Server {
 	now := time.Now()
-	h := &Server{settings: s, log: log, start: now, pending: newPendingCalls(now)}
+	h := &Server{settings: set, log: log, start: now, pending: newPendingCalls(now)}
 	h.ctx, h.cancel = context.WithCancelCause(ctx)
 	h.cores = newCoreLinks(h)
 	h.contact.set(math.Inf(-1))
@@ -94,7 +94,7 @@
 
 // serve runs the machine at its two listeners, and closes them.
 func (h *Server) serve(mesh, control net.Listener) error {
-	setCounters := func(l *link) { l.SetCounters(&h.accepted) }
+	setCounters := func(accepted *link) { accepted.SetCounters(&h.accepted) }
 	go transport.Serve(mesh, linkIdleTimeout, setCounters, h.handleFrame, h.handleLinkDown)
 	for _, peer := range h.settings.Peers {
 		h.cores.connect(peer)
@@ -127,7 +127,7 @@
 func (h *Server) now() float64 { return ms(time.Since(h.start)) }
 
 // ms gives a duration in milliseconds.
-func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+func ms(duration time.Duration) float64 { return float64(duration) / float64(time.Millisecond) }
 
 // fail ends the process by a failure that it can't serve with.
 func (h *Server) fail(err error) { h.cancel(err) }
--- a/internal/controlplane/shardmoves.go
+++ b/internal/controlplane/shardmoves.go
@@ -79,7 +79,7 @@
 // newest heartbeat of several.
 func (s *softState) nodeMembers(now float64) map[string]directory.Member {
 	nodes := map[string]directory.Member{}
-	age := func(m directory.Member) float64 { return s.members.table.HeartbeatAge(m.ID, now) }
+	age := func(member directory.Member) float64 { return s.members.table.HeartbeatAge(member.ID, now) }
 	for _, m := range s.members.table.Snapshot() {
 		if m.Tombstone || m.Role != directory.RolePrimary || s.config.Service(m.Service) == nil {
 			continue
--- a/internal/controlplane/shardsresource.go
+++ b/internal/controlplane/shardsresource.go
@@ -10,7 +10,7 @@
 )
 
 // shardsResource serves the shard map and its transfers.
-type shardsResource struct{ h *Server }
+type shardsResource struct{ server *Server }
 
 // ShardsView is the body of GET /shards. Only the leader knows what nodes report, and which transfers go on.
 type ShardsView struct {
@@ -38,7 +38,7 @@
 		writeError(w, &invalidCallError{"that is said by who moves shards"})
 		return
 	}
-	writeAnswer(w, s.h.submit(controlmsg.Request{ShardChange: &change}), contentTypeText)
+	writeAnswer(w, s.server.submit(controlmsg.Request{ShardChange: &change}), contentTypeText)
 }
 
 // show queries both owners at once: the loop for the leader, the soft state for all else.
@@ -47,22 +47,22 @@
 // the right side of the assignment is evaluated before the left one is set.
 func (s *shardsResource) show(w http.ResponseWriter, _ *http.Request) {
 	leaders, views := make(chan string, 1), make(chan ShardsView, 1)
-	s.h.loop.do(func() {
-		leader, _ := s.h.loop.node.Leader()
+	s.server.loop.do(func() {
+		leader, _ := s.server.loop.node.Leader()
 		leaders <- leader.Addr
 	})
-	s.h.state.do(func() { views <- s.h.state.shardsView() })
+	s.server.state.do(func() { views <- s.server.state.shardsView() })
 	var view ShardsView
 	for range 2 {
 		select {
 		case view.Leader = <-leaders:
 		case known := <-views:
 			known.Leader, view = view.Leader, known
-		case <-s.h.ctx.Done():
+		case <-s.server.ctx.Done():
 			return
 		}
 	}
-	s.h.setContactHeader(w)
+	s.server.setContactHeader(w)
 	w.Header().Set(headerContentType, contentTypeJSON)
 	_ = json.NewEncoder(w).Encode(view)
 }
--- a/internal/controlplane/sitesresource.go
+++ b/internal/controlplane/sitesresource.go
@@ -11,7 +11,7 @@
 )
 
 // sitesResource serves the sites that hold open sessions.
-type sitesResource struct{ h *Server }
+type sitesResource struct{ server *Server }
 
 // SiteRenewal is the body of a site's renewal of its lease; the answer is the map of sites.
 type SiteRenewal struct {
@@ -32,11 +32,11 @@
 		return
 	}
 	lease := controlmsg.Request{SiteLease: &controlmsg.SiteLeaseRequest{Site: name, Incarnation: renewal.Incarnation}}
-	a := s.h.submit(lease)
+	a := s.server.submit(lease)
 	if a.status == http.StatusConflict {
-		a = s.h.submit(controlmsg.Request{SiteChange: renewal.join(name)})
+		a = s.server.submit(controlmsg.Request{SiteChange: renewal.join(name)})
 		if a.status == http.StatusOK {
-			a = s.h.submit(lease)
+			a = s.server.submit(lease)
 		}
 	}
 	writeJSONAnswer(w, a)
@@ -63,14 +63,14 @@
 			}
 			change.DrainRate = n
 		}
-		writeJSONAnswer(w, s.h.submit(controlmsg.Request{SiteChange: change}))
+		writeJSONAnswer(w, s.server.submit(controlmsg.Request{SiteChange: change}))
 	}
 }
 
 // show gives the map of sites as this machine knows it. Edges may follow an old one: the sites that it names refuse
 // what is out of date.
 func (s *sitesResource) show(w http.ResponseWriter, _ *http.Request) {
-	state := s.h.state
+	state := s.server.state
 	siteMap := &sites.Map{}
 	err := state.call(func() {
 		if state.committed != nil && state.committed.Sites != nil {
@@ -81,7 +81,7 @@
 		_, _ = io.WriteString(w, "{}")
 		return
 	}
-	s.h.setContactHeader(w)
+	s.server.setContactHeader(w)
 	w.Header().Set(headerContentType, contentTypeJSON)
 	_ = json.NewEncoder(w).Encode(siteMap)
 }
--- a/internal/controlplane/state.go
+++ b/internal/controlplane/state.go
@@ -59,12 +59,12 @@
 	voterAddrs []string
 }
 
-func newSoftState(h *Server) *softState {
-	s := &softState{server: h, queue: commandqueue.New(h.ctx, maxStateCommands), memberClient: newMemberClient()}
+func newSoftState(server *Server) *softState {
+	s := &softState{server: server, queue: commandqueue.New(server.ctx, maxStateCommands), memberClient: newMemberClient()}
 	s.agents = newAgentLinks()
-	s.peers = newPeerExchange(h.cores)
-	s.members = newMembership(h.log, ms(h.settings.HeartbeatInterval), &s.agents, &s.peers)
-	s.drivers = newDriverLeases(h.log, &s.agents)
+	s.peers = newPeerExchange(server.cores)
+	s.members = newMembership(server.log, ms(server.settings.HeartbeatInterval), &s.agents, &s.peers)
+	s.drivers = newDriverLeases(server.log, &s.agents)
 	s.failovers = newFailovers(s)
 	s.roster = newRosterTracker(s)
 	s.shardMoves = newShardMoves(s)
@@ -160,27 +160,27 @@
 }
 
 // handleFrame takes a frame of another core machine or of an agent.
-func (s *softState) handleFrame(l *link, f *controlmsg.Frame) {
+func (s *softState) handleFrame(from *link, frame *controlmsg.Frame) {
 	now := s.server.now()
 	switch {
-	case f.LeaseRenewal != nil:
-		s.handleLeaseRenewal(l, f.LeaseRenewal, now)
-	case f.Update != nil:
-		s.members.merge(f.Update.Members, now)
-	case f.Heartbeats != nil:
-		s.members.observe(f.Heartbeats, now)
-	case f.PrimaryReport != nil:
-		s.handlePrimaryReport(f.PrimaryReport, now)
-	case f.Digest != nil:
-		s.handleDigest(l, f, now)
+	case frame.LeaseRenewal != nil:
+		s.handleLeaseRenewal(from, frame.LeaseRenewal, now)
+	case frame.Update != nil:
+		s.members.merge(frame.Update.Members, now)
+	case frame.Heartbeats != nil:
+		s.members.observe(frame.Heartbeats, now)
+	case frame.PrimaryReport != nil:
+		s.handlePrimaryReport(frame.PrimaryReport, now)
+	case frame.Digest != nil:
+		s.handleDigest(from, frame, now)
 	}
 }
 
 // handleDigest takes another core machine's digest, and the driver leases that came with it. Where its members differ
 // from this machine's it is sent all of them, on its own link; it does likewise by this machine's digests.
-func (s *softState) handleDigest(l *link, f *controlmsg.Frame, now float64) {
-	s.drivers.merge(f.Leases, now)
-	if !f.Digest.NoReply && f.Digest.MembersHash != s.members.table.Digest() {
-		l.Send(&controlmsg.Frame{Update: &controlmsg.StateUpdate{Members: s.members.table.Snapshot()}})
+func (s *softState) handleDigest(from *link, frame *controlmsg.Frame, now float64) {
+	s.drivers.merge(frame.Leases, now)
+	if !frame.Digest.NoReply && frame.Digest.MembersHash != s.members.table.Digest() {
+		from.Send(&controlmsg.Frame{Update: &controlmsg.StateUpdate{Members: s.members.table.Snapshot()}})
 	}
 }
--- a/internal/controlplane/status.go
+++ b/internal/controlplane/status.go
@@ -11,7 +11,7 @@
 
 // statusResource serves GET /status: what this machine knows, for operators. With ?brief=1 the lists of members and
 // drivers are left out.
-type statusResource struct{ h *Server }
+type statusResource struct{ server *Server }
 
 // serverStatus is the body of GET /status. Its keys are in order of the alphabet, which readers may rely on. Pointers
 // are nil where a key is left out: those of a brief status, and of a machine that knows no committed state.
@@ -99,7 +99,7 @@
 // ServeHTTP has the two owners fill in their parts.
 func (r *statusResource) ServeHTTP(w http.ResponseWriter, request *http.Request) {
 	brief := request.URL.Query().Get("brief") != ""
-	h := r.h
+	h := r.server
 	status := serverStatus{Machine: h.settings.Hostname, Traffic: trafficStatus{
 		Accepted: controlmsg.ReadTraffic(&h.accepted), Dialled: controlmsg.ReadTraffic(&h.dialled)}}
 	err := h.state.call(func() { h.state.reportStatus(&status, brief) })
--- a/internal/util/commandqueue/commandqueue.go
+++ b/internal/util/commandqueue/commandqueue.go
@@ -71,14 +71,14 @@
 
 // Call queues a command and waits for what it returns. It gives up with the context's error when ctx ends, and with
 // ErrClosed when the queue's own context does; the command may still run afterwards.
-func Call[T any](ctx context.Context, q *Queue, command func() T) (T, error) {
+func Call[T any](ctx context.Context, queue *Queue, command func() T) (T, error) {
 	var none T
 	reply := make(chan T, 1) // has room for one: the owner never waits for a caller that has given up
 	select {
-	case q.Commands <- Command{run: func() { reply <- command() }}:
+	case queue.Commands <- Command{run: func() { reply <- command() }}:
 	case <-ctx.Done():
 		return none, ctx.Err()
-	case <-q.ctx.Done():
+	case <-queue.ctx.Done():
 		return none, ErrClosed
 	}
 	select {
@@ -86,7 +86,7 @@
 		return result, nil
 	case <-ctx.Done():
 		return none, ctx.Err()
-	case <-q.ctx.Done():
+	case <-queue.ctx.Done():
 		return none, ErrClosed
 	}
 }
