--- a/internal/driver/bench_test.go
+++ b/internal/driver/bench_test.go
@@ -143,7 +143,7 @@
 						}
 						key := strconv.FormatInt(n, 10)
 						verdict, _, safe := v.ledger.ask(key, 1)
-						if verdict != ledger.Go {
+						if verdict != ledger.Execute {
 							b.Error(verdict)
 							return
 						}
@@ -151,7 +151,7 @@
 							b.Error(err)
 							return
 						}
-						v.ledger.end(key, ledger.Acked, []byte("rows"))
+						v.ledger.end(key, ledger.StateAcked, []byte("rows"))
 					}
 				})
 			}
--- a/internal/driver/ledger.go
+++ b/internal/driver/ledger.go
@@ -34,7 +34,7 @@
 	done  chan struct{}
 
 	mu   sync.Mutex // guards the book and the order of the queue
-	book *ledger.Book
+	book *ledger.Table
 	off  bool
 }
 
@@ -48,7 +48,7 @@
 // to say that they begin a new one, by moving the folder away.
 func (v *Service) openLedger(o operator.Ledger, types []logic.OpType) error {
 	limit := int64(o.LimitMB) << 20
-	rules := ledger.Rules{Keep: milliseconds(o.Keep), Keys: o.Keys, Bytes: int(limit / 4), Answer: ledgerAnswer}
+	rules := ledger.Limits{Retention: milliseconds(o.Keep), Keys: o.Keys, TotalBytes: int(limit / 4), AnswerBytes: ledgerAnswer}
 	if err := rules.Check(); err != nil {
 		return err
 	}
@@ -147,17 +147,17 @@
 		return badToken
 	}
 	key, began := string(token), time.Now()
-	verdict, answer, safe := l.ask(key, ledger.Print(form(&o.statement)))
+	verdict, answer, safe := l.ask(key, ledger.Fingerprint(form(&o.statement)))
 	switch verdict {
-	case ledger.Known:
+	case ledger.Replay:
 		return answer
-	case ledger.Told:
+	case ledger.AnswerLost:
 		return doneSince
-	case ledger.Doubt:
+	case ledger.InDoubt:
 		return inDoubt
-	case ledger.Different:
+	case ledger.Conflict:
 		return otherOp
-	case ledger.Wait, ledger.Full:
+	case ledger.InProgress, ledger.TableFull:
 		l.v.count.BusyReplied.Add(1)
 		return busy(0)
 	}
@@ -169,11 +169,11 @@
 	case <-limit.C:
 		err = fmt.Errorf("the disk took longer than %.0f ms", o.statement.Timeout*ledgerShare)
 	case <-gone:
-		l.end(key, ledger.Free, nil)
+		l.end(key, ledger.StateFree, nil)
 		return nil
 	}
 	if err != nil { // nothing was sent
-		l.end(key, ledger.Free, nil)
+		l.end(key, ledger.StateFree, nil)
 		l.v.log.Warn("ledger_slow", "error", err)
 		l.v.count.BusyReplied.Add(1)
 		return busy(0)
@@ -182,11 +182,11 @@
 	answer, end := l.v.carryOut(o, gone)
 	switch {
 	case end == endAcked:
-		l.end(key, ledger.Acked, answer)
+		l.end(key, ledger.StateAcked, answer)
 	case end == endUntaken, end == endBusy && l.types[o.opType].Effect == logic.NonRetryable:
-		l.end(key, ledger.Free, nil) // no send of it can have run
+		l.end(key, ledger.StateFree, nil) // no send of it can have run
 	default:
-		l.end(key, ledger.Unknown, nil)
+		l.end(key, ledger.StateUnknown, nil)
 	}
 	return answer
 }
@@ -203,14 +203,14 @@
 func (l *outcomes) ask(key string, print uint64) (ledger.Verdict, []byte, chan error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	v, answer, record := l.book.Ask(l.v.decide.clock.now(), key, print)
-	if v != ledger.Go {
+	v, answer, record := l.book.Begin(l.v.decide.clock.now(), key, print)
+	if v != ledger.Execute {
 		return v, answer, nil
 	}
 	safe := make(chan error, 1)
 	if !l.put(queued{record, safe}) {
-		l.book.End(l.v.decide.clock.now(), key, ledger.Free, nil) // it never began
-		return ledger.Full, nil, nil
+		l.book.Finish(l.v.decide.clock.now(), key, ledger.StateFree, nil) // it never began
+		return ledger.TableFull, nil, nil
 	}
 	return v, nil, safe
 }
@@ -218,7 +218,7 @@
 func (l *outcomes) end(key string, s ledger.State, answer []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if record := l.book.End(l.v.decide.clock.now(), key, s, answer); record != nil && !l.put(queued{record: record}) {
+	if record := l.book.Finish(l.v.decide.clock.now(), key, s, answer); record != nil && !l.put(queued{record: record}) {
 		// The disk is far behind: without this record the key is in doubt behind a restart, which is the safe side.
 		l.v.log.Warn("ledger_failed", "error", "the queue is full")
 	}
--- a/internal/ledger/golden_test.go
+++ b/internal/ledger/golden_test.go
@@ -11,11 +11,11 @@
 )
 
 func TestRecordedForms(t *testing.T) {
-	open := record{Key: "k", entry: entry{State: Open, Print: 7, At: 1.5}}
-	acked := record{Key: "k", entry: entry{State: Acked, Print: 1 << 63, At: 2, Answer: []byte("rows")}}
-	long := record{Key: "long", entry: entry{State: Acked, Print: 1, At: 3, Long: true}}
-	unknown := record{Key: "u", entry: entry{State: Unknown, Print: 1, At: 4}}
-	free := record{Key: "f", entry: entry{State: Free, Print: 1, At: 5}}
+	open := record{Key: "k", entry: entry{State: StateOpen, Fingerprint: 7, ChangedAt: 1.5}}
+	acked := record{Key: "k", entry: entry{State: StateAcked, Fingerprint: 1 << 63, ChangedAt: 2, Answer: []byte("rows")}}
+	long := record{Key: "long", entry: entry{State: StateAcked, Fingerprint: 1, ChangedAt: 3, TooLong: true}}
+	unknown := record{Key: "u", entry: entry{State: StateUnknown, Fingerprint: 1, ChangedAt: 4}}
+	free := record{Key: "f", entry: entry{State: StateFree, Fingerprint: 1, ChangedAt: 5}}
 	golden.CBOR(t, "testdata/records.golden", []golden.Case[record]{golden.Of("open", open), golden.Of("acked", acked),
 		golden.Of("long", long), golden.Of("unknown", unknown), golden.Of("free", free)})
 	golden.CBOR(t, "testdata/snapshots.golden", []golden.Case[snapshot]{
@@ -26,9 +26,9 @@
 // Texts that operators read, and prints that outlive a build.
 func TestRecordedTexts(t *testing.T) {
 	golden.Text(t, "testdata/texts.golden", []golden.Case[string]{
-		golden.Of("rules", Rules{Keep: -1.5, Keys: 2, Bytes: 3, Answer: 4}.Check().Error()),
+		golden.Of("rules", Limits{Retention: -1.5, Keys: 2, TotalBytes: 3, AnswerBytes: 4}.Check().Error()),
 		golden.Of("form", ErrForm.Error()),
-		golden.Of("print", fmt.Sprint(Print([]byte("insert into t")))),
+		golden.Of("print", fmt.Sprint(Fingerprint([]byte("insert into t")))),
 	})
 }
 
@@ -37,7 +37,7 @@
 	digest := fnv.New64a()
 	for seed := range uint64(80) {
 		draw, now := rand.New(rand.NewPCG(seed, 1)), 0.0
-		limits := Rules{Keep: 500, Keys: 5 + draw.IntN(4), Bytes: 1500, Answer: 20}
+		limits := Limits{Retention: 500, Keys: 5 + draw.IntN(4), TotalBytes: 1500, AnswerBytes: 20}
 		b := New(limits)
 		var snap []byte
 		var log [][]byte
@@ -46,19 +46,19 @@
 			key := fmt.Sprint("k", draw.IntN(9))
 			switch n := draw.IntN(20); {
 			case n < 9:
-				verdict, answer, record := b.Ask(now, key, uint64(draw.IntN(8)/7))
+				verdict, answer, record := b.Begin(now, key, uint64(draw.IntN(8)/7))
 				fmt.Fprintf(digest, "%d %x %x\n", verdict, answer, record)
 				if record != nil {
 					log = append(log, record)
 				}
 			case n < 16:
-				record := b.End(now, key, State(draw.IntN(4)), make([]byte, draw.IntN(30)))
+				record := b.Finish(now, key, State(draw.IntN(4)), make([]byte, draw.IntN(30)))
 				fmt.Fprintf(digest, "%x\n", record)
 				if record != nil {
 					log = append(log, record)
 				}
 			case n < 18:
-				b.Tick(now)
+				b.Expire(now)
 			case n < 19:
 				snap, log = b.Snapshot(), nil
 			default:
@@ -71,7 +71,7 @@
 			open, acked, unknown, bytes := b.Counts()
 			fmt.Fprintf(digest, "%d %d %d %d %x\n", open, acked, unknown, bytes, snap)
 		}
-		if again, err := Load(limits, 0, b.Snapshot(), nil); err != nil || reflect.DeepEqual(again, New(limits)) != (len(b.keys) == 0) {
+		if again, err := Load(limits, 0, b.Snapshot(), nil); err != nil || reflect.DeepEqual(again, New(limits)) != (len(b.entries) == 0) {
 			t.Fatal(err, again)
 		}
 	}
--- a/internal/ledger/recorded_test.go
+++ b/internal/ledger/recorded_test.go
@@ -22,7 +22,7 @@
 	t.Helper()
 	draw := rand.New(rand.NewPCG(seed, 1))
 	sum := fnv.New64a()
-	rules := Rules{Keep: 5000, Keys: 12, Bytes: 4000, Answer: 100}
+	rules := Limits{Retention: 5000, Keys: 12, TotalBytes: 4000, AnswerBytes: 100}
 	b := New(rules)
 	now := 0.0
 	for range 2000 {
@@ -30,15 +30,15 @@
 		key := fmt.Sprint("key", draw.IntN(30))
 		switch draw.IntN(8) {
 		case 0, 1, 2, 3:
-			v, answer, rec := b.Ask(now, key, Print([]byte{byte(draw.IntN(12) / 11)}))
+			v, answer, rec := b.Begin(now, key, Fingerprint([]byte{byte(draw.IntN(12) / 11)}))
 			fmt.Fprintf(sum, "%d %q %x\n", v, answer, rec)
 		case 4, 5, 6:
-			if e := b.keys[key]; e != nil && e.State == Open {
-				state := []State{Free, Acked, Unknown}[draw.IntN(3)]
-				fmt.Fprintf(sum, "%x\n", b.End(now, key, state, make([]byte, draw.IntN(150))))
+			if e := b.entries[key]; e != nil && e.State == StateOpen {
+				state := []State{StateFree, StateAcked, StateUnknown}[draw.IntN(3)]
+				fmt.Fprintf(sum, "%x\n", b.Finish(now, key, state, make([]byte, draw.IntN(150))))
 			}
 		default:
-			b.Tick(now)
+			b.Expire(now)
 			snapshot := b.Snapshot()
 			if draw.IntN(10) == 0 {
 				var err error
