--- a/internal/fleet/membership/digest_test.go
+++ b/internal/fleet/membership/digest_test.go
@@ -161,8 +161,8 @@
 	}
 }
 
-// playFaults has drivers killed, restarted with what they saved or without, frozen, partitioned, renamed, added, leaving
-// and forgotten, over a network that loses, doubles and delays.
+// playFaults has drivers killed, restarted with what they saved or without, frozen, partitioned, renamed,
+// added, leaving and forgotten, over a network that loses, doubles and delays.
 func playFaults(d *digest, seed uint64) {
 	n := &network{Queue: virtualclock.Queue{Now: 1e6}, d: d, r: rand.New(rand.NewPCG(seed, 51)), cut: map[[2]int]bool{},
 		latency: []float64{1, 30, 120}[seed%3], founders: 4}
@@ -226,8 +226,8 @@
 	}
 }
 
-// playAnyMessage gives one driver messages of every kind in any order, from peers, strangers and those who bear its name,
-// with records, votes and rosters near its own.
+// playAnyMessage gives one driver messages of every kind in any order, from peers, strangers and those who bear
+// its name, with records, votes and rosters near its own.
 func playAnyMessage(d *digest, seed uint64) {
 	r := rand.New(rand.NewPCG(seed, 52))
 	now := 10_000.0
@@ -317,7 +317,8 @@
 	return m
 }
 
-// playCrowd tells one driver of more drivers than it takes, and changes what it says of them faster than it passes on.
+// playCrowd tells one driver of more drivers than it takes, and changes what it says of them faster than it
+// passes on.
 func playCrowd(d *digest, seed uint64) {
 	r := rand.New(rand.NewPCG(seed, 54))
 	now := 10_000.0
--- a/internal/fleet/membership/drains.go
+++ b/internal/fleet/membership/drains.go
@@ -1,19 +1,17 @@
 package membership
 
-// This file owns drains that peers tell of. It must never let one end but by a list that is at least as new as the one
-// that told it, or by word of such a list: not by a heal, and not because who told it has failed.
-
 import (
 	"cmp"
 	"maps"
 	"slices"
 )
 
-// Drain says what one source's list told of a member at a revision: that it drains or is gone, or that it is up again.
+// Drain says what one source's list of members told of one at a revision: that it drains or is gone, or that it
+// is up again.
 type Drain struct {
 	Member   string `json:"member"`
-	Source   uint8  `json:"source"`
-	Revision int64  `json:"revision"`
+	Source   uint8  `json:"source"`   // number of the list's source
+	Revision int64  `json:"revision"` // of the list
 	Up       bool   `json:"up,omitempty"`
 }
 
@@ -22,114 +20,128 @@
 	source uint8
 }
 
-// heldDrain is a drain, and when it came here.
-type heldDrain struct {
+// storedDrain is a drain, and when it came here.
+type storedDrain struct {
 	Drain
-	at float64
+	at float64 // milliseconds
 }
 
-// Drains holds what peers told, and what the own lists tell others.
+// Drains are the drains that peers tell of, and those of the own lists that peers are told of. A drain must not
+// end but by a list that is at least as new as the one that told of it, or by a peer's message of such a list:
+// not by a heal, and not because who told of it has failed.
 type Drains struct {
 	limit        int
-	retainFor    float64
-	all          map[drainKey]heldDrain
-	ownRevisions map[uint8]int64 // revision held, by source
-	draining     map[string]bool
-}
-
-// NewDrains makes a book of at most so many. A drain that the own list never came to, though it speaks, is let go after
-// keep: its revisions are of another list than the one that told it.
-func NewDrains(most int, keep float64) *Drains {
-	return &Drains{limit: most, retainFor: keep, all: map[drainKey]heldDrain{}, ownRevisions: map[uint8]int64{}, draining: map[string]bool{}}
+	retainFor    float64 // milliseconds
+	all          map[drainKey]storedDrain
+	ownRevisions map[uint8]int64 // of the own lists, by source
+	draining     map[string]bool // members that count as draining by peers' messages alone
 }
 
-// record notes a message that says more than what is held.
-func (d *Drains) record(now float64, t Drain) bool {
-	key := drainKey{t.Member, t.Source}
-	h, known := d.all[key]
-	switch {
-	// of one revision the message by which less is sent holds
-	case known && t.Revision < h.Revision, known && t.Revision == h.Revision && (t.Up || !h.Up):
-		return false
-	case !known && (t.Up || len(d.all) >= d.limit && !d.evictOldest()):
-		return false
-	}
-	d.all[key] = heldDrain{t, now}
-	return true
+// NewDrains makes room for so many. A drain that the own list never came to, though it is read, is dropped
+// after retainFor milliseconds: its revisions are of another list than the one that told of it.
+func NewDrains(limit int, retainFor float64) *Drains {
+	return &Drains{limit: limit, retainFor: retainFor, all: map[drainKey]storedDrain{}, ownRevisions: map[uint8]int64{},
+		draining: map[string]bool{}}
 }
 
-// ApplyList takes what an own list told: the revision up to which it is held now, and what it told of members. It gives
-// the members whose marks change (true: counts as draining now) and whether there is news for peers.
-func (d *Drains) ApplyList(now float64, source uint8, revision int64, told []Drain) (marks map[string]bool, news bool) {
+// ApplyList takes what an own list says: its revision, and drains of members. It gives the members whose
+// draining by peers' messages changes (true: it begins), and whether there is news for peers.
+func (d *Drains) ApplyList(now float64, source uint8, revision int64, drains []Drain) (
+	changes map[string]bool, isNew bool,
+) {
 	d.ownRevisions[source] = revision
-	for _, t := range told {
-		news = d.record(now, t) || news
+	for _, drain := range drains {
+		isNew = d.record(now, drain) || isNew
 	}
-	for k, h := range d.all {
-		if k.source == source && h.Revision > revision && now-h.at > d.retainFor {
-			delete(d.all, k)
+	for key, stored := range d.all {
+		if key.source == source && stored.Revision > revision && now-stored.at > d.retainFor {
+			delete(d.all, key)
 		}
 	}
-	return d.updateDraining(), news
+	return d.updateDraining(), isNew
 }
 
-// ApplyPeer takes a peer's word, and says whether it was news.
-func (d *Drains) ApplyPeer(now float64, t Drain) (marks map[string]bool, news bool) {
-	if t.Member == "" || len(t.Member) > 256 || t.Revision < 0 || !d.record(now, t) {
+// maxMemberBytes bounds the names of members that peers tell of.
+const maxMemberBytes = 256
+
+// ApplyPeer takes a peer's message, and gives the changes as ApplyList does, and whether it was news.
+func (d *Drains) ApplyPeer(now float64, drain Drain) (changes map[string]bool, isNew bool) {
+	valid := drain.Member != "" && len(drain.Member) <= maxMemberBytes && drain.Revision >= 0
+	if !valid || !d.record(now, drain) {
 		return nil, false
 	}
 	return d.updateDraining(), true
 }
 
-// evictOldest forgets the oldest drain that the own list covers; one that only peers told stays.
+// record stores a drain that says more than what is stored, and says whether it does.
+func (d *Drains) record(now float64, drain Drain) bool {
+	key := drainKey{drain.Member, drain.Source}
+	stored, known := d.all[key]
+	if known {
+		older := drain.Revision < stored.Revision
+		// Of one revision the message by which less is sent holds.
+		if older || drain.Revision == stored.Revision && (drain.Up || !stored.Up) {
+			return false
+		}
+	} else if drain.Up || len(d.all) >= d.limit && !d.evictOldest() {
+		return false
+	}
+	d.all[key] = storedDrain{drain, now}
+	return true
+}
+
+// evictOldest forgets the oldest drain that the own list covers; one that only peers told of stays.
 func (d *Drains) evictOldest() bool {
 	var oldest drainKey
 	found := false
-	for k, t := range d.all {
-		if t.Revision <= d.ownRevisions[k.source] && (!found || t.Revision < d.all[oldest].Revision ||
-			t.Revision == d.all[oldest].Revision && k.member < oldest.member) {
-			oldest, found = k, true
+	for key, stored := range d.all {
+		if stored.Revision > d.ownRevisions[key.source] {
+			continue
+		}
+		byAge := cmp.Compare(stored.Revision, d.all[oldest].Revision)
+		if !found || cmp.Or(byAge, cmp.Compare(key.member, oldest.member)) < 0 {
+			oldest, found = key, true
 		}
 	}
 	delete(d.all, oldest)
 	return found
 }
 
-// updateDraining works out the marks: a member counts as draining where a peer told so by a list newer than the own one.
+// updateDraining works out who drains: a member of which a peer told so by a list newer than the own one.
 func (d *Drains) updateDraining() (changes map[string]bool) {
-	want := map[string]bool{}
-	for k, t := range d.all {
-		if !t.Up && t.Revision > d.ownRevisions[k.source] {
-			want[k.member] = true
+	draining := map[string]bool{}
+	for key, stored := range d.all {
+		if !stored.Up && stored.Revision > d.ownRevisions[key.source] {
+			draining[key.member] = true
 		}
 	}
 	changes = map[string]bool{}
-	for m := range want {
-		if !d.draining[m] {
-			changes[m] = true
+	for member := range draining {
+		if !d.draining[member] {
+			changes[member] = true
 		}
 	}
-	for m := range d.draining {
-		if !want[m] {
-			changes[m] = false
+	for member := range d.draining {
+		if !draining[member] {
+			changes[member] = false
 		}
 	}
-	d.draining = want
+	d.draining = draining
 	return changes
 }
 
 // Since are the drains that came here from a time on, sorted: what a peer should know that heard of the earlier ones.
-func (d *Drains) Since(from float64) (all []Drain) {
-	for _, h := range d.all {
-		if h.at >= from {
-			all = append(all, h.Drain)
+func (d *Drains) Since(from float64) (drains []Drain) {
+	for _, stored := range d.all {
+		if stored.at >= from {
+			drains = append(drains, stored.Drain)
 		}
 	}
-	slices.SortFunc(all, func(a, b Drain) int {
+	slices.SortFunc(drains, func(a, b Drain) int {
 		return cmp.Or(cmp.Compare(a.Member, b.Member), cmp.Compare(a.Source, b.Source))
 	})
-	return all
+	return drains
 }
 
-// Draining are the members that count as draining by peers' word alone, sorted.
+// Draining are the members that count as draining by peers' messages alone, sorted.
 func (d *Drains) Draining() []string { return slices.Sorted(maps.Keys(d.draining)) }
--- a/internal/fleet/membership/forget.go
+++ b/internal/fleet/membership/forget.go
@@ -1,13 +1,11 @@
 package membership
 
-// This file owns what operators say of drivers that are gone for good.
-
 import (
 	"errors"
 	"slices"
 )
 
-// Errors of what operators ask for.
+// Errors of Forget. Their texts are shown to operators.
 var (
 	ErrUnknownDriver = errors.New("no driver of this name is known")
 	ErrAlive         = errors.New("this driver lives: stop it, or let it leave")
@@ -16,33 +14,33 @@
 			"or say that the forgotten one is certain not to run")
 )
 
-// Forget takes a failed driver for gone for good, so that majorities are no longer counted with it. With the larger
-// part the rest agrees on that; otherwise operators must be certain that it does not run, as nobody else can be asked.
+// Forget takes a failed driver for gone for good, so that majorities are no longer counted with it. With a
+// majority the rest agrees on that; otherwise operators must be certain that it does not run, as nobody else
+// can be asked, and the roster is changed by force.
 func (f *Fleet) Forget(now float64, name string, certain bool) (Output, error) {
 	f.now = max(f.now, now)
-	m := f.peersByName[name]
+	p := f.peersByName[name]
 	switch {
-	case m == nil && !f.onRoster(name) || name == f.self.Name:
+	case p == nil && !f.onRoster(name) || name == f.self.Name:
 		return Output{}, ErrUnknownDriver
-	case m != nil && !m.State.ended():
+	case p != nil && !p.State.ended():
 		return Output{}, ErrAlive
 	}
 	agreed := f.partition == Complete || f.partition == Majority
 	if !agreed && !certain {
 		return Output{}, ErrNoMajority
 	}
-	if m != nil && m.State == Failed {
-		r := m.Record
+	if p != nil && p.State == Failed {
+		r := p.Record
 		r.State, r.ReportedBy = Left, f.self.Name
 		f.applyRecord(r)
 	}
-	if f.onRoster(name) && !agreed || f.onRoster(name) && m == nil {
-		names := slices.DeleteFunc(slices.Clone(f.roster.Names), func(n string) bool { return n == name })
-		if len(names) == 0 {
+	if f.onRoster(name) && (!agreed || p == nil) {
+		rest := slices.DeleteFunc(slices.Clone(f.roster.Names), func(n string) bool { return n == name })
+		if len(rest) == 0 {
 			return f.takeOutput(), ErrUnknownDriver
 		}
-		f.adoptRoster(Roster{Version: f.roster.Version + forcedVersionStep, Lineage: f.roster.Lineage, Names: names,
-			hash: namesHash(names)})
+		f.adoptRoster(newRoster(f.roster.Version+forcedVersionStep, f.roster.Lineage, rest))
 	}
 	f.emit("forgets", name, "as operators say")
 	f.updatePartition()
--- a/internal/fleet/membership/gossip.go
+++ b/internal/fleet/membership/gossip.go
@@ -1,187 +1,190 @@
 package membership
 
-// This file owns what a driver passes on: which word goes along with which message, and for how long it goes round.
-
 import (
 	"math"
 	"slices"
 )
 
-// send queues a message with what a peer is to know: first of itself, then news.
-func (f *Fleet) send(address string, m Message) {
+// broadcast is a record or a reachability that this driver passes on, on one message after another.
+type broadcast struct {
+	record        Record
+	reachability  *Reachability // in place of the record; nil: none
+	transmissions int           // so far
+	superseded    bool          // by a newer one; it is dropped from the queue in passing
+}
+
+// broadcastQueue is what is passed on.
+type broadcastQueue struct {
+	// broadcasts are in the order of their transmissions, the newest first among equals.
+	broadcasts      []*broadcast
+	spareBroadcasts []*broadcast // storage for the next order
+	// broadcastsAbout are those that are not superseded, by whom they are about.
+	broadcastsAbout map[string][]*broadcast
+	lastQueuedAt    float64 // when a record was queued last
+}
+
+// send queues a message with what a peer is to know: of this driver itself, then the newest gossip.
+func (f *Fleet) send(address string, msg Message) {
 	f.counter++
-	m.From, m.Counter, m.ViewHash = f.self, f.counter, f.viewHash
+	msg.From, msg.Counter, msg.ViewHash = f.self, f.counter, f.viewHash
 	if f.roster != nil {
-		m.RosterVersion, m.RosterHash = f.roster.Version, f.roster.hash
+		msg.RosterVersion, msg.RosterHash = f.roster.Version, f.roster.hash
 	}
-	left := maxPiggybackBytes
-	for i := range m.Records {
-		left -= m.Records[i].size()
+	budget := maxPiggybackBytes
+	for i := range msg.Records {
+		budget -= msg.Records[i].size()
 	}
-	if d := f.decidedChange; d != nil && f.decidedTransmissions > 0 && m.Vote == nil {
+	if d := f.decidedChange; d != nil && f.decidedTransmissions > 0 && msg.Vote == nil {
 		f.decidedTransmissions--
-		m.DecidedChange = d
-		left -= d.size()
+		msg.DecidedChange = d
+		budget -= d.size()
 	}
-	f.piggyback(&m, left)
-	f.pending.Messages = append(f.pending.Messages, Envelope{address, m})
+	f.piggyback(&msg, budget)
+	f.pending.Messages = append(f.pending.Messages, Envelope{address, msg})
 }
 
-// piggyback puts news into a message, up to so many bytes: what was passed on least often first.
-func (f *Fleet) piggyback(m *Message, left int) {
+// piggyback puts gossip into a message, up to so many bytes: what was passed on least often first.
+func (f *Fleet) piggyback(msg *Message, budget int) {
 	i := 0
 	for ; i < len(f.broadcasts); i++ {
-		r := f.broadcasts[i]
-		if r.superseded {
+		b := f.broadcasts[i]
+		if b.superseded {
 			continue
 		}
-		n := r.record.size()
-		if r.reachability != nil {
-			n = r.reachability.size()
-		}
-		if n > left {
+		n := b.size()
+		if n > budget {
 			break
 		}
-		if left -= n; r.reachability != nil {
-			m.Reachability = append(m.Reachability, *r.reachability)
+		budget -= n
+		b.transmissions++
+		if b.reachability != nil {
+			msg.Reachability = append(msg.Reachability, *b.reachability)
 		} else {
-			m.Records = append(m.Records, r.record)
+			msg.Records = append(msg.Records, b.record)
 		}
-		r.transmissions++
 	}
-	if i == 0 {
-		return
+	if i > 0 {
+		f.reorderBroadcasts(i)
 	}
-	taken, rest, times := f.broadcasts[:i], f.broadcasts[i:], f.retransmitLimit()
-	f.spareBroadcasts = f.spareBroadcasts[:0]
-	for len(taken) > 0 || len(rest) > 0 { // both are in order
+}
+
+// reorderBroadcasts merges the first ones, which were passed on, with the rest, without those that were passed on
+// often enough.
+func (f *Fleet) reorderBroadcasts(count int) {
+	sent, rest, limit := f.broadcasts[:count], f.broadcasts[count:], f.retransmitLimit()
+	merged := f.spareBroadcasts[:0]
+	for len(sent) > 0 || len(rest) > 0 { // both are in order
 		switch {
-		case len(taken) > 0 && (taken[0].superseded || taken[0].transmissions >= times):
-			f.dropBroadcast(taken[0])
-			taken = taken[1:]
+		case len(sent) > 0 && (sent[0].superseded || sent[0].transmissions >= limit):
+			f.dropBroadcast(sent[0])
+			sent = sent[1:]
 		case len(rest) > 0 && rest[0].superseded:
 			rest = rest[1:]
-		case len(rest) > 0 && (len(taken) == 0 || rest[0].transmissions <= taken[0].transmissions):
-			f.spareBroadcasts = append(f.spareBroadcasts, rest[0])
+		case len(rest) > 0 && (len(sent) == 0 || rest[0].transmissions <= sent[0].transmissions):
+			merged = append(merged, rest[0])
 			rest = rest[1:]
 		default:
-			f.spareBroadcasts = append(f.spareBroadcasts, taken[0])
-			taken = taken[1:]
+			merged = append(merged, sent[0])
+			sent = sent[1:]
 		}
 	}
-	f.broadcasts, f.spareBroadcasts = f.spareBroadcasts, f.broadcasts
+	f.broadcasts, f.spareBroadcasts = merged, f.broadcasts
 }
 
-// retransmitLimit is how often one driver passes an update on.
+// retransmitLimit is how often one driver passes a broadcast on: by the logarithm of the fleet's size (SWIM,
+// section 4.1).
 func (f *Fleet) retransmitLimit() int {
 	return 3*int(math.Ceil(math.Log10(float64(len(f.peers)+2)))) + 2
 }
 
-func (r *broadcast) about() string {
-	if r.reachability != nil {
-		return "hears " + r.reachability.Name
+// about is whom a broadcast is about: a newer one with the same key replaces it.
+func (b *broadcast) about() string {
+	if b.reachability != nil {
+		return "hears " + b.reachability.Name
+	}
+	return b.record.Name
+}
+
+func (b *broadcast) size() int {
+	if b.reachability != nil {
+		return b.reachability.size()
 	}
-	return r.record.Name
+	return b.record.size()
 }
 
-// dropBroadcast takes an update out of those that go round.
-func (f *Fleet) dropBroadcast(r *broadcast) {
-	r.superseded = true
-	key := r.about()
-	if left := slices.DeleteFunc(f.broadcastsAbout[key], func(o *broadcast) bool { return o.superseded }); len(left) > 0 {
-		f.broadcastsAbout[key] = left
+// dropBroadcast takes a broadcast out of those that are passed on.
+func (f *Fleet) dropBroadcast(dropped *broadcast) {
+	dropped.superseded = true
+	key := dropped.about()
+	rest := slices.DeleteFunc(f.broadcastsAbout[key], func(b *broadcast) bool { return b.superseded })
+	if len(rest) > 0 {
+		f.broadcastsAbout[key] = rest
 	} else {
 		delete(f.broadcastsAbout, key)
 	}
 }
 
-// addBroadcast makes an update go round, before all others.
-func (f *Fleet) addBroadcast(r *broadcast) {
-	f.broadcasts = slices.Insert(f.broadcasts, 0, r)
-	f.broadcastsAbout[r.about()] = append(f.broadcastsAbout[r.about()], r)
+// addBroadcast has a broadcast passed on, before all others.
+func (f *Fleet) addBroadcast(added *broadcast) {
+	f.broadcasts = slices.Insert(f.broadcasts, 0, added)
+	key := added.about()
+	f.broadcastsAbout[key] = append(f.broadcastsAbout[key], added)
 }
 
-// broadcastRecord makes a record news. Sayings of a driver replace each other, but for suspicions by several.
+// broadcastRecord has a record passed on. Records of a driver replace each other, but for suspicions by several.
 func (f *Fleet) broadcastRecord(r Record) {
-	f.lastNews = f.now
-	for _, o := range slices.Clone(f.broadcastsAbout[r.Name]) {
-		if r.State != Suspect || o.record.State != Suspect || o.record.Run != r.Run || o.record.Incarnation != r.Incarnation ||
-			o.record.ReportedBy == r.ReportedBy {
-			f.dropBroadcast(o)
+	f.lastQueuedAt = f.now
+	for _, old := range slices.Clone(f.broadcastsAbout[r.Name]) {
+		o := &old.record
+		confirms := r.State == Suspect && o.State == Suspect && o.Run == r.Run && o.Incarnation == r.Incarnation &&
+			o.ReportedBy != r.ReportedBy
+		if !confirms {
+			f.dropBroadcast(old)
 		}
 	}
 	f.addBroadcast(&broadcast{record: r})
 }
 
-// gossip passes news on between probes.
+// gossip passes on between probes.
 func (f *Fleet) gossip() {
 	if len(f.broadcastsAbout) == 0 && f.decidedTransmissions == 0 {
 		return
 	}
-	to := map[string]bool{}
-	for range gossipFanout {
-		m := f.randomPeer(func(m *peer) bool { return !m.State.ended() && !to[m.Name] })
-		if m == nil {
-			return
-		}
-		to[m.Name] = true
-		f.send(m.Address, Message{Kind: Gossip, Target: m.Name})
-	}
+	f.randomPeers(gossipFanout, expected, func(p *peer) {
+		f.send(p.Address, Message{Kind: Gossip, Target: p.Name})
+	})
 }
 
-// compareViews begins an exchange with a peer that sees the fleet otherwise though nothing was news for a while, or that
-// holds a newer roster.
-func (f *Fleet) compareViews(from *peer, m Message) {
-	if from == nil || from.Run != m.From.Run || from.State.ended() {
+// compareViews asks for an exchange of snapshots with a peer that has a newer roster, or that sees the fleet
+// otherwise though nothing was gossiped for a while, or though there is more than gossip carries: after a heal,
+// or as many start at once.
+func (f *Fleet) compareViews(from *peer, msg *Message) {
+	if from == nil || from.Run != msg.From.Run || from.State.ended() {
 		return
 	}
-	newer := m.RosterVersion > 0 && (f.roster == nil || m.RosterVersion > f.roster.Version ||
-		m.RosterVersion == f.roster.Version && m.RosterHash != f.roster.hash)
-	if f.roster != nil && m.RosterVersion > f.roster.Version {
-		if f.rosterBehindSince == 0 {
-			f.rosterBehindSince = f.now
-		}
-	} else {
-		f.rosterBehindSince = 0
-	}
-	// ... or where there is more news than updates carry: behind a heal, or as many start at once
-	differs := m.ViewHash != f.viewHash && (f.now-f.lastNews > viewsSettleAfter*f.options.Period || len(f.broadcastsAbout) > maxBroadcastBacklog)
-	if !newer && !differs || f.now < f.nextSync || f.now < from.nextSync {
+	f.compareRosters(msg)
+	settled := f.now-f.lastQueuedAt > viewsSettleAfter*f.options.Period || len(f.broadcastsAbout) > maxBroadcastBacklog
+	differs := msg.ViewHash != f.viewHash && settled
+	if !f.lacksRoster(msg) && !differs || f.now < f.nextSync || f.now < from.nextSync {
 		return
 	}
 	f.nextSync, from.nextSync = f.now+f.options.Period, f.now+syncInterval*f.options.Period
 	f.pending.SyncWith = append(f.pending.SyncWith, from.Address)
 }
 
-// Snapshot is all that this driver knows.
-func (f *Fleet) Snapshot() Snapshot {
-	w := Snapshot{From: f.self, Roster: f.roster}
-	for _, m := range f.peers {
-		if w.Records = append(w.Records, m.Record); len(m.reachability.Unreachable) > 0 {
-			w.Reachability = append(w.Reachability, m.reachability)
-		}
-	}
-	if len(f.reachability.Unreachable) > 0 {
-		w.Reachability = append(w.Reachability, f.reachability)
+// lacksRoster says that a peer has a roster that this driver lacks: a newer one, or another of this version.
+func (f *Fleet) lacksRoster(msg *Message) bool {
+	if msg.RosterVersion == 0 || f.roster == nil {
+		return msg.RosterVersion > 0
 	}
-	return w
+	return msg.RosterVersion > f.roster.Version || msg.RosterVersion == f.roster.Version && msg.RosterHash != f.roster.hash
 }
 
-// Merge takes all that a peer knows: who lives and who does not, then the roster.
-func (f *Fleet) Merge(now float64, w Snapshot) Output {
-	f.advance(now)
-	if w.From.valid() && !(w.From.Name == f.self.Name && w.From.Run == f.self.Run) {
-		f.applyRecord(w.From)
-		for _, r := range w.Records {
-			f.applyRecord(r)
-		}
-		for i := range w.Reachability {
-			f.receiveReachability(w.Reachability[i])
-		}
-		if w.Roster != nil {
-			f.receiveRoster(*w.Roster)
-		}
-		f.updatePartition()
+// compareRosters notes since when a peer has a newer roster.
+func (f *Fleet) compareRosters(msg *Message) {
+	if f.roster == nil || msg.RosterVersion <= f.roster.Version {
+		f.rosterBehindSince = 0
+	} else if f.rosterBehindSince == 0 {
+		f.rosterBehindSince = f.now
 	}
-	return f.takeOutput()
 }
--- a/internal/fleet/membership/persist.go
+++ b/internal/fleet/membership/persist.go
@@ -1,7 +1,5 @@
 package membership
 
-// This file owns what of the votes outlives the process.
-
 import "weirwind/internal/fleet/paxos"
 
 // SavedState is what must outlive the process for its votes to count when it comes back.
@@ -12,45 +10,67 @@
 	Version      uint64       `cbor:"4,keyasint,omitempty"` // of the roster to come that the votes are about
 	Promised     paxos.Ballot `cbor:"5,keyasint"`
 	Accepted     paxos.Ballot `cbor:"6,keyasint"`
-	Change       *Change      `cbor:"7,keyasint,omitempty"` // taken
-	BallotNumber uint32       `cbor:"8,keyasint,omitempty"`
+	Change       *Change      `cbor:"7,keyasint,omitempty"` // accepted
+	BallotNumber uint32       `cbor:"8,keyasint,omitempty"` // highest known
+}
+
+// saveState is of what is to be saved.
+type saveState struct {
+	unsavedVotes bool    // the roster or a vote changed since the last Output.Save
+	nextSave     float64 // none before: the last one failed
+	saveFailed   bool    // and no later one has succeeded
 }
 
 // mayVote says that no earlier vote of this driver can have been forgotten.
 func (f *Fleet) mayVote() bool { return f.now >= f.mayVoteAt && !f.saveFailed }
 
-// restore takes up what an earlier run under the name kept: that roster and those votes, so that it votes at once.
-func (f *Fleet) restore(k *SavedState) {
-	if k == nil || k.Name != f.self.Name || k.Roster.Version == 0 {
+// restore takes up what an earlier run under the name saved, its roster and its votes, so that this one votes
+// at once.
+func (f *Fleet) restore(saved *SavedState) {
+	if saved == nil || saved.Name != f.self.Name || saved.Roster.Version == 0 {
 		return
 	}
-	if k.Run >= f.self.Run && k.Run < maxRun-1 { // the clock went back
-		f.adoptRun(k.Run + 1)
+	if saved.Run >= f.self.Run && saved.Run < maxRun-1 { // the clock went back
+		f.adoptRun(saved.Run + 1)
 	}
-	f.receiveRoster(k.Roster)
-	f.voteVersion, f.acceptor = k.Version, paxos.Acceptor[Change]{Promised: k.Promised, Accepted: k.Accepted, Value: k.Change}
-	f.acceptedAt, f.ballotNumber = f.now-roundPeriods*f.options.Period, k.BallotNumber
+	f.receiveRoster(saved.Roster)
+	f.voteVersion = saved.Version
+	f.acceptor = paxos.Acceptor[Change]{Promised: saved.Promised, Accepted: saved.Accepted, Value: saved.Change}
+	f.acceptedAt, f.ballotNumber = f.now-roundPeriods*f.options.Period, saved.BallotNumber
 	f.mayVoteAt = 0
 }
 
-// save gives what is to be kept, where there is something new.
+// save gives what is to be saved; nil: nothing new.
 func (f *Fleet) save() *SavedState {
 	if !f.options.Persistent || !f.unsavedVotes || f.roster == nil || f.now < f.nextSave {
 		return nil
 	}
 	f.unsavedVotes = false
-	return &SavedState{f.self.Name, f.self.Run, *f.roster, f.voteVersion, f.acceptor.Promised, f.acceptor.Accepted, f.acceptor.Value,
-		f.ballotNumber}
+	return &SavedState{
+		Name:         f.self.Name,
+		Run:          f.self.Run,
+		Roster:       *f.roster,
+		Version:      f.voteVersion,
+		Promised:     f.acceptor.Promised,
+		Accepted:     f.acceptor.Accepted,
+		Change:       f.acceptor.Value,
+		BallotNumber: f.ballotNumber,
+	}
 }
 
-// Saved tells what became of the last Out.Save. Where it could not be kept, that Out's messages must not be sent, and
-// this driver gives no votes until a later one could be.
+// Saved tells what became of the last Output.Save. Where it could not be made durable, that Output's messages
+// must not be sent, and this driver gives no votes until a later one could be.
 func (f *Fleet) Saved(ok bool) {
 	if !ok {
 		f.unsavedVotes, f.nextSave, f.round = true, f.now+settledPeriods*f.options.Period, nil
 	}
-	if f.saveFailed == ok {
-		f.saveFailed = !ok
-		f.emit(map[bool]string{true: "votes_kept", false: "votes_not_kept"}[ok], f.self.Name, "")
+	if f.saveFailed != ok {
+		return
+	}
+	f.saveFailed = !ok
+	reason := "votes_kept"
+	if !ok {
+		reason = "votes_not_kept"
 	}
+	f.emit(reason, f.self.Name, "")
 }
--- a/internal/fleet/membership/roster.go
+++ b/internal/fleet/membership/roster.go
@@ -1,14 +1,5 @@
 package membership
 
-// This file owns the roster: the names that majorities are counted in, and how the drivers agree on another one. It
-// must never let a loss change it, or let two rosters of one version come of votes.
-//
-// A roster is founded when as many drivers as there are to be see the same fleet, each of which says so. From there on
-// a change (some names more, some fewer) is decided by Paxos, one instance a version: the acceptors are the drivers of
-// the roster that holds, and a change needs a majority of the names before and of those after it, so that any two
-// majorities of neighbouring versions share a driver. A driver that was started again has forgotten what it voted for:
-// it votes again after a time that is longer than any vote takes.
-
 import (
 	"cmp"
 	"fmt"
@@ -17,13 +8,17 @@
 	"weirwind/internal/fleet/paxos"
 )
 
-// Roster is one that was agreed on. Names are sorted.
+// Roster is the names that majorities are counted in. Names are sorted.
 type Roster struct {
 	Version uint64   `cbor:"1,keyasint" json:"version"`
-	Lineage uint64   `cbor:"2,keyasint" json:"lineage"` // the run that founded it
+	Lineage uint64   `cbor:"2,keyasint" json:"lineage"` // the run of the driver that founded it
 	Names   []string `cbor:"3,keyasint" json:"names"`
 
-	hash uint64
+	hash uint64 // of the names
+}
+
+func newRoster(version, lineage uint64, names []string) Roster {
+	return Roster{Version: version, Lineage: lineage, Names: names, hash: namesHash(names)}
 }
 
 func (r *Roster) has(name string) bool {
@@ -31,83 +26,86 @@
 	return found
 }
 
-// Change makes a roster out of the one before it; the first one has no base, and its names are those whose sum it
-// bears.
+// Change makes a roster out of the one before it. The first one has no base, and adds nobody: its names are
+// those whose hash it bears.
 type Change struct {
-	Version  uint64   `cbor:"1,keyasint"`
+	Version  uint64   `cbor:"1,keyasint"` // of the roster that it makes
 	Lineage  uint64   `cbor:"2,keyasint"`
-	BaseHash uint64   `cbor:"3,keyasint,omitempty"` // sum of the names before
-	Hash     uint64   `cbor:"4,keyasint"`           // and after
+	BaseHash uint64   `cbor:"3,keyasint,omitempty"` // of the names before
+	Hash     uint64   `cbor:"4,keyasint"`           // of the names after
 	Add      []string `cbor:"5,keyasint,omitempty"`
 	Remove   []string `cbor:"6,keyasint,omitempty"`
 }
 
+func (c *Change) names() int { return len(c.Add) + len(c.Remove) }
+
+// size is about how many bytes it takes in a message.
 func (c *Change) size() int {
 	n := 48
-	for _, name := range append(slices.Clone(c.Add), c.Remove...) {
+	for _, name := range c.Add {
+		n += 2 + len(name)
+	}
+	for _, name := range c.Remove {
 		n += 2 + len(name)
 	}
 	return n
 }
 
 const (
-	maxChange         = 16 // names in one change
-	forcedVersionStep = 1 << 32
+	maxChange         = 16      // names in one change
+	forcedVersionStep = 1 << 32 // by which a forced roster's version is above all that can have been agreed on
 )
 
-// In periods.
+// Of agreements on a roster, in periods.
 const (
-	bootstrapPeriods = 4.0  // the fleet that is founded has been the same for so long
-	settledPeriods   = 3.0  // one that came or left is known for so long before it is voted on
+	bootstrapPeriods = 4.0  // the fleet that founds a roster has been the same for so long
+	settledPeriods   = 3.0  // a driver that came or left is known for so long before a change is proposed
 	roundPeriods     = 4.0  // one ballot
-	rankPeriods      = 8.0  // before the next in order proposes as well
-	forgetPeriods    = 20.0 // a driver started again does not vote
+	rankPeriods      = 8.0  // before the next driver in order proposes as well
+	maxRank          = 8    // that is counted so
+	forgetPeriods    = 20.0 // a driver that may have forgotten a vote gives none; longer than any ballot takes
 )
 
-// rosterConsensus is a driver's part in agreeing.
-type rosterConsensus struct {
-	roster *Roster
-
-	mayVoteAt         float64 // it may have forgotten a vote: none before
-	voteVersion       uint64  // that what follows is about
-	acceptor          paxos.Acceptor[Change]
-	acceptedAt        float64
-	ballotNumber      uint32
-	round             *round
-	changeWantedSince float64 // since when a change is wanted
-	nextProposal      float64
-	forgotten         map[string]uint64 // by operators: run
-	unsavedVotes      bool              // something is to be kept
-	nextSave          float64           // not before
-	saveFailed        bool              // what was voted could not be kept
-
-	bootstrapConfirmedBy    map[string]bool // who sees the same
-	bootstrapHash           uint64
-	nextBootstrapRequest    float64
-	confirmedBootstrapHash  uint64 // a founding that this driver agreed to, until
-	bootstrapConfirmedUntil float64
+// rosterState is a driver's part in agreements on the roster.
+type rosterState struct {
+	roster            *Roster // nil: none is known
+	rosterBehindSince float64 // a peer has a newer one; 0: none is known to have
+
+	mayVoteAt    float64                // no votes before: an earlier process may have given some
+	voteVersion  uint64                 // that acceptor is about
+	acceptor     paxos.Acceptor[Change] // this driver's votes on that version
+	acceptedAt   float64                // when the acceptor's value was accepted
+	ballotNumber uint32                 // highest known
+	round        *round                 // nil: this driver leads none
+
+	changeWantedSince float64 // 0: the roster is as it should be
+	nextProposal      float64 // none before
 
+	// decidedChange made the roster; it is passed on decidedTransmissions times more.
 	decidedChange        *Change
 	decidedTransmissions int
+
+	saveState
+	bootstrapState
 }
 
 // abandon forgets what this driver leads, as it may be over.
-func (c *rosterConsensus) abandon() {
-	c.round, c.bootstrapConfirmedBy, c.bootstrapConfirmedUntil = nil, nil, 0
+func (s *rosterState) abandon() {
+	s.round, s.bootstrapConfirmedBy, s.bootstrapConfirmedUntil = nil, nil, 0
 }
 
 func (f *Fleet) onRoster(name string) bool { return f.roster != nil && f.roster.has(name) }
 
-// names are those of all that live, sorted; doubted ones among them or not.
-func (f *Fleet) names(doubted bool) []string {
-	all := append(make([]string, 0, len(f.peers)+1), f.self.Name)
-	for _, m := range f.peers {
-		if m.State == Alive || doubted && m.State == Suspect {
-			all = append(all, m.Name)
+// aliveNames are those of all drivers that are alive, or also of those that are suspected, sorted.
+func (f *Fleet) aliveNames(suspects bool) []string {
+	names := append(make([]string, 0, len(f.peers)+1), f.self.Name)
+	for _, p := range f.peers {
+		if p.State == Alive || suspects && p.State == Suspect {
+			names = append(names, p.Name)
 		}
 	}
-	slices.Sort(all)
-	return all
+	slices.Sort(names)
+	return names
 }
 
 // tickRoster founds a roster, or proposes a change of the one that holds.
@@ -122,90 +120,141 @@
 	if f.round != nil {
 		if f.now >= f.round.deadline {
 			f.round = nil
-			f.nextProposal = f.now + 2*f.options.Period*(0.5+f.random.Float64())
+			f.backOff()
 		}
 		return
 	}
-	want := f.wantedChange()
-	if want == nil {
+	change := f.wantedChange()
+	if change == nil {
 		f.changeWantedSince = 0
 		return
 	}
 	if f.changeWantedSince == 0 {
 		f.changeWantedSince = f.now
 	}
+	if f.mayPropose() {
+		f.propose(change)
+	}
+}
+
+// mayPropose says that it is this driver's turn to propose: the drivers of the roster do it in the order of
+// their names.
+func (f *Fleet) mayPropose() bool {
 	rank := 0
-	for _, m := range f.peers {
-		if m.Name < f.self.Name && m.State == Alive && m.onRoster {
+	for _, p := range f.peers {
+		if p.Name < f.self.Name && p.State == Alive && p.onRoster {
 			rank++
 		}
 	}
-	if f.now < f.nextProposal || !f.mayVote() || f.now-f.changeWantedSince < float64(min(rank, 8))*rankPeriods*f.options.Period ||
-		!f.roster.has(f.self.Name) {
-		return
+	wait := float64(min(rank, maxRank)) * rankPeriods * f.options.Period
+	if f.now < f.nextProposal || f.now-f.changeWantedSince < wait || !f.mayVote() || !f.roster.has(f.self.Name) {
+		return false
+	}
+	allowed, _ := Allowed(f.partition, ChangeRoster)
+	return allowed
+}
+
+// wantedChange is the change of the roster to what this driver sees: who came is to be on it, who left is not.
+// One that has failed stays. A change that was accepted and may have been decided goes first.
+func (f *Fleet) wantedChange() *Change {
+	pending := f.acceptor.Value != nil && f.voteVersion == f.roster.Version+1
+	if pending && f.now-f.acceptedAt > roundPeriods*f.options.Period {
+		return f.acceptor.Value
+	}
+	c := &Change{Version: f.roster.Version + 1, Lineage: f.roster.Lineage, BaseHash: f.roster.hash, Hash: f.roster.hash}
+	if !f.roster.has(f.self.Name) {
+		c.Add = append(c.Add, f.self.Name)
 	}
-	if allowed, _ := Allowed(f.partition, ChangeRoster); allowed {
-		f.propose(want)
+	for _, p := range f.peers {
+		if c.names() >= maxChange {
+			break
+		}
+		if f.now-p.stateSince <= settledPeriods*f.options.Period {
+			continue
+		}
+		switch {
+		case p.onRoster && p.State == Left:
+			c.Remove = append(c.Remove, p.Name)
+		case !p.onRoster && p.State == Alive:
+			c.Add = append(c.Add, p.Name)
+		}
+	}
+	if c.names() == 0 {
+		return nil
+	}
+	c.Hash ^= namesHash(c.Add) ^ namesHash(c.Remove)
+	return c
+}
+
+// rosterAfter is the roster that a change makes of the one that holds.
+func (f *Fleet) rosterAfter(change *Change) Roster {
+	names := slices.DeleteFunc(f.voters(change), func(name string) bool { return slices.Contains(change.Remove, name) })
+	slices.Sort(names)
+	return newRoster(change.Version, change.Lineage, names)
+}
+
+// adoptChange makes the roster of a change that was decided, if it comes out as meant, and passes the change on.
+func (f *Fleet) adoptChange(change Change, transmissions int) {
+	if next := f.rosterAfter(&change); next.hash == change.Hash {
+		f.adoptRoster(next)
+		f.decidedChange, f.decidedTransmissions = &change, transmissions
 	}
 }
 
 // adoptRoster makes a roster the one that holds.
 func (f *Fleet) adoptRoster(r Roster) {
 	f.roster, f.round, f.rosterBehindSince, f.unsavedVotes = &r, nil, 0, true
-	for _, m := range f.peers {
-		m.onRoster = r.has(m.Name)
+	for _, p := range f.peers {
+		p.onRoster = r.has(p.Name)
 	}
 	if f.acceptor.Value != nil && f.voteVersion <= r.Version {
 		f.acceptor.Value, f.acceptor.Accepted = nil, paxos.Ballot{}
 	}
-	for name, run := range f.forgotten {
-		if m := f.peersByName[name]; m == nil || m.Run != run || !r.has(name) {
-			delete(f.forgotten, name)
-		}
-	}
 	f.stateVersion++
 	f.emit("roster", f.self.Name, fmt.Sprintf("version %d, %d drivers", r.Version, len(r.Names)))
 }
 
-// receiveDecided takes a change that others decided.
-func (f *Fleet) receiveDecided(c Change) {
-	switch {
-	case f.roster == nil && c.Version == 1:
-		if names := f.names(true); namesHash(names) == c.Hash {
-			f.adoptRoster(Roster{Version: 1, Lineage: c.Lineage, Names: names, hash: c.Hash})
-			f.decidedChange, f.decidedTransmissions = &c, f.retransmitLimit()
-		}
-	case f.roster != nil && c.Version == f.roster.Version+1 && c.BaseHash == f.roster.hash && c.Lineage == f.roster.Lineage &&
-		len(c.Add)+len(c.Remove) <= maxChange:
-		if next := f.rosterAfter(&c); next.hash == c.Hash {
-			f.adoptRoster(next)
-			f.decidedChange, f.decidedTransmissions = &c, f.retransmitLimit()
-		}
+// receiveDecided takes a change that others decided, if it is one of the roster that holds here.
+func (f *Fleet) receiveDecided(change Change) {
+	if f.roster == nil {
+		f.receiveBootstrapped(change)
+		return
+	}
+	follows := change.Version == f.roster.Version+1 && change.Lineage == f.roster.Lineage
+	if follows && change.BaseHash == f.roster.hash && change.names() <= maxChange {
+		f.adoptChange(change, f.retransmitLimit())
 	}
 }
 
-// receiveRoster takes a peer's roster where it is newer. Of two that were founded apart the one with more names holds.
+// receiveRoster takes a peer's roster where it is newer. Of two that were founded apart the one with more names
+// holds.
 func (f *Fleet) receiveRoster(r Roster) {
-	if r.Version == 0 || len(r.Names) == 0 || len(r.Names) > f.options.MaxDrivers || !slices.IsSorted(r.Names) ||
-		slices.ContainsFunc(r.Names, func(n string) bool {
-			return n == "" || len(n) > maxNameBytes
-		}) {
+	if !f.validRoster(&r) {
 		return
 	}
-	r.Names = slices.Compact(slices.Clone(r.Names))
-	r.hash = namesHash(r.Names)
-	switch held := f.roster; {
-	case held == nil:
+	r = newRoster(r.Version, r.Lineage, slices.Compact(slices.Clone(r.Names)))
+	switch current := f.roster; {
+	case current == nil:
 		if r.has(f.self.Name) { // an earlier run may have voted
 			f.mayVoteAt = f.now + forgetPeriods*f.options.Period
 		}
-	case held.Lineage == r.Lineage && r.Version <= held.Version:
-		return
-	case held.Lineage != r.Lineage:
-		if cmp.Or(cmp.Compare(len(r.Names), len(held.Names)), cmp.Compare(held.Lineage, r.Lineage)) <= 0 {
+	case current.Lineage == r.Lineage:
+		if r.Version <= current.Version {
+			return
+		}
+	default:
+		if cmp.Or(cmp.Compare(len(r.Names), len(current.Names)), cmp.Compare(current.Lineage, r.Lineage)) <= 0 {
 			return
 		}
 		f.emit("two_rosters", f.self.Name, "founded apart; the larger one holds")
 	}
 	f.adoptRoster(r)
 }
+
+// validRoster says whether a peer's roster can be true at all.
+func (f *Fleet) validRoster(r *Roster) bool {
+	if r.Version == 0 || len(r.Names) == 0 || len(r.Names) > f.options.MaxDrivers || !slices.IsSorted(r.Names) {
+		return false
+	}
+	return !slices.ContainsFunc(r.Names, func(name string) bool { return name == "" || len(name) > maxNameBytes })
+}
