--- a/internal/controlplane/agent/corelink.go
+++ b/internal/controlplane/agent/corelink.go
@@ -67,7 +67,7 @@
 func (a *Agent) resetBackoff() { a.backoff, a.attempts = initialBackoff, 0 }
 
 // stable reports whether a link has stood for so long that the backoff is reset.
-func (a *Agent) stable(c *coreLink) bool { return a.now()-c.upAt > stableAfter }
+func (a *Agent) stable(core *coreLink) bool { return a.now()-core.upAt > stableAfter }
 
 // dialNextCore dials the next machine, unless that is needless or a candidate is being tried.
 func (a *Agent) dialNextCore() {
@@ -92,42 +92,42 @@
 
 // runCoreLink dials a machine and reads the link until it ends. It runs on a goroutine of its own, which ends with
 // the link.
-func (a *Agent) runCoreLink(c *coreLink, dialTimeout time.Duration) {
-	_ = transport.Dial(c.addr, dialTimeout, coreIdleTimeout, func(link *controlLink) {
+func (a *Agent) runCoreLink(core *coreLink, dialTimeout time.Duration) {
+	_ = transport.Dial(core.addr, dialTimeout, coreIdleTimeout, func(link *controlLink) {
 		link.SetCounters(&CoreTraffic)
 		link.Send(controlmsg.NewHello("agent", a.self.Name, a.self.Addr))
-		a.do(func() { a.coreUp(c, link) })
+		a.do(func() { a.coreUp(core, link) })
 	}, func(_ *controlLink, frame *controlmsg.Frame) {
-		a.do(func() { a.takeFromCore(c, frame) })
+		a.do(func() { a.takeFromCore(core, frame) })
 	})
-	a.do(func() { a.coreDown(c) })
+	a.do(func() { a.coreDown(core) })
 }
 
 // coreUp puts a new link to use where there is none; else it is a candidate until its machine has answered.
-func (a *Agent) coreUp(c *coreLink, link *controlLink) {
+func (a *Agent) coreUp(core *coreLink, link *controlLink) {
 	now := a.now()
-	c.link, c.upAt, c.lastFrameAt = link, now, now
+	core.link, core.upAt, core.lastFrameAt = link, now, now
 	if a.core == nil {
-		a.moveTo(c)
+		a.moveTo(core)
 		return
 	}
 	renewal := &controlmsg.LeaseRenewal{Driver: a.self, Digest: a.digest(), Tentative: true}
 	link.Send(&controlmsg.Frame{LeaseRenewal: renewal})
 	a.after(candidateTimeout, func() {
-		if a.candidate == c {
+		if a.candidate == core {
 			link.Close()
 		}
 	})
 }
 
 // moveTo makes a link the one in use, and ends the one before it.
-func (a *Agent) moveTo(c *coreLink) {
+func (a *Agent) moveTo(core *coreLink) {
 	a.nextNearAttempt = a.now() + jittered(nearRetryInterval)
 	former := a.core
-	a.core, a.candidate = c, nil
-	a.log.Event(events.LinkUp, "core", c.addr)
+	a.core, a.candidate = core, nil
+	a.log.Event(events.LinkUp, "core", core.addr)
 	if former != nil {
-		a.log.Event(events.CoreMoved, "from", former.addr, "to", c.addr,
+		a.log.Event(events.CoreMoved, "from", former.addr, "to", core.addr,
 			"apart", former.isolated, "silentMs", int(a.now()-former.lastFrameAt))
 		former.link.Close()
 	}
@@ -135,19 +135,19 @@
 }
 
 // coreDown follows the end of a link, or of a dial that failed. A link that was replaced before needs nothing.
-func (a *Agent) coreDown(c *coreLink) {
-	switch c {
+func (a *Agent) coreDown(core *coreLink) {
+	switch core {
 	case a.candidate:
 		a.candidate = nil
-		if c.isolated {
+		if core.isolated {
 			a.scheduleRetry(maxIsolatedBackoff)
 		} else {
 			a.scheduleRetry(maxBackoff)
 		}
 	case a.core:
-		a.log.Event(events.LinkDown, "core", c.addr)
+		a.log.Event(events.LinkDown, "core", core.addr)
 		a.core = nil
-		if a.stable(c) {
+		if a.stable(core) {
 			a.resetBackoff()
 		}
 		if a.candidate != nil && a.candidate.link != nil {
@@ -159,38 +159,38 @@
 }
 
 // takeFromCore takes a core machine's frame. What comes late over a link that was replaced is dropped.
-func (a *Agent) takeFromCore(c *coreLink, frame *controlmsg.Frame) {
-	if c != a.core && c != a.candidate {
+func (a *Agent) takeFromCore(core *coreLink, frame *controlmsg.Frame) {
+	if core != a.core && core != a.candidate {
 		return
 	}
-	c.lastFrameAt = a.now()
+	core.lastFrameAt = a.now()
 	if frame.Hello != nil {
-		controlmsg.HandleHello(c.link, frame.Hello)
+		controlmsg.HandleHello(core.link, frame.Hello)
 		return
 	}
 	if update := frame.Update; update != nil {
 		if update.QuorumContactAgeMs != nil {
-			c.isolated = *update.QuorumContactAgeMs > consensus.ContactLease
+			core.isolated = *update.QuorumContactAgeMs > consensus.ContactLease
 		}
 		a.applyUpdate(update)
 	}
 	if frame.Digest != nil {
-		a.reconcile(c.link, frame.Digest)
+		a.reconcile(core.link, frame.Digest)
 	}
-	a.evaluate(c)
+	a.evaluate(core)
 }
 
 // evaluate follows an answer: it moves to a candidate that has contact, and fails over where the machine in use has
 // none.
-func (a *Agent) evaluate(c *coreLink) {
+func (a *Agent) evaluate(core *coreLink) {
 	switch {
-	case c == a.candidate && (c.isolated || !a.prefers(c)):
-		c.link.Close()
-	case c == a.candidate:
-		a.moveTo(c)
-	case c.isolated:
+	case core == a.candidate && (core.isolated || !a.prefers(core)):
+		core.link.Close()
+	case core == a.candidate:
+		a.moveTo(core)
+	case core.isolated:
 		a.scheduleFailover(failoverSpread)
-	case a.stable(c):
+	case a.stable(core):
 		a.resetBackoff()
 	}
 }
--- a/internal/weirctl/sessions.go
+++ b/internal/weirctl/sessions.go
@@ -52,22 +52,22 @@
 func sitePath(site, action string) string { return "/sites/" + url.PathEscape(site) + action }
 
 // fetchSites asks a core machine for the map of sites.
-func fetchSites(addr string) (m sites.Map, err error) {
-	err = getJSON(addr, "/sites", &m)
-	if err == nil && m.Version == 0 {
+func fetchSites(addr string) (siteMap sites.Map, err error) {
+	err = getJSON(addr, "/sites", &siteMap)
+	if err == nil && siteMap.Version == 0 {
 		err = fmt.Errorf("no site has joined")
 	}
-	return m, err
+	return siteMap, err
 }
 
 func sessionsStatus(args []string, out io.Writer) error {
-	m, err := fetchSites(args[0])
+	siteMap, err := fetchSites(args[0])
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "version %d\n", m.Version)
-	for _, name := range slices.Sorted(maps.Keys(m.Sites)) {
-		site := m.Sites[name]
+	fmt.Fprintf(out, "version %d\n", siteMap.Version)
+	for _, name := range slices.Sorted(maps.Keys(siteMap.Sites)) {
+		site := siteMap.Sites[name]
 		fmt.Fprintf(out, "  site %s in %s, %s, epoch %d, at %s%s\n",
 			name, site.Zone, site.State, site.Epoch, site.HTTPAddr, siteDetail(&site))
 	}
@@ -89,12 +89,12 @@
 }
 
 func sessionsShow(args []string, out io.Writer) error {
-	m, err := fetchSites(args[0])
+	siteMap, err := fetchSites(args[0])
 	if err != nil {
 		return err
 	}
 	id, _, _ := strings.Cut(args[1], ".") // what follows in a token is its secret, which no site is sent
-	for _, site := range m.Sites {
+	for _, site := range siteMap.Sites {
 		if site.State == sites.StateRemoved {
 			continue
 		}
--- a/internal/weirctl/shardplan.go
+++ b/internal/weirctl/shardplan.go
@@ -72,9 +72,9 @@
 // printPlan prints a plan. One that leaves moves without room is an error, after it was printed.
 func printPlan(plan *shardplan.Plan, out io.Writer) error {
 	for i, round := range plan.Rounds {
-		for _, m := range round {
+		for _, move := range round {
 			fmt.Fprintf(out, "round %d: shard %s from %s to %s, %d bytes%s\n",
-				i+1, m.Shard, m.From, m.To, m.Bytes, moveDetail(&m))
+				i+1, move.Shard, move.From, move.To, move.Bytes, moveDetail(&move))
 		}
 	}
 	for _, reason := range append(plan.Unplaced, plan.OutOfBand...) {
@@ -87,11 +87,11 @@
 	return nil
 }
 
-func moveDetail(m *shardplan.Move) string {
+func moveDetail(move *shardplan.Move) string {
 	switch {
-	case m.Staging:
+	case move.Staging:
 		return ", a stop on its way"
-	case m.Restore:
+	case move.Restore:
 		return ", read from there, as its holder is gone"
 	}
 	return ""
