--- a/internal/roster/presence.go
+++ b/internal/roster/presence.go
@@ -40,7 +40,7 @@
 	leased     bool
 	nameTaken  bool
 	random     *rand.Rand
-	backoff    limits.Pauses
+	backoff    limits.Backoff
 }
 
 // NewPresence begins without a lease. ttl is the time of the leases to ask for.
@@ -48,7 +48,7 @@
 	return &Presence{
 		ttl:     ttl,
 		random:  rand.New(rand.NewPCG(seed, 0xA5A5)),
-		backoff: limits.Pauses{Least: minPresenceBackoff, Most: ttl},
+		backoff: limits.Backoff{Base: minPresenceBackoff, Max: ttl},
 	}
 }
 
@@ -74,7 +74,7 @@
 		if ttl <= 0 {
 			ttl = p.ttl
 		}
-		p.backoff.Done()
+		p.backoff.Reset()
 		p.leased, p.nameTaken, p.validUntil, p.nextAt = true, false, began+ttl, began+ttl/3
 	case StepLeaseLost:
 		p.leased, p.nextAt = false, now
@@ -82,7 +82,7 @@
 		p.leased, p.nameTaken = false, true
 		p.nextAt = now + p.ttl*(0.5+0.5*p.random.Float64())
 	default:
-		p.nextAt = now + p.backoff.Failed(p.random)
+		p.nextAt = now + p.backoff.RecordFailure(p.random)
 	}
 }
 
--- a/internal/roster/scheduler.go
+++ b/internal/roster/scheduler.go
@@ -65,8 +65,8 @@
 type Scheduler struct {
 	options      SchedulerOptions
 	random       *rand.Rand
-	backoff      limits.Pauses
-	budget       limits.Budget
+	backoff      limits.Backoff
+	budget       limits.RetryBudget
 	endpoint     int       // of the next call
 	failedAt     []float64 // by endpoint
 	mustRead     bool      // the next call is a read, even if the revision is known
@@ -84,8 +84,8 @@
 	s := &Scheduler{
 		options:  options,
 		random:   rand.New(rand.NewPCG(options.Seed, 0x9E3779B97F4A7C15)),
-		backoff:  limits.Pauses{Least: minBackoff, Most: maxBackoff},
-		budget:   limits.Budget{Rate: retryRate, Most: retryBurst},
+		backoff:  limits.Backoff{Base: minBackoff, Max: maxBackoff},
+		budget:   limits.RetryBudget{Rate: retryRate, Burst: retryBurst},
 		failedAt: make([]float64, options.Endpoints),
 		mustRead: true,
 	}
@@ -123,14 +123,14 @@
 func (s *Scheduler) CallEnded(now float64, kind CallKind, result CallResult, responded bool) {
 	switch result {
 	case CallSucceeded:
-		s.backoff.Done()
+		s.backoff.Reset()
 		s.mustRead, s.linearizable = kind == CallWatch, kind == CallWatch
 	case CallCompacted: // the watch can't resume: the one case in which all drivers want a snapshot at once
 		s.mustRead, s.delay = true, s.fleetDelay()
 	case CallStale:
 		s.mustRead, s.linearizable = true, true
 		s.switchEndpoint(now)
-		s.delay = s.budget.Take(now)
+		s.delay = s.budget.Reserve(now)
 	case CallRejected:
 		s.delay = rejectedDelay * (0.5 + s.random.Float64())
 		s.switchEndpoint(now)
@@ -141,11 +141,11 @@
 
 func (s *Scheduler) callFailed(now float64, kind CallKind, responded bool) {
 	if responded {
-		s.backoff.Done() // it had served: the first retry comes soon
+		s.backoff.Reset() // it had served: the first retry comes soon
 	}
 	s.switchEndpoint(now)
-	s.delay = max(s.backoff.Failed(s.random), s.budget.Take(now))
-	if kind == CallRead && s.backoff.Row() > s.options.Endpoints { // down for all drivers: they'll all be back at once
+	s.delay = max(s.backoff.RecordFailure(s.random), s.budget.Reserve(now))
+	if kind == CallRead && s.backoff.Failures() > s.options.Endpoints { // down for all drivers: they'll all be back at once
 		s.delay = max(s.delay, s.fleetDelay())
 	}
 }
@@ -158,7 +158,7 @@
 // Resync asks for a read of the newest state, as something is missing in what came.
 func (s *Scheduler) Resync(now float64) {
 	s.mustRead, s.linearizable = true, true
-	s.delay = max(s.delay, s.budget.Take(now))
+	s.delay = max(s.delay, s.budget.Reserve(now))
 }
 
 // ResyncAfter asks for a read of the newest state after a delay, to confirm a snapshot.
