--- a/internal/driver/assignment.go
+++ b/internal/driver/assignment.go
@@ -33,7 +33,7 @@
 // file is a configuration that makes sense, and its values by name as they stand in it.
 type file struct {
 	Assignment
-	told   opening.Told
+	told   opening.Settings
 	known  discovery.Answer
 	values map[string]json.RawMessage
 }
@@ -53,7 +53,7 @@
 	if f.told, err = opening.Parse(f.Told, seed); err != nil {
 		return f, fmt.Errorf("configuration: %w", err)
 	}
-	if f.told.ConnectTimeout <= 0 || f.told.ConnIdle <= 0 {
+	if f.told.ConnectTimeout <= 0 || f.told.ConnIdleTimeout <= 0 {
 		return f, errors.New("configuration: settings lack connect_timeout or conn_idle")
 	}
 	if f.known, err = discovery.Parse(f.Known); err != nil {
--- a/internal/driver/datagrams.go
+++ b/internal/driver/datagrams.go
@@ -54,7 +54,7 @@
 
 // tell queues a message to every other driver; one that can't go out soon is lost, as on the network.
 func (p *datagrams) tell(data []byte) {
-	if p.conn == nil || len(data) > opening.MaxMessage {
+	if p.conn == nil || len(data) > opening.MaxMessageBytes {
 		p.count.MessagesLost.Add(1)
 		return
 	}
@@ -104,7 +104,7 @@
 func (p *datagrams) read(ctx context.Context, d *decider) {
 	stop := context.AfterFunc(ctx, func() { p.conn.Close() })
 	defer stop()
-	buf := make([]byte, opening.MaxMessage+1)
+	buf := make([]byte, opening.MaxMessageBytes+1)
 	for ctx.Err() == nil {
 		n, from, err := p.conn.ReadFromUDPAddrPort(buf)
 		switch {
@@ -113,7 +113,7 @@
 			case <-ctx.Done():
 			case <-time.After(time.Millisecond):
 			}
-		case n > opening.MaxMessage || !p.knows(netip.AddrPortFrom(from.Addr().Unmap(), from.Port())):
+		case n > opening.MaxMessageBytes || !p.knows(netip.AddrPortFrom(from.Addr().Unmap(), from.Port())):
 			p.count.MessagesBad.Add(1)
 		default:
 			if p.heard != nil {
--- a/internal/driver/decider.go
+++ b/internal/driver/decider.go
@@ -86,7 +86,7 @@
 	note(text string)
 }
 
-func newDecider(c clock, told opening.Told, do performer) *decider {
+func newDecider(c clock, told opening.Settings, do performer) *decider {
 	told.Opening.PositionZero = 0
 	d := &decider{clock: c, opTypes: told.OpTypes, do: do, ops: map[string]*op{}, ids: map[string]bool{},
 		groups: map[int64]bool{}, lines: map[string]logic.ListEntry{}, marked: map[string]restrictions{}}
--- a/internal/driver/driver.go
+++ b/internal/driver/driver.go
@@ -134,7 +134,7 @@
 	memberBudget.left.Store(int64(sockets) - v.clientBudget.left.Load())
 	v.members = &pool{
 		connectTime: duration(a.told.ConnectTimeout),
-		idleTime:    duration(a.told.ConnIdle * idleShare),
+		idleTime:    duration(a.told.ConnIdleTimeout * idleShare),
 		budget:      memberBudget,
 		count:       &v.count,
 		log:         v.log,
--- a/internal/driver/state.go
+++ b/internal/driver/state.go
@@ -71,7 +71,7 @@
 }
 
 // rulesOf gathers what the settings tell that decisions about state go by.
-func rulesOf(name string, told opening.Told, o operator.State) learned.Config {
+func rulesOf(name string, told opening.Settings, o operator.State) learned.Config {
 	r := learned.Config{Name: name, SaveInterval: milliseconds(o.SaveEvery), WarmUp: told.Opening.ColdFor,
 		MinSwitchover: cmp.Or(milliseconds(o.SwitchLeast), told.DrainGrace), StalenessBound: math.Inf(1),
 		SessionsTrackPosition: told.Opening.SessionCarried, OpTypes: make([]learned.OpType, len(told.OpTypes))}
@@ -115,7 +115,7 @@
 }
 
 // begin recovers what an earlier run has left, tells the module of it, and gives out the list that holds.
-func (v *Service) begin(o operator.State, told opening.Told, known discovery.Answer) {
+func (v *Service) begin(o operator.State, told opening.Settings, known discovery.Answer) {
 	k := &keeper{v: v, files: durable.OS{}, kick: make(chan struct{}, 1), o: o}
 	began := time.Now()
 	came := make(chan opened, 1)
--- a/internal/opening/golden_test.go
+++ b/internal/opening/golden_test.go
@@ -46,13 +46,13 @@
 	digest, failed := fnv.New64a(), 0
 	draw := rand.New(rand.NewPCG(1, 1))
 	for seed := range uint64(500) {
-		told, err := Parse([]byte(settingsOf(draw)), seed)
+		s, err := Parse([]byte(settingsOf(draw)), seed)
 		if err != nil {
 			failed++
 			fmt.Fprintln(digest, err)
 			continue
 		}
-		fmt.Fprintf(digest, "%v %v %v %v %v %v\n", *told.Opening, told.OpTypes, told.Index, told.ConnectTimeout, told.ConnIdle, told.DrainGrace)
+		fmt.Fprintf(digest, "%v %v %v %v %v %v\n", *s.Opening, s.OpTypes, s.Index, s.ConnectTimeout, s.ConnIdleTimeout, s.DrainGrace)
 	}
 	if failed < 50 || failed > 300 {
 		t.Errorf("%d of 500 settings make no sense", failed)
--- a/internal/opening/opening_test.go
+++ b/internal/opening/opening_test.go
@@ -9,12 +9,12 @@
  "family_info": {"needs_by_class": ["causal"], "write_marks": %q, "checks": "await", "holds_for": 20000},
  "policy_limits": {"peers": false}, "rules": {"only_draining_binds": true}}`
 
-func TestShapeOfTheDeployment(t *testing.T) {
-	told, err := Parse([]byte(strings.Replace(settings, "%q", `"kept"`, 1)), 1)
+func TestDeployment(t *testing.T) {
+	got, err := Parse([]byte(strings.Replace(settings, "%q", `"kept"`, 1)), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	o := told.Opening
+	o := got.Opening
 	if o.Drivers != 300 || o.MayMessage || o.SessionCarried || !o.OnlyDrainBinds || o.Checks != 2 {
 		t.Fatalf("%+v", o)
 	}
