--- a/internal/driver/admission.go
+++ b/internal/driver/admission.go
@@ -17,7 +17,7 @@
 )
 
 // clients are the connections that are let in.
-type clients struct {
+type clientSet struct {
 	mu  sync.Mutex
 	all map[*client]bool
 }
@@ -26,59 +26,59 @@
 // once and stays, or else none has been without an op for longer. Clients that ask once and stay, or connect and
 // say nothing, must not keep out those with ops. With give its place goes to another at once. It could harm
 // clients that pause a little longer than idleTime while many connections are open: they connect anew.
-func (v *Service) closeForRoom(give bool) bool {
+func (v *Service) evictClient(handOver bool) bool {
 	v.clients.mu.Lock()
 	defer v.clients.mu.Unlock()
-	var from *client
+	var victim *client
 	now := time.Now()
 	for c := range v.clients.all {
-		if limit := c.limit(); !c.leaves && limit > 0 && now.Sub(c.since) > limit &&
-			(from == nil || c.use() < from.use() || c.use() == from.use() && c.since.Before(from.since)) && unread(c.raw) == 0 {
-			from = c
+		if limit := c.idleLimit(); !c.evicted && limit > 0 && now.Sub(c.changedAt) > limit &&
+			(victim == nil || c.usefulness() < victim.usefulness() || c.usefulness() == victim.usefulness() && c.changedAt.Before(victim.changedAt)) && unread(c.raw) == 0 {
+			victim = c
 		}
 	}
-	if from == nil {
+	if victim == nil {
 		return false
 	}
-	if give {
+	if handOver {
 		select {
-		case v.leaving <- struct{}{}:
+		case v.evictions <- struct{}{}:
 		default:
 			return false
 		}
 	}
-	from.leaves, from.given = true, give
-	from.conn.SetReadDeadline(time.Unix(1, 0))
+	victim.evicted, victim.slotHandedOver = true, handOver
+	victim.conn.SetReadDeadline(time.Unix(1, 0))
 	return true
 }
 
 // keepRoomLoop makes room beforehand: clients are limited too, and one that is slow to close connections which it has
 // done with, or never does, is short of them long before the budget here is used up.
-func (v *Service) keepRoomLoop(ctx context.Context) {
-	enough := int64(float64(v.clientBudget.left.Load()) * roomShare)
-	every(ctx, roomEvery, func() {
-		for n := enough - v.clientBudget.left.Load(); n > 0 && v.closeForRoom(false); n-- {
+func (v *Service) keepHeadroom(ctx context.Context) {
+	headroom := int64(float64(v.clientBudget.available.Load()) * headroomShare)
+	every(ctx, headroomInterval, func() {
+		for n := headroom - v.clientBudget.available.Load(); n > 0 && v.evictClient(false); n-- {
 		}
 	})
 }
 
 // limit is how long a client may stay as it is before it has to make room; 0 for as long as it likes.
-func (c *client) limit() time.Duration {
+func (c *client) idleLimit() time.Duration {
 	switch {
-	case c.open > 0:
+	case c.openMessages > 0:
 		return 0
-	case c.ended == 0:
-		return silentTime
+	case c.finishedMessages == 0:
+		return silentEvictAfter
 	}
-	return idleTime
+	return idleEvictAfter
 }
 
 // use ranks clients by what has come from them: nothing, a startup and at most one op, more.
-func (c *client) use() int {
+func (c *client) usefulness() int {
 	switch {
-	case c.ended == 0:
+	case c.finishedMessages == 0:
 		return 0
-	case c.ended <= 2:
+	case c.finishedMessages <= 2:
 		return 1
 	}
 	return 2
@@ -87,7 +87,7 @@
 // accept serves connections until the context ends and no more come.
 func (v *Service) accept(ctx context.Context, ln *net.TCPListener) error {
 	defer ln.Close()
-	stop := context.AfterFunc(ctx, func() { ln.SetDeadline(time.Now().Add(acceptAfter)) })
+	stop := context.AfterFunc(ctx, func() { ln.SetDeadline(time.Now().Add(acceptGrace)) })
 	defer stop()
 	for {
 		conn, err := ln.AcceptTCP()
@@ -95,10 +95,10 @@
 		case err == nil:
 			v.admit(conn)
 			if ctx.Err() != nil {
-				ln.SetDeadline(laterOf(v.stoppedAt().Add(acceptAfter), time.Now().Add(acceptQuiet)))
+				ln.SetDeadline(later(v.stopTime().Add(acceptGrace), time.Now().Add(acceptQuiet)))
 			}
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			close(v.closing)
+			close(v.acceptEnded)
 			return nil
 		case errors.Is(err, net.ErrClosed):
 			return err
@@ -109,7 +109,7 @@
 	}
 }
 
-func laterOf(a, b time.Time) time.Time {
+func later(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
@@ -124,39 +124,39 @@
 		conn.Close()
 		return
 	}
-	c := &client{v: v, conn: conn, raw: raw, opened: time.Now(), messages: make(chan message, 1),
-		gone: make(chan struct{}), done: make(chan struct{})}
-	c.since = c.opened
-	if !v.clientBudget.take(1) && !v.closeForRoom(true) {
-		v.tellFull(c)
+	c := &client{service: v, conn: conn, raw: raw, openedAt: time.Now(), messages: make(chan message, 1),
+		disconnected: make(chan struct{}), answered: make(chan struct{})}
+	c.changedAt = c.openedAt
+	if !v.clientBudget.acquire(1) && !v.evictClient(true) {
+		v.rejectClient(c)
 		return
 	}
-	v.count.Clients.Add(1)
-	v.count.ClientsOpen.Add(1)
-	c.r = bufio.NewReaderSize(conn, clientBuffer)
+	v.counters.Clients.Add(1)
+	v.counters.ClientsOpen.Add(1)
+	c.reader = bufio.NewReaderSize(conn, clientBufferBytes)
 	v.clients.mu.Lock()
 	v.clients.all[c] = true
 	v.clients.mu.Unlock()
-	v.group.Go(func() error {
+	v.inFlight.Go(func() error {
 		var reader errgroup.Group
 		why := c.serve(&reader)
-		close(c.done)
+		close(c.answered)
 		conn.CloseWrite()
-		conn.SetReadDeadline(time.Now().Add(lingerTime))
+		conn.SetReadDeadline(time.Now().Add(lingerTimeout))
 		_ = reader.Wait() // its functions return no error
 		conn.Close()
 		v.clients.mu.Lock()
-		if delete(v.clients.all, c); c.given {
-			<-v.leaving
+		if delete(v.clients.all, c); c.slotHandedOver {
+			<-v.evictions
 		} else {
-			v.clientBudget.give(1)
+			v.clientBudget.release(1)
 		}
 		v.clients.mu.Unlock()
-		v.count.ClientsOpen.Add(-1)
-		c.logEnd(why)
+		v.counters.ClientsOpen.Add(-1)
+		c.logClosed(why)
 		select {
 		case m := <-c.messages:
-			v.bytes.give(m.weight)
+			v.messageBudget.release(m.budgetBytes)
 		default:
 		}
 		return nil
@@ -164,23 +164,23 @@
 }
 
 // tellFull says that there is no room, to so many at a time; the others are closed as they come.
-func (v *Service) tellFull(c *client) {
-	v.count.ClientsTurnedAway.Add(1)
+func (v *Service) rejectClient(c *client) {
+	v.counters.ClientsTurnedAway.Add(1)
 	select {
-	case v.turnAway <- struct{}{}:
+	case v.rejections <- struct{}{}:
 	default:
 		c.conn.Close()
-		c.logEnd("too_many")
+		c.logClosed("too_many")
 		return
 	}
-	v.group.Go(func() error {
-		c.conn.SetDeadline(time.Now().Add(lingerTime / 5))
+	v.inFlight.Go(func() error {
+		c.conn.SetDeadline(time.Now().Add(lingerTimeout / 5))
 		_, _ = c.conn.Write(pgwire.AppendError(nil, "FATAL", pgwire.CodeBusy, "too many connections", ""))
 		c.conn.CloseWrite()
 		c.drain()
 		c.conn.Close()
-		c.logEnd("too_many")
-		<-v.turnAway
+		c.logClosed("too_many")
+		<-v.rejections
 		return nil
 	})
 }
--- a/internal/driver/answer.go
+++ b/internal/driver/answer.go
@@ -19,7 +19,7 @@
 type result struct {
 	member                   string
 	outcome                  logic.Outcome
-	opened                   time.Time // when the connection was
+	connOpenedAt             time.Time // when the connection was
 	rows                     []byte    // a good answer's messages, as they came
 	value                    []byte    // the value in it
 	role, reportRole         logic.Role
@@ -32,13 +32,13 @@
 // err tells what ended it, and the outcome is the one that had come by then, or noOutcome. What is not exactly
 // of the form is spoilt: it has no outcome, whatever it says, but for a good answer that was whole before.
 // begins is called when the first byte has come.
-func readAnswer(from *bufio.Reader, begins func()) (r result, clean bool, err error) {
+func readAnswer(from *bufio.Reader, onFirstByte func()) (r result, clean bool, err error) {
 	r.outcome = noOutcome
 	if _, err := from.Peek(1); err != nil {
 		return r, false, err
 	}
-	begins()
-	spoilt := func() (result, bool, error) {
+	onFirstByte()
+	malformed := func() (result, bool, error) {
 		if r.outcome != logic.OK {
 			r = result{outcome: noOutcome}
 		}
@@ -50,7 +50,7 @@
 		before := len(rows)
 		kind, message, err := pgwire.Read(from, rows)
 		if errors.Is(err, pgwire.ErrFraming) || len(message) > 2*pgwire.MaxMessage { // no answer is so long
-			return spoilt()
+			return malformed()
 		}
 		if err != nil {
 			return r, false, err
@@ -62,7 +62,7 @@
 		case kind == 'D' && last == 'T':
 			var ok bool
 			if r.value, ok = pgwire.DataRow(body); !ok {
-				return spoilt()
+				return malformed()
 			}
 			rows, last = message, kind
 		case kind == 'C' && last == 'D' && len(body) > 0 && body[len(body)-1] == 0:
@@ -79,18 +79,18 @@
 			}
 			last = kind
 		case kind == 'S':
-			r.note(body)
+			r.parseParameter(body)
 		case kind == 'Z' && (last == 'C' || last == 'E') && len(body) == 1:
 			return r, true, nil
 		case kind == 'N':
 		default:
-			return spoilt()
+			return malformed()
 		}
 	}
 }
 
 // note reads what a member tells of itself beside an answer. What does not parse is skipped.
-func (r *result) note(body []byte) {
+func (r *result) parseParameter(body []byte) {
 	name, value, ok := pgwire.Parameter(body)
 	if !ok {
 		return
@@ -104,22 +104,22 @@
 			r.role = logic.Replica
 		}
 	case "commit_clock":
-		r.position, _ = parseFigure(value)
+		r.position, _ = parseFloat(value)
 	case "usage":
-		r.usage(value)
+		r.parseUsage(value)
 	}
 }
 
 // usage reads a load report: x0 is a position, in seconds, and x1 is 1 from a primary, 0 from a replica. One that
 // can't be read in full tells nothing. Only a note or a probe's row is one: an op's value is its client's,
 // whatever it looks like.
-func (r *result) usage(text []byte) {
+func (r *result) parseUsage(text []byte) {
 	position, role := 0.0, logic.RoleUnknown
 	for len(text) > 0 {
 		var item []byte
 		item, text, _ = bytes.Cut(text, []byte(","))
 		name, value, _ := bytes.Cut(item, []byte("="))
-		f, ok := parseFigure(value)
+		f, ok := parseFloat(value)
 		if !ok {
 			return
 		}
@@ -136,7 +136,7 @@
 }
 
 // parseFigure reads a figure that a member wrote; 0 where it is none.
-func parseFigure(text []byte) (f float64, ok bool) {
+func parseFloat(text []byte) (f float64, ok bool) {
 	f, err := strconv.ParseFloat(string(text), 64)
 	if err != nil || math.IsNaN(f) || math.IsInf(f, 0) {
 		return 0, false
--- a/internal/driver/assignment.go
+++ b/internal/driver/assignment.go
@@ -26,20 +26,20 @@
 	PeerListen string `json:"peer_listen"`
 	Peers      []string
 	PeersAll   string `json:"peers_all"`
-	Known      json.RawMessage
-	Told       json.RawMessage `json:"settings"`
+	Membership json.RawMessage
+	Settings   json.RawMessage `json:"settings"`
 }
 
 // file is a configuration that makes sense, and its values by name as they stand in it.
-type file struct {
+type configuration struct {
 	Assignment
-	told   opening.Settings
-	known  discovery.Answer
-	values map[string]json.RawMessage
+	settings   opening.Settings
+	membership discovery.Answer
+	values     map[string]json.RawMessage
 }
 
 // parse reads a configuration, at the start and again on SIGHUP, and refuses one that makes no sense.
-func parse(text []byte) (f file, err error) {
+func parseConfiguration(text []byte) (f configuration, err error) {
 	if err = json.Unmarshal(text, &f.Assignment); err == nil {
 		err = json.Unmarshal(text, &f.values)
 	}
@@ -50,13 +50,13 @@
 	if err != nil {
 		return f, fmt.Errorf("configuration: seed %q is no hexadecimal number", f.Seed)
 	}
-	if f.told, err = opening.Parse(f.Told, seed); err != nil {
+	if f.settings, err = opening.Parse(f.Settings, seed); err != nil {
 		return f, fmt.Errorf("configuration: %w", err)
 	}
-	if f.told.ConnectTimeout <= 0 || f.told.ConnIdleTimeout <= 0 {
+	if f.settings.ConnectTimeout <= 0 || f.settings.ConnIdleTimeout <= 0 {
 		return f, errors.New("configuration: settings lack connect_timeout or conn_idle")
 	}
-	if f.known, err = discovery.Parse(f.Known); err != nil {
+	if f.membership, err = discovery.Parse(f.Membership); err != nil {
 		return f, fmt.Errorf("configuration: known %w", err)
 	}
 	if f.Listen == "" {
@@ -65,7 +65,7 @@
 	if _, _, err = net.SplitHostPort(f.Discovery); err != nil {
 		return f, fmt.Errorf("configuration: discovery: %w", err)
 	}
-	if f.Limits.Sockets < 2*spareSockets || f.Limits.MemoryMB < 16 {
+	if f.Limits.Sockets < 2*reservedSockets || f.Limits.MemoryMB < 16 {
 		return f, fmt.Errorf("configuration: limits of %d sockets and %g MB are too low", f.Limits.Sockets,
 			f.Limits.MemoryMB)
 	}
@@ -74,13 +74,13 @@
 
 // Check says what is wrong with a configuration.
 func Check(text []byte) error {
-	_, err := parse(text)
+	_, err := parseConfiguration(text)
 	return err
 }
 
 // shape lays the operators' word on the deployment's shape over the platform's settings. Drivers may be told to
 // keep silent where the platform would let them talk, never the other way round.
-func shape(o *logic.Opening, f *operator.Fleet) {
+func applyOverrides(o *logic.Opening, f *operator.Fleet) {
 	if f == nil {
 		return
 	}
--- a/internal/driver/counters.go
+++ b/internal/driver/counters.go
@@ -37,27 +37,27 @@
 }
 
 // queue is a writer that hands lines on to a slower one.
-type queue struct {
+type logQueue struct {
 	lines chan []byte
 	lost  *atomic.Int64
 }
 
 // newLog makes the log and the queue that its lines go through. The form is "text", in parts name=value, or "json".
-func newLog(form string, level slog.Leveler, lost *atomic.Int64) (*slog.Logger, *queue) {
-	q := &queue{make(chan []byte, 4096), lost}
+func newLog(format string, level slog.Leveler, lost *atomic.Int64) (*slog.Logger, *logQueue) {
+	q := &logQueue{make(chan []byte, 4096), lost}
 	o := &slog.HandlerOptions{Level: level, ReplaceAttr: func(groups []string, a slog.Attr) slog.Attr {
 		if a.Key == slog.MessageKey && len(groups) == 0 {
 			a.Key = "event"
 		}
 		return a
 	}}
-	if form == "json" {
+	if format == "json" {
 		return slog.New(slog.NewJSONHandler(q, o)), q
 	}
 	return slog.New(slog.NewTextHandler(q, o)), q
 }
 
-func (q *queue) Write(line []byte) (int, error) {
+func (q *logQueue) Write(line []byte) (int, error) {
 	select {
 	case q.lines <- append([]byte(nil), line...):
 	default:
@@ -67,7 +67,7 @@
 }
 
 // run writes lines until the context ends, then what is left.
-func (q *queue) run(ctx context.Context, to io.Writer) {
+func (q *logQueue) writeTo(ctx context.Context, to io.Writer) {
 	for {
 		select {
 		case line := <-q.lines:
--- a/internal/driver/datagrams.go
+++ b/internal/driver/datagrams.go
@@ -15,18 +15,18 @@
 )
 
 type datagrams struct {
-	conn  *net.UDPConn
-	known map[netip.AddrPort]bool                   // the other drivers
-	met   atomic.Pointer[map[netip.AddrPort]string] // those a registry names instead, sent to one by one
-	heard func(netip.AddrPort)                      // of those; nil where nobody wants to know
-	all   netip.AddrPort
-	out   chan []byte
-	count *counters
+	conn            *net.UDPConn
+	configuredPeers map[netip.AddrPort]bool                   // the other drivers
+	registryPeers   atomic.Pointer[map[netip.AddrPort]string] // those a registry names instead, sent to one by one
+	onMessage       func(netip.AddrPort)                      // of those; nil where nobody wants to know
+	broadcast       netip.AddrPort
+	outgoing        chan []byte
+	counters        *counters
 }
 
 // newDatagrams opens the socket; without an address to listen at there are no peers.
 func newDatagrams(a *Assignment, own int, registered bool, count *counters) (*datagrams, error) {
-	p := &datagrams{known: map[netip.AddrPort]bool{}, out: make(chan []byte, 64), count: count}
+	p := &datagrams{configuredPeers: map[netip.AddrPort]bool{}, outgoing: make(chan []byte, 64), counters: count}
 	if a.PeerListen == "" || a.PeersAll == "" && !registered {
 		return p, nil
 	}
@@ -35,7 +35,7 @@
 		return nil, err
 	}
 	if a.PeersAll != "" {
-		if p.all, err = netip.ParseAddrPort(a.PeersAll); err != nil {
+		if p.broadcast, err = netip.ParseAddrPort(a.PeersAll); err != nil {
 			return nil, err
 		}
 	}
@@ -45,7 +45,7 @@
 			return nil, err
 		}
 		if i != own {
-			p.known[peer] = true
+			p.configuredPeers[peer] = true
 		}
 	}
 	p.conn, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(listen))
@@ -53,55 +53,55 @@
 }
 
 // tell queues a message to every other driver; one that can't go out soon is lost, as on the network.
-func (p *datagrams) tell(data []byte) {
+func (p *datagrams) send(data []byte) {
 	if p.conn == nil || len(data) > opening.MaxMessageBytes {
-		p.count.MessagesLost.Add(1)
+		p.counters.MessagesLost.Add(1)
 		return
 	}
 	select {
-	case p.out <- data:
+	case p.outgoing <- data:
 	default:
-		p.count.MessagesLost.Add(1)
+		p.counters.MessagesLost.Add(1)
 	}
 }
 
-func (p *datagrams) write(ctx context.Context) {
+func (p *datagrams) writeLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case data := <-p.out:
-			if met := p.met.Load(); met != nil {
+		case data := <-p.outgoing:
+			if met := p.registryPeers.Load(); met != nil {
 				for to := range *met {
-					p.send(data, to)
+					p.sendTo(data, to)
 				}
-			} else if p.all.IsValid() {
-				p.send(data, p.all)
+			} else if p.broadcast.IsValid() {
+				p.sendTo(data, p.broadcast)
 			}
 		}
 	}
 }
 
-func (p *datagrams) send(data []byte, to netip.AddrPort) {
+func (p *datagrams) sendTo(data []byte, to netip.AddrPort) {
 	if _, err := p.conn.WriteToUDPAddrPort(data, to); err != nil {
-		p.count.MessagesLost.Add(1)
+		p.counters.MessagesLost.Add(1)
 	} else {
-		p.count.MessagesOut.Add(1)
+		p.counters.MessagesOut.Add(1)
 	}
 }
 
 // meet takes the peers that a registry names.
-func (p *datagrams) meet(names map[netip.AddrPort]string) { p.met.Store(&names) }
+func (p *datagrams) setRegistryPeers(names map[netip.AddrPort]string) { p.registryPeers.Store(&names) }
 
 // knows says whether an address is a peer's.
-func (p *datagrams) knows(from netip.AddrPort) bool {
-	if met := p.met.Load(); met != nil {
+func (p *datagrams) isPeer(from netip.AddrPort) bool {
+	if met := p.registryPeers.Load(); met != nil {
 		return (*met)[from] != ""
 	}
-	return p.known[from]
+	return p.configuredPeers[from]
 }
 
-func (p *datagrams) read(ctx context.Context, d *decider) {
+func (p *datagrams) readLoop(ctx context.Context, decider *decider) {
 	stop := context.AfterFunc(ctx, func() { p.conn.Close() })
 	defer stop()
 	buf := make([]byte, opening.MaxMessageBytes+1)
@@ -113,14 +113,14 @@
 			case <-ctx.Done():
 			case <-time.After(time.Millisecond):
 			}
-		case n > opening.MaxMessageBytes || !p.knows(netip.AddrPortFrom(from.Addr().Unmap(), from.Port())):
-			p.count.MessagesBad.Add(1)
+		case n > opening.MaxMessageBytes || !p.isPeer(netip.AddrPortFrom(from.Addr().Unmap(), from.Port())):
+			p.counters.MessagesBad.Add(1)
 		default:
-			if p.heard != nil {
-				p.heard(netip.AddrPortFrom(from.Addr().Unmap(), from.Port()))
+			if p.onMessage != nil {
+				p.onMessage(netip.AddrPortFrom(from.Addr().Unmap(), from.Port()))
 			}
-			p.count.MessagesIn.Add(1)
-			d.step(logic.Event{Kind: logic.EvMessage, Data: append([]byte(nil), buf[:n]...)})
+			p.counters.MessagesIn.Add(1)
+			decider.step(logic.Event{Kind: logic.EvMessage, Data: append([]byte(nil), buf[:n]...)})
 		}
 	}
 }
--- a/internal/driver/decider.go
+++ b/internal/driver/decider.go
@@ -24,7 +24,7 @@
 	unixMs float64
 }
 
-const aheadMost = 100 // ms that a position may lead the clock: one that leads by more is spoilt
+const maxPositionLead = 100 // ms that a position may lead the clock: one that leads by more is spoilt
 
 func newClock(read func() time.Time) clock {
 	now := read()
@@ -36,8 +36,8 @@
 func (c clock) at(t time.Time) float64 { return c.unixMs + float64(t.Sub(c.start).Microseconds())/1000 }
 
 // sight turns what a member wrote of itself into the module's words. What can't be true is left out.
-func (c clock) sight(role logic.Role, position float64) logic.Sight {
-	if !(position > 0) || position > c.now()+aheadMost {
+func (c clock) observation(role logic.Role, position float64) logic.Sight {
+	if !(position > 0) || position > c.now()+maxPositionLead {
 		position = 0
 	}
 	return logic.Sight{Role: role, Position: position}
@@ -55,45 +55,45 @@
 	clock   clock
 	opTypes map[string]int
 	bounded []bool // by op type: the age of its data is bounded
-	do      performer
-
-	mu     sync.Mutex
-	module logic.Driver
-	ops    map[string]*op
-	ids    map[string]bool // of open ops, as their clients wrote them
-	groups map[int64]bool
-	lines  map[string]logic.ListEntry // of the list, as it was told
-	marked map[string]restrictions    // members that count as draining whatever the list says, and why
-	serial uint64
-	closed bool
-	zoning *zoneAgent     // nil where zones are not decided on
-	near   map[int64]bool // groups with a member in the own zone; while zoning
+	actions performer
+
+	mu         sync.Mutex
+	module     logic.Driver
+	ops        map[string]*op
+	openIDs    map[string]bool // of open ops, as their clients wrote them
+	groups     map[int64]bool
+	members    map[string]logic.ListEntry // of the list, as it was told
+	drains     map[string]drainReasons    // members that count as draining whatever the list says, and why
+	serial     uint64
+	closed     bool
+	zones      *zoneAgent     // nil where zones are not decided on
+	nearGroups map[int64]bool // groups with a member in the own zone; while zoning
 }
 
 // restrictions are reasons for which a member counts as draining whatever the list says.
-type restrictions uint8
+type drainReasons uint8
 
 const (
-	markSwitch restrictions = 1 << iota // its role is on its way elsewhere
-	markFellow                          // a peer was told so
+	drainSwitchover drainReasons = 1 << iota // its role is on its way elsewhere
+	drainPeer                                // a peer was told so
 )
 
 // performer carries out what is not one op's business. None of it may block.
 type performer interface {
-	probe(member string)
-	tellPeers(data []byte)
-	askList()
-	note(text string)
+	checkHealth(member string)
+	sendToPeers(data []byte)
+	requestList()
+	logDecision(text string)
 }
 
-func newDecider(c clock, told opening.Settings, do performer) *decider {
-	told.Opening.PositionZero = 0
-	d := &decider{clock: c, opTypes: told.OpTypes, do: do, ops: map[string]*op{}, ids: map[string]bool{},
-		groups: map[int64]bool{}, lines: map[string]logic.ListEntry{}, marked: map[string]restrictions{}}
-	for _, t := range told.Opening.OpTypes {
+func newDecider(c clock, settings opening.Settings, actions performer) *decider {
+	settings.Opening.PositionZero = 0
+	d := &decider{clock: c, opTypes: settings.OpTypes, actions: actions, ops: map[string]*op{}, openIDs: map[string]bool{},
+		groups: map[int64]bool{}, members: map[string]logic.ListEntry{}, drains: map[string]drainReasons{}}
+	for _, t := range settings.Opening.OpTypes {
 		d.bounded = append(d.bounded, t.Need == logic.Bounded)
 	}
-	d.step(logic.Event{Kind: logic.EvOpen, Opening: told.Opening})
+	d.step(logic.Event{Kind: logic.EvOpen, Opening: settings.Opening})
 	return d
 }
 
@@ -115,24 +115,24 @@
 		case logic.ActSend, logic.ActCancel, logic.ActRefuse, logic.ActFail:
 			if o := d.ops[a.Op]; o != nil {
 				o.push(*a)
-				if d.zoning != nil && a.Kind == logic.ActSend {
-					o.to = append(o.to, sentTo{a.Member, d.clock.now()})
-					d.zoning.counted(o, d.lines[a.Member].Zone, len(o.to) > 1, d.near[o.statement.Group])
+				if d.zones != nil && a.Kind == logic.ActSend {
+					o.sentTo = append(o.sentTo, zoneAttempt{a.Member, d.clock.now()})
+					d.zones.countSend(o, d.members[a.Member].Zone, len(o.sentTo) > 1, d.nearGroups[o.statement.Group])
 				}
 				if a.Kind == logic.ActRefuse || a.Kind == logic.ActFail {
-					o.final = true
+					o.settled = true
 				}
 			}
 		case logic.ActTimer:
 			time.AfterFunc(duration(a.Wait), func() { d.step(logic.Event{Kind: logic.EvTimer}) })
 		case logic.ActProbe:
-			d.do.probe(a.Member)
+			d.actions.checkHealth(a.Member)
 		case logic.ActMessage:
-			d.do.tellPeers(a.Data)
+			d.actions.sendToPeers(a.Data)
 		case logic.ActWatch:
-			d.do.askList()
+			d.actions.requestList()
 		case logic.ActLog:
-			d.do.note(a.Text)
+			d.actions.logDecision(a.Text)
 		}
 	}
 }
@@ -147,7 +147,7 @@
 }
 
 // list tells the module of the list, of changes in it, or that a call for it failed.
-func (d *decider) list(kind logic.ListKind, entries []discovery.Entry) {
+func (d *decider) updateMembership(kind logic.ListKind, entries []discovery.Entry) {
 	ev := logic.Event{Kind: logic.EvMembers, List: kind}
 	for _, e := range entries {
 		ev.Members = append(ev.Members, logic.ListEntry{Member: e.ID, Phase: phases[e.Phase], Zone: e.Locality,
@@ -158,55 +158,55 @@
 	for i, e := range entries {
 		d.groups[e.Cell] = true
 		if l := &ev.Members[i]; l.Phase == logic.Gone {
-			delete(d.lines, l.Member)
-		} else if d.lines[l.Member] = *l; d.marked[l.Member] != 0 {
+			delete(d.members, l.Member)
+		} else if d.members[l.Member] = *l; d.drains[l.Member] != 0 {
 			l.Phase = logic.Draining
 		}
 	}
-	d.look()
+	d.findNearGroups()
 	d.stepLocked(ev)
 }
 
 // zoned has sends counted by zone from here on.
-func (d *decider) zoned(z *zoneAgent) {
+func (d *decider) countByZone(z *zoneAgent) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.zoning = z
-	d.look()
+	d.zones = z
+	d.findNearGroups()
 }
 
 // look finds the groups that have a member near. The caller holds the lock.
-func (d *decider) look() {
-	if d.zoning == nil {
+func (d *decider) findNearGroups() {
+	if d.zones == nil {
 		return
 	}
-	d.near = map[int64]bool{}
-	for _, l := range d.lines {
-		d.near[l.Group] = d.near[l.Group] || l.Zone == d.zoning.zone && l.Phase == logic.Ready
+	d.nearGroups = map[int64]bool{}
+	for _, l := range d.members {
+		d.nearGroups[l.Group] = d.nearGroups[l.Group] || l.Zone == d.zones.zone && l.Phase == logic.Ready
 	}
 }
 
 // listed is the list as it was told.
-func (d *decider) listed() map[string]logic.ListEntry {
+func (d *decider) listedMembers() map[string]logic.ListEntry {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return maps.Clone(d.lines)
+	return maps.Clone(d.members)
 }
 
 // mark lets a member count as draining for a reason, or no longer for that one: without any it is as the list says
 // again.
-func (d *decider) mark(member string, why restrictions, draining bool) {
+func (d *decider) setDraining(member string, reason drainReasons, on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	before := d.marked[member]
-	after := before | why
-	if !draining {
-		after = before &^ why
+	before := d.drains[member]
+	after := before | reason
+	if !on {
+		after = before &^ reason
 	}
-	if d.marked[member] = after; after == 0 {
-		delete(d.marked, member)
+	if d.drains[member] = after; after == 0 {
+		delete(d.drains, member)
 	}
-	if l, known := d.lines[member]; known && l.Phase == logic.Ready && (before != 0) != (after != 0) {
+	if l, known := d.members[member]; known && l.Phase == logic.Ready && (before != 0) != (after != 0) {
 		if after != 0 {
 			l.Phase = logic.Draining
 		}
@@ -215,7 +215,7 @@
 }
 
 // serves says whether the driver was told of a group.
-func (d *decider) serves(group int64) bool {
+func (d *decider) servesGroup(group int64) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.groups[group]
@@ -238,7 +238,7 @@
 	discovery.PhaseRemoved: logic.Gone}
 
 // known says whether an op's type and group are ones that the driver was told of.
-func (d *decider) known(opType []byte, group int64) (int, bool) {
+func (d *decider) knows(opType []byte, group int64) (int, bool) {
 	i, ok := d.opTypes[string(opType)]
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -246,18 +246,18 @@
 }
 
 // ages says whether what an op's sends are decided on grows too old.
-func (d *decider) ages(o *op) bool { return d.bounded[o.opType] }
+func (d *decider) staleDataMatters(o *op) bool { return d.bounded[o.opType] }
 
 // take puts a new op before the module, under an id of the driver's own; false where the id that its client wrote
 // is that of an op still open, whose sends a member could not tell from its own.
-func (d *decider) take(o *op) bool {
+func (d *decider) submit(o *op) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	id := string(o.statement.ID)
-	if d.ids[id] {
+	if d.openIDs[id] {
 		return false
 	}
-	d.ids[id] = true
+	d.openIDs[id] = true
 	d.serial++
 	o.id = strconv.FormatUint(d.serial, 36)
 	d.ops[o.id] = o
@@ -267,52 +267,52 @@
 }
 
 // answered tells the module how a send ended. The first good answer is the op's, if nothing ended it before.
-func (d *decider) answered(o *op, n int, r result) {
+func (d *decider) attemptEnded(o *op, index int, r result) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if r.outcome == logic.OK && !o.final {
-		o.final, o.rows = true, r.rows
+	if r.outcome == logic.OK && !o.settled {
+		o.settled, o.rows = true, r.rows
 	}
-	if d.zoning != nil && r.outcome == logic.OK && n < len(o.to) {
-		d.zoning.timed(o.to[n].member, d.lines[o.to[n].member].Zone, d.clock.now()-o.to[n].at,
-			d.clock.sight(r.role, r.position).Position)
+	if d.zones != nil && r.outcome == logic.OK && index < len(o.sentTo) {
+		d.zones.recordAnswer(o.sentTo[index].member, d.members[o.sentTo[index].member].Zone, d.clock.now()-o.sentTo[index].at,
+			d.clock.observation(r.role, r.position).Position)
 	}
 	opened := 0.0
-	if r.outcome == logic.OK && !r.opened.IsZero() {
-		opened = d.clock.at(r.opened)
+	if r.outcome == logic.OK && !r.connOpenedAt.IsZero() {
+		opened = d.clock.at(r.connOpenedAt)
 	}
-	ev := logic.Event{Kind: logic.EvAnswer, Opened: opened, Op: o.id, Send: n, Member: r.member, Outcome: r.outcome,
-		Closed: o.final,
-		Note:   d.clock.sight(r.role, r.position), Report: d.clock.sight(r.reportRole, r.reportPosition)}
+	ev := logic.Event{Kind: logic.EvAnswer, Opened: opened, Op: o.id, Send: index, Member: r.member, Outcome: r.outcome,
+		Closed: o.settled,
+		Note:   d.clock.observation(r.role, r.position), Report: d.clock.observation(r.reportRole, r.reportPosition)}
 	d.stepLocked(ev)
 	if o.rows != nil {
-		o.awake()
+		o.signal()
 	}
 }
 
 // left tells the module that the client of an op has gone.
-func (d *decider) left(o *op) {
+func (d *decider) clientLeft(o *op) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if !o.final {
-		o.final = true
+	if !o.settled {
+		o.settled = true
 		d.stepLocked(logic.Event{Kind: logic.EvGone, Op: o.id})
 	}
 }
 
-func (d *decider) probed(member string, r result, took time.Duration) {
+func (d *decider) healthChecked(member string, r result, took time.Duration) {
 	d.step(logic.Event{Kind: logic.EvProbed, Member: member, Outcome: r.outcome,
-		Took: float64(took.Microseconds()) / 1000, Report: d.clock.sight(r.reportRole, r.reportPosition)})
+		Took: float64(took.Microseconds()) / 1000, Report: d.clock.observation(r.reportRole, r.reportPosition)})
 }
 
 // next gives what has been decided for an op since the last call, and the answer if one has come.
-func (d *decider) next(o *op) (orders []order, rows []byte) {
+func (d *decider) takeActions(o *op) (actions []decidedAction, rows []byte) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	orders, o.todo = o.todo, nil
-	if o.final && d.ops[o.id] != nil {
+	actions, o.pending = o.pending, nil
+	if o.settled && d.ops[o.id] != nil {
 		delete(d.ops, o.id)
-		delete(d.ids, string(o.statement.ID))
+		delete(d.openIDs, string(o.statement.ID))
 	}
-	return orders, o.rows
+	return actions, o.rows
 }
--- a/internal/driver/driver.go
+++ b/internal/driver/driver.go
@@ -26,80 +26,80 @@
 
 const (
 	// of the limit: listener, peers, discovery, log, poller, connections being turned away
-	spareSockets = 32
-	clientShare  = 0.6                     // of the sockets: ops that are held need a client's and no member's
-	memoryShare  = 0.75                    // of the limit: from there on the collector works harder
-	bytesShare   = 0.25                    // of the limit, for big messages from clients
-	watchWait    = 1500 * time.Millisecond // a connection that fell silent is found out after this
-	callTime     = 1700 * time.Millisecond // and that: what discovery has to tell counts as told 2 s after the wait
-	probesAtOnce = 64
-	logTime      = time.Second // for the last lines of the log
+	reservedSockets    = 32
+	clientSocketShare  = 0.6                     // of the sockets: ops that are held need a client's and no member's
+	memoryLimitShare   = 0.75                    // of the limit: from there on the collector works harder
+	messageMemoryShare = 0.25                    // of the limit, for big messages from clients
+	watchTimeout       = 1500 * time.Millisecond // a connection that fell silent is found out after this
+	discoveryTimeout   = 1700 * time.Millisecond // and that: what discovery has to tell counts as told 2 s after the wait
+	maxHealthChecks    = 64
+	logFlushTimeout    = time.Second // for the last lines of the log
 )
 
 // Service is one driver.
 type Service struct {
-	log          *slog.Logger
-	level        slog.LevelVar
-	keep         *keeper // of learned state; nil where none is kept
-	count        counters
-	decide       *decider
-	members      *pool
-	watching     chan struct{}
-	group        errgroup.Group // connections of clients, and sends
-	probing      errgroup.Group
-	clientBudget budget
-	bytes        budget // of big messages from clients
-	clients      clients
-	leaving      chan struct{} // a place for each that makes room for one already let in
-	turnAway     chan struct{} // and for each that is told that there is none
-	closing      chan struct{} // closed when no new connection is taken any more
-	stopped      atomic.Pointer[time.Time]
-	probes       atomic.Int64
-	lines        *queue
-	listener     *net.TCPListener
-	discovery    discovery.Client
-	config       file
+	log              *slog.Logger
+	level            slog.LevelVar
+	stateSaver       *stateSaver // of learned state; nil where none is kept
+	counters         counters
+	decider          *decider
+	pool             *pool
+	listRequested    chan struct{}
+	inFlight         errgroup.Group // connections of clients, and sends
+	healthChecks     errgroup.Group
+	clientBudget     budget
+	messageBudget    budget // of big messages from clients
+	clients          clientSet
+	evictions        chan struct{} // a place for each that makes room for one already let in
+	rejections       chan struct{} // and for each that is told that there is none
+	acceptEnded      chan struct{} // closed when no new connection is taken any more
+	stopRequestedAt  atomic.Pointer[time.Time]
+	openHealthChecks atomic.Int64
+	logLines         *logQueue
+	listener         *net.TCPListener
+	discovery        discovery.Client
+	config           configuration
 
-	listing sync.Mutex // guards what follows
-	roster  *roster.Roster
+	rosterMu sync.Mutex // guards what follows
+	roster   *roster.Roster
 
-	ledger    *outcomes          // nil where outcomes are not kept
-	switches  *switchovers       // nil where the operators switch no control socket on
-	registry  *operator.Registry // nil where members come from discovery alone
-	following *registry.Watcher
-	fleet     *fleet     // the other drivers
-	zoning    *zoneAgent // nil where zones are not decided on in common
+	ledger          *opLedger          // nil where outcomes are not kept
+	switchovers     *switchovers       // nil where the operators switch no control socket on
+	registryConfig  *operator.Registry // nil where members come from discovery alone
+	registryWatcher *registry.Watcher
+	fleet           *fleet     // the other drivers
+	zones           *zoneAgent // nil where zones are not decided on in common
 
-	moving  sync.Mutex // guards what follows
-	movedTo string     // where discovery is now, until the watch has moved there
-	leave   func()     // ends the call to discovery that is out
+	discoveryMu         sync.Mutex // guards what follows
+	newDiscovery        string     // where discovery is now, until the watch has moved there
+	cancelDiscoveryCall func()     // ends the call to discovery that is out
 }
 
 // New reads an assignment, opens the sockets and the module, which is told what an earlier run has left where the
 // operators keep that. The driver serves as soon as Run is called.
 func New(text []byte, o operator.File) (*Service, error) {
-	a, err := parse(text)
+	a, err := parseConfiguration(text)
 	if err != nil {
 		return nil, err
 	}
-	told, known := a.told, a.known
-	debug.SetMemoryLimit(int64(a.Limits.MemoryMB * memoryShare * (1 << 20)))
+	told, known := a.settings, a.membership
+	debug.SetMemoryLimit(int64(a.Limits.MemoryMB * memoryLimitShare * (1 << 20)))
 	runtime.GOMAXPROCS(max(1, min(int(a.Limits.Cores+0.5), runtime.NumCPU())))
 
 	v := newService(a, o)
 	if v.fleet.datagrams, err = newDatagrams(&a.Assignment, told.Index,
-		o.Registry != nil && o.Registry.DriversPrefix != "", &v.count); err != nil {
+		o.Registry != nil && o.Registry.DriversPrefix != "", &v.counters); err != nil {
 		return nil, fmt.Errorf("configuration: peers: %w", err)
 	}
 	told.Opening.MaxMessages = float64(o.Peers.Messages)
-	shape(told.Opening, o.Fleet)
-	v.decide = newDecider(newClock(time.Now), told, v)
-	v.registry = o.Registry
-	v.roster = roster.New(rosterRules(o.Registry))
+	applyOverrides(told.Opening, o.Fleet)
+	v.decider = newDecider(newClock(time.Now), told, v)
+	v.registryConfig = o.Registry
+	v.roster = roster.New(rosterOptions(o.Registry))
 	if o.State != nil {
-		v.begin(*o.State, told, known)
+		v.restoreState(*o.State, told, known)
 	} else {
-		v.start(known)
+		v.initMembership(known)
 	}
 	if err := v.openParts(&a, o); err != nil {
 		return nil, err
@@ -115,42 +115,42 @@
 }
 
 // newService is a driver without its sockets and optional parts.
-func newService(a file, o operator.File) *Service {
+func newService(a configuration, o operator.File) *Service {
 	v := &Service{
-		watching:  make(chan struct{}, 1),
-		leaving:   make(chan struct{}, leavers),
-		turnAway:  make(chan struct{}, turnAways),
-		clients:   clients{all: map[*client]bool{}},
-		closing:   make(chan struct{}),
-		config:    a,
-		discovery: discovery.Client{Address: a.Discovery, Timeout: callTime},
+		listRequested: make(chan struct{}, 1),
+		evictions:     make(chan struct{}, maxEvictions),
+		rejections:    make(chan struct{}, maxRejections),
+		clients:       clientSet{all: map[*client]bool{}},
+		acceptEnded:   make(chan struct{}),
+		config:        a,
+		discovery:     discovery.Client{Address: a.Discovery, Timeout: discoveryTimeout},
 	}
 	v.level.Set(o.Log.Level)
-	v.log, v.lines = newLog(o.Log.Format, &v.level, &v.count.LogLost)
-	sockets := a.Limits.Sockets - spareSockets
-	v.clientBudget.left.Store(int64(float64(sockets) * clientShare))
-	v.bytes.left.Store(int64(a.Limits.MemoryMB * bytesShare * (1 << 20)))
+	v.log, v.logLines = newLog(o.Log.Format, &v.level, &v.counters.LogLost)
+	sockets := a.Limits.Sockets - reservedSockets
+	v.clientBudget.available.Store(int64(float64(sockets) * clientSocketShare))
+	v.messageBudget.available.Store(int64(a.Limits.MemoryMB * messageMemoryShare * (1 << 20)))
 	memberBudget := &budget{}
-	memberBudget.left.Store(int64(sockets) - v.clientBudget.left.Load())
-	v.members = &pool{
-		connectTime: duration(a.told.ConnectTimeout),
-		idleTime:    duration(a.told.ConnIdleTimeout * idleShare),
-		budget:      memberBudget,
-		count:       &v.count,
-		log:         v.log,
-		probeQuery:  "SELECT 1",
-		hosts:       map[string]*host{},
+	memberBudget.available.Store(int64(sockets) - v.clientBudget.available.Load())
+	v.pool = &pool{
+		connectTimeout:   duration(a.settings.ConnectTimeout),
+		idleTimeout:      duration(a.settings.ConnIdleTimeout * idleTimeoutShare),
+		budget:           memberBudget,
+		counters:         &v.counters,
+		log:              v.log,
+		healthCheckQuery: "SELECT 1",
+		members:          map[string]*memberConns{},
 	}
-	if a.told.Opening.ReportsByProbe {
-		v.members.probeQuery = "SHOW usage"
+	if a.settings.Opening.ReportsByProbe {
+		v.pool.healthCheckQuery = "SHOW usage"
 	}
-	v.fleet = &fleet{v: v}
+	v.fleet = &fleet{service: v}
 	return v
 }
 
 // openParts opens what the operators' file switches on.
-func (v *Service) openParts(a *file, o operator.File) error {
-	told := a.told
+func (v *Service) openParts(a *configuration, o operator.File) error {
+	told := a.settings
 	if o.Ledger != nil {
 		if err := v.openLedger(*o.Ledger, told.Opening.OpTypes); err != nil {
 			return err
@@ -171,21 +171,21 @@
 			return err
 		}
 	}
-	if v.registry == nil {
+	if v.registryConfig == nil {
 		return nil
 	}
 	if err := v.openRegistry(told.Opening.Drivers, told.Opening.Seed); err != nil {
 		return err
 	}
-	if v.registry.DriversPrefix == "" {
+	if v.registryConfig.DriversPrefix == "" {
 		return nil
 	}
-	return v.announce(a)
+	return v.openDriverPresence(a)
 }
 
 // announce has the registry tell other drivers of this one, under the address at which they reach it.
-func (v *Service) announce(a *file) error {
-	opening, datagrams := a.told.Opening, v.fleet.datagrams
+func (v *Service) openDriverPresence(a *configuration) error {
+	opening, datagrams := a.settings.Opening, v.fleet.datagrams
 	address, talks := a.PeerListen, opening.MayMessage && datagrams.conn != nil
 	switch {
 	case datagrams.conn != nil:
@@ -199,7 +199,7 @@
 		return err
 	}
 	if talks {
-		datagrams.heard = v.fleet.presence.heard
+		datagrams.onMessage = v.fleet.presence.messageReceived
 	}
 	return nil
 }
@@ -210,62 +210,62 @@
 	logging, stopLog := context.WithCancel(context.WithoutCancel(ctx))
 	logged := make(chan struct{})
 	go func() {
-		v.lines.run(logging, logTo)
+		v.logLines.writeTo(logging, logTo)
 		close(logged)
 	}()
 	v.log.Info("serving", "listen", v.listener.Addr().String())
 	var back errgroup.Group
-	back.Go(func() error { v.watch(life); return nil })
-	back.Go(func() error { v.members.reap(life); return nil })
-	back.Go(func() error { v.keepRoomLoop(life); return nil })
-	if v.registry != nil {
-		back.Go(func() error { v.following.Run(life); return nil })
-		back.Go(func() error { every(life, rosterTick, v.tick); return nil })
+	back.Go(func() error { v.watchDiscovery(life); return nil })
+	back.Go(func() error { v.pool.reap(life); return nil })
+	back.Go(func() error { v.keepHeadroom(life); return nil })
+	if v.registryConfig != nil {
+		back.Go(func() error { v.registryWatcher.Run(life); return nil })
+		back.Go(func() error { every(life, rosterInterval, v.tickRoster); return nil })
 	}
-	if v.switches != nil {
-		back.Go(func() error { return v.switches.run(life) })
+	if v.switchovers != nil {
+		back.Go(func() error { return v.switchovers.run(life) })
 	}
 	v.fleet.run(life, &back)
-	if v.zoning != nil {
-		back.Go(func() error { return v.zoning.run(life) })
+	if v.zones != nil {
+		back.Go(func() error { return v.zones.run(life) })
 	}
-	if v.keep != nil {
-		go v.keep.run(life) // a disk that hangs must not keep the rest from ending
+	if v.stateSaver != nil {
+		go v.stateSaver.run(life) // a disk that hangs must not keep the rest from ending
 	}
 	stop := context.AfterFunc(ctx, func() {
 		now := time.Now()
-		v.stopped.Store(&now)
-		v.log.Info("stopping", v.count.attrs()...)
+		v.stopRequestedAt.Store(&now)
+		v.log.Info("stopping", v.counters.attrs()...)
 	})
 	defer stop()
 	err := v.accept(ctx, v.listener)
-	_ = v.group.Wait() // its functions return no error
-	if v.keep != nil {
-		v.keep.finish()
+	_ = v.inFlight.Wait() // its functions return no error
+	if v.stateSaver != nil {
+		v.stateSaver.close()
 	}
 	if v.ledger != nil {
-		v.ledger.finish()
+		v.ledger.close()
 	}
-	v.decide.close()
-	_ = v.probing.Wait() // likewise
+	v.decider.close()
+	_ = v.healthChecks.Wait() // likewise
 	end()
 	_ = back.Wait() // what failed has been logged
-	v.log.Info("stopped", v.count.attrs()...)
+	v.log.Info("stopped", v.counters.attrs()...)
 	stopLog()
 	select {
 	case <-logged:
-	case <-time.After(logTime): // nobody reads it
+	case <-time.After(logFlushTimeout): // nobody reads it
 	}
 	return err
 }
 
 // Report puts the counters into the log.
-func (v *Service) Report() { v.log.Info("counters", v.count.attrs()...) }
+func (v *Service) Report() { v.log.Info("counters", v.counters.attrs()...) }
 
-func (v *Service) stopping() bool { return v.stopped.Load() != nil }
+func (v *Service) stopping() bool { return v.stopRequestedAt.Load() != nil }
 
-func (v *Service) stoppedAt() time.Time {
-	if t := v.stopped.Load(); t != nil {
+func (v *Service) stopTime() time.Time {
+	if t := v.stopRequestedAt.Load(); t != nil {
 		return *t
 	}
 	return time.Now()
@@ -274,42 +274,42 @@
 // watch keeps one watch going from each time that the module asks for one until it fails. The next call follows
 // an answer at once, so that nothing is missed in between. Where discovery has moved, the old watch is left
 // at once, even while it waits, and the new one starts with a whole list, whatever its revision.
-func (v *Service) watch(ctx context.Context) {
+func (v *Service) watchDiscovery(ctx context.Context) {
 	defer v.discovery.Close()
-	whole := v.registry != nil // a list is wanted that does not build on the one held
+	whole := v.registryConfig != nil // a list is wanted that does not build on the one held
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-v.watching:
+		case <-v.listRequested:
 		}
 		for {
 			call, leave := context.WithCancel(ctx)
-			whole = v.move(leave) || whole
+			whole = v.takeMove(leave) || whole
 			var a discovery.Answer
 			var err error
 			if whole {
 				a, err = v.discovery.List(call)
 			} else {
-				a, err = v.discovery.Watch(call, v.revision(), watchWait)
+				a, err = v.discovery.Watch(call, v.discoveryRevision(), watchTimeout)
 			}
 			leave()
 			if ctx.Err() != nil {
 				return
 			}
-			if err != nil && v.moves() {
+			if err != nil && v.movePending() {
 				continue
 			}
 			if err != nil {
-				v.count.ListsFailed.Add(1)
-				v.lost(roster.SourceDiscovery)
+				v.counters.ListsFailed.Add(1)
+				v.sourceDisconnected(roster.SourceDiscovery)
 				v.log.Warn("list_failed", "error", err)
-				v.decide.list(logic.ListFailed, nil)
+				v.decider.updateMembership(logic.ListFailed, nil)
 				break
 			}
-			v.count.Lists.Add(1)
-			held := v.revision()
-			if whole = v.told(discoveryUpdate(a)) == roster.VerdictGap; whole {
+			v.counters.Lists.Add(1)
+			held := v.discoveryRevision()
+			if whole = v.updateMembership(discoveryUpdate(a)) == roster.VerdictGap; whole {
 				v.log.Warn("list_went_back", "from", held, "to", a.Revision)
 			}
 		}
@@ -317,32 +317,32 @@
 }
 
 // probe, tellPeers, askList and note carry out what the module asks beside ops.
-func (v *Service) probe(member string) {
-	if v.probes.Add(1) > probesAtOnce {
-		v.probes.Add(-1)
+func (v *Service) checkHealth(member string) {
+	if v.openHealthChecks.Add(1) > maxHealthChecks {
+		v.openHealthChecks.Add(-1)
 		return
 	}
-	v.count.Probes.Add(1)
-	v.probing.Go(func() error {
-		defer v.probes.Add(-1)
+	v.counters.Probes.Add(1)
+	v.healthChecks.Go(func() error {
+		defer v.openHealthChecks.Add(-1)
 		began := time.Now()
-		s := v.members.send(member, nil, v.members.connectTime)
+		s := v.pool.newAttempt(member, nil, v.pool.connectTimeout)
 		r := s.run()
-		v.decide.probed(member, r, time.Since(began))
-		if v.switches != nil && r.outcome == logic.OK {
-			v.switches.role(member, r.reportRole)
+		v.decider.healthChecked(member, r, time.Since(began))
+		if v.switchovers != nil && r.outcome == logic.OK {
+			v.switchovers.observeRole(member, r.reportRole)
 		}
 		return nil
 	})
 }
 
-func (v *Service) note(text string) { v.log.Info("decided", "text", text) }
+func (v *Service) logDecision(text string) { v.log.Info("decided", "text", text) }
 
-func (v *Service) tellPeers(data []byte) { v.fleet.datagrams.tell(data) }
+func (v *Service) sendToPeers(data []byte) { v.fleet.datagrams.send(data) }
 
-func (v *Service) askList() {
+func (v *Service) requestList() {
 	select {
-	case v.watching <- struct{}{}:
+	case v.listRequested <- struct{}{}:
 	default:
 	}
 }
--- a/internal/driver/driver_test.go
+++ b/internal/driver/driver_test.go
@@ -19,12 +19,12 @@
 )
 
 // quiet is a performer that remembers nothing.
-type quiet struct{}
+type noActions struct{}
 
-func (quiet) probe(string)     {}
-func (quiet) tellPeers([]byte) {}
-func (quiet) askList()         {}
-func (quiet) note(string)      {}
+func (noActions) checkHealth(string) {}
+func (noActions) sendToPeers([]byte) {}
+func (noActions) requestList()       {}
+func (noActions) logDecision(string) {}
 
 func testDecider(t *testing.T, c clock) *decider {
 	t.Helper()
@@ -37,18 +37,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := newDecider(c, told, quiet{})
-	d.list(logic.ListCached, []discovery.Entry{{ID: "p", Phase: discovery.PhaseUp, Access: discovery.AccessWriter,
+	d := newDecider(c, told, noActions{})
+	d.updateMembership(logic.ListCached, []discovery.Entry{{ID: "p", Phase: discovery.PhaseUp, Access: discovery.AccessWriter,
 		Cell: 1},
 		{ID: "r", Phase: discovery.PhaseUp, Cell: 1}})
 	return d
 }
 
 // goes says where an op's first send goes, and leaves it there.
-func (d *decider) goes(opType int, after float64) string {
+func (d *decider) firstMember(opType int, after float64) string {
 	o := newOp(opType, pgwire.Statement{Group: 1, Timeout: 900, After: after})
-	d.take(o)
-	for _, a := range o.todo {
+	d.submit(o)
+	for _, a := range o.pending {
 		if a.Kind == logic.ActSend {
 			return a.Member
 		}
@@ -57,7 +57,7 @@
 }
 
 // stands is a clock that stands still; the wall clock's step of a real one can't be told from it.
-func stands() clock {
+func frozenClock() clock {
 	at := time.Now()
 	return newClock(func() time.Time { return at })
 }
@@ -68,18 +68,18 @@
 	for _, x := range []struct {
 		age  float64
 		want string
-	}{{199.5, "r"}, {200, "r"}, {200.5, "p"}, {100000, "p"}, {-aheadMost, "r"}, {-aheadMost - 1, "p"}, {-1e9, "p"}} {
+	}{{199.5, "r"}, {200, "r"}, {200.5, "p"}, {100000, "p"}, {-maxPositionLead, "r"}, {-maxPositionLead - 1, "p"}, {-1e9, "p"}} {
 		for _, by := range []string{"note", "report"} {
-			c := stands()
+			c := frozenClock()
 			d := testDecider(t, c)
 			r := result{member: "r", outcome: logic.OK, rows: []byte{1}, role: logic.Replica, position: c.now() - x.age}
 			if by == "report" {
 				r.reportRole, r.reportPosition, r.role, r.position = r.role, r.position, 0, 0
-				d.probed("r", r, 0)
+				d.healthChecked("r", r, 0)
 			} else {
-				d.answered(d.sent(t, 2, "r"), 0, r)
+				d.attemptEnded(d.submitTo(t, 2, "r"), 0, r)
 			}
-			if got := d.goes(0, 0); got != x.want {
+			if got := d.firstMember(0, 0); got != x.want {
 				t.Errorf("data %g ms old by a %s: read sent to %q, want %q", x.age, by, got, x.want)
 			}
 		}
@@ -87,23 +87,23 @@
 }
 
 // sent puts an op before the module that goes to a member.
-func (d *decider) sent(t *testing.T, opType int, member string) *op {
+func (d *decider) submitTo(t *testing.T, opType int, member string) *op {
 	t.Helper()
 	o := newOp(opType, pgwire.Statement{Group: 1, Timeout: 900, ID: strconv.AppendUint(nil, d.serial, 10)})
-	if d.take(o); len(o.todo) == 0 || o.todo[0].Member != member {
-		t.Fatalf("%+v", o.todo)
+	if d.submit(o); len(o.pending) == 0 || o.pending[0].Member != member {
+		t.Fatalf("%+v", o.pending)
 	}
 	return o
 }
 
 // The position that a session read must see is the age of that write, and back a position.
 func TestSessionReadsFollowTheirWrite(t *testing.T) {
-	c := stands()
+	c := frozenClock()
 	now := c.now()
 	for after, want := range map[float64]string{0: "r", now - 502: "r", now - 501: "r", now - 499: "p", now + 1e6: "p"} {
 		d := testDecider(t, c)
-		d.probed("r", result{outcome: logic.OK, reportRole: logic.Replica, reportPosition: now - 500}, 0)
-		if got := d.goes(1, after); got != want {
+		d.healthChecked("r", result{outcome: logic.OK, reportRole: logic.Replica, reportPosition: now - 500}, 0)
+		if got := d.firstMember(1, after); got != want {
 			t.Errorf("a write %.0f ms ago: sent to %q, want %q", now-after, got, want)
 		}
 	}
@@ -188,7 +188,7 @@
 			t.Errorf("%s: %q is not what the member gave", name, got.rows)
 		}
 		if got.rows = nil; name == "probe" {
-			got.usage(got.value)
+			got.parseUsage(got.value)
 		}
 		if got.outcome != x.want.outcome || got.role != x.want.role || got.position != x.want.position ||
 			got.reportRole != x.want.reportRole || got.reportPosition != x.want.reportPosition {
@@ -217,34 +217,34 @@
 
 // The id of an op that is still open is no other's, of one that is over it may be again; each op has its own answer.
 func TestIdsOfOpenOps(t *testing.T) {
-	d := testDecider(t, stands())
-	a, b := d.sent(t, 0, "p"), d.sent(t, 0, "p")
+	d := testDecider(t, frozenClock())
+	a, b := d.submitTo(t, 0, "p"), d.submitTo(t, 0, "p")
 	twice := newOp(0, pgwire.Statement{Group: 1, Timeout: 900, ID: a.statement.ID})
-	if d.take(twice) {
+	if d.submit(twice) {
 		t.Error("the id of an open op taken")
 	}
-	d.answered(b, 0, result{member: "p", outcome: logic.OK, rows: []byte("b")})
-	d.answered(a, 0, result{member: "p", outcome: logic.OK, rows: []byte("a")})
+	d.attemptEnded(b, 0, result{member: "p", outcome: logic.OK, rows: []byte("b")})
+	d.attemptEnded(a, 0, result{member: "p", outcome: logic.OK, rows: []byte("a")})
 	if string(a.rows) != "a" || string(b.rows) != "b" {
 		t.Errorf("%q and %q", a.rows, b.rows)
 	}
 	for range 2 {
-		d.next(a)
-		d.next(b)
+		d.takeActions(a)
+		d.takeActions(b)
 	}
-	if len(d.ops) != 0 || len(d.ids) != 0 {
-		t.Errorf("%d ops and %d ids left in the books", len(d.ops), len(d.ids))
+	if len(d.ops) != 0 || len(d.openIDs) != 0 {
+		t.Errorf("%d ops and %d ids left in the books", len(d.ops), len(d.openIDs))
 	}
-	if !d.take(twice) {
+	if !d.submit(twice) {
 		t.Error("the id of an op that is over not taken")
 	}
 }
 
 func TestRetryAdviceIsInMilliseconds(t *testing.T) {
 	for wait, detail := range map[float64]string{0: "", 0.2: "", 12.6: "13", 200: "200"} {
-		has := strings.Contains(string(busy(wait)), "\x00D")
-		if has != (detail != "") || has && !strings.Contains(string(busy(wait)), "\x00D"+detail+"\x00") {
-			t.Errorf("%s ms: %q", strconv.FormatFloat(wait, 'g', -1, 64), busy(wait))
+		has := strings.Contains(string(busyAnswer(wait)), "\x00D")
+		if has != (detail != "") || has && !strings.Contains(string(busyAnswer(wait)), "\x00D"+detail+"\x00") {
+			t.Errorf("%s ms: %q", strconv.FormatFloat(wait, 'g', -1, 64), busyAnswer(wait))
 		}
 	}
 }
@@ -292,10 +292,10 @@
 	var count counters
 	l, _ := newLog("json", slog.LevelInfo, &count.LogLost)
 	room := &budget{}
-	room.left.Store(2)
-	m := &pool{connectTime: 10 * time.Second, idleTime: time.Hour, budget: room, count: &count, log: l,
-		probeQuery: "SELECT 1", hosts: map[string]*host{"m": {address: ln.Addr().String()}}}
-	first, second := m.send("m", nil, time.Minute), m.send("m", nil, time.Minute)
+	room.available.Store(2)
+	m := &pool{connectTimeout: 10 * time.Second, idleTimeout: time.Hour, budget: room, counters: &count, log: l,
+		healthCheckQuery: "SELECT 1", members: map[string]*memberConns{"m": {address: ln.Addr().String()}}}
+	first, second := m.newAttempt("m", nil, time.Minute), m.newAttempt("m", nil, time.Minute)
 	go func() { <-queries; answer <- struct{}{} }()
 	if r := first.run(); r.outcome != logic.OK {
 		t.Fatalf("outcome %d", r.outcome)
@@ -308,12 +308,12 @@
 	if r := <-done; r.outcome != logic.OK || count.Dials.Load() != 1 {
 		t.Errorf("outcome %d on the connection of a send cancelled late, %d dials", r.outcome, count.Dials.Load())
 	}
-	third := m.send("m", nil, time.Minute)
+	third := m.newAttempt("m", nil, time.Minute)
 	third.cancel()
 	if r := third.run(); r.outcome != logic.Cancelled {
 		t.Errorf("outcome %d for a send cancelled before it began", r.outcome)
 	}
-	barred := m.send("m", nil, time.Minute)
+	barred := m.newAttempt("m", nil, time.Minute)
 	barred.forbidWrites()
 	if r := barred.run(); r.outcome != logic.Moot {
 		t.Errorf("outcome %d for a send that may not begin", r.outcome)
@@ -326,7 +326,7 @@
 // A removed member's address is let go some time after it was last wanted, also where a whole list does not name
 // it any more; one that comes back in between stays.
 func TestAddressesOfRemovedMembersAreLetGo(t *testing.T) {
-	m := &pool{idleTime: time.Second, count: &counters{}, hosts: map[string]*host{}}
+	m := &pool{idleTimeout: time.Second, counters: &counters{}, members: map[string]*memberConns{}}
 	up := func(id string) discovery.Entry {
 		return discovery.Entry{ID: id, HostPort: "127.0.0.1:1", Phase: discovery.PhaseUp}
 	}
@@ -335,16 +335,16 @@
 		false)
 	m.setMembers([]discovery.Entry{up("a"), up("c"), up("e")}, true)
 	m.setMembers([]discovery.Entry{{ID: "e", Phase: discovery.PhaseRemoved}}, false)
-	for _, h := range m.hosts {
-		if !h.removed.IsZero() {
-			h.removed = h.removed.Add(-forgetAfter)
+	for _, h := range m.members {
+		if !h.removedAt.IsZero() {
+			h.removedAt = h.removedAt.Add(-forgetAfter)
 		}
 	}
-	m.hosts["e"].used = time.Now()
+	m.members["e"].lastDialed = time.Now()
 	done, end := context.WithCancel(context.Background())
 	end()
 	m.reap(done)
-	if len(m.hosts) != 3 || m.hosts["a"] == nil || m.hosts["c"] == nil || m.hosts["e"] == nil {
-		t.Errorf("%d members known: %v", len(m.hosts), m.hosts)
+	if len(m.members) != 3 || m.members["a"] == nil || m.members["c"] == nil || m.members["e"] == nil {
+		t.Errorf("%d members known: %v", len(m.members), m.members)
 	}
 }
--- a/internal/driver/fleet.go
+++ b/internal/driver/fleet.go
@@ -27,26 +27,26 @@
 )
 
 const (
-	maxDrains = 4096
-	drainKeep = 10 * time.Minute // a drain whose revision the own list does not come to, though it speaks
-	drainLate = time.Minute      // drains of so late go along with each word; all with whole states
-	maxGossip = 256
-	switchAsk = time.Second // between calls for what peers of the fixed list know
+	maxDrains            = 4096
+	drainRetention       = 10 * time.Minute // a drain whose revision the own list does not come to, though it speaks
+	drainGossipWindow    = time.Minute      // drains of so late go along with each word; all with whole states
+	maxGossipSwitchovers = 256
+	peerPollInterval     = time.Second // between calls for what peers of the fixed list know
 )
 
 // fleet are the other drivers, by whatever way they are known. Each way may be missing.
 type fleet struct {
-	v         *Service
+	service   *Service
 	datagrams *datagrams // the platform's messages
 	presence  *presence  // in the registry
 	peers     []*peer    // told words by HTTP
 	mesh      *mesh.Mesh // of those that know each other
 
-	mu     sync.Mutex // guards what follows
-	drains *membership.Drains
-	seeds  []string // the operators' own
-	others []string // and those that the platform or the registry names
-	period time.Duration
+	mu         sync.Mutex // guards what follows
+	drains     *membership.Drains
+	seeds      []string // the operators' own
+	otherSeeds []string // and those that the platform or the registry names
+	period     time.Duration
 }
 
 // run is among peers until the context ends.
@@ -56,11 +56,11 @@
 		back.Go(func() error { p.follower.Run(ctx); return nil })
 	}
 	if f.datagrams.conn != nil {
-		back.Go(func() error { f.datagrams.write(ctx); return nil })
-		back.Go(func() error { f.datagrams.read(ctx, f.v.decide); return nil })
+		back.Go(func() error { f.datagrams.writeLoop(ctx); return nil })
+		back.Go(func() error { f.datagrams.readLoop(ctx, f.service.decider); return nil })
 	}
 	for _, x := range f.peers {
-		back.Go(func() error { x.exchange(ctx, f.v.switches); x.Close(); return nil })
+		back.Go(func() error { x.exchange(ctx, f.service.switchovers); x.Close(); return nil })
 	}
 	if f.mesh != nil {
 		back.Go(func() error { return f.mesh.Run(ctx) })
@@ -71,7 +71,7 @@
 func (f *fleet) notifyPeers() {
 	for _, x := range f.peers {
 		select {
-		case x.wake <- struct{}{}:
+		case x.changed <- struct{}{}:
 		default:
 		}
 	}
@@ -83,14 +83,14 @@
 // setPeers takes the operators' fixed list.
 func (f *fleet) setPeers(addresses []string, token string) {
 	for _, a := range addresses {
-		f.peers = append(f.peers, &peer{Client: control.NewClient(a, token), wake: make(chan struct{}, 1)})
+		f.peers = append(f.peers, &peer{Client: control.NewClient(a, token), changed: make(chan struct{}, 1)})
 	}
 }
 
 // openMesh opens the sockets of drivers that know each other.
-func (f *fleet) openMesh(o operator.Membership, a *file) error {
-	v := f.v
-	token, err := secret(o.TokenFile)
+func (f *fleet) openMesh(o operator.Membership, a *configuration) error {
+	v := f.service
+	token, err := readToken(o.TokenFile)
 	if err != nil {
 		return fmt.Errorf("membership: token: %w", err)
 	}
@@ -98,46 +98,46 @@
 	if err != nil {
 		return fmt.Errorf("membership: listen: %w", err)
 	}
-	f.drains, f.seeds, f.period = membership.NewDrains(maxDrains, milliseconds(drainKeep)), o.Seeds, o.Period
+	f.drains, f.seeds, f.period = membership.NewDrains(maxDrains, milliseconds(drainRetention)), o.Seeds, o.Period
 	expect := o.Expect
 	if expect == 0 {
-		expect = max(a.told.Opening.Drivers, expected(o))
+		expect = max(a.settings.Opening.Drivers, expectedDrivers(o))
 	}
 	opts := mesh.Options{Name: a.Name, Zone: zoneOf(o, a), Listen: listen, Advertise: o.Advertise, Seeds: o.Seeds,
 		Secret: token, Period: o.Period,
-		Expect: expect, Yield: o.Yield, Seed: a.told.Opening.Seed + 2, Run: uint64(v.decide.clock.unixMs),
-		Now: v.decide.clock.now, Log: v.log,
-		Folder: o.Folder, Gossip: f.gossip, ReceiveGossip: f.receiveGossip, OnStanding: f.onStanding}
-	if v.zoning != nil {
-		opts.ReceivePayload = v.zoning.receive
+		Expect: expect, Yield: o.Yield, Seed: a.settings.Opening.Seed + 2, Run: uint64(v.decider.clock.unixMs),
+		Now: v.decider.clock.now, Log: v.log,
+		Folder: o.Folder, Gossip: f.gossip, ReceiveGossip: f.receiveGossip, OnStanding: f.onPartitionStatus}
+	if v.zones != nil {
+		opts.ReceivePayload = v.zones.receive
 	}
 	if f.mesh, err = mesh.Open(opts); err != nil {
 		return fmt.Errorf("membership: %w", err)
 	}
 	for i, text := range a.Peers {
-		if at, err := netip.ParseAddrPort(text); err == nil && i != a.told.Index {
-			f.others = append(f.others, f.reachable(at))
+		if at, err := netip.ParseAddrPort(text); err == nil && i != a.settings.Index {
+			f.otherSeeds = append(f.otherSeeds, f.meshAddressOf(at))
 		}
 	}
 	f.reseed()
-	revision, entries := v.listed()
+	revision, entries := v.membership()
 	var draining []roster.Entry
 	for _, e := range entries {
 		if e := toRoster(toDiscovery(e)); e.Phase != roster.PhaseUp {
 			draining = append(draining, e)
 		}
 	}
-	f.list(roster.SourceDiscovery, revision, draining)
+	f.membershipUpdated(roster.SourceDiscovery, revision, draining)
 	return nil
 }
 
 // zoneOf is the driver's zone: the operators' word, or the platform's.
-func zoneOf(o operator.Membership, a *file) string {
-	return cmp.Or(o.Zone, a.told.Opening.Zone)
+func zoneOf(o operator.Membership, a *configuration) string {
+	return cmp.Or(o.Zone, a.settings.Opening.Zone)
 }
 
 // expected is how many drivers the seeds tell of, this one included.
-func expected(o operator.Membership) int {
+func expectedDrivers(o operator.Membership) int {
 	all := append(slices.Clone(o.Seeds), o.Advertise)
 	if o.Advertise == "" {
 		all[len(all)-1] = o.Listen
@@ -148,7 +148,7 @@
 
 // reachable is where a peer is looked for of which only another address is known: the same host, at the port of this
 // driver.
-func (f *fleet) reachable(at netip.AddrPort) string {
+func (f *fleet) meshAddressOf(at netip.AddrPort) string {
 	own, err := netip.ParseAddrPort(f.mesh.Address())
 	if err != nil {
 		return at.String()
@@ -157,22 +157,22 @@
 }
 
 // listed takes the addresses of peers that the registry names: seeds more, and nothing else.
-func (f *fleet) listed(addresses []netip.AddrPort) {
+func (f *fleet) setRegistryAddresses(addresses []netip.AddrPort) {
 	if f.mesh == nil {
 		return
 	}
 	var others []string
 	for _, at := range addresses {
 		if f.datagrams.conn != nil { // those are of peers' messages
-			others = append(others, f.reachable(at))
+			others = append(others, f.meshAddressOf(at))
 		} else {
 			others = append(others, at.String())
 		}
 	}
 	slices.Sort(others)
 	f.mu.Lock()
-	same := slices.Equal(others, f.others)
-	f.others = others
+	same := slices.Equal(others, f.otherSeeds)
+	f.otherSeeds = others
 	f.mu.Unlock()
 	if !same {
 		f.reseed()
@@ -180,7 +180,7 @@
 }
 
 // change takes the operators' seeds and period anew.
-func (f *fleet) change(o *operator.Membership) {
+func (f *fleet) reconfigure(o *operator.Membership) {
 	if f.mesh == nil || o == nil {
 		return
 	}
@@ -193,7 +193,7 @@
 func (f *fleet) reseed() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	all := append(slices.Clone(f.seeds), f.others...)
+	all := append(slices.Clone(f.seeds), f.otherSeeds...)
 	slices.Sort(all)
 	f.mesh.Change(slices.Compact(all), f.period)
 }
@@ -201,19 +201,19 @@
 // gossip are what a peer is told: all changes of primaries that are known, and drains, all or those of late.
 func (f *fleet) gossip(all bool) *mesh.Gossip {
 	w := &mesh.Gossip{}
-	if z := f.v.zoning; z != nil {
+	if z := f.service.zones; z != nil {
 		z.mu.Lock()
-		w.Zones = z.z.Summary(f.v.decide.clock.now())
+		w.Zones = z.zones.Summary(f.service.decider.clock.now())
 		z.mu.Unlock()
 	}
-	if f.v.switches != nil {
-		for _, s := range f.v.switches.Status() {
+	if f.service.switchovers != nil {
+		for _, s := range f.service.switchovers.Status() {
 			w.Switches = append(w.Switches, s.Notification)
 		}
 	}
 	from := 0.0
 	if !all {
-		from = f.v.decide.clock.now() - milliseconds(drainLate)
+		from = f.service.decider.clock.now() - milliseconds(drainGossipWindow)
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -223,19 +223,19 @@
 
 // receiveGossip takes a peer's words, and says whether any was news.
 func (f *fleet) receiveGossip(w *mesh.Gossip, asked float64) (news, again bool) {
-	if len(w.Switches) > maxGossip || len(w.Drains) > maxDrains {
-		f.v.log.Warn("membership", "reason", "too_many_words", "switches", len(w.Switches), "drains", len(w.Drains))
+	if len(w.Switches) > maxGossipSwitchovers || len(w.Drains) > maxDrains {
+		f.service.log.Warn("membership", "reason", "too_many_words", "switches", len(w.Switches), "drains", len(w.Drains))
 		return false, false
 	}
-	if z := f.v.zoning; z != nil && w.Zones != nil {
-		news = z.apply(func(now float64) zones.Output { return z.z.ReceiveSummary(now, asked, w.Zones) })
+	if z := f.service.zones; z != nil && w.Zones != nil {
+		news = z.apply(func(now float64) zones.Output { return z.zones.ReceiveSummary(now, asked, w.Zones) })
 		again = news && math.IsInf(asked, -1)
 	}
-	if s := f.v.switches; s != nil {
+	if s := f.service.switchovers; s != nil {
 		for _, word := range w.Switches {
-			n, err := s.told(word)
+			n, err := s.handleNotification(word)
 			if err != nil {
-				f.v.log.Warn("switch", "error", err)
+				f.service.log.Warn("switch", "error", err)
 			}
 			news = news || n
 		}
@@ -243,15 +243,15 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, d := range w.Drains {
-		marks, n := f.drains.ApplyPeer(f.v.decide.clock.now(), d)
-		f.carry(marks)
+		marks, n := f.drains.ApplyPeer(f.service.decider.clock.now(), d)
+		f.applyDrains(marks)
 		news = news || n
 	}
 	return news, again
 }
 
 // list takes what a source's list told of members.
-func (f *fleet) list(source roster.Source, revision int64, changes []roster.Entry) {
+func (f *fleet) membershipUpdated(source roster.Source, revision int64, changes []roster.Entry) {
 	if f.mesh == nil {
 		return
 	}
@@ -261,8 +261,8 @@
 			Up: e.Phase == roster.PhaseUp})
 	}
 	f.mu.Lock()
-	marks, news := f.drains.ApplyList(f.v.decide.clock.now(), uint8(source), revision, told)
-	f.carry(marks)
+	marks, news := f.drains.ApplyList(f.service.decider.clock.now(), uint8(source), revision, told)
+	f.applyDrains(marks)
 	f.mu.Unlock()
 	if news {
 		f.mesh.Spread()
@@ -270,36 +270,38 @@
 }
 
 // carry marks members as drains decide. The caller holds the lock.
-func (f *fleet) carry(changes map[string]bool) {
+func (f *fleet) applyDrains(changes map[string]bool) {
 	for member, draining := range changes {
-		f.v.decide.mark(member, markFellow, draining)
-		f.v.log.Info("membership", "reason", "drain_told", "member", member, "draining", draining)
+		f.service.decider.setDraining(member, drainPeer, draining)
+		f.service.log.Info("membership", "reason", "drain_told", "member", member, "draining", draining)
 	}
 }
 
 // onStanding takes a new standing, or count of drivers.
-func (f *fleet) onStanding(_ membership.PartitionStatus, count int) { f.counted(count, true, true) }
+func (f *fleet) onPartitionStatus(_ membership.PartitionStatus, count int) {
+	f.driverCountChanged(count, true, true)
+}
 
 // counted tells of how many drivers there are. Where drivers know each other that alone decides, and what the registry
 // lists is no second truth.
-func (f *fleet) counted(n int, known, module bool) {
+func (f *fleet) driverCountChanged(n int, known, module bool) {
 	if !known && f.mesh != nil {
 		return
 	}
-	f.v.log.Info("drivers", "count", n)
+	f.service.log.Info("drivers", "count", n)
 	if module {
-		f.v.decide.step(logic.Event{Kind: logic.EvDrivers, Drivers: n})
+		f.service.decider.step(logic.Event{Kind: logic.EvDrivers, Drivers: n})
 	}
-	if f.v.following != nil {
-		f.v.following.Scheduler.SetDrivers(n)
+	if f.service.registryWatcher != nil {
+		f.service.registryWatcher.Scheduler.SetDrivers(n)
 	}
 }
 
 // peer is another driver that is told words and asked for its own.
 type peer struct {
 	*control.Client
-	wake chan struct{}
-	away bool // the last call failed
+	changed     chan struct{}
+	unreachable bool // the last call failed
 }
 
 // exchange asks a peer what it knows, at the start and every second, and tells it at once what is new here. One that
@@ -310,14 +312,14 @@
 		all, err := f.Client.Status(ctx)
 		for _, k := range all {
 			if err := s.Told(k.Notification); err != nil {
-				s.v.log.Warn("switch", "fellow", f.Address, "error", err)
+				s.service.log.Warn("switch", "fellow", f.Address, "error", err)
 			}
-			known[k.Group] = key(k.Notification)
+			known[k.Group] = notificationKey(k.Notification)
 		}
 		for tell := err == nil; tell; {
 			var news []switchover.Notification
 			for _, k := range s.Status() {
-				if known[k.Group] != key(k.Notification) {
+				if known[k.Group] != notificationKey(k.Notification) {
 					news = append(news, k.Notification)
 				}
 			}
@@ -325,29 +327,29 @@
 				err = f.Tell(ctx, news)
 			}
 			for _, w := range news {
-				known[w.Group] = key(w)
+				known[w.Group] = notificationKey(w)
 			}
 			select {
-			case <-f.wake:
+			case <-f.changed:
 				tell = err == nil
 			default:
 				tell = false
 			}
 		}
-		if away := err != nil; away != f.away && ctx.Err() == nil {
-			f.away = away
-			s.v.log.Warn("fellow", "address", f.Address, "away", away, "error", err)
+		if away := err != nil; away != f.unreachable && ctx.Err() == nil {
+			f.unreachable = away
+			s.service.log.Warn("fellow", "address", f.Address, "away", away, "error", err)
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(switchAsk):
-		case <-f.wake:
+		case <-time.After(peerPollInterval):
+		case <-f.changed:
 		}
 	}
 }
 
 // key is what of a message makes it news.
-func key(w switchover.Notification) switchover.Notification {
+func notificationKey(w switchover.Notification) switchover.Notification {
 	return switchover.Notification{Group: w.Group, Epoch: w.Epoch, Stage: w.Stage, Renewals: w.Renewals}
 }
--- a/internal/driver/golden_test.go
+++ b/internal/driver/golden_test.go
@@ -13,11 +13,11 @@
 // What clients are told in place of an answer, byte for byte.
 func TestRecordedRefusals(t *testing.T) {
 	golden.Text(t, "testdata/refusals.golden", []golden.Case[string]{
-		golden.Of("unsupported", string(unsupported)), golden.Of("bad token", string(badToken)),
-		golden.Of("another statement's", string(otherOp)), golden.Of("done", string(doneSince)),
-		golden.Of("in doubt", string(inDoubt)), golden.Of("repeated", string(repeated)),
-		golden.Of("failed", string(failed)), golden.Of("busy", string(busy(0))), golden.Of("busy with advice", string(busy(12.6))),
-		golden.Of("ledger's form", string(form(&pgwire.Statement{OpType: []byte("w"), Group: 7, Text: []byte("insert /* a */ b /* c */")}))),
+		golden.Of("unsupported", string(unsupportedAnswer)), golden.Of("bad token", string(invalidKey)),
+		golden.Of("another statement's", string(keyConflict)), golden.Of("done", string(answerLost)),
+		golden.Of("in doubt", string(outcomeInDoubt)), golden.Of("repeated", string(duplicateID)),
+		golden.Of("failed", string(opFailed)), golden.Of("busy", string(busyAnswer(0))), golden.Of("busy with advice", string(busyAnswer(12.6))),
+		golden.Of("ledger's form", string(statementForm(&pgwire.Statement{OpType: []byte("w"), Group: 7, Text: []byte("insert /* a */ b /* c */")}))),
 	})
 }
 
--- a/internal/driver/memberlist.go
+++ b/internal/driver/memberlist.go
@@ -13,95 +13,95 @@
 	"weirwind/logic"
 )
 
-const mostNamed = 8 // members in a line of the log
+const maxLoggedMembers = 8 // members in a line of the log
 
 // start gives the list that a start begins with. It is one that discovery told, which goes on from there; where there
 // is a registry beside it, nobody knows who told it.
-func (v *Service) start(known discovery.Answer) {
+func (v *Service) initMembership(known discovery.Answer) {
 	u := discoveryUpdate(known)
-	if u.Snapshot = true; v.registry != nil {
+	if u.Snapshot = true; v.registryConfig != nil {
 		u.Source = roster.SourceKnown
 	}
-	v.listing.Lock()
-	defer v.listing.Unlock()
-	out := v.roster.Apply(v.decide.clock.now(), u)
+	v.rosterMu.Lock()
+	defer v.rosterMu.Unlock()
+	out := v.roster.Apply(v.decider.clock.now(), u)
 	v.roster.SetDisconnected(u.Source)
-	v.give(out, logic.ListCached)
+	v.publish(out, logic.ListCached)
 }
 
 // told takes what a source told, and says what the roster makes of it.
-func (v *Service) told(u roster.Update) roster.Verdict {
-	v.listing.Lock()
-	defer v.listing.Unlock()
-	out := v.roster.Apply(v.decide.clock.now(), u)
-	v.give(out, logic.ListChanges)
+func (v *Service) updateMembership(u roster.Update) roster.Verdict {
+	v.rosterMu.Lock()
+	defer v.rosterMu.Unlock()
+	out := v.roster.Apply(v.decider.clock.now(), u)
+	v.publish(out, logic.ListChanges)
 	if out.Verdict != roster.VerdictGap && out.Verdict != roster.VerdictUnconfirmed {
-		v.fleet.list(u.Source, u.Revision, out.Changes)
+		v.fleet.membershipUpdated(u.Source, u.Revision, out.Changes)
 	}
 	return out.Verdict
 }
 
 // lost notes that a source can't be heard.
-func (v *Service) lost(s roster.Source) {
-	v.listing.Lock()
-	defer v.listing.Unlock()
+func (v *Service) sourceDisconnected(s roster.Source) {
+	v.rosterMu.Lock()
+	defer v.rosterMu.Unlock()
 	v.roster.SetDisconnected(s)
-	v.give(v.roster.Tick(v.decide.clock.now()), logic.ListChanges)
+	v.publish(v.roster.Tick(v.decider.clock.now()), logic.ListChanges)
 }
 
 // tick lets another source take the lead when it is time.
-func (v *Service) tick() {
-	v.listing.Lock()
-	defer v.listing.Unlock()
-	if out := v.roster.Tick(v.decide.clock.now()); len(out.Changes)+len(out.Notes) > 0 {
-		v.give(out, logic.ListChanges)
+func (v *Service) tickRoster() {
+	v.rosterMu.Lock()
+	defer v.rosterMu.Unlock()
+	if out := v.roster.Tick(v.decider.clock.now()); len(out.Changes)+len(out.Notes) > 0 {
+		v.publish(out, logic.ListChanges)
 	}
 }
 
 // give hands changes out: addresses first, so that sends find them. The caller holds the lock.
-func (v *Service) give(out roster.Outcome, kind logic.ListKind) {
+func (v *Service) publish(out roster.Outcome, kind logic.ListKind) {
 	for _, text := range out.Notes {
 		v.log.Warn("roster", "text", text)
 	}
 	changes := make([]discovery.Entry, 0, len(out.Changes))
 	var named []string
 	for i, e := range out.Changes {
-		if changes = append(changes, fromRoster(e)); i < mostNamed {
+		if changes = append(changes, fromRoster(e)); i < maxLoggedMembers {
 			named = append(named, e.ID+"="+changes[i].Phase)
 		}
 	}
 	if len(changes) > 0 {
-		lead, revision, _, _ := v.roster.Leader(v.decide.clock.now())
+		lead, revision, _, _ := v.roster.Leader(v.decider.clock.now())
 		v.log.Info("list", "source", lead.String(), "revision", revision, "changed", len(changes), "members",
 			strings.Join(named, ","))
 	}
-	v.members.setMembers(changes, false)
-	v.decide.list(kind, changes) // also with nothing new: a list has come
-	if v.keep != nil {
-		v.keep.list(v.held(), len(changes) > 0)
+	v.pool.setMembers(changes, false)
+	v.decider.updateMembership(kind, changes) // also with nothing new: a list has come
+	if v.stateSaver != nil {
+		v.stateSaver.noteMembership(v.discoveryRevisionLocked(), len(changes) > 0)
 	}
 }
 
 // revision is up to where discovery's list is held.
-func (v *Service) revision() int64 {
-	v.listing.Lock()
-	defer v.listing.Unlock()
-	return v.held()
+func (v *Service) discoveryRevision() int64 {
+	v.rosterMu.Lock()
+	defer v.rosterMu.Unlock()
+	return v.discoveryRevisionLocked()
 }
 
 // listed is the list that is shown, and up to where discovery's is held.
-func (v *Service) listed() (revision int64, entries []learned.Entry) {
-	v.listing.Lock()
-	defer v.listing.Unlock()
+func (v *Service) membership() (revision int64, entries []learned.Entry) {
+	v.rosterMu.Lock()
+	defer v.rosterMu.Unlock()
 	for _, e := range v.roster.Members() {
 		entries = append(entries, toLearned(fromRoster(e)))
 	}
-	return v.held(), entries
+	return v.discoveryRevisionLocked(), entries
 }
 
 // held is up to where discovery's list is held, or what the start was given; a registry counts in revisions of its own.
 // The caller holds the lock.
-func (v *Service) held() int64 {
+func (v *Service) discoveryRevisionLocked() int64 {
 	if _, revision, told := v.roster.Revision(roster.SourceDiscovery); told {
 		return revision
 	}
@@ -133,7 +133,7 @@
 			roster.PhaseRemoved: discovery.PhaseRemoved}[e.Phase]}
 }
 
-func rosterRules(g *operator.Registry) roster.Options {
+func rosterOptions(g *operator.Registry) roster.Options {
 	if g == nil {
 		return roster.Options{Preferred: roster.SourceDiscovery}
 	}
--- a/internal/driver/registry.go
+++ b/internal/driver/registry.go
@@ -12,7 +12,7 @@
 	"weirwind/internal/roster"
 )
 
-const rosterTick = 250 * time.Millisecond // between looks at who leads
+const rosterInterval = 250 * time.Millisecond // between looks at who leads
 
 // RegistryOptions are an operators' block as its client takes it.
 func RegistryOptions(g *operator.Registry) registry.Options {
@@ -22,39 +22,39 @@
 
 // openRegistry makes the watcher of members.
 func (v *Service) openRegistry(drivers int, seed uint64) error {
-	c, err := registry.New(RegistryOptions(v.registry))
+	c, err := registry.New(RegistryOptions(v.registryConfig))
 	if err != nil {
 		return fmt.Errorf("registry: %w", err)
 	}
-	v.following = &registry.Watcher{
+	v.registryWatcher = &registry.Watcher{
 		Client: c,
-		Now:    v.decide.clock.now,
+		Now:    v.decider.clock.now,
 		Scheduler: roster.NewScheduler(
-			roster.SchedulerOptions{Endpoints: len(v.registry.Endpoints), Drivers: drivers, Seed: seed},
+			roster.SchedulerOptions{Endpoints: len(v.registryConfig.Endpoints), Drivers: drivers, Seed: seed},
 		),
 		Position: func() (int64, bool) {
-			v.listing.Lock()
-			defer v.listing.Unlock()
+			v.rosterMu.Lock()
+			defer v.rosterMu.Unlock()
 			_, revision, told := v.roster.Revision(roster.SourceRegistry)
 			return revision, told
 		},
 		Told: func(u roster.Update) (roster.Verdict, float64) {
-			v.count.Registries.Add(1)
-			verdict := v.told(u)
+			v.counters.Registries.Add(1)
+			verdict := v.updateMembership(u)
 			if verdict == roster.VerdictGap || verdict == roster.VerdictUnconfirmed {
 				v.log.Warn("registry_"+verdict.String(), "revision", u.Revision)
 			}
-			return verdict, milliseconds(v.registry.Confirm)
+			return verdict, milliseconds(v.registryConfig.Confirm)
 		},
 		Lost: func(err error) {
-			v.count.RegistriesFailed.Add(1)
+			v.counters.RegistriesFailed.Add(1)
 			v.log.Warn("registry_failed", "error", err)
-			v.lost(roster.SourceRegistry)
+			v.sourceDisconnected(roster.SourceRegistry)
 		},
 		Alive: func() {
-			v.listing.Lock()
-			defer v.listing.Unlock()
-			v.roster.SetConnected(v.decide.clock.now(), roster.SourceRegistry)
+			v.rosterMu.Lock()
+			defer v.rosterMu.Unlock()
+			v.roster.SetConnected(v.decider.clock.now(), roster.SourceRegistry)
 		},
 	}
 	return nil
--- a/internal/driver/send.go
+++ b/internal/driver/send.go
@@ -17,47 +17,47 @@
 )
 
 // send is one try at an op toward a member.
-type send struct {
-	m         *pool
+type attempt struct {
+	pool      *pool
 	member    string
 	statement *pgwire.Statement // nil for a probe
 	deadline  time.Time
-	writeBy   time.Time // when what it was decided on is too old; zero where that does not age
+	staleAt   time.Time // when what it was decided on is too old; zero where that does not age
 	ctx       context.Context
-	stop      context.CancelFunc
+	release   context.CancelFunc
 
-	writing         sync.Mutex // held while the request is written
-	mu              sync.Mutex // guards what follows
-	link            *link      // only while it is this send's
+	writing         sync.Mutex  // held while the request is written
+	mu              sync.Mutex  // guards what follows
+	conn            *memberConn // only while it is this send's
 	cancelled       bool
 	writesForbidden bool // nothing may be written any more
 }
 
-func (m *pool) send(member string, s *pgwire.Statement, wait time.Duration) *send {
-	x := &send{m: m, member: member, statement: s, deadline: time.Now().Add(wait)}
-	x.ctx, x.stop = context.WithDeadline(context.Background(), x.deadline)
+func (m *pool) newAttempt(member string, s *pgwire.Statement, wait time.Duration) *attempt {
+	x := &attempt{pool: m, member: member, statement: s, deadline: time.Now().Add(wait)}
+	x.ctx, x.release = context.WithDeadline(context.Background(), x.deadline)
 	return x
 }
 
 // cancel stops waiting; once it returns nothing more is written. It must not touch a connection that has gone
 // back: another op may be on it.
-func (x *send) cancel() {
-	x.stop()
+func (x *attempt) cancel() {
+	x.release()
 	x.mu.Lock()
 	x.cancelled = true
-	if x.link != nil {
-		x.link.SetDeadline(time.Unix(1, 0))
+	if x.conn != nil {
+		x.conn.SetDeadline(time.Unix(1, 0))
 	}
 	x.mu.Unlock()
 	x.forbidWrites()
 }
 
 // forbidWrites keeps a request from being written, and ends the writing of one that has begun.
-func (x *send) forbidWrites() {
+func (x *attempt) forbidWrites() {
 	x.mu.Lock()
 	x.writesForbidden = true
-	if x.link != nil {
-		x.link.SetWriteDeadline(time.Unix(1, 0))
+	if x.conn != nil {
+		x.conn.SetWriteDeadline(time.Unix(1, 0))
 	}
 	x.mu.Unlock()
 	x.writing.Lock() // a write under way has ended
@@ -65,87 +65,87 @@
 }
 
 // attach makes a connection the send's own, so that cancel can end it; attach(nil) ends that.
-func (x *send) attach(l *link) {
+func (x *attempt) setConn(l *memberConn) {
 	x.mu.Lock()
-	x.link = l
+	x.conn = l
 	x.mu.Unlock()
 }
 
 // limitAnswer leaves a member that has begun its answer only the time of a connect for the rest: one that does not
 // end is spoilt, and one that is whole but for its end must not be lost for that.
-func (x *send) limitAnswer() {
+func (x *attempt) limitAnswerTime() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if limit := time.Now().Add(x.m.connectTime); !x.cancelled && limit.Before(x.deadline) {
-		x.link.SetReadDeadline(limit)
+	if limit := time.Now().Add(x.pool.connectTimeout); !x.cancelled && limit.Before(x.deadline) {
+		x.conn.SetReadDeadline(limit)
 	}
 }
 
 // run carries the send out and tells how it ended.
-func (x *send) run() result {
-	defer x.stop()
-	x.m.count.Sends.Add(1)
+func (x *attempt) run() result {
+	defer x.release()
+	x.pool.counters.Sends.Add(1)
 	r := x.exchange()
 	if r.member = x.member; x.statement == nil {
-		r.usage(r.value)
+		r.parseUsage(r.value)
 	}
-	if c := x.m.count.of(r.outcome); c != nil {
+	if c := x.pool.counters.forOutcome(r.outcome); c != nil {
 		c.Add(1)
 	}
 	return r
 }
 
-func (x *send) exchange() result {
-	l := x.m.takeIdle(x.member)
+func (x *attempt) exchange() result {
+	l := x.pool.takeIdle(x.member)
 	if l != nil {
-		x.m.count.Reused.Add(1)
+		x.pool.counters.Reused.Add(1)
 	} else {
 		var outcome logic.Outcome
-		if l, outcome = x.m.open(x.ctx, x.member); l == nil {
-			return result{outcome: x.unlessEnded(outcome)}
+		if l, outcome = x.pool.dial(x.ctx, x.member); l == nil {
+			return result{outcome: x.outcomeUnlessEnded(outcome)}
 		}
 	}
 	l.served++
-	x.attach(l)
+	x.setConn(l)
 	begun, err := x.write(l)
 	if err != nil {
-		x.attach(nil)
+		x.setConn(nil)
 		if begun {
-			x.m.closeLink(l, "cut")
+			x.pool.closeConn(l, "cut")
 		} else {
 			l.served--
 			l.SetDeadline(time.Time{})
-			x.m.putIdle(l)
+			x.pool.putIdle(l)
 		}
-		return result{outcome: x.unlessEnded(logic.ConnectFailed)}
+		return result{outcome: x.outcomeUnlessEnded(logic.ConnectFailed)}
 	}
-	r, clean, err := readAnswer(l.r, x.limitAnswer)
-	r.opened = l.opened
-	x.attach(nil)
+	r, clean, err := readAnswer(l.reader, x.limitAnswerTime)
+	r.connOpenedAt = l.openedAt
+	x.setConn(nil)
 	switch {
 	case clean:
 		l.SetDeadline(time.Time{})
-		x.m.putIdle(l)
+		x.pool.putIdle(l)
 		return r
 	case r.outcome == noOutcome && errors.Is(err, os.ErrDeadlineExceeded):
-		if r.outcome = x.unlessEnded(logic.TimedOut); r.outcome == logic.TimedOut && time.Now().Before(x.deadline) {
+		if r.outcome = x.outcomeUnlessEnded(logic.TimedOut); r.outcome == logic.TimedOut && time.Now().Before(x.deadline) {
 			r.outcome = logic.Fault // the limit of answers was over: it had begun
 		}
-		x.m.closeLink(l, closeReason(r.outcome))
+		x.pool.closeConn(l, closeReason(r.outcome))
 	case r.outcome == noOutcome && errors.Is(err, pgwire.ErrFraming):
 		r.outcome = logic.Fault
-		x.m.closeLink(l, "garbled")
+		x.pool.closeConn(l, "garbled")
 	case r.outcome == noOutcome:
 		r.outcome = logic.Reset
-		x.m.closeLink(l, "reset")
+		x.pool.closeConn(l, "reset")
 	default: // an outcome came, and then the connection ended
-		x.m.closeLink(l, "ended")
+		x.pool.closeConn(l, "ended")
 	}
 	return r
 }
 
 // unlessEnded is the outcome, but for a send that was cancelled, barred or out of time.
-func (x *send) unlessEnded(outcome logic.Outcome) logic.Outcome {
+func (x *attempt) outcomeUnlessEnded(outcome logic.Outcome) logic.Outcome {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	switch {
@@ -158,9 +158,9 @@
 }
 
 // write sends the request, unless that has been forbidden. Without an error its last byte is written.
-func (x *send) write(l *link) (begun bool, err error) {
+func (x *attempt) write(l *memberConn) (begun bool, err error) {
 	x.mu.Lock()
-	x.writesForbidden = x.writesForbidden || !x.writeBy.IsZero() && time.Now().After(x.writeBy)
+	x.writesForbidden = x.writesForbidden || !x.staleAt.IsZero() && time.Now().After(x.staleAt)
 	if x.writesForbidden || x.ctx.Err() != nil {
 		x.mu.Unlock()
 		return false, os.ErrDeadlineExceeded
@@ -173,14 +173,14 @@
 	if x.statement != nil {
 		b = x.statement.Query(time.Until(x.deadline).Milliseconds())
 	} else {
-		b = net.Buffers{pgwire.AppendQuery(nil, x.m.probeQuery)}
+		b = net.Buffers{pgwire.AppendQuery(nil, x.pool.healthCheckQuery)}
 	}
 	_, err = b.WriteTo(l.Conn)
 	return true, err
 }
 
 // of is the counter of an outcome; nil where a good answer needs none.
-func (c *counters) of(o logic.Outcome) *atomic.Int64 {
+func (c *counters) forOutcome(o logic.Outcome) *atomic.Int64 {
 	return [...]*atomic.Int64{logic.OK: nil, logic.Miss: &c.Missed, logic.Full: &c.Full,
 		logic.ConnectFailed: &c.NoConnection, logic.Moot: &c.Unsent, logic.Fault: &c.Faulted,
 		logic.TimedOut: &c.TimedOut, logic.Reset: &c.Reset, logic.Cancelled: &c.Cancelled}[o]
--- a/internal/driver/shape_test.go
+++ b/internal/driver/shape_test.go
@@ -9,16 +9,16 @@
 
 func TestShapeOfTheFleet(t *testing.T) {
 	o := logic.Opening{Drivers: 3, MayMessage: true}
-	shape(&o, nil)
+	applyOverrides(&o, nil)
 	if o.Drivers != 3 || !o.MayMessage || o.OnlyDrainBinds {
 		t.Fatal("no block changes nothing", o)
 	}
 	no, yes := false, true
-	shape(&o, &operator.Fleet{Peers: &no, Drivers: 320, DrainingBinds: &yes})
+	applyOverrides(&o, &operator.Fleet{Peers: &no, Drivers: 320, DrainingBinds: &yes})
 	if o.MayMessage || o.Drivers != 320 || !o.OnlyDrainBinds {
 		t.Fatal(o)
 	}
-	shape(&o, &operator.Fleet{Peers: &yes})
+	applyOverrides(&o, &operator.Fleet{Peers: &yes})
 	if o.MayMessage {
 		t.Fatal("the operators' file let drivers talk where the platform does not")
 	}
--- a/internal/driver/state.go
+++ b/internal/driver/state.go
@@ -24,28 +24,28 @@
 )
 
 const (
-	openTime   = 2 * time.Second // for the disk at a start: later the driver starts without
-	finishTime = time.Second     // and for the last save
+	diskOpenTimeout = 2 * time.Second // for the disk at a start: later the driver starts without
+	lastSaveTimeout = time.Second     // and for the last save
 )
 
 // keeper saves what the driver has learned.
-type keeper struct {
-	v     *Service
-	files durable.FS
-	kick  chan struct{} // the list has changed
+type stateSaver struct {
+	service *Service
+	files   durable.FS
+	wake    chan struct{} // the list has changed
 
-	mu       sync.Mutex // guards what follows
-	o        operator.State
-	revision int64 // of the list when it was last told
-	news     bool  // it is not saved yet
+	mu                sync.Mutex // guards what follows
+	config            operator.State
+	revision          int64 // of the list when it was last told
+	membershipChanged bool  // it is not saved yet
 
-	saving sync.Mutex // guards what follows; held through a save
-	store  *durable.Store
-	book   *learned.Table
-	memory logic.Memory
-	behind bool // the book holds what the store does not
-	retry  learned.Backoff
-	ended  bool
+	saveMu      sync.Mutex // guards what follows; held through a save
+	store       *durable.Store
+	table       *learned.Table
+	memory      logic.Memory
+	storeBehind bool // the book holds what the store does not
+	backoff     learned.Backoff
+	closed      bool
 }
 
 // bootID names the machine's start; empty where it does not tell.
@@ -71,12 +71,12 @@
 }
 
 // rulesOf gathers what the settings tell that decisions about state go by.
-func rulesOf(name string, told opening.Settings, o operator.State) learned.Config {
-	r := learned.Config{Name: name, SaveInterval: milliseconds(o.SaveEvery), WarmUp: told.Opening.ColdFor,
-		MinSwitchover: cmp.Or(milliseconds(o.SwitchLeast), told.DrainGrace), StalenessBound: math.Inf(1),
-		SessionsTrackPosition: told.Opening.SessionCarried, OpTypes: make([]learned.OpType, len(told.OpTypes))}
-	for name, i := range told.OpTypes {
-		t := &told.Opening.OpTypes[i]
+func learnedConfig(name string, settings opening.Settings, config operator.State) learned.Config {
+	r := learned.Config{Name: name, SaveInterval: milliseconds(config.SaveEvery), WarmUp: settings.Opening.ColdFor,
+		MinSwitchover: cmp.Or(milliseconds(config.SwitchLeast), settings.DrainGrace), StalenessBound: math.Inf(1),
+		SessionsTrackPosition: settings.Opening.SessionCarried, OpTypes: make([]learned.OpType, len(settings.OpTypes))}
+	for name, i := range settings.OpTypes {
+		t := &settings.Opening.OpTypes[i]
 		r.OpTypes[i] = learned.OpType{Name: name, LatencyTarget: t.LatencyTarget}
 		if t.Need == logic.Bounded {
 			r.StalenessBound = min(r.StalenessBound, t.MaxAge)
@@ -88,26 +88,26 @@
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
 // opened is how a folder was found.
-type opened struct {
+type openedStore struct {
 	store *durable.Store
 	state *learned.State
 	err   error
 }
 
-func (k *keeper) open() (r opened) {
+func (k *stateSaver) openStore() (r openedStore) {
 	k.mu.Lock()
-	o := durable.Options{Folder: k.o.Folder, Tag: learned.Tag, Limit: int64(k.o.LimitMB) << 20}
+	o := durable.Options{Folder: k.config.Folder, Tag: learned.Tag, Limit: int64(k.config.LimitMB) << 20}
 	k.mu.Unlock()
 	var found durable.Recovered
 	if r.store, found, r.err = durable.Open(k.files, o); r.err != nil {
 		return r
 	}
 	for _, err := range found.Damaged() {
-		k.v.log.Warn("state_damaged", "folder", o.Folder, "error", err)
+		k.service.log.Warn("state_damaged", "folder", o.Folder, "error", err)
 	}
 	if found.Snapshot != nil {
 		if r.state, r.err = learned.Load(found.Snapshot, found.Records); r.err != nil {
-			k.v.log.Warn("state_damaged", "folder", o.Folder, "error", r.err)
+			k.service.log.Warn("state_damaged", "folder", o.Folder, "error", r.err)
 			r.err = nil
 		}
 	}
@@ -115,15 +115,15 @@
 }
 
 // begin recovers what an earlier run has left, tells the module of it, and gives out the list that holds.
-func (v *Service) begin(o operator.State, told opening.Settings, known discovery.Answer) {
-	k := &keeper{v: v, files: durable.OS{}, kick: make(chan struct{}, 1), o: o}
+func (v *Service) restoreState(o operator.State, told opening.Settings, known discovery.Answer) {
+	k := &stateSaver{service: v, files: durable.OS{}, wake: make(chan struct{}, 1), config: o}
 	began := time.Now()
-	came := make(chan opened, 1)
-	go func() { came <- k.open() }()
-	var r opened
+	came := make(chan openedStore, 1)
+	go func() { came <- k.openStore() }()
+	var r openedStore
 	select {
 	case r = <-came:
-	case <-time.After(openTime):
+	case <-time.After(diskOpenTimeout):
 		r.err = errors.New("the disk does not answer")
 		go func() {
 			if late := <-came; late.store != nil {
@@ -131,7 +131,7 @@
 			}
 		}()
 	}
-	now, rules := v.decide.moment(), rulesOf(v.config.Name, told, o)
+	now, rules := v.decider.moment(), learnedConfig(v.config.Name, told, o)
 	given := learned.Membership{Revision: known.Revision}
 	for _, e := range known.Members {
 		given.Entries = append(given.Entries, toLearned(e))
@@ -143,14 +143,14 @@
 			known.Members = append(known.Members, toDiscovery(e))
 		}
 	}
-	k.book = learned.NewTable(rules, r.state, now)
-	k.book.StartRun(now)
-	v.keep = k
-	v.start(known)
-	v.decide.step(logic.Event{Kind: logic.EvRecall, Memory: &belief.Memory})
-	k.store, k.behind = r.store, true
+	k.table = learned.NewTable(rules, r.state, now)
+	k.table.StartRun(now)
+	v.stateSaver = k
+	v.initMembership(known)
+	v.decider.step(logic.Event{Kind: logic.EvRecall, Memory: &belief.Memory})
+	k.store, k.storeBehind = r.store, true
 	if r.err != nil {
-		k.failed(now, r.err)
+		k.saveFailed(now, r.err)
 	}
 	v.log.Info("state_recalled", "verdict", string(belief.Verdict), "age_ms", int64(belief.Age), "from_kept",
 		belief.FromSaved,
@@ -170,39 +170,39 @@
 }
 
 // list notes that the list has changed, or its revision, and wakes the saver; it waits for nothing.
-func (k *keeper) list(revision int64, changed bool) {
+func (k *stateSaver) noteMembership(revision int64, changed bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if !changed && revision == k.revision {
 		return
 	}
-	k.revision, k.news = revision, true
+	k.revision, k.membershipChanged = revision, true
 	select {
-	case k.kick <- struct{}{}:
+	case k.wake <- struct{}{}:
 	default:
 	}
 }
 
 // change takes up another interval or cap; the folder stays as it was.
-func (k *keeper) change(o operator.State) {
+func (k *stateSaver) reconfigure(o operator.State) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	o.Folder = k.o.Folder
-	k.o = o
+	o.Folder = k.config.Folder
+	k.config = o
 }
 
 // run saves until the context ends.
-func (k *keeper) run(ctx context.Context) {
+func (k *stateSaver) run(ctx context.Context) {
 	for {
 		k.mu.Lock()
-		every := k.o.SaveEvery
+		every := k.config.SaveEvery
 		k.mu.Unlock()
 		timer := time.NewTimer(every)
 		select {
 		case <-ctx.Done():
 			timer.Stop()
 			return
-		case <-k.kick:
+		case <-k.wake:
 		case <-timer.C:
 		}
 		timer.Stop()
@@ -211,7 +211,7 @@
 }
 
 // finish saves all once more and lets the folder go; a disk that does not answer is waited for only so long.
-func (k *keeper) finish() {
+func (k *stateSaver) close() {
 	done := make(chan struct{})
 	go func() {
 		k.save(true)
@@ -219,40 +219,40 @@
 	}()
 	select {
 	case <-done:
-	case <-time.After(finishTime):
-		k.v.log.Error("state_failed", "error", "the disk does not answer: the last save is lost")
+	case <-time.After(lastSaveTimeout):
+		k.service.log.Error("state_failed", "error", "the disk does not answer: the last save is lost")
 	}
 }
 
 // save takes in what is known now and writes what of it is worth a write.
-func (k *keeper) save(last bool) {
-	k.saving.Lock()
-	defer k.saving.Unlock()
-	if k.ended {
+func (k *stateSaver) save(last bool) {
+	k.saveMu.Lock()
+	defer k.saveMu.Unlock()
+	if k.closed {
 		return
 	}
-	k.ended = last
-	now := k.v.decide.moment()
+	k.closed = last
+	now := k.service.decider.moment()
 	k.mu.Lock()
-	news, limit := k.news, int64(k.o.LimitMB)<<20
-	k.news = false
+	news, limit := k.membershipChanged, int64(k.config.LimitMB)<<20
+	k.membershipChanged = false
 	k.mu.Unlock()
 	var records [][]byte
 	if news { // what changes from here on is news again
-		revision, entries := k.v.listed()
-		records = k.book.UpdateMembership(now, revision, true, entries)
+		revision, entries := k.service.membership()
+		records = k.table.UpdateMembership(now, revision, true, entries)
 	}
-	k.v.decide.step(logic.Event{Kind: logic.EvRemember, Memory: &k.memory})
-	records = append(records, k.book.Update(now, &k.memory, last)...)
-	if !last && !k.retry.Ready(now) {
-		k.behind = k.behind || len(records) > 0
+	k.service.decider.step(logic.Event{Kind: logic.EvRemember, Memory: &k.memory})
+	records = append(records, k.table.Update(now, &k.memory, last)...)
+	if !last && !k.backoff.Ready(now) {
+		k.storeBehind = k.storeBehind || len(records) > 0
 		return
 	}
-	if err := k.put(records, limit); err != nil {
-		k.behind = true
-		k.failed(now, err)
-	} else if k.v.count.StateSaves.Add(1); k.retry.RecordSuccess() {
-		k.v.log.Info("state_saved", "text", "saving goes on")
+	if err := k.persist(records, limit); err != nil {
+		k.storeBehind = true
+		k.saveFailed(now, err)
+	} else if k.service.counters.StateSaves.Add(1); k.backoff.RecordSuccess() {
+		k.service.log.Info("state_saved", "text", "saving goes on")
 	}
 	if last && k.store != nil {
 		_ = k.store.Close() // what was appended is on disk
@@ -260,25 +260,25 @@
 }
 
 // put brings the store up to the book: by the records, or by a snapshot where that is due or the store is behind.
-func (k *keeper) put(records [][]byte, limit int64) (err error) {
+func (k *stateSaver) persist(records [][]byte, limit int64) (err error) {
 	if k.store == nil {
-		r := k.open()
+		r := k.openStore()
 		if r.err != nil {
 			return r.err
 		}
-		k.store, k.behind = r.store, true
+		k.store, k.storeBehind = r.store, true
 	}
 	k.store.Cap(limit)
 	before := k.store.Written()
 	switch {
-	case k.behind || k.store.Due():
-		err = k.store.Compact(k.book.Snapshot())
+	case k.storeBehind || k.store.Due():
+		err = k.store.Compact(k.table.Snapshot())
 	case len(records) > 0:
 		if err = k.store.Append(records...); errors.Is(err, durable.ErrLimit) {
-			err = k.store.Compact(k.book.Snapshot())
+			err = k.store.Compact(k.table.Snapshot())
 		}
 	}
-	k.v.count.StateBytes.Add(k.store.Written() - before)
+	k.service.counters.StateBytes.Add(k.store.Written() - before)
 	if err == nil {
 		err = k.store.Check()
 	}
@@ -287,15 +287,15 @@
 		k.store = nil
 		return err
 	}
-	k.behind = false
+	k.storeBehind = false
 	return nil
 }
 
 // failed counts a failure; the first of a row gets a line.
-func (k *keeper) failed(now learned.Timestamp, err error) {
-	k.v.count.StateFailed.Add(1)
-	first := k.retry == (learned.Backoff{})
-	if wait := k.retry.RecordFailure(now); first {
-		k.v.log.Error("state_failed", "error", err, "retry_ms", int64(wait))
+func (k *stateSaver) saveFailed(now learned.Timestamp, err error) {
+	k.service.counters.StateFailed.Add(1)
+	first := k.backoff == (learned.Backoff{})
+	if wait := k.backoff.RecordFailure(now); first {
+		k.service.log.Error("state_failed", "error", err, "retry_ms", int64(wait))
 	}
 }
--- a/internal/driver/switchover.go
+++ b/internal/driver/switchover.go
@@ -23,28 +23,28 @@
 )
 
 const (
-	switchLook   = 20 * time.Millisecond // between looks at who is primary, while a change is open
-	switchGroups = 64
+	switchoverInterval  = 20 * time.Millisecond // between looks at who is primary, while a change is open
+	maxSwitchoverGroups = 64
 )
 
 type switchovers struct {
-	v         *Service
+	service   *Service
 	listeners []net.Listener
 	token     string
 
-	mu   sync.Mutex
-	book *switchover.Tracker
+	mu      sync.Mutex
+	tracker *switchover.Tracker
 }
 
 // openControl opens the sockets that the operators' file names.
 func (v *Service) openControl(o operator.Control, origin int) error {
-	s := &switchovers{v: v, book: switchover.New(switchover.Config{
+	s := &switchovers{service: v, tracker: switchover.New(switchover.Config{
 		DefaultLease: milliseconds(o.Lease), MaxHold: milliseconds(o.Most), ReleaseTimeout: milliseconds(o.Opening),
-		RoleQueryInterval: milliseconds(switchAsk), Retention: 4 * milliseconds(o.Most),
-		MaxGroups: switchGroups, Origin: uint64(origin)})}
+		RoleQueryInterval: milliseconds(peerPollInterval), Retention: 4 * milliseconds(o.Most),
+		MaxGroups: maxSwitchoverGroups, Origin: uint64(origin)})}
 	if o.TokenFile != "" {
 		var err error
-		if s.token, err = secret(o.TokenFile); err != nil {
+		if s.token, err = readToken(o.TokenFile); err != nil {
 			return fmt.Errorf("control: token: %w", err)
 		}
 	}
@@ -68,12 +68,12 @@
 		s.listeners = append(s.listeners, ln)
 	}
 	v.fleet.setPeers(o.Fellows, s.token)
-	v.switches = s
+	v.switchovers = s
 	return nil
 }
 
 // secret reads the one that drivers show each other.
-func secret(file string) (string, error) {
+func readToken(file string) (string, error) {
 	text, err := os.ReadFile(file)
 	s := strings.TrimSpace(string(text))
 	if err == nil && s == "" {
@@ -99,36 +99,36 @@
 		}
 		all.Go(func() error {
 			if err := control.Serve(ctx, ln, s, token); err != nil {
-				s.v.log.Error("control_failed", "error", err)
+				s.service.log.Error("control_failed", "error", err)
 			}
 			return nil
 		})
 	}
-	all.Go(func() error { every(ctx, switchLook, s.look); return nil })
+	all.Go(func() error { every(ctx, switchoverInterval, s.observePrimaries); return nil })
 	return all.Wait()
 }
 
 // Hook takes a message of a hook; peers are told behind its back.
 func (s *switchovers) Hook(w switchover.Notification) (switchover.Notification, error) {
-	if !s.v.decide.serves(w.Group) {
+	if !s.service.decider.servesGroup(w.Group) {
 		return w, fmt.Errorf("group %d is not known here", w.Group)
 	}
-	primary := s.v.decide.primaries()[w.Group]
-	if err := s.allowed(w); err != nil {
+	primary := s.service.decider.primaries()[w.Group]
+	if err := s.checkStanding(w); err != nil {
 		return w, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	w, out, err := s.book.HandleHook(s.v.decide.clock.now(), w, primary)
+	w, out, err := s.tracker.HandleHook(s.service.decider.clock.now(), w, primary)
 	if err == nil {
-		s.carry(out)
+		s.apply(out)
 	}
 	return w, err
 }
 
 // allowed says whether a hook's word may be taken in this driver's standing among its peers.
-func (s *switchovers) allowed(w switchover.Notification) error {
-	if s.v.fleet.mesh == nil {
+func (s *switchovers) checkStanding(w switchover.Notification) error {
+	if s.service.fleet.mesh == nil {
 		return nil
 	}
 	act := membership.EndWritePause
@@ -140,43 +140,43 @@
 			}
 		}
 	}
-	standing, why := s.v.fleet.mesh.Standing()
+	standing, why := s.service.fleet.mesh.Standing()
 	allowed, reason := membership.Allowed(standing, act)
 	if allowed {
 		return nil
 	}
-	s.v.log.Warn("switch", "reason", reason, "group", w.Group, "standing", standing.String(), "why", why)
+	s.service.log.Warn("switch", "reason", reason, "group", w.Group, "standing", standing.String(), "why", why)
 	return fmt.Errorf("%w (it is %s %s)", control.ErrStanding, standing, why)
 }
 
 // Peership is the view of peers, nil where they do not know each other.
 func (s *switchovers) Fellowship() control.Fellowship {
-	if s.v.fleet.mesh == nil {
+	if s.service.fleet.mesh == nil {
 		return nil
 	}
-	return s.v.fleet.mesh
+	return s.service.fleet.mesh
 }
 
 // Zoner is this driver's part in deciding on zones; nil while there is none.
 func (s *switchovers) Zoner() control.Zoner {
-	if s.v.zoning == nil {
+	if s.service.zones == nil {
 		return nil
 	}
-	return s.v.zoning
+	return s.service.zones
 }
 
 // Told takes a message of a peer.
 func (s *switchovers) Told(w switchover.Notification) error {
-	_, err := s.told(w)
+	_, err := s.handleNotification(w)
 	return err
 }
 
 // told takes a message of a peer, and says whether it was news.
-func (s *switchovers) told(w switchover.Notification) (news bool, err error) {
+func (s *switchovers) handleNotification(w switchover.Notification) (news bool, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out, err := s.book.HandleNotification(s.v.decide.clock.now(), w)
-	s.carry(out)
+	out, err := s.tracker.HandleNotification(s.service.decider.clock.now(), w)
+	s.apply(out)
 	return out.LogText != "", err
 }
 
@@ -184,47 +184,47 @@
 func (s *switchovers) Status() []switchover.ChangeStatus {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.book.Status(s.v.decide.clock.now())
+	return s.tracker.Status(s.service.decider.clock.now())
 }
 
 // role takes what a member said of itself when it was probed.
-func (s *switchovers) role(member string, r logic.Role) {
+func (s *switchovers) observeRole(member string, r logic.Role) {
 	if r == logic.RoleUnknown {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.carry(s.book.ObserveRole(s.v.decide.clock.now(), member, r == logic.Primary))
+	s.apply(s.tracker.ObserveRole(s.service.decider.clock.now(), member, r == logic.Primary))
 }
 
 // look tells the book who is primary, while a change is open.
-func (s *switchovers) look() {
+func (s *switchovers) observePrimaries() {
 	s.mu.Lock()
-	open := s.book.Active()
+	open := s.tracker.Active()
 	s.mu.Unlock()
 	var primaries map[int64]string
 	if open {
-		primaries = s.v.decide.primaries()
+		primaries = s.service.decider.primaries()
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	now := s.v.decide.clock.now()
+	now := s.service.decider.clock.now()
 	for group, primary := range primaries {
-		s.carry(s.book.ObservePrimary(now, group, primary))
+		s.apply(s.tracker.ObservePrimary(now, group, primary))
 	}
-	s.carry(s.book.Tick(now))
+	s.apply(s.tracker.Tick(now))
 }
 
 // carry does what was decided. The caller holds the lock.
-func (s *switchovers) carry(out switchover.Outcome) {
+func (s *switchovers) apply(out switchover.Outcome) {
 	for _, m := range out.Marks {
-		s.v.decide.mark(m.Member, markSwitch, m.Draining)
+		s.service.decider.setDraining(m.Member, drainSwitchover, m.Draining)
 	}
 	for _, member := range out.QueryRoles {
-		s.v.probe(member)
+		s.service.checkHealth(member)
 	}
 	if out.LogText != "" {
-		s.v.log.Info("switch", "text", out.LogText)
-		s.v.fleet.notifyPeers()
+		s.service.log.Info("switch", "text", out.LogText)
+		s.service.fleet.notifyPeers()
 	}
 }
--- a/internal/driver/zones.go
+++ b/internal/driver/zones.go
@@ -30,61 +30,61 @@
 )
 
 const (
-	zoneLooks    = 5 // a beat
-	zoneCalls    = 8 // to peers at a time
-	zoneQueue    = 256
-	zoneCallTime = 2 * time.Second
-	plansTag     = "PLAN"
-	plansLimit   = 4 << 20
-	webhookTime  = 5 * time.Second
-	webhookAgain = 10 * time.Second
-	toldKeep     = 2000.0 // ms that a member's position counts
+	observationsPerInterval = 5 // a beat
+	zoneSenders             = 8 // to peers at a time
+	zoneQueueLength         = 256
+	zoneCallTimeout         = 2 * time.Second
+	zonePlansTag            = "PLAN"
+	zonePlansBytes          = 4 << 20
+	webhookTimeout          = 5 * time.Second
+	webhookInterval         = 10 * time.Second
+	positionTTL             = 2000.0 // ms that a member's position counts
 )
 
 // countEvery is the least time between two counts of reads, in milliseconds: shorter spans say little.
-const countEvery = 900.0
+const sendRateInterval = 900.0
 
 // zoneAgent is a driver's part in deciding on zones.
 type zoneAgent struct {
-	v       *Service
-	zone    string
-	beat    time.Duration
-	keep    *durable.Last // nil where votes do not outlive the process
-	out     chan zones.Envelope
-	webhook string
-	bound   float64 // the tightest bound on the age of data; 0: there is none
-	names   []string
+	service        *Service
+	zone           string
+	interval       time.Duration
+	store          *durable.Last // nil where votes do not outlive the process
+	outgoing       chan zones.Envelope
+	webhook        string
+	stalenessBound float64 // the tightest bound on the age of data; 0: there is none
+	opTypes        []string
 
-	mu sync.Mutex // guards what follows; never taken with the decider's lock held
-	z  *zones.Coordinator
+	mu    sync.Mutex // guards what follows; never taken with the decider's lock held
+	zones *zones.Coordinator
 
-	counting sync.Mutex // guards what follows; may be taken with the decider's lock held
-	account  zones.TrafficCounter
-	usual    map[string]*zones.LatencyBaseline // by zone
-	applied  map[string]reportedPosition       // by member: what it said last
-	plan     map[string]bool                   // zones that the plan has a share for
-	sent     map[string]float64
-	sentAt   float64
+	trafficMu   sync.Mutex // guards what follows; may be taken with the decider's lock held
+	traffic     zones.TrafficCounter
+	latencies   map[string]*zones.LatencyBaseline // by zone
+	positions   map[string]reportedPosition       // by member: what it said last
+	planned     map[string]bool                   // zones that the plan has a share for
+	sendRates   map[string]float64
+	sendRatesAt float64
 
-	asked map[int64]time.Time // webhooks, by group
+	webhookCalls map[int64]time.Time // webhooks, by group
 }
 
 // reportedPosition is a position that a member said, and when.
-type reportedPosition struct{ position, at float64 }
+type reportedPosition struct{ position, reportedAt float64 }
 
 // openZones makes a driver's part in deciding on zones.
-func (v *Service) openZones(o operator.Zones, m operator.Membership, a *file) error {
-	z := &zoneAgent{v: v, zone: zoneOf(m, a), beat: o.Beat, out: make(chan zones.Envelope, zoneQueue), webhook: o.Webhook,
-		usual: map[string]*zones.LatencyBaseline{}, applied: map[string]reportedPosition{}, asked: map[int64]time.Time{},
-		sentAt: v.decide.clock.now()}
-	for _, t := range a.told.Opening.OpTypes {
-		if t.Need == logic.Bounded && (z.bound == 0 || t.MaxAge < z.bound) {
-			z.bound = t.MaxAge
+func (v *Service) openZones(o operator.Zones, m operator.Membership, a *configuration) error {
+	z := &zoneAgent{service: v, zone: zoneOf(m, a), interval: o.Beat, outgoing: make(chan zones.Envelope, zoneQueueLength), webhook: o.Webhook,
+		latencies: map[string]*zones.LatencyBaseline{}, positions: map[string]reportedPosition{}, webhookCalls: map[int64]time.Time{},
+		sendRatesAt: v.decider.clock.now()}
+	for _, t := range a.settings.Opening.OpTypes {
+		if t.Need == logic.Bounded && (z.stalenessBound == 0 || t.MaxAge < z.stalenessBound) {
+			z.stalenessBound = t.MaxAge
 		}
 	}
-	z.names = make([]string, len(a.told.Opening.OpTypes))
-	for name, i := range a.told.OpTypes {
-		z.names[i] = name
+	z.opTypes = make([]string, len(a.settings.Opening.OpTypes))
+	for name, i := range a.settings.OpTypes {
+		z.opTypes[i] = name
 	}
 	beat := milliseconds(o.Beat)
 	rules := zones.Options{Heartbeat: beat, Lease: milliseconds(o.Lease), Voters: o.Voters, BaselineUtilization: float64(o.Load) / 100,
@@ -96,7 +96,7 @@
 		rules.Regions = append(rules.Regions, zones.Region{Name: r.Name, Zones: r.Zones})
 	}
 	if m.Folder != "" {
-		keep, last, err := durable.OpenLast(filepath.Join(m.Folder, "plans"), plansTag, plansLimit)
+		keep, last, err := durable.OpenLast(filepath.Join(m.Folder, "plans"), zonePlansTag, zonePlansBytes)
 		if err == nil && len(last) > 0 {
 			rules.Saved = &zones.SavedState{}
 			err = cbor.Unmarshal(last, rules.Saved)
@@ -104,80 +104,80 @@
 		if err != nil {
 			return fmt.Errorf("zones: %w", err)
 		}
-		z.keep, rules.Persistent = keep, true
+		z.store, rules.Persistent = keep, true
 	}
-	z.z = zones.New(v.decide.clock.now(), rules, zones.Peer{Name: a.Name, Zone: z.zone}, uint64(v.decide.clock.unixMs))
-	v.zoning = z
-	v.decide.zoned(z)
+	z.zones = zones.New(v.decider.clock.now(), rules, zones.Peer{Name: a.Name, Zone: z.zone}, uint64(v.decider.clock.unixMs))
+	v.zones = z
+	v.decider.countByZone(z)
 	return nil
 }
 
 // run takes part until the context ends.
 func (z *zoneAgent) run(ctx context.Context) error {
 	var all errgroup.Group
-	for range zoneCalls {
+	for range zoneSenders {
 		all.Go(func() error {
 			for {
 				select {
 				case <-ctx.Done():
 					return nil
-				case s := <-z.out:
+				case s := <-z.outgoing:
 					z.deliver(ctx, s)
 				}
 			}
 		})
 	}
-	every(ctx, z.beat/zoneLooks, func() { z.look(ctx) })
+	every(ctx, z.interval/observationsPerInterval, func() { z.observe(ctx) })
 	err := all.Wait()
-	if z.keep != nil {
-		_ = z.keep.Close() // what was appended is on disk
+	if z.store != nil {
+		_ = z.store.Close() // what was appended is on disk
 	}
 	return err
 }
 
 // look puts what is seen before the decisions, and lets time pass.
-func (z *zoneAgent) look(ctx context.Context) {
-	sights, homes, sent := z.observations(z.v.decide.clock.now())
-	fleet := z.fleet()
-	z.apply(func(now float64) zones.Output { return z.z.Observe(now, sights, homes, sent) })
-	z.apply(func(now float64) zones.Output { return z.z.Tick(now, fleet) })
-	z.hook(ctx)
+func (z *zoneAgent) observe(ctx context.Context) {
+	sights, homes, sent := z.observations(z.service.decider.clock.now())
+	fleet := z.membership()
+	z.apply(func(now float64) zones.Output { return z.zones.Observe(now, sights, homes, sent) })
+	z.apply(func(now float64) zones.Output { return z.zones.Tick(now, fleet) })
+	z.callWebhook(ctx)
 }
 
 // apply lets something be decided and carries out what comes of it. Votes are on disk before they are sent, and before
 // anything else is decided.
 func (z *zoneAgent) apply(decide func(now float64) zones.Output) (news bool) {
 	z.mu.Lock()
-	now := z.v.decide.clock.now()
+	now := z.service.decider.clock.now()
 	out := decide(now)
 	if out.Save != nil {
 		b, err := cbor.Marshal(out.Save)
 		if err == nil {
-			err = z.keep.Save(b)
+			err = z.store.Save(b)
 		}
 		if err != nil {
-			z.v.log.Warn("zones", "reason", "votes_not_kept", "error", err)
+			z.service.log.Warn("zones", "reason", "votes_not_kept", "error", err)
 			out.Messages = nil
 		}
-		z.z.Saved(now, err == nil)
+		z.zones.Saved(now, err == nil)
 	}
 	if out.TollsChanged {
-		tolls := z.z.Tolls()
-		z.v.decide.step(logic.Event{Kind: logic.EvTolls, Tolls: tolls})
-		z.v.log.Info("zones", "reason", "tolls", "text", fmt.Sprint(tolls))
-		z.counting.Lock()
-		z.plan = z.z.PlannedZones()
-		z.counting.Unlock()
+		tolls := z.zones.Tolls()
+		z.service.decider.step(logic.Event{Kind: logic.EvTolls, Tolls: tolls})
+		z.service.log.Info("zones", "reason", "tolls", "text", fmt.Sprint(tolls))
+		z.trafficMu.Lock()
+		z.planned = z.zones.PlannedZones()
+		z.trafficMu.Unlock()
 	}
 	z.mu.Unlock()
 	for _, n := range out.Events {
-		z.v.log.Info("zones", "reason", n.Reason, "name", n.Name, "text", n.Text)
+		z.service.log.Info("zones", "reason", n.Reason, "name", n.Name, "text", n.Text)
 	}
 	for _, s := range out.Messages {
 		z.send(s)
 	}
 	if out.PlanChanged {
-		z.v.fleet.mesh.Spread()
+		z.service.fleet.mesh.Spread()
 	}
 	return out.PlanChanged
 }
@@ -185,7 +185,7 @@
 // send has a message brought to a peer, soon.
 func (z *zoneAgent) send(s zones.Envelope) {
 	select {
-	case z.out <- s:
+	case z.outgoing <- s:
 	default: // it is said again where it matters
 	}
 }
@@ -196,17 +196,17 @@
 	if err != nil {
 		return
 	}
-	within, stop := context.WithTimeout(ctx, zoneCallTime)
+	within, stop := context.WithTimeout(ctx, zoneCallTimeout)
 	defer stop()
-	asked := z.v.decide.clock.now()
-	back, err := z.v.fleet.mesh.Send(within, s.To, b)
+	asked := z.service.decider.clock.now()
+	back, err := z.service.fleet.mesh.Send(within, s.To, b)
 	if err == nil {
 		for _, w := range z.receiveMessages(s.To, back, asked) {
 			z.send(zones.Envelope{To: s.To, Message: w})
 		}
 	} else if !errors.Is(err, membership.ErrUnknownDriver) {
-		z.v.log.Debug("zones", "reason", "word_not_sent", "to", s.To, "step", s.Message.Kind, "took",
-			z.v.decide.clock.now()-asked, "error", err)
+		z.service.log.Debug("zones", "reason", "word_not_sent", "to", s.To, "step", s.Message.Kind, "took",
+			z.service.decider.clock.now()-asked, "error", err)
 	}
 }
 
@@ -226,7 +226,7 @@
 	}
 	for _, w := range words {
 		z.apply(func(now float64) zones.Output {
-			out := z.z.Receive(now, asked, from, w)
+			out := z.zones.Receive(now, asked, from, w)
 			if out.Save == nil { // else it goes when that is safe
 				out.Messages = slices.DeleteFunc(out.Messages, func(s zones.Envelope) bool {
 					if s.To == from {
@@ -242,8 +242,8 @@
 }
 
 // fleet is what membership tells.
-func (z *zoneAgent) fleet() zones.Fleet {
-	s := z.v.fleet.mesh.Status()
+func (z *zoneAgent) membership() zones.Fleet {
+	s := z.service.fleet.mesh.Status()
 	f := zones.Fleet{Partition: s.Partition, Alive: []zones.Peer{{Name: s.Self, Zone: z.zone}}, Zones: []string{z.zone}}
 	if s.Roster != nil {
 		f.RosterVersion, f.Roster = s.Roster.Version, s.Roster.Names
@@ -263,22 +263,22 @@
 // observations are what the own module knows of members, by zone, and where own reads went.
 func (z *zoneAgent) observations(now float64) (all []zones.Observation, homes []zones.PrimaryLocation, sent map[string]float64) {
 	var memory logic.Memory
-	z.v.decide.step(logic.Event{Kind: logic.EvRemember, Memory: &memory})
-	lines := z.v.decide.listed()
+	z.service.decider.step(logic.Event{Kind: logic.EvRemember, Memory: &memory})
+	lines := z.service.decider.listedMembers()
 	byZone, heard := z.countMembers(now, &memory, lines)
 	for _, g := range memory.Groups {
 		if l, ok := lines[g.Slot]; ok && g.Slot != "" {
 			homes = append(homes, zones.PrimaryLocation{Group: g.Group, Zone: l.Zone})
 		}
 	}
-	z.counting.Lock()
-	defer z.counting.Unlock()
-	sent = z.sentSince(now)
+	z.trafficMu.Lock()
+	defer z.trafficMu.Unlock()
+	sent = z.updateSendRates(now)
 	for zone, s := range byZone {
-		if s.Reads = z.sent[zone]; 2*heard[zone] < s.Members {
+		if s.Reads = z.sendRates[zone]; 2*heard[zone] < s.Members {
 			s.Lagging = 0 // too few were heard of late to tell
 		}
-		if u := z.usual[zone]; u != nil {
+		if u := z.latencies[zone]; u != nil {
 			s.LatencyRatio = u.Ratio()
 		}
 		all = append(all, *s)
@@ -291,7 +291,7 @@
 func (z *zoneAgent) countMembers(now float64, memory *logic.Memory, lines map[string]logic.ListEntry) (
 	byZone map[string]*zones.Observation, heard map[string]int) {
 	byZone, heard = map[string]*zones.Observation{}, map[string]int{}
-	applied := z.appliedPositions(now, lines)
+	applied := z.recentPositions(now, lines)
 	newest := map[int64]float64{}
 	for member, t := range applied {
 		newest[lines[member].Group] = max(newest[lines[member].Group], t.position)
@@ -310,7 +310,7 @@
 			s.Unreachable++
 		}
 		if t, ok := applied[m.Member]; ok {
-			if heard[l.Zone]++; z.bound > 0 && newest[m.Group]-t.position > z.bound {
+			if heard[l.Zone]++; z.stalenessBound > 0 && newest[m.Group]-t.position > z.stalenessBound {
 				s.Lagging++
 			}
 		}
@@ -319,52 +319,52 @@
 }
 
 // appliedPositions are those that listed members told of late.
-func (z *zoneAgent) appliedPositions(now float64, lines map[string]logic.ListEntry) map[string]reportedPosition {
-	z.counting.Lock()
-	defer z.counting.Unlock()
-	maps.DeleteFunc(z.applied, func(member string, t reportedPosition) bool {
+func (z *zoneAgent) recentPositions(now float64, lines map[string]logic.ListEntry) map[string]reportedPosition {
+	z.trafficMu.Lock()
+	defer z.trafficMu.Unlock()
+	maps.DeleteFunc(z.positions, func(member string, t reportedPosition) bool {
 		_, listed := lines[member]
-		return !listed || now-t.at > toldKeep
+		return !listed || now-t.reportedAt > positionTTL
 	})
-	return maps.Clone(z.applied)
+	return maps.Clone(z.positions)
 }
 
 // sentSince counts reads by zone, a second, about once a second; nil in between. The caller holds counting.
-func (z *zoneAgent) sentSince(now float64) map[string]float64 {
-	span := now - z.sentAt
-	if span < countEvery && z.sent != nil {
+func (z *zoneAgent) updateSendRates(now float64) map[string]float64 {
+	span := now - z.sendRatesAt
+	if span < sendRateInterval && z.sendRates != nil {
 		return nil
 	}
-	z.sent = z.account.TakeReads()
-	for zone, n := range z.sent {
-		z.sent[zone] = n * 1000 / max(span, 1)
+	z.sendRates = z.traffic.TakeReads()
+	for zone, n := range z.sendRates {
+		z.sendRates[zone] = n * 1000 / max(span, 1)
 	}
-	z.sentAt = now
-	return z.sent
+	z.sendRatesAt = now
+	return z.sendRates
 }
 
 // counted takes a send, under the decider's lock.
-func (z *zoneAgent) counted(o *op, zone string, repeat, near bool) {
-	z.counting.Lock()
-	defer z.counting.Unlock()
-	z.account.Record(z.zone, zone, z.names[o.opType], len(o.statement.Text),
-		zones.SendAttributes{Retry: repeat, Primary: o.statement.Write, NoLocalMember: !near}, z.plan[zone])
+func (z *zoneAgent) countSend(o *op, zone string, repeat, near bool) {
+	z.trafficMu.Lock()
+	defer z.trafficMu.Unlock()
+	z.traffic.Record(z.zone, zone, z.opTypes[o.opType], len(o.statement.Text),
+		zones.SendAttributes{Retry: repeat, Primary: o.statement.Write, NoLocalMember: !near}, z.planned[zone])
 }
 
 // timed takes how long a good answer took and the position that came with it, 0 for none, under the decider's lock.
-func (z *zoneAgent) timed(member, zone string, ms, position float64) {
-	z.counting.Lock()
-	defer z.counting.Unlock()
+func (z *zoneAgent) recordAnswer(member, zone string, ms, position float64) {
+	z.trafficMu.Lock()
+	defer z.trafficMu.Unlock()
 	if position > 0 {
-		z.applied[member] = reportedPosition{position, z.v.decide.clock.now()}
+		z.positions[member] = reportedPosition{position, z.service.decider.clock.now()}
 	}
-	u := z.usual[zone]
+	u := z.latencies[zone]
 	if u == nil {
-		if len(z.usual) >= 64 {
+		if len(z.latencies) >= 64 {
 			return
 		}
 		u = &zones.LatencyBaseline{}
-		z.usual[zone] = u
+		z.latencies[zone] = u
 	}
 	u.Add(ms)
 }
@@ -372,19 +372,19 @@
 // Status is the view as it is now.
 func (z *zoneAgent) Status() zones.Status {
 	z.mu.Lock()
-	s := z.z.Status(z.v.decide.clock.now())
+	s := z.zones.Status(z.service.decider.clock.now())
 	z.mu.Unlock()
-	z.counting.Lock()
-	s.CrossZone = z.account.CrossZone()
-	z.counting.Unlock()
+	z.trafficMu.Lock()
+	s.CrossZone = z.traffic.CrossZone()
+	z.trafficMu.Unlock()
 	return s
 }
 
 // Order takes what operators say.
 func (z *zoneAgent) Order(s zones.Command) (err error) {
-	s.ID = uint64(z.v.decide.clock.now() * 1000)
+	s.ID = uint64(z.service.decider.clock.now() * 1000)
 	z.apply(func(now float64) (out zones.Output) {
-		out, err = z.z.Submit(now, s)
+		out, err = z.zones.Submit(now, s)
 		return out
 	})
 	return err
@@ -394,31 +394,31 @@
 func (z *zoneAgent) Without(zone string) (zones.Preview, error) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	return z.z.Simulate(z.v.decide.clock.now(), zone)
+	return z.zones.Simulate(z.service.decider.clock.now(), zone)
 }
 
 // hook has the topology manager asked for moves, while this driver leads and may ask.
-func (z *zoneAgent) hook(ctx context.Context) {
+func (z *zoneAgent) callWebhook(ctx context.Context) {
 	if z.webhook == "" {
 		return
 	}
 	z.mu.Lock()
-	moves, epoch := z.z.DueMoves(z.v.decide.clock.now())
+	moves, epoch := z.zones.DueMoves(z.service.decider.clock.now())
 	z.mu.Unlock()
 	for _, m := range moves {
-		if time.Since(z.asked[m.Group]) < webhookAgain {
+		if time.Since(z.webhookCalls[m.Group]) < webhookInterval {
 			continue
 		}
-		if len(z.asked) > 1024 {
-			clear(z.asked)
+		if len(z.webhookCalls) > 1024 {
+			clear(z.webhookCalls)
 		}
-		z.asked[m.Group] = time.Now()
+		z.webhookCalls[m.Group] = time.Now()
 		body, _ := json.Marshal(struct {
 			zones.Move
 			Epoch uint64 `json:"epoch"`
 		}{m, epoch})
 		go func() {
-			within, stop := context.WithTimeout(ctx, webhookTime)
+			within, stop := context.WithTimeout(ctx, webhookTimeout)
 			defer stop()
 			req, err := http.NewRequestWithContext(within, http.MethodPost, z.webhook, bytes.NewReader(body))
 			if err == nil {
@@ -430,7 +430,7 @@
 					}
 				}
 			}
-			z.v.log.Info("zones", "reason", "move_asked", "group", m.Group, "to", m.To, "epoch", epoch, "error", err)
+			z.service.log.Info("zones", "reason", "move_asked", "group", m.Group, "to", m.To, "epoch", epoch, "error", err)
 		}()
 	}
 }
