--- a/internal/driver/assignment.go
+++ b/internal/driver/assignment.go
@@ -25,8 +25,8 @@
 	}
 	PeerListen string `json:"peer_listen"`
 	Peers      []string
-	PeersAll   string `json:"peers_all"`
-	Membership json.RawMessage
+	PeersAll   string          `json:"peers_all"`
+	Membership json.RawMessage `json:"known"`
 	Settings   json.RawMessage `json:"settings"`
 }
 
