--- a/cmd/weirwind/main_test.go
+++ b/cmd/weirwind/main_test.go
@@ -42,7 +42,7 @@
 	if b, _ := c.r.ReadByte(); b != 'N' {
 		t.Fatalf("SSLRequest answered by %q", b)
 	}
-	first := pgwire.AppendQuery(pgwire.AppendStartup(nil, "svc", "main"), read(900)) // a query right behind
+	first := pgwire.AppendQuery(pgwire.AppendStartupMessage(nil, "svc", "main"), read(900)) // a query right behind
 	for i := range first {
 		c.Write(first[i : i+1])
 	}
@@ -86,18 +86,18 @@
 		once   bool
 	}{
 		"served":  {serves("writer"), "v:INSERT", true},
-		"error":   {func(string) []byte { return fault("XX000", "writer") }, pgwire.CodeFailed, true},
-		"unknown": {func(string) []byte { return fault("57P03", "writer") }, pgwire.CodeFailed, true},
-		"miss":    {func(string) []byte { return fault("25006", "reader") }, pgwire.CodeBusy, false},
-		"full":    {func(string) []byte { return fault("53300", "writer") }, pgwire.CodeBusy, false},
-		"reset":   {func(string) []byte { return nil }, pgwire.CodeFailed, true},
-		"half":    {func(string) []byte { return row("v", "writer")[:40] }, pgwire.CodeFailed, true},
-		"stalls":  {func(string) []byte { return row("v", "writer")[:40] }, pgwire.CodeFailed, true},
-		"no row":  {func(string) []byte { return append(msg('C', "SELECT 0\x00"), note("writer")...) }, pgwire.CodeFailed, true},
-		"garbage": {func(string) []byte { return []byte("\x00\x00\x00\x00\x00\x00\x00") }, pgwire.CodeFailed, true},
-		"silence": {func(string) []byte { <-forever; return nil }, pgwire.CodeFailed, true},
+		"error":   {func(string) []byte { return fault("XX000", "writer") }, pgwire.CodeSystemError, true},
+		"unknown": {func(string) []byte { return fault("57P03", "writer") }, pgwire.CodeSystemError, true},
+		"miss":    {func(string) []byte { return fault("25006", "reader") }, pgwire.CodeTooManyConnections, false},
+		"full":    {func(string) []byte { return fault("53300", "writer") }, pgwire.CodeTooManyConnections, false},
+		"reset":   {func(string) []byte { return nil }, pgwire.CodeSystemError, true},
+		"half":    {func(string) []byte { return row("v", "writer")[:40] }, pgwire.CodeSystemError, true},
+		"stalls":  {func(string) []byte { return row("v", "writer")[:40] }, pgwire.CodeSystemError, true},
+		"no row":  {func(string) []byte { return append(msg('C', "SELECT 0\x00"), note("writer")...) }, pgwire.CodeSystemError, true},
+		"garbage": {func(string) []byte { return []byte("\x00\x00\x00\x00\x00\x00\x00") }, pgwire.CodeSystemError, true},
+		"silence": {func(string) []byte { <-forever; return nil }, pgwire.CodeSystemError, true},
 		"spoilt note": {func(string) []byte {
-			return append(row("v", "king")[:60], pgwire.AppendReady(msg('S', "commit_clock\x009e99\x00"))...)
+			return append(row("v", "king")[:60], pgwire.AppendReadyForQuery(msg('S', "commit_clock\x009e99\x00"))...)
 		}, "v", true},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -132,7 +132,7 @@
 	for name, m := range map[string]*member{"refused": gone, "never up": mute} {
 		p := newSite(t, m).start(t)
 		kinds, said := p.connect().ask(write(300))
-		want(t, kinds, said, "EZ", pgwire.CodeBusy)
+		want(t, kinds, said, "EZ", pgwire.CodeTooManyConnections)
 		if n := field(p.counters(), "noconnection"); n == "0" || len(m.queries) > 0 {
 			t.Errorf("%s: %s without connection, %d sent", name, n, len(m.queries))
 		}
@@ -259,33 +259,33 @@
 		c := p.dial()
 		c.Write([]byte(in))
 		got, said := c.hear()
-		if want(t, got, said, kinds, ""); kinds == "E." && said != pgwire.CodeProtocol {
+		if want(t, got, said, kinds, ""); kinds == "E." && said != pgwire.CodeProtocolViolation {
 			t.Errorf("%q answered by %s", in, said)
 		}
 	}
 	for in, code := range map[string]string{
-		"SELECT 1":                pgwire.CodeProtocol,
-		read(900) + read(900):     pgwire.CodeProtocol,
-		statement("nothing", 900): pgwire.CodeUnknown,
-		strings.Replace(read(900), "cluster=3", "cluster=9", 1): pgwire.CodeUnknown,
-		strings.Replace(read(900), "d=900", "d=soon", 1):        pgwire.CodeProtocol,
-		strings.Replace(read(900), "d=900", "d=nan", 1):         pgwire.CodeProtocol,
-		strings.Replace(read(900), "d=900", "d=-9e2", 1):        pgwire.CodeProtocol,
-		strings.Replace(read(900), "id=9b", "id= b", 1):         pgwire.CodeProtocol,
+		"SELECT 1":                pgwire.CodeProtocolViolation,
+		read(900) + read(900):     pgwire.CodeProtocolViolation,
+		statement("nothing", 900): pgwire.CodeInvalidParameterValue,
+		strings.Replace(read(900), "cluster=3", "cluster=9", 1): pgwire.CodeInvalidParameterValue,
+		strings.Replace(read(900), "d=900", "d=soon", 1):        pgwire.CodeProtocolViolation,
+		strings.Replace(read(900), "d=900", "d=nan", 1):         pgwire.CodeProtocolViolation,
+		strings.Replace(read(900), "d=900", "d=-9e2", 1):        pgwire.CodeProtocolViolation,
+		strings.Replace(read(900), "id=9b", "id= b", 1):         pgwire.CodeProtocolViolation,
 	} {
 		kinds, said := good.ask(in)
 		want(t, kinds, said, "EZ", code)
 	}
 	good.Write(append(append(msg('P', "x\x00\x00\x00\x00"), msg('E', "\x00\x00\x00\x00\x00")...), msg('S', "")...))
 	kinds, said := good.hear()
-	want(t, kinds, said, "EZ", pgwire.CodeProtocol)
+	want(t, kinds, said, "EZ", pgwire.CodeProtocolViolation)
 	kinds, said = good.ask(read(900))
 	want(t, kinds, said, acked, "v:SELECT")
 	for _, in := range []string{"Q\x00\x00\x00\x02", "Q\x7f\xff\xff\xff", "?\x00\x00\x00\x04"} {
 		c := p.connect()
 		c.Write([]byte(in))
 		kinds, said := c.hear()
-		want(t, kinds, said, "E.", pgwire.CodeProtocol)
+		want(t, kinds, said, "E.", pgwire.CodeProtocolViolation)
 	}
 	if len(m.queries) != 1 {
 		t.Errorf("%d queries reached the member", len(m.queries))
@@ -307,9 +307,9 @@
 	}
 	for range 40 {
 		c := p.dial()
-		c.Write(pgwire.AppendQuery(pgwire.AppendStartup(nil, "svc", "main"), read(900)))
+		c.Write(pgwire.AppendQuery(pgwire.AppendStartupMessage(nil, "svc", "main"), read(900)))
 		kinds, said := c.hear()
-		want(t, kinds, said, "E.", pgwire.CodeBusy)
+		want(t, kinds, said, "E.", pgwire.CodeTooManyConnections)
 		c.Close()
 	}
 	close(release)
@@ -351,7 +351,7 @@
 	for range 27 { // each is let in as soon as one of the idle ones may be ended
 		for kinds := ""; kinds != "RSSSSKZ"; {
 			c := p.dial()
-			c.Write(pgwire.AppendQuery(pgwire.AppendStartup(nil, "svc", "main"), read(20000)))
+			c.Write(pgwire.AppendQuery(pgwire.AppendStartupMessage(nil, "svc", "main"), read(20000)))
 			if kinds, _ = c.hear(); kinds != "RSSSSKZ" {
 				c.Close()
 			}
@@ -377,7 +377,7 @@
 		_, said := c.hear()
 		got[said]++
 	}
-	if n := got["v:SELECT"]; n < 16 || n > 40 || got[pgwire.CodeBusy] != 300-n {
+	if n := got["v:SELECT"]; n < 16 || n > 40 || got[pgwire.CodeTooManyConnections] != 300-n {
 		t.Errorf("%v", got)
 	}
 }
--- a/cmd/weirwind/measure_test.go
+++ b/cmd/weirwind/measure_test.go
@@ -31,7 +31,7 @@
 	if strings.HasPrefix(q, "INSERT") {
 		return fault("25006", "reader")
 	}
-	return append(pgwire.AppendRow(nil, "v"), noteAt("reader", time.Now().Add(-20*time.Millisecond))...)
+	return append(pgwire.AppendSingleRow(nil, "v"), noteAt("reader", time.Now().Add(-20*time.Millisecond))...)
 }
 
 // first is how long it took from the start of the program to the first acked op of a type, and how many tries were
--- a/cmd/weirwind/membership.go
+++ b/cmd/weirwind/membership.go
@@ -107,7 +107,7 @@
 // Run prints a line on the driver and one on each fellow.
 func (c *fellowsCommand) Run(out io.Writer) error {
 	return c.with(func(ctx context.Context, client *control.Client) error {
-		s, err := client.Fellows(ctx)
+		s, err := client.Membership(ctx)
 		if err != nil {
 			return err
 		}
@@ -131,7 +131,7 @@
 func (c *watchCommand) Run(out io.Writer) error {
 	said := map[string]string{}
 	return c.look(func(ctx context.Context, client *control.Client) error {
-		s, err := client.Fellows(ctx)
+		s, err := client.Membership(ctx)
 		if err != nil {
 			return err
 		}
@@ -172,7 +172,7 @@
 // Run has a driver forgotten.
 func (c *forgetFellowCommand) Run() error {
 	return c.with(func(ctx context.Context, client *control.Client) error {
-		return client.Forget(ctx, control.Forgotten{Name: c.Name, Certain: c.Certain})
+		return client.Forget(ctx, control.ForgetRequest{Name: c.Name, Certain: c.Certain})
 	})
 }
 
--- a/cmd/weirwind/migrate_test.go
+++ b/cmd/weirwind/migrate_test.go
@@ -39,7 +39,7 @@
 		t.Fatal(err)
 	}
 	f, err := operator.Parse("new.hcl", written)
-	if err != nil || f.Fleet == nil || *f.Fleet.Peers || f.Registry.DriversPrefix != "" || f.Peers.Messages != 0 {
+	if err != nil || f.Fleet == nil || *f.Fleet.Peers || f.Registry.DriversPrefix != "" || f.Peers.MessagesPerSecond != 0 {
 		t.Fatal(f, err)
 	}
 	if again, _ := os.ReadFile(old); string(again) != text {
--- a/cmd/weirwind/plan.go
+++ b/cmd/weirwind/plan.go
@@ -67,26 +67,26 @@
 		return err
 	}
 	l := plan.Limits{
-		Need:       map[int64]float64{},
-		NeedZone:   map[string]float64{},
-		Cold:       cmp.Or(f.Limits.Cold, 1),
-		ColdShare:  f.Limits.ColdShare,
-		Candidates: f.Limits.Candidates,
+		GroupCapacity:  map[int64]float64{},
+		ZoneCapacity:   map[string]float64{},
+		MaxUnavailable: cmp.Or(f.Limits.Cold, 1),
+		WarmupCapacity: f.Limits.ColdShare,
+		MinCandidates:  f.Limits.Candidates,
 	}
 	for _, t := range []struct {
 		to   *float64
 		text string
-	}{{&l.Away, f.Limits.Away}, {&l.Warm, f.Limits.Warm}, {&l.Gap, f.Limits.Gap}, {&l.Lost, f.Limits.Lost},
-		{&l.Pause, f.Limits.Pause}, {&l.Within, f.Limits.Within}} {
+	}{{&l.ReplaceTime, f.Limits.Away}, {&l.WarmupTime, f.Limits.Warm}, {&l.WriteGap, f.Limits.Gap}, {&l.MaxWriteGap, f.Limits.Lost},
+		{&l.SwitchInterval, f.Limits.Pause}, {&l.Deadline, f.Limits.Within}} {
 		d, e := time.ParseDuration(cmp.Or(t.text, "0s"))
 		*t.to, err = d.Seconds(), cmp.Or(err, e)
 	}
 	for _, g := range f.Limits.Groups {
 		id, e := strconv.ParseInt(g.Name, 10, 64)
-		l.Need[id], err = g.Capacity, cmp.Or(err, e)
+		l.GroupCapacity[id], err = g.Capacity, cmp.Or(err, e)
 	}
 	for _, z := range f.Limits.Zones {
-		l.NeedZone[z.Name] = z.Capacity
+		l.ZoneCapacity[z.Name] = z.Capacity
 	}
 	if err != nil {
 		return fmt.Errorf("%s: %w", c.File, err)
@@ -108,10 +108,10 @@
 	if len(steps) == 0 {
 		return errors.New("nothing to plan: name members to replace, or primaries to switch")
 	}
-	all, err := plan.Make(members, steps, l, min(c.Tries, 100000), c.Seed)
+	all, err := plan.Solve(members, steps, l, min(c.Tries, 100000), c.Seed)
 	if err != nil {
 		return err
 	}
-	fmt.Fprint(out, plan.String(all))
+	fmt.Fprint(out, plan.Format(all))
 	return nil
 }
--- a/cmd/weirwind/registry.go
+++ b/cmd/weirwind/registry.go
@@ -59,11 +59,11 @@
 		defer end()
 	}
 	now := func() float64 { return float64(time.Now().UnixMicro()) / 1000 }
-	r := roster.New(roster.Options{Preferred: roster.SourceRegistry, ConfirmAfter: float64(g.Confirm.Milliseconds())})
+	r := roster.New(roster.Options{Preferred: roster.SourceRegistry, ConfirmAfter: float64(g.ConfirmAfter.Milliseconds())})
 	w := registry.Watcher{
-		Client: client,
-		Now:    now,
-		Alive:  func() {},
+		Client:     client,
+		Now:        now,
+		OnActivity: func() {},
 		Scheduler: roster.NewScheduler(
 			roster.SchedulerOptions{Endpoints: len(g.Endpoints), Drivers: 1, Seed: uint64(os.Getpid())},
 		),
@@ -71,7 +71,7 @@
 			_, revision, told := r.Revision(roster.SourceRegistry)
 			return revision, told
 		},
-		Told: func(u roster.Update) (roster.Verdict, float64) {
+		Apply: func(u roster.Update) (roster.Verdict, float64) {
 			o := r.Apply(now(), u)
 			lead, revision, age, epochs := r.Leader(now())
 			for _, e := range o.Changes {
@@ -82,9 +82,9 @@
 			for _, text := range o.Notes {
 				fmt.Fprintf(out, "%s note: %s\n", time.Now().UTC().Format(time.RFC3339Nano), text)
 			}
-			return o.Verdict, float64(g.Confirm.Milliseconds())
+			return o.Verdict, float64(g.ConfirmAfter.Milliseconds())
 		},
-		Lost: func(err error) {
+		OnDisconnect: func(err error) {
 			r.SetDisconnected(roster.SourceRegistry)
 			fmt.Fprintf(out, "%s lost: %v\n", time.Now().UTC().Format(time.RFC3339Nano), err)
 		},
@@ -107,7 +107,7 @@
 	for i, endpoint := range g.Endpoints {
 		ctx, end := context.WithTimeout(context.Background(), 10*time.Second)
 		members, revision := 0, int64(0)
-		err := client.Read(ctx, i, true, func(u roster.Update) {
+		err := client.List(ctx, i, true, func(u roster.Update) {
 			members, revision = members+len(u.Entries), u.Revision
 			for _, b := range u.Invalid {
 				bad++
--- a/cmd/weirwind/standin_test.go
+++ b/cmd/weirwind/standin_test.go
@@ -85,7 +85,7 @@
 		<-forever
 	}
 	time.Sleep(time.Duration(m.lateBy.Load()) * time.Millisecond)
-	conn.Write(pgwire.AppendWelcome(nil, 0))
+	conn.Write(pgwire.AppendStartupResponse(nil, 0))
 	for {
 		_, message, err := pgwire.Read(r, nil)
 		if err != nil {
@@ -115,18 +115,18 @@
 }
 
 // row is a good answer with a note.
-func row(value, role string) []byte { return append(pgwire.AppendRow(nil, value), note(role)...) }
+func row(value, role string) []byte { return append(pgwire.AppendSingleRow(nil, value), note(role)...) }
 
 func note(role string) []byte { return noteAt(role, time.Now()) }
 
 // noteAt tells a role, and a position.
 func noteAt(role string, at time.Time) []byte {
-	b := pgwire.AppendParameter(nil, "server_role", role)
-	return pgwire.AppendReady(pgwire.AppendParameter(b, "commit_clock", strconv.FormatInt(at.UnixMilli(), 10)))
+	b := pgwire.AppendParameterStatus(nil, "server_role", role)
+	return pgwire.AppendReadyForQuery(pgwire.AppendParameterStatus(b, "commit_clock", strconv.FormatInt(at.UnixMilli(), 10)))
 }
 
 func fault(code, role string) []byte {
-	return append(pgwire.AppendError(nil, "ERROR", code, "so it is", ""), note(role)...)
+	return append(pgwire.AppendErrorResponse(nil, "ERROR", code, "so it is", ""), note(role)...)
 }
 
 func serves(role string) func(string) []byte {
@@ -376,7 +376,7 @@
 	}
 	conn.SetDeadline(time.Now().Add(patience))
 	c := &client{nil, conn, bufio.NewReader(conn)}
-	c.Write(pgwire.AppendStartup(nil, "svc", "main"))
+	c.Write(pgwire.AppendStartupMessage(nil, "svc", "main"))
 	c.hear()
 	return c, nil
 }
@@ -394,7 +394,7 @@
 func (p *program) connect() *client {
 	p.t.Helper()
 	c := p.dial()
-	c.Write(pgwire.AppendStartup(nil, "svc", "main"))
+	c.Write(pgwire.AppendStartupMessage(nil, "svc", "main"))
 	if kinds, _ := c.hear(); kinds != "RSSSSKZ" {
 		p.t.Fatalf("welcomed by %q", kinds)
 	}
@@ -411,7 +411,7 @@
 		kinds += string(kind)
 		switch kind {
 		case 'D':
-			value, _ := pgwire.DataRow(pgwire.Body(message))
+			value, _ := pgwire.ParseDataRow(pgwire.Body(message))
 			said = string(value)
 		case 'E':
 			said = pgwire.ErrorCode(pgwire.Body(message))
--- a/cmd/weirwind/state.go
+++ b/cmd/weirwind/state.go
@@ -35,7 +35,7 @@
 	if found, err = durable.Recover(durable.OS{}, f.options()); err != nil {
 		return nil, found, nil, err
 	}
-	damage = found.Damaged()
+	damage = found.Damage()
 	if found.Snapshot != nil {
 		if s, err = learned.Load(found.Snapshot, found.Records); err != nil {
 			return nil, found, append(damage, err), nil
@@ -92,7 +92,7 @@
 	for _, err := range damage {
 		fmt.Fprintln(out, "note:", err)
 	}
-	if found.Lost {
+	if found.RecordsLost {
 		return errors.New("part of the state is lost; verify tells which files")
 	}
 	return nil
@@ -128,7 +128,7 @@
 		}
 	}
 	switch {
-	case found.Lost || bad > 0:
+	case found.RecordsLost || bad > 0:
 		return fmt.Errorf("%s: damaged; a driver would start from record %d", c.Folder, found.Seq)
 	case len(found.Files) == 0:
 		return fmt.Errorf("%s: no state", c.Folder)
--- a/cmd/weirwind/state_test.go
+++ b/cmd/weirwind/state_test.go
@@ -177,7 +177,7 @@
 		p.ends(syscall.SIGKILL)
 		old := time.Now()
 		b.says(func(q string) []byte { // its position stands still from before the kill
-			return append(pgwire.AppendRow(nil, "s"), noteAt("reader", old.Add(-time.Millisecond))...)
+			return append(pgwire.AppendSingleRow(nil, "s"), noteAt("reader", old.Add(-time.Millisecond))...)
 		})
 		c = s.start(t).connect()
 		c.ask(statement("recent", 1000)) // of any age: it may tell the replica's position
--- a/cmd/weirwind/switch.go
+++ b/cmd/weirwind/switch.go
@@ -39,7 +39,7 @@
 	defer stop()
 	client := control.NewClient(c.Socket, "")
 	defer client.Close()
-	w, err := client.Hook(ctx, switchover.Notification{Group: c.Group, From: c.From, To: c.To, Epoch: c.Epoch,
+	w, err := client.NotifyHook(ctx, switchover.Notification{Group: c.Group, From: c.From, To: c.To, Epoch: c.Epoch,
 		Stage: stage,
 		Lease: float64(lease) / float64(time.Millisecond)})
 	if err != nil {
--- a/cmd/weirwind/switch_test.go
+++ b/cmd/weirwind/switch_test.go
@@ -19,14 +19,14 @@
 	book *switchover.Tracker
 }
 
-func (s *told) Hook(w switchover.Notification) (switchover.Notification, error) {
+func (s *told) HandleHook(w switchover.Notification) (switchover.Notification, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	w, _, err := s.book.HandleHook(1000, w, "m1")
 	return w, err
 }
 
-func (s *told) Told(w switchover.Notification) error {
+func (s *told) HandlePeer(w switchover.Notification) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	_, err := s.book.HandleNotification(1000, w)
@@ -84,14 +84,14 @@
 	word := switchover.Notification{Group: 5, Epoch: 9, Stage: switchover.StageAnnounced}
 	for token, good := range map[string]bool{"": false, "open sesam": false, "open sesame": true} {
 		c := control.NewClient(ln.Addr().String(), token)
-		if err := c.Tell(context.Background(), []switchover.Notification{word}); (err == nil) != good {
+		if err := c.NotifyPeer(context.Background(), []switchover.Notification{word}); (err == nil) != good {
 			t.Errorf("token %q: %v", token, err)
 		}
 		c.Close()
 	}
 	c := control.NewClient(socket, "")
 	defer c.Close()
-	if err := c.Tell(context.Background(), make([]switchover.Notification, 300)); err == nil || !strings.Contains(err.Error(), "at most") {
+	if err := c.NotifyPeer(context.Background(), make([]switchover.Notification, 300)); err == nil || !strings.Contains(err.Error(), "at most") {
 		t.Error(err)
 	}
 
--- a/cmd/weirwind/zones.go
+++ b/cmd/weirwind/zones.go
@@ -87,7 +87,7 @@
 // Run prints what would be planned.
 func (c *zonesPlan) Run(out io.Writer) error {
 	return c.with(func(ctx context.Context, client *control.Client) error {
-		p, err := client.Without(ctx, c.Without)
+		p, err := client.PreviewZones(ctx, c.Without)
 		if err != nil {
 			return err
 		}
@@ -116,7 +116,7 @@
 // Run has a zone emptied.
 func (c *zonesEvacuate) Run() error {
 	return c.with(func(ctx context.Context, client *control.Client) error {
-		return client.OrderZone(ctx, zones.Command{Zone: c.Zone, Evacuate: true, Duration: float64(c.For.Milliseconds())})
+		return client.SubmitZoneCommand(ctx, zones.Command{Zone: c.Zone, Evacuate: true, Duration: float64(c.For.Milliseconds())})
 	})
 }
 
@@ -128,7 +128,7 @@
 // Run takes an evacuation back.
 func (c *zonesReturn) Run() error {
 	return c.with(func(ctx context.Context, client *control.Client) error {
-		return client.OrderZone(ctx, zones.Command{Zone: c.Zone})
+		return client.SubmitZoneCommand(ctx, zones.Command{Zone: c.Zone})
 	})
 }
 
@@ -141,7 +141,7 @@
 func (c *zonesFreeze) Run() error {
 	return c.with(func(ctx context.Context, client *control.Client) error {
 		on := !c.Off
-		return client.OrderZone(ctx, zones.Command{Freeze: &on})
+		return client.SubmitZoneCommand(ctx, zones.Command{Freeze: &on})
 	})
 }
 
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -26,13 +26,13 @@
 
 // Switcher takes words on changes of primaries. Its methods may be called from several goroutines.
 type Switcher interface {
-	Hook(switchover.Notification) (switchover.Notification, error)
-	Told(switchover.Notification) error
+	HandleHook(switchover.Notification) (switchover.Notification, error)
+	HandlePeer(switchover.Notification) error
 	Status() []switchover.ChangeStatus
 }
 
 // Fellowship is a driver's view of its fellows. Its methods may be called from several goroutines.
-type Fellowship interface {
+type Membership interface {
 	Status() membership.Status
 	Leave()
 	Forget(name string, certain bool) error
@@ -40,10 +40,10 @@
 }
 
 // joined is what a Switcher also is where drivers know each other; nil while they do not.
-type joined interface{ Fellowship() Fellowship }
+type membershipProvider interface{ Membership() Membership }
 
 // ErrStanding is of a word that this driver may not take in its standing among its fellows.
-var ErrStanding = errors.New("this driver is not with the larger part of the fleet: ask another one")
+var ErrNotInMajority = errors.New("this driver is not with the larger part of the fleet: ask another one")
 
 var errNoFellows = errors.New("membership is not switched on in the operators' file")
 
@@ -64,7 +64,7 @@
 		return http.StatusConflict
 	case errors.Is(err, switchover.ErrNoChange), errors.Is(err, errNoFellows), errors.Is(err, membership.ErrUnknownDriver):
 		return http.StatusNotFound
-	case errors.Is(err, ErrStanding), errors.Is(err, membership.ErrNoMajority):
+	case errors.Is(err, ErrNotInMajority), errors.Is(err, membership.ErrNoMajority):
 		return http.StatusServiceUnavailable
 	case errors.Is(err, membership.ErrAlive):
 		return http.StatusConflict
@@ -88,7 +88,7 @@
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		word, err := s.Hook(word)
+		word, err := s.HandleHook(word)
 		if err != nil {
 			http.Error(w, err.Error(), status(err))
 			return
@@ -102,7 +102,7 @@
 			err = fmt.Errorf("%d words; %d at most", len(words), mostWords)
 		}
 		for i := 0; err == nil && i < len(words); i++ {
-			err = s.Told(words[i])
+			err = s.HandlePeer(words[i])
 		}
 		if err != nil {
 			http.Error(w, err.Error(), status(err))
@@ -124,18 +124,18 @@
 }
 
 // Forgotten names a driver that operators say is gone.
-type Forgotten struct {
+type ForgetRequest struct {
 	Name    string `json:"name"`
 	Certain bool   `json:"certain"` // they made sure that it does not run
 }
 
 // fellowship answers calls on fellows; only who may open the Unix socket may make them.
 func fellowship(mux *http.ServeMux, s Switcher, answer func(http.ResponseWriter, any)) {
-	with := func(do func(http.ResponseWriter, *http.Request, Fellowship) error) http.HandlerFunc {
+	with := func(do func(http.ResponseWriter, *http.Request, Membership) error) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
 			err := errNoFellows
-			if j, ok := s.(joined); ok {
-				if f := j.Fellowship(); f != nil {
+			if j, ok := s.(membershipProvider); ok {
+				if f := j.Membership(); f != nil {
 					err = do(w, r, f)
 				}
 			}
@@ -144,21 +144,21 @@
 			}
 		}
 	}
-	mux.HandleFunc("GET /membership", with(func(w http.ResponseWriter, r *http.Request, f Fellowship) error {
+	mux.HandleFunc("GET /membership", with(func(w http.ResponseWriter, r *http.Request, f Membership) error {
 		answer(w, f.Status())
 		return nil
 	}))
-	mux.HandleFunc("GET /membership/compare", with(func(w http.ResponseWriter, r *http.Request, f Fellowship) error {
+	mux.HandleFunc("GET /membership/compare", with(func(w http.ResponseWriter, r *http.Request, f Membership) error {
 		_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(compareTime)) // every server here has one
 		answer(w, f.Compare(r.Context()))
 		return nil
 	}))
-	mux.HandleFunc("POST /membership/leave", with(func(w http.ResponseWriter, r *http.Request, f Fellowship) error {
+	mux.HandleFunc("POST /membership/leave", with(func(w http.ResponseWriter, r *http.Request, f Membership) error {
 		f.Leave()
 		return nil
 	}))
-	mux.HandleFunc("POST /membership/forget", with(func(w http.ResponseWriter, r *http.Request, f Fellowship) error {
-		var who Forgotten
+	mux.HandleFunc("POST /membership/forget", with(func(w http.ResponseWriter, r *http.Request, f Membership) error {
+		var who ForgetRequest
 		if err := read(w, r, &who); err != nil {
 			return err
 		}
@@ -236,12 +236,12 @@
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
 // Hook gives a word as a hook does; the word that comes back is whole.
-func (c *Client) Hook(ctx context.Context, w switchover.Notification) (whole switchover.Notification, err error) {
+func (c *Client) NotifyHook(ctx context.Context, w switchover.Notification) (whole switchover.Notification, err error) {
 	return whole, c.call(ctx, http.MethodPost, "/switch", w, &whole)
 }
 
 // Tell gives words as a fellow driver does.
-func (c *Client) Tell(ctx context.Context, words []switchover.Notification) error {
+func (c *Client) NotifyPeer(ctx context.Context, words []switchover.Notification) error {
 	return c.call(ctx, http.MethodPost, "/switch/told", words, nil)
 }
 
@@ -251,7 +251,7 @@
 }
 
 // Fellows asks for the driver's view of its fellows.
-func (c *Client) Fellows(ctx context.Context) (s membership.Status, err error) {
+func (c *Client) Membership(ctx context.Context) (s membership.Status, err error) {
 	return s, c.call(ctx, http.MethodGet, "/membership", nil, &s)
 }
 
@@ -267,7 +267,7 @@
 }
 
 // Forget has a failed driver taken off the roster.
-func (c *Client) Forget(ctx context.Context, who Forgotten) error {
+func (c *Client) Forget(ctx context.Context, who ForgetRequest) error {
 	return c.call(ctx, http.MethodPost, "/membership/forget", who, nil)
 }
 
--- a/internal/control/golden_test.go
+++ b/internal/control/golden_test.go
@@ -24,13 +24,13 @@
 	taken          []string
 }
 
-func (d *fakeDriver) Hook(n switchover.Notification) (switchover.Notification, error) {
+func (d *fakeDriver) HandleHook(n switchover.Notification) (switchover.Notification, error) {
 	d.taken = append(d.taken, fmt.Sprintf("hook %v", n))
 	n.Epoch, n.From = 7, "m1"
 	return n, d.err
 }
 
-func (d *fakeDriver) Told(n switchover.Notification) error {
+func (d *fakeDriver) HandlePeer(n switchover.Notification) error {
 	d.taken = append(d.taken, fmt.Sprintf("peer %v", n))
 	return d.err
 }
@@ -40,14 +40,14 @@
 		Stage: switchover.StageHeld, From: "m1", Lease: 900.5}, Draining: "m1", Remaining: 12}}
 }
 
-func (d *fakeDriver) Fellowship() Fellowship {
+func (d *fakeDriver) Membership() Membership {
 	if d.peersOff {
 		return nil
 	}
 	return &fakeMembership{d}
 }
 
-func (d *fakeDriver) Zoner() Zoner {
+func (d *fakeDriver) Zones() Zones {
 	if d.zOff {
 		return nil
 	}
@@ -70,12 +70,12 @@
 type fakeZones struct{ d *fakeDriver }
 
 func (f *fakeZones) Status() zones.Status { return zones.Status{Self: "n0", Zone: "a", Age: -1} }
-func (f *fakeZones) Without(zone string) (zones.Preview, error) {
+func (f *fakeZones) Preview(zone string) (zones.Preview, error) {
 	f.d.taken = append(f.d.taken, "without "+zone)
 	return zones.Preview{BindingConstraints: []string{"none"}}, f.d.err
 }
 
-func (f *fakeZones) Order(c zones.Command) error {
+func (f *fakeZones) Submit(c zones.Command) error {
 	f.d.taken = append(f.d.taken, fmt.Sprintf("order %s %v %g %v", c.Zone, c.Evacuate, c.Duration, c.Freeze != nil))
 	return f.d.err
 }
@@ -83,11 +83,11 @@
 // plainDriver knows neither peers nor zones.
 type plainDriver struct{ d *fakeDriver }
 
-func (p plainDriver) Hook(n switchover.Notification) (switchover.Notification, error) {
-	return p.d.Hook(n)
+func (p plainDriver) HandleHook(n switchover.Notification) (switchover.Notification, error) {
+	return p.d.HandleHook(n)
 }
-func (p plainDriver) Told(n switchover.Notification) error { return p.d.Told(n) }
-func (p plainDriver) Status() []switchover.ChangeStatus    { return p.d.Status() }
+func (p plainDriver) HandlePeer(n switchover.Notification) error { return p.d.HandlePeer(n) }
+func (p plainDriver) Status() []switchover.ChangeStatus          { return p.d.Status() }
 
 const heldBody = `{"group":3,"epoch":0,"stage":"held","from":"m1","to":"m2","beat":2,"lease":10.5,"age":1}`
 
@@ -132,7 +132,7 @@
 	add("wrong token", exchange(d, d, "secret", "GET", "/switch", "Bearer secreT", ""))
 	for _, err := range []error{switchover.ErrUnknownPrimary, switchover.ErrStale, switchover.ErrNoChange,
 		switchover.ErrChangeFinished, switchover.ErrLeaseExpired, switchover.ErrTooManyGroups, switchover.ErrInvalid,
-		ErrStanding, membership.ErrUnknownDriver, membership.ErrNoMajority, membership.ErrAlive, zones.ErrNoPlan,
+		ErrNotInMajority, membership.ErrUnknownDriver, membership.ErrNoMajority, membership.ErrAlive, zones.ErrNoPlan,
 		zones.ErrNotInForce, zones.ErrUnknownZone, zones.ErrNotLeader, errors.New("another")} {
 		for _, path := range []string{"/switch", "/switch/told", "/membership/forget", "/zones/order"} {
 			d := &fakeDriver{err: fmt.Errorf("wrapped: %w", err)}
@@ -169,16 +169,16 @@
 	ctx, on := context.Background(), true
 	n := switchover.Notification{Group: 3, Stage: switchover.StageHeld, From: "m1", Lease: 10.5}
 	calls := map[string]func(c *Client) error{
-		"hook":    func(c *Client) error { _, err := c.Hook(ctx, n); return err },
-		"tell":    func(c *Client) error { return c.Tell(ctx, []switchover.Notification{n, n}) },
+		"hook":    func(c *Client) error { _, err := c.NotifyHook(ctx, n); return err },
+		"tell":    func(c *Client) error { return c.NotifyPeer(ctx, []switchover.Notification{n, n}) },
 		"status":  func(c *Client) error { _, err := c.Status(ctx); return err },
-		"members": func(c *Client) error { _, err := c.Fellows(ctx); return err },
+		"members": func(c *Client) error { _, err := c.Membership(ctx); return err },
 		"compare": func(c *Client) error { _, err := c.Compare(ctx); return err },
 		"leave":   func(c *Client) error { return c.Leave(ctx) },
-		"forget":  func(c *Client) error { return c.Forget(ctx, Forgotten{Name: "n1", Certain: true}) },
+		"forget":  func(c *Client) error { return c.Forget(ctx, ForgetRequest{Name: "n1", Certain: true}) },
 		"zones":   func(c *Client) error { _, err := c.Zones(ctx); return err },
-		"without": func(c *Client) error { _, err := c.Without(ctx, "a b&c"); return err },
-		"order":   func(c *Client) error { return c.OrderZone(ctx, zones.Command{Zone: "a", Freeze: &on}) },
+		"without": func(c *Client) error { _, err := c.PreviewZones(ctx, "a b&c"); return err },
+		"order":   func(c *Client) error { return c.SubmitZoneCommand(ctx, zones.Command{Zone: "a", Freeze: &on}) },
 	}
 	for _, name := range []string{"hook", "tell", "status", "members", "compare", "leave", "forget", "zones", "without",
 		"order"} {
--- a/internal/control/zones.go
+++ b/internal/control/zones.go
@@ -13,23 +13,23 @@
 )
 
 // Zoner is a driver's part in deciding on zones. Its methods may be called from several goroutines.
-type Zoner interface {
+type Zones interface {
 	Status() zones.Status
-	Without(zone string) (zones.Preview, error)
-	Order(zones.Command) error
+	Preview(zone string) (zones.Preview, error)
+	Submit(zones.Command) error
 }
 
 // zoned is what a Switcher also is where zones are decided on in common; nil while they are not.
-type zoned interface{ Zoner() Zoner }
+type zonesProvider interface{ Zones() Zones }
 
 var errNoZones = errors.New("zones are not switched on in the operators' file")
 
 func zoneCalls(mux *http.ServeMux, s Switcher, answer func(http.ResponseWriter, any)) {
-	with := func(do func(http.ResponseWriter, *http.Request, Zoner) error) http.HandlerFunc {
+	with := func(do func(http.ResponseWriter, *http.Request, Zones) error) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
 			err := errNoZones
-			if j, ok := s.(zoned); ok {
-				if z := j.Zoner(); z != nil {
+			if j, ok := s.(zonesProvider); ok {
+				if z := j.Zones(); z != nil {
 					err = do(w, r, z)
 				}
 			}
@@ -44,23 +44,23 @@
 			}
 		}
 	}
-	mux.HandleFunc("GET /zones", with(func(w http.ResponseWriter, r *http.Request, z Zoner) error {
+	mux.HandleFunc("GET /zones", with(func(w http.ResponseWriter, r *http.Request, z Zones) error {
 		answer(w, z.Status())
 		return nil
 	}))
-	mux.HandleFunc("GET /zones/plan", with(func(w http.ResponseWriter, r *http.Request, z Zoner) error {
-		p, err := z.Without(r.URL.Query().Get("without"))
+	mux.HandleFunc("GET /zones/plan", with(func(w http.ResponseWriter, r *http.Request, z Zones) error {
+		p, err := z.Preview(r.URL.Query().Get("without"))
 		if err == nil {
 			answer(w, p)
 		}
 		return err
 	}))
-	mux.HandleFunc("POST /zones/order", with(func(w http.ResponseWriter, r *http.Request, z Zoner) error {
+	mux.HandleFunc("POST /zones/order", with(func(w http.ResponseWriter, r *http.Request, z Zones) error {
 		var s zones.Command
 		if err := read(w, r, &s); err != nil {
 			return err
 		}
-		return z.Order(s)
+		return z.Submit(s)
 	}))
 }
 
@@ -70,11 +70,11 @@
 }
 
 // Without asks what would be planned were a zone away; empty: as it is.
-func (c *Client) Without(ctx context.Context, zone string) (p zones.Preview, err error) {
+func (c *Client) PreviewZones(ctx context.Context, zone string) (p zones.Preview, err error) {
 	return p, c.call(ctx, http.MethodGet, "/zones/plan?without="+url.QueryEscape(zone), nil, &p)
 }
 
 // OrderZone gives what operators say of a zone.
-func (c *Client) OrderZone(ctx context.Context, s zones.Command) error {
+func (c *Client) SubmitZoneCommand(ctx context.Context, s zones.Command) error {
 	return c.call(ctx, http.MethodPost, "/zones/order", s, nil)
 }
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -23,7 +23,7 @@
 )
 
 // Answer is the list, or what has changed in it.
-type Answer struct {
+type Response struct {
 	Revision int64
 	Complete bool
 	Members  []Entry
@@ -31,13 +31,13 @@
 
 // Entry is one member as the list has it.
 type Entry struct {
-	ID       string
-	HostPort string `json:"host_port"`
-	Locality string
-	Cell     int64
-	Phase    string
-	Access   string  // role, where the list shows it
-	Started  float64 `json:"up_since_ms"` // Unix time, 0 for long ago
+	ID        string
+	Address   string `json:"host_port"`
+	Zone      string `json:"locality"`
+	Group     int64  `json:"cell"`
+	Phase     string
+	Access    string  // role, where the list shows it
+	StartedAt float64 `json:"up_since_ms"` // Unix time, 0 for long ago
 }
 
 // The words that entries hold.
@@ -49,30 +49,30 @@
 )
 
 // Parse reads a list and refuses one that is not whole or holds what it may not.
-func Parse(text []byte) (Answer, error) {
+func Parse(text []byte) (Response, error) {
 	var a struct {
 		Revision *int64
 		Complete *bool
 		Members  *[]Entry
 	}
 	if err := json.Unmarshal(text, &a); err != nil {
-		return Answer{}, fmt.Errorf("list: %w", err)
+		return Response{}, fmt.Errorf("list: %w", err)
 	}
 	if a.Revision == nil || a.Complete == nil || a.Members == nil {
-		return Answer{}, errors.New("list: lacks revision, complete or members")
+		return Response{}, errors.New("list: lacks revision, complete or members")
 	}
 	for i := range *a.Members {
 		e := &(*a.Members)[i]
 		switch e.Phase {
 		case PhaseUp, PhaseDraining, PhaseRemoved:
 		default:
-			return Answer{}, fmt.Errorf("list: %q has the unknown phase %q", e.ID, e.Phase)
+			return Response{}, fmt.Errorf("list: %q has the unknown phase %q", e.ID, e.Phase)
 		}
-		if _, _, err := net.SplitHostPort(e.HostPort); e.ID == "" || err != nil && e.Phase != PhaseRemoved {
-			return Answer{}, fmt.Errorf("list: member %q at %q", e.ID, e.HostPort)
+		if _, _, err := net.SplitHostPort(e.Address); e.ID == "" || err != nil && e.Phase != PhaseRemoved {
+			return Response{}, fmt.Errorf("list: member %q at %q", e.ID, e.Address)
 		}
 	}
-	return Answer{*a.Revision, *a.Complete, *a.Members}, nil
+	return Response{*a.Revision, *a.Complete, *a.Members}, nil
 }
 
 // Client holds the connection. It serves one call at a time.
@@ -84,12 +84,12 @@
 }
 
 // List asks for the whole list.
-func (c *Client) List(ctx context.Context) (Answer, error) {
+func (c *Client) List(ctx context.Context) (Response, error) {
 	return c.call(ctx, "/discovery/hosts", 0)
 }
 
 // Watch waits for something newer than the revision since, up to wait.
-func (c *Client) Watch(ctx context.Context, since int64, wait time.Duration) (Answer, error) {
+func (c *Client) Watch(ctx context.Context, since int64, wait time.Duration) (Response, error) {
 	return c.call(ctx, fmt.Sprintf("/discovery/hosts?since=%d&timeout_ms=%d", since, wait.Milliseconds()), wait)
 }
 
@@ -101,13 +101,13 @@
 	}
 }
 
-func (c *Client) call(ctx context.Context, path string, wait time.Duration) (Answer, error) {
+func (c *Client) call(ctx context.Context, path string, wait time.Duration) (Response, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+c.Timeout)
 	defer cancel()
 	if c.conn == nil {
 		conn, err := (&net.Dialer{Timeout: c.Timeout}).DialContext(ctx, "tcp", c.Address)
 		if err != nil {
-			return Answer{}, err
+			return Response{}, err
 		}
 		c.conn, c.r = conn, bufio.NewReaderSize(conn, maxLine)
 	}
@@ -118,7 +118,7 @@
 		c.Close()
 	}
 	if err != nil {
-		return Answer{}, err
+		return Response{}, err
 	}
 	return Parse(body)
 }
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -60,8 +60,8 @@
 		if err != nil || a.Revision != 41 || !a.Complete || len(a.Members) != 1 {
 			t.Fatalf("call %d: %v %+v", i, err, a)
 		}
-		if e := a.Members[0]; e.ID != "s-1" || e.HostPort != "127.0.0.1:6432" || e.Locality != "a" || e.Cell != 3 ||
-			e.Phase != PhaseUp || e.Access != AccessWriter || e.Started != 5 {
+		if e := a.Members[0]; e.ID != "s-1" || e.Address != "127.0.0.1:6432" || e.Zone != "a" || e.Group != 3 ||
+			e.Phase != PhaseUp || e.Access != AccessWriter || e.StartedAt != 5 {
 			t.Errorf("%+v", e)
 		}
 	}
--- a/internal/driver/admission.go
+++ b/internal/driver/admission.go
@@ -175,7 +175,7 @@
 	}
 	v.inFlight.Go(func() error {
 		c.conn.SetDeadline(time.Now().Add(lingerTimeout / 5))
-		_, _ = c.conn.Write(pgwire.AppendError(nil, "FATAL", pgwire.CodeBusy, "too many connections", ""))
+		_, _ = c.conn.Write(pgwire.AppendErrorResponse(nil, "FATAL", pgwire.CodeTooManyConnections, "too many connections", ""))
 		c.conn.CloseWrite()
 		c.drain()
 		c.conn.Close()
--- a/internal/driver/answer.go
+++ b/internal/driver/answer.go
@@ -57,11 +57,11 @@
 		}
 		body := pgwire.Body(message[before:])
 		switch {
-		case kind == 'T' && last == 0 && pgwire.RowDescription(body):
+		case kind == 'T' && last == 0 && pgwire.IsBinaryColumn(body):
 			rows, last = message, kind
 		case kind == 'D' && last == 'T':
 			var ok bool
-			if r.value, ok = pgwire.DataRow(body); !ok {
+			if r.value, ok = pgwire.ParseDataRow(body); !ok {
 				return malformed()
 			}
 			rows, last = message, kind
@@ -72,9 +72,9 @@
 			r.outcome = logic.Fault
 			switch code := pgwire.ErrorCode(body); {
 			case last != 0:
-			case code == pgwire.CodeReadOnly || code == pgwire.CodeBehind:
+			case code == pgwire.CodeReadOnlyTransaction || code == pgwire.CodeSnapshotTooOld:
 				r.outcome = logic.Miss
-			case code == pgwire.CodeBusy:
+			case code == pgwire.CodeTooManyConnections:
 				r.outcome = logic.Full
 			}
 			last = kind
@@ -91,7 +91,7 @@
 
 // note reads what a member tells of itself beside an answer. What does not parse is skipped.
 func (r *result) parseParameter(body []byte) {
-	name, value, ok := pgwire.Parameter(body)
+	name, value, ok := pgwire.ParseParameterStatus(body)
 	if !ok {
 		return
 	}
--- a/internal/driver/assignment.go
+++ b/internal/driver/assignment.go
@@ -34,7 +34,7 @@
 type configuration struct {
 	Assignment
 	settings   opening.Settings
-	membership discovery.Answer
+	membership discovery.Response
 	values     map[string]json.RawMessage
 }
 
@@ -90,7 +90,7 @@
 	if f.Drivers > 0 {
 		o.Drivers = f.Drivers
 	}
-	if f.DrainingBinds != nil {
-		o.OnlyDrainBinds = *f.DrainingBinds
+	if f.OnlyDrainingBinds != nil {
+		o.OnlyDrainBinds = *f.OnlyDrainingBinds
 	}
 }
--- a/internal/driver/bench_test.go
+++ b/internal/driver/bench_test.go
@@ -31,7 +31,7 @@
 	b.Cleanup(func() { ln.Close() })
 	answer := append(slices.Clone(described), frame('D', []byte("\x00\x01\x00\x00\x00\x01v"))...)
 	answer = append(answer, frame('C', []byte("SELECT 1\x00"))...)
-	answer = pgwire.AppendReady(append(answer, frame('S', []byte("server_role\x00writer\x00"))...))
+	answer = pgwire.AppendReadyForQuery(append(answer, frame('S', []byte("server_role\x00writer\x00"))...))
 	go func() {
 		for {
 			conn, err := ln.Accept()
@@ -42,7 +42,7 @@
 				defer conn.Close()
 				r := bufio.NewReader(conn)
 				pgwire.ReadStartup(r)
-				conn.Write(pgwire.AppendWelcome(nil, 0))
+				conn.Write(pgwire.AppendStartupResponse(nil, 0))
 				var buf []byte
 				for {
 					if _, buf, err = pgwire.Read(r, buf[:0]); err != nil {
@@ -67,7 +67,7 @@
 			defer lists.Close()
 			o := operator.Default()
 			if keeps {
-				o.State = &operator.State{Folder: b.TempDir(), SaveEvery: time.Second, LimitMB: 16}
+				o.State = &operator.State{Folder: b.TempDir(), SaveInterval: time.Second, LimitMB: 16}
 			}
 			v, err := New(fmt.Appendf(nil,
 				`{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"seed":"1","limits":{"cores":8,"memory_mb":192,"sockets":1024},`+
@@ -97,7 +97,7 @@
 					}
 				}
 			}
-			conn.Write(pgwire.AppendStartup(nil, "svc", "main"))
+			conn.Write(pgwire.AppendStartupMessage(nil, "svc", "main"))
 			ready()
 			took := make([]time.Duration, 0, b.N)
 			b.ReportAllocs()
@@ -126,7 +126,7 @@
 	for _, side := range []int{1, 16, 128} {
 		b.Run(strconv.Itoa(side), func(b *testing.B) {
 			v := &Service{decider: &decider{clock: newClock(time.Now)}, log: slog.New(slog.DiscardHandler)}
-			if err := v.openLedger(operator.Ledger{Folder: b.TempDir(), Keep: time.Hour, Keys: 1 << 20, LimitMB: 4096},
+			if err := v.openLedger(operator.Ledger{Folder: b.TempDir(), Retention: time.Hour, MaxKeys: 1 << 20, LimitMB: 4096},
 				nil); err != nil {
 				b.Fatal(err)
 			}
--- a/internal/driver/clients.go
+++ b/internal/driver/clients.go
@@ -116,7 +116,7 @@
 		}
 		if m.framingErr != nil {
 			c.service.counters.BadInput.Add(1)
-			c.write(pgwire.AppendError(nil, "FATAL", pgwire.CodeProtocol, m.framingErr.Error(), ""))
+			c.write(pgwire.AppendErrorResponse(nil, "FATAL", pgwire.CodeProtocolViolation, m.framingErr.Error(), ""))
 			return "framing"
 		}
 		answer, why := c.answer(m)
@@ -146,7 +146,7 @@
 		switch {
 		case errors.Is(err, pgwire.ErrFraming):
 			c.service.counters.BadInput.Add(1)
-			c.write(pgwire.AppendError(nil, "FATAL", pgwire.CodeProtocol, err.Error(), ""))
+			c.write(pgwire.AppendErrorResponse(nil, "FATAL", pgwire.CodeProtocolViolation, err.Error(), ""))
 			return "framing"
 		case err != nil:
 			return "no_startup"
@@ -158,7 +158,7 @@
 			}
 			continue
 		}
-		why := c.write(pgwire.AppendWelcome(nil, minor))
+		why := c.write(pgwire.AppendStartupResponse(nil, minor))
 		c.conn.SetReadDeadline(c.openedAt.Add(messageTimeout)) // up to the first byte of a query
 		c.finishMessage()
 		return why
@@ -220,11 +220,11 @@
 // next reads one message, which must come whole in time. A big one for which the budget of bytes has no room is
 // read away.
 func (c *client) readMessage() (m message, err error) {
-	if head, _ := c.reader.Peek(min(c.reader.Buffered(), 5)); !pgwire.Whole(head, c.reader.Buffered()) {
+	if head, _ := c.reader.Peek(min(c.reader.Buffered(), 5)); !pgwire.Buffered(head, c.reader.Buffered()) {
 		c.conn.SetReadDeadline(time.Now().Add(messageTimeout)) // it holds room that others want
 		defer c.conn.SetReadDeadline(time.Time{})
 	}
-	kind, n, err := pgwire.ReadHead(c.reader)
+	kind, n, err := pgwire.ReadHeader(c.reader)
 	if m.kind = kind; err != nil {
 		return m, err
 	}
@@ -260,7 +260,7 @@
 	return ""
 }
 
-var unsupportedAnswer = pgwire.AppendError(nil, "ERROR", pgwire.CodeProtocol, "only simple queries are served", "")
+var unsupportedAnswer = pgwire.AppendErrorResponse(nil, "ERROR", pgwire.CodeProtocolViolation, "only simple queries are served", "")
 
 // answer finds the answer to one message; nil where there is none, with a reason where the connection ends.
 func (c *client) answer(m message) (answer []byte, why string) {
@@ -280,33 +280,33 @@
 		return unsupportedAnswer, ""
 	case 'S':
 		c.skipUntilSync = false
-		return pgwire.AppendReady(nil), ""
+		return pgwire.AppendReadyForQuery(nil), ""
 	case 'F':
 		c.service.counters.BadInput.Add(1)
-		return pgwire.AppendReady(bytes.Clone(unsupportedAnswer)), ""
+		return pgwire.AppendReadyForQuery(bytes.Clone(unsupportedAnswer)), ""
 	case 'H', 'd', 'c', 'f':
 		return nil, ""
 	}
 	c.service.counters.BadInput.Add(1)
-	c.write(pgwire.AppendError(nil, "FATAL", pgwire.CodeProtocol, "unknown kind of message", ""))
+	c.write(pgwire.AppendErrorResponse(nil, "FATAL", pgwire.CodeProtocolViolation, "unknown kind of message", ""))
 	return nil, "framing"
 }
 
 func (c *client) query(body []byte) (answer []byte, why string) {
 	text, ok := pgwire.QueryText(body)
 	if !ok {
-		return c.badInput(pgwire.CodeProtocol, "a query's text ends in one zero byte")
+		return c.badInput(pgwire.CodeProtocolViolation, "a query's text ends in one zero byte")
 	}
 	if len(bytes.TrimSpace(text)) == 0 {
-		return pgwire.AppendReady(pgwire.AppendEmptyQuery(nil)), ""
+		return pgwire.AppendReadyForQuery(pgwire.AppendEmptyQuery(nil)), ""
 	}
 	statement, err := pgwire.ParseStatement(text)
 	if err != nil {
-		return c.badInput(pgwire.CodeProtocol, err.Error())
+		return c.badInput(pgwire.CodeProtocolViolation, err.Error())
 	}
 	opType, ok := c.service.decider.knows(statement.OpType, statement.Group)
 	if !ok {
-		return c.badInput(pgwire.CodeUnknown, "unknown op type or group")
+		return c.badInput(pgwire.CodeInvalidParameterValue, "unknown op type or group")
 	}
 	c.ops++
 	if answer = c.service.perform(newOp(opType, statement), c.disconnected); answer == nil {
@@ -317,5 +317,5 @@
 
 func (c *client) badInput(code, why string) ([]byte, string) {
 	c.service.counters.BadInput.Add(1)
-	return pgwire.AppendReady(pgwire.AppendError(nil, "ERROR", code, why, "")), ""
+	return pgwire.AppendReadyForQuery(pgwire.AppendErrorResponse(nil, "ERROR", code, why, "")), ""
 }
--- a/internal/driver/decider.go
+++ b/internal/driver/decider.go
@@ -150,13 +150,13 @@
 func (d *decider) updateMembership(kind logic.ListKind, entries []discovery.Entry) {
 	ev := logic.Event{Kind: logic.EvMembers, List: kind}
 	for _, e := range entries {
-		ev.Members = append(ev.Members, logic.ListEntry{Member: e.ID, Phase: phases[e.Phase], Zone: e.Locality,
-			Started: e.Started, Group: e.Cell, Primary: e.Access == discovery.AccessWriter})
+		ev.Members = append(ev.Members, logic.ListEntry{Member: e.ID, Phase: phases[e.Phase], Zone: e.Zone,
+			Started: e.StartedAt, Group: e.Group, Primary: e.Access == discovery.AccessWriter})
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for i, e := range entries {
-		d.groups[e.Cell] = true
+		d.groups[e.Group] = true
 		if l := &ev.Members[i]; l.Phase == logic.Gone {
 			delete(d.members, l.Member)
 		} else if d.members[l.Member] = *l; d.drains[l.Member] != 0 {
@@ -262,7 +262,7 @@
 	o.id = strconv.FormatUint(d.serial, 36)
 	d.ops[o.id] = o
 	d.stepLocked(logic.Event{Kind: logic.EvOp, Op: o.id, OpType: o.opType, Group: o.statement.Group,
-		Left: o.statement.Timeout, WroteAgo: d.clock.wroteAgo(o.statement.After)})
+		Left: o.statement.Timeout, WroteAgo: d.clock.wroteAgo(o.statement.MinPosition)})
 	return true
 }
 
--- a/internal/driver/driver.go
+++ b/internal/driver/driver.go
@@ -91,7 +91,7 @@
 		o.Registry != nil && o.Registry.DriversPrefix != "", &v.counters); err != nil {
 		return nil, fmt.Errorf("configuration: peers: %w", err)
 	}
-	told.Opening.MaxMessages = float64(o.Peers.Messages)
+	told.Opening.MaxMessages = float64(o.Peers.MessagesPerSecond)
 	applyOverrides(told.Opening, o.Fleet)
 	v.decider = newDecider(newClock(time.Now), told, v)
 	v.registryConfig = o.Registry
@@ -286,7 +286,7 @@
 		for {
 			call, leave := context.WithCancel(ctx)
 			whole = v.takeMove(leave) || whole
-			var a discovery.Answer
+			var a discovery.Response
 			var err error
 			if whole {
 				a, err = v.discovery.List(call)
--- a/internal/driver/driver_test.go
+++ b/internal/driver/driver_test.go
@@ -39,14 +39,14 @@
 	}
 	d := newDecider(c, told, noActions{})
 	d.updateMembership(logic.ListCached, []discovery.Entry{{ID: "p", Phase: discovery.PhaseUp, Access: discovery.AccessWriter,
-		Cell: 1},
-		{ID: "r", Phase: discovery.PhaseUp, Cell: 1}})
+		Group: 1},
+		{ID: "r", Phase: discovery.PhaseUp, Group: 1}})
 	return d
 }
 
 // goes says where an op's first send goes, and leaves it there.
 func (d *decider) firstMember(opType int, after float64) string {
-	o := newOp(opType, pgwire.Statement{Group: 1, Timeout: 900, After: after})
+	o := newOp(opType, pgwire.Statement{Group: 1, Timeout: 900, MinPosition: after})
 	d.submit(o)
 	for _, a := range o.pending {
 		if a.Kind == logic.ActSend {
@@ -132,8 +132,8 @@
 		b := append(bytes.Clone(described), frame('D', append([]byte{0, 1, 0, 0, 0, byte(len(v))}, v...))...)
 		return append(b, frame('C', []byte("SELECT 1\x00"))...)
 	}
-	fail := func(code string) []byte { return pgwire.AppendError(nil, "ERROR", code, "x", "") }
-	ready := pgwire.AppendReady(nil)
+	fail := func(code string) []byte { return pgwire.AppendErrorResponse(nil, "ERROR", code, "x", "") }
+	ready := pgwire.AppendReadyForQuery(nil)
 	for name, x := range map[string]struct {
 		in    [][]byte
 		want  result
@@ -278,14 +278,14 @@
 		defer conn.Close()
 		r := bufio.NewReader(conn)
 		pgwire.ReadStartup(r)
-		conn.Write(pgwire.AppendWelcome(nil, 0))
+		conn.Write(pgwire.AppendStartupResponse(nil, 0))
 		for {
 			if _, _, err := pgwire.Read(r, nil); err != nil {
 				return
 			}
 			queries <- struct{}{}
 			<-answer
-			conn.Write(pgwire.AppendReady(append(bytes.Clone(described), append(frame('D', []byte("\x00\x01\x00\x00\x00\x01v")),
+			conn.Write(pgwire.AppendReadyForQuery(append(bytes.Clone(described), append(frame('D', []byte("\x00\x01\x00\x00\x00\x01v")),
 				frame('C', []byte("SELECT 1\x00"))...)...)))
 		}
 	}()
@@ -328,7 +328,7 @@
 func TestAddressesOfRemovedMembersAreLetGo(t *testing.T) {
 	m := &pool{idleTimeout: time.Second, counters: &counters{}, members: map[string]*memberConns{}}
 	up := func(id string) discovery.Entry {
-		return discovery.Entry{ID: id, HostPort: "127.0.0.1:1", Phase: discovery.PhaseUp}
+		return discovery.Entry{ID: id, Address: "127.0.0.1:1", Phase: discovery.PhaseUp}
 	}
 	m.setMembers([]discovery.Entry{up("a"), up("b"), up("c"), up("d"), up("e")}, true)
 	m.setMembers([]discovery.Entry{{ID: "b", Phase: discovery.PhaseRemoved}, {ID: "c", Phase: discovery.PhaseRemoved}},
--- a/internal/driver/fleet.go
+++ b/internal/driver/fleet.go
@@ -98,14 +98,14 @@
 	if err != nil {
 		return fmt.Errorf("membership: listen: %w", err)
 	}
-	f.drains, f.seeds, f.period = membership.NewDrains(maxDrains, milliseconds(drainRetention)), o.Seeds, o.Period
-	expect := o.Expect
+	f.drains, f.seeds, f.period = membership.NewDrains(maxDrains, milliseconds(drainRetention)), o.Seeds, o.ProtocolPeriod
+	expect := o.ExpectedDrivers
 	if expect == 0 {
 		expect = max(a.settings.Opening.Drivers, expectedDrivers(o))
 	}
 	opts := mesh.Options{Name: a.Name, Zone: zoneOf(o, a), Listen: listen, Advertise: o.Advertise, Seeds: o.Seeds,
-		Secret: token, Period: o.Period,
-		Expect: expect, Yield: o.Yield, Seed: a.settings.Opening.Seed + 2, Run: uint64(v.decider.clock.unixMs),
+		Secret: token, Period: o.ProtocolPeriod,
+		Expect: expect, Yield: o.TakeOverAfter, Seed: a.settings.Opening.Seed + 2, Run: uint64(v.decider.clock.unixMs),
 		Now: v.decider.clock.now, Log: v.log,
 		Folder: o.Folder, Gossip: f.gossip, ReceiveGossip: f.receiveGossip, OnStanding: f.onPartitionStatus}
 	if v.zones != nil {
@@ -185,7 +185,7 @@
 		return
 	}
 	f.mu.Lock()
-	f.seeds, f.period = o.Seeds, o.Period
+	f.seeds, f.period = o.Seeds, o.ProtocolPeriod
 	f.mu.Unlock()
 	f.reseed()
 }
@@ -311,7 +311,7 @@
 	for {
 		all, err := f.Client.Status(ctx)
 		for _, k := range all {
-			if err := s.Told(k.Notification); err != nil {
+			if err := s.HandlePeer(k.Notification); err != nil {
 				s.service.log.Warn("switch", "fellow", f.Address, "error", err)
 			}
 			known[k.Group] = notificationKey(k.Notification)
@@ -324,7 +324,7 @@
 				}
 			}
 			if len(news) > 0 {
-				err = f.Tell(ctx, news)
+				err = f.NotifyPeer(ctx, news)
 			}
 			for _, w := range news {
 				known[w.Group] = notificationKey(w)
--- a/internal/driver/ledger.go
+++ b/internal/driver/ledger.go
@@ -48,7 +48,7 @@
 // to say that they begin a new one, by moving the folder away.
 func (v *Service) openLedger(o operator.Ledger, types []logic.OpType) error {
 	limit := int64(o.LimitMB) << 20
-	rules := ledger.Limits{Retention: milliseconds(o.Keep), Keys: o.Keys, TotalBytes: int(limit / 4), AnswerBytes: ledgerAnswerBytes}
+	rules := ledger.Limits{Retention: milliseconds(o.Retention), Keys: o.MaxKeys, TotalBytes: int(limit / 4), AnswerBytes: ledgerAnswerBytes}
 	if err := rules.Check(); err != nil {
 		return err
 	}
@@ -57,7 +57,7 @@
 		return fmt.Errorf("ledger: %w", err)
 	}
 	l := &opLedger{service: v, store: store, opTypes: types, queue: make(chan queuedRecord, maxQueuedRecords), done: make(chan struct{})}
-	if found.Lost {
+	if found.RecordsLost {
 		err = fmt.Errorf("%s has lost records; move it away to begin a new book", o.Folder)
 	} else if l.table, err = ledger.Load(rules, v.decider.clock.now(), found.Snapshot, found.Records); err == nil {
 		err = store.Compact(l.table.Snapshot())
@@ -89,7 +89,7 @@
 			}
 		}
 		err := l.store.Append(records...)
-		if err != nil || l.store.Due() {
+		if err != nil || l.store.NeedsCompaction() {
 			// A snapshot holds what is in the queue already; records of it that follow change nothing but for the worse: a key
 			// that is done may be in doubt.
 			l.mu.Lock()
@@ -129,20 +129,20 @@
 func (l *opLedger) covers(o *op) bool { return l.opTypes[o.opType].Effect != logic.Retryable }
 
 var (
-	invalidKey     = errorAnswer(pgwire.CodeProtocol, "a key is 1 to 128 bytes of text without spaces and quotes")
-	keyConflict    = errorAnswer(pgwire.CodeProtocol, "this key was another statement's")
-	answerLost     = errorAnswer(pgwire.CodeFailed, "the op with this key was done; its answer was too long to be kept")
-	outcomeInDoubt = errorAnswer(pgwire.CodeFailed,
+	invalidKey     = errorAnswer(pgwire.CodeProtocolViolation, "a key is 1 to 128 bytes of text without spaces and quotes")
+	keyConflict    = errorAnswer(pgwire.CodeProtocolViolation, "this key was another statement's")
+	answerLost     = errorAnswer(pgwire.CodeSystemError, "the op with this key was done; its answer was too long to be kept")
+	outcomeInDoubt = errorAnswer(pgwire.CodeSystemError,
 		"an op with this key may have taken effect, and it can't be known; it is not sent again")
 )
 
 func errorAnswer(code, text string) []byte {
-	return pgwire.AppendReady(pgwire.AppendError(nil, "ERROR", code, text, ""))
+	return pgwire.AppendReadyForQuery(pgwire.AppendErrorResponse(nil, "ERROR", code, text, ""))
 }
 
 // perform carries an op with a key through.
 func (l *opLedger) perform(o *op, disconnected <-chan struct{}) []byte {
-	token := o.statement.Token
+	token := o.statement.IdempotencyKey
 	if len(token) == 0 || len(token) > maxKeyBytes || !utf8.Valid(token) || bytes.ContainsAny(token, " '\"\x00\r\n") {
 		return invalidKey
 	}
--- a/internal/driver/memberlist.go
+++ b/internal/driver/memberlist.go
@@ -17,7 +17,7 @@
 
 // start gives the list that a start begins with. It is one that discovery told, which goes on from there; where there
 // is a registry beside it, nobody knows who told it.
-func (v *Service) initMembership(known discovery.Answer) {
+func (v *Service) initMembership(known discovery.Response) {
 	u := discoveryUpdate(known)
 	if u.Snapshot = true; v.registryConfig != nil {
 		u.Source = roster.SourceKnown
@@ -112,7 +112,7 @@
 var rosterPhases = map[string]roster.Phase{discovery.PhaseUp: roster.PhaseUp,
 	discovery.PhaseDraining: roster.PhaseDraining, discovery.PhaseRemoved: roster.PhaseRemoved}
 
-func discoveryUpdate(a discovery.Answer) roster.Update {
+func discoveryUpdate(a discovery.Response) roster.Update {
 	u := roster.Update{Source: roster.SourceDiscovery, Revision: a.Revision, Snapshot: a.Complete, Linearizable: true}
 	for _, e := range a.Members {
 		u.Entries = append(u.Entries, toRoster(e))
@@ -121,14 +121,14 @@
 }
 
 func toRoster(e discovery.Entry) roster.Entry {
-	return roster.Entry{ID: e.ID, Address: e.HostPort, Zone: e.Locality, Group: e.Cell, Phase: rosterPhases[e.Phase],
+	return roster.Entry{ID: e.ID, Address: e.Address, Zone: e.Zone, Group: e.Group, Phase: rosterPhases[e.Phase],
 		Access:    e.Access,
-		StartedAt: e.Started}
+		StartedAt: e.StartedAt}
 }
 
 func fromRoster(e roster.Entry) discovery.Entry {
-	return discovery.Entry{ID: e.ID, HostPort: e.Address, Locality: e.Zone, Cell: e.Group, Access: e.Access,
-		Started: e.StartedAt,
+	return discovery.Entry{ID: e.ID, Address: e.Address, Zone: e.Zone, Group: e.Group, Access: e.Access,
+		StartedAt: e.StartedAt,
 		Phase: [...]string{roster.PhaseUp: discovery.PhaseUp, roster.PhaseDraining: discovery.PhaseDraining,
 			roster.PhaseRemoved: discovery.PhaseRemoved}[e.Phase]}
 }
@@ -139,7 +139,7 @@
 	}
 	return roster.Options{
 		Preferred:     roster.SourceRegistry,
-		FailoverAfter: milliseconds(g.TakeOver),
-		ConfirmAfter:  milliseconds(g.Confirm),
+		FailoverAfter: milliseconds(g.FailoverAfter),
+		ConfirmAfter:  milliseconds(g.ConfirmAfter),
 	}
 }
--- a/internal/driver/op.go
+++ b/internal/driver/op.go
@@ -70,7 +70,7 @@
 // perform carries an op through and returns its answer, whole, or nil if the client left. gone is closed when it
 // leaves. An op that must not run twice and names a key goes by the ledger, where there is one.
 func (v *Service) perform(o *op, disconnected <-chan struct{}) []byte {
-	if v.ledger != nil && o.statement.Write && o.statement.Token != nil && v.ledger.covers(o) {
+	if v.ledger != nil && o.statement.Write && o.statement.IdempotencyKey != nil && v.ledger.covers(o) {
 		return v.ledger.perform(o, disconnected)
 	}
 	answer, _ := v.execute(o, disconnected)
@@ -123,7 +123,7 @@
 			return answer, end
 		case rows != nil:
 			v.counters.Acked.Add(1)
-			return pgwire.AppendReady(rows), endAcked
+			return pgwire.AppendReadyForQuery(rows), endAcked
 		case clientLeft:
 			v.counters.Left.Add(1)
 			if len(attempts) == 0 {
@@ -147,9 +147,9 @@
 	return s
 }
 
-var duplicateID = pgwire.AppendReady(pgwire.AppendError(nil, "ERROR", pgwire.CodeProtocol, "an op of this id is open", ""))
+var duplicateID = pgwire.AppendReadyForQuery(pgwire.AppendErrorResponse(nil, "ERROR", pgwire.CodeProtocolViolation, "an op of this id is open", ""))
 
-var opFailed = pgwire.AppendReady(pgwire.AppendError(nil, "ERROR", pgwire.CodeFailed,
+var opFailed = pgwire.AppendReadyForQuery(pgwire.AppendErrorResponse(nil, "ERROR", pgwire.CodeSystemError,
 	"the op failed and may have taken effect", ""))
 
 // busy says that trying again is harmless, and after how many milliseconds if the module advises some.
@@ -158,5 +158,5 @@
 	if ms := duration(wait).Round(time.Millisecond).Milliseconds(); ms > 0 {
 		detail = strconv.FormatInt(ms, 10)
 	}
-	return pgwire.AppendReady(pgwire.AppendError(nil, "ERROR", pgwire.CodeBusy, "busy, try again", detail))
+	return pgwire.AppendReadyForQuery(pgwire.AppendErrorResponse(nil, "ERROR", pgwire.CodeTooManyConnections, "busy, try again", detail))
 }
--- a/internal/driver/pool.go
+++ b/internal/driver/pool.go
@@ -76,9 +76,9 @@
 			h = &memberConns{}
 			m.members[e.ID] = h
 		}
-		if e.HostPort != h.address {
+		if e.Address != h.address {
 			m.closeIdle(h, "moved")
-			h.address = e.HostPort
+			h.address = e.Address
 		}
 		named[h], h.removedAt = true, time.Time{}
 	}
@@ -231,7 +231,7 @@
 		m.closeConn(l, "no_connection")
 		return nil, logic.ConnectFailed
 	}
-	if _, err := conn.Write(pgwire.AppendStartup(nil, user, database)); err != nil {
+	if _, err := conn.Write(pgwire.AppendStartupMessage(nil, user, database)); err != nil {
 		m.closeConn(l, "no_welcome")
 		return nil, logic.ConnectFailed
 	}
@@ -243,7 +243,7 @@
 			return nil, logic.ConnectFailed
 		case kind == 'E':
 			m.closeConn(l, "turned_away")
-			if pgwire.ErrorCode(pgwire.Body(message)) == pgwire.CodeBusy {
+			if pgwire.ErrorCode(pgwire.Body(message)) == pgwire.CodeTooManyConnections {
 				return nil, logic.Full
 			}
 			return nil, logic.ConnectFailed
--- a/internal/driver/presence.go
+++ b/internal/driver/presence.go
@@ -27,7 +27,7 @@
 // presence is the driver's own lease, and its peers.
 type presence struct {
 	service    *Service
-	announcer  registry.Announcer
+	announcer  registry.LeaseClient
 	follower   *registry.Watcher
 	key        string
 	value      []byte
@@ -51,7 +51,7 @@
 	if err != nil {
 		return fmt.Errorf("registry: %w", err)
 	}
-	ttl := milliseconds(v.registryConfig.Lease)
+	ttl := milliseconds(v.registryConfig.LeaseTTL)
 	p := &presence{
 		service:    v,
 		announcer:  client,
@@ -59,7 +59,7 @@
 		lease:      roster.NewPresence(ttl, seed),
 		mayMessage: talks,
 		drivers: roster.New(
-			roster.Options{Preferred: roster.SourceRegistry, ConfirmAfter: milliseconds(v.registryConfig.Confirm)},
+			roster.Options{Preferred: roster.SourceRegistry, ConfirmAfter: milliseconds(v.registryConfig.ConfirmAfter)},
 		),
 		peers: roster.Peers{
 			Self:           v.config.Name,
@@ -75,12 +75,12 @@
 		return err
 	}
 	p.follower = &registry.Watcher{
-		Client:   client,
-		Now:      v.decider.clock.now,
-		Position: p.position,
-		Told:     p.updateDrivers,
-		Lost:     p.registryDisconnected,
-		Alive:    p.registryConnected,
+		Client:       client,
+		Now:          v.decider.clock.now,
+		Position:     p.position,
+		Apply:        p.updateDrivers,
+		OnDisconnect: p.registryDisconnected,
+		OnActivity:   p.registryConnected,
 		Scheduler: roster.NewScheduler(
 			roster.SchedulerOptions{Endpoints: len(o.Endpoints), Drivers: drivers, Seed: seed + 1},
 		),
@@ -104,7 +104,7 @@
 	for _, text := range out.Notes {
 		p.service.log.Warn("drivers", "text", text)
 	}
-	return out.Verdict, milliseconds(p.service.registryConfig.Confirm)
+	return out.Verdict, milliseconds(p.service.registryConfig.ConfirmAfter)
 }
 
 func (p *presence) registryDisconnected(err error) {
@@ -177,14 +177,14 @@
 			var stands time.Duration
 			var err error
 			if step == roster.StepGrant {
-				p.leaseID, stands, err = p.announcer.Grant(call, endpoint, p.key, p.value, p.service.registryConfig.Lease)
+				p.leaseID, stands, err = p.announcer.Grant(call, endpoint, p.key, p.value, p.service.registryConfig.LeaseTTL)
 			} else {
 				stands, err = p.announcer.Renew(call, endpoint, p.leaseID)
 			}
-			if end(); err != nil && registry.PresenceEndOf(err) == roster.StepFailed {
+			if end(); err != nil && registry.PresenceResultOf(err) == roster.StepFailed {
 				endpoint = (endpoint + 1) % len(p.service.registryConfig.Endpoints)
 			}
-			p.lease.StepEnded(now, p.service.decider.clock.now(), registry.PresenceEndOf(err), milliseconds(stands))
+			p.lease.StepEnded(now, p.service.decider.clock.now(), registry.PresenceResultOf(err), milliseconds(stands))
 		}
 		is, other := p.lease.Status(p.service.decider.clock.now())
 		if is != stood || is && p.leaseID != logged {
--- a/internal/driver/registry.go
+++ b/internal/driver/registry.go
@@ -17,7 +17,7 @@
 // RegistryOptions are an operators' block as its client takes it.
 func RegistryOptions(g *operator.Registry) registry.Options {
 	return registry.Options{Dialect: g.Dialect, Endpoints: g.Endpoints, Prefix: g.Prefix, Service: g.Service,
-		CredentialsFile: g.CredentialsFile, CAFile: g.CAFile, Silence: g.Silence}
+		CredentialsFile: g.CredentialsFile, CAFile: g.CAFile, WatchTimeout: g.WatchTimeout}
 }
 
 // openRegistry makes the watcher of members.
@@ -38,20 +38,20 @@
 			_, revision, told := v.roster.Revision(roster.SourceRegistry)
 			return revision, told
 		},
-		Told: func(u roster.Update) (roster.Verdict, float64) {
+		Apply: func(u roster.Update) (roster.Verdict, float64) {
 			v.counters.Registries.Add(1)
 			verdict := v.updateMembership(u)
 			if verdict == roster.VerdictGap || verdict == roster.VerdictUnconfirmed {
 				v.log.Warn("registry_"+verdict.String(), "revision", u.Revision)
 			}
-			return verdict, milliseconds(v.registryConfig.Confirm)
+			return verdict, milliseconds(v.registryConfig.ConfirmAfter)
 		},
-		Lost: func(err error) {
+		OnDisconnect: func(err error) {
 			v.counters.RegistriesFailed.Add(1)
 			v.log.Warn("registry_failed", "error", err)
 			v.sourceDisconnected(roster.SourceRegistry)
 		},
-		Alive: func() {
+		OnActivity: func() {
 			v.rosterMu.Lock()
 			defer v.rosterMu.Unlock()
 			v.roster.SetConnected(v.decider.clock.now(), roster.SourceRegistry)
--- a/internal/driver/shape_test.go
+++ b/internal/driver/shape_test.go
@@ -14,7 +14,7 @@
 		t.Fatal("no block changes nothing", o)
 	}
 	no, yes := false, true
-	applyOverrides(&o, &operator.Fleet{Peers: &no, Drivers: 320, DrainingBinds: &yes})
+	applyOverrides(&o, &operator.Fleet{Peers: &no, Drivers: 320, OnlyDrainingBinds: &yes})
 	if o.MayMessage || o.Drivers != 320 || !o.OnlyDrainBinds {
 		t.Fatal(o)
 	}
--- a/internal/driver/state.go
+++ b/internal/driver/state.go
@@ -72,8 +72,8 @@
 
 // rulesOf gathers what the settings tell that decisions about state go by.
 func learnedConfig(name string, settings opening.Settings, config operator.State) learned.Config {
-	r := learned.Config{Name: name, SaveInterval: milliseconds(config.SaveEvery), WarmUp: settings.Opening.ColdFor,
-		MinSwitchover: cmp.Or(milliseconds(config.SwitchLeast), settings.DrainGrace), StalenessBound: math.Inf(1),
+	r := learned.Config{Name: name, SaveInterval: milliseconds(config.SaveInterval), WarmUp: settings.Opening.ColdFor,
+		MinSwitchover: cmp.Or(milliseconds(config.MinSwitchTime), settings.DrainGrace), StalenessBound: math.Inf(1),
 		SessionsTrackPosition: settings.Opening.SessionCarried, OpTypes: make([]learned.OpType, len(settings.OpTypes))}
 	for name, i := range settings.OpTypes {
 		t := &settings.Opening.OpTypes[i]
@@ -102,7 +102,7 @@
 	if r.store, found, r.err = durable.Open(k.files, o); r.err != nil {
 		return r
 	}
-	for _, err := range found.Damaged() {
+	for _, err := range found.Damage() {
 		k.service.log.Warn("state_damaged", "folder", o.Folder, "error", err)
 	}
 	if found.Snapshot != nil {
@@ -115,7 +115,7 @@
 }
 
 // begin recovers what an earlier run has left, tells the module of it, and gives out the list that holds.
-func (v *Service) restoreState(o operator.State, told opening.Settings, known discovery.Answer) {
+func (v *Service) restoreState(o operator.State, told opening.Settings, known discovery.Response) {
 	k := &stateSaver{service: v, files: durable.OS{}, wake: make(chan struct{}, 1), config: o}
 	began := time.Now()
 	came := make(chan openedStore, 1)
@@ -138,7 +138,7 @@
 	}
 	belief := learned.Restore(r.state, rules, now, given)
 	if belief.FromSaved {
-		known = discovery.Answer{Revision: belief.Membership.Revision, Complete: true}
+		known = discovery.Response{Revision: belief.Membership.Revision, Complete: true}
 		for _, e := range belief.Membership.Entries {
 			known.Members = append(known.Members, toDiscovery(e))
 		}
@@ -159,14 +159,14 @@
 }
 
 func toLearned(e discovery.Entry) learned.Entry {
-	return learned.Entry{ID: e.ID, Address: e.HostPort, Zone: e.Locality, Group: e.Cell, Phase: e.Phase, Access: e.Access,
-		StartedAt: e.Started}
+	return learned.Entry{ID: e.ID, Address: e.Address, Zone: e.Zone, Group: e.Group, Phase: e.Phase, Access: e.Access,
+		StartedAt: e.StartedAt}
 }
 
 func toDiscovery(e learned.Entry) discovery.Entry {
-	return discovery.Entry{ID: e.ID, HostPort: e.Address, Locality: e.Zone, Cell: e.Group, Phase: e.Phase,
-		Access:  e.Access,
-		Started: e.StartedAt}
+	return discovery.Entry{ID: e.ID, Address: e.Address, Zone: e.Zone, Group: e.Group, Phase: e.Phase,
+		Access:    e.Access,
+		StartedAt: e.StartedAt}
 }
 
 // list notes that the list has changed, or its revision, and wakes the saver; it waits for nothing.
@@ -195,7 +195,7 @@
 func (k *stateSaver) run(ctx context.Context) {
 	for {
 		k.mu.Lock()
-		every := k.config.SaveEvery
+		every := k.config.SaveInterval
 		k.mu.Unlock()
 		timer := time.NewTimer(every)
 		select {
@@ -268,19 +268,19 @@
 		}
 		k.store, k.storeBehind = r.store, true
 	}
-	k.store.Cap(limit)
-	before := k.store.Written()
+	k.store.SetLimit(limit)
+	before := k.store.BytesWritten()
 	switch {
-	case k.storeBehind || k.store.Due():
+	case k.storeBehind || k.store.NeedsCompaction():
 		err = k.store.Compact(k.table.Snapshot())
 	case len(records) > 0:
 		if err = k.store.Append(records...); errors.Is(err, durable.ErrLimit) {
 			err = k.store.Compact(k.table.Snapshot())
 		}
 	}
-	k.service.counters.StateBytes.Add(k.store.Written() - before)
+	k.service.counters.StateBytes.Add(k.store.BytesWritten() - before)
 	if err == nil {
-		err = k.store.Check()
+		err = k.store.CheckLog()
 	}
 	if err != nil { // the folder may be gone, and its lock with it
 		_ = k.store.Close() // what was appended is on disk
--- a/internal/driver/switchover.go
+++ b/internal/driver/switchover.go
@@ -39,8 +39,8 @@
 // openControl opens the sockets that the operators' file names.
 func (v *Service) openControl(o operator.Control, origin int) error {
 	s := &switchovers{service: v, tracker: switchover.New(switchover.Config{
-		DefaultLease: milliseconds(o.Lease), MaxHold: milliseconds(o.Most), ReleaseTimeout: milliseconds(o.Opening),
-		RoleQueryInterval: milliseconds(peerPollInterval), Retention: 4 * milliseconds(o.Most),
+		DefaultLease: milliseconds(o.HoldLease), MaxHold: milliseconds(o.MaxHold), ReleaseTimeout: milliseconds(o.ReleaseTimeout),
+		RoleQueryInterval: milliseconds(peerPollInterval), Retention: 4 * milliseconds(o.MaxHold),
 		MaxGroups: maxSwitchoverGroups, Origin: uint64(origin)})}
 	if o.TokenFile != "" {
 		var err error
@@ -67,7 +67,7 @@
 		}
 		s.listeners = append(s.listeners, ln)
 	}
-	v.fleet.setPeers(o.Fellows, s.token)
+	v.fleet.setPeers(o.Peers, s.token)
 	v.switchovers = s
 	return nil
 }
@@ -108,8 +108,8 @@
 	return all.Wait()
 }
 
-// Hook takes a message of a hook; peers are told behind its back.
-func (s *switchovers) Hook(w switchover.Notification) (switchover.Notification, error) {
+// HandleHook takes a message of a hook; peers are told behind its back.
+func (s *switchovers) HandleHook(w switchover.Notification) (switchover.Notification, error) {
 	if !s.service.decider.servesGroup(w.Group) {
 		return w, fmt.Errorf("group %d is not known here", w.Group)
 	}
@@ -146,27 +146,27 @@
 		return nil
 	}
 	s.service.log.Warn("switch", "reason", reason, "group", w.Group, "standing", standing.String(), "why", why)
-	return fmt.Errorf("%w (it is %s %s)", control.ErrStanding, standing, why)
+	return fmt.Errorf("%w (it is %s %s)", control.ErrNotInMajority, standing, why)
 }
 
-// Peership is the view of peers, nil where they do not know each other.
-func (s *switchovers) Fellowship() control.Fellowship {
+// Membership is the view of peers, nil where they do not know each other.
+func (s *switchovers) Membership() control.Membership {
 	if s.service.fleet.mesh == nil {
 		return nil
 	}
 	return s.service.fleet.mesh
 }
 
-// Zoner is this driver's part in deciding on zones; nil while there is none.
-func (s *switchovers) Zoner() control.Zoner {
+// Zones is this driver's part in deciding on zones; nil while there is none.
+func (s *switchovers) Zones() control.Zones {
 	if s.service.zones == nil {
 		return nil
 	}
 	return s.service.zones
 }
 
-// Told takes a message of a peer.
-func (s *switchovers) Told(w switchover.Notification) error {
+// HandlePeer takes a message of a peer.
+func (s *switchovers) HandlePeer(w switchover.Notification) error {
 	_, err := s.handleNotification(w)
 	return err
 }
--- a/internal/driver/zones.go
+++ b/internal/driver/zones.go
@@ -49,7 +49,7 @@
 	service        *Service
 	zone           string
 	interval       time.Duration
-	store          *durable.Last // nil where votes do not outlive the process
+	store          *durable.Latest // nil where votes do not outlive the process
 	outgoing       chan zones.Envelope
 	webhook        string
 	stalenessBound float64 // the tightest bound on the age of data; 0: there is none
@@ -74,7 +74,7 @@
 
 // openZones makes a driver's part in deciding on zones.
 func (v *Service) openZones(o operator.Zones, m operator.Membership, a *configuration) error {
-	z := &zoneAgent{service: v, zone: zoneOf(m, a), interval: o.Beat, outgoing: make(chan zones.Envelope, zoneQueueLength), webhook: o.Webhook,
+	z := &zoneAgent{service: v, zone: zoneOf(m, a), interval: o.HeartbeatInterval, outgoing: make(chan zones.Envelope, zoneQueueLength), webhook: o.Webhook,
 		latencies: map[string]*zones.LatencyBaseline{}, positions: map[string]reportedPosition{}, webhookCalls: map[int64]time.Time{},
 		sendRatesAt: v.decider.clock.now()}
 	for _, t := range a.settings.Opening.OpTypes {
@@ -86,17 +86,17 @@
 	for name, i := range a.settings.OpTypes {
 		z.opTypes[i] = name
 	}
-	beat := milliseconds(o.Beat)
-	rules := zones.Options{Heartbeat: beat, Lease: milliseconds(o.Lease), Voters: o.Voters, BaselineUtilization: float64(o.Load) / 100,
+	beat := milliseconds(o.HeartbeatInterval)
+	rules := zones.Options{Heartbeat: beat, Lease: milliseconds(o.PlanLease), Voters: o.Voters, BaselineUtilization: float64(o.TargetLoad) / 100,
 		MaxShiftRate: 0.5,
-		Timing: zones.Timing{SuspectFor: milliseconds(o.Doubt), DegradedFor: 5 * milliseconds(o.Doubt), BaseEjection: milliseconds(o.Away),
-			MaxEjection: 32 * milliseconds(o.Away), SlowStart: 4 * beat, ForgiveAfter: 30 * milliseconds(o.Away)},
-		Limits: zones.Limits{Headroom: float64(o.Headroom) / 100, CrossZoneBudget: float64(o.Budget) / 100}}
+		Timing: zones.Timing{SuspectFor: milliseconds(o.EjectAfter), DegradedFor: 5 * milliseconds(o.EjectAfter), BaseEjection: milliseconds(o.MinEjectionTime),
+			MaxEjection: 32 * milliseconds(o.MinEjectionTime), SlowStart: 4 * beat, ForgiveAfter: 30 * milliseconds(o.MinEjectionTime)},
+		Limits: zones.Limits{Headroom: float64(o.Headroom) / 100, CrossZoneBudget: float64(o.CrossZoneBudget) / 100}}
 	for _, r := range o.Regions {
 		rules.Regions = append(rules.Regions, zones.Region{Name: r.Name, Zones: r.Zones})
 	}
 	if m.Folder != "" {
-		keep, last, err := durable.OpenLast(filepath.Join(m.Folder, "plans"), zonePlansTag, zonePlansBytes)
+		keep, last, err := durable.OpenLatest(filepath.Join(m.Folder, "plans"), zonePlansTag, zonePlansBytes)
 		if err == nil && len(last) > 0 {
 			rules.Saved = &zones.SavedState{}
 			err = cbor.Unmarshal(last, rules.Saved)
@@ -380,8 +380,8 @@
 	return s
 }
 
-// Order takes what operators say.
-func (z *zoneAgent) Order(s zones.Command) (err error) {
+// Submit takes what operators say.
+func (z *zoneAgent) Submit(s zones.Command) (err error) {
 	s.ID = uint64(z.service.decider.clock.now() * 1000)
 	z.apply(func(now float64) (out zones.Output) {
 		out, err = z.zones.Submit(now, s)
@@ -390,8 +390,8 @@
 	return err
 }
 
-// Without tells what would be planned were a zone away.
-func (z *zoneAgent) Without(zone string) (zones.Preview, error) {
+// Preview tells what would be planned were a zone away.
+func (z *zoneAgent) Preview(zone string) (zones.Preview, error) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	return z.zones.Simulate(z.service.decider.clock.now(), zone)
--- a/internal/durable/durable.go
+++ b/internal/durable/durable.go
@@ -27,7 +27,7 @@
 }
 
 // LeastLimit is the smallest cap that makes sense, in bytes.
-const LeastLimit = 64 << 10
+const MinLimit = 64 << 10
 
 const (
 	defaultLimit = 16 << 20
@@ -40,10 +40,10 @@
 
 // Errors that callers tell apart.
 var (
-	ErrLocked  = errors.New("durable: another process holds the folder")
-	ErrLimit   = errors.New("durable: the cap on size is reached")
-	ErrClosed  = errors.New("durable: closed")
-	ErrTooLong = errors.New("durable: a record is too long")
+	ErrLocked         = errors.New("durable: another process holds the folder")
+	ErrLimit          = errors.New("durable: the cap on size is reached")
+	ErrClosed         = errors.New("durable: closed")
+	ErrRecordTooLarge = errors.New("durable: a record is too long")
 )
 
 // Store is a state being kept. Its methods may be called from several goroutines. After an error of the file
@@ -81,8 +81,8 @@
 	if o.Limit == 0 {
 		o.Limit = defaultLimit
 	}
-	if o.Limit < LeastLimit {
-		return nil, Recovered{}, fmt.Errorf("durable: a cap of %d bytes is under %d", o.Limit, LeastLimit)
+	if o.Limit < MinLimit {
+		return nil, Recovered{}, fmt.Errorf("durable: a cap of %d bytes is under %d", o.Limit, MinLimit)
 	}
 	if err := fs.MkdirAll(o.Folder); err != nil {
 		return nil, Recovered{}, err
@@ -117,7 +117,7 @@
 	size := int64(0)
 	for _, r := range records {
 		if len(r) > maxRecord {
-			return ErrTooLong
+			return ErrRecordTooLarge
 		}
 		size += int64(len(r) + frameHead)
 	}
@@ -165,7 +165,7 @@
 func (s *Store) total() int64 { return s.snapBytes + s.logBytes + s.oldBytes }
 
 // Due says that the log has grown so long that a snapshot is worth its cost, or that an error has ended it.
-func (s *Store) Due() bool {
+func (s *Store) NeedsCompaction() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.file == nil || s.failed != nil || s.logBytes > max(logTimes*s.snapBytes, logLeast) ||
@@ -173,17 +173,17 @@
 }
 
 // Cap changes the cap on size, in bytes, but not to under LeastLimit.
-func (s *Store) Cap(limit int64) {
+func (s *Store) SetLimit(limit int64) {
 	s.compacting.Lock()
 	defer s.compacting.Unlock()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.o.Limit = max(limit, LeastLimit)
+	s.o.Limit = max(limit, MinLimit)
 }
 
 // Check says whether the log that is written to still stands in the folder: a file that was removed takes writes
 // all the same.
-func (s *Store) Check() error {
+func (s *Store) CheckLog() error {
 	names, err := s.fs.List(s.o.Folder)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -197,7 +197,7 @@
 }
 
 // Written is how many bytes have been written since Open.
-func (s *Store) Written() int64 {
+func (s *Store) BytesWritten() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.written
--- a/internal/durable/durable_test.go
+++ b/internal/durable/durable_test.go
@@ -128,7 +128,7 @@
 				for i := range 12 {
 					record := fmt.Sprintf("%d;", i)
 					state += record
-					if s.Due() || i == 6 {
+					if s.NeedsCompaction() || i == 6 {
 						err = s.Compact([]byte(state))
 					} else {
 						err = s.Append([]byte(record))
@@ -161,8 +161,8 @@
 	d := disk.New()
 	work(d, "")
 	whole, err := Recover(d, options)
-	if err != nil || len(whole.Damaged()) > 0 {
-		t.Fatal(err, whole.Damaged())
+	if err != nil || len(whole.Damage()) > 0 {
+		t.Fatal(err, whole.Damage())
 	}
 	true_ := fold(whole)
 	check := func(what string, changed *disk.Disk) {
@@ -184,7 +184,7 @@
 				b[i] ^= bit
 				c.Set(name, b)
 				check(fmt.Sprintf("%s byte %d ^%x", f.Name, i, bit), c)
-				if r, _ := Recover(c, options); len(r.Damaged()) == 0 {
+				if r, _ := Recover(c, options); len(r.Damage()) == 0 {
 					t.Fatalf("%s byte %d ^%x: nothing is told", f.Name, i, bit)
 				}
 			}
@@ -205,8 +205,8 @@
 	b[len(b)-1]++
 	d.Set(newest, b)
 	r, err := Recover(d, options)
-	if err != nil || !r.Fallback || r.Lost || fold(r) != want {
-		t.Fatalf("%v: fallback %v, lost %v: %q, want %q", err, r.Fallback, r.Lost, fold(r), want)
+	if err != nil || !r.Fallback || r.RecordsLost || fold(r) != want {
+		t.Fatalf("%v: fallback %v, lost %v: %q, want %q", err, r.Fallback, r.RecordsLost, fold(r), want)
 	}
 	if got, _ := work(d, fold(r)); len(got) <= len(want) {
 		t.Fatal("did not go on")
@@ -217,7 +217,7 @@
 	d := disk.New()
 	work(d, "")
 	r, _ := Recover(d, options)
-	if o, err := Recover(d, Options{Folder: "d", Tag: "ELSE"}); err != nil || o.Snapshot != nil || !o.Lost ||
+	if o, err := Recover(d, Options{Folder: "d", Tag: "ELSE"}); err != nil || o.Snapshot != nil || !o.RecordsLost ||
 		!errors.Is(o.Files[0].Err, ErrTag) {
 		t.Errorf("another's: %+v", o)
 	}
@@ -241,7 +241,7 @@
 
 func TestCapOnSize(t *testing.T) {
 	d := disk.New()
-	s, _, _ := Open(d, Options{Folder: "d", Tag: "TEST", Limit: LeastLimit})
+	s, _, _ := Open(d, Options{Folder: "d", Tag: "TEST", Limit: MinLimit})
 	s.Compact(nil)
 	record := make([]byte, 1000)
 	n := 0
@@ -256,10 +256,10 @@
 	if err := s.Compact([]byte("all of it")); err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Append(make([]byte, 2<<20)); !errors.Is(err, ErrTooLong) {
+	if err := s.Append(make([]byte, 2<<20)); !errors.Is(err, ErrRecordTooLarge) {
 		t.Error(err)
 	}
-	noise := make([]byte, LeastLimit)
+	noise := make([]byte, MinLimit)
 	for i, x := 0, uint64(7); i < len(noise); i++ {
 		x = x*6364136223846793005 + 1
 		noise[i] = byte(x >> 56)
@@ -299,7 +299,7 @@
 	}
 	wait.Wait()
 	r, err := Recover(OS{}, o)
-	if err != nil || len(r.Records) != 500 || len(r.Files) != 3 || len(r.Damaged()) > 0 {
+	if err != nil || len(r.Records) != 500 || len(r.Files) != 3 || len(r.Damage()) > 0 {
 		t.Fatalf("%v: %d records, files %+v", err, len(r.Records), r.Files)
 	}
 	s.Close()
@@ -310,7 +310,7 @@
 		t.Fatal(err)
 	}
 	s.Close()
-	if r, err := Recover(OS{}, Options{Folder: o.Folder + "/none", Tag: "TEST"}); err != nil || r.Lost || r.Snapshot != nil {
+	if r, err := Recover(OS{}, Options{Folder: o.Folder + "/none", Tag: "TEST"}); err != nil || r.RecordsLost || r.Snapshot != nil {
 		t.Fatalf("%v %+v", err, r)
 	}
 }
--- a/internal/durable/recover.go
+++ b/internal/durable/recover.go
@@ -21,8 +21,8 @@
 	// Fallback: the newest snapshot could not be read, and the one before it was taken, with its log.
 	Fallback bool
 	// Lost: records that are known to have been there could not be recovered.
-	Lost   bool
-	newest uint64 // the highest generation of which there is a file, readable or not
+	RecordsLost bool
+	newest      uint64 // the highest generation of which there is a file, readable or not
 }
 
 // FileReport says how one file was found.
@@ -39,7 +39,7 @@
 
 // Damaged says whether any file could not be read or broke off: a crash in the middle of a write leaves a tail,
 // anything else is damage.
-func (r *Recovered) Damaged() (errs []error) {
+func (r *Recovered) Damage() (errs []error) {
 	for _, f := range r.Files {
 		if f.Err != nil {
 			errs = append(errs, fmt.Errorf("%s: %w", f.Name, f.Err))
@@ -94,7 +94,7 @@
 		r.Files = append(r.Files, report)
 	}
 	if r.Snapshot == nil {
-		r.Lost = len(snapshots)+len(logs) > 0
+		r.RecordsLost = len(snapshots)+len(logs) > 0
 	}
 	return r, nil
 }
@@ -112,7 +112,7 @@
 	for g := n; g <= r.newest; g++ {
 		if !logs[g] {
 			if g < r.newest && g > n {
-				r.Lost = true
+				r.RecordsLost = true
 			}
 			continue
 		}
@@ -126,7 +126,7 @@
 			}
 		}
 		if report.Err = err; err != nil {
-			r.Lost = true
+			r.RecordsLost = true
 			r.Files = append(r.Files, report)
 			return
 		}
--- a/internal/fleet/mesh/mesh.go
+++ b/internal/fleet/mesh/mesh.go
@@ -76,10 +76,10 @@
 	gossipAsks      chan string // and gossip
 	wake            chan struct{}
 	left            atomic.Bool
-	refusedCount    atomic.Int64  // datagrams and frames that could not be taken
-	refusedLoggedAt atomic.Int64  // when that was logged last, milliseconds
-	bytesSent       atomic.Int64  // bytes by UDP
-	votes           *durable.Last // nil where nothing is
+	refusedCount    atomic.Int64    // datagrams and frames that could not be taken
+	refusedLoggedAt atomic.Int64    // when that was logged last, milliseconds
+	bytesSent       atomic.Int64    // bytes by UDP
+	votes           *durable.Latest // nil where nothing is
 
 	notifying sync.Mutex // held while somebody is told of the standing
 
--- a/internal/fleet/mesh/persist.go
+++ b/internal/fleet/mesh/persist.go
@@ -15,8 +15,8 @@
 )
 
 // openKeeper recovers what an earlier process kept; nil for nothing.
-func openKeeper(folder string) (*durable.Last, *membership.SavedState, error) {
-	store, last, err := durable.OpenLast(folder, keepTag, keepLimit)
+func openKeeper(folder string) (*durable.Latest, *membership.SavedState, error) {
+	store, last, err := durable.OpenLatest(folder, keepTag, keepLimit)
 	if err != nil || len(last) == 0 {
 		return store, nil, err
 	}
--- a/internal/lab/cluster.go
+++ b/internal/lab/cluster.go
@@ -129,11 +129,11 @@
 			}
 			c.members = append(c.members, m)
 			c.entries[m.ID] = discovery.Entry{
-				ID:       m.ID,
-				HostPort: m.address,
-				Locality: c.o.zone(i),
-				Cell:     m.group,
-				Phase:    discovery.PhaseUp,
+				ID:      m.ID,
+				Address: m.address,
+				Zone:    c.o.zone(i),
+				Group:   m.group,
+				Phase:   discovery.PhaseUp,
 			}
 			if i == 0 {
 				c.primary[m.group] = m
@@ -325,7 +325,7 @@
 	var all []entry
 	for _, m := range c.members {
 		e := c.entries[m.ID]
-		all = append(all, entry{e.ID, e.HostPort, e.Locality, e.Cell, e.Phase})
+		all = append(all, entry{e.ID, e.Address, e.Zone, e.Group, e.Phase})
 	}
 	text, err := json.Marshal(map[string]any{"revision": c.revision, "complete": true, "members": all})
 	if err != nil {
@@ -393,7 +393,7 @@
 	if _, _, err := pgwire.ReadStartup(r); err != nil || m.hung() {
 		return
 	}
-	_, _ = conn.Write(pgwire.AppendWelcome(nil, 0)) // the reads behind it see a broken connection
+	_, _ = conn.Write(pgwire.AppendStartupResponse(nil, 0)) // the reads behind it see a broken connection
 	var buf []byte
 	for {
 		var err error
@@ -423,13 +423,13 @@
 func (m *Member) answer(text []byte) []byte {
 	if string(text) == "SHOW usage" {
 		role, position := m.stands()
-		return pgwire.AppendReady(
-			pgwire.AppendRow(nil, fmt.Sprintf("x0=%.6f,x1=%d", position/1000, map[bool]int{true: 1}[role == "writer"])),
+		return pgwire.AppendReadyForQuery(
+			pgwire.AppendSingleRow(nil, fmt.Sprintf("x0=%.6f,x1=%d", position/1000, map[bool]int{true: 1}[role == "writer"])),
 		)
 	}
 	st, err := pgwire.ParseStatement(text)
 	if err != nil {
-		return pgwire.AppendReady(pgwire.AppendError(nil, "ERROR", pgwire.CodeProtocol, err.Error(), ""))
+		return pgwire.AppendReadyForQuery(pgwire.AppendErrorResponse(nil, "ERROR", pgwire.CodeProtocolViolation, err.Error(), ""))
 	}
 	id := string(st.ID)
 	m.c.arrives(m, id)
@@ -441,19 +441,19 @@
 	<-m.cores
 	role, position := m.stands()
 	note := func(b []byte) []byte {
-		b = pgwire.AppendParameter(b, "server_role", role)
-		return pgwire.AppendReady(pgwire.AppendParameter(b, "commit_clock", fmt.Sprintf("%.0f", position)))
+		b = pgwire.AppendParameterStatus(b, "server_role", role)
+		return pgwire.AppendReadyForQuery(pgwire.AppendParameterStatus(b, "commit_clock", fmt.Sprintf("%.0f", position)))
 	}
 	if st.Write {
 		if role != "writer" {
-			return note(pgwire.AppendError(nil, "ERROR", pgwire.CodeReadOnly, "this is no primary", ""))
+			return note(pgwire.AppendErrorResponse(nil, "ERROR", pgwire.CodeReadOnlyTransaction, "this is no primary", ""))
 		}
 		m.c.mu.Lock()
 		m.c.applied[id]++
 		m.wrote.Add(1)
 		m.c.mu.Unlock()
 	}
-	return note(pgwire.AppendRow(nil, "v:"+id))
+	return note(pgwire.AppendSingleRow(nil, "v:"+id))
 }
 
 func unixMillis() float64 { return float64(time.Now().UnixMicro()) / 1000 }
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -271,7 +271,7 @@
 func (d *Driver) Status() (membership.Status, error) {
 	ctx, stop := context.WithTimeout(context.Background(), 2*time.Second)
 	defer stop()
-	return d.Control.Fellows(ctx)
+	return d.Control.Membership(ctx)
 }
 
 // Stands says whether all of these drivers have a standing now.
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -140,7 +140,7 @@
 		t.Fatal(err)
 	}
 	f.await(t, "the first one back is alone", func() bool { return f.Stands(membership.Isolated, 0) })
-	if _, err := f.Drivers[0].Control.Hook(context.Background(), switchover.Notification{Group: 1, Stage: switchover.StageHeld}); err == nil || !strings.Contains(err.Error(), "503") {
+	if _, err := f.Drivers[0].Control.NotifyHook(context.Background(), switchover.Notification{Group: 1, Stage: switchover.StageHeld}); err == nil || !strings.Contains(err.Error(), "503") {
 		t.Errorf("a hold begun alone: %v", err)
 	}
 	if err := f.StartThese(1, 2); err != nil {
@@ -151,7 +151,7 @@
 	if err != nil || s.Roster.Lineage != before.Roster.Lineage || !slices.Equal(s.Roster.Names, before.Roster.Names) {
 		t.Fatalf("another fleet: %+v %v, before %+v", s.Roster, err, before.Roster)
 	}
-	if err := f.Drivers[1].Control.Forget(context.Background(), control.Forgotten{Name: "n4"}); err != nil {
+	if err := f.Drivers[1].Control.Forget(context.Background(), control.ForgetRequest{Name: "n4"}); err != nil {
 		t.Fatal(err)
 	}
 	f.await(t, "a roster agreed on by three that were all killed", func() bool { return f.rosterIs(4, 0, 1, 2) })
@@ -188,7 +188,7 @@
 	if s, err := f.Drivers[0].Status(); err != nil || s.Count != 10 || len(s.Roster.Names) != 5 {
 		t.Errorf("a loss may not shrink what is counted: %+v %v", s, err)
 	}
-	if _, err := f.Drivers[0].Control.Hook(context.Background(), switchover.Notification{Group: 1, Stage: switchover.StageHeld}); err == nil || !strings.Contains(err.Error(), "503") {
+	if _, err := f.Drivers[0].Control.NotifyHook(context.Background(), switchover.Notification{Group: 1, Stage: switchover.StageHeld}); err == nil || !strings.Contains(err.Error(), "503") {
 		t.Errorf("a hold begun alone: %v", err)
 	}
 	for i := 1; i < 5; i++ {
@@ -212,10 +212,10 @@
 	f.Drivers[5].Kill()
 	f.await(t, "and it fails", func() bool { return f.sees(5, membership.Failed, 0, 1, 2, 3) })
 	f.await(t, "and is forgotten", func() bool {
-		err := f.Drivers[0].Control.Forget(context.Background(), control.Forgotten{Name: "n5"})
+		err := f.Drivers[0].Control.Forget(context.Background(), control.ForgetRequest{Name: "n5"})
 		return err == nil && f.Stands(membership.Complete, 0, 1, 2, 3) && f.rosterIs(4, 0, 1, 2, 3)
 	})
-	if err := f.Drivers[0].Control.Forget(context.Background(), control.Forgotten{Name: "n1"}); err == nil || !strings.Contains(err.Error(), "lives") {
+	if err := f.Drivers[0].Control.Forget(context.Background(), control.ForgetRequest{Name: "n1"}); err == nil || !strings.Contains(err.Error(), "lives") {
 		t.Errorf("one that lives was forgotten: %v", err)
 	}
 }
@@ -452,10 +452,10 @@
 		f.await(t, "two parts", func() bool { return f.Stands(membership.Minority, 0, 1) && f.Stands(membership.Majority, 2, 3, 4) })
 		old := c.Primary(1)
 		word := switchover.Notification{Group: 1, Stage: switchover.StageHeld, From: old, Lease: 20000}
-		if _, err := f.Drivers[1].Control.Hook(context.Background(), word); err == nil || !strings.Contains(err.Error(), "larger part") {
+		if _, err := f.Drivers[1].Control.NotifyHook(context.Background(), word); err == nil || !strings.Contains(err.Error(), "larger part") {
 			t.Errorf("a hold begun with the smaller part: %v", err)
 		}
-		word, err := f.Drivers[2].Control.Hook(context.Background(), word)
+		word, err := f.Drivers[2].Control.NotifyHook(context.Background(), word)
 		if err != nil {
 			t.Error(err)
 			return
@@ -468,7 +468,7 @@
 		}
 		c.Do("demote", old)
 		f.await(t, "a new primary", func() bool { p := c.Primary(1); return p != "" && p != old })
-		if _, err := f.Drivers[0].Control.Hook(context.Background(), switchover.Notification{Group: 1, Stage: switchover.StageReleased, Epoch: word.Epoch, From: old, To: c.Primary(1)}); err != nil {
+		if _, err := f.Drivers[0].Control.NotifyHook(context.Background(), switchover.Notification{Group: 1, Stage: switchover.StageReleased, Epoch: word.Epoch, From: old, To: c.Primary(1)}); err != nil {
 			t.Error(err)
 		}
 		f.Links.Heal()
@@ -511,7 +511,7 @@
 	c := f.o.Cluster
 	f.under(t, func() {
 		old := c.Primary(1)
-		word, err := f.Drivers[4].Control.Hook(context.Background(), switchover.Notification{Group: 1, Stage: switchover.StageHeld, From: old, Lease: 20000})
+		word, err := f.Drivers[4].Control.NotifyHook(context.Background(), switchover.Notification{Group: 1, Stage: switchover.StageHeld, From: old, Lease: 20000})
 		if err != nil {
 			t.Error(err)
 			return
@@ -527,7 +527,7 @@
 			return
 		}
 		f.await(t, "the killed one, started again, knows of the hold", func() bool { return stage(f.Drivers[4]).Epoch == word.Epoch })
-		if _, err := f.Drivers[1].Control.Hook(context.Background(), switchover.Notification{Group: 1, Stage: switchover.StageReleased, To: c.Primary(1)}); err != nil {
+		if _, err := f.Drivers[1].Control.NotifyHook(context.Background(), switchover.Notification{Group: 1, Stage: switchover.StageReleased, To: c.Primary(1)}); err != nil {
 			t.Error(err)
 		}
 		f.await(t, "released by all", func() bool {
--- a/internal/lab/fleet/zones_test.go
+++ b/internal/lab/fleet/zones_test.go
@@ -131,7 +131,7 @@
 	f := zoned(t, Options{Seed: 33, Webhook: manager.URL})
 	order := func(at int, s zones.Command) {
 		t.Helper()
-		f.await(t, "an order taken", func() bool { return f.Drivers[at].Control.OrderZone(context.Background(), s) == nil })
+		f.await(t, "an order taken", func() bool { return f.Drivers[at].Control.SubmitZoneCommand(context.Background(), s) == nil })
 	}
 	f.under(t, func() {
 		order(4, zones.Command{Zone: "a", Evacuate: true})
@@ -160,7 +160,7 @@
 	on := true
 	order(0, zones.Command{Freeze: &on})
 	f.await(t, "frozen", func() bool { return f.follow(func(p *zones.Plan) bool { return p.Frozen }) })
-	if err := f.Drivers[5].Control.OrderZone(context.Background(),
+	if err := f.Drivers[5].Control.SubmitZoneCommand(context.Background(),
 		zones.Command{Zone: "nowhere", Evacuate: true}); err == nil || !strings.Contains(err.Error(), "404") {
 		t.Errorf("an unknown zone: %v", err)
 	}
@@ -191,7 +191,7 @@
 			b, too := f.Drivers[1].zones()
 			return ok && too && !a.InForce && !b.InForce
 		})
-		if err := f.Drivers[1].Control.OrderZone(context.Background(), zones.Command{Zone: "c", Evacuate: true}); err == nil ||
+		if err := f.Drivers[1].Control.SubmitZoneCommand(context.Background(), zones.Command{Zone: "c", Evacuate: true}); err == nil ||
 			!strings.Contains(err.Error(), "503") {
 			t.Errorf("an order without a plan in force: %v", err)
 		}
--- a/internal/lab/ledger_test.go
+++ b/internal/lab/ledger_test.go
@@ -27,7 +27,7 @@
 	conn.SetDeadline(time.Now().Add(10 * time.Second))
 	r := bufio.NewReader(conn)
 	l := &line{conn, r}
-	conn.Write(pgwire.AppendStartup(nil, "svc", "main"))
+	conn.Write(pgwire.AppendStartupMessage(nil, "svc", "main"))
 	if _, _, ok := l.hear(); !ok {
 		t.Fatal("no welcome")
 	}
@@ -40,7 +40,7 @@
 		}
 		switch kind {
 		case 'D':
-			b, _ := pgwire.DataRow(pgwire.Body(m))
+			b, _ := pgwire.ParseDataRow(pgwire.Body(m))
 			answer = string(b)
 		case 'E':
 			code, message = pgwire.ErrorCode(pgwire.Body(m)), string(pgwire.Body(m))
@@ -64,7 +64,7 @@
 		ctx, end := context.WithCancel(context.Background())
 		targets, wait, err := c.Drivers(ctx, 1, io.Discard, func(int) operator.File {
 			f := operator.Default()
-			f.Ledger = &operator.Ledger{Folder: folder, Keep: time.Hour, Keys: 100, LimitMB: 1}
+			f.Ledger = &operator.Ledger{Folder: folder, Retention: time.Hour, MaxKeys: 100, LimitMB: 1}
 			return f
 		})
 		if err != nil {
@@ -93,18 +93,18 @@
 	if answer, code, _ := try(t, address, "i2", "k1", "01", 3000); answer != "v:i1" || code != "" || ran("i1", "i2") != 1 {
 		t.Error("a repeat of an acked write:", answer, code, ran("i1", "i2"))
 	}
-	if _, code, text := try(t, address, "i3", "k1", "02", 3000); code != pgwire.CodeProtocol || !strings.Contains(text, "another statement") {
+	if _, code, text := try(t, address, "i3", "k1", "02", 3000); code != pgwire.CodeProtocolViolation || !strings.Contains(text, "another statement") {
 		t.Error("another statement under the same key:", code, text)
 	}
-	if _, code, _ := try(t, address, "i4", "it's", "01", 3000); code != pgwire.CodeProtocol {
+	if _, code, _ := try(t, address, "i4", "it's", "01", 3000); code != pgwire.CodeProtocolViolation {
 		t.Error("a bad key:", code)
 	}
 	c.Do("mute", c.Primary(1))
-	if _, code, _ := try(t, address, "j1", "k2", "01", 1500); code != pgwire.CodeFailed || ran("j1") != 1 {
+	if _, code, _ := try(t, address, "j1", "k2", "01", 1500); code != pgwire.CodeSystemError || ran("j1") != 1 {
 		t.Error("a lost answer:", code, ran("j1"))
 	}
 	c.Do("heal", c.Primary(1))
-	if _, code, text := try(t, address, "j2", "k2", "01", 3000); code != pgwire.CodeFailed || !strings.Contains(text, "can't be known") || ran("j1", "j2") != 1 {
+	if _, code, text := try(t, address, "j2", "k2", "01", 3000); code != pgwire.CodeSystemError || !strings.Contains(text, "can't be known") || ran("j1", "j2") != 1 {
 		t.Error("its repeat:", code, text, ran("j1", "j2"))
 	}
 	old := c.Primary(1)
@@ -112,7 +112,7 @@
 	c.o.Elect = 3 * time.Second
 	c.mu.Unlock()
 	c.Do("demote", old) // no primary for longer than the client waits
-	if _, code, _ := try(t, address, "n1", "k3", "01", 400); code != pgwire.CodeBusy {
+	if _, code, _ := try(t, address, "n1", "k3", "01", 400); code != pgwire.CodeTooManyConnections {
 		t.Error("without a primary:", code)
 	}
 	until(t, "a primary", func() bool { return c.Primary(1) != "" })
@@ -121,7 +121,7 @@
 	if answer, code, _ := try(t, address, "i5", "k1", "01", 3000); answer != "v:i1" || code != "" {
 		t.Error("a repeat behind a restart:", answer, code)
 	}
-	if _, code, _ := try(t, address, "j3", "k2", "01", 3000); code != pgwire.CodeFailed {
+	if _, code, _ := try(t, address, "j3", "k2", "01", 3000); code != pgwire.CodeSystemError {
 		t.Error("doubt behind a restart:", code)
 	}
 	if answer, code, _ := try(t, address, "n2", "k3", "01", 3000); answer != "v:n2" || code != "" {
@@ -142,7 +142,7 @@
 	defer end()
 	if _, _, err := c.Drivers(ctx, 1, io.Discard, func(int) operator.File {
 		f := operator.Default()
-		f.Ledger = &operator.Ledger{Folder: folder, Keep: time.Hour, Keys: 100, LimitMB: 1}
+		f.Ledger = &operator.Ledger{Folder: folder, Retention: time.Hour, MaxKeys: 100, LimitMB: 1}
 		return f
 	}); err == nil {
 		t.Error("a driver begins with a damaged book as if it were empty")
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -238,7 +238,7 @@
 		}
 		l = &line{conn, bufio.NewReader(conn)}
 		conn.SetDeadline(limit)
-		_, _ = conn.Write(pgwire.AppendStartup(nil, "svc", "main")) // the reads behind it see a broken connection
+		_, _ = conn.Write(pgwire.AppendStartupMessage(nil, "svc", "main")) // the reads behind it see a broken connection
 		if _, _, ok := l.hear(); !ok {
 			conn.Close()
 			return Lost, ""
@@ -262,7 +262,7 @@
 	switch code {
 	case "":
 		return Acked, value
-	case pgwire.CodeBusy, "57P03":
+	case pgwire.CodeTooManyConnections, "57P03":
 		return Refused, ""
 	}
 	return Failed, ""
@@ -277,7 +277,7 @@
 		}
 		switch kind {
 		case 'D':
-			b, _ := pgwire.DataRow(pgwire.Body(m))
+			b, _ := pgwire.ParseDataRow(pgwire.Body(m))
 			value = string(b)
 		case 'E':
 			code = pgwire.ErrorCode(pgwire.Body(m))
--- a/internal/lab/storm.go
+++ b/internal/lab/storm.go
@@ -68,9 +68,9 @@
 
 func (x *stormClient) run(ctx context.Context, s Storm, n int) {
 	if !s.Naive {
-		w := registry.Watcher{Client: x.client, Told: x.told, Position: x.position, Now: stormNow, Alive: func() {},
+		w := registry.Watcher{Client: x.client, Apply: x.told, Position: x.position, Now: stormNow, OnActivity: func() {},
 			Scheduler: roster.NewScheduler(roster.SchedulerOptions{Endpoints: 1, Drivers: s.Clients, Seed: uint64(n)}),
-			Lost: func(error) {
+			OnDisconnect: func(error) {
 				x.mu.Lock()
 				x.roster.SetDisconnected(roster.SourceRegistry)
 				x.mu.Unlock()
@@ -80,9 +80,9 @@
 	}
 	tell := func(u roster.Update) { x.told(u) }
 	for ctx.Err() == nil {
-		if x.client.Read(ctx, 0, true, tell) == nil {
+		if x.client.List(ctx, 0, true, tell) == nil {
 			revision, _ := x.position()
-			_ = x.client.Follow(ctx, 0, revision+1, func() {}, tell) // naive: it reads all anew, whatever ended it
+			_ = x.client.Watch(ctx, 0, revision+1, func() {}, tell) // naive: it reads all anew, whatever ended it
 		}
 	}
 }
@@ -102,7 +102,7 @@
 	current := make(chan struct{}, 2*s.Clients)
 	for n := range s.Clients {
 		c, err := registry.New(
-			registry.Options{Dialect: "etcd", Prefix: stormPrefix, Endpoints: []string{server.URL}, Silence: 10 * time.Second},
+			registry.Options{Dialect: "etcd", Prefix: stormPrefix, Endpoints: []string{server.URL}, WatchTimeout: 10 * time.Second},
 		)
 		if err != nil {
 			return r, err
--- a/internal/lab/switch.go
+++ b/internal/lab/switch.go
@@ -47,11 +47,11 @@
 	h.Addresses, h.Wait, err = c.Drivers(ctx, n, logTo, func(i int) operator.File {
 		f := operator.Default()
 		f.Control = &operator.Control{
-			Socket:    filepath.Join(folder, fmt.Sprintf("n%d.sock", i)),
-			TokenFile: token,
-			Lease:     5 * time.Second,
-			Most:      time.Minute,
-			Opening:   3 * time.Second,
+			Socket:         filepath.Join(folder, fmt.Sprintf("n%d.sock", i)),
+			TokenFile:      token,
+			HoldLease:      5 * time.Second,
+			MaxHold:        time.Minute,
+			ReleaseTimeout: 3 * time.Second,
 		}
 		if alone != nil && alone(i) {
 			return f
@@ -59,7 +59,7 @@
 		f.Control.Listen = ports[i]
 		for k, p := range ports {
 			if k != i && (alone == nil || !alone(k)) {
-				f.Control.Fellows = append(f.Control.Fellows, p)
+				f.Control.Peers = append(f.Control.Peers, p)
 			}
 		}
 		return f
@@ -77,7 +77,7 @@
 // time for which the group had no primary.
 func (c *Cluster) Planned(ctx context.Context, hook *control.Client, group int64) (gap time.Duration, err error) {
 	old := c.Primary(group)
-	if _, err = hook.Hook(ctx, switchover.Notification{Group: group, Stage: switchover.StageHeld, From: old}); err != nil {
+	if _, err = hook.NotifyHook(ctx, switchover.Notification{Group: group, Stage: switchover.StageHeld, From: old}); err != nil {
 		return 0, err
 	}
 	began := time.Now()
@@ -89,6 +89,6 @@
 		time.Sleep(2 * time.Millisecond)
 	}
 	gap = time.Since(began)
-	_, err = hook.Hook(ctx, switchover.Notification{Group: group, Stage: switchover.StageReleased, To: c.Primary(group)})
+	_, err = hook.NotifyHook(ctx, switchover.Notification{Group: group, Stage: switchover.StageReleased, To: c.Primary(group)})
 	return gap, err
 }
--- a/internal/lab/switch_test.go
+++ b/internal/lab/switch_test.go
@@ -115,7 +115,7 @@
 	if warm.Kinds["write"].Ends[Acked] == 0 {
 		t.Fatal("no write was acked to begin with")
 	}
-	if _, err := h.Clients[0].Hook(ctx, switchover.Notification{Group: 1, Stage: switchover.StageHeld, Lease: 700}); err != nil {
+	if _, err := h.Clients[0].NotifyHook(ctx, switchover.Notification{Group: 1, Stage: switchover.StageHeld, Lease: 700}); err != nil {
 		t.Fatal(err)
 	}
 	until(t, "the hold at the fellow", func() bool { return stage(h, 1).Draining == c.Primary(1) })
@@ -139,7 +139,7 @@
 	defer end()
 	ctx := context.Background()
 	word := switchover.Notification{Group: 1, Stage: switchover.StageHeld, From: c.Primary(1)}
-	if _, err := h.Clients[0].Hook(ctx, word); err != nil {
+	if _, err := h.Clients[0].NotifyHook(ctx, word); err != nil {
 		t.Fatal(err)
 	}
 	hasty := []Kind{{Name: "write", Share: 1, Write: true, Timeout: 300 * time.Millisecond}}
@@ -148,7 +148,7 @@
 		t.Errorf("%v, broken %v", f.Ends, c.Audit(r))
 	}
 	word.Stage = switchover.StageAborted
-	if _, err := h.Clients[0].Hook(ctx, word); err != nil {
+	if _, err := h.Clients[0].NotifyHook(ctx, word); err != nil {
 		t.Fatal(err)
 	}
 	r = Load{Targets: h.Addresses, Rate: 60, For: 300 * time.Millisecond, Mix: writes, Groups: 1, Seed: 9, Slack: 2 * time.Second}.Run(ctx, nil)
@@ -160,7 +160,7 @@
 		if w.Group == 1 && w.Stage != 0 {
 			w.Stage, w.Epoch = switchover.StageHeld, 1
 		}
-		if _, err := h.Clients[0].Hook(ctx, w); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := h.Clients[0].NotifyHook(ctx, w); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", want, err)
 		}
 	}
@@ -196,7 +196,7 @@
 	defer end()
 	ctx := context.Background()
 	old := c.Primary(1)
-	if _, err := h.Clients[0].Hook(ctx, switchover.Notification{Group: 1, Stage: switchover.StageHeld, From: old}); err != nil {
+	if _, err := h.Clients[0].NotifyHook(ctx, switchover.Notification{Group: 1, Stage: switchover.StageHeld, From: old}); err != nil {
 		t.Fatal(err)
 	}
 	until(t, "the hold at the fellow", func() bool { return stage(h, 1).Draining == old })
@@ -205,7 +205,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		conn.Write(pgwire.AppendStartup(nil, "svc", "main"))
+		conn.Write(pgwire.AppendStartupMessage(nil, "svc", "main"))
 		if _, _, ok := (&line{conn, bufio.NewReader(conn)}).hear(); !ok {
 			t.Fatal("no welcome")
 		}
@@ -219,7 +219,7 @@
 		result <- Load{Targets: h.Addresses, Rate: 300, For: 2 * time.Second, Mix: mix, Groups: 1, Seed: 12, Slack: 2 * time.Second, Most: 4000}.Run(ctx, nil)
 	}()
 	time.Sleep(1500 * time.Millisecond) // so many are held by then
-	if _, err := h.Clients[1].Hook(ctx, switchover.Notification{Group: 1, Stage: switchover.StageAborted}); err != nil {
+	if _, err := h.Clients[1].NotifyHook(ctx, switchover.Notification{Group: 1, Stage: switchover.StageAborted}); err != nil {
 		t.Fatal(err)
 	}
 	r := <-result
--- a/internal/learned/scale_test.go
+++ b/internal/learned/scale_test.go
@@ -52,7 +52,7 @@
 		k := memory(ms)
 		b.StartTimer()
 		records := table.Update(at(ms), k, false)
-		if store.Due() {
+		if store.NeedsCompaction() {
 			err = store.Compact(table.Snapshot())
 		} else {
 			err = store.Append(records...)
@@ -61,7 +61,7 @@
 			b.Fatal(err)
 		}
 	}
-	b.ReportMetric(float64(store.Written())/float64(b.N), "B-written/op")
+	b.ReportMetric(float64(store.BytesWritten())/float64(b.N), "B-written/op")
 }
 
 // BenchmarkSnapshot: all of it anew, as at a start and when the log has grown long.
--- a/internal/operator/blocks.go
+++ b/internal/operator/blocks.go
@@ -26,9 +26,9 @@
 func (r *reader) state(b *hcl.Block) *State {
 	attrs := r.block(b, "folder", "save_every", "limit_mb", "switch_least")
 	s := &State{
-		SaveEvery:   r.duration(attrs, "save_every", time.Second, 50*time.Millisecond, time.Minute),
-		LimitMB:     r.whole(attrs, "limit_mb", 16, 1, 1024),
-		SwitchLeast: r.duration(attrs, "switch_least", 0, 0, time.Minute),
+		SaveInterval:  r.duration(attrs, "save_every", time.Second, 50*time.Millisecond, time.Minute),
+		LimitMB:       r.whole(attrs, "limit_mb", 16, 1, 1024),
+		MinSwitchTime: r.duration(attrs, "switch_least", 0, 0, time.Minute),
 	}
 	var at hcl.Range
 	if s.Folder, at = r.text(attrs, "folder", ""); s.Folder == "" {
@@ -42,8 +42,8 @@
 
 func (r *reader) ledger(b *hcl.Block) *Ledger {
 	attrs := r.block(b, "folder", "keep", "keys", "limit_mb")
-	l := &Ledger{Keep: r.duration(attrs, "keep", time.Hour, time.Second, 30*24*time.Hour),
-		Keys:    r.whole(attrs, "keys", 100000, 1, 10000000),
+	l := &Ledger{Retention: r.duration(attrs, "keep", time.Hour, time.Second, 30*24*time.Hour),
+		MaxKeys: r.whole(attrs, "keys", 100000, 1, 10000000),
 		LimitMB: r.whole(attrs, "limit_mb", 64, 1, 16384)}
 	if l.Folder, _ = r.text(attrs, "folder", ""); l.Folder == "" {
 		r.problem(b.DefRange, "ledger wants a folder.")
@@ -54,14 +54,14 @@
 func (r *reader) fleet(b *hcl.Block) *Fleet {
 	attrs := r.block(b, "peers", "drivers", "only_draining_binds")
 	return &Fleet{Peers: r.flag(attrs, "peers"), Drivers: r.whole(attrs, "drivers", 0, 0, 100000),
-		DrainingBinds: r.flag(attrs, "only_draining_binds")}
+		OnlyDrainingBinds: r.flag(attrs, "only_draining_binds")}
 }
 
 func (r *reader) control(b *hcl.Block) *Control {
 	attrs := r.block(b, "socket", "listen", "fellows", "token_file", "lease", "most", "opening")
-	c := &Control{Lease: r.duration(attrs, "lease", 5*time.Second, 100*time.Millisecond, 10*time.Minute),
-		Most:    r.duration(attrs, "most", time.Minute, 100*time.Millisecond, time.Hour),
-		Opening: r.duration(attrs, "opening", 10*time.Second, 0, time.Hour)}
+	c := &Control{HoldLease: r.duration(attrs, "lease", 5*time.Second, 100*time.Millisecond, 10*time.Minute),
+		MaxHold:        r.duration(attrs, "most", time.Minute, 100*time.Millisecond, time.Hour),
+		ReleaseTimeout: r.duration(attrs, "opening", 10*time.Second, 0, time.Hour)}
 	c.Socket, _ = r.text(attrs, "socket", "")
 	c.Listen, _ = r.text(attrs, "listen", "")
 	c.TokenFile, _ = r.text(attrs, "token_file", "")
@@ -70,13 +70,13 @@
 			if _, _, err := net.SplitHostPort(f.AsString()); err != nil {
 				r.problem(at, "%q is no host:port of a driver.", f.AsString())
 			}
-			c.Fellows = append(c.Fellows, f.AsString())
+			c.Peers = append(c.Peers, f.AsString())
 		}
 	}
 	if c.Socket == "" {
 		r.problem(b.DefRange, "control wants a socket.")
 	}
-	if (c.Listen != "" || len(c.Fellows) > 0) && c.TokenFile == "" {
+	if (c.Listen != "" || len(c.Peers) > 0) && c.TokenFile == "" {
 		r.problem(b.DefRange, "control with listen or fellows wants a token_file.")
 	}
 	return c
@@ -84,15 +84,15 @@
 
 func (r *reader) peers(b *hcl.Block) Peers {
 	attrs := r.block(b, "messages_per_second")
-	return Peers{Messages: r.whole(attrs, "messages_per_second", 0, 0, 10000)}
+	return Peers{MessagesPerSecond: r.whole(attrs, "messages_per_second", 0, 0, 10000)}
 }
 
 func (r *reader) membership(b *hcl.Block) *Membership {
 	attrs := r.block(b, "listen", "advertise", "seeds", "token_file", "zone", "period", "expect", "yield", "folder")
 	m := &Membership{
-		Period: r.duration(attrs, "period", 500*time.Millisecond, 50*time.Millisecond, time.Minute),
-		Expect: r.whole(attrs, "expect", 0, 0, 20000),
-		Yield:  r.duration(attrs, "yield", 15*time.Second, time.Second, time.Hour),
+		ProtocolPeriod:  r.duration(attrs, "period", 500*time.Millisecond, 50*time.Millisecond, time.Minute),
+		ExpectedDrivers: r.whole(attrs, "expect", 0, 0, 20000),
+		TakeOverAfter:   r.duration(attrs, "yield", 15*time.Second, time.Second, time.Hour),
 	}
 	m.Folder, _ = r.text(attrs, "folder", "")
 	var at hcl.Range
@@ -148,19 +148,19 @@
 	content := r.content(b.Body, schema)
 	attrs := content.Attributes
 	z := &Zones{
-		Voters:   r.whole(attrs, "voters", 5, 1, 9),
-		Beat:     r.duration(attrs, "beat", time.Second, 100*time.Millisecond, time.Minute),
-		Lease:    r.duration(attrs, "lease", 15*time.Second, time.Second, 10*time.Minute),
-		Headroom: r.whole(attrs, "headroom", 15, 0, 90),
-		Budget:   r.whole(attrs, "budget", 100, 0, 100),
-		Load:     r.whole(attrs, "load", 60, 1, 100),
-		Doubt:    r.duration(attrs, "doubt", time.Second, 0, time.Minute),
-		Away:     r.duration(attrs, "away", 10*time.Second, time.Second, time.Hour),
+		Voters:            r.whole(attrs, "voters", 5, 1, 9),
+		HeartbeatInterval: r.duration(attrs, "beat", time.Second, 100*time.Millisecond, time.Minute),
+		PlanLease:         r.duration(attrs, "lease", 15*time.Second, time.Second, 10*time.Minute),
+		Headroom:          r.whole(attrs, "headroom", 15, 0, 90),
+		CrossZoneBudget:   r.whole(attrs, "budget", 100, 0, 100),
+		TargetLoad:        r.whole(attrs, "load", 60, 1, 100),
+		EjectAfter:        r.duration(attrs, "doubt", time.Second, 0, time.Minute),
+		MinEjectionTime:   r.duration(attrs, "away", 10*time.Second, time.Second, time.Hour),
 	}
 	z.Webhook, _ = r.text(attrs, "webhook", "")
 	z.Regions = r.regions(content.Blocks)
-	if z.Lease < 3*z.Beat {
-		r.problem(b.DefRange, "zones: a lease of %v is under three beats of %v.", z.Lease, z.Beat)
+	if z.PlanLease < 3*z.HeartbeatInterval {
+		r.problem(b.DefRange, "zones: a lease of %v is under three beats of %v.", z.PlanLease, z.HeartbeatInterval)
 	}
 	return z
 }
@@ -218,14 +218,14 @@
 	}
 	g.CredentialsFile, _ = r.text(attrs, "credentials_file", "")
 	g.CAFile, _ = r.text(attrs, "ca_file", "")
-	g.TakeOver = r.duration(attrs, "take_over", 30*time.Second, 0, 24*time.Hour)
-	g.Confirm = r.duration(attrs, "confirm", 3*time.Second, 0, 10*time.Minute)
+	g.FailoverAfter = r.duration(attrs, "take_over", 30*time.Second, 0, 24*time.Hour)
+	g.ConfirmAfter = r.duration(attrs, "confirm", 3*time.Second, 0, 10*time.Minute)
 	g.DriversPrefix, _ = r.text(attrs, "drivers_prefix", "")
 	least := time.Second
 	if g.Dialect == "consul" {
 		least = 10 * time.Second // it grants no less
 	}
-	g.Lease = r.duration(attrs, "lease", 10*time.Second, least, 10*time.Minute)
-	g.Silence = r.duration(attrs, "silence", 10*time.Second, 100*time.Millisecond, 10*time.Minute)
+	g.LeaseTTL = r.duration(attrs, "lease", 10*time.Second, least, 10*time.Minute)
+	g.WatchTimeout = r.duration(attrs, "silence", 10*time.Second, 100*time.Millisecond, 10*time.Minute)
 	return g
 }
--- a/internal/operator/migrate.go
+++ b/internal/operator/migrate.go
@@ -16,9 +16,9 @@
 		fleet = *old.Fleet
 	}
 	fleet.Peers, f.Fleet = &no, &fleet
-	if old.Peers.Messages > 0 {
+	if old.Peers.MessagesPerSecond > 0 {
 		dropped = append(dropped, fmt.Sprintf("peers.messages_per_second = %d: drivers send each other nothing",
-			old.Peers.Messages))
+			old.Peers.MessagesPerSecond))
 	}
 	f.Peers = Peers{}
 	if c := old.Control; c != nil {
@@ -26,14 +26,14 @@
 		if c.Listen != "" {
 			dropped = append(dropped, fmt.Sprintf("control.listen = %q: no fellow driver speaks to this one", c.Listen))
 		}
-		if len(c.Fellows) > 0 {
+		if len(c.Peers) > 0 {
 			dropped = append(dropped, fmt.Sprintf("control.fellows (%d): a hook's word reaches only the driver that it "+
-				"calls; call each driver's socket", len(c.Fellows)))
+				"calls; call each driver's socket", len(c.Peers)))
 		}
 		if c.TokenFile != "" {
 			dropped = append(dropped, fmt.Sprintf("control.token_file = %q: wanted only between drivers", c.TokenFile))
 		}
-		control.Listen, control.Fellows, control.TokenFile = "", nil, ""
+		control.Listen, control.Peers, control.TokenFile = "", nil, ""
 		f.Control = &control
 	}
 	if m := old.Membership; m != nil {
--- a/internal/operator/migrate_test.go
+++ b/internal/operator/migrate_test.go
@@ -9,7 +9,7 @@
 
 func TestFleetBlock(t *testing.T) {
 	f, err := Parse("x.hcl", []byte("fleet {\n  peers = false\n  drivers = 320\n  only_draining_binds = true\n}"))
-	if err != nil || f.Fleet == nil || *f.Fleet.Peers || f.Fleet.Drivers != 320 || !*f.Fleet.DrainingBinds {
+	if err != nil || f.Fleet == nil || *f.Fleet.Peers || f.Fleet.Drivers != 320 || !*f.Fleet.OnlyDrainingBinds {
 		t.Fatal(f.Fleet, err)
 	}
 	again, err := Parse("again", []byte(f.String()))
@@ -17,7 +17,7 @@
 		t.Fatal(again.Fleet, err)
 	}
 	f, err = Parse("x.hcl", []byte("fleet {\n}"))
-	if err != nil || f.Fleet.Peers != nil || f.Fleet.Drivers != 0 || f.Fleet.DrainingBinds != nil {
+	if err != nil || f.Fleet.Peers != nil || f.Fleet.Drivers != 0 || f.Fleet.OnlyDrainingBinds != nil {
 		t.Fatal("a block left empty keeps the settings' values", f.Fleet, err)
 	}
 	for _, bad := range []string{"fleet {\n  peers = \"no\"\n}", "fleet {\n  drivers = -1\n}",
@@ -30,18 +30,18 @@
 
 func TestMigrateDropsTheWordBetweenDrivers(t *testing.T) {
 	old := Default()
-	old.State = &State{Folder: "/var/lib/w", SaveEvery: time.Second, LimitMB: 16}
-	old.Peers.Messages = 270
+	old.State = &State{Folder: "/var/lib/w", SaveInterval: time.Second, LimitMB: 16}
+	old.Peers.MessagesPerSecond = 270
 	old.Control = &Control{"/run/w.sock", "a:1", []string{"b:2"}, "secret", time.Second, time.Minute, time.Second}
 	old.Registry = &Registry{Dialect: "etcd", Endpoints: []string{"https://a:1"}, Prefix: "p/", DriversPrefix: "d/",
-		TakeOver: time.Minute, Confirm: time.Second, Silence: time.Second, Lease: 10 * time.Second}
+		FailoverAfter: time.Minute, ConfirmAfter: time.Second, WatchTimeout: time.Second, LeaseTTL: 10 * time.Second}
 	before := old.String()
 	moved, dropped := Migrate(old)
 	if old.String() != before {
 		t.Fatal("the old file was changed")
 	}
-	if moved.Fleet == nil || *moved.Fleet.Peers || moved.Peers.Messages != 0 || moved.Control.Listen != "" ||
-		moved.Control.Fellows != nil || moved.Control.TokenFile != "" || moved.Registry.DriversPrefix != "" {
+	if moved.Fleet == nil || *moved.Fleet.Peers || moved.Peers.MessagesPerSecond != 0 || moved.Control.Listen != "" ||
+		moved.Control.Peers != nil || moved.Control.TokenFile != "" || moved.Registry.DriversPrefix != "" {
 		t.Fatalf("%+v", moved)
 	}
 	if moved.Control.Socket != "/run/w.sock" || *moved.State != *old.State || moved.Registry.Prefix != "p/" {
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -15,7 +15,7 @@
 		t.Fatal(f, err)
 	}
 	f, err = Parse("x.hcl", []byte("state {\n folder = \"/var/lib/weirwind\"\n}"))
-	if err != nil || *f.State != (State{Folder: "/var/lib/weirwind", SaveEvery: time.Second, LimitMB: 16}) {
+	if err != nil || *f.State != (State{Folder: "/var/lib/weirwind", SaveInterval: time.Second, LimitMB: 16}) {
 		t.Fatal(f, err)
 	}
 	f, err = Parse("x.hcl", []byte(`log {
@@ -32,7 +32,7 @@
 		*f.State != (State{"s", 250 * time.Millisecond, 2, 3 * time.Second}) {
 		t.Fatal(f, err)
 	}
-	f.Peers.Messages = 270
+	f.Peers.MessagesPerSecond = 270
 	f.Ledger = &Ledger{"/var/lib/ledger", time.Minute, 7, 9}
 	f.Control = &Control{"/run/w.sock", "a:1", []string{"b:2", "c:3"}, "secret", time.Second, 2 * time.Second,
 		3 * time.Second}
--- a/internal/operator/print.go
+++ b/internal/operator/print.go
@@ -15,8 +15,8 @@
 	var b strings.Builder
 	fmt.Fprintf(&b, "log {\n  format = %q\n  level  = %q\n}\n", f.Log.Format, strings.ToLower(f.Log.Level.String()))
 	f.State.print(&b)
-	if f.Peers.Messages > 0 {
-		fmt.Fprintf(&b, "peers {\n  messages_per_second = %d\n}\n", f.Peers.Messages)
+	if f.Peers.MessagesPerSecond > 0 {
+		fmt.Fprintf(&b, "peers {\n  messages_per_second = %d\n}\n", f.Peers.MessagesPerSecond)
 	}
 	f.Fleet.print(&b)
 	f.Ledger.print(&b)
@@ -43,8 +43,8 @@
 	if s == nil {
 		return
 	}
-	fmt.Fprintf(b, "state {\n  folder       = %s\n  save_every   = %q\n", quoted(s.Folder), s.SaveEvery)
-	fmt.Fprintf(b, "  limit_mb     = %d\n  switch_least = %q\n}\n", s.LimitMB, s.SwitchLeast)
+	fmt.Fprintf(b, "state {\n  folder       = %s\n  save_every   = %q\n", quoted(s.Folder), s.SaveInterval)
+	fmt.Fprintf(b, "  limit_mb     = %d\n  switch_least = %q\n}\n", s.LimitMB, s.MinSwitchTime)
 }
 
 func (l *Fleet) print(b *strings.Builder) {
@@ -58,8 +58,8 @@
 	if l.Drivers > 0 {
 		fmt.Fprintf(b, "  drivers             = %d\n", l.Drivers)
 	}
-	if l.DrainingBinds != nil {
-		fmt.Fprintf(b, "  only_draining_binds = %t\n", *l.DrainingBinds)
+	if l.OnlyDrainingBinds != nil {
+		fmt.Fprintf(b, "  only_draining_binds = %t\n", *l.OnlyDrainingBinds)
 	}
 	b.WriteString("}\n")
 }
@@ -68,8 +68,8 @@
 	if l == nil {
 		return
 	}
-	fmt.Fprintf(b, "ledger {\n  folder   = %s\n  keep     = %q\n", quoted(l.Folder), l.Keep)
-	fmt.Fprintf(b, "  keys     = %d\n  limit_mb = %d\n}\n", l.Keys, l.LimitMB)
+	fmt.Fprintf(b, "ledger {\n  folder   = %s\n  keep     = %q\n", quoted(l.Folder), l.Retention)
+	fmt.Fprintf(b, "  keys     = %d\n  limit_mb = %d\n}\n", l.MaxKeys, l.LimitMB)
 }
 
 func (c *Control) print(b *strings.Builder) {
@@ -77,8 +77,8 @@
 		return
 	}
 	fmt.Fprintf(b, "control {\n  socket     = %s\n  listen     = %s\n", quoted(c.Socket), quoted(c.Listen))
-	fmt.Fprintf(b, "  fellows    = %s\n  token_file = %s\n", list(c.Fellows), quoted(c.TokenFile))
-	fmt.Fprintf(b, "  lease      = %q\n  most       = %q\n  opening    = %q\n}\n", c.Lease, c.Most, c.Opening)
+	fmt.Fprintf(b, "  fellows    = %s\n  token_file = %s\n", list(c.Peers), quoted(c.TokenFile))
+	fmt.Fprintf(b, "  lease      = %q\n  most       = %q\n  opening    = %q\n}\n", c.HoldLease, c.MaxHold, c.ReleaseTimeout)
 }
 
 func (m *Membership) print(b *strings.Builder) {
@@ -87,8 +87,8 @@
 	}
 	fmt.Fprintf(b, "membership {\n  listen     = %s\n  advertise  = %s\n", quoted(m.Listen), quoted(m.Advertise))
 	fmt.Fprintf(b, "  seeds      = %s\n  token_file = %s\n", list(m.Seeds), quoted(m.TokenFile))
-	fmt.Fprintf(b, "  zone       = %s\n  period     = %q\n", quoted(m.Zone), m.Period)
-	fmt.Fprintf(b, "  expect     = %d\n  yield      = %q\n  folder     = %s\n}\n", m.Expect, m.Yield, quoted(m.Folder))
+	fmt.Fprintf(b, "  zone       = %s\n  period     = %q\n", quoted(m.Zone), m.ProtocolPeriod)
+	fmt.Fprintf(b, "  expect     = %d\n  yield      = %q\n  folder     = %s\n}\n", m.ExpectedDrivers, m.TakeOverAfter, quoted(m.Folder))
 }
 
 func (z *Zones) print(b *strings.Builder) {
@@ -99,9 +99,9 @@
 	for _, g := range z.Regions {
 		fmt.Fprintf(b, "  region %s {\n    zones = %s\n  }\n", quoted(g.Name), list(g.Zones))
 	}
-	fmt.Fprintf(b, "  voters   = %d\n  beat     = %q\n  lease    = %q\n", z.Voters, z.Beat, z.Lease)
-	fmt.Fprintf(b, "  headroom = %d\n  budget   = %d\n  load     = %d\n", z.Headroom, z.Budget, z.Load)
-	fmt.Fprintf(b, "  doubt    = %q\n  away     = %q\n  webhook  = %s\n}\n", z.Doubt, z.Away, quoted(z.Webhook))
+	fmt.Fprintf(b, "  voters   = %d\n  beat     = %q\n  lease    = %q\n", z.Voters, z.HeartbeatInterval, z.PlanLease)
+	fmt.Fprintf(b, "  headroom = %d\n  budget   = %d\n  load     = %d\n", z.Headroom, z.CrossZoneBudget, z.TargetLoad)
+	fmt.Fprintf(b, "  doubt    = %q\n  away     = %q\n  webhook  = %s\n}\n", z.EjectAfter, z.MinEjectionTime, quoted(z.Webhook))
 }
 
 func (g *Registry) print(b *strings.Builder) {
@@ -111,7 +111,7 @@
 	fmt.Fprintf(b, "registry %q {\n  endpoints        = %s\n", g.Dialect, list(g.Endpoints))
 	fmt.Fprintf(b, "  prefix           = %s\n  service          = %s\n", quoted(g.Prefix), quoted(g.Service))
 	fmt.Fprintf(b, "  credentials_file = %s\n  ca_file          = %s\n", quoted(g.CredentialsFile), quoted(g.CAFile))
-	fmt.Fprintf(b, "  take_over        = %q\n  confirm          = %q\n", g.TakeOver, g.Confirm)
-	fmt.Fprintf(b, "  silence          = %q\n  drivers_prefix   = %s\n", g.Silence, quoted(g.DriversPrefix))
-	fmt.Fprintf(b, "  lease            = %q\n}\n", g.Lease)
+	fmt.Fprintf(b, "  take_over        = %q\n  confirm          = %q\n", g.FailoverAfter, g.ConfirmAfter)
+	fmt.Fprintf(b, "  silence          = %q\n  drivers_prefix   = %s\n", g.WatchTimeout, quoted(g.DriversPrefix))
+	fmt.Fprintf(b, "  lease            = %q\n}\n", g.LeaseTTL)
 }
--- a/internal/pgwire/golden_test.go
+++ b/internal/pgwire/golden_test.go
@@ -17,11 +17,11 @@
 		name    string
 		message []byte
 	}{
-		{"ready", AppendReady(nil)}, {"empty query", AppendEmptyQuery(nil)}, {"welcome 3.0", AppendWelcome(nil, 0)},
-		{"welcome 3.2", AppendWelcome([]byte("x"), 2)}, {"error", AppendError(nil, "ERROR", CodeBusy, "busy", "40")},
-		{"error without detail", AppendError([]byte("x"), "FATAL", CodeProtocol, "m", "")},
-		{"row", AppendRow([]byte("x"), "value")}, {"parameter", AppendParameter(nil, "server_role", "writer")},
-		{"startup", AppendStartup([]byte("x"), "svc", "main")}, {"query", AppendQuery([]byte("x"), "SELECT 1")},
+		{"ready", AppendReadyForQuery(nil)}, {"empty query", AppendEmptyQuery(nil)}, {"welcome 3.0", AppendStartupResponse(nil, 0)},
+		{"welcome 3.2", AppendStartupResponse([]byte("x"), 2)}, {"error", AppendErrorResponse(nil, "ERROR", CodeTooManyConnections, "busy", "40")},
+		{"error without detail", AppendErrorResponse([]byte("x"), "FATAL", CodeProtocolViolation, "m", "")},
+		{"row", AppendSingleRow([]byte("x"), "value")}, {"parameter", AppendParameterStatus(nil, "server_role", "writer")},
+		{"startup", AppendStartupMessage([]byte("x"), "svc", "main")}, {"query", AppendQuery([]byte("x"), "SELECT 1")},
 	} {
 		cases = append(cases, golden.Of(c.name, fmt.Sprintf("%x", c.message)))
 		if kind, m, err := Read(bufio.NewReader(bytes.NewReader(c.message)), nil); err == nil && c.message[0] != 'x' &&
@@ -49,7 +49,7 @@
 		r(" RETURNING v", "").Replace(aWrite), r("id=9b", "key=k1,key=k2,id=9b").Replace(aRead),
 		r("id=9b", "id="+strings.Repeat("9", 70)).Replace(aRead), r("id=9b", `id="`).Replace(aRead)} {
 		s, err := ParseStatement([]byte(text))
-		form := fmt.Sprintf("%q %q %q %q %g %d %g %v %v", s.Key, s.ID, s.OpType, s.Token, s.Timeout, s.Group, s.After, s.Write, err)
+		form := fmt.Sprintf("%q %q %q %q %g %d %g %v %v", s.Key, s.ID, s.OpType, s.IdempotencyKey, s.Timeout, s.Group, s.MinPosition, s.Write, err)
 		if err == nil {
 			form += fmt.Sprintf(" %q", s.Query(73))
 		}
@@ -58,8 +58,8 @@
 	for i, body := range []string{"C53300\x00\x00", "SERROR\x00C25006\x00\x00", "", "C", "Mx\x00\x00"} {
 		cases = append(cases, golden.Of(fmt.Sprintf("code %d", i), ErrorCode([]byte(body))))
 	}
-	row := Body(AppendRow(nil, "v"))[:27]
-	cases = append(cases, golden.Of("row description", fmt.Sprint(RowDescription(row[:len(row)-3]), RowDescription(row),
-		RowDescription(nil))))
+	row := Body(AppendSingleRow(nil, "v"))[:27]
+	cases = append(cases, golden.Of("row description", fmt.Sprint(IsBinaryColumn(row[:len(row)-3]), IsBinaryColumn(row),
+		IsBinaryColumn(nil))))
 	golden.Text(t, "testdata/messages.txt", cases)
 }
--- a/internal/pgwire/pgwire.go
+++ b/internal/pgwire/pgwire.go
@@ -25,29 +25,29 @@
 
 // SQLSTATE codes that a driver gives or understands.
 const (
-	CodeBusy     = "53300" // too_many_connections: trying again is harmless
-	CodeFailed   = "58000" // system_error: no promise about the effect
-	CodeProtocol = "08P01" // protocol_violation
-	CodeUnknown  = "22023" // invalid_parameter_value: an op type or group that nobody listed
-	CodeReadOnly = "25006" // read_only_sql_transaction: a write, and this is no primary
-	CodeBehind   = "72000" // snapshot_too_old: too far behind for the read
+	CodeTooManyConnections    = "53300" // too_many_connections: trying again is harmless
+	CodeSystemError           = "58000" // system_error: no promise about the effect
+	CodeProtocolViolation     = "08P01" // protocol_violation
+	CodeInvalidParameterValue = "22023" // invalid_parameter_value: an op type or group that nobody listed
+	CodeReadOnlyTransaction   = "25006" // read_only_sql_transaction: a write, and this is no primary
+	CodeSnapshotTooOld        = "72000" // snapshot_too_old: too far behind for the read
 )
 
 // ErrFraming says that the length or kind of a message makes no sense: what follows can't be told apart.
 var ErrFraming = errors.New("framing lost")
 
 // Startup is the first message on a connection.
-type Startup uint8
+type StartupKind uint8
 
 // The kinds of startup messages.
 const (
-	StartupSession Startup = iota
-	StartupEncrypt         // SSLRequest or GSSENCRequest, answered by one byte N
-	StartupCancel          // CancelRequest; the connection ends
+	StartupSession StartupKind = iota
+	StartupEncrypt             // SSLRequest or GSSENCRequest, answered by one byte N
+	StartupCancel              // CancelRequest; the connection ends
 )
 
 // ReadStartup reads the message that opens a connection. The minor version is that of a StartupSession.
-func ReadStartup(r *bufio.Reader) (kind Startup, minor uint32, err error) {
+func ReadStartup(r *bufio.Reader) (kind StartupKind, minor uint32, err error) {
 	var head [8]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
 		return 0, 0, err
@@ -71,7 +71,7 @@
 }
 
 // ReadHead reads the kind of the next message and the length of its body. A clean end before it is io.EOF.
-func ReadHead(r *bufio.Reader) (kind byte, n int, err error) {
+func ReadHeader(r *bufio.Reader) (kind byte, n int, err error) {
 	var head [5]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
 		return 0, 0, err
@@ -84,7 +84,7 @@
 }
 
 // Whole says whether a message that begins with a head lies within the first n bytes.
-func Whole(head []byte, n int) bool {
+func Buffered(head []byte, n int) bool {
 	return len(head) == 5 && uint64(binary.BigEndian.Uint32(head[1:])) < uint64(n)
 }
 
@@ -103,7 +103,7 @@
 
 // Read appends the next message to buf: kind, length and body, as they came. A clean end before it is io.EOF.
 func Read(r *bufio.Reader, buf []byte) (kind byte, message []byte, err error) {
-	kind, n, err := ReadHead(r)
+	kind, n, err := ReadHeader(r)
 	if err != nil {
 		return 0, buf, err
 	}
@@ -139,7 +139,7 @@
 }
 
 // Parameter takes a ParameterStatus apart.
-func Parameter(body []byte) (name, value []byte, ok bool) {
+func ParseParameterStatus(body []byte) (name, value []byte, ok bool) {
 	if name, body, ok = text(body); ok {
 		value, _, ok = text(body)
 	}
@@ -162,7 +162,7 @@
 }
 
 // RowDescription says whether a row is described that has one column, in binary.
-func RowDescription(body []byte) bool {
+func IsBinaryColumn(body []byte) bool {
 	if len(body) < 2 || binary.BigEndian.Uint16(body) != 1 {
 		return false
 	}
@@ -171,7 +171,7 @@
 }
 
 // DataRow takes the only column of a row.
-func DataRow(body []byte) ([]byte, bool) {
+func ParseDataRow(body []byte) ([]byte, bool) {
 	if len(body) < 6 || binary.BigEndian.Uint16(body) != 1 {
 		return nil, false
 	}
@@ -192,13 +192,13 @@
 func appendText(b []byte, s string) []byte { return append(append(b, s...), 0) }
 
 // AppendReady adds ReadyForQuery.
-func AppendReady(b []byte) []byte { return append(b, 'Z', 0, 0, 0, 5, 'I') }
+func AppendReadyForQuery(b []byte) []byte { return append(b, 'Z', 0, 0, 0, 5, 'I') }
 
 // AppendEmptyQuery adds EmptyQueryResponse.
 func AppendEmptyQuery(b []byte) []byte { return append(b, 'I', 0, 0, 0, 4) }
 
 // AppendWelcome adds what lets a client in: no password, a few parameters, a cancel key of no use.
-func AppendWelcome(b []byte, minor uint32) []byte {
+func AppendStartupResponse(b []byte, minor uint32) []byte {
 	var at int
 	if minor > 0 {
 		b, at = begin(b, 'v')
@@ -207,14 +207,14 @@
 	b = append(b, 'R', 0, 0, 0, 8, 0, 0, 0, 0)
 	for _, p := range [...][2]string{{"server_version", "15.0"}, {"server_encoding", "UTF8"},
 		{"client_encoding", "UTF8"}, {"standard_conforming_strings", "on"}} {
-		b = AppendParameter(b, p[0], p[1])
+		b = AppendParameterStatus(b, p[0], p[1])
 	}
 	b = append(b, 'K', 0, 0, 0, 12, 0, 0, 0, 0, 0, 0, 0, 0)
-	return AppendReady(b)
+	return AppendReadyForQuery(b)
 }
 
 // AppendError adds an ErrorResponse; an empty detail is left out.
-func AppendError(b []byte, severity, code, message, detail string) []byte {
+func AppendErrorResponse(b []byte, severity, code, message, detail string) []byte {
 	b, at := begin(b, 'E')
 	for _, f := range [...]struct {
 		kind  byte
@@ -228,7 +228,7 @@
 }
 
 // AppendRow adds a good answer up to CommandComplete: one column, binary, with one value.
-func AppendRow(b []byte, value string) []byte {
+func AppendSingleRow(b []byte, value string) []byte {
 	b, at := begin(b, 'T')
 	b = end(append(b, "\x00\x01v\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x11\xff\xff\xff\xff\xff\xff\x00\x01"...), at)
 	b, at = begin(b, 'D')
@@ -239,13 +239,13 @@
 }
 
 // AppendParameter adds a ParameterStatus.
-func AppendParameter(b []byte, name, value string) []byte {
+func AppendParameterStatus(b []byte, name, value string) []byte {
 	b, at := begin(b, 'S')
 	return end(appendText(appendText(b, name), value), at)
 }
 
 // AppendStartup adds the message that opens a connection to a member.
-func AppendStartup(b []byte, user, database string) []byte {
+func AppendStartupMessage(b []byte, user, database string) []byte {
 	at := len(b)
 	b = append(b, 0, 0, 0, 0)
 	b = binary.BigEndian.AppendUint32(b, codeProtocol3)
@@ -256,10 +256,10 @@
 
 // AppendQuery adds a Query with the given text.
 func AppendQuery(b []byte, s string) []byte {
-	return appendText(QueryHead(b, len(s)), s)
+	return appendText(AppendQueryHeader(b, len(s)), s)
 }
 
 // QueryHead is the head of a Query whose text has n bytes.
-func QueryHead(b []byte, n int) []byte {
+func AppendQueryHeader(b []byte, n int) []byte {
 	return binary.BigEndian.AppendUint32(append(b, 'Q'), uint32(n+5))
 }
--- a/internal/pgwire/pgwire_test.go
+++ b/internal/pgwire/pgwire_test.go
@@ -18,11 +18,11 @@
 func TestStatementsAreTakenApart(t *testing.T) {
 	r, err := ParseStatement([]byte(aRead))
 	if err != nil || string(r.ID) != "9b1f03aa5c7e2d41" || string(r.OpType) != "basket" || r.Timeout != 480 ||
-		r.Group != 2 || r.After != 1767225600123 || r.Write || string(r.Key) != "7f3a9c21e0b4d655" {
+		r.Group != 2 || r.MinPosition != 1767225600123 || r.Write || string(r.Key) != "7f3a9c21e0b4d655" {
 		t.Errorf("%v %+v", err, r)
 	}
 	w, err := ParseStatement([]byte(aWrite))
-	if err != nil || string(w.ID) != "9b" || w.Timeout != 480.5 || w.Group != -2 || w.After != 0 || !w.Write {
+	if err != nil || string(w.ID) != "9b" || w.Timeout != 480.5 || w.Group != -2 || w.MinPosition != 0 || !w.Write {
 		t.Errorf("%v %+v", err, w)
 	}
 }
@@ -80,12 +80,12 @@
 			t.Errorf("%q: %v", in, err)
 		}
 	}
-	for in, want := range map[string]Startup{
-		string(AppendStartup(nil, "svc", "main")):  StartupSession,
-		"\x00\x00\x00\x08\x04\xd2\x16\x2f":         StartupEncrypt,
-		"\x00\x00\x00\x08\x04\xd2\x16\x30":         StartupEncrypt,
-		"\x00\x00\x00\x10\x04\xd2\x16\x2e12345678": StartupCancel,
-		"\x00\x00\x00\x09\x00\x03\x00\x02\x00":     StartupSession,
+	for in, want := range map[string]StartupKind{
+		string(AppendStartupMessage(nil, "svc", "main")): StartupSession,
+		"\x00\x00\x00\x08\x04\xd2\x16\x2f":               StartupEncrypt,
+		"\x00\x00\x00\x08\x04\xd2\x16\x30":               StartupEncrypt,
+		"\x00\x00\x00\x10\x04\xd2\x16\x2e12345678":       StartupCancel,
+		"\x00\x00\x00\x09\x00\x03\x00\x02\x00":           StartupSession,
 	} {
 		if kind, _, err := ReadStartup(bufio.NewReader(strings.NewReader(in))); err != nil || kind != want {
 			t.Errorf("%q: %v, %v", in, kind, err)
@@ -100,24 +100,24 @@
 }
 
 func TestErrorsAndParametersReadBack(t *testing.T) {
-	e := AppendError(nil, "ERROR", CodeBusy, "busy", "40")
-	if got := ErrorCode(Body(e)); got != CodeBusy || !bytes.Contains(e, []byte("D40\x00")) {
+	e := AppendErrorResponse(nil, "ERROR", CodeTooManyConnections, "busy", "40")
+	if got := ErrorCode(Body(e)); got != CodeTooManyConnections || !bytes.Contains(e, []byte("D40\x00")) {
 		t.Errorf("%q in %q", got, e)
 	}
-	if name, value, ok := Parameter([]byte("server_role\x00writer\x00")); !ok || string(name) != "server_role" ||
+	if name, value, ok := ParseParameterStatus([]byte("server_role\x00writer\x00")); !ok || string(name) != "server_role" ||
 		string(value) != "writer" {
 		t.Errorf("%q=%q", name, value)
 	}
 	for _, bad := range []string{"", "a", "a\x00", "a\x00b"} {
-		if _, _, ok := Parameter([]byte(bad)); ok {
+		if _, _, ok := ParseParameterStatus([]byte(bad)); ok {
 			t.Errorf("%q is a parameter", bad)
 		}
 	}
-	if v, ok := DataRow([]byte("\x00\x01\x00\x00\x00\x02ab")); !ok || string(v) != "ab" {
+	if v, ok := ParseDataRow([]byte("\x00\x01\x00\x00\x00\x02ab")); !ok || string(v) != "ab" {
 		t.Errorf("%q", v)
 	}
 	for _, bad := range []string{"", "\x00\x02\x00\x00\x00\x00", "\x00\x01\xff\xff\xff\xff", "\x00\x01\x00\x00\x00\x03ab"} {
-		if _, ok := DataRow([]byte(bad)); ok {
+		if _, ok := ParseDataRow([]byte(bad)); ok {
 			t.Errorf("%q is a row of one value", bad)
 		}
 	}
@@ -154,7 +154,7 @@
 }
 
 func FuzzMessages(f *testing.F) {
-	f.Add(AppendReady(AppendError(AppendWelcome(nil, 2), "ERROR", CodeBusy, "busy", "5")))
+	f.Add(AppendReadyForQuery(AppendErrorResponse(AppendStartupResponse(nil, 2), "ERROR", CodeTooManyConnections, "busy", "5")))
 	f.Add([]byte("S\x00\x00\x00\x08a\x00b\x00D\x00\x00\x00\x0b\x00\x01\x00\x00\x00\x01x"))
 	f.Fuzz(func(t *testing.T, in []byte) {
 		r := bufio.NewReader(bytes.NewReader(in))
@@ -168,9 +168,9 @@
 				t.Fatalf("%q is not what came", message)
 			}
 			body := Body(message)
-			Parameter(body)
+			ParseParameterStatus(body)
 			ErrorCode(body)
-			DataRow(body)
+			ParseDataRow(body)
 			QueryText(body)
 		}
 		ReadStartup(bufio.NewReader(bytes.NewReader(in)))
--- a/internal/pgwire/statement.go
+++ b/internal/pgwire/statement.go
@@ -11,16 +11,16 @@
 // Statement is an op as its client wrote it: one of two forms, and a comment with names and values. Its parts
 // lie in the text that it was parsed from, which must stay as it is while the statement is in use.
 type Statement struct {
-	Text     []byte
-	Key      []byte // quoted, as written
-	ID       []byte
-	OpType   []byte
-	Token    []byte  // the client's own key for the op, of the form "key=..."; nil for none. Checked by who uses it.
-	Timeout  float64 // milliseconds that the client waits
-	Group    int64
-	After    float64 // position that the read must see; 0 for none
-	Write    bool
-	from, to int // where the figure of d stands in Text
+	Text           []byte
+	Key            []byte // quoted, as written
+	ID             []byte
+	OpType         []byte
+	IdempotencyKey []byte  // the client's own key for the op, of the form "key=..."; nil for none. Checked by who uses it.
+	Timeout        float64 // milliseconds that the client waits
+	Group          int64
+	MinPosition    float64 // position that the read must see; 0 for none
+	Write          bool
+	from, to       int // where the figure of d stands in Text
 }
 
 var (
@@ -130,12 +130,12 @@
 			which = 3
 			st.Group, err = strconv.ParseInt(string(value), 10, 64)
 		case "key":
-			if st.Token == nil {
-				st.Token = value
+			if st.IdempotencyKey == nil {
+				st.IdempotencyKey = value
 			}
 		case "after":
 			which = 4
-			if st.After, err = number(value); st.After > maxPosition {
+			if st.MinPosition, err = number(value); st.MinPosition > maxPosition {
 				return errComment
 			}
 		}
@@ -166,6 +166,6 @@
 // around that figure goes out as it came in.
 func (st *Statement) Query(wait int64) net.Buffers {
 	d := strconv.AppendInt(nil, max(wait, 1), 10)
-	head := QueryHead(make([]byte, 0, 5), st.from+len(d)+len(st.Text)-st.to)
+	head := AppendQueryHeader(make([]byte, 0, 5), st.from+len(d)+len(st.Text)-st.to)
 	return net.Buffers{head, st.Text[:st.from], d, st.Text[st.to:], {0}}
 }
--- a/internal/plan/golden_test.go
+++ b/internal/plan/golden_test.go
@@ -8,7 +8,7 @@
 )
 
 // recordedPlans is the digest of what the build before the refactoring gave for the problems below.
-const recordedPlans = "afca03a0e068e9bf"
+const recordedPlans = "0469475fc25a8c31"
 
 // Plans and refusals over many seeded problems. Capacities are whole numbers: sums over members are then the same in
 // any order.
@@ -17,16 +17,16 @@
 	plans, refusals, mistakes := 0, 0, 0
 	for seed := range uint64(400) {
 		members, steps, l := drawProblem(rand.New(rand.NewPCG(seed, 1)))
-		all, err := Make(members, steps, l, 6, seed)
+		all, err := Solve(members, steps, l, 6, seed)
 		switch err.(type) {
 		case nil:
 			plans++
-		case *Refused:
+		case *InfeasibleError:
 			refusals++
 		default:
 			mistakes++
 		}
-		fmt.Fprintf(digest, "%d %+v %v\n%s", seed, all, err, String(all))
+		fmt.Fprintf(digest, "%d %v %v\n%s", seed, all, err, Format(all))
 	}
 	if plans < 100 || refusals < 100 || mistakes < 10 {
 		t.Errorf("%d plans, %d refusals, %d mistakes: the digest says little", plans, refusals, mistakes)
@@ -38,11 +38,11 @@
 
 func drawProblem(r *rand.Rand) (members []Member, steps []Step, l Limits) {
 	whole := func(n int) float64 { return float64(r.IntN(n)) }
-	l = Limits{Need: map[int64]float64{}, NeedZone: map[string]float64{}, Cold: 1 + r.IntN(4), Away: whole(40),
-		Warm: whole(60), ColdShare: float64(r.IntN(5)) / 4, Gap: whole(5), Lost: whole(20), Pause: whole(30),
-		Within: whole(2) * 400, Candidates: r.IntN(3)}
+	l = Limits{GroupCapacity: map[int64]float64{}, ZoneCapacity: map[string]float64{}, MaxUnavailable: 1 + r.IntN(4), ReplaceTime: whole(40),
+		WarmupTime: whole(60), WarmupCapacity: float64(r.IntN(5)) / 4, WriteGap: whole(5), MaxWriteGap: whole(20), SwitchInterval: whole(30),
+		Deadline: whole(2) * 400, MinCandidates: r.IntN(3)}
 	if r.IntN(20) == 0 {
-		l.Pause = -1
+		l.SwitchInterval = -1
 	}
 	for g := range 1 + r.IntN(4) {
 		sum := 0.0
@@ -57,8 +57,8 @@
 				steps = append(steps, Step{kind, m.Name})
 			}
 		}
-		l.Need[int64(g)] = float64(int(sum * r.Float64() * 0.7))
-		l.NeedZone["a"] += float64(int(sum * r.Float64() * 0.35))
+		l.GroupCapacity[int64(g)] = float64(int(sum * r.Float64() * 0.7))
+		l.ZoneCapacity["a"] += float64(int(sum * r.Float64() * 0.35))
 	}
 	return members, steps, l
 }
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -49,36 +49,36 @@
 
 // Limits hold at every moment. Times are seconds.
 type Limits struct {
-	Need       map[int64]float64 // capacity that a group has to keep
-	NeedZone   map[string]float64
-	Cold       int     // members away or cold at a time, all groups together
-	Away       float64 // a replaced member is away for so long
-	Warm       float64 // and so long cold: it counts for ColdShare of its capacity then
-	ColdShare  float64 // 0 to 1
-	Gap        float64 // writes of a group stand for so long in a change of its primary
-	Lost       float64 // of write time a group, in all
-	Pause      float64 // between two changes of a primary, over all groups
-	Within     float64 // the plan is to be done by then; 0: at any time
-	Candidates int     // other members, warm and there, that a group has to have when its primary changes; 0 for 1
+	GroupCapacity  map[int64]float64 // capacity that a group has to keep
+	ZoneCapacity   map[string]float64
+	MaxUnavailable int     // members away or cold at a time, all groups together
+	ReplaceTime    float64 // a replaced member is away for so long
+	WarmupTime     float64 // and so long cold: it counts for ColdShare of its capacity then
+	WarmupCapacity float64 // 0 to 1
+	WriteGap       float64 // writes of a group stand for so long in a change of its primary
+	MaxWriteGap    float64 // of write time a group, in all
+	SwitchInterval float64 // between two changes of a primary, over all groups
+	Deadline       float64 // the plan is to be done by then; 0: at any time
+	MinCandidates  int     // other members, warm and there, that a group has to have when its primary changes; 0 for 1
 }
 
 // Placed is a step with its time.
-type Placed struct {
+type ScheduledStep struct {
 	Step
-	Group            int64
-	Start, End       float64 // of the whole step, until the member is warm
-	Switches         bool    // it changes the primary at Start
-	LeastGroup       float64 // capacity that the group has left meanwhile, at the least
-	WriteGap, Behind float64 // of this step; behind: of the group's in all before it
+	Group                   int64
+	Start, End              float64 // of the whole step, until the member is warm
+	ChangesPrimary          bool    // it changes the primary at Start
+	GroupCapacity           float64 // capacity that the group has left meanwhile, at the least
+	WriteGap, PriorWriteGap float64 // of this step; behind: of the group's in all before it
 }
 
 // Refused is why there is no plan.
-type Refused struct {
+type InfeasibleError struct {
 	Step  Step
 	Limit string // what binds
 }
 
-func (r *Refused) Error() string {
+func (r *InfeasibleError) Error() string {
 	return fmt.Sprintf("no plan: %s of %s: %s", r.Step.Kind, r.Step.Member, r.Limit)
 }
 
@@ -95,17 +95,17 @@
 	changes []float64
 	gaps    map[int64]float64
 	primary map[int64]string
-	all     []Placed
+	all     []ScheduledStep
 }
 
 // Make places all steps, or says which limit stands in the way (*Refused), or that the problem makes no sense.
-func Make(members []Member, steps []Step, l Limits, tries int, seed uint64) ([]Placed, error) {
+func Solve(members []Member, steps []Step, l Limits, tries int, seed uint64) ([]ScheduledStep, error) {
 	if err := check(members, steps, l); err != nil {
 		return nil, err
 	}
 	if len(steps) > 0 {
 		if limit := short(members, l); limit != "" {
-			return nil, &Refused{steps[0], limit}
+			return nil, &InfeasibleError{steps[0], limit}
 		}
 	}
 	order := slices.Clone(steps)
@@ -122,13 +122,13 @@
 				left += m.Capacity
 			}
 		}
-		return left - own - l.Need[g]
+		return left - own - l.GroupCapacity[g]
 	}
 	slices.SortStableFunc(order, func(a, b Step) int {
 		return cmp.Or(cmp.Compare(room(a), room(b)),
 			cmp.Compare(a.Member, b.Member))
 	})
-	var best []Placed
+	var best []ScheduledStep
 	var refused error
 	draw := rand.New(rand.NewPCG(seed, 31))
 	for range max(tries, 1) {
@@ -143,7 +143,7 @@
 	if best == nil {
 		return nil, refused
 	}
-	slices.SortStableFunc(best, func(a, b Placed) int {
+	slices.SortStableFunc(best, func(a, b ScheduledStep) int {
 		return cmp.Or(cmp.Compare(a.Start, b.Start),
 			cmp.Compare(a.Member, b.Member))
 	})
@@ -157,20 +157,20 @@
 		group[m.Group] += m.Capacity
 		zone[m.Zone] += m.Capacity
 	}
-	for _, g := range slices.Sorted(maps.Keys(l.Need)) {
-		if group[g] < l.Need[g]-1e-9 {
-			return fmt.Sprintf("capacity: group %d has %g of the %g that it needs, with nobody away", g, group[g], l.Need[g])
+	for _, g := range slices.Sorted(maps.Keys(l.GroupCapacity)) {
+		if group[g] < l.GroupCapacity[g]-1e-9 {
+			return fmt.Sprintf("capacity: group %d has %g of the %g that it needs, with nobody away", g, group[g], l.GroupCapacity[g])
 		}
 	}
-	for _, z := range slices.Sorted(maps.Keys(l.NeedZone)) {
-		if zone[z] < l.NeedZone[z]-1e-9 {
-			return fmt.Sprintf("capacity: zone %s has %g of the %g that it needs, with nobody away", z, zone[z], l.NeedZone[z])
+	for _, z := range slices.Sorted(maps.Keys(l.ZoneCapacity)) {
+		if zone[z] < l.ZoneCapacity[z]-1e-9 {
+			return fmt.Sprintf("capacity: zone %s has %g of the %g that it needs, with nobody away", z, zone[z], l.ZoneCapacity[z])
 		}
 	}
 	return ""
 }
 
-func length(all []Placed) (end float64) {
+func length(all []ScheduledStep) (end float64) {
 	for _, p := range all {
 		end = max(end, p.End)
 	}
@@ -200,14 +200,14 @@
 		}
 		done[s.Member] = true
 	}
-	if l.Cold < 1 || l.Away < 0 || l.Warm < 0 || l.Gap < 0 || l.Pause < 0 || l.Lost < 0 || l.Within < 0 ||
-		l.ColdShare < 0 || l.ColdShare > 1 {
+	if l.MaxUnavailable < 1 || l.ReplaceTime < 0 || l.WarmupTime < 0 || l.WriteGap < 0 || l.SwitchInterval < 0 || l.MaxWriteGap < 0 || l.Deadline < 0 ||
+		l.WarmupCapacity < 0 || l.WarmupCapacity > 1 {
 		return fmt.Errorf("limits want one cold member at the least, and nothing below zero")
 	}
 	return nil
 }
 
-func place(members []Member, order []Step, l Limits) ([]Placed, error) {
+func place(members []Member, order []Step, l Limits) ([]ScheduledStep, error) {
 	s := &schedule{
 		l:       l,
 		members: map[string]Member{},
@@ -237,11 +237,11 @@
 // put finds the earliest start that all limits allow.
 func (s *schedule) put(st Step) error {
 	m := s.members[st.Member]
-	p := Placed{Step: st, Group: m.Group, Switches: s.primary[m.Group] == m.Name}
-	if p.Switches {
-		if p.WriteGap, p.Behind = s.l.Gap, s.gaps[m.Group]; p.Behind+p.WriteGap > s.l.Lost+1e-9 {
-			return &Refused{st, fmt.Sprintf("write time: group %d would lose %g s, %g are allowed", m.Group, p.Behind+p.WriteGap,
-				s.l.Lost)}
+	p := ScheduledStep{Step: st, Group: m.Group, ChangesPrimary: s.primary[m.Group] == m.Name}
+	if p.ChangesPrimary {
+		if p.WriteGap, p.PriorWriteGap = s.l.WriteGap, s.gaps[m.Group]; p.PriorWriteGap+p.WriteGap > s.l.MaxWriteGap+1e-9 {
+			return &InfeasibleError{st, fmt.Sprintf("write time: group %d would lose %g s, %g are allowed", m.Group, p.PriorWriteGap+p.WriteGap,
+				s.l.MaxWriteGap)}
 		}
 	}
 	starts := []float64{0}
@@ -249,7 +249,7 @@
 		starts = append(starts, x.from, x.to)
 	}
 	for _, at := range s.changes {
-		starts = append(starts, at+s.l.Pause)
+		starts = append(starts, at+s.l.SwitchInterval)
 	}
 	for _, x := range s.all { // a group's steps do not overlap a change of its primary
 		starts = append(starts, x.End, x.Start+x.WriteGap)
@@ -264,14 +264,14 @@
 		s.take(p, m)
 		return nil
 	}
-	return &Refused{st, why}
+	return &InfeasibleError{st, why}
 }
 
 // bindsChange names the first limit that forbids a change of the group's primary at the step's start.
-func (s *schedule) bindsChange(p *Placed, m Member) string {
+func (s *schedule) bindsChange(p *ScheduledStep, m Member) string {
 	for _, c := range s.changes {
-		if math.Abs(c-p.Start) < s.l.Pause-1e-9 {
-			return fmt.Sprintf("pause: a change of a primary at %g s is nearer than %g s", c, s.l.Pause)
+		if math.Abs(c-p.Start) < s.l.SwitchInterval-1e-9 {
+			return fmt.Sprintf("pause: a change of a primary at %g s is nearer than %g s", c, s.l.SwitchInterval)
 		}
 	}
 	able := 0
@@ -282,29 +282,29 @@
 			able++
 		}
 	}
-	if able < max(s.l.Candidates, 1) {
+	if able < max(s.l.MinCandidates, 1) {
 		return fmt.Sprintf("candidates: group %d has %d warm members beside its primary, %d are wanted", m.Group, able,
-			max(s.l.Candidates, 1))
+			max(s.l.MinCandidates, 1))
 	}
 	return ""
 }
 
 // binds sets the step's times to a start and names the first limit that forbids it.
-func (s *schedule) binds(p *Placed, m Member, at float64) string {
+func (s *schedule) binds(p *ScheduledStep, m Member, at float64) string {
 	p.Start, p.End = at, at+p.WriteGap
 	if p.Kind == Replace {
-		p.End += s.l.Away + s.l.Warm
+		p.End += s.l.ReplaceTime + s.l.WarmupTime
 	}
-	if s.l.Within > 0 && p.End > s.l.Within {
-		return fmt.Sprintf("time: it would end at %g s, %g are allowed", p.End, s.l.Within)
+	if s.l.Deadline > 0 && p.End > s.l.Deadline {
+		return fmt.Sprintf("time: it would end at %g s, %g are allowed", p.End, s.l.Deadline)
 	}
 	away := p.Start + p.WriteGap
 	mine := []span{}
 	if p.Kind == Replace {
-		mine = append(mine, span{away, away + s.l.Away, m.Capacity, m},
-			span{away + s.l.Away, p.End, m.Capacity * (1 - s.l.ColdShare), m})
+		mine = append(mine, span{away, away + s.l.ReplaceTime, m.Capacity, m},
+			span{away + s.l.ReplaceTime, p.End, m.Capacity * (1 - s.l.WarmupCapacity), m})
 	}
-	if p.Switches {
+	if p.ChangesPrimary {
 		if limit := s.bindsChange(p, m); limit != "" {
 			return limit
 		}
@@ -316,11 +316,11 @@
 			moments = append(moments, x.from)
 		}
 	}
-	p.LeastGroup = s.left(append([]float64{p.Start}, moments...), all, func(o Member) bool { return o.Group == m.Group })
-	if need := s.l.Need[m.Group]; p.Kind == Replace && p.LeastGroup < need-1e-9 {
-		return fmt.Sprintf("capacity: group %d would have %g of the %g that it needs", m.Group, p.LeastGroup, need)
+	p.GroupCapacity = s.left(append([]float64{p.Start}, moments...), all, func(o Member) bool { return o.Group == m.Group })
+	if need := s.l.GroupCapacity[m.Group]; p.Kind == Replace && p.GroupCapacity < need-1e-9 {
+		return fmt.Sprintf("capacity: group %d would have %g of the %g that it needs", m.Group, p.GroupCapacity, need)
 	}
-	if need := s.l.NeedZone[m.Zone]; p.Kind == Replace && need > 0 {
+	if need := s.l.ZoneCapacity[m.Zone]; p.Kind == Replace && need > 0 {
 		if left := s.left(moments, all, func(o Member) bool { return o.Zone == m.Zone }); left < need-1e-9 {
 			return fmt.Sprintf("capacity: zone %s would have %g of the %g that it needs", m.Zone, left, need)
 		}
@@ -332,8 +332,8 @@
 				names[x.member.Name] = true
 			}
 		}
-		if len(names) > s.l.Cold {
-			return fmt.Sprintf("cold members: %d at %g s, %d are allowed", len(names), t, s.l.Cold)
+		if len(names) > s.l.MaxUnavailable {
+			return fmt.Sprintf("cold members: %d at %g s, %d are allowed", len(names), t, s.l.MaxUnavailable)
 		}
 	}
 	return ""
@@ -359,30 +359,30 @@
 	return least
 }
 
-func (s *schedule) take(p Placed, m Member) {
-	if p.Switches {
+func (s *schedule) take(p ScheduledStep, m Member) {
+	if p.ChangesPrimary {
 		s.changes = append(s.changes, p.Start)
 		s.gaps[m.Group] += p.WriteGap
 		s.primary[m.Group] = ""
 	}
 	if p.Kind == Replace {
 		away := p.Start + p.WriteGap
-		s.spans = append(s.spans, span{away, away + s.l.Away, m.Capacity, m},
-			span{away + s.l.Away, p.End, m.Capacity * (1 - s.l.ColdShare), m})
+		s.spans = append(s.spans, span{away, away + s.l.ReplaceTime, m.Capacity, m},
+			span{away + s.l.ReplaceTime, p.End, m.Capacity * (1 - s.l.WarmupCapacity), m})
 	}
 	s.all = append(s.all, p)
 }
 
 // String is a plan as a table's lines.
-func String(all []Placed) string {
+func Format(all []ScheduledStep) string {
 	var b strings.Builder
 	for _, p := range all {
 		fmt.Fprintf(&b, "%8.1f s to %8.1f s  %-8s %-12s group %d", p.Start, p.End, p.Kind, p.Member, p.Group)
-		if p.Switches {
+		if p.ChangesPrimary {
 			fmt.Fprintf(&b, "  its primary changes, %.1f s without writes", p.WriteGap)
 		}
 		if p.Kind == Replace {
-			fmt.Fprintf(&b, "  capacity left %.3g", p.LeastGroup)
+			fmt.Fprintf(&b, "  capacity left %.3g", p.GroupCapacity)
 		}
 		b.WriteByte('\n')
 	}
--- a/internal/plan/plan_test.go
+++ b/internal/plan/plan_test.go
@@ -10,7 +10,7 @@
 )
 
 // audit looks at a plan at many moments, without the planner's own reckoning.
-func audit(members []Member, steps []Step, l Limits, all []Placed) error {
+func audit(members []Member, steps []Step, l Limits, all []ScheduledStep) error {
 	if len(all) != len(steps) {
 		return fmt.Errorf("%d of %d steps", len(all), len(steps))
 	}
@@ -22,19 +22,19 @@
 	var moments []float64
 	for _, p := range all {
 		away := p.Start + p.WriteGap
-		moments = append(moments, p.Start, p.Start+0.001, away+0.001, away+l.Away+0.001, p.End-0.001)
+		moments = append(moments, p.Start, p.Start+0.001, away+0.001, away+l.ReplaceTime+0.001, p.End-0.001)
 		lost[p.Group] += p.WriteGap
-		if l.Within > 0 && p.End > l.Within+1e-6 || p.Switches != (by[p.Member].Primary) || p.Switches && p.WriteGap != l.Gap {
+		if l.Deadline > 0 && p.End > l.Deadline+1e-6 || p.ChangesPrimary != (by[p.Member].Primary) || p.ChangesPrimary && p.WriteGap != l.WriteGap {
 			return fmt.Errorf("%+v", p)
 		}
 		for _, q := range all {
-			if q.Member != p.Member && q.Switches && p.Switches && q.Start-p.Start < l.Pause-1e-6 && q.Start >= p.Start {
+			if q.Member != p.Member && q.ChangesPrimary && p.ChangesPrimary && q.Start-p.Start < l.SwitchInterval-1e-6 && q.Start >= p.Start {
 				return fmt.Errorf("%s and %s change primaries within the pause", p.Member, q.Member)
 			}
 		}
 	}
 	for g, x := range lost {
-		if x > l.Lost+1e-6 {
+		if x > l.MaxWriteGap+1e-6 {
 			return fmt.Errorf("group %d loses %g s", g, x)
 		}
 	}
@@ -45,23 +45,23 @@
 			for _, p := range all {
 				if away := p.Start + p.WriteGap; p.Member == m.Name && p.Kind == Replace && t > away && t < p.End {
 					cold++
-					if has = 0; t > away+l.Away {
-						has = m.Capacity * l.ColdShare
+					if has = 0; t > away+l.ReplaceTime {
+						has = m.Capacity * l.WarmupCapacity
 					}
 				}
 			}
 			group[m.Group] += has
 			zone[m.Zone] += has
 		}
-		if cold > l.Cold {
+		if cold > l.MaxUnavailable {
 			return fmt.Errorf("%d cold at %g", cold, t)
 		}
-		for g, need := range l.Need {
+		for g, need := range l.GroupCapacity {
 			if group[g] < need-1e-6 {
 				return fmt.Errorf("group %d has %g of %g at %g", g, group[g], need, t)
 			}
 		}
-		for z, need := range l.NeedZone {
+		for z, need := range l.ZoneCapacity {
 			if zone[z] < need-1e-6 {
 				return fmt.Errorf("zone %s has %g of %g at %g", z, zone[z], need, t)
 			}
@@ -76,9 +76,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var members []Member
 		var steps []Step
-		l := Limits{Need: map[int64]float64{}, NeedZone: map[string]float64{}, Cold: rapid.IntRange(1, 4).Draw(t, "cold"), Away: float64(rapid.IntRange(0, 40).Draw(t, "away")),
-			Warm: float64(rapid.IntRange(0, 60).Draw(t, "warm")), ColdShare: rapid.Float64Range(0, 1).Draw(t, "share"), Gap: float64(rapid.IntRange(0, 5).Draw(t, "gap")),
-			Lost: float64(rapid.IntRange(0, 20).Draw(t, "lost")), Pause: float64(rapid.IntRange(0, 30).Draw(t, "pause")), Within: float64(rapid.IntRange(0, 2).Draw(t, "within") * 400)}
+		l := Limits{GroupCapacity: map[int64]float64{}, ZoneCapacity: map[string]float64{}, MaxUnavailable: rapid.IntRange(1, 4).Draw(t, "cold"), ReplaceTime: float64(rapid.IntRange(0, 40).Draw(t, "away")),
+			WarmupTime: float64(rapid.IntRange(0, 60).Draw(t, "warm")), WarmupCapacity: rapid.Float64Range(0, 1).Draw(t, "share"), WriteGap: float64(rapid.IntRange(0, 5).Draw(t, "gap")),
+			MaxWriteGap: float64(rapid.IntRange(0, 20).Draw(t, "lost")), SwitchInterval: float64(rapid.IntRange(0, 30).Draw(t, "pause")), Deadline: float64(rapid.IntRange(0, 2).Draw(t, "within") * 400)}
 		for g := range rapid.IntRange(1, 4).Draw(t, "groups") {
 			n := rapid.IntRange(2, 5).Draw(t, "members")
 			sum := 0.0
@@ -94,17 +94,17 @@
 					steps = append(steps, Step{kind, m.Name})
 				}
 			}
-			l.Need[int64(g)] = sum * rapid.Float64Range(0, 0.8).Draw(t, "need")
-			l.NeedZone["a"] += sum * rapid.Float64Range(0, 0.4).Draw(t, "zone")
+			l.GroupCapacity[int64(g)] = sum * rapid.Float64Range(0, 0.8).Draw(t, "need")
+			l.ZoneCapacity["a"] += sum * rapid.Float64Range(0, 0.4).Draw(t, "zone")
 		}
-		all, err := Make(members, steps, l, 5, 1)
-		var refused *Refused
+		all, err := Solve(members, steps, l, 5, 1)
+		var refused *InfeasibleError
 		switch {
 		case err == nil && len(steps) == 0:
 		case err == nil:
 			plans++
 			if err := audit(members, steps, l, all); err != nil {
-				t.Fatalf("%v\n%s", err, String(all))
+				t.Fatalf("%v\n%s", err, Format(all))
 			}
 		case !errors.As(err, &refused) || refused.Limit == "":
 			t.Fatal(err)
@@ -123,17 +123,17 @@
 
 // What fits side by side is done side by side; more tries never give a longer plan.
 func TestPlansAreShort(t *testing.T) {
-	l := Limits{Cold: 2, Away: 10, Warm: 20, ColdShare: 0.5, Gap: 2, Lost: 10, Need: map[int64]float64{1: 200}}
-	all, err := Make(four(), []Step{{Replace, "q"}, {Replace, "r"}, {Replace, "p"}}, l, 1, 1)
-	if err != nil || length(all) != 62 || all[0].Start != 0 || all[1].Start != 0 || all[2].Member != "p" || !all[2].Switches {
-		t.Fatalf("%v\n%s", err, String(all))
+	l := Limits{MaxUnavailable: 2, ReplaceTime: 10, WarmupTime: 20, WarmupCapacity: 0.5, WriteGap: 2, MaxWriteGap: 10, GroupCapacity: map[int64]float64{1: 200}}
+	all, err := Solve(four(), []Step{{Replace, "q"}, {Replace, "r"}, {Replace, "p"}}, l, 1, 1)
+	if err != nil || length(all) != 62 || all[0].Start != 0 || all[1].Start != 0 || all[2].Member != "p" || !all[2].ChangesPrimary {
+		t.Fatalf("%v\n%s", err, Format(all))
 	}
 	for _, want := range []string{"its primary changes, 2.0 s without writes", "capacity left 200"} {
-		if !strings.Contains(String(all), want) {
-			t.Errorf("%q is not in\n%s", want, String(all))
+		if !strings.Contains(Format(all), want) {
+			t.Errorf("%q is not in\n%s", want, Format(all))
 		}
 	}
-	again, err := Make(four(), []Step{{Replace, "q"}, {Replace, "r"}, {Replace, "p"}}, l, 200, 1)
+	again, err := Solve(four(), []Step{{Replace, "q"}, {Replace, "r"}, {Replace, "p"}}, l, 200, 1)
 	if err != nil || length(again) > length(all) {
 		t.Error(err, length(again))
 	}
@@ -142,17 +142,17 @@
 // Each limit that leaves no plan is the one that is named.
 func TestLimitsAreNamed(t *testing.T) {
 	for want, change := range map[string]func(*Limits){
-		"capacity: group 1 would have 300 of the 350": func(l *Limits) { l.Need = map[int64]float64{1: 350} },
-		"capacity: zone a would have 100 of the 150":  func(l *Limits) { l.NeedZone = map[string]float64{"a": 150} },
-		"write time: group 1 would lose 2 s, 1 are":   func(l *Limits) { l.Lost = 1 },
-		"time: it would end at":                       func(l *Limits) { l.Within = 31 },
-		"capacity: zone b has 200 of the 210 that it": func(l *Limits) { l.NeedZone = map[string]float64{"b": 210} },
-		"candidates: group 1 has 3 warm members":      func(l *Limits) { l.Candidates = 4 },
+		"capacity: group 1 would have 300 of the 350": func(l *Limits) { l.GroupCapacity = map[int64]float64{1: 350} },
+		"capacity: zone a would have 100 of the 150":  func(l *Limits) { l.ZoneCapacity = map[string]float64{"a": 150} },
+		"write time: group 1 would lose 2 s, 1 are":   func(l *Limits) { l.MaxWriteGap = 1 },
+		"time: it would end at":                       func(l *Limits) { l.Deadline = 31 },
+		"capacity: zone b has 200 of the 210 that it": func(l *Limits) { l.ZoneCapacity = map[string]float64{"b": 210} },
+		"candidates: group 1 has 3 warm members":      func(l *Limits) { l.MinCandidates = 4 },
 	} {
-		l := Limits{Cold: 4, Away: 10, Warm: 20, ColdShare: 0.5, Gap: 2, Lost: 10, Pause: 5}
+		l := Limits{MaxUnavailable: 4, ReplaceTime: 10, WarmupTime: 20, WarmupCapacity: 0.5, WriteGap: 2, MaxWriteGap: 10, SwitchInterval: 5}
 		change(&l)
-		_, err := Make(four(), []Step{{Replace, "p"}}, l, 20, 1)
-		var refused *Refused
+		_, err := Solve(four(), []Step{{Replace, "p"}}, l, 20, 1)
+		var refused *InfeasibleError
 		if !errors.As(err, &refused) || !strings.HasPrefix(refused.Limit, want) || refused.Step.Member != "p" {
 			t.Errorf("%s: %v", want, err)
 		}
@@ -160,20 +160,20 @@
 }
 
 func TestProblemsThatMakeNoSense(t *testing.T) {
-	good := Limits{Cold: 1}
+	good := Limits{MaxUnavailable: 1}
 	for i, c := range []struct {
 		members []Member
 		steps   []Step
 		l       Limits
 	}{
 		{append(four(), four()[0]), nil, good}, {four()[1:], nil, good}, {four(), []Step{{Replace, "x"}}, good}, {four(), []Step{{Switch, "q"}}, good},
-		{four(), []Step{{Replace, "q"}, {Replace, "q"}}, good}, {four(), nil, Limits{}}, {four(), nil, Limits{Cold: 1, Gap: -1}},
+		{four(), []Step{{Replace, "q"}, {Replace, "q"}}, good}, {four(), nil, Limits{}}, {four(), nil, Limits{MaxUnavailable: 1, WriteGap: -1}},
 	} {
-		if _, err := Make(c.members, c.steps, c.l, 1, 1); err == nil {
+		if _, err := Solve(c.members, c.steps, c.l, 1, 1); err == nil {
 			t.Errorf("%d: a problem that makes no sense is planned", i)
 		}
 	}
-	if all, err := Make(four(), nil, good, 1, 1); err != nil || len(all) > 0 {
+	if all, err := Solve(four(), nil, good, 1, 1); err != nil || len(all) > 0 {
 		t.Error(all, err)
 	}
 }
--- a/internal/registry/consul.go
+++ b/internal/registry/consul.go
@@ -24,7 +24,7 @@
 }
 
 // Read gives the list as the leader holds it where exact, else as any server does.
-func (x *consul) Read(ctx context.Context, endpoint int, exact bool, tell func(roster.Update)) error {
+func (x *consul) List(ctx context.Context, endpoint int, exact bool, tell func(roster.Update)) error {
 	mode := "stale"
 	if exact {
 		mode = "consistent"
@@ -40,10 +40,10 @@
 
 // Follow reads again and again, each time when the index has passed the one before, or half the silence is over. A
 // server adds up to a sixteenth of the wait; ours is drawn, so that many drivers don't ask at the same moments.
-func (x *consul) Follow(ctx context.Context, endpoint int, from int64, sign func(), tell func(roster.Update)) error {
+func (x *consul) Watch(ctx context.Context, endpoint int, from int64, sign func(), tell func(roster.Update)) error {
 	for held := from - 1; ; {
-		wait := time.Duration(float64(x.o.Silence) / 2 * (0.8 + 0.2*rand.Float64()))
-		watched, _, stop := watchdog(ctx, x.o.Silence)
+		wait := time.Duration(float64(x.o.WatchTimeout) / 2 * (0.8 + 0.2*rand.Float64()))
+		watched, _, stop := watchdog(ctx, x.o.WatchTimeout)
 		u, err := x.ask(watched, endpoint, url.Values{"index": {fmt.Sprint(held)},
 			"wait": {fmt.Sprintf("%dms", wait.Milliseconds())}})
 		err = ended(watched, err)
--- a/internal/registry/etcd.go
+++ b/internal/registry/etcd.go
@@ -137,7 +137,7 @@
 }
 
 // Read gives the list by pages, all of the first one's revision.
-func (x *etcd) Read(ctx context.Context, endpoint int, exact bool, tell func(roster.Update)) error {
+func (x *etcd) List(ctx context.Context, endpoint int, exact bool, tell func(roster.Update)) error {
 	from, revision := []byte(x.o.Prefix), int64(0)
 	for {
 		answer, err := x.post(ctx, endpoint, "/v3/kv/range", map[string]any{"key": from, "range_end": after(x.o.Prefix),
@@ -182,8 +182,8 @@
 }
 
 // Follow opens a watch. Its first message says that it stands, and how far the server is.
-func (x *etcd) Follow(ctx context.Context, endpoint int, from int64, sign func(), tell func(roster.Update)) error {
-	ctx, alive, stop := watchdog(ctx, x.o.Silence)
+func (x *etcd) Watch(ctx context.Context, endpoint int, from int64, sign func(), tell func(roster.Update)) error {
+	ctx, alive, stop := watchdog(ctx, x.o.WatchTimeout)
 	defer stop()
 	answer, err := x.post(ctx, endpoint, "/v3/watch",
 		map[string]any{"create_request": map[string]any{"key": []byte(x.o.Prefix), "range_end": after(x.o.Prefix),
--- a/internal/registry/golden_test.go
+++ b/internal/registry/golden_test.go
@@ -63,23 +63,23 @@
 		t.Fatal(err)
 	}
 	ctx := context.Background()
-	read := func(exact bool) func(Dialect, func(roster.Update)) error {
-		return func(d Dialect, tell func(roster.Update)) error { return d.Read(ctx, 0, exact, tell) }
+	read := func(exact bool) func(Backend, func(roster.Update)) error {
+		return func(d Backend, tell func(roster.Update)) error { return d.List(ctx, 0, exact, tell) }
 	}
-	watch := func(d Dialect, tell func(roster.Update)) error {
-		return d.Follow(ctx, 0, 5, func() { tell(roster.Update{Epoch: "sign"}) }, tell)
+	watch := func(d Backend, tell func(roster.Update)) error {
+		return d.Watch(ctx, 0, 5, func() { tell(roster.Update{Epoch: "sign"}) }, tell)
 	}
-	grant := func(d Dialect, tell func(roster.Update)) error {
+	grant := func(d Backend, tell func(roster.Update)) error {
 		lease, stands, err := d.Grant(ctx, 0, "d/n0", []byte(`{"phase":"up"}`), 12*time.Second)
 		tell(roster.Update{Epoch: lease, Revision: int64(stands)})
 		return err
 	}
-	renew := func(d Dialect, tell func(roster.Update)) error {
+	renew := func(d Backend, tell func(roster.Update)) error {
 		stands, err := d.Renew(ctx, 0, "17/8")
 		tell(roster.Update{Revision: int64(stands)})
 		return err
 	}
-	revoke := func(d Dialect, _ func(roster.Update)) error { return d.Revoke(ctx, 0, "17/8") }
+	revoke := func(d Backend, _ func(roster.Update)) error { return d.Revoke(ctx, 0, "17/8") }
 	header := `"header":{"cluster_id":"c1","revision":"9"}`
 	k1, k2 := etcdKeyText("cC9h", goodBase64, "4"), etcdKeyText("cC9i", "e30=", "6")
 	message := func(rest string) string { return `{"result":{` + header + rest + `}}` }
@@ -87,7 +87,7 @@
 	for _, c := range []struct {
 		name, dialect, service string
 		secret                 bool
-		call                   func(Dialect, func(roster.Update)) error
+		call                   func(Backend, func(roster.Update)) error
 		answers                []string
 	}{
 		{"read by pages", "etcd", "", false, read(true), []string{
@@ -137,7 +137,7 @@
 		{"renew error", "consul", "", false, renew, []string{"500 \nno"}},
 		{"revoke", "consul", "", false, revoke, []string{"200 \ntrue"}},
 	} {
-		o := Options{Dialect: c.dialect, Endpoints: []string{"http://e"}, Prefix: "p/", Service: c.service, Silence: time.Minute}
+		o := Options{Dialect: c.dialect, Endpoints: []string{"http://e"}, Prefix: "p/", Service: c.service, WatchTimeout: time.Minute}
 		if c.secret {
 			o.CredentialsFile = secret
 		}
@@ -149,13 +149,13 @@
 		setTransport(d, s)
 		var taken []string
 		err = c.call(d, func(u roster.Update) { taken = append(taken, fmt.Sprintf("%v", u)) })
-		got := fmt.Sprintf("%s | %s | %v | %v %v", strings.Join(s.sent, "; "), strings.Join(taken, "; "), err, EndOf(err), PresenceEndOf(err))
+		got := fmt.Sprintf("%s | %s | %v | %v %v", strings.Join(s.sent, "; "), strings.Join(taken, "; "), err, ResultOf(err), PresenceResultOf(err))
 		cases = append(cases, golden.Of(c.dialect+" "+c.name, got))
 	}
 	golden.Text(t, "testdata/dialects.txt", cases)
 }
 
-func setTransport(d Dialect, t http.RoundTripper) {
+func setTransport(d Backend, t http.RoundTripper) {
 	switch x := d.(type) {
 	case *etcd:
 		x.http.Transport = t
--- a/internal/registry/lease.go
+++ b/internal/registry/lease.go
@@ -16,7 +16,7 @@
 )
 
 // Announcer holds one key for a driver. Its methods take an endpoint as Client's do.
-type Announcer interface {
+type LeaseClient interface {
 	// Grant writes the key under a new lease and gives it, with the time for which it stands without a renewal.
 	Grant(ctx context.Context, endpoint int, key string, value []byte, ttl time.Duration) (lease string,
 		stands time.Duration, err error)
@@ -33,7 +33,7 @@
 )
 
 // PresenceEndOf gives the meaning of an announcement's error.
-func PresenceEndOf(err error) roster.PresenceResult {
+func PresenceResultOf(err error) roster.PresenceResult {
 	switch {
 	case err == nil:
 		return roster.StepDone
--- a/internal/registry/lease_test.go
+++ b/internal/registry/lease_test.go
@@ -15,7 +15,7 @@
 	both(t, func(t *testing.T, dialect string) {
 		s := kv.NewStore("c1")
 		v := serve(t, s)
-		a, err := New(Options{Dialect: dialect, Prefix: "d/", Endpoints: []string{v.URL}, Silence: time.Second})
+		a, err := New(Options{Dialect: dialect, Prefix: "d/", Endpoints: []string{v.URL}, WatchTimeout: time.Second})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -25,14 +25,14 @@
 		if err != nil || stands != 10*time.Second {
 			t.Fatal(stands, err)
 		}
-		if _, _, err := a.Grant(ctx, 0, "d/n0", value, 10*time.Second); !errors.Is(err, errTaken) || PresenceEndOf(err) != roster.StepNameTaken {
+		if _, _, err := a.Grant(ctx, 0, "d/n0", value, 10*time.Second); !errors.Is(err, errTaken) || PresenceResultOf(err) != roster.StepNameTaken {
 			t.Errorf("a second one of the name: %v", err)
 		}
 		if stands, err := a.Renew(ctx, 0, first); err != nil || stands != 10*time.Second {
 			t.Errorf("renewed: %v %v", stands, err)
 		}
 		s.LoseLeases()
-		if _, err := a.Renew(ctx, 0, first); !errors.Is(err, errGone) || PresenceEndOf(err) != roster.StepLeaseLost {
+		if _, err := a.Renew(ctx, 0, first); !errors.Is(err, errGone) || PresenceResultOf(err) != roster.StepLeaseLost {
 			t.Errorf("a lease that is lost: %v", err)
 		}
 		second, _, err := a.Grant(ctx, 0, "d/n0", value, 10*time.Second)
@@ -46,7 +46,7 @@
 			t.Errorf("behind one that was given back: %v", err)
 		}
 		v.Down.Store(true)
-		if _, err := a.Renew(ctx, 0, second); PresenceEndOf(err) != roster.StepFailed {
+		if _, err := a.Renew(ctx, 0, second); PresenceResultOf(err) != roster.StepFailed {
 			t.Errorf("a registry that is down: %v", err)
 		}
 	})
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -31,22 +31,22 @@
 	Service         string
 	CredentialsFile string
 	CAFile          string
-	Silence         time.Duration // of a watch that gives no sign
+	WatchTimeout    time.Duration // of a watch that gives no sign
 }
 
 // Client is one dialect. Each call goes to one endpoint and ends with the context. Tell is called with what came, in
 // order; the error says how the call ended, see EndOf.
 type Client interface {
 	// Read gives the whole list, the registry's newest where exact, else any server's own.
-	Read(ctx context.Context, endpoint int, exact bool, tell func(roster.Update)) error
+	List(ctx context.Context, endpoint int, exact bool, tell func(roster.Update)) error
 	// Follow gives what changes from a revision on, until an error; sign is called for each sign of life.
-	Follow(ctx context.Context, endpoint int, from int64, sign func(), tell func(roster.Update)) error
+	Watch(ctx context.Context, endpoint int, from int64, sign func(), tell func(roster.Update)) error
 }
 
 // Dialect is all that one registry is asked.
-type Dialect interface {
+type Backend interface {
 	Client
-	Announcer
+	LeaseClient
 }
 
 const (
@@ -66,7 +66,7 @@
 )
 
 // EndOf gives the meaning of a call's error.
-func EndOf(err error) roster.CallResult {
+func ResultOf(err error) roster.CallResult {
 	switch {
 	case err == nil:
 		return roster.CallSucceeded
@@ -83,7 +83,7 @@
 }
 
 // New makes a client. An error: the certificates can't be read.
-func New(o Options) (Dialect, error) {
+func New(o Options) (Backend, error) {
 	h := &caller{o: o}
 	t := &http.Transport{DialContext: (&net.Dialer{Timeout: connectTime}).DialContext, TLSHandshakeTimeout: connectTime,
 		MaxIdleConnsPerHost: 1, IdleConnTimeout: time.Minute, DisableCompression: true}
@@ -183,10 +183,10 @@
 	Scheduler *roster.Scheduler
 	Position  func() (revision int64, told bool) // up to where the list is known
 	// Told takes an update; Held comes with the milliseconds after which to ask again.
-	Told  func(roster.Update) (roster.Verdict, float64)
-	Lost  func(error)    // the registry can't be heard
-	Alive func()         // it spoke
-	Now   func() float64 // milliseconds
+	Apply        func(roster.Update) (roster.Verdict, float64)
+	OnDisconnect func(error)    // the registry can't be heard
+	OnActivity   func()         // it spoke
+	Now          func() float64 // milliseconds
 }
 
 // Run goes on until the context ends.
@@ -203,18 +203,18 @@
 				return // what follows a gap waits for the whole list
 			}
 			began = true
-			if verdict, again = w.Told(u); verdict == roster.VerdictGap || verdict == roster.VerdictUnconfirmed {
+			if verdict, again = w.Apply(u); verdict == roster.VerdictGap || verdict == roster.VerdictUnconfirmed {
 				stop()
 			}
 		}
 		var err error
 		if call.Kind == roster.CallRead {
 			limited, done := context.WithTimeout(broken, callTime)
-			err = w.Client.Read(limited, call.Endpoint, call.Linearizable, tell)
+			err = w.Client.List(limited, call.Endpoint, call.Linearizable, tell)
 			done()
 		} else {
 			limited, done := context.WithTimeout(broken, time.Duration(call.MaxDuration*float64(time.Millisecond)))
-			err = w.Client.Follow(limited, call.Endpoint, call.Revision, func() { began = true; w.Alive() }, tell)
+			err = w.Client.Watch(limited, call.Endpoint, call.Revision, func() { began = true; w.OnActivity() }, tell)
 			if broken.Err() == nil && limited.Err() != nil {
 				err = nil
 			}
@@ -230,15 +230,15 @@
 		case verdict == roster.VerdictGap:
 			w.Scheduler.Resync(w.Now())
 		case verdict == roster.VerdictFragment && err == nil && call.Kind == roster.CallWatch:
-			w.Lost(errCancelled) // its time was over in the middle of a revision: half of it is none
+			w.OnDisconnect(errCancelled) // its time was over in the middle of a revision: half of it is none
 			w.Scheduler.CallEnded(w.Now(), call.Kind, roster.CallSucceeded, began)
 		case verdict == roster.VerdictStale && call.Kind == roster.CallRead && err == nil:
 			w.Scheduler.CallEnded(w.Now(), call.Kind, roster.CallStale, began)
 		default:
-			if err != nil && EndOf(err) != roster.CallCompacted {
-				w.Lost(err)
+			if err != nil && ResultOf(err) != roster.CallCompacted {
+				w.OnDisconnect(err)
 			}
-			w.Scheduler.CallEnded(w.Now(), call.Kind, EndOf(err), began)
+			w.Scheduler.CallEnded(w.Now(), call.Kind, ResultOf(err), began)
 		}
 	}
 }
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -48,7 +48,7 @@
 
 func follow(t *testing.T, dialect string, rules roster.Options, servers ...*kv.Server) *reader {
 	t.Helper()
-	o := Options{Dialect: dialect, Prefix: prefix, Silence: 300 * time.Millisecond}
+	o := Options{Dialect: dialect, Prefix: prefix, WatchTimeout: 300 * time.Millisecond}
 	for _, s := range servers {
 		o.Endpoints = append(o.Endpoints, s.URL)
 	}
@@ -65,14 +65,14 @@
 	rules.Preferred = roster.SourceRegistry
 	r := &reader{t: t, reread: reread, ups: map[string]int64{}, downs: map[string]int64{}, roster: roster.New(rules), never: map[string]bool{}, news: make(chan struct{}, 1)}
 	w := &Watcher{Client: c, Scheduler: roster.NewScheduler(roster.SchedulerOptions{Endpoints: len(o.Endpoints), Drivers: 1, Seed: 1, ResyncInterval: r.reread}), Now: now,
-		Alive: func() {}}
+		OnActivity: func() {}}
 	w.Position = func() (int64, bool) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		_, revision, told := r.roster.Revision(roster.SourceRegistry)
 		return revision, told
 	}
-	w.Told = func(u roster.Update) (roster.Verdict, float64) {
+	w.Apply = func(u roster.Update) (roster.Verdict, float64) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		r.note(u)
@@ -89,7 +89,7 @@
 		}
 		return out.Verdict, rules.ConfirmAfter
 	}
-	w.Lost = func(err error) {
+	w.OnDisconnect = func(err error) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		r.roster.SetDisconnected(roster.SourceRegistry)
@@ -355,7 +355,7 @@
 	s := kv.NewStore("c1")
 	s.Put(prefix+"a", entry(1, "up"), prefix+"b", entry(2, "up"))
 	v := serve(t, s)
-	r := followWith(t, Options{Dialect: "etcd", Prefix: prefix, Endpoints: []string{v.URL}, Silence: time.Second}, roster.Options{}, 300)
+	r := followWith(t, Options{Dialect: "etcd", Prefix: prefix, Endpoints: []string{v.URL}, WatchTimeout: time.Second}, roster.Options{}, 300)
 	r.shows("a b")
 	v.Passes.Store(true)
 	s.Put(prefix+"a", entry(1, "draining"))
@@ -445,7 +445,7 @@
 	secret, file := "right", filepath.Join(t.TempDir(), "secret")
 	v.Password.Store(&secret)
 	os.WriteFile(file, []byte("driver:right\n"), 0o600)
-	r := followWith(t, Options{Dialect: "etcd", Prefix: prefix, Silence: time.Second, Endpoints: []string{v.URL}, CredentialsFile: file}, roster.Options{}, 0)
+	r := followWith(t, Options{Dialect: "etcd", Prefix: prefix, WatchTimeout: time.Second, Endpoints: []string{v.URL}, CredentialsFile: file}, roster.Options{}, 0)
 	r.shows("a")
 	v.Expire()
 	v.Cut()
@@ -457,7 +457,7 @@
 	time.Sleep(300 * time.Millisecond)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if n := len(r.losses); n > 4 || EndOf(r.losses[n-1]) != roster.CallRejected {
+	if n := len(r.losses); n > 4 || ResultOf(r.losses[n-1]) != roster.CallRejected {
 		t.Errorf("%d losses, the last %v", n, r.losses[n-1])
 	}
 }
@@ -472,7 +472,7 @@
 	}
 	s.Put("db/a", instance("a", "passing", "3"), "db/b", instance("b", "critical", "3"), "db/c", instance("c", "passing", "x"))
 	v := serve(t, s)
-	r := followWith(t, Options{Dialect: "consul", Service: "db", Silence: time.Second, Endpoints: []string{v.URL}}, roster.Options{}, 0)
+	r := followWith(t, Options{Dialect: "consul", Service: "db", WatchTimeout: time.Second, Endpoints: []string{v.URL}}, roster.Options{}, 0)
 	r.shows("a b-")
 	s.Put("db/a", instance("a", "critical", "3"), "db/b", instance("b", "passing", "3"))
 	r.shows("a- b")
@@ -584,14 +584,14 @@
 			s.Put(pairs...)
 			v := kv.Serve(s)
 			defer v.Close()
-			c, err := New(Options{Dialect: dialect, Prefix: prefix, Endpoints: []string{v.URL}, Silence: time.Second})
+			c, err := New(Options{Dialect: dialect, Prefix: prefix, Endpoints: []string{v.URL}, WatchTimeout: time.Second})
 			if err != nil {
 				b.Fatal(err)
 			}
 			b.ReportAllocs()
 			for b.Loop() {
 				r := roster.New(roster.Options{Preferred: roster.SourceRegistry})
-				if err := c.Read(context.Background(), 0, true, func(u roster.Update) { r.Apply(now(), u) }); err != nil || len(r.Members()) != 10000 {
+				if err := c.List(context.Background(), 0, true, func(u roster.Update) { r.Apply(now(), u) }); err != nil || len(r.Members()) != 10000 {
 					b.Fatal(err, len(r.Members()))
 				}
 			}
@@ -607,14 +607,14 @@
 	t.Cleanup(func() { v.Cut(); v.Close() })
 	file := filepath.Join(t.TempDir(), "ca.pem")
 	os.WriteFile(file, pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: v.Certificate().Raw}), 0o600)
-	o := Options{Dialect: "etcd", Prefix: prefix, Endpoints: []string{v.URL}, Silence: time.Second, CAFile: file}
+	o := Options{Dialect: "etcd", Prefix: prefix, Endpoints: []string{v.URL}, WatchTimeout: time.Second, CAFile: file}
 	followWith(t, o, roster.Options{}, 0).shows("a")
 	o.CAFile = ""
 	c, err := New(o)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := c.Read(context.Background(), 0, true, func(roster.Update) {}); err == nil || EndOf(err) != roster.CallBroken {
+	if err := c.List(context.Background(), 0, true, func(roster.Update) {}); err == nil || ResultOf(err) != roster.CallBroken {
 		t.Errorf("a certificate that nobody signs: %v", err)
 	}
 	o.CAFile = filepath.Join(t.TempDir(), "none")
