--- a/cmd/weirwind/presence_test.go
+++ b/cmd/weirwind/presence_test.go
@@ -38,7 +38,7 @@
 			p.await("event=presence announced=false")
 			p.await("event=presence announced=true")
 			v.Down.Store(true) // a silent registry makes nobody think to be alone
-			v.Cut()
+			v.CloseConnections()
 			p.await("event=registry_failed")
 			v.Down.Store(false)
 			r := s.fellow(t, "n2")
--- a/cmd/weirwind/registry_test.go
+++ b/cmd/weirwind/registry_test.go
@@ -25,7 +25,7 @@
 	t.Helper()
 	store := kv.NewStore("c1")
 	v := kv.Serve(store)
-	t.Cleanup(func() { v.Cut(); v.Close() })
+	t.Cleanup(func() { v.CloseConnections(); v.Close() })
 	for i, m := range s.members {
 		store.Put(membersAt+m.id, s.entry(i, "up"))
 	}
@@ -63,7 +63,7 @@
 				t.Fatal("b is not used")
 			}
 			v.Down.Store(true)
-			v.Cut()
+			v.CloseConnections()
 			p.await("event=registry_failed")
 			store.Put(membersAt+"b", s.entry(1, "draining"))
 			reads(20)
@@ -105,7 +105,7 @@
 	p.ends(syscall.SIGKILL)
 	s.left()
 	v.Down.Store(true)
-	v.Cut()
+	v.CloseConnections()
 	for len(b.queries) > 0 {
 		<-b.queries
 	}
@@ -140,7 +140,7 @@
 	store.Put(membersAt+"b", s.entry(1, "draining"))
 	p.await("b=draining")
 	v.Down.Store(true)
-	v.Cut()
+	v.CloseConnections()
 	p.await("discovery leads instead of registry")
 	if line := p.await("event=list "); !strings.Contains(line, "c=removed") || strings.Contains(line, "b=up") {
 		t.Errorf("what the registry told of b is undone: %s", line)
@@ -200,7 +200,7 @@
 		}
 		for i := range max(2, *restarts) {
 			v.Down.Store(true)
-			v.Cut()
+			v.CloseConnections()
 			p.await("registry_failed")
 			phase := []string{"draining", "up"}[i%2]
 			store.Put(membersAt+"b", s.entry(1, phase))
--- a/internal/controlplane/consensus/store/store_test.go
+++ b/internal/controlplane/consensus/store/store_test.go
@@ -178,13 +178,13 @@
 func TestAFullDiskHangsNobody(t *testing.T) {
 	Convey("A folder on a disk that is full", t, func() {
 		dir, control := t.TempDir(), filepath.Join(t.TempDir(), "disk")
-		FS = disk.Under(control)
+		FS = disk.FaultyFS(control)
 		defer func() { FS = vfs.Default }()
 		s, _, _, err := Open(dir)
 		So(err, ShouldBeNil)
 		h := consensus.HardState{ID: "me", Term: 4, Last: consensus.Entry{Term: 3, Index: 7, Value: make([]byte, 20_000)}}
 		So(s.Save(&h), ShouldBeNil)
-		So(os.WriteFile(control, []byte(disk.Refuses), 0o600), ShouldBeNil)
+		So(os.WriteFile(control, []byte(disk.Refuse), 0o600), ShouldBeNil)
 		refused := h
 		for i := range 20 { // with changes of this size pebble's fifth commit would wait for ever
 			refused.Last.Index++
--- a/internal/controlplane/failover/digest_test.go
+++ b/internal/controlplane/failover/digest_test.go
@@ -39,7 +39,7 @@
 		h.run(500 + 4000*h.random.Float64())
 	}
 	h.run(10000)
-	fmt.Fprintln(h.sum, h.group.Leads, len(h.group.Acked), h.transcript)
+	fmt.Fprintln(h.sum, h.group.Promotions, len(h.group.Acked), h.transcript)
 	return h
 }
 
@@ -67,7 +67,7 @@
 
 func (h *digestHistory) drain() {
 	if lead := h.group.Leader(); lead != nil {
-		lead.Drains = true
+		lead.Draining = true
 	}
 }
 
@@ -89,7 +89,7 @@
 		h.injectHardFault()
 	case 4: // the candidate may receive nothing
 		h.drain()
-		h.randomMember().Deaf = true
+		h.randomMember().NotReceiving = true
 	case 5:
 		h.drain()
 		h.after(800*h.random.Float64(), h.failBothEnds)
@@ -100,7 +100,7 @@
 		h.drain()
 		h.after(400*h.random.Float64(), func() {
 			for _, m := range h.group.Members {
-				m.Drains = true
+				m.Draining = true
 			}
 		})
 	case 8:
@@ -119,21 +119,21 @@
 
 // failBothEnds fails the candidate of a switchover, and at times the old primary.
 func (h *digestHistory) failBothEnds() {
-	if m := h.group.Get(h.controller.candidate); m != nil {
+	if m := h.group.Member(h.controller.candidate); m != nil {
 		m.Up = false
 	}
-	if m := h.group.Get(h.controller.oldPrimary); m != nil && h.random.IntN(2) == 0 {
+	if m := h.group.Member(h.controller.oldPrimary); m != nil && h.random.IntN(2) == 0 {
 		m.Up = false
 	}
 }
 
 // removeOldPrimary has the old primary leave in the midst of a switchover, and another member join.
 func (h *digestHistory) removeOldPrimary() {
-	m := h.group.Get(h.controller.oldPrimary)
+	m := h.group.Member(h.controller.oldPrimary)
 	if m == nil || len(h.group.Members) <= 2 {
 		return
 	}
-	h.group.End(m.ID)
+	h.group.Remove(m.ID)
 	h.control.depart(m.ID)
 	h.joins++
 	h.group.Join(fmt.Sprint("n", h.joins))
--- a/internal/controlplane/failover/faults_test.go
+++ b/internal/controlplane/failover/faults_test.go
@@ -37,11 +37,11 @@
 		member.Up = false
 		return member.ID + " dark"
 	case 3:
-		member.Deaf = true
+		member.NotReceiving = true
 		return member.ID + " deaf"
 	case 4:
 		if lead != nil {
-			lead.Cut = true
+			lead.Partitioned = true
 		}
 		return "primary cut from replicas"
 	case 5:
@@ -50,7 +50,7 @@
 		return "another leader"
 	case 6:
 		if lead != nil {
-			lead.Drains = true
+			lead.Draining = true
 		}
 		return "primary to be replaced"
 	}
@@ -62,7 +62,7 @@
 func (sim *simulation) heal() {
 	sim.lossRate = 0
 	for _, m := range sim.group.Members {
-		m.Deaf, m.Cut, m.Drains, sim.drainEnforced[m.ID] = false, false, false, false
+		m.NotReceiving, m.Partitioned, m.Draining, sim.drainEnforced[m.ID] = false, false, false, false
 		switch {
 		case m.Up:
 		case !sim.control.roster[m.ID]:
@@ -100,9 +100,9 @@
 	case 2:
 		if len(replicas) > 1 {
 			id := replicas[sim.random.IntN(len(replicas))]
-			sim.group.Get(id).Drains = true
+			sim.group.Member(id).Draining = true
 			sim.after(400+2000*sim.random.Float64(), func() {
-				sim.group.End(id)
+				sim.group.Remove(id)
 				sim.control.depart(id)
 			})
 			sim.joins++
@@ -118,7 +118,7 @@
 		}
 		lead.Up = false
 		sim.after(1600+1000*sim.random.Float64(), func() { // the candidate falls before the platform promotes it, and comes back
-			if next := sim.group.Get(sim.controller.candidate); next != nil && next.Up && !next.Primary {
+			if next := sim.group.Member(sim.controller.candidate); next != nil && next.Up && !next.Primary {
 				next.Up = false
 				sim.after(1500*sim.random.Float64(), func() { sim.restart(next.ID) })
 			}
@@ -127,7 +127,7 @@
 	case 4: // a member that is down for long counts as departed, and comes back with its log
 		if len(replicas) > 1 {
 			id := replicas[sim.random.IntN(len(replicas))]
-			sim.group.Get(id).Up = false
+			sim.group.Member(id).Up = false
 			sim.control.depart(id)
 			return id + " taken for gone"
 		}
@@ -137,17 +137,17 @@
 
 // deafenFor keeps a member from receiving for so long.
 func (sim *simulation) deafenFor(id string, ms float64) {
-	sim.group.Get(id).Deaf = true
+	sim.group.Member(id).NotReceiving = true
 	sim.after(ms, func() {
-		if m := sim.group.Get(id); m != nil {
-			m.Deaf = false
+		if m := sim.group.Member(id); m != nil {
+			m.NotReceiving = false
 		}
 	})
 }
 
 // restart brings a member back that is down.
 func (sim *simulation) restart(id string) {
-	if m := sim.group.Get(id); m != nil && !m.Up {
+	if m := sim.group.Member(id); m != nil && !m.Up {
 		m.Restart()
 		sim.deafenFor(id, startDelay)
 	}
--- a/internal/controlplane/failover/simulation_test.go
+++ b/internal/controlplane/failover/simulation_test.go
@@ -119,7 +119,7 @@
 			sim.writes++
 			sim.group.Write(m, fmt.Sprint("w", sim.writes))
 		}
-		if m.Cut {
+		if m.Partitioned {
 			sim.stalledAt = sim.now
 		}
 	}
@@ -132,7 +132,7 @@
 			continue
 		}
 		primary := sim.reportedPrimary[m.ID]
-		v.Members = append(v.Members, Member{ID: m.ID, Generation: "v1", Primary: primary, Replica: !primary, Draining: m.Drains,
+		v.Members = append(v.Members, Member{ID: m.ID, Generation: "v1", Primary: primary, Replica: !primary, Draining: m.Draining,
 			SinceHeartbeat: sim.now - sim.lastHeartbeat[m.ID], Unlisted: !sim.control.roster[m.ID]})
 	}
 	v.Members = append(v.Members, sim.control.absent()...)
@@ -208,7 +208,7 @@
 		return 409
 	}
 	sim.highestFence = fence
-	m := sim.group.Get(id)
+	m := sim.group.Member(id)
 	if m == nil || !m.Up {
 		return 409
 	}
@@ -221,7 +221,7 @@
 // query sends a query to a member. It may be lost, and finds the member as it is when it arrives.
 func (sim *simulation) query(c *Controller, a Action) {
 	sent := sim.now
-	m := sim.group.Get(a.ID)
+	m := sim.group.Member(a.ID)
 	sim.after(10+30*sim.random.Float64(), func() {
 		if m == nil || !m.Up || sim.random.Float64() < sim.lossRate {
 			wait := queryTimeoutMillis
@@ -235,7 +235,7 @@
 		case PauseReplication:
 			m.Pause(a.Term + 1)
 		case ResumeReplication:
-			m.Continue()
+			m.Resume()
 		case StepDown:
 			m.StepDown(a.Term + 1)
 		}
--- a/internal/controlplane/resets_test.go
+++ b/internal/controlplane/resets_test.go
@@ -74,12 +74,12 @@
 	}
 	defer ln.Close()
 	go transport.Serve(ln, 0, func(*link) {}, p.serve, func(*link) {})
-	relay, err := links.NewResets("127.0.0.1:0", ln.Addr().String(), 3)
+	relay, err := links.NewResettingRelay("127.0.0.1:0", ln.Addr().String(), 3)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer relay.Close()
-	relay.Most(2000)
+	relay.SetByteLimit(2000)
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	again := transport.Backoff{Initial: time.Millisecond, Max: time.Millisecond, DialTimeout: transport.DialTimeout}
@@ -122,8 +122,8 @@
 			t.Errorf("call %d ran %d times, answered: %v", id, p.runs[id], ok)
 		}
 	}
-	t.Logf("%d calls, %d answered, %d connections were reset", len(answered), clear, relay.Done())
-	if clear < callers*each/4 || clear == callers*each || relay.Done() < 10 {
+	t.Logf("%d calls, %d answered, %d connections were reset", len(answered), clear, relay.Resets())
+	if clear < callers*each/4 || clear == callers*each || relay.Resets() < 10 {
 		t.Error("too few resets, or too few answers")
 	}
 }
--- a/internal/durable/durable_test.go
+++ b/internal/durable/durable_test.go
@@ -62,12 +62,12 @@
 	before, _ := work(seed, "")
 	points, cases := 0, 0
 	for at := 1; ; at++ {
-		for fate := range disk.Fates {
+		for fate := range disk.Outcomes {
 			for draw := range uint64(6) {
-				d := seed.Copy()
+				d := seed.Clone()
 				d.CrashAt = at
 				promised, taken := work(d, before)
-				if d.Ops() < at { // it never came so far
+				if d.Operations() < at { // it never came so far
 					if points < 60 {
 						t.Fatalf("only %d operations", points)
 					}
@@ -75,7 +75,7 @@
 					return
 				}
 				cases++
-				found := d.After(fate, draw)
+				found := d.AfterCrash(fate, draw)
 				r, err := Recover(found, options)
 				if got := fold(r); err != nil || got != promised && got != taken {
 					t.Fatalf("crash at %d, fate %d, draw %d: %v, found %d bytes, want %d or %d", at, fate, draw, err, len(got), len(promised), len(taken))
@@ -96,7 +96,7 @@
 		for range rapid.IntRange(1, 6).Draw(t, "crashes") {
 			d.CrashAt = rapid.IntRange(1, 70).Draw(t, "at")
 			promised, taken = work(d, promised)
-			d = d.After(disk.Fate(rapid.IntRange(0, int(disk.Fates)-1).Draw(t, "fate")), rapid.Uint64().Draw(t, "draw"))
+			d = d.AfterCrash(disk.Outcome(rapid.IntRange(0, int(disk.Outcomes)-1).Draw(t, "fate")), rapid.Uint64().Draw(t, "draw"))
 			r, err := Recover(d, options)
 			if got := fold(r); err != nil || got != promised && got != taken {
 				t.Fatalf("%v: found %d bytes, want %d or %d", err, len(got), len(promised), len(taken))
@@ -147,7 +147,7 @@
 				if err != nil || s.Append([]byte("end;")) != nil {
 					t.Fatalf("at %d: did not go on: %v", at, err)
 				}
-				if r, err := Recover(d.After(disk.Nothing, 0), options); err != nil || fold(r) != state+"end;" {
+				if r, err := Recover(d.AfterCrash(disk.LoseUnsynced, 0), options); err != nil || fold(r) != state+"end;" {
 					t.Fatalf("at %d: %v: %q, want %q (promised %q)", at, err, fold(r), state, promised)
 				}
 			}
@@ -176,20 +176,20 @@
 	}
 	for _, f := range whole.Files {
 		name := filepath.Join("d", f.Name)
-		content := d.Get(name)
+		content := d.FileContent(name)
 		for i := range content {
 			for _, bit := range []byte{1, 0x80, 0xff} {
-				c := d.Copy()
+				c := d.Clone()
 				b := bytes.Clone(content)
 				b[i] ^= bit
-				c.Set(name, b)
+				c.SetFile(name, b)
 				check(fmt.Sprintf("%s byte %d ^%x", f.Name, i, bit), c)
 				if r, _ := Recover(c, options); len(r.Damage()) == 0 {
 					t.Fatalf("%s byte %d ^%x: nothing is told", f.Name, i, bit)
 				}
 			}
-			c := d.Copy()
-			c.Set(name, content[:i])
+			c := d.Clone()
+			c.SetFile(name, content[:i])
 			check(fmt.Sprintf("%s cut at %d", f.Name, i), c)
 		}
 	}
@@ -201,9 +201,9 @@
 	want, _ := work(d, "")
 	r, _ := Recover(d, options)
 	newest := filepath.Join("d", r.Files[0].Name)
-	b := d.Get(newest)
+	b := d.FileContent(newest)
 	b[len(b)-1]++
-	d.Set(newest, b)
+	d.SetFile(newest, b)
 	r, err := Recover(d, options)
 	if err != nil || !r.Fallback || r.RecordsLost || fold(r) != want {
 		t.Fatalf("%v: fallback %v, lost %v: %q, want %q", err, r.Fallback, r.RecordsLost, fold(r), want)
@@ -223,9 +223,9 @@
 	}
 	for _, f := range r.Files {
 		if f.Snapshot {
-			b := d.Get(filepath.Join("d", f.Name))
+			b := d.FileContent(filepath.Join("d", f.Name))
 			b[5] = Version + 1
-			d.Set(filepath.Join("d", f.Name), b)
+			d.SetFile(filepath.Join("d", f.Name), b)
 		}
 	}
 	if o, err := Recover(d, options); err != nil || o.Snapshot != nil || !errors.Is(o.Files[0].Err, ErrVersion) {
@@ -321,11 +321,11 @@
 	work(d, "")
 	r, _ := Recover(d, options)
 	whole := fold(r)
-	f.Add(d.Get(filepath.Join("d", r.Files[0].Name)), d.Get(filepath.Join("d", r.Files[1].Name)))
+	f.Add(d.FileContent(filepath.Join("d", r.Files[0].Name)), d.FileContent(filepath.Join("d", r.Files[1].Name)))
 	f.Fuzz(func(t *testing.T, snapshot, log []byte) {
 		c := disk.New()
-		c.Set(filepath.Join("d", r.Files[0].Name), snapshot)
-		c.Set(filepath.Join("d", r.Files[1].Name), log)
+		c.SetFile(filepath.Join("d", r.Files[0].Name), snapshot)
+		c.SetFile(filepath.Join("d", r.Files[1].Name), log)
 		got, err := Recover(c, options)
 		if text := fold(got); err != nil || len(text) > len(whole) || text != whole[:len(text)] {
 			t.Fatalf("%v: %q", err, text)
--- a/internal/fleet/membership/digest_test.go
+++ b/internal/fleet/membership/digest_test.go
@@ -82,7 +82,7 @@
 
 // network is some drivers with a network between them, in virtual time.
 type network struct {
-	virtualclock.Queue
+	virtualclock.Scheduler
 	d       *digest
 	r       *rand.Rand
 	drivers []*driver
@@ -119,9 +119,9 @@
 		if n.Now >= d.frozen {
 			n.out(d, f.Tick(n.Now))
 		}
-		n.In(50, tick)
+		n.After(50, tick)
 	}
-	n.In(50*n.r.Float64(), tick)
+	n.After(50*n.r.Float64(), tick)
 }
 
 func (n *network) out(d *driver, out Output) {
@@ -153,7 +153,7 @@
 		return
 	}
 	for range 1 + n.r.IntN(10)/9 {
-		n.In(n.latency*n.r.ExpFloat64(), func() {
+		n.After(n.latency*n.r.ExpFloat64(), func() {
 			if t := n.drivers[to]; t.view != nil && n.Now >= t.frozen {
 				take(t)
 			}
@@ -164,7 +164,7 @@
 // playFaults has drivers killed, restarted with what they saved or without, frozen, partitioned, renamed,
 // added, leaving and forgotten, over a network that loses, doubles and delays.
 func playFaults(d *digest, seed uint64) {
-	n := &network{Queue: virtualclock.Queue{Now: 1e6}, d: d, r: rand.New(rand.NewPCG(seed, 51)), cut: map[[2]int]bool{},
+	n := &network{Scheduler: virtualclock.Scheduler{Now: 1e6}, d: d, r: rand.New(rand.NewPCG(seed, 51)), cut: map[[2]int]bool{},
 		latency: []float64{1, 30, 120}[seed%3], founders: 4}
 	if seed%12 == 11 {
 		n.founders = 30
@@ -173,7 +173,7 @@
 		n.drivers = append(n.drivers, &driver{name: fmt.Sprint("n", i), at: i})
 		n.start(i)
 	}
-	n.Pass(n.Now + 8000)
+	n.RunUntil(n.Now + 8000)
 	for range 14 {
 		i := n.r.IntN(len(n.drivers))
 		x := n.drivers[i]
@@ -216,7 +216,7 @@
 			n.loss = 0
 		}
 		for range 4 {
-			n.Pass(n.Now + 2500*n.r.Float64())
+			n.RunUntil(n.Now + 2500*n.r.Float64())
 			for _, x := range n.drivers {
 				if x.view != nil {
 					d.status(x.view)
--- a/internal/fleet/zones/town_test.go
+++ b/internal/fleet/zones/town_test.go
@@ -15,7 +15,7 @@
 
 // town is some drivers in virtual time, with a network between them and members that are only health.
 type town struct {
-	virtualclock.Queue
+	virtualclock.Scheduler
 	ds     []*resident
 	draw   *rand.Rand
 	cut    func(a, b int) bool                  // drivers, one way
@@ -52,7 +52,7 @@
 }
 
 func newTown(seed uint64, zones ...string) *town {
-	t := &town{Queue: virtualclock.Queue{Now: 1000}, draw: rand.New(rand.NewPCG(seed, 9)), late: 5, epochs: map[uint64]uint64{},
+	t := &town{Scheduler: virtualclock.Scheduler{Now: 1000}, draw: rand.New(rand.NewPCG(seed, 9)), late: 5, epochs: map[uint64]uint64{},
 		began: map[uint64]float64{}, lease: rules().Lease,
 		home: map[int64]string{1: "a"}, keeps: true}
 	t.sees = func(from, of string) Observation { return Observation{Zone: of, Members: 4, Reads: 100} }
@@ -93,7 +93,7 @@
 			return
 		}
 		if t.Now < d.frozen {
-			t.In(d.frozen-t.Now, tick)
+			t.After(d.frozen-t.Now, tick)
 			return
 		}
 		for _, do := range d.wait {
@@ -101,7 +101,7 @@
 		}
 		d.wait = nil
 		t.tick(d)
-		t.In(100, tick)
+		t.After(100, tick)
 	}
 	gossip = func() {
 		if d.life != life {
@@ -110,10 +110,10 @@
 		if t.Now >= d.frozen {
 			t.ask(d, t.ds[t.draw.IntN(len(t.ds))])
 		}
-		t.In(500*(0.5+t.draw.Float64()), gossip)
+		t.After(500*(0.5+t.draw.Float64()), gossip)
 	}
-	t.In(100*t.draw.Float64(), tick)
-	t.In(100*t.draw.Float64(), gossip)
+	t.After(100*t.draw.Float64(), tick)
+	t.After(100*t.draw.Float64(), gossip)
 }
 
 func (t *town) kill(d *resident) { d.life++; d.z = nil }
@@ -138,9 +138,9 @@
 		}
 		do()
 	}
-	t.In(after, once)
+	t.After(after, once)
 	if t.draw.Float64() < t.loss {
-		t.In(2*after, once)
+		t.After(2*after, once)
 	}
 }
 
@@ -272,7 +272,7 @@
 }
 
 func (t *town) run(length float64) {
-	t.Pass(t.Now + length)
+	t.RunUntil(t.Now + length)
 }
 
 // until runs until something is so; it gives how long that took, -1 where it was not so in time.
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -45,7 +45,7 @@
 
 // Fleet is one that runs.
 type Fleet struct {
-	Links   *links.Net
+	Links   *links.Network
 	Drivers []*Driver
 	o       Options
 	folder  string
@@ -122,7 +122,7 @@
 	for i := range o.Drivers + o.Spare {
 		d := &Driver{Name: fmt.Sprintf("n%d", i), f: f, i: i, socket: filepath.Join(folder, fmt.Sprintf("%d.sock", i))}
 		d.Control = control.NewClient(d.socket, "")
-		d.Address = f.Links.Serve(i)
+		d.Address = f.Links.ServeAddr(i)
 		f.Drivers = append(f.Drivers, d)
 	}
 	return f, nil
@@ -174,7 +174,7 @@
 	var seeds []string
 	for _, s := range o.Seeds(d.i) {
 		if s != d.i {
-			seeds = append(seeds, fmt.Sprintf("%q", d.f.Links.Reach(s)))
+			seeds = append(seeds, fmt.Sprintf("%q", d.f.Links.AdvertisedAddr(s)))
 		}
 	}
 	file := d.file
@@ -185,8 +185,8 @@
 			"  expect    = %d\n  yield     = %q\n}\n",
 		d.socket,
 		file("token"),
-		d.f.Links.Listen(d.i),
-		d.f.Links.Reach(d.i),
+		d.f.Links.ListenAddr(d.i),
+		d.f.Links.AdvertisedAddr(d.i),
 		strings.Join(seeds, ", "),
 		o.Period,
 		o.Expect,
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -237,7 +237,7 @@
 
 func TestParts(t *testing.T) {
 	f := start(t, Options{Seed: 4, Spare: 2})
-	f.Links.Parts(0, 0, 1, 1, 1, 0, 0)
+	f.Links.Partition(0, 0, 1, 1, 1, 0, 0)
 	f.await(t, "two against three", func() bool { return f.Stands(membership.Minority, 0, 1) && f.Stands(membership.Majority, 2, 3, 4) })
 	for _, i := range []int{5, 6} {
 		if err := f.Drivers[i].Start(); err != nil {
@@ -251,7 +251,7 @@
 	f.await(t, "two changed views meet", func() bool {
 		return f.Stands(membership.Majority, 0, 1, 2, 3, 5, 6) && f.rosterIs(7, 0, 1, 2, 3, 5, 6) && f.sees(4, membership.Failed, 0, 1, 2, 3, 5, 6)
 	})
-	f.Links.Parts(0, 1, 1, 1, 1, 1, 1)
+	f.Links.Partition(0, 1, 1, 1, 1, 1, 1)
 	f.await(t, "one against the rest", func() bool { return f.Stands(membership.Isolated, 0) && f.Stands(membership.Majority, 1, 2, 3, 5, 6) })
 	f.Links.Heal()
 	if err := f.Drivers[4].Start(); err != nil {
@@ -265,7 +265,7 @@
 
 func TestOneDirectionAndRing(t *testing.T) {
 	f := start(t, Options{Seed: 5})
-	f.Links.Set(0, 1, links.Way{Cut: true})
+	f.Links.Set(0, 1, links.Link{Blocked: true})
 	f.await(t, "who does not hear whom", func() bool {
 		v, ok := f.View(3, 1)
 		own, known := f.View(1, 0)
@@ -275,8 +275,8 @@
 	f.await(t, "nobody is lost by it", func() bool { return f.Stands(membership.Complete, all...) })
 	f.Links.Heal()
 	f.await(t, "healed", func() bool { own, ok := f.View(1, 0); return ok && own.Reachable })
-	f.Links.Each(func(a, b int) (w links.Way) {
-		w.Cut = (a+1)%5 != b && (b+1)%5 != a
+	f.Links.SetAll(func(a, b int) (w links.Link) {
+		w.Blocked = (a+1)%5 != b && (b+1)%5 != a
 		return w
 	})
 	f.await(t, "a ring", func() bool {
@@ -293,8 +293,8 @@
 
 func TestLossDoublesAndDisorder(t *testing.T) {
 	f := start(t, Options{Seed: 6})
-	f.Links.Each(func(a, b int) (w links.Way) {
-		w.Loss, w.Double, w.Delay, w.Jitter = 0.3, 0.3, 2*time.Millisecond, 30*time.Millisecond
+	f.Links.SetAll(func(a, b int) (w links.Link) {
+		w.Loss, w.Duplicate, w.Delay, w.Jitter = 0.3, 0.3, 2*time.Millisecond, 30*time.Millisecond
 		return w
 	})
 	f.Drivers[3].Kill()
@@ -350,7 +350,7 @@
 		return err == nil && s.Partition == membership.Undetermined && s.Reason == "name_taken" && f.Stands(membership.Complete, all...)
 	})
 	v, _ := f.View(0, 4)
-	if v.Address != f.Links.Reach(4) {
+	if v.Address != f.Links.AdvertisedAddr(4) {
 		t.Errorf("the second one took the name: %+v", v)
 	}
 	f.Drivers[4].Kill()
@@ -374,7 +374,7 @@
 	}
 	f.await(t, "a stranger", func() bool { return f.Stands(membership.Undetermined, 5) })
 	// whatever comes at the sockets, nobody is lost by it, and nobody is made up
-	udp, err := net.Dial("udp", f.Links.Listen(0))
+	udp, err := net.Dial("udp", f.Links.ListenAddr(0))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -383,7 +383,7 @@
 		udp.Write([]byte(strings.Repeat("\xa1\x01\x82", i%600)))
 	}
 	for range 40 { // more than are served at a time
-		c, err := net.Dial("tcp", f.Links.Listen(0))
+		c, err := net.Dial("tcp", f.Links.ListenAddr(0))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -448,7 +448,7 @@
 	f := start(t, Options{Seed: 10})
 	c := f.o.Cluster
 	f.under(t, func() {
-		f.Links.Parts(0, 0, 1, 1, 1)
+		f.Links.Partition(0, 0, 1, 1, 1)
 		f.await(t, "two parts", func() bool { return f.Stands(membership.Minority, 0, 1) && f.Stands(membership.Majority, 2, 3, 4) })
 		old := c.Primary(1)
 		word := switchover.Notification{Group: 1, Stage: switchover.StageHeld, From: old, Lease: 20000}
@@ -483,7 +483,7 @@
 	f := start(t, Options{Seed: 11})
 	c := f.o.Cluster
 	f.under(t, func() {
-		f.Links.Parts(0, 0, 1, 1, 1)
+		f.Links.Partition(0, 0, 1, 1, 1)
 		f.await(t, "two parts", func() bool { return f.Stands(membership.Minority, 0, 1) && f.Stands(membership.Majority, 2, 3, 4) })
 		old := c.Primary(1)
 		c.Do("kill", old)
@@ -561,7 +561,7 @@
 		}
 		return late.Listener.Addr().String()
 	}})
-	f.Links.Parts(0, 0, 1, 1, 1)
+	f.Links.Partition(0, 0, 1, 1, 1)
 	f.await(t, "two parts", func() bool { return f.Stands(membership.Minority, 0, 1) && f.Stands(membership.Majority, 2, 3, 4) })
 	drained := c.Replica(1)
 	c.Do("drain", drained)
@@ -590,7 +590,7 @@
 		}
 	}
 	quiet("after the heal")
-	f.Links.Parts(0, 0, 1, 1, 1)
+	f.Links.Partition(0, 0, 1, 1, 1)
 	f.await(t, "two parts again", func() bool { return f.Stands(membership.Majority, 2, 3, 4) })
 	f.Drivers[0].Kill()
 	f.Drivers[1].Kill()
@@ -652,7 +652,7 @@
 	if text, code = f.command(1, "watch", "--times", "2", "--every", "10ms"); code != 0 || strings.Count(text, "name=") != 4 {
 		t.Error(code, text)
 	}
-	f.Links.Parts(0, 0, 1, 1, 1)
+	f.Links.Partition(0, 0, 1, 1, 1)
 	f.await(t, "two parts", func() bool { return f.Stands(membership.Minority, 0, 1) && f.Stands(membership.Majority, 2, 3, 4) })
 	if text, code = f.command(0, "compare"); code != 1 || !strings.Contains(text, "gives no view") {
 		t.Error(code, text)
--- a/internal/lab/fleet/script.go
+++ b/internal/lab/fleet/script.go
@@ -112,7 +112,7 @@
 		f.Links.Set(
 			p.From,
 			p.To,
-			links.Way{Cut: p.Cut, Loss: p.Loss, Double: p.Double, Delay: p.delay, Jitter: p.jitter, Rate: p.Rate},
+			links.Link{Blocked: p.Cut, Loss: p.Loss, Duplicate: p.Double, Delay: p.delay, Jitter: p.jitter, Rate: p.Rate},
 		)
 	case "cut":
 		part := make([]int, len(f.Drivers))
@@ -121,7 +121,7 @@
 				part[d] = i + 1
 			}
 		}
-		f.Links.Parts(part...)
+		f.Links.Partition(part...)
 	case "heal":
 		f.Links.Heal()
 	}
--- a/internal/lab/fleet/zones_test.go
+++ b/internal/lab/fleet/zones_test.go
@@ -185,7 +185,7 @@
 		f.Drivers[0].Thaw()
 		f.await(t, "the thawed one follows", func() bool { return f.follow(zoneIs("b", zones.Ejected)) })
 		before, _ := f.Drivers[0].zones()
-		f.Links.Parts(0, 0, 1, 1, 1, 1)
+		f.Links.Partition(0, 0, 1, 1, 1, 1)
 		f.await(t, "the lease of the smaller part ends", func() bool {
 			a, ok := f.Drivers[0].zones()
 			b, too := f.Drivers[1].zones()
--- a/internal/lab/membershipsim/membershipsim.go
+++ b/internal/lab/membershipsim/membershipsim.go
@@ -42,11 +42,11 @@
 
 // Flock is all of them.
 type Flock struct {
-	virtualclock.Queue // Now is its time
-	Drivers            []*Driver
-	Notes              func(at float64, driver string, n membership.Event) // called for each; nil for none
-	Cut                func(from, to int) bool                             // nothing passes; nil for no cut
-	Loss               float64
+	virtualclock.Scheduler // Now is its time
+	Drivers                []*Driver
+	Notes                  func(at float64, driver string, n membership.Event) // called for each; nil for none
+	Cut                    func(from, to int) bool                             // nothing passes; nil for no cut
+	Loss                   float64
 
 	o    Options
 	draw *rand.Rand
@@ -74,7 +74,7 @@
 	if o.Yield == 0 {
 		o.Yield = 30 * o.Period
 	}
-	f := &Flock{Queue: virtualclock.Queue{Now: 1e6}, Loss: o.Loss, o: o, draw: rand.New(rand.NewPCG(o.Seed, 11))}
+	f := &Flock{Scheduler: virtualclock.Scheduler{Now: 1e6}, Loss: o.Loss, o: o, draw: rand.New(rand.NewPCG(o.Seed, 11))}
 	for i := range o.Drivers {
 		f.Drivers = append(f.Drivers, &Driver{Name: fmt.Sprintf("n%d", i), i: i})
 	}
@@ -125,7 +125,7 @@
 			return
 		}
 		if f.Now < d.Frozen {
-			f.In(d.Frozen-f.Now, tick)
+			f.After(d.Frozen-f.Now, tick)
 			return
 		}
 		f.wake(d)
@@ -133,9 +133,9 @@
 		if d.Slow > 0 && f.draw.Float64() < d.Slow { // of a second it has had its share, and waits for the next
 			f.Freeze(i, f.o.Period*(0.2+0.6*f.draw.Float64()))
 		}
-		f.In(f.o.Period/10, tick)
+		f.After(f.o.Period/10, tick)
 	}
-	f.In(f.o.Period/10*f.draw.Float64(), tick)
+	f.After(f.o.Period/10*f.draw.Float64(), tick)
 }
 
 // wake gives a driver what came while it stood still, as far as a socket would hold it.
@@ -167,7 +167,7 @@
 	for _, s := range out.Messages {
 		to := f.index(s.Address)
 		if d.Sent++; f.sample {
-			if f.Turn%50 == 0 || f.count == 0 { // one of many tells for all
+			if f.Scheduled%50 == 0 || f.count == 0 { // one of many tells for all
 				f.sizes, f.count = f.sizes+size(&s.Message), f.count+1
 			}
 			d.Bytes += f.sizes / float64(f.count)
@@ -192,7 +192,7 @@
 
 // deliver brings a datagram after its way; a driver that stands still takes it when it wakes, as far as there is room.
 func (f *Flock) deliver(to *Driver, m membership.Message) {
-	f.In(f.late(), func() {
+	f.After(f.late(), func() {
 		switch {
 		case to.View == nil:
 		case f.Now < to.Frozen:
@@ -209,7 +209,7 @@
 func (f *Flock) exchange(d, to *Driver) {
 	ask, life := d.View.Snapshot(), d.life
 	d.Bytes += 60 * float64(len(ask.Records)) // about
-	f.In(2*f.late(), func() {
+	f.After(2*f.late(), func() {
 		if to.View == nil || f.Now < to.Frozen {
 			return
 		}
@@ -219,7 +219,7 @@
 			return
 		}
 		to.Bytes += 60 * float64(len(answer.Records))
-		f.In(f.late(), func() {
+		f.After(f.late(), func() {
 			if d.View != nil && d.life == life && f.Now >= d.Frozen {
 				f.out(d, d.View.Merge(f.Now, answer))
 			}
@@ -234,7 +234,7 @@
 
 // Run lets time pass.
 func (f *Flock) Run(length float64) {
-	f.Pass(f.Now + length)
+	f.RunUntil(f.Now + length)
 }
 
 // Until lets time pass until something is so, and gives how long that took; false where it was not so in time.
--- a/internal/lab/storm.go
+++ b/internal/lab/storm.go
@@ -96,7 +96,7 @@
 	defer func() {
 		stop()
 		all.Wait()
-		server.Cut()
+		server.CloseConnections()
 		server.Close()
 	}()
 	current := make(chan struct{}, 2*s.Clients)
@@ -119,18 +119,18 @@
 		return r, err
 	}
 	server.Down.Store(true)
-	server.Cut()
+	server.CloseConnections()
 	time.Sleep(s.Away)
 	store.Put(stormPrefix+"new", `{"host_port":"127.0.0.1:1","cell":1,"phase":"up"}`)
 	store.Compact(store.Revision())
 	store.Put("elsewhere", "x") // so that what is compacted lies behind the newest revision
-	server.Cut()
-	before, began := server.Reads.Load(), time.Now()
+	server.CloseConnections()
+	before, began := server.FullReads.Load(), time.Now()
 	server.Down.Store(false)
 	sampled, ended := make(chan []int64, 1), make(chan struct{})
 	go func() { sampled <- sampleReads(server, before, ended) }()
 	err = s.await(current)
-	r.Until, r.Reads = time.Since(began), int(server.Reads.Load()-before)
+	r.Until, r.Reads = time.Since(began), int(server.FullReads.Load()-before)
 	close(ended)
 	r.Peak = peakReads(<-sampled)
 	return r, err
@@ -166,9 +166,9 @@
 	for last := before; ; {
 		select {
 		case <-ended:
-			return append(tenths, server.Reads.Load()-last)
+			return append(tenths, server.FullReads.Load()-last)
 		case <-time.After(100 * time.Millisecond):
-			n := server.Reads.Load()
+			n := server.FullReads.Load()
 			tenths, last = append(tenths, n-last), n
 		}
 	}
--- a/internal/learned/crash_test.go
+++ b/internal/learned/crash_test.go
@@ -13,18 +13,18 @@
 func TestCrashInEveryOperation(t *testing.T) {
 	o := durable.Options{Folder: "d", Tag: Tag}
 	for point := 1; ; point++ {
-		for fate := range disk.Fates {
+		for fate := range disk.Outcomes {
 			d := disk.New()
 			d.CrashAt = point
 			var states []string
 			safe := saveSteps(d, o, &states)
-			if d.Ops() < point {
+			if d.Operations() < point {
 				if point < 25 {
 					t.Fatalf("only %d operations", point)
 				}
 				return
 			}
-			found, err := durable.Recover(d.After(fate, uint64(point)), o)
+			found, err := durable.Recover(d.AfterCrash(fate, uint64(point)), o)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -156,7 +156,7 @@
 
 func serve(t *testing.T, s *kv.Store) *kv.Server {
 	v := kv.Serve(s)
-	t.Cleanup(func() { v.Cut(); v.Close() })
+	t.Cleanup(func() { v.CloseConnections(); v.Close() })
 	return v
 }
 
@@ -181,7 +181,7 @@
 		r.shows("a b- c")
 		for round, compact := range []bool{false, true, false} {
 			v.Down.Store(true)
-			v.Cut()
+			v.CloseConnections()
 			s.Put(prefix+"c", nil)
 			s.Put(prefix+"c", entry(30+round, "up"))
 			s.Put(prefix+"a", entry(1, "draining"))
@@ -195,7 +195,7 @@
 			s.Put(prefix+"a", entry(1, "up"))
 			r.shows(strings.Replace(want, "a-", "a", 1))
 		}
-		if reads := v.Reads.Load(); dialect == "etcd" && reads != 2 {
+		if reads := v.FullReads.Load(); dialect == "etcd" && reads != 2 {
 			t.Errorf("%d whole lists read, want one at the start and one behind compaction", reads)
 		}
 	})
@@ -209,7 +209,7 @@
 	r := follow(t, "etcd", roster.Options{}, v)
 	r.shows("a")
 	v.Silent.Store(true)
-	v.Cut()
+	v.CloseConnections()
 	for range 10 {
 		s.Put(prefix+"b", entry(2, "up"))
 	}
@@ -278,15 +278,15 @@
 		r.never["a"] = true
 		r.mu.Unlock()
 		for _, x := range []*kv.Server{v, w, v} { // each lags in turn, behind a break of both
-			x.Behind.Store(behind)
-			v.Cut()
-			w.Cut()
+			x.Stale.Store(behind)
+			v.CloseConnections()
+			w.CloseConnections()
 			s.Put(prefix+"c", nil)
 			s.Put(prefix+"c", entry(3, "up"))
 			r.shows("a- b c")
 			s.Put(prefix+"c", nil)
 			r.shows("a- b")
-			x.Behind.Store(nil)
+			x.Stale.Store(nil)
 		}
 	})
 }
@@ -306,7 +306,7 @@
 			empty.Put("other", "x")
 		}
 		s.Restore(empty, "c2")
-		v.Cut()
+		v.CloseConnections()
 		limit := time.Now().Add(patience)
 		for held := false; !held && time.Now().Before(limit); time.Sleep(5 * time.Millisecond) {
 			r.mu.Lock()
@@ -319,10 +319,10 @@
 		}
 		s.Restore(before, "c3")
 		s.Put(prefix+"a", entry(1, "draining"))
-		v.Cut()
+		v.CloseConnections()
 		r.shows("a- b c")
 		s.Restore(empty, "c4")
-		v.Cut()
+		v.CloseConnections()
 		r.shows("") // it goes on saying so
 	})
 }
@@ -341,7 +341,7 @@
 	r.mu.Unlock()
 	s.Restore(before, "c2")
 	s.Put(prefix+"d", entry(4, "up"))
-	v.Cut()
+	v.CloseConnections()
 	r.shows("a- b d")
 	r.mu.Lock()
 	delete(r.never, "a")
@@ -357,10 +357,10 @@
 	v := serve(t, s)
 	r := followWith(t, Options{Dialect: "etcd", Prefix: prefix, Endpoints: []string{v.URL}, WatchTimeout: time.Second}, roster.Options{}, 300)
 	r.shows("a b")
-	v.Passes.Store(true)
+	v.SkipEvents.Store(true)
 	s.Put(prefix+"a", entry(1, "draining"))
 	r.shows("a- b")
-	v.Passes.Store(false)
+	v.SkipEvents.Store(false)
 	s.Put(prefix+"a", nil)
 	r.shows("b")
 	if n := len(r.losses); n > 0 {
@@ -377,7 +377,7 @@
 		r := follow(t, dialect, roster.Options{}, v)
 		r.shows("a")
 		v.Down.Store(true)
-		v.Cut()
+		v.CloseConnections()
 		time.Sleep(time.Second)
 		r.mu.Lock()
 		calls := len(r.losses)
@@ -447,13 +447,13 @@
 	os.WriteFile(file, []byte("driver:right\n"), 0o600)
 	r := followWith(t, Options{Dialect: "etcd", Prefix: prefix, WatchTimeout: time.Second, Endpoints: []string{v.URL}, CredentialsFile: file}, roster.Options{}, 0)
 	r.shows("a")
-	v.Expire()
-	v.Cut()
+	v.ExpireTokens()
+	v.CloseConnections()
 	s.Put(prefix+"b", entry(2, "up"))
 	r.shows("a b")
 	os.WriteFile(file, []byte("driver:wrong"), 0o600)
-	v.Expire()
-	v.Cut()
+	v.ExpireTokens()
+	v.CloseConnections()
 	time.Sleep(300 * time.Millisecond)
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -527,41 +527,41 @@
 			s := kv.NewStore("c1")
 			v, w := kv.Serve(s), kv.Serve(s)
 			r := follow(t, dialect, roster.Options{}, v, w)
-			defer func() { r.stop(); v.Cut(); v.Close(); w.Cut(); w.Close() }()
+			defer func() { r.stop(); v.CloseConnections(); v.Close(); w.CloseConnections(); w.Close() }()
 			ids := []string{"a", "b", "c", "d", "e", "f"}
 			phases := map[string]string{}
 			for range rapid.IntRange(50, 150).Draw(rt, "steps") {
 				id := rapid.SampledFrom(ids).Draw(rt, "id")
 				switch rapid.IntRange(0, 11).Draw(rt, "what") {
 				case 0:
-					v.Cut()
-					w.Cut()
+					v.CloseConnections()
+					w.CloseConnections()
 				case 1:
 					v.Down.Store(!v.Down.Load())
 				case 2:
 					s.Compact(s.Revision() - 1)
 				case 3:
-					w.LateMs.Store(int64(rapid.IntRange(0, 20).Draw(rt, "late")))
+					w.DelayMs.Store(int64(rapid.IntRange(0, 20).Draw(rt, "late")))
 				case 4:
 					s.Put(prefix+id, nil)
 					delete(phases, id)
 				case 5:
 					time.Sleep(time.Duration(rapid.IntRange(0, 20).Draw(rt, "pause")) * time.Millisecond)
 				case 6: // both keep behind for a while
-					if v.Behind.Load() == nil {
-						v.Behind.Store(s.Snapshot())
+					if v.Stale.Load() == nil {
+						v.Stale.Store(s.Snapshot())
 					} else {
-						v.Behind.Store(nil)
+						v.Stale.Store(nil)
 					}
-					v.Cut()
+					v.CloseConnections()
 				default:
 					phases[id] = rapid.SampledFrom([]string{"up", "draining"}).Draw(rt, "phase")
 					s.Put(prefix+id, entry(rapid.IntRange(1, 9).Draw(rt, "port"), phases[id]))
 				}
 			}
-			v.Behind.Store(nil)
+			v.Stale.Store(nil)
 			v.Down.Store(false)
-			v.Cut()
+			v.CloseConnections()
 			var want []string
 			for id, p := range phases {
 				want = append(want, id+map[string]string{"draining": "-"}[p])
@@ -604,7 +604,7 @@
 	s := kv.NewStore("c1")
 	s.Put(prefix+"a", entry(1, "up"))
 	v := kv.ServeTLS(s)
-	t.Cleanup(func() { v.Cut(); v.Close() })
+	t.Cleanup(func() { v.CloseConnections(); v.Close() })
 	file := filepath.Join(t.TempDir(), "ca.pem")
 	os.WriteFile(file, pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: v.Certificate().Raw}), 0o600)
 	o := Options{Dialect: "etcd", Prefix: prefix, Endpoints: []string{v.URL}, WatchTimeout: time.Second, CAFile: file}
--- a/internal/session/queue/scenario_clients_test.go
+++ b/internal/session/queue/scenario_clients_test.go
@@ -40,14 +40,14 @@
 		return
 	}
 	c.reconnects++
-	e.In(50+200*e.random.Float64(), func() { e.connect(c, false) })
+	e.After(50+200*e.random.Float64(), func() { e.connect(c, false) })
 }
 
 // connect opens a socket of a client at any edge; fresh: its session begins.
 func (e *scenario) connect(c *client, fresh bool) {
 	edge := e.edges[simEdges[e.random.IntN(2)]]
 	if !edge.up {
-		e.In(50, func() { e.connect(c, fresh) })
+		e.After(50, func() { e.connect(c, fresh) })
 		return
 	}
 	edge.lastSocket++
@@ -76,7 +76,7 @@
 			site.decider.Enqueue(c.id, key, []byte(body), e.Now, func(status Status, n uint64) {
 				e.record("reply", e.Now, status, n)
 				if e.random.IntN(50) == 0 { // the answer is lost
-					e.In(300, func() { try(left - 1) })
+					e.After(300, func() { try(left - 1) })
 					return
 				}
 				switch {
@@ -85,7 +85,7 @@
 						c.acknowledged = append(c.acknowledged, body)
 					}
 				case status == 503 || status == 404:
-					e.In(100, func() { try(left - 1) })
+					e.After(100, func() { try(left - 1) })
 				}
 			})
 			e.flushSite(site)
@@ -93,7 +93,7 @@
 			break
 		}
 		if !done {
-			e.In(100, func() { try(left - 1) })
+			e.After(100, func() { try(left - 1) })
 		}
 	}
 	try(60)
@@ -131,7 +131,7 @@
 			if e.Now < until {
 				e.produce(c, n)
 				n++
-				e.In(400*e.random.Float64(), put)
+				e.After(400*e.random.Float64(), put)
 			}
 		}
 		say = func() {
@@ -145,16 +145,16 @@
 					edge.decider.Publish(c.socket, num, []byte(c.sent[len(c.sent)-1]))
 					e.flushEdge(edge)
 				}
-				e.In(600*e.random.Float64(), say)
+				e.After(600*e.random.Float64(), say)
 			}
 		}
 		take = func() {
 			e.consume(c)
-			e.In(100, take)
+			e.After(100, take)
 		}
-		e.In(500*e.random.Float64(), put)
-		e.In(500*e.random.Float64(), say)
-		e.In(500, take)
+		e.After(500*e.random.Float64(), put)
+		e.After(500*e.random.Float64(), say)
+		e.After(500, take)
 	}
 }
 
--- a/internal/session/queue/scenario_test.go
+++ b/internal/session/queue/scenario_test.go
@@ -21,7 +21,7 @@
 // links break, edges die, clients come again by their token, producers repeat what got no answer. verify: each
 // message that was acknowledged arrives once and in order, in both directions.
 type scenario struct {
-	virtualclock.Queue
+	virtualclock.Scheduler
 	random     *rand.Rand
 	current    *sites.Map
 	sites      map[string]*simSite
@@ -78,7 +78,7 @@
 func (e *scenario) deliver(from, to string, w Envelope) {
 	key := pair(from, to)
 	n := e.linkBreaks[key]
-	e.In(3, func() {
+	e.After(3, func() {
 		if e.linkBreaks[key] != n {
 			return
 		}
@@ -104,10 +104,10 @@
 	e.linkBreaks[pair(a, b)]++
 	for _, x := range [][2]string{{a, b}, {b, a}} {
 		if edge := e.edges[x[0]]; edge != nil && edge.up {
-			e.In(5, func() { edge.decider.HandleSiteLost(x[1], e.Now); e.flushEdge(edge) })
+			e.After(5, func() { edge.decider.HandleSiteLost(x[1], e.Now); e.flushEdge(edge) })
 		}
 		if site := e.sites[x[0]]; site != nil && e.edges[x[1]] != nil {
-			e.In(5, func() { site.run(func() { site.decider.HandleEdgeLost(x[1], e.Now); e.flushSite(site) }) })
+			e.After(5, func() { site.run(func() { site.decider.HandleEdgeLost(x[1], e.Now); e.flushSite(site) }) })
 		}
 	}
 }
@@ -147,7 +147,7 @@
 				edge.decider.Ack(t.Socket, t.Number)
 			} else {
 				n := t.Number
-				e.In(4+float64(e.random.IntN(3)*150), func() {
+				e.After(4+float64(e.random.IntN(3)*150), func() {
 					if edge.up && edge.sockets[t.Socket] == c {
 						edge.decider.Ack(t.Socket, n)
 						e.flushEdge(edge)
@@ -175,7 +175,7 @@
 	m := e.current
 	for _, name := range simSites {
 		site := e.sites[name]
-		e.In(2+20*e.random.Float64(), func() {
+		e.After(2+20*e.random.Float64(), func() {
 			site.run(func() {
 				site.decider.ApplyMap(m, site.incarnation,
 					e.Now)
@@ -188,7 +188,7 @@
 		if edge == nil {
 			continue
 		}
-		e.In(2+20*e.random.Float64(), func() {
+		e.After(2+20*e.random.Float64(), func() {
 			if edge.up {
 				edge.decider.ApplyMap(m, e.Now)
 				e.flushEdge(edge)
@@ -215,7 +215,7 @@
 	site.up, site.frozen, site.frozenCommands = true, false, nil
 	incarnation := site.incarnation
 	i := slices.Index(simSites, site.name)
-	e.In(10, func() {
+	e.After(10, func() {
 		e.change(&sites.Change{Kind: sites.ChangeJoin, Name: site.name,
 			Site: sites.Site{Addr: site.name, Zone: fmt.Sprint("z", i%3), Region: "r", Incarnation: incarnation}})
 		e.renewedAt[site.name] = e.Now
@@ -227,14 +227,14 @@
 		}
 		if !site.frozen {
 			asked := e.Now
-			e.In(5, func() { // the core's answer, confirmed
+			e.After(5, func() { // the core's answer, confirmed
 				if s := e.current.Sites[site.name]; s.Incarnation == incarnation && s.State != sites.StateRemoved && site.up {
 					e.renewedAt[site.name] = e.Now
-					e.In(5, func() { site.run(func() { site.decider.ExtendLease(asked + leaseFor) }) })
+					e.After(5, func() { site.run(func() { site.decider.ExtendLease(asked + leaseFor) }) })
 				}
 			})
 		}
-		e.In(300, renew)
+		e.After(300, renew)
 	}
 	tick = func() {
 		if site.incarnation != incarnation || !site.up {
@@ -244,10 +244,10 @@
 			site.decider.Tick(e.Now)
 			e.flushSite(site)
 		}
-		e.In(50, tick)
+		e.After(50, tick)
 	}
-	e.In(20, renew)
-	e.In(20, tick)
+	e.After(20, renew)
+	e.After(20, tick)
 }
 
 // expireLeases is the core's part: a site whose lease has surely expired is removed.
@@ -259,11 +259,11 @@
 			e.change(&sites.Change{Kind: sites.ChangeExpire, Name: name, Epoch: s.Epoch})
 			if site := e.sites[name]; site.up && !site.frozen { // it begins another incarnation
 				site.up = false
-				e.In(500, func() { e.startSite(site) })
+				e.After(500, func() { e.startSite(site) })
 			}
 		}
 	}
-	e.In(50, e.expireLeases)
+	e.After(50, e.expireLeases)
 }
 
 // kill ends a site's process, and its links; another begins after a while.
@@ -275,7 +275,7 @@
 			e.breakLink(site.name, name)
 		}
 	}
-	e.In(forMs, func() {
+	e.After(forMs, func() {
 		if !site.up {
 			e.startSite(site)
 		}
@@ -296,8 +296,8 @@
 		e.edges[name] = edge
 		e.startEdge(edge)
 	}
-	e.In(50, e.expireLeases)
-	e.Pass(400)
+	e.After(50, e.expireLeases)
+	e.RunUntil(400)
 	for i := range clients {
 		c := &client{id: fmt.Sprint("c", i), secret: fmt.Sprint("s", i), plain: i%3 == 0, produced: map[string]bool{}}
 		e.clients = append(e.clients, c)
@@ -313,8 +313,8 @@
 		if edge.decider == first && edge.up {
 			edge.decider.Tick(e.Now)
 			e.flushEdge(edge)
-			e.In(25, tick)
+			e.After(25, tick)
 		}
 	}
-	e.In(25, tick)
+	e.After(25, tick)
 }
--- a/internal/session/queue/sessions_test.go
+++ b/internal/session/queue/sessions_test.go
@@ -18,14 +18,14 @@
 func runSiteFaults(seed uint64, trace hash.Hash64) *scenario {
 	e := newScenario(seed, 12)
 	e.trace = trace
-	e.Pass(1000)
+	e.RunUntil(1000)
 	e.startTraffic(12000)
 	// One site at a time is away, and only once its sessions have copies again.
 	at := 1500.0
 	for at < 11000 {
 		site := e.sites[simSites[e.random.IntN(4)]]
 		k := e.random.IntN(5)
-		e.In(at-e.Now, func() {
+		e.After(at-e.Now, func() {
 			if !site.up || site.frozen {
 				return
 			}
@@ -35,7 +35,7 @@
 			case 1:
 				e.logf("%s is frozen", site.name)
 				site.frozen = true
-				e.In(1000+2500*e.random.Float64(), func() {
+				e.After(1000+2500*e.random.Float64(), func() {
 					site.frozen = false
 					for _, f := range site.frozenCommands {
 						f()
@@ -45,7 +45,7 @@
 			case 2:
 				e.logf("%s drains", site.name)
 				e.change(&sites.Change{Kind: sites.ChangeDrain, Name: site.name, DrainRate: 20})
-				e.In(2500, func() { e.change(&sites.Change{Kind: sites.ChangeUndrain, Name: site.name}) })
+				e.After(2500, func() { e.change(&sites.Change{Kind: sites.ChangeUndrain, Name: site.name}) })
 			case 3:
 				e.breakLink(site.name, fmt.Sprint("e", e.random.IntN(2)))
 			case 4:
@@ -54,9 +54,9 @@
 		})
 		at += []float64{4500, 5500, 1200, 300, 300}[k]
 	}
-	e.Pass(14000)
+	e.RunUntil(14000)
 	e.clientsRun = false
-	e.Pass(30000)
+	e.RunUntil(30000)
 	return e
 }
 
@@ -92,12 +92,12 @@
 	for _, c := range e.clients {
 		c.plain = false
 	}
-	e.Pass(1000)
+	e.RunUntil(1000)
 	e.startTraffic(12000)
 	for at := 1500.0; at < 11000; at += 1800 {
 		edge := e.edges[fmt.Sprint("e", e.random.IntN(2))]
 		pull := e.random.IntN(3) == 0
-		e.In(at-e.Now, func() {
+		e.After(at-e.Now, func() {
 			e.logf("%s dies", edge.name)
 			gone := edge.sockets
 			edge.sockets = map[uint64]*client{}
@@ -105,7 +105,7 @@
 			for _, name := range simSites {
 				e.breakLink(edge.name, name)
 			}
-			e.In(400, func() {
+			e.After(400, func() {
 				edge.decider, edge.up = NewEdge(edge.name, "z0", "r"), true
 				edge.decider.ApplyMap(e.current, e.Now)
 				e.startEdge(edge)
@@ -126,9 +126,9 @@
 			}
 		})
 	}
-	e.Pass(14000)
+	e.RunUntil(14000)
 	e.clientsRun = false
-	e.Pass(30000)
+	e.RunUntil(30000)
 	return e
 }
 
@@ -154,14 +154,14 @@
 		e.clients = all
 		e.connect(c, true)
 	}
-	e.Pass(4000)
+	e.RunUntil(4000)
 	from := e.sites["a"].decider.OwnedSessions()
 	e.change(&sites.Change{Kind: sites.ChangeDrain, Name: "a", DrainRate: 1000})
 	began := e.Now
 	for e.sites["a"].decider.OwnedSessions() > 0 && e.Now < began+30000 {
-		e.Pass(e.Now + 50)
+		e.RunUntil(e.Now + 50)
 	}
-	e.Pass(e.Now + 500)
+	e.RunUntil(e.Now + 500)
 	var gaps []float64
 	for _, edge := range e.edges {
 		gaps = append(gaps, edge.decider.OwnerGaps()...)
@@ -188,11 +188,11 @@
 		c := &client{id: fmt.Sprintf("%032d", i), secret: strings.Repeat("s", 32), edge: "e0"}
 		e.connect(c, true)
 		if i%500 == 0 {
-			e.Pass(e.Now + 100)
+			e.RunUntil(e.Now + 100)
 		}
 	}
-	e.Pass(e.Now + 2000)
-	e.Drop()
+	e.RunUntil(e.Now + 2000)
+	e.Discard()
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	homes := 0
--- a/internal/shard/shardmap/rebalance_test.go
+++ b/internal/shard/shardmap/rebalance_test.go
@@ -36,18 +36,18 @@
 		rebalancers = append(rebalancers, e.leader.rebalancer)
 	}
 	elect()
-	e.Pass(300)
+	e.RunUntil(300)
 	planned = e.applyPlan()
 	for range 8 {
-		e.In(8000*e.random.Float64(), func() { e.injectFault(elect) })
+		e.After(8000*e.random.Float64(), func() { e.injectFault(elect) })
 	}
-	e.Pass(10000)
+	e.RunUntil(10000)
 	e.change(&Change{Kind: ChangeResume})
 	e.loss = 0
 	elect()
-	e.Pass(20000)
+	e.RunUntil(20000)
 	e.clientsRun = false
-	e.Pass(26000)
+	e.RunUntil(26000)
 	return e, planned, rebalancers
 }
 
@@ -61,11 +61,11 @@
 	case 3: // a proxy is frozen with its map
 		proxy := e.proxies[e.random.IntN(3)]
 		proxy.frozen = true
-		e.In(2000*e.random.Float64(), func() { proxy.frozen = false; proxy.routes.Update(e.current) })
+		e.After(2000*e.random.Float64(), func() { proxy.frozen = false; proxy.routes.Update(e.current) })
 	case 4:
 		node := e.nodes[e.ids[e.random.IntN(4)]]
 		node.partitioned = true
-		e.In(1500*e.random.Float64(), func() { node.partitioned = false })
+		e.After(1500*e.random.Float64(), func() { node.partitioned = false })
 	case 5: // others than shards fill a disk
 		if node := e.nodes[e.ids[e.random.IntN(4)]]; !node.down {
 			store := node.store
@@ -131,9 +131,9 @@
 			e.startClient(fmt.Sprint("c", i), fmt.Sprint("s", i), 60, 20)
 		}
 		e.elect()
-		e.Pass(300)
+		e.RunUntil(300)
 		e.applyPlan()
-		e.Pass(6000)
+		e.RunUntil(6000)
 		gaps = append(gaps, e.leader.rebalancer.WriteGaps()...)
 	}
 	slices.Sort(gaps)
--- a/internal/shard/shardmap/scenario_clients_test.go
+++ b/internal/shard/shardmap/scenario_clients_test.go
@@ -19,9 +19,9 @@
 		seq++
 		request := &request{}
 		e.requests[fmt.Sprint(name, ".", seq)] = request
-		e.attempt(name, shard, seq, request, e.Now+2000, size, func() { e.In(gap*(0.2+1.6*e.random.Float64()), next) })
+		e.attempt(name, shard, seq, request, e.Now+2000, size, func() { e.After(gap*(0.2+1.6*e.random.Float64()), next) })
 	}
-	e.In(gap*e.random.Float64(), next)
+	e.After(gap*e.random.Float64(), next)
 }
 
 // attempt sends a write under an id of its own, resolves it if the answer is lost, and follows the shard as it moves.
@@ -32,7 +32,7 @@
 	rejected := func() {
 		request.rejected = append(request.rejected, id)
 		if e.Now < until-200 && len(request.attempts) < 4 {
-			e.In(50, func() { e.attempt(name, shard, seq, request, until, size, done) })
+			e.After(50, func() { e.attempt(name, shard, seq, request, until, size, done) })
 			return
 		}
 		done()
@@ -52,7 +52,7 @@
 			return
 		}
 		if !ok || proxy.frozen {
-			e.In(10, send)
+			e.After(10, send)
 			return
 		}
 		var err error
@@ -73,13 +73,13 @@
 			switch {
 			case !ok:
 				sent = true
-				e.In(5, send)
+				e.After(5, send)
 			case err == nil:
 				request.acknowledged = append(request.acknowledged, id)
 				done()
 			case isMoved:
 				e.record("missed", proxy.routes.HandleMoved(shard, assignment.Epoch, moved.HighestEpoch))
-				e.In(5, send)
+				e.After(5, send)
 			default: // no capacity, or aborted: it never runs
 				rejected()
 			}
--- a/internal/shard/shardmap/scenario_test.go
+++ b/internal/shard/shardmap/scenario_test.go
@@ -18,7 +18,7 @@
 // freezes and is followed, proxies with maps of their own age, clients that repeat attempts as theirs do. Every
 // message may be late or lost.
 type scenario struct {
-	virtualclock.Queue
+	virtualclock.Scheduler
 	random       *rand.Rand
 	nodes        map[string]*node
 	ids          []string
@@ -80,12 +80,12 @@
 func (e *scenario) call(id string, request func(store *shardnode.Store), reply func(ok bool)) {
 	target := e.nodes[id]
 	if target == nil {
-		e.In(1, func() { reply(false) })
+		e.After(1, func() { reply(false) })
 		return
 	}
 	lost, replyLost := e.random.Float64() < e.loss, e.random.Float64() < e.loss
 	answered := false
-	e.In(400, func() {
+	e.After(400, func() {
 		if !answered {
 			answered = true
 			reply(false)
@@ -98,14 +98,14 @@
 	if e.random.Float64() < e.loss { // it arrives long after it was given up
 		delay = 400 + 2000*e.random.Float64()
 	}
-	e.In(delay, func() {
+	e.After(delay, func() {
 		if target.down || target.partitioned {
 			return
 		}
 		request(target.store)
 		e.checkCapacity(target)
 		if !replyLost {
-			e.In(1+8*e.random.Float64(), func() {
+			e.After(1+8*e.random.Float64(), func() {
 				if !answered && !target.partitioned {
 					answered = true
 					reply(true)
@@ -128,7 +128,7 @@
 		return
 	}
 	n.down = true
-	e.In(forMs, func() { // each call was synced before its answer
+	e.After(forMs, func() { // each call was synced before its answer
 		disk, _ := cbor.Marshal(n.store)
 		n.store = &shardnode.Store{}
 		_ = cbor.Unmarshal(disk, n.store)
@@ -145,7 +145,7 @@
 	next := &leader{rebalancer: NewRebalancer(), term: e.term}
 	e.leader = next
 	if old != nil {
-		e.In(500*e.random.Float64(), func() { old.deposed = true })
+		e.After(500*e.random.Float64(), func() { old.deposed = true })
 	}
 	next.step = func() {
 		if !next.deposed {
@@ -157,10 +157,10 @@
 	var tick func()
 	tick = func() {
 		if next.step(); !next.deposed {
-			e.In(20, tick)
+			e.After(20, tick)
 		}
 	}
-	e.In(100, tick)
+	e.After(100, tick)
 }
 
 func code(err error) ResultCode {
@@ -188,7 +188,7 @@
 	handle := func(result Result) {
 		if !leader.deposed {
 			leader.rebalancer.HandleResult(action, result, e.Now)
-			e.In(0, leader.step)
+			e.After(0, leader.step)
 		}
 	}
 	switch action.Kind {
@@ -202,7 +202,7 @@
 			}
 		})
 	case ActionPropose:
-		e.In(5+20*e.random.Float64(), func() { handle(e.propose(leader, action.Change)) })
+		e.After(5+20*e.random.Float64(), func() { handle(e.propose(leader, action.Change)) })
 	case ActionFetch:
 		e.fetch(action, handle)
 	default:
@@ -305,7 +305,7 @@
 func (e *scenario) publishMap() {
 	m := e.current
 	for _, p := range e.proxies {
-		e.In(2+30*e.random.Float64()*e.random.Float64()*10, func() {
+		e.After(2+30*e.random.Float64()*e.random.Float64()*10, func() {
 			if !p.frozen {
 				p.routes.Update(m)
 			}
--- a/internal/standin/cluster/cluster.go
+++ b/internal/standin/cluster/cluster.go
@@ -44,7 +44,7 @@
 		"controlplane": {Name: "controlplane", Run: controlplane.Run},
 		"sessionsite":  {Name: "sessionsite", Run: site.Run}, "sessionedge": {Name: "sessionedge", Run: edge.Run}}
 	if control := os.Getenv(diskVariable); control != "" {
-		store.FS = disk.Under(control)
+		store.FS = disk.FaultyFS(control)
 	}
 	if r, ok := roles[os.Getenv(roleVariable)]; ok {
 		return process.Main(r, nil, os.Stdout)
@@ -53,49 +53,49 @@
 }
 
 // Town is one.
-type Town struct {
-	t      *testing.T
-	dir    string
-	net    int
-	ports  int
-	mesh   map[string]int      // a process's first port, where it is not ports: it reaches others' links there too
-	seeds  map[string][]string // a process's, where they are not the first three machines
-	Svc    *Service
-	Nodes  map[string]*Service // that hold shards, by name
-	nSites int
-	Cores  []string // control addresses
-	procs  map[string]*exec.Cmd
-	logs   map[string]*bytes.Buffer
-	plat   string
-	stop   func()
+type Deployment struct {
+	t         *testing.T
+	dir       string
+	network   int
+	basePort  int
+	meshPorts map[string]int      // a process's first port, where it is not ports: it reaches others' links there too
+	seeds     map[string][]string // a process's, where they are not the first three machines
+	Service   *Service
+	Nodes     map[string]*Service // that hold shards, by name
+	siteCount int
+	Cores     []string // control addresses
+	processes map[string]*exec.Cmd
+	logs      map[string]*bytes.Buffer
+	platform  string
+	stop      func()
 }
 
-var towns int
+var deployments int
 
 // New starts cores and fronts, and a service of three members that is beaten for.
-func New(t *testing.T, cores, fronts int) *Town {
+func New(t *testing.T, cores, fronts int) *Deployment {
 	t.Helper()
-	return newTown(t, cores, fronts, func(*Town) {}, direct)
+	return newDeployment(t, cores, fronts, func(*Deployment) {}, direct)
 }
 
 func direct(addr string) string { return addr }
 
 // newTown lets before prepare what processes find as they start.
-func newTown(t *testing.T, cores, fronts int, before func(*Town), via func(addr string) string) *Town {
+func newDeployment(t *testing.T, cores, fronts int, before func(*Deployment), via func(addr string) string) *Deployment {
 	t.Helper()
-	towns++
-	w := &Town{
-		t:     t,
-		dir:   t.TempDir(),
-		net:   os.Getpid()%200 + towns,
-		ports: 20000 + os.Getpid()%300*20,
-		procs: map[string]*exec.Cmd{},
-		logs:  map[string]*bytes.Buffer{},
+	deployments++
+	w := &Deployment{
+		t:         t,
+		dir:       t.TempDir(),
+		network:   os.Getpid()%200 + deployments,
+		basePort:  20000 + os.Getpid()%300*20,
+		processes: map[string]*exec.Cmd{},
+		logs:      map[string]*bytes.Buffer{},
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	w.stop = func() {
 		stop()
-		for name := range w.procs {
+		for name := range w.processes {
 			w.Kill(name)
 		}
 	}
@@ -108,22 +108,22 @@
 			}
 		}
 	})
-	w.Svc = newService("svc", "1", "a", "b", "c")
+	w.Service = newService("svc", "1", "a", "b", "c")
 	for i, id := range []string{"a", "b", "c"} {
-		if err := w.Svc.listen(ctx, id, w.ip(3, i)+":0"); err != nil {
+		if err := w.Service.listen(ctx, id, w.ip(3, i)+":0"); err != nil {
 			t.Fatal(err)
 		}
-		w.Svc.addrs[id] = via(w.Svc.addrs[id])
+		w.Service.addrs[id] = via(w.Service.addrs[id])
 	}
 	pl, err := net.Listen("tcp4", w.ip(4, 0)+":0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.plat = via(pl.Addr().String())
-	go func() { _ = http.Serve(pl, w.Svc) }() // until its listener is closed
+	w.platform = via(pl.Addr().String())
+	go func() { _ = http.Serve(pl, w.Service) }() // until its listener is closed
 	context.AfterFunc(ctx, func() { pl.Close() })
 	for i := range cores {
-		w.Cores = append(w.Cores, net.JoinHostPort(w.ip(1, i), fmt.Sprint(w.ports+3)))
+		w.Cores = append(w.Cores, net.JoinHostPort(w.ip(1, i), fmt.Sprint(w.basePort+3)))
 	}
 	before(w)
 	for i := range cores {
@@ -134,18 +134,18 @@
 		w.Start(fmt.Sprint("proxy", i), true)
 	}
 	for _, id := range []string{"a", "b", "c"} {
-		w.beatFor(ctx, w.Svc, id)
+		w.sendHeartbeats(ctx, w.Service, id)
 	}
 	return w
 }
 
 // Stop ends all of its processes.
-func (w *Town) Stop() { w.stop() }
+func (w *Deployment) Stop() { w.stop() }
 
-func (w *Town) ip(kind, n int) string { return fmt.Sprintf("127.%d.%d.%d", w.net, kind, n+1) }
+func (w *Deployment) ip(kind, n int) string { return fmt.Sprintf("127.%d.%d.%d", w.network, kind, n+1) }
 
 // Start starts a process: core0, agent0, proxy0 and so on.
-func (w *Town) Start(name string, first bool) {
+func (w *Deployment) Start(name string, first bool) {
 	w.t.Helper()
 	n := int(name[len(name)-1] - '0')
 	kinds := map[string]struct {
@@ -158,8 +158,8 @@
 	if kind >= 5 { // sites and edges are in zones of their own
 		zone = fmt.Sprint("z", n%3+1)
 	}
-	meshPort := w.ports
-	if port, apart := w.mesh[name]; apart {
+	meshPort := w.basePort
+	if port, apart := w.meshPorts[name]; apart {
 		meshPort = port
 	}
 	seeds := w.Cores[:min(3, len(w.Cores))]
@@ -168,16 +168,16 @@
 	}
 	lines := []string{"hostname=" + name, "zone=" + zone, "region=r1", "zones.z1=r1", "zones.z2=r1", "zones.z3=r1",
 		fmt.Sprintf("portRange=%d,%d", meshPort, meshPort+2), "peers=" + strings.Join(seeds, ","), fmt.Sprint("init=", first),
-		"tolerate.nodes=1", "beatMs=200", "bounds.graceS=2", "cloudApi.addr=" + w.plat}
+		"tolerate.nodes=1", "beatMs=200", "bounds.graceS=2", "cloudApi.addr=" + w.platform}
 	switch role {
 	case "controlplane":
 		lines = append(lines, "listen.ctl="+w.Cores[n], "datadir="+filepath.Join(w.dir, name))
 	case "sessionsite", "sessionedge":
-		lines = append(lines, fmt.Sprintf("listen.front=%s:%d", w.ip(kind, n), w.ports+4),
-			fmt.Sprintf("listen.readyAddr=%s:%d", w.ip(kind, n), w.ports+5))
+		lines = append(lines, fmt.Sprintf("listen.front=%s:%d", w.ip(kind, n), w.basePort+4),
+			fmt.Sprintf("listen.readyAddr=%s:%d", w.ip(kind, n), w.basePort+5))
 	default:
-		lines = append(lines, "listen.front="+w.Front(n), "listen.readyAddr="+w.readyAddr(n),
-			fmt.Sprintf("listen.feed=%s:%d", w.ip(2, n), w.ports+1))
+		lines = append(lines, "listen.front="+w.ProxyAddr(n), "listen.readyAddr="+w.readyAddr(n),
+			fmt.Sprintf("listen.feed=%s:%d", w.ip(2, n), w.basePort+1))
 	}
 	lines = append(lines, "ip="+w.ip(kind, n))
 	file := filepath.Join(w.dir, name+".conf")
@@ -189,7 +189,7 @@
 		w.t.Fatal(err)
 	}
 	cmd := exec.Command(self)
-	cmd.Env = append(os.Environ(), roleVariable+"="+role, settings.EnvVariable+"="+file, diskVariable+"="+w.control(name))
+	cmd.Env = append(os.Environ(), roleVariable+"="+role, settings.EnvVariable+"="+file, diskVariable+"="+w.diskControlFile(name))
 	if w.logs[name] == nil {
 		w.logs[name] = &bytes.Buffer{}
 	}
@@ -197,42 +197,42 @@
 	if err := cmd.Start(); err != nil {
 		w.t.Fatal(err)
 	}
-	w.procs[name] = cmd
+	w.processes[name] = cmd
 }
 
 // Signal sends one to a process.
-func (w *Town) Signal(name string, s syscall.Signal) { _ = w.procs[name].Process.Signal(s) }
+func (w *Deployment) Signal(name string, s syscall.Signal) { _ = w.processes[name].Process.Signal(s) }
 
 // Kill ends a process at once and waits for it.
-func (w *Town) Kill(name string) {
-	if c := w.procs[name]; c != nil {
+func (w *Deployment) Kill(name string) {
+	if c := w.processes[name]; c != nil {
 		_ = c.Process.Signal(syscall.SIGCONT)
 		_ = c.Process.Kill() // it may have ended
 		_ = c.Wait()         // it was killed
-		delete(w.procs, name)
+		delete(w.processes, name)
 	}
 }
 
-func (w *Town) control(name string) string { return filepath.Join(w.dir, name+".disk") }
+func (w *Deployment) diskControlFile(name string) string { return filepath.Join(w.dir, name+".disk") }
 
 // Disk makes a machine's disk do what the words say (package disk); none: it works.
-func (w *Town) Disk(name string, words ...string) {
+func (w *Deployment) SetDiskFaults(name string, words ...string) {
 	w.t.Helper()
-	if err := os.WriteFile(w.control(name), []byte(strings.Join(words, " ")), 0o600); err != nil {
+	if err := os.WriteFile(w.diskControlFile(name), []byte(strings.Join(words, " ")), 0o600); err != nil {
 		w.t.Fatal(err)
 	}
 }
 
 // Wipe empties a stopped core machine's disk.
-func (w *Town) Wipe(name string) { _ = os.RemoveAll(filepath.Join(w.dir, name)) }
+func (w *Deployment) EraseDisk(name string) { _ = os.RemoveAll(filepath.Join(w.dir, name)) }
 
 // Front is a proxy's address for clients.
-func (w *Town) Front(n int) string { return fmt.Sprintf("%s:%d", w.ip(2, n), w.ports+4) }
+func (w *Deployment) ProxyAddr(n int) string { return fmt.Sprintf("%s:%d", w.ip(2, n), w.basePort+4) }
 
-func (w *Town) readyAddr(n int) string { return fmt.Sprintf("%s:%d", w.ip(2, n), w.ports+5) }
+func (w *Deployment) readyAddr(n int) string { return fmt.Sprintf("%s:%d", w.ip(2, n), w.basePort+5) }
 
 // Until waits for a condition, at most for a while.
-func (w *Town) Until(what string, cond func() bool) {
+func (w *Deployment) Eventually(what string, cond func() bool) {
 	w.t.Helper()
 	tick := time.NewTicker(10 * time.Millisecond)
 	defer tick.Stop()
@@ -244,13 +244,13 @@
 }
 
 // Ready says whether a proxy calls itself ready.
-func (w *Town) Ready(n int) bool {
+func (w *Deployment) Ready(n int) bool {
 	code, _ := w.Call("GET", w.readyAddr(n), "/ready", "", nil)
 	return code == 200
 }
 
 // Call makes a call; status 0: no answer.
-func (w *Town) Call(method, addr, path, base string, body []byte) (int, string) {
+func (w *Deployment) Call(method, addr, path, base string, body []byte) (int, string) {
 	req, _ := http.NewRequest(method, "http://"+addr+path, bytes.NewReader(body))
 	if base != "" {
 		req.Header.Set("Weirwind-Base-Version", base)
@@ -278,43 +278,43 @@
 }
 
 // Configure has the operator's first configuration taken, and waits until the proxies serve by it.
-func (w *Town) Configure(fronts int) {
+func (w *Deployment) Configure(fronts int) {
 	w.t.Helper()
-	w.Until("a configuration is taken", func() bool {
+	w.Eventually("a configuration is taken", func() bool {
 		code, _ := w.Call("POST", w.Cores[0], "/config/replace", "0", Config(1))
 		return code == 200
 	})
 	for n := range fronts {
-		w.Until("a proxy is ready", func() bool { return w.Ready(n) })
+		w.Eventually("a proxy is ready", func() bool { return w.Ready(n) })
 	}
 }
 
 // Client is a session.
 type Client struct {
-	c net.Conn
-	r *wire.Reader
-	n int
-	t *testing.T
+	conn      net.Conn
+	reader    *wire.Reader
+	lastQuery int
+	t         *testing.T
 }
 
 var clients atomic.Int64
 
 // Attach opens a session; its first answer is kept in what it returns.
-func (w *Town) Attach(front int, db string) (*Client, string) {
+func (w *Deployment) Attach(front int, db string) (*Client, string) {
 	w.t.Helper()
-	c, err := net.DialTimeout("tcp4", w.Front(front), 2*time.Second)
+	c, err := net.DialTimeout("tcp4", w.ProxyAddr(front), 2*time.Second)
 	if err != nil {
 		return nil, err.Error()
 	}
 	w.t.Cleanup(func() { c.Close() })
-	k := &Client{c: c, r: wire.NewReader(c), t: w.t, n: int(clients.Add(1)) * 10_000_000}
+	k := &Client{conn: c, reader: wire.NewReader(c), t: w.t, lastQuery: int(clients.Add(1)) * 10_000_000}
 	fmt.Fprintf(c, "ATTACH %s u1\r\n", db)
 	return k, k.line()
 }
 
 func (k *Client) line() string {
-	k.c.SetReadDeadline(time.Now().Add(8 * time.Second))
-	l, err := k.r.ReadMessage()
+	k.conn.SetReadDeadline(time.Now().Add(8 * time.Second))
+	l, err := k.reader.ReadMessage()
 	if err != nil {
 		return "end: " + err.Error()
 	}
@@ -322,10 +322,10 @@
 }
 
 // Ask sends a query under an id of its own and gives the id and the answer's lines, joined by " | ".
-func (k *Client) Ask(text string) (id, answer string) {
-	k.n++
-	id = fmt.Sprintf("q%d", k.n)
-	fmt.Fprintf(k.c, "QUERY %s %s\r\n", id, text)
+func (k *Client) Query(text string) (id, answer string) {
+	k.lastQuery++
+	id = fmt.Sprintf("q%d", k.lastQuery)
+	fmt.Fprintf(k.conn, "QUERY %s %s\r\n", id, text)
 	var all []string
 	for {
 		l := k.line()
@@ -337,7 +337,7 @@
 }
 
 // Say sends raw bytes.
-func (k *Client) Say(s string) { _, _ = io.WriteString(k.c, s) }
+func (k *Client) Send(s string) { _, _ = io.WriteString(k.conn, s) }
 
 // Line reads one line.
-func (k *Client) Line() string { return k.line() }
+func (k *Client) ReadLine() string { return k.line() }
--- a/internal/standin/cluster/cluster_test.go
+++ b/internal/standin/cluster/cluster_test.go
@@ -49,7 +49,7 @@
 	var lines []string
 	talk := func(k *Client, texts ...string) {
 		for _, x := range texts {
-			_, a := k.Ask(x)
+			_, a := k.Query(x)
 			lines = append(lines, "> "+x, "< "+changing.ReplaceAllString(a, "_"))
 		}
 	}
@@ -69,14 +69,14 @@
 	talk(k, "FETCH x", "BEGIN FETCH", "FETCH x", "COMMIT")
 	open("nowhere")
 	k = open("prim")
-	k.Say("QUERY\r\n")
-	lines = append(lines, "> QUERY", "< "+k.Line(), "< "+k.Line())
+	k.Send("QUERY\r\n")
+	lines = append(lines, "> QUERY", "< "+k.ReadLine(), "< "+k.ReadLine())
 	k = open("prim")
-	k.Say("a line without its end\n")
-	lines = append(lines, "> a line without its end", "< "+k.Line())
+	k.Send("a line without its end\n")
+	lines = append(lines, "> a line without its end", "< "+k.ReadLine())
 	k = open("prim")
 	talk(k, "BEGIN", "STORE z 1")
-	w.Until("the transaction that rests is ended", func() bool { return w.Svc.Open() == 0 }) // txIdleMs is 500
+	w.Eventually("the transaction that rests is ended", func() bool { return w.Service.OpenTransactions() == 0 }) // txIdleMs is 500
 	talk(k, "STORE z 2", "STORE z 3", "COMMIT", "FETCH z")
 	transcript(t, "sessions", lines)
 }
@@ -106,7 +106,7 @@
 	call(0, "GET", "/config/show", "", "")
 	call(0, "POST", "/members/m1/heartbeat", "", `{"svc":`)
 	transcript(t, "operators", lines)
-	w.Until("a route that was added serves, and one that was removed does not", func() bool {
+	w.Eventually("a route that was added serves, and one that was removed does not", func() bool {
 		_, a := w.Attach(0, "new")
 		_, b := w.Attach(0, "self")
 		return a == "READY I -" && strings.HasPrefix(b, "FAIL NODB")
@@ -114,7 +114,7 @@
 }
 
 // load writes from several clients until stopped, and gives the ids that were answered DONE and those that were promised undone.
-func load(w *Town, fronts, each int) (stop func() (done, undone []string)) {
+func load(w *Deployment, fronts, each int) (stop func() (done, undone []string)) {
 	var mu sync.Mutex
 	var done, undone []string
 	quit := make(chan struct{})
@@ -133,7 +133,7 @@
 					return
 				default:
 				}
-				id, a := k.Ask(fmt.Sprint("STORE t", n, " v"))
+				id, a := k.Query(fmt.Sprint("STORE t", n, " v"))
 				mu.Lock()
 				switch {
 				case strings.HasPrefix(a, "DONE"):
@@ -155,19 +155,19 @@
 	}
 }
 
-func audit(w *Town, done, undone []string) {
-	w.Svc.With(func(*replicaset.Group) {
+func audit(w *Deployment, done, undone []string) {
+	w.Service.With(func(*replicaset.Group) {
 		for _, id := range done {
-			So(w.Svc.Ran[id], ShouldEqual, 1)
+			So(w.Service.Executions[id], ShouldEqual, 1)
 		}
 		for _, id := range undone {
-			So(w.Svc.Ran[id], ShouldEqual, 0)
+			So(w.Service.Executions[id], ShouldEqual, 0)
 		}
-		for _, n := range w.Svc.Ran {
+		for _, n := range w.Service.Executions {
 			So(n, ShouldEqual, 1)
 		}
 	})
-	So(w.Svc.Lost(), ShouldBeEmpty)
+	So(w.Service.Lost(), ShouldBeEmpty)
 	So(len(done), ShouldBeGreaterThan, 0)
 }
 
@@ -178,59 +178,59 @@
 		w.Configure(2)
 		stop := load(w, 2, 3)
 		Convey("a primary that dies is replaced, and nothing that was answered is lost or doubled", func() {
-			w.Svc.Crash("a")
-			w.Until("another leads", func() bool { l := w.Svc.Leader(); return l != "" && l != "a" })
-			w.Until("writes go on", func() bool {
+			w.Service.Crash("a")
+			w.Eventually("another leads", func() bool { l := w.Service.Leader(); return l != "" && l != "a" })
+			w.Eventually("writes go on", func() bool {
 				k, _ := w.Attach(1, "prim")
-				_, a := k.Ask("STORE after 1")
+				_, a := k.Query("STORE after 1")
 				return strings.HasPrefix(a, "DONE")
 			})
 			done, undone := stop()
 			audit(w, done, undone)
 		})
 		Convey("one that is to be replaced hands over, and its clients meet no failure", func() {
-			w.Svc.With(func(g *replicaset.Group) { g.Get("a").Drains = true })
-			w.Until("another leads", func() bool { l := w.Svc.Leader(); return l != "" && l != "a" })
-			w.Until("it is asked no more", func() bool {
+			w.Service.With(func(g *replicaset.Group) { g.Member("a").Draining = true })
+			w.Eventually("another leads", func() bool { l := w.Service.Leader(); return l != "" && l != "a" })
+			w.Eventually("it is asked no more", func() bool {
 				_, s := w.Call("GET", w.readyAddr(0), "/status", "", nil)
-				return strings.Contains(s, `"slot": "`+w.Svc.Leader())
+				return strings.Contains(s, `"slot": "`+w.Service.Leader())
 			})
 			done, undone := stop()
 			So(undone, ShouldBeEmpty)
 			audit(w, done, undone)
-			So(w.Svc.Late, ShouldBeEmpty)
+			So(w.Service.AfterDrain, ShouldBeEmpty)
 		})
 		Convey("one whose commits reach no replica is replaced though it speaks", func() {
-			w.Svc.With(func(g *replicaset.Group) { g.Get("a").Cut = true })
-			w.Until("another leads", func() bool { l := w.Svc.Leader(); return l != "" && l != "a" })
-			w.Svc.With(func(g *replicaset.Group) { g.Get("a").Cut = false })
+			w.Service.With(func(g *replicaset.Group) { g.Member("a").Partitioned = true })
+			w.Eventually("another leads", func() bool { l := w.Service.Leader(); return l != "" && l != "a" })
+			w.Service.With(func(g *replicaset.Group) { g.Member("a").Partitioned = false })
 			done, undone := stop()
 			audit(w, done, undone)
 		})
 		Convey("the core's leader is killed as the primary dies, and its successor does the same", func() {
 			lead := leader(w)
 			w.Kill(lead)
-			w.Svc.Crash("a")
-			w.Until("another leads", func() bool { l := w.Svc.Leader(); return l != "" && l != "a" })
+			w.Service.Crash("a")
+			w.Eventually("another leads", func() bool { l := w.Service.Leader(); return l != "" && l != "a" })
 			done, undone := stop()
 			audit(w, done, undone)
 		})
 		Convey("all of the core forgets while a replica is dead that alone holds a commit: nobody else is named", func() {
 			done, undone := stop()
-			w.Svc.With(func(g *replicaset.Group) { g.Get("b").Deaf = true })
+			w.Service.With(func(g *replicaset.Group) { g.Member("b").NotReceiving = true })
 			k, _ := w.Attach(0, "prim")
-			id, a := k.Ask("STORE only 1")
+			id, a := k.Query("STORE only 1")
 			So(a, ShouldStartWith, "DONE")
-			w.Svc.Crash("c")
+			w.Service.Crash("c")
 			for i := range 3 {
 				w.Kill(fmt.Sprint("core", i))
 			}
-			w.Svc.Crash("a")
-			w.Svc.With(func(g *replicaset.Group) { g.Get("b").Deaf = false })
+			w.Service.Crash("a")
+			w.Service.With(func(g *replicaset.Group) { g.Member("b").NotReceiving = false })
 			for i := range 3 {
 				w.Start(fmt.Sprint("core", i), false)
 			}
-			w.Until("the core waits for who is dead", func() bool {
+			w.Eventually("the core waits for who is dead", func() bool {
 				for _, c := range w.Cores {
 					if _, s := w.Call("GET", c, "/events", "", nil); strings.Contains(s, "waits for 1 more of 2 replicas") {
 						return true
@@ -238,16 +238,16 @@
 				}
 				return false
 			})
-			So(w.Svc.Leader(), ShouldEqual, "")
-			w.Svc.With(func(g *replicaset.Group) { g.Get("c").Restart() })
-			w.Until("who has it leads", func() bool { return w.Svc.Leader() == "c" })
+			So(w.Service.Leader(), ShouldEqual, "")
+			w.Service.With(func(g *replicaset.Group) { g.Member("c").Restart() })
+			w.Eventually("who has it leads", func() bool { return w.Service.Leader() == "c" })
 			audit(w, append(done, id), undone)
 		})
 		Convey("answers to writes are lost: none is promised undone, none runs twice", func() {
-			w.Svc.With(func(*replicaset.Group) { w.Svc.Lose = 5 })
-			w.Until("they were lost", func() bool {
+			w.Service.With(func(*replicaset.Group) { w.Service.LoseAnswers = 5 })
+			w.Eventually("they were lost", func() bool {
 				n := 1
-				w.Svc.With(func(*replicaset.Group) { n = w.Svc.Lose })
+				w.Service.With(func(*replicaset.Group) { n = w.Service.LoseAnswers })
 				return n == 0
 			})
 			done, undone := stop()
@@ -256,7 +256,7 @@
 		Convey("a proxy is told to end: what was asked is answered, and it ends in time", func() {
 			began := time.Now()
 			w.Signal("proxy0", syscall.SIGTERM)
-			w.procs["proxy0"].Wait()
+			w.processes["proxy0"].Wait()
 			So(time.Since(began), ShouldBeLessThan, 4*time.Second) // the race detector ends a second late
 			done, undone := stop()
 			audit(w, done, undone)
@@ -264,9 +264,9 @@
 	})
 }
 
-func leader(w *Town) string {
+func leader(w *Deployment) string {
 	name := ""
-	w.Until("a core machine leads", func() bool {
+	w.Eventually("a core machine leads", func() bool {
 		for i, c := range w.Cores {
 			if _, s := w.Call("GET", c, "/status", "", nil); strings.Contains(s, `"leads": true`) {
 				name = fmt.Sprint("core", i)
@@ -279,7 +279,7 @@
 }
 
 // voters gives how many of the voters that a machine knows are of their disks' first life, and all of them.
-func voters(w *Town, n int) (first int, all string) {
+func voters(w *Deployment, n int) (first int, all string) {
 	_, s := w.Call("GET", w.Cores[n], "/status", "", nil)
 	var v struct{ Voters []consensus.Voter }
 	if json.Unmarshal([]byte(s), &v) != nil {
@@ -309,7 +309,7 @@
 		Convey("a leader frozen in a change takes nothing that the others have not", func() {
 			lead := leader(w)
 			w.Signal(lead, syscall.SIGSTOP)
-			w.Until("the others take the next", func() bool {
+			w.Eventually("the others take the next", func() bool {
 				for i, c := range w.Cores {
 					if fmt.Sprint("core", i) != lead {
 						if code, _ := w.Call("POST", c, "/config/replace", "1", Config(2)); code == 200 {
@@ -321,7 +321,7 @@
 			})
 			w.Signal(lead, syscall.SIGCONT)
 			n := int(lead[4] - '0')
-			w.Until("it says what the others took", func() bool {
+			w.Eventually("it says what the others took", func() bool {
 				code, s := w.Call("GET", w.Cores[n], "/config/show", "", nil)
 				So(code == 200 && strings.Contains(s, `"gen":1,`), ShouldBeFalse)
 				return code == 200 && strings.Contains(s, `"gen":2`)
@@ -344,27 +344,27 @@
 			So((a == 200) != (b == 200), ShouldBeTrue)
 		})
 		Convey("all are killed right after an acknowledgement, and one disk is lost", func() {
-			w.Until("the next is taken", func() bool {
+			w.Eventually("the next is taken", func() bool {
 				code, _ := w.Call("POST", w.Cores[0], "/config/replace", "1", Config(2))
 				return code == 200
 			})
 			for i := range 3 {
 				w.Kill(fmt.Sprint("core", i))
 			}
-			w.Wipe("core0")
+			w.EraseDisk("core0")
 			for i := range 3 {
 				w.Start(fmt.Sprint("core", i), i != 0)
 			}
-			w.Until("it is still there", func() bool { return shown("2") })
-			w.Until("the empty one is a voter again, under another name", func() bool {
+			w.Eventually("it is still there", func() bool { return shown("2") })
+			w.Eventually("the empty one is a voter again, under another name", func() bool {
 				first, all := voters(w, 1)
 				return first == 2 && strings.Contains(all, w.Cores[0])
 			})
 			Convey("and then another disk", func() {
 				w.Kill("core1")
-				w.Wipe("core1")
+				w.EraseDisk("core1")
 				w.Start("core1", false)
-				w.Until("it is still there", func() bool { return shown("2") })
+				w.Eventually("it is still there", func() bool { return shown("2") })
 			})
 		})
 		Convey("a proxy that starts while the core is away serves by what its agent knows", func() {
@@ -373,13 +373,13 @@
 			}
 			w.Kill("proxy0")
 			w.Start("proxy0", true)
-			w.Until("it is ready", func() bool { return w.Ready(0) })
-			w.Until("it serves", func() bool {
+			w.Eventually("it is ready", func() bool { return w.Ready(0) })
+			w.Eventually("it serves", func() bool {
 				k, _ := w.Attach(0, "prim")
 				if k == nil {
 					return false
 				}
-				_, a := k.Ask("STORE x 1")
+				_, a := k.Query("STORE x 1")
 				return strings.HasPrefix(a, "DONE")
 			})
 		})
@@ -387,9 +387,9 @@
 }
 
 // change has the operator's configuration gen taken on top of base, by whichever machine but one.
-func change(w *Town, base, gen int, but string) {
+func change(w *Deployment, base, gen int, but string) {
 	w.t.Helper()
-	w.Until(fmt.Sprint("configuration ", gen, " is taken"), func() bool {
+	w.Eventually(fmt.Sprint("configuration ", gen, " is taken"), func() bool {
 		for i, c := range w.Cores {
 			if fmt.Sprint("core", i) != but {
 				if code, _ := w.Call("POST", c, "/config/replace", fmt.Sprint(base), Config(gen)); code == 200 {
@@ -420,11 +420,11 @@
 		}
 		Convey("a disk that is slow shows in the leader's status, and a voter that is gone", func() {
 			lead := leader(w)
-			w.Disk(lead, disk.Slow)
+			w.SetDiskFaults(lead, disk.SlowSync)
 			next("")
 			gone := fmt.Sprint("core", (int(lead[4]-'0')+1)%3)
 			w.Kill(gone)
-			w.Until("status tells both", func() bool {
+			w.Eventually("status tells both", func() bool {
 				var b strings.Builder
 				weirctl.Main([]string{"status", w.Cores[lead[4]-'0']}, &b, &b)
 				slow, behind := false, strings.Contains(b.String(), "ms ago")
@@ -437,37 +437,37 @@
 				}
 				return slow && behind
 			})
-			w.Disk(lead)
+			w.SetDiskFaults(lead)
 			change(w, gen, gen+1, gone)
 		})
 		Convey("the leader's disk stalls: it hands the lead on, and what it could not sync it never said", func() {
 			lead := leader(w)
-			w.Disk(lead, disk.Stalls)
+			w.SetDiskFaults(lead, disk.Stall)
 			next(lead)
 			next(lead)
-			w.Disk(lead)
+			w.SetDiskFaults(lead)
 			n := int(lead[4] - '0')
-			w.Until("it says what the others took", func() bool { return shown(n) == fmt.Sprint(`{"gen":`, gen) })
+			w.Eventually("it says what the others took", func() bool { return shown(n) == fmt.Sprint(`{"gen":`, gen) })
 			Convey("and the disk of the next one stalls, and that of another is slow", func() {
 				second := leader(w)
 				for i := range 3 {
 					if name := fmt.Sprint("core", i); name != second {
-						w.Disk(name, disk.Slow)
+						w.SetDiskFaults(name, disk.SlowSync)
 					}
 				}
-				w.Disk(second, disk.Stalls)
+				w.SetDiskFaults(second, disk.Stall)
 				next(second)
 			})
 		})
 		Convey("a disk refuses: its machine says nothing that follows, ends and comes back as who it was", func() {
 			lead := leader(w)
-			w.Disk(lead, disk.Refuses)
+			w.SetDiskFaults(lead, disk.Refuse)
 			next(lead)
-			w.procs[lead].Wait()
-			w.Disk(lead)
+			w.processes[lead].Wait()
+			w.SetDiskFaults(lead)
 			w.Start(lead, false)
 			n := int(lead[4] - '0')
-			w.Until("it says what the others took", func() bool { return shown(n) == fmt.Sprint(`{"gen":`, gen) })
+			w.Eventually("it says what the others took", func() bool { return shown(n) == fmt.Sprint(`{"gen":`, gen) })
 			first, _ := voters(w, n)
 			So(first, ShouldEqual, 3)
 		})
@@ -475,9 +475,9 @@
 			for k := range 5 {
 				for i := range 3 {
 					if k%2 == 1 {
-						w.Disk(fmt.Sprint("core", i), disk.Tears)
+						w.SetDiskFaults(fmt.Sprint("core", i), disk.TearWrites)
 					} else {
-						w.Disk(fmt.Sprint("core", i))
+						w.SetDiskFaults(fmt.Sprint("core", i))
 					}
 				}
 				next("")
@@ -487,7 +487,7 @@
 				for i := range 3 {
 					w.Start(fmt.Sprint("core", i), false)
 				}
-				w.Until("it is still there", func() bool { return shown(k%3) == fmt.Sprint(`{"gen":`, gen) })
+				w.Eventually("it is still there", func() bool { return shown(k%3) == fmt.Sprint(`{"gen":`, gen) })
 			}
 		})
 		Convey("power goes everywhere, and with it the disk of one that had acknowledged", func() {
@@ -495,11 +495,11 @@
 			for i := range 3 {
 				w.Kill(fmt.Sprint("core", i))
 			}
-			w.Wipe("core0")
+			w.EraseDisk("core0")
 			for i := range 3 {
 				w.Start(fmt.Sprint("core", i), false)
 			}
-			w.Until("it is still there", func() bool { return shown(1) == fmt.Sprint(`{"gen":`, gen) })
+			w.Eventually("it is still there", func() bool { return shown(1) == fmt.Sprint(`{"gen":`, gen) })
 			next("core0")
 		})
 	})
--- a/internal/standin/cluster/contact_test.go
+++ b/internal/standin/cluster/contact_test.go
@@ -85,17 +85,17 @@
 
 // cuttableCore starts three core machines of which core0 and the others reach each other by relays that can be cut, and a front that
 // reaches all three whatever is cut.
-func cuttableCore(t *testing.T) (w *Town, cut func(bool)) {
+func cuttableCore(t *testing.T) (w *Deployment, cut func(bool)) {
 	var relays []*relay
-	w = newTown(t, 3, 0, func(w *Town) {
-		apart, fronts := w.ports+10, w.ports+13
-		w.mesh = map[string]int{"core0": apart, "agent0": fronts, "proxy0": fronts}
+	w = newDeployment(t, 3, 0, func(w *Deployment) {
+		apart, fronts := w.basePort+10, w.basePort+13
+		w.meshPorts = map[string]int{"core0": apart, "agent0": fronts, "proxy0": fronts}
 		at := func(core, port int) string { return fmt.Sprint(w.ip(1, core), ":", port) }
-		relays = append(relays, newRelay(t, at(0, w.ports), at(0, apart)))
+		relays = append(relays, newRelay(t, at(0, w.basePort), at(0, apart)))
 		newRelay(t, at(0, fronts), at(0, apart))
 		for i := 1; i < 3; i++ {
-			relays = append(relays, newRelay(t, at(i, apart), at(i, w.ports)))
-			newRelay(t, at(i, fronts), at(i, w.ports))
+			relays = append(relays, newRelay(t, at(i, apart), at(i, w.basePort)))
+			newRelay(t, at(i, fronts), at(i, w.basePort))
 		}
 	}, direct)
 	return w, func(on bool) {
@@ -118,15 +118,15 @@
 	`"routes":[{"name":"p2","host":"later","prefix":"/","type":"primary","timeoutMs":3000,"svc":"svc"},`, 1)
 
 // serves says whether a proxy has a route.
-func (w *Town) serves(front int, host string) bool {
+func (w *Deployment) serves(front int, host string) bool {
 	k, first := w.Attach(front, host)
 	if k != nil {
-		k.c.Close()
+		k.conn.Close()
 	}
 	return first == "READY I -"
 }
 
-func (w *Town) contactStatus(core int) (s contactStatus) {
+func (w *Deployment) contactStatus(core int) (s contactStatus) {
 	if code, body := w.Call("GET", w.Cores[core], "/status", "", nil); code == 200 {
 		_ = json.Unmarshal([]byte(body), &s)
 	}
@@ -139,17 +139,17 @@
 // without planSeek in judge and checkCore (agent/corelink.go), where the new route never comes.
 func TestCoreMachineCutOff(t *testing.T) {
 	w, cut := cuttableCore(t)
-	w.Until("all have contact", func() bool {
+	w.Eventually("all have contact", func() bool {
 		return w.contactStatus(0).InContact && w.contactStatus(1).InContact && w.contactStatus(2).InContact
 	})
 	w.Start("agent0", true)
 	w.Start("proxy0", true)
 	w.Configure(1)
-	w.Until("the agent is linked to the first machine", func() bool { return w.contactStatus(0).Agents == 1 })
+	w.Eventually("the agent is linked to the first machine", func() bool { return w.contactStatus(0).Agents == 1 })
 
 	cut(true)
 	began := time.Now()
-	w.Until("the machine knows that it is cut off", func() bool { return !w.contactStatus(0).InContact })
+	w.Eventually("the machine knows that it is cut off", func() bool { return !w.contactStatus(0).InContact })
 	t.Logf("known after %v", time.Since(began).Round(time.Millisecond))
 	calls := []struct{ method, path, base, body string }{
 		{"GET", "/config/show", "", ""}, {"GET", "/config/log", "", ""},
@@ -174,12 +174,12 @@
 		t.Error("the member that was not acknowledged is not in the table")
 	}
 
-	w.Until("the others take a change", func() bool {
+	w.Eventually("the others take a change", func() bool {
 		code, _ := w.Call("POST", w.Cores[1], "/config/replace", "1", []byte(laterRoute))
 		return code == 200
 	})
 	taken := time.Now()
-	w.Until("the proxy serves by it", func() bool { return w.serves(0, "later") })
+	w.Eventually("the proxy serves by it", func() bool { return w.serves(0, "later") })
 	t.Logf("served %v behind its acknowledgement", time.Since(taken).Round(time.Millisecond))
 	if w.contactStatus(0).InContact {
 		t.Error("the machine that is cut off says that it has contact")
@@ -187,11 +187,11 @@
 	refused()
 
 	cut(false)
-	w.Until("the machine is back with the others' configuration", func() bool {
+	w.Eventually("the machine is back with the others' configuration", func() bool {
 		code, body := w.Call("GET", w.Cores[0], "/config/show", "", nil)
 		return code == 200 && strings.Contains(body, `"later"`)
 	})
-	w.Until("and acknowledges members", func() bool {
+	w.Eventually("and acknowledges members", func() bool {
 		code, _ := w.Call("POST", w.Cores[0], "/members/x/heartbeat", "", []byte(`{"svc":"svc","addr":"127.0.0.1:1","dbRole":"replica","seq":9}`))
 		return code == 200
 	})
@@ -201,25 +201,25 @@
 // hears of the others from the agents that knew it. Without Cores in compare (agent/peers.go) it stays there.
 func TestAgentLearnsCoresFromPeers(t *testing.T) {
 	w, cut := cuttableCore(t)
-	w.mesh["agent1"], w.mesh["proxy1"] = w.mesh["agent0"], w.mesh["agent0"]
+	w.meshPorts["agent1"], w.meshPorts["proxy1"] = w.meshPorts["agent0"], w.meshPorts["agent0"]
 	w.seeds = map[string][]string{"agent1": w.Cores[:1], "proxy1": w.Cores[:1]}
 	for _, name := range []string{"agent0", "proxy0", "agent1", "proxy1"} {
 		w.Start(name, true)
 	}
 	w.Configure(2)
-	w.Until("both agents are known", func() bool { return len(w.contactStatus(1).Drivers) == 2 })
+	w.Eventually("both agents are known", func() bool { return len(w.contactStatus(1).Drivers) == 2 })
 
 	cut(true)
 	w.Kill("agent1")
 	w.Kill("core0")
-	w.Wipe("core0")
+	w.EraseDisk("core0")
 	w.Start("core0", false)
 	w.Start("agent1", false)
-	w.Until("the agent is linked to the machine that is cut off", func() bool { return w.contactStatus(0).Agents == 1 })
-	w.Until("the others take a change", func() bool {
+	w.Eventually("the agent is linked to the machine that is cut off", func() bool { return w.contactStatus(0).Agents == 1 })
+	w.Eventually("the others take a change", func() bool {
 		code, _ := w.Call("POST", w.Cores[1], "/config/replace", "1", []byte(laterRoute))
 		return code == 200
 	})
-	w.Until("the agent is linked to a machine that has contact", func() bool { return w.contactStatus(0).Agents == 0 })
-	w.Until("its proxy serves by the change", func() bool { return w.serves(1, "later") })
+	w.Eventually("the agent is linked to a machine that has contact", func() bool { return w.contactStatus(0).Agents == 0 })
+	w.Eventually("its proxy serves by the change", func() bool { return w.serves(1, "later") })
 }
--- a/internal/standin/cluster/history_test.go
+++ b/internal/standin/cluster/history_test.go
@@ -115,14 +115,14 @@
 			return len(history) >= n
 		}
 	}
-	w.Until("some calls were answered", enough(40))
+	w.Eventually("some calls were answered", enough(40))
 	lead := leader(w)
 	w.Signal(lead, syscall.SIGSTOP)
-	w.Until("calls go on under another leader", enough(80))
+	w.Eventually("calls go on under another leader", enough(80))
 	w.Signal(lead, syscall.SIGCONT)
-	w.Until("and with the old one back", enough(120))
+	w.Eventually("and with the old one back", enough(120))
 	w.Kill(leader(w))
-	w.Until("and with two", enough(160))
+	w.Eventually("and with two", enough(160))
 	close(quit)
 	all.Wait()
 	if r := porcupine.CheckOperationsTimeout(register, history, 30*time.Second); r != porcupine.Ok {
--- a/internal/standin/cluster/members.go
+++ b/internal/standin/cluster/members.go
@@ -22,45 +22,45 @@
 
 // Service is a replication group on sockets, with an account of all that ran.
 type Service struct {
-	Name  string
-	mu    sync.Mutex
-	group *replicaset.Group
-	addrs map[string]string
-	conns map[string]map[net.Conn]bool
-	seq   map[string]uint64
-	open  int               // transactions
-	data  map[string]string // by thing, as committed
-	acked chan struct{}     // closed and made anew when something was answered or changed
+	Name             string
+	mu               sync.Mutex
+	group            *replicaset.Group
+	addrs            map[string]string
+	conns            map[string]map[net.Conn]bool
+	sequences        map[string]uint64
+	openTransactions int               // transactions
+	data             map[string]string // by thing, as committed
+	progress         chan struct{}     // closed and made anew when something was answered or changed
 
-	Ran     map[string]int // effects by statement id
-	Lose    int            // so many next answers to writes are lost
-	Refused int            // calls of the platform with an old fence
-	fence   uint64
-	Calls   []string         // members named to the platform
-	Over    string           // the first time that its disk held more than its room
-	Keeper  *shardnode.Store // of a node that holds shards; nil: it holds none
-	drained map[string]time.Time
-	Late    []string // statements that reached a member long after its drain
+	Executions    map[string]int // effects by statement id
+	LoseAnswers   int            // so many next answers to writes are lost
+	RejectedCalls int            // calls of the platform with an old fence
+	fence         uint64
+	Promoted      []string         // members named to the platform
+	Overflow      string           // the first time that its disk held more than its room
+	Shards        *shardnode.Store // of a node that holds shards; nil: it holds none
+	drained       map[string]time.Time
+	AfterDrain    []string // statements that reached a member long after its drain
 }
 
 func newService(name, syncN string, ids ...string) *Service {
 	n, _ := strconv.Atoi(syncN)
 	return &Service{
-		Name:    name,
-		group:   replicaset.New(n, ids...),
-		addrs:   map[string]string{},
-		conns:   map[string]map[net.Conn]bool{},
-		seq:     map[string]uint64{},
-		data:    map[string]string{},
-		acked:   make(chan struct{}),
-		Ran:     map[string]int{},
-		drained: map[string]time.Time{},
+		Name:       name,
+		group:      replicaset.New(n, ids...),
+		addrs:      map[string]string{},
+		conns:      map[string]map[net.Conn]bool{},
+		sequences:  map[string]uint64{},
+		data:       map[string]string{},
+		progress:   make(chan struct{}),
+		Executions: map[string]int{},
+		drained:    map[string]time.Time{},
 	}
 }
 
-func (s *Service) changed() {
-	close(s.acked)
-	s.acked = make(chan struct{})
+func (s *Service) notify() {
+	close(s.progress)
+	s.progress = make(chan struct{})
 }
 
 // With looks at or changes the group.
@@ -68,12 +68,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f(s.group)
-	s.changed()
+	s.notify()
 }
 
 // Crash ends a member's connections and takes no more until Return; dark: it leaves them silent.
 func (s *Service) Crash(id string) {
-	s.With(func(g *replicaset.Group) { g.Get(id).Up = false })
+	s.With(func(g *replicaset.Group) { g.Member(id).Up = false })
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns[id] {
@@ -92,10 +92,10 @@
 }
 
 // Open counts transactions that are open at members.
-func (s *Service) Open() int {
+func (s *Service) OpenTransactions() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.open
+	return s.openTransactions
 }
 
 // Lost gives acknowledged commits that a promoted member lacked.
@@ -119,7 +119,7 @@
 				return
 			}
 			s.mu.Lock()
-			up := s.group.Get(id).Up
+			up := s.group.Member(id).Up
 			if up {
 				s.conns[id][c] = true
 			}
@@ -136,14 +136,14 @@
 }
 
 // visit is one connection's state.
-type visit struct {
-	s      *Service
-	id     string
-	open   bool
-	plain  bool // its transaction may write
-	broken bool
-	writes []string // of the transaction: id, thing, data
-	preps  map[string]string
+type session struct {
+	service  *Service
+	member   string
+	open     bool
+	mayWrite bool // its transaction may write
+	broken   bool
+	writes   []string // of the transaction: id, thing, data
+	prepared map[string]string
 
 	counted bool
 
@@ -167,9 +167,9 @@
 		_, _ = io.WriteString(c, "FAIL WRONGHOST\r\n")
 		return
 	}
-	v := &visit{s: s, id: id, preps: map[string]string{}}
+	v := &session{service: s, member: id, prepared: map[string]string{}}
 	fmt.Fprintf(c, "READY I %s\r\n", v.position())
-	defer v.count(false)
+	defer v.setOpen(false)
 	defer v.end()
 	for {
 		line, err := r.ReadMessage()
@@ -183,15 +183,15 @@
 		qid, text := wire.CutField(rest)
 		var answer string
 		var ok bool
-		if s.Keeper != nil && qid == "-" && strings.HasPrefix(text, "SHARD ") {
-			answer, ok = v.keeper(text)
+		if s.Shards != nil && qid == "-" && strings.HasPrefix(text, "SHARD ") {
+			answer, ok = v.shardStatement(text)
 		} else {
-			answer, ok = v.run(qid, text)
+			answer, ok = v.execute(qid, text)
 		}
 		if !ok {
 			return // the answer is lost
 		}
-		v.count(v.open)
+		v.setOpen(v.open)
 		state := "I"
 		if v.broken {
 			state = "E"
@@ -205,26 +205,26 @@
 }
 
 // count keeps the account of open transactions.
-func (v *visit) count(open bool) {
-	v.s.mu.Lock()
-	defer v.s.mu.Unlock()
+func (v *session) setOpen(open bool) {
+	v.service.mu.Lock()
+	defer v.service.mu.Unlock()
 	if open != v.counted {
-		v.s.open += map[bool]int{true: 1, false: -1}[open]
+		v.service.openTransactions += map[bool]int{true: 1, false: -1}[open]
 		v.counted = open
 	}
 }
 
-func (v *visit) position() wire.Position {
-	v.s.mu.Lock()
-	defer v.s.mu.Unlock()
-	return v.s.group.Get(v.id).Position()
+func (v *session) position() wire.Position {
+	v.service.mu.Lock()
+	defer v.service.mu.Unlock()
+	return v.service.group.Member(v.member).Position()
 }
 
-func (v *visit) run(qid, text string) (string, bool) {
-	s := v.s
+func (v *session) execute(qid, text string) (string, bool) {
+	s := v.service
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	m := s.group.Get(v.id)
+	m := s.group.Member(v.member)
 	if !m.Up {
 		return "", false
 	}
@@ -232,23 +232,23 @@
 	if p, rest := wire.CutField(text); p == "AFTER" {
 		after, text = wire.CutField(rest)
 	}
-	if shard, epoch, rest, on := shardnode.CutShardPrefix(text); on && s.Keeper != nil {
-		return v.onShard(shard, epoch, qid, rest)
+	if shard, epoch, rest, on := shardnode.CutShardPrefix(text); on && s.Shards != nil {
+		return v.shardQuery(shard, epoch, qid, rest)
 	}
 	if v.shard != "" && qid != "-" || v.shard != "" && text == "ABORT" {
-		return v.inShard(qid, text)
+		return v.shardTransactionQuery(qid, text)
 	}
 	verb, rest := wire.CutField(text)
 	if verb == "EXEC" {
 		name, args := wire.CutField(rest)
-		kind, ok := v.preps[name]
+		kind, ok := v.prepared[name]
 		if !ok {
 			return "FAIL NOSTMT " + name + "\r\n", true
 		}
 		verb, rest = kind, args
 	}
-	if at, ok := s.drained[v.id]; ok && time.Since(at) > 7*time.Second && qid != "-" && !v.open {
-		s.Late = append(s.Late, qid)
+	if at, ok := s.drained[v.member]; ok && time.Since(at) > 7*time.Second && qid != "-" && !v.open {
+		s.AfterDrain = append(s.AfterDrain, qid)
 	}
 	if v.broken && verb != "ABORT" && verb != "COMMIT" {
 		return "FAIL MALFORMED\r\n", true
@@ -256,27 +256,27 @@
 	if p, ok := wire.ParsePosition(after); ok && m.Position().Less(p) {
 		return v.fail(wire.CodeLagging)
 	}
-	if answer, ok := manage(m, verb, rest); ok {
+	if answer, ok := controlStatement(m, verb, rest); ok {
 		return answer, true
 	}
 	return v.statement(m, qid, verb, rest)
 }
 
 // fail breaks a transaction that is open.
-func (v *visit) fail(code string) (string, bool) {
+func (v *session) fail(code string) (string, bool) {
 	v.broken = v.open
 	return "FAIL " + code + "\r\n", true
 }
 
 // manage carries out what the control plane asks of a member; ok is false for other verbs.
-func manage(m *replicaset.Member, verb, rest string) (answer string, ok bool) {
+func controlStatement(m *replicaset.Member, verb, rest string) (answer string, ok bool) {
 	term, _ := strconv.ParseUint(rest, 10, 64)
 	switch verb {
 	case "STAT":
 	case "PAUSE":
 		m.Pause(term)
 	case "CONT":
-		m.Continue()
+		m.Resume()
 	case "STEPDOWN":
 		m.StepDown(term)
 	default:
@@ -290,32 +290,32 @@
 }
 
 // statement carries out what a client asks.
-func (v *visit) statement(m *replicaset.Member, qid, verb, rest string) (string, bool) {
-	done := "DONE " + v.id + "." + qid + "\r\n"
+func (v *session) statement(m *replicaset.Member, qid, verb, rest string) (string, bool) {
+	done := "DONE " + v.member + "." + qid + "\r\n"
 	switch verb {
 	case "RESET":
-		v.preps = map[string]string{}
+		v.prepared = map[string]string{}
 		return "DONE -\r\n", true
 	case "SET":
 		return "DONE -\r\n", true
 	case "PREP":
 		name, shape := wire.CutField(rest)
-		v.preps[name], _ = wire.CutField(shape)
+		v.prepared[name], _ = wire.CutField(shape)
 		return "DONE -\r\n", true
 	case "BEGIN":
 		if rest == "" && !m.Primary {
 			return v.fail(wire.CodeReadOnly)
 		}
-		v.open, v.plain, v.writes = true, rest == "", nil
+		v.open, v.mayWrite, v.writes = true, rest == "", nil
 		return "DONE -\r\n", true
 	case "ABORT":
 		v.open, v.broken, v.writes = false, false, nil
 		return "DONE -\r\n", true
 	case "FETCH":
-		if v.open && v.plain && !m.Primary {
+		if v.open && v.mayWrite && !m.Primary {
 			return v.fail(wire.CodeReadOnly)
 		}
-		return "ROW " + v.s.data[rest] + "\r\n" + done, true
+		return "ROW " + v.service.data[rest] + "\r\n" + done, true
 	case "STORE":
 		if !m.Primary {
 			return v.fail(wire.CodeReadOnly)
@@ -345,14 +345,14 @@
 }
 
 // commit writes, lets replicas receive and waits until it may be answered. The lock is held but while it waits.
-func (v *visit) commit(m *replicaset.Member, qid string) (string, bool) {
-	s := v.s
+func (v *session) commit(m *replicaset.Member, qid string) (string, bool) {
+	s := v.service
 	writes := v.writes
 	v.writes = nil
 	s.group.Write(m, qid)
-	lose := s.Lose > 0
+	lose := s.LoseAnswers > 0
 	if lose {
-		s.Lose--
+		s.LoseAnswers--
 	}
 	for {
 		s.group.Replicate(func(*replicaset.Member) bool { return true })
@@ -362,33 +362,33 @@
 		if !m.Up || !m.Primary {
 			return "", false
 		}
-		wait := s.acked
+		wait := s.progress
 		s.mu.Unlock()
 		<-wait
 		s.mu.Lock()
 	}
 	for i := 0; i < len(writes); i += 3 {
-		s.Ran[writes[i]]++
+		s.Executions[writes[i]]++
 		s.data[writes[i+1]] = writes[i+2]
 	}
-	return "DONE " + v.id + "." + qid + "\r\n", !lose
+	return "DONE " + v.member + "." + qid + "\r\n", !lose
 }
 
 // beat says to the first machine of the core that takes it what a member is.
-func (s *Service) beat(id string, ctls []string) bool {
+func (s *Service) heartbeat(id string, ctls []string) bool {
 	s.mu.Lock()
-	m := s.group.Get(id)
+	m := s.group.Member(id)
 	role := "replica"
 	if m.Primary {
 		role = "primary"
 	}
-	s.seq[id]++
+	s.sequences[id]++
 	state := "up"
-	if m.Drains {
+	if m.Draining {
 		state = "draining"
 	}
 	body, _ := json.Marshal(map[string]any{"svc": s.Name, "addr": s.addrs[id], "zone": "z1", "gen": "v1", "slots": 7,
-		"state": state, "warmupMs": 0, "dbRole": role, "seq": s.seq[id]})
+		"state": state, "warmupMs": 0, "dbRole": role, "seq": s.sequences[id]})
 	up := m.Up
 	s.mu.Unlock()
 	if !up {
@@ -404,7 +404,7 @@
 		resp.Body.Close()
 		if resp.StatusCode == 200 {
 			s.mu.Lock()
-			if _, ok := s.drained[id]; m.Drains && !ok {
+			if _, ok := s.drained[id]; m.Draining && !ok {
 				s.drained[id] = time.Now()
 			}
 			s.mu.Unlock()
@@ -425,11 +425,11 @@
 	ok := false
 	s.With(func(g *replicaset.Group) {
 		if fence < s.fence {
-			s.Refused++
+			s.RejectedCalls++
 			return
 		}
 		s.fence = fence
-		s.Calls = append(s.Calls, call.ID)
+		s.Promoted = append(s.Promoted, call.ID)
 		ok = g.Promote(call.ID)
 	})
 	if !ok {
--- a/internal/standin/cluster/nodes.go
+++ b/internal/standin/cluster/nodes.go
@@ -19,10 +19,10 @@
 )
 
 // AddNode starts a service of one member that holds shards, on a disk of so many bytes, and beats for it.
-func (w *Town) AddNode(name string, limit int64) *Service {
+func (w *Deployment) AddNode(name string, limit int64) *Service {
 	w.t.Helper()
 	s := newService(name, "0", name+"-m")
-	s.Keeper = shardnode.NewStore(limit, limit/20)
+	s.Shards = shardnode.NewStore(limit, limit/20)
 	ctx, stop := context.WithCancel(context.Background())
 	w.t.Cleanup(stop)
 	if err := s.listen(ctx, name+"-m", w.ip(3, 10+len(w.Nodes))+":0"); err != nil {
@@ -32,16 +32,16 @@
 		w.Nodes = map[string]*Service{}
 	}
 	w.Nodes[name] = s
-	w.beatFor(ctx, s, name+"-m")
+	w.sendHeartbeats(ctx, s, name+"-m")
 	return s
 }
 
-func (w *Town) beatFor(ctx context.Context, s *Service, id string) {
+func (w *Deployment) sendHeartbeats(ctx context.Context, s *Service, id string) {
 	go func() {
 		tick := time.NewTicker(200 * time.Millisecond)
 		defer tick.Stop()
 		for {
-			s.beat(id, w.Cores)
+			s.heartbeat(id, w.Cores)
 			select {
 			case <-ctx.Done():
 				return
@@ -52,33 +52,33 @@
 }
 
 // Crash1 ends a node's process: its connections end, and it takes none.
-func (s *Service) Crash1() { s.Crash(s.Name + "-m") }
+func (s *Service) CrashNode() { s.Crash(s.Name + "-m") }
 
 // Back1 starts it with what its disk held.
-func (s *Service) Back1() {
+func (s *Service) RestartNode() {
 	s.With(func(g *replicaset.Group) {
-		g.Get(s.Name + "-m").Restart()
-		s.Keeper.Recover()
+		g.Member(s.Name + "-m").Restart()
+		s.Shards.Recover()
 	})
 }
 
 // end counts out a transaction whose connection has ended.
-func (v *visit) end() {
-	v.s.mu.Lock()
-	defer v.s.mu.Unlock()
+func (v *session) end() {
+	v.service.mu.Lock()
+	defer v.service.mu.Unlock()
 	v.endShard()
 }
 
-func (v *visit) endShard() {
-	if v.shard != "" && v.s.Keeper != nil {
-		v.s.Keeper.EndTransaction(v.shard, v.epoch)
+func (v *session) endShard() {
+	if v.shard != "" && v.service.Shards != nil {
+		v.service.Shards.EndTransaction(v.shard, v.epoch)
 	}
 	v.shard, v.open, v.broken, v.writes = "", false, false, nil
 }
 
 // keeper answers the system's words about shards.
-func (v *visit) keeper(text string) (string, bool) {
-	s := v.s
+func (v *session) shardStatement(text string) (string, bool) {
+	s := v.service
 	answer := func(rows []string, err error) (string, bool) {
 		if err != nil {
 			return wire.MsgFail + " " + shardnode.Code(err) + "\r\n", true
@@ -90,12 +90,12 @@
 		return b.String() + "DONE -\r\n", true
 	}
 	s.mu.Lock()
-	if !s.group.Get(v.id).Up {
+	if !s.group.Member(v.member).Up {
 		s.mu.Unlock()
 		return "", false
 	}
-	rows, fetch, err := s.Keeper.Execute(text)
-	s.watch()
+	rows, fetch, err := s.Shards.Execute(text)
+	s.checkCapacity()
 	s.mu.Unlock()
 	if fetch == nil {
 		return answer(rows, err)
@@ -116,21 +116,21 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	rows, err = s.Keeper.ApplyFetch(fetch, got)
-	s.watch()
+	rows, err = s.Shards.ApplyFetch(fetch, got)
+	s.checkCapacity()
 	return answer(rows, err)
 }
 
 // watch notes a disk over its room. The lock is held.
-func (s *Service) watch() {
-	if used := s.Keeper.UsedBytes(); used > s.Keeper.Capacity {
-		s.Over = fmt.Sprintf("%s holds %d of %d", s.Name, used, s.Keeper.Capacity)
+func (s *Service) checkCapacity() {
+	if used := s.Shards.UsedBytes(); used > s.Shards.Capacity {
+		s.Overflow = fmt.Sprintf("%s holds %d of %d", s.Name, used, s.Shards.Capacity)
 	}
 }
 
 // onShard runs a statement that names its shard and epoch. The lock is held.
-func (v *visit) onShard(shard string, epoch uint64, qid, text string) (string, bool) {
-	k := v.s.Keeper
+func (v *session) shardQuery(shard string, epoch uint64, qid, text string) (string, bool) {
+	k := v.service.Shards
 	verb, rest := wire.CutField(text)
 	refuse := func(err error) (string, bool) { return wire.MsgFail + " " + shardnode.Code(err) + "\r\n", true }
 	switch verb {
@@ -138,21 +138,21 @@
 		if err := k.BeginTransaction(shard, epoch); err != nil {
 			return refuse(err)
 		}
-		v.shard, v.epoch, v.open, v.plain, v.writes = shard, epoch, true, rest == "", nil
+		v.shard, v.epoch, v.open, v.mayWrite, v.writes = shard, epoch, true, rest == "", nil
 		return "DONE -\r\n", true
 	case "FETCH":
 		if err := k.CheckRead(shard, epoch); err != nil {
 			return refuse(err)
 		}
-		return "ROW x\r\nDONE " + v.id + "." + qid + "\r\n", true
+		return "ROW x\r\nDONE " + v.member + "." + qid + "\r\n", true
 	case "STORE":
 		e, err := k.Write(shard, epoch, qid, []byte(rest))
 		if err != nil {
 			return refuse(err)
 		}
-		v.s.watch()
-		if v.s.Lose > 0 {
-			v.s.Lose--
+		v.service.checkCapacity()
+		if v.service.LoseAnswers > 0 {
+			v.service.LoseAnswers--
 			return "", false
 		}
 		return "DONE " + shardnode.EffectPosition(shard, e) + "\r\n", true
@@ -161,29 +161,29 @@
 }
 
 // inShard runs a statement of an open transaction on a shard. The lock is held.
-func (v *visit) inShard(qid, text string) (string, bool) {
+func (v *session) shardTransactionQuery(qid, text string) (string, bool) {
 	verb, rest := wire.CutField(text)
 	switch verb {
 	case "FETCH":
-		return "ROW x\r\nDONE " + v.id + "." + qid + "\r\n", true
+		return "ROW x\r\nDONE " + v.member + "." + qid + "\r\n", true
 	case "STORE":
 		v.writes = append(v.writes, rest)
-		return "DONE " + v.id + "." + qid + "\r\n", true
+		return "DONE " + v.member + "." + qid + "\r\n", true
 	case "ABORT":
 		v.endShard()
 		return "DONE -\r\n", true
 	case "COMMIT":
 		defer v.endShard()
 		if len(v.writes) == 0 {
-			return "DONE " + v.id + "." + qid + "\r\n", true
+			return "DONE " + v.member + "." + qid + "\r\n", true
 		}
-		e, err := v.s.Keeper.CommitTransaction(v.shard, v.epoch, qid, []byte(strings.Join(v.writes, "|")))
+		e, err := v.service.Shards.CommitTransaction(v.shard, v.epoch, qid, []byte(strings.Join(v.writes, "|")))
 		if err != nil {
 			return "FAIL ABORTED\r\n", true
 		}
-		v.s.watch()
-		if v.s.Lose > 0 {
-			v.s.Lose--
+		v.service.checkCapacity()
+		if v.service.LoseAnswers > 0 {
+			v.service.LoseAnswers--
 			return "", false
 		}
 		return "DONE " + shardnode.EffectPosition(v.shard, e) + "\r\n", true
@@ -192,11 +192,11 @@
 }
 
 // Effects counts effects by the id of their try, over who holds each shard; strays are copies that are nobody's.
-func (w *Town) Effects(holders map[string]string) (ran map[string]int, strays []string) {
+func (w *Deployment) Effects(holders map[string]string) (ran map[string]int, strays []string) {
 	ran = map[string]int{}
 	for name, s := range w.Nodes {
 		s.mu.Lock()
-		for shard, c := range maps.All(s.Keeper.Replicas) {
+		for shard, c := range maps.All(s.Shards.Replicas) {
 			if holders[shard] != name || c.State != shardnode.StateOpen {
 				strays = append(strays, fmt.Sprint(shard, " ", c.State, " at ", name))
 				continue
--- a/internal/standin/cluster/resets_test.go
+++ b/internal/standin/cluster/resets_test.go
@@ -11,9 +11,9 @@
 )
 
 // newBehind starts a town whose members and platform are reached at what via makes of their addresses.
-func newBehind(t *testing.T, cores, fronts int, via func(addr string) string) *Town {
+func newBehind(t *testing.T, cores, fronts int, via func(addr string) string) *Deployment {
 	t.Helper()
-	return newTown(t, cores, fronts, func(*Town) {}, via)
+	return newDeployment(t, cores, fronts, func(*Deployment) {}, via)
 }
 
 // tried is a statement or a transaction of a client: the ids of its writes, and what came of it.
@@ -49,7 +49,7 @@
 
 // visitor is a client that begins another session where its last one ended.
 type visitor struct {
-	w    *Town
+	w    *Deployment
 	t    *testing.T
 	mark string
 	k    *Client
@@ -65,7 +65,7 @@
 			v.k = k
 		}
 	}
-	id, answer = v.k.Ask(text)
+	id, answer = v.k.Query(text)
 	if strings.Contains(answer, "end") {
 		v.k = nil
 	}
@@ -120,9 +120,9 @@
 // answered once, and those of which it was promised that nothing is kept not at all. Point 5: it fails where a
 // connection that owes an answer goes back to its pool (Reusable), and where a write may be put again (kindOf).
 func TestResetsAtDrawnBytes(t *testing.T) {
-	var relays []*links.Resets
+	var relays []*links.ResettingRelay
 	w := newBehind(t, 3, 1, func(addr string) string {
-		r, err := links.NewResets("127.0.0.1:0", addr, uint64(len(relays)))
+		r, err := links.NewResettingRelay("127.0.0.1:0", addr, uint64(len(relays)))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -133,7 +133,7 @@
 	w.Configure(1)
 	most := func(bytes int) {
 		for _, r := range relays {
-			r.Most(bytes)
+			r.SetByteLimit(bytes)
 		}
 	}
 	var visitors []*visitor
@@ -148,23 +148,23 @@
 		all.Wait()
 	}
 	most(1200)
-	relays[len(relays)-1].Most(400) // calls to the platform are few and longer
+	relays[len(relays)-1].SetByteLimit(400) // calls to the platform are few and longer
 	visit(25)
-	old := w.Svc.Leader()
-	w.Svc.Crash(old)
-	w.Until("another member leads", func() bool { l := w.Svc.Leader(); return l != "" && l != old })
-	w.Svc.With(func(g *replicaset.Group) { g.Get(old).Restart() })
+	old := w.Service.Leader()
+	w.Service.Crash(old)
+	w.Eventually("another member leads", func() bool { l := w.Service.Leader(); return l != "" && l != old })
+	w.Service.With(func(g *replicaset.Group) { g.Member(old).Restart() })
 	visit(10)
 	most(0)
-	w.Until("no transaction is left open", func() bool { return w.Svc.Open() == 0 })
+	w.Eventually("no transaction is left open", func() bool { return w.Service.OpenTransactions() == 0 })
 
 	resets, ended, clear := 0, 0, 0
 	for _, r := range relays {
-		resets += r.Done()
+		resets += r.Resets()
 	}
-	w.Svc.With(func(g *replicaset.Group) {
-		if g.Leads > 2 || len(g.Lost) > 0 {
-			t.Errorf("%d promotions, lost %v", g.Leads, g.Lost)
+	w.Service.With(func(g *replicaset.Group) {
+		if g.Promotions > 2 || len(g.Lost) > 0 {
+			t.Errorf("%d promotions, lost %v", g.Promotions, g.Lost)
 		}
 		for _, v := range visitors {
 			for _, c := range v.all {
@@ -172,7 +172,7 @@
 					clear++
 				}
 				for _, id := range c.writes {
-					n := w.Svc.Ran[id]
+					n := w.Service.Executions[id]
 					if n > 1 || c.success && n != 1 || c.promise && n != 0 {
 						t.Errorf("write %s of %+v ran %d times", id, c, n)
 					}
@@ -180,7 +180,7 @@
 			}
 		}
 	})
-	t.Logf("%d tries, %d answered with success, %d connections were reset, %d calls to the platform", ended, clear, resets, len(w.Svc.Calls))
+	t.Logf("%d tries, %d answered with success, %d connections were reset, %d calls to the platform", ended, clear, resets, len(w.Service.Promoted))
 	if clear < ended/4 || resets < 50 {
 		t.Error("too few answers, or too few resets")
 	}
--- a/internal/standin/cluster/restore_test.go
+++ b/internal/standin/cluster/restore_test.go
@@ -56,8 +56,8 @@
 			for i := range 3 {
 				w.Kill(fmt.Sprint("core", i))
 			}
-			w.Wipe("core0")
-			w.Wipe("core1")
+			w.EraseDisk("core0")
+			w.EraseDisk("core1")
 			saved, old := filepath.Join(w.dir, "saved"), filepath.Join(w.dir, "core2")
 			code, s := order("state", "check", old)
 			So(code, ShouldEqual, 0)
@@ -75,11 +75,11 @@
 			for i := range 3 {
 				w.Start(fmt.Sprint("core", i), false)
 			}
-			w.Until("the restored core takes the next version", func() bool {
+			w.Eventually("the restored core takes the next version", func() bool {
 				code, _ := w.Call("POST", w.Cores[0], "/config/replace", "1", Config(2))
 				return code == 200
 			})
-			w.Until("the old machine votes with it", func() bool {
+			w.Eventually("the old machine votes with it", func() bool {
 				_, s := order("status", w.Cores[2])
 				return strings.Contains(s, "configuration 2") && strings.Count(s, "voter") == 3 && strings.Contains(s, "voter 0@"+w.Cores[2])
 			})
--- a/internal/standin/cluster/sessions_test.go
+++ b/internal/standin/cluster/sessions_test.go
@@ -36,12 +36,14 @@
 	last   time.Time
 }
 
-func (w *Town) siteHTTP(n int) string { return fmt.Sprintf("%s:%d", w.ip(5, n), w.ports+5) }
+func (w *Deployment) siteHTTP(n int) string { return fmt.Sprintf("%s:%d", w.ip(5, n), w.basePort+5) }
 
-func (w *Town) edgeURL(n int) string { return fmt.Sprintf("ws://%s:%d", w.ip(6, n), w.ports+4) }
+func (w *Deployment) edgeURL(n int) string {
+	return fmt.Sprintf("ws://%s:%d", w.ip(6, n), w.basePort+4)
+}
 
 // sessionSites starts so many sites and two edges, and waits until they serve.
-func sessionSites(t *testing.T, n int) *Town {
+func sessionSites(t *testing.T, n int) *Deployment {
 	w := New(t, 3, 0)
 	for i := range n {
 		w.Start(fmt.Sprint("site", i), false)
@@ -49,13 +51,13 @@
 	for i := range 2 {
 		w.Start(fmt.Sprint("edge", i), false)
 	}
-	w.Until("all sites are in", func() bool {
+	w.Eventually("all sites are in", func() bool {
 		return len(w.in()) == n
 	})
 	return w
 }
 
-func (w *Town) in() (in []string) {
+func (w *Deployment) in() (in []string) {
 	for _, c := range w.Cores {
 		if code, s := w.Call("GET", c, "/sites", "", nil); code == 200 {
 			var m sites.Map
@@ -71,7 +73,7 @@
 	return nil
 }
 
-func (w *Town) attendees(ctx context.Context, n int) []*attendee {
+func (w *Deployment) attendees(ctx context.Context, n int) []*attendee {
 	var all []*attendee
 	for i := range n {
 		a := &attendee{last: time.Now()}
@@ -98,9 +100,9 @@
 }
 
 // produce queues messages until stopped.
-func (w *Town) produce(ctx context.Context, a *attendee, n int, every time.Duration) {
+func (w *Deployment) produce(ctx context.Context, a *attendee, n int, every time.Duration) {
 	var addrs []string
-	for k := range w.nSites {
+	for k := range w.siteCount {
 		addrs = append(addrs, w.siteHTTP(k))
 	}
 	tick := time.NewTicker(every)
@@ -124,11 +126,11 @@
 }
 
 // consume takes what the client sent.
-func (w *Town) consume(ctx context.Context, a *attendee) {
+func (w *Deployment) consume(ctx context.Context, a *attendee) {
 	client := http.Client{Timeout: 3 * time.Second}
 	after := uint64(0)
 	for n := 0; ctx.Err() == nil; n++ {
-		resp, err := client.Get(fmt.Sprintf("http://%s/sessions/%s/inbox?after=%d", w.siteHTTP(n%w.nSites), a.id, after))
+		resp, err := client.Get(fmt.Sprintf("http://%s/sessions/%s/inbox?after=%d", w.siteHTTP(n%w.siteCount), a.id, after))
 		if err == nil {
 			var msgs []struct {
 				N    uint64
@@ -141,7 +143,7 @@
 					after = m.N
 				}
 				a.mu.Unlock()
-				if r, err := client.Post(fmt.Sprintf("http://%s/sessions/%s/took?n=%d", w.siteHTTP(n%w.nSites), a.id, after), "", nil); err == nil {
+				if r, err := client.Post(fmt.Sprintf("http://%s/sessions/%s/took?n=%d", w.siteHTTP(n%w.siteCount), a.id, after), "", nil); err == nil {
 					r.Body.Close()
 				}
 			}
@@ -152,7 +154,7 @@
 }
 
 // live runs an evening's traffic for all attendees; end stops it and audits every message in both directions.
-func (w *Town) live(all []*attendee) (end func() (quiet []time.Duration)) {
+func (w *Deployment) live(all []*attendee) (end func() (quiet []time.Duration)) {
 	ctx, stop := context.WithCancel(context.Background())
 	taking, done := context.WithCancel(context.Background())
 	var writers, takers sync.WaitGroup
@@ -187,7 +189,7 @@
 				w.t.Log(w.accounts(all))
 			}
 		}()
-		w.Until("all that was queued and sent has come", func() bool {
+		w.Eventually("all that was queued and sent has come", func() bool {
 			for _, a := range all {
 				a.mu.Lock()
 				ok := len(a.got) >= len(a.queued) && len(a.took) >= len(a.sent)
@@ -218,13 +220,13 @@
 }
 
 // accounts says how far each attendee is, and what sites know of it.
-func (w *Town) accounts(all []*attendee) string {
+func (w *Deployment) accounts(all []*attendee) string {
 	var b strings.Builder
 	for _, a := range all {
 		a.mu.Lock()
 		if len(a.got) < len(a.queued) || len(a.took) < len(a.sent) {
 			fmt.Fprintf(&b, "%s: %d of %d came, %d of %d taken, %d pending, %d connections\n", a.id[:6], len(a.got), len(a.queued), len(a.took), len(a.sent), a.s.Pending(), a.s.Connections())
-			for n := range w.nSites {
+			for n := range w.siteCount {
 				_, s := w.Call("GET", w.siteHTTP(n), "/sessions/"+a.id, "", nil)
 				fmt.Fprintf(&b, "  site%d: %s\n", n, s)
 			}
@@ -234,7 +236,7 @@
 	return b.String()
 }
 
-func (w *Town) homes(n int) int {
+func (w *Deployment) homes(n int) int {
 	_, s := w.Call("GET", w.siteHTTP(n), "/status", "", nil)
 	var v struct{ Homes int }
 	if json.Unmarshal([]byte(s), &v) != nil {
@@ -247,13 +249,13 @@
 	Convey("In an evening with sessions open at three sites", t, func() {
 		w := sessionSites(t, 3)
 		Reset(w.Stop)
-		w.nSites = 3
+		w.siteCount = 3
 		ctx, stop := context.WithCancel(context.Background())
 		Reset(stop)
 		all := w.attendees(ctx, 12)
 		end := w.live(all)
 		said := func() {
-			w.Until("messages come", func() bool {
+			w.Eventually("messages come", func() bool {
 				for _, a := range all {
 					a.mu.Lock()
 					n := len(a.got)
@@ -287,7 +289,7 @@
 		said()
 		Convey("a site is pulled: every queued message comes once and in order, on sessions that stay open", func() {
 			w.Kill(fmt.Sprint("site", busy()))
-			w.Until("it is out", func() bool { return len(w.in()) == 2 })
+			w.Eventually("it is out", func() bool { return len(w.in()) == 2 })
 			quiet := end()
 			open()
 			t.Logf("pulled: longest silence %v", quiet[len(quiet)-1])
@@ -297,7 +299,7 @@
 			n := busy()
 			code, _ := tell("drain", "-pace", "50", w.Cores[0], fmt.Sprint("site", n))
 			So(code, ShouldEqual, 0)
-			w.Until("its sessions are elsewhere", func() bool { return w.homes(n) == 0 })
+			w.Eventually("its sessions are elsewhere", func() bool { return w.homes(n) == 0 })
 			code, s := tell("status", w.Cores[1])
 			So(code, ShouldEqual, 0)
 			So(s, ShouldContainSubstring, "draining")
@@ -313,16 +315,16 @@
 		Convey("a site is frozen until its sessions were handed on, and thawed: it delivers nothing", func() {
 			site := fmt.Sprint("site", busy())
 			w.Signal(site, syscall.SIGSTOP)
-			w.Until("it is out", func() bool { return len(w.in()) == 2 })
+			w.Eventually("it is out", func() bool { return len(w.in()) == 2 })
 			w.Signal(site, syscall.SIGCONT)
-			w.Until("it has begun anew", func() bool { return len(w.in()) == 3 })
+			w.Eventually("it has begun anew", func() bool { return len(w.in()) == 3 })
 			end()
 			open()
 		})
 		Convey("a site is told to end: it hands its sessions on first", func() {
 			site := fmt.Sprint("site", busy())
 			w.Signal(site, syscall.SIGTERM)
-			w.procs[site].Wait()
+			w.processes[site].Wait()
 			end()
 			open()
 		})
@@ -336,7 +338,7 @@
 		Convey("a site is pulled together with the core's leader", func() {
 			w.Kill(leader(w))
 			w.Kill(fmt.Sprint("site", busy()))
-			w.Until("it is out", func() bool { return len(w.in()) == 2 })
+			w.Eventually("it is out", func() bool { return len(w.in()) == 2 })
 			end()
 			open()
 		})
@@ -344,9 +346,9 @@
 			n := busy()
 			tell("drain", "-pace", "6", w.Cores[0], fmt.Sprint("site", n))
 			w.Kill(fmt.Sprint("site", (n+1)%3))
-			w.Until("the dead one is out", func() bool { return len(w.in()) == 1 })
+			w.Eventually("the dead one is out", func() bool { return len(w.in()) == 1 })
 			tell("undrain", w.Cores[1], fmt.Sprint("site", n))
-			w.Until("two are in", func() bool { return len(w.in()) == 2 })
+			w.Eventually("two are in", func() bool { return len(w.in()) == 2 })
 			end()
 			open()
 		})
@@ -358,7 +360,7 @@
 	Convey("With two sites and an edge", t, func() {
 		w := sessionSites(t, 2)
 		Reset(w.Stop)
-		w.nSites = 2
+		w.siteCount = 2
 		ctx, stop := context.WithTimeout(context.Background(), 30*time.Second)
 		Reset(stop)
 		at := strings.TrimPrefix(w.edgeURL(0), "ws://")
@@ -379,7 +381,7 @@
 		// The same token again takes the session over; the one before is told.
 		again := sessionclient.Open(ctx, []string{w.edgeURL(1)}, token, 0)
 		<-again.Opened()
-		w.Until("the first has ended", func() bool { return a.s.Err() != nil })
+		w.Eventually("the first has ended", func() bool { return a.s.Err() != nil })
 		again.Close()
 		// A plain client gets bodies alone, and its socket outlives its site.
 		c, _, err := websocket.Dial(ctx, w.edgeURL(0)+"/session", nil)
@@ -397,7 +399,7 @@
 	}
 	Convey("An evening", t, func() {
 		w := sessionSites(t, 4)
-		w.nSites = 4
+		w.siteCount = 4
 		ctx, stop := context.WithCancel(context.Background())
 		Reset(w.Stop)
 		Reset(stop)
@@ -411,17 +413,17 @@
 			case 0:
 				faults["pulled"]++
 				w.Kill(site)
-				w.Until("out", func() bool { return len(w.in()) == 3 })
+				w.Eventually("out", func() bool { return len(w.in()) == 3 })
 				w.Start(site, false)
 			case 1:
 				faults["frozen"]++
 				w.Signal(site, syscall.SIGSTOP)
-				w.Until("out", func() bool { return len(w.in()) == 3 })
+				w.Eventually("out", func() bool { return len(w.in()) == 3 })
 				w.Signal(site, syscall.SIGCONT)
 			case 2:
 				faults["drained"]++
 				w.Call("POST", w.Cores[0], "/sites/"+site+"/drain", "", nil)
-				w.Until("empty", func() bool { return w.homes(n) == 0 })
+				w.Eventually("empty", func() bool { return w.homes(n) == 0 })
 				w.Call("POST", w.Cores[0], "/sites/"+site+"/undrain", "", nil)
 			case 3:
 				faults["edge pulled"]++
@@ -433,7 +435,7 @@
 				w.Kill(lead)
 				w.Start(lead, false)
 			}
-			w.Until("all are in", func() bool { return len(w.in()) == 4 })
+			w.Eventually("all are in", func() bool { return len(w.in()) == 4 })
 			<-time.After(1500 * time.Millisecond)
 		}
 		quiet := end()
--- a/internal/standin/cluster/shards_test.go
+++ b/internal/standin/cluster/shards_test.go
@@ -25,7 +25,7 @@
 const someShards = 6
 
 // sharded founds six shards on two of three nodes, with what an evening before left in them.
-func sharded(t *testing.T) (*Town, func(args ...string) (int, string)) {
+func sharded(t *testing.T) (*Deployment, func(args ...string) (int, string)) {
 	w := New(t, 3, 2)
 	for _, n := range []string{"n0", "n1", "n2"} {
 		w.AddNode(n, 300_000)
@@ -42,12 +42,12 @@
 		found.InitialOwners[shard] = fmt.Sprint("n", i%2)
 	}
 	body := fmt.Sprintf(`{"gen":1,"routes":[%s],"svcs":[%s],"limits":{"txIdleMs":2000}}`, strings.Join(routes, ","), strings.Join(svcs, ","))
-	w.Until("a configuration is taken", func() bool {
+	w.Eventually("a configuration is taken", func() bool {
 		code, _ := w.Call("POST", w.Cores[0], "/config/replace", "0", []byte(body))
 		return code == 200
 	})
 	for n := range 2 {
-		w.Until("a proxy is ready", func() bool { return w.Ready(n) })
+		w.Eventually("a proxy is ready", func() bool { return w.Ready(n) })
 	}
 	tell := func(args ...string) (int, string) {
 		var b bytes.Buffer
@@ -57,10 +57,10 @@
 	file := filepath.Join(w.dir, "found.json")
 	raw, _ := json.Marshal(found)
 	os.WriteFile(file, raw, 0o600)
-	w.Until("shards are founded", func() bool { code, _ := tell("found", w.Cores[0], file); return code == 0 })
+	w.Eventually("shards are founded", func() bool { code, _ := tell("found", w.Cores[0], file); return code == 0 })
 	os.WriteFile(file, []byte(`{"rate":60000}`), 0o600)
-	w.Until("the pace is set", func() bool { code, _ := tell("rules", w.Cores[0], file); return code == 0 })
-	w.Until("nodes hold them", func() bool {
+	w.Eventually("the pace is set", func() bool { code, _ := tell("rules", w.Cores[0], file); return code == 0 })
+	w.Eventually("nodes hold them", func() bool {
 		v := view(w)
 		n := 0
 		for _, r := range v.Nodes {
@@ -71,14 +71,14 @@
 	for shard, node := range found.InitialOwners {
 		w.Nodes[node].With(func(*replicaset.Group) {
 			for i := range 200 {
-				_, err := w.Nodes[node].Keeper.Write(shard, 1, fmt.Sprint("old", i), make([]byte, 100))
+				_, err := w.Nodes[node].Shards.Write(shard, 1, fmt.Sprint("old", i), make([]byte, 100))
 				if err != nil {
 					t.Fatal(err)
 				}
 			}
 		})
 	}
-	w.Until("the core knows what they hold", func() bool {
+	w.Eventually("the core knows what they hold", func() bool {
 		v, n := view(w), 0
 		for _, r := range v.Nodes {
 			for _, h := range r.Replicas {
@@ -92,7 +92,7 @@
 	return w, tell
 }
 
-func view(w *Town) (v controlplane.ShardsView) {
+func view(w *Deployment) (v controlplane.ShardsView) {
 	for _, c := range w.Cores {
 		if code, s := w.Call("GET", c, "/shards", "", nil); code == 200 {
 			var got controlplane.ShardsView
@@ -106,7 +106,7 @@
 
 // evening writes as the two deployments' clients do, each try anew behind a promise, until stopped. It gives each op's tries, with
 // what they were answered.
-func (w *Town) evening() (stop func() map[string][]string) {
+func (w *Deployment) evening() (stop func() map[string][]string) {
 	w.t.Helper()
 	var served atomic.Int64
 	var mu sync.Mutex
@@ -137,19 +137,19 @@
 					}
 					id, a := "", ""
 					if i%4 == 1 { // browsing and search: answered wherever the shard is by then
-						if _, a = k.Ask("FETCH t" + name); strings.HasPrefix(a, "ROW") {
+						if _, a = k.Query("FETCH t" + name); strings.HasPrefix(a, "ROW") {
 							break
 						}
 					} else if i%3 == 0 { // as a transaction, whose commit is the try
-						if _, a = k.Ask("BEGIN"); strings.HasPrefix(a, "DONE") {
-							if _, a = k.Ask("STORE t" + name + " booked"); strings.HasPrefix(a, "DONE") {
-								id, a = k.Ask("COMMIT")
+						if _, a = k.Query("BEGIN"); strings.HasPrefix(a, "DONE") {
+							if _, a = k.Query("STORE t" + name + " booked"); strings.HasPrefix(a, "DONE") {
+								id, a = k.Query("COMMIT")
 							} else {
-								k.Ask("ABORT")
+								k.Query("ABORT")
 							}
 						}
 					} else {
-						id, a = k.Ask("STORE t" + name + " enrolled")
+						id, a = k.Query("STORE t" + name + " enrolled")
 					}
 					mu.Lock()
 					if id != "" {
@@ -169,7 +169,7 @@
 			}
 		}()
 	}
-	w.Until("clients are served", func() bool { return served.Load() > 4*someShards })
+	w.Eventually("clients are served", func() bool { return served.Load() > 4*someShards })
 	return func() map[string][]string {
 		close(quit)
 		all.Wait()
@@ -178,9 +178,9 @@
 }
 
 // settled waits until every shard is open where the map has it and nowhere else, and audits all tries.
-func settled(w *Town, ops map[string][]string) {
+func settled(w *Deployment, ops map[string][]string) {
 	var ran map[string]int
-	w.Until("all shards are whole", func() bool {
+	w.Eventually("all shards are whole", func() bool {
 		v := view(w)
 		if v.Map == nil {
 			return false
@@ -221,7 +221,7 @@
 	}
 	So(done, ShouldBeGreaterThan, 0)
 	for _, s := range w.Nodes {
-		So(s.Over, ShouldBeEmpty)
+		So(s.Overflow, ShouldBeEmpty)
 	}
 }
 
@@ -231,13 +231,13 @@
 		Reset(w.Stop)
 		stop := w.evening()
 		under := func() { // a move goes on
-			w.Until("something moves", func() bool { return len(view(w).Transfers) > 0 })
+			w.Eventually("something moves", func() bool { return len(view(w).Transfers) > 0 })
 		}
 		apply := func() {
-			w.Until("a plan is taken", func() bool { code, _ := tell("apply", w.Cores[1]); return code == 0 })
+			w.Eventually("a plan is taken", func() bool { code, _ := tell("apply", w.Cores[1]); return code == 0 })
 		}
 		ended := func() {
-			w.Until("no task waits", func() bool {
+			w.Eventually("no task waits", func() bool {
 				v := view(w)
 				return v.Map != nil && len(v.Map.Tasks) > 0 && !strings.Contains(fmt.Sprint(v.Map.Tasks), "waiting")
 			})
@@ -258,10 +258,10 @@
 					}
 				}
 			}
-			So(len(w.Nodes["n2"].Keeper.Replicas), ShouldBeGreaterThan, 0)
+			So(len(w.Nodes["n2"].Shards.Replicas), ShouldBeGreaterThan, 0)
 			said := ""
 			for _, call := range [][]string{{"status", w.Cores[2]}, {"explain", w.Cores[0], "s0"}, {"page", w.Cores[0], filepath.Join(w.dir, "page.html")}} {
-				w.Until(call[0], func() bool {
+				w.Eventually(call[0], func() bool {
 					code, s := tell(call...)
 					if code == 0 {
 						said += s
@@ -283,7 +283,7 @@
 			under()
 			lead := leader(w)
 			w.Signal(lead, syscall.SIGSTOP)
-			w.Until("another leads", func() bool { v := view(w); return v.Map != nil })
+			w.Eventually("another leads", func() bool { v := view(w); return v.Map != nil })
 			w.Signal(lead, syscall.SIGCONT)
 			finish()
 		})
@@ -291,15 +291,15 @@
 			apply()
 			under()
 			for i, n := range []string{"n2", "n0", "n1"} {
-				w.Nodes[n].Crash1()
+				w.Nodes[n].CrashNode()
 				other := w.Nodes[[]string{"n0", "n1", "n2"}[i]]
-				other.With(func(*replicaset.Group) { other.Lose = 2 })
-				w.Until("answers are lost", func() bool {
+				other.With(func(*replicaset.Group) { other.LoseAnswers = 2 })
+				w.Eventually("answers are lost", func() bool {
 					left := 0
-					other.With(func(*replicaset.Group) { left = other.Lose })
+					other.With(func(*replicaset.Group) { left = other.LoseAnswers })
 					return left == 0
 				})
-				w.Nodes[n].Back1()
+				w.Nodes[n].RestartNode()
 			}
 			finish()
 		})
@@ -307,7 +307,7 @@
 			apply()
 			under()
 			n2 := w.Nodes["n2"]
-			n2.With(func(*replicaset.Group) { n2.Keeper.SetExternal(n2.Keeper.Capacity - n2.Keeper.UsedBytes() - 1000) })
+			n2.With(func(*replicaset.Group) { n2.Shards.SetExternal(n2.Shards.Capacity - n2.Shards.UsedBytes() - 1000) })
 			finish()
 		})
 		Convey("a proxy is frozen over the hand-overs, and thawed with the old map", func() {
@@ -321,16 +321,16 @@
 			apply()
 			under()
 			for _, call := range [][]string{{"pause", w.Cores[0]}, {"resume", w.Cores[1]}, {"abort", w.Cores[2]}} {
-				w.Until(call[0], func() bool { code, _ := tell(call...); return code == 0 })
+				w.Eventually(call[0], func() bool { code, _ := tell(call...); return code == 0 })
 			}
-			w.Until("all went back or is done", func() bool {
+			w.Eventually("all went back or is done", func() bool {
 				v := view(w)
 				return v.Map != nil && !strings.Contains(fmt.Sprint(v.Map.Tasks), "waiting")
 			})
-			w.Until("marked", func() bool { code, _ := tell("mark", w.Cores[0], "n1", "leaving"); return code == 0 })
+			w.Eventually("marked", func() bool { code, _ := tell("mark", w.Cores[0], "n1", "leaving"); return code == 0 })
 			apply()
 			finish()
-			So(len(w.Nodes["n1"].Keeper.Replicas), ShouldEqual, 0)
+			So(len(w.Nodes["n1"].Shards.Replicas), ShouldEqual, 0)
 		})
 	})
 }
@@ -351,9 +351,9 @@
 			n := w.Nodes[fmt.Sprint("n", rand.IntN(3))]
 			switch rand.IntN(6) {
 			case 0:
-				n.Crash1()
+				n.CrashNode()
 				<-time.After(time.Duration(rand.IntN(1500)) * time.Millisecond)
-				n.Back1()
+				n.RestartNode()
 			case 1:
 				lead := leader(w)
 				w.Kill(lead)
@@ -364,7 +364,7 @@
 				<-time.After(time.Duration(rand.IntN(1500)) * time.Millisecond)
 				w.Signal(p, syscall.SIGCONT)
 			case 3:
-				n.With(func(*replicaset.Group) { n.Lose = 5 })
+				n.With(func(*replicaset.Group) { n.LoseAnswers = 5 })
 			case 4:
 				tell("abort", w.Cores[0])
 			case 5:
--- a/internal/standin/cluster/voters_test.go
+++ b/internal/standin/cluster/voters_test.go
@@ -23,28 +23,28 @@
 			w := New(t, 3, 1)
 			Reset(w.Stop)
 			w.Configure(1)
-			w.Until("all three vote", func() bool { return votes(w, 0, w.Cores...) })
+			w.Eventually("all three vote", func() bool { return votes(w, 0, w.Cores...) })
 			old := leader(w)
 			oldAddr := w.Cores[old[4]-'0']
 			if how == "gone" {
 				w.Kill(old)
 			}
-			w.Cores = append(w.Cores, net.JoinHostPort(w.ip(1, 3), fmt.Sprint(w.ports+3)))
+			w.Cores = append(w.Cores, net.JoinHostPort(w.ip(1, 3), fmt.Sprint(w.basePort+3)))
 			began := time.Now()
 			w.Start("core3", false)
 			if how == "planned" {
-				w.Until("the new one votes", func() bool { return votes(w, 3, w.Cores...) })
+				w.Eventually("the new one votes", func() bool { return votes(w, 3, w.Cores...) })
 				w.Signal(old, syscall.SIGTERM)
-				w.procs[old].Wait()
-				delete(w.procs, old)
+				w.processes[old].Wait()
+				delete(w.processes, old)
 			}
 			left := slices.DeleteFunc(slices.Clone(w.Cores), func(a string) bool { return a == oldAddr })
-			w.Until("the new one votes in place of the old one", func() bool { return votes(w, 3, left...) })
+			w.Eventually("the new one votes in place of the old one", func() bool { return votes(w, 3, left...) })
 			So(time.Since(began), ShouldBeLessThan, catchUp)
 			second := leader(w)
 			w.Kill(second)
 			began = time.Now()
-			w.Until("the next change is taken", func() bool {
+			w.Eventually("the next change is taken", func() bool {
 				for i, a := range w.Cores {
 					if name := fmt.Sprint("core", i); name != old && name != second {
 						if code, _ := w.Call("POST", a, "/config/replace", "1", Config(2)); code == 200 {
@@ -60,7 +60,7 @@
 }
 
 // votes says whether a machine knows these, and no others, to vote.
-func votes(w *Town, at int, addrs ...string) bool {
+func votes(w *Deployment, at int, addrs ...string) bool {
 	_, all := voters(w, at)
 	for _, a := range addrs {
 		if !strings.Contains(all, a) {
--- a/internal/standin/disk/disk.go
+++ b/internal/standin/disk/disk.go
@@ -21,20 +21,20 @@
 var ErrCrashed = errors.New("disk: crashed")
 
 // Fate is what becomes of what was not synced.
-type Fate uint8
+type Outcome uint8
 
 // The fates; Fates is how many there are.
 const (
-	Nothing Fate = iota // all of it is lost
-	All                 // all of it is there
-	Torn                // a part, cut at any byte
-	Mixed               // each write and each change of a name is there or not, whatever came before it
-	Fates
+	LoseUnsynced Outcome = iota // all of it is lost
+	KeepUnsynced                // all of it is there
+	TearUnsynced                // a part, cut at any byte
+	MixUnsynced                 // each write and each change of a name is there or not, whatever came before it
+	Outcomes
 )
 
 type write struct {
-	at   int
-	data []byte
+	offset int
+	data   []byte
 }
 
 type inode struct {
@@ -51,15 +51,15 @@
 }
 
 func overlay(b []byte, w write) []byte {
-	if len(b) < w.at+len(w.data) {
-		b = append(b, make([]byte, w.at+len(w.data)-len(b))...)
+	if len(b) < w.offset+len(w.data) {
+		b = append(b, make([]byte, w.offset+len(w.data)-len(b))...)
 	}
-	copy(b[w.at:], w.data)
+	copy(b[w.offset:], w.data)
 	return b
 }
 
 // change is of a folder's names.
-type change struct {
+type nameChange struct {
 	name, from string
 	node       *inode // nil where the name goes
 }
@@ -69,65 +69,65 @@
 	CrashAt int                          // the operation, counted from 1, in the middle of which it crashes; 0 for never
 	Fail    func(op string, n int) error // an error for operation n, such as "write" or "sync"; nil for none
 
-	mu      sync.Mutex
-	ops     int
-	crashed bool
-	names   map[string]*inode
-	safe    map[string]*inode
-	changes []change // of names, not synced
-	folders map[string]bool
-	locked  map[string]bool
+	mu          sync.Mutex
+	operations  int
+	crashed     bool
+	names       map[string]*inode
+	syncedNames map[string]*inode
+	changes     []nameChange // of names, not synced
+	folders     map[string]bool
+	locked      map[string]bool
 }
 
 // New is an empty disk.
 func New() *Disk {
 	return &Disk{
-		names:   map[string]*inode{},
-		safe:    map[string]*inode{},
-		folders: map[string]bool{},
-		locked:  map[string]bool{},
+		names:       map[string]*inode{},
+		syncedNames: map[string]*inode{},
+		folders:     map[string]bool{},
+		locked:      map[string]bool{},
 	}
 }
 
 // Ops is how many operations there have been.
-func (d *Disk) Ops() int {
+func (d *Disk) Operations() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.ops
+	return d.operations
 }
 
 // step counts an operation, under the lock. now says that the disk crashes in the middle of it.
-func (d *Disk) step(op string) (now bool, err error) {
+func (d *Disk) begin(op string) (now bool, err error) {
 	if d.crashed {
 		return false, ErrCrashed
 	}
-	d.ops++
+	d.operations++
 	if d.Fail != nil {
-		if err := d.Fail(op, d.ops); err != nil {
+		if err := d.Fail(op, d.operations); err != nil {
 			return false, fmt.Errorf("%s: %w", op, err)
 		}
 	}
-	d.crashed = d.ops == d.CrashAt
+	d.crashed = d.operations == d.CrashAt
 	return d.crashed, nil
 }
 
 // After is the disk that is found after a crash, with the fate of what was not synced drawn by the seed.
-func (d *Disk) After(fate Fate, seed uint64) *Disk {
+func (d *Disk) AfterCrash(outcome Outcome, seed uint64) *Disk {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	draw := rand.New(rand.NewPCG(seed, uint64(fate)))
+	draw := rand.New(rand.NewPCG(seed, uint64(outcome)))
 	names := map[string]*inode{}
-	for name, n := range d.safe {
+	for name, n := range d.syncedNames {
 		names[name] = n
 	}
 	kept := len(d.changes)
-	if fate == Nothing {
+	if outcome == LoseUnsynced {
 		kept = 0
-	} else if fate == Torn {
+	} else if outcome == TearUnsynced {
 		kept = draw.IntN(kept + 1)
 	}
 	for _, c := range d.changes[:kept] {
-		if fate == Mixed && draw.IntN(2) == 0 {
+		if outcome == MixUnsynced && draw.IntN(2) == 0 {
 			continue
 		}
 		if c.from != "" && names[c.from] == c.node {
@@ -151,22 +151,22 @@
 	for _, name := range ordered {
 		n := names[name]
 		if copies[n] == nil {
-			copies[n] = &inode{synced: survives(n, fate, draw)}
+			copies[n] = &inode{synced: survivingContent(n, outcome, draw)}
 		}
-		next.names[name], next.safe[name] = copies[n], copies[n]
+		next.names[name], next.syncedNames[name] = copies[n], copies[n]
 	}
 	return next
 }
 
-func survives(n *inode, fate Fate, draw *rand.Rand) []byte {
+func survivingContent(n *inode, outcome Outcome, draw *rand.Rand) []byte {
 	b := slices.Clone(n.synced)
 	for i, w := range n.writes {
 		switch {
-		case fate == Nothing || fate == Mixed && draw.IntN(2) == 0:
+		case outcome == LoseUnsynced || outcome == MixUnsynced && draw.IntN(2) == 0:
 			continue
-		case fate == Torn && i == len(n.writes)-1:
+		case outcome == TearUnsynced && i == len(n.writes)-1:
 			w.data = w.data[:draw.IntN(len(w.data)+1)]
-		case fate == Mixed && draw.IntN(2) == 0 && len(w.data) > 0: // a block of it never came
+		case outcome == MixUnsynced && draw.IntN(2) == 0 && len(w.data) > 0: // a block of it never came
 			w.data = slices.Clone(w.data)
 			from := draw.IntN(len(w.data))
 			clear(w.data[from:min(len(w.data), from+1+draw.IntN(64))])
@@ -177,15 +177,15 @@
 }
 
 // Set puts a file there as it is, synced; Get gives its content, nil where there is none.
-func (d *Disk) Set(name string, content []byte) {
+func (d *Disk) SetFile(name string, content []byte) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	n := &inode{synced: slices.Clone(content)}
-	d.names[name], d.safe[name], d.folders[filepath.Dir(name)] = n, n, true
+	d.names[name], d.syncedNames[name], d.folders[filepath.Dir(name)] = n, n, true
 }
 
 // Get gives a file's content as it is read now; nil where there is none.
-func (d *Disk) Get(name string) []byte {
+func (d *Disk) FileContent(name string) []byte {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if n := d.names[name]; n != nil {
@@ -195,21 +195,21 @@
 }
 
 // Copy is the disk as it is, with nothing of it lost.
-func (d *Disk) Copy() *Disk { return d.After(All, 0) }
+func (d *Disk) Clone() *Disk { return d.AfterCrash(KeepUnsynced, 0) }
 
 // MkdirAll makes a folder, which is durable at once.
 func (d *Disk) MkdirAll(folder string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if _, err := d.step("mkdir"); err != nil {
+	if _, err := d.begin("mkdir"); err != nil {
 		return err
 	}
 	d.folders[folder] = true
-	return d.end()
+	return d.finish()
 }
 
 // end is the error of an operation that took effect: the crash, where it came in the middle of it.
-func (d *Disk) end() error {
+func (d *Disk) finish() error {
 	if d.crashed {
 		return ErrCrashed
 	}
@@ -220,7 +220,7 @@
 func (d *Disk) List(folder string) (names []string, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if _, err := d.step("list"); err != nil {
+	if _, err := d.begin("list"); err != nil {
 		return nil, err
 	}
 	if !d.folders[folder] {
@@ -239,7 +239,7 @@
 func (d *Disk) Create(name string) (durable.File, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if _, err := d.step("create"); err != nil {
+	if _, err := d.begin("create"); err != nil {
 		return nil, err
 	}
 	if !d.folders[filepath.Dir(name)] {
@@ -247,15 +247,15 @@
 	}
 	n := &inode{}
 	d.names[name] = n
-	d.changes = append(d.changes, change{name: name, node: n})
-	return &file{d: d, n: n}, d.end()
+	d.changes = append(d.changes, nameChange{name: name, node: n})
+	return &file{disk: d, node: n}, d.finish()
 }
 
 // ReadFile gives a file's content, synced or not.
 func (d *Disk) ReadFile(name string, limit int64) ([]byte, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if _, err := d.step("read"); err != nil {
+	if _, err := d.begin("read"); err != nil {
 		return nil, err
 	}
 	n := d.names[name]
@@ -273,7 +273,7 @@
 func (d *Disk) Rename(from, to string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if _, err := d.step("rename"); err != nil {
+	if _, err := d.begin("rename"); err != nil {
 		return err
 	}
 	n := d.names[from]
@@ -282,39 +282,39 @@
 	}
 	delete(d.names, from)
 	d.names[to] = n
-	d.changes = append(d.changes, change{name: to, from: from, node: n})
-	return d.end()
+	d.changes = append(d.changes, nameChange{name: to, from: from, node: n})
+	return d.finish()
 }
 
 // Remove takes a name away, durable behind SyncDir.
 func (d *Disk) Remove(name string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if _, err := d.step("remove"); err != nil {
+	if _, err := d.begin("remove"); err != nil {
 		return err
 	}
 	if d.names[name] == nil {
 		return fs.ErrNotExist
 	}
 	delete(d.names, name)
-	d.changes = append(d.changes, change{name: name})
-	return d.end()
+	d.changes = append(d.changes, nameChange{name: name})
+	return d.finish()
 }
 
 // SyncDir makes all names durable; a crash in the middle of it promises nothing.
 func (d *Disk) SyncDir(folder string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	now, err := d.step("syncdir")
+	now, err := d.begin("syncdir")
 	if err != nil {
 		return err
 	}
 	if now { // in the middle of it nothing is promised yet
 		return ErrCrashed
 	}
-	d.safe, d.changes = map[string]*inode{}, nil
+	d.syncedNames, d.changes = map[string]*inode{}, nil
 	for name, n := range d.names {
-		d.safe[name] = n
+		d.syncedNames[name] = n
 	}
 	return nil
 }
@@ -323,7 +323,7 @@
 func (d *Disk) Lock(name string) (io.Closer, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if _, err := d.step("lock"); err != nil {
+	if _, err := d.begin("lock"); err != nil {
 		return nil, err
 	}
 	if d.locked[name] {
@@ -342,37 +342,37 @@
 func (u unlock) Close() error { u(); return nil }
 
 type file struct {
-	d  *Disk
-	n  *inode
-	at int
+	disk   *Disk
+	node   *inode
+	offset int
 }
 
 func (f *file) Write(b []byte) (int, error) {
-	f.d.mu.Lock()
-	defer f.d.mu.Unlock()
-	if _, err := f.d.step("write"); err != nil {
-		if !f.d.crashed && len(b) > 1 { // a disk that is full takes a part
-			f.n.writes = append(f.n.writes, write{f.at, slices.Clone(b[:len(b)/2])})
-			f.at += len(b) / 2
+	f.disk.mu.Lock()
+	defer f.disk.mu.Unlock()
+	if _, err := f.disk.begin("write"); err != nil {
+		if !f.disk.crashed && len(b) > 1 { // a disk that is full takes a part
+			f.node.writes = append(f.node.writes, write{f.offset, slices.Clone(b[:len(b)/2])})
+			f.offset += len(b) / 2
 		}
 		return 0, err
 	}
-	f.n.writes = append(f.n.writes, write{f.at, slices.Clone(b)})
-	f.at += len(b)
-	return len(b), f.d.end()
+	f.node.writes = append(f.node.writes, write{f.offset, slices.Clone(b)})
+	f.offset += len(b)
+	return len(b), f.disk.finish()
 }
 
 func (f *file) Sync() error {
-	f.d.mu.Lock()
-	defer f.d.mu.Unlock()
-	now, err := f.d.step("sync")
+	f.disk.mu.Lock()
+	defer f.disk.mu.Unlock()
+	now, err := f.disk.begin("sync")
 	if err != nil {
 		return err
 	}
 	if now {
 		return ErrCrashed
 	}
-	f.n.synced, f.n.writes = f.n.content(), nil
+	f.node.synced, f.node.writes = f.node.content(), nil
 	return nil
 }
 
--- a/internal/standin/kv/lease.go
+++ b/internal/standin/kv/lease.go
@@ -11,9 +11,9 @@
 )
 
 type lease struct {
-	ttl  time.Duration
-	keys []string
-	end  *time.Timer
+	ttl    time.Duration
+	keys   []string
+	expiry *time.Timer
 }
 
 // grant makes a lease that ends by itself.
@@ -25,7 +25,7 @@
 	if s.leases == nil {
 		s.leases = map[string]*lease{}
 	}
-	s.leases[id] = &lease{ttl: ttl, end: time.AfterFunc(ttl, func() { s.EndLease(id) })}
+	s.leases[id] = &lease{ttl: ttl, expiry: time.AfterFunc(ttl, func() { s.EndLease(id) })}
 	return id
 }
 
@@ -36,7 +36,7 @@
 	delete(s.leases, id)
 	s.mu.Unlock()
 	if l != nil {
-		l.end.Stop()
+		l.expiry.Stop()
 		for _, k := range l.keys {
 			s.Put(k, nil)
 		}
@@ -57,7 +57,7 @@
 }
 
 // hold writes a key under a lease where nobody has it.
-func (s *Store) hold(key, value, id string) bool {
+func (s *Store) acquire(key, value, id string) bool {
 	s.mu.Lock()
 	l := s.leases[id]
 	_, taken := s.keys[key]
@@ -78,13 +78,13 @@
 	if l == nil {
 		return 0, false
 	}
-	l.end.Reset(l.ttl)
+	l.expiry.Reset(l.ttl)
 	return l.ttl, true
 }
 
-func (v *Server) leases(m *http.ServeMux) {
+func (v *Server) handleLeases(m *http.ServeMux) {
 	etcd := func(path string, serve func(w http.ResponseWriter, body map[string]json.RawMessage)) {
-		m.HandleFunc("POST "+path, v.fault(func(w http.ResponseWriter, r *http.Request) {
+		m.HandleFunc("POST "+path, v.withFaults(func(w http.ResponseWriter, r *http.Request) {
 			var body map[string]json.RawMessage
 			_ = json.NewDecoder(r.Body).Decode(&body) // what is missing is zero
 			serve(w, body)
@@ -116,15 +116,15 @@
 		}
 		_ = json.Unmarshal(body["success"], &success) // what is missing is empty
 		p := success[0].Put
-		fmt.Fprintf(w, `{"header":{},"succeeded":%v}`, v.store.hold(string(p.Key), string(p.Value), p.Lease))
+		fmt.Fprintf(w, `{"header":{},"succeeded":%v}`, v.store.acquire(string(p.Key), string(p.Value), p.Lease))
 	})
-	m.HandleFunc("PUT /v1/session/create", v.fault(func(w http.ResponseWriter, r *http.Request) {
+	m.HandleFunc("PUT /v1/session/create", v.withFaults(func(w http.ResponseWriter, r *http.Request) {
 		var ask struct{ TTL string }
 		_ = json.NewDecoder(r.Body).Decode(&ask) // what is missing is zero
 		ttl, _ := time.ParseDuration(ask.TTL)
 		fmt.Fprintf(w, `{"ID":%q}`, v.store.grant(ttl))
 	}))
-	m.HandleFunc("PUT /v1/session/renew/{id}", v.fault(func(w http.ResponseWriter, r *http.Request) {
+	m.HandleFunc("PUT /v1/session/renew/{id}", v.withFaults(func(w http.ResponseWriter, r *http.Request) {
 		ttl, ok := v.store.renew(r.PathValue("id"))
 		if !ok {
 			w.WriteHeader(http.StatusNotFound)
@@ -132,13 +132,13 @@
 		}
 		fmt.Fprintf(w, `[{"TTL":%q}]`, ttl)
 	}))
-	m.HandleFunc("PUT /v1/session/destroy/{id}", v.fault(func(w http.ResponseWriter, r *http.Request) {
+	m.HandleFunc("PUT /v1/session/destroy/{id}", v.withFaults(func(w http.ResponseWriter, r *http.Request) {
 		v.store.EndLease(r.PathValue("id"))
 		fmt.Fprint(w, "true")
 	}))
-	m.HandleFunc("PUT /v1/kv/{key...}", v.fault(func(w http.ResponseWriter, r *http.Request) {
+	m.HandleFunc("PUT /v1/kv/{key...}", v.withFaults(func(w http.ResponseWriter, r *http.Request) {
 		var value json.RawMessage
 		_ = json.NewDecoder(r.Body).Decode(&value) // what is missing is empty
-		fmt.Fprint(w, v.store.hold(r.PathValue("key"), string(value), r.FormValue("acquire")))
+		fmt.Fprint(w, v.store.acquire(r.PathValue("key"), string(value), r.FormValue("acquire")))
 	}))
 }
--- a/internal/standin/links/links.go
+++ b/internal/standin/links/links.go
@@ -16,17 +16,17 @@
 )
 
 // Way is one direction of one pair. The zero Way passes everything at once.
-type Way struct {
-	Cut    bool
-	Loss   float64       // share of datagrams
-	Double float64       // share of datagrams that come twice
-	Delay  time.Duration // of each datagram, and of bytes
-	Jitter time.Duration // up to so much more, drawn for each datagram: later ones may come first
-	Rate   int           // bytes a second that pass; 0: all
+type Link struct {
+	Blocked   bool
+	Loss      float64       // share of datagrams
+	Duplicate float64       // share of datagrams that come twice
+	Delay     time.Duration // of each datagram, and of bytes
+	Jitter    time.Duration // up to so much more, drawn for each datagram: later ones may come first
+	Rate      int           // bytes a second that pass; 0: all
 }
 
 // Net is the network of some processes.
-type Net struct {
+type Network struct {
 	n      int
 	prefix [3]byte
 	port   uint16
@@ -36,14 +36,14 @@
 	all    sync.WaitGroup
 
 	mu   sync.Mutex // guards what follows
-	ways map[[2]int]Way
+	ways map[[2]int]Link
 	free map[[2]int]time.Time // when a throttled way has passed what it was given
 	draw *rand.Rand
 	seen [][]byte // datagrams of late, to be sent again
 }
 
 type relay struct {
-	net  *Net
+	net  *Network
 	to   int
 	udp  *net.UDPConn
 	tcp  *net.TCPListener
@@ -65,17 +65,17 @@
 )
 
 // New opens the relays of n processes, 100 at most.
-func New(n int, seed uint64) (*Net, error) {
+func New(n int, seed uint64) (*Network, error) {
 	if n > 100 {
 		return nil, fmt.Errorf("%d processes; 100 at most", n)
 	}
 	var err error
 	for range 32 {
-		l := &Net{
+		l := &Network{
 			n:      n,
 			prefix: [3]byte{127, byte(1 + rand.IntN(254)), byte(rand.IntN(255))},
 			port:   uint16(20000 + rand.IntN(10000)),
-			ways:   map[[2]int]Way{},
+			ways:   map[[2]int]Link{},
 			free:   map[[2]int]time.Time{},
 			draw:   rand.New(rand.NewPCG(seed, 21)),
 		}
@@ -88,23 +88,23 @@
 	return nil, err
 }
 
-func (l *Net) address(host int) netip.AddrPort {
+func (l *Network) address(host int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{l.prefix[0], l.prefix[1], l.prefix[2], byte(host)}), l.port)
 }
 
 // Listen is where process i is to listen; Reach is where the others reach it.
-func (l *Net) Listen(i int) string { return l.address(i + 1).String() }
+func (l *Network) ListenAddr(i int) string { return l.address(i + 1).String() }
 
 // Serve is where process i may listen for others than its fellows; no ephemeral port is taken for it.
-func (l *Net) Serve(i int) string {
+func (l *Network) ServeAddr(i int) string {
 	at := l.address(i + 1)
 	return netip.AddrPortFrom(at.Addr(), at.Port()+1).String()
 }
 
 // Reach is the address that process i is to advertise.
-func (l *Net) Reach(i int) string { return l.address(firstHost + i).String() }
+func (l *Network) AdvertisedAddr(i int) string { return l.address(firstHost + i).String() }
 
-func (l *Net) open() error {
+func (l *Network) open() error {
 	for i := range l.n {
 		r := &relay{net: l, to: i, open: map[*pair]bool{}}
 		at := l.address(firstHost + i)
@@ -116,7 +116,7 @@
 		if r.tcp, err = net.ListenTCP("tcp", net.TCPAddrFromAddrPort(at)); err != nil {
 			return err
 		}
-		probe, err := net.Listen("tcp", l.Listen(i)) // nobody else has the process's own
+		probe, err := net.Listen("tcp", l.ListenAddr(i)) // nobody else has the process's own
 		if err != nil {
 			return err
 		}
@@ -130,7 +130,7 @@
 }
 
 // Close ends all relays.
-func (l *Net) Close() {
+func (l *Network) Close() {
 	l.end()
 	for _, r := range l.relays {
 		r.udp.Close()
@@ -147,7 +147,7 @@
 }
 
 // Set gives one direction of one pair another way; connections that are open follow.
-func (l *Net) Set(from, to int, w Way) {
+func (l *Network) Set(from, to int, w Link) {
 	l.mu.Lock()
 	l.ways[[2]int{from, to}] = w
 	l.mu.Unlock()
@@ -166,7 +166,7 @@
 }
 
 // Each gives every direction the way that is said for it.
-func (l *Net) Each(way func(from, to int) Way) {
+func (l *Network) SetAll(way func(from, to int) Link) {
 	for a := range l.n {
 		for b := range l.n {
 			if a != b {
@@ -177,21 +177,21 @@
 }
 
 // Parts cuts processes of different parts from each other; those of one part hear each other.
-func (l *Net) Parts(part ...int) {
-	l.Each(func(a, b int) Way { return Way{Cut: part[a] != part[b]} })
+func (l *Network) Partition(part ...int) {
+	l.SetAll(func(a, b int) Link { return Link{Blocked: part[a] != part[b]} })
 }
 
 // Heal lets everything pass again.
-func (l *Net) Heal() { l.Each(func(a, b int) Way { return Way{} }) }
+func (l *Network) Heal() { l.SetAll(func(a, b int) Link { return Link{} }) }
 
-func (l *Net) way(from, to int) Way {
+func (l *Network) way(from, to int) Link {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.ways[[2]int{from, to}]
 }
 
 // Replay sends datagrams of late once more, as somebody would who recorded them.
-func (l *Net) Replay() int {
+func (l *Network) Replay() int {
 	l.mu.Lock()
 	seen := l.seen
 	l.mu.Unlock()
@@ -203,7 +203,7 @@
 }
 
 // index is the process that an address belongs to, -1 for none.
-func (l *Net) index(a netip.Addr) int {
+func (l *Network) index(a netip.Addr) int {
 	b := a.Unmap().As4()
 	if [3]byte(b[:3]) != l.prefix || b[3] < 1 || int(b[3]) > l.n {
 		return -1
@@ -233,9 +233,9 @@
 		}
 		times := 1
 		switch {
-		case w.Cut, draw.Float64() < w.Loss:
+		case w.Blocked, draw.Float64() < w.Loss:
 			times = 0
-		case draw.Float64() < w.Double:
+		case draw.Float64() < w.Duplicate:
 			times = 2
 		}
 		var waits []time.Duration
@@ -256,7 +256,7 @@
 }
 
 // throttle gives the time that n more bytes have to wait. The caller holds the lock.
-func (l *Net) throttle(from, to int, w Way, n int) time.Duration {
+func (l *Network) throttle(from, to int, w Link, n int) time.Duration {
 	if w.Rate <= 0 {
 		return 0
 	}
@@ -327,14 +327,14 @@
 		n, err := from.Read(buf)
 		if n > 0 {
 			w := r.net.way(a, b)
-			for w.Cut {
+			for w.Blocked {
 				select {
 				case <-r.net.life.Done():
 					return
 				case <-p.changed:
 				case <-time.After(20 * time.Millisecond):
 				}
-				if w = r.net.way(a, b); w.Cut && gone(from) {
+				if w = r.net.way(a, b); w.Blocked && gone(from) {
 					p.close()
 					return
 				}
@@ -351,7 +351,7 @@
 			}
 		}
 		if err != nil {
-			if c, ok := to.(*net.TCPConn); ok && !r.net.way(a, b).Cut {
+			if c, ok := to.(*net.TCPConn); ok && !r.net.way(a, b).Blocked {
 				c.CloseWrite()
 			} else {
 				p.close()
--- a/internal/standin/links/links_test.go
+++ b/internal/standin/links/links_test.go
@@ -15,10 +15,10 @@
 	got chan string
 }
 
-func ends(t *testing.T, l *Net, n int) (all []*end) {
+func ends(t *testing.T, l *Network, n int) (all []*end) {
 	t.Helper()
 	for i := range n {
-		at, err := net.ResolveUDPAddr("udp", l.Listen(i))
+		at, err := net.ResolveUDPAddr("udp", l.ListenAddr(i))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -75,35 +75,35 @@
 	e := ends(t, l, 3)
 	passed := func() { // what came to the relay before has been carried
 		t.Helper()
-		e[2].say(t, l.Reach(1), "mark")
+		e[2].say(t, l.AdvertisedAddr(1), "mark")
 		if s := e[1].next(t); s != "mark" {
 			t.Error(s)
 		}
 	}
-	l.Set(0, 1, Way{Cut: true})
-	e[0].say(t, l.Reach(1), "cut")
+	l.Set(0, 1, Link{Blocked: true})
+	e[0].say(t, l.AdvertisedAddr(1), "cut")
 	passed()
-	e[1].say(t, l.Reach(0), "back")
+	e[1].say(t, l.AdvertisedAddr(0), "back")
 	if s := e[0].next(t); s != "back" {
 		t.Error(s)
 	}
-	e[0].say(t, l.Reach(2), "to another")
+	e[0].say(t, l.AdvertisedAddr(2), "to another")
 	if s := e[2].next(t); s != "to another" {
 		t.Error(s)
 	}
-	l.Set(0, 1, Way{Double: 1})
-	e[0].say(t, l.Reach(1), "twice")
+	l.Set(0, 1, Link{Duplicate: 1})
+	e[0].say(t, l.AdvertisedAddr(1), "twice")
 	if a, b := e[1].next(t), e[1].next(t); a != "twice" || b != "twice" {
 		t.Error(a, b)
 	}
-	l.Set(0, 1, Way{Loss: 1})
-	e[0].say(t, l.Reach(1), "lost")
+	l.Set(0, 1, Link{Loss: 1})
+	e[0].say(t, l.AdvertisedAddr(1), "lost")
 	passed()
-	l.Set(0, 1, Way{Delay: time.Second})
-	e[0].say(t, l.Reach(1), "late")
+	l.Set(0, 1, Link{Delay: time.Second})
+	e[0].say(t, l.AdvertisedAddr(1), "late")
 	passed()
-	l.Set(0, 1, Way{})
-	e[0].say(t, l.Reach(1), "sooner")
+	l.Set(0, 1, Link{})
+	e[0].say(t, l.AdvertisedAddr(1), "sooner")
 	if a, b := e[1].next(t), e[1].next(t); a != "sooner" || b != "late" {
 		t.Error(a, b)
 	}
@@ -116,7 +116,7 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	ln, err := net.Listen("tcp", l.Listen(1))
+	ln, err := net.Listen("tcp", l.ListenAddr(1))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -141,9 +141,9 @@
 			}()
 		}
 	}()
-	ip, _, _ := net.SplitHostPort(l.Listen(0))
+	ip, _, _ := net.SplitHostPort(l.ListenAddr(0))
 	d := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(ip)}}
-	c, err := d.Dial("tcp", l.Reach(1))
+	c, err := d.Dial("tcp", l.AdvertisedAddr(1))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -160,7 +160,7 @@
 		t.Error(s)
 	}
 	back()
-	l.Set(1, 0, Way{Cut: true}) // the answer's direction alone
+	l.Set(1, 0, Link{Blocked: true}) // the answer's direction alone
 	c.Write([]byte("again"))
 	if s := <-came; s != "again" {
 		t.Error(s)
--- a/internal/standin/links/resets.go
+++ b/internal/standin/links/resets.go
@@ -9,7 +9,7 @@
 
 // Resets is a relay to one address, for whoever dials it. Each of its connections is reset, both ways at once, when
 // one of its directions has carried a drawn number of bytes: within a message, between two, or before the first.
-type Resets struct {
+type ResettingRelay struct {
 	ln     net.Listener
 	target string
 
@@ -21,22 +21,22 @@
 }
 
 // NewResets listens at an address for what goes to target, and resets nothing until Most says so.
-func NewResets(listen, target string, seed uint64) (*Resets, error) {
+func NewResettingRelay(listen, target string, seed uint64) (*ResettingRelay, error) {
 	ln, err := net.Listen("tcp4", listen)
 	if err != nil {
 		return nil, err
 	}
-	r := &Resets{ln: ln, target: target, draw: rand.New(rand.NewPCG(seed, 5)), open: map[net.Conn]bool{}}
+	r := &ResettingRelay{ln: ln, target: target, draw: rand.New(rand.NewPCG(seed, 5)), open: map[net.Conn]bool{}}
 	go r.serve()
 	return r, nil
 }
 
 // Addr is where it is reached.
-func (r *Resets) Addr() string { return r.ln.Addr().String() }
+func (r *ResettingRelay) Addr() string { return r.ln.Addr().String() }
 
 // Most sets how many bytes a direction of connections to come carries at most; 0: they are not reset. Open ones are
 // reset now.
-func (r *Resets) Most(bytes int) {
+func (r *ResettingRelay) SetByteLimit(bytes int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.most = bytes
@@ -46,19 +46,19 @@
 }
 
 // Done is how many connections were reset for their bytes.
-func (r *Resets) Done() int {
+func (r *ResettingRelay) Resets() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.done
 }
 
 // Close ends the relay and its connections.
-func (r *Resets) Close() {
+func (r *ResettingRelay) Close() {
 	r.ln.Close()
-	r.Most(0)
+	r.SetByteLimit(0)
 }
 
-func (r *Resets) serve() {
+func (r *ResettingRelay) serve() {
 	for {
 		c, err := r.ln.Accept()
 		if err != nil {
@@ -68,7 +68,7 @@
 	}
 }
 
-func (r *Resets) carry(near net.Conn) {
+func (r *ResettingRelay) carry(near net.Conn) {
 	far, err := net.Dial("tcp4", r.target)
 	if err != nil {
 		reset(near)
@@ -89,14 +89,14 @@
 }
 
 // budget draws how many bytes pass before a reset, below 0 for all. The lock is held.
-func (r *Resets) budget() int64 {
+func (r *ResettingRelay) budget() int64 {
 	if r.most == 0 {
 		return -1
 	}
 	return int64(r.draw.IntN(r.most))
 }
 
-func (r *Resets) copy(to, from net.Conn, budget int64) {
+func (r *ResettingRelay) copy(to, from net.Conn, budget int64) {
 	defer reset(to)
 	defer reset(from)
 	if budget < 0 {
--- a/internal/standin/replicaset/replicaset.go
+++ b/internal/standin/replicaset/replicaset.go
@@ -20,40 +20,40 @@
 
 // Member is one.
 type Member struct {
-	ID       string
-	Primary  bool
-	Up       bool
-	Paused   bool
-	Deaf     bool // receives nothing, though it answers
-	Cut      bool // reaches no other member, though clients reach it
-	Drains   bool
-	Term     uint64 // newest known
-	Held     uint64 // term that it holds the lead for
-	PausedAt uint64 // term that it was paused with, which is what a paused replica answers that it holds
-	Log      []Entry
+	ID           string
+	Primary      bool
+	Up           bool
+	Paused       bool
+	NotReceiving bool // receives nothing, though it answers
+	Partitioned  bool // reaches no other member, though clients reach it
+	Draining     bool
+	Term         uint64 // newest known
+	LeaderTerm   uint64 // term that it holds the lead for
+	PausedTerm   uint64 // term that it was paused with, which is what a paused replica answers that it holds
+	Log          []Entry
 }
 
 // Group is all of a service.
 type Group struct {
-	SyncN   int
-	Members []*Member
-	Acked   map[string]bool
-	waiting []Entry // written, not yet answered
-	Lost    []string
-	Leads   int // promotions carried out
+	SyncN      int
+	Members    []*Member
+	Acked      map[string]bool
+	pending    []Entry // written, not yet answered
+	Lost       []string
+	Promotions int // promotions carried out
 }
 
 // New gives a group whose first member leads.
 func New(syncN int, ids ...string) *Group {
 	g := &Group{SyncN: syncN, Acked: map[string]bool{}}
 	for i, id := range ids {
-		g.Members = append(g.Members, &Member{ID: id, Primary: i == 0, Up: true, Term: 1, Held: uint64(1 - min(i, 1))})
+		g.Members = append(g.Members, &Member{ID: id, Primary: i == 0, Up: true, Term: 1, LeaderTerm: uint64(1 - min(i, 1))})
 	}
 	return g
 }
 
 // Get gives a member, nil for none.
-func (g *Group) Get(id string) *Member {
+func (g *Group) Member(id string) *Member {
 	if i := slices.IndexFunc(g.Members, func(m *Member) bool { return m.ID == id }); i >= 0 {
 		return g.Members[i]
 	}
@@ -64,7 +64,7 @@
 func (g *Group) Leader() *Member {
 	var best *Member
 	for _, m := range g.Members {
-		if m.Up && m.Primary && (best == nil || m.Held > best.Held) {
+		if m.Up && m.Primary && (best == nil || m.LeaderTerm > best.LeaderTerm) {
 			best = m
 		}
 	}
@@ -81,7 +81,7 @@
 
 // Status is the row that a member answers with.
 func (m *Member) Status() wire.MemberStatus {
-	return wire.MemberStatus{Primary: m.Primary, Term: m.Term, Received: m.Position(), PromisedTerm: m.PausedAt}
+	return wire.MemberStatus{Primary: m.Primary, Term: m.Term, Received: m.Position(), PromisedTerm: m.PausedTerm}
 }
 
 // Write appends a commit at a member. False: it does not lead.
@@ -90,12 +90,12 @@
 		return wire.Position{}, false
 	}
 	p := m.Position()
-	e := Entry{m.Held, p.Number + 1, id}
+	e := Entry{m.LeaderTerm, p.Number + 1, id}
 	m.Log = append(m.Log, e)
 	if g.SyncN == 0 {
 		g.Acked[id] = true
 	} else {
-		g.waiting = append(g.waiting, e)
+		g.pending = append(g.pending, e)
 	}
 	return wire.Position{Term: e.Term, Number: e.Number}, true
 }
@@ -104,17 +104,17 @@
 // enough.
 func (g *Group) Replicate(may func(to *Member) bool) {
 	for _, p := range g.Members {
-		if !p.Up || !p.Primary || p.Cut {
+		if !p.Up || !p.Primary || p.Partitioned {
 			continue
 		}
 		for _, m := range g.Members {
-			if m == p || !m.Up || m.Primary || m.Paused || m.Deaf || m.Cut || m.Term > p.Held || !may(m) {
+			if m == p || !m.Up || m.Primary || m.Paused || m.NotReceiving || m.Partitioned || m.Term > p.LeaderTerm || !may(m) {
 				continue
 			}
-			m.Term = p.Held
+			m.Term = p.LeaderTerm
 			m.Log = slices.Clone(p.Log)
 		}
-		g.waiting = slices.DeleteFunc(g.waiting, func(e Entry) bool {
+		g.pending = slices.DeleteFunc(g.pending, func(e Entry) bool {
 			if !slices.Contains(p.Log, e) {
 				return false
 			}
@@ -134,24 +134,24 @@
 
 // Pause keeps a replica from receiving.
 func (m *Member) Pause(term uint64) {
-	if term > max(m.Term, m.PausedAt) && !m.Primary {
-		m.Paused, m.PausedAt = true, term
+	if term > max(m.Term, m.PausedTerm) && !m.Primary {
+		m.Paused, m.PausedTerm = true, term
 	}
 }
 
 // Continue lets a paused replica receive again.
-func (m *Member) Continue() { m.Paused, m.PausedAt = false, 0 }
+func (m *Member) Resume() { m.Paused, m.PausedTerm = false, 0 }
 
 // StepDown turns a primary of a lower term into a replica.
 func (m *Member) StepDown(term uint64) {
-	if m.Primary && term > m.Held {
+	if m.Primary && term > m.LeaderTerm {
 		m.Primary, m.Term = false, term
 	}
 }
 
 // Promote carries out the platform's order. False: the member is not running.
 func (g *Group) Promote(id string) bool {
-	m := g.Get(id)
+	m := g.Member(id)
 	if m == nil || !m.Up {
 		return false
 	}
@@ -160,7 +160,7 @@
 	}
 	term := m.Term
 	for _, o := range g.Members {
-		term = max(term, o.Term, o.Held)
+		term = max(term, o.Term, o.LeaderTerm)
 	}
 	term++
 	for acked := range g.Acked {
@@ -168,10 +168,10 @@
 			g.Lost = append(g.Lost, acked)
 		}
 	}
-	g.Leads++
+	g.Promotions++
 	for _, o := range g.Members {
 		o.Primary = o == m
-		o.Continue()
+		o.Resume()
 		if o.Term = term; o != m {
 			n := 0
 			for n < min(len(o.Log), len(m.Log)) && o.Log[n] == m.Log[n] {
@@ -180,8 +180,8 @@
 			o.Log = o.Log[:n]
 		}
 	}
-	m.Held = term
-	g.waiting = nil
+	m.LeaderTerm = term
+	g.pending = nil
 	return true
 }
 
@@ -191,12 +191,12 @@
 }
 
 // End takes a member away for good, with its log.
-func (g *Group) End(id string) {
+func (g *Group) Remove(id string) {
 	g.Members = slices.DeleteFunc(g.Members, func(m *Member) bool { return m.ID == id })
 }
 
 // Restart brings a member back with its log; a pause is forgotten.
 func (m *Member) Restart() {
 	m.Up = true
-	m.Continue()
+	m.Resume()
 }
--- a/internal/standin/virtualclock/virtualclock.go
+++ b/internal/standin/virtualclock/virtualclock.go
@@ -7,22 +7,22 @@
 import "container/heap"
 
 // Queue is one; its zero value stands at 0.
-type Queue struct {
-	Now  float64 // milliseconds
-	Turn int     // how many things were asked for so far
-	due  moments
+type Scheduler struct {
+	Now       float64 // milliseconds
+	Scheduled int     // how many things were asked for so far
+	pending   eventHeap
 }
 
 // In has something done after so long.
-func (q *Queue) In(after float64, do func()) {
-	q.Turn++
-	heap.Push(&q.due, moment{q.Now + after, q.Turn, do})
+func (q *Scheduler) After(after float64, do func()) {
+	q.Scheduled++
+	heap.Push(&q.pending, event{q.Now + after, q.Scheduled, do})
 }
 
 // Pass lets time pass until end, with all that is due on the way.
-func (q *Queue) Pass(end float64) {
-	for len(q.due) > 0 && q.due[0].at <= end {
-		m := heap.Pop(&q.due).(moment)
+func (q *Scheduler) RunUntil(end float64) {
+	for len(q.pending) > 0 && q.pending[0].at <= end {
+		m := heap.Pop(&q.pending).(event)
 		q.Now = m.at
 		m.do()
 	}
@@ -30,26 +30,26 @@
 }
 
 // Drop forgets what is still to come.
-func (q *Queue) Drop() { q.due = nil }
+func (q *Scheduler) Discard() { q.pending = nil }
 
-type moment struct {
+type event struct {
 	at   float64
 	turn int
 	do   func()
 }
 
-type moments []moment
+type eventHeap []event
 
-func (m moments) Len() int { return len(m) }
-func (m moments) Less(i, j int) bool {
+func (m eventHeap) Len() int { return len(m) }
+func (m eventHeap) Less(i, j int) bool {
 	return m[i].at < m[j].at || m[i].at == m[j].at && m[i].turn < m[j].turn
 }
-func (m moments) Swap(i, j int) { m[i], m[j] = m[j], m[i] }
-func (m *moments) Push(x any)   { *m = append(*m, x.(moment)) }
-func (m *moments) Pop() any {
+func (m eventHeap) Swap(i, j int) { m[i], m[j] = m[j], m[i] }
+func (m *eventHeap) Push(x any)   { *m = append(*m, x.(event)) }
+func (m *eventHeap) Pop() any {
 	i := len(*m) - 1
 	last := (*m)[i]
-	(*m)[i] = moment{} // what was done holds nothing
+	(*m)[i] = event{} // what was done holds nothing
 	*m = (*m)[:i]
 	return last
 }
