--- a/cmd/weirlab/emulate.go
+++ b/cmd/weirlab/emulate.go
@@ -35,16 +35,16 @@
 // baselines break some by their nature.
 func (c *emulateCommand) Run(out io.Writer) error {
 	s := emulator.Setup{
-		Drivers: c.Drivers,
-		Groups:  c.Groups,
-		Members: c.Members,
-		Cores:   c.Cores,
-		Work:    ms(c.Work),
-		Load:    c.Load,
-		Lag:     ms(c.Lag),
-		For:     ms(c.For),
-		Retries: c.Retries,
-		Seed:    c.Seed,
+		Drivers:        c.Drivers,
+		Groups:         c.Groups,
+		Members:        c.Members,
+		Cores:          c.Cores,
+		ServiceTime:    ms(c.Work),
+		Load:           c.Load,
+		ReplicationLag: ms(c.Lag),
+		Duration:       ms(c.For),
+		Retries:        c.Retries,
+		Seed:           c.Seed,
 	}
 	for _, text := range c.Fault {
 		fault, err := parseFault(text)
@@ -58,7 +58,7 @@
 	for i, p := range c.Policy {
 		s := s
 		s.Policy = p
-		all.Go(func() { results[i], errs[i] = emulator.Play(s, c.On, nil) })
+		all.Go(func() { results[i], errs[i] = emulator.Run(s, c.On, nil) })
 	}
 	all.Wait()
 	broken := 0
@@ -89,24 +89,24 @@
 	if !hasTime || !hasMember || err != nil || at < 0 || duration < 0 {
 		return emulator.Fault{}, fmt.Errorf("fault %q is not of the form kill@10s:g1m1", text)
 	}
-	return emulator.Fault{At: ms(at), For: ms(duration), What: what, On: member}, nil
+	return emulator.Fault{At: ms(at), Duration: ms(duration), Kind: what, Target: member}, nil
 }
 
 // printPlay prints what came of one policy's play, and returns how many times rules were broken.
 func printPlay(out io.Writer, policy string, r *emulator.Result) (broken int) {
-	fmt.Fprintf(out, "%s: %d ops, %.3f of their worth served in time\n", policy, r.Asked, r.Worth)
+	fmt.Fprintf(out, "%s: %d ops, %.3f of their worth served in time\n", policy, r.Ops, r.ValueShare)
 	for k := range r.Types {
 		t := &r.Types[k]
 		q := func(x float64) string { return fmt.Sprintf("%.1f", t.Quantile(x)) }
 		fmt.Fprintf(out, "  %-8s acked %d (in time %d), refused tries %d, failed %d; ms: median %s, p99 %s, worst %s\n",
-			r.Setup.Mix[k].Name, t.Ends[emulator.Acked], t.InTime, t.Ends[emulator.Refused], t.Ends[emulator.Failed], q(50),
+			r.Setup.Mix[k].Name, t.Outcomes[emulator.Acked], t.WithinTarget, t.Outcomes[emulator.Refused], t.Outcomes[emulator.Failed], q(50),
 			q(99), q(100))
 	}
-	for _, rule := range slices.Sorted(maps.Keys(r.Broken)) {
-		fmt.Fprintf(out, "  broken: %s, %d times\n", rule, r.Broken[rule])
-		broken += r.Broken[rule]
+	for _, rule := range slices.Sorted(maps.Keys(r.Violations)) {
+		fmt.Fprintf(out, "  broken: %s, %d times\n", rule, r.Violations[rule])
+		broken += r.Violations[rule]
 	}
-	for _, text := range r.First[:min(len(r.First), 3)] {
+	for _, text := range r.FirstViolations[:min(len(r.FirstViolations), 3)] {
 		fmt.Fprintf(out, "    %s\n", text)
 	}
 	return broken
--- a/cmd/weirlab/evening.go
+++ b/cmd/weirlab/evening.go
@@ -54,16 +54,16 @@
 		},
 		log,
 		func(n int, s sessionrun.Second) {
-			if s.Note != "" {
-				fmt.Fprintln(out, "      --", s.Note)
+			if s.Event != "" {
+				fmt.Fprintln(out, "      --", s.Event)
 			}
-			fmt.Fprintf(out, "%6d %7d %7d %16s\n", n, s.Queued, s.Came, s.Silence.Round(time.Millisecond))
+			fmt.Fprintf(out, "%6d %7d %7d %16s\n", n, s.Queued, s.Delivered, s.LongestGap.Round(time.Millisecond))
 		},
 	)
 	if err != nil {
 		return err
 	}
-	if err := os.WriteFile(c.Report, []byte(r.Page("An evening of open sessions")), 0o644); err != nil {
+	if err := os.WriteFile(c.Report, []byte(r.HTML("An evening of open sessions")), 0o644); err != nil {
 		return err
 	}
 	fmt.Fprintf(
@@ -71,16 +71,16 @@
 		"%d messages queued, %d came; %d of %d sockets stayed open; "+
 			"longest silence of a client %s at the median, %s at most; page %s\n",
 		r.Queued,
-		r.Came,
-		r.Stayed,
+		r.Delivered,
+		r.StayedOpen,
 		r.Opened,
-		r.Silence[len(r.Silence)/2].Round(time.Millisecond),
-		r.Silence[len(r.Silence)-1].Round(time.Millisecond),
+		r.LongestGaps[len(r.LongestGaps)/2].Round(time.Millisecond),
+		r.LongestGaps[len(r.LongestGaps)-1].Round(time.Millisecond),
 		c.Report,
 	)
-	if r.Lost+r.Doubled+r.Mess > 0 || r.Stayed < r.Opened {
-		return fmt.Errorf("audit: %d lost, %d doubled, %d out of order, %d sockets closed", r.Lost, r.Doubled, r.Mess,
-			r.Opened-r.Stayed)
+	if r.Lost+r.Duplicated+r.OutOfOrder > 0 || r.StayedOpen < r.Opened {
+		return fmt.Errorf("audit: %d lost, %d doubled, %d out of order, %d sockets closed", r.Lost, r.Duplicated, r.OutOfOrder,
+			r.Opened-r.StayedOpen)
 	}
 	fmt.Fprintln(out, "audit: every queued message came once and in order, on sessions that stayed open")
 	return nil
--- a/cmd/weirlab/experiment.go
+++ b/cmd/weirlab/experiment.go
@@ -32,7 +32,7 @@
 	if err != nil {
 		return err
 	}
-	plans, err := experiment.Read(c.File, text)
+	plans, err := experiment.ParseFile(c.File, text)
 	if err != nil {
 		return err
 	}
@@ -77,9 +77,9 @@
 func broken(out io.Writer, rows []experiment.Run) error {
 	by := 0
 	for _, r := range rows {
-		for _, b := range r.Broken {
+		for _, b := range r.Violations {
 			fmt.Fprintf(out, "%s, %s, %d drivers, load %g, seed %d: %s broken %d times\n", r.Experiment, r.Variant, r.Drivers,
-				r.Load, r.Seed, b.Rule, b.Times)
+				r.Load, r.Seed, b.Rule, b.Count)
 			if strings.Contains(r.Setup, `"Policy":"module"`) {
 				by++
 			}
@@ -111,7 +111,7 @@
 	if err != nil {
 		return err
 	}
-	a, b = experiment.Of(a, c.VariantA), experiment.Of(b, c.VariantB)
+	a, b = experiment.SelectVariant(a, c.VariantA), experiment.SelectVariant(b, c.VariantB)
 	all := experiment.Compare(a, b, c.VariantA != "" || c.VariantB != "")
 	if len(all) == 0 {
 		return fmt.Errorf("no two runs of one experiment, size, load and seed")
@@ -122,7 +122,7 @@
 		}
 		return filepath.Base(path)
 	}
-	return experiment.Print(out, name(c.A, c.VariantA), name(c.B, c.VariantB), all)
+	return experiment.WriteComparison(out, name(c.A, c.VariantA), name(c.B, c.VariantB), all)
 }
 
 type reportCommand struct {
--- a/cmd/weirlab/flock.go
+++ b/cmd/weirlab/flock.go
@@ -30,14 +30,14 @@
 func (c *flockCommand) Run(out io.Writer) error {
 	for _, n := range c.Drivers {
 		o := membershipsim.Options{Drivers: n, Period: ms(c.Period), Seed: c.Seed}
-		if err := membershipsim.Losses(out, o, c.Kills); err != nil {
+		if err := membershipsim.MeasureFailureDetection(out, o, c.Kills); err != nil {
 			return err
 		}
-		if err := membershipsim.Heals(out, o, c.Heals); err != nil {
+		if err := membershipsim.MeasurePartitionHealing(out, o, c.Heals); err != nil {
 			return err
 		}
 		o.Loss = c.Loss
-		if err := membershipsim.Wrong(out, o, ms(c.For), c.Slow); err != nil {
+		if err := membershipsim.MeasureFalsePositives(out, o, ms(c.For), c.Slow); err != nil {
 			return err
 		}
 	}
@@ -72,7 +72,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
-	page, err := s.Play(ctx, out)
+	page, err := s.Run(ctx, out)
 	if err != nil {
 		return err
 	}
--- a/cmd/weirlab/main.go
+++ b/cmd/weirlab/main.go
@@ -70,7 +70,7 @@
 	if c.For < time.Second || c.Rate <= 0 || c.Rate > 20000 || c.Drivers < 1 || c.Drivers > 50 {
 		return fmt.Errorf("a demonstration lasts 1s at least, at up to 20000 ops a second, with up to 50 drivers")
 	}
-	cluster, err := lab.Start(lab.Options{Seed: c.Seed, Elect: min(2*time.Second, c.For/6)})
+	cluster, err := lab.Start(lab.Options{Seed: c.Seed, ElectionTime: min(2*time.Second, c.For/6)})
 	if err != nil {
 		return err
 	}
@@ -107,33 +107,33 @@
 	cluster *lab.Cluster,
 	targets []string,
 	first string,
-) (result lab.Result, seconds []*lab.Figures) {
+) (result lab.Result, seconds []*lab.OpStats) {
 	kill := time.AfterFunc(c.For/3, func() {
 		fmt.Fprintf(out, "      -- %s, the primary, is killed\n", first)
-		cluster.Do("kill", first)
+		cluster.Inject("kill", first)
 	})
 	defer kill.Stop()
 	drain := time.AfterFunc(2*c.For/3, func() {
 		replica := cluster.Replica(1)
 		fmt.Fprintf(out, "      -- %s is primary; %s is back; %s is told to drain\n", cluster.Primary(1), first, replica)
-		cluster.Do("heal", first)
-		cluster.Do("drain", replica)
+		cluster.Inject("heal", first)
+		cluster.Inject("drain", replica)
 	})
 	defer drain.Stop()
 	fmt.Fprintln(out, "second  acked refused failed  lost   median      p99")
 	load := lab.Load{
-		Targets: targets,
-		Rate:    c.Rate,
-		For:     c.For,
-		Mix:     lab.Mix,
-		Groups:  1,
-		Seed:    c.Seed,
-		Slack:   c.Slack,
+		Targets:  targets,
+		Rate:     c.Rate,
+		Duration: c.For,
+		Mix:      lab.DefaultMix,
+		Groups:   1,
+		Seed:     c.Seed,
+		Slack:    c.Slack,
 	}
-	result = load.Run(ctx, func(second int, f *lab.Figures) {
+	result = load.Run(ctx, func(second int, f *lab.OpStats) {
 		seconds = append(seconds, f)
-		fmt.Fprintf(out, "%6d %6d %7d %6d %5d %8s %8s\n", second, f.Ends[lab.Acked], f.Ends[lab.Refused], f.Ends[lab.Failed],
-			f.Ends[lab.Lost], f.Quantile(50).Round(100*time.Microsecond), f.Quantile(99).Round(100*time.Microsecond))
+		fmt.Fprintf(out, "%6d %6d %7d %6d %5d %8s %8s\n", second, f.Outcomes[lab.Acked], f.Outcomes[lab.Refused], f.Outcomes[lab.Failed],
+			f.Outcomes[lab.Lost], f.Quantile(50).Round(100*time.Microsecond), f.Quantile(99).Round(100*time.Microsecond))
 	})
 	return result, seconds
 }
@@ -144,9 +144,9 @@
 	cluster *lab.Cluster,
 	first string,
 	result lab.Result,
-	seconds []*lab.Figures,
+	seconds []*lab.OpStats,
 ) error {
-	row, err := socketsRow("demonstration", "two drivers", c.Drivers, c.Seed, lab.Mix, result, seconds)
+	row, err := socketsRow("demonstration", "two drivers", c.Drivers, c.Seed, lab.DefaultMix, result, seconds)
 	if err != nil {
 		return err
 	}
@@ -187,8 +187,8 @@
 	slices.Sort(names)
 	for _, name := range names {
 		f := r.Kinds[name]
-		fmt.Fprintf(out, "%-10s %6d %7d %6d %5d %8s %8s %10s\n", name, f.Ends[lab.Acked], f.Ends[lab.Refused],
-			f.Ends[lab.Failed], f.Ends[lab.Lost], f.Quantile(50).Round(100*time.Microsecond),
+		fmt.Fprintf(out, "%-10s %6d %7d %6d %5d %8s %8s %10s\n", name, f.Outcomes[lab.Acked], f.Outcomes[lab.Refused],
+			f.Outcomes[lab.Failed], f.Outcomes[lab.Lost], f.Quantile(50).Round(100*time.Microsecond),
 			f.Quantile(99).Round(100*time.Microsecond), f.Quantile(100).Round(100*time.Microsecond))
 	}
 }
@@ -219,7 +219,7 @@
 	if c.Groups < 1 || c.Members < 1 || c.Groups*c.Members > 500 {
 		return fmt.Errorf("a cluster has up to 500 members")
 	}
-	cluster, err := lab.Start(lab.Options{Groups: c.Groups, Members: c.Members, Work: c.Work, Lag: c.Lag, Elect: c.Elect})
+	cluster, err := lab.Start(lab.Options{Groups: c.Groups, Members: c.Members, ServiceTime: c.Work, ReplicationLag: c.Lag, ElectionTime: c.Elect})
 	if err != nil {
 		return err
 	}
@@ -248,7 +248,7 @@
 				return nil
 			}
 			what, id, _ := strings.Cut(strings.TrimSpace(text), " ")
-			fmt.Fprintf(out, "%s %s: %v\n", what, id, map[bool]string{true: "done", false: "not known"}[cluster.Do(what, id)])
+			fmt.Fprintf(out, "%s %s: %v\n", what, id, map[bool]string{true: "done", false: "not known"}[cluster.Inject(what, id)])
 		}
 	}
 }
@@ -264,7 +264,7 @@
 
 // Run plays the load and prints what came of it. Latency counts from the moment at which an op was due.
 func (c *loadCommand) Run(out io.Writer) error {
-	mix := lab.Mix
+	mix := lab.DefaultMix
 	if c.Mix != "" {
 		text, err := os.ReadFile(c.Mix)
 		if err != nil {
@@ -288,7 +288,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	result := lab.Load{Targets: c.Target, Rate: c.Rate, For: c.For, Mix: mix, Groups: c.Groups, Seed: c.Seed}.Run(ctx, nil)
+	result := lab.Load{Targets: c.Target, Rate: c.Rate, Duration: c.For, Mix: mix, Groups: c.Groups, Seed: c.Seed}.Run(ctx, nil)
 	summary(out, result)
 	for name, f := range result.Kinds {
 		if f.Skipped > 0 {
@@ -312,7 +312,7 @@
 	fmt.Fprintf(out, "%d clients, %d members; the registry is away for %s and loses its history\n", c.Clients, c.Members,
 		c.Away)
 	for _, naive := range []bool{false, true} {
-		r, err := lab.Storm{Clients: c.Clients, Members: c.Members, Away: c.Away, Naive: naive, Most: 3 * time.Minute}.Run()
+		r, err := lab.Storm{Clients: c.Clients, Members: c.Members, Downtime: c.Away, Naive: naive, Timeout: 3 * time.Minute}.Run()
 		if err != nil {
 			return err
 		}
--- a/cmd/weirlab/sockets.go
+++ b/cmd/weirlab/sockets.go
@@ -23,9 +23,9 @@
 	name, variant string,
 	drivers int,
 	seed uint64,
-	mix []lab.Kind,
+	mix []lab.OpKind,
 	r lab.Result,
-	seconds []*lab.Figures,
+	seconds []*lab.OpStats,
 ) (experiment.Run, error) {
 	run := experiment.Run{
 		Experiment: name,
@@ -45,30 +45,30 @@
 		t := experiment.Type{
 			Name:    k.Name,
 			Value:   max(k.Value, 1),
-			Acked:   int64(f.Ends[lab.Acked]),
-			Refused: int64(f.Ends[lab.Refused]),
-			Failed:  int64(f.Ends[lab.Failed] + f.Ends[lab.Lost]),
+			Acked:   int64(f.Outcomes[lab.Acked]),
+			Refused: int64(f.Outcomes[lab.Refused]),
+			Failed:  int64(f.Outcomes[lab.Failed] + f.Outcomes[lab.Lost]),
 			Latency: latency,
 		}
 		for _, bar := range f.Latency.Distribution() {
 			if k.Target == 0 || bar.To <= k.Target.Microseconds() {
-				t.InTime += bar.Count
+				t.WithinTarget += bar.Count
 			}
 		}
 		n := t.Acked + t.Refused + t.Failed
-		run.Asked += n
-		asked, served = asked+float64(n)*t.Value, served+float64(t.InTime)*t.Value
+		run.Ops += n
+		asked, served = asked+float64(n)*t.Value, served+float64(t.WithinTarget)*t.Value
 		run.Types = append(run.Types, t)
 	}
-	run.Worth = served / max(asked, 1)
+	run.ValueShare = served / max(asked, 1)
 	for _, f := range seconds {
 		s := experiment.Second{
-			Acked:   int64(f.Ends[lab.Acked]),
-			Refused: int64(f.Ends[lab.Refused]),
-			Failed:  int64(f.Ends[lab.Failed] + f.Ends[lab.Lost]),
+			Acked:   int64(f.Outcomes[lab.Acked]),
+			Refused: int64(f.Outcomes[lab.Refused]),
+			Failed:  int64(f.Outcomes[lab.Failed] + f.Outcomes[lab.Lost]),
 		}
-		s.Asked = s.Acked + s.Refused + s.Failed
-		s.Worth = float64(s.Acked) / float64(max(s.Asked, 1))
+		s.Arrivals = s.Acked + s.Refused + s.Failed
+		s.ValueShare = float64(s.Acked) / float64(max(s.Arrivals, 1))
 		run.Seconds = append(run.Seconds, s)
 	}
 	return run, nil
@@ -81,7 +81,7 @@
 		return err
 	}
 	defer func() { _ = f.Close() }() // a write that failed has said so
-	if err := experiment.Page(f, title, notes, rows, "", pictures); err != nil {
+	if err := experiment.WritePage(f, title, notes, rows, "", pictures); err != nil {
 		return err
 	}
 	fmt.Fprintf(out, "report: %s\n", path)
@@ -91,23 +91,23 @@
 // emulated is the scenario in virtual time that a play on sockets is compared with; a way takes so many milliseconds.
 func (c *trustCommand) emulated(kind string, drivers int, o lab.Options, way float64) emulator.Setup {
 	s := emulator.Setup{
-		Drivers:   drivers,
-		Groups:    o.Groups,
-		Members:   o.Members,
-		Cores:     o.Cores,
-		Work:      ms(o.Work),
-		Lag:       ms(o.Lag),
-		For:       ms(c.For),
-		Load:      c.Rate * o.Work.Seconds() / float64(o.Groups*o.Members*o.Cores),
-		Policy:    "module",
-		Seed:      o.Seed,
-		Zones:     1,
-		Hop:       way,
-		FarHop:    way,
-		Handshake: way,
-		Elect:     ms(o.Elect) - 1500, // the emulator's own watch takes 1.5 s of it
-	}
-	for _, k := range lab.Mix {
+		Drivers:          drivers,
+		Groups:           o.Groups,
+		Members:          o.Members,
+		Cores:            o.Cores,
+		ServiceTime:      ms(o.ServiceTime),
+		ReplicationLag:   ms(o.ReplicationLag),
+		Duration:         ms(c.For),
+		Load:             c.Rate * o.ServiceTime.Seconds() / float64(o.Groups*o.Members*o.Cores),
+		Policy:           "module",
+		Seed:             o.Seed,
+		Zones:            1,
+		ZoneLatency:      way,
+		CrossZoneLatency: way,
+		Handshake:        way,
+		ElectionTime:     ms(o.ElectionTime) - 1500, // the emulator's own watch takes 1.5 s of it
+	}
+	for _, k := range lab.DefaultMix {
 		t := logic.OpType{Need: logic.Any, LatencyTarget: ms(k.Target), OpTimeout: ms(k.Timeout), Value: k.Value}
 		switch k.Name {
 		case "recent":
@@ -115,11 +115,11 @@
 		case "write":
 			t.Need, t.Effect = logic.Write, logic.NonRetryable
 		}
-		s.Mix = append(s.Mix, emulator.Kind{Name: k.Name, Share: k.Share, OpType: t})
+		s.Mix = append(s.Mix, emulator.OpKind{Name: k.Name, Share: k.Share, OpType: t})
 	}
 	if kind == "rough" {
-		s.Faults = []emulator.Fault{{At: ms(c.For) / 4, What: "kill", On: "g1m1"},
-			{At: ms(c.For) * 3 / 4, What: "slow", On: "g1m3"}}
+		s.Faults = []emulator.Fault{{At: ms(c.For) / 4, Kind: "kill", Target: "g1m1"},
+			{At: ms(c.For) * 3 / 4, Kind: "slow", Target: "g1m3"}}
 	}
 	return s
 }
@@ -138,20 +138,20 @@
 	}
 	const drivers = 2
 	o := lab.Options{
-		Groups:  1,
-		Members: 5,
-		Cores:   4,
-		Work:    8 * time.Millisecond,
-		Lag:     20 * time.Millisecond,
-		Elect:   2 * time.Second,
+		Groups:         1,
+		Members:        5,
+		Cores:          4,
+		ServiceTime:    8 * time.Millisecond,
+		ReplicationLag: 20 * time.Millisecond,
+		ElectionTime:   2 * time.Second,
 	}
 	idle := o // an op nearly without work: what remains are the ways, the driver and the machine's timers
-	idle.Work = 200 * time.Microsecond
+	idle.ServiceTime = 200 * time.Microsecond
 	row, err := c.sockets("idle", drivers, idle)
 	if err != nil {
 		return err
 	}
-	way := max((row.Mean()-ms(idle.Work))/2, 0.01)
+	way := max((row.Mean()-ms(idle.ServiceTime))/2, 0.01)
 	fmt.Fprintf(out, "a way on this machine takes %.2f ms\n", way)
 	var real, virtual []experiment.Run
 	for _, kind := range []string{"calm", "rough"} {
@@ -163,13 +163,13 @@
 			}
 			real = append(real, row)
 			s := c.emulated(kind, drivers, o, way)
-			run, err := experiment.Play(experiment.Plan{Experiment: kind, Scenario: kind, Variant: "emulator", Setup: s}, "this")
+			run, err := experiment.RunPlan(experiment.Plan{Experiment: kind, Scenario: kind, Variant: "emulator", Setup: s}, "this")
 			if err != nil {
 				return err
 			}
 			run.Load = 0 // sockets know a rate alone
 			virtual = append(virtual, run)
-			fmt.Fprintf(out, "%s, seed %d: worth %.4f on sockets, %.4f in virtual time\n", kind, seed+1, row.Worth, run.Worth)
+			fmt.Fprintf(out, "%s, seed %d: worth %.4f on sockets, %.4f in virtual time\n", kind, seed+1, row.ValueShare, run.ValueShare)
 		}
 	}
 	var shown []experiment.Difference
@@ -178,7 +178,7 @@
 			shown = append(shown, d)
 		}
 	}
-	if err := experiment.Print(out, "sockets", "emulator", shown); err != nil || c.Report == "" {
+	if err := experiment.WriteComparison(out, "sockets", "emulator", shown); err != nil || c.Report == "" {
 		return err
 	}
 	return writeReport(out, c.Report, "Sockets beside the emulator", nil, append(real, virtual...), "")
@@ -198,20 +198,20 @@
 	}
 	if kind == "rough" {
 		first, third := cluster.Primary(1), "g1m3"
-		defer time.AfterFunc(c.For/4, func() { cluster.Do("kill", first) }).Stop()
-		defer time.AfterFunc(3*c.For/4, func() { cluster.Do("slow", third) }).Stop()
+		defer time.AfterFunc(c.For/4, func() { cluster.Inject("kill", first) }).Stop()
+		defer time.AfterFunc(3*c.For/4, func() { cluster.Inject("slow", third) }).Stop()
 	}
-	var seconds []*lab.Figures
+	var seconds []*lab.OpStats
 	r := lab.Load{
-		Targets: targets,
-		Rate:    c.Rate,
-		For:     c.For,
-		Mix:     lab.Mix,
-		Groups:  1,
-		Seed:    o.Seed,
+		Targets:  targets,
+		Rate:     c.Rate,
+		Duration: c.For,
+		Mix:      lab.DefaultMix,
+		Groups:   1,
+		Seed:     o.Seed,
 	}.Run(
 		ctx,
-		func(_ int, f *lab.Figures) { seconds = append(seconds, f) },
+		func(_ int, f *lab.OpStats) { seconds = append(seconds, f) },
 	)
 	end()
 	if err := wait(); err != nil {
@@ -220,5 +220,5 @@
 	if broken := cluster.Audit(r); len(broken) > 0 {
 		return experiment.Run{}, fmt.Errorf("on sockets: %s", broken[0])
 	}
-	return socketsRow(kind, "sockets", drivers, o.Seed, lab.Mix, r, seconds)
+	return socketsRow(kind, "sockets", drivers, o.Seed, lab.DefaultMix, r, seconds)
 }
--- a/cmd/weirlab/switch.go
+++ b/cmd/weirlab/switch.go
@@ -49,22 +49,22 @@
 	old, from := cluster.Primary(1), time.Now()
 	switch kind {
 	case "planned, hooks":
-		return cluster.Planned(ctx, hooks, 1)
+		return cluster.Switchover(ctx, hooks, 1)
 	case "planned, no hooks":
-		cluster.Do("demote", old)
+		cluster.Inject("demote", old)
 	case "killed":
-		cluster.Do("kill", old)
+		cluster.Inject("kill", old)
 	}
 	for cluster.Primary(1) == "" {
 		time.Sleep(time.Millisecond)
 	}
 	gap := time.Since(from)
-	cluster.Do("heal", old)
+	cluster.Inject("heal", old)
 	return gap, nil
 }
 
 func (c *switchCommand) play(out io.Writer, kind string) error {
-	cluster, err := lab.Start(lab.Options{Seed: c.Seed, Elect: c.Elect})
+	cluster, err := lab.Start(lab.Options{Seed: c.Seed, ElectionTime: c.Elect})
 	if err != nil {
 		return err
 	}
@@ -76,23 +76,23 @@
 	defer func() { _ = os.RemoveAll(folder) }()
 	ctx, end := context.WithCancel(context.Background())
 	defer end()
-	h, err := cluster.StartHooked(ctx, c.Drivers, folder, io.Discard, nil)
+	h, err := cluster.StartHookedDrivers(ctx, c.Drivers, folder, io.Discard, nil)
 	if err != nil {
 		return err
 	}
-	mix := []lab.Kind{{Name: "write", Share: 1, Write: true, Timeout: 4 * time.Second}}
+	mix := []lab.OpKind{{Name: "write", Share: 1, Write: true, Timeout: 4 * time.Second}}
 	between := c.Elect + time.Second
 	result := make(chan lab.Result, 1)
 	begin := time.Now()
 	go func() {
 		result <- lab.Load{
-			Targets: h.Addresses,
-			Rate:    c.Rate,
-			For:     time.Duration(c.Changes+1) * between,
-			Mix:     mix,
-			Groups:  1,
-			Seed:    c.Seed,
-			Slack:   time.Second,
+			Targets:  h.Addresses,
+			Rate:     c.Rate,
+			Duration: time.Duration(c.Changes+1) * between,
+			Mix:      mix,
+			Groups:   1,
+			Seed:     c.Seed,
+			Slack:    time.Second,
 		}.Run(ctx, nil)
 	}()
 	var own []time.Duration
@@ -111,14 +111,14 @@
 	}
 	var seen []time.Duration
 	for i := range c.Changes {
-		seen = append(seen, r.Gap(time.Duration(i)*between+between/4, time.Duration(i+1)*between+between/4))
+		seen = append(seen, r.LongestGap(time.Duration(i)*between+between/4, time.Duration(i+1)*between+between/4))
 	}
 	slices.Sort(seen)
 	slices.Sort(own)
 	f := r.Kinds["write"]
 	round := func(d time.Duration) time.Duration { return d.Round(time.Millisecond) }
-	fmt.Fprintf(out, "%-17s %7d %6d %7d %6d %5d %10d   %18s   %24s, %s   %s\n", kind, c.Changes, f.Ends[lab.Acked],
-		f.Ends[lab.Refused], f.Ends[lab.Failed], f.Ends[lab.Lost], cluster.Twice(), round(own[len(own)/2]),
+	fmt.Fprintf(out, "%-17s %7d %6d %7d %6d %5d %10d   %18s   %24s, %s   %s\n", kind, c.Changes, f.Outcomes[lab.Acked],
+		f.Outcomes[lab.Refused], f.Outcomes[lab.Failed], f.Outcomes[lab.Lost], cluster.RepeatedWrites(), round(own[len(own)/2]),
 		round(seen[len(seen)/2]), round(seen[len(seen)-1]), round(f.Quantile(99)))
 	if broken := cluster.Audit(r); len(broken) > 0 {
 		return fmt.Errorf("%s: %s", kind, broken[0])
--- a/internal/fleet/membership/fleet_test.go
+++ b/internal/fleet/membership/fleet_test.go
@@ -13,14 +13,14 @@
 var all = []int{0, 1, 2, 3, 4}
 
 // five is a fleet of five that has founded its roster.
-func five(t *testing.T, o membershipsim.Options) *membershipsim.Flock {
+func five(t *testing.T, o membershipsim.Options) *membershipsim.Simulation {
 	t.Helper()
 	if o.Drivers == 0 {
 		o.Drivers = 5
 	}
 	f := membershipsim.New(o)
 	var log []string
-	f.Notes = func(at float64, d string, n membership.Event) {
+	f.OnEvent = func(at float64, d string, n membership.Event) {
 		log = append(log, fmt.Sprintf("%.0f %s: %s %s %s", at, d, n.Reason, n.Name, n.Text))
 	}
 	t.Cleanup(func() {
@@ -35,13 +35,13 @@
 		f.Start(i, 0)
 		each = append(each, i)
 	}
-	wait(t, f, "founding", func() bool { return f.Stand(membership.Complete, each...) })
+	wait(t, f, "founding", func() bool { return f.HavePartitionStatus(membership.Complete, each...) })
 	return f
 }
 
-func wait(t *testing.T, f *membershipsim.Flock, what string, so func() bool) {
+func wait(t *testing.T, f *membershipsim.Simulation, what string, so func() bool) {
 	t.Helper()
-	if _, ok := f.Until(60000, so); !ok {
+	if _, ok := f.RunUntilTrue(60000, so); !ok {
 		for _, d := range f.Drivers {
 			if d.View != nil {
 				t.Logf("%s: %+v", d.Name, d.View.Status())
@@ -56,7 +56,7 @@
 	return func(a, b int) bool { return of[a] != of[b] }
 }
 
-func state(f *membershipsim.Flock, at int, of string) membership.View {
+func state(f *membershipsim.Simulation, at int, of string) membership.View {
 	for _, v := range f.Drivers[at].View.Status().Drivers {
 		if v.Name == of {
 			return v
@@ -75,17 +75,17 @@
 		{[]int{0, 0, 1, 1}, [2]membership.PartitionStatus{membership.Undetermined, membership.Undetermined}},
 	} {
 		f := five(t, membershipsim.Options{Drivers: len(x.parts), Seed: 7})
-		f.Cut = parts(x.parts...)
+		f.Blocked = parts(x.parts...)
 		for part, want := range x.want {
 			for i, p := range x.parts {
 				if p == part {
-					wait(t, f, fmt.Sprint(x.parts, want), func() bool { return f.Stand(want, i) })
+					wait(t, f, fmt.Sprint(x.parts, want), func() bool { return f.HavePartitionStatus(want, i) })
 				}
 			}
 		}
 		f.Run(60000) // and it stays so
 		for i, p := range x.parts {
-			if !f.Stand(x.want[p], i) {
+			if !f.HavePartitionStatus(x.want[p], i) {
 				s, why, _ := f.Drivers[i].View.PartitionStatus()
 				t.Errorf("%v: n%d is %s (%s) after a minute", x.parts, i, s, why)
 			}
@@ -93,16 +93,16 @@
 		if r := f.Drivers[0].View.Status().Roster; len(r.Names) != len(x.parts) || r.Version != 1 {
 			t.Errorf("a loss changed the roster: %+v", r)
 		}
-		f.Cut = nil
+		f.Blocked = nil
 		fell := "" // what the other side said of the own peers is no news to who hears them
-		notes := f.Notes
-		f.Notes = func(at float64, d string, n membership.Event) {
+		notes := f.OnEvent
+		f.OnEvent = func(at float64, d string, n membership.Event) {
 			if notes(at, d, n); n.Reason == "standing" &&
 				(strings.HasPrefix(n.Text, "smaller") || strings.HasPrefix(n.Text, "alone")) {
 				fell = d + " " + n.Text
 			}
 		}
-		wait(t, f, "heal", func() bool { return f.Stand(membership.Complete, all[:len(x.parts)]...) })
+		wait(t, f, "heal", func() bool { return f.HavePartitionStatus(membership.Complete, all[:len(x.parts)]...) })
 		if fell != "" {
 			t.Errorf("%v: by the heal alone: %s", x.parts, fell)
 		}
@@ -113,13 +113,13 @@
 func TestKilledForgottenAndBack(t *testing.T) {
 	f := five(t, membershipsim.Options{Seed: 3})
 	f.Kill(4)
-	wait(t, f, "one lost", func() bool { return f.Stand(membership.Majority, 0, 1, 2, 3) })
+	wait(t, f, "one lost", func() bool { return f.HavePartitionStatus(membership.Majority, 0, 1, 2, 3) })
 	f.Start(4, 0)
-	wait(t, f, "one back", func() bool { return f.Stand(membership.Complete, all...) })
+	wait(t, f, "one back", func() bool { return f.HavePartitionStatus(membership.Complete, all...) })
 	for i := 1; i < 5; i++ {
 		f.Kill(i)
 	}
-	wait(t, f, "all but one lost", func() bool { return f.Stand(membership.Isolated, 0) })
+	wait(t, f, "all but one lost", func() bool { return f.HavePartitionStatus(membership.Isolated, 0) })
 	if n := f.Drivers[0].View.DriverCount(); n != 10 {
 		t.Errorf("alone of five it counts %d drivers: it may be cut off, and takes half of its share", n)
 	}
@@ -128,7 +128,7 @@
 		t.Error(err)
 	}
 	for i := 1; i < 5; i++ {
-		f.Do(0, func(v *membership.Fleet) membership.Output {
+		f.Apply(0, func(v *membership.Fleet) membership.Output {
 			out, err := v.Forget(f.Now, fmt.Sprintf("n%d", i), true)
 			if err != nil {
 				t.Error(err)
@@ -136,12 +136,12 @@
 			return out
 		})
 	}
-	if !f.Stand(membership.Complete, 0) || f.Drivers[0].View.DriverCount() != 1 {
+	if !f.HavePartitionStatus(membership.Complete, 0) || f.Drivers[0].View.DriverCount() != 1 {
 		t.Errorf("all others forgotten: %+v", f.Drivers[0].View.Status())
 	}
 	f.Start(2, 0)
 	wait(t, f, "a forgotten one comes anew", func() bool {
-		return f.Stand(membership.Complete, 0, 2) && len(f.Drivers[0].View.Status().Roster.Names) == 2
+		return f.HavePartitionStatus(membership.Complete, 0, 2) && len(f.Drivers[0].View.Status().Roster.Names) == 2
 	})
 }
 
@@ -149,11 +149,11 @@
 func TestShrinkAndGrowOnPurpose(t *testing.T) {
 	f := five(t, membershipsim.Options{Seed: 5})
 	for i := 4; i > 1; i-- {
-		f.Do(i, func(v *membership.Fleet) membership.Output { return v.Leave(f.Now) })
+		f.Apply(i, func(v *membership.Fleet) membership.Output { return v.Leave(f.Now) })
 		f.Run(300)
 		f.Kill(i)
 		wait(t, f, "one left", func() bool {
-			return f.Stand(membership.Complete, all[:i]...) && len(f.Drivers[0].View.Status().Roster.Names) == i
+			return f.HavePartitionStatus(membership.Complete, all[:i]...) && len(f.Drivers[0].View.Status().Roster.Names) == i
 		})
 		if s := state(f, 0, fmt.Sprintf("n%d", i)).State; s != membership.Left {
 			t.Errorf("n%d left on purpose and is taken for %s", i, s)
@@ -162,9 +162,9 @@
 	f.Add()
 	f.Start(5, 0)
 	wait(t, f, "one more", func() bool {
-		return f.Stand(membership.Complete, 0, 1, 5) && len(f.Drivers[5].View.Status().Roster.Names) == 3
+		return f.HavePartitionStatus(membership.Complete, 0, 1, 5) && len(f.Drivers[5].View.Status().Roster.Names) == 3
 	})
-	f.Do(1, func(v *membership.Fleet) membership.Output {
+	f.Apply(1, func(v *membership.Fleet) membership.Output {
 		out, err := v.Forget(f.Now, "n0", false)
 		if err != membership.ErrAlive {
 			t.Error(err)
@@ -176,20 +176,22 @@
 // A new driver that only the smaller part hears is not admitted: majorities are not made by who happens to be there.
 func TestNewcomersOfTheSmallerPart(t *testing.T) {
 	f := five(t, membershipsim.Options{Seed: 9, Seeds: 5})
-	f.Cut = parts(0, 0, 1, 1, 1, 0, 0, 0, 0)
-	wait(t, f, "cut", func() bool { return f.Stand(membership.Minority, 0, 1) && f.Stand(membership.Majority, 2, 3, 4) })
+	f.Blocked = parts(0, 0, 1, 1, 1, 0, 0, 0, 0)
+	wait(t, f, "cut", func() bool {
+		return f.HavePartitionStatus(membership.Minority, 0, 1) && f.HavePartitionStatus(membership.Majority, 2, 3, 4)
+	})
 	for i := 5; i < 9; i++ {
 		f.Add()
 		f.Start(i, 0)
 	}
-	wait(t, f, "newcomers", func() bool { return f.Stand(membership.Minority, 0, 1, 5, 6, 7, 8) })
+	wait(t, f, "newcomers", func() bool { return f.HavePartitionStatus(membership.Minority, 0, 1, 5, 6, 7, 8) })
 	f.Run(60000)
-	if !f.Stand(membership.Minority, 0, 1, 5, 6, 7, 8) || !f.Stand(membership.Majority, 2, 3, 4) {
+	if !f.HavePartitionStatus(membership.Minority, 0, 1, 5, 6, 7, 8) || !f.HavePartitionStatus(membership.Majority, 2, 3, 4) {
 		t.Error("six of nine that are there, two of five that count")
 	}
-	f.Cut = nil
+	f.Blocked = nil
 	wait(t, f, "heal", func() bool {
-		return f.Stand(membership.Complete, 0, 1, 2, 3, 4, 5, 6, 7, 8) && len(f.Drivers[8].View.Status().Roster.Names) == 9
+		return f.HavePartitionStatus(membership.Complete, 0, 1, 2, 3, 4, 5, 6, 7, 8) && len(f.Drivers[8].View.Status().Roster.Names) == 9
 	})
 }
 
@@ -198,20 +200,20 @@
 	for _, length := range []float64{1000, 3000, 5000, 20000} {
 		f := five(t, membershipsim.Options{Seed: uint64(length)})
 		failed := 0
-		notes := f.Notes
-		f.Notes = func(at float64, d string, n membership.Event) {
+		notes := f.OnEvent
+		f.OnEvent = func(at float64, d string, n membership.Event) {
 			if notes(at, d, n); n.Reason == "fellow_failed" && (d == "n2" || n.Name != "n2") {
 				failed++
 			}
 		}
-		f.Freeze(2, length)
+		f.Pause(2, length)
 		f.Run(length + 100)
 		if s, _, _ := f.Drivers[2].View.PartitionStatus(); s != membership.Undetermined {
 			t.Errorf("thawed after %.0f ms it is %s", length, s)
 		}
-		wait(t, f, "thawed", func() bool { return f.Stand(membership.Complete, all...) })
+		wait(t, f, "thawed", func() bool { return f.HavePartitionStatus(membership.Complete, all...) })
 		f.Run(20000)
-		if failed > 0 || !f.Stand(membership.Complete, all...) {
+		if failed > 0 || !f.HavePartitionStatus(membership.Complete, all...) {
 			t.Errorf("%.0f ms: %d failed wrongly", length, failed)
 		}
 	}
@@ -219,15 +221,15 @@
 
 func TestOneDirectionOfOnePair(t *testing.T) {
 	f := five(t, membershipsim.Options{Seed: 2})
-	f.Cut = func(a, b int) bool { return a == 0 && b == 1 }
+	f.Blocked = func(a, b int) bool { return a == 0 && b == 1 }
 	wait(t, f, "told", func() bool {
 		return !state(f, 1, "n0").Reachable && slices.Contains(state(f, 3, "n1").Unreachable, "n0")
 	})
 	f.Run(60000)
-	if !state(f, 0, "n1").Reachable || state(f, 1, "n0").State == membership.Failed || !f.Stand(membership.Complete, all...) {
+	if !state(f, 0, "n1").Reachable || state(f, 1, "n0").State == membership.Failed || !f.HavePartitionStatus(membership.Complete, all...) {
 		t.Errorf("cut from one alone: %+v %+v", f.Drivers[0].View.Status(), f.Drivers[1].View.Status())
 	}
-	f.Cut = nil
+	f.Blocked = nil
 	wait(t, f, "heal", func() bool { return state(f, 1, "n0").Reachable && len(state(f, 3, "n1").Unreachable) == 0 })
 }
 
@@ -239,23 +241,23 @@
 		return b == 3
 	}} {
 		f := five(t, membershipsim.Options{Seed: 4})
-		f.Cut = cut
+		f.Blocked = cut
 		wait(t, f, name, func() bool {
 			s, _, _ := f.Drivers[3].View.PartitionStatus()
-			return s < membership.Majority && f.Stand(membership.Majority, 0, 1, 2, 4)
+			return s < membership.Majority && f.HavePartitionStatus(membership.Majority, 0, 1, 2, 4)
 		})
 		f.Run(30000)
-		if s, _, _ := f.Drivers[3].View.PartitionStatus(); s >= membership.Majority || !f.Stand(membership.Majority, 0, 1, 2, 4) {
+		if s, _, _ := f.Drivers[3].View.PartitionStatus(); s >= membership.Majority || !f.HavePartitionStatus(membership.Majority, 0, 1, 2, 4) {
 			t.Errorf("%s: it is %s", name, s)
 		}
-		f.Cut = nil
-		wait(t, f, "heal", func() bool { return f.Stand(membership.Complete, all...) })
+		f.Blocked = nil
+		wait(t, f, "heal", func() bool { return f.HavePartitionStatus(membership.Complete, all...) })
 	}
 }
 
 func TestRing(t *testing.T) {
 	f := five(t, membershipsim.Options{Seed: 6})
-	f.Cut = func(a, b int) bool { return (a+1)%5 != b && (b+1)%5 != a }
+	f.Blocked = func(a, b int) bool { return (a+1)%5 != b && (b+1)%5 != a }
 	f.Run(30000)
 	for range 100 {
 		f.Run(300)
@@ -282,15 +284,15 @@
 		return s == membership.Undetermined && why == "name_taken"
 	})
 	f.Run(30000)
-	if !f.Stand(membership.Complete, all...) || state(f, 0, "n4").Address != f.Drivers[4].View.Status().Address {
+	if !f.HavePartitionStatus(membership.Complete, all...) || state(f, 0, "n4").Address != f.Drivers[4].View.Status().Address {
 		t.Error("the second one took the name")
 	}
 	f.Kill(4)
-	wait(t, f, "taken over", func() bool { return f.Stand(membership.Complete, 0, 1, 2, 3, 5) })
+	wait(t, f, "taken over", func() bool { return f.HavePartitionStatus(membership.Complete, 0, 1, 2, 3, 5) })
 	// a clock that went back, at the same address
 	f.Kill(0)
 	f.Start(0, -500000)
-	wait(t, f, "back in time", func() bool { return f.Stand(membership.Complete, 0, 1, 2, 3, 5) })
+	wait(t, f, "back in time", func() bool { return f.HavePartitionStatus(membership.Complete, 0, 1, 2, 3, 5) })
 }
 
 func TestAllRestarted(t *testing.T) {
@@ -301,21 +303,21 @@
 		f.Start(i, 0)
 		f.Run(700)
 	}
-	wait(t, f, "one by one", func() bool { return f.Stand(membership.Complete, all...) })
+	wait(t, f, "one by one", func() bool { return f.HavePartitionStatus(membership.Complete, all...) })
 	for i := range 5 {
 		f.Kill(i)
 	}
 	for i := range 5 {
 		f.Start(i, 0)
 	}
-	wait(t, f, "at once", func() bool { return f.Stand(membership.Complete, all...) })
+	wait(t, f, "at once", func() bool { return f.HavePartitionStatus(membership.Complete, all...) })
 }
 
 // Datagrams lost, doubled and late fail nobody for good.
 func TestLossyNetwork(t *testing.T) {
-	f := five(t, membershipsim.Options{Seed: 12, Double: 0.2, Latency: 40})
+	f := five(t, membershipsim.Options{Seed: 12, Duplicate: 0.2, Latency: 40})
 	f.Loss = 0.3
 	f.Run(600000)
 	f.Loss = 0
-	wait(t, f, "calm again", func() bool { return f.Stand(membership.Complete, all...) })
+	wait(t, f, "calm again", func() bool { return f.HavePartitionStatus(membership.Complete, all...) })
 }
--- a/internal/fleet/membership/property_test.go
+++ b/internal/fleet/membership/property_test.go
@@ -13,7 +13,7 @@
 // watch notes, while a flock runs, since when two parts that can't reach each other both take themselves for the
 // larger.
 type watch struct {
-	f     *membershipsim.Flock
+	f     *membershipsim.Simulation
 	since float64
 }
 
@@ -57,7 +57,7 @@
 		d := todo[0]
 		todo = todo[1:]
 		for _, o := range w.f.Running() {
-			if !seen[o] && (w.f.Cut == nil || !w.f.Cut(index[d], index[o])) {
+			if !seen[o] && (w.f.Blocked == nil || !w.f.Blocked(index[d], index[o])) {
 				if o == b {
 					return true
 				}
@@ -73,20 +73,20 @@
 const settleBy = 20000.0
 
 // play carries out one fault by a number.
-func play(f *membershipsim.Flock, n, what, a, b int, frozen float64) {
+func play(f *membershipsim.Simulation, n, what, a, b int, frozen float64) {
 	switch what {
 	case 0:
-		f.Cut = nil
+		f.Blocked = nil
 	case 1: // one direction of one pair
-		before := f.Cut
-		f.Cut = func(x, y int) bool { return x == a && y == b || before != nil && before(x, y) }
+		before := f.Blocked
+		f.Blocked = func(x, y int) bool { return x == a && y == b || before != nil && before(x, y) }
 	case 2: // a pair
-		before := f.Cut
-		f.Cut = func(x, y int) bool { return x == a && y == b || x == b && y == a || before != nil && before(x, y) }
+		before := f.Blocked
+		f.Blocked = func(x, y int) bool { return x == a && y == b || x == b && y == a || before != nil && before(x, y) }
 	case 3: // two parts
-		f.Cut = func(x, y int) bool { return (x < a) != (y < a) }
+		f.Blocked = func(x, y int) bool { return (x < a) != (y < a) }
 	case 4:
-		f.Freeze(a, frozen)
+		f.Pause(a, frozen)
 	case 5:
 		f.Kill(a)
 	case 6:
@@ -102,7 +102,7 @@
 		f.Loss = 0
 	case 10:
 		if f.Drivers[a].View != nil {
-			f.Do(a, func(v *membership.Fleet) membership.Output { return v.Leave(f.Now) })
+			f.Apply(a, func(v *membership.Fleet) membership.Output { return v.Leave(f.Now) })
 		}
 	}
 }
@@ -112,7 +112,7 @@
 func TestAnyFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 7).Draw(t, "drivers")
-		f := membershipsim.New(membershipsim.Options{Drivers: n, Seed: rapid.Uint64().Draw(t, "seed"), Double: 0.1,
+		f := membershipsim.New(membershipsim.Options{Drivers: n, Seed: rapid.Uint64().Draw(t, "seed"), Duplicate: 0.1,
 			Latency: rapid.SampledFrom([]float64{1, 20, 60}).Draw(t, "latency")})
 		for i := range n {
 			f.Start(i, 0)
@@ -129,7 +129,7 @@
 				}
 			}
 		}
-		f.Cut, f.Loss = nil, 0
+		f.Blocked, f.Loss = nil, 0
 		f.Run(12000)
 		for i, d := range f.Drivers { // who left starts anew, who was killed too
 			if s, why, _ := standing(d); d.View == nil || why == "leaving" {
@@ -138,7 +138,7 @@
 				f.Start(i, 0)
 			}
 		}
-		if _, ok := f.Until(180000, func() bool { return agreed(f, n) }); !ok {
+		if _, ok := f.RunUntilTrue(180000, func() bool { return agreed(f, n) }); !ok {
 			for _, d := range f.Drivers {
 				t.Logf("%+v", d.View.Status())
 			}
@@ -155,7 +155,7 @@
 }
 
 // agreed says that all drivers run, see each other alive and hold one roster of all.
-func agreed(f *membershipsim.Flock, n int) bool {
+func agreed(f *membershipsim.Simulation, n int) bool {
 	var version uint64
 	for i, d := range f.Drivers {
 		if d.View == nil {
@@ -219,13 +219,13 @@
 				}
 			}
 		}
-		f.Cut, f.Loss = nil, 0
+		f.Blocked, f.Loss = nil, 0
 		for i, d := range f.Drivers {
 			if d.View == nil {
 				f.Start(i, 0)
 			}
 		}
-		if _, ok := f.Until(120000, func() bool { return agreed(f, 3) }); !ok {
+		if _, ok := f.RunUntilTrue(120000, func() bool { return agreed(f, 3) }); !ok {
 			for _, d := range f.Drivers {
 				t.Logf("%+v", d.View.Status())
 			}
@@ -240,10 +240,10 @@
 func TestOneRosterAVersion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(3, 6).Draw(t, "drivers")
-		f := membershipsim.New(membershipsim.Options{Drivers: n, Seed: rapid.Uint64().Draw(t, "seed"), Double: 0.3,
+		f := membershipsim.New(membershipsim.Options{Drivers: n, Seed: rapid.Uint64().Draw(t, "seed"), Duplicate: 0.3,
 			Latency: rapid.SampledFrom([]float64{1, 100, 400}).Draw(t, "latency")})
 		rosters := map[uint64]string{}
-		f.Notes = func(at float64, d string, note membership.Event) {
+		f.OnEvent = func(at float64, d string, note membership.Event) {
 			if note.Reason != "roster" {
 				return
 			}
@@ -272,19 +272,19 @@
 			case 1: // one leaves
 				if d := f.Drivers[rapid.IntRange(0, len(f.Drivers)-1).Draw(t, "who")]; d.View != nil {
 					i := f.Index(d)
-					f.Do(i, func(v *membership.Fleet) membership.Output { return v.Leave(f.Now) })
+					f.Apply(i, func(v *membership.Fleet) membership.Output { return v.Leave(f.Now) })
 					f.Run(400)
 					f.Kill(i)
 				}
 			case 2:
 				at := rapid.IntRange(1, n-1).Draw(t, "cut")
-				f.Cut = func(x, y int) bool { return (x%n < at) != (y%n < at) }
+				f.Blocked = func(x, y int) bool { return (x%n < at) != (y%n < at) }
 			case 3:
 				f.Loss = 0.3
 			}
 			f.Run(500 * float64(rapid.IntRange(0, 40).Draw(t, "wait")))
 			if rapid.Bool().Draw(t, "heal") {
-				f.Cut, f.Loss = nil, 0
+				f.Blocked, f.Loss = nil, 0
 			}
 		}
 	})
--- a/internal/lab/audit.go
+++ b/internal/lab/audit.go
@@ -8,7 +8,7 @@
 func (c *Cluster) Audit(r Result) (broken []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for id, n := range c.applied {
+	for id, n := range c.executions {
 		if n > 1 {
 			broken = append(broken, fmt.Sprintf("rule 2: write %s ran %d times", id, n))
 		}
@@ -17,19 +17,19 @@
 		}
 	}
 	for id, end := range r.Writes {
-		if end == Acked && c.applied[id] == 0 {
+		if end == Acked && c.executions[id] == 0 {
 			broken = append(broken, fmt.Sprintf("rule 1: write %s was acked and never ran", id))
 		}
 	}
-	for _, id := range r.Wrong {
+	for _, id := range r.Mismatched {
 		broken = append(broken, fmt.Sprintf("rule 1: op %s got another's answer", id))
 	}
 	for _, f := range r.Kinds {
-		if f.Ends[Lost] > 0 {
-			broken = append(broken, fmt.Sprintf("rule 1: %d ops without a whole answer in their time", f.Ends[Lost]))
+		if f.Outcomes[Lost] > 0 {
+			broken = append(broken, fmt.Sprintf("rule 1: %d ops without a whole answer in their time", f.Outcomes[Lost]))
 		}
 	}
-	for _, id := range c.late {
+	for _, id := range c.afterDrain {
 		broken = append(broken, fmt.Sprintf("rule 3: op %s came to a member later than the grace after its drain was told",
 			id))
 	}
@@ -37,10 +37,10 @@
 }
 
 // Twice is how many writes ran more than once.
-func (c *Cluster) Twice() (n int) {
+func (c *Cluster) RepeatedWrites() (n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, ran := range c.applied {
+	for _, ran := range c.executions {
 		if ran > 1 {
 			n++
 		}
--- a/internal/lab/cluster.go
+++ b/internal/lab/cluster.go
@@ -25,24 +25,24 @@
 
 // Options describe a cluster. Zero values give one group of five members of four cores.
 type Options struct {
-	Groups  int
-	Members int           // a group
-	Cores   int           // a member: so many ops at a time, others wait
-	Work    time.Duration // mean time of an op, drawn exponentially
-	Zones   []string      // of the members of a group, in turn; nil: all in a
-	Lag     time.Duration // replicas are behind by so much
-	Elect   time.Duration // from a primary's end to the next one
-	Seed    uint64
+	Groups         int
+	Members        int           // a group
+	Cores          int           // a member: so many ops at a time, others wait
+	ServiceTime    time.Duration // mean time of an op, drawn exponentially
+	Zones          []string      // of the members of a group, in turn; nil: all in a
+	ReplicationLag time.Duration // replicas are behind by so much
+	ElectionTime   time.Duration // from a primary's end to the next one
+	Seed           uint64
 }
 
-func (o Options) zone(i int) string {
+func (o Options) zoneOf(i int) string {
 	if len(o.Zones) == 0 {
 		return "a"
 	}
 	return o.Zones[i%len(o.Zones)]
 }
 
-func (o Options) filled() Options {
+func (o Options) withDefaults() Options {
 	set := func(x *int, least int) { *x = max(*x, least) }
 	if o.Members == 0 {
 		o.Members = 5
@@ -50,80 +50,80 @@
 	if o.Cores == 0 {
 		o.Cores = 4
 	}
-	if o.Work == 0 {
-		o.Work = 3 * time.Millisecond
+	if o.ServiceTime == 0 {
+		o.ServiceTime = 3 * time.Millisecond
 	}
-	if o.Lag == 0 {
-		o.Lag = 20 * time.Millisecond
+	if o.ReplicationLag == 0 {
+		o.ReplicationLag = 20 * time.Millisecond
 	}
-	if o.Elect == 0 {
-		o.Elect = 2 * time.Second
+	if o.ElectionTime == 0 {
+		o.ElectionTime = 2 * time.Second
 	}
 	set(&o.Groups, 1)
 	return o
 }
 
 // Grace is the time after a drain was told in which sends to the member still count as in order.
-const Grace = 500 * time.Millisecond
+const DrainGrace = 500 * time.Millisecond
 
 // Cluster is one that runs.
 type Cluster struct {
-	o       Options
-	members []*Member
-	lists   *httptest.Server
-
-	mu       sync.Mutex
-	revision int64
-	changed  chan struct{}
-	entries  map[string]discovery.Entry
-	told     map[string]time.Time // by member: when a drain was answered to a watch first
-	applied  map[string]int       // by op: how often a write ran
-	arrived  map[string]int       // by member: ops that came
-	late     []string             // ops that came to a member after it was told to drain, by more than the grace
-	primary  map[int64]*Member
-	stopped  map[int64]float64 // by group without a primary: where its log ends
-	draw     *rand.Rand
-	ended    bool
-	votes    sync.WaitGroup
+	options  Options
+	members  []*Member
+	registry *httptest.Server
+
+	mu         sync.Mutex
+	revision   int64
+	changed    chan struct{}
+	entries    map[string]discovery.Entry
+	drainSeen  map[string]time.Time // by member: when a drain was answered to a watch first
+	executions map[string]int       // by op: how often a write ran
+	arrivals   map[string]int       // by member: ops that came
+	afterDrain []string             // ops that came to a member after it was told to drain, by more than the grace
+	primary    map[int64]*Member
+	logEnds    map[int64]float64 // by group without a primary: where its log ends
+	draw       *rand.Rand
+	stopped    bool
+	elections  sync.WaitGroup
 }
 
 // Member is one server of a cluster.
 type Member struct {
-	ID       string
-	c        *Cluster
-	group    int64
-	address  string
-	cores    chan struct{}
-	slow     atomic.Int64 // times the usual work, 0 for once
-	hangs    atomic.Bool
-	stubborn atomic.Bool  // it goes on as a primary, whoever else is one
-	wrote    atomic.Int64 // writes that ran here
-	mute     atomic.Bool  // it runs what comes, and cuts the connection instead of an answer
-
-	mu    sync.Mutex
-	ln    net.Listener
-	conns map[net.Conn]bool
+	ID              string
+	cluster         *Cluster
+	group           int64
+	address         string
+	cores           chan struct{}
+	slowdown        atomic.Int64 // times the usual work, 0 for once
+	hung            atomic.Bool
+	ignoresDemotion atomic.Bool  // it goes on as a primary, whoever else is one
+	writes          atomic.Int64 // writes that ran here
+	dropsAnswers    atomic.Bool  // it runs what comes, and cuts the connection instead of an answer
+
+	mu       sync.Mutex
+	listener net.Listener
+	conns    map[net.Conn]bool
 }
 
 // Start makes a cluster on free loopback ports.
 func Start(o Options) (*Cluster, error) {
 	c := &Cluster{
-		o:        o.filled(),
-		revision: 1,
-		changed:  make(chan struct{}),
-		entries:  map[string]discovery.Entry{},
-		told:     map[string]time.Time{},
-		applied:  map[string]int{},
-		arrived:  map[string]int{},
-		primary:  map[int64]*Member{},
-		stopped:  map[int64]float64{},
-		draw:     rand.New(rand.NewPCG(o.Seed, 3)),
-	}
-	for g := range c.o.Groups {
-		for i := range c.o.Members {
-			m := &Member{ID: fmt.Sprintf("g%dm%d", g+1, i+1), c: c, group: int64(g + 1), address: "127.0.0.1:0",
-				cores: make(chan struct{}, c.o.Cores), conns: map[net.Conn]bool{}}
-			if err := m.up(); err != nil {
+		options:    o.withDefaults(),
+		revision:   1,
+		changed:    make(chan struct{}),
+		entries:    map[string]discovery.Entry{},
+		drainSeen:  map[string]time.Time{},
+		executions: map[string]int{},
+		arrivals:   map[string]int{},
+		primary:    map[int64]*Member{},
+		logEnds:    map[int64]float64{},
+		draw:       rand.New(rand.NewPCG(o.Seed, 3)),
+	}
+	for g := range c.options.Groups {
+		for i := range c.options.Members {
+			m := &Member{ID: fmt.Sprintf("g%dm%d", g+1, i+1), cluster: c, group: int64(g + 1), address: "127.0.0.1:0",
+				cores: make(chan struct{}, c.options.Cores), conns: map[net.Conn]bool{}}
+			if err := m.start(); err != nil {
 				c.Stop()
 				return nil, err
 			}
@@ -131,7 +131,7 @@
 			c.entries[m.ID] = discovery.Entry{
 				ID:      m.ID,
 				Address: m.address,
-				Zone:    c.o.zone(i),
+				Zone:    c.options.zoneOf(i),
 				Group:   m.group,
 				Phase:   discovery.PhaseUp,
 			}
@@ -141,31 +141,31 @@
 		}
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /discovery/hosts", c.hosts)
-	c.lists = httptest.NewServer(mux)
+	mux.HandleFunc("GET /discovery/hosts", c.serveList)
+	c.registry = httptest.NewServer(mux)
 	return c, nil
 }
 
 // Stop ends it.
 func (c *Cluster) Stop() {
 	c.mu.Lock()
-	c.ended = true
+	c.stopped = true
 	c.mu.Unlock()
-	c.votes.Wait()
+	c.elections.Wait()
 	for _, m := range c.members {
-		m.down()
+		m.stop()
 	}
-	if c.lists != nil {
-		c.lists.CloseClientConnections()
-		c.lists.Close()
+	if c.registry != nil {
+		c.registry.CloseClientConnections()
+		c.registry.Close()
 	}
 }
 
 // Discovery is the address of the list of members.
-func (c *Cluster) Discovery() string { return c.lists.Listener.Addr().String() }
+func (c *Cluster) Discovery() string { return c.registry.Listener.Addr().String() }
 
 // Groups is how many there are.
-func (c *Cluster) Groups() int { return c.o.Groups }
+func (c *Cluster) Groups() int { return c.options.Groups }
 
 // Primary is a group's, "" while there is none; Replica is one of its others that is up in the list.
 func (c *Cluster) Primary(group int64) string {
@@ -178,10 +178,10 @@
 }
 
 // Arrived is how many ops came to a member.
-func (c *Cluster) Arrived(id string) int {
+func (c *Cluster) Arrivals(id string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.arrived[id]
+	return c.arrivals[id]
 }
 
 // Replica is a group's, "" where none is up.
@@ -189,7 +189,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, m := range c.members {
-		if m.group == group && m != c.primary[group] && c.entries[m.ID].Phase == discovery.PhaseUp && m.listens() {
+		if m.group == group && m != c.primary[group] && c.entries[m.ID].Phase == discovery.PhaseUp && m.listening() {
 			return m.ID
 		}
 	}
@@ -205,41 +205,41 @@
 
 // Do carries out a fault: kill, heal, hang, free, slow (four times), drain, demote, mute, stubborn, undrain. It says
 // whether it knows both words.
-func (c *Cluster) Do(what, id string) bool {
+func (c *Cluster) Inject(what, id string) bool {
 	m := c.member(id)
 	if m == nil {
 		return false
 	}
 	switch what {
 	case "kill":
-		m.down()
+		m.stop()
 		c.elect(m)
 	case "heal":
-		m.hangs.Store(false)
-		m.mute.Store(false)
-		m.stubborn.Store(false)
-		m.slow.Store(0)
-		if !m.listens() {
-			_ = m.up() // its port was free a moment ago; if not, it stays down
+		m.hung.Store(false)
+		m.dropsAnswers.Store(false)
+		m.ignoresDemotion.Store(false)
+		m.slowdown.Store(0)
+		if !m.listening() {
+			_ = m.start() // its port was free a moment ago; if not, it stays down
 		}
 	case "hang":
-		m.hangs.Store(true)
+		m.hung.Store(true)
 		c.elect(m)
 	case "free":
-		m.hangs.Store(false)
+		m.hung.Store(false)
 	case "slow":
-		m.slow.Store(4)
+		m.slowdown.Store(4)
 	case "drain":
-		c.mark(id, discovery.PhaseDraining)
+		c.setPhase(id, discovery.PhaseDraining)
 		c.elect(m)
 	case "stubborn": // deposed, it does not notice
-		m.stubborn.Store(true)
+		m.ignoresDemotion.Store(true)
 	case "mute": // answers are lost, and what was asked ran
-		m.mute.Store(true)
+		m.dropsAnswers.Store(true)
 	case "demote": // a planned change: it is well, and primary no more
 		c.elect(m)
 	case "undrain":
-		c.mark(id, discovery.PhaseUp)
+		c.setPhase(id, discovery.PhaseUp)
 	default:
 		return false
 	}
@@ -250,30 +250,30 @@
 func (c *Cluster) elect(old *Member) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.primary[old.group] != old || c.ended {
+	if c.primary[old.group] != old || c.stopped {
 		return
 	}
 	c.primary[old.group] = nil
-	c.stopped[old.group] = unixMillis()
-	c.votes.Add(1)
-	time.AfterFunc(c.o.Elect, func() {
-		defer c.votes.Done()
+	c.logEnds[old.group] = unixMillis()
+	c.elections.Add(1)
+	time.AfterFunc(c.options.ElectionTime, func() {
+		defer c.elections.Done()
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		var can []*Member
 		for _, m := range c.members {
-			if m.group == old.group && m != old && m.listens() && !m.hangs.Load() && c.entries[m.ID].Phase == discovery.PhaseUp {
+			if m.group == old.group && m != old && m.listening() && !m.hung.Load() && c.entries[m.ID].Phase == discovery.PhaseUp {
 				can = append(can, m)
 			}
 		}
 		if len(can) > 0 {
 			c.primary[old.group] = can[c.draw.IntN(len(can))]
-			delete(c.stopped, old.group)
+			delete(c.logEnds, old.group)
 		}
 	})
 }
 
-func (c *Cluster) mark(id, phase string) {
+func (c *Cluster) setPhase(id, phase string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	e := c.entries[id]
@@ -281,14 +281,14 @@
 	c.entries[id] = e
 	c.revision++
 	if phase != discovery.PhaseDraining {
-		delete(c.told, id)
+		delete(c.drainSeen, id)
 	}
 	close(c.changed)
 	c.changed = make(chan struct{})
 }
 
 // hosts answers with the whole list, also to watches.
-func (c *Cluster) hosts(w http.ResponseWriter, r *http.Request) {
+func (c *Cluster) serveList(w http.ResponseWriter, r *http.Request) {
 	since, _ := strconv.ParseInt(r.FormValue("since"), 10, 64)
 	ms, _ := strconv.Atoi(r.FormValue("timeout_ms"))
 	c.mu.Lock()
@@ -304,17 +304,17 @@
 		}
 		c.mu.Lock()
 	}
-	text := c.list()
+	text := c.listJSON()
 	for id, e := range c.entries {
-		if _, known := c.told[id]; e.Phase == discovery.PhaseDraining && !known {
-			c.told[id] = time.Now()
+		if _, known := c.drainSeen[id]; e.Phase == discovery.PhaseDraining && !known {
+			c.drainSeen[id] = time.Now()
 		}
 	}
 	c.mu.Unlock()
 	_, _ = w.Write(text) // the reader may have left
 }
 
-func (c *Cluster) list() []byte {
+func (c *Cluster) listJSON() []byte {
 	type entry struct {
 		ID       string `json:"id"`
 		HostPort string `json:"host_port"`
@@ -335,25 +335,25 @@
 }
 
 // Known is the list as a driver's configuration holds it.
-func (c *Cluster) Known() json.RawMessage {
+func (c *Cluster) MemberList() json.RawMessage {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.list()
+	return c.listJSON()
 }
 
-func (m *Member) listens() bool {
+func (m *Member) listening() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.ln != nil
+	return m.listener != nil
 }
 
-func (m *Member) up() error {
+func (m *Member) start() error {
 	ln, err := net.Listen("tcp", m.address)
 	if err != nil {
 		return err
 	}
 	m.mu.Lock()
-	m.ln, m.address = ln, ln.Addr().String()
+	m.listener, m.address = ln, ln.Addr().String()
 	m.mu.Unlock()
 	go func() {
 		for {
@@ -370,12 +370,12 @@
 	return nil
 }
 
-func (m *Member) down() {
+func (m *Member) stop() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.ln != nil {
-		m.ln.Close()
-		m.ln = nil
+	if m.listener != nil {
+		m.listener.Close()
+		m.listener = nil
 	}
 	for conn := range m.conns {
 		conn.Close()
@@ -390,18 +390,18 @@
 		m.mu.Unlock()
 	}()
 	r := bufio.NewReader(conn)
-	if _, _, err := pgwire.ReadStartup(r); err != nil || m.hung() {
+	if _, _, err := pgwire.ReadStartup(r); err != nil || m.waitWhileHung() {
 		return
 	}
 	_, _ = conn.Write(pgwire.AppendStartupResponse(nil, 0)) // the reads behind it see a broken connection
 	var buf []byte
 	for {
 		var err error
-		if _, buf, err = pgwire.Read(r, buf[:0]); err != nil || m.hung() {
+		if _, buf, err = pgwire.Read(r, buf[:0]); err != nil || m.waitWhileHung() {
 			return
 		}
 		text, _ := pgwire.QueryText(pgwire.Body(buf))
-		if answer := m.answer(text); m.mute.Load() && string(text) != "SHOW usage" {
+		if answer := m.answer(text); m.dropsAnswers.Load() && string(text) != "SHOW usage" {
 			return
 		} else if _, err := conn.Write(answer); err != nil {
 			return
@@ -410,9 +410,9 @@
 }
 
 // hung waits while the member hangs; true when it was taken down meanwhile.
-func (m *Member) hung() bool {
-	for m.hangs.Load() {
-		if time.Sleep(5 * time.Millisecond); !m.listens() {
+func (m *Member) waitWhileHung() bool {
+	for m.hung.Load() {
+		if time.Sleep(5 * time.Millisecond); !m.listening() {
 			return true
 		}
 	}
@@ -422,7 +422,7 @@
 // answer runs a query.
 func (m *Member) answer(text []byte) []byte {
 	if string(text) == "SHOW usage" {
-		role, position := m.stands()
+		role, position := m.state()
 		return pgwire.AppendReadyForQuery(
 			pgwire.AppendSingleRow(nil, fmt.Sprintf("x0=%.6f,x1=%d", position/1000, map[bool]int{true: 1}[role == "writer"])),
 		)
@@ -432,14 +432,14 @@
 		return pgwire.AppendReadyForQuery(pgwire.AppendErrorResponse(nil, "ERROR", pgwire.CodeProtocolViolation, err.Error(), ""))
 	}
 	id := string(st.ID)
-	m.c.arrives(m, id)
+	m.cluster.recordArrival(m, id)
 	m.cores <- struct{}{}
-	m.c.mu.Lock()
-	work := time.Duration(m.c.draw.ExpFloat64() * float64(m.c.o.Work) * float64(max(m.slow.Load(), 1)))
-	m.c.mu.Unlock()
+	m.cluster.mu.Lock()
+	work := time.Duration(m.cluster.draw.ExpFloat64() * float64(m.cluster.options.ServiceTime) * float64(max(m.slowdown.Load(), 1)))
+	m.cluster.mu.Unlock()
 	time.Sleep(work)
 	<-m.cores
-	role, position := m.stands()
+	role, position := m.state()
 	note := func(b []byte) []byte {
 		b = pgwire.AppendParameterStatus(b, "server_role", role)
 		return pgwire.AppendReadyForQuery(pgwire.AppendParameterStatus(b, "commit_clock", fmt.Sprintf("%.0f", position)))
@@ -448,10 +448,10 @@
 		if role != "writer" {
 			return note(pgwire.AppendErrorResponse(nil, "ERROR", pgwire.CodeReadOnlyTransaction, "this is no primary", ""))
 		}
-		m.c.mu.Lock()
-		m.c.applied[id]++
-		m.wrote.Add(1)
-		m.c.mu.Unlock()
+		m.cluster.mu.Lock()
+		m.cluster.executions[id]++
+		m.writes.Add(1)
+		m.cluster.mu.Unlock()
 	}
 	return note(pgwire.AppendSingleRow(nil, "v:"+id))
 }
@@ -459,24 +459,24 @@
 func unixMillis() float64 { return float64(time.Now().UnixMicro()) / 1000 }
 
 // stands gives a member's role and up to where it has applied the log, in Unix milliseconds.
-func (m *Member) stands() (role string, position float64) {
-	m.c.mu.Lock()
-	defer m.c.mu.Unlock()
+func (m *Member) state() (role string, position float64) {
+	m.cluster.mu.Lock()
+	defer m.cluster.mu.Unlock()
 	now := unixMillis()
-	if m.c.primary[m.group] == m || m.stubborn.Load() {
+	if m.cluster.primary[m.group] == m || m.ignoresDemotion.Load() {
 		return "writer", now
 	}
-	if at, stands := m.c.stopped[m.group]; stands { // no writes, no log
+	if at, stands := m.cluster.logEnds[m.group]; stands { // no writes, no log
 		now = at
 	}
-	return "reader", now - float64(m.c.o.Lag.Microseconds())/1000
+	return "reader", now - float64(m.cluster.options.ReplicationLag.Microseconds())/1000
 }
 
-func (c *Cluster) arrives(m *Member, id string) {
+func (c *Cluster) recordArrival(m *Member, id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.arrived[m.ID]++
-	if at, told := c.told[m.ID]; told && time.Since(at) > Grace {
-		c.late = append(c.late, id)
+	c.arrivals[m.ID]++
+	if at, told := c.drainSeen[m.ID]; told && time.Since(at) > DrainGrace {
+		c.afterDrain = append(c.afterDrain, id)
 	}
 }
--- a/internal/lab/drivers.go
+++ b/internal/lab/drivers.go
@@ -15,7 +15,7 @@
 )
 
 // Mix is what the laboratory's drivers serve: bounded reads, reads of any age, and writes that must not run twice.
-var Mix = []Kind{{Name: "recent", Share: 5, Timeout: 1e9, Target: 250e6, Value: 3},
+var DefaultMix = []OpKind{{Name: "recent", Share: 5, Timeout: 1e9, Target: 250e6, Value: 3},
 	{Name: "any", Share: 3, Timeout: 1.2e9, Target: 300e6, Value: 1},
 	{Name: "write", Share: 2, Write: true, Timeout: 4e9, Target: 500e6, Value: 3}}
 
@@ -24,7 +24,7 @@
 	text, err := json.MarshalIndent(map[string]any{
 		"name": name, "listen": listen, "discovery": c.Discovery(),
 		"seed":   fmt.Sprintf("%016x", 0x9E3779B97F4A7C15*uint64(index+1)),
-		"limits": map[string]any{"cores": 2, "memory_mb": 192, "sockets": 1024}, "known": c.Known(),
+		"limits": map[string]any{"cores": 2, "memory_mb": 192, "sockets": 1024}, "known": c.MemberList(),
 		"settings": map[string]any{"tick": 5000, "siblings": drivers, "index": index, "zone": "a",
 			"registry_mode": "on_request", "family_info": map[string]any{"checks": "silent",
 				"needs_by_class": []string{"lag_bound", "eventual", "mutate"}, "oldest_data": []int{200000, 0, 0},
--- a/internal/lab/emulator/clients.go
+++ b/internal/lab/emulator/clients.go
@@ -11,73 +11,73 @@
 
 // session is a client that may ask for its own writes.
 type session struct {
-	wrote float64 // the position of its last write, 0 for none
+	lastWrite float64 // the position of its last write, 0 for none
 }
 
-const sessionsEach = 50 // a driver
+const sessionsPerDriver = 50 // a driver
 
 // ask puts an op before the driver; one that is down refuses the connection, and the client comes again.
-func (h *host) ask(o *op) {
+func (h *driver) submit(o *op) {
 	if h.down {
-		h.after(50*(0.5+h.draw.Float64()), func() {
-			if h.now < o.due {
-				h.ask(o)
+		h.schedule(50*(0.5+h.draw.Float64()), func() {
+			if h.now < o.deadline {
+				h.submit(o)
 			}
 		})
 		return
 	}
-	if h.keeps(func() { h.ask(o) }) {
+	if h.deferIfPaused(func() { h.submit(o) }) {
 		return
 	}
-	if h.now >= o.due { // the driver stood still for longer than its patience
-		h.core.tally.Lost++
+	if h.now >= o.deadline { // the driver stood still for longer than its patience
+		h.worker.counters.Lost++
 		return
 	}
-	h.count++
-	o.id = strconv.Itoa(h.index) + "." + strconv.Itoa(h.count)
+	h.opCount++
+	o.id = strconv.Itoa(h.index) + "." + strconv.Itoa(h.opCount)
 	h.ops[o.id] = o
-	h.core.tally.asks(h, o)
-	ev := logic.Event{Kind: logic.EvOp, Op: o.id, OpType: o.kind, Group: o.group, Left: o.due - h.now}
-	if o.session != nil && o.session.wrote > 0 {
-		o.wrote = o.session.wrote
-		ev.WroteAgo = max(h.now-o.wrote, 1e-6)
+	h.worker.counters.opSubmitted(h, o)
+	ev := logic.Event{Kind: logic.EvOp, Op: o.id, OpType: o.kind, Group: o.group, Left: o.deadline - h.now}
+	if o.session != nil && o.session.lastWrite > 0 {
+		o.lastWrite = o.session.lastWrite
+		ev.WroteAgo = max(h.now-o.lastWrite, 1e-6)
 	}
-	life := h.life
-	h.after(o.due-h.now+grace, func() {
-		if h.life == life {
-			h.audit.due(o)
+	life := h.incarnation
+	h.schedule(o.deadline-h.now+drainGrace, func() {
+		if h.incarnation == life {
+			h.audit.deadlinePassed(o)
 		}
 	})
 	h.step(ev)
 }
 
 // arrivals lets clients come, each time after a pause drawn.
-func (h *host) arrivals() {
-	h.after(h.draw.ExpFloat64()/(h.rate*h.surge), func() {
-		if h.now >= h.w.begin+h.w.setup.For || h.ended {
+func (h *driver) scheduleArrivals() {
+	h.schedule(h.draw.ExpFloat64()/(h.rate*h.rateFactor), func() {
+		if h.now >= h.sim.started+h.sim.setup.Duration || h.removed {
 			return
 		}
-		kind, x := 0, h.draw.Float64()*h.w.shares
-		for x -= h.w.setup.Mix[0].Share; x >= 0 && kind < len(h.w.setup.Mix)-1; x -= h.w.setup.Mix[kind].Share {
+		kind, x := 0, h.draw.Float64()*h.sim.totalShare
+		for x -= h.sim.setup.Mix[0].Share; x >= 0 && kind < len(h.sim.setup.Mix)-1; x -= h.sim.setup.Mix[kind].Share {
 			kind++
 		}
 		o := &op{
-			kind:  kind,
-			group: int64(h.draw.IntN(h.w.setup.Groups) + 1),
-			asked: h.now,
-			due:   h.now + h.w.types[kind].OpTimeout,
+			kind:     kind,
+			group:    int64(h.draw.IntN(h.sim.setup.Groups) + 1),
+			started:  h.now,
+			deadline: h.now + h.sim.types[kind].OpTimeout,
 		}
-		if h.hot {
+		if h.hotGroup {
 			o.group = 1
 		}
-		if h.w.setup.Groups == 1 { // a session's writes are one group's: positions of two can't be compared
+		if h.sim.setup.Groups == 1 { // a session's writes are one group's: positions of two can't be compared
 			o.session = &h.sessions[h.draw.IntN(len(h.sessions))]
-		} else if h.w.types[kind].Need == logic.Session || h.w.types[kind].Need == logic.Write {
-			groups := h.w.setup.Groups
+		} else if h.sim.types[kind].Need == logic.Session || h.sim.types[kind].Need == logic.Write {
+			groups := h.sim.setup.Groups
 			session := h.draw.IntN(len(h.sessions))/groups*groups + int(o.group) - 1
 			o.session = &h.sessions[session%len(h.sessions)]
 		}
-		h.ask(o)
-		h.arrivals()
+		h.submit(o)
+		h.scheduleArrivals()
 	})
 }
--- a/internal/lab/emulator/policies.go
+++ b/internal/lab/emulator/policies.go
@@ -11,30 +11,30 @@
 
 // baseline sends writes to whoever it last saw as primary, and reads by its rule; it never tries twice.
 type baseline struct {
-	rule    string
-	types   []logic.OpType
-	draw    *rand.Rand
-	members map[int64][]string
-	primary map[int64]string
-	drains  map[string]bool
-	group   map[string]int64
-	flying  map[string]int
-	next    int
-	kinds   map[string]int
-	out     []logic.Action
+	rule     string
+	types    []logic.OpType
+	draw     *rand.Rand
+	members  map[int64][]string
+	primary  map[int64]string
+	draining map[string]bool
+	group    map[string]int64
+	inFlight map[string]int
+	next     int
+	kinds    map[string]int
+	out      []logic.Action
 }
 
 func newBaseline(rule string, types []logic.OpType, seed uint64) *baseline {
 	return &baseline{
-		rule:    rule,
-		types:   types,
-		draw:    rand.New(rand.NewPCG(seed, 77)),
-		members: map[int64][]string{},
-		primary: map[int64]string{},
-		drains:  map[string]bool{},
-		group:   map[string]int64{},
-		flying:  map[string]int{},
-		kinds:   map[string]int{},
+		rule:     rule,
+		types:    types,
+		draw:     rand.New(rand.NewPCG(seed, 77)),
+		members:  map[int64][]string{},
+		primary:  map[int64]string{},
+		draining: map[string]bool{},
+		group:    map[string]int64{},
+		inFlight: map[string]int{},
+		kinds:    map[string]int{},
 	}
 }
 
@@ -52,10 +52,10 @@
 				break
 			}
 			b.kinds[ev.Op] = ev.OpType
-			b.flying[to]++
+			b.inFlight[to]++
 			b.out = append(b.out, logic.Action{Kind: logic.ActSend, Op: ev.Op, Member: to, Wait: ev.Left - 15})
 		case logic.EvAnswer:
-			b.flying[ev.Member]--
+			b.inFlight[ev.Member]--
 			if g := b.group[ev.Member]; ev.Note.Role == logic.Primary {
 				b.primary[g] = ev.Member
 			} else if ev.Note.Role == logic.Replica && b.primary[g] == ev.Member {
@@ -84,7 +84,7 @@
 			b.members[e.Group] = append(b.members[e.Group], e.Member)
 			b.group[e.Member] = e.Group
 		}
-		if b.drains[e.Member] = e.Phase != logic.Ready; e.Primary {
+		if b.draining[e.Member] = e.Phase != logic.Ready; e.Primary {
 			b.primary[e.Group] = e.Member
 		}
 	}
@@ -93,7 +93,7 @@
 func (b *baseline) choose(ev *logic.Event) string {
 	var can []string
 	for _, m := range b.members[ev.Group] {
-		if !b.drains[m] {
+		if !b.draining[m] {
 			can = append(can, m)
 		}
 	}
@@ -101,7 +101,7 @@
 		return ""
 	}
 	p, known := b.primary[ev.Group]
-	if !known || b.drains[p] {
+	if !known || b.draining[p] {
 		p = can[b.draw.IntN(len(can))]
 	}
 	if b.types[ev.OpType].Need >= logic.Fresh || b.rule == "primary" {
@@ -114,7 +114,7 @@
 	case "least":
 		best := can[b.draw.IntN(len(can))]
 		for _, m := range can {
-			if b.flying[m] < b.flying[best] {
+			if b.inFlight[m] < b.inFlight[best] {
 				best = m
 			}
 		}
--- a/internal/lab/emulator/switch.go
+++ b/internal/lab/emulator/switch.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	hookWay    = 2.0  // milliseconds: a process that calls a socket
-	hookAhead  = 50.0 // from a hook before the takeover to the takeover
-	switchLook = 20.0 // as in the driver
+	hookDelay     = 2.0  // milliseconds: a process that calls a socket
+	hookLead      = 50.0 // from a hook before the takeover to the takeover
+	observePeriod = 20.0 // as in the driver
 )
 
-func (h *host) switchbook() *switchover.Tracker {
-	if h.book == nil {
-		h.book = switchover.New(
+func (h *driver) switchoverTracker() *switchover.Tracker {
+	if h.switchovers == nil {
+		h.switchovers = switchover.New(
 			switchover.Config{
 				DefaultLease:      5000,
 				MaxHold:           60000,
@@ -27,47 +27,47 @@
 				Origin:            uint64(h.index),
 			},
 		)
-		h.marked = map[string]bool{}
+		h.draining = map[string]bool{}
 	}
-	return h.book
+	return h.switchovers
 }
 
 // hook takes a word of a hook and tells all fellows.
-func (h *host) hook(w switchover.Notification) {
-	if h.down || h.keeps(func() { h.hook(w) }) {
+func (h *driver) handleHook(w switchover.Notification) {
+	if h.down || h.deferIfPaused(func() { h.handleHook(w) }) {
 		return
 	}
-	w, out, err := h.switchbook().HandleHook(h.now, w, "")
+	w, out, err := h.switchoverTracker().HandleHook(h.now, w, "")
 	if err != nil {
-		h.audit.broken("switch: %v", err)
+		h.audit.report("switch: %v", err)
 		return
 	}
-	h.switches(out)
-	for _, other := range h.w.hosts {
+	h.applyOutcome(out)
+	for _, other := range h.sim.drivers {
 		if other != h {
-			if ms, arrives := h.w.way(h.lane, h.zone, other.zone); arrives {
-				h.post(other.lane, ms, func() { other.hearsWord(w) })
+			if ms, arrives := h.sim.transit(h.process, h.zone, other.zone); arrives {
+				h.sendTo(other.process, ms, func() { other.handleNotification(w) })
 			}
 		}
 	}
 }
 
-func (h *host) hearsWord(w switchover.Notification) {
-	if h.down || h.keeps(func() { h.hearsWord(w) }) {
+func (h *driver) handleNotification(w switchover.Notification) {
+	if h.down || h.deferIfPaused(func() { h.handleNotification(w) }) {
 		return
 	}
-	out, err := h.switchbook().HandleNotification(h.now, w)
+	out, err := h.switchoverTracker().HandleNotification(h.now, w)
 	if err != nil {
-		h.audit.broken("switch: %v", err)
+		h.audit.report("switch: %v", err)
 	}
-	h.switches(out)
+	h.applyOutcome(out)
 }
 
 // switches carries out what was decided, and looks at who is primary for as long as a change is open.
-func (h *host) switches(out switchover.Outcome) {
+func (h *driver) applyOutcome(out switchover.Outcome) {
 	for _, m := range out.Marks {
-		h.marked[m.Member] = m.Draining
-		if e := h.list[h.place[m.Member]]; e.Phase == logic.Ready {
+		h.draining[m.Member] = m.Draining
+		if e := h.list[h.listIndex[m.Member]]; e.Phase == logic.Ready {
 			if m.Draining {
 				e.Phase = logic.Draining
 			}
@@ -75,30 +75,30 @@
 		}
 	}
 	for _, member := range out.QueryRoles {
-		h.probe(h.w.byID[member])
+		h.probe(h.sim.membersByID[member])
 	}
-	if !h.looks && h.book.Active() {
-		h.looks = true
-		h.look()
+	if !h.observing && h.switchovers.Active() {
+		h.observing = true
+		h.observe()
 	}
 }
 
-func (h *host) look() {
-	h.after(switchLook, func() {
-		if h.down || !h.book.Active() {
-			h.looks = false
+func (h *driver) observe() {
+	h.schedule(observePeriod, func() {
+		if h.down || !h.switchovers.Active() {
+			h.observing = false
 			return
 		}
-		if h.now >= h.frozen {
-			if memory, module := h.memory(); module {
+		if h.now >= h.pausedUntil {
+			if memory, module := h.moduleMemory(); module {
 				for _, g := range memory.Groups {
 					if g.Held {
-						h.switches(h.book.ObservePrimary(h.now, g.Group, g.Slot))
+						h.applyOutcome(h.switchovers.ObservePrimary(h.now, g.Group, g.Slot))
 					}
 				}
-				h.switches(h.book.Tick(h.now))
+				h.applyOutcome(h.switchovers.Tick(h.now))
 			}
 		}
-		h.look()
+		h.observe()
 	})
 }
--- a/internal/lab/experiment/compare.go
+++ b/internal/lab/experiment/compare.go
@@ -19,64 +19,64 @@
 type Measure struct {
 	Name   string
 	Better int
-	Of     func(*Run) float64
+	Value  func(*Run) float64
 	// OnSockets says that a play on sockets counts it too.
 	OnSockets bool
 }
 
 // Measures are what runs are compared by.
 var Measures = []Measure{
-	{"worth served in time", 1, func(r *Run) float64 { return r.Worth }, true},
-	{"worth, last quarter", 1, (*Run).Late, false},
-	{"tries an op", -1, (*Run).Tries, false},
-	{"failed, share of tries", -1, func(r *Run) float64 { return r.share(func(t *Type) int64 { return t.Failed }) }, true},
-	{"refused, share of tries", -1, func(r *Run) float64 { return r.share(func(t *Type) int64 { return t.Refused }) },
+	{"worth served in time", 1, func(r *Run) float64 { return r.ValueShare }, true},
+	{"worth, last quarter", 1, (*Run).LateValueShare, false},
+	{"tries an op", -1, (*Run).AttemptsPerOp, false},
+	{"failed, share of tries", -1, func(r *Run) float64 { return r.shareOfAttempts(func(t *Type) int64 { return t.Failed }) }, true},
+	{"refused, share of tries", -1, func(r *Run) float64 { return r.shareOfAttempts(func(t *Type) int64 { return t.Refused }) },
 		true},
 	{"p50 of all types, ms", -1, func(r *Run) float64 { return r.Quantile(50) }, true},
 	{"p99 of all types, ms", -1, func(r *Run) float64 { return r.Quantile(99) }, true},
-	{"longest gap of writes, ms", -1, func(r *Run) float64 { return slices.Max(append([]float64{0}, r.Gaps...)) }, false},
+	{"longest gap of writes, ms", -1, func(r *Run) float64 { return slices.Max(append([]float64{0}, r.WriteGaps...)) }, false},
 	{"writes held, mean of the worst second", -1, func(r *Run) (most float64) {
 		for _, s := range r.Seconds {
-			most = max(most, s.Held)
+			most = max(most, s.PendingWrites)
 		}
 		return most
 	}, false},
 	{"sends in a new primary's first second, of what it can do", -1, func(r *Run) (most float64) {
-		for _, o := range r.Openings {
-			most = max(most, float64(o.Sends)/o.Can)
+		for _, o := range r.Promotions {
+			most = max(most, float64(o.Sends)/o.Capacity)
 		}
 		return most
 	}, false},
-	{"sends an op", -1, func(r *Run) float64 { return float64(r.Sends) / float64(max(r.Asked, 1)) }, false},
+	{"sends an op", -1, func(r *Run) float64 { return float64(r.Sends) / float64(max(r.Ops, 1)) }, false},
 	{"new connections", 0, func(r *Run) float64 { return float64(r.Connects) }, false},
 	{"rules broken", -1, func(r *Run) (n float64) {
-		for _, b := range r.Broken {
-			n += float64(b.Times)
+		for _, b := range r.Violations {
+			n += float64(b.Count)
 		}
 		return n
 	}, false},
 }
 
 // Late is the worth served of what was asked in the last quarter.
-func (r *Run) Late() float64 {
+func (r *Run) LateValueShare() float64 {
 	sum, n := 0.0, 0
 	for i := len(r.Seconds) * 3 / 4; i < len(r.Seconds); i++ {
-		sum += r.Seconds[i].Worth
+		sum += r.Seconds[i].ValueShare
 		n++
 	}
 	return sum / float64(max(n, 1))
 }
 
 // Tries is how often clients asked, an op.
-func (r *Run) Tries() float64 {
+func (r *Run) AttemptsPerOp() float64 {
 	again, asked := int64(0), int64(0)
 	for _, s := range r.Seconds {
-		again, asked = again+s.Again, asked+s.Asked
+		again, asked = again+s.Retries, asked+s.Arrivals
 	}
 	return 1 + float64(again)/float64(max(asked, 1))
 }
 
-func (r *Run) share(of func(*Type) int64) float64 {
+func (r *Run) shareOfAttempts(of func(*Type) int64) float64 {
 	some, all := int64(0), int64(0)
 	for i := range r.Types {
 		t := &r.Types[i]
@@ -87,7 +87,7 @@
 
 // Quantile is of the latency of all acked ops, in milliseconds; 0 where a histogram can't be read.
 func (r *Run) Quantile(q float64) float64 {
-	all, err := merged([]Run{*r})
+	all, err := mergedLatencies([]Run{*r})
 	if err != nil {
 		return 0
 	}
@@ -96,7 +96,7 @@
 
 // Mean is the mean latency of all acked ops, in milliseconds; 0 where a histogram can't be read.
 func (r *Run) Mean() float64 {
-	all, err := merged([]Run{*r})
+	all, err := mergedLatencies([]Run{*r})
 	if err != nil {
 		return 0
 	}
@@ -114,17 +114,19 @@
 
 // Difference is that of one measure between two sides in one cell, over the seeds that both have.
 type Difference struct {
-	Experiment string
-	Drivers    int32
-	Load       float64
-	Measure    Measure
-	Pairs      int
-	A, B       float64 // means
-	Mean, Half float64 // of B less A, and half of its 95 % interval by Student's t; Half is infinite with one pair
+	Experiment      string
+	Drivers         int32
+	Load            float64
+	Measure         Measure
+	Pairs           int
+	A, B            float64 // means
+	Mean, HalfWidth float64 // of B less A, and half of its 95 % interval by Student's t; Half is infinite with one pair
 }
 
 // Sure says whether chance does not explain the difference.
-func (d *Difference) Sure() bool { return d.Pairs > 1 && math.Abs(d.Mean) > d.Half && d.Mean != 0 }
+func (d *Difference) Significant() bool {
+	return d.Pairs > 1 && math.Abs(d.Mean) > d.HalfWidth && d.Mean != 0
+}
 
 // Compare lays runs b beside runs a: each variant beside its own, or, where across is true, whatever the sides hold.
 // Runs that only one side has are left out.
@@ -152,12 +154,12 @@
 		for _, m := range Measures {
 			var diffs, as, bs []float64
 			for _, p := range pairs[c] {
-				x, y := m.Of(p.a), m.Of(p.b)
+				x, y := m.Value(p.a), m.Value(p.b)
 				as, bs, diffs = append(as, x), append(bs, y), append(diffs, y-x)
 			}
 			d := Difference{c.experiment, c.drivers, c.load, m, len(diffs), stat.Mean(as, nil), stat.Mean(bs, nil), 0,
 				math.Inf(1)}
-			d.Mean, d.Half = Interval(diffs)
+			d.Mean, d.HalfWidth = Interval(diffs)
 			all = append(all, d)
 		}
 	}
@@ -175,12 +177,12 @@
 }
 
 // Of are the runs of a variant; "" for all.
-func Of(rows []Run, variant string) []Run {
+func SelectVariant(rows []Run, variant string) []Run {
 	return slices.DeleteFunc(slices.Clone(rows), func(r Run) bool { return variant != "" && r.Variant != variant })
 }
 
 // Print writes a comparison as a table.
-func Print(out io.Writer, nameA, nameB string, all []Difference) error {
+func WriteComparison(out io.Writer, nameA, nameB string, all []Difference) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	before := cell{}
 	for _, d := range all {
@@ -193,18 +195,18 @@
 		switch {
 		case d.Pairs < 2:
 			word = "one pair tells nothing of chance"
-		case d.Sure() && d.Measure.Better == 0:
+		case d.Significant() && d.Measure.Better == 0:
 			word = "changed"
-		case d.Sure():
+		case d.Significant():
 			word = map[bool]string{true: "better", false: "worse"}[d.Mean*float64(d.Measure.Better) > 0]
 		}
-		fmt.Fprintf(w, "  %s\t%.4g\t%.4g\t%+.3g ± %.2g\t%s\n", d.Measure.Name, d.A, d.B, d.Mean, d.Half, word)
+		fmt.Fprintf(w, "  %s\t%.4g\t%.4g\t%+.3g ± %.2g\t%s\n", d.Measure.Name, d.A, d.B, d.Mean, d.HalfWidth, word)
 	}
 	return w.Flush()
 }
 
 // sizes are the cells of rows in order.
-func sizes(rows []Run) (all []cell) {
+func cellsOf(rows []Run) (all []cell) {
 	for i := range rows {
 		if c := rows[i].cell(); !slices.Contains(all, c) {
 			all = append(all, c)
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -61,16 +61,16 @@
 `
 
 func TestRead(t *testing.T) {
-	plans, err := Read("s.hcl", []byte(small))
+	plans, err := ParseFile("s.hcl", []byte(small))
 	if err != nil || len(plans) != 12 {
 		t.Fatal(err, len(plans))
 	}
 	a, b := plans[0].Setup, plans[1].Setup
-	if a.Policy != "module" || a.Drivers != 2 || a.Load != 0.3 || a.Seed != 1 || a.Elect != 300 || a.Retries != 1 || len(a.Faults) != 1 ||
+	if a.Policy != "module" || a.Drivers != 2 || a.Load != 0.3 || a.Seed != 1 || a.ElectionTime != 300 || a.Retries != 1 || len(a.Faults) != 1 ||
 		a.Mix[0].MaxAge != 200 || a.Mix[1].Need != logic.Write || a.Mix[1].Effect != logic.NonRetryable || a.Mix[1].Value != 1 {
 		t.Errorf("%+v", a)
 	}
-	if b.Policy != "random" || b.Retries != 0 || !b.NoAdvice || len(b.Faults) != 2 || b.Faults[1].On != "all" || b.Faults[1].By != 2 {
+	if b.Policy != "random" || b.Retries != 0 || !b.NoAdvice || len(b.Faults) != 2 || b.Faults[1].Target != "all" || b.Faults[1].Factor != 2 {
 		t.Errorf("%+v", b)
 	}
 	for want, change := range map[string][2]string{
@@ -82,7 +82,7 @@
 		`a variant`:            {`scenario = "s"`, `scenario = "x"`},
 		`s.hcl:3`:              {`drivers = 4`, `drivers = "many"`},
 	} {
-		if _, err := Read("s.hcl", []byte(strings.Replace(small, change[0], change[1], 1))); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := ParseFile("s.hcl", []byte(strings.Replace(small, change[0], change[1], 1))); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", want, err)
 		}
 	}
@@ -90,7 +90,7 @@
 
 // Runs are played once; a second call, also after a break in the middle, plays what is missing alone and gives the same.
 func TestRunAndResume(t *testing.T) {
-	plans, err := Read("s.hcl", []byte(small))
+	plans, err := ParseFile("s.hcl", []byte(small))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -105,9 +105,9 @@
 		t.Fatal(err)
 	}
 	for _, i := range []int{3, 7} {
-		os.Remove(filepath.Join(r.Folder, "runs", plans[i].key("b")))
+		os.Remove(filepath.Join(r.Folder, "runs", plans[i].fileName("b")))
 	}
-	os.WriteFile(filepath.Join(r.Folder, "runs", plans[5].key("b")), []byte("damaged"), 0o600)
+	os.WriteFile(filepath.Join(r.Folder, "runs", plans[5].fileName("b")), []byte("damaged"), 0o600)
 	var out bytes.Buffer
 	r.Out, r.Cores = &out, 1
 	second, err := r.Run(context.Background(), plans)
@@ -120,8 +120,8 @@
 	}
 	for i := range first {
 		same := func(x, y Run) bool {
-			if len(x.Broken)+len(y.Broken) == 0 {
-				x.Broken, y.Broken = nil, nil // no list and an empty one are the same in a file
+			if len(x.Violations)+len(y.Violations) == 0 {
+				x.Violations, y.Violations = nil, nil // no list and an empty one are the same in a file
 			}
 			for k := range x.Types { // the compressed form of a histogram is compared by what it holds
 				a, err := x.Types[k].histogram()
@@ -137,23 +137,23 @@
 		if !same(clone(a), b) || !same(a, c) {
 			t.Errorf("run %d differs between the calls or from what is kept", i)
 		}
-		if p := &plans[i].Setup; p.Policy == "module" && (len(first[i].Broken) > 0 || len(first[i].Openings) != 1 || first[i].Quantile(50) < 5) {
-			t.Errorf("run %d: broken %v, openings %v, median %v", i, first[i].Broken, first[i].Openings, first[i].Quantile(50))
+		if p := &plans[i].Setup; p.Policy == "module" && (len(first[i].Violations) > 0 || len(first[i].Promotions) != 1 || first[i].Quantile(50) < 5) {
+			t.Errorf("run %d: broken %v, openings %v, median %v", i, first[i].Violations, first[i].Promotions, first[i].Quantile(50))
 		}
 	}
-	if other := plans[0].key("c"); other == plans[0].key("b") {
+	if other := plans[0].fileName("c"); other == plans[0].fileName("b") {
 		t.Error("two builds share a file")
 	}
 	var page bytes.Buffer
 	pictures := t.TempDir()
-	if err := Page(&page, "T", []string{"<note>"}, first, "text", pictures); err != nil {
+	if err := WritePage(&page, "T", []string{"<note>"}, first, "text", pictures); err != nil {
 		t.Fatal(err)
 	}
 	all, _ := filepath.Glob(filepath.Join(pictures, "*.png"))
 	if n := strings.Count(page.String(), "<svg"); n != 2*8 || len(all) != n || !strings.Contains(page.String(), "&lt;note&gt;") {
 		t.Errorf("%d pictures on the page, %d as PNG", n, len(all))
 	}
-	if Page(&page, "T", nil, nil, "", "") == nil {
+	if WritePage(&page, "T", nil, nil, "", "") == nil {
 		t.Error("a page of nothing")
 	}
 }
@@ -167,21 +167,21 @@
 func TestCompare(t *testing.T) {
 	rows := func(variant string, worth ...float64) (all []Run) {
 		for i, x := range worth {
-			all = append(all, Run{Experiment: "e", Variant: variant, Drivers: 3, Seed: uint64(i), Worth: x, Seconds: []Second{{Asked: 10, Again: 5}}})
+			all = append(all, Run{Experiment: "e", Variant: variant, Drivers: 3, Seed: uint64(i), ValueShare: x, Seconds: []Second{{Arrivals: 10, Retries: 5}}})
 		}
 		return all
 	}
 	a := rows("a", 0.90, 0.92, 0.91, 0.93)
 	b := rows("b", 0.94, 0.96, 0.96, 0.96) // differences 0.04, 0.04, 0.05, 0.03
 	d := Compare(a, b, true)
-	if len(d) != len(Measures) || d[0].Pairs != 4 || math.Abs(d[0].Mean-0.04) > 1e-9 || math.Abs(d[0].Half-3.18245*0.00816497/2) > 1e-5 || !d[0].Sure() {
+	if len(d) != len(Measures) || d[0].Pairs != 4 || math.Abs(d[0].Mean-0.04) > 1e-9 || math.Abs(d[0].HalfWidth-3.18245*0.00816497/2) > 1e-5 || !d[0].Significant() {
 		t.Errorf("%+v", d[0])
 	}
 	noise := Compare(a, rows("b", 0.95, 0.88, 0.95, 0.90), true)
-	if noise[0].Sure() || d[2].Sure() {
+	if noise[0].Significant() || d[2].Significant() {
 		t.Errorf("chance counts: %+v %+v", noise[0], d[2])
 	}
-	if one := Compare(a[:1], b[:1], true); one[0].Sure() || one[0].Pairs != 1 {
+	if one := Compare(a[:1], b[:1], true); one[0].Significant() || one[0].Pairs != 1 {
 		t.Errorf("one pair counts: %+v", one[0])
 	}
 	if none := Compare(a, nil, true); none != nil {
@@ -191,10 +191,10 @@
 		t.Errorf("variants are not laid beside their own: %+v", own)
 	}
 	var out bytes.Buffer
-	if err := Print(&out, "A", "B", append(d, noise...)); err != nil || !strings.Contains(out.String(), "better") || !strings.Contains(out.String(), "not beyond chance") {
+	if err := WriteComparison(&out, "A", "B", append(d, noise...)); err != nil || !strings.Contains(out.String(), "better") || !strings.Contains(out.String(), "not beyond chance") {
 		t.Error(err, out.String())
 	}
-	if x := a[0].Tries(); x != 1.5 {
+	if x := a[0].AttemptsPerOp(); x != 1.5 {
 		t.Error(x)
 	}
 }
--- a/internal/lab/experiment/golden_test.go
+++ b/internal/lab/experiment/golden_test.go
@@ -61,11 +61,11 @@
 
 // What a file asks for, what its runs give, and all that is drawn and printed of them is as recorded.
 func TestFormsAndFiguresAreThoseRecorded(t *testing.T) {
-	plans, err := Read("s.hcl", []byte(small))
+	plans, err := ParseFile("s.hcl", []byte(small))
 	if err != nil {
 		t.Fatal(err)
 	}
-	more, err := Read("every.hcl", []byte(every))
+	more, err := ParseFile("every.hcl", []byte(every))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -76,7 +76,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		record(fmt.Sprint("plan ", i), string(form)+" "+p.key("b"))
+		record(fmt.Sprint("plan ", i), string(form)+" "+p.fileName("b"))
 	}
 	record("columns", parquet.SchemaOf(Run{}).String())
 	rows, err := Runner{Folder: t.TempDir(), Build: "b", Cores: 4, Out: io.Discard}.Run(t.Context(), plans)
@@ -88,13 +88,13 @@
 	}
 	var out bytes.Buffer
 	for _, across := range []bool{false, true} {
-		if err := Print(&out, "A", "B", Compare(Of(rows, "module"), Of(rows, "plain"), across)); err != nil {
+		if err := WriteComparison(&out, "A", "B", Compare(SelectVariant(rows, "module"), SelectVariant(rows, "plain"), across)); err != nil {
 			t.Fatal(err)
 		}
 	}
 	record("comparison", out.String())
 	out.Reset()
-	if err := Page(&out, "T", []string{"note"}, rows, "text", ""); err != nil {
+	if err := WritePage(&out, "T", []string{"note"}, rows, "text", ""); err != nil {
 		t.Fatal(err)
 	}
 	record("page", digest(out.String()))
@@ -115,7 +115,7 @@
 		fmt.Fprintln(&latencies, h.Distribution())
 		r.Types[i].Latency = nil
 	}
-	return fmt.Sprintf("worth %v, %d ops, %d events, latencies %s, row %s", r.Worth, r.Asked, r.Events,
+	return fmt.Sprintf("worth %v, %d ops, %d events, latencies %s, row %s", r.ValueShare, r.Ops, r.Events,
 		digest(latencies.String()), digest(fmt.Sprint(r)))
 }
 
--- a/internal/lab/experiment/report.go
+++ b/internal/lab/experiment/report.go
@@ -27,7 +27,7 @@
 var colours = []color.Color{color.RGBA{0, 114, 178, 255}, color.RGBA{213, 94, 0, 255}, color.RGBA{0, 158, 115, 255},
 	color.RGBA{204, 121, 167, 255}, color.RGBA{86, 180, 233, 255}, color.RGBA{120, 94, 0, 255}}
 
-const panelWide, panelHigh = 5 * vg.Inch, 3 * vg.Inch
+const panelWidth, panelHeight = 5 * vg.Inch, 3 * vg.Inch
 
 // panel is one picture; a row of them has the same axes, so that sizes can be compared.
 type panel struct {
@@ -36,7 +36,7 @@
 }
 
 func (p *panel) svg() (template.HTML, error) {
-	c := vgsvg.New(panelWide, panelHigh)
+	c := vgsvg.New(panelWidth, panelHeight)
 	p.plot.Draw(draw.New(c))
 	var b bytes.Buffer
 	if _, err := c.WriteTo(&b); err != nil {
@@ -47,7 +47,7 @@
 }
 
 func (p *panel) png(folder string) error {
-	c := vgimg.PngCanvas{Canvas: vgimg.New(panelWide, panelHigh)}
+	c := vgimg.PngCanvas{Canvas: vgimg.New(panelWidth, panelHeight)}
 	p.plot.Draw(draw.New(c))
 	f, err := os.Create(filepath.Join(folder, p.Name+".png"))
 	if err != nil {
@@ -85,7 +85,7 @@
 }
 
 // merged adds the latencies of all types of runs up.
-func merged(rows []Run) (*hdrhistogram.Histogram, error) {
+func mergedLatencies(rows []Run) (*hdrhistogram.Histogram, error) {
 	all := hdrhistogram.New(1, 60e6, 3)
 	for i := range rows {
 		for k := range rows[i].Types {
@@ -100,7 +100,7 @@
 }
 
 // overTime is a mean over seeds, second by second.
-func overTime(rows []Run, of func(*Second) float64) plotter.XYs {
+func meanBySecond(rows []Run, of func(*Second) float64) plotter.XYs {
 	var xy plotter.XYs
 	for i := range rows[0].Seconds {
 		sum, n := 0.0, 0
@@ -121,26 +121,26 @@
 	panels      []panel
 }
 
-var courses = []struct {
+var timeSeries = []struct {
 	name, title, note, y string
 	of                   func(*Second) float64
 	most                 float64 // of the axis; 0: what there is
 }{
 	{"worth", "Worth over time", "Value served in time, as a share of what was asked first in that second.", "share",
-		func(s *Second) float64 { return s.Worth }, 1.4},
+		func(s *Second) float64 { return s.ValueShare }, 1.4},
 	{"refused", "Refused tries", "Busy replies a second.", "a second",
 		func(s *Second) float64 { return float64(s.Refused) }, 0},
 	{"again", "Tries an op", "First and further tries of clients, for each first one.", "tries",
-		func(s *Second) float64 { return 1 + float64(s.Again)/float64(max(s.Asked, 1)) }, 0},
+		func(s *Second) float64 { return 1 + float64(s.Retries)/float64(max(s.Arrivals, 1)) }, 0},
 	{"slots", "Empty writer slots",
 		"Share of looks at drivers and groups that found the slot empty; nothing for plain policies.", "share",
-		func(s *Second) float64 { return s.Empty }, 0},
+		func(s *Second) float64 { return s.WithoutPrimary }, 0},
 	{"held", "Held writes", "Writes that wait without a send out, all drivers together.", "writes",
-		func(s *Second) float64 { return s.Held }, 0},
+		func(s *Second) float64 { return s.PendingWrites }, 0},
 }
 
 // drawing is rows taken apart by size and variant, and the sections that were drawn of them.
-type drawing struct {
+type sectionBuilder struct {
 	rows     []Run
 	cells    []cell
 	variants []string
@@ -148,7 +148,7 @@
 }
 
 // in are the rows of a variant at a size.
-func (d *drawing) in(c cell, variant string) []Run {
+func (d *sectionBuilder) in(c cell, variant string) []Run {
 	return slices.DeleteFunc(slices.Clone(d.rows), func(r Run) bool {
 		return r.cell() != c || r.Variant != variant
 	})
@@ -170,7 +170,7 @@
 }
 
 // draw adds a section.
-func (d *drawing) draw(h chart) error {
+func (d *sectionBuilder) addChart(h chart) error {
 	s := section{Title: h.title, Note: h.note}
 	for _, c := range d.cells {
 		p := newPlot(c.title(), h.x, h.y)
@@ -197,25 +197,25 @@
 }
 
 // draws makes all panels of rows: outcomes, courses over time, latencies, load by member.
-func draws(rows []Run) ([]section, error) {
-	d := &drawing{rows: rows, cells: sizes(rows)}
+func newSections(rows []Run) ([]section, error) {
+	d := &sectionBuilder{rows: rows, cells: cellsOf(rows)}
 	for i := range rows {
 		if !slices.Contains(d.variants, rows[i].Variant) {
 			d.variants = append(d.variants, rows[i].Variant)
 		}
 	}
 	var charts []chart
-	for _, c := range courses {
+	for _, c := range timeSeries {
 		charts = append(charts, chart{c.name, c.title, c.note, "second", c.y, c.most,
-			func(p *plot.Plot, n int, rows []Run, v string) error { return Line(p, n, v, overTime(rows, c.of)) }})
+			func(p *plot.Plot, n int, rows []Run, v string) error { return Line(p, n, v, meanBySecond(rows, c.of)) }})
 	}
 	charts = append(charts,
 		chart{"latency", "Latency of acked ops", "From a client's first try; the axis counts nines.", "quantile", "ms", 0,
-			addLatency},
+			drawLatency},
 		chart{"members", "Load by member", "Share of its cores' time that each member was busy, the busiest first.", "member",
-			"share", 0, addMembers})
+			"share", 0, drawUtilization})
 	for _, h := range charts {
-		if err := d.draw(h); err != nil {
+		if err := d.addChart(h); err != nil {
 			return nil, err
 		}
 	}
@@ -224,8 +224,8 @@
 }
 
 // addLatency draws the quantiles of a variant's acked ops.
-func addLatency(p *plot.Plot, n int, rows []Run, variant string) error {
-	h, err := merged(rows)
+func drawLatency(p *plot.Plot, n int, rows []Run, variant string) error {
+	h, err := mergedLatencies(rows)
 	if err != nil || h.TotalCount() == 0 {
 		return err
 	}
@@ -240,11 +240,11 @@
 }
 
 // addMembers draws how busy members were, the mean over a variant's seeds.
-func addMembers(p *plot.Plot, n int, rows []Run, variant string) error {
+func drawUtilization(p *plot.Plot, n int, rows []Run, variant string) error {
 	busy := make([]float64, len(rows[0].Members))
 	for i := range rows {
 		for k, m := range rows[i].Members {
-			busy[k] += m.Busy / float64(len(rows))
+			busy[k] += m.Utilization / float64(len(rows))
 		}
 	}
 	if len(busy) < 2 {
@@ -259,7 +259,7 @@
 }
 
 // outcomes are stacked bars, a panel a cell: what came of ops' tries, variant by variant.
-func (d *drawing) outcomes() (section, error) {
+func (d *sectionBuilder) outcomes() (section, error) {
 	s := section{Title: "Outcomes", Note: "Of all tries: acked in time, acked late, refused, failed."}
 	names := []string{"in time", "late", "refused", "failed"}
 	shades := []color.Color{color.RGBA{0, 158, 115, 255}, color.RGBA{240, 228, 66, 255}, color.RGBA{86, 180, 233, 255},
@@ -272,7 +272,7 @@
 			all := 1e-9
 			for _, r := range d.in(c, v) {
 				for _, t := range r.Types {
-					for i, x := range [4]int64{t.InTime, t.Acked - t.InTime, t.Refused, t.Failed} {
+					for i, x := range [4]int64{t.WithinTarget, t.Acked - t.WithinTarget, t.Refused, t.Failed} {
 						n[i], all = n[i]+float64(x), all+float64(x)
 					}
 				}
@@ -320,17 +320,17 @@
 
 // Page writes one HTML file with all that there is to see of rows; text may be a comparison. With a folder, each
 // picture goes there as PNG too.
-func Page(out io.Writer, title string, notes []string, rows []Run, text, pngs string) error {
+func WritePage(out io.Writer, title string, notes []string, rows []Run, text, pngs string) error {
 	if len(rows) == 0 {
 		return fmt.Errorf("no runs to report on")
 	}
-	sections, err := draws(rows)
+	sections, err := newSections(rows)
 	if err != nil {
 		return err
 	}
 	data := pageData{Title: title, Notes: notes, Text: text, Head: []string{"run"}, Table: table(rows)}
 	for _, s := range sections {
-		x, err := s.show(pngs)
+		x, err := s.render(pngs)
 		if err != nil {
 			return err
 		}
@@ -348,19 +348,19 @@
 	Notes    []string
 	Head     []string
 	Table    [][]string
-	Sections []shown
+	Sections []renderedSection
 	Text     string
 }
 
 // shown is a section with its pictures drawn.
-type shown struct {
+type renderedSection struct {
 	Title, Note string
 	Pictures    []template.HTML
 }
 
 // show draws a section's pictures; with a folder, there as PNG too.
-func (s *section) show(pngs string) (shown, error) {
-	x := shown{Title: s.Title, Note: s.Note}
+func (s *section) render(pngs string) (renderedSection, error) {
+	x := renderedSection{Title: s.Title, Note: s.Note}
 	for i := range s.panels {
 		picture, err := s.panels[i].svg()
 		if err != nil {
@@ -378,7 +378,7 @@
 
 // table is a line for each variant at each size: every measure's mean over seeds, and half its interval.
 func table(rows []Run) (lines [][]string) {
-	for _, c := range sizes(rows) {
+	for _, c := range cellsOf(rows) {
 		seen := map[string]bool{}
 		for _, r := range rows {
 			if r.cell() != c || seen[r.Variant] {
@@ -387,7 +387,7 @@
 			seen[r.Variant] = true
 			line := []string{fmt.Sprintf("%s, %d drivers, load %g: %s", c.experiment, c.drivers, c.load, r.Variant)}
 			for _, m := range Measures {
-				line = append(line, measured(rows, c, r.Variant, m))
+				line = append(line, tableCell(rows, c, r.Variant, m))
 			}
 			lines = append(lines, line)
 		}
@@ -395,11 +395,11 @@
 	return lines
 }
 
-func measured(rows []Run, c cell, variant string, m Measure) string {
+func tableCell(rows []Run, c cell, variant string, m Measure) string {
 	var values []float64
 	for i := range rows {
 		if x := &rows[i]; x.cell() == c && x.Variant == variant {
-			values = append(values, m.Of(x))
+			values = append(values, m.Value(x))
 		}
 	}
 	mean, half := Interval(values)
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -35,7 +35,7 @@
 	rows := make([]Run, len(plans))
 	var left []int
 	for i := range plans {
-		if kept, err := Load(filepath.Join(runs, plans[i].key(r.Build))); err == nil && len(kept) == 1 {
+		if kept, err := Load(filepath.Join(runs, plans[i].fileName(r.Build))); err == nil && len(kept) == 1 {
 			rows[i] = kept[0]
 		} else {
 			left = append(left, i)
@@ -67,17 +67,17 @@
 	each := max(1, r.Cores/max(len(left), 1))
 	for n, i := range left {
 		g.Go(func() error {
-			result, err := emulator.Play(plans[i].Setup, each, func(share float64) bool {
+			result, err := emulator.Run(plans[i].Setup, each, func(share float64) bool {
 				progress(n, min(share, 0.999), false)
 				return ctx.Err() == nil
 			})
 			if err != nil {
 				return fmt.Errorf("experiment %q, variant %q: %w", plans[i].Experiment, plans[i].Variant, err)
 			}
-			if rows[i], err = row(plans[i], r.Build, result); err != nil {
+			if rows[i], err = newRun(plans[i], r.Build, result); err != nil {
 				return err
 			}
-			if err := Save(filepath.Join(runs, plans[i].key(r.Build)), rows[i:i+1]); err != nil {
+			if err := Save(filepath.Join(runs, plans[i].fileName(r.Build)), rows[i:i+1]); err != nil {
 				return err
 			}
 			progress(n, 1, true)
@@ -91,17 +91,17 @@
 }
 
 // Play plays one plan on one core.
-func Play(p Plan, build string) (Run, error) {
-	r, err := emulator.Play(p.Setup, 1, nil)
+func RunPlan(p Plan, build string) (Run, error) {
+	r, err := emulator.Run(p.Setup, 1, nil)
 	if err != nil {
 		return Run{}, err
 	}
-	return row(p, build, r)
+	return newRun(p, build, r)
 }
 
 // cost is about how much work a run is, in no unit.
 func (p *Plan) cost() float64 {
 	s := &p.Setup
-	ops := s.Load * float64(s.Groups*s.Members*s.Cores) / s.Work * s.For
-	return ops*12 + s.For/5*float64(s.Drivers)*float64(1+s.Groups*s.Members)/10
+	ops := s.Load * float64(s.Groups*s.Members*s.Cores) / s.ServiceTime * s.Duration
+	return ops*12 + s.Duration/5*float64(s.Drivers)*float64(1+s.Groups*s.Members)/10
 }
--- a/internal/lab/experiment/scenario.go
+++ b/internal/lab/experiment/scenario.go
@@ -20,33 +20,33 @@
 
 // File is what a file holds.
 type File struct {
-	Scenarios   []scenario   `hcl:"scenario,block"`
-	Experiments []Experiment `hcl:"experiment,block"`
+	Scenarios   []scenarioBlock `hcl:"scenario,block"`
+	Experiments []Experiment    `hcl:"experiment,block"`
 }
 
 // scenario is a world with its clients and faults.
-type scenario struct {
-	Name        string  `hcl:"name,label"`
-	Drivers     int     `hcl:"drivers,optional"`
-	Groups      int     `hcl:"groups,optional"`
-	Members     int     `hcl:"members,optional"`
-	Cores       int     `hcl:"cores,optional"`
-	Work        string  `hcl:"work,optional"`
-	Load        float64 `hcl:"load,optional"`
-	Lag         string  `hcl:"lag,optional"`
-	For         string  `hcl:"for,optional"`
-	Retries     int     `hcl:"retries,optional"`
-	Zones       int     `hcl:"zones,optional"`
-	Hop         string  `hcl:"hop,optional"`
-	FarHop      string  `hcl:"far_hop,optional"`
-	Handshake   string  `hcl:"handshake,optional"`
-	Connections int     `hcl:"connections,optional"`
-	Elect       string  `hcl:"elect,optional"`
-	Ops         []kind  `hcl:"op,block"`
-	Faults      []fault `hcl:"fault,block"`
+type scenarioBlock struct {
+	Name        string       `hcl:"name,label"`
+	Drivers     int          `hcl:"drivers,optional"`
+	Groups      int          `hcl:"groups,optional"`
+	Members     int          `hcl:"members,optional"`
+	Cores       int          `hcl:"cores,optional"`
+	Work        string       `hcl:"work,optional"`
+	Load        float64      `hcl:"load,optional"`
+	Lag         string       `hcl:"lag,optional"`
+	For         string       `hcl:"for,optional"`
+	Retries     int          `hcl:"retries,optional"`
+	Zones       int          `hcl:"zones,optional"`
+	Hop         string       `hcl:"hop,optional"`
+	FarHop      string       `hcl:"far_hop,optional"`
+	Handshake   string       `hcl:"handshake,optional"`
+	Connections int          `hcl:"connections,optional"`
+	Elect       string       `hcl:"elect,optional"`
+	Ops         []opBlock    `hcl:"op,block"`
+	Faults      []faultBlock `hcl:"fault,block"`
 }
 
-type kind struct {
+type opBlock struct {
 	Name    string  `hcl:"name,label"`
 	Share   float64 `hcl:"share"`
 	Need    string  `hcl:"need"`
@@ -58,7 +58,7 @@
 	Value   float64 `hcl:"value,optional"`
 }
 
-type fault struct {
+type faultBlock struct {
 	What string  `hcl:"what,label"`
 	At   string  `hcl:"at"`
 	For  string  `hcl:"for,optional"`
@@ -68,22 +68,22 @@
 
 // Experiment is a scenario in variants, at sizes, by seeds.
 type Experiment struct {
-	Name     string    `hcl:"name,label"`
-	Scenario string    `hcl:"scenario"`
-	Seeds    int       `hcl:"seeds,optional"`
-	Drivers  []int     `hcl:"drivers,optional"`
-	Loads    []float64 `hcl:"loads,optional"`
-	Variants []variant `hcl:"variant,block"`
+	Name     string         `hcl:"name,label"`
+	Scenario string         `hcl:"scenario"`
+	Seeds    int            `hcl:"seeds,optional"`
+	Drivers  []int          `hcl:"drivers,optional"`
+	Loads    []float64      `hcl:"loads,optional"`
+	Variants []variantBlock `hcl:"variant,block"`
 }
 
-type variant struct {
-	Name     string  `hcl:"name,label"`
-	Policy   string  `hcl:"policy,optional"`
-	Retries  *int    `hcl:"retries,optional"`
-	Advice   *bool   `hcl:"advice,optional"`
-	Probes   *bool   `hcl:"probes,optional"`
-	Messages float64 `hcl:"messages,optional"`
-	Faults   []fault `hcl:"fault,block"` // beside the scenario's
+type variantBlock struct {
+	Name     string       `hcl:"name,label"`
+	Policy   string       `hcl:"policy,optional"`
+	Retries  *int         `hcl:"retries,optional"`
+	Advice   *bool        `hcl:"advice,optional"`
+	Probes   *bool        `hcl:"probes,optional"`
+	Messages float64      `hcl:"messages,optional"`
+	Faults   []faultBlock `hcl:"fault,block"` // beside the scenario's
 }
 
 // Plan is one run to be played.
@@ -93,7 +93,7 @@
 }
 
 // Read takes a file's text apart into the runs that it asks for. Errors name file, line and column.
-func Read(name string, text []byte) ([]Plan, error) {
+func ParseFile(name string, text []byte) ([]Plan, error) {
 	var f File
 	if err := hclsimple.Decode(name, text, nil, &f); err != nil {
 		if all := (hcl.Diagnostics)(nil); errors.As(err, &all) && len(all) > 0 {
@@ -149,7 +149,7 @@
 				for i := range e.Variants {
 					v, s := &e.Variants[i], base
 					s.Drivers, s.Load, s.Seed = drivers, load, uint64(seed+1)
-					if err := v.change(&s); err != nil {
+					if err := v.apply(&s); err != nil {
 						return nil, fmt.Errorf("experiment %q, variant %q: %w", e.Name, v.Name, err)
 					}
 					plans = append(plans, Plan{e.Name, e.Scenario, v.Name, s})
@@ -161,14 +161,14 @@
 }
 
 // change puts what a variant has of its own into a setup.
-func (v *variant) change(s *emulator.Setup) error {
+func (v *variantBlock) apply(s *emulator.Setup) error {
 	s.Policy = cmp.Or(v.Policy, "module")
 	if v.Retries != nil {
 		s.Retries = *v.Retries
 	}
 	s.NoAdvice = v.Advice != nil && !*v.Advice
-	s.Messages, s.NoProbes = v.Messages, v.Probes != nil && !*v.Probes
-	more, err := faults(v.Faults)
+	s.MessageRate, s.NoProbes = v.Messages, v.Probes != nil && !*v.Probes
+	more, err := setupFaults(v.Faults)
 	s.Faults = append(append([]emulator.Fault{}, s.Faults...), more...)
 	return cmp.Or(err, s.Check())
 }
@@ -181,7 +181,7 @@
 )
 
 // span reads a time, in milliseconds.
-func span(text string, usual float64) (float64, error) {
+func milliseconds(text string, usual float64) (float64, error) {
 	if text == "" {
 		return usual, nil
 	}
@@ -192,30 +192,30 @@
 	return float64(d) / float64(time.Millisecond), err
 }
 
-func (s *scenario) setup() (emulator.Setup, error) {
+func (s *scenarioBlock) setup() (emulator.Setup, error) {
 	e := emulator.Setup{
-		Drivers:     cmp.Or(s.Drivers, 3),
-		Groups:      cmp.Or(s.Groups, 1),
-		Members:     cmp.Or(s.Members, 5),
-		Cores:       cmp.Or(s.Cores, 4),
-		Load:        cmp.Or(s.Load, 0.4),
-		Retries:     s.Retries,
-		Zones:       s.Zones,
-		Connections: s.Connections,
-		Policy:      "module",
+		Drivers:        cmp.Or(s.Drivers, 3),
+		Groups:         cmp.Or(s.Groups, 1),
+		Members:        cmp.Or(s.Members, 5),
+		Cores:          cmp.Or(s.Cores, 4),
+		Load:           cmp.Or(s.Load, 0.4),
+		Retries:        s.Retries,
+		Zones:          s.Zones,
+		MaxConnections: s.Connections,
+		Policy:         "module",
 	}
 	var problem error
 	read := func(to *float64, text string, usual float64) {
-		x, err := span(text, usual)
+		x, err := milliseconds(text, usual)
 		*to, problem = x, cmp.Or(problem, err)
 	}
-	read(&e.Work, s.Work, 40)
-	read(&e.Lag, s.Lag, 20)
-	read(&e.For, s.For, 30000)
-	read(&e.Hop, s.Hop, 0)
-	read(&e.FarHop, s.FarHop, 0)
+	read(&e.ServiceTime, s.Work, 40)
+	read(&e.ReplicationLag, s.Lag, 20)
+	read(&e.Duration, s.For, 30000)
+	read(&e.ZoneLatency, s.Hop, 0)
+	read(&e.CrossZoneLatency, s.FarHop, 0)
 	read(&e.Handshake, s.Handshake, 0)
-	read(&e.Elect, s.Elect, 0)
+	read(&e.ElectionTime, s.Elect, 0)
 	for _, k := range s.Ops {
 		need, known := needs[k.Need]
 		effect, known2 := effects[k.Effect]
@@ -227,25 +227,25 @@
 		read(&t.Window, k.Window, 0)
 		read(&t.LatencyTarget, k.Target, 0)
 		read(&t.OpTimeout, k.Timeout, 0)
-		e.Mix = append(e.Mix, emulator.Kind{Name: k.Name, Share: k.Share, OpType: t})
+		e.Mix = append(e.Mix, emulator.OpKind{Name: k.Name, Share: k.Share, OpType: t})
 	}
 	var err error
-	e.Faults, err = faults(s.Faults)
+	e.Faults, err = setupFaults(s.Faults)
 	return e, cmp.Or(problem, err, e.Check())
 }
 
-func faults(all []fault) (out []emulator.Fault, problem error) {
+func setupFaults(all []faultBlock) (out []emulator.Fault, problem error) {
 	for _, f := range all {
-		at, err := span(f.At, 0)
-		length, err2 := span(f.For, 0)
+		at, err := milliseconds(f.At, 0)
+		length, err2 := milliseconds(f.For, 0)
 		problem = cmp.Or(problem, err, err2)
-		out = append(out, emulator.Fault{At: at, For: length, What: f.What, On: cmp.Or(f.On, "all"), By: f.By})
+		out = append(out, emulator.Fault{At: at, Duration: length, Kind: f.What, Target: cmp.Or(f.On, "all"), Factor: f.By})
 	}
 	return out, problem
 }
 
 // text is a setup as it is kept beside its result.
-func text(s emulator.Setup) string {
+func setupJSON(s emulator.Setup) string {
 	b, err := json.Marshal(s)
 	if err != nil {
 		panic(err)
--- a/internal/lab/experiment/store.go
+++ b/internal/lab/experiment/store.go
@@ -18,76 +18,76 @@
 
 // Run is one row.
 type Run struct {
-	Experiment string    `parquet:"experiment,dict"`
-	Scenario   string    `parquet:"scenario,dict"`
-	Variant    string    `parquet:"variant,dict"`
-	Build      string    `parquet:"build,dict"`
-	Drivers    int32     `parquet:"drivers"`
-	Load       float64   `parquet:"load"`
-	Seed       uint64    `parquet:"seed"`
-	Setup      string    `parquet:"setup"` // JSON
-	Asked      int64     `parquet:"asked"`
-	Worth      float64   `parquet:"worth"`
-	Sends      int64     `parquet:"sends"`
-	Words      int64     `parquet:"words"`
-	Connects   int64     `parquet:"connects"`
-	Lost       int64     `parquet:"lost"`
-	Events     int64     `parquet:"events"`
-	Broken     []Broken  `parquet:"broken,list"`
-	Types      []Type    `parquet:"types,list"`
-	Seconds    []Second  `parquet:"seconds,list"`
-	Members    []Member  `parquet:"members,list"`
-	Openings   []Opening `parquet:"openings,list"`
-	Gaps       []float64 `parquet:"gaps,list"`
+	Experiment string      `parquet:"experiment,dict"`
+	Scenario   string      `parquet:"scenario,dict"`
+	Variant    string      `parquet:"variant,dict"`
+	Build      string      `parquet:"build,dict"`
+	Drivers    int32       `parquet:"drivers"`
+	Load       float64     `parquet:"load"`
+	Seed       uint64      `parquet:"seed"`
+	Setup      string      `parquet:"setup"` // JSON
+	Ops        int64       `parquet:"asked"`
+	ValueShare float64     `parquet:"worth"`
+	Sends      int64       `parquet:"sends"`
+	Messages   int64       `parquet:"words"`
+	Connects   int64       `parquet:"connects"`
+	Lost       int64       `parquet:"lost"`
+	Events     int64       `parquet:"events"`
+	Violations []Violation `parquet:"broken,list"`
+	Types      []Type      `parquet:"types,list"`
+	Seconds    []Second    `parquet:"seconds,list"`
+	Members    []Member    `parquet:"members,list"`
+	Promotions []Promotion `parquet:"openings,list"`
+	WriteGaps  []float64   `parquet:"gaps,list"`
 }
 
 // The parts of a run. Their fields are those of the emulator.
 type (
 	// Broken is a rule that was broken.
-	Broken struct {
+	Violation struct {
 		Rule  string `parquet:"rule"`
-		Times int64  `parquet:"times"`
+		Count int64  `parquet:"times"`
 	}
 	// Type is an op type.
 	Type struct {
-		Name    string  `parquet:"name"`
-		Value   float64 `parquet:"value"`
-		Acked   int64   `parquet:"acked"`
-		Refused int64   `parquet:"refused"`
-		Failed  int64   `parquet:"failed"`
-		InTime  int64   `parquet:"in_time"`
-		Latency []byte  `parquet:"latency"` // HdrHistogram's compressed form, microseconds
+		Name         string  `parquet:"name"`
+		Value        float64 `parquet:"value"`
+		Acked        int64   `parquet:"acked"`
+		Refused      int64   `parquet:"refused"`
+		Failed       int64   `parquet:"failed"`
+		WithinTarget int64   `parquet:"in_time"`
+		Latency      []byte  `parquet:"latency"` // HdrHistogram's compressed form, microseconds
 	}
 	// Second is a second of the play.
 	Second struct {
-		Asked   int64   `parquet:"asked"`
-		Again   int64   `parquet:"again"`
-		Acked   int64   `parquet:"acked"`
-		Refused int64   `parquet:"refused"`
-		Failed  int64   `parquet:"failed"`
-		Worth   float64 `parquet:"worth"` // of what was asked first in it
-		Empty   float64 `parquet:"empty"` // share of looks at slots that found none filled
-		Held    float64 `parquet:"held"`  // writes held, all drivers, on average
+		Arrivals       int64   `parquet:"asked"`
+		Retries        int64   `parquet:"again"`
+		Acked          int64   `parquet:"acked"`
+		Refused        int64   `parquet:"refused"`
+		Failed         int64   `parquet:"failed"`
+		ValueShare     float64 `parquet:"worth"` // of what was asked first in it
+		WithoutPrimary float64 `parquet:"empty"` // share of looks at slots that found none filled
+		PendingWrites  float64 `parquet:"held"`  // writes held, all drivers, on average
 	}
 	// Member is a member over all of the play.
 	Member struct {
-		Name   string  `parquet:"name"`
-		Served int64   `parquet:"served"`
-		Wait   float64 `parquet:"wait"`
-		Busy   float64 `parquet:"busy"`
-		Conns  int32   `parquet:"conns"`
+		Name        string  `parquet:"name"`
+		Served      int64   `parquet:"served"`
+		MeanWait    float64 `parquet:"wait"`
+		Utilization float64 `parquet:"busy"`
+		PeakConns   int32   `parquet:"conns"`
 	}
 	// Opening is a new primary's first second.
-	Opening struct {
-		At    float64 `parquet:"at"`
-		Group int64   `parquet:"group"`
-		Sends int64   `parquet:"sends"`
-		Can   float64 `parquet:"can"`
+	Promotion struct {
+		At       float64 `parquet:"at"`
+		Group    int64   `parquet:"group"`
+		Sends    int64   `parquet:"sends"`
+		Capacity float64 `parquet:"can"`
 	}
 )
 
 // row makes a run's row.
-func row(p Plan, build string, r *emulator.Result) (Run, error) {
+func newRun(p Plan, build string, r *emulator.Result) (Run, error) {
 	run := Run{
 		Experiment: p.Experiment,
 		Scenario:   p.Scenario,
@@ -96,56 +96,56 @@
 		Drivers:    int32(p.Setup.Drivers),
 		Load:       p.Setup.Load,
 		Seed:       p.Setup.Seed,
-		Setup:      text(p.Setup),
-		Asked:      int64(r.Asked),
-		Worth:      r.Worth,
+		Setup:      setupJSON(p.Setup),
+		Ops:        int64(r.Ops),
+		ValueShare: r.ValueShare,
 		Sends:      int64(r.Sends()),
-		Words:      int64(r.Words()),
+		Messages:   int64(r.Messages()),
 		Connects:   int64(r.Connects()),
 		Lost:       int64(r.Lost),
 		Events:     int64(r.Events),
-		Gaps:       r.Gaps,
+		WriteGaps:  r.WriteGaps,
 	}
-	for rule, n := range r.Broken {
-		run.Broken = append(run.Broken, Broken{rule, int64(n)})
+	for rule, n := range r.Violations {
+		run.Violations = append(run.Violations, Violation{rule, int64(n)})
 	}
-	slices.SortFunc(run.Broken, func(a, b Broken) int { return int(a.Rule[len(a.Rule)-1]) - int(b.Rule[len(b.Rule)-1]) })
+	slices.SortFunc(run.Violations, func(a, b Violation) int { return int(a.Rule[len(a.Rule)-1]) - int(b.Rule[len(b.Rule)-1]) })
 	for i := range r.Types {
 		f, k := &r.Types[i], &r.Setup.Mix[i]
 		latency, err := f.Latency.Encode(hdrhistogram.V2CompressedEncodingCookieBase)
 		if err != nil {
 			return run, err
 		}
-		run.Types = append(run.Types, Type{k.Name, k.Value, int64(f.Ends[emulator.Acked]), int64(f.Ends[emulator.Refused]),
-			int64(f.Ends[emulator.Failed]), int64(f.InTime), latency})
+		run.Types = append(run.Types, Type{k.Name, k.Value, int64(f.Outcomes[emulator.Acked]), int64(f.Outcomes[emulator.Refused]),
+			int64(f.Outcomes[emulator.Failed]), int64(f.WithinTarget), latency})
 	}
-	for i := range r.Seconds[:int(r.Setup.For/1000)] {
+	for i := range r.Seconds[:int(r.Setup.Duration/1000)] {
 		s := &r.Seconds[i]
 		x := Second{
-			Again:   int64(s.Again),
-			Acked:   int64(s.Ends[emulator.Acked]),
-			Refused: int64(s.Ends[emulator.Refused]),
-			Failed:  int64(s.Ends[emulator.Failed]),
+			Retries: int64(s.Retries),
+			Acked:   int64(s.Outcomes[emulator.Acked]),
+			Refused: int64(s.Outcomes[emulator.Refused]),
+			Failed:  int64(s.Outcomes[emulator.Failed]),
 		}
 		asked, served, empty := 0.0, 0.0, 0
-		for k := range s.Asked {
-			x.Asked += int64(s.Asked[k])
-			asked += float64(s.Asked[k]) * r.Setup.Mix[k].Value
-			served += float64(s.InTime[k]) * r.Setup.Mix[k].Value
+		for k := range s.Arrivals {
+			x.Arrivals += int64(s.Arrivals[k])
+			asked += float64(s.Arrivals[k]) * r.Setup.Mix[k].Value
+			served += float64(s.WithinTarget[k]) * r.Setup.Mix[k].Value
 		}
-		for _, n := range s.Empty {
+		for _, n := range s.WithoutPrimary {
 			empty += n
 		}
-		x.Worth = served / max(asked, 1)
-		x.Empty = float64(empty) / float64(max(s.Looks*r.Setup.Groups, 1))
-		x.Held = float64(s.Held) / max(float64(s.Looks)/float64(r.Setup.Drivers), 1)
+		x.ValueShare = served / max(asked, 1)
+		x.WithoutPrimary = float64(empty) / float64(max(s.Samples*r.Setup.Groups, 1))
+		x.PendingWrites = float64(s.PendingWrites) / max(float64(s.Samples)/float64(r.Setup.Drivers), 1)
 		run.Seconds = append(run.Seconds, x)
 	}
-	for _, m := range r.Served {
-		run.Members = append(run.Members, Member{m.Member, int64(m.Served), m.Wait, m.Busy, int32(m.Conns)})
+	for _, m := range r.Members {
+		run.Members = append(run.Members, Member{m.Member, int64(m.Served), m.MeanWait, m.Utilization, int32(m.PeakConns)})
 	}
-	for _, o := range r.Openings {
-		run.Openings = append(run.Openings, Opening{o.At, o.Group, int64(o.Sends), o.Can})
+	for _, o := range r.Promotions {
+		run.Promotions = append(run.Promotions, Promotion{o.At, o.Group, int64(o.Sends), o.Capacity})
 	}
 	return run, nil
 }
@@ -154,9 +154,9 @@
 func (t *Type) histogram() (*hdrhistogram.Histogram, error) { return hdrhistogram.Decode(t.Latency) }
 
 // key names a run's file: another setup, build or name gives another.
-func (p *Plan) key(build string) string {
+func (p *Plan) fileName(build string) string {
 	h := fnv.New64a()
-	fmt.Fprintf(h, "%q %q %q %q %s", p.Experiment, p.Scenario, p.Variant, build, text(p.Setup))
+	fmt.Fprintf(h, "%q %q %q %q %s", p.Experiment, p.Scenario, p.Variant, build, setupJSON(p.Setup))
 	return fmt.Sprintf("%016x.parquet", h.Sum64())
 }
 
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -25,29 +25,29 @@
 
 // Options describe a fleet.
 type Options struct {
-	Program string // the built one
-	Drivers int
-	Spare   int           // places more, for drivers that come later
-	Period  time.Duration // of membership; 200 ms without
-	Yield   time.Duration
-	Seeds   func(i int) []int // whom driver i is told to look for; nil: the first three
-	Expect  int               // 0: as many as Drivers
-	Seed    uint64
-	Cluster *lab.Cluster
+	Program         string // the built one
+	Drivers         int
+	Spare           int           // places more, for drivers that come later
+	Period          time.Duration // of membership; 200 ms without
+	TakeoverAfter   time.Duration
+	Seeds           func(i int) []int // whom driver i is told to look for; nil: the first three
+	ExpectedDrivers int               // 0: as many as Drivers
+	Seed            uint64
+	Cluster         *lab.Cluster
 
-	Webhook string   // of the topology manager, for moves of primaries
-	Zones   []string // of the drivers, in turn, which decide on zones in common; nil: they do not
-	Keep    bool     // each place has a folder in which its drivers keep their votes
+	Webhook   string   // of the topology manager, for moves of primaries
+	Zones     []string // of the drivers, in turn, which decide on zones in common; nil: they do not
+	KeepVotes bool     // each place has a folder in which its drivers keep their votes
 
-	Secret func(i int) string // its own secret; nil: the same for all
-	Lists  func(i int) string // its own address of discovery; nil: the cluster's
+	Secret    func(i int) string // its own secret; nil: the same for all
+	Discovery func(i int) string // its own address of discovery; nil: the cluster's
 }
 
 // Fleet is one that runs.
 type Fleet struct {
 	Links   *links.Network
 	Drivers []*Driver
-	o       Options
+	options Options
 	folder  string
 }
 
@@ -57,8 +57,8 @@
 	Address string // for clients
 	Control *control.Client
 
-	f      *Fleet
-	i      int
+	fleet  *Fleet
+	index  int
 	socket string
 	mu     sync.Mutex
 	log    bytes.Buffer
@@ -95,11 +95,11 @@
 	if o.Period == 0 {
 		o.Period = 200 * time.Millisecond
 	}
-	if o.Yield == 0 {
-		o.Yield = 5 * time.Second
+	if o.TakeoverAfter == 0 {
+		o.TakeoverAfter = 5 * time.Second
 	}
-	if o.Expect == 0 {
-		o.Expect = o.Drivers
+	if o.ExpectedDrivers == 0 {
+		o.ExpectedDrivers = o.Drivers
 	}
 	if o.Seeds == nil {
 		o.Seeds = func(i int) []int {
@@ -114,13 +114,13 @@
 	if err != nil {
 		return nil, err
 	}
-	f := &Fleet{o: o, folder: folder}
+	f := &Fleet{options: o, folder: folder}
 	if f.Links, err = links.New(o.Drivers+o.Spare, o.Seed); err != nil {
 		_ = os.RemoveAll(folder)
 		return nil, err
 	}
 	for i := range o.Drivers + o.Spare {
-		d := &Driver{Name: fmt.Sprintf("n%d", i), f: f, i: i, socket: filepath.Join(folder, fmt.Sprintf("%d.sock", i))}
+		d := &Driver{Name: fmt.Sprintf("n%d", i), fleet: f, index: i, socket: filepath.Join(folder, fmt.Sprintf("%d.sock", i))}
 		d.Control = control.NewClient(d.socket, "")
 		d.Address = f.Links.ServeAddr(i)
 		f.Drivers = append(f.Drivers, d)
@@ -141,14 +141,14 @@
 // StartAll starts every driver but the spare ones.
 func (f *Fleet) StartAll() error {
 	var all []int
-	for i := range f.o.Drivers {
+	for i := range f.options.Drivers {
 		all = append(all, i)
 	}
-	return f.StartThese(all...)
+	return f.StartDrivers(all...)
 }
 
 // StartThese starts some.
-func (f *Fleet) StartThese(of ...int) error {
+func (f *Fleet) StartDrivers(of ...int) error {
 	for _, i := range of {
 		if err := f.Drivers[i].Start(); err != nil {
 			return err
@@ -158,23 +158,23 @@
 }
 
 // write writes the files that a process at this place reads.
-func (d *Driver) write() error {
-	o := &d.f.o
+func (d *Driver) writeFiles() error {
+	o := &d.fleet.options
 	secret := "a secret of drivers"
 	if o.Secret != nil {
-		secret = o.Secret(d.i)
+		secret = o.Secret(d.index)
 	}
-	config := o.Cluster.Configuration(d.Name, d.Address, o.Expect, d.i)
+	config := o.Cluster.Configuration(d.Name, d.Address, o.ExpectedDrivers, d.index)
 	if len(o.Zones) > 0 {
-		config = bytes.ReplaceAll(config, []byte(`"zone": "a"`), fmt.Appendf(nil, `"zone": %q`, o.Zones[d.i%len(o.Zones)]))
+		config = bytes.ReplaceAll(config, []byte(`"zone": "a"`), fmt.Appendf(nil, `"zone": %q`, o.Zones[d.index%len(o.Zones)]))
 	}
-	if o.Lists != nil {
-		config = bytes.ReplaceAll(config, []byte(o.Cluster.Discovery()), []byte(o.Lists(d.i)))
+	if o.Discovery != nil {
+		config = bytes.ReplaceAll(config, []byte(o.Cluster.Discovery()), []byte(o.Discovery(d.index)))
 	}
 	var seeds []string
-	for _, s := range o.Seeds(d.i) {
-		if s != d.i {
-			seeds = append(seeds, fmt.Sprintf("%q", d.f.Links.AdvertisedAddr(s)))
+	for _, s := range o.Seeds(d.index) {
+		if s != d.index {
+			seeds = append(seeds, fmt.Sprintf("%q", d.fleet.Links.AdvertisedAddr(s)))
 		}
 	}
 	file := d.file
@@ -185,19 +185,19 @@
 			"  expect    = %d\n  yield     = %q\n}\n",
 		d.socket,
 		file("token"),
-		d.f.Links.ListenAddr(d.i),
-		d.f.Links.AdvertisedAddr(d.i),
+		d.fleet.Links.ListenAddr(d.index),
+		d.fleet.Links.AdvertisedAddr(d.index),
 		strings.Join(seeds, ", "),
 		o.Period,
-		o.Expect,
-		o.Yield,
+		o.ExpectedDrivers,
+		o.TakeoverAfter,
 	)
-	if o.Keep {
+	if o.KeepVotes {
 		operators = strings.Replace(operators, "  period ", fmt.Sprintf("  folder    = %q\n  period ", file("votes")), 1)
 	}
 	if len(o.Zones) > 0 {
 		operators = strings.Replace(operators, "  period ", fmt.Sprintf("  zone      = %q\n  period ",
-			o.Zones[d.i%len(o.Zones)]), 1)
+			o.Zones[d.index%len(o.Zones)]), 1)
 		operators += "zones {\n  region \"r\" {\n    zones = [\"a\", \"b\", \"c\"]\n  }\n  beat  = \"200ms\"\n" +
 			"  lease = \"3s\"\n  doubt = \"400ms\"\n  away  = \"1s\"\n  webhook = " +
 			fmt.Sprintf("%q", o.Webhook) + "\n}\n"
@@ -211,15 +211,15 @@
 }
 
 func (d *Driver) file(kind string) string {
-	return filepath.Join(d.f.folder, fmt.Sprintf("%d.%s", d.i, kind))
+	return filepath.Join(d.fleet.folder, fmt.Sprintf("%d.%s", d.index, kind))
 }
 
 // Start begins a process at this place, with no memory of an earlier one.
 func (d *Driver) Start() error {
-	if err := d.write(); err != nil {
+	if err := d.writeFiles(); err != nil {
 		return err
 	}
-	cmd := exec.Command(d.f.o.Program, "run", "--config", d.file("json"), "--operator", d.file("hcl"))
+	cmd := exec.Command(d.fleet.options.Program, "run", "--config", d.file("json"), "--operator", d.file("hcl"))
 	cmd.Stderr, cmd.Stdout = d, d
 	if err := cmd.Start(); err != nil {
 		return err
@@ -245,12 +245,12 @@
 }
 
 // Kill ends the process without a word, and waits until it is gone.
-func (d *Driver) Kill() { d.end(syscall.SIGKILL) }
+func (d *Driver) Kill() { d.terminate(syscall.SIGKILL) }
 
 // Stop asks it to end, and waits until it has.
-func (d *Driver) Stop() { d.end(syscall.SIGTERM) }
+func (d *Driver) Stop() { d.terminate(syscall.SIGTERM) }
 
-func (d *Driver) end(s syscall.Signal) {
+func (d *Driver) terminate(s syscall.Signal) {
 	d.mu.Lock()
 	cmd, ended := d.cmd, d.ended
 	d.cmd = nil
@@ -275,7 +275,7 @@
 }
 
 // Stands says whether all of these drivers have a standing now.
-func (f *Fleet) Stands(want membership.PartitionStatus, of ...int) bool {
+func (f *Fleet) HavePartitionStatus(want membership.PartitionStatus, of ...int) bool {
 	for _, i := range of {
 		if s, err := f.Drivers[i].Status(); err != nil || s.Partition != want {
 			return false
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -57,7 +57,7 @@
 	if err := f.StartAll(); err != nil {
 		t.Fatal(err)
 	}
-	f.await(t, "a whole fleet", func() bool { return f.Stands(membership.Complete, all...) })
+	f.await(t, "a whole fleet", func() bool { return f.HavePartitionStatus(membership.Complete, all...) })
 	return f
 }
 
@@ -68,7 +68,7 @@
 		o.Drivers = 5
 	}
 	if o.Cluster == nil {
-		c, err := lab.Start(lab.Options{Elect: 300 * time.Millisecond, Members: 3})
+		c, err := lab.Start(lab.Options{ElectionTime: 300 * time.Millisecond, Members: 3})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -128,7 +128,7 @@
 // With a folder a fleet that is killed as a whole, and whose machines come back one by one, is the same fleet: its first
 // driver waits for the rest and founds nothing, and all vote at once. A folder that has lost what it held is refused.
 func TestVotesOutliveProcesses(t *testing.T) {
-	f := start(t, Options{Seed: 21, Keep: true})
+	f := start(t, Options{Seed: 21, KeepVotes: true})
 	before, err := f.Drivers[0].Status()
 	if err != nil {
 		t.Fatal(err)
@@ -136,17 +136,17 @@
 	for _, d := range f.Drivers {
 		d.Kill()
 	}
-	if err := f.StartThese(0); err != nil {
+	if err := f.StartDrivers(0); err != nil {
 		t.Fatal(err)
 	}
-	f.await(t, "the first one back is alone", func() bool { return f.Stands(membership.Isolated, 0) })
+	f.await(t, "the first one back is alone", func() bool { return f.HavePartitionStatus(membership.Isolated, 0) })
 	if _, err := f.Drivers[0].Control.NotifyHook(context.Background(), switchover.Notification{Group: 1, Stage: switchover.StageHeld}); err == nil || !strings.Contains(err.Error(), "503") {
 		t.Errorf("a hold begun alone: %v", err)
 	}
-	if err := f.StartThese(1, 2); err != nil {
+	if err := f.StartDrivers(1, 2); err != nil {
 		t.Fatal(err)
 	}
-	f.await(t, "three of five", func() bool { return f.Stands(membership.Majority, 0, 1, 2) })
+	f.await(t, "three of five", func() bool { return f.HavePartitionStatus(membership.Majority, 0, 1, 2) })
 	s, err := f.Drivers[0].Status()
 	if err != nil || s.Roster.Lineage != before.Roster.Lineage || !slices.Equal(s.Roster.Names, before.Roster.Names) {
 		t.Fatalf("another fleet: %+v %v, before %+v", s.Roster, err, before.Roster)
@@ -168,7 +168,7 @@
 			}
 		}
 	}
-	if err := f.StartThese(2); err != nil {
+	if err := f.StartDrivers(2); err != nil {
 		t.Fatal(err)
 	}
 	f.await(t, "a spoilt folder is refused", func() bool { return strings.Contains(f.Drivers[2].Log(), "move it away") })
@@ -178,13 +178,13 @@
 	f := start(t, Options{Seed: 1})
 	f.Drivers[4].Kill()
 	f.await(t, "one killed", func() bool {
-		return f.sees(4, membership.Failed, 0, 1, 2, 3) && f.Stands(membership.Majority, 0, 1, 2, 3)
+		return f.sees(4, membership.Failed, 0, 1, 2, 3) && f.HavePartitionStatus(membership.Majority, 0, 1, 2, 3)
 	})
 	f.Drivers[3].Kill()
 	f.Drivers[2].Kill()
-	f.await(t, "the majority killed", func() bool { return f.Stands(membership.Minority, 0, 1) })
+	f.await(t, "the majority killed", func() bool { return f.HavePartitionStatus(membership.Minority, 0, 1) })
 	f.Drivers[1].Kill()
-	f.await(t, "all but one killed", func() bool { return f.Stands(membership.Isolated, 0) })
+	f.await(t, "all but one killed", func() bool { return f.HavePartitionStatus(membership.Isolated, 0) })
 	if s, err := f.Drivers[0].Status(); err != nil || s.Count != 10 || len(s.Roster.Names) != 5 {
 		t.Errorf("a loss may not shrink what is counted: %+v %v", s, err)
 	}
@@ -196,24 +196,26 @@
 			t.Fatal(err)
 		}
 	}
-	f.await(t, "all back", func() bool { return f.Stands(membership.Complete, all...) && f.rosterIs(5, all...) })
+	f.await(t, "all back", func() bool { return f.HavePartitionStatus(membership.Complete, all...) && f.rosterIs(5, all...) })
 }
 
 func TestStopsAndGrowth(t *testing.T) {
 	f := start(t, Options{Seed: 2, Spare: 1})
 	f.Drivers[4].Stop()
 	f.await(t, "one stopped", func() bool {
-		return f.sees(4, membership.Left, 0, 1, 2, 3) && f.Stands(membership.Complete, 0, 1, 2, 3) && f.rosterIs(4, 0, 1, 2, 3)
+		return f.sees(4, membership.Left, 0, 1, 2, 3) && f.HavePartitionStatus(membership.Complete, 0, 1, 2, 3) && f.rosterIs(4, 0, 1, 2, 3)
 	})
 	if err := f.Drivers[5].Start(); err != nil {
 		t.Fatal(err)
 	}
-	f.await(t, "another one", func() bool { return f.Stands(membership.Complete, 0, 1, 2, 3, 5) && f.rosterIs(5, 0, 1, 2, 3, 5) })
+	f.await(t, "another one", func() bool {
+		return f.HavePartitionStatus(membership.Complete, 0, 1, 2, 3, 5) && f.rosterIs(5, 0, 1, 2, 3, 5)
+	})
 	f.Drivers[5].Kill()
 	f.await(t, "and it fails", func() bool { return f.sees(5, membership.Failed, 0, 1, 2, 3) })
 	f.await(t, "and is forgotten", func() bool {
 		err := f.Drivers[0].Control.Forget(context.Background(), control.ForgetRequest{Name: "n5"})
-		return err == nil && f.Stands(membership.Complete, 0, 1, 2, 3) && f.rosterIs(4, 0, 1, 2, 3)
+		return err == nil && f.HavePartitionStatus(membership.Complete, 0, 1, 2, 3) && f.rosterIs(4, 0, 1, 2, 3)
 	})
 	if err := f.Drivers[0].Control.Forget(context.Background(), control.ForgetRequest{Name: "n1"}); err == nil || !strings.Contains(err.Error(), "lives") {
 		t.Errorf("one that lives was forgotten: %v", err)
@@ -225,11 +227,11 @@
 	f.Drivers[2].Freeze()
 	f.await(t, "it is missed", func() bool { return f.sees(2, membership.Suspect, 0) || f.sees(2, membership.Failed, 0) })
 	f.Drivers[2].Thaw()
-	f.await(t, "thawed as it is missed", func() bool { return f.Stands(membership.Complete, all...) })
+	f.await(t, "thawed as it is missed", func() bool { return f.HavePartitionStatus(membership.Complete, all...) })
 	f.Drivers[2].Freeze()
 	f.await(t, "it failed", func() bool { return f.sees(2, membership.Failed, 0, 1, 3, 4) })
 	f.Drivers[2].Thaw()
-	f.await(t, "thawed when it had failed", func() bool { return f.Stands(membership.Complete, all...) })
+	f.await(t, "thawed when it had failed", func() bool { return f.HavePartitionStatus(membership.Complete, all...) })
 	if log := f.Drivers[2].Log(); !strings.Contains(log, "reason=stood_still") || strings.Contains(log, "reason=fellow_failed") {
 		t.Errorf("the one that stood still blames others:\n%s", log)
 	}
@@ -238,26 +240,34 @@
 func TestParts(t *testing.T) {
 	f := start(t, Options{Seed: 4, Spare: 2})
 	f.Links.Partition(0, 0, 1, 1, 1, 0, 0)
-	f.await(t, "two against three", func() bool { return f.Stands(membership.Minority, 0, 1) && f.Stands(membership.Majority, 2, 3, 4) })
+	f.await(t, "two against three", func() bool {
+		return f.HavePartitionStatus(membership.Minority, 0, 1) && f.HavePartitionStatus(membership.Majority, 2, 3, 4)
+	})
 	for _, i := range []int{5, 6} {
 		if err := f.Drivers[i].Start(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	f.await(t, "newcomers of the smaller part", func() bool { return f.Stands(membership.Minority, 0, 1, 5, 6) && f.rosterIs(5, 0, 1, 2, 3, 4, 5, 6) })
+	f.await(t, "newcomers of the smaller part", func() bool {
+		return f.HavePartitionStatus(membership.Minority, 0, 1, 5, 6) && f.rosterIs(5, 0, 1, 2, 3, 4, 5, 6)
+	})
 	f.Drivers[4].Kill() // both views change, then they meet
-	f.await(t, "three of five less one", func() bool { return f.Stands(membership.Undetermined, 2, 3) || f.Stands(membership.Minority, 2, 3) })
+	f.await(t, "three of five less one", func() bool {
+		return f.HavePartitionStatus(membership.Undetermined, 2, 3) || f.HavePartitionStatus(membership.Minority, 2, 3)
+	})
 	f.Links.Heal()
 	f.await(t, "two changed views meet", func() bool {
-		return f.Stands(membership.Majority, 0, 1, 2, 3, 5, 6) && f.rosterIs(7, 0, 1, 2, 3, 5, 6) && f.sees(4, membership.Failed, 0, 1, 2, 3, 5, 6)
+		return f.HavePartitionStatus(membership.Majority, 0, 1, 2, 3, 5, 6) && f.rosterIs(7, 0, 1, 2, 3, 5, 6) && f.sees(4, membership.Failed, 0, 1, 2, 3, 5, 6)
 	})
 	f.Links.Partition(0, 1, 1, 1, 1, 1, 1)
-	f.await(t, "one against the rest", func() bool { return f.Stands(membership.Isolated, 0) && f.Stands(membership.Majority, 1, 2, 3, 5, 6) })
+	f.await(t, "one against the rest", func() bool {
+		return f.HavePartitionStatus(membership.Isolated, 0) && f.HavePartitionStatus(membership.Majority, 1, 2, 3, 5, 6)
+	})
 	f.Links.Heal()
 	if err := f.Drivers[4].Start(); err != nil {
 		t.Fatal(err)
 	}
-	f.await(t, "all there", func() bool { return f.Stands(membership.Complete, 0, 1, 2, 3, 4, 5, 6) })
+	f.await(t, "all there", func() bool { return f.HavePartitionStatus(membership.Complete, 0, 1, 2, 3, 4, 5, 6) })
 	for _, d := range f.Drivers {
 		d.views(t)
 	}
@@ -272,7 +282,7 @@
 		back, heard := f.View(0, 1)
 		return ok && slices.Contains(v.Unreachable, "n0") && known && !own.Reachable && own.State == membership.Alive && heard && back.Reachable
 	})
-	f.await(t, "nobody is lost by it", func() bool { return f.Stands(membership.Complete, all...) })
+	f.await(t, "nobody is lost by it", func() bool { return f.HavePartitionStatus(membership.Complete, all...) })
 	f.Links.Heal()
 	f.await(t, "healed", func() bool { own, ok := f.View(1, 0); return ok && own.Reachable })
 	f.Links.SetAll(func(a, b int) (w links.Link) {
@@ -282,12 +292,12 @@
 	f.await(t, "a ring", func() bool {
 		far, ok := f.View(0, 2)
 		near, known := f.View(0, 1)
-		return ok && known && !far.Reachable && near.Reachable && f.Stands(membership.Complete, all...)
+		return ok && known && !far.Reachable && near.Reachable && f.HavePartitionStatus(membership.Complete, all...)
 	})
 	f.Links.Heal()
 	f.await(t, "the ring is gone", func() bool {
 		far, ok := f.View(0, 2)
-		return ok && far.Reachable && f.Stands(membership.Complete, all...)
+		return ok && far.Reachable && f.HavePartitionStatus(membership.Complete, all...)
 	})
 }
 
@@ -302,9 +312,9 @@
 	if err := f.Drivers[3].Start(); err != nil {
 		t.Fatal(err)
 	}
-	f.await(t, "and a return", func() bool { return f.Stands(membership.Complete, all...) })
+	f.await(t, "and a return", func() bool { return f.HavePartitionStatus(membership.Complete, all...) })
 	f.Links.Heal()
-	f.await(t, "calm again", func() bool { return f.Stands(membership.Complete, all...) })
+	f.await(t, "calm again", func() bool { return f.HavePartitionStatus(membership.Complete, all...) })
 }
 
 func TestRestarts(t *testing.T) {
@@ -314,7 +324,7 @@
 		if err := d.Start(); err != nil {
 			t.Fatal(err)
 		}
-		f.await(t, "one by one", func() bool { return f.Stands(membership.Complete, all...) })
+		f.await(t, "one by one", func() bool { return f.HavePartitionStatus(membership.Complete, all...) })
 	}
 	for _, d := range f.Drivers {
 		d.Kill()
@@ -322,7 +332,7 @@
 	if err := f.StartAll(); err != nil {
 		t.Fatal(err)
 	}
-	f.await(t, "all at once", func() bool { return f.Stands(membership.Complete, all...) && f.rosterIs(5, all...) })
+	f.await(t, "all at once", func() bool { return f.HavePartitionStatus(membership.Complete, all...) && f.rosterIs(5, all...) })
 }
 
 func TestNameTwiceAndDeadSeeds(t *testing.T) {
@@ -336,25 +346,25 @@
 	if err := f.Drivers[4].Start(); err != nil {
 		t.Fatal(err)
 	}
-	f.await(t, "seeds that are dead", func() bool { return f.Stands(membership.Undetermined, 4) })
-	if err := f.StartThese(0, 1, 2, 3); err != nil {
+	f.await(t, "seeds that are dead", func() bool { return f.HavePartitionStatus(membership.Undetermined, 4) })
+	if err := f.StartDrivers(0, 1, 2, 3); err != nil {
 		t.Fatal(err)
 	}
-	f.await(t, "found by others", func() bool { return f.Stands(membership.Complete, all...) })
+	f.await(t, "found by others", func() bool { return f.HavePartitionStatus(membership.Complete, all...) })
 	f.Drivers[5].Name = "n4"
 	if err := f.Drivers[5].Start(); err != nil {
 		t.Fatal(err)
 	}
 	f.await(t, "a name used twice", func() bool {
 		s, err := f.Drivers[5].Status()
-		return err == nil && s.Partition == membership.Undetermined && s.Reason == "name_taken" && f.Stands(membership.Complete, all...)
+		return err == nil && s.Partition == membership.Undetermined && s.Reason == "name_taken" && f.HavePartitionStatus(membership.Complete, all...)
 	})
 	v, _ := f.View(0, 4)
 	if v.Address != f.Links.AdvertisedAddr(4) {
 		t.Errorf("the second one took the name: %+v", v)
 	}
 	f.Drivers[4].Kill()
-	f.await(t, "the second one gets it", func() bool { return f.Stands(membership.Complete, 0, 1, 2, 3, 5) })
+	f.await(t, "the second one gets it", func() bool { return f.HavePartitionStatus(membership.Complete, 0, 1, 2, 3, 5) })
 }
 
 func TestStrangers(t *testing.T) {
@@ -368,11 +378,11 @@
 	if err := f.StartAll(); err != nil {
 		t.Fatal(err)
 	}
-	f.await(t, "a whole fleet", func() bool { return f.Stands(membership.Complete, all...) })
+	f.await(t, "a whole fleet", func() bool { return f.HavePartitionStatus(membership.Complete, all...) })
 	if err := f.Drivers[5].Start(); err != nil {
 		t.Fatal(err)
 	}
-	f.await(t, "a stranger", func() bool { return f.Stands(membership.Undetermined, 5) })
+	f.await(t, "a stranger", func() bool { return f.HavePartitionStatus(membership.Undetermined, 5) })
 	// whatever comes at the sockets, nobody is lost by it, and nobody is made up
 	udp, err := net.Dial("udp", f.Links.ListenAddr(0))
 	if err != nil {
@@ -398,7 +408,7 @@
 		}
 	}
 	f.await(t, "old word changes nothing", func() bool {
-		return f.sees(3, membership.Failed, 0, 1, 2, 4) && f.Stands(membership.Majority, 0, 1, 2, 4)
+		return f.sees(3, membership.Failed, 0, 1, 2, 4) && f.HavePartitionStatus(membership.Majority, 0, 1, 2, 4)
 	})
 	s, err := f.Drivers[0].Status()
 	if err != nil || len(s.Drivers) != 4 {
@@ -406,13 +416,13 @@
 	}
 }
 
-var writes = lab.Kind{Name: "write", Share: 1, Write: true, Timeout: 4 * time.Second}
+var writes = lab.OpKind{Name: "write", Share: 1, Write: true, Timeout: 4 * time.Second}
 
 // under plays a load at these drivers while something is done, and audits it.
 func (f *Fleet) under(t *testing.T, what func(), targets ...int) lab.Result {
 	t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
-	l := lab.Load{Rate: 60, For: time.Hour, Mix: []lab.Kind{writes, lab.Mix[0], lab.Mix[1]}, Groups: 1, Seed: 5, Slack: 20 * time.Second}
+	l := lab.Load{Rate: 60, Duration: time.Hour, Mix: []lab.OpKind{writes, lab.DefaultMix[0], lab.DefaultMix[1]}, Groups: 1, Seed: 5, Slack: 20 * time.Second}
 	for _, i := range targets {
 		l.Targets = append(l.Targets, f.Drivers[i].Address)
 	}
@@ -421,10 +431,10 @@
 	what()
 	stop()
 	r := <-got
-	for _, broken := range f.o.Cluster.Audit(r) {
+	for _, broken := range f.options.Cluster.Audit(r) {
 		t.Error(broken)
 	}
-	if r.Kinds["write"].Ends[lab.Acked] == 0 {
+	if r.Kinds["write"].Outcomes[lab.Acked] == 0 {
 		t.Error("no write was acked")
 	}
 	return r
@@ -446,10 +456,12 @@
 // A hold begun with the larger part while the smaller can't hear of it, released at the smaller; writes come to both.
 func TestHoldAndReleaseOnTwoSides(t *testing.T) {
 	f := start(t, Options{Seed: 10})
-	c := f.o.Cluster
+	c := f.options.Cluster
 	f.under(t, func() {
 		f.Links.Partition(0, 0, 1, 1, 1)
-		f.await(t, "two parts", func() bool { return f.Stands(membership.Minority, 0, 1) && f.Stands(membership.Majority, 2, 3, 4) })
+		f.await(t, "two parts", func() bool {
+			return f.HavePartitionStatus(membership.Minority, 0, 1) && f.HavePartitionStatus(membership.Majority, 2, 3, 4)
+		})
 		old := c.Primary(1)
 		word := switchover.Notification{Group: 1, Stage: switchover.StageHeld, From: old, Lease: 20000}
 		if _, err := f.Drivers[1].Control.NotifyHook(context.Background(), word); err == nil || !strings.Contains(err.Error(), "larger part") {
@@ -466,7 +478,7 @@
 		if s := stage(f.Drivers[0]); s.Stage != switchover.StageNone {
 			t.Errorf("it passed the cut: %+v", s)
 		}
-		c.Do("demote", old)
+		c.Inject("demote", old)
 		f.await(t, "a new primary", func() bool { p := c.Primary(1); return p != "" && p != old })
 		if _, err := f.Drivers[0].Control.NotifyHook(context.Background(), switchover.Notification{Group: 1, Stage: switchover.StageReleased, Epoch: word.Epoch, From: old, To: c.Primary(1)}); err != nil {
 			t.Error(err)
@@ -481,20 +493,22 @@
 // The primary changes, with and without a word, while the fleet is in two and both parts take writes.
 func TestPrimaryChangesInTwoParts(t *testing.T) {
 	f := start(t, Options{Seed: 11})
-	c := f.o.Cluster
+	c := f.options.Cluster
 	f.under(t, func() {
 		f.Links.Partition(0, 0, 1, 1, 1)
-		f.await(t, "two parts", func() bool { return f.Stands(membership.Minority, 0, 1) && f.Stands(membership.Majority, 2, 3, 4) })
+		f.await(t, "two parts", func() bool {
+			return f.HavePartitionStatus(membership.Minority, 0, 1) && f.HavePartitionStatus(membership.Majority, 2, 3, 4)
+		})
 		old := c.Primary(1)
-		c.Do("kill", old)
+		c.Inject("kill", old)
 		f.await(t, "a new primary", func() bool { p := c.Primary(1); return p != "" && p != old })
-		c.Do("heal", old)
-		if _, err := c.Planned(context.Background(), f.Drivers[4].Control, 1); err != nil {
+		c.Inject("heal", old)
+		if _, err := c.Switchover(context.Background(), f.Drivers[4].Control, 1); err != nil {
 			t.Error(err)
 		}
 		f.Links.Heal()
-		f.await(t, "whole again", func() bool { return f.Stands(membership.Complete, all...) })
-		if _, err := c.Planned(context.Background(), f.Drivers[0].Control, 1); err != nil {
+		f.await(t, "whole again", func() bool { return f.HavePartitionStatus(membership.Complete, all...) })
+		if _, err := c.Switchover(context.Background(), f.Drivers[0].Control, 1); err != nil {
 			t.Error(err)
 		}
 		f.await(t, "all know", func() bool {
@@ -508,7 +522,7 @@
 // A driver dies while it holds, the one that the hook called: the others keep the hold and its lease, and release it.
 func TestDriverDiesWhileItHolds(t *testing.T) {
 	f := start(t, Options{Seed: 12})
-	c := f.o.Cluster
+	c := f.options.Cluster
 	f.under(t, func() {
 		old := c.Primary(1)
 		word, err := f.Drivers[4].Control.NotifyHook(context.Background(), switchover.Notification{Group: 1, Stage: switchover.StageHeld, From: old, Lease: 20000})
@@ -520,7 +534,7 @@
 			return f.stages(func(s switchover.ChangeStatus) bool { return s.Stage == switchover.StageHeld })
 		})
 		f.Drivers[4].Kill()
-		c.Do("demote", old)
+		c.Inject("demote", old)
 		f.await(t, "a new primary", func() bool { p := c.Primary(1); return p != "" && p != old })
 		if err := f.Drivers[4].Start(); err != nil {
 			t.Error(err)
@@ -539,12 +553,12 @@
 // A drain that only the smaller part's list tells binds all that hear of it after the heal, through another cut as well, and
 // until a list as new says that the member is up.
 func TestDrainToldToTheSmallerPart(t *testing.T) {
-	c, err := lab.Start(lab.Options{Elect: 300 * time.Millisecond, Members: 4})
+	c, err := lab.Start(lab.Options{ElectionTime: 300 * time.Millisecond, Members: 4})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Stop()
-	old := c.Known()
+	old := c.MemberList()
 	late := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { // a discovery that stands still
 		if r.FormValue("since") != "" {
 			select {
@@ -555,16 +569,18 @@
 		w.Write(old)
 	}))
 	defer late.Close()
-	f := start(t, Options{Seed: 13, Cluster: c, Lists: func(i int) string {
+	f := start(t, Options{Seed: 13, Cluster: c, Discovery: func(i int) string {
 		if i < 2 {
 			return c.Discovery()
 		}
 		return late.Listener.Addr().String()
 	}})
 	f.Links.Partition(0, 0, 1, 1, 1)
-	f.await(t, "two parts", func() bool { return f.Stands(membership.Minority, 0, 1) && f.Stands(membership.Majority, 2, 3, 4) })
+	f.await(t, "two parts", func() bool {
+		return f.HavePartitionStatus(membership.Minority, 0, 1) && f.HavePartitionStatus(membership.Majority, 2, 3, 4)
+	})
 	drained := c.Replica(1)
-	c.Do("drain", drained)
+	c.Inject("drain", drained)
 	said := func(what string, of ...int) bool {
 		for _, i := range of {
 			if log := f.Drivers[i].Log(); strings.LastIndex(log, "member="+drained+" draining="+what) <= strings.LastIndex(log, "member="+drained+" draining="+map[string]string{"true": "false", "false": "true"}[what]) {
@@ -580,18 +596,18 @@
 	f.await(t, "heard of by the others", func() bool { return said("true", 2, 3, 4) })
 	quiet := func(what string) {
 		t.Helper()
-		time.Sleep(2 * lab.Grace) // what was sent before may still arrive
-		before := c.Arrived(drained)
-		reads := lab.Load{Targets: []string{f.Drivers[2].Address, f.Drivers[3].Address, f.Drivers[4].Address}, Rate: 200, For: 2 * time.Second,
-			Mix: []lab.Kind{lab.Mix[1]}, Groups: 1, Seed: 3, Slack: 20 * time.Second}
+		time.Sleep(2 * lab.DrainGrace) // what was sent before may still arrive
+		before := c.Arrivals(drained)
+		reads := lab.Load{Targets: []string{f.Drivers[2].Address, f.Drivers[3].Address, f.Drivers[4].Address}, Rate: 200, Duration: 2 * time.Second,
+			Mix: []lab.OpKind{lab.DefaultMix[1]}, Groups: 1, Seed: 3, Slack: 20 * time.Second}
 		reads.Run(context.Background(), nil)
-		if after := c.Arrived(drained); after != before {
+		if after := c.Arrivals(drained); after != before {
 			t.Errorf("%s: %d ops came to a drained member", what, after-before)
 		}
 	}
 	quiet("after the heal")
 	f.Links.Partition(0, 0, 1, 1, 1)
-	f.await(t, "two parts again", func() bool { return f.Stands(membership.Majority, 2, 3, 4) })
+	f.await(t, "two parts again", func() bool { return f.HavePartitionStatus(membership.Majority, 2, 3, 4) })
 	f.Drivers[0].Kill()
 	f.Drivers[1].Kill()
 	quiet("those that told it are gone")
@@ -601,9 +617,9 @@
 			t.Fatal(err)
 		}
 	}
-	f.await(t, "whole", func() bool { return f.Stands(membership.Complete, all...) })
+	f.await(t, "whole", func() bool { return f.HavePartitionStatus(membership.Complete, all...) })
 	quiet("after another heal")
-	c.Do("undrain", drained)
+	c.Inject("undrain", drained)
 	f.await(t, "up again by a newer list", func() bool { return said("false", 2, 3, 4) })
 }
 
@@ -653,7 +669,9 @@
 		t.Error(code, text)
 	}
 	f.Links.Partition(0, 0, 1, 1, 1)
-	f.await(t, "two parts", func() bool { return f.Stands(membership.Minority, 0, 1) && f.Stands(membership.Majority, 2, 3, 4) })
+	f.await(t, "two parts", func() bool {
+		return f.HavePartitionStatus(membership.Minority, 0, 1) && f.HavePartitionStatus(membership.Majority, 2, 3, 4)
+	})
 	if text, code = f.command(0, "compare"); code != 1 || !strings.Contains(text, "gives no view") {
 		t.Error(code, text)
 	}
@@ -664,30 +682,30 @@
 		t.Error(code, text)
 	}
 	f.Links.Heal()
-	f.await(t, "whole", func() bool { return f.Stands(membership.Complete, all...) })
+	f.await(t, "whole", func() bool { return f.HavePartitionStatus(membership.Complete, all...) })
 	if text, code = f.command(4, "leave"); code != 0 {
 		t.Error(text)
 	}
 	f.await(t, "it left", func() bool {
-		return f.sees(4, membership.Left, 0, 1, 2, 3) && f.Stands(membership.Complete, 0, 1, 2, 3)
+		return f.sees(4, membership.Left, 0, 1, 2, 3) && f.HavePartitionStatus(membership.Complete, 0, 1, 2, 3)
 	})
 	// SIGHUP takes other seeds and another period, without a restart
-	f.o.Period = 150 * time.Millisecond
-	if err := f.Drivers[1].write(); err != nil {
+	f.options.Period = 150 * time.Millisecond
+	if err := f.Drivers[1].writeFiles(); err != nil {
 		t.Fatal(err)
 	}
 	f.Drivers[1].Signal(syscall.SIGHUP)
 	f.await(t, "reloaded", func() bool { return strings.Contains(f.Drivers[1].Log(), "event=reloaded") })
-	f.await(t, "and goes on", func() bool { return f.Stands(membership.Complete, 0, 1, 2, 3) })
+	f.await(t, "and goes on", func() bool { return f.HavePartitionStatus(membership.Complete, 0, 1, 2, 3) })
 }
 
 // The count of drivers reaches the module, and falls only where the rest may take the share over.
 func TestCountOfDrivers(t *testing.T) {
-	f := start(t, Options{Seed: 15, Yield: time.Second})
+	f := start(t, Options{Seed: 15, TakeoverAfter: time.Second})
 	f.await(t, "told at the start", func() bool { return strings.Contains(f.Drivers[0].Log(), "event=drivers count=5") })
 	f.Drivers[4].Kill()
 	f.Drivers[3].Kill()
-	f.await(t, "three of five", func() bool { return f.Stands(membership.Majority, 0, 1, 2) })
+	f.await(t, "three of five", func() bool { return f.HavePartitionStatus(membership.Majority, 0, 1, 2) })
 	f.await(t, "they take over what those two must have given up: 2*3*5/8", func() bool {
 		for _, i := range []int{0, 1, 2} {
 			if s, err := f.Drivers[i].Status(); err != nil || s.Count != 4 {
--- a/internal/lab/fleet/golden_test.go
+++ b/internal/lab/fleet/golden_test.go
@@ -57,14 +57,14 @@
 		_, err := ParseScript("s.hcl", []byte(text))
 		record(fmt.Sprint("error ", i), fmt.Sprint(err))
 	}
-	said := []history{{}, {}}
+	said := []reports{{}, {}}
 	for i, what := range []string{"unsure", "unsure", "whole", "smaller", "silent", "whole"} {
-		said[0].say(float64(i), "", what)
-		said[1].say(float64(i)+0.5, "n10", map[bool]string{true: "alive", false: "unheard"}[i < 3])
-		said[1].say(float64(i)+0.5, "n0", "alive")
+		said[0].record(float64(i), "", what)
+		said[1].record(float64(i)+0.5, "n10", map[bool]string{true: "alive", false: "unheard"}[i < 3])
+		said[1].record(float64(i)+0.5, "n0", "alive")
 	}
 	f := &Fleet{Drivers: []*Driver{{Name: "n0"}, {Name: "n1"}}}
-	page, err := draw(f, said, []span{{1, 0, s.Steps[0].String()}}, 6)
+	page, err := renderPage(f, said, []span{{1, 0, s.Steps[0].String()}}, 6)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/fleet/script.go
+++ b/internal/lab/fleet/script.go
@@ -37,18 +37,18 @@
 // Step is one thing that is done: kill, stop, freeze, thaw or start drivers, set one direction of a pair (way), cut
 // into parts, or heal all.
 type Step struct {
-	What    string  `hcl:"what,label"`
-	At      string  `hcl:"at"`
-	Drivers []int   `hcl:"drivers,optional"`
-	Parts   [][]int `hcl:"parts,optional"`
-	From    int     `hcl:"from,optional"`
-	To      int     `hcl:"to,optional"`
-	Cut     bool    `hcl:"cut,optional"`
-	Loss    float64 `hcl:"loss,optional"`
-	Double  float64 `hcl:"double,optional"`
-	Delay   string  `hcl:"delay,optional"`
-	Jitter  string  `hcl:"jitter,optional"`
-	Rate    int     `hcl:"rate,optional"`
+	Kind       string  `hcl:"what,label"`
+	At         string  `hcl:"at"`
+	Drivers    []int   `hcl:"drivers,optional"`
+	Partitions [][]int `hcl:"parts,optional"`
+	From       int     `hcl:"from,optional"`
+	To         int     `hcl:"to,optional"`
+	Blocked    bool    `hcl:"cut,optional"`
+	Loss       float64 `hcl:"loss,optional"`
+	Duplicate  float64 `hcl:"double,optional"`
+	Delay      string  `hcl:"delay,optional"`
+	Jitter     string  `hcl:"jitter,optional"`
+	Rate       int     `hcl:"rate,optional"`
 
 	at            time.Duration
 	delay, jitter time.Duration
@@ -79,10 +79,10 @@
 	for i := range s.Steps {
 		p := &s.Steps[i]
 		p.at, p.delay, p.jitter = span("at", p.At, 0), span("delay", p.Delay, 0), span("jitter", p.Jitter, 0)
-		if !slices.Contains([]string{"kill", "stop", "freeze", "thaw", "start", "way", "cut", "heal"}, p.What) {
-			return nil, fmt.Errorf("%s: step %q is not known", name, p.What)
+		if !slices.Contains([]string{"kill", "stop", "freeze", "thaw", "start", "way", "cut", "heal"}, p.Kind) {
+			return nil, fmt.Errorf("%s: step %q is not known", name, p.Kind)
 		}
-		for _, d := range append(slices.Concat(p.Parts...), append(p.Drivers, p.From, p.To)...) {
+		for _, d := range append(slices.Concat(p.Partitions...), append(p.Drivers, p.From, p.To)...) {
 			if d < 0 || d >= n {
 				return nil, fmt.Errorf("%s: there is no driver %d", name, d)
 			}
@@ -94,29 +94,29 @@
 
 // String tells a step in a few words.
 func (p *Step) String() string {
-	switch p.What {
+	switch p.Kind {
 	case "way":
-		return fmt.Sprintf("n%d to n%d: cut %v, loss %g, double %g, delay %s+%s, rate %d", p.From, p.To, p.Cut, p.Loss,
-			p.Double, p.delay, p.jitter, p.Rate)
+		return fmt.Sprintf("n%d to n%d: cut %v, loss %g, double %g, delay %s+%s, rate %d", p.From, p.To, p.Blocked, p.Loss,
+			p.Duplicate, p.delay, p.jitter, p.Rate)
 	case "cut":
-		return fmt.Sprint("cut into ", p.Parts)
+		return fmt.Sprint("cut into ", p.Partitions)
 	case "heal":
 		return "heal"
 	}
-	return fmt.Sprint(p.What, " ", p.Drivers)
+	return fmt.Sprint(p.Kind, " ", p.Drivers)
 }
 
-func (p *Step) do(f *Fleet) error {
-	switch p.What {
+func (p *Step) apply(f *Fleet) error {
+	switch p.Kind {
 	case "way":
 		f.Links.Set(
 			p.From,
 			p.To,
-			links.Link{Blocked: p.Cut, Loss: p.Loss, Duplicate: p.Double, Delay: p.delay, Jitter: p.jitter, Rate: p.Rate},
+			links.Link{Blocked: p.Blocked, Loss: p.Loss, Duplicate: p.Duplicate, Delay: p.delay, Jitter: p.jitter, Rate: p.Rate},
 		)
 	case "cut":
 		part := make([]int, len(f.Drivers))
-		for i, members := range p.Parts {
+		for i, members := range p.Partitions {
 			for _, d := range members {
 				part[d] = i + 1
 			}
@@ -127,7 +127,7 @@
 	}
 	for _, i := range p.Drivers {
 		d := f.Drivers[i]
-		switch p.What {
+		switch p.Kind {
 		case "kill":
 			d.Kill()
 		case "stop":
@@ -152,21 +152,21 @@
 }
 
 // history is what one driver said, by whom it was about; "" is its own standing.
-type history map[string][]span
+type reports map[string][]span
 
-func (h history) say(now float64, of, what string) {
+func (h reports) record(now float64, of, state string) {
 	all := h[of]
-	if n := len(all); n > 0 && all[n-1].What == what {
+	if n := len(all); n > 0 && all[n-1].What == state {
 		all[n-1].To = now
 		return
 	} else if n > 0 {
 		all[n-1].To = now
 	}
-	h[of] = append(all, span{now, now, what})
+	h[of] = append(all, span{now, now, state})
 }
 
 // Play plays a script, prints what happens, and gives the page.
-func (s *Script) Play(ctx context.Context, out io.Writer) ([]byte, error) {
+func (s *Script) Run(ctx context.Context, out io.Writer) ([]byte, error) {
 	c, err := lab.Start(lab.Options{Seed: uint64(s.Seed)})
 	if err != nil {
 		return nil, err
@@ -182,15 +182,15 @@
 	if err := f.StartAll(); err != nil {
 		return nil, err
 	}
-	p := &performance{script: s, fleet: f, out: out, began: time.Now(), killed: map[string]float64{}}
+	p := &scriptRun{script: s, fleet: f, out: out, began: time.Now(), killed: map[string]float64{}}
 	for range f.Drivers {
-		p.said = append(p.said, history{})
+		p.reports = append(p.reports, reports{})
 	}
 	for ctx.Err() == nil && time.Since(p.began) < s.end {
-		if err := p.steps(); err != nil {
+		if err := p.runDueSteps(); err != nil {
 			return nil, err
 		}
-		p.look()
+		p.poll()
 		select {
 		case <-ctx.Done():
 		case <-time.After(s.period / 4):
@@ -198,45 +198,45 @@
 	}
 	for i, d := range f.Drivers {
 		var text []string
-		for _, x := range p.said[i][""] {
+		for _, x := range p.reports[i][""] {
 			text = append(text, fmt.Sprintf("%.1fs %s", x.From, x.What))
 		}
 		fmt.Fprintf(out, "%s: %s\n", d.Name, strings.Join(text, ", "))
 	}
-	return draw(f, p.said, p.taken, p.now())
+	return renderPage(f, p.reports, p.executed, p.now())
 }
 
 // performance is a script while it is played.
-type performance struct {
+type scriptRun struct {
 	script *Script
 	fleet  *Fleet
 	out    io.Writer
 	began  time.Time
 
-	next   int                // of the script's steps
-	taken  []span             // those that were carried out
-	killed map[string]float64 // since when, of those that not all know of
+	next     int                // of the script's steps
+	executed []span             // those that were carried out
+	killed   map[string]float64 // since when, of those that not all know of
 
-	mu   sync.Mutex
-	said []history // by driver
+	mu      sync.Mutex
+	reports []reports // by driver
 }
 
 // now is the time since the begin, in seconds.
-func (p *performance) now() float64 { return time.Since(p.began).Seconds() }
+func (p *scriptRun) now() float64 { return time.Since(p.began).Seconds() }
 
 // steps carries out what is due.
-func (p *performance) steps() error {
+func (p *scriptRun) runDueSteps() error {
 	for p.next < len(p.script.Steps) && time.Since(p.began) >= p.script.Steps[p.next].at {
 		step := &p.script.Steps[p.next]
 		p.next++
 		fmt.Fprintf(p.out, "%6.1fs %s\n", p.now(), step)
-		p.taken = append(p.taken, span{p.now(), 0, step.String()})
+		p.executed = append(p.executed, span{p.now(), 0, step.String()})
 		for _, i := range step.Drivers {
-			if step.What == "kill" {
+			if step.Kind == "kill" {
 				p.killed[p.fleet.Drivers[i].Name] = p.now()
 			}
 		}
-		if err := step.do(p.fleet); err != nil {
+		if err := step.apply(p.fleet); err != nil {
 			return err
 		}
 	}
@@ -244,7 +244,7 @@
 }
 
 // look asks all drivers for their view, and says which of the killed all know of.
-func (p *performance) look() {
+func (p *scriptRun) poll() {
 	var each sync.WaitGroup
 	unknown := map[string]bool{}
 	for i, d := range p.fleet.Drivers {
@@ -253,10 +253,10 @@
 			p.mu.Lock()
 			defer p.mu.Unlock()
 			if err != nil {
-				p.said[i].say(p.now(), "", "silent")
+				p.reports[i].record(p.now(), "", "silent")
 				return
 			}
-			p.said[i].say(p.now(), "", st.Partition.String())
+			p.reports[i].record(p.now(), "", st.Partition.String())
 			for _, v := range st.Drivers {
 				if v.State != membership.Failed {
 					unknown[v.Name] = true
@@ -265,7 +265,7 @@
 				if v.State == membership.Alive && !v.Reachable {
 					what = "unheard"
 				}
-				p.said[i].say(p.now(), v.Name, what)
+				p.reports[i].record(p.now(), v.Name, what)
 			}
 		})
 	}
@@ -292,7 +292,7 @@
 `))
 
 // draw makes the page.
-func draw(f *Fleet, said []history, steps []span, end float64) ([]byte, error) {
+func renderPage(f *Fleet, reports []reports, steps []span, end float64) ([]byte, error) {
 	type bar struct {
 		X, W          float64
 		Colour, Title string
@@ -317,7 +317,7 @@
 		x.Key = append(x.Key, key{n, colours[n]})
 	}
 	scale := 900 / max(end, 1)
-	for i, h := range said {
+	for i, h := range reports {
 		d := driver{Name: f.Drivers[i].Name}
 		var names []string
 		for n := range h {
--- a/internal/lab/fleet/zones_test.go
+++ b/internal/lab/fleet/zones_test.go
@@ -24,7 +24,7 @@
 func zoned(t *testing.T, o Options) *Fleet {
 	t.Helper()
 	t.Parallel()
-	c, err := lab.Start(lab.Options{Elect: 300 * time.Millisecond, Members: 6, Zones: abc})
+	c, err := lab.Start(lab.Options{ElectionTime: 300 * time.Millisecond, Members: 6, Zones: abc})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -79,7 +79,7 @@
 func (f *Fleet) membersOf(zone, what string) {
 	for i, id := range []string{"g1m1", "g1m2", "g1m3", "g1m4", "g1m5", "g1m6"} {
 		if abc[i%3] == zone {
-			f.o.Cluster.Do(what, id)
+			f.options.Cluster.Inject(what, id)
 		}
 	}
 }
@@ -87,14 +87,14 @@
 // A zone with its drivers is lost, the rest decide so and serve; it returns. Each op has one answer, no write runs
 // twice.
 func TestZoneLost(t *testing.T) {
-	f := zoned(t, Options{Seed: 31, Keep: true})
+	f := zoned(t, Options{Seed: 31, KeepVotes: true})
 	f.under(t, func() {
 		f.membersOf("b", "kill")
 		f.Drivers[1].Kill()
 		f.Drivers[4].Kill()
 		f.await(t, "away", func() bool { return f.follow(zoneIs("b", zones.Ejected, zones.ZoneLost), 0, 2, 3, 5) })
 		f.membersOf("b", "heal")
-		if err := f.StartThese(1, 4); err != nil {
+		if err := f.StartDrivers(1, 4); err != nil {
 			t.Error(err)
 		}
 		f.await(t, "all serve again", func() bool { return f.follow(allServe) })
@@ -170,7 +170,7 @@
 // and follows in the end. A cut that outlasts the lease leaves the smaller part without a plan in force, and it changes
 // nothing.
 func TestLeaderFrozenAndLeasesEnd(t *testing.T) {
-	f := zoned(t, Options{Seed: 34, Keep: true})
+	f := zoned(t, Options{Seed: 34, KeepVotes: true})
 	f.await(t, "the first voter leads", func() bool { s, ok := f.Drivers[0].zones(); return ok && s.Leader })
 	f.Drivers[0].Freeze()
 	f.await(t, "another one leads", func() bool {
@@ -207,7 +207,7 @@
 
 // All drivers are killed and come back with their folders: the same plan, or one behind it, and never an earlier epoch.
 func TestPlansOutliveProcesses(t *testing.T) {
-	f := zoned(t, Options{Seed: 35, Keep: true})
+	f := zoned(t, Options{Seed: 35, KeepVotes: true})
 	f.under(t, func() {
 		f.membersOf("c", "kill")
 		f.await(t, "away", func() bool { return f.follow(zoneIs("c", zones.Ejected)) })
@@ -236,5 +236,5 @@
 		f.Drivers[4].Kill()
 		f.await(t, "away", func() bool { return f.follow(zoneIs("b", zones.Ejected, zones.ZoneLost), 0, 2, 3, 5) })
 	}, 0, 2, 3, 5)
-	f.await(t, "standing", func() bool { return f.Stands(membership.Majority, 0, 2, 3, 5) })
+	f.await(t, "standing", func() bool { return f.HavePartitionStatus(membership.Majority, 0, 2, 3, 5) })
 }
--- a/internal/lab/hollow/golden_test.go
+++ b/internal/lab/hollow/golden_test.go
@@ -12,7 +12,7 @@
 // The columns of results and what is printed of a phase are as recorded.
 func TestResultsAreThoseRecorded(t *testing.T) {
 	rows := []Row{{Phase: "steady", Drivers: 10, Members: 42, Role: "core", Machines: 5, Seconds: 10, Events: 3,
-		Known: 1.25, Link: "raft", Direction: "sent", Purpose: "append", Frames: 100, Bytes: 25000}}
+		KnownAfter: 1.25, Link: "raft", Direction: "sent", Purpose: "append", Frames: 100, Bytes: 25000}}
 	usage := rows[0]
 	usage.Link, usage.Direction, usage.Purpose, usage.Bytes, usage.CPU, usage.Memory = "", "", "", 0, 2.5, 5<<20
 	agent := rows[0]
--- a/internal/lab/hollow/hollow.go
+++ b/internal/lab/hollow/hollow.go
@@ -42,29 +42,29 @@
 // Row is one figure: what a role's processes sent or received for a purpose in a phase. A row without a purpose has the
 // processor time and the memory.
 type Row struct {
-	Phase     string  `parquet:"phase,dict"`
-	Drivers   int32   `parquet:"drivers"`
-	Members   int32   `parquet:"members"`
-	Seconds   float64 `parquet:"seconds"`
-	Events    int32   `parquet:"events"` // changes in the phase
-	Known     float64 `parquet:"known"`  // seconds until all had them; 0: not measured
-	Role      string  `parquet:"role,dict"`
-	Machines  int32   `parquet:"machines"` // of the role: figures are sums over them
-	Link      string  `parquet:"link,dict"`
-	Direction string  `parquet:"direction,dict"`
-	Purpose   string  `parquet:"purpose,dict"`
-	Frames    float64 `parquet:"frames"`
-	Bytes     float64 `parquet:"bytes"`
-	CPU       float64 `parquet:"cpu"`    // seconds
-	Memory    float64 `parquet:"memory"` // bytes
+	Phase      string  `parquet:"phase,dict"`
+	Drivers    int32   `parquet:"drivers"`
+	Members    int32   `parquet:"members"`
+	Seconds    float64 `parquet:"seconds"`
+	Events     int32   `parquet:"events"` // changes in the phase
+	KnownAfter float64 `parquet:"known"`  // seconds until all had them; 0: not measured
+	Role       string  `parquet:"role,dict"`
+	Machines   int32   `parquet:"machines"` // of the role: figures are sums over them
+	Link       string  `parquet:"link,dict"`
+	Direction  string  `parquet:"direction,dict"`
+	Purpose    string  `parquet:"purpose,dict"`
+	Frames     float64 `parquet:"frames"`
+	Bytes      float64 `parquet:"bytes"`
+	CPU        float64 `parquet:"cpu"`    // seconds
+	Memory     float64 `parquet:"memory"` // bytes
 }
 
 func groupName(n int) string { return fmt.Sprintf("lecture-core-%04d", n) }
 
 // play is one under way.
-type play struct {
+type run struct {
 	Options
-	plan
+	childPlan
 	folder  string
 	cores   []*child
 	drivers []*child
@@ -83,9 +83,9 @@
 
 // Run plays all phases at one size.
 func Run(ctx context.Context, o Options, out io.Writer) (rows []Row, err error) {
-	p := &play{Options: o, plan: plan{Net: o.Net, Port: o.Port}, http: http.Client{Timeout: 10 * time.Second}}
+	p := &run{Options: o, childPlan: childPlan{Net: o.Net, Port: o.Port}, http: http.Client{Timeout: 10 * time.Second}}
 	for n := range o.Cores {
-		p.plan.Cores = append(p.plan.Cores, net.JoinHostPort(p.coreIP(n), strconv.Itoa(o.Port+3)))
+		p.childPlan.Cores = append(p.childPlan.Cores, net.JoinHostPort(p.coreIP(n), strconv.Itoa(o.Port+3)))
 	}
 	if p.folder, err = os.MkdirTemp("", "hollow"); err != nil {
 		return nil, err
@@ -100,14 +100,14 @@
 	}{
 		{"start", o.Drivers, func(int) error { return p.start(ctx) }, p.allKnown},
 		{"steady", 0, nil, nil},
-		{"configuration", 1, p.changeConfig, p.configHeld},
+		{"configuration", 1, p.changeConfig, p.configReceived},
 		{"member changes", max(o.Databases*membersPerGroup/100, 1), p.changeMembers, nil},
 		{"driver restarts", max(o.Drivers/100, 1), p.restartDrivers, p.allKnown},
 		{"herd", min(400, o.Drivers/2), p.restartDrivers, p.allKnown},
 	}
 	for _, ph := range phases {
 		if ph.begin == nil {
-			if err := p.settle(ctx); err != nil {
+			if err := p.awaitQuiet(ctx); err != nil {
 				return rows, fmt.Errorf("before %s: %w", ph.name, err)
 			}
 		}
@@ -123,30 +123,30 @@
 		}
 		known := 0.0
 		if ph.known != nil {
-			if err := p.until(ctx, func() (bool, error) { return ph.known(ph.events) }); err != nil {
+			if err := p.pollUntil(ctx, func() (bool, error) { return ph.known(ph.events) }); err != nil {
 				return rows, fmt.Errorf("%s: %w", ph.name, err)
 			}
 			known = time.Since(began).Seconds()
 		}
-		renewed := renewals(before) + o.Renewals*o.Drivers
+		renewed := countRenewals(before) + o.Renewals*o.Drivers
 		if ph.begin == nil { // rates are measured in the calm phase
 			renewed += 2 * o.Renewals * o.Drivers
 		}
-		if err := p.until(ctx, func() (bool, error) { return p.renewed(renewed) }); err != nil {
+		if err := p.pollUntil(ctx, func() (bool, error) { return p.renewalsReached(renewed) }); err != nil {
 			return rows, fmt.Errorf("%s: %w", ph.name, err)
 		}
 		after, err := p.sample()
 		if err != nil {
 			return rows, err
 		}
-		added := p.account(ph.name, before, after, time.Since(began).Seconds(), ph.events, known)
+		added := p.newRows(ph.name, before, after, time.Since(began).Seconds(), ph.events, known)
 		rows = append(rows, added...)
 		printPhase(out, added)
 	}
 	return rows, nil
 }
 
-func wait(ctx context.Context, d time.Duration) error {
+func sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-time.After(max(d, 0)):
 		return nil
@@ -156,7 +156,7 @@
 }
 
 // until polls until f holds, within the limit.
-func (p *play) until(ctx context.Context, f func() (bool, error)) error {
+func (p *run) pollUntil(ctx context.Context, f func() (bool, error)) error {
 	for began := time.Now(); ; {
 		if ok, err := f(); ok || err != nil {
 			return err
@@ -164,41 +164,41 @@
 		if time.Since(began) > p.Limit {
 			return fmt.Errorf("not known everywhere after %s", p.Limit)
 		}
-		if err := wait(ctx, pollPeriod); err != nil {
+		if err := sleep(ctx, pollPeriod); err != nil {
 			return err
 		}
 	}
 }
 
-func (p *play) start(ctx context.Context) error {
-	for n, ctl := range p.plan.Cores {
+func (p *run) start(ctx context.Context) error {
+	for n, ctl := range p.childPlan.Cores {
 		lines := []string{fmt.Sprint("hostname=core-", n), fmt.Sprintf("zone=zone-%d", n), "region=r", "init=true",
 			"tolerate.nodes=1", "beatMs=1200", "limits.memMb=4000", "listen.ctl=" + ctl, "ip=" + p.coreIP(n),
-			fmt.Sprintf("portRange=%d,%d", p.plan.Port, p.plan.Port+2), "peers=" +
-				strings.Join(p.plan.Cores[:min(3, p.Options.Cores)], ","), "datadir=" +
+			fmt.Sprintf("portRange=%d,%d", p.childPlan.Port, p.childPlan.Port+2), "peers=" +
+				strings.Join(p.childPlan.Cores[:min(3, p.Options.Cores)], ","), "datadir=" +
 				filepath.Join(p.folder, fmt.Sprint("core", n))}
 		file := filepath.Join(p.folder, fmt.Sprintf("core%d.conf", n))
 		if err := os.WriteFile(file, []byte(strings.Join(lines, "\n")+"\n"), 0o600); err != nil {
 			return err
 		}
-		if err := p.add(&p.cores, "core", file, 0, 0); err != nil {
+		if err := p.addChild(&p.cores, "core", file, 0, 0); err != nil {
 			return err
 		}
 	}
 	for first := 0; first < p.Options.Drivers; first += agentsPerProcess {
-		if err := p.add(&p.drivers, "drivers", "", first, min(agentsPerProcess, p.Options.Drivers-first)); err != nil {
+		if err := p.addChild(&p.drivers, "drivers", "", first, min(agentsPerProcess, p.Options.Drivers-first)); err != nil {
 			return err
 		}
 	}
-	if err := p.add(&p.members, "members", "", 0, p.Databases*membersPerGroup); err != nil {
+	if err := p.addChild(&p.members, "members", "", 0, p.Databases*membersPerGroup); err != nil {
 		return err
 	}
-	return p.until(ctx, func() (bool, error) { return p.changeConfig(1) == nil, nil })
+	return p.pollUntil(ctx, func() (bool, error) { return p.changeConfig(1) == nil, nil })
 }
 
-func (p *play) add(to *[]*child, role, file string, first, many int) error {
-	own := p.plan
-	own.First, own.Many = first, many
+func (p *run) addChild(to *[]*child, role, file string, first, count int) error {
+	own := p.childPlan
+	own.First, own.Count = first, count
 	c, err := startChild(role, file, &own, p.Log)
 	if err == nil {
 		*to = append(*to, c)
@@ -206,14 +206,14 @@
 	return err
 }
 
-func (p *play) stop() {
+func (p *run) stop() {
 	for _, c := range slices.Concat(p.cores, p.drivers, p.members) {
 		c.kill()
 	}
 }
 
 // changeConfig sends the next configuration: a route and a service for each database.
-func (p *play) changeConfig(int) error {
+func (p *run) changeConfig(int) error {
 	var base struct{ Gen uint64 }
 	_ = json.Unmarshal(p.config, &base)
 	type route struct {
@@ -250,7 +250,7 @@
 	if err != nil {
 		return err
 	}
-	req, err := http.NewRequest(http.MethodPost, "http://"+p.plan.Cores[0]+"/config/replace", bytes.NewReader(body))
+	req, err := http.NewRequest(http.MethodPost, "http://"+p.childPlan.Cores[0]+"/config/replace", bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
@@ -269,10 +269,10 @@
 
 // settle waits until agents were told nothing new for two renewals each: core machines may know all while lists are
 // under way.
-func (p *play) settle(ctx context.Context) error {
+func (p *run) awaitQuiet(ctx context.Context) error {
 	told, until := -1, 0
-	return p.until(ctx, func() (bool, error) {
-		all, err := p.samples(p.drivers)
+	return p.pollUntil(ctx, func() (bool, error) {
+		all, err := p.samplesOf(p.drivers)
 		if err != nil {
 			return false, err
 		}
@@ -285,7 +285,7 @@
 				}
 			}
 		}
-		renewed := renewals(map[string][]Sample{"drivers": all})
+		renewed := countRenewals(map[string][]Sample{"drivers": all})
 		if now != told {
 			told, until = now, renewed+2*p.Options.Drivers
 		}
@@ -294,21 +294,21 @@
 }
 
 // renewed says whether agents have asked for so many renewals.
-func (p *play) renewed(many int) (bool, error) {
-	all, err := p.samples(p.drivers)
-	return renewals(map[string][]Sample{"drivers": all}) >= many, err
+func (p *run) renewalsReached(count int) (bool, error) {
+	all, err := p.samplesOf(p.drivers)
+	return countRenewals(map[string][]Sample{"drivers": all}) >= count, err
 }
 
-func renewals(all map[string][]Sample) (n int) {
+func countRenewals(all map[string][]Sample) (n int) {
 	for _, s := range all["drivers"] {
 		n += int(s.Traffic["core"].Sent[controlmsg.LeaseRenewals.String()].Frames)
 	}
 	return n
 }
 
-func (p *play) samples(children []*child) (all []Sample, err error) {
+func (p *run) samplesOf(children []*child) (all []Sample, err error) {
 	for _, c := range children {
-		s, err := c.ask("sample")
+		s, err := c.command("sample")
 		if err != nil {
 			return nil, err
 		}
@@ -318,9 +318,9 @@
 }
 
 // configHeld says whether each agent has received as many configurations as there were.
-func (p *play) configHeld(int) (bool, error) {
+func (p *run) configReceived(int) (bool, error) {
 	gen := uint64(0)
-	all, err := p.samples(p.drivers)
+	all, err := p.samplesOf(p.drivers)
 	for _, s := range all {
 		for _, t := range s.Traffic {
 			gen += t.Received[controlmsg.Configuration.String()].Frames
@@ -329,19 +329,19 @@
 	return gen >= 2*uint64(p.Options.Drivers), err
 }
 
-func (p *play) changeMembers(n int) error {
-	_, err := p.members[0].ask(fmt.Sprint("change ", n))
+func (p *run) changeMembers(n int) error {
+	_, err := p.members[0].command(fmt.Sprint("change ", n))
 	return err
 }
 
 // restartDrivers restarts agents of the first process.
-func (p *play) restartDrivers(n int) error {
-	_, err := p.drivers[0].ask(fmt.Sprint("restart ", n))
+func (p *run) restartDrivers(n int) error {
+	_, err := p.drivers[0].command(fmt.Sprint("restart ", n))
 	return err
 }
 
 // allKnown says whether each core machine has links to all others and knows all drivers and members.
-func (p *play) allKnown(int) (bool, error) {
+func (p *run) allKnown(int) (bool, error) {
 	for n := range p.cores {
 		s, err := p.status(n)
 		if err != nil || s.CoreLinks != p.Options.Cores-1 || s.DriverCount != p.Options.Drivers ||
@@ -352,8 +352,8 @@
 	return true, nil
 }
 
-func (p *play) status(n int) (s coreStatus, err error) {
-	resp, err := p.http.Get("http://" + p.plan.Cores[n] + "/status?brief=1")
+func (p *run) status(n int) (s coreStatus, err error) {
+	resp, err := p.http.Get("http://" + p.childPlan.Cores[n] + "/status?brief=1")
 	if err != nil {
 		return s, err
 	}
@@ -362,7 +362,7 @@
 }
 
 // sample reads all processes, by role.
-func (p *play) sample() (map[string][]Sample, error) {
+func (p *run) sample() (map[string][]Sample, error) {
 	all := map[string][]Sample{}
 	memory := 0.0
 	for n, c := range p.cores {
@@ -376,7 +376,7 @@
 		all["core"] = append(all["core"], x)
 	}
 	for role, children := range map[string][]*child{"drivers": p.drivers, "members": p.members} {
-		some, err := p.samples(children)
+		some, err := p.samplesOf(children)
 		if err != nil {
 			return nil, err
 		}
@@ -392,7 +392,7 @@
 }
 
 // add counts n into the sum of a link, a direction and a purpose; sign is 1, or the -1 of two's complement.
-func add(sums map[[3]string]transport.Count, key [3]string, sign uint64, n transport.Count) {
+func addCount(sums map[[3]string]transport.Count, key [3]string, sign uint64, n transport.Count) {
 	sum := sums[key]
 	sums[key] = transport.Count{Frames: sum.Frames + sign*n.Frames, Bytes: sum.Bytes + sign*n.Bytes}
 }
@@ -400,16 +400,16 @@
 func (s *Sample) addTraffic(sums map[[3]string]transport.Count, sign uint64) {
 	for link, t := range s.Traffic {
 		for purpose, n := range t.Sent {
-			add(sums, [3]string{link, "sent", purpose}, sign, n)
+			addCount(sums, [3]string{link, "sent", purpose}, sign, n)
 		}
 		for purpose, n := range t.Received {
-			add(sums, [3]string{link, "received", purpose}, sign, n)
+			addCount(sums, [3]string{link, "received", purpose}, sign, n)
 		}
 	}
 }
 
 // account makes rows of two samples.
-func (p *play) account(
+func (p *run) newRows(
 	phase string,
 	before, after map[string][]Sample,
 	seconds float64,
@@ -420,14 +420,14 @@
 		"members": p.Databases * membersPerGroup}
 	for _, role := range []string{"core", "drivers", "members"} {
 		base := Row{
-			Phase:    phase,
-			Drivers:  int32(p.Options.Drivers),
-			Members:  int32(machines["members"]),
-			Seconds:  seconds,
-			Events:   int32(events),
-			Known:    known,
-			Role:     role,
-			Machines: int32(machines[role]),
+			Phase:      phase,
+			Drivers:    int32(p.Options.Drivers),
+			Members:    int32(machines["members"]),
+			Seconds:    seconds,
+			Events:     int32(events),
+			KnownAfter: known,
+			Role:       role,
+			Machines:   int32(machines[role]),
 		}
 		sums, used := map[[3]string]transport.Count{}, base
 		for sign, samples := range map[int][]Sample{-1: before[role], 1: after[role]} {
@@ -438,9 +438,9 @@
 				}
 				s.addTraffic(sums, uint64(sign))
 				if role == "members" {
-					for direction, n := range map[string]int64{"sent": s.Sent, "received": s.Back} {
-						add(sums, [3]string{"http", direction, "heartbeats"}, uint64(sign),
-							transport.Count{Frames: uint64(s.Beats), Bytes: uint64(n)})
+					for direction, n := range map[string]int64{"sent": s.Sent, "received": s.Received} {
+						addCount(sums, [3]string{"http", direction, "heartbeats"}, uint64(sign),
+							transport.Count{Frames: uint64(s.Heartbeats), Bytes: uint64(n)})
 					}
 				}
 			}
--- a/internal/lab/hollow/processes.go
+++ b/internal/lab/hollow/processes.go
@@ -36,47 +36,47 @@
 )
 
 // plan is what a process of agents or members is told.
-type plan struct {
-	Net, Port   int
-	Cores       []string // control addresses
-	First, Many int      // agents or members
+type childPlan struct {
+	Net, Port    int
+	Cores        []string // control addresses
+	First, Count int      // agents or members
 }
 
 // Sample is what a process has used and sent since it started.
 type Sample struct {
-	CPU     float64                       `json:"cpu"` // seconds
-	Memory  float64                       `json:"memory"`
-	Traffic map[string]controlmsg.Traffic `json:"traffic"` // by link
-	Beats   int64                         `json:"beats"`   // heartbeats that were acknowledged
-	Missed  int64                         `json:"missed"`
-	Sent    int64                         `json:"sent"` // bytes of heartbeats, HTTP included
-	Back    int64                         `json:"back"`
+	CPU        float64                       `json:"cpu"` // seconds
+	Memory     float64                       `json:"memory"`
+	Traffic    map[string]controlmsg.Traffic `json:"traffic"` // by link
+	Heartbeats int64                         `json:"beats"`   // heartbeats that were acknowledged
+	Missed     int64                         `json:"missed"`
+	Sent       int64                         `json:"sent"` // bytes of heartbeats, HTTP included
+	Received   int64                         `json:"back"`
 }
 
 // Role runs a process of the play where this one was started as such; ok is false where it wasn't.
 func Role() (code int, ok bool) {
-	var p plan
+	var p childPlan
 	_ = json.Unmarshal([]byte(os.Getenv(planVariable)), &p)
 	switch os.Getenv(roleVariable) {
 	case "core":
 		return process.Main(process.Role{Name: "controlplane", Run: controlplane.Run}, nil, os.Stdout), true
 	case "drivers":
-		d := &drivers{plan: p}
-		for i := range p.Many {
+		d := &driverProcess{childPlan: p}
+		for i := range p.Count {
 			d.start(i)
 		}
-		answerLines(d.command)
+		serveCommands(d.command)
 		return 0, true
 	case "members":
-		m := &members{plan: p, generation: make([]atomic.Int32, p.Many)}
+		m := &memberProcess{childPlan: p, generation: make([]atomic.Int32, p.Count)}
 		m.start()
-		answerLines(m.command)
+		serveCommands(m.command)
 		return 0, true
 	}
 	return 0, false
 }
 
-func answerLines(command func(word string, n int) Sample) {
+func serveCommands(command func(word string, n int) Sample) {
 	out := json.NewEncoder(os.Stdout)
 	for in := bufio.NewScanner(os.Stdin); in.Scan(); {
 		word, number, _ := strings.Cut(in.Text(), " ")
@@ -101,21 +101,21 @@
 }
 
 // coreIP and driverIP put machine n into the region of core machine n modulo cores: a /16 of its own.
-func (p *plan) coreIP(n int) string { return fmt.Sprintf("127.%d.0.1", p.Net+n) }
+func (p *childPlan) coreIP(n int) string { return fmt.Sprintf("127.%d.0.1", p.Net+n) }
 
-func (p *plan) driverIP(n int) string {
+func (p *childPlan) driverIP(n int) string {
 	nth := n / len(p.Cores)
 	return fmt.Sprintf("127.%d.%d.%d", p.Net+n%len(p.Cores), 1+nth/250, 1+nth%250)
 }
 
 // drivers are agents without proxies.
-type drivers struct {
-	plan
-	ends []context.CancelFunc
-	done []chan struct{}
+type driverProcess struct {
+	childPlan
+	cancels []context.CancelFunc
+	done    []chan struct{}
 }
 
-func (d *drivers) start(i int) {
+func (d *driverProcess) start(i int) {
 	n := d.First + i
 	ip := d.driverIP(n)
 	set := &settings.Settings{
@@ -129,10 +129,10 @@
 	}
 	ctx, end := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	if i < len(d.ends) {
-		d.ends[i], d.done[i] = end, done
+	if i < len(d.cancels) {
+		d.cancels[i], d.done[i] = end, done
 	} else {
-		d.ends, d.done = append(d.ends, end), append(d.done, done)
+		d.cancels, d.done = append(d.cancels, end), append(d.done, done)
 	}
 	go func() {
 		defer close(done)
@@ -143,11 +143,11 @@
 }
 
 // command restarts the first n agents; other words only sample.
-func (d *drivers) command(word string, n int) Sample {
-	if word == "restart" {
-		n = min(n, len(d.ends))
+func (d *driverProcess) command(verb string, n int) Sample {
+	if verb == "restart" {
+		n = min(n, len(d.cancels))
 		for i := range n {
-			d.ends[i]()
+			d.cancels[i]()
 		}
 		for i := range n {
 			<-d.done[i]
@@ -163,14 +163,14 @@
 }
 
 // members send heartbeats by the pages' wire and answer the leader's STAT; they run no statement.
-type members struct {
-	plan
-	addr                       string
-	generation                 []atomic.Int32
-	beats, missed, sent, taken atomic.Int64
+type memberProcess struct {
+	childPlan
+	addr                               string
+	generation                         []atomic.Int32
+	heartbeats, missed, sent, received atomic.Int64
 }
 
-func (m *members) start() {
+func (m *memberProcess) start() {
 	ln, err := net.Listen("tcp4", net.JoinHostPort(m.coreIP(0), "0"))
 	if err != nil {
 		panic(err)
@@ -182,16 +182,16 @@
 			if err != nil {
 				return
 			}
-			go answerStat(c)
+			go serveStatus(c)
 		}
 	}()
 	for k := range heartbeatConns {
-		go m.beat(k)
+		go m.sendHeartbeats(k)
 	}
 }
 
 // answerStat is a member's side of the leader's questions: each primary leads in term 1, with an empty log.
-func answerStat(c net.Conn) {
+func serveStatus(c net.Conn) {
 	defer c.Close()
 	r := wire.NewReader(c)
 	if _, err := r.ReadMessage(); err != nil {
@@ -210,9 +210,9 @@
 }
 
 // beat sends for each member of its share once in a period, evenly, over one connection.
-func (m *members) beat(k int) {
+func (m *memberProcess) sendHeartbeats(k int) {
 	var mine []int
-	for i := k; i < m.Many; i += heartbeatConns {
+	for i := k; i < m.Count; i += heartbeatConns {
 		mine = append(mine, i)
 	}
 	if len(mine) == 0 {
@@ -242,7 +242,7 @@
 	}
 }
 
-func (m *members) send(c net.Conn, answers *bufio.Reader, core string, i int, seq uint64) error {
+func (m *memberProcess) send(c net.Conn, answers *bufio.Reader, core string, i int, seq uint64) error {
 	role := "replica"
 	if i%membersPerGroup == 0 {
 		role = "primary"
@@ -274,20 +274,20 @@
 	}
 	n, _ := io.Copy(io.Discard, resp.Body)
 	resp.Body.Close()
-	m.beats.Add(1)
+	m.heartbeats.Add(1)
 	m.sent.Add(int64(len(request)))
-	m.taken.Add(n + 110) // status line and headers, about
+	m.received.Add(n + 110) // status line and headers, about
 	return nil
 }
 
 // command gives n members another generation, which changes their records; other words only sample.
-func (m *members) command(word string, n int) Sample {
-	if word == "change" {
-		for i := range min(n, m.Many) {
+func (m *memberProcess) command(verb string, n int) Sample {
+	if verb == "change" {
+		for i := range min(n, m.Count) {
 			m.generation[i].Add(1)
 		}
 	}
-	return Sample{Beats: m.beats.Load(), Missed: m.missed.Load(), Sent: m.sent.Load(), Back: m.taken.Load()}
+	return Sample{Heartbeats: m.heartbeats.Load(), Missed: m.missed.Load(), Sent: m.sent.Load(), Received: m.received.Load()}
 }
 
 // child is a process of the play.
@@ -298,7 +298,7 @@
 	out  *json.Decoder
 }
 
-func startChild(role, settingsFile string, p *plan, log io.Writer) (*child, error) {
+func startChild(role, settingsFile string, p *childPlan, log io.Writer) (*child, error) {
 	self, err := os.Executable()
 	if err != nil {
 		return nil, err
@@ -319,7 +319,7 @@
 	return c, c.cmd.Start()
 }
 
-func (c *child) ask(line string) (s Sample, err error) {
+func (c *child) command(line string) (s Sample, err error) {
 	if _, err = io.WriteString(c.in, line+"\n"); err == nil {
 		err = c.out.Decode(&s)
 	}
--- a/internal/lab/hollow/results.go
+++ b/internal/lab/hollow/results.go
@@ -24,7 +24,7 @@
 	for i, r := range rows {
 		if i == 0 {
 			fmt.Fprintf(out, "%s: drivers=%d members=%d seconds=%.1f events=%d known=%.2fs\n", r.Phase, r.Drivers, r.Members,
-				r.Seconds, r.Events, r.Known)
+				r.Seconds, r.Events, r.KnownAfter)
 		}
 		machines := float64(max(r.Machines, 1))
 		if r.Purpose == "" {
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -11,19 +11,19 @@
 // The audit finds each kind of broken rule, and none where there is none.
 func TestAuditFinds(t *testing.T) {
 	good := func() (*Cluster, Result) {
-		return &Cluster{applied: map[string]int{"a": 1, "f": 1}}, Result{Writes: map[string]End{"a": Acked, "f": Failed, "r": Refused, "l": Failed},
-			Kinds: map[string]*Figures{"w": newFigures()}}
+		return &Cluster{executions: map[string]int{"a": 1, "f": 1}}, Result{Writes: map[string]Outcome{"a": Acked, "f": Failed, "r": Refused, "l": Failed},
+			Kinds: map[string]*OpStats{"w": newOpStats()}}
 	}
 	if c, r := good(); len(c.Audit(r)) > 0 {
 		t.Error(c.Audit(r))
 	}
 	for want, spoil := range map[string]func(*Cluster, *Result){
-		"a ran 2 times":                func(c *Cluster, r *Result) { c.applied["a"] = 2 },
-		"was told that it did not":     func(c *Cluster, r *Result) { c.applied["r"] = 1 },
-		"a was acked and never ran":    func(c *Cluster, r *Result) { delete(c.applied, "a") },
-		"got another's answer":         func(c *Cluster, r *Result) { r.Wrong = []string{"x"} },
-		"1 ops without a whole answer": func(c *Cluster, r *Result) { r.Kinds["w"].Ends[Lost] = 1 },
-		"later than the grace":         func(c *Cluster, r *Result) { c.late = []string{"x"} },
+		"a ran 2 times":                func(c *Cluster, r *Result) { c.executions["a"] = 2 },
+		"was told that it did not":     func(c *Cluster, r *Result) { c.executions["r"] = 1 },
+		"a was acked and never ran":    func(c *Cluster, r *Result) { delete(c.executions, "a") },
+		"got another's answer":         func(c *Cluster, r *Result) { r.Mismatched = []string{"x"} },
+		"1 ops without a whole answer": func(c *Cluster, r *Result) { r.Kinds["w"].Outcomes[Lost] = 1 },
+		"later than the grace":         func(c *Cluster, r *Result) { c.afterDrain = []string{"x"} },
 	} {
 		c, r := good()
 		spoil(c, &r)
@@ -36,7 +36,7 @@
 // Two drivers before a cluster whose primary is killed, hangs, and whose replicas drain and slow down: ops go on and no
 // rule breaks.
 func TestFaults(t *testing.T) {
-	c, err := Start(Options{Elect: 200 * time.Millisecond})
+	c, err := Start(Options{ElectionTime: 200 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -47,15 +47,15 @@
 		t.Fatal(err)
 	}
 	first := c.Primary(1)
-	steps := []func(){func() { c.Do("kill", first) }, func() { c.Do("heal", first); c.Do("slow", c.Replica(1)) },
-		func() { c.Do("hang", c.Primary(1)) }, func() { c.Do("drain", c.Replica(1)) }}
-	r := Load{Targets: targets, Rate: 150, For: 5 * time.Second, Mix: Mix, Groups: 1, Seed: 2, Slack: 2 * time.Second}.Run(ctx, func(second int, f *Figures) {
+	steps := []func(){func() { c.Inject("kill", first) }, func() { c.Inject("heal", first); c.Inject("slow", c.Replica(1)) },
+		func() { c.Inject("hang", c.Primary(1)) }, func() { c.Inject("drain", c.Replica(1)) }}
+	r := Load{Targets: targets, Rate: 150, Duration: 5 * time.Second, Mix: DefaultMix, Groups: 1, Seed: 2, Slack: 2 * time.Second}.Run(ctx, func(second int, f *OpStats) {
 		if second < len(steps) {
 			steps[second]()
 		}
 	})
 	for _, m := range c.members {
-		c.Do("free", m.ID)
+		c.Inject("free", m.ID)
 	}
 	end()
 	if err := wait(); err != nil {
@@ -64,10 +64,10 @@
 	if broken := c.Audit(r); len(broken) > 0 {
 		t.Errorf("%d broken rules, such as %q", len(broken), broken[0])
 	}
-	if f := r.Kinds["write"]; f.Ends[Acked] < 20 {
-		t.Errorf("only %d writes acked", f.Ends[Acked])
+	if f := r.Kinds["write"]; f.Outcomes[Acked] < 20 {
+		t.Errorf("only %d writes acked", f.Outcomes[Acked])
 	}
-	if c.Do("kill", "nobody") || c.Do("dance", first) {
+	if c.Inject("kill", "nobody") || c.Inject("dance", first) {
 		t.Error("a word that nobody knows is carried out")
 	}
 }
@@ -80,10 +80,10 @@
 	}
 	defer c.Stop()
 	m := c.members[0]
-	time.AfterFunc(500*time.Millisecond, func() { m.hangs.Store(true) })
-	time.AfterFunc(900*time.Millisecond, func() { m.hangs.Store(false) })
-	r := Load{Targets: []string{m.address}, Rate: 200, For: 1500 * time.Millisecond, Groups: 1,
-		Mix: []Kind{{Name: "any", Share: 1, Timeout: 5 * time.Second}}}.Run(context.Background(), nil)
+	time.AfterFunc(500*time.Millisecond, func() { m.hung.Store(true) })
+	time.AfterFunc(900*time.Millisecond, func() { m.hung.Store(false) })
+	r := Load{Targets: []string{m.address}, Rate: 200, Duration: 1500 * time.Millisecond, Groups: 1,
+		Mix: []OpKind{{Name: "any", Share: 1, Timeout: 5 * time.Second}}}.Run(context.Background(), nil)
 	f := r.Kinds["any"]
 	if n := f.Latency.TotalCount(); n < 200 || f.Quantile(90) < 100*time.Millisecond || f.Quantile(50) > 100*time.Millisecond {
 		t.Errorf("%d ops, median %v, p90 %v: the stall is hidden", n, f.Quantile(50), f.Quantile(90))
--- a/internal/lab/ledger_test.go
+++ b/internal/lab/ledger_test.go
@@ -26,9 +26,9 @@
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(10 * time.Second))
 	r := bufio.NewReader(conn)
-	l := &line{conn, r}
+	l := &clientConn{conn, r}
 	conn.Write(pgwire.AppendStartupMessage(nil, "svc", "main"))
-	if _, _, ok := l.hear(); !ok {
+	if _, _, ok := l.readAnswer(); !ok {
 		t.Fatal("no welcome")
 	}
 	conn.Write(pgwire.AppendQuery(nil, fmt.Sprintf(`INSERT INTO records (k, v) VALUES ('a1', '\x%s') RETURNING v /* id=%s,c=write,d=%d,cluster=1,key=%s */`,
@@ -53,7 +53,7 @@
 // Repeats with a key never have a second effect: not behind an acked write, a lost answer, a restart of the driver; and one that
 // is proved not to have run may go.
 func TestKeysRunOnce(t *testing.T) {
-	c, err := Start(Options{Elect: 200 * time.Millisecond})
+	c, err := Start(Options{ElectionTime: 200 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -82,7 +82,7 @@
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		for _, id := range ids {
-			n += c.applied[id]
+			n += c.executions[id]
 		}
 		return n
 	}
@@ -99,19 +99,19 @@
 	if _, code, _ := try(t, address, "i4", "it's", "01", 3000); code != pgwire.CodeProtocolViolation {
 		t.Error("a bad key:", code)
 	}
-	c.Do("mute", c.Primary(1))
+	c.Inject("mute", c.Primary(1))
 	if _, code, _ := try(t, address, "j1", "k2", "01", 1500); code != pgwire.CodeSystemError || ran("j1") != 1 {
 		t.Error("a lost answer:", code, ran("j1"))
 	}
-	c.Do("heal", c.Primary(1))
+	c.Inject("heal", c.Primary(1))
 	if _, code, text := try(t, address, "j2", "k2", "01", 3000); code != pgwire.CodeSystemError || !strings.Contains(text, "can't be known") || ran("j1", "j2") != 1 {
 		t.Error("its repeat:", code, text, ran("j1", "j2"))
 	}
 	old := c.Primary(1)
 	c.mu.Lock()
-	c.o.Elect = 3 * time.Second
+	c.options.ElectionTime = 3 * time.Second
 	c.mu.Unlock()
-	c.Do("demote", old) // no primary for longer than the client waits
+	c.Inject("demote", old) // no primary for longer than the client waits
 	if _, code, _ := try(t, address, "n1", "k3", "01", 400); code != pgwire.CodeTooManyConnections {
 		t.Error("without a primary:", code)
 	}
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -19,7 +19,7 @@
 )
 
 // Kind is one op type of a mix.
-type Kind struct {
+type OpKind struct {
 	Name    string        `json:"name"`
 	Share   float64       `json:"share"` // of all ops, in parts of the sum
 	Write   bool          `json:"write"`
@@ -30,56 +30,56 @@
 
 // Load is what is to be asked.
 type Load struct {
-	Targets []string // drivers
-	Rate    float64  // ops a second, all targets together
-	For     time.Duration
-	Mix     []Kind
-	Groups  int
-	Seed    uint64
-	Slack   time.Duration // beyond an op's time its answer still counts: machines stand still now and then. 0 for 50 ms
-	Most    int           // ops open at a time; those beyond are not asked and counted as Skipped
+	Targets     []string // drivers
+	Rate        float64  // ops a second, all targets together
+	Duration    time.Duration
+	Mix         []OpKind
+	Groups      int
+	Seed        uint64
+	Slack       time.Duration // beyond an op's time its answer still counts: machines stand still now and then. 0 for 50 ms
+	MaxInFlight int           // ops open at a time; those beyond are not asked and counted as Skipped
 }
 
 // End is what came of an op.
-type End uint8
+type Outcome uint8
 
 // What may come of an op.
 const (
-	Acked End = iota
+	Acked Outcome = iota
 	Refused
 	Failed
 	Lost // no whole answer in its time
-	ends
+	outcomeCount
 )
 
-func (e End) String() string { return [...]string{"acked", "refused", "failed", "lost"}[e] }
+func (e Outcome) String() string { return [...]string{"acked", "refused", "failed", "lost"}[e] }
 
 // Figures are of one kind of op, or of one second.
-type Figures struct {
-	Ends    [ends]int
-	Skipped int
-	Latency *hdrhistogram.Histogram // of acked ops, microseconds from the intended start
+type OpStats struct {
+	Outcomes [outcomeCount]int
+	Skipped  int
+	Latency  *hdrhistogram.Histogram // of acked ops, microseconds from the intended start
 }
 
-func newFigures() *Figures { return &Figures{Latency: hdrhistogram.New(1, 60e6, 3)} }
+func newOpStats() *OpStats { return &OpStats{Latency: hdrhistogram.New(1, 60e6, 3)} }
 
 // Quantile is of the latency of acked ops.
-func (f *Figures) Quantile(q float64) time.Duration {
+func (f *OpStats) Quantile(q float64) time.Duration {
 	return time.Duration(f.Latency.ValueAtQuantile(q)) * time.Microsecond
 }
 
 // Result is what came of a load.
 type Result struct {
-	Kinds  map[string]*Figures
-	Writes map[string]End  // by op
-	Acks   []time.Duration // of writes, from the begin of the load
-	Wrong  []string        // ops that were answered by another's value
+	Kinds      map[string]*OpStats
+	Writes     map[string]Outcome // by op
+	WriteTimes []time.Duration    // of writes, from the begin of the load
+	Mismatched []string           // ops that were answered by another's value
 }
 
 // Run plays a load. each is called about once a second with what ended since; it may be nil.
-func (l Load) Run(ctx context.Context, each func(second int, f *Figures)) Result {
-	if l.Most == 0 {
-		l.Most = 2000
+func (l Load) Run(ctx context.Context, each func(second int, f *OpStats)) Result {
+	if l.MaxInFlight == 0 {
+		l.MaxInFlight = 2000
 	}
 	if l.Slack == 0 {
 		l.Slack = 50 * time.Millisecond
@@ -91,14 +91,14 @@
 		pools[i].address = target
 	}
 	var open sync.WaitGroup
-	places := make(chan struct{}, l.Most)
+	places := make(chan struct{}, l.MaxInFlight)
 	begin, due := time.Now(), time.Duration(0)
 	shown := 0
-	for serial := 0; due < l.For; serial++ {
+	for serial := 0; due < l.Duration; serial++ {
 		due += time.Duration(draw.ExpFloat64() / l.Rate * float64(time.Second))
 		select {
 		case <-ctx.Done():
-			due = l.For
+			due = l.Duration
 			continue
 		case <-time.After(time.Until(begin.Add(due))):
 		}
@@ -118,7 +118,7 @@
 		intended := begin.Add(due)
 		open.Go(func() {
 			defer func() { <-places }()
-			end, value := p.ask(kind, id, group, intended, l.Slack)
+			end, value := p.query(kind, id, group, intended, l.Slack)
 			t.count(kind, id, end, value, time.Since(intended), begin)
 		})
 	}
@@ -130,7 +130,7 @@
 }
 
 // pick gives the kind at a place in the sum of shares.
-func (l *Load) pick(x float64) Kind {
+func (l *Load) pick(x float64) OpKind {
 	for _, k := range l.Mix {
 		if x -= k.Share; x < 0 {
 			return k
@@ -145,56 +145,56 @@
 
 	mu     sync.Mutex
 	result Result
-	second *Figures // of the second that runs
+	second *OpStats // of the second that runs
 }
 
 func (l *Load) newTally() *tally {
-	t := &tally{result: Result{Kinds: map[string]*Figures{}, Writes: map[string]End{}}, second: newFigures()}
+	t := &tally{result: Result{Kinds: map[string]*OpStats{}, Writes: map[string]Outcome{}}, second: newOpStats()}
 	for _, k := range l.Mix {
-		t.result.Kinds[k.Name] = newFigures()
+		t.result.Kinds[k.Name] = newOpStats()
 		t.shares += k.Share
 	}
 	return t
 }
 
 // nextSecond gives the figures of the second that ends.
-func (t *tally) nextSecond() *Figures {
+func (t *tally) nextSecond() *OpStats {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	done := t.second
-	t.second = newFigures()
+	t.second = newOpStats()
 	return done
 }
 
-func (t *tally) skip(kind Kind) {
+func (t *tally) skip(kind OpKind) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.result.Kinds[kind.Name].Skipped++
 }
 
-func (t *tally) count(kind Kind, id string, end End, value string, took time.Duration, begin time.Time) {
+func (t *tally) count(kind OpKind, id string, end Outcome, value string, took time.Duration, begin time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, f := range []*Figures{t.result.Kinds[kind.Name], t.second} {
-		if f.Ends[end]++; end == Acked {
+	for _, f := range []*OpStats{t.result.Kinds[kind.Name], t.second} {
+		if f.Outcomes[end]++; end == Acked {
 			_ = f.Latency.RecordValue(max(took.Microseconds(), 1)) // what is beyond its range isn't counted
 		}
 	}
 	if kind.Write {
 		if t.result.Writes[id] = end; end == Acked {
-			t.result.Acks = append(t.result.Acks, time.Since(begin))
+			t.result.WriteTimes = append(t.result.WriteTimes, time.Since(begin))
 		}
 	}
 	if end == Acked && value != "v:"+id {
-		t.result.Wrong = append(t.result.Wrong, id)
+		t.result.Mismatched = append(t.result.Mismatched, id)
 	}
 }
 
 // Gap is the longest time without an acked write between two moments of the load.
-func (r *Result) Gap(from, to time.Duration) (longest time.Duration) {
-	slices.Sort(r.Acks)
+func (r *Result) LongestGap(from, to time.Duration) (longest time.Duration) {
+	slices.Sort(r.WriteTimes)
 	last := from
-	for _, at := range r.Acks {
+	for _, at := range r.WriteTimes {
 		if at > from && at <= to {
 			longest = max(longest, at-last)
 			last = at
@@ -207,12 +207,12 @@
 type pool struct {
 	address string
 	mu      sync.Mutex
-	idle    []*line
+	idle    []*clientConn
 }
 
-type line struct {
+type clientConn struct {
 	net.Conn
-	r *bufio.Reader
+	reader *bufio.Reader
 }
 
 func (p *pool) close() {
@@ -222,11 +222,11 @@
 }
 
 // ask puts one op and waits for its answer for as long as its time lasts from the intended start.
-func (p *pool) ask(k Kind, id string, group int, intended time.Time, slack time.Duration) (End, string) {
+func (p *pool) query(k OpKind, id string, group int, intended time.Time, slack time.Duration) (Outcome, string) {
 	due := intended.Add(k.Timeout)
 	limit := due.Add(slack)
 	p.mu.Lock()
-	var l *line
+	var l *clientConn
 	if n := len(p.idle); n > 0 {
 		l, p.idle = p.idle[n-1], slices.Delete(p.idle, n-1, n)
 	}
@@ -236,10 +236,10 @@
 		if err != nil {
 			return Lost, ""
 		}
-		l = &line{conn, bufio.NewReader(conn)}
+		l = &clientConn{conn, bufio.NewReader(conn)}
 		conn.SetDeadline(limit)
 		_, _ = conn.Write(pgwire.AppendStartupMessage(nil, "svc", "main")) // the reads behind it see a broken connection
-		if _, _, ok := l.hear(); !ok {
+		if _, _, ok := l.readAnswer(); !ok {
 			conn.Close()
 			return Lost, ""
 		}
@@ -251,7 +251,7 @@
 	}
 	_, _ = l.Write(pgwire.AppendQuery(nil, fmt.Sprintf("%s /* id=%s,c=%s,d=%d,cluster=%d */", form, id, k.Name,
 		max(time.Until(due).Milliseconds(), 1), group)))
-	value, code, ok := l.hear()
+	value, code, ok := l.readAnswer()
 	if !ok {
 		l.Close()
 		return Lost, ""
@@ -269,9 +269,9 @@
 }
 
 // hear reads one whole answer.
-func (l *line) hear() (value, code string, ok bool) {
+func (l *clientConn) readAnswer() (value, code string, ok bool) {
 	for {
-		kind, m, err := pgwire.Read(l.r, nil)
+		kind, m, err := pgwire.Read(l.reader, nil)
 		if err != nil {
 			return "", "", false
 		}
--- a/internal/lab/membershipsim/golden_test.go
+++ b/internal/lab/membershipsim/golden_test.go
@@ -19,13 +19,13 @@
 		text := regexp.MustCompile(`[0-9.]+ % of a core`).ReplaceAllString(out.String(), "* % of a core")
 		cases = append(cases, golden.Of(name, text))
 	}
-	record("losses", func(out *bytes.Buffer) error { return Losses(out, Options{Drivers: 7, Seed: 3}, 6) })
-	record("heals", func(out *bytes.Buffer) error { return Heals(out, Options{Drivers: 9, Seed: 4}, 4) })
+	record("losses", func(out *bytes.Buffer) error { return MeasureFailureDetection(out, Options{Drivers: 7, Seed: 3}, 6) })
+	record("heals", func(out *bytes.Buffer) error { return MeasurePartitionHealing(out, Options{Drivers: 9, Seed: 4}, 4) })
 	record("losses under loss and doubles", func(out *bytes.Buffer) error {
-		return Losses(out, Options{Drivers: 12, Seed: 5, Loss: 0.05, Double: 0.1}, 4)
+		return MeasureFailureDetection(out, Options{Drivers: 12, Seed: 5, Loss: 0.05, Duplicate: 0.1}, 4)
 	})
 	record("calm", func(out *bytes.Buffer) error {
-		return Wrong(out, Options{Drivers: 20, Seed: 6, Loss: 0.1}, 120000, 0.1)
+		return MeasureFalsePositives(out, Options{Drivers: 20, Seed: 6, Loss: 0.1}, 120000, 0.1)
 	})
 	golden.Text(t, "testdata/measurements.golden", cases)
 }
