--- a/internal/lab/membershipsim/measure.go
+++ b/internal/lab/membershipsim/measure.go
@@ -14,12 +14,12 @@
 )
 
 // Spread is of a number of durations, milliseconds.
-type Spread struct{ all []float64 }
+type Durations struct{ all []float64 }
 
 // Add takes one more.
-func (s *Spread) Add(x float64) { s.all = append(s.all, x) }
+func (s *Durations) Add(x float64) { s.all = append(s.all, x) }
 
-func (s *Spread) String() string {
+func (s *Durations) String() string {
 	if len(s.all) == 0 {
 		return "none"
 	}
@@ -30,11 +30,11 @@
 }
 
 // founded starts all drivers and waits until they have a roster of all.
-func (f *Flock) founded() (took float64, ok bool) {
+func (f *Simulation) startAll() (took float64, ok bool) {
 	for i := range f.Drivers {
 		f.Start(i, 0)
 	}
-	return f.Until(120000, func() bool { // under loss somebody is suspected at any moment: not all are whole at once
+	return f.RunUntilTrue(120000, func() bool { // under loss somebody is suspected at any moment: not all are whole at once
 		return !slices.ContainsFunc(f.Drivers, func(d *Driver) bool {
 			r := d.View.Status().Roster
 			return r == nil || len(r.Names) != len(f.Drivers)
@@ -42,7 +42,7 @@
 	})
 }
 
-func (f *Flock) standAll(want membership.PartitionStatus, not map[int]bool) bool {
+func (f *Simulation) allHaveStatus(want membership.PartitionStatus, not map[int]bool) bool {
 	for i, d := range f.Drivers {
 		if d.View == nil || not[i] {
 			continue
@@ -56,21 +56,21 @@
 
 // Losses kills drivers one after the other and tells how long it took until all others knew; each returns before the
 // next.
-func Losses(out io.Writer, o Options, kills int) error {
+func MeasureFailureDetection(out io.Writer, o Options, kills int) error {
 	f := New(o)
-	took, ok := f.founded()
+	took, ok := f.startAll()
 	if !ok {
 		return fmt.Errorf("no roster in two minutes")
 	}
 	fmt.Fprintf(out, "drivers=%d period=%.0fms: a roster of all %.0f ms after the start of all at once\n", o.Drivers,
-		f.o.Period, took)
-	var each, last Spread
+		f.options.Period, took)
+	var each, last Durations
 	for range kills {
 		i := f.draw.IntN(len(f.Drivers))
-		f.Run(10 * f.o.Period * f.draw.Float64())
+		f.Run(10 * f.options.Period * f.draw.Float64())
 		f.Kill(i)
 		knows := map[int]bool{}
-		took, ok := f.Until(60000, func() bool {
+		took, ok := f.RunUntilTrue(60000, func() bool {
 			for k, d := range f.Drivers {
 				if d.View == nil || knows[k] {
 					continue
@@ -79,7 +79,7 @@
 					continue
 				}
 				knows[k] = true
-				each.Add(f.Now - f.killed)
+				each.Add(f.Now - f.killedAt)
 			}
 			return len(knows) == len(f.Drivers)-1
 		})
@@ -88,7 +88,7 @@
 		}
 		last.Add(took)
 		f.Start(i, 0)
-		if _, ok := f.Until(60000, func() bool { return f.standAll(membership.Complete, nil) }); !ok {
+		if _, ok := f.RunUntilTrue(60000, func() bool { return f.allHaveStatus(membership.Complete, nil) }); !ok {
 			return fmt.Errorf("not whole a minute after a return")
 		}
 	}
@@ -97,23 +97,23 @@
 }
 
 // Heals cuts the drivers into two parts for half a minute and tells how long after the heal all agree.
-func Heals(out io.Writer, o Options, times int) error {
+func MeasurePartitionHealing(out io.Writer, o Options, times int) error {
 	f := New(o)
-	if _, ok := f.founded(); !ok {
+	if _, ok := f.startAll(); !ok {
 		return fmt.Errorf("no roster in two minutes")
 	}
-	var agreed Spread
+	var agreed Durations
 	for range times {
 		at := len(f.Drivers) * (1 + f.draw.IntN(3)) / 5
-		f.Cut = func(a, b int) bool { return (a < at) != (b < at) }
-		f.Run(60 * f.o.Period)
-		f.Cut = nil
-		took, ok := f.Until(120000, func() bool { return f.standAll(membership.Complete, nil) })
+		f.Blocked = func(a, b int) bool { return (a < at) != (b < at) }
+		f.Run(60 * f.options.Period)
+		f.Blocked = nil
+		took, ok := f.RunUntilTrue(120000, func() bool { return f.allHaveStatus(membership.Complete, nil) })
 		if !ok {
 			return fmt.Errorf("not agreed two minutes after a heal")
 		}
 		agreed.Add(took)
-		f.Run(10 * f.o.Period)
+		f.Run(10 * f.options.Period)
 	}
 	fmt.Fprintf(out, "drivers=%d: agreed after the heal of a cut of 60 periods: %s\n", o.Drivers, &agreed)
 	return nil
@@ -121,14 +121,14 @@
 
 // Wrong plays calm time on a network that loses datagrams, a tenth of the drivers on throttled cores, and counts living
 // drivers that were taken for failed; it tells what all that costs.
-func Wrong(out io.Writer, o Options, length float64, slow float64) error {
+func MeasureFalsePositives(out io.Writer, o Options, length float64, slow float64) error {
 	f := New(o)
-	if _, ok := f.founded(); !ok {
+	if _, ok := f.startAll(); !ok {
 		return fmt.Errorf("no roster in two minutes")
 	}
 	failed := map[string]bool{}
 	stood, denied := 0, 0
-	f.Notes = func(at float64, d string, n membership.Event) {
+	f.OnEvent = func(at float64, d string, n membership.Event) {
 		switch n.Reason {
 		case "fellow_failed":
 			failed[fmt.Sprintf("%s %.0f", n.Name, at/20000)] = true
@@ -144,7 +144,7 @@
 		}
 		d.Bytes, d.Sent = 0, 0
 	}
-	f.sample = true
+	f.sampleSizes = true
 	began := time.Now()
 	f.Run(length)
 	real := time.Since(began)
@@ -173,7 +173,7 @@
 }
 
 // size is of a message as it goes out.
-func size(m *membership.Message) float64 {
+func encodedSize(m *membership.Message) float64 {
 	b, err := cbor.Marshal(m)
 	if err != nil {
 		return 0
--- a/internal/lab/sessionrun/sessionrun_test.go
+++ b/internal/lab/sessionrun/sessionrun_test.go
@@ -21,10 +21,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.Lost+r.Doubled+r.Mess > 0 || r.Stayed != r.Opened || r.Queued < 100 {
+	if r.Lost+r.Duplicated+r.OutOfOrder > 0 || r.StayedOpen != r.Opened || r.Queued < 100 {
 		t.Errorf("%+v", r)
 	}
-	if p := r.Page("x"); strings.Count(p, "<svg") != 3 || !strings.Contains(p, "is pulled") {
+	if p := r.HTML("x"); strings.Count(p, "<svg") != 3 || !strings.Contains(p, "is pulled") {
 		t.Error(p)
 	}
 }
--- a/internal/lab/storm.go
+++ b/internal/lab/storm.go
@@ -17,11 +17,11 @@
 
 // Storm is what is to be seen: a registry's restart under clients that follow it.
 type Storm struct {
-	Clients int
-	Members int
-	Away    time.Duration
-	Naive   bool // clients that ask for the whole list again and again without a pause, instead of a course
-	Most    time.Duration
+	Clients  int
+	Members  int
+	Downtime time.Duration
+	Naive    bool // clients that ask for the whole list again and again without a pause, instead of a course
+	Timeout  time.Duration
 }
 
 // StormResult is what the registry had to bear.
@@ -42,18 +42,18 @@
 
 	mu     sync.Mutex
 	roster *roster.Roster
-	caught int
+	stage  int
 }
 
 func stormNow() float64 { return float64(time.Now().UnixMicro()) / 1000 }
 
-func (x *stormClient) told(u roster.Update) (roster.Verdict, float64) {
+func (x *stormClient) apply(u roster.Update) (roster.Verdict, float64) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	out := x.roster.Apply(stormNow(), u)
 	if n := len(x.roster.Members()); out.Verdict == roster.VerdictApplied &&
-		(x.caught == 0 && n == x.members || x.caught == 1 && n == x.members+1) {
-		x.caught++
+		(x.stage == 0 && n == x.members || x.stage == 1 && n == x.members+1) {
+		x.stage++
 		x.current <- struct{}{}
 	}
 	return out.Verdict, 0
@@ -68,7 +68,7 @@
 
 func (x *stormClient) run(ctx context.Context, s Storm, n int) {
 	if !s.Naive {
-		w := registry.Watcher{Client: x.client, Apply: x.told, Position: x.position, Now: stormNow, OnActivity: func() {},
+		w := registry.Watcher{Client: x.client, Apply: x.apply, Position: x.position, Now: stormNow, OnActivity: func() {},
 			Scheduler: roster.NewScheduler(roster.SchedulerOptions{Endpoints: 1, Drivers: s.Clients, Seed: uint64(n)}),
 			OnDisconnect: func(error) {
 				x.mu.Lock()
@@ -78,7 +78,7 @@
 		w.Run(ctx)
 		return
 	}
-	tell := func(u roster.Update) { x.told(u) }
+	tell := func(u roster.Update) { x.apply(u) }
 	for ctx.Err() == nil {
 		if x.client.List(ctx, 0, true, tell) == nil {
 			revision, _ := x.position()
@@ -120,7 +120,7 @@
 	}
 	server.Down.Store(true)
 	server.CloseConnections()
-	time.Sleep(s.Away)
+	time.Sleep(s.Downtime)
 	store.Put(stormPrefix+"new", `{"host_port":"127.0.0.1:1","cell":1,"phase":"up"}`)
 	store.Compact(store.Revision())
 	store.Put("elsewhere", "x") // so that what is compacted lies behind the newest revision
@@ -150,7 +150,7 @@
 
 // await waits until each client has said that it is current.
 func (s Storm) await(current <-chan struct{}) error {
-	limit := time.After(s.Most)
+	limit := time.After(s.Timeout)
 	for range s.Clients {
 		select {
 		case <-current:
--- a/internal/lab/switch.go
+++ b/internal/lab/switch.go
@@ -17,7 +17,7 @@
 )
 
 // Hooked are drivers with control sockets, all fellows of each other but for those left out.
-type Hooked struct {
+type HookedDrivers struct {
 	Addresses []string
 	Clients   []*control.Client
 	Wait      func() error
@@ -25,13 +25,13 @@
 
 // StartHooked runs n drivers; a driver i for which alone says so has no fellows and is nobody's. The folder is for
 // sockets.
-func (c *Cluster) StartHooked(
+func (c *Cluster) StartHookedDrivers(
 	ctx context.Context,
 	n int,
 	folder string,
 	logTo io.Writer,
 	alone func(i int) bool,
-) (*Hooked, error) {
+) (*HookedDrivers, error) {
 	token := filepath.Join(folder, "token")
 	if err := os.WriteFile(token, []byte("a secret of drivers\n"), 0o600); err != nil {
 		return nil, err
@@ -43,7 +43,7 @@
 			return nil, err
 		}
 	}
-	h := &Hooked{}
+	h := &HookedDrivers{}
 	h.Addresses, h.Wait, err = c.Drivers(ctx, n, logTo, func(i int) operator.File {
 		f := operator.Default()
 		f.Control = &operator.Control{
@@ -75,13 +75,13 @@
 
 // Planned changes a group's primary as a topology manager with hooks does: it speaks to one driver alone. It gives the
 // time for which the group had no primary.
-func (c *Cluster) Planned(ctx context.Context, hook *control.Client, group int64) (gap time.Duration, err error) {
+func (c *Cluster) Switchover(ctx context.Context, hook *control.Client, group int64) (gap time.Duration, err error) {
 	old := c.Primary(group)
 	if _, err = hook.NotifyHook(ctx, switchover.Notification{Group: group, Stage: switchover.StageHeld, From: old}); err != nil {
 		return 0, err
 	}
 	began := time.Now()
-	c.Do("demote", old)
+	c.Inject("demote", old)
 	for c.Primary(group) == "" || c.Primary(group) == old {
 		if time.Since(began) > 20*time.Second || ctx.Err() != nil {
 			return 0, fmt.Errorf("group %d got no new primary", group)
--- a/internal/lab/switch_test.go
+++ b/internal/lab/switch_test.go
@@ -15,7 +15,7 @@
 	"weirwind/internal/switchover"
 )
 
-var writes = []Kind{{Name: "write", Share: 1, Write: true, Timeout: 4 * time.Second}}
+var writes = []OpKind{{Name: "write", Share: 1, Write: true, Timeout: 4 * time.Second}}
 
 type quiet struct {
 	mu sync.Mutex
@@ -28,15 +28,15 @@
 	return q.b.Write(p)
 }
 
-func hooked(t *testing.T, n int, alone func(int) bool) (*Cluster, *Hooked, func()) {
+func hooked(t *testing.T, n int, alone func(int) bool) (*Cluster, *HookedDrivers, func()) {
 	t.Helper()
-	c, err := Start(Options{Elect: 200 * time.Millisecond})
+	c, err := Start(Options{ElectionTime: 200 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, end := context.WithCancel(context.Background())
 	log := &quiet{}
-	h, err := c.StartHooked(ctx, n, t.TempDir(), log, alone)
+	h, err := c.StartHookedDrivers(ctx, n, t.TempDir(), log, alone)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -63,7 +63,7 @@
 }
 
 // stage is what a driver knows of group 1.
-func stage(h *Hooked, i int) switchover.ChangeStatus {
+func stage(h *HookedDrivers, i int) switchover.ChangeStatus {
 	all, err := h.Clients[i].Status(context.Background())
 	if err != nil || len(all) == 0 {
 		return switchover.ChangeStatus{}
@@ -79,18 +79,18 @@
 		ctx := context.Background()
 		result := make(chan Result)
 		go func() {
-			result <- Load{Targets: h.Addresses, Rate: 100, For: 3 * time.Second, Mix: writes, Groups: 1, Seed: 5, Slack: 2 * time.Second}.Run(ctx, nil)
+			result <- Load{Targets: h.Addresses, Rate: 100, Duration: 3 * time.Second, Mix: writes, Groups: 1, Seed: 5, Slack: 2 * time.Second}.Run(ctx, nil)
 		}()
 		for range 3 {
 			time.Sleep(300 * time.Millisecond) // load between two changes
-			if _, err := c.Planned(ctx, h.Clients[0], 1); err != nil {
+			if _, err := c.Switchover(ctx, h.Clients[0], 1); err != nil {
 				t.Fatal(err)
 			}
 		}
 		r := <-result
 		f := r.Kinds["write"]
-		if broken := c.Audit(r); len(broken) > 0 || f.Ends[Acked] < 200 || f.Ends[Failed]+f.Ends[Lost] > 0 || f.Ends[Refused] > f.Ends[Acked]/20 {
-			t.Errorf("deaf %d: %v, broken %v", deaf, f.Ends, broken)
+		if broken := c.Audit(r); len(broken) > 0 || f.Outcomes[Acked] < 200 || f.Outcomes[Failed]+f.Outcomes[Lost] > 0 || f.Outcomes[Refused] > f.Outcomes[Acked]/20 {
+			t.Errorf("deaf %d: %v, broken %v", deaf, f.Outcomes, broken)
 		}
 		until(t, "agreement", func() bool {
 			a := stage(h, 0)
@@ -111,18 +111,18 @@
 	c, h, end := hooked(t, 2, nil)
 	defer end()
 	ctx := context.Background()
-	warm := Load{Targets: h.Addresses, Rate: 100, For: 300 * time.Millisecond, Mix: writes, Groups: 1, Seed: 6, Slack: 2 * time.Second}.Run(ctx, nil)
-	if warm.Kinds["write"].Ends[Acked] == 0 {
+	warm := Load{Targets: h.Addresses, Rate: 100, Duration: 300 * time.Millisecond, Mix: writes, Groups: 1, Seed: 6, Slack: 2 * time.Second}.Run(ctx, nil)
+	if warm.Kinds["write"].Outcomes[Acked] == 0 {
 		t.Fatal("no write was acked to begin with")
 	}
 	if _, err := h.Clients[0].NotifyHook(ctx, switchover.Notification{Group: 1, Stage: switchover.StageHeld, Lease: 700}); err != nil {
 		t.Fatal(err)
 	}
 	until(t, "the hold at the fellow", func() bool { return stage(h, 1).Draining == c.Primary(1) })
-	r := Load{Targets: h.Addresses[1:], Rate: 50, For: 300 * time.Millisecond, Mix: writes, Groups: 1, Seed: 7, Slack: 2 * time.Second}.Run(ctx, nil)
+	r := Load{Targets: h.Addresses[1:], Rate: 50, Duration: 300 * time.Millisecond, Mix: writes, Groups: 1, Seed: 7, Slack: 2 * time.Second}.Run(ctx, nil)
 	f := r.Kinds["write"]
-	if broken := c.Audit(r); len(broken) > 0 || f.Ends[Acked] < 5 || f.Ends[Failed]+f.Ends[Lost] > 0 {
-		t.Errorf("%v, broken %v", f.Ends, broken)
+	if broken := c.Audit(r); len(broken) > 0 || f.Outcomes[Acked] < 5 || f.Outcomes[Failed]+f.Outcomes[Lost] > 0 {
+		t.Errorf("%v, broken %v", f.Outcomes, broken)
 	}
 	if f.Quantile(100) < 200*time.Millisecond {
 		t.Errorf("nothing was held: the slowest write took %v", f.Quantile(100))
@@ -142,18 +142,18 @@
 	if _, err := h.Clients[0].NotifyHook(ctx, word); err != nil {
 		t.Fatal(err)
 	}
-	hasty := []Kind{{Name: "write", Share: 1, Write: true, Timeout: 300 * time.Millisecond}}
-	r := Load{Targets: h.Addresses, Rate: 60, For: 400 * time.Millisecond, Mix: hasty, Groups: 1, Seed: 8, Slack: time.Second}.Run(ctx, nil)
-	if f := r.Kinds["write"]; f.Ends[Refused] < 10 || f.Ends[Acked]+f.Ends[Failed]+f.Ends[Lost] > 0 || len(c.Audit(r)) > 0 {
-		t.Errorf("%v, broken %v", f.Ends, c.Audit(r))
+	hasty := []OpKind{{Name: "write", Share: 1, Write: true, Timeout: 300 * time.Millisecond}}
+	r := Load{Targets: h.Addresses, Rate: 60, Duration: 400 * time.Millisecond, Mix: hasty, Groups: 1, Seed: 8, Slack: time.Second}.Run(ctx, nil)
+	if f := r.Kinds["write"]; f.Outcomes[Refused] < 10 || f.Outcomes[Acked]+f.Outcomes[Failed]+f.Outcomes[Lost] > 0 || len(c.Audit(r)) > 0 {
+		t.Errorf("%v, broken %v", f.Outcomes, c.Audit(r))
 	}
 	word.Stage = switchover.StageAborted
 	if _, err := h.Clients[0].NotifyHook(ctx, word); err != nil {
 		t.Fatal(err)
 	}
-	r = Load{Targets: h.Addresses, Rate: 60, For: 300 * time.Millisecond, Mix: writes, Groups: 1, Seed: 9, Slack: 2 * time.Second}.Run(ctx, nil)
-	if f := r.Kinds["write"]; f.Ends[Acked] == 0 || f.Ends[Refused]+f.Ends[Failed]+f.Ends[Lost] > 0 || len(c.Audit(r)) > 0 {
-		t.Errorf("%v, broken %v", f.Ends, c.Audit(r))
+	r = Load{Targets: h.Addresses, Rate: 60, Duration: 300 * time.Millisecond, Mix: writes, Groups: 1, Seed: 9, Slack: 2 * time.Second}.Run(ctx, nil)
+	if f := r.Kinds["write"]; f.Outcomes[Acked] == 0 || f.Outcomes[Refused]+f.Outcomes[Failed]+f.Outcomes[Lost] > 0 || len(c.Audit(r)) > 0 {
+		t.Errorf("%v, broken %v", f.Outcomes, c.Audit(r))
 	}
 	for want, w := range map[string]switchover.Notification{"409": word, "not known here": {Group: 9, Stage: switchover.StageHeld, From: "x"}, "400": {Group: 1}} {
 		w.Lease = 1
@@ -174,18 +174,18 @@
 	ctx := context.Background()
 	result := make(chan Result)
 	go func() {
-		result <- Load{Targets: h.Addresses, Rate: 150, For: 2500 * time.Millisecond, Mix: writes, Groups: 1, Seed: 11, Slack: 2 * time.Second}.Run(ctx, nil)
+		result <- Load{Targets: h.Addresses, Rate: 150, Duration: 2500 * time.Millisecond, Mix: writes, Groups: 1, Seed: 11, Slack: 2 * time.Second}.Run(ctx, nil)
 	}()
 	for range 2 {
 		time.Sleep(400 * time.Millisecond)
-		if _, err := c.Planned(ctx, h.Clients[1], 1); err != nil {
+		if _, err := c.Switchover(ctx, h.Clients[1], 1); err != nil {
 			t.Fatal(err)
 		}
-		c.Do("kill", c.Primary(1))
+		c.Inject("kill", c.Primary(1))
 	}
 	r := <-result
-	if f := r.Kinds["write"]; len(c.Audit(r)) > 0 || f.Ends[Acked] < 100 || f.Ends[Lost] > 0 || f.Ends[Failed] > 40 {
-		t.Errorf("%v, broken %v", f.Ends, c.Audit(r))
+	if f := r.Kinds["write"]; len(c.Audit(r)) > 0 || f.Outcomes[Acked] < 100 || f.Outcomes[Lost] > 0 || f.Outcomes[Failed] > 40 {
+		t.Errorf("%v, broken %v", f.Outcomes, c.Audit(r))
 	}
 }
 
@@ -206,29 +206,29 @@
 			t.Fatal(err)
 		}
 		conn.Write(pgwire.AppendStartupMessage(nil, "svc", "main"))
-		if _, _, ok := (&line{conn, bufio.NewReader(conn)}).hear(); !ok {
+		if _, _, ok := (&clientConn{conn, bufio.NewReader(conn)}).readAnswer(); !ok {
 			t.Fatal("no welcome")
 		}
 		conn.Write(pgwire.AppendQuery(nil, fmt.Sprintf(`INSERT INTO records (k, v) VALUES ('a1', '\x01') RETURNING v /* id=left%d,c=write,d=4000,cluster=1 */`, i)))
 		conn.Close()
 	}
-	mix := []Kind{{Name: "write", Share: 1, Write: true, Timeout: 400 * time.Millisecond}, {Name: "write", Share: 1, Write: true, Timeout: 1500 * time.Millisecond},
+	mix := []OpKind{{Name: "write", Share: 1, Write: true, Timeout: 400 * time.Millisecond}, {Name: "write", Share: 1, Write: true, Timeout: 1500 * time.Millisecond},
 		{Name: "write", Share: 2, Write: true, Timeout: 4 * time.Second}}
 	result := make(chan Result)
 	go func() {
-		result <- Load{Targets: h.Addresses, Rate: 300, For: 2 * time.Second, Mix: mix, Groups: 1, Seed: 12, Slack: 2 * time.Second, Most: 4000}.Run(ctx, nil)
+		result <- Load{Targets: h.Addresses, Rate: 300, Duration: 2 * time.Second, Mix: mix, Groups: 1, Seed: 12, Slack: 2 * time.Second, MaxInFlight: 4000}.Run(ctx, nil)
 	}()
 	time.Sleep(1500 * time.Millisecond) // so many are held by then
 	if _, err := h.Clients[1].NotifyHook(ctx, switchover.Notification{Group: 1, Stage: switchover.StageAborted}); err != nil {
 		t.Fatal(err)
 	}
 	r := <-result
-	if f := r.Kinds["write"]; len(c.Audit(r)) > 0 || f.Ends[Acked] < 200 || f.Ends[Refused] < 60 || f.Ends[Lost]+f.Ends[Failed] > 0 {
-		t.Errorf("%v, broken %v", f.Ends, c.Audit(r))
+	if f := r.Kinds["write"]; len(c.Audit(r)) > 0 || f.Outcomes[Acked] < 200 || f.Outcomes[Refused] < 60 || f.Outcomes[Lost]+f.Outcomes[Failed] > 0 {
+		t.Errorf("%v, broken %v", f.Outcomes, c.Audit(r))
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for id := range c.applied {
+	for id := range c.executions {
 		if strings.HasPrefix(id, "left") {
 			t.Errorf("%s ran, and its client had left before", id)
 		}
@@ -244,22 +244,22 @@
 	old := c.member(c.Primary(1))
 	result := make(chan Result)
 	go func() {
-		result <- Load{Targets: h.Addresses, Rate: 120, For: 3 * time.Second, Mix: writes, Groups: 1, Seed: 13, Slack: 2 * time.Second}.Run(ctx, nil)
+		result <- Load{Targets: h.Addresses, Rate: 120, Duration: 3 * time.Second, Mix: writes, Groups: 1, Seed: 13, Slack: 2 * time.Second}.Run(ctx, nil)
 	}()
 	time.Sleep(500 * time.Millisecond)
-	c.Do("stubborn", old.ID)
-	if _, err := c.Planned(ctx, h.Clients[0], 1); err != nil {
+	c.Inject("stubborn", old.ID)
+	if _, err := c.Switchover(ctx, h.Clients[0], 1); err != nil {
 		t.Fatal(err)
 	}
-	before := old.wrote.Load()
+	before := old.writes.Load()
 	until(t, "word of two primaries", func() bool { return stage(h, 0).TwoPrimaries && stage(h, 1).TwoPrimaries && stage(h, 2).TwoPrimaries })
 	r := <-result
-	if n := old.wrote.Load() - before; n > 0 {
+	if n := old.writes.Load() - before; n > 0 {
 		t.Errorf("%d writes ran at the deposed primary", n)
 	}
-	if f := r.Kinds["write"]; len(c.Audit(r)) > 0 || f.Ends[Acked] < 240 || f.Ends[Failed]+f.Ends[Lost] > 0 || f.Ends[Refused] > f.Ends[Acked]/20 {
-		t.Errorf("%v, broken %v", f.Ends, c.Audit(r))
+	if f := r.Kinds["write"]; len(c.Audit(r)) > 0 || f.Outcomes[Acked] < 240 || f.Outcomes[Failed]+f.Outcomes[Lost] > 0 || f.Outcomes[Refused] > f.Outcomes[Acked]/20 {
+		t.Errorf("%v, broken %v", f.Outcomes, c.Audit(r))
 	}
-	c.Do("heal", old.ID)
+	c.Inject("heal", old.ID)
 	until(t, "its end", func() bool { return stage(h, 0).Finished && stage(h, 0).Draining == "" })
 }
