--- a/internal/registry/consul.go
+++ b/internal/registry/consul.go
@@ -1,15 +1,14 @@
 package registry
 
-// This file owns Consul's HTTP API: blocking queries on a prefix of keys, or on a service's instances and their health.
-// Every answer is a whole list, so a watch is a row of reads that wait for an index to pass. It must never take an
-// index for more than it is: one that goes back says nothing but that it is to be asked anew.
+// This file owns Consul's HTTP API: its calls, and blocking queries on the keys under a prefix. Every response is a
+// complete list, so a watch is a sequence of queries that each wait until an index has passed. An index that goes back
+// is no newer state: it says only that the list is to be read again.
 
 import (
 	"context"
 	"encoding/json"
 	"fmt"
 	"math/rand/v2"
-	"net"
 	"net/http"
 	"net/url"
 	"strconv"
@@ -19,151 +18,147 @@
 	"weirwind/internal/roster"
 )
 
+// consul is a client of Consul.
 type consul struct {
 	*caller
 }
 
-// Read gives the list as the leader holds it where exact, else as any server does.
-func (x *consul) List(ctx context.Context, endpoint int, exact bool, tell func(roster.Update)) error {
-	mode := "stale"
-	if exact {
-		mode = "consistent"
+// List queries once: the leader where linearizable, else any server.
+func (c *consul) List(ctx context.Context, endpoint int, linearizable bool, deliver func(roster.Update)) error {
+	consistency := "stale"
+	if linearizable {
+		consistency = "consistent"
 	}
-	u, err := x.ask(ctx, endpoint, url.Values{mode: {""}})
+	u, err := c.query(ctx, endpoint, url.Values{consistency: {""}})
 	if err != nil {
 		return err
 	}
-	u.Linearizable = exact
-	tell(u)
+	u.Linearizable = linearizable
+	deliver(u)
 	return nil
 }
 
-// Follow reads again and again, each time when the index has passed the one before, or half the silence is over. A
-// server adds up to a sixteenth of the wait; ours is drawn, so that many drivers don't ask at the same moments.
-func (x *consul) Watch(ctx context.Context, endpoint int, from int64, sign func(), tell func(roster.Update)) error {
-	for held := from - 1; ; {
-		wait := time.Duration(float64(x.o.WatchTimeout) / 2 * (0.8 + 0.2*rand.Float64()))
-		watched, _, stop := watchdog(ctx, x.o.WatchTimeout)
-		u, err := x.ask(watched, endpoint, url.Values{"index": {fmt.Sprint(held)},
-			"wait": {fmt.Sprintf("%dms", wait.Milliseconds())}})
-		err = ended(watched, err)
-		if stop(); err != nil {
+// Watch queries again and again, each time until the index has passed the one before or the wait is over.
+func (c *consul) Watch(
+	ctx context.Context,
+	endpoint int,
+	from int64,
+	active func(),
+	deliver func(roster.Update),
+) error {
+	for reached := from - 1; ; {
+		watched, _, stop := watchdog(ctx, c.options.WatchTimeout)
+		u, err := c.query(watched, endpoint, url.Values{
+			"index": {strconv.FormatInt(reached, 10)},
+			"wait":  {fmt.Sprintf("%dms", c.drawWait().Milliseconds())},
+		})
+		err = watchError(watched, err)
+		stop()
+		if err != nil {
 			return err
 		}
-		sign()
-		if u.Revision < held {
-			return fmt.Errorf("%w: index %d, not %d", errLagging, u.Revision, held)
+		active()
+		if u.Revision < reached {
+			return fmt.Errorf("%w: index %d, not %d", errLagging, u.Revision, reached)
 		}
-		if u.Revision > held {
-			tell(u)
+		if u.Revision > reached {
+			deliver(u)
 		}
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
-		held = u.Revision
+		reached = u.Revision
 	}
 }
 
-// ask makes one query, blocking or not.
-func (x *consul) ask(ctx context.Context, endpoint int, query url.Values) (u roster.Update, err error) {
-	path := "/v1/kv/" + x.o.Prefix
-	if x.o.Service != "" {
-		path = "/v1/health/service/" + url.PathEscape(x.o.Service)
+// drawWait draws a blocking query's wait from 0.4 to 0.5 of the watch timeout. Consul adds up to a sixteenth of it, so
+// an answer comes in time; it is drawn so that many drivers don't query at the same moments.
+func (c *consul) drawWait() time.Duration {
+	return time.Duration(float64(c.options.WatchTimeout) / 2 * (0.8 + 0.2*rand.Float64()))
+}
+
+// query makes one query, blocking or not, and converts its response.
+func (c *consul) query(ctx context.Context, endpoint int, parameters url.Values) (u roster.Update, err error) {
+	path := "/v1/kv/" + c.options.Prefix
+	if c.options.Service != "" {
+		path = "/v1/health/service/" + url.PathEscape(c.options.Service)
 	} else {
-		query.Set("recurse", "")
-	}
-	header := map[string]string{}
-	token, err := x.credentials()
-	if err != nil {
-		return u, err
-	}
-	if token != "" {
-		header["X-Consul-Token"] = token
+		parameters.Set("recurse", "")
 	}
-	answer, err := x.call(ctx, http.MethodGet, endpoint, path+"?"+query.Encode(), header, nil)
+	response, err := c.do(ctx, http.MethodGet, endpoint, path+"?"+parameters.Encode(), nil)
 	if err != nil {
 		return u, err
 	}
-	defer answer.Body.Close()
-	text, err := bounded(answer.Body)
-	if err != nil {
+	if err := c.checkQuery(&response); err != nil {
 		return u, err
 	}
-	switch {
-	case answer.StatusCode == http.StatusForbidden || answer.StatusCode == http.StatusUnauthorized:
-		return u, fmt.Errorf("%w: status %d: %.80q", errRefused, answer.StatusCode, text)
-	case answer.StatusCode != http.StatusOK && (answer.StatusCode != http.StatusNotFound || x.o.Service != ""):
-		return u, fmt.Errorf("status %d: %.80q", answer.StatusCode, text)
-	case answer.Header.Get("X-Consul-KnownLeader") == "false":
-		return u, fmt.Errorf("%w: the server knows no leader", errLagging)
-	}
 	u = roster.Update{Source: roster.SourceRegistry, Snapshot: true}
-	if u.Revision, err = strconv.ParseInt(answer.Header.Get("X-Consul-Index"), 10, 64); err != nil || u.Revision < 1 {
-		return u, fmt.Errorf("index %.20q", answer.Header.Get("X-Consul-Index"))
+	index := response.header.Get("X-Consul-Index")
+	if u.Revision, err = strconv.ParseInt(index, 10, 64); err != nil || u.Revision < 1 {
+		return u, fmt.Errorf("index %.20q", index)
 	}
-	if answer.StatusCode == http.StatusNotFound {
-		return u, nil // no key has the prefix
+	switch {
+	case response.status == http.StatusNotFound: // no key has the prefix
+		return u, nil
+	case c.options.Service != "":
+		return u, addInstances(&u, response.body)
 	}
-	if x.o.Service != "" {
-		return u, x.instances(&u, text)
+	return u, c.addKeys(&u, response.body)
+}
+
+// checkQuery returns the error that a response states. That no key has the prefix is none.
+func (c *consul) checkQuery(response *consulResponse) error {
+	switch status := response.status; {
+	case status == http.StatusForbidden || status == http.StatusUnauthorized:
+		return fmt.Errorf("%w: status %d: %.80q", errRejected, status, response.body)
+	case status != http.StatusOK && (status != http.StatusNotFound || c.options.Service != ""):
+		return fmt.Errorf("status %d: %.80q", status, response.body)
+	case response.header.Get("X-Consul-KnownLeader") == "false":
+		return fmt.Errorf("%w: the server knows no leader", errLagging)
 	}
+	return nil
+}
+
+func (c *consul) addKeys(u *roster.Update, text []byte) error {
 	var keys []struct {
 		Key         string
 		Value       []byte
 		ModifyIndex int64
 	}
 	if err := json.Unmarshal(text, &keys); err != nil {
-		return u, err
+		return err
 	}
 	for _, k := range keys {
-		if k.Key != x.o.Prefix {
-			add(&u, x.o.Prefix, k.Key, k.Value, k.ModifyIndex, false)
+		if k.Key != c.options.Prefix {
+			addEntry(u, strings.TrimPrefix(k.Key, c.options.Prefix), k.Value, k.ModifyIndex)
 		}
 	}
-	return u, nil
+	return nil
 }
 
-// instances reads a service's: meta tells cell, locality, access and up_since_ms. One in maintenance or with a critical
-// check drains: Consul's own readers leave it out.
-func (x *consul) instances(u *roster.Update, text []byte) error {
-	var all []struct {
-		Node    struct{ Address string }
-		Service struct {
-			ID, Address string
-			Port        int
-			Meta        map[string]string
-			ModifyIndex int64
-		}
-		Checks []struct{ Status string }
+// consulResponse is a response with its body read.
+type consulResponse struct {
+	status int
+	header http.Header
+	body   []byte
+}
+
+// do makes a call, authenticated where there are credentials.
+func (c *consul) do(ctx context.Context, method string, endpoint int, path string, body any) (
+	response consulResponse, err error) {
+	header := map[string]string{}
+	token, err := c.credentials()
+	if err != nil {
+		return response, err
 	}
-	if err := json.Unmarshal(text, &all); err != nil {
-		return err
+	if token != "" {
+		header["X-Consul-Token"] = token
 	}
-	for _, a := range all {
-		s := &a.Service
-		host := s.Address
-		if host == "" {
-			host = a.Node.Address
-		}
-		phase := "up"
-		for _, c := range a.Checks {
-			if c.Status == "critical" || c.Status == "maintenance" {
-				phase = "draining"
-			}
-		}
-		fields := map[string]any{"host_port": net.JoinHostPort(host, strconv.Itoa(s.Port)), "phase": phase,
-			"locality": s.Meta["locality"], "access": s.Meta["access"]}
-		for _, name := range []string{"cell", "up_since_ms"} {
-			if word := strings.TrimSpace(s.Meta[name]); word != "" {
-				fields[name] = json.Number(word)
-			}
-		}
-		value, err := json.Marshal(fields)
-		if err != nil { // a number that is none
-			u.Invalid = append(u.Invalid, roster.InvalidEntry{ID: s.ID, Reason: err.Error(), Phase: phases[phase]})
-			continue
-		}
-		add(u, "", s.ID, value, 0, false) // an instance's own index does not move with its checks
+	r, err := c.call(ctx, method, endpoint, path, header, body)
+	if err != nil {
+		return response, err
 	}
-	return nil
+	defer r.Body.Close()
+	text, err := readBody(r.Body)
+	return consulResponse{r.StatusCode, r.Header, text}, err
 }
--- /dev/null
+++ b/internal/registry/consul_service.go
@@ -0,0 +1,78 @@
+package registry
+
+// This file owns members that are a Consul service's instances: address and metadata make an entry, and health checks
+// its phase.
+
+import (
+	"encoding/json"
+	"net"
+	"strconv"
+	"strings"
+
+	"weirwind/internal/roster"
+)
+
+// consulInstance is one instance of a service, with its node and its health checks.
+type consulInstance struct {
+	Node    struct{ Address string }
+	Service struct {
+		ID, Address string // an empty address is the node's
+		Port        int
+		Meta        map[string]string // cell, locality, access, up_since_ms
+	}
+	Checks []struct{ Status string }
+}
+
+// instanceForm is an instance in the form of an entry.
+type instanceForm struct {
+	Access    string      `json:"access"`
+	Group     json.Number `json:"cell,omitempty"`
+	Address   string      `json:"host_port"`
+	Zone      string      `json:"locality"`
+	Phase     string      `json:"phase"`
+	StartedAt json.Number `json:"up_since_ms,omitempty"`
+}
+
+// addInstances adds a service's instances to an update.
+func addInstances(u *roster.Update, text []byte) error {
+	var instances []consulInstance
+	if err := json.Unmarshal(text, &instances); err != nil {
+		return err
+	}
+	for i := range instances {
+		id, form := instances[i].Service.ID, instances[i].entry()
+		value, err := json.Marshal(form)
+		if err != nil { // metadata that should be a number and is none
+			addInvalid(u, id, phases[form.Phase], err)
+			continue
+		}
+		addEntry(u, id, value, 0) // no revision: an instance's own index does not move with its checks
+	}
+	return nil
+}
+
+func (i *consulInstance) entry() instanceForm {
+	s := &i.Service
+	host := s.Address
+	if host == "" {
+		host = i.Node.Address
+	}
+	return instanceForm{
+		Access:    s.Meta["access"],
+		Group:     json.Number(strings.TrimSpace(s.Meta["cell"])),
+		Address:   net.JoinHostPort(host, strconv.Itoa(s.Port)),
+		Zone:      s.Meta["locality"],
+		Phase:     i.phase(),
+		StartedAt: json.Number(strings.TrimSpace(s.Meta["up_since_ms"])),
+	}
+}
+
+// phase is draining for an instance in maintenance or with a critical check: Consul's own readers leave it out.
+func (i *consulInstance) phase() string {
+	for _, c := range i.Checks {
+		if c.Status == "critical" || c.Status == "maintenance" {
+			return "draining"
+		}
+	}
+	return "up"
+}
--- a/internal/registry/entry.go
+++ b/internal/registry/entry.go
@@ -1,7 +1,6 @@
 package registry
 
-// This file owns the form of entries: one member as JSON, in discovery's form, under prefix/ID. It must never let
-// one bad entry spoil another, nor drop what a bad one says of draining.
+// This file owns the form of entries: one member as JSON, in discovery's form, under the prefix and its ID.
 
 import (
 	"encoding/json"
@@ -12,75 +11,105 @@
 	"weirwind/internal/roster"
 )
 
-// mostEntry is how many bytes an entry may have.
-const mostEntry = 16 << 10
+const (
+	maxEntryBytes  = 16 << 10
+	maxStartMillis = 1e14 // far beyond any Unix time that a member can have started at
+)
+
+// phases are those that an entry may state.
+var phases = map[string]roster.Phase{
+	"up":       roster.PhaseUp,
+	"draining": roster.PhaseDraining,
+	"removed":  roster.PhaseRemoved,
+}
 
-// phases are the words that an entry may hold.
-var phases = map[string]roster.Phase{"up": roster.PhaseUp, "draining": roster.PhaseDraining,
-	"removed": roster.PhaseRemoved}
+// entryForm is an entry as it is stored.
+type entryForm struct {
+	ID        string // empty, or as in the key
+	Address   string `json:"host_port"`
+	Zone      string `json:"locality"`
+	Group     *int64 `json:"cell"`
+	Phase     string
+	Access    string
+	StartedAt float64 `json:"up_since_ms"`
+}
 
-// ParseEntry reads the value under a member's key. What is wrong comes as why; the entry then holds no more than the
-// id and, where it can be told, the phase.
-func ParseEntry(id string, value []byte) (e roster.Entry, why string) {
-	var x struct {
-		ID       string
-		HostPort string `json:"host_port"`
-		Locality string
-		Cell     *int64
-		Phase    string
-		Access   string
-		Started  float64 `json:"up_since_ms"`
+// parseEntry parses the value under a member's key. Beside an error the entry holds the ID alone and, where it can be
+// read, the phase: a mistake elsewhere must not hide a drain.
+func parseEntry(id string, value []byte) (roster.Entry, error) {
+	invalid := roster.Entry{ID: id}
+	if len(value) > maxEntryBytes {
+		return invalid, fmt.Errorf("%d bytes are over %d", len(value), maxEntryBytes)
 	}
-	e.ID = id
-	if len(value) > mostEntry {
-		return e, fmt.Sprintf("%d bytes are over %d", len(value), mostEntry)
+	var form entryForm
+	if err := json.Unmarshal(value, &form); err != nil {
+		invalid.Phase = parsePhase(value)
+		return invalid, err
 	}
-	if err := json.Unmarshal(value, &x); err != nil {
-		var phase struct{ Phase any } // a wrong type elsewhere must not hide a drain
-		if json.Unmarshal(value, &phase) == nil {
-			if word, ok := phase.Phase.(string); ok {
-				e.Phase = phases[word]
-			}
-		}
-		return e, err.Error()
+	phase, known := phases[form.Phase]
+	if !known {
+		return invalid, fmt.Errorf("unknown phase %q", form.Phase)
 	}
-	known := false
-	if e.Phase, known = phases[x.Phase]; !known {
-		return e, fmt.Sprintf("unknown phase %q", x.Phase)
+	if err := form.check(id); err != nil {
+		invalid.Phase = phase
+		return invalid, err
 	}
-	bad := func(format string, args ...any) (roster.Entry, string) {
-		return roster.Entry{ID: id, Phase: e.Phase}, fmt.Sprintf(format, args...)
+	return roster.Entry{
+		ID:        id,
+		Address:   form.Address,
+		Zone:      form.Zone,
+		Group:     *form.Group,
+		Phase:     phase,
+		Access:    form.Access,
+		StartedAt: form.StartedAt,
+	}, nil
+}
+
+// parsePhase reads the phase out of a value that is wrong elsewhere.
+func parsePhase(value []byte) roster.Phase {
+	var form struct{ Phase any }
+	if json.Unmarshal(value, &form) != nil {
+		return 0
 	}
-	switch _, _, err := net.SplitHostPort(x.HostPort); {
+	name, _ := form.Phase.(string)
+	return phases[name]
+}
+
+// check checks all but the phase.
+func (f *entryForm) check(id string) error {
+	switch _, _, err := net.SplitHostPort(f.Address); {
 	case id == "" || strings.Contains(id, "/"):
-		return bad("the key names no member")
-	case x.ID != "" && x.ID != id:
-		return bad("it is of member %q", x.ID)
+		return fmt.Errorf("the key names no member")
+	case f.ID != "" && f.ID != id:
+		return fmt.Errorf("it is of member %q", f.ID)
 	case err != nil:
-		return bad("host_port %q: %v", x.HostPort, err)
-	case x.Cell == nil:
-		return bad("cell is missing")
-	case x.Access != "" && x.Access != "writer" && x.Access != "reader":
-		return bad("unknown access %q", x.Access)
-	case x.Started < 0 || x.Started > 1e14:
-		return bad("up_since_ms %g", x.Started)
+		return fmt.Errorf("host_port %q: %w", f.Address, err)
+	case f.Group == nil:
+		return fmt.Errorf("cell is missing")
+	case f.Access != "" && f.Access != "writer" && f.Access != "reader":
+		return fmt.Errorf("unknown access %q", f.Access)
+	case f.StartedAt < 0 || f.StartedAt > maxStartMillis:
+		return fmt.Errorf("up_since_ms %g", f.StartedAt)
 	}
-	e.Address, e.Zone, e.Group, e.Access, e.StartedAt = x.HostPort, x.Locality, *x.Cell, x.Access, x.Started
-	return e, ""
+	return nil
 }
 
-// add puts one key into an update.
-func add(u *roster.Update, prefix, key string, value []byte, mod int64, deleted bool) {
-	id := strings.TrimPrefix(key, prefix)
-	if deleted {
-		u.Entries = append(u.Entries, roster.Entry{ID: id, Phase: roster.PhaseRemoved, ModRevision: mod})
-		return
-	}
-	e, why := ParseEntry(id, value)
-	if why != "" {
-		u.Invalid = append(u.Invalid, roster.InvalidEntry{ID: id, Reason: why, Phase: e.Phase})
+// addEntry adds a key that is present to an update, as valid or as invalid.
+func addEntry(u *roster.Update, id string, value []byte, modRevision int64) {
+	e, err := parseEntry(id, value)
+	if err != nil {
+		addInvalid(u, id, e.Phase, err)
 		return
 	}
-	e.ModRevision = mod
+	e.ModRevision = modRevision
 	u.Entries = append(u.Entries, e)
 }
+
+func addInvalid(u *roster.Update, id string, phase roster.Phase, err error) {
+	u.Invalid = append(u.Invalid, roster.InvalidEntry{ID: id, Reason: err.Error(), Phase: phase})
+}
+
+// addRemoval adds a key that was deleted to an update.
+func addRemoval(u *roster.Update, id string, modRevision int64) {
+	u.Entries = append(u.Entries, roster.Entry{ID: id, Phase: roster.PhaseRemoved, ModRevision: modRevision})
+}
--- a/internal/registry/lease_test.go
+++ b/internal/registry/lease_test.go
@@ -25,14 +25,14 @@
 		if err != nil || stands != 10*time.Second {
 			t.Fatal(stands, err)
 		}
-		if _, _, err := a.Grant(ctx, 0, "d/n0", value, 10*time.Second); !errors.Is(err, errTaken) || PresenceResultOf(err) != roster.StepNameTaken {
+		if _, _, err := a.Grant(ctx, 0, "d/n0", value, 10*time.Second); !errors.Is(err, errNameTaken) || PresenceResultOf(err) != roster.StepNameTaken {
 			t.Errorf("a second one of the name: %v", err)
 		}
 		if stands, err := a.Renew(ctx, 0, first); err != nil || stands != 10*time.Second {
 			t.Errorf("renewed: %v %v", stands, err)
 		}
 		s.LoseLeases()
-		if _, err := a.Renew(ctx, 0, first); !errors.Is(err, errGone) || PresenceResultOf(err) != roster.StepLeaseLost {
+		if _, err := a.Renew(ctx, 0, first); !errors.Is(err, errLeaseLost) || PresenceResultOf(err) != roster.StepLeaseLost {
 			t.Errorf("a lease that is lost: %v", err)
 		}
 		second, _, err := a.Grant(ctx, 0, "d/n0", value, 10*time.Second)
