--- a/internal/fleet/membership/digest_test.go
+++ b/internal/fleet/membership/digest_test.go
@@ -105,11 +105,13 @@
 func (n *network) start(i int) {
 	d := n.drivers[i]
 	d.run = uint64(n.Now) + 1 - uint64(50_000*(n.r.IntN(4)/3))
-	rules := Options{Period: 500, ExpectedDrivers: n.founders, RetainFor: 20_000, MaxDrivers: n.founders + 3, TakeoverAfter: 15_000, Persistent: i%2 == 0}
-	if rules.Persistent {
-		rules.Saved = d.saved
+	options := Options{Period: 500, ExpectedDrivers: n.founders, RetainFor: 20_000, MaxDrivers: n.founders + 3,
+		TakeoverAfter: 15_000, Persistent: i%2 == 0}
+	if options.Persistent {
+		options.Saved = d.saved
 	}
-	f := New(n.Now, rules, Record{Name: d.name, Run: d.run, Address: fmt.Sprint(i), Zone: "a"}, []string{"0", "1"}, n.r.Uint64())
+	self := Record{Name: d.name, Run: d.run, Address: fmt.Sprint(i), Zone: "a"}
+	f := New(n.Now, options, self, []string{"0", "1"}, n.r.Uint64())
 	d.view, d.frozen = f, 0
 	var tick func()
 	tick = func() {
@@ -232,10 +234,12 @@
 	r := rand.New(rand.NewPCG(seed, 52))
 	now := 10_000.0
 	names := []string{"a", "b", "c", "d", "e"}[:2+seed%4]
-	rules := Options{Period: 500, ExpectedDrivers: len(names), RetainFor: 5000, MaxDrivers: 6, TakeoverAfter: 5000, Persistent: seed%2 == 0}
-	f := New(now, rules, Record{Name: "c", Run: 5, Address: "c"}, []string{"a", "b"}, seed)
+	options := Options{Period: 500, ExpectedDrivers: len(names), RetainFor: 5000, MaxDrivers: 6, TakeoverAfter: 5000,
+		Persistent: seed%2 == 0}
+	f := New(now, options, Record{Name: "c", Run: 5, Address: "c"}, []string{"a", "b"}, seed)
 	if seed%4 > 0 {
-		out := f.Merge(now, Snapshot{From: Record{Name: "a", Run: 3, Address: "a"}, Roster: &Roster{Version: 3, Lineage: 3, Names: names}})
+		out := f.Merge(now, Snapshot{From: Record{Name: "a", Run: 3, Address: "a"},
+			Roster: &Roster{Version: 3, Lineage: 3, Names: names}})
 		d.out("c", out)
 		now += 15_000
 	}
@@ -248,7 +252,8 @@
 			from := anyRecord(r, names)
 			x := Snapshot{From: from, Records: []Record{anyRecord(r, names), anyRecord(r, names)}}
 			if r.IntN(2) == 0 {
-				x.Roster = &Roster{Version: uint64(r.IntN(6)), Lineage: uint64(3 + r.IntN(2)), Names: names[:1+r.IntN(len(names))]}
+				x.Roster = &Roster{Version: uint64(r.IntN(6)), Lineage: uint64(3 + r.IntN(2)),
+					Names: names[:1+r.IntN(len(names))]}
 			}
 			d.out("c", f.Merge(now, x))
 		case 6:
@@ -274,8 +279,8 @@
 	if r.IntN(10) == 0 {
 		address = "other"
 	}
-	return Record{Name: name, Run: uint64(3 + r.IntN(8)/7), Incarnation: uint32(r.IntN(4)), State: State(r.IntN(9) / 2 % 4), Address: address,
-		Zone: "z", ReportedBy: names[r.IntN(len(names))]}
+	return Record{Name: name, Run: uint64(3 + r.IntN(8)/7), Incarnation: uint32(r.IntN(4)),
+		State: State(r.IntN(9) / 2 % 4), Address: address, Zone: "z", ReportedBy: names[r.IntN(len(names))]}
 }
 
 func anyMessage(r *rand.Rand, f *Fleet, names []string) Message {
@@ -283,21 +288,25 @@
 	if r.IntN(3) > 0 {
 		from.State, from.Run, from.Address = Alive, 3, from.Name
 	}
-	m := Message{Kind: Kind(1 + r.IntN(6)), From: from, Counter: uint64(r.IntN(1000)), ProbeID: f.probeSeq - uint64(r.IntN(3)),
-		Target: append([]string{"c"}, names...)[r.IntN(len(names)+1)], TargetAddress: "b", ViewHash: uint64(r.IntN(2)), RosterVersion: uint64(r.IntN(6))}
+	m := Message{Kind: Kind(1 + r.IntN(6)), From: from, Counter: uint64(r.IntN(1000)),
+		ProbeID: f.probeSeq - uint64(r.IntN(3)), Target: append([]string{"c"}, names...)[r.IntN(len(names)+1)],
+		TargetAddress: "b", ViewHash: uint64(r.IntN(2)), RosterVersion: uint64(r.IntN(6))}
 	for range r.IntN(3) {
 		m.Records = append(m.Records, anyRecord(r, names))
 	}
 	if r.IntN(6) == 0 {
-		m.Reachability = []Reachability{{Name: from.Name, Run: from.Run, Sequence: uint32(r.IntN(9)), Unreachable: names[:r.IntN(len(names))]}}
+		m.Reachability = []Reachability{{Name: from.Name, Run: from.Run, Sequence: uint32(r.IntN(9)),
+			Unreachable: names[:r.IntN(len(names))]}}
 	}
 	if f.roster == nil || r.IntN(2) == 0 {
 		if r.IntN(4) == 0 {
-			m.Vote = &Vote{Kind: VoteKind(1 + r.IntN(2)), Version: 1, Hash: namesHash(names), Ballot: paxos.Ballot{Proposer: from.Name}}
+			m.Vote = &Vote{Kind: VoteKind(1 + r.IntN(2)), Version: 1, Hash: namesHash(names),
+				Ballot: paxos.Ballot{Proposer: from.Name}}
 		}
 		return m
 	}
-	change := &Change{Version: f.roster.Version + 1, Lineage: f.roster.Lineage, BaseHash: f.roster.hash, Add: []string{"x"}}
+	change := &Change{Version: f.roster.Version + 1, Lineage: f.roster.Lineage, BaseHash: f.roster.hash,
+		Add: []string{"x"}}
 	if r.IntN(2) == 0 {
 		change.Add, change.Remove = nil, []string{names[r.IntN(len(names))]}
 	}
@@ -322,10 +331,12 @@
 func playCrowd(d *digest, seed uint64) {
 	r := rand.New(rand.NewPCG(seed, 54))
 	now := 10_000.0
-	f := New(now, Options{Period: 500, ExpectedDrivers: 2, RetainFor: 2000, MaxDrivers: 60}, Record{Name: "c", Run: 5, Address: "c"}, nil, seed)
+	f := New(now, Options{Period: 500, ExpectedDrivers: 2, RetainFor: 2000, MaxDrivers: 60},
+		Record{Name: "c", Run: 5, Address: "c"}, nil, seed)
 	record := func() Record {
 		name := fmt.Sprintf("driver-with-a-name-%02d", r.IntN(70))
-		return Record{Name: name, Run: 3, Incarnation: uint32(r.IntN(4)), State: State(r.IntN(6) / 4), Address: name, ReportedBy: "c"}
+		return Record{Name: name, Run: 3, Incarnation: uint32(r.IntN(4)), State: State(r.IntN(6) / 4), Address: name,
+			ReportedBy: "c"}
 	}
 	for range 100 {
 		now += 100 * r.Float64()
@@ -338,8 +349,9 @@
 			x.Records[0].Address = ""
 		}
 		d.out("c", f.Merge(now, x))
-		m := Message{Kind: Ping, From: record(), Target: "c", Counter: uint64(r.IntN(50)), Reachability: []Reachability{{Name: record().Name, Run: 3,
-			Sequence: uint32(r.IntN(9)), Unreachable: []string{"driver-with-a-name-01"}}}}
+		m := Message{Kind: Ping, From: record(), Target: "c", Counter: uint64(r.IntN(50))}
+		m.Reachability = []Reachability{{Name: record().Name, Run: 3, Sequence: uint32(r.IntN(9)),
+			Unreachable: []string{"driver-with-a-name-01"}}}
 		if r.IntN(5) == 0 {
 			m.Vote = &Vote{Kind: Accept, Version: 2, BaseHash: 1, Ballot: paxos.Ballot{Number: 1, Proposer: "x"},
 				Change: &Change{Version: uint64(1 + r.IntN(3)), Add: []string{"c"}}}
@@ -358,7 +370,8 @@
 	r := rand.New(rand.NewPCG(seed, 53))
 	all := NewDrains(4, 300)
 	for now := 0.0; now < 3000; now += math.Floor(40 * r.Float64()) {
-		one := Drain{Member: string(rune('a' + r.IntN(6))), Source: uint8(r.IntN(2)), Revision: int64(2*r.IntN(15)) - 1, Up: r.IntN(3) == 0}
+		one := Drain{Member: string(rune('a' + r.IntN(6))), Source: uint8(r.IntN(2)),
+			Revision: int64(2*r.IntN(15)) - 1, Up: r.IntN(3) == 0}
 		if one.Source == 1 {
 			one.Revision++ // which of two sources' drains of one revision is forgotten first is not determined
 		}
--- a/internal/fleet/membership/fleet_test.go
+++ b/internal/fleet/membership/fleet_test.go
@@ -226,7 +226,8 @@
 		return !state(f, 1, "n0").Reachable && slices.Contains(state(f, 3, "n1").Unreachable, "n0")
 	})
 	f.Run(60000)
-	if !state(f, 0, "n1").Reachable || state(f, 1, "n0").State == membership.Failed || !f.HavePartitionStatus(membership.Complete, all...) {
+	failed := state(f, 1, "n0").State == membership.Failed
+	if !state(f, 0, "n1").Reachable || failed || !f.HavePartitionStatus(membership.Complete, all...) {
 		t.Errorf("cut from one alone: %+v %+v", f.Drivers[0].View.Status(), f.Drivers[1].View.Status())
 	}
 	f.Blocked = nil
@@ -247,7 +248,8 @@
 			return s < membership.Majority && f.HavePartitionStatus(membership.Majority, 0, 1, 2, 4)
 		})
 		f.Run(30000)
-		if s, _, _ := f.Drivers[3].View.PartitionStatus(); s >= membership.Majority || !f.HavePartitionStatus(membership.Majority, 0, 1, 2, 4) {
+		s, _, _ := f.Drivers[3].View.PartitionStatus()
+		if s >= membership.Majority || !f.HavePartitionStatus(membership.Majority, 0, 1, 2, 4) {
 			t.Errorf("%s: it is %s", name, s)
 		}
 		f.Blocked = nil
--- a/internal/fleet/membership/votes_test.go
+++ b/internal/fleet/membership/votes_test.go
@@ -14,16 +14,16 @@
 	v        Vote
 }
 
-// chamber is some drivers that hold one roster, and whatever is on its way between them.
-type chamber struct {
-	of    map[string]*Fleet
-	names []string
-	pool  []vote
-	disk  map[string]*SavedState
+// voteModel is some drivers that have one roster, and whatever is on its way between them.
+type voteModel struct {
+	fleets    map[string]*Fleet
+	names     []string
+	inTransit []vote
+	disks     map[string]*SavedState
 }
 
-func newChamber(n, newcomers int) *chamber {
-	c := &chamber{of: map[string]*Fleet{}, disk: map[string]*SavedState{}}
+func newVoteModel(n, newcomers int) *voteModel {
+	c := &voteModel{fleets: map[string]*Fleet{}, disks: map[string]*SavedState{}}
 	var roster []string
 	for i := range n + newcomers {
 		name := fmt.Sprintf("n%d", i)
@@ -33,36 +33,36 @@
 		}
 	}
 	for _, name := range c.names {
-		f := c.begin(name)
+		f := c.start(name)
 		if name < roster[len(roster)-1] || name == roster[len(roster)-1] {
 			f.adoptRoster(Roster{Version: 1, Lineage: 1, Names: roster, hash: namesHash(roster)})
 		}
-		c.out(f)
+		c.flush(f)
 	}
 	return c
 }
 
-// begin starts a process that knows what an earlier one kept, and all drivers.
-func (c *chamber) begin(name string) *Fleet {
-	f := New(0, Options{Period: 100, ExpectedDrivers: 1, MaxDrivers: 100, Persistent: true, Saved: c.disk[name]},
+// start starts a process that knows what an earlier one kept, and all drivers.
+func (c *voteModel) start(name string) *Fleet {
+	f := New(0, Options{Period: 100, ExpectedDrivers: 1, MaxDrivers: 100, Persistent: true, Saved: c.disks[name]},
 		Record{Name: name, Run: 1, Address: name}, nil, 1)
 	for _, o := range c.names {
 		f.applyRecord(Record{Name: o, Run: 1, Address: o})
 	}
-	c.of[name] = f
+	c.fleets[name] = f
 	return f
 }
 
-// out keeps what a driver is to keep, and puts what it sends on its way.
-func (c *chamber) out(f *Fleet) {
+// flush saves what a driver is to save, and puts what it sends on its way.
+func (c *voteModel) flush(f *Fleet) {
 	out := f.takeOutput()
 	if out.Save != nil {
-		c.disk[f.self.Name] = out.Save
+		c.disks[f.self.Name] = out.Save
 		f.Saved(true)
 	}
 	for _, s := range out.Messages {
 		if s.Message.Vote != nil {
-			c.pool = append(c.pool, vote{f.self.Name, s.Address, *s.Message.Vote})
+			c.inTransit = append(c.inTransit, vote{f.self.Name, s.Address, *s.Message.Vote})
 		}
 	}
 }
@@ -79,19 +79,20 @@
 	return c
 }
 
-// Several drivers propose different changes at once, again and again, and every message is lost, late, doubled or out
-// of order as it happens, and drivers are killed and come back, before or after what they voted was on disk, or can't
-// write to it: whoever decides on the next version decides the same, and each decision had both majorities.
+// TestVotesInAnyOrder: several drivers propose different changes at once, again and again, and every message is
+// lost, late, doubled or out of order as it happens, and drivers are killed and come back, before or after what
+// they voted was on disk, or can't write to it: whoever decides on the next version decides the same, and each
+// decision had both majorities.
 func TestVotesInAnyOrder(t *testing.T) {
 	decided, killed := 0, 0
 	for seed := range uint64(10000) {
 		draw := rand.New(rand.NewPCG(seed, 5))
 		n := 3 + draw.IntN(3)
-		c := newChamber(n, 2)
+		c := newVoteModel(n, 2)
 		versions := map[uint64]*Roster{} // that a process held when it was killed
 		for range 60 + draw.IntN(120) {
 			name := c.names[draw.IntN(n)]
-			switch f := c.of[name]; {
+			switch f := c.fleets[name]; {
 			case draw.IntN(12) == 0 && f.roster.Version == 1:
 				switch f.round = nil; draw.IntN(3) {
 				case 0:
@@ -101,41 +102,41 @@
 				case 2:
 					f.propose(change(f, c.names[n+draw.IntN(2)], c.names[draw.IntN(n)]))
 				}
-				c.out(f)
+				c.flush(f)
 			case draw.IntN(20) == 0: // killed, and back with what it kept
 				if f.roster.Version > 1 {
 					versions[f.roster.hash] = f.roster
 				}
-				f = c.begin(name)
+				f = c.start(name)
 				f.takeOutput()
 				killed++
-			case len(c.pool) > 0:
-				i := draw.IntN(len(c.pool))
-				m := c.pool[i]
+			case len(c.inTransit) > 0:
+				i := draw.IntN(len(c.inTransit))
+				m := c.inTransit[i]
 				if draw.IntN(8) > 0 { // else it comes once more, later
-					c.pool = append(c.pool[:i], c.pool[i+1:]...)
+					c.inTransit = append(c.inTransit[:i], c.inTransit[i+1:]...)
 				}
 				if draw.IntN(10) == 0 {
 					continue // lost
 				}
-				to := c.of[m.to]
+				to := c.fleets[m.to]
 				to.receiveVote(m.from, m.from, m.v)
 				switch draw.IntN(30) {
 				case 0: // killed before anything was written
-					c.begin(m.to).takeOutput()
+					c.start(m.to).takeOutput()
 				case 1: // nothing can be written
 					if to.takeOutput().Save != nil {
 						to.Saved(false)
 						to.now += settledPeriods * 100
 					}
 				default:
-					c.out(to)
+					c.flush(to)
 				}
 			}
 		}
 		var first *Roster
 		for _, name := range c.names[:n] {
-			versions[c.of[name].roster.hash] = c.of[name].roster
+			versions[c.fleets[name].roster.hash] = c.fleets[name].roster
 		}
 		for _, r := range versions {
 			if r.Version == 1 {
@@ -155,13 +156,13 @@
 	}
 }
 
-// A driver that may have forgotten a vote gives none for a while.
+// TestForgetfulDriversDoNotVote: a driver that may have forgotten a vote gives none for a while.
 func TestForgetfulDriversDoNotVote(t *testing.T) {
-	c := newChamber(3, 0)
-	f := c.of["n1"]
+	c := newVoteModel(3, 0)
+	f := c.fleets["n1"]
 	f.roster = nil
 	f.receiveRoster(Roster{Version: 1, Lineage: 1, Names: []string{"n0", "n1", "n2"}})
-	p := c.of["n0"]
+	p := c.fleets["n0"]
 	p.propose(change(p, "", "n2"))
 	for _, s := range p.takeOutput().Messages {
 		if s.Address == "n1" {
@@ -179,13 +180,13 @@
 	}
 }
 
-// The table: what each standing allows.
+// TestWhatStandingsAllow holds the table of what each status allows.
 func TestWhatStandingsAllow(t *testing.T) {
 	for s := Undetermined; s <= Complete; s++ {
 		for a := BeginWritePause; a <= LearnPrimary; a++ {
 			larger := s == Majority || s == Complete
-			want := map[Action]bool{BeginWritePause: larger, RenewWritePause: true, EndWritePause: true, ChangeRoster: larger, ApplyDrain: true,
-				ReduceCount: larger}[a]
+			want := map[Action]bool{BeginWritePause: larger, RenewWritePause: true, EndWritePause: true,
+				ChangeRoster: larger, ApplyDrain: true, ReduceCount: larger}[a]
 			if got, why := Allowed(s, a); got != want || got != (why == "") {
 				t.Errorf("%s, act %d: %v %q", s, a, got, why)
 			}
@@ -193,7 +194,7 @@
 	}
 }
 
-// All shares together are one whole, however a fleet has come apart.
+// TestSharesAddUp: all shares together are one, however a fleet has come apart.
 func TestSharesAddUp(t *testing.T) {
 	for n := 2; n <= 40; n++ {
 		for a := 1; a < n; a++ {
@@ -234,7 +235,8 @@
 	}
 }
 
-// Of two living processes with one name the first keeps it; word of an ended one does not end the other.
+// TestWhichSayingHolds: of two living processes with one name the first keeps it; word of an ended one does not
+// end the other.
 func TestWhichSayingHolds(t *testing.T) {
 	first := Record{Name: "a", Run: 5, Address: "x"}
 	second := Record{Name: "a", Run: 9, Address: "y"}
--- a/internal/fleet/mesh/mesh.go
+++ b/internal/fleet/mesh/mesh.go
@@ -46,7 +46,7 @@
 	Secret     string
 	Period     time.Duration
 	Expect     int           // drivers, before they have agreed on a roster
-	Yield      time.Duration // see membership.Rules
+	Yield      time.Duration // see membership.Options
 	Seed       uint64
 	Run        uint64
 	Folder     string         // where votes outlive the process; empty: nowhere
