--- a/internal/driver/admission.go
+++ b/internal/driver/admission.go
@@ -1,7 +1,5 @@
 package driver
 
-// This file owns which connections of clients are taken, and which are closed in favour of others.
-
 import (
 	"bufio"
 	"context"
@@ -11,80 +9,27 @@
 	"sync"
 	"time"
 
-	"golang.org/x/sync/errgroup"
-
 	"weirwind/internal/pgwire"
 )
 
-// clients are the connections that are let in.
+const (
+	silentEvictAfter = 30 * time.Millisecond  // a client that has not sent a byte for so long may be evicted
+	idleEvictAfter   = 100 * time.Millisecond // as one without an open op for so long
+	headroomInterval = 50 * time.Millisecond  // between looks at whether enough places are free
+	headroomShare    = 0.65                   // of the budget that is kept free, where clients can be evicted for it
+	maxEvictions     = 12                     // connections beside the budget that close after their place was handed over
+	maxRejections    = 8                      // and connections that are told that there is no room
+	acceptGrace      = 500 * time.Millisecond // new connections are accepted for so long after SIGTERM
+	acceptQuiet      = 50 * time.Millisecond  // and until none has come for so long
+)
+
+// clientSet is the connections that were admitted.
 type clientSet struct {
-	mu  sync.Mutex
+	mu  sync.Mutex // also guards some of each client's fields
 	all map[*client]bool
 }
 
-// closeForRoom asks the connection to leave that is of the least use: no byte has come on it, or it has asked at most
-// once and stays, or else none has been without an op for longer. Clients that ask once and stay, or connect and
-// say nothing, must not keep out those with ops. With give its place goes to another at once. It could harm
-// clients that pause a little longer than idleTime while many connections are open: they connect anew.
-func (v *Service) evictClient(handOver bool) bool {
-	v.clients.mu.Lock()
-	defer v.clients.mu.Unlock()
-	var victim *client
-	now := time.Now()
-	for c := range v.clients.all {
-		if limit := c.idleLimit(); !c.evicted && limit > 0 && now.Sub(c.changedAt) > limit &&
-			(victim == nil || c.usefulness() < victim.usefulness() || c.usefulness() == victim.usefulness() && c.changedAt.Before(victim.changedAt)) && unread(c.raw) == 0 {
-			victim = c
-		}
-	}
-	if victim == nil {
-		return false
-	}
-	if handOver {
-		select {
-		case v.evictions <- struct{}{}:
-		default:
-			return false
-		}
-	}
-	victim.evicted, victim.slotHandedOver = true, handOver
-	victim.conn.SetReadDeadline(time.Unix(1, 0))
-	return true
-}
-
-// keepRoomLoop makes room beforehand: clients are limited too, and one that is slow to close connections which it has
-// done with, or never does, is short of them long before the budget here is used up.
-func (v *Service) keepHeadroom(ctx context.Context) {
-	headroom := int64(float64(v.clientBudget.available.Load()) * headroomShare)
-	every(ctx, headroomInterval, func() {
-		for n := headroom - v.clientBudget.available.Load(); n > 0 && v.evictClient(false); n-- {
-		}
-	})
-}
-
-// limit is how long a client may stay as it is before it has to make room; 0 for as long as it likes.
-func (c *client) idleLimit() time.Duration {
-	switch {
-	case c.openMessages > 0:
-		return 0
-	case c.finishedMessages == 0:
-		return silentEvictAfter
-	}
-	return idleEvictAfter
-}
-
-// use ranks clients by what has come from them: nothing, a startup and at most one op, more.
-func (c *client) usefulness() int {
-	switch {
-	case c.finishedMessages == 0:
-		return 0
-	case c.finishedMessages <= 2:
-		return 1
-	}
-	return 2
-}
-
-// accept serves connections until the context ends and no more come.
+// accept admits connections until the context ends and no more come.
 func (v *Service) accept(ctx context.Context, ln *net.TCPListener) error {
 	defer ln.Close()
 	stop := context.AfterFunc(ctx, func() { ln.SetDeadline(time.Now().Add(acceptGrace)) })
@@ -116,16 +61,22 @@
 	return b
 }
 
-// admit lets a client in: while there is room, or in place of one that makes room. It never waits: of those that
-// find none so many at a time are told so, the others are closed as they come.
+// admit admits a client while there is room, or in place of one that can be evicted. It never waits.
 func (v *Service) admit(conn *net.TCPConn) {
 	raw, err := conn.SyscallConn()
 	if err != nil {
 		conn.Close()
 		return
 	}
-	c := &client{service: v, conn: conn, raw: raw, openedAt: time.Now(), messages: make(chan message, 1),
-		disconnected: make(chan struct{}), answered: make(chan struct{})}
+	c := &client{
+		service:      v,
+		conn:         conn,
+		raw:          raw,
+		openedAt:     time.Now(),
+		messages:     make(chan message, 1),
+		disconnected: make(chan struct{}),
+		answered:     make(chan struct{}),
+	}
 	c.changedAt = c.openedAt
 	if !v.clientBudget.acquire(1) && !v.evictClient(true) {
 		v.rejectClient(c)
@@ -137,33 +88,22 @@
 	v.clients.mu.Lock()
 	v.clients.all[c] = true
 	v.clients.mu.Unlock()
-	v.inFlight.Go(func() error {
-		var reader errgroup.Group
-		why := c.serve(&reader)
-		close(c.answered)
-		conn.CloseWrite()
-		conn.SetReadDeadline(time.Now().Add(lingerTimeout))
-		_ = reader.Wait() // its functions return no error
-		conn.Close()
-		v.clients.mu.Lock()
-		if delete(v.clients.all, c); c.slotHandedOver {
-			<-v.evictions
-		} else {
-			v.clientBudget.release(1)
-		}
-		v.clients.mu.Unlock()
-		v.counters.ClientsOpen.Add(-1)
-		c.logClosed(why)
-		select {
-		case m := <-c.messages:
-			v.messageBudget.release(m.budgetBytes)
-		default:
-		}
-		return nil
-	})
+	v.inFlight.Go(func() error { c.run(); return nil })
+}
+
+// removeClient frees the place of a client whose connection is closed.
+func (v *Service) removeClient(c *client) {
+	v.clients.mu.Lock()
+	if delete(v.clients.all, c); c.slotHandedOver {
+		<-v.evictions
+	} else {
+		v.clientBudget.release(1)
+	}
+	v.clients.mu.Unlock()
+	v.counters.ClientsOpen.Add(-1)
 }
 
-// tellFull says that there is no room, to so many at a time; the others are closed as they come.
+// rejectClient tells a client that there is no room, so many at a time; others are closed without a word.
 func (v *Service) rejectClient(c *client) {
 	v.counters.ClientsTurnedAway.Add(1)
 	select {
@@ -184,3 +124,79 @@
 		return nil
 	})
 }
+
+// evictClient closes the least useful connection that may be evicted, if there is one: a client that has sent nothing,
+// else one that stays after at most one op, else the one without an op for longest. Clients that connect and say
+// nothing must not keep out those with ops. With handOver the client's place is given to another at once, before the
+// connection is closed.
+//
+// It could harm clients that pause for a little longer than idleEvictAfter while many connections are open: they
+// connect again.
+func (v *Service) evictClient(handOver bool) bool {
+	v.clients.mu.Lock()
+	defer v.clients.mu.Unlock()
+	var victim *client
+	now := time.Now()
+	for c := range v.clients.all {
+		limit := c.idleLimit()
+		if !c.evicted && limit > 0 && now.Sub(c.changedAt) > limit && c.goesBefore(victim) && unread(c.raw) == 0 {
+			victim = c
+		}
+	}
+	if victim == nil {
+		return false
+	}
+	if handOver {
+		select {
+		case v.evictions <- struct{}{}:
+		default:
+			return false
+		}
+	}
+	victim.evicted, victim.slotHandedOver = true, handOver
+	victim.conn.SetReadDeadline(time.Unix(1, 0))
+	return true
+}
+
+// keepHeadroom evicts clients before their places are needed: clients have limits too, and a client process that is
+// slow to close connections which it no longer uses, or never closes them, runs out of them long before the budget here
+// is used up.
+func (v *Service) keepHeadroom(ctx context.Context) {
+	headroom := int64(float64(v.clientBudget.available.Load()) * headroomShare)
+	every(ctx, headroomInterval, func() {
+		for n := headroom - v.clientBudget.available.Load(); n > 0 && v.evictClient(false); n-- {
+		}
+	})
+}
+
+// idleLimit is how long a client may stay unchanged before it may be evicted; 0 for as long as it likes. The caller
+// holds the lock, as for what follows.
+func (c *client) idleLimit() time.Duration {
+	switch {
+	case c.openMessages > 0:
+		return 0
+	case c.finishedMessages == 0:
+		return silentEvictAfter
+	}
+	return idleEvictAfter
+}
+
+// goesBefore says whether a client is evicted rather than another, nil for none.
+func (c *client) goesBefore(other *client) bool {
+	if other == nil {
+		return true
+	}
+	own, others := c.usefulness(), other.usefulness()
+	return own < others || own == others && c.changedAt.Before(other.changedAt)
+}
+
+// usefulness ranks clients by what has come from them: nothing, a startup and at most one op, more.
+func (c *client) usefulness() int {
+	switch {
+	case c.finishedMessages == 0:
+		return 0
+	case c.finishedMessages <= 2:
+		return 1
+	}
+	return 2
+}
--- a/internal/driver/answer.go
+++ b/internal/driver/answer.go
@@ -1,8 +1,5 @@
 package driver
 
-// This file owns the reading of a member's answer, and of what the member tells of itself beside it. What is not
-// exactly of the form is no answer.
-
 import (
 	"bufio"
 	"bytes"
@@ -15,81 +12,114 @@
 	"weirwind/logic"
 )
 
-// result is how a send or a probe ended.
+// result is how an attempt or a health check ended.
 type result struct {
 	member                   string
 	outcome                  logic.Outcome
-	connOpenedAt             time.Time // when the connection was
-	rows                     []byte    // a good answer's messages, as they came
-	value                    []byte    // the value in it
+	connOpenedAt             time.Time
+	rows                     []byte // a good answer's messages, as they came
+	value                    []byte // the value in it
 	role, reportRole         logic.Role
-	position, reportPosition float64 // Unix ms; 0 for unknown
+	position, reportPosition float64 // Unix milliseconds; 0 for unknown
 }
 
+// noOutcome is that of an answer that has not come, or is malformed.
 const noOutcome = logic.Outcome(255)
 
-// readAnswer takes one answer up to ReadyForQuery. clean says that the connection can serve again; where it is not,
-// err tells what ended it, and the outcome is the one that had come by then, or noOutcome. What is not exactly
-// of the form is spoilt: it has no outcome, whatever it says, but for a good answer that was whole before.
-// begins is called when the first byte has come.
+// readAnswer reads one answer up to ReadyForQuery. clean says that the connection can be used again; where it can't,
+// err is why, and the outcome is the one that had come by then, or noOutcome. An answer that is not exactly of the form
+// is malformed: it has no outcome, whatever it says, unless a complete good answer came before the fault. onFirstByte
+// is called when the answer begins.
 func readAnswer(from *bufio.Reader, onFirstByte func()) (r result, clean bool, err error) {
-	r.outcome = noOutcome
+	a := memberAnswer{result: result{outcome: noOutcome}}
 	if _, err := from.Peek(1); err != nil {
-		return r, false, err
+		return a.result, false, err
 	}
 	onFirstByte()
-	malformed := func() (result, bool, error) {
-		if r.outcome != logic.OK {
-			r = result{outcome: noOutcome}
-		}
-		return r, false, pgwire.ErrFraming
-	}
-	var rows []byte
-	var last byte // of the messages that make an answer: T, D, then C or E
 	for {
-		before := len(rows)
-		kind, message, err := pgwire.Read(from, rows)
-		if errors.Is(err, pgwire.ErrFraming) || len(message) > 2*pgwire.MaxMessage { // no answer is so long
-			return malformed()
+		before := len(a.messages)
+		kind, messages, err := pgwire.Read(from, a.messages)
+		if errors.Is(err, pgwire.ErrFraming) || len(messages) > 2*pgwire.MaxMessage { // no answer is so long
+			return a.malformed(), false, pgwire.ErrFraming
 		}
 		if err != nil {
-			return r, false, err
+			return a.result, false, err
 		}
-		body := pgwire.Body(message[before:])
-		switch {
-		case kind == 'T' && last == 0 && pgwire.IsBinaryColumn(body):
-			rows, last = message, kind
-		case kind == 'D' && last == 'T':
-			var ok bool
-			if r.value, ok = pgwire.ParseDataRow(body); !ok {
-				return malformed()
-			}
-			rows, last = message, kind
-		case kind == 'C' && last == 'D' && len(body) > 0 && body[len(body)-1] == 0:
-			rows, last = message, kind
-			r.outcome, r.rows = logic.OK, rows
-		case kind == 'E' && (last == 0 || last == 'T' || last == 'D'):
-			r.outcome = logic.Fault
-			switch code := pgwire.ErrorCode(body); {
-			case last != 0:
-			case code == pgwire.CodeReadOnlyTransaction || code == pgwire.CodeSnapshotTooOld:
-				r.outcome = logic.Miss
-			case code == pgwire.CodeTooManyConnections:
-				r.outcome = logic.Full
-			}
-			last = kind
-		case kind == 'S':
-			r.parseParameter(body)
-		case kind == 'Z' && (last == 'C' || last == 'E') && len(body) == 1:
-			return r, true, nil
-		case kind == 'N':
-		default:
-			return malformed()
+		switch a.take(kind, messages, pgwire.Body(messages[before:])) {
+		case answerComplete:
+			return a.result, true, nil
+		case answerMalformed:
+			return a.malformed(), false, pgwire.ErrFraming
+		}
+	}
+}
+
+// memberAnswer is an answer as far as it has been read.
+type memberAnswer struct {
+	result
+	messages []byte // those that make the answer
+	last     byte   // kind of the last of them: T, D, then C or E; 0 for none
+}
+
+type answerPhase uint8
+
+const (
+	answerGoesOn answerPhase = iota
+	answerComplete
+	answerMalformed
+)
+
+// take takes one message. messages has it behind those before, and body is its body.
+func (a *memberAnswer) take(kind byte, messages, body []byte) answerPhase {
+	switch {
+	case kind == 'T' && a.last == 0 && pgwire.IsBinaryColumn(body):
+		a.messages, a.last = messages, kind
+	case kind == 'D' && a.last == 'T':
+		var ok bool
+		if a.value, ok = pgwire.ParseDataRow(body); !ok {
+			return answerMalformed
 		}
+		a.messages, a.last = messages, kind
+	case kind == 'C' && a.last == 'D' && len(body) > 0 && body[len(body)-1] == 0:
+		a.messages, a.last = messages, kind
+		a.outcome, a.rows = logic.OK, messages
+	case kind == 'E' && (a.last == 0 || a.last == 'T' || a.last == 'D'):
+		a.outcome = errorOutcome(a.last, body)
+		a.last = kind
+	case kind == 'S':
+		a.parseParameter(body)
+	case kind == 'Z' && (a.last == 'C' || a.last == 'E') && len(body) == 1:
+		return answerComplete
+	case kind == 'N':
+	default:
+		return answerMalformed
+	}
+	return answerGoesOn
+}
+
+// errorOutcome is what an error means. Only one in place of an answer can say that nothing was executed.
+func errorOutcome(last byte, body []byte) logic.Outcome {
+	if last != 0 {
+		return logic.Fault
+	}
+	switch pgwire.ErrorCode(body) {
+	case pgwire.CodeReadOnlyTransaction, pgwire.CodeSnapshotTooOld:
+		return logic.Miss
+	case pgwire.CodeTooManyConnections:
+		return logic.Full
+	}
+	return logic.Fault
+}
+
+// malformed is the result of an answer that breaks the form.
+func (a *memberAnswer) malformed() result {
+	if a.outcome == logic.OK {
+		return a.result
 	}
+	return result{outcome: noOutcome}
 }
 
-// note reads what a member tells of itself beside an answer. What does not parse is skipped.
+// parseParameter reads what a member reports of itself beside an answer. What can't be parsed is skipped.
 func (r *result) parseParameter(body []byte) {
 	name, value, ok := pgwire.ParseParameterStatus(body)
 	if !ok {
@@ -110,9 +140,9 @@
 	}
 }
 
-// usage reads a load report: x0 is a position, in seconds, and x1 is 1 from a primary, 0 from a replica. One that
-// can't be read in full tells nothing. Only a note or a probe's row is one: an op's value is its client's,
-// whatever it looks like.
+// parseUsage reads a load report: x0 is a position, in seconds, and x1 is 1 from a primary, 0 from a replica. One that
+// can't be parsed completely reports nothing. Only a parameter or a health check's row is a report: an op's value is
+// its client's, whatever it looks like.
 func (r *result) parseUsage(text []byte) {
 	position, role := 0.0, logic.RoleUnknown
 	for len(text) > 0 {
@@ -135,7 +165,7 @@
 	r.reportPosition, r.reportRole = position, role
 }
 
-// parseFigure reads a figure that a member wrote; 0 where it is none.
+// parseFloat parses a finite number that a member wrote.
 func parseFloat(text []byte) (f float64, ok bool) {
 	f, err := strconv.ParseFloat(string(text), 64)
 	if err != nil || math.IsNaN(f) || math.IsInf(f, 0) {
--- a/internal/driver/driver.go
+++ b/internal/driver/driver.go
@@ -139,7 +139,7 @@
 		counters:         &v.counters,
 		log:              v.log,
 		healthCheckQuery: "SELECT 1",
-		members:          map[string]*memberConns{},
+		members:          map[string]*poolMember{},
 	}
 	if a.settings.Opening.ReportsByProbe {
 		v.pool.healthCheckQuery = "SHOW usage"
--- a/internal/driver/driver_test.go
+++ b/internal/driver/driver_test.go
@@ -294,7 +294,7 @@
 	room := &budget{}
 	room.available.Store(2)
 	m := &pool{connectTimeout: 10 * time.Second, idleTimeout: time.Hour, budget: room, counters: &count, log: l,
-		healthCheckQuery: "SELECT 1", members: map[string]*memberConns{"m": {address: ln.Addr().String()}}}
+		healthCheckQuery: "SELECT 1", members: map[string]*poolMember{"m": {address: ln.Addr().String()}}}
 	first, second := m.newAttempt("m", nil, time.Minute), m.newAttempt("m", nil, time.Minute)
 	go func() { <-queries; answer <- struct{}{} }()
 	if r := first.run(); r.outcome != logic.OK {
@@ -326,7 +326,7 @@
 // A removed member's address is let go some time after it was last wanted, also where a whole list does not name
 // it any more; one that comes back in between stays.
 func TestAddressesOfRemovedMembersAreLetGo(t *testing.T) {
-	m := &pool{idleTimeout: time.Second, counters: &counters{}, members: map[string]*memberConns{}}
+	m := &pool{idleTimeout: time.Second, counters: &counters{}, members: map[string]*poolMember{}}
 	up := func(id string) discovery.Entry {
 		return discovery.Entry{ID: id, Address: "127.0.0.1:1", Phase: discovery.PhaseUp}
 	}
--- a/internal/driver/ledger.go
+++ b/internal/driver/ledger.go
@@ -128,18 +128,6 @@
 // minds says whether an op's effect is of the kind that the ledger is for.
 func (l *opLedger) covers(o *op) bool { return l.opTypes[o.opType].Effect != logic.Retryable }
 
-var (
-	invalidKey     = errorAnswer(pgwire.CodeProtocolViolation, "a key is 1 to 128 bytes of text without spaces and quotes")
-	keyConflict    = errorAnswer(pgwire.CodeProtocolViolation, "this key was another statement's")
-	answerLost     = errorAnswer(pgwire.CodeSystemError, "the op with this key was done; its answer was too long to be kept")
-	outcomeInDoubt = errorAnswer(pgwire.CodeSystemError,
-		"an op with this key may have taken effect, and it can't be known; it is not sent again")
-)
-
-func errorAnswer(code, text string) []byte {
-	return pgwire.AppendReadyForQuery(pgwire.AppendErrorResponse(nil, "ERROR", code, text, ""))
-}
-
 // perform carries an op with a key through.
 func (l *opLedger) perform(o *op, disconnected <-chan struct{}) []byte {
 	token := o.statement.IdempotencyKey
--- a/internal/driver/op.go
+++ b/internal/driver/op.go
@@ -1,40 +1,37 @@
 package driver
 
-// This file owns the life of one op, from its statement to the last byte of its answer. It reads from top to
-// bottom: ask the module, send, hear the outcome, ask again, answer. It must never decide: no retry, no choice
-// and no time-out of its own; and nothing is sent for an op once its answer is due.
-
 import (
-	"strconv"
 	"time"
 
 	"weirwind/internal/pgwire"
 	"weirwind/logic"
 )
 
-// slack is how much longer the limits of the rules are on sockets. A send whose data may be only so old goes out
-// within it or, held up by a slow connect or a pause of the machine, not at all: the module then decides anew.
-const sendSlack = 50 * time.Millisecond
+// staleAfter is how much longer an attempt may be held up than it was decided for. One that depends on how old data is
+// goes out within it or, behind a slow connect or a pause of the machine, not at all: the module then decides again.
+const staleAfter = 50 * time.Millisecond
 
+// op is one statement of a client, from its submission to its answer.
 type op struct {
-	id        string
-	opType    int
+	id        string // the driver's own
+	opType    int    // index in the module's opening
 	statement pgwire.Statement
+	ready     chan struct{} // signaled when there are actions or an answer; holds one signal
 
-	pending []decidedAction // decided and not yet done; under the decider's lock, as are final and rows
-	settled bool            // its answer is settled, or its client has left
-	rows    []byte          // the good answer, as the member gave it
-	ready   chan struct{}
-	sentTo  []zoneAttempt // its sends, where zones are decided on
+	// Under the decider's lock.
+	pending []decidedAction // decided and not yet carried out
+	settled bool            // its answer is decided, or its client has left; never becomes false again
+	rows    []byte          // the first good answer, as the member gave it
+	sentTo  []zoneAttempt   // by attempt, where zones are decided on
 }
 
-// sentTo is where a send went, and when that was decided on the module's clock.
+// zoneAttempt is where an attempt went, and when that was decided on the module's clock.
 type zoneAttempt struct {
 	member string
 	at     float64
 }
 
-// order is an action of the module for an op, and when it was decided.
+// decidedAction is an action of the module on an op, and when it was decided.
 type decidedAction struct {
 	logic.Action
 	decidedAt time.Time
@@ -56,19 +53,19 @@
 	}
 }
 
-// ending is how an op ended.
+// opEnd is how an op ended.
 type opEnd uint8
 
 const (
-	endNotStarted opEnd = iota // it never began
+	endNotStarted opEnd = iota // no attempt was made
 	endAcked
 	endBusy
 	endFailed
-	endClientLeft // its client has gone, with sends out
+	endClientLeft // with attempts out
 )
 
-// perform carries an op through and returns its answer, whole, or nil if the client left. gone is closed when it
-// leaves. An op that must not run twice and names a key goes by the ledger, where there is one.
+// perform carries an op through and returns its complete answer, or nil if the client left; disconnected is closed
+// when it does. A write that must not run twice and has an idempotency key goes by the ledger, where there is one.
 func (v *Service) perform(o *op, disconnected <-chan struct{}) []byte {
 	if v.ledger != nil && o.statement.Write && o.statement.IdempotencyKey != nil && v.ledger.covers(o) {
 		return v.ledger.perform(o, disconnected)
@@ -77,13 +74,14 @@
 	return answer
 }
 
-// carryOut does so without the ledger, and says how it ended.
+// execute submits an op to the module, carries out what it decides until the op is settled, and says how it ended. It
+// decides nothing itself: no retry, no choice and no timeout.
 func (v *Service) execute(o *op, disconnected <-chan struct{}) ([]byte, opEnd) {
 	if !v.decider.submit(o) {
 		return duplicateID, endNotStarted
 	}
 	v.counters.Ops.Add(1)
-	var attempts []*attempt
+	x := execution{service: v, op: o}
 	for {
 		clientLeft := false
 		select {
@@ -92,31 +90,10 @@
 			v.decider.clientLeft(o)
 			clientLeft = true
 		}
-		orders, rows := v.decider.takeActions(o)
-		var answer []byte
-		end := endAcked
-		for _, a := range orders {
-			switch a.Kind {
-			case logic.ActSend:
-				attempts = append(attempts, v.startAttempt(o, a, len(attempts)))
-			case logic.ActCancel:
-				if s := attempts[a.Send]; a.Wait > 0 {
-					time.AfterFunc(duration(a.Wait), s.cancel)
-				} else {
-					s.cancel()
-				}
-			case logic.ActRefuse:
-				v.counters.BusyReplied.Add(1)
-				answer, end = busyAnswer(a.Wait), endBusy
-			case logic.ActFail:
-				v.counters.Errored.Add(1)
-				answer, end = opFailed, endFailed
-			}
-		}
+		actions, rows := v.decider.takeActions(o)
+		answer, end := x.carryOut(actions)
 		if answer != nil || rows != nil || clientLeft {
-			for _, s := range attempts {
-				s.forbidWrites()
-			}
+			x.forbidWrites()
 		}
 		switch {
 		case answer != nil:
@@ -126,7 +103,7 @@
 			return pgwire.AppendReadyForQuery(rows), endAcked
 		case clientLeft:
 			v.counters.Left.Add(1)
-			if len(attempts) == 0 {
+			if len(x.attempts) == 0 {
 				return nil, endNotStarted
 			}
 			return nil, endClientLeft
@@ -134,29 +111,52 @@
 	}
 }
 
-// send begins the op's n-th send; what comes of it goes to the decider.
-func (v *Service) startAttempt(o *op, a decidedAction, n int) *attempt {
-	s := v.pool.newAttempt(a.Member, &o.statement, duration(a.Wait))
-	if v.decider.staleDataMatters(o) {
-		s.staleAt = a.decidedAt.Add(sendSlack)
-	}
-	v.inFlight.Go(func() error {
-		v.decider.attemptEnded(o, n, s.run())
-		return nil
-	})
-	return s
+// execution is an op with its attempts, in the order in which they were decided.
+type execution struct {
+	service  *Service
+	op       *op
+	attempts []*attempt
 }
 
-var duplicateID = pgwire.AppendReadyForQuery(pgwire.AppendErrorResponse(nil, "ERROR", pgwire.CodeProtocolViolation, "an op of this id is open", ""))
+// carryOut carries actions out in order. There is an answer where the module has decided on one.
+func (x *execution) carryOut(actions []decidedAction) (answer []byte, end opEnd) {
+	for _, a := range actions {
+		switch a.Kind {
+		case logic.ActSend:
+			x.attempts = append(x.attempts, x.service.startAttempt(x.op, a, len(x.attempts)))
+		case logic.ActCancel:
+			if attempt := x.attempts[a.Send]; a.Wait > 0 {
+				time.AfterFunc(duration(a.Wait), attempt.cancel)
+			} else {
+				attempt.cancel()
+			}
+		case logic.ActRefuse:
+			x.service.counters.BusyReplied.Add(1)
+			answer, end = busyAnswer(a.Wait), endBusy
+		case logic.ActFail:
+			x.service.counters.Errored.Add(1)
+			answer, end = opFailed, endFailed
+		}
+	}
+	return answer, end
+}
 
-var opFailed = pgwire.AppendReadyForQuery(pgwire.AppendErrorResponse(nil, "ERROR", pgwire.CodeSystemError,
-	"the op failed and may have taken effect", ""))
+// forbidWrites keeps attempts that have not been sent yet from being sent once the answer is due.
+func (x *execution) forbidWrites() {
+	for _, attempt := range x.attempts {
+		attempt.forbidWrites()
+	}
+}
 
-// busy says that trying again is harmless, and after how many milliseconds if the module advises some.
-func busyAnswer(wait float64) []byte {
-	detail := ""
-	if ms := duration(wait).Round(time.Millisecond).Milliseconds(); ms > 0 {
-		detail = strconv.FormatInt(ms, 10)
+// startAttempt starts the op's attempt with that index; its result goes to the decider.
+func (v *Service) startAttempt(o *op, a decidedAction, index int) *attempt {
+	x := v.pool.newAttempt(a.Member, &o.statement, duration(a.Wait))
+	if v.decider.staleDataMatters(o) {
+		x.staleAt = a.decidedAt.Add(staleAfter)
 	}
-	return pgwire.AppendReadyForQuery(pgwire.AppendErrorResponse(nil, "ERROR", pgwire.CodeTooManyConnections, "busy, try again", detail))
+	v.inFlight.Go(func() error {
+		v.decider.attemptEnded(o, index, x.run())
+		return nil
+	})
+	return x
 }
--- a/internal/driver/state.go
+++ b/internal/driver/state.go
@@ -85,8 +85,6 @@
 	return r
 }
 
-func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
-
 // opened is how a folder was found.
 type openedStore struct {
 	store *durable.Store
