--- a/internal/fleet/membership/digest_test.go
+++ b/internal/fleet/membership/digest_test.go
@@ -166,8 +166,8 @@
 // playFaults has drivers killed, restarted with what they saved or without, frozen, partitioned, renamed,
 // added, leaving and forgotten, over a network that loses, doubles and delays.
 func playFaults(d *digest, seed uint64) {
-	n := &network{Scheduler: virtualclock.Scheduler{Now: 1e6}, d: d, r: rand.New(rand.NewPCG(seed, 51)), cut: map[[2]int]bool{},
-		latency: []float64{1, 30, 120}[seed%3], founders: 4}
+	n := &network{Scheduler: virtualclock.Scheduler{Now: 1e6}, d: d, r: rand.New(rand.NewPCG(seed, 51)),
+		cut: map[[2]int]bool{}, latency: []float64{1, 30, 120}[seed%3], founders: 4}
 	if seed%12 == 11 {
 		n.founders = 30
 	}
--- a/internal/fleet/membership/fleet_test.go
+++ b/internal/fleet/membership/fleet_test.go
@@ -186,12 +186,14 @@
 	}
 	wait(t, f, "newcomers", func() bool { return f.HavePartitionStatus(membership.Minority, 0, 1, 5, 6, 7, 8) })
 	f.Run(60000)
-	if !f.HavePartitionStatus(membership.Minority, 0, 1, 5, 6, 7, 8) || !f.HavePartitionStatus(membership.Majority, 2, 3, 4) {
+	minority := f.HavePartitionStatus(membership.Minority, 0, 1, 5, 6, 7, 8)
+	if !minority || !f.HavePartitionStatus(membership.Majority, 2, 3, 4) {
 		t.Error("six of nine that are there, two of five that count")
 	}
 	f.Blocked = nil
 	wait(t, f, "heal", func() bool {
-		return f.HavePartitionStatus(membership.Complete, 0, 1, 2, 3, 4, 5, 6, 7, 8) && len(f.Drivers[8].View.Status().Roster.Names) == 9
+		complete := f.HavePartitionStatus(membership.Complete, 0, 1, 2, 3, 4, 5, 6, 7, 8)
+		return complete && len(f.Drivers[8].View.Status().Roster.Names) == 9
 	})
 }
 
@@ -286,7 +288,8 @@
 		return s == membership.Undetermined && why == "name_taken"
 	})
 	f.Run(30000)
-	if !f.HavePartitionStatus(membership.Complete, all...) || state(f, 0, "n4").Address != f.Drivers[4].View.Status().Address {
+	first := f.Drivers[4].View.Status().Address
+	if !f.HavePartitionStatus(membership.Complete, all...) || state(f, 0, "n4").Address != first {
 		t.Error("the second one took the name")
 	}
 	f.Kill(4)
