--- a/internal/operator/file.go
+++ b/internal/operator/file.go
@@ -1,135 +1,130 @@
 package operator
 
-// This file owns what a file may say: one type a block.
+// This file owns what a file may state: one type a block.
 
 import (
 	"log/slog"
 	"time"
 )
 
-// File is what an operators' file says, defaults filled in. The zero File is not one: use Default.
+// File is an operators' file with its defaults filled in. The zero File is not valid: use Default.
 type File struct {
-	Log   Log
-	State *State // nil: nothing is kept on disk
-	// Registry is where members stand beside the platform's discovery; nil for nowhere.
-	Registry *Registry
-	Peers    Peers
-	Control  *Control // nil: no socket for hooks
-	Ledger   *Ledger  // nil: outcomes of ops are not kept
-	Fleet    *Fleet   // nil: the deployment's shape is as the platform's settings say
-	// Membership is the drivers' own knowledge of each other; nil: they have none.
-	Membership *Membership
-	// Zones has drivers decide in common how zones stand in for each other; nil: each driver decides alone.
-	Zones *Zones
+	Log        Log
+	State      *State    // nil: learned state is not persisted
+	Registry   *Registry // nil: members come from the platform's discovery alone
+	Peers      Peers
+	Control    *Control    // nil: no control socket
+	Ledger     *Ledger     // nil: the outcomes of operations are not kept
+	Fleet      *Fleet      // nil: the deployment's shape is as the platform's settings say
+	Membership *Membership // nil: drivers do not know each other
+	Zones      *Zones      // nil: each driver decides alone how zones stand in for each other
 }
 
-// Membership is the block "membership": drivers find out who of them is there.
-type Membership struct {
-	Listen         string   // IP:port, for UDP and TCP; outgoing sockets are bound to this IP
-	Advertise      string   // IP:port at which fellows reach this driver; empty: Listen
-	Seeds          []string // IP:port of fellows
-	TokenFile      string   // a secret that drivers show each other; empty: that of the control block
-	Zone           string   // empty: the platform's
-	ProtocolPeriod time.Duration
-	// Expect is how many drivers there are to be before they first agree on a roster. 0: as many as the platform or the
-	// fleet block says, and no fewer than the seeds.
-	ExpectedDrivers int
-	// Yield: a larger part takes over the share of those that it lost after so long.
-	TakeOverAfter time.Duration
-	// Folder keeps the roster and this driver's votes on it, for its next process. Empty: nothing is kept.
-	Folder string
-}
+// Default is in force where there is no file.
+func Default() File { return File{Log: Log{Format: "text", Level: slog.LevelInfo}} }
 
-// Zones is the block "zones": drivers that know each other agree on which zones serve whose reads.
-type Zones struct {
-	Regions           []Region
-	Voters            int
-	HeartbeatInterval time.Duration // between two looks of who leads
-	PlanLease         time.Duration // a plan holds for so long after it was certainly the newest
-	Headroom          int           // percent of a zone's room kept for one more loss
-	CrossZoneBudget   int           // percent of all reads that may cross between zones
-	TargetLoad        int           // percent of what members can do that reads take usually
-	EjectAfter        time.Duration // a loss lasts so long before a zone is taken out
-	MinEjectionTime   time.Duration // least stay before it returns
-	Webhook           string        // called with each move of a primary that is asked for; empty: none
+// Log is the block "log".
+type Log struct {
+	Format string     // "text" or "json"
+	Level  slog.Level // the lowest that is written
 }
 
-// Region is one with its zones, nearer to each other than to others.
-type Region struct {
-	Name  string
-	Zones []string
+// State is the block "state": learned state is kept across restarts.
+type State struct {
+	Folder       string
+	SaveInterval time.Duration // save_every
+	LimitMB      int           // of all files together
+	// MinSwitchTime (switch_least) is a lower bound on how long a change of primary takes. 0: the time that the
+	// platform gives drivers to stop sending to a member that drains.
+	MinSwitchTime time.Duration
 }
 
-// Fleet is the block "fleet": the shape of a deployment where it is not what the platform's settings say. Each
-// field left out keeps the settings' own value, so a file without the block changes nothing.
-type Fleet struct {
-	// Peers false: drivers share nothing and send each other no word, even where the settings allow it.
-	Peers *bool
-	// Drivers is how many drivers there are in all (the settings' siblings); 0 keeps the settings' figure.
-	Drivers int
-	// DrainingBinds true: only a member listed as draining must get nothing new after the grace; one listed as
-	// gone, or left out of the list, without a drain before it may still be sent to. Nil: as the settings' rules.
-	OnlyDrainingBinds *bool
+// Registry is the block "registry", whose label is the dialect.
+type Registry struct {
+	Dialect   string   // "etcd" or "consul"
+	Endpoints []string // HTTP URLs
+	Prefix    string   // of the members' keys
+	Service   string   // Consul: the members are this service's instances; empty: they are keys
+	// CredentialsFile holds name:password (etcd) or a token (Consul), and is read anew for each connection. Empty for
+	// none.
+	CredentialsFile string
+	CAFile          string        // certificates that sign the endpoints'; empty for the system's
+	FailoverAfter   time.Duration // take_over: discovery leads once the registry has been silent for so long
+	ConfirmAfter    time.Duration // confirm: a list without most members is confirmed by one this much later
+	DriversPrefix   string        // of the keys by which drivers register themselves; empty: they don't
+	LeaseTTL        time.Duration // lease: time to live of such a key
+	WatchTimeout    time.Duration // silence: a watch without a sign of life for so long is resumed
 }
 
-// Ledger is the block "ledger": outcomes of ops that name a key and must not run twice.
-type Ledger struct {
-	Folder    string
-	Retention time.Duration // behind its end a key is remembered for so long
-	MaxKeys   int           // at a time
-	LimitMB   int           // of all files together; keys and answers in memory take up to a quarter of it
+// Peers is the block "peers": the messages between drivers.
+type Peers struct {
+	// MessagesPerSecond is about how many peers' messages a driver takes. 0: the fewer the more drivers there are, as
+	// on the platform, where messages have a price.
+	MessagesPerSecond int
 }
 
-// Control is the block "control": where hooks of the topology manager speak to the driver, and drivers to each other.
+// Control is the block "control": where the topology manager's hooks, and the drivers' peers, call the driver.
 type Control struct {
 	Socket    string   // a Unix socket for this machine
-	Listen    string   // host:port for fellow drivers; empty for none
-	Peers     []string // their host:port
-	TokenFile string   // a secret that drivers show each other
-	// Lease is that of a hold that names none; Most of one with all its renewals. Opening: behind a release the old
-	// primary stays out for so long, if nobody else is seen as primary.
-	HoldLease, MaxHold, ReleaseTimeout time.Duration
+	Listen    string   // host:port for peers; empty for none
+	Peers     []string // fellows: their host:port
+	TokenFile string   // a secret shared by the drivers
+	HoldLease time.Duration
+	MaxHold   time.Duration // most: of a hold with all its renewals
+	// ReleaseTimeout (opening): after a release the old primary stays drained for so long, unless another one is seen
+	// as primary before.
+	ReleaseTimeout time.Duration
 }
 
-// Peers is the block "peers": the word between drivers.
-type Peers struct {
-	// Messages is how many of fellow drivers one takes a second, about. 0: the fewer the more drivers there are, as on
-	// the platform, where messages have a price.
-	MessagesPerSecond int
+// Ledger is the block "ledger": the outcomes of operations that have an idempotency key.
+type Ledger struct {
+	Folder    string
+	Retention time.Duration // keep: of a key, from the end of its operation
+	MaxKeys   int           // at a time
+	LimitMB   int           // of all files together; keys and answers in memory take up to a quarter of it
 }
 
-// Registry is the block "registry", whose label is the dialect.
-type Registry struct {
-	Dialect   string   // "etcd" or "consul"
-	Endpoints []string // URLs, http or https
-	Prefix    string   // of the members' keys
-	Service   string   // consul: members are a service's instances, with their health, instead of keys
-	// CredentialsFile holds name:password (etcd) or a token (consul); read anew for each connection. Empty for none.
-	CredentialsFile string
-	CAFile          string        // certificates that sign the endpoints'; empty for the system's
-	FailoverAfter   time.Duration // so long after the registry fell silent discovery leads
-	ConfirmAfter    time.Duration // a list that lost most members must say so again after so long
-	// DriversPrefix is where drivers announce themselves and find their fellows; empty: they don't.
-	DriversPrefix string
-	LeaseTTL      time.Duration // of an announcement
-	WatchTimeout  time.Duration // a watch that gives no sign for so long is left and resumed
+// Fleet is the block "fleet": the shape of a deployment where it is not what the platform's settings say. A field
+// that is left out keeps the settings' own value, so an empty block changes nothing.
+type Fleet struct {
+	Peers   *bool // false: drivers send each other nothing, even where the settings allow it
+	Drivers int   // in all (the settings' siblings); 0 keeps the settings' number
+	// OnlyDrainingBinds true: only a member listed as draining must get nothing new after the grace period. One that
+	// is listed as gone, or omitted, without having drained may still be sent to. Nil: as the settings' rules.
+	OnlyDrainingBinds *bool
 }
 
-// Log is the block "log".
-type Log struct {
-	Format string     // "text" or "json"
-	Level  slog.Level // the least that is written
+// Membership is the block "membership": drivers find out which of them are alive.
+type Membership struct {
+	Listen         string        // IP:port, for UDP and TCP; outgoing sockets are bound to this IP
+	Advertise      string        // IP:port at which peers reach this driver; empty: Listen
+	Seeds          []string      // IP:port of peers
+	TokenFile      string        // a secret shared by the drivers; empty: the control block's
+	Zone           string        // empty: the platform's
+	ProtocolPeriod time.Duration // period: between two probes
+	// ExpectedDrivers (expect) is how many drivers there must be before they first agree on a roster. 0: as many as
+	// the platform or the fleet block says, and no fewer than the seeds.
+	ExpectedDrivers int
+	TakeOverAfter   time.Duration // yield: a majority takes over the quota shares of those that it lost after so long
+	Folder          string        // of the roster and of this driver's votes on it; empty: they are not persisted
 }
 
-// State is the block "state": where learned state is kept across restarts.
-type State struct {
-	Folder       string
-	SaveInterval time.Duration
-	LimitMB      int // of all files together
-	// SwitchLeast: no change of a primary takes less. 0: as long as the platform gives drivers to stop sending to a
-	// member that drains.
-	MinSwitchTime time.Duration
+// Zones is the block "zones": drivers agree on which zones serve whose reads. Percentages are whole numbers.
+type Zones struct {
+	Regions           []Region
+	Voters            int
+	HeartbeatInterval time.Duration // beat: of the leader
+	PlanLease         time.Duration // lease: a plan is in force for so long after it was certainly the newest
+	Headroom          int           // percent of a zone's capacity kept for one more loss
+	CrossZoneBudget   int           // budget: percent of all reads that may cross between zones
+	TargetLoad        int           // load: percent of the members' capacity that reads usually take
+	EjectAfter        time.Duration // doubt: a zone is ejected once it has failed for so long
+	MinEjectionTime   time.Duration // away: before it returns
+	Webhook           string        // called with each move of a primary that is requested; empty: none
 }
 
-// Default is what holds where there is no file.
-func Default() File { return File{Log: Log{Format: "text", Level: slog.LevelInfo}} }
+// Region is a region with its zones, which are nearer to each other than to others.
+type Region struct {
+	Name  string
+	Zones []string
+}
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,14 +1,33 @@
-// Package operator reads the operators' file: what an installation switches on beside the platform's own
-// configuration, in HCL. It owns names, types, defaults and their limits. It must never act on what it reads, and
-// never let a name pass that it does not know.
 package operator
 
+// This file owns the reading of a file: its blocks, and what they require of each other.
+
 import (
+	"fmt"
+	"strings"
+
 	"github.com/hashicorp/hcl/v2"
 	"github.com/hashicorp/hcl/v2/hclsyntax"
 )
 
-// Parse reads a file's text; name is for errors, which carry file, line and column, one a line.
+// InvalidError is all that is wrong with a file.
+type InvalidError hcl.Diagnostics
+
+// Error lists the problems, one a line, each with file, line and column.
+func (e InvalidError) Error() string {
+	var lines []string
+	for _, d := range e {
+		position := ""
+		if d.Subject != nil {
+			position = fmt.Sprintf("%s:%d,%d: ", d.Subject.Filename, d.Subject.Start.Line, d.Subject.Start.Column)
+		}
+		summary, detail := strings.TrimSuffix(d.Summary, "."), strings.ReplaceAll(d.Detail, "\n", " ")
+		lines = append(lines, position+summary+": "+detail)
+	}
+	return strings.Join(lines, "\n")
+}
+
+// Parse reads a file; name is its name in errors. The error is an InvalidError, and the file is then the default.
 func Parse(name string, text []byte) (File, error) {
 	f := Default()
 	syntax, problems := hclsyntax.ParseConfig(text, name, hcl.InitialPos)
@@ -17,7 +36,7 @@
 		r.file(syntax.Body, &f)
 	}
 	if r.problems.HasErrors() {
-		return Default(), problemsError(r.problems)
+		return Default(), InvalidError(r.problems)
 	}
 	return f, nil
 }
@@ -28,16 +47,16 @@
 	{Type: "membership"}, {Type: "zones"}, {Type: "registry", LabelNames: []string{"dialect"}},
 }}
 
-// file reads all blocks, and what they want of each other.
+// file reads all blocks, each of which may occur once.
 func (r *reader) file(body hcl.Body, f *File) {
 	seen := map[string]*hcl.Range{}
 	for _, b := range r.content(body, blockTypes).Blocks {
-		if before := seen[b.Type]; before != nil {
-			r.problem(b.DefRange, "The block %q stands twice; it stands already at line %d.", b.Type, before.Start.Line)
+		if first := seen[b.Type]; first != nil {
+			r.problem(b.DefRange, "The block %q stands twice; it stands already at line %d.", b.Type, first.Start.Line)
 			continue
 		}
 		seen[b.Type] = &b.DefRange
-		r.into(b, f)
+		r.block(b, f)
 	}
 	if m := f.Membership; m != nil && m.TokenFile == "" {
 		if f.Control != nil {
@@ -52,21 +71,21 @@
 	}
 }
 
-// into reads one block.
-func (r *reader) into(b *hcl.Block, f *File) {
+func (r *reader) block(b *hcl.Block, f *File) {
 	switch b.Type {
 	case "log":
-		f.Log = r.log(b)
+		r.attributes(b, f.Log.attributes(), nil)
+	case "peers":
+		r.attributes(b, f.Peers.attributes(), nil)
+	case "fleet":
+		f.Fleet = &Fleet{}
+		r.attributes(b, f.Fleet.attributes(), nil)
 	case "state":
 		f.State = r.state(b)
-	case "peers":
-		f.Peers = r.peers(b)
 	case "ledger":
 		f.Ledger = r.ledger(b)
 	case "control":
 		f.Control = r.control(b)
-	case "fleet":
-		f.Fleet = r.fleet(b)
 	case "membership":
 		f.Membership = r.membership(b)
 	case "zones":
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -89,12 +89,14 @@
 		"registry {\n  endpoints = [\"http://a:1\"]\n}":                              "x.hcl:1,10: ",
 		"state {\n  folder = \"a\"\n  limit_mb = 0\n  x = 1\n}":                      "x.hcl:4,3: Unsupported argument",
 	} {
-		f, err := Parse("x.hcl", []byte(text))
-		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v, want %q", text, err, want)
-		} else if f.State != nil {
-			t.Errorf("%q: takes effect all the same", text)
-		}
+		t.Run(text, func(t *testing.T) {
+			f, err := Parse("x.hcl", []byte(text))
+			if err == nil || !strings.Contains(err.Error(), want) {
+				t.Errorf("%v, want %q", err, want)
+			} else if f.State != nil {
+				t.Error("takes effect all the same")
+			}
+		})
 	}
 	if _, err := Parse("x.hcl", []byte("log {\n  a = 1\n  b = 2\n}")); err == nil ||
 		strings.Count(err.Error(), "\n") != 1 {
