--- a/internal/driver/op.go
+++ b/internal/driver/op.go
@@ -81,7 +81,7 @@
 		return duplicateID, endNotStarted
 	}
 	v.counters.Ops.Add(1)
-	x := execution{service: v, op: o}
+	var attempts []*attempt // by their index in actions; local, so that a few need no allocation
 	for {
 		clientLeft := false
 		select {
@@ -91,9 +91,19 @@
 			clientLeft = true
 		}
 		actions, rows := v.decider.takeActions(o)
-		answer, end := x.carryOut(actions)
+		var answer []byte
+		var end opEnd
+		for _, a := range actions {
+			if a.Kind == logic.ActSend {
+				attempts = append(attempts, v.startAttempt(o, a, len(attempts)))
+			} else if reply, replyEnd := v.carryOut(a, attempts); reply != nil {
+				answer, end = reply, replyEnd
+			}
+		}
 		if answer != nil || rows != nil || clientLeft {
-			x.forbidWrites()
+			for _, x := range attempts {
+				x.forbidWrites() // nothing is sent for an op once its answer is due
+			}
 		}
 		switch {
 		case answer != nil:
@@ -103,7 +113,7 @@
 			return pgwire.AppendReadyForQuery(rows), endAcked
 		case clientLeft:
 			v.counters.Left.Add(1)
-			if len(x.attempts) == 0 {
+			if len(attempts) == 0 {
 				return nil, endNotStarted
 			}
 			return nil, endClientLeft
@@ -111,41 +121,23 @@
 	}
 }
 
-// execution is an op with its attempts, in the order in which they were decided.
-type execution struct {
-	service  *Service
-	op       *op
-	attempts []*attempt
-}
-
-// carryOut carries actions out in order. There is an answer where the module has decided on one.
-func (x *execution) carryOut(actions []decidedAction) (answer []byte, end opEnd) {
-	for _, a := range actions {
-		switch a.Kind {
-		case logic.ActSend:
-			x.attempts = append(x.attempts, x.service.startAttempt(x.op, a, len(x.attempts)))
-		case logic.ActCancel:
-			if attempt := x.attempts[a.Send]; a.Wait > 0 {
-				time.AfterFunc(duration(a.Wait), attempt.cancel)
-			} else {
-				attempt.cancel()
-			}
-		case logic.ActRefuse:
-			x.service.counters.BusyReplied.Add(1)
-			answer, end = busyAnswer(a.Wait), endBusy
-		case logic.ActFail:
-			x.service.counters.Errored.Add(1)
-			answer, end = opFailed, endFailed
+// carryOut carries out an action on an op other than a new attempt. There is an answer where the module decided on one.
+func (v *Service) carryOut(a decidedAction, attempts []*attempt) (answer []byte, end opEnd) {
+	switch a.Kind {
+	case logic.ActCancel:
+		if x := attempts[a.Send]; a.Wait > 0 {
+			time.AfterFunc(duration(a.Wait), x.cancel)
+		} else {
+			x.cancel()
 		}
+	case logic.ActRefuse:
+		v.counters.BusyReplied.Add(1)
+		return busyAnswer(a.Wait), endBusy
+	case logic.ActFail:
+		v.counters.Errored.Add(1)
+		return opFailed, endFailed
 	}
-	return answer, end
-}
-
-// forbidWrites keeps attempts that have not been sent yet from being sent once the answer is due.
-func (x *execution) forbidWrites() {
-	for _, attempt := range x.attempts {
-		attempt.forbidWrites()
-	}
+	return nil, endNotStarted
 }
 
 // startAttempt starts the op's attempt with that index; its result goes to the decider.
