--- a/internal/plan/plan_test.go
+++ b/internal/plan/plan_test.go
@@ -149,13 +149,16 @@
 		"capacity: zone b has 200 of the 210 that it": func(l *Limits) { l.ZoneCapacity = map[string]float64{"b": 210} },
 		"candidates: group 1 has 3 warm members":      func(l *Limits) { l.MinCandidates = 4 },
 	} {
-		l := Limits{MaxUnavailable: 4, ReplaceTime: 10, WarmupTime: 20, WarmupCapacity: 0.5, WriteGap: 2, MaxWriteGap: 10, SwitchInterval: 5}
-		change(&l)
-		_, err := Solve(four(), []Step{{Replace, "p"}}, l, 20, 1)
-		var refused *InfeasibleError
-		if !errors.As(err, &refused) || !strings.HasPrefix(refused.Limit, want) || refused.Step.Member != "p" {
-			t.Errorf("%s: %v", want, err)
-		}
+		t.Run(want, func(t *testing.T) {
+			l := Limits{MaxUnavailable: 4, ReplaceTime: 10, WarmupTime: 20, WarmupCapacity: 0.5, WriteGap: 2,
+				MaxWriteGap: 10, SwitchInterval: 5}
+			change(&l)
+			_, err := Solve(four(), []Step{{Replace, "p"}}, l, 20, 1)
+			var infeasible *InfeasibleError
+			if !errors.As(err, &infeasible) || !strings.HasPrefix(infeasible.Limit, want) || infeasible.Step.Member != "p" {
+				t.Error(err)
+			}
+		})
 	}
 }
 
