--- a/internal/fleet/membership/fleet.go
+++ b/internal/fleet/membership/fleet.go
@@ -14,11 +14,11 @@
 	// self is this driver's own record. Its Run rises where another process under the name was there, its Incarnation
 	// where it refutes that it has failed.
 	self Record
-	// peers are sorted by name, without this driver, in each state.
+	// peers are all other known drivers, in whatever state, sorted by name.
 	peers       []*peer
 	peersByName map[string]*peer
 	suspects    []*peer // those in the state Suspect are among them
-	// viewHash stands for the processes that live, without a suspicion's difference: see processHash.
+	// viewHash stands for the processes that have not ended, this one included: equal views have equal hashes.
 	viewHash         uint64
 	liveSetChangedAt float64 // when a driver came, ended or came back last
 	stateVersion     uint64  // rises with each change that the partition's status may depend on
@@ -37,7 +37,7 @@
 	reachability Reachability // this driver's own, as gossiped last
 }
 
-// schedule is when a Tick does next what it does now and then.
+// schedule is when Tick does what it does from time to time, in milliseconds.
 type schedule struct {
 	lastTick              float64
 	nextProbe             float64
