--- a/internal/fleet/membership/doc.go
+++ b/internal/fleet/membership/doc.go
@@ -7,8 +7,7 @@
 // One goroutine owns a [Fleet], one driver's view. It calls Tick several times a period, Receive for each
 // datagram and Merge for each peer's snapshot, and carries out the [Output] of each call: it makes Save durable
 // first, if there is one, and says so by Saved; then it sends Messages, exchanges snapshots with the addresses
-// in SyncWith, and logs Events. Messages are datagrams: they may be lost, late, doubled or forged under a name,
-// and are no larger than about 1,400 bytes.
+// in SyncWith, and logs Events. Messages are datagrams: they may be lost, late or doubled.
 //
 // # Failure detection
 //
