--- a/internal/fleet/zones/ballot.go
+++ b/internal/fleet/zones/ballot.go
@@ -10,10 +10,10 @@
 )
 
 // wantsPlan is the nonce of a Reject that asks for the plan in question.
-const wantsPlan = 1
+const nonceWantsPlan = 1
 
 // round is a ballot that this driver leads.
-type round struct {
+type proposal struct {
 	paxos.Proposer[Plan]
 	deadline  float64
 	bootstrap bool
@@ -21,30 +21,30 @@
 }
 
 // newRound makes a round of the next ballot.
-func (c *consensus) newRound(p *Plan, deadline float64) *round {
-	c.ballotNumber++
-	ballot := paxos.Ballot{Number: c.ballotNumber, Proposer: c.name}
-	return &round{Proposer: paxos.NewProposer(ballot, p), deadline: deadline}
+func (c *consensus) newProposal(p *Plan, deadline float64) *proposal {
+	c.highestNumber++
+	ballot := paxos.Ballot{Number: c.highestNumber, Proposer: c.self}
+	return &proposal{Proposer: paxos.NewProposer(ballot, p), deadline: deadline}
 }
 
 // propose begins a ballot for a next plan.
 func (c *consensus) propose(now float64, p *Plan) {
-	if c.round != nil || now < c.retryAt || c.plan == nil {
+	if c.proposal != nil || now < c.proposeAfter || c.plan == nil {
 		return
 	}
-	c.round = c.newRound(p, now+roundBeats*c.heartbeat)
+	c.proposal = c.newProposal(p, now+proposalHeartbeats*c.heartbeat)
 	c.broadcast(now, c.plan.Voters,
-		Message{Kind: Prepare, Epoch: c.plan.Epoch, Sum: c.planSum, Ballot: c.round.Ballot})
+		Message{Kind: Prepare, Epoch: c.plan.Epoch, Sum: c.planSum, Ballot: c.proposal.Ballot})
 }
 
 // pending is a plan that this driver took and does not know to be decided: it is brought to an end before another is
 // begun.
-func (c *consensus) pending() *Plan { return c.vote.Value }
+func (c *consensus) pending() *Plan { return c.acceptor.Value }
 
 // receive takes a message. f is the fleet as it is seen; nil where the message is this driver's own.
 func (c *consensus) receive(now float64, from string, w *Message, f *Fleet) {
 	answer := func(back Message) {
-		if from == c.name {
+		if from == c.self {
 			c.receive(now, from, &back, f)
 		} else {
 			c.send(from, back)
@@ -63,10 +63,10 @@
 		}
 		return
 	}
-	if !c.concernsPlanHeld(from, w) {
+	if !c.concernsCurrentPlan(from, w) {
 		return
 	}
-	c.ballotNumber = max(c.ballotNumber, min(w.Ballot.Number, paxos.MaxNumber))
+	c.highestNumber = max(c.highestNumber, min(w.Ballot.Number, paxos.MaxNumber))
 	switch w.Kind {
 	case Prepare:
 		c.receivePrepare(now, w, answer)
@@ -87,10 +87,10 @@
 
 // concernsPlanHeld says whether a message is about the plan that this driver holds. A sender that lags behind is shown
 // the newest plan; one that is ahead is asked for it.
-func (c *consensus) concernsPlanHeld(from string, w *Message) bool {
+func (c *consensus) concernsCurrentPlan(from string, w *Message) bool {
 	request := w.Kind == Prepare || w.Kind == Accept || w.Kind == Confirm
 	if w.Epoch < c.epoch() {
-		if from != c.name && request {
+		if from != c.self && request {
 			c.send(from, Message{Kind: Decided, Plan: c.plan})
 		}
 		return false
@@ -99,17 +99,17 @@
 		return true
 	}
 	if c.plan != nil && w.Epoch == c.plan.Epoch {
-		c.note("two_plans", from, "founded apart")
+		c.emit("two_plans", from, "founded apart")
 	}
 	if c.epoch() < w.Epoch && request {
-		c.send(from, Message{Kind: Reject, Epoch: w.Epoch, Sum: w.Sum, Nonce: wantsPlan})
+		c.send(from, Message{Kind: Reject, Epoch: w.Epoch, Sum: w.Sum, Nonce: nonceWantsPlan})
 	}
 	return false
 }
 
 // ownRound is the round that a message answers; nil where it is over or another's.
-func (c *consensus) ownRound(w *Message) *round {
-	if r := c.round; r != nil && !r.bootstrap && w.Ballot.Compare(r.Ballot) == 0 {
+func (c *consensus) ownProposal(w *Message) *proposal {
+	if r := c.proposal; r != nil && !r.bootstrap && w.Ballot.Compare(r.Ballot) == 0 {
 		return r
 	}
 	return nil
@@ -119,16 +119,16 @@
 	if !c.mayVote(now) || !c.isVoter() {
 		return
 	}
-	back := Message{Kind: Reject, Epoch: w.Epoch, Sum: w.Sum, Ballot: c.vote.Promised}
-	if c.vote.Prepare(w.Ballot) {
+	back := Message{Kind: Reject, Epoch: w.Epoch, Sum: w.Sum, Ballot: c.acceptor.Promised}
+	if c.acceptor.Prepare(w.Ballot) {
 		c.unsaved = true
-		back.Kind, back.Ballot, back.Accepted, back.Plan = Promise, w.Ballot, c.vote.Accepted, c.vote.Value
+		back.Kind, back.Ballot, back.Accepted, back.Plan = Promise, w.Ballot, c.acceptor.Accepted, c.acceptor.Value
 	}
 	answer(back)
 }
 
 func (c *consensus) receivePromise(now float64, from string, w *Message) {
-	r := c.ownRound(w)
+	r := c.ownProposal(w)
 	if r == nil || !slices.Contains(c.plan.Voters, from) {
 		return
 	}
@@ -142,8 +142,8 @@
 	if w.Plan == nil || w.Plan.Epoch != c.plan.Epoch+1 || w.Plan.BaseSum != c.planSum || !c.mayVote(now) {
 		return
 	}
-	back := Message{Kind: Reject, Epoch: w.Epoch, Sum: w.Sum, Ballot: c.vote.Promised}
-	if c.vote.Accept(w.Ballot, w.Plan) {
+	back := Message{Kind: Reject, Epoch: w.Epoch, Sum: w.Sum, Ballot: c.acceptor.Promised}
+	if c.acceptor.Accept(w.Ballot, w.Plan) {
 		c.acceptedAt, c.unsaved = now, true
 		back.Kind, back.Ballot = Accepted, w.Ballot
 	}
@@ -152,20 +152,20 @@
 
 // receiveAccepted counts an acceptance: a plan is decided by majorities of the voters before it and of its own.
 func (c *consensus) receiveAccepted(now float64, from string, w *Message) {
-	r := c.ownRound(w)
+	r := c.ownProposal(w)
 	if r == nil || !r.Accepting {
 		return
 	}
 	if r.RecordAccepted(from); !r.Decided(c.plan.Voters, r.Value.Voters) {
 		return
 	}
-	c.round = nil
+	c.proposal = nil
 	told := union(c.plan.Voters, r.Value.Voters)
-	began := r.deadline - roundBeats*c.heartbeat
+	began := r.deadline - proposalHeartbeats*c.heartbeat
 	c.adopt(now, r.Value)
-	c.confirmed = max(c.confirmed, began) // nothing behind it can have been decided before it was
+	c.confirmedAt = max(c.confirmedAt, began) // nothing behind it can have been decided before it was
 	for _, n := range told {
-		if n != c.name {
+		if n != c.self {
 			c.send(n, Message{Kind: Decided, Plan: c.plan})
 		}
 	}
@@ -173,21 +173,21 @@
 }
 
 func (c *consensus) receiveReject(now float64, from string, w *Message) {
-	if w.Nonce == wantsPlan && from != c.name {
+	if w.Nonce == nonceWantsPlan && from != c.self {
 		c.send(from, Message{Kind: Decided, Plan: c.plan})
 		return
 	}
-	if r := c.round; r != nil && w.Ballot.Compare(r.Ballot) > 0 {
-		c.round, c.retryAt = nil, now+c.heartbeat*(0.5+float64(c.nameHash()%7)/7)
+	if r := c.proposal; r != nil && w.Ballot.Compare(r.Ballot) > 0 {
+		c.proposal, c.proposeAfter = nil, now+c.heartbeat*(0.5+float64(c.nameHash()%7)/7)
 	}
 }
 
 // receiveConfirm answers a leader that asks whether the plan is still the newest, unless a later one was accepted here.
 func (c *consensus) receiveConfirm(now float64, from string, w *Message, answer func(Message)) {
-	if from != c.name && slices.Contains(c.plan.Voters, from) {
-		c.leaderSeenAt = now
+	if from != c.self && slices.Contains(c.plan.Voters, from) {
+		c.peerLeaderSeenAt = now
 	}
-	if c.isVoter() && c.mayVote(now) && c.vote.Value == nil {
+	if c.isVoter() && c.mayVote(now) && c.acceptor.Value == nil {
 		answer(Message{Kind: Confirmed, Epoch: w.Epoch, Sum: w.Sum, Nonce: w.Nonce})
 	}
 }
@@ -197,7 +197,7 @@
 		return
 	}
 	if c.confirmedBy[from] = true; paxos.Majority(c.plan.Voters, c.confirmedBy) {
-		c.confirmed = max(c.confirmed, c.confirmAskedAt)
+		c.confirmedAt = max(c.confirmedAt, c.confirmAskedAt)
 	}
 }
 
--- a/internal/fleet/zones/bootstrap.go
+++ b/internal/fleet/zones/bootstrap.go
@@ -16,7 +16,7 @@
 	if c.completeSince == 0 {
 		c.completeSince = now
 	}
-	if r := c.round; r != nil && r.bootstrap && now >= r.resendAt { // word to or from some was lost
+	if r := c.proposal; r != nil && r.bootstrap && now >= r.resendAt { // word to or from some was lost
 		r.resendAt = now + c.heartbeat
 		for _, n := range f.Roster {
 			if !r.HasAccepted(n) {
@@ -24,42 +24,42 @@
 			}
 		}
 	}
-	if now-c.completeSince < completeBeats*c.heartbeat || f.Roster[0] != c.name || c.round != nil || now < c.retryAt ||
+	if now-c.completeSince < completeHeartbeats*c.heartbeat || f.Roster[0] != c.self || c.proposal != nil || now < c.proposeAfter ||
 		!c.mayVote(now) {
 		return
 	}
-	p := c.vote.Value
+	p := c.acceptor.Value
 	if p == nil {
 		p = first()
 	}
 	if p == nil {
 		return
 	}
-	c.round = c.newRound(p, now+bootstrapBeats*c.heartbeat)
-	c.round.bootstrap = true
-	c.broadcast(now, f.Roster, Message{Kind: Bootstrap, Roster: f.RosterVersion, Ballot: c.round.Ballot, Plan: p})
+	c.proposal = c.newProposal(p, now+bootstrapHeartbeats*c.heartbeat)
+	c.proposal.bootstrap = true
+	c.broadcast(now, f.Roster, Message{Kind: Bootstrap, Roster: f.RosterVersion, Ballot: c.proposal.Ballot, Plan: p})
 }
 
 // receiveBootstrap takes a step of a first plan.
 func (c *consensus) receiveBootstrap(now float64, from string, w *Message, f *Fleet, answer func(Message)) {
 	if c.plan != nil {
-		if from != c.name && w.Kind == Bootstrap {
+		if from != c.self && w.Kind == Bootstrap {
 			c.send(from, Message{Kind: Decided, Plan: c.plan})
 		}
 		return
 	}
 	switch w.Kind {
 	case Bootstrap:
-		if w.Plan == nil || w.Plan.Epoch != 1 || !c.mayVote(now) || w.Ballot.Compare(c.vote.Promised) < 0 ||
+		if w.Plan == nil || w.Plan.Epoch != 1 || !c.mayVote(now) || w.Ballot.Compare(c.acceptor.Promised) < 0 ||
 			f != nil && (!f.complete() || f.RosterVersion != w.Roster || f.Roster[0] != from) {
 			return
 		}
-		c.vote.Accept(w.Ballot, w.Plan)
+		c.acceptor.Accept(w.Ballot, w.Plan)
 		c.acceptedAt, c.unsaved = now, true
-		c.ballotNumber = max(c.ballotNumber, min(w.Ballot.Number, paxos.MaxNumber))
+		c.highestNumber = max(c.highestNumber, min(w.Ballot.Number, paxos.MaxNumber))
 		answer(Message{Kind: Bootstrapped, Ballot: w.Ballot, Roster: w.Roster})
 	case Bootstrapped:
-		r := c.round
+		r := c.proposal
 		if r == nil || !r.bootstrap || w.Ballot.Compare(r.Ballot) != 0 {
 			return
 		}
@@ -69,7 +69,7 @@
 
 // finishBootstrap ends a founding that all of the roster agreed to.
 func (c *consensus) finishBootstrap(now float64, f *Fleet) {
-	r := c.round
+	r := c.proposal
 	if r == nil || !r.bootstrap || !f.complete() {
 		return
 	}
@@ -78,10 +78,10 @@
 			return
 		}
 	}
-	c.round = nil
+	c.proposal = nil
 	c.adopt(now, r.Value)
 	for _, n := range r.Value.Voters {
-		if n != c.name {
+		if n != c.self {
 			c.send(n, Message{Kind: Decided, Plan: c.plan})
 		}
 	}
--- a/internal/fleet/zones/consensus.go
+++ b/internal/fleet/zones/consensus.go
@@ -18,29 +18,29 @@
 
 // In heartbeats.
 const (
-	roundBeats     = 4.0  // one ballot
-	rankBeats      = 4.0  // before the next voter in order leads
-	forgetBeats    = 10.0 // a driver that may have forgotten a vote gives none
-	completeBeats  = 3.0  // the fleet is whole before a first plan
-	bootstrapBeats = 20.0 // all have to answer to one
+	proposalHeartbeats     = 4.0  // one ballot
+	succession      = 4.0  // before the next voter in order leads
+	forgottenVote    = 10.0 // a driver that may have forgotten a vote gives none
+	completeHeartbeats  = 3.0  // the fleet is whole before a first plan
+	bootstrapHeartbeats = 20.0 // all have to answer to one
 )
 
 // consensus is a driver's part in agreeing.
 type consensus struct {
-	name      string
+	self      string
 	heartbeat float64
 	lease     float64
 
 	plan      *Plan // the newest decided that is known
 	planSum   uint64
-	confirmed float64 // the latest time at which that was certainly the newest, on the own clock
+	confirmedAt float64 // the latest time at which that was certainly the newest, on the own clock
 
-	mayVoteAt     float64              // may have forgotten a vote: none before
-	vote          paxos.Acceptor[Plan] // on the plan behind it
+	voteAfter     float64              // may have forgotten a vote: none before
+	acceptor          paxos.Acceptor[Plan] // on the plan behind it
 	acceptedAt    float64
-	ballotNumber  uint32
-	round         *round
-	retryAt       float64
+	highestNumber  uint32
+	proposal         *proposal
+	proposeAfter       float64
 	completeSince float64 // since when the fleet is; 0: it is not
 
 	confirmNonce   uint64 // nonce of the renewal that is out
@@ -49,22 +49,22 @@
 	confirmAt      float64
 	leading        bool
 	candidateSince float64
-	leaderSeenAt   float64 // a peer that leads was heard of
-	nonce          uint64
+	peerLeaderSeenAt   float64 // a peer that leads was heard of
+	lastNonce          uint64
 
 	persistent, unsaved, saveFailed bool
 	saveAt                          float64
 
-	sends []Envelope
-	notes []Event
+	outbox []Envelope
+	events []Event
 }
 
-func (c *consensus) send(to string, w Message) { c.sends = append(c.sends, Envelope{to, w}) }
-func (c *consensus) note(reason, name, text string) {
-	c.notes = append(c.notes, Event{reason, name, text})
+func (c *consensus) send(to string, w Message) { c.outbox = append(c.outbox, Envelope{to, w}) }
+func (c *consensus) emit(reason, name, text string) {
+	c.events = append(c.events, Event{reason, name, text})
 }
 
-func (c *consensus) mayVote(now float64) bool { return now >= c.mayVoteAt && !c.saveFailed }
+func (c *consensus) mayVote(now float64) bool { return now >= c.voteAfter && !c.saveFailed }
 
 func (c *consensus) epoch() uint64 {
 	if c.plan == nil {
@@ -74,18 +74,18 @@
 }
 
 // inForce says whether the plan held is certainly the newest, or was less than a lease ago.
-func (c *consensus) inForce(now float64) bool { return c.plan != nil && now < c.confirmed+c.lease }
+func (c *consensus) inForce(now float64) bool { return c.plan != nil && now < c.confirmedAt+c.lease }
 
 // age is how long ago the plan was certainly the newest.
 func (c *consensus) age(now float64) float64 {
-	if c.plan == nil || math.IsInf(c.confirmed, -1) {
+	if c.plan == nil || math.IsInf(c.confirmedAt, -1) {
 		return math.Inf(1)
 	}
-	return max(now-c.confirmed, 0)
+	return max(now-c.confirmedAt, 0)
 }
 
 // isVoter says whether this driver is one.
-func (c *consensus) isVoter() bool { return c.plan != nil && slices.Contains(c.plan.Voters, c.name) }
+func (c *consensus) isVoter() bool { return c.plan != nil && slices.Contains(c.plan.Voters, c.self) }
 
 // rank is this driver's among the voters that live: 0 leads. -1: it is no voter.
 func (c *consensus) rank(f *Fleet) int {
@@ -94,7 +94,7 @@
 	}
 	rank := 0
 	for _, v := range c.plan.Voters {
-		if v == c.name {
+		if v == c.self {
 			return rank
 		}
 		if f.isAlive(v) {
@@ -115,11 +115,11 @@
 	switch {
 	case rank == 0:
 		c.leading = true
-	case math.IsInf(c.confirmed, -1):
-		c.leading = c.candidateFor(now) > float64(rank)*rankBeats*c.heartbeat
+	case math.IsInf(c.confirmedAt, -1):
+		c.leading = c.candidateFor(now) > float64(rank)*succession*c.heartbeat
 	default:
-		stale := now - max(c.confirmed, c.leaderSeenAt)
-		c.leading = stale > (2+float64(rank)*rankBeats)*c.heartbeat
+		stale := now - max(c.confirmedAt, c.peerLeaderSeenAt)
+		c.leading = stale > (2+float64(rank)*succession)*c.heartbeat
 	}
 	return c.leading
 }
@@ -133,8 +133,8 @@
 
 // tick lets time pass: rounds end, plans are confirmed anew, a first one is agreed on.
 func (c *consensus) tick(now float64, f *Fleet, first func() *Plan) {
-	if c.round != nil && now >= c.round.deadline {
-		c.round, c.retryAt = nil, now+c.heartbeat*(1+float64(c.nameHash()%7)/7)
+	if c.proposal != nil && now >= c.proposal.deadline {
+		c.proposal, c.proposeAfter = nil, now+c.heartbeat*(1+float64(c.nameHash()%7)/7)
 	}
 	if c.plan == nil {
 		c.bootstrap(now, f, first)
@@ -142,17 +142,17 @@
 	}
 	// A late answer counts from when it was asked for.
 	answered := c.confirmedBy == nil || paxos.Majority(c.plan.Voters, c.confirmedBy)
-	done := answered || now-c.confirmAskedAt > roundBeats*c.heartbeat
+	done := answered || now-c.confirmAskedAt > proposalHeartbeats*c.heartbeat
 	if c.mayLead(now, f) && now >= c.confirmAt && done {
 		c.confirmAt = now + c.heartbeat
-		c.nonce++
-		c.confirmNonce, c.confirmAskedAt, c.confirmedBy = c.nonce, now, map[string]bool{}
-		c.broadcast(now, c.plan.Voters, Message{Kind: Confirm, Epoch: c.plan.Epoch, Sum: c.planSum, Nonce: c.nonce})
+		c.lastNonce++
+		c.confirmNonce, c.confirmAskedAt, c.confirmedBy = c.lastNonce, now, map[string]bool{}
+		c.broadcast(now, c.plan.Voters, Message{Kind: Confirm, Epoch: c.plan.Epoch, Sum: c.planSum, Nonce: c.lastNonce})
 	}
 }
 
 func (c *consensus) nameHash() (n uint32) {
-	for _, b := range []byte(c.name) {
+	for _, b := range []byte(c.self) {
 		n = 31*n + uint32(b)
 	}
 	return n
@@ -161,21 +161,21 @@
 // broadcast sends a message to some drivers, this one included.
 func (c *consensus) broadcast(now float64, to []string, w Message) {
 	for _, n := range to {
-		if n != c.name {
+		if n != c.self {
 			c.send(n, w)
 		}
 	}
-	if slices.Contains(to, c.name) {
-		c.receive(now, c.name, &w, nil)
+	if slices.Contains(to, c.self) {
+		c.receive(now, c.self, &w, nil)
 	}
 }
 
 // adopt makes a plan the one that is held. It is in force once it is confirmed.
 func (c *consensus) adopt(now float64, p *Plan) {
-	c.plan, c.planSum, c.confirmed = p, p.sum(), math.Inf(-1)
-	c.vote, c.round, c.confirmedBy = paxos.Acceptor[Plan]{}, nil, nil
+	c.plan, c.planSum, c.confirmedAt = p, p.sum(), math.Inf(-1)
+	c.acceptor, c.proposal, c.confirmedBy = paxos.Acceptor[Plan]{}, nil, nil
 	c.unsaved, c.candidateSince, c.confirmAt = true, 0, now
-	c.note("plan", c.name, describe(p))
+	c.emit("plan", c.self, describe(p))
 }
 
 // learn takes a plan that was decided, and says whether it is newer than the one held.
@@ -183,8 +183,8 @@
 	if !p.valid() || p.Epoch <= c.epoch() {
 		return false
 	}
-	if c.plan == nil && slices.Contains(p.Voters, c.name) && !c.persistent { // an earlier run may have voted
-		c.mayVoteAt = max(c.mayVoteAt, now+forgetBeats*c.heartbeat)
+	if c.plan == nil && slices.Contains(p.Voters, c.self) && !c.persistent { // an earlier run may have voted
+		c.voteAfter = max(c.voteAfter, now+forgottenVote*c.heartbeat)
 	}
 	c.adopt(now, p)
 	return true
@@ -192,12 +192,12 @@
 
 // receiveHeld takes what a peer answered: it holds this plan, which was certainly the newest so long before it
 // answered; asked is when it was asked, on the own clock. It says whether the plan was news.
-func (c *consensus) receiveHeld(now, asked float64, p *Plan, epoch, sum uint64, age float64) (news bool) {
+func (c *consensus) observeSummary(now, asked float64, p *Plan, epoch, sum uint64, age float64) (news bool) {
 	if p != nil {
 		news = c.learn(now, p)
 	}
 	if c.plan != nil && epoch == c.plan.Epoch && sum == c.planSum && age >= 0 && !math.IsInf(age, 1) {
-		c.confirmed = max(c.confirmed, min(asked-age, now))
+		c.confirmedAt = max(c.confirmedAt, min(asked-age, now))
 	}
 	return news
 }
--- a/internal/fleet/zones/consensus_test.go
+++ b/internal/fleet/zones/consensus_test.go
@@ -9,9 +9,9 @@
 
 // decided is a driver that holds a first plan of three voters.
 func decided(name string) *consensus {
-	c := &consensus{name: name, heartbeat: 100, lease: 1000, confirmed: math.Inf(-1)}
+	c := &consensus{self: name, heartbeat: 100, lease: 1000, confirmedAt: math.Inf(-1)}
 	c.adopt(0, &Plan{Epoch: 1, Voters: []string{"a", "b", "c"}})
-	c.notes, c.sends = nil, nil
+	c.events, c.outbox = nil, nil
 	return c
 }
 
@@ -20,7 +20,7 @@
 }
 
 func (c *consensus) said() (all []Envelope) {
-	all, c.sends = c.sends, nil
+	all, c.outbox = c.outbox, nil
 	return all
 }
 
@@ -28,16 +28,16 @@
 // and neither does a plan's age where another one is held.
 func TestLateWordShortensALease(t *testing.T) {
 	c := decided("d")
-	c.receiveHeld(20000, 1000, nil, 1, c.planSum, 50)
-	if c.confirmed != 950 || c.inForce(2000) || !c.inForce(1900) {
-		t.Errorf("confirmed at %v", c.confirmed)
+	c.observeSummary(20000, 1000, nil, 1, c.planSum, 50)
+	if c.confirmedAt != 950 || c.inForce(2000) || !c.inForce(1900) {
+		t.Errorf("confirmed at %v", c.confirmedAt)
 	}
-	c.receiveHeld(30000, math.Inf(-1), nil, 1, c.planSum, -1)
-	c.receiveHeld(30000, 30000, nil, 1, c.planSum+1, 0)
-	c.receiveHeld(30000, 30000, nil, 2, c.planSum, 0)
-	c.receiveHeld(30000, 30000, nil, 1, c.planSum, math.NaN())
-	if c.confirmed != 950 {
-		t.Errorf("confirmed at %v", c.confirmed)
+	c.observeSummary(30000, math.Inf(-1), nil, 1, c.planSum, -1)
+	c.observeSummary(30000, 30000, nil, 1, c.planSum+1, 0)
+	c.observeSummary(30000, 30000, nil, 2, c.planSum, 0)
+	c.observeSummary(30000, 30000, nil, 1, c.planSum, math.NaN())
+	if c.confirmedAt != 950 {
+		t.Errorf("confirmed at %v", c.confirmedAt)
 	}
 }
 
@@ -63,14 +63,14 @@
 func TestABallot(t *testing.T) {
 	c := decided("a")
 	c.propose(10, c.next("mine"))
-	if s := c.said(); len(s) != 2 || c.round == nil || c.round.Accepting {
+	if s := c.said(); len(s) != 2 || c.proposal == nil || c.proposal.Accepting {
 		t.Fatalf("one promise is no majority: %+v", s)
 	}
-	promise := Message{Kind: Promise, Epoch: 1, Sum: c.planSum, Ballot: c.round.Ballot}
+	promise := Message{Kind: Promise, Epoch: 1, Sum: c.planSum, Ballot: c.proposal.Ballot}
 	c.receive(20, "x", &promise, nil)
 	old := promise
 	old.Ballot.Number--
-	if c.receive(20, "b", &old, nil); c.round.Accepting {
+	if c.receive(20, "b", &old, nil); c.proposal.Accepting {
 		t.Fatal("a stranger's promise, or one to another ballot, counts")
 	}
 	promise.Accepted, promise.Plan = paxos.Ballot{Number: 0, Proposer: "b"}, c.next("before")
@@ -79,7 +79,7 @@
 	if len(s) != 2 || s[0].Message.Kind != Accept || s[0].Message.Plan.BindingConstraints[0] != "before" {
 		t.Fatalf("%+v", s)
 	}
-	accepted := Message{Kind: Accepted, Epoch: 1, Sum: c.planSum, Ballot: c.round.Ballot}
+	accepted := Message{Kind: Accepted, Epoch: 1, Sum: c.planSum, Ballot: c.proposal.Ballot}
 	if c.receive(40, "x", &accepted, nil); c.plan.Epoch != 1 {
 		t.Fatal("a stranger's vote counts")
 	}
@@ -112,7 +112,7 @@
 		Ballot: paxos.Ballot{Number: 3, Proposer: "a"}}, nil); len(c.said()) != 1 {
 		t.Error("it votes no more")
 	}
-	again := &consensus{name: "b", heartbeat: 100, persistent: true, confirmed: math.Inf(-1)}
+	again := &consensus{self: "b", heartbeat: 100, persistent: true, confirmedAt: math.Inf(-1)}
 	again.restore(k)
 	if again.receive(400, "c", &Message{Kind: Prepare, Epoch: 1, Sum: c.planSum,
 		Ballot: paxos.Ballot{Number: 0, Proposer: "c"}}, nil); again.said()[0].Message.Kind != Reject {
--- a/internal/fleet/zones/course.go
+++ b/internal/fleet/zones/course.go
@@ -16,27 +16,27 @@
 }
 
 // course is where one zone stands, at who leads.
-type course struct {
+type tracker struct {
 	Zone
 	since float64 // in its state
-	well  float64 // since when nothing was wrong; +Inf: something is
-	eased float64 // since when it was slow or not, as it is now
-	slow  bool
+	healthySince  float64 // since when nothing was wrong; +Inf: something is
+	degradedSince float64 // since when it was slow or not, as it is now
+	degraded  bool
 }
 
 // stops says whether a cause takes a zone out. A slow zone, or one whose replicas lag, still carries some: to shut it
 // costs more than it saves (docs/zones.md), so that it keeps a part.
-func (c Cause) stops() bool { return c != NoCause && c != DriversLost && !c.eases() }
+func (c Cause) ejects() bool { return c != NoCause && c != DriversLost && !c.degrades() }
 
 // eases says whether a cause leaves a zone a part of its room.
-func (c Cause) eases() bool { return c == Slow || c == Lagging }
+func (c Cause) degrades() bool { return c == Slow || c == Lagging }
 
-const easedPart = 0.5
+const degradedCapacity = 0.5
 
 // Of a zone that leaves or returns.
 const (
-	leaveStep = 0.25 // of its part, each step of the leader
-	mostFlaps = 8    // failed returns that are counted
+	drainStep = 0.25 // of its part, each step of the leader
+	maxFlaps = 8    // failed returns that are counted
 )
 
 // isHard says whether a cause leaves nothing to be carried: the zone is away at once.
@@ -45,16 +45,16 @@
 }
 
 // step lets one zone go on. may says that no other one returns now.
-func (c *course) step(now float64, p Timing, cause Cause, ordered, may bool) {
+func (c *tracker) step(now float64, p Timing, cause Cause, ordered, may bool) {
 	if ordered {
 		cause = Evacuated
 	}
-	stops := cause.stops()
+	stops := cause.ejects()
 	switch {
 	case stops:
-		c.well = math.Inf(1)
-	case math.IsInf(c.well, 1):
-		c.well = now
+		c.healthySince = math.Inf(1)
+	case math.IsInf(c.healthySince, 1):
+		c.healthySince = now
 	}
 	switch c.State {
 	case Serving:
@@ -62,42 +62,42 @@
 		case !stops:
 			c.serve(now, p, cause)
 		case ordered:
-			c.takeOut(now, cause)
+			c.eject(now, cause)
 		default:
-			c.enter(now, Suspected, cause)
+			c.transition(now, Suspected, cause)
 		}
 	case Suspected:
 		c.Cause = cause
 		switch {
 		case !stops:
-			c.enter(now, Serving, cause)
+			c.transition(now, Serving, cause)
 		case ordered || now-c.since >= p.SuspectFor:
-			c.takeOut(now, cause)
+			c.eject(now, cause)
 		}
 	case Draining: // shares follow by their own pace; it is away when none is left
 		if cause.isHard() {
-			c.takeOut(now, cause)
-		} else if c.Capacity = max(0, c.Capacity-leaveStep); c.Capacity == 0 {
-			c.enter(now, Ejected, c.Cause)
+			c.eject(now, cause)
+		} else if c.Capacity = max(0, c.Capacity-drainStep); c.Capacity == 0 {
+			c.transition(now, Ejected, c.Cause)
 		}
 	case Ejected:
 		stay := min(p.BaseEjection*math.Exp2(float64(c.Flaps)), p.MaxEjection)
 		if stops {
 			c.Cause = cause
-		} else if may && now-c.since >= stay && now-c.well >= min(stay, p.BaseEjection*2) {
-			c.enter(now, Recovering, c.Cause)
+		} else if may && now-c.since >= stay && now-c.healthySince >= min(stay, p.BaseEjection*2) {
+			c.transition(now, Recovering, c.Cause)
 		}
 	case Recovering:
 		if stops {
-			c.takeOut(now, cause)
+			c.eject(now, cause)
 		} else if c.Capacity = min(1, max(0, now-c.since)/p.SlowStart); c.Capacity == 1 {
-			c.enter(now, Serving, cause)
+			c.transition(now, Serving, cause)
 		}
 	}
 }
 
 // enter makes a state the zone's, from now on where it is another one.
-func (c *course) enter(now float64, s State, cause Cause) {
+func (c *tracker) transition(now float64, s State, cause Cause) {
 	if c.State != s {
 		c.State, c.since = s, now
 	}
@@ -105,27 +105,27 @@
 }
 
 // takeOut ends serving, at once or step by step.
-func (c *course) takeOut(now float64, cause Cause) {
+func (c *tracker) eject(now float64, cause Cause) {
 	if c.State == Recovering {
-		c.Flaps = min(c.Flaps+1, mostFlaps)
+		c.Flaps = min(c.Flaps+1, maxFlaps)
 	}
 	if cause.isHard() {
 		c.Capacity = 0
-		c.enter(now, Ejected, cause)
+		c.transition(now, Ejected, cause)
 	} else {
-		c.enter(now, Draining, cause)
+		c.transition(now, Draining, cause)
 	}
 }
 
 // serve goes on serving: slowness that lasts leaves a part, and a long calm forgets failed returns.
-func (c *course) serve(now float64, p Timing, cause Cause) {
-	if c.slow != cause.eases() {
-		c.slow, c.eased = !c.slow, now
+func (c *tracker) serve(now float64, p Timing, cause Cause) {
+	if c.degraded != cause.degrades() {
+		c.degraded, c.degradedSince = !c.degraded, now
 	}
-	if c.Cause = cause; now-c.eased >= p.DegradedFor {
+	if c.Cause = cause; now-c.degradedSince >= p.DegradedFor {
 		c.Capacity = 1
-		if c.slow {
-			c.Capacity = easedPart
+		if c.degraded {
+			c.Capacity = degradedCapacity
 		}
 	}
 	if c.Flaps > 0 && now-c.since > p.ForgiveAfter {
--- a/internal/fleet/zones/digest_test.go
+++ b/internal/fleet/zones/digest_test.go
@@ -120,12 +120,12 @@
 	causes := []Cause{NoCause, NoCause, NoCause, ZoneLost, MembersLost, DriversLost, Isolated, Slow, Lagging, RegionLost}
 	pace := Timing{SuspectFor: 1000, DegradedFor: 3000, BaseEjection: 3000, MaxEjection: 60000, SlowStart: 2000, ForgiveAfter: 20000}
 	for range 40 {
-		c, now := &course{Zone: Zone{Name: "a", Capacity: 1}}, 0.0
+		c, now := &tracker{Zone: Zone{Name: "a", Capacity: 1}}, 0.0
 		for range 200 {
 			cause, ordered, may := causes[r.IntN(len(causes))], r.IntN(6) == 0, r.IntN(4) > 0
 			for range 1 + r.IntN(20) {
 				c.step(now, pace, cause, ordered, may)
-				fmt.Fprintln(sum, c.Zone, c.since, c.well, c.eased, c.slow)
+				fmt.Fprintln(sum, c.Zone, c.since, c.healthySince, c.degradedSince, c.degraded)
 				now += 300
 			}
 		}
@@ -146,13 +146,13 @@
 			}
 		}
 		lives := map[string]bool{"a": r.IntN(2) == 0, "b": r.IntN(2) == 0, "c": true}
-		j := judge(names, reports, lives, map[string]string{"a": "r", "b": "r", "c": "s"})
-		flows, binds := shares(places, Limits{0.3 * r.Float64(), r.Float64()}, func(f, t string) bool {
+		j := assess(names, reports, lives, map[string]string{"a": "r", "b": "r", "c": "s"})
+		flows, binds := solveFlows(places, Limits{0.3 * r.Float64(), r.Float64()}, func(f, t string) bool {
 			return f == t || f != "a" || t != "b"
 		})
 		fmt.Fprintln(sum, j.Causes, j.Partitions, j.Unobserved, primaryZones(reports), flows, binds)
 	}
-	f, a, u := &follower{zone: "a"}, &TrafficCounter{}, &LatencyBaseline{}
+	f, a, u := &tollController{zone: "a"}, &TrafficCounter{}, &LatencyBaseline{}
 	for i := range 2000 {
 		p := goldenPlan()
 		p.Flows = []Flow{{"a", "b", float64(r.IntN(10)) / 10}, {"b", "a", r.Float64()}}
@@ -161,7 +161,7 @@
 		facts := SendAttributes{r.IntN(3) == 0, r.IntN(3) == 0, r.IntN(3) == 0}
 		a.Record("a", names[r.IntN(4)], "get", r.IntN(100), facts, r.IntN(2) == 0)
 		u.Add(math.Exp(5 * r.Float64()))
-		fmt.Fprintln(sum, f.tolls, f.give(p, names, i%3 > 0), u.Ratio())
+		fmt.Fprintln(sum, f.tolls, f.effective(p, names, i%3 > 0), u.Ratio())
 	}
 	fmt.Fprintln(sum, a.TakeReads(), a.CrossZone())
 	if got := fmt.Sprintf("%016x", sum.Sum64()); got != "907853c319422bd0" {
--- a/internal/fleet/zones/flows.go
+++ b/internal/fleet/zones/flows.go
@@ -9,31 +9,31 @@
 
 // stepFlows solves for shares, and lets them move as fast as they may.
 func (z *Coordinator) stepFlows(now float64, p *Plan, names []string, reports []Report) {
-	places := z.places(p, names, reports)
+	places := z.zoneLoads(p, names, reports)
 	var want []Flow
 	var binds []string
-	if z.disturbed(p, places) {
-		want, binds = shares(places, z.rules.Limits, func(from, to string) bool { return !p.cut(from, to) })
+	if z.needsFlows(p, places) {
+		want, binds = solveFlows(places, z.options.Limits, func(from, to string) bool { return !p.partitioned(from, to) })
 	}
 	// Another goal only where zones are no longer the same, or the old one is far off for a while: demand is noisy, and of
 	// several plans that cost the same the solver gives any.
-	hard := !slices.Equal(p.Zones, z.plan.Zones) || !slices.Equal(p.Partitions, z.plan.Partitions) || z.goalAt == 0
-	old := now-z.goalAt > goalBeats*z.heartbeat
-	if hard || old && (len(want) == 0 || apart(names, want, z.goal) >= flowsOff) {
-		z.goal, z.goalAt, p.BindingConstraints = want, now, binds
+	hard := !slices.Equal(p.Zones, z.plan.Zones) || !slices.Equal(p.Partitions, z.plan.Partitions) || z.goalSetAt == 0
+	old := now-z.goalSetAt > goalBeats*z.heartbeat
+	if hard || old && (len(want) == 0 || maxDifference(names, want, z.goalFlows) >= flowsOff) {
+		z.goalFlows, z.goalSetAt, p.BindingConstraints = want, now, binds
 	}
-	if !hard && now-z.flowsAt < z.heartbeat {
+	if !hard && now-z.flowsChangedAt < z.heartbeat {
 		p.Flows = z.plan.Flows
 		return
 	}
-	flows := z.limitedFlows(now, p, names)
+	flows := z.rateLimitedFlows(now, p, names)
 	if p.Flows = flows; !slices.Equal(flows, z.plan.Flows) {
-		z.flowsAt = now
+		z.flowsChangedAt = now
 	}
 }
 
 // disturbed says whether near reads can't all stay near: a zone is not whole or not reached, or has too little room.
-func (z *Coordinator) disturbed(p *Plan, places []ZoneLoad) bool {
+func (z *Coordinator) needsFlows(p *Plan, places []ZoneLoad) bool {
 	if len(p.Partitions) > 0 {
 		return true
 	}
@@ -43,14 +43,14 @@
 		}
 	}
 	return slices.ContainsFunc(places, func(pl ZoneLoad) bool {
-		return pl.Demand > pl.Capacity*(1-z.rules.Limits.Headroom)
+		return pl.Demand > pl.Capacity*(1-z.options.Limits.Headroom)
 	})
 }
 
 // limitedFlows moves the shares toward the goal, no faster than the rules allow.
-func (z *Coordinator) limitedFlows(now float64, p *Plan, names []string) (flows []Flow) {
-	most := z.rules.MaxShiftRate * (now - z.flowsAt) / 1000
-	goal := &Plan{Flows: z.goal}
+func (z *Coordinator) rateLimitedFlows(now float64, p *Plan, names []string) (flows []Flow) {
+	most := z.options.MaxShiftRate * (now - z.flowsChangedAt) / 1000
+	goal := &Plan{Flows: z.goalFlows}
 	for _, from := range names {
 		gone := p.zone(from).Capacity == 0 // nothing to be kept there
 		for _, to := range names {
@@ -61,7 +61,7 @@
 			if !gone && p.zone(to).State != Ejected {
 				is = was + min(max(is-was, -most), most)
 			}
-			if is = math.Round(is*100) / 100; is >= leastShare {
+			if is = math.Round(is*100) / 100; is >= minShare {
 				flows = append(flows, Flow{from, to, is})
 			}
 		}
@@ -70,7 +70,7 @@
 }
 
 // apart is how far two sets of flows are from each other, in the share that differs most.
-func apart(names []string, a, b []Flow) (far float64) {
+func maxDifference(names []string, a, b []Flow) (far float64) {
 	x, y := &Plan{Flows: a}, &Plan{Flows: b}
 	for _, from := range names {
 		for _, to := range names {
@@ -81,7 +81,7 @@
 }
 
 // places are the zones with their demand and room, in members' usual work.
-func (z *Coordinator) places(p *Plan, names []string, reports []Report) []ZoneLoad {
+func (z *Coordinator) zoneLoads(p *Plan, names []string, reports []Report) []ZoneLoad {
 	members, up, reads, n := map[string]float64{}, map[string]float64{}, map[string]float64{}, map[string]float64{}
 	for _, r := range reports {
 		n[r.Zone]++
@@ -104,13 +104,13 @@
 		total += demand[name]
 		all += members[name]
 	}
-	if calm := len(z.judgement.Causes) == 0 && len(z.judgement.Partitions) == 0; total > 0 && all > 0 && (calm || z.unit == 0) {
-		z.unit = max(total/(all*z.rules.BaselineUtilization), 0.98*z.unit)
+	if calm := len(z.assessment.Causes) == 0 && len(z.assessment.Partitions) == 0; total > 0 && all > 0 && (calm || z.readsPerMember == 0) {
+		z.readsPerMember = max(total/(all*z.options.BaselineUtilization), 0.98*z.readsPerMember)
 	}
 	var places []ZoneLoad
 	for _, name := range names {
 		zone := p.zone(name)
-		places = append(places, ZoneLoad{name, z.regionOf[name], demand[name], up[name] * z.unit * zone.Capacity})
+		places = append(places, ZoneLoad{name, z.regionOf[name], demand[name], up[name] * z.readsPerMember * zone.Capacity})
 	}
 	return places
 }
--- a/internal/fleet/zones/follower.go
+++ b/internal/fleet/zones/follower.go
@@ -46,25 +46,25 @@
 const (
 	farToll  = 0.3
 	shutToll = 60.0
-	tollMost = 8.0
+	maxToll = 8.0
 	gain     = 1.5 // a second, for the whole of a share missed
-	leastFew = 20  // sends in a look: fewer say nothing
+	minSamples = 20  // sends in a look: fewer say nothing
 )
 
 // follower is a driver's own part.
-type follower struct {
+type tollController struct {
 	zone  string
 	tolls map[string]float64 // what it steers by
-	last  float64
+	steeredAt  float64
 }
 
 // steer brings tolls nearer to what the planned shares need. sent is what the own reads of late were sent to, by zone.
-func (f *follower) steer(now float64, p *Plan, zones []string, sent map[string]float64) {
+func (f *tollController) steer(now float64, p *Plan, zones []string, sent map[string]float64) {
 	if f.tolls == nil {
 		f.tolls = map[string]float64{}
 	}
-	span := min(max(now-f.last, 0), 2000) / 1000
-	f.last = now
+	span := min(max(now-f.steeredAt, 0), 2000) / 1000
+	f.steeredAt = now
 	total := 0.0
 	for _, n := range sent {
 		total += n
@@ -76,7 +76,7 @@
 			t = farToll
 		}
 		share := p.share(f.zone, z)
-		if share > 0 && share < 0.995 && total >= leastFew {
+		if share > 0 && share < 0.995 && total >= minSamples {
 			t += gain * span * (sent[z]/total - share)
 		} else if share == 0 || share >= 0.995 { // back to what it is without a plan
 			base := farToll
@@ -94,13 +94,13 @@
 		if !math.IsInf(least, 1) && least < 0 {
 			t -= least
 		}
-		f.tolls[z] = min(max(t, 0), tollMost)
+		f.tolls[z] = min(max(t, 0), maxToll)
 	}
 }
 
 // give is what the module is told: nil for nothing. Without a plan in force only what it said is away keeps its toll,
 // and all else is as it was without any.
-func (f *follower) give(p *Plan, zones []string, inForce bool) map[string]float64 {
+func (f *tollController) effective(p *Plan, zones []string, inForce bool) map[string]float64 {
 	if p == nil {
 		return nil
 	}
@@ -116,7 +116,7 @@
 			if own, known := f.tolls[z]; known {
 				t = math.Round(own*20) / 20
 			}
-			if p.cut(f.zone, z) || z != f.zone && p.share(f.zone, z) == 0 && len(p.Flows) > 0 && st.State != Serving {
+			if p.partitioned(f.zone, z) || z != f.zone && p.share(f.zone, z) == 0 && len(p.Flows) > 0 && st.State != Serving {
 				t = shutToll
 			}
 		}
--- a/internal/fleet/zones/judge.go
+++ b/internal/fleet/zones/judge.go
@@ -44,34 +44,34 @@
 }
 
 // health is what a zone sees of another, as most of its reporters say.
-type health uint8
+type verdict uint8
 
 const (
-	unknown health = iota
-	fine
-	silent
-	slow
-	behind
+	verdictUnknown verdict = iota
+	verdictHealthy
+	verdictUnreachable
+	verdictSlow
+	verdictLagging
 )
 
 const (
-	silentShare = 0.5 // of a zone's members: it is silent
-	slowTimes   = 2.5 // the usual answering time
-	behindShare = 0.8 // of a zone's members
+	unreachableShare = 0.5 // of a zone's members: it is silent
+	slowRatio   = 2.5 // the usual answering time
+	laggingShare = 0.8 // of a zone's members
 )
 
-func (s *Observation) health() health {
+func (s *Observation) verdict() verdict {
 	switch {
 	case s.Members == 0:
-		return unknown
-	case float64(s.Unreachable) >= silentShare*float64(s.Members):
-		return silent
-	case s.LatencyRatio > slowTimes:
-		return slow
-	case float64(s.Lagging) >= behindShare*float64(s.Members) && s.Members > 1:
-		return behind
+		return verdictUnknown
+	case float64(s.Unreachable) >= unreachableShare*float64(s.Members):
+		return verdictUnreachable
+	case s.LatencyRatio > slowRatio:
+		return verdictSlow
+	case float64(s.Lagging) >= laggingShare*float64(s.Members) && s.Members > 1:
+		return verdictLagging
 	}
-	return fine
+	return verdictHealthy
 }
 
 // Assessment is what is the matter, zone by zone.
@@ -82,12 +82,12 @@
 }
 
 // judge adds reports up. zones are all that there are; lives says whether any driver of a zone lives.
-func judge(zones []string, reports []Report, lives map[string]bool, regionOf map[string]string) Assessment {
-	views := map[string]map[string]health{} // by who sees, whom
+func assess(zones []string, reports []Report, lives map[string]bool, regionOf map[string]string) Assessment {
+	views := map[string]map[string]verdict{} // by who sees, whom
 	for _, from := range zones {
-		views[from] = map[string]health{}
+		views[from] = map[string]verdict{}
 		for _, of := range zones {
-			views[from][of] = agreedView(reports, from, of)
+			views[from][of] = majorityVerdict(reports, from, of)
 		}
 	}
 	j := Assessment{Causes: map[string]Cause{}}
@@ -103,7 +103,7 @@
 			continue
 		}
 		for _, from := range zones {
-			if from != z && views[from][z] == silent {
+			if from != z && views[from][z] == verdictUnreachable {
 				j.Partitions = append(j.Partitions, Partition{from, z})
 			}
 		}
@@ -116,16 +116,16 @@
 }
 
 // agreedView is what most reporters of one zone see of another; where they differ it is fine, unknown where none says.
-func agreedView(reports []Report, from, of string) health {
-	votes := map[health]int{}
+func majorityVerdict(reports []Report, from, of string) verdict {
+	votes := map[verdict]int{}
 	n := 0
 	for _, r := range reports {
 		if r.Zone != from {
 			continue
 		}
 		for i := range r.Observations {
-			if o := &r.Observations[i]; o.Zone == of && o.health() != unknown {
-				votes[o.health()]++
+			if o := &r.Observations[i]; o.Zone == of && o.verdict() != verdictUnknown {
+				votes[o.verdict()]++
 				n++
 			}
 		}
@@ -136,37 +136,37 @@
 		}
 	}
 	if n > 0 {
-		return fine
+		return verdictHealthy
 	}
-	return unknown
+	return verdictUnknown
 }
 
 // causeOf is what is the matter with one zone by its own view and those of the others; blind says that there is none.
-func causeOf(z string, zones []string, views map[string]map[string]health, lives bool) (cause Cause, blind bool) {
-	reporting, count := 0, map[health]int{}
+func causeOf(z string, zones []string, views map[string]map[string]verdict, lives bool) (cause Cause, blind bool) {
+	reporting, count := 0, map[verdict]int{}
 	for _, from := range zones {
-		if view := views[from][z]; from != z && view != unknown {
+		if view := views[from][z]; from != z && view != verdictUnknown {
 			reporting++
 			count[view]++
 		}
 	}
 	own := views[z][z]
-	all := reporting + bit(own != unknown)
-	unseen := count[silent] == reporting
+	all := reporting + bit(own != verdictUnknown)
+	unseen := count[verdictUnreachable] == reporting
 	switch {
 	case all == 0:
 		return NoCause, true
 	case reporting > 0 && unseen && !lives:
 		return ZoneLost, false
-	case unseen && own == silent:
+	case unseen && own == verdictUnreachable:
 		return MembersLost, false
-	case reporting > 0 && unseen && own != unknown:
+	case reporting > 0 && unseen && own != verdictUnknown:
 		return Isolated, false
 	case !lives && reporting > 0:
 		return DriversLost, false
-	case 2*(count[slow]+bit(own == slow)) > all:
+	case 2*(count[verdictSlow]+bit(own == verdictSlow)) > all:
 		return Slow, false
-	case 2*(count[behind]+bit(own == behind)) > all:
+	case 2*(count[verdictLagging]+bit(own == verdictLagging)) > all:
 		return Lagging, false
 	}
 	return NoCause, false
--- a/internal/fleet/zones/leader.go
+++ b/internal/fleet/zones/leader.go
@@ -13,7 +13,7 @@
 
 // firstPlan is a first plan: it names voters and moves nothing.
 func (z *Coordinator) firstPlan() *Plan {
-	p := &Plan{Epoch: 1, Voters: z.chooseVoters(nil)}
+	p := &Plan{Epoch: 1, Voters: z.selectVoters(nil)}
 	for _, n := range z.zoneNames() {
 		p.Zones = append(p.Zones, Zone{Name: n, Capacity: 1})
 	}
@@ -22,7 +22,7 @@
 }
 
 // chooseVoters are spread over the zones: those that are and live stay, as long as no zone has too many of them.
-func (z *Coordinator) chooseVoters(now []string) []string {
+func (z *Coordinator) selectVoters(now []string) []string {
 	byZone := map[string][]string{}
 	var zones []string
 	for _, f := range z.fleet.Alive {
@@ -40,7 +40,7 @@
 		})
 	}
 	var all []string
-	want := min(z.rules.Voters, len(z.fleet.Alive))
+	want := min(z.options.Voters, len(z.fleet.Alive))
 	if want%2 == 0 { // an even one more makes no majority smaller
 		want--
 	}
@@ -61,18 +61,18 @@
 
 // startLeading takes up leading: states go on from the plan, their times begin anew.
 func (z *Coordinator) startLeading(now float64) {
-	z.courses, z.leadingSince, z.orders = map[string]*course{}, now, map[string]float64{}
+	z.trackers, z.leadingSince, z.evacuations = map[string]*tracker{}, now, map[string]float64{}
 	for _, n := range z.zoneNames() {
-		z.courses[n] = &course{Zone: z.plan.zone(n), since: now, well: now}
+		z.trackers[n] = &tracker{Zone: z.plan.zone(n), since: now, healthySince: now}
 	}
 	for _, o := range z.plan.Evacuations {
-		z.orders[o.Zone] = math.Inf(1)
+		z.evacuations[o.Zone] = math.Inf(1)
 		if o.HeartbeatsLeft > 0 {
-			z.orders[o.Zone] = now + float64(o.HeartbeatsLeft)*z.heartbeat
+			z.evacuations[o.Zone] = now + float64(o.HeartbeatsLeft)*z.heartbeat
 		}
 	}
-	z.frozen, z.flowsAt, z.goal, z.goalAt = z.plan.Frozen, now, z.plan.Flows, 0
-	z.note("leads", z.self.Name, fmt.Sprintf("epoch %d", z.plan.Epoch))
+	z.frozen, z.flowsChangedAt, z.goalFlows, z.goalSetAt = z.plan.Frozen, now, z.plan.Flows, 0
+	z.emit("leads", z.self.Name, fmt.Sprintf("epoch %d", z.plan.Epoch))
 }
 
 // recentReports are reports that are not too old.
@@ -97,10 +97,10 @@
 
 // proposeNext proposes the plan that is due, if another one is.
 func (z *Coordinator) proposeNext(now float64) {
-	if z.round != nil || now < z.retryAt {
+	if z.proposal != nil || now < z.proposeAfter {
 		return
 	}
-	if offer := z.pending(); offer != nil && now-z.acceptedAt > roundBeats*z.heartbeat {
+	if offer := z.pending(); offer != nil && now-z.acceptedAt > proposalHeartbeats*z.heartbeat {
 		z.propose(now, offer)
 		return
 	}
@@ -110,24 +110,24 @@
 		lives[f.Zone] = true
 	}
 	names := z.zoneNames()
-	z.judgement = judge(names, reports, lives, z.regionOf)
-	z.expireOrders(now)
+	z.assessment = assess(names, reports, lives, z.regionOf)
+	z.expireEvacuations(now)
 	next := &Plan{Epoch: z.plan.Epoch + 1, BaseSum: z.planSum, Voters: z.plan.Voters, Zones: slices.Clone(z.plan.Zones),
 		Partitions: z.plan.Partitions, Flows: z.plan.Flows,
-		Moves: z.plan.Moves, Evacuations: z.activeOrders(now), Frozen: z.frozen, BindingConstraints: z.plan.BindingConstraints}
+		Moves: z.plan.Moves, Evacuations: z.activeEvacuations(now), Frozen: z.frozen, BindingConstraints: z.plan.BindingConstraints}
 	if z.votersIncomplete() {
-		next.Voters = z.chooseVoters(z.plan.Voters)
+		next.Voters = z.selectVoters(z.plan.Voters)
 	}
 	// Reports of a leader that has just begun, or that hears too little, say nothing yet.
 	if enough := now-z.leadingSince > 2*z.heartbeat && len(reports) > 0; enough && !z.frozen && len(names) > 1 {
-		z.stepZones(now, next, names)
+		z.stepTrackers(now, next, names)
 		z.stepFlows(now, next, names, reports)
 		z.planMoves(next, reports)
 	}
 	next.sort()
 	// a plan that some took keeps this one from being confirmed
-	lapsing := now-z.confirmed > 4*z.heartbeat && !math.IsInf(z.confirmed, -1)
-	if !next.same(z.plan) || lapsing {
+	lapsing := now-z.confirmedAt > 4*z.heartbeat && !math.IsInf(z.confirmedAt, -1)
+	if !next.equivalent(z.plan) || lapsing {
 		if withMajority(z.fleet.Partition) {
 			z.propose(now, next)
 		}
@@ -136,7 +136,7 @@
 
 // votersIncomplete says that a voter is gone, or that more could be had.
 func (z *Coordinator) votersIncomplete() bool {
-	want := min(z.rules.Voters, len(z.fleet.Alive))
+	want := min(z.options.Voters, len(z.fleet.Alive))
 	if len(z.plan.Voters) < want-1+want%2 {
 		return true
 	}
@@ -149,30 +149,30 @@
 }
 
 // stepZones lets each zone's state go on.
-func (z *Coordinator) stepZones(now float64, p *Plan, names []string) {
+func (z *Coordinator) stepTrackers(now float64, p *Plan, names []string) {
 	returning := false
 	for _, n := range names {
-		if c := z.courses[n]; c == nil {
-			z.courses[n] = &course{Zone: z.plan.zone(n), since: now, well: now}
+		if c := z.trackers[n]; c == nil {
+			z.trackers[n] = &tracker{Zone: z.plan.zone(n), since: now, healthySince: now}
 		} else if c.State == Recovering {
 			returning = true
 		}
 	}
-	p.Zones, p.Partitions = nil, z.judgement.Partitions
+	p.Zones, p.Partitions = nil, z.assessment.Partitions
 	for _, n := range names {
-		c := z.courses[n]
-		cause := z.judgement.Causes[n]
-		if slices.Contains(z.judgement.Unobserved, n) { // nobody says anything: it stays what it is
+		c := z.trackers[n]
+		cause := z.assessment.Causes[n]
+		if slices.Contains(z.assessment.Unobserved, n) { // nobody says anything: it stays what it is
 			cause = c.Cause
 		}
-		_, ordered := z.orders[n]
+		_, ordered := z.evacuations[n]
 		before := c.State
-		c.step(now, z.rules.Timing, cause, ordered, !returning)
+		c.step(now, z.options.Timing, cause, ordered, !returning)
 		if c.State == Recovering {
 			returning = true
 		}
 		if c.State != before {
-			z.note("zone", n, fmt.Sprintf("%s, was %s %s", c.State, before, c.Cause))
+			z.emit("zone", n, fmt.Sprintf("%s, was %s %s", c.State, before, c.Cause))
 		}
 		shown := c.Zone
 		shown.Capacity = math.Round(shown.Capacity*4) / 4
--- a/internal/fleet/zones/orders.go
+++ b/internal/fleet/zones/orders.go
@@ -47,7 +47,7 @@
 
 // apply takes one, where this driver leads.
 func (z *Coordinator) apply(now float64, s Command) {
-	if z.courses == nil || z.applied[s.ID] {
+	if z.trackers == nil || z.applied[s.ID] {
 		return
 	}
 	if len(z.applied) > maxAppliedCommands {
@@ -58,27 +58,27 @@
 	case s.Freeze != nil:
 		z.frozen = *s.Freeze
 	case s.Evacuate:
-		z.orders[s.Zone] = math.Inf(1)
+		z.evacuations[s.Zone] = math.Inf(1)
 		if s.Duration > 0 {
-			z.orders[s.Zone] = now + s.Duration
+			z.evacuations[s.Zone] = now + s.Duration
 		}
 	default:
-		delete(z.orders, s.Zone)
+		delete(z.evacuations, s.Zone)
 	}
-	z.note("order", s.Zone, fmt.Sprintf("away=%v for=%.0fms", s.Evacuate, s.Duration))
+	z.emit("order", s.Zone, fmt.Sprintf("away=%v for=%.0fms", s.Evacuate, s.Duration))
 }
 
-func (z *Coordinator) expireOrders(now float64) {
-	for zone, until := range z.orders {
+func (z *Coordinator) expireEvacuations(now float64) {
+	for zone, until := range z.evacuations {
 		if now >= until {
-			delete(z.orders, zone)
+			delete(z.evacuations, zone)
 		}
 	}
 }
 
 // activeOrders are the orders that hold, for a plan. Times left are told in steps: a plan for each beat would be none.
-func (z *Coordinator) activeOrders(now float64) (all []Evacuation) {
-	for zone, until := range z.orders {
+func (z *Coordinator) activeEvacuations(now float64) (all []Evacuation) {
+	for zone, until := range z.evacuations {
 		o := Evacuation{Zone: zone}
 		if !math.IsInf(until, 1) {
 			o.HeartbeatsLeft = uint64(math.Ceil((until-now)/z.heartbeat/60)) * 60
--- a/internal/fleet/zones/persist.go
+++ b/internal/fleet/zones/persist.go
@@ -18,15 +18,15 @@
 
 // restore takes up what an earlier process kept.
 func (c *consensus) restore(k *SavedState) {
-	if k == nil || k.Name != c.name || k.Plan != nil && !k.Plan.valid() ||
+	if k == nil || k.Name != c.self || k.Plan != nil && !k.Plan.valid() ||
 		k.AcceptedPlan != nil && !k.AcceptedPlan.valid() {
 		return
 	}
 	if k.Plan != nil {
 		c.plan, c.planSum = k.Plan, k.Plan.sum()
 	}
-	c.vote = paxos.Acceptor[Plan]{Promised: k.Promised, Accepted: k.Accepted, Value: k.AcceptedPlan}
-	c.ballotNumber, c.mayVoteAt = k.Number, 0
+	c.acceptor = paxos.Acceptor[Plan]{Promised: k.Promised, Accepted: k.Accepted, Value: k.AcceptedPlan}
+	c.highestNumber, c.voteAfter = k.Number, 0
 }
 
 // save gives what is to be kept, where there is something new.
@@ -35,13 +35,13 @@
 		return nil
 	}
 	c.unsaved = false
-	return &SavedState{c.name, c.plan, c.vote.Promised, c.vote.Accepted, c.vote.Value, c.ballotNumber}
+	return &SavedState{c.self, c.plan, c.acceptor.Promised, c.acceptor.Accepted, c.acceptor.Value, c.highestNumber}
 }
 
 // saved tells what became of that.
 func (c *consensus) saved(now float64, ok bool) {
 	if !ok {
-		c.unsaved, c.saveAt, c.round = true, now+2*c.heartbeat, nil
+		c.unsaved, c.saveAt, c.proposal = true, now+2*c.heartbeat, nil
 	}
 	c.saveFailed = !ok
 }
--- a/internal/fleet/zones/plan.go
+++ b/internal/fleet/zones/plan.go
@@ -155,7 +155,7 @@
 }
 
 // cut says whether drivers of one zone do not reach members of another.
-func (p *Plan) cut(from, to string) bool {
+func (p *Plan) partitioned(from, to string) bool {
 	return p != nil && slices.Contains(p.Partitions, Partition{from, to})
 }
 
@@ -177,7 +177,7 @@
 }
 
 // same says whether two plans ask for the same, whatever their epochs.
-func (p *Plan) same(o *Plan) bool {
+func (p *Plan) equivalent(o *Plan) bool {
 	a, b := *p, *o
 	a.Epoch, a.BaseSum, b.Epoch, b.BaseSum = 0, 0, 0, 0
 	return a.sum() == b.sum()
--- a/internal/fleet/zones/plan_test.go
+++ b/internal/fleet/zones/plan_test.go
@@ -18,12 +18,12 @@
 	three := func(a, b, c, room float64) []ZoneLoad {
 		return []ZoneLoad{{"a", "r", a, room}, {"b", "r", b, room}, {"c", "s", c, room}}
 	}
-	if f, binds := shares(three(60, 60, 60, 100), Limits{0.2, 1}, open); len(f) != 0 || len(binds) != 0 {
+	if f, binds := solveFlows(three(60, 60, 60, 100), Limits{0.2, 1}, open); len(f) != 0 || len(binds) != 0 {
 		t.Errorf("there is room: %v %v", f, binds)
 	}
 	// no cliff: what is beyond the easy room crosses, into the own region first
 	for demand := 80.0; demand <= 140; demand += 5 {
-		f, _ := shares(three(demand, 20, 20, 100), Limits{0.2, 1}, open)
+		f, _ := solveFlows(three(demand, 20, 20, 100), Limits{0.2, 1}, open)
 		want := max(0, demand-80) / demand
 		if got := flow(f, "a", "b"); math.Abs(got-min(want, 60/demand)) > 0.011 {
 			t.Errorf("demand %.0f: %v, want %.2f", demand, f, want)
@@ -31,20 +31,20 @@
 	}
 	lost := three(60, 60, 60, 100)
 	lost[1].Capacity = 0
-	f, binds := shares(lost, Limits{0, 1}, open)
+	f, binds := solveFlows(lost, Limits{0, 1}, open)
 	if got := flow(f, "b", "a"); got < 0.66 || flow(f, "b", "b") > 0.01 || flow(f, "b", "a")+flow(f, "b", "c") < 0.99 {
 		t.Errorf("a zone without members: %v %v", f, binds)
 	}
-	f, _ = shares(lost, Limits{0, 1}, func(from, to string) bool { return !(from == "b" && to == "a") })
+	f, _ = solveFlows(lost, Limits{0, 1}, func(from, to string) bool { return !(from == "b" && to == "a") })
 	if flow(f, "b", "a") > 0 || flow(f, "b", "c") < 0.6 {
 		t.Errorf("not reached: %v", f)
 	}
 	lost[0].Capacity, lost[2].Capacity = 70, 70
-	if _, binds := shares(lost, Limits{0, 1}, open); !strings.Contains(strings.Join(binds, ";"), "room: ") {
+	if _, binds := solveFlows(lost, Limits{0, 1}, open); !strings.Contains(strings.Join(binds, ";"), "room: ") {
 		t.Errorf("nobody can carry it: %v", binds)
 	}
 	lost[0].Capacity, lost[2].Capacity = 200, 200
-	if _, binds := shares(lost, Limits{0, 0.1}, open); !strings.Contains(strings.Join(binds, ";"), "budget: 33%") {
+	if _, binds := solveFlows(lost, Limits{0, 0.1}, open); !strings.Contains(strings.Join(binds, ";"), "budget: 33%") {
 		t.Errorf("a budget that no plan keeps: %v", binds)
 	}
 }
@@ -52,7 +52,7 @@
 // A zone that flaps stays away longer each time, one returns at a time, and what does not last takes no zone out.
 func TestCourses(t *testing.T) {
 	p := Timing{SuspectFor: 1000, DegradedFor: 5000, BaseEjection: 5000, MaxEjection: 100000, SlowStart: 2000, ForgiveAfter: 60000}
-	c := &course{Zone: Zone{Name: "a", Capacity: 1}, well: 0}
+	c := &tracker{Zone: Zone{Name: "a", Capacity: 1}, healthySince: 0}
 	leaves, last, now := 0, c.State, 0.0
 	var stays []float64
 	for ; now < 600000; now += 200 {
@@ -71,7 +71,7 @@
 	if leaves > 6 || c.State != Serving || c.Flaps != 0 {
 		t.Errorf("%d times away, returns at %v, ends %+v", leaves, stays, c.Zone)
 	}
-	c = &course{Zone: Zone{Name: "a", Capacity: 1}}
+	c = &tracker{Zone: Zone{Name: "a", Capacity: 1}}
 	for now = 0; now < 10000; now += 200 {
 		cause := NoCause
 		if int(now)%1000 < 800 {
@@ -81,7 +81,7 @@
 			t.Fatal("a cause of 0.8 s took it out")
 		}
 	}
-	c = &course{Zone: Zone{Name: "a", State: Ejected}, well: 0}
+	c = &tracker{Zone: Zone{Name: "a", State: Ejected}, healthySince: 0}
 	if c.step(50000, p, NoCause, false, false); c.State != Ejected {
 		t.Error("it returns beside another one")
 	}
@@ -130,23 +130,23 @@
 			}
 		}
 	}
-	f := &follower{zone: "a", tolls: map[string]float64{"a": 1, "b": 0, "c": 0.3}}
+	f := &tollController{zone: "a", tolls: map[string]float64{"a": 1, "b": 0, "c": 0.3}}
 	p := &Plan{Zones: []Zone{{Name: "a", Capacity: 1}, {Name: "b", Capacity: 1}, {Name: "c", State: Ejected}},
 		Flows: []Flow{{"a", "b", 0.5}}}
-	if got := f.give(p, []string{"a", "b", "c"}, true); got["a"] != 1 || got["b"] != 0 || got["c"] != shutToll {
+	if got := f.effective(p, []string{"a", "b", "c"}, true); got["a"] != 1 || got["b"] != 0 || got["c"] != shutToll {
 		t.Errorf("in force: %v", got)
 	}
-	if got := f.give(p, []string{"a", "b", "c"}, false); got["a"] != 0 || got["b"] != farToll || got["c"] != shutToll {
+	if got := f.effective(p, []string{"a", "b", "c"}, false); got["a"] != 0 || got["b"] != farToll || got["c"] != shutToll {
 		t.Errorf("without: no zone is filled, and what was away is still avoided: %v", got)
 	}
-	if got := f.give(&Plan{}, []string{"a", "b"}, false); got != nil {
+	if got := f.effective(&Plan{}, []string{"a", "b"}, false); got != nil {
 		t.Errorf("nothing to say: %v", got)
 	}
 }
 
 // Tolls bring a driver's own reads to the shares that are planned.
 func TestSteering(t *testing.T) {
-	f := &follower{zone: "a"}
+	f := &tollController{zone: "a"}
 	p := &Plan{Flows: []Flow{{"a", "b", 0.3}}}
 	share := 0.0
 	for now := 0.0; now < 60000; now += 1000 {
--- a/internal/fleet/zones/primaries.go
+++ b/internal/fleet/zones/primaries.go
@@ -61,7 +61,7 @@
 func (z *Coordinator) suitability(s Zone, p *Plan, from string) float64 {
 	room := 0.0
 	for _, o := range p.Zones {
-		if o.State == Serving && p.cut(o.Name, s.Name) {
+		if o.State == Serving && p.partitioned(o.Name, s.Name) {
 			room -= 10
 		}
 	}
@@ -81,7 +81,7 @@
 
 // DueMoves are the moves of primaries that this driver is to ask the topology manager for, and the plan's epoch.
 func (z *Coordinator) DueMoves(now float64) ([]Move, uint64) {
-	if z.courses == nil || !Allowed(z.fleet.Partition, z.inForce(now), MovePrimary) {
+	if z.trackers == nil || !Allowed(z.fleet.Partition, z.inForce(now), MovePrimary) {
 		return nil, 0
 	}
 	return z.plan.Moves, z.plan.Epoch
--- a/internal/fleet/zones/solve.go
+++ b/internal/fleet/zones/solve.go
@@ -29,51 +29,51 @@
 const (
 	costCross  = 1.0
 	costRegion = 2.0 // crossing into another region
-	costTight  = 3.0 // into the headroom
+	costHeadroom  = 3.0 // into the headroom
 	costBudget = 20.0
-	costUnmet  = 100.0
-	leastShare = 0.01
+	costUnserved  = 100.0
+	minShare = 0.01
 )
 
 // pair is a flow that may be: reads of the zone from, served by the zone to. Both are indices of places.
-type pair struct{ from, to int }
+type candidate struct{ from, to int }
 
 // program is the linear program of the flows. Reads are in parts of all reads. Its columns are the flows of the pairs;
 // the unmet reads of each zone; the easy load of each zone (below its headroom) and the tight one (within it), and the
 // slack of each; the slack of the budget, and what is over it. Its rows are each zone's demand, its load, the limits of
 // its easy and of its tight load, and last the budget.
 type program struct {
-	places []ZoneLoad
+	zones []ZoneLoad
 	limits Limits
 	total  float64 // of all reads, a second
-	pairs  []pair
+	candidates  []candidate
 
-	unmet, easy, tight, slackEasy, slackTight, slackBudget, over int // where the columns of a kind begin
+	unserved, normal, headroom, slackNormal, slackHeadroom, slackBudget, overBudget int // where the columns of a kind begin
 
 	rows, columns int
 	cost, a, b    []float64 // cost by column, coefficients by row and column, bounds by row
 }
 
 func newProgram(places []ZoneLoad, l Limits, total float64, reaches func(from, to string) bool) *program {
-	p := &program{places: places, limits: l, total: total}
+	p := &program{zones: places, limits: l, total: total}
 	for f := range places {
 		for z := range places {
 			if places[z].Capacity > 0 && reaches(places[f].Name, places[z].Name) {
-				p.pairs = append(p.pairs, pair{f, z})
+				p.candidates = append(p.candidates, candidate{f, z})
 			}
 		}
 	}
-	n, x := len(places), len(p.pairs)
-	p.unmet, p.easy, p.tight = x, x+n, x+2*n
-	p.slackEasy, p.slackTight, p.slackBudget, p.over = x+3*n, x+4*n, x+5*n, x+5*n+1
+	n, x := len(places), len(p.candidates)
+	p.unserved, p.normal, p.headroom = x, x+n, x+2*n
+	p.slackNormal, p.slackHeadroom, p.slackBudget, p.overBudget = x+3*n, x+4*n, x+5*n, x+5*n+1
 	p.columns, p.rows = x+5*n+2, 4*n+1
 	p.cost = make([]float64, p.columns)
 	p.a, p.b = make([]float64, p.rows*p.columns), make([]float64, p.rows)
 	p.fillFlows()
 	p.fillZones()
 	p.set(4*n, p.slackBudget, 1)
-	p.set(4*n, p.over, -1)
-	p.cost[p.over] = costBudget
+	p.set(4*n, p.overBudget, -1)
+	p.cost[p.overBudget] = costBudget
 	p.b[4*n] = l.CrossZoneBudget
 	return p
 }
@@ -82,11 +82,11 @@
 
 // fillFlows sets what flows cost, and that they serve demand, load zones and use the budget.
 func (p *program) fillFlows() {
-	n := len(p.places)
-	for i, flow := range p.pairs {
+	n := len(p.zones)
+	for i, flow := range p.candidates {
 		if flow.from != flow.to {
 			p.cost[i] = costCross
-			if p.places[flow.from].Region != p.places[flow.to].Region {
+			if p.zones[flow.from].Region != p.zones[flow.to].Region {
 				p.cost[i] = costRegion
 			}
 			p.set(4*n, i, 1)
@@ -98,56 +98,56 @@
 
 // fillZones sets each zone's demand and the limits of its load.
 func (p *program) fillZones() {
-	n := len(p.places)
-	for i, z := range p.places {
+	n := len(p.zones)
+	for i, z := range p.zones {
 		room := z.Capacity / p.total
-		p.b[i], p.cost[p.unmet+i] = z.Demand/p.total, costUnmet
-		p.set(i, p.unmet+i, 1)
-		p.cost[p.tight+i] = costTight
-		p.set(n+i, p.easy+i, -1)
-		p.set(n+i, p.tight+i, -1)
-		p.set(2*n+i, p.easy+i, 1)
-		p.set(2*n+i, p.slackEasy+i, 1)
+		p.b[i], p.cost[p.unserved+i] = z.Demand/p.total, costUnserved
+		p.set(i, p.unserved+i, 1)
+		p.cost[p.headroom+i] = costHeadroom
+		p.set(n+i, p.normal+i, -1)
+		p.set(n+i, p.headroom+i, -1)
+		p.set(2*n+i, p.normal+i, 1)
+		p.set(2*n+i, p.slackNormal+i, 1)
 		p.b[2*n+i] = room * (1 - p.limits.Headroom)
-		p.set(3*n+i, p.tight+i, 1)
-		p.set(3*n+i, p.slackTight+i, 1)
+		p.set(3*n+i, p.headroom+i, 1)
+		p.set(3*n+i, p.slackHeadroom+i, 1)
 		p.b[3*n+i] = room * p.limits.Headroom
 	}
 }
 
 // flows are those of a solution that are worth an entry, in parts of their zone's reads.
 func (p *program) flows(solved []float64) (flows []Flow) {
-	for i, flow := range p.pairs {
-		d := p.places[flow.from].Demand / p.total
-		if flow.from == flow.to || d <= 0 || solved[i]/d < leastShare {
+	for i, flow := range p.candidates {
+		d := p.zones[flow.from].Demand / p.total
+		if flow.from == flow.to || d <= 0 || solved[i]/d < minShare {
 			continue
 		}
 		part := math.Round(min(solved[i]/d, 1)*100) / 100
-		flows = append(flows, Flow{p.places[flow.from].Name, p.places[flow.to].Name, part})
+		flows = append(flows, Flow{p.zones[flow.from].Name, p.zones[flow.to].Name, part})
 	}
 	return flows
 }
 
 // binds says which limits a solution meets, for operators.
-func (p *program) binds(solved []float64) (binds []string) {
-	for i, z := range p.places {
-		if unmet := solved[p.unmet+i]; unmet > 1e-6 {
-			binds = append(binds, fmt.Sprintf("room: %.0f%% of the reads of %s find none", 100*unmet/p.b[i], z.Name))
+func (p *program) bindingConstraints(solved []float64) (bindingConstraints []string) {
+	for i, z := range p.zones {
+		if unmet := solved[p.unserved+i]; unmet > 1e-6 {
+			bindingConstraints = append(bindingConstraints, fmt.Sprintf("room: %.0f%% of the reads of %s find none", 100*unmet/p.b[i], z.Name))
 		}
-		if solved[p.tight+i] > 1e-6 {
-			binds = append(binds, fmt.Sprintf("headroom of %s is used", z.Name))
+		if solved[p.headroom+i] > 1e-6 {
+			bindingConstraints = append(bindingConstraints, fmt.Sprintf("headroom of %s is used", z.Name))
 		}
 	}
-	if over := solved[p.over]; over > 1e-6 {
-		binds = append(binds, fmt.Sprintf("budget: %.0f%% of all reads cross, beyond the budget",
+	if over := solved[p.overBudget]; over > 1e-6 {
+		bindingConstraints = append(bindingConstraints, fmt.Sprintf("budget: %.0f%% of all reads cross, beyond the budget",
 			100*(over+p.limits.CrossZoneBudget)))
 	}
-	return binds
+	return bindingConstraints
 }
 
 // shares solves for the flows that cost least, by linear programming: crossing costs, using headroom costs more,
 // breaking the budget more than that, and leaving reads unserved most. reaches says what may flow at all.
-func shares(places []ZoneLoad, l Limits, reaches func(from, to string) bool) (flows []Flow, binds []string) {
+func solveFlows(places []ZoneLoad, l Limits, reaches func(from, to string) bool) (flows []Flow, binds []string) {
 	total := 0.0
 	for _, p := range places {
 		total += p.Demand
@@ -160,7 +160,7 @@
 	if !ok {
 		return nil, []string{"no solution was found: each zone keeps its own reads"}
 	}
-	return p.flows(solved), p.binds(solved)
+	return p.flows(solved), p.bindingConstraints(solved)
 }
 
 // simplex minimises cost under a·x = b, x >= 0. The library panics where a basis is singular; that is no solution.
--- a/internal/fleet/zones/status.go
+++ b/internal/fleet/zones/status.go
@@ -21,7 +21,7 @@
 	switch {
 	case z.plan == nil:
 		return Preview{}, ErrNoPlan
-	case z.courses == nil:
+	case z.trackers == nil:
 		return Preview{}, fmt.Errorf("%w: %s", ErrNotLeader, z.plan.Voters[0])
 	case zone != "" && !slices.Contains(z.zoneNames(), zone):
 		return Preview{}, ErrUnknownZone
@@ -33,8 +33,8 @@
 			p.Zones[i].Capacity = 0
 		}
 	}
-	v := Preview{Zones: z.places(&p, z.zoneNames(), z.recentReports(now))}
-	v.Flows, v.BindingConstraints = shares(v.Zones, z.rules.Limits, func(from, to string) bool { return !p.cut(from, to) })
+	v := Preview{Zones: z.zoneLoads(&p, z.zoneNames(), z.recentReports(now))}
+	v.Flows, v.BindingConstraints = solveFlows(v.Zones, z.options.Limits, func(from, to string) bool { return !p.partitioned(from, to) })
 	return v, nil
 }
 
@@ -58,15 +58,15 @@
 func (z *Coordinator) Status(now float64) Status {
 	s := Status{Self: z.self.Name, Zone: z.self.Zone, Leader: z.leading && z.plan != nil, InForce: z.inForce(now),
 		Age: -1, Lease: z.lease, Plan: z.plan,
-		Tolls: z.tolls, Observations: z.observations}
+		Tolls: z.appliedTolls, Observations: z.observations}
 	if a := z.age(now); !math.IsInf(a, 1) {
 		s.Age = a
 	}
-	if z.vote.Promised.Number > 0 || z.round != nil {
-		s.Votes = fmt.Sprintf("promised %v, taken %v, leads a round: %v", z.vote.Promised, z.vote.Accepted, z.round != nil)
+	if z.acceptor.Promised.Number > 0 || z.proposal != nil {
+		s.Votes = fmt.Sprintf("promised %v, taken %v, leads a round: %v", z.acceptor.Promised, z.acceptor.Accepted, z.proposal != nil)
 	}
 	if s.Leader {
-		s.Causes = z.judgement.Causes
+		s.Causes = z.assessment.Causes
 	}
 	return s
 }
--- a/internal/fleet/zones/town_test.go
+++ b/internal/fleet/zones/town_test.go
@@ -84,7 +84,7 @@
 	d.life++
 	d.z, d.frozen, d.wait = New(t.Now, r, Peer{d.name, d.zone}, uint64(t.Now)), 0, nil
 	if !t.keeps && d.life > 1 {
-		d.z.mayVoteAt = t.Now + forgetBeats*d.z.heartbeat
+		d.z.voteAfter = t.Now + forgottenVote*d.z.heartbeat
 	}
 	life := d.life
 	var tick, gossip func()
@@ -319,7 +319,7 @@
 func (t *town) dump(tt testing.TB) {
 	for _, d := range t.ds {
 		if d.z != nil {
-			tt.Logf("%.0f %s/%s: %+v judged %+v", t.Now, d.name, d.zone, d.z.Status(t.Now), d.z.judgement)
+			tt.Logf("%.0f %s/%s: %+v judged %+v", t.Now, d.name, d.zone, d.z.Status(t.Now), d.z.assessment)
 			if d.z.plan != nil {
 				tt.Logf("  %s", describe(d.z.plan))
 			}
@@ -372,7 +372,7 @@
 		}, is("b", Serving, DriversLost)},
 		"isolated": {func(w *town) { silentTo(w, "a", "c") }, is("b", Ejected, Isolated)},
 		"cut one way": {func(w *town) { silentTo(w, "a") }, func(p *Plan) bool {
-			return p.cut("a", "b") && !p.cut("c", "b") && !p.cut("b", "a") && p.zone("b").State == Serving
+			return p.partitioned("a", "b") && !p.partitioned("c", "b") && !p.partitioned("b", "a") && p.zone("b").State == Serving
 		}},
 		"slow": {func(w *town) {
 			w.sees = func(f, of string) Observation {
@@ -382,7 +382,7 @@
 				}
 				return s
 			}
-		}, func(p *Plan) bool { return is("b", Serving, Slow)(p) && p.zone("b").Capacity == easedPart }},
+		}, func(p *Plan) bool { return is("b", Serving, Slow)(p) && p.zone("b").Capacity == degradedCapacity }},
 		"one driver says that all is lost": {func(w *town) {
 			w.lies = func(d *resident, all []Observation) {
 				if d.i == 4 {
@@ -487,7 +487,7 @@
 				r.Log(b)
 			}
 			for _, d := range w.ds {
-				r.Logf("%s %s orders %v lives %v", d.name, describe(d.z.plan), d.z.orders, d.z.fleet.Alive)
+				r.Logf("%s %s orders %v lives %v", d.name, describe(d.z.plan), d.z.evacuations, d.z.fleet.Alive)
 			}
 			r.Fatal("after the last fault")
 		}
--- a/internal/fleet/zones/zones.go
+++ b/internal/fleet/zones/zones.go
@@ -46,29 +46,29 @@
 // Coordinator is one driver's part. It is not safe for use by several goroutines at a time.
 type Coordinator struct {
 	consensus
-	rules        Options
+	options        Options
 	self         Peer
 	fleet        Fleet
 	run          uint64
 	sequence     uint64
 	observations []Observation
-	homes        []PrimaryLocation
+	primaries        []PrimaryLocation
 	reportAt     float64
 	reports      map[string]*receivedReport
 	regionOf     map[string]string
-	follower     follower
-	tolls        map[string]float64
+	tolls     tollController
+	appliedTolls        map[string]float64
 
-	courses      map[string]*course // while it leads
-	unit         float64            // reads a second that a member does, as far as seen
-	orders       map[string]float64 // until when, on the own clock
+	trackers      map[string]*tracker // while it leads
+	readsPerMember         float64            // reads a second that a member does, as far as seen
+	evacuations       map[string]float64 // until when, on the own clock
 	applied      map[uint64]bool
 	frozen       bool
 	leadingSince float64 // it has led since
-	judgement    Assessment
-	flowsAt      float64 // when flows changed last
-	goal         []Flow  // to which they move
-	goalAt       float64
+	assessment    Assessment
+	flowsChangedAt      float64 // when flows changed last
+	goalFlows         []Flow  // to which they move
+	goalSetAt       float64
 }
 
 // Output is what is to be done.
@@ -82,9 +82,9 @@
 
 // New makes the part of a driver that starts.
 func New(now float64, r Options, self Peer, run uint64) *Coordinator {
-	z := &Coordinator{rules: r, self: self, run: run, reports: map[string]*receivedReport{}, regionOf: map[string]string{},
-		orders: map[string]float64{}, applied: map[uint64]bool{}, follower: follower{zone: self.Zone, last: now}}
-	z.consensus = consensus{name: self.Name, heartbeat: r.Heartbeat, lease: r.Lease, confirmed: math.Inf(-1),
+	z := &Coordinator{options: r, self: self, run: run, reports: map[string]*receivedReport{}, regionOf: map[string]string{},
+		evacuations: map[string]float64{}, applied: map[uint64]bool{}, tolls: tollController{zone: self.Zone, steeredAt: now}}
+	z.consensus = consensus{self: self.Name, heartbeat: r.Heartbeat, lease: r.Lease, confirmedAt: math.Inf(-1),
 		persistent: r.Persistent}
 	for _, g := range r.Regions {
 		for _, name := range g.Zones {
@@ -118,14 +118,14 @@
 func (z *Coordinator) Observe(now float64, sights []Observation, homes []PrimaryLocation, sent map[string]float64) Output {
 	changed := len(sights) != len(z.observations)
 	for i := 0; !changed && i < len(sights); i++ {
-		changed = sights[i].Zone != z.observations[i].Zone || sights[i].health() != z.observations[i].health()
+		changed = sights[i].Zone != z.observations[i].Zone || sights[i].verdict() != z.observations[i].verdict()
 	}
-	z.observations, z.homes = sights, homes
+	z.observations, z.primaries = sights, homes
 	if changed {
 		z.reportAt = now
 	}
 	if z.plan != nil {
-		z.follower.steer(now, z.plan, z.zoneNames(), sent)
+		z.tolls.steer(now, z.plan, z.zoneNames(), sent)
 	}
 	return z.output(now)
 }
@@ -135,10 +135,10 @@
 	z.fleet = f
 	z.finishBootstrap(now, &z.fleet)
 	z.consensus.tick(now, &z.fleet, func() *Plan { return z.firstPlan() })
-	if now >= z.reportAt && z.plan != nil && z.reporting() {
+	if now >= z.reportAt && z.plan != nil && z.isReporter() {
 		z.reportAt = now + z.heartbeat
 		z.sequence++
-		r := &Report{Zone: z.self.Zone, Sequence: z.sequence, Run: z.run, Observations: z.observations, Primaries: z.homes}
+		r := &Report{Zone: z.self.Zone, Sequence: z.sequence, Run: z.run, Observations: z.observations, Primaries: z.primaries}
 		for _, v := range z.plan.Voters {
 			if v == z.self.Name {
 				z.storeReport(now, v, r)
@@ -148,18 +148,18 @@
 		}
 	}
 	if z.plan != nil && z.leading && z.mayVote(now) {
-		if z.courses == nil {
+		if z.trackers == nil {
 			z.startLeading(now)
 		}
 		z.proposeNext(now)
 	} else {
-		z.courses = nil
+		z.trackers = nil
 	}
 	return z.output(now)
 }
 
 // reporting says whether this driver is among those of its zone that report.
-func (z *Coordinator) reporting() bool {
+func (z *Coordinator) isReporter() bool {
 	n := 0
 	for _, f := range z.fleet.Alive {
 		if f.Name == z.self.Name {
@@ -246,7 +246,7 @@
 		age = -1
 	}
 	before := z.inForce(now)
-	news := z.receiveHeld(now, asked, s.Plan, s.Epoch, s.Sum, age)
+	news := z.observeSummary(now, asked, s.Plan, s.Epoch, s.Sum, age)
 	out := z.output(now)
 	out.PlanChanged = news
 	out.TollsChanged = out.TollsChanged || before != z.inForce(now)
@@ -257,10 +257,10 @@
 func (z *Coordinator) Saved(now float64, ok bool) { z.saved(now, ok) }
 
 func (z *Coordinator) output(now float64) (out Output) {
-	out = Output{Messages: z.sends, Events: z.notes, Save: z.save(now)}
-	z.sends, z.notes = nil, nil
-	if t := z.follower.give(z.plan, z.zoneNames(), z.inForce(now)); !sameTolls(t, z.tolls) {
-		z.tolls, out.TollsChanged = t, true
+	out = Output{Messages: z.outbox, Events: z.events, Save: z.save(now)}
+	z.outbox, z.events = nil, nil
+	if t := z.tolls.effective(z.plan, z.zoneNames(), z.inForce(now)); !sameTolls(t, z.appliedTolls) {
+		z.appliedTolls, out.TollsChanged = t, true
 	}
 	return out
 }
@@ -278,7 +278,7 @@
 }
 
 // Tolls are what the module is to be told; nil for nothing.
-func (z *Coordinator) Tolls() map[string]float64 { return z.tolls }
+func (z *Coordinator) Tolls() map[string]float64 { return z.appliedTolls }
 
 // PlannedZones are the zones that the plan has a share of this driver's reads for.
 func (z *Coordinator) PlannedZones() map[string]bool {
