--- a/internal/fleet/zones/bootstrap.go
+++ b/internal/fleet/zones/bootstrap.go
@@ -1,88 +1,96 @@
 package zones
 
-// This file owns the first plan: all drivers of the roster agree to it once, so that no fleet has two.
+// This file owns the first plan: all drivers of the roster accept it once, so that no fleet has two.
 
-import (
-	"weirwind/internal/fleet/paxos"
-)
+import "weirwind/internal/fleet/paxos"
 
-// bootstrap proposes a first plan once the fleet has been whole for a while: all drivers of the roster have to agree,
-// so that no two first plans come of one fleet. The driver whose name comes first does it.
-func (c *consensus) bootstrap(now float64, f *Fleet, first func() *Plan) {
-	if !f.complete() {
+// bootstrap proposes a first plan once the fleet has been complete for a while. The driver whose name comes first in
+// the roster does it.
+func (c *consensus) bootstrap(now float64, fleet *Fleet, firstPlan func() *Plan) {
+	if !fleet.complete() {
 		c.completeSince = 0
 		return
 	}
 	if c.completeSince == 0 {
 		c.completeSince = now
 	}
-	if r := c.proposal; r != nil && r.bootstrap && now >= r.resendAt { // word to or from some was lost
-		r.resendAt = now + c.heartbeat
-		for _, n := range f.Roster {
-			if !r.HasAccepted(n) {
-				c.send(n, Message{Kind: Bootstrap, Roster: f.RosterVersion, Ballot: r.Ballot, Plan: r.Value})
-			}
-		}
-	}
-	if now-c.completeSince < completeHeartbeats*c.heartbeat || f.Roster[0] != c.self || c.proposal != nil || now < c.proposeAfter ||
-		!c.mayVote(now) {
+	c.resendBootstrap(now, fleet)
+	if !c.mayBootstrap(now, fleet) {
 		return
 	}
-	p := c.acceptor.Value
-	if p == nil {
-		p = first()
+	plan := c.undecided()
+	if plan == nil {
+		plan = firstPlan()
 	}
-	if p == nil {
+	if plan == nil {
 		return
 	}
-	c.proposal = c.newProposal(p, now+bootstrapHeartbeats*c.heartbeat)
+	c.proposal = c.newProposal(plan, now+bootstrapHeartbeats*c.heartbeat)
 	c.proposal.bootstrap = true
-	c.broadcast(now, f.Roster, Message{Kind: Bootstrap, Roster: f.RosterVersion, Ballot: c.proposal.Ballot, Plan: p})
+	c.broadcast(now, fleet.Roster, c.bootstrapMessage(fleet))
+}
+
+func (c *consensus) mayBootstrap(now float64, fleet *Fleet) bool {
+	return now-c.completeSince >= completeHeartbeats*c.heartbeat && fleet.Roster[0] == c.name &&
+		c.proposal == nil && now >= c.proposeAfter && c.mayVote(now)
+}
+
+func (c *consensus) bootstrapMessage(fleet *Fleet) Message {
+	return Message{Kind: Bootstrap, Roster: fleet.RosterVersion, Ballot: c.proposal.Ballot, Plan: c.proposal.Value}
+}
+
+// resendBootstrap asks those again that have not accepted, as messages may have been lost.
+func (c *consensus) resendBootstrap(now float64, fleet *Fleet) {
+	p := c.proposal
+	if p == nil || !p.bootstrap || now < p.resendAt {
+		return
+	}
+	p.resendAt = now + c.heartbeat
+	for _, name := range fleet.Roster {
+		if !p.HasAccepted(name) {
+			c.send(name, c.bootstrapMessage(fleet))
+		}
+	}
 }
 
-// receiveBootstrap takes a step of a first plan.
-func (c *consensus) receiveBootstrap(now float64, from string, w *Message, f *Fleet, answer func(Message)) {
+// receiveBootstrap accepts a first plan of the driver that comes first in a roster which is the same here. fleet is nil
+// where the message is this driver's own.
+func (c *consensus) receiveBootstrap(now float64, from string, msg *Message, fleet *Fleet, reply func(Message)) {
 	if c.plan != nil {
-		if from != c.self && w.Kind == Bootstrap {
+		if from != c.name {
 			c.send(from, Message{Kind: Decided, Plan: c.plan})
 		}
 		return
 	}
-	switch w.Kind {
-	case Bootstrap:
-		if w.Plan == nil || w.Plan.Epoch != 1 || !c.mayVote(now) || w.Ballot.Compare(c.acceptor.Promised) < 0 ||
-			f != nil && (!f.complete() || f.RosterVersion != w.Roster || f.Roster[0] != from) {
-			return
-		}
-		c.acceptor.Accept(w.Ballot, w.Plan)
-		c.acceptedAt, c.unsaved = now, true
-		c.highestNumber = max(c.highestNumber, min(w.Ballot.Number, paxos.MaxNumber))
-		answer(Message{Kind: Bootstrapped, Ballot: w.Ballot, Roster: w.Roster})
-	case Bootstrapped:
-		r := c.proposal
-		if r == nil || !r.bootstrap || w.Ballot.Compare(r.Ballot) != 0 {
-			return
-		}
-		r.RecordAccepted(from)
+	if msg.Plan == nil || msg.Plan.Epoch != 1 || !c.mayVote(now) || msg.Ballot.Compare(c.acceptor.Promised) < 0 ||
+		fleet != nil && (!fleet.complete() || fleet.RosterVersion != msg.Roster || fleet.Roster[0] != from) {
+		return
 	}
+	c.acceptor.Accept(msg.Ballot, msg.Plan)
+	c.acceptedAt, c.unsaved = now, true
+	c.highestNumber = max(c.highestNumber, min(msg.Ballot.Number, paxos.MaxNumber))
+	reply(Message{Kind: Bootstrapped, Ballot: msg.Ballot, Roster: msg.Roster})
 }
 
-// finishBootstrap ends a founding that all of the roster agreed to.
-func (c *consensus) finishBootstrap(now float64, f *Fleet) {
-	r := c.proposal
-	if r == nil || !r.bootstrap || !f.complete() {
+func (c *consensus) receiveBootstrapped(from string, msg *Message) {
+	p := c.proposal
+	if c.plan != nil || p == nil || !p.bootstrap || msg.Ballot.Compare(p.Ballot) != 0 {
 		return
 	}
-	for _, n := range f.Roster {
-		if !r.HasAccepted(n) {
-			return
-		}
+	p.RecordAccepted(from)
+}
+
+// finishBootstrap adopts a first plan that all of the roster accepted.
+func (c *consensus) finishBootstrap(now float64, fleet *Fleet) {
+	p := c.proposal
+	if p == nil || !p.bootstrap || !fleet.complete() {
+		return
 	}
-	c.proposal = nil
-	c.adopt(now, r.Value)
-	for _, n := range r.Value.Voters {
-		if n != c.self {
-			c.send(n, Message{Kind: Decided, Plan: c.plan})
+	for _, name := range fleet.Roster {
+		if !p.HasAccepted(name) {
+			return
 		}
 	}
+	c.adopt(now, p.Value)
+	c.announce(p.Value.Voters)
 }
--- a/internal/fleet/zones/consensus.go
+++ b/internal/fleet/zones/consensus.go
@@ -1,16 +1,9 @@
 package zones
 
-// This file owns consensus: which plan follows which, and until when a driver may take the one that it holds for the
-// newest. It must never let two plans follow one, or let word that was late on its way lengthen a lease.
-//
-// The voters that a plan names decide on the next one, by Paxos, an instance a plan; a majority of the new plan's
-// voters accepts it as well. The first plan, which moves nothing, needs all drivers of the roster once. A plan is
-// confirmed when a majority of its voters said, after they were asked, that they had taken no later one: from then on
-// it holds for a lease. Ages are counted from when an answer was asked for, on the asker's own clock, so that clocks
-// need not agree and late messages only shortens a lease.
+// This file owns a driver's part in agreeing: the plan that it holds, and what follows from one that was decided. It
+// must never let two plans follow one.
 
 import (
-	"math"
 	"slices"
 
 	"weirwind/internal/fleet/paxos"
@@ -18,53 +11,73 @@
 
 // In heartbeats.
 const (
-	proposalHeartbeats     = 4.0  // one ballot
-	succession      = 4.0  // before the next voter in order leads
-	forgottenVote    = 10.0 // a driver that may have forgotten a vote gives none
-	completeHeartbeats  = 3.0  // the fleet is whole before a first plan
-	bootstrapHeartbeats = 20.0 // all have to answer to one
+	proposalHeartbeats  = 4.0  // until a proposal is given up
+	successionDelay     = 4.0  // for each rank, before the voter of that rank leads
+	abstainHeartbeats   = 10.0 // that a driver which may have forgotten a vote gives none
+	completeHeartbeats  = 3.0  // that the fleet is complete before a first plan is proposed
+	bootstrapHeartbeats = 20.0 // until the proposal of a first plan is given up: all have to answer
 )
 
-// consensus is a driver's part in agreeing.
+// consensus is a driver's part in deciding on plans.
 type consensus struct {
-	self      string
-	heartbeat float64
-	lease     float64
-
-	plan      *Plan // the newest decided that is known
-	planSum   uint64
-	confirmedAt float64 // the latest time at which that was certainly the newest, on the own clock
-
-	voteAfter     float64              // may have forgotten a vote: none before
-	acceptor          paxos.Acceptor[Plan] // on the plan behind it
-	acceptedAt    float64
-	highestNumber  uint32
-	proposal         *proposal
-	proposeAfter       float64
-	completeSince float64 // since when the fleet is; 0: it is not
-
-	confirmNonce   uint64 // nonce of the renewal that is out
-	confirmAskedAt float64
-	confirmedBy    map[string]bool
-	confirmAt      float64
-	leading        bool
-	candidateSince float64
-	peerLeaderSeenAt   float64 // a peer that leads was heard of
-	lastNonce          uint64
-
-	persistent, unsaved, saveFailed bool
-	saveAt                          float64
-
-	outbox []Envelope
+	name      string
+	heartbeat float64 // milliseconds
+	lease     float64 // milliseconds
+
+	plan    *Plan  // the newest decided one that is known; its Epoch only grows
+	planSum uint64 // its checksum
+
+	// acceptor is this driver's vote on plan's successor. It is durable before an answer by it is sent, or voteAfter
+	// covers the time in which an earlier process of this name may have voted.
+	acceptor      paxos.Acceptor[Plan]
+	acceptedAt    float64 // when acceptor accepted last
+	voteAfter     float64
+	highestNumber uint32 // no lower than any ballot number seen on plan
+
+	proposal      *proposal // that this driver leads; nil: none
+	proposeAfter  float64   // no next one before
+	completeSince float64   // since when the fleet is complete, without a plan; 0: it is not
+	confirmation  confirmation
+
+	leading          bool
+	candidateSince   float64 // since when this driver could lead a plan that was never confirmed; 0: it can't
+	peerLeaderSeenAt float64 // when another voter asked for a confirmation last
+
+	persistent bool    // votes outlive the process
+	unsaved    bool    // something has to be saved before outbox goes out
+	saveFailed bool    // the last save: no votes until one succeeds
+	saveAt     float64 // no save before
+
+	outbox []Envelope // of the call under way
 	events []Event
 }
 
-func (c *consensus) send(to string, w Message) { c.outbox = append(c.outbox, Envelope{to, w}) }
+func (c *consensus) send(to string, msg Message) { c.outbox = append(c.outbox, Envelope{to, msg}) }
+
 func (c *consensus) emit(reason, name, text string) {
 	c.events = append(c.events, Event{reason, name, text})
 }
 
-func (c *consensus) mayVote(now float64) bool { return now >= c.voteAfter && !c.saveFailed }
+// broadcast sends a message to some drivers; this one, if it is among them, takes it at once, as the last.
+func (c *consensus) broadcast(now float64, to []string, msg Message) {
+	for _, name := range to {
+		if name != c.name {
+			c.send(name, msg)
+		}
+	}
+	if slices.Contains(to, c.name) {
+		c.receive(now, c.name, &msg, nil)
+	}
+}
+
+// announce sends the plan held to those named.
+func (c *consensus) announce(to []string) {
+	for _, name := range to {
+		if name != c.name {
+			c.send(name, Message{Kind: Decided, Plan: c.plan})
+		}
+	}
+}
 
 func (c *consensus) epoch() uint64 {
 	if c.plan == nil {
@@ -73,131 +86,122 @@
 	return c.plan.Epoch
 }
 
-// inForce says whether the plan held is certainly the newest, or was less than a lease ago.
-func (c *consensus) inForce(now float64) bool { return c.plan != nil && now < c.confirmedAt+c.lease }
+// isVoter says whether this driver is a voter of the plan held.
+func (c *consensus) isVoter() bool { return c.plan != nil && slices.Contains(c.plan.Voters, c.name) }
 
-// age is how long ago the plan was certainly the newest.
-func (c *consensus) age(now float64) float64 {
-	if c.plan == nil || math.IsInf(c.confirmedAt, -1) {
-		return math.Inf(1)
-	}
-	return max(now-c.confirmedAt, 0)
-}
-
-// isVoter says whether this driver is one.
-func (c *consensus) isVoter() bool { return c.plan != nil && slices.Contains(c.plan.Voters, c.self) }
+// mayVote says whether a vote of this driver would be kept, and none that it gave was forgotten.
+func (c *consensus) mayVote(now float64) bool { return now >= c.voteAfter && !c.saveFailed }
 
-// rank is this driver's among the voters that live: 0 leads. -1: it is no voter.
-func (c *consensus) rank(f *Fleet) int {
-	if !c.isVoter() {
-		return -1
-	}
-	rank := 0
-	for _, v := range c.plan.Voters {
-		if v == c.self {
-			return rank
-		}
-		if f.isAlive(v) {
-			rank++
-		}
+// tick lets time pass: proposals end, the plan is confirmed again, or a first one is proposed. firstPlan makes that.
+func (c *consensus) tick(now float64, fleet *Fleet, firstPlan func() *Plan) {
+	if c.proposal != nil && now >= c.proposal.deadline {
+		c.proposal, c.proposeAfter = nil, now+c.heartbeat*(1+c.jitter())
 	}
-	return rank
-}
-
-// mayLead says whether this driver is to lead now: the first of the voters that live, and behind it the next where
-// nothing comes of that for a while.
-func (c *consensus) mayLead(now float64, f *Fleet) bool {
-	rank := c.rank(f)
-	if rank < 0 || !c.mayVote(now) {
-		c.candidateSince, c.leading = 0, false
-		return false
+	if c.plan == nil {
+		c.bootstrap(now, fleet, firstPlan)
+		return
 	}
-	switch {
-	case rank == 0:
-		c.leading = true
-	case math.IsInf(c.confirmedAt, -1):
-		c.leading = c.candidateFor(now) > float64(rank)*succession*c.heartbeat
-	default:
-		stale := now - max(c.confirmedAt, c.peerLeaderSeenAt)
-		c.leading = stale > (2+float64(rank)*succession)*c.heartbeat
+	done := c.confirmationDone(now)
+	if c.updateLeading(now, fleet) && now >= c.confirmation.nextAt && done {
+		c.confirm(now)
 	}
-	return c.leading
 }
 
-func (c *consensus) candidateFor(now float64) float64 {
-	if c.candidateSince == 0 {
-		c.candidateSince = now
+// jitter is a fraction below 1 that differs between drivers, so that two proposers do not collide again and again.
+func (c *consensus) jitter() float64 {
+	var hash uint32
+	for _, b := range []byte(c.name) {
+		hash = 31*hash + uint32(b)
 	}
-	return now - c.candidateSince
+	return float64(hash%7) / 7
 }
 
-// tick lets time pass: rounds end, plans are confirmed anew, a first one is agreed on.
-func (c *consensus) tick(now float64, f *Fleet, first func() *Plan) {
-	if c.proposal != nil && now >= c.proposal.deadline {
-		c.proposal, c.proposeAfter = nil, now+c.heartbeat*(1+float64(c.nameHash()%7)/7)
+// receive takes a message. fleet is the fleet as it is seen; nil where the message is this driver's own.
+func (c *consensus) receive(now float64, from string, msg *Message, fleet *Fleet) {
+	reply := func(answer Message) {
+		if from == c.name {
+			c.receive(now, from, &answer, fleet)
+		} else {
+			c.send(from, answer)
+		}
 	}
-	if c.plan == nil {
-		c.bootstrap(now, f, first)
+	if msg.Plan != nil && !msg.Plan.valid() {
 		return
 	}
-	// A late answer counts from when it was asked for.
-	answered := c.confirmedBy == nil || paxos.Majority(c.plan.Voters, c.confirmedBy)
-	done := answered || now-c.confirmAskedAt > proposalHeartbeats*c.heartbeat
-	if c.mayLead(now, f) && now >= c.confirmAt && done {
-		c.confirmAt = now + c.heartbeat
-		c.lastNonce++
-		c.confirmNonce, c.confirmAskedAt, c.confirmedBy = c.lastNonce, now, map[string]bool{}
-		c.broadcast(now, c.plan.Voters, Message{Kind: Confirm, Epoch: c.plan.Epoch, Sum: c.planSum, Nonce: c.lastNonce})
+	switch msg.Kind {
+	case Bootstrap:
+		c.receiveBootstrap(now, from, msg, fleet, reply)
+		return
+	case Bootstrapped:
+		c.receiveBootstrapped(from, msg)
+		return
+	case Decided:
+		if msg.Plan != nil {
+			c.learn(now, msg.Plan)
+		}
+		return
 	}
-}
-
-func (c *consensus) nameHash() (n uint32) {
-	for _, b := range []byte(c.self) {
-		n = 31*n + uint32(b)
+	if !c.concernsCurrentPlan(from, msg) {
+		return
+	}
+	c.highestNumber = max(c.highestNumber, min(msg.Ballot.Number, paxos.MaxNumber))
+	switch msg.Kind {
+	case Prepare:
+		c.receivePrepare(now, msg, reply)
+	case Promise:
+		c.receivePromise(now, from, msg)
+	case Accept:
+		c.receiveAccept(now, msg, reply)
+	case Accepted:
+		c.receiveAccepted(now, from, msg)
+	case Reject:
+		c.receiveReject(now, from, msg)
+	case Confirm:
+		c.receiveConfirm(now, from, msg, reply)
+	case Confirmed:
+		c.receiveConfirmed(from, msg)
 	}
-	return n
 }
 
-// broadcast sends a message to some drivers, this one included.
-func (c *consensus) broadcast(now float64, to []string, w Message) {
-	for _, n := range to {
-		if n != c.self {
-			c.send(n, w)
+// concernsCurrentPlan says whether a message is about the plan that this driver holds. A sender that lags behind is
+// sent the newest plan; one that is ahead is asked for its own.
+func (c *consensus) concernsCurrentPlan(from string, msg *Message) bool {
+	if msg.Epoch < c.epoch() {
+		if from != c.name && msg.isRequest() {
+			c.send(from, Message{Kind: Decided, Plan: c.plan})
 		}
+		return false
+	}
+	if c.plan != nil && msg.Epoch == c.plan.Epoch && msg.Sum == c.planSum {
+		return true
 	}
-	if slices.Contains(to, c.self) {
-		c.receive(now, c.self, &w, nil)
+	if c.plan != nil && msg.Epoch == c.plan.Epoch {
+		c.emit("two_plans", from, "founded apart")
 	}
+	if c.epoch() < msg.Epoch && msg.isRequest() {
+		c.send(from, Message{Kind: Reject, Epoch: msg.Epoch, Sum: msg.Sum, Nonce: nonceWantsPlan})
+	}
+	return false
 }
 
-// adopt makes a plan the one that is held. It is in force once it is confirmed.
-func (c *consensus) adopt(now float64, p *Plan) {
-	c.plan, c.planSum, c.confirmedAt = p, p.sum(), math.Inf(-1)
-	c.acceptor, c.proposal, c.confirmedBy = paxos.Acceptor[Plan]{}, nil, nil
-	c.unsaved, c.candidateSince, c.confirmAt = true, 0, now
-	c.emit("plan", c.self, describe(p))
+// adopt makes a decided plan the one that is held. It is in force once it is confirmed.
+func (c *consensus) adopt(now float64, plan *Plan) {
+	c.plan, c.planSum = plan, plan.sum()
+	c.acceptor, c.proposal = paxos.Acceptor[Plan]{}, nil
+	c.confirmation.restart(now)
+	c.unsaved, c.candidateSince = true, 0
+	c.emit("plan", c.name, describe(plan))
 }
 
 // learn takes a plan that was decided, and says whether it is newer than the one held.
-func (c *consensus) learn(now float64, p *Plan) bool {
-	if !p.valid() || p.Epoch <= c.epoch() {
+func (c *consensus) learn(now float64, plan *Plan) bool {
+	if !plan.valid() || plan.Epoch <= c.epoch() {
 		return false
 	}
-	if c.plan == nil && slices.Contains(p.Voters, c.self) && !c.persistent { // an earlier run may have voted
-		c.voteAfter = max(c.voteAfter, now+forgottenVote*c.heartbeat)
+	if c.plan == nil && slices.Contains(plan.Voters, c.name) && !c.persistent {
+		// an earlier process of this name may have voted on its successor
+		c.voteAfter = max(c.voteAfter, now+abstainHeartbeats*c.heartbeat)
 	}
-	c.adopt(now, p)
+	c.adopt(now, plan)
 	return true
 }
-
-// receiveHeld takes what a peer answered: it holds this plan, which was certainly the newest so long before it
-// answered; asked is when it was asked, on the own clock. It says whether the plan was news.
-func (c *consensus) observeSummary(now, asked float64, p *Plan, epoch, sum uint64, age float64) (news bool) {
-	if p != nil {
-		news = c.learn(now, p)
-	}
-	if c.plan != nil && epoch == c.plan.Epoch && sum == c.planSum && age >= 0 && !math.IsInf(age, 1) {
-		c.confirmedAt = max(c.confirmedAt, min(asked-age, now))
-	}
-	return news
-}
--- a/internal/fleet/zones/consensus_test.go
+++ b/internal/fleet/zones/consensus_test.go
@@ -9,7 +9,7 @@
 
 // decided is a driver that holds a first plan of three voters.
 func decided(name string) *consensus {
-	c := &consensus{self: name, heartbeat: 100, lease: 1000, confirmedAt: math.Inf(-1)}
+	c := &consensus{name: name, heartbeat: 100, lease: 1000, confirmation: confirmation{at: math.Inf(-1)}}
 	c.adopt(0, &Plan{Epoch: 1, Voters: []string{"a", "b", "c"}})
 	c.events, c.outbox = nil, nil
 	return c
@@ -28,16 +28,16 @@
 // and neither does a plan's age where another one is held.
 func TestLateWordShortensALease(t *testing.T) {
 	c := decided("d")
-	c.observeSummary(20000, 1000, nil, 1, c.planSum, 50)
-	if c.confirmedAt != 950 || c.inForce(2000) || !c.inForce(1900) {
-		t.Errorf("confirmed at %v", c.confirmedAt)
+	c.observeSummary(20000, 1000, &Summary{Epoch: 1, Sum: c.planSum, Age: 50})
+	if c.confirmation.at != 950 || c.inForce(2000) || !c.inForce(1900) {
+		t.Errorf("confirmed at %v", c.confirmation.at)
 	}
-	c.observeSummary(30000, math.Inf(-1), nil, 1, c.planSum, -1)
-	c.observeSummary(30000, 30000, nil, 1, c.planSum+1, 0)
-	c.observeSummary(30000, 30000, nil, 2, c.planSum, 0)
-	c.observeSummary(30000, 30000, nil, 1, c.planSum, math.NaN())
-	if c.confirmedAt != 950 {
-		t.Errorf("confirmed at %v", c.confirmedAt)
+	c.observeSummary(30000, math.Inf(-1), &Summary{Epoch: 1, Sum: c.planSum, Age: -1})
+	c.observeSummary(30000, 30000, &Summary{Epoch: 1, Sum: c.planSum + 1, Age: 0})
+	c.observeSummary(30000, 30000, &Summary{Epoch: 2, Sum: c.planSum, Age: 0})
+	c.observeSummary(30000, 30000, &Summary{Epoch: 1, Sum: c.planSum, Age: math.NaN()})
+	if c.confirmation.at != 950 {
+		t.Errorf("confirmed at %v", c.confirmation.at)
 	}
 }
 
@@ -112,7 +112,7 @@
 		Ballot: paxos.Ballot{Number: 3, Proposer: "a"}}, nil); len(c.said()) != 1 {
 		t.Error("it votes no more")
 	}
-	again := &consensus{self: "b", heartbeat: 100, persistent: true, confirmedAt: math.Inf(-1)}
+	again := &consensus{name: "b", heartbeat: 100, persistent: true, confirmation: confirmation{at: math.Inf(-1)}}
 	again.restore(k)
 	if again.receive(400, "c", &Message{Kind: Prepare, Epoch: 1, Sum: c.planSum,
 		Ballot: paxos.Ballot{Number: 0, Proposer: "c"}}, nil); again.said()[0].Message.Kind != Reject {
--- a/internal/fleet/zones/flows.go
+++ b/internal/fleet/zones/flows.go
@@ -1,116 +1,161 @@
 package zones
 
-// This file owns the leader's shares of reads: what zones need and can do, and how fast shares may move.
+// This file owns the flows of a plan: what zones need and can serve, and how fast shares of reads may shift.
 
 import (
 	"math"
 	"slices"
 )
 
-// stepFlows solves for shares, and lets them move as fast as they may.
-func (z *Coordinator) stepFlows(now float64, p *Plan, names []string, reports []Report) {
-	places := z.zoneLoads(p, names, reports)
-	var want []Flow
-	var binds []string
-	if z.needsFlows(p, places) {
-		want, binds = solveFlows(places, z.options.Limits, func(from, to string) bool { return !p.partitioned(from, to) })
+const (
+	goalHeartbeats = 5.0  // that flows approach one goal at least
+	goalTolerance  = 0.15 // of a zone's reads: another goal has to differ by so much
+)
+
+// stepFlows solves for the flows that are due, and shifts the plan's flows toward them as fast as they may.
+func (z *Coordinator) stepFlows(now float64, next *Plan, names []string, reports []Report) {
+	loads := z.zoneLoads(next, names, reports)
+	var solution []Flow
+	var binding []string
+	if z.needsFlows(next, loads) {
+		solution, binding = solveFlows(loads, z.options.Limits, next.reaches)
 	}
-	// Another goal only where zones are no longer the same, or the old one is far off for a while: demand is noisy, and of
-	// several plans that cost the same the solver gives any.
-	hard := !slices.Equal(p.Zones, z.plan.Zones) || !slices.Equal(p.Partitions, z.plan.Partitions) || z.goalSetAt == 0
-	old := now-z.goalSetAt > goalBeats*z.heartbeat
-	if hard || old && (len(want) == 0 || maxDifference(names, want, z.goalFlows) >= flowsOff) {
-		z.goalFlows, z.goalSetAt, p.BindingConstraints = want, now, binds
+	// Another goal only where zones are no longer the same, or the old one is far off after a while: demand is noisy, and
+	// of several solutions that cost the same the solver gives any.
+	changed := !slices.Equal(next.Zones, z.plan.Zones) ||
+		!slices.Equal(next.Partitions, z.plan.Partitions) ||
+		z.goalSetAt == 0
+	stale := now-z.goalSetAt > goalHeartbeats*z.heartbeat
+	if changed || stale && (len(solution) == 0 || maxDifference(names, solution, z.goalFlows) >= goalTolerance) {
+		z.goalFlows, z.goalSetAt, next.BindingConstraints = solution, now, binding
 	}
-	if !hard && now-z.flowsChangedAt < z.heartbeat {
-		p.Flows = z.plan.Flows
+	if !changed && now-z.flowsChangedAt < z.heartbeat {
+		next.Flows = z.plan.Flows
 		return
 	}
-	flows := z.rateLimitedFlows(now, p, names)
-	if p.Flows = flows; !slices.Equal(flows, z.plan.Flows) {
+	next.Flows = z.rateLimitedFlows(now, next, names)
+	if !slices.Equal(next.Flows, z.plan.Flows) {
 		z.flowsChangedAt = now
 	}
 }
 
-// disturbed says whether near reads can't all stay near: a zone is not whole or not reached, or has too little room.
-func (z *Coordinator) needsFlows(p *Plan, places []ZoneLoad) bool {
-	if len(p.Partitions) > 0 {
+// needsFlows says whether reads can't all stay local: a zone is not whole or not reached, or has too little capacity.
+func (z *Coordinator) needsFlows(next *Plan, loads []ZoneLoad) bool {
+	if len(next.Partitions) > 0 {
 		return true
 	}
-	for i := range p.Zones {
-		if p.Zones[i].Capacity < 1 || p.Zones[i].State != Serving && p.Zones[i].State != Suspected {
+	for i := range next.Zones {
+		if next.Zones[i].Capacity < 1 || next.Zones[i].State != Serving && next.Zones[i].State != Suspected {
 			return true
 		}
 	}
-	return slices.ContainsFunc(places, func(pl ZoneLoad) bool {
-		return pl.Demand > pl.Capacity*(1-z.options.Limits.Headroom)
+	return slices.ContainsFunc(loads, func(l ZoneLoad) bool {
+		return l.Demand > l.Capacity*(1-z.options.Limits.Headroom)
 	})
 }
 
-// limitedFlows moves the shares toward the goal, no faster than the rules allow.
-func (z *Coordinator) rateLimitedFlows(now float64, p *Plan, names []string) (flows []Flow) {
-	most := z.options.MaxShiftRate * (now - z.flowsChangedAt) / 1000
+// rateLimitedFlows shifts the shares of the plan held toward the goal, no faster than Options.MaxShiftRate. From a zone
+// without capacity and to an ejected one they shift at once.
+func (z *Coordinator) rateLimitedFlows(now float64, next *Plan, names []string) (flows []Flow) {
+	maxShift := z.options.MaxShiftRate * (now - z.flowsChangedAt) / 1000
 	goal := &Plan{Flows: z.goalFlows}
 	for _, from := range names {
-		gone := p.zone(from).Capacity == 0 // nothing to be kept there
+		empty := next.zone(from).Capacity == 0
 		for _, to := range names {
 			if from == to {
 				continue
 			}
-			was, is := z.plan.share(from, to), goal.share(from, to)
-			if !gone && p.zone(to).State != Ejected {
-				is = was + min(max(is-was, -most), most)
+			present, share := z.plan.share(from, to), goal.share(from, to)
+			if !empty && next.zone(to).State != Ejected {
+				share = present + min(max(share-present, -maxShift), maxShift)
 			}
-			if is = math.Round(is*100) / 100; is >= minShare {
-				flows = append(flows, Flow{from, to, is})
+			if share = math.Round(share*100) / 100; share >= minShare {
+				flows = append(flows, Flow{from, to, share})
 			}
 		}
 	}
 	return flows
 }
 
-// apart is how far two sets of flows are from each other, in the share that differs most.
-func maxDifference(names []string, a, b []Flow) (far float64) {
+// maxDifference is the difference of two sets of flows in the share that differs most.
+func maxDifference(names []string, a, b []Flow) (difference float64) {
 	x, y := &Plan{Flows: a}, &Plan{Flows: b}
 	for _, from := range names {
 		for _, to := range names {
-			far = max(far, math.Abs(x.share(from, to)-y.share(from, to)))
+			difference = max(difference, math.Abs(x.share(from, to)-y.share(from, to)))
 		}
 	}
-	return far
+	return difference
+}
+
+// zoneCounts is what reports say of one zone.
+type zoneCounts struct {
+	reporters float64 // drivers of the zone that report
+	reads     float64 // that these send, to any zone, a second
+	drivers   float64 // that are alive
+	members   float64 // the most that a reporter of any zone lists
+	reachable float64 // the most that a reporter of any zone reaches
 }
 
-// places are the zones with their demand and room, in members' usual work.
-func (z *Coordinator) zoneLoads(p *Plan, names []string, reports []Report) []ZoneLoad {
-	members, up, reads, n := map[string]float64{}, map[string]float64{}, map[string]float64{}, map[string]float64{}
+func (z *Coordinator) countZones(reports []Report) map[string]*zoneCounts {
+	counts := map[string]*zoneCounts{}
+	of := func(zone string) *zoneCounts {
+		if counts[zone] == nil {
+			counts[zone] = &zoneCounts{}
+		}
+		return counts[zone]
+	}
 	for _, r := range reports {
-		n[r.Zone]++
-		for _, s := range r.Observations {
-			reads[r.Zone] += s.Reads
-			members[s.Zone] = max(members[s.Zone], float64(s.Members))
-			up[s.Zone] = max(up[s.Zone], float64(s.Members-s.Unreachable))
+		own := of(r.Zone)
+		own.reporters++
+		for _, o := range r.Observations {
+			own.reads += o.Reads
+			seen := of(o.Zone)
+			seen.members = max(seen.members, float64(o.Members))
+			seen.reachable = max(seen.reachable, float64(o.Members-o.Unreachable))
 		}
 	}
-	drivers := map[string]float64{}
-	for _, f := range z.fleet.Alive {
-		drivers[f.Zone]++
+	for _, peer := range z.fleet.Alive {
+		of(peer.Zone).drivers++
+	}
+	return counts
+}
+
+// demand is what all drivers of the zone read, a second, if those that do not report read as much as the others.
+func (c *zoneCounts) demand() float64 {
+	if c == nil || c.reporters == 0 {
+		return 0
 	}
-	total, all := 0.0, 0.0
-	demand := map[string]float64{}
+	return c.reads / c.reporters * c.drivers
+}
+
+// zoneLoads are the zones with their demand and capacity, both in reads a second.
+func (z *Coordinator) zoneLoads(plan *Plan, names []string, reports []Report) (loads []ZoneLoad) {
+	counts := z.countZones(reports)
+	demand, members := 0.0, 0.0
 	for _, name := range names {
-		if n[name] > 0 {
-			demand[name] = reads[name] / n[name] * drivers[name]
+		if c := counts[name]; c != nil {
+			demand += c.demand()
+			members += c.members
 		}
-		total += demand[name]
-		all += members[name]
-	}
-	if calm := len(z.assessment.Causes) == 0 && len(z.assessment.Partitions) == 0; total > 0 && all > 0 && (calm || z.readsPerMember == 0) {
-		z.readsPerMember = max(total/(all*z.options.BaselineUtilization), 0.98*z.readsPerMember)
 	}
-	var places []ZoneLoad
+	z.learnCapacity(demand, members)
 	for _, name := range names {
-		zone := p.zone(name)
-		places = append(places, ZoneLoad{name, z.regionOf[name], demand[name], up[name] * z.readsPerMember * zone.Capacity})
+		l := ZoneLoad{Name: name, Region: z.regionOf[name]}
+		if c := counts[name]; c != nil {
+			l.Demand = c.demand()
+			l.Capacity = c.reachable * z.readsPerMember * plan.zone(name).Capacity
+		}
+		loads = append(loads, l)
+	}
+	return loads
+}
+
+// learnCapacity takes what a member serves from the demand while nothing is wrong: it follows a rise at once and a fall
+// slowly.
+func (z *Coordinator) learnCapacity(demand, members float64) {
+	healthy := len(z.assessment.Causes) == 0 && len(z.assessment.Partitions) == 0
+	if demand > 0 && members > 0 && (healthy || z.readsPerMember == 0) {
+		z.readsPerMember = max(demand/(members*z.options.BaselineUtilization), 0.98*z.readsPerMember)
 	}
-	return places
 }
--- a/internal/fleet/zones/leader.go
+++ b/internal/fleet/zones/leader.go
@@ -1,181 +1,136 @@
 package zones
 
-// This file owns what the leader does: it judges the reports it has and proposes the plan that is due. It must never
-// have a primary moved by what only its own zone sees.
+// This file owns what the leader does: it assesses the reports that it has and proposes the plan that is due. It must
+// never have a primary moved by what only its own zone observes.
 
 import (
-	"cmp"
 	"fmt"
 	"math"
 	"slices"
-	"strings"
 )
 
-// firstPlan is a first plan: it names voters and moves nothing.
-func (z *Coordinator) firstPlan() *Plan {
-	p := &Plan{Epoch: 1, Voters: z.selectVoters(nil)}
-	for _, n := range z.zoneNames() {
-		p.Zones = append(p.Zones, Zone{Name: n, Capacity: 1})
-	}
-	p.sort()
-	return p
-}
+// leader is what a driver keeps while it leads, and of the last time that it did.
+type leader struct {
+	trackers     map[string]*tracker // by zone; nil while this driver does not lead
+	leadingSince float64             // when it began to lead
+	assessment   Assessment          // of the last step
 
-// chooseVoters are spread over the zones: those that are and live stay, as long as no zone has too many of them.
-func (z *Coordinator) selectVoters(now []string) []string {
-	byZone := map[string][]string{}
-	var zones []string
-	for _, f := range z.fleet.Alive {
-		if _, listed := slices.BinarySearch(z.fleet.Roster, f.Name); listed {
-			if byZone[f.Zone] == nil {
-				zones = append(zones, f.Zone)
-			}
-			byZone[f.Zone] = append(byZone[f.Zone], f.Name)
-		}
-	}
-	slices.Sort(zones)
-	for _, names := range byZone {
-		slices.SortStableFunc(names, func(a, b string) int {
-			return cmp.Or(-cmp.Compare(bit(slices.Contains(now, a)), bit(slices.Contains(now, b))), strings.Compare(a, b))
-		})
-	}
-	var all []string
-	want := min(z.options.Voters, len(z.fleet.Alive))
-	if want%2 == 0 { // an even one more makes no majority smaller
-		want--
-	}
-	for turn := 0; len(all) < want; turn++ {
-		any := false
-		for _, zone := range zones {
-			if turn < len(byZone[zone]) && len(all) < want {
-				all, any = append(all, byZone[zone][turn]), true
-			}
-		}
-		if !any {
-			break
-		}
-	}
-	slices.Sort(all)
-	return all
+	evacuations     map[string]float64 // by zone: until when; +Inf: until revoked
+	appliedCommands map[uint64]bool    // their IDs
+	frozen          bool
+
+	readsPerMember float64 // reads a second that a member serves at baseline utilization, as far as observed
+	goalFlows      []Flow  // that plans' flows approach
+	goalSetAt      float64 // 0: there is none yet
+	flowsChangedAt float64 // when plans' flows changed last
 }
 
-// startLeading takes up leading: states go on from the plan, their times begin anew.
+// startLeading takes up leading: states and evacuations go on from the plan, their times begin anew.
 func (z *Coordinator) startLeading(now float64) {
 	z.trackers, z.leadingSince, z.evacuations = map[string]*tracker{}, now, map[string]float64{}
-	for _, n := range z.zoneNames() {
-		z.trackers[n] = &tracker{Zone: z.plan.zone(n), since: now, healthySince: now}
+	for _, name := range z.zoneNames() {
+		z.trackers[name] = newTracker(now, z.plan.zone(name))
 	}
-	for _, o := range z.plan.Evacuations {
-		z.evacuations[o.Zone] = math.Inf(1)
-		if o.HeartbeatsLeft > 0 {
-			z.evacuations[o.Zone] = now + float64(o.HeartbeatsLeft)*z.heartbeat
+	for _, e := range z.plan.Evacuations {
+		z.evacuations[e.Zone] = math.Inf(1)
+		if e.HeartbeatsLeft > 0 {
+			z.evacuations[e.Zone] = now + float64(e.HeartbeatsLeft)*z.heartbeat
 		}
 	}
-	z.frozen, z.flowsChangedAt, z.goalFlows, z.goalSetAt = z.plan.Frozen, now, z.plan.Flows, 0
+	z.frozen = z.plan.Frozen
+	z.goalFlows, z.goalSetAt, z.flowsChangedAt = z.plan.Flows, 0, now
 	z.emit("leads", z.self.Name, fmt.Sprintf("epoch %d", z.plan.Epoch))
 }
 
-// recentReports are reports that are not too old.
-func (z *Coordinator) recentReports(now float64) (all []Report) {
-	for from, s := range z.reports {
-		if now-s.at > 4*reportMaxAgeBeats*z.heartbeat {
-			delete(z.reports, from)
-		}
-	}
-	var names []string
-	for from, s := range z.reports {
-		if now-s.at <= reportMaxAgeBeats*z.heartbeat && z.fleet.isAlive(from) {
-			names = append(names, from)
-		}
-	}
-	slices.Sort(names)
-	for _, n := range names {
-		all = append(all, z.reports[n].Report)
-	}
-	return all
-}
-
-// proposeNext proposes the plan that is due, if another one is.
-func (z *Coordinator) proposeNext(now float64) {
+// lead proposes the plan that is due, if another one than the present is. A successor that was accepted and not decided
+// goes first.
+func (z *Coordinator) lead(now float64) {
 	if z.proposal != nil || now < z.proposeAfter {
 		return
 	}
-	if offer := z.pending(); offer != nil && now-z.acceptedAt > proposalHeartbeats*z.heartbeat {
-		z.propose(now, offer)
+	if p := z.undecided(); p != nil && now-z.acceptedAt > proposalHeartbeats*z.heartbeat {
+		z.propose(now, p)
 		return
 	}
-	reports := z.recentReports(now)
-	lives := map[string]bool{}
-	for _, f := range z.fleet.Alive {
-		lives[f.Zone] = true
+	next := z.nextPlan(now)
+	// a successor that some voter accepted keeps this plan from being confirmed: any proposal brings that to an end
+	lapsing := z.confirmation.known() && now-z.confirmation.at > 4*z.heartbeat
+	if (lapsing || !next.equivalent(z.plan)) && withMajority(z.fleet.Partition) {
+		z.propose(now, next)
 	}
-	names := z.zoneNames()
-	z.assessment = assess(names, reports, lives, z.regionOf)
+}
+
+// nextPlan is the plan that should follow the one held, by the reports of now.
+func (z *Coordinator) nextPlan(now float64) *Plan {
+	reports, names := z.recentReports(now), z.zoneNames()
+	z.assessment = assess(names, reports, z.zonesAlive(), z.regionOf)
 	z.expireEvacuations(now)
-	next := &Plan{Epoch: z.plan.Epoch + 1, BaseSum: z.planSum, Voters: z.plan.Voters, Zones: slices.Clone(z.plan.Zones),
-		Partitions: z.plan.Partitions, Flows: z.plan.Flows,
-		Moves: z.plan.Moves, Evacuations: z.activeEvacuations(now), Frozen: z.frozen, BindingConstraints: z.plan.BindingConstraints}
+	next := &Plan{
+		Epoch:              z.plan.Epoch + 1,
+		BaseSum:            z.planSum,
+		Voters:             z.plan.Voters,
+		Zones:              slices.Clone(z.plan.Zones),
+		Partitions:         z.plan.Partitions,
+		Flows:              z.plan.Flows,
+		Moves:              z.plan.Moves,
+		Evacuations:        z.activeEvacuations(now),
+		Frozen:             z.frozen,
+		BindingConstraints: z.plan.BindingConstraints,
+	}
 	if z.votersIncomplete() {
 		next.Voters = z.selectVoters(z.plan.Voters)
 	}
-	// Reports of a leader that has just begun, or that hears too little, say nothing yet.
-	if enough := now-z.leadingSince > 2*z.heartbeat && len(reports) > 0; enough && !z.frozen && len(names) > 1 {
+	// the reports of a leader that has just begun, or that none reach, say nothing yet
+	informed := now-z.leadingSince > 2*z.heartbeat && len(reports) > 0
+	if informed && !z.frozen && len(names) > 1 {
 		z.stepTrackers(now, next, names)
 		z.stepFlows(now, next, names, reports)
 		z.planMoves(next, reports)
 	}
 	next.sort()
-	// a plan that some took keeps this one from being confirmed
-	lapsing := now-z.confirmedAt > 4*z.heartbeat && !math.IsInf(z.confirmedAt, -1)
-	if !next.equivalent(z.plan) || lapsing {
-		if withMajority(z.fleet.Partition) {
-			z.propose(now, next)
-		}
-	}
+	return next
 }
 
-// votersIncomplete says that a voter is gone, or that more could be had.
-func (z *Coordinator) votersIncomplete() bool {
-	want := min(z.options.Voters, len(z.fleet.Alive))
-	if len(z.plan.Voters) < want-1+want%2 {
-		return true
+// zonesAlive are the zones of which a driver is alive.
+func (z *Coordinator) zonesAlive() map[string]bool {
+	alive := map[string]bool{}
+	for _, peer := range z.fleet.Alive {
+		alive[peer.Zone] = true
 	}
-	for _, v := range z.plan.Voters {
-		if !z.fleet.isAlive(v) {
-			return true
-		}
-	}
-	return false
+	return alive
 }
 
-// stepZones lets each zone's state go on.
-func (z *Coordinator) stepTrackers(now float64, p *Plan, names []string) {
-	returning := false
-	for _, n := range names {
-		if c := z.trackers[n]; c == nil {
-			z.trackers[n] = &tracker{Zone: z.plan.zone(n), since: now, healthySince: now}
-		} else if c.State == Recovering {
-			returning = true
+// stepTrackers advances each zone's state.
+func (z *Coordinator) stepTrackers(now float64, next *Plan, names []string) {
+	recovering := false
+	for _, name := range names {
+		if t := z.trackers[name]; t == nil {
+			z.trackers[name] = newTracker(now, z.plan.zone(name))
+		} else if t.State == Recovering {
+			recovering = true
 		}
 	}
-	p.Zones, p.Partitions = nil, z.assessment.Partitions
-	for _, n := range names {
-		c := z.trackers[n]
-		cause := z.assessment.Causes[n]
-		if slices.Contains(z.assessment.Unobserved, n) { // nobody says anything: it stays what it is
-			cause = c.Cause
-		}
-		_, ordered := z.evacuations[n]
-		before := c.State
-		c.step(now, z.options.Timing, cause, ordered, !returning)
-		if c.State == Recovering {
-			returning = true
-		}
-		if c.State != before {
-			z.emit("zone", n, fmt.Sprintf("%s, was %s %s", c.State, before, c.Cause))
-		}
-		shown := c.Zone
-		shown.Capacity = math.Round(shown.Capacity*4) / 4
-		p.Zones = append(p.Zones, shown)
+	next.Zones, next.Partitions = nil, z.assessment.Partitions
+	for _, name := range names {
+		t := z.trackers[name]
+		z.stepTracker(now, t, !recovering)
+		recovering = recovering || t.State == Recovering
+		planned := t.Zone
+		planned.Capacity = math.Round(planned.Capacity*4) / 4
+		next.Zones = append(next.Zones, planned)
+	}
+}
+
+// stepTracker advances one zone's state by its cause; a zone that nobody reports on keeps the one it had.
+func (z *Coordinator) stepTracker(now float64, t *tracker, mayRecover bool) {
+	cause := z.assessment.Causes[t.Name]
+	if slices.Contains(z.assessment.Unobserved, t.Name) {
+		cause = t.Cause
+	}
+	_, evacuated := z.evacuations[t.Name]
+	before := t.State
+	t.step(now, z.options.Timing, cause, evacuated, mayRecover)
+	if t.State != before {
+		z.emit("zone", t.Name, fmt.Sprintf("%s, was %s %s", t.State, before, t.Cause))
 	}
 }
--- a/internal/fleet/zones/messages.go
+++ b/internal/fleet/zones/messages.go
@@ -1,6 +1,6 @@
 package zones
 
-// This file owns what drivers send each other about plans, and what membership tells of drivers.
+// This file owns what drivers send each other about plans, and what membership knows of drivers.
 
 import (
 	"slices"
@@ -10,44 +10,62 @@
 	"weirwind/internal/fleet/paxos"
 )
 
-// MessageKind of a message between drivers.
+// MessageKind is the kind of a message between drivers.
 type MessageKind uint8
 
-// The kinds of messages: the agreement on a plan (Paxos), the first plan, its leases, reports and orders.
+// The kinds of messages. From Prepare to Reject, Confirm and Confirmed, Message.Epoch and Sum name the plan that the
+// sender takes for the newest one, the voters of which decide.
 const (
-	Prepare      MessageKind = iota + 1 // of a ballot for the plan behind Base
-	Promise                             // no lower one is taken; what was taken last comes with it
-	Accept                              // this plan
-	Accepted                            // it is taken
-	Reject                              // a higher ballot was promised
-	Bootstrap                           // this first plan, to all of the roster
-	Bootstrapped                        // the sender agrees
-	Confirm                             // is this plan still the newest taken?
-	Confirmed                           // it is
-	Decided                             // here is the newest decided; also the answer to who holds an older one
-	ReportState                         // a report
-	// ReportAnswer answers it: what the sender holds, and since when that is certainly the newest.
-	ReportReply
-	ForwardCommand // an order of operators, passed on to who leads
+	Prepare        MessageKind = iota + 1 // phase 1a of Paxos for the plan's successor
+	Promise                               // phase 1b, with what the sender accepted last, if anything
+	Accept                                // phase 2a, with the successor
+	Accepted                              // phase 2b
+	Reject                                // a higher ballot was promised; or, by Nonce, the sender lacks the plan named
+	Bootstrap                             // a first plan, to all of the roster
+	Bootstrapped                          // the sender accepted that first plan
+	Confirm                               // asks whether the plan is still the newest accepted
+	Confirmed                             // it is
+	Decided                               // the newest decided plan; also the answer to a sender that holds an older one
+	ReportState                           // a Report, to the voters
+	ReportReply                           // answers it with the sender's Summary
+	ForwardCommand                        // a command of operators, forwarded to the voters for the leader among them
 )
 
-// Message goes between two drivers.
+// nonceWantsPlan is the nonce of a Reject that asks for the plan that it names.
+const nonceWantsPlan = 1
+
+// Message goes from one driver to another.
 type Message struct {
-	Kind MessageKind `cbor:"1,keyasint"`
-	// of the plan in question; in Prepare to Refuse of the one before
-	Epoch    uint64       `cbor:"2,keyasint,omitempty"`
-	Sum      uint64       `cbor:"3,keyasint,omitempty"` // and its sum
-	Ballot   paxos.Ballot `cbor:"4,keyasint"`
-	Accepted paxos.Ballot `cbor:"5,keyasint"`
+	Kind     MessageKind  `cbor:"1,keyasint"`
+	Epoch    uint64       `cbor:"2,keyasint,omitempty"` // of the plan in question
+	Sum      uint64       `cbor:"3,keyasint,omitempty"` // and its checksum
+	Ballot   paxos.Ballot `cbor:"4,keyasint"`           // that is asked about or answered; in Reject the one promised
+	Accepted paxos.Ballot `cbor:"5,keyasint"`           // in Promise: of Plan, where there is one
 	Plan     *Plan        `cbor:"6,keyasint,omitempty"`
-	Nonce    uint64       `cbor:"7,keyasint,omitempty"`
-	Roster   uint64       `cbor:"8,keyasint,omitempty"`
+	Nonce    uint64       `cbor:"7,keyasint,omitempty"` // of a Confirm and its answer
+	Roster   uint64       `cbor:"8,keyasint,omitempty"` // version of the roster that a first plan is for
 	Report   *Report      `cbor:"9,keyasint,omitempty"`
 	Command  *Command     `cbor:"10,keyasint,omitempty"`
 	Summary  *Summary     `cbor:"11,keyasint,omitempty"`
 }
 
-// Envelope is a message that is to go to a driver.
+// isRequest says whether a message asks voters for an answer.
+func (m *Message) isRequest() bool { return m.Kind == Prepare || m.Kind == Accept || m.Kind == Confirm }
+
+// answer makes an answer about the same plan.
+func (m *Message) answer(kind MessageKind) Message {
+	return Message{Kind: kind, Epoch: m.Epoch, Sum: m.Sum}
+}
+
+// Summary is what peers tell each other of plans along with other gossip.
+type Summary struct {
+	Epoch uint64  `cbor:"1,keyasint"`
+	Sum   uint64  `cbor:"2,keyasint"`
+	Age   float64 `cbor:"3,keyasint"` // milliseconds since the plan was certainly the newest; negative: not known
+	Plan  *Plan   `cbor:"4,keyasint,omitempty"`
+}
+
+// Envelope is a message with the name of the driver that it is for.
 type Envelope struct {
 	To      string
 	Message Message
@@ -61,20 +79,20 @@
 // Peer is a living driver.
 type Peer struct{ Name, Zone string }
 
-// Fleet is what membership tells, at the moment.
+// Fleet is what membership knows at the moment.
 type Fleet struct {
 	Partition     membership.PartitionStatus
-	RosterVersion uint64   // version
-	Roster        []string // of the roster, sorted
-	Alive         []Peer   // by name, this driver among them
+	RosterVersion uint64
+	Roster        []string // names, sorted
+	Alive         []Peer   // sorted by name, this driver among them
 	Zones         []string // of which a driver was ever known, sorted
 }
 
-// complete says that all of the roster live, as far as is seen here. Some may be suspected: among many there always is
-// one.
+// complete says whether all of the roster are alive, as seen from here. Some may be suspected: in a large fleet there
+// always is one.
 func (f *Fleet) complete() bool {
 	return withMajority(f.Partition) && len(f.Roster) > 0 &&
-		!slices.ContainsFunc(f.Roster, func(n string) bool { return !f.isAlive(n) })
+		!slices.ContainsFunc(f.Roster, func(name string) bool { return !f.isAlive(name) })
 }
 
 func (f *Fleet) isAlive(name string) bool {
--- a/internal/fleet/zones/plan_test.go
+++ b/internal/fleet/zones/plan_test.go
@@ -133,10 +133,10 @@
 	f := &tollController{zone: "a", tolls: map[string]float64{"a": 1, "b": 0, "c": 0.3}}
 	p := &Plan{Zones: []Zone{{Name: "a", Capacity: 1}, {Name: "b", Capacity: 1}, {Name: "c", State: Ejected}},
 		Flows: []Flow{{"a", "b", 0.5}}}
-	if got := f.effective(p, []string{"a", "b", "c"}, true); got["a"] != 1 || got["b"] != 0 || got["c"] != shutToll {
+	if got := f.effective(p, []string{"a", "b", "c"}, true); got["a"] != 1 || got["b"] != 0 || got["c"] != avoidToll {
 		t.Errorf("in force: %v", got)
 	}
-	if got := f.effective(p, []string{"a", "b", "c"}, false); got["a"] != 0 || got["b"] != farToll || got["c"] != shutToll {
+	if got := f.effective(p, []string{"a", "b", "c"}, false); got["a"] != 0 || got["b"] != defaultToll || got["c"] != avoidToll {
 		t.Errorf("without: no zone is filled, and what was away is still avoided: %v", got)
 	}
 	if got := f.effective(&Plan{}, []string{"a", "b"}, false); got != nil {
--- a/internal/fleet/zones/primaries.go
+++ b/internal/fleet/zones/primaries.go
@@ -8,78 +8,88 @@
 	"slices"
 )
 
-// planMoves asks for primaries out of zones that are to be empty. Where most zones see one elsewhere it has moved.
-func (z *Coordinator) planMoves(p *Plan, reports []Report) {
-	p.Moves = nil
-	for group, home := range primaryZones(reports) {
-		if st := p.zone(home); st.State != Draining && st.State != Ejected {
+// planMoves asks for primaries out of zones that are to be empty. A move is over once most reports see the primary
+// elsewhere.
+func (z *Coordinator) planMoves(next *Plan, reports []Report) {
+	next.Moves = nil
+	for group, from := range primaryZones(reports) {
+		if state := next.zone(from).State; state != Draining && state != Ejected {
 			continue
 		}
-		to, best := "", -1.0
-		for _, s := range p.Zones {
-			if room := z.suitability(s, p, home); s.State == Serving && room > best {
-				to, best = s.Name, room
-			}
-		}
-		asked := slices.IndexFunc(z.plan.Moves, func(m Move) bool { return m.Group == group && m.From == home })
-		if asked >= 0 && p.zone(z.plan.Moves[asked].To).State == Serving {
-			to = z.plan.Moves[asked].To
+		if to := z.moveTarget(next, group, from); to != "" && len(next.Moves) < maxMoves {
+			next.Moves = append(next.Moves, Move{group, from, to})
 		}
-		if to != "" && len(p.Moves) < maxMoves {
-			p.Moves = append(p.Moves, Move{group, home, to})
+	}
+}
+
+// moveTarget is the zone to which a primary should move: the one of the move that is under way while that one serves,
+// else the most suitable; empty where there is none.
+func (z *Coordinator) moveTarget(next *Plan, group int64, from string) (to string) {
+	i := slices.IndexFunc(z.plan.Moves, func(m Move) bool { return m.Group == group && m.From == from })
+	if i >= 0 && next.zone(z.plan.Moves[i].To).State == Serving {
+		return z.plan.Moves[i].To
+	}
+	best := -1.0
+	for _, zone := range next.Zones {
+		if score := z.suitability(zone.Name, next, from); zone.State == Serving && score > best {
+			to, best = zone.Name, score
 		}
 	}
+	return to
 }
 
 // primaryZones are the zones in which most reports see each group's primary. Groups without a majority are left out.
 func primaryZones(reports []Report) map[int64]string {
 	votes := map[int64]map[string]int{}
 	for _, r := range reports {
-		for _, h := range r.Primaries {
-			if votes[h.Group] == nil {
-				votes[h.Group] = map[string]int{}
+		for _, primary := range r.Primaries {
+			if votes[primary.Group] == nil {
+				votes[primary.Group] = map[string]int{}
 			}
-			votes[h.Group][h.Zone]++
+			votes[primary.Group][primary.Zone]++
 		}
 	}
-	homes := map[int64]string{}
+	located := map[int64]string{}
 	for group, byZone := range votes {
-		home, most, all := "", 0, 0
+		total := 0
+		for _, n := range byZone {
+			total += n
+		}
 		for zone, n := range byZone {
-			if all += n; n > most || n == most && zone < home {
-				home, most = zone, n
+			if 2*n > total {
+				located[group] = zone
 			}
 		}
-		if 2*most > all {
-			homes[group] = home
-		}
 	}
-	return homes
+	return located
 }
 
-// suitability is how well a zone would do for a primary: reached by all, of the same region, with members.
-func (z *Coordinator) suitability(s Zone, p *Plan, from string) float64 {
-	room := 0.0
-	for _, o := range p.Zones {
-		if o.State == Serving && p.partitioned(o.Name, s.Name) {
-			room -= 10
+// suitability scores a zone for a primary that leaves another: reached by all serving zones, in the same region, with
+// members. Below -1 it is out of the question.
+func (z *Coordinator) suitability(zone string, plan *Plan, from string) float64 {
+	score := 0.0
+	for _, other := range plan.Zones {
+		if other.State == Serving && plan.partitioned(other.Name, zone) {
+			score -= 10
 		}
 	}
-	if z.regionOf[s.Name] == z.regionOf[from] {
-		room += 2
+	if z.regionOf[zone] == z.regionOf[from] {
+		score += 2
 	}
-	for _, r := range z.observations {
-		if r.Zone == s.Name {
-			room += min(float64(r.Members-r.Unreachable), 100) / 100
-			if r.Members == 0 { // a witness
-				room = math.Inf(-1)
-			}
+	for _, o := range z.observations {
+		if o.Zone != zone {
+			continue
+		}
+		score += min(float64(o.Members-o.Unreachable), 100) / 100
+		if o.Members == 0 { // a witness: drivers without members
+			score = math.Inf(-1)
 		}
 	}
-	return room
+	return score
 }
 
-// DueMoves are the moves of primaries that this driver is to ask the topology manager for, and the plan's epoch.
+// DueMoves are the moves of primaries that this driver is to ask the topology manager for, and the plan's epoch; none
+// unless it leads and Allowed permits MovePrimary.
 func (z *Coordinator) DueMoves(now float64) ([]Move, uint64) {
 	if z.trackers == nil || !Allowed(z.fleet.Partition, z.inForce(now), MovePrimary) {
 		return nil, 0
--- a/internal/fleet/zones/status.go
+++ b/internal/fleet/zones/status.go
@@ -16,7 +16,8 @@
 	BindingConstraints []string   `json:"binds"`
 }
 
-// Simulate tells what would be planned were a zone away, by the reports that who leads has; empty: as it is.
+// Simulate gives what would be planned were a zone without capacity, by the reports that the leader has; with an empty
+// name, as it is. Errors: ErrNoPlan, ErrNotLeader, ErrUnknownZone.
 func (z *Coordinator) Simulate(now float64, zone string) (Preview, error) {
 	switch {
 	case z.plan == nil:
@@ -33,12 +34,12 @@
 			p.Zones[i].Capacity = 0
 		}
 	}
-	v := Preview{Zones: z.zoneLoads(&p, z.zoneNames(), z.recentReports(now))}
-	v.Flows, v.BindingConstraints = solveFlows(v.Zones, z.options.Limits, func(from, to string) bool { return !p.partitioned(from, to) })
-	return v, nil
+	preview := Preview{Zones: z.zoneLoads(&p, z.zoneNames(), z.recentReports(now))}
+	preview.Flows, preview.BindingConstraints = solveFlows(preview.Zones, z.options.Limits, p.reaches)
+	return preview, nil
 }
 
-// Status is what operators are shown.
+// Status is what operators are shown of one driver.
 type Status struct {
 	Self         string             `json:"self"`
 	Zone         string             `json:"zone"`
@@ -49,21 +50,30 @@
 	Plan         *Plan              `json:"plan"`
 	Tolls        map[string]float64 `json:"tolls,omitempty"`
 	Observations []Observation      `json:"sights"`
-	Causes       map[string]Cause   `json:"causes,omitempty"` // as the leader judges
-	Votes        string             `json:"votes,omitempty"`  // promised and taken, where a next plan is voted on
+	Causes       map[string]Cause   `json:"causes,omitempty"` // by zone, at the leader
+	Votes        string             `json:"votes,omitempty"`  // while the plan's successor is voted on: state of that
 	CrossZone    []CrossZoneTraffic `json:"crossings,omitempty"`
 }
 
-// Status gives the view as it is now.
+// Status gives the view as it is now. CrossZone is left to the owner of the counts.
 func (z *Coordinator) Status(now float64) Status {
-	s := Status{Self: z.self.Name, Zone: z.self.Zone, Leader: z.leading && z.plan != nil, InForce: z.inForce(now),
-		Age: -1, Lease: z.lease, Plan: z.plan,
-		Tolls: z.appliedTolls, Observations: z.observations}
-	if a := z.age(now); !math.IsInf(a, 1) {
-		s.Age = a
+	s := Status{
+		Self:         z.self.Name,
+		Zone:         z.self.Zone,
+		Leader:       z.leading && z.plan != nil,
+		InForce:      z.inForce(now),
+		Age:          -1,
+		Lease:        z.lease,
+		Plan:         z.plan,
+		Tolls:        z.appliedTolls,
+		Observations: z.observations,
+	}
+	if age := z.age(now); !math.IsInf(age, 1) {
+		s.Age = age
 	}
 	if z.acceptor.Promised.Number > 0 || z.proposal != nil {
-		s.Votes = fmt.Sprintf("promised %v, taken %v, leads a round: %v", z.acceptor.Promised, z.acceptor.Accepted, z.proposal != nil)
+		s.Votes = fmt.Sprintf("promised %v, taken %v, leads a round: %v",
+			z.acceptor.Promised, z.acceptor.Accepted, z.proposal != nil)
 	}
 	if s.Leader {
 		s.Causes = z.assessment.Causes
@@ -71,21 +81,22 @@
 	return s
 }
 
-func describe(p *Plan) string {
-	text := fmt.Sprintf("epoch %d, voters %s", p.Epoch, strings.Join(p.Voters, ","))
-	for _, z := range p.Zones {
-		if z.State != Serving || z.Cause != NoCause {
-			text += fmt.Sprintf("; %s %s %s", z.Name, z.State, z.Cause)
+// describe is a plan in one line, for the log.
+func describe(plan *Plan) string {
+	text := fmt.Sprintf("epoch %d, voters %s", plan.Epoch, strings.Join(plan.Voters, ","))
+	for _, zone := range plan.Zones {
+		if zone.State != Serving || zone.Cause != NoCause {
+			text += fmt.Sprintf("; %s %s %s", zone.Name, zone.State, zone.Cause)
 		}
 	}
-	for _, c := range p.Partitions {
-		text += fmt.Sprintf("; %s does not reach %s", c.From, c.To)
+	for _, cut := range plan.Partitions {
+		text += fmt.Sprintf("; %s does not reach %s", cut.From, cut.To)
 	}
-	for _, f := range p.Flows {
-		text += fmt.Sprintf("; %s to %s %.0f%%", f.From, f.To, 100*f.Share)
+	for _, flow := range plan.Flows {
+		text += fmt.Sprintf("; %s to %s %.0f%%", flow.From, flow.To, 100*flow.Share)
 	}
-	for _, m := range p.Moves {
-		text += fmt.Sprintf("; primary of %d to %s", m.Group, m.To)
+	for _, move := range plan.Moves {
+		text += fmt.Sprintf("; primary of %d to %s", move.Group, move.To)
 	}
 	return text
 }
--- a/internal/fleet/zones/town_test.go
+++ b/internal/fleet/zones/town_test.go
@@ -84,7 +84,7 @@
 	d.life++
 	d.z, d.frozen, d.wait = New(t.Now, r, Peer{d.name, d.zone}, uint64(t.Now)), 0, nil
 	if !t.keeps && d.life > 1 {
-		d.z.voteAfter = t.Now + forgottenVote*d.z.heartbeat
+		d.z.voteAfter = t.Now + abstainHeartbeats*d.z.heartbeat
 	}
 	life := d.life
 	var tick, gossip func()
