--- a/internal/driver/datagrams.go
+++ b/internal/driver/datagrams.go
@@ -1,8 +1,5 @@
 package driver
 
-// This file owns the UDP socket between drivers. It must never send more than 256 bytes, take anything from an
-// address that is no peer's, or wait for a peer.
-
 import (
 	"context"
 	"net"
@@ -14,28 +11,39 @@
 	"weirwind/logic"
 )
 
+const outgoingDatagrams = 64
+
+// datagrams is the UDP socket by which the decision modules of drivers exchange messages. It never waits for a peer, and
+// takes nothing from an address that is no peer's.
 type datagrams struct {
-	conn            *net.UDPConn
-	configuredPeers map[netip.AddrPort]bool                   // the other drivers
-	registryPeers   atomic.Pointer[map[netip.AddrPort]string] // those a registry names instead, sent to one by one
-	onMessage       func(netip.AddrPort)                      // of those; nil where nobody wants to know
-	broadcast       netip.AddrPort
-	outgoing        chan []byte
-	counters        *counters
+	conn            *net.UDPConn            // nil where there are no peers
+	configuredPeers map[netip.AddrPort]bool // the other drivers; never changes
+	broadcast       netip.AddrPort          // reaches all of them; may be invalid
+	// registryPeers are those that the registry lists, which replace the configured ones and are sent to one by one;
+	// nil until then.
+	registryPeers atomic.Pointer[map[netip.AddrPort]string]
+	onMessage     func(netip.AddrPort) // called for each message of a peer; may be nil
+	outgoing      chan []byte
+	counters      *counters
 }
 
-// newDatagrams opens the socket; without an address to listen at there are no peers.
-func newDatagrams(a *Assignment, own int, registered bool, count *counters) (*datagrams, error) {
-	p := &datagrams{configuredPeers: map[netip.AddrPort]bool{}, outgoing: make(chan []byte, 64), counters: count}
+// newDatagrams opens the socket, unless there is no address to listen at or nobody to send to. own is this driver's
+// index among Peers; registered says that peers are in the registry.
+func newDatagrams(a *Assignment, own int, registered bool, counters *counters) (*datagrams, error) {
+	d := &datagrams{
+		configuredPeers: map[netip.AddrPort]bool{},
+		outgoing:        make(chan []byte, outgoingDatagrams),
+		counters:        counters,
+	}
 	if a.PeerListen == "" || a.PeersAll == "" && !registered {
-		return p, nil
+		return d, nil
 	}
 	listen, err := netip.ParseAddrPort(a.PeerListen)
 	if err != nil {
 		return nil, err
 	}
 	if a.PeersAll != "" {
-		if p.broadcast, err = netip.ParseAddrPort(a.PeersAll); err != nil {
+		if d.broadcast, err = netip.ParseAddrPort(a.PeersAll); err != nil {
 			return nil, err
 		}
 	}
@@ -45,81 +53,82 @@
 			return nil, err
 		}
 		if i != own {
-			p.configuredPeers[peer] = true
+			d.configuredPeers[peer] = true
 		}
 	}
-	p.conn, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(listen))
-	return p, err
+	d.conn, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(listen))
+	return d, err
 }
 
-// tell queues a message to every other driver; one that can't go out soon is lost, as on the network.
-func (p *datagrams) send(data []byte) {
-	if p.conn == nil || len(data) > opening.MaxMessageBytes {
-		p.counters.MessagesLost.Add(1)
+// send queues a message to every other driver; one that can't go out soon is lost, as on the network.
+func (d *datagrams) send(data []byte) {
+	if d.conn == nil || len(data) > opening.MaxMessageBytes {
+		d.counters.MessagesLost.Add(1)
 		return
 	}
 	select {
-	case p.outgoing <- data:
+	case d.outgoing <- data:
 	default:
-		p.counters.MessagesLost.Add(1)
+		d.counters.MessagesLost.Add(1)
 	}
 }
 
-func (p *datagrams) writeLoop(ctx context.Context) {
+// writeLoop sends what is queued until the context ends.
+func (d *datagrams) writeLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case data := <-p.outgoing:
-			if met := p.registryPeers.Load(); met != nil {
-				for to := range *met {
-					p.sendTo(data, to)
+		case data := <-d.outgoing:
+			if peers := d.registryPeers.Load(); peers != nil {
+				for to := range *peers {
+					d.sendTo(data, to)
 				}
-			} else if p.broadcast.IsValid() {
-				p.sendTo(data, p.broadcast)
+			} else if d.broadcast.IsValid() {
+				d.sendTo(data, d.broadcast)
 			}
 		}
 	}
 }
 
-func (p *datagrams) sendTo(data []byte, to netip.AddrPort) {
-	if _, err := p.conn.WriteToUDPAddrPort(data, to); err != nil {
-		p.counters.MessagesLost.Add(1)
+func (d *datagrams) sendTo(data []byte, to netip.AddrPort) {
+	if _, err := d.conn.WriteToUDPAddrPort(data, to); err != nil {
+		d.counters.MessagesLost.Add(1)
 	} else {
-		p.counters.MessagesOut.Add(1)
+		d.counters.MessagesOut.Add(1)
 	}
 }
 
-// meet takes the peers that a registry names.
-func (p *datagrams) setRegistryPeers(names map[netip.AddrPort]string) { p.registryPeers.Store(&names) }
+// setRegistryPeers takes the peers that the registry lists, with their names.
+func (d *datagrams) setRegistryPeers(names map[netip.AddrPort]string) { d.registryPeers.Store(&names) }
 
-// knows says whether an address is a peer's.
-func (p *datagrams) isPeer(from netip.AddrPort) bool {
-	if met := p.registryPeers.Load(); met != nil {
-		return (*met)[from] != ""
+func (d *datagrams) isPeer(from netip.AddrPort) bool {
+	if peers := d.registryPeers.Load(); peers != nil {
+		return (*peers)[from] != ""
 	}
-	return p.configuredPeers[from]
+	return d.configuredPeers[from]
 }
 
-func (p *datagrams) readLoop(ctx context.Context, decider *decider) {
-	stop := context.AfterFunc(ctx, func() { p.conn.Close() })
+// readLoop gives peers' messages to the decider until the context ends, which closes the socket.
+func (d *datagrams) readLoop(ctx context.Context, decider *decider) {
+	stop := context.AfterFunc(ctx, func() { d.conn.Close() })
 	defer stop()
-	buf := make([]byte, opening.MaxMessageBytes+1)
+	buf := make([]byte, opening.MaxMessageBytes+1) // one byte more, to tell messages that are too long
 	for ctx.Err() == nil {
-		n, from, err := p.conn.ReadFromUDPAddrPort(buf)
+		n, from, err := d.conn.ReadFromUDPAddrPort(buf)
 		switch {
 		case err != nil:
 			select { // an error of one datagram, such as a peer that does not listen
 			case <-ctx.Done():
 			case <-time.After(time.Millisecond):
 			}
-		case n > opening.MaxMessageBytes || !p.isPeer(netip.AddrPortFrom(from.Addr().Unmap(), from.Port())):
-			p.counters.MessagesBad.Add(1)
+		case n > opening.MaxMessageBytes || !d.isPeer(netip.AddrPortFrom(from.Addr().Unmap(), from.Port())):
+			d.counters.MessagesBad.Add(1)
 		default:
-			if p.onMessage != nil {
-				p.onMessage(netip.AddrPortFrom(from.Addr().Unmap(), from.Port()))
+			if d.onMessage != nil {
+				d.onMessage(netip.AddrPortFrom(from.Addr().Unmap(), from.Port()))
 			}
-			p.counters.MessagesIn.Add(1)
+			d.counters.MessagesIn.Add(1)
 			decider.step(logic.Event{Kind: logic.EvMessage, Data: append([]byte(nil), buf[:n]...)})
 		}
 	}
--- a/internal/driver/fleet.go
+++ b/internal/driver/fleet.go
@@ -123,7 +123,7 @@
 	revision, entries := v.membership()
 	var draining []roster.Entry
 	for _, e := range entries {
-		if e := toRoster(toDiscovery(e)); e.Phase != roster.PhaseUp {
+		if e := toRoster(fromLearned(e)); e.Phase != roster.PhaseUp {
 			draining = append(draining, e)
 		}
 	}
--- a/internal/driver/reload.go
+++ b/internal/driver/reload.go
@@ -1,7 +1,5 @@
 package driver
 
-// This file owns what a reload of the configuration changes in a driver that runs, and the move to another discovery.
-
 import (
 	"bytes"
 	"slices"
@@ -10,13 +8,13 @@
 	"weirwind/internal/operator"
 )
 
-// Reload takes up a configuration that has replaced the one in use. Of its values only the address of discovery
-// is one that a running driver changes; a file that makes no sense changes nothing. The operators' file goes with
-// it: the log's level, and how often and how much state is saved.
+// Reload takes a configuration that has replaced the one in use, or the error of reading it. Of its values a running
+// driver changes only the address of discovery; an invalid file changes nothing. Of the operators' file it takes the
+// log's level, how often and how much state is saved, and the mesh's seeds and period.
 func (v *Service) Reload(text []byte, err error, o operator.File) {
-	var f configuration
+	var c configuration
 	if err == nil {
-		f, err = parseConfiguration(text)
+		c, err = parseConfiguration(text)
 	}
 	if err != nil {
 		v.counters.ReloadsFailed.Add(1)
@@ -29,25 +27,22 @@
 	}
 	v.fleet.reconfigure(o.Membership)
 	v.discoveryMu.Lock()
-	from, kept := v.config.Discovery, v.config.changedValues(f)
-	if v.config.Discovery = f.Discovery; from != f.Discovery {
-		if v.newDiscovery = f.Discovery; v.cancelDiscoveryCall != nil {
-			v.cancelDiscoveryCall()
-		}
-		v.requestList()
+	before, kept := v.config.Discovery, v.config.changedValues(c)
+	if v.config.Discovery = c.Discovery; before != c.Discovery {
+		v.moveDiscovery(c.Discovery)
 	}
 	v.discoveryMu.Unlock()
-	v.log.Info("reloaded", "discovery", f.Discovery, "before", from, "kept", strings.Join(kept, ","))
+	v.log.Info("reloaded", "discovery", c.Discovery, "before", before, "kept", strings.Join(kept, ","))
 	v.level.Set(o.Log.Level)
 }
 
-// differs names the values that another file has otherwise and that stay as they were up to a restart.
-func (f *configuration) changedValues(other configuration) (changed []string) {
+// changedValues names the values that another file changes and that stay as they are until a restart.
+func (c *configuration) changedValues(other configuration) (changed []string) {
 	for name, value := range other.values {
 		switch name {
-		case "discovery", "known", "seed": // the list is discovery's to tell, and the seed is new with each start
+		case "discovery", "known", "seed": // discovery announces the list, and each start has another seed
 		default:
-			if !bytes.Equal(value, f.values[name]) {
+			if !bytes.Equal(value, c.values[name]) {
 				changed = append(changed, name)
 			}
 		}
@@ -55,22 +50,3 @@
 	slices.Sort(changed)
 	return changed
 }
-
-// move makes discovery's calls go to where it has moved, and leave end the call that is to come.
-func (v *Service) takeMove(leave func()) (moved bool) {
-	v.discoveryMu.Lock()
-	defer v.discoveryMu.Unlock()
-	if v.cancelDiscoveryCall = leave; v.newDiscovery == "" {
-		return false
-	}
-	v.discovery.Close()
-	v.discovery.Address, v.newDiscovery = v.newDiscovery, ""
-	return true
-}
-
-// moves says whether the call that is out has become moot.
-func (v *Service) movePending() bool {
-	v.discoveryMu.Lock()
-	defer v.discoveryMu.Unlock()
-	return v.newDiscovery != ""
-}
--- a/internal/driver/state.go
+++ b/internal/driver/state_saver.go
@@ -138,7 +138,7 @@
 	if belief.FromSaved {
 		known = discovery.Response{Revision: belief.Membership.Revision, Complete: true}
 		for _, e := range belief.Membership.Entries {
-			known.Members = append(known.Members, toDiscovery(e))
+			known.Members = append(known.Members, fromLearned(e))
 		}
 	}
 	k.table = learned.NewTable(rules, r.state, now)
@@ -156,17 +156,6 @@
 		"dropped", strings.Join(belief.Discarded, "; "), "took_us", time.Since(began).Microseconds())
 }
 
-func toLearned(e discovery.Entry) learned.Entry {
-	return learned.Entry{ID: e.ID, Address: e.Address, Zone: e.Zone, Group: e.Group, Phase: e.Phase, Access: e.Access,
-		StartedAt: e.StartedAt}
-}
-
-func toDiscovery(e learned.Entry) discovery.Entry {
-	return discovery.Entry{ID: e.ID, Address: e.Address, Zone: e.Zone, Group: e.Group, Phase: e.Phase,
-		Access:    e.Access,
-		StartedAt: e.StartedAt}
-}
-
 // list notes that the list has changed, or its revision, and wakes the saver; it waits for nothing.
 func (k *stateSaver) noteMembership(revision int64, changed bool) {
 	k.mu.Lock()
