--- /dev/null
+++ b/internal/control/client.go
@@ -0,0 +1,81 @@
+package control
+
+// This file owns the client's way over HTTP.
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"time"
+)
+
+const (
+	clientIdleTimeout = 5 * time.Second
+	maxResponseBytes  = 64 << 20
+)
+
+// Client calls one driver. The address is the path of a Unix socket, with a slash in it, or host:port.
+type Client struct {
+	Address, Token string
+	http           http.Client
+}
+
+// NewClient returns a client, which keeps a connection between calls.
+func NewClient(address, token string) *Client {
+	network := "tcp"
+	if strings.Contains(address, "/") {
+		network = "unix"
+	}
+	transport := &http.Transport{
+		MaxIdleConns:    1,
+		IdleConnTimeout: clientIdleTimeout,
+		DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
+			return (&net.Dialer{Timeout: callTimeout}).DialContext(ctx, network, address)
+		},
+	}
+	return &Client{
+		Address: address,
+		Token:   token,
+		http:    http.Client{Timeout: callTimeout, Transport: transport},
+	}
+}
+
+// Close closes idle connections.
+func (c *Client) Close() { c.http.CloseIdleConnections() }
+
+// call makes one call. A response of any status but OK is an error with its body's text; result may be nil.
+func (c *Client) call(ctx context.Context, method, path string, body, result any) error {
+	var content bytes.Buffer
+	if body != nil {
+		if err := json.NewEncoder(&content).Encode(body); err != nil {
+			return err
+		}
+	}
+	r, err := http.NewRequestWithContext(ctx, method, "http://driver"+path, &content)
+	if err != nil {
+		return err
+	}
+	if c.Token != "" {
+		r.Header.Set("Authorization", "Bearer "+c.Token)
+	}
+	response, err := c.http.Do(r)
+	if err != nil {
+		return err
+	}
+	defer response.Body.Close()
+	text, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
+	switch {
+	case err != nil:
+		return err
+	case response.StatusCode != http.StatusOK:
+		return fmt.Errorf("%s: %s", response.Status, strings.TrimSpace(string(text)))
+	case result == nil:
+		return nil
+	}
+	return json.Unmarshal(text, result)
+}
--- /dev/null
+++ b/internal/control/membership.go
@@ -0,0 +1,88 @@
+package control
+
+// This file owns calls on membership. They are served on the Unix socket alone.
+
+import (
+	"context"
+	"net/http"
+	"time"
+
+	"weirwind/internal/fleet/membership"
+	"weirwind/internal/fleet/mesh"
+)
+
+// Membership is a driver's view of its peers. Its methods may be called from several goroutines.
+type Membership interface {
+	Status() membership.Status
+	Leave()
+	Forget(name string, certain bool) error
+	Compare(context.Context) []mesh.Compared
+}
+
+// membershipProvider is what a Switcher also is where drivers may know each other; Membership is nil while they do not.
+type membershipProvider interface{ Membership() Membership }
+
+// ForgetRequest names a driver that has failed for good.
+type ForgetRequest struct {
+	Name    string `json:"name"`
+	Certain bool   `json:"certain"` // the operators made sure that it does not run
+}
+
+// withMembership serves a call on membership, where there is one.
+func withMembership(s Switcher, call func(http.ResponseWriter, *http.Request, Membership) error) http.HandlerFunc {
+	return fleetStatuses.serve(func(w http.ResponseWriter, r *http.Request) error {
+		if p, ok := s.(membershipProvider); ok {
+			if m := p.Membership(); m != nil {
+				return call(w, r, m)
+			}
+		}
+		return errNoMembership
+	})
+}
+
+func handleMembership(mux *http.ServeMux, s Switcher) {
+	handle := func(pattern string, call func(http.ResponseWriter, *http.Request, Membership) error) {
+		mux.HandleFunc(pattern, withMembership(s, call))
+	}
+	handle("GET /membership", func(w http.ResponseWriter, _ *http.Request, m Membership) error {
+		writeJSON(w, m.Status())
+		return nil
+	})
+	handle("GET /membership/compare", func(w http.ResponseWriter, r *http.Request, m Membership) error {
+		_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(compareTimeout)) // every server here has one
+		writeJSON(w, m.Compare(r.Context()))
+		return nil
+	})
+	handle("POST /membership/leave", func(_ http.ResponseWriter, _ *http.Request, m Membership) error {
+		m.Leave()
+		return nil
+	})
+	handle("POST /membership/forget", func(w http.ResponseWriter, r *http.Request, m Membership) error {
+		var f ForgetRequest
+		if err := readJSON(w, r, &f); err != nil {
+			return err
+		}
+		return m.Forget(f.Name, f.Certain)
+	})
+}
+
+// Membership returns the driver's view of its peers.
+func (c *Client) Membership(ctx context.Context) (s membership.Status, err error) {
+	return s, c.call(ctx, http.MethodGet, "/membership", nil, &s)
+}
+
+// Compare returns the views of all drivers that this one knows, its own first.
+func (c *Client) Compare(ctx context.Context) (all []mesh.Compared, err error) {
+	c.http.Timeout = compareTimeout
+	return all, c.call(ctx, http.MethodGet, "/membership/compare", nil, &all)
+}
+
+// Leave has the driver leave the fleet; it goes on serving clients.
+func (c *Client) Leave(ctx context.Context) error {
+	return c.call(ctx, http.MethodPost, "/membership/leave", nil, nil)
+}
+
+// Forget has a failed driver removed from the roster.
+func (c *Client) Forget(ctx context.Context, f ForgetRequest) error {
+	return c.call(ctx, http.MethodPost, "/membership/forget", f, nil)
+}
--- /dev/null
+++ b/internal/control/server.go
@@ -0,0 +1,119 @@
+package control
+
+// This file owns the server: its limits, its token, and the form of requests and responses.
+
+import (
+	"context"
+	"crypto/subtle"
+	"encoding/json"
+	"errors"
+	"net"
+	"net/http"
+	"sync"
+	"time"
+)
+
+const (
+	callTimeout    = 2 * time.Second
+	compareTimeout = 20 * time.Second // for all peers' answers
+	idleTimeout    = 10 * time.Second
+
+	maxRequestBytes  = 64 << 10
+	maxHeaderBytes   = 8 << 10
+	maxConnections   = 32
+	maxNotifications = 256 // in one request
+)
+
+// Serve answers calls on a listener until the context ends. With a token it serves peers, who must show it; without
+// one it serves operators.
+func Serve(ctx context.Context, ln net.Listener, s Switcher, token string) error {
+	server := &http.Server{
+		Handler:        handler(s, token),
+		ReadTimeout:    callTimeout,
+		WriteTimeout:   callTimeout,
+		IdleTimeout:    idleTimeout,
+		MaxHeaderBytes: maxHeaderBytes,
+	}
+	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
+	defer stop()
+	err := server.Serve(&limitedListener{Listener: ln, slots: make(chan struct{}, maxConnections)})
+	if !errors.Is(err, http.ErrServerClosed) {
+		return err
+	}
+	return nil
+}
+
+// handler answers calls; an empty token requires none.
+func handler(s Switcher, token string) http.Handler {
+	mux := http.NewServeMux()
+	handleSwitch(mux, s)
+	if token == "" {
+		handleMembership(mux, s)
+		handleZones(mux, s)
+		return mux
+	}
+	return authenticated(mux, token)
+}
+
+// authenticated serves requests that show a token.
+func authenticated(next http.Handler, token string) http.Handler {
+	want := []byte("Bearer " + token)
+	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		if subtle.ConstantTimeCompare([]byte(r.Header.Get("Authorization")), want) != 1 {
+			http.Error(w, "the token is missing or wrong", http.StatusUnauthorized)
+			return
+		}
+		next.ServeHTTP(w, r)
+	})
+}
+
+// serve makes a handler out of a call, whose error it maps.
+func (s statuses) serve(call func(http.ResponseWriter, *http.Request) error) http.HandlerFunc {
+	return func(w http.ResponseWriter, r *http.Request) {
+		if err := call(w, r); err != nil {
+			http.Error(w, err.Error(), s.of(err))
+		}
+	}
+}
+
+// readJSON reads a request's body. Fields that are not known are errors.
+func readJSON(w http.ResponseWriter, r *http.Request, v any) error {
+	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBytes))
+	d.DisallowUnknownFields()
+	return d.Decode(v)
+}
+
+func writeJSON(w http.ResponseWriter, v any) {
+	w.Header().Set("Content-Type", "application/json")
+	_ = json.NewEncoder(w).Encode(v) // the caller may have left
+}
+
+// limitedListener accepts no more connections at a time than it has slots; others wait in the kernel's backlog.
+type limitedListener struct {
+	net.Listener
+	slots chan struct{} // holds a value for each connection that is open
+}
+
+// Accept waits for a slot, then for a connection.
+func (l *limitedListener) Accept() (net.Conn, error) {
+	l.slots <- struct{}{}
+	c, err := l.Listener.Accept()
+	if err != nil {
+		<-l.slots
+		return nil, err
+	}
+	return &limitedConn{Conn: c, release: func() { <-l.slots }}, nil
+}
+
+// limitedConn releases its slot when it is closed, once.
+type limitedConn struct {
+	net.Conn
+	release func()
+	once    sync.Once
+}
+
+// Close closes the connection.
+func (c *limitedConn) Close() error {
+	c.once.Do(c.release)
+	return c.Conn.Close()
+}
--- /dev/null
+++ b/internal/control/switch.go
@@ -0,0 +1,66 @@
+package control
+
+// This file owns calls on changes of primaries.
+
+import (
+	"context"
+	"fmt"
+	"net/http"
+
+	"weirwind/internal/switchover"
+)
+
+// Switcher takes notifications of changes of primaries. Its methods may be called from several goroutines.
+type Switcher interface {
+	// HandleHook takes a notification from a hook, and returns it complete.
+	HandleHook(switchover.Notification) (switchover.Notification, error)
+	// HandlePeer takes a notification that a peer passes on.
+	HandlePeer(switchover.Notification) error
+	Status() []switchover.ChangeStatus
+}
+
+func handleSwitch(mux *http.ServeMux, s Switcher) {
+	mux.HandleFunc("GET /switch", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.Status()) })
+	mux.HandleFunc("POST /switch", fleetStatuses.serve(func(w http.ResponseWriter, r *http.Request) error {
+		var n switchover.Notification
+		if err := readJSON(w, r, &n); err != nil {
+			return err
+		}
+		n, err := s.HandleHook(n)
+		if err == nil {
+			writeJSON(w, n)
+		}
+		return err
+	}))
+	mux.HandleFunc("POST /switch/told", fleetStatuses.serve(func(w http.ResponseWriter, r *http.Request) error {
+		var all []switchover.Notification
+		if err := readJSON(w, r, &all); err != nil {
+			return err
+		}
+		if len(all) > maxNotifications {
+			return fmt.Errorf("%d words; %d at most", len(all), maxNotifications)
+		}
+		for _, n := range all {
+			if err := s.HandlePeer(n); err != nil {
+				return err
+			}
+		}
+		return nil
+	}))
+}
+
+// NotifyHook sends a notification as a hook does, and returns it complete.
+func (c *Client) NotifyHook(ctx context.Context, n switchover.Notification) (
+	complete switchover.Notification, err error) {
+	return complete, c.call(ctx, http.MethodPost, "/switch", n, &complete)
+}
+
+// NotifyPeer sends notifications as a peer does.
+func (c *Client) NotifyPeer(ctx context.Context, all []switchover.Notification) error {
+	return c.call(ctx, http.MethodPost, "/switch/told", all, nil)
+}
+
+// Status returns the changes of primaries that the driver knows.
+func (c *Client) Status(ctx context.Context) (all []switchover.ChangeStatus, err error) {
+	return all, c.call(ctx, http.MethodGet, "/switch", nil, &all)
+}
--- a/internal/control/zones.go
+++ b/internal/control/zones.go
@@ -1,80 +1,73 @@
 package control
 
-// This file owns calls on zones: the driver's part of plans, what would be planned, and operators' orders. They are
-// answered on the Unix socket alone.
+// This file owns calls on zones. They are served on the Unix socket alone.
 
 import (
 	"context"
-	"errors"
 	"net/http"
 	"net/url"
 
 	"weirwind/internal/fleet/zones"
 )
 
-// Zoner is a driver's part in deciding on zones. Its methods may be called from several goroutines.
+// Zones is a driver's part in deciding on zones. Its methods may be called from several goroutines.
 type Zones interface {
 	Status() zones.Status
-	Preview(zone string) (zones.Preview, error)
+	// Preview returns what would be planned without a zone; empty: as it is.
+	Preview(without string) (zones.Preview, error)
 	Submit(zones.Command) error
 }
 
-// zoned is what a Switcher also is where zones are decided on in common; nil while they are not.
+// zonesProvider is what a Switcher also is where drivers may decide on zones in common; Zones is nil while they do not.
 type zonesProvider interface{ Zones() Zones }
 
-var errNoZones = errors.New("zones are not switched on in the operators' file")
-
-func zoneCalls(mux *http.ServeMux, s Switcher, answer func(http.ResponseWriter, any)) {
-	with := func(do func(http.ResponseWriter, *http.Request, Zones) error) http.HandlerFunc {
-		return func(w http.ResponseWriter, r *http.Request) {
-			err := errNoZones
-			if j, ok := s.(zonesProvider); ok {
-				if z := j.Zones(); z != nil {
-					err = do(w, r, z)
-				}
-			}
-			switch {
-			case err == nil:
-			case errors.Is(err, errNoZones), errors.Is(err, zones.ErrUnknownZone):
-				http.Error(w, err.Error(), http.StatusNotFound)
-			case errors.Is(err, zones.ErrNoPlan), errors.Is(err, zones.ErrNotInForce), errors.Is(err, zones.ErrNotLeader):
-				http.Error(w, err.Error(), http.StatusServiceUnavailable)
-			default:
-				http.Error(w, err.Error(), http.StatusBadRequest)
+// withZones serves a call on zones, where they are decided on in common.
+func withZones(s Switcher, call func(http.ResponseWriter, *http.Request, Zones) error) http.HandlerFunc {
+	return zoneStatuses.serve(func(w http.ResponseWriter, r *http.Request) error {
+		if p, ok := s.(zonesProvider); ok {
+			if z := p.Zones(); z != nil {
+				return call(w, r, z)
 			}
 		}
+		return errNoZones
+	})
+}
+
+func handleZones(mux *http.ServeMux, s Switcher) {
+	handle := func(pattern string, call func(http.ResponseWriter, *http.Request, Zones) error) {
+		mux.HandleFunc(pattern, withZones(s, call))
 	}
-	mux.HandleFunc("GET /zones", with(func(w http.ResponseWriter, r *http.Request, z Zones) error {
-		answer(w, z.Status())
+	handle("GET /zones", func(w http.ResponseWriter, _ *http.Request, z Zones) error {
+		writeJSON(w, z.Status())
 		return nil
-	}))
-	mux.HandleFunc("GET /zones/plan", with(func(w http.ResponseWriter, r *http.Request, z Zones) error {
+	})
+	handle("GET /zones/plan", func(w http.ResponseWriter, r *http.Request, z Zones) error {
 		p, err := z.Preview(r.URL.Query().Get("without"))
 		if err == nil {
-			answer(w, p)
+			writeJSON(w, p)
 		}
 		return err
-	}))
-	mux.HandleFunc("POST /zones/order", with(func(w http.ResponseWriter, r *http.Request, z Zones) error {
-		var s zones.Command
-		if err := read(w, r, &s); err != nil {
+	})
+	handle("POST /zones/order", func(w http.ResponseWriter, r *http.Request, z Zones) error {
+		var c zones.Command
+		if err := readJSON(w, r, &c); err != nil {
 			return err
 		}
-		return z.Submit(s)
-	}))
+		return z.Submit(c)
+	})
 }
 
-// Zones asks for the driver's part in deciding on zones.
+// Zones returns the driver's part in deciding on zones.
 func (c *Client) Zones(ctx context.Context) (s zones.Status, err error) {
 	return s, c.call(ctx, http.MethodGet, "/zones", nil, &s)
 }
 
-// Without asks what would be planned were a zone away; empty: as it is.
-func (c *Client) PreviewZones(ctx context.Context, zone string) (p zones.Preview, err error) {
-	return p, c.call(ctx, http.MethodGet, "/zones/plan?without="+url.QueryEscape(zone), nil, &p)
+// PreviewZones returns what would be planned without a zone; empty: as it is.
+func (c *Client) PreviewZones(ctx context.Context, without string) (p zones.Preview, err error) {
+	return p, c.call(ctx, http.MethodGet, "/zones/plan?without="+url.QueryEscape(without), nil, &p)
 }
 
-// OrderZone gives what operators say of a zone.
-func (c *Client) SubmitZoneCommand(ctx context.Context, s zones.Command) error {
-	return c.call(ctx, http.MethodPost, "/zones/order", s, nil)
+// SubmitZoneCommand sends an operator's command.
+func (c *Client) SubmitZoneCommand(ctx context.Context, command zones.Command) error {
+	return c.call(ctx, http.MethodPost, "/zones/order", command, nil)
 }
