--- a/internal/driver/fleet.go
+++ b/internal/driver/fleet.go
@@ -53,7 +53,7 @@
 func (f *fleet) run(ctx context.Context, back *errgroup.Group) {
 	if p := f.presence; p != nil {
 		back.Go(func() error { p.run(ctx); return nil })
-		back.Go(func() error { p.follower.Run(ctx); return nil })
+		back.Go(func() error { p.watcher.Run(ctx); return nil })
 	}
 	if f.datagrams.conn != nil {
 		back.Go(func() error { f.datagrams.writeLoop(ctx); return nil })
--- a/internal/driver/golden_test.go
+++ b/internal/driver/golden_test.go
@@ -1,6 +1,7 @@
 package driver
 
 import (
+	"encoding/json"
 	"fmt"
 	"log/slog"
 	"strings"
@@ -39,6 +40,17 @@
 	golden.Text(t, "testdata/log.golden", texts)
 }
 
+// What the registry holds of a driver, as other drivers of any build read it.
+func TestRecordedAnnouncement(t *testing.T) {
+	b, err := json.Marshal(announcement{HostPort: "127.0.0.1:1", Locality: "a<b", Phase: "up", UpSinceMs: 1767225600000})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if want := `{"cell":0,"host_port":"127.0.0.1:1","locality":"a\u003cb","phase":"up","up_since_ms":1767225600000}`; string(b) != want {
+		t.Errorf("%s, not %s", b, want)
+	}
+}
+
 // What operators read of a configuration that makes no sense.
 func TestRecordedConfigurationErrors(t *testing.T) {
 	settings := `"settings":{"policy_limits":{"connect_timeout":1,"conn_idle":1}}`
--- a/internal/driver/ledger.go
+++ b/internal/driver/ledger.go
@@ -1,9 +1,5 @@
 package driver
 
-// This file owns the way of ops with keys past internal/ledger, and its records to disk, in the order in which they
-// were given out. It must never let the first byte for an op go out before its record is safe, and never decide what a
-// key means.
-
 import (
 	"bytes"
 	"fmt"
@@ -19,47 +15,61 @@
 )
 
 const (
-	ledgerTag         = "WWLG"
-	ledgerAnswerBytes = 4096 // bytes of an answer that are kept
-	ledgerTimeShare   = 0.3  // of an op's time: the disk may take so long for its record
+	ledgerTag         = "WWLG" // names this kind of state to the store
+	ledgerAnswerBytes = 4096   // of an answer that is kept
+	ledgerTimeShare   = 0.3    // of an op's time that the disk may take for its record
 	maxKeyBytes       = 128
-	maxQueuedRecords  = 4096 // records that wait for the disk
+	maxQueuedRecords  = 4096 // that wait for the disk
+	maxRecordBatch    = 256  // records in one write and sync
 )
 
+// opLedger carries ops with idempotency keys through. internal/ledger decides what a key means; opLedger brings its
+// records to disk, in the order in which they were returned, and lets no byte for an op out before its record is safe.
 type opLedger struct {
 	service *Service
 	store   *durable.Store
 	opTypes []logic.OpType
 	queue   chan queuedRecord
-	done    chan struct{}
+	done    chan struct{} // closed when writeLoop has ended
 
-	mu     sync.Mutex // guards the book and the order of the queue
+	mu     sync.Mutex // guards what follows, and the order of the queue
 	table  *ledger.Table
-	closed bool
+	closed bool // the queue is
 }
 
-// queued is a record on its way to disk.
+// queuedRecord is a record on its way to disk.
 type queuedRecord struct {
 	record  []byte
-	written chan error // nil where nobody waits
+	written chan error // gets the result, without being waited for; nil where nobody waits
 }
 
-// openLedger recovers the book. One that is damaged is an error: without it keys could run twice, so that operators are
-// to say that they begin a new one, by moving the folder away.
-func (v *Service) openLedger(o operator.Ledger, types []logic.OpType) error {
-	limit := int64(o.LimitMB) << 20
-	rules := ledger.Limits{Retention: milliseconds(o.Retention), Keys: o.MaxKeys, TotalBytes: int(limit / 4), AnswerBytes: ledgerAnswerBytes}
-	if err := rules.Check(); err != nil {
+// openLedger recovers the table of keys. A damaged one is an error, as without it keys could run twice: operators have to
+// say that they begin a new one, by moving the folder away.
+func (v *Service) openLedger(o operator.Ledger, opTypes []logic.OpType) error {
+	limitBytes := int64(o.LimitMB) << 20
+	limits := ledger.Limits{
+		Retention:   milliseconds(o.Retention),
+		Keys:        o.MaxKeys,
+		TotalBytes:  int(limitBytes / 4), // the store may hold two generations, each a snapshot and a log
+		AnswerBytes: ledgerAnswerBytes,
+	}
+	if err := limits.Check(); err != nil {
 		return err
 	}
-	store, found, err := durable.Open(durable.OS{}, durable.Options{Folder: o.Folder, Tag: ledgerTag, Limit: limit})
+	store, found, err := durable.Open(durable.OS{}, durable.Options{Folder: o.Folder, Tag: ledgerTag, Limit: limitBytes})
 	if err != nil {
 		return fmt.Errorf("ledger: %w", err)
 	}
-	l := &opLedger{service: v, store: store, opTypes: types, queue: make(chan queuedRecord, maxQueuedRecords), done: make(chan struct{})}
+	l := &opLedger{
+		service: v,
+		store:   store,
+		opTypes: opTypes,
+		queue:   make(chan queuedRecord, maxQueuedRecords),
+		done:    make(chan struct{}),
+	}
 	if found.RecordsLost {
 		err = fmt.Errorf("%s has lost records; move it away to begin a new book", o.Folder)
-	} else if l.table, err = ledger.Load(rules, v.decider.clock.now(), found.Snapshot, found.Records); err == nil {
+	} else if l.table, err = ledger.Load(limits, v.decider.clock.now(), found.Snapshot, found.Records); err == nil {
 		err = store.Compact(l.table.Snapshot())
 	}
 	if err != nil {
@@ -73,37 +83,12 @@
 	return nil
 }
 
-// write takes records to disk, those that wait together in one write and sync.
+// writeLoop brings records to disk until the queue is closed; those that wait together share a write and a sync.
 func (l *opLedger) writeLoop() {
 	defer close(l.done)
 	for first := range l.queue {
-		batch, records := []queuedRecord{first}, [][]byte{first.record}
-		for more := true; more && len(batch) < 256; {
-			select {
-			case q, ok := <-l.queue:
-				if more = ok; ok {
-					batch, records = append(batch, q), append(records, q.record)
-				}
-			default:
-				more = false
-			}
-		}
-		err := l.store.Append(records...)
-		if err != nil || l.store.NeedsCompaction() {
-			// A snapshot holds what is in the queue already; records of it that follow change nothing but for the worse: a key
-			// that is done may be in doubt.
-			l.mu.Lock()
-			snap := l.table.Snapshot()
-			l.mu.Unlock()
-			if e := l.store.Compact(snap); e != nil {
-				l.service.log.Warn("ledger_failed", "error", e)
-			} else if err != nil {
-				err = l.store.Append(records...)
-			}
-		}
-		if err != nil {
-			l.service.log.Warn("ledger_failed", "error", err)
-		}
+		batch, records := l.nextBatch(first)
+		err := l.writeBatch(records)
 		for _, q := range batch {
 			if q.written != nil {
 				q.written <- err
@@ -112,7 +97,45 @@
 	}
 }
 
-// finish takes what is left to disk and lets go of the folder. Ops have ended by then.
+// nextBatch takes what waits in the queue, up to a limit.
+func (l *opLedger) nextBatch(first queuedRecord) (batch []queuedRecord, records [][]byte) {
+	batch, records = []queuedRecord{first}, [][]byte{first.record}
+	for len(batch) < maxRecordBatch {
+		select {
+		case q, ok := <-l.queue:
+			if !ok {
+				return batch, records
+			}
+			batch, records = append(batch, q), append(records, q.record)
+		default:
+			return batch, records
+		}
+	}
+	return batch, records
+}
+
+// writeBatch appends records, and compacts the store where it needs that or can't append.
+func (l *opLedger) writeBatch(records [][]byte) error {
+	err := l.store.Append(records...)
+	if err != nil || l.store.NeedsCompaction() {
+		// The snapshot holds what is still in the queue already. Those records follow it in the log, where they can only make
+		// a key that is finished in doubt, which is the safe side.
+		l.mu.Lock()
+		snapshot := l.table.Snapshot()
+		l.mu.Unlock()
+		if compactErr := l.store.Compact(snapshot); compactErr != nil {
+			l.service.log.Warn("ledger_failed", "error", compactErr)
+		} else if err != nil {
+			err = l.store.Append(records...)
+		}
+	}
+	if err != nil {
+		l.service.log.Warn("ledger_failed", "error", err)
+	}
+	return err
+}
+
+// close brings what is left to disk and closes the store. Ops have ended by then.
 func (l *opLedger) close() {
 	l.mu.Lock()
 	l.closed = true
@@ -125,17 +148,16 @@
 	}
 }
 
-// minds says whether an op's effect is of the kind that the ledger is for.
+// covers says whether an op is of a type that the ledger is for: others may be executed twice.
 func (l *opLedger) covers(o *op) bool { return l.opTypes[o.opType].Effect != logic.Retryable }
 
 // perform carries an op with a key through.
 func (l *opLedger) perform(o *op, disconnected <-chan struct{}) []byte {
-	token := o.statement.IdempotencyKey
-	if len(token) == 0 || len(token) > maxKeyBytes || !utf8.Valid(token) || bytes.ContainsAny(token, " '\"\x00\r\n") {
+	if !validKey(o.statement.IdempotencyKey) {
 		return invalidKey
 	}
-	key, began := string(token), time.Now()
-	verdict, answer, safe := l.begin(key, ledger.Fingerprint(statementForm(&o.statement)))
+	key, began := string(o.statement.IdempotencyKey), time.Now()
+	verdict, answer, written := l.begin(key, ledger.Fingerprint(statementForm(&o.statement)))
 	switch verdict {
 	case ledger.Replay:
 		return answer
@@ -153,7 +175,7 @@
 	defer limit.Stop()
 	var err error
 	select {
-	case err = <-safe:
+	case err = <-written:
 	case <-limit.C:
 		err = fmt.Errorf("the disk took longer than %.0f ms", o.statement.Timeout*ledgerTimeShare)
 	case <-disconnected:
@@ -168,18 +190,27 @@
 	}
 	o.statement.Timeout = max(o.statement.Timeout-milliseconds(time.Since(began)), 0)
 	answer, end := l.service.execute(o, disconnected)
+	l.finishOp(o, key, end, answer)
+	return answer
+}
+
+// finishOp finishes the key of an op that was executed.
+func (l *opLedger) finishOp(o *op, key string, end opEnd, answer []byte) {
 	switch {
 	case end == endAcked:
 		l.finish(key, ledger.StateAcked, answer)
 	case end == endNotStarted, end == endBusy && l.opTypes[o.opType].Effect == logic.NonRetryable:
-		l.finish(key, ledger.StateFree, nil) // no send of it can have run
+		l.finish(key, ledger.StateFree, nil) // no attempt at it can have been executed
 	default:
 		l.finish(key, ledger.StateUnknown, nil)
 	}
-	return answer
 }
 
-// form is a statement without its comment, which differs with each try.
+func validKey(key []byte) bool {
+	return len(key) > 0 && len(key) <= maxKeyBytes && utf8.Valid(key) && !bytes.ContainsAny(key, " '\"\x00\r\n")
+}
+
+// statementForm is a statement without its comment, which differs between a client's attempts.
 func statementForm(s *pgwire.Statement) []byte {
 	text := s.Text
 	if i := bytes.LastIndex(text, []byte(" /* ")); i >= 0 {
@@ -188,31 +219,34 @@
 	return append(append(bytes.Clone(s.OpType), ' '), fmt.Sprintf("%d %s", s.Group, text)...)
 }
 
-func (l *opLedger) begin(key string, print uint64) (ledger.Verdict, []byte, chan error) {
+// begin begins a key. With Execute written gets the result of writing its record.
+func (l *opLedger) begin(key string, fingerprint uint64) (v ledger.Verdict, answer []byte, written chan error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	v, answer, record := l.table.Begin(l.service.decider.clock.now(), key, print)
+	v, answer, record := l.table.Begin(l.service.decider.clock.now(), key, fingerprint)
 	if v != ledger.Execute {
 		return v, answer, nil
 	}
-	safe := make(chan error, 1)
-	if !l.enqueue(queuedRecord{record, safe}) {
-		l.table.Finish(l.service.decider.clock.now(), key, ledger.StateFree, nil) // it never began
+	written = make(chan error, 1)
+	if !l.enqueue(queuedRecord{record, written}) {
+		l.table.Finish(l.service.decider.clock.now(), key, ledger.StateFree, nil) // its record is nowhere
 		return ledger.TableFull, nil, nil
 	}
-	return v, nil, safe
+	return v, nil, written
 }
 
-func (l *opLedger) finish(key string, s ledger.State, answer []byte) {
+// finish finishes a key that was begun.
+func (l *opLedger) finish(key string, state ledger.State, answer []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if record := l.table.Finish(l.service.decider.clock.now(), key, s, answer); record != nil && !l.enqueue(queuedRecord{record: record}) {
-		// The disk is far behind: without this record the key is in doubt behind a restart, which is the safe side.
+	record := l.table.Finish(l.service.decider.clock.now(), key, state, answer)
+	if record != nil && !l.enqueue(queuedRecord{record: record}) {
+		// The disk is far behind. Without this record the key is in doubt after a restart, which is the safe side.
 		l.service.log.Warn("ledger_failed", "error", "the queue is full")
 	}
 }
 
-// put queues a record in order; false where there is no room. The caller holds the lock.
+// enqueue queues a record in order; false where there is no room. The caller holds the lock.
 func (l *opLedger) enqueue(q queuedRecord) bool {
 	if l.closed {
 		return false
--- a/internal/driver/presence.go
+++ b/internal/driver/presence.go
@@ -1,9 +1,5 @@
 package driver
 
-// This file owns a driver's presence among its peers: it carries out the steps that roster.Presence names, follows
-// who else is listed, and tells the module how many there are. It must never decide that a lease stands, or how
-// many drivers count.
-
 import (
 	"context"
 	"encoding/json"
@@ -20,31 +16,49 @@
 )
 
 const (
-	announceTimeout = 3 * time.Second // for one call about the lease
-	silentLeases    = 2.0             // a listed peer not heard for so many leases is silent
+	leaseCallTimeout = 3 * time.Second // for one call about the lease
+	revokeTimeout    = time.Second
+	silentLeases     = 2.0 // a listed peer that sent no message for so many leases is silent
 )
 
-// presence is the driver's own lease, and its peers.
+// presence announces the driver in the registry by a lease, and follows which other drivers are announced. roster
+// decides on both.
 type presence struct {
-	service    *Service
-	announcer  registry.LeaseClient
-	follower   *registry.Watcher
-	key        string
-	value      []byte
-	mayMessage bool // messages to peers are allowed
-	leaseID    string
-	lease      *roster.Presence
+	service     *Service
+	leaseClient registry.LeaseClient
+	watcher     *registry.Watcher
+	key         string
+	value       []byte
+	mayMessage  bool // messages to peers are allowed
+
+	// The announcing goroutine's.
+	lease         *roster.Presence
+	leaseID       string // the last granted; empty before
+	endpoint      int    // of the registry, by its index
+	announced     bool   // as it was logged last, as are the two that follow
+	nameTaken     bool   // another driver has the name
+	loggedLeaseID string
 
 	mu        sync.Mutex // guards what follows
 	drivers   *roster.Roster
 	peers     roster.Peers
 	peerNames map[netip.AddrPort]string
-	connected bool
-	count     int
+	connected bool // to the registry
+	count     int  // of drivers, this one included
 }
 
-// openPresence makes the lease's keeper and the watcher of peers.
-func (v *Service) openPresence(address string, drivers int, seed uint64, talks bool) error {
+// announcement is what the registry holds of a driver: an entry in the form of members, with what a driver has none of
+// left empty. Keys are in the order of the registry's first version, by name.
+type announcement struct {
+	Cell      int    `json:"cell"`
+	HostPort  string `json:"host_port"`
+	Locality  string `json:"locality"`
+	Phase     string `json:"phase"`
+	UpSinceMs int64  `json:"up_since_ms"`
+}
+
+// openPresence makes the driver's lease, which announces it at an address, and the watcher of other drivers.
+func (v *Service) openPresence(address string, drivers int, seed uint64, mayMessage bool) error {
 	o := RegistryOptions(v.registryConfig)
 	o.Prefix, o.Service = v.registryConfig.DriversPrefix, ""
 	client, err := registry.New(o)
@@ -53,11 +67,11 @@
 	}
 	ttl := milliseconds(v.registryConfig.LeaseTTL)
 	p := &presence{
-		service:    v,
-		announcer:  client,
-		key:        o.Prefix + v.config.Name,
-		lease:      roster.NewPresence(ttl, seed),
-		mayMessage: talks,
+		service:     v,
+		leaseClient: client,
+		key:         o.Prefix + v.config.Name,
+		lease:       roster.NewPresence(ttl, seed),
+		mayMessage:  mayMessage,
 		drivers: roster.New(
 			roster.Options{Preferred: roster.SourceRegistry, ConfirmAfter: milliseconds(v.registryConfig.ConfirmAfter)},
 		),
@@ -68,16 +82,19 @@
 		},
 		count: max(drivers, 1),
 	}
-	p.value, err = json.Marshal(map[string]any{"host_port": address, "cell": 0, "phase": "up",
-		"locality":    v.config.settings.Opening.Zone,
-		"up_since_ms": int64(v.decider.clock.unixMs)})
+	p.value, err = json.Marshal(announcement{
+		HostPort:  address,
+		Locality:  v.config.settings.Opening.Zone,
+		Phase:     "up",
+		UpSinceMs: int64(v.decider.clock.unixMs),
+	})
 	if err != nil {
 		return err
 	}
-	p.follower = &registry.Watcher{
+	p.watcher = &registry.Watcher{
 		Client:       client,
 		Now:          v.decider.clock.now,
-		Position:     p.position,
+		Position:     p.revision,
 		Apply:        p.updateDrivers,
 		OnDisconnect: p.registryDisconnected,
 		OnActivity:   p.registryConnected,
@@ -89,11 +106,12 @@
 	return nil
 }
 
-func (p *presence) position() (int64, bool) {
+// revision is up to which revision the registry's drivers are held, if any are.
+func (p *presence) revision() (revision int64, known bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	_, revision, told := p.drivers.Revision(roster.SourceRegistry)
-	return revision, told
+	_, revision, known = p.drivers.Revision(roster.SourceRegistry)
+	return revision, known
 }
 
 func (p *presence) updateDrivers(u roster.Update) (roster.Verdict, float64) {
@@ -107,7 +125,7 @@
 	return out.Verdict, milliseconds(p.service.registryConfig.ConfirmAfter)
 }
 
-func (p *presence) registryDisconnected(err error) {
+func (p *presence) registryDisconnected(error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.connected = false
@@ -120,7 +138,7 @@
 	p.connected = true
 }
 
-// heard notes a datagram from a peer.
+// messageReceived notes a message of a peer.
 func (p *presence) messageReceived(from netip.AddrPort) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -129,13 +147,13 @@
 	}
 }
 
-// look brings the number of drivers up to date, and who is sent words.
+// refresh brings the number of drivers, and the peers that are sent messages, up to date.
 func (p *presence) refresh() {
 	p.mu.Lock()
 	now := p.service.decider.clock.now()
 	listed := p.drivers.Members()
 	n := p.count
-	if _, _, told := p.drivers.Revision(roster.SourceRegistry); told {
+	if _, _, known := p.drivers.Revision(roster.SourceRegistry); known {
 		n = p.peers.Count(now, listed, p.connected)
 	}
 	names := map[netip.AddrPort]string{}
@@ -145,9 +163,9 @@
 		}
 	}
 	p.peerNames = names
-	var fell, back []string
+	var silent, back []string
 	if p.mayMessage {
-		fell, back = p.peers.CheckTimeouts(now, listed)
+		silent, back = p.peers.CheckTimeouts(now, listed)
 	}
 	changed := n != p.count
 	p.count = n
@@ -155,57 +173,73 @@
 	if p.mayMessage {
 		p.service.fleet.datagrams.setRegistryPeers(names)
 	}
-	if len(fell)+len(back) > 0 {
-		p.service.log.Warn("fellows", "silent", strings.Join(fell, ","), "back", strings.Join(back, ","))
+	if len(silent)+len(back) > 0 {
+		p.service.log.Warn("fellows", "silent", strings.Join(silent, ","), "back", strings.Join(back, ","))
 	}
 	if changed {
 		p.service.fleet.driverCountChanged(n, false, p.mayMessage)
-		p.follower.Scheduler.SetDrivers(n)
+		p.watcher.Scheduler.SetDrivers(n)
 	}
 	p.service.fleet.setRegistryAddresses(slices.Collect(maps.Keys(names)))
 }
 
-// run keeps the lease and looks around until the context ends, then gives the lease up.
+// run keeps the lease and follows other drivers until the context ends, then revokes the lease.
 func (p *presence) run(ctx context.Context) {
 	tick := time.NewTicker(rosterInterval)
 	defer tick.Stop()
-	endpoint, stood, taken, logged := 0, false, false, ""
 	for {
 		now := p.service.decider.clock.now()
 		if step, _ := p.lease.Next(now); step != roster.StepWait {
-			call, end := context.WithTimeout(ctx, announceTimeout)
-			var stands time.Duration
-			var err error
-			if step == roster.StepGrant {
-				p.leaseID, stands, err = p.announcer.Grant(call, endpoint, p.key, p.value, p.service.registryConfig.LeaseTTL)
-			} else {
-				stands, err = p.announcer.Renew(call, endpoint, p.leaseID)
-			}
-			if end(); err != nil && registry.PresenceResultOf(err) == roster.StepFailed {
-				endpoint = (endpoint + 1) % len(p.service.registryConfig.Endpoints)
-			}
-			p.lease.StepEnded(now, p.service.decider.clock.now(), registry.PresenceResultOf(err), milliseconds(stands))
-		}
-		is, other := p.lease.Status(p.service.decider.clock.now())
-		if is != stood || is && p.leaseID != logged {
-			logged = p.leaseID
-			p.service.log.Info("presence", "announced", is, "lease", p.leaseID)
+			p.callRegistry(ctx, now, step)
 		}
-		if other && !taken {
-			p.service.log.Warn("presence", "announced", false, "text",
-				"another driver has the name, or an earlier run's lease still stands")
-		}
-		stood, taken = is, other
+		p.logLease()
 		p.refresh()
 		select {
 		case <-ctx.Done():
-			if p.leaseID != "" {
-				call, end := context.WithTimeout(context.WithoutCancel(ctx), time.Second)
-				_ = p.announcer.Revoke(call, endpoint, p.leaseID) // else the lease lapses
-				end()
-			}
+			p.revoke(ctx)
 			return
 		case <-tick.C:
 		}
 	}
 }
+
+// callRegistry carries out a step toward the lease. After a failure the next call goes to another endpoint.
+func (p *presence) callRegistry(ctx context.Context, now float64, step roster.PresenceStep) {
+	call, cancel := context.WithTimeout(ctx, leaseCallTimeout)
+	var ttl time.Duration
+	var err error
+	if step == roster.StepGrant {
+		p.leaseID, ttl, err = p.leaseClient.Grant(call, p.endpoint, p.key, p.value, p.service.registryConfig.LeaseTTL)
+	} else {
+		ttl, err = p.leaseClient.Renew(call, p.endpoint, p.leaseID)
+	}
+	cancel()
+	result := registry.PresenceResultOf(err)
+	if err != nil && result == roster.StepFailed {
+		p.endpoint = (p.endpoint + 1) % len(p.service.registryConfig.Endpoints)
+	}
+	p.lease.StepEnded(now, p.service.decider.clock.now(), result, milliseconds(ttl))
+}
+
+// logLease logs when the lease is granted, renewed under another id or lost, and when another driver has the name.
+func (p *presence) logLease() {
+	announced, nameTaken := p.lease.Status(p.service.decider.clock.now())
+	if announced != p.announced || announced && p.leaseID != p.loggedLeaseID {
+		p.loggedLeaseID = p.leaseID
+		p.service.log.Info("presence", "announced", announced, "lease", p.leaseID)
+	}
+	if nameTaken && !p.nameTaken {
+		p.service.log.Warn("presence", "announced", false, "text",
+			"another driver has the name, or an earlier run's lease still stands")
+	}
+	p.announced, p.nameTaken = announced, nameTaken
+}
+
+func (p *presence) revoke(ctx context.Context) {
+	if p.leaseID == "" {
+		return
+	}
+	call, cancel := context.WithTimeout(context.WithoutCancel(ctx), revokeTimeout)
+	defer cancel()
+	_ = p.leaseClient.Revoke(call, p.endpoint, p.leaseID) // else the lease expires
+}
--- a/internal/driver/state_saver.go
+++ b/internal/driver/state_saver.go
@@ -1,162 +1,69 @@
 package driver
 
-// This file owns the way between the module's memory and the disk: when a save runs, and what is done where it
-// can't. What is kept and believed is decided in internal/learned, the files are internal/durable's. It must never
-// hold an op up, wait for a disk anywhere but in its own goroutine, or stop serving for an error.
-
 import (
-	"cmp"
 	"context"
 	"errors"
-	"math"
-	"os"
-	"strconv"
-	"strings"
 	"sync"
 	"time"
 
-	"weirwind/internal/discovery"
 	"weirwind/internal/durable"
 	"weirwind/internal/learned"
-	"weirwind/internal/opening"
 	"weirwind/internal/operator"
 	"weirwind/logic"
 )
 
-const (
-	diskOpenTimeout = 2 * time.Second // for the disk at a start: later the driver starts without
-	lastSaveTimeout = time.Second     // and for the last save
-)
+const lastSaveTimeout = time.Second // for the last save at a shutdown
 
-// keeper saves what the driver has learned.
+// stateSaver saves what the decision module has learned. internal/learned decides what is saved, and internal/durable
+// owns the files. Only its own goroutine and that of a last save wait for the disk; no error stops the service.
 type stateSaver struct {
 	service *Service
 	files   durable.FS
-	wake    chan struct{} // the list has changed
+	wake    chan struct{} // signaled when the membership has changed
 
 	mu                sync.Mutex // guards what follows
 	config            operator.State
-	revision          int64 // of the list when it was last told
-	membershipChanged bool  // it is not saved yet
+	revision          int64 // of the membership when it was last noted
+	membershipChanged bool  // since the last save
 
-	saveMu      sync.Mutex // guards what follows; held through a save
+	saveMu      sync.Mutex // held through a save; guards what follows
 	store       *durable.Store
 	table       *learned.Table
 	memory      logic.Memory
-	storeBehind bool // the book holds what the store does not
+	storeBehind bool // the table holds what the store does not
 	backoff     learned.Backoff
-	closed      bool
-}
-
-// bootID names the machine's start; empty where it does not tell.
-var bootID = sync.OnceValue(func() string {
-	id, _ := os.ReadFile("/proc/sys/kernel/random/boot_id")
-	return strings.TrimSpace(string(id))
-})
-
-// moment reads both clocks: the driver's own, which is not stepped while it runs, and the machine's time since its
-// start, which survives the driver. Where the machine does not tell, Boot is empty.
-func (d *decider) moment() learned.Timestamp {
-	m := learned.Timestamp{Wall: d.clock.now()}
-	if up, err := os.ReadFile("/proc/uptime"); err == nil {
-		first, _, _ := strings.Cut(string(up), " ")
-		if s, err := strconv.ParseFloat(first, 64); err == nil {
-			m.Uptime, m.BootID = s*1000, bootID()
-		}
-	}
-	if m.BootID == "" {
-		m.Uptime = float64(time.Since(d.clock.start).Milliseconds())
-	}
-	return m
-}
-
-// rulesOf gathers what the settings tell that decisions about state go by.
-func learnedConfig(name string, settings opening.Settings, config operator.State) learned.Config {
-	r := learned.Config{Name: name, SaveInterval: milliseconds(config.SaveInterval), WarmUp: settings.Opening.ColdFor,
-		MinSwitchover: cmp.Or(milliseconds(config.MinSwitchTime), settings.DrainGrace), StalenessBound: math.Inf(1),
-		SessionsTrackPosition: settings.Opening.SessionCarried, OpTypes: make([]learned.OpType, len(settings.OpTypes))}
-	for name, i := range settings.OpTypes {
-		t := &settings.Opening.OpTypes[i]
-		r.OpTypes[i] = learned.OpType{Name: name, LatencyTarget: t.LatencyTarget}
-		if t.Need == logic.Bounded {
-			r.StalenessBound = min(r.StalenessBound, t.MaxAge)
-		}
-	}
-	return r
+	closed      bool // the last save has begun
 }
 
-// opened is how a folder was found.
+// openedStore is a folder as it was found: without an error there is a store, and perhaps a state.
 type openedStore struct {
 	store *durable.Store
 	state *learned.State
 	err   error
 }
 
-func (k *stateSaver) openStore() (r openedStore) {
+func (k *stateSaver) openStore() (opened openedStore) {
 	k.mu.Lock()
 	o := durable.Options{Folder: k.config.Folder, Tag: learned.Tag, Limit: int64(k.config.LimitMB) << 20}
 	k.mu.Unlock()
 	var found durable.Recovered
-	if r.store, found, r.err = durable.Open(k.files, o); r.err != nil {
-		return r
+	if opened.store, found, opened.err = durable.Open(k.files, o); opened.err != nil {
+		return opened
 	}
 	for _, err := range found.Damage() {
 		k.service.log.Warn("state_damaged", "folder", o.Folder, "error", err)
 	}
 	if found.Snapshot != nil {
-		if r.state, r.err = learned.Load(found.Snapshot, found.Records); r.err != nil {
-			k.service.log.Warn("state_damaged", "folder", o.Folder, "error", r.err)
-			r.err = nil
-		}
-	}
-	return r
-}
-
-// begin recovers what an earlier run has left, tells the module of it, and gives out the list that holds.
-func (v *Service) restoreState(o operator.State, told opening.Settings, known discovery.Response) {
-	k := &stateSaver{service: v, files: durable.OS{}, wake: make(chan struct{}, 1), config: o}
-	began := time.Now()
-	came := make(chan openedStore, 1)
-	go func() { came <- k.openStore() }()
-	var r openedStore
-	select {
-	case r = <-came:
-	case <-time.After(diskOpenTimeout):
-		r.err = errors.New("the disk does not answer")
-		go func() {
-			if late := <-came; late.store != nil {
-				_ = late.store.Close() // unused
-			}
-		}()
-	}
-	now, rules := v.decider.moment(), learnedConfig(v.config.Name, told, o)
-	given := learned.Membership{Revision: known.Revision}
-	for _, e := range known.Members {
-		given.Entries = append(given.Entries, toLearned(e))
-	}
-	belief := learned.Restore(r.state, rules, now, given)
-	if belief.FromSaved {
-		known = discovery.Response{Revision: belief.Membership.Revision, Complete: true}
-		for _, e := range belief.Membership.Entries {
-			known.Members = append(known.Members, fromLearned(e))
+		var err error
+		if opened.state, err = learned.Load(found.Snapshot, found.Records); err != nil {
+			k.service.log.Warn("state_damaged", "folder", o.Folder, "error", err)
 		}
 	}
-	k.table = learned.NewTable(rules, r.state, now)
-	k.table.StartRun(now)
-	v.stateSaver = k
-	v.initMembership(known)
-	v.decider.step(logic.Event{Kind: logic.EvRecall, Memory: &belief.Memory})
-	k.store, k.storeBehind = r.store, true
-	if r.err != nil {
-		k.saveFailed(now, r.err)
-	}
-	v.log.Info("state_recalled", "verdict", string(belief.Verdict), "age_ms", int64(belief.Age), "from_kept",
-		belief.FromSaved,
-		"revision", known.Revision, "members", len(belief.Memory.Members), "groups", len(belief.Memory.Groups),
-		"dropped", strings.Join(belief.Discarded, "; "), "took_us", time.Since(began).Microseconds())
+	return opened
 }
 
-// list notes that the list has changed, or its revision, and wakes the saver; it waits for nothing.
+// noteMembership notes the membership's revision and whether its members changed, and wakes the saver if either is new.
+// It never waits.
 func (k *stateSaver) noteMembership(revision int64, changed bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -170,7 +77,7 @@
 	}
 }
 
-// change takes up another interval or cap; the folder stays as it was.
+// reconfigure takes another interval or limit; the folder stays.
 func (k *stateSaver) reconfigure(o operator.State) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -182,9 +89,9 @@
 func (k *stateSaver) run(ctx context.Context) {
 	for {
 		k.mu.Lock()
-		every := k.config.SaveInterval
+		interval := k.config.SaveInterval
 		k.mu.Unlock()
-		timer := time.NewTimer(every)
+		timer := time.NewTimer(interval)
 		select {
 		case <-ctx.Done():
 			timer.Stop()
@@ -197,7 +104,7 @@
 	}
 }
 
-// finish saves all once more and lets the folder go; a disk that does not answer is waited for only so long.
+// close saves all once more and closes the store; it waits only so long for a disk that doesn't answer.
 func (k *stateSaver) close() {
 	done := make(chan struct{})
 	go func() {
@@ -211,7 +118,7 @@
 	}
 }
 
-// save takes in what is known now and writes what of it is worth a write.
+// save saves what of the present knowledge is worth a write; at the last save of a run all of it is.
 func (k *stateSaver) save(last bool) {
 	k.saveMu.Lock()
 	defer k.saveMu.Unlock()
@@ -219,13 +126,13 @@
 		return
 	}
 	k.closed = last
-	now := k.service.decider.moment()
+	now := k.service.decider.timestamp()
 	k.mu.Lock()
-	news, limit := k.membershipChanged, int64(k.config.LimitMB)<<20
-	k.membershipChanged = false
+	changed, limit := k.membershipChanged, int64(k.config.LimitMB)<<20
+	k.membershipChanged = false // before the membership is read, so that a change from here on is not lost
 	k.mu.Unlock()
 	var records [][]byte
-	if news { // what changes from here on is news again
+	if changed {
 		revision, entries := k.service.membership()
 		records = k.table.UpdateMembership(now, revision, true, entries)
 	}
@@ -246,14 +153,14 @@
 	}
 }
 
-// put brings the store up to the book: by the records, or by a snapshot where that is due or the store is behind.
+// persist brings the store up to the table: by the records, or by a snapshot where the store needs one or is behind.
 func (k *stateSaver) persist(records [][]byte, limit int64) (err error) {
 	if k.store == nil {
-		r := k.openStore()
-		if r.err != nil {
-			return r.err
+		opened := k.openStore()
+		if opened.err != nil {
+			return opened.err
 		}
-		k.store, k.storeBehind = r.store, true
+		k.store, k.storeBehind = opened.store, true
 	}
 	k.store.SetLimit(limit)
 	before := k.store.BytesWritten()
@@ -278,7 +185,7 @@
 	return nil
 }
 
-// failed counts a failure; the first of a row gets a line.
+// saveFailed counts a failure; the first of a row is logged.
 func (k *stateSaver) saveFailed(now learned.Timestamp, err error) {
 	k.service.counters.StateFailed.Add(1)
 	first := k.backoff == (learned.Backoff{})
