--- a/internal/fleet/zones/consensus_test.go
+++ b/internal/fleet/zones/consensus_test.go
@@ -7,27 +7,27 @@
 	"weirwind/internal/fleet/paxos"
 )
 
-// decided is a driver that holds a first plan of three voters.
-func decided(name string) *consensus {
+// newDecided is a driver that holds a first plan of three voters.
+func newDecided(name string) *consensus {
 	c := &consensus{name: name, heartbeat: 100, lease: 1000, confirmation: confirmation{at: math.Inf(-1)}}
 	c.adopt(0, &Plan{Epoch: 1, Voters: []string{"a", "b", "c"}})
 	c.events, c.outbox = nil, nil
 	return c
 }
 
-func (c *consensus) next(what string) *Plan {
+func (c *consensus) successor(what string) *Plan {
 	return &Plan{Epoch: c.plan.Epoch + 1, BaseSum: c.planSum, Voters: c.plan.Voters, BindingConstraints: []string{what}}
 }
 
-func (c *consensus) said() (all []Envelope) {
+func (c *consensus) takeOutbox() (all []Envelope) {
 	all, c.outbox = c.outbox, nil
 	return all
 }
 
-// An answer that was long on its way counts from when it was asked for; word that nobody asked for counts for nothing,
-// and neither does a plan's age where another one is held.
-func TestLateWordShortensALease(t *testing.T) {
-	c := decided("d")
+// TestLateSummaryShortensLease: an answer that was long on its way counts from when it was asked for; a summary that
+// nobody asked for counts for nothing, and neither does the age of another plan than the one held.
+func TestLateSummaryShortensLease(t *testing.T) {
+	c := newDecided("d")
 	c.observeSummary(20000, 1000, &Summary{Epoch: 1, Sum: c.planSum, Age: 50})
 	if c.confirmation.at != 950 || c.inForce(2000) || !c.inForce(1900) {
 		t.Errorf("confirmed at %v", c.confirmation.at)
@@ -41,29 +41,29 @@
 	}
 }
 
-// A voter that has taken the next plan confirms this one no more, whatever was asked before.
-func TestNoRenewalBehindAVote(t *testing.T) {
-	c := decided("b")
+// TestNoConfirmationAfterVote: a voter that accepted the next plan confirms this one no more, whatever it did before.
+func TestNoConfirmationAfterVote(t *testing.T) {
+	c := newDecided("b")
 	renew := &Message{Kind: Confirm, Epoch: 1, Sum: c.planSum, Nonce: 7}
 	c.receive(10, "a", renew, nil)
-	if s := c.said(); len(s) != 1 || s[0].Message.Kind != Confirmed {
+	if s := c.takeOutbox(); len(s) != 1 || s[0].Message.Kind != Confirmed {
 		t.Fatalf("%+v", s)
 	}
 	c.receive(20, "a", &Message{Kind: Accept, Epoch: 1, Sum: c.planSum, Ballot: paxos.Ballot{Number: 1, Proposer: "a"},
-		Plan: c.next("x")}, nil)
-	c.said()
+		Plan: c.successor("x")}, nil)
+	c.takeOutbox()
 	c.receive(30, "a", renew, nil)
-	if s := c.said(); len(s) != 0 {
+	if s := c.takeOutbox(); len(s) != 0 {
 		t.Errorf("%+v", s)
 	}
 }
 
-// Two of three are needed, answers of others and to other ballots count for nothing, and a plan that one of them took
-// before goes first.
-func TestABallot(t *testing.T) {
-	c := decided("a")
-	c.propose(10, c.next("mine"))
-	if s := c.said(); len(s) != 2 || c.proposal == nil || c.proposal.Accepting {
+// TestProposal: two of three are needed, answers of others and to other ballots count for nothing, and a plan that one
+// of them accepted before goes first.
+func TestProposal(t *testing.T) {
+	c := newDecided("a")
+	c.propose(10, c.successor("mine"))
+	if s := c.takeOutbox(); len(s) != 2 || c.proposal == nil || c.proposal.Accepting {
 		t.Fatalf("one promise is no majority: %+v", s)
 	}
 	promise := Message{Kind: Promise, Epoch: 1, Sum: c.planSum, Ballot: c.proposal.Ballot}
@@ -73,9 +73,9 @@
 	if c.receive(20, "b", &old, nil); c.proposal.Accepting {
 		t.Fatal("a stranger's promise, or one to another ballot, counts")
 	}
-	promise.Accepted, promise.Plan = paxos.Ballot{Number: 0, Proposer: "b"}, c.next("before")
+	promise.Accepted, promise.Plan = paxos.Ballot{Number: 0, Proposer: "b"}, c.successor("before")
 	c.receive(30, "b", &promise, nil)
-	s := c.said()
+	s := c.takeOutbox()
 	if len(s) != 2 || s[0].Message.Kind != Accept || s[0].Message.Plan.BindingConstraints[0] != "before" {
 		t.Fatalf("%+v", s)
 	}
@@ -88,19 +88,19 @@
 	}
 }
 
-// What can't be kept is not said, and no votes are given until it can be.
-func TestVotesThatAreNotKept(t *testing.T) {
-	c := decided("b")
+// TestUnsavedVotes: what can't be saved is not sent, and no votes are given until a save succeeds.
+func TestUnsavedVotes(t *testing.T) {
+	c := newDecided("b")
 	c.persistent = true
 	c.receive(10, "a", &Message{Kind: Prepare, Epoch: 1, Sum: c.planSum,
 		Ballot: paxos.Ballot{Number: 1, Proposer: "a"}}, nil)
 	if c.save(10) == nil {
 		t.Fatal("nothing to keep")
 	}
-	c.said() // not sent
+	c.takeOutbox() // not sent
 	c.saved(10, false)
 	if c.receive(20, "a", &Message{Kind: Prepare, Epoch: 1, Sum: c.planSum,
-		Ballot: paxos.Ballot{Number: 2, Proposer: "a"}}, nil); len(c.said()) != 0 {
+		Ballot: paxos.Ballot{Number: 2, Proposer: "a"}}, nil); len(c.takeOutbox()) != 0 {
 		t.Error("it votes")
 	}
 	k := c.save(300)
@@ -109,13 +109,13 @@
 	}
 	c.saved(300, true)
 	if c.receive(310, "a", &Message{Kind: Prepare, Epoch: 1, Sum: c.planSum,
-		Ballot: paxos.Ballot{Number: 3, Proposer: "a"}}, nil); len(c.said()) != 1 {
+		Ballot: paxos.Ballot{Number: 3, Proposer: "a"}}, nil); len(c.takeOutbox()) != 1 {
 		t.Error("it votes no more")
 	}
 	again := &consensus{name: "b", heartbeat: 100, persistent: true, confirmation: confirmation{at: math.Inf(-1)}}
 	again.restore(k)
 	if again.receive(400, "c", &Message{Kind: Prepare, Epoch: 1, Sum: c.planSum,
-		Ballot: paxos.Ballot{Number: 0, Proposer: "c"}}, nil); again.said()[0].Message.Kind != Reject {
+		Ballot: paxos.Ballot{Number: 0, Proposer: "c"}}, nil); again.takeOutbox()[0].Message.Kind != Reject {
 		t.Error("it forgot its promise")
 	}
 }
--- a/internal/fleet/zones/digest_test.go
+++ b/internal/fleet/zones/digest_test.go
@@ -13,8 +13,14 @@
 
 // TestDigest holds all decisions of whole fleets, in their order, over seeded histories against those recorded.
 func TestDigest(t *testing.T) {
-	for seed, want := range map[uint64]string{1: "a882e0ee7c0fc3c4", 2: "38c44fddcba97811",
-		3: "c16821e130feff77", 4: "0ff31894163fc9d8", 5: "41f88d6b2bd26d4c", 6: "e238720a41cd23a3"} {
+	for seed, want := range map[uint64]string{
+		1: "a882e0ee7c0fc3c4",
+		2: "38c44fddcba97811",
+		3: "c16821e130feff77",
+		4: "0ff31894163fc9d8",
+		5: "41f88d6b2bd26d4c",
+		6: "e238720a41cd23a3",
+	} {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			if got := digest(t, seed); got != want {
 				t.Errorf("digest %s, recorded %s", got, want)
@@ -23,24 +29,21 @@
 	}
 }
 
-// digest plays one fleet through faults and orders, and hashes what each driver puts out.
+// digest plays one fleet through faults and commands, and hashes what each driver puts out.
 func digest(t *testing.T, seed uint64) string {
-	w := newTown(seed, "a", "b", "c", "a", "b", "c", "a", "b")
-	w.keeps, w.loss = seed%2 == 0, []float64{0, 0.05, 0.2}[seed%3]
-	w.home = map[int64]string{1: "b"}
+	s := newSimulation(seed, "a", "b", "c", "a", "b", "c", "a", "b")
+	s.persistent, s.loss = seed%2 == 0, []float64{0, 0.05, 0.2}[seed%3]
+	s.primaries = map[int64]string{1: "b"}
 	sum, lines, outputs := fnv.New64a(), map[string]int{}, 0
-	w.sees = func(from, of string) Observation {
-		return Observation{Zone: of, Members: 4, Reads: 100}
-	}
-	w.watch = func(d *resident, o Output) {
-		fmt.Fprintf(sum, "%v %s %v %v\n", w.Now, d.name, o.PlanChanged, o.TollsChanged)
-		for _, s := range o.Messages {
-			b, err := cbor.Marshal(s.Message)
+	s.watch = func(d *node, o Output) {
+		fmt.Fprintf(sum, "%v %s %v %v\n", s.Now, d.name, o.PlanChanged, o.TollsChanged)
+		for _, envelope := range o.Messages {
+			b, err := cbor.Marshal(envelope.Message)
 			if err != nil {
 				t.Fatal(err)
 			}
-			fmt.Fprintf(sum, "%s %x\n", s.To, b)
-			lines[fmt.Sprint("message ", s.Message.Kind)]++
+			fmt.Fprintf(sum, "%s %x\n", envelope.To, b)
+			lines[fmt.Sprint("message ", envelope.Message.Kind)]++
 		}
 		for _, n := range o.Events {
 			fmt.Fprintln(sum, n.Reason, n.Name, n.Text)
@@ -52,79 +55,80 @@
 		if outputs++; outputs%50 > 0 {
 			return
 		}
-		moves, epoch := d.z.DueMoves(w.Now)
-		preview, err := d.z.Simulate(w.Now, "b")
-		shown, _ := json.Marshal([]any{d.z.Status(w.Now), preview, d.z.Tolls(), d.z.PlannedZones(), moves, epoch})
+		moves, epoch := d.coordinator.DueMoves(s.Now)
+		preview, err := d.coordinator.Simulate(s.Now, "b")
+		shown, _ := json.Marshal([]any{d.coordinator.Status(s.Now), preview, d.coordinator.Tolls(),
+			d.coordinator.PlannedZones(), moves, epoch})
 		fmt.Fprintln(sum, string(shown), err)
 		lines["moves"] += len(moves)
 		lines["flows"] += len(preview.Flows)
 	}
-	w.until(60000, func() bool { return w.all(func(*Plan) bool { return true }) })
+	s.runUntilConverged(60000, anyPlan)
 	r := rand.New(rand.NewPCG(seed, 77))
 	for range 14 {
-		digestFault(w, r)
-		w.run(12000 * r.Float64())
+		digestFault(s, r)
+		s.run(12000 * r.Float64())
 	}
-	w.cut, w.loss = nil, 0
-	w.sees = func(from, of string) Observation { return Observation{Zone: of, Members: 4, Reads: 100} }
-	w.run(60000)
+	s.blocked, s.loss, s.observe = nil, 0, observeHealthy
+	s.run(60000)
 	t.Log(lines)
 	return fmt.Sprintf("%016x", sum.Sum64())
 }
 
-// digestFault draws one fault or order.
-func digestFault(w *town, r *rand.Rand) {
-	d, to := w.ds[r.IntN(len(w.ds))], w.ds[r.IntN(len(w.ds))]
+// digestFault draws one fault or command.
+func digestFault(s *simulation, r *rand.Rand) {
+	d, to := s.nodes[r.IntN(len(s.nodes))], s.nodes[r.IntN(len(s.nodes))]
 	switch r.IntN(8) {
 	case 0:
-		w.kill(d)
+		s.stop(d)
 	case 1, 2:
-		for _, d := range w.ds {
-			if d.z == nil {
-				w.start(d)
+		for _, d := range s.nodes {
+			if d.coordinator == nil {
+				s.start(d)
 			}
 		}
-		w.cut = nil
+		s.blocked = nil
 	case 3:
-		d.frozen = w.Now + 8000*r.Float64()
+		d.pausedUntil = s.Now + 8000*r.Float64()
 	case 4:
 		side := r.Uint64()
-		w.cut = func(a, b int) bool { return side>>a&1 != side>>b&1 }
+		s.blocked = func(a, b int) bool { return side>>a&1 != side>>b&1 }
 	case 5:
 		silent, lag, slow, rate := r.IntN(5), r.IntN(5), 4*r.Float64(), 200*r.Float64()
-		w.sees = func(from, of string) Observation {
+		s.observe = func(from, of string) Observation {
 			if of == d.zone && (from != to.zone || silent%2 == 0) {
 				return Observation{Zone: of, Members: 4, Reads: rate, Unreachable: silent, LatencyRatio: slow, Lagging: lag}
 			}
 			return Observation{Zone: of, Members: 4, Reads: 100, LatencyRatio: 1}
 		}
 	case 6, 7:
-		if on := r.IntN(2) == 0; d.z != nil {
-			o, err := d.z.Submit(w.Now, Command{Zone: "b", Evacuate: r.IntN(3) > 0, Duration: 20000 * float64(r.IntN(2)),
+		if on := r.IntN(2) == 0; d.coordinator != nil {
+			o, err := d.coordinator.Submit(s.Now, Command{Zone: "b", Evacuate: r.IntN(3) > 0, Duration: 20000 * float64(r.IntN(2)),
 				ID: r.Uint64()})
 			if err == nil && r.IntN(4) == 0 {
-				w.out(d, o)
-				o, err = d.z.Submit(w.Now, Command{Freeze: &on, ID: r.Uint64()})
+				s.handle(d, o)
+				o, err = d.coordinator.Submit(s.Now, Command{Freeze: &on, ID: r.Uint64()})
 			}
 			if err == nil {
-				w.out(d, o)
+				s.handle(d, o)
 			}
 		}
 	}
 }
 
-// TestDigestOfParts holds the parts that no fleet of the above runs widely: courses, causes, shares, tolls, accounts.
+// TestDigestOfParts holds the parts that no fleet of the above runs widely: trackers, assessments, flows, tolls, counts.
 func TestDigestOfParts(t *testing.T) {
 	r := rand.New(rand.NewPCG(5, 5))
 	sum, names := fnv.New64a(), []string{"a", "b", "c", "d"}
 	causes := []Cause{NoCause, NoCause, NoCause, ZoneLost, MembersLost, DriversLost, Isolated, Slow, Lagging, RegionLost}
-	pace := Timing{SuspectFor: 1000, DegradedFor: 3000, BaseEjection: 3000, MaxEjection: 60000, SlowStart: 2000, ForgiveAfter: 20000}
+	timing := testOptions().Timing
+	timing.ForgiveAfter = 20000
 	for range 40 {
 		c, now := &tracker{Zone: Zone{Name: "a", Capacity: 1}}, 0.0
 		for range 200 {
 			cause, ordered, may := causes[r.IntN(len(causes))], r.IntN(6) == 0, r.IntN(4) > 0
 			for range 1 + r.IntN(20) {
-				c.step(now, pace, cause, ordered, may)
+				c.step(now, timing, cause, ordered, may)
 				fmt.Fprintln(sum, c.Zone, c.since, c.healthySince, c.degradedSince, c.degraded)
 				now += 300
 			}
--- a/internal/fleet/zones/plan_test.go
+++ b/internal/fleet/zones/plan_test.go
@@ -8,49 +8,50 @@
 	"weirwind/internal/fleet/membership"
 )
 
-func open(string, string) bool { return true }
+func allReachable(string, string) bool { return true }
 
-func flow(all []Flow, from, to string) float64 { return (&Plan{Flows: all}).share(from, to) }
+func shareOf(all []Flow, from, to string) float64 { return (&Plan{Flows: all}).share(from, to) }
 
-// Reads stay near while there is room, spill in proportion, never to a zone that is not reached or has none, and the
-// limit that binds is named.
+// TestShares: reads stay local while there is capacity, spill in proportion, never to a zone that is not reached or has
+// none, and the limit that binds is named.
 func TestShares(t *testing.T) {
 	three := func(a, b, c, room float64) []ZoneLoad {
 		return []ZoneLoad{{"a", "r", a, room}, {"b", "r", b, room}, {"c", "s", c, room}}
 	}
-	if f, binds := solveFlows(three(60, 60, 60, 100), Limits{0.2, 1}, open); len(f) != 0 || len(binds) != 0 {
+	if f, binds := solveFlows(three(60, 60, 60, 100), Limits{0.2, 1}, allReachable); len(f) != 0 || len(binds) != 0 {
 		t.Errorf("there is room: %v %v", f, binds)
 	}
 	// no cliff: what is beyond the easy room crosses, into the own region first
 	for demand := 80.0; demand <= 140; demand += 5 {
-		f, _ := solveFlows(three(demand, 20, 20, 100), Limits{0.2, 1}, open)
+		f, _ := solveFlows(three(demand, 20, 20, 100), Limits{0.2, 1}, allReachable)
 		want := max(0, demand-80) / demand
-		if got := flow(f, "a", "b"); math.Abs(got-min(want, 60/demand)) > 0.011 {
+		if got := shareOf(f, "a", "b"); math.Abs(got-min(want, 60/demand)) > 0.011 {
 			t.Errorf("demand %.0f: %v, want %.2f", demand, f, want)
 		}
 	}
 	lost := three(60, 60, 60, 100)
 	lost[1].Capacity = 0
-	f, binds := solveFlows(lost, Limits{0, 1}, open)
-	if got := flow(f, "b", "a"); got < 0.66 || flow(f, "b", "b") > 0.01 || flow(f, "b", "a")+flow(f, "b", "c") < 0.99 {
+	f, binds := solveFlows(lost, Limits{0, 1}, allReachable)
+	if got := shareOf(f, "b", "a"); got < 0.66 || shareOf(f, "b", "b") > 0.01 || shareOf(f, "b", "a")+shareOf(f, "b", "c") < 0.99 {
 		t.Errorf("a zone without members: %v %v", f, binds)
 	}
 	f, _ = solveFlows(lost, Limits{0, 1}, func(from, to string) bool { return !(from == "b" && to == "a") })
-	if flow(f, "b", "a") > 0 || flow(f, "b", "c") < 0.6 {
+	if shareOf(f, "b", "a") > 0 || shareOf(f, "b", "c") < 0.6 {
 		t.Errorf("not reached: %v", f)
 	}
 	lost[0].Capacity, lost[2].Capacity = 70, 70
-	if _, binds := solveFlows(lost, Limits{0, 1}, open); !strings.Contains(strings.Join(binds, ";"), "room: ") {
+	if _, binds := solveFlows(lost, Limits{0, 1}, allReachable); !strings.Contains(strings.Join(binds, ";"), "room: ") {
 		t.Errorf("nobody can carry it: %v", binds)
 	}
 	lost[0].Capacity, lost[2].Capacity = 200, 200
-	if _, binds := solveFlows(lost, Limits{0, 0.1}, open); !strings.Contains(strings.Join(binds, ";"), "budget: 33%") {
+	if _, binds := solveFlows(lost, Limits{0, 0.1}, allReachable); !strings.Contains(strings.Join(binds, ";"), "budget: 33%") {
 		t.Errorf("a budget that no plan keeps: %v", binds)
 	}
 }
 
-// A zone that flaps stays away longer each time, one returns at a time, and what does not last takes no zone out.
-func TestCourses(t *testing.T) {
+// TestTracker: a zone that flaps stays ejected longer each time, one recovers at a time, and what does not last ejects
+// no zone.
+func TestTracker(t *testing.T) {
 	p := Timing{SuspectFor: 1000, DegradedFor: 5000, BaseEjection: 5000, MaxEjection: 100000, SlowStart: 2000, ForgiveAfter: 60000}
 	c := &tracker{Zone: Zone{Name: "a", Capacity: 1}, healthySince: 0}
 	leaves, last, now := 0, c.State, 0.0
@@ -87,37 +88,36 @@
 	}
 }
 
-// Of two zones without a third the one with fewer voters changes nothing while it is cut off; an order is refused
-// there.
+// TestTwoZonesWithoutAWitness: of two zones without a third the one with fewer voters changes nothing while it is
+// partitioned; a command is rejected there.
 func TestTwoZonesWithoutAWitness(t *testing.T) {
-	w := newTown(5, "a", "b", "a", "b", "a")
-	w.sees = func(f, of string) Observation { return Observation{Zone: of, Members: 4, Reads: 100} }
-	if w.until(60000, func() bool { return w.all(calm) }) < 0 {
+	s := newSimulation(5, "a", "b", "a", "b", "a")
+	if s.runUntilConverged(60000, allWhole) < 0 {
 		t.Fatal("no first plan")
 	}
-	w.cut = func(a, b int) bool { return a%2 != b%2 }
-	before := w.ds[1].z.plan.Epoch
-	w.run(20000)
+	s.blocked = func(a, b int) bool { return a%2 != b%2 }
+	before := s.nodes[1].coordinator.plan.Epoch
+	s.run(20000)
 	for _, i := range []int{1, 3} {
-		z := w.ds[i].z
-		if z.inForce(w.Now) || z.plan.Epoch != before {
-			t.Errorf("%s: %+v", w.ds[i].name, z.Status(w.Now))
+		z := s.nodes[i].coordinator
+		if z.inForce(s.Now) || z.plan.Epoch != before {
+			t.Errorf("%s: %+v", s.nodes[i].name, z.Status(s.Now))
 		}
-		if _, err := z.Submit(w.Now, Command{Zone: "a", Evacuate: true}); err != ErrNotInForce {
+		if _, err := z.Submit(s.Now, Command{Zone: "a", Evacuate: true}); err != ErrNotInForce {
 			t.Errorf("an order: %v", err)
 		}
 	}
-	if !w.ds[0].z.inForce(w.Now) || w.ds[0].z.plan.Epoch == before {
-		t.Errorf("the other part does not go on: %+v", w.ds[0].z.Status(w.Now))
+	if !s.nodes[0].coordinator.inForce(s.Now) || s.nodes[0].coordinator.plan.Epoch == before {
+		t.Errorf("the other part does not go on: %+v", s.nodes[0].coordinator.Status(s.Now))
 	}
-	w.cut = nil
-	if w.until(120000, func() bool { return w.all(serving) }) < 0 || len(w.broken) > 0 {
-		w.dump(t)
+	s.blocked = nil
+	if s.runUntilConverged(120000, allServing) < 0 || len(s.violations) > 0 {
+		s.dump(t)
 		t.Error("not one plan after the heal")
 	}
 }
 
-// The table: what each standing allows, with a plan in force and without.
+// TestWhatIsAllowed: what each side of a partition allows, with a plan in force and without, and what tolls follow.
 func TestWhatIsAllowed(t *testing.T) {
 	for s := membership.Undetermined; s <= membership.Complete; s++ {
 		for _, force := range []bool{false, true} {
@@ -136,7 +136,8 @@
 	if got := f.effective(p, []string{"a", "b", "c"}, true); got["a"] != 1 || got["b"] != 0 || got["c"] != avoidToll {
 		t.Errorf("in force: %v", got)
 	}
-	if got := f.effective(p, []string{"a", "b", "c"}, false); got["a"] != 0 || got["b"] != defaultToll || got["c"] != avoidToll {
+	got := f.effective(p, []string{"a", "b", "c"}, false)
+	if got["a"] != 0 || got["b"] != defaultToll || got["c"] != avoidToll {
 		t.Errorf("without: no zone is filled, and what was away is still avoided: %v", got)
 	}
 	if got := f.effective(&Plan{}, []string{"a", "b"}, false); got != nil {
@@ -144,7 +145,7 @@
 	}
 }
 
-// Tolls bring a driver's own reads to the shares that are planned.
+// TestSteering: tolls bring a driver's own reads to the shares that are planned.
 func TestSteering(t *testing.T) {
 	f := &tollController{zone: "a"}
 	p := &Plan{Flows: []Flow{{"a", "b", 0.3}}}
