--- /dev/null
+++ b/internal/driver/fleet_mesh.go
@@ -0,0 +1,133 @@
+package driver
+
+import (
+	"cmp"
+	"fmt"
+	"net/netip"
+	"slices"
+
+	"weirwind/internal/fleet/membership"
+	"weirwind/internal/fleet/mesh"
+	"weirwind/internal/operator"
+	"weirwind/internal/roster"
+)
+
+// openMesh opens the sockets of drivers that keep a membership of their own.
+func (f *fleet) openMesh(o operator.Membership, c *configuration) error {
+	v := f.service
+	token, err := readToken(o.TokenFile)
+	if err != nil {
+		return fmt.Errorf("membership: token: %w", err)
+	}
+	listen, err := netip.ParseAddrPort(o.Listen)
+	if err != nil {
+		return fmt.Errorf("membership: listen: %w", err)
+	}
+	f.drains = membership.NewDrains(maxDrains, milliseconds(drainRetention))
+	f.seeds, f.period = o.Seeds, o.ProtocolPeriod
+	expected := o.ExpectedDrivers
+	if expected == 0 {
+		expected = max(c.settings.Opening.Drivers, expectedDrivers(o))
+	}
+	opts := mesh.Options{
+		Name:          c.Name,
+		Zone:          zoneOf(o, c),
+		Listen:        listen,
+		Advertise:     o.Advertise,
+		Seeds:         o.Seeds,
+		Secret:        token,
+		Period:        o.ProtocolPeriod,
+		Expect:        expected,
+		Yield:         o.TakeOverAfter,
+		Seed:          c.settings.Opening.Seed + 2,
+		Run:           uint64(v.decider.clock.unixMs),
+		Now:           v.decider.clock.now,
+		Log:           v.log,
+		Folder:        o.Folder,
+		Gossip:        f.gossip,
+		ReceiveGossip: f.receiveGossip,
+		OnStanding:    f.onPartitionStatus,
+	}
+	if v.zones != nil {
+		opts.ReceivePayload = v.zones.receive
+	}
+	if f.mesh, err = mesh.Open(opts); err != nil {
+		return fmt.Errorf("membership: %w", err)
+	}
+	for i, text := range c.Peers {
+		if at, err := netip.ParseAddrPort(text); err == nil && i != c.settings.Index {
+			f.otherSeeds = append(f.otherSeeds, f.meshAddressOf(at))
+		}
+	}
+	f.reseed()
+	f.gossipInitialDrains()
+	return nil
+}
+
+// gossipInitialDrains has peers notified of the drains in the list that the start began with.
+func (f *fleet) gossipInitialDrains() {
+	revision, entries := f.service.membership()
+	var draining []roster.Entry
+	for _, e := range entries {
+		if e := toRoster(fromLearned(e)); e.Phase != roster.PhaseUp {
+			draining = append(draining, e)
+		}
+	}
+	f.membershipUpdated(roster.SourceDiscovery, revision, draining)
+}
+
+// zoneOf is the driver's zone: the operators', or else the platform's.
+func zoneOf(o operator.Membership, c *configuration) string {
+	return cmp.Or(o.Zone, c.settings.Opening.Zone)
+}
+
+// expectedDrivers is how many drivers the seeds name, this one included.
+func expectedDrivers(o operator.Membership) int {
+	all := append(slices.Clone(o.Seeds), o.Advertise)
+	if o.Advertise == "" {
+		all[len(all)-1] = o.Listen
+	}
+	slices.Sort(all)
+	return len(slices.Compact(all))
+}
+
+// meshAddressOf is where the mesh looks for a peer of which only another address is known: the same host, at this
+// driver's port.
+func (f *fleet) meshAddressOf(at netip.AddrPort) string {
+	own, err := netip.ParseAddrPort(f.mesh.Address())
+	if err != nil {
+		return at.String()
+	}
+	return netip.AddrPortFrom(at.Addr().Unmap(), own.Port()).String()
+}
+
+// reconfigure takes other seeds and another period from the operators.
+func (f *fleet) reconfigure(o *operator.Membership) {
+	if f.mesh == nil || o == nil {
+		return
+	}
+	f.mu.Lock()
+	f.seeds, f.period = o.Seeds, o.ProtocolPeriod
+	f.mu.Unlock()
+	f.reseed()
+}
+
+// setOtherSeeds takes seeds beside the operators'.
+func (f *fleet) setOtherSeeds(seeds []string) {
+	slices.Sort(seeds)
+	f.mu.Lock()
+	same := slices.Equal(seeds, f.otherSeeds)
+	f.otherSeeds = seeds
+	f.mu.Unlock()
+	if !same {
+		f.reseed()
+	}
+}
+
+func (f *fleet) reseed() {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	all := append(slices.Clone(f.seeds), f.otherSeeds...)
+	slices.Sort(all)
+	f.mesh.Change(slices.Compact(all), f.period)
+}
--- a/internal/driver/switchover.go
+++ b/internal/driver/switchover.go
@@ -1,9 +1,5 @@
 package driver
 
-// This file owns what the driver does with words on changes of primaries: it puts them before internal/switchover,
-// carries out what that decides, and has peers told. It must never judge a message itself, or keep a hook waiting for a
-// peer.
-
 import (
 	"context"
 	"fmt"
@@ -23,25 +19,32 @@
 )
 
 const (
-	switchoverInterval  = 20 * time.Millisecond // between looks at who is primary, while a change is open
+	switchoverInterval  = 20 * time.Millisecond // between looks at who is primary
 	maxSwitchoverGroups = 64
 )
 
+// switchovers puts notifications of switchovers before internal/switchover, carries out what that decides, and has peers
+// notified behind a hook's back. It also serves the control sockets.
 type switchovers struct {
 	service   *Service
 	listeners []net.Listener
-	token     string
+	token     string // that peers and remote callers show
 
-	mu      sync.Mutex
+	mu      sync.Mutex // guards what follows, and the order in which its outcomes are applied
 	tracker *switchover.Tracker
 }
 
-// openControl opens the sockets that the operators' file names.
+// openControl opens the control sockets that the operators' file names. origin tells this driver's epochs from others'.
 func (v *Service) openControl(o operator.Control, origin int) error {
 	s := &switchovers{service: v, tracker: switchover.New(switchover.Config{
-		DefaultLease: milliseconds(o.HoldLease), MaxHold: milliseconds(o.MaxHold), ReleaseTimeout: milliseconds(o.ReleaseTimeout),
-		RoleQueryInterval: milliseconds(peerPollInterval), Retention: 4 * milliseconds(o.MaxHold),
-		MaxGroups: maxSwitchoverGroups, Origin: uint64(origin)})}
+		DefaultLease:      milliseconds(o.HoldLease),
+		MaxHold:           milliseconds(o.MaxHold),
+		ReleaseTimeout:    milliseconds(o.ReleaseTimeout),
+		RoleQueryInterval: milliseconds(peerPollInterval),
+		Retention:         4 * milliseconds(o.MaxHold),
+		MaxGroups:         maxSwitchoverGroups,
+		Origin:            uint64(origin),
+	})}
 	if o.TokenFile != "" {
 		var err error
 		if s.token, err = readToken(o.TokenFile); err != nil {
@@ -72,14 +75,14 @@
 	return nil
 }
 
-// secret reads the one that drivers show each other.
+// readToken reads the secret that drivers show each other.
 func readToken(file string) (string, error) {
 	text, err := os.ReadFile(file)
-	s := strings.TrimSpace(string(text))
-	if err == nil && s == "" {
+	token := strings.TrimSpace(string(text))
+	if err == nil && token == "" {
 		err = fmt.Errorf("%s is empty", file)
 	}
-	return s, err
+	return token, err
 }
 
 func (s *switchovers) close() {
@@ -88,14 +91,14 @@
 	}
 }
 
-// run serves calls, and looks at primaries while a change is open.
+// run serves the control sockets and observes primaries until the context ends.
 func (s *switchovers) run(ctx context.Context) error {
 	defer s.close()
 	var all errgroup.Group
 	for _, ln := range s.listeners {
 		token := s.token
 		if ln.Addr().Network() == "unix" {
-			token = "" // who may open the socket may speak
+			token = "" // its file mode says who may call
 		}
 		all.Go(func() error {
 			if err := control.Serve(ctx, ln, s, token); err != nil {
@@ -108,48 +111,48 @@
 	return all.Wait()
 }
 
-// HandleHook takes a message of a hook; peers are told behind its back.
-func (s *switchovers) HandleHook(w switchover.Notification) (switchover.Notification, error) {
-	if !s.service.decider.servesGroup(w.Group) {
-		return w, fmt.Errorf("group %d is not known here", w.Group)
+// HandleHook takes a hook of the topology manager, and returns it with its epoch. Peers are notified after that.
+func (s *switchovers) HandleHook(n switchover.Notification) (switchover.Notification, error) {
+	if !s.service.decider.servesGroup(n.Group) {
+		return n, fmt.Errorf("group %d is not known here", n.Group)
 	}
-	primary := s.service.decider.primaries()[w.Group]
-	if err := s.checkStanding(w); err != nil {
-		return w, err
+	primary := s.service.decider.primaries()[n.Group]
+	if err := s.checkPartition(n); err != nil {
+		return n, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	w, out, err := s.tracker.HandleHook(s.service.decider.clock.now(), w, primary)
+	n, out, err := s.tracker.HandleHook(s.service.decider.clock.now(), n, primary)
 	if err == nil {
 		s.apply(out)
 	}
-	return w, err
+	return n, err
 }
 
-// allowed says whether a hook's word may be taken in this driver's standing among its peers.
-func (s *switchovers) checkStanding(w switchover.Notification) error {
+// checkPartition says whether a hook may be taken in this driver's partition.
+func (s *switchovers) checkPartition(n switchover.Notification) error {
 	if s.service.fleet.mesh == nil {
 		return nil
 	}
-	act := membership.EndWritePause
-	if w.Stage <= switchover.StageHeld {
-		act = membership.BeginWritePause
-		for _, k := range s.Status() {
-			if k.Group == w.Group && k.Stage == switchover.StageHeld && !k.Finished && (w.Epoch == 0 || w.Epoch == k.Epoch) {
-				act = membership.RenewWritePause
+	action := membership.EndWritePause
+	if n.Stage <= switchover.StageHeld {
+		action = membership.BeginWritePause
+		for _, c := range s.Status() {
+			if c.Group == n.Group && c.Stage == switchover.StageHeld && !c.Finished && (n.Epoch == 0 || n.Epoch == c.Epoch) {
+				action = membership.RenewWritePause
 			}
 		}
 	}
-	standing, why := s.service.fleet.mesh.Standing()
-	allowed, reason := membership.Allowed(standing, act)
+	status, why := s.service.fleet.mesh.Standing()
+	allowed, reason := membership.Allowed(status, action)
 	if allowed {
 		return nil
 	}
-	s.service.log.Warn("switch", "reason", reason, "group", w.Group, "standing", standing.String(), "why", why)
-	return fmt.Errorf("%w (it is %s %s)", control.ErrNotInMajority, standing, why)
+	s.service.log.Warn("switch", "reason", reason, "group", n.Group, "standing", status.String(), "why", why)
+	return fmt.Errorf("%w (it is %s %s)", control.ErrNotInMajority, status, why)
 }
 
-// Membership is the view of peers, nil where they do not know each other.
+// Membership is the drivers' own membership; nil where there is none.
 func (s *switchovers) Membership() control.Membership {
 	if s.service.fleet.mesh == nil {
 		return nil
@@ -157,7 +160,7 @@
 	return s.service.fleet.mesh
 }
 
-// Zones is this driver's part in deciding on zones; nil while there is none.
+// Zones is this driver's part in decisions on zones; nil where there is none.
 func (s *switchovers) Zones() control.Zones {
 	if s.service.zones == nil {
 		return nil
@@ -165,45 +168,45 @@
 	return s.service.zones
 }
 
-// HandlePeer takes a message of a peer.
-func (s *switchovers) HandlePeer(w switchover.Notification) error {
-	_, err := s.handleNotification(w)
+// HandlePeer takes a notification of a peer.
+func (s *switchovers) HandlePeer(n switchover.Notification) error {
+	_, err := s.handleNotification(n)
 	return err
 }
 
-// told takes a message of a peer, and says whether it was news.
-func (s *switchovers) handleNotification(w switchover.Notification) (news bool, err error) {
+// handleNotification takes a notification of a peer, and says whether it was new.
+func (s *switchovers) handleNotification(n switchover.Notification) (isNew bool, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out, err := s.tracker.HandleNotification(s.service.decider.clock.now(), w)
+	out, err := s.tracker.HandleNotification(s.service.decider.clock.now(), n)
 	s.apply(out)
 	return out.LogText != "", err
 }
 
-// Status gives what is known of all changes.
+// Status is what is known of all changes.
 func (s *switchovers) Status() []switchover.ChangeStatus {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.tracker.Status(s.service.decider.clock.now())
 }
 
-// role takes what a member said of itself when it was probed.
-func (s *switchovers) observeRole(member string, r logic.Role) {
-	if r == logic.RoleUnknown {
+// observeRole takes the role that a member reported at a health check.
+func (s *switchovers) observeRole(member string, role logic.Role) {
+	if role == logic.RoleUnknown {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.apply(s.tracker.ObserveRole(s.service.decider.clock.now(), member, r == logic.Primary))
+	s.apply(s.tracker.ObserveRole(s.service.decider.clock.now(), member, role == logic.Primary))
 }
 
-// look tells the book who is primary, while a change is open.
+// observePrimaries tells the tracker who is primary, while a change is active, and that time passes.
 func (s *switchovers) observePrimaries() {
 	s.mu.Lock()
-	open := s.tracker.Active()
+	active := s.tracker.Active()
 	s.mu.Unlock()
 	var primaries map[int64]string
-	if open {
+	if active {
 		primaries = s.service.decider.primaries()
 	}
 	s.mu.Lock()
@@ -215,7 +218,7 @@
 	s.apply(s.tracker.Tick(now))
 }
 
-// carry does what was decided. The caller holds the lock.
+// apply carries out what was decided. The caller holds the lock.
 func (s *switchovers) apply(out switchover.Outcome) {
 	for _, m := range out.Marks {
 		s.service.decider.setDraining(m.Member, drainSwitchover, m.Draining)
