--- a/internal/durable/format.go
+++ b/internal/durable/format.go
@@ -1,7 +1,7 @@
 package durable
 
-// This file owns the form of files: names, heads, frames and checksums. It must never touch a file, allocate by a
-// length that it has not checked, or give out a byte that no checksum covers.
+// This file owns the form of files: names, headers, frames and checksums. It must never do I/O, allocate by a length
+// that it has not checked, or return a byte that no checksum covers.
 
 import (
 	"encoding/binary"
@@ -14,14 +14,14 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// Version is the form of files that this build writes and the only one that it reads.
+// Version is the version of the files that this build writes, and the only one that it reads.
 const Version = 1
 
 const (
-	magic     = "WWDB"
-	tagBytes  = 4
-	headBytes = 4 + 2 + 2 + tagBytes + 8 + 8 + 8 + 4 // magic, version, kind, tag, generation, seq, length, CRC
-	frameHead = 4 + 8 + 4                            // length, seq, CRC
+	magic            = "WWDB"
+	tagBytes         = 4
+	headerBytes      = 4 + 2 + 2 + tagBytes + 8 + 8 + 8 + 4 // magic, version, kind, tag, generation, seq, length, CRC
+	frameHeaderBytes = 4 + 8 + 4                            // length, seq, CRC
 )
 
 type fileKind uint16
@@ -44,7 +44,7 @@
 func snapshotName(n uint64) string { return fmt.Sprintf("%016x.snapshot", n) }
 func logName(n uint64) string      { return fmt.Sprintf("%016x.log", n) }
 
-// parseName tells a file's generation and kind.
+// parseName returns the generation and the kind of a file.
 func parseName(name string) (uint64, fileKind) {
 	stem, ext, _ := strings.Cut(name, ".")
 	n, err := strconv.ParseUint(stem, 16, 64)
@@ -58,8 +58,8 @@
 	return 0, other
 }
 
-func encodeHead(kind fileKind, tag string, generation, seq, length uint64) []byte {
-	b := append(make([]byte, 0, headBytes), magic...)
+func encodeHeader(kind fileKind, tag string, generation, seq, length uint64) []byte {
+	b := append(make([]byte, 0, headerBytes), magic...)
 	b = binary.BigEndian.AppendUint16(b, Version)
 	b = binary.BigEndian.AppendUint16(b, uint16(kind))
 	b = append(b, tag...)
@@ -69,21 +69,20 @@
 	return binary.BigEndian.AppendUint32(b, crc32.Checksum(b, castagnoli))
 }
 
-// decodeHead reads a head and checks all of it; the version goes before the checksum, whose place may differ in
-// a version yet to come.
-func decodeHead(kind fileKind, tag string, generation uint64, b []byte) (seq, length uint64, err error) {
-	if len(b) < headBytes || string(b[:4]) != magic {
+// decodeHeader checks a header. The version goes before the checksum, whose position may differ in a later version.
+func decodeHeader(kind fileKind, tag string, generation uint64, b []byte) (seq, length uint64, err error) {
+	if len(b) < headerBytes || string(b[:4]) != magic {
 		return 0, 0, fmt.Errorf("head: %w", ErrDamaged)
 	}
-	body, sum := b[:headBytes-4], binary.BigEndian.Uint32(b[headBytes-4:])
-	whole := crc32.Checksum(body, castagnoli) == sum
+	body, sum := b[:headerBytes-4], binary.BigEndian.Uint32(b[headerBytes-4:])
+	intact := crc32.Checksum(body, castagnoli) == sum
 	if v := binary.BigEndian.Uint16(b[4:]); v != Version {
-		if v > Version || whole {
+		if v > Version || intact {
 			return 0, 0, fmt.Errorf("version %d: %w", v, ErrVersion)
 		}
 		return 0, 0, fmt.Errorf("head: %w", ErrDamaged)
 	}
-	if !whole {
+	if !intact {
 		return 0, 0, fmt.Errorf("head: %w", ErrDamaged)
 	}
 	if string(b[8:8+tagBytes]) != tag {
@@ -96,47 +95,47 @@
 	return binary.BigEndian.Uint64(rest[8:]), binary.BigEndian.Uint64(rest[16:]), nil
 }
 
-// encodeSnapshot packs a state. The head's length is that of the packed body, which its own checksum follows.
+// encodeSnapshot compresses a state. The header's length is that of the compressed body, which its checksum follows.
 func encodeSnapshot(tag string, generation, seq uint64, state []byte) []byte {
-	pack, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithEncoderLevel(zstd.SpeedFastest),
+	encoder, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithEncoderLevel(zstd.SpeedFastest),
 		zstd.WithLowerEncoderMem(true), zstd.WithWindowSize(zstd.MinWindowSize<<8))
 	if err != nil {
 		panic(err) // the options are constants
 	}
-	defer func() { _ = pack.Close() }() // frees its memory
-	body := pack.EncodeAll(state, nil)
-	b := append(encodeHead(snapshotFile, tag, generation, seq, uint64(len(body))), body...)
+	defer func() { _ = encoder.Close() }() // frees its memory
+	body := encoder.EncodeAll(state, nil)
+	b := append(encodeHeader(snapshotFile, tag, generation, seq, uint64(len(body))), body...)
 	return binary.BigEndian.AppendUint32(b, crc32.Checksum(body, castagnoli))
 }
 
-// decodeSnapshot gives the state and the sequence number up to which it holds everything. Unpacked it may be so
-// many bytes long as eight times the limit.
+// decodeSnapshot returns the state and the sequence number up to which it holds everything. Decompressed it may have
+// eight times as many bytes as the limit.
 func decodeSnapshot(tag string, generation uint64, b []byte, limit int64) (state []byte, seq uint64, err error) {
-	seq, length, err := decodeHead(snapshotFile, tag, generation, b)
+	seq, length, err := decodeHeader(snapshotFile, tag, generation, b)
 	if err != nil {
 		return nil, 0, err
 	}
-	if rest := uint64(len(b) - headBytes); rest < 4 || length != rest-4 {
+	if rest := uint64(len(b) - headerBytes); rest < 4 || length != rest-4 {
 		return nil, 0, fmt.Errorf("%d bytes of %d: %w", rest, length, ErrDamaged)
 	}
-	body := b[headBytes : len(b)-4]
+	body := b[headerBytes : len(b)-4]
 	if crc32.Checksum(body, castagnoli) != binary.BigEndian.Uint32(b[len(b)-4:]) {
 		return nil, 0, fmt.Errorf("body: %w", ErrDamaged)
 	}
-	unpack, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true),
+	decoder, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true),
 		zstd.WithDecoderMaxMemory(uint64(8*limit)))
 	if err != nil {
 		return nil, 0, err
 	}
-	defer unpack.Close()
-	if state, err = unpack.DecodeAll(body, nil); err != nil {
+	defer decoder.Close()
+	if state, err = decoder.DecodeAll(body, nil); err != nil {
 		return nil, 0, fmt.Errorf("body: %w: %w", err, ErrDamaged)
 	}
 	return state, seq, nil
 }
 
-func encodeLogHead(tag string, generation, seq uint64) []byte {
-	return encodeHead(logFile, tag, generation, seq, 0)
+func encodeLogHeader(tag string, generation, seq uint64) []byte {
+	return encodeHeader(logFile, tag, generation, seq, 0)
 }
 
 func appendFrame(b []byte, seq uint64, record []byte) []byte {
@@ -148,19 +147,19 @@
 	return append(b, record...)
 }
 
-// nextFrame takes the first frame off, which must carry the sequence number. ok is false where no whole one is.
+// nextFrame splits off the first frame, which must have the sequence number. ok is false where it is not complete.
 func nextFrame(b []byte, seq uint64) (record, rest []byte, ok bool) {
-	if len(b) < frameHead {
+	if len(b) < frameHeaderBytes {
 		return nil, b, false
 	}
 	n := binary.BigEndian.Uint32(b)
-	if n > maxRecord || int(n) > len(b)-frameHead || binary.BigEndian.Uint64(b[4:]) != seq {
+	if n > maxRecordBytes || int(n) > len(b)-frameHeaderBytes || binary.BigEndian.Uint64(b[4:]) != seq {
 		return nil, b, false
 	}
-	record = b[frameHead : frameHead+int(n)]
+	record = b[frameHeaderBytes : frameHeaderBytes+int(n)]
 	sum := crc32.Update(crc32.Checksum(b[:12], castagnoli), castagnoli, record)
 	if sum != binary.BigEndian.Uint32(b[12:]) {
 		return nil, b, false
 	}
-	return record, b[frameHead+int(n):], true
+	return record, b[frameHeaderBytes+int(n):], true
 }
--- a/internal/durable/fs.go
+++ b/internal/durable/fs.go
@@ -1,7 +1,7 @@
 package durable
 
-// This file owns the way to the file system: the interface that the store goes through, and the real one behind
-// it. It must never buffer, and never hide an error.
+// This file owns the file system as the store needs it, and that of the machine. It must never buffer, and never hide
+// an error.
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 	"syscall"
 )
 
-// FS is what the store asks of a file system. Names are paths.
+// FS is a file system. Names are paths.
 type FS interface {
 	MkdirAll(folder string) error
 	List(folder string) ([]string, error)
@@ -22,7 +22,7 @@
 	Lock(name string) (io.Closer, error) // ErrLocked where another process has it
 }
 
-// File is one being written.
+// File is a file that is written.
 type File interface {
 	io.WriteCloser
 	Sync() error
@@ -31,10 +31,10 @@
 // OS is the file system of the machine.
 type OS struct{}
 
-// MkdirAll makes a folder for the process's own user, and those above it.
+// MkdirAll creates a folder for the process's own user, and its parents.
 func (OS) MkdirAll(folder string) error { return os.MkdirAll(folder, 0o700) }
 
-// List gives the names in a folder, in no order.
+// List returns the names in a folder, in no order.
 func (OS) List(folder string) ([]string, error) {
 	d, err := os.Open(folder)
 	if err != nil {
@@ -44,12 +44,12 @@
 	return d.Readdirnames(-1)
 }
 
-// Create opens a file for writing, empty, for the process's own user.
+// Create opens an empty file for writing, for the process's own user.
 func (OS) Create(name string) (File, error) {
 	return os.OpenFile(name, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
 }
 
-// ReadFile gives a file's content. ErrDamaged: it is longer than the limit in bytes, or no regular file.
+// ReadFile returns a file's content. ErrDamaged: it is longer than the limit in bytes, or no regular file.
 func (OS) ReadFile(name string, limit int64) ([]byte, error) {
 	f, err := os.Open(name)
 	if err != nil {
@@ -62,10 +62,10 @@
 	return io.ReadAll(io.LimitReader(f, limit))
 }
 
-// Rename puts a file in the place of another at once.
+// Rename replaces a file atomically.
 func (OS) Rename(from, to string) error { return os.Rename(from, to) }
 
-// Remove takes a name away.
+// Remove removes a name.
 func (OS) Remove(name string) error { return os.Remove(name) }
 
 // SyncDir makes the names in a folder durable.
--- a/internal/durable/recorded_test.go
+++ b/internal/durable/recorded_test.go
@@ -14,7 +14,7 @@
 	state := []byte("a state that is kept, a state that is kept")
 	for name, x := range map[string]struct{ got, want string }{
 		"snapshot": {hex.EncodeToString(encodeSnapshot(tag, generation, seq, state)), snapshotForm},
-		"log":      {hex.EncodeToString(encodeLogHead(tag, generation, seq)), "575744420001000254455354000000000000000700000000000000290000000000000000a200fe40"},
+		"log":      {hex.EncodeToString(encodeLogHeader(tag, generation, seq)), "575744420001000254455354000000000000000700000000000000290000000000000000a200fe40"},
 		"frame":    {hex.EncodeToString(appendFrame(nil, 42, []byte("one record"))), "0000000a000000000000002a606a28426f6e65207265636f7264"},
 	} {
 		t.Run(name, func(t *testing.T) {
