--- a/internal/control/golden_test.go
+++ b/internal/control/golden_test.go
@@ -63,8 +63,8 @@
 	return f.d.err
 }
 
-func (f *fakeMembership) Compare(context.Context) []mesh.Compared {
-	return []mesh.Compared{{Name: "n0", Status: &membership.Status{Self: "n0"}}, {Name: "n1", Error: "silent"}}
+func (f *fakeMembership) Compare(context.Context) []mesh.DriverView {
+	return []mesh.DriverView{{Name: "n0", Status: &membership.Status{Self: "n0"}}, {Name: "n1", Error: "silent"}}
 }
 
 type fakeZones struct{ d *fakeDriver }
--- a/internal/control/membership.go
+++ b/internal/control/membership.go
@@ -16,7 +16,7 @@
 	Status() membership.Status
 	Leave()
 	Forget(name string, certain bool) error
-	Compare(context.Context) []mesh.Compared
+	Compare(context.Context) []mesh.DriverView
 }
 
 // membershipProvider is what a Switcher also is where drivers may know each other; Membership is nil while they do not.
@@ -72,7 +72,7 @@
 }
 
 // Compare returns the views of all drivers that this one knows, its own first.
-func (c *Client) Compare(ctx context.Context) (all []mesh.Compared, err error) {
+func (c *Client) Compare(ctx context.Context) (all []mesh.DriverView, err error) {
 	c.http.Timeout = compareTimeout
 	return all, c.call(ctx, http.MethodGet, "/membership/compare", nil, &all)
 }
--- a/internal/driver/fleet.go
+++ b/internal/driver/fleet.go
@@ -64,7 +64,7 @@
 		}
 	}
 	if f.mesh != nil {
-		f.mesh.Spread()
+		f.mesh.SpreadGossip()
 	}
 }
 
--- a/internal/driver/fleet_gossip.go
+++ b/internal/driver/fleet_gossip.go
@@ -28,7 +28,7 @@
 	}
 	if f.service.switchovers != nil {
 		for _, s := range f.service.switchovers.Status() {
-			g.Switches = append(g.Switches, s.Notification)
+			g.Switchovers = append(g.Switchovers, s.Notification)
 		}
 	}
 	from := 0.0
@@ -44,8 +44,8 @@
 // receiveGossip takes a peer's gossip. askedAt is when it was requested, -Inf where it came unrequested. changed says
 // that some of it was new and is to be passed on; askAgain that the peer is to be requested to confirm a plan of zones.
 func (f *fleet) receiveGossip(g *mesh.Gossip, askedAt float64) (changed, askAgain bool) {
-	if len(g.Switches) > maxGossipSwitchovers || len(g.Drains) > maxDrains {
-		f.service.log.Warn("membership", "reason", "too_many_words", "switches", len(g.Switches), "drains", len(g.Drains))
+	if len(g.Switchovers) > maxGossipSwitchovers || len(g.Drains) > maxDrains {
+		f.service.log.Warn("membership", "reason", "too_many_words", "switches", len(g.Switchovers), "drains", len(g.Drains))
 		return false, false
 	}
 	if z := f.service.zones; z != nil && g.Zones != nil {
@@ -53,7 +53,7 @@
 		askAgain = changed && math.IsInf(askedAt, -1)
 	}
 	if s := f.service.switchovers; s != nil {
-		for _, notification := range g.Switches {
+		for _, notification := range g.Switchovers {
 			isNew, err := s.handleNotification(notification)
 			if err != nil {
 				f.service.log.Warn("switch", "error", err)
@@ -90,7 +90,7 @@
 	f.applyDrains(marks)
 	f.mu.Unlock()
 	if isNew {
-		f.mesh.Spread()
+		f.mesh.SpreadGossip()
 	}
 }
 
--- a/internal/driver/fleet_mesh.go
+++ b/internal/driver/fleet_mesh.go
@@ -30,23 +30,23 @@
 		expected = max(c.settings.Opening.Drivers, expectedDrivers(o))
 	}
 	opts := mesh.Options{
-		Name:          c.Name,
-		Zone:          zoneOf(o, c),
-		Listen:        listen,
-		Advertise:     o.Advertise,
-		Seeds:         o.Seeds,
-		Secret:        token,
-		Period:        o.ProtocolPeriod,
-		Expect:        expected,
-		Yield:         o.TakeOverAfter,
-		Seed:          c.settings.Opening.Seed + 2,
-		Run:           uint64(v.decider.clock.unixMs),
-		Now:           v.decider.clock.now,
-		Log:           v.log,
-		Folder:        o.Folder,
-		Gossip:        f.gossip,
-		ReceiveGossip: f.receiveGossip,
-		OnStanding:    f.onPartitionStatus,
+		Name:              c.Name,
+		Zone:              zoneOf(o, c),
+		Listen:            listen,
+		Advertise:         o.Advertise,
+		Seeds:             o.Seeds,
+		Secret:            token,
+		Period:            o.ProtocolPeriod,
+		ExpectedDrivers:   expected,
+		TakeoverAfter:     o.TakeOverAfter,
+		RandomSeed:        c.settings.Opening.Seed + 2,
+		Run:               uint64(v.decider.clock.unixMs),
+		Now:               v.decider.clock.now,
+		Log:               v.log,
+		StateDir:          o.Folder,
+		Gossip:            f.gossip,
+		ReceiveGossip:     f.receiveGossip,
+		OnPartitionStatus: f.onPartitionStatus,
 	}
 	if v.zones != nil {
 		opts.ReceivePayload = v.zones.receive
@@ -129,5 +129,5 @@
 	defer f.mu.Unlock()
 	all := append(slices.Clone(f.seeds), f.otherSeeds...)
 	slices.Sort(all)
-	f.mesh.Change(slices.Compact(all), f.period)
+	f.mesh.Reconfigure(slices.Compact(all), f.period)
 }
--- a/internal/driver/switchover.go
+++ b/internal/driver/switchover.go
@@ -143,7 +143,7 @@
 			}
 		}
 	}
-	status, why := s.service.fleet.mesh.Standing()
+	status, why := s.service.fleet.mesh.PartitionStatus()
 	allowed, reason := membership.Allowed(status, action)
 	if allowed {
 		return nil
--- a/internal/driver/zones.go
+++ b/internal/driver/zones.go
@@ -177,7 +177,7 @@
 		z.send(s)
 	}
 	if out.PlanChanged {
-		z.service.fleet.mesh.Spread()
+		z.service.fleet.mesh.SpreadGossip()
 	}
 	return out.PlanChanged
 }
@@ -199,7 +199,7 @@
 	within, stop := context.WithTimeout(ctx, zoneCallTimeout)
 	defer stop()
 	asked := z.service.decider.clock.now()
-	back, err := z.service.fleet.mesh.Send(within, s.To, b)
+	back, err := z.service.fleet.mesh.Request(within, s.To, b)
 	if err == nil {
 		for _, w := range z.receiveMessages(s.To, back, asked) {
 			z.send(zones.Envelope{To: s.To, Message: w})
--- a/internal/fleet/mesh/calls.go
+++ b/internal/fleet/mesh/calls.go
@@ -17,8 +17,8 @@
 )
 
 // accept serves peers' calls.
-func (m *Mesh) accept(ctx context.Context) {
-	places := make(chan struct{}, maxIncoming)
+func (m *Mesh) acceptLoop(ctx context.Context) {
+	places := make(chan struct{}, maxIncomingCalls)
 	for ctx.Err() == nil {
 		c, err := m.tcp.Accept()
 		if err != nil {
@@ -32,7 +32,7 @@
 		case places <- struct{}{}:
 			go func() {
 				defer func() { <-places }()
-				m.serve(c)
+				m.serveCall(c)
 			}()
 		default: // too many at a time: it calls again, or another one
 			c.Close()
@@ -41,28 +41,28 @@
 }
 
 // serve answers one call.
-func (m *Mesh) serve(c net.Conn) {
+func (m *Mesh) serveCall(c net.Conn) {
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(callTimeout))
 	f, err := m.frameCodec.read(c)
 	if err != nil {
 		if !errors.Is(err, io.EOF) {
-			m.refused(err, c.RemoteAddr().String())
+			m.reject(err, c.RemoteAddr().String())
 		}
 		return
 	}
 	back := &frame{Call: f.Call, Nonce: f.Nonce}
 	switch f.Call {
-	case callExchange, callGossip:
-		if f.Call == callExchange && f.Exchange != nil {
+	case callExchangeState, callGossip:
+		if f.Call == callExchangeState && f.Exchange != nil {
 			m.mu.Lock()
 			x := m.view.Snapshot()
 			back.Exchange = &x
 			m.apply(m.view.Merge(m.options.Now(), *f.Exchange))
 		}
-		back.Gossip = m.gossip(f.Call == callExchange)
+		back.Gossip = m.ownGossip(f.Call == callExchangeState)
 		m.receiveGossip(f.Gossip, math.Inf(-1))
-	case callSend:
+	case callRequest:
 		if m.options.ReceivePayload != nil && f.From != "" {
 			back.Payload = m.options.ReceivePayload(f.From, f.Payload)
 		}
@@ -73,7 +73,7 @@
 }
 
 // gossip is what this driver says to peers; nil for nothing.
-func (m *Mesh) gossip(all bool) *Gossip {
+func (m *Mesh) ownGossip(all bool) *Gossip {
 	if m.options.Gossip == nil {
 		return nil
 	}
@@ -90,24 +90,24 @@
 	changed, again := m.options.ReceiveGossip(gossip, asked)
 	if again && gossip.From != "" {
 		select {
-		case m.gossipAsks <- gossip.From:
+		case m.gossipRequests <- gossip.From:
 		default: // the next one that is asked will do
 		}
 	}
 	if changed {
-		m.Spread()
+		m.SpreadGossip()
 	}
 }
 
 // Send has a peer take something, and gives what it sends back.
-func (m *Mesh) Send(ctx context.Context, to string, what []byte) ([]byte, error) {
+func (m *Mesh) Request(ctx context.Context, to string, what []byte) ([]byte, error) {
 	m.mu.Lock()
 	address := m.view.AddressOf(to)
 	m.mu.Unlock()
 	if address == "" {
 		return nil, membership.ErrUnknownDriver
 	}
-	back, err := m.call(ctx, address, &frame{Call: callSend, From: m.options.Name, Payload: what})
+	back, err := m.call(ctx, address, &frame{Call: callRequest, From: m.options.Name, Payload: what})
 	if err != nil {
 		return nil, err
 	}
@@ -117,7 +117,7 @@
 // exchangeGossip exchanges gossip with one peer.
 func (m *Mesh) exchangeGossip(ctx context.Context, at string) {
 	asked := m.options.Now()
-	if back, err := m.call(ctx, at, &frame{Call: callGossip, Gossip: m.gossip(false)}); err == nil {
+	if back, err := m.call(ctx, at, &frame{Call: callGossip, Gossip: m.ownGossip(false)}); err == nil {
 		m.receiveGossip(back.Gossip, asked)
 	}
 }
@@ -151,11 +151,11 @@
 }
 
 // exchange trades whole states, and gossip, with a peer.
-func (m *Mesh) exchange(ctx context.Context, address string) {
+func (m *Mesh) exchangeState(ctx context.Context, address string) {
 	m.mu.Lock()
 	x := m.view.Snapshot()
 	m.mu.Unlock()
-	f, asked := &frame{Call: callExchange, Exchange: &x, Gossip: m.gossip(true)}, m.options.Now()
+	f, asked := &frame{Call: callExchangeState, Exchange: &x, Gossip: m.ownGossip(true)}, m.options.Now()
 	back, err := m.call(ctx, address, f)
 	if err != nil {
 		m.options.Log.Debug("membership", "reason", "exchange_failed", "address", address, "error", err)
@@ -169,7 +169,7 @@
 }
 
 // Spread has peers told of what is new here, soon.
-func (m *Mesh) Spread() {
+func (m *Mesh) SpreadGossip() {
 	select {
 	case m.wake <- struct{}{}:
 	default:
--- a/internal/fleet/mesh/datagrams.go
+++ b/internal/fleet/mesh/datagrams.go
@@ -10,7 +10,7 @@
 	"weirwind/internal/fleet/membership"
 )
 
-func (m *Mesh) send(s *membership.Envelope) {
+func (m *Mesh) sendDatagram(s *membership.Envelope) {
 	to, err := netip.ParseAddrPort(s.Address)
 	if err != nil {
 		return
@@ -25,7 +25,7 @@
 }
 
 // receive takes datagrams.
-func (m *Mesh) receive(ctx context.Context) {
+func (m *Mesh) receiveLoop(ctx context.Context) {
 	buf := make([]byte, maxDatagram+1)
 	for ctx.Err() == nil {
 		n, from, err := m.udp.ReadFromUDPAddrPort(buf)
@@ -42,7 +42,7 @@
 			err = m.datagramCodec.open(buf[:n], &msg)
 		}
 		if err != nil {
-			m.refused(err, from.String())
+			m.reject(err, from.String())
 			continue
 		}
 		m.mu.Lock()
@@ -51,11 +51,11 @@
 }
 
 // refused counts what could not be taken, and says so now and then.
-func (m *Mesh) refused(err error, from string) {
-	n := m.refusedCount.Add(1)
-	now, last := int64(m.options.Now()), m.refusedLoggedAt.Load()
-	if (last == 0 || now-last >= refusedLogInterval.Milliseconds()) &&
-		m.refusedLoggedAt.CompareAndSwap(last, max(now, 1)) {
+func (m *Mesh) reject(err error, from string) {
+	n := m.rejectedCount.Add(1)
+	now, last := int64(m.options.Now()), m.rejectedLoggedAt.Load()
+	if (last == 0 || now-last >= rejectedLogInterval.Milliseconds()) &&
+		m.rejectedLoggedAt.CompareAndSwap(last, max(now, 1)) {
 		m.options.Log.Warn("membership", "reason", "frame_refused", "from", from, "error", err, "in_all", n)
 	}
 }
--- a/internal/fleet/mesh/frame.go
+++ b/internal/fleet/mesh/frame.go
@@ -44,19 +44,19 @@
 
 // Gossip is what drivers tell each other of members: changes of primaries, and drains.
 type Gossip struct {
-	Switches []switchover.Notification `cbor:"1,keyasint,omitempty"`
-	Drains   []membership.Drain        `cbor:"2,keyasint,omitempty"`
-	From     string                    `cbor:"3,keyasint,omitempty"` // address at which who says this is asked
-	Zones    *zones.Summary            `cbor:"4,keyasint,omitempty"`
+	Switchovers []switchover.Notification `cbor:"1,keyasint,omitempty"`
+	Drains      []membership.Drain        `cbor:"2,keyasint,omitempty"`
+	From        string                    `cbor:"3,keyasint,omitempty"` // address at which who says this is asked
+	Zones       *zones.Summary            `cbor:"4,keyasint,omitempty"`
 }
 
 type call uint8
 
 const (
-	callExchange call = iota + 1 // whole states, and gossip
-	callGossip                   // gossip alone
+	callExchangeState call = iota + 1 // whole states, and gossip
+	callGossip                        // gossip alone
 	callStatus
-	callSend
+	callRequest
 )
 
 var (
--- a/internal/fleet/mesh/golden_test.go
+++ b/internal/fleet/mesh/golden_test.go
@@ -14,17 +14,17 @@
 )
 
 func goldenFrames() []golden.Case[frame] {
-	gossip := &Gossip{Switches: []switchover.Notification{{Group: 3, Epoch: 4, From: "m0", To: "m1"}},
+	gossip := &Gossip{Switchovers: []switchover.Notification{{Group: 3, Epoch: 4, From: "m0", To: "m1"}},
 		Drains: []membership.Drain{{Member: "m2", Source: 1, Revision: 5, Up: true}}, From: "10.0.0.1:7434",
 		Zones: &zones.Summary{Epoch: 6, Sum: 7, Age: -1}}
 	snapshot := &membership.Snapshot{From: record(1), Records: []membership.Record{record(2)},
 		Roster: &membership.Roster{Version: 3, Names: []string{"a"}}}
 	return []golden.Case[frame]{
 		golden.Of("empty", frame{}),
-		golden.Of("exchange", frame{Call: callExchange, Exchange: snapshot, Gossip: gossip, Nonce: 1 << 63}),
+		golden.Of("exchange", frame{Call: callExchangeState, Exchange: snapshot, Gossip: gossip, Nonce: 1 << 63}),
 		golden.Of("gossip", frame{Call: callGossip, Gossip: gossip, Nonce: 2}),
 		golden.Of("status", frame{Call: callStatus, Status: []byte(`{"self":"a"}`), Nonce: 3}),
-		golden.Of("send", frame{Call: callSend, From: "a", Payload: []byte{1, 2}, Nonce: 4}),
+		golden.Of("send", frame{Call: callRequest, From: "a", Payload: []byte{1, 2}, Nonce: 4}),
 	}
 }
 
@@ -55,7 +55,7 @@
 	driver := func(name string, s membership.State) membership.View {
 		return membership.View{Name: name, State: s}
 	}
-	all := []Compared{{Name: "a", Status: &membership.Status{Self: "a", Roster: &membership.Roster{Version: 3},
+	all := []DriverView{{Name: "a", Status: &membership.Status{Self: "a", Roster: &membership.Roster{Version: 3},
 		Drivers: []membership.View{driver("a", membership.Alive), driver("b", membership.Alive)}}},
 		{Name: "b", Status: &membership.Status{Self: "b",
 			Drivers: []membership.View{driver("a", membership.Left), driver("b", membership.Alive)}}},
@@ -63,5 +63,5 @@
 	golden.Text(t, "testdata/texts.golden", []golden.Case[string]{
 		golden.Of("differences", fmt.Sprint(Differences(all))),
 		golden.Of("errors", fmt.Sprint(errAuthentication, errTooLong))})
-	golden.JSON(t, "testdata/compared.golden", []golden.Case[Compared]{golden.Of("no answer", all[2])})
+	golden.JSON(t, "testdata/compared.golden", []golden.Case[DriverView]{golden.Of("no answer", all[2])})
 }
--- a/internal/fleet/mesh/mesh.go
+++ b/internal/fleet/mesh/mesh.go
@@ -23,35 +23,35 @@
 )
 
 const (
-	callTimeout        = 2 * time.Second
-	maxIncoming        = 32 // connections of peers at a time
-	maxOutgoing        = 8  // to peers at a time
-	maxQueued          = 64 // calls that wait for a place
-	gossipFanout       = 8  // peers that are told of news at once; they tell others
-	gossipInterval     = time.Second
-	ticksPerPeriod     = 10
-	listenTries        = 16
-	leftKept           = 10 * time.Minute // a driver that left is remembered for so long
-	maxDrivers         = 20000
-	leaveDuration      = 300 * time.Millisecond
-	refusedLogInterval = 30 * time.Second // between two lines on what was refused
+	callTimeout         = 2 * time.Second
+	maxIncomingCalls    = 32 // connections of peers at a time
+	maxOutgoingCalls    = 8  // to peers at a time
+	maxQueuedExchanges  = 64 // calls that wait for a place
+	gossipFanout        = 8  // peers that are told of news at once; they tell others
+	gossipInterval      = time.Second
+	ticksPerPeriod      = 10
+	listenAttempts      = 16
+	retainLeft          = 10 * time.Minute // a driver that left is remembered for so long
+	maxDrivers          = 20000
+	leaveDelay          = 300 * time.Millisecond
+	rejectedLogInterval = 30 * time.Second // between two lines on what was refused
 )
 
 // Options are what a mesh goes by.
 type Options struct {
-	Name, Zone string
-	Listen     netip.AddrPort
-	Advertise  string // host:port at which peers reach this driver; empty: Listen as it was opened
-	Seeds      []string
-	Secret     string
-	Period     time.Duration
-	Expect     int           // drivers, before they have agreed on a roster
-	Yield      time.Duration // see membership.Options
-	Seed       uint64
-	Run        uint64
-	Folder     string         // where votes outlive the process; empty: nowhere
-	Now        func() float64 // milliseconds; never steps
-	Log        *slog.Logger
+	Name, Zone      string
+	Listen          netip.AddrPort
+	Advertise       string // host:port at which peers reach this driver; empty: Listen as it was opened
+	Seeds           []string
+	Secret          string
+	Period          time.Duration
+	ExpectedDrivers int           // drivers, before they have agreed on a roster
+	TakeoverAfter   time.Duration // see membership.Options
+	RandomSeed      uint64
+	Run             uint64
+	StateDir        string         // where votes outlive the process; empty: nowhere
+	Now             func() float64 // milliseconds; never steps
+	Log             *slog.Logger
 
 	Gossip func(all bool) *Gossip // goes along with whole states, and else those of late; nil for none
 	// ReceiveGossip takes a peer's. asked is when it was asked for it, on Now's clock, and -Inf where it came unasked.
@@ -59,36 +59,36 @@
 	ReceiveGossip func(g *Gossip, asked float64) (changed, again bool)
 	// ReceivePayload takes what a peer sent by Send, and gives what goes back. Nil: nothing is taken.
 	ReceivePayload func(from string, what []byte) (back []byte)
-	// OnStanding is told of the standing and the count of drivers, when they change.
-	OnStanding func(membership.PartitionStatus, int)
-	// OnNote sees each note; false keeps it out of the log. Nil: all are logged.
-	OnNote func(note membership.Event) bool
+	// OnPartitionStatus is told of the standing and the count of drivers, when they change.
+	OnPartitionStatus func(membership.PartitionStatus, int)
+	// OnEvent sees each note; false keeps it out of the log. Nil: all are logged.
+	OnEvent func(note membership.Event) bool
 }
 
 // Mesh is a driver's place among its peers.
 type Mesh struct {
-	options         Options
-	udp             *net.UDPConn
-	tcp             *net.TCPListener
-	datagramCodec   codec
-	frameCodec      codec
-	exchanges       chan string // addresses to exchange whole states with
-	gossipAsks      chan string // and gossip
-	wake            chan struct{}
-	left            atomic.Bool
-	refusedCount    atomic.Int64    // datagrams and frames that could not be taken
-	refusedLoggedAt atomic.Int64    // when that was logged last, milliseconds
-	bytesSent       atomic.Int64    // bytes by UDP
-	votes           *durable.Latest // nil where nothing is
+	options          Options
+	udp              *net.UDPConn
+	tcp              *net.TCPListener
+	datagramCodec    codec
+	frameCodec       codec
+	exchanges        chan string // addresses to exchange whole states with
+	gossipRequests   chan string // and gossip
+	wake             chan struct{}
+	leaving          atomic.Bool
+	rejectedCount    atomic.Int64    // datagrams and frames that could not be taken
+	rejectedLoggedAt atomic.Int64    // when that was logged last, milliseconds
+	bytesSent        atomic.Int64    // bytes by UDP
+	votes            *durable.Latest // nil where nothing is
 
 	notifying sync.Mutex // held while somebody is told of the standing
 
-	mu           sync.Mutex // guards what follows
-	view         *membership.Fleet
-	standing     membership.PartitionStatus
-	count        int
-	standingTold bool
-	period       time.Duration
+	mu                sync.Mutex // guards what follows
+	view              *membership.Fleet
+	partition         membership.PartitionStatus
+	count             int
+	partitionNotified bool
+	period            time.Duration
 }
 
 // Open opens the sockets. Peers are spoken to once Run is called.
@@ -97,13 +97,13 @@
 		return nil, errors.New("there is no secret")
 	}
 	m := &Mesh{
-		options:       o,
-		datagramCodec: newCodec(o.Secret, "datagram"),
-		frameCodec:    newCodec(o.Secret, "frame"),
-		exchanges:     make(chan string, maxQueued),
-		gossipAsks:    make(chan string, maxOutgoing),
-		wake:          make(chan struct{}, 1),
-		period:        o.Period,
+		options:        o,
+		datagramCodec:  newCodec(o.Secret, "datagram"),
+		frameCodec:     newCodec(o.Secret, "frame"),
+		exchanges:      make(chan string, maxQueuedExchanges),
+		gossipRequests: make(chan string, maxOutgoingCalls),
+		wake:           make(chan struct{}, 1),
+		period:         o.Period,
 	}
 	if err := m.listen(o.Listen); err != nil {
 		return nil, err
@@ -112,9 +112,9 @@
 		m.options.Advertise = m.tcp.Addr().String()
 	}
 	var kept *membership.SavedState
-	if o.Folder != "" {
+	if o.StateDir != "" {
 		var err error
-		if m.votes, kept, err = openKeeper(o.Folder); err != nil {
+		if m.votes, kept, err = openVotes(o.StateDir); err != nil {
 			m.udp.Close()
 			m.tcp.Close()
 			return nil, err
@@ -122,21 +122,21 @@
 	}
 	rules := membership.Options{
 		Period:          milliseconds(o.Period),
-		ExpectedDrivers: o.Expect,
-		RetainFor:       milliseconds(leftKept),
+		ExpectedDrivers: o.ExpectedDrivers,
+		RetainFor:       milliseconds(retainLeft),
 		MaxDrivers:      maxDrivers,
-		TakeoverAfter:   milliseconds(o.Yield),
+		TakeoverAfter:   milliseconds(o.TakeoverAfter),
 		Persistent:      m.votes != nil,
 		Saved:           kept,
 	}
 	self := membership.Record{Name: o.Name, Run: o.Run, Address: m.options.Advertise, Zone: o.Zone}
-	m.view = membership.New(o.Now(), rules, self, o.Seeds, o.Seed)
+	m.view = membership.New(o.Now(), rules, self, o.Seeds, o.RandomSeed)
 	return m, nil
 }
 
 // listen opens both sockets at one port. With port 0 the one that UDP got may be taken for TCP: it tries a few.
 func (m *Mesh) listen(at netip.AddrPort) (err error) {
-	for range listenTries {
+	for range listenAttempts {
 		if m.udp, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(at)); err != nil {
 			return err
 		}
@@ -170,17 +170,17 @@
 func (m *Mesh) Run(ctx context.Context) error {
 	life, end := context.WithCancel(context.WithoutCancel(ctx)) // it leaves in order once ctx ends
 	var all errgroup.Group
-	all.Go(func() error { m.receive(life); return nil })
-	all.Go(func() error { m.accept(life); return nil })
-	for range maxOutgoing {
+	all.Go(func() error { m.receiveLoop(life); return nil })
+	all.Go(func() error { m.acceptLoop(life); return nil })
+	for range maxOutgoingCalls {
 		all.Go(func() error {
 			for {
 				select {
 				case <-life.Done():
 					return nil
 				case at := <-m.exchanges:
-					m.exchange(life, at)
-				case at := <-m.gossipAsks:
+					m.exchangeState(life, at)
+				case at := <-m.gossipRequests:
 					m.exchangeGossip(life, at)
 				}
 			}
@@ -189,10 +189,10 @@
 	all.Go(func() error { m.spreadLoop(life); return nil })
 	all.Go(func() error { m.tickLoop(life); return nil })
 	<-ctx.Done()
-	if !m.left.Load() {
+	if !m.leaving.Load() {
 		m.Leave()
 	}
-	time.Sleep(leaveDuration) // the message goes out a few times; nobody waits for this
+	time.Sleep(leaveDelay) // the message goes out a few times; nobody waits for this
 	end()
 	m.Close()
 	return all.Wait()
@@ -238,19 +238,19 @@
 	}
 	standing, _, _ := m.view.PartitionStatus()
 	count := m.view.DriverCount()
-	changed := !m.standingTold || standing != m.standing || count != m.count
-	m.standing, m.count, m.standingTold = standing, count, true
+	changed := !m.partitionNotified || standing != m.partition || count != m.count
+	m.partition, m.count, m.partitionNotified = standing, count, true
 	m.mu.Unlock()
 	for _, n := range out.Events {
-		if m.options.OnNote == nil || m.options.OnNote(n) {
+		if m.options.OnEvent == nil || m.options.OnEvent(n) {
 			m.options.Log.Info("membership", "reason", n.Reason, "name", n.Name, "text", n.Text)
 		}
 	}
-	if changed && m.options.OnStanding != nil {
-		m.notifyStanding()
+	if changed && m.options.OnPartitionStatus != nil {
+		m.notifyPartition()
 	}
 	for i := range out.Messages {
-		m.send(&out.Messages[i])
+		m.sendDatagram(&out.Messages[i])
 	}
 	for _, at := range out.SyncWith {
 		select {
@@ -262,18 +262,18 @@
 
 // notifyStanding tells of the standing and the count as they are now: of two that tell at once the second has the
 // newest.
-func (m *Mesh) notifyStanding() {
+func (m *Mesh) notifyPartition() {
 	m.notifying.Lock()
 	defer m.notifying.Unlock()
 	m.mu.Lock()
-	standing, count := m.standing, m.count
+	standing, count := m.partition, m.count
 	m.mu.Unlock()
-	m.options.OnStanding(standing, count)
+	m.options.OnPartitionStatus(standing, count)
 }
 
 // Leave tells peers that this driver goes on purpose.
 func (m *Mesh) Leave() {
-	m.left.Store(true)
+	m.leaving.Store(true)
 	m.mu.Lock()
 	m.apply(m.view.Leave(m.options.Now()))
 }
@@ -287,7 +287,7 @@
 }
 
 // Change takes other seeds and another period.
-func (m *Mesh) Change(seeds []string, period time.Duration) {
+func (m *Mesh) Reconfigure(seeds []string, period time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.period = period
--- a/internal/fleet/mesh/mesh_test.go
+++ b/internal/fleet/mesh/mesh_test.go
@@ -29,7 +29,7 @@
 		x.Roster.Names = append(x.Roster.Names, record(i).Name)
 	}
 	var w bytes.Buffer
-	if err := a.write(&w, &frame{Call: callExchange, Exchange: x, Nonce: 7}); err != nil {
+	if err := a.write(&w, &frame{Call: callExchangeState, Exchange: x, Nonce: 7}); err != nil {
 		t.Fatal(err)
 	}
 	t.Logf("whole state of 10,000 drivers: %d bytes", w.Len())
@@ -85,8 +85,8 @@
 	t.Helper()
 	began := time.Now()
 	m, err := Open(Options{Name: name, Listen: netip.MustParseAddrPort("127.0.0.1:0"), Seeds: seeds, Secret: "s",
-		Period: 50 * time.Millisecond, Expect: 2,
-		Yield: time.Second, Run: 5, Now: func() float64 {
+		Period: 50 * time.Millisecond, ExpectedDrivers: 2,
+		TakeoverAfter: time.Second, Run: 5, Now: func() float64 {
 			return 1e6 + milliseconds(time.Since(began))
 		}, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
 	if err != nil {
@@ -151,7 +151,7 @@
 }
 
 func FuzzFrame(f *testing.F) {
-	good, _ := encoder.Marshal(&frame{Call: callExchange,
+	good, _ := encoder.Marshal(&frame{Call: callExchangeState,
 		Exchange: &membership.Snapshot{From: record(1), Records: []membership.Record{record(2)},
 			Roster: &membership.Roster{Version: 1, Names: []string{"a"}}}})
 	f.Add(good)
--- a/internal/fleet/mesh/persist.go
+++ b/internal/fleet/mesh/persist.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	keepTag   = "VOTE"
-	keepLimit = 8 << 20 // bytes
+	votesTag      = "VOTE"
+	maxVotesBytes = 8 << 20 // bytes
 )
 
 // openKeeper recovers what an earlier process kept; nil for nothing.
-func openKeeper(folder string) (*durable.Latest, *membership.SavedState, error) {
-	store, last, err := durable.OpenLatest(folder, keepTag, keepLimit)
+func openVotes(folder string) (*durable.Latest, *membership.SavedState, error) {
+	store, last, err := durable.OpenLatest(folder, votesTag, maxVotesBytes)
 	if err != nil || len(last) == 0 {
 		return store, nil, err
 	}
--- a/internal/fleet/mesh/recorded_test.go
+++ b/internal/fleet/mesh/recorded_test.go
@@ -11,7 +11,7 @@
 func TestRecordedFrame(t *testing.T) {
 	const want = "0000003b675395a7e489c87c451549ecf1e682b0" +
 		"a6010403a1036d31302e302e302e343a3739343604427b7d051b010203040506070806626e330743010203"
-	f := &frame{Call: callSend, Nonce: 0x0102030405060708, From: "n3", Payload: []byte{1, 2, 3}, Status: []byte("{}"),
+	f := &frame{Call: callRequest, Nonce: 0x0102030405060708, From: "n3", Payload: []byte{1, 2, 3}, Status: []byte("{}"),
 		Gossip: &Gossip{From: "10.0.0.4:7946"}}
 	c := newCodec("secret", "tcp")
 	var b bytes.Buffer
--- a/internal/fleet/mesh/status.go
+++ b/internal/fleet/mesh/status.go
@@ -20,12 +20,12 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	s := m.view.Status()
-	s.Refused, s.Sent = m.refusedCount.Load(), m.bytesSent.Load()
+	s.Refused, s.Sent = m.rejectedCount.Load(), m.bytesSent.Load()
 	return s
 }
 
 // Standing is this driver's as it is now.
-func (m *Mesh) Standing() (membership.PartitionStatus, string) {
+func (m *Mesh) PartitionStatus() (membership.PartitionStatus, string) {
 	m.mu.Lock()
 	m.apply(m.view.Tick(m.options.Now()))
 	m.mu.Lock()
@@ -34,24 +34,24 @@
 	return s, why
 }
 
-// Compared is what a driver answered when it was asked for its view, or why there is none.
-type Compared struct {
+// DriverView is what a driver answered when it was asked for its view, or why there is none.
+type DriverView struct {
 	Name   string             `json:"name"`
 	Error  string             `json:"error,omitempty"`
 	Status *membership.Status `json:"status,omitempty"`
 }
 
 // Compare asks all peers that are known for their views. The first one is this driver's.
-func (m *Mesh) Compare(ctx context.Context) []Compared {
+func (m *Mesh) Compare(ctx context.Context) []DriverView {
 	own := m.Status()
-	all := []Compared{{Name: own.Self, Status: &own}}
+	all := []DriverView{{Name: own.Self, Status: &own}}
 	for _, d := range own.Drivers {
 		if d.State != membership.Left {
-			all = append(all, Compared{Name: d.Name})
+			all = append(all, DriverView{Name: d.Name})
 		}
 	}
 	var asked errgroup.Group
-	asked.SetLimit(maxOutgoing)
+	asked.SetLimit(maxOutgoingCalls)
 	addresses := map[string]string{}
 	for _, d := range own.Drivers {
 		addresses[d.Name] = d.Address
@@ -75,7 +75,7 @@
 }
 
 // Differences says in words where views differ: of states, and of rosters.
-func Differences(all []Compared) (lines []string) {
+func Differences(all []DriverView) (lines []string) {
 	type saying struct{ of, says string }
 	said := map[saying][]string{}
 	for _, c := range all {
