--- /dev/null
+++ b/internal/discovery/http.go
@@ -0,0 +1,152 @@
+package discovery
+
+// This file owns HTTP/1.1 as far as discovery needs it: one GET, and a response of any framing, within bounds.
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"strconv"
+	"strings"
+)
+
+const (
+	maxBody        = 8 << 20 // bytes of a list
+	maxLine        = 8 << 10 // bytes
+	maxHeaderLines = 100
+)
+
+// responseHeader is what of a response's header matters.
+type responseHeader struct {
+	code    string
+	length  int // -1 where the header doesn't say
+	chunked bool
+	keep    bool // the connection can serve another call
+}
+
+// exchange sends one GET and reads its response. keep says that the connection can serve another call.
+func (c *Client) exchange(path string) (body []byte, keep bool, err error) {
+	request := "GET " + path + " HTTP/1.1\r\nHost: " + c.Address + "\r\nAccept: application/json\r\n\r\n"
+	if _, err := io.WriteString(c.conn, request); err != nil {
+		return nil, false, err
+	}
+	header, err := c.readHeader()
+	if err != nil {
+		return nil, false, err
+	}
+	switch {
+	case header.chunked:
+		body, err = c.readChunks()
+	case header.length >= 0:
+		body = make([]byte, header.length)
+		_, err = io.ReadFull(c.r, body)
+	default: // up to the connection's end
+		header.keep = false
+		body, err = io.ReadAll(io.LimitReader(c.r, maxBody))
+	}
+	if err == nil && header.code != "200" {
+		err = fmt.Errorf("status %.10s", header.code)
+	}
+	return body, header.keep, err
+}
+
+// readHeader reads the status line and the header.
+func (c *Client) readHeader() (h responseHeader, err error) {
+	status, err := c.readLine()
+	if err != nil {
+		return h, err
+	}
+	version, rest, _ := strings.Cut(status, " ")
+	if version != "HTTP/1.1" && version != "HTTP/1.0" {
+		return h, fmt.Errorf("not an HTTP answer: %.40q", status)
+	}
+	h = responseHeader{length: -1, keep: version == "HTTP/1.1"}
+	h.code, _, _ = strings.Cut(rest, " ")
+	for n := 0; ; n++ {
+		line, err := c.readLine()
+		if err != nil {
+			return h, err
+		}
+		if line == "" {
+			return h, nil
+		}
+		name, value, ok := strings.Cut(line, ":")
+		if !ok || n == maxHeaderLines {
+			return h, fmt.Errorf("bad header line %.40q", line)
+		}
+		if err := h.set(strings.ToLower(name), strings.TrimSpace(value)); err != nil {
+			return h, err
+		}
+	}
+}
+
+func (h *responseHeader) set(name, value string) (err error) {
+	switch name {
+	case "content-length":
+		if h.length, err = strconv.Atoi(value); err != nil || h.length < 0 || h.length > maxBody {
+			return fmt.Errorf("bad length %.40q", value)
+		}
+	case "transfer-encoding":
+		h.chunked = strings.EqualFold(value, "chunked")
+	case "connection":
+		h.keep = h.keep && !strings.EqualFold(value, "close")
+	}
+	return nil
+}
+
+func (c *Client) readLine() (string, error) {
+	b, err := c.r.ReadSlice('\n')
+	if err != nil {
+		return "", err
+	}
+	return strings.TrimRight(string(b), "\r\n"), nil
+}
+
+// readChunks reads a chunked body.
+func (c *Client) readChunks() (body []byte, err error) {
+	for {
+		line, err := c.readLine()
+		if err != nil {
+			return nil, err
+		}
+		size, _, _ := strings.Cut(line, ";")
+		n, err := strconv.ParseUint(strings.TrimSpace(size), 16, 31)
+		if err != nil || len(body)+int(n) > maxBody {
+			return nil, fmt.Errorf("bad chunk %.40q", line)
+		}
+		if n == 0 {
+			if err := c.skipTrailers(); err != nil {
+				return nil, err
+			}
+			return body, nil
+		}
+		body = append(body, make([]byte, n)...)
+		if _, err = io.ReadFull(c.r, body[len(body)-int(n):]); err != nil {
+			return nil, err
+		}
+		if err := c.readChunkEnd(); err != nil {
+			return nil, err
+		}
+	}
+}
+
+// readChunkEnd reads the line's end behind a chunk.
+func (c *Client) readChunkEnd() error {
+	line, err := c.readLine()
+	switch {
+	case err != nil:
+		return fmt.Errorf("chunk without its end: %w", err)
+	case line != "":
+		return errors.New("chunk without its end: <nil>") // logs are searched for this text
+	}
+	return nil
+}
+
+// skipTrailers reads up to the empty line that ends them.
+func (c *Client) skipTrailers() error {
+	for {
+		if line, err := c.readLine(); err != nil || line == "" {
+			return err
+		}
+	}
+}
