--- /dev/null
+++ b/internal/pgwire/read.go
@@ -0,0 +1,95 @@
+package pgwire
+
+// This file owns framing: where messages begin and end.
+
+import (
+	"bufio"
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"io"
+)
+
+// StartupKind is the kind of the first message on a connection.
+type StartupKind uint8
+
+// The kinds of startup messages.
+const (
+	StartupSession StartupKind = iota
+	StartupEncrypt             // SSLRequest or GSSENCRequest, answered by one byte N
+	StartupCancel              // CancelRequest; the connection ends
+)
+
+// ReadStartup reads the message that opens a connection. The minor version is that of a StartupSession.
+func ReadStartup(r *bufio.Reader) (kind StartupKind, minor uint32, err error) {
+	var header [startupBytes]byte
+	if _, err := io.ReadFull(r, header[:]); err != nil {
+		return 0, 0, err
+	}
+	length, code := binary.BigEndian.Uint32(header[:]), binary.BigEndian.Uint32(header[lengthBytes:])
+	if length < startupBytes || length > maxStartup {
+		return 0, 0, fmt.Errorf("%w: startup of %d bytes", ErrFraming, length)
+	}
+	if _, err := r.Discard(int(length) - startupBytes); err != nil {
+		return 0, 0, unexpectedEOF(err)
+	}
+	switch {
+	case code == codeSSLRequest || code == codeGSSRequest:
+		return StartupEncrypt, 0, nil
+	case code == codeCancel:
+		return StartupCancel, 0, nil
+	case code>>16 != codeProtocol3>>16:
+		return 0, 0, fmt.Errorf("%w: protocol version %d.%d", ErrFraming, code>>16, code&0xffff)
+	}
+	return StartupSession, code & 0xffff, nil
+}
+
+// ReadHeader reads the kind of the next message and the length of its body. A clean end before it is io.EOF.
+func ReadHeader(r *bufio.Reader) (kind byte, n int, err error) {
+	var header [headerBytes]byte
+	if _, err := io.ReadFull(r, header[:]); err != nil {
+		return 0, 0, err
+	}
+	n = int(binary.BigEndian.Uint32(header[1:]))
+	if n < lengthBytes || n > MaxMessage || header[0] < 'A' || header[0] > 'z' {
+		return 0, 0, fmt.Errorf("%w: kind %q, length %d", ErrFraming, header[0], n)
+	}
+	return header[0], n - lengthBytes, nil
+}
+
+// Buffered says whether the message that begins with a header is complete in a buffer of n bytes.
+func Buffered(header []byte, n int) bool {
+	return len(header) == headerBytes && uint64(binary.BigEndian.Uint32(header[1:])) < uint64(n)
+}
+
+// ReadBody appends the n bytes that follow a header.
+func ReadBody(r *bufio.Reader, buf []byte, n int) ([]byte, error) {
+	for n > 0 { // the buffer grows as bytes arrive: a length alone must not cost memory
+		size := min(n, readStep)
+		buf = append(buf, make([]byte, size)...)
+		if _, err := io.ReadFull(r, buf[len(buf)-size:]); err != nil {
+			return buf, unexpectedEOF(err)
+		}
+		n -= size
+	}
+	return buf, nil
+}
+
+// Read appends the next message to buf: kind, length and body, as they came. A clean end before it is io.EOF.
+func Read(r *bufio.Reader, buf []byte) (kind byte, message []byte, err error) {
+	kind, n, err := ReadHeader(r)
+	if err != nil {
+		return 0, buf, err
+	}
+	buf = binary.BigEndian.AppendUint32(append(buf, kind), uint32(n+lengthBytes))
+	buf, err = ReadBody(r, buf, n)
+	return kind, buf, err
+}
+
+// unexpectedEOF is an end within a message.
+func unexpectedEOF(err error) error {
+	if errors.Is(err, io.EOF) {
+		return io.ErrUnexpectedEOF
+	}
+	return err
+}
