--- a/internal/driver/admission.go
+++ b/internal/driver/admission.go
@@ -17,7 +17,7 @@
 	idleEvictAfter   = 100 * time.Millisecond // as one without an open op for so long
 	headroomInterval = 50 * time.Millisecond  // between looks at whether enough places are free
 	headroomShare    = 0.65                   // of the budget that is kept free, where clients can be evicted for it
-	maxEvictions     = 12                     // connections beside the budget that close after their place was handed over
+	maxEvictions     = 12                     // connections beside the budget that close after their place was reassigned
 	maxRejections    = 8                      // and connections that are told that there is no room
 	acceptGrace      = 500 * time.Millisecond // new connections are accepted for so long after SIGTERM
 	acceptQuiet      = 50 * time.Millisecond  // and until none has come for so long
@@ -30,7 +30,7 @@
 }
 
 // accept admits connections until the context ends and no more come.
-func (v *Service) accept(ctx context.Context, ln *net.TCPListener) error {
+func (s *Service) accept(ctx context.Context, ln *net.TCPListener) error {
 	defer ln.Close()
 	stop := context.AfterFunc(ctx, func() { ln.SetDeadline(time.Now().Add(acceptGrace)) })
 	defer stop()
@@ -38,17 +38,17 @@
 		conn, err := ln.AcceptTCP()
 		switch {
 		case err == nil:
-			v.admit(conn)
+			s.admit(conn)
 			if ctx.Err() != nil {
-				ln.SetDeadline(later(v.stopTime().Add(acceptGrace), time.Now().Add(acceptQuiet)))
+				ln.SetDeadline(later(s.stopTime().Add(acceptGrace), time.Now().Add(acceptQuiet)))
 			}
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			close(v.acceptEnded)
+			close(s.acceptEnded)
 			return nil
 		case errors.Is(err, net.ErrClosed):
 			return err
 		default: // out of descriptors, say: what is open goes on
-			v.log.Warn("accept_failed", "error", err)
+			s.log.Warn("accept_failed", "error", err)
 			time.Sleep(5 * time.Millisecond)
 		}
 	}
@@ -62,14 +62,14 @@
 }
 
 // admit admits a client while there is room, or in place of one that can be evicted. It never waits.
-func (v *Service) admit(conn *net.TCPConn) {
+func (s *Service) admit(conn *net.TCPConn) {
 	raw, err := conn.SyscallConn()
 	if err != nil {
 		conn.Close()
 		return
 	}
 	c := &client{
-		service:      v,
+		service:      s,
 		conn:         conn,
 		raw:          raw,
 		openedAt:     time.Now(),
@@ -78,66 +78,67 @@
 		answered:     make(chan struct{}),
 	}
 	c.changedAt = c.openedAt
-	if !v.clientBudget.acquire(1) && !v.evictClient(true) {
-		v.rejectClient(c)
+	if !s.clientBudget.acquire(1) && !s.evictClient(true) {
+		s.rejectClient(c)
 		return
 	}
-	v.counters.Clients.Add(1)
-	v.counters.ClientsOpen.Add(1)
+	s.counters.Clients.Add(1)
+	s.counters.ClientsOpen.Add(1)
 	c.reader = bufio.NewReaderSize(conn, clientBufferBytes)
-	v.clients.mu.Lock()
-	v.clients.all[c] = true
-	v.clients.mu.Unlock()
-	v.inFlight.Go(func() error { c.run(); return nil })
+	s.clients.mu.Lock()
+	s.clients.all[c] = true
+	s.clients.mu.Unlock()
+	s.inFlight.Go(func() error { c.run(); return nil })
 }
 
 // removeClient frees the place of a client whose connection is closed.
-func (v *Service) removeClient(c *client) {
-	v.clients.mu.Lock()
-	if delete(v.clients.all, c); c.slotHandedOver {
-		<-v.evictions
+func (s *Service) removeClient(c *client) {
+	s.clients.mu.Lock()
+	if delete(s.clients.all, c); c.slotReassigned {
+		<-s.evictions
 	} else {
-		v.clientBudget.release(1)
+		s.clientBudget.release(1)
 	}
-	v.clients.mu.Unlock()
-	v.counters.ClientsOpen.Add(-1)
+	s.clients.mu.Unlock()
+	s.counters.ClientsOpen.Add(-1)
 }
 
 // rejectClient tells a client that there is no room, so many at a time; others are closed without a word.
-func (v *Service) rejectClient(c *client) {
-	v.counters.ClientsTurnedAway.Add(1)
+func (s *Service) rejectClient(c *client) {
+	s.counters.ClientsTurnedAway.Add(1)
 	select {
-	case v.rejections <- struct{}{}:
+	case s.rejections <- struct{}{}:
 	default:
 		c.conn.Close()
 		c.logClosed("too_many")
 		return
 	}
-	v.inFlight.Go(func() error {
+	s.inFlight.Go(func() error {
 		c.conn.SetDeadline(time.Now().Add(lingerTimeout / 5))
-		_, _ = c.conn.Write(pgwire.AppendErrorResponse(nil, "FATAL", pgwire.CodeTooManyConnections, "too many connections", ""))
+		_, _ = c.conn.Write(
+			pgwire.AppendErrorResponse(nil, "FATAL", pgwire.CodeTooManyConnections, "too many connections", ""))
 		c.conn.CloseWrite()
 		c.drain()
 		c.conn.Close()
 		c.logClosed("too_many")
-		<-v.rejections
+		<-s.rejections
 		return nil
 	})
 }
 
 // evictClient closes the least useful connection that may be evicted, if there is one: a client that has sent nothing,
 // else one that stays after at most one op, else the one without an op for longest. Clients that connect and say
-// nothing must not keep out those with ops. With handOver the client's place is given to another at once, before the
+// nothing must not keep out those with ops. With reassign the client's place is given to another at once, before the
 // connection is closed.
 //
 // It could harm clients that pause for a little longer than idleEvictAfter while many connections are open: they
 // connect again.
-func (v *Service) evictClient(handOver bool) bool {
-	v.clients.mu.Lock()
-	defer v.clients.mu.Unlock()
+func (s *Service) evictClient(reassign bool) bool {
+	s.clients.mu.Lock()
+	defer s.clients.mu.Unlock()
 	var victim *client
 	now := time.Now()
-	for c := range v.clients.all {
+	for c := range s.clients.all {
 		limit := c.idleLimit()
 		if !c.evicted && limit > 0 && now.Sub(c.changedAt) > limit && c.goesBefore(victim) && unread(c.raw) == 0 {
 			victim = c
@@ -146,14 +147,14 @@
 	if victim == nil {
 		return false
 	}
-	if handOver {
+	if reassign {
 		select {
-		case v.evictions <- struct{}{}:
+		case s.evictions <- struct{}{}:
 		default:
 			return false
 		}
 	}
-	victim.evicted, victim.slotHandedOver = true, handOver
+	victim.evicted, victim.slotReassigned = true, reassign
 	victim.conn.SetReadDeadline(time.Unix(1, 0))
 	return true
 }
@@ -161,10 +162,10 @@
 // keepHeadroom evicts clients before their places are needed: clients have limits too, and a client process that is
 // slow to close connections which it no longer uses, or never closes them, runs out of them long before the budget here
 // is used up.
-func (v *Service) keepHeadroom(ctx context.Context) {
-	headroom := int64(float64(v.clientBudget.available.Load()) * headroomShare)
+func (s *Service) keepHeadroom(ctx context.Context) {
+	headroom := int64(float64(s.clientBudget.available.Load()) * headroomShare)
 	every(ctx, headroomInterval, func() {
-		for n := headroom - v.clientBudget.available.Load(); n > 0 && v.evictClient(false); n-- {
+		for n := headroom - s.clientBudget.available.Load(); n > 0 && s.evictClient(false); n-- {
 		}
 	})
 }
--- a/internal/driver/bench_test.go
+++ b/internal/driver/bench_test.go
@@ -125,12 +125,12 @@
 func BenchmarkLedger(b *testing.B) {
 	for _, side := range []int{1, 16, 128} {
 		b.Run(strconv.Itoa(side), func(b *testing.B) {
-			v := &Service{decider: &decider{clock: newClock(time.Now)}, log: slog.New(slog.DiscardHandler)}
-			if err := v.openLedger(operator.Ledger{Folder: b.TempDir(), Retention: time.Hour, MaxKeys: 1 << 20, LimitMB: 4096},
+			s := &Service{decider: &decider{clock: newClock(time.Now)}, log: slog.New(slog.DiscardHandler)}
+			if err := s.openLedger(operator.Ledger{Folder: b.TempDir(), Retention: time.Hour, MaxKeys: 1 << 20, LimitMB: 4096},
 				nil); err != nil {
 				b.Fatal(err)
 			}
-			defer v.ledger.close()
+			defer s.ledger.close()
 			var serial atomic.Int64
 			var all sync.WaitGroup
 			b.ResetTimer()
@@ -142,7 +142,7 @@
 							return
 						}
 						key := strconv.FormatInt(n, 10)
-						verdict, _, safe := v.ledger.begin(key, 1)
+						verdict, _, safe := s.ledger.begin(key, 1)
 						if verdict != ledger.Execute {
 							b.Error(verdict)
 							return
@@ -151,7 +151,7 @@
 							b.Error(err)
 							return
 						}
-						v.ledger.finish(key, ledger.StateAcked, []byte("rows"))
+						s.ledger.finish(key, ledger.StateAcked, []byte("rows"))
 					}
 				})
 			}
--- a/internal/driver/client.go
+++ b/internal/driver/client.go
@@ -44,7 +44,7 @@
 	finishedMessages int       // answered, with the startup
 	changedAt        time.Time // the last change of either count
 	evicted          bool      // it is being closed in favour of other clients
-	slotHandedOver   bool      // its place in the budget is another client's already
+	slotReassigned   bool      // its place in the budget is another client's already
 }
 
 // beginMessage notes that a message is on its way; false where the client is evicted.
--- a/internal/driver/configuration.go
+++ b/internal/driver/configuration.go
@@ -15,8 +15,8 @@
 
 const minMemoryMB = 16
 
-// Assignment is the platform's configuration of a driver. Errors of its decoding, which operators see, name the type and
-// its fields.
+// Assignment is the platform's configuration of a driver. Errors of its decoding, which operators see, name the type
+// and its fields.
 type Assignment struct {
 	Name, Listen, Discovery string
 	Seed                    string // hexadecimal
--- a/internal/driver/datagrams.go
+++ b/internal/driver/datagrams.go
@@ -13,8 +13,8 @@
 
 const outgoingDatagrams = 64
 
-// datagrams is the UDP socket by which the decision modules of drivers exchange messages. It never waits for a peer, and
-// takes nothing from an address that is no peer's.
+// datagrams is the UDP socket by which the decision modules of drivers exchange messages. It never waits for a peer,
+// and takes nothing from an address that is no peer's.
 type datagrams struct {
 	conn            *net.UDPConn            // nil where there are no peers
 	configuredPeers map[netip.AddrPort]bool // the other drivers; never changes
--- a/internal/driver/decider.go
+++ b/internal/driver/decider.go
@@ -104,7 +104,7 @@
 		d.zones.countSend(o, d.members[a.Member].Zone, len(o.sentTo) > 1, d.nearGroups[o.statement.Group])
 	}
 	if a.Kind == logic.ActRefuse || a.Kind == logic.ActFail {
-		o.settled = true
+		o.finished = true
 	}
 }
 
--- a/internal/driver/decider_ops.go
+++ b/internal/driver/decider_ops.go
@@ -43,12 +43,12 @@
 }
 
 // takeActions gives what has been decided for an op since the last call, and the answer if one has come. An op that is
-// settled is forgotten.
+// finished is forgotten.
 func (d *decider) takeActions(o *op) (actions []decidedAction, rows []byte) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	actions, o.pending = o.pending, nil
-	if o.settled && d.ops[o.id] != nil {
+	if o.finished && d.ops[o.id] != nil {
 		delete(d.ops, o.id)
 		delete(d.openIDs, string(o.statement.ID))
 	}
@@ -56,12 +56,12 @@
 }
 
 // attemptEnded tells the module how the attempt with that index ended. The first good answer is the op's, unless the
-// op was settled before.
+// op was finished before.
 func (d *decider) attemptEnded(o *op, index int, r result) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if r.outcome == logic.OK && !o.settled {
-		o.settled, o.rows = true, r.rows
+	if r.outcome == logic.OK && !o.finished {
+		o.finished, o.rows = true, r.rows
 	}
 	if d.zones != nil && r.outcome == logic.OK && index < len(o.sentTo) {
 		sent := o.sentTo[index]
@@ -79,7 +79,7 @@
 		Send:    index,
 		Member:  r.member,
 		Outcome: r.outcome,
-		Closed:  o.settled,
+		Closed:  o.finished,
 		Note:    d.clock.observation(r.role, r.position),
 		Report:  d.clock.observation(r.reportRole, r.reportPosition),
 	})
@@ -89,11 +89,11 @@
 }
 
 // clientLeft tells the module that the client of an op has left.
-func (d *decider) clientLeft(o *op) {
+func (d *decider) clientDisconnected(o *op) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if !o.settled {
-		o.settled = true
+	if !o.finished {
+		o.finished = true
 		d.stepLocked(logic.Event{Kind: logic.EvGone, Op: o.id})
 	}
 }
--- a/internal/driver/discovery.go
+++ b/internal/driver/discovery.go
@@ -18,17 +18,17 @@
 
 // watchDiscovery watches discovery's list from each request of the module until a call fails. A call follows an answer
 // at once, so that no change is missed in between.
-func (v *Service) watchDiscovery(ctx context.Context) {
-	defer v.discovery.Close()
-	complete := v.registryConfig != nil // whether a complete list is needed, whatever is held already
+func (s *Service) watchDiscovery(ctx context.Context) {
+	defer s.discovery.Close()
+	complete := s.registryConfig != nil // whether a complete list is needed, whatever is held already
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-v.listRequested:
+		case <-s.listRequested:
 		}
 		for ok := true; ok; {
-			complete, ok = v.callDiscovery(ctx, complete)
+			complete, ok = s.callDiscovery(ctx, complete)
 		}
 		if ctx.Err() != nil {
 			return
@@ -38,62 +38,62 @@
 
 // callDiscovery makes one call, and says whether the next has to be for a complete list, and whether to go on. Where
 // discovery has moved, the call that is out ends at once, and the next one starts with a complete list.
-func (v *Service) callDiscovery(ctx context.Context, complete bool) (nextComplete, ok bool) {
+func (s *Service) callDiscovery(ctx context.Context, complete bool) (nextComplete, ok bool) {
 	call, cancel := context.WithCancel(ctx)
-	complete = v.takeMove(cancel) || complete
+	complete = s.takeMove(cancel) || complete
 	var response discovery.Response
 	var err error
 	if complete {
-		response, err = v.discovery.List(call)
+		response, err = s.discovery.List(call)
 	} else {
-		response, err = v.discovery.Watch(call, v.discoveryRevision(), watchTimeout)
+		response, err = s.discovery.Watch(call, s.discoveryRevision(), watchTimeout)
 	}
 	cancel()
 	switch {
 	case ctx.Err() != nil:
 		return complete, false
-	case err != nil && v.movePending():
+	case err != nil && s.movePending():
 		return complete, true
 	case err != nil:
-		v.counters.ListsFailed.Add(1)
-		v.sourceDisconnected(roster.SourceDiscovery)
-		v.log.Warn("list_failed", "error", err)
-		v.decider.updateMembership(logic.ListFailed, nil)
+		s.counters.ListsFailed.Add(1)
+		s.sourceDisconnected(roster.SourceDiscovery)
+		s.log.Warn("list_failed", "error", err)
+		s.decider.updateMembership(logic.ListFailed, nil)
 		return complete, false
 	}
-	v.counters.Lists.Add(1)
-	held := v.discoveryRevision()
-	if v.updateMembership(discoveryUpdate(response)) != roster.VerdictGap {
+	s.counters.Lists.Add(1)
+	held := s.discoveryRevision()
+	if s.updateMembership(discoveryUpdate(response)) != roster.VerdictGap {
 		return false, true
 	}
-	v.log.Warn("list_went_back", "from", held, "to", response.Revision)
+	s.log.Warn("list_went_back", "from", held, "to", response.Revision)
 	return true, true
 }
 
 // moveDiscovery has the watch follow discovery to another address. The caller holds discoveryMu.
-func (v *Service) moveDiscovery(address string) {
-	v.newDiscovery = address
-	if v.cancelDiscoveryCall != nil {
-		v.cancelDiscoveryCall()
+func (s *Service) moveDiscovery(address string) {
+	s.newDiscovery = address
+	if s.cancelDiscoveryCall != nil {
+		s.cancelDiscoveryCall()
 	}
-	v.requestList()
+	s.requestList()
 }
 
 // takeMove makes calls go to where discovery has moved, and cancel end the call to come.
-func (v *Service) takeMove(cancel func()) (moved bool) {
-	v.discoveryMu.Lock()
-	defer v.discoveryMu.Unlock()
-	if v.cancelDiscoveryCall = cancel; v.newDiscovery == "" {
+func (s *Service) takeMove(cancel func()) (moved bool) {
+	s.discoveryMu.Lock()
+	defer s.discoveryMu.Unlock()
+	if s.cancelDiscoveryCall = cancel; s.newDiscovery == "" {
 		return false
 	}
-	v.discovery.Close()
-	v.discovery.Address, v.newDiscovery = v.newDiscovery, ""
+	s.discovery.Close()
+	s.discovery.Address, s.newDiscovery = s.newDiscovery, ""
 	return true
 }
 
 // movePending says whether discovery has moved since the last call began.
-func (v *Service) movePending() bool {
-	v.discoveryMu.Lock()
-	defer v.discoveryMu.Unlock()
-	return v.newDiscovery != ""
+func (s *Service) movePending() bool {
+	s.discoveryMu.Lock()
+	defer s.discoveryMu.Unlock()
+	return s.newDiscovery != ""
 }
--- a/internal/driver/fleet_gossip.go
+++ b/internal/driver/fleet_gossip.go
@@ -13,7 +13,7 @@
 const (
 	maxDrains            = 4096
 	maxGossipSwitchovers = 256
-	drainRetention       = 10 * time.Minute // of a drain whose revision the own list doesn't reach, though its source is up
+	drainRetention       = 10 * time.Minute // of a drain whose revision the own list, though it is heard, doesn't reach
 	drainGossipWindow    = time.Minute      // drains of so late go with each gossip; all of them with complete states
 )
 
@@ -41,16 +41,17 @@
 	return g
 }
 
-// receiveGossip takes a peer's gossip. askedAt is when it was requested, -Inf where it came unrequested. changed says
-// that some of it was new and is to be passed on; askAgain that the peer is to be requested to confirm a plan of zones.
-func (f *fleet) receiveGossip(g *mesh.Gossip, askedAt float64) (changed, askAgain bool) {
+// receiveGossip takes a peer's gossip. requestedAt is when it was requested, -Inf where it came unrequested. changed
+// says that some of it was new and is to be passed on; requestAgain that the peer is to be requested to confirm a plan
+// of zones.
+func (f *fleet) receiveGossip(g *mesh.Gossip, requestedAt float64) (changed, requestAgain bool) {
 	if len(g.Switchovers) > maxGossipSwitchovers || len(g.Drains) > maxDrains {
 		f.service.log.Warn("membership", "reason", "too_many_words", "switches", len(g.Switchovers), "drains", len(g.Drains))
 		return false, false
 	}
 	if z := f.service.zones; z != nil && g.Zones != nil {
-		changed = z.apply(func(now float64) zones.Output { return z.zones.ReceiveSummary(now, askedAt, g.Zones) })
-		askAgain = changed && math.IsInf(askedAt, -1)
+		changed = z.apply(func(now float64) zones.Output { return z.zones.ReceiveSummary(now, requestedAt, g.Zones) })
+		requestAgain = changed && math.IsInf(requestedAt, -1)
 	}
 	if s := f.service.switchovers; s != nil {
 		for _, notification := range g.Switchovers {
@@ -68,7 +69,7 @@
 		f.applyDrains(marks)
 		changed = changed || isNew
 	}
-	return changed, askAgain
+	return changed, requestAgain
 }
 
 // membershipUpdated takes changes that a source's list made, of which peers are to learn the drains.
--- a/internal/driver/fleet_mesh.go
+++ b/internal/driver/fleet_mesh.go
@@ -14,7 +14,7 @@
 
 // openMesh opens the sockets of drivers that keep a membership of their own.
 func (f *fleet) openMesh(o operator.Membership, c *configuration) error {
-	v := f.service
+	service := f.service
 	token, err := readToken(o.TokenFile)
 	if err != nil {
 		return fmt.Errorf("membership: token: %w", err)
@@ -40,16 +40,16 @@
 		ExpectedDrivers:   expected,
 		TakeoverAfter:     o.TakeOverAfter,
 		RandomSeed:        c.settings.Opening.Seed + 2,
-		Run:               uint64(v.decider.clock.unixMs),
-		Now:               v.decider.clock.now,
-		Log:               v.log,
+		Run:               uint64(service.decider.clock.unixMs),
+		Now:               service.decider.clock.now,
+		Log:               service.log,
 		StateDir:          o.Folder,
 		Gossip:            f.gossip,
 		ReceiveGossip:     f.receiveGossip,
 		OnPartitionStatus: f.onPartitionStatus,
 	}
-	if v.zones != nil {
-		opts.ReceivePayload = v.zones.receive
+	if service.zones != nil {
+		opts.ReceivePayload = service.zones.receive
 	}
 	if f.mesh, err = mesh.Open(opts); err != nil {
 		return fmt.Errorf("membership: %w", err)
--- a/internal/driver/ledger.go
+++ b/internal/driver/ledger.go
@@ -43,9 +43,9 @@
 	written chan error // gets the result, without being waited for; nil where nobody waits
 }
 
-// openLedger recovers the table of keys. A damaged one is an error, as without it keys could run twice: operators have to
-// say that they begin a new one, by moving the folder away.
-func (v *Service) openLedger(o operator.Ledger, opTypes []logic.OpType) error {
+// openLedger recovers the table of keys. A damaged one is an error, as without it keys could run twice: operators have
+// to say that they begin a new one, by moving the folder away.
+func (s *Service) openLedger(o operator.Ledger, opTypes []logic.OpType) error {
 	limitBytes := int64(o.LimitMB) << 20
 	limits := ledger.Limits{
 		Retention:   milliseconds(o.Retention),
@@ -61,7 +61,7 @@
 		return fmt.Errorf("ledger: %w", err)
 	}
 	l := &opLedger{
-		service: v,
+		service: s,
 		store:   store,
 		opTypes: opTypes,
 		queue:   make(chan queuedRecord, maxQueuedRecords),
@@ -69,7 +69,7 @@
 	}
 	if found.RecordsLost {
 		err = fmt.Errorf("%s has lost records; move it away to begin a new book", o.Folder)
-	} else if l.table, err = ledger.Load(limits, v.decider.clock.now(), found.Snapshot, found.Records); err == nil {
+	} else if l.table, err = ledger.Load(limits, s.decider.clock.now(), found.Snapshot, found.Records); err == nil {
 		err = store.Compact(l.table.Snapshot())
 	}
 	if err != nil {
@@ -77,8 +77,8 @@
 		return fmt.Errorf("ledger: %w", err)
 	}
 	open, acked, unknown, size := l.table.Counts()
-	v.log.Info("ledger", "folder", o.Folder, "open", open, "acked", acked, "unknown", unknown, "bytes", size)
-	v.ledger = l
+	s.log.Info("ledger", "folder", o.Folder, "open", open, "acked", acked, "unknown", unknown, "bytes", size)
+	s.ledger = l
 	go l.writeLoop()
 	return nil
 }
--- a/internal/driver/op.go
+++ b/internal/driver/op.go
@@ -19,10 +19,10 @@
 	ready     chan struct{} // signaled when there are actions or an answer; holds one signal
 
 	// Under the decider's lock.
-	pending []decidedAction // decided and not yet carried out
-	settled bool            // its answer is decided, or its client has left; never becomes false again
-	rows    []byte          // the first good answer, as the member gave it
-	sentTo  []zoneAttempt   // by attempt, where zones are decided on
+	pending  []decidedAction // decided and not yet carried out
+	finished bool            // its answer is decided, or its client has left; never becomes false again
+	rows     []byte          // the first good answer, as the member gave it
+	sentTo   []zoneAttempt   // by attempt, where zones are decided on
 }
 
 // zoneAttempt is where an attempt went, and when that was decided on the module's clock.
@@ -61,46 +61,46 @@
 	endAcked
 	endBusy
 	endFailed
-	endClientLeft // with attempts out
+	endClientDisconnected // with attempts out
 )
 
 // perform carries an op through and returns its complete answer, or nil if the client left; disconnected is closed
 // when it does. A write that must not run twice and has an idempotency key goes by the ledger, where there is one.
-func (v *Service) perform(o *op, disconnected <-chan struct{}) []byte {
-	if v.ledger != nil && o.statement.Write && o.statement.IdempotencyKey != nil && v.ledger.covers(o) {
-		return v.ledger.perform(o, disconnected)
+func (s *Service) perform(o *op, disconnected <-chan struct{}) []byte {
+	if s.ledger != nil && o.statement.Write && o.statement.IdempotencyKey != nil && s.ledger.covers(o) {
+		return s.ledger.perform(o, disconnected)
 	}
-	answer, _ := v.execute(o, disconnected)
+	answer, _ := s.execute(o, disconnected)
 	return answer
 }
 
-// execute submits an op to the module, carries out what it decides until the op is settled, and says how it ended. It
+// execute submits an op to the module, carries out what it decides until the op is finished, and says how it ended. It
 // decides nothing itself: no retry, no choice and no timeout.
-func (v *Service) execute(o *op, disconnected <-chan struct{}) ([]byte, opEnd) {
-	if !v.decider.submit(o) {
+func (s *Service) execute(o *op, disconnected <-chan struct{}) ([]byte, opEnd) {
+	if !s.decider.submit(o) {
 		return duplicateID, endNotStarted
 	}
-	v.counters.Ops.Add(1)
+	s.counters.Ops.Add(1)
 	var attempts []*attempt // by their index in actions; local, so that a few need no allocation
 	for {
-		clientLeft := false
+		clientDisconnected := false
 		select {
 		case <-o.ready:
 		case <-disconnected:
-			v.decider.clientLeft(o)
-			clientLeft = true
+			s.decider.clientDisconnected(o)
+			clientDisconnected = true
 		}
-		actions, rows := v.decider.takeActions(o)
+		actions, rows := s.decider.takeActions(o)
 		var answer []byte
 		var end opEnd
 		for _, a := range actions {
 			if a.Kind == logic.ActSend {
-				attempts = append(attempts, v.startAttempt(o, a, len(attempts)))
-			} else if reply, replyEnd := v.carryOut(a, attempts); reply != nil {
+				attempts = append(attempts, s.startAttempt(o, a, len(attempts)))
+			} else if reply, replyEnd := s.applyAction(a, attempts); reply != nil {
 				answer, end = reply, replyEnd
 			}
 		}
-		if answer != nil || rows != nil || clientLeft {
+		if answer != nil || rows != nil || clientDisconnected {
 			for _, x := range attempts {
 				x.forbidWrites() // nothing is sent for an op once its answer is due
 			}
@@ -109,20 +109,20 @@
 		case answer != nil:
 			return answer, end
 		case rows != nil:
-			v.counters.Acked.Add(1)
+			s.counters.Acked.Add(1)
 			return pgwire.AppendReadyForQuery(rows), endAcked
-		case clientLeft:
-			v.counters.Left.Add(1)
+		case clientDisconnected:
+			s.counters.Left.Add(1)
 			if len(attempts) == 0 {
 				return nil, endNotStarted
 			}
-			return nil, endClientLeft
+			return nil, endClientDisconnected
 		}
 	}
 }
 
 // carryOut carries out an action on an op other than a new attempt. There is an answer where the module decided on one.
-func (v *Service) carryOut(a decidedAction, attempts []*attempt) (answer []byte, end opEnd) {
+func (s *Service) applyAction(a decidedAction, attempts []*attempt) (answer []byte, end opEnd) {
 	switch a.Kind {
 	case logic.ActCancel:
 		if x := attempts[a.Send]; a.Wait > 0 {
@@ -131,23 +131,23 @@
 			x.cancel()
 		}
 	case logic.ActRefuse:
-		v.counters.BusyReplied.Add(1)
+		s.counters.BusyReplied.Add(1)
 		return busyAnswer(a.Wait), endBusy
 	case logic.ActFail:
-		v.counters.Errored.Add(1)
+		s.counters.Errored.Add(1)
 		return opFailed, endFailed
 	}
 	return nil, endNotStarted
 }
 
 // startAttempt starts the op's attempt with that index; its result goes to the decider.
-func (v *Service) startAttempt(o *op, a decidedAction, index int) *attempt {
-	x := v.pool.newAttempt(a.Member, &o.statement, duration(a.Wait))
-	if v.decider.staleDataMatters(o) {
+func (s *Service) startAttempt(o *op, a decidedAction, index int) *attempt {
+	x := s.pool.newAttempt(a.Member, &o.statement, duration(a.Wait))
+	if s.decider.staleDataMatters(o) {
 		x.staleAt = a.decidedAt.Add(staleAfter)
 	}
-	v.inFlight.Go(func() error {
-		v.decider.attemptEnded(o, index, x.run())
+	s.inFlight.Go(func() error {
+		s.decider.attemptEnded(o, index, x.run())
 		return nil
 	})
 	return x
--- a/internal/driver/peer.go
+++ b/internal/driver/peer.go
@@ -18,8 +18,8 @@
 	unreachable bool          // the last call failed
 }
 
-// run exchanges with the peer at the start and every second, and notifies it at once of what is new here. One that can't
-// be reached learns of it by the next call, its own or this driver's.
+// run exchanges with the peer at the start and every second, and notifies it at once of what is new here. One that
+// can't be reached learns of it by the next call, its own or this driver's.
 func (p *peer) run(ctx context.Context, s *switchovers) {
 	known := map[int64]switchover.Notification{} // what the peer knows of each group, by notificationKey
 	for {
--- a/internal/driver/presence.go
+++ b/internal/driver/presence.go
@@ -58,25 +58,25 @@
 }
 
 // openPresence makes the driver's lease, which announces it at an address, and the watcher of other drivers.
-func (v *Service) openPresence(address string, drivers int, seed uint64, mayMessage bool) error {
-	o := RegistryOptions(v.registryConfig)
-	o.Prefix, o.Service = v.registryConfig.DriversPrefix, ""
+func (s *Service) openPresence(address string, drivers int, seed uint64, mayMessage bool) error {
+	o := RegistryOptions(s.registryConfig)
+	o.Prefix, o.Service = s.registryConfig.DriversPrefix, ""
 	client, err := registry.New(o)
 	if err != nil {
 		return fmt.Errorf("registry: %w", err)
 	}
-	ttl := milliseconds(v.registryConfig.LeaseTTL)
+	ttl := milliseconds(s.registryConfig.LeaseTTL)
 	p := &presence{
-		service:     v,
+		service:     s,
 		leaseClient: client,
-		key:         o.Prefix + v.config.Name,
+		key:         o.Prefix + s.config.Name,
 		lease:       roster.NewPresence(ttl, seed),
 		mayMessage:  mayMessage,
 		drivers: roster.New(
-			roster.Options{Preferred: roster.SourceRegistry, ConfirmAfter: milliseconds(v.registryConfig.ConfirmAfter)},
+			roster.Options{Preferred: roster.SourceRegistry, ConfirmAfter: milliseconds(s.registryConfig.ConfirmAfter)},
 		),
 		peers: roster.Peers{
-			Self:           v.config.Name,
+			Self:           s.config.Name,
 			ShrinkAfter:    ttl,
 			MessageTimeout: silentLeases * ttl,
 		},
@@ -84,16 +84,16 @@
 	}
 	p.value, err = json.Marshal(announcement{
 		HostPort:  address,
-		Locality:  v.config.settings.Opening.Zone,
+		Locality:  s.config.settings.Opening.Zone,
 		Phase:     "up",
-		UpSinceMs: int64(v.decider.clock.unixMs),
+		UpSinceMs: int64(s.decider.clock.unixMs),
 	})
 	if err != nil {
 		return err
 	}
 	p.watcher = &registry.Watcher{
 		Client:       client,
-		Now:          v.decider.clock.now,
+		Now:          s.decider.clock.now,
 		Position:     p.revision,
 		Apply:        p.updateDrivers,
 		OnDisconnect: p.registryDisconnected,
@@ -102,7 +102,7 @@
 			roster.SchedulerOptions{Endpoints: len(o.Endpoints), Drivers: drivers, Seed: seed + 1},
 		),
 	}
-	v.fleet.presence = p
+	s.fleet.presence = p
 	return nil
 }
 
--- a/internal/driver/registry_members.go
+++ b/internal/driver/registry_members.go
@@ -26,52 +26,52 @@
 }
 
 // openRegistry makes the watcher of members in the registry beside discovery.
-func (v *Service) openRegistry(drivers int, seed uint64) error {
-	client, err := registry.New(RegistryOptions(v.registryConfig))
+func (s *Service) openRegistry(drivers int, seed uint64) error {
+	client, err := registry.New(RegistryOptions(s.registryConfig))
 	if err != nil {
 		return fmt.Errorf("registry: %w", err)
 	}
-	v.registryWatcher = &registry.Watcher{
+	s.registryWatcher = &registry.Watcher{
 		Client: client,
-		Now:    v.decider.clock.now,
+		Now:    s.decider.clock.now,
 		Scheduler: roster.NewScheduler(
-			roster.SchedulerOptions{Endpoints: len(v.registryConfig.Endpoints), Drivers: drivers, Seed: seed},
+			roster.SchedulerOptions{Endpoints: len(s.registryConfig.Endpoints), Drivers: drivers, Seed: seed},
 		),
-		Position:     v.registryRevision,
-		Apply:        v.applyRegistryUpdate,
-		OnDisconnect: v.registryDisconnected,
-		OnActivity:   v.registryActive,
+		Position:     s.registryRevision,
+		Apply:        s.applyRegistryUpdate,
+		OnDisconnect: s.registryDisconnected,
+		OnActivity:   s.registryActive,
 	}
 	return nil
 }
 
 // registryRevision is up to which revision the registry's members are held, if any are.
-func (v *Service) registryRevision() (revision int64, known bool) {
-	v.rosterMu.Lock()
-	defer v.rosterMu.Unlock()
-	_, revision, known = v.roster.Revision(roster.SourceRegistry)
+func (s *Service) registryRevision() (revision int64, known bool) {
+	s.rosterMu.Lock()
+	defer s.rosterMu.Unlock()
+	_, revision, known = s.roster.Revision(roster.SourceRegistry)
 	return revision, known
 }
 
 // applyRegistryUpdate takes members from the registry. It returns the verdict, and after how many milliseconds an
 // unconfirmed list may be confirmed.
-func (v *Service) applyRegistryUpdate(u roster.Update) (roster.Verdict, float64) {
-	v.counters.Registries.Add(1)
-	verdict := v.updateMembership(u)
+func (s *Service) applyRegistryUpdate(u roster.Update) (roster.Verdict, float64) {
+	s.counters.Registries.Add(1)
+	verdict := s.updateMembership(u)
 	if verdict == roster.VerdictGap || verdict == roster.VerdictUnconfirmed {
-		v.log.Warn("registry_"+verdict.String(), "revision", u.Revision)
+		s.log.Warn("registry_"+verdict.String(), "revision", u.Revision)
 	}
-	return verdict, milliseconds(v.registryConfig.ConfirmAfter)
+	return verdict, milliseconds(s.registryConfig.ConfirmAfter)
 }
 
-func (v *Service) registryDisconnected(err error) {
-	v.counters.RegistriesFailed.Add(1)
-	v.log.Warn("registry_failed", "error", err)
-	v.sourceDisconnected(roster.SourceRegistry)
+func (s *Service) registryDisconnected(err error) {
+	s.counters.RegistriesFailed.Add(1)
+	s.log.Warn("registry_failed", "error", err)
+	s.sourceDisconnected(roster.SourceRegistry)
 }
 
-func (v *Service) registryActive() {
-	v.rosterMu.Lock()
-	defer v.rosterMu.Unlock()
-	v.roster.SetConnected(v.decider.clock.now(), roster.SourceRegistry)
+func (s *Service) registryActive() {
+	s.rosterMu.Lock()
+	defer s.rosterMu.Unlock()
+	s.roster.SetConnected(s.decider.clock.now(), roster.SourceRegistry)
 }
--- a/internal/driver/reload.go
+++ b/internal/driver/reload.go
@@ -11,29 +11,29 @@
 // Reload takes a configuration that has replaced the one in use, or the error of reading it. Of its values a running
 // driver changes only the address of discovery; an invalid file changes nothing. Of the operators' file it takes the
 // log's level, how often and how much state is saved, and the mesh's seeds and period.
-func (v *Service) Reload(text []byte, err error, o operator.File) {
+func (s *Service) Reload(text []byte, err error, o operator.File) {
 	var c configuration
 	if err == nil {
 		c, err = parseConfiguration(text)
 	}
 	if err != nil {
-		v.counters.ReloadsFailed.Add(1)
-		v.log.Error("reload_failed", "error", err)
+		s.counters.ReloadsFailed.Add(1)
+		s.log.Error("reload_failed", "error", err)
 		return
 	}
-	v.counters.Reloads.Add(1)
-	if v.stateSaver != nil && o.State != nil {
-		v.stateSaver.reconfigure(*o.State)
+	s.counters.Reloads.Add(1)
+	if s.stateSaver != nil && o.State != nil {
+		s.stateSaver.reconfigure(*o.State)
 	}
-	v.fleet.reconfigure(o.Membership)
-	v.discoveryMu.Lock()
-	before, kept := v.config.Discovery, v.config.changedValues(c)
-	if v.config.Discovery = c.Discovery; before != c.Discovery {
-		v.moveDiscovery(c.Discovery)
+	s.fleet.reconfigure(o.Membership)
+	s.discoveryMu.Lock()
+	before, kept := s.config.Discovery, s.config.changedValues(c)
+	if s.config.Discovery = c.Discovery; before != c.Discovery {
+		s.moveDiscovery(c.Discovery)
 	}
-	v.discoveryMu.Unlock()
-	v.log.Info("reloaded", "discovery", c.Discovery, "before", before, "kept", strings.Join(kept, ","))
-	v.level.Set(o.Log.Level)
+	s.discoveryMu.Unlock()
+	s.log.Info("reloaded", "discovery", c.Discovery, "before", before, "kept", strings.Join(kept, ","))
+	s.level.Set(o.Log.Level)
 }
 
 // changedValues names the values that another file changes and that stay as they are until a restart.
--- a/internal/driver/service.go
+++ b/internal/driver/service.go
@@ -43,7 +43,7 @@
 	clientBudget  budget         // of connections
 	messageBudget budget         // of bytes of large messages from clients
 	inFlight      errgroup.Group // clients' connections, and attempts
-	evictions     chan struct{}  // holds a place for each client that is closing after its own was handed over
+	evictions     chan struct{}  // holds a place for each client that is closing after it was reassigned
 	rejections    chan struct{}  // and for each that is being told that there is no room
 	acceptEnded   chan struct{}  // closed when no new connection is accepted any more
 
@@ -80,37 +80,37 @@
 	debug.SetMemoryLimit(int64(c.Limits.MemoryMB * memoryLimitShare * (1 << 20)))
 	runtime.GOMAXPROCS(max(1, min(int(c.Limits.Cores+0.5), runtime.NumCPU())))
 
-	v := newService(c, o)
-	if v.fleet.datagrams, err = newDatagrams(&c.Assignment, c.settings.Index,
-		o.Registry != nil && o.Registry.DriversPrefix != "", &v.counters); err != nil {
+	s := newService(c, o)
+	if s.fleet.datagrams, err = newDatagrams(&c.Assignment, c.settings.Index,
+		o.Registry != nil && o.Registry.DriversPrefix != "", &s.counters); err != nil {
 		return nil, fmt.Errorf("configuration: peers: %w", err)
 	}
 	c.settings.Opening.MaxMessages = float64(o.Peers.MessagesPerSecond)
 	applyOverrides(c.settings.Opening, o.Fleet)
-	v.decider = newDecider(newClock(time.Now), c.settings, v)
-	v.registryConfig = o.Registry
-	v.roster = roster.New(rosterOptions(o.Registry))
+	s.decider = newDecider(newClock(time.Now), c.settings, s)
+	s.registryConfig = o.Registry
+	s.roster = roster.New(rosterOptions(o.Registry))
 	if o.State != nil {
-		v.restoreState(*o.State, c.settings, c.membership)
+		s.restoreState(*o.State, c.settings, c.membership)
 	} else {
-		v.initMembership(c.membership)
+		s.initMembership(c.membership)
 	}
-	if err := v.openParts(&c, o); err != nil {
+	if err := s.openParts(&c, o); err != nil {
 		return nil, err
 	}
 	address, err := net.ResolveTCPAddr("tcp", c.Listen)
 	if err == nil {
-		v.listener, err = net.ListenTCP("tcp", address)
+		s.listener, err = net.ListenTCP("tcp", address)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("configuration: listen: %w", err)
 	}
-	return v, nil
+	return s, nil
 }
 
 // newService is a driver without its sockets and optional parts.
 func newService(c configuration, o operator.File) *Service {
-	v := &Service{
+	s := &Service{
 		config:        c,
 		listRequested: make(chan struct{}, 1),
 		evictions:     make(chan struct{}, maxEvictions),
@@ -119,82 +119,82 @@
 		acceptEnded:   make(chan struct{}),
 		discovery:     discovery.Client{Address: c.Discovery, Timeout: discoveryTimeout},
 	}
-	v.level.Set(o.Log.Level)
-	v.log, v.logLines = newLog(o.Log.Format, &v.level, &v.counters.LogLost)
+	s.level.Set(o.Log.Level)
+	s.log, s.logLines = newLog(o.Log.Format, &s.level, &s.counters.LogLost)
 	sockets := c.Limits.Sockets - reservedSockets
-	v.clientBudget.available.Store(int64(float64(sockets) * clientSocketShare))
-	v.messageBudget.available.Store(int64(c.Limits.MemoryMB * messageMemoryShare * (1 << 20)))
+	s.clientBudget.available.Store(int64(float64(sockets) * clientSocketShare))
+	s.messageBudget.available.Store(int64(c.Limits.MemoryMB * messageMemoryShare * (1 << 20)))
 	memberBudget := &budget{}
-	memberBudget.available.Store(int64(sockets) - v.clientBudget.available.Load())
-	v.pool = &pool{
+	memberBudget.available.Store(int64(sockets) - s.clientBudget.available.Load())
+	s.pool = &pool{
 		connectTimeout:   duration(c.settings.ConnectTimeout),
 		idleTimeout:      duration(c.settings.ConnIdleTimeout * idleTimeoutShare),
 		budget:           memberBudget,
-		counters:         &v.counters,
-		log:              v.log,
+		counters:         &s.counters,
+		log:              s.log,
 		healthCheckQuery: "SELECT 1",
 		members:          map[string]*poolMember{},
 	}
 	if c.settings.Opening.ReportsByProbe {
-		v.pool.healthCheckQuery = "SHOW usage"
+		s.pool.healthCheckQuery = "SHOW usage"
 	}
-	v.fleet = &fleet{service: v}
-	return v
+	s.fleet = &fleet{service: s}
+	return s
 }
 
 // openParts opens what the operators' file switches on. Zones come before the mesh, which delivers to them, and both
 // before the registry, to which the mesh's address is announced.
-func (v *Service) openParts(c *configuration, o operator.File) error {
+func (s *Service) openParts(c *configuration, o operator.File) error {
 	opening := c.settings.Opening
 	if o.Ledger != nil {
-		if err := v.openLedger(*o.Ledger, opening.OpTypes); err != nil {
+		if err := s.openLedger(*o.Ledger, opening.OpTypes); err != nil {
 			return err
 		}
 	}
 	if o.Control != nil {
-		if err := v.openControl(*o.Control, c.settings.Index); err != nil {
+		if err := s.openControl(*o.Control, c.settings.Index); err != nil {
 			return err
 		}
 	}
 	if o.Zones != nil && o.Membership != nil {
-		if err := v.openZones(*o.Zones, *o.Membership, c); err != nil {
+		if err := s.openZones(*o.Zones, *o.Membership, c); err != nil {
 			return err
 		}
 	}
 	if o.Membership != nil {
-		if err := v.fleet.openMesh(*o.Membership, c); err != nil {
+		if err := s.fleet.openMesh(*o.Membership, c); err != nil {
 			return err
 		}
 	}
-	if v.registryConfig == nil {
+	if s.registryConfig == nil {
 		return nil
 	}
-	if err := v.openRegistry(opening.Drivers, opening.Seed); err != nil {
+	if err := s.openRegistry(opening.Drivers, opening.Seed); err != nil {
 		return err
 	}
-	if v.registryConfig.DriversPrefix == "" {
+	if s.registryConfig.DriversPrefix == "" {
 		return nil
 	}
-	return v.openDriverPresence(c)
+	return s.openDriverPresence(c)
 }
 
 // openDriverPresence announces this driver to others in the registry, under the address at which they reach it.
-func (v *Service) openDriverPresence(c *configuration) error {
-	opening, datagrams := c.settings.Opening, v.fleet.datagrams
+func (s *Service) openDriverPresence(c *configuration) error {
+	opening, datagrams := c.settings.Opening, s.fleet.datagrams
 	address, mayMessage := c.PeerListen, opening.MayMessage && datagrams.conn != nil
 	switch {
 	case datagrams.conn != nil:
 		address = datagrams.conn.LocalAddr().String()
-	case v.fleet.mesh != nil:
-		address = v.fleet.mesh.Address()
+	case s.fleet.mesh != nil:
+		address = s.fleet.mesh.Address()
 	case address == "":
 		address = c.Listen
 	}
-	if err := v.openPresence(address, opening.Drivers, opening.Seed, mayMessage); err != nil {
+	if err := s.openPresence(address, opening.Drivers, opening.Seed, mayMessage); err != nil {
 		return err
 	}
 	if mayMessage {
-		datagrams.onMessage = v.fleet.presence.messageReceived
+		datagrams.onMessage = s.fleet.presence.messageReceived
 	}
 	return nil
 }
--- a/internal/driver/state_restore.go
+++ b/internal/driver/state_restore.go
@@ -22,11 +22,11 @@
 
 // restoreState restores what an earlier run saved: the membership that holds is published, and the module recalls the
 // rest.
-func (v *Service) restoreState(o operator.State, settings opening.Settings, known discovery.Response) {
-	k := &stateSaver{service: v, files: durable.OS{}, wake: make(chan struct{}, 1), config: o}
+func (s *Service) restoreState(o operator.State, settings opening.Settings, known discovery.Response) {
+	k := &stateSaver{service: s, files: durable.OS{}, wake: make(chan struct{}, 1), config: o}
 	began := time.Now()
 	opened := k.openStoreInTime()
-	now, config := v.decider.timestamp(), learnedConfig(v.config.Name, settings, o)
+	now, config := s.decider.timestamp(), learnedConfig(s.config.Name, settings, o)
 	given := learned.Membership{Revision: known.Revision}
 	for _, e := range known.Members {
 		given.Entries = append(given.Entries, toLearned(e))
@@ -40,14 +40,14 @@
 	}
 	k.table = learned.NewTable(config, opened.state, now)
 	k.table.StartRun(now)
-	v.stateSaver = k
-	v.initMembership(known)
-	v.decider.step(logic.Event{Kind: logic.EvRecall, Memory: &restored.Memory})
+	s.stateSaver = k
+	s.initMembership(known)
+	s.decider.step(logic.Event{Kind: logic.EvRecall, Memory: &restored.Memory})
 	k.store, k.storeBehind = opened.store, true
 	if opened.err != nil {
 		k.saveFailed(now, opened.err)
 	}
-	v.log.Info("state_recalled", "verdict", string(restored.Verdict), "age_ms", int64(restored.Age),
+	s.log.Info("state_recalled", "verdict", string(restored.Verdict), "age_ms", int64(restored.Age),
 		"from_kept", restored.FromSaved, "revision", known.Revision,
 		"members", len(restored.Memory.Members), "groups", len(restored.Memory.Groups),
 		"dropped", strings.Join(restored.Discarded, "; "), "took_us", time.Since(began).Microseconds())
--- a/internal/driver/state_saver.go
+++ b/internal/driver/state_saver.go
@@ -64,7 +64,7 @@
 
 // noteMembership notes the membership's revision and whether its members changed, and wakes the saver if either is new.
 // It never waits.
-func (k *stateSaver) noteMembership(revision int64, changed bool) {
+func (k *stateSaver) recordMembership(revision int64, changed bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if !changed && revision == k.revision {
--- a/internal/driver/switchover.go
+++ b/internal/driver/switchover.go
@@ -23,8 +23,8 @@
 	maxSwitchoverGroups = 64
 )
 
-// switchovers puts notifications of switchovers before internal/switchover, carries out what that decides, and has peers
-// notified behind a hook's back. It also serves the control sockets.
+// switchovers gives notifications of switchovers to internal/switchover, carries out what that decides, and has peers
+// notified, for which no hook waits. It also serves the control sockets.
 type switchovers struct {
 	service   *Service
 	listeners []net.Listener
@@ -35,8 +35,8 @@
 }
 
 // openControl opens the control sockets that the operators' file names. origin tells this driver's epochs from others'.
-func (v *Service) openControl(o operator.Control, origin int) error {
-	s := &switchovers{service: v, tracker: switchover.New(switchover.Config{
+func (s *Service) openControl(o operator.Control, origin int) error {
+	switches := &switchovers{service: s, tracker: switchover.New(switchover.Config{
 		DefaultLease:      milliseconds(o.HoldLease),
 		MaxHold:           milliseconds(o.MaxHold),
 		ReleaseTimeout:    milliseconds(o.ReleaseTimeout),
@@ -47,7 +47,7 @@
 	})}
 	if o.TokenFile != "" {
 		var err error
-		if s.token, err = readToken(o.TokenFile); err != nil {
+		if switches.token, err = readToken(o.TokenFile); err != nil {
 			return fmt.Errorf("control: token: %w", err)
 		}
 	}
@@ -65,13 +65,13 @@
 			err = os.Chmod(o.Socket, 0o600)
 		}
 		if err != nil {
-			s.close()
+			switches.close()
 			return fmt.Errorf("control: %w", err)
 		}
-		s.listeners = append(s.listeners, ln)
+		switches.listeners = append(switches.listeners, ln)
 	}
-	v.fleet.setPeers(o.Peers, s.token)
-	v.switchovers = s
+	s.fleet.setPeers(o.Peers, switches.token)
+	s.switchovers = switches
 	return nil
 }
 
