--- a/internal/fleet/mesh/datagrams.go
+++ b/internal/fleet/mesh/datagrams.go
@@ -1,6 +1,6 @@
 package mesh
 
-// This file owns datagrams: probes and gossip, sealed, one message each.
+// This file owns datagrams: health checks and piggybacked records, sealed, one message each.
 
 import (
 	"context"
@@ -10,12 +10,18 @@
 	"weirwind/internal/fleet/membership"
 )
 
-func (m *Mesh) sendDatagram(s *membership.Envelope) {
-	to, err := netip.ParseAddrPort(s.Address)
+const (
+	maxDatagram         = 1400             // bytes
+	rejectedLogInterval = 30 * time.Second // between two lines on what was rejected
+)
+
+// sendDatagram sends a message; what can't be sent is lost, as datagrams may be.
+func (m *Mesh) sendDatagram(envelope *membership.Envelope) {
+	to, err := netip.ParseAddrPort(envelope.Address)
 	if err != nil {
 		return
 	}
-	b, err := m.datagramCodec.seal(&s.Message)
+	b, err := m.datagramCodec.seal(&envelope.Message)
 	if err != nil || len(b) > maxDatagram {
 		return
 	}
@@ -24,7 +30,7 @@
 	}
 }
 
-// receive takes datagrams.
+// receiveLoop takes datagrams until the context ends.
 func (m *Mesh) receiveLoop(ctx context.Context) {
 	buf := make([]byte, maxDatagram+1)
 	for ctx.Err() == nil {
@@ -36,26 +42,32 @@
 			}
 			continue
 		}
-		var msg membership.Message
-		err = errTooLong
-		if n <= maxDatagram {
-			err = m.datagramCodec.open(buf[:n], &msg)
-		}
-		if err != nil {
+		var message membership.Message
+		if err := m.openDatagram(buf[:n], &message); err != nil {
 			m.reject(err, from.String())
 			continue
 		}
-		m.mu.Lock()
-		m.apply(m.view.Receive(m.options.Now(), msg))
+		m.step(func(view *membership.Fleet) membership.Output {
+			return view.Receive(m.options.Now(), message)
+		})
 	}
 }
 
-// refused counts what could not be taken, and says so now and then.
+func (m *Mesh) openDatagram(b []byte, message *membership.Message) error {
+	if len(b) > maxDatagram {
+		return errTooLong
+	}
+	return m.datagramCodec.open(b, message)
+}
+
+// reject counts a datagram or frame that could not be taken, and logs the count now and then.
 func (m *Mesh) reject(err error, from string) {
 	n := m.rejectedCount.Add(1)
 	now, last := int64(m.options.Now()), m.rejectedLoggedAt.Load()
-	if (last == 0 || now-last >= rejectedLogInterval.Milliseconds()) &&
-		m.rejectedLoggedAt.CompareAndSwap(last, max(now, 1)) {
+	if last != 0 && now-last < rejectedLogInterval.Milliseconds() {
+		return
+	}
+	if m.rejectedLoggedAt.CompareAndSwap(last, max(now, 1)) {
 		m.options.Log.Warn("membership", "reason", "frame_refused", "from", from, "error", err, "in_all", n)
 	}
 }
--- a/internal/fleet/mesh/mesh_test.go
+++ b/internal/fleet/mesh/mesh_test.go
@@ -20,7 +20,7 @@
 		Address: fmt.Sprintf("10.20.%d.%d:7434", i/250, i%250), Zone: "zone-a"}
 }
 
-// What one seals the other opens, whole; another secret, another use or a changed byte is refused.
+// TestFrames: what one codec seals another opens, complete; another secret, another use or a changed byte is rejected.
 func TestFrames(t *testing.T) {
 	a, b := newCodec("s", "frame"), newCodec("s", "frame")
 	x := &membership.Snapshot{From: record(0), Roster: &membership.Roster{Version: 3}}
@@ -57,7 +57,7 @@
 	}
 }
 
-// The fullest message that the view makes goes into one datagram.
+// TestDatagramsFit: the fullest message that the view makes goes into one datagram.
 func TestDatagramsFit(t *testing.T) {
 	f := membership.New(0, membership.Options{Period: 500, ExpectedDrivers: 1, MaxDrivers: 10000}, record(5000), nil, 1)
 	x := membership.Snapshot{From: record(5001)}
@@ -95,7 +95,7 @@
 	return m
 }
 
-// One that is told to end does so, though a caller says nothing and a seed never answers.
+// TestEndsWithSilentCallers: Run ends with its context, though a caller sends nothing and a seed never answers.
 func TestEndsWithSilentCallers(t *testing.T) {
 	silent, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -140,7 +140,7 @@
 			return
 		}
 		v := membership.New(0, membership.Options{Period: 100, ExpectedDrivers: 1, MaxDrivers: 50}, record(0), nil, 1)
-		for at := range 40 { // a peer may say anything; it must be borne
+		for at := range 40 { // a peer may send anything; it must be endured
 			v.Receive(float64(at*20), m)
 			v.Tick(float64(at*20 + 5))
 		}
--- a/internal/fleet/mesh/persist.go
+++ b/internal/fleet/mesh/persist.go
@@ -11,19 +11,19 @@
 
 const (
 	votesTag      = "VOTE"
-	maxVotesBytes = 8 << 20 // bytes
+	maxVotesBytes = 8 << 20
 )
 
-// openKeeper recovers what an earlier process kept; nil for nothing.
-func openVotes(folder string) (*durable.Latest, *membership.SavedState, error) {
-	store, last, err := durable.OpenLatest(folder, votesTag, maxVotesBytes)
+// openVotes opens the store, and gives what an earlier process saved last; nil for nothing.
+func openVotes(dir string) (*durable.Latest, *membership.SavedState, error) {
+	store, last, err := durable.OpenLatest(dir, votesTag, maxVotesBytes)
 	if err != nil || len(last) == 0 {
 		return store, nil, err
 	}
-	kept := &membership.SavedState{}
-	if err := decoder.Unmarshal(last, kept); err != nil {
+	saved := &membership.SavedState{}
+	if err := decoder.Unmarshal(last, saved); err != nil {
 		_ = store.Close() // err is what went wrong
-		return nil, nil, fmt.Errorf("folder: %s: %w", folder, err)
+		return nil, nil, fmt.Errorf("folder: %s: %w", dir, err)
 	}
-	return store, kept, nil
+	return store, saved, nil
 }
--- a/internal/fleet/mesh/status.go
+++ b/internal/fleet/mesh/status.go
@@ -13,25 +13,28 @@
 	"weirwind/internal/fleet/membership"
 )
 
+// refresh lets the view decide by the present time, so that what is read next is of now.
+func (m *Mesh) refresh() {
+	m.step(func(view *membership.Fleet) membership.Output { return view.Tick(m.options.Now()) })
+}
+
 // Status is the view as it is now.
 func (m *Mesh) Status() membership.Status {
-	m.mu.Lock()
-	m.apply(m.view.Tick(m.options.Now()))
+	m.refresh()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	s := m.view.Status()
-	s.Refused, s.Sent = m.rejectedCount.Load(), m.bytesSent.Load()
-	return s
+	status := m.view.Status()
+	status.Refused, status.Sent = m.rejectedCount.Load(), m.bytesSent.Load()
+	return status
 }
 
-// Standing is this driver's as it is now.
-func (m *Mesh) PartitionStatus() (membership.PartitionStatus, string) {
-	m.mu.Lock()
-	m.apply(m.view.Tick(m.options.Now()))
+// PartitionStatus is the side of a partition that this driver is on now, and why.
+func (m *Mesh) PartitionStatus() (status membership.PartitionStatus, reason string) {
+	m.refresh()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	s, why, _ := m.view.PartitionStatus()
-	return s, why
+	status, reason, _ = m.view.PartitionStatus()
+	return status, reason
 }
 
 // DriverView is what a driver answered when it was asked for its view, or why there is none.
@@ -41,67 +44,81 @@
 	Status *membership.Status `json:"status,omitempty"`
 }
 
-// Compare asks all peers that are known for their views. The first one is this driver's.
+// Compare asks all known peers that have not left for their views. The first one is this driver's.
 func (m *Mesh) Compare(ctx context.Context) []DriverView {
 	own := m.Status()
-	all := []DriverView{{Name: own.Self, Status: &own}}
-	for _, d := range own.Drivers {
-		if d.State != membership.Left {
-			all = append(all, DriverView{Name: d.Name})
+	views, addresses := []DriverView{{Name: own.Self, Status: &own}}, map[string]string{}
+	for _, driver := range own.Drivers {
+		addresses[driver.Name] = driver.Address
+		if driver.State != membership.Left {
+			views = append(views, DriverView{Name: driver.Name})
 		}
 	}
-	var asked errgroup.Group
-	asked.SetLimit(maxOutgoingCalls)
-	addresses := map[string]string{}
-	for _, d := range own.Drivers {
-		addresses[d.Name] = d.Address
-	}
-	for i := range all[1:] {
-		c := &all[i+1]
-		asked.Go(func() error {
-			back, err := m.call(ctx, addresses[c.Name], &frame{Call: callStatus})
-			if err == nil {
-				c.Status = &membership.Status{}
-				err = json.Unmarshal(back.Status, c.Status)
-			}
-			if err != nil {
-				c.Status, c.Error = nil, err.Error()
+	var requests errgroup.Group
+	requests.SetLimit(maxOutgoingCalls)
+	for i := range views[1:] {
+		view := &views[i+1]
+		requests.Go(func() error {
+			status, err := m.statusOf(ctx, addresses[view.Name])
+			if view.Status = status; err != nil {
+				view.Error = err.Error()
 			}
 			return nil
 		})
 	}
-	_ = asked.Wait() // its functions return no error
-	return all
+	_ = requests.Wait() // its functions return no error
+	return views
+}
+
+// statusOf asks one peer for its view.
+func (m *Mesh) statusOf(ctx context.Context, address string) (*membership.Status, error) {
+	answer, err := m.call(ctx, address, &frame{Call: callStatus})
+	if err != nil {
+		return nil, err
+	}
+	status := &membership.Status{}
+	if err := json.Unmarshal(answer.Status, status); err != nil {
+		return nil, err
+	}
+	return status, nil
 }
 
-// Differences says in words where views differ: of states, and of rosters.
-func Differences(all []DriverView) (lines []string) {
-	type saying struct{ of, says string }
-	said := map[saying][]string{}
-	for _, c := range all {
-		if c.Status == nil {
-			lines = append(lines, fmt.Sprintf("%s gives no view: %s", c.Name, c.Error))
+// opinion is what a view says of one driver, or of the roster.
+type opinion struct{ subject, says string }
+
+// Differences says in words, sorted, where views differ: of drivers' states, and of rosters.
+func Differences(views []DriverView) (lines []string) {
+	heldBy := map[opinion][]string{}
+	for _, view := range views {
+		if view.Status == nil {
+			lines = append(lines, fmt.Sprintf("%s gives no view: %s", view.Name, view.Error))
 			continue
 		}
-		for _, d := range c.Status.Drivers {
-			said[saying{d.Name, d.State.String()}] = append(said[saying{d.Name, d.State.String()}], c.Name)
-		}
-		roster := "none"
-		if r := c.Status.Roster; r != nil {
-			roster = fmt.Sprintf("version %d of %d drivers", r.Version, len(r.Names))
+		for _, o := range opinions(view.Status) {
+			heldBy[o] = append(heldBy[o], view.Name)
 		}
-		said[saying{"the roster", roster}] = append(said[saying{"the roster", roster}], c.Name)
 	}
-	ways := map[string]int{}
-	for s := range said {
-		ways[s.of]++
+	count := map[string]int{}
+	for o := range heldBy {
+		count[o.subject]++
 	}
-	for s, by := range said {
-		if ways[s.of] > 1 {
-			slices.Sort(by)
-			lines = append(lines, fmt.Sprintf("%s: %s, say %v", s.of, s.says, by))
+	for o, names := range heldBy {
+		if count[o.subject] > 1 {
+			slices.Sort(names)
+			lines = append(lines, fmt.Sprintf("%s: %s, say %v", o.subject, o.says, names))
 		}
 	}
 	slices.Sort(lines)
 	return lines
 }
+
+func opinions(status *membership.Status) (all []opinion) {
+	for _, driver := range status.Drivers {
+		all = append(all, opinion{driver.Name, driver.State.String()})
+	}
+	roster := "none"
+	if r := status.Roster; r != nil {
+		roster = fmt.Sprintf("version %d of %d drivers", r.Version, len(r.Names))
+	}
+	return append(all, opinion{"the roster", roster})
+}
