--- a/internal/benchwire/fields.go
+++ b/internal/benchwire/fields.go
@@ -1,5 +1,7 @@
 package benchwire
 
+// This file owns the form of lines.
+
 import (
 	"fmt"
 	"math"
@@ -9,7 +11,7 @@
 	"weirwind/logic"
 )
 
-// fields is one line taken apart. The first value that is missing or malformed stays in err.
+// fields is one parsed line. err is the first error about a value, so that callers may check it once.
 type fields struct {
 	name  string
 	pairs []pair
@@ -18,7 +20,7 @@
 
 type pair struct{ key, value string }
 
-// split takes a line apart; 'setup' and 'line' are text and reach to its end.
+// split parses a line. The values of 'setup' and 'line' are text and reach to its end.
 func split(text string) (fields, error) {
 	name, rest, _ := strings.Cut(text, " ")
 	f := fields{name: name}
@@ -37,6 +39,7 @@
 	return f, nil
 }
 
+// get returns a value; empty where it is missing.
 func (f *fields) get(key string) string {
 	for _, p := range f.pairs {
 		if p.key == key {
@@ -46,7 +49,8 @@
 	return ""
 }
 
-func (f *fields) need(key string) string {
+// required returns a value that must be there.
+func (f *fields) required(key string) string {
 	v := f.get(key)
 	if v == "" {
 		f.fail("%s lacks %s", f.name, key)
@@ -60,13 +64,14 @@
 	}
 }
 
-func (f *fields) num(key string) float64 {
-	f.need(key)
-	return f.opt(key)
+// number returns a number that must be there.
+func (f *fields) number(key string) float64 {
+	f.required(key)
+	return f.optional(key)
 }
 
-// opt reads a number that may be left out, in whole or fractional form.
-func (f *fields) opt(key string) float64 {
+// optional returns a number that may be missing, as 0. It may have a fraction.
+func (f *fields) optional(key string) float64 {
 	v := f.get(key)
 	if v == "" {
 		return 0
@@ -78,17 +83,18 @@
 	return n
 }
 
-func (f *fields) flag(key string) bool { return f.opt(key) != 0 }
+// flag returns a number that may be missing as a boolean.
+func (f *fields) flag(key string) bool { return f.optional(key) != 0 }
 
 func (f *fields) outcome() logic.Outcome {
-	o, ok := outcomes[f.need("result")]
-	if !ok {
+	o, known := outcomes[f.required("result")]
+	if !known {
 		f.fail("%s has the unknown result %q", f.name, f.get("result"))
 	}
 	return o
 }
 
-// report reads the load report, skipping values that the module has no use for.
+// report reads a member's report of its position and role. Values of other names are ignored.
 func (f *fields) report() logic.Sight {
 	var r logic.Sight
 	text := f.get("usage")
--- a/internal/pgwire/append.go
+++ b/internal/pgwire/append.go
@@ -23,8 +23,8 @@
 // AppendEmptyQuery appends EmptyQueryResponse.
 func AppendEmptyQuery(b []byte) []byte { return append(b, 'I', 0, 0, 0, 4) }
 
-// AppendStartupResponse appends what opens a client's session: AuthenticationOk, a few parameters, and a cancel key that
-// is not used.
+// AppendStartupResponse appends what opens a client's session: AuthenticationOk, a few parameters, and a cancel key
+// that is not used.
 func AppendStartupResponse(b []byte, minor uint32) []byte {
 	var at int
 	if minor > 0 {
