--- a/internal/driver/admission.go
+++ b/internal/driver/admission.go
@@ -92,9 +92,9 @@
 }
 
 // removeClient frees the place of a client whose connection is closed.
-func (s *Service) removeClient(c *client) {
+func (s *Service) removeClient(client *client) {
 	s.clients.mu.Lock()
-	if delete(s.clients.all, c); c.slotReassigned {
+	if delete(s.clients.all, client); client.slotReassigned {
 		<-s.evictions
 	} else {
 		s.clientBudget.release(1)
@@ -104,23 +104,23 @@
 }
 
 // rejectClient tells a client that there is no room, so many at a time; others are closed without a word.
-func (s *Service) rejectClient(c *client) {
+func (s *Service) rejectClient(client *client) {
 	s.counters.ClientsTurnedAway.Add(1)
 	select {
 	case s.rejections <- struct{}{}:
 	default:
-		c.conn.Close()
-		c.logClosed("too_many")
+		client.conn.Close()
+		client.logClosed("too_many")
 		return
 	}
 	s.inFlight.Go(func() error {
-		c.conn.SetDeadline(time.Now().Add(lingerTimeout / 5))
-		_, _ = c.conn.Write(
+		client.conn.SetDeadline(time.Now().Add(lingerTimeout / 5))
+		_, _ = client.conn.Write(
 			pgwire.AppendErrorResponse(nil, "FATAL", pgwire.CodeTooManyConnections, "too many connections", ""))
-		c.conn.CloseWrite()
-		c.drain()
-		c.conn.Close()
-		c.logClosed("too_many")
+		client.conn.CloseWrite()
+		client.drain()
+		client.conn.Close()
+		client.logClosed("too_many")
 		<-s.rejections
 		return nil
 	})
--- a/internal/driver/answer.go
+++ b/internal/driver/answer.go
@@ -166,10 +166,10 @@
 }
 
 // parseFloat parses a finite number that a member wrote.
-func parseFloat(text []byte) (f float64, ok bool) {
-	f, err := strconv.ParseFloat(string(text), 64)
-	if err != nil || math.IsNaN(f) || math.IsInf(f, 0) {
+func parseFloat(text []byte) (value float64, ok bool) {
+	value, err := strconv.ParseFloat(string(text), 64)
+	if err != nil || math.IsNaN(value) || math.IsInf(value, 0) {
 		return 0, false
 	}
-	return f, true
+	return value, true
 }
--- a/internal/driver/attempt.go
+++ b/internal/driver/attempt.go
@@ -30,8 +30,8 @@
 	writesForbidden bool // never becomes false again
 }
 
-func (p *pool) newAttempt(member string, s *pgwire.Statement, timeout time.Duration) *attempt {
-	x := &attempt{pool: p, member: member, statement: s, deadline: time.Now().Add(timeout)}
+func (p *pool) newAttempt(member string, statement *pgwire.Statement, timeout time.Duration) *attempt {
+	x := &attempt{pool: p, member: member, statement: statement, deadline: time.Now().Add(timeout)}
 	x.ctx, x.release = context.WithDeadline(context.Background(), x.deadline)
 	return x
 }
@@ -61,9 +61,9 @@
 }
 
 // setConn makes a connection the attempt's own, so that cancel can end it; nil ends that.
-func (x *attempt) setConn(c *memberConn) {
+func (x *attempt) setConn(conn *memberConn) {
 	x.mu.Lock()
-	x.conn = c
+	x.conn = conn
 	x.mu.Unlock()
 }
 
@@ -172,7 +172,7 @@
 
 // write sends the request, unless that is forbidden. Without an error its last byte is written; begun says whether its
 // first may be.
-func (x *attempt) write(c *memberConn) (begun bool, err error) {
+func (x *attempt) write(conn *memberConn) (begun bool, err error) {
 	x.mu.Lock()
 	x.writesForbidden = x.writesForbidden || !x.staleAt.IsZero() && time.Now().After(x.staleAt)
 	if x.writesForbidden || x.ctx.Err() != nil {
@@ -181,7 +181,7 @@
 	}
 	x.writing.Lock()
 	defer x.writing.Unlock()
-	c.SetDeadline(x.deadline)
+	conn.SetDeadline(x.deadline)
 	x.mu.Unlock()
 	var b net.Buffers
 	if x.statement != nil {
@@ -189,6 +189,6 @@
 	} else {
 		b = net.Buffers{pgwire.AppendQuery(nil, x.pool.healthCheckQuery)}
 	}
-	_, err = b.WriteTo(c.Conn)
+	_, err = b.WriteTo(conn.Conn)
 	return true, err
 }
--- a/internal/driver/budget.go
+++ b/internal/driver/budget.go
@@ -8,12 +8,12 @@
 }
 
 // acquire takes n; false where fewer are available.
-func (b *budget) acquire(n int64) bool {
-	if b.available.Add(-n) < 0 {
-		b.available.Add(n)
+func (b *budget) acquire(amount int64) bool {
+	if b.available.Add(-amount) < 0 {
+		b.available.Add(amount)
 		return false
 	}
 	return true
 }
 
-func (b *budget) release(n int64) { b.available.Add(n) }
+func (b *budget) release(amount int64) { b.available.Add(amount) }
--- a/internal/driver/client.go
+++ b/internal/driver/client.go
@@ -115,19 +115,19 @@
 
 // nextMessage waits for a message. One that has come is answered even if the client has left since or the service
 // stops: it may have been sent before either.
-func (c *client) nextMessage() (m message, endReason string) {
+func (c *client) nextMessage() (msg message, endReason string) {
 	select {
-	case m = <-c.messages:
-		return m, ""
+	case msg = <-c.messages:
+		return msg, ""
 	default:
 	}
 	select {
-	case m = <-c.messages:
-		return m, ""
+	case msg = <-c.messages:
+		return msg, ""
 	case <-c.disconnected:
-		return m, c.endReason
+		return msg, c.endReason
 	case <-c.service.acceptEnded:
-		return m, "shutdown"
+		return msg, "shutdown"
 	}
 }
 
--- a/internal/driver/client_reader.go
+++ b/internal/driver/client_reader.go
@@ -77,34 +77,34 @@
 
 // readMessage reads one message, which must be complete in time. A large one for which the message budget has no room
 // is read and dropped.
-func (c *client) readMessage() (m message, err error) {
+func (c *client) readMessage() (msg message, err error) {
 	if head, _ := c.reader.Peek(min(c.reader.Buffered(), 5)); !pgwire.Buffered(head, c.reader.Buffered()) {
 		c.conn.SetReadDeadline(time.Now().Add(messageTimeout)) // it holds memory that others want
 		defer c.conn.SetReadDeadline(time.Time{})
 	}
 	kind, n, err := pgwire.ReadHeader(c.reader)
-	if m.kind = kind; err != nil {
-		return m, err
+	if msg.kind = kind; err != nil {
+		return msg, err
 	}
 	if n > largeMessageBytes {
 		if !c.service.messageBudget.acquire(int64(n)) {
-			m.overBudget = true
+			msg.overBudget = true
 			_, err = c.reader.Discard(n)
-			return m, err
+			return msg, err
 		}
-		m.budgetBytes = int64(n)
+		msg.budgetBytes = int64(n)
 	}
-	if m.body, err = pgwire.ReadBody(c.reader, nil, n); err != nil {
-		c.service.messageBudget.release(m.budgetBytes)
-		m.budgetBytes = 0
+	if msg.body, err = pgwire.ReadBody(c.reader, nil, n); err != nil {
+		c.service.messageBudget.release(msg.budgetBytes)
+		msg.budgetBytes = 0
 	}
-	return m, err
+	return msg, err
 }
 
 // deliver passes a message on; false where nobody takes messages any more.
-func (c *client) deliver(m message) bool {
+func (c *client) deliver(msg message) bool {
 	select {
-	case c.messages <- m:
+	case c.messages <- msg:
 		return true
 	case <-c.answered:
 		return false
--- a/internal/driver/clock.go
+++ b/internal/driver/clock.go
@@ -46,4 +46,4 @@
 func duration(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
 // milliseconds is a time for the module.
-func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+func milliseconds(span time.Duration) float64 { return float64(span) / float64(time.Millisecond) }
--- a/internal/driver/configuration.go
+++ b/internal/driver/configuration.go
@@ -41,37 +41,37 @@
 }
 
 // parseConfiguration reads a configuration, at the start and again on SIGHUP, and rejects an invalid one.
-func parseConfiguration(text []byte) (c configuration, err error) {
-	if err = json.Unmarshal(text, &c.Assignment); err == nil {
-		err = json.Unmarshal(text, &c.values)
+func parseConfiguration(text []byte) (config configuration, err error) {
+	if err = json.Unmarshal(text, &config.Assignment); err == nil {
+		err = json.Unmarshal(text, &config.values)
 	}
 	if err != nil {
-		return c, fmt.Errorf("configuration: %w", err)
+		return config, fmt.Errorf("configuration: %w", err)
 	}
-	seed, err := strconv.ParseUint(c.Seed, 16, 64)
+	seed, err := strconv.ParseUint(config.Seed, 16, 64)
 	if err != nil {
-		return c, fmt.Errorf("configuration: seed %q is no hexadecimal number", c.Seed)
+		return config, fmt.Errorf("configuration: seed %q is no hexadecimal number", config.Seed)
 	}
-	if c.settings, err = opening.Parse(c.Settings, seed); err != nil {
-		return c, fmt.Errorf("configuration: %w", err)
+	if config.settings, err = opening.Parse(config.Settings, seed); err != nil {
+		return config, fmt.Errorf("configuration: %w", err)
 	}
-	if c.settings.ConnectTimeout <= 0 || c.settings.ConnIdleTimeout <= 0 {
-		return c, errors.New("configuration: settings lack connect_timeout or conn_idle")
+	if config.settings.ConnectTimeout <= 0 || config.settings.ConnIdleTimeout <= 0 {
+		return config, errors.New("configuration: settings lack connect_timeout or conn_idle")
 	}
-	if c.membership, err = discovery.Parse(c.Membership); err != nil {
-		return c, fmt.Errorf("configuration: known %w", err)
+	if config.membership, err = discovery.Parse(config.Membership); err != nil {
+		return config, fmt.Errorf("configuration: known %w", err)
 	}
-	if c.Listen == "" {
-		return c, errors.New("configuration: lacks listen")
+	if config.Listen == "" {
+		return config, errors.New("configuration: lacks listen")
 	}
-	if _, _, err = net.SplitHostPort(c.Discovery); err != nil {
-		return c, fmt.Errorf("configuration: discovery: %w", err)
+	if _, _, err = net.SplitHostPort(config.Discovery); err != nil {
+		return config, fmt.Errorf("configuration: discovery: %w", err)
 	}
-	if c.Limits.Sockets < 2*reservedSockets || c.Limits.MemoryMB < minMemoryMB {
-		return c, fmt.Errorf("configuration: limits of %d sockets and %g MB are too low", c.Limits.Sockets,
-			c.Limits.MemoryMB)
+	if config.Limits.Sockets < 2*reservedSockets || config.Limits.MemoryMB < minMemoryMB {
+		return config, fmt.Errorf("configuration: limits of %d sockets and %g MB are too low", config.Limits.Sockets,
+			config.Limits.MemoryMB)
 	}
-	return c, nil
+	return config, nil
 }
 
 // Check says what is wrong with a configuration.
@@ -82,17 +82,17 @@
 
 // applyOverrides lays the operators' view of the deployment over the platform's settings. They may forbid messages
 // between drivers that the platform allows, never allow ones that it forbids.
-func applyOverrides(o *logic.Opening, fleet *operator.Fleet) {
+func applyOverrides(opening *logic.Opening, fleet *operator.Fleet) {
 	if fleet == nil {
 		return
 	}
 	if fleet.Peers != nil {
-		o.MayMessage = o.MayMessage && *fleet.Peers
+		opening.MayMessage = opening.MayMessage && *fleet.Peers
 	}
 	if fleet.Drivers > 0 {
-		o.Drivers = fleet.Drivers
+		opening.Drivers = fleet.Drivers
 	}
 	if fleet.OnlyDrainingBinds != nil {
-		o.OnlyDrainBinds = *fleet.OnlyDrainingBinds
+		opening.OnlyDrainBinds = *fleet.OnlyDrainingBinds
 	}
 }
--- a/internal/driver/convert.go
+++ b/internal/driver/convert.go
@@ -30,61 +30,61 @@
 	return u
 }
 
-func toRoster(e discovery.Entry) roster.Entry {
+func toRoster(entry discovery.Entry) roster.Entry {
 	return roster.Entry{
-		ID:        e.ID,
-		Address:   e.Address,
-		Zone:      e.Zone,
-		Group:     e.Group,
-		Phase:     rosterPhases[e.Phase],
-		Access:    e.Access,
-		StartedAt: e.StartedAt,
+		ID:        entry.ID,
+		Address:   entry.Address,
+		Zone:      entry.Zone,
+		Group:     entry.Group,
+		Phase:     rosterPhases[entry.Phase],
+		Access:    entry.Access,
+		StartedAt: entry.StartedAt,
 	}
 }
 
-func fromRoster(e roster.Entry) discovery.Entry {
+func fromRoster(entry roster.Entry) discovery.Entry {
 	return discovery.Entry{
-		ID:        e.ID,
-		Address:   e.Address,
-		Zone:      e.Zone,
-		Group:     e.Group,
-		Phase:     discoveryPhases[e.Phase],
-		Access:    e.Access,
-		StartedAt: e.StartedAt,
+		ID:        entry.ID,
+		Address:   entry.Address,
+		Zone:      entry.Zone,
+		Group:     entry.Group,
+		Phase:     discoveryPhases[entry.Phase],
+		Access:    entry.Access,
+		StartedAt: entry.StartedAt,
 	}
 }
 
-func toLearned(e discovery.Entry) learned.Entry {
+func toLearned(entry discovery.Entry) learned.Entry {
 	return learned.Entry{
-		ID:        e.ID,
-		Address:   e.Address,
-		Zone:      e.Zone,
-		Group:     e.Group,
-		Phase:     e.Phase,
-		Access:    e.Access,
-		StartedAt: e.StartedAt,
+		ID:        entry.ID,
+		Address:   entry.Address,
+		Zone:      entry.Zone,
+		Group:     entry.Group,
+		Phase:     entry.Phase,
+		Access:    entry.Access,
+		StartedAt: entry.StartedAt,
 	}
 }
 
-func fromLearned(e learned.Entry) discovery.Entry {
+func fromLearned(entry learned.Entry) discovery.Entry {
 	return discovery.Entry{
-		ID:        e.ID,
-		Address:   e.Address,
-		Zone:      e.Zone,
-		Group:     e.Group,
-		Phase:     e.Phase,
-		Access:    e.Access,
-		StartedAt: e.StartedAt,
+		ID:        entry.ID,
+		Address:   entry.Address,
+		Zone:      entry.Zone,
+		Group:     entry.Group,
+		Phase:     entry.Phase,
+		Access:    entry.Access,
+		StartedAt: entry.StartedAt,
 	}
 }
 
-func rosterOptions(g *operator.Registry) roster.Options {
-	if g == nil {
+func rosterOptions(block *operator.Registry) roster.Options {
+	if block == nil {
 		return roster.Options{Preferred: roster.SourceDiscovery}
 	}
 	return roster.Options{
 		Preferred:     roster.SourceRegistry,
-		FailoverAfter: milliseconds(g.FailoverAfter),
-		ConfirmAfter:  milliseconds(g.ConfirmAfter),
+		FailoverAfter: milliseconds(block.FailoverAfter),
+		ConfirmAfter:  milliseconds(block.ConfirmAfter),
 	}
 }
--- a/internal/driver/counters.go
+++ b/internal/driver/counters.go
@@ -35,7 +35,7 @@
 }
 
 // forOutcome is the counter of an outcome; nil where a good answer needs none.
-func (c *counters) forOutcome(o logic.Outcome) *atomic.Int64 {
+func (c *counters) forOutcome(outcome logic.Outcome) *atomic.Int64 {
 	return [...]*atomic.Int64{
 		logic.OK:            nil,
 		logic.Miss:          &c.Missed,
@@ -46,5 +46,5 @@
 		logic.TimedOut:      &c.TimedOut,
 		logic.Reset:         &c.Reset,
 		logic.Cancelled:     &c.Cancelled,
-	}[o]
+	}[outcome]
 }
--- a/internal/driver/datagrams.go
+++ b/internal/driver/datagrams.go
@@ -29,25 +29,25 @@
 
 // newDatagrams opens the socket, unless there is no address to listen at or nobody to send to. own is this driver's
 // index among Peers; registered says that peers are in the registry.
-func newDatagrams(a *Assignment, own int, registered bool, counters *counters) (*datagrams, error) {
+func newDatagrams(assignment *Assignment, own int, registered bool, counters *counters) (*datagrams, error) {
 	d := &datagrams{
 		configuredPeers: map[netip.AddrPort]bool{},
 		outgoing:        make(chan []byte, outgoingDatagrams),
 		counters:        counters,
 	}
-	if a.PeerListen == "" || a.PeersAll == "" && !registered {
+	if assignment.PeerListen == "" || assignment.PeersAll == "" && !registered {
 		return d, nil
 	}
-	listen, err := netip.ParseAddrPort(a.PeerListen)
+	listen, err := netip.ParseAddrPort(assignment.PeerListen)
 	if err != nil {
 		return nil, err
 	}
-	if a.PeersAll != "" {
-		if d.broadcast, err = netip.ParseAddrPort(a.PeersAll); err != nil {
+	if assignment.PeersAll != "" {
+		if d.broadcast, err = netip.ParseAddrPort(assignment.PeersAll); err != nil {
 			return nil, err
 		}
 	}
-	for i, text := range a.Peers {
+	for i, text := range assignment.Peers {
 		peer, err := netip.ParseAddrPort(text)
 		if err != nil {
 			return nil, err
--- a/internal/driver/decider.go
+++ b/internal/driver/decider.go
@@ -37,10 +37,10 @@
 	logDecision(text string)
 }
 
-func newDecider(c clock, settings opening.Settings, actions performer) *decider {
+func newDecider(clock clock, settings opening.Settings, actions performer) *decider {
 	settings.Opening.PositionZero = 0
 	d := &decider{
-		clock:   c,
+		clock:   clock,
 		opTypes: settings.OpTypes,
 		actions: actions,
 		ops:     map[string]*op{},
@@ -97,14 +97,14 @@
 }
 
 // pushAction hands an action on an op to the goroutine that carries the op through. The caller holds the lock.
-func (d *decider) pushAction(o *op, a *logic.Action) {
-	o.push(*a)
-	if d.zones != nil && a.Kind == logic.ActSend {
-		o.sentTo = append(o.sentTo, zoneAttempt{a.Member, d.clock.now()})
-		d.zones.countSend(o, d.members[a.Member].Zone, len(o.sentTo) > 1, d.nearGroups[o.statement.Group])
+func (d *decider) pushAction(op *op, action *logic.Action) {
+	op.push(*action)
+	if d.zones != nil && action.Kind == logic.ActSend {
+		op.sentTo = append(op.sentTo, zoneAttempt{action.Member, d.clock.now()})
+		d.zones.countSend(op, d.members[action.Member].Zone, len(op.sentTo) > 1, d.nearGroups[op.statement.Group])
 	}
-	if a.Kind == logic.ActRefuse || a.Kind == logic.ActFail {
-		o.finished = true
+	if action.Kind == logic.ActRefuse || action.Kind == logic.ActFail {
+		op.finished = true
 	}
 }
 
--- a/internal/driver/decider_members.go
+++ b/internal/driver/decider_members.go
@@ -84,10 +84,10 @@
 }
 
 // countByZone has attempts counted by zone from here on.
-func (d *decider) countByZone(z *zoneAgent) {
+func (d *decider) countByZone(zones *zoneAgent) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.zones = z
+	d.zones = zones
 	d.findNearGroups()
 }
 
--- a/internal/driver/decider_ops.go
+++ b/internal/driver/decider_ops.go
@@ -16,55 +16,55 @@
 }
 
 // staleDataMatters says whether an op's attempts are decided on by positions that grow too old.
-func (d *decider) staleDataMatters(o *op) bool { return d.bounded[o.opType] }
+func (d *decider) staleDataMatters(op *op) bool { return d.bounded[op.opType] }
 
 // submit puts a new op before the module, under an id of the driver's own. It is false where the id that the client
 // wrote is that of an op still open, whose attempts a member couldn't tell from this one's.
-func (d *decider) submit(o *op) bool {
+func (d *decider) submit(op *op) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	id := string(o.statement.ID)
+	id := string(op.statement.ID)
 	if d.openIDs[id] {
 		return false
 	}
 	d.openIDs[id] = true
 	d.serial++
-	o.id = strconv.FormatUint(d.serial, 36)
-	d.ops[o.id] = o
+	op.id = strconv.FormatUint(d.serial, 36)
+	d.ops[op.id] = op
 	d.stepLocked(logic.Event{
 		Kind:     logic.EvOp,
-		Op:       o.id,
-		OpType:   o.opType,
-		Group:    o.statement.Group,
-		Left:     o.statement.Timeout,
-		WroteAgo: d.clock.wroteAgo(o.statement.MinPosition),
+		Op:       op.id,
+		OpType:   op.opType,
+		Group:    op.statement.Group,
+		Left:     op.statement.Timeout,
+		WroteAgo: d.clock.wroteAgo(op.statement.MinPosition),
 	})
 	return true
 }
 
 // takeActions gives what has been decided for an op since the last call, and the answer if one has come. An op that is
 // finished is forgotten.
-func (d *decider) takeActions(o *op) (actions []decidedAction, rows []byte) {
+func (d *decider) takeActions(op *op) (actions []decidedAction, rows []byte) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	actions, o.pending = o.pending, nil
-	if o.finished && d.ops[o.id] != nil {
-		delete(d.ops, o.id)
-		delete(d.openIDs, string(o.statement.ID))
+	actions, op.pending = op.pending, nil
+	if op.finished && d.ops[op.id] != nil {
+		delete(d.ops, op.id)
+		delete(d.openIDs, string(op.statement.ID))
 	}
-	return actions, o.rows
+	return actions, op.rows
 }
 
 // attemptEnded tells the module how the attempt with that index ended. The first good answer is the op's, unless the
 // op was finished before.
-func (d *decider) attemptEnded(o *op, index int, r result) {
+func (d *decider) attemptEnded(op *op, index int, r result) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if r.outcome == logic.OK && !o.finished {
-		o.finished, o.rows = true, r.rows
+	if r.outcome == logic.OK && !op.finished {
+		op.finished, op.rows = true, r.rows
 	}
-	if d.zones != nil && r.outcome == logic.OK && index < len(o.sentTo) {
-		sent := o.sentTo[index]
+	if d.zones != nil && r.outcome == logic.OK && index < len(op.sentTo) {
+		sent := op.sentTo[index]
 		d.zones.recordAnswer(sent.member, d.members[sent.member].Zone, d.clock.now()-sent.at,
 			d.clock.observation(r.role, r.position).Position)
 	}
@@ -75,26 +75,26 @@
 	d.stepLocked(logic.Event{
 		Kind:    logic.EvAnswer,
 		Opened:  opened,
-		Op:      o.id,
+		Op:      op.id,
 		Send:    index,
 		Member:  r.member,
 		Outcome: r.outcome,
-		Closed:  o.finished,
+		Closed:  op.finished,
 		Note:    d.clock.observation(r.role, r.position),
 		Report:  d.clock.observation(r.reportRole, r.reportPosition),
 	})
-	if o.rows != nil {
-		o.signal()
+	if op.rows != nil {
+		op.signal()
 	}
 }
 
 // clientLeft tells the module that the client of an op has left.
-func (d *decider) clientDisconnected(o *op) {
+func (d *decider) clientDisconnected(op *op) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if !o.finished {
-		o.finished = true
-		d.stepLocked(logic.Event{Kind: logic.EvGone, Op: o.id})
+	if !op.finished {
+		op.finished = true
+		d.stepLocked(logic.Event{Kind: logic.EvGone, Op: op.id})
 	}
 }
 
--- a/internal/driver/fleet.go
+++ b/internal/driver/fleet.go
@@ -91,15 +91,15 @@
 
 // driverCountChanged takes how many drivers there are: from the mesh, which alone decides where there is one, or from
 // the registry. toModule says whether the decision module goes by it.
-func (f *fleet) driverCountChanged(n int, fromMesh, toModule bool) {
+func (f *fleet) driverCountChanged(count int, fromMesh, toModule bool) {
 	if !fromMesh && f.mesh != nil {
 		return
 	}
-	f.service.log.Info("drivers", "count", n)
+	f.service.log.Info("drivers", "count", count)
 	if toModule {
-		f.service.decider.step(logic.Event{Kind: logic.EvDrivers, Drivers: n})
+		f.service.decider.step(logic.Event{Kind: logic.EvDrivers, Drivers: count})
 	}
 	if f.service.registryWatcher != nil {
-		f.service.registryWatcher.Scheduler.SetDrivers(n)
+		f.service.registryWatcher.Scheduler.SetDrivers(count)
 	}
 }
--- a/internal/driver/fleet_gossip.go
+++ b/internal/driver/fleet_gossip.go
@@ -44,17 +44,18 @@
 // receiveGossip takes a peer's gossip. requestedAt is when it was requested, -Inf where it came unrequested. changed
 // says that some of it was new and is to be passed on; requestAgain that the peer is to be requested to confirm a plan
 // of zones.
-func (f *fleet) receiveGossip(g *mesh.Gossip, requestedAt float64) (changed, requestAgain bool) {
-	if len(g.Switchovers) > maxGossipSwitchovers || len(g.Drains) > maxDrains {
-		f.service.log.Warn("membership", "reason", "too_many_words", "switches", len(g.Switchovers), "drains", len(g.Drains))
+func (f *fleet) receiveGossip(gossip *mesh.Gossip, requestedAt float64) (changed, requestAgain bool) {
+	if len(gossip.Switchovers) > maxGossipSwitchovers || len(gossip.Drains) > maxDrains {
+		f.service.log.Warn("membership", "reason", "too_many_words",
+			"switches", len(gossip.Switchovers), "drains", len(gossip.Drains))
 		return false, false
 	}
-	if z := f.service.zones; z != nil && g.Zones != nil {
-		changed = z.apply(func(now float64) zones.Output { return z.zones.ReceiveSummary(now, requestedAt, g.Zones) })
+	if z := f.service.zones; z != nil && gossip.Zones != nil {
+		changed = z.apply(func(now float64) zones.Output { return z.zones.ReceiveSummary(now, requestedAt, gossip.Zones) })
 		requestAgain = changed && math.IsInf(requestedAt, -1)
 	}
 	if s := f.service.switchovers; s != nil {
-		for _, notification := range g.Switchovers {
+		for _, notification := range gossip.Switchovers {
 			isNew, err := s.handleNotification(notification)
 			if err != nil {
 				f.service.log.Warn("switch", "error", err)
@@ -64,7 +65,7 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, d := range g.Drains {
+	for _, d := range gossip.Drains {
 		marks, isNew := f.drains.ApplyPeer(f.service.decider.clock.now(), d)
 		f.applyDrains(marks)
 		changed = changed || isNew
--- a/internal/driver/fleet_mesh.go
+++ b/internal/driver/fleet_mesh.go
@@ -13,37 +13,37 @@
 )
 
 // openMesh opens the sockets of drivers that keep a membership of their own.
-func (f *fleet) openMesh(o operator.Membership, c *configuration) error {
+func (f *fleet) openMesh(block operator.Membership, config *configuration) error {
 	service := f.service
-	token, err := readToken(o.TokenFile)
+	token, err := readToken(block.TokenFile)
 	if err != nil {
 		return fmt.Errorf("membership: token: %w", err)
 	}
-	listen, err := netip.ParseAddrPort(o.Listen)
+	listen, err := netip.ParseAddrPort(block.Listen)
 	if err != nil {
 		return fmt.Errorf("membership: listen: %w", err)
 	}
 	f.drains = membership.NewDrains(maxDrains, milliseconds(drainRetention))
-	f.seeds, f.period = o.Seeds, o.ProtocolPeriod
-	expected := o.ExpectedDrivers
+	f.seeds, f.period = block.Seeds, block.ProtocolPeriod
+	expected := block.ExpectedDrivers
 	if expected == 0 {
-		expected = max(c.settings.Opening.Drivers, expectedDrivers(o))
+		expected = max(config.settings.Opening.Drivers, expectedDrivers(block))
 	}
 	opts := mesh.Options{
-		Name:              c.Name,
-		Zone:              zoneOf(o, c),
+		Name:              config.Name,
+		Zone:              zoneOf(block, config),
 		Listen:            listen,
-		Advertise:         o.Advertise,
-		Seeds:             o.Seeds,
+		Advertise:         block.Advertise,
+		Seeds:             block.Seeds,
 		Secret:            token,
-		Period:            o.ProtocolPeriod,
+		Period:            block.ProtocolPeriod,
 		ExpectedDrivers:   expected,
-		TakeoverAfter:     o.TakeOverAfter,
-		RandomSeed:        c.settings.Opening.Seed + 2,
+		TakeoverAfter:     block.TakeOverAfter,
+		RandomSeed:        config.settings.Opening.Seed + 2,
 		Run:               uint64(service.decider.clock.unixMs),
 		Now:               service.decider.clock.now,
 		Log:               service.log,
-		StateDir:          o.Folder,
+		StateDir:          block.Folder,
 		Gossip:            f.gossip,
 		ReceiveGossip:     f.receiveGossip,
 		OnPartitionStatus: f.onPartitionStatus,
@@ -54,8 +54,8 @@
 	if f.mesh, err = mesh.Open(opts); err != nil {
 		return fmt.Errorf("membership: %w", err)
 	}
-	for i, text := range c.Peers {
-		if at, err := netip.ParseAddrPort(text); err == nil && i != c.settings.Index {
+	for i, text := range config.Peers {
+		if at, err := netip.ParseAddrPort(text); err == nil && i != config.settings.Index {
 			f.otherSeeds = append(f.otherSeeds, f.meshAddressOf(at))
 		}
 	}
@@ -77,15 +77,15 @@
 }
 
 // zoneOf is the driver's zone: the operators', or else the platform's.
-func zoneOf(o operator.Membership, c *configuration) string {
-	return cmp.Or(o.Zone, c.settings.Opening.Zone)
+func zoneOf(block operator.Membership, config *configuration) string {
+	return cmp.Or(block.Zone, config.settings.Opening.Zone)
 }
 
 // expectedDrivers is how many drivers the seeds name, this one included.
-func expectedDrivers(o operator.Membership) int {
-	all := append(slices.Clone(o.Seeds), o.Advertise)
-	if o.Advertise == "" {
-		all[len(all)-1] = o.Listen
+func expectedDrivers(block operator.Membership) int {
+	all := append(slices.Clone(block.Seeds), block.Advertise)
+	if block.Advertise == "" {
+		all[len(all)-1] = block.Listen
 	}
 	slices.Sort(all)
 	return len(slices.Compact(all))
@@ -102,12 +102,12 @@
 }
 
 // reconfigure takes other seeds and another period from the operators.
-func (f *fleet) reconfigure(o *operator.Membership) {
-	if f.mesh == nil || o == nil {
+func (f *fleet) reconfigure(block *operator.Membership) {
+	if f.mesh == nil || block == nil {
 		return
 	}
 	f.mu.Lock()
-	f.seeds, f.period = o.Seeds, o.ProtocolPeriod
+	f.seeds, f.period = block.Seeds, block.ProtocolPeriod
 	f.mu.Unlock()
 	f.reseed()
 }
--- a/internal/driver/ledger.go
+++ b/internal/driver/ledger.go
@@ -45,18 +45,19 @@
 
 // openLedger recovers the table of keys. A damaged one is an error, as without it keys could run twice: operators have
 // to say that they begin a new one, by moving the folder away.
-func (s *Service) openLedger(o operator.Ledger, opTypes []logic.OpType) error {
-	limitBytes := int64(o.LimitMB) << 20
+func (s *Service) openLedger(block operator.Ledger, opTypes []logic.OpType) error {
+	limitBytes := int64(block.LimitMB) << 20
 	limits := ledger.Limits{
-		Retention:   milliseconds(o.Retention),
-		Keys:        o.MaxKeys,
+		Retention:   milliseconds(block.Retention),
+		Keys:        block.MaxKeys,
 		TotalBytes:  int(limitBytes / 4), // the store may hold two generations, each a snapshot and a log
 		AnswerBytes: ledgerAnswerBytes,
 	}
 	if err := limits.Check(); err != nil {
 		return err
 	}
-	store, found, err := durable.Open(durable.OS{}, durable.Options{Folder: o.Folder, Tag: ledgerTag, Limit: limitBytes})
+	store, found, err := durable.Open(durable.OS{},
+		durable.Options{Folder: block.Folder, Tag: ledgerTag, Limit: limitBytes})
 	if err != nil {
 		return fmt.Errorf("ledger: %w", err)
 	}
@@ -68,7 +69,7 @@
 		done:    make(chan struct{}),
 	}
 	if found.RecordsLost {
-		err = fmt.Errorf("%s has lost records; move it away to begin a new book", o.Folder)
+		err = fmt.Errorf("%s has lost records; move it away to begin a new book", block.Folder)
 	} else if l.table, err = ledger.Load(limits, s.decider.clock.now(), found.Snapshot, found.Records); err == nil {
 		err = store.Compact(l.table.Snapshot())
 	}
@@ -77,7 +78,7 @@
 		return fmt.Errorf("ledger: %w", err)
 	}
 	open, acked, unknown, size := l.table.Counts()
-	s.log.Info("ledger", "folder", o.Folder, "open", open, "acked", acked, "unknown", unknown, "bytes", size)
+	s.log.Info("ledger", "folder", block.Folder, "open", open, "acked", acked, "unknown", unknown, "bytes", size)
 	s.ledger = l
 	go l.writeLoop()
 	return nil
@@ -149,15 +150,15 @@
 }
 
 // covers says whether an op is of a type that the ledger is for: others may be executed twice.
-func (l *opLedger) covers(o *op) bool { return l.opTypes[o.opType].Effect != logic.Retryable }
+func (l *opLedger) covers(op *op) bool { return l.opTypes[op.opType].Effect != logic.Retryable }
 
 // perform carries an op with a key through.
-func (l *opLedger) perform(o *op, disconnected <-chan struct{}) []byte {
-	if !validKey(o.statement.IdempotencyKey) {
+func (l *opLedger) perform(op *op, disconnected <-chan struct{}) []byte {
+	if !validKey(op.statement.IdempotencyKey) {
 		return invalidKey
 	}
-	key, began := string(o.statement.IdempotencyKey), time.Now()
-	verdict, answer, written := l.begin(key, ledger.Fingerprint(statementForm(&o.statement)))
+	key, began := string(op.statement.IdempotencyKey), time.Now()
+	verdict, answer, written := l.begin(key, ledger.Fingerprint(statementForm(&op.statement)))
 	switch verdict {
 	case ledger.Replay:
 		return answer
@@ -171,13 +172,13 @@
 		l.service.counters.BusyReplied.Add(1)
 		return busyAnswer(0)
 	}
-	limit := time.NewTimer(duration(o.statement.Timeout * ledgerTimeShare))
+	limit := time.NewTimer(duration(op.statement.Timeout * ledgerTimeShare))
 	defer limit.Stop()
 	var err error
 	select {
 	case err = <-written:
 	case <-limit.C:
-		err = fmt.Errorf("the disk took longer than %.0f ms", o.statement.Timeout*ledgerTimeShare)
+		err = fmt.Errorf("the disk took longer than %.0f ms", op.statement.Timeout*ledgerTimeShare)
 	case <-disconnected:
 		l.finish(key, ledger.StateFree, nil)
 		return nil
@@ -188,18 +189,18 @@
 		l.service.counters.BusyReplied.Add(1)
 		return busyAnswer(0)
 	}
-	o.statement.Timeout = max(o.statement.Timeout-milliseconds(time.Since(began)), 0)
-	answer, end := l.service.execute(o, disconnected)
-	l.finishOp(o, key, end, answer)
+	op.statement.Timeout = max(op.statement.Timeout-milliseconds(time.Since(began)), 0)
+	answer, end := l.service.execute(op, disconnected)
+	l.finishOp(op, key, end, answer)
 	return answer
 }
 
 // finishOp finishes the key of an op that was executed.
-func (l *opLedger) finishOp(o *op, key string, end opEnd, answer []byte) {
+func (l *opLedger) finishOp(op *op, key string, end opEnd, answer []byte) {
 	switch {
 	case end == endAcked:
 		l.finish(key, ledger.StateAcked, answer)
-	case end == endNotStarted, end == endBusy && l.opTypes[o.opType].Effect == logic.NonRetryable:
+	case end == endNotStarted, end == endBusy && l.opTypes[op.opType].Effect == logic.NonRetryable:
 		l.finish(key, ledger.StateFree, nil) // no attempt at it can have been executed
 	default:
 		l.finish(key, ledger.StateUnknown, nil)
@@ -211,28 +212,28 @@
 }
 
 // statementForm is a statement without its comment, which differs between a client's attempts.
-func statementForm(s *pgwire.Statement) []byte {
-	text := s.Text
+func statementForm(statement *pgwire.Statement) []byte {
+	text := statement.Text
 	if i := bytes.LastIndex(text, []byte(" /* ")); i >= 0 {
 		text = text[:i]
 	}
-	return append(append(bytes.Clone(s.OpType), ' '), fmt.Sprintf("%d %s", s.Group, text)...)
+	return append(append(bytes.Clone(statement.OpType), ' '), fmt.Sprintf("%d %s", statement.Group, text)...)
 }
 
 // begin begins a key. With Execute written gets the result of writing its record.
-func (l *opLedger) begin(key string, fingerprint uint64) (v ledger.Verdict, answer []byte, written chan error) {
+func (l *opLedger) begin(key string, fingerprint uint64) (verdict ledger.Verdict, answer []byte, written chan error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	v, answer, record := l.table.Begin(l.service.decider.clock.now(), key, fingerprint)
-	if v != ledger.Execute {
-		return v, answer, nil
+	verdict, answer, record := l.table.Begin(l.service.decider.clock.now(), key, fingerprint)
+	if verdict != ledger.Execute {
+		return verdict, answer, nil
 	}
 	written = make(chan error, 1)
 	if !l.enqueue(queuedRecord{record, written}) {
 		l.table.Finish(l.service.decider.clock.now(), key, ledger.StateFree, nil) // its record is nowhere
 		return ledger.TableFull, nil, nil
 	}
-	return v, nil, written
+	return verdict, nil, written
 }
 
 // finish finishes a key that was begun.
@@ -247,12 +248,12 @@
 }
 
 // enqueue queues a record in order; false where there is no room. The caller holds the lock.
-func (l *opLedger) enqueue(q queuedRecord) bool {
+func (l *opLedger) enqueue(queued queuedRecord) bool {
 	if l.closed {
 		return false
 	}
 	select {
-	case l.queue <- q:
+	case l.queue <- queued:
 		return true
 	default:
 		return false
--- a/internal/driver/member_conn.go
+++ b/internal/driver/member_conn.go
@@ -51,12 +51,12 @@
 
 // unread says whether bytes wait on a connection: above 0 if so, 0 for none, below if it has ended. Another goroutine
 // may be reading there.
-func unread(raw syscall.RawConn) (n int) {
+func unread(raw syscall.RawConn) (count int) {
 	var err error
 	if raw.Control(func(fd uintptr) {
-		n, _, err = syscall.Recvfrom(int(fd), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-	}) != nil || n <= 0 && err != syscall.EAGAIN {
+		count, _, err = syscall.Recvfrom(int(fd), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+	}) != nil || count <= 0 && err != syscall.EAGAIN {
 		return -1
 	}
-	return max(n, 0)
+	return max(count, 0)
 }
--- a/internal/driver/membership.go
+++ b/internal/driver/membership.go
@@ -27,13 +27,13 @@
 
 // updateMembership takes a list or changes from a source, and says what the roster, which chooses between sources,
 // makes of them.
-func (s *Service) updateMembership(u roster.Update) roster.Verdict {
+func (s *Service) updateMembership(update roster.Update) roster.Verdict {
 	s.rosterMu.Lock()
 	defer s.rosterMu.Unlock()
-	out := s.roster.Apply(s.decider.clock.now(), u)
+	out := s.roster.Apply(s.decider.clock.now(), update)
 	s.publish(out, logic.ListChanges)
 	if out.Verdict != roster.VerdictGap && out.Verdict != roster.VerdictUnconfirmed {
-		s.fleet.membershipUpdated(u.Source, u.Revision, out.Changes)
+		s.fleet.membershipUpdated(update.Source, update.Revision, out.Changes)
 	}
 	return out.Verdict
 }
--- a/internal/driver/op.go
+++ b/internal/driver/op.go
@@ -37,12 +37,12 @@
 	decidedAt time.Time
 }
 
-func newOp(opType int, s pgwire.Statement) *op {
-	return &op{opType: opType, statement: s, ready: make(chan struct{}, 1)}
+func newOp(opType int, statement pgwire.Statement) *op {
+	return &op{opType: opType, statement: statement, ready: make(chan struct{}, 1)}
 }
 
-func (o *op) push(a logic.Action) {
-	o.pending = append(o.pending, decidedAction{a, time.Now()})
+func (o *op) push(action logic.Action) {
+	o.pending = append(o.pending, decidedAction{action, time.Now()})
 	o.signal()
 }
 
@@ -66,18 +66,18 @@
 
 // perform carries an op through and returns its complete answer, or nil if the client left; disconnected is closed
 // when it does. A write that must not run twice and has an idempotency key goes by the ledger, where there is one.
-func (s *Service) perform(o *op, disconnected <-chan struct{}) []byte {
-	if s.ledger != nil && o.statement.Write && o.statement.IdempotencyKey != nil && s.ledger.covers(o) {
-		return s.ledger.perform(o, disconnected)
+func (s *Service) perform(op *op, disconnected <-chan struct{}) []byte {
+	if s.ledger != nil && op.statement.Write && op.statement.IdempotencyKey != nil && s.ledger.covers(op) {
+		return s.ledger.perform(op, disconnected)
 	}
-	answer, _ := s.execute(o, disconnected)
+	answer, _ := s.execute(op, disconnected)
 	return answer
 }
 
 // execute submits an op to the module, carries out what it decides until the op is finished, and says how it ended. It
 // decides nothing itself: no retry, no choice and no timeout.
-func (s *Service) execute(o *op, disconnected <-chan struct{}) ([]byte, opEnd) {
-	if !s.decider.submit(o) {
+func (s *Service) execute(op *op, disconnected <-chan struct{}) ([]byte, opEnd) {
+	if !s.decider.submit(op) {
 		return duplicateID, endNotStarted
 	}
 	s.counters.Ops.Add(1)
@@ -85,17 +85,17 @@
 	for {
 		clientDisconnected := false
 		select {
-		case <-o.ready:
+		case <-op.ready:
 		case <-disconnected:
-			s.decider.clientDisconnected(o)
+			s.decider.clientDisconnected(op)
 			clientDisconnected = true
 		}
-		actions, rows := s.decider.takeActions(o)
+		actions, rows := s.decider.takeActions(op)
 		var answer []byte
 		var end opEnd
 		for _, a := range actions {
 			if a.Kind == logic.ActSend {
-				attempts = append(attempts, s.startAttempt(o, a, len(attempts)))
+				attempts = append(attempts, s.startAttempt(op, a, len(attempts)))
 			} else if reply, replyEnd := s.applyAction(a, attempts); reply != nil {
 				answer, end = reply, replyEnd
 			}
@@ -122,17 +122,17 @@
 }
 
 // carryOut carries out an action on an op other than a new attempt. There is an answer where the module decided on one.
-func (s *Service) applyAction(a decidedAction, attempts []*attempt) (answer []byte, end opEnd) {
-	switch a.Kind {
+func (s *Service) applyAction(action decidedAction, attempts []*attempt) (answer []byte, end opEnd) {
+	switch action.Kind {
 	case logic.ActCancel:
-		if x := attempts[a.Send]; a.Wait > 0 {
-			time.AfterFunc(duration(a.Wait), x.cancel)
+		if x := attempts[action.Send]; action.Wait > 0 {
+			time.AfterFunc(duration(action.Wait), x.cancel)
 		} else {
 			x.cancel()
 		}
 	case logic.ActRefuse:
 		s.counters.BusyReplied.Add(1)
-		return busyAnswer(a.Wait), endBusy
+		return busyAnswer(action.Wait), endBusy
 	case logic.ActFail:
 		s.counters.Errored.Add(1)
 		return opFailed, endFailed
@@ -141,13 +141,13 @@
 }
 
 // startAttempt starts the op's attempt with that index; its result goes to the decider.
-func (s *Service) startAttempt(o *op, a decidedAction, index int) *attempt {
-	x := s.pool.newAttempt(a.Member, &o.statement, duration(a.Wait))
-	if s.decider.staleDataMatters(o) {
-		x.staleAt = a.decidedAt.Add(staleAfter)
+func (s *Service) startAttempt(op *op, action decidedAction, index int) *attempt {
+	x := s.pool.newAttempt(action.Member, &op.statement, duration(action.Wait))
+	if s.decider.staleDataMatters(op) {
+		x.staleAt = action.decidedAt.Add(staleAfter)
 	}
 	s.inFlight.Go(func() error {
-		s.decider.attemptEnded(o, index, x.run())
+		s.decider.attemptEnded(op, index, x.run())
 		return nil
 	})
 	return x
--- a/internal/driver/peer.go
+++ b/internal/driver/peer.go
@@ -20,13 +20,13 @@
 
 // run exchanges with the peer at the start and every second, and notifies it at once of what is new here. One that
 // can't be reached learns of it by the next call, its own or this driver's.
-func (p *peer) run(ctx context.Context, s *switchovers) {
+func (p *peer) run(ctx context.Context, switchovers *switchovers) {
 	known := map[int64]switchover.Notification{} // what the peer knows of each group, by notificationKey
 	for {
-		err := p.exchange(ctx, s, known)
+		err := p.exchange(ctx, switchovers, known)
 		if unreachable := err != nil; unreachable != p.unreachable && ctx.Err() == nil {
 			p.unreachable = unreachable
-			s.service.log.Warn("fellow", "address", p.Address, "away", unreachable, "error", err)
+			switchovers.service.log.Warn("fellow", "address", p.Address, "away", unreachable, "error", err)
 		}
 		select {
 		case <-ctx.Done():
@@ -38,16 +38,16 @@
 }
 
 // exchange gets what the peer knows, and notifies it until nothing is new here.
-func (p *peer) exchange(ctx context.Context, s *switchovers, known map[int64]switchover.Notification) error {
+func (p *peer) exchange(ctx context.Context, switchovers *switchovers, known map[int64]switchover.Notification) error {
 	all, err := p.Client.Status(ctx)
 	for _, c := range all {
-		if err := s.HandlePeer(c.Notification); err != nil {
-			s.service.log.Warn("switch", "fellow", p.Address, "error", err)
+		if err := switchovers.HandlePeer(c.Notification); err != nil {
+			switchovers.service.log.Warn("switch", "fellow", p.Address, "error", err)
 		}
 		known[c.Group] = notificationKey(c.Notification)
 	}
 	for err == nil {
-		err = p.notifyOfNew(ctx, s, known)
+		err = p.notifyOfNew(ctx, switchovers, known)
 		select {
 		case <-p.changed:
 		default:
@@ -58,9 +58,10 @@
 }
 
 // notifyOfNew sends what the peer doesn't know yet.
-func (p *peer) notifyOfNew(ctx context.Context, s *switchovers, known map[int64]switchover.Notification) (err error) {
+func (p *peer) notifyOfNew(ctx context.Context, switchovers *switchovers,
+	known map[int64]switchover.Notification) (err error) {
 	var notifications []switchover.Notification
-	for _, c := range s.Status() {
+	for _, c := range switchovers.Status() {
 		if known[c.Group] != notificationKey(c.Notification) {
 			notifications = append(notifications, c.Notification)
 		}
@@ -75,6 +76,11 @@
 }
 
 // notificationKey is what tells one state of a change from another; a lease's rest, say, does not.
-func notificationKey(n switchover.Notification) switchover.Notification {
-	return switchover.Notification{Group: n.Group, Epoch: n.Epoch, Stage: n.Stage, Renewals: n.Renewals}
+func notificationKey(notification switchover.Notification) switchover.Notification {
+	return switchover.Notification{
+		Group:    notification.Group,
+		Epoch:    notification.Epoch,
+		Stage:    notification.Stage,
+		Renewals: notification.Renewals,
+	}
 }
--- a/internal/driver/pool.go
+++ b/internal/driver/pool.go
@@ -73,19 +73,19 @@
 }
 
 // remove notes that a member has left the list; nil for one that is not known. The caller holds the lock.
-func (p *pool) remove(m *poolMember) {
-	if m != nil && m.removedAt.IsZero() {
-		m.removedAt = time.Now()
-		p.closeIdle(m, "removed")
+func (p *pool) remove(member *poolMember) {
+	if member != nil && member.removedAt.IsZero() {
+		member.removedAt = time.Now()
+		p.closeIdle(member, "removed")
 	}
 }
 
 // closeIdle closes a member's idle connections. The caller holds the lock.
-func (p *pool) closeIdle(m *poolMember, reason string) {
-	for _, c := range m.idle {
+func (p *pool) closeIdle(member *poolMember, reason string) {
+	for _, c := range member.idle {
 		p.closeConn(c, reason)
 	}
-	m.idle = nil
+	member.idle = nil
 }
 
 // reap closes connections that have been idle for too long until the context ends, and then all.
@@ -118,12 +118,12 @@
 }
 
 // closeConn closes a connection, frees its place in the budget and logs it.
-func (p *pool) closeConn(c *memberConn, reason string) {
-	c.Close()
+func (p *pool) closeConn(conn *memberConn, reason string) {
+	conn.Close()
 	p.budget.release(1)
 	p.counters.Open.Add(-1)
-	p.log.Info("member_closed", "member", c.member, "reason", reason, "served", c.served,
-		"age_ms", time.Since(c.openedAt).Milliseconds(), "rested_ms", c.idleFor.Milliseconds())
+	p.log.Info("member_closed", "member", conn.member, "reason", reason, "served", conn.served,
+		"age_ms", time.Since(conn.openedAt).Milliseconds(), "rested_ms", conn.idleFor.Milliseconds())
 }
 
 // takeIdle takes the newest idle connection that isn't broken, preferably one that has settled: members close some
@@ -157,16 +157,16 @@
 }
 
 // putIdle takes back a connection whose last exchange ended cleanly.
-func (p *pool) putIdle(c *memberConn) {
-	c.idleSince = time.Now()
+func (p *pool) putIdle(conn *memberConn) {
+	conn.idleSince = time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	m := p.members[c.member]
-	if c.reader.Buffered() > 0 || m == nil || m.address != c.address {
-		p.closeConn(c, "stale")
+	m := p.members[conn.member]
+	if conn.reader.Buffered() > 0 || m == nil || m.address != conn.address {
+		p.closeConn(conn, "stale")
 		return
 	}
-	m.idle = append(m.idle, c)
+	m.idle = append(m.idle, conn)
 }
 
 // dial connects to a member and waits until it is ready. Where there is no connection the outcome says why.
--- a/internal/driver/presence.go
+++ b/internal/driver/presence.go
@@ -114,11 +114,11 @@
 	return revision, known
 }
 
-func (p *presence) updateDrivers(u roster.Update) (roster.Verdict, float64) {
+func (p *presence) updateDrivers(update roster.Update) (roster.Verdict, float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.connected = true
-	out := p.drivers.Apply(p.service.decider.clock.now(), u)
+	out := p.drivers.Apply(p.service.decider.clock.now(), update)
 	for _, text := range out.Notes {
 		p.service.log.Warn("drivers", "text", text)
 	}
--- a/internal/driver/query.go
+++ b/internal/driver/query.go
@@ -7,14 +7,14 @@
 )
 
 // answer finds the answer to one message: nil for none. Where the connection is to end there is a reason.
-func (c *client) answer(m message) (answer []byte, endReason string) {
-	switch m.kind {
+func (c *client) answer(msg message) (answer []byte, endReason string) {
+	switch msg.kind {
 	case 'Q':
-		if c.skipUntilSync = false; m.overBudget || m.overPipelined {
+		if c.skipUntilSync = false; msg.overBudget || msg.overPipelined {
 			c.service.counters.BusyReplied.Add(1)
 			return busyAnswer(0), ""
 		}
-		return c.query(m.body)
+		return c.query(msg.body)
 	case 'P', 'B', 'D', 'E', 'C': // the extended protocol: one error, then nothing up to Sync
 		if c.skipUntilSync {
 			return nil, ""
--- a/internal/driver/registry_members.go
+++ b/internal/driver/registry_members.go
@@ -13,15 +13,15 @@
 const rosterInterval = 250 * time.Millisecond
 
 // RegistryOptions are an operators' registry block as its client takes it.
-func RegistryOptions(g *operator.Registry) registry.Options {
+func RegistryOptions(block *operator.Registry) registry.Options {
 	return registry.Options{
-		Dialect:         g.Dialect,
-		Endpoints:       g.Endpoints,
-		Prefix:          g.Prefix,
-		Service:         g.Service,
-		CredentialsFile: g.CredentialsFile,
-		CAFile:          g.CAFile,
-		WatchTimeout:    g.WatchTimeout,
+		Dialect:         block.Dialect,
+		Endpoints:       block.Endpoints,
+		Prefix:          block.Prefix,
+		Service:         block.Service,
+		CredentialsFile: block.CredentialsFile,
+		CAFile:          block.CAFile,
+		WatchTimeout:    block.WatchTimeout,
 	}
 }
 
@@ -55,11 +55,11 @@
 
 // applyRegistryUpdate takes members from the registry. It returns the verdict, and after how many milliseconds an
 // unconfirmed list may be confirmed.
-func (s *Service) applyRegistryUpdate(u roster.Update) (roster.Verdict, float64) {
+func (s *Service) applyRegistryUpdate(update roster.Update) (roster.Verdict, float64) {
 	s.counters.Registries.Add(1)
-	verdict := s.updateMembership(u)
+	verdict := s.updateMembership(update)
 	if verdict == roster.VerdictGap || verdict == roster.VerdictUnconfirmed {
-		s.log.Warn("registry_"+verdict.String(), "revision", u.Revision)
+		s.log.Warn("registry_"+verdict.String(), "revision", update.Revision)
 	}
 	return verdict, milliseconds(s.registryConfig.ConfirmAfter)
 }
--- a/internal/driver/reload.go
+++ b/internal/driver/reload.go
@@ -11,7 +11,7 @@
 // Reload takes a configuration that has replaced the one in use, or the error of reading it. Of its values a running
 // driver changes only the address of discovery; an invalid file changes nothing. Of the operators' file it takes the
 // log's level, how often and how much state is saved, and the mesh's seeds and period.
-func (s *Service) Reload(text []byte, err error, o operator.File) {
+func (s *Service) Reload(text []byte, err error, operators operator.File) {
 	var c configuration
 	if err == nil {
 		c, err = parseConfiguration(text)
@@ -22,10 +22,10 @@
 		return
 	}
 	s.counters.Reloads.Add(1)
-	if s.stateSaver != nil && o.State != nil {
-		s.stateSaver.reconfigure(*o.State)
+	if s.stateSaver != nil && operators.State != nil {
+		s.stateSaver.reconfigure(*operators.State)
 	}
-	s.fleet.reconfigure(o.Membership)
+	s.fleet.reconfigure(operators.Membership)
 	s.discoveryMu.Lock()
 	before, kept := s.config.Discovery, s.config.changedValues(c)
 	if s.config.Discovery = c.Discovery; before != c.Discovery {
@@ -33,7 +33,7 @@
 	}
 	s.discoveryMu.Unlock()
 	s.log.Info("reloaded", "discovery", c.Discovery, "before", before, "kept", strings.Join(kept, ","))
-	s.level.Set(o.Log.Level)
+	s.level.Set(operators.Log.Level)
 }
 
 // changedValues names the values that another file changes and that stay as they are until a restart.
--- a/internal/driver/service.go
+++ b/internal/driver/service.go
@@ -72,7 +72,7 @@
 
 // New reads a configuration, opens the sockets and the decision module, and restores the state that an earlier run
 // saved, where the operators have that kept. The driver serves as soon as Run is called.
-func New(text []byte, o operator.File) (*Service, error) {
+func New(text []byte, operators operator.File) (*Service, error) {
 	c, err := parseConfiguration(text)
 	if err != nil {
 		return nil, err
@@ -80,22 +80,22 @@
 	debug.SetMemoryLimit(int64(c.Limits.MemoryMB * memoryLimitShare * (1 << 20)))
 	runtime.GOMAXPROCS(max(1, min(int(c.Limits.Cores+0.5), runtime.NumCPU())))
 
-	s := newService(c, o)
+	s := newService(c, operators)
 	if s.fleet.datagrams, err = newDatagrams(&c.Assignment, c.settings.Index,
-		o.Registry != nil && o.Registry.DriversPrefix != "", &s.counters); err != nil {
+		operators.Registry != nil && operators.Registry.DriversPrefix != "", &s.counters); err != nil {
 		return nil, fmt.Errorf("configuration: peers: %w", err)
 	}
-	c.settings.Opening.MaxMessages = float64(o.Peers.MessagesPerSecond)
-	applyOverrides(c.settings.Opening, o.Fleet)
+	c.settings.Opening.MaxMessages = float64(operators.Peers.MessagesPerSecond)
+	applyOverrides(c.settings.Opening, operators.Fleet)
 	s.decider = newDecider(newClock(time.Now), c.settings, s)
-	s.registryConfig = o.Registry
-	s.roster = roster.New(rosterOptions(o.Registry))
-	if o.State != nil {
-		s.restoreState(*o.State, c.settings, c.membership)
+	s.registryConfig = operators.Registry
+	s.roster = roster.New(rosterOptions(operators.Registry))
+	if operators.State != nil {
+		s.restoreState(*operators.State, c.settings, c.membership)
 	} else {
 		s.initMembership(c.membership)
 	}
-	if err := s.openParts(&c, o); err != nil {
+	if err := s.openParts(&c, operators); err != nil {
 		return nil, err
 	}
 	address, err := net.ResolveTCPAddr("tcp", c.Listen)
@@ -109,33 +109,33 @@
 }
 
 // newService is a driver without its sockets and optional parts.
-func newService(c configuration, o operator.File) *Service {
+func newService(config configuration, operators operator.File) *Service {
 	s := &Service{
-		config:        c,
+		config:        config,
 		listRequested: make(chan struct{}, 1),
 		evictions:     make(chan struct{}, maxEvictions),
 		rejections:    make(chan struct{}, maxRejections),
 		clients:       clientSet{all: map[*client]bool{}},
 		acceptEnded:   make(chan struct{}),
-		discovery:     discovery.Client{Address: c.Discovery, Timeout: discoveryTimeout},
+		discovery:     discovery.Client{Address: config.Discovery, Timeout: discoveryTimeout},
 	}
-	s.level.Set(o.Log.Level)
-	s.log, s.logLines = newLog(o.Log.Format, &s.level, &s.counters.LogLost)
-	sockets := c.Limits.Sockets - reservedSockets
+	s.level.Set(operators.Log.Level)
+	s.log, s.logLines = newLog(operators.Log.Format, &s.level, &s.counters.LogLost)
+	sockets := config.Limits.Sockets - reservedSockets
 	s.clientBudget.available.Store(int64(float64(sockets) * clientSocketShare))
-	s.messageBudget.available.Store(int64(c.Limits.MemoryMB * messageMemoryShare * (1 << 20)))
+	s.messageBudget.available.Store(int64(config.Limits.MemoryMB * messageMemoryShare * (1 << 20)))
 	memberBudget := &budget{}
 	memberBudget.available.Store(int64(sockets) - s.clientBudget.available.Load())
 	s.pool = &pool{
-		connectTimeout:   duration(c.settings.ConnectTimeout),
-		idleTimeout:      duration(c.settings.ConnIdleTimeout * idleTimeoutShare),
+		connectTimeout:   duration(config.settings.ConnectTimeout),
+		idleTimeout:      duration(config.settings.ConnIdleTimeout * idleTimeoutShare),
 		budget:           memberBudget,
 		counters:         &s.counters,
 		log:              s.log,
 		healthCheckQuery: "SELECT 1",
 		members:          map[string]*poolMember{},
 	}
-	if c.settings.Opening.ReportsByProbe {
+	if config.settings.Opening.ReportsByProbe {
 		s.pool.healthCheckQuery = "SHOW usage"
 	}
 	s.fleet = &fleet{service: s}
@@ -144,25 +144,25 @@
 
 // openParts opens what the operators' file switches on. Zones come before the mesh, which delivers to them, and both
 // before the registry, to which the mesh's address is announced.
-func (s *Service) openParts(c *configuration, o operator.File) error {
-	opening := c.settings.Opening
-	if o.Ledger != nil {
-		if err := s.openLedger(*o.Ledger, opening.OpTypes); err != nil {
+func (s *Service) openParts(config *configuration, operators operator.File) error {
+	opening := config.settings.Opening
+	if operators.Ledger != nil {
+		if err := s.openLedger(*operators.Ledger, opening.OpTypes); err != nil {
 			return err
 		}
 	}
-	if o.Control != nil {
-		if err := s.openControl(*o.Control, c.settings.Index); err != nil {
+	if operators.Control != nil {
+		if err := s.openControl(*operators.Control, config.settings.Index); err != nil {
 			return err
 		}
 	}
-	if o.Zones != nil && o.Membership != nil {
-		if err := s.openZones(*o.Zones, *o.Membership, c); err != nil {
+	if operators.Zones != nil && operators.Membership != nil {
+		if err := s.openZones(*operators.Zones, *operators.Membership, config); err != nil {
 			return err
 		}
 	}
-	if o.Membership != nil {
-		if err := s.fleet.openMesh(*o.Membership, c); err != nil {
+	if operators.Membership != nil {
+		if err := s.fleet.openMesh(*operators.Membership, config); err != nil {
 			return err
 		}
 	}
@@ -175,20 +175,20 @@
 	if s.registryConfig.DriversPrefix == "" {
 		return nil
 	}
-	return s.openDriverPresence(c)
+	return s.openDriverPresence(config)
 }
 
 // openDriverPresence announces this driver to others in the registry, under the address at which they reach it.
-func (s *Service) openDriverPresence(c *configuration) error {
-	opening, datagrams := c.settings.Opening, s.fleet.datagrams
-	address, mayMessage := c.PeerListen, opening.MayMessage && datagrams.conn != nil
+func (s *Service) openDriverPresence(config *configuration) error {
+	opening, datagrams := config.settings.Opening, s.fleet.datagrams
+	address, mayMessage := config.PeerListen, opening.MayMessage && datagrams.conn != nil
 	switch {
 	case datagrams.conn != nil:
 		address = datagrams.conn.LocalAddr().String()
 	case s.fleet.mesh != nil:
 		address = s.fleet.mesh.Address()
 	case address == "":
-		address = c.Listen
+		address = config.Listen
 	}
 	if err := s.openPresence(address, opening.Drivers, opening.Seed, mayMessage); err != nil {
 		return err
--- a/internal/driver/state_restore.go
+++ b/internal/driver/state_restore.go
@@ -22,11 +22,11 @@
 
 // restoreState restores what an earlier run saved: the membership that holds is published, and the module recalls the
 // rest.
-func (s *Service) restoreState(o operator.State, settings opening.Settings, known discovery.Response) {
-	k := &stateSaver{service: s, files: durable.OS{}, wake: make(chan struct{}, 1), config: o}
+func (s *Service) restoreState(block operator.State, settings opening.Settings, known discovery.Response) {
+	k := &stateSaver{service: s, files: durable.OS{}, wake: make(chan struct{}, 1), config: block}
 	began := time.Now()
 	opened := k.openStoreInTime()
-	now, config := s.decider.timestamp(), learnedConfig(s.config.Name, settings, o)
+	now, config := s.decider.timestamp(), learnedConfig(s.config.Name, settings, block)
 	given := learned.Membership{Revision: known.Revision}
 	for _, e := range known.Members {
 		given.Entries = append(given.Entries, toLearned(e))
@@ -71,12 +71,12 @@
 }
 
 // learnedConfig gathers what decisions on saved state depend on.
-func learnedConfig(name string, settings opening.Settings, o operator.State) learned.Config {
+func learnedConfig(name string, settings opening.Settings, block operator.State) learned.Config {
 	c := learned.Config{
 		Name:                  name,
 		OpTypes:               make([]learned.OpType, len(settings.OpTypes)),
-		SaveInterval:          milliseconds(o.SaveInterval),
-		MinSwitchover:         cmp.Or(milliseconds(o.MinSwitchTime), settings.DrainGrace),
+		SaveInterval:          milliseconds(block.SaveInterval),
+		MinSwitchover:         cmp.Or(milliseconds(block.MinSwitchTime), settings.DrainGrace),
 		WarmUp:                settings.Opening.ColdFor,
 		StalenessBound:        math.Inf(1),
 		SessionsTrackPosition: settings.Opening.SessionCarried,
--- a/internal/driver/state_saver.go
+++ b/internal/driver/state_saver.go
@@ -78,11 +78,11 @@
 }
 
 // reconfigure takes another interval or limit; the folder stays.
-func (k *stateSaver) reconfigure(o operator.State) {
+func (k *stateSaver) reconfigure(block operator.State) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	o.Folder = k.config.Folder
-	k.config = o
+	block.Folder = k.config.Folder
+	k.config = block
 }
 
 // run saves until the context ends.
--- a/internal/driver/switchover.go
+++ b/internal/driver/switchover.go
@@ -35,34 +35,34 @@
 }
 
 // openControl opens the control sockets that the operators' file names. origin tells this driver's epochs from others'.
-func (s *Service) openControl(o operator.Control, origin int) error {
+func (s *Service) openControl(block operator.Control, origin int) error {
 	switches := &switchovers{service: s, tracker: switchover.New(switchover.Config{
-		DefaultLease:      milliseconds(o.HoldLease),
-		MaxHold:           milliseconds(o.MaxHold),
-		ReleaseTimeout:    milliseconds(o.ReleaseTimeout),
+		DefaultLease:      milliseconds(block.HoldLease),
+		MaxHold:           milliseconds(block.MaxHold),
+		ReleaseTimeout:    milliseconds(block.ReleaseTimeout),
 		RoleQueryInterval: milliseconds(peerPollInterval),
-		Retention:         4 * milliseconds(o.MaxHold),
+		Retention:         4 * milliseconds(block.MaxHold),
 		MaxGroups:         maxSwitchoverGroups,
 		Origin:            uint64(origin),
 	})}
-	if o.TokenFile != "" {
+	if block.TokenFile != "" {
 		var err error
-		if switches.token, err = readToken(o.TokenFile); err != nil {
+		if switches.token, err = readToken(block.TokenFile); err != nil {
 			return fmt.Errorf("control: token: %w", err)
 		}
 	}
-	if c, err := net.Dial("unix", o.Socket); err == nil {
+	if c, err := net.Dial("unix", block.Socket); err == nil {
 		c.Close()
-		return fmt.Errorf("control: another driver serves %s", o.Socket)
+		return fmt.Errorf("control: another driver serves %s", block.Socket)
 	}
-	_ = os.Remove(o.Socket) // of a driver that was killed: nobody answers there
-	for _, at := range []struct{ network, address string }{{"unix", o.Socket}, {"tcp", o.Listen}} {
+	_ = os.Remove(block.Socket) // of a driver that was killed: nobody answers there
+	for _, at := range []struct{ network, address string }{{"unix", block.Socket}, {"tcp", block.Listen}} {
 		if at.address == "" {
 			continue
 		}
 		ln, err := net.Listen(at.network, at.address)
 		if err == nil && at.network == "unix" {
-			err = os.Chmod(o.Socket, 0o600)
+			err = os.Chmod(block.Socket, 0o600)
 		}
 		if err != nil {
 			switches.close()
@@ -70,7 +70,7 @@
 		}
 		switches.listeners = append(switches.listeners, ln)
 	}
-	s.fleet.setPeers(o.Peers, switches.token)
+	s.fleet.setPeers(block.Peers, switches.token)
 	s.switchovers = switches
 	return nil
 }
@@ -112,33 +112,34 @@
 }
 
 // HandleHook takes a hook of the topology manager, and returns it with its epoch. Peers are notified after that.
-func (s *switchovers) HandleHook(n switchover.Notification) (switchover.Notification, error) {
-	if !s.service.decider.servesGroup(n.Group) {
-		return n, fmt.Errorf("group %d is not known here", n.Group)
+func (s *switchovers) HandleHook(notification switchover.Notification) (switchover.Notification, error) {
+	if !s.service.decider.servesGroup(notification.Group) {
+		return notification, fmt.Errorf("group %d is not known here", notification.Group)
 	}
-	primary := s.service.decider.primaries()[n.Group]
-	if err := s.checkPartition(n); err != nil {
-		return n, err
+	primary := s.service.decider.primaries()[notification.Group]
+	if err := s.checkPartition(notification); err != nil {
+		return notification, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	n, out, err := s.tracker.HandleHook(s.service.decider.clock.now(), n, primary)
+	notification, out, err := s.tracker.HandleHook(s.service.decider.clock.now(), notification, primary)
 	if err == nil {
 		s.apply(out)
 	}
-	return n, err
+	return notification, err
 }
 
 // checkPartition says whether a hook may be taken in this driver's partition.
-func (s *switchovers) checkPartition(n switchover.Notification) error {
+func (s *switchovers) checkPartition(notification switchover.Notification) error {
 	if s.service.fleet.mesh == nil {
 		return nil
 	}
 	action := membership.EndWritePause
-	if n.Stage <= switchover.StageHeld {
+	if notification.Stage <= switchover.StageHeld {
 		action = membership.BeginWritePause
 		for _, c := range s.Status() {
-			if c.Group == n.Group && c.Stage == switchover.StageHeld && !c.Finished && (n.Epoch == 0 || n.Epoch == c.Epoch) {
+			sameChange := c.Group == notification.Group && (notification.Epoch == 0 || notification.Epoch == c.Epoch)
+			if sameChange && c.Stage == switchover.StageHeld && !c.Finished {
 				action = membership.RenewWritePause
 			}
 		}
@@ -148,7 +149,7 @@
 	if allowed {
 		return nil
 	}
-	s.service.log.Warn("switch", "reason", reason, "group", n.Group, "standing", status.String(), "why", why)
+	s.service.log.Warn("switch", "reason", reason, "group", notification.Group, "standing", status.String(), "why", why)
 	return fmt.Errorf("%w (it is %s %s)", control.ErrNotInMajority, status, why)
 }
 
@@ -169,16 +170,16 @@
 }
 
 // HandlePeer takes a notification of a peer.
-func (s *switchovers) HandlePeer(n switchover.Notification) error {
-	_, err := s.handleNotification(n)
+func (s *switchovers) HandlePeer(notification switchover.Notification) error {
+	_, err := s.handleNotification(notification)
 	return err
 }
 
 // handleNotification takes a notification of a peer, and says whether it was new.
-func (s *switchovers) handleNotification(n switchover.Notification) (isNew bool, err error) {
+func (s *switchovers) handleNotification(notification switchover.Notification) (isNew bool, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out, err := s.tracker.HandleNotification(s.service.decider.clock.now(), n)
+	out, err := s.tracker.HandleNotification(s.service.decider.clock.now(), notification)
 	s.apply(out)
 	return out.LogText != "", err
 }
--- a/internal/driver/zone_messages.go
+++ b/internal/driver/zone_messages.go
@@ -21,9 +21,9 @@
 )
 
 // send queues a message to a peer. One for which there is no room is dropped: it is sent again where it matters.
-func (z *zoneAgent) send(e zones.Envelope) {
+func (z *zoneAgent) send(envelope zones.Envelope) {
 	select {
-	case z.outgoing <- e:
+	case z.outgoing <- envelope:
 	default:
 	}
 }
@@ -40,21 +40,21 @@
 }
 
 // deliver calls a peer with a message, and gives its answers to the decisions.
-func (z *zoneAgent) deliver(ctx context.Context, e zones.Envelope) {
-	b, err := cbor.Marshal([]zones.Message{e.Message})
+func (z *zoneAgent) deliver(ctx context.Context, envelope zones.Envelope) {
+	b, err := cbor.Marshal([]zones.Message{envelope.Message})
 	if err != nil {
 		return
 	}
 	call, cancel := context.WithTimeout(ctx, zoneCallTimeout)
 	defer cancel()
 	requestedAt := z.service.decider.clock.now()
-	answer, err := z.service.fleet.mesh.Request(call, e.To, b)
+	answer, err := z.service.fleet.mesh.Request(call, envelope.To, b)
 	if err == nil {
-		for _, m := range z.receiveMessages(e.To, answer, requestedAt) {
-			z.send(zones.Envelope{To: e.To, Message: m})
+		for _, m := range z.receiveMessages(envelope.To, answer, requestedAt) {
+			z.send(zones.Envelope{To: envelope.To, Message: m})
 		}
 	} else if !errors.Is(err, membership.ErrUnknownDriver) {
-		z.service.log.Debug("zones", "reason", "word_not_sent", "to", e.To, "step", e.Message.Kind, "took",
+		z.service.log.Debug("zones", "reason", "word_not_sent", "to", envelope.To, "step", envelope.Message.Kind, "took",
 			z.service.decider.clock.now()-requestedAt, "error", err)
 	}
 }
--- a/internal/driver/zone_observations.go
+++ b/internal/driver/zone_observations.go
@@ -122,11 +122,11 @@
 }
 
 // countSend counts an attempt at an op in a zone. The decider calls it under its lock.
-func (z *zoneAgent) countSend(o *op, zone string, retry, hasLocal bool) {
+func (z *zoneAgent) countSend(op *op, zone string, retry, hasLocal bool) {
 	z.trafficMu.Lock()
 	defer z.trafficMu.Unlock()
-	z.traffic.Record(z.zone, zone, z.opTypes[o.opType], len(o.statement.Text),
-		zones.SendAttributes{Retry: retry, Primary: o.statement.Write, NoLocalMember: !hasLocal}, z.planned[zone])
+	z.traffic.Record(z.zone, zone, z.opTypes[op.opType], len(op.statement.Text),
+		zones.SendAttributes{Retry: retry, Primary: op.statement.Write, NoLocalMember: !hasLocal}, z.planned[zone])
 }
 
 // recordAnswer takes how many milliseconds a good answer took, and the position that came with it, 0 for none. The
--- a/internal/driver/zones.go
+++ b/internal/driver/zones.go
@@ -62,34 +62,34 @@
 type reportedPosition struct{ position, reportedAt float64 }
 
 // openZones makes a driver's part in decisions on zones.
-func (s *Service) openZones(o operator.Zones, m operator.Membership, c *configuration) error {
+func (s *Service) openZones(block operator.Zones, membership operator.Membership, config *configuration) error {
 	z := &zoneAgent{
 		service:      s,
-		zone:         zoneOf(m, c),
-		heartbeat:    o.HeartbeatInterval,
+		zone:         zoneOf(membership, config),
+		heartbeat:    block.HeartbeatInterval,
 		outgoing:     make(chan zones.Envelope, outgoingZoneMessages),
-		opTypes:      make([]string, len(c.settings.Opening.OpTypes)),
-		webhook:      o.Webhook,
+		opTypes:      make([]string, len(config.settings.Opening.OpTypes)),
+		webhook:      block.Webhook,
 		webhookCalls: map[int64]time.Time{},
 		latencies:    map[string]*zones.LatencyBaseline{},
 		positions:    map[string]reportedPosition{},
 		readRatesAt:  s.decider.clock.now(),
 	}
-	for _, t := range c.settings.Opening.OpTypes {
+	for _, t := range config.settings.Opening.OpTypes {
 		if t.Need == logic.Bounded && (z.stalenessBound == 0 || t.MaxAge < z.stalenessBound) {
 			z.stalenessBound = t.MaxAge
 		}
 	}
-	for name, i := range c.settings.OpTypes {
+	for name, i := range config.settings.OpTypes {
 		z.opTypes[i] = name
 	}
-	options := zoneOptions(o)
-	if m.Folder != "" {
-		if err := z.openStore(filepath.Join(m.Folder, "plans"), &options); err != nil {
+	options := zoneOptions(block)
+	if membership.Folder != "" {
+		if err := z.openStore(filepath.Join(membership.Folder, "plans"), &options); err != nil {
 			return fmt.Errorf("zones: %w", err)
 		}
 	}
-	self := zones.Peer{Name: c.Name, Zone: z.zone}
+	self := zones.Peer{Name: config.Name, Zone: z.zone}
 	z.zones = zones.New(s.decider.clock.now(), options, self, uint64(s.decider.clock.unixMs))
 	s.zones = z
 	s.decider.countByZone(z)
@@ -97,14 +97,14 @@
 }
 
 // zoneOptions derives the options of decisions on zones from the operators'.
-func zoneOptions(o operator.Zones) zones.Options {
-	heartbeat, ejectAfter := milliseconds(o.HeartbeatInterval), milliseconds(o.EjectAfter)
-	minEjection := milliseconds(o.MinEjectionTime)
+func zoneOptions(block operator.Zones) zones.Options {
+	heartbeat, ejectAfter := milliseconds(block.HeartbeatInterval), milliseconds(block.EjectAfter)
+	minEjection := milliseconds(block.MinEjectionTime)
 	options := zones.Options{
 		Heartbeat:           heartbeat,
-		Lease:               milliseconds(o.PlanLease),
-		Voters:              o.Voters,
-		BaselineUtilization: float64(o.TargetLoad) / 100,
+		Lease:               milliseconds(block.PlanLease),
+		Voters:              block.Voters,
+		BaselineUtilization: float64(block.TargetLoad) / 100,
 		MaxShiftRate:        maxShiftRate,
 		Timing: zones.Timing{
 			SuspectFor:   ejectAfter,
@@ -115,11 +115,11 @@
 			ForgiveAfter: forgiveTimes * minEjection,
 		},
 		Limits: zones.Limits{
-			Headroom:        float64(o.Headroom) / 100,
-			CrossZoneBudget: float64(o.CrossZoneBudget) / 100,
+			Headroom:        float64(block.Headroom) / 100,
+			CrossZoneBudget: float64(block.CrossZoneBudget) / 100,
 		},
 	}
-	for _, r := range o.Regions {
+	for _, r := range block.Regions {
 		options.Regions = append(options.Regions, zones.Region{Name: r.Name, Zones: r.Zones})
 	}
 	return options
@@ -218,10 +218,10 @@
 }
 
 // Submit takes an operator's command.
-func (z *zoneAgent) Submit(c zones.Command) (err error) {
-	c.ID = uint64(z.service.decider.clock.now() * 1000)
+func (z *zoneAgent) Submit(command zones.Command) (err error) {
+	command.ID = uint64(z.service.decider.clock.now() * 1000)
 	z.apply(func(now float64) (out zones.Output) {
-		out, err = z.zones.Submit(now, c)
+		out, err = z.zones.Submit(now, command)
 		return out
 	})
 	return err
--- a/internal/learned/record.go
+++ b/internal/learned/record.go
@@ -197,8 +197,8 @@
 }
 
 // drainsFirst is an entry's rank in a split record.
-func drainsFirst(e Entry) int {
-	if e.Phase == PhaseUp {
+func drainsFirst(entry Entry) int {
+	if entry.Phase == PhaseUp {
 		return 1
 	}
 	return 0
--- a/internal/learned/restore.go
+++ b/internal/learned/restore.go
@@ -38,24 +38,24 @@
 
 // Restore decides what holds of a saved state at a start. The state is nil where none was saved; given is the
 // membership that the start was configured with.
-func Restore(s *State, config Config, now Timestamp, given Membership) Restored {
+func Restore(saved *State, config Config, now Timestamp, given Membership) Restored {
 	r := Restored{Verdict: VerdictNone, Membership: given}
 	r.Memory.Ceiling = now.Wall + maxPositionLead // whoever ran before may have acknowledged writes up to now
-	if s == nil {
+	if saved == nil {
 		return r
 	}
-	if s.Meta.Name != config.Name {
+	if saved.Meta.Name != config.Name {
 		r.Verdict = VerdictOtherDriver
-		r.discard("all of it is of driver %q", s.Meta.Name)
+		r.discard("all of it is of driver %q", saved.Meta.Name)
 		return r
 	}
-	if lead := s.Meta.MaxPosition - now.Wall; lead < maxReservedLead {
-		r.Memory.Ceiling = max(r.Memory.Ceiling, s.Meta.MaxPosition)
+	if lead := saved.Meta.MaxPosition - now.Wall; lead < maxReservedLead {
+		r.Memory.Ceiling = max(r.Memory.Ceiling, saved.Meta.MaxPosition)
 	} else {
 		r.discard("the ceiling lies %.0f s ahead: that clock was wrong", lead/1000)
 	}
-	r.restoreMembership(s, given)
-	since := elapsedSince(s.Meta.SavedAt, now)
+	r.restoreMembership(saved, given)
+	since := elapsedSince(saved.Meta.SavedAt, now)
 	r.Age = since.ms
 	switch {
 	case since.future:
@@ -68,8 +68,8 @@
 		r.Verdict = VerdictUncertain
 		r.discard("trust in primaries: their age is by a clock that may have been stepped")
 	}
-	r.restoreEvidence(s, config, now, since)
-	r.restoreOpTypes(s, config, since)
+	r.restoreEvidence(saved, config, now, since)
+	r.restoreOpTypes(saved, config, since)
 	return r
 }
 
@@ -81,17 +81,17 @@
 // with the higher revision, as a start is given what the driver knew at some earlier time. Where revisions have gone
 // back, one up to the highest of the epochs before may be of any of them: then the saved one holds, and the first
 // complete list of discovery corrects it.
-func (r *Restored) restoreMembership(s *State, given Membership) {
-	newer := given.Revision > s.Meta.Revision && (s.Meta.Epoch == 0 || given.Revision > s.Meta.PriorRevision)
-	if len(s.Membership) == 0 || newer {
-		if len(s.Membership) > 0 {
-			r.discard("the kept list: %d is newer than %d", given.Revision, s.Meta.Revision)
+func (r *Restored) restoreMembership(saved *State, given Membership) {
+	newer := given.Revision > saved.Meta.Revision && (saved.Meta.Epoch == 0 || given.Revision > saved.Meta.PriorRevision)
+	if len(saved.Membership) == 0 || newer {
+		if len(saved.Membership) > 0 {
+			r.discard("the kept list: %d is newer than %d", given.Revision, saved.Meta.Revision)
 		}
 		return
 	}
 	r.FromSaved = true
-	r.Membership = Membership{Revision: s.Meta.Revision}
-	for _, e := range s.Membership {
+	r.Membership = Membership{Revision: saved.Meta.Revision}
+	for _, e := range saved.Membership {
 		r.Membership.Entries = append(r.Membership.Entries, e)
 	}
 	slices.SortFunc(r.Membership.Entries, func(x, y Entry) int { return cmp.Compare(x.ID, y.ID) })
@@ -99,29 +99,29 @@
 
 // restoreEvidence gives the decision module what was seen of members and groups, dated by this run's clock. A member
 // that has moved to another address or group is another one.
-func (r *Restored) restoreEvidence(s *State, config Config, now Timestamp, since elapsed) {
+func (r *Restored) restoreEvidence(saved *State, config Config, now Timestamp, since elapsed) {
 	listed := make(map[string]Entry, len(r.Membership.Entries))
 	for _, e := range r.Membership.Entries {
 		listed[e.ID] = e
 	}
 	moved := map[string]bool{}
 	for _, e := range r.Membership.Entries {
-		m, ok := s.Members[e.ID]
+		m, ok := saved.Members[e.ID]
 		if !ok {
 			continue
 		}
-		before, wasListed := s.Membership[e.ID]
+		before, wasListed := saved.Membership[e.ID]
 		if wasListed && before.Address != e.Address || m.Group != e.Group {
 			moved[e.ID] = true
 			r.discard("member %s: it has moved", e.ID)
 			continue
 		}
-		r.Memory.Members = append(r.Memory.Members, restoreMember(e, m, s.Meta.SavedAt, config, now, since))
+		r.Memory.Members = append(r.Memory.Members, restoreMember(e, m, saved.Meta.SavedAt, config, now, since))
 	}
-	for id, g := range s.Groups {
+	for id, g := range saved.Groups {
 		k := logic.GroupMemory{Group: id, Rate: g.WorkRate * config.hintWeight(since.ms)}
 		if e, ok := listed[g.Primary]; ok && !moved[g.Primary] && e.Group == id && g.SeenAt > 0 {
-			k.Slot, k.Held, k.Seen = g.Primary, g.InSlot, redate(g.SeenAt, s.Meta.SavedAt, now, since)
+			k.Slot, k.Held, k.Seen = g.Primary, g.InSlot, redate(g.SeenAt, saved.Meta.SavedAt, now, since)
 		}
 		r.Memory.Groups = append(r.Memory.Groups, k)
 	}
@@ -130,29 +130,29 @@
 
 // restoreMember is what still holds of a member's evidence that was saved at the given time. A restart of the member
 // ends most of it.
-func restoreMember(e Entry, m Member, savedAt Timestamp, config Config, now Timestamp,
+func restoreMember(entry Entry, saved Member, savedAt Timestamp, config Config, now Timestamp,
 	since elapsed) logic.MemberMemory {
-	k := logic.MemberMemory{Member: e.ID, Group: e.Group, Position: -1}
-	restarted := e.StartedAt > m.StartedAt
-	if m.Position > 0 && since.certain && !since.stepped && !restarted {
+	k := logic.MemberMemory{Member: entry.ID, Group: entry.Group, Position: -1}
+	restarted := entry.StartedAt > saved.StartedAt
+	if saved.Position > 0 && since.certain && !since.stepped && !restarted {
 		// No member is rebuilt under its old name within the trust window.
-		if age := since.ms + savedAt.Wall - m.Position; age < config.trustWindow() {
-			k.Position = m.Position
+		if age := since.ms + savedAt.Wall - saved.Position; age < config.trustWindow() {
+			k.Position = saved.Position
 		}
 	}
-	if m.StartedAt > 0 && !restarted {
-		if startedAt := redate(m.StartedAt, savedAt, now, since); now.Wall-startedAt < config.WarmUp {
-			k.Started = m.StartedAt
-			if since.stepped && e.StartedAt != m.StartedAt { // it was dated by the clock before the step
+	if saved.StartedAt > 0 && !restarted {
+		if startedAt := redate(saved.StartedAt, savedAt, now, since); now.Wall-startedAt < config.WarmUp {
+			k.Started = saved.StartedAt
+			if since.stepped && entry.StartedAt != saved.StartedAt { // it was dated by the clock before the step
 				k.Started = startedAt
 			}
 		}
 	}
-	ejectedAt := redate(m.EjectedAt, savedAt, now, since)
-	if m.EjectedAt > 0 && !restarted && now.Wall-ejectedAt < config.halfLife() {
-		k.Aside, k.Cut = ejectedAt, m.Disconnected
+	ejectedAt := redate(saved.EjectedAt, savedAt, now, since)
+	if saved.EjectedAt > 0 && !restarted && now.Wall-ejectedAt < config.halfLife() {
+		k.Aside, k.Cut = ejectedAt, saved.Disconnected
 	}
-	if window := m.Window * config.hintWeight(since.ms); window >= minWindow {
+	if window := saved.Window * config.hintWeight(since.ms); window >= minWindow {
 		k.Window = window
 	}
 	return k
@@ -160,11 +160,11 @@
 
 // restoreOpTypes gives the usual times of op types, drawn towards a third of the latency target as they age, which is
 // what a start without them assumes. A type whose target has changed is another one.
-func (r *Restored) restoreOpTypes(s *State, config Config, since elapsed) {
+func (r *Restored) restoreOpTypes(state *State, config Config, since elapsed) {
 	weight := config.hintWeight(since.ms)
 	for _, opType := range config.OpTypes {
 		k := logic.TypeMemory{}
-		saved, ok := s.OpTypes[opType.Name]
+		saved, ok := state.OpTypes[opType.Name]
 		if ok && saved.LatencyTarget == opType.LatencyTarget && weight > 0 && saved.Typical > 0 {
 			assumed := opType.LatencyTarget / 3
 			k.Took = assumed + (saved.Typical-assumed)*weight
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -46,7 +46,7 @@
 }
 
 // New makes an empty table.
-func New(l Limits) *Table { return &Table{limits: l, entries: map[string]*entry{}} }
+func New(limits Limits) *Table { return &Table{limits: limits, entries: map[string]*entry{}} }
 
 // Fingerprint tells one statement from another.
 func Fingerprint(statement []byte) uint64 {
@@ -57,11 +57,11 @@
 
 // Begin says what is to be done with an op at a time in milliseconds. With Execute its key is begun, and the record
 // has to be safe before anything is sent.
-func (t *Table) Begin(now float64, key string, fingerprint uint64) (v Verdict, answer, begun []byte) {
+func (t *Table) Begin(now float64, key string, fingerprint uint64) (verdict Verdict, answer, begun []byte) {
 	t.Expire(now)
 	if e := t.entries[key]; e != nil {
-		v, answer = e.verdict(fingerprint)
-		return v, answer, nil
+		verdict, answer = e.verdict(fingerprint)
+		return verdict, answer, nil
 	}
 	e := entry{State: StateOpen, Fingerprint: fingerprint, ChangedAt: now}
 	if len(t.entries) >= t.limits.Keys || t.bytes+entrySize(key, &e)+t.limits.AnswerBytes > t.limits.TotalBytes {
@@ -72,7 +72,7 @@
 }
 
 // verdict is what a known key means for another op.
-func (e *entry) verdict(fingerprint uint64) (v Verdict, answer []byte) {
+func (e *entry) verdict(fingerprint uint64) (verdict Verdict, answer []byte) {
 	switch {
 	case e.Fingerprint != fingerprint:
 		return Conflict, nil
--- a/internal/ledger/record.go
+++ b/internal/ledger/record.go
@@ -45,8 +45,8 @@
 
 // Load makes a table of a snapshot, nil for none, and the records behind it. What was open when they were written is
 // unknown now. Its error is ErrForm.
-func Load(l Limits, now float64, saved []byte, records [][]byte) (*Table, error) {
-	t := New(l)
+func Load(limits Limits, now float64, saved []byte, records [][]byte) (*Table, error) {
+	t := New(limits)
 	if saved != nil {
 		var s snapshot
 		if err := decoder.Unmarshal(saved, &s); err != nil || s.Version != version {
