--- a/internal/standin/links/links_test.go
+++ b/internal/standin/links/network_test.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-const patience = 20 * time.Second
+const timeout = 20 * time.Second
 
-// end is a process's own sockets.
-type end struct {
-	udp *net.UDPConn
-	got chan string
+// endpoint is a process's own sockets.
+type endpoint struct {
+	udp      *net.UDPConn
+	received chan string
 }
 
-func ends(t *testing.T, l *Network, n int) (all []*end) {
+func endpoints(t *testing.T, l *Network, n int) (all []*endpoint) {
 	t.Helper()
 	for i := range n {
 		at, err := net.ResolveUDPAddr("udp", l.ListenAddr(i))
@@ -27,7 +27,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { c.Close() })
-		e := &end{c, make(chan string, 1000)}
+		e := &endpoint{c, make(chan string, 1000)}
 		go func() {
 			b := make([]byte, 100)
 			for {
@@ -35,7 +35,7 @@
 				if err != nil {
 					return
 				}
-				e.got <- string(b[:n])
+				e.received <- string(b[:n])
 			}
 		}()
 		all = append(all, e)
@@ -43,74 +43,74 @@
 	return all
 }
 
-func (e *end) say(t *testing.T, to, what string) {
+func (e *endpoint) send(t *testing.T, to, text string) {
 	t.Helper()
 	at, err := net.ResolveUDPAddr("udp", to)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := e.udp.WriteToUDP([]byte(what), at); err != nil {
+	if _, err := e.udp.WriteToUDP([]byte(text), at); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func (e *end) next(t *testing.T) string {
+func (e *endpoint) next(t *testing.T) string {
 	t.Helper()
 	select {
-	case s := <-e.got:
+	case s := <-e.received:
 		return s
-	case <-time.After(patience):
+	case <-time.After(timeout):
 		t.Fatal("nothing came")
 		return ""
 	}
 }
 
-// Each direction of each pair goes its own way: what is cut does not pass, the other direction and others do.
-func TestWaysOfDatagrams(t *testing.T) {
+// Each direction of each pair is a link of its own: datagrams pass all but the blocked one.
+func TestDatagramsOverLinks(t *testing.T) {
 	l, err := New(3, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	e := ends(t, l, 3)
+	e := endpoints(t, l, 3)
 	passed := func() { // what came to the relay before has been carried
 		t.Helper()
-		e[2].say(t, l.AdvertisedAddr(1), "mark")
+		e[2].send(t, l.AdvertisedAddr(1), "mark")
 		if s := e[1].next(t); s != "mark" {
 			t.Error(s)
 		}
 	}
 	l.Set(0, 1, Link{Blocked: true})
-	e[0].say(t, l.AdvertisedAddr(1), "cut")
+	e[0].send(t, l.AdvertisedAddr(1), "cut")
 	passed()
-	e[1].say(t, l.AdvertisedAddr(0), "back")
+	e[1].send(t, l.AdvertisedAddr(0), "back")
 	if s := e[0].next(t); s != "back" {
 		t.Error(s)
 	}
-	e[0].say(t, l.AdvertisedAddr(2), "to another")
+	e[0].send(t, l.AdvertisedAddr(2), "to another")
 	if s := e[2].next(t); s != "to another" {
 		t.Error(s)
 	}
 	l.Set(0, 1, Link{Duplicate: 1})
-	e[0].say(t, l.AdvertisedAddr(1), "twice")
+	e[0].send(t, l.AdvertisedAddr(1), "twice")
 	if a, b := e[1].next(t), e[1].next(t); a != "twice" || b != "twice" {
 		t.Error(a, b)
 	}
 	l.Set(0, 1, Link{Loss: 1})
-	e[0].say(t, l.AdvertisedAddr(1), "lost")
+	e[0].send(t, l.AdvertisedAddr(1), "lost")
 	passed()
 	l.Set(0, 1, Link{Delay: time.Second})
-	e[0].say(t, l.AdvertisedAddr(1), "late")
+	e[0].send(t, l.AdvertisedAddr(1), "late")
 	passed()
 	l.Set(0, 1, Link{})
-	e[0].say(t, l.AdvertisedAddr(1), "sooner")
+	e[0].send(t, l.AdvertisedAddr(1), "sooner")
 	if a, b := e[1].next(t), e[1].next(t); a != "sooner" || b != "late" {
 		t.Error(a, b)
 	}
 }
 
-// A connection goes through; where its way is cut bytes wait, and come with the heal.
-func TestWaysOfConnections(t *testing.T) {
+// A connection passes; while one of its links is blocked bytes wait, and they come with the heal.
+func TestConnectionsOverLinks(t *testing.T) {
 	l, err := New(2, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -150,7 +150,7 @@
 	defer c.Close()
 	back := func() {
 		t.Helper()
-		c.SetReadDeadline(time.Now().Add(patience))
+		c.SetReadDeadline(time.Now().Add(timeout))
 		if _, err := io.ReadFull(c, make([]byte, 5)); err != nil {
 			t.Fatal(err)
 		}
@@ -167,7 +167,7 @@
 	}
 	c.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
 	if n, err := c.Read(make([]byte, 5)); err == nil {
-		t.Errorf("%d bytes passed a cut", n)
+		t.Errorf("%d bytes passed a blocked link", n)
 	}
 	l.Heal()
 	back()
--- a/internal/standin/links/resets.go
+++ b/internal/standin/links/resets.go
@@ -7,68 +7,74 @@
 	"sync"
 )
 
-// Resets is a relay to one address, for whoever dials it. Each of its connections is reset, both ways at once, when
-// one of its directions has carried a drawn number of bytes: within a message, between two, or before the first.
+// ResettingRelay is a TCP relay to one address, for whoever dials it. It resets each of its connections, both ways at
+// once, when one of its directions has carried a random number of bytes: within a message, between two, or before the
+// first.
 type ResettingRelay struct {
-	ln     net.Listener
-	target string
+	listener net.Listener
+	target   string
 
-	mu   sync.Mutex // guards what follows
-	draw *rand.Rand
-	most int // bytes that a direction carries at most; 0: all
-	done int // connections that were reset
-	open map[net.Conn]bool
+	mu        sync.Mutex // guards what follows
+	random    *rand.Rand
+	byteLimit int // bytes that a direction carries at most; 0: no limit
+	resets    int // connections that were reset at their limit
+	open      map[net.Conn]bool
 }
 
-// NewResets listens at an address for what goes to target, and resets nothing until Most says so.
+// NewResettingRelay listens at an address and forwards to target; it resets nothing until SetByteLimit.
 func NewResettingRelay(listen, target string, seed uint64) (*ResettingRelay, error) {
-	ln, err := net.Listen("tcp4", listen)
+	listener, err := net.Listen("tcp4", listen)
 	if err != nil {
 		return nil, err
 	}
-	r := &ResettingRelay{ln: ln, target: target, draw: rand.New(rand.NewPCG(seed, 5)), open: map[net.Conn]bool{}}
+	r := &ResettingRelay{
+		listener: listener,
+		target:   target,
+		random:   rand.New(rand.NewPCG(seed, 5)),
+		open:     map[net.Conn]bool{},
+	}
 	go r.serve()
 	return r, nil
 }
 
-// Addr is where it is reached.
-func (r *ResettingRelay) Addr() string { return r.ln.Addr().String() }
+// Addr is where the relay listens.
+func (r *ResettingRelay) Addr() string { return r.listener.Addr().String() }
 
-// Most sets how many bytes a direction of connections to come carries at most; 0: they are not reset. Open ones are
-// reset now.
+// SetByteLimit sets how many bytes each direction of a new connection carries at most; 0: no limit. Open connections
+// are reset now.
 func (r *ResettingRelay) SetByteLimit(bytes int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.most = bytes
+	r.byteLimit = bytes
 	for c := range r.open {
 		reset(c)
 	}
 }
 
-// Done is how many connections were reset for their bytes.
+// Resets is how many connections were reset at their limit.
 func (r *ResettingRelay) Resets() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.done
+	return r.resets
 }
 
 // Close ends the relay and its connections.
 func (r *ResettingRelay) Close() {
-	r.ln.Close()
+	r.listener.Close()
 	r.SetByteLimit(0)
 }
 
 func (r *ResettingRelay) serve() {
 	for {
-		c, err := r.ln.Accept()
+		c, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
-		go r.carry(c)
+		go r.forward(c)
 	}
 }
 
-func (r *ResettingRelay) carry(near net.Conn) {
+func (r *ResettingRelay) forward(near net.Conn) {
 	far, err := net.Dial("tcp4", r.target)
 	if err != nil {
 		reset(near)
@@ -76,27 +82,27 @@
 	}
 	r.mu.Lock()
 	r.open[near], r.open[far] = true, true
-	out, back := r.budget(), r.budget()
+	requests, responses := r.drawBudget(), r.drawBudget()
 	r.mu.Unlock()
-	var both sync.WaitGroup
-	both.Go(func() { r.copy(far, near, out) })
-	both.Go(func() { r.copy(near, far, back) })
-	both.Wait()
+	var directions sync.WaitGroup
+	directions.Go(func() { r.copyBytes(far, near, requests) })
+	directions.Go(func() { r.copyBytes(near, far, responses) })
+	directions.Wait()
 	r.mu.Lock()
 	delete(r.open, near)
 	delete(r.open, far)
 	r.mu.Unlock()
 }
 
-// budget draws how many bytes pass before a reset, below 0 for all. The lock is held.
-func (r *ResettingRelay) budget() int64 {
-	if r.most == 0 {
+// drawBudget draws how many bytes pass before a reset, -1 for all. The lock is held.
+func (r *ResettingRelay) drawBudget() int64 {
+	if r.byteLimit == 0 {
 		return -1
 	}
-	return int64(r.draw.IntN(r.most))
+	return int64(r.random.IntN(r.byteLimit))
 }
 
-func (r *ResettingRelay) copy(to, from net.Conn, budget int64) {
+func (r *ResettingRelay) copyBytes(to, from net.Conn, budget int64) {
 	defer reset(to)
 	defer reset(from)
 	if budget < 0 {
@@ -105,14 +111,15 @@
 	}
 	if n, _ := io.CopyN(to, from, budget); n == budget {
 		r.mu.Lock()
-		r.done++
+		r.resets++
 		r.mu.Unlock()
 	}
 }
 
+// reset closes a connection so that its peer sees a reset.
 func reset(c net.Conn) {
-	if t, ok := c.(*net.TCPConn); ok {
-		t.SetLinger(0)
+	if tcp, ok := c.(*net.TCPConn); ok {
+		tcp.SetLinger(0)
 	}
 	c.Close()
 }
--- a/internal/standin/virtualclock/virtualclock.go
+++ b/internal/standin/virtualclock/virtualclock.go
@@ -1,55 +1,71 @@
-// Package virtualclock is virtual time for what plays many parts in one goroutine: what is to happen when, in a fixed
-// order.
+// Package virtualclock is a discrete-event scheduler in virtual time, for simulations of many components in one
+// goroutine.
 //
-// It owns the queue and the clock. What falls on one moment happens in the order in which it was asked for.
+// A simulation schedules actions with After and lets time pass with RunUntil; actions schedule further ones. Nothing
+// happens between two events, so an hour of virtual time costs what its events cost. Events of the same time run in
+// the order in which they were scheduled, so a run is determined by its inputs. A Scheduler is not safe for use by
+// several goroutines.
 package virtualclock
 
 import "container/heap"
 
-// Queue is one; its zero value stands at 0.
+// Scheduler holds the events to come and the virtual time. Its zero value stands at time 0.
 type Scheduler struct {
-	Now       float64 // milliseconds
-	Scheduled int     // how many things were asked for so far
-	pending   eventHeap
+	// Now is the virtual time in milliseconds. Within an action it is the time for which that was scheduled.
+	Now float64
+	// Scheduled counts the events that were scheduled so far. It breaks ties between events of the same time.
+	Scheduled int
+
+	pending eventHeap
 }
 
-// In has something done after so long.
-func (q *Scheduler) After(after float64, do func()) {
-	q.Scheduled++
-	heap.Push(&q.pending, event{q.Now + after, q.Scheduled, do})
+// After schedules an action for delay milliseconds from now.
+func (s *Scheduler) After(delay float64, action func()) {
+	s.Scheduled++
+	heap.Push(&s.pending, event{s.Now + delay, s.Scheduled, action})
 }
 
-// Pass lets time pass until end, with all that is due on the way.
-func (q *Scheduler) RunUntil(end float64) {
-	for len(q.pending) > 0 && q.pending[0].at <= end {
-		m := heap.Pop(&q.pending).(event)
-		q.Now = m.at
-		m.do()
+// RunUntil runs all events up to and including end, those that they schedule among them, and advances the time to end.
+func (s *Scheduler) RunUntil(end float64) {
+	for len(s.pending) > 0 && s.pending[0].time <= end {
+		next := heap.Pop(&s.pending).(event)
+		s.Now = next.time
+		next.action()
 	}
-	q.Now = end
+	s.Now = end
 }
 
-// Drop forgets what is still to come.
-func (q *Scheduler) Discard() { q.pending = nil }
+// Discard drops all events to come.
+func (s *Scheduler) Discard() { s.pending = nil }
 
 type event struct {
-	at   float64
-	turn int
-	do   func()
+	time   float64
+	serial int // Scheduled when it was scheduled
+	action func()
 }
 
+// eventHeap is a heap.Interface ordered by time, then by serial.
 type eventHeap []event
 
-func (m eventHeap) Len() int { return len(m) }
-func (m eventHeap) Less(i, j int) bool {
-	return m[i].at < m[j].at || m[i].at == m[j].at && m[i].turn < m[j].turn
+// Len implements heap.Interface.
+func (h eventHeap) Len() int { return len(h) }
+
+// Less implements heap.Interface.
+func (h eventHeap) Less(i, j int) bool {
+	return h[i].time < h[j].time || h[i].time == h[j].time && h[i].serial < h[j].serial
 }
-func (m eventHeap) Swap(i, j int) { m[i], m[j] = m[j], m[i] }
-func (m *eventHeap) Push(x any)   { *m = append(*m, x.(event)) }
-func (m *eventHeap) Pop() any {
-	i := len(*m) - 1
-	last := (*m)[i]
-	(*m)[i] = event{} // what was done holds nothing
-	*m = (*m)[:i]
+
+// Swap implements heap.Interface.
+func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+
+// Push implements heap.Interface.
+func (h *eventHeap) Push(x any) { *h = append(*h, x.(event)) }
+
+// Pop implements heap.Interface.
+func (h *eventHeap) Pop() any {
+	i := len(*h) - 1
+	last := (*h)[i]
+	(*h)[i] = event{} // the action's references are let go of
+	*h = (*h)[:i]
 	return last
 }
