--- a/internal/standin/disk/disk.go
+++ b/internal/standin/disk/disk.go
@@ -1,6 +1,9 @@
-// Package disk is a stand-in for a file system that crashes, for tests of what is kept on one. It owns what a real
-// disk may do to bytes and names that were not synced. It must never be kinder than a real one: what no sync
-// covers may be there, be missing, be torn at any byte, or be there without what was written before it.
+// Package disk is a stand-in for file systems that crash and disks that fail, for tests of what is kept on them.
+//
+// Disk is a file system in memory that implements durable.FS: it counts operations, crashes in the middle of a chosen
+// one, and AfterCrash gives the file system that is found then. FaultyFS is a pebble file system on real folders whose
+// faults a file switches. Neither is kinder than a real disk: what no sync covers may be there, be missing, be torn at
+// any byte, or be there without what was written before it.
 package disk
 
 import (
@@ -8,6 +11,7 @@
 	"fmt"
 	"io"
 	"io/fs"
+	"maps"
 	"math/rand/v2"
 	"path/filepath"
 	"slices"
@@ -17,26 +21,28 @@
 	"weirwind/internal/durable"
 )
 
-// ErrCrashed is what every call gets once the disk has crashed.
+// ErrCrashed is the error of every operation from the crash on.
 var ErrCrashed = errors.New("disk: crashed")
 
-// Fate is what becomes of what was not synced.
+// Outcome is what a crash leaves of writes and names that were not synced.
 type Outcome uint8
 
-// The fates; Fates is how many there are.
+// The outcomes of a crash; Outcomes is their number.
 const (
 	LoseUnsynced Outcome = iota // all of it is lost
 	KeepUnsynced                // all of it is there
-	TearUnsynced                // a part, cut at any byte
+	TearUnsynced                // a prefix is there, cut at any byte
 	MixUnsynced                 // each write and each change of a name is there or not, whatever came before it
 	Outcomes
 )
 
+// write is one that no sync covers.
 type write struct {
 	offset int
 	data   []byte
 }
 
+// inode is a file's content.
 type inode struct {
 	synced []byte
 	writes []write // since the last sync
@@ -58,7 +64,7 @@
 	return b
 }
 
-// change is of a folder's names.
+// nameChange is a change of a folder's names that SyncDir has not covered.
 type nameChange struct {
 	name, from string
 	node       *inode // nil where the name goes
@@ -66,8 +72,10 @@
 
 // Disk is a file system in memory. Set its faults before use.
 type Disk struct {
-	CrashAt int                          // the operation, counted from 1, in the middle of which it crashes; 0 for never
-	Fail    func(op string, n int) error // an error for operation n, such as "write" or "sync"; nil for none
+	// CrashAt is the operation, counted from 1, in the middle of which the disk crashes; 0: it does not.
+	CrashAt int
+	// Fail gives the error of an operation, such as "write" or "sync", by its number; nil: none fails.
+	Fail func(operation string, number int) error
 
 	mu          sync.Mutex
 	operations  int
@@ -89,45 +97,60 @@
 	}
 }
 
-// Ops is how many operations there have been.
+// Operations is the number of operations so far.
 func (d *Disk) Operations() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.operations
 }
 
-// step counts an operation, under the lock. now says that the disk crashes in the middle of it.
-func (d *Disk) begin(op string) (now bool, err error) {
+// begin counts an operation. crashes says that the disk crashes in the middle of it. The lock is held.
+func (d *Disk) begin(operation string) (crashes bool, err error) {
 	if d.crashed {
 		return false, ErrCrashed
 	}
 	d.operations++
 	if d.Fail != nil {
-		if err := d.Fail(op, d.operations); err != nil {
-			return false, fmt.Errorf("%s: %w", op, err)
+		if err := d.Fail(operation, d.operations); err != nil {
+			return false, fmt.Errorf("%s: %w", operation, err)
 		}
 	}
 	d.crashed = d.operations == d.CrashAt
 	return d.crashed, nil
 }
 
-// After is the disk that is found after a crash, with the fate of what was not synced drawn by the seed.
+// AfterCrash is the disk that is found after a crash; the seed decides what an outcome leaves to chance.
 func (d *Disk) AfterCrash(outcome Outcome, seed uint64) *Disk {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	draw := rand.New(rand.NewPCG(seed, uint64(outcome)))
-	names := map[string]*inode{}
-	for name, n := range d.syncedNames {
-		names[name] = n
-	}
-	kept := len(d.changes)
-	if outcome == LoseUnsynced {
-		kept = 0
-	} else if outcome == TearUnsynced {
-		kept = draw.IntN(kept + 1)
-	}
-	for _, c := range d.changes[:kept] {
-		if outcome == MixUnsynced && draw.IntN(2) == 0 {
+	random := rand.New(rand.NewPCG(seed, uint64(outcome)))
+	names := d.survivingNames(outcome, random)
+	next, copies := New(), map[*inode]*inode{}
+	for folder := range d.folders {
+		next.folders[folder] = true
+	}
+	for _, name := range slices.Sorted(maps.Keys(names)) { // in a fixed order, as each draws
+		n := names[name]
+		if copies[n] == nil {
+			copies[n] = &inode{synced: survivingContent(n, outcome, random)}
+		}
+		next.names[name], next.syncedNames[name] = copies[n], copies[n]
+	}
+	return next
+}
+
+// survivingNames applies the changes of names that a crash leaves to those that were synced.
+func (d *Disk) survivingNames(outcome Outcome, random *rand.Rand) map[string]*inode {
+	names := maps.Clone(d.syncedNames)
+	surviving := len(d.changes)
+	switch outcome {
+	case LoseUnsynced:
+		surviving = 0
+	case TearUnsynced:
+		surviving = random.IntN(surviving + 1)
+	}
+	for _, c := range d.changes[:surviving] {
+		if outcome == MixUnsynced && random.IntN(2) == 0 {
 			continue
 		}
 		if c.from != "" && names[c.from] == c.node {
@@ -139,44 +162,29 @@
 			names[c.name] = c.node
 		}
 	}
-	next, copies := New(), map[*inode]*inode{}
-	for folder := range d.folders {
-		next.folders[folder] = true
-	}
-	ordered := make([]string, 0, len(names))
-	for name := range names {
-		ordered = append(ordered, name)
-	}
-	slices.Sort(ordered)
-	for _, name := range ordered {
-		n := names[name]
-		if copies[n] == nil {
-			copies[n] = &inode{synced: survivingContent(n, outcome, draw)}
-		}
-		next.names[name], next.syncedNames[name] = copies[n], copies[n]
-	}
-	return next
+	return names
 }
 
-func survivingContent(n *inode, outcome Outcome, draw *rand.Rand) []byte {
+// survivingContent is what a crash leaves of a file.
+func survivingContent(n *inode, outcome Outcome, random *rand.Rand) []byte {
 	b := slices.Clone(n.synced)
 	for i, w := range n.writes {
 		switch {
-		case outcome == LoseUnsynced || outcome == MixUnsynced && draw.IntN(2) == 0:
+		case outcome == LoseUnsynced || outcome == MixUnsynced && random.IntN(2) == 0:
 			continue
 		case outcome == TearUnsynced && i == len(n.writes)-1:
-			w.data = w.data[:draw.IntN(len(w.data)+1)]
-		case outcome == MixUnsynced && draw.IntN(2) == 0 && len(w.data) > 0: // a block of it never came
+			w.data = w.data[:random.IntN(len(w.data)+1)]
+		case outcome == MixUnsynced && random.IntN(2) == 0 && len(w.data) > 0: // a block of it never came
 			w.data = slices.Clone(w.data)
-			from := draw.IntN(len(w.data))
-			clear(w.data[from:min(len(w.data), from+1+draw.IntN(64))])
+			from := random.IntN(len(w.data))
+			clear(w.data[from:min(len(w.data), from+1+random.IntN(64))])
 		}
 		b = overlay(b, w)
 	}
 	return b
 }
 
-// Set puts a file there as it is, synced; Get gives its content, nil where there is none.
+// SetFile puts a file there, synced.
 func (d *Disk) SetFile(name string, content []byte) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -184,7 +192,7 @@
 	d.names[name], d.syncedNames[name], d.folders[filepath.Dir(name)] = n, n, true
 }
 
-// Get gives a file's content as it is read now; nil where there is none.
+// FileContent is a file's content as it is read now; nil where there is none.
 func (d *Disk) FileContent(name string) []byte {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -194,10 +202,10 @@
 	return nil
 }
 
-// Copy is the disk as it is, with nothing of it lost.
+// Clone is the disk as it is, with nothing of it lost.
 func (d *Disk) Clone() *Disk { return d.AfterCrash(KeepUnsynced, 0) }
 
-// MkdirAll makes a folder, which is durable at once.
+// MkdirAll creates a folder, which is durable at once.
 func (d *Disk) MkdirAll(folder string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -208,7 +216,7 @@
 	return d.finish()
 }
 
-// end is the error of an operation that took effect: the crash, where it came in the middle of it.
+// finish is the error of an operation that took effect: the crash, where it came in the middle of it.
 func (d *Disk) finish() error {
 	if d.crashed {
 		return ErrCrashed
@@ -235,7 +243,7 @@
 	return names, nil
 }
 
-// Create opens an empty file, whose name is durable behind SyncDir.
+// Create opens an empty file, whose name is durable after SyncDir.
 func (d *Disk) Create(name string) (durable.File, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -251,7 +259,7 @@
 	return &file{disk: d, node: n}, d.finish()
 }
 
-// ReadFile gives a file's content, synced or not.
+// ReadFile gives a file's content, synced or not; ErrDamaged where it is longer than the limit.
 func (d *Disk) ReadFile(name string, limit int64) ([]byte, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -269,7 +277,7 @@
 	return b, nil
 }
 
-// Rename moves a name, durable behind SyncDir.
+// Rename moves a name, durable after SyncDir.
 func (d *Disk) Rename(from, to string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -286,7 +294,7 @@
 	return d.finish()
 }
 
-// Remove takes a name away, durable behind SyncDir.
+// Remove removes a name, durable after SyncDir.
 func (d *Disk) Remove(name string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -301,15 +309,15 @@
 	return d.finish()
 }
 
-// SyncDir makes all names durable; a crash in the middle of it promises nothing.
+// SyncDir makes all names durable; a crash in the middle of it makes none.
 func (d *Disk) SyncDir(folder string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	now, err := d.begin("syncdir")
+	crashes, err := d.begin("syncdir")
 	if err != nil {
 		return err
 	}
-	if now { // in the middle of it nothing is promised yet
+	if crashes { // in the middle of it nothing is promised yet
 		return ErrCrashed
 	}
 	d.syncedNames, d.changes = map[string]*inode{}, nil
@@ -319,7 +327,7 @@
 	return nil
 }
 
-// Lock takes a lock that ends with its Close; ErrLocked while somebody has it.
+// Lock takes a lock that its Close releases; ErrLocked while somebody has it.
 func (d *Disk) Lock(name string) (io.Closer, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -337,16 +345,20 @@
 	}), nil
 }
 
+// unlock releases a lock.
 type unlock func()
 
+// Close releases the lock.
 func (u unlock) Close() error { u(); return nil }
 
+// file is open for appending.
 type file struct {
 	disk   *Disk
 	node   *inode
 	offset int
 }
 
+// Write appends; on a full disk a part of the bytes is taken.
 func (f *file) Write(b []byte) (int, error) {
 	f.disk.mu.Lock()
 	defer f.disk.mu.Unlock()
@@ -362,18 +374,20 @@
 	return len(b), f.disk.finish()
 }
 
+// Sync makes the content durable; a crash in the middle of it promises nothing.
 func (f *file) Sync() error {
 	f.disk.mu.Lock()
 	defer f.disk.mu.Unlock()
-	now, err := f.disk.begin("sync")
+	crashes, err := f.disk.begin("sync")
 	if err != nil {
 		return err
 	}
-	if now {
+	if crashes {
 		return ErrCrashed
 	}
 	f.node.synced, f.node.writes = f.node.content(), nil
 	return nil
 }
 
+// Close implements io.Closer.
 func (f *file) Close() error { return nil }
--- a/internal/standin/disk/pebble.go
+++ b/internal/standin/disk/pebble.go
@@ -1,7 +1,7 @@
 package disk
 
-// This file owns a disk under a process that keeps its state in pebble: what was not synced is lost when the process is
-// killed, as by a loss of power, and the disk stalls, refuses or is slow while a test says so.
+// FaultyFS stands in for the disk of a process that keeps its state in pebble: what was not synced is lost when the
+// process is killed, as by a loss of power, and the disk stalls, fails or is slow while its control file says so.
 
 import (
 	"errors"
@@ -13,82 +13,89 @@
 	"github.com/cockroachdb/pebble/vfs"
 )
 
-// What a disk does, by the words in a control file; several may stand there.
+// The faults that a control file may hold, separated by spaces.
 const (
-	Stall      = "stall"  // writes and syncs wait for as long as it stands there
+	Stall      = "stall"  // writes and syncs wait for as long as it is there
 	Refuse     = "refuse" // they fail
 	SlowSync   = "slow"   // a sync takes its time
-	TearWrites = "tear"   // half of a write that no sync covered is found after a loss of power; else nothing of it
+	TearWrites = "tear"   // half of an unsynced write is found after a loss of power, else nothing of it
 )
 
-const slowSyncTime = 60 * time.Millisecond
+const (
+	slowSyncTime = 60 * time.Millisecond
+	stallPoll    = 5 * time.Millisecond
+)
 
-// ErrRefused is what a disk that refuses gives.
+// ErrRefused is the error of a disk with the fault Refuse.
 var ErrRefused = errors.New("disk: refused")
 
-// Under gives a file system on real folders that does what a control file says.
+// FaultyFS is a file system on real folders with the faults that a control file names at each operation.
 func FaultyFS(control string) vfs.FS { return &faultyFS{vfs.Default, control} }
 
+// faultyFS applies a control file's faults.
 type faultyFS struct {
 	vfs.FS
 	control string
 }
 
-// fate waits out a stall and gives what is asked of the disk at the moment.
+// faults waits out a stall and gives the faults that remain.
 func (fs *faultyFS) faults() (string, error) {
 	for {
 		b, _ := os.ReadFile(fs.control)
-		switch word := string(b); {
-		case strings.Contains(word, Refuse):
-			return word, ErrRefused
-		case !strings.Contains(word, Stall):
-			return word, nil
+		switch text := string(b); {
+		case strings.Contains(text, Refuse):
+			return text, ErrRefused
+		case !strings.Contains(text, Stall):
+			return text, nil
 		}
-		<-time.After(5 * time.Millisecond)
+		<-time.After(stallPoll)
 	}
 }
 
-func (u *faultyFS) Create(name string) (vfs.File, error) {
-	if _, err := u.faults(); err != nil {
+// Create implements vfs.FS.
+func (fs *faultyFS) Create(name string) (vfs.File, error) {
+	if _, err := fs.faults(); err != nil {
 		return nil, err
 	}
-	f, err := u.FS.Create(name)
-	return u.wrap(f, err)
+	f, err := fs.FS.Create(name)
+	return fs.wrap(f, err)
 }
 
-func (u *faultyFS) ReuseForWrite(from, to string) (vfs.File, error) {
-	if _, err := u.faults(); err != nil {
+// ReuseForWrite implements vfs.FS.
+func (fs *faultyFS) ReuseForWrite(from, to string) (vfs.File, error) {
+	if _, err := fs.faults(); err != nil {
 		return nil, err
 	}
-	f, err := u.FS.ReuseForWrite(from, to)
-	return u.wrap(f, err)
+	f, err := fs.FS.ReuseForWrite(from, to)
+	return fs.wrap(f, err)
 }
 
-func (u *faultyFS) wrap(f vfs.File, err error) (vfs.File, error) {
+func (fs *faultyFS) wrap(f vfs.File, err error) (vfs.File, error) {
 	if err != nil {
 		return nil, err
 	}
-	return &faultyFile{File: f, u: u}, nil
+	return &faultyFile{File: f, fs: fs}, nil
 }
 
-// unsynced is a file whose writes reach the folder at their sync.
+// faultyFile is a file whose writes reach the folder when they are synced.
 type faultyFile struct {
 	vfs.File
-	u        *faultyFS
+	fs       *faultyFS
 	mu       sync.Mutex
 	unsynced []byte
-	written  int // bytes of held that are in the folder already
+	written  int // bytes of unsynced that are in the folder already
 }
 
+// Write keeps bytes until the next sync; with TearWrites half of them reach the folder.
 func (f *faultyFile) Write(b []byte) (int, error) {
-	word, err := f.u.faults()
+	faults, err := f.fs.faults()
 	if err != nil {
 		return 0, err
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.unsynced = append(f.unsynced, b...)
-	if strings.Contains(word, TearWrites) {
+	if strings.Contains(faults, TearWrites) {
 		if more := len(f.unsynced)/2 - f.written; more > 0 {
 			n, err := f.File.Write(f.unsynced[f.written : f.written+more])
 			if f.written += n; err != nil {
@@ -99,12 +106,13 @@
 	return len(b), nil
 }
 
+// Sync implements vfs.File.
 func (f *faultyFile) Sync() error {
-	word, err := f.u.faults()
+	faults, err := f.fs.faults()
 	if err != nil {
 		return err
 	}
-	if strings.Contains(word, SlowSync) {
+	if strings.Contains(faults, SlowSync) {
 		<-time.After(slowSyncTime)
 	}
 	f.mu.Lock()
@@ -114,12 +122,19 @@
 	return err
 }
 
-func (f *faultyFile) SyncData() error              { return f.Sync() }
-func (f *faultyFile) SyncTo(int64) (bool, error)   { return true, f.Sync() }
+// SyncData implements vfs.File.
+func (f *faultyFile) SyncData() error { return f.Sync() }
+
+// SyncTo implements vfs.File.
+func (f *faultyFile) SyncTo(int64) (bool, error) { return true, f.Sync() }
+
+// Preallocate implements vfs.File.
 func (f *faultyFile) Preallocate(_, _ int64) error { return nil }
-func (f *faultyFile) Fd() uintptr                  { return vfs.InvalidFd }
 
-// ReadAt sees what was written, synced or not, as a file system's cache does.
+// Fd implements vfs.File: there is no descriptor whose writes would pass by the faults.
+func (f *faultyFile) Fd() uintptr { return vfs.InvalidFd }
+
+// ReadAt reads what was written, synced or not, as through a file system's cache.
 func (f *faultyFile) ReadAt(b []byte, at int64) (int, error) {
 	if err := f.Sync(); err != nil {
 		return 0, err
--- a/internal/standin/replicaset/replicaset.go
+++ b/internal/standin/replicaset/replicaset.go
@@ -1,9 +1,9 @@
-// Package replicaset is a stand-in for a replication group of the wire's members: logs, terms, who leads, who has
-// received what. It is written from the pages on the wire, does no I/O, and takes time from its caller, so that a test
-// decides the order of all.
+// Package replicaset is a stand-in for a replication group of members: their logs and terms, who is primary and what
+// each has received. It is written from the wire protocol's specification, does no I/O and reads no clock: the test
+// that uses it decides the order of all events.
 //
-// A commit is answered once SyncN replicas have received it. A promoted member holds what it had received and nothing
-// beyond; what it lacked and was answered is counted in Lost, which no test may see above zero.
+// A commit is acknowledged once SyncN replicas have received it. A promoted member has what it had received and nothing
+// more; acknowledged commits that it lacks are recorded in Lost, which has to stay empty.
 package replicaset
 
 import (
@@ -18,32 +18,33 @@
 	ID           string // of the statement that wrote
 }
 
-// Member is one.
+// Member is a database server of a group.
 type Member struct {
 	ID           string
 	Primary      bool
 	Up           bool
-	Paused       bool
-	NotReceiving bool // receives nothing, though it answers
-	Partitioned  bool // reaches no other member, though clients reach it
+	Paused       bool // receives nothing, by the control plane's order, until Resume or a promotion
+	NotReceiving bool // a fault: receives nothing, though it answers
+	Partitioned  bool // a fault: reaches no other member, though clients reach it
 	Draining     bool
-	Term         uint64 // newest known
-	LeaderTerm   uint64 // term that it holds the lead for
-	PausedTerm   uint64 // term that it was paused with, which is what a paused replica answers that it holds
+	Term         uint64 // the newest one known
+	LeaderTerm   uint64 // the term of which it is primary
+	PausedTerm   uint64 // the term that it was paused for, which it reports as promised
 	Log          []Entry
 }
 
-// Group is all of a service.
+// Group is the members of a service.
 type Group struct {
-	SyncN      int
+	SyncN      int // replicas that must receive a commit before it is acknowledged
 	Members    []*Member
-	Acked      map[string]bool
-	pending    []Entry // written, not yet answered
-	Lost       []string
-	Promotions int // promotions carried out
+	Acked      map[string]bool // acknowledged commits by their statements' ids
+	Lost       []string        // acknowledged commits that a promoted member lacked; must stay empty
+	Promotions int
+
+	pending []Entry // commits that are not acknowledged yet
 }
 
-// New gives a group whose first member leads.
+// New is a group whose first member is the primary of term 1.
 func New(syncN int, ids ...string) *Group {
 	g := &Group{SyncN: syncN, Acked: map[string]bool{}}
 	for i, id := range ids {
@@ -52,7 +53,7 @@
 	return g
 }
 
-// Get gives a member, nil for none.
+// Member is the member of an id, nil for none.
 func (g *Group) Member(id string) *Member {
 	if i := slices.IndexFunc(g.Members, func(m *Member) bool { return m.ID == id }); i >= 0 {
 		return g.Members[i]
@@ -60,7 +61,7 @@
 	return nil
 }
 
-// Leader is who leads among those that are up, nil for nobody.
+// Leader is the primary of the newest term among the members that are up, nil for none.
 func (g *Group) Leader() *Member {
 	var best *Member
 	for _, m := range g.Members {
@@ -79,13 +80,13 @@
 	return wire.Position{Term: 1}
 }
 
-// Status is the row that a member answers with.
+// Status is what a member reports of itself.
 func (m *Member) Status() wire.MemberStatus {
 	return wire.MemberStatus{Primary: m.Primary, Term: m.Term, Received: m.Position(), PromisedTerm: m.PausedTerm}
 }
 
-// Write appends a commit at a member. False: it does not lead.
-func (g *Group) Write(m *Member, id string) (wire.Position, bool) {
+// Write appends a commit at a member; ok is false where that is no primary.
+func (g *Group) Write(m *Member, id string) (position wire.Position, ok bool) {
 	if !m.Up || !m.Primary {
 		return wire.Position{}, false
 	}
@@ -100,56 +101,66 @@
 	return wire.Position{Term: e.Term, Number: e.Number}, true
 }
 
-// Replicate lets replicas receive what the leader has, each only if may says so, and answers what is received widely
-// enough.
-func (g *Group) Replicate(may func(to *Member) bool) {
-	for _, p := range g.Members {
-		if !p.Up || !p.Primary || p.Partitioned {
+// Replicate lets replicas that allowed accepts receive what the primary has, and acknowledges the commits that enough
+// of them have received.
+func (g *Group) Replicate(allowed func(to *Member) bool) {
+	for _, primary := range g.Members {
+		if !primary.Up || !primary.Primary || primary.Partitioned {
 			continue
 		}
 		for _, m := range g.Members {
-			if m == p || !m.Up || m.Primary || m.Paused || m.NotReceiving || m.Partitioned || m.Term > p.LeaderTerm || !may(m) {
-				continue
+			if m != primary && m.receivesFrom(primary) && allowed(m) {
+				m.Term = primary.LeaderTerm
+				m.Log = slices.Clone(primary.Log)
 			}
-			m.Term = p.LeaderTerm
-			m.Log = slices.Clone(p.Log)
 		}
-		g.pending = slices.DeleteFunc(g.pending, func(e Entry) bool {
-			if !slices.Contains(p.Log, e) {
-				return false
-			}
-			have := 0
-			for _, m := range g.Members {
-				if m != p && slices.Contains(m.Log, e) {
-					have++
-				}
-			}
-			if have >= g.SyncN {
-				g.Acked[e.ID] = true
-			}
-			return have >= g.SyncN
-		})
+		g.acknowledge(primary)
 	}
 }
 
-// Pause keeps a replica from receiving.
+// receivesFrom says whether a replica takes entries from a primary at the moment.
+func (m *Member) receivesFrom(primary *Member) bool {
+	return m.Up && !m.Primary && !m.Paused && !m.NotReceiving && !m.Partitioned && m.Term <= primary.LeaderTerm
+}
+
+// acknowledge acknowledges the pending commits of a primary that SyncN replicas have received.
+func (g *Group) acknowledge(primary *Member) {
+	g.pending = slices.DeleteFunc(g.pending, func(e Entry) bool {
+		if !slices.Contains(primary.Log, e) {
+			return false
+		}
+		received := 0
+		for _, m := range g.Members {
+			if m != primary && slices.Contains(m.Log, e) {
+				received++
+			}
+		}
+		if received < g.SyncN {
+			return false
+		}
+		g.Acked[e.ID] = true
+		return true
+	})
+}
+
+// Pause stops a replica from receiving, on behalf of a new term.
 func (m *Member) Pause(term uint64) {
 	if term > max(m.Term, m.PausedTerm) && !m.Primary {
 		m.Paused, m.PausedTerm = true, term
 	}
 }
 
-// Continue lets a paused replica receive again.
+// Resume lets a paused replica receive again.
 func (m *Member) Resume() { m.Paused, m.PausedTerm = false, 0 }
 
-// StepDown turns a primary of a lower term into a replica.
+// StepDown turns a primary of an older term into a replica.
 func (m *Member) StepDown(term uint64) {
 	if m.Primary && term > m.LeaderTerm {
 		m.Primary, m.Term = false, term
 	}
 }
 
-// Promote carries out the platform's order. False: the member is not running.
+// Promote makes a member primary of a new term, as the platform does; false where it is not running.
 func (g *Group) Promote(id string) bool {
 	m := g.Member(id)
 	if m == nil || !m.Up {
@@ -158,26 +169,18 @@
 	if m.Primary && g.Leader() == m {
 		return true
 	}
-	term := m.Term
-	for _, o := range g.Members {
-		term = max(term, o.Term, o.LeaderTerm)
-	}
-	term++
 	for acked := range g.Acked {
 		if !slices.ContainsFunc(m.Log, func(e Entry) bool { return e.ID == acked }) {
 			g.Lost = append(g.Lost, acked)
 		}
 	}
 	g.Promotions++
-	for _, o := range g.Members {
-		o.Primary = o == m
-		o.Resume()
-		if o.Term = term; o != m {
-			n := 0
-			for n < min(len(o.Log), len(m.Log)) && o.Log[n] == m.Log[n] {
-				n++
-			}
-			o.Log = o.Log[:n]
+	term := g.newestTerm() + 1
+	for _, other := range g.Members {
+		other.Primary = other == m
+		other.Resume()
+		if other.Term = term; other != m {
+			other.truncate(m.Log)
 		}
 	}
 	m.LeaderTerm = term
@@ -185,12 +188,28 @@
 	return true
 }
 
+func (g *Group) newestTerm() (term uint64) {
+	for _, m := range g.Members {
+		term = max(term, m.Term, m.LeaderTerm)
+	}
+	return term
+}
+
+// truncate drops what a member's log has beyond its common prefix with the new primary's.
+func (m *Member) truncate(primary []Entry) {
+	common := 0
+	for common < min(len(m.Log), len(primary)) && m.Log[common] == primary[common] {
+		common++
+	}
+	m.Log = m.Log[:common]
+}
+
 // Join adds an empty replica.
 func (g *Group) Join(id string) {
 	g.Members = append(g.Members, &Member{ID: id, Up: true, Term: 1})
 }
 
-// End takes a member away for good, with its log.
+// Remove removes a member for good, with its log.
 func (g *Group) Remove(id string) {
 	g.Members = slices.DeleteFunc(g.Members, func(m *Member) bool { return m.ID == id })
 }
