--- /dev/null
+++ b/internal/standin/kv/etcd.go
@@ -0,0 +1,192 @@
+package kv
+
+import (
+	"context"
+	"encoding/base64"
+	"encoding/json"
+	"fmt"
+	"net/http"
+	"strconv"
+	"time"
+)
+
+// This file owns the forms of etcd's JSON gateway.
+
+const progressPeriod = 100 * time.Millisecond // between two progress notifications of a watch
+
+// authorized checks a request's token and answers those without a valid one.
+func (v *Server) authorized(w http.ResponseWriter, r *http.Request) bool {
+	if p := v.Password.Load(); p != nil && r.Header.Get("Authorization") != fmt.Sprint("token-", v.tokens.Load()) {
+		etcdFailure(w, http.StatusUnauthorized, 16, "etcdserver: invalid auth token")
+		return false
+	}
+	return true
+}
+
+// ExpireTokens invalidates the tokens that were given.
+func (v *Server) ExpireTokens() { v.tokens.Add(1) }
+
+// etcdToken gives a token for the password.
+func (v *Server) etcdToken(w http.ResponseWriter, r *http.Request) {
+	var request struct{ Name, Password string }
+	_ = json.NewDecoder(r.Body).Decode(&request) // what is missing is zero
+	if p := v.Password.Load(); p == nil || *p != request.Password {
+		etcdFailure(w, http.StatusBadRequest, 3, "etcdserver: authentication failed, invalid user ID or password")
+		return
+	}
+	fmt.Fprintf(w, `{"header":{},"token":"token-%d"}`, v.tokens.Add(1))
+}
+
+// etcdFailure writes an error with its gRPC code.
+func etcdFailure(w http.ResponseWriter, status, code int, text string) {
+	w.WriteHeader(status)
+	fmt.Fprintf(w, `{"error":%q,"code":%d,"message":%q}`, text, code, text)
+}
+
+// etcdKV is an item as etcd writes it.
+func etcdKV(x Item) map[string]any {
+	m := map[string]any{"key": x.encodedKey(), "mod_revision": strconv.FormatInt(x.ModRevision, 10)}
+	if !x.Deleted {
+		m["value"] = base64.StdEncoding.EncodeToString(x.Value)
+	}
+	return m
+}
+
+// encodedKey is the key as etcd writes it.
+func (x Item) encodedKey() string { return base64.StdEncoding.EncodeToString([]byte(x.Key)) }
+
+// etcdRange answers a range request.
+func (v *Server) etcdRange(w http.ResponseWriter, r *http.Request) {
+	var request struct {
+		Key      []byte
+		End      []byte `json:"range_end"`
+		Limit    int    `json:"limit,string"`
+		Revision int64  `json:"revision,string"`
+	}
+	if err := json.NewDecoder(r.Body).Decode(&request); err != nil {
+		etcdFailure(w, 400, 3, err.Error())
+		return
+	}
+	if !v.authorized(w, r) {
+		return
+	}
+	s := v.served()
+	s.mu.Lock()
+	rev, cluster := s.revision, s.Cluster
+	switch {
+	case request.Revision > rev:
+		s.mu.Unlock()
+		etcdFailure(w, 400, 11, "etcdserver: mvcc: required revision is a future revision")
+		return
+	case request.Revision > 0 && request.Revision < s.compacted:
+		s.mu.Unlock()
+		etcdFailure(w, 400, 11, "etcdserver: mvcc: required revision has been compacted")
+		return
+	}
+	kvs, more := s.etcdItems(string(request.Key), string(request.End), request.Revision, request.Limit)
+	s.mu.Unlock()
+	if request.Revision == 0 {
+		v.FullReads.Add(1)
+	}
+	_ = json.NewEncoder(w).Encode(map[string]any{"header": map[string]any{"cluster_id": cluster,
+		"revision": strconv.FormatInt(rev, 10)}, "kvs": kvs, "more": more, "count": strconv.Itoa(len(kvs))})
+}
+
+// etcdItems is the items from key up to end that were written up to a revision, 0 for all; more says that the limit,
+// 0 for none, left some out. The lock is held.
+func (s *Store) etcdItems(key, end string, revision int64, limit int) (kvs []any, more bool) {
+	kvs = []any{}
+	for _, x := range s.list("") {
+		if x.Key < key || x.Key >= end || revision > 0 && x.ModRevision > revision {
+			continue
+		}
+		if limit > 0 && len(kvs) == limit {
+			return kvs, true
+		}
+		kvs = append(kvs, etcdKV(x))
+	}
+	return kvs, false
+}
+
+// etcdWatch streams events from a revision on until the client leaves or that revision is compacted.
+func (v *Server) etcdWatch(w http.ResponseWriter, r *http.Request) {
+	var request struct {
+		Create struct {
+			Key   []byte
+			Start int64 `json:"start_revision,string"`
+		} `json:"create_request"`
+	}
+	if err := json.NewDecoder(r.Body).Decode(&request); err != nil {
+		etcdFailure(w, 400, 3, err.Error())
+		return
+	}
+	if !v.authorized(w, r) {
+		return
+	}
+	v.Watches.Add(1)
+	s, next := v.served(), request.Create.Start
+	watch := &etcdWatcher{server: v, store: s, ctx: r.Context(), w: w, out: json.NewEncoder(w)}
+	watch.send(map[string]any{"created": true})
+	for {
+		events, head, compacted, changed := s.eventsSince(next, string(request.Create.Key))
+		if v.SkipEvents.Load() {
+			events = nil
+		}
+		if next <= compacted && next <= head {
+			watch.send(map[string]any{"canceled": true, "compact_revision": strconv.FormatInt(compacted, 10)})
+			return
+		}
+		watch.sendEvents(events)
+		next = max(next, head+1)
+		select {
+		case <-changed:
+		case <-r.Context().Done():
+			return
+		case <-time.After(progressPeriod):
+			watch.send(map[string]any{})
+		}
+	}
+}
+
+// etcdWatcher writes the messages of one watch.
+type etcdWatcher struct {
+	server *Server
+	store  *Store
+	ctx    context.Context // of the request
+	w      http.ResponseWriter
+	out    *json.Encoder
+}
+
+// send writes one message; a silent server keeps it until the client leaves.
+func (x *etcdWatcher) send(fields map[string]any) {
+	if x.server.Silent.Load() {
+		<-x.ctx.Done()
+		return
+	}
+	x.store.mu.Lock()
+	fields["header"] = map[string]any{"cluster_id": x.store.Cluster, "revision": strconv.FormatInt(x.store.revision, 10)}
+	x.store.mu.Unlock()
+	_ = x.out.Encode(map[string]any{"result": fields}) // the caller may have left
+	x.w.(http.Flusher).Flush()
+}
+
+// sendEvents writes events, in fragments of the size that the server is set to.
+func (x *etcdWatcher) sendEvents(events []Item) {
+	size := len(events)
+	if n := int(x.server.Fragment.Load()); n > 0 {
+		size = n
+	}
+	for len(events) > 0 {
+		n := min(size, len(events))
+		kvs := []any{}
+		for _, item := range events[:n] {
+			e := map[string]any{"kv": etcdKV(item)}
+			if item.Deleted {
+				e["type"] = "DELETE"
+			}
+			kvs = append(kvs, e)
+		}
+		events = events[n:]
+		x.send(map[string]any{"events": kvs, "fragment": len(events) > 0})
+	}
+}
--- a/internal/standin/kv/lease.go
+++ b/internal/standin/kv/lease.go
@@ -1,6 +1,6 @@
 package kv
 
-// This file owns leases and sessions: keys that go when nobody renews what they stand under, or on command.
+// This file owns etcd's leases and Consul's sessions: keys that are removed when nobody renews them, or on command.
 
 import (
 	"encoding/json"
@@ -10,13 +10,14 @@
 	"time"
 )
 
+// lease removes its keys when it expires.
 type lease struct {
 	ttl    time.Duration
 	keys   []string
 	expiry *time.Timer
 }
 
-// grant makes a lease that ends by itself.
+// grant creates a lease that expires unless it is renewed, and gives its id.
 func (s *Store) grant(ttl time.Duration) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -29,7 +30,7 @@
 	return id
 }
 
-// EndLease ends a lease and removes its keys; LoseLeases does so to all.
+// EndLease ends a lease and removes its keys.
 func (s *Store) EndLease(id string) {
 	s.mu.Lock()
 	l := s.leases[id]
@@ -43,7 +44,7 @@
 	}
 }
 
-// LoseLeases ends all leases at once, with the keys under them.
+// LoseLeases ends all leases and removes their keys.
 func (s *Store) LoseLeases() {
 	s.mu.Lock()
 	var ids []string
@@ -56,7 +57,7 @@
 	}
 }
 
-// hold writes a key under a lease where nobody has it.
+// acquire writes a key under a lease where the key does not exist.
 func (s *Store) acquire(key, value, id string) bool {
 	s.mu.Lock()
 	l := s.leases[id]
@@ -71,6 +72,7 @@
 	return true
 }
 
+// renew extends a lease by its time to live; false where it has ended.
 func (s *Store) renew(id string) (time.Duration, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -82,63 +84,87 @@
 	return l.ttl, true
 }
 
+// handleLeases registers the handlers of leases and sessions.
 func (v *Server) handleLeases(m *http.ServeMux) {
-	etcd := func(path string, serve func(w http.ResponseWriter, body map[string]json.RawMessage)) {
+	for path, handle := range map[string]func(w http.ResponseWriter, body map[string]json.RawMessage){
+		"/v3/lease/grant":     v.etcdGrant,
+		"/v3/lease/keepalive": v.etcdKeepAlive,
+		"/v3/lease/revoke":    v.etcdRevoke,
+		"/v3/kv/txn":          v.etcdPutIfAbsent,
+	} {
 		m.HandleFunc("POST "+path, v.withFaults(func(w http.ResponseWriter, r *http.Request) {
 			var body map[string]json.RawMessage
 			_ = json.NewDecoder(r.Body).Decode(&body) // what is missing is zero
-			serve(w, body)
+			handle(w, body)
 		}))
 	}
-	text := func(raw json.RawMessage) (s string) { _ = json.Unmarshal(raw, &s); return s }
-	etcd("/v3/lease/grant", func(w http.ResponseWriter, body map[string]json.RawMessage) {
-		seconds, _ := strconv.Atoi(text(body["TTL"]))
-		fmt.Fprintf(w, `{"header":{},"ID":%q,"TTL":"%d"}`, v.store.grant(time.Duration(seconds)*time.Second), seconds)
-	})
-	etcd("/v3/lease/keepalive", func(w http.ResponseWriter, body map[string]json.RawMessage) {
-		ttl, ok := v.store.renew(text(body["ID"]))
-		if !ok {
-			fmt.Fprint(w, `{"result":{"header":{},"ID":"0"}}`)
-			return
-		}
-		fmt.Fprintf(w, `{"result":{"header":{},"ID":%s,"TTL":"%d"}}`, body["ID"], int(ttl.Seconds()))
-	})
-	etcd("/v3/lease/revoke", func(w http.ResponseWriter, body map[string]json.RawMessage) {
-		v.store.EndLease(text(body["ID"]))
-		fmt.Fprint(w, `{"header":{}}`)
-	})
-	etcd("/v3/kv/txn", func(w http.ResponseWriter, body map[string]json.RawMessage) {
-		var success []struct {
-			Put struct {
-				Key, Value []byte
-				Lease      string
-			} `json:"request_put"`
-		}
-		_ = json.Unmarshal(body["success"], &success) // what is missing is empty
-		p := success[0].Put
-		fmt.Fprintf(w, `{"header":{},"succeeded":%v}`, v.store.acquire(string(p.Key), string(p.Value), p.Lease))
-	})
-	m.HandleFunc("PUT /v1/session/create", v.withFaults(func(w http.ResponseWriter, r *http.Request) {
-		var ask struct{ TTL string }
-		_ = json.NewDecoder(r.Body).Decode(&ask) // what is missing is zero
-		ttl, _ := time.ParseDuration(ask.TTL)
-		fmt.Fprintf(w, `{"ID":%q}`, v.store.grant(ttl))
-	}))
-	m.HandleFunc("PUT /v1/session/renew/{id}", v.withFaults(func(w http.ResponseWriter, r *http.Request) {
-		ttl, ok := v.store.renew(r.PathValue("id"))
-		if !ok {
-			w.WriteHeader(http.StatusNotFound)
-			return
-		}
-		fmt.Fprintf(w, `[{"TTL":%q}]`, ttl)
-	}))
-	m.HandleFunc("PUT /v1/session/destroy/{id}", v.withFaults(func(w http.ResponseWriter, r *http.Request) {
-		v.store.EndLease(r.PathValue("id"))
-		fmt.Fprint(w, "true")
-	}))
-	m.HandleFunc("PUT /v1/kv/{key...}", v.withFaults(func(w http.ResponseWriter, r *http.Request) {
-		var value json.RawMessage
-		_ = json.NewDecoder(r.Body).Decode(&value) // what is missing is empty
-		fmt.Fprint(w, v.store.acquire(r.PathValue("key"), string(value), r.FormValue("acquire")))
-	}))
+	m.HandleFunc("PUT /v1/session/create", v.withFaults(v.consulCreateSession))
+	m.HandleFunc("PUT /v1/session/renew/{id}", v.withFaults(v.consulRenewSession))
+	m.HandleFunc("PUT /v1/session/destroy/{id}", v.withFaults(v.consulDestroySession))
+	m.HandleFunc("PUT /v1/kv/{key...}", v.withFaults(v.consulAcquire))
+}
+
+// textOf is a JSON string's value, "" for anything else.
+func textOf(raw json.RawMessage) (s string) {
+	_ = json.Unmarshal(raw, &s)
+	return s
+}
+
+func (v *Server) etcdGrant(w http.ResponseWriter, body map[string]json.RawMessage) {
+	seconds, _ := strconv.Atoi(textOf(body["TTL"]))
+	fmt.Fprintf(w, `{"header":{},"ID":%q,"TTL":"%d"}`, v.store.grant(time.Duration(seconds)*time.Second), seconds)
+}
+
+func (v *Server) etcdKeepAlive(w http.ResponseWriter, body map[string]json.RawMessage) {
+	ttl, ok := v.store.renew(textOf(body["ID"]))
+	if !ok {
+		fmt.Fprint(w, `{"result":{"header":{},"ID":"0"}}`)
+		return
+	}
+	fmt.Fprintf(w, `{"result":{"header":{},"ID":%s,"TTL":"%d"}}`, body["ID"], int(ttl.Seconds()))
+}
+
+func (v *Server) etcdRevoke(w http.ResponseWriter, body map[string]json.RawMessage) {
+	v.store.EndLease(textOf(body["ID"]))
+	fmt.Fprint(w, `{"header":{}}`)
+}
+
+// etcdPutIfAbsent answers the only transaction that clients use: a put where the key does not exist.
+func (v *Server) etcdPutIfAbsent(w http.ResponseWriter, body map[string]json.RawMessage) {
+	var success []struct {
+		Put struct {
+			Key, Value []byte
+			Lease      string
+		} `json:"request_put"`
+	}
+	_ = json.Unmarshal(body["success"], &success) // what is missing is empty
+	put := success[0].Put
+	fmt.Fprintf(w, `{"header":{},"succeeded":%v}`, v.store.acquire(string(put.Key), string(put.Value), put.Lease))
+}
+
+func (v *Server) consulCreateSession(w http.ResponseWriter, r *http.Request) {
+	var request struct{ TTL string }
+	_ = json.NewDecoder(r.Body).Decode(&request) // what is missing is zero
+	ttl, _ := time.ParseDuration(request.TTL)
+	fmt.Fprintf(w, `{"ID":%q}`, v.store.grant(ttl))
+}
+
+func (v *Server) consulRenewSession(w http.ResponseWriter, r *http.Request) {
+	ttl, ok := v.store.renew(r.PathValue("id"))
+	if !ok {
+		w.WriteHeader(http.StatusNotFound)
+		return
+	}
+	fmt.Fprintf(w, `[{"TTL":%q}]`, ttl)
+}
+
+func (v *Server) consulDestroySession(w http.ResponseWriter, r *http.Request) {
+	v.store.EndLease(r.PathValue("id"))
+	fmt.Fprint(w, "true")
+}
+
+func (v *Server) consulAcquire(w http.ResponseWriter, r *http.Request) {
+	var value json.RawMessage
+	_ = json.NewDecoder(r.Body).Decode(&value) // what is missing is empty
+	fmt.Fprint(w, v.store.acquire(r.PathValue("key"), string(value), r.FormValue("acquire")))
 }
