--- /dev/null
+++ b/internal/lab/emulator/baseline.go
@@ -0,0 +1,139 @@
+package emulator
+
+// This file owns the baselines: simple policies in the module's place, which send each op once and learn nothing of
+// members but who is primary.
+
+import (
+	"math/rand/v2"
+
+	"weirwind/logic"
+)
+
+// baseline sends writes to the member that was primary last, and reads by its rule.
+type baseline struct {
+	rule     string // one of the policies of a setup
+	types    []logic.OpType
+	random   *rand.Rand
+	members  map[int64][]string // by group
+	primary  map[int64]string   // by group: the member that was primary last
+	draining map[string]bool
+	group    map[string]int64 // by member
+	inFlight map[string]int   // by member
+	next     int              // of round-robin
+	kinds    map[string]int   // op types of open ops
+	actions  []logic.Action
+}
+
+func newBaseline(rule string, types []logic.OpType, seed uint64) *baseline {
+	return &baseline{
+		rule:     rule,
+		types:    types,
+		random:   rand.New(rand.NewPCG(seed, 77)),
+		members:  map[int64][]string{},
+		primary:  map[int64]string{},
+		draining: map[string]bool{},
+		group:    map[string]int64{},
+		inFlight: map[string]int{},
+		kinds:    map[string]int{},
+	}
+}
+
+// Step implements policy.
+func (b *baseline) Step(_ float64, events []logic.Event) []logic.Action {
+	b.actions = b.actions[:0]
+	for i := range events {
+		switch e := &events[i]; e.Kind {
+		case logic.EvMembers:
+			b.update(e.Members)
+		case logic.EvOp:
+			b.send(e)
+		case logic.EvAnswer:
+			b.answer(e)
+		}
+	}
+	return b.actions
+}
+
+// send sends an op to the chosen member, or refuses it where there is none.
+func (b *baseline) send(e *logic.Event) {
+	const margin = 15 // milliseconds that are left of the op's time behind the attempt
+	member := b.choose(e)
+	if member == "" {
+		b.actions = append(b.actions, logic.Action{Kind: logic.ActRefuse, Op: e.Op})
+		return
+	}
+	b.kinds[e.Op] = e.OpType
+	b.inFlight[member]++
+	b.actions = append(b.actions, logic.Action{Kind: logic.ActSend, Op: e.Op, Member: member, Wait: e.Left - margin})
+}
+
+// answer learns the role of a member from its answer, and answers an op that is still open: it refuses what is proved
+// not to have run or may run again.
+func (b *baseline) answer(e *logic.Event) {
+	b.inFlight[e.Member]--
+	if g := b.group[e.Member]; e.Note.Role == logic.Primary {
+		b.primary[g] = e.Member
+	} else if e.Note.Role == logic.Replica && b.primary[g] == e.Member {
+		delete(b.primary, g)
+	}
+	kind := b.kinds[e.Op]
+	delete(b.kinds, e.Op)
+	if e.Closed {
+		return
+	}
+	mayHaveRun := e.Outcome != logic.Miss && e.Outcome != logic.Full && e.Outcome != logic.ConnectFailed
+	if mayHaveRun && b.types[kind].Effect != logic.Retryable {
+		b.actions = append(b.actions, logic.Action{Kind: logic.ActFail, Op: e.Op})
+	} else {
+		b.actions = append(b.actions, logic.Action{Kind: logic.ActRefuse, Op: e.Op})
+	}
+}
+
+// update takes entries of the list of members.
+func (b *baseline) update(members []logic.ListEntry) {
+	for _, e := range members {
+		if _, known := b.group[e.Member]; !known {
+			b.members[e.Group] = append(b.members[e.Group], e.Member)
+			b.group[e.Member] = e.Group
+		}
+		if b.draining[e.Member] = e.Phase != logic.Ready; e.Primary {
+			b.primary[e.Group] = e.Member
+		}
+	}
+}
+
+// choose gives the member for an op, "" for none.
+func (b *baseline) choose(e *logic.Event) string {
+	var candidates []string
+	for _, m := range b.members[e.Group] {
+		if !b.draining[m] {
+			candidates = append(candidates, m)
+		}
+	}
+	if len(candidates) == 0 {
+		return ""
+	}
+	primary, known := b.primary[e.Group]
+	if !known || b.draining[primary] {
+		primary = b.drawOne(candidates)
+	}
+	if b.types[e.OpType].Need >= logic.Fresh || b.rule == PolicyPrimary {
+		return primary
+	}
+	switch b.rule {
+	case PolicyRoundRobin:
+		b.next++
+		return candidates[b.next%len(candidates)]
+	case PolicyLeastLoaded:
+		best := b.drawOne(candidates)
+		for _, m := range candidates {
+			if b.inFlight[m] < b.inFlight[best] {
+				best = m
+			}
+		}
+		return best
+	}
+	return b.drawOne(candidates)
+}
+
+func (b *baseline) drawOne(members []string) string { return members[b.random.IntN(len(members))] }
--- /dev/null
+++ b/internal/lab/emulator/switchover.go
@@ -0,0 +1,115 @@
+package emulator
+
+// This file owns notifications of planned changes between a hook and drivers, which go by internal/switchover as in the
+// driver. A driver learns of a change by messages alone.
+
+import (
+	"weirwind/internal/switchover"
+	"weirwind/logic"
+)
+
+const (
+	hookDelay     = 2.0  // milliseconds from a hook to its driver: a process that calls a socket
+	hookLead      = 50.0 // milliseconds from a hook to the change that it announces
+	observePeriod = 20.0 // milliseconds between two looks at the primary while a change is open, as in the driver
+)
+
+// switchoverTracker is the driver's state of planned changes, which the first notification creates.
+func (d *driver) switchoverTracker() *switchover.Tracker {
+	if d.switchovers == nil {
+		d.switchovers = switchover.New(
+			switchover.Config{
+				DefaultLease:      5000,
+				MaxHold:           60000,
+				ReleaseTimeout:    10000,
+				RoleQueryInterval: 1000,
+				Retention:         240000,
+				MaxGroups:         64,
+				Origin:            uint64(d.index),
+			},
+		)
+		d.draining = map[string]bool{}
+	}
+	return d.switchovers
+}
+
+// handleHook takes a hook's notification and sends it to all peers.
+func (d *driver) handleHook(n switchover.Notification) {
+	if d.down || d.deferIfPaused(func() { d.handleHook(n) }) {
+		return
+	}
+	accepted, outcome, err := d.switchoverTracker().HandleHook(d.now, n, "")
+	if err != nil {
+		d.audit.report("switch: %v", err)
+		return
+	}
+	d.applyOutcome(outcome)
+	for _, peer := range d.sim.drivers {
+		if peer == d {
+			continue
+		}
+		if latency, arrives := d.sim.transit(d.process, d.zone, peer.zone); arrives {
+			d.sendTo(peer.process, latency, func() { peer.handleNotification(accepted) })
+		}
+	}
+}
+
+// handleNotification takes a peer's notification.
+func (d *driver) handleNotification(n switchover.Notification) {
+	if d.down || d.deferIfPaused(func() { d.handleNotification(n) }) {
+		return
+	}
+	outcome, err := d.switchoverTracker().HandleNotification(d.now, n)
+	if err != nil {
+		d.audit.report("switch: %v", err)
+	}
+	d.applyOutcome(outcome)
+}
+
+// applyOutcome carries out what the tracker decided, and observes the primary for as long as a change is open.
+func (d *driver) applyOutcome(outcome switchover.Outcome) {
+	for _, m := range outcome.Marks {
+		d.draining[m.Member] = m.Draining
+		if e := d.list[d.listIndex[m.Member]]; e.Phase == logic.Ready {
+			if m.Draining {
+				e.Phase = logic.Draining
+			}
+			d.step(logic.Event{Kind: logic.EvMembers, List: logic.ListChanges, Members: []logic.ListEntry{e}})
+		}
+	}
+	for _, member := range outcome.QueryRoles {
+		d.probe(d.sim.membersByID[member])
+	}
+	if !d.observing && d.switchovers.Active() {
+		d.observing = true
+		d.observe()
+	}
+}
+
+// observe observes the primaries periodically while a change is open.
+func (d *driver) observe() {
+	d.schedule(observePeriod, func() {
+		if d.down || !d.switchovers.Active() {
+			d.observing = false
+			return
+		}
+		if d.now >= d.pausedUntil {
+			d.observePrimaries()
+		}
+		d.observe()
+	})
+}
+
+// observePrimaries gives the tracker the primaries that the module knows, and the time.
+func (d *driver) observePrimaries() {
+	memory, module := d.moduleMemory()
+	if !module {
+		return
+	}
+	for _, g := range memory.Groups {
+		if g.Held {
+			d.applyOutcome(d.switchovers.ObservePrimary(d.now, g.Group, g.Slot))
+		}
+	}
+	d.applyOutcome(d.switchovers.Tick(d.now))
+}
--- /dev/null
+++ b/internal/standin/cluster/deployment.go
@@ -0,0 +1,184 @@
+package cluster
+
+import (
+	"bytes"
+	"context"
+	"fmt"
+	"net"
+	"net/http"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"syscall"
+	"testing"
+
+	"weirwind/internal/controlplane"
+	"weirwind/internal/controlplane/agent"
+	"weirwind/internal/controlplane/consensus/store"
+	"weirwind/internal/dataplane/proxy"
+	"weirwind/internal/session/edge"
+	"weirwind/internal/session/site"
+	"weirwind/internal/standin/disk"
+	"weirwind/internal/util/process"
+)
+
+const (
+	roleVariable = "WEIRWIND_TEST_ROLE"
+	diskVariable = "WEIRWIND_TEST_DISK" // the control file of a machine's disk
+)
+
+// Main runs a role if this process was started for one, else the tests. It gives the exit code.
+func Main(m *testing.M) int {
+	roles := map[string]process.Role{"proxy": {Name: "proxy", Run: proxy.Run}, "agent": {Name: "agent", Run: agent.Run},
+		"controlplane": {Name: "controlplane", Run: controlplane.Run},
+		"sessionsite":  {Name: "sessionsite", Run: site.Run}, "sessionedge": {Name: "sessionedge", Run: edge.Run}}
+	if control := os.Getenv(diskVariable); control != "" {
+		store.FS = disk.FaultyFS(control)
+	}
+	if r, ok := roles[os.Getenv(roleVariable)]; ok {
+		return process.Main(r, nil, os.Stdout)
+	}
+	return m.Run()
+}
+
+// Deployment is one that runs. Its machines are named core0, agent0, proxy0, site0, edge0 and so on; agent and proxy of
+// one number share a machine.
+type Deployment struct {
+	Service *Service            // svc, of the members a, b and c
+	Nodes   map[string]*Service // that hold shards, by name
+	Cores   []string            // control addresses of the core machines
+
+	t         *testing.T
+	dir       string
+	network   int // the second byte of all addresses
+	basePort  int
+	meshPorts map[string]int      // the first port of processes that reach others' mesh ports there; others: basePort
+	seeds     map[string][]string // control addresses of processes that don't know the first three machines
+	siteCount int
+	processes map[string]*exec.Cmd
+	logs      map[string]*bytes.Buffer
+	platform  string // the address of the platform's API
+	stop      func()
+}
+
+// deployments counts those of this process, which must not share addresses.
+var deployments int
+
+// memberIDs are those of the service svc.
+var memberIDs = []string{"a", "b", "c"}
+
+// New starts core machines, fronts (an agent and a proxy each) and a service of three members with heartbeats. All of
+// it ends with the test.
+func New(t *testing.T, cores, fronts int) *Deployment {
+	t.Helper()
+	return newDeployment(t, cores, fronts, func(*Deployment) {}, direct)
+}
+
+func direct(addr string) string { return addr }
+
+// newDeployment lets prepare change what processes find as they start; members and platform are announced at what via
+// makes of their addresses.
+func newDeployment(
+	t *testing.T,
+	cores, fronts int,
+	prepare func(*Deployment),
+	via func(addr string) string,
+) *Deployment {
+	t.Helper()
+	deployments++
+	d := &Deployment{
+		t:         t,
+		dir:       t.TempDir(),
+		network:   os.Getpid()%200 + deployments,
+		basePort:  20000 + os.Getpid()%300*20,
+		processes: map[string]*exec.Cmd{},
+		logs:      map[string]*bytes.Buffer{},
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	d.stop = func() {
+		cancel()
+		for name := range d.processes {
+			d.Kill(name)
+		}
+	}
+	t.Cleanup(func() {
+		d.stop()
+		if t.Failed() {
+			d.dumpLogs()
+		}
+	})
+	d.startService(ctx, via)
+	for i := range cores {
+		d.Cores = append(d.Cores, net.JoinHostPort(d.ip(coreNet, i), fmt.Sprint(d.basePort+controlPort)))
+	}
+	prepare(d)
+	for i := range cores {
+		d.Start(fmt.Sprint("core", i), true)
+	}
+	for i := range fronts {
+		d.Start(fmt.Sprint("agent", i), true)
+		d.Start(fmt.Sprint("proxy", i), true)
+	}
+	for _, id := range memberIDs {
+		d.sendHeartbeats(ctx, d.Service, id)
+	}
+	return d
+}
+
+// startService starts the members of svc and the platform's API, until the context ends.
+func (d *Deployment) startService(ctx context.Context, via func(addr string) string) {
+	d.t.Helper()
+	d.Service = newService("svc", "1", memberIDs...)
+	for i, id := range memberIDs {
+		if err := d.Service.listen(ctx, id, d.ip(memberNet, i)+":0"); err != nil {
+			d.t.Fatal(err)
+		}
+		d.Service.addrs[id] = via(d.Service.addrs[id])
+	}
+	listener, err := net.Listen("tcp4", d.ip(platformNet, 0)+":0")
+	if err != nil {
+		d.t.Fatal(err)
+	}
+	d.platform = via(listener.Addr().String())
+	go func() { _ = http.Serve(listener, d.Service) }() // until its listener is closed
+	context.AfterFunc(ctx, func() { listener.Close() })
+}
+
+// dumpLogs writes the end of each process's log to the test's.
+func (d *Deployment) dumpLogs() {
+	const keep = 40
+	for name, log := range d.logs {
+		lines := strings.Split(log.String(), "\n")
+		d.t.Logf("%s:\n%s", name, strings.Join(lines[max(0, len(lines)-keep):], "\n"))
+	}
+}
+
+// Stop ends all processes.
+func (d *Deployment) Stop() { d.stop() }
+
+// Signal sends a signal to a process.
+func (d *Deployment) Signal(name string, s syscall.Signal) { _ = d.processes[name].Process.Signal(s) }
+
+// Kill ends a process at once and waits for its end.
+func (d *Deployment) Kill(name string) {
+	if c := d.processes[name]; c != nil {
+		_ = c.Process.Signal(syscall.SIGCONT)
+		_ = c.Process.Kill() // it may have ended
+		_ = c.Wait()         // it was killed
+		delete(d.processes, name)
+	}
+}
+
+func (d *Deployment) diskControlFile(name string) string { return filepath.Join(d.dir, name+".disk") }
+
+// SetDiskFaults gives a machine's disk the faults of package disk; none: it works.
+func (d *Deployment) SetDiskFaults(name string, faults ...string) {
+	d.t.Helper()
+	if err := os.WriteFile(d.diskControlFile(name), []byte(strings.Join(faults, " ")), 0o600); err != nil {
+		d.t.Fatal(err)
+	}
+}
+
+// EraseDisk empties a stopped core machine's disk.
+func (d *Deployment) EraseDisk(name string) { _ = os.RemoveAll(filepath.Join(d.dir, name)) }
--- a/internal/standin/cluster/history_test.go
+++ b/internal/standin/cluster/history_test.go
@@ -12,35 +12,35 @@
 	"github.com/anishathalye/porcupine"
 )
 
-type word struct {
-	show      bool
-	base, gen int
-	who       int
+type configCall struct {
+	show          bool
+	base, version int
+	operator      int
 }
 
-type told struct {
-	code, gen, who int
+type configAnswer struct {
+	code, version, operator int
 }
 
-// register is the operator's word as it must look from outside: versions follow each other, one change a base.
+// register models the configuration as operators see it: versions increase, and each base takes one change.
 var register = (&porcupine.NondeterministicModel{
-	Init: func() []any { return []any{told{200, 1, 0}} },
+	Init: func() []any { return []any{configAnswer{200, 1, 0}} },
 	Step: func(state, input, output any) []any {
-		s, in, out := state.(told), input.(word), output.(told)
+		s, in, out := state.(configAnswer), input.(configCall), output.(configAnswer)
 		if in.show {
-			if out.code != 200 || out.gen == s.gen && out.who == s.who {
+			if out.code != 200 || out.version == s.version && out.operator == s.operator {
 				return []any{s}
 			}
 			return nil
 		}
-		next := told{200, in.gen, in.who}
-		fits := in.base == s.gen && in.gen > s.gen
+		next := configAnswer{200, in.version, in.operator}
+		fits := in.base == s.version && in.version > s.version
 		switch {
 		case out.code == 200 && fits:
 			return []any{next}
-		case out.code == 200 && s.gen == in.gen && s.who == in.who: // an exact repeat
+		case out.code == 200 && s.version == in.version && s.operator == in.operator: // an exact repeat
 			return []any{s}
-		case out.code == 412 && in.base != s.gen, out.code == 400 && in.gen <= s.gen:
+		case out.code == 412 && in.base != s.version, out.code == 400 && in.version <= s.version:
 			return []any{s}
 		case out.code == 0 && fits: // without a clear answer it may be in force
 			return []any{s, next}
@@ -53,8 +53,8 @@
 }).ToModel()
 
 func TestOperatorsSeeOneHistory(t *testing.T) {
-	w := New(t, 3, 1)
-	w.Configure(1)
+	d := New(t, 3, 1)
+	d.Configure(1)
 	start := time.Now()
 	var mu sync.Mutex
 	var history []porcupine.Operation
@@ -70,24 +70,24 @@
 					return
 				default:
 				}
-				say := func(core int, in word) told {
+				say := func(core int, in configCall) configAnswer {
 					o := porcupine.Operation{ClientId: op, Input: in, Call: time.Since(start).Nanoseconds()}
-					var out told
+					var out configAnswer
 					if in.show {
-						code, body := w.Call("GET", w.Cores[core], "/config/show", "", nil)
+						code, body := d.Call("GET", d.Cores[core], "/config/show", "", nil)
 						var c struct {
 							Gen    int
 							Limits struct{ TxIdleMs int }
 						}
 						if out.code = code; code == 200 && json.Unmarshal([]byte(body), &c) == nil {
-							out.gen, out.who = c.Gen, max(c.Limits.TxIdleMs-1000, 0)
+							out.version, out.operator = c.Gen, max(c.Limits.TxIdleMs-1000, 0)
 							if c.Gen == 1 {
-								out.who = 0
+								out.operator = 0
 							}
 						}
 					} else {
-						body := fmt.Sprintf(`{"gen":%d,"routes":[],"svcs":[],"limits":{"txIdleMs":%d}}`, in.gen, 1000+in.who)
-						out.code, _ = w.Call("POST", w.Cores[core], "/config/replace", strconv.Itoa(in.base), []byte(body))
+						body := fmt.Sprintf(`{"gen":%d,"routes":[],"svcs":[],"limits":{"txIdleMs":%d}}`, in.version, 1000+in.operator)
+						out.code, _ = d.Call("POST", d.Cores[core], "/config/replace", strconv.Itoa(in.base), []byte(body))
 						if out.code >= 500 {
 							out.code = 0
 						}
@@ -101,9 +101,9 @@
 					mu.Unlock()
 					return out
 				}
-				seen := say((op+n)%3, word{show: true})
+				seen := say((op+n)%3, configCall{show: true})
 				if seen.code == 200 && op < 3 {
-					say((op+n+1)%3, word{base: seen.gen, gen: seen.gen + 1 + op, who: op + 1})
+					say((op+n+1)%3, configCall{base: seen.version, version: seen.version + 1 + op, operator: op + 1})
 				}
 			}
 		}()
@@ -115,14 +115,14 @@
 			return len(history) >= n
 		}
 	}
-	w.Eventually("some calls were answered", enough(40))
-	lead := leader(w)
-	w.Signal(lead, syscall.SIGSTOP)
-	w.Eventually("calls go on under another leader", enough(80))
-	w.Signal(lead, syscall.SIGCONT)
-	w.Eventually("and with the old one back", enough(120))
-	w.Kill(leader(w))
-	w.Eventually("and with two", enough(160))
+	d.Eventually("some calls were answered", enough(40))
+	lead := leader(d)
+	d.Signal(lead, syscall.SIGSTOP)
+	d.Eventually("calls go on under another leader", enough(80))
+	d.Signal(lead, syscall.SIGCONT)
+	d.Eventually("and with the old one back", enough(120))
+	d.Kill(leader(d))
+	d.Eventually("and with two", enough(160))
 	close(quit)
 	all.Wait()
 	if r := porcupine.CheckOperationsTimeout(register, history, 30*time.Second); r != porcupine.Ok {
--- /dev/null
+++ b/internal/standin/cluster/session.go
@@ -0,0 +1,302 @@
+package cluster
+
+// This file owns sessions at members: the wire protocol over replicaset's logs.
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"strconv"
+	"strings"
+	"time"
+
+	"weirwind/internal/dataplane/wire"
+	"weirwind/internal/shard/shardnode"
+	"weirwind/internal/standin/replicaset"
+)
+
+// Answers of members.
+const (
+	answerDone      = "DONE -\r\n"
+	answerMalformed = "FAIL MALFORMED\r\n"
+	answerAborted   = "FAIL ABORTED\r\n"
+	answerReadOnly  = "FAIL RDONLY\r\n"
+	unnumbered      = "-" // the query id of the control plane's statements
+)
+
+// session is a connection to a member, and its state. Functions that answer a statement give ok false where the answer
+// is lost and the connection ends.
+type session struct {
+	service  *Service
+	member   string
+	open     bool              // a transaction is
+	mayWrite bool              // the open transaction
+	failed   bool              // the open transaction: only COMMIT and ABORT are left to it
+	writes   []write           // of the open transaction
+	prepared map[string]string // verbs of prepared statements by name
+	counted  bool              // among the service's open transactions
+
+	shard       string // of the open transaction on a node; "" for none
+	epoch       uint64 // of that shard
+	shardWrites []string
+}
+
+// write is one of a transaction.
+type write struct{ statement, key, value string }
+
+// serve answers a connection until it ends.
+func (s *Service) serve(id string, conn net.Conn) {
+	defer func() {
+		s.mu.Lock()
+		delete(s.conns[id], conn)
+		s.mu.Unlock()
+		conn.Close()
+	}()
+	r := wire.NewReader(conn)
+	line, err := r.ReadMessage()
+	if err != nil {
+		return
+	}
+	if f := strings.Fields(line); len(f) < 3 || f[0] != wire.MsgAttach || f[1] != s.Name || len(f) > 3 && f[3] != id {
+		_, _ = io.WriteString(conn, "FAIL WRONGHOST\r\n")
+		return
+	}
+	c := &session{service: s, member: id, prepared: map[string]string{}}
+	fmt.Fprintf(conn, "READY I %s\r\n", c.position())
+	defer c.countOpen(false)
+	defer c.endConnection()
+	for {
+		line, err := r.ReadMessage()
+		if err != nil {
+			return
+		}
+		message, rest := wire.CutField(line)
+		if message != wire.MsgQuery {
+			return
+		}
+		answer, ok := c.query(wire.CutField(rest))
+		if !ok {
+			return // the answer is lost
+		}
+		c.countOpen(c.open)
+		if _, err := fmt.Fprintf(conn, "%sREADY %s %s\r\n", answer, c.state(), c.position()); err != nil {
+			return
+		}
+	}
+}
+
+// state is the transaction's in a READY message.
+func (c *session) state() string {
+	switch {
+	case c.failed:
+		return "E"
+	case c.open:
+		return "T"
+	}
+	return "I"
+}
+
+// countOpen keeps the service's count of open transactions.
+func (c *session) countOpen(open bool) {
+	c.service.mu.Lock()
+	defer c.service.mu.Unlock()
+	if open != c.counted {
+		c.service.openTransactions += map[bool]int{true: 1, false: -1}[open]
+		c.counted = open
+	}
+}
+
+// endConnection ends the shard's transaction of a connection that has ended.
+func (c *session) endConnection() {
+	c.service.mu.Lock()
+	defer c.service.mu.Unlock()
+	c.endShardTransaction()
+}
+
+func (c *session) position() wire.Position {
+	c.service.mu.Lock()
+	defer c.service.mu.Unlock()
+	return c.service.group.Member(c.member).Position()
+}
+
+// query answers a statement.
+func (c *session) query(id, text string) (answer string, ok bool) {
+	if c.service.Shards != nil && id == unnumbered && strings.HasPrefix(text, "SHARD ") {
+		return c.shardCommand(text)
+	}
+	return c.execute(id, text)
+}
+
+func (c *session) execute(id, text string) (answer string, ok bool) {
+	s := c.service
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	m := s.group.Member(c.member)
+	if !m.Up {
+		return "", false
+	}
+	after := ""
+	if p, rest := wire.CutField(text); p == "AFTER" {
+		after, text = wire.CutField(rest)
+	}
+	if shard, epoch, rest, on := shardnode.CutShardPrefix(text); on && s.Shards != nil {
+		return c.shardStatement(shard, epoch, id, rest)
+	}
+	if c.shard != "" && (id != unnumbered || text == "ABORT") {
+		return c.shardTransactionStatement(id, text)
+	}
+	verb, rest := wire.CutField(text)
+	if verb == "EXEC" {
+		name, args := wire.CutField(rest)
+		preparedVerb, ok := c.prepared[name]
+		if !ok {
+			return "FAIL NOSTMT " + name + "\r\n", true
+		}
+		verb, rest = preparedVerb, args
+	}
+	if at, ok := s.drained[c.member]; ok && time.Since(at) > maxDrainDelay && id != unnumbered && !c.open {
+		s.AfterDrain = append(s.AfterDrain, id)
+	}
+	if c.failed && verb != "ABORT" && verb != "COMMIT" {
+		return answerMalformed, true
+	}
+	if p, ok := wire.ParsePosition(after); ok && m.Position().Less(p) {
+		return c.fail(wire.CodeLagging)
+	}
+	if answer, ok := controlStatement(m, verb, rest); ok {
+		return answer, true
+	}
+	return c.statement(m, id, verb, rest)
+}
+
+// fail answers with an error code; an open transaction fails with it.
+func (c *session) fail(code string) (answer string, ok bool) {
+	c.failed = c.open
+	return "FAIL " + code + "\r\n", true
+}
+
+// done is the answer to a statement that succeeded.
+func (c *session) done(id string) string { return "DONE " + c.member + "." + id + "\r\n" }
+
+// controlStatement carries out what the control plane asks of a member; ok is false for other verbs.
+func controlStatement(m *replicaset.Member, verb, rest string) (answer string, ok bool) {
+	term, _ := strconv.ParseUint(rest, 10, 64)
+	switch verb {
+	case "STAT":
+	case "PAUSE":
+		m.Pause(term)
+	case "CONT":
+		m.Resume()
+	case "STEPDOWN":
+		m.StepDown(term)
+	default:
+		return "", false
+	}
+	status, role := m.Status(), "replica"
+	if status.Primary {
+		role = "primary"
+	}
+	return fmt.Sprintf("ROW %s %d %s %d 0 0 0\r\n"+answerDone, role, status.Term, status.Received,
+		status.PromisedTerm), true
+}
+
+// statement carries out a client's statement. The lock is held.
+func (c *session) statement(m *replicaset.Member, id, verb, rest string) (answer string, ok bool) {
+	switch verb {
+	case "RESET":
+		c.prepared = map[string]string{}
+		return answerDone, true
+	case "SET":
+		return answerDone, true
+	case "PREP":
+		name, shape := wire.CutField(rest)
+		c.prepared[name], _ = wire.CutField(shape)
+		return answerDone, true
+	case "BEGIN":
+		if rest == "" && !m.Primary {
+			return c.fail(wire.CodeReadOnly)
+		}
+		c.open, c.mayWrite, c.writes = true, rest == "", nil
+		return answerDone, true
+	case "ABORT":
+		c.open, c.failed, c.writes = false, false, nil
+		return answerDone, true
+	case "FETCH":
+		if c.open && c.mayWrite && !m.Primary {
+			return c.fail(wire.CodeReadOnly)
+		}
+		return "ROW " + c.service.data[rest] + "\r\n" + c.done(id), true
+	case "STORE":
+		return c.store(m, id, rest)
+	case "COMMIT":
+		return c.commitTransaction(m, id)
+	}
+	return answerMalformed, true
+}
+
+// store writes a value, as part of the open transaction or as one of its own. The lock is held.
+func (c *session) store(m *replicaset.Member, id, rest string) (answer string, ok bool) {
+	if !m.Primary {
+		return c.fail(wire.CodeReadOnly)
+	}
+	key, value := wire.CutField(rest)
+	c.writes = append(c.writes, write{id, key, value})
+	if c.open {
+		return c.done(id), true
+	}
+	return c.commit(m, id)
+}
+
+// commitTransaction commits the open transaction. The lock is held.
+func (c *session) commitTransaction(m *replicaset.Member, id string) (answer string, ok bool) {
+	if c.failed || !c.open {
+		c.open, c.failed, c.writes = false, false, nil
+		return answerAborted, true
+	}
+	c.open = false
+	if len(c.writes) == 0 {
+		return c.done(id), true
+	}
+	if !m.Primary {
+		c.writes = nil
+		return answerReadOnly, true
+	}
+	return c.commit(m, id)
+}
+
+// commit appends to the primary's log, replicates, and waits until the commit is acknowledged. The lock is held but
+// while it waits.
+func (c *session) commit(m *replicaset.Member, id string) (answer string, ok bool) {
+	s := c.service
+	writes := c.writes
+	c.writes = nil
+	s.group.Write(m, id)
+	lost := s.loseAnswer()
+	for {
+		s.group.Replicate(func(*replicaset.Member) bool { return true })
+		if s.group.Acked[id] {
+			break
+		}
+		if !m.Up || !m.Primary {
+			return "", false
+		}
+		progress := s.progress
+		s.mu.Unlock()
+		<-progress
+		s.mu.Lock()
+	}
+	for _, w := range writes {
+		s.Executions[w.statement]++
+		s.data[w.key] = w.value
+	}
+	return c.done(id), !lost
+}
+
+// loseAnswer says whether the next answer to a write is to be lost. The lock is held.
+func (s *Service) loseAnswer() bool {
+	if s.LoseAnswers == 0 {
+		return false
+	}
+	s.LoseAnswers--
+	return true
+}
--- a/internal/standin/cluster/sessions_test.go
+++ b/internal/standin/cluster/sessions_test.go
@@ -23,43 +23,43 @@
 	"weirwind/sessionclient"
 )
 
-// attendee is a client of the evening with its account.
-type attendee struct {
-	mu     sync.Mutex
-	id     string
-	s      *sessionclient.Session
-	got    []string
-	queued []string
-	sent   []string
-	took   []string
-	quiet  time.Duration // longest pause between two messages
-	last   time.Time
+// sessionUser is a client with an open session, and all that it received, sent and was sent.
+type sessionUser struct {
+	mu           sync.Mutex
+	id           string
+	session      *sessionclient.Session
+	received     []string
+	queued       []string
+	sent         []string
+	consumed     []string
+	longestGap   time.Duration // longest pause between two messages
+	lastReceived time.Time
 }
 
-func (w *Deployment) siteHTTP(n int) string { return fmt.Sprintf("%s:%d", w.ip(5, n), w.basePort+5) }
+func (d *Deployment) siteHTTP(n int) string { return fmt.Sprintf("%s:%d", d.ip(5, n), d.basePort+5) }
 
-func (w *Deployment) edgeURL(n int) string {
-	return fmt.Sprintf("ws://%s:%d", w.ip(6, n), w.basePort+4)
+func (d *Deployment) edgeURL(n int) string {
+	return fmt.Sprintf("ws://%s:%d", d.ip(6, n), d.basePort+4)
 }
 
 // sessionSites starts so many sites and two edges, and waits until they serve.
 func sessionSites(t *testing.T, n int) *Deployment {
-	w := New(t, 3, 0)
+	d := New(t, 3, 0)
 	for i := range n {
-		w.Start(fmt.Sprint("site", i), false)
+		d.Start(fmt.Sprint("site", i), false)
 	}
 	for i := range 2 {
-		w.Start(fmt.Sprint("edge", i), false)
+		d.Start(fmt.Sprint("edge", i), false)
 	}
-	w.Eventually("all sites are in", func() bool {
-		return len(w.in()) == n
+	d.Eventually("all sites are in", func() bool {
+		return len(d.activeSites()) == n
 	})
-	return w
+	return d
 }
 
-func (w *Deployment) in() (in []string) {
-	for _, c := range w.Cores {
-		if code, s := w.Call("GET", c, "/sites", "", nil); code == 200 {
+func (d *Deployment) activeSites() (in []string) {
+	for _, c := range d.Cores {
+		if code, s := d.Call("GET", c, "/sites", "", nil); code == 200 {
 			var m sites.Map
 			json.Unmarshal([]byte(s), &m)
 			for name, site := range m.Sites {
@@ -73,24 +73,24 @@
 	return nil
 }
 
-func (w *Deployment) attendees(ctx context.Context, n int) []*attendee {
-	var all []*attendee
+func (d *Deployment) openSessions(ctx context.Context, n int) []*sessionUser {
+	var all []*sessionUser
 	for i := range n {
-		a := &attendee{last: time.Now()}
+		a := &sessionUser{lastReceived: time.Now()}
 		all = append(all, a)
-		a.s = sessionclient.Open(ctx, []string{w.edgeURL(i % 2), w.edgeURL((i + 1) % 2)}, "", 0)
-		<-a.s.Opened()
-		token, _ := a.s.Token()
+		a.session = sessionclient.Open(ctx, []string{d.edgeURL(i % 2), d.edgeURL((i + 1) % 2)}, "", 0)
+		<-a.session.Opened()
+		token, _ := a.session.Token()
 		a.id, _, _ = strings.Cut(token, ".")
 		go func() {
-			for m := range a.s.Messages() {
+			for m := range a.session.Messages() {
 				a.mu.Lock()
-				a.got = append(a.got, string(m))
-				if now := time.Now(); len(a.got) > 1 {
-					a.quiet = max(a.quiet, now.Sub(a.last))
-					a.last = now
+				a.received = append(a.received, string(m))
+				if now := time.Now(); len(a.received) > 1 {
+					a.longestGap = max(a.longestGap, now.Sub(a.lastReceived))
+					a.lastReceived = now
 				} else {
-					a.last = now
+					a.lastReceived = now
 				}
 				a.mu.Unlock()
 			}
@@ -100,10 +100,10 @@
 }
 
 // produce queues messages until stopped.
-func (w *Deployment) produce(ctx context.Context, a *attendee, n int, every time.Duration) {
+func (d *Deployment) produce(ctx context.Context, a *sessionUser, n int, every time.Duration) {
 	var addrs []string
-	for k := range w.siteCount {
-		addrs = append(addrs, w.siteHTTP(k))
+	for k := range d.siteCount {
+		addrs = append(addrs, d.siteHTTP(k))
 	}
 	tick := time.NewTicker(every)
 	defer tick.Stop()
@@ -125,12 +125,12 @@
 	}
 }
 
-// consume takes what the client sent.
-func (w *Deployment) consume(ctx context.Context, a *attendee) {
+// consume reads and acknowledges what the client sent, as a consumer does.
+func (d *Deployment) consume(ctx context.Context, a *sessionUser) {
 	client := http.Client{Timeout: 3 * time.Second}
 	after := uint64(0)
 	for n := 0; ctx.Err() == nil; n++ {
-		resp, err := client.Get(fmt.Sprintf("http://%s/sessions/%s/inbox?after=%d", w.siteHTTP(n%w.siteCount), a.id, after))
+		resp, err := client.Get(fmt.Sprintf("http://%s/sessions/%s/inbox?after=%d", d.siteHTTP(n%d.siteCount), a.id, after))
 		if err == nil {
 			var msgs []struct {
 				N    uint64
@@ -139,11 +139,11 @@
 			if resp.StatusCode == 200 && json.NewDecoder(resp.Body).Decode(&msgs) == nil && len(msgs) > 0 {
 				a.mu.Lock()
 				for _, m := range msgs {
-					a.took = append(a.took, m.Body)
+					a.consumed = append(a.consumed, m.Body)
 					after = m.N
 				}
 				a.mu.Unlock()
-				if r, err := client.Post(fmt.Sprintf("http://%s/sessions/%s/took?n=%d", w.siteHTTP(n%w.siteCount), a.id, after), "", nil); err == nil {
+				if r, err := client.Post(fmt.Sprintf("http://%s/sessions/%s/took?n=%d", d.siteHTTP(n%d.siteCount), a.id, after), "", nil); err == nil {
 					r.Body.Close()
 				}
 			}
@@ -153,15 +153,15 @@
 	}
 }
 
-// live runs an evening's traffic for all attendees; end stops it and audits every message in both directions.
-func (w *Deployment) live(all []*attendee) (end func() (quiet []time.Duration)) {
+// startTraffic runs traffic for all users; end stops it and audits every message in both directions.
+func (d *Deployment) startTraffic(all []*sessionUser) (end func() (quiet []time.Duration)) {
 	ctx, stop := context.WithCancel(context.Background())
 	taking, done := context.WithCancel(context.Background())
 	var writers, takers sync.WaitGroup
 	for i, a := range all {
 		writers.Add(2)
 		takers.Add(1)
-		go func() { defer writers.Done(); w.produce(ctx, a, i, 25*time.Millisecond) }()
+		go func() { defer writers.Done(); d.produce(ctx, a, i, 25*time.Millisecond) }()
 		go func() {
 			defer writers.Done()
 			tick := time.NewTicker(60 * time.Millisecond)
@@ -176,23 +176,23 @@
 				a.mu.Lock()
 				a.sent = append(a.sent, body)
 				a.mu.Unlock()
-				_ = a.s.Send([]byte(body))
+				_ = a.session.Send([]byte(body))
 			}
 		}()
-		go func() { defer takers.Done(); w.consume(taking, a) }()
+		go func() { defer takers.Done(); d.consume(taking, a) }()
 	}
 	return func() (quiet []time.Duration) {
 		stop()
 		writers.Wait()
 		defer func() {
-			if r := recover(); r != nil || w.t.Failed() {
-				w.t.Log(w.accounts(all))
+			if r := recover(); r != nil || d.t.Failed() {
+				d.t.Log(d.describeMissing(all))
 			}
 		}()
-		w.Eventually("all that was queued and sent has come", func() bool {
+		d.Eventually("all that was queued and sent was delivered", func() bool {
 			for _, a := range all {
 				a.mu.Lock()
-				ok := len(a.got) >= len(a.queued) && len(a.took) >= len(a.sent)
+				ok := len(a.received) >= len(a.queued) && len(a.consumed) >= len(a.sent)
 				a.mu.Unlock()
 				if !ok {
 					return false
@@ -205,13 +205,13 @@
 		for _, a := range all {
 			a.mu.Lock()
 			So(len(a.queued), ShouldBeGreaterThan, 5)
-			if !slices.Equal(a.got, a.queued) {
-				So(fmt.Sprint(a.got), ShouldEqual, fmt.Sprint(a.queued))
+			if !slices.Equal(a.received, a.queued) {
+				So(fmt.Sprint(a.received), ShouldEqual, fmt.Sprint(a.queued))
 			}
-			if !slices.Equal(a.took, a.sent) {
-				So(fmt.Sprint(a.took), ShouldEqual, fmt.Sprint(a.sent))
+			if !slices.Equal(a.consumed, a.sent) {
+				So(fmt.Sprint(a.consumed), ShouldEqual, fmt.Sprint(a.sent))
 			}
-			quiet = append(quiet, a.quiet)
+			quiet = append(quiet, a.longestGap)
 			a.mu.Unlock()
 		}
 		slices.Sort(quiet)
@@ -219,15 +219,15 @@
 	}
 }
 
-// accounts says how far each attendee is, and what sites know of it.
-func (w *Deployment) accounts(all []*attendee) string {
+// describeMissing says which users lack messages, and what sites know of them.
+func (d *Deployment) describeMissing(all []*sessionUser) string {
 	var b strings.Builder
 	for _, a := range all {
 		a.mu.Lock()
-		if len(a.got) < len(a.queued) || len(a.took) < len(a.sent) {
-			fmt.Fprintf(&b, "%s: %d of %d came, %d of %d taken, %d pending, %d connections\n", a.id[:6], len(a.got), len(a.queued), len(a.took), len(a.sent), a.s.Pending(), a.s.Connections())
-			for n := range w.siteCount {
-				_, s := w.Call("GET", w.siteHTTP(n), "/sessions/"+a.id, "", nil)
+		if len(a.received) < len(a.queued) || len(a.consumed) < len(a.sent) {
+			fmt.Fprintf(&b, "%s: %d of %d came, %d of %d taken, %d pending, %d connections\n", a.id[:6], len(a.received), len(a.queued), len(a.consumed), len(a.sent), a.session.Pending(), a.session.Connections())
+			for n := range d.siteCount {
+				_, s := d.Call("GET", d.siteHTTP(n), "/sessions/"+a.id, "", nil)
 				fmt.Fprintf(&b, "  site%d: %s\n", n, s)
 			}
 		}
@@ -236,8 +236,8 @@
 	return b.String()
 }
 
-func (w *Deployment) homes(n int) int {
-	_, s := w.Call("GET", w.siteHTTP(n), "/status", "", nil)
+func (d *Deployment) sessionsAt(n int) int {
+	_, s := d.Call("GET", d.siteHTTP(n), "/status", "", nil)
 	var v struct{ Homes int }
 	if json.Unmarshal([]byte(s), &v) != nil {
 		return -1
@@ -246,19 +246,19 @@
 }
 
 func TestSessionsOfSites(t *testing.T) {
-	Convey("In an evening with sessions open at three sites", t, func() {
-		w := sessionSites(t, 3)
-		Reset(w.Stop)
-		w.siteCount = 3
+	Convey("With sessions open at three sites", t, func() {
+		d := sessionSites(t, 3)
+		Reset(d.Stop)
+		d.siteCount = 3
 		ctx, stop := context.WithCancel(context.Background())
 		Reset(stop)
-		all := w.attendees(ctx, 12)
-		end := w.live(all)
-		said := func() {
-			w.Eventually("messages come", func() bool {
+		all := d.openSessions(ctx, 12)
+		end := d.startTraffic(all)
+		waitForMessages := func() {
+			d.Eventually("messages come", func() bool {
 				for _, a := range all {
 					a.mu.Lock()
-					n := len(a.got)
+					n := len(a.received)
 					a.mu.Unlock()
 					if n < 10 {
 						return false
@@ -269,173 +269,173 @@
 		}
 		open := func() {
 			for _, a := range all {
-				So(a.s.Connections(), ShouldEqual, 1)
+				So(a.session.Connections(), ShouldEqual, 1)
 			}
 		}
 		busy := func() int { // a site with sessions
 			best := 0
 			for n := range 3 {
-				if w.homes(n) > w.homes(best) {
+				if d.sessionsAt(n) > d.sessionsAt(best) {
 					best = n
 				}
 			}
 			return best
 		}
-		tell := func(args ...string) (int, string) {
+		sessionsCommand := func(args ...string) (int, string) {
 			var b bytes.Buffer
 			code := weirctl.Main(append([]string{"sessions"}, args...), &b, &b)
 			return code, b.String()
 		}
-		said()
-		Convey("a site is pulled: every queued message comes once and in order, on sessions that stay open", func() {
-			w.Kill(fmt.Sprint("site", busy()))
-			w.Eventually("it is out", func() bool { return len(w.in()) == 2 })
+		waitForMessages()
+		Convey("a site is killed: every queued message is delivered once and in order, on sessions that stay open", func() {
+			d.Kill(fmt.Sprint("site", busy()))
+			d.Eventually("it is out", func() bool { return len(d.activeSites()) == 2 })
 			quiet := end()
 			open()
-			t.Logf("pulled: longest silence %v", quiet[len(quiet)-1])
+			t.Logf("killed: longest gap %v", quiet[len(quiet)-1])
 			So(quiet[len(quiet)-1], ShouldBeLessThan, 8*time.Second)
 		})
 		Convey("a site is drained, and comes back", func() {
 			n := busy()
-			code, _ := tell("drain", "-pace", "50", w.Cores[0], fmt.Sprint("site", n))
+			code, _ := sessionsCommand("drain", "-pace", "50", d.Cores[0], fmt.Sprint("site", n))
 			So(code, ShouldEqual, 0)
-			w.Eventually("its sessions are elsewhere", func() bool { return w.homes(n) == 0 })
-			code, s := tell("status", w.Cores[1])
+			d.Eventually("its sessions are elsewhere", func() bool { return d.sessionsAt(n) == 0 })
+			code, s := sessionsCommand("status", d.Cores[1])
 			So(code, ShouldEqual, 0)
 			So(s, ShouldContainSubstring, "draining")
-			code, s = tell("show", w.Cores[1], all[0].id)
+			code, s = sessionsCommand("show", d.Cores[1], all[0].id)
 			So(code, ShouldEqual, 0)
 			So(s, ShouldContainSubstring, `"home":"site`)
-			code, _ = tell("undrain", w.Cores[2], fmt.Sprint("site", n))
+			code, _ = sessionsCommand("undrain", d.Cores[2], fmt.Sprint("site", n))
 			So(code, ShouldEqual, 0)
 			quiet := end()
 			open()
-			t.Logf("drained: longest silence %v", quiet[len(quiet)-1])
+			t.Logf("drained: longest gap %v", quiet[len(quiet)-1])
 		})
 		Convey("a site is frozen until its sessions were handed on, and thawed: it delivers nothing", func() {
 			site := fmt.Sprint("site", busy())
-			w.Signal(site, syscall.SIGSTOP)
-			w.Eventually("it is out", func() bool { return len(w.in()) == 2 })
-			w.Signal(site, syscall.SIGCONT)
-			w.Eventually("it has begun anew", func() bool { return len(w.in()) == 3 })
+			d.Signal(site, syscall.SIGSTOP)
+			d.Eventually("it is out", func() bool { return len(d.activeSites()) == 2 })
+			d.Signal(site, syscall.SIGCONT)
+			d.Eventually("it has begun anew", func() bool { return len(d.activeSites()) == 3 })
 			end()
 			open()
 		})
-		Convey("a site is told to end: it hands its sessions on first", func() {
+		Convey("a site gets SIGTERM: it hands its sessions over first", func() {
 			site := fmt.Sprint("site", busy())
-			w.Signal(site, syscall.SIGTERM)
-			w.processes[site].Wait()
+			d.Signal(site, syscall.SIGTERM)
+			d.processes[site].Wait()
 			end()
 			open()
 		})
-		Convey("an edge is pulled: its clients go on at the other one", func() {
-			w.Kill("edge0")
+		Convey("an edge is killed: its clients go on at the other one", func() {
+			d.Kill("edge0")
 			end()
 			for _, a := range all {
-				So(a.s.Connections(), ShouldBeLessThanOrEqualTo, 2)
+				So(a.session.Connections(), ShouldBeLessThanOrEqualTo, 2)
 			}
 		})
-		Convey("a site is pulled together with the core's leader", func() {
-			w.Kill(leader(w))
-			w.Kill(fmt.Sprint("site", busy()))
-			w.Eventually("it is out", func() bool { return len(w.in()) == 2 })
+		Convey("a site is killed together with the core's leader", func() {
+			d.Kill(leader(d))
+			d.Kill(fmt.Sprint("site", busy()))
+			d.Eventually("it is out", func() bool { return len(d.activeSites()) == 2 })
 			end()
 			open()
 		})
 		Convey("one is drained while its neighbour dies", func() {
 			n := busy()
-			tell("drain", "-pace", "6", w.Cores[0], fmt.Sprint("site", n))
-			w.Kill(fmt.Sprint("site", (n+1)%3))
-			w.Eventually("the dead one is out", func() bool { return len(w.in()) == 1 })
-			tell("undrain", w.Cores[1], fmt.Sprint("site", n))
-			w.Eventually("two are in", func() bool { return len(w.in()) == 2 })
+			sessionsCommand("drain", "-pace", "6", d.Cores[0], fmt.Sprint("site", n))
+			d.Kill(fmt.Sprint("site", (n+1)%3))
+			d.Eventually("the dead one is out", func() bool { return len(d.activeSites()) == 1 })
+			sessionsCommand("undrain", d.Cores[1], fmt.Sprint("site", n))
+			d.Eventually("two are in", func() bool { return len(d.activeSites()) == 2 })
 			end()
 			open()
 		})
 	})
 }
 
-// What a bad or old token, a plain client, and a message too long are answered.
+// The answers to a bad or old token, to a plain client, and to a message that is too long.
 func TestSessionsBounds(t *testing.T) {
 	Convey("With two sites and an edge", t, func() {
-		w := sessionSites(t, 2)
-		Reset(w.Stop)
-		w.siteCount = 2
+		d := sessionSites(t, 2)
+		Reset(d.Stop)
+		d.siteCount = 2
 		ctx, stop := context.WithTimeout(context.Background(), 30*time.Second)
 		Reset(stop)
-		at := strings.TrimPrefix(w.edgeURL(0), "ws://")
-		code, _ := w.Call("GET", at, "/session?token=short", "", nil)
+		at := strings.TrimPrefix(d.edgeURL(0), "ws://")
+		code, _ := d.Call("GET", at, "/session?token=short", "", nil)
 		So(code, ShouldEqual, 400)
-		code, _ = w.Call("GET", at, "/session?got=x", "", nil)
+		code, _ = d.Call("GET", at, "/session?got=x", "", nil)
 		So(code, ShouldEqual, 400)
-		a := w.attendees(ctx, 1)[0]
-		token, _ := a.s.Token()
-		stolen := sessionclient.Open(ctx, []string{w.edgeURL(0)}, a.id+"."+strings.Repeat("0", 32), 0)
+		a := d.openSessions(ctx, 1)[0]
+		token, _ := a.session.Token()
+		stolen := sessionclient.Open(ctx, []string{d.edgeURL(0)}, a.id+"."+strings.Repeat("0", 32), 0)
 		_, come := <-stolen.Messages()
 		So(come, ShouldBeFalse)
 		So(stolen.Err(), ShouldNotBeNil)
-		big, _ := w.Call("POST", w.siteHTTP(0), "/sessions/"+a.id+"/messages", "", make([]byte, 100<<10))
+		big, _ := d.Call("POST", d.siteHTTP(0), "/sessions/"+a.id+"/messages", "", make([]byte, 100<<10))
 		So(big, ShouldEqual, 413)
-		unknown, _ := w.Call("POST", w.siteHTTP(0), "/sessions/"+strings.Repeat("0", 32)+"/messages", "", []byte("x"))
+		unknown, _ := d.Call("POST", d.siteHTTP(0), "/sessions/"+strings.Repeat("0", 32)+"/messages", "", []byte("x"))
 		So(unknown, ShouldEqual, 404)
-		// The same token again takes the session over; the one before is told.
-		again := sessionclient.Open(ctx, []string{w.edgeURL(1)}, token, 0)
+		// The same token again takes the session over; the first connection is closed.
+		again := sessionclient.Open(ctx, []string{d.edgeURL(1)}, token, 0)
 		<-again.Opened()
-		w.Eventually("the first has ended", func() bool { return a.s.Err() != nil })
+		d.Eventually("the first has ended", func() bool { return a.session.Err() != nil })
 		again.Close()
 		// A plain client gets bodies alone, and its socket outlives its site.
-		c, _, err := websocket.Dial(ctx, w.edgeURL(0)+"/session", nil)
+		c, _, err := websocket.Dial(ctx, d.edgeURL(0)+"/session", nil)
 		So(err, ShouldBeNil)
 		So(c.Write(ctx, websocket.MessageText, []byte("hello")), ShouldBeNil)
 		c.CloseNow()
 	})
 }
 
-// TestLongSessions plays sites pulled, drained and frozen, one at a time, for as long as SESSIONS says (a duration; not in CI).
+// Sites are killed, drained and frozen, one at a time, for as long as SESSIONS says (a duration; not in CI).
 func TestLongSessions(t *testing.T) {
 	long, err := time.ParseDuration(os.Getenv("SESSIONS"))
 	if err != nil {
-		t.Skip("SESSIONS=30m plays one")
+		t.Skip("SESSIONS=30m runs it")
 	}
-	Convey("An evening", t, func() {
-		w := sessionSites(t, 4)
-		w.siteCount = 4
+	Convey("A long run", t, func() {
+		d := sessionSites(t, 4)
+		d.siteCount = 4
 		ctx, stop := context.WithCancel(context.Background())
-		Reset(w.Stop)
+		Reset(d.Stop)
 		Reset(stop)
-		all := w.attendees(ctx, 24)
-		end := w.live(all)
+		all := d.openSessions(ctx, 24)
+		end := d.startTraffic(all)
 		faults := map[string]int{}
 		for until := time.Now().Add(long); time.Now().Before(until); {
 			n := rand.IntN(4)
 			site := fmt.Sprint("site", n)
 			switch rand.IntN(5) {
 			case 0:
-				faults["pulled"]++
-				w.Kill(site)
-				w.Eventually("out", func() bool { return len(w.in()) == 3 })
-				w.Start(site, false)
+				faults["killed"]++
+				d.Kill(site)
+				d.Eventually("out", func() bool { return len(d.activeSites()) == 3 })
+				d.Start(site, false)
 			case 1:
 				faults["frozen"]++
-				w.Signal(site, syscall.SIGSTOP)
-				w.Eventually("out", func() bool { return len(w.in()) == 3 })
-				w.Signal(site, syscall.SIGCONT)
+				d.Signal(site, syscall.SIGSTOP)
+				d.Eventually("out", func() bool { return len(d.activeSites()) == 3 })
+				d.Signal(site, syscall.SIGCONT)
 			case 2:
 				faults["drained"]++
-				w.Call("POST", w.Cores[0], "/sites/"+site+"/drain", "", nil)
-				w.Eventually("empty", func() bool { return w.homes(n) == 0 })
-				w.Call("POST", w.Cores[0], "/sites/"+site+"/undrain", "", nil)
+				d.Call("POST", d.Cores[0], "/sites/"+site+"/drain", "", nil)
+				d.Eventually("empty", func() bool { return d.sessionsAt(n) == 0 })
+				d.Call("POST", d.Cores[0], "/sites/"+site+"/undrain", "", nil)
 			case 3:
-				faults["edge pulled"]++
-				w.Kill("edge1")
-				w.Start("edge1", false)
+				faults["edge killed"]++
+				d.Kill("edge1")
+				d.Start("edge1", false)
 			case 4:
 				faults["core leader killed"]++
-				lead := leader(w)
-				w.Kill(lead)
-				w.Start(lead, false)
+				lead := leader(d)
+				d.Kill(lead)
+				d.Start(lead, false)
 			}
-			w.Eventually("all are in", func() bool { return len(w.in()) == 4 })
+			d.Eventually("all are in", func() bool { return len(d.activeSites()) == 4 })
 			<-time.After(1500 * time.Millisecond)
 		}
 		quiet := end()
@@ -443,6 +443,6 @@
 		for _, a := range all {
 			n += len(a.queued)
 		}
-		t.Logf("%v; %d messages, silences up to %v, at the median %v", faults, n, quiet[len(quiet)-1], quiet[len(quiet)/2])
+		t.Logf("%v; %d messages, gaps up to %v, at the median %v", faults, n, quiet[len(quiet)-1], quiet[len(quiet)/2])
 	})
 }
--- a/internal/standin/cluster/voters_test.go
+++ b/internal/standin/cluster/voters_test.go
@@ -12,42 +12,42 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// catchUp is how long a new machine of the core has until another may be lost (the sites' catchupS).
-const catchUp = 4 * time.Second
+// catchUpTime is how long a new core machine has until another may be lost (the sites' catchupS).
+const catchUpTime = 4 * time.Second
 
-// An operator replaces the machine of the core that leads, in order or by pulling its plug. The new one votes in its place inside
-// catchUp, and then the machine that leads goes down. The next change is acknowledged by the two that are left.
+// The leading core machine is replaced, by a planned shutdown or a crash. The new one votes in its place within
+// catchUpTime, and then the leader crashes. The next change is acknowledged by the two that are left.
 func TestSecondLossBehindAReplacement(t *testing.T) {
 	for _, how := range []string{"planned", "gone"} {
 		Convey("The machine that leads is replaced by an empty one at another address, "+how, t, func() {
-			w := New(t, 3, 1)
-			Reset(w.Stop)
-			w.Configure(1)
-			w.Eventually("all three vote", func() bool { return votes(w, 0, w.Cores...) })
-			old := leader(w)
-			oldAddr := w.Cores[old[4]-'0']
+			d := New(t, 3, 1)
+			Reset(d.Stop)
+			d.Configure(1)
+			d.Eventually("all three vote", func() bool { return votersAre(d, 0, d.Cores...) })
+			old := leader(d)
+			oldAddr := d.Cores[old[4]-'0']
 			if how == "gone" {
-				w.Kill(old)
+				d.Kill(old)
 			}
-			w.Cores = append(w.Cores, net.JoinHostPort(w.ip(1, 3), fmt.Sprint(w.basePort+3)))
+			d.Cores = append(d.Cores, net.JoinHostPort(d.ip(1, 3), fmt.Sprint(d.basePort+3)))
 			began := time.Now()
-			w.Start("core3", false)
+			d.Start("core3", false)
 			if how == "planned" {
-				w.Eventually("the new one votes", func() bool { return votes(w, 3, w.Cores...) })
-				w.Signal(old, syscall.SIGTERM)
-				w.processes[old].Wait()
-				delete(w.processes, old)
+				d.Eventually("the new one votes", func() bool { return votersAre(d, 3, d.Cores...) })
+				d.Signal(old, syscall.SIGTERM)
+				d.processes[old].Wait()
+				delete(d.processes, old)
 			}
-			left := slices.DeleteFunc(slices.Clone(w.Cores), func(a string) bool { return a == oldAddr })
-			w.Eventually("the new one votes in place of the old one", func() bool { return votes(w, 3, left...) })
-			So(time.Since(began), ShouldBeLessThan, catchUp)
-			second := leader(w)
-			w.Kill(second)
+			left := slices.DeleteFunc(slices.Clone(d.Cores), func(a string) bool { return a == oldAddr })
+			d.Eventually("the new one votes in place of the old one", func() bool { return votersAre(d, 3, left...) })
+			So(time.Since(began), ShouldBeLessThan, catchUpTime)
+			second := leader(d)
+			d.Kill(second)
 			began = time.Now()
-			w.Eventually("the next change is taken", func() bool {
-				for i, a := range w.Cores {
+			d.Eventually("the next change is taken", func() bool {
+				for i, a := range d.Cores {
 					if name := fmt.Sprint("core", i); name != old && name != second {
-						if code, _ := w.Call("POST", a, "/config/replace", "1", Config(2)); code == 200 {
+						if code, _ := d.Call("POST", a, "/config/replace", "1", Config(2)); code == 200 {
 							return true
 						}
 					}
@@ -59,9 +59,9 @@
 	}
 }
 
-// votes says whether a machine knows these, and no others, to vote.
-func votes(w *Deployment, at int, addrs ...string) bool {
-	_, all := voters(w, at)
+// votersAre says whether a machine knows exactly these as voters.
+func votersAre(d *Deployment, at int, addrs ...string) bool {
+	_, all := voters(d, at)
 	for _, a := range addrs {
 		if !strings.Contains(all, a) {
 			return false
