--- a/internal/driver/admission.go
+++ b/internal/driver/admission.go
@@ -15,10 +15,10 @@
 const (
 	silentEvictAfter = 30 * time.Millisecond  // a client that has not sent a byte for so long may be evicted
 	idleEvictAfter   = 100 * time.Millisecond // as one without an open op for so long
-	headroomInterval = 50 * time.Millisecond  // between looks at whether enough places are free
+	headroomInterval = 50 * time.Millisecond  // between checks whether enough places are free
 	headroomShare    = 0.65                   // of the budget that is kept free, where clients can be evicted for it
 	maxEvictions     = 12                     // connections beside the budget that close after their place was reassigned
-	maxRejections    = 8                      // and connections that are told that there is no room
+	maxRejections    = 8                      // and connections that get an answer that there is no room
 	acceptGrace      = 500 * time.Millisecond // new connections are accepted for so long after SIGTERM
 	acceptQuiet      = 50 * time.Millisecond  // and until none has come for so long
 )
@@ -103,7 +103,7 @@
 	s.counters.ClientsOpen.Add(-1)
 }
 
-// rejectClient tells a client that there is no room, so many at a time; others are closed without a word.
+// rejectClient tells a client that there is no room, so many at a time; others are closed without an answer.
 func (s *Service) rejectClient(client *client) {
 	s.counters.ClientsTurnedAway.Add(1)
 	select {
--- a/internal/driver/attempt.go
+++ b/internal/driver/attempt.go
@@ -27,7 +27,7 @@
 	mu              sync.Mutex  // guards what follows
 	conn            *memberConn // only while it is this attempt's alone
 	cancelled       bool
-	writesForbidden bool // never becomes false again
+	writesForbidden bool // never reset
 }
 
 func (p *pool) newAttempt(member string, statement *pgwire.Statement, timeout time.Duration) *attempt {
--- a/internal/driver/bench_test.go
+++ b/internal/driver/bench_test.go
@@ -22,8 +22,8 @@
 	"weirwind/internal/pgwire"
 )
 
-// echo is a member that answers every query by the same row.
-func echo(b *testing.B) string {
+// echoMember is a member that answers every query by the same row.
+func echoMember(b *testing.B) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
@@ -59,7 +59,7 @@
 func BenchmarkOp(b *testing.B) {
 	for _, keeps := range []bool{false, true} {
 		b.Run(map[bool]string{false: "no-state", true: "state"}[keeps], func(b *testing.B) {
-			member := echo(b)
+			member := echoMember(b)
 			lists, err := net.Listen("tcp", "127.0.0.1:0") // a discovery that says nothing
 			if err != nil {
 				b.Fatal(err)
--- a/internal/driver/configuration_test.go
+++ b/internal/driver/configuration_test.go
@@ -7,7 +7,7 @@
 	"weirwind/logic"
 )
 
-func TestShapeOfTheFleet(t *testing.T) {
+func TestOverridesOfTheDeployment(t *testing.T) {
 	o := logic.Opening{Drivers: 3, MayMessage: true}
 	applyOverrides(&o, nil)
 	if o.Drivers != 3 || !o.MayMessage || o.OnlyDrainBinds {
--- a/internal/driver/decider_ops.go
+++ b/internal/driver/decider_ops.go
@@ -88,7 +88,7 @@
 	}
 }
 
-// clientLeft tells the module that the client of an op has left.
+// clientDisconnected tells the module that the client of an op has left.
 func (d *decider) clientDisconnected(op *op) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/driver/op.go
+++ b/internal/driver/op.go
@@ -20,7 +20,7 @@
 
 	// Under the decider's lock.
 	pending  []decidedAction // decided and not yet carried out
-	finished bool            // its answer is decided, or its client has left; never becomes false again
+	finished bool            // its answer is decided, or its client has left; never reset
 	rows     []byte          // the first good answer, as the member gave it
 	sentTo   []zoneAttempt   // by attempt, where zones are decided on
 }
@@ -121,7 +121,8 @@
 	}
 }
 
-// carryOut carries out an action on an op other than a new attempt. There is an answer where the module decided on one.
+// applyAction carries out an action on an op, other than a new attempt. There is an answer where the module decided on
+// one.
 func (s *Service) applyAction(action decidedAction, attempts []*attempt) (answer []byte, end opEnd) {
 	switch action.Kind {
 	case logic.ActCancel:
--- a/internal/driver/service.go
+++ b/internal/driver/service.go
@@ -44,7 +44,7 @@
 	messageBudget budget         // of bytes of large messages from clients
 	inFlight      errgroup.Group // clients' connections, and attempts
 	evictions     chan struct{}  // holds a place for each client that is closing after it was reassigned
-	rejections    chan struct{}  // and for each that is being told that there is no room
+	rejections    chan struct{}  // and for each that is being rejected with an answer
 	acceptEnded   chan struct{}  // closed when no new connection is accepted any more
 
 	stopRequestedAt atomic.Pointer[time.Time] // nil until then
@@ -71,7 +71,7 @@
 }
 
 // New reads a configuration, opens the sockets and the decision module, and restores the state that an earlier run
-// saved, where the operators have that kept. The driver serves as soon as Run is called.
+// saved, where the operators have state saved. The driver serves as soon as Run is called.
 func New(text []byte, operators operator.File) (*Service, error) {
 	c, err := parseConfiguration(text)
 	if err != nil {
--- a/internal/driver/state_saver.go
+++ b/internal/driver/state_saver.go
@@ -62,8 +62,8 @@
 	return opened
 }
 
-// noteMembership notes the membership's revision and whether its members changed, and wakes the saver if either is new.
-// It never waits.
+// recordMembership records the membership's revision and whether its members changed, and wakes the saver if either is
+// new. It never waits.
 func (k *stateSaver) recordMembership(revision int64, changed bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/internal/learned/fixtures_test.go
+++ b/internal/learned/fixtures_test.go
@@ -30,7 +30,7 @@
 			{Member: "3", Group: 3, Position: day + seen - 9000, Started: day + seen - 4000, Window: 2}}}
 }
 
-// saved is the state that a run saved which ended at that time.
+// savedState is the state that a run saved which ended at that time.
 func savedState(t *testing.T, end float64) *State {
 	t.Helper()
 	b := NewTable(testConfig(), nil, at(end-5000))
--- a/internal/learned/scale_test.go
+++ b/internal/learned/scale_test.go
@@ -14,7 +14,7 @@
 
 const manyMembers, manyGroups = 10000, 1000
 
-// large is a table of many members, and the decision module's memory of them at a time.
+// largeTable is a table of many members, and the decision module's memory of them at a time.
 func largeTable() (*Table, func(ms float64) *logic.Memory) {
 	b := NewTable(testConfig(), nil, at(0))
 	b.StartRun(at(0))
