--- a/internal/learned/fixtures_test.go
+++ b/internal/learned/fixtures_test.go
@@ -8,11 +8,20 @@
 
 const day = 1767225600000.0
 
+// testConfig is that of driver n0, whose op types read and write.
 func testConfig() Config {
-	return Config{Name: "n0", OpTypes: []OpType{{"read", 300}, {"write", 500}}, SaveInterval: 1000, MinSwitchover: 2000, WarmUp: 10000,
-		StalenessBound: 200, SessionsTrackPosition: true}
+	return Config{
+		Name:                  "n0",
+		OpTypes:               []OpType{{"read", 300}, {"write", 500}},
+		SaveInterval:          1000,
+		MinSwitchover:         2000,
+		WarmUp:                10000,
+		StalenessBound:        200,
+		SessionsTrackPosition: true,
+	}
 }
 
+// at is a timestamp of boot one, some milliseconds after day.
 func at(ms float64) Timestamp { return Timestamp{Wall: day + ms, Uptime: 5e6 + ms, BootID: "one"} }
 
 func entriesUp(ids ...string) (all []Entry) {
@@ -22,6 +31,7 @@
 	return all
 }
 
+// memoryAt is the decision module's memory, whose primary, member 1, was seen at that time after day.
 func memoryAt(seen float64) *logic.Memory {
 	return &logic.Memory{OpTypes: []logic.TypeMemory{{Took: 80, Best: 40}, {Took: 120, Best: 100}},
 		Groups: []logic.GroupMemory{{Group: 3, Slot: "1", Held: true, Seen: day + seen, Rate: 2}},
@@ -33,11 +43,11 @@
 // savedState is the state that a run saved which ended at that time.
 func savedState(t *testing.T, end float64) *State {
 	t.Helper()
-	b := NewTable(testConfig(), nil, at(end-5000))
-	b.StartRun(at(end - 5000))
-	b.UpdateMembership(at(end-4000), 41, true, entriesUp("1", "2", "3"))
-	b.Update(at(end), memoryAt(end-20), true)
-	s, err := Load(b.Snapshot(), nil)
+	table := NewTable(testConfig(), nil, at(end-5000))
+	table.StartRun(at(end - 5000))
+	table.UpdateMembership(at(end-4000), 41, true, entriesUp("1", "2", "3"))
+	table.Update(at(end), memoryAt(end-20), true)
+	s, err := Load(table.Snapshot(), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/learned/restore_test.go
+++ b/internal/learned/restore_test.go
@@ -1,6 +1,7 @@
 package learned
 
 import (
+	"fmt"
 	"math"
 	"testing"
 
@@ -18,134 +19,170 @@
 
 // What is restored by age: evidence keeps its date, hints decay, what was announced holds.
 func TestRestoreByAge(t *testing.T) {
-	for _, x := range []struct {
-		after            float64
-		position, aside  bool
-		window, tookRead float64
-	}{{100, true, true, 15.9, 80}, {1900, true, true, 14, 82}, {2500, false, true, 13.4, 83}, {8000, false, false, 9.2, 88.5}, {3600e3, false, false, 0, 0}} {
-		b := Restore(savedState(t, 0), testConfig(), at(x.after), Membership{Revision: 30, Entries: entriesUp("1")})
-		one, two, three := b.member("1"), b.member("2"), b.member("3")
-		if b.Verdict != VerdictTrusted || b.Memory.Trust != 2000 || b.Age != x.after || !b.FromSaved || len(b.Membership.Entries) != 3 {
-			t.Errorf("after %g: %+v", x.after, b)
-		}
-		if g := b.Memory.Groups[0]; g.Slot != "1" || !g.Held || g.Seen != day-20 {
-			t.Errorf("after %g: slot %+v: the date is not the evidence's", x.after, g)
-		}
-		if (one.Position > 0) != x.position || (two.Aside > 0) != x.aside || two.Cut != x.aside {
-			t.Errorf("after %g: %+v %+v", x.after, one, two)
-		}
-		if three.Position > 0 || (three.Started > 0) != (x.after+4020 < 10000) {
-			t.Errorf("after %g: %+v: a position or a start that is too old", x.after, three)
-		}
-		if math.Abs(one.Window-x.window) > 0.1 || math.Abs(b.Memory.OpTypes[0].Took-x.tookRead) > 1 {
-			t.Errorf("after %g: window %g, usual time %g", x.after, one.Window, b.Memory.OpTypes[0].Took)
-		}
-		if b.Memory.Ceiling != day+x.after+100 && b.Memory.Ceiling != day+2100 {
-			t.Errorf("after %g: ceiling %g", x.after, b.Memory.Ceiling-day)
-		}
+	for _, c := range []struct {
+		after             float64 // milliseconds between the last save and the start
+		position, ejected bool    // whether the evidence holds
+		window, readTime  float64
+	}{
+		{100, true, true, 15.9, 80},
+		{1900, true, true, 14, 82},
+		{2500, false, true, 13.4, 83},
+		{8000, false, false, 9.2, 88.5},
+		{3600e3, false, false, 0, 0},
+	} {
+		t.Run(fmt.Sprint(c.after, " ms"), func(t *testing.T) {
+			r := Restore(savedState(t, 0), testConfig(), at(c.after), Membership{Revision: 30, Entries: entriesUp("1")})
+			one, two, three := r.member("1"), r.member("2"), r.member("3")
+			if r.Verdict != VerdictTrusted || r.Memory.Trust != 2000 || r.Age != c.after {
+				t.Errorf("%+v", r)
+			}
+			if !r.FromSaved || len(r.Membership.Entries) != 3 {
+				t.Errorf("membership %+v", r.Membership)
+			}
+			if g := r.Memory.Groups[0]; g.Slot != "1" || !g.Held || g.Seen != day-20 {
+				t.Errorf("slot %+v: the date is not the evidence's", g)
+			}
+			if (one.Position > 0) != c.position || (two.Aside > 0) != c.ejected || two.Cut != c.ejected {
+				t.Errorf("%+v %+v", one, two)
+			}
+			if three.Position > 0 || (three.Started > 0) != (c.after+4020 < 10000) {
+				t.Errorf("%+v: a position or a start that is too old", three)
+			}
+			if math.Abs(one.Window-c.window) > 0.1 || math.Abs(r.Memory.OpTypes[0].Took-c.readTime) > 1 {
+				t.Errorf("window %g, usual time %g", one.Window, r.Memory.OpTypes[0].Took)
+			}
+			if r.Memory.Ceiling != day+c.after+100 && r.Memory.Ceiling != day+2100 {
+				t.Errorf("no commit lies beyond %g", r.Memory.Ceiling-day)
+			}
+		})
 	}
 }
 
 // Clocks that are stepped between two runs make nothing younger.
 func TestSteppedClocks(t *testing.T) {
-	for name, x := range map[string]struct {
-		now     Timestamp
-		verdict Verdict
-		trust   float64
-		age     float64
+	for name, c := range map[string]struct {
+		wall, uptime float64 // after day, and as it is
+		boot         string
+		verdict      Verdict
+		trust        float64
+		age          float64
 	}{
-		"back, so that hours look like a second": {Timestamp{Wall: day + 1000, Uptime: 5e6 + 7200e3, BootID: "one"}, VerdictTrusted, 2000, 7200e3},
-		"ahead":                                  {Timestamp{Wall: day + 9e9, Uptime: 5e6 + 1000, BootID: "one"}, VerdictTrusted, 2000, 1000},
-		"back before the save":                   {Timestamp{Wall: day - 5000, Uptime: 5e6 + 1000, BootID: "one"}, VerdictTrusted, 2000, 1000},
-		"another start of the machine":           {Timestamp{Wall: day + 1000, Uptime: 100, BootID: "two"}, VerdictUncertain, 0, 1000},
-		"the machine does not tell":              {Timestamp{Wall: day + 1000, Uptime: 100}, VerdictUncertain, 0, 1000},
-		"of the future, another start":           {Timestamp{Wall: day - 5000, Uptime: 100, BootID: "two"}, VerdictFuture, 0, 0},
-		"time since the start ran back":          {Timestamp{Wall: day + 1000, Uptime: 100, BootID: "one"}, VerdictUncertain, 0, 1000},
+		"back, so that hours look like a second": {1000, 5e6 + 7200e3, "one", VerdictTrusted, 2000, 7200e3},
+		"ahead":                                  {9e9, 5e6 + 1000, "one", VerdictTrusted, 2000, 1000},
+		"back before the save":                   {-5000, 5e6 + 1000, "one", VerdictTrusted, 2000, 1000},
+		"another boot":                           {1000, 100, "two", VerdictUncertain, 0, 1000},
+		"the machine doesn't tell its boot":      {1000, 100, "", VerdictUncertain, 0, 1000},
+		"of the future, another boot":            {-5000, 100, "two", VerdictFuture, 0, 0},
+		"uptime went back":                       {1000, 100, "one", VerdictUncertain, 0, 1000},
 	} {
-		b := Restore(savedState(t, 0), testConfig(), x.now, Membership{Revision: 30})
-		if b.Verdict != x.verdict || b.Memory.Trust != x.trust || b.Age != x.age || !b.FromSaved {
-			t.Errorf("%s: %s, trust %g, age %g", name, b.Verdict, b.Memory.Trust, b.Age)
-		}
-		if b.Memory.Ceiling < x.now.Wall+100 {
-			t.Errorf("%s: the ceiling lies %g before the start", name, x.now.Wall-b.Memory.Ceiling)
-		}
-		if x.verdict == VerdictFuture {
-			if len(b.Memory.Groups)+len(b.Memory.Members) > 0 {
-				t.Errorf("%s: evidence of %+v", name, b.Memory)
+		t.Run(name, func(t *testing.T) {
+			now := Timestamp{Wall: day + c.wall, Uptime: c.uptime, BootID: c.boot}
+			r := Restore(savedState(t, 0), testConfig(), now, Membership{Revision: 30})
+			if r.Verdict != c.verdict || r.Memory.Trust != c.trust || r.Age != c.age || !r.FromSaved {
+				t.Errorf("%s, trust %g, age %g", r.Verdict, r.Memory.Trust, r.Age)
 			}
-			continue
-		}
-		if g := b.Memory.Groups[0]; math.Abs(x.now.Wall-g.Seen-x.age-20) > 0.001 {
-			t.Errorf("%s: the slot's evidence is %g ms old, want %g", name, x.now.Wall-g.Seen, x.age+20)
-		}
-		if one := b.member("1"); one.Position > 0 {
-			t.Errorf("%s: a position by a clock that is not this one", name)
-		}
+			if r.Memory.Ceiling < now.Wall+100 {
+				t.Errorf("commits may lie beyond %g ms before the start", now.Wall-r.Memory.Ceiling)
+			}
+			if c.verdict == VerdictFuture {
+				if len(r.Memory.Groups)+len(r.Memory.Members) > 0 {
+					t.Errorf("evidence of %+v", r.Memory)
+				}
+				return
+			}
+			if g := r.Memory.Groups[0]; math.Abs(now.Wall-g.Seen-c.age-20) > 0.001 {
+				t.Errorf("the slot's evidence is %g ms old, want %g", now.Wall-g.Seen, c.age+20)
+			}
+			if one := r.member("1"); one.Position > 0 {
+				t.Error("a position by a clock that is not this one")
+			}
+		})
 	}
 }
 
-// States of another driver, under other settings, and beside other memberships.
-func TestStatesThatDontFit(t *testing.T) {
-	r := testConfig()
-	r.Name = "n1"
-	given := Membership{Revision: 7, Entries: entriesUp("9")}
-	if b := Restore(savedState(t, 0), r, at(100), given); b.Verdict != VerdictOtherDriver || b.FromSaved || len(b.Memory.Members) > 0 ||
-		b.Membership.Revision != 7 || NewTable(r, savedState(t, 0), at(100)).State().Meta.Revision != 0 {
-		t.Errorf("another driver's: %+v", b)
-	}
-	if b := Restore(nil, r, at(100), given); b.Verdict != VerdictNone || b.Memory.Ceiling != day+200 {
-		t.Errorf("none: %+v", b)
-	}
-	r = testConfig()
-	r.OpTypes = []OpType{{"write", 500}, {"read", 900}, {"new", 100}}
-	b := Restore(savedState(t, 0), r, at(0), given)
-	if k := b.Memory.OpTypes; len(k) != 3 || k[0].Took != 120 || k[1].Took != 0 || k[2].Took != 0 {
-		t.Errorf("other settings: %+v", k)
-	}
-	newer := Membership{Revision: 42, Entries: entriesUp("1", "2", "3")}
-	newer.Entries[0].Address = "127.0.0.1:99" // replaced under its name
-	newer.Entries[1].StartedAt = day - 100    // started since
-	newer.Entries[2].Group = 4
-	b = Restore(savedState(t, 0), testConfig(), at(100), newer)
-	if b.FromSaved || b.member("1") != (logic.MemberMemory{}) || b.member("2").Aside > 0 || b.member("2").Position > 0 ||
-		b.member("3") != (logic.MemberMemory{}) || b.Memory.Groups[0].Slot != "" {
-		t.Errorf("another list: %+v", b)
-	}
-	newer = Membership{Revision: 42, Entries: entriesUp("2", "3", "4")}
-	if b = Restore(savedState(t, 0), testConfig(), at(100), newer); b.Memory.Groups[0].Slot != "" || len(b.Memory.Members) != 2 {
-		t.Errorf("the primary has left the list: %+v", b)
+func TestStateOfAnotherDriver(t *testing.T) {
+	config, given := testConfig(), Membership{Revision: 7, Entries: entriesUp("9")}
+	config.Name = "n1"
+	r := Restore(savedState(t, 0), config, at(100), given)
+	if r.Verdict != VerdictOtherDriver || r.FromSaved || len(r.Memory.Members) > 0 || r.Membership.Revision != 7 {
+		t.Errorf("%+v", r)
+	}
+	if m := NewTable(config, savedState(t, 0), at(100)).State().Meta; m.Revision != 0 {
+		t.Errorf("a table begins with %+v", m)
+	}
+}
+
+func TestNoState(t *testing.T) {
+	r := Restore(nil, testConfig(), at(100), Membership{Revision: 7})
+	if r.Verdict != VerdictNone || r.Memory.Ceiling != day+200 {
+		t.Errorf("%+v", r)
+	}
+}
+
+// An op type is known by its name, and another one with another latency target.
+func TestOtherOpTypes(t *testing.T) {
+	config := testConfig()
+	config.OpTypes = []OpType{{"write", 500}, {"read", 900}, {"new", 100}}
+	k := Restore(savedState(t, 0), config, at(0), Membership{Revision: 7}).Memory.OpTypes
+	if len(k) != 3 || k[0].Took != 120 || k[1].Took != 0 || k[2].Took != 0 {
+		t.Errorf("%+v", k)
+	}
+}
+
+// A newer membership binds, and ends evidence of members that it shows moved, restarted or gone.
+func TestNewerMembership(t *testing.T) {
+	given := Membership{Revision: 42, Entries: entriesUp("1", "2", "3")}
+	given.Entries[0].Address = "127.0.0.1:99" // replaced under its name
+	given.Entries[1].StartedAt = day - 100    // started since
+	given.Entries[2].Group = 4
+	r := Restore(savedState(t, 0), testConfig(), at(100), given)
+	if r.FromSaved || r.member("1") != (logic.MemberMemory{}) || r.member("3") != (logic.MemberMemory{}) {
+		t.Errorf("members that moved: %+v", r)
+	}
+	if two := r.member("2"); two.Aside > 0 || two.Position > 0 {
+		t.Errorf("a member that was started: %+v", two)
+	}
+	if g := r.Memory.Groups[0]; g.Slot != "" {
+		t.Errorf("the primary has moved: %+v", g)
+	}
+	r = Restore(savedState(t, 0), testConfig(), at(100), Membership{Revision: 42, Entries: entriesUp("2", "3", "4")})
+	if r.Memory.Groups[0].Slot != "" || len(r.Memory.Members) != 2 {
+		t.Errorf("the primary has left the list: %+v", r)
 	}
 }
 
 // The membership that was announced last binds, whatever a start is given; drains stay announced. Where revisions went
 // back, numbers of earlier epochs say nothing.
 func TestWhichMembershipBinds(t *testing.T) {
-	b := NewTable(testConfig(), nil, at(0))
-	b.StartRun(at(0))
-	b.UpdateMembership(at(0), 41, true, entriesUp("1", "2"))
-	drains := entriesUp("2")
-	drains[0].Phase = "draining"
-	if len(b.UpdateMembership(at(1), 42, false, drains)) != 1 || b.UpdateMembership(at(2), 42, false, drains) != nil {
-		t.Error("a drain is worth one write")
-	}
+	table := NewTable(testConfig(), nil, at(0))
+	table.StartRun(at(0))
 	phase := func(given int64) string {
-		restored := Restore(b.State(), testConfig(), at(100), Membership{Revision: given, Entries: entriesUp("1", "2")})
-		for _, e := range restored.Membership.Entries {
+		r := Restore(table.State(), testConfig(), at(100), Membership{Revision: given, Entries: entriesUp("1", "2")})
+		for _, e := range r.Membership.Entries {
 			if e.ID == "2" {
 				return e.Phase
 			}
 		}
 		return "gone"
 	}
+
+	table.UpdateMembership(at(0), 41, true, entriesUp("1", "2"))
+	drains := entriesUp("2")
+	drains[0].Phase = "draining"
+	if len(table.UpdateMembership(at(1), 42, false, drains)) != 1 || table.UpdateMembership(at(2), 42, false, drains) != nil {
+		t.Error("a drain is worth one write")
+	}
 	if phase(41) != "draining" || phase(42) != "draining" || phase(43) != PhaseUp {
 		t.Errorf("drained at 42: given 41 %s, 42 %s, 43 %s", phase(41), phase(42), phase(43))
 	}
-	b.UpdateMembership(at(3), 43, false, []Entry{{ID: "2", Phase: PhaseRemoved}})
+
+	table.UpdateMembership(at(3), 43, false, []Entry{{ID: "2", Phase: PhaseRemoved}})
 	if phase(42) != "gone" || phase(44) != PhaseUp {
 		t.Errorf("removed at 43: given 42 %s, 44 %s", phase(42), phase(44))
 	}
-	b.UpdateMembership(at(4), 5, true, entriesUp("1", "3")) // the registry counts anew
-	if b.State().Meta.Epoch != 1 || phase(43) != "gone" || phase(44) != PhaseUp {
-		t.Errorf("epoch %d: given 43 %s, 44 %s", b.State().Meta.Epoch, phase(43), phase(44))
+
+	table.UpdateMembership(at(4), 5, true, entriesUp("1", "3")) // the registry counts anew
+	if table.State().Meta.Epoch != 1 || phase(43) != "gone" || phase(44) != PhaseUp {
+		t.Errorf("epoch %d: given 43 %s, 44 %s", table.State().Meta.Epoch, phase(43), phase(44))
 	}
 }
