--- a/internal/fleet/mesh/doc.go
+++ b/internal/fleet/mesh/doc.go
@@ -7,8 +7,8 @@
 //   - Calls (client.go, server.go): one frame and its answer on a TCP connection of their own, within two seconds. A
 //     call exchanges whole states (callExchangeState), gossip alone (callGossip), asks for a view (callStatus), or
 //     carries bytes of another package (callRequest, by Mesh.Request).
-//   - Gossip (gossip.go): changes of primaries, drains and plans of zones. News go to eight peers at once, which pass
-//     them on; besides, gossip is exchanged with one peer every second in case a message was lost.
+//   - Gossip (gossip.go): changes of primaries, drains and plans of zones. Changes go to eight peers at once, which
+//     pass them on; besides, gossip is exchanged with one peer every second in case a message was lost.
 //
 // Each datagram and frame is CBOR behind an authentication code that only who has the fleet's secret can make
 // (codec.go). The code is keyed apart for datagrams and frames, so that one can't be taken for the other.
--- a/internal/fleet/zones/consensus.go
+++ b/internal/fleet/zones/consensus.go
@@ -32,7 +32,7 @@
 	acceptor      paxos.Acceptor[Plan]
 	acceptedAt    float64 // when acceptor accepted last
 	voteAfter     float64
-	highestNumber uint32 // no lower than any ballot number seen on plan
+	highestNumber uint32 // no lower than any ballot number seen, bounded by paxos.MaxNumber
 
 	proposal      *proposal // that this driver leads; nil: none
 	proposeAfter  float64   // no next one before
