--- a/cmd/weirwind/golden_test.go
+++ b/cmd/weirwind/golden_test.go
@@ -80,7 +80,7 @@
 		{"membership", "status", "--socket", folder + "/none"}, {"zones", "freeze", "--socket", folder + "/none"},
 	} {
 		var out, problems bytes.Buffer
-		code := command(args, &out, &problems)
+		code := run(args, &out, &problems)
 		text := strings.ReplaceAll(fmt.Sprintf("%d %s | %s", code, &out, &problems), folder, "FOLDER")
 		cases = append(cases, golden.Of(strings.ReplaceAll(strings.Join(args, " "), folder, "FOLDER"), text))
 	}
--- a/cmd/weirwind/main.go
+++ b/cmd/weirwind/main.go
@@ -1,7 +1,10 @@
-// Command weirwind is the driver on sockets, and the tool for what it keeps. This file owns the command line: what
-// can be asked, and which files it goes by. It must never do the work itself.
+// Command weirwind is the driver, a read and write splitter for database clusters, and the tool for its state, its
+// registry and its control socket. Each file holds one family of commands; the work is done by the packages under
+// internal/.
 package main
 
+// This file owns the command line: the commands, and the files that they read.
+
 import (
 	"errors"
 	"fmt"
@@ -26,6 +29,7 @@
 	Version    versionCommand     `cmd:"" help:"Print the version."`
 }
 
+// files are the configuration files.
 type files struct {
 	Config   string `help:"The platform's configuration." env:"PROXY_CONFIG" placeholder:"FILE"`
 	Operator string `help:"The operators' file." env:"WEIRWIND_OPERATOR" placeholder:"FILE"`
@@ -47,14 +51,14 @@
   weirwind membership compare
   weirwind migrate --dry-run operator.hcl`
 
-func main() { os.Exit(command(os.Args[1:], os.Stdout, os.Stderr)) }
+func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
 
-// command carries a call out and gives the exit code.
-func command(args []string, out, problems io.Writer) int {
+// run runs a command line and returns the exit code.
+func run(args []string, out, problems io.Writer) int {
 	return cli.Run("weirwind", examples, &commands{}, args, os.Stdin, out, problems)
 }
 
-// read gives the text of the platform's configuration, and the operators' file, which need not be.
+// read returns the text of the platform's configuration, and the operators' file, which is optional.
 func (f *files) read() (text []byte, o operator.File, err error) {
 	if f.Config == "" {
 		return nil, o, errors.New("PROXY_CONFIG names no file")
@@ -66,6 +70,7 @@
 	return text, o, err
 }
 
+// operators returns the operators' file, or its default where there is none.
 func (f *files) operators() (operator.File, error) {
 	if f.Operator == "" {
 		return operator.Default(), nil
@@ -81,7 +86,7 @@
 	files
 }
 
-// Run says what holds; with a mistake anywhere it tells that instead.
+// Run prints what is in force, or the first error.
 func (c *checkCommand) Run(out io.Writer) error {
 	if c.Config == "" && c.Operator == "" {
 		return errors.New("nothing to check: name --config, --operator or both")
@@ -108,6 +113,7 @@
 
 type versionCommand struct{}
 
+// Run prints the version.
 func (versionCommand) Run(out io.Writer) error {
 	version, revision := "devel", ""
 	if info, ok := debug.ReadBuildInfo(); ok {
--- a/cmd/weirwind/migrate.go
+++ b/cmd/weirwind/migrate.go
@@ -1,7 +1,8 @@
-// This file owns the command that moves an operators' file to the shape of deployment in which drivers share
-// nothing: reading, the check of what is written, and the write itself. What is carried over is internal/operator's.
 package main
 
+// This file owns the migration of an operators' file to a deployment whose drivers share nothing: reading it, checking
+// the result, and writing it. What is carried over is package operator's.
+
 import (
 	"fmt"
 	"io"
@@ -44,7 +45,7 @@
 		_, err = io.WriteString(out, b.String())
 		return err
 	}
-	if err := writeWhole(c.Out, []byte(b.String())); err != nil {
+	if err := writeAtomically(c.Out, []byte(b.String())); err != nil {
 		return err
 	}
 	fmt.Fprintf(out, "%s: written\n", c.Out)
@@ -54,8 +55,8 @@
 	return nil
 }
 
-// writeWhole puts the text in place at once: a file beside it, synced, then renamed over it.
-func writeWhole(name string, text []byte) error {
+// writeAtomically writes a temporary file beside the target, syncs it, and renames it over the target.
+func writeAtomically(name string, text []byte) error {
 	tmp, err := os.CreateTemp(filepath.Dir(name), "."+filepath.Base(name)+".*")
 	if err != nil {
 		return err
--- a/cmd/weirwind/migrate_test.go
+++ b/cmd/weirwind/migrate_test.go
@@ -19,7 +19,7 @@
 		t.Fatal(err)
 	}
 	var out, problems bytes.Buffer
-	if code := command([]string{"migrate", "--dry-run", "--out", filepath.Join(dir, "new.hcl"), old}, &out,
+	if code := run([]string{"migrate", "--dry-run", "--out", filepath.Join(dir, "new.hcl"), old}, &out,
 		&problems); code != 0 {
 		t.Fatal(code, problems.String())
 	}
@@ -31,7 +31,7 @@
 		t.Fatal(out.String())
 	}
 	out.Reset()
-	if code := command([]string{"migrate", "--out", filepath.Join(dir, "new.hcl"), old}, &out, &problems); code != 0 {
+	if code := run([]string{"migrate", "--out", filepath.Join(dir, "new.hcl"), old}, &out, &problems); code != 0 {
 		t.Fatal(code, problems.String())
 	}
 	written, err := os.ReadFile(filepath.Join(dir, "new.hcl"))
@@ -51,7 +51,7 @@
 	out.Reset()
 	problems.Reset()
 	os.WriteFile(old, []byte("fleet {\n  peers = 3\n}\n"), 0o644)
-	if code := command([]string{"migrate", old}, &out, &problems); code == 0 || !strings.Contains(problems.String(), "old.hcl:2") {
+	if code := run([]string{"migrate", old}, &out, &problems); code == 0 || !strings.Contains(problems.String(), "old.hcl:2") {
 		t.Fatal("a file that makes no sense is an error at its line", code, problems.String())
 	}
 }
--- a/cmd/weirwind/plan.go
+++ b/cmd/weirwind/plan.go
@@ -1,6 +1,6 @@
 package main
 
-// This file owns the form of a plan's file, in HCL, and its printing. It must never change what internal/plan decided.
+// This file owns the form of a plan's file, in HCL. What is planned, and its printed form, are package plan's.
 
 import (
 	"cmp"
@@ -17,101 +17,142 @@
 	"weirwind/internal/plan"
 )
 
+const maxAttempts = 100000
+
 type planCommand struct {
-	File  string `arg:"" help:"Members, steps and limits, in HCL; docs/switchover.md has an example."`
-	Tries int    `help:"Orders to try for a shorter plan." default:"300"`
-	Seed  uint64 `help:"Of the orders." default:"1"`
+	File     string `arg:"" help:"Members, steps and limits, in HCL; docs/switchover.md has an example."`
+	Attempts int    `name:"tries" help:"Orders to try for a shorter plan." default:"300"`
+	Seed     uint64 `help:"Of the orders." default:"1"`
 }
 
+// planFile is a plan's file.
 type planFile struct {
-	Members []struct {
-		Name     string  `hcl:"name,label"`
-		Group    int64   `hcl:"group"`
-		Zone     string  `hcl:"zone,optional"`
-		Capacity float64 `hcl:"capacity"`
-		Primary  bool    `hcl:"primary,optional"`
-	} `hcl:"member,block"`
-	Replace []string `hcl:"replace,optional"`
-	Switch  []string `hcl:"switch,optional"`
-	Limits  struct {
-		Cold       int     `hcl:"cold,optional"`
-		Away       string  `hcl:"away,optional"`
-		Warm       string  `hcl:"warm,optional"`
-		ColdShare  float64 `hcl:"cold_share,optional"`
-		Gap        string  `hcl:"gap,optional"`
-		Lost       string  `hcl:"lost,optional"`
-		Pause      string  `hcl:"pause,optional"`
-		Within     string  `hcl:"within,optional"`
-		Candidates int     `hcl:"candidates,optional"`
-		Groups     []need  `hcl:"group,block"`
-		Zones      []need  `hcl:"zone,block"`
-	} `hcl:"limits,block"`
+	Members []planMember `hcl:"member,block"`
+	Replace []string     `hcl:"replace,optional"`
+	Switch  []string     `hcl:"switch,optional"`
+	Limits  planLimits   `hcl:"limits,block"`
+}
+
+type planMember struct {
+	Name     string  `hcl:"name,label"`
+	Group    int64   `hcl:"group"`
+	Zone     string  `hcl:"zone,optional"`
+	Capacity float64 `hcl:"capacity"`
+	Primary  bool    `hcl:"primary,optional"`
 }
 
-type need struct {
+// planLimits are plan.Limits with durations in Go's form.
+type planLimits struct {
+	MaxUnavailable int                `hcl:"cold,optional"`
+	ReplaceTime    string             `hcl:"away,optional"`
+	WarmupTime     string             `hcl:"warm,optional"`
+	WarmupCapacity float64            `hcl:"cold_share,optional"`
+	WriteGap       string             `hcl:"gap,optional"`
+	MaxWriteGap    string             `hcl:"lost,optional"`
+	SwitchInterval string             `hcl:"pause,optional"`
+	Deadline       string             `hcl:"within,optional"`
+	MinCandidates  int                `hcl:"candidates,optional"`
+	Groups         []requiredCapacity `hcl:"group,block"`
+	Zones          []requiredCapacity `hcl:"zone,block"`
+}
+
+type requiredCapacity struct {
 	Name     string  `hcl:"name,label"`
 	Capacity float64 `hcl:"capacity"`
 }
 
-// Run prints the plan, or which limit stands in the way (exit code 1).
+// Run prints the plan, or which limit makes it infeasible (exit code 1).
 func (c *planCommand) Run(out io.Writer) error {
-	text, err := os.ReadFile(c.File)
+	f, err := readPlanFile(c.File)
 	if err != nil {
 		return err
 	}
-	var f planFile
-	if err := hclsimple.Decode(cmp.Or(c.File, "plan.hcl"), text, nil, &f); err != nil {
-		if all := (hcl.Diagnostics)(nil); errors.As(err, &all) && len(all) > 0 {
-			return all[0]
-		}
+	limits, err := f.Limits.limits()
+	if err != nil {
+		return fmt.Errorf("%s: %w", c.File, err)
+	}
+	steps := f.steps()
+	if len(steps) == 0 {
+		return errors.New("nothing to plan: name members to replace, or primaries to switch")
+	}
+	scheduled, err := plan.Solve(f.members(), steps, limits, min(c.Attempts, maxAttempts), c.Seed)
+	if err != nil {
 		return err
 	}
-	l := plan.Limits{
+	fmt.Fprint(out, plan.Format(scheduled))
+	return nil
+}
+
+func readPlanFile(name string) (f planFile, err error) {
+	text, err := os.ReadFile(name)
+	if err != nil {
+		return f, err
+	}
+	err = hclsimple.Decode(cmp.Or(name, "plan.hcl"), text, nil, &f)
+	if problems := (hcl.Diagnostics)(nil); errors.As(err, &problems) && len(problems) > 0 {
+		return f, problems[0]
+	}
+	return f, err
+}
+
+// limits converts the limits. The error is the first one, durations before groups.
+func (l *planLimits) limits() (plan.Limits, error) {
+	limits := plan.Limits{
 		GroupCapacity:  map[int64]float64{},
 		ZoneCapacity:   map[string]float64{},
-		MaxUnavailable: cmp.Or(f.Limits.Cold, 1),
-		WarmupCapacity: f.Limits.ColdShare,
-		MinCandidates:  f.Limits.Candidates,
+		MaxUnavailable: cmp.Or(l.MaxUnavailable, 1),
+		WarmupCapacity: l.WarmupCapacity,
+		MinCandidates:  l.MinCandidates,
 	}
-	for _, t := range []struct {
-		to   *float64
-		text string
-	}{{&l.ReplaceTime, f.Limits.Away}, {&l.WarmupTime, f.Limits.Warm}, {&l.WriteGap, f.Limits.Gap}, {&l.MaxWriteGap, f.Limits.Lost},
-		{&l.SwitchInterval, f.Limits.Pause}, {&l.Deadline, f.Limits.Within}} {
-		d, e := time.ParseDuration(cmp.Or(t.text, "0s"))
-		*t.to, err = d.Seconds(), cmp.Or(err, e)
-	}
-	for _, g := range f.Limits.Groups {
-		id, e := strconv.ParseInt(g.Name, 10, 64)
-		l.GroupCapacity[id], err = g.Capacity, cmp.Or(err, e)
+	for _, d := range []struct {
+		seconds *float64
+		text    string
+	}{
+		{&limits.ReplaceTime, l.ReplaceTime},
+		{&limits.WarmupTime, l.WarmupTime},
+		{&limits.WriteGap, l.WriteGap},
+		{&limits.MaxWriteGap, l.MaxWriteGap},
+		{&limits.SwitchInterval, l.SwitchInterval},
+		{&limits.Deadline, l.Deadline},
+	} {
+		duration, err := time.ParseDuration(cmp.Or(d.text, "0s"))
+		if err != nil {
+			return limits, err
+		}
+		*d.seconds = duration.Seconds()
 	}
-	for _, z := range f.Limits.Zones {
-		l.ZoneCapacity[z.Name] = z.Capacity
+	for _, g := range l.Groups {
+		group, err := strconv.ParseInt(g.Name, 10, 64)
+		if err != nil {
+			return limits, err
+		}
+		limits.GroupCapacity[group] = g.Capacity
 	}
-	if err != nil {
-		return fmt.Errorf("%s: %w", c.File, err)
+	for _, z := range l.Zones {
+		limits.ZoneCapacity[z.Name] = z.Capacity
 	}
-	var members []plan.Member
+	return limits, nil
+}
+
+func (f *planFile) members() (members []plan.Member) {
 	for _, m := range f.Members {
-		members = append(
-			members,
-			plan.Member{Name: m.Name, Zone: m.Zone, Group: m.Group, Capacity: m.Capacity, Primary: m.Primary},
-		)
+		members = append(members, plan.Member{
+			Name:     m.Name,
+			Zone:     m.Zone,
+			Group:    m.Group,
+			Capacity: m.Capacity,
+			Primary:  m.Primary,
+		})
 	}
-	var steps []plan.Step
-	for _, m := range f.Replace {
-		steps = append(steps, plan.Step{Kind: plan.Replace, Member: m})
-	}
-	for _, m := range f.Switch {
-		steps = append(steps, plan.Step{Kind: plan.Switch, Member: m})
-	}
-	if len(steps) == 0 {
-		return errors.New("nothing to plan: name members to replace, or primaries to switch")
+	return members
+}
+
+func (f *planFile) steps() (steps []plan.Step) {
+	for _, name := range f.Replace {
+		steps = append(steps, plan.Step{Kind: plan.Replace, Member: name})
 	}
-	all, err := plan.Solve(members, steps, l, min(c.Tries, 100000), c.Seed)
-	if err != nil {
-		return err
+	for _, name := range f.Switch {
+		steps = append(steps, plan.Step{Kind: plan.Switch, Member: name})
 	}
-	fmt.Fprint(out, plan.Format(all))
-	return nil
+	return steps
 }
--- a/cmd/weirwind/registry.go
+++ b/cmd/weirwind/registry.go
@@ -1,7 +1,7 @@
 package main
 
-// This file owns the commands on registries: the list as a driver would see it, and what is wrong with entries. It must
-// never write to a registry.
+// This file owns the commands on registries: the membership as a driver would see it, and what is wrong with entries.
+// It must never write to a registry.
 
 import (
 	"context"
@@ -19,15 +19,18 @@
 	"weirwind/internal/roster"
 )
 
+const checkTimeout = 10 * time.Second // of one endpoint
+
 type registryCommands struct {
-	Watch watchRegistry `cmd:"" help:"Print the list as it changes, until interrupted."`
-	Check checkRegistry `cmd:"" help:"Read the list once and say what is wrong with entries; exit code 1 where anything is."`
+	Watch registryWatchCommand `cmd:"" help:"Print the list as it changes, until interrupted."`
+	Check registryCheckCommand `cmd:"" help:"Read the list once and say what is wrong with entries; exit code 1 where anything is."`
 }
 
 type registryFlags struct {
 	Operator string `help:"The operators' file." env:"WEIRWIND_OPERATOR" placeholder:"FILE"`
 }
 
+// open returns the block of the operators' file, and a client.
 func (f *registryFlags) open() (*operator.Registry, registry.Client, error) {
 	o, err := (&files{Operator: f.Operator}).operators()
 	if err != nil {
@@ -40,14 +43,14 @@
 	return o.Registry, c, err
 }
 
-type watchRegistry struct {
+type registryWatchCommand struct {
 	registryFlags
 	For time.Duration `help:"Stop after so long." placeholder:"TIME"`
 }
 
 // Run follows the registry and prints what a driver's roster makes of it.
-func (c *watchRegistry) Run(out io.Writer) error {
-	g, client, err := c.open()
+func (c *registryWatchCommand) Run(out io.Writer) error {
+	options, client, err := c.open()
 	if err != nil {
 		return err
 	}
@@ -58,71 +61,108 @@
 		ctx, end = context.WithTimeout(ctx, c.For)
 		defer end()
 	}
-	now := func() float64 { return float64(time.Now().UnixMicro()) / 1000 }
-	r := roster.New(roster.Options{Preferred: roster.SourceRegistry, ConfirmAfter: float64(g.ConfirmAfter.Milliseconds())})
+	newRosterPrinter(out, options).watch(ctx, client)
+	return nil
+}
+
+// rosterPrinter applies a registry's updates to a roster and prints what changes.
+type rosterPrinter struct {
+	out          io.Writer
+	roster       *roster.Roster
+	confirmAfter float64 // milliseconds
+	endpoints    int
+}
+
+func newRosterPrinter(out io.Writer, options *operator.Registry) *rosterPrinter {
+	confirmAfter := float64(options.ConfirmAfter.Milliseconds())
+	return &rosterPrinter{
+		out:          out,
+		roster:       roster.New(roster.Options{Preferred: roster.SourceRegistry, ConfirmAfter: confirmAfter}),
+		confirmAfter: confirmAfter,
+		endpoints:    len(options.Endpoints),
+	}
+}
+
+// watch follows the registry until the context ends.
+func (p *rosterPrinter) watch(ctx context.Context, client registry.Client) {
 	w := registry.Watcher{
-		Client:     client,
-		Now:        now,
-		OnActivity: func() {},
-		Scheduler: roster.NewScheduler(
-			roster.SchedulerOptions{Endpoints: len(g.Endpoints), Drivers: 1, Seed: uint64(os.Getpid())},
-		),
+		Client: client,
+		Scheduler: roster.NewScheduler(roster.SchedulerOptions{
+			Endpoints: p.endpoints,
+			Drivers:   1,
+			Seed:      uint64(os.Getpid()),
+		}),
 		Position: func() (int64, bool) {
-			_, revision, told := r.Revision(roster.SourceRegistry)
-			return revision, told
-		},
-		Apply: func(u roster.Update) (roster.Verdict, float64) {
-			o := r.Apply(now(), u)
-			lead, revision, age, epochs := r.Leader(now())
-			for _, e := range o.Changes {
-				fmt.Fprintf(out, "%s %s revision=%d epoch=%d age_ms=%.0f member=%s phase=%s cell=%d host_port=%s\n",
-					time.Now().UTC().Format(time.RFC3339Nano), lead, revision, epochs, age, e.ID,
-					[...]string{"up", "draining", "removed"}[e.Phase], e.Group, e.Address)
-			}
-			for _, text := range o.Notes {
-				fmt.Fprintf(out, "%s note: %s\n", time.Now().UTC().Format(time.RFC3339Nano), text)
-			}
-			return o.Verdict, float64(g.ConfirmAfter.Milliseconds())
-		},
-		OnDisconnect: func(err error) {
-			r.SetDisconnected(roster.SourceRegistry)
-			fmt.Fprintf(out, "%s lost: %v\n", time.Now().UTC().Format(time.RFC3339Nano), err)
+			_, revision, known := p.roster.Revision(roster.SourceRegistry)
+			return revision, known
 		},
+		Apply:        p.apply,
+		OnDisconnect: p.disconnected,
+		OnActivity:   func() {},
+		Now:          nowMillis,
 	}
 	w.Run(ctx)
-	return nil
 }
 
-type checkRegistry struct {
+func (p *rosterPrinter) apply(u roster.Update) (roster.Verdict, float64) {
+	o := p.roster.Apply(nowMillis(), u)
+	source, revision, age, epochs := p.roster.Leader(nowMillis())
+	for _, e := range o.Changes {
+		fmt.Fprintf(p.out, "%s %s revision=%d epoch=%d age_ms=%.0f member=%s phase=%s cell=%d host_port=%s\n",
+			timeOfDay(), source, revision, epochs, age, e.ID, [...]string{"up", "draining", "removed"}[e.Phase], e.Group,
+			e.Address)
+	}
+	for _, note := range o.Notes {
+		fmt.Fprintf(p.out, "%s note: %s\n", timeOfDay(), note)
+	}
+	return o.Verdict, p.confirmAfter
+}
+
+func (p *rosterPrinter) disconnected(err error) {
+	p.roster.SetDisconnected(roster.SourceRegistry)
+	fmt.Fprintf(p.out, "%s lost: %v\n", timeOfDay(), err)
+}
+
+func nowMillis() float64 { return float64(time.Now().UnixMicro()) / 1000 }
+
+func timeOfDay() string { return time.Now().UTC().Format(time.RFC3339Nano) }
+
+type registryCheckCommand struct {
 	registryFlags
 }
 
-// Run reads the list from every endpoint.
-func (c *checkRegistry) Run(out io.Writer) error {
-	g, client, err := c.open()
+// Run reads the membership from every endpoint.
+func (c *registryCheckCommand) Run(out io.Writer) error {
+	options, client, err := c.open()
 	if err != nil {
 		return err
 	}
-	bad := 0
-	for i, endpoint := range g.Endpoints {
-		ctx, end := context.WithTimeout(context.Background(), 10*time.Second)
-		members, revision := 0, int64(0)
-		err := client.List(ctx, i, true, func(u roster.Update) {
-			members, revision = members+len(u.Entries), u.Revision
-			for _, b := range u.Invalid {
-				bad++
-				fmt.Fprintf(out, "%s: entry %s: %s\n", endpoint, b.ID, b.Reason)
-			}
-		})
-		if end(); err != nil {
-			bad++
-			fmt.Fprintf(out, "%s: %v\n", endpoint, err)
-			continue
-		}
-		fmt.Fprintf(out, "%s: revision %d, %d good entries\n", endpoint, revision, members)
+	problems := 0
+	for i, endpoint := range options.Endpoints {
+		problems += checkEndpoint(out, client, i, endpoint)
 	}
-	if bad > 0 {
-		return fmt.Errorf("%d things are wrong", bad)
+	if problems > 0 {
+		return fmt.Errorf("%d things are wrong", problems)
 	}
 	return nil
 }
+
+// checkEndpoint reads the membership from one endpoint, and prints and counts what is wrong.
+func checkEndpoint(out io.Writer, client registry.Client, index int, endpoint string) (problems int) {
+	ctx, end := context.WithTimeout(context.Background(), checkTimeout)
+	defer end()
+	members, revision := 0, int64(0)
+	err := client.List(ctx, index, true, func(u roster.Update) {
+		members, revision = members+len(u.Entries), u.Revision
+		for _, e := range u.Invalid {
+			problems++
+			fmt.Fprintf(out, "%s: entry %s: %s\n", endpoint, e.ID, e.Reason)
+		}
+	})
+	if err != nil {
+		fmt.Fprintf(out, "%s: %v\n", endpoint, err)
+		return problems + 1
+	}
+	fmt.Fprintf(out, "%s: revision %d, %d good entries\n", endpoint, revision, members)
+	return problems
+}
--- a/cmd/weirwind/registry_test.go
+++ b/cmd/weirwind/registry_test.go
@@ -170,7 +170,7 @@
 	run := func(code int, want string, args ...string) {
 		t.Helper()
 		var out, problems bytes.Buffer
-		if got := command(args, &out, &problems); got != code || !strings.Contains(out.String()+problems.String(), want) {
+		if got := run(args, &out, &problems); got != code || !strings.Contains(out.String()+problems.String(), want) {
 			t.Errorf("%q: exit code %d, want %d with %q\n%s%s", args, got, code, want, &out, &problems)
 		}
 	}
--- a/cmd/weirwind/run.go
+++ b/cmd/weirwind/run.go
@@ -1,7 +1,7 @@
 package main
 
-// This file owns a run of the driver as a process: signals, and both files read again. It must never lose a signal
-// that comes before the driver is ready.
+// This file owns the driver as a process: its signals, and reloading both files. It must never lose a signal that comes
+// before the driver is ready.
 
 import (
 	"context"
@@ -18,8 +18,8 @@
 
 // Run serves until SIGTERM.
 func (c *runCommand) Run() error {
-	asked := make(chan os.Signal, 8) // from the first moment on: by default SIGHUP and SIGUSR1 end a process
-	signal.Notify(asked, syscall.SIGHUP, syscall.SIGUSR1)
+	signals := make(chan os.Signal, 8) // registered first: by default SIGHUP and SIGUSR1 end a process
+	signal.Notify(signals, syscall.SIGHUP, syscall.SIGUSR1)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	text, o, err := c.read()
@@ -30,14 +30,14 @@
 	if err != nil {
 		return err
 	}
-	go func() {
-		for s := range asked {
+	go func() { // until the process ends
+		for s := range signals {
 			if s == syscall.SIGUSR1 {
 				service.Report()
-			} else {
-				text, o, err := c.read()
-				service.Reload(text, err, o)
+				continue
 			}
+			text, o, err := c.read()
+			service.Reload(text, err, o)
 		}
 	}()
 	return service.Run(ctx, os.Stderr)
--- a/cmd/weirwind/state.go
+++ b/cmd/weirwind/state.go
@@ -1,7 +1,7 @@
 package main
 
-// This file owns the commands on learned state. It must never change a folder that a driver is at, nor one that it
-// was only asked to look at.
+// This file owns the commands on learned state. It must never change a folder that a driver has open, nor one that it
+// was only asked to read.
 
 import (
 	"encoding/json"
@@ -17,109 +17,137 @@
 )
 
 type stateCommands struct {
-	Show   showCommand   `cmd:"" help:"Print what is kept in a folder."`
-	Verify verifyCommand `cmd:"" help:"Check every file of a folder; exit code 1 where any is damaged."`
-	Forget forgetCommand `cmd:"" help:"Drop what was learned of a member or a group, or all of it; the driver must not run."`
+	Show   stateShowCommand   `cmd:"" help:"Print what is kept in a folder."`
+	Verify stateVerifyCommand `cmd:"" help:"Check every file of a folder; exit code 1 where any is damaged."`
+	Forget stateForgetCommand `cmd:"" help:"Drop what was learned of a member or a group, or all of it; the driver must not run."`
 }
 
+const maxFolderBytes = 1 << 30
+
+// folder is the folder of a driver's state.
 type folder struct {
 	Folder string `arg:"" help:"The folder of the operators' file." type:"path"`
 }
 
 func (f folder) options() durable.Options {
-	return durable.Options{Folder: f.Folder, Tag: learned.Tag, Limit: 1 << 30}
+	return durable.Options{Folder: f.Folder, Tag: learned.Tag, Limit: maxFolderBytes}
+}
+
+// recoveredState is what a folder holds.
+type recoveredState struct {
+	durable.Recovered
+	state  *learned.State // nil where nothing can be read
+	damage []error
 }
 
-// load recovers a folder's state. damage holds what is wrong beside it; the state is nil where nothing was kept.
-func (f folder) load() (s *learned.State, found durable.Recovered, damage []error, err error) {
-	if found, err = durable.Recover(durable.OS{}, f.options()); err != nil {
-		return nil, found, nil, err
+// recover reads the folder. The error is the file system's.
+func (f folder) recover() (r recoveredState, err error) {
+	if r.Recovered, err = durable.Recover(durable.OS{}, f.options()); err != nil {
+		return r, err
 	}
-	damage = found.Damage()
-	if found.Snapshot != nil {
-		if s, err = learned.Load(found.Snapshot, found.Records); err != nil {
-			return nil, found, append(damage, err), nil
-		}
+	r.damage = r.Damage()
+	if r.Snapshot == nil {
+		return r, nil
+	}
+	state, err := learned.Load(r.Snapshot, r.Records)
+	if err != nil {
+		r.damage = append(r.damage, err)
+		return r, nil
 	}
-	return s, found, damage, nil
+	r.state = state
+	return r, nil
 }
 
-type showCommand struct {
+type stateShowCommand struct {
 	folder
 	JSON bool `help:"All of it, as JSON."`
 }
 
-// Run prints the state; damage that cost some of it is an error, a write that a crash broke off is not.
-func (c *showCommand) Run(out io.Writer) error {
-	s, found, damage, err := c.load()
+// Run prints the state. Damage that cost some of it is an error; a write that a crash broke off is not.
+func (c *stateShowCommand) Run(out io.Writer) error {
+	r, err := c.recover()
 	if err != nil {
 		return err
 	}
-	if s == nil {
-		return errors.Join(append(damage, fmt.Errorf("%s: no state", c.Folder))...)
+	if r.state == nil {
+		return errors.Join(append(r.damage, fmt.Errorf("%s: no state", c.Folder))...)
 	}
 	if c.JSON {
-		pretty := json.NewEncoder(out)
-		pretty.SetIndent("", "  ")
-		return pretty.Encode(s)
+		indented := json.NewEncoder(out)
+		indented.SetIndent("", "  ")
+		return indented.Encode(r.state)
+	}
+	printMeta(out, r.state)
+	printGroups(out, r.state)
+	printMembers(out, r.state)
+	for _, err := range r.damage {
+		fmt.Fprintln(out, "note:", err)
+	}
+	if r.RecordsLost {
+		return errors.New("part of the state is lost; verify tells which files")
 	}
+	return nil
+}
+
+func printMeta(out io.Writer, s *learned.State) {
 	m := s.Meta
-	fmt.Fprintf(out, "driver %s, run %d, renewed %s, ended in order: %v\n", m.Name, m.Run, date(m.SavedAt.Wall), m.CleanShutdown)
+	fmt.Fprintf(out, "driver %s, run %d, renewed %s, ended in order: %v\n", m.Name, m.Run, timestamp(m.SavedAt.Wall),
+		m.CleanShutdown)
 	fmt.Fprintf(out, "list revision %d (epoch %d), %d members; ceiling %s\n", m.Revision, m.Epoch, len(s.Membership),
-		date(m.MaxPosition))
+		timestamp(m.MaxPosition))
+}
+
+func printGroups(out io.Writer, s *learned.State) {
 	for _, id := range slices.Sorted(maps.Keys(s.Groups)) {
 		g := s.Groups[id]
-		held := "was primary"
+		role := "was primary"
 		if g.InSlot {
-			held = "primary"
+			role = "primary"
 		}
 		if g.Primary == "" {
-			held = "no primary known"
+			role = "no primary known"
 		}
-		fmt.Fprintf(out, "group %d: %s %s, last seen so %s\n", id, held, g.Primary, date(g.SeenAt))
+		fmt.Fprintf(out, "group %d: %s %s, last seen so %s\n", id, role, g.Primary, timestamp(g.SeenAt))
 	}
+}
+
+func printMembers(out io.Writer, s *learned.State) {
 	for _, id := range slices.Sorted(maps.Keys(s.Membership)) {
-		e, k := s.Membership[id], s.Members[id]
+		e, m := s.Membership[id], s.Members[id]
 		fmt.Fprintf(out, "member %s: group %d at %s, %s", id, e.Group, e.Address, e.Phase)
-		if k.EjectedAt > 0 {
-			fmt.Fprintf(out, ", set aside %s", date(k.EjectedAt))
+		if m.EjectedAt > 0 {
+			fmt.Fprintf(out, ", set aside %s", timestamp(m.EjectedAt))
 		}
-		if k.Position > 0 {
-			fmt.Fprintf(out, ", position %s", date(k.Position))
+		if m.Position > 0 {
+			fmt.Fprintf(out, ", position %s", timestamp(m.Position))
 		}
 		fmt.Fprintln(out)
 	}
-	for _, err := range damage {
-		fmt.Fprintln(out, "note:", err)
-	}
-	if found.RecordsLost {
-		return errors.New("part of the state is lost; verify tells which files")
-	}
-	return nil
 }
 
-func date(ms float64) string {
+// timestamp prints a Unix time in milliseconds.
+func timestamp(ms float64) string {
 	if ms == 0 {
 		return "never"
 	}
 	return time.UnixMilli(int64(ms)).UTC().Format("2006-01-02T15:04:05.000Z")
 }
 
-type verifyCommand struct {
+type stateVerifyCommand struct {
 	folder
 }
 
-// Run checks files and records. What a crash may leave behind the last whole record is told, and is no damage.
-func (c *verifyCommand) Run(out io.Writer) error {
-	s, found, _, err := c.load()
+// Run checks files and records. What a crash may leave behind the last complete record is printed, but is no damage.
+func (c *stateVerifyCommand) Run(out io.Writer) error {
+	r, err := c.recover()
 	if err != nil {
 		return err
 	}
-	bad := 0
-	for _, f := range found.Files {
+	damaged := 0
+	for _, f := range r.Files {
 		switch {
 		case f.Err != nil:
-			bad++
+			damaged++
 			fmt.Fprintf(out, "%s: %v\n", f.Name, f.Err)
 		case f.Tail > 0:
 			fmt.Fprintf(out, "%s: good up to record %d; %d bytes broken off\n", f.Name, f.Seq, f.Tail)
@@ -128,25 +156,25 @@
 		}
 	}
 	switch {
-	case found.RecordsLost || bad > 0:
-		return fmt.Errorf("%s: damaged; a driver would start from record %d", c.Folder, found.Seq)
-	case len(found.Files) == 0:
+	case r.RecordsLost || damaged > 0:
+		return fmt.Errorf("%s: damaged; a driver would start from record %d", c.Folder, r.Seq)
+	case len(r.Files) == 0:
 		return fmt.Errorf("%s: no state", c.Folder)
-	case s == nil:
-		_, err := learned.Load(found.Snapshot, found.Records)
+	case r.state == nil:
+		_, err := learned.Load(r.Snapshot, r.Records)
 		return fmt.Errorf("%s: %w", c.Folder, err)
 	}
 	return nil
 }
 
-type forgetCommand struct {
+type stateForgetCommand struct {
 	folder
 	Member []string `help:"A member's id; may stand several times." placeholder:"ID"`
 	Group  []int64  `help:"A group's number; may stand several times." placeholder:"N"`
 }
 
-// Run drops what is named and begins a new generation without it.
-func (c *forgetCommand) Run(out io.Writer) error {
+// Run drops what is named, and begins new generations without it.
+func (c *stateForgetCommand) Run(out io.Writer) error {
 	before, err := durable.Recover(durable.OS{}, c.options())
 	if err != nil {
 		return err
--- a/cmd/weirwind/state_test.go
+++ b/cmd/weirwind/state_test.go
@@ -242,7 +242,7 @@
 		os.WriteFile(name, b, 0o600)
 	}
 	var out, problems bytes.Buffer
-	if code := command([]string{"state", "verify", folder}, &out, &problems); code != 1 || !strings.Contains(out.String(), "damaged") {
+	if code := run([]string{"state", "verify", folder}, &out, &problems); code != 1 || !strings.Contains(out.String(), "damaged") {
 		t.Errorf("verify: %d\n%s%s", code, &out, &problems)
 	}
 	q := s.start(t)
@@ -291,7 +291,7 @@
 	run := func(code int, want string, args ...string) {
 		t.Helper()
 		var out, problems bytes.Buffer
-		if got := command(args, &out, &problems); got != code || !strings.Contains(out.String()+problems.String(), want) {
+		if got := run(args, &out, &problems); got != code || !strings.Contains(out.String()+problems.String(), want) {
 			t.Errorf("%q: exit code %d, want %d with %q\n%s%s", args, got, code, want, &out, &problems)
 		}
 	}
--- a/cmd/weirwind/switch_test.go
+++ b/cmd/weirwind/switch_test.go
@@ -64,7 +64,7 @@
 	run := func(code int, want string, args ...string) {
 		t.Helper()
 		var out, problems bytes.Buffer
-		got := command(append([]string{"switch"}, args...), &out, &problems)
+		got := run(append([]string{"switch"}, args...), &out, &problems)
 		if text := out.String() + problems.String(); got != code || !strings.Contains(text, want) {
 			t.Errorf("%q: exit code %d, want %d with %q: %s", args, got, code, want, text)
 		}
--- a/cmd/weirwind/zones.go
+++ b/cmd/weirwind/zones.go
@@ -1,6 +1,6 @@
 package main
 
-// This file owns the commands on zones. It must never decide what is planned.
+// This file owns the commands on zones.
 
 import (
 	"context"
@@ -14,16 +14,18 @@
 )
 
 type zonesCommands struct {
-	Status   zonesStatus   `cmd:"" help:"The plan that the driver goes by, what it sees of zones, and what crossed between them."`
-	Plan     zonesPlan     `cmd:"" help:"Which shares would be planned; at the driver that leads."`
-	Evacuate zonesEvacuate `cmd:"" help:"Have a zone's reads and primaries move elsewhere."`
-	Return   zonesReturn   `cmd:"" help:"Take an evacuation back."`
-	Freeze   zonesFreeze   `cmd:"" help:"Have the plan stay as it is, or go on again with --off."`
-	Watch    zonesWatch    `cmd:"" help:"Print each new plan, until interrupted."`
+	Status   zonesStatusCommand   `cmd:"" help:"The plan that the driver goes by, what it sees of zones, and what crossed between them."`
+	Plan     zonesPlanCommand     `cmd:"" help:"Which shares would be planned; at the driver that leads."`
+	Evacuate zonesEvacuateCommand `cmd:"" help:"Have a zone's reads and primaries move elsewhere."`
+	Return   zonesReturnCommand   `cmd:"" help:"Take an evacuation back."`
+	Freeze   zonesFreezeCommand   `cmd:"" help:"Have the plan stay as it is, or go on again with --off."`
+	Watch    zonesWatchCommand    `cmd:"" help:"Print each new plan, until interrupted."`
 }
 
+// printPlan prints the driver's plan, a line each on zones, partitions, flows, moves and constraints.
 func printPlan(out io.Writer, s *zones.Status) {
-	fmt.Fprintf(out, "self=%s zone=%s leads=%v in_force=%v age=%s", s.Self, s.Zone, s.Leader, s.InForce, span(s.Age))
+	fmt.Fprintf(out, "self=%s zone=%s leads=%v in_force=%v age=%s", s.Self, s.Zone, s.Leader, s.InForce,
+		roundedDuration(s.Age))
 	if s.Plan == nil {
 		fmt.Fprintln(out, " epoch=none")
 		return
@@ -50,14 +52,14 @@
 	}
 }
 
-type zonesStatus struct {
+type zonesStatusCommand struct {
 	socketFlag
 	JSON bool `help:"As JSON." name:"json"`
 }
 
 // Run prints the driver's part.
-func (c *zonesStatus) Run(out io.Writer) error {
-	return c.with(func(ctx context.Context, client *control.Client) error {
+func (c *zonesStatusCommand) Run(out io.Writer) error {
+	return c.call(callTimeout, func(ctx context.Context, client *control.Client) error {
 		s, err := client.Zones(ctx)
 		if err != nil {
 			return err
@@ -77,7 +79,7 @@
 	})
 }
 
-type zonesPlan struct {
+type zonesPlanCommand struct {
 	socketFlag
 	DryRun  bool   `help:"Said for clarity: this command never changes anything." default:"true"`
 	Without string `help:"Were this zone away."`
@@ -85,8 +87,8 @@
 }
 
 // Run prints what would be planned.
-func (c *zonesPlan) Run(out io.Writer) error {
-	return c.with(func(ctx context.Context, client *control.Client) error {
+func (c *zonesPlanCommand) Run(out io.Writer) error {
+	return c.call(callTimeout, func(ctx context.Context, client *control.Client) error {
 		p, err := client.PreviewZones(ctx, c.Without)
 		if err != nil {
 			return err
@@ -107,54 +109,55 @@
 	})
 }
 
-type zonesEvacuate struct {
+type zonesEvacuateCommand struct {
 	socketFlag
 	Zone string        `arg:"" help:"The zone."`
 	For  time.Duration `help:"It returns by itself after so long; 0: when it is told to."`
 }
 
-// Run has a zone emptied.
-func (c *zonesEvacuate) Run() error {
-	return c.with(func(ctx context.Context, client *control.Client) error {
-		return client.SubmitZoneCommand(ctx, zones.Command{Zone: c.Zone, Evacuate: true, Duration: float64(c.For.Milliseconds())})
+// Run evacuates a zone.
+func (c *zonesEvacuateCommand) Run() error {
+	return c.call(callTimeout, func(ctx context.Context, client *control.Client) error {
+		duration := float64(c.For.Milliseconds())
+		return client.SubmitZoneCommand(ctx, zones.Command{Zone: c.Zone, Evacuate: true, Duration: duration})
 	})
 }
 
-type zonesReturn struct {
+type zonesReturnCommand struct {
 	socketFlag
 	Zone string `arg:"" help:"The zone."`
 }
 
 // Run takes an evacuation back.
-func (c *zonesReturn) Run() error {
-	return c.with(func(ctx context.Context, client *control.Client) error {
+func (c *zonesReturnCommand) Run() error {
+	return c.call(callTimeout, func(ctx context.Context, client *control.Client) error {
 		return client.SubmitZoneCommand(ctx, zones.Command{Zone: c.Zone})
 	})
 }
 
-type zonesFreeze struct {
+type zonesFreezeCommand struct {
 	socketFlag
 	Off bool `help:"Plans go on again."`
 }
 
-// Run has the plan stay as it is.
-func (c *zonesFreeze) Run() error {
-	return c.with(func(ctx context.Context, client *control.Client) error {
+// Run freezes the plan, or lets it go on.
+func (c *zonesFreezeCommand) Run() error {
+	return c.call(callTimeout, func(ctx context.Context, client *control.Client) error {
 		on := !c.Off
 		return client.SubmitZoneCommand(ctx, zones.Command{Freeze: &on})
 	})
 }
 
-type zonesWatch struct {
+type zonesWatchCommand struct {
 	watchFlags
 	JSON bool `help:"As JSON, a plan a line." name:"json"`
 }
 
-// Run prints plans as they change, and moves of primaries that are asked for.
-func (c *zonesWatch) Run(out io.Writer) error {
+// Run prints plans as they change, and the moves of primaries that are requested.
+func (c *zonesWatchCommand) Run(out io.Writer) error {
 	epoch, force := uint64(0), false
 	var moves []zones.Move
-	return c.look(func(ctx context.Context, client *control.Client) error {
+	return c.poll(func(ctx context.Context, client *control.Client) error {
 		s, err := client.Zones(ctx)
 		if err != nil {
 			return err
