--- a/internal/lab/experiment/report.go
+++ b/internal/lab/experiment/charts.go
@@ -1,13 +1,12 @@
 package experiment
 
-// This file owns pictures and the page that holds them. It must never draw what rows do not hold.
+// This file owns pictures: what is drawn of rows, and how.
 
 import (
 	"bytes"
 	"fmt"
 	"html/template"
 	"image/color"
-	"io"
 	"math"
 	"os"
 	"path/filepath"
@@ -23,18 +22,19 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// Colours that are told apart by those who see few, in the order of variants.
+// colours are distinguishable with colour blindness; variants take them in order.
 var colours = []color.Color{color.RGBA{0, 114, 178, 255}, color.RGBA{213, 94, 0, 255}, color.RGBA{0, 158, 115, 255},
 	color.RGBA{204, 121, 167, 255}, color.RGBA{86, 180, 233, 255}, color.RGBA{120, 94, 0, 255}}
 
 const panelWidth, panelHeight = 5 * vg.Inch, 3 * vg.Inch
 
-// panel is one picture; a row of them has the same axes, so that sizes can be compared.
+// panel is one picture; those of a section have the same axes, so that sizes can be compared.
 type panel struct {
-	Name string
+	name string
 	plot *plot.Plot
 }
 
+// svg is the picture as an element of a page.
 func (p *panel) svg() (template.HTML, error) {
 	c := vgsvg.New(panelWidth, panelHeight)
 	p.plot.Draw(draw.New(c))
@@ -46,10 +46,11 @@
 	return template.HTML("<svg" + text), nil
 }
 
+// png writes the picture into a folder.
 func (p *panel) png(folder string) error {
 	c := vgimg.PngCanvas{Canvas: vgimg.New(panelWidth, panelHeight)}
 	p.plot.Draw(draw.New(c))
-	f, err := os.Create(filepath.Join(folder, p.Name+".png"))
+	f, err := os.Create(filepath.Join(folder, p.name+".png"))
 	if err != nil {
 		return err
 	}
@@ -67,7 +68,7 @@
 	return p
 }
 
-// Line adds one to a plot, in the nth colour.
+// Line adds a line to a plot, in the nth colour.
 func Line(p *plot.Plot, n int, name string, xy plotter.XYs) error {
 	l, err := plotter.NewLine(xy)
 	if err != nil {
@@ -84,7 +85,7 @@
 	return nil
 }
 
-// merged adds the latencies of all types of runs up.
+// mergedLatencies is the histogram of all op types of runs.
 func mergedLatencies(rows []Run) (*hdrhistogram.Histogram, error) {
 	all := hdrhistogram.New(1, 60e6, 3)
 	for i := range rows {
@@ -99,7 +100,7 @@
 	return all, nil
 }
 
-// overTime is a mean over seeds, second by second.
+// meanBySecond is a value's mean over runs, second by second.
 func meanBySecond(rows []Run, of func(*Second) float64) plotter.XYs {
 	var xy plotter.XYs
 	for i := range rows[0].Seconds {
@@ -117,14 +118,15 @@
 
 // section is a row of panels on the page.
 type section struct {
-	Title, Note string
+	title, note string
 	panels      []panel
 }
 
+// timeSeries are the sections with a value for each second.
 var timeSeries = []struct {
 	name, title, note, y string
-	of                   func(*Second) float64
-	most                 float64 // of the axis; 0: what there is
+	value                func(*Second) float64
+	maxY                 float64 // of the axis; 0: what there is
 }{
 	{"worth", "Worth over time", "Value served in time, as a share of what was asked first in that second.", "share",
 		func(s *Second) float64 { return s.ValueShare }, 1.4},
@@ -139,7 +141,7 @@
 		func(s *Second) float64 { return s.PendingWrites }, 0},
 }
 
-// drawing is rows taken apart by size and variant, and the sections that were drawn of them.
+// sectionBuilder draws sections of rows by cell and variant.
 type sectionBuilder struct {
 	rows     []Run
 	cells    []cell
@@ -147,17 +149,19 @@
 	sections []section
 }
 
-// in are the rows of a variant at a size.
-func (d *sectionBuilder) in(c cell, variant string) []Run {
+// rowsOf is the rows of a variant in a cell.
+func (d *sectionBuilder) rowsOf(c cell, variant string) []Run {
 	return slices.DeleteFunc(slices.Clone(d.rows), func(r Run) bool {
 		return r.cell() != c || r.Variant != variant
 	})
 }
 
+// title is a cell's heading.
 func (c cell) title() string {
 	return fmt.Sprintf("%s: %d drivers, load %g", c.experiment, c.drivers, c.load)
 }
 
+// label is part of a picture's file name.
 func (c cell) label(kind string) string {
 	return fmt.Sprintf("%s-%s-%d-%g", kind, c.experiment, c.drivers, c.load)
 }
@@ -165,27 +169,27 @@
 // chart is how a section is drawn: a panel a cell, lines by variant, and one scale for all.
 type chart struct {
 	kind, title, note, x, y string
-	most                    float64 // of the y axis; 0: what there is
-	add                     func(p *plot.Plot, n int, rows []Run, variant string) error
+	maxY                    float64 // of the y axis; 0: what there is
+	draw                    func(p *plot.Plot, n int, rows []Run, variant string) error
 }
 
-// draw adds a section.
+// addChart draws a section.
 func (d *sectionBuilder) addChart(h chart) error {
-	s := section{Title: h.title, Note: h.note}
+	s := section{title: h.title, note: h.note}
 	for _, c := range d.cells {
 		p := newPlot(c.title(), h.x, h.y)
 		for n, v := range d.variants {
-			if some := d.in(c, v); len(some) > 0 {
-				if err := h.add(p, n, some, v); err != nil {
+			if some := d.rowsOf(c, v); len(some) > 0 {
+				if err := h.draw(p, n, some, v); err != nil {
 					return err
 				}
 			}
 		}
 		s.panels = append(s.panels, panel{c.label(h.kind), p})
 	}
-	high := h.most
+	high := h.maxY
 	for _, p := range s.panels {
-		if h.most == 0 && !math.IsInf(p.plot.Y.Max, 0) {
+		if h.maxY == 0 && !math.IsInf(p.plot.Y.Max, 0) {
 			high = max(high, p.plot.Y.Max*1.15)
 		}
 	}
@@ -196,7 +200,7 @@
 	return nil
 }
 
-// draws makes all panels of rows: outcomes, courses over time, latencies, load by member.
+// newSections draws all panels of rows: outcomes, time series, latencies, utilization by member.
 func newSections(rows []Run) ([]section, error) {
 	d := &sectionBuilder{rows: rows, cells: cellsOf(rows)}
 	for i := range rows {
@@ -206,8 +210,10 @@
 	}
 	var charts []chart
 	for _, c := range timeSeries {
-		charts = append(charts, chart{c.name, c.title, c.note, "second", c.y, c.most,
-			func(p *plot.Plot, n int, rows []Run, v string) error { return Line(p, n, v, meanBySecond(rows, c.of)) }})
+		charts = append(charts, chart{c.name, c.title, c.note, "second", c.y, c.maxY,
+			func(p *plot.Plot, n int, rows []Run, v string) error {
+				return Line(p, n, v, meanBySecond(rows, c.value))
+			}})
 	}
 	charts = append(charts,
 		chart{"latency", "Latency of acked ops", "From a client's first try; the axis counts nines.", "quantile", "ms", 0,
@@ -223,7 +229,7 @@
 	return append([]section{outcomes}, d.sections...), err
 }
 
-// addLatency draws the quantiles of a variant's acked ops.
+// drawLatency draws the quantiles of a variant's acked ops.
 func drawLatency(p *plot.Plot, n int, rows []Run, variant string) error {
 	h, err := mergedLatencies(rows)
 	if err != nil || h.TotalCount() == 0 {
@@ -239,7 +245,7 @@
 	return Line(p, n, variant, xy)
 }
 
-// addMembers draws how busy members were, the mean over a variant's seeds.
+// drawUtilization draws how busy members were, the mean over a variant's seeds.
 func drawUtilization(p *plot.Plot, n int, rows []Run, variant string) error {
 	busy := make([]float64, len(rows[0].Members))
 	for i := range rows {
@@ -258,42 +264,13 @@
 	return Line(p, n, variant, xy)
 }
 
-// outcomes are stacked bars, a panel a cell: what came of ops' tries, variant by variant.
+// outcomes draws stacked bars, a panel for each cell: the outcomes of ops, variant by variant.
 func (d *sectionBuilder) outcomes() (section, error) {
-	s := section{Title: "Outcomes", Note: "Of all tries: acked in time, acked late, refused, failed."}
-	names := []string{"in time", "late", "refused", "failed"}
-	shades := []color.Color{color.RGBA{0, 158, 115, 255}, color.RGBA{240, 228, 66, 255}, color.RGBA{86, 180, 233, 255},
-		color.RGBA{213, 94, 0, 255}}
+	s := section{title: "Outcomes", note: "Of all tries: acked in time, acked late, refused, failed."}
 	for _, c := range d.cells {
 		p := newPlot(c.title(), "", "share of tries")
-		values := make([]plotter.Values, 4)
-		for _, v := range d.variants {
-			var n [4]float64
-			all := 1e-9
-			for _, r := range d.in(c, v) {
-				for _, t := range r.Types {
-					for i, x := range [4]int64{t.WithinTarget, t.Acked - t.WithinTarget, t.Refused, t.Failed} {
-						n[i], all = n[i]+float64(x), all+float64(x)
-					}
-				}
-			}
-			for i := range n {
-				values[i] = append(values[i], n[i]/all)
-			}
-		}
-		var below *plotter.BarChart
-		for i := range values {
-			bars, err := plotter.NewBarChart(values[i], vg.Points(200/float64(len(d.variants))))
-			if err != nil {
-				return s, err
-			}
-			bars.Color, bars.LineStyle.Width = shades[i], 0
-			if below != nil {
-				bars.StackOn(below)
-			}
-			p.Add(bars)
-			p.Legend.Add(names[i], bars)
-			below = bars
+		if err := d.addBars(p, d.outcomeShares(c)); err != nil {
+			return s, err
 		}
 		p.NominalX(d.variants...)
 		p.Y.Min, p.Y.Max = 0, 1.35
@@ -302,110 +279,52 @@
 	return s, nil
 }
 
-var page = template.Must(template.New("page").Parse(`<!DOCTYPE html>
-<html lang="en"><head><meta charset="utf-8"><title>{{.Title}}</title><style>
-body { font: 15px/1.5 sans-serif; margin: 2em auto; max-width: 1120px; padding: 0 1em; color: #222 }
-.row { display: flex; flex-wrap: wrap; gap: 1em } .row svg { max-width: 100%; height: auto }
-table { border-collapse: collapse; font-size: 13px } ` +
-	`td, th { padding: .25em .7em; border-bottom: 1px solid #ddd; text-align: right }
-td:first-child, th:first-child { text-align: left } pre { background: #f6f6f6; padding: 1em; overflow-x: auto }
-</style></head><body><h1>{{.Title}}</h1>
-{{range .Notes}}<p>{{.}}</p>{{end}}
-<table><tr>{{range .Head}}<th>{{.}}</th>{{end}}</tr>` +
-	`{{range .Table}}<tr>{{range .}}<td>{{.}}</td>{{end}}</tr>{{end}}</table>
-{{range .Sections}}<h2>{{.Title}}</h2><p>{{.Note}}</p><div class="row">{{range .Pictures}}{{.}}{{end}}</div>{{end}}
-{{with .Text}}<h2>Comparison</h2><pre>{{.}}</pre>{{end}}
-</body></html>
-`))
-
-// Page writes one HTML file with all that there is to see of rows; text may be a comparison. With a folder, each
-// picture goes there as PNG too.
-func WritePage(out io.Writer, title string, notes []string, rows []Run, text, pngs string) error {
-	if len(rows) == 0 {
-		return fmt.Errorf("no runs to report on")
-	}
-	sections, err := newSections(rows)
-	if err != nil {
-		return err
-	}
-	data := pageData{Title: title, Notes: notes, Text: text, Head: []string{"run"}, Table: table(rows)}
-	for _, s := range sections {
-		x, err := s.render(pngs)
-		if err != nil {
-			return err
-		}
-		data.Sections = append(data.Sections, x)
-	}
-	for _, m := range Measures {
-		data.Head = append(data.Head, m.Name)
-	}
-	return page.Execute(out, data)
-}
-
-// pageData is what the page's template takes.
-type pageData struct {
-	Title    string
-	Notes    []string
-	Head     []string
-	Table    [][]string
-	Sections []renderedSection
-	Text     string
-}
-
-// shown is a section with its pictures drawn.
-type renderedSection struct {
-	Title, Note string
-	Pictures    []template.HTML
+// outcomeBars are the parts of a bar, from the bottom.
+var outcomeBars = []struct {
+	name   string
+	colour color.Color
+}{
+	{"in time", color.RGBA{0, 158, 115, 255}},
+	{"late", color.RGBA{240, 228, 66, 255}},
+	{"refused", color.RGBA{86, 180, 233, 255}},
+	{"failed", color.RGBA{213, 94, 0, 255}},
 }
 
-// show draws a section's pictures; with a folder, there as PNG too.
-func (s *section) render(pngs string) (renderedSection, error) {
-	x := renderedSection{Title: s.Title, Note: s.Note}
-	for i := range s.panels {
-		picture, err := s.panels[i].svg()
-		if err != nil {
-			return x, err
-		}
-		x.Pictures = append(x.Pictures, picture)
-		if pngs != "" {
-			if err := s.panels[i].png(pngs); err != nil {
-				return x, err
+// outcomeShares is the share of each outcome, by variant.
+func (d *sectionBuilder) outcomeShares(c cell) []plotter.Values {
+	values := make([]plotter.Values, len(outcomeBars))
+	for _, v := range d.variants {
+		var counts [4]float64
+		all := 1e-9
+		for _, r := range d.rowsOf(c, v) {
+			for _, t := range r.Types {
+				for i, x := range [4]int64{t.WithinTarget, t.Acked - t.WithinTarget, t.Refused, t.Failed} {
+					counts[i], all = counts[i]+float64(x), all+float64(x)
+				}
 			}
 		}
-	}
-	return x, nil
-}
-
-// table is a line for each variant at each size: every measure's mean over seeds, and half its interval.
-func table(rows []Run) (lines [][]string) {
-	for _, c := range cellsOf(rows) {
-		seen := map[string]bool{}
-		for _, r := range rows {
-			if r.cell() != c || seen[r.Variant] {
-				continue
-			}
-			seen[r.Variant] = true
-			line := []string{fmt.Sprintf("%s, %d drivers, load %g: %s", c.experiment, c.drivers, c.load, r.Variant)}
-			for _, m := range Measures {
-				line = append(line, tableCell(rows, c, r.Variant, m))
-			}
-			lines = append(lines, line)
+		for i := range counts {
+			values[i] = append(values[i], counts[i]/all)
 		}
 	}
-	return lines
+	return values
 }
 
-func tableCell(rows []Run, c cell, variant string, m Measure) string {
-	var values []float64
-	for i := range rows {
-		if x := &rows[i]; x.cell() == c && x.Variant == variant {
-			values = append(values, m.Value(x))
+// addBars stacks the values of all outcomes.
+func (d *sectionBuilder) addBars(p *plot.Plot, values []plotter.Values) error {
+	var below *plotter.BarChart
+	for i, part := range outcomeBars {
+		bars, err := plotter.NewBarChart(values[i], vg.Points(200/float64(len(d.variants))))
+		if err != nil {
+			return err
 		}
+		bars.Color, bars.LineStyle.Width = part.colour, 0
+		if below != nil {
+			bars.StackOn(below)
+		}
+		p.Add(bars)
+		p.Legend.Add(part.name, bars)
+		below = bars
 	}
-	mean, half := Interval(values)
-	text := fmt.Sprintf("%.4g", mean)
-	if !math.IsInf(half, 0) {
-		text += fmt.Sprintf(" ± %.2g", half)
-	}
-	return text
+	return nil
 }
--- a/internal/lab/experiment/compare.go
+++ b/internal/lab/experiment/compare.go
@@ -1,7 +1,7 @@
 package experiment
 
-// This file owns the comparison of runs: pairs by seed, means of differences and how sure they are. It must never call
-// a difference one that chance explains.
+// This file owns the comparison of runs: pairs by seed, means of their differences and 95 % intervals. A difference that
+// chance explains is not called one.
 
 import (
 	"cmp"
@@ -20,7 +20,7 @@
 	Name   string
 	Better int
 	Value  func(*Run) float64
-	// OnSockets says that a play on sockets counts it too.
+	// OnSockets says that a run on sockets counts it too.
 	OnSockets bool
 }
 
@@ -35,17 +35,17 @@
 	{"p50 of all types, ms", -1, func(r *Run) float64 { return r.Quantile(50) }, true},
 	{"p99 of all types, ms", -1, func(r *Run) float64 { return r.Quantile(99) }, true},
 	{"longest gap of writes, ms", -1, func(r *Run) float64 { return slices.Max(append([]float64{0}, r.WriteGaps...)) }, false},
-	{"writes held, mean of the worst second", -1, func(r *Run) (most float64) {
+	{"writes held, mean of the worst second", -1, func(r *Run) (worst float64) {
 		for _, s := range r.Seconds {
-			most = max(most, s.PendingWrites)
+			worst = max(worst, s.PendingWrites)
 		}
-		return most
+		return worst
 	}, false},
-	{"sends in a new primary's first second, of what it can do", -1, func(r *Run) (most float64) {
+	{"sends in a new primary's first second, of what it can do", -1, func(r *Run) (worst float64) {
 		for _, o := range r.Promotions {
-			most = max(most, float64(o.Sends)/o.Capacity)
+			worst = max(worst, float64(o.Sends)/o.Capacity)
 		}
-		return most
+		return worst
 	}, false},
 	{"sends an op", -1, func(r *Run) float64 { return float64(r.Sends) / float64(max(r.Ops, 1)) }, false},
 	{"new connections", 0, func(r *Run) float64 { return float64(r.Connects) }, false},
@@ -57,7 +57,7 @@
 	}, false},
 }
 
-// Late is the worth served of what was asked in the last quarter.
+// LateValueShare is the mean value share of the seconds of the last quarter.
 func (r *Run) LateValueShare() float64 {
 	sum, n := 0.0, 0
 	for i := len(r.Seconds) * 3 / 4; i < len(r.Seconds); i++ {
@@ -67,22 +67,23 @@
 	return sum / float64(max(n, 1))
 }
 
-// Tries is how often clients asked, an op.
+// AttemptsPerOp is how often clients submitted each op.
 func (r *Run) AttemptsPerOp() float64 {
-	again, asked := int64(0), int64(0)
+	retries, ops := int64(0), int64(0)
 	for _, s := range r.Seconds {
-		again, asked = again+s.Retries, asked+s.Arrivals
+		retries, ops = retries+s.Retries, ops+s.Arrivals
 	}
-	return 1 + float64(again)/float64(max(asked, 1))
+	return 1 + float64(retries)/float64(max(ops, 1))
 }
 
+// shareOfAttempts is the share of all attempts that a count of each op type makes up.
 func (r *Run) shareOfAttempts(of func(*Type) int64) float64 {
-	some, all := int64(0), int64(0)
+	counted, all := int64(0), int64(0)
 	for i := range r.Types {
 		t := &r.Types[i]
-		some, all = some+of(t), all+t.Acked+t.Refused+t.Failed
+		counted, all = counted+of(t), all+t.Acked+t.Refused+t.Failed
 	}
-	return float64(some) / float64(max(all, 1))
+	return float64(counted) / float64(max(all, 1))
 }
 
 // Quantile is of the latency of all acked ops, in milliseconds; 0 where a histogram can't be read.
@@ -103,7 +104,7 @@
 	return all.Mean() / 1000
 }
 
-// cell is what is compared with another's: the same experiment, size, load and seed.
+// cell is what runs of different seeds and variants have in common.
 type cell struct {
 	experiment string
 	drivers    int32
@@ -112,7 +113,7 @@
 
 func (r *Run) cell() cell { return cell{r.Experiment, r.Drivers, r.Load} }
 
-// Difference is that of one measure between two sides in one cell, over the seeds that both have.
+// Difference is that of one measure between two sides of one cell, over the seeds that both have.
 type Difference struct {
 	Experiment      string
 	Drivers         int32
@@ -123,13 +124,13 @@
 	Mean, HalfWidth float64 // of B less A, and half of its 95 % interval by Student's t; Half is infinite with one pair
 }
 
-// Sure says whether chance does not explain the difference.
+// Significant says whether chance does not explain the difference, by its 95 % interval.
 func (d *Difference) Significant() bool {
 	return d.Pairs > 1 && math.Abs(d.Mean) > d.HalfWidth && d.Mean != 0
 }
 
-// Compare lays runs b beside runs a: each variant beside its own, or, where across is true, whatever the sides hold.
-// Runs that only one side has are left out.
+// Compare compares runs b with runs a: each variant with its own, or, where across is true, with any. Runs that only one
+// side has are left out.
 func Compare(a, b []Run, across bool) (all []Difference) {
 	type pair struct{ a, b *Run }
 	pairs := map[cell][]pair{}
@@ -176,12 +177,12 @@
 	return mean, t * dev / math.Sqrt(float64(len(values)))
 }
 
-// Of are the runs of a variant; "" for all.
+// SelectVariant is the runs of a variant; "" for all.
 func SelectVariant(rows []Run, variant string) []Run {
 	return slices.DeleteFunc(slices.Clone(rows), func(r Run) bool { return variant != "" && r.Variant != variant })
 }
 
-// Print writes a comparison as a table.
+// WriteComparison writes differences as a table.
 func WriteComparison(out io.Writer, nameA, nameB string, all []Difference) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	before := cell{}
@@ -191,21 +192,28 @@
 			fmt.Fprintf(w, "%s, %d drivers, load %g, %d pairs\t%s\t%s\tdifference\t\n", d.Experiment, d.Drivers, d.Load, d.Pairs,
 				nameA, nameB)
 		}
-		word := "not beyond chance"
-		switch {
-		case d.Pairs < 2:
-			word = "one pair tells nothing of chance"
-		case d.Significant() && d.Measure.Better == 0:
-			word = "changed"
-		case d.Significant():
-			word = map[bool]string{true: "better", false: "worse"}[d.Mean*float64(d.Measure.Better) > 0]
-		}
-		fmt.Fprintf(w, "  %s\t%.4g\t%.4g\t%+.3g ± %.2g\t%s\n", d.Measure.Name, d.A, d.B, d.Mean, d.HalfWidth, word)
+		fmt.Fprintf(w, "  %s\t%.4g\t%.4g\t%+.3g ± %.2g\t%s\n", d.Measure.Name, d.A, d.B, d.Mean,
+			d.HalfWidth, d.verdict())
 	}
 	return w.Flush()
 }
 
-// sizes are the cells of rows in order.
+// verdict is what a difference means.
+func (d *Difference) verdict() string {
+	switch {
+	case d.Pairs < 2:
+		return "one pair tells nothing of chance"
+	case !d.Significant():
+		return "not beyond chance"
+	case d.Measure.Better == 0:
+		return "changed"
+	case d.Mean*float64(d.Measure.Better) > 0:
+		return "better"
+	}
+	return "worse"
+}
+
+// cellsOf is the cells of rows, in order.
 func cellsOf(rows []Run) (all []cell) {
 	for i := range rows {
 		if c := rows[i].cell(); !slices.Contains(all, c) {
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -60,7 +60,7 @@
 }
 `
 
-func TestRead(t *testing.T) {
+func TestParseFile(t *testing.T) {
 	plans, err := ParseFile("s.hcl", []byte(small))
 	if err != nil || len(plans) != 12 {
 		t.Fatal(err, len(plans))
@@ -88,7 +88,7 @@
 	}
 }
 
-// Runs are played once; a second call, also after a break in the middle, plays what is missing alone and gives the same.
+// Plans are run once; a second call, also after an interruption, runs only what is missing and gives the same.
 func TestRunAndResume(t *testing.T) {
 	plans, err := ParseFile("s.hcl", []byte(small))
 	if err != nil {
@@ -98,7 +98,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	stop()
 	if _, err := r.Run(ctx, plans); err == nil {
-		t.Error("a run that was stopped says that it is done")
+		t.Error("a run that was stopped reports success")
 	}
 	first, err := r.Run(context.Background(), plans)
 	if err != nil {
@@ -188,7 +188,7 @@
 		t.Error(none)
 	}
 	if own := Compare(append(a, b...), append(b, a...), false); len(own) != 2*len(Measures) || own[0].Mean != 0 || own[0].Experiment != "e a" {
-		t.Errorf("variants are not laid beside their own: %+v", own)
+		t.Errorf("variants are not compared with their own: %+v", own)
 	}
 	var out bytes.Buffer
 	if err := WriteComparison(&out, "A", "B", append(d, noise...)); err != nil || !strings.Contains(out.String(), "better") || !strings.Contains(out.String(), "not beyond chance") {
--- a/internal/lab/experiment/scenario.go
+++ b/internal/lab/experiment/file.go
@@ -1,9 +1,7 @@
-// Package experiment plays scenarios in the emulator by a file: variants, sizes, seeds and faults, side by side; it
-// keeps what came of them, compares and draws it.
-//
-// This file owns the file's form, in HCL. It must never let a name or a value pass that it does not know.
 package experiment
 
+// This file owns the form of experiments' files, in HCL. Names and values that it does not know are errors.
+
 import (
 	"cmp"
 	"encoding/json"
@@ -18,13 +16,15 @@
 	"weirwind/logic"
 )
 
-// File is what a file holds.
+const maxSeeds = 1000 // of an experiment
+
+// File is the content of a file.
 type File struct {
 	Scenarios   []scenarioBlock `hcl:"scenario,block"`
 	Experiments []Experiment    `hcl:"experiment,block"`
 }
 
-// scenario is a world with its clients and faults.
+// scenarioBlock is a deployment with its clients and faults. Times are Go durations.
 type scenarioBlock struct {
 	Name        string       `hcl:"name,label"`
 	Drivers     int          `hcl:"drivers,optional"`
@@ -46,6 +46,7 @@
 	Faults      []faultBlock `hcl:"fault,block"`
 }
 
+// opBlock is an op type and its share of the clients' ops.
 type opBlock struct {
 	Name    string  `hcl:"name,label"`
 	Share   float64 `hcl:"share"`
@@ -58,6 +59,7 @@
 	Value   float64 `hcl:"value,optional"`
 }
 
+// faultBlock is a fault of the schedule; docs/lab.md names the kinds.
 type faultBlock struct {
 	What string  `hcl:"what,label"`
 	At   string  `hcl:"at"`
@@ -66,7 +68,7 @@
 	By   float64 `hcl:"by,optional"`
 }
 
-// Experiment is a scenario in variants, at sizes, by seeds.
+// Experiment is a scenario in variants, with several numbers of drivers, loads and seeds.
 type Experiment struct {
 	Name     string         `hcl:"name,label"`
 	Scenario string         `hcl:"scenario"`
@@ -76,6 +78,7 @@
 	Variants []variantBlock `hcl:"variant,block"`
 }
 
+// variantBlock is what a variant changes in the scenario.
 type variantBlock struct {
 	Name     string       `hcl:"name,label"`
 	Policy   string       `hcl:"policy,optional"`
@@ -86,13 +89,13 @@
 	Faults   []faultBlock `hcl:"fault,block"` // beside the scenario's
 }
 
-// Plan is one run to be played.
+// Plan is one run to be done.
 type Plan struct {
 	Experiment, Scenario, Variant string
 	Setup                         emulator.Setup
 }
 
-// Read takes a file's text apart into the runs that it asks for. Errors name file, line and column.
+// ParseFile gives the runs that a file asks for. Errors of its form name file, line and column.
 func ParseFile(name string, text []byte) ([]Plan, error) {
 	var f File
 	if err := hclsimple.Decode(name, text, nil, &f); err != nil {
@@ -101,40 +104,46 @@
 		}
 		return nil, err
 	}
-	scenarios := map[string]emulator.Setup{}
-	for _, s := range f.Scenarios {
-		setup, err := s.setup()
-		if err != nil {
-			return nil, fmt.Errorf("%s: scenario %q: %w", name, s.Name, err)
-		}
-		if _, twice := scenarios[s.Name]; twice {
-			return nil, fmt.Errorf("%s: scenario %q stands twice", name, s.Name)
-		}
-		scenarios[s.Name] = setup
+	scenarios, err := f.setups()
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", name, err)
 	}
 	var plans []Plan
 	seen := map[string]bool{}
 	for i := range f.Experiments {
 		e := &f.Experiments[i]
 		base, known := scenarios[e.Scenario]
-		if !known || len(e.Variants) == 0 || seen[e.Name] || e.Seeds < 0 || e.Seeds > 1000 {
-			return nil, fmt.Errorf(
-				"%s: experiment %q wants a name of its own, a scenario that the file has, a variant and up to 1000 seeds",
-				name,
-				e.Name,
-			)
+		if !known || len(e.Variants) == 0 || seen[e.Name] || e.Seeds < 0 || e.Seeds > maxSeeds {
+			return nil, fmt.Errorf("%s: experiment %q wants a name of its own, a scenario that the file has, a variant and "+
+				"up to %d seeds", name, e.Name, maxSeeds)
 		}
 		seen[e.Name] = true
-		some, err := e.plans(base)
+		more, err := e.plans(base)
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", name, err)
 		}
-		plans = append(plans, some...)
+		plans = append(plans, more...)
 	}
 	return plans, nil
 }
 
-// plans are an experiment's runs of a scenario: each number of drivers with each load, seed and variant.
+// setups is the scenarios' setups by name.
+func (f *File) setups() (map[string]emulator.Setup, error) {
+	setups := map[string]emulator.Setup{}
+	for _, s := range f.Scenarios {
+		setup, err := s.setup()
+		if err != nil {
+			return nil, fmt.Errorf("scenario %q: %w", s.Name, err)
+		}
+		if _, twice := setups[s.Name]; twice {
+			return nil, fmt.Errorf("scenario %q stands twice", s.Name)
+		}
+		setups[s.Name] = setup
+	}
+	return setups, nil
+}
+
+// plans is an experiment's runs of a scenario: each number of drivers with each load, seed and variant.
 func (e *Experiment) plans(base emulator.Setup) (plans []Plan, err error) {
 	sizes, loads := e.Drivers, e.Loads
 	if len(sizes) == 0 {
@@ -160,7 +169,7 @@
 	return plans, nil
 }
 
-// change puts what a variant has of its own into a setup.
+// apply changes a setup by what a variant has of its own.
 func (v *variantBlock) apply(s *emulator.Setup) error {
 	s.Policy = cmp.Or(v.Policy, "module")
 	if v.Retries != nil {
@@ -180,7 +189,7 @@
 		"non-retryable": logic.NonRetryable}
 )
 
-// span reads a time, in milliseconds.
+// milliseconds parses a duration; an empty text is the default.
 func milliseconds(text string, usual float64) (float64, error) {
 	if text == "" {
 		return usual, nil
@@ -192,6 +201,7 @@
 	return float64(d) / float64(time.Millisecond), err
 }
 
+// setup gives the emulator's setup, with this package's defaults, for the module.
 func (s *scenarioBlock) setup() (emulator.Setup, error) {
 	e := emulator.Setup{
 		Drivers:        cmp.Or(s.Drivers, 3),
@@ -202,38 +212,52 @@
 		Retries:        s.Retries,
 		Zones:          s.Zones,
 		MaxConnections: s.Connections,
-		Policy:         "module",
-	}
-	var problem error
-	read := func(to *float64, text string, usual float64) {
-		x, err := milliseconds(text, usual)
-		*to, problem = x, cmp.Or(problem, err)
+		Policy:         emulator.PolicyModule,
 	}
-	read(&e.ServiceTime, s.Work, 40)
-	read(&e.ReplicationLag, s.Lag, 20)
-	read(&e.Duration, s.For, 30000)
-	read(&e.ZoneLatency, s.Hop, 0)
-	read(&e.CrossZoneLatency, s.FarHop, 0)
-	read(&e.Handshake, s.Handshake, 0)
-	read(&e.ElectionTime, s.Elect, 0)
-	for _, k := range s.Ops {
-		need, known := needs[k.Need]
-		effect, known2 := effects[k.Effect]
-		if !known || !known2 {
-			return e, fmt.Errorf("op %q: need %q, effect %q are not known", k.Name, k.Need, k.Effect)
+	var times durations
+	times.parse(&e.ServiceTime, s.Work, 40)
+	times.parse(&e.ReplicationLag, s.Lag, 20)
+	times.parse(&e.Duration, s.For, 30000)
+	times.parse(&e.ZoneLatency, s.Hop, 0)
+	times.parse(&e.CrossZoneLatency, s.FarHop, 0)
+	times.parse(&e.Handshake, s.Handshake, 0)
+	times.parse(&e.ElectionTime, s.Elect, 0)
+	for _, op := range s.Ops {
+		kind, err := op.kind(&times)
+		if err != nil {
+			return e, err
 		}
-		t := logic.OpType{Need: need, Effect: effect, Value: cmp.Or(k.Value, 1)}
-		read(&t.MaxAge, k.MaxAge, 0)
-		read(&t.Window, k.Window, 0)
-		read(&t.LatencyTarget, k.Target, 0)
-		read(&t.OpTimeout, k.Timeout, 0)
-		e.Mix = append(e.Mix, emulator.OpKind{Name: k.Name, Share: k.Share, OpType: t})
+		e.Mix = append(e.Mix, kind)
 	}
 	var err error
 	e.Faults, err = setupFaults(s.Faults)
-	return e, cmp.Or(problem, err, e.Check())
+	return e, cmp.Or(times.err, err, e.Check())
+}
+
+// kind gives the emulator's op kind.
+func (o *opBlock) kind(times *durations) (emulator.OpKind, error) {
+	need, known := needs[o.Need]
+	effect, known2 := effects[o.Effect]
+	if !known || !known2 {
+		return emulator.OpKind{}, fmt.Errorf("op %q: need %q, effect %q are not known", o.Name, o.Need, o.Effect)
+	}
+	t := logic.OpType{Need: need, Effect: effect, Value: cmp.Or(o.Value, 1)}
+	times.parse(&t.MaxAge, o.MaxAge, 0)
+	times.parse(&t.Window, o.Window, 0)
+	times.parse(&t.LatencyTarget, o.Target, 0)
+	times.parse(&t.OpTimeout, o.Timeout, 0)
+	return emulator.OpKind{Name: o.Name, Share: o.Share, OpType: t}, nil
+}
+
+// durations parses durations and keeps the first error.
+type durations struct{ err error }
+
+func (d *durations) parse(to *float64, text string, usual float64) {
+	x, err := milliseconds(text, usual)
+	*to, d.err = x, cmp.Or(d.err, err)
 }
 
+// setupFaults gives the emulator's faults; without a target a fault is one of all.
 func setupFaults(all []faultBlock) (out []emulator.Fault, problem error) {
 	for _, f := range all {
 		at, err := milliseconds(f.At, 0)
@@ -244,7 +268,7 @@
 	return out, problem
 }
 
-// text is a setup as it is kept beside its result.
+// setupJSON is a setup as it is kept beside its result.
 func setupJSON(s emulator.Setup) string {
 	b, err := json.Marshal(s)
 	if err != nil {
--- a/internal/lab/experiment/golden_test.go
+++ b/internal/lab/experiment/golden_test.go
@@ -59,7 +59,7 @@
 }
 `
 
-// What a file asks for, what its runs give, and all that is drawn and printed of them is as recorded.
+// What a file asks for, what its runs give, and everything drawn and printed of them is as recorded.
 func TestFormsAndFiguresAreThoseRecorded(t *testing.T) {
 	plans, err := ParseFile("s.hcl", []byte(small))
 	if err != nil {
--- a/internal/lab/experiment/store.go
+++ b/internal/lab/experiment/results.go
@@ -1,7 +1,7 @@
 package experiment
 
-// This file owns results as they are kept: one row of Parquet a run, with what it counted as lists. It must never leave
-// a file half written, or add a column without docs/lab.md naming it.
+// This file owns results as they are kept: a row of Parquet for each run, with what it counted as lists. docs/lab.md
+// names the columns; no file is ever left half written.
 
 import (
 	"fmt"
@@ -16,7 +16,7 @@
 	"weirwind/internal/lab/emulator"
 )
 
-// Run is one row.
+// Run is the result of one run: a row.
 type Run struct {
 	Experiment string      `parquet:"experiment,dict"`
 	Scenario   string      `parquet:"scenario,dict"`
@@ -41,14 +41,14 @@
 	WriteGaps  []float64   `parquet:"gaps,list"`
 }
 
-// The parts of a run. Their fields are those of the emulator.
+// The parts of a run. Their fields are those of the emulator's result.
 type (
-	// Broken is a rule that was broken.
+	// Violation is a rule that was broken, and how often.
 	Violation struct {
 		Rule  string `parquet:"rule"`
 		Count int64  `parquet:"times"`
 	}
-	// Type is an op type.
+	// Type is what came of an op type.
 	Type struct {
 		Name         string  `parquet:"name"`
 		Value        float64 `parquet:"value"`
@@ -58,7 +58,7 @@
 		WithinTarget int64   `parquet:"in_time"`
 		Latency      []byte  `parquet:"latency"` // HdrHistogram's compressed form, microseconds
 	}
-	// Second is a second of the play.
+	// Second is what happened in one second of a run.
 	Second struct {
 		Arrivals       int64   `parquet:"asked"`
 		Retries        int64   `parquet:"again"`
@@ -69,7 +69,7 @@
 		WithoutPrimary float64 `parquet:"empty"` // share of looks at slots that found none filled
 		PendingWrites  float64 `parquet:"held"`  // writes held, all drivers, on average
 	}
-	// Member is a member over all of the play.
+	// Member is a member over the whole run.
 	Member struct {
 		Name        string  `parquet:"name"`
 		Served      int64   `parquet:"served"`
@@ -77,7 +77,7 @@
 		Utilization float64 `parquet:"busy"`
 		PeakConns   int32   `parquet:"conns"`
 	}
-	// Opening is a new primary's first second.
+	// Promotion is a new primary's first second.
 	Promotion struct {
 		At       float64 `parquet:"at"`
 		Group    int64   `parquet:"group"`
@@ -86,7 +86,7 @@
 	}
 )
 
-// row makes a run's row.
+// newRun is the row of a result.
 func newRun(p Plan, build string, r *emulator.Result) (Run, error) {
 	run := Run{
 		Experiment: p.Experiment,
@@ -109,58 +109,75 @@
 	for rule, n := range r.Violations {
 		run.Violations = append(run.Violations, Violation{rule, int64(n)})
 	}
-	slices.SortFunc(run.Violations, func(a, b Violation) int { return int(a.Rule[len(a.Rule)-1]) - int(b.Rule[len(b.Rule)-1]) })
+	slices.SortFunc(run.Violations, func(a, b Violation) int {
+		return int(a.Rule[len(a.Rule)-1]) - int(b.Rule[len(b.Rule)-1])
+	})
 	for i := range r.Types {
-		f, k := &r.Types[i], &r.Setup.Mix[i]
-		latency, err := f.Latency.Encode(hdrhistogram.V2CompressedEncodingCookieBase)
+		t, err := newType(&r.Setup.Mix[i], &r.Types[i])
 		if err != nil {
 			return run, err
 		}
-		run.Types = append(run.Types, Type{k.Name, k.Value, int64(f.Outcomes[emulator.Acked]), int64(f.Outcomes[emulator.Refused]),
-			int64(f.Outcomes[emulator.Failed]), int64(f.WithinTarget), latency})
+		run.Types = append(run.Types, t)
 	}
 	for i := range r.Seconds[:int(r.Setup.Duration/1000)] {
-		s := &r.Seconds[i]
-		x := Second{
-			Retries: int64(s.Retries),
-			Acked:   int64(s.Outcomes[emulator.Acked]),
-			Refused: int64(s.Outcomes[emulator.Refused]),
-			Failed:  int64(s.Outcomes[emulator.Failed]),
-		}
-		asked, served, empty := 0.0, 0.0, 0
-		for k := range s.Arrivals {
-			x.Arrivals += int64(s.Arrivals[k])
-			asked += float64(s.Arrivals[k]) * r.Setup.Mix[k].Value
-			served += float64(s.WithinTarget[k]) * r.Setup.Mix[k].Value
-		}
-		for _, n := range s.WithoutPrimary {
-			empty += n
-		}
-		x.ValueShare = served / max(asked, 1)
-		x.WithoutPrimary = float64(empty) / float64(max(s.Samples*r.Setup.Groups, 1))
-		x.PendingWrites = float64(s.PendingWrites) / max(float64(s.Samples)/float64(r.Setup.Drivers), 1)
-		run.Seconds = append(run.Seconds, x)
+		run.Seconds = append(run.Seconds, newSecond(&r.Setup, &r.Seconds[i]))
 	}
 	for _, m := range r.Members {
-		run.Members = append(run.Members, Member{m.Member, int64(m.Served), m.MeanWait, m.Utilization, int32(m.PeakConns)})
+		run.Members = append(run.Members,
+			Member{m.Member, int64(m.Served), m.MeanWait, m.Utilization, int32(m.PeakConns)})
 	}
-	for _, o := range r.Promotions {
-		run.Promotions = append(run.Promotions, Promotion{o.At, o.Group, int64(o.Sends), o.Capacity})
+	for _, p := range r.Promotions {
+		run.Promotions = append(run.Promotions, Promotion{p.At, p.Group, int64(p.Sends), p.Capacity})
 	}
 	return run, nil
 }
 
-// histogram reads a type's latencies.
+func newType(kind *emulator.OpKind, stats *emulator.OpStats) (Type, error) {
+	latency, err := stats.Latency.Encode(hdrhistogram.V2CompressedEncodingCookieBase)
+	return Type{
+		Name:         kind.Name,
+		Value:        kind.Value,
+		Acked:        int64(stats.Outcomes[emulator.Acked]),
+		Refused:      int64(stats.Outcomes[emulator.Refused]),
+		Failed:       int64(stats.Outcomes[emulator.Failed]),
+		WithinTarget: int64(stats.WithinTarget),
+		Latency:      latency,
+	}, err
+}
+
+func newSecond(setup *emulator.Setup, s *emulator.Second) Second {
+	second := Second{
+		Retries: int64(s.Retries),
+		Acked:   int64(s.Outcomes[emulator.Acked]),
+		Refused: int64(s.Outcomes[emulator.Refused]),
+		Failed:  int64(s.Outcomes[emulator.Failed]),
+	}
+	submitted, served, withoutPrimary := 0.0, 0.0, 0
+	for k := range s.Arrivals {
+		second.Arrivals += int64(s.Arrivals[k])
+		submitted += float64(s.Arrivals[k]) * setup.Mix[k].Value
+		served += float64(s.WithinTarget[k]) * setup.Mix[k].Value
+	}
+	for _, n := range s.WithoutPrimary {
+		withoutPrimary += n
+	}
+	second.ValueShare = served / max(submitted, 1)
+	second.WithoutPrimary = float64(withoutPrimary) / float64(max(s.Samples*setup.Groups, 1))
+	second.PendingWrites = float64(s.PendingWrites) / max(float64(s.Samples)/float64(setup.Drivers), 1)
+	return second
+}
+
+// histogram decodes a type's latencies.
 func (t *Type) histogram() (*hdrhistogram.Histogram, error) { return hdrhistogram.Decode(t.Latency) }
 
-// key names a run's file: another setup, build or name gives another.
+// fileName names a run's file: another setup, build or name gives another.
 func (p *Plan) fileName(build string) string {
 	h := fnv.New64a()
 	fmt.Fprintf(h, "%q %q %q %q %s", p.Experiment, p.Scenario, p.Variant, build, setupJSON(p.Setup))
 	return fmt.Sprintf("%016x.parquet", h.Sum64())
 }
 
-// Save writes rows, or leaves what was there.
+// Save replaces a file by rows; on an error the file stays as it was.
 func Save[Row any](path string, rows []Row) error {
 	f, err := os.CreateTemp(filepath.Dir(path), ".part-*")
 	if err != nil {
@@ -180,10 +197,10 @@
 	return os.Rename(f.Name(), path)
 }
 
-// Load reads a file of rows, or the one in a folder.
+// Load reads the rows of a file, or of the results in a folder.
 func Load(path string) ([]Run, error) {
 	if info, err := os.Stat(path); err == nil && info.IsDir() {
-		path = filepath.Join(path, "results.parquet")
+		path = filepath.Join(path, resultsFile)
 	}
 	rows, err := parquet.ReadFile[Run](path)
 	if err != nil {
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -1,7 +1,7 @@
 package experiment
 
-// This file owns the playing of plans side by side, their progress, and going on after a break. It must never play a
-// run again whose result is there, nor take a result for one of another setup or build.
+// This file owns the running of plans side by side, their progress, and going on after an interruption. No run is
+// repeated whose result is there, and no result is taken for one of another setup or build.
 
 import (
 	"context"
@@ -17,58 +17,36 @@
 	"weirwind/internal/lab/emulator"
 )
 
-// Runner plays plans into a folder.
+const (
+	progressPeriod = 5 * time.Second
+	resultsFile    = "results.parquet"
+	runsFolder     = "runs"
+)
+
+// Runner runs plans and keeps their results in a folder.
 type Runner struct {
 	Folder string
-	Build  string // names the build that plays
-	Cores  int
-	Out    io.Writer // progress
+	Build  string    // the name of the build that runs
+	Cores  int       // to use
+	Out    io.Writer // for progress
 }
 
-// Run plays what has no result in the folder yet and gives all rows in the order of the plans. It ends early with the
-// context; what was played until then stays.
+// Run runs the plans that have no result in the folder and gives all rows in the order of the plans. It ends early with
+// the context; the results until then stay.
 func (r Runner) Run(ctx context.Context, plans []Plan) ([]Run, error) {
-	runs := filepath.Join(r.Folder, "runs")
-	if err := os.MkdirAll(runs, 0o755); err != nil {
+	if err := os.MkdirAll(filepath.Join(r.Folder, runsFolder), 0o755); err != nil {
 		return nil, err
 	}
-	rows := make([]Run, len(plans))
-	var left []int
-	for i := range plans {
-		if kept, err := Load(filepath.Join(runs, plans[i].fileName(r.Build))); err == nil && len(kept) == 1 {
-			rows[i] = kept[0]
-		} else {
-			left = append(left, i)
-		}
-	}
-	fmt.Fprintf(r.Out, "%d runs, %d of them are there already\n", len(plans), len(plans)-len(left))
-	var mu sync.Mutex
-	done := make([]float64, len(left))
-	begin, shown := time.Now(), time.Now()
-	progress := func(n int, share float64, over bool) {
-		mu.Lock()
-		defer mu.Unlock()
-		if done[n] = share; !over && time.Since(shown) < 5*time.Second {
-			return
-		}
-		shown = time.Now()
-		part, all, whole := 0.0, 0.0, 0
-		for i, x := range done {
-			cost := plans[left[i]].cost()
-			if part, all = part+x*cost, all+cost; x >= 1 {
-				whole++
-			}
-		}
-		rest := time.Duration(float64(time.Since(begin)) * (all - part) / max(part, 1e-9)).Round(time.Second)
-		fmt.Fprintf(r.Out, "%d of %d runs done, %.0f %% of the work, about %s left\n", whole, len(left), 100*part/all, rest)
-	}
+	rows, missing := r.loadResults(plans)
+	fmt.Fprintf(r.Out, "%d runs, %d of them are there already\n", len(plans), len(plans)-len(missing))
+	p := newProgress(r.Out, plans, missing)
 	g, ctx := errgroup.WithContext(ctx)
 	g.SetLimit(max(r.Cores, 1))
-	each := max(1, r.Cores/max(len(left), 1))
-	for n, i := range left {
+	workers := max(1, r.Cores/max(len(missing), 1))
+	for n, i := range missing {
 		g.Go(func() error {
-			result, err := emulator.Run(plans[i].Setup, each, func(share float64) bool {
-				progress(n, min(share, 0.999), false)
+			result, err := emulator.Run(plans[i].Setup, workers, func(share float64) bool {
+				p.update(n, share)
 				return ctx.Err() == nil
 			})
 			if err != nil {
@@ -77,20 +55,89 @@
 			if rows[i], err = newRun(plans[i], r.Build, result); err != nil {
 				return err
 			}
-			if err := Save(filepath.Join(runs, plans[i].fileName(r.Build)), rows[i:i+1]); err != nil {
+			if err := Save(r.runFile(&plans[i]), rows[i:i+1]); err != nil {
 				return err
 			}
-			progress(n, 1, true)
+			p.done(n)
 			return nil
 		})
 	}
 	if err := g.Wait(); err != nil {
 		return nil, err
 	}
-	return rows, Save(filepath.Join(r.Folder, "results.parquet"), rows)
+	return rows, Save(filepath.Join(r.Folder, resultsFile), rows)
+}
+
+// runFile is where a plan's result is kept.
+func (r *Runner) runFile(p *Plan) string {
+	return filepath.Join(r.Folder, runsFolder, p.fileName(r.Build))
+}
+
+// loadResults gives the rows that are in the folder, by plan, and the indexes of plans without one.
+func (r *Runner) loadResults(plans []Plan) (rows []Run, missing []int) {
+	rows = make([]Run, len(plans))
+	for i := range plans {
+		if kept, err := Load(r.runFile(&plans[i])); err == nil && len(kept) == 1 {
+			rows[i] = kept[0]
+		} else {
+			missing = append(missing, i)
+		}
+	}
+	return rows, missing
+}
+
+// progress prints how much of the work is done, now and then.
+type progress struct {
+	out   io.Writer
+	costs []float64 // of runs
+	begin time.Time
+
+	mu      sync.Mutex
+	shares  []float64 // of runs that are done
+	printed time.Time
+}
+
+func newProgress(out io.Writer, plans []Plan, missing []int) *progress {
+	p := &progress{out: out, shares: make([]float64, len(missing)), begin: time.Now(), printed: time.Now()}
+	for _, i := range missing {
+		p.costs = append(p.costs, plans[i].cost())
+	}
+	return p
+}
+
+// update takes a run's share; a run counts as done by done alone.
+func (p *progress) update(run int, share float64) {
+	const almostDone = 0.999
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.shares[run] = min(share, almostDone); time.Since(p.printed) >= progressPeriod {
+		p.print()
+	}
+}
+
+// done prints progress with each run that is done.
+func (p *progress) done(run int) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.shares[run] = 1
+	p.print()
+}
+
+// print prints progress. The lock is held.
+func (p *progress) print() {
+	p.printed = time.Now()
+	done, total, runs := 0.0, 0.0, 0
+	for i, share := range p.shares {
+		if done, total = done+share*p.costs[i], total+p.costs[i]; share >= 1 {
+			runs++
+		}
+	}
+	left := time.Duration(float64(time.Since(p.begin)) * (total - done) / max(done, 1e-9)).Round(time.Second)
+	fmt.Fprintf(p.out, "%d of %d runs done, %.0f %% of the work, about %s left\n", runs, len(p.shares), 100*done/total,
+		left)
 }
 
-// Play plays one plan on one core.
+// RunPlan runs one plan on one core.
 func RunPlan(p Plan, build string) (Run, error) {
 	r, err := emulator.Run(p.Setup, 1, nil)
 	if err != nil {
@@ -99,7 +146,7 @@
 	return newRun(p, build, r)
 }
 
-// cost is about how much work a run is, in no unit.
+// cost is about how much work a run is, in no unit: its ops, and the ticks of its drivers.
 func (p *Plan) cost() float64 {
 	s := &p.Setup
 	ops := s.Load * float64(s.Groups*s.Members*s.Cores) / s.ServiceTime * s.Duration
