--- a/internal/driver/zone_webhook.go
+++ b/internal/driver/zone_webhook.go
@@ -30,7 +30,7 @@
 		return
 	}
 	z.mu.Lock()
-	moves, epoch := z.zones.DueMoves(z.service.decider.clock.now())
+	moves, epoch := z.zones.PendingMoves(z.service.decider.clock.now())
 	z.mu.Unlock()
 	for _, m := range moves {
 		if time.Since(z.webhookCalls[m.Group]) < webhookInterval {
--- a/internal/fleet/mesh/client.go
+++ b/internal/fleet/mesh/client.go
@@ -55,7 +55,7 @@
 	own := m.view.Snapshot()
 	m.mu.Unlock()
 	request := &frame{Call: callExchangeState, Exchange: &own, Gossip: m.ownGossip(true)}
-	askedAt := m.options.Now()
+	requestedAt := m.options.Now()
 	answer, err := m.call(ctx, address, request)
 	if err != nil {
 		m.options.Log.Debug("membership", "reason", "exchange_failed", "address", address, "error", err)
@@ -66,7 +66,7 @@
 			return view.Merge(m.options.Now(), *answer.Exchange)
 		})
 	}
-	m.receiveGossip(answer.Gossip, askedAt)
+	m.receiveGossip(answer.Gossip, requestedAt)
 }
 
 // call makes one call, on a connection of its own.
--- a/internal/fleet/mesh/gossip.go
+++ b/internal/fleet/mesh/gossip.go
@@ -36,14 +36,14 @@
 	return gossip
 }
 
-// receiveGossip takes a peer's gossip, and passes on what is new here. askedAt is when it was asked for; -Inf where it
-// came unasked.
-func (m *Mesh) receiveGossip(gossip *Gossip, askedAt float64) {
+// receiveGossip takes a peer's gossip, and passes on what is new here. requestedAt is when it was asked for; -Inf where
+// it came unasked.
+func (m *Mesh) receiveGossip(gossip *Gossip, requestedAt float64) {
 	if gossip == nil || m.options.ReceiveGossip == nil {
 		return
 	}
-	changed, ask := m.options.ReceiveGossip(gossip, askedAt)
-	if ask && gossip.From != "" {
+	changed, request := m.options.ReceiveGossip(gossip, requestedAt)
+	if request && gossip.From != "" {
 		select {
 		case m.gossipRequests <- gossip.From:
 		default: // the next peer that is asked will do
@@ -56,10 +56,10 @@
 
 // exchangeGossip exchanges gossip with one peer.
 func (m *Mesh) exchangeGossip(ctx context.Context, address string) {
-	askedAt := m.options.Now()
+	requestedAt := m.options.Now()
 	answer, err := m.call(ctx, address, &frame{Call: callGossip, Gossip: m.ownGossip(false)})
 	if err == nil { // else there will be other exchanges
-		m.receiveGossip(answer.Gossip, askedAt)
+		m.receiveGossip(answer.Gossip, requestedAt)
 	}
 }
 
--- a/internal/fleet/mesh/options.go
+++ b/internal/fleet/mesh/options.go
@@ -29,9 +29,9 @@
 
 	// Gossip gives what this driver sends peers: all, along with whole states, or what is recent. Nil: no gossip.
 	Gossip func(all bool) *Gossip
-	// ReceiveGossip takes a peer's. askedAt is when it was asked for, by Now, and -Inf where it came unasked. changed: it
-	// is to be passed on. ask: the peer is to be asked at once, as what it says then counts for more.
-	ReceiveGossip func(g *Gossip, askedAt float64) (changed, ask bool)
+	// ReceiveGossip takes a peer's. requestedAt is when it was asked for, by Now, and -Inf where it came unasked.
+	// changed: it is to be passed on. request: the peer is to be asked at once, as what it says then counts for more.
+	ReceiveGossip func(g *Gossip, requestedAt float64) (changed, request bool)
 	// ReceivePayload takes what a peer sent by Request, and gives what goes back. Nil: nothing is taken.
 	ReceivePayload func(from string, payload []byte) (answer []byte)
 	// OnPartitionStatus is notified of the status and of the count of drivers, when they change.
--- a/internal/fleet/zones/assessment.go
+++ b/internal/fleet/zones/assessment.go
@@ -77,7 +77,7 @@
 			}
 		}
 	}
-	a.markLostRegions(zones, regionOf)
+	a.attributeToRegions(zones, regionOf)
 	slices.SortFunc(a.Partitions, func(a, b Partition) int {
 		return cmp.Or(cmp.Compare(a.From, b.From), cmp.Compare(a.To, b.To))
 	})
@@ -144,8 +144,8 @@
 	return NoCause, true
 }
 
-// markLostRegions gives the zones of a region of several, all of which are lost, that cause.
-func (a *Assessment) markLostRegions(zones []string, regionOf map[string]string) {
+// attributeToRegions gives the zones of a region of several, all of which are lost, that cause.
+func (a *Assessment) attributeToRegions(zones []string, regionOf map[string]string) {
 	lost, total := map[string]int{}, map[string]int{}
 	for _, zone := range zones {
 		region := regionOf[zone]
--- a/internal/fleet/zones/commands.go
+++ b/internal/fleet/zones/commands.go
@@ -85,7 +85,7 @@
 	for zone, until := range z.evacuations {
 		e := Evacuation{Zone: zone}
 		if !math.IsInf(until, 1) {
-			e.HeartbeatsLeft = uint64(math.Ceil((until-now)/z.heartbeat/60)) * 60
+			e.RemainingHeartbeats = uint64(math.Ceil((until-now)/z.heartbeat/60)) * 60
 		}
 		active = append(active, e)
 	}
--- a/internal/fleet/zones/coordinator.go
+++ b/internal/fleet/zones/coordinator.go
@@ -148,11 +148,11 @@
 	return z.output(now)
 }
 
-// Receive takes a message of a peer. askedAt is when the peer was asked for it, on the own clock; -Inf where it was
-// not.
-func (z *Coordinator) Receive(now, askedAt float64, from string, msg Message) Output {
+// Receive takes a message of a peer. requestedAt is when the peer was asked for it, on the own clock; -Inf where it
+// came unasked.
+func (z *Coordinator) Receive(now, requestedAt float64, from string, msg Message) Output {
 	if msg.Kind == ReportReply {
-		return z.ReceiveSummary(now, askedAt, msg.Summary)
+		return z.ReceiveSummary(now, requestedAt, msg.Summary)
 	}
 	if from == z.self.Name || from == "" || len(from) > maxNameBytes {
 		return z.output(now)
@@ -185,19 +185,19 @@
 	return s
 }
 
-// ReceiveSummary takes a peer's summary; nil for none. askedAt is when the peer was asked for it, on the own clock, and
-// -Inf where it was not: then only its plan counts, its age says nothing of now. Where Output.PlanChanged is set after
-// that the peer should be asked, so that the plan comes in force here.
-func (z *Coordinator) ReceiveSummary(now, askedAt float64, summary *Summary) Output {
+// ReceiveSummary takes a peer's summary; nil for none. requestedAt is when the peer was asked for it, on the own clock,
+// and -Inf where it was not: then only its plan counts, its age says nothing of now. Where Output.PlanChanged is set
+// after that the peer should be asked, so that the plan comes in force here.
+func (z *Coordinator) ReceiveSummary(now, requestedAt float64, summary *Summary) Output {
 	if summary == nil {
 		return Output{}
 	}
 	received := *summary
-	if math.IsInf(askedAt, -1) {
+	if math.IsInf(requestedAt, -1) {
 		received.Age = -1
 	}
 	wasInForce := z.inForce(now)
-	learned := z.observeSummary(now, askedAt, &received)
+	learned := z.observeSummary(now, requestedAt, &received)
 	out := z.output(now)
 	out.PlanChanged = learned
 	out.TollsChanged = out.TollsChanged || wasInForce != z.inForce(now)
--- a/internal/fleet/zones/digest_test.go
+++ b/internal/fleet/zones/digest_test.go
@@ -55,7 +55,7 @@
 		if outputs++; outputs%50 > 0 {
 			return
 		}
-		moves, epoch := d.coordinator.DueMoves(s.Now)
+		moves, epoch := d.coordinator.PendingMoves(s.Now)
 		preview, err := d.coordinator.Simulate(s.Now, "b")
 		shown, _ := json.Marshal([]any{d.coordinator.Status(s.Now), preview, d.coordinator.Tolls(),
 			d.coordinator.PlannedZones(), moves, epoch})
--- a/internal/fleet/zones/leader.go
+++ b/internal/fleet/zones/leader.go
@@ -33,8 +33,8 @@
 	}
 	for _, e := range z.plan.Evacuations {
 		z.evacuations[e.Zone] = math.Inf(1)
-		if e.HeartbeatsLeft > 0 {
-			z.evacuations[e.Zone] = now + float64(e.HeartbeatsLeft)*z.heartbeat
+		if e.RemainingHeartbeats > 0 {
+			z.evacuations[e.Zone] = now + float64(e.RemainingHeartbeats)*z.heartbeat
 		}
 	}
 	z.frozen = z.plan.Frozen
--- a/internal/fleet/zones/lease.go
+++ b/internal/fleet/zones/lease.go
@@ -76,15 +76,15 @@
 	}
 }
 
-// observeSummary takes what a peer answered, and says whether its plan was new here. askedAt is when the peer was
+// observeSummary takes what a peer answered, and says whether its plan was new here. requestedAt is when the peer was
 // asked, on this driver's clock.
-func (c *consensus) observeSummary(now, askedAt float64, summary *Summary) (learned bool) {
+func (c *consensus) observeSummary(now, requestedAt float64, summary *Summary) (learned bool) {
 	if summary.Plan != nil {
 		learned = c.learn(now, summary.Plan)
 	}
 	samePlan := c.plan != nil && summary.Epoch == c.plan.Epoch && summary.Sum == c.planSum
 	if samePlan && summary.Age >= 0 && !math.IsInf(summary.Age, 1) {
-		c.confirmation.at = max(c.confirmation.at, min(askedAt-summary.Age, now))
+		c.confirmation.at = max(c.confirmation.at, min(requestedAt-summary.Age, now))
 	}
 	return learned
 }
--- a/internal/fleet/zones/plan.go
+++ b/internal/fleet/zones/plan.go
@@ -43,8 +43,8 @@
 // Evacuation is an order of operators to keep a zone out of service.
 type Evacuation struct {
 	Zone string `cbor:"1,keyasint" json:"zone"`
-	// HeartbeatsLeft are those of the leader for which it lasts, rounded up to a multiple of 60; 0: until revoked.
-	HeartbeatsLeft uint64 `cbor:"2,keyasint" json:"beats_left"`
+	// RemainingHeartbeats are those of the leader for which it lasts, rounded up to a multiple of 60; 0: until revoked.
+	RemainingHeartbeats uint64 `cbor:"2,keyasint" json:"beats_left"`
 }
 
 // Plan is what all drivers follow. Each follows one that it names by its checksum, so that plans form a chain.
--- a/internal/fleet/zones/primaries.go
+++ b/internal/fleet/zones/primaries.go
@@ -88,9 +88,9 @@
 	return score
 }
 
-// DueMoves are the moves of primaries that this driver is to ask the topology manager for, and the plan's epoch; none
-// unless it leads and Allowed permits MovePrimary.
-func (z *Coordinator) DueMoves(now float64) ([]Move, uint64) {
+// PendingMoves are the moves of primaries that this driver is to ask the topology manager for, and the plan's epoch;
+// none unless it leads and Allowed permits MovePrimary.
+func (z *Coordinator) PendingMoves(now float64) ([]Move, uint64) {
 	if z.trackers == nil || !Allowed(z.fleet.Partition, z.inForce(now), MovePrimary) {
 		return nil, 0
 	}
--- a/internal/fleet/zones/tolls.go
+++ b/internal/fleet/zones/tolls.go
@@ -42,7 +42,7 @@
 	for _, n := range sent {
 		total += n
 	}
-	least := math.Inf(1) // of zones that have a share
+	lowest := math.Inf(1) // of zones that have a share
 	for _, zone := range zones {
 		toll, known := c.tolls[zone]
 		if !known {
@@ -57,17 +57,17 @@
 		}
 		c.tolls[zone] = toll
 		if share > 0 {
-			least = min(least, toll)
+			lowest = min(lowest, toll)
 		}
 	}
-	c.normalize(least)
+	c.normalize(lowest)
 }
 
-// normalize keeps tolls within bounds. Only their differences matter, so that a negative least one raises them all.
-func (c *tollController) normalize(least float64) {
+// normalize keeps tolls within bounds. Only their differences matter, so that a negative lowest one raises them all.
+func (c *tollController) normalize(lowest float64) {
 	for zone, toll := range c.tolls {
-		if least < 0 {
-			toll -= least
+		if lowest < 0 {
+			toll -= lowest
 		}
 		c.tolls[zone] = min(max(toll, 0), maxToll)
 	}
