--- a/internal/driver/admission.go
+++ b/internal/driver/admission.go
@@ -110,7 +110,7 @@
 	case s.rejections <- struct{}{}:
 	default:
 		client.conn.Close()
-		client.logClosed("too_many")
+		client.logClosed(clientRejected)
 		return
 	}
 	s.inFlight.Go(func() error {
@@ -120,7 +120,7 @@
 		client.conn.CloseWrite()
 		client.drain()
 		client.conn.Close()
-		client.logClosed("too_many")
+		client.logClosed(clientRejected)
 		<-s.rejections
 		return nil
 	})
--- a/internal/driver/attempt.go
+++ b/internal/driver/attempt.go
@@ -108,7 +108,7 @@
 	if begun, err := x.write(c); err != nil {
 		x.setConn(nil)
 		if begun {
-			x.pool.closeConn(c, "cut")
+			x.pool.closeConn(c, memberCut)
 		} else {
 			c.served--
 			c.SetDeadline(time.Time{})
@@ -124,17 +124,17 @@
 		x.pool.putIdle(c)
 		return r
 	}
-	var reason string
+	var reason memberClose
 	r.outcome, reason = x.brokenOutcome(r.outcome, err)
 	x.pool.closeConn(c, reason)
 	return r
 }
 
 // brokenOutcome is the outcome of an answer that did not end cleanly, and why its connection is closed.
-func (x *attempt) brokenOutcome(outcome logic.Outcome, err error) (logic.Outcome, string) {
+func (x *attempt) brokenOutcome(outcome logic.Outcome, err error) (logic.Outcome, memberClose) {
 	switch {
 	case outcome != noOutcome: // it came, and then the connection ended
-		return outcome, "ended"
+		return outcome, memberEnded
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		outcome = x.outcomeUnlessEnded(logic.TimedOut)
 		if outcome == logic.TimedOut && time.Now().Before(x.deadline) {
@@ -142,19 +142,19 @@
 		}
 		return outcome, closeReason(outcome)
 	case errors.Is(err, pgwire.ErrFraming):
-		return logic.Fault, "garbled"
+		return logic.Fault, memberGarbled
 	}
-	return logic.Reset, "reset"
+	return logic.Reset, memberReset
 }
 
-func closeReason(outcome logic.Outcome) string {
+func closeReason(outcome logic.Outcome) memberClose {
 	switch outcome {
 	case logic.Cancelled:
-		return "cancelled"
+		return memberCancelled
 	case logic.Fault:
-		return "garbled"
+		return memberGarbled
 	}
-	return "timed_out"
+	return memberTimedOut
 }
 
 // outcomeUnlessEnded is the outcome, but for an attempt that was cancelled, forbidden to write or out of time.
--- a/internal/driver/client.go
+++ b/internal/driver/client.go
@@ -32,7 +32,7 @@
 
 	messages     chan message
 	disconnected chan struct{} // closed by the reader when the client has left; endReason is set by then
-	endReason    string
+	endReason    clientClose
 	answered     chan struct{} // closed by the main goroutine when it answers no more
 	ops          int           // the main goroutine's: for the log
 
@@ -84,30 +84,30 @@
 }
 
 // serve answers what a client sends, one message after the other. It returns the reason for the end.
-func (c *client) serve(reader *errgroup.Group) (reason string) {
-	if reason = c.startup(); reason != "" {
+func (c *client) serve(reader *errgroup.Group) (reason clientClose) {
+	if reason = c.startup(); reason != clientGoesOn {
 		return reason
 	}
 	reader.Go(func() error { c.readLoop(); return nil })
 	for {
 		m, reason := c.nextMessage()
-		if reason != "" {
+		if reason != clientGoesOn {
 			return reason
 		}
 		if m.framingErr != nil {
 			c.service.counters.BadInput.Add(1)
 			c.write(pgwire.AppendErrorResponse(nil, "FATAL", pgwire.CodeProtocolViolation, m.framingErr.Error(), ""))
-			return "framing"
+			return clientFramingLost
 		}
 		answer, reason := c.answer(m)
 		c.service.messageBudget.release(m.budgetBytes)
-		if reason == "" && answer != nil {
+		if reason == clientGoesOn && answer != nil {
 			reason = c.write(answer)
 		}
-		if c.finishMessage(); reason == "" && c.service.stopping() && m.kind == 'Q' {
-			reason = "shutdown"
+		if c.finishMessage(); reason == clientGoesOn && c.service.stopping() && m.kind == 'Q' {
+			reason = clientShutdown
 		}
-		if reason != "" {
+		if reason != clientGoesOn {
 			return reason
 		}
 	}
@@ -115,29 +115,29 @@
 
 // nextMessage waits for a message. One that has come is answered even if the client has left since or the service
 // stops: it may have been sent before either.
-func (c *client) nextMessage() (msg message, endReason string) {
+func (c *client) nextMessage() (msg message, endReason clientClose) {
 	select {
 	case msg = <-c.messages:
-		return msg, ""
+		return msg, clientGoesOn
 	default:
 	}
 	select {
 	case msg = <-c.messages:
-		return msg, ""
+		return msg, clientGoesOn
 	case <-c.disconnected:
 		return msg, c.endReason
 	case <-c.service.acceptEnded:
-		return msg, "shutdown"
+		return msg, clientShutdown
 	}
 }
 
 // startup declines requests for encryption and welcomes any user.
-func (c *client) startup() (endReason string) {
+func (c *client) startup() (endReason clientClose) {
 	c.conn.SetDeadline(c.openedAt.Add(messageTimeout))
 	if _, err := c.reader.Peek(1); !c.beginMessage() {
-		return "made_room"
+		return clientEvicted
 	} else if err != nil {
-		return "no_startup"
+		return clientNoStartup
 	}
 	for range 3 {
 		kind, minor, err := pgwire.ReadStartup(c.reader)
@@ -145,13 +145,13 @@
 		case errors.Is(err, pgwire.ErrFraming):
 			c.service.counters.BadInput.Add(1)
 			c.write(pgwire.AppendErrorResponse(nil, "FATAL", pgwire.CodeProtocolViolation, err.Error(), ""))
-			return "framing"
+			return clientFramingLost
 		case err != nil:
-			return "no_startup"
+			return clientNoStartup
 		case kind == pgwire.StartupCancel:
-			return "cancel_request"
+			return clientCancelRequest
 		case kind == pgwire.StartupEncrypt:
-			if endReason = c.write([]byte{'N'}); endReason != "" {
+			if endReason = c.write([]byte{'N'}); endReason != clientGoesOn {
 				return endReason
 			}
 			continue
@@ -161,22 +161,22 @@
 		c.finishMessage()
 		return endReason
 	}
-	return "no_startup"
+	return clientNoStartup
 }
 
-func (c *client) write(b []byte) (endReason string) {
+func (c *client) write(b []byte) (endReason clientClose) {
 	c.conn.SetWriteDeadline(time.Now().Add(clientWriteTimeout))
 	if _, err := c.conn.Write(b); err != nil {
-		return "write"
+		return clientWriteFailed
 	}
-	return ""
+	return clientGoesOn
 }
 
 // drain reads and drops what a client still sends, up to a limit: unread bytes would make the close a reset, by which
 // the client could lose the last answer.
 func (c *client) drain() { _, _ = io.CopyN(io.Discard, c.conn, maxDrainBytes) }
 
-func (c *client) logClosed(reason string) {
-	c.service.log.Info("client_closed", "client", c.conn.RemoteAddr().String(), "reason", reason, "ops", c.ops,
+func (c *client) logClosed(reason clientClose) {
+	c.service.log.Info("client_closed", "client", c.conn.RemoteAddr().String(), "reason", string(reason), "ops", c.ops,
 		"age_ms", time.Since(c.openedAt).Milliseconds())
 }
--- a/internal/driver/client_reader.go
+++ b/internal/driver/client_reader.go
@@ -30,16 +30,16 @@
 		c.countPipelined()
 		_, err := c.reader.Peek(1)
 		if !c.beginMessage() {
-			c.disconnect("made_room")
+			c.disconnect(clientEvicted)
 			return
 		}
 		if err == nil && first {
 			c.conn.SetReadDeadline(time.Time{})
 		}
 		var m message
-		timeoutReason := "silent"
+		timeoutReason := clientSilent
 		if err == nil {
-			timeoutReason = "unfinished"
+			timeoutReason = clientUnfinished
 			m, err = c.readMessage()
 		}
 		switch {
@@ -51,10 +51,10 @@
 			c.disconnect(timeoutReason)
 			return
 		case err != nil:
-			c.disconnect("left")
+			c.disconnect(clientLeft)
 			return
 		case m.kind == 'X':
-			c.disconnect("terminate")
+			c.disconnect(clientTerminated)
 			return
 		}
 		m.overPipelined = c.pipelined > maxPipelined
@@ -112,7 +112,7 @@
 }
 
 // disconnect tells the main goroutine, and the op that it waits for, that the client has left.
-func (c *client) disconnect(reason string) {
+func (c *client) disconnect(reason clientClose) {
 	c.endReason = reason
 	close(c.disconnected)
 }
--- a/internal/driver/golden_test.go
+++ b/internal/driver/golden_test.go
@@ -67,3 +67,27 @@
 	}
 	golden.Text(t, "testdata/configuration.golden", texts)
 }
+
+// The log's reasons for closed connections, as operators and their tools read them.
+func TestRecordedCloseReasons(t *testing.T) {
+	for reason, text := range map[clientClose]string{
+		clientGoesOn: "", clientLeft: "left", clientTerminated: "terminate", clientNoStartup: "no_startup",
+		clientCancelRequest: "cancel_request", clientFramingLost: "framing", clientSilent: "silent",
+		clientUnfinished: "unfinished", clientWriteFailed: "write", clientEvicted: "made_room", clientRejected: "too_many",
+		clientShutdown: "shutdown",
+	} {
+		if string(reason) != text {
+			t.Errorf("%q, not %q", reason, text)
+		}
+	}
+	for reason, text := range map[memberClose]string{
+		memberIdle: "idle", memberSpared: "spared", memberMoved: "moved", memberRemoved: "removed", memberStale: "stale",
+		memberBroken: "broken", memberNoConnection: "no_connection", memberNoWelcome: "no_welcome",
+		memberTurnedAway: "turned_away", memberCut: "cut", memberCancelled: "cancelled", memberTimedOut: "timed_out",
+		memberGarbled: "garbled", memberReset: "reset", memberEnded: "ended",
+	} {
+		if string(reason) != text {
+			t.Errorf("%q, not %q", reason, text)
+		}
+	}
+}
--- a/internal/driver/member_conn.go
+++ b/internal/driver/member_conn.go
@@ -27,19 +27,19 @@
 }
 
 // startup introduces the driver to the member and waits until it is ready. Without OK there is a reason for the log.
-func (c *memberConn) startup() (outcome logic.Outcome, reason string) {
+func (c *memberConn) startup() (outcome logic.Outcome, reason memberClose) {
 	if _, err := c.Write(pgwire.AppendStartupMessage(nil, user, database)); err != nil {
-		return logic.ConnectFailed, "no_welcome"
+		return logic.ConnectFailed, memberNoWelcome
 	}
 	for {
 		kind, message, err := pgwire.Read(c.reader, nil)
 		switch {
 		case err != nil:
-			return logic.ConnectFailed, "no_welcome"
+			return logic.ConnectFailed, memberNoWelcome
 		case kind == 'E' && pgwire.ErrorCode(pgwire.Body(message)) == pgwire.CodeTooManyConnections:
-			return logic.Full, "turned_away"
+			return logic.Full, memberTurnedAway
 		case kind == 'E':
-			return logic.ConnectFailed, "turned_away"
+			return logic.ConnectFailed, memberTurnedAway
 		case kind == 'Z':
 			return logic.OK, ""
 		}
--- a/internal/driver/pool.go
+++ b/internal/driver/pool.go
@@ -58,7 +58,7 @@
 			p.members[e.ID] = m
 		}
 		if e.Address != m.address {
-			p.closeIdle(m, "moved")
+			p.closeIdle(m, memberMoved)
 			m.address = e.Address
 		}
 		listed[m], m.removedAt = true, time.Time{}
@@ -76,12 +76,12 @@
 func (p *pool) remove(member *poolMember) {
 	if member != nil && member.removedAt.IsZero() {
 		member.removedAt = time.Now()
-		p.closeIdle(member, "removed")
+		p.closeIdle(member, memberRemoved)
 	}
 }
 
 // closeIdle closes a member's idle connections. The caller holds the lock.
-func (p *pool) closeIdle(member *poolMember, reason string) {
+func (p *pool) closeIdle(member *poolMember, reason memberClose) {
 	for _, c := range member.idle {
 		p.closeConn(c, reason)
 	}
@@ -102,13 +102,13 @@
 		p.mu.Lock()
 		for id, m := range p.members {
 			if !m.removedAt.IsZero() && time.Since(m.removedAt) > forgetAfter && time.Since(m.lastDialed) > forgetAfter {
-				p.closeIdle(m, "removed")
+				p.closeIdle(m, memberRemoved)
 				delete(p.members, id)
 			}
 			n := 0
 			for n < len(m.idle) && time.Since(m.idle[n].idleSince) > limit {
 				p.counters.IdleClosed.Add(1)
-				p.closeConn(m.idle[n], "idle")
+				p.closeConn(m.idle[n], memberIdle)
 				n++
 			}
 			m.idle = m.idle[n:]
@@ -118,11 +118,11 @@
 }
 
 // closeConn closes a connection, frees its place in the budget and logs it.
-func (p *pool) closeConn(conn *memberConn, reason string) {
+func (p *pool) closeConn(conn *memberConn, reason memberClose) {
 	conn.Close()
 	p.budget.release(1)
 	p.counters.Open.Add(-1)
-	p.log.Info("member_closed", "member", conn.member, "reason", reason, "served", conn.served,
+	p.log.Info("member_closed", "member", conn.member, "reason", string(reason), "served", conn.served,
 		"age_ms", time.Since(conn.openedAt).Milliseconds(), "rested_ms", conn.idleFor.Milliseconds())
 }
 
@@ -145,10 +145,10 @@
 		switch c.idleFor = time.Since(c.idleSince); {
 		case c.idleFor > p.idleTimeout:
 			p.counters.IdleClosed.Add(1)
-			p.closeConn(c, "idle")
+			p.closeConn(c, memberIdle)
 		case c.broken():
 			p.counters.Broken.Add(1)
-			p.closeConn(c, "broken")
+			p.closeConn(c, memberBroken)
 		default:
 			return c
 		}
@@ -163,7 +163,7 @@
 	defer p.mu.Unlock()
 	m := p.members[conn.member]
 	if conn.reader.Buffered() > 0 || m == nil || m.address != conn.address {
-		p.closeConn(conn, "stale")
+		p.closeConn(conn, memberStale)
 		return
 	}
 	m.idle = append(m.idle, conn)
@@ -188,7 +188,7 @@
 	if err != nil {
 		p.budget.release(1)
 		p.counters.Open.Add(-1)
-		p.log.Info("member_closed", "member", member, "reason", "no_connection", "served", 0, "error", err)
+		p.log.Info("member_closed", "member", member, "reason", string(memberNoConnection), "served", 0, "error", err)
 		return nil, logic.ConnectFailed
 	}
 	c := &memberConn{Conn: conn, reader: bufio.NewReaderSize(conn, memberBufferBytes), member: member, address: address,
@@ -196,12 +196,12 @@
 	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
 	if c.raw, err = conn.(*net.TCPConn).SyscallConn(); err != nil {
-		p.closeConn(c, "no_connection")
+		p.closeConn(c, memberNoConnection)
 		return nil, logic.ConnectFailed
 	}
 	outcome, reason := c.startup()
 	if outcome == logic.OK && !stop() { // the deadline in the past is on the connection
-		outcome, reason = logic.ConnectFailed, "no_welcome"
+		outcome, reason = logic.ConnectFailed, memberNoWelcome
 	}
 	if outcome != logic.OK {
 		p.closeConn(c, reason)
@@ -223,7 +223,7 @@
 	if oldest == nil {
 		return false
 	}
-	p.closeConn(oldest.idle[0], "spared")
+	p.closeConn(oldest.idle[0], memberSpared)
 	oldest.idle = oldest.idle[1:]
 	return p.budget.acquire(1)
 }
