--- a/internal/driver/attempt_test.go
+++ b/internal/driver/attempt_test.go
@@ -3,8 +3,11 @@
 import (
 	"bufio"
 	"bytes"
+	"context"
+	"io"
 	"log/slog"
 	"net"
+	"os"
 	"testing"
 	"time"
 
@@ -73,3 +76,32 @@
 		t.Error("the unused connection was not kept")
 	}
 }
+
+// An answer that did not end cleanly has the outcome that came before, or one by how its connection ended.
+func TestBrokenOutcomes(t *testing.T) {
+	soon, past := time.Now().Add(time.Hour), time.Now().Add(-time.Hour)
+	for _, c := range []struct {
+		name      string
+		outcome   logic.Outcome
+		err       error
+		deadline  time.Time
+		cancelled bool
+		want      logic.Outcome
+		reason    memberClose
+	}{
+		{"an answer, then the end", logic.OK, io.EOF, soon, false, logic.OK, memberEnded},
+		{"a miss, then garbage", logic.Miss, pgwire.ErrFraming, soon, false, logic.Miss, memberEnded},
+		{"no answer in time", noOutcome, os.ErrDeadlineExceeded, past, false, logic.TimedOut, memberTimedOut},
+		{"an answer that began and did not end", noOutcome, os.ErrDeadlineExceeded, soon, false, logic.Fault, memberGarbled},
+		{"cancelled", noOutcome, os.ErrDeadlineExceeded, soon, true, logic.Cancelled, memberCancelled},
+		{"garbage", noOutcome, pgwire.ErrFraming, soon, false, logic.Fault, memberGarbled},
+		{"closed", noOutcome, io.EOF, soon, false, logic.Reset, memberReset},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			x := &attempt{ctx: context.Background(), deadline: c.deadline, cancelled: c.cancelled}
+			if got, reason := x.brokenOutcome(c.outcome, c.err); got != c.want || reason != c.reason {
+				t.Errorf("outcome %d, reason %s", got, reason)
+			}
+		})
+	}
+}
