--- a/cmd/weirwind/measure_test.go
+++ b/cmd/weirwind/measure_test.go
@@ -29,19 +29,19 @@
 // lagging is a replica that answers reads with a position 20 ms old.
 func lagging(q string) []byte {
 	if strings.HasPrefix(q, "INSERT") {
-		return fault("25006", "reader")
+		return errorAnswer("25006", "reader")
 	}
-	return append(pgwire.AppendSingleRow(nil, "v"), noteAt("reader", time.Now().Add(-20*time.Millisecond))...)
+	return append(pgwire.AppendSingleRow(nil, "v"), roleStatusAt("reader", time.Now().Add(-20*time.Millisecond))...)
 }
 
 // first is how long it took from the start of the program to the first acked op of a type, and how many tries were
 // turned away before.
-type first struct {
+type firstAnswer struct {
 	took    time.Duration
 	refused int
 }
 
-func firstAcked(address string, began time.Time, opType string) (f first) {
+func measureFirstAnswer(address string, began time.Time, opType string) (f firstAnswer) {
 	for time.Since(began) < patience {
 		c, err := dialTo(address)
 		if err != nil {
@@ -49,7 +49,7 @@
 			continue
 		}
 		for time.Since(began) < patience {
-			kinds, _ := c.ask(statement(opType, 1000))
+			kinds, _ := c.query(statement(opType, 1000))
 			if kinds == acked {
 				c.Close()
 				f.took = time.Since(began)
@@ -78,30 +78,30 @@
 	variants := []variant{{"graceful, no state", syscall.SIGTERM, ""}, {"graceful, state", syscall.SIGTERM, `switch_least = "60s"`},
 		{"killed, no state", syscall.SIGKILL, ""}, {"killed, state", syscall.SIGKILL, `switch_least = "60s"`},
 		{"stale state", syscall.SIGKILL, `switch_least = "1ms"`}}
-	write, bounded := map[string][]first{}, map[string][]first{}
+	write, bounded := map[string][]firstAnswer{}, map[string][]firstAnswer{}
 	for _, v := range variants {
-		members := []*member{newMember(t, "a", lagging), newMember(t, "b", takes), newMember(t, "c", lagging), newMember(t, "d", lagging)}
+		members := []*member{newMember(t, "a", lagging), newMember(t, "b", acceptsWrites), newMember(t, "c", lagging), newMember(t, "d", lagging)}
 		for _, m := range members {
 			m.lateBy.Store(5) // what a handshake with TLS costs, about
 		}
-		s := newSite(t, members...)
+		s := newPlatform(t, members...)
 		ln := freeAddress(t)
 		s.config["listen"] = ln
 		folder := ""
 		if v.state != "" {
-			folder = s.keeps(t, v.state)
+			folder = s.persistState(t, v.state)
 		}
 		for range *restarts {
 			p := s.start(t)
 			c := p.connect()
 			for range 3 {
-				c.ask(statement("write", 1000))
-				c.ask(statement("recent", 1000))
+				c.query(statement("write", 1000))
+				c.query(statement("recent", 1000))
 			}
 			if folder != "" {
-				kept(t, folder, slotIs("b"))
+				waitForState(t, folder, primaryIs("b"))
 			}
-			p.ends(v.signal)
+			p.stop(v.signal)
 			drainAll(members)
 			text, _ := json.Marshal(s.config)
 			if v.name == "stale state" {
@@ -109,11 +109,11 @@
 			}
 			began := time.Now()
 			q := launch(t, string(text), s.operator)
-			read := make(chan first, 1)
-			go func() { read <- firstAcked(ln, began, "recent") }()
-			write[v.name] = append(write[v.name], firstAcked(ln, began, "write"))
+			read := make(chan firstAnswer, 1)
+			go func() { read <- measureFirstAnswer(ln, began, "recent") }()
+			write[v.name] = append(write[v.name], measureFirstAnswer(ln, began, "write"))
 			bounded[v.name] = append(bounded[v.name], <-read)
-			q.ends(syscall.SIGKILL)
+			q.stop(syscall.SIGKILL)
 			drainAll(members)
 		}
 	}
@@ -129,19 +129,19 @@
 	}
 }
 
-func summary(all []first) string {
-	slices.SortFunc(all, func(a, b first) int { return int(a.took - b.took) })
+func summary(all []firstAnswer) string {
+	slices.SortFunc(all, func(a, b firstAnswer) int { return int(a.took - b.took) })
 	refused := 0
 	for _, f := range all {
 		refused += f.refused
 	}
-	ms := func(f first) float64 { return float64(f.took.Microseconds()) / 1000 }
+	ms := func(f firstAnswer) float64 { return float64(f.took.Microseconds()) / 1000 }
 	return fmt.Sprintf("%7.1f %7.1f %4d", ms(all[len(all)/2]), ms(all[len(all)-1]), refused)
 }
 
 func drainAll(members []*member) {
 	for _, m := range members {
-		writes(m)
+		countWrites(m)
 		for len(m.closed) > 0 {
 			<-m.closed
 		}
@@ -151,20 +151,20 @@
 // TestMeasureIdleMemory takes the resident memory of the program at rest: without an operators' file, with one, and
 // of an earlier build where one is named.
 func TestMeasureIdleMemory(t *testing.T) {
-	s := newSite(t, newMember(t, "m", takes))
+	s := newPlatform(t, newMember(t, "m", acceptsWrites))
 	text, _ := json.Marshal(s.config)
 	rest := func(path, operators string) [2]int {
 		was := *build
 		*build = path
 		p := launch(t, string(text), operators)
 		*build = was
-		p.await("event=serving")
+		p.waitForLog("event=serving")
 		p.counters()
-		defer p.ends(syscall.SIGKILL)
+		defer p.stop(syscall.SIGKILL)
 		return resident(t, p.cmd.Process.Pid)
 	}
 	plain := rest(*build, "")
-	s.keeps(t, "")
+	s.persistState(t, "")
 	with := rest(*build, s.operator)
 	t.Logf("resident at rest, of it anonymous: %v KiB, with state %v KiB", plain, with)
 	if *before != "" {
--- a/cmd/weirwind/presence_test.go
+++ b/cmd/weirwind/presence_test.go
@@ -9,7 +9,7 @@
 )
 
 // fellow starts another driver of the same site under a name of its own.
-func (s *site) fellow(t *testing.T, name string) *program {
+func (s *platform) fellow(t *testing.T, name string) *program {
 	t.Helper()
 	s.config["name"], s.config["peer_listen"] = name, "127.0.0.1:0"
 	s.settings["policy_limits"].(map[string]any)["peers"] = true
@@ -21,32 +21,32 @@
 	for _, dialect := range []string{"etcd", "consul"} {
 		t.Run(dialect, func(t *testing.T) {
 			t.Parallel()
-			a, b := newMember(t, "a", takes), newMember(t, "b", refuses)
-			s := newSite(t, a, b)
-			store, v := s.registered(t, dialect, "drivers_prefix = \"weirwind/drivers/\"\n  lease = \""+map[string]string{"etcd": "1s", "consul": "10s"}[dialect]+"\"")
+			a, b := newMember(t, "a", acceptsWrites), newMember(t, "b", rejectsWrites)
+			s := newPlatform(t, a, b)
+			store, v := s.useRegistry(t, dialect, "drivers_prefix = \"weirwind/drivers/\"\n  lease = \""+map[string]string{"etcd": "1s", "consul": "10s"}[dialect]+"\"")
 			p := s.fellow(t, "n0")
-			p.said("event=presence announced=true")
+			p.findInLog("event=presence announced=true")
 			q := s.fellow(t, "n1")
-			p.said("event=drivers count=2")
-			q.said("event=drivers count=2")
+			p.findInLog("event=drivers count=2")
+			q.findInLog("event=drivers count=2")
 			c := q.connect()
 			for range 50 {
-				c.ask(read(1000))
+				c.query(read(1000))
 			}
 			waitCounter(t, p, "messagesin")
 			store.LoseLeases() // as behind a pause, or a registry that forgot
-			p.await("event=presence announced=false")
-			p.await("event=presence announced=true")
+			p.waitForLog("event=presence announced=false")
+			p.waitForLog("event=presence announced=true")
 			v.Down.Store(true) // a silent registry makes nobody think to be alone
 			v.CloseConnections()
-			p.await("event=registry_failed")
+			p.waitForLog("event=registry_failed")
 			v.Down.Store(false)
 			r := s.fellow(t, "n2")
-			line := p.said("event=drivers count=3")
+			line := p.findInLog("event=drivers count=3")
 			if strings.Contains(strings.Join(p.before, "\n"), "count=1") {
 				t.Errorf("thought to be alone before %s", line)
 			}
-			r.ends(syscall.SIGTERM) // it gives its lease back
+			r.stop(syscall.SIGTERM) // it gives its lease back
 
 		})
 	}
@@ -64,32 +64,32 @@
 
 // Two drivers of one name: the second one says so and serves.
 func TestTwoDriversOfOneName(t *testing.T) {
-	m := newMember(t, "m", takes)
-	s := newSite(t, m)
-	s.registered(t, "etcd", "drivers_prefix = \"weirwind/drivers/\"\n  lease = \"5s\"")
-	s.fellow(t, "n0").said("event=presence announced=true")
+	m := newMember(t, "m", acceptsWrites)
+	s := newPlatform(t, m)
+	s.useRegistry(t, "etcd", "drivers_prefix = \"weirwind/drivers/\"\n  lease = \"5s\"")
+	s.fellow(t, "n0").findInLog("event=presence announced=true")
 	q := s.fellow(t, "n0")
-	if line := q.said("another driver has the name"); !strings.Contains(line, "announced=false") {
+	if line := q.findInLog("another driver has the name"); !strings.Contains(line, "announced=false") {
 		t.Error(line)
 	}
-	kinds, said := q.connect().ask(write(1000))
-	want(t, kinds, said, acked, "v:INSERT")
+	kinds, said := q.connect().query(write(1000))
+	expect(t, kinds, said, acked, "v:INSERT")
 }
 
 // A driver's machine stands still for longer than its lease: its fellows do without it, and it announces itself anew.
 func TestLeaseLostDuringAPause(t *testing.T) {
-	m := newMember(t, "m", takes)
-	s := newSite(t, m)
-	s.registered(t, "etcd", "drivers_prefix = \"weirwind/drivers/\"\n  lease = \"1s\"")
+	m := newMember(t, "m", acceptsWrites)
+	s := newPlatform(t, m)
+	s.useRegistry(t, "etcd", "drivers_prefix = \"weirwind/drivers/\"\n  lease = \"1s\"")
 	p := s.fellow(t, "n0")
-	before := field(p.said("event=presence announced=true"), "lease")
+	before := field(p.findInLog("event=presence announced=true"), "lease")
 	q := s.fellow(t, "n1")
-	q.said("event=drivers count=2")
+	q.findInLog("event=drivers count=2")
 	p.cmd.Process.Signal(syscall.SIGSTOP)
-	q.await("event=drivers count=1")
+	q.waitForLog("event=drivers count=1")
 	p.cmd.Process.Signal(syscall.SIGCONT)
-	if line := p.await("event=presence announced=true"); field(line, "lease") == before {
+	if line := p.waitForLog("event=presence announced=true"); field(line, "lease") == before {
 		t.Error(line)
 	}
-	q.await("event=drivers count=2")
+	q.waitForLog("event=drivers count=2")
 }
--- a/cmd/weirwind/registry_test.go
+++ b/cmd/weirwind/registry_test.go
@@ -20,8 +20,8 @@
 
 const membersAt = "weirwind/members/"
 
-// registered starts a registry that holds the site's members, and names it in the operators' file.
-func (s *site) registered(t *testing.T, dialect, more string) (*kv.Store, *kv.Server) {
+// useRegistry starts a registry that holds the platform's members, and names it in the operators' file.
+func (s *platform) useRegistry(t *testing.T, dialect, more string) (*kv.Store, *kv.Server) {
 	t.Helper()
 	store := kv.NewStore("c1")
 	v := kv.Serve(store)
@@ -33,7 +33,7 @@
 	return store, v
 }
 
-func (s *site) entry(i int, phase string) string {
+func (s *platform) entry(i int, phase string) string {
 	return fmt.Sprintf(`{"host_port":%q,"locality":"a","cell":3,"phase":%q,"access":%q}`, s.members[i].ln.Addr(), phase,
 		[]string{"writer", "reader"}[min(i, 1)])
 }
@@ -45,17 +45,17 @@
 		t.Run(dialect, func(t *testing.T) {
 			t.Parallel()
 			var last atomic.Int64
-			a := newMember(t, "a", takes)
-			b := newMember(t, "b", func(q string) []byte { last.Store(time.Now().UnixNano()); return refuses(q) })
-			s := newSite(t, a, b)
-			store, v := s.registered(t, dialect, "")
+			a := newMember(t, "a", acceptsWrites)
+			b := newMember(t, "b", func(q string) []byte { last.Store(time.Now().UnixNano()); return rejectsWrites(q) })
+			s := newPlatform(t, a, b)
+			store, v := s.useRegistry(t, dialect, "")
 			p := s.start(t)
 			c := p.connect()
 			reads := func(n int) {
 				t.Helper()
 				for range n {
-					kinds, said := c.ask(read(1000))
-					want(t, kinds, said, acked, "v:SELECT")
+					kinds, said := c.query(read(1000))
+					expect(t, kinds, said, acked, "v:SELECT")
 				}
 			}
 			reads(20)
@@ -64,7 +64,7 @@
 			}
 			v.Down.Store(true)
 			v.CloseConnections()
-			p.await("event=registry_failed")
+			p.waitForLog("event=registry_failed")
 			store.Put(membersAt+"b", s.entry(1, "draining"))
 			reads(20)
 			v.Down.Store(false)
@@ -82,7 +82,7 @@
 				t.Errorf("an op came to the member %v after its drain was learned", late)
 			}
 			store.Put(membersAt+"b", s.entry(1, "up"))
-			p.await("b=up")
+			p.waitForLog("b=up")
 			before := last.Load()
 			if reads(50); last.Load() == before {
 				t.Error("b is not used again")
@@ -93,17 +93,17 @@
 
 // A drain that the registry told binds after a kill, with the registry gone and discovery saying otherwise.
 func TestRegistrysDrainBindsAfterAKill(t *testing.T) {
-	a, b := newMember(t, "a", takes), newMember(t, "b", refuses)
-	s := newSite(t, a, b)
-	folder := s.keeps(t, "")
+	a, b := newMember(t, "a", acceptsWrites), newMember(t, "b", rejectsWrites)
+	s := newPlatform(t, a, b)
+	folder := s.persistState(t, "")
 	s.operator += "\n"
-	store, v := s.registered(t, "etcd", "")
+	store, v := s.useRegistry(t, "etcd", "")
 	p := s.start(t)
-	p.said("registry leads")
+	p.findInLog("registry leads")
 	store.Put(membersAt+"b", s.entry(1, "draining"))
-	kept(t, folder, func(s *learned.State) bool { return s.Membership["b"].Phase == "draining" })
-	p.ends(syscall.SIGKILL)
-	s.left()
+	waitForState(t, folder, func(s *learned.State) bool { return s.Membership["b"].Phase == "draining" })
+	p.stop(syscall.SIGKILL)
+	s.waitIdle()
 	v.Down.Store(true)
 	v.CloseConnections()
 	for len(b.queries) > 0 {
@@ -111,60 +111,60 @@
 	}
 	s.changes <- s.list(50, true, "")
 	q := s.start(t)
-	q.said("discovery leads")
+	q.findInLog("discovery leads")
 	c := q.connect()
 	for range 20 {
-		kinds, said := c.ask(read(1000))
-		want(t, kinds, said, acked, "v:SELECT")
+		kinds, said := c.query(read(1000))
+		expect(t, kinds, said, acked, "v:SELECT")
 	}
 	if len(b.queries) > 0 {
 		t.Errorf("%d ops sent to a member that was told to drain", len(b.queries))
 	}
 	store.Put(membersAt+"b", s.entry(1, "up"))
 	v.Down.Store(false)
-	q.await("b=up")
+	q.waitForLog("b=up")
 }
 
 // Discovery says what it always said; the registry leads, and discovery takes over when it is gone for long.
 func TestDiscoveryTakesOver(t *testing.T) {
-	a, b, c := newMember(t, "a", takes), newMember(t, "b", refuses), newMember(t, "c", refuses)
-	s := newSite(t, a, b)
+	a, b, c := newMember(t, "a", acceptsWrites), newMember(t, "b", rejectsWrites), newMember(t, "c", rejectsWrites)
+	s := newPlatform(t, a, b)
 	s.members = append(s.members, c)
-	store, v := s.registered(t, "etcd", `take_over = "300ms"`)
+	store, v := s.useRegistry(t, "etcd", `take_over = "300ms"`)
 	s.members = s.members[:2]
 	p := s.start(t)
 	s.changes <- s.list(50, true, "")
-	if line := p.said("c=up"); field(line, "source") != "registry" {
+	if line := p.findInLog("c=up"); field(line, "source") != "registry" {
 		t.Error(line)
 	}
 	store.Put(membersAt+"b", s.entry(1, "draining"))
-	p.await("b=draining")
+	p.waitForLog("b=draining")
 	v.Down.Store(true)
 	v.CloseConnections()
-	p.await("discovery leads instead of registry")
-	if line := p.await("event=list "); !strings.Contains(line, "c=removed") || strings.Contains(line, "b=up") {
+	p.waitForLog("discovery leads instead of registry")
+	if line := p.waitForLog("event=list "); !strings.Contains(line, "c=removed") || strings.Contains(line, "b=up") {
 		t.Errorf("what the registry told of b is undone: %s", line)
 	}
 	v.Down.Store(false)
-	p.await("registry leads instead of discovery")
+	p.waitForLog("registry leads instead of discovery")
 }
 
 // A registry that is there, lost for good, or never there: the driver serves.
 func TestServesWithoutItsRegistry(t *testing.T) {
-	m := newMember(t, "m", takes)
-	s := newSite(t, m)
+	m := newMember(t, "m", acceptsWrites)
+	s := newPlatform(t, m)
 	s.operator = "registry \"etcd\" {\n  endpoints = [\"http://127.0.0.1:1\"]\n}"
 	p := s.start(t)
-	p.said("event=registry_failed")
-	kinds, said := p.connect().ask(write(1000))
-	want(t, kinds, said, acked, "v:INSERT")
-	p.ends(syscall.SIGTERM)
+	p.findInLog("event=registry_failed")
+	kinds, said := p.connect().query(write(1000))
+	expect(t, kinds, said, acked, "v:INSERT")
+	p.stop(syscall.SIGTERM)
 }
 
 func TestRegistryCommands(t *testing.T) {
 	t.Setenv("PROXY_CONFIG", "")
-	s := newSite(t, newMember(t, "a", takes), newMember(t, "b", refuses))
-	store, _ := s.registered(t, "etcd", "")
+	s := newPlatform(t, newMember(t, "a", acceptsWrites), newMember(t, "b", rejectsWrites))
+	store, _ := s.useRegistry(t, "etcd", "")
 	file := filepath.Join(t.TempDir(), "operator.hcl")
 	os.WriteFile(file, []byte(s.operator), 0o600)
 	run := func(code int, want string, args ...string) {
@@ -185,28 +185,28 @@
 // break, as its log tells; and what it takes at rest with a registry.
 func TestMeasureRegistry(t *testing.T) {
 	for _, dialect := range []string{"etcd", "consul"} {
-		s := newSite(t, newMember(t, "a", takes), newMember(t, "b", refuses))
-		store, v := s.registered(t, dialect, "")
+		s := newPlatform(t, newMember(t, "a", acceptsWrites), newMember(t, "b", rejectsWrites))
+		store, v := s.useRegistry(t, dialect, "")
 		p := s.start(t)
-		p.said("registry leads")
+		p.findInLog("registry leads")
 		rest := resident(t, p.cmd.Process.Pid)
 		var steady, broken []time.Duration
 		for i := range max(20, 10**restarts) {
 			phase := []string{"draining", "up"}[i%2]
 			began := time.Now()
 			store.Put(membersAt+"b", s.entry(1, phase))
-			p.await("b=" + phase)
+			p.waitForLog("b=" + phase)
 			steady = append(steady, time.Since(began))
 		}
 		for i := range max(2, *restarts) {
 			v.Down.Store(true)
 			v.CloseConnections()
-			p.await("registry_failed")
+			p.waitForLog("registry_failed")
 			phase := []string{"draining", "up"}[i%2]
 			store.Put(membersAt+"b", s.entry(1, phase))
 			v.Down.Store(false)
 			began := time.Now()
-			p.await("b=" + phase)
+			p.waitForLog("b=" + phase)
 			broken = append(broken, time.Since(began))
 			if *restarts > 1 {
 				time.Sleep(1500 * time.Millisecond) // breaks in a row use up the budget of calls, and wait a second each
@@ -217,6 +217,6 @@
 		ms := func(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 		t.Logf("%s: from write to list, ms: steady median %.2f, p99 %.2f (%d); from the end of a break median %.1f, worst %.1f (%d); at rest %v KiB, anonymous included",
 			dialect, ms(steady[len(steady)/2]), ms(steady[len(steady)*99/100]), len(steady), ms(broken[len(broken)/2]), ms(broken[len(broken)-1]), len(broken), rest)
-		p.ends(syscall.SIGKILL)
+		p.stop(syscall.SIGKILL)
 	}
 }
--- a/cmd/weirwind/state_test.go
+++ b/cmd/weirwind/state_test.go
@@ -18,15 +18,15 @@
 	"weirwind/internal/pgwire"
 )
 
-// keeps switches state on, in a folder of the test's own.
-func (s *site) keeps(t *testing.T, more string) (folder string) {
+// persistState switches state on, in a folder of the test's own.
+func (s *platform) persistState(t *testing.T, more string) (folder string) {
 	folder = filepath.Join(t.TempDir(), "state")
 	s.operator = fmt.Sprintf("state {\n  folder = %q\n  save_every = \"50ms\"\n  %s\n}", folder, more)
 	return folder
 }
 
-// kept waits until what is on disk is as wanted.
-func kept(t *testing.T, folder string, want func(*learned.State) bool) *learned.State {
+// waitForState waits until what is on disk is as wanted.
+func waitForState(t *testing.T, folder string, want func(*learned.State) bool) *learned.State {
 	t.Helper()
 	for limit := time.Now().Add(patience); time.Now().Before(limit); time.Sleep(5 * time.Millisecond) {
 		found, err := durable.Recover(durable.OS{}, durable.Options{Folder: folder, Tag: learned.Tag})
@@ -41,21 +41,21 @@
 	return nil
 }
 
-func slotIs(id string) func(*learned.State) bool {
+func primaryIs(id string) func(*learned.State) bool {
 	return func(s *learned.State) bool { return s.Groups[3].Primary == id && s.Groups[3].InSlot }
 }
 
-// takes answers as a primary; refuses answers as a replica, which turns writes away.
-var takes = serves("writer")
+// acceptsWrites answers as a primary, rejectsWrites as a replica.
+var acceptsWrites = answersAs("writer")
 
-func refuses(q string) []byte {
+func rejectsWrites(q string) []byte {
 	if strings.HasPrefix(q, "INSERT") {
-		return fault("25006", "reader")
+		return errorAnswer("25006", "reader")
 	}
 	return row("v:"+q[:6], "reader")
 }
 
-func writes(m *member) (n int) {
+func countWrites(m *member) (n int) {
 	for {
 		select {
 		case q := <-m.queries:
@@ -74,21 +74,21 @@
 	for name, signal := range map[string]os.Signal{"graceful": syscall.SIGTERM, "killed": syscall.SIGKILL} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			a, b, c := newMember(t, "a", refuses), newMember(t, "b", takes), newMember(t, "c", refuses)
-			s := newSite(t, a, b, c)
-			folder := s.keeps(t, `switch_least = "60s"`)
+			a, b, c := newMember(t, "a", rejectsWrites), newMember(t, "b", acceptsWrites), newMember(t, "c", rejectsWrites)
+			s := newPlatform(t, a, b, c)
+			folder := s.persistState(t, `switch_least = "60s"`)
 			p := s.start(t)
-			kinds, said := p.connect().ask(write(1000))
-			want(t, kinds, said, acked, "v:INSERT")
-			kept(t, folder, slotIs("b"))
-			p.ends(signal)
-			writes(a)
-			writes(b)
-			writes(c)
+			kinds, said := p.connect().query(write(1000))
+			expect(t, kinds, said, acked, "v:INSERT")
+			waitForState(t, folder, primaryIs("b"))
+			p.stop(signal)
+			countWrites(a)
+			countWrites(b)
+			countWrites(c)
 			q := s.start(t)
-			kinds, said = q.connect().ask(write(1000))
-			want(t, kinds, said, acked, "v:INSERT")
-			if x, y, z := writes(a), writes(b), writes(c); x != 0 || y != 1 || z != 0 {
+			kinds, said = q.connect().query(write(1000))
+			expect(t, kinds, said, acked, "v:INSERT")
+			if x, y, z := countWrites(a), countWrites(b), countWrites(c); x != 0 || y != 1 || z != 0 {
 				t.Errorf("the first write went to a %d times, to b %d, to c %d", x, y, z)
 			}
 		})
@@ -98,60 +98,60 @@
 // A kept primary older than any switch, which was deposed meanwhile and would still take a write, gets none: not
 // by the state, nor by the list that names it.
 func TestDeposedPrimaryGetsNoWrite(t *testing.T) {
-	a, b, c := newMember(t, "a", takes), newMember(t, "b", refuses), newMember(t, "c", refuses)
-	s := newSite(t, a, b, c)
-	folder := s.keeps(t, `switch_least = "1ms"`)
+	a, b, c := newMember(t, "a", acceptsWrites), newMember(t, "b", rejectsWrites), newMember(t, "c", rejectsWrites)
+	s := newPlatform(t, a, b, c)
+	folder := s.persistState(t, `switch_least = "1ms"`)
 	p := s.start(t)
-	kinds, said := p.connect().ask(write(1000))
-	want(t, kinds, said, acked, "v:INSERT")
-	kept(t, folder, slotIs("a"))
-	p.ends(syscall.SIGTERM)
-	writes(a)
-	b.says(takes)
+	kinds, said := p.connect().query(write(1000))
+	expect(t, kinds, said, acked, "v:INSERT")
+	waitForState(t, folder, primaryIs("a"))
+	p.stop(syscall.SIGTERM)
+	countWrites(a)
+	b.setAnswer(acceptsWrites)
 	q := s.start(t)
 	for range 5 {
-		kinds, said = q.connect().ask(write(1000))
-		want(t, kinds, said, acked, "v:INSERT")
+		kinds, said = q.connect().query(write(1000))
+		expect(t, kinds, said, acked, "v:INSERT")
 	}
-	if x, y := writes(a), writes(b); x != 0 || y != 5 {
+	if x, y := countWrites(a), countWrites(b); x != 0 || y != 5 {
 		t.Errorf("the deposed primary got %d writes, the new one %d", x, y)
 	}
 }
 
 // Where nothing has changed, an old state costs a search: the others deny, and then the primary gets its writes.
 func TestOldStateOfAPrimaryThatStillIs(t *testing.T) {
-	a, b, c := newMember(t, "a", takes), newMember(t, "b", refuses), newMember(t, "c", refuses)
-	s := newSite(t, a, b, c)
-	folder := s.keeps(t, `switch_least = "1ms"`)
+	a, b, c := newMember(t, "a", acceptsWrites), newMember(t, "b", rejectsWrites), newMember(t, "c", rejectsWrites)
+	s := newPlatform(t, a, b, c)
+	folder := s.persistState(t, `switch_least = "1ms"`)
 	p := s.start(t)
-	p.connect().ask(write(1000))
-	kept(t, folder, slotIs("a"))
-	p.ends(syscall.SIGKILL)
-	kinds, said := s.start(t).connect().ask(write(1000))
-	want(t, kinds, said, acked, "v:INSERT")
+	p.connect().query(write(1000))
+	waitForState(t, folder, primaryIs("a"))
+	p.stop(syscall.SIGKILL)
+	kinds, said := s.start(t).connect().query(write(1000))
+	expect(t, kinds, said, acked, "v:INSERT")
 }
 
 // A drain that was told binds after a kill, though the start is given a list from before it and discovery is down.
 func TestDrainToldBeforeAKillBindsAfterIt(t *testing.T) {
-	a, b := newMember(t, "a", takes), newMember(t, "b", refuses)
-	s := newSite(t, a, b)
-	folder := s.keeps(t, "")
+	a, b := newMember(t, "a", acceptsWrites), newMember(t, "b", rejectsWrites)
+	s := newPlatform(t, a, b)
+	folder := s.persistState(t, "")
 	p := s.start(t)
 	s.changes <- s.list(42, false, "b=draining")
-	kept(t, folder, func(s *learned.State) bool { return s.Membership["b"].Phase == "draining" && s.Meta.Revision == 42 })
-	p.ends(syscall.SIGKILL)
+	waitForState(t, folder, func(s *learned.State) bool { return s.Membership["b"].Phase == "draining" && s.Meta.Revision == 42 })
+	p.stop(syscall.SIGKILL)
 	s.lists.Close()
 	for len(b.queries) > 0 {
 		<-b.queries
 	}
 	q := s.start(t)
-	if line := q.said("state_recalled"); field(line, "from_kept") != "true" || field(line, "revision") != "42" {
+	if line := q.findInLog("state_recalled"); field(line, "from_kept") != "true" || field(line, "revision") != "42" {
 		t.Error(line)
 	}
 	c := q.connect()
 	for range 20 {
-		kinds, said := c.ask(read(1000))
-		want(t, kinds, said, acked, "v:SELECT")
+		kinds, said := c.query(read(1000))
+		expect(t, kinds, said, acked, "v:SELECT")
 	}
 	if len(b.queries) > 0 {
 		t.Errorf("%d ops sent to a member that was told to drain", len(b.queries))
@@ -162,27 +162,27 @@
 // without: no replica counts as fresh for it by what it said before.
 func TestSessionReadsItsWriteAfterAKill(t *testing.T) {
 	for _, keeps := range []bool{true, false} {
-		a, b := newMember(t, "a", takes), newMember(t, "b", refuses)
-		s := newSite(t, a, b)
+		a, b := newMember(t, "a", acceptsWrites), newMember(t, "b", rejectsWrites)
+		s := newPlatform(t, a, b)
 		s.settings["family_info"].(map[string]any)["needs_by_class"] = []string{"causal", "mutate", "eventual"}
 		s.settings["family_info"].(map[string]any)["write_marks"] = "kept"
 		if keeps {
-			s.keeps(t, "")
+			s.persistState(t, "")
 		}
 		p := s.start(t)
 		c := p.connect()
-		c.ask(read(1000))
-		kinds, said := c.ask(write(1000))
-		want(t, kinds, said, acked, "v:INSERT")
-		p.ends(syscall.SIGKILL)
+		c.query(read(1000))
+		kinds, said := c.query(write(1000))
+		expect(t, kinds, said, acked, "v:INSERT")
+		p.stop(syscall.SIGKILL)
 		old := time.Now()
-		b.says(func(q string) []byte { // its position stands still from before the kill
-			return append(pgwire.AppendSingleRow(nil, "s"), noteAt("reader", old.Add(-time.Millisecond))...)
+		b.setAnswer(func(q string) []byte { // its position stands still from before the kill
+			return append(pgwire.AppendSingleRow(nil, "s"), roleStatusAt("reader", old.Add(-time.Millisecond))...)
 		})
 		c = s.start(t).connect()
-		c.ask(statement("recent", 1000)) // of any age: it may tell the replica's position
+		c.query(statement("recent", 1000)) // of any age: it may tell the replica's position
 		for range 10 {
-			if kinds, said = c.ask(read(1000)); kinds != acked || said == "s" {
+			if kinds, said = c.query(read(1000)); kinds != acked || said == "s" {
 				t.Fatalf("state kept: %v: heard %q saying %q, from a replica that lacks the write", keeps, kinds, said)
 			}
 		}
@@ -191,50 +191,50 @@
 
 // Trouble with the disk is one line and a counter; ops don't notice, and saving goes on when it can.
 func TestDiskTroubleHurtsNoOp(t *testing.T) {
-	m := newMember(t, "m", takes)
-	s := newSite(t, m)
-	folder := s.keeps(t, "")
+	m := newMember(t, "m", acceptsWrites)
+	s := newPlatform(t, m)
+	folder := s.persistState(t, "")
 	os.MkdirAll(filepath.Dir(folder), 0o700)
 	if err := os.WriteFile(folder, nil, 0o600); err != nil { // where the folder should be stands a file
 		t.Fatal(err)
 	}
 	p := s.start(t)
-	p.said("event=state_failed")
+	p.findInLog("event=state_failed")
 	serves := func() {
 		t.Helper()
-		kinds, said := p.connect().ask(write(1000))
-		want(t, kinds, said, acked, "v:INSERT")
+		kinds, said := p.connect().query(write(1000))
+		expect(t, kinds, said, acked, "v:INSERT")
 	}
 	serves()
 	os.Remove(folder)
-	p.await("event=state_saved")
-	kept(t, folder, slotIs("m"))
+	p.waitForLog("event=state_saved")
+	waitForState(t, folder, primaryIs("m"))
 	os.RemoveAll(folder) // gone while the driver is at it
-	p.await("event=state_failed")
+	p.waitForLog("event=state_failed")
 	serves()
-	p.await("event=state_saved")
-	kept(t, folder, slotIs("m"))
+	p.waitForLog("event=state_saved")
+	waitForState(t, folder, primaryIs("m"))
 	if line := p.counters(); field(line, "statefailed") < "2" || field(line, "errored") != "0" {
 		t.Error(line)
 	}
 
 	q := s.start(t) // a second process at the same folder
-	q.said("event=state_failed")
-	kinds, said := q.connect().ask(write(1000))
-	want(t, kinds, said, acked, "v:INSERT")
-	p.ends(syscall.SIGKILL)
-	q.await("event=state_saved")
+	q.findInLog("event=state_failed")
+	kinds, said := q.connect().query(write(1000))
+	expect(t, kinds, said, acked, "v:INSERT")
+	p.stop(syscall.SIGKILL)
+	q.waitForLog("event=state_saved")
 }
 
 // Whatever stands in the files, the driver starts and serves.
 func TestDamagedStateIsToldAndServedWithout(t *testing.T) {
-	m := newMember(t, "m", takes)
-	s := newSite(t, m)
-	folder := s.keeps(t, "")
+	m := newMember(t, "m", acceptsWrites)
+	s := newPlatform(t, m)
+	folder := s.persistState(t, "")
 	p := s.start(t)
-	p.connect().ask(write(1000))
-	kept(t, folder, slotIs("m"))
-	p.ends(syscall.SIGTERM)
+	p.connect().query(write(1000))
+	waitForState(t, folder, primaryIs("m"))
+	p.stop(syscall.SIGTERM)
 	names, _ := filepath.Glob(folder + "/*.*")
 	for _, name := range names {
 		b, _ := os.ReadFile(name)
@@ -246,32 +246,32 @@
 		t.Errorf("verify: %d\n%s%s", code, &out, &problems)
 	}
 	q := s.start(t)
-	q.said("event=state_damaged")
-	kinds, said := q.connect().ask(write(1000))
-	want(t, kinds, said, acked, "v:INSERT")
-	kept(t, folder, slotIs("m"))
+	q.findInLog("event=state_damaged")
+	kinds, said := q.connect().query(write(1000))
+	expect(t, kinds, said, acked, "v:INSERT")
+	waitForState(t, folder, primaryIs("m"))
 }
 
 func TestLogAsJSON(t *testing.T) {
-	s := newSite(t, newMember(t, "m", takes))
+	s := newPlatform(t, newMember(t, "m", acceptsWrites))
 	s.operator = "log {\n  format = \"json\"\n}"
 	text, _ := json.Marshal(s.config)
 	p := launch(t, string(text), s.operator)
 	var line struct{ Time, Level, Event, Listen string }
-	if err := json.Unmarshal([]byte(p.await(`"event":"serving"`)), &line); err != nil || line.Listen == "" || line.Level != "INFO" {
+	if err := json.Unmarshal([]byte(p.waitForLog(`"event":"serving"`)), &line); err != nil || line.Listen == "" || line.Level != "INFO" {
 		t.Fatal(err, line)
 	}
 	p.address = line.Listen
 	os.WriteFile(p.operator, []byte("log {\n  format = \"json\"\n  level = \"error\"\n}"), 0o600)
 	p.cmd.Process.Signal(syscall.SIGHUP)
-	p.await(`"event":"reloaded"`)
+	p.waitForLog(`"event":"reloaded"`)
 	os.WriteFile(p.operator, []byte("log {\n  volume = 11\n}"), 0o600) // a mistake changes nothing
 	p.cmd.Process.Signal(syscall.SIGHUP)
-	if line := p.await(`"event":`); !strings.Contains(line, "reload_failed") || !strings.Contains(line, "operator.hcl:2,3") {
+	if line := p.waitForLog(`"event":`); !strings.Contains(line, "reload_failed") || !strings.Contains(line, "operator.hcl:2,3") {
 		t.Error(line)
 	}
-	kinds, said := p.connect().ask(write(1000))
-	want(t, kinds, said, acked, "v:INSERT")
+	kinds, said := p.connect().query(write(1000))
+	expect(t, kinds, said, acked, "v:INSERT")
 }
 
 func TestCommandLine(t *testing.T) {
@@ -315,7 +315,7 @@
 	run(1, "nothing of that is kept", "state", "forget", "--member", "m2", folder)
 	run(1, "no state", "state", "verify", filepath.Join(dir, "none"))
 	run(1, "no state", "state", "forget", filepath.Join(dir, "none"))
-	s := kept(t, folder, func(*learned.State) bool { return true })
+	s := waitForState(t, folder, func(*learned.State) bool { return true })
 	if len(s.Membership) != 1 || s.Meta.Revision != 7 {
 		t.Errorf("%+v", s)
 	}
--- a/cmd/weirwind/switch_test.go
+++ b/cmd/weirwind/switch_test.go
@@ -14,26 +14,26 @@
 	"weirwind/internal/switchover"
 )
 
-type told struct {
+type fakeSwitcher struct {
 	mu   sync.Mutex
 	book *switchover.Tracker
 }
 
-func (s *told) HandleHook(w switchover.Notification) (switchover.Notification, error) {
+func (s *fakeSwitcher) HandleHook(w switchover.Notification) (switchover.Notification, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	w, _, err := s.book.HandleHook(1000, w, "m1")
 	return w, err
 }
 
-func (s *told) HandlePeer(w switchover.Notification) error {
+func (s *fakeSwitcher) HandlePeer(w switchover.Notification) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	_, err := s.book.HandleNotification(1000, w)
 	return err
 }
 
-func (s *told) Status() []switchover.ChangeStatus {
+func (s *fakeSwitcher) Status() []switchover.ChangeStatus {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.book.Status(1000)
@@ -43,7 +43,7 @@
 func TestSwitchCommands(t *testing.T) {
 	dir := t.TempDir()
 	socket := filepath.Join(dir, "w.sock")
-	s := &told{book: switchover.New(switchover.Config{DefaultLease: 100, MaxHold: 1000, ReleaseTimeout: 100, Retention: 1000, MaxGroups: 8})}
+	s := &fakeSwitcher{book: switchover.New(switchover.Config{DefaultLease: 100, MaxHold: 1000, ReleaseTimeout: 100, Retention: 1000, MaxGroups: 8})}
 	serve := func(network, address, token string) net.Listener {
 		ln, err := net.Listen(network, address)
 		if err != nil {
