--- a/internal/benchwire/benchwire_test.go
+++ b/internal/benchwire/benchwire_test.go
@@ -57,9 +57,11 @@
 		"OPEN_INSTANCE init_seed=1 setup={":                         "line 8: setup:",
 		"TURN wall=1 serial=2":                                      "line 8: TURN inside a batch",
 	} {
-		if _, err := serve(opened + bad + "\nEND\n"); err == nil || !strings.HasPrefix(err.Error(), want) {
-			t.Errorf("%s: want %q, have %v", bad, want, err)
-		}
+		t.Run(bad, func(t *testing.T) {
+			if _, err := serve(opened + bad + "\nEND\n"); err == nil || !strings.HasPrefix(err.Error(), want) {
+				t.Errorf("want %q, have %v", want, err)
+			}
+		})
 	}
 	if _, err := serve(opened); err == nil {
 		t.Error("input that ends inside a batch is no error")
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -93,16 +93,18 @@
 		"no JSON":           ok(aList[:50]),
 		"other protocol":    "SSH-2.0-x\r\n\r\n",
 	} {
-		address, _ := answers(t, []string{bad}, []string{ok(aList)})
-		c := Client{Address: address, Timeout: 5 * time.Second}
-		if a, err := c.List(context.Background()); err == nil {
-			t.Errorf("%s: %+v", name, a)
-		}
-		c.Close()
-		if _, err := c.List(context.Background()); err != nil {
-			t.Errorf("after %s: %v", name, err)
-		}
-		c.Close()
+		t.Run(name, func(t *testing.T) {
+			address, _ := answers(t, []string{bad}, []string{ok(aList)})
+			c := Client{Address: address, Timeout: 5 * time.Second}
+			defer c.Close()
+			if a, err := c.List(context.Background()); err == nil {
+				t.Errorf("%+v", a)
+			}
+			c.Close()
+			if _, err := c.List(context.Background()); err != nil {
+				t.Errorf("the next call: %v", err)
+			}
+		})
 	}
 }
 
--- a/internal/durable/durable_test.go
+++ b/internal/durable/durable_test.go
@@ -78,7 +78,8 @@
 				found := d.AfterCrash(fate, draw)
 				r, err := Recover(found, options)
 				if got := fold(r); err != nil || got != promised && got != taken {
-					t.Fatalf("crash at %d, fate %d, draw %d: %v, found %d bytes, want %d or %d", at, fate, draw, err, len(got), len(promised), len(taken))
+					t.Fatalf("crash at %d, fate %d, draw %d: %v, found %d bytes, want %d or %d", at, fate, draw, err,
+						len(got), len(promised), len(taken))
 				}
 				if goesOn, _ := work(found, fold(r)); len(goesOn) <= len(promised) {
 					t.Fatalf("crash at %d, fate %d: the store did not go on", at, fate)
--- a/internal/pgwire/pgwire_test.go
+++ b/internal/pgwire/pgwire_test.go
@@ -76,7 +76,8 @@
 		"Q\x00\x10\x00\x00 too big": ErrFraming,
 		"Q\x00\x00\x00\x04":         nil,
 	} {
-		if _, _, err := Read(bufio.NewReader(iotest.OneByteReader(strings.NewReader(in))), nil); !errors.Is(err, want) {
+		r := bufio.NewReader(iotest.OneByteReader(strings.NewReader(in)))
+		if _, _, err := Read(r, nil); !errors.Is(err, want) {
 			t.Errorf("%q: %v", in, err)
 		}
 	}
--- a/internal/plan/golden_test.go
+++ b/internal/plan/golden_test.go
@@ -38,8 +38,9 @@
 
 func drawProblem(r *rand.Rand) (members []Member, steps []Step, l Limits) {
 	whole := func(n int) float64 { return float64(r.IntN(n)) }
-	l = Limits{GroupCapacity: map[int64]float64{}, ZoneCapacity: map[string]float64{}, MaxUnavailable: 1 + r.IntN(4), ReplaceTime: whole(40),
-		WarmupTime: whole(60), WarmupCapacity: float64(r.IntN(5)) / 4, WriteGap: whole(5), MaxWriteGap: whole(20), SwitchInterval: whole(30),
+	l = Limits{GroupCapacity: map[int64]float64{}, ZoneCapacity: map[string]float64{},
+		MaxUnavailable: 1 + r.IntN(4), ReplaceTime: whole(40), WarmupTime: whole(60),
+		WarmupCapacity: float64(r.IntN(5)) / 4, WriteGap: whole(5), MaxWriteGap: whole(20), SwitchInterval: whole(30),
 		Deadline: whole(2) * 400, MinCandidates: r.IntN(3)}
 	if r.IntN(20) == 0 {
 		l.SwitchInterval = -1
--- a/internal/plan/plan_test.go
+++ b/internal/plan/plan_test.go
@@ -24,11 +24,13 @@
 		away := p.Start + p.WriteGap
 		moments = append(moments, p.Start, p.Start+0.001, away+0.001, away+l.ReplaceTime+0.001, p.End-0.001)
 		lost[p.Group] += p.WriteGap
-		if l.Deadline > 0 && p.End > l.Deadline+1e-6 || p.ChangesPrimary != (by[p.Member].Primary) || p.ChangesPrimary && p.WriteGap != l.WriteGap {
+		late := l.Deadline > 0 && p.End > l.Deadline+1e-6
+		if late || p.ChangesPrimary != by[p.Member].Primary || p.ChangesPrimary && p.WriteGap != l.WriteGap {
 			return fmt.Errorf("%+v", p)
 		}
 		for _, q := range all {
-			if q.Member != p.Member && q.ChangesPrimary && p.ChangesPrimary && q.Start-p.Start < l.SwitchInterval-1e-6 && q.Start >= p.Start {
+			bothChange := q.Member != p.Member && q.ChangesPrimary && p.ChangesPrimary
+			if bothChange && q.Start-p.Start < l.SwitchInterval-1e-6 && q.Start >= p.Start {
 				return fmt.Errorf("%s and %s change primaries within the pause", p.Member, q.Member)
 			}
 		}
@@ -76,14 +78,25 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var members []Member
 		var steps []Step
-		l := Limits{GroupCapacity: map[int64]float64{}, ZoneCapacity: map[string]float64{}, MaxUnavailable: rapid.IntRange(1, 4).Draw(t, "cold"), ReplaceTime: float64(rapid.IntRange(0, 40).Draw(t, "away")),
-			WarmupTime: float64(rapid.IntRange(0, 60).Draw(t, "warm")), WarmupCapacity: rapid.Float64Range(0, 1).Draw(t, "share"), WriteGap: float64(rapid.IntRange(0, 5).Draw(t, "gap")),
-			MaxWriteGap: float64(rapid.IntRange(0, 20).Draw(t, "lost")), SwitchInterval: float64(rapid.IntRange(0, 30).Draw(t, "pause")), Deadline: float64(rapid.IntRange(0, 2).Draw(t, "within") * 400)}
+		whole := func(most int, label string) float64 { return float64(rapid.IntRange(0, most).Draw(t, label)) }
+		l := Limits{
+			GroupCapacity:  map[int64]float64{},
+			ZoneCapacity:   map[string]float64{},
+			MaxUnavailable: rapid.IntRange(1, 4).Draw(t, "cold"),
+			ReplaceTime:    whole(40, "away"),
+			WarmupTime:     whole(60, "warm"),
+			WarmupCapacity: rapid.Float64Range(0, 1).Draw(t, "share"),
+			WriteGap:       whole(5, "gap"),
+			MaxWriteGap:    whole(20, "lost"),
+			SwitchInterval: whole(30, "pause"),
+			Deadline:       whole(2, "within") * 400,
+		}
 		for g := range rapid.IntRange(1, 4).Draw(t, "groups") {
 			n := rapid.IntRange(2, 5).Draw(t, "members")
 			sum := 0.0
 			for i := range n {
-				m := Member{fmt.Sprintf("g%dm%d", g, i), string(rune('a' + i%2)), int64(g), float64(rapid.IntRange(50, 150).Draw(t, "capacity")), i == 0}
+				capacity := float64(rapid.IntRange(50, 150).Draw(t, "capacity"))
+				m := Member{fmt.Sprintf("g%dm%d", g, i), string(rune('a' + i%2)), int64(g), capacity, i == 0}
 				members = append(members, m)
 				sum += m.Capacity
 				if rapid.Bool().Draw(t, "step") {
@@ -118,14 +131,21 @@
 }
 
 func four() []Member {
-	return []Member{{"p", "a", 1, 100, true}, {"q", "b", 1, 100, false}, {"r", "a", 1, 100, false}, {"s", "b", 1, 100, false}}
+	return []Member{
+		{"p", "a", 1, 100, true},
+		{"q", "b", 1, 100, false},
+		{"r", "a", 1, 100, false},
+		{"s", "b", 1, 100, false},
+	}
 }
 
 // What fits side by side is done side by side; more tries never give a longer plan.
 func TestPlansAreShort(t *testing.T) {
-	l := Limits{MaxUnavailable: 2, ReplaceTime: 10, WarmupTime: 20, WarmupCapacity: 0.5, WriteGap: 2, MaxWriteGap: 10, GroupCapacity: map[int64]float64{1: 200}}
+	l := Limits{MaxUnavailable: 2, ReplaceTime: 10, WarmupTime: 20, WarmupCapacity: 0.5, WriteGap: 2, MaxWriteGap: 10,
+		GroupCapacity: map[int64]float64{1: 200}}
 	all, err := Solve(four(), []Step{{Replace, "q"}, {Replace, "r"}, {Replace, "p"}}, l, 1, 1)
-	if err != nil || length(all) != 62 || all[0].Start != 0 || all[1].Start != 0 || all[2].Member != "p" || !all[2].ChangesPrimary {
+	if err != nil || length(all) != 62 || all[0].Start != 0 || all[1].Start != 0 || all[2].Member != "p" ||
+		!all[2].ChangesPrimary {
 		t.Fatalf("%v\n%s", err, Format(all))
 	}
 	for _, want := range []string{"its primary changes, 2.0 s without writes", "capacity left 200"} {
@@ -169,8 +189,13 @@
 		steps   []Step
 		l       Limits
 	}{
-		{append(four(), four()[0]), nil, good}, {four()[1:], nil, good}, {four(), []Step{{Replace, "x"}}, good}, {four(), []Step{{Switch, "q"}}, good},
-		{four(), []Step{{Replace, "q"}, {Replace, "q"}}, good}, {four(), nil, Limits{}}, {four(), nil, Limits{MaxUnavailable: 1, WriteGap: -1}},
+		{append(four(), four()[0]), nil, good},
+		{four()[1:], nil, good},
+		{four(), []Step{{Replace, "x"}}, good},
+		{four(), []Step{{Switch, "q"}}, good},
+		{four(), []Step{{Replace, "q"}, {Replace, "q"}}, good},
+		{four(), nil, Limits{}},
+		{four(), nil, Limits{MaxUnavailable: 1, WriteGap: -1}},
 	} {
 		if _, err := Solve(c.members, c.steps, c.l, 1, 1); err == nil {
 			t.Errorf("%d: a problem that makes no sense is planned", i)
--- a/internal/registry/client_test.go
+++ b/internal/registry/client_test.go
@@ -21,7 +21,9 @@
 	secret, file := "right", filepath.Join(t.TempDir(), "secret")
 	v.Password.Store(&secret)
 	os.WriteFile(file, []byte("driver:right\n"), 0o600)
-	r := followWith(t, Options{Dialect: "etcd", Prefix: prefix, WatchTimeout: time.Second, Endpoints: []string{v.URL}, CredentialsFile: file}, roster.Options{}, 0)
+	o := Options{Dialect: "etcd", Prefix: prefix, WatchTimeout: time.Second, Endpoints: []string{v.URL},
+		CredentialsFile: file}
+	r := followWith(t, o, roster.Options{}, 0)
 	r.waitFor("a")
 	v.ExpireTokens()
 	v.CloseConnections()
@@ -46,9 +48,11 @@
 			"Meta": map[string]string{"cell": cell, "locality": "a"}}, "Checks": []any{map[string]string{"Status": status}}})
 		return string(b)
 	}
-	s.Put("db/a", instance("a", "passing", "3"), "db/b", instance("b", "critical", "3"), "db/c", instance("c", "passing", "x"))
+	s.Put("db/a", instance("a", "passing", "3"), "db/b", instance("b", "critical", "3"),
+		"db/c", instance("c", "passing", "x"))
 	v := serve(t, s)
-	r := followWith(t, Options{Dialect: "consul", Service: "db", WatchTimeout: time.Second, Endpoints: []string{v.URL}}, roster.Options{}, 0)
+	o := Options{Dialect: "consul", Service: "db", WatchTimeout: time.Second, Endpoints: []string{v.URL}}
+	r := followWith(t, o, roster.Options{}, 0)
 	r.waitFor("a b-")
 	s.Put("db/a", instance("a", "critical", "3"), "db/b", instance("b", "passing", "3"))
 	r.waitFor("a- b")
@@ -69,7 +73,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := c.List(context.Background(), 0, true, func(roster.Update) {}); err == nil || ResultOf(err) != roster.CallBroken {
+	err = c.List(context.Background(), 0, true, func(roster.Update) {})
+	if err == nil || ResultOf(err) != roster.CallBroken {
 		t.Errorf("a certificate that nobody signs: %v", err)
 	}
 	o.CAFile = filepath.Join(t.TempDir(), "none")
--- a/internal/registry/entry_test.go
+++ b/internal/registry/entry_test.go
@@ -16,7 +16,8 @@
 	}
 	r := follow(t, "etcd", roster.Options{}, serve(t, s))
 	r.waitFor("a b c d")
-	s.Put(prefix+"a", "{", prefix+"b", `{"phase":"draining","cell":"three"}`, prefix+"e", entry(5, "asleep"), prefix+"d", entry(4, "draining"))
+	s.Put(prefix+"a", "{", prefix+"b", `{"phase":"draining","cell":"three"}`, prefix+"e", entry(5, "asleep"),
+		prefix+"d", entry(4, "draining"))
 	r.waitFor("a b- c d-")
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -38,10 +39,13 @@
 		`[]`:                                     "cannot unmarshal",
 		`"` + strings.Repeat("x", maxEntryBytes): "bytes are over",
 	} {
-		e, err := parseEntry("m", []byte(text))
-		if want == "" && (err != nil || e.Address != "h:1") || want != "" && (err == nil || !strings.Contains(err.Error(), want)) {
-			t.Errorf("%.60s: %+v, %v; want %q", text, e, err, want)
-		}
+		t.Run(text[:min(len(text), 60)], func(t *testing.T) {
+			e, err := parseEntry("m", []byte(text))
+			valid := err == nil && e.Address == "h:1"
+			if want == "" && !valid || want != "" && (err == nil || !strings.Contains(err.Error(), want)) {
+				t.Errorf("%+v, %v; want %q", e, err, want)
+			}
+		})
 	}
 }
 
--- a/internal/registry/lease_test.go
+++ b/internal/registry/lease_test.go
@@ -25,7 +25,8 @@
 		if err != nil || stands != 10*time.Second {
 			t.Fatal(stands, err)
 		}
-		if _, _, err := a.Grant(ctx, 0, "d/n0", value, 10*time.Second); !errors.Is(err, errNameTaken) || PresenceResultOf(err) != roster.StepNameTaken {
+		_, _, err = a.Grant(ctx, 0, "d/n0", value, 10*time.Second)
+		if !errors.Is(err, errNameTaken) || PresenceResultOf(err) != roster.StepNameTaken {
 			t.Errorf("a second one of the name: %v", err)
 		}
 		if stands, err := a.Renew(ctx, 0, first); err != nil || stands != 10*time.Second {
--- a/internal/registry/scale_test.go
+++ b/internal/registry/scale_test.go
@@ -70,7 +70,8 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				r := roster.New(roster.Options{Preferred: roster.SourceRegistry})
-				if err := c.List(context.Background(), 0, true, func(u roster.Update) { r.Apply(now(), u) }); err != nil || len(r.Members()) != 10000 {
+				err := c.List(context.Background(), 0, true, func(u roster.Update) { r.Apply(now(), u) })
+				if err != nil || len(r.Members()) != 10000 {
 					b.Fatal(err, len(r.Members()))
 				}
 			}
--- a/internal/registry/watcher_test.go
+++ b/internal/registry/watcher_test.go
@@ -201,7 +201,8 @@
 	s := kv.NewStore("c1")
 	s.Put(prefix+"a", entry(1, "up"), prefix+"b", entry(2, "up"))
 	v := serve(t, s)
-	r := followWith(t, Options{Dialect: "etcd", Prefix: prefix, Endpoints: []string{v.URL}, WatchTimeout: time.Second}, roster.Options{}, 300)
+	o := Options{Dialect: "etcd", Prefix: prefix, Endpoints: []string{v.URL}, WatchTimeout: time.Second}
+	r := followWith(t, o, roster.Options{}, 300)
 	r.waitFor("a b")
 	v.SkipEvents.Store(true)
 	s.Put(prefix+"a", entry(1, "draining"))
