--- a/internal/lab/emulator/doc.go
+++ b/internal/lab/emulator/doc.go
@@ -13,7 +13,7 @@
 //   - scheduler.go: processes, workers and windows.
 //   - network.go, member.go, group.go: latencies and network faults, servers with their queues, roles and elections.
 //   - driver.go, attempt.go, clients.go: a policy's host, which carries out its actions, and its clients.
-//   - baseline.go, restart.go, switchover.go: the policies to compare with, restarts with learned state, planned changes.
+//   - baseline.go, restart.go, switchover.go: policies to compare with, restarts with learned state, planned changes.
 //   - faults.go, driverfaults.go, memberfaults.go: the schedule of faults.
 //   - auditor.go, stats.go, run.go: what is checked and counted, and a run from its setup to its result.
 //
--- a/internal/lab/emulator/setup.go
+++ b/internal/lab/emulator/setup.go
@@ -59,14 +59,15 @@
 	MaxConnections   int      `json:"Connections"` // per member; 0: no limit
 	ElectionTime     float64  `json:"Elect"`       // from the detection of a primary's failure to the next one; 0: 2000
 	NoProbes         bool     // the module learns roles from answers alone
-	MessageRate      float64  `json:"Messages"` // messages of peers that a driver takes a second, about; 0: the module's limit
+	MessageRate      float64  `json:"Messages"` // of peers, a second, that a driver takes about; 0: the module's limit
 	NoAdvice         bool     // busy replies don't say when to retry
 	Mix              []OpKind // nil: DefaultMix
 }
 
 // applyDefaults replaces zero values by their defaults.
 func (s *Setup) applyDefaults() {
-	s.Zones, s.ZoneLatency, s.CrossZoneLatency = cmp.Or(s.Zones, 2), cmp.Or(s.ZoneLatency, 0.4), cmp.Or(s.CrossZoneLatency, 1.2)
+	s.Zones = cmp.Or(s.Zones, 2)
+	s.ZoneLatency, s.CrossZoneLatency = cmp.Or(s.ZoneLatency, 0.4), cmp.Or(s.CrossZoneLatency, 1.2)
 	s.Handshake, s.ElectionTime = cmp.Or(s.Handshake, 2), cmp.Or(s.ElectionTime, 2000)
 	if s.Mix == nil {
 		s.Mix = DefaultMix
@@ -78,9 +79,11 @@
 	switch {
 	case s.Drivers < 1 || s.Drivers > 2000, s.Groups < 1 || s.Members < 1 || s.Groups*s.Members > 5000:
 		return fmt.Errorf("a play has up to 2000 drivers and 5000 members")
-	case s.Cores < 1 || s.ServiceTime <= 0 || s.Load <= 0 || s.Load > 20 || s.ReplicationLag < 0 || s.Duration <= 0 || s.Duration > 3.6e6:
+	case s.Cores < 1 || s.ServiceTime <= 0 || s.Load <= 0 || s.Load > 20,
+		s.ReplicationLag < 0 || s.Duration <= 0 || s.Duration > 3.6e6:
 		return fmt.Errorf("a play wants cores, work, load, lag and a time of an hour at most")
-	case s.Zones < 0 || s.Zones > 26 || s.ZoneLatency < 0 || s.CrossZoneLatency < 0 || s.Retries < 0 || s.MaxConnections < 0:
+	case s.Zones < 0 || s.Zones > 26 || s.ZoneLatency < 0 || s.CrossZoneLatency < 0,
+		s.Retries < 0 || s.MaxConnections < 0:
 		return fmt.Errorf("a play has up to 26 zones, and nothing of it is below zero")
 	}
 	for _, k := range s.Mix {
--- a/internal/lab/experiment/compare.go
+++ b/internal/lab/experiment/compare.go
@@ -1,7 +1,7 @@
 package experiment
 
-// This file owns the comparison of runs: pairs by seed, means of their differences and 95 % intervals. A difference that
-// chance explains is not called one.
+// This file owns the comparison of runs: pairs by seed, means of their differences and 95 % intervals. What chance
+// explains is not called a difference.
 
 import (
 	"cmp"
@@ -29,12 +29,17 @@
 	{"worth served in time", 1, func(r *Run) float64 { return r.ValueShare }, true},
 	{"worth, last quarter", 1, (*Run).LateValueShare, false},
 	{"tries an op", -1, (*Run).AttemptsPerOp, false},
-	{"failed, share of tries", -1, func(r *Run) float64 { return r.shareOfAttempts(func(t *Type) int64 { return t.Failed }) }, true},
-	{"refused, share of tries", -1, func(r *Run) float64 { return r.shareOfAttempts(func(t *Type) int64 { return t.Refused }) },
-		true},
+	{"failed, share of tries", -1, func(r *Run) float64 {
+		return r.shareOfAttempts(func(t *Type) int64 { return t.Failed })
+	}, true},
+	{"refused, share of tries", -1, func(r *Run) float64 {
+		return r.shareOfAttempts(func(t *Type) int64 { return t.Refused })
+	}, true},
 	{"p50 of all types, ms", -1, func(r *Run) float64 { return r.Quantile(50) }, true},
 	{"p99 of all types, ms", -1, func(r *Run) float64 { return r.Quantile(99) }, true},
-	{"longest gap of writes, ms", -1, func(r *Run) float64 { return slices.Max(append([]float64{0}, r.WriteGaps...)) }, false},
+	{"longest gap of writes, ms", -1, func(r *Run) float64 {
+		return slices.Max(append([]float64{0}, r.WriteGaps...))
+	}, false},
 	{"writes held, mean of the worst second", -1, func(r *Run) (worst float64) {
 		for _, s := range r.Seconds {
 			worst = max(worst, s.PendingWrites)
@@ -129,8 +134,8 @@
 	return d.Pairs > 1 && math.Abs(d.Mean) > d.HalfWidth && d.Mean != 0
 }
 
-// Compare compares runs b with runs a: each variant with its own, or, where across is true, with any. Runs that only one
-// side has are left out.
+// Compare compares runs b with runs a: each variant with its own, or, where across is true, with any. Runs that only
+// one side has are left out.
 func Compare(a, b []Run, across bool) (all []Difference) {
 	type pair struct{ a, b *Run }
 	pairs := map[cell][]pair{}
--- a/internal/lab/membershipsim/measure.go
+++ b/internal/lab/membershipsim/measure.go
@@ -1,8 +1,10 @@
 package membershipsim
 
-// This file owns measurements of a flock: how soon all know of a loss, agree after a heal, and what that costs.
+// This file owns measurements: how soon all drivers know of a failure, how soon they agree after a partition, and how
+// often living drivers are taken for failed.
 
 import (
+	"errors"
 	"fmt"
 	"io"
 	"slices"
@@ -13,170 +15,188 @@
 	"weirwind/internal/fleet/membership"
 )
 
-// Spread is of a number of durations, milliseconds.
+// Bounds in milliseconds after which a measurement fails.
+const (
+	rosterTimeout = 120000
+	knownTimeout  = 60000
+	healTimeout   = 120000
+)
+
+// ErrNoRoster is the error of drivers that found no common roster.
+var ErrNoRoster = errors.New("no roster in two minutes")
+
+// Durations collects durations in milliseconds.
 type Durations struct{ all []float64 }
 
-// Add takes one more.
-func (s *Durations) Add(x float64) { s.all = append(s.all, x) }
+// Add adds a duration.
+func (d *Durations) Add(x float64) { d.all = append(d.all, x) }
 
-func (s *Durations) String() string {
-	if len(s.all) == 0 {
+// String gives the median, the 99th percentile, the longest and the number.
+func (d *Durations) String() string {
+	if len(d.all) == 0 {
 		return "none"
 	}
-	slices.Sort(s.all)
-	at := func(q float64) float64 { return s.all[min(int(q*float64(len(s.all))), len(s.all)-1)] }
-	return fmt.Sprintf("median %.0f ms, p99 %.0f ms, worst %.0f ms of %d", at(0.5), at(0.99), s.all[len(s.all)-1],
-		len(s.all))
+	slices.Sort(d.all)
+	quantile := func(q float64) float64 { return d.all[min(int(q*float64(len(d.all))), len(d.all)-1)] }
+	return fmt.Sprintf("median %.0f ms, p99 %.0f ms, worst %.0f ms of %d", quantile(0.5), quantile(0.99),
+		d.all[len(d.all)-1], len(d.all))
 }
 
-// founded starts all drivers and waits until they have a roster of all.
-func (f *Simulation) startAll() (took float64, ok bool) {
-	for i := range f.Drivers {
-		f.Start(i, 0)
+// startAll starts all drivers and waits until each has a roster of all. Under loss some driver is suspected at any
+// time, so that they need not see each other as complete.
+func (s *Simulation) startAll() (took float64, ok bool) {
+	for i := range s.Drivers {
+		s.Start(i, 0)
 	}
-	return f.RunUntilTrue(120000, func() bool { // under loss somebody is suspected at any moment: not all are whole at once
-		return !slices.ContainsFunc(f.Drivers, func(d *Driver) bool {
-			r := d.View.Status().Roster
-			return r == nil || len(r.Names) != len(f.Drivers)
+	return s.RunUntilTrue(rosterTimeout, func() bool {
+		return !slices.ContainsFunc(s.Drivers, func(d *Driver) bool {
+			roster := d.View.Status().Roster
+			return roster == nil || len(roster.Names) != len(s.Drivers)
 		})
 	})
 }
 
-func (f *Simulation) allHaveStatus(want membership.PartitionStatus, not map[int]bool) bool {
-	for i, d := range f.Drivers {
-		if d.View == nil || not[i] {
+// allComplete says whether every driver that runs sees all drivers.
+func (s *Simulation) allComplete() bool {
+	for _, d := range s.Drivers {
+		if d.View == nil {
 			continue
 		}
-		if s, _, _ := d.View.PartitionStatus(); s != want {
+		if status, _, _ := d.View.PartitionStatus(); status != membership.Complete {
 			return false
 		}
 	}
 	return true
 }
 
-// Losses kills drivers one after the other and tells how long it took until all others knew; each returns before the
-// next.
+// MeasureFailureDetection kills drivers one after the other and prints how long it took until the others knew. Each
+// driver returns before the next is killed.
 func MeasureFailureDetection(out io.Writer, o Options, kills int) error {
-	f := New(o)
-	took, ok := f.startAll()
+	s := New(o)
+	took, ok := s.startAll()
 	if !ok {
-		return fmt.Errorf("no roster in two minutes")
+		return ErrNoRoster
 	}
 	fmt.Fprintf(out, "drivers=%d period=%.0fms: a roster of all %.0f ms after the start of all at once\n", o.Drivers,
-		f.options.Period, took)
+		s.options.Period, took)
 	var each, last Durations
 	for range kills {
-		i := f.draw.IntN(len(f.Drivers))
-		f.Run(10 * f.options.Period * f.draw.Float64())
-		f.Kill(i)
-		knows := map[int]bool{}
-		took, ok := f.RunUntilTrue(60000, func() bool {
-			for k, d := range f.Drivers {
-				if d.View == nil || knows[k] {
-					continue
-				}
-				if d.View.StateOf(f.Drivers[i].Name) != membership.Failed {
-					continue
-				}
-				knows[k] = true
-				each.Add(f.Now - f.killedAt)
-			}
-			return len(knows) == len(f.Drivers)-1
-		})
-		if !ok {
-			return fmt.Errorf("%d of %d know of a loss after a minute", len(knows), len(f.Drivers)-1)
+		killed := s.random.IntN(len(s.Drivers))
+		s.Run(10 * s.options.Period * s.random.Float64())
+		s.Kill(killed)
+		took, err := s.awaitDetection(killed, &each)
+		if err != nil {
+			return err
 		}
 		last.Add(took)
-		f.Start(i, 0)
-		if _, ok := f.RunUntilTrue(60000, func() bool { return f.allHaveStatus(membership.Complete, nil) }); !ok {
-			return fmt.Errorf("not whole a minute after a return")
+		s.Start(killed, 0)
+		if _, ok := s.RunUntilTrue(knownTimeout, s.allComplete); !ok {
+			return errors.New("not whole a minute after a return")
 		}
 	}
 	fmt.Fprintf(out, "  from a kill to each knowing: %s\n  from a kill to all knowing: %s\n", &each, &last)
 	return nil
 }
 
-// Heals cuts the drivers into two parts for half a minute and tells how long after the heal all agree.
+// awaitDetection waits until all other drivers know that one has failed, and adds when each learned it.
+func (s *Simulation) awaitDetection(failed int, each *Durations) (took float64, err error) {
+	knows := map[int]bool{}
+	took, ok := s.RunUntilTrue(knownTimeout, func() bool {
+		for i, d := range s.Drivers {
+			if d.View == nil || knows[i] || d.View.StateOf(s.Drivers[failed].Name) != membership.Failed {
+				continue
+			}
+			knows[i] = true
+			each.Add(s.Now - s.killedAt)
+		}
+		return len(knows) == len(s.Drivers)-1
+	})
+	if !ok {
+		return took, fmt.Errorf("%d of %d know of a loss after a minute", len(knows), len(s.Drivers)-1)
+	}
+	return took, nil
+}
+
+// MeasurePartitionHealing partitions the drivers into two sides for 60 periods, several times, and prints how long
+// after the end all agreed.
 func MeasurePartitionHealing(out io.Writer, o Options, times int) error {
-	f := New(o)
-	if _, ok := f.startAll(); !ok {
-		return fmt.Errorf("no roster in two minutes")
+	s := New(o)
+	if _, ok := s.startAll(); !ok {
+		return ErrNoRoster
 	}
 	var agreed Durations
 	for range times {
-		at := len(f.Drivers) * (1 + f.draw.IntN(3)) / 5
-		f.Blocked = func(a, b int) bool { return (a < at) != (b < at) }
-		f.Run(60 * f.options.Period)
-		f.Blocked = nil
-		took, ok := f.RunUntilTrue(120000, func() bool { return f.allHaveStatus(membership.Complete, nil) })
+		boundary := len(s.Drivers) * (1 + s.random.IntN(3)) / 5
+		s.Blocked = func(from, to int) bool { return (from < boundary) != (to < boundary) }
+		s.Run(60 * s.options.Period)
+		s.Blocked = nil
+		took, ok := s.RunUntilTrue(healTimeout, s.allComplete)
 		if !ok {
-			return fmt.Errorf("not agreed two minutes after a heal")
+			return errors.New("not agreed two minutes after a heal")
 		}
 		agreed.Add(took)
-		f.Run(10 * f.options.Period)
+		s.Run(10 * s.options.Period)
 	}
 	fmt.Fprintf(out, "drivers=%d: agreed after the heal of a cut of 60 periods: %s\n", o.Drivers, &agreed)
 	return nil
 }
 
-// Wrong plays calm time on a network that loses datagrams, a tenth of the drivers on throttled cores, and counts living
-// drivers that were taken for failed; it tells what all that costs.
-func MeasureFalsePositives(out io.Writer, o Options, length float64, slow float64) error {
-	f := New(o)
-	if _, ok := f.startAll(); !ok {
-		return fmt.Errorf("no roster in two minutes")
+// MeasureFalsePositives runs drivers without failures on a network that loses datagrams, a tenth of them on throttled
+// cores, and prints how many living drivers were taken for failed, and what all that costs. Slow is the chance at each
+// tick that a throttled driver pauses.
+func MeasureFalsePositives(out io.Writer, o Options, duration, slow float64) error {
+	s := New(o)
+	if _, ok := s.startAll(); !ok {
+		return ErrNoRoster
 	}
+	const window = 20000 // milliseconds in which several reports of one driver are one
 	failed := map[string]bool{}
-	stood, denied := 0, 0
-	f.OnEvent = func(at float64, d string, n membership.Event) {
-		switch n.Reason {
+	pauses, denials := 0, 0
+	s.OnEvent = func(at float64, _ string, e membership.Event) {
+		switch e.Reason {
 		case "fellow_failed":
-			failed[fmt.Sprintf("%s %.0f", n.Name, at/20000)] = true
+			failed[fmt.Sprintf("%s %.0f", e.Name, at/window)] = true
 		case "stood_still":
-			stood++
+			pauses++
 		case "denied":
-			denied++
+			denials++
 		}
 	}
-	for i, d := range f.Drivers {
+	for i, d := range s.Drivers {
 		if slow > 0 && i%10 == 3 {
 			d.Slow = slow
 		}
 		d.Bytes, d.Sent = 0, 0
 	}
-	f.sampleSizes = true
+	s.measureSizes = true
 	began := time.Now()
-	f.Run(length)
-	real := time.Since(began)
-	bytes, sent := 0.0, 0
-	for _, d := range f.Drivers {
+	s.Run(duration)
+	perDriver := time.Since(began).Seconds() / float64(len(s.Drivers))
+	seconds := duration / 1000
+	fmt.Fprintf(out, "drivers=%d loss=%.2f throttled=%.2f for %.0f s: %d living drivers taken for failed, %d denied it; "+
+		"stood still %d times\n", o.Drivers, o.Loss, slow, seconds, len(failed), denials, pauses)
+	messages, bytes := s.meanSent()
+	fmt.Fprintf(out, "  a driver: %.1f messages and %.0f bytes a second "+
+		"(measured in CBOR with the code, without IP and UDP headers), %.3f %% of a core\n",
+		messages/seconds, bytes/seconds, 100*perDriver/seconds)
+	return nil
+}
+
+// meanSent is the messages and bytes that a driver has sent on average.
+func (s *Simulation) meanSent() (messages, bytes float64) {
+	sent := 0
+	for _, d := range s.Drivers {
 		bytes, sent = bytes+d.Bytes, sent+d.Sent
 	}
-	n, s := float64(len(f.Drivers)), length/1000
-	fmt.Fprintf(
-		out,
-		"drivers=%d loss=%.2f throttled=%.2f for %.0f s: %d living drivers taken for failed, %d denied it; "+
-			"stood still %d times\n  a driver: %.1f messages and %.0f bytes a second "+
-			"(measured in CBOR with the code, without IP and UDP headers), %.3f %% of a core\n",
-		o.Drivers,
-		o.Loss,
-		slow,
-		s,
-		len(failed),
-		denied,
-		stood,
-		float64(sent)/n/s,
-		bytes/n/s,
-		100*real.Seconds()/n/s,
-	)
-	return nil
+	n := float64(len(s.Drivers))
+	return float64(sent) / n, bytes / n
 }
 
-// size is of a message as it goes out.
+// encodedSize is the size of a message's datagram.
 func encodedSize(m *membership.Message) float64 {
 	b, err := cbor.Marshal(m)
 	if err != nil {
 		return 0
 	}
-	return float64(len(b) + 16)
+	return float64(len(b) + datagramHeader)
 }
--- /dev/null
+++ b/internal/lab/membershipsim/network.go
@@ -0,0 +1,120 @@
+package membershipsim
+
+// This file owns the network: datagrams, and exchanges of all records over connections.
+
+import (
+	"fmt"
+
+	"weirwind/internal/fleet/membership"
+)
+
+const (
+	maxPending     = 200 // datagrams that a socket keeps for a paused driver
+	recordBytes    = 60  // of a record in an exchange, about
+	datagramHeader = 16  // bytes beside the encoded message
+	sampleEvery    = 50  // one of so many messages is measured for all
+)
+
+// address is the one that the driver of an index advertises.
+func address(index int) string { return fmt.Sprintf("10.0.%d.%d:7400", index/250, index%250+1) }
+
+// indexOf is the index of the driver at an address, -1 for none.
+func (s *Simulation) indexOf(address string) int {
+	var a, b int
+	if n, _ := fmt.Sscanf(address, "10.0.%d.%d:7400", &a, &b); n != 2 {
+		return -1
+	}
+	if i := a*250 + b - 1; i < len(s.Drivers) {
+		return i
+	}
+	return -1
+}
+
+func (s *Simulation) blocked(from, to int) bool { return s.Blocked != nil && s.Blocked(from, to) }
+
+// latency draws the time of one way.
+func (s *Simulation) latency() float64 {
+	return s.options.Latency * (0.5 + s.random.ExpFloat64()/2)
+}
+
+// dispatch carries out what a driver's view decided.
+func (s *Simulation) dispatch(d *Driver, out membership.Output) {
+	if s.OnEvent != nil {
+		for _, e := range out.Events {
+			s.OnEvent(s.Now, d.Name, e)
+		}
+	}
+	for _, m := range out.Messages {
+		s.send(d, m.Address, m.Message)
+	}
+	for _, peer := range out.SyncWith {
+		if to := s.indexOf(peer); to >= 0 && !s.blocked(d.index, to) {
+			s.exchange(d, s.Drivers[to])
+		}
+	}
+}
+
+// send sends a datagram, which the network may drop or duplicate.
+func (s *Simulation) send(d *Driver, address string, m membership.Message) {
+	to := s.indexOf(address)
+	d.Sent++
+	s.countBytes(d, &m)
+	if to < 0 || s.blocked(d.index, to) || s.random.Float64() < s.Loss {
+		return
+	}
+	times := 1
+	if s.random.Float64() < s.options.Duplicate {
+		times = 2
+	}
+	for range times {
+		s.deliver(s.Drivers[to], m)
+	}
+}
+
+// countBytes adds the mean size of the measured messages to what a driver sent.
+func (s *Simulation) countBytes(d *Driver, m *membership.Message) {
+	if !s.measureSizes {
+		return
+	}
+	if s.Scheduled%sampleEvery == 0 || s.sampledMessages == 0 {
+		s.sampledBytes, s.sampledMessages = s.sampledBytes+encodedSize(m), s.sampledMessages+1
+	}
+	d.Bytes += s.sampledBytes / float64(s.sampledMessages)
+}
+
+// deliver brings a datagram after its latency; a paused driver's socket keeps it, as far as there is space.
+func (s *Simulation) deliver(to *Driver, m membership.Message) {
+	s.After(s.latency(), func() {
+		switch {
+		case to.View == nil:
+		case s.Now < to.PausedUntil:
+			if len(to.pending) < maxPending {
+				to.pending = append(to.pending, m)
+			}
+		default:
+			s.dispatch(to, to.View.Receive(s.Now, m))
+		}
+	})
+}
+
+// exchange has two drivers merge all that they know, over a connection.
+func (s *Simulation) exchange(d, to *Driver) {
+	request, incarnation := d.View.Snapshot(), d.incarnation
+	d.Bytes += recordBytes * float64(len(request.Records))
+	s.After(2*s.latency(), func() {
+		if to.View == nil || s.Now < to.PausedUntil {
+			return
+		}
+		response := to.View.Snapshot()
+		s.dispatch(to, to.View.Merge(s.Now, request))
+		if s.blocked(to.index, d.index) {
+			return
+		}
+		to.Bytes += recordBytes * float64(len(response.Records))
+		s.After(s.latency(), func() {
+			if d.View != nil && d.incarnation == incarnation && s.Now >= d.PausedUntil {
+				s.dispatch(d, d.View.Merge(s.Now, response))
+			}
+		})
+	})
+}
--- a/internal/standin/cluster/deployment.go
+++ b/internal/standin/cluster/deployment.go
@@ -55,7 +55,6 @@
 	basePort  int
 	meshPorts map[string]int      // the first port of processes that reach others' mesh ports there; others: basePort
 	seeds     map[string][]string // control addresses of processes that don't know the first three machines
-	siteCount int
 	processes map[string]*exec.Cmd
 	logs      map[string]*bytes.Buffer
 	platform  string // the address of the platform's API
--- a/internal/standin/cluster/node.go
+++ b/internal/standin/cluster/node.go
@@ -1,7 +1,7 @@
 package cluster
 
-// This file owns nodes that hold shards: sessions over shardnode's store, with a disk that really fills, and the copying
-// of entries between nodes.
+// This file owns nodes that hold shards: sessions over shardnode's store, with a disk that really fills, and the
+// copying of entries between nodes.
 
 import (
 	"context"
--- a/internal/standin/cluster/sessions_test.go
+++ b/internal/standin/cluster/sessions_test.go
@@ -23,6 +23,12 @@
 	"weirwind/sessionclient"
 )
 
+// sessionDeployment is a deployment with so many sites.
+type sessionDeployment struct {
+	*Deployment
+	sites int
+}
+
 // sessionUser is a client with an open session, and all that it received, sent and was sent.
 type sessionUser struct {
 	mu           sync.Mutex
@@ -36,15 +42,17 @@
 	lastReceived time.Time
 }
 
-func (d *Deployment) siteHTTP(n int) string { return fmt.Sprintf("%s:%d", d.ip(5, n), d.basePort+5) }
+func (d *sessionDeployment) siteHTTP(n int) string {
+	return fmt.Sprintf("%s:%d", d.ip(5, n), d.basePort+5)
+}
 
-func (d *Deployment) edgeURL(n int) string {
+func (d *sessionDeployment) edgeURL(n int) string {
 	return fmt.Sprintf("ws://%s:%d", d.ip(6, n), d.basePort+4)
 }
 
 // sessionSites starts so many sites and two edges, and waits until they serve.
-func sessionSites(t *testing.T, n int) *Deployment {
-	d := New(t, 3, 0)
+func sessionSites(t *testing.T, n int) *sessionDeployment {
+	d := &sessionDeployment{New(t, 3, 0), n}
 	for i := range n {
 		d.Start(fmt.Sprint("site", i), false)
 	}
@@ -57,7 +65,7 @@
 	return d
 }
 
-func (d *Deployment) activeSites() (in []string) {
+func (d *sessionDeployment) activeSites() (in []string) {
 	for _, c := range d.Cores {
 		if code, s := d.Call("GET", c, "/sites", "", nil); code == 200 {
 			var m sites.Map
@@ -73,7 +81,7 @@
 	return nil
 }
 
-func (d *Deployment) openSessions(ctx context.Context, n int) []*sessionUser {
+func (d *sessionDeployment) openSessions(ctx context.Context, n int) []*sessionUser {
 	var all []*sessionUser
 	for i := range n {
 		a := &sessionUser{lastReceived: time.Now()}
@@ -100,9 +108,9 @@
 }
 
 // produce queues messages until stopped.
-func (d *Deployment) produce(ctx context.Context, a *sessionUser, n int, every time.Duration) {
+func (d *sessionDeployment) produce(ctx context.Context, a *sessionUser, n int, every time.Duration) {
 	var addrs []string
-	for k := range d.siteCount {
+	for k := range d.sites {
 		addrs = append(addrs, d.siteHTTP(k))
 	}
 	tick := time.NewTicker(every)
@@ -126,11 +134,11 @@
 }
 
 // consume reads and acknowledges what the client sent, as a consumer does.
-func (d *Deployment) consume(ctx context.Context, a *sessionUser) {
+func (d *sessionDeployment) consume(ctx context.Context, a *sessionUser) {
 	client := http.Client{Timeout: 3 * time.Second}
 	after := uint64(0)
 	for n := 0; ctx.Err() == nil; n++ {
-		resp, err := client.Get(fmt.Sprintf("http://%s/sessions/%s/inbox?after=%d", d.siteHTTP(n%d.siteCount), a.id, after))
+		resp, err := client.Get(fmt.Sprintf("http://%s/sessions/%s/inbox?after=%d", d.siteHTTP(n%d.sites), a.id, after))
 		if err == nil {
 			var msgs []struct {
 				N    uint64
@@ -143,7 +151,7 @@
 					after = m.N
 				}
 				a.mu.Unlock()
-				if r, err := client.Post(fmt.Sprintf("http://%s/sessions/%s/took?n=%d", d.siteHTTP(n%d.siteCount), a.id, after), "", nil); err == nil {
+				if r, err := client.Post(fmt.Sprintf("http://%s/sessions/%s/took?n=%d", d.siteHTTP(n%d.sites), a.id, after), "", nil); err == nil {
 					r.Body.Close()
 				}
 			}
@@ -154,7 +162,7 @@
 }
 
 // startTraffic runs traffic for all users; end stops it and audits every message in both directions.
-func (d *Deployment) startTraffic(all []*sessionUser) (end func() (quiet []time.Duration)) {
+func (d *sessionDeployment) startTraffic(all []*sessionUser) (end func() (quiet []time.Duration)) {
 	ctx, stop := context.WithCancel(context.Background())
 	taking, done := context.WithCancel(context.Background())
 	var writers, takers sync.WaitGroup
@@ -220,13 +228,13 @@
 }
 
 // describeMissing says which users lack messages, and what sites know of them.
-func (d *Deployment) describeMissing(all []*sessionUser) string {
+func (d *sessionDeployment) describeMissing(all []*sessionUser) string {
 	var b strings.Builder
 	for _, a := range all {
 		a.mu.Lock()
 		if len(a.received) < len(a.queued) || len(a.consumed) < len(a.sent) {
 			fmt.Fprintf(&b, "%s: %d of %d came, %d of %d taken, %d pending, %d connections\n", a.id[:6], len(a.received), len(a.queued), len(a.consumed), len(a.sent), a.session.Pending(), a.session.Connections())
-			for n := range d.siteCount {
+			for n := range d.sites {
 				_, s := d.Call("GET", d.siteHTTP(n), "/sessions/"+a.id, "", nil)
 				fmt.Fprintf(&b, "  site%d: %s\n", n, s)
 			}
@@ -236,7 +244,7 @@
 	return b.String()
 }
 
-func (d *Deployment) sessionsAt(n int) int {
+func (d *sessionDeployment) sessionsAt(n int) int {
 	_, s := d.Call("GET", d.siteHTTP(n), "/status", "", nil)
 	var v struct{ Homes int }
 	if json.Unmarshal([]byte(s), &v) != nil {
@@ -249,7 +257,6 @@
 	Convey("With sessions open at three sites", t, func() {
 		d := sessionSites(t, 3)
 		Reset(d.Stop)
-		d.siteCount = 3
 		ctx, stop := context.WithCancel(context.Background())
 		Reset(stop)
 		all := d.openSessions(ctx, 12)
@@ -336,7 +343,7 @@
 			}
 		})
 		Convey("a site is killed together with the core's leader", func() {
-			d.Kill(leader(d))
+			d.Kill(leader(d.Deployment))
 			d.Kill(fmt.Sprint("site", busy()))
 			d.Eventually("it is out", func() bool { return len(d.activeSites()) == 2 })
 			end()
@@ -360,7 +367,6 @@
 	Convey("With two sites and an edge", t, func() {
 		d := sessionSites(t, 2)
 		Reset(d.Stop)
-		d.siteCount = 2
 		ctx, stop := context.WithTimeout(context.Background(), 30*time.Second)
 		Reset(stop)
 		at := strings.TrimPrefix(d.edgeURL(0), "ws://")
@@ -399,7 +405,6 @@
 	}
 	Convey("A long run", t, func() {
 		d := sessionSites(t, 4)
-		d.siteCount = 4
 		ctx, stop := context.WithCancel(context.Background())
 		Reset(d.Stop)
 		Reset(stop)
@@ -431,7 +436,7 @@
 				d.Start("edge1", false)
 			case 4:
 				faults["core leader killed"]++
-				lead := leader(d)
+				lead := leader(d.Deployment)
 				d.Kill(lead)
 				d.Start(lead, false)
 			}
--- a/internal/standin/kv/store.go
+++ b/internal/standin/kv/store.go
@@ -108,7 +108,10 @@
 
 // eventsSince is the events of keys under a prefix from a revision on, the newest revision, and the compacted one;
 // changed is closed with the next change.
-func (s *Store) eventsSince(revision int64, prefix string) (events []Item, head, compacted int64, changed chan struct{}) {
+func (s *Store) eventsSince(
+	revision int64,
+	prefix string,
+) (events []Item, newest, compacted int64, changed chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, x := range s.events {
