--- a/internal/lab/hollow/hollow_test.go
+++ b/internal/lab/hollow/hollow_test.go
@@ -34,50 +34,50 @@
 	return bytes, seconds
 }
 
-// Real core machines and agents, counted by purpose: nothing at a core machine may grow by drivers times members in calm
-// times, and an agent's calm cost may not grow at all. docs/CAPACITY.md has the figures of larger sizes.
+// Real core machines and agents, counted by purpose: in steady state nothing at a core machine may grow by drivers times
+// members, and an agent's cost may not grow at all. docs/CAPACITY.md has the figures of larger sizes.
 func TestCostsBySizeWithRealProcesses(t *testing.T) {
-	plays := map[int][]Row{}
+	runs := map[int][]Row{}
 	for i, n := range []int{30, 100} {
 		rows, err := Run(t.Context(), Options{Drivers: n, Databases: n * 145 / 100, Cores: 5, Renewals: 2, Limit: time.Minute,
 			Net: 70 + os.Getpid()%80, Port: 23000 + 4*(os.Getpid()%2000) + 4*i}, os.Stdout)
 		if err != nil {
 			t.Fatal(err)
 		}
-		plays[n] = rows
+		runs[n] = rows
 	}
 	Convey("30 and 100 drivers before databases in proportion", t, func() {
 		perDriver := func(n int, phase, role, purpose string) float64 {
-			bytes, seconds := perMachine(plays[n], phase, role, purpose)
+			bytes, seconds := perMachine(runs[n], phase, role, purpose)
 			return bytes / seconds / float64(n)
 		}
-		Convey("a core machine's calm bytes a driver don't grow, in sum and by purpose", func() {
+		Convey("a core machine's steady bytes per driver don't grow, in sum and by purpose", func() {
 			for _, purpose := range []string{"", "lease", "member heartbeats", "digests"} {
 				So(perDriver(30, "steady", "core", purpose), ShouldBeGreaterThan, 0)
 				So(perDriver(100, "steady", "core", purpose), ShouldBeLessThan, 1.2*perDriver(30, "steady", "core", purpose))
 			}
 		})
-		Convey("an agent's calm bytes don't grow", func() {
-			small, smallSeconds := perMachine(plays[30], "steady", "drivers", "")
-			large, largeSeconds := perMachine(plays[100], "steady", "drivers", "")
+		Convey("an agent's steady bytes don't grow", func() {
+			small, smallSeconds := perMachine(runs[30], "steady", "drivers", "")
+			large, largeSeconds := perMachine(runs[100], "steady", "drivers", "")
 			So(large/largeSeconds, ShouldBeLessThan, 1.2*small/smallSeconds)
 		})
-		Convey("the count sees what encoded words alone did not: heartbeats of members, the agreement, configurations", func() {
-			beats, _ := perMachine(plays[100], "steady", "members", "heartbeats")
+		Convey("members' heartbeats, consensus and configurations are counted", func() {
+			beats, _ := perMachine(runs[100], "steady", "members", "heartbeats")
 			So(beats, ShouldBeGreaterThan, 0)
 			for phase, purpose := range map[string]controlmsg.Purpose{"steady": controlmsg.ConsensusHeartbeats, "configuration": controlmsg.Configuration,
 				"member changes": controlmsg.MemberRecords, "driver restarts": controlmsg.DriverLists} {
-				bytes, _ := perMachine(plays[100], phase, "core", purpose.String())
+				bytes, _ := perMachine(runs[100], phase, "core", purpose.String())
 				So(bytes, ShouldBeGreaterThan, 0)
 			}
 		})
-		Convey("rows are kept as they were", func() {
+		Convey("rows are read back as they were saved", func() {
 			file := filepath.Join(t.TempDir(), "hollow.parquet")
-			So(experiment.Save(file, plays[30]), ShouldBeNil)
+			So(experiment.Save(file, runs[30]), ShouldBeNil)
 			back, err := parquet.ReadFile[Row](file)
 			So(err, ShouldBeNil)
-			So(back, ShouldResemble, plays[30])
-			So(Draw(filepath.Join(filepath.Dir(file), "steady.png"), "steady", append(plays[30], plays[100]...)), ShouldBeNil)
+			So(back, ShouldResemble, runs[30])
+			So(Draw(filepath.Join(filepath.Dir(file), "steady.png"), "steady", append(runs[30], runs[100]...)), ShouldBeNil)
 		})
 	})
 }
--- a/internal/lab/hollow/results.go
+++ b/internal/lab/hollow/results.go
@@ -1,6 +1,6 @@
 package hollow
 
-// This file owns results: what is printed, the file of rows, and the picture.
+// This file owns results: rows of a phase's samples, what is printed of them, and the picture.
 
 import (
 	"cmp"
@@ -13,9 +13,118 @@
 	"gonum.org/v1/plot/vg"
 
 	"weirwind/internal/lab/experiment"
+	"weirwind/internal/util/transport"
 )
 
-// printPhase prints a phase's rows: for each role what one of its machines used and sent.
+// Row is one figure: what a role's processes sent or received for a purpose in a phase. A row without a purpose has
+// their processor time and memory.
+type Row struct {
+	Phase      string  `parquet:"phase,dict"`
+	Drivers    int32   `parquet:"drivers"`
+	Members    int32   `parquet:"members"`
+	Seconds    float64 `parquet:"seconds"`
+	Events     int32   `parquet:"events"` // changes in the phase
+	KnownAfter float64 `parquet:"known"`  // seconds until all had them; 0: not measured
+	Role       string  `parquet:"role,dict"`
+	Machines   int32   `parquet:"machines"` // of the role: figures are sums over them
+	Link       string  `parquet:"link,dict"`
+	Direction  string  `parquet:"direction,dict"`
+	Purpose    string  `parquet:"purpose,dict"`
+	Frames     float64 `parquet:"frames"`
+	Bytes      float64 `parquet:"bytes"`
+	CPU        float64 `parquet:"cpu"`    // seconds
+	Memory     float64 `parquet:"memory"` // bytes
+}
+
+// trafficKey is what traffic is summed by.
+type trafficKey struct{ link, direction, purpose string }
+
+// addCount adds a count to a sum; sign is 1, or -1 in two's complement.
+func addCount(sums map[trafficKey]transport.Count, key trafficKey, sign uint64, n transport.Count) {
+	sum := sums[key]
+	sums[key] = transport.Count{Frames: sum.Frames + sign*n.Frames, Bytes: sum.Bytes + sign*n.Bytes}
+}
+
+// addTraffic adds a sample's traffic to sums, or subtracts it.
+func (s *Sample) addTraffic(sums map[trafficKey]transport.Count, sign uint64) {
+	for link, t := range s.Traffic {
+		for purpose, n := range t.Sent {
+			addCount(sums, trafficKey{link, "sent", purpose}, sign, n)
+		}
+		for purpose, n := range t.Received {
+			addCount(sums, trafficKey{link, "received", purpose}, sign, n)
+		}
+	}
+}
+
+// phaseResult is a phase, and what its processes had used before and after it, by role.
+type phaseResult struct {
+	name          string
+	before, after map[string][]Sample
+	seconds       float64
+	events        int
+	knownAfter    float64 // seconds
+}
+
+// newRows makes the rows of a phase.
+func (r *run) newRows(phase phaseResult) (rows []Row) {
+	machines := map[string]int{"core": r.Options.Cores, "drivers": r.Options.Drivers,
+		"members": r.Databases * membersPerGroup}
+	for _, role := range []string{"core", "drivers", "members"} {
+		base := Row{
+			Phase:      phase.name,
+			Drivers:    int32(r.Options.Drivers),
+			Members:    int32(machines["members"]),
+			Seconds:    phase.seconds,
+			Events:     int32(phase.events),
+			KnownAfter: phase.knownAfter,
+			Role:       role,
+			Machines:   int32(machines[role]),
+		}
+		sums, used := map[trafficKey]transport.Count{}, base
+		used.subtract(sums, role, phase.before[role])
+		used.add(sums, role, phase.after[role])
+		rows = append(rows, used)
+		for key, n := range sums {
+			row := base
+			row.Link, row.Direction, row.Purpose = key.link, key.direction, key.purpose
+			row.Frames, row.Bytes = float64(n.Frames), float64(n.Bytes)
+			rows = append(rows, row)
+		}
+	}
+	return rows
+}
+
+// add adds samples from behind a phase to its processor time, memory and traffic.
+func (r *Row) add(sums map[trafficKey]transport.Count, role string, samples []Sample) {
+	for _, s := range samples {
+		r.CPU += s.CPU
+		r.Memory += s.Memory
+		s.addTo(sums, role, 1)
+	}
+}
+
+// subtract subtracts samples from before a phase from its processor time and traffic.
+func (r *Row) subtract(sums map[trafficKey]transport.Count, role string, samples []Sample) {
+	for _, s := range samples {
+		r.CPU -= s.CPU
+		s.addTo(sums, role, ^uint64(0))
+	}
+}
+
+// addTo adds a sample's traffic, and the heartbeats of members, to sums.
+func (s *Sample) addTo(sums map[trafficKey]transport.Count, role string, sign uint64) {
+	s.addTraffic(sums, sign)
+	if role != "members" {
+		return
+	}
+	for direction, bytes := range map[string]int64{"sent": s.Sent, "received": s.Received} {
+		addCount(sums, trafficKey{"http", direction, "heartbeats"}, sign,
+			transport.Count{Frames: uint64(s.Heartbeats), Bytes: uint64(bytes)})
+	}
+}
+
+// printPhase prints a phase's rows: for each role what one of its machines used, sent and received.
 func printPhase(out io.Writer, rows []Row) {
 	slices.SortFunc(rows, func(a, b Row) int {
 		return cmp.Or(cmp.Compare(a.Role, b.Role), cmp.Compare(a.Link, b.Link), cmp.Compare(a.Direction, b.Direction),
@@ -37,8 +146,8 @@
 	}
 }
 
-// Draw draws bytes a second of a core machine by the number of drivers in a phase, a line a purpose, both axes
-// logarithmic.
+// Draw draws the bytes a second of a core machine in a phase by the number of drivers, with a line for each purpose and
+// logarithmic axes.
 func Draw(path, phase string, rows []Row) error {
 	lines := map[string]map[int32]float64{}
 	for _, r := range rows {
--- /dev/null
+++ b/internal/lab/hollow/run.go
@@ -0,0 +1,212 @@
+package hollow
+
+// This file owns a run: its processes and its phases.
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"path/filepath"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"weirwind/internal/controlplane/controlmsg"
+)
+
+const (
+	agentsPerProcess = 250
+	maxMemory        = 14 << 30 // bytes of all processes together: a run that needs more is stopped
+	pollPeriod       = 100 * time.Millisecond
+	httpTimeout      = 10 * time.Second
+	maxHerd          = 400 // drivers that restart at once
+)
+
+// Options of a run.
+type Options struct {
+	Drivers   int
+	Databases int // each of three members
+	Cores     int // core machines
+	// Renewals is the least number of renewals of each lease in a phase, which take about as many seconds; the steady
+	// phase has three times as many.
+	Renewals int
+	Limit    time.Duration // for all processes to know what a phase changed
+	Net      int           // the second byte of the first address; those that follow are used too
+	Port     int           // the first of four
+	Log      io.Writer     // of the processes; nil: none
+}
+
+// run is one under way.
+type run struct {
+	Options
+	childPlan
+	folder  string
+	cores   []*child
+	drivers []*child
+	members []*child
+	http    http.Client
+	config  []byte // the latest configuration that was accepted
+}
+
+// coreStatus is what is read of a core machine's status.
+type coreStatus struct {
+	CoreLinks   int
+	MemberCount int
+	DriverCount int
+	Traffic     map[string]controlmsg.Traffic
+}
+
+// phase is a part of a run.
+type phase struct {
+	name   string
+	events int                            // changes in it
+	begin  func(events int) error         // makes the changes; nil: there are none, and the phase begins once all is quiet
+	known  func(events int) (bool, error) // whether all processes know the changes; nil: not measured
+}
+
+// phases is those of a run, in order.
+func (r *run) phases(ctx context.Context) []phase {
+	drivers := r.Options.Drivers
+	return []phase{
+		{"start", drivers, func(int) error { return r.start(ctx) }, r.allKnown},
+		{"steady", 0, nil, nil},
+		{"configuration", 1, r.changeConfig, r.configReceived},
+		{"member changes", max(r.Databases*membersPerGroup/100, 1), r.changeMembers, nil},
+		{"driver restarts", max(drivers/100, 1), r.restartDrivers, r.allKnown},
+		{"herd", min(maxHerd, drivers/2), r.restartDrivers, r.allKnown},
+	}
+}
+
+// Run goes through all phases at one size and prints each. On an error it gives the rows until then.
+func Run(ctx context.Context, o Options, out io.Writer) (rows []Row, err error) {
+	r := &run{Options: o, childPlan: childPlan{Net: o.Net, Port: o.Port}, http: http.Client{Timeout: httpTimeout}}
+	for n := range o.Cores {
+		r.childPlan.Cores = append(r.childPlan.Cores, net.JoinHostPort(r.coreIP(n), strconv.Itoa(o.Port+3)))
+	}
+	if r.folder, err = os.MkdirTemp("", "hollow"); err != nil {
+		return nil, err
+	}
+	defer func() { _ = os.RemoveAll(r.folder) }()
+	defer r.stop()
+	for _, p := range r.phases(ctx) {
+		result, err := r.runPhase(ctx, p)
+		if err != nil {
+			return rows, err
+		}
+		added := r.newRows(result)
+		rows = append(rows, added...)
+		printPhase(out, added)
+	}
+	return rows, nil
+}
+
+// runPhase makes a phase's changes, waits until they are known and all leases were renewed, and samples.
+func (r *run) runPhase(ctx context.Context, p phase) (result phaseResult, err error) {
+	renewals := r.Renewals * r.Options.Drivers
+	if p.begin == nil {
+		if err := r.awaitQuiet(ctx); err != nil {
+			return result, fmt.Errorf("before %s: %w", p.name, err)
+		}
+		renewals *= 3 // rates are measured here
+	}
+	result = phaseResult{name: p.name, events: p.events}
+	if result.before, err = r.sample(); err != nil {
+		return result, err
+	}
+	began := time.Now()
+	if p.begin != nil {
+		if err := p.begin(p.events); err != nil {
+			return result, fmt.Errorf("%s: %w", p.name, err)
+		}
+	}
+	if p.known != nil {
+		if err := r.pollUntil(ctx, func() (bool, error) { return p.known(p.events) }); err != nil {
+			return result, fmt.Errorf("%s: %w", p.name, err)
+		}
+		result.knownAfter = time.Since(began).Seconds()
+	}
+	target := countRenewals(result.before) + renewals
+	if err := r.pollUntil(ctx, func() (bool, error) { return r.renewalsReached(target) }); err != nil {
+		return result, fmt.Errorf("%s: %w", p.name, err)
+	}
+	result.after, err = r.sample()
+	result.seconds = time.Since(began).Seconds()
+	return result, err
+}
+
+func sleep(ctx context.Context, d time.Duration) error {
+	select {
+	case <-time.After(max(d, 0)):
+		return nil
+	case <-ctx.Done():
+		return ctx.Err()
+	}
+}
+
+// pollUntil polls until a condition holds, within the limit.
+func (r *run) pollUntil(ctx context.Context, condition func() (bool, error)) error {
+	for began := time.Now(); ; {
+		if ok, err := condition(); ok || err != nil {
+			return err
+		}
+		if time.Since(began) > r.Limit {
+			return fmt.Errorf("not known everywhere after %s", r.Limit)
+		}
+		if err := sleep(ctx, pollPeriod); err != nil {
+			return err
+		}
+	}
+}
+
+// start starts all processes and has the first configuration accepted.
+func (r *run) start(ctx context.Context) error {
+	for n := range r.childPlan.Cores {
+		file := filepath.Join(r.folder, fmt.Sprintf("core%d.conf", n))
+		if err := os.WriteFile(file, []byte(strings.Join(r.coreSettings(n), "\n")+"\n"), 0o600); err != nil {
+			return err
+		}
+		if err := r.addChild(&r.cores, "core", file, 0, 0); err != nil {
+			return err
+		}
+	}
+	for first := 0; first < r.Options.Drivers; first += agentsPerProcess {
+		if err := r.addChild(&r.drivers, "drivers", "", first, min(agentsPerProcess, r.Options.Drivers-first)); err != nil {
+			return err
+		}
+	}
+	if err := r.addChild(&r.members, "members", "", 0, r.Databases*membersPerGroup); err != nil {
+		return err
+	}
+	return r.pollUntil(ctx, func() (bool, error) { return r.changeConfig(1) == nil, nil })
+}
+
+// addChild starts a process of a role, for some of its agents or members.
+func (r *run) addChild(to *[]*child, role, file string, first, count int) error {
+	own := r.childPlan
+	own.First, own.Count = first, count
+	c, err := startChild(role, file, &own, r.Log)
+	if err == nil {
+		*to = append(*to, c)
+	}
+	return err
+}
+
+// stop ends all processes.
+func (r *run) stop() {
+	for _, c := range slices.Concat(r.cores, r.drivers, r.members) {
+		c.kill()
+	}
+}
+
+// coreSettings is the lines of a core machine's settings file.
+func (r *run) coreSettings(n int) []string {
+	seeds := r.childPlan.Cores[:min(3, r.Options.Cores)]
+	return []string{fmt.Sprint("hostname=core-", n), fmt.Sprintf("zone=zone-%d", n), "region=r", "init=true",
+		"tolerate.nodes=1", "beatMs=1200", "limits.memMb=4000", "listen.ctl=" + r.childPlan.Cores[n], "ip=" + r.coreIP(n),
+		fmt.Sprintf("portRange=%d,%d", r.childPlan.Port, r.childPlan.Port+2), "peers=" + strings.Join(seeds, ","),
+		"datadir=" + filepath.Join(r.folder, fmt.Sprint("core", n))}
+}
