--- a/cmd/weirwind/client.go
+++ b/cmd/weirwind/client.go
@@ -61,7 +61,7 @@
 	return nil
 }
 
-func printJSON(out io.Writer, v any) error { return json.NewEncoder(out).Encode(v) }
+func printJSON(out io.Writer, value any) error { return json.NewEncoder(out).Encode(value) }
 
 // roundedDuration converts milliseconds, for printing.
 func roundedDuration(ms float64) time.Duration {
--- a/cmd/weirwind/main.go
+++ b/cmd/weirwind/main.go
@@ -59,15 +59,15 @@
 }
 
 // read returns the text of the platform's configuration, and the operators' file, which is optional.
-func (f *files) read() (text []byte, o operator.File, err error) {
+func (f *files) read() (text []byte, operators operator.File, err error) {
 	if f.Config == "" {
-		return nil, o, errors.New("PROXY_CONFIG names no file")
+		return nil, operators, errors.New("PROXY_CONFIG names no file")
 	}
 	if text, err = os.ReadFile(f.Config); err != nil {
-		return nil, o, fmt.Errorf("PROXY_CONFIG: %w", err)
+		return nil, operators, fmt.Errorf("PROXY_CONFIG: %w", err)
 	}
-	o, err = f.operators()
-	return text, o, err
+	operators, err = f.operators()
+	return text, operators, err
 }
 
 // operators returns the operators' file, or its default where there is none.
--- a/cmd/weirwind/membership.go
+++ b/cmd/weirwind/membership.go
@@ -24,27 +24,27 @@
 }
 
 // driverLine prints the driver's own part of its view.
-func driverLine(s *membership.Status) string {
-	text := fmt.Sprintf("self=%s standing=%s", s.Self, s.Partition)
-	if s.Reason != "" {
-		text += " reason=" + s.Reason
+func driverLine(status *membership.Status) string {
+	text := fmt.Sprintf("self=%s standing=%s", status.Self, status.Partition)
+	if status.Reason != "" {
+		text += " reason=" + status.Reason
 	}
-	text += fmt.Sprintf(" for=%s count=%d health=%d", roundedDuration(s.For), s.Count, s.Health)
-	if s.Roster != nil {
-		text += fmt.Sprintf(" roster=%d of=%d", s.Roster.Version, len(s.Roster.Names))
+	text += fmt.Sprintf(" for=%s count=%d health=%d", roundedDuration(status.For), status.Count, status.Health)
+	if status.Roster != nil {
+		text += fmt.Sprintf(" roster=%d of=%d", status.Roster.Version, len(status.Roster.Names))
 	}
-	if s.Refused > 0 {
-		text += fmt.Sprintf(" frames_refused=%d", s.Refused)
+	if status.Refused > 0 {
+		text += fmt.Sprintf(" frames_refused=%d", status.Refused)
 	}
 	return text
 }
 
 // peerLine prints its part on one peer.
-func peerLine(v *membership.View) string {
-	text := fmt.Sprintf("name=%s state=%s heard=%v listed=%v address=%s zone=%s for=%s", v.Name, v.State, v.Reachable,
-		v.OnRoster, v.Address, v.Zone, roundedDuration(v.For))
-	if len(v.Unreachable) > 0 {
-		text += " does_not_hear=" + strings.Join(v.Unreachable, ",")
+func peerLine(view *membership.View) string {
+	text := fmt.Sprintf("name=%s state=%s heard=%v listed=%v address=%s zone=%s for=%s", view.Name, view.State,
+		view.Reachable, view.OnRoster, view.Address, view.Zone, roundedDuration(view.For))
+	if len(view.Unreachable) > 0 {
+		text += " does_not_hear=" + strings.Join(view.Unreachable, ",")
 	}
 	return text
 }
--- a/cmd/weirwind/plan.go
+++ b/cmd/weirwind/plan.go
@@ -83,16 +83,16 @@
 	return nil
 }
 
-func readPlanFile(name string) (f planFile, err error) {
+func readPlanFile(name string) (file planFile, err error) {
 	text, err := os.ReadFile(name)
 	if err != nil {
-		return f, err
+		return file, err
 	}
-	err = hclsimple.Decode(cmp.Or(name, "plan.hcl"), text, nil, &f)
+	err = hclsimple.Decode(cmp.Or(name, "plan.hcl"), text, nil, &file)
 	if problems := (hcl.Diagnostics)(nil); errors.As(err, &problems) && len(problems) > 0 {
-		return f, problems[0]
+		return file, problems[0]
 	}
-	return f, err
+	return file, err
 }
 
 // limits converts the limits. The error is the first one, durations before groups.
--- a/cmd/weirwind/presence_test.go
+++ b/cmd/weirwind/presence_test.go
@@ -9,7 +9,7 @@
 )
 
 // peer starts another driver of the same platform under a name of its own.
-func (s *platform) fellow(t *testing.T, name string) *program {
+func (s *platform) startPeer(t *testing.T, name string) *program {
 	t.Helper()
 	s.config["name"], s.config["peer_listen"] = name, "127.0.0.1:0"
 	s.settings["policy_limits"].(map[string]any)["peers"] = true
@@ -24,9 +24,9 @@
 			a, b := newMember(t, "a", acceptsWrites), newMember(t, "b", rejectsWrites)
 			s := newPlatform(t, a, b)
 			store, v := s.useRegistry(t, dialect, "drivers_prefix = \"weirwind/drivers/\"\n  lease = \""+map[string]string{"etcd": "1s", "consul": "10s"}[dialect]+"\"")
-			p := s.fellow(t, "n0")
+			p := s.startPeer(t, "n0")
 			p.findInLog("event=presence announced=true")
-			q := s.fellow(t, "n1")
+			q := s.startPeer(t, "n1")
 			p.findInLog("event=drivers count=2")
 			q.findInLog("event=drivers count=2")
 			c := q.connect()
@@ -41,7 +41,7 @@
 			v.CloseConnections()
 			p.waitForLog("event=registry_failed")
 			v.Down.Store(false)
-			r := s.fellow(t, "n2")
+			r := s.startPeer(t, "n2")
 			line := p.findInLog("event=drivers count=3")
 			if strings.Contains(strings.Join(p.before, "\n"), "count=1") {
 				t.Errorf("thought to be alone before %s", line)
@@ -67,8 +67,8 @@
 	m := newMember(t, "m", acceptsWrites)
 	s := newPlatform(t, m)
 	s.useRegistry(t, "etcd", "drivers_prefix = \"weirwind/drivers/\"\n  lease = \"5s\"")
-	s.fellow(t, "n0").findInLog("event=presence announced=true")
-	q := s.fellow(t, "n0")
+	s.startPeer(t, "n0").findInLog("event=presence announced=true")
+	q := s.startPeer(t, "n0")
 	if line := q.findInLog("another driver has the name"); !strings.Contains(line, "announced=false") {
 		t.Error(line)
 	}
@@ -81,9 +81,9 @@
 	m := newMember(t, "m", acceptsWrites)
 	s := newPlatform(t, m)
 	s.useRegistry(t, "etcd", "drivers_prefix = \"weirwind/drivers/\"\n  lease = \"1s\"")
-	p := s.fellow(t, "n0")
+	p := s.startPeer(t, "n0")
 	before := field(p.findInLog("event=presence announced=true"), "lease")
-	q := s.fellow(t, "n1")
+	q := s.startPeer(t, "n1")
 	q.findInLog("event=drivers count=2")
 	p.cmd.Process.Signal(syscall.SIGSTOP)
 	q.waitForLog("event=drivers count=1")
--- a/cmd/weirwind/registry.go
+++ b/cmd/weirwind/registry.go
@@ -104,8 +104,8 @@
 	w.Run(ctx)
 }
 
-func (p *rosterPrinter) apply(u roster.Update) (roster.Verdict, float64) {
-	o := p.roster.Apply(nowMillis(), u)
+func (p *rosterPrinter) apply(update roster.Update) (roster.Verdict, float64) {
+	o := p.roster.Apply(nowMillis(), update)
 	source, revision, age, epochs := p.roster.Leader(nowMillis())
 	for _, e := range o.Changes {
 		fmt.Fprintf(p.out, "%s %s revision=%d epoch=%d age_ms=%.0f member=%s phase=%s cell=%d host_port=%s\n",
@@ -152,9 +152,9 @@
 	ctx, end := context.WithTimeout(context.Background(), checkTimeout)
 	defer end()
 	members, revision := 0, int64(0)
-	err := client.List(ctx, index, true, func(u roster.Update) {
-		members, revision = members+len(u.Entries), u.Revision
-		for _, e := range u.Invalid {
+	err := client.List(ctx, index, true, func(update roster.Update) {
+		members, revision = members+len(update.Entries), update.Revision
+		for _, e := range update.Invalid {
 			problems++
 			fmt.Fprintf(out, "%s: entry %s: %s\n", endpoint, e.ID, e.Reason)
 		}
--- a/cmd/weirwind/state.go
+++ b/cmd/weirwind/state.go
@@ -89,17 +89,17 @@
 	return nil
 }
 
-func printMeta(out io.Writer, s *learned.State) {
-	m := s.Meta
+func printMeta(out io.Writer, state *learned.State) {
+	m := state.Meta
 	fmt.Fprintf(out, "driver %s, run %d, renewed %s, ended in order: %v\n", m.Name, m.Run, timestamp(m.SavedAt.Wall),
 		m.CleanShutdown)
-	fmt.Fprintf(out, "list revision %d (epoch %d), %d members; ceiling %s\n", m.Revision, m.Epoch, len(s.Membership),
+	fmt.Fprintf(out, "list revision %d (epoch %d), %d members; ceiling %s\n", m.Revision, m.Epoch, len(state.Membership),
 		timestamp(m.MaxPosition))
 }
 
-func printGroups(out io.Writer, s *learned.State) {
-	for _, id := range slices.Sorted(maps.Keys(s.Groups)) {
-		g := s.Groups[id]
+func printGroups(out io.Writer, state *learned.State) {
+	for _, id := range slices.Sorted(maps.Keys(state.Groups)) {
+		g := state.Groups[id]
 		role := "was primary"
 		if g.InSlot {
 			role = "primary"
@@ -111,9 +111,9 @@
 	}
 }
 
-func printMembers(out io.Writer, s *learned.State) {
-	for _, id := range slices.Sorted(maps.Keys(s.Membership)) {
-		e, m := s.Membership[id], s.Members[id]
+func printMembers(out io.Writer, state *learned.State) {
+	for _, id := range slices.Sorted(maps.Keys(state.Membership)) {
+		e, m := state.Membership[id], state.Members[id]
 		fmt.Fprintf(out, "member %s: group %d at %s, %s", id, e.Group, e.Address, e.Phase)
 		if m.EjectedAt > 0 {
 			fmt.Fprintf(out, ", set aside %s", timestamp(m.EjectedAt))
--- a/cmd/weirwind/zones.go
+++ b/cmd/weirwind/zones.go
@@ -23,31 +23,31 @@
 }
 
 // printPlan prints the driver's plan, a line each on zones, partitions, flows, moves and constraints.
-func printPlan(out io.Writer, s *zones.Status) {
-	fmt.Fprintf(out, "self=%s zone=%s leads=%v in_force=%v age=%s", s.Self, s.Zone, s.Leader, s.InForce,
-		roundedDuration(s.Age))
-	if s.Plan == nil {
+func printPlan(out io.Writer, status *zones.Status) {
+	fmt.Fprintf(out, "self=%s zone=%s leads=%v in_force=%v age=%s", status.Self, status.Zone, status.Leader,
+		status.InForce, roundedDuration(status.Age))
+	if status.Plan == nil {
 		fmt.Fprintln(out, " epoch=none")
 		return
 	}
-	fmt.Fprintf(out, " epoch=%d voters=%v frozen=%v\n", s.Plan.Epoch, s.Plan.Voters, s.Plan.Frozen)
-	for _, z := range s.Plan.Zones {
+	fmt.Fprintf(out, " epoch=%d voters=%v frozen=%v\n", status.Plan.Epoch, status.Plan.Voters, status.Plan.Frozen)
+	for _, z := range status.Plan.Zones {
 		fmt.Fprintf(out, "zone=%s state=%s cause=%s part=%.2f", z.Name, z.State, z.Cause, z.Capacity)
-		if t, ok := s.Tolls[z.Name]; ok {
+		if t, ok := status.Tolls[z.Name]; ok {
 			fmt.Fprintf(out, " toll=%.2f", t)
 		}
 		fmt.Fprintln(out)
 	}
-	for _, c := range s.Plan.Partitions {
+	for _, c := range status.Plan.Partitions {
 		fmt.Fprintf(out, "cut from=%s to=%s\n", c.From, c.To)
 	}
-	for _, f := range s.Plan.Flows {
+	for _, f := range status.Plan.Flows {
 		fmt.Fprintf(out, "share from=%s to=%s of=%.2f\n", f.From, f.To, f.Share)
 	}
-	for _, m := range s.Plan.Moves {
+	for _, m := range status.Plan.Moves {
 		fmt.Fprintf(out, "move group=%d from=%s to=%s\n", m.Group, m.From, m.To)
 	}
-	for _, b := range s.Plan.BindingConstraints {
+	for _, b := range status.Plan.BindingConstraints {
 		fmt.Fprintf(out, "binds %s\n", b)
 	}
 }
--- a/internal/benchwire/action.go
+++ b/internal/benchwire/action.go
@@ -14,30 +14,30 @@
 const microsPerMilli = 1000
 
 // action writes one action of the module.
-func (s *server) action(a *logic.Action) {
+func (s *server) action(action *logic.Action) {
 	w := s.out
-	switch a.Kind {
+	switch action.Kind {
 	case logic.ActSend:
-		w.WriteString("ATTEMPT txn=" + a.Op + " member=" + a.Member + " limit=" + microseconds(a.Wait))
+		w.WriteString("ATTEMPT txn=" + action.Op + " member=" + action.Member + " limit=" + microseconds(action.Wait))
 	case logic.ActCancel:
-		w.WriteString("CANCEL txn=" + a.Op + " attempt=" + strconv.Itoa(a.Send))
+		w.WriteString("CANCEL txn=" + action.Op + " attempt=" + strconv.Itoa(action.Send))
 	case logic.ActRefuse:
-		w.WriteString("DECLINE txn=" + a.Op)
-		if a.Wait > 0 {
-			w.WriteString(" retry_after=" + microseconds(a.Wait))
+		w.WriteString("DECLINE txn=" + action.Op)
+		if action.Wait > 0 {
+			w.WriteString(" retry_after=" + microseconds(action.Wait))
 		}
 	case logic.ActFail:
-		w.WriteString("RESPOND_ERROR txn=" + a.Op)
+		w.WriteString("RESPOND_ERROR txn=" + action.Op)
 	case logic.ActProbe:
-		w.WriteString("CHECK member=" + a.Member)
+		w.WriteString("CHECK member=" + action.Member)
 	case logic.ActTimer:
-		w.WriteString("TIMER sleep_for=" + microseconds(a.Wait) + " handle=0")
+		w.WriteString("TIMER sleep_for=" + microseconds(action.Wait) + " handle=0")
 	case logic.ActMessage:
-		w.WriteString("BROADCAST_TO dst=all payload=" + encode(a.Data))
+		w.WriteString("BROADCAST_TO dst=all payload=" + encode(action.Data))
 	case logic.ActWatch:
 		w.WriteString("LISTEN want=1")
 	case logic.ActLog:
-		w.WriteString("NOTE_DOWN line=" + oneLine(a.Text))
+		w.WriteString("NOTE_DOWN line=" + oneLine(action.Text))
 	}
 	w.WriteByte('\n')
 }
--- a/internal/benchwire/event.go
+++ b/internal/benchwire/event.go
@@ -24,39 +24,39 @@
 }
 
 // handle takes one line of a batch.
-func (s *server) handle(f *fields) error {
-	switch f.name {
+func (s *server) handle(line *fields) error {
+	switch line.name {
 	case "TARGET_INSTANCE":
-		return s.selectTarget(f)
+		return s.selectTarget(line)
 	case "STOP":
 		if s.target != nil {
 			s.target.driver, s.target.events = nil, s.target.events[:0]
 		}
-		return f.err
+		return line.err
 	case "LIST":
-		return s.readList(f)
+		return s.readList(line)
 	case "ENTRY", "TURN":
-		return fmt.Errorf("%s inside a batch, outside its place", f.name)
+		return fmt.Errorf("%s inside a batch, outside its place", line.name)
 	}
-	event, known, err := s.event(f)
+	event, known, err := s.event(line)
 	switch {
 	case !known:
 		return nil // a later addition to the protocol, or HEADERS, which no operation type here has
 	case err != nil:
 		return err
-	case f.err != nil:
-		return f.err
+	case line.err != nil:
+		return line.err
 	case s.target == nil:
-		return fmt.Errorf("%s before any TARGET_INSTANCE", f.name)
+		return fmt.Errorf("%s before any TARGET_INSTANCE", line.name)
 	}
 	s.queue(event)
 	return nil
 }
 
-func (s *server) selectTarget(f *fields) error {
-	name := f.required("who")
-	if f.err != nil {
-		return f.err
+func (s *server) selectTarget(line *fields) error {
+	name := line.required("who")
+	if line.err != nil {
+		return line.err
 	}
 	if s.target = s.instances[name]; s.target == nil {
 		s.target = &instance{name: name}
@@ -66,24 +66,24 @@
 }
 
 // event converts a line to an event of the module; known is false for a name that it isn't.
-func (s *server) event(f *fields) (event logic.Event, known bool, err error) {
-	switch f.name {
+func (s *server) event(line *fields) (event logic.Event, known bool, err error) {
+	switch line.name {
 	case "OPEN_INSTANCE":
-		event, err = s.open(f)
+		event, err = s.open(line)
 	case "TARGETS":
-		event, err = s.members(f)
+		event, err = s.members(line)
 	case "WORK_ITEM":
-		event, err = s.operation(f)
+		event, err = s.operation(line)
 	case "MAIL":
-		event, err = message(f)
+		event, err = message(line)
 	case "BELL":
 		event = logic.Event{Kind: logic.EvTimer}
 	case "CLIENT_GONE":
-		event = logic.Event{Kind: logic.EvGone, Op: f.required("txn")}
+		event = logic.Event{Kind: logic.EvGone, Op: line.required("txn")}
 	case "STATUS_BACK":
-		event = healthCheck(f)
+		event = healthCheck(line)
 	case "VERDICT":
-		event = answer(f)
+		event = answer(line)
 	default:
 		return event, false, nil
 	}
@@ -91,26 +91,26 @@
 }
 
 // open converts OPEN_INSTANCE: the instance begins anew.
-func (s *server) open(f *fields) (logic.Event, error) {
-	seed, err := readSeed(f)
+func (s *server) open(line *fields) (logic.Event, error) {
+	seed, err := readSeed(line)
 	if err != nil {
 		return logic.Event{}, err
 	}
-	told, err := opening.Parse([]byte(f.required("setup")), seed)
-	if f.err == nil && err != nil {
+	told, err := opening.Parse([]byte(line.required("setup")), seed)
+	if line.err == nil && err != nil {
 		return logic.Event{}, err
 	}
-	if f.err == nil && s.target != nil {
+	if line.err == nil && s.target != nil {
 		s.target.driver, s.target.opTypes, s.target.events = &logic.Driver{}, told.OpTypes, s.target.events[:0]
 	}
 	return logic.Event{Kind: logic.EvOpen, Opening: told.Opening}, nil
 }
 
 // readSeed reads a seed, which may be negative.
-func readSeed(f *fields) (uint64, error) {
-	text := f.required("init_seed")
+func readSeed(line *fields) (uint64, error) {
+	text := line.required("init_seed")
 	seed, err := strconv.ParseUint(text, 10, 64)
-	if f.err != nil || err == nil {
+	if line.err != nil || err == nil {
 		return seed, nil
 	}
 	signed, err := strconv.ParseInt(text, 10, 64)
@@ -121,33 +121,33 @@
 }
 
 // members converts TARGETS: a list that was given before, or that none could be had.
-func (s *server) members(f *fields) (logic.Event, error) {
-	kind, known := listKinds[f.required("how")]
-	if f.err == nil && !known {
-		return logic.Event{}, fmt.Errorf("TARGETS has the unknown kind %q", f.required("how"))
+func (s *server) members(line *fields) (logic.Event, error) {
+	kind, known := listKinds[line.required("how")]
+	if line.err == nil && !known {
+		return logic.Event{}, fmt.Errorf("TARGETS has the unknown kind %q", line.required("how"))
 	}
 	event := logic.Event{Kind: logic.EvMembers, List: kind}
 	if kind == logic.ListFailed {
 		return event, nil
 	}
-	entries, known := s.lists[f.required("table")]
-	if f.err == nil && !known {
-		return logic.Event{}, fmt.Errorf("TARGETS names list %s, which was never given", f.required("table"))
+	entries, known := s.lists[line.required("table")]
+	if line.err == nil && !known {
+		return logic.Event{}, fmt.Errorf("TARGETS names list %s, which was never given", line.required("table"))
 	}
 	event.Members = entries
 	return event, nil
 }
 
 // operation converts WORK_ITEM.
-func (s *server) operation(f *fields) (logic.Event, error) {
+func (s *server) operation(line *fields) (logic.Event, error) {
 	event := logic.Event{
 		Kind:     logic.EvOp,
-		Op:       f.required("txn"),
-		Left:     milliseconds(f.number("grace")),
-		Group:    int64(f.number("cluster_no")),
-		WroteAgo: f.optional("wrote_ms_ago"),
+		Op:       line.required("txn"),
+		Left:     milliseconds(line.number("grace")),
+		Group:    int64(line.number("cluster_no")),
+		WroteAgo: line.optional("wrote_ms_ago"),
 	}
-	opType := f.required("category")
+	opType := line.required("category")
 	if s.target != nil && s.target.driver != nil {
 		i, known := s.target.opTypes[opType]
 		if !known {
@@ -159,36 +159,36 @@
 }
 
 // answer converts VERDICT, a member's answer to an attempt.
-func answer(f *fields) logic.Event {
+func answer(line *fields) logic.Event {
 	event := logic.Event{
 		Kind:    logic.EvAnswer,
-		Op:      f.required("txn"),
-		Member:  f.required("member"),
-		Send:    int(f.number("attempt")),
-		Outcome: f.outcome(),
-		Report:  f.report(),
-		Closed:  f.flag("settled"),
-	}
-	progress := int64(f.optional("progress")) // the member's role and its position in one number
+		Op:      line.required("txn"),
+		Member:  line.required("member"),
+		Send:    int(line.number("attempt")),
+		Outcome: line.outcome(),
+		Report:  line.report(),
+		Closed:  line.flag("settled"),
+	}
+	progress := int64(line.optional("progress")) // the member's role and its position in one number
 	event.Note = logic.Sight{Role: logic.Role(progress % 4), Position: float64(progress / 4)}
 	return event
 }
 
 // healthCheck converts STATUS_BACK.
-func healthCheck(f *fields) logic.Event {
+func healthCheck(line *fields) logic.Event {
 	return logic.Event{
 		Kind:    logic.EvProbed,
-		Member:  f.required("member"),
-		Took:    milliseconds(f.optional("delay_seen")),
-		Outcome: f.outcome(),
-		Report:  f.report(),
+		Member:  line.required("member"),
+		Took:    milliseconds(line.optional("delay_seen")),
+		Outcome: line.outcome(),
+		Report:  line.report(),
 	}
 }
 
 // message converts MAIL, a message of another instance.
-func message(f *fields) (logic.Event, error) {
-	data, err := decode(f.required("payload"))
-	if f.err == nil && err != nil {
+func message(line *fields) (logic.Event, error) {
+	data, err := decode(line.required("payload"))
+	if line.err == nil && err != nil {
 		return logic.Event{}, fmt.Errorf("payload: %w", err)
 	}
 	return logic.Event{Kind: logic.EvMessage, Data: data}, nil
--- a/internal/benchwire/list.go
+++ b/internal/benchwire/list.go
@@ -24,23 +24,23 @@
 }
 
 // readList reads the entries of one LIST.
-func (s *server) readList(f *fields) error {
-	table, n := f.required("table"), int(f.number("items"))
-	if f.err != nil {
-		return f.err
+func (s *server) readList(list *fields) error {
+	table, n := list.required("table"), int(list.number("items"))
+	if list.err != nil {
+		return list.err
 	}
 	if n < 0 {
 		return fmt.Errorf("LIST with %d items", n)
 	}
 	var entries []logic.ListEntry
 	for range n {
-		line, err := s.read()
+		entryLine, err := s.read()
 		if errors.Is(err, io.EOF) {
 			return fmt.Errorf("LIST of %d items is cut short", n)
 		} else if err != nil {
 			return err
 		}
-		entry, err := listEntry(&line)
+		entry, err := listEntry(&entryLine)
 		if err != nil {
 			return err
 		}
@@ -51,21 +51,21 @@
 }
 
 // listEntry converts ENTRY.
-func listEntry(f *fields) (logic.ListEntry, error) {
-	if f.name != "ENTRY" {
-		return logic.ListEntry{}, fmt.Errorf("want ENTRY, have %s", f.name)
+func listEntry(line *fields) (logic.ListEntry, error) {
+	if line.name != "ENTRY" {
+		return logic.ListEntry{}, fmt.Errorf("want ENTRY, have %s", line.name)
 	}
-	phase, known := phases[f.required("phase")]
-	if f.err == nil && !known {
-		return logic.ListEntry{}, fmt.Errorf("ENTRY has the unknown phase %q", f.required("phase"))
+	phase, known := phases[line.required("phase")]
+	if line.err == nil && !known {
+		return logic.ListEntry{}, fmt.Errorf("ENTRY has the unknown phase %q", line.required("phase"))
 	}
 	entry := logic.ListEntry{
-		Member:  f.required("member"),
+		Member:  line.required("member"),
 		Phase:   phase,
-		Zone:    f.get("zone"),
-		Started: milliseconds(f.optional("born")),
-		Group:   int64(f.optional("cluster")),
-		Primary: f.flag("head"),
+		Zone:    line.get("zone"),
+		Started: milliseconds(line.optional("born")),
+		Group:   int64(line.optional("cluster")),
+		Primary: line.flag("head"),
 	}
-	return entry, f.err
+	return entry, line.err
 }
--- a/internal/benchwire/server.go
+++ b/internal/benchwire/server.go
@@ -73,20 +73,20 @@
 
 // turn reads one batch and writes its response; false at the input's end.
 func (s *server) turn() (more bool, err error) {
-	f, err := s.read()
+	line, err := s.read()
 	if errors.Is(err, io.EOF) {
 		return false, nil
 	}
 	if err != nil {
 		return false, err
 	}
-	if f.name != "TURN" {
-		return false, fmt.Errorf("want TURN, have %s", f.name)
+	if line.name != "TURN" {
+		return false, fmt.Errorf("want TURN, have %s", line.name)
 	}
-	s.now = milliseconds(f.number("wall"))
-	serial := f.required("serial")
-	if f.err != nil {
-		return false, f.err
+	s.now = milliseconds(line.number("wall"))
+	serial := line.required("serial")
+	if line.err != nil {
+		return false, line.err
 	}
 	if err := s.readBatch(); err != nil {
 		return false, err
@@ -102,16 +102,16 @@
 func (s *server) readBatch() error {
 	s.batch, s.target = s.batch[:0], nil
 	for {
-		f, err := s.read()
+		line, err := s.read()
 		switch {
 		case errors.Is(err, io.EOF):
 			return errors.New("input ends inside a batch")
 		case err != nil:
 			return err
-		case f.name == "END":
+		case line.name == "END":
 			return nil
 		}
-		if err := s.handle(&f); err != nil {
+		if err := s.handle(&line); err != nil {
 			return err
 		}
 	}
--- a/internal/control/membership.go
+++ b/internal/control/membership.go
@@ -28,47 +28,49 @@
 	Certain bool   `json:"certain"` // the operators made sure that it does not run
 }
 
+type membershipCall func(http.ResponseWriter, *http.Request, Membership) error
+
 // withMembership serves a call on membership, where there is one.
-func withMembership(s Switcher, call func(http.ResponseWriter, *http.Request, Membership) error) http.HandlerFunc {
+func withMembership(switcher Switcher, call membershipCall) http.HandlerFunc {
 	return fleetStatuses.serve(func(w http.ResponseWriter, r *http.Request) error {
-		if p, ok := s.(membershipProvider); ok {
-			if m := p.Membership(); m != nil {
-				return call(w, r, m)
+		if p, ok := switcher.(membershipProvider); ok {
+			if fleet := p.Membership(); fleet != nil {
+				return call(w, r, fleet)
 			}
 		}
 		return errNoMembership
 	})
 }
 
-func handleMembership(mux *http.ServeMux, s Switcher) {
-	handle := func(pattern string, call func(http.ResponseWriter, *http.Request, Membership) error) {
-		mux.HandleFunc(pattern, withMembership(s, call))
+func handleMembership(mux *http.ServeMux, switcher Switcher) {
+	handle := func(pattern string, call membershipCall) {
+		mux.HandleFunc(pattern, withMembership(switcher, call))
 	}
-	handle("GET /membership", func(w http.ResponseWriter, _ *http.Request, m Membership) error {
-		writeJSON(w, m.Status())
+	handle("GET /membership", func(w http.ResponseWriter, _ *http.Request, fleet Membership) error {
+		writeJSON(w, fleet.Status())
 		return nil
 	})
-	handle("GET /membership/compare", func(w http.ResponseWriter, r *http.Request, m Membership) error {
+	handle("GET /membership/compare", func(w http.ResponseWriter, r *http.Request, fleet Membership) error {
 		_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(compareTimeout)) // every server here has one
-		writeJSON(w, m.Compare(r.Context()))
+		writeJSON(w, fleet.Compare(r.Context()))
 		return nil
 	})
-	handle("POST /membership/leave", func(_ http.ResponseWriter, _ *http.Request, m Membership) error {
-		m.Leave()
+	handle("POST /membership/leave", func(_ http.ResponseWriter, _ *http.Request, fleet Membership) error {
+		fleet.Leave()
 		return nil
 	})
-	handle("POST /membership/forget", func(w http.ResponseWriter, r *http.Request, m Membership) error {
-		var f ForgetRequest
-		if err := readJSON(w, r, &f); err != nil {
+	handle("POST /membership/forget", func(w http.ResponseWriter, r *http.Request, fleet Membership) error {
+		var request ForgetRequest
+		if err := readJSON(w, r, &request); err != nil {
 			return err
 		}
-		return m.Forget(f.Name, f.Certain)
+		return fleet.Forget(request.Name, request.Certain)
 	})
 }
 
 // Membership returns the driver's view of its peers.
-func (c *Client) Membership(ctx context.Context) (s membership.Status, err error) {
-	return s, c.call(ctx, http.MethodGet, "/membership", nil, &s)
+func (c *Client) Membership(ctx context.Context) (status membership.Status, err error) {
+	return status, c.call(ctx, http.MethodGet, "/membership", nil, &status)
 }
 
 // Compare returns the views of all drivers that this one knows, its own first.
@@ -83,6 +85,6 @@
 }
 
 // Forget has a failed driver removed from the roster.
-func (c *Client) Forget(ctx context.Context, f ForgetRequest) error {
-	return c.call(ctx, http.MethodPost, "/membership/forget", f, nil)
+func (c *Client) Forget(ctx context.Context, request ForgetRequest) error {
+	return c.call(ctx, http.MethodPost, "/membership/forget", request, nil)
 }
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -26,9 +26,9 @@
 
 // Serve answers calls on a listener until the context ends. With a token it serves peers, who must show it; without
 // one it serves operators.
-func Serve(ctx context.Context, ln net.Listener, s Switcher, token string) error {
+func Serve(ctx context.Context, ln net.Listener, switcher Switcher, token string) error {
 	server := &http.Server{
-		Handler:        handler(s, token),
+		Handler:        handler(switcher, token),
 		ReadTimeout:    callTimeout,
 		WriteTimeout:   callTimeout,
 		IdleTimeout:    idleTimeout,
@@ -44,12 +44,12 @@
 }
 
 // handler answers calls; an empty token requires none.
-func handler(s Switcher, token string) http.Handler {
+func handler(switcher Switcher, token string) http.Handler {
 	mux := http.NewServeMux()
-	handleSwitch(mux, s)
+	handleSwitch(mux, switcher)
 	if token == "" {
-		handleMembership(mux, s)
-		handleZones(mux, s)
+		handleMembership(mux, switcher)
+		handleZones(mux, switcher)
 		return mux
 	}
 	return authenticated(mux, token)
@@ -77,15 +77,15 @@
 }
 
 // readJSON reads a request's body. Fields that are not known are errors.
-func readJSON(w http.ResponseWriter, r *http.Request, v any) error {
+func readJSON(w http.ResponseWriter, r *http.Request, value any) error {
 	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBytes))
 	d.DisallowUnknownFields()
-	return d.Decode(v)
+	return d.Decode(value)
 }
 
-func writeJSON(w http.ResponseWriter, v any) {
+func writeJSON(w http.ResponseWriter, value any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(v) // the caller may have left
+	_ = json.NewEncoder(w).Encode(value) // the caller may have left
 }
 
 // limitedListener accepts no more connections at a time than it has slots; others wait in the kernel's backlog.
--- a/internal/control/switch.go
+++ b/internal/control/switch.go
@@ -19,16 +19,16 @@
 	Status() []switchover.ChangeStatus
 }
 
-func handleSwitch(mux *http.ServeMux, s Switcher) {
-	mux.HandleFunc("GET /switch", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.Status()) })
+func handleSwitch(mux *http.ServeMux, switcher Switcher) {
+	mux.HandleFunc("GET /switch", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, switcher.Status()) })
 	mux.HandleFunc("POST /switch", fleetStatuses.serve(func(w http.ResponseWriter, r *http.Request) error {
-		var n switchover.Notification
-		if err := readJSON(w, r, &n); err != nil {
+		var notification switchover.Notification
+		if err := readJSON(w, r, &notification); err != nil {
 			return err
 		}
-		n, err := s.HandleHook(n)
+		notification, err := switcher.HandleHook(notification)
 		if err == nil {
-			writeJSON(w, n)
+			writeJSON(w, notification)
 		}
 		return err
 	}))
@@ -40,8 +40,8 @@
 		if len(all) > maxNotifications {
 			return fmt.Errorf("%d words; %d at most", len(all), maxNotifications)
 		}
-		for _, n := range all {
-			if err := s.HandlePeer(n); err != nil {
+		for _, notification := range all {
+			if err := switcher.HandlePeer(notification); err != nil {
 				return err
 			}
 		}
@@ -50,9 +50,9 @@
 }
 
 // NotifyHook sends a notification as a hook does, and returns it complete.
-func (c *Client) NotifyHook(ctx context.Context, n switchover.Notification) (
+func (c *Client) NotifyHook(ctx context.Context, notification switchover.Notification) (
 	complete switchover.Notification, err error) {
-	return complete, c.call(ctx, http.MethodPost, "/switch", n, &complete)
+	return complete, c.call(ctx, http.MethodPost, "/switch", notification, &complete)
 }
 
 // NotifyPeer sends notifications as a peer does.
--- a/internal/control/zones.go
+++ b/internal/control/zones.go
@@ -21,50 +21,52 @@
 // zonesProvider is what a Switcher also is where drivers may decide on zones in common; Zones is nil while they do not.
 type zonesProvider interface{ Zones() Zones }
 
+type zonesCall func(http.ResponseWriter, *http.Request, Zones) error
+
 // withZones serves a call on zones, where they are decided on in common.
-func withZones(s Switcher, call func(http.ResponseWriter, *http.Request, Zones) error) http.HandlerFunc {
+func withZones(switcher Switcher, call zonesCall) http.HandlerFunc {
 	return zoneStatuses.serve(func(w http.ResponseWriter, r *http.Request) error {
-		if p, ok := s.(zonesProvider); ok {
-			if z := p.Zones(); z != nil {
-				return call(w, r, z)
+		if p, ok := switcher.(zonesProvider); ok {
+			if decider := p.Zones(); decider != nil {
+				return call(w, r, decider)
 			}
 		}
 		return errNoZones
 	})
 }
 
-func handleZones(mux *http.ServeMux, s Switcher) {
-	handle := func(pattern string, call func(http.ResponseWriter, *http.Request, Zones) error) {
-		mux.HandleFunc(pattern, withZones(s, call))
+func handleZones(mux *http.ServeMux, switcher Switcher) {
+	handle := func(pattern string, call zonesCall) {
+		mux.HandleFunc(pattern, withZones(switcher, call))
 	}
-	handle("GET /zones", func(w http.ResponseWriter, _ *http.Request, z Zones) error {
-		writeJSON(w, z.Status())
+	handle("GET /zones", func(w http.ResponseWriter, _ *http.Request, decider Zones) error {
+		writeJSON(w, decider.Status())
 		return nil
 	})
-	handle("GET /zones/plan", func(w http.ResponseWriter, r *http.Request, z Zones) error {
-		p, err := z.Preview(r.URL.Query().Get("without"))
+	handle("GET /zones/plan", func(w http.ResponseWriter, r *http.Request, decider Zones) error {
+		preview, err := decider.Preview(r.URL.Query().Get("without"))
 		if err == nil {
-			writeJSON(w, p)
+			writeJSON(w, preview)
 		}
 		return err
 	})
-	handle("POST /zones/order", func(w http.ResponseWriter, r *http.Request, z Zones) error {
-		var c zones.Command
-		if err := readJSON(w, r, &c); err != nil {
+	handle("POST /zones/order", func(w http.ResponseWriter, r *http.Request, decider Zones) error {
+		var command zones.Command
+		if err := readJSON(w, r, &command); err != nil {
 			return err
 		}
-		return z.Submit(c)
+		return decider.Submit(command)
 	})
 }
 
 // Zones returns the driver's part in deciding on zones.
-func (c *Client) Zones(ctx context.Context) (s zones.Status, err error) {
-	return s, c.call(ctx, http.MethodGet, "/zones", nil, &s)
+func (c *Client) Zones(ctx context.Context) (status zones.Status, err error) {
+	return status, c.call(ctx, http.MethodGet, "/zones", nil, &status)
 }
 
 // PreviewZones returns what would be planned without a zone; empty: as it is.
-func (c *Client) PreviewZones(ctx context.Context, without string) (p zones.Preview, err error) {
-	return p, c.call(ctx, http.MethodGet, "/zones/plan?without="+url.QueryEscape(without), nil, &p)
+func (c *Client) PreviewZones(ctx context.Context, without string) (preview zones.Preview, err error) {
+	return preview, c.call(ctx, http.MethodGet, "/zones/plan?without="+url.QueryEscape(without), nil, &preview)
 }
 
 // SubmitZoneCommand sends an operator's command.
--- a/internal/discovery/http.go
+++ b/internal/discovery/http.go
@@ -51,31 +51,31 @@
 }
 
 // readHeader reads the status line and the header.
-func (c *Client) readHeader() (h responseHeader, err error) {
+func (c *Client) readHeader() (header responseHeader, err error) {
 	status, err := c.readLine()
 	if err != nil {
-		return h, err
+		return header, err
 	}
 	version, rest, _ := strings.Cut(status, " ")
 	if version != "HTTP/1.1" && version != "HTTP/1.0" {
-		return h, fmt.Errorf("not an HTTP answer: %.40q", status)
+		return header, fmt.Errorf("not an HTTP answer: %.40q", status)
 	}
-	h = responseHeader{length: -1, keep: version == "HTTP/1.1"}
-	h.code, _, _ = strings.Cut(rest, " ")
+	header = responseHeader{length: -1, keep: version == "HTTP/1.1"}
+	header.code, _, _ = strings.Cut(rest, " ")
 	for n := 0; ; n++ {
 		line, err := c.readLine()
 		if err != nil {
-			return h, err
+			return header, err
 		}
 		if line == "" {
-			return h, nil
+			return header, nil
 		}
 		name, value, ok := strings.Cut(line, ":")
 		if !ok || n == maxHeaderLines {
-			return h, fmt.Errorf("bad header line %.40q", line)
+			return header, fmt.Errorf("bad header line %.40q", line)
 		}
-		if err := h.set(strings.ToLower(name), strings.TrimSpace(value)); err != nil {
-			return h, err
+		if err := header.set(strings.ToLower(name), strings.TrimSpace(value)); err != nil {
+			return header, err
 		}
 	}
 }
--- a/internal/durable/compact.go
+++ b/internal/durable/compact.go
@@ -102,12 +102,12 @@
 
 // removeObsolete removes temporary files, and the generations before the newest one under n that can be read. What came
 // after that one stays until n is there, damaged or not: its log may still count.
-func (s *Store) removeObsolete(n uint64) error {
+func (s *Store) removeObsolete(next uint64) error {
 	names, err := s.fs.List(s.options.Folder)
 	if err != nil {
 		return err
 	}
-	oldest := s.newestReadable(names, n)
+	oldest := s.newestReadable(names, next)
 	for _, name := range names {
 		generation, kind := parseName(name)
 		temporary := kind == other && filepath.Ext(name) == tempSuffix
@@ -123,10 +123,10 @@
 }
 
 // newestReadable is the newest generation under n whose snapshot can be read; 0 for none.
-func (s *Store) newestReadable(names []string, n uint64) (newest uint64) {
+func (s *Store) newestReadable(names []string, next uint64) (newest uint64) {
 	for _, name := range names {
 		generation, kind := parseName(name)
-		if kind == snapshotFile && generation < n && generation > newest && s.readable(name, generation) {
+		if kind == snapshotFile && generation < next && generation > newest && s.readable(name, generation) {
 			newest = generation
 		}
 	}
--- a/internal/durable/format.go
+++ b/internal/durable/format.go
@@ -41,8 +41,8 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-func snapshotName(n uint64) string { return fmt.Sprintf("%016x.snapshot", n) }
-func logName(n uint64) string      { return fmt.Sprintf("%016x.log", n) }
+func snapshotName(generation uint64) string { return fmt.Sprintf("%016x.snapshot", generation) }
+func logName(generation uint64) string      { return fmt.Sprintf("%016x.log", generation) }
 
 // parseName returns the generation and the kind of a file.
 func parseName(name string) (uint64, fileKind) {
--- a/internal/operator/address.go
+++ b/internal/operator/address.go
@@ -13,8 +13,8 @@
 )
 
 // hostPort reads a peer's host:port.
-func hostPort(r *reader, at hcl.Range, v cty.Value) (string, bool) {
-	s := v.AsString()
+func hostPort(r *reader, at hcl.Range, value cty.Value) (string, bool) {
+	s := value.AsString()
 	if _, _, err := net.SplitHostPort(s); err != nil {
 		r.problem(at, "%q is no host:port of a driver.", s)
 	}
@@ -22,8 +22,8 @@
 }
 
 // endpointURL reads an HTTP URL without a path.
-func endpointURL(r *reader, at hcl.Range, v cty.Value) (string, bool) {
-	s := v.AsString()
+func endpointURL(r *reader, at hcl.Range, value cty.Value) (string, bool) {
+	s := value.AsString()
 	u, err := url.Parse(s)
 	if err != nil || u.Scheme != "http" && u.Scheme != "https" || u.Host == "" || strings.Trim(u.Path, "/") != "" {
 		r.problem(at, "%q is no URL of an endpoint, such as https://10.0.0.5:2379.", s)
@@ -32,13 +32,13 @@
 }
 
 // seed reads a peer's IP:port.
-func seed(r *reader, at hcl.Range, v cty.Value) (string, bool) {
-	if v.IsNull() {
+func seed(r *reader, at hcl.Range, value cty.Value) (string, bool) {
+	if value.IsNull() {
 		r.problem(at, "seeds: null is no IP:port.")
 		return "", false
 	}
-	r.address(at, "seeds", v.AsString())
-	return v.AsString(), true
+	r.address(at, "seeds", value.AsString())
+	return value.AsString(), true
 }
 
 // address requires an IP and a port, which others can reach unless it is the one to listen at.
--- a/internal/operator/attribute.go
+++ b/internal/operator/attribute.go
@@ -149,16 +149,19 @@
 	}
 }
 
-// list is a list of strings, each of which element converts and checks; false leaves it out.
-func list(name string, field *[]string, element func(r *reader, at hcl.Range, v cty.Value) (string, bool)) attribute {
+// elementReader converts and checks an element of a list; false leaves it out.
+type elementReader func(r *reader, at hcl.Range, value cty.Value) (string, bool)
+
+// list is a list of strings.
+func list(name string, field *[]string, element elementReader) attribute {
 	return attribute{name: name,
 		read: func(r *reader, attrs hcl.Attributes) (at hcl.Range, given bool) {
 			*field = nil
-			v, at, given := r.value(attrs, name, cty.List(cty.String))
+			value, at, given := r.value(attrs, name, cty.List(cty.String))
 			if !given {
 				return at, false
 			}
-			for _, e := range v.AsValueSlice() {
+			for _, e := range value.AsValueSlice() {
 				if s, ok := element(r, at, e); ok {
 					*field = append(*field, s)
 				}
@@ -170,7 +173,9 @@
 }
 
 // quoted is a string as HCL writes it.
-func quoted(s string) string { return string(hclwrite.TokensForValue(cty.StringVal(s)).Bytes()) }
+func quoted(content string) string {
+	return string(hclwrite.TokensForValue(cty.StringVal(content)).Bytes())
+}
 
 // quotedList is a list of strings as HCL writes it.
 func quotedList(all []string) string {
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -85,18 +85,19 @@
 	regionOf := map[string]string{}
 	for _, b := range blocks {
 		region := Region{Name: b.Labels[0]}
-		r.attributes(b, []attribute{list("zones", &region.Zones, func(r *reader, at hcl.Range, v cty.Value) (string, bool) {
-			if v.IsNull() || v.AsString() == "" || len(v.AsString()) > maxZoneBytes {
+		zone := func(r *reader, at hcl.Range, value cty.Value) (string, bool) {
+			if value.IsNull() || value.AsString() == "" || len(value.AsString()) > maxZoneBytes {
 				r.problem(at, "zones: a name has 1 to %d bytes.", maxZoneBytes)
 				return "", false
 			}
-			if other, taken := regionOf[v.AsString()]; taken {
-				r.problem(at, "zones: %q stands in region %q already.", v.AsString(), other)
+			if other, taken := regionOf[value.AsString()]; taken {
+				r.problem(at, "zones: %q stands in region %q already.", value.AsString(), other)
 				return "", false
 			}
-			regionOf[v.AsString()] = region.Name
-			return v.AsString(), true
-		})}, nil)
+			regionOf[value.AsString()] = region.Name
+			return value.AsString(), true
+		}
+		r.attributes(b, []attribute{list("zones", &region.Zones, zone)}, nil)
 		regions = append(regions, region)
 	}
 	return regions
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -48,7 +48,7 @@
 }}
 
 // file reads all blocks, each of which may occur once.
-func (r *reader) file(body hcl.Body, f *File) {
+func (r *reader) file(body hcl.Body, file *File) {
 	seen := map[string]*hcl.Range{}
 	for _, b := range r.content(body, blockTypes).Blocks {
 		if first := seen[b.Type]; first != nil {
@@ -56,41 +56,41 @@
 			continue
 		}
 		seen[b.Type] = &b.DefRange
-		r.block(b, f)
+		r.block(b, file)
 	}
-	if m := f.Membership; m != nil && m.TokenFile == "" {
-		if f.Control != nil {
-			m.TokenFile = f.Control.TokenFile
+	if m := file.Membership; m != nil && m.TokenFile == "" {
+		if file.Control != nil {
+			m.TokenFile = file.Control.TokenFile
 		}
 		if m.TokenFile == "" {
 			r.problem(*seen["membership"], "membership wants a token_file, its own or control's.")
 		}
 	}
-	if f.Zones != nil && f.Membership == nil {
+	if file.Zones != nil && file.Membership == nil {
 		r.problem(*seen["zones"], "zones want membership: drivers agree on them.")
 	}
 }
 
-func (r *reader) block(b *hcl.Block, f *File) {
+func (r *reader) block(b *hcl.Block, file *File) {
 	switch b.Type {
 	case "log":
-		r.attributes(b, f.Log.attributes(), nil)
+		r.attributes(b, file.Log.attributes(), nil)
 	case "peers":
-		r.attributes(b, f.Peers.attributes(), nil)
+		r.attributes(b, file.Peers.attributes(), nil)
 	case "fleet":
-		f.Fleet = &Fleet{}
-		r.attributes(b, f.Fleet.attributes(), nil)
+		file.Fleet = &Fleet{}
+		r.attributes(b, file.Fleet.attributes(), nil)
 	case "state":
-		f.State = r.state(b)
+		file.State = r.state(b)
 	case "ledger":
-		f.Ledger = r.ledger(b)
+		file.Ledger = r.ledger(b)
 	case "control":
-		f.Control = r.control(b)
+		file.Control = r.control(b)
 	case "membership":
-		f.Membership = r.membership(b)
+		file.Membership = r.membership(b)
 	case "zones":
-		f.Zones = r.zones(b)
+		file.Zones = r.zones(b)
 	case "registry":
-		f.Registry = r.registry(b)
+		file.Registry = r.registry(b)
 	}
 }
--- a/internal/operator/reader.go
+++ b/internal/operator/reader.go
@@ -62,28 +62,28 @@
 }
 
 // value returns an attribute as the type wanted; given is false where it is missing or a problem, and at is then zero.
-func (r *reader) value(attrs hcl.Attributes, name string, want cty.Type) (v cty.Value, at hcl.Range, given bool) {
-	a := attrs[name]
-	if a == nil {
-		return v, at, false
+func (r *reader) value(attrs hcl.Attributes, name string, want cty.Type) (value cty.Value, at hcl.Range, given bool) {
+	attr := attrs[name]
+	if attr == nil {
+		return value, at, false
 	}
-	v, problems := a.Expr.Value(nil)
+	value, problems := attr.Expr.Value(nil)
 	if r.problems = append(r.problems, problems...); problems.HasErrors() {
-		return v, at, false
+		return value, at, false
 	}
-	v, err := convert.Convert(v, want)
-	if err != nil || v.IsNull() || !v.IsKnown() {
-		r.problem(a.Expr.Range(), "%s wants a %s.", name, want.FriendlyName())
-		return v, at, false
+	value, err := convert.Convert(value, want)
+	if err != nil || value.IsNull() || !value.IsKnown() {
+		r.problem(attr.Expr.Range(), "%s wants a %s.", name, want.FriendlyName())
+		return value, at, false
 	}
-	return v, a.Expr.Range(), true
+	return value, attr.Expr.Range(), true
 }
 
 // text returns a string, or otherwise.
-func (r *reader) text(attrs hcl.Attributes, name, otherwise string) (s string, at hcl.Range, given bool) {
-	v, at, given := r.value(attrs, name, cty.String)
+func (r *reader) text(attrs hcl.Attributes, name, otherwise string) (content string, at hcl.Range, given bool) {
+	value, at, given := r.value(attrs, name, cty.String)
 	if !given {
 		return otherwise, at, false
 	}
-	return v.AsString(), at, true
+	return value.AsString(), at, true
 }
--- a/internal/pgwire/append.go
+++ b/internal/pgwire/append.go
@@ -15,7 +15,7 @@
 	return b
 }
 
-func appendString(b []byte, s string) []byte { return append(append(b, s...), 0) }
+func appendString(b []byte, text string) []byte { return append(append(b, text...), 0) }
 
 // AppendReadyForQuery appends ReadyForQuery.
 func AppendReadyForQuery(b []byte) []byte { return append(b, 'Z', 0, 0, 0, 5, 'I') }
@@ -82,11 +82,11 @@
 }
 
 // AppendQuery appends a Query with the given text.
-func AppendQuery(b []byte, s string) []byte {
-	return appendString(AppendQueryHeader(b, len(s)), s)
+func AppendQuery(b []byte, text string) []byte {
+	return appendString(AppendQueryHeader(b, len(text)), text)
 }
 
 // AppendQueryHeader appends the header of a Query whose text has n bytes.
-func AppendQueryHeader(b []byte, n int) []byte {
-	return binary.BigEndian.AppendUint32(append(b, 'Q'), uint32(n+5))
+func AppendQueryHeader(b []byte, length int) []byte {
+	return binary.BigEndian.AppendUint32(append(b, 'Q'), uint32(length+5))
 }
--- a/internal/pgwire/parse.go
+++ b/internal/pgwire/parse.go
@@ -8,7 +8,7 @@
 func Body(message []byte) []byte { return message[headerBytes:] }
 
 // splitString splits off one string that ends in a zero byte.
-func splitString(b []byte) (s, rest []byte, ok bool) {
+func splitString(b []byte) (text, rest []byte, ok bool) {
 	for i, c := range b {
 		if c == 0 {
 			return b[:i], b[i+1:], true
--- a/internal/pgwire/read.go
+++ b/internal/pgwire/read.go
@@ -45,44 +45,44 @@
 }
 
 // ReadHeader reads the kind of the next message and the length of its body. A clean end before it is io.EOF.
-func ReadHeader(r *bufio.Reader) (kind byte, n int, err error) {
+func ReadHeader(r *bufio.Reader) (kind byte, length int, err error) {
 	var header [headerBytes]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
 		return 0, 0, err
 	}
-	n = int(binary.BigEndian.Uint32(header[1:]))
-	if n < lengthBytes || n > MaxMessage || header[0] < 'A' || header[0] > 'z' {
-		return 0, 0, fmt.Errorf("%w: kind %q, length %d", ErrFraming, header[0], n)
+	length = int(binary.BigEndian.Uint32(header[1:]))
+	if length < lengthBytes || length > MaxMessage || header[0] < 'A' || header[0] > 'z' {
+		return 0, 0, fmt.Errorf("%w: kind %q, length %d", ErrFraming, header[0], length)
 	}
-	return header[0], n - lengthBytes, nil
+	return header[0], length - lengthBytes, nil
 }
 
 // Buffered says whether the message that begins with a header is complete in a buffer of n bytes.
-func Buffered(header []byte, n int) bool {
-	return len(header) == headerBytes && uint64(binary.BigEndian.Uint32(header[1:])) < uint64(n)
+func Buffered(header []byte, length int) bool {
+	return len(header) == headerBytes && uint64(binary.BigEndian.Uint32(header[1:])) < uint64(length)
 }
 
 // ReadBody appends the n bytes that follow a header.
-func ReadBody(r *bufio.Reader, buf []byte, n int) ([]byte, error) {
-	for n > 0 { // the buffer grows as bytes arrive: a length alone must not cost memory
-		size := min(n, readStep)
+func ReadBody(r *bufio.Reader, buf []byte, length int) ([]byte, error) {
+	for length > 0 { // the buffer grows as bytes arrive: a length alone must not cost memory
+		size := min(length, readStep)
 		buf = append(buf, make([]byte, size)...)
 		if _, err := io.ReadFull(r, buf[len(buf)-size:]); err != nil {
 			return buf, unexpectedEOF(err)
 		}
-		n -= size
+		length -= size
 	}
 	return buf, nil
 }
 
 // Read appends the next message to buf: kind, length and body, as they came. A clean end before it is io.EOF.
 func Read(r *bufio.Reader, buf []byte) (kind byte, message []byte, err error) {
-	kind, n, err := ReadHeader(r)
+	kind, length, err := ReadHeader(r)
 	if err != nil {
 		return 0, buf, err
 	}
-	buf = binary.BigEndian.AppendUint32(append(buf, kind), uint32(n+lengthBytes))
-	buf, err = ReadBody(r, buf, n)
+	buf = binary.BigEndian.AppendUint32(append(buf, kind), uint32(length+lengthBytes))
+	buf, err = ReadBody(r, buf, length)
 	return kind, buf, err
 }
 
--- a/internal/plan/problem.go
+++ b/internal/plan/problem.go
@@ -70,7 +70,7 @@
 }
 
 // check returns what makes a problem invalid.
-func check(members []Member, steps []Step, l *Limits) error {
+func check(members []Member, steps []Step, limits *Limits) error {
 	byName, err := checkMembers(members)
 	if err != nil {
 		return err
@@ -83,9 +83,10 @@
 		}
 		seen[s.Member] = true
 	}
-	negative := slices.ContainsFunc([]float64{l.ReplaceTime, l.WarmupTime, l.WriteGap, l.SwitchInterval, l.MaxWriteGap,
-		l.Deadline, l.WarmupCapacity}, func(limit float64) bool { return limit < 0 })
-	if negative || l.MaxUnavailable < 1 || l.WarmupCapacity > 1 {
+	notNegative := []float64{limits.ReplaceTime, limits.WarmupTime, limits.WarmupCapacity, limits.WriteGap,
+		limits.MaxWriteGap, limits.SwitchInterval, limits.Deadline}
+	negative := slices.ContainsFunc(notNegative, func(limit float64) bool { return limit < 0 })
+	if negative || limits.MaxUnavailable < 1 || limits.WarmupCapacity > 1 {
 		return errors.New("limits want one cold member at the least, and nothing below zero")
 	}
 	return nil
@@ -113,20 +114,20 @@
 }
 
 // shortage names a capacity that is not there even with all members available; empty for none.
-func shortage(members []Member, l *Limits) string {
+func shortage(members []Member, limits *Limits) string {
 	groups, zones := map[int64]float64{}, map[string]float64{}
 	for _, m := range members {
 		groups[m.Group] += m.Capacity
 		zones[m.Zone] += m.Capacity
 	}
 	const format = "capacity: %s has %g of the %g that it needs, with nobody away"
-	for _, group := range slices.Sorted(maps.Keys(l.GroupCapacity)) {
-		if need := l.GroupCapacity[group]; groups[group] < need-epsilon {
+	for _, group := range slices.Sorted(maps.Keys(limits.GroupCapacity)) {
+		if need := limits.GroupCapacity[group]; groups[group] < need-epsilon {
 			return fmt.Sprintf(format, fmt.Sprintf("group %d", group), groups[group], need)
 		}
 	}
-	for _, zone := range slices.Sorted(maps.Keys(l.ZoneCapacity)) {
-		if need := l.ZoneCapacity[zone]; zones[zone] < need-epsilon {
+	for _, zone := range slices.Sorted(maps.Keys(limits.ZoneCapacity)) {
+		if need := limits.ZoneCapacity[zone]; zones[zone] < need-epsilon {
 			return fmt.Sprintf(format, "zone "+zone, zones[zone], need)
 		}
 	}
--- a/internal/plan/schedule.go
+++ b/internal/plan/schedule.go
@@ -30,19 +30,19 @@
 	primaries map[int64]string  // by group; empty once it has changed: the new one is not known
 }
 
-func newSchedule(members []Member, l Limits) *schedule {
+func newSchedule(members []Member, limits Limits) *schedule {
 	s := &schedule{
-		limits:    l,
+		limits:    limits,
 		members:   map[string]Member{},
 		groups:    map[int64][]Member{},
 		writeGaps: map[int64]float64{},
 		primaries: map[int64]string{},
 	}
-	for _, m := range members {
-		s.members[m.Name] = m
-		s.groups[m.Group] = append(s.groups[m.Group], m)
-		if m.Primary {
-			s.primaries[m.Group] = m.Name
+	for _, member := range members {
+		s.members[member.Name] = member
+		s.groups[member.Group] = append(s.groups[member.Group], member)
+		if member.Primary {
+			s.primaries[member.Group] = member.Name
 		}
 	}
 	return s
@@ -105,96 +105,96 @@
 }
 
 // fit sets a step's times to a start, and names the first limit that forbids it; empty for none.
-func (s *schedule) fit(p *ScheduledStep, m Member, start float64) string {
-	p.Start, p.End = start, start+p.WriteGap
-	if p.Kind == Replace {
-		p.End += s.limits.ReplaceTime + s.limits.WarmupTime
+func (s *schedule) fit(step *ScheduledStep, member Member, start float64) string {
+	step.Start, step.End = start, start+step.WriteGap
+	if step.Kind == Replace {
+		step.End += s.limits.ReplaceTime + s.limits.WarmupTime
 	}
-	if deadline := s.limits.Deadline; deadline > 0 && p.End > deadline {
-		return fmt.Sprintf("time: it would end at %g s, %g are allowed", p.End, deadline)
+	if deadline := s.limits.Deadline; deadline > 0 && step.End > deadline {
+		return fmt.Sprintf("time: it would end at %g s, %g are allowed", step.End, deadline)
 	}
-	if p.ChangesPrimary {
-		if limit := s.checkChange(p, m); limit != "" {
+	if step.ChangesPrimary {
+		if limit := s.checkChange(step, member); limit != "" {
 			return limit
 		}
 	}
-	outages := append(slices.Clone(s.outages), s.outagesOf(p, m)...)
-	moments := beginnings(outages, p)
-	if limit := s.checkCapacity(p, m, outages, moments); limit != "" {
+	outages := append(slices.Clone(s.outages), s.outagesOf(step, member)...)
+	moments := beginnings(outages, step)
+	if limit := s.checkCapacity(step, member, outages, moments); limit != "" {
 		return limit
 	}
 	return s.checkUnavailable(outages, moments)
 }
 
 // outagesOf are a step's own: the member is away, and then it warms up.
-func (s *schedule) outagesOf(p *ScheduledStep, m Member) []outage {
-	if p.Kind != Replace {
+func (s *schedule) outagesOf(step *ScheduledStep, member Member) []outage {
+	if step.Kind != Replace {
 		return nil
 	}
-	from := p.Start + p.WriteGap
+	from := step.Start + step.WriteGap
 	back := from + s.limits.ReplaceTime
 	return []outage{
-		{from, back, m.Capacity, m},
-		{back, p.End, m.Capacity * (1 - s.limits.WarmupCapacity), m},
+		{from, back, member.Capacity, member},
+		{back, step.End, member.Capacity * (1 - s.limits.WarmupCapacity), member},
 	}
 }
 
 // beginnings are the moments within a step at which an outage begins: capacity is least at one of them.
-func beginnings(outages []outage, p *ScheduledStep) []float64 {
+func beginnings(outages []outage, step *ScheduledStep) []float64 {
 	moments := []float64{}
-	for _, o := range outages {
-		if o.from >= p.Start-epsilon && o.from < p.End {
-			moments = append(moments, o.from)
+	for _, outage := range outages {
+		if outage.from >= step.Start-epsilon && outage.from < step.End {
+			moments = append(moments, outage.from)
 		}
 	}
 	return moments
 }
 
 // checkChange names the first limit that forbids a change of the group's primary at the step's start.
-func (s *schedule) checkChange(p *ScheduledStep, m Member) string {
+func (s *schedule) checkChange(step *ScheduledStep, member Member) string {
 	for _, change := range s.changes {
-		if math.Abs(change-p.Start) < s.limits.SwitchInterval-epsilon {
+		if math.Abs(change-step.Start) < s.limits.SwitchInterval-epsilon {
 			return fmt.Sprintf("pause: a change of a primary at %g s is nearer than %g s", change, s.limits.SwitchInterval)
 		}
 	}
 	candidates := 0
-	for _, other := range s.groups[m.Group] {
-		if other.Name != m.Name && s.available(other, p.Start, p.Start+p.WriteGap) {
+	for _, other := range s.groups[member.Group] {
+		if other.Name != member.Name && s.available(other, step.Start, step.Start+step.WriteGap) {
 			candidates++
 		}
 	}
 	if wanted := s.limits.minCandidates(); candidates < wanted {
-		return fmt.Sprintf("candidates: group %d has %d warm members beside its primary, %d are wanted", m.Group, candidates,
-			wanted)
+		return fmt.Sprintf("candidates: group %d has %d warm members beside its primary, %d are wanted", member.Group,
+			candidates, wanted)
 	}
 	return ""
 }
 
 // available says whether a member has no outage within a time.
-func (s *schedule) available(m Member, from, to float64) bool {
-	return !slices.ContainsFunc(s.outages, func(o outage) bool {
-		return o.member.Name == m.Name && o.from < to+epsilon && o.to > from+epsilon
+func (s *schedule) available(member Member, from, to float64) bool {
+	return !slices.ContainsFunc(s.outages, func(outage outage) bool {
+		return outage.member.Name == member.Name && outage.from < to+epsilon && outage.to > from+epsilon
 	})
 }
 
 // checkCapacity sets the capacity that the group has left, and names the group or zone that would have too little.
-func (s *schedule) checkCapacity(p *ScheduledStep, m Member, outages []outage, moments []float64) string {
-	p.GroupCapacity = s.minCapacity(append([]float64{p.Start}, moments...), outages, func(other Member) bool {
-		return other.Group == m.Group
+func (s *schedule) checkCapacity(step *ScheduledStep, member Member, outages []outage, moments []float64) string {
+	step.GroupCapacity = s.minCapacity(append([]float64{step.Start}, moments...), outages, func(other Member) bool {
+		return other.Group == member.Group
 	})
-	if p.Kind != Replace {
+	if step.Kind != Replace {
 		return ""
 	}
-	if need := s.limits.GroupCapacity[m.Group]; p.GroupCapacity < need-epsilon {
-		return fmt.Sprintf("capacity: group %d would have %g of the %g that it needs", m.Group, p.GroupCapacity, need)
+	if need := s.limits.GroupCapacity[member.Group]; step.GroupCapacity < need-epsilon {
+		return fmt.Sprintf("capacity: group %d would have %g of the %g that it needs", member.Group, step.GroupCapacity, need)
 	}
-	need := s.limits.ZoneCapacity[m.Zone]
+	need := s.limits.ZoneCapacity[member.Zone]
 	if need <= 0 {
 		return ""
 	}
-	inZone := func(other Member) bool { return other.Zone == m.Zone }
+	inZone := func(other Member) bool { return other.Zone == member.Zone }
 	if left := s.minCapacity(moments, outages, inZone); left < need-epsilon {
-		return fmt.Sprintf("capacity: zone %s would have %g of the %g that it needs", m.Zone, left, need)
+		return fmt.Sprintf("capacity: zone %s would have %g of the %g that it needs", member.Zone, left, need)
 	}
 	return ""
 }
@@ -236,12 +236,12 @@
 }
 
 // add adds a step whose times keep all limits.
-func (s *schedule) add(p ScheduledStep, m Member) {
-	if p.ChangesPrimary {
-		s.changes = append(s.changes, p.Start)
-		s.writeGaps[m.Group] += p.WriteGap
-		s.primaries[m.Group] = ""
-	}
-	s.outages = append(s.outages, s.outagesOf(&p, m)...)
-	s.steps = append(s.steps, p)
+func (s *schedule) add(step ScheduledStep, member Member) {
+	if step.ChangesPrimary {
+		s.changes = append(s.changes, step.Start)
+		s.writeGaps[member.Group] += step.WriteGap
+		s.primaries[member.Group] = ""
+	}
+	s.outages = append(s.outages, s.outagesOf(&step, member)...)
+	s.steps = append(s.steps, step)
 }
--- a/internal/plan/solve.go
+++ b/internal/plan/solve.go
@@ -23,21 +23,21 @@
 
 // Solve schedules all steps, and returns them by their starts. It tries so many orders, drawn from a seed, and takes
 // the shortest plan. The error is an InfeasibleError, or says what makes the problem invalid.
-func Solve(members []Member, steps []Step, l Limits, attempts int, seed uint64) ([]ScheduledStep, error) {
-	if err := check(members, steps, &l); err != nil {
+func Solve(members []Member, steps []Step, limits Limits, attempts int, seed uint64) ([]ScheduledStep, error) {
+	if err := check(members, steps, &limits); err != nil {
 		return nil, err
 	}
 	if len(steps) > 0 {
-		if limit := shortage(members, &l); limit != "" {
+		if limit := shortage(members, &limits); limit != "" {
 			return nil, &InfeasibleError{steps[0], limit}
 		}
 	}
-	order := byPriority(members, steps, &l)
+	order := byPriority(members, steps, &limits)
 	var best []ScheduledStep
 	var infeasible error // of the first order that was
 	random := rand.New(rand.NewPCG(seed, 31))
 	for range max(attempts, 1) {
-		scheduled, err := newSchedule(members, l).scheduleAll(order)
+		scheduled, err := newSchedule(members, limits).scheduleAll(order)
 		if err == nil && (best == nil || length(scheduled) < length(best)) {
 			best = scheduled
 		} else if err != nil && infeasible == nil {
@@ -55,20 +55,20 @@
 }
 
 // byPriority orders steps by the capacity that their group has to spare without the member.
-func byPriority(members []Member, steps []Step, l *Limits) []Step {
-	spare := func(s Step) float64 {
+func byPriority(members []Member, steps []Step, limits *Limits) []Step {
+	spare := func(step Step) float64 {
 		total, own, group := 0.0, 0.0, int64(0)
-		for _, m := range members {
-			if m.Name == s.Member {
-				group, own = m.Group, m.Capacity
+		for _, member := range members {
+			if member.Name == step.Member {
+				group, own = member.Group, member.Capacity
 			}
 		}
-		for _, m := range members {
-			if m.Group == group {
-				total += m.Capacity
+		for _, member := range members {
+			if member.Group == group {
+				total += member.Capacity
 			}
 		}
-		return total - own - l.GroupCapacity[group]
+		return total - own - limits.GroupCapacity[group]
 	}
 	order := slices.Clone(steps)
 	slices.SortStableFunc(order, func(a, b Step) int {
--- a/internal/registry/consul.go
+++ b/internal/registry/consul.go
@@ -29,12 +29,12 @@
 	if linearizable {
 		consistency = "consistent"
 	}
-	u, err := c.query(ctx, endpoint, url.Values{consistency: {""}})
+	update, err := c.query(ctx, endpoint, url.Values{consistency: {""}})
 	if err != nil {
 		return err
 	}
-	u.Linearizable = linearizable
-	deliver(u)
+	update.Linearizable = linearizable
+	deliver(update)
 	return nil
 }
 
@@ -48,7 +48,7 @@
 ) error {
 	for reached := from - 1; ; {
 		watched, _, stop := watchdog(ctx, c.options.WatchTimeout)
-		u, err := c.query(watched, endpoint, url.Values{
+		update, err := c.query(watched, endpoint, url.Values{
 			"index": {strconv.FormatInt(reached, 10)},
 			"wait":  {fmt.Sprintf("%dms", c.drawWait().Milliseconds())},
 		})
@@ -58,16 +58,16 @@
 			return err
 		}
 		active()
-		if u.Revision < reached {
-			return fmt.Errorf("%w: index %d, not %d", errLagging, u.Revision, reached)
+		if update.Revision < reached {
+			return fmt.Errorf("%w: index %d, not %d", errLagging, update.Revision, reached)
 		}
-		if u.Revision > reached {
-			deliver(u)
+		if update.Revision > reached {
+			deliver(update)
 		}
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
-		reached = u.Revision
+		reached = update.Revision
 	}
 }
 
@@ -78,7 +78,7 @@
 }
 
 // query makes one query, blocking or not, and converts its response.
-func (c *consul) query(ctx context.Context, endpoint int, parameters url.Values) (u roster.Update, err error) {
+func (c *consul) query(ctx context.Context, endpoint int, parameters url.Values) (update roster.Update, err error) {
 	path := "/v1/kv/" + c.options.Prefix
 	if c.options.Service != "" {
 		path = "/v1/health/service/" + url.PathEscape(c.options.Service)
@@ -87,23 +87,23 @@
 	}
 	response, err := c.do(ctx, http.MethodGet, endpoint, path+"?"+parameters.Encode(), nil)
 	if err != nil {
-		return u, err
+		return update, err
 	}
 	if err := c.checkQuery(&response); err != nil {
-		return u, err
+		return update, err
 	}
-	u = roster.Update{Source: roster.SourceRegistry, Snapshot: true}
+	update = roster.Update{Source: roster.SourceRegistry, Snapshot: true}
 	index := response.header.Get("X-Consul-Index")
-	if u.Revision, err = strconv.ParseInt(index, 10, 64); err != nil || u.Revision < 1 {
-		return u, fmt.Errorf("index %.20q", index)
+	if update.Revision, err = strconv.ParseInt(index, 10, 64); err != nil || update.Revision < 1 {
+		return update, fmt.Errorf("index %.20q", index)
 	}
 	switch {
 	case response.status == http.StatusNotFound: // no key has the prefix
-		return u, nil
+		return update, nil
 	case c.options.Service != "":
-		return u, addInstances(&u, response.body)
+		return update, addInstances(&update, response.body)
 	}
-	return u, c.addKeys(&u, response.body)
+	return update, c.addKeys(&update, response.body)
 }
 
 // checkQuery returns the error that a response states. That no key has the prefix is none.
@@ -119,7 +119,7 @@
 	return nil
 }
 
-func (c *consul) addKeys(u *roster.Update, text []byte) error {
+func (c *consul) addKeys(update *roster.Update, text []byte) error {
 	var keys []struct {
 		Key         string
 		Value       []byte
@@ -130,7 +130,7 @@
 	}
 	for _, k := range keys {
 		if k.Key != c.options.Prefix {
-			addEntry(u, strings.TrimPrefix(k.Key, c.options.Prefix), k.Value, k.ModifyIndex)
+			addEntry(update, strings.TrimPrefix(k.Key, c.options.Prefix), k.Value, k.ModifyIndex)
 		}
 	}
 	return nil
--- a/internal/registry/consul_service.go
+++ b/internal/registry/consul_service.go
@@ -34,7 +34,7 @@
 }
 
 // addInstances adds a service's instances to an update.
-func addInstances(u *roster.Update, text []byte) error {
+func addInstances(update *roster.Update, text []byte) error {
 	var instances []consulInstance
 	if err := json.Unmarshal(text, &instances); err != nil {
 		return err
@@ -43,10 +43,10 @@
 		id, form := instances[i].Service.ID, instances[i].entry()
 		value, err := json.Marshal(form)
 		if err != nil { // metadata that should be a number and is none
-			addInvalid(u, id, phases[form.Phase], err)
+			addInvalid(update, id, phases[form.Phase], err)
 			continue
 		}
-		addEntry(u, id, value, 0) // no revision: an instance's own index does not move with its checks
+		addEntry(update, id, value, 0) // no revision: an instance's own index does not move with its checks
 	}
 	return nil
 }
--- a/internal/registry/entry.go
+++ b/internal/registry/entry.go
@@ -95,21 +95,21 @@
 }
 
 // addEntry adds a key that is present to an update, as valid or as invalid.
-func addEntry(u *roster.Update, id string, value []byte, modRevision int64) {
+func addEntry(update *roster.Update, id string, value []byte, modRevision int64) {
 	e, err := parseEntry(id, value)
 	if err != nil {
-		addInvalid(u, id, e.Phase, err)
+		addInvalid(update, id, e.Phase, err)
 		return
 	}
 	e.ModRevision = modRevision
-	u.Entries = append(u.Entries, e)
+	update.Entries = append(update.Entries, e)
 }
 
-func addInvalid(u *roster.Update, id string, phase roster.Phase, err error) {
-	u.Invalid = append(u.Invalid, roster.InvalidEntry{ID: id, Reason: err.Error(), Phase: phase})
+func addInvalid(update *roster.Update, id string, phase roster.Phase, err error) {
+	update.Invalid = append(update.Invalid, roster.InvalidEntry{ID: id, Reason: err.Error(), Phase: phase})
 }
 
 // addRemoval adds a key that was deleted to an update.
-func addRemoval(u *roster.Update, id string, modRevision int64) {
-	u.Entries = append(u.Entries, roster.Entry{ID: id, Phase: roster.PhaseRemoved, ModRevision: modRevision})
+func addRemoval(update *roster.Update, id string, modRevision int64) {
+	update.Entries = append(update.Entries, roster.Entry{ID: id, Phase: roster.PhaseRemoved, ModRevision: modRevision})
 }
--- a/internal/registry/etcd_members.go
+++ b/internal/registry/etcd_members.go
@@ -81,7 +81,7 @@
 				return errors.New("an answer without a revision")
 			}
 		}
-		u := roster.Update{
+		update := roster.Update{
 			Source:       roster.SourceRegistry,
 			Epoch:        page.Header.Cluster,
 			Revision:     revision,
@@ -90,10 +90,10 @@
 			Fragment:     page.More && len(page.KVs) > 0,
 		}
 		for _, kv := range page.KVs {
-			addEntry(&u, c.memberID(kv.Key), kv.Value, kv.ModRevision)
+			addEntry(&update, c.memberID(kv.Key), kv.Value, kv.ModRevision)
 		}
-		deliver(u)
-		if !u.Fragment {
+		deliver(update)
+		if !update.Fragment {
 			return nil
 		}
 		next = slices.Concat(page.KVs[len(page.KVs)-1].Key, []byte{0})
@@ -163,10 +163,10 @@
 		if err := message.Result.check(reached); err != nil {
 			return err
 		}
-		u := c.watchUpdate(&message.Result, reached)
-		deliver(u)
-		if !u.Fragment {
-			reached = u.Revision
+		update := c.watchUpdate(&message.Result, reached)
+		deliver(update)
+		if !update.Fragment {
+			reached = update.Revision
 		}
 	}
 }
@@ -188,7 +188,7 @@
 
 // watchUpdate converts one message of a watch.
 func (c *etcd) watchUpdate(r *etcdWatchResponse, reached int64) roster.Update {
-	u := roster.Update{
+	update := roster.Update{
 		Source:           roster.SourceRegistry,
 		Epoch:            r.Header.Cluster,
 		Revision:         reached,
@@ -197,14 +197,14 @@
 	}
 	for _, e := range r.Events {
 		if id := c.memberID(e.KV.Key); e.Type == "DELETE" {
-			addRemoval(&u, id, e.KV.ModRevision)
+			addRemoval(&update, id, e.KV.ModRevision)
 		} else {
-			addEntry(&u, id, e.KV.Value, e.KV.ModRevision)
+			addEntry(&update, id, e.KV.Value, e.KV.ModRevision)
 		}
-		u.Revision = max(u.Revision, e.KV.ModRevision)
+		update.Revision = max(update.Revision, e.KV.ModRevision)
 	}
 	if len(r.Events) == 0 && !r.Created && !r.Fragment {
-		u.Revision = max(reached, r.Header.Revision) // a progress notification: nothing under the prefix up to there
+		update.Revision = max(reached, r.Header.Revision) // a progress notification: nothing under the prefix up to there
 	}
-	return u
+	return update
 }
--- a/internal/registry/watcher.go
+++ b/internal/registry/watcher.go
@@ -61,12 +61,12 @@
 	result := performed{verdict: roster.VerdictApplied}
 	unwanted, stop := context.WithCancel(ctx)
 	defer stop()
-	deliver := func(u roster.Update) {
+	deliver := func(update roster.Update) {
 		if !result.accepts() {
 			return
 		}
 		result.active = true
-		result.verdict, result.confirmAfter = w.Apply(u)
+		result.verdict, result.confirmAfter = w.Apply(update)
 		if result.verdict == roster.VerdictGap || result.verdict == roster.VerdictUnconfirmed {
 			stop()
 		}
@@ -91,23 +91,23 @@
 }
 
 // report tells the scheduler, and the owner where the registry is lost, what became of a call.
-func (w *Watcher) report(kind roster.CallKind, p performed) {
+func (w *Watcher) report(kind roster.CallKind, outcome performed) {
 	switch {
-	case p.verdict == roster.VerdictUnconfirmed:
-		w.Scheduler.ResyncAfter(p.confirmAfter)
-	case p.verdict == roster.VerdictGap:
+	case outcome.verdict == roster.VerdictUnconfirmed:
+		w.Scheduler.ResyncAfter(outcome.confirmAfter)
+	case outcome.verdict == roster.VerdictGap:
 		w.Scheduler.Resync(w.Now())
-	case p.verdict == roster.VerdictFragment && p.err == nil && kind == roster.CallWatch:
+	case outcome.verdict == roster.VerdictFragment && outcome.err == nil && kind == roster.CallWatch:
 		w.OnDisconnect(errCancelled) // its time was over in the middle of a revision: half of it counts for nothing
-		w.Scheduler.CallEnded(w.Now(), kind, roster.CallSucceeded, p.active)
-	case p.verdict == roster.VerdictStale && kind == roster.CallRead && p.err == nil:
-		w.Scheduler.CallEnded(w.Now(), kind, roster.CallStale, p.active)
+		w.Scheduler.CallEnded(w.Now(), kind, roster.CallSucceeded, outcome.active)
+	case outcome.verdict == roster.VerdictStale && kind == roster.CallRead && outcome.err == nil:
+		w.Scheduler.CallEnded(w.Now(), kind, roster.CallStale, outcome.active)
 	default:
-		result := ResultOf(p.err)
-		if p.err != nil && result != roster.CallCompacted {
-			w.OnDisconnect(p.err)
+		result := ResultOf(outcome.err)
+		if outcome.err != nil && result != roster.CallCompacted {
+			w.OnDisconnect(outcome.err)
 		}
-		w.Scheduler.CallEnded(w.Now(), kind, result, p.active)
+		w.Scheduler.CallEnded(w.Now(), kind, result, outcome.active)
 	}
 }
 
