--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -1,7 +1,7 @@
 package fleet
 
-// Several processes of the built program, and faults between them. Each test waits for what is to become so, with a limit
-// that a machine under load keeps as well, and never takes a time for proof.
+// Several processes of the built program, and faults between them. Each test waits for a condition, with a timeout that a
+// loaded machine keeps as well, and takes no duration for proof.
 
 import (
 	"context"
@@ -45,23 +45,23 @@
 	os.Exit(code)
 }
 
-const patience = 90 * time.Second
+const timeout = 90 * time.Second
 
-var all = []int{0, 1, 2, 3, 4}
+var allDrivers = []int{0, 1, 2, 3, 4}
 
-// start runs a fleet of five and waits until it is whole.
-func start(t *testing.T, o Options) *Fleet {
+// startFleet starts a fleet of five and waits until all see each other.
+func startFleet(t *testing.T, o Options) *Fleet {
 	t.Helper()
 	t.Parallel()
-	f := places(t, o)
+	f := newFleet(t, o)
 	if err := f.StartAll(); err != nil {
 		t.Fatal(err)
 	}
-	f.await(t, "a whole fleet", func() bool { return f.HavePartitionStatus(membership.Complete, all...) })
+	f.eventually(t, "a complete fleet", func() bool { return f.HavePartitionStatus(membership.Complete, allDrivers...) })
 	return f
 }
 
-func places(t *testing.T, o Options) *Fleet {
+func newFleet(t *testing.T, o Options) *Fleet {
 	t.Helper()
 	o.Program = program
 	if o.Drivers == 0 {
@@ -84,7 +84,7 @@
 			for _, d := range f.Drivers {
 				s, err := d.Status()
 				text, _ := json.Marshal(s)
-				if z, ok := d.zones(); ok {
+				if z, ok := d.zonesStatus(); ok {
 					text, _ := json.Marshal(z)
 					t.Logf("%s: %s", d.Name, text)
 				}
@@ -97,19 +97,19 @@
 	return f
 }
 
-func (f *Fleet) await(t *testing.T, what string, so func() bool) {
+func (f *Fleet) eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !so(); time.Sleep(50 * time.Millisecond) {
+	for end := time.Now().Add(timeout); !condition(); time.Sleep(50 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%s: not so after %v", what, patience)
+			t.Fatalf("%s: not after %v", what, timeout)
 		}
 	}
 }
 
-// sees says whether all of these see a driver in a state.
-func (f *Fleet) sees(of int, want membership.State, at ...int) bool {
-	for _, i := range at {
-		if v, ok := f.View(i, of); !ok || v.State != want {
+// sees says whether all of these observers see a driver in a state.
+func (f *Fleet) sees(subject int, want membership.State, observers ...int) bool {
+	for _, i := range observers {
+		if v, ok := f.View(i, subject); !ok || v.State != want {
 			return false
 		}
 	}
@@ -125,10 +125,10 @@
 	return true
 }
 
-// With a folder a fleet that is killed as a whole, and whose machines come back one by one, is the same fleet: its first
-// driver waits for the rest and founds nothing, and all vote at once. A folder that has lost what it held is refused.
+// With folders a fleet that is killed as a whole, and whose machines come back one by one, is the same fleet: its first
+// driver waits for the rest and founds nothing, and all vote at once. A folder that has lost its content is refused.
 func TestVotesOutliveProcesses(t *testing.T) {
-	f := start(t, Options{Seed: 21, KeepVotes: true})
+	f := startFleet(t, Options{Seed: 21, KeepVotes: true})
 	before, err := f.Drivers[0].Status()
 	if err != nil {
 		t.Fatal(err)
@@ -139,14 +139,14 @@
 	if err := f.StartDrivers(0); err != nil {
 		t.Fatal(err)
 	}
-	f.await(t, "the first one back is alone", func() bool { return f.HavePartitionStatus(membership.Isolated, 0) })
+	f.eventually(t, "the first one back is alone", func() bool { return f.HavePartitionStatus(membership.Isolated, 0) })
 	if _, err := f.Drivers[0].Control.NotifyHook(context.Background(), switchover.Notification{Group: 1, Stage: switchover.StageHeld}); err == nil || !strings.Contains(err.Error(), "503") {
 		t.Errorf("a hold begun alone: %v", err)
 	}
 	if err := f.StartDrivers(1, 2); err != nil {
 		t.Fatal(err)
 	}
-	f.await(t, "three of five", func() bool { return f.HavePartitionStatus(membership.Majority, 0, 1, 2) })
+	f.eventually(t, "three of five", func() bool { return f.HavePartitionStatus(membership.Majority, 0, 1, 2) })
 	s, err := f.Drivers[0].Status()
 	if err != nil || s.Roster.Lineage != before.Roster.Lineage || !slices.Equal(s.Roster.Names, before.Roster.Names) {
 		t.Fatalf("another fleet: %+v %v, before %+v", s.Roster, err, before.Roster)
@@ -154,7 +154,7 @@
 	if err := f.Drivers[1].Control.Forget(context.Background(), control.ForgetRequest{Name: "n4"}); err != nil {
 		t.Fatal(err)
 	}
-	f.await(t, "a roster agreed on by three that were all killed", func() bool { return f.rosterIs(4, 0, 1, 2) })
+	f.eventually(t, "a roster agreed on by three that were all killed", func() bool { return f.rosterIs(4, 0, 1, 2) })
 	f.Drivers[2].Kill()
 	logs, err := filepath.Glob(filepath.Join(f.Drivers[2].file("votes"), "*"))
 	if err != nil || len(logs) == 0 {
@@ -171,20 +171,20 @@
 	if err := f.StartDrivers(2); err != nil {
 		t.Fatal(err)
 	}
-	f.await(t, "a spoilt folder is refused", func() bool { return strings.Contains(f.Drivers[2].Log(), "move it away") })
+	f.eventually(t, "a spoilt folder is refused", func() bool { return strings.Contains(f.Drivers[2].Log(), "move it away") })
 }
 
 func TestKills(t *testing.T) {
-	f := start(t, Options{Seed: 1})
+	f := startFleet(t, Options{Seed: 1})
 	f.Drivers[4].Kill()
-	f.await(t, "one killed", func() bool {
+	f.eventually(t, "one killed", func() bool {
 		return f.sees(4, membership.Failed, 0, 1, 2, 3) && f.HavePartitionStatus(membership.Majority, 0, 1, 2, 3)
 	})
 	f.Drivers[3].Kill()
 	f.Drivers[2].Kill()
-	f.await(t, "the majority killed", func() bool { return f.HavePartitionStatus(membership.Minority, 0, 1) })
+	f.eventually(t, "the majority killed", func() bool { return f.HavePartitionStatus(membership.Minority, 0, 1) })
 	f.Drivers[1].Kill()
-	f.await(t, "all but one killed", func() bool { return f.HavePartitionStatus(membership.Isolated, 0) })
+	f.eventually(t, "all but one killed", func() bool { return f.HavePartitionStatus(membership.Isolated, 0) })
 	if s, err := f.Drivers[0].Status(); err != nil || s.Count != 10 || len(s.Roster.Names) != 5 {
 		t.Errorf("a loss may not shrink what is counted: %+v %v", s, err)
 	}
@@ -196,24 +196,26 @@
 			t.Fatal(err)
 		}
 	}
-	f.await(t, "all back", func() bool { return f.HavePartitionStatus(membership.Complete, all...) && f.rosterIs(5, all...) })
+	f.eventually(t, "all back", func() bool {
+		return f.HavePartitionStatus(membership.Complete, allDrivers...) && f.rosterIs(5, allDrivers...)
+	})
 }
 
 func TestStopsAndGrowth(t *testing.T) {
-	f := start(t, Options{Seed: 2, Spare: 1})
+	f := startFleet(t, Options{Seed: 2, Spare: 1})
 	f.Drivers[4].Stop()
-	f.await(t, "one stopped", func() bool {
+	f.eventually(t, "one stopped", func() bool {
 		return f.sees(4, membership.Left, 0, 1, 2, 3) && f.HavePartitionStatus(membership.Complete, 0, 1, 2, 3) && f.rosterIs(4, 0, 1, 2, 3)
 	})
 	if err := f.Drivers[5].Start(); err != nil {
 		t.Fatal(err)
 	}
-	f.await(t, "another one", func() bool {
+	f.eventually(t, "another one", func() bool {
 		return f.HavePartitionStatus(membership.Complete, 0, 1, 2, 3, 5) && f.rosterIs(5, 0, 1, 2, 3, 5)
 	})
 	f.Drivers[5].Kill()
-	f.await(t, "and it fails", func() bool { return f.sees(5, membership.Failed, 0, 1, 2, 3) })
-	f.await(t, "and is forgotten", func() bool {
+	f.eventually(t, "and it fails", func() bool { return f.sees(5, membership.Failed, 0, 1, 2, 3) })
+	f.eventually(t, "and is forgotten", func() bool {
 		err := f.Drivers[0].Control.Forget(context.Background(), control.ForgetRequest{Name: "n5"})
 		return err == nil && f.HavePartitionStatus(membership.Complete, 0, 1, 2, 3) && f.rosterIs(4, 0, 1, 2, 3)
 	})
@@ -222,25 +224,25 @@
 	}
 }
 
-func TestFrozen(t *testing.T) {
-	f := start(t, Options{Seed: 3})
+func TestPausedDrivers(t *testing.T) {
+	f := startFleet(t, Options{Seed: 3})
 	f.Drivers[2].Freeze()
-	f.await(t, "it is missed", func() bool { return f.sees(2, membership.Suspect, 0) || f.sees(2, membership.Failed, 0) })
+	f.eventually(t, "it is missed", func() bool { return f.sees(2, membership.Suspect, 0) || f.sees(2, membership.Failed, 0) })
 	f.Drivers[2].Thaw()
-	f.await(t, "thawed as it is missed", func() bool { return f.HavePartitionStatus(membership.Complete, all...) })
+	f.eventually(t, "thawed as it is missed", func() bool { return f.HavePartitionStatus(membership.Complete, allDrivers...) })
 	f.Drivers[2].Freeze()
-	f.await(t, "it failed", func() bool { return f.sees(2, membership.Failed, 0, 1, 3, 4) })
+	f.eventually(t, "it failed", func() bool { return f.sees(2, membership.Failed, 0, 1, 3, 4) })
 	f.Drivers[2].Thaw()
-	f.await(t, "thawed when it had failed", func() bool { return f.HavePartitionStatus(membership.Complete, all...) })
+	f.eventually(t, "thawed when it had failed", func() bool { return f.HavePartitionStatus(membership.Complete, allDrivers...) })
 	if log := f.Drivers[2].Log(); !strings.Contains(log, "reason=stood_still") || strings.Contains(log, "reason=fellow_failed") {
 		t.Errorf("the one that stood still blames others:\n%s", log)
 	}
 }
 
-func TestParts(t *testing.T) {
-	f := start(t, Options{Seed: 4, Spare: 2})
+func TestPartitions(t *testing.T) {
+	f := startFleet(t, Options{Seed: 4, Spare: 2})
 	f.Links.Partition(0, 0, 1, 1, 1, 0, 0)
-	f.await(t, "two against three", func() bool {
+	f.eventually(t, "two against three", func() bool {
 		return f.HavePartitionStatus(membership.Minority, 0, 1) && f.HavePartitionStatus(membership.Majority, 2, 3, 4)
 	})
 	for _, i := range []int{5, 6} {
@@ -248,83 +250,83 @@
 			t.Fatal(err)
 		}
 	}
-	f.await(t, "newcomers of the smaller part", func() bool {
+	f.eventually(t, "newcomers of the smaller part", func() bool {
 		return f.HavePartitionStatus(membership.Minority, 0, 1, 5, 6) && f.rosterIs(5, 0, 1, 2, 3, 4, 5, 6)
 	})
 	f.Drivers[4].Kill() // both views change, then they meet
-	f.await(t, "three of five less one", func() bool {
+	f.eventually(t, "three of five less one", func() bool {
 		return f.HavePartitionStatus(membership.Undetermined, 2, 3) || f.HavePartitionStatus(membership.Minority, 2, 3)
 	})
 	f.Links.Heal()
-	f.await(t, "two changed views meet", func() bool {
+	f.eventually(t, "two changed views meet", func() bool {
 		return f.HavePartitionStatus(membership.Majority, 0, 1, 2, 3, 5, 6) && f.rosterIs(7, 0, 1, 2, 3, 5, 6) && f.sees(4, membership.Failed, 0, 1, 2, 3, 5, 6)
 	})
 	f.Links.Partition(0, 1, 1, 1, 1, 1, 1)
-	f.await(t, "one against the rest", func() bool {
+	f.eventually(t, "one against the rest", func() bool {
 		return f.HavePartitionStatus(membership.Isolated, 0) && f.HavePartitionStatus(membership.Majority, 1, 2, 3, 5, 6)
 	})
 	f.Links.Heal()
 	if err := f.Drivers[4].Start(); err != nil {
 		t.Fatal(err)
 	}
-	f.await(t, "all there", func() bool { return f.HavePartitionStatus(membership.Complete, 0, 1, 2, 3, 4, 5, 6) })
+	f.eventually(t, "all there", func() bool { return f.HavePartitionStatus(membership.Complete, 0, 1, 2, 3, 4, 5, 6) })
 	for _, d := range f.Drivers {
 		d.views(t)
 	}
 }
 
 func TestOneDirectionAndRing(t *testing.T) {
-	f := start(t, Options{Seed: 5})
+	f := startFleet(t, Options{Seed: 5})
 	f.Links.Set(0, 1, links.Link{Blocked: true})
-	f.await(t, "who does not hear whom", func() bool {
+	f.eventually(t, "who does not hear whom", func() bool {
 		v, ok := f.View(3, 1)
 		own, known := f.View(1, 0)
 		back, heard := f.View(0, 1)
 		return ok && slices.Contains(v.Unreachable, "n0") && known && !own.Reachable && own.State == membership.Alive && heard && back.Reachable
 	})
-	f.await(t, "nobody is lost by it", func() bool { return f.HavePartitionStatus(membership.Complete, all...) })
+	f.eventually(t, "nobody is lost by it", func() bool { return f.HavePartitionStatus(membership.Complete, allDrivers...) })
 	f.Links.Heal()
-	f.await(t, "healed", func() bool { own, ok := f.View(1, 0); return ok && own.Reachable })
+	f.eventually(t, "healed", func() bool { own, ok := f.View(1, 0); return ok && own.Reachable })
 	f.Links.SetAll(func(a, b int) (w links.Link) {
 		w.Blocked = (a+1)%5 != b && (b+1)%5 != a
 		return w
 	})
-	f.await(t, "a ring", func() bool {
+	f.eventually(t, "a ring", func() bool {
 		far, ok := f.View(0, 2)
 		near, known := f.View(0, 1)
-		return ok && known && !far.Reachable && near.Reachable && f.HavePartitionStatus(membership.Complete, all...)
+		return ok && known && !far.Reachable && near.Reachable && f.HavePartitionStatus(membership.Complete, allDrivers...)
 	})
 	f.Links.Heal()
-	f.await(t, "the ring is gone", func() bool {
+	f.eventually(t, "the ring is gone", func() bool {
 		far, ok := f.View(0, 2)
-		return ok && far.Reachable && f.HavePartitionStatus(membership.Complete, all...)
+		return ok && far.Reachable && f.HavePartitionStatus(membership.Complete, allDrivers...)
 	})
 }
 
-func TestLossDoublesAndDisorder(t *testing.T) {
-	f := start(t, Options{Seed: 6})
+func TestLossDuplicatesAndReordering(t *testing.T) {
+	f := startFleet(t, Options{Seed: 6})
 	f.Links.SetAll(func(a, b int) (w links.Link) {
 		w.Loss, w.Duplicate, w.Delay, w.Jitter = 0.3, 0.3, 2*time.Millisecond, 30*time.Millisecond
 		return w
 	})
 	f.Drivers[3].Kill()
-	f.await(t, "a loss is found all the same", func() bool { return f.sees(3, membership.Failed, 0, 1, 2, 4) })
+	f.eventually(t, "a loss is found all the same", func() bool { return f.sees(3, membership.Failed, 0, 1, 2, 4) })
 	if err := f.Drivers[3].Start(); err != nil {
 		t.Fatal(err)
 	}
-	f.await(t, "and a return", func() bool { return f.HavePartitionStatus(membership.Complete, all...) })
+	f.eventually(t, "and a return", func() bool { return f.HavePartitionStatus(membership.Complete, allDrivers...) })
 	f.Links.Heal()
-	f.await(t, "calm again", func() bool { return f.HavePartitionStatus(membership.Complete, all...) })
+	f.eventually(t, "calm again", func() bool { return f.HavePartitionStatus(membership.Complete, allDrivers...) })
 }
 
 func TestRestarts(t *testing.T) {
-	f := start(t, Options{Seed: 7})
+	f := startFleet(t, Options{Seed: 7})
 	for _, d := range f.Drivers {
 		d.Kill()
 		if err := d.Start(); err != nil {
 			t.Fatal(err)
 		}
-		f.await(t, "one by one", func() bool { return f.HavePartitionStatus(membership.Complete, all...) })
+		f.eventually(t, "one by one", func() bool { return f.HavePartitionStatus(membership.Complete, allDrivers...) })
 	}
 	for _, d := range f.Drivers {
 		d.Kill()
@@ -332,11 +334,13 @@
 	if err := f.StartAll(); err != nil {
 		t.Fatal(err)
 	}
-	f.await(t, "all at once", func() bool { return f.HavePartitionStatus(membership.Complete, all...) && f.rosterIs(5, all...) })
+	f.eventually(t, "all at once", func() bool {
+		return f.HavePartitionStatus(membership.Complete, allDrivers...) && f.rosterIs(5, allDrivers...)
+	})
 }
 
-func TestNameTwiceAndDeadSeeds(t *testing.T) {
-	f := places(t, Options{Seed: 8, Spare: 1, Seeds: func(i int) []int {
+func TestDuplicateNameAndDeadSeeds(t *testing.T) {
+	f := newFleet(t, Options{Seed: 8, Spare: 1, Seeds: func(i int) []int {
 		if i == 4 {
 			return []int{5} // nobody is there
 		}
@@ -346,29 +350,29 @@
 	if err := f.Drivers[4].Start(); err != nil {
 		t.Fatal(err)
 	}
-	f.await(t, "seeds that are dead", func() bool { return f.HavePartitionStatus(membership.Undetermined, 4) })
+	f.eventually(t, "seeds that are dead", func() bool { return f.HavePartitionStatus(membership.Undetermined, 4) })
 	if err := f.StartDrivers(0, 1, 2, 3); err != nil {
 		t.Fatal(err)
 	}
-	f.await(t, "found by others", func() bool { return f.HavePartitionStatus(membership.Complete, all...) })
+	f.eventually(t, "found by others", func() bool { return f.HavePartitionStatus(membership.Complete, allDrivers...) })
 	f.Drivers[5].Name = "n4"
 	if err := f.Drivers[5].Start(); err != nil {
 		t.Fatal(err)
 	}
-	f.await(t, "a name used twice", func() bool {
+	f.eventually(t, "a name used twice", func() bool {
 		s, err := f.Drivers[5].Status()
-		return err == nil && s.Partition == membership.Undetermined && s.Reason == "name_taken" && f.HavePartitionStatus(membership.Complete, all...)
+		return err == nil && s.Partition == membership.Undetermined && s.Reason == "name_taken" && f.HavePartitionStatus(membership.Complete, allDrivers...)
 	})
 	v, _ := f.View(0, 4)
 	if v.Address != f.Links.AdvertisedAddr(4) {
 		t.Errorf("the second one took the name: %+v", v)
 	}
 	f.Drivers[4].Kill()
-	f.await(t, "the second one gets it", func() bool { return f.HavePartitionStatus(membership.Complete, 0, 1, 2, 3, 5) })
+	f.eventually(t, "the second one gets it", func() bool { return f.HavePartitionStatus(membership.Complete, 0, 1, 2, 3, 5) })
 }
 
-func TestStrangers(t *testing.T) {
-	f := places(t, Options{Seed: 9, Spare: 1, Secret: func(i int) string {
+func TestForeignDrivers(t *testing.T) {
+	f := newFleet(t, Options{Seed: 9, Spare: 1, Secret: func(i int) string {
 		if i == 5 {
 			return "another secret"
 		}
@@ -378,11 +382,11 @@
 	if err := f.StartAll(); err != nil {
 		t.Fatal(err)
 	}
-	f.await(t, "a whole fleet", func() bool { return f.HavePartitionStatus(membership.Complete, all...) })
+	f.eventually(t, "a complete fleet", func() bool { return f.HavePartitionStatus(membership.Complete, allDrivers...) })
 	if err := f.Drivers[5].Start(); err != nil {
 		t.Fatal(err)
 	}
-	f.await(t, "a stranger", func() bool { return f.HavePartitionStatus(membership.Undetermined, 5) })
+	f.eventually(t, "a stranger", func() bool { return f.HavePartitionStatus(membership.Undetermined, 5) })
 	// whatever comes at the sockets, nobody is lost by it, and nobody is made up
 	udp, err := net.Dial("udp", f.Links.ListenAddr(0))
 	if err != nil {
@@ -401,13 +405,13 @@
 		c.Write([]byte("\x00\x1f\xff\xff garbage that never ends"))
 	}
 	f.Drivers[3].Kill()
-	f.await(t, "one failed", func() bool { return f.sees(3, membership.Failed, 0, 1, 2, 4) })
+	f.eventually(t, "one failed", func() bool { return f.sees(3, membership.Failed, 0, 1, 2, 4) })
 	for range 20 {
 		if f.Links.Replay() == 0 { // among it signs of life
 			t.Fatal("nothing to replay")
 		}
 	}
-	f.await(t, "old word changes nothing", func() bool {
+	f.eventually(t, "old word changes nothing", func() bool {
 		return f.sees(3, membership.Failed, 0, 1, 2, 4) && f.HavePartitionStatus(membership.Majority, 0, 1, 2, 4)
 	})
 	s, err := f.Drivers[0].Status()
@@ -418,7 +422,7 @@
 
 var writes = lab.OpKind{Name: "write", Share: 1, Write: true, Timeout: 4 * time.Second}
 
-// under plays a load at these drivers while something is done, and audits it.
+// under runs a load on these drivers during an action, and audits it.
 func (f *Fleet) under(t *testing.T, what func(), targets ...int) lab.Result {
 	t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
@@ -448,18 +452,19 @@
 	return s[0]
 }
 
-// stages says whether the change of group 1 is so at every driver.
+// stages says whether the change of group 1 fulfils a condition at every driver.
 func (f *Fleet) stages(so func(switchover.ChangeStatus) bool) bool {
 	return !slices.ContainsFunc(f.Drivers, func(d *Driver) bool { return !so(stage(d)) })
 }
 
-// A hold begun with the larger part while the smaller can't hear of it, released at the smaller; writes come to both.
+// A change is held in the larger partition while the smaller one can't learn of it, and released in the smaller; writes go
+// to both.
 func TestHoldAndReleaseOnTwoSides(t *testing.T) {
-	f := start(t, Options{Seed: 10})
+	f := startFleet(t, Options{Seed: 10})
 	c := f.options.Cluster
 	f.under(t, func() {
 		f.Links.Partition(0, 0, 1, 1, 1)
-		f.await(t, "two parts", func() bool {
+		f.eventually(t, "two parts", func() bool {
 			return f.HavePartitionStatus(membership.Minority, 0, 1) && f.HavePartitionStatus(membership.Majority, 2, 3, 4)
 		})
 		old := c.Primary(1)
@@ -472,56 +477,56 @@
 			t.Error(err)
 			return
 		}
-		f.await(t, "held with the larger part", func() bool {
+		f.eventually(t, "held with the larger part", func() bool {
 			return stage(f.Drivers[3]).Stage == switchover.StageHeld && stage(f.Drivers[4]).Stage == switchover.StageHeld
 		})
 		if s := stage(f.Drivers[0]); s.Stage != switchover.StageNone {
 			t.Errorf("it passed the cut: %+v", s)
 		}
 		c.Inject("demote", old)
-		f.await(t, "a new primary", func() bool { p := c.Primary(1); return p != "" && p != old })
+		f.eventually(t, "a new primary", func() bool { p := c.Primary(1); return p != "" && p != old })
 		if _, err := f.Drivers[0].Control.NotifyHook(context.Background(), switchover.Notification{Group: 1, Stage: switchover.StageReleased, Epoch: word.Epoch, From: old, To: c.Primary(1)}); err != nil {
 			t.Error(err)
 		}
 		f.Links.Heal()
-		f.await(t, "released everywhere", func() bool {
+		f.eventually(t, "released everywhere", func() bool {
 			return f.stages(func(s switchover.ChangeStatus) bool { return s.Stage == switchover.StageReleased && s.Finished })
 		})
-	}, all...)
+	}, allDrivers...)
 }
 
-// The primary changes, with and without a word, while the fleet is in two and both parts take writes.
-func TestPrimaryChangesInTwoParts(t *testing.T) {
-	f := start(t, Options{Seed: 11})
+// The primary changes, with and without notice, while the fleet is partitioned and both sides take writes.
+func TestPrimaryChangesInBothPartitions(t *testing.T) {
+	f := startFleet(t, Options{Seed: 11})
 	c := f.options.Cluster
 	f.under(t, func() {
 		f.Links.Partition(0, 0, 1, 1, 1)
-		f.await(t, "two parts", func() bool {
+		f.eventually(t, "two parts", func() bool {
 			return f.HavePartitionStatus(membership.Minority, 0, 1) && f.HavePartitionStatus(membership.Majority, 2, 3, 4)
 		})
 		old := c.Primary(1)
 		c.Inject("kill", old)
-		f.await(t, "a new primary", func() bool { p := c.Primary(1); return p != "" && p != old })
+		f.eventually(t, "a new primary", func() bool { p := c.Primary(1); return p != "" && p != old })
 		c.Inject("heal", old)
 		if _, err := c.Switchover(context.Background(), f.Drivers[4].Control, 1); err != nil {
 			t.Error(err)
 		}
 		f.Links.Heal()
-		f.await(t, "whole again", func() bool { return f.HavePartitionStatus(membership.Complete, all...) })
+		f.eventually(t, "whole again", func() bool { return f.HavePartitionStatus(membership.Complete, allDrivers...) })
 		if _, err := c.Switchover(context.Background(), f.Drivers[0].Control, 1); err != nil {
 			t.Error(err)
 		}
-		f.await(t, "all know", func() bool {
+		f.eventually(t, "all know", func() bool {
 			return f.stages(func(s switchover.ChangeStatus) bool {
 				return s.Stage == switchover.StageReleased && s.Epoch == stage(f.Drivers[0]).Epoch
 			})
 		})
-	}, all...)
+	}, allDrivers...)
 }
 
-// A driver dies while it holds, the one that the hook called: the others keep the hold and its lease, and release it.
-func TestDriverDiesWhileItHolds(t *testing.T) {
-	f := start(t, Options{Seed: 12})
+// The driver that the hook called dies while it holds writes: the others keep the hold and its lease, and release it.
+func TestDriverDiesWhileItHoldsWrites(t *testing.T) {
+	f := startFleet(t, Options{Seed: 12})
 	c := f.options.Cluster
 	f.under(t, func() {
 		old := c.Primary(1)
@@ -530,29 +535,29 @@
 			t.Error(err)
 			return
 		}
-		f.await(t, "held by all", func() bool {
+		f.eventually(t, "held by all", func() bool {
 			return f.stages(func(s switchover.ChangeStatus) bool { return s.Stage == switchover.StageHeld })
 		})
 		f.Drivers[4].Kill()
 		c.Inject("demote", old)
-		f.await(t, "a new primary", func() bool { p := c.Primary(1); return p != "" && p != old })
+		f.eventually(t, "a new primary", func() bool { p := c.Primary(1); return p != "" && p != old })
 		if err := f.Drivers[4].Start(); err != nil {
 			t.Error(err)
 			return
 		}
-		f.await(t, "the killed one, started again, knows of the hold", func() bool { return stage(f.Drivers[4]).Epoch == word.Epoch })
+		f.eventually(t, "the killed one, started again, knows of the hold", func() bool { return stage(f.Drivers[4]).Epoch == word.Epoch })
 		if _, err := f.Drivers[1].Control.NotifyHook(context.Background(), switchover.Notification{Group: 1, Stage: switchover.StageReleased, To: c.Primary(1)}); err != nil {
 			t.Error(err)
 		}
-		f.await(t, "released by all", func() bool {
+		f.eventually(t, "released by all", func() bool {
 			return f.stages(func(s switchover.ChangeStatus) bool { return s.Stage == switchover.StageReleased })
 		})
 	}, 0, 1, 2, 3)
 }
 
-// A drain that only the smaller part's list tells binds all that hear of it after the heal, through another cut as well, and
-// until a list as new says that the member is up.
-func TestDrainToldToTheSmallerPart(t *testing.T) {
+// A drain that only the smaller partition's list has binds all that learn of it after the heal, through another partition as
+// well, until a list of the same revision has the member up.
+func TestDrainAnnouncedToTheSmallerPartition(t *testing.T) {
 	c, err := lab.Start(lab.Options{ElectionTime: 300 * time.Millisecond, Members: 4})
 	if err != nil {
 		t.Fatal(err)
@@ -569,14 +574,14 @@
 		w.Write(old)
 	}))
 	defer late.Close()
-	f := start(t, Options{Seed: 13, Cluster: c, Discovery: func(i int) string {
+	f := startFleet(t, Options{Seed: 13, Cluster: c, Discovery: func(i int) string {
 		if i < 2 {
 			return c.Discovery()
 		}
 		return late.Listener.Addr().String()
 	}})
 	f.Links.Partition(0, 0, 1, 1, 1)
-	f.await(t, "two parts", func() bool {
+	f.eventually(t, "two parts", func() bool {
 		return f.HavePartitionStatus(membership.Minority, 0, 1) && f.HavePartitionStatus(membership.Majority, 2, 3, 4)
 	})
 	drained := c.Replica(1)
@@ -589,11 +594,11 @@
 		}
 		return true
 	}
-	f.await(t, "told to the smaller part", func() bool {
+	f.eventually(t, "told to the smaller part", func() bool {
 		return strings.Contains(f.Drivers[0].Log(), drained+"=draining") && strings.Contains(f.Drivers[1].Log(), drained+"=draining")
 	})
 	f.Links.Heal()
-	f.await(t, "heard of by the others", func() bool { return said("true", 2, 3, 4) })
+	f.eventually(t, "heard of by the others", func() bool { return said("true", 2, 3, 4) })
 	quiet := func(what string) {
 		t.Helper()
 		time.Sleep(2 * lab.DrainGrace) // what was sent before may still arrive
@@ -607,7 +612,7 @@
 	}
 	quiet("after the heal")
 	f.Links.Partition(0, 0, 1, 1, 1)
-	f.await(t, "two parts again", func() bool { return f.HavePartitionStatus(membership.Majority, 2, 3, 4) })
+	f.eventually(t, "two parts again", func() bool { return f.HavePartitionStatus(membership.Majority, 2, 3, 4) })
 	f.Drivers[0].Kill()
 	f.Drivers[1].Kill()
 	quiet("those that told it are gone")
@@ -617,13 +622,13 @@
 			t.Fatal(err)
 		}
 	}
-	f.await(t, "whole", func() bool { return f.HavePartitionStatus(membership.Complete, all...) })
+	f.eventually(t, "whole", func() bool { return f.HavePartitionStatus(membership.Complete, allDrivers...) })
 	quiet("after another heal")
 	c.Inject("undrain", drained)
-	f.await(t, "up again by a newer list", func() bool { return said("false", 2, 3, 4) })
+	f.eventually(t, "up again by a newer list", func() bool { return said("false", 2, 3, 4) })
 }
 
-// views checks what the commands print of a driver.
+// views checks what commands print of a driver.
 func (d *Driver) views(t *testing.T) {
 	t.Helper()
 	all, err := d.Control.Compare(context.Background())
@@ -648,7 +653,7 @@
 }
 
 func TestCommands(t *testing.T) {
-	f := start(t, Options{Seed: 14})
+	f := startFleet(t, Options{Seed: 14})
 	text, code := f.command(0, "status", "--json")
 	var s struct {
 		Self, Standing string
@@ -661,7 +666,7 @@
 		s.Drivers[0].Name != "n1" || s.Drivers[0].State != "alive" || s.Drivers[0].Heard == nil || !*s.Drivers[0].Heard {
 		t.Errorf("%d %v %s", code, err, text)
 	}
-	f.await(t, "all views alike", func() bool { text, code = f.command(2, "compare"); return code == 0 })
+	f.eventually(t, "all views alike", func() bool { text, code = f.command(2, "compare"); return code == 0 })
 	if strings.Count(text, "standing=whole") != 5 {
 		t.Error(text)
 	}
@@ -669,7 +674,7 @@
 		t.Error(code, text)
 	}
 	f.Links.Partition(0, 0, 1, 1, 1)
-	f.await(t, "two parts", func() bool {
+	f.eventually(t, "two parts", func() bool {
 		return f.HavePartitionStatus(membership.Minority, 0, 1) && f.HavePartitionStatus(membership.Majority, 2, 3, 4)
 	})
 	if text, code = f.command(0, "compare"); code != 1 || !strings.Contains(text, "gives no view") {
@@ -682,11 +687,11 @@
 		t.Error(code, text)
 	}
 	f.Links.Heal()
-	f.await(t, "whole", func() bool { return f.HavePartitionStatus(membership.Complete, all...) })
+	f.eventually(t, "whole", func() bool { return f.HavePartitionStatus(membership.Complete, allDrivers...) })
 	if text, code = f.command(4, "leave"); code != 0 {
 		t.Error(text)
 	}
-	f.await(t, "it left", func() bool {
+	f.eventually(t, "it left", func() bool {
 		return f.sees(4, membership.Left, 0, 1, 2, 3) && f.HavePartitionStatus(membership.Complete, 0, 1, 2, 3)
 	})
 	// SIGHUP takes other seeds and another period, without a restart
@@ -695,18 +700,18 @@
 		t.Fatal(err)
 	}
 	f.Drivers[1].Signal(syscall.SIGHUP)
-	f.await(t, "reloaded", func() bool { return strings.Contains(f.Drivers[1].Log(), "event=reloaded") })
-	f.await(t, "and goes on", func() bool { return f.HavePartitionStatus(membership.Complete, 0, 1, 2, 3) })
+	f.eventually(t, "reloaded", func() bool { return strings.Contains(f.Drivers[1].Log(), "event=reloaded") })
+	f.eventually(t, "and goes on", func() bool { return f.HavePartitionStatus(membership.Complete, 0, 1, 2, 3) })
 }
 
-// The count of drivers reaches the module, and falls only where the rest may take the share over.
+// The number of drivers reaches the module, and decreases only where the others may take over the share.
 func TestCountOfDrivers(t *testing.T) {
-	f := start(t, Options{Seed: 15, TakeoverAfter: time.Second})
-	f.await(t, "told at the start", func() bool { return strings.Contains(f.Drivers[0].Log(), "event=drivers count=5") })
+	f := startFleet(t, Options{Seed: 15, TakeoverAfter: time.Second})
+	f.eventually(t, "told at the start", func() bool { return strings.Contains(f.Drivers[0].Log(), "event=drivers count=5") })
 	f.Drivers[4].Kill()
 	f.Drivers[3].Kill()
-	f.await(t, "three of five", func() bool { return f.HavePartitionStatus(membership.Majority, 0, 1, 2) })
-	f.await(t, "they take over what those two must have given up: 2*3*5/8", func() bool {
+	f.eventually(t, "three of five", func() bool { return f.HavePartitionStatus(membership.Majority, 0, 1, 2) })
+	f.eventually(t, "they take over what those two must have given up: 2*3*5/8", func() bool {
 		for _, i := range []int{0, 1, 2} {
 			if s, err := f.Drivers[i].Status(); err != nil || s.Count != 4 {
 				return false
--- a/internal/lab/fleet/golden_test.go
+++ b/internal/lab/fleet/golden_test.go
@@ -64,7 +64,7 @@
 		said[1].record(float64(i)+0.5, "n0", "alive")
 	}
 	f := &Fleet{Drivers: []*Driver{{Name: "n0"}, {Name: "n1"}}}
-	page, err := renderPage(f, said, []span{{1, 0, s.Steps[0].String()}}, 6)
+	page, err := renderPage(f, said, []interval{{1, 0, s.Steps[0].String()}}, 6)
 	if err != nil {
 		t.Fatal(err)
 	}
