--- a/internal/lab/audit.go
+++ b/internal/lab/audit.go
@@ -1,10 +1,10 @@
 package lab
 
-// This file owns the audit: what members ran beside what clients were told. It must never take the driver's word.
+// This file owns the audit: what members ran against what clients were answered. Nothing that drivers report counts.
 
 import "fmt"
 
-// Audit tells every broken rule that can be seen from outside, a line each; none is the good case.
+// Audit gives every violation of a rule that can be seen from outside, a line each.
 func (c *Cluster) Audit(r Result) (broken []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -12,12 +12,12 @@
 		if n > 1 {
 			broken = append(broken, fmt.Sprintf("rule 2: write %s ran %d times", id, n))
 		}
-		if end, asked := r.Writes[id]; asked && end == Refused {
+		if outcome, sent := r.Writes[id]; sent && outcome == Refused {
 			broken = append(broken, fmt.Sprintf("rule 2: write %s ran and its client was told that it did not", id))
 		}
 	}
-	for id, end := range r.Writes {
-		if end == Acked && c.executions[id] == 0 {
+	for id, outcome := range r.Writes {
+		if outcome == Acked && c.executions[id] == 0 {
 			broken = append(broken, fmt.Sprintf("rule 1: write %s was acked and never ran", id))
 		}
 	}
@@ -36,7 +36,7 @@
 	return broken
 }
 
-// Twice is how many writes ran more than once.
+// RepeatedWrites is the number of writes that ran more than once.
 func (c *Cluster) RepeatedWrites() (n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/lab/drivers.go
+++ b/internal/lab/drivers.go
@@ -1,7 +1,7 @@
 package lab
 
-// This file owns drivers before a stand-in cluster: their configuration, and running some in this process. It must
-// never give a driver more than the platform would.
+// This file owns drivers in front of a cluster: their configuration, which has no more than the platform's, and running
+// some in this process.
 
 import (
 	"context"
@@ -14,36 +14,42 @@
 	"weirwind/internal/operator"
 )
 
-// Mix is what the laboratory's drivers serve: bounded reads, reads of any age, and writes that must not run twice.
+// DefaultMix is the op types of the drivers' configuration: bounded reads, reads of any age, and writes that must not
+// run twice.
 var DefaultMix = []OpKind{{Name: "recent", Share: 5, Timeout: 1e9, Target: 250e6, Value: 3},
 	{Name: "any", Share: 3, Timeout: 1.2e9, Target: 300e6, Value: 1},
 	{Name: "write", Share: 2, Write: true, Timeout: 4e9, Target: 500e6, Value: 3}}
 
-// Configuration is that of a driver, in the platform's form; times there are in microseconds.
+// Configuration is a driver's, in the platform's form, with times in microseconds.
 func (c *Cluster) Configuration(name, listen string, drivers, index int) []byte {
 	text, err := json.MarshalIndent(map[string]any{
 		"name": name, "listen": listen, "discovery": c.Discovery(),
 		"seed":   fmt.Sprintf("%016x", 0x9E3779B97F4A7C15*uint64(index+1)),
 		"limits": map[string]any{"cores": 2, "memory_mb": 192, "sockets": 1024}, "known": c.MemberList(),
-		"settings": map[string]any{"tick": 5000, "siblings": drivers, "index": index, "zone": "a",
-			"registry_mode": "on_request", "family_info": map[string]any{"checks": "silent",
-				"needs_by_class": []string{"lag_bound", "eventual", "mutate"}, "oldest_data": []int{200000, 0, 0},
-				"shows_role": "silent", "stamps": true, "write_marks": "brought"},
-			"report": map[string]any{"fields": []string{"x0", "x1"}, "source": "pull"},
-			"policy_limits": map[string]any{"send_cap": 6, "cancel": true, "may_probe": true, "parallel_tries": true,
-				"retry_after": true, "max_retry_after": 1000000, "connect_timeout": 250000, "conn_idle": 15000000},
-			"rules": map[string]any{"cold": 10000000, "cold_from": 0.3, "tip_multiple": 2.5, "fall": 1500000,
-				"stop_sending_within": 500000}, "profiles": []any{
-				map[string]any{"name": "recent", "aim": 250000, "deadline": 1000000, "effect": "repeatable", "points": 3},
-				map[string]any{"name": "any", "aim": 300000, "deadline": 1200000, "effect": "repeatable", "points": 1},
-				map[string]any{"name": "write", "aim": 500000, "deadline": 4000000, "effect": "once", "points": 3}}}}, "", "  ")
+		"settings": driverSettings(drivers, index)}, "", "  ")
 	if err != nil {
-		panic(err)
+		panic(err) // nothing in it can fail
 	}
 	return text
 }
 
-// freeAddress is one on loopback that nobody listens at.
+// driverSettings is the part of a configuration that the driver's decisions go by.
+func driverSettings(drivers, index int) map[string]any {
+	return map[string]any{"tick": 5000, "siblings": drivers, "index": index, "zone": "a",
+		"registry_mode": "on_request", "family_info": map[string]any{"checks": "silent",
+			"needs_by_class": []string{"lag_bound", "eventual", "mutate"}, "oldest_data": []int{200000, 0, 0},
+			"shows_role": "silent", "stamps": true, "write_marks": "brought"},
+		"report": map[string]any{"fields": []string{"x0", "x1"}, "source": "pull"},
+		"policy_limits": map[string]any{"send_cap": 6, "cancel": true, "may_probe": true, "parallel_tries": true,
+			"retry_after": true, "max_retry_after": 1000000, "connect_timeout": 250000, "conn_idle": 15000000},
+		"rules": map[string]any{"cold": 10000000, "cold_from": 0.3, "tip_multiple": 2.5, "fall": 1500000,
+			"stop_sending_within": 500000}, "profiles": []any{
+			map[string]any{"name": "recent", "aim": 250000, "deadline": 1000000, "effect": "repeatable", "points": 3},
+			map[string]any{"name": "any", "aim": 300000, "deadline": 1200000, "effect": "repeatable", "points": 1},
+			map[string]any{"name": "write", "aim": 500000, "deadline": 4000000, "effect": "once", "points": 3}}}
+}
+
+// freeAddress is a loopback address at which nobody listens.
 func freeAddress() (string, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// The audit finds each kind of broken rule, and none where there is none.
-func TestAuditFinds(t *testing.T) {
+// The audit finds each kind of violation, and none where there is none.
+func TestAuditFindsViolations(t *testing.T) {
 	good := func() (*Cluster, Result) {
 		return &Cluster{executions: map[string]int{"a": 1, "f": 1}}, Result{Writes: map[string]Outcome{"a": Acked, "f": Failed, "r": Refused, "l": Failed},
 			Kinds: map[string]*OpStats{"w": newOpStats()}}
@@ -33,8 +33,8 @@
 	}
 }
 
-// Two drivers before a cluster whose primary is killed, hangs, and whose replicas drain and slow down: ops go on and no
-// rule breaks.
+// Two drivers in front of a cluster whose primary is killed and hangs, and whose replicas drain and slow down: ops go on
+// and no rule is violated.
 func TestFaults(t *testing.T) {
 	c, err := Start(Options{ElectionTime: 200 * time.Millisecond})
 	if err != nil {
@@ -68,11 +68,11 @@
 		t.Errorf("only %d writes acked", f.Outcomes[Acked])
 	}
 	if c.Inject("kill", "nobody") || c.Inject("dance", first) {
-		t.Error("a word that nobody knows is carried out")
+		t.Error("an unknown command is carried out")
 	}
 }
 
-// Latency counts from the intended start: a target that stands still for a while is seen in the ops that came meanwhile.
+// Latency counts from the intended time: a target that hangs for a while shows in the ops that were due meanwhile.
 func TestStallsAreNotHidden(t *testing.T) {
 	c, err := Start(Options{Members: 1})
 	if err != nil {
--- a/internal/lab/ledger_test.go
+++ b/internal/lab/ledger_test.go
@@ -16,7 +16,7 @@
 	"weirwind/internal/pgwire"
 )
 
-// try asks one write with a key and gives value, error code and text.
+// try sends one write with a key and gives value, error code and text.
 func try(t *testing.T, address, id, key, value string, patience int) (answer, code, message string) {
 	t.Helper()
 	conn, err := net.DialTimeout("tcp", address, 5*time.Second)
@@ -50,8 +50,8 @@
 	}
 }
 
-// Repeats with a key never have a second effect: not behind an acked write, a lost answer, a restart of the driver; and one that
-// is proved not to have run may go.
+// Retries with a key never have a second effect: not after an acknowledged write, a lost answer, or a restart of the driver;
+// one that is proved not to have run may run.
 func TestKeysRunOnce(t *testing.T) {
 	c, err := Start(Options{ElectionTime: 200 * time.Millisecond})
 	if err != nil {
@@ -132,7 +132,7 @@
 	}
 	stop()
 	logs, _ := filepath.Glob(filepath.Join(folder, "*.snapshot"))
-	for _, f := range logs { // a damaged book is no empty one
+	for _, f := range logs { // a damaged ledger is no empty one
 		os.WriteFile(f, []byte("damaged"), 0o600)
 	}
 	if len(logs) == 0 {
@@ -145,6 +145,6 @@
 		f.Ledger = &operator.Ledger{Folder: folder, Retention: time.Hour, MaxKeys: 100, LimitMB: 1}
 		return f
 	}); err == nil {
-		t.Error("a driver begins with a damaged book as if it were empty")
+		t.Error("a driver starts with a damaged ledger as if it were empty")
 	}
 }
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -1,24 +1,21 @@
 package lab
 
-// This file owns the load: ops that come when they are due, whatever became of those before, and what came of each. It
-// must never wait with an op for another's answer, count from any moment but the intended one, or ask twice.
+// This file owns the load: ops that are sent at their intended times, whatever became of those before, and what came of
+// each. Latency counts from the intended time, so that a stall shows in all ops that it delays. No op is sent twice.
 
 import (
-	"bufio"
+	"cmp"
 	"context"
 	"fmt"
 	"math/rand/v2"
-	"net"
 	"slices"
 	"sync"
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
-
-	"weirwind/internal/pgwire"
 )
 
-// Kind is one op type of a mix.
+// OpKind is an op type of a mix.
 type OpKind struct {
 	Name    string        `json:"name"`
 	Share   float64       `json:"share"` // of all ops, in parts of the sum
@@ -28,33 +25,34 @@
 	Value   float64       `json:"value"`  // of one in time; 0 for 1
 }
 
-// Load is what is to be asked.
+// Load is an open-loop load on drivers.
 type Load struct {
-	Targets     []string // drivers
+	Targets     []string // drivers' addresses
 	Rate        float64  // ops a second, all targets together
 	Duration    time.Duration
 	Mix         []OpKind
 	Groups      int
 	Seed        uint64
-	Slack       time.Duration // beyond an op's time its answer still counts: machines stand still now and then. 0 for 50 ms
-	MaxInFlight int           // ops open at a time; those beyond are not asked and counted as Skipped
+	Slack       time.Duration // beyond an op's timeout in which its answer counts, as machines pause; 0: 50 ms
+	MaxInFlight int           // ops that are open at a time; those beyond are not sent and counted as Skipped; 0: 2000
 }
 
-// End is what came of an op.
+// Outcome is what came of an op.
 type Outcome uint8
 
-// What may come of an op.
+// The outcomes of an op.
 const (
 	Acked Outcome = iota
 	Refused
 	Failed
-	Lost // no whole answer in its time
+	Lost // no complete answer in its time
 	outcomeCount
 )
 
+// String is the outcome's name.
 func (e Outcome) String() string { return [...]string{"acked", "refused", "failed", "lost"}[e] }
 
-// Figures are of one kind of op, or of one second.
+// OpStats are of one kind of op, or of one second.
 type OpStats struct {
 	Outcomes [outcomeCount]int
 	Skipped  int
@@ -68,7 +66,7 @@
 	return time.Duration(f.Latency.ValueAtQuantile(q)) * time.Microsecond
 }
 
-// Result is what came of a load.
+// Result is what came of a load's ops.
 type Result struct {
 	Kinds      map[string]*OpStats
 	Writes     map[string]Outcome // by op
@@ -76,50 +74,46 @@
 	Mismatched []string           // ops that were answered by another's value
 }
 
-// Run plays a load. each is called about once a second with what ended since; it may be nil.
-func (l Load) Run(ctx context.Context, each func(second int, f *OpStats)) Result {
-	if l.MaxInFlight == 0 {
-		l.MaxInFlight = 2000
-	}
-	if l.Slack == 0 {
-		l.Slack = 50 * time.Millisecond
-	}
+// Run runs a load. eachSecond, which may be nil, is called about once a second with the ops that ended since.
+func (l Load) Run(ctx context.Context, eachSecond func(second int, s *OpStats)) Result {
+	l.MaxInFlight = cmp.Or(l.MaxInFlight, 2000)
+	l.Slack = cmp.Or(l.Slack, 50*time.Millisecond)
 	t := l.newTally()
-	draw := rand.New(rand.NewPCG(l.Seed, 9))
-	pools := make([]pool, len(l.Targets))
+	random := rand.New(rand.NewPCG(l.Seed, 9))
+	pools := make([]connPool, len(l.Targets))
 	for i, target := range l.Targets {
 		pools[i].address = target
 	}
 	var open sync.WaitGroup
-	places := make(chan struct{}, l.MaxInFlight)
+	slots := make(chan struct{}, l.MaxInFlight)
 	begin, due := time.Now(), time.Duration(0)
-	shown := 0
+	reported := 0
 	for serial := 0; due < l.Duration; serial++ {
-		due += time.Duration(draw.ExpFloat64() / l.Rate * float64(time.Second))
+		due += time.Duration(random.ExpFloat64() / l.Rate * float64(time.Second))
 		select {
 		case <-ctx.Done():
 			due = l.Duration
 			continue
 		case <-time.After(time.Until(begin.Add(due))):
 		}
-		kind := l.pick(draw.Float64() * t.shares)
-		p, group := &pools[draw.IntN(len(pools))], draw.IntN(max(l.Groups, 1))+1
+		kind := l.pick(random.Float64() * t.shares)
+		pool, group := &pools[random.IntN(len(pools))], random.IntN(max(l.Groups, 1))+1
 		id := fmt.Sprintf("%08x%08x", l.Seed&0xffffffff, serial)
-		if s := int(due / time.Second); s > shown && each != nil {
-			each(shown, t.nextSecond())
-			shown = s
+		if second := int(due / time.Second); second > reported && eachSecond != nil {
+			eachSecond(reported, t.nextSecond())
+			reported = second
 		}
 		select {
-		case places <- struct{}{}:
+		case slots <- struct{}{}:
 		default:
 			t.skip(kind)
 			continue
 		}
 		intended := begin.Add(due)
 		open.Go(func() {
-			defer func() { <-places }()
-			end, value := p.query(kind, id, group, intended, l.Slack)
-			t.count(kind, id, end, value, time.Since(intended), begin)
+			defer func() { <-slots }()
+			outcome, value := pool.query(kind, id, group, intended, l.Slack)
+			t.count(kind, id, outcome, value, time.Since(intended), begin)
 		})
 	}
 	open.Wait()
@@ -129,7 +123,7 @@
 	return t.result
 }
 
-// pick gives the kind at a place in the sum of shares.
+// pick gives the kind at a point in the sum of shares.
 func (l *Load) pick(x float64) OpKind {
 	for _, k := range l.Mix {
 		if x -= k.Share; x < 0 {
@@ -139,7 +133,7 @@
 	return l.Mix[len(l.Mix)-1]
 }
 
-// tally counts what comes of a load's ops.
+// tally counts the outcomes of a load's ops.
 type tally struct {
 	shares float64 // of all kinds
 
@@ -166,31 +160,33 @@
 	return done
 }
 
+// skip counts an op that was not sent.
 func (t *tally) skip(kind OpKind) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.result.Kinds[kind.Name].Skipped++
 }
 
-func (t *tally) count(kind OpKind, id string, end Outcome, value string, took time.Duration, begin time.Time) {
+// count counts an op that has ended.
+func (t *tally) count(kind OpKind, id string, outcome Outcome, value string, took time.Duration, begin time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, f := range []*OpStats{t.result.Kinds[kind.Name], t.second} {
-		if f.Outcomes[end]++; end == Acked {
+		if f.Outcomes[outcome]++; outcome == Acked {
 			_ = f.Latency.RecordValue(max(took.Microseconds(), 1)) // what is beyond its range isn't counted
 		}
 	}
 	if kind.Write {
-		if t.result.Writes[id] = end; end == Acked {
+		if t.result.Writes[id] = outcome; outcome == Acked {
 			t.result.WriteTimes = append(t.result.WriteTimes, time.Since(begin))
 		}
 	}
-	if end == Acked && value != "v:"+id {
+	if outcome == Acked && value != "v:"+id {
 		t.result.Mismatched = append(t.result.Mismatched, id)
 	}
 }
 
-// Gap is the longest time without an acked write between two moments of the load.
+// LongestGap is the longest time without an acknowledged write between two times of the load.
 func (r *Result) LongestGap(from, to time.Duration) (longest time.Duration) {
 	slices.Sort(r.WriteTimes)
 	last := from
@@ -202,87 +198,3 @@
 	}
 	return longest
 }
-
-// pool keeps connections to one driver.
-type pool struct {
-	address string
-	mu      sync.Mutex
-	idle    []*clientConn
-}
-
-type clientConn struct {
-	net.Conn
-	reader *bufio.Reader
-}
-
-func (p *pool) close() {
-	for _, l := range p.idle {
-		l.Close()
-	}
-}
-
-// ask puts one op and waits for its answer for as long as its time lasts from the intended start.
-func (p *pool) query(k OpKind, id string, group int, intended time.Time, slack time.Duration) (Outcome, string) {
-	due := intended.Add(k.Timeout)
-	limit := due.Add(slack)
-	p.mu.Lock()
-	var l *clientConn
-	if n := len(p.idle); n > 0 {
-		l, p.idle = p.idle[n-1], slices.Delete(p.idle, n-1, n)
-	}
-	p.mu.Unlock()
-	if l == nil {
-		conn, err := net.DialTimeout("tcp", p.address, time.Until(limit))
-		if err != nil {
-			return Lost, ""
-		}
-		l = &clientConn{conn, bufio.NewReader(conn)}
-		conn.SetDeadline(limit)
-		_, _ = conn.Write(pgwire.AppendStartupMessage(nil, "svc", "main")) // the reads behind it see a broken connection
-		if _, _, ok := l.readAnswer(); !ok {
-			conn.Close()
-			return Lost, ""
-		}
-	}
-	l.SetDeadline(limit)
-	form := "SELECT v FROM records WHERE k = 'a1'"
-	if k.Write {
-		form = `INSERT INTO records (k, v) VALUES ('a1', '\x9f03') RETURNING v`
-	}
-	_, _ = l.Write(pgwire.AppendQuery(nil, fmt.Sprintf("%s /* id=%s,c=%s,d=%d,cluster=%d */", form, id, k.Name,
-		max(time.Until(due).Milliseconds(), 1), group)))
-	value, code, ok := l.readAnswer()
-	if !ok {
-		l.Close()
-		return Lost, ""
-	}
-	p.mu.Lock()
-	p.idle = append(p.idle, l)
-	p.mu.Unlock()
-	switch code {
-	case "":
-		return Acked, value
-	case pgwire.CodeTooManyConnections, "57P03":
-		return Refused, ""
-	}
-	return Failed, ""
-}
-
-// hear reads one whole answer.
-func (l *clientConn) readAnswer() (value, code string, ok bool) {
-	for {
-		kind, m, err := pgwire.Read(l.reader, nil)
-		if err != nil {
-			return "", "", false
-		}
-		switch kind {
-		case 'D':
-			b, _ := pgwire.ParseDataRow(pgwire.Body(m))
-			value = string(b)
-		case 'E':
-			code = pgwire.ErrorCode(pgwire.Body(m))
-		case 'Z':
-			return value, code, true
-		}
-	}
-}
--- /dev/null
+++ b/internal/lab/member.go
@@ -0,0 +1,211 @@
+package lab
+
+// This file owns members: their protocol, their cores, and what they report of themselves. They are no kinder than real
+// ones: what was sent to them may run although nobody waits for it.
+
+import (
+	"bufio"
+	"fmt"
+	"net"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"weirwind/internal/pgwire"
+)
+
+const (
+	roleWriter = "writer"
+	roleReader = "reader"
+	usageQuery = "SHOW usage" // a probe
+	hungPoll   = 5 * time.Millisecond
+)
+
+// Member is a server of a cluster, which speaks PostgreSQL's protocol.
+type Member struct {
+	ID      string
+	cluster *Cluster
+	group   int64
+	address string
+	cores   chan struct{} // has an element for each op that runs
+
+	slowdown        atomic.Int64 // factor of service times; 0 for 1
+	hung            atomic.Bool  // it answers nothing
+	ignoresDemotion atomic.Bool  // it goes on as a primary, whoever else is one
+	dropsAnswers    atomic.Bool  // it runs what arrives, and closes the connection instead of answering
+	writes          atomic.Int64 // that it ran
+
+	mu       sync.Mutex   // guards what follows
+	listener net.Listener // nil while it is down
+	conns    map[net.Conn]bool
+}
+
+// listening says whether the member is up.
+func (m *Member) listening() bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.listener != nil
+}
+
+// start listens at the member's address, or at a free one the first time.
+func (m *Member) start() error {
+	ln, err := net.Listen("tcp", m.address)
+	if err != nil {
+		return err
+	}
+	m.mu.Lock()
+	m.listener, m.address = ln, ln.Addr().String()
+	m.mu.Unlock()
+	go func() {
+		for {
+			conn, err := ln.Accept()
+			if err != nil {
+				return
+			}
+			m.mu.Lock()
+			m.conns[conn] = true
+			m.mu.Unlock()
+			go m.serve(conn)
+		}
+	}()
+	return nil
+}
+
+// stop closes the listener and all connections.
+func (m *Member) stop() {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.listener != nil {
+		m.listener.Close()
+		m.listener = nil
+	}
+	for conn := range m.conns {
+		conn.Close()
+	}
+}
+
+// serve answers a connection until it ends.
+func (m *Member) serve(conn net.Conn) {
+	defer func() {
+		conn.Close()
+		m.mu.Lock()
+		delete(m.conns, conn)
+		m.mu.Unlock()
+	}()
+	r := bufio.NewReader(conn)
+	if _, _, err := pgwire.ReadStartup(r); err != nil || m.waitWhileHung() {
+		return
+	}
+	_, _ = conn.Write(pgwire.AppendStartupResponse(nil, 0)) // the reads behind it see a broken connection
+	var buf []byte
+	for {
+		var err error
+		if _, buf, err = pgwire.Read(r, buf[:0]); err != nil || m.waitWhileHung() {
+			return
+		}
+		text, _ := pgwire.QueryText(pgwire.Body(buf))
+		if answer := m.answer(text); m.dropsAnswers.Load() && string(text) != usageQuery {
+			return
+		} else if _, err := conn.Write(answer); err != nil {
+			return
+		}
+	}
+}
+
+// waitWhileHung waits while the member hangs; true when it was stopped meanwhile.
+func (m *Member) waitWhileHung() bool {
+	for m.hung.Load() {
+		if time.Sleep(hungPoll); !m.listening() {
+			return true
+		}
+	}
+	return false
+}
+
+// answer runs a query and gives its response.
+func (m *Member) answer(text []byte) []byte {
+	if string(text) == usageQuery {
+		return m.usage()
+	}
+	statement, err := pgwire.ParseStatement(text)
+	if err != nil {
+		response := pgwire.AppendErrorResponse(nil, "ERROR", pgwire.CodeProtocolViolation, err.Error(), "")
+		return pgwire.AppendReadyForQuery(response)
+	}
+	id := string(statement.ID)
+	m.cluster.recordArrival(m, id)
+	m.work()
+	role, position := m.state()
+	if statement.Write {
+		if role != roleWriter {
+			response := pgwire.AppendErrorResponse(nil, "ERROR", pgwire.CodeReadOnlyTransaction, "this is no primary", "")
+			return appendState(response, role, position)
+		}
+		m.recordExecution(id)
+	}
+	return appendState(pgwire.AppendSingleRow(nil, "v:"+id), role, position)
+}
+
+// usage answers a probe: the position in seconds, and whether the member is primary.
+func (m *Member) usage() []byte {
+	role, position := m.state()
+	primary := 0
+	if role == roleWriter {
+		primary = 1
+	}
+	row := fmt.Sprintf("x0=%.6f,x1=%d", position/1000, primary)
+	return pgwire.AppendReadyForQuery(pgwire.AppendSingleRow(nil, row))
+}
+
+// work takes a core for a drawn service time.
+func (m *Member) work() {
+	m.cores <- struct{}{}
+	c := m.cluster
+	c.mu.Lock()
+	mean := float64(c.options.ServiceTime)
+	duration := time.Duration(c.random.ExpFloat64() * mean * float64(max(m.slowdown.Load(), 1)))
+	c.mu.Unlock()
+	time.Sleep(duration)
+	<-m.cores
+}
+
+// recordExecution counts a write that ran.
+func (m *Member) recordExecution(id string) {
+	m.cluster.mu.Lock()
+	defer m.cluster.mu.Unlock()
+	m.cluster.executions[id]++
+	m.writes.Add(1)
+}
+
+// appendState ends a response with the member's role and position.
+func appendState(b []byte, role string, position float64) []byte {
+	b = pgwire.AppendParameterStatus(b, "server_role", role)
+	return pgwire.AppendReadyForQuery(pgwire.AppendParameterStatus(b, "commit_clock", fmt.Sprintf("%.0f", position)))
+}
+
+// unixMillis is the time now in Unix milliseconds.
+func unixMillis() float64 { return float64(time.Now().UnixMicro()) / 1000 }
+
+// state gives a member's role and up to where it has applied the log, in Unix milliseconds.
+func (m *Member) state() (role string, position float64) {
+	m.cluster.mu.Lock()
+	defer m.cluster.mu.Unlock()
+	now := unixMillis()
+	if m.cluster.primary[m.group] == m || m.ignoresDemotion.Load() {
+		return roleWriter, now
+	}
+	if at, ended := m.cluster.logEnds[m.group]; ended {
+		now = at
+	}
+	return roleReader, now - float64(m.cluster.options.ReplicationLag.Microseconds())/1000
+}
+
+// recordArrival counts an op, and notes one that arrives too long after the member's drain was read.
+func (c *Cluster) recordArrival(m *Member, id string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.arrivals[m.ID]++
+	if at, drains := c.drainSeen[m.ID]; drains && time.Since(at) > DrainGrace {
+		c.afterDrain = append(c.afterDrain, id)
+	}
+}
--- a/internal/lab/storm.go
+++ b/internal/lab/storm.go
@@ -1,7 +1,6 @@
 package lab
 
-// This file owns the storm: many clients at one registry that was away and has lost its history. It must never
-// help a client that the courses would not help.
+// This file owns the storm: many clients of one registry that was down and has lost its history.
 
 import (
 	"context"
@@ -15,25 +14,25 @@
 	"weirwind/internal/standin/kv"
 )
 
-// Storm is what is to be seen: a registry's restart under clients that follow it.
+// Storm is a registry's restart under clients that follow it.
 type Storm struct {
 	Clients  int
-	Members  int
-	Downtime time.Duration
-	Naive    bool // clients that ask for the whole list again and again without a pause, instead of a course
-	Timeout  time.Duration
+	Members  int           // in the registry
+	Downtime time.Duration // of the registry
+	Naive    bool          // clients read the complete list again and again without backoff, in place of a Watcher
+	Timeout  time.Duration // for all clients to be current
 }
 
-// StormResult is what the registry had to bear.
+// StormResult is the load on the registry after its return.
 type StormResult struct {
-	Peak  int           // whole lists given in the second that had the most
-	Reads int           // in all, until all were current
-	Until time.Duration // all were current, from when the registry was back
+	Peak  int           // complete lists that were read in the second with the most
+	Reads int           // complete lists that were read until all clients were current
+	Until time.Duration // from the registry's return until all clients were current
 }
 
 const stormPrefix = "weirwind/members/"
 
-// stormClient is one that follows, and says when it has caught up: first with the list, then with what came behind the
+// stormClient follows the registry and signals when it is current: first with the list, then with the change during the
 // restart.
 type stormClient struct {
 	client  registry.Client
@@ -45,49 +44,53 @@
 	stage  int
 }
 
+// stormNow is the time now in Unix milliseconds.
 func stormNow() float64 { return float64(time.Now().UnixMicro()) / 1000 }
 
-func (x *stormClient) apply(u roster.Update) (roster.Verdict, float64) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	out := x.roster.Apply(stormNow(), u)
-	if n := len(x.roster.Members()); out.Verdict == roster.VerdictApplied &&
-		(x.stage == 0 && n == x.members || x.stage == 1 && n == x.members+1) {
-		x.stage++
-		x.current <- struct{}{}
+// apply applies an update and signals when the client has become current.
+func (c *stormClient) apply(u roster.Update) (roster.Verdict, float64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	out := c.roster.Apply(stormNow(), u)
+	if n := len(c.roster.Members()); out.Verdict == roster.VerdictApplied &&
+		(c.stage == 0 && n == c.members || c.stage == 1 && n == c.members+1) {
+		c.stage++
+		c.current <- struct{}{}
 	}
 	return out.Verdict, 0
 }
 
-func (x *stormClient) position() (int64, bool) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	_, revision, told := x.roster.Revision(roster.SourceRegistry)
-	return revision, told
+// position is the revision that the client has; known is false where it has none.
+func (c *stormClient) position() (int64, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	_, revision, known := c.roster.Revision(roster.SourceRegistry)
+	return revision, known
 }
 
-func (x *stormClient) run(ctx context.Context, s Storm, n int) {
+// run follows the registry until the context ends.
+func (c *stormClient) run(ctx context.Context, s Storm, n int) {
 	if !s.Naive {
-		w := registry.Watcher{Client: x.client, Apply: x.apply, Position: x.position, Now: stormNow, OnActivity: func() {},
+		w := registry.Watcher{Client: c.client, Apply: c.apply, Position: c.position, Now: stormNow, OnActivity: func() {},
 			Scheduler: roster.NewScheduler(roster.SchedulerOptions{Endpoints: 1, Drivers: s.Clients, Seed: uint64(n)}),
 			OnDisconnect: func(error) {
-				x.mu.Lock()
-				x.roster.SetDisconnected(roster.SourceRegistry)
-				x.mu.Unlock()
+				c.mu.Lock()
+				c.roster.SetDisconnected(roster.SourceRegistry)
+				c.mu.Unlock()
 			}}
 		w.Run(ctx)
 		return
 	}
-	tell := func(u roster.Update) { x.apply(u) }
+	apply := func(u roster.Update) { c.apply(u) }
 	for ctx.Err() == nil {
-		if x.client.List(ctx, 0, true, tell) == nil {
-			revision, _ := x.position()
-			_ = x.client.Watch(ctx, 0, revision+1, func() {}, tell) // naive: it reads all anew, whatever ended it
+		if c.client.List(ctx, 0, true, apply) == nil {
+			revision, _ := c.position()
+			_ = c.client.Watch(ctx, 0, revision+1, func() {}, apply) // naive: it reads all anew, whatever ended it
 		}
 	}
 }
 
-// Run plays the storm on loopback. An error: not all clients were current in time.
+// Run runs the storm on loopback. An error: not all clients were current in time.
 func (s Storm) Run() (r StormResult, err error) {
 	store := s.newStore()
 	server := kv.Serve(store)
@@ -101,19 +104,11 @@
 	}()
 	current := make(chan struct{}, 2*s.Clients)
 	for n := range s.Clients {
-		c, err := registry.New(
-			registry.Options{Dialect: "etcd", Prefix: stormPrefix, Endpoints: []string{server.URL}, WatchTimeout: 10 * time.Second},
-		)
+		c, err := s.newClient(server.URL, current)
 		if err != nil {
 			return r, err
 		}
-		x := &stormClient{
-			client:  c,
-			current: current,
-			members: s.Members,
-			roster:  roster.New(roster.Options{Preferred: roster.SourceRegistry}),
-		}
-		all.Go(func() { x.run(ctx, s, n) })
+		all.Go(func() { c.run(ctx, s, n) })
 	}
 	if err := s.await(current); err != nil {
 		return r, err
@@ -136,7 +131,26 @@
 	return r, err
 }
 
-// newStore is the registry's content: a list of members.
+// newClient is a client of the registry at an address, which signals to current.
+func (s Storm) newClient(url string, current chan<- struct{}) (*stormClient, error) {
+	client, err := registry.New(registry.Options{
+		Dialect:      "etcd",
+		Prefix:       stormPrefix,
+		Endpoints:    []string{url},
+		WatchTimeout: 10 * time.Second,
+	})
+	if err != nil {
+		return nil, err
+	}
+	return &stormClient{
+		client:  client,
+		current: current,
+		members: s.Members,
+		roster:  roster.New(roster.Options{Preferred: roster.SourceRegistry}),
+	}, nil
+}
+
+// newStore is a registry with a list of members.
 func (s Storm) newStore() *kv.Store {
 	store := kv.NewStore("c1")
 	var pairs []any
@@ -148,7 +162,7 @@
 	return store
 }
 
-// await waits until each client has said that it is current.
+// await waits until each client has signalled that it is current.
 func (s Storm) await(current <-chan struct{}) error {
 	limit := time.After(s.Timeout)
 	for range s.Clients {
@@ -161,7 +175,7 @@
 	return nil
 }
 
-// sampleReads counts whole reads by tenths of a second until ended is closed.
+// sampleReads counts complete reads in each tenth of a second until ended is closed.
 func sampleReads(server *kv.Server, before int64, ended <-chan struct{}) (tenths []int64) {
 	for last := before; ; {
 		select {
@@ -174,7 +188,7 @@
 	}
 }
 
-// peakReads is the most of them within a second.
+// peakReads is the largest number within a second.
 func peakReads(tenths []int64) (peak int) {
 	for i := range tenths {
 		sum := 0
--- a/internal/lab/switch.go
+++ b/internal/lab/switch.go
@@ -1,7 +1,7 @@
 package lab
 
-// This file owns drivers that hooks may speak to, and planned changes as a topology manager plays them: hold, take the
-// role away, wait for the next primary, release. It must never tell a driver more than a hook would.
+// This file owns drivers that hooks may notify, and planned changes as a topology manager makes them: hold, take the
+// role away, wait for the next primary, release.
 
 import (
 	"context"
@@ -16,14 +16,14 @@
 	"weirwind/internal/switchover"
 )
 
-// Hooked are drivers with control sockets, all fellows of each other but for those left out.
+// HookedDrivers are drivers with control sockets, which are peers of each other but for those left out.
 type HookedDrivers struct {
 	Addresses []string
 	Clients   []*control.Client
 	Wait      func() error
 }
 
-// StartHooked runs n drivers; a driver i for which alone says so has no fellows and is nobody's. The folder is for
+// StartHookedDrivers runs n drivers; one for which alone is true has no peers and is nobody's. The folder is for
 // sockets.
 func (c *Cluster) StartHookedDrivers(
 	ctx context.Context,
@@ -46,13 +46,7 @@
 	h := &HookedDrivers{}
 	h.Addresses, h.Wait, err = c.Drivers(ctx, n, logTo, func(i int) operator.File {
 		f := operator.Default()
-		f.Control = &operator.Control{
-			Socket:         filepath.Join(folder, fmt.Sprintf("n%d.sock", i)),
-			TokenFile:      token,
-			HoldLease:      5 * time.Second,
-			MaxHold:        time.Minute,
-			ReleaseTimeout: 3 * time.Second,
-		}
+		f.Control = hookControl(folder, token, i)
 		if alone != nil && alone(i) {
 			return f
 		}
@@ -68,16 +62,32 @@
 		return nil, err
 	}
 	for i := range n {
-		h.Clients = append(h.Clients, control.NewClient(filepath.Join(folder, fmt.Sprintf("n%d.sock", i)), ""))
+		h.Clients = append(h.Clients, control.NewClient(socketPath(folder, i), ""))
 	}
 	return h, nil
 }
 
-// Planned changes a group's primary as a topology manager with hooks does: it speaks to one driver alone. It gives the
-// time for which the group had no primary.
+func socketPath(folder string, i int) string {
+	return filepath.Join(folder, fmt.Sprintf("n%d.sock", i))
+}
+
+// hookControl is the control socket of a driver.
+func hookControl(folder, token string, i int) *operator.Control {
+	return &operator.Control{
+		Socket:         socketPath(folder, i),
+		TokenFile:      token,
+		HoldLease:      5 * time.Second,
+		MaxHold:        time.Minute,
+		ReleaseTimeout: 3 * time.Second,
+	}
+}
+
+// Switchover changes a group's primary as a topology manager with hooks does, which notifies one driver alone. It gives
+// the time for which the group had no primary.
 func (c *Cluster) Switchover(ctx context.Context, hook *control.Client, group int64) (gap time.Duration, err error) {
 	old := c.Primary(group)
-	if _, err = hook.NotifyHook(ctx, switchover.Notification{Group: group, Stage: switchover.StageHeld, From: old}); err != nil {
+	held := switchover.Notification{Group: group, Stage: switchover.StageHeld, From: old}
+	if _, err = hook.NotifyHook(ctx, held); err != nil {
 		return 0, err
 	}
 	began := time.Now()
@@ -89,6 +99,7 @@
 		time.Sleep(2 * time.Millisecond)
 	}
 	gap = time.Since(began)
-	_, err = hook.NotifyHook(ctx, switchover.Notification{Group: group, Stage: switchover.StageReleased, To: c.Primary(group)})
+	released := switchover.Notification{Group: group, Stage: switchover.StageReleased, To: c.Primary(group)}
+	_, err = hook.NotifyHook(ctx, released)
 	return gap, err
 }
--- a/internal/lab/switch_test.go
+++ b/internal/lab/switch_test.go
@@ -52,17 +52,17 @@
 	}
 }
 
-// until waits for something to be so, for as long as a slow machine may need.
-func until(t *testing.T, what string, so func() bool) {
+// until waits for a condition, for as long as a slow machine may need.
+func until(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(10 * time.Second); !so(); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(10 * time.Second); !condition(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal(what, "never came")
 		}
 	}
 }
 
-// stage is what a driver knows of group 1.
+// stage is what a driver knows of the change of group 1.
 func stage(h *HookedDrivers, i int) switchover.ChangeStatus {
 	all, err := h.Clients[i].Status(context.Background())
 	if err != nil || len(all) == 0 {
@@ -71,11 +71,11 @@
 	return all[0]
 }
 
-// Planned changes with a hook that speaks to one of four drivers: every write is acked, each ran once, and all drivers end with
-// the same words and no marks. One of the four hears nothing and learns by a miss, as without hooks.
+// Planned changes with a hook that notifies one of four drivers: every write is acknowledged, each ran once, and all drivers
+// end with the same epoch and no draining member. One of the four is not notified and learns by a miss, as without hooks.
 func TestPlannedChangesUnderLoad(t *testing.T) {
-	for _, deaf := range []int{-1, 3} {
-		c, h, end := hooked(t, 4, func(i int) bool { return i == deaf })
+	for _, uninformed := range []int{-1, 3} {
+		c, h, end := hooked(t, 4, func(i int) bool { return i == uninformed })
 		ctx := context.Background()
 		result := make(chan Result)
 		go func() {
@@ -90,12 +90,12 @@
 		r := <-result
 		f := r.Kinds["write"]
 		if broken := c.Audit(r); len(broken) > 0 || f.Outcomes[Acked] < 200 || f.Outcomes[Failed]+f.Outcomes[Lost] > 0 || f.Outcomes[Refused] > f.Outcomes[Acked]/20 {
-			t.Errorf("deaf %d: %v, broken %v", deaf, f.Outcomes, broken)
+			t.Errorf("uninformed %d: %v, broken %v", uninformed, f.Outcomes, broken)
 		}
 		until(t, "agreement", func() bool {
 			a := stage(h, 0)
 			for i := range 4 {
-				if b := stage(h, i); i != deaf && (b.Epoch != a.Epoch || b.Stage != switchover.StageReleased || b.Draining != "" || !b.Finished) {
+				if b := stage(h, i); i != uninformed && (b.Epoch != a.Epoch || b.Stage != switchover.StageReleased || b.Draining != "" || !b.Finished) {
 					return false
 				}
 			}
@@ -105,8 +105,8 @@
 	}
 }
 
-// A hook that dies behind its hold leaves no group held: writes wait for the lease alone, and go to the old primary then. A
-// driver that is asked later knows of the hold from its fellows.
+// A hook that dies after its hold leaves no group held: writes wait for the lease alone, and go to the old primary then. A
+// driver that is asked later knows of the hold from its peers.
 func TestHookThatDies(t *testing.T) {
 	c, h, end := hooked(t, 2, nil)
 	defer end()
@@ -118,7 +118,7 @@
 	if _, err := h.Clients[0].NotifyHook(ctx, switchover.Notification{Group: 1, Stage: switchover.StageHeld, Lease: 700}); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "the hold at the fellow", func() bool { return stage(h, 1).Draining == c.Primary(1) })
+	until(t, "the hold at the peer", func() bool { return stage(h, 1).Draining == c.Primary(1) })
 	r := Load{Targets: h.Addresses[1:], Rate: 50, Duration: 300 * time.Millisecond, Mix: writes, Groups: 1, Seed: 7, Slack: 2 * time.Second}.Run(ctx, nil)
 	f := r.Kinds["write"]
 	if broken := c.Audit(r); len(broken) > 0 || f.Outcomes[Acked] < 5 || f.Outcomes[Failed]+f.Outcomes[Lost] > 0 {
@@ -166,8 +166,8 @@
 	}
 }
 
-// The new primary dies while what was held is let go: writes whose answers were lost are errors, none runs twice, and each op
-// gets its answer.
+// The new primary dies while the held writes are released: writes whose answers were lost are errors, none runs twice, and
+// each op gets its answer.
 func TestNewPrimaryDiesAtOnce(t *testing.T) {
 	c, h, end := hooked(t, 3, nil)
 	defer end()
@@ -189,8 +189,8 @@
 	}
 }
 
-// Many writes are held, some for longer than their clients wait, and some clients leave: each gets one answer in its time, who
-// was refused or left has written nothing, and the rest run once.
+// Many writes are held, some for longer than their clients wait, and some clients disconnect: each gets one answer in time,
+// writes that were refused or whose clients left do not run, and the others run once.
 func TestManyHeldWithDifferentPatience(t *testing.T) {
 	c, h, end := hooked(t, 2, nil)
 	defer end()
@@ -199,7 +199,7 @@
 	if _, err := h.Clients[0].NotifyHook(ctx, switchover.Notification{Group: 1, Stage: switchover.StageHeld, From: old}); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "the hold at the fellow", func() bool { return stage(h, 1).Draining == old })
+	until(t, "the hold at the peer", func() bool { return stage(h, 1).Draining == old })
 	for i := range 20 { // they ask and leave
 		conn, err := net.Dial("tcp", h.Addresses[i%2])
 		if err != nil {
@@ -235,8 +235,8 @@
 	}
 }
 
-// A deposed primary does not notice that it is one no more, and goes on to take writes: behind a planned change it gets none
-// from any driver while it says so, and the drivers say that there are two.
+// A deposed primary does not notice that it is one no more, and would take writes: after a planned change it gets none from
+// any driver, and the drivers report that there are two primaries.
 func TestDeposedPrimaryThatGoesOn(t *testing.T) {
 	c, h, end := hooked(t, 3, nil)
 	defer end()
@@ -252,7 +252,7 @@
 		t.Fatal(err)
 	}
 	before := old.writes.Load()
-	until(t, "word of two primaries", func() bool { return stage(h, 0).TwoPrimaries && stage(h, 1).TwoPrimaries && stage(h, 2).TwoPrimaries })
+	until(t, "the report of two primaries", func() bool { return stage(h, 0).TwoPrimaries && stage(h, 1).TwoPrimaries && stage(h, 2).TwoPrimaries })
 	r := <-result
 	if n := old.writes.Load() - before; n > 0 {
 		t.Errorf("%d writes ran at the deposed primary", n)
