--- a/cmd/weirlab/emulate.go
+++ b/cmd/weirlab/emulate.go
@@ -1,7 +1,6 @@
 package main
 
-// This file owns the command that plays drivers in virtual time, policies side by side. It must never print a figure
-// that the play did not give.
+// This file owns the command that runs the emulator, several policies side by side.
 
 import (
 	"fmt"
@@ -15,6 +14,7 @@
 	"weirwind/internal/lab/emulator"
 )
 
+// emulateCommand runs a setup in virtual time.
 type emulateCommand struct {
 	Drivers int           `help:"Drivers, each with an own module." default:"3"`
 	Groups  int           `help:"Groups." default:"1"`
@@ -31,8 +31,8 @@
 	Fault   []string      `help:"Such as kill@10s:g1m1 or, for 4 s, kill@10s+4s:g1m1; docs/lab.md names all faults. May stand several times." placeholder:"WHAT@WHEN:MEMBER"`
 }
 
-// Run plays each policy, side by side, and prints what came of it. Broken rules of the module are an error; the
-// baselines break some by their nature.
+// Run runs each policy and prints its result. Violations by the module are an error; baselines have some by their
+// nature.
 func (c *emulateCommand) Run(out io.Writer) error {
 	s := emulator.Setup{
 		Drivers:        c.Drivers,
@@ -66,7 +66,7 @@
 		if errs[i] != nil {
 			return errs[i]
 		}
-		if n := printPlay(out, c.Policy[i], r); c.Policy[i] == "module" {
+		if n := printResult(out, c.Policy[i], r); c.Policy[i] == emulator.PolicyModule {
 			broken += n
 		}
 	}
@@ -78,7 +78,7 @@
 
 // parseFault reads a fault of the form kill@10s:g1m1 or, with a duration, kill@10s+4s:g1m1.
 func parseFault(text string) (emulator.Fault, error) {
-	what, rest, hasTime := strings.Cut(text, "@")
+	kind, rest, hasTime := strings.Cut(text, "@")
 	when, member, hasMember := strings.Cut(rest, ":")
 	when, length, lasts := strings.Cut(when, "+")
 	at, err := time.ParseDuration(when)
@@ -89,17 +89,18 @@
 	if !hasTime || !hasMember || err != nil || at < 0 || duration < 0 {
 		return emulator.Fault{}, fmt.Errorf("fault %q is not of the form kill@10s:g1m1", text)
 	}
-	return emulator.Fault{At: ms(at), Duration: ms(duration), Kind: what, Target: member}, nil
+	return emulator.Fault{At: ms(at), Duration: ms(duration), Kind: kind, Target: member}, nil
 }
 
-// printPlay prints what came of one policy's play, and returns how many times rules were broken.
-func printPlay(out io.Writer, policy string, r *emulator.Result) (broken int) {
+// printResult prints the result of one policy, and gives the number of violations.
+func printResult(out io.Writer, policy string, r *emulator.Result) (broken int) {
 	fmt.Fprintf(out, "%s: %d ops, %.3f of their worth served in time\n", policy, r.Ops, r.ValueShare)
 	for k := range r.Types {
 		t := &r.Types[k]
 		q := func(x float64) string { return fmt.Sprintf("%.1f", t.Quantile(x)) }
 		fmt.Fprintf(out, "  %-8s acked %d (in time %d), refused tries %d, failed %d; ms: median %s, p99 %s, worst %s\n",
-			r.Setup.Mix[k].Name, t.Outcomes[emulator.Acked], t.WithinTarget, t.Outcomes[emulator.Refused], t.Outcomes[emulator.Failed], q(50),
+			r.Setup.Mix[k].Name, t.Outcomes[emulator.Acked], t.WithinTarget, t.Outcomes[emulator.Refused],
+			t.Outcomes[emulator.Failed], q(50),
 			q(99), q(100))
 	}
 	for _, rule := range slices.Sorted(maps.Keys(r.Violations)) {
@@ -112,4 +113,5 @@
 	return broken
 }
 
+// ms is a duration in milliseconds.
 func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/cmd/weirlab/experiment.go
+++ b/cmd/weirlab/experiment.go
@@ -1,7 +1,7 @@
 package main
 
-// This file owns the commands that play experiments by a file, and compare and report what came of them. It must never
-// decide which difference counts: internal/lab/experiment does.
+// This file owns the commands that run experiments of a file, and compare and report results. Which differences count
+// is decided by internal/lab/experiment.
 
 import (
 	"context"
@@ -17,6 +17,7 @@
 	"weirwind/internal/lab/experiment"
 )
 
+// experimentCommand runs a file's experiments.
 type experimentCommand struct {
 	File  string   `arg:"" help:"Scenarios and experiments, in HCL." placeholder:"FILE"`
 	Out   string   `help:"The folder for results; runs that it holds already are not played again." default:"found"`
@@ -26,7 +27,7 @@
 	PNG   bool     `help:"Each picture as PNG too."`
 }
 
-// Run plays and reports; a rule that the module broke is an error.
+// Run runs the experiments and writes the page; a violation by the module is an error.
 func (c *experimentCommand) Run(out io.Writer) error {
 	text, err := os.ReadFile(c.File)
 	if err != nil {
@@ -36,17 +37,7 @@
 	if err != nil {
 		return err
 	}
-	if len(c.Only) > 0 {
-		var some []experiment.Plan
-		for _, p := range plans {
-			for _, name := range c.Only {
-				if p.Experiment == name {
-					some = append(some, p)
-				}
-			}
-		}
-		plans = some
-	}
+	plans = c.selected(plans)
 	if len(plans) == 0 {
 		return fmt.Errorf("%s: nothing to play", c.File)
 	}
@@ -70,11 +61,27 @@
 	if err := report.Run(out); err != nil {
 		return err
 	}
-	return broken(out, rows)
+	return printViolations(out, rows)
+}
+
+// selected is the plans of the experiments that the command names, or all.
+func (c *experimentCommand) selected(plans []experiment.Plan) []experiment.Plan {
+	if len(c.Only) == 0 {
+		return plans
+	}
+	var selected []experiment.Plan
+	for _, p := range plans {
+		for _, name := range c.Only {
+			if p.Experiment == name {
+				selected = append(selected, p)
+			}
+		}
+	}
+	return selected
 }
 
-// broken prints the rules that were broken; by plain policies they are no error.
-func broken(out io.Writer, rows []experiment.Run) error {
+// printViolations prints all violations; those by baselines are no error.
+func printViolations(out io.Writer, rows []experiment.Run) error {
 	by := 0
 	for _, r := range rows {
 		for _, b := range r.Violations {
@@ -91,6 +98,7 @@
 	return nil
 }
 
+// compareCommand compares results.
 type compareCommand struct {
 	A        string `arg:"" help:"Results: a folder or a file."`
 	B        string `arg:"" help:"Results to lay beside them; may be the same." optional:""`
@@ -125,6 +133,7 @@
 	return experiment.WriteComparison(out, name(c.A, c.VariantA), name(c.B, c.VariantB), all)
 }
 
+// reportCommand draws results.
 type reportCommand struct {
 	Results string `arg:"" help:"A folder or a file of results."`
 	Out     string `help:"The page." default:"report.html"`
@@ -132,7 +141,7 @@
 	PNG     string `help:"A folder for the pictures as PNG." placeholder:"FOLDER"`
 }
 
-// Run draws the page.
+// Run writes the page.
 func (c *reportCommand) Run(out io.Writer) error {
 	rows, err := experiment.Load(c.Results)
 	if err != nil {
--- a/cmd/weirlab/hollow.go
+++ b/cmd/weirlab/hollow.go
@@ -16,6 +16,7 @@
 	"weirwind/internal/lab/hollow"
 )
 
+// hollowCommand measures the control plane.
 type hollowCommand struct {
 	Drivers   []int         `help:"How many agents; may stand several times." default:"10,30,100"`
 	Databases int           `help:"Databases of three members each; 0: 1.45 a driver, as at the operators' size."`
@@ -28,7 +29,7 @@
 	Out       string        `help:"A folder for results and picture." default:"."`
 }
 
-// Run plays each size and keeps what was counted, also of a play that broke off.
+// Run measures each size and keeps the rows, also of a size that failed.
 func (c *hollowCommand) Run(out io.Writer) error {
 	if c.Cores < 1 || c.Cores > 100 || c.Net < 1 || c.Net+c.Cores > 250 || c.Port < 1024 || c.Port > 60000 ||
 		c.Renewals < 1 || c.Databases < 0 || c.Databases > 5800 {
--- a/cmd/weirlab/switch.go
+++ b/cmd/weirlab/switch.go
@@ -1,7 +1,7 @@
 package main
 
-// This file owns the command that changes the primary again and again under load, planned with hooks, planned without,
-// and by killing it. It must never count what it did not see.
+// This file owns the command that changes the primary under load: planned with hooks, planned without, and by killing
+// it.
 
 import (
 	"context"
@@ -15,6 +15,7 @@
 	"weirwind/internal/lab"
 )
 
+// switchCommand changes a group's primary under load.
 type switchCommand struct {
 	Drivers int           `help:"Drivers." default:"10"`
 	Changes int           `help:"Of each kind." default:"5"`
@@ -23,7 +24,7 @@
 	Seed    uint64        `help:"Of the load." default:"1"`
 }
 
-// Run prints gaps, ends and effects of each kind; a broken rule is an error.
+// Run prints gaps, outcomes and effects of each kind of change; a violation is an error.
 func (c *switchCommand) Run(out io.Writer) error {
 	if c.Drivers < 1 || c.Drivers > 100 || c.Changes < 1 || c.Changes > 200 || c.Rate <= 0 || c.Rate > 5000 ||
 		c.Elect < 10*time.Millisecond {
@@ -37,14 +38,14 @@
 			"gap that clients saw: median, worst   p99 of writes",
 	)
 	for _, kind := range []string{"planned, hooks", "planned, no hooks", "killed"} {
-		if err := c.play(out, kind); err != nil {
+		if err := c.run(out, kind); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// change replaces the primary in one of the three ways and gives the time without one as the cluster sees it.
+// change changes the primary in one of the three ways and gives the time without one, as the cluster sees it.
 func change(ctx context.Context, cluster *lab.Cluster, kind string, hooks *control.Client) (time.Duration, error) {
 	old, from := cluster.Primary(1), time.Now()
 	switch kind {
@@ -63,7 +64,8 @@
 	return gap, nil
 }
 
-func (c *switchCommand) play(out io.Writer, kind string) error {
+// run changes the primary several times under load, and prints a line.
+func (c *switchCommand) run(out io.Writer, kind string) error {
 	cluster, err := lab.Start(lab.Options{Seed: c.Seed, ElectionTime: c.Elect})
 	if err != nil {
 		return err
@@ -76,52 +78,62 @@
 	defer func() { _ = os.RemoveAll(folder) }()
 	ctx, end := context.WithCancel(context.Background())
 	defer end()
-	h, err := cluster.StartHookedDrivers(ctx, c.Drivers, folder, io.Discard, nil)
+	drivers, err := cluster.StartHookedDrivers(ctx, c.Drivers, folder, io.Discard, nil)
 	if err != nil {
 		return err
 	}
-	mix := []lab.OpKind{{Name: "write", Share: 1, Write: true, Timeout: 4 * time.Second}}
-	between := c.Elect + time.Second
 	result := make(chan lab.Result, 1)
 	begin := time.Now()
-	go func() {
-		result <- lab.Load{
-			Targets:  h.Addresses,
-			Rate:     c.Rate,
-			Duration: time.Duration(c.Changes+1) * between,
-			Mix:      mix,
-			Groups:   1,
-			Seed:     c.Seed,
-			Slack:    time.Second,
-		}.Run(ctx, nil)
-	}()
-	var own []time.Duration
+	go func() { result <- c.load(drivers.Addresses).Run(ctx, nil) }()
+	var gaps []time.Duration // as the cluster sees them
 	for i := range c.Changes {
-		time.Sleep(time.Until(begin.Add(time.Duration(i)*between + between/2)))
-		gap, err := change(ctx, cluster, kind, h.Clients[i%c.Drivers])
+		time.Sleep(time.Until(begin.Add(time.Duration(i)*c.period() + c.period()/2)))
+		gap, err := change(ctx, cluster, kind, drivers.Clients[i%c.Drivers])
 		if err != nil {
 			return err
 		}
-		own = append(own, gap)
+		gaps = append(gaps, gap)
 	}
 	r := <-result
 	end()
-	if err := h.Wait(); err != nil {
+	if err := drivers.Wait(); err != nil {
 		return err
 	}
-	var seen []time.Duration
-	for i := range c.Changes {
-		seen = append(seen, r.LongestGap(time.Duration(i)*between+between/4, time.Duration(i+1)*between+between/4))
-	}
-	slices.Sort(seen)
-	slices.Sort(own)
-	f := r.Kinds["write"]
-	round := func(d time.Duration) time.Duration { return d.Round(time.Millisecond) }
-	fmt.Fprintf(out, "%-17s %7d %6d %7d %6d %5d %10d   %18s   %24s, %s   %s\n", kind, c.Changes, f.Outcomes[lab.Acked],
-		f.Outcomes[lab.Refused], f.Outcomes[lab.Failed], f.Outcomes[lab.Lost], cluster.RepeatedWrites(), round(own[len(own)/2]),
-		round(seen[len(seen)/2]), round(seen[len(seen)-1]), round(f.Quantile(99)))
+	c.print(out, kind, cluster, r, gaps)
 	if broken := cluster.Audit(r); len(broken) > 0 {
 		return fmt.Errorf("%s: %s", kind, broken[0])
 	}
 	return nil
 }
+
+// period is the time between two changes.
+func (c *switchCommand) period() time.Duration { return c.Elect + time.Second }
+
+// load is the writes during all changes.
+func (c *switchCommand) load(targets []string) lab.Load {
+	return lab.Load{
+		Targets:  targets,
+		Rate:     c.Rate,
+		Duration: time.Duration(c.Changes+1) * c.period(),
+		Mix:      []lab.OpKind{{Name: "write", Share: 1, Write: true, Timeout: 4 * time.Second}},
+		Groups:   1,
+		Seed:     c.Seed,
+		Slack:    time.Second,
+	}
+}
+
+// print prints a kind's line; gaps are those that the cluster saw.
+func (c *switchCommand) print(out io.Writer, kind string, cluster *lab.Cluster, r lab.Result, gaps []time.Duration) {
+	var seen []time.Duration // by clients
+	for i := range c.Changes {
+		begin := time.Duration(i)*c.period() + c.period()/4
+		seen = append(seen, r.LongestGap(begin, begin+c.period()))
+	}
+	slices.Sort(seen)
+	slices.Sort(gaps)
+	s := r.Kinds["write"]
+	round := func(d time.Duration) time.Duration { return d.Round(time.Millisecond) }
+	fmt.Fprintf(out, "%-17s %7d %6d %7d %6d %5d %10d   %18s   %24s, %s   %s\n", kind, c.Changes, s.Outcomes[lab.Acked],
+		s.Outcomes[lab.Refused], s.Outcomes[lab.Failed], s.Outcomes[lab.Lost], cluster.RepeatedWrites(),
+		round(gaps[len(gaps)/2]), round(seen[len(seen)/2]), round(seen[len(seen)-1]), round(s.Quantile(99)))
+}
