--- a/internal/controlplane/config/config.go
+++ b/internal/controlplane/config/config.go
@@ -9,23 +9,23 @@
 
 // Route leads the clients of a host to a service.
 //
-// The tag "reported" of a field here and below is the name that errors give it, where its Go name is another.
+// Fields are validated in the order in which they stand, here and below, and of several that are wrong the first is
+// reported: the order is part of what operators see. The tag "reported" is the name that errors give a field, where its
+// Go name is another. LatencyTarget, Priority and Attempts are validated, but nothing in this version uses them.
 type Route struct {
-	Name         string  `json:"name" validate:"required"`
-	Host         string  `json:"host" validate:"required"`
-	Prefix       string  `json:"prefix"` // of several routes of a host, the one with the shortest serves it
-	Consistency  string  `json:"type" reported:"Type" validate:"oneof=primary stale_ok self"`
-	Timeout      float64 `json:"timeoutMs" validate:"gt=0"`                       // of a statement, in milliseconds
-	Service      string  `json:"svc" reported:"Svc" validate:"required"`          // by its name
-	MaxStaleness float64 `json:"maxStaleMs" reported:"MaxStale" validate:"gte=0"` // milliseconds
-
-	// Shard names the shard whose owner serves the route, whatever Service says; "": Service does.
-	Shard string `json:"shard"`
-
-	// These are validated, but nothing in this version uses them.
+	Name          string  `json:"name" validate:"required"`
+	Host          string  `json:"host" validate:"required"`
+	Prefix        string  `json:"prefix"` // of several routes of a host, the one with the shortest serves it
+	Consistency   string  `json:"type" reported:"Type" validate:"oneof=primary stale_ok self"`
+	Timeout       float64 `json:"timeoutMs" validate:"gt=0"`                   // of a statement, in milliseconds
 	LatencyTarget float64 `json:"targetMs" reported:"Target" validate:"gte=0"` // milliseconds
 	Priority      int     `json:"prio" reported:"Prio" validate:"gte=0"`
+	Service       string  `json:"svc" reported:"Svc" validate:"required"` // by its name
 	Attempts      int     `json:"tries" reported:"Tries" validate:"gte=0"`
+	MaxStaleness  float64 `json:"maxStaleMs" reported:"MaxStale" validate:"gte=0"` // milliseconds
+
+	// Shard names the shard whose owner serves the route, whatever Service says; "": Service does.
+	Shard string `json:"shard"`
 }
 
 // Service is a replication group.
--- a/internal/controlplane/config/diff.go
+++ b/internal/controlplane/config/diff.go
@@ -19,7 +19,8 @@
 	if err := decodeStrict(after, &newDoc); err != nil {
 		return nil, err
 	}
-	keys := maps.Clone(oldDoc)
+	keys := map[string]json.RawMessage{} // not a clone: a document that is null decodes to a nil map
+	maps.Copy(keys, oldDoc)
 	maps.Copy(keys, newDoc)
 	var lines []string
 	for _, key := range slices.Sorted(maps.Keys(keys)) {
