--- a/internal/lab/emulator/driver.go
+++ b/internal/lab/emulator/driver.go
@@ -1,6 +1,6 @@
 package emulator
 
-// This file owns a driver: what its policy is told, how its actions are carried out, and its view of the list of
+// This file owns a driver: the events of its policy, how its actions are carried out, and its view of the list of
 // members. It decides nothing for the policy, and answers no op that the policy has not answered.
 
 import (
--- a/internal/lab/emulator/faults.go
+++ b/internal/lab/emulator/faults.go
@@ -35,7 +35,7 @@
 	faultAge    = "age"    // service times grow with the time since the start
 	faultDrain  = "drain"
 	faultWrong  = "wrong"  // discovery says that the member is gone
-	faultDemote = "demote" // a planned change of the primary that no driver is told of
+	faultDemote = "demote" // a planned change of the primary without notice to drivers
 	faultSwitch = "switch" // a planned change with hooks
 	faultHeal   = "heal"   // ends the other ones
 
--- a/internal/lab/emulator/stats.go
+++ b/internal/lab/emulator/stats.go
@@ -1,6 +1,6 @@
 package emulator
 
-// This file owns what is counted: by op type, by second, by group. Counters hold whole numbers alone, so that their sum
+// This file owns what is counted: by op type, by second, by group. Counters hold integers alone, so that their sum
 // over workers is the same for any number of them.
 
 import (
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -512,7 +512,7 @@
 			t.Error(err)
 		}
 		f.Links.Heal()
-		f.eventually(t, "whole again", func() bool { return f.HavePartitionStatus(membership.Complete, allDrivers...) })
+		f.eventually(t, "complete again", func() bool { return f.HavePartitionStatus(membership.Complete, allDrivers...) })
 		if _, err := c.Switchover(context.Background(), f.Drivers[0].Control, 1); err != nil {
 			t.Error(err)
 		}
@@ -594,7 +594,7 @@
 		}
 		return true
 	}
-	f.eventually(t, "told to the smaller part", func() bool {
+	f.eventually(t, "announced to the smaller partition", func() bool {
 		return strings.Contains(f.Drivers[0].Log(), drained+"=draining") && strings.Contains(f.Drivers[1].Log(), drained+"=draining")
 	})
 	f.Links.Heal()
@@ -615,14 +615,14 @@
 	f.eventually(t, "two parts again", func() bool { return f.HavePartitionStatus(membership.Majority, 2, 3, 4) })
 	f.Drivers[0].Kill()
 	f.Drivers[1].Kill()
-	quiet("those that told it are gone")
+	quiet("the drivers that announced it are gone")
 	f.Links.Heal()
 	for _, i := range []int{0, 1} {
 		if err := f.Drivers[i].Start(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	f.eventually(t, "whole", func() bool { return f.HavePartitionStatus(membership.Complete, allDrivers...) })
+	f.eventually(t, "complete", func() bool { return f.HavePartitionStatus(membership.Complete, allDrivers...) })
 	quiet("after another heal")
 	c.Inject("undrain", drained)
 	f.eventually(t, "up again by a newer list", func() bool { return said("false", 2, 3, 4) })
@@ -687,7 +687,7 @@
 		t.Error(code, text)
 	}
 	f.Links.Heal()
-	f.eventually(t, "whole", func() bool { return f.HavePartitionStatus(membership.Complete, allDrivers...) })
+	f.eventually(t, "complete", func() bool { return f.HavePartitionStatus(membership.Complete, allDrivers...) })
 	if text, code = f.command(4, "leave"); code != 0 {
 		t.Error(text)
 	}
@@ -707,7 +707,7 @@
 // The number of drivers reaches the module, and decreases only where the others may take over the share.
 func TestCountOfDrivers(t *testing.T) {
 	f := startFleet(t, Options{Seed: 15, TakeoverAfter: time.Second})
-	f.eventually(t, "told at the start", func() bool { return strings.Contains(f.Drivers[0].Log(), "event=drivers count=5") })
+	f.eventually(t, "known at the start", func() bool { return strings.Contains(f.Drivers[0].Log(), "event=drivers count=5") })
 	f.Drivers[4].Kill()
 	f.Drivers[3].Kill()
 	f.eventually(t, "three of five", func() bool { return f.HavePartitionStatus(membership.Majority, 0, 1, 2) })
--- a/internal/standin/cluster/service.go
+++ b/internal/standin/cluster/service.go
@@ -30,7 +30,7 @@
 	Executions    map[string]int   // committed effects by statement id; more than 1 is a fault of the system
 	LoseAnswers   int              // so many of the next answers to writes are lost, by closing the connection
 	RejectedCalls int              // of the platform, with a fencing token older than the newest one
-	Promoted      []string         // members that the platform was told to promote, in order
+	Promoted      []string         // members that the platform was called to promote, in order
 	AfterDrain    []string         // ids of statements that reached a member too long after its drain
 	Shards        *shardnode.Store // of a node that holds shards; nil: it holds none
 	Overflow      string           // how the node's disk held more than its capacity; "" while it did not
