--- a/internal/controlplane/shardsresource.go
+++ b/internal/controlplane/shardsresource.go
@@ -30,7 +30,8 @@
 	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxOperatorBytes))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&change); err != nil {
-		writeError(w, &invalidCallError{"the change can't be read: " + err.Error()})
+		text := shardmap.WithPublishedTypes(err).Error()
+		writeError(w, &invalidCallError{"the change can't be read: " + text})
 		return
 	}
 	switch change.Kind {
--- /dev/null
+++ b/internal/controlplane/shardsresource_test.go
@@ -0,0 +1,19 @@
+package controlplane
+
+import (
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"testing"
+)
+
+// The text was recorded before the type had its present name.
+func TestShardChangeThatCannotBeReadKeepsItsText(t *testing.T) {
+	answer := httptest.NewRecorder()
+	body := strings.NewReader(`{"kind":5}`)
+	(&shardsResource{}).change(answer, httptest.NewRequest(http.MethodPost, "/shards", body))
+	want := "the change can't be read: json: cannot unmarshal number into Go struct field Change.kind of type shardmap.Kind\n"
+	if answer.Code != http.StatusBadRequest || answer.Body.String() != want {
+		t.Fatalf("%d %s", answer.Code, answer.Body)
+	}
+}
--- a/internal/weirctl/shards.go
+++ b/internal/weirctl/shards.go
@@ -64,7 +64,7 @@
 	d := json.NewDecoder(bytes.NewReader(raw))
 	d.DisallowUnknownFields()
 	if err := d.Decode(into); err != nil {
-		return oops.In("shards").With("file", file).Wrap(err)
+		return oops.In("shards").With("file", file).Wrap(shardmap.WithPublishedTypes(err))
 	}
 	return nil
 }
