--- a/cmd/weirlab/main_test.go
+++ b/cmd/weirlab/main_test.go
@@ -19,8 +19,28 @@
 	}
 	dir := t.TempDir()
 	config, mix := filepath.Join(dir, "c.json"), filepath.Join(dir, "m.json")
-	run(0, "audit: every op got one whole answer", nil, "demo", "--for", "2s", "--rate", "100", "--slack", "2s", "--report", filepath.Join(dir, "demo.html"))
-	run(0, "kill g1m1: done\nkill nobody: not known", strings.NewReader("kill g1m1\nkill nobody\n"), "serve", "--config", config)
+	run(
+		0,
+		"audit: every op got one whole answer",
+		nil,
+		"demo",
+		"--for",
+		"2s",
+		"--rate",
+		"100",
+		"--slack",
+		"2s",
+		"--report",
+		filepath.Join(dir, "demo.html"),
+	)
+	run(
+		0,
+		"kill g1m1: done\nkill nobody: not known",
+		strings.NewReader("kill g1m1\nkill nobody\n"),
+		"serve",
+		"--config",
+		config,
+	)
 	if text, err := os.ReadFile(config); err != nil || !bytes.Contains(text, []byte(`"stop_sending_within"`)) {
 		t.Error(err)
 	}
@@ -28,9 +48,26 @@
 	run(1, "wants a name", nil, "load", "--target", "127.0.0.1:1", "--mix", mix)
 	run(0, "any", nil, "load", "--target", "127.0.0.1:1", "--for", "200ms")
 	run(0, "naive", nil, "storm", "--clients", "20", "--members", "10", "--away", "200ms")
-	run(0, "module: ", nil, "emulate", "--for", "3s", "--fault", "kill@1s:g1m1", "--policy", "module", "--policy", "random")
+	run(
+		0,
+		"module: ",
+		nil,
+		"emulate",
+		"--for",
+		"3s",
+		"--fault",
+		"kill@1s:g1m1",
+		"--policy",
+		"module",
+		"--policy",
+		"random",
+	)
 	file, found := filepath.Join(dir, "e.hcl"), filepath.Join(dir, "found")
-	os.WriteFile(file, []byte("scenario \"s\" {\n for = \"2s\"\n}\nexperiment \"e\" {\n scenario = \"s\"\n seeds = 2\n variant \"a\" {}\n variant \"b\" {\n policy = \"least\"\n}\n}\n"), 0o600)
+	os.WriteFile(
+		file,
+		[]byte(experimentFile),
+		0o600,
+	)
 	run(0, "report: ", nil, "experiment", file, "--out", found, "--png")
 	run(0, "4 of them are there already", nil, "experiment", file, "--out", found)
 	run(0, "worth served in time", nil, "compare", found, "--variant-a", "a", "--variant-b", "b")
@@ -49,3 +86,17 @@
 	run(2, "", nil, "dance")
 	run(0, "demo", nil, "--help")
 }
+
+// experimentFile has two variants with two seeds.
+const experimentFile = `scenario "s" {
+  for = "2s"
+}
+experiment "e" {
+  scenario = "s"
+  seeds    = 2
+  variant "a" {}
+  variant "b" {
+    policy = "least"
+  }
+}
+`
--- a/internal/lab/emulator/bench_test.go
+++ b/internal/lab/emulator/bench_test.go
@@ -13,7 +13,18 @@
 		b.Run(map[int]string{10: "10", 100: "100", 400: "400"}[drivers], func(b *testing.B) {
 			events, begin := 0.0, time.Now()
 			for b.Loop() {
-				s := Setup{Drivers: drivers, Groups: 4, Members: 10, Cores: 4, ServiceTime: 20, ReplicationLag: 20, Duration: 2000, Retries: 2, Policy: "module", Seed: 1}
+				s := Setup{
+					Drivers:        drivers,
+					Groups:         4,
+					Members:        10,
+					Cores:          4,
+					ServiceTime:    20,
+					ReplicationLag: 20,
+					Duration:       2000,
+					Retries:        2,
+					Policy:         "module",
+					Seed:           1,
+				}
 				s.Load = float64(drivers) * 10 / 8000
 				r, err := Run(s, 1, nil)
 				if err != nil || len(r.Violations) > 0 {
--- a/internal/lab/emulator/emulator_test.go
+++ b/internal/lab/emulator/emulator_test.go
@@ -10,11 +10,36 @@
 )
 
 func setup(policy string, drivers int, faults ...Fault) Setup {
-	return Setup{Drivers: drivers, Groups: 1, Members: 5, Cores: 4, ServiceTime: 40, Load: 0.4, ReplicationLag: 20, Duration: 20000, Retries: 2, Policy: policy, Seed: 3, Faults: faults}
+	return Setup{
+		Drivers:        drivers,
+		Groups:         1,
+		Members:        5,
+		Cores:          4,
+		ServiceTime:    40,
+		Load:           0.4,
+		ReplicationLag: 20,
+		Duration:       20000,
+		Retries:        2,
+		Policy:         policy,
+		Seed:           3,
+		Faults:         faults,
+	}
 }
 
-var faultSchedule = []Fault{{At: 4000, Kind: "kill", Target: "g1m1"}, {At: 9000, Kind: "heal", Target: "g1m1"}, {At: 10000, Kind: "hang", Target: "g1m3"}, {At: 13000, Kind: "heal", Target: "g1m3"}, {At: 14000, Kind: "drain", Target: "g1m4"},
-	{At: 15000, Kind: "vanish", Target: "g1m2"}, {At: 17000, Kind: "heal", Target: "g1m2"}, {At: 18000, Kind: "lag", Target: "g1m5"}}
+var faultSchedule = []Fault{
+	{At: 4000, Kind: "kill", Target: "g1m1"},
+	{At: 9000, Kind: "heal", Target: "g1m1"},
+	{At: 10000, Kind: "hang", Target: "g1m3"},
+	{At: 13000, Kind: "heal", Target: "g1m3"},
+	{At: 14000, Kind: "drain", Target: "g1m4"},
+	{
+		At:     15000,
+		Kind:   "vanish",
+		Target: "g1m2",
+	},
+	{At: 17000, Kind: "heal", Target: "g1m2"},
+	{At: 18000, Kind: "lag", Target: "g1m5"},
+}
 
 // The module keeps the rules through all kinds of faults, with few and with many drivers, and serves most of the value.
 func TestModuleKeepsTheRules(t *testing.T) {
@@ -22,13 +47,21 @@
 	for _, drivers := range []int{1, 3, 60} {
 		r, err := Run(setup("module", drivers, faultSchedule...), 1, nil)
 		if err != nil || len(r.Violations) > 0 || r.ValueShare < 0.6 || r.Ops < 3000 {
-			t.Errorf("%d drivers: %v: worth %.2f of %d ops, broken %v %q", drivers, err, r.ValueShare, r.Ops, r.Violations, r.FirstViolations)
+			t.Errorf(
+				"%d drivers: %v: worth %.2f of %d ops, broken %v %q",
+				drivers,
+				err,
+				r.ValueShare,
+				r.Ops,
+				r.Violations,
+				r.FirstViolations,
+			)
 		}
 	}
 }
 
-// The auditor finds the stale reads of the baselines while there is no primary. One that reads from the primary alone has
-// none.
+// The auditor finds the stale reads of the baselines while there is no primary. One that reads from the primary alone
+// has none.
 func TestBaselinesBreakRules(t *testing.T) {
 	t.Parallel()
 	for _, policy := range []string{"primary", "random", "round-robin", "least"} {
@@ -44,19 +77,44 @@
 	t.Parallel()
 	s := setup("module", 20, faultSchedule...)
 	s.Groups, s.Load, s.Duration = 2, 0.5, 9000
-	s.Faults = append(s.Faults, Fault{At: 3000, Kind: "restart", Target: "1/4"}, Fault{At: 5000, Duration: 800, Kind: "cut", Target: "a>b"},
-		Fault{At: 7000, Duration: 1500, Kind: "loss", Factor: 0.1})
+	s.Faults = append(
+		s.Faults,
+		Fault{At: 3000, Kind: "restart", Target: "1/4"},
+		Fault{At: 5000, Duration: 800, Kind: "cut", Target: "a>b"},
+		Fault{At: 7000, Duration: 1500, Kind: "loss", Factor: 0.1},
+	)
 	one, err := Run(s, 1, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	text := func(r *Result) string {
-		return fmt.Sprint(r.ValueShare, r.Ops, r.Seconds, r.Promotions, r.WriteGaps, r.Members, r.Events, r.Violations, r.FirstViolations, r.Sends(), r.Messages(), r.Connects(),
-			r.Types[0].Latency.Mean(), r.Types[0].Outcomes)
+		return fmt.Sprint(
+			r.ValueShare,
+			r.Ops,
+			r.Seconds,
+			r.Promotions,
+			r.WriteGaps,
+			r.Members,
+			r.Events,
+			r.Violations,
+			r.FirstViolations,
+			r.Sends(),
+			r.Messages(),
+			r.Connects(),
+			r.Types[0].Latency.Mean(),
+			r.Types[0].Outcomes,
+		)
 	}
 	for _, cores := range []int{1, 2, 3, 7} {
 		if r, _ := Run(s, cores, nil); text(r) != text(one) {
-			t.Errorf("with %d workers another run: worth %v and %v, %d and %d events", cores, r.ValueShare, one.ValueShare, r.Events, one.Events)
+			t.Errorf(
+				"with %d workers another run: worth %v and %v, %d and %d events",
+				cores,
+				r.ValueShare,
+				one.ValueShare,
+				r.Events,
+				one.Events,
+			)
 		}
 	}
 	s.Seed++
@@ -72,57 +130,108 @@
 	if err != nil || baseline.ValueShare < 0.97 || len(baseline.Violations) > 0 {
 		t.Fatalf("%v: a run without faults serves %.3f, broken %v", err, baseline.ValueShare, baseline.Violations)
 	}
-	asked := func(r *Result, second int) (n int) {
-		for _, x := range r.Seconds[second].Arrivals {
-			n += x
+	// onePromotion expects one change of the primary, with a gap between two acknowledged writes within bounds.
+	onePromotion := func(least, most float64) func(r *Result) bool {
+		return func(r *Result) bool {
+			return len(r.Promotions) == 1 && r.WriteGaps[0] > least && r.WriteGaps[0] < most
 		}
-		return n
 	}
-	empty := func(r *Result) (n int) {
-		for _, s := range r.Seconds {
-			n += s.WithoutPrimary[0]
-		}
-		return n
+	// servedLess expects a member to serve less than a share of what it serves without the fault.
+	servedLess := func(member int, tenths int) func(r *Result) bool {
+		return func(r *Result) bool { return r.Members[member].Served < baseline.Members[member].Served*tenths/10 }
 	}
+	lost := func(r *Result) bool { return r.Lost > 0 }
 	for _, c := range []struct {
 		fault Fault
 		seen  func(r *Result) bool
 	}{
-		{Fault{At: 4000, Duration: 4000, Kind: "kill", Target: "g1m1"}, func(r *Result) bool { return len(r.Promotions) == 1 && r.WriteGaps[0] > 2500 && empty(r) > 30 }},
-		{Fault{At: 4000, Duration: 4000, Kind: "vanish", Target: "g1m1"}, func(r *Result) bool { return len(r.Promotions) == 1 && r.WriteGaps[0] > 2500 }},
-		{Fault{At: 4000, Duration: 4000, Kind: "hang", Target: "g1m1"}, func(r *Result) bool { return len(r.Promotions) == 1 && r.WriteGaps[0] > 2500 }},
-		{Fault{At: 4000, Duration: 4000, Kind: "drain", Target: "g1m1"}, func(r *Result) bool { return len(r.Promotions) == 1 && r.WriteGaps[0] < 1500 }},
-		{Fault{At: 4000, Kind: "demote", Target: "g1m1"}, func(r *Result) bool { return len(r.Promotions) == 1 && r.WriteGaps[0] > 2000 && r.WriteGaps[0] < 2600 }},
+		{Fault{At: 4000, Duration: 4000, Kind: "kill", Target: "g1m1"}, func(r *Result) bool {
+			return onePromotion(2500, math.Inf(1))(r) && withoutPrimary(r) > 30
+		}},
+		{Fault{At: 4000, Duration: 4000, Kind: "vanish", Target: "g1m1"}, onePromotion(2500, math.Inf(1))},
+		{Fault{At: 4000, Duration: 4000, Kind: "hang", Target: "g1m1"}, onePromotion(2500, math.Inf(1))},
+		{Fault{At: 4000, Duration: 4000, Kind: "drain", Target: "g1m1"}, onePromotion(-1, 1500)},
+		{Fault{At: 4000, Kind: "demote", Target: "g1m1"}, onePromotion(2000, 2600)},
 		{Fault{At: 4000, Kind: "switch", Target: "g1m1"}, func(r *Result) bool {
-			return len(r.Promotions) == 1 && r.WriteGaps[0] > 2000 && r.WriteGaps[0] < 2600 && empty(r) > 30
+			return onePromotion(2000, 2600)(r) && withoutPrimary(r) > 30
+		}},
+		{Fault{At: 4000, Duration: 8000, Kind: "fail", Target: "g1m3"}, servedLess(2, 8)},
+		{Fault{At: 4000, Duration: 9000, Kind: "slow", Target: "g1m3"}, servedLess(2, 9)},
+		{Fault{At: 4000, Duration: 5000, Kind: "slow", Target: "all", Factor: 6}, func(r *Result) bool {
+			return r.ValueShare < baseline.ValueShare-0.05
+		}},
+		{Fault{At: 4000, Duration: 9000, Kind: "lag", Target: "g1"}, func(r *Result) bool {
+			return r.Members[0].Served > baseline.Members[0].Served*5/4
+		}},
+		{Fault{At: 0, Kind: "age", Target: "g1m3", Factor: 12}, servedLess(2, 9)},
+		{Fault{At: 4000, Duration: 9000, Kind: "wrong", Target: "g1m3"}, servedLess(2, 8)},
+		{Fault{At: 1000, Kind: "deploy", Target: "g1"}, func(r *Result) bool {
+			return len(r.Promotions) == 1 && r.ValueShare > 0.85
+		}},
+		{Fault{At: 4000, Kind: "restart", Target: "all"}, func(r *Result) bool {
+			return r.Connects() > baseline.Connects() && r.Lost > 0
+		}},
+		{Fault{At: 4000, Kind: "lose", Target: "n1"}, lost},
+		{Fault{At: 4000, Duration: 1500, Kind: "pause", Target: "n1"}, lost},
+		{Fault{At: 4000, Duration: 2000, Kind: "burst", Target: "all"}, func(r *Result) bool {
+			return arrivals(r, 5) > 2*arrivals(r, 2)
+		}},
+		{Fault{At: 4000, Duration: 2000, Kind: "hot", Target: "n1", Factor: 5}, func(r *Result) bool {
+			return arrivals(r, 5) > arrivals(baseline, 5)*5/4
+		}},
+		{Fault{At: 4000, Duration: 3000, Kind: "cut", Target: "a>b"}, func(r *Result) bool {
+			return r.Connects() > baseline.Connects()+10
+		}},
+		{Fault{At: 4000, Duration: 3000, Kind: "loss", Factor: 0.2}, func(r *Result) bool {
+			return r.Types[0].Quantile(95) > baseline.Types[0].Quantile(95)+20
 		}},
-		{Fault{At: 4000, Duration: 8000, Kind: "fail", Target: "g1m3"}, func(r *Result) bool { return r.Members[2].Served < baseline.Members[2].Served*8/10 }},
-		{Fault{At: 4000, Duration: 9000, Kind: "slow", Target: "g1m3"}, func(r *Result) bool { return r.Members[2].Served < baseline.Members[2].Served*9/10 }},
-		{Fault{At: 4000, Duration: 5000, Kind: "slow", Target: "all", Factor: 6}, func(r *Result) bool { return r.ValueShare < baseline.ValueShare-0.05 }},
-		{Fault{At: 4000, Duration: 9000, Kind: "lag", Target: "g1"}, func(r *Result) bool { return r.Members[0].Served > baseline.Members[0].Served*5/4 }},
-		{Fault{At: 0, Kind: "age", Target: "g1m3", Factor: 12}, func(r *Result) bool { return r.Members[2].Served < baseline.Members[2].Served*9/10 }},
-		{Fault{At: 4000, Duration: 9000, Kind: "wrong", Target: "g1m3"}, func(r *Result) bool { return r.Members[2].Served < baseline.Members[2].Served*8/10 }},
-		{Fault{At: 1000, Kind: "deploy", Target: "g1"}, func(r *Result) bool { return len(r.Promotions) == 1 && r.ValueShare > 0.85 }},
-		{Fault{At: 4000, Kind: "restart", Target: "all"}, func(r *Result) bool { return r.Connects() > baseline.Connects() && r.Lost > 0 }},
-		{Fault{At: 4000, Kind: "lose", Target: "n1"}, func(r *Result) bool { return r.Lost > 0 }},
-		{Fault{At: 4000, Duration: 1500, Kind: "pause", Target: "n1"}, func(r *Result) bool { return r.Lost > 0 }},
-		{Fault{At: 4000, Duration: 2000, Kind: "burst", Target: "all"}, func(r *Result) bool { return asked(r, 5) > 2*asked(r, 2) }},
-		{Fault{At: 4000, Duration: 2000, Kind: "hot", Target: "n1", Factor: 5}, func(r *Result) bool { return asked(r, 5) > asked(baseline, 5)*5/4 }},
-		{Fault{At: 4000, Duration: 3000, Kind: "cut", Target: "a>b"}, func(r *Result) bool { return r.Connects() > baseline.Connects()+10 }},
-		{Fault{At: 4000, Duration: 3000, Kind: "loss", Factor: 0.2}, func(r *Result) bool { return r.Types[0].Quantile(95) > baseline.Types[0].Quantile(95)+20 }},
 	} {
-		r, err := Run(setup("module", 6, c.fault), 2, nil)
-		if err != nil || !c.seen(r) || len(r.Violations) > 0 {
-			t.Errorf("%+v: %v; not seen, or broken %v %q; worth %.3f, gaps %v, %d openings, %d sends (%d), %d connects (%d), served %v, lost %d", c.fault, err,
-				r.Violations, r.FirstViolations, r.ValueShare, r.WriteGaps, len(r.Promotions), r.Sends(), baseline.Sends(), r.Connects(), baseline.Connects(), r.Members[2], r.Lost)
-		}
+		t.Run(c.fault.Kind+" "+c.fault.Target, func(t *testing.T) {
+			r, err := Run(setup("module", 6, c.fault), 2, nil)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if len(r.Violations) > 0 {
+				t.Errorf("violations %v, such as %q", r.Violations, r.FirstViolations)
+			}
+			if !c.seen(r) {
+				t.Errorf("%+v is not seen: value %.3f, gaps %v, %d promotions, %d sends (%d), %d connects (%d), served %v, lost %d",
+					c.fault, r.ValueShare, r.WriteGaps, len(r.Promotions), r.Sends(), baseline.Sends(), r.Connects(),
+					baseline.Connects(), r.Members[2], r.Lost)
+			}
+		})
+	}
+}
+
+// arrivals is the ops that were first submitted in a second.
+func arrivals(r *Result, second int) (n int) {
+	for _, x := range r.Seconds[second].Arrivals {
+		n += x
 	}
+	return n
+}
+
+// withoutPrimary is the samples of drivers that knew no primary.
+func withoutPrimary(r *Result) (n int) {
+	for _, s := range r.Seconds {
+		n += s.WithoutPrimary[0]
+	}
+	return n
 }
 
 // The list stands still for some drivers while a member drains: they may send there, as the rule counts from when their
 // list had the drain.
 func TestStaleLists(t *testing.T) {
-	r, err := Run(setup("module", 6, Fault{At: 2000, Duration: 4000, Kind: "late", Target: "1/2"}, Fault{At: 2500, Kind: "drain", Target: "g1m3"}), 1, nil)
+	r, err := Run(
+		setup(
+			"module",
+			6,
+			Fault{At: 2000, Duration: 4000, Kind: "late", Target: "1/2"},
+			Fault{At: 2500, Kind: "drain", Target: "g1m3"},
+		),
+		1,
+		nil,
+	)
 	if err != nil || len(r.Violations) > 0 || r.ValueShare < 0.9 {
 		t.Errorf("%v: worth %.3f, broken %v %q", err, r.ValueShare, r.Violations, r.FirstViolations)
 	}
@@ -150,15 +259,32 @@
 		cores int
 		load  float64
 	}{{1, 0.5}, {4, 0.6}, {4, 0.8}} {
-		s := Setup{Drivers: 1, Groups: 1, Members: 1, Cores: c.cores, ServiceTime: 1, Load: c.load, Duration: 5e5 / float64(c.cores) / c.load, Policy: "random", Seed: 5,
-			Mix: []OpKind{{"any", 1, logic.OpType{LatencyTarget: 1e4, OpTimeout: 1e4, Value: 1}}}}
+		s := Setup{
+			Drivers:     1,
+			Groups:      1,
+			Members:     1,
+			Cores:       c.cores,
+			ServiceTime: 1,
+			Load:        c.load,
+			Duration:    5e5 / float64(c.cores) / c.load,
+			Policy:      "random",
+			Seed:        5,
+			Mix:         []OpKind{{"any", 1, logic.OpType{LatencyTarget: 1e4, OpTimeout: 1e4, Value: 1}}},
+		}
 		r, err := Run(s, 1, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		want := erlangWait(c.cores, c.load)
 		if got := r.Members[0].MeanWait; math.Abs(got/want-1) > 0.03 || r.Members[0].Served < 400000 {
-			t.Errorf("%d cores at %.1f: %d ops waited %.4f times their work, in theory %.4f", c.cores, c.load, r.Members[0].Served, got, want)
+			t.Errorf(
+				"%d cores at %.1f: %d ops waited %.4f times their work, in theory %.4f",
+				c.cores,
+				c.load,
+				r.Members[0].Served,
+				got,
+				want,
+			)
 		}
 	}
 }
@@ -174,16 +300,32 @@
 	return last / (sum + last) / (float64(cores) * (1 - load))
 }
 
-// All of many drivers restart at once after a change of the primary, and near a cold member: no rule breaks, with learned
-// state or without.
+// All of many drivers restart at once after a change of the primary, and near a cold member: no rule breaks, with
+// learned state or without.
 func TestRestartOfAll(t *testing.T) {
 	t.Parallel()
 	for _, what := range []string{"restart", "lose"} {
-		s := setup("module", 60, Fault{At: 2000, Kind: "kill", Target: "g1m4"}, Fault{At: 3000, Kind: "drain", Target: "g1m1"}, Fault{At: 5900, Kind: "heal", Target: "g1m4"}, Fault{At: 6000, Kind: what, Target: "all"},
-			Fault{At: 9000, Kind: what, Target: "all"}, Fault{At: 12000, Kind: what, Target: "n7"})
+		s := setup(
+			"module",
+			60,
+			Fault{At: 2000, Kind: "kill", Target: "g1m4"},
+			Fault{At: 3000, Kind: "drain", Target: "g1m1"},
+			Fault{At: 5900, Kind: "heal", Target: "g1m4"},
+			Fault{At: 6000, Kind: what, Target: "all"},
+			Fault{At: 9000, Kind: what, Target: "all"},
+			Fault{At: 12000, Kind: what, Target: "n7"},
+		)
 		r, err := Run(s, 1, nil)
 		if err != nil || len(r.Violations) > 0 || r.Lost == 0 || r.ValueShare < 0.8 {
-			t.Errorf("%s: %v, broken %v %q, %d lost, worth %.3f", what, err, r.Violations, r.FirstViolations, r.Lost, r.ValueShare)
+			t.Errorf(
+				"%s: %v, broken %v %q, %d lost, worth %.3f",
+				what,
+				err,
+				r.Violations,
+				r.FirstViolations,
+				r.Lost,
+				r.ValueShare,
+			)
 		}
 	}
 }
--- a/internal/lab/emulator/golden_test.go
+++ b/internal/lab/emulator/golden_test.go
@@ -26,20 +26,54 @@
 	}
 	large := setup("module", 20, faultSchedule...)
 	large.Groups, large.Zones, large.MaxConnections, large.MessageRate, large.Duration = 2, 3, 40, 50, 12000
-	large.Faults = append(large.Faults, Fault{At: 3000, Kind: "restart", Target: "1/4"},
-		Fault{At: 5000, Duration: 800, Kind: "cut", Target: "a>b"}, Fault{At: 7000, Duration: 1500, Kind: "loss", Factor: 0.1},
-		Fault{At: 8000, Duration: 2000, Kind: "toll", Target: "a>b"}, Fault{At: 9000, Kind: "end", Target: "n2"},
-		Fault{At: 9500, Kind: "count", Target: "all"})
+	large.Faults = append(
+		large.Faults,
+		Fault{At: 3000, Kind: "restart", Target: "1/4"},
+		Fault{
+			At:       5000,
+			Duration: 800,
+			Kind:     "cut",
+			Target:   "a>b",
+		},
+		Fault{At: 7000, Duration: 1500, Kind: "loss", Factor: 0.1},
+		Fault{At: 8000, Duration: 2000, Kind: "toll", Target: "a>b"},
+		Fault{At: 9000, Kind: "end", Target: "n2"},
+		Fault{At: 9500, Kind: "count", Target: "all"},
+	)
 	record("two groups, three zones", large)
-	members := setup("module", 6, Fault{At: 1000, Duration: 2000, Kind: "fail", Target: "g1m3"},
-		Fault{At: 2000, Duration: 3000, Kind: "slow", Target: "g1m2"}, Fault{At: 3000, Duration: 1000, Kind: "slow", Target: "all"},
-		Fault{At: 4000, Kind: "age", Target: "g1m4"}, Fault{At: 5000, Duration: 1000, Kind: "wrong", Target: "g1m5"},
-		Fault{At: 7000, Kind: "demote", Target: "g1m1"}, Fault{At: 12000, Kind: "deploy", Target: "g1"})
+	members := setup(
+		"module",
+		6,
+		Fault{At: 1000, Duration: 2000, Kind: "fail", Target: "g1m3"},
+		Fault{
+			At:       2000,
+			Duration: 3000,
+			Kind:     "slow",
+			Target:   "g1m2",
+		},
+		Fault{At: 3000, Duration: 1000, Kind: "slow", Target: "all"},
+		Fault{At: 4000, Kind: "age", Target: "g1m4"},
+		Fault{At: 5000, Duration: 1000, Kind: "wrong", Target: "g1m5"},
+		Fault{At: 7000, Kind: "demote", Target: "g1m1"},
+		Fault{At: 12000, Kind: "deploy", Target: "g1"},
+	)
 	record("faults of members", members)
-	drivers := setup("module", 6, Fault{At: 1000, Kind: "switch", Target: "g1m1"}, Fault{At: 6000, Kind: "lose", Target: "n1"},
-		Fault{At: 7000, Duration: 1500, Kind: "pause", Target: "n2"}, Fault{At: 9000, Duration: 2000, Kind: "late", Target: "1/2"},
-		Fault{At: 9500, Kind: "drain", Target: "g1m3"}, Fault{At: 12000, Duration: 2000, Kind: "burst", Target: "all"},
-		Fault{At: 15000, Duration: 2000, Kind: "hot", Target: "n1"})
+	drivers := setup(
+		"module",
+		6,
+		Fault{At: 1000, Kind: "switch", Target: "g1m1"},
+		Fault{At: 6000, Kind: "lose", Target: "n1"},
+		Fault{
+			At:       7000,
+			Duration: 1500,
+			Kind:     "pause",
+			Target:   "n2",
+		},
+		Fault{At: 9000, Duration: 2000, Kind: "late", Target: "1/2"},
+		Fault{At: 9500, Kind: "drain", Target: "g1m3"},
+		Fault{At: 12000, Duration: 2000, Kind: "burst", Target: "all"},
+		Fault{At: 15000, Duration: 2000, Kind: "hot", Target: "n1"},
+	)
 	drivers.NoAdvice = true
 	record("faults of drivers, a switchover", drivers)
 	drivers.NoProbes, drivers.NoAdvice, drivers.Faults = true, false, drivers.Faults[1:]
@@ -55,7 +89,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	fmt.Fprintf(digest, "%s\n%v %v %v %v %v\n%v\n", setup, r.Seconds, r.Promotions, r.WriteGaps, r.Members, r.Lost, r.FirstViolations)
+	fmt.Fprintf(
+		digest,
+		"%s\n%v %v %v %v %v\n%v\n",
+		setup,
+		r.Seconds,
+		r.Promotions,
+		r.WriteGaps,
+		r.Members,
+		r.Lost,
+		r.FirstViolations,
+	)
 	for _, k := range r.Types {
 		fmt.Fprintln(digest, k.Outcomes, k.WithinTarget, k.Latency.Mean(), k.Latency.TotalCount())
 		for _, q := range []float64{1, 50, 90, 99, 99.9, 100} {
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -67,10 +67,13 @@
 	}
 	a, b := plans[0].Setup, plans[1].Setup
 	if a.Policy != "module" || a.Drivers != 2 || a.Load != 0.3 || a.Seed != 1 || a.ElectionTime != 300 || a.Retries != 1 || len(a.Faults) != 1 ||
-		a.Mix[0].MaxAge != 200 || a.Mix[1].Need != logic.Write || a.Mix[1].Effect != logic.NonRetryable || a.Mix[1].Value != 1 {
+		a.Mix[0].MaxAge != 200 || a.Mix[1].Need != logic.Write ||
+		a.Mix[1].Effect != logic.NonRetryable ||
+		a.Mix[1].Value != 1 {
 		t.Errorf("%+v", a)
 	}
-	if b.Policy != "random" || b.Retries != 0 || !b.NoAdvice || len(b.Faults) != 2 || b.Faults[1].Target != "all" || b.Faults[1].Factor != 2 {
+	if b.Policy != "random" || b.Retries != 0 || !b.NoAdvice || len(b.Faults) != 2 || b.Faults[1].Target != "all" ||
+		b.Faults[1].Factor != 2 {
 		t.Errorf("%+v", b)
 	}
 	for want, change := range map[string][2]string{
@@ -82,7 +85,11 @@
 		`a variant`:            {`scenario = "s"`, `scenario = "x"`},
 		`s.hcl:3`:              {`drivers = 4`, `drivers = "many"`},
 	} {
-		if _, err := ParseFile("s.hcl", []byte(strings.Replace(small, change[0], change[1], 1))); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := ParseFile(
+			"s.hcl",
+			[]byte(strings.Replace(small, change[0], change[1], 1)),
+		); err == nil ||
+			!strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", want, err)
 		}
 	}
@@ -137,8 +144,15 @@
 		if !same(clone(a), b) || !same(a, c) {
 			t.Errorf("run %d differs between the calls or from what is kept", i)
 		}
-		if p := &plans[i].Setup; p.Policy == "module" && (len(first[i].Violations) > 0 || len(first[i].Promotions) != 1 || first[i].Quantile(50) < 5) {
-			t.Errorf("run %d: broken %v, openings %v, median %v", i, first[i].Violations, first[i].Promotions, first[i].Quantile(50))
+		if p := &plans[i].Setup; p.Policy == "module" &&
+			(len(first[i].Violations) > 0 || len(first[i].Promotions) != 1 || first[i].Quantile(50) < 5) {
+			t.Errorf(
+				"run %d: broken %v, openings %v, median %v",
+				i,
+				first[i].Violations,
+				first[i].Promotions,
+				first[i].Quantile(50),
+			)
 		}
 	}
 	if other := plans[0].fileName("c"); other == plans[0].fileName("b") {
@@ -150,7 +164,11 @@
 		t.Fatal(err)
 	}
 	all, _ := filepath.Glob(filepath.Join(pictures, "*.png"))
-	if n := strings.Count(page.String(), "<svg"); n != 2*8 || len(all) != n || !strings.Contains(page.String(), "&lt;note&gt;") {
+	if n := strings.Count(
+		page.String(),
+		"<svg",
+	); n != 2*8 || len(all) != n ||
+		!strings.Contains(page.String(), "&lt;note&gt;") {
 		t.Errorf("%d pictures on the page, %d as PNG", n, len(all))
 	}
 	if WritePage(&page, "T", nil, nil, "", "") == nil {
@@ -167,14 +185,26 @@
 func TestCompare(t *testing.T) {
 	rows := func(variant string, worth ...float64) (all []Run) {
 		for i, x := range worth {
-			all = append(all, Run{Experiment: "e", Variant: variant, Drivers: 3, Seed: uint64(i), ValueShare: x, Seconds: []Second{{Arrivals: 10, Retries: 5}}})
+			all = append(
+				all,
+				Run{
+					Experiment: "e",
+					Variant:    variant,
+					Drivers:    3,
+					Seed:       uint64(i),
+					ValueShare: x,
+					Seconds:    []Second{{Arrivals: 10, Retries: 5}},
+				},
+			)
 		}
 		return all
 	}
 	a := rows("a", 0.90, 0.92, 0.91, 0.93)
 	b := rows("b", 0.94, 0.96, 0.96, 0.96) // differences 0.04, 0.04, 0.05, 0.03
 	d := Compare(a, b, true)
-	if len(d) != len(Measures) || d[0].Pairs != 4 || math.Abs(d[0].Mean-0.04) > 1e-9 || math.Abs(d[0].HalfWidth-3.18245*0.00816497/2) > 1e-5 || !d[0].Significant() {
+	if len(d) != len(Measures) || d[0].Pairs != 4 || math.Abs(d[0].Mean-0.04) > 1e-9 ||
+		math.Abs(d[0].HalfWidth-3.18245*0.00816497/2) > 1e-5 ||
+		!d[0].Significant() {
 		t.Errorf("%+v", d[0])
 	}
 	noise := Compare(a, rows("b", 0.95, 0.88, 0.95, 0.90), true)
@@ -187,11 +217,22 @@
 	if none := Compare(a, nil, true); none != nil {
 		t.Error(none)
 	}
-	if own := Compare(append(a, b...), append(b, a...), false); len(own) != 2*len(Measures) || own[0].Mean != 0 || own[0].Experiment != "e a" {
+	if own := Compare(
+		append(a, b...),
+		append(b, a...),
+		false,
+	); len(own) != 2*len(Measures) || own[0].Mean != 0 ||
+		own[0].Experiment != "e a" {
 		t.Errorf("variants are not compared with their own: %+v", own)
 	}
 	var out bytes.Buffer
-	if err := WriteComparison(&out, "A", "B", append(d, noise...)); err != nil || !strings.Contains(out.String(), "better") || !strings.Contains(out.String(), "not beyond chance") {
+	if err := WriteComparison(
+		&out,
+		"A",
+		"B",
+		append(d, noise...),
+	); err != nil || !strings.Contains(out.String(), "better") ||
+		!strings.Contains(out.String(), "not beyond chance") {
 		t.Error(err, out.String())
 	}
 	if x := a[0].AttemptsPerOp(); x != 1.5 {
--- a/internal/lab/experiment/golden_test.go
+++ b/internal/lab/experiment/golden_test.go
@@ -88,7 +88,12 @@
 	}
 	var out bytes.Buffer
 	for _, across := range []bool{false, true} {
-		if err := WriteComparison(&out, "A", "B", Compare(SelectVariant(rows, "module"), SelectVariant(rows, "plain"), across)); err != nil {
+		if err := WriteComparison(
+			&out,
+			"A",
+			"B",
+			Compare(SelectVariant(rows, "module"), SelectVariant(rows, "plain"), across),
+		); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -1,7 +1,7 @@
 package fleet
 
-// Several processes of the built program, and faults between them. Each test waits for a condition, with a timeout that a
-// loaded machine keeps as well, and takes no duration for proof.
+// Several processes of the built program, and faults between them. Each test waits for a condition, with a timeout
+// that a loaded machine keeps as well, and takes no duration for proof.
 
 import (
 	"context"
@@ -88,7 +88,10 @@
 					text, _ := json.Marshal(z)
 					t.Logf("%s: %s", d.Name, text)
 				}
-				lines := slices.DeleteFunc(strings.Split(d.Log(), "\n"), func(l string) bool { return strings.Contains(l, "client_closed") })
+				lines := slices.DeleteFunc(
+					strings.Split(d.Log(), "\n"),
+					func(l string) bool { return strings.Contains(l, "client_closed") },
+				)
 				t.Logf("%s: %v %s\n%s", d.Name, err, text, strings.Join(lines[max(0, len(lines)-40):], "\n"))
 			}
 		}
@@ -140,7 +143,11 @@
 		t.Fatal(err)
 	}
 	f.eventually(t, "the first one back is alone", func() bool { return f.HavePartitionStatus(membership.Isolated, 0) })
-	if _, err := f.Drivers[0].Control.NotifyHook(context.Background(), switchover.Notification{Group: 1, Stage: switchover.StageHeld}); err == nil || !strings.Contains(err.Error(), "503") {
+	if _, err := f.Drivers[0].Control.NotifyHook(
+		context.Background(),
+		switchover.Notification{Group: 1, Stage: switchover.StageHeld},
+	); err == nil ||
+		!strings.Contains(err.Error(), "503") {
 		t.Errorf("a hold begun alone: %v", err)
 	}
 	if err := f.StartDrivers(1, 2); err != nil {
@@ -171,7 +178,11 @@
 	if err := f.StartDrivers(2); err != nil {
 		t.Fatal(err)
 	}
-	f.eventually(t, "a spoilt folder is refused", func() bool { return strings.Contains(f.Drivers[2].Log(), "move it away") })
+	f.eventually(
+		t,
+		"a spoilt folder is refused",
+		func() bool { return strings.Contains(f.Drivers[2].Log(), "move it away") },
+	)
 }
 
 func TestKills(t *testing.T) {
@@ -188,7 +199,11 @@
 	if s, err := f.Drivers[0].Status(); err != nil || s.Count != 10 || len(s.Roster.Names) != 5 {
 		t.Errorf("a loss may not shrink what is counted: %+v %v", s, err)
 	}
-	if _, err := f.Drivers[0].Control.NotifyHook(context.Background(), switchover.Notification{Group: 1, Stage: switchover.StageHeld}); err == nil || !strings.Contains(err.Error(), "503") {
+	if _, err := f.Drivers[0].Control.NotifyHook(
+		context.Background(),
+		switchover.Notification{Group: 1, Stage: switchover.StageHeld},
+	); err == nil ||
+		!strings.Contains(err.Error(), "503") {
 		t.Errorf("a hold begun alone: %v", err)
 	}
 	for i := 1; i < 5; i++ {
@@ -205,7 +220,8 @@
 	f := startFleet(t, Options{Seed: 2, Spare: 1})
 	f.Drivers[4].Stop()
 	f.eventually(t, "one stopped", func() bool {
-		return f.sees(4, membership.Left, 0, 1, 2, 3) && f.HavePartitionStatus(membership.Complete, 0, 1, 2, 3) && f.rosterIs(4, 0, 1, 2, 3)
+		return f.sees(4, membership.Left, 0, 1, 2, 3) && f.HavePartitionStatus(membership.Complete, 0, 1, 2, 3) &&
+			f.rosterIs(4, 0, 1, 2, 3)
 	})
 	if err := f.Drivers[5].Start(); err != nil {
 		t.Fatal(err)
@@ -219,7 +235,11 @@
 		err := f.Drivers[0].Control.Forget(context.Background(), control.ForgetRequest{Name: "n5"})
 		return err == nil && f.HavePartitionStatus(membership.Complete, 0, 1, 2, 3) && f.rosterIs(4, 0, 1, 2, 3)
 	})
-	if err := f.Drivers[0].Control.Forget(context.Background(), control.ForgetRequest{Name: "n1"}); err == nil || !strings.Contains(err.Error(), "lives") {
+	if err := f.Drivers[0].Control.Forget(
+		context.Background(),
+		control.ForgetRequest{Name: "n1"},
+	); err == nil ||
+		!strings.Contains(err.Error(), "lives") {
 		t.Errorf("one that lives was forgotten: %v", err)
 	}
 }
@@ -227,14 +247,27 @@
 func TestPausedDrivers(t *testing.T) {
 	f := startFleet(t, Options{Seed: 3})
 	f.Drivers[2].Freeze()
-	f.eventually(t, "it is missed", func() bool { return f.sees(2, membership.Suspect, 0) || f.sees(2, membership.Failed, 0) })
+	f.eventually(
+		t,
+		"it is missed",
+		func() bool { return f.sees(2, membership.Suspect, 0) || f.sees(2, membership.Failed, 0) },
+	)
 	f.Drivers[2].Thaw()
-	f.eventually(t, "thawed as it is missed", func() bool { return f.HavePartitionStatus(membership.Complete, allDrivers...) })
+	f.eventually(
+		t,
+		"thawed as it is missed",
+		func() bool { return f.HavePartitionStatus(membership.Complete, allDrivers...) },
+	)
 	f.Drivers[2].Freeze()
 	f.eventually(t, "it failed", func() bool { return f.sees(2, membership.Failed, 0, 1, 3, 4) })
 	f.Drivers[2].Thaw()
-	f.eventually(t, "thawed when it had failed", func() bool { return f.HavePartitionStatus(membership.Complete, allDrivers...) })
-	if log := f.Drivers[2].Log(); !strings.Contains(log, "reason=stood_still") || strings.Contains(log, "reason=fellow_failed") {
+	f.eventually(
+		t,
+		"thawed when it had failed",
+		func() bool { return f.HavePartitionStatus(membership.Complete, allDrivers...) },
+	)
+	if log := f.Drivers[2].Log(); !strings.Contains(log, "reason=stood_still") ||
+		strings.Contains(log, "reason=fellow_failed") {
 		t.Errorf("the one that stood still blames others:\n%s", log)
 	}
 }
@@ -259,7 +292,8 @@
 	})
 	f.Links.Heal()
 	f.eventually(t, "two changed views meet", func() bool {
-		return f.HavePartitionStatus(membership.Majority, 0, 1, 2, 3, 5, 6) && f.rosterIs(7, 0, 1, 2, 3, 5, 6) && f.sees(4, membership.Failed, 0, 1, 2, 3, 5, 6)
+		return f.HavePartitionStatus(membership.Majority, 0, 1, 2, 3, 5, 6) && f.rosterIs(7, 0, 1, 2, 3, 5, 6) &&
+			f.sees(4, membership.Failed, 0, 1, 2, 3, 5, 6)
 	})
 	f.Links.Partition(0, 1, 1, 1, 1, 1, 1)
 	f.eventually(t, "one against the rest", func() bool {
@@ -282,9 +316,15 @@
 		v, ok := f.View(3, 1)
 		own, known := f.View(1, 0)
 		back, heard := f.View(0, 1)
-		return ok && slices.Contains(v.Unreachable, "n0") && known && !own.Reachable && own.State == membership.Alive && heard && back.Reachable
+		return ok && slices.Contains(v.Unreachable, "n0") && known && !own.Reachable && own.State == membership.Alive &&
+			heard &&
+			back.Reachable
 	})
-	f.eventually(t, "nobody is lost by it", func() bool { return f.HavePartitionStatus(membership.Complete, allDrivers...) })
+	f.eventually(
+		t,
+		"nobody is lost by it",
+		func() bool { return f.HavePartitionStatus(membership.Complete, allDrivers...) },
+	)
 	f.Links.Heal()
 	f.eventually(t, "healed", func() bool { own, ok := f.View(1, 0); return ok && own.Reachable })
 	f.Links.SetAll(func(a, b int) (w links.Link) {
@@ -361,14 +401,19 @@
 	}
 	f.eventually(t, "a name used twice", func() bool {
 		s, err := f.Drivers[5].Status()
-		return err == nil && s.Partition == membership.Undetermined && s.Reason == "name_taken" && f.HavePartitionStatus(membership.Complete, allDrivers...)
+		return err == nil && s.Partition == membership.Undetermined && s.Reason == "name_taken" &&
+			f.HavePartitionStatus(membership.Complete, allDrivers...)
 	})
 	v, _ := f.View(0, 4)
 	if v.Address != f.Links.AdvertisedAddr(4) {
 		t.Errorf("the second one took the name: %+v", v)
 	}
 	f.Drivers[4].Kill()
-	f.eventually(t, "the second one gets it", func() bool { return f.HavePartitionStatus(membership.Complete, 0, 1, 2, 3, 5) })
+	f.eventually(
+		t,
+		"the second one gets it",
+		func() bool { return f.HavePartitionStatus(membership.Complete, 0, 1, 2, 3, 5) },
+	)
 }
 
 func TestForeignDrivers(t *testing.T) {
@@ -426,7 +471,14 @@
 func (f *Fleet) under(t *testing.T, what func(), targets ...int) lab.Result {
 	t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
-	l := lab.Load{Rate: 60, Duration: time.Hour, Mix: []lab.OpKind{writes, lab.DefaultMix[0], lab.DefaultMix[1]}, Groups: 1, Seed: 5, Slack: 20 * time.Second}
+	l := lab.Load{
+		Rate:     60,
+		Duration: time.Hour,
+		Mix:      []lab.OpKind{writes, lab.DefaultMix[0], lab.DefaultMix[1]},
+		Groups:   1,
+		Seed:     5,
+		Slack:    20 * time.Second,
+	}
 	for _, i := range targets {
 		l.Targets = append(l.Targets, f.Drivers[i].Address)
 	}
@@ -457,8 +509,8 @@
 	return !slices.ContainsFunc(f.Drivers, func(d *Driver) bool { return !so(stage(d)) })
 }
 
-// A change is held in the larger partition while the smaller one can't learn of it, and released in the smaller; writes go
-// to both.
+// A change is held in the larger partition while the smaller one can't learn of it, and released in the smaller;
+// writes go to both.
 func TestHoldAndReleaseOnTwoSides(t *testing.T) {
 	f := startFleet(t, Options{Seed: 10})
 	c := f.options.Cluster
@@ -469,7 +521,11 @@
 		})
 		old := c.Primary(1)
 		word := switchover.Notification{Group: 1, Stage: switchover.StageHeld, From: old, Lease: 20000}
-		if _, err := f.Drivers[1].Control.NotifyHook(context.Background(), word); err == nil || !strings.Contains(err.Error(), "larger part") {
+		if _, err := f.Drivers[1].Control.NotifyHook(
+			context.Background(),
+			word,
+		); err == nil ||
+			!strings.Contains(err.Error(), "larger part") {
 			t.Errorf("a hold begun with the smaller part: %v", err)
 		}
 		word, err := f.Drivers[2].Control.NotifyHook(context.Background(), word)
@@ -485,7 +541,10 @@
 		}
 		c.Inject("demote", old)
 		f.eventually(t, "a new primary", func() bool { p := c.Primary(1); return p != "" && p != old })
-		if _, err := f.Drivers[0].Control.NotifyHook(context.Background(), switchover.Notification{Group: 1, Stage: switchover.StageReleased, Epoch: word.Epoch, From: old, To: c.Primary(1)}); err != nil {
+		if _, err := f.Drivers[0].Control.NotifyHook(
+			context.Background(),
+			switchover.Notification{Group: 1, Stage: switchover.StageReleased, Epoch: word.Epoch, From: old, To: c.Primary(1)},
+		); err != nil {
 			t.Error(err)
 		}
 		f.Links.Heal()
@@ -530,7 +589,10 @@
 	c := f.options.Cluster
 	f.under(t, func() {
 		old := c.Primary(1)
-		word, err := f.Drivers[4].Control.NotifyHook(context.Background(), switchover.Notification{Group: 1, Stage: switchover.StageHeld, From: old, Lease: 20000})
+		word, err := f.Drivers[4].Control.NotifyHook(
+			context.Background(),
+			switchover.Notification{Group: 1, Stage: switchover.StageHeld, From: old, Lease: 20000},
+		)
 		if err != nil {
 			t.Error(err)
 			return
@@ -545,8 +607,15 @@
 			t.Error(err)
 			return
 		}
-		f.eventually(t, "the killed one, started again, knows of the hold", func() bool { return stage(f.Drivers[4]).Epoch == word.Epoch })
-		if _, err := f.Drivers[1].Control.NotifyHook(context.Background(), switchover.Notification{Group: 1, Stage: switchover.StageReleased, To: c.Primary(1)}); err != nil {
+		f.eventually(
+			t,
+			"the killed one, started again, knows of the hold",
+			func() bool { return stage(f.Drivers[4]).Epoch == word.Epoch },
+		)
+		if _, err := f.Drivers[1].Control.NotifyHook(
+			context.Background(),
+			switchover.Notification{Group: 1, Stage: switchover.StageReleased, To: c.Primary(1)},
+		); err != nil {
 			t.Error(err)
 		}
 		f.eventually(t, "released by all", func() bool {
@@ -555,8 +624,8 @@
 	}, 0, 1, 2, 3)
 }
 
-// A drain that only the smaller partition's list has binds all that learn of it after the heal, through another partition as
-// well, until a list of the same revision has the member up.
+// A drain that only the smaller partition's list has binds all that learn of it after the heal, through another
+// partition as well, until a list of the same revision has the member up.
 func TestDrainAnnouncedToTheSmallerPartition(t *testing.T) {
 	c, err := lab.Start(lab.Options{ElectionTime: 300 * time.Millisecond, Members: 4})
 	if err != nil {
@@ -564,15 +633,17 @@
 	}
 	defer c.Stop()
 	old := c.MemberList()
-	late := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { // a discovery that stands still
-		if r.FormValue("since") != "" {
-			select {
-			case <-r.Context().Done():
-			case <-time.After(500 * time.Millisecond):
+	late := httptest.NewServer(
+		http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { // a discovery that stands still
+			if r.FormValue("since") != "" {
+				select {
+				case <-r.Context().Done():
+				case <-time.After(500 * time.Millisecond):
+				}
 			}
-		}
-		w.Write(old)
-	}))
+			w.Write(old)
+		}),
+	)
 	defer late.Close()
 	f := startFleet(t, Options{Seed: 13, Cluster: c, Discovery: func(i int) string {
 		if i < 2 {
@@ -588,14 +659,21 @@
 	c.Inject("drain", drained)
 	said := func(what string, of ...int) bool {
 		for _, i := range of {
-			if log := f.Drivers[i].Log(); strings.LastIndex(log, "member="+drained+" draining="+what) <= strings.LastIndex(log, "member="+drained+" draining="+map[string]string{"true": "false", "false": "true"}[what]) {
+			if log := f.Drivers[i].Log(); strings.LastIndex(
+				log,
+				"member="+drained+" draining="+what,
+			) <= strings.LastIndex(
+				log,
+				"member="+drained+" draining="+map[string]string{"true": "false", "false": "true"}[what],
+			) {
 				return false
 			}
 		}
 		return true
 	}
 	f.eventually(t, "announced to the smaller partition", func() bool {
-		return strings.Contains(f.Drivers[0].Log(), drained+"=draining") && strings.Contains(f.Drivers[1].Log(), drained+"=draining")
+		return strings.Contains(f.Drivers[0].Log(), drained+"=draining") &&
+			strings.Contains(f.Drivers[1].Log(), drained+"=draining")
 	})
 	f.Links.Heal()
 	f.eventually(t, "heard of by the others", func() bool { return said("true", 2, 3, 4) })
@@ -603,8 +681,15 @@
 		t.Helper()
 		time.Sleep(2 * lab.DrainGrace) // what was sent before may still arrive
 		before := c.Arrivals(drained)
-		reads := lab.Load{Targets: []string{f.Drivers[2].Address, f.Drivers[3].Address, f.Drivers[4].Address}, Rate: 200, Duration: 2 * time.Second,
-			Mix: []lab.OpKind{lab.DefaultMix[1]}, Groups: 1, Seed: 3, Slack: 20 * time.Second}
+		reads := lab.Load{
+			Targets:  []string{f.Drivers[2].Address, f.Drivers[3].Address, f.Drivers[4].Address},
+			Rate:     200,
+			Duration: 2 * time.Second,
+			Mix:      []lab.OpKind{lab.DefaultMix[1]},
+			Groups:   1,
+			Seed:     3,
+			Slack:    20 * time.Second,
+		}
 		reads.Run(context.Background(), nil)
 		if after := c.Arrivals(drained); after != before {
 			t.Errorf("%s: %d ops came to a drained member", what, after-before)
@@ -662,15 +747,27 @@
 			Heard       *bool
 		}
 	}
-	if err := json.Unmarshal([]byte(text), &s); err != nil || code != 0 || s.Self != "n0" || s.Standing != "whole" || len(s.Drivers) != 4 ||
-		s.Drivers[0].Name != "n1" || s.Drivers[0].State != "alive" || s.Drivers[0].Heard == nil || !*s.Drivers[0].Heard {
+	if err := json.Unmarshal(
+		[]byte(text),
+		&s,
+	); err != nil || code != 0 || s.Self != "n0" || s.Standing != "whole" || len(s.Drivers) != 4 ||
+		s.Drivers[0].Name != "n1" || s.Drivers[0].State != "alive" || s.Drivers[0].Heard == nil ||
+		!*s.Drivers[0].Heard {
 		t.Errorf("%d %v %s", code, err, text)
 	}
 	f.eventually(t, "all views alike", func() bool { text, code = f.command(2, "compare"); return code == 0 })
 	if strings.Count(text, "standing=whole") != 5 {
 		t.Error(text)
 	}
-	if text, code = f.command(1, "watch", "--times", "2", "--every", "10ms"); code != 0 || strings.Count(text, "name=") != 4 {
+	if text, code = f.command(
+		1,
+		"watch",
+		"--times",
+		"2",
+		"--every",
+		"10ms",
+	); code != 0 ||
+		strings.Count(text, "name=") != 4 {
 		t.Error(code, text)
 	}
 	f.Links.Partition(0, 0, 1, 1, 1)
@@ -707,7 +804,11 @@
 // The number of drivers reaches the module, and decreases only where the others may take over the share.
 func TestCountOfDrivers(t *testing.T) {
 	f := startFleet(t, Options{Seed: 15, TakeoverAfter: time.Second})
-	f.eventually(t, "known at the start", func() bool { return strings.Contains(f.Drivers[0].Log(), "event=drivers count=5") })
+	f.eventually(
+		t,
+		"known at the start",
+		func() bool { return strings.Contains(f.Drivers[0].Log(), "event=drivers count=5") },
+	)
 	f.Drivers[4].Kill()
 	f.Drivers[3].Kill()
 	f.eventually(t, "three of five", func() bool { return f.HavePartitionStatus(membership.Majority, 0, 1, 2) })
--- a/internal/lab/fleet/zones_test.go
+++ b/internal/lab/fleet/zones_test.go
@@ -1,6 +1,7 @@
 package fleet
 
-// Several processes of the built program that decide on zones in common, with members in three zones and faults of both.
+// Several processes of the built program that decide on zones in common, with members in three zones and faults of
+// both.
 
 import (
 	"context"
@@ -71,7 +72,8 @@
 }
 
 func allServe(p *zones.Plan) bool {
-	return !slices.ContainsFunc(p.Zones, func(z zones.Zone) bool { return z.State != zones.Serving }) && len(p.Partitions) == 0
+	return !slices.ContainsFunc(p.Zones, func(z zones.Zone) bool { return z.State != zones.Serving }) &&
+		len(p.Partitions) == 0
 }
 
 // membersOf injects a fault into all members of a zone.
@@ -83,8 +85,8 @@
 	}
 }
 
-// A zone with its drivers is lost, and the others decide that and serve; it returns. Each op has one answer, and no write
-// runs twice.
+// A zone with its drivers is lost, and the others decide that and serve; it returns. Each op has one answer, and no
+// write runs twice.
 func TestZoneLost(t *testing.T) {
 	f := startZonedFleet(t, Options{Seed: 31, KeepVotes: true})
 	f.under(t, func() {
@@ -130,7 +132,11 @@
 	f := startZonedFleet(t, Options{Seed: 33, Webhook: manager.URL})
 	order := func(at int, s zones.Command) {
 		t.Helper()
-		f.eventually(t, "an order taken", func() bool { return f.Drivers[at].Control.SubmitZoneCommand(context.Background(), s) == nil })
+		f.eventually(
+			t,
+			"an order taken",
+			func() bool { return f.Drivers[at].Control.SubmitZoneCommand(context.Background(), s) == nil },
+		)
 	}
 	f.under(t, func() {
 		order(4, zones.Command{Zone: "a", Evacuate: true})
@@ -165,9 +171,9 @@
 	}
 }
 
-// The leader is paused and resumed with its old plan, while the others go on: it never applies the old one beside a newer
-// one, and follows in the end. A partition that outlasts the lease leaves the smaller side without a plan in force, and it
-// changes nothing.
+// The leader is paused and resumed with its old plan, while the others go on: it never applies the old one beside a
+// newer one, and follows in the end. A partition that outlasts the lease leaves the smaller side without a plan in
+// force, and it changes nothing.
 func TestLeaderFrozenAndLeasesEnd(t *testing.T) {
 	f := startZonedFleet(t, Options{Seed: 34, KeepVotes: true})
 	f.eventually(t, "the first voter leads", func() bool { s, ok := f.Drivers[0].zonesStatus(); return ok && s.Leader })
@@ -190,7 +196,10 @@
 			b, too := f.Drivers[1].zonesStatus()
 			return ok && too && !a.InForce && !b.InForce
 		})
-		if err := f.Drivers[1].Control.SubmitZoneCommand(context.Background(), zones.Command{Zone: "c", Evacuate: true}); err == nil ||
+		if err := f.Drivers[1].Control.SubmitZoneCommand(
+			context.Background(),
+			zones.Command{Zone: "c", Evacuate: true},
+		); err == nil ||
 			!strings.Contains(err.Error(), "503") {
 			t.Errorf("an order without a plan in force: %v", err)
 		}
@@ -204,7 +213,8 @@
 	f.eventually(t, "all follow one plan", func() bool { return f.followPlan(allServe) })
 }
 
-// All drivers are killed and come back with their folders: with the same plan or a later one, and never an earlier epoch.
+// All drivers are killed and come back with their folders: with the same plan or a later one, and never an earlier
+// epoch.
 func TestPlansOutliveProcesses(t *testing.T) {
 	f := startZonedFleet(t, Options{Seed: 35, KeepVotes: true})
 	f.under(t, func() {
@@ -225,8 +235,8 @@
 	}
 }
 
-// Two zones and a witness in a third one without members: with one zone lost the other goes on. Nothing is accepted of a
-// voter with a wrong secret.
+// Two zones and a witness in a third one without members: with one zone lost the other goes on. Nothing is accepted
+// of a voter with a wrong secret.
 func TestWitness(t *testing.T) {
 	f := startZonedFleet(t, Options{Seed: 36, Zones: []string{"a", "b", "w"}})
 	f.under(t, func() {
--- a/internal/lab/hollow/hollow_test.go
+++ b/internal/lab/hollow/hollow_test.go
@@ -34,8 +34,8 @@
 	return bytes, seconds
 }
 
-// Real core machines and agents, counted by purpose: in steady state nothing at a core machine may grow by drivers times
-// members, and an agent's cost may not grow at all. docs/CAPACITY.md has the figures of larger sizes.
+// Real core machines and agents, counted by purpose: in steady state nothing at a core machine may grow by drivers
+// times members, and an agent's cost may not grow at all. docs/CAPACITY.md has the figures of larger sizes.
 func TestCostsBySizeWithRealProcesses(t *testing.T) {
 	runs := map[int][]Row{}
 	for i, n := range []int{30, 100} {
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -11,8 +11,12 @@
 // The audit finds each kind of violation, and none where there is none.
 func TestAuditFindsViolations(t *testing.T) {
 	good := func() (*Cluster, Result) {
-		return &Cluster{executions: map[string]int{"a": 1, "f": 1}}, Result{Writes: map[string]Outcome{"a": Acked, "f": Failed, "r": Refused, "l": Failed},
-			Kinds: map[string]*OpStats{"w": newOpStats()}}
+		return &Cluster{
+				executions: map[string]int{"a": 1, "f": 1},
+			}, Result{
+				Writes: map[string]Outcome{"a": Acked, "f": Failed, "r": Refused, "l": Failed},
+				Kinds:  map[string]*OpStats{"w": newOpStats()},
+			}
 	}
 	if c, r := good(); len(c.Audit(r)) > 0 {
 		t.Error(c.Audit(r))
@@ -33,8 +37,8 @@
 	}
 }
 
-// Two drivers in front of a cluster whose primary is killed and hangs, and whose replicas drain and slow down: ops go on
-// and no rule is violated.
+// Two drivers in front of a cluster whose primary is killed and hangs, and whose replicas drain and slow down: ops go
+// on and no rule is violated.
 func TestFaults(t *testing.T) {
 	c, err := Start(Options{ElectionTime: 200 * time.Millisecond})
 	if err != nil {
@@ -47,13 +51,28 @@
 		t.Fatal(err)
 	}
 	first := c.Primary(1)
-	steps := []func(){func() { c.Inject("kill", first) }, func() { c.Inject("heal", first); c.Inject("slow", c.Replica(1)) },
-		func() { c.Inject("hang", c.Primary(1)) }, func() { c.Inject("drain", c.Replica(1)) }}
-	r := Load{Targets: targets, Rate: 150, Duration: 5 * time.Second, Mix: DefaultMix, Groups: 1, Seed: 2, Slack: 2 * time.Second}.Run(ctx, func(second int, f *OpStats) {
-		if second < len(steps) {
-			steps[second]()
-		}
-	})
+	steps := []func(){
+		func() { c.Inject("kill", first) },
+		func() { c.Inject("heal", first); c.Inject("slow", c.Replica(1)) },
+		func() { c.Inject("hang", c.Primary(1)) },
+		func() { c.Inject("drain", c.Replica(1)) },
+	}
+	r := Load{
+		Targets:  targets,
+		Rate:     150,
+		Duration: 5 * time.Second,
+		Mix:      DefaultMix,
+		Groups:   1,
+		Seed:     2,
+		Slack:    2 * time.Second,
+	}.Run(
+		ctx,
+		func(second int, f *OpStats) {
+			if second < len(steps) {
+				steps[second]()
+			}
+		},
+	)
 	for _, m := range c.members {
 		c.Inject("free", m.ID)
 	}
@@ -85,7 +104,8 @@
 	r := Load{Targets: []string{m.address}, Rate: 200, Duration: 1500 * time.Millisecond, Groups: 1,
 		Mix: []OpKind{{Name: "any", Share: 1, Timeout: 5 * time.Second}}}.Run(context.Background(), nil)
 	f := r.Kinds["any"]
-	if n := f.Latency.TotalCount(); n < 200 || f.Quantile(90) < 100*time.Millisecond || f.Quantile(50) > 100*time.Millisecond {
+	if n := f.Latency.TotalCount(); n < 200 || f.Quantile(90) < 100*time.Millisecond ||
+		f.Quantile(50) > 100*time.Millisecond {
 		t.Errorf("%d ops, median %v, p90 %v: the stall is hidden", n, f.Quantile(50), f.Quantile(90))
 	}
 }
--- a/internal/lab/ledger_test.go
+++ b/internal/lab/ledger_test.go
@@ -31,8 +31,13 @@
 	if _, _, ok := l.readAnswer(); !ok {
 		t.Fatal("no welcome")
 	}
-	conn.Write(pgwire.AppendQuery(nil, fmt.Sprintf(`INSERT INTO records (k, v) VALUES ('a1', '\x%s') RETURNING v /* id=%s,c=write,d=%d,cluster=1,key=%s */`,
-		value, id, patience, key)))
+	conn.Write(
+		pgwire.AppendQuery(
+			nil,
+			fmt.Sprintf(`INSERT INTO records (k, v) VALUES ('a1', '\x%s') RETURNING v /* id=%s,c=write,d=%d,cluster=1,key=%s */`,
+				value, id, patience, key),
+		),
+	)
 	for {
 		kind, m, err := pgwire.Read(r, nil)
 		if err != nil {
@@ -50,8 +55,8 @@
 	}
 }
 
-// Retries with a key never have a second effect: not after an acknowledged write, a lost answer, or a restart of the driver;
-// one that is proved not to have run may run.
+// Retries with a key never have a second effect: not after an acknowledged write, a lost answer, or a restart of the
+// driver; one that is proved not to have run may run.
 func TestKeysRunOnce(t *testing.T) {
 	c, err := Start(Options{ElectionTime: 200 * time.Millisecond})
 	if err != nil {
@@ -93,7 +98,15 @@
 	if answer, code, _ := try(t, address, "i2", "k1", "01", 3000); answer != "v:i1" || code != "" || ran("i1", "i2") != 1 {
 		t.Error("a repeat of an acked write:", answer, code, ran("i1", "i2"))
 	}
-	if _, code, text := try(t, address, "i3", "k1", "02", 3000); code != pgwire.CodeProtocolViolation || !strings.Contains(text, "another statement") {
+	if _, code, text := try(
+		t,
+		address,
+		"i3",
+		"k1",
+		"02",
+		3000,
+	); code != pgwire.CodeProtocolViolation ||
+		!strings.Contains(text, "another statement") {
 		t.Error("another statement under the same key:", code, text)
 	}
 	if _, code, _ := try(t, address, "i4", "it's", "01", 3000); code != pgwire.CodeProtocolViolation {
@@ -104,7 +117,15 @@
 		t.Error("a lost answer:", code, ran("j1"))
 	}
 	c.Inject("heal", c.Primary(1))
-	if _, code, text := try(t, address, "j2", "k2", "01", 3000); code != pgwire.CodeSystemError || !strings.Contains(text, "can't be known") || ran("j1", "j2") != 1 {
+	if _, code, text := try(
+		t,
+		address,
+		"j2",
+		"k2",
+		"01",
+		3000,
+	); code != pgwire.CodeSystemError || !strings.Contains(text, "can't be known") ||
+		ran("j1", "j2") != 1 {
 		t.Error("its repeat:", code, text, ran("j1", "j2"))
 	}
 	old := c.Primary(1)
--- a/internal/lab/membershipsim/golden_test.go
+++ b/internal/lab/membershipsim/golden_test.go
@@ -19,7 +19,10 @@
 		text := regexp.MustCompile(`[0-9.]+ % of a core`).ReplaceAllString(out.String(), "* % of a core")
 		cases = append(cases, golden.Of(name, text))
 	}
-	record("losses", func(out *bytes.Buffer) error { return MeasureFailureDetection(out, Options{Drivers: 7, Seed: 3}, 6) })
+	record(
+		"losses",
+		func(out *bytes.Buffer) error { return MeasureFailureDetection(out, Options{Drivers: 7, Seed: 3}, 6) },
+	)
 	record("heals", func(out *bytes.Buffer) error { return MeasurePartitionHealing(out, Options{Drivers: 9, Seed: 4}, 4) })
 	record("losses under loss and doubles", func(out *bytes.Buffer) error {
 		return MeasureFailureDetection(out, Options{Drivers: 12, Seed: 5, Loss: 0.05, Duplicate: 0.1}, 4)
--- a/internal/lab/sessionrun/sessionrun_test.go
+++ b/internal/lab/sessionrun/sessionrun_test.go
@@ -15,9 +15,22 @@
 	os.Exit(m.Run())
 }
 
-// In a short run a site is killed and one is drained: all messages are delivered once, in order, on sockets that stay open.
+// In a short run a site is killed and one is drained: all messages are delivered once, in order, on sockets that stay
+// open.
 func TestFaultsOfSites(t *testing.T) {
-	r, err := Run(context.Background(), Options{For: 9 * time.Second, Sites: 3, Clients: 8, Every: 50 * time.Millisecond, Net: 120 + os.Getpid()%80, Port: 23100 + os.Getpid()%100*20}, os.Stderr, func(int, Second) {})
+	r, err := Run(
+		context.Background(),
+		Options{
+			For:     9 * time.Second,
+			Sites:   3,
+			Clients: 8,
+			Every:   50 * time.Millisecond,
+			Net:     120 + os.Getpid()%80,
+			Port:    23100 + os.Getpid()%100*20,
+		},
+		os.Stderr,
+		func(int, Second) {},
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/switch_test.go
+++ b/internal/lab/switch_test.go
@@ -71,8 +71,9 @@
 	return all[0]
 }
 
-// Planned changes with a hook that notifies one of four drivers: every write is acknowledged, each ran once, and all drivers
-// end with the same epoch and no draining member. One of the four is not notified and learns by a miss, as without hooks.
+// Planned changes with a hook that notifies one of four drivers: every write is acknowledged, each ran once, and all
+// drivers end with the same epoch and no draining member. One of the four is not notified and learns by a miss, as
+// without hooks.
 func TestPlannedChangesUnderLoad(t *testing.T) {
 	for _, uninformed := range []int{-1, 3} {
 		c, h, end := hooked(t, 4, func(i int) bool { return i == uninformed })
@@ -89,13 +90,20 @@
 		}
 		r := <-result
 		f := r.Kinds["write"]
-		if broken := c.Audit(r); len(broken) > 0 || f.Outcomes[Acked] < 200 || f.Outcomes[Failed]+f.Outcomes[Lost] > 0 || f.Outcomes[Refused] > f.Outcomes[Acked]/20 {
+		if broken := c.Audit(
+			r,
+		); len(broken) > 0 || f.Outcomes[Acked] < 200 || f.Outcomes[Failed]+f.Outcomes[Lost] > 0 ||
+			f.Outcomes[Refused] > f.Outcomes[Acked]/20 {
 			t.Errorf("uninformed %d: %v, broken %v", uninformed, f.Outcomes, broken)
 		}
 		until(t, "agreement", func() bool {
 			a := stage(h, 0)
 			for i := range 4 {
-				if b := stage(h, i); i != uninformed && (b.Epoch != a.Epoch || b.Stage != switchover.StageReleased || b.Draining != "" || !b.Finished) {
+				if b := stage(
+					h,
+					i,
+				); i != uninformed &&
+					(b.Epoch != a.Epoch || b.Stage != switchover.StageReleased || b.Draining != "" || !b.Finished) {
 					return false
 				}
 			}
@@ -105,21 +113,46 @@
 	}
 }
 
-// A hook that dies after its hold leaves no group held: writes wait for the lease alone, and go to the old primary then. A
-// driver that is asked later knows of the hold from its peers.
+// A hook that dies after its hold leaves no group held: writes wait for the lease alone, and go to the old primary
+// then. A driver that is asked later knows of the hold from its peers.
 func TestHookThatDies(t *testing.T) {
 	c, h, end := hooked(t, 2, nil)
 	defer end()
 	ctx := context.Background()
-	warm := Load{Targets: h.Addresses, Rate: 100, Duration: 300 * time.Millisecond, Mix: writes, Groups: 1, Seed: 6, Slack: 2 * time.Second}.Run(ctx, nil)
+	warm := Load{
+		Targets:  h.Addresses,
+		Rate:     100,
+		Duration: 300 * time.Millisecond,
+		Mix:      writes,
+		Groups:   1,
+		Seed:     6,
+		Slack:    2 * time.Second,
+	}.Run(
+		ctx,
+		nil,
+	)
 	if warm.Kinds["write"].Outcomes[Acked] == 0 {
 		t.Fatal("no write was acked to begin with")
 	}
-	if _, err := h.Clients[0].NotifyHook(ctx, switchover.Notification{Group: 1, Stage: switchover.StageHeld, Lease: 700}); err != nil {
+	if _, err := h.Clients[0].NotifyHook(
+		ctx,
+		switchover.Notification{Group: 1, Stage: switchover.StageHeld, Lease: 700},
+	); err != nil {
 		t.Fatal(err)
 	}
 	until(t, "the hold at the peer", func() bool { return stage(h, 1).Draining == c.Primary(1) })
-	r := Load{Targets: h.Addresses[1:], Rate: 50, Duration: 300 * time.Millisecond, Mix: writes, Groups: 1, Seed: 7, Slack: 2 * time.Second}.Run(ctx, nil)
+	r := Load{
+		Targets:  h.Addresses[1:],
+		Rate:     50,
+		Duration: 300 * time.Millisecond,
+		Mix:      writes,
+		Groups:   1,
+		Seed:     7,
+		Slack:    2 * time.Second,
+	}.Run(
+		ctx,
+		nil,
+	)
 	f := r.Kinds["write"]
 	if broken := c.Audit(r); len(broken) > 0 || f.Outcomes[Acked] < 5 || f.Outcomes[Failed]+f.Outcomes[Lost] > 0 {
 		t.Errorf("%v, broken %v", f.Outcomes, broken)
@@ -132,8 +165,8 @@
 	}
 }
 
-// An abort lets the old primary go on at once; clients whose patience is shorter than the hold get a busy reply in time, and
-// their writes run nowhere.
+// An abort lets the old primary go on at once; clients whose patience is shorter than the hold get a busy reply in
+// time, and their writes run nowhere.
 func TestAbortAndImpatientClients(t *testing.T) {
 	c, h, end := hooked(t, 1, nil)
 	defer end()
@@ -143,16 +176,40 @@
 		t.Fatal(err)
 	}
 	hasty := []OpKind{{Name: "write", Share: 1, Write: true, Timeout: 300 * time.Millisecond}}
-	r := Load{Targets: h.Addresses, Rate: 60, Duration: 400 * time.Millisecond, Mix: hasty, Groups: 1, Seed: 8, Slack: time.Second}.Run(ctx, nil)
-	if f := r.Kinds["write"]; f.Outcomes[Refused] < 10 || f.Outcomes[Acked]+f.Outcomes[Failed]+f.Outcomes[Lost] > 0 || len(c.Audit(r)) > 0 {
+	r := Load{
+		Targets:  h.Addresses,
+		Rate:     60,
+		Duration: 400 * time.Millisecond,
+		Mix:      hasty,
+		Groups:   1,
+		Seed:     8,
+		Slack:    time.Second,
+	}.Run(
+		ctx,
+		nil,
+	)
+	if f := r.Kinds["write"]; f.Outcomes[Refused] < 10 || f.Outcomes[Acked]+f.Outcomes[Failed]+f.Outcomes[Lost] > 0 ||
+		len(c.Audit(r)) > 0 {
 		t.Errorf("%v, broken %v", f.Outcomes, c.Audit(r))
 	}
 	word.Stage = switchover.StageAborted
 	if _, err := h.Clients[0].NotifyHook(ctx, word); err != nil {
 		t.Fatal(err)
 	}
-	r = Load{Targets: h.Addresses, Rate: 60, Duration: 300 * time.Millisecond, Mix: writes, Groups: 1, Seed: 9, Slack: 2 * time.Second}.Run(ctx, nil)
-	if f := r.Kinds["write"]; f.Outcomes[Acked] == 0 || f.Outcomes[Refused]+f.Outcomes[Failed]+f.Outcomes[Lost] > 0 || len(c.Audit(r)) > 0 {
+	r = Load{
+		Targets:  h.Addresses,
+		Rate:     60,
+		Duration: 300 * time.Millisecond,
+		Mix:      writes,
+		Groups:   1,
+		Seed:     9,
+		Slack:    2 * time.Second,
+	}.Run(
+		ctx,
+		nil,
+	)
+	if f := r.Kinds["write"]; f.Outcomes[Acked] == 0 || f.Outcomes[Refused]+f.Outcomes[Failed]+f.Outcomes[Lost] > 0 ||
+		len(c.Audit(r)) > 0 {
 		t.Errorf("%v, broken %v", f.Outcomes, c.Audit(r))
 	}
 	for want, w := range map[string]switchover.Notification{"409": word, "not known here": {Group: 9, Stage: switchover.StageHeld, From: "x"}, "400": {Group: 1}} {
@@ -166,8 +223,8 @@
 	}
 }
 
-// The new primary dies while the held writes are released: writes whose answers were lost are errors, none runs twice, and
-// each op gets its answer.
+// The new primary dies while the held writes are released: writes whose answers were lost are errors, none runs
+// twice, and each op gets its answer.
 func TestNewPrimaryDiesAtOnce(t *testing.T) {
 	c, h, end := hooked(t, 3, nil)
 	defer end()
@@ -184,19 +241,23 @@
 		c.Inject("kill", c.Primary(1))
 	}
 	r := <-result
-	if f := r.Kinds["write"]; len(c.Audit(r)) > 0 || f.Outcomes[Acked] < 100 || f.Outcomes[Lost] > 0 || f.Outcomes[Failed] > 40 {
+	if f := r.Kinds["write"]; len(c.Audit(r)) > 0 || f.Outcomes[Acked] < 100 || f.Outcomes[Lost] > 0 ||
+		f.Outcomes[Failed] > 40 {
 		t.Errorf("%v, broken %v", f.Outcomes, c.Audit(r))
 	}
 }
 
-// Many writes are held, some for longer than their clients wait, and some clients disconnect: each gets one answer in time,
-// writes that were refused or whose clients left do not run, and the others run once.
+// Many writes are held, some for longer than their clients wait, and some clients disconnect: each gets one answer in
+// time, writes that were refused or whose clients left do not run, and the others run once.
 func TestManyHeldWithDifferentPatience(t *testing.T) {
 	c, h, end := hooked(t, 2, nil)
 	defer end()
 	ctx := context.Background()
 	old := c.Primary(1)
-	if _, err := h.Clients[0].NotifyHook(ctx, switchover.Notification{Group: 1, Stage: switchover.StageHeld, From: old}); err != nil {
+	if _, err := h.Clients[0].NotifyHook(
+		ctx,
+		switchover.Notification{Group: 1, Stage: switchover.StageHeld, From: old},
+	); err != nil {
 		t.Fatal(err)
 	}
 	until(t, "the hold at the peer", func() bool { return stage(h, 1).Draining == old })
@@ -209,21 +270,36 @@
 		if _, _, ok := (&clientConn{conn, bufio.NewReader(conn)}).readAnswer(); !ok {
 			t.Fatal("no welcome")
 		}
-		conn.Write(pgwire.AppendQuery(nil, fmt.Sprintf(`INSERT INTO records (k, v) VALUES ('a1', '\x01') RETURNING v /* id=left%d,c=write,d=4000,cluster=1 */`, i)))
+		conn.Write(
+			pgwire.AppendQuery(
+				nil,
+				fmt.Sprintf(
+					`INSERT INTO records (k, v) VALUES ('a1', '\x01') RETURNING v /* id=left%d,c=write,d=4000,cluster=1 */`,
+					i,
+				),
+			),
+		)
 		conn.Close()
 	}
-	mix := []OpKind{{Name: "write", Share: 1, Write: true, Timeout: 400 * time.Millisecond}, {Name: "write", Share: 1, Write: true, Timeout: 1500 * time.Millisecond},
-		{Name: "write", Share: 2, Write: true, Timeout: 4 * time.Second}}
+	mix := []OpKind{
+		{Name: "write", Share: 1, Write: true, Timeout: 400 * time.Millisecond},
+		{Name: "write", Share: 1, Write: true, Timeout: 1500 * time.Millisecond},
+		{Name: "write", Share: 2, Write: true, Timeout: 4 * time.Second},
+	}
 	result := make(chan Result)
 	go func() {
 		result <- Load{Targets: h.Addresses, Rate: 300, Duration: 2 * time.Second, Mix: mix, Groups: 1, Seed: 12, Slack: 2 * time.Second, MaxInFlight: 4000}.Run(ctx, nil)
 	}()
 	time.Sleep(1500 * time.Millisecond) // so many are held by then
-	if _, err := h.Clients[1].NotifyHook(ctx, switchover.Notification{Group: 1, Stage: switchover.StageAborted}); err != nil {
+	if _, err := h.Clients[1].NotifyHook(
+		ctx,
+		switchover.Notification{Group: 1, Stage: switchover.StageAborted},
+	); err != nil {
 		t.Fatal(err)
 	}
 	r := <-result
-	if f := r.Kinds["write"]; len(c.Audit(r)) > 0 || f.Outcomes[Acked] < 200 || f.Outcomes[Refused] < 60 || f.Outcomes[Lost]+f.Outcomes[Failed] > 0 {
+	if f := r.Kinds["write"]; len(c.Audit(r)) > 0 || f.Outcomes[Acked] < 200 || f.Outcomes[Refused] < 60 ||
+		f.Outcomes[Lost]+f.Outcomes[Failed] > 0 {
 		t.Errorf("%v, broken %v", f.Outcomes, c.Audit(r))
 	}
 	c.mu.Lock()
@@ -235,8 +311,8 @@
 	}
 }
 
-// A deposed primary does not notice that it is one no more, and would take writes: after a planned change it gets none from
-// any driver, and the drivers report that there are two primaries.
+// A deposed primary does not notice that it is one no more, and would take writes: after a planned change it gets
+// none from any driver, and the drivers report that there are two primaries.
 func TestDeposedPrimaryThatGoesOn(t *testing.T) {
 	c, h, end := hooked(t, 3, nil)
 	defer end()
@@ -252,12 +328,17 @@
 		t.Fatal(err)
 	}
 	before := old.writes.Load()
-	until(t, "the report of two primaries", func() bool { return stage(h, 0).TwoPrimaries && stage(h, 1).TwoPrimaries && stage(h, 2).TwoPrimaries })
+	until(
+		t,
+		"the report of two primaries",
+		func() bool { return stage(h, 0).TwoPrimaries && stage(h, 1).TwoPrimaries && stage(h, 2).TwoPrimaries },
+	)
 	r := <-result
 	if n := old.writes.Load() - before; n > 0 {
 		t.Errorf("%d writes ran at the deposed primary", n)
 	}
-	if f := r.Kinds["write"]; len(c.Audit(r)) > 0 || f.Outcomes[Acked] < 240 || f.Outcomes[Failed]+f.Outcomes[Lost] > 0 || f.Outcomes[Refused] > f.Outcomes[Acked]/20 {
+	if f := r.Kinds["write"]; len(c.Audit(r)) > 0 || f.Outcomes[Acked] < 240 || f.Outcomes[Failed]+f.Outcomes[Lost] > 0 ||
+		f.Outcomes[Refused] > f.Outcomes[Acked]/20 {
 		t.Errorf("%v, broken %v", f.Outcomes, c.Audit(r))
 	}
 	c.Inject("heal", old.ID)
--- a/internal/standin/cluster/deployment_test.go
+++ b/internal/standin/cluster/deployment_test.go
@@ -61,8 +61,30 @@
 	k := open("prim")
 	talk(k, "STORE x 1", "FETCH x", "BEGIN", "STORE x 2", "FETCH x", "COMMIT", "FETCH x")
 	talk(k, "BEGIN", "STORE x 3", "ABORT", "FETCH x", "ABORT", "COMMIT")
-	talk(k, "SET colour red green", "PREP p STORE s1", "EXEC p x 4", "UNPREP p", "EXEC p x 5", "UNPREP p", "PREP r FETCH s2", "EXEC r x")
-	talk(k, "BEGIN", "COMMIT", "BEGIN FETCH", "FETCH x", "COMMIT", "BEGIN", "BEGIN", "NONSENSE", "COMMIT", "PREP q DELETE x")
+	talk(
+		k,
+		"SET colour red green",
+		"PREP p STORE s1",
+		"EXEC p x 4",
+		"UNPREP p",
+		"EXEC p x 5",
+		"UNPREP p",
+		"PREP r FETCH s2",
+		"EXEC r x",
+	)
+	talk(
+		k,
+		"BEGIN",
+		"COMMIT",
+		"BEGIN FETCH",
+		"FETCH x",
+		"COMMIT",
+		"BEGIN",
+		"BEGIN",
+		"NONSENSE",
+		"COMMIT",
+		"PREP q DELETE x",
+	)
 	k = open("self")
 	talk(k, "FETCH x", "STORE y 1", "FETCH y", "BEGIN FETCH", "STORE y 2", "FETCH y", "ABORT", "FETCH y")
 	k = open("stale")
@@ -76,7 +98,10 @@
 	lines = append(lines, "> a line without its end", "< "+k.ReadLine())
 	k = open("prim")
 	talk(k, "BEGIN", "STORE z 1")
-	d.Eventually("the transaction that rests is ended", func() bool { return d.Service.OpenTransactions() == 0 }) // txIdleMs is 500
+	d.Eventually(
+		"the transaction that rests is ended",
+		func() bool { return d.Service.OpenTransactions() == 0 },
+	) // txIdleMs is 500
 	talk(k, "STORE z 2", "STORE z 3", "COMMIT", "FETCH z")
 	checkTranscript(t, "sessions", lines)
 }
@@ -87,21 +112,61 @@
 	var lines []string
 	call := func(core int, method, path, base, body string) {
 		code, answer := d.Call(method, d.Cores[core], path, base, []byte(body))
-		lines = append(lines, fmt.Sprintf("> %s %s base %s: %.120s", method, path, base, body), fmt.Sprintf("< %d %s", code, strings.TrimSpace(answer)))
+		lines = append(
+			lines,
+			fmt.Sprintf("> %s %s base %s: %.120s", method, path, base, body),
+			fmt.Sprintf("< %d %s", code, strings.TrimSpace(answer)),
+		)
 	}
 	call(1, "POST", "/config/replace", "0", string(Config(1))) // an exact repeat, at another machine
 	call(2, "POST", "/config/replace", "0", string(Config(2)))
 	call(0, "POST", "/config/replace", "1", `{"gen":3,"routes":[`)
 	call(0, "POST", "/config/replace", "1", `{"gen":3} more`)
-	call(0, "POST", "/config/replace", "1", `{"gen":3,"routes":[{"name":"a","host":"h","prefix":"/","type":"primary","timeoutMs":9,"svc":"none"}],"svcs":[]}`)
-	call(0, "POST", "/config/replace", "1", `{"gen":3,"routes":[{"name":"a","host":"h","prefix":"/","type":"primary","timeoutMs":0,"svc":"s"}],"svcs":[{"name":"s"}]}`)
-	call(0, "POST", "/config/replace", "1", `{"gen":3,"routes":[{"name":"a","host":"h","prefix":"/","type":"odd","timeoutMs":9,"svc":"s"}],"svcs":[{"name":"s"}]}`)
-	call(0, "POST", "/config/amend", "1", `{"gen":3,"upsert":{"routes":[{"name":"x","host":"prim","prefix":"/","type":"primary","timeoutMs":9,"svc":"svc"}]}}`)
+	call(
+		0,
+		"POST",
+		"/config/replace",
+		"1",
+		`{"gen":3,"routes":[{"name":"a","host":"h","prefix":"/","type":"primary","timeoutMs":9,"svc":"none"}],"svcs":[]}`,
+	)
+	call(
+		0,
+		"POST",
+		"/config/replace",
+		"1",
+		`{"gen":3,"routes":[{"name":"a","host":"h","prefix":"/","type":"primary","timeoutMs":0,"svc":"s"}],"svcs":[{"name":"s"}]}`,
+	)
+	call(
+		0,
+		"POST",
+		"/config/replace",
+		"1",
+		`{"gen":3,"routes":[{"name":"a","host":"h","prefix":"/","type":"odd","timeoutMs":9,"svc":"s"}],"svcs":[{"name":"s"}]}`,
+	)
+	call(
+		0,
+		"POST",
+		"/config/amend",
+		"1",
+		`{"gen":3,"upsert":{"routes":[{"name":"x","host":"prim","prefix":"/","type":"primary","timeoutMs":9,"svc":"svc"}]}}`,
+	)
 	call(0, "POST", "/config/amend", "1", `{"gen":1,"upsert":{}}`)
 	call(0, "POST", "/config/amend", "1", `{"upsert":{}}`)
 	call(0, "POST", "/config/amend", "", `{"gen":3}`)
-	call(1, "POST", "/config/amend", "1", `{"gen":4,"upsert":{"routes":[{"name":"new","host":"new","prefix":"/","type":"primary","timeoutMs":9,"svc":"svc","odd":[1]}]},"del":{"routes":["o"]}}`)
-	call(2, "POST", "/config/amend", "1", `{"gen":4,"upsert":{"routes":[{"name":"new","host":"new","prefix":"/","type":"primary","timeoutMs":9,"svc":"svc","odd":[1]}]},"del":{"routes":["o"]}}`)
+	call(
+		1,
+		"POST",
+		"/config/amend",
+		"1",
+		`{"gen":4,"upsert":{"routes":[{"name":"new","host":"new","prefix":"/","type":"primary","timeoutMs":9,"svc":"svc","odd":[1]}]},"del":{"routes":["o"]}}`,
+	)
+	call(
+		2,
+		"POST",
+		"/config/amend",
+		"1",
+		`{"gen":4,"upsert":{"routes":[{"name":"new","host":"new","prefix":"/","type":"primary","timeoutMs":9,"svc":"svc","odd":[1]}]},"del":{"routes":["o"]}}`,
+	)
 	call(2, "POST", "/config/amend", "1", `{"gen":5,"del":{"routes":["new"]}}`)
 	call(0, "GET", "/config/show", "", "")
 	call(0, "POST", "/members/m1/heartbeat", "", `{"svc":`)
@@ -113,8 +178,8 @@
 	})
 }
 
-// startWrites writes from several clients until stopped, and gives the ids that were answered DONE and those whose answers
-// promise that they did not run.
+// startWrites writes from several clients until stopped, and gives the ids that were answered DONE and those whose
+// answers promise that they did not run.
 func startWrites(d *Deployment, fronts, each int) (stop func() (done, undone []string)) {
 	var mu sync.Mutex
 	var done, undone []string
@@ -334,7 +399,14 @@
 				go func() {
 					for {
 						body := strings.Replace(string(Config(5)), `"txIdleMs":500`, fmt.Sprint(`"txIdleMs":`, 600+i), 1)
-						if code, _ := d.Call("POST", d.Cores[i], "/config/replace", "1", []byte(body)); code == 200 || code == 412 || code == 400 {
+						if code, _ := d.Call(
+							"POST",
+							d.Cores[i],
+							"/config/replace",
+							"1",
+							[]byte(body),
+						); code == 200 || code == 412 ||
+							code == 400 {
 							codes <- code
 							return
 						}
--- a/internal/standin/cluster/operators_test.go
+++ b/internal/standin/cluster/operators_test.go
@@ -26,7 +26,10 @@
 		Reset(d.Stop)
 		d.Configure(1)
 		file := filepath.Join(d.dir, "next.json")
-		So(os.WriteFile(file, []byte(strings.Replace(string(Config(2)), `"maxStaleMs":1500`, `"maxStaleMs":900`, 1)), 0o600), ShouldBeNil)
+		So(
+			os.WriteFile(file, []byte(strings.Replace(string(Config(2)), `"maxStaleMs":1500`, `"maxStaleMs":900`, 1)), 0o600),
+			ShouldBeNil,
+		)
 		Convey("its state, its versions and what a file would change are printed", func() {
 			code, s := weirctlCommand("status", d.Cores[0], d.readyAddr(0))
 			So(code, ShouldEqual, 0)
@@ -68,7 +71,10 @@
 			So(code, ShouldEqual, 1)
 			So(s, ShouldContainSubstring, "not empty")
 			for i := range 2 { // the third comes back as it was
-				code, s = weirctlCommand(append([]string{"state", "import", saved, filepath.Join(d.dir, fmt.Sprint("core", i)), d.Cores[i]}, d.Cores[:2]...)...)
+				code, s = weirctlCommand(
+					append(
+						[]string{"state", "import", saved, filepath.Join(d.dir, fmt.Sprint("core", i)), d.Cores[i]},
+						d.Cores[:2]...)...)
 				So(s, ShouldContainSubstring, "begins as voter r")
 				So(code, ShouldEqual, 0)
 			}
@@ -81,7 +87,8 @@
 			})
 			d.Eventually("the old machine votes with it", func() bool {
 				_, s := weirctlCommand("status", d.Cores[2])
-				return strings.Contains(s, "configuration 2") && strings.Count(s, "voter") == 3 && strings.Contains(s, "voter 0@"+d.Cores[2])
+				return strings.Contains(s, "configuration 2") && strings.Count(s, "voter") == 3 &&
+					strings.Contains(s, "voter 0@"+d.Cores[2])
 			})
 		})
 	})
--- a/internal/standin/cluster/partition_test.go
+++ b/internal/standin/cluster/partition_test.go
@@ -133,10 +133,11 @@
 	return s
 }
 
-// A core machine that is partitioned from the others, but not from its agent and members, answers no operator's request
-// and acknowledges no heartbeat, though it records it; its agent switches to another machine during the partition, so that
-// its proxy serves by what is decided meanwhile. The test fails with inContact always true, without refuseWithoutContact
-// in acknowledge, and without planSeek in judge and checkCore (agent/corelink.go), where the new route never arrives.
+// A core machine that is partitioned from the others, but not from its agent and members, answers no operator's
+// request and acknowledges no heartbeat, though it records it; its agent switches to another machine during the
+// partition, so that its proxy serves by what is decided meanwhile. The test fails with inContact always true,
+// without refuseWithoutContact in acknowledge, and without planSeek in judge and checkCore (agent/corelink.go), where
+// the new route never arrives.
 func TestCoreMachineCutOff(t *testing.T) {
 	d, cut := partitionableCore(t)
 	d.Eventually("all have contact", func() bool {
@@ -192,7 +193,13 @@
 		return code == 200 && strings.Contains(body, `"later"`)
 	})
 	d.Eventually("and acknowledges members", func() bool {
-		code, _ := d.Call("POST", d.Cores[0], "/members/x/heartbeat", "", []byte(`{"svc":"svc","addr":"127.0.0.1:1","dbRole":"replica","seq":9}`))
+		code, _ := d.Call(
+			"POST",
+			d.Cores[0],
+			"/members/x/heartbeat",
+			"",
+			[]byte(`{"svc":"svc","addr":"127.0.0.1:1","dbRole":"replica","seq":9}`),
+		)
 		return code == 200
 	})
 }
@@ -215,11 +222,17 @@
 	d.EraseDisk("core0")
 	d.Start("core0", false)
 	d.Start("agent1", false)
-	d.Eventually("the agent is linked to the machine that is cut off", func() bool { return d.contactStatus(0).Agents == 1 })
+	d.Eventually(
+		"the agent is linked to the machine that is cut off",
+		func() bool { return d.contactStatus(0).Agents == 1 },
+	)
 	d.Eventually("the others take a change", func() bool {
 		code, _ := d.Call("POST", d.Cores[1], "/config/replace", "1", []byte(laterRoute))
 		return code == 200
 	})
-	d.Eventually("the agent is linked to a machine that has contact", func() bool { return d.contactStatus(0).Agents == 0 })
+	d.Eventually(
+		"the agent is linked to a machine that has contact",
+		func() bool { return d.contactStatus(0).Agents == 0 },
+	)
 	d.Eventually("its proxy serves by the change", func() bool { return d.serves(1, "later") })
 }
--- a/internal/standin/cluster/resets_test.go
+++ b/internal/standin/cluster/resets_test.go
@@ -115,10 +115,10 @@
 	}
 }
 
-// All connections of proxies and of the core to members, and of the core to the platform, are reset at random bytes, also
-// during a failover: each answer belongs to its query, each write runs at most once, those that were acknowledged exactly
-// once, and those that were promised not to have run never. The test fails where a connection that owes an answer goes
-// back to its pool (Reusable), and where a write may be sent again (kindOf).
+// All connections of proxies and of the core to members, and of the core to the platform, are reset at random bytes,
+// also during a failover: each answer belongs to its query, each write runs at most once, those that were
+// acknowledged exactly once, and those that were promised not to have run never. The test fails where a connection
+// that owes an answer goes back to its pool (Reusable), and where a write may be sent again (kindOf).
 func TestResetsAtDrawnBytes(t *testing.T) {
 	var relays []*links.ResettingRelay
 	d := newBehindRelays(t, 3, 1, func(addr string) string {
@@ -180,7 +180,13 @@
 			}
 		}
 	})
-	t.Logf("%d tries, %d answered with success, %d connections were reset, %d calls to the platform", ended, clear, resets, len(d.Service.Promoted))
+	t.Logf(
+		"%d tries, %d answered with success, %d connections were reset, %d calls to the platform",
+		ended,
+		clear,
+		resets,
+		len(d.Service.Promoted),
+	)
 	if clear < ended/4 || resets < 50 {
 		t.Error("too few answers, or too few resets")
 	}
--- a/internal/standin/cluster/sessions_test.go
+++ b/internal/standin/cluster/sessions_test.go
@@ -151,7 +151,11 @@
 					after = m.N
 				}
 				a.mu.Unlock()
-				if r, err := client.Post(fmt.Sprintf("http://%s/sessions/%s/took?n=%d", d.siteHTTP(n%d.sites), a.id, after), "", nil); err == nil {
+				if r, err := client.Post(
+					fmt.Sprintf("http://%s/sessions/%s/took?n=%d", d.siteHTTP(n%d.sites), a.id, after),
+					"",
+					nil,
+				); err == nil {
 					r.Body.Close()
 				}
 			}
@@ -233,7 +237,17 @@
 	for _, a := range all {
 		a.mu.Lock()
 		if len(a.received) < len(a.queued) || len(a.consumed) < len(a.sent) {
-			fmt.Fprintf(&b, "%s: %d of %d came, %d of %d taken, %d pending, %d connections\n", a.id[:6], len(a.received), len(a.queued), len(a.consumed), len(a.sent), a.session.Pending(), a.session.Connections())
+			fmt.Fprintf(
+				&b,
+				"%s: %d of %d came, %d of %d taken, %d pending, %d connections\n",
+				a.id[:6],
+				len(a.received),
+				len(a.queued),
+				len(a.consumed),
+				len(a.sent),
+				a.session.Pending(),
+				a.session.Connections(),
+			)
 			for n := range d.sites {
 				_, s := d.Call("GET", d.siteHTTP(n), "/sessions/"+a.id, "", nil)
 				fmt.Fprintf(&b, "  site%d: %s\n", n, s)
--- a/internal/standin/cluster/shards_test.go
+++ b/internal/standin/cluster/shards_test.go
@@ -35,13 +35,32 @@
 	for _, n := range []string{"n0", "n1", "n2"} {
 		svcs = append(svcs, fmt.Sprintf(`{"name":%q,"maxConns":80}`, n))
 	}
-	found := shardmap.Change{InitialOwners: map[string]string{}, Nodes: map[string]shardmap.Node{"n0": {Zone: "za", State: "in"}, "n1": {Zone: "zb", State: "in"}, "n2": {Zone: "zc", State: "in"}}}
+	found := shardmap.Change{
+		InitialOwners: map[string]string{},
+		Nodes: map[string]shardmap.Node{
+			"n0": {Zone: "za", State: "in"},
+			"n1": {Zone: "zb", State: "in"},
+			"n2": {Zone: "zc", State: "in"},
+		},
+	}
 	for i := range shardCount {
 		shard := fmt.Sprint("s", i)
-		routes = append(routes, fmt.Sprintf(`{"name":%q,"host":"db%d","prefix":"/","type":"primary","timeoutMs":3000,"svc":"n0","shard":%q}`, shard, i, shard))
+		routes = append(
+			routes,
+			fmt.Sprintf(
+				`{"name":%q,"host":"db%d","prefix":"/","type":"primary","timeoutMs":3000,"svc":"n0","shard":%q}`,
+				shard,
+				i,
+				shard,
+			),
+		)
 		found.InitialOwners[shard] = fmt.Sprint("n", i%2)
 	}
-	body := fmt.Sprintf(`{"gen":1,"routes":[%s],"svcs":[%s],"limits":{"txIdleMs":2000}}`, strings.Join(routes, ","), strings.Join(svcs, ","))
+	body := fmt.Sprintf(
+		`{"gen":1,"routes":[%s],"svcs":[%s],"limits":{"txIdleMs":2000}}`,
+		strings.Join(routes, ","),
+		strings.Join(svcs, ","),
+	)
 	d.Eventually("a configuration is taken", func() bool {
 		code, _ := d.Call("POST", d.Cores[0], "/config/replace", "0", []byte(body))
 		return code == 200
@@ -57,7 +76,10 @@
 	file := filepath.Join(d.dir, "found.json")
 	raw, _ := json.Marshal(found)
 	os.WriteFile(file, raw, 0o600)
-	d.Eventually("shards are founded", func() bool { code, _ := shardsCommand("found", d.Cores[0], file); return code == 0 })
+	d.Eventually(
+		"shards are founded",
+		func() bool { code, _ := shardsCommand("found", d.Cores[0], file); return code == 0 },
+	)
 	os.WriteFile(file, []byte(`{"rate":60000}`), 0o600)
 	d.Eventually("the pace is set", func() bool { code, _ := shardsCommand("rules", d.Cores[0], file); return code == 0 })
 	d.Eventually("nodes hold them", func() bool {
@@ -377,6 +399,12 @@
 		v := shardsView(d)
 		ops := stop()
 		auditShards(d, ops)
-		t.Logf("%d faults, %d ops, %d bytes moved by the last leader, its shards closed for %v ms", faults, len(ops), v.BytesMoved, v.WriteGapsMs)
+		t.Logf(
+			"%d faults, %d ops, %d bytes moved by the last leader, its shards closed for %v ms",
+			faults,
+			len(ops),
+			v.BytesMoved,
+			v.WriteGapsMs,
+		)
 	})
 }
