--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -48,3 +48,20 @@
 	}
 	golden.Text(t, "testdata/exchanges.txt", cases)
 }
+
+// Operators read these texts: json quotes the names of types and fields.
+func TestErrorsOfLists(t *testing.T) {
+	for member, want := range map[string]string{
+		`{"cell":"x"}`:       "string into Go struct field Entry.Members.Cell of type int64",
+		`{"locality":3}`:     "number into Go struct field Entry.Members.Locality of type string",
+		`{"host_port":3}`:    "number into Go struct field Entry.Members.host_port of type string",
+		`{"up_since_ms":""}`: "string into Go struct field Entry.Members.up_since_ms of type float64",
+	} {
+		t.Run(member, func(t *testing.T) {
+			_, err := Parse([]byte(`{"revision":1,"complete":true,"members":[` + member + `]}`))
+			if want := "list: json: cannot unmarshal " + want; err == nil || err.Error() != want {
+				t.Errorf("%v; want %s", err, want)
+			}
+		})
+	}
+}
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -16,12 +16,12 @@
 	Members  []Entry
 }
 
-// Entry is one member as the list has it.
+// Entry is one member as the list has it. Errors of encoding/json quote the names in the tags, and operators read them.
 type Entry struct {
 	ID        string
 	Address   string `json:"host_port"`
-	Zone      string `json:"locality"`
-	Group     int64  `json:"cell"`
+	Zone      string `json:"Locality"`
+	Group     int64  `json:"Cell"`
 	Phase     string
 	Access    string  // the role, where the list shows it
 	StartedAt float64 `json:"up_since_ms"` // Unix time in milliseconds, 0 for long ago
--- a/internal/registry/consul_service.go
+++ b/internal/registry/consul_service.go
@@ -12,13 +12,14 @@
 	"weirwind/internal/roster"
 )
 
-// consulInstance is one instance of a service, with its node and its health checks.
-type consulInstance struct {
+// consulInstance is one instance of a service, with its node and its health checks. It is an alias, as entryForm is.
+type consulInstance = struct {
 	Node    struct{ Address string }
 	Service struct {
 		ID, Address string // an empty address is the node's
 		Port        int
 		Meta        map[string]string // cell, locality, access, up_since_ms
+		ModifyIndex int64             // does not move with the checks: no revision of an entry
 	}
 	Checks []struct{ Status string }
 }
@@ -40,18 +41,18 @@
 		return err
 	}
 	for i := range instances {
-		id, form := instances[i].Service.ID, instances[i].entry()
+		id, form := instances[i].Service.ID, instanceEntry(&instances[i])
 		value, err := json.Marshal(form)
 		if err != nil { // metadata that should be a number and is none
 			addInvalid(update, id, phases[form.Phase], err)
 			continue
 		}
-		addEntry(update, id, value, 0) // no revision: an instance's own index does not move with its checks
+		addEntry(update, id, value, 0) // no revision, see ModifyIndex
 	}
 	return nil
 }
 
-func (i *consulInstance) entry() instanceForm {
+func instanceEntry(i *consulInstance) instanceForm {
 	s := &i.Service
 	host := s.Address
 	if host == "" {
@@ -62,13 +63,13 @@
 		Group:     json.Number(strings.TrimSpace(s.Meta["cell"])),
 		Address:   net.JoinHostPort(host, strconv.Itoa(s.Port)),
 		Zone:      s.Meta["locality"],
-		Phase:     i.phase(),
+		Phase:     instancePhase(i),
 		StartedAt: json.Number(strings.TrimSpace(s.Meta["up_since_ms"])),
 	}
 }
 
-// phase is draining for an instance in maintenance or with a critical check: Consul's own readers leave it out.
-func (i *consulInstance) phase() string {
+// instancePhase is draining for an instance in maintenance or with a critical check: Consul's own readers leave it out.
+func instancePhase(i *consulInstance) string {
 	for _, c := range i.Checks {
 		if c.Status == "critical" || c.Status == "maintenance" {
 			return "draining"
--- a/internal/registry/entry.go
+++ b/internal/registry/entry.go
@@ -23,15 +23,16 @@
 	"removed":  roster.PhaseRemoved,
 }
 
-// entryForm is an entry as it is stored.
-type entryForm struct {
-	ID        string // empty, or as in the key
-	Address   string `json:"host_port"`
-	Zone      string `json:"locality"`
-	Group     *int64 `json:"cell"`
-	Phase     string
-	Access    string
-	StartedAt float64 `json:"up_since_ms"`
+// entryForm is an entry as it is stored. It is an alias, with fields named as they are stored, since errors of
+// encoding/json quote the names of types and fields and operators read them.
+type entryForm = struct {
+	ID       string // empty, or as in the key
+	HostPort string `json:"host_port"`
+	Locality string
+	Cell     *int64
+	Phase    string
+	Access   string
+	Started  float64 `json:"up_since_ms"` // Unix time in milliseconds, 0 for long ago
 }
 
 // parseEntry parses the value under a member's key. Beside an error the entry holds the ID alone and, where it can be
@@ -50,18 +51,18 @@
 	if !known {
 		return invalid, fmt.Errorf("unknown phase %q", form.Phase)
 	}
-	if err := form.check(id); err != nil {
+	if err := checkForm(&form, id); err != nil {
 		invalid.Phase = phase
 		return invalid, err
 	}
 	return roster.Entry{
 		ID:        id,
-		Address:   form.Address,
-		Zone:      form.Zone,
-		Group:     *form.Group,
+		Address:   form.HostPort,
+		Zone:      form.Locality,
+		Group:     *form.Cell,
 		Phase:     phase,
 		Access:    form.Access,
-		StartedAt: form.StartedAt,
+		StartedAt: form.Started,
 	}, nil
 }
 
@@ -75,21 +76,21 @@
 	return phases[name]
 }
 
-// check checks all but the phase.
-func (f *entryForm) check(id string) error {
-	switch _, _, err := net.SplitHostPort(f.Address); {
+// checkForm checks all but the phase.
+func checkForm(form *entryForm, id string) error {
+	switch _, _, err := net.SplitHostPort(form.HostPort); {
 	case id == "" || strings.Contains(id, "/"):
 		return fmt.Errorf("the key names no member")
-	case f.ID != "" && f.ID != id:
-		return fmt.Errorf("it is of member %q", f.ID)
+	case form.ID != "" && form.ID != id:
+		return fmt.Errorf("it is of member %q", form.ID)
 	case err != nil:
-		return fmt.Errorf("host_port %q: %w", f.Address, err)
-	case f.Group == nil:
+		return fmt.Errorf("host_port %q: %w", form.HostPort, err)
+	case form.Cell == nil:
 		return fmt.Errorf("cell is missing")
-	case f.Access != "" && f.Access != "writer" && f.Access != "reader":
-		return fmt.Errorf("unknown access %q", f.Access)
-	case f.StartedAt < 0 || f.StartedAt > maxStartMillis:
-		return fmt.Errorf("up_since_ms %g", f.StartedAt)
+	case form.Access != "" && form.Access != "writer" && form.Access != "reader":
+		return fmt.Errorf("unknown access %q", form.Access)
+	case form.Started < 0 || form.Started > maxStartMillis:
+		return fmt.Errorf("up_since_ms %g", form.Started)
 	}
 	return nil
 }
--- a/internal/registry/entry_test.go
+++ b/internal/registry/entry_test.go
@@ -1,6 +1,7 @@
 package registry
 
 import (
+	"encoding/json"
 	"strings"
 	"testing"
 
@@ -57,3 +58,45 @@
 		}
 	})
 }
+
+// Operators read these texts: json quotes the names of types and fields.
+func TestErrorsOfEntries(t *testing.T) {
+	for text, want := range map[string]string{
+		`{"cell":"x"}`:       "json: cannot unmarshal string into Go struct field .Cell of type int64",
+		`{"locality":3}`:     "json: cannot unmarshal number into Go struct field .Locality of type string",
+		`{"host_port":3}`:    "json: cannot unmarshal number into Go struct field .host_port of type string",
+		`{"up_since_ms":""}`: "json: cannot unmarshal string into Go struct field .up_since_ms of type float64",
+		`[]`: "json: cannot unmarshal array into Go value of type struct { ID string; " +
+			`HostPort string "json:\"host_port\""; Locality string; Cell *int64; Phase string; Access string; ` +
+			`Started float64 "json:\"up_since_ms\"" }`,
+	} {
+		t.Run(text, func(t *testing.T) {
+			if _, err := parseEntry("m", []byte(text)); err == nil || err.Error() != want {
+				t.Errorf("%v; want %s", err, want)
+			}
+		})
+	}
+}
+
+func TestErrorsOfResponses(t *testing.T) {
+	for _, c := range []struct {
+		text string
+		into any
+		want string
+	}{
+		{`{"more":1}`, &etcdRangeResponse{}, "json: cannot unmarshal number into Go struct field .More of type bool"},
+		{`{"kvs":[{"key":1}]}`, &etcdRangeResponse{},
+			"json: cannot unmarshal number into Go struct field etcdKey.KVs.key of type []uint8"},
+		{`{"created":1}`, &etcdWatchResponse{}, "json: cannot unmarshal number into Go struct field .Created of type bool"},
+		{`{"ID":1}`, &etcdGrantResponse{}, "json: cannot unmarshal number into Go struct field .ID of type string"},
+		{`{"code":""}`, &etcdError{}, "json: cannot unmarshal string into Go struct field etcdError.Code of type int"},
+		{`[{"Service":{"ModifyIndex":""}}]`, &[]consulInstance{},
+			"json: cannot unmarshal string into Go struct field .Service.ModifyIndex of type int64"},
+	} {
+		t.Run(c.text, func(t *testing.T) {
+			if err := json.Unmarshal([]byte(c.text), c.into); err == nil || err.Error() != c.want {
+				t.Errorf("%v; want %s", err, c.want)
+			}
+		})
+	}
+}
--- a/internal/registry/etcd.go
+++ b/internal/registry/etcd.go
@@ -24,7 +24,8 @@
 	Revision int64  `json:"revision,string"`
 }
 
-type etcdKeyValue struct {
+// etcdKey is a key with its value.
+type etcdKey struct {
 	Key         []byte `json:"key"`
 	Value       []byte `json:"value"`
 	ModRevision int64  `json:"mod_revision,string"`
@@ -37,14 +38,14 @@
 	codeUnauthenticated  = 16
 )
 
-// etcdStatus is an error's body.
-type etcdStatus struct {
+// etcdError is an error's body.
+type etcdError struct {
 	Code    int
 	Message string
 }
 
 // asError maps the status to the package's errors.
-func (s *etcdStatus) asError() error {
+func (s *etcdError) asError() error {
 	switch {
 	case strings.Contains(s.Message, "compacted"):
 		return fmt.Errorf("%w: %s", errCompacted, s.Message)
@@ -77,7 +78,7 @@
 		if err != nil {
 			return nil, err
 		}
-		var status etcdStatus
+		var status etcdError
 		if json.Unmarshal(text, &status) != nil {
 			return nil, fmt.Errorf("status %d: %.80q", response.StatusCode, text)
 		}
--- a/internal/registry/etcd_lease.go
+++ b/internal/registry/etcd_lease.go
@@ -15,9 +15,9 @@
 	TTL int64 `json:",string"` // seconds
 }
 
-type etcdGrantResponse struct {
+type etcdGrantResponse = struct {
 	ID  string
-	TTL int64 `json:",string"`
+	TTL int64 `json:"TTL,string"`
 }
 
 type etcdCompare struct {
@@ -79,9 +79,9 @@
 func (c *etcd) Renew(ctx context.Context, endpoint int, lease string) (time.Duration, error) {
 	var response struct {
 		Result struct {
-			TTL int64 `json:",string"`
+			TTL int64 `json:"TTL,string"`
 		}
-		Error *etcdStatus
+		Error *etcdError
 	}
 	if err := c.request(ctx, endpoint, "/v3/lease/keepalive", etcdLeaseID{lease}, &response); err != nil {
 		return 0, err
--- a/internal/registry/etcd_members.go
+++ b/internal/registry/etcd_members.go
@@ -25,9 +25,10 @@
 	Serializable bool   `json:"serializable"`
 }
 
-type etcdRangeResponse struct {
+// Responses are aliases, as entryForm is.
+type etcdRangeResponse = struct {
 	Header etcdHeader
-	KVs    []etcdKeyValue
+	KVs    []etcdKey
 	More   bool
 }
 
@@ -43,16 +44,16 @@
 	StartRevision  int64  `json:"start_revision,string"`
 }
 
-type etcdWatchResponse struct {
-	Header          etcdHeader
-	Created         bool
-	Canceled        bool
-	CompactRevision int64  `json:"compact_revision,string"`
-	CancelReason    string `json:"cancel_reason"`
-	Fragment        bool
-	Events          []struct {
+type etcdWatchResponse = struct {
+	Header    etcdHeader
+	Created   bool
+	Canceled  bool
+	Compacted int64  `json:"compact_revision,string"`
+	Reason    string `json:"cancel_reason"`
+	Fragment  bool
+	Events    []struct {
 		Type string
-		KV   etcdKeyValue
+		KV   etcdKey
 	}
 }
 
@@ -117,7 +118,8 @@
 	if err != nil {
 		return page, err
 	}
-	return page, json.Unmarshal(text, &page)
+	err = json.Unmarshal(text, &page)
+	return page, err
 }
 
 func (c *etcd) memberID(key []byte) string { return strings.TrimPrefix(string(key), c.options.Prefix) }
@@ -149,7 +151,7 @@
 	for {
 		var message struct {
 			Result etcdWatchResponse
-			Error  *etcdStatus
+			Error  *etcdError
 		}
 		if err := stream.Decode(&message); err != nil {
 			return watchError(ctx, err)
@@ -160,7 +162,7 @@
 		if message.Error != nil {
 			return message.Error.asError()
 		}
-		if err := message.Result.check(reached); err != nil {
+		if err := checkWatch(&message.Result, reached); err != nil {
 			return err
 		}
 		update := c.watchUpdate(&message.Result, reached)
@@ -171,15 +173,15 @@
 	}
 }
 
-// check returns why the server has ended the watch, or that it is behind the revision reached.
-func (r *etcdWatchResponse) check(reached int64) error {
+// checkWatch returns why the server has ended the watch, or that it is behind the revision reached.
+func checkWatch(r *etcdWatchResponse, reached int64) error {
 	switch {
-	case r.Canceled && r.CompactRevision > 0:
+	case r.Canceled && r.Compacted > 0:
 		return errCompacted
-	case r.Canceled && (strings.Contains(r.CancelReason, "permission") || strings.Contains(r.CancelReason, "auth")):
-		return fmt.Errorf("%w: %s", errRejected, r.CancelReason)
+	case r.Canceled && (strings.Contains(r.Reason, "permission") || strings.Contains(r.Reason, "auth")):
+		return fmt.Errorf("%w: %s", errRejected, r.Reason)
 	case r.Canceled:
-		return fmt.Errorf("%w: %s", errCancelled, r.CancelReason)
+		return fmt.Errorf("%w: %s", errCancelled, r.Reason)
 	case r.Created && r.Header.Revision < reached:
 		return fmt.Errorf("%w: %d, not %d", errLagging, r.Header.Revision, reached)
 	}
