--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -80,7 +80,7 @@
 func readJSON(w http.ResponseWriter, r *http.Request, value any) error {
 	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBytes))
 	d.DisallowUnknownFields()
-	return d.Decode(value)
+	return withPublishedTypes(d.Decode(value))
 }
 
 func writeJSON(w http.ResponseWriter, value any) {
