--- a/internal/lab/emulator/emulator_test.go
+++ b/internal/lab/emulator/emulator_test.go
@@ -32,11 +32,7 @@
 	{At: 10000, Kind: "hang", Target: "g1m3"},
 	{At: 13000, Kind: "heal", Target: "g1m3"},
 	{At: 14000, Kind: "drain", Target: "g1m4"},
-	{
-		At:     15000,
-		Kind:   "vanish",
-		Target: "g1m2",
-	},
+	{At: 15000, Kind: "vanish", Target: "g1m2"},
 	{At: 17000, Kind: "heal", Target: "g1m2"},
 	{At: 18000, Kind: "lag", Target: "g1m5"},
 }
@@ -45,18 +41,15 @@
 func TestModuleKeepsTheRules(t *testing.T) {
 	t.Parallel()
 	for _, drivers := range []int{1, 3, 60} {
-		r, err := Run(setup("module", drivers, faultSchedule...), 1, nil)
-		if err != nil || len(r.Violations) > 0 || r.ValueShare < 0.6 || r.Ops < 3000 {
-			t.Errorf(
-				"%d drivers: %v: worth %.2f of %d ops, broken %v %q",
-				drivers,
-				err,
-				r.ValueShare,
-				r.Ops,
-				r.Violations,
-				r.FirstViolations,
-			)
-		}
+		t.Run(fmt.Sprint(drivers, " drivers"), func(t *testing.T) {
+			r, err := Run(setup("module", drivers, faultSchedule...), 1, nil)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if len(r.Violations) > 0 || r.ValueShare < 0.6 || r.Ops < 3000 {
+				t.Errorf("value %.2f of %d ops, violations %v %q", r.ValueShare, r.Ops, r.Violations, r.FirstViolations)
+			}
+		})
 	}
 }
 
@@ -65,10 +58,12 @@
 func TestBaselinesBreakRules(t *testing.T) {
 	t.Parallel()
 	for _, policy := range []string{"primary", "random", "round-robin", "least"} {
-		r, err := Run(setup(policy, 3, faultSchedule...), 1, nil)
-		if err != nil || (r.Violations["rule 5"] == 0) != (policy == "primary") {
-			t.Errorf("%s: %v, broken %v", policy, err, r.Violations)
-		}
+		t.Run(policy, func(t *testing.T) {
+			r, err := Run(setup(policy, 3, faultSchedule...), 1, nil)
+			if err != nil || (r.Violations["rule 5"] == 0) != (policy == "primary") {
+				t.Errorf("%v, violations %v", err, r.Violations)
+			}
+		})
 	}
 }
 
@@ -88,33 +83,13 @@
 		t.Fatal(err)
 	}
 	text := func(r *Result) string {
-		return fmt.Sprint(
-			r.ValueShare,
-			r.Ops,
-			r.Seconds,
-			r.Promotions,
-			r.WriteGaps,
-			r.Members,
-			r.Events,
-			r.Violations,
-			r.FirstViolations,
-			r.Sends(),
-			r.Messages(),
-			r.Connects(),
-			r.Types[0].Latency.Mean(),
-			r.Types[0].Outcomes,
-		)
+		return fmt.Sprint(r.ValueShare, r.Ops, r.Seconds, r.Promotions, r.WriteGaps, r.Members, r.Events, r.Violations,
+			r.FirstViolations, r.Sends(), r.Messages(), r.Connects(), r.Types[0].Latency.Mean(), r.Types[0].Outcomes)
 	}
-	for _, cores := range []int{1, 2, 3, 7} {
-		if r, _ := Run(s, cores, nil); text(r) != text(one) {
-			t.Errorf(
-				"with %d workers another run: worth %v and %v, %d and %d events",
-				cores,
-				r.ValueShare,
-				one.ValueShare,
-				r.Events,
-				one.Events,
-			)
+	for _, workers := range []int{1, 2, 3, 7} {
+		if r, _ := Run(s, workers, nil); text(r) != text(one) {
+			t.Errorf("with %d workers another run: value %v and %v, %d and %d events", workers, r.ValueShare, one.ValueShare,
+				r.Events, one.Events)
 		}
 	}
 	s.Seed++
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -66,7 +66,8 @@
 		t.Fatal(err, len(plans))
 	}
 	a, b := plans[0].Setup, plans[1].Setup
-	if a.Policy != "module" || a.Drivers != 2 || a.Load != 0.3 || a.Seed != 1 || a.ElectionTime != 300 || a.Retries != 1 || len(a.Faults) != 1 ||
+	if a.Policy != "module" || a.Drivers != 2 || a.Load != 0.3 || a.Seed != 1 || a.ElectionTime != 300 || a.Retries != 1 ||
+		len(a.Faults) != 1 ||
 		a.Mix[0].MaxAge != 200 || a.Mix[1].Need != logic.Write ||
 		a.Mix[1].Effect != logic.NonRetryable ||
 		a.Mix[1].Value != 1 {
--- a/internal/lab/fleet/golden_test.go
+++ b/internal/lab/fleet/golden_test.go
@@ -52,7 +52,10 @@
 	for i := range s.Steps {
 		record(fmt.Sprint("step ", i), fmt.Sprint(s.Steps[i].at, " ", s.Steps[i].String()))
 	}
-	for i, text := range []string{`drivers = 0`, "drivers = 1\nend = \"soon\"", "drivers = 1\nend = \"1s\"\nstep \"eat\" {\nat = \"1s\"\n}",
+	for i, text := range []string{
+		`drivers = 0`,
+		"drivers = 1\nend = \"soon\"",
+		"drivers = 1\nend = \"1s\"\nstep \"eat\" {\nat = \"1s\"\n}",
 		"drivers = 1\nend = \"1s\"\nstep \"kill\" {\nat = \"1s\"\ndrivers = [2]\n}"} {
 		_, err := ParseScript("s.hcl", []byte(text))
 		record(fmt.Sprint("error ", i), fmt.Sprint(err))
--- a/internal/lab/hollow/hollow_test.go
+++ b/internal/lab/hollow/hollow_test.go
@@ -65,7 +65,8 @@
 		Convey("members' heartbeats, consensus and configurations are counted", func() {
 			beats, _ := perMachine(runs[100], "steady", "members", "heartbeats")
 			So(beats, ShouldBeGreaterThan, 0)
-			for phase, purpose := range map[string]controlmsg.Purpose{"steady": controlmsg.ConsensusHeartbeats, "configuration": controlmsg.Configuration,
+			for phase, purpose := range map[string]controlmsg.Purpose{
+				"steady": controlmsg.ConsensusHeartbeats, "configuration": controlmsg.Configuration,
 				"member changes": controlmsg.MemberRecords, "driver restarts": controlmsg.DriverLists} {
 				bytes, _ := perMachine(runs[100], phase, "core", purpose.String())
 				So(bytes, ShouldBeGreaterThan, 0)
--- a/internal/lab/switch_test.go
+++ b/internal/lab/switch_test.go
@@ -62,6 +62,19 @@
 	}
 }
 
+// runLoad runs ops at a rate for a time; answers count within two seconds of slack.
+func runLoad(ctx context.Context, targets []string, mix []OpKind, rate float64, d time.Duration, seed uint64) Result {
+	return Load{
+		Targets:  targets,
+		Rate:     rate,
+		Duration: d,
+		Mix:      mix,
+		Groups:   1,
+		Seed:     seed,
+		Slack:    2 * time.Second,
+	}.Run(ctx, nil)
+}
+
 // stage is what a driver knows of the change of group 1.
 func stage(h *HookedDrivers, i int) switchover.ChangeStatus {
 	all, err := h.Clients[i].Status(context.Background())
@@ -80,7 +93,7 @@
 		ctx := context.Background()
 		result := make(chan Result)
 		go func() {
-			result <- Load{Targets: h.Addresses, Rate: 100, Duration: 3 * time.Second, Mix: writes, Groups: 1, Seed: 5, Slack: 2 * time.Second}.Run(ctx, nil)
+			result <- runLoad(ctx, h.Addresses, writes, 100, 3*time.Second, 5)
 		}()
 		for range 3 {
 			time.Sleep(300 * time.Millisecond) // load between two changes
@@ -119,18 +132,7 @@
 	c, h, end := hooked(t, 2, nil)
 	defer end()
 	ctx := context.Background()
-	warm := Load{
-		Targets:  h.Addresses,
-		Rate:     100,
-		Duration: 300 * time.Millisecond,
-		Mix:      writes,
-		Groups:   1,
-		Seed:     6,
-		Slack:    2 * time.Second,
-	}.Run(
-		ctx,
-		nil,
-	)
+	warm := runLoad(ctx, h.Addresses, writes, 100, 300*time.Millisecond, 6)
 	if warm.Kinds["write"].Outcomes[Acked] == 0 {
 		t.Fatal("no write was acked to begin with")
 	}
@@ -141,18 +143,7 @@
 		t.Fatal(err)
 	}
 	until(t, "the hold at the peer", func() bool { return stage(h, 1).Draining == c.Primary(1) })
-	r := Load{
-		Targets:  h.Addresses[1:],
-		Rate:     50,
-		Duration: 300 * time.Millisecond,
-		Mix:      writes,
-		Groups:   1,
-		Seed:     7,
-		Slack:    2 * time.Second,
-	}.Run(
-		ctx,
-		nil,
-	)
+	r := runLoad(ctx, h.Addresses[1:], writes, 50, 300*time.Millisecond, 7)
 	f := r.Kinds["write"]
 	if broken := c.Audit(r); len(broken) > 0 || f.Outcomes[Acked] < 5 || f.Outcomes[Failed]+f.Outcomes[Lost] > 0 {
 		t.Errorf("%v, broken %v", f.Outcomes, broken)
@@ -171,8 +162,8 @@
 	c, h, end := hooked(t, 1, nil)
 	defer end()
 	ctx := context.Background()
-	word := switchover.Notification{Group: 1, Stage: switchover.StageHeld, From: c.Primary(1)}
-	if _, err := h.Clients[0].NotifyHook(ctx, word); err != nil {
+	notification := switchover.Notification{Group: 1, Stage: switchover.StageHeld, From: c.Primary(1)}
+	if _, err := h.Clients[0].NotifyHook(ctx, notification); err != nil {
 		t.Fatal(err)
 	}
 	hasty := []OpKind{{Name: "write", Share: 1, Write: true, Timeout: 300 * time.Millisecond}}
@@ -192,27 +183,20 @@
 		len(c.Audit(r)) > 0 {
 		t.Errorf("%v, broken %v", f.Outcomes, c.Audit(r))
 	}
-	word.Stage = switchover.StageAborted
-	if _, err := h.Clients[0].NotifyHook(ctx, word); err != nil {
+	notification.Stage = switchover.StageAborted
+	if _, err := h.Clients[0].NotifyHook(ctx, notification); err != nil {
 		t.Fatal(err)
 	}
-	r = Load{
-		Targets:  h.Addresses,
-		Rate:     60,
-		Duration: 300 * time.Millisecond,
-		Mix:      writes,
-		Groups:   1,
-		Seed:     9,
-		Slack:    2 * time.Second,
-	}.Run(
-		ctx,
-		nil,
-	)
+	r = runLoad(ctx, h.Addresses, writes, 60, 300*time.Millisecond, 9)
 	if f := r.Kinds["write"]; f.Outcomes[Acked] == 0 || f.Outcomes[Refused]+f.Outcomes[Failed]+f.Outcomes[Lost] > 0 ||
 		len(c.Audit(r)) > 0 {
 		t.Errorf("%v, broken %v", f.Outcomes, c.Audit(r))
 	}
-	for want, w := range map[string]switchover.Notification{"409": word, "not known here": {Group: 9, Stage: switchover.StageHeld, From: "x"}, "400": {Group: 1}} {
+	for want, w := range map[string]switchover.Notification{
+		"409":            notification,
+		"not known here": {Group: 9, Stage: switchover.StageHeld, From: "x"},
+		"400":            {Group: 1},
+	} {
 		w.Lease = 1
 		if w.Group == 1 && w.Stage != 0 {
 			w.Stage, w.Epoch = switchover.StageHeld, 1
@@ -231,7 +215,7 @@
 	ctx := context.Background()
 	result := make(chan Result)
 	go func() {
-		result <- Load{Targets: h.Addresses, Rate: 150, Duration: 2500 * time.Millisecond, Mix: writes, Groups: 1, Seed: 11, Slack: 2 * time.Second}.Run(ctx, nil)
+		result <- runLoad(ctx, h.Addresses, writes, 150, 2500*time.Millisecond, 11)
 	}()
 	for range 2 {
 		time.Sleep(400 * time.Millisecond)
@@ -288,7 +272,16 @@
 	}
 	result := make(chan Result)
 	go func() {
-		result <- Load{Targets: h.Addresses, Rate: 300, Duration: 2 * time.Second, Mix: mix, Groups: 1, Seed: 12, Slack: 2 * time.Second, MaxInFlight: 4000}.Run(ctx, nil)
+		result <- Load{
+			Targets:     h.Addresses,
+			Rate:        300,
+			Duration:    2 * time.Second,
+			Mix:         mix,
+			Groups:      1,
+			Seed:        12,
+			Slack:       2 * time.Second,
+			MaxInFlight: 4000,
+		}.Run(ctx, nil)
 	}()
 	time.Sleep(1500 * time.Millisecond) // so many are held by then
 	if _, err := h.Clients[1].NotifyHook(
@@ -320,7 +313,7 @@
 	old := c.member(c.Primary(1))
 	result := make(chan Result)
 	go func() {
-		result <- Load{Targets: h.Addresses, Rate: 120, Duration: 3 * time.Second, Mix: writes, Groups: 1, Seed: 13, Slack: 2 * time.Second}.Run(ctx, nil)
+		result <- runLoad(ctx, h.Addresses, writes, 120, 3*time.Second, 13)
 	}()
 	time.Sleep(500 * time.Millisecond)
 	c.Inject("stubborn", old.ID)
--- a/internal/standin/cluster/shards_test.go
+++ b/internal/standin/cluster/shards_test.go
@@ -282,7 +282,11 @@
 			}
 			So(len(d.Nodes["n2"].Shards.Replicas), ShouldBeGreaterThan, 0)
 			printed := ""
-			for _, call := range [][]string{{"status", d.Cores[2]}, {"explain", d.Cores[0], "s0"}, {"page", d.Cores[0], filepath.Join(d.dir, "page.html")}} {
+			for _, call := range [][]string{
+				{"status", d.Cores[2]},
+				{"explain", d.Cores[0], "s0"},
+				{"page", d.Cores[0], filepath.Join(d.dir, "page.html")},
+			} {
 				d.Eventually(call[0], func() bool {
 					code, s := tell(call...)
 					if code == 0 {
