--- a/internal/roster/scheduler.go
+++ b/internal/roster/scheduler.go
@@ -145,7 +145,7 @@
 	}
 	s.switchEndpoint(now)
 	s.delay = max(s.backoff.RecordFailure(s.random), s.budget.Reserve(now))
-	if kind == CallRead && s.backoff.Failures() > s.options.Endpoints { // down for all drivers: they'll all be back at once
+	if kind == CallRead && s.backoff.Failures() > s.options.Endpoints { // down for all drivers: all will be back at once
 		s.delay = max(s.delay, s.fleetDelay())
 	}
 }
