--- a/internal/controlplane/agent/agent.go
+++ b/internal/controlplane/agent/agent.go
@@ -21,11 +21,11 @@
 type controlLink = transport.Link[controlmsg.Frame]
 
 const (
-	renewInterval  = time.Second     // between two renewals of the lease
-	digestInterval = 3 * time.Second // between two digests to peers
-	peerCount      = 2               // agents to which a link is kept
-	memberTTL      = 90 * time.Second
-	queueCapacity  = 1024 // commands
+	renewInterval  = time.Second      // between two renewals of the lease
+	digestInterval = 3 * time.Second  // between two digests to peers
+	peerCount      = 2                // agents to which a link is kept
+	tombstoneTTL   = 90 * time.Second // for which the tombstone of a member that ended is kept
+	queueCapacity  = 1024             // commands
 
 	shutdownMargin = 600 * time.Millisecond // before the platform kills the process
 	releaseTimeout = 50 * time.Millisecond  // for the lease's release to go out
@@ -132,7 +132,7 @@
 func (a *Agent) renewTick() {
 	a.renewLease()
 	a.checkCore()
-	a.members.PurgeTombstones(a.now(), float64(memberTTL.Milliseconds()))
+	a.members.PurgeTombstones(a.now(), float64(tombstoneTTL.Milliseconds()))
 }
 
 // shutdown releases the lease, and waits a moment for that to go out.
--- a/internal/controlplane/consensus/store/store.go
+++ b/internal/controlplane/consensus/store/store.go
@@ -1,4 +1,4 @@
-// Package store keeps a core machine's part of the agreement, its consensus.HardState, on its disk.
+// Package store keeps a core machine's consensus.HardState on its disk: its vote and the newest entry that it accepted.
 //
 // The folder is a pebble database with two records in CBOR: "meta", with all but the entry, and "entry", which is
 // as large as the value and is written only where it changed. Both are written in one batch, and meta says which
--- a/internal/controlplane/membership.go
+++ b/internal/controlplane/membership.go
@@ -14,10 +14,11 @@
 	memberTimeout = 60 * time.Second
 	// drainDeadlineMs is when a primary's drain takes effect though its role was not handed over.
 	drainDeadlineMs = 3500.0
-	// newIncarnationIntervals is for how many heartbeat intervals a member was silent whose count starts again for good.
+	// newIncarnationIntervals is after how many heartbeat intervals of silence a lower sequence number begins a new
+	// incarnation of the member. Before that it is a heartbeat that arrived late, and is dropped.
 	newIncarnationIntervals = 3.0
-	// replacedIntervals is for how many heartbeat intervals a member was silent that another replaces at its address: a
-	// late heartbeat of the old one doesn't end the new one.
+	// replacedIntervals is after how many heartbeat intervals of silence a member ends because another one sends from
+	// its address. One that was heard of since stays, so that a late heartbeat of the old one doesn't end the new one.
 	replacedIntervals = 1.5
 )
 
--- a/internal/controlplane/roster.go
+++ b/internal/controlplane/roster.go
@@ -34,8 +34,9 @@
 	r.removable, r.nextProposalAt = map[config.RosterMember]bool{}, 0
 }
 
-// absent gives the members on the roster of a service to which no question can be put. One of which nothing is known
-// has ended once it was silent, as far as this leader knows, for as long as a known one may be.
+// absent gives the members on the roster of a service that have ended or are unknown here, so that no question can be
+// put to them. An unknown one counts as departed once this machine has led for memberTimeout without a heartbeat of
+// it: a known one would have expired by then.
 func (r *rosterTracker) absent(service string, now float64) (out []failover.Member) {
 	s := r.owner
 	for _, id := range s.committed.Roster[service] {
--- a/internal/controlplane/shardmoves.go
+++ b/internal/controlplane/shardmoves.go
@@ -20,7 +20,7 @@
 	progressIntervalMs = 1000.0
 )
 
-// resultRejected is the result of a change of the shard map that was not applied, or not for all that is known.
+// resultRejected is the result of a change of the shard map that was rejected, or whose outcome is unknown.
 const resultRejected shardmap.ResultCode = "refused"
 
 // shardMoves carries out what the rebalancer decides, while this machine leads and there is a shard map. It belongs
--- a/internal/controlplane/shardsresource_test.go
+++ b/internal/controlplane/shardsresource_test.go
@@ -12,7 +12,8 @@
 	answer := httptest.NewRecorder()
 	body := strings.NewReader(`{"kind":5}`)
 	(&shardsResource{}).change(answer, httptest.NewRequest(http.MethodPost, "/shards", body))
-	want := "the change can't be read: json: cannot unmarshal number into Go struct field Change.kind of type shardmap.Kind\n"
+	want := "the change can't be read: json: cannot unmarshal number into Go struct field Change.kind " +
+		"of type shardmap.Kind\n"
 	if answer.Code != http.StatusBadRequest || answer.Body.String() != want {
 		t.Fatalf("%d %s", answer.Code, answer.Body)
 	}
--- a/internal/controlplane/siteleases.go
+++ b/internal/controlplane/siteleases.go
@@ -8,8 +8,9 @@
 	"weirwind/internal/util/events"
 )
 
-// A site's lease holds for SiteLeaseDuration from when it asked. The core takes it for over only siteLeaseSlack later
-// than it can possibly hold: a tenth for clocks that drift apart, and what an answer takes.
+// A site counts SiteLeaseDuration from the moment at which it sent the renewal, the leader from the moment at which it
+// granted the lease, which is later. The leader has the lease expire only siteLeaseSlack after that: the slack covers
+// clocks whose rates differ by up to a tenth, and what an answer takes.
 const (
 	SiteLeaseDuration = 1500 * time.Millisecond
 	siteLeaseSlack    = 300 * time.Millisecond
--- a/internal/util/commandqueue/commandqueue.go
+++ b/internal/util/commandqueue/commandqueue.go
@@ -2,7 +2,7 @@
 //
 // State with one owner needs no lock: only the goroutine that runs the queue touches it, and everybody else sends that
 // goroutine a command, a function to run. Commands run one at a time, in the order in which they were queued. A command
-// must not block, and must not call Do or Call on its own queue: a full queue would then wait for itself.
+// must not block, and must not call Do, Wait or Call on its own queue: a full queue would then wait for itself.
 package commandqueue
 
 import (
--- a/internal/util/transport/doc.go
+++ b/internal/util/transport/doc.go
@@ -26,7 +26,7 @@
 //
 // Send never blocks. Frames wait in a queue of at most maxQueuedFrames frames and about maxQueuedBytes bytes; a peer
 // that does not read fast enough to keep it below that loses the link rather than taking memory. A peer that
-// acknowledges nothing for SetUserTimeout's time, or accepts no bytes for writeTimeout, loses it as well.
+// leaves bytes unacknowledged for userTimeout, or accepts no bytes for writeTimeout, loses it as well.
 //
 // # Resets
 //
