--- a/cmd/weirlab/demo.go
+++ b/cmd/weirlab/demo.go
@@ -93,11 +93,12 @@
 		Seed:     c.Seed,
 		Slack:    c.Slack,
 	}
-	result = load.Run(ctx, func(second int, f *lab.OpStats) {
-		seconds = append(seconds, f)
-		fmt.Fprintf(out, "%6d %6d %7d %6d %5d %8s %8s\n", second, f.Outcomes[lab.Acked], f.Outcomes[lab.Refused],
-			f.Outcomes[lab.Failed],
-			f.Outcomes[lab.Lost], f.Quantile(50).Round(100*time.Microsecond), f.Quantile(99).Round(100*time.Microsecond))
+	result = load.Run(ctx, func(second int, stats *lab.OpStats) {
+		seconds = append(seconds, stats)
+		fmt.Fprintf(out, "%6d %6d %7d %6d %5d %8s %8s\n", second, stats.Outcomes[lab.Acked], stats.Outcomes[lab.Refused],
+			stats.Outcomes[lab.Failed],
+			stats.Outcomes[lab.Lost], stats.Quantile(50).Round(100*time.Microsecond),
+			stats.Quantile(99).Round(100*time.Microsecond))
 	})
 	return result, seconds
 }
--- a/cmd/weirlab/emulate.go
+++ b/cmd/weirlab/emulate.go
@@ -114,4 +114,4 @@
 }
 
 // ms is a duration in milliseconds.
-func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+func ms(duration time.Duration) float64 { return float64(duration) / float64(time.Millisecond) }
--- a/cmd/weirlab/sessions.go
+++ b/cmd/weirlab/sessions.go
@@ -39,11 +39,11 @@
 	defer stop()
 	fmt.Fprintf(out, "three machines of the core, %d sites, two edges, %d open sessions\n"+
 		"second  queued    came  longest silence\n", c.Sites, c.Clients)
-	r, err := sessionrun.Run(ctx, c.options(), log, func(n int, s sessionrun.Second) {
-		if s.Event != "" {
-			fmt.Fprintln(out, "      --", s.Event)
+	r, err := sessionrun.Run(ctx, c.options(), log, func(n int, second sessionrun.Second) {
+		if second.Event != "" {
+			fmt.Fprintln(out, "      --", second.Event)
 		}
-		fmt.Fprintf(out, "%6d %7d %7d %16s\n", n, s.Queued, s.Delivered, s.LongestGap.Round(time.Millisecond))
+		fmt.Fprintf(out, "%6d %7d %7d %16s\n", n, second.Queued, second.Delivered, second.LongestGap.Round(time.Millisecond))
 	})
 	if err != nil {
 		return err
--- a/cmd/weirlab/switch.go
+++ b/cmd/weirlab/switch.go
@@ -132,7 +132,7 @@
 	slices.Sort(seen)
 	slices.Sort(gaps)
 	s := r.Kinds["write"]
-	round := func(d time.Duration) time.Duration { return d.Round(time.Millisecond) }
+	round := func(duration time.Duration) time.Duration { return duration.Round(time.Millisecond) }
 	fmt.Fprintf(out, "%-17s %7d %6d %7d %6d %5d %10d   %18s   %24s, %s   %s\n", kind, c.Changes, s.Outcomes[lab.Acked],
 		s.Outcomes[lab.Refused], s.Outcomes[lab.Failed], s.Outcomes[lab.Lost], cluster.RepeatedWrites(),
 		round(gaps[len(gaps)/2]), round(seen[len(seen)/2]), round(seen[len(seen)-1]), round(s.Quantile(99)))
--- a/cmd/weirlab/trust.go
+++ b/cmd/weirlab/trust.go
@@ -73,18 +73,18 @@
 
 // measureLatency measures one way on this machine, in milliseconds, by ops nearly without work: what remains of their
 // time are two ways, the driver and the machine's timers.
-func (c *trustCommand) measureLatency(o lab.Options) (float64, error) {
-	o.ServiceTime = 200 * time.Microsecond
-	row, err := c.sockets("idle", o)
+func (c *trustCommand) measureLatency(options lab.Options) (float64, error) {
+	options.ServiceTime = 200 * time.Microsecond
+	row, err := c.sockets("idle", options)
 	if err != nil {
 		return 0, err
 	}
-	return max((row.Mean()-ms(o.ServiceTime))/2, 0.01), nil
+	return max((row.Mean()-ms(options.ServiceTime))/2, 0.01), nil
 }
 
 // emulate runs a scenario in virtual time.
-func (c *trustCommand) emulate(kind string, o lab.Options, latency float64) (experiment.Run, error) {
-	setup := c.emulated(kind, o, latency)
+func (c *trustCommand) emulate(kind string, options lab.Options, latency float64) (experiment.Run, error) {
+	setup := c.emulated(kind, options, latency)
 	plan := experiment.Plan{Experiment: kind, Scenario: kind, Variant: "emulator", Setup: setup}
 	run, err := experiment.RunPlan(plan, "this")
 	run.Load = 0 // sockets know a rate alone
@@ -92,8 +92,8 @@
 }
 
 // sockets runs a scenario on sockets and audits it.
-func (c *trustCommand) sockets(kind string, o lab.Options) (experiment.Run, error) {
-	cluster, err := lab.Start(o)
+func (c *trustCommand) sockets(kind string, options lab.Options) (experiment.Run, error) {
+	cluster, err := lab.Start(options)
 	if err != nil {
 		return experiment.Run{}, err
 	}
@@ -116,10 +116,10 @@
 		Duration: c.For,
 		Mix:      lab.DefaultMix,
 		Groups:   1,
-		Seed:     o.Seed,
+		Seed:     options.Seed,
 	}.Run(
 		ctx,
-		func(_ int, f *lab.OpStats) { seconds = append(seconds, f) },
+		func(_ int, stats *lab.OpStats) { seconds = append(seconds, stats) },
 	)
 	end()
 	if err := wait(); err != nil {
@@ -128,27 +128,27 @@
 	if broken := cluster.Audit(r); len(broken) > 0 {
 		return experiment.Run{}, fmt.Errorf("on sockets: %s", broken[0])
 	}
-	return socketsRow(kind, "sockets", trustDrivers, o.Seed, lab.DefaultMix, r, seconds)
+	return socketsRow(kind, "sockets", trustDrivers, options.Seed, lab.DefaultMix, r, seconds)
 }
 
 // emulated is the setup in virtual time that a run on sockets is compared with; latency is one way in milliseconds.
-func (c *trustCommand) emulated(kind string, o lab.Options, latency float64) emulator.Setup {
+func (c *trustCommand) emulated(kind string, options lab.Options, latency float64) emulator.Setup {
 	s := emulator.Setup{
 		Drivers:          trustDrivers,
-		Groups:           o.Groups,
-		Members:          o.Members,
-		Cores:            o.Cores,
-		ServiceTime:      ms(o.ServiceTime),
-		ReplicationLag:   ms(o.ReplicationLag),
+		Groups:           options.Groups,
+		Members:          options.Members,
+		Cores:            options.Cores,
+		ServiceTime:      ms(options.ServiceTime),
+		ReplicationLag:   ms(options.ReplicationLag),
 		Duration:         ms(c.For),
-		Load:             c.Rate * o.ServiceTime.Seconds() / float64(o.Groups*o.Members*o.Cores),
+		Load:             c.Rate * options.ServiceTime.Seconds() / float64(options.Groups*options.Members*options.Cores),
 		Policy:           emulator.PolicyModule,
-		Seed:             o.Seed,
+		Seed:             options.Seed,
 		Zones:            1,
 		ZoneLatency:      latency,
 		CrossZoneLatency: latency,
 		Handshake:        latency,
-		ElectionTime:     ms(o.ElectionTime) - 1500, // the emulator takes 1.5 s to detect a failure
+		ElectionTime:     ms(options.ElectionTime) - 1500, // the emulator takes 1.5 s to detect a failure
 	}
 	for _, k := range lab.DefaultMix {
 		t := logic.OpType{Need: logic.Any, LatencyTarget: ms(k.Target), OpTimeout: ms(k.Timeout), Value: k.Value}
--- a/internal/lab/client.go
+++ b/internal/lab/client.go
@@ -41,8 +41,8 @@
 }
 
 // query sends one op and waits for its answer until its timeout from the intended time, and the slack, are over.
-func (p *connPool) query(k OpKind, id string, group int, intended time.Time, slack time.Duration) (Outcome, string) {
-	due := intended.Add(k.Timeout)
+func (p *connPool) query(kind OpKind, id string, group int, intended time.Time, slack time.Duration) (Outcome, string) {
+	due := intended.Add(kind.Timeout)
 	limit := due.Add(slack)
 	c, err := p.get(limit)
 	if err != nil {
@@ -50,10 +50,10 @@
 	}
 	c.SetDeadline(limit)
 	statement := "SELECT v FROM records WHERE k = 'a1'"
-	if k.Write {
+	if kind.Write {
 		statement = `INSERT INTO records (k, v) VALUES ('a1', '\x9f03') RETURNING v`
 	}
-	_, _ = c.Write(pgwire.AppendQuery(nil, fmt.Sprintf("%s /* id=%s,c=%s,d=%d,cluster=%d */", statement, id, k.Name,
+	_, _ = c.Write(pgwire.AppendQuery(nil, fmt.Sprintf("%s /* id=%s,c=%s,d=%d,cluster=%d */", statement, id, kind.Name,
 		max(time.Until(due).Milliseconds(), 1), group))) // the read behind it sees a broken connection
 	value, code, ok := c.readAnswer()
 	if !ok {
--- a/internal/lab/cluster.go
+++ b/internal/lab/cluster.go
@@ -71,9 +71,9 @@
 }
 
 // Start starts a cluster on free loopback ports.
-func Start(o Options) (*Cluster, error) {
+func Start(options Options) (*Cluster, error) {
 	c := &Cluster{
-		options:    o.withDefaults(),
+		options:    options.withDefaults(),
 		revision:   1,
 		changed:    make(chan struct{}),
 		entries:    map[string]discovery.Entry{},
@@ -82,7 +82,7 @@
 		arrivals:   map[string]int{},
 		primary:    map[int64]*Member{},
 		logEnds:    map[int64]float64{},
-		random:     rand.New(rand.NewPCG(o.Seed, 3)),
+		random:     rand.New(rand.NewPCG(options.Seed, 3)),
 	}
 	for g := range c.options.Groups {
 		for i := range c.options.Members {
@@ -177,7 +177,7 @@
 
 // member is the member of an id, nil for none.
 func (c *Cluster) member(id string) *Member {
-	if i := slices.IndexFunc(c.members, func(m *Member) bool { return m.ID == id }); i >= 0 {
+	if i := slices.IndexFunc(c.members, func(member *Member) bool { return member.ID == id }); i >= 0 {
 		return c.members[i]
 	}
 	return nil
--- a/internal/lab/emulator/attempt.go
+++ b/internal/lab/emulator/attempt.go
@@ -80,13 +80,13 @@
 }
 
 // transmit sends the request on a connection.
-func (x *attempt) transmit(c idleConn) {
+func (x *attempt) transmit(conn idleConn) {
 	d, m := x.driver, x.target
-	x.connected, x.connOpened, x.incarnation = true, c.opened, c.incarnation
+	x.connected, x.connOpened, x.incarnation = true, conn.opened, conn.incarnation
 	r := &request{from: d, attempt: x, op: x.op.id, kind: x.op.kind}
 	x.request = r
 	if latency, arrives := d.sim.transit(d.process, d.zone, m.zone); arrives {
-		d.sendTo(m.group.process, latency, func() { m.receive(r, c.incarnation) })
+		d.sendTo(m.group.process, latency, func() { m.receive(r, conn.incarnation) })
 	}
 }
 
--- a/internal/lab/emulator/auditor.go
+++ b/internal/lab/emulator/auditor.go
@@ -51,11 +51,11 @@
 }
 
 // entryReceived records what the driver's list has of a member from now on.
-func (a *auditor) entryReceived(e logic.ListEntry) {
-	if e.Phase == logic.Ready {
-		delete(a.drainSeen, e.Member)
-	} else if _, known := a.drainSeen[e.Member]; !known {
-		a.drainSeen[e.Member] = a.process.now
+func (a *auditor) entryReceived(entry logic.ListEntry) {
+	if entry.Phase == logic.Ready {
+		delete(a.drainSeen, entry.Member)
+	} else if _, known := a.drainSeen[entry.Member]; !known {
+		a.drainSeen[entry.Member] = a.process.now
 	}
 }
 
--- a/internal/lab/emulator/baseline.go
+++ b/internal/lab/emulator/baseline.go
@@ -55,37 +55,38 @@
 }
 
 // send sends an op to the chosen member, or refuses it where there is none.
-func (b *baseline) send(e *logic.Event) {
+func (b *baseline) send(event *logic.Event) {
 	const margin = 15 // milliseconds that are left of the op's time behind the attempt
-	member := b.choose(e)
+	member := b.choose(event)
 	if member == "" {
-		b.actions = append(b.actions, logic.Action{Kind: logic.ActRefuse, Op: e.Op})
+		b.actions = append(b.actions, logic.Action{Kind: logic.ActRefuse, Op: event.Op})
 		return
 	}
-	b.kinds[e.Op] = e.OpType
+	b.kinds[event.Op] = event.OpType
 	b.inFlight[member]++
-	b.actions = append(b.actions, logic.Action{Kind: logic.ActSend, Op: e.Op, Member: member, Wait: e.Left - margin})
+	send := logic.Action{Kind: logic.ActSend, Op: event.Op, Member: member, Wait: event.Left - margin}
+	b.actions = append(b.actions, send)
 }
 
 // answer learns the role of a member from its answer, and answers an op that is still open: it refuses what is proved
 // not to have run or may run again.
-func (b *baseline) answer(e *logic.Event) {
-	b.inFlight[e.Member]--
-	if g := b.group[e.Member]; e.Note.Role == logic.Primary {
-		b.primary[g] = e.Member
-	} else if e.Note.Role == logic.Replica && b.primary[g] == e.Member {
+func (b *baseline) answer(event *logic.Event) {
+	b.inFlight[event.Member]--
+	if g := b.group[event.Member]; event.Note.Role == logic.Primary {
+		b.primary[g] = event.Member
+	} else if event.Note.Role == logic.Replica && b.primary[g] == event.Member {
 		delete(b.primary, g)
 	}
-	kind := b.kinds[e.Op]
-	delete(b.kinds, e.Op)
-	if e.Closed {
+	kind := b.kinds[event.Op]
+	delete(b.kinds, event.Op)
+	if event.Closed {
 		return
 	}
-	mayHaveRun := e.Outcome != logic.Miss && e.Outcome != logic.Full && e.Outcome != logic.ConnectFailed
+	mayHaveRun := event.Outcome != logic.Miss && event.Outcome != logic.Full && event.Outcome != logic.ConnectFailed
 	if mayHaveRun && b.types[kind].Effect != logic.Retryable {
-		b.actions = append(b.actions, logic.Action{Kind: logic.ActFail, Op: e.Op})
+		b.actions = append(b.actions, logic.Action{Kind: logic.ActFail, Op: event.Op})
 	} else {
-		b.actions = append(b.actions, logic.Action{Kind: logic.ActRefuse, Op: e.Op})
+		b.actions = append(b.actions, logic.Action{Kind: logic.ActRefuse, Op: event.Op})
 	}
 }
 
@@ -103,9 +104,9 @@
 }
 
 // choose gives the member for an op, "" for none.
-func (b *baseline) choose(e *logic.Event) string {
+func (b *baseline) choose(event *logic.Event) string {
 	var candidates []string
-	for _, m := range b.members[e.Group] {
+	for _, m := range b.members[event.Group] {
 		if !b.draining[m] {
 			candidates = append(candidates, m)
 		}
@@ -113,11 +114,11 @@
 	if len(candidates) == 0 {
 		return ""
 	}
-	primary, known := b.primary[e.Group]
+	primary, known := b.primary[event.Group]
 	if !known || b.draining[primary] {
 		primary = b.drawOne(candidates)
 	}
-	if b.types[e.OpType].Need >= logic.Fresh || b.rule == PolicyPrimary {
+	if b.types[event.OpType].Need >= logic.Fresh || b.rule == PolicyPrimary {
 		return primary
 	}
 	switch b.rule {
--- a/internal/lab/emulator/driver.go
+++ b/internal/lab/emulator/driver.go
@@ -166,11 +166,11 @@
 }
 
 // moduleMemory is what the module knows, read from outside; module is false for baselines.
-func (d *driver) moduleMemory() (m logic.Memory, module bool) {
+func (d *driver) moduleMemory() (memory logic.Memory, module bool) {
 	if _, module = d.policy.(*logic.Driver); module {
-		d.policy.Step(d.now, []logic.Event{{Kind: logic.EvRemember, Memory: &m}})
+		d.policy.Step(d.now, []logic.Event{{Kind: logic.EvRemember, Memory: &memory}})
 	}
-	return m, module
+	return memory, module
 }
 
 // deferIfPaused keeps what arrives at a paused driver until it goes on, and says whether it did.
@@ -193,45 +193,45 @@
 }
 
 // updateEntry takes an entry of the list, or keeps it back while the list is paused.
-func (d *driver) updateEntry(e logic.ListEntry) {
-	i := d.listIndex[e.Member]
-	e.Primary = d.list[i].Primary
-	d.list[i] = e
+func (d *driver) updateEntry(entry logic.ListEntry) {
+	i := d.listIndex[entry.Member]
+	entry.Primary = d.list[i].Primary
+	d.list[i] = entry
 	if d.now < d.listPausedUntil {
-		d.missedEntries = append(d.missedEntries, e)
+		d.missedEntries = append(d.missedEntries, entry)
 		return
 	}
-	d.audit.entryReceived(e)
-	if d.draining[e.Member] && e.Phase == logic.Ready {
-		e.Phase = logic.Draining
+	d.audit.entryReceived(entry)
+	if d.draining[entry.Member] && entry.Phase == logic.Ready {
+		entry.Phase = logic.Draining
 	}
-	d.step(logic.Event{Kind: logic.EvMembers, List: logic.ListChanges, Members: []logic.ListEntry{e}})
+	d.step(logic.Event{Kind: logic.EvMembers, List: logic.ListChanges, Members: []logic.ListEntry{entry}})
 }
 
 // execute carries out an action.
-func (d *driver) execute(a logic.Action) {
-	switch a.Kind {
+func (d *driver) execute(action logic.Action) {
+	switch action.Kind {
 	case logic.ActSend:
-		d.send(a)
+		d.send(action)
 	case logic.ActCancel:
-		if o := d.ops[a.Op]; o != nil && a.Send < len(o.attempts) {
-			d.schedule(a.Wait, func() { o.attempts[a.Send].abandon(logic.Cancelled) })
+		if o := d.ops[action.Op]; o != nil && action.Send < len(o.attempts) {
+			d.schedule(action.Wait, func() { o.attempts[action.Send].abandon(logic.Cancelled) })
 		}
 	case logic.ActRefuse:
-		d.finish(a.Op, Refused, a.Wait)
+		d.finish(action.Op, Refused, action.Wait)
 	case logic.ActFail:
-		d.finish(a.Op, Failed, 0)
+		d.finish(action.Op, Failed, 0)
 	case logic.ActProbe:
-		d.probe(d.sim.membersByID[a.Member])
+		d.probe(d.sim.membersByID[action.Member])
 	case logic.ActTimer:
 		incarnation := d.incarnation
-		d.schedule(a.Wait, func() {
+		d.schedule(action.Wait, func() {
 			if d.incarnation == incarnation {
 				d.step(logic.Event{Kind: logic.EvTimer})
 			}
 		})
 	case logic.ActMessage:
-		d.sendToPeers(slices.Clone(a.Data))
+		d.sendToPeers(slices.Clone(action.Data))
 	case logic.ActWatch:
 		d.schedule(listDelay, func() {
 			d.step(logic.Event{Kind: logic.EvMembers, List: logic.ListFull, Members: slices.Clone(d.list)})
@@ -240,8 +240,8 @@
 }
 
 // send starts an attempt of an op.
-func (d *driver) send(a logic.Action) {
-	o, m := d.ops[a.Op], d.sim.membersByID[a.Member]
+func (d *driver) send(action logic.Action) {
+	o, m := d.ops[action.Op], d.sim.membersByID[action.Member]
 	if o == nil || m == nil {
 		d.audit.report("rule 1: a send of an op that is not open")
 		return
@@ -250,7 +250,7 @@
 	d.audit.attemptSent(x)
 	o.attempts = append(o.attempts, x)
 	d.worker.counters.sends++
-	d.schedule(min(a.Wait, d.sim.types[o.kind].OpTimeout), func() { x.abandon(logic.TimedOut) })
+	d.schedule(min(action.Wait, d.sim.types[o.kind].OpTimeout), func() { x.abandon(logic.TimedOut) })
 	x.connect()
 }
 
@@ -274,14 +274,14 @@
 	}
 	started, incarnation := d.now, d.incarnation
 	answered := false
-	answer := func(outcome logic.Outcome, s logic.Sight) {
+	answer := func(outcome logic.Outcome, status logic.Sight) {
 		if answered || d.incarnation != incarnation {
 			return
 		}
 		answered = true
-		d.step(logic.Event{Kind: logic.EvProbed, Member: m.id, Outcome: outcome, Took: d.now - started, Report: s})
+		d.step(logic.Event{Kind: logic.EvProbed, Member: m.id, Outcome: outcome, Took: d.now - started, Report: status})
 		if d.switchovers != nil && outcome == logic.OK {
-			d.applyOutcome(d.switchovers.ObserveRole(d.now, m.id, s.Role == logic.Primary))
+			d.applyOutcome(d.switchovers.ObserveRole(d.now, m.id, status.Role == logic.Primary))
 		}
 	}
 	d.schedule(connectTimeout, func() { answer(logic.ConnectFailed, logic.Sight{}) })
--- a/internal/lab/emulator/driverfaults.go
+++ b/internal/lab/emulator/driverfaults.go
@@ -12,23 +12,23 @@
 )
 
 // inject begins a fault of a driver.
-func (d *driver) inject(f Fault) {
-	switch f.Kind {
+func (d *driver) inject(fault Fault) {
+	switch fault.Kind {
 	case faultRestart, faultLose:
-		d.restart(f.Kind == faultRestart)
+		d.restart(fault.Kind == faultRestart)
 	case faultEnd:
 		d.removed = true
 		d.restart(false)
 	case faultCount:
-		d.step(logic.Event{Kind: logic.EvDrivers, Drivers: int(f.factorOr(float64(len(d.sim.drivers))))})
+		d.step(logic.Event{Kind: logic.EvDrivers, Drivers: int(fault.factorOr(float64(len(d.sim.drivers))))})
 	case faultPause:
-		d.pause(max(f.Duration, minPause))
+		d.pause(max(fault.Duration, minPause))
 	case faultLate:
-		d.pauseList(max(f.Duration, minListPause))
+		d.pauseList(max(fault.Duration, minListPause))
 	case faultBurst, faultHot:
-		d.rateFactor, d.hotGroup = f.factorOr(defaultBurst), f.Kind == faultHot
-		if f.Duration > 0 {
-			d.schedule(f.Duration, func() { d.rateFactor, d.hotGroup = 1, false })
+		d.rateFactor, d.hotGroup = fault.factorOr(defaultBurst), fault.Kind == faultHot
+		if fault.Duration > 0 {
+			d.schedule(fault.Duration, func() { d.rateFactor, d.hotGroup = 1, false })
 		}
 	}
 }
--- a/internal/lab/emulator/faults.go
+++ b/internal/lab/emulator/faults.go
@@ -76,87 +76,87 @@
 )
 
 // scheduleFault schedules a fault in the processes that it strikes. An error: its kind or target is not known.
-func (sim *simulation) scheduleFault(f Fault) error {
+func (sim *simulation) scheduleFault(fault Fault) error {
 	switch {
-	case slices.Contains(memberFaults, f.Kind):
-		return sim.scheduleMemberFault(f)
-	case slices.Contains(groupFaults, f.Kind):
-		return sim.scheduleDeploy(f)
-	case slices.Contains(driverFaults, f.Kind):
-		return sim.scheduleDriverFault(f)
-	case slices.Contains(tollFaults, f.Kind):
-		return sim.scheduleToll(f)
-	case slices.Contains(linkFaults, f.Kind):
-		return sim.scheduleNetworkFault(f)
-	}
-	return fmt.Errorf("fault %q; it may be %s", f.Kind, strings.Join(slices.Concat(memberFaults, groupFaults,
+	case slices.Contains(memberFaults, fault.Kind):
+		return sim.scheduleMemberFault(fault)
+	case slices.Contains(groupFaults, fault.Kind):
+		return sim.scheduleDeploy(fault)
+	case slices.Contains(driverFaults, fault.Kind):
+		return sim.scheduleDriverFault(fault)
+	case slices.Contains(tollFaults, fault.Kind):
+		return sim.scheduleToll(fault)
+	case slices.Contains(linkFaults, fault.Kind):
+		return sim.scheduleNetworkFault(fault)
+	}
+	return fmt.Errorf("fault %q; it may be %s", fault.Kind, strings.Join(slices.Concat(memberFaults, groupFaults,
 		driverFaults, tollFaults, linkFaults), ", "))
 }
 
-func (sim *simulation) scheduleMemberFault(f Fault) error {
-	if f.Kind == faultSlow && f.Target == "all" { // a shared slowdown is no member's own
-		sim.scheduleSlowdown(f)
+func (sim *simulation) scheduleMemberFault(fault Fault) error {
+	if fault.Kind == faultSlow && fault.Target == "all" { // a shared slowdown is no member's own
+		sim.scheduleSlowdown(fault)
 		return nil
 	}
-	targets := sim.memberTargets(f.Target)
+	targets := sim.memberTargets(fault.Target)
 	if len(targets) == 0 {
-		return fmt.Errorf("fault %q: no member, group or zone %q", f.Kind, f.Target)
+		return fmt.Errorf("fault %q: no member, group or zone %q", fault.Kind, fault.Target)
 	}
 	for _, m := range targets {
-		m.group.schedule(f.At, func() { m.inject(f) })
-		if f.Duration > 0 {
-			m.group.schedule(f.At+f.Duration, m.heal)
+		m.group.schedule(fault.At, func() { m.inject(fault) })
+		if fault.Duration > 0 {
+			m.group.schedule(fault.At+fault.Duration, m.heal)
 		}
 	}
 	return nil
 }
 
-func (sim *simulation) scheduleSlowdown(f Fault) {
+func (sim *simulation) scheduleSlowdown(fault Fault) {
 	for _, g := range sim.groups {
-		g.schedule(f.At, func() { g.slowdown = f.factorOr(defaultSlowdown) })
-		if f.Duration > 0 {
-			g.schedule(f.At+f.Duration, func() { g.slowdown = 1 })
+		g.schedule(fault.At, func() { g.slowdown = fault.factorOr(defaultSlowdown) })
+		if fault.Duration > 0 {
+			g.schedule(fault.At+fault.Duration, func() { g.slowdown = 1 })
 		}
 	}
 }
 
-func (sim *simulation) scheduleDeploy(f Fault) error {
+func (sim *simulation) scheduleDeploy(fault Fault) error {
 	n := 0
 	for _, g := range sim.groups {
-		if f.Target == "all" || f.Target == fmt.Sprintf("g%d", g.id) {
-			g.schedule(f.At, func() { g.deploy(max(f.Duration, minDeployPause)) })
+		if fault.Target == "all" || fault.Target == fmt.Sprintf("g%d", g.id) {
+			g.schedule(fault.At, func() { g.deploy(max(fault.Duration, minDeployPause)) })
 			n++
 		}
 	}
 	if n == 0 {
-		return fmt.Errorf("fault %q: no group %q", f.Kind, f.Target)
+		return fmt.Errorf("fault %q: no group %q", fault.Kind, fault.Target)
 	}
 	return nil
 }
 
-func (sim *simulation) scheduleDriverFault(f Fault) error {
+func (sim *simulation) scheduleDriverFault(fault Fault) error {
 	n := 0
 	for _, d := range sim.drivers {
-		if sim.isTarget(d, f.Target) {
-			d.schedule(f.At, func() { d.inject(f) })
+		if sim.isTarget(d, fault.Target) {
+			d.schedule(fault.At, func() { d.inject(fault) })
 			n++
 		}
 	}
-	if n == 0 || f.Kind == faultEnd && n == len(sim.drivers) {
-		return fmt.Errorf("fault %q: no driver %q, or none is left", f.Kind, f.Target)
+	if n == 0 || fault.Kind == faultEnd && n == len(sim.drivers) {
+		return fmt.Errorf("fault %q: no driver %q, or none is left", fault.Kind, fault.Target)
 	}
 	for _, d := range sim.drivers { // the clients of those that end come to the rest
-		if f.Kind == faultEnd && !sim.isTarget(d, f.Target) {
-			d.schedule(f.At, func() { d.rateFactor *= float64(len(sim.drivers)) / float64(len(sim.drivers)-n) })
+		if fault.Kind == faultEnd && !sim.isTarget(d, fault.Target) {
+			d.schedule(fault.At, func() { d.rateFactor *= float64(len(sim.drivers)) / float64(len(sim.drivers)-n) })
 		}
 	}
 	return nil
 }
 
-func (sim *simulation) scheduleToll(f Fault) error {
-	from, zone, some := strings.Cut(f.Target, ">")
+func (sim *simulation) scheduleToll(fault Fault) error {
+	from, zone, some := strings.Cut(fault.Target, ">")
 	if !some {
-		from, zone = "all", f.Target
+		from, zone = "all", fault.Target
 	}
 	if len(sim.memberTargets(zone)) == 0 {
 		return fmt.Errorf("fault toll: no zone %q", zone)
@@ -165,37 +165,37 @@
 		if !sim.isTarget(d, from) {
 			continue
 		}
-		d.schedule(f.At, func() {
-			d.step(logic.Event{Kind: logic.EvTolls, Tolls: map[string]float64{zone: f.factorOr(defaultToll)}})
+		d.schedule(fault.At, func() {
+			d.step(logic.Event{Kind: logic.EvTolls, Tolls: map[string]float64{zone: fault.factorOr(defaultToll)}})
 		})
-		if f.Duration > 0 {
-			d.schedule(f.At+f.Duration, func() { d.step(logic.Event{Kind: logic.EvTolls}) })
+		if fault.Duration > 0 {
+			d.schedule(fault.At+fault.Duration, func() { d.step(logic.Event{Kind: logic.EvTolls}) })
 		}
 	}
 	return nil
 }
 
-func (sim *simulation) scheduleNetworkFault(f Fault) error {
-	fault := networkFault{from: sim.started + f.At, until: sim.started + f.At + f.Duration}
-	if f.Duration <= 0 {
-		fault.until = sim.started + sim.setup.Duration
+func (sim *simulation) scheduleNetworkFault(fault Fault) error {
+	added := networkFault{from: sim.started + fault.At, until: sim.started + fault.At + fault.Duration}
+	if fault.Duration <= 0 {
+		added.until = sim.started + sim.setup.Duration
 	}
-	if f.Kind == faultLoss {
-		fault.loss = f.factorOr(defaultLoss)
-		sim.networkFaults = append(sim.networkFaults, fault)
+	if fault.Kind == faultLoss {
+		added.loss = fault.factorOr(defaultLoss)
+		sim.networkFaults = append(sim.networkFaults, added)
 		return nil
 	}
-	a, b, oneWay := strings.Cut(f.Target, ">")
+	a, b, oneWay := strings.Cut(fault.Target, ">")
 	if !oneWay {
-		a, b, _ = strings.Cut(f.Target, "-")
+		a, b, _ = strings.Cut(fault.Target, "-")
 	}
 	if len(a) != 1 || len(b) != 1 || a == b || int(a[0]-'a') >= sim.setup.Zones || int(b[0]-'a') >= sim.setup.Zones {
-		return fmt.Errorf("fault cut: %q is not of the form a>b or a-b with two zones", f.Target)
+		return fmt.Errorf("fault cut: %q is not of the form a>b or a-b with two zones", fault.Target)
 	}
-	fault.fromZone, fault.toZone = int(a[0]-'a'), int(b[0]-'a')
-	if sim.networkFaults = append(sim.networkFaults, fault); !oneWay {
-		fault.fromZone, fault.toZone = fault.toZone, fault.fromZone
-		sim.networkFaults = append(sim.networkFaults, fault)
+	added.fromZone, added.toZone = int(a[0]-'a'), int(b[0]-'a')
+	if sim.networkFaults = append(sim.networkFaults, added); !oneWay {
+		added.fromZone, added.toZone = added.toZone, added.fromZone
+		sim.networkFaults = append(sim.networkFaults, added)
 	}
 	return nil
 }
--- a/internal/lab/emulator/group.go
+++ b/internal/lab/emulator/group.go
@@ -104,9 +104,9 @@
 func (g *group) announceMember(m *member) { g.sendEntry(m.entry()) }
 
 // sendEntry sends an entry to every driver, each after a delay of its own.
-func (g *group) sendEntry(e logic.ListEntry) {
+func (g *group) sendEntry(entry logic.ListEntry) {
 	for _, d := range g.sim.drivers {
-		g.sendTo(d.process, g.random.Float64()*listDelay, func() { d.updateEntry(e) })
+		g.sendTo(d.process, g.random.Float64()*listDelay, func() { d.updateEntry(entry) })
 	}
 }
 
--- a/internal/lab/emulator/memberfaults.go
+++ b/internal/lab/emulator/memberfaults.go
@@ -19,9 +19,9 @@
 )
 
 // inject begins a fault of a member.
-func (m *member) inject(f Fault) {
+func (m *member) inject(fault Fault) {
 	g := m.group
-	switch f.Kind {
+	switch fault.Kind {
 	case faultKill:
 		m.dead = true
 		m.terminate(true)
@@ -36,12 +36,12 @@
 	case faultFail:
 		m.failing = true
 	case faultSlow:
-		m.slowdown = f.factorOr(defaultSlowdown)
+		m.slowdown = fault.factorOr(defaultSlowdown)
 	case faultAge:
-		m.aging = f.factorOr(defaultAging)
+		m.aging = fault.factorOr(defaultAging)
 	case faultLag:
 		m.currentPosition()
-		m.lag = f.factorOr(defaultLagFactor) * max(g.sim.setup.ReplicationLag, minLag)
+		m.lag = fault.factorOr(defaultLagFactor) * max(g.sim.setup.ReplicationLag, minLag)
 	case faultDrain:
 		m.phase = logic.Draining
 		g.announceMember(m)
--- a/internal/lab/emulator/run.go
+++ b/internal/lab/emulator/run.go
@@ -39,12 +39,12 @@
 // Run simulates a setup on a number of workers, which changes nothing but the time that it takes. progress, where it
 // is not nil, gets the share that is done now and then; it says whether to go on. An error: the setup makes no sense,
 // or names a fault or target that is not known, or ErrStopped.
-func Run(s Setup, workers int, progress func(done float64) bool) (*Result, error) {
-	if err := s.Check(); err != nil {
+func Run(setup Setup, workers int, progress func(done float64) bool) (*Result, error) {
+	if err := setup.Check(); err != nil {
 		return nil, err
 	}
-	s.applyDefaults()
-	sim, err := newSimulation(s, workers)
+	setup.applyDefaults()
+	sim, err := newSimulation(setup, workers)
 	if err != nil {
 		return nil, err
 	}
@@ -52,7 +52,7 @@
 	for _, t := range sim.types {
 		longest = max(longest, t.OpTimeout)
 	}
-	end := sim.started + s.Duration + longest + 2*drainGrace
+	end := sim.started + setup.Duration + longest + 2*drainGrace
 	stopped := false
 	sim.scheduler.run(end, func(now float64) bool {
 		stopped = progress != nil && !progress((now-sim.started)/(end-sim.started))
@@ -65,23 +65,23 @@
 }
 
 // newSimulation creates all processes with their first events and faults.
-func newSimulation(s Setup, workers int) (*simulation, error) {
-	sim := &simulation{setup: s, membersByID: map[string]*member{}, started: startTime}
-	for _, k := range s.Mix {
+func newSimulation(setup Setup, workers int) (*simulation, error) {
+	sim := &simulation{setup: setup, membersByID: map[string]*member{}, started: startTime}
+	for _, k := range setup.Mix {
 		sim.types = append(sim.types, k.OpType)
 		sim.totalShare += k.Share
 	}
 	// Every latency is more than half of its mean.
-	sim.scheduler = newScheduler(workers, 0.5*min(s.ZoneLatency, s.CrossZoneLatency))
+	sim.scheduler = newScheduler(workers, 0.5*min(setup.ZoneLatency, setup.CrossZoneLatency))
 	for _, w := range sim.scheduler.workers {
-		w.counters = newCounters(&s)
+		w.counters = newCounters(&setup)
 	}
 	sim.addGroups()
 	sim.addDrivers()
 	for _, d := range sim.drivers {
 		d.start()
 	}
-	for _, f := range s.Faults {
+	for _, f := range setup.Faults {
 		if err := sim.scheduleFault(f); err != nil {
 			return nil, err
 		}
--- a/internal/lab/emulator/stats.go
+++ b/internal/lab/emulator/stats.go
@@ -93,10 +93,10 @@
 
 func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 60e6, 3) }
 
-func newCounters(s *Setup) *counters {
+func newCounters(setup *Setup) *counters {
 	c := &counters{
-		Types:      make([]OpStats, len(s.Mix)),
-		Seconds:    make([]Second, int(s.Duration/1000)+spareSeconds),
+		Types:      make([]OpStats, len(setup.Mix)),
+		Seconds:    make([]Second, int(setup.Duration/1000)+spareSeconds),
 		ackedSlots: map[int64][]bool{},
 	}
 	for i := range c.Types {
@@ -104,9 +104,9 @@
 	}
 	for i := range c.Seconds {
 		c.Seconds[i] = Second{
-			Arrivals:       make([]int, len(s.Mix)),
-			WithinTarget:   make([]int, len(s.Mix)),
-			WithoutPrimary: make([]int, s.Groups),
+			Arrivals:       make([]int, len(setup.Mix)),
+			WithinTarget:   make([]int, len(setup.Mix)),
+			WithoutPrimary: make([]int, setup.Groups),
 		}
 	}
 	return c
@@ -221,12 +221,12 @@
 }
 
 // sample counts the writes that have no open attempt, and the groups of which the module knows no primary.
-func (d *driver) sample(s *Second) {
-	s.Samples++
+func (d *driver) sample(second *Second) {
+	second.Samples++
 	for _, o := range d.ops {
 		if d.sim.types[o.kind].Need == logic.Write && !o.finished &&
 			(len(o.attempts) == 0 || o.attempts[len(o.attempts)-1].ended) {
-			s.PendingWrites++
+			second.PendingWrites++
 		}
 	}
 	if d.down || d.now < d.pausedUntil {
@@ -235,7 +235,7 @@
 	memory, _ := d.moduleMemory()
 	for _, g := range memory.Groups {
 		if !g.Held {
-			s.WithoutPrimary[g.Group-1]++
+			second.WithoutPrimary[g.Group-1]++
 		}
 	}
 }
--- a/internal/lab/emulator/switchover.go
+++ b/internal/lab/emulator/switchover.go
@@ -34,11 +34,11 @@
 }
 
 // handleHook takes a hook's notification and sends it to all peers.
-func (d *driver) handleHook(n switchover.Notification) {
-	if d.down || d.deferIfPaused(func() { d.handleHook(n) }) {
+func (d *driver) handleHook(notification switchover.Notification) {
+	if d.down || d.deferIfPaused(func() { d.handleHook(notification) }) {
 		return
 	}
-	accepted, outcome, err := d.switchoverTracker().HandleHook(d.now, n, "")
+	accepted, outcome, err := d.switchoverTracker().HandleHook(d.now, notification, "")
 	if err != nil {
 		d.audit.report("switch: %v", err)
 		return
@@ -55,11 +55,11 @@
 }
 
 // handleNotification takes a peer's notification.
-func (d *driver) handleNotification(n switchover.Notification) {
-	if d.down || d.deferIfPaused(func() { d.handleNotification(n) }) {
+func (d *driver) handleNotification(notification switchover.Notification) {
+	if d.down || d.deferIfPaused(func() { d.handleNotification(notification) }) {
 		return
 	}
-	outcome, err := d.switchoverTracker().HandleNotification(d.now, n)
+	outcome, err := d.switchoverTracker().HandleNotification(d.now, notification)
 	if err != nil {
 		d.audit.report("switch: %v", err)
 	}
--- a/internal/lab/experiment/charts.go
+++ b/internal/lab/experiment/charts.go
@@ -69,7 +69,7 @@
 }
 
 // Line adds a line to a plot, in the nth colour.
-func Line(p *plot.Plot, n int, name string, xy plotter.XYs) error {
+func Line(canvas *plot.Plot, n int, name string, xy plotter.XYs) error {
 	l, err := plotter.NewLine(xy)
 	if err != nil {
 		return err
@@ -78,9 +78,9 @@
 	if n >= len(colours) {
 		l.Dashes = []vg.Length{4, 2}
 	}
-	p.Add(l)
+	canvas.Add(l)
 	if name != "" {
-		p.Legend.Add(name, l)
+		canvas.Legend.Add(name, l)
 	}
 	return nil
 }
@@ -129,16 +129,16 @@
 	maxY                 float64 // of the axis; 0: what there is
 }{
 	{"worth", "Worth over time", "Value served in time, as a share of what was asked first in that second.", "share",
-		func(s *Second) float64 { return s.ValueShare }, 1.4},
+		func(second *Second) float64 { return second.ValueShare }, 1.4},
 	{"refused", "Refused tries", "Busy replies a second.", "a second",
-		func(s *Second) float64 { return float64(s.Refused) }, 0},
+		func(second *Second) float64 { return float64(second.Refused) }, 0},
 	{"again", "Tries an op", "First and further tries of clients, for each first one.", "tries",
-		func(s *Second) float64 { return 1 + float64(s.Retries)/float64(max(s.Arrivals, 1)) }, 0},
+		func(second *Second) float64 { return 1 + float64(second.Retries)/float64(max(second.Arrivals, 1)) }, 0},
 	{"slots", "Empty writer slots",
 		"Share of looks at drivers and groups that found the slot empty; nothing for plain policies.", "share",
-		func(s *Second) float64 { return s.WithoutPrimary }, 0},
+		func(second *Second) float64 { return second.WithoutPrimary }, 0},
 	{"held", "Held writes", "Writes that wait without a send out, all drivers together.", "writes",
-		func(s *Second) float64 { return s.PendingWrites }, 0},
+		func(second *Second) float64 { return second.PendingWrites }, 0},
 }
 
 // sectionBuilder draws sections of rows by cell and variant.
@@ -170,7 +170,7 @@
 type chart struct {
 	kind, title, note, x, y string
 	maxY                    float64 // of the y axis; 0: what there is
-	draw                    func(p *plot.Plot, n int, rows []Run, variant string) error
+	draw                    func(canvas *plot.Plot, n int, rows []Run, variant string) error
 }
 
 // addChart draws a section.
@@ -211,8 +211,8 @@
 	var charts []chart
 	for _, c := range timeSeries {
 		charts = append(charts, chart{c.name, c.title, c.note, "second", c.y, c.maxY,
-			func(p *plot.Plot, n int, rows []Run, v string) error {
-				return Line(p, n, v, meanBySecond(rows, c.value))
+			func(canvas *plot.Plot, n int, rows []Run, v string) error {
+				return Line(canvas, n, v, meanBySecond(rows, c.value))
 			}})
 	}
 	charts = append(charts,
@@ -230,7 +230,7 @@
 }
 
 // drawLatency draws the quantiles of a variant's acked ops.
-func drawLatency(p *plot.Plot, n int, rows []Run, variant string) error {
+func drawLatency(canvas *plot.Plot, n int, rows []Run, variant string) error {
 	h, err := mergedLatencies(rows)
 	if err != nil || h.TotalCount() == 0 {
 		return err
@@ -239,14 +239,14 @@
 	for nines := 0.0; nines <= 4; nines += 0.05 {
 		xy = append(xy, plotter.XY{X: nines, Y: float64(h.ValueAtQuantile(100*(1-math.Pow(10, -nines)))) / 1000})
 	}
-	p.X.Tick.Marker = plot.ConstantTicks([]plot.Tick{{Value: 0, Label: "0"}, {Value: 1, Label: "0.9"},
+	canvas.X.Tick.Marker = plot.ConstantTicks([]plot.Tick{{Value: 0, Label: "0"}, {Value: 1, Label: "0.9"},
 		{Value: 2, Label: "0.99"}, {Value: 3, Label: "0.999"}, {Value: 4, Label: "0.9999"}})
-	p.Legend.Left = true
-	return Line(p, n, variant, xy)
+	canvas.Legend.Left = true
+	return Line(canvas, n, variant, xy)
 }
 
 // drawUtilization draws how busy members were, the mean over a variant's seeds.
-func drawUtilization(p *plot.Plot, n int, rows []Run, variant string) error {
+func drawUtilization(canvas *plot.Plot, n int, rows []Run, variant string) error {
 	busy := make([]float64, len(rows[0].Members))
 	for i := range rows {
 		for k, m := range rows[i].Members {
@@ -261,7 +261,7 @@
 	for i, x := range busy {
 		xy = append(xy, plotter.XY{X: float64(i + 1), Y: x})
 	}
-	return Line(p, n, variant, xy)
+	return Line(canvas, n, variant, xy)
 }
 
 // outcomes draws stacked bars, a panel for each cell: the outcomes of ops, variant by variant.
@@ -311,7 +311,7 @@
 }
 
 // addBars stacks the values of all outcomes.
-func (d *sectionBuilder) addBars(p *plot.Plot, values []plotter.Values) error {
+func (d *sectionBuilder) addBars(canvas *plot.Plot, values []plotter.Values) error {
 	var below *plotter.BarChart
 	for i, part := range outcomeBars {
 		bars, err := plotter.NewBarChart(values[i], vg.Points(200/float64(len(d.variants))))
@@ -322,8 +322,8 @@
 		if below != nil {
 			bars.StackOn(below)
 		}
-		p.Add(bars)
-		p.Legend.Add(part.name, bars)
+		canvas.Add(bars)
+		canvas.Legend.Add(part.name, bars)
 		below = bars
 	}
 	return nil
--- a/internal/lab/experiment/file.go
+++ b/internal/lab/experiment/file.go
@@ -170,16 +170,16 @@
 }
 
 // apply changes a setup by what a variant has of its own.
-func (v *variantBlock) apply(s *emulator.Setup) error {
-	s.Policy = cmp.Or(v.Policy, "module")
+func (v *variantBlock) apply(setup *emulator.Setup) error {
+	setup.Policy = cmp.Or(v.Policy, "module")
 	if v.Retries != nil {
-		s.Retries = *v.Retries
+		setup.Retries = *v.Retries
 	}
-	s.NoAdvice = v.Advice != nil && !*v.Advice
-	s.MessageRate, s.NoProbes = v.Messages, v.Probes != nil && !*v.Probes
+	setup.NoAdvice = v.Advice != nil && !*v.Advice
+	setup.MessageRate, setup.NoProbes = v.Messages, v.Probes != nil && !*v.Probes
 	more, err := setupFaults(v.Faults)
-	s.Faults = append(append([]emulator.Fault{}, s.Faults...), more...)
-	return cmp.Or(err, s.Check())
+	setup.Faults = append(append([]emulator.Fault{}, setup.Faults...), more...)
+	return cmp.Or(err, setup.Check())
 }
 
 var (
@@ -269,8 +269,8 @@
 }
 
 // setupJSON is a setup as it is kept beside its result.
-func setupJSON(s emulator.Setup) string {
-	b, err := json.Marshal(s)
+func setupJSON(setup emulator.Setup) string {
+	b, err := json.Marshal(setup)
 	if err != nil {
 		panic(err)
 	}
--- a/internal/lab/experiment/page.go
+++ b/internal/lab/experiment/page.go
@@ -103,11 +103,11 @@
 }
 
 // tableCell is a measure's mean over the runs of a variant in a cell.
-func tableCell(rows []Run, c cell, variant string, m Measure) string {
+func tableCell(rows []Run, c cell, variant string, measure Measure) string {
 	var values []float64
 	for i := range rows {
 		if x := &rows[i]; x.cell() == c && x.Variant == variant {
-			values = append(values, m.Value(x))
+			values = append(values, measure.Value(x))
 		}
 	}
 	mean, half := Interval(values)
--- a/internal/lab/experiment/results.go
+++ b/internal/lab/experiment/results.go
@@ -87,16 +87,16 @@
 )
 
 // newRun is the row of a result.
-func newRun(p Plan, build string, r *emulator.Result) (Run, error) {
+func newRun(plan Plan, build string, r *emulator.Result) (Run, error) {
 	run := Run{
-		Experiment: p.Experiment,
-		Scenario:   p.Scenario,
-		Variant:    p.Variant,
+		Experiment: plan.Experiment,
+		Scenario:   plan.Scenario,
+		Variant:    plan.Variant,
 		Build:      build,
-		Drivers:    int32(p.Setup.Drivers),
-		Load:       p.Setup.Load,
-		Seed:       p.Setup.Seed,
-		Setup:      setupJSON(p.Setup),
+		Drivers:    int32(plan.Setup.Drivers),
+		Load:       plan.Setup.Load,
+		Seed:       plan.Setup.Seed,
+		Setup:      setupJSON(plan.Setup),
 		Ops:        int64(r.Ops),
 		ValueShare: r.ValueShare,
 		Sends:      int64(r.Sends()),
@@ -145,25 +145,25 @@
 	}, err
 }
 
-func newSecond(setup *emulator.Setup, s *emulator.Second) Second {
+func newSecond(setup *emulator.Setup, counted *emulator.Second) Second {
 	second := Second{
-		Retries: int64(s.Retries),
-		Acked:   int64(s.Outcomes[emulator.Acked]),
-		Refused: int64(s.Outcomes[emulator.Refused]),
-		Failed:  int64(s.Outcomes[emulator.Failed]),
+		Retries: int64(counted.Retries),
+		Acked:   int64(counted.Outcomes[emulator.Acked]),
+		Refused: int64(counted.Outcomes[emulator.Refused]),
+		Failed:  int64(counted.Outcomes[emulator.Failed]),
 	}
 	submitted, served, withoutPrimary := 0.0, 0.0, 0
-	for k := range s.Arrivals {
-		second.Arrivals += int64(s.Arrivals[k])
-		submitted += float64(s.Arrivals[k]) * setup.Mix[k].Value
-		served += float64(s.WithinTarget[k]) * setup.Mix[k].Value
+	for k := range counted.Arrivals {
+		second.Arrivals += int64(counted.Arrivals[k])
+		submitted += float64(counted.Arrivals[k]) * setup.Mix[k].Value
+		served += float64(counted.WithinTarget[k]) * setup.Mix[k].Value
 	}
-	for _, n := range s.WithoutPrimary {
+	for _, n := range counted.WithoutPrimary {
 		withoutPrimary += n
 	}
 	second.ValueShare = served / max(submitted, 1)
-	second.WithoutPrimary = float64(withoutPrimary) / float64(max(s.Samples*setup.Groups, 1))
-	second.PendingWrites = float64(s.PendingWrites) / max(float64(s.Samples)/float64(setup.Drivers), 1)
+	second.WithoutPrimary = float64(withoutPrimary) / float64(max(counted.Samples*setup.Groups, 1))
+	second.PendingWrites = float64(counted.PendingWrites) / max(float64(counted.Samples)/float64(setup.Drivers), 1)
 	return second
 }
 
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -69,8 +69,8 @@
 }
 
 // runFile is where a plan's result is kept.
-func (r *Runner) runFile(p *Plan) string {
-	return filepath.Join(r.Folder, runsFolder, p.fileName(r.Build))
+func (r *Runner) runFile(plan *Plan) string {
+	return filepath.Join(r.Folder, runsFolder, plan.fileName(r.Build))
 }
 
 // loadResults gives the rows that are in the folder, by plan, and the indexes of plans without one.
@@ -138,12 +138,12 @@
 }
 
 // RunPlan runs one plan on one core.
-func RunPlan(p Plan, build string) (Run, error) {
-	r, err := emulator.Run(p.Setup, 1, nil)
+func RunPlan(plan Plan, build string) (Run, error) {
+	r, err := emulator.Run(plan.Setup, 1, nil)
 	if err != nil {
 		return Run{}, err
 	}
-	return newRun(p, build, r)
+	return newRun(plan, build, r)
 }
 
 // cost is about how much work a run is, in no unit: its ops, and the ticks of its drivers.
--- a/internal/lab/fleet/driver.go
+++ b/internal/lab/fleet/driver.go
@@ -67,11 +67,11 @@
 }
 
 // Signal sends a signal to the process, if one runs.
-func (d *Driver) Signal(s syscall.Signal) {
+func (d *Driver) Signal(signal syscall.Signal) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.cmd != nil {
-		_ = d.cmd.Process.Signal(s) // it may have ended
+		_ = d.cmd.Process.Signal(signal) // it may have ended
 	}
 }
 
@@ -82,13 +82,13 @@
 func (d *Driver) Stop() { d.terminate(syscall.SIGTERM) }
 
 // terminate sends a signal that ends the process, and waits for its end.
-func (d *Driver) terminate(s syscall.Signal) {
+func (d *Driver) terminate(signal syscall.Signal) {
 	d.mu.Lock()
 	cmd, ended := d.cmd, d.ended
 	d.cmd = nil
 	d.mu.Unlock()
 	if cmd != nil {
-		_ = cmd.Process.Signal(s) // it may have ended
+		_ = cmd.Process.Signal(signal) // it may have ended
 		<-ended
 	}
 }
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -77,18 +77,18 @@
 }
 
 // New opens the links; no process runs yet.
-func New(o Options) (*Fleet, error) {
-	o.applyDefaults()
+func New(options Options) (*Fleet, error) {
+	options.applyDefaults()
 	folder, err := os.MkdirTemp("", "ww") // short: paths of Unix sockets are
 	if err != nil {
 		return nil, err
 	}
-	f := &Fleet{options: o, folder: folder}
-	if f.Links, err = links.New(o.Drivers+o.Spare, o.Seed); err != nil {
+	f := &Fleet{options: options, folder: folder}
+	if f.Links, err = links.New(options.Drivers+options.Spare, options.Seed); err != nil {
 		_ = os.RemoveAll(folder)
 		return nil, err
 	}
-	for i := range o.Drivers + o.Spare {
+	for i := range options.Drivers + options.Spare {
 		d := &Driver{
 			Name:   fmt.Sprintf("n%d", i),
 			fleet:  f,
@@ -138,15 +138,15 @@
 }
 
 // View is what a driver knows of another; ok is false where it does not know it.
-func (f *Fleet) View(observer, subject int) (v membership.View, ok bool) {
+func (f *Fleet) View(observer, subject int) (view membership.View, ok bool) {
 	s, err := f.Drivers[observer].Status()
 	if err != nil {
-		return v, false
+		return view, false
 	}
 	for _, v := range s.Drivers {
 		if v.Name == f.Drivers[subject].Name {
 			return v, true
 		}
 	}
-	return v, false
+	return view, false
 }
--- a/internal/lab/fleet/page.go
+++ b/internal/lab/fleet/page.go
@@ -51,14 +51,14 @@
 const pageWidth = 900.0 // pixels of a row
 
 // renderPage draws what each driver reported from the begin to the end, in seconds.
-func renderPage(f *Fleet, reports []reports, steps []interval, end float64) ([]byte, error) {
+func renderPage(fleet *Fleet, reports []reports, steps []interval, end float64) ([]byte, error) {
 	data := pageData{Steps: steps}
 	for _, name := range []string{"whole", "larger", "smaller", "alone", "unsure", "alive", "unheard", "suspect", "failed",
 		"left", "silent"} {
 		data.Key = append(data.Key, keyEntry{name, colours[name]})
 	}
 	for i, r := range reports {
-		data.Drivers = append(data.Drivers, pageDriver{f.Drivers[i].Name, r.rows(pageWidth / max(end, 1))})
+		data.Drivers = append(data.Drivers, pageDriver{fleet.Drivers[i].Name, r.rows(pageWidth / max(end, 1))})
 	}
 	var b bytes.Buffer
 	err := page.Execute(&b, data)
--- a/internal/lab/fleet/playback.go
+++ b/internal/lab/fleet/playback.go
@@ -149,9 +149,9 @@
 }
 
 // stateOf is a driver's state as it is drawn.
-func stateOf(v membership.View) string {
-	if v.State == membership.Alive && !v.Reachable {
+func stateOf(view membership.View) string {
+	if view.State == membership.Alive && !view.Reachable {
 		return "unheard"
 	}
-	return v.State.String()
+	return view.State.String()
 }
--- a/internal/lab/fleet/script.go
+++ b/internal/lab/fleet/script.go
@@ -109,24 +109,24 @@
 }
 
 // apply carries out a step.
-func (p *Step) apply(f *Fleet) error {
+func (p *Step) apply(fleet *Fleet) error {
 	switch p.Kind {
 	case "way":
-		f.Links.Set(p.From, p.To, links.Link{Blocked: p.Blocked, Loss: p.Loss, Duplicate: p.Duplicate, Delay: p.delay,
+		fleet.Links.Set(p.From, p.To, links.Link{Blocked: p.Blocked, Loss: p.Loss, Duplicate: p.Duplicate, Delay: p.delay,
 			Jitter: p.jitter, Rate: p.Rate})
 	case "cut":
-		sides := make([]int, len(f.Drivers))
+		sides := make([]int, len(fleet.Drivers))
 		for i, drivers := range p.Partitions {
 			for _, d := range drivers {
 				sides[d] = i + 1
 			}
 		}
-		f.Links.Partition(sides...)
+		fleet.Links.Partition(sides...)
 	case "heal":
-		f.Links.Heal()
+		fleet.Links.Heal()
 	}
 	for _, i := range p.Drivers {
-		if err := p.applyTo(f.Drivers[i]); err != nil {
+		if err := p.applyTo(fleet.Drivers[i]); err != nil {
 			return err
 		}
 	}
@@ -134,18 +134,18 @@
 }
 
 // applyTo carries out a step on one driver.
-func (p *Step) applyTo(d *Driver) error {
+func (p *Step) applyTo(driver *Driver) error {
 	switch p.Kind {
 	case "kill":
-		d.Kill()
+		driver.Kill()
 	case "stop":
-		go d.Stop() // which waits for its end
+		go driver.Stop() // which waits for its end
 	case "freeze":
-		d.Freeze()
+		driver.Freeze()
 	case "thaw":
-		d.Thaw()
+		driver.Thaw()
 	case "start":
-		return d.Start()
+		return driver.Start()
 	}
 	return nil
 }
--- a/internal/lab/hollow/members.go
+++ b/internal/lab/hollow/members.go
@@ -44,15 +44,15 @@
 }
 
 // serveStatus answers the leader's status queries: each primary leads in term 1, with an empty log.
-func serveStatus(c net.Conn) {
-	defer c.Close()
-	r := wire.NewReader(c)
+func serveStatus(conn net.Conn) {
+	defer conn.Close()
+	r := wire.NewReader(conn)
 	if _, err := r.ReadMessage(); err != nil {
 		return
 	}
 	answer := "READY I 1.0\r\n"
 	for {
-		if _, err := io.WriteString(c, answer); err != nil {
+		if _, err := io.WriteString(conn, answer); err != nil {
 			return
 		}
 		if _, err := r.ReadMessage(); err != nil {
@@ -96,7 +96,7 @@
 }
 
 // send sends a member's heartbeat and reads its answer.
-func (m *memberProcess) send(c net.Conn, answers *bufio.Reader, core string, i int, seq uint64) error {
+func (m *memberProcess) send(conn net.Conn, answers *bufio.Reader, core string, i int, seq uint64) error {
 	role := "replica"
 	if i%membersPerGroup == 0 {
 		role = "primary"
@@ -118,8 +118,8 @@
 		len(body),
 		body,
 	)
-	c.SetDeadline(time.Now().Add(time.Second))
-	if _, err := io.WriteString(c, request); err != nil {
+	conn.SetDeadline(time.Now().Add(time.Second))
+	if _, err := io.WriteString(conn, request); err != nil {
 		return err
 	}
 	resp, err := http.ReadResponse(answers, nil)
--- a/internal/lab/hollow/process.go
+++ b/internal/lab/hollow/process.go
@@ -144,11 +144,11 @@
 }
 
 // command sends a command and reads the sample that answers it.
-func (c *child) command(line string) (s Sample, err error) {
+func (c *child) command(line string) (sample Sample, err error) {
 	if _, err = io.WriteString(c.in, line+"\n"); err == nil {
-		err = c.out.Decode(&s)
+		err = c.out.Decode(&sample)
 	}
-	return s, err
+	return sample, err
 }
 
 // kill ends the process and waits for its end.
--- a/internal/lab/hollow/results.go
+++ b/internal/lab/hollow/results.go
@@ -40,9 +40,9 @@
 type trafficKey struct{ link, direction, purpose string }
 
 // addCount adds a count to a sum; sign is 1, or -1 in two's complement.
-func addCount(sums map[trafficKey]transport.Count, key trafficKey, sign uint64, n transport.Count) {
+func addCount(sums map[trafficKey]transport.Count, key trafficKey, sign uint64, count transport.Count) {
 	sum := sums[key]
-	sums[key] = transport.Count{Frames: sum.Frames + sign*n.Frames, Bytes: sum.Bytes + sign*n.Bytes}
+	sums[key] = transport.Count{Frames: sum.Frames + sign*count.Frames, Bytes: sum.Bytes + sign*count.Bytes}
 }
 
 // addTraffic adds a sample's traffic to sums, or subtracts it.
--- a/internal/lab/hollow/run.go
+++ b/internal/lab/hollow/run.go
@@ -82,10 +82,14 @@
 }
 
 // Run goes through all phases at one size and prints each. On an error it gives the rows until then.
-func Run(ctx context.Context, o Options, out io.Writer) (rows []Row, err error) {
-	r := &run{Options: o, childPlan: childPlan{Net: o.Net, Port: o.Port}, http: http.Client{Timeout: httpTimeout}}
-	for n := range o.Cores {
-		r.childPlan.Cores = append(r.childPlan.Cores, net.JoinHostPort(r.coreIP(n), strconv.Itoa(o.Port+3)))
+func Run(ctx context.Context, options Options, out io.Writer) (rows []Row, err error) {
+	r := &run{
+		Options:   options,
+		childPlan: childPlan{Net: options.Net, Port: options.Port},
+		http:      http.Client{Timeout: httpTimeout},
+	}
+	for n := range options.Cores {
+		r.childPlan.Cores = append(r.childPlan.Cores, net.JoinHostPort(r.coreIP(n), strconv.Itoa(options.Port+3)))
 	}
 	if r.folder, err = os.MkdirTemp("", "hollow"); err != nil {
 		return nil, err
@@ -105,42 +109,42 @@
 }
 
 // runPhase makes a phase's changes, waits until they are known and all leases were renewed, and samples.
-func (r *run) runPhase(ctx context.Context, p phase) (result phaseResult, err error) {
+func (r *run) runPhase(ctx context.Context, step phase) (result phaseResult, err error) {
 	renewals := r.Renewals * r.Options.Drivers
-	if p.begin == nil {
+	if step.begin == nil {
 		if err := r.awaitQuiet(ctx); err != nil {
-			return result, fmt.Errorf("before %s: %w", p.name, err)
+			return result, fmt.Errorf("before %s: %w", step.name, err)
 		}
 		renewals *= 3 // rates are measured here
 	}
-	result = phaseResult{name: p.name, events: p.events}
+	result = phaseResult{name: step.name, events: step.events}
 	if result.before, err = r.sample(); err != nil {
 		return result, err
 	}
 	began := time.Now()
-	if p.begin != nil {
-		if err := p.begin(p.events); err != nil {
-			return result, fmt.Errorf("%s: %w", p.name, err)
+	if step.begin != nil {
+		if err := step.begin(step.events); err != nil {
+			return result, fmt.Errorf("%s: %w", step.name, err)
 		}
 	}
-	if p.known != nil {
-		if err := r.pollUntil(ctx, func() (bool, error) { return p.known(p.events) }); err != nil {
-			return result, fmt.Errorf("%s: %w", p.name, err)
+	if step.known != nil {
+		if err := r.pollUntil(ctx, func() (bool, error) { return step.known(step.events) }); err != nil {
+			return result, fmt.Errorf("%s: %w", step.name, err)
 		}
 		result.knownAfter = time.Since(began).Seconds()
 	}
 	target := countRenewals(result.before) + renewals
 	if err := r.pollUntil(ctx, func() (bool, error) { return r.renewalsReached(target) }); err != nil {
-		return result, fmt.Errorf("%s: %w", p.name, err)
+		return result, fmt.Errorf("%s: %w", step.name, err)
 	}
 	result.after, err = r.sample()
 	result.seconds = time.Since(began).Seconds()
 	return result, err
 }
 
-func sleep(ctx context.Context, d time.Duration) error {
+func sleep(ctx context.Context, duration time.Duration) error {
 	select {
-	case <-time.After(max(d, 0)):
+	case <-time.After(max(duration, 0)):
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
--- a/internal/lab/hollow/steps.go
+++ b/internal/lab/hollow/steps.go
@@ -165,13 +165,13 @@
 }
 
 // status is a core machine's.
-func (r *run) status(n int) (s coreStatus, err error) {
+func (r *run) status(n int) (status coreStatus, err error) {
 	resp, err := r.http.Get("http://" + r.childPlan.Cores[n] + "/status?brief=1")
 	if err != nil {
-		return s, err
+		return status, err
 	}
 	defer resp.Body.Close()
-	return s, json.NewDecoder(resp.Body).Decode(&s)
+	return status, json.NewDecoder(resp.Body).Decode(&status)
 }
 
 // sample takes a sample of all processes, by role; an error where they use too much memory.
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -75,7 +75,7 @@
 }
 
 // Run runs a load. eachSecond, which may be nil, is called about once a second with the ops that ended since.
-func (l Load) Run(ctx context.Context, eachSecond func(second int, s *OpStats)) Result {
+func (l Load) Run(ctx context.Context, eachSecond func(second int, stats *OpStats)) Result {
 	l.MaxInFlight = cmp.Or(l.MaxInFlight, 2000)
 	l.Slack = cmp.Or(l.Slack, 50*time.Millisecond)
 	t := l.newTally()
--- a/internal/lab/member.go
+++ b/internal/lab/member.go
@@ -201,11 +201,11 @@
 }
 
 // recordArrival counts an op, and notes one that arrives too long after the member's drain was read.
-func (c *Cluster) recordArrival(m *Member, id string) {
+func (c *Cluster) recordArrival(member *Member, id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.arrivals[m.ID]++
-	if at, drains := c.drainSeen[m.ID]; drains && time.Since(at) > DrainGrace {
+	c.arrivals[member.ID]++
+	if at, drains := c.drainSeen[member.ID]; drains && time.Since(at) > DrainGrace {
 		c.afterDrain = append(c.afterDrain, id)
 	}
 }
--- a/internal/lab/membershipsim/measure.go
+++ b/internal/lab/membershipsim/measure.go
@@ -49,8 +49,8 @@
 		s.Start(i, 0)
 	}
 	return s.RunUntilTrue(rosterTimeout, func() bool {
-		return !slices.ContainsFunc(s.Drivers, func(d *Driver) bool {
-			roster := d.View.Status().Roster
+		return !slices.ContainsFunc(s.Drivers, func(driver *Driver) bool {
+			roster := driver.View.Status().Roster
 			return roster == nil || len(roster.Names) != len(s.Drivers)
 		})
 	})
@@ -71,13 +71,13 @@
 
 // MeasureFailureDetection kills drivers one after the other and prints how long it took until the others knew. Each
 // driver returns before the next is killed.
-func MeasureFailureDetection(out io.Writer, o Options, kills int) error {
-	s := New(o)
+func MeasureFailureDetection(out io.Writer, options Options, kills int) error {
+	s := New(options)
 	took, ok := s.startAll()
 	if !ok {
 		return ErrNoRoster
 	}
-	fmt.Fprintf(out, "drivers=%d period=%.0fms: a roster of all %.0f ms after the start of all at once\n", o.Drivers,
+	fmt.Fprintf(out, "drivers=%d period=%.0fms: a roster of all %.0f ms after the start of all at once\n", options.Drivers,
 		s.options.Period, took)
 	var each, last Durations
 	for range kills {
@@ -119,8 +119,8 @@
 
 // MeasurePartitionHealing partitions the drivers into two sides for 60 periods, several times, and prints how long
 // after the end all agreed.
-func MeasurePartitionHealing(out io.Writer, o Options, times int) error {
-	s := New(o)
+func MeasurePartitionHealing(out io.Writer, options Options, times int) error {
+	s := New(options)
 	if _, ok := s.startAll(); !ok {
 		return ErrNoRoster
 	}
@@ -137,25 +137,25 @@
 		agreed.Add(took)
 		s.Run(10 * s.options.Period)
 	}
-	fmt.Fprintf(out, "drivers=%d: agreed after the heal of a cut of 60 periods: %s\n", o.Drivers, &agreed)
+	fmt.Fprintf(out, "drivers=%d: agreed after the heal of a cut of 60 periods: %s\n", options.Drivers, &agreed)
 	return nil
 }
 
 // MeasureFalsePositives runs drivers without failures on a network that loses datagrams, a tenth of them on throttled
 // cores, and prints how many living drivers were taken for failed, and what all that costs. Slow is the chance at each
 // tick that a throttled driver pauses.
-func MeasureFalsePositives(out io.Writer, o Options, duration, slow float64) error {
-	s := New(o)
+func MeasureFalsePositives(out io.Writer, options Options, duration, slow float64) error {
+	s := New(options)
 	if _, ok := s.startAll(); !ok {
 		return ErrNoRoster
 	}
 	const window = 20000 // milliseconds in which several reports of one driver are one
 	failed := map[string]bool{}
 	pauses, denials := 0, 0
-	s.OnEvent = func(at float64, _ string, e membership.Event) {
-		switch e.Reason {
+	s.OnEvent = func(at float64, _ string, event membership.Event) {
+		switch event.Reason {
 		case "fellow_failed":
-			failed[fmt.Sprintf("%s %.0f", e.Name, at/window)] = true
+			failed[fmt.Sprintf("%s %.0f", event.Name, at/window)] = true
 		case "stood_still":
 			pauses++
 		case "denied":
@@ -174,7 +174,7 @@
 	perDriver := time.Since(began).Seconds() / float64(len(s.Drivers))
 	seconds := duration / 1000
 	fmt.Fprintf(out, "drivers=%d loss=%.2f throttled=%.2f for %.0f s: %d living drivers taken for failed, %d denied it; "+
-		"stood still %d times\n", o.Drivers, o.Loss, slow, seconds, len(failed), denials, pauses)
+		"stood still %d times\n", options.Drivers, options.Loss, slow, seconds, len(failed), denials, pauses)
 	messages, bytes := s.meanSent()
 	fmt.Fprintf(out, "  a driver: %.1f messages and %.0f bytes a second "+
 		"(measured in CBOR with the code, without IP and UDP headers), %.3f %% of a core\n",
@@ -193,8 +193,8 @@
 }
 
 // encodedSize is the size of a message's datagram.
-func encodedSize(m *membership.Message) float64 {
-	b, err := cbor.Marshal(m)
+func encodedSize(message *membership.Message) float64 {
+	b, err := cbor.Marshal(message)
 	if err != nil {
 		return 0
 	}
--- a/internal/lab/membershipsim/network.go
+++ b/internal/lab/membershipsim/network.go
@@ -38,28 +38,28 @@
 }
 
 // dispatch carries out what a driver's view decided.
-func (s *Simulation) dispatch(d *Driver, out membership.Output) {
+func (s *Simulation) dispatch(driver *Driver, out membership.Output) {
 	if s.OnEvent != nil {
 		for _, e := range out.Events {
-			s.OnEvent(s.Now, d.Name, e)
+			s.OnEvent(s.Now, driver.Name, e)
 		}
 	}
 	for _, m := range out.Messages {
-		s.send(d, m.Address, m.Message)
+		s.send(driver, m.Address, m.Message)
 	}
 	for _, peer := range out.SyncWith {
-		if to := s.indexOf(peer); to >= 0 && !s.blocked(d.index, to) {
-			s.exchange(d, s.Drivers[to])
+		if to := s.indexOf(peer); to >= 0 && !s.blocked(driver.index, to) {
+			s.exchange(driver, s.Drivers[to])
 		}
 	}
 }
 
 // send sends a datagram, which the network may drop or duplicate.
-func (s *Simulation) send(d *Driver, address string, m membership.Message) {
+func (s *Simulation) send(driver *Driver, address string, message membership.Message) {
 	to := s.indexOf(address)
-	d.Sent++
-	s.countBytes(d, &m)
-	if to < 0 || s.blocked(d.index, to) || s.random.Float64() < s.Loss {
+	driver.Sent++
+	s.countBytes(driver, &message)
+	if to < 0 || s.blocked(driver.index, to) || s.random.Float64() < s.Loss {
 		return
 	}
 	times := 1
@@ -67,53 +67,53 @@
 		times = 2
 	}
 	for range times {
-		s.deliver(s.Drivers[to], m)
+		s.deliver(s.Drivers[to], message)
 	}
 }
 
 // countBytes adds the mean size of the measured messages to what a driver sent.
-func (s *Simulation) countBytes(d *Driver, m *membership.Message) {
+func (s *Simulation) countBytes(driver *Driver, message *membership.Message) {
 	if !s.measureSizes {
 		return
 	}
 	if s.Scheduled%sampleEvery == 0 || s.sampledMessages == 0 {
-		s.sampledBytes, s.sampledMessages = s.sampledBytes+encodedSize(m), s.sampledMessages+1
+		s.sampledBytes, s.sampledMessages = s.sampledBytes+encodedSize(message), s.sampledMessages+1
 	}
-	d.Bytes += s.sampledBytes / float64(s.sampledMessages)
+	driver.Bytes += s.sampledBytes / float64(s.sampledMessages)
 }
 
 // deliver brings a datagram after its latency; a paused driver's socket keeps it, as far as there is space.
-func (s *Simulation) deliver(to *Driver, m membership.Message) {
+func (s *Simulation) deliver(to *Driver, message membership.Message) {
 	s.After(s.latency(), func() {
 		switch {
 		case to.View == nil:
 		case s.Now < to.PausedUntil:
 			if len(to.pending) < maxPending {
-				to.pending = append(to.pending, m)
+				to.pending = append(to.pending, message)
 			}
 		default:
-			s.dispatch(to, to.View.Receive(s.Now, m))
+			s.dispatch(to, to.View.Receive(s.Now, message))
 		}
 	})
 }
 
 // exchange has two drivers merge all that they know, over a connection.
-func (s *Simulation) exchange(d, to *Driver) {
-	request, incarnation := d.View.Snapshot(), d.incarnation
-	d.Bytes += recordBytes * float64(len(request.Records))
+func (s *Simulation) exchange(driver, to *Driver) {
+	request, incarnation := driver.View.Snapshot(), driver.incarnation
+	driver.Bytes += recordBytes * float64(len(request.Records))
 	s.After(2*s.latency(), func() {
 		if to.View == nil || s.Now < to.PausedUntil {
 			return
 		}
 		response := to.View.Snapshot()
 		s.dispatch(to, to.View.Merge(s.Now, request))
-		if s.blocked(to.index, d.index) {
+		if s.blocked(to.index, driver.index) {
 			return
 		}
 		to.Bytes += recordBytes * float64(len(response.Records))
 		s.After(s.latency(), func() {
-			if d.View != nil && d.incarnation == incarnation && s.Now >= d.PausedUntil {
-				s.dispatch(d, d.View.Merge(s.Now, response))
+			if driver.View != nil && driver.incarnation == incarnation && s.Now >= driver.PausedUntil {
+				s.dispatch(driver, driver.View.Merge(s.Now, response))
 			}
 		})
 	})
--- a/internal/lab/membershipsim/simulation.go
+++ b/internal/lab/membershipsim/simulation.go
@@ -41,9 +41,9 @@
 type Simulation struct {
 	virtualclock.Scheduler
 	Drivers []*Driver
-	OnEvent func(at float64, driver string, e membership.Event) // called for each event; may be nil
-	Blocked func(from, to int) bool                             // whether nothing passes; nil: everything does
-	Loss    float64                                             // share of datagrams
+	OnEvent func(at float64, driver string, event membership.Event) // called for each event; may be nil
+	Blocked func(from, to int) bool                                 // whether nothing passes; nil: everything does
+	Loss    float64                                                 // share of datagrams
 
 	options  Options
 	random   *rand.Rand
@@ -58,15 +58,15 @@
 const startTime = 1e6
 
 // New is a simulation in which no driver runs yet.
-func New(o Options) *Simulation {
-	o.applyDefaults()
+func New(options Options) *Simulation {
+	options.applyDefaults()
 	s := &Simulation{
 		Scheduler: virtualclock.Scheduler{Now: startTime},
-		Loss:      o.Loss,
-		options:   o,
-		random:    rand.New(rand.NewPCG(o.Seed, 11)),
+		Loss:      options.Loss,
+		options:   options,
+		random:    rand.New(rand.NewPCG(options.Seed, 11)),
 	}
-	for range o.Drivers {
+	for range options.Drivers {
 		s.Add()
 	}
 	return s
@@ -121,28 +121,28 @@
 func (s *Simulation) tickPeriod() float64 { return s.options.Period / 10 }
 
 // tick gives a driver the time, and schedules the next tick, until its run ends.
-func (s *Simulation) tick(d *Driver, incarnation int) {
-	if d.incarnation != incarnation || d.View == nil {
+func (s *Simulation) tick(driver *Driver, incarnation int) {
+	if driver.incarnation != incarnation || driver.View == nil {
 		return
 	}
-	if s.Now < d.PausedUntil {
-		s.After(d.PausedUntil-s.Now, func() { s.tick(d, incarnation) })
+	if s.Now < driver.PausedUntil {
+		s.After(driver.PausedUntil-s.Now, func() { s.tick(driver, incarnation) })
 		return
 	}
-	s.deliverPending(d)
-	s.dispatch(d, d.View.Tick(s.Now))
-	if d.Slow > 0 && s.random.Float64() < d.Slow { // it has used its share of a core, and waits for the next period
-		s.Pause(d.index, s.options.Period*(0.2+0.6*s.random.Float64()))
+	s.deliverPending(driver)
+	s.dispatch(driver, driver.View.Tick(s.Now))
+	if driver.Slow > 0 && s.random.Float64() < driver.Slow { // its share of a core is used up for this period
+		s.Pause(driver.index, s.options.Period*(0.2+0.6*s.random.Float64()))
 	}
-	s.After(s.tickPeriod(), func() { s.tick(d, incarnation) })
+	s.After(s.tickPeriod(), func() { s.tick(driver, incarnation) })
 }
 
 // deliverPending gives a driver what arrived while it was paused.
-func (s *Simulation) deliverPending(d *Driver) {
-	for _, m := range d.pending {
-		s.dispatch(d, d.View.Receive(s.Now, m))
+func (s *Simulation) deliverPending(driver *Driver) {
+	for _, m := range driver.pending {
+		s.dispatch(driver, driver.View.Receive(s.Now, m))
 	}
-	d.pending = nil
+	driver.pending = nil
 }
 
 // Kill ends a run without notice.
@@ -198,4 +198,4 @@
 }
 
 // Index is a driver's among all.
-func (s *Simulation) Index(d *Driver) int { return d.index }
+func (s *Simulation) Index(driver *Driver) int { return driver.index }
--- a/internal/lab/sessionrun/run.go
+++ b/internal/lab/sessionrun/run.go
@@ -48,13 +48,13 @@
 }
 
 // Run runs sessions under faults and reports each second with its number.
-func Run(ctx context.Context, o Options, log io.Writer, report func(int, Second)) (Result, error) {
+func Run(ctx context.Context, options Options, log io.Writer, report func(int, Second)) (Result, error) {
 	dir, err := os.MkdirTemp("", "sessions")
 	if err != nil {
 		return Result{}, err
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
-	d := &deployment{options: o, dir: dir, processes: map[string]*exec.Cmd{}}
+	d := &deployment{options: options, dir: dir, processes: map[string]*exec.Cmd{}}
 	defer d.stop()
 	if err := d.startAll(log); err != nil {
 		return Result{}, err
--- a/internal/lab/storm.go
+++ b/internal/lab/storm.go
@@ -48,10 +48,10 @@
 func stormNow() float64 { return float64(time.Now().UnixMicro()) / 1000 }
 
 // apply applies an update and signals when the client has become current.
-func (c *stormClient) apply(u roster.Update) (roster.Verdict, float64) {
+func (c *stormClient) apply(update roster.Update) (roster.Verdict, float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	out := c.roster.Apply(stormNow(), u)
+	out := c.roster.Apply(stormNow(), update)
 	if n := len(c.roster.Members()); out.Verdict == roster.VerdictApplied &&
 		(c.stage == 0 && n == c.members || c.stage == 1 && n == c.members+1) {
 		c.stage++
@@ -69,10 +69,10 @@
 }
 
 // run follows the registry until the context ends.
-func (c *stormClient) run(ctx context.Context, s Storm, n int) {
-	if !s.Naive {
+func (c *stormClient) run(ctx context.Context, storm Storm, n int) {
+	if !storm.Naive {
 		w := registry.Watcher{Client: c.client, Apply: c.apply, Position: c.position, Now: stormNow, OnActivity: func() {},
-			Scheduler: roster.NewScheduler(roster.SchedulerOptions{Endpoints: 1, Drivers: s.Clients, Seed: uint64(n)}),
+			Scheduler: roster.NewScheduler(roster.SchedulerOptions{Endpoints: 1, Drivers: storm.Clients, Seed: uint64(n)}),
 			OnDisconnect: func(error) {
 				c.mu.Lock()
 				c.roster.SetDisconnected(roster.SourceRegistry)
@@ -81,7 +81,7 @@
 		w.Run(ctx)
 		return
 	}
-	apply := func(u roster.Update) { c.apply(u) }
+	apply := func(update roster.Update) { c.apply(update) }
 	for ctx.Err() == nil {
 		if c.client.List(ctx, 0, true, apply) == nil {
 			revision, _ := c.position()
--- a/internal/standin/cluster/deployment.go
+++ b/internal/standin/cluster/deployment.go
@@ -157,7 +157,9 @@
 func (d *Deployment) Stop() { d.stop() }
 
 // Signal sends a signal to a process.
-func (d *Deployment) Signal(name string, s syscall.Signal) { _ = d.processes[name].Process.Signal(s) }
+func (d *Deployment) Signal(name string, signal syscall.Signal) {
+	_ = d.processes[name].Process.Signal(signal)
+}
 
 // Kill ends a process at once and waits for its end.
 func (d *Deployment) Kill(name string) {
--- a/internal/standin/cluster/node.go
+++ b/internal/standin/cluster/node.go
@@ -49,8 +49,8 @@
 
 // RestartNode starts a node with what its disk held.
 func (s *Service) RestartNode() {
-	s.With(func(g *replicaset.Group) {
-		g.Member(nodeMember(s.Name)).Restart()
+	s.With(func(group *replicaset.Group) {
+		group.Member(nodeMember(s.Name)).Restart()
 		s.Shards.Recover()
 	})
 }
@@ -148,12 +148,12 @@
 }
 
 // shardEffect answers a write that ran. The lock is held.
-func (c *session) shardEffect(shard string, e shardnode.Entry) (answer string, ok bool) {
+func (c *session) shardEffect(shard string, entry shardnode.Entry) (answer string, ok bool) {
 	c.service.checkCapacity()
 	if c.service.loseAnswer() {
 		return "", false
 	}
-	return "DONE " + shardnode.EffectPosition(shard, e) + "\r\n", true
+	return "DONE " + shardnode.EffectPosition(shard, entry) + "\r\n", true
 }
 
 // shardTransactionStatement runs a statement of the open transaction on a shard. The lock is held.
--- a/internal/standin/cluster/service.go
+++ b/internal/standin/cluster/service.go
@@ -69,16 +69,16 @@
 }
 
 // With calls a function under the service's lock, to read or change the service and its group.
-func (s *Service) With(f func(*replicaset.Group)) {
+func (s *Service) With(change func(*replicaset.Group)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	f(s.group)
+	change(s.group)
 	s.notify()
 }
 
 // Crash closes a member's connections and takes no more until the member restarts.
 func (s *Service) Crash(id string) {
-	s.With(func(g *replicaset.Group) { g.Member(id).Up = false })
+	s.With(func(group *replicaset.Group) { group.Member(id).Up = false })
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns[id] {
@@ -147,12 +147,12 @@
 }
 
 // sendHeartbeats sends a member's heartbeats to the core until the context ends.
-func (d *Deployment) sendHeartbeats(ctx context.Context, s *Service, id string) {
+func (d *Deployment) sendHeartbeats(ctx context.Context, service *Service, id string) {
 	go func() {
 		tick := time.NewTicker(heartbeatPeriod)
 		defer tick.Stop()
 		for {
-			s.heartbeat(id, d.Cores)
+			service.heartbeat(id, d.Cores)
 			select {
 			case <-ctx.Done():
 				return
@@ -220,14 +220,14 @@
 		return
 	}
 	ok := false
-	s.With(func(g *replicaset.Group) {
+	s.With(func(group *replicaset.Group) {
 		if fence < s.fence {
 			s.RejectedCalls++
 			return
 		}
 		s.fence = fence
 		s.Promoted = append(s.Promoted, call.ID)
-		ok = g.Promote(call.ID)
+		ok = group.Promote(call.ID)
 	})
 	if !ok {
 		w.WriteHeader(http.StatusConflict)
--- a/internal/standin/cluster/session.go
+++ b/internal/standin/cluster/session.go
@@ -179,20 +179,20 @@
 func (c *session) done(id string) string { return "DONE " + c.member + "." + id + "\r\n" }
 
 // controlStatement carries out what the control plane asks of a member; ok is false for other verbs.
-func controlStatement(m *replicaset.Member, verb, rest string) (answer string, ok bool) {
+func controlStatement(member *replicaset.Member, verb, rest string) (answer string, ok bool) {
 	term, _ := strconv.ParseUint(rest, 10, 64)
 	switch verb {
 	case "STAT":
 	case "PAUSE":
-		m.Pause(term)
+		member.Pause(term)
 	case "CONT":
-		m.Resume()
+		member.Resume()
 	case "STEPDOWN":
-		m.StepDown(term)
+		member.StepDown(term)
 	default:
 		return "", false
 	}
-	status, role := m.Status(), "replica"
+	status, role := member.Status(), "replica"
 	if status.Primary {
 		role = "primary"
 	}
@@ -201,7 +201,7 @@
 }
 
 // statement carries out a client's statement. The lock is held.
-func (c *session) statement(m *replicaset.Member, id, verb, rest string) (answer string, ok bool) {
+func (c *session) statement(member *replicaset.Member, id, verb, rest string) (answer string, ok bool) {
 	switch verb {
 	case "RESET":
 		c.prepared = map[string]string{}
@@ -213,7 +213,7 @@
 		c.prepared[name], _ = wire.CutField(shape)
 		return answerDone, true
 	case "BEGIN":
-		if rest == "" && !m.Primary {
+		if rest == "" && !member.Primary {
 			return c.fail(wire.CodeReadOnly)
 		}
 		c.open, c.mayWrite, c.writes = true, rest == "", nil
@@ -222,21 +222,21 @@
 		c.open, c.failed, c.writes = false, false, nil
 		return answerDone, true
 	case "FETCH":
-		if c.open && c.mayWrite && !m.Primary {
+		if c.open && c.mayWrite && !member.Primary {
 			return c.fail(wire.CodeReadOnly)
 		}
 		return "ROW " + c.service.data[rest] + "\r\n" + c.done(id), true
 	case "STORE":
-		return c.store(m, id, rest)
+		return c.store(member, id, rest)
 	case "COMMIT":
-		return c.commitTransaction(m, id)
+		return c.commitTransaction(member, id)
 	}
 	return answerMalformed, true
 }
 
 // store writes a value, as part of the open transaction or as one of its own. The lock is held.
-func (c *session) store(m *replicaset.Member, id, rest string) (answer string, ok bool) {
-	if !m.Primary {
+func (c *session) store(member *replicaset.Member, id, rest string) (answer string, ok bool) {
+	if !member.Primary {
 		return c.fail(wire.CodeReadOnly)
 	}
 	key, value := wire.CutField(rest)
@@ -244,11 +244,11 @@
 	if c.open {
 		return c.done(id), true
 	}
-	return c.commit(m, id)
+	return c.commit(member, id)
 }
 
 // commitTransaction commits the open transaction. The lock is held.
-func (c *session) commitTransaction(m *replicaset.Member, id string) (answer string, ok bool) {
+func (c *session) commitTransaction(member *replicaset.Member, id string) (answer string, ok bool) {
 	if c.failed || !c.open {
 		c.open, c.failed, c.writes = false, false, nil
 		return answerAborted, true
@@ -257,27 +257,27 @@
 	if len(c.writes) == 0 {
 		return c.done(id), true
 	}
-	if !m.Primary {
+	if !member.Primary {
 		c.writes = nil
 		return answerReadOnly, true
 	}
-	return c.commit(m, id)
+	return c.commit(member, id)
 }
 
 // commit appends to the primary's log, replicates, and waits until the commit is acknowledged. The lock is held but
 // while it waits.
-func (c *session) commit(m *replicaset.Member, id string) (answer string, ok bool) {
+func (c *session) commit(member *replicaset.Member, id string) (answer string, ok bool) {
 	s := c.service
 	writes := c.writes
 	c.writes = nil
-	s.group.Write(m, id)
+	s.group.Write(member, id)
 	lost := s.loseAnswer()
 	for {
 		s.group.Replicate(func(*replicaset.Member) bool { return true })
 		if s.group.Acked[id] {
 			break
 		}
-		if !m.Up || !m.Primary {
+		if !member.Up || !member.Primary {
 			return "", false
 		}
 		progress := s.progress
--- a/internal/standin/kv/etcd.go
+++ b/internal/standin/kv/etcd.go
@@ -44,10 +44,10 @@
 }
 
 // etcdKV is an item as etcd writes it.
-func etcdKV(x Item) map[string]any {
-	m := map[string]any{"key": x.encodedKey(), "mod_revision": strconv.FormatInt(x.ModRevision, 10)}
-	if !x.Deleted {
-		m["value"] = base64.StdEncoding.EncodeToString(x.Value)
+func etcdKV(item Item) map[string]any {
+	m := map[string]any{"key": item.encodedKey(), "mod_revision": strconv.FormatInt(item.ModRevision, 10)}
+	if !item.Deleted {
+		m["value"] = base64.StdEncoding.EncodeToString(item.Value)
 	}
 	return m
 }
--- a/internal/standin/kv/lease.go
+++ b/internal/standin/kv/lease.go
@@ -85,23 +85,23 @@
 }
 
 // handleLeases registers the handlers of leases and sessions.
-func (v *Server) handleLeases(m *http.ServeMux) {
+func (v *Server) handleLeases(mux *http.ServeMux) {
 	for path, handle := range map[string]func(w http.ResponseWriter, body map[string]json.RawMessage){
 		"/v3/lease/grant":     v.etcdGrant,
 		"/v3/lease/keepalive": v.etcdKeepAlive,
 		"/v3/lease/revoke":    v.etcdRevoke,
 		"/v3/kv/txn":          v.etcdPutIfAbsent,
 	} {
-		m.HandleFunc("POST "+path, v.withFaults(func(w http.ResponseWriter, r *http.Request) {
+		mux.HandleFunc("POST "+path, v.withFaults(func(w http.ResponseWriter, r *http.Request) {
 			var body map[string]json.RawMessage
 			_ = json.NewDecoder(r.Body).Decode(&body) // what is missing is zero
 			handle(w, body)
 		}))
 	}
-	m.HandleFunc("PUT /v1/session/create", v.withFaults(v.consulCreateSession))
-	m.HandleFunc("PUT /v1/session/renew/{id}", v.withFaults(v.consulRenewSession))
-	m.HandleFunc("PUT /v1/session/destroy/{id}", v.withFaults(v.consulDestroySession))
-	m.HandleFunc("PUT /v1/kv/{key...}", v.withFaults(v.consulAcquire))
+	mux.HandleFunc("PUT /v1/session/create", v.withFaults(v.consulCreateSession))
+	mux.HandleFunc("PUT /v1/session/renew/{id}", v.withFaults(v.consulRenewSession))
+	mux.HandleFunc("PUT /v1/session/destroy/{id}", v.withFaults(v.consulDestroySession))
+	mux.HandleFunc("PUT /v1/kv/{key...}", v.withFaults(v.consulAcquire))
 }
 
 // textOf is a JSON string's value, "" for anything else.
--- a/internal/standin/kv/server.go
+++ b/internal/standin/kv/server.go
@@ -28,21 +28,21 @@
 }
 
 // Serve starts a server on a free loopback port.
-func Serve(s *Store) *Server {
-	v := newServer(s)
+func Serve(store *Store) *Server {
+	v := newServer(store)
 	v.Start()
 	return v
 }
 
 // ServeTLS starts a server with TLS, under httptest's certificate.
-func ServeTLS(s *Store) *Server {
-	v := newServer(s)
+func ServeTLS(store *Store) *Server {
+	v := newServer(store)
 	v.StartTLS()
 	return v
 }
 
-func newServer(s *Store) *Server {
-	v := &Server{store: s}
+func newServer(store *Store) *Server {
+	v := &Server{store: store}
 	m := http.NewServeMux()
 	m.HandleFunc("POST /v3/kv/range", v.withFaults(v.etcdRange))
 	m.HandleFunc("POST /v3/watch", v.withFaults(v.etcdWatch))
--- a/internal/standin/kv/store.go
+++ b/internal/standin/kv/store.go
@@ -64,7 +64,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.compacted = rev
-	s.events = slices.DeleteFunc(s.events, func(x Item) bool { return x.ModRevision <= rev })
+	s.events = slices.DeleteFunc(s.events, func(item Item) bool { return item.ModRevision <= rev })
 }
 
 // Snapshot is a backup of the content and the history.
--- a/internal/standin/links/relay.go
+++ b/internal/standin/links/relay.go
@@ -207,10 +207,10 @@
 }
 
 // closedByPeer says whether the other end has closed a connection that nobody reads at the moment.
-func closedByPeer(c net.Conn) bool {
-	c.SetReadDeadline(time.Now().Add(time.Millisecond))
-	defer c.SetReadDeadline(time.Time{})
-	_, err := c.Read(make([]byte, 0))
+func closedByPeer(conn net.Conn) bool {
+	conn.SetReadDeadline(time.Now().Add(time.Millisecond))
+	defer conn.SetReadDeadline(time.Time{})
+	_, err := conn.Read(make([]byte, 0))
 	return err != nil && !errors.Is(err, context.DeadlineExceeded) && !isTimeout(err)
 }
 
--- a/internal/standin/links/resets.go
+++ b/internal/standin/links/resets.go
@@ -117,9 +117,9 @@
 }
 
 // reset closes a connection so that its peer sees a reset.
-func reset(c net.Conn) {
-	if tcp, ok := c.(*net.TCPConn); ok {
+func reset(conn net.Conn) {
+	if tcp, ok := conn.(*net.TCPConn); ok {
 		tcp.SetLinger(0)
 	}
-	c.Close()
+	conn.Close()
 }
--- a/internal/standin/replicaset/replicaset.go
+++ b/internal/standin/replicaset/replicaset.go
@@ -55,7 +55,7 @@
 
 // Member is the member of an id, nil for none.
 func (g *Group) Member(id string) *Member {
-	if i := slices.IndexFunc(g.Members, func(m *Member) bool { return m.ID == id }); i >= 0 {
+	if i := slices.IndexFunc(g.Members, func(member *Member) bool { return member.ID == id }); i >= 0 {
 		return g.Members[i]
 	}
 	return nil
@@ -86,13 +86,13 @@
 }
 
 // Write appends a commit at a member; ok is false where that is no primary.
-func (g *Group) Write(m *Member, id string) (position wire.Position, ok bool) {
-	if !m.Up || !m.Primary {
+func (g *Group) Write(member *Member, id string) (position wire.Position, ok bool) {
+	if !member.Up || !member.Primary {
 		return wire.Position{}, false
 	}
-	p := m.Position()
-	e := Entry{m.LeaderTerm, p.Number + 1, id}
-	m.Log = append(m.Log, e)
+	p := member.Position()
+	e := Entry{member.LeaderTerm, p.Number + 1, id}
+	member.Log = append(member.Log, e)
 	if g.SyncN == 0 {
 		g.Acked[id] = true
 	} else {
@@ -211,7 +211,7 @@
 
 // Remove removes a member for good, with its log.
 func (g *Group) Remove(id string) {
-	g.Members = slices.DeleteFunc(g.Members, func(m *Member) bool { return m.ID == id })
+	g.Members = slices.DeleteFunc(g.Members, func(member *Member) bool { return member.ID == id })
 }
 
 // Restart brings a member back with its log; a pause is forgotten.
