--- a/internal/switchover/status.go
+++ b/internal/switchover/status.go
@@ -24,7 +24,7 @@
 func (c *change) status(now float64) ChangeStatus {
 	s := ChangeStatus{Notification: c.latest, Draining: c.draining, Primary: c.newPrimary,
 		TwoPrimaries: c.twoPrimaries, Expired: c.expired, Finished: c.finishedAt > 0}
-	if !s.Finished {
+	if c.finishedAt == 0 {
 		s.Remaining = max(0, c.expiresAt-now)
 	}
 	if c.latest.Stage == StageHeld {
