--- a/internal/lab/experiment/charts.go
+++ b/internal/lab/experiment/charts.go
@@ -59,9 +59,9 @@
 	return err
 }
 
-func newPlot(title, x, y string) *plot.Plot {
+func newPlot(title, xLabel, yLabel string) *plot.Plot {
 	p := plot.New()
-	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, x, y
+	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, xLabel, yLabel
 	p.Title.TextStyle.Font.Size, p.Legend.TextStyle.Font.Size = 11, 9
 	p.Legend.Top = true
 	p.Add(plotter.NewGrid())
@@ -124,9 +124,9 @@
 
 // timeSeries are the sections with a value for each second.
 var timeSeries = []struct {
-	name, title, note, y string
-	value                func(*Second) float64
-	maxY                 float64 // of the axis; 0: what there is
+	name, title, note, yLabel string
+	value                     func(*Second) float64
+	maxY                      float64 // of the axis; 0: what there is
 }{
 	{"worth", "Worth over time", "Value served in time, as a share of what was asked first in that second.", "share",
 		func(second *Second) float64 { return second.ValueShare }, 1.4},
@@ -168,16 +168,16 @@
 
 // chart is how a section is drawn: a panel a cell, lines by variant, and one scale for all.
 type chart struct {
-	kind, title, note, x, y string
-	maxY                    float64 // of the y axis; 0: what there is
-	draw                    func(canvas *plot.Plot, n int, rows []Run, variant string) error
+	kind, title, note, xLabel, yLabel string
+	maxY                              float64 // of the y axis; 0: what there is
+	draw                              func(canvas *plot.Plot, n int, rows []Run, variant string) error
 }
 
 // addChart draws a section.
 func (d *sectionBuilder) addChart(h chart) error {
 	s := section{title: h.title, note: h.note}
 	for _, c := range d.cells {
-		p := newPlot(c.title(), h.x, h.y)
+		p := newPlot(c.title(), h.xLabel, h.yLabel)
 		for n, v := range d.variants {
 			if some := d.rowsOf(c, v); len(some) > 0 {
 				if err := h.draw(p, n, some, v); err != nil {
@@ -210,7 +210,7 @@
 	}
 	var charts []chart
 	for _, c := range timeSeries {
-		charts = append(charts, chart{c.name, c.title, c.note, "second", c.y, c.maxY,
+		charts = append(charts, chart{c.name, c.title, c.note, "second", c.yLabel, c.maxY,
 			func(canvas *plot.Plot, n int, rows []Run, v string) error {
 				return Line(canvas, n, v, meanBySecond(rows, c.value))
 			}})
--- a/internal/lab/experiment/compare.go
+++ b/internal/lab/experiment/compare.go
@@ -125,7 +125,7 @@
 	Load            float64
 	Measure         Measure
 	Pairs           int
-	A, B            float64 // means
+	MeanA, MeanB    float64 // means
 	Mean, HalfWidth float64 // of B less A, and half of its 95 % interval by Student's t; Half is infinite with one pair
 }
 
@@ -197,7 +197,7 @@
 			fmt.Fprintf(w, "%s, %d drivers, load %g, %d pairs\t%s\t%s\tdifference\t\n", d.Experiment, d.Drivers, d.Load, d.Pairs,
 				nameA, nameB)
 		}
-		fmt.Fprintf(w, "  %s\t%.4g\t%.4g\t%+.3g ± %.2g\t%s\n", d.Measure.Name, d.A, d.B, d.Mean,
+		fmt.Fprintf(w, "  %s\t%.4g\t%.4g\t%+.3g ± %.2g\t%s\n", d.Measure.Name, d.MeanA, d.MeanB, d.Mean,
 			d.HalfWidth, d.verdict())
 	}
 	return w.Flush()
--- a/internal/lab/fleet/page.go
+++ b/internal/lab/fleet/page.go
@@ -22,7 +22,7 @@
 <h1>Who saw whom when</h1><p class="k">{{range .Key}}<span style="background:{{.Colour}}">{{.Name}}</span>{{end}}</p>
 <ol>{{range .Steps}}<li>{{printf "%.1f" .From}} s: {{.State}}</li>{{end}}</ol>
 {{range .Drivers}}<h2>{{.Name}}</h2><table>{{range .Rows}}<tr><td>{{.Of}}<td><svg width="900" height="12">` +
-	`{{range .Bars}}<rect x="{{printf "%.1f" .X}}" y="1" width="{{printf "%.1f" .W}}" height="10" ` +
+	`{{range .Bars}}<rect x="{{printf "%.1f" .Left}}" y="1" width="{{printf "%.1f" .Width}}" height="10" ` +
 	`fill="{{.Colour}}"><title>{{.Title}}</title></rect>{{end}}</svg>{{end}}</table>{{end}}
 `))
 
@@ -43,7 +43,7 @@
 		Bars []pageBar
 	}
 	pageBar struct {
-		X, W          float64 // pixels
+		Left, Width   float64 // pixels
 		Colour, Title string
 	}
 )
