--- a/internal/controlplane/config/config.go
+++ b/internal/controlplane/config/config.go
@@ -40,7 +40,7 @@
 
 // Limits bound what clients may do.
 type Limits struct {
-	// IdleInTransactionTimeout ends an open transaction that rests for so long, in milliseconds; 0: unbounded.
+	// IdleInTransactionTimeout ends an open transaction whose client is idle for so long, in milliseconds; 0: unbounded.
 	IdleInTransactionTimeout float64 `json:"txIdleMs" reported:"TxIdle" validate:"gte=0"`
 	// IdleTimeout is validated, but nothing in this version uses it.
 	IdleTimeout float64 `json:"idleMs" reported:"Idle" validate:"gte=0"`
--- a/internal/controlplane/config/parse.go
+++ b/internal/controlplane/config/parse.go
@@ -30,7 +30,7 @@
 	return c, nil
 }
 
-// decodeStrict reads JSON that must be one value with nothing behind it.
+// decodeStrict reads JSON that must be one value with nothing after it.
 func decodeStrict(raw []byte, into any) error {
 	d := json.NewDecoder(bytes.NewReader(raw))
 	if err := d.Decode(into); err != nil {
--- a/internal/controlplane/config/state.go
+++ b/internal/controlplane/config/state.go
@@ -63,7 +63,7 @@
 	return nil
 }
 
-// Apply gives the state behind a change that is not in the history. origin and at (milliseconds) are for people. The
+// Apply gives the state with a change that is not in the history. origin and at (milliseconds) are for people. The
 // error is a RejectedError, which holds in every state that can follow this one, or an UndecidedError; any other is a
 // fault of the stored document, and says as little as an UndecidedError.
 func (s *State) Apply(change *Change, origin string, at int64) (*State, error) {
--- a/internal/controlplane/directory/members.go
+++ b/internal/controlplane/directory/members.go
@@ -21,7 +21,7 @@
 	Service    string `cbor:"2,keyasint"` // replication group
 	Addr       string `cbor:"3,keyasint"`
 	Zone       string `cbor:"4,keyasint"`
-	Generation string `cbor:"5,keyasint"` // of its machine; failover prefers the highest
+	Generation string `cbor:"5,keyasint"` // as its heartbeats say; the higher text is the better candidate
 	Slots      int    `cbor:"6,keyasint"` // as its heartbeats say; nothing decides by it
 	Role       Role   `cbor:"7,keyasint"`
 
@@ -74,7 +74,7 @@
 func NewMembers() *Members { return &Members{entries: map[string]*entry{}} }
 
 // Heartbeat takes a member's own heartbeat. fresh is false for one that is late, and changed says whether anything
-// that matters to drivers changed; current is the record in place behind it. A sequence that starts again begins a
+// that matters to drivers changed; current is the record in place afterwards. A sequence that starts again begins a
 // new incarnation where the member was silent for longer than timeout.
 func (t *Members) Heartbeat(record Member, now, timeout float64) (current Member, fresh, changed bool) {
 	e := t.entries[record.ID]
--- a/internal/controlplane/failover/fencing.go
+++ b/internal/controlplane/failover/fencing.go
@@ -1,6 +1,6 @@
 package failover
 
-// This file resumes paused replicas, behind a fence where one is needed.
+// This file resumes paused replicas, after a fence where one is needed.
 //
 // A promote may reach the platform late, and its answer may be lost. While every replica that the promote relied on
 // is paused, nothing is acknowledged that the candidate lacks; so they stay paused until a promote with a higher
--- a/internal/controlplane/failover/view.go
+++ b/internal/controlplane/failover/view.go
@@ -3,7 +3,7 @@
 // Member is what the control plane knows of one member.
 type Member struct {
 	ID             string
-	Generation     string // of its software
+	Generation     string // as directory.Member has it
 	Primary        bool   // by its latest heartbeat
 	Replica        bool   // by its latest heartbeat
 	Draining       bool
--- a/internal/controlplane/orders/doc.go
+++ b/internal/controlplane/orders/doc.go
@@ -18,7 +18,7 @@
 //
 // In every phase an order is answered with ErrNotLeader once the machine leads no longer, and with ErrTimeout at its
 // deadline. Orders are decided in the order in which they arrived, and one entry is in flight at a time: an order
-// behind one that is proposed waits.
+// that arrived after one that is proposed waits.
 //
 // # Why every answer is safe to retry for
 //
--- a/internal/controlplane/orders/queue.go
+++ b/internal/controlplane/orders/queue.go
@@ -19,7 +19,7 @@
 
 	// Evaluating a change reads its whole document: the result is kept for as long as the state is in place.
 	evaluated *config.State // by which next and err were made; nil: neither was yet
-	next      *config.State // behind the change; the same as evaluated: it was applied before
+	next      *config.State // with the change; the same as evaluated: it was applied before
 	err       error         // why there is no next
 }
 
--- a/internal/controlplane/orders/step.go
+++ b/internal/controlplane/orders/step.go
@@ -26,7 +26,7 @@
 	state   *config.State // committed; nil: none is known
 	now     float64
 	wall    int64 // time of day in milliseconds, for people
-	blocked bool  // a change before this order is in flight: nothing behind it is decided
+	blocked bool  // a change before this order is in flight: none that arrived later is decided
 }
 
 // decide gives an order's answer, nil while it stays pending.
@@ -71,7 +71,7 @@
 
 // stepProposed answers once the order's entry is committed, or can't be known to be. An entry of the term in which this
 // node proposed is this node's own, and it proposes none before the one before it is committed: so a committed entry of
-// that term at or behind the order's index covers it.
+// that term at or after the order's index covers it.
 func (s *step) stepProposed(order *Order) *Answer {
 	if e, found := s.node.Committed(); found && e.Term == order.term && e.Index >= order.index {
 		return succeeded(OutcomeApplied, []byte("taken\n"))
@@ -98,7 +98,7 @@
 	return nil
 }
 
-// blocks says that nothing can be decided now, for this order and all behind it.
+// blocks says that nothing can be decided now, for this order and all after it.
 func (s *step) blocks() bool {
 	s.blocked = s.blocked || s.node.InFlight() || s.state == nil
 	return s.blocked
@@ -148,7 +148,7 @@
 	return site.Incarnation == incarnation && site.State != sites.StateRemoved
 }
 
-// propose has the node propose the state behind a change. Where the node can't now, the order stays as it was.
+// propose has the node propose the state with a change. Where the node can't now, the order stays as it was.
 func (s *step) propose(order *Order) *Answer {
 	value, err := cbor.Marshal(order.next)
 	if err != nil {
@@ -207,7 +207,7 @@
 	return verdictConfirm
 }
 
-// apply gives the state behind an order's change, the same state where the change was applied before.
+// apply gives the state with an order's change, the same state where the change was applied before.
 func (s *step) apply(order *Order) (*config.State, error) {
 	switch {
 	case order.ShardChange != nil:
--- a/internal/dataplane/memberconn/dial.go
+++ b/internal/dataplane/memberconn/dial.go
@@ -23,8 +23,8 @@
 // ErrAttachRejected is the error of a member that accepted the connection and did not open a session on it.
 var ErrAttachRejected = errors.New("refused")
 
-// Dial connects to a member and opens a session. refused: nothing accepts connections at its address. After the
-// deadline the connection's own deadline has passed, too: each batch sets another.
+// Dial connects to a member and opens a session. refused: nothing accepts connections at its address. The
+// deadline stays that of the connection until a batch sets another.
 func Dial(member directory.Member, deadline time.Time) (c *Conn, refused bool, err error) {
 	step := oops.In("dial").With("peer", member.Addr)
 	conn, err := net.DialTimeout("tcp4", member.Addr, time.Until(deadline))
--- a/internal/dataplane/proxy/doc.go
+++ b/internal/dataplane/proxy/doc.go
@@ -58,7 +58,7 @@
 // # Errors
 //
 // errors.go has all errors that clients are answered with, and the one place where they become codes of FAIL. A code
-// promises something: up to FULL (package wire) nothing of the attempt was kept.
+// promises something: the first group of codes in package wire, RETRY to FULL, that nothing of the attempt was kept.
 //
 // # Shutdown
 //
--- a/internal/dataplane/proxy/message.go
+++ b/internal/dataplane/proxy/message.go
@@ -40,7 +40,7 @@
 	return true
 }
 
-// handleInFailedTransaction answers in a transaction that has failed: only its end is taken.
+// handleInFailedTransaction answers in a transaction that has failed: only COMMIT or ABORT is accepted.
 func (s *session) handleInFailedTransaction(verb string) {
 	switch verb {
 	case "ABORT":
--- a/internal/dataplane/proxy/session.go
+++ b/internal/dataplane/proxy/session.go
@@ -34,7 +34,7 @@
 	answeredAt float64 // of its last answer
 	kept       sessionstate.Session
 
-	lastCommit   wire.Position // of this session, which its reads by type self must see
+	lastCommit   wire.Position // of this session, which its reads by config.ConsistencySession must see
 	lastCommitAt float64
 
 	tx *transaction // nil: none is open
--- a/internal/dataplane/proxy/status.go
+++ b/internal/dataplane/proxy/status.go
@@ -7,7 +7,7 @@
 	"weirwind/internal/util/commandqueue"
 )
 
-// status is the answer to GET /status. Its keys are in order of the alphabet.
+// status is the answer to GET /status. Its keys are in alphabetical order.
 type status struct {
 	Drivers  int                    `json:"drivers"`
 	Gen      uint64                 `json:"gen,omitempty"` // of the configuration
--- a/internal/dataplane/proxy/transaction.go
+++ b/internal/dataplane/proxy/transaction.go
@@ -26,7 +26,7 @@
 	ran    bool      // a statement went to a member and was answered
 	wrote  bool      // one that writes ran, or may have run
 
-	failed     bool  // it is rolled back; only its end is taken
+	failed     bool  // it is rolled back; only COMMIT or ABORT is accepted
 	unreported error // why, while the client has not been answered with it
 }
 
--- a/internal/dataplane/wire/status.go
+++ b/internal/dataplane/wire/status.go
@@ -20,7 +20,7 @@
 	roleReplica = "replica"
 )
 
-// ParseMemberStatus parses the fields of a status row, and reports whether they are that. Fields behind the known
+// ParseMemberStatus parses the fields of a status row, and reports whether they are that. Fields after the known
 // ones are ignored.
 func ParseMemberStatus(row string) (MemberStatus, bool) {
 	fields := strings.Fields(row)
