--- a/internal/session/queue/interleavings_test.go
+++ b/internal/session/queue/interleavings_test.go
@@ -10,10 +10,10 @@
 	"weirwind/internal/session/sites"
 )
 
-// interleaving plays one session of three sites and an edge through every order of few events: which link's next word
-// comes, a message is put, the client acknowledges or sends, the owner is removed or drains, a link breaks. Time
-// stands still but for the end, when what was left is let happen; then all that was queued must have come once and
-// in order.
+// interleaving plays one session of three sites and an edge through every order of few events: which link's next
+// envelope arrives, a message is enqueued, the client acknowledges or publishes, the owner is removed or drains, a link
+// breaks. Time stands still up to the end, when all that is left may happen; then everything that was acknowledged must
+// have arrived once and in order.
 type interleaving struct {
 	now           float64
 	current       *sites.Map
--- a/internal/session/queue/sessions_test.go
+++ b/internal/session/queue/sessions_test.go
@@ -20,7 +20,7 @@
 	e.trace = trace
 	e.RunUntil(1000)
 	e.startTraffic(12000)
-	// One site at a time is away, and only once its sessions have copies again.
+	// One site at a time is away, and the next one only once sessions have their replicas again.
 	at := 1500.0
 	for at < 11000 {
 		site := e.sites[simSites[e.random.IntN(4)]]
@@ -143,8 +143,8 @@
 	}
 }
 
-// A drain hands 5,000 sessions on at its pace, and each socket is without a home for little longer than the messages
-// take.
+// A drain hands some 5,000 sessions over at its rate, and each socket is without an owner for little longer than the
+// messages take.
 func TestDrainOfThousands(t *testing.T) {
 	e := newScenario(7, 0)
 	var all []*client
@@ -177,7 +177,7 @@
 	}
 }
 
-// What an idle session takes at home, at its copy and at its edge together.
+// What an idle session takes at its owner, its replica and its edge together.
 func TestIdleMemory(t *testing.T) {
 	e := newScenario(8, 0)
 	var before, after runtime.MemStats
--- a/internal/session/sites/sites.go
+++ b/internal/session/sites/sites.go
@@ -153,7 +153,7 @@
 
 const (
 	otherZone   distance = iota // of the owner's region
-	otherRegion                 //
+	otherRegion                 // than the owner's
 	sameZone                    // a zone's failure would take both
 )
 
--- a/internal/session/sites/sites_test.go
+++ b/internal/session/sites/sites_test.go
@@ -28,7 +28,7 @@
 	golden.JSON(t, "testdata/map.json", maps)
 }
 
-// Drawn changes of a map: what each gives or why there is none, and where copies would go.
+// Drawn changes of a map: what each gives or why there is none, and where replicas would go.
 func TestDecisionDigest(t *testing.T) {
 	const recorded = 0xcb07f8436d95ab21
 	trace := fnv.New64a()
--- a/internal/shard/shardmap/rebalancer.go
+++ b/internal/shard/shardmap/rebalancer.go
@@ -40,12 +40,12 @@
 	ActionReport            ActionKind = iota // a node's report is wanted, for HandleReport
 	ActionReserve                             // Bytes
 	ActionFetch                               // up to Bytes from Source; once it has LastIndex the target seals
-	ActionClose                               //
+	ActionClose                               // the source begins nothing more
 	ActionAbortTransactions                   // closes, and aborts the open transactions
 	ActionSeal                                // at LastIndex
 	ActionActivate                            // requires LastIndex
-	ActionDrop                                //
-	ActionDiscard                             //
+	ActionDrop                                // a newer owner has made the replica redundant
+	ActionDiscard                             // the receiving replica of a transfer that has ended
 	ActionPropose                             // Change, to the core
 	ActionLog                                 // Message, to the event log; it has no result
 )
--- a/internal/shard/shardnode/report.go
+++ b/internal/shard/shardnode/report.go
@@ -2,7 +2,7 @@
 
 // This file owns what a node reports of itself.
 
-// Report is a node's answer to LOOK. The store fills in all but BusySlots and Slots, which are the runner's.
+// Report is a node's answer to LOOK. The store fills in all but Busy and Slots, which are the runner's.
 type Report struct {
 	Capacity int64                    `json:"limit"`   // bytes of the disk
 	External int64                    `json:"foreign"` // bytes of it that others than shards take
--- a/internal/shard/shardnode/statements_test.go
+++ b/internal/shard/shardnode/statements_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A shard is copied, closed, sealed and opened elsewhere by the texts that the mover sends, and by what FETCH has the
-// target ask the source.
+// A shard is copied, closed, sealed and activated elsewhere by the statements that the rebalancer sends, and by what
+// FETCH has the target ask the source.
 func TestMoveByStatements(t *testing.T) {
 	source, target := NewStore(1<<20, 0), NewStore(1<<20, 0)
 	execute := func(store *Store, format string, args ...any) ([]string, *FetchRequest) {
--- a/internal/standin/cluster/partition_test.go
+++ b/internal/standin/cluster/partition_test.go
@@ -136,8 +136,8 @@
 // A core machine that is partitioned from the others, but not from its agent and members, answers no operator's
 // request and acknowledges no heartbeat, though it records it; its agent switches to another machine during the
 // partition, so that its proxy serves by what is decided meanwhile. The test fails with inContact always true,
-// without refuseWithoutContact in acknowledge, and without planSeek in judge and checkCore (agent/corelink.go), where
-// the new route never arrives.
+// without rejectWithoutContact in acknowledge, and without scheduleFailover in evaluate and checkCore
+// (agent/corelink.go), where the new route never arrives.
 func TestCoreMachineCutOff(t *testing.T) {
 	d, cut := partitionableCore(t)
 	d.Eventually("all have contact", func() bool {
--- a/internal/util/ci/docs_test.go
+++ b/internal/util/ci/docs_test.go
@@ -17,6 +17,10 @@
 	qualified  = regexp.MustCompile(`^[A-Za-z]+(\.[A-Za-z]+)+$`)
 	identifier = regexp.MustCompile(`[A-Za-z_]\w*`)
 	fileName   = regexp.MustCompile(`\.(go|md|toml|hcl|yml|mod)$`)
+
+	testCommand = regexp.MustCompile("`(?:([A-Z]+)=\\S+ )?go test [^`]*`")
+	testPattern = regexp.MustCompile(`-(run|bench) (\w+)`)
+	testFolder  = regexp.MustCompile(`\./(internal[\w/]*)`)
 )
 
 // What the pages for newcomers point at is there: folders and files, and what is named as one part of another
@@ -60,6 +64,55 @@
 	}
 }
 
+// A command that a page gives runs something: its pattern matches a test of the folder, and the test reads the variable.
+func TestCommandsOfPagesRunTests(t *testing.T) {
+	pages, err := filepath.Glob(filepath.Join(root, "docs", "*.md"))
+	if err != nil || len(pages) == 0 {
+		t.Fatal(pages, err)
+	}
+	commands := 0
+	for _, page := range pages {
+		text, err := os.ReadFile(page)
+		if err != nil {
+			t.Fatal(err)
+		}
+		for _, command := range testCommand.FindAllStringSubmatch(string(text), -1) {
+			pattern, folder := testPattern.FindStringSubmatch(command[0]), testFolder.FindStringSubmatch(command[0])
+			if pattern == nil || folder == nil {
+				continue
+			}
+			commands++
+			kind := map[string]string{"run": "Test", "bench": "Benchmark"}[pattern[1]]
+			named := regexp.MustCompile(`func ` + kind + `\w*` + strings.TrimPrefix(pattern[2], kind) + `\w*\(`)
+			tests := testFiles(t, folder[1])
+			if !named.MatchString(tests) || command[1] != "" && !strings.Contains(tests, `Getenv("`+command[1]+`")`) {
+				t.Errorf("%s: %s runs nothing", filepath.Base(page), command[0])
+			}
+		}
+	}
+	if commands < 5 {
+		t.Errorf("only %d commands were found", commands)
+	}
+}
+
+// testFiles is the text of a folder's tests.
+func testFiles(t *testing.T, folder string) string {
+	t.Helper()
+	names, err := filepath.Glob(filepath.Join(root, folder, "*_test.go"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var all strings.Builder
+	for _, name := range names {
+		text, err := os.ReadFile(name)
+		if err != nil {
+			t.Fatal(err)
+		}
+		all.Write(text)
+	}
+	return all.String()
+}
+
 // identifiers are all words of the Go files, comments included.
 func identifiers(t *testing.T) map[string]bool {
 	t.Helper()
