--- a/internal/dataplane/proxy/status.go
+++ b/internal/dataplane/proxy/status.go
@@ -1,6 +1,7 @@
 package proxy
 
 import (
+	"context"
 	"encoding/json"
 	"net/http"
 
@@ -40,9 +41,10 @@
 }
 
 func (p *Proxy) handleStatus(w http.ResponseWriter, r *http.Request) {
-	all, err := commandqueue.Call(r.Context(), p.router.commands, p.router.status)
+	// The request's context would end as soon as the caller closes its sending half, and it still waits then.
+	all, err := commandqueue.Call(context.WithoutCancel(r.Context()), p.router.commands, p.router.status)
 	if err != nil {
-		return // the caller is gone, or the process ends
+		return // the process ends
 	}
 	all.Sessions = p.clientConns.Load()
 	e := json.NewEncoder(w)
--- a/internal/session/edge/edge.go
+++ b/internal/session/edge/edge.go
@@ -119,7 +119,9 @@
 }
 
 func (r *runner) showStatus(w http.ResponseWriter, req *http.Request) {
-	got, err := commandqueue.Call(req.Context(), r.commands, func() status {
+	// The request's context would end as soon as the caller closes its sending half, and it still waits then.
+	ctx := context.WithoutCancel(req.Context())
+	got, err := commandqueue.Call(ctx, r.commands, func() status {
 		return status{r.settings.Hostname, slices.Clone(r.decider.OwnerGaps()), r.decider.Sockets()}
 	})
 	if err != nil {
--- a/internal/session/edge/golden_test.go
+++ b/internal/session/edge/golden_test.go
@@ -1,6 +1,7 @@
 package edge
 
 import (
+	"context"
 	"fmt"
 	"net/http/httptest"
 	"testing"
@@ -48,4 +49,15 @@
 	e.showStatus(w, httptest.NewRequestWithContext(t.Context(), "GET", "/status", nil))
 	cases = append(cases, golden.Of("status", w.Body.String()))
 	golden.Text(t, "testdata/lines.txt", cases)
+
+	// A caller that has closed its sending half, whose request's context is cancelled, gets the same.
+	ctx, cancel := context.WithCancel(t.Context())
+	cancel()
+	for range 20 {
+		again := httptest.NewRecorder()
+		e.showStatus(again, httptest.NewRequestWithContext(ctx, "GET", "/status", nil))
+		if again.Code != w.Code || again.Body.String() != w.Body.String() {
+			t.Fatalf("%d %s", again.Code, again.Body)
+		}
+	}
 }
--- a/internal/session/site/calls.go
+++ b/internal/session/site/calls.go
@@ -31,12 +31,16 @@
 	return mux
 }
 
+// answerContext is that of the work for an answer. It doesn't end with the request's, which HTTP's server cancels as
+// soon as a caller closes the sending half of its connection: such a caller still waits for the answer.
+func answerContext(req *http.Request) context.Context { return context.WithoutCancel(req.Context()) }
+
 // sessionResource is a session with its messages.
 type sessionResource struct{ runner *runner }
 
 // elsewhere redirects a caller to the session's owner where this site knows it, else says that it is not here.
 func (s *sessionResource) elsewhere(w http.ResponseWriter, req *http.Request) {
-	addr, err := commandqueue.Call(req.Context(), s.runner.commands, func() string {
+	addr, err := commandqueue.Call(answerContext(req), s.runner.commands, func() string {
 		owner, ok := s.runner.decider.OwnerOf(req.PathValue("id"))
 		if m := s.runner.decider.Map(); ok && m != nil {
 			return m.Sites[owner].HTTPAddr
@@ -112,7 +116,7 @@
 		messages []queue.Message
 		ok       bool
 	}
-	got, err := commandqueue.Call(req.Context(), s.runner.commands, func() (r result) {
+	got, err := commandqueue.Call(answerContext(req), s.runner.commands, func() (r result) {
 		r.messages, r.ok = s.runner.decider.Inbox(req.PathValue("id"), after, s.runner.now())
 		return r
 	})
@@ -137,7 +141,7 @@
 		http.Error(w, "n is the number of the last message that was taken", http.StatusBadRequest)
 		return
 	}
-	ok, err := commandqueue.Call(req.Context(), s.runner.commands, func() bool {
+	ok, err := commandqueue.Call(answerContext(req), s.runner.commands, func() bool {
 		ok := s.runner.decider.Consume(req.PathValue("id"), number, s.runner.now())
 		s.runner.flush()
 		return ok
@@ -152,7 +156,7 @@
 
 // show describes the session to operators.
 func (s *sessionResource) show(w http.ResponseWriter, req *http.Request) {
-	info, err := commandqueue.Call(req.Context(), s.runner.commands, func() *queue.SessionInfo {
+	info, err := commandqueue.Call(answerContext(req), s.runner.commands, func() *queue.SessionInfo {
 		return s.runner.decider.Describe(req.PathValue("id"))
 	})
 	switch {
@@ -182,7 +186,7 @@
 }
 
 func (s *statusResource) show(w http.ResponseWriter, req *http.Request) {
-	got, err := s.get(req.Context())
+	got, err := s.get(answerContext(req))
 	if err != nil {
 		writeUnavailable(w, err)
 		return
@@ -199,7 +203,7 @@
 	})
 }
 
-// writeUnavailable answers a call that the process is too far into its end to serve, or whose caller has gone.
+// writeUnavailable answers a call that the process is too far into its end to serve.
 func writeUnavailable(w http.ResponseWriter, err error) {
 	http.Error(w, err.Error(), http.StatusServiceUnavailable)
 }
--- /dev/null
+++ b/internal/session/site/calls_test.go
@@ -0,0 +1,64 @@
+package site
+
+import (
+	"bufio"
+	"fmt"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"testing"
+	"time"
+
+	"weirwind/internal/session/queue"
+	"weirwind/internal/util/commandqueue"
+	"weirwind/internal/util/settings"
+)
+
+// A caller that closes its sending half behind its request gets its answer, as HTTP's server cancels the request's
+// context then.
+func TestCallersThatCloseTheirSendingHalfAreAnswered(t *testing.T) {
+	r := &runner{settings: &settings.Settings{Hostname: "a"}, ctx: t.Context(), startedAt: time.Now(),
+		commands: commandqueue.New(t.Context(), 16), limits: queue.DefaultLimits, edges: map[string]*link{},
+		decider: queue.NewSite("a", queue.DefaultLimits)}
+	server := httptest.NewServer(r.routes())
+	defer server.Close()
+	for call, want := range map[string]int{
+		"GET /status":                   http.StatusOK,
+		"GET /sessions/none":            http.StatusNotFound,
+		"GET /sessions/none/inbox":      http.StatusNotFound,
+		"POST /sessions/none/took?n=1":  http.StatusNotFound,
+		"POST /sessions/none/messages?": http.StatusNotFound,
+	} {
+		t.Run(call, func(t *testing.T) {
+			c, err := net.Dial("tcp", server.Listener.Addr().String())
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer c.Close()
+			fmt.Fprintf(c, "%s HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n", call)
+			c.(*net.TCPConn).CloseWrite()
+			answered := make(chan int, 1)
+			go func() {
+				response, err := http.ReadResponse(bufio.NewReader(c), nil)
+				if err != nil {
+					answered <- 0
+					return
+				}
+				response.Body.Close()
+				answered <- response.StatusCode
+			}()
+			for { // commands wait until the server has had the time to notice
+				select {
+				case got := <-answered:
+					if got != want {
+						t.Errorf("%d, not %d", got, want)
+					}
+					return
+				case command := <-r.commands.Commands:
+					time.Sleep(50 * time.Millisecond)
+					command.Run()
+				}
+			}
+		})
+	}
+}
