--- a/internal/session/site/calls.go
+++ b/internal/session/site/calls.go
@@ -28,19 +28,23 @@
 	mux.HandleFunc("GET /sessions/{id}", session.show)
 	mux.HandleFunc("GET /status", (&statusResource{r}).show)
 	mux.Handle("GET /events", r.log)
-	return mux
+	return withoutCancel(mux)
 }
 
-// answerContext is that of the work for an answer. It doesn't end with the request's, which HTTP's server cancels as
-// soon as a caller closes the sending half of its connection: such a caller still waits for the answer.
-func answerContext(req *http.Request) context.Context { return context.WithoutCancel(req.Context()) }
+// withoutCancel keeps requests' contexts from being cancelled. HTTP's server does so as soon as a caller closes the
+// sending half of its connection, and such a caller still waits for its answer.
+func withoutCancel(next http.Handler) http.Handler {
+	return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
+		next.ServeHTTP(w, req.WithContext(context.WithoutCancel(req.Context())))
+	})
+}
 
 // sessionResource is a session with its messages.
 type sessionResource struct{ runner *runner }
 
 // elsewhere redirects a caller to the session's owner where this site knows it, else says that it is not here.
 func (s *sessionResource) elsewhere(w http.ResponseWriter, req *http.Request) {
-	addr, err := commandqueue.Call(answerContext(req), s.runner.commands, func() string {
+	addr, err := commandqueue.Call(req.Context(), s.runner.commands, func() string {
 		owner, ok := s.runner.decider.OwnerOf(req.PathValue("id"))
 		if m := s.runner.decider.Map(); ok && m != nil {
 			return m.Sites[owner].HTTPAddr
@@ -116,7 +120,7 @@
 		messages []queue.Message
 		ok       bool
 	}
-	got, err := commandqueue.Call(answerContext(req), s.runner.commands, func() (r result) {
+	got, err := commandqueue.Call(req.Context(), s.runner.commands, func() (r result) {
 		r.messages, r.ok = s.runner.decider.Inbox(req.PathValue("id"), after, s.runner.now())
 		return r
 	})
@@ -141,7 +145,7 @@
 		http.Error(w, "n is the number of the last message that was taken", http.StatusBadRequest)
 		return
 	}
-	ok, err := commandqueue.Call(answerContext(req), s.runner.commands, func() bool {
+	ok, err := commandqueue.Call(req.Context(), s.runner.commands, func() bool {
 		ok := s.runner.decider.Consume(req.PathValue("id"), number, s.runner.now())
 		s.runner.flush()
 		return ok
@@ -156,7 +160,7 @@
 
 // show describes the session to operators.
 func (s *sessionResource) show(w http.ResponseWriter, req *http.Request) {
-	info, err := commandqueue.Call(answerContext(req), s.runner.commands, func() *queue.SessionInfo {
+	info, err := commandqueue.Call(req.Context(), s.runner.commands, func() *queue.SessionInfo {
 		return s.runner.decider.Describe(req.PathValue("id"))
 	})
 	switch {
@@ -186,7 +190,7 @@
 }
 
 func (s *statusResource) show(w http.ResponseWriter, req *http.Request) {
-	got, err := s.get(answerContext(req))
+	got, err := s.get(req.Context())
 	if err != nil {
 		writeUnavailable(w, err)
 		return
