--- a/internal/fleet/membership/doc.go
+++ b/internal/fleet/membership/doc.go
@@ -45,7 +45,7 @@
 //     out.
 //   - The shares of all drivers, one part in DriverCount each, never add up to more than one.
 //   - A driver that may have forgotten a vote gives none.
-//   - A drain ends by a list that is at least as new as the one that told of it, by nothing else.
+//   - A drain ends only by a list that is at least as new as the one that announced it.
 //
 // # Failures
 //
--- a/internal/fleet/membership/drains.go
+++ b/internal/fleet/membership/drains.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// Drain says what one source's list of members told of one at a revision: that it drains or is gone, or that it
-// is up again.
+// Drain is the state of one member in one source's list, at a revision of that list: it is draining or was removed, or
+// it is up again.
 type Drain struct {
 	Member   string `json:"member"`
 	Source   uint8  `json:"source"`   // number of the list's source
@@ -20,15 +20,15 @@
 	source uint8
 }
 
-// storedDrain is a drain, and when it came here.
+// storedDrain is a drain, and when it was recorded here.
 type storedDrain struct {
 	Drain
 	at float64 // milliseconds
 }
 
-// Drains are the drains that peers tell of, and those of the own lists that peers are told of. A drain must not
-// end but by a list that is at least as new as the one that told of it, or by a peer's message of such a list:
-// not by a heal, and not because who told of it has failed.
+// Drains holds the drains that peers have announced, and those of this driver's own lists, which it announces to them. A
+// drain ends only by a list that is at least as new as the one that announced it, read here or by a peer: neither the
+// heal of a partition nor the failure of the announcing peer ends it.
 type Drains struct {
 	limit        int
 	retainFor    float64 // milliseconds
--- a/internal/fleet/membership/peer.go
+++ b/internal/fleet/membership/peer.go
@@ -22,7 +22,7 @@
 	reachability   Reachability // the newest that came from it
 	suspicion      suspicion    // while State is Suspect
 	nextSync       float64      // no exchange of snapshots with it before
-	nextAccusation float64      // it is not told before that others say it has failed
+	nextAccusation float64      // it is not notified before then that others take it for failed
 }
 
 // maxNameWarnings bounds the names that two processes were seen to have.
--- a/internal/fleet/membership/receive.go
+++ b/internal/fleet/membership/receive.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// respond answers by the message's kind. A sender that is taken for another process, or not for alive, is told
-// so, in the answer or by a message of its own, so that it refutes that.
+// respond answers by the message's kind. A sender whose record here is of another process, or isn't alive, gets that
+// record, with the answer or in a message of its own, so that it can refute it.
 func (f *Fleet) respond(from *peer, known bool, msg *Message) {
 	var correction []Record
 	if from != nil && (from.State != Alive || from.Run != msg.From.Run) {
--- a/internal/fleet/mesh/server.go
+++ b/internal/fleet/mesh/server.go
@@ -77,7 +77,7 @@
 	return answer
 }
 
-// merge takes a peer's whole state, and gives this driver's as it was before.
+// merge merges a peer's complete state, and returns this driver's as it was before.
 func (m *Mesh) merge(peer *membership.Snapshot) *membership.Snapshot {
 	var own membership.Snapshot
 	m.step(func(view *membership.Fleet) membership.Output {
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -8,8 +8,8 @@
 
 // Options of a roster. Times are milliseconds.
 type Options struct {
-	Preferred     Source  // leads while it speaks
-	FailoverAfter float64 // another source that speaks leads after the preferred one was silent for so long
+	Preferred     Source  // leads while it is connected
+	FailoverAfter float64 // a connected source leads instead once the preferred one was silent for so long
 	ConfirmAfter  float64 // a snapshot that lost most members must be confirmed after so long; 0: none must
 }
 
@@ -123,8 +123,8 @@
 	r.leader = best
 }
 
-// rank puts the preferred source first, while it speaks and for some time more; then those that speak, by trust;
-// then the one whose last message is the latest.
+// rank puts the preferred source first, while it is connected and for FailoverAfter behind its last message; then
+// connected sources, in the order of Source; then the one whose last message is the latest.
 func (r *Roster) rank(source Source, now float64) float64 {
 	v := &r.views[source]
 	rank := v.lastMessage / 1e15 // far below 1
--- a/internal/roster/tombstone.go
+++ b/internal/roster/tombstone.go
@@ -55,9 +55,9 @@
 
 // liftTombstone ends a member's tombstone where its entry is newer: by a later revision of the source that said it,
 // or by a start since. In a later epoch of that source only what was written since the epoch began is newer, as a
-// registry that was restored from a backup says what was true before the drain; a source without named epochs says
-// everything anew in each snapshot. What an earlier run was told, nobody knows by whom, gives way to the preferred
-// source.
+// registry that was restored from a backup has entries from before the drain; a source without named epochs writes
+// everything anew in each snapshot. A tombstone of an earlier run, whose source is not known any more, gives way to the
+// preferred source.
 func (r *Roster) liftTombstone(step *step, entry Entry) {
 	stone, found := r.tombstones[entry.ID]
 	if !found {
--- a/internal/roster/view.go
+++ b/internal/roster/view.go
@@ -12,7 +12,7 @@
 	entries     map[string]Entry
 	synced      bool // a snapshot was applied
 
-	connected   bool // the source speaks
+	connected   bool // by the last call of the source, or its last update
 	lastMessage float64
 
 	// The fragments of a revision so far.
