--- a/internal/driver/service.go
+++ b/internal/driver/service.go
@@ -43,7 +43,7 @@
 	clientBudget  budget         // of connections
 	messageBudget budget         // of bytes of large messages from clients
 	inFlight      errgroup.Group // clients' connections, and attempts
-	evictions     chan struct{}  // holds a value for each evicted client that is closing; its place in the budget is reassigned
+	evictions     chan struct{}  // holds a value for each client that is closing after its slot was reassigned
 	rejections    chan struct{}  // and for each that is being rejected with an answer
 	acceptEnded   chan struct{}  // closed when no new connection is accepted any more
 
--- a/internal/fleet/membership/drains.go
+++ b/internal/fleet/membership/drains.go
@@ -26,9 +26,9 @@
 	at float64 // milliseconds
 }
 
-// Drains holds the drains that peers have announced, and those of this driver's own lists, which it announces to them. A
-// drain ends only by a list that is at least as new as the one that announced it, read here or by a peer: neither the
-// heal of a partition nor the failure of the announcing peer ends it.
+// Drains holds the drains that peers have announced, and those of this driver's own lists, which it announces to them.
+// A drain ends only by a list that is at least as new as the one that announced it, read here or by a peer: neither
+// the heal of a partition nor the failure of the announcing peer ends it.
 type Drains struct {
 	limit        int
 	retainFor    float64 // milliseconds
--- a/internal/fleet/mesh/options.go
+++ b/internal/fleet/mesh/options.go
@@ -27,7 +27,8 @@
 	ExpectedDrivers int // before the drivers have agreed on a roster
 	TakeoverAfter   time.Duration
 
-	// Gossip gives what this driver sends peers: all of it, along with complete states, or the recent part. Nil: no gossip.
+	// Gossip gives what this driver sends peers: all of it, along with complete states, or the recent part. Nil: no
+	// gossip.
 	Gossip func(all bool) *Gossip
 	// ReceiveGossip takes a peer's. requestedAt is when it was asked for, by Now, and -Inf where it came unasked.
 	// changed: it is to be passed on. request: the peer is to be asked at once, as what it says then counts for more.
--- a/internal/roster/doc.go
+++ b/internal/roster/doc.go
@@ -11,7 +11,8 @@
 //  2. orders the update within its source's history (view.order). An older one is stale, changes that continue from an
 //     unknown revision leave a gap, and a linearizable snapshot whose revision went back begins a new epoch;
 //  3. applies it to the view, or holds back a snapshot that lost most members until a later one confirms it;
-//  4. elects the source that leads: the preferred one while it is connected and for some time more, or else a connected one;
+//  4. elects the source that leads: the preferred one while it is connected and for some time more, or else a
+//     connected one;
 //  5. publishes the leader's view, less what tombstones forbid, and returns what changed.
 //
 // # The invariant of tombstones
