--- a/internal/controlplane/agent/corelink.go
+++ b/internal/controlplane/agent/corelink.go
@@ -127,7 +127,7 @@
 	a.core, a.candidate = core, nil
 	a.log.Event(events.LinkUp, "core", core.addr)
 	if former != nil {
-		a.log.Event(events.CoreMoved, "from", former.addr, "to", core.addr,
+		a.log.Event(events.CoreFailover, "from", former.addr, "to", core.addr,
 			"apart", former.isolated, "silentMs", int(a.now()-former.lastFrameAt))
 		former.link.Close()
 	}
--- a/internal/controlplane/contact.go
+++ b/internal/controlplane/contact.go
@@ -59,7 +59,7 @@
 	age := s.server.contactAge()
 	event := events.ContactLost
 	if established {
-		event = events.ContactHeld
+		event = events.ContactRegained
 	}
 	s.server.log.Event(event, "ageMs", math.Round(age))
 	s.agents.notify(&controlmsg.StateUpdate{QuorumContactAgeMs: &age})
--- a/internal/controlplane/driverleases.go
+++ b/internal/controlplane/driverleases.go
@@ -41,7 +41,7 @@
 	if !d.table.Renew(driver, now+ms(driverLeaseDuration)) {
 		return false
 	}
-	d.log.Event(events.DriverNew, "driver", driver.Name)
+	d.log.Event(events.DriverLeaseGranted, "driver", driver.Name)
 	d.changed = true
 	return true
 }
@@ -65,7 +65,7 @@
 // expire drops the leases that ran out.
 func (d *driverLeases) expire(now float64) {
 	for _, driver := range d.table.Expire(now) {
-		d.log.Event(events.DriverLapsed, "driver", driver.Name)
+		d.log.Event(events.DriverLeaseExpired, "driver", driver.Name)
 		d.changed = true
 	}
 }
--- a/internal/controlplane/failovers.go
+++ b/internal/controlplane/failovers.go
@@ -165,11 +165,11 @@
 	log := s.server.log
 	switch action.Kind {
 	case failover.Log:
-		log.Event(events.Succession, "svc", service, "member", action.ID, "what", action.Reason)
+		log.Event(events.FailoverStatus, "svc", service, "member", action.ID, "what", action.Reason)
 	case failover.EnforceDrain:
 		s.members.enforceDrain(action.ID)
 	case failover.Promote:
-		log.Event(events.SuccessStep, "svc", service, "step", "failover", "to", action.ID, "from", action.Reason)
+		log.Event(events.FailoverStep, "svc", service, "step", "failover", "to", action.ID, "from", action.Reason)
 		go f.promote(controller, service, action.ID, f.nextFence())
 	case failover.AllowRemoval:
 		s.roster.removable[config.RosterMember{Service: service, ID: action.ID}] = true
@@ -181,7 +181,7 @@
 		}
 		statement := statusStatement(action)
 		if action.Kind != failover.QueryStatus {
-			log.Event(events.SuccessStep, "svc", service, "step", statement, "member", action.ID)
+			log.Event(events.FailoverStep, "svc", service, "step", statement, "member", action.ID)
 		}
 		go f.queryStatus(controller, member, action.Kind, statement)
 	}
--- a/internal/controlplane/loop.go
+++ b/internal/controlplane/loop.go
@@ -108,13 +108,13 @@
 	s := server.settings
 	if s.Bootstrap && slices.Contains(s.Peers, s.ControlAddr) {
 		hardState := consensus.Bootstrap(s.ControlAddr, s.Peers)
-		server.log.Event(events.Founded, "voters", s.Peers)
+		server.log.Event(events.Bootstrapped, "voters", s.Peers)
 		return hardState
 	}
 	var id [8]byte
 	_, _ = rand.Read(id[:])
 	hardState := consensus.Empty(hex.EncodeToString(id[:]) + "@" + s.ControlAddr)
-	server.log.Event(events.Joining, "id", hardState.ID)
+	server.log.Event(events.JoinRequested, "id", hardState.ID)
 	return hardState
 }
 
@@ -149,7 +149,7 @@
 			}
 			stopping, leaveDeadline = nil, c.server.now()+ms(leaveTimeout)
 			c.node.Leave(c.server.now())
-			c.server.log.Event(events.Leaving, "leads", c.established)
+			c.server.log.Event(events.LeavingCore, "leads", c.established)
 		case command := <-c.queue.Commands:
 			command.Run()
 			c.runQueued()
@@ -269,7 +269,7 @@
 	}
 	if voters != c.voters {
 		c.voters = voters
-		c.server.log.Event(events.VotersChange, "voters", voters, "index", entry.Index)
+		c.server.log.Event(events.VotersChanged, "voters", voters, "index", entry.Index)
 	}
 	return addrs
 }
@@ -290,9 +290,9 @@
 	}
 	c.established = established
 	term := c.node.HardState.Term
-	event := events.LedOver
+	event := events.LostLeadership
 	if established {
-		event = events.Leads
+		event = events.BecameLeader
 	}
 	c.server.log.Event(event, "term", term)
 	s := c.server.state
--- a/internal/controlplane/membership.go
+++ b/internal/controlplane/membership.go
@@ -56,11 +56,11 @@
 		return
 	}
 	if !known {
-		m.log.Event(events.MemberNew, "member", current.ID, "svc", current.Service, "addr", current.Addr,
+		m.log.Event(events.MemberJoined, "member", current.ID, "svc", current.Service, "addr", current.Addr,
 			"role", int(current.Role))
 		m.endReplaced(current, now)
 	} else if previous.Role != current.Role {
-		m.log.Event(events.MemberRole, "member", current.ID, "svc", current.Service, "role", int(current.Role))
+		m.log.Event(events.MemberRoleChanged, "member", current.ID, "svc", current.Service, "role", int(current.Role))
 	}
 	m.beginDrain(current, now)
 	if !known || previous.Role == current.Role && previous.Leaving == current.Leaving {
@@ -91,7 +91,7 @@
 // leave notes that a member has ended.
 func (m *membership) leave(id string, now float64) {
 	if record, ok := m.table.Leave(id, now); ok {
-		m.log.Event(events.MemberGone, "member", id, "why", "left")
+		m.log.Event(events.MemberRemoved, "member", id, "why", "left")
 		m.publish([]directory.Member{record})
 	}
 }
@@ -112,7 +112,7 @@
 func (m *membership) expire(now float64) {
 	expired := m.table.Expire(now, ms(memberTimeout))
 	for _, record := range expired {
-		m.log.Event(events.MemberGone, "member", record.ID, "why", "silent")
+		m.log.Event(events.MemberRemoved, "member", record.ID, "why", "silent")
 	}
 	if expired != nil {
 		m.publish(expired)
@@ -127,7 +127,7 @@
 	}
 	if _, ok := m.drainingSince[record.ID]; !ok {
 		m.drainingSince[record.ID] = now
-		m.log.Event(events.MemberDrains, "member", record.ID, "svc", record.Service, "role", int(record.Role))
+		m.log.Event(events.MemberDraining, "member", record.ID, "svc", record.Service, "role", int(record.Role))
 	}
 	if record.Role != directory.RolePrimary {
 		m.enforceDrain(record.ID)
--- a/internal/controlplane/requests.go
+++ b/internal/controlplane/requests.go
@@ -35,18 +35,18 @@
 	log := c.server.log
 	switch {
 	case result.Outcome == orders.OutcomeRejected && r.SiteLease == nil:
-		log.Event(events.ConfigNot, "reason", result.Reason, "why", string(result.Body), "from", r.Origin)
+		log.Event(events.ConfigRejected, "reason", result.Reason, "why", string(result.Body), "from", r.Origin)
 	case result.Outcome != orders.OutcomeApplied:
 	case r.ForgetMember != "":
 		log.Event(events.RosterChange, "forgotten", r.ForgetMember, "from", r.Origin)
 	case r.SiteChange != nil:
 		change := r.SiteChange
-		log.Event(events.SiteMap, "kind", change.Kind, "site", change.Name, "version", result.State.Sites.Version)
+		log.Event(events.SiteMapChanged, "kind", change.Kind, "site", change.Name, "version", result.State.Sites.Version)
 	case r.ShardChange != nil:
 		change := r.ShardChange
-		log.Event(events.ShardMap, "kind", change.Kind, "shard", change.Shard, "node", change.Node,
+		log.Event(events.ShardMapChanged, "kind", change.Kind, "shard", change.Shard, "node", change.Node,
 			"version", result.State.Shards.Version)
 	default:
-		log.Event(events.ConfigTaken, "gen", result.State.Version, "base", r.BaseVersion, "from", r.Origin)
+		log.Event(events.ConfigAcknowledged, "gen", result.State.Version, "base", r.BaseVersion, "from", r.Origin)
 	}
 }
--- a/internal/controlplane/shardmoves.go
+++ b/internal/controlplane/shardmoves.go
@@ -118,7 +118,7 @@
 		return
 	}
 	if action.Kind != shardmap.ActionFetch {
-		log.Event(events.ShardStep, "shard", action.Shard, "node", action.Node, "step", statement)
+		log.Event(events.ShardMoveStep, "shard", action.Shard, "node", action.Node, "step", statement)
 	}
 	go m.request(rb, node, action, statement)
 }
--- a/internal/controlplane/siteleases.go
+++ b/internal/controlplane/siteleases.go
@@ -51,7 +51,7 @@
 			continue
 		}
 		l.grantedAt[name] = now
-		h.log.Event(events.SiteLapsed, "site", name, "epoch", site.Epoch)
+		h.log.Event(events.SiteLeaseExpired, "site", name, "epoch", site.Epoch)
 		change := &sites.Change{Kind: sites.ChangeExpire, Name: name, Epoch: site.Epoch}
 		go h.submit(controlmsg.Request{SiteChange: change})
 	}
--- a/internal/dataplane/proxy/dispatch.go
+++ b/internal/dataplane/proxy/dispatch.go
@@ -138,5 +138,5 @@
 		}
 	}
 	log.count = 0
-	r.proxy.log.Event(events.Refused, pairs...)
+	r.proxy.log.Event(events.StatementsRejected, pairs...)
 }
--- a/internal/dataplane/proxy/router.go
+++ b/internal/dataplane/proxy/router.go
@@ -106,13 +106,13 @@
 func (r *router) updateConfig(raw []byte) {
 	cfg, err := config.Parse(raw)
 	if err != nil {
-		r.proxy.log.Error(events.ConfigNot, err)
+		r.proxy.log.Error(events.ConfigRejected, err)
 		return
 	}
 	first := r.config == nil
 	r.config = cfg
 	r.proxy.config.Store(cfg)
-	r.proxy.log.Event(events.ConfigSeen, "gen", cfg.Version, "routes", len(cfg.Routes))
+	r.proxy.log.Event(events.ConfigApplied, "gen", cfg.Version, "routes", len(cfg.Routes))
 	for i := range cfg.Services {
 		r.group(cfg.Services[i].Name).maxConns = cfg.Services[i].MaxConnections
 	}
--- a/internal/dataplane/proxy/session.go
+++ b/internal/dataplane/proxy/session.go
@@ -84,7 +84,7 @@
 		return s.endsWhileIdle(wait)
 	}
 	if isProtocolError(err) {
-		s.proxy.log.Event(events.SessionBad, "peer", s.client.RemoteAddr().String(), "why", err.Error())
+		s.proxy.log.Event(events.MalformedMessage, "peer", s.client.RemoteAddr().String(), "why", err.Error())
 		s.rejectSession(err)
 	}
 	return true
--- a/internal/session/edge/socket.go
+++ b/internal/session/edge/socket.go
@@ -73,7 +73,7 @@
 
 func (r *runner) endSocket(s *socket, event queue.ClientEvent) {
 	delete(r.sockets, event.Socket)
-	r.log.Event(events.SocketEnd, "sock", event.Socket, "why", event.Reason)
+	r.log.Event(events.SocketClosed, "sock", event.Socket, "why", event.Reason)
 	status := websocket.StatusPolicyViolation
 	if event.Resumable {
 		status = websocket.StatusTryAgainLater
--- a/internal/session/site/lease.go
+++ b/internal/session/site/lease.go
@@ -53,7 +53,7 @@
 	if ended != r.incarnation || m == nil || m.Sites[r.settings.Hostname].Incarnation != ended {
 		return
 	}
-	r.log.Event(events.SiteSelf, "site", r.settings.Hostname, "what", "this life is over; another begins")
+	r.log.Event(events.SiteStateChanged, "site", r.settings.Hostname, "what", "this life is over; another begins")
 	r.decider = queue.NewSite(r.settings.Hostname, r.limits)
 	r.incarnation = newIncarnation()
 	r.state = ""
@@ -68,7 +68,7 @@
 		r.decider.ExtendLease(askedAt + float64(controlplane.SiteLeaseDuration.Milliseconds()))
 		if self.State != r.state {
 			r.state = self.State
-			r.log.Event(events.SiteSelf, "site", r.settings.Hostname, "what", string(self.State), "epoch", self.Epoch)
+			r.log.Event(events.SiteStateChanged, "site", r.settings.Hostname, "what", string(self.State), "epoch", self.Epoch)
 		}
 	}
 	if before == nil || before.Version < m.Version {
--- a/internal/util/events/catalogue.go
+++ b/internal/util/events/catalogue.go
@@ -16,33 +16,33 @@
 
 // Events of consensus among the core machines.
 const (
-	Leads        Event = 201
-	LedOver      Event = 202
-	Founded      Event = 203
-	VotersChange Event = 204
-	DiskFailed   Event = 205
-	Joining      Event = 206
-	ContactHeld  Event = 207
-	ContactLost  Event = 208
-	Leaving      Event = 209
+	BecameLeader    Event = 201
+	LostLeadership  Event = 202
+	Bootstrapped    Event = 203
+	VotersChanged   Event = 204
+	DiskFailed      Event = 205
+	JoinRequested   Event = 206
+	ContactRegained Event = 207
+	ContactLost     Event = 208
+	LeavingCore     Event = 209
 )
 
 // Events of the operator's configuration.
 const (
-	ConfigTaken Event = 301
-	ConfigNot   Event = 302
-	ConfigSeen  Event = 303
+	ConfigAcknowledged Event = 301
+	ConfigRejected     Event = 302
+	ConfigApplied      Event = 303
 )
 
 // Events of members and drivers.
 const (
-	MemberNew    Event = 401
-	MemberDrains Event = 402
-	MemberGone   Event = 403
-	MemberRole   Event = 404
-	DriverNew    Event = 405
-	DriverLapsed Event = 406
-	RosterChange Event = 407
+	MemberJoined       Event = 401
+	MemberDraining     Event = 402
+	MemberRemoved      Event = 403
+	MemberRoleChanged  Event = 404
+	DriverLeaseGranted Event = 405
+	DriverLeaseExpired Event = 406
+	RosterChange       Event = 407
 )
 
 // Events of writer slots.
@@ -53,37 +53,37 @@
 
 // Events of failovers.
 const (
-	Succession   Event = 601
-	SuccessStep  Event = 602
-	PlatformCall Event = 603
+	FailoverStatus Event = 601
+	FailoverStep   Event = 602
+	PlatformCall   Event = 603
 )
 
 // Events of clients' sessions at a proxy.
 const (
-	SessionBad Event = 701
-	Refused    Event = 702
+	MalformedMessage   Event = 701
+	StatementsRejected Event = 702
 )
 
 // Events of links between the system's processes.
 const (
-	LinkUp    Event = 801
-	LinkDown  Event = 802
-	CoreMoved Event = 803
+	LinkUp       Event = 801
+	LinkDown     Event = 802
+	CoreFailover Event = 803
 )
 
 // Events of shards.
 const (
-	ShardMap  Event = 901
-	ShardMove Event = 902
-	ShardStep Event = 903
+	ShardMapChanged Event = 901
+	ShardMove       Event = 902
+	ShardMoveStep   Event = 903
 )
 
 // Events of the sites and edges of open sessions.
 const (
-	SiteMap    Event = 1001
-	SiteLapsed Event = 1002
-	SiteSelf   Event = 1003
-	SocketEnd  Event = 1004
+	SiteMapChanged   Event = 1001
+	SiteLeaseExpired Event = 1002
+	SiteStateChanged Event = 1003
+	SocketClosed     Event = 1004
 )
 
 // Catalogue says what each event means, as docs/events.md prints it. No line of the log holds these texts.
@@ -94,48 +94,48 @@
 	Reloaded:    "the settings file was read again; the peers that it names",
 	BadSettings: "the settings file can't be read; the settings in force stay",
 
-	Leads:        "this core machine is the leader from now on, in the term given, which is also its fencing token",
-	LedOver:      "this core machine is no longer the leader",
-	Founded:      "the core was bootstrapped with these voters",
-	VotersChange: "the core committed another set of voters",
-	DiskFailed:   "the disk refused a write or failed; this machine grants no vote until it works again",
-	Joining:      "a machine without state asks the core to become a voter",
-	ContactHeld:  "this core machine has contact with a majority again: it answers calls and serves agents",
-	ContactLost:  "this core machine has lost contact with a majority: it answers 503, and its agents fail over",
-	Leaving:      "this core machine shuts down: it transfers leadership, and asks to be removed where enough remain",
-
-	ConfigTaken: "a configuration is synced on a majority of disks and was acknowledged",
-	ConfigNot:   "a configuration was rejected, with the reason",
-	ConfigSeen:  "a proxy applies this configuration from now on",
-
-	MemberNew:    "a member sent its first heartbeat",
-	MemberDrains: "a member reports that it is draining",
-	MemberGone:   "a member left, or timed out and was removed",
-	MemberRole:   "a member reports another role",
-	DriverNew:    "a driver was granted a lease",
-	DriverLapsed: "a driver's lease expired",
-	RosterChange: "the roster of members that may hold an acknowledged commit is to change",
+	BecameLeader:    "this core machine is the leader from now on, in the term given, which is also its fencing token",
+	LostLeadership:  "this core machine is no longer the leader",
+	Bootstrapped:    "the core was bootstrapped with these voters",
+	VotersChanged:   "the core committed another set of voters",
+	DiskFailed:      "the disk refused a write or failed; this machine grants no vote until it works again",
+	JoinRequested:   "a machine without state asks the core to become a voter",
+	ContactRegained: "this core machine has contact with a majority again: it answers calls and serves agents",
+	ContactLost:     "this core machine has lost contact with a majority: it answers 503, and its agents fail over",
+	LeavingCore:     "this core machine shuts down: it transfers leadership, and asks to be removed where enough remain",
+
+	ConfigAcknowledged: "a configuration is synced on a majority of disks and was acknowledged",
+	ConfigRejected:     "a configuration was rejected, with the reason",
+	ConfigApplied:      "a proxy applies this configuration from now on",
+
+	MemberJoined:       "a member sent its first heartbeat",
+	MemberDraining:     "a member reports that it is draining",
+	MemberRemoved:      "a member left, or timed out and was removed",
+	MemberRoleChanged:  "a member reports another role",
+	DriverLeaseGranted: "a driver was granted a lease",
+	DriverLeaseExpired: "a driver's lease expired",
+	RosterChange:       "the roster of members that may hold an acknowledged commit is to change",
 
 	SlotFilled:  "a group's writer slot names this member from now on, and by what evidence",
 	SlotEmptied: "a group's writer slot is empty, and why; its writes are queued",
 
-	Succession:   "the failover of a service to another primary begins, and why",
-	SuccessStep:  "a step of a failover was taken, or what it waits for",
-	PlatformCall: "a call to the platform, with its answer",
+	FailoverStatus: "the failover of a service to another primary begins, and why; or what it waits for",
+	FailoverStep:   "a step of a failover was taken",
+	PlatformCall:   "a call to the platform, with its answer",
 
-	SessionBad: "a client sent bytes that are no message; its connection was closed",
-	Refused:    "statements were rejected without being sent (at most a line a second for a group): what they waited for",
+	MalformedMessage:   "a client sent bytes that are no message; its connection was closed",
+	StatementsRejected: "statements were rejected, unsent (at most a line a second for a group): what they waited for",
 
-	LinkUp:    "a link to another process of the system is up",
-	LinkDown:  "a link to another process of the system ended",
-	CoreMoved: "an agent failed over to another core machine, and why",
+	LinkUp:       "a link to another process of the system is up",
+	LinkDown:     "a link to another process of the system ended",
+	CoreFailover: "an agent failed over to another core machine, and why",
 
-	ShardMap:  "a change of the shard map is synced on a majority of disks",
-	ShardMove: "a shard's move begins or is rolled back, and why; or a new plan is made",
-	ShardStep: "a node was sent a step of a shard's move",
+	ShardMapChanged: "a change of the shard map is synced on a majority of disks",
+	ShardMove:       "a shard's move begins or is rolled back, and why; or a new plan is made",
+	ShardMoveStep:   "a node was sent a step of a shard's move",
 
-	SiteMap:    "a change of the sites of open sessions is synced on a majority of disks",
-	SiteLapsed: "a site's lease expired: its neighbours take its sessions over",
-	SiteSelf:   "this site's incarnation began, is draining or ended, by the map of sites",
-	SocketEnd:  "the edge closed a client's socket, and why",
+	SiteMapChanged:   "a change of the sites of open sessions is synced on a majority of disks",
+	SiteLeaseExpired: "a site's lease expired: its neighbours take its sessions over",
+	SiteStateChanged: "this site's incarnation began, is draining or ended, by the map of sites",
+	SocketClosed:     "the edge closed a client's socket, and why",
 }
--- a/internal/util/events/golden_test.go
+++ b/internal/util/events/golden_test.go
@@ -27,7 +27,7 @@
 	var b strings.Builder
 	l := New(&b, "core1")
 	l.Event(Stopping)
-	l.Event(CoreMoved, "from", "10.0.0.1:7440", "to", "10.0.0.2:7440", "apart", true, "silentMs", 2600)
+	l.Event(CoreFailover, "from", "10.0.0.1:7440", "to", "10.0.0.2:7440", "apart", true, "silentMs", 2600)
 	l.Event(SlotFilled, "svc", "a \"b\"", "list", []string{"x", "y"}, "share", 0.5, "table", map[string]int{"a": 1})
 	l.Error(LinkDown, oops.In("link").With("peer", "10.0.0.1:7440").Wrapf(errors.New("refused"), "dial"), "core", "c")
 	l.Error(DiskFailed, errors.New("full"))
