--- a/internal/dataplane/memberconn/golden_test.go
+++ b/internal/dataplane/memberconn/golden_test.go
@@ -3,22 +3,19 @@
 import (
 	"bytes"
 	"errors"
-	"flag"
 	"fmt"
 	"io"
 	"net"
-	"os"
 	"strings"
 	"testing"
 	"time"
 
 	"weirwind/internal/controlplane/directory"
 	"weirwind/internal/dataplane/wire"
+	"weirwind/internal/standin/golden"
 	"weirwind/internal/util/idempotency"
 )
 
-var update = flag.Bool("update", false, "write testdata/conversations.golden anew")
-
 // script is a connection whose peer says what is written here, and which takes so many bytes.
 type script struct {
 	net.Conn
@@ -146,24 +143,5 @@
 // What goes over a connection and what comes of each answer stay as they were when the golden file was written. Only dialling needs a
 // socket, on the loopback; all else is scripted.
 func TestConversationsMatchTheGoldenFile(t *testing.T) {
-	const path = "testdata/conversations.golden"
-	got := conversations(t)
-	if *update {
-		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	gotLines, wantLines := strings.Split(got, "\n"), strings.Split(string(want), "\n")
-	for i := range max(len(gotLines), len(wantLines)) {
-		if i >= len(gotLines) || i >= len(wantLines) {
-			t.Fatalf("%d lines, recorded %d", len(gotLines), len(wantLines))
-		}
-		if gotLines[i] != wantLines[i] {
-			t.Errorf("line %d:\n%s\nrecorded\n%s", i+1, gotLines[i], wantLines[i])
-		}
-	}
+	golden.Lines(t, "testdata/conversations.golden", conversations(t))
 }
--- a/internal/dataplane/wire/golden_test.go
+++ b/internal/dataplane/wire/golden_test.go
@@ -1,15 +1,13 @@
 package wire
 
 import (
-	"flag"
 	"fmt"
 	"io"
-	"os"
 	"strings"
 	"testing"
-)
 
-var update = flag.Bool("update", false, "write testdata/messages.golden anew")
+	"weirwind/internal/standin/golden"
+)
 
 // render writes what each kind of message parses to, the limits, the errors' texts and the words on the wire, one a
 // line.
@@ -92,26 +90,7 @@
 
 // What is read of each kind of message, and the limits and errors, stay as they were when the golden file was written.
 func TestMessagesMatchTheGoldenFile(t *testing.T) {
-	const path = "testdata/messages.golden"
-	got := render()
-	if *update {
-		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	gotLines, wantLines := strings.Split(got, "\n"), strings.Split(string(want), "\n")
-	for i := range max(len(gotLines), len(wantLines)) {
-		if i >= len(gotLines) || i >= len(wantLines) {
-			t.Fatalf("%d lines, recorded %d", len(gotLines), len(wantLines))
-		}
-		if gotLines[i] != wantLines[i] {
-			t.Errorf("line %d:\n%s\nrecorded\n%s", i+1, gotLines[i], wantLines[i])
-		}
-	}
+	golden.Lines(t, "testdata/messages.golden", render())
 }
 
 // A position and a message's text come out of the bytes that they were written to.
--- a/internal/standin/golden/golden.go
+++ b/internal/standin/golden/golden.go
@@ -1,7 +1,8 @@
 // Package golden holds the encoded forms of values against those that a file records, so that a change of a stored or
 // wire form shows as a failing test.
 //
-// It owns the files' layout: a line for each case, its name, a tab and the form, in hexadecimal where it is binary.
+// It owns the files' layout: a line for each case, its name, a tab and the form, in hexadecimal where it is binary;
+// the files of Lines are plain text.
 // With GOLDEN=write in the environment a missing file is written; one that is there is never overwritten.
 package golden
 
@@ -58,6 +59,28 @@
 	}, func(form string, v *string) error { return json.Unmarshal([]byte(form), v) })
 }
 
+// Lines compares a text with a file that records it whole, line by line.
+func Lines(t *testing.T, file, got string) {
+	t.Helper()
+	recorded, err := os.ReadFile(file)
+	if os.IsNotExist(err) && os.Getenv("GOLDEN") == "write" {
+		create(t, file, got)
+		return
+	}
+	if err != nil {
+		t.Fatal(err)
+	}
+	gotLines, wantLines := strings.Split(got, "\n"), strings.Split(string(recorded), "\n")
+	if len(gotLines) != len(wantLines) {
+		t.Errorf("%d lines, recorded %d", len(gotLines), len(wantLines))
+	}
+	for i := range min(len(gotLines), len(wantLines)) {
+		if gotLines[i] != wantLines[i] {
+			t.Errorf("line %d:\n%s\nrecorded\n%s", i+1, gotLines[i], wantLines[i])
+		}
+	}
+}
+
 func check[T any](
 	t *testing.T,
 	file string,
@@ -119,10 +142,15 @@
 		}
 		b.WriteString(c.Name + "\t" + form + "\n")
 	}
+	create(t, file, b.String())
+}
+
+func create(t *testing.T, file, text string) {
+	t.Helper()
 	if err := os.MkdirAll("testdata", 0o755); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(file, []byte(b.String()), 0o644); err != nil {
+	if err := os.WriteFile(file, []byte(text), 0o644); err != nil {
 		t.Fatal(err)
 	}
 	t.Logf("%s is written", file)
