--- a/internal/controlplane/agent/quotas_test.go
+++ b/internal/controlplane/agent/quotas_test.go
@@ -79,7 +79,7 @@
 	h.a.updateStandbyLimits(h.a.now())
 	report := h.a.standby.limiter.NextReport(h.a.now())
 	h.a.takeStandbyGrant(&controlmsg.QuotaGrant{Holder: h.a.self.Name, Standby: true, Incarnation: report.Incarnation,
-		Seq: report.Seq, LeaseMs: quota.Lease, Shares: []controlmsg.QuotaShare{{Tenant: "t", Share: 1, Tokens: 5}}})
+		Seq: report.Seq, LeaseMs: quota.LeaseMs, Shares: []controlmsg.QuotaShare{{Tenant: "t", Share: 1, Tokens: 5}}})
 	if !h.a.holdsShares() {
 		t.Fatal("a grant is not applied")
 	}
--- a/internal/controlplane/agent/standby.go
+++ b/internal/controlplane/agent/standby.go
@@ -70,7 +70,7 @@
 	if err != nil { // as the core has accepted it, it is of a later version of the program
 		return
 	}
-	s.limiter.SetLimits(quota.Limits(current, a.settings, quota.StandbyPart), now)
+	s.limiter.SetLimits(quota.Limits(current, a.settings, quota.StandbyFraction), now)
 }
 
 // takeStandbyGrant takes the leader's answer to this agent's report.
--- a/internal/controlplane/loop.go
+++ b/internal/controlplane/loop.go
@@ -106,7 +106,7 @@
 		orders: orders.New(orders.Limits{Pending: maxPendingRequests, Timeout: ms(requestTimeout)})}
 	options := consensus.Options{Addr: s.ControlAddr, Seeds: s.Peers, MinVoters: 2*s.TolerateNodes + 1,
 		HeartbeatInterval: ms(heartbeatInterval), ElectionTimeout: ms(electionTimeout), RemoveAfter: ms(removeAfter),
-		FormerVoterLifetime: quota.BoundLifetime,
+		FormerVoterLifetime: quota.BoundLifetimeMs,
 		Random:              drawFraction}
 	c.node = consensus.New(options, hardState, server.now())
 	return c, nil
--- a/internal/controlplane/quota/allocator.go
+++ b/internal/controlplane/quota/allocator.go
@@ -10,13 +10,13 @@
 // bounds of a tenant's shares, with what may be held unreported, must never be raised above 1 in sum.
 
 const (
-	// Lease is for how long a holder has what it was granted, from the sending of the report that was answered, in ms.
-	Lease = 12_000.0
+	// LeaseMs is for how long a holder keeps granted shares, in milliseconds from the sending of the answered report.
+	LeaseMs = 12_000.0
 	// overlap is for how long an earlier leader may go on granting beside this one, in ms: until its contact with a quorum
 	// is over, 1.5 s after this one began at most. The rest is for clocks whose rates differ.
 	overlap = 2000.0
-	// BoundLifetime is for how long a holder may have what it reported last, or was granted then, in ms.
-	BoundLifetime = Lease + overlap
+	// BoundLifetimeMs is for how long a holder may have what it reported last, or was granted then, in ms.
+	BoundLifetimeMs = LeaseMs + overlap
 	// maxShareOfSeveral bounds a holder's share where the core must go on without some of its machines: the others may
 	// then have the rest while one is silent.
 	maxShareOfSeveral = 0.5
@@ -52,7 +52,7 @@
 // leads.
 func New(now float64, lead uint64, holders []string, several bool) *Allocator {
 	a := &Allocator{lead: lead, tenants: map[string]*allocation{}, holders: map[string]*holder{},
-		aloneFrom: now + overlap, unknownUntil: now + BoundLifetime, maxShare: 1}
+		aloneFrom: now + overlap, unknownUntil: now + BoundLifetimeMs, maxShare: 1}
 	if several {
 		a.maxShare = maxShareOfSeveral
 	}
@@ -69,8 +69,8 @@
 // SetVoters sets how many machines may hold shares.
 func (a *Allocator) SetVoters(n int) { a.voters = n }
 
-// Known reports whether all shares that may be held were reported.
-func (a *Allocator) Known(now float64) bool {
+// SharesKnown reports whether all shares that may be held were reported.
+func (a *Allocator) SharesKnown(now float64) bool {
 	a.expire(now)
 	return a.known
 }
@@ -115,7 +115,7 @@
 		delete(a.unreported, r.Holder)
 		a.checkKnown(now)
 	}
-	grant := &controlmsg.QuotaGrant{Holder: r.Holder, Incarnation: r.Incarnation, Seq: r.Seq, LeaseMs: Lease}
+	grant := &controlmsg.QuotaGrant{Holder: r.Holder, Incarnation: r.Incarnation, Seq: r.Seq, LeaseMs: LeaseMs}
 	if now >= a.aloneFrom {
 		grant.Lead = a.lead
 	}
@@ -148,7 +148,7 @@
 		known = &holder{tenants: map[string]bool{}}
 		a.holders[r.Holder] = known
 	}
-	known.incarnation, known.seq, known.boundsUntil = r.Incarnation, r.Seq, now+BoundLifetime
+	known.incarnation, known.seq, known.boundsUntil = r.Incarnation, r.Seq, now+BoundLifetimeMs
 	return true
 }
 
--- a/internal/controlplane/quota/allocator_test.go
+++ b/internal/controlplane/quota/allocator_test.go
@@ -7,7 +7,7 @@
 	"weirwind/internal/controlplane/controlmsg"
 )
 
-const known = BoundLifetime // when a book that begins at 0 knows all shares
+const known = BoundLifetimeMs // when a book that begins at 0 knows all shares
 
 // bookOf gives the book of a lead that began at 0, with a tenant "t" of 100 operations a second and a burst of 50.
 func bookOf() *Allocator {
@@ -81,12 +81,12 @@
 func TestADeadProxysShareComesBack(t *testing.T) {
 	a := bookOf()
 	ask(a, "one", 1, 0, 90, known)
-	got, _ := ask(a, "two", 1, 0, 50, known+BoundLifetime-1)
+	got, _ := ask(a, "two", 1, 0, 50, known+BoundLifetimeMs-1)
 	wantShare(t, "while a silent holder may have the rest", got, 0.1)
-	got, _ = ask(a, "two", 2, 0, 50, known+BoundLifetime)
+	got, _ = ask(a, "two", 2, 0, 50, known+BoundLifetimeMs)
 	wantShare(t, "once its lease is over", got, 0.65)
-	a.Report(&controlmsg.QuotaReport{Holder: "two", Incarnation: 2, Seq: 1}, known+BoundLifetime)
-	got, _ = ask(a, "three", 1, 0, 50, known+BoundLifetime)
+	a.Report(&controlmsg.QuotaReport{Holder: "two", Incarnation: 2, Seq: 1}, known+BoundLifetimeMs)
+	got, _ = ask(a, "three", 1, 0, 50, known+BoundLifetimeMs)
 	wantShare(t, "once it was restarted", got, 0.65)
 }
 
@@ -129,7 +129,7 @@
 	wantShare(t, "of a tenant that has a quota again", got, 0.35)
 	a.SetLimits(nil, known)
 	ask(a, "one", 2, 0, 50, known)
-	a.SetLimits(nil, known+BoundLifetime)
+	a.SetLimits(nil, known+BoundLifetimeMs)
 	if len(a.tenants) != 0 || len(a.holders) != 0 {
 		t.Errorf("%d tenants and %d proxies are kept", len(a.tenants), len(a.holders))
 	}
--- a/internal/controlplane/quota/limit.go
+++ b/internal/controlplane/quota/limit.go
@@ -9,8 +9,8 @@
 
 // Parts of each quota that core machines hold, and stand-by agents.
 const (
-	CorePart    = 0.75
-	StandbyPart = 1 - CorePart
+	CoreFraction    = 0.75
+	StandbyFraction = 1 - CoreFraction
 )
 
 // Limit is a tenant's token bucket over all drivers.
--- a/internal/controlplane/quota/limiter/limiter.go
+++ b/internal/controlplane/quota/limiter/limiter.go
@@ -35,9 +35,9 @@
 // Decision is the answer to one operation.
 type Decision struct {
 	Verdict Verdict
-	// AfterMs is when to try again, in milliseconds: for a client that was refused, or for one that waits. Where there is
+	// RetryAfterMs is when to try again, in milliseconds: for a client that was refused, or for one that waits. Where there is
 	// no share it is a guess.
-	AfterMs float64
+	RetryAfterMs float64
 }
 
 // Limiter gives out tokens for operations of tenants by the shares of their limits that this holder has. Its state is
@@ -220,11 +220,11 @@
 	return l.hasShares
 }
 
-// Lapsed counts how often shares ended with their lease.
-func (l *Limiter) Lapsed() int { return l.lapsed }
+// LeaseExpirations counts how often shares ended with their lease.
+func (l *Limiter) LeaseExpirations() int { return l.lapsed }
 
-// Held is the share that is held of a tenant's limit, and the operations a second that its clients ask for.
-func (l *Limiter) Held(name string, now float64) (share, perSecond float64) {
+// ShareAndDemand is the share that is held of a tenant's limit, and the operations a second that its clients ask for.
+func (l *Limiter) ShareAndDemand(name string, now float64) (share, perSecond float64) {
 	l.expire(now)
 	t := l.tenants[name]
 	if t == nil {
@@ -236,7 +236,7 @@
 // Totals are the sums of the shares that are held, and of what clients ask for, over all tenants.
 func (l *Limiter) Totals(now float64) (shares, perSecond float64) {
 	for name := range l.tenants {
-		share, demanded := l.Held(name, now)
+		share, demanded := l.ShareAndDemand(name, now)
 		shares += share
 		perSecond += demanded
 	}
--- a/internal/controlplane/quota/limiter/quota_test.go
+++ b/internal/controlplane/quota/limiter/quota_test.go
@@ -182,7 +182,7 @@
 func TestLowerLimitClipsTheBucketAndKeepsTheShare(t *testing.T) {
 	l := holding(t, 10, 40, 0.5, 20)
 	l.SetLimits(map[string]Limit{"t": {Rate: 10, Burst: 4}}, 100)
-	if share, _ := l.Held("t", 100); share != 0.5 {
+	if share, _ := l.ShareAndDemand("t", 100); share != 0.5 {
 		t.Errorf("share %v", share)
 	}
 	expectVerdict(t, l, 100, Admitted)
@@ -212,7 +212,7 @@
 	if l.Apply(second, 1030) {
 		t.Error("a grant is applied twice")
 	}
-	if share, _ := l.Held("t", 1030); share != 0.5 {
+	if share, _ := l.ShareAndDemand("t", 1030); share != 0.5 {
 		t.Errorf("share %v", share)
 	}
 }
@@ -229,7 +229,7 @@
 	expectVerdict(t, l, testLease-0.01, Admitted)
 	expectVerdict(t, l, testLease, Waiting)
 	expectVerdict(t, l, testLease+shareWaitMs, Refused)
-	if n := l.Lapsed(); n != 1 {
+	if n := l.LeaseExpirations(); n != 1 {
 		t.Errorf("the shares lapsed %d times", n)
 	}
 	if r := report(t, l, testLease+1000); r.Tenants[0].Share != 0 {
@@ -337,7 +337,7 @@
 		{1, 300, Refused, 700},
 		{100, 300, Refused, maxRetryAfterMs},
 	} {
-		if d := l.Admit("t", c.ahead, c.now); d.Verdict != c.verdict || math.Abs(d.AfterMs-c.after) > 1e-6 {
+		if d := l.Admit("t", c.ahead, c.now); d.Verdict != c.verdict || math.Abs(d.RetryAfterMs-c.after) > 1e-6 {
 			t.Errorf("behind %d, at %.0f: %+v, want %d for %.0f ms", c.ahead, c.now, d, c.verdict, c.after)
 		}
 	}
--- a/internal/controlplane/quota/limiter/take.go
+++ b/internal/controlplane/quota/limiter/take.go
@@ -32,9 +32,9 @@
 		case Admitted:
 			answer.Tokens++
 		case Waiting:
-			answer.RetryAfterMs = min(decision.AfterMs, shareRetryMs)
+			answer.RetryAfterMs = min(decision.RetryAfterMs, shareRetryMs)
 		default:
-			answer.RetryAfterMs = decision.AfterMs
+			answer.RetryAfterMs = decision.RetryAfterMs
 		}
 	}
 	return answer
--- a/internal/controlplane/quota/model_test.go
+++ b/internal/controlplane/quota/model_test.go
@@ -131,7 +131,7 @@
 	for tenant := range m.limits {
 		held := 0.0
 		for _, p := range m.holders {
-			share, _ := p.limiter.Held(tenant, m.Now)
+			share, _ := p.limiter.ShareAndDemand(tenant, m.Now)
 			held += share
 		}
 		m.mostHeld = max(m.mostHeld, held)
@@ -237,7 +237,7 @@
 		return nil
 	}
 	for _, p := range m.holders {
-		if p.votedUntil == math.Inf(1) || !m.faults.formerForgotten && m.Now-p.votedUntil <= BoundLifetime {
+		if p.votedUntil == math.Inf(1) || !m.faults.formerForgotten && m.Now-p.votedUntil <= BoundLifetimeMs {
 			holders = append(holders, p.name)
 		}
 	}
--- a/internal/controlplane/quotas.go
+++ b/internal/controlplane/quotas.go
@@ -54,11 +54,11 @@
 	if q.limiter == nil || current == nil {
 		return
 	}
-	limits := quota.Limits(current, q.settings, quota.CorePart)
+	limits := quota.Limits(current, q.settings, quota.CoreFraction)
 	q.limiter.SetLimits(limits, now)
 	if q.allocator != nil {
 		q.allocator.SetLimits(limits, now)
-		q.standbys.SetLimits(quota.Limits(current, q.settings, quota.StandbyPart), now)
+		q.standbys.SetLimits(quota.Limits(current, q.settings, quota.StandbyFraction), now)
 	}
 }
 
@@ -151,11 +151,11 @@
 func (s *softState) stepQuotas(now float64) {
 	s.sendQuotaReport(now)
 	q := &s.quotas
-	if q.limiter != nil && q.limiter.Lapsed() != q.lapsed {
-		q.lapsed = q.limiter.Lapsed()
+	if q.limiter != nil && q.limiter.LeaseExpirations() != q.lapsed {
+		q.lapsed = q.limiter.LeaseExpirations()
 		s.server.log.Event(events.QuotaLeaseExpired, "leads", s.leadership.active)
 	}
-	if q.allocator != nil && !q.known && q.allocator.Known(now) {
+	if q.allocator != nil && !q.known && q.allocator.SharesKnown(now) {
 		q.known = true
 		s.server.log.Event(events.QuotasKnown, "afterMs", int(now-s.leadership.since))
 	}
--- a/internal/controlplane/quotas_test.go
+++ b/internal/controlplane/quotas_test.go
@@ -119,7 +119,7 @@
 			}
 		}
 		whole := 5*100.0 + 100 - 100*controlmsg.QuotaTokenLifetimeMs/1000 // what is used late is taken off the burst
-		if most := whole * quota.CorePart; float64(tokens) > most || float64(tokens) < 0.95*most {
+		if most := whole * quota.CoreFraction; float64(tokens) > most || float64(tokens) < 0.95*most {
 			t.Errorf("%d tokens in 5 s, of %v", tokens, most)
 		}
 	})
--- a/internal/dataplane/group/group.go
+++ b/internal/dataplane/group/group.go
@@ -88,9 +88,9 @@
 	g.watermarks = nil // another primary's positions cover nothing that this one acknowledges
 }
 
-// SilentPrimary returns the id of the member that was taken out of the slot for its silence alone, and of which nothing
+// LastUnresponsivePrimary returns the id of the member that was taken out of the slot for its silence alone, and of which nothing
 // was heard since that tells that it leads no longer; "" for none.
-func (g *Group) SilentPrimary() string {
+func (g *Group) LastUnresponsivePrimary() string {
 	if g.Slot.Holder != "" || !g.Slot.Silent {
 		return ""
 	}
--- a/internal/dataplane/proxy/quota.go
+++ b/internal/dataplane/proxy/quota.go
@@ -75,7 +75,7 @@
 		return
 	}
 	now := r.proxy.now()
-	r.finishQuotaWaits(r.quotas.client.Answer(answer, now), now)
+	r.finishQuotaWaits(r.quotas.client.HandleAnswer(answer, now), now)
 	r.askForTokens(now)
 }
 
@@ -171,14 +171,14 @@
 
 // quotaSnapshot is a copy of the figures of quotas.
 type quotaSnapshot struct {
-	quota.Figures
+	quota.Stats
 	refused uint64
 	waiting int
 	waited  metrics.Histogram
 }
 
 func (q *quotas) snapshot() *quotaSnapshot {
-	return &quotaSnapshot{Figures: q.client.Figures(), refused: q.refused, waiting: q.client.TotalWaiting(),
+	return &quotaSnapshot{Stats: q.client.Stats(), refused: q.refused, waiting: q.client.TotalWaiting(),
 		waited: q.waited}
 }
 
@@ -192,7 +192,7 @@
 	set.Histogram("weirwind_proxy_quota_wait_seconds", "From an operation's wait for a token until it had one.", q.waited)
 	set.Counter("weirwind_proxy_quota_requests_total", "Requests for tokens that were sent.", float64(q.Requests))
 	set.Counter("weirwind_proxy_quota_unanswered_total", "Requests for tokens without an answer in the tokens' lifetime.",
-		float64(q.Unanswered))
+		float64(q.UnansweredRequests))
 	set.Counter("weirwind_proxy_quota_late_answers_total",
-		"Answers to requests for tokens that came after the tokens' lifetime.", float64(q.Late))
+		"Answers to requests for tokens that came after the tokens' lifetime.", float64(q.LateAnswers))
 }
--- a/internal/dataplane/proxy/quota_test.go
+++ b/internal/dataplane/proxy/quota_test.go
@@ -67,7 +67,7 @@
 
 // asked is how many requests were sent.
 func (x *quotaRig) asked() (n uint64) {
-	x.do(func() { n = x.p.router.quotas.client.Figures().Requests })
+	x.do(func() { n = x.p.router.quotas.client.Stats().Requests })
 	return n
 }
 
--- a/internal/dataplane/proxy/reporter.go
+++ b/internal/dataplane/proxy/reporter.go
@@ -18,7 +18,7 @@
 func (r *reporter) next(g *group.Group, now float64) *controlmsg.PrimaryReport {
 	primary := g.Primary()
 	stalled := g.CommitsStalled(now)
-	silent := g.SilentPrimary()
+	silent := g.LastUnresponsivePrimary()
 	unreachable := silent != ""
 	unhealthy := stalled || unreachable || primary != nil && primary.Suspected
 	if !unhealthy && !r.unhealthy || now < r.reportedAt+reportInterval {
--- a/internal/dataplane/quota/client.go
+++ b/internal/dataplane/quota/client.go
@@ -45,12 +45,12 @@
 	WaitedMs     float64
 }
 
-// Figures counts since the client was made.
-type Figures struct {
-	Operations uint64 // that tenants with a limit asked for
-	Requests   uint64 // sent
-	Unanswered uint64 // requests without an answer within the lifetime of its tokens
-	Late       uint64 // answers that came behind it
+// Stats are counts since the client was created.
+type Stats struct {
+	Operations         uint64 // that tenants with a limit asked for
+	Requests           uint64 // sent
+	UnansweredRequests uint64 // requests without an answer within the lifetime of its tokens
+	LateAnswers        uint64 // answers that came behind it
 }
 
 // Client asks for tokens for operations of type O. Its state is bounded by the tenants that have a limit.
@@ -62,7 +62,7 @@
 	seq         uint64                // of the newest request
 	sentAt      float64               // when it was sent
 	requests    []request             // that may still be answered, by rising seq
-	figures     Figures
+	figures     Stats
 }
 
 // request is one that was sent.
@@ -167,15 +167,15 @@
 	return message
 }
 
-// Answer takes an answer. Each request's first one counts, while its tokens may be used.
-func (c *Client[O]) Answer(answer *controlmsg.QuotaAnswer, now float64) []Outcome[O] {
+// HandleAnswer processes an answer. Each request's first one counts, while its tokens may be used.
+func (c *Client[O]) HandleAnswer(answer *controlmsg.QuotaAnswer, now float64) []Outcome[O] {
 	if answer.Incarnation != c.incarnation {
 		return nil
 	}
 	c.dropExpiredRequests(now)
 	i := slices.IndexFunc(c.requests, func(r request) bool { return r.seq == answer.Seq })
 	if i < 0 {
-		c.figures.Late++
+		c.figures.LateAnswers++
 		return nil
 	}
 	answered := c.requests[i]
@@ -223,8 +223,8 @@
 	return n
 }
 
-// Figures are the counts until now.
-func (c *Client[O]) Figures() Figures { return c.figures }
+// Stats returns the counts so far.
+func (c *Client[O]) Stats() Stats { return c.figures }
 
 // dropExpiredRequests forgets the requests whose tokens may no longer be used.
 func (c *Client[O]) dropExpiredRequests(now float64) {
@@ -233,7 +233,7 @@
 		n++
 	}
 	c.requests = slices.Delete(c.requests, 0, n)
-	c.figures.Unanswered += uint64(n)
+	c.figures.UnansweredRequests += uint64(n)
 }
 
 // dropIdle forgets that a tenant's operations wait, if none does.
--- a/internal/dataplane/quota/quota_test.go
+++ b/internal/dataplane/quota/quota_test.go
@@ -65,7 +65,7 @@
 
 func (p *play) answer(seq uint64, tokens int, afterMs, now float64) {
 	p.Helper()
-	p.note(p.Answer(&controlmsg.QuotaAnswer{Incarnation: 7, Seq: seq,
+	p.note(p.HandleAnswer(&controlmsg.QuotaAnswer{Incarnation: 7, Seq: seq,
 		Tenants: []controlmsg.QuotaTokens{{Tenant: "t", Tokens: tokens, RetryAfterMs: afterMs}}}, now))
 }
 
@@ -132,10 +132,10 @@
 		t.Errorf("asked for %d, %d, %d", first, early, again)
 	}
 	p.answer(1, 1, 0, lifetime+1)
-	p.note(p.Answer(&controlmsg.QuotaAnswer{Incarnation: 6, Seq: 2,
+	p.note(p.HandleAnswer(&controlmsg.QuotaAnswer{Incarnation: 6, Seq: 2,
 		Tenants: []controlmsg.QuotaTokens{{Tenant: "t", Tokens: 1}}}, lifetime+1))
 	p.expect(Waiting)
-	if f := p.Figures(); f.Unanswered != 1 || f.Late != 1 || p.WakeAt(true) != lifetime || p.WakeAt(false) != 600 {
+	if f := p.Stats(); f.UnansweredRequests != 1 || f.LateAnswers != 1 || p.WakeAt(true) != lifetime || p.WakeAt(false) != 600 {
 		t.Errorf("%+v, wake at %v and %v", f, p.WakeAt(true), p.WakeAt(false))
 	}
 	p.note(p.Expire(600))
@@ -197,7 +197,7 @@
 			}
 		}
 		n.seen[d.answer.Seq] = true
-		p.note(p.Answer(d.answer, now))
+		p.note(p.HandleAnswer(d.answer, now))
 	}
 }
 
