--- a/internal/controlplane/directory/members.go
+++ b/internal/controlplane/directory/members.go
@@ -21,7 +21,7 @@
 	Service    string `cbor:"2,keyasint"` // replication group
 	Addr       string `cbor:"3,keyasint"`
 	Zone       string `cbor:"4,keyasint"`
-	Generation string `cbor:"5,keyasint"` // reported by its heartbeats; the higher text is the better candidate for promotion
+	Generation string `cbor:"5,keyasint"` // reported by its heartbeats; the higher text is preferred for promotion
 	Slots      int    `cbor:"6,keyasint"` // reported by its heartbeats; informational only
 	Role       Role   `cbor:"7,keyasint"`
 
@@ -118,12 +118,13 @@
 			e.record.Seq, e.lastHeartbeat = seq, max(e.lastHeartbeat, now)
 			return old.Incarnation, false
 		}
-		return old.Incarnation + 1, now-max(e.tombstoneAt, e.lastHeartbeat) > rejoinDelayMs // otherwise it is a late heartbeat
+		// within the delay it is a late heartbeat
+		return old.Incarnation + 1, now-max(e.tombstoneAt, e.lastHeartbeat) > rejoinDelayMs
 	}
 	switch {
 	case seq < old.Seq && (now-e.lastHeartbeat > timeout || old.Tombstone): // the sequence started again
 		return old.Incarnation + 1, true
-	case seq > old.Seq && old.Tombstone && now-e.tombstoneAt > timeout: // the member was only silent: a heartbeat is never this late
+	case seq > old.Seq && old.Tombstone && now-e.tombstoneAt > timeout: // only silent: no heartbeat is this late
 		return old.Incarnation + 1, true
 	}
 	return old.Incarnation, seq > old.Seq && !old.Tombstone
--- a/internal/controlplane/quota/model_test.go
+++ b/internal/controlplane/quota/model_test.go
@@ -23,7 +23,7 @@
 
 // modelOptions turn off the model's faults, or one of the safeguards of the protocol.
 type modelOptions struct {
-	faultFree             bool // no message is lost, delayed or duplicated, no machine fails, limits and leaders don't change
+	faultFree             bool // messages arrive once and in time, no machine fails, limits and leaders stay
 	acceptsOldGrants      bool // a holder applies grants that answer older reports
 	assumesAllSharesKnown bool // a new leader assumes that no share is unreported
 	forgetsFormerVoters   bool // a new leader doesn't wait for machines that have stopped voting
--- a/internal/controlplane/quota/quota_test.go
+++ b/internal/controlplane/quota/quota_test.go
@@ -32,8 +32,8 @@
 		m := newModel(seed, options)
 		m.run(historyLengthMs)
 		for tenant := range m.limits {
-			if fullest := m.maxWindowUsage(tenant); fullest > worst.windowUsage {
-				worst.windowUsage, worst.windowSeed = fullest, seed
+			if usage := m.maxWindowUsage(tenant); usage > worst.windowUsage {
+				worst.windowUsage, worst.windowSeed = usage, seed
 			}
 		}
 		if m.maxShareSum > worst.shareSum {
--- a/internal/dataplane/group/group.go
+++ b/internal/dataplane/group/group.go
@@ -10,27 +10,28 @@
 // Group is the state of one replication group in one proxy.
 type Group struct {
 	Service string
-	// Members holds the members that the directory lists, draining ones included. A member that was removed is no
-	// longer here, though its late answers may still be recorded.
+	// Members holds the members that the directory lists, including draining ones. A member that was removed is not in it,
+	// though its late answers may still be recorded.
 	Members map[string]*Member
-	// Slot names the believed primary by its id; the empty id is none. If it names a member, Members has it.
+	// Slot names the believed primary by its ID, empty for none. A member in the slot is always in Members.
 	Slot writerslot.Slot[string]
-	// SlotReason says what caused the last change of the slot, for logs and operators.
+	// SlotReason is the cause of the last change of the slot, for logs and operators.
 	SlotReason string
 
 	watermarks    watermarks
-	nextProbe     float64 // no probe is due before
-	probeInterval float64 // until the one after that; grows while nothing is found
+	nextProbe     float64 // no probe is due before this time
+	probeInterval float64 // time from the next probe to the one after it
 	distanceTo    func(zone string) Distance
 }
 
-// NewGroup returns the group of a service without members. distanceTo says how far a zone is from this proxy's.
+// NewGroup returns the group of a service, without members. distanceTo returns the distance of a zone from this
+// proxy's.
 func NewGroup(service string, distanceTo func(zone string) Distance) *Group {
 	return &Group{Service: service, Members: map[string]*Member{}, Slot: writerslot.NewSlot[string](),
 		distanceTo: distanceTo, probeInterval: minProbeInterval}
 }
 
-// UpdateMember takes over a member's record from the directory at now, and what it says of the writer slot.
+// UpdateMember applies a member's record from the directory, which may change the writer slot.
 func (g *Group) UpdateMember(record directory.Member, now float64) {
 	m := g.Members[record.ID]
 	if record.Tombstone {
@@ -61,35 +62,35 @@
 	}
 }
 
-// vacateSlot empties the slot if the member is in it, on evidence from the member or the control plane that it no
-// longer leads: older evidence can't put it back.
+// vacateSlot empties the slot if the member is in it, on evidence from the member or the control plane that it is no
+// longer the primary: older evidence can't put it back.
 func (g *Group) vacateSlot(id string, now float64, reason string) {
 	if g.Slot.Holder == id {
 		g.emptySlot(now, false, id+" "+reason)
 	}
 }
 
-// emptySlot empties the slot and makes a probe due at once. silent: there is no evidence but missing answers, so that
-// the member's next answer may put it back.
+// emptySlot empties the slot and makes a probe due at once. silent: the only evidence is missing answers, so the
+// member's next answer may put it back.
 func (g *Group) emptySlot(now float64, silent bool, reason string) {
 	g.Slot.Clear(now, silent)
 	g.SlotReason = reason
 	g.resetProbes(now)
 }
 
-// offerSlot puts a member into the slot if evidence of the time when allows it.
-func (g *Group) offerSlot(member *Member, when float64, source string) {
-	if !g.Slot.Takes(member.ID, when, member.replicaSeenAt, member.Draining, true) {
+// offerSlot puts a member into the slot if evidence of the time evidenceAt allows it.
+func (g *Group) offerSlot(member *Member, evidenceAt float64, source string) {
+	if !g.Slot.Takes(member.ID, evidenceAt, member.replicaSeenAt, member.Draining, true) {
 		return
 	}
-	g.Slot.Fill(member.ID, when)
+	g.Slot.Fill(member.ID, evidenceAt)
 	g.SlotReason = member.ID + " by " + source
 	member.Suspected, member.ejectedUntil = false, 0
-	g.watermarks = nil // another primary's positions cover nothing that this one acknowledges
+	g.watermarks = nil // a former primary's positions don't cover what this one acknowledges
 }
 
-// LastUnresponsivePrimary returns the id of the member that was taken out of the slot for its silence alone, and of which nothing
-// was heard since that tells that it leads no longer; "" for none.
+// LastUnresponsivePrimary returns the ID of the member that was last in the slot, if the slot is empty only because
+// that member stopped answering and no later evidence shows that it became a replica. Otherwise it returns "".
 func (g *Group) LastUnresponsivePrimary() string {
 	if g.Slot.Holder != "" || !g.Slot.Silent {
 		return ""
@@ -100,7 +101,7 @@
 	return g.Slot.Last
 }
 
-// Primary returns the member in the writer slot, nil for none.
+// Primary returns the member in the writer slot, or nil.
 func (g *Group) Primary() *Member {
 	if g.Slot.Holder == "" {
 		return nil
--- a/internal/dataplane/group/health.go
+++ b/internal/dataplane/group/health.go
@@ -4,38 +4,38 @@
 
 // Failure detection. Times are in milliseconds.
 const (
-	minProbeInterval = 200.0 // between two probes while the slot is empty and something waits, at first
+	minProbeInterval = 200.0 // first interval between probes while requests wait for a primary
 	maxProbeInterval = 800.0
-	probeBackoff     = 1.5 // factor of an interval over the one before
+	probeBackoff     = 1.5 // ratio of each interval to the one before
 
-	minSuspicion       = 220.0 // time without any answer until a primary with pending requests is suspected, at least
-	suspicionLatencies = 6.0   // and at least so many times its latency
-	commitStall        = 450.0 // a commit unanswered for so long, while its member answers other requests, is stalled
+	minSuspicion           = 220.0 // shortest time without any answer until a primary with pending requests is suspected
+	suspicionLatencyFactor = 6.0   // that time is also at least this multiple of the primary's latency
+	commitStallTime        = 450.0 // a commit unanswered for longer, while the member answers other requests, is stalled
 )
 
-// Outcome is how a request to a member ended.
+// Outcome is the way in which a request to a member ended.
 type Outcome uint8
 
 // Outcomes of requests.
 const (
-	Answered          Outcome = iota // as a member of any role may answer
-	AnsweredAsPrimary                // as only a primary answers
-	RefusedReadOnly                  // it is no primary: the request missed
+	Answered          Outcome = iota // with an answer that a member of any role may give
+	AnsweredAsPrimary                // with an answer that only a primary gives
+	RefusedReadOnly                  // the member is not the primary (a miss)
 	RefusedLagging                   // its log does not reach the required position
 	NoAnswer                         // the connection ended, or the deadline passed
 	ConnectFailed                    // no connection could be made
 
-	OutcomeCount // of them
+	OutcomeCount // number of outcomes
 )
 
-// outcomeNames are labels of figures, and stay as they are.
+// outcomeNames are label values of metrics.
 var outcomeNames = [OutcomeCount]string{"answered", "answered_as_primary", "refused_read_only", "refused_lagging",
 	"no_answer", "connect_failed"}
 
-// String is the outcome's name in figures.
+// String returns the outcome's name in metrics.
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// RecordSend notes a request to a member at now. commit: its answer waits for replicas too.
+// RecordSend records a request that was sent to a member. commit: its answer waits for replicas too.
 func (g *Group) RecordSend(member *Member, now float64, commit bool) {
 	member.pendingSends = append(member.pendingSends, now)
 	if commit {
@@ -43,10 +43,10 @@
 	}
 }
 
-// RecordOutcome notes how the request that was sent at sentAt ended, and the log position in its answer.
+// RecordOutcome records how the request that was sent at sentAt ended, and the log position in its answer.
 func (g *Group) RecordOutcome(member *Member, sentAt, now float64, outcome Outcome, position wire.Position) {
-	member.pendingSends = remove(member.pendingSends, sentAt)
-	member.pendingCommits = remove(member.pendingCommits, sentAt)
+	member.pendingSends = removeTime(member.pendingSends, sentAt)
+	member.pendingCommits = removeTime(member.pendingCommits, sentAt)
 	switch outcome {
 	case NoAnswer:
 		return
@@ -74,8 +74,8 @@
 	}
 }
 
-// recordConnectFailure ejects a member that takes no connection. One that answers on other connections has only no
-// capacity for more at the moment.
+// recordConnectFailure ejects a member that accepts no connection. A member that answers on other connections merely
+// has no capacity for more at the moment, and is not ejected.
 func (g *Group) recordConnectFailure(member *Member, now float64) {
 	if now-member.lastResponse < minEjection {
 		return
@@ -86,7 +86,7 @@
 	}
 }
 
-// confirmPrimary takes an answer that only a primary gives, to a request of the time requestedAt.
+// confirmPrimary processes an answer that only a primary gives, to a request that was sent at requestedAt.
 func (g *Group) confirmPrimary(member *Member, requestedAt float64, source string, position wire.Position) {
 	g.offerSlot(member, requestedAt, source)
 	if g.Slot.Holder == member.ID {
@@ -94,7 +94,7 @@
 	}
 }
 
-// RecordProbe notes the answer to a probe that was sent at sentAt.
+// RecordProbe records the answer to a probe that was sent at sentAt.
 func (g *Group) RecordProbe(member *Member, sentAt, now float64, status wire.MemberStatus) {
 	member.probing = false
 	member.responded(now)
@@ -109,29 +109,29 @@
 	g.confirmPrimary(member, sentAt, "probe", status.Received)
 }
 
-// RecordProbeFailure notes that a probe was not answered.
+// RecordProbeFailure records that a probe was not answered.
 func (g *Group) RecordProbeFailure(member *Member) { member.probing = false }
 
-// SuspectPrimary checks whether the primary has requests pending and has answered nothing for too long. It returns
-// true if the primary is suspected from now on.
+// SuspectPrimary suspects the primary if it has pending requests and has answered nothing for too long. It reports
+// whether the primary became suspected in this call.
 func (g *Group) SuspectPrimary(now float64) bool {
-	p := g.Primary()
-	if p == nil || p.Suspected || len(p.pendingSends) == 0 {
+	primary := g.Primary()
+	if primary == nil || primary.Suspected || len(primary.pendingSends) == 0 {
 		return false
 	}
-	if p.unresponsiveFor(now) < max(minSuspicion, suspicionLatencies*p.latency) {
+	if primary.unresponsiveFor(now) < max(minSuspicion, suspicionLatencyFactor*primary.latency) {
 		return false
 	}
-	p.Suspected = true
+	primary.Suspected = true
 	g.resetProbes(now)
 	return true
 }
 
-// TypicalLatency is the primary's average time from a request to its answer, in milliseconds; while there is no
-// primary, that of the slowest member.
+// TypicalLatency returns the primary's average time from a request to its answer, in milliseconds, or that of the
+// slowest member while there is no primary.
 func (g *Group) TypicalLatency() float64 {
-	if p := g.Primary(); p != nil {
-		return p.latency
+	if primary := g.Primary(); primary != nil {
+		return primary.latency
 	}
 	slowest := 0.0
 	for _, m := range g.Members {
@@ -140,38 +140,39 @@
 	return slowest
 }
 
-// CommitsStalled says that the primary answers requests, but has not answered a commit for too long: its replicas may
-// not receive what it writes.
+// CommitsStalled reports whether the primary answers requests, but has not answered a commit for too long: its replicas
+// may not be receiving what it writes.
 func (g *Group) CommitsStalled(now float64) bool {
-	p := g.Primary()
-	if p == nil || len(p.pendingCommits) == 0 {
+	primary := g.Primary()
+	if primary == nil || len(primary.pendingCommits) == 0 {
 		return false
 	}
-	oldest := p.pendingCommits[0]
-	return now-oldest > commitStall && p.lastResponse > oldest+commitStall/2
+	oldest := primary.pendingCommits[0]
+	return now-oldest > commitStallTime && primary.lastResponse > oldest+commitStallTime/2
 }
 
-// PrimaryUnresponsiveFor is how long the primary's oldest request is pending with no other answer since, in
-// milliseconds; 0 if none is pending.
+// PrimaryUnresponsiveFor returns how long, in milliseconds, the primary's oldest request has been pending without any
+// other answer since; 0 if none is pending.
 func (g *Group) PrimaryUnresponsiveFor(now float64) float64 {
-	if p := g.Primary(); p != nil {
-		return p.unresponsiveFor(now)
+	if primary := g.Primary(); primary != nil {
+		return primary.unresponsiveFor(now)
 	}
 	return 0
 }
 
-// ProbesToSend returns the members to send a health check now, and takes them for being checked: all that may lead
-// while the slot is empty, or a suspected primary. The caller calls it only while something waits for a primary.
+// ProbesToSend returns the members to which a health check is to be sent now, and marks them as being probed: all
+// candidates for primary while the slot is empty, or a suspected primary. It should be called only while requests wait
+// for a primary.
 func (g *Group) ProbesToSend(now float64) []*Member {
-	p := g.Primary()
-	if now < g.nextProbe || p != nil && !p.Suspected {
+	primary := g.Primary()
+	if now < g.nextProbe || primary != nil && !primary.Suspected {
 		return nil
 	}
 	g.nextProbe = now + g.probeInterval
 	g.probeInterval = min(g.probeInterval*probeBackoff, maxProbeInterval)
 	var due []*Member
 	for _, m := range g.Members {
-		if !m.Draining && !m.probing && (p == nil || m == p) {
+		if !m.Draining && !m.probing && (primary == nil || m == primary) {
 			m.probing = true
 			due = append(due, m)
 		}
@@ -179,7 +180,7 @@
 	return due
 }
 
-// resetProbes makes a probe due at once, the next ones at short intervals.
+// resetProbes makes a probe due at once, and resets the interval of the following ones.
 func (g *Group) resetProbes(now float64) {
 	g.nextProbe, g.probeInterval = now, minProbeInterval
 }
--- a/internal/dataplane/group/routing.go
+++ b/internal/dataplane/group/routing.go
@@ -7,78 +7,79 @@
 )
 
 const (
-	lagExclusion = 400.0 // milliseconds that a replica is left out for after it refused a read for its lag
-	recentCommit = 250.0 // milliseconds; see leastLoadedReplica
+	lagExclusion    = 400.0 // milliseconds for which a replica is excluded after it refused a read because of its lag
+	recentCommitAge = 250.0 // milliseconds; see leastLoadedReplica
 
-	suspectedCost = 8.0 // requests in flight that a suspected replica counts more
+	suspectedCost = 8.0 // added to the load of a suspected replica, in requests in flight
 )
 
-// distanceCost is how many requests in flight a distance counts: what crosses regions is slow and dear.
+// distanceCost is added to a replica's load for its distance, in requests in flight: traffic between regions is slow
+// and expensive.
 var distanceCost = [...]float64{SameZone: 0, SameRegion: 1, OtherRegion: 3}
 
-// Requirement is what a statement or a transaction demands of the member that it is routed to.
+// Requirement is what a statement or a transaction requires of the member that it is routed to.
 type Requirement struct {
 	// Write: only the primary may run it.
 	Write bool
-	// Linearizable: it reads, and must see all that was acknowledged before it began.
+	// Linearizable: it is a read that must see all that was acknowledged before it began.
 	Linearizable bool
-	// Any other read must see all that was acknowledged before AckedBefore (milliseconds), and its session's last
-	// commit, which was acknowledged at SessionCommitAt. No position: the session has committed nothing.
+	// Any other read must see all that was acknowledged before AckedBefore (in milliseconds), and its session's last
+	// commit, which was acknowledged at SessionCommitAt. SessionCommit is zero if the session has committed nothing.
 	AckedBefore     float64
 	SessionCommit   wire.Position
 	SessionCommitAt float64
 }
 
-// Target is where a statement may go.
+// Target is the routing decision for a statement.
 type Target struct {
-	// Member is nil if no member will do now: the statement stays queued.
+	// Member is nil if no member is suitable now: the statement stays queued.
 	Member *Member
-	// MinPosition is what the member must check that its log reaches before it answers; none: it checks nothing.
+	// MinPosition is the log position that the member must have reached to answer; zero: no check.
 	MinPosition wire.Position
 	// VerifyPrimary: the member must prove that it still leads, by a transaction around the read.
 	VerifyPrimary bool
 }
 
-// Route chooses the target of a statement at now. available says whether a connection to a member can be had or made;
-// avoid names the members that this statement has failed at.
+// Route chooses the target of a statement at now. available reports whether a connection to a member is free or can be
+// opened; avoid reports whether this statement has failed at a member.
 func (g *Group) Route(req *Requirement, now float64, available func(*Member) bool, avoid func(id string) bool) Target {
 	if req.Write || req.Linearizable {
-		p := g.reachablePrimary(available)
-		if p == nil || req.Write && g.CommitsStalled(now) {
+		primary := g.reachablePrimary(available)
+		if primary == nil || req.Write && g.CommitsStalled(now) {
 			return Target{}
 		}
-		return Target{Member: p, VerifyPrimary: req.Linearizable}
+		return Target{Member: primary, VerifyPrimary: req.Linearizable}
 	}
 	position, covered := g.watermarks.covering(req.AckedBefore)
 	if !covered { // only a primary that proves that it leads is known to have all that was acknowledged
-		p := g.reachablePrimary(available)
-		return Target{Member: p, VerifyPrimary: p != nil}
+		primary := g.reachablePrimary(available)
+		return Target{Member: primary, VerifyPrimary: primary != nil}
 	}
 	if position.Less(req.SessionCommit) {
 		position = req.SessionCommit
 	}
-	recent := now-req.SessionCommitAt < recentCommit && !req.SessionCommit.IsZero()
+	recent := now-req.SessionCommitAt < recentCommitAge && !req.SessionCommit.IsZero()
 	if m := g.leastLoadedReplica(position, recent, now, available, avoid); m != nil {
 		return Target{Member: m, MinPosition: position}
 	}
-	if p := g.reachablePrimary(available); p != nil {
-		return Target{Member: p, MinPosition: position}
+	if primary := g.reachablePrimary(available); primary != nil {
+		return Target{Member: primary, MinPosition: position}
 	}
 	return Target{}
 }
 
-// reachablePrimary returns the primary if it is not suspected and a connection to it can be had, else nil.
+// reachablePrimary returns the primary if it is not suspected and a connection to it is available, else nil.
 func (g *Group) reachablePrimary(available func(*Member) bool) *Member {
-	if p := g.Primary(); p != nil && !p.Suspected && available(p) {
-		return p
+	if primary := g.Primary(); primary != nil && !primary.Suspected && available(primary) {
+		return primary
 	}
 	return nil
 }
 
-// leastLoadedReplica returns the replica with the fewest requests of this proxy in flight among those whose log may
-// reach the position, nil for none. A replica that is not known to reach it is a candidate, as its own check
-// decides, but not if the session's commit is so recent that it can hardly have arrived there, nor if the replica
-// just refused a read.
+// leastLoadedReplica returns the replica with the lowest load among those whose log may reach the position, or nil. The
+// load is the number of this proxy's requests in flight plus the costs of distance and suspicion. A replica that is not
+// known to reach the position is a candidate, as its own check decides, unless the session's commit is so recent that
+// it can hardly have arrived there, or the replica has just refused a read for its lag.
 func (g *Group) leastLoadedReplica(position wire.Position, recent bool, now float64, available func(*Member) bool,
 	avoid func(id string) bool) *Member {
 	var best *Member
@@ -97,7 +98,7 @@
 		switch {
 		case best == nil || cost < bestCost:
 			best, bestCost, ties = m, cost, 1
-		case cost == bestCost: // each of n equal ones is chosen with a chance of 1/n
+		case cost == bestCost: // chooses each of n equal replicas with probability 1/n
 			if ties++; rand.IntN(ties) == 0 {
 				best = m
 			}
--- a/internal/dataplane/group/watermarks.go
+++ b/internal/dataplane/group/watermarks.go
@@ -2,13 +2,13 @@
 
 import "weirwind/internal/member/wire"
 
-// Bounds of the watermarks that are kept, in milliseconds.
+// Limits on the stored watermarks, in milliseconds.
 const (
-	watermarkSpacing   = 50.0
-	watermarkRetention = 5000.0
+	watermarkSpacing   = 50.0   // shortest time between a watermark's request and that of the next but one
+	watermarkRetention = 5000.0 // age after which watermarks are dropped
 )
 
-// watermark is a log position from an answer of the primary: all that was acknowledged before requestedAt lies at or
+// watermark is a log position from an answer of the primary: everything acknowledged before requestedAt lies at or
 // before it.
 type watermark struct {
 	requestedAt float64
@@ -18,7 +18,8 @@
 // watermarks are those of one primary, in ascending order of both fields.
 type watermarks []watermark
 
-// covering returns a position that all that was acknowledged before since lies at or before. false: none is known.
+// covering returns a log position at or before which everything lies that was acknowledged before since, and whether
+// one is known.
 func (w watermarks) covering(since float64) (wire.Position, bool) {
 	for _, mark := range w {
 		if mark.requestedAt >= since {
@@ -28,8 +29,8 @@
 	return wire.Position{}, false
 }
 
-// add appends the position in the answer to a request that was sent at requestedAt. What is out of order says nothing
-// new and is dropped.
+// add appends the position in the answer to a request that was sent at requestedAt. An answer that is out of order adds
+// no information and is dropped.
 func (w *watermarks) add(requestedAt float64, position wire.Position) {
 	if position.IsZero() {
 		return
--- a/internal/dataplane/quota/client.go
+++ b/internal/dataplane/quota/client.go
@@ -10,151 +10,153 @@
 
 // Times in milliseconds.
 const (
-	requestIntervalMs = 5.0   // between two requests
-	answerTimeoutMs   = 250.0 // after which what a request asked for is asked for again
-	maxTokenDueMs     = 250.0 // an operation waits for a token that is due within it
-	maxHoldOffMs      = 250.0 // after an answer without a token the tenant's operations are asked for again
-	unknownRetryMs    = 500.0 // after which a client comes back where no answer said when
-	minRetryAfterMs   = 50.0
-	maxRetryAfterMs   = 5000.0
+	minRequestIntervalMs = 5.0   // between two requests
+	answerTimeoutMs      = 250.0 // until tokens of an unanswered request are requested again
+	maxTokenWaitMs       = 250.0 // an operation waits for a token that is due within this time
+	maxBackoffMs         = 250.0 // longest pause of a tenant's requests after an answer with too few tokens
+	defaultRetryMs       = 500.0 // retry delay of a client if no answer stated one
+	minRetryAfterMs      = 50.0
+	maxRetryAfterMs      = 5000.0
 )
 
-// Bounds of what is kept of a tenant.
+// Bounds on the state of a tenant.
 const (
-	maxWaiting        = 100 // operations
-	maxWaitingHeldOff = 8   // beyond which none is added while the newest answer had too few tokens
-	maxSpareTokens    = 100
+	maxWaiting          = 100 // operations of one tenant
+	maxWaitingInBackoff = 8   // no operation is added beyond this while the newest answer had too few tokens
+	maxSurplusTokens    = 100
 )
 
-// Verdict is what becomes of an operation.
+// Verdict is the decision on an operation.
 type Verdict uint8
 
 // Verdicts.
 const (
 	Admitted Verdict = iota
 	Refused
-	Waiting // an Outcome tells later
+	Waiting // a later Outcome has the decision
 )
 
-// Outcome is what became of an operation that waited.
+// Outcome is the decision on an operation that waited.
 type Outcome[O any] struct {
 	Operation O
 	Verdict   Verdict // Admitted or Refused
-	// RetryAfterMs is after which the client of one that was refused may come back.
+	// RetryAfterMs is the time after which the client of a refused operation may retry.
 	RetryAfterMs float64
 	WaitedMs     float64
 }
 
 // Stats are counts since the client was created.
 type Stats struct {
-	Operations         uint64 // that tenants with a limit asked for
+	Operations         uint64 // of tenants with a limit
 	Requests           uint64 // sent
-	UnansweredRequests uint64 // requests without an answer within the lifetime of its tokens
-	LateAnswers        uint64 // answers that came behind it
+	UnansweredRequests uint64 // requests without an answer within the lifetime of their tokens
+	LateAnswers        uint64 // answers after that lifetime, and duplicates
 }
 
-// Client asks for tokens for operations of type O. Its state is bounded by the tenants that have a limit.
+// Client requests tokens for operations of type O. The size of its state is bounded by the number of tenants that have
+// a limit.
 type Client[O any] struct {
-	incarnation uint64
-	tenants     map[string]*tenant[O] // those that have a limit
-	limited     map[string]bool       // all tenants: whether they have a limit
-	busy        map[string]*tenant[O] // those of tenants whose operations wait
-	seq         uint64                // of the newest request
-	sentAt      float64               // when it was sent
-	requests    []request             // that may still be answered, by rising seq
-	figures     Stats
+	incarnation    uint64
+	tenants        map[string]*tenant[O] // those that have a limit
+	limited        map[string]bool       // all tenants: whether they have a limit
+	waitingTenants map[string]*tenant[O] // tenants with waiting operations
+	seq            uint64                // of the newest request
+	sentAt         float64               // of the newest request
+	requests       []request             // may still be answered; in ascending order of seq
+	stats          Stats
 }
 
-// request is one that was sent.
+// request is a request that was sent.
 type request struct {
-	seq    uint64
-	sentAt float64
-	asked  map[string]int // tokens, by tenant
+	seq       uint64
+	sentAt    float64
+	requested map[string]int // tokens, by tenant
 }
 
-// expiresAt is when its tokens may no longer be used.
+// expiresAt returns when the request's tokens expire.
 func (r *request) expiresAt() float64 { return r.sentAt + controlmsg.QuotaTokenLifetimeMs }
 
-// New returns a client without tenants. The incarnation is that of the process: answers to another one are ignored.
+// New returns a client without tenants. The incarnation identifies the process: answers to another one are ignored.
 func New[O any](incarnation uint64) *Client[O] {
-	return &Client[O]{incarnation: incarnation, tenants: map[string]*tenant[O]{}, busy: map[string]*tenant[O]{},
+	return &Client[O]{incarnation: incarnation, tenants: map[string]*tenant[O]{}, waitingTenants: map[string]*tenant[O]{},
 		sentAt: math.Inf(-1)}
 }
 
-// SetTenants replaces the tenants, by name: whether each has a limit. Waiting operations of one that has none any more
-// are admitted, and those of one that there is no more are refused.
+// SetTenants replaces the tenants. limited has for each tenant's name whether it has a limit. Waiting operations of a
+// tenant that no longer has a limit are admitted, and those of a deleted tenant are refused.
 func (c *Client[O]) SetTenants(limited map[string]bool, now float64) (outcomes []Outcome[O]) {
-	former := c.tenants
+	previous := c.tenants
 	c.limited, c.tenants = limited, make(map[string]*tenant[O], len(limited))
 	for name, hasLimit := range limited {
 		if !hasLimit {
 			continue
 		}
-		if t := former[name]; t != nil {
+		if t := previous[name]; t != nil {
 			c.tenants[name] = t
 		} else {
 			c.tenants[name] = &tenant[O]{}
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(c.busy)) {
+	for _, name := range slices.Sorted(maps.Keys(c.waitingTenants)) {
 		if c.tenants[name] != nil {
 			continue
 		}
 		_, exists := limited[name]
-		for _, w := range c.busy[name].waiting {
+		for _, w := range c.waitingTenants[name].waiting {
 			if exists {
 				outcomes = append(outcomes, w.admitted(now))
 			} else {
-				outcomes = append(outcomes, w.refused(unknownRetryMs, now))
+				outcomes = append(outcomes, w.refused(defaultRetryMs, now))
 			}
 		}
-		delete(c.busy, name)
+		delete(c.waitingTenants, name)
 	}
 	return outcomes
 }
 
-// Enqueue decides on an operation that has come. One that waits does so until some time at most. A refusal says after
-// how many milliseconds to come back.
-func (c *Client[O]) Enqueue(name string, operation O, until, now float64) (verdict Verdict, retryAfterMs float64) {
+// Enqueue decides on a new operation. A waiting operation is decided on by its deadline. For a refused operation it
+// also returns the time after which to retry.
+func (c *Client[O]) Enqueue(name string, operation O, deadline, now float64) (verdict Verdict, retryAfterMs float64) {
 	t := c.tenants[name]
 	if t == nil {
 		if _, exists := c.limited[name]; !exists {
-			return Refused, unknownRetryMs
+			return Refused, defaultRetryMs
 		}
 		return Admitted, 0
 	}
-	c.figures.Operations++
-	if len(t.waiting) == 0 && t.takeSpare(now) {
+	c.stats.Operations++
+	if len(t.waiting) == 0 && t.takeSurplusToken(now) {
 		return Admitted, 0
 	}
-	if !t.mayWait(until, now) {
+	if !t.mayWait(deadline, now) {
 		return Refused, t.retryAfter(now)
 	}
-	t.waiting = append(t.waiting, waiter[O]{operation: operation, since: now, until: until, askAt: max(now, t.askAt)})
-	c.busy[name] = t
+	t.waiting = append(t.waiting, waiter[O]{operation: operation, enqueuedAt: now, deadline: deadline,
+		requestAt: max(now, t.nextRequestAt)})
+	c.waitingTenants[name] = t
 	return Waiting, 0
 }
 
-// Expire refuses the operations that have waited for too long.
+// Expire refuses the operations whose deadline has passed.
 func (c *Client[O]) Expire(now float64) (outcomes []Outcome[O]) {
-	for _, name := range slices.Sorted(maps.Keys(c.busy)) {
-		outcomes = append(outcomes, c.busy[name].expire(now)...)
-		c.dropIdle(name)
+	for _, name := range slices.Sorted(maps.Keys(c.waitingTenants)) {
+		outcomes = append(outcomes, c.waitingTenants[name].expire(now)...)
+		c.dropIfIdle(name)
 	}
 	return outcomes
 }
 
-// NextRequest gives the request that is due, for the caller to send now; nil: none.
+// NextRequest returns the request that is due, or nil. The caller must send it at once.
 func (c *Client[O]) NextRequest(now float64) *controlmsg.QuotaRequest {
-	if now < c.sentAt+requestIntervalMs {
+	if now < c.sentAt+minRequestIntervalMs {
 		return nil
 	}
 	c.dropExpiredRequests(now)
-	sent := request{seq: c.seq + 1, sentAt: now, asked: map[string]int{}}
+	sent := request{seq: c.seq + 1, sentAt: now, requested: map[string]int{}}
 	message := &controlmsg.QuotaRequest{Incarnation: c.incarnation, Seq: sent.seq}
-	for _, name := range slices.Sorted(maps.Keys(c.busy)) {
-		if n := c.busy[name].ask(sent.seq, now); n > 0 {
-			sent.asked[name] = n
+	for _, name := range slices.Sorted(maps.Keys(c.waitingTenants)) {
+		if n := c.waitingTenants[name].assignRequest(sent.seq, now); n > 0 {
+			sent.requested[name] = n
 			message.Tenants = append(message.Tenants, controlmsg.QuotaCount{Tenant: name, Operations: n})
 		}
 	}
@@ -163,11 +165,11 @@
 	}
 	c.seq, c.sentAt = sent.seq, now
 	c.requests = append(c.requests, sent)
-	c.figures.Requests++
+	c.stats.Requests++
 	return message
 }
 
-// HandleAnswer processes an answer. Each request's first one counts, while its tokens may be used.
+// HandleAnswer processes an answer. Only the first answer to each request counts, and only while its tokens are valid.
 func (c *Client[O]) HandleAnswer(answer *controlmsg.QuotaAnswer, now float64) []Outcome[O] {
 	if answer.Incarnation != c.incarnation {
 		return nil
@@ -175,70 +177,70 @@
 	c.dropExpiredRequests(now)
 	i := slices.IndexFunc(c.requests, func(r request) bool { return r.seq == answer.Seq })
 	if i < 0 {
-		c.figures.LateAnswers++
+		c.stats.LateAnswers++
 		return nil
 	}
 	answered := c.requests[i]
 	c.requests = slices.Delete(c.requests, i, i+1)
 	outcomes := c.Expire(now)
 	for _, tokens := range answer.Tenants {
-		asked, t := answered.asked[tokens.Tenant], c.tenants[tokens.Tenant]
-		if asked == 0 || t == nil {
+		requested, t := answered.requested[tokens.Tenant], c.tenants[tokens.Tenant]
+		if requested == 0 || t == nil {
 			continue
 		}
-		delete(answered.asked, tokens.Tenant)
-		outcomes = append(outcomes, t.answer(&answered, asked, tokens, now)...)
-		c.dropIdle(tokens.Tenant)
+		delete(answered.requested, tokens.Tenant)
+		outcomes = append(outcomes, t.handleAnswer(&answered, requested, tokens, now)...)
+		c.dropIfIdle(tokens.Tenant)
 	}
 	return outcomes
 }
 
-// WakeAt is when to call Expire and NextRequest, +Inf for never. linked: requests can be sent now.
-func (c *Client[O]) WakeAt(linked bool) float64 {
+// WakeAt returns when to call Expire and NextRequest, +Inf for never. connected: requests can be sent now.
+func (c *Client[O]) WakeAt(connected bool) float64 {
 	at := math.Inf(1)
-	for _, t := range c.busy {
+	for _, t := range c.waitingTenants {
 		for _, w := range t.waiting {
-			at = min(at, w.until)
-			if linked {
-				at = min(at, max(w.askAt, c.sentAt+requestIntervalMs))
+			at = min(at, w.deadline)
+			if connected {
+				at = min(at, max(w.requestAt, c.sentAt+minRequestIntervalMs))
 			}
 		}
 	}
 	return at
 }
 
-// Waiting is how many of a tenant's operations wait.
+// Waiting returns the number of a tenant's waiting operations.
 func (c *Client[O]) Waiting(name string) int {
-	if t := c.busy[name]; t != nil {
+	if t := c.waitingTenants[name]; t != nil {
 		return len(t.waiting)
 	}
 	return 0
 }
 
-// TotalWaiting is how many operations wait.
+// TotalWaiting returns the number of waiting operations.
 func (c *Client[O]) TotalWaiting() (n int) {
-	for _, t := range c.busy {
+	for _, t := range c.waitingTenants {
 		n += len(t.waiting)
 	}
 	return n
 }
 
 // Stats returns the counts so far.
-func (c *Client[O]) Stats() Stats { return c.figures }
+func (c *Client[O]) Stats() Stats { return c.stats }
 
-// dropExpiredRequests forgets the requests whose tokens may no longer be used.
+// dropExpiredRequests deletes the requests whose tokens have expired.
 func (c *Client[O]) dropExpiredRequests(now float64) {
 	n := 0
 	for n < len(c.requests) && now > c.requests[n].expiresAt() {
 		n++
 	}
 	c.requests = slices.Delete(c.requests, 0, n)
-	c.figures.UnansweredRequests += uint64(n)
+	c.stats.UnansweredRequests += uint64(n)
 }
 
-// dropIdle forgets that a tenant's operations wait, if none does.
-func (c *Client[O]) dropIdle(name string) {
-	if t := c.busy[name]; t != nil && len(t.waiting) == 0 {
-		delete(c.busy, name)
+// dropIfIdle removes a tenant from waitingTenants if none of its operations waits.
+func (c *Client[O]) dropIfIdle(name string) {
+	if t := c.waitingTenants[name]; t != nil && len(t.waiting) == 0 {
+		delete(c.waitingTenants, name)
 	}
 }
--- a/internal/dataplane/quota/tenant.go
+++ b/internal/dataplane/quota/tenant.go
@@ -6,64 +6,66 @@
 	"weirwind/internal/controlplane/controlmsg"
 )
 
-// tenant is what is known of a tenant that has a limit.
+// tenant is the state of a tenant that has a limit. Times are in milliseconds.
 type tenant[O any] struct {
 	waiting []waiter[O] // in order of arrival
-	spare   []float64   // when each token that nobody waits for must be used at the latest, sorted
+	surplus []float64   // expiry times of the tokens that no operation waits for, sorted
 
-	// By the newest answer, if it had too few tokens:
-	answered uint64  // its request
-	retryAt  float64 // when the next token is due, by its word
-	askAt    float64 // until then nothing new is asked for
-	empty    int     // how many answers without a token came since the last with one
+	// From the newest answer:
+	newestAnswered uint64  // seq of its request
+	tokenDueAt     float64 // when the next token is due if it had too few; else 0
+	nextRequestAt  float64 // no new operation is requested before; 0 if it had enough
+	emptyAnswers   int     // successive answers without a token
 }
 
 // waiter is an operation that waits for a token.
 type waiter[O any] struct {
-	operation    O
-	since, until float64 // milliseconds
-	askAt        float64 // when it is to be asked for, or asked for again
-	request      uint64  // the request that asks for it; 0: none
+	operation            O
+	enqueuedAt, deadline float64
+	requestAt            float64 // when its token is to be requested, or requested again
+	request              uint64  // seq of the request that asks for its token; 0: none
 }
 
 func (w *waiter[O]) admitted(now float64) Outcome[O] {
-	return Outcome[O]{Operation: w.operation, Verdict: Admitted, WaitedMs: now - w.since}
+	return Outcome[O]{Operation: w.operation, Verdict: Admitted, WaitedMs: now - w.enqueuedAt}
 }
 
-func (w *waiter[O]) refused(afterMs, now float64) Outcome[O] {
-	return Outcome[O]{Operation: w.operation, Verdict: Refused, RetryAfterMs: afterMs, WaitedMs: now - w.since}
+func (w *waiter[O]) refused(retryAfterMs, now float64) Outcome[O] {
+	return Outcome[O]{Operation: w.operation, Verdict: Refused, RetryAfterMs: retryAfterMs, WaitedMs: now - w.enqueuedAt}
 }
 
-// mayWait reports whether an operation that has come may wait until some time. While no token is due soon it may not:
-// thousands a second of a tenant far beyond its quota cost no request.
-func (t *tenant[O]) mayWait(until, now float64) bool {
-	if until <= now {
+// mayWait reports whether a new operation may wait until its deadline. While no token is due soon it may not: thousands
+// of operations a second of a tenant far beyond its quota must not cause requests.
+func (t *tenant[O]) mayWait(deadline, now float64) bool {
+	if deadline <= now {
 		return false
 	}
-	if now >= t.askAt {
+	if now >= t.nextRequestAt {
 		return len(t.waiting) < maxWaiting
 	}
-	return len(t.waiting) < t.maxWaitingHeldOff() && t.retryAt-now <= maxTokenDueMs && t.retryAt < until && t.askAt < until
+	return len(t.waiting) < t.queueLimitInBackoff() && t.tokenDueAt-now <= maxTokenWaitMs &&
+		t.tokenDueAt < deadline && t.nextRequestAt < deadline
 }
 
-// maxWaitingHeldOff bounds the queue, down to one operation, the more answers in succession had no token. Other proxies
-// take what there is then: a longer queue would let no more operations through, but let each wait longer.
-func (t *tenant[O]) maxWaitingHeldOff() int { return max(maxWaitingHeldOff>>t.empty, 1) }
+// queueLimitInBackoff returns the maximum length of the queue after an answer with too few tokens. It halves with each
+// successive answer without a token, down to one operation: other proxies take the available tokens then, and a longer
+// queue would admit no more operations, but make each wait longer.
+func (t *tenant[O]) queueLimitInBackoff() int { return max(maxWaitingInBackoff>>t.emptyAnswers, 1) }
 
-// retryAfter is after how many milliseconds a client that is refused may come back, as far as is known.
+// retryAfter returns the estimated time, in milliseconds, after which a refused client may retry.
 func (t *tenant[O]) retryAfter(now float64) float64 {
-	if t.retryAt <= now {
-		return unknownRetryMs
+	if t.tokenDueAt <= now {
+		return defaultRetryMs
 	}
-	return boundedRetryAfter(t.retryAt - now)
+	return clampRetryAfter(t.tokenDueAt - now)
 }
 
-func boundedRetryAfter(ms float64) float64 { return min(max(ms, minRetryAfterMs), maxRetryAfterMs) }
+func clampRetryAfter(ms float64) float64 { return min(max(ms, minRetryAfterMs), maxRetryAfterMs) }
 
-// expire refuses the operations that have waited for too long.
+// expire refuses the operations whose deadline has passed.
 func (t *tenant[O]) expire(now float64) (outcomes []Outcome[O]) {
 	t.waiting = slices.DeleteFunc(t.waiting, func(w waiter[O]) bool {
-		if now < w.until {
+		if now < w.deadline {
 			return false
 		}
 		outcomes = append(outcomes, w.refused(t.retryAfter(now), now))
@@ -72,34 +74,34 @@
 	return outcomes
 }
 
-// ask notes the operations that are due as asked for by a request, and counts them.
-func (t *tenant[O]) ask(seq uint64, now float64) (n int) {
+// assignRequest assigns a request to the operations that are due for one, and returns their number.
+func (t *tenant[O]) assignRequest(seq uint64, now float64) (n int) {
 	for i := range t.waiting {
 		w := &t.waiting[i]
-		if w.askAt <= now {
-			w.request, w.askAt = seq, now+answerTimeoutMs
+		if w.requestAt <= now {
+			w.request, w.requestAt = seq, now+answerTimeoutMs
 			n++
 		}
 	}
 	return n
 }
 
-// answer takes the tenant's part of an answer to a request by which so many tokens were asked for.
-func (t *tenant[O]) answer(r *request, asked int, tokens controlmsg.QuotaTokens, now float64) []Outcome[O] {
-	given := min(max(tokens.Tokens, 0), asked)
-	outcomes := t.admit(r, given, now)
+// handleAnswer processes the tenant's part of an answer to a request for the given number of tokens.
+func (t *tenant[O]) handleAnswer(r *request, requested int, tokens controlmsg.QuotaTokens, now float64) []Outcome[O] {
+	granted := min(max(tokens.Tokens, 0), requested)
+	outcomes := t.admit(r, granted, now)
 	retryAfterMs := tokens.RetryAfterMs
-	if !(retryAfterMs >= 0) { // written so that it holds for NaN too
-		retryAfterMs = unknownRetryMs
+	if !(retryAfterMs >= 0) { // also true for NaN
+		retryAfterMs = defaultRetryMs
 	}
-	if r.seq > t.answered {
-		t.answered = r.seq
-		t.learn(given, given < asked, retryAfterMs, now)
+	if r.seq > t.newestAnswered {
+		t.newestAnswered = r.seq
+		t.recordAnswer(granted, granted < requested, retryAfterMs, now)
 	}
-	return append(outcomes, t.settle(r.seq, retryAfterMs, now)...)
+	return append(outcomes, t.retryOrRefuse(r.seq, retryAfterMs, now)...)
 }
 
-// admit uses tokens: for the operations that wait longest, and what is left over is kept.
+// admit uses tokens for the operations that have waited longest, and keeps the surplus.
 func (t *tenant[O]) admit(r *request, tokens int, now float64) (outcomes []Outcome[O]) {
 	n := min(tokens, len(t.waiting))
 	rest := t.waiting[n:]
@@ -111,67 +113,68 @@
 		}
 	}
 	t.waiting = slices.Delete(t.waiting, 0, n)
-	for range min(tokens-n, maxSpareTokens-len(t.spare)) {
-		t.spare = append(t.spare, r.expiresAt())
+	for range min(tokens-n, maxSurplusTokens-len(t.surplus)) {
+		t.surplus = append(t.surplus, r.expiresAt())
 	}
-	slices.Sort(t.spare)
+	slices.Sort(t.surplus)
 	return outcomes
 }
 
-// replaceRequest has the first operation of a request take the place of another that another request asks for, or that
-// is to be asked for later: that one was admitted with its token.
+// replaceRequest moves the request of an admitted operation to the first operation of the request seq, whose token the
+// admitted one used. The request may be 0, for an operation that is to be requested later.
 func replaceRequest[O any](waiting []waiter[O], seq uint64, admitted *waiter[O]) {
 	i := slices.IndexFunc(waiting, func(w waiter[O]) bool { return w.request == seq })
 	if i >= 0 {
-		waiting[i].request, waiting[i].askAt = admitted.request, admitted.askAt
+		waiting[i].request, waiting[i].requestAt = admitted.request, admitted.requestAt
 	}
 }
 
-// learn notes what the newest answer says of the tenant's quota. Where one answer after the other has no token, the
-// next request follows later: other proxies take what there is.
-func (t *tenant[O]) learn(given int, short bool, retryAfterMs, now float64) {
-	t.empty++
-	if given > 0 {
-		t.empty = 0
+// recordAnswer records what the newest answer states about the tenant's quota. Successive answers without a token delay
+// the next request further: other proxies take the available tokens.
+func (t *tenant[O]) recordAnswer(granted int, insufficient bool, retryAfterMs, now float64) {
+	t.emptyAnswers++
+	if granted > 0 {
+		t.emptyAnswers = 0
 	}
-	t.retryAt, t.askAt = 0, 0
-	if short {
-		t.retryAt = now + retryAfterMs
-		t.askAt = now + min(max(retryAfterMs, t.backoff()), maxHoldOffMs)
+	t.tokenDueAt, t.nextRequestAt = 0, 0
+	if insufficient {
+		t.tokenDueAt = now + retryAfterMs
+		t.nextRequestAt = now + min(max(retryAfterMs, t.backoff()), maxBackoffMs)
 	}
 }
 
-// backoff is the least time until the next request, in milliseconds.
+// backoff returns the shortest time until the next request, in milliseconds.
 func (t *tenant[O]) backoff() float64 {
-	const first, doublings = 10.0, 4
-	return first * float64(int(1)<<min(t.empty, doublings))
+	const initialMs, doublings = 10.0, 4
+	return initialMs * float64(int(1)<<min(t.emptyAnswers, doublings))
 }
 
-// settle takes the operations of an answered request that got no token: they are asked for again if one is due soon.
-func (t *tenant[O]) settle(seq uint64, retryAfterMs, now float64) (outcomes []Outcome[O]) {
-	askAt := now + max(retryAfterMs, t.backoff())
+// retryOrRefuse processes the operations of an answered request that got no token: they are requested again if a token
+// is due soon, and refused otherwise.
+func (t *tenant[O]) retryOrRefuse(seq uint64, retryAfterMs, now float64) (outcomes []Outcome[O]) {
+	requestAt := now + max(retryAfterMs, t.backoff())
 	t.waiting = slices.DeleteFunc(t.waiting, func(w waiter[O]) bool {
-		if w.request != seq || retryAfterMs <= maxTokenDueMs && askAt < w.until {
+		if w.request != seq || retryAfterMs <= maxTokenWaitMs && requestAt < w.deadline {
 			return false
 		}
-		outcomes = append(outcomes, w.refused(boundedRetryAfter(retryAfterMs), now))
+		outcomes = append(outcomes, w.refused(clampRetryAfter(retryAfterMs), now))
 		return true
 	})
 	for i := range t.waiting {
 		if w := &t.waiting[i]; w.request == seq {
-			w.request, w.askAt = 0, askAt
+			w.request, w.requestAt = 0, requestAt
 		}
 	}
 	return outcomes
 }
 
-// takeSpare uses a token that was left over, if there is one.
-func (t *tenant[O]) takeSpare(now float64) bool {
-	usable := slices.IndexFunc(t.spare, func(expiresAt float64) bool { return now <= expiresAt })
+// takeSurplusToken uses a surplus token, and reports whether there was a valid one.
+func (t *tenant[O]) takeSurplusToken(now float64) bool {
+	usable := slices.IndexFunc(t.surplus, func(expiresAt float64) bool { return now <= expiresAt })
 	if usable < 0 {
-		t.spare = nil
+		t.surplus = nil
 		return false
 	}
-	t.spare = slices.Delete(t.spare, 0, usable+1)
+	t.surplus = slices.Delete(t.surplus, 0, usable+1)
 	return true
 }
--- a/internal/dataplane/sessionstate/conn.go
+++ b/internal/dataplane/sessionstate/conn.go
@@ -6,22 +6,22 @@
 	"strconv"
 )
 
-const maxPreparedPerConn = 96 // on one connection, for all the sessions that it served
+const maxPreparedPerConn = 96 // on one connection, over all sessions that it has served
 
-// Conn is the session state that a member connection holds. The zero value is that of a new connection.
+// Conn is the session state that a member connection has. The zero value is the state of a new connection.
 type Conn struct {
 	values     map[string]string
-	prepared   map[Statement]string // the connection's names
-	valuesHash uint64               // of values, as Session has it
-	lastName   int                  // number of the newest name; names are never used twice on a connection
+	prepared   map[Statement]string // the connection's names of prepared statements
+	valuesHash uint64               // of values; see hashValues
+	lastName   int                  // number of the newest name; names are never reused on a connection
 }
 
-// ValuesHash is the hash of the values that the connection holds, comparable with a session's.
+// ValuesHash returns the hash of the connection's values, comparable with a session's.
 func (c *Conn) ValuesHash() uint64 { return c.valuesHash }
 
-// Sync returns the texts to send before a statement of the session, in order, nil for none, and takes them for
-// sent: a connection on which one of them fails is to be closed. prepared is the prepared statement that is to run,
-// nil for none; name is what the connection calls it.
+// Sync returns the commands to send before a statement of the session, in order, and assumes that they succeed: a
+// connection on which one of them fails must be closed. prepared is the prepared statement that is to run, nil for
+// none; name is the connection's name for it.
 func (c *Conn) Sync(session *Session, prepared *Statement) (texts []string, name string) {
 	if c.hasForeignValues(session) || prepared != nil && len(c.prepared) >= maxPreparedPerConn {
 		texts = append(texts, "RESET")
@@ -33,13 +33,13 @@
 	}
 	name, known := c.prepared[*prepared]
 	if !known {
-		name = c.add(prepared)
+		name = c.addPrepared(prepared)
 		texts = append(texts, "PREP "+name+" "+prepared.Kind+" "+prepared.Text)
 	}
 	return texts, name
 }
 
-// hasForeignValues says whether the connection holds a value that the session has not set.
+// hasForeignValues reports whether the connection has a value that the session has not set.
 func (c *Conn) hasForeignValues(session *Session) bool {
 	for name := range c.values {
 		if _, known := session.values[name]; !known {
@@ -49,7 +49,8 @@
 	return false
 }
 
-// syncValues appends a SET for each value that the connection lacks, in order of their names.
+// syncValues appends a SET command for each value that the connection lacks or has differently, in order of their
+// names.
 func (c *Conn) syncValues(texts []string, session *Session) []string {
 	for _, name := range slices.Sorted(maps.Keys(session.values)) {
 		value := session.values[name]
@@ -70,8 +71,8 @@
 	return texts
 }
 
-// add gives a prepared statement a name of its own.
-func (c *Conn) add(prepared *Statement) string {
+// addPrepared assigns a new name to a prepared statement.
+func (c *Conn) addPrepared(prepared *Statement) string {
 	if c.prepared == nil {
 		c.prepared = map[Statement]string{}
 	}
--- a/internal/dataplane/sessionstate/session.go
+++ b/internal/dataplane/sessionstate/session.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// Bounds of one session. Beyond them SET and PREP are refused.
+// Limits of one session. SET and PREP commands beyond them are refused.
 const (
 	MaxValues   = 256
 	MaxPrepared = 256
@@ -15,14 +15,14 @@
 // Statement is a prepared statement: its kind (FETCH or STORE) and its text.
 type Statement struct{ Kind, Text string }
 
-// Session is the state of a client's session. The zero value is a session that has set nothing.
+// Session is the state of a client's session. The zero value is the state of a new session.
 type Session struct {
 	values     map[string]string
 	prepared   map[string]Statement // by the client's name
-	valuesHash uint64               // of values; 0 for none
+	valuesHash uint64               // see hashValues
 }
 
-// SetValue keeps a value. false: there are too many.
+// SetValue sets a value. It returns false if the session has too many.
 func (s *Session) SetValue(name, value string) bool {
 	if s.values == nil {
 		s.values = map[string]string{}
@@ -35,7 +35,7 @@
 	return true
 }
 
-// Prepare keeps a prepared statement. false: there are too many.
+// Prepare stores a prepared statement. It returns false if the session has too many.
 func (s *Session) Prepare(name string, statement Statement) bool {
 	if s.prepared == nil {
 		s.prepared = map[string]Statement{}
@@ -47,22 +47,23 @@
 	return true
 }
 
-// Unprepare forgets a prepared statement. false: there is none of the name.
+// Unprepare deletes a prepared statement, and reports whether there was one of that name.
 func (s *Session) Unprepare(name string) bool {
 	_, known := s.prepared[name]
 	delete(s.prepared, name)
 	return known
 }
 
-// Prepared returns the statement that was prepared under a name.
+// Prepared returns the statement that was prepared under a name, and whether there is one.
 func (s *Session) Prepared(name string) (Statement, bool) {
 	statement, known := s.prepared[name]
 	return statement, known
 }
 
-// ValuesHash is equal for sessions, and connections, with the same values; 0 for none.
+// ValuesHash returns a hash that is equal for sessions and connections with the same values, 0 for no values.
 func (s *Session) ValuesHash() uint64 { return s.valuesHash }
 
+// hashValues returns a hash of names and values, 0 if there are none.
 func hashValues(values map[string]string) uint64 {
 	if len(values) == 0 {
 		return 0
@@ -71,5 +72,5 @@
 	for _, name := range slices.Sorted(maps.Keys(values)) {
 		h.Write([]byte(name + "\x00" + values[name] + "\x00"))
 	}
-	return h.Sum64() | 1 // never 0, which is that of no values
+	return h.Sum64() | 1 // never 0, which stands for no values
 }
