--- a/internal/controlplane/quota/limiter/quota_test.go
+++ b/internal/controlplane/quota/limiter/quota_test.go
@@ -70,7 +70,7 @@
 	depth    []float64 // of the bucket at that time
 }
 
-// simulate requests an operation each millisecond while grants, of which some are lost or late, change the share at
+// simulate requests an operation each millisecond while grants, some of them lost or late, change the share at
 // random.
 func simulate(t *testing.T, rng *rand.Rand, limit Limit) admissions {
 	var d admissions
@@ -132,7 +132,7 @@
 		limiters = append(limiters, newLimiterWithShare(t, rate, burst, 1.0/proxies, 0))
 	}
 	var admitted []float64
-	for now := 5000.0; now < testLeaseMs; now++ { // the buckets are full when it begins
+	for now := 5000.0; now < testLeaseMs; now++ { // the buckets are full at the start
 		for _, l := range limiters {
 			if l.Admit("t", 0, now).Verdict == Admitted {
 				admitted = append(admitted, now)
--- a/internal/dataplane/sessionstate/sessionstate_test.go
+++ b/internal/dataplane/sessionstate/sessionstate_test.go
@@ -61,7 +61,8 @@
 				c.session.SetValue(name, value)
 				c.values[name] = value
 			case 1:
-				statement := Statement{rapid.SampledFrom([]string{"FETCH", "STORE"}).Draw(t, "kind"), fmt.Sprint("q", rapid.IntRange(0, 200).Draw(t, "shape"))}
+				statement := Statement{rapid.SampledFrom([]string{"FETCH", "STORE"}).Draw(t, "kind"),
+					fmt.Sprint("q", rapid.IntRange(0, 200).Draw(t, "shape"))}
 				c.session.Prepare(name, statement)
 				c.prepared[name] = statement
 			case 2:
