--- a/internal/controlplane/config/quotalimit/limit.go
+++ b/internal/controlplane/config/quotalimit/limit.go
@@ -9,10 +9,10 @@
 	Burst float64 // its depth, in operations
 }
 
-// ForTokens gives the bucket that tokens are to be given out by, where each may be used up to lifetimeMs later: no
+// ForTokenLifetime returns the bucket that tokens are to be given out by, where each may be used up to lifetimeMs later: no
 // window of windowMs has more operations by it than by l. The depth makes up for it, or where that is too small, the
 // rate.
-func (l Limit) ForTokens(lifetimeMs, windowMs float64) Limit {
+func (l Limit) ForTokenLifetime(lifetimeMs, windowMs float64) Limit {
 	late := l.Rate * lifetimeMs / 1000
 	depth := l.Burst - late
 	if least := min(l.Burst, minTokenDepth); depth < least {
--- a/internal/controlplane/config/quotalimit/quotalimit_test.go
+++ b/internal/controlplane/config/quotalimit/quotalimit_test.go
@@ -46,7 +46,7 @@
 	const lifetime, window = 500, 5000
 	for _, l := range []Limit{{Rate: 10, Burst: 25}, {Rate: 350, Burst: 360}, {Rate: 100, Burst: 15}, {Rate: 0, Burst: 15},
 		{Rate: 100, Burst: 4}} {
-		got := l.ForTokens(lifetime, window)
+		got := l.ForTokenLifetime(lifetime, window)
 		used := got.Rate*(window+lifetime)/1000 + got.Burst
 		if most := l.Rate*window/1000 + l.Burst; used > most+1e-9 || got.Burst > l.Burst || got.Burst < min(l.Burst, 10) {
 			t.Errorf("%+v: %+v, by which %v may be used in a window, of %v", l, got, used, most)
--- a/internal/controlplane/orders/errors.go
+++ b/internal/controlplane/orders/errors.go
@@ -18,8 +18,8 @@
 	ErrQueueFull = errors.New("the queue of orders is full")
 	// ErrNoConfiguration is a read before the first version.
 	ErrNoConfiguration = errors.New("no configuration")
-	// ErrSiteNotIn is a lease for a site's incarnation that has not joined or is out.
-	ErrSiteNotIn = errors.New("the site's incarnation is not in")
+	// ErrSiteNotJoined is returned for a lease request of a site incarnation that has not joined or was removed.
+	ErrSiteNotJoined = errors.New("the site's incarnation has not joined or was removed")
 )
 
 // statusOf maps an error to the HTTP status of its answer, for all orders. Without a clear result that is 503, on which
@@ -32,7 +32,7 @@
 		return http.StatusBadRequest
 	case errors.Is(err, ErrNoConfiguration):
 		return http.StatusNotFound
-	case errors.Is(err, config.ErrConflict), errors.Is(err, ErrSiteNotIn):
+	case errors.Is(err, config.ErrConflict), errors.Is(err, ErrSiteNotJoined):
 		return http.StatusConflict
 	case errors.Is(err, config.ErrBaseVersionMismatch):
 		return http.StatusPreconditionFailed
--- a/internal/controlplane/orders/step.go
+++ b/internal/controlplane/orders/step.go
@@ -142,7 +142,7 @@
 func (s *step) grantSiteLease(order *Order) *Answer {
 	known := s.state.Sites
 	if known == nil || !isIn(known.Sites[order.SiteLease.Site], order.SiteLease.Incarnation) {
-		a := failed(OutcomeRejected, ErrSiteNotIn, "this life of the site is over, or has not joined")
+		a := failed(OutcomeRejected, ErrSiteNotJoined, "this life of the site is over, or has not joined")
 		a.Reason = "sites"
 		return a
 	}
--- a/internal/controlplane/quota/limit.go
+++ b/internal/controlplane/quota/limit.go
@@ -27,7 +27,7 @@
 			continue
 		}
 		whole := Limit{Rate: rate, Burst: burst}.
-			ForTokens(controlmsg.QuotaTokenLifetimeMs, float64(s.QuotaWindow.Milliseconds()))
+			ForTokenLifetime(controlmsg.QuotaTokenLifetimeMs, float64(s.QuotaWindow.Milliseconds()))
 		limits[tenant.Name] = Limit{Rate: whole.Rate * part, Burst: whole.Burst * part}
 	}
 	return limits
