--- a/internal/controlplane/config/amend.go
+++ b/internal/controlplane/config/amend.go
@@ -31,7 +31,7 @@
 }
 
 // lists gives the names of the lists that change.
-func (a *amendment) lists() map[string]bool {
+func (a *amendment) changedLists() map[string]bool {
 	lists := map[string]bool{}
 	for list := range a.Upsert {
 		lists[list] = true
@@ -44,7 +44,7 @@
 
 // amendRaw gives the configuration in place with an amendment, valid as a whole. Items and fields unknown to this
 // version stay.
-func (s *State) amendRaw(body []byte) ([]byte, error) {
+func (s *State) applyAmendment(body []byte) ([]byte, error) {
 	a, err := parseAmendment(body)
 	if err != nil {
 		return nil, err
@@ -57,7 +57,7 @@
 	if err := decodeStrict(s.Raw, &doc); err != nil {
 		return nil, oops.In("amend").Wrap(err)
 	}
-	for _, list := range slices.Sorted(maps.Keys(a.lists())) { // in one order, as the first error is told
+	for _, list := range slices.Sorted(maps.Keys(a.changedLists())) { // in one order, as the first error is told
 		if doc[list], err = amendList(list, doc[list], a.Upsert[list], a.Delete[list]); err != nil {
 			return nil, err
 		}
@@ -104,7 +104,7 @@
 	for _, item := range upserts {
 		name := itemName(item)
 		if name == "" || upserted[name] {
-			text := keyMask{}.text(item)
+			text := keyMask{}.format(item)
 			return nil, nil, invalid(reasonInvalidField, "an item without a name of its own: %.80s", text)
 		}
 		upserted[name] = true
--- a/internal/controlplane/config/change.go
+++ b/internal/controlplane/config/change.go
@@ -21,7 +21,7 @@
 }
 
 // version reads which version the change makes, and checks what can be checked of it without a state.
-func (c *Change) version() (uint64, error) {
+func (c *Change) newVersion() (uint64, error) {
 	if c.Amend {
 		a, err := parseAmendment(c.Body)
 		if err != nil {
--- a/internal/controlplane/config/diff.go
+++ b/internal/controlplane/config/diff.go
@@ -38,7 +38,7 @@
 		return diffList(mask, key, oldItems, newItems)
 	}
 	if compact(before) != compact(after) {
-		return []string{fmt.Sprintf("~ %s: %s -> %s", key, mask.text(before), mask.text(after))}
+		return []string{fmt.Sprintf("~ %s: %s -> %s", key, mask.format(before), mask.format(after))}
 	}
 	return nil
 }
@@ -53,9 +53,9 @@
 		oldItem, found := removed[name]
 		switch {
 		case !found:
-			lines = append(lines, fmt.Sprintf("+ %s %s: %s", list, name, mask.text(item)))
+			lines = append(lines, fmt.Sprintf("+ %s %s: %s", list, name, mask.format(item)))
 		case compact(oldItem) != compact(item):
-			lines = append(lines, fmt.Sprintf("~ %s %s: %s -> %s", list, name, mask.text(oldItem), mask.text(item)))
+			lines = append(lines, fmt.Sprintf("~ %s %s: %s -> %s", list, name, mask.format(oldItem), mask.format(item)))
 		}
 		delete(removed, name)
 	}
--- a/internal/controlplane/config/encode_test.go
+++ b/internal/controlplane/config/encode_test.go
@@ -7,7 +7,7 @@
 )
 
 // Equal states are equal bytes, however their rosters came about: maps have no order of their own.
-func TestEqualStatesAreEqualBytes(t *testing.T) {
+func TestEqualStatesEncodeToEqualBytes(t *testing.T) {
 	state := &State{Version: 3}
 	for service := range 12 {
 		state = state.WithRoster(RosterChange{Add: []RosterMember{{Service: fmt.Sprint("s", service), ID: "a"}}})
@@ -26,11 +26,11 @@
 }
 
 // Of several errors in an amendment the same one is told each time.
-func TestAmendmentsErrorsHaveAnOrder(t *testing.T) {
+func TestAmendmentErrorIsDeterministic(t *testing.T) {
 	state := &State{Version: 1, Raw: []byte(`{"gen":1,"routes":{},"svcs":{},"limits":{}}`)}
 	body := []byte(`{"gen":2,"upsert":{"svcs":[{"name":"s"}],"routes":[{"name":"r"}],"limits":[{"name":"l"}]}}`)
 	for range 50 {
-		_, err := state.amendRaw(body)
+		_, err := state.applyAmendment(body)
 		if err == nil || err.Error() != `"limits" is no list of items` {
 			t.Fatal(err)
 		}
--- a/internal/controlplane/config/golden_test.go
+++ b/internal/controlplane/config/golden_test.go
@@ -18,13 +18,13 @@
 
 var update = flag.Bool("update", false, "record testdata/texts.txt anew from what the code does")
 
-var applied = AppliedChange{Version: 7, BaseVersion: 6, Digest: [32]byte{1, 2, 31: 255}, Origin: "core-1",
+var sampleChange = AppliedChange{Version: 7, BaseVersion: 6, Digest: [32]byte{1, 2, 31: 255}, Origin: "core-1",
 	AppliedAt: 1764600000000}
 
 // The state is kept on disk and goes over the wire as CBOR with these bytes. A roster of several services is
 // encoded in no order, so this one has one.
 func TestStoredForms(t *testing.T) {
-	full := &State{Version: 7, Raw: []byte(`{"gen":7}`), History: []AppliedChange{applied},
+	full := &State{Version: 7, Raw: []byte(`{"gen":7}`), History: []AppliedChange{sampleChange},
 		Roster: Roster{"orders": {"a", "b"}}}
 	for name, c := range map[string]struct {
 		state *State
@@ -49,29 +49,29 @@
 }
 
 // GET /config/log answers with the past changes in this form, and weirctl reads it.
-func TestPastAsJSON(t *testing.T) {
+func TestAppliedChangeAsJSON(t *testing.T) {
 	want := `{"Gen":7,"Base":6,"Digest":[1,2` + strings.Repeat(",0", 29) + `,255],"Node":"core-1","At":1764600000000}`
-	raw, err := json.Marshal(applied)
+	raw, err := json.Marshal(sampleChange)
 	if err != nil || string(raw) != want {
 		t.Fatalf("%s (%v), recorded %s", raw, err, want)
 	}
 	var back AppliedChange
-	if err := json.Unmarshal(raw, &back); err != nil || back != applied {
+	if err := json.Unmarshal(raw, &back); err != nil || back != sampleChange {
 		t.Errorf("read back as %+v (%v)", back, err)
 	}
 }
 
 func TestChangeDigests(t *testing.T) {
 	c := Change{Amend: true, BaseVersion: 3, Body: []byte(`{"gen":4}`)}
-	d := c.Digest()
-	if got := hex.EncodeToString(d[:]); got != wantChangeDigest {
+	digest := c.Digest()
+	if got := hex.EncodeToString(digest[:]); got != wantChangeDigest {
 		t.Error(got)
 	}
 }
 
 // Operators see these texts. Each case in testdata/texts.txt is a line with what is done, and below it what comes
 // of it.
-func TestTexts(t *testing.T) {
+func TestOperatorTexts(t *testing.T) {
 	const file = "testdata/texts.txt"
 	raw, err := os.ReadFile(file)
 	if err != nil {
@@ -106,23 +106,23 @@
 }
 
 // inPlace is what changes and differences of testdata/texts.txt begin from.
-const inPlace = `{"gen":5,"note":"kept",` +
+const currentConfig = `{"gen":5,"note":"kept",` +
 	`"routes":[{"name":"r","host":"h","type":"primary","timeoutMs":1,"svc":"s","more":1}],"svcs":[{"name":"s"}]}`
 
 func outcome(t *testing.T, line string) string {
 	verb, body, _ := strings.Cut(line, " ")
 	history := []AppliedChange{{Version: 4, BaseVersion: 3}, {Version: 5, BaseVersion: 4}}
-	state := &State{Version: 5, Raw: []byte(inPlace), History: history}
+	state := &State{Version: 5, Raw: []byte(currentConfig), History: history}
 	var base uint64
 	switch verb {
 	case "read":
 		c, err := Parse([]byte(body))
 		if err != nil {
-			return textOf(err)
+			return describeError(err)
 		}
 		return fmt.Sprintf("%d routes, %d services, limits %v", len(c.Routes), len(c.Services), c.Limits)
 	case "diff":
-		lines, err := Diff([]byte(inPlace), []byte(body))
+		lines, err := Diff([]byte(currentConfig), []byte(body))
 		if err != nil {
 			return err.Error()
 		}
@@ -136,7 +136,7 @@
 	_, body, _ = strings.Cut(body, " ")
 	next, err := state.Apply(&Change{Amend: verb != "replace", BaseVersion: base, Body: []byte(body)}, "node", 9)
 	if err != nil {
-		return textOf(err)
+		return describeError(err)
 	}
 	return fmt.Sprintf("%d: %s", next.Version, next.Raw)
 }
@@ -149,12 +149,12 @@
 	ErrBaseVersionMismatch:  412,
 }
 
-func textOf(err error) string {
-	var refused *RejectedError
+func describeError(err error) string {
+	var rejected *RejectedError
 	var undecided *UndecidedError
 	switch {
-	case errors.As(err, &refused):
-		return fmt.Sprintf("refused %d %s: %s", statusOf[refused.Err], refused.Reason, err)
+	case errors.As(err, &rejected):
+		return fmt.Sprintf("refused %d %s: %s", statusOf[rejected.Err], rejected.Reason, err)
 	case errors.As(err, &undecided):
 		return fmt.Sprintf("undecided %s, later %v: %s", undecided.Reason, errors.Is(err, ErrBaseVersionAhead), err)
 	}
@@ -162,44 +162,44 @@
 }
 
 const (
-	wantChangeDigest        = "ce3963d101306cc2f7f60bd14983186c6212c9d094ed2f5efd2f6f97daaf48f5"
-	wantHistory      uint64 = 0xd0fe903ab5783d86
+	wantChangeDigest           = "ce3963d101306cc2f7f60bd14983186c6212c9d094ed2f5efd2f6f97daaf48f5"
+	wantHistoriesDigest uint64 = 0xd0fe903ab5783d86
 )
 
 // Replacements, amendments and changes of the roster, many of them wrong, on bases behind and ahead, over 20 seeds.
-func TestHistories(t *testing.T) {
-	h := fnv.New64a()
+func TestRandomHistoriesMatchRecordedDigest(t *testing.T) {
+	digest := fnv.New64a()
 	for seed := range uint64(20) {
-		r := rand.New(rand.NewPCG(seed, 9))
+		random := rand.New(rand.NewPCG(seed, 9))
 		state := &State{}
 		var sent []*Change
 		for range 300 {
 			before := state
-			switch r.IntN(8) {
+			switch random.IntN(8) {
 			case 0:
-				state = state.WithRoster(RosterChange{Add: someMembers(r), Remove: someMembers(r)})
+				state = state.WithRoster(RosterChange{Add: randomMembers(random), Remove: randomMembers(random)})
 			case 1:
-				state = state.WithoutMember(fmt.Sprint("m", r.IntN(4)))
+				state = state.WithoutMember(fmt.Sprint("m", random.IntN(4)))
 			default:
-				c := someChange(r, state.Version)
-				if len(sent) > 0 && r.IntN(8) == 0 {
-					c = sent[r.IntN(len(sent))]
+				c := randomChange(random, state.Version)
+				if len(sent) > 0 && random.IntN(8) == 0 {
+					c = sent[random.IntN(len(sent))]
 				}
 				sent = append(sent, c)
-				fmt.Fprintln(h, state.HasApplied(c))
-				next, err := state.Apply(c, fmt.Sprint("n", r.IntN(3)), int64(r.IntN(1000)))
+				fmt.Fprintln(digest, state.HasApplied(c))
+				next, err := state.Apply(c, fmt.Sprint("n", random.IntN(3)), int64(random.IntN(1000)))
 				if err != nil {
-					fmt.Fprintln(h, textOf(err))
+					fmt.Fprintln(digest, describeError(err))
 					continue
 				}
 				state = next
 			}
 			lines, err := Diff(append([]byte{}, orEmpty(before.Raw)...), orEmpty(state.Raw))
-			fmt.Fprintln(h, state == before, state.Version, string(state.Raw), state.History, state.Roster, lines, err)
+			fmt.Fprintln(digest, state == before, state.Version, string(state.Raw), state.History, state.Roster, lines, err)
 		}
 	}
-	if got := h.Sum64(); got != wantHistory {
-		t.Errorf("%#x, recorded %#x", got, wantHistory)
+	if got := digest.Sum64(); got != wantHistoriesDigest {
+		t.Errorf("%#x, recorded %#x", got, wantHistoriesDigest)
 	}
 }
 
@@ -210,7 +210,7 @@
 	return raw
 }
 
-func someMembers(r *rand.Rand) (out []RosterMember) {
+func randomMembers(r *rand.Rand) (out []RosterMember) {
 	for range r.IntN(3) {
 		out = append(out, RosterMember{Service: fmt.Sprint("s", r.IntN(2)), ID: fmt.Sprint("m", r.IntN(4))})
 	}
@@ -218,7 +218,7 @@
 }
 
 // someChange is wrong in one place at most: which of two wrong lists is named is left to chance.
-func someChange(r *rand.Rand, gen uint64) *Change {
+func randomChange(r *rand.Rand, gen uint64) *Change {
 	c := &Change{Amend: r.IntN(2) == 0, BaseVersion: gen}
 	switch r.IntN(10) {
 	case 0:
--- a/internal/controlplane/config/mask.go
+++ b/internal/controlplane/config/mask.go
@@ -18,7 +18,7 @@
 type keyMask map[string]int
 
 // text gives JSON without its white space and with its keys masked. What has keys has its fields in order.
-func (m keyMask) text(raw json.RawMessage) string {
+func (m keyMask) format(raw json.RawMessage) string {
 	decoder := json.NewDecoder(bytes.NewReader(raw))
 	decoder.UseNumber()
 	var value any
@@ -55,15 +55,15 @@
 func (m keyMask) maskKeys(value any) any {
 	keys, isList := value.([]any)
 	if !isList {
-		return m.name(value)
+		return m.placeholder(value)
 	}
 	for i, key := range keys {
-		keys[i] = m.name(key)
+		keys[i] = m.placeholder(key)
 	}
 	return keys
 }
 
-func (m keyMask) name(key any) string {
+func (m keyMask) placeholder(key any) string {
 	text := fmt.Sprint(key)
 	if m[text] == 0 {
 		m[text] = len(m) + 1
--- a/internal/controlplane/config/parse.go
+++ b/internal/controlplane/config/parse.go
@@ -34,12 +34,12 @@
 }
 
 // decodeStrict reads JSON that must be one value with nothing after it.
-func decodeStrict(raw []byte, into any) error {
-	d := json.NewDecoder(bytes.NewReader(raw))
-	if err := d.Decode(into); err != nil {
+func decodeStrict(raw []byte, target any) error {
+	decoder := json.NewDecoder(bytes.NewReader(raw))
+	if err := decoder.Decode(target); err != nil {
 		return err
 	}
-	if _, err := d.Token(); !errors.Is(err, io.EOF) {
+	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
 		return errors.New("something follows its end")
 	}
 	return nil
@@ -59,11 +59,11 @@
 	if err == nil {
 		return nil
 	}
-	var wrong validator.ValidationErrors
-	if !errors.As(err, &wrong) {
+	var fieldErrors validator.ValidationErrors
+	if !errors.As(err, &fieldErrors) {
 		return invalid(reasonInvalidField, "%v", err)
 	}
-	first := wrong[0]
+	first := fieldErrors[0]
 	return invalid(reasonInvalidField, "%s is %v, which %s does not allow",
 		first.Namespace(), first.Value(), first.ActualTag())
 }
@@ -71,11 +71,11 @@
 func (c *Config) indexServices() error {
 	c.serviceByName = map[string]*Service{}
 	for i := range c.Services {
-		s := &c.Services[i]
-		if c.serviceByName[s.Name] != nil {
-			return invalid(reasonDuplicateService, "two services are named %q", s.Name)
+		service := &c.Services[i]
+		if c.serviceByName[service.Name] != nil {
+			return invalid(reasonDuplicateService, "two services are named %q", service.Name)
 		}
-		c.serviceByName[s.Name] = s
+		c.serviceByName[service.Name] = service
 	}
 	return nil
 }
@@ -86,21 +86,21 @@
 	type match struct{ host, prefix string }
 	names, nameByMatch := map[string]bool{}, map[match]string{}
 	for i := range c.Routes {
-		r := &c.Routes[i]
-		if names[r.Name] {
-			return invalid(reasonDuplicateRoute, "two routes are named %q", r.Name)
+		route := &c.Routes[i]
+		if names[route.Name] {
+			return invalid(reasonDuplicateRoute, "two routes are named %q", route.Name)
 		}
-		names[r.Name] = true
-		if c.serviceByName[r.Service] == nil {
-			return invalid(reasonUnknownService, "route %q names service %q, which there is not", r.Name, r.Service)
+		names[route.Name] = true
+		if c.serviceByName[route.Service] == nil {
+			return invalid(reasonUnknownService, "route %q names service %q, which there is not", route.Name, route.Service)
 		}
-		m := match{r.Host, r.Prefix}
-		if other, found := nameByMatch[m]; found {
-			return invalid(reasonDuplicateMatch, "routes %q and %q have the same host and prefix", other, r.Name)
+		key := match{route.Host, route.Prefix}
+		if other, found := nameByMatch[key]; found {
+			return invalid(reasonDuplicateMatch, "routes %q and %q have the same host and prefix", other, route.Name)
 		}
-		nameByMatch[m] = r.Name
-		if old := c.routeByHost[r.Host]; old == nil || len(r.Prefix) < len(old.Prefix) {
-			c.routeByHost[r.Host] = r
+		nameByMatch[key] = route.Name
+		if current := c.routeByHost[route.Host]; current == nil || len(route.Prefix) < len(current.Prefix) {
+			c.routeByHost[route.Host] = route
 		}
 	}
 	return nil
--- a/internal/controlplane/config/quotalimit/limit.go
+++ b/internal/controlplane/config/quotalimit/limit.go
@@ -13,11 +13,11 @@
 // window of windowMs has more operations by it than by l. The depth makes up for it, or where that is too small, the
 // rate.
 func (l Limit) ForTokenLifetime(lifetimeMs, windowMs float64) Limit {
-	late := l.Rate * lifetimeMs / 1000
-	depth := l.Burst - late
-	if least := min(l.Burst, minTokenDepth); depth < least {
-		inWindow := l.Rate*windowMs/1000 + l.Burst
-		return Limit{Rate: (inWindow - least) * 1000 / (windowMs + lifetimeMs), Burst: least}
+	lateTokens := l.Rate * lifetimeMs / 1000
+	depth := l.Burst - lateTokens
+	if minDepth := min(l.Burst, minTokenDepth); depth < minDepth {
+		windowAllowance := l.Rate*windowMs/1000 + l.Burst
+		return Limit{Rate: (windowAllowance - minDepth) * 1000 / (windowMs + lifetimeMs), Burst: minDepth}
 	}
 	return Limit{Rate: l.Rate, Burst: depth}
 }
--- a/internal/controlplane/config/quotalimit/quotalimit.go
+++ b/internal/controlplane/config/quotalimit/quotalimit.go
@@ -10,7 +10,7 @@
 import "weirwind/internal/controlplane/config"
 
 // usedTolerance is the part of the tolerance that the limit makes use of.
-const usedTolerance = 0.75
+const toleranceShare = 0.75
 
 // Of gives the token bucket that bounds a tenant's operations over all drivers: its rate a second, and its depth.
 // excess and extra are the tolerance of the rule. limited is false for a tenant without a quota, and for no tenant.
@@ -18,6 +18,6 @@
 	if tenant == nil || tenant.Rate == 0 && tenant.Burst == 0 {
 		return 0, 0, false
 	}
-	scale := 1 + usedTolerance*excess
-	return tenant.Rate * scale, tenant.Burst*scale + usedTolerance*extra, true
+	scale := 1 + toleranceShare*excess
+	return tenant.Rate * scale, tenant.Burst*scale + toleranceShare*extra, true
 }
--- a/internal/controlplane/config/quotalimit/quotalimit_test.go
+++ b/internal/controlplane/config/quotalimit/quotalimit_test.go
@@ -7,7 +7,7 @@
 	"weirwind/internal/controlplane/config"
 )
 
-func TestLimits(t *testing.T) {
+func TestOf(t *testing.T) {
 	for name, c := range map[string]struct {
 		tenant      *config.Tenant
 		rate, burst float64
@@ -48,8 +48,8 @@
 		{Rate: 100, Burst: 4}} {
 		got := l.ForTokenLifetime(lifetime, window)
 		used := got.Rate*(window+lifetime)/1000 + got.Burst
-		if most := l.Rate*window/1000 + l.Burst; used > most+1e-9 || got.Burst > l.Burst || got.Burst < min(l.Burst, 10) {
-			t.Errorf("%+v: %+v, by which %v may be used in a window, of %v", l, got, used, most)
+		if allowed := l.Rate*window/1000 + l.Burst; used > allowed+1e-9 || got.Burst > l.Burst || got.Burst < min(l.Burst, 10) {
+			t.Errorf("%+v: %+v, by which %v may be used in a window, of %v", l, got, used, allowed)
 		}
 	}
 }
--- a/internal/controlplane/config/roster_test.go
+++ b/internal/controlplane/config/roster_test.go
@@ -4,7 +4,7 @@
 
 // A change of the roster leaves the state that it was made of alone, and one that changes nothing gives that very
 // state.
-func TestRosterChanges(t *testing.T) {
+func TestWithRosterLeavesOriginalStateUnchanged(t *testing.T) {
 	first := &State{Version: 3}
 	two := first.WithRoster(RosterChange{Add: []RosterMember{{"s", "b"}, {"s", "a"}, {"r", "c"}}})
 	if first.Roster != nil || two.Version != 3 ||
--- a/internal/controlplane/config/state.go
+++ b/internal/controlplane/config/state.go
@@ -66,8 +66,8 @@
 // Apply gives the state with a change that is not in the history. origin and at (milliseconds) are for people. The
 // error is a RejectedError, which holds in every state that can follow this one, or an UndecidedError; any other is a
 // fault of the stored document, and says as little as an UndecidedError.
-func (s *State) Apply(change *Change, origin string, at int64) (*State, error) {
-	version, err := change.version() // first, as what is wrong by itself is so on any base
+func (s *State) Apply(change *Change, origin string, atMs int64) (*State, error) {
+	version, err := change.newVersion() // first, as what is wrong by itself is so on any base
 	if err != nil {
 		return nil, err
 	}
@@ -76,7 +76,7 @@
 	}
 	raw := change.Body
 	if change.Amend {
-		if raw, err = s.amendRaw(change.Body); err != nil {
+		if raw, err = s.applyAmendment(change.Body); err != nil {
 			return nil, err
 		}
 	}
@@ -85,7 +85,7 @@
 		BaseVersion: change.BaseVersion,
 		Digest:      change.Digest(),
 		Origin:      origin,
-		AppliedAt:   at,
+		AppliedAt:   atMs,
 	}
 	next := *s
 	next.Version, next.Raw, next.History = version, bytes.Clone(raw), appendHistory(s.History, applied)
@@ -116,28 +116,28 @@
 
 // WithShards gives the state with a change of the shard map; the same state if the change was applied before.
 func (s *State) WithShards(change *shardmap.Change) (*State, error) {
-	m, err := s.Shards.Apply(change)
+	shards, err := s.Shards.Apply(change)
 	if err != nil {
 		return nil, reject(ErrConflict, reasonShards, "%v", err)
 	}
-	if m == s.Shards {
+	if shards == s.Shards {
 		return s, nil
 	}
 	next := *s
-	next.Shards = m
+	next.Shards = shards
 	return &next, nil
 }
 
 // WithSites gives the state with a change of the site map; the same state if the change makes no difference.
 func (s *State) WithSites(change *sites.Change) (*State, error) {
-	m, err := s.Sites.Apply(change)
+	siteMap, err := s.Sites.Apply(change)
 	if err != nil {
 		return nil, reject(ErrConflict, reasonSites, "%v", err)
 	}
-	if m == s.Sites {
+	if siteMap == s.Sites {
 		return s, nil
 	}
 	next := *s
-	next.Sites = m
+	next.Sites = siteMap
 	return &next, nil
 }
--- a/internal/controlplane/config/tenants_test.go
+++ b/internal/controlplane/config/tenants_test.go
@@ -9,17 +9,17 @@
 )
 
 // tenantsInPlace is what amendments of tenants begin from.
-const tenantsInPlace = `{"gen":5,"tenants":[{"name":"a","keys":["a1","a2"],"perS":9,"burst":3,"more":{"x":1}},` +
+const currentTenants = `{"gen":5,"tenants":[{"name":"a","keys":["a1","a2"],"perS":9,"burst":3,"more":{"x":1}},` +
 	`{"name":"b","keys":["b1"]}]}`
 
 // withTenants gives a configuration with a list of tenants.
 func withTenants(tenants string) []byte { return fmt.Appendf(nil, `{"gen":1,"tenants":[%s]}`, tenants) }
 
-func TestKeyOfTwoTenantsIsRefused(t *testing.T) {
+func TestSharedTenantKeyIsRejected(t *testing.T) {
 	requireReason(t, `{"name":"a","keys":["k","l"]},{"name":"b","keys":["m","l"]}`, reasonSharedKey)
 }
 
-func TestTwoTenantsOfOneNameAreRefused(t *testing.T) {
+func TestDuplicateTenantNameIsRejected(t *testing.T) {
 	requireReason(t, `{"name":"a","keys":["k"]},{"name":"a","keys":["l"]}`, reasonDuplicateTenant)
 }
 
@@ -94,7 +94,7 @@
 	}
 }
 
-func TestAmendmentsThatLeaveAKeyWithTwoTenantsAreRefused(t *testing.T) {
+func TestAmendmentSharingATenantKeyIsRejected(t *testing.T) {
 	for _, body := range []string{
 		`{"gen":6,"upsert":{"tenants":[{"name":"b","keys":["b1","a2"]}]}}`,
 		`{"gen":6,"upsert":{"tenants":[{"name":"c","keys":["a1"]}]}}`,
@@ -107,8 +107,8 @@
 }
 
 func TestAmendmentsKeepUnknownFieldsOfTenants(t *testing.T) {
-	state := &State{Version: 5, Raw: []byte(tenantsInPlace)}
-	raw, err := state.amendRaw([]byte(`{"gen":6,"upsert":{"tenants":[{"name":"b","keys":["b2"],"other":4}]}}`))
+	state := &State{Version: 5, Raw: []byte(currentTenants)}
+	raw, err := state.applyAmendment([]byte(`{"gen":6,"upsert":{"tenants":[{"name":"b","keys":["b2"],"other":4}]}}`))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -120,8 +120,8 @@
 }
 
 func amendTenants(body string) (*Config, error) {
-	state := &State{Version: 5, Raw: []byte(tenantsInPlace)}
-	raw, err := state.amendRaw([]byte(body))
+	state := &State{Version: 5, Raw: []byte(currentTenants)}
+	raw, err := state.applyAmendment([]byte(body))
 	if err != nil {
 		return nil, err
 	}
@@ -138,7 +138,7 @@
 func TestDiffPrintsNoKeys(t *testing.T) {
 	after := `{"gen":5,"tenants":[{"burst":3,"name":"a","KEYS":["a1","c1"],"nested":{"keys":["a1"]}},` +
 		`{"name":"c","keys":["a2"]}]}`
-	lines, err := Diff([]byte(tenantsInPlace), []byte(after))
+	lines, err := Diff([]byte(currentTenants), []byte(after))
 	want := []string{
 		`~ tenants a: {"burst":3,"keys":["key 1","key 2"],"more":{"x":1},"name":"a","perS":9} -> ` +
 			`{"KEYS":["key 1","key 3"],"burst":3,"name":"a","nested":{"keys":["key 1"]}}`,
@@ -150,7 +150,7 @@
 	}
 }
 
-func TestChangedKeyIsADifferenceThoughBothAreMasked(t *testing.T) {
+func TestDiffReportsChangedMaskedKey(t *testing.T) {
 	lines, err := Diff(withTenants(`{"name":"a","keys":["k"]}`), withTenants(`{"name":"a","keys":["l"]}`))
 	want := `~ tenants a: {"keys":["key 1"],"name":"a"} -> {"keys":["key 2"],"name":"a"}`
 	if err != nil || !slices.Equal(lines, []string{want}) {
--- a/internal/controlplane/config/unknown_test.go
+++ b/internal/controlplane/config/unknown_test.go
@@ -14,7 +14,7 @@
 		t.Fatal(err)
 	}
 	state := &State{Version: 1, Raw: raw}
-	amended, err := state.amendRaw([]byte(`{"gen":2,"upsert":{"svcs":[{"name":"n"}]}}`))
+	amended, err := state.applyAmendment([]byte(`{"gen":2,"upsert":{"svcs":[{"name":"n"}]}}`))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/controlplane/failover/candidate.go
+++ b/internal/controlplane/failover/candidate.go
@@ -25,7 +25,7 @@
 // drain, then the newer software, then who is nearer to the old primary.
 func comparePreference(a, b *Member) int {
 	return cmp.Or(
-		compareBool(a.SinceHeartbeat > staleHeartbeat, b.SinceHeartbeat > staleHeartbeat),
+		compareBool(a.SinceHeartbeat > staleHeartbeatAge, b.SinceHeartbeat > staleHeartbeatAge),
 		compareBool(a.Draining, b.Draining),
 		cmp.Compare(b.Generation, a.Generation),
 		cmp.Compare(a.Distance, b.Distance),
--- a/internal/controlplane/failover/catchup.go
+++ b/internal/controlplane/failover/catchup.go
@@ -11,12 +11,12 @@
 		c.restart(now)
 		return
 	}
-	if c.abandonIfLed(view, now) {
+	if c.abandonIfPrimaryExists(view, now) {
 		return
 	}
 	candidate := c.observation(c.candidate)
 	end := candidate.status.Received
-	complete := candidate.known && !m.Unlisted && c.hasAllOfPaused(view, end, now)
+	complete := candidate.known && !m.Unlisted && c.coversPausedLogs(view, end, now)
 	if c.mode == switchoverSteppedDown && c.candidate != c.oldPrimary && end.Less(c.oldPosition) {
 		complete = false
 		if now-c.phaseStart > pauseTimeout {
@@ -50,7 +50,7 @@
 
 // hasAllOfPaused is whether a log up to end has all that the paused replicas have. A reply that is too old proves
 // nothing, as the replica may have restarted and forgotten its pause.
-func (c *Controller) hasAllOfPaused(view *View, end wire.Position, now float64) bool {
+func (c *Controller) coversPausedLogs(view *View, end wire.Position, now float64) bool {
 	for _, m := range c.replicas(view) {
 		o := c.observation(m.ID)
 		if !o.paused {
@@ -78,5 +78,5 @@
 		o.known = m.ID == c.oldPrimary && o.known
 	}
 	c.candidate = "" // the next one is resumed as it is queried (pauseReplicas)
-	c.enter(phasePausing, now)
+	c.enterPhase(phasePausing, now)
 }
--- a/internal/controlplane/failover/controller.go
+++ b/internal/controlplane/failover/controller.go
@@ -78,7 +78,7 @@
 
 // pastEarlierPromotes is whether a promote which an earlier leader issued would have been carried out by now. Nothing
 // is begun before.
-func (c *Controller) pastEarlierPromotes(now float64) bool { return now-c.startedAt > promoteLatency }
+func (c *Controller) pastPromoteLatency(now float64) bool { return now-c.startedAt > promoteLatency }
 
 // begin starts a failover or switchover. Statuses from before it don't count, apart from the old primary's.
 func (c *Controller) begin(view *View, oldPrimary string, newMode mode, reason string, now float64) {
@@ -93,17 +93,17 @@
 			o.known = false
 		}
 	}
-	c.act(Log, oldPrimary, "begins: "+reason)
+	c.addAction(Log, oldPrimary, "begins: "+reason)
 	c.lastReason = ""
-	c.enter(phasePausing, now)
+	c.enterPhase(phasePausing, now)
 	c.stepPausing(view, now)
 }
 
 // abandon ends a failover or switchover without a new primary, and resumes replicas.
 func (c *Controller) abandon(view *View, reason string, now float64) {
-	c.act(Log, c.oldPrimary, "given up: "+reason)
-	c.releaseReplicas(view, now)
-	c.enter(phaseWatching, now)
+	c.addAction(Log, c.oldPrimary, "given up: "+reason)
+	c.scheduleResumes(view, now)
+	c.enterPhase(phaseWatching, now)
 }
 
 // restart begins anew with pausing replicas: all of them are queried again.
@@ -111,12 +111,12 @@
 	for _, o := range c.observations {
 		o.known, o.paused = false, false
 	}
-	c.enter(phasePausing, now)
+	c.enterPhase(phasePausing, now)
 	c.nextQueryAt = now + retryDelay
 }
 
 // abandonIfLed abandons the failover if somebody leads after all, and tells whether it did.
-func (c *Controller) abandonIfLed(view *View, now float64) bool {
+func (c *Controller) abandonIfPrimaryExists(view *View, now float64) bool {
 	for _, m := range view.Members {
 		o := c.observation(m.ID)
 		switch {
@@ -129,7 +129,7 @@
 		case o.queriedAt >= c.phaseStart:
 			c.abandon(view, m.ID+" leads", now)
 			if c.oldPrimary != "" {
-				c.act(EnforceDrain, c.oldPrimary, "")
+				c.addAction(EnforceDrain, c.oldPrimary, "")
 			}
 			return true
 		}
@@ -137,7 +137,7 @@
 	return false
 }
 
-func (c *Controller) act(kind ActionKind, id, reason string) {
+func (c *Controller) addAction(kind ActionKind, id, reason string) {
 	c.actions = append(c.actions, Action{Kind: kind, ID: id, Term: c.highestTerm, Reason: reason})
 }
 
@@ -145,7 +145,7 @@
 func (c *Controller) logOnce(reason string) {
 	if reason != c.lastReason {
 		c.lastReason = reason
-		c.act(Log, "", reason)
+		c.addAction(Log, "", reason)
 	}
 }
 
--- a/internal/controlplane/failover/controlplane_test.go
+++ b/internal/controlplane/failover/controlplane_test.go
@@ -7,26 +7,26 @@
 
 // controlPlane is what the leader of the control plane knows, and what it has committed: the second outlives it.
 type controlPlane struct {
-	known       map[string]bool    // members that send heartbeats here and have not departed
-	departed    map[string]bool    // members known to have departed
-	hiddenUntil map[string]float64 // until when a member's heartbeats go elsewhere
-	term        uint64             // of the leader
-	promotes    uint64             // that it issued
+	known               map[string]bool    // members that send heartbeats here and have not departed
+	departed            map[string]bool    // members known to have departed
+	heartbeatsLostUntil map[string]float64 // until when a member's heartbeats go elsewhere
+	term                uint64             // of the leader
+	promotes            uint64             // that it issued
 
 	roster       map[string]bool // committed
 	removals     map[string]bool // proposed: members that are covered
 	nextCommitAt float64
 
-	latePromotes int     // that are under way
-	lateRate     float64 // share of promotes that are carried out late, and not answered
-	slowStarts   bool    // members that start receive from startDelay on
+	latePromotes    int     // that are under way
+	latePromoteRate float64 // share of promotes that are carried out late, and not answered
+	delayReceiving  bool    // members that start receive from startDelay on
 
-	withoutRoster bool // the guard is taken out: members of which nothing is known don't count
-	oneFenceATerm bool // the guard is taken out: all promotes of a leader have one fencing token
+	ignoreRoster    bool // the guard is taken out: members of which nothing is known don't count
+	oneTokenPerTerm bool // the guard is taken out: all promotes of a leader have one fencing token
 }
 
 func newControlPlane(ids ...string) *controlPlane {
-	c := &controlPlane{known: map[string]bool{}, departed: map[string]bool{}, hiddenUntil: map[string]float64{},
+	c := &controlPlane{known: map[string]bool{}, departed: map[string]bool{}, heartbeatsLostUntil: map[string]float64{},
 		roster: map[string]bool{}, removals: map[string]bool{}, term: 1}
 	for _, id := range ids {
 		c.known[id], c.roster[id] = true, true
@@ -36,7 +36,7 @@
 
 // heartbeat takes a member's heartbeat, which is lost while the member is hidden.
 func (c *controlPlane) heartbeat(id string, now float64) {
-	if now >= c.hiddenUntil[id] {
+	if now >= c.heartbeatsLostUntil[id] {
 		c.known[id] = true
 		delete(c.departed, id)
 		delete(c.removals, id)
@@ -71,22 +71,22 @@
 // absent returns the members on the roster of which nothing is known, or that have departed.
 func (c *controlPlane) absent() (out []Member) {
 	for _, id := range slices.Sorted(maps.Keys(c.roster)) {
-		if !c.known[id] && !c.withoutRoster {
+		if !c.known[id] && !c.ignoreRoster {
 			out = append(out, Member{ID: id, Absent: true, Departed: c.departed[id]})
 		}
 	}
 	return out
 }
 
-func (c *controlPlane) nextFence() uint64 {
-	if c.promotes++; c.oneFenceATerm {
+func (c *controlPlane) nextFencingToken() uint64 {
+	if c.promotes++; c.oneTokenPerTerm {
 		return c.term << 16
 	}
 	return c.term<<16 | c.promotes
 }
 
 // forget changes the leader: the new one knows only what was committed.
-func (c *controlPlane) forget() {
+func (c *controlPlane) changeLeader() {
 	c.term++
 	c.promotes = 0
 	clear(c.known)
--- a/internal/controlplane/failover/coverage.go
+++ b/internal/controlplane/failover/coverage.go
@@ -23,16 +23,16 @@
 	if len(c.coverages) == 0 || view.SyncReplicas == 0 {
 		return
 	}
-	if p := findMember(view, c.currentPrimary()); p != nil && !p.Unlisted {
+	if primary := findMember(view, c.currentPrimary()); primary != nil && !primary.Unlisted {
 		if now >= c.nextCoverageQueryAt {
 			c.nextCoverageQueryAt = now + c.coverageQueryInterval(now)
 			c.queryAll(view, now)
 		}
-		c.recordPosition(p.ID)
+		c.recordPosition(primary.ID)
 	}
 	for id, cov := range c.coverages {
 		if c.covered(view, cov) {
-			c.act(AllowRemoval, id, "")
+			c.addAction(AllowRemoval, id, "")
 		}
 	}
 }
--- a/internal/controlplane/failover/digest_test.go
+++ b/internal/controlplane/failover/digest_test.go
@@ -18,14 +18,14 @@
 
 	suspects, healthy, stalls int // drivers' reports
 	uncertain                 bool
-	stale                     string // member whose heartbeats are stale
+	staleMember               string // member whose heartbeats are stale
 }
 
-func playDigestHistory(seed uint64, syncReplicas int, ids ...string) *digestHistory {
+func runDigestHistory(seed uint64, syncReplicas int, ids ...string) *digestHistory {
 	h := &digestHistory{simulation: newSimulationOf(seed, syncReplicas, ids...), sum: fnv.New64a(), kinds: map[string]int{}}
-	h.control.slowStarts = true
-	h.record = h.hash
-	h.alter = func(v *View) { h.alterView(v, seed) }
+	h.control.delayReceiving = true
+	h.record = h.recordStep
+	h.modifyView = func(v *View) { h.addReports(v, seed) }
 	h.run(2500)
 	for range 5 {
 		for range 1 + h.random.IntN(3) {
@@ -34,8 +34,8 @@
 		}
 		h.run(4000 * h.random.Float64())
 		h.heal()
-		h.suspects, h.healthy, h.stalls, h.uncertain, h.stale = 0, 0, 0, false, ""
-		h.refuses, h.control.lateRate = false, 0
+		h.suspects, h.healthy, h.stalls, h.uncertain, h.staleMember = 0, 0, 0, false, ""
+		h.refuseConnections, h.control.latePromoteRate = false, 0
 		h.run(500 + 4000*h.random.Float64())
 	}
 	h.run(10000)
@@ -43,7 +43,7 @@
 	return h
 }
 
-func (h *digestHistory) hash(parts ...any) {
+func (h *digestHistory) recordStep(parts ...any) {
 	fmt.Fprintln(h.sum, parts...)
 	if kind, ok := parts[0].(ActionKind); ok {
 		h.kinds[fmt.Sprint("action ", kind)]++
@@ -52,22 +52,22 @@
 	}
 }
 
-func (h *digestHistory) alterView(v *View, seed uint64) {
+func (h *digestHistory) addReports(v *View, seed uint64) {
 	v.SuspectReports, v.HealthyReports, v.MembershipUncertain = h.suspects, h.healthy, h.uncertain
 	v.StallReports += h.stalls
 	for i := range v.Members {
 		m := &v.Members[i]
 		m.Distance = float64(i % 2)
 		m.Generation = [...]string{"v1", "v2"}[int(seed+uint64(i))/2%2]
-		if m.ID == h.stale {
+		if m.ID == h.staleMember {
 			m.SinceHeartbeat += 5000
 		}
 	}
 }
 
-func (h *digestHistory) drain() {
-	if lead := h.group.Leader(); lead != nil {
-		lead.Draining = true
+func (h *digestHistory) drainPrimary() {
+	if primary := h.group.Leader(); primary != nil {
+		primary.Draining = true
 	}
 }
 
@@ -81,30 +81,30 @@
 		h.suspects, h.healthy = 1+h.random.IntN(4), h.random.IntN(2)
 	case 1:
 		h.uncertain = true
-		h.drain()
+		h.drainPrimary()
 	case 2:
 		h.stalls = 2
 	case 3:
-		h.refuses = true
+		h.refuseConnections = true
 		h.injectHardFault()
 	case 4: // the candidate may receive nothing
-		h.drain()
+		h.drainPrimary()
 		h.randomMember().NotReceiving = true
 	case 5:
-		h.drain()
-		h.after(800*h.random.Float64(), h.failBothEnds)
+		h.drainPrimary()
+		h.after(800*h.random.Float64(), h.failCandidate)
 	case 6:
-		h.drain()
+		h.drainPrimary()
 		h.after(700*h.random.Float64(), h.removeOldPrimary)
 	case 7: // all drain, one soon after another
-		h.drain()
+		h.drainPrimary()
 		h.after(400*h.random.Float64(), func() {
 			for _, m := range h.group.Members {
 				m.Draining = true
 			}
 		})
 	case 8:
-		h.stale = h.randomMember().ID
+		h.staleMember = h.randomMember().ID
 		h.injectFault()
 	case 9:
 		if h.control.latePromotes == 0 && h.random.IntN(3) == 0 {
@@ -118,7 +118,7 @@
 }
 
 // failBothEnds fails the candidate of a switchover, and at times the old primary.
-func (h *digestHistory) failBothEnds() {
+func (h *digestHistory) failCandidate() {
 	if m := h.group.Member(h.controller.candidate); m != nil {
 		m.Up = false
 	}
@@ -142,19 +142,19 @@
 // loseLeaderAndMember changes the leader of the control plane. The new one doesn't hear of one member for long, and
 // nobody leads.
 func (h *digestHistory) loseLeaderAndMember() {
-	h.control.forget()
+	h.control.changeLeader()
 	h.controller = New(h.now)
 	m := h.randomMember()
-	h.control.hiddenUntil[m.ID] = h.now + 30000
+	h.control.heartbeatsLostUntil[m.ID] = h.now + 30000
 	m.Up = false
-	if lead := h.group.Leader(); lead != nil {
-		lead.Up = false
+	if primary := h.group.Leader(); primary != nil {
+		primary.Up = false
 	}
 	h.run(24000)
 }
 
 // What is decided, when and in which order stays as it was when these digests were recorded.
-func TestDecisionsMatchTheRecordedDigests(t *testing.T) {
+func TestDecisionsMatchRecordedDigests(t *testing.T) {
 	for _, group := range []struct {
 		name         string
 		syncReplicas int
@@ -170,7 +170,7 @@
 		t.Run(group.name, func(t *testing.T) {
 			sum, kinds := fnv.New64a(), map[string]int{}
 			for seed := range uint64(40) {
-				h := playDigestHistory(seed, group.syncReplicas, group.ids...)
+				h := runDigestHistory(seed, group.syncReplicas, group.ids...)
 				fmt.Fprintln(sum, h.sum.Sum64())
 				for kind, n := range h.kinds {
 					kinds[kind] += n
--- a/internal/controlplane/failover/faults_test.go
+++ b/internal/controlplane/failover/faults_test.go
@@ -9,33 +9,33 @@
 //   - A promote is carried out seconds after it was issued, and the replicas that it relied on were restarted under
 //     another leader that knew no primary to make a fence with: no leader forgets while a late promote is under way.
 const (
-	returnDelay    = 2500.0
-	startDelay     = 300.0
-	latePromoteMax = 4000.0
+	departedRestartDelay = 2500.0
+	receiveDelay         = 300.0
+	maxPromoteDelay      = 4000.0
 	// lateStatementMax is how long after it was given up a statement may be executed (lateStatement in tuning.go).
-	lateStatementMax = 1900.0
+	maxStatementDelay = 1900.0
 	// deposedStatementMax is until when in its successor's lead a deposed leader's statement is executed. No later one can
 	// be told apart from the successor's, as a resume bears no term.
-	deposedStatementMax = 850.0
+	maxDeposedStatementDelay = 850.0
 )
 
 // promoteLate has a promote carried out after it was given up.
-func (sim *simulation) promoteLate(id string, fence uint64) {
+func (sim *simulation) promoteLate(id string, token uint64) {
 	sim.control.latePromotes++
-	sim.after(1500+latePromoteMax*sim.random.Float64(), func() {
+	sim.after(1500+maxPromoteDelay*sim.random.Float64(), func() {
 		sim.control.latePromotes--
-		sim.platform(id, fence)
+		sim.handlePromoteCall(id, token)
 	})
 }
 
 // injectFault injects one fault and returns what it is. heal ends it.
 func (sim *simulation) injectFault() string {
-	lead := sim.group.Leader()
+	primary := sim.group.Leader()
 	member := sim.group.Members[sim.random.IntN(len(sim.group.Members))]
 	switch sim.random.IntN(8) {
 	case 0, 1:
-		if lead != nil {
-			lead.Up = false
+		if primary != nil {
+			primary.Up = false
 		}
 		return "primary dark"
 	case 2:
@@ -45,8 +45,8 @@
 		member.NotReceiving = true
 		return member.ID + " deaf"
 	case 4:
-		if lead != nil {
-			lead.Partitioned = true
+		if primary != nil {
+			primary.Partitioned = true
 		}
 		return "primary cut from replicas"
 	case 5:
@@ -54,8 +54,8 @@
 		sim.controller = New(sim.now)
 		return "another leader"
 	case 6:
-		if lead != nil {
-			lead.Draining = true
+		if primary != nil {
+			primary.Draining = true
 		}
 		return "primary to be replaced"
 	}
@@ -71,8 +71,8 @@
 		switch {
 		case m.Up:
 		case !sim.control.roster[m.ID]:
-			sim.returnLater(m.ID)
-		case sim.control.slowStarts:
+			sim.restartLater(m.ID)
+		case sim.control.delayReceiving:
 			sim.restart(m.ID)
 		default:
 			m.Restart()
@@ -82,10 +82,10 @@
 
 // injectHardFault injects one of the faults that the roster and the fencing tokens are for, or one of the others.
 func (sim *simulation) injectHardFault() string {
-	lead := sim.group.Leader()
+	primary := sim.group.Leader()
 	var replicas []string
 	for _, m := range sim.group.Members {
-		if m != lead && m.Up {
+		if m != primary && m.Up {
 			replicas = append(replicas, m.ID)
 		}
 	}
@@ -94,11 +94,11 @@
 		if sim.control.latePromotes > 0 {
 			break
 		}
-		sim.control.forget()
+		sim.control.changeLeader()
 		sim.controller = New(sim.now)
 		for _, m := range sim.group.Members { // half of them send heartbeats to machines that are cut off
 			if sim.random.IntN(2) == 0 {
-				sim.control.hiddenUntil[m.ID] = sim.now + 15000*sim.random.Float64()
+				sim.control.heartbeatsLostUntil[m.ID] = sim.now + 15000*sim.random.Float64()
 			}
 		}
 		return "a new leader that knows nobody"
@@ -113,15 +113,15 @@
 			sim.joins++
 			next := fmt.Sprint("n", sim.joins)
 			sim.group.Join(next)
-			sim.deafenFor(next, startDelay)
+			sim.blockReceivingFor(next, receiveDelay)
 			return id + " leaves for " + next
 		}
 	case 3:
-		sim.control.lateRate = 0.5
-		if lead == nil || sim.random.IntN(2) == 0 {
+		sim.control.latePromoteRate = 0.5
+		if primary == nil || sim.random.IntN(2) == 0 {
 			return "a slow platform"
 		}
-		lead.Up = false
+		primary.Up = false
 		sim.after(1600+1000*sim.random.Float64(), func() { // the candidate falls before the platform promotes it, and comes back
 			if next := sim.group.Member(sim.controller.candidate); next != nil && next.Up && !next.Primary {
 				next.Up = false
@@ -141,7 +141,7 @@
 }
 
 // deafenFor keeps a member from receiving for so long.
-func (sim *simulation) deafenFor(id string, ms float64) {
+func (sim *simulation) blockReceivingFor(id string, ms float64) {
 	sim.group.Member(id).NotReceiving = true
 	sim.after(ms, func() {
 		if m := sim.group.Member(id); m != nil {
@@ -154,14 +154,14 @@
 func (sim *simulation) restart(id string) {
 	if m := sim.group.Member(id); m != nil && !m.Up {
 		m.Restart()
-		sim.deafenFor(id, startDelay)
+		sim.blockReceivingFor(id, receiveDelay)
 	}
 }
 
 // returnLater restarts a member that counted as departed.
-func (sim *simulation) returnLater(id string) {
-	sim.after(returnDelay, func() {
-		delete(sim.control.hiddenUntil, id)
+func (sim *simulation) restartLater(id string) {
+	sim.after(departedRestartDelay, func() {
+		delete(sim.control.heartbeatsLostUntil, id)
 		sim.restart(id)
 	})
 }
--- a/internal/controlplane/failover/fencing.go
+++ b/internal/controlplane/failover/fencing.go
@@ -11,7 +11,7 @@
 // resumePaused looks for replicas that were left paused, by this leader or an earlier one, and resumes them. It
 // reports whether it has begun to fence, with nothing else to be done in this step.
 func (c *Controller) resumePaused(view *View, now float64) (fencing bool) {
-	if !c.pastEarlierPromotes(now) {
+	if !c.pastPromoteLatency(now) {
 		return false
 	}
 	if !c.earlierPromotesVoid && !c.promoteUnresolved && c.nonePaused(view) {
@@ -22,10 +22,10 @@
 	}
 	for _, m := range view.Members {
 		o := c.observation(m.ID)
-		if m.Absent || !o.resumeDue || m.ID == c.primary || o.pending || now < o.nextResumeAt {
+		if m.Absent || !o.resumeCheckDue || m.ID == c.primary || o.pending || now < o.nextResumeCheckAt {
 			continue // it may be cut off and still paused: it is queried for as long as it is there
 		}
-		o.nextResumeAt = now + resumeInterval
+		o.nextResumeCheckAt = now + resumeInterval
 		if o.reportsPause && c.earlierPromotesVoid {
 			c.query(m.ID, ResumeReplication, now)
 		} else {
@@ -53,26 +53,26 @@
 // startFencing promotes the present primary anew if a replica is to be resumed and the primary has just reported that
 // it leads. It reports whether it did.
 func (c *Controller) startFencing(view *View, now float64) bool {
-	p := c.leader(view, now)
-	if p == nil || !c.anyToResume(view) || now < c.nextQueryAt {
+	primary := c.leader(view, now)
+	if primary == nil || !c.resumeNeeded(view) || now < c.nextQueryAt {
 		return false
 	}
-	o := c.observation(p.ID)
+	o := c.observation(primary.ID)
 	if !o.known || !o.status.Primary || now-o.queriedAt > watchInterval {
 		return false // stepWatching queries it
 	}
-	c.primary, c.candidate = p.ID, p.ID
-	c.act(Log, p.ID, "a fence before paused replicas are let go")
-	c.enter(phaseFencing, now)
-	c.act(Promote, p.ID, "")
+	c.primary, c.candidate = primary.ID, primary.ID
+	c.addAction(Log, primary.ID, "a fence before paused replicas are let go")
+	c.enterPhase(phaseFencing, now)
+	c.addAction(Promote, primary.ID, "")
 	return true
 }
 
 // anyToResume is whether a member that can be queried is known to be paused, with no failover under way.
-func (c *Controller) anyToResume(view *View) bool {
+func (c *Controller) resumeNeeded(view *View) bool {
 	for _, m := range view.Members {
 		o := c.observations[m.ID]
-		if o != nil && !m.Absent && o.resumeDue && o.reportsPause {
+		if o != nil && !m.Absent && o.resumeCheckDue && o.reportsPause {
 			return true
 		}
 	}
@@ -81,10 +81,10 @@
 
 func (c *Controller) handleFenceResult(status int, now float64) {
 	if status == statusAccepted {
-		c.enter(phaseQuiescing, now)
+		c.enterPhase(phaseQuiescing, now)
 		return
 	}
-	c.enter(phaseWatching, now)
+	c.enterPhase(phaseWatching, now)
 	c.nextQueryAt = now + fenceRetryDelay
 }
 
@@ -97,7 +97,7 @@
 	c.promoteIssued, c.promoteUnresolved, c.earlierPromotesVoid = false, false, true
 	for _, o := range c.observations {
 		o.known = false
-		o.nextResumeAt = now
+		o.nextResumeCheckAt = now
 	}
-	c.enter(phaseWatching, now)
+	c.enterPhase(phaseWatching, now)
 }
--- a/internal/controlplane/failover/observation.go
+++ b/internal/controlplane/failover/observation.go
@@ -26,14 +26,14 @@
 	pauseSent bool
 	// resumeDue: it may be paused with no failover under way. It is queried until it reports that it isn't, and resumed
 	// if it is.
-	resumeDue bool
+	resumeCheckDue bool
 	// resumeLateUntil: a resume that was given up may be executed until then. A reply to a pause that was sent before
 	// proves nothing, as the resume may follow it.
 	resumeLateUntil float64
 	// pauseLateUntil: a pause that was given up may be executed until then.
 	pauseLateUntil float64
 	// nextResumeAt: it is not queried for resumeDue before.
-	nextResumeAt float64
+	nextResumeCheckAt float64
 }
 
 // observation returns the one for a member. A member of which nothing is known may have been paused by an earlier
@@ -41,7 +41,7 @@
 func (c *Controller) observation(id string) *observation {
 	o := c.observations[id]
 	if o == nil {
-		o = &observation{resumeDue: true}
+		o = &observation{resumeCheckDue: true}
 		c.observations[id] = o
 	}
 	return o
@@ -72,13 +72,13 @@
 	pauseMayFollow := sent < o.pauseLateUntil
 	switch {
 	case pauseMayFollow:
-		o.resumeDue = o.resumeDue || o.pauseSent // it is queried again until no pause can follow
+		o.resumeCheckDue = o.resumeCheckDue || o.pauseSent // it is queried again until no pause can follow
 	case kind == ResumeReplication:
-		o.resumeDue, o.pauseSent = o.reportsPause, false
+		o.resumeCheckDue, o.pauseSent = o.reportsPause, false
 	case kind == QueryStatus && !o.reportsPause && o.pauseSent:
 		o.pauseSent = false // a pause that got no reply may arrive late: it is queried once more
 	case kind == QueryStatus && !o.reportsPause:
-		o.resumeDue = false
+		o.resumeCheckDue = false
 	}
 }
 
@@ -89,9 +89,9 @@
 	o.pending = false
 	switch o.pendingKind {
 	case PauseReplication:
-		o.pauseLateUntil = now + lateStatement
+		o.pauseLateUntil = now + lateStatementWindow
 	case ResumeReplication:
-		o.resumeLateUntil = now + lateStatement
+		o.resumeLateUntil = now + lateStatementWindow
 	}
 	o.failures++
 	if refused {
@@ -118,7 +118,7 @@
 	}
 	o.pending, o.pendingKind, o.pendingSince = true, kind, now
 	o.pauseSent = o.pauseSent || kind == PauseReplication
-	c.act(kind, id, "")
+	c.addAction(kind, id, "")
 }
 
 // leader returns the member with the latest claim to lead, nil for none. Claims in replies go by term and come before
--- a/internal/controlplane/failover/pausing.go
+++ b/internal/controlplane/failover/pausing.go
@@ -33,7 +33,7 @@
 		c.abandon(view, "there is no replica", now)
 		return
 	}
-	if c.abandonIfLed(view, now) {
+	if c.abandonIfPrimaryExists(view, now) {
 		return
 	}
 	if c.mode.planned() && c.candidate == "" {
@@ -62,7 +62,7 @@
 
 // startCatchingUp takes the first step of phaseCatchingUp at once.
 func (c *Controller) startCatchingUp(view *View, now float64) {
-	c.enter(phaseCatchingUp, now)
+	c.enterPhase(phaseCatchingUp, now)
 	c.stepCatchingUp(view, now)
 }
 
@@ -127,7 +127,7 @@
 func (c *Controller) stepDownOldPrimary(view *View, now float64) {
 	if c.mode == switchover {
 		c.mode = switchoverDraining
-		c.act(EnforceDrain, c.oldPrimary, "")
+		c.addAction(EnforceDrain, c.oldPrimary, "")
 	}
 	old, candidate := c.observation(c.oldPrimary), c.observation(c.candidate)
 	caughtUp := candidate.known && candidate.queriedAt >= c.phaseStart &&
@@ -191,10 +191,10 @@
 }
 
 // releaseReplicas marks every replica that may be paused: phaseWatching resumes it once earlier promotes are void.
-func (c *Controller) releaseReplicas(view *View, now float64) {
+func (c *Controller) scheduleResumes(view *View, now float64) {
 	for _, m := range view.Members {
 		if o := c.observation(m.ID); !m.Absent && (o.paused || o.pauseSent) {
-			o.resumeDue, o.paused, o.nextResumeAt = true, false, now
+			o.resumeCheckDue, o.paused, o.nextResumeCheckAt = true, false, now
 		}
 	}
 }
--- a/internal/controlplane/failover/phase.go
+++ b/internal/controlplane/failover/phase.go
@@ -54,6 +54,6 @@
 // Phase is the phase's name, as State has it.
 func (c *Controller) Phase() string { return c.phase.String() }
 
-func (c *Controller) enter(next phase, now float64) {
+func (c *Controller) enterPhase(next phase, now float64) {
 	c.phase, c.phaseStart, c.nextQueryAt = next, now, now
 }
--- a/internal/controlplane/failover/promoting.go
+++ b/internal/controlplane/failover/promoting.go
@@ -4,10 +4,10 @@
 
 // promote has the platform make the candidate the primary.
 func (c *Controller) promote(now float64) {
-	c.enter(phasePromoting, now)
+	c.enterPhase(phasePromoting, now)
 	c.nextQueryAt = now + urgentInterval
 	c.promoteIssued, c.promoteUnresolved, c.earlierPromotesVoid = true, true, false
-	c.act(Promote, c.candidate, c.oldPrimary)
+	c.addAction(Promote, c.candidate, c.oldPrimary)
 }
 
 // stepPromoting keeps replicas paused while the platform is slow: one that restarts or joins now would receive what
@@ -37,7 +37,7 @@
 	switch status {
 	case statusAccepted: // its fencing token is the highest: earlier promotes are rejected from now on
 		c.promoteUnresolved, c.earlierPromotesVoid = false, true
-		c.enter(phaseConfirming, now)
+		c.enterPhase(phaseConfirming, now)
 	case statusRejected:
 		c.promoteIssued = false
 		c.logOnce("the platform refuses " + c.candidate)
@@ -75,12 +75,12 @@
 
 // complete ends a failover or switchover: the candidate is the primary.
 func (c *Controller) complete(view *View, now float64) {
-	c.act(Log, c.candidate, "leads")
+	c.addAction(Log, c.candidate, "leads")
 	if c.oldPrimary != "" {
-		c.act(EnforceDrain, c.oldPrimary, "")
+		c.addAction(EnforceDrain, c.oldPrimary, "")
 		c.observation(c.oldPrimary).known = false
 	}
-	c.releaseReplicas(view, now)
+	c.scheduleResumes(view, now)
 	c.primary = c.candidate
-	c.enter(phaseWatching, now)
+	c.enterPhase(phaseWatching, now)
 }
--- a/internal/controlplane/failover/simulation_test.go
+++ b/internal/controlplane/failover/simulation_test.go
@@ -28,18 +28,18 @@
 	scheduled  []event
 	transcript []string
 
-	highestFence    uint64             // that the platform has seen
+	highestToken    uint64             // that the platform has seen
 	lastHeartbeat   map[string]float64 // by member
 	reportedPrimary map[string]bool    // by the member's last heartbeat
 	drainEnforced   map[string]bool    // members that drivers send nothing new to
 	stalledAt       float64            // when a primary last committed nothing
 	writes, joins   int
 
-	lossRate float64       // share of queries, promotes and answers that are lost
-	lateRate float64       // share of queries that are given up and executed afterwards
-	refuses  bool          // members that are down refuse connections, in place of silence
-	alter    func(v *View) // what a history adds to the view; nil: nothing
-	record   func(...any)  // takes each thing that is done, in order
+	lossRate          float64       // share of queries, promotes and answers that are lost
+	lateStatementRate float64       // share of queries that are given up and executed afterwards
+	refuseConnections bool          // members that are down refuse connections, in place of silence
+	modifyView        func(v *View) // what a history adds to the view; nil: nothing
+	record            func(...any)  // takes each thing that is done, in order
 }
 
 type event struct {
@@ -82,7 +82,7 @@
 	c := sim.controller
 	actions := c.Step(sim.view(), sim.now)
 	sim.record("step", sim.now, c.State())
-	for _, a := range inOrder(actions) {
+	for _, a := range sortRemovals(actions) {
 		sim.record(a.Kind, a.ID, a.Term, a.Reason)
 		sim.carryOut(c, a)
 	}
@@ -140,14 +140,14 @@
 	if sim.now-sim.stalledAt < 300 {
 		v.StallReports = 2
 	}
-	if sim.alter != nil {
-		sim.alter(v)
+	if sim.modifyView != nil {
+		sim.modifyView(v)
 	}
 	return v
 }
 
 // inOrder sorts a step's actions of kind AllowRemoval, which come last and from a map, by their members.
-func inOrder(actions []Action) []Action {
+func sortRemovals(actions []Action) []Action {
 	first := slices.IndexFunc(actions, func(a Action) bool { return a.Kind == AllowRemoval })
 	if first >= 0 {
 		slices.SortFunc(actions[first:], func(a, b Action) int { return cmp.Compare(a.ID, b.ID) })
@@ -163,39 +163,39 @@
 		sim.control.allowRemoval(a.ID)
 	case EnforceDrain:
 		sim.drainEnforced[a.ID] = true
-		sim.transcribe("%s %s", a.ID, a.Reason)
+		sim.logf("%s %s", a.ID, a.Reason)
 	case Log:
-		sim.transcribe("%s %s", a.ID, a.Reason)
+		sim.logf("%s %s", a.ID, a.Reason)
 	case Promote:
-		sim.transcribe("failover %s", a.ID)
+		sim.logf("failover %s", a.ID)
 		sim.promote(c, a.ID)
 	default:
 		sim.query(c, a)
 	}
 }
 
-func (sim *simulation) transcribe(format string, args ...any) {
+func (sim *simulation) logf(format string, args ...any) {
 	sim.transcript = append(sim.transcript, fmt.Sprintf("%.0f ", sim.now)+fmt.Sprintf(format, args...))
 }
 
 // promote calls the platform. The call may be lost, come late, or lose its answer.
 func (sim *simulation) promote(c *Controller, id string) {
-	fence := sim.control.nextFence()
-	sim.record("fence", fence)
-	timeOut := func() { sim.after(callTimeoutMillis, func() { c.HandlePromoteResult(id, 0, sim.now) }) }
+	token := sim.control.nextFencingToken()
+	sim.record("fence", token)
+	reportTimeout := func() { sim.after(callTimeoutMillis, func() { c.HandlePromoteResult(id, 0, sim.now) }) }
 	if sim.random.Float64() < sim.lossRate {
-		timeOut()
+		reportTimeout()
 		return
 	}
-	if sim.random.Float64() < sim.control.lateRate {
-		timeOut()
-		sim.promoteLate(id, fence)
+	if sim.random.Float64() < sim.control.latePromoteRate {
+		reportTimeout()
+		sim.promoteLate(id, token)
 		return
 	}
 	sim.after(20+80*sim.random.Float64(), func() {
-		status := sim.platform(id, fence)
+		status := sim.handlePromoteCall(id, token)
 		if sim.random.Float64() < sim.lossRate {
-			timeOut()
+			reportTimeout()
 		} else {
 			sim.after(20, func() { c.HandlePromoteResult(id, status, sim.now) })
 		}
@@ -204,11 +204,11 @@
 
 // platform takes a call: 409 for an old fencing token or a member that isn't running; who leads already is left as it
 // is.
-func (sim *simulation) platform(id string, fence uint64) int {
-	if fence < sim.highestFence {
+func (sim *simulation) handlePromoteCall(id string, token uint64) int {
+	if token < sim.highestToken {
 		return 409
 	}
-	sim.highestFence = fence
+	sim.highestToken = token
 	m := sim.group.Member(id)
 	if m == nil || !m.Up {
 		return 409
@@ -223,10 +223,10 @@
 func (sim *simulation) query(c *Controller, a Action) {
 	sent := sim.now
 	m := sim.group.Member(a.ID)
-	if sim.lateRate > 0 && sim.random.Float64() < sim.lateRate {
+	if sim.lateStatementRate > 0 && sim.random.Float64() < sim.lateStatementRate {
 		sim.after(queryTimeoutMillis, func() { c.HandleStatusFailure(a.ID, false, sim.now) })
-		sim.after(queryTimeoutMillis+lateStatementMax*sim.random.Float64(), func() {
-			if c == sim.controller || sim.now-sim.controller.startedAt < deposedStatementMax {
+		sim.after(queryTimeoutMillis+maxStatementDelay*sim.random.Float64(), func() {
+			if c == sim.controller || sim.now-sim.controller.startedAt < maxDeposedStatementDelay {
 				execute(m, a)
 			}
 		})
@@ -235,10 +235,10 @@
 	sim.after(10+30*sim.random.Float64(), func() {
 		if m == nil || !m.Up || sim.random.Float64() < sim.lossRate {
 			wait := queryTimeoutMillis
-			if sim.refuses {
+			if sim.refuseConnections {
 				wait = refusalMillis
 			}
-			sim.after(wait, func() { c.HandleStatusFailure(a.ID, sim.refuses, sim.now) })
+			sim.after(wait, func() { c.HandleStatusFailure(a.ID, sim.refuseConnections, sim.now) })
 			return
 		}
 		execute(m, a)
--- a/internal/controlplane/failover/tuning.go
+++ b/internal/controlplane/failover/tuning.go
@@ -9,11 +9,11 @@
 	maxRefusals           = 2 // connections refused in a row, after which a member is dead
 	leaderlessTimeout     = 700.0
 	suspectedReplyTimeout = 160.0 // for a reply, while enough drivers suspect the primary
-	suspectedSilence      = 400.0 // since the primary was last heard from, likewise
+	minSuspectedSilence   = 400.0 // since the primary was last heard from, likewise
 	stallTimeout          = 400.0 // for which all replicas stand still behind a primary that goes on
 
 	// Members.
-	staleHeartbeat       = 4000.0  // a member without a heartbeat for so long is the last choice as a candidate
+	staleHeartbeatAge    = 4000.0  // a member without a heartbeat for so long is the last choice as a candidate
 	unknownMemberTimeout = 20000.0 // within which agents and peers report a member, if any of them knows it
 
 	// Pausing and catching up.
@@ -31,7 +31,7 @@
 	resumeInterval    = 2000.0 // between queries to a member that may be paused
 	// lateStatement is for how long after it was given up a pause or resume may still be executed. Its connection is
 	// reset then, so that only what is on its way already arrives.
-	lateStatement = 2000.0
+	lateStatementWindow = 2000.0
 
 	// Coverage of departed members.
 	coverageInterval     = 250.0
--- a/internal/controlplane/failover/watching.go
+++ b/internal/controlplane/failover/watching.go
@@ -21,7 +21,7 @@
 	}
 	c.leaderlessSince = 0
 	c.primary = primary.ID
-	if primary.Draining && c.pastEarlierPromotes(now) {
+	if primary.Draining && c.pastPromoteLatency(now) {
 		if hasSuccessor(view, primary.ID) {
 			c.begin(view, primary.ID, switchover, "it is to be replaced", now)
 			return
@@ -48,9 +48,9 @@
 // detectFailure begins a failover if the primary has failed: it is suspected, stalled, dead or silent.
 func (c *Controller) detectFailure(view *View, primary *Member, now float64) {
 	o := c.observation(primary.ID)
-	mayBegin := c.pastEarlierPromotes(now)
-	sinceHeard := min(primary.SinceHeartbeat, now-o.queriedAt)
-	if mayBegin && suspected(view, o, sinceHeard, now) {
+	mayBegin := c.pastPromoteLatency(now)
+	silentFor := min(primary.SinceHeartbeat, now-o.queriedAt)
+	if mayBegin && suspected(view, o, silentFor, now) {
 		c.begin(view, primary.ID, failover, "drivers wait for it in vain", now)
 		return
 	}
@@ -68,16 +68,16 @@
 	case !mayBegin:
 	case o.refusals >= maxRefusals:
 		c.begin(view, primary.ID, failover, "it takes no connection", now)
-	case o.failures > 0 && sinceHeard >= silenceTimeout && view.HealthyReports == 0:
+	case o.failures > 0 && silentFor >= silenceTimeout && view.HealthyReports == 0:
 		c.begin(view, primary.ID, failover, "it is silent", now)
 	}
 }
 
 // suspected is whether the primary does not reply while enough drivers get no reply from it either.
-func suspected(view *View, primary *observation, sinceHeard, now float64) bool {
+func suspected(view *View, primary *observation, silentFor, now float64) bool {
 	return primary.pending && now-primary.pendingSince > suspectedReplyTimeout &&
 		view.SuspectReports >= max(2, view.Drivers/3) && view.HealthyReports == 0 &&
-		sinceHeard >= suspectedSilence
+		silentFor >= minSuspectedSilence
 }
 
 // stalled queries all members, and tells whether every replica has stood still behind the primary for stallTimeout:
@@ -125,7 +125,7 @@
 		c.nextQueryAt = now + urgentInterval
 		c.queryAll(view, now)
 	}
-	if !c.pastEarlierPromotes(now) || now-c.leaderlessSince <= leaderlessTimeout || len(view.Members) == 0 {
+	if !c.pastPromoteLatency(now) || now-c.leaderlessSince <= leaderlessTimeout || len(view.Members) == 0 {
 		return
 	}
 	possible := c.possibleLeader(view)
--- a/internal/controlplane/orders/answer.go
+++ b/internal/controlplane/orders/answer.go
@@ -6,26 +6,26 @@
 	"weirwind/internal/controlplane/config"
 )
 
-// Outcome is what an answer means to the caller.
+// Outcome tells the caller what became of its order.
 type Outcome uint8
 
 // Outcomes.
 const (
-	OutcomeUnknown        Outcome = iota // applied, or not, or not yet: the caller retries
-	OutcomeApplied                       // by this order
-	OutcomeAlreadyApplied                // by an earlier copy of this order
-	OutcomeRejected                      // not applied, and never will be
-	OutcomeRead                          // a read, or a lease that is granted
+	OutcomeUnknown        Outcome = iota // the order may or may not be applied, now or later: the caller retries
+	OutcomeApplied                       // applied by this order
+	OutcomeAlreadyApplied                // applied by an earlier copy of this order
+	OutcomeRejected                      // not applied, and it never will be
+	OutcomeRead                          // a read succeeded, or a lease was granted
 )
 
-// Answer is an order's result.
+// Answer is the result of an order.
 type Answer struct {
-	Status  int // of HTTP
+	Status  int // HTTP status code
 	Body    []byte
 	Outcome Outcome
-	Err     error         // nil, or why there is no result: told apart by errors.Is
-	Reason  string        // of a rejection, a word for logs
-	State   *config.State // the committed state by which it was decided; nil: none was known
+	Err     error         // why the order failed, to be matched by errors.Is; nil on success
+	Reason  string        // short reason of a rejection, for logs
+	State   *config.State // committed state that the decision is based on; nil if none was known
 }
 
 func succeeded(outcome Outcome, body []byte) *Answer {
@@ -36,10 +36,11 @@
 	return &Answer{Status: statusOf(err), Body: []byte(text + "\n"), Outcome: outcome, Err: err}
 }
 
-// unknown is the answer of an order that may be applied, now or later.
+// unknown returns the answer to an order that may be applied, now or later.
 func unknown(err error, text string) *Answer { return failed(OutcomeUnknown, err, text) }
 
-// rejection is the answer to a change that no state to come would apply. An error of any other kind leaves it unknown.
+// rejection returns the answer to a change that fails with err. A RejectedError is final: no later state would accept
+// the change. For any other error the outcome is unknown.
 func rejection(err error) *Answer {
 	var rejected *config.RejectedError
 	if !errors.As(err, &rejected) {
--- a/internal/controlplane/orders/cluster_test.go
+++ b/internal/controlplane/orders/cluster_test.go
@@ -16,40 +16,40 @@
 
 const (
 	stepMs           = 10.0
-	forwardTimeoutMs = 3000.0 // a server waits so long for the leader
-	callTimeoutMs    = 1000.0 // a caller waits so long for a server
-	maxAttempts      = 9
-	lossRate         = 0.05
-	slowRate         = 0.05
-	slowestMs        = 5000.0
+	forwardTimeoutMs = 3000.0 // how long a server waits for the leader's answer
+	callTimeoutMs    = 1000.0 // how long a caller waits for a server's answer
+	maxAttempts      = 9      // per call
+	lossRate         = 0.05   // share of messages that are lost
+	slowCallRate     = 0.05   // share of calls that are delayed by up to maxSlowCallMs
+	maxSlowCallMs    = 5000.0
 )
 
-// cluster runs the servers of a control plane in virtual time: consensus, queues of orders, and the callers' calls,
-// which any server forwards to the leader. Messages and calls are lost, late and duplicated; servers freeze, are
-// partitioned, and lose power before or after a sync.
+// cluster simulates the servers of a control plane in virtual time: consensus, the queues of orders, and clients'
+// calls, which any server forwards to the leader. Messages and calls are lost, delayed and duplicated; servers freeze,
+// are partitioned, and lose power before or after a sync.
 type cluster struct {
 	t           *testing.T
-	r           *rand.Rand
+	random      *rand.Rand
 	now         float64
 	servers     []*server
 	inFlight    []message
 	partitioned map[[2]int]bool
 
-	onAnswer func(at int, a Answer) // sees each answer of a queue, in order; may be nil
+	onAnswer func(serverIndex int, a Answer) // called for each answer of a queue, in order; may be nil
 }
 
 type server struct {
-	index       int
-	node        *consensus.Node
-	disk        consensus.HardState
-	running     bool
-	incarnation int
-	frozenUntil float64
-	queue       *Queue
-	state       *config.State
-	seenEntry   [2]uint64              // term and index of the entry that state is of
-	forwarded   map[int]*forwardedCall // to the leader, by number
-	lastNumber  int
+	index          int
+	node           *consensus.Node
+	disk           consensus.HardState
+	running        bool
+	incarnation    int
+	frozenUntil    float64
+	queue          *Queue
+	state          *config.State
+	appliedEntry   [2]uint64              // term and index of the entry that state was decoded from
+	forwarded      map[int]*forwardedCall // calls forwarded to the leader, by number
+	lastCallNumber int
 }
 
 type forwardedCall struct {
@@ -58,18 +58,18 @@
 }
 
 type message struct {
-	at       float64
-	from, to int // -1: a caller
+	dueAt    float64
+	from, to int // server indexes; -1 is a client
 	deliver  func()
 }
 
-func newCluster(t *testing.T, seed uint64, n int) *cluster {
-	c := &cluster{t: t, r: rand.New(rand.NewPCG(seed, 31)), partitioned: map[[2]int]bool{}}
+func newCluster(t *testing.T, seed uint64, size int) *cluster {
+	c := &cluster{t: t, random: rand.New(rand.NewPCG(seed, 31)), partitioned: map[[2]int]bool{}}
 	var addrs []string
-	for i := range n {
+	for i := range size {
 		addrs = append(addrs, address(i))
 	}
-	for i := range n {
+	for i := range size {
 		srv := &server{index: i, disk: consensus.Bootstrap(addrs[i], addrs)}
 		c.servers = append(c.servers, srv)
 		c.start(srv)
@@ -96,7 +96,7 @@
 		HeartbeatInterval: 200,
 		ElectionTimeout:   900,
 		RemoveAfter:       1e12,
-		Random:            c.r.Float64,
+		Random:            c.random.Float64,
 	}, clone(srv.disk), c.now)
 	srv.applyCommitted(c.t)
 }
@@ -106,10 +106,10 @@
 	return h
 }
 
-// applyCommitted decodes the newest committed entry, as the control plane does.
+// applyCommitted decodes the newest committed entry into the server's state, as the control plane does.
 func (srv *server) applyCommitted(t *testing.T) {
 	e, ok := srv.node.Committed()
-	if !ok || srv.state != nil && srv.seenEntry == [2]uint64{e.Term, e.Index} {
+	if !ok || srv.state != nil && srv.appliedEntry == [2]uint64{e.Term, e.Index} {
 		return
 	}
 	s := &config.State{}
@@ -118,16 +118,16 @@
 			t.Fatal(err)
 		}
 	}
-	srv.state, srv.seenEntry = s, [2]uint64{e.Term, e.Index}
+	srv.state, srv.appliedEntry = s, [2]uint64{e.Term, e.Index}
 }
 
-// process syncs, sends, applies and decides, in the order of the control plane's loop. With probability risk, power
-// is lost before or after a sync.
-func (c *cluster) process(srv *server, risk float64) {
+// process syncs, sends messages, applies entries and decides orders, in the same sequence as the control plane's loop.
+// At each sync power is lost with probability powerLossRate, either before or after it.
+func (c *cluster) process(srv *server, powerLossRate float64) {
 	for range 8 {
 		if srv.node.Dirty() {
-			if c.r.Float64() < risk {
-				if c.r.IntN(2) == 0 {
+			if c.random.Float64() < powerLossRate {
+				if c.random.IntN(2) == 0 {
 					srv.disk = clone(srv.node.HardState)
 				}
 				srv.running = false
@@ -149,52 +149,52 @@
 }
 
 func (c *cluster) sendMessages(srv *server) {
-	for _, s := range srv.node.Messages() {
-		msg := s.Message
+	for _, outgoing := range srv.node.Messages() {
+		msg := outgoing.Message
 		if msg.Entry != nil {
 			e := *msg.Entry
 			msg.Entry = &e
 		}
-		to := c.servers[indexOf(s.To)]
-		for range 1 + c.r.IntN(20)/19 {
+		to := c.servers[indexOf(outgoing.To)]
+		for range 1 + c.random.IntN(20)/19 {
 			c.transmit(srv.index, to.index, func() { to.node.Step(&msg, c.now) })
 		}
 	}
 }
 
-// transmit has f run at another server, later or never.
+// transmit schedules f, which delivers a message, after a random delay, or drops the message.
 func (c *cluster) transmit(from, to int, f func()) {
-	if from >= 0 && to >= 0 && c.partitioned[[2]int{from, to}] || c.r.Float64() < lossRate {
+	if from >= 0 && to >= 0 && c.partitioned[[2]int{from, to}] || c.random.Float64() < lossRate {
 		return
 	}
-	c.inFlight = append(c.inFlight, message{c.now + 1 + 60*c.r.Float64()*c.r.Float64(), from, to, f})
+	c.inFlight = append(c.inFlight, message{c.now + 1 + 60*c.random.Float64()*c.random.Float64(), from, to, f})
 }
 
-// transmitSlowly is transmit over a link that may delay a call for longer than its caller waits.
+// transmitSlowly is like transmit, but may delay a call for longer than its caller waits.
 func (c *cluster) transmitSlowly(from, to int, f func()) {
-	if c.r.Float64() >= slowRate {
+	if c.random.Float64() >= slowCallRate {
 		c.transmit(from, to, f)
 		return
 	}
-	c.inFlight = append(c.inFlight, message{c.now + slowestMs*c.r.Float64(), from, to, f})
+	c.inFlight = append(c.inFlight, message{c.now + maxSlowCallMs*c.random.Float64(), from, to, f})
 }
 
-// step advances time by stepMs; risk is the probability that power is lost at each sync.
-func (c *cluster) step(risk float64) {
+// step advances time by stepMs. powerLossRate is the probability that a server loses power at a sync.
+func (c *cluster) step(powerLossRate float64) {
 	c.now += stepMs
 	due := c.inFlight
 	c.inFlight = nil
 	for _, msg := range due {
 		switch srv := c.target(msg); {
-		case msg.at > c.now:
+		case msg.dueAt > c.now:
 			c.inFlight = append(c.inFlight, msg)
 		case srv == nil:
 			msg.deliver()
 		case srv.running && srv.frozenUntil <= c.now:
 			msg.deliver()
-			c.process(srv, risk)
-		case srv.running: // buffered until the server goes on
-			msg.at = srv.frozenUntil + 1
+			c.process(srv, powerLossRate)
+		case srv.running: // frozen: the message is buffered until the server resumes
+			msg.dueAt = srv.frozenUntil + 1
 			c.inFlight = append(c.inFlight, msg)
 		}
 	}
@@ -203,13 +203,13 @@
 			continue
 		}
 		for _, n := range slices.Sorted(maps.Keys(srv.forwarded)) {
-			if p := srv.forwarded[n]; c.now >= p.deadline {
+			if pendingCall := srv.forwarded[n]; c.now >= pendingCall.deadline {
 				delete(srv.forwarded, n)
-				p.reply(*unknown(ErrTimeout, "no answer from the leader"))
+				pendingCall.reply(*unknown(ErrTimeout, "no answer from the leader"))
 			}
 		}
 		srv.node.Tick(c.now)
-		c.process(srv, risk)
+		c.process(srv, powerLossRate)
 	}
 }
 
@@ -220,55 +220,55 @@
 	return c.servers[msg.to]
 }
 
-// call has a server carry out a caller's request. The reply may be late, and is lost where the server restarted.
-func (c *cluster) call(at int, r controlmsg.Request, reply func(Answer)) {
-	srv := c.servers[at]
-	c.transmitSlowly(-1, at, func() {
-		life := srv.incarnation
-		back := func(a Answer) {
-			if srv.incarnation == life {
-				c.transmit(at, -1, func() { reply(a) })
+// call sends a client's request to a server. The reply may be late, and it is lost if the server restarts meanwhile.
+func (c *cluster) call(serverIndex int, req controlmsg.Request, reply func(Answer)) {
+	srv := c.servers[serverIndex]
+	c.transmitSlowly(-1, serverIndex, func() {
+		incarnation := srv.incarnation
+		sendReply := func(a Answer) {
+			if srv.incarnation == incarnation {
+				c.transmit(serverIndex, -1, func() { reply(a) })
 			}
 		}
 		leader, known := srv.node.Leader()
 		switch {
-		case known && indexOf(leader.Addr) == at:
-			srv.queue.Submit(&Order{Request: r, Reply: c.observed(at, back)}, c.now)
+		case known && indexOf(leader.Addr) == serverIndex:
+			srv.queue.Submit(&Order{Request: req, Reply: c.observed(serverIndex, sendReply)}, c.now)
 		case known:
-			c.forward(srv, c.servers[indexOf(leader.Addr)], r, back)
+			c.forward(srv, c.servers[indexOf(leader.Addr)], req, sendReply)
 		default:
-			back(*unknown(ErrNotLeader, "no leader is known"))
+			sendReply(*unknown(ErrNotLeader, "no leader is known"))
 		}
 	})
 }
 
-func (c *cluster) observed(at int, reply func(Answer)) func(Answer) {
+func (c *cluster) observed(serverIndex int, reply func(Answer)) func(Answer) {
 	if c.onAnswer == nil {
 		return reply
 	}
 	return func(a Answer) {
-		c.onAnswer(at, a)
+		c.onAnswer(serverIndex, a)
 		reply(a)
 	}
 }
 
-func (c *cluster) forward(srv, leader *server, r controlmsg.Request, back func(Answer)) {
-	srv.lastNumber++
-	number, life := srv.lastNumber, srv.incarnation
-	srv.forwarded[number] = &forwardedCall{c.now + forwardTimeoutMs, back}
+func (c *cluster) forward(srv, leader *server, req controlmsg.Request, reply func(Answer)) {
+	srv.lastCallNumber++
+	number, incarnation := srv.lastCallNumber, srv.incarnation
+	srv.forwarded[number] = &forwardedCall{c.now + forwardTimeoutMs, reply}
 	c.transmitSlowly(srv.index, leader.index, func() {
-		leader.queue.Submit(&Order{Request: r, Reply: c.observed(leader.index, func(a Answer) {
+		leader.queue.Submit(&Order{Request: req, Reply: c.observed(leader.index, func(a Answer) {
 			c.transmit(leader.index, srv.index, func() {
-				if p := srv.forwarded[number]; p != nil && srv.incarnation == life {
+				if pendingCall := srv.forwarded[number]; pendingCall != nil && srv.incarnation == incarnation {
 					delete(srv.forwarded, number)
-					p.reply(a)
+					pendingCall.reply(a)
 				}
 			})
 		})}, c.now)
 	})
 }
 
-// leader gives a server that decides orders, nil for none.
+// leader returns a server that is an established leader, nil for none.
 func (c *cluster) leader() *server {
 	for _, srv := range c.servers {
 		if srv.running && srv.node.Established() {
@@ -278,20 +278,20 @@
 	return nil
 }
 
-// injectFault stops, freezes or partitions one server, or stops all of them.
+// injectFault stops, freezes or partitions one server, most often the leader, or stops all servers.
 func (c *cluster) injectFault() {
-	srv := c.servers[c.r.IntN(len(c.servers))]
-	if msg := c.leader(); msg != nil && c.r.IntN(3) > 0 {
-		srv = msg
+	srv := c.servers[c.random.IntN(len(c.servers))]
+	if leader := c.leader(); leader != nil && c.random.IntN(3) > 0 {
+		srv = leader
 	}
-	switch c.r.IntN(4) {
+	switch c.random.IntN(4) {
 	case 0:
 		srv.running = false
 	case 1:
-		srv.frozenUntil = c.now + 300 + 3000*c.r.Float64()
+		srv.frozenUntil = c.now + 300 + 3000*c.random.Float64()
 	case 2:
 		for i := range c.servers {
-			c.partitioned[[2]int{srv.index, i}], c.partitioned[[2]int{i, srv.index}] = c.r.IntN(4) > 0, true
+			c.partitioned[[2]int{srv.index, i}], c.partitioned[[2]int{i, srv.index}] = c.random.IntN(4) > 0, true
 		}
 	case 3:
 		for _, srv := range c.servers {
@@ -310,7 +310,7 @@
 	}
 }
 
-// waitForLeader waits for a leader with nothing in flight.
+// waitForLeader advances time until there is a leader with no entry in flight.
 func (c *cluster) waitForLeader() *server {
 	for range 3000 {
 		if srv := c.leader(); srv != nil && srv.state != nil && !srv.node.InFlight() {
@@ -318,7 +318,7 @@
 		}
 		c.step(0)
 	}
-	c.t.Fatal("nobody leads")
+	c.t.Fatal("no leader was elected")
 	return nil
 }
 
--- a/internal/controlplane/orders/errors.go
+++ b/internal/controlplane/orders/errors.go
@@ -7,23 +7,23 @@
 	"weirwind/internal/controlplane/config"
 )
 
-// Why an order has no result. Those of changes that are rejected or undecided are package config's.
+// Errors of orders. Package config defines those of changes that are rejected or undecided.
 var (
-	// ErrNotLeader is an order at a machine that does not lead, or led no longer as it was decided: another machine may
-	// decide it at once.
+	// ErrNotLeader is returned by a machine that is not the leader, or lost leadership before the order was decided.
+	// Another machine may be able to decide the order at once.
 	ErrNotLeader = errors.New("not the leader")
-	// ErrTimeout is an order that was not decided by its deadline. It may be applied later.
+	// ErrTimeout is returned for an order that was not decided by its deadline. It may be applied later.
 	ErrTimeout = errors.New("the order timed out")
-	// ErrQueueFull is an order beyond the queue's capacity.
+	// ErrQueueFull is returned for an order beyond the queue's capacity.
 	ErrQueueFull = errors.New("the queue of orders is full")
-	// ErrNoConfiguration is a read before the first version.
+	// ErrNoConfiguration is returned for a read before the first version exists.
 	ErrNoConfiguration = errors.New("no configuration")
 	// ErrSiteNotJoined is returned for a lease request of a site incarnation that has not joined or was removed.
 	ErrSiteNotJoined = errors.New("the site's incarnation has not joined or was removed")
 )
 
-// statusOf maps an error to the HTTP status of its answer, for all orders. Without a clear result that is 503, on which
-// callers retry.
+// statusOf returns the HTTP status for an error of any order. If the outcome is unknown it is 503, on which callers
+// retry.
 func statusOf(err error) int {
 	switch {
 	case err == nil:
--- a/internal/controlplane/orders/golden_test.go
+++ b/internal/controlplane/orders/golden_test.go
@@ -12,38 +12,39 @@
 )
 
 const (
-	wantAnswers uint64 = 0x6dc4869b2c4a3a97
-	wantKinds   uint64 = 0xa406261dd6d640df
+	wantAnswersDigest    uint64 = 0x6dc4869b2c4a3a97
+	wantOtherKindsDigest uint64 = 0xa406261dd6d640df
 )
 
-// Every answer of every queue, in order, over 60 histories of operators' calls under faults; and the responses that
-// the operators got. Any change of a decision, its text, its time or its state changes the digest.
-func TestAnswersAsRecorded(t *testing.T) {
-	h := fnv.New64a()
-	kinds := map[string]int{}
+// Digests every answer of every queue, in order, over 60 simulations of operators' calls under faults, and the
+// responses that the operators got. Any change of a decision, its text, its time or its state changes the digest.
+func TestAnswersMatchRecordedDigest(t *testing.T) {
+	digest := fnv.New64a()
+	counts := map[string]int{}
 	for seed := range uint64(60) {
 		var sim *simulation
-		see := func(at int, a Answer) {
-			gen := uint64(0)
+		onAnswer := func(at int, a Answer) {
+			version := uint64(0)
 			if a.State != nil {
-				gen = a.State.Version
+				version = a.State.Version
 			}
-			fmt.Fprintf(h, "%d %d %q %d %q %d\n", at, a.Status, a.Body, a.Outcome, reasonOf(a), gen)
-			kinds[fmt.Sprint(a.Status, a.Outcome, reasonOf(a))]++
+			fmt.Fprintf(digest, "%d %d %q %d %q %d\n", at, a.Status, a.Body, a.Outcome, reasonOf(a), version)
+			counts[fmt.Sprint(a.Status, a.Outcome, reasonOf(a))]++
 		}
-		sim = simulate(t, seed, see)
-		for _, o := range sim.history {
-			in, out := o.Input.(request), o.Output.(response)
-			fmt.Fprintln(h, o.ClientId, o.Call, o.Return, in.read, in.base, in.gen, in.id, in.valid, out.code, out.gen, out.id)
+		sim = simulate(t, seed, onAnswer)
+		for _, op := range sim.history {
+			in, out := op.Input.(request), op.Output.(response)
+			fmt.Fprintln(digest, op.ClientId, op.Call, op.Return, in.read, in.base, in.version, in.id, in.valid,
+				out.code, out.version, out.id)
 		}
 	}
-	if got := h.Sum64(); got != wantAnswers {
-		t.Errorf("%#x, recorded %#x", got, wantAnswers)
+	if got := digest.Sum64(); got != wantAnswersDigest {
+		t.Errorf("%#x, recorded %#x", got, wantAnswersDigest)
 	}
-	t.Log(kinds)
+	t.Log(counts)
 }
 
-// reasonOf is an answer's reason as it was recorded, when ErrNotLeader had one too.
+// reasonOf returns an answer's reason in the recorded form, in which ErrNotLeader has the reason "not_leading".
 func reasonOf(a Answer) string {
 	if errors.Is(a.Err, ErrNotLeader) {
 		return "not_leading"
@@ -51,11 +52,11 @@
 	return a.Reason
 }
 
-// Requests of the other kinds, valid and invalid: shards, sites, leases, and members to forget.
-func TestOtherKindsAsRecorded(t *testing.T) {
-	h := fnv.New64a()
+// Digests the answers to all kinds of requests, valid and invalid: shards, sites, leases, and members to forget.
+func TestOtherRequestKindsMatchRecordedDigest(t *testing.T) {
+	digest := fnv.New64a()
 	c := newCluster(t, 9, 3)
-	lead := c.waitForLeader()
+	leader := c.waitForLeader()
 	site := sites.Site{Addr: "s:1", HTTPAddr: "s:2", Zone: "z", Region: "r", Incarnation: 7}
 	for _, r := range []controlmsg.Request{
 		{ReadConfig: true},
@@ -76,43 +77,43 @@
 		replacement(1, 9, 9),
 		replacement(8, 9, 9),
 	} {
-		a := c.submit(lead, r)
-		c.await(a)
-		fmt.Fprintf(h, "%d %q %d %q %d\n", a.Status, a.Body, a.Outcome, reasonOf(*a), a.State.Version)
+		a := c.submit(leader, r)
+		c.awaitStatus(a)
+		fmt.Fprintf(digest, "%d %q %d %q %d\n", a.Status, a.Body, a.Outcome, reasonOf(*a), a.State.Version)
 	}
-	if got := h.Sum64(); got != wantKinds {
-		t.Errorf("%#x, recorded %#x", got, wantKinds)
+	if got := digest.Sum64(); got != wantOtherKindsDigest {
+		t.Errorf("%#x, recorded %#x", got, wantOtherKindsDigest)
 	}
 }
 
-// The texts of a queue that is full, and of a server that leads no longer.
-func TestUnclearAnswersAsRecorded(t *testing.T) {
+// Checks the answers of a full queue, of a server that is not the leader, and of one that was deposed.
+func TestUnknownOutcomeTexts(t *testing.T) {
 	c := newCluster(t, 9, 3)
-	lead := c.waitForLeader()
+	leader := c.waitForLeader()
 	var got []Answer
-	ask := func(q *Queue) {
+	submit := func(q *Queue) {
 		q.Submit(&Order{Request: replacement(0, 1, 1), Reply: func(a Answer) { got = append(got, a) }}, c.now)
 	}
 	q := New(Limits{Pending: 2, Timeout: 3000})
-	ask(q)
-	ask(q)
-	ask(q)
+	submit(q)
+	submit(q)
+	submit(q)
 	for _, srv := range c.servers {
-		if srv != lead {
+		if srv != leader {
 			q.Step(srv.node, srv.state, c.now, 0)
 			break
 		}
 	}
 	deposed := New(Limits{Pending: 2, Timeout: 1e9})
-	ask(deposed)
-	c.isolate(lead)
-	deposed.Step(lead.node, lead.state, c.now, 0)
-	c.waitForOtherLeader(lead)
+	submit(deposed)
+	c.isolate(leader)
+	deposed.Step(leader.node, leader.state, c.now, 0)
+	c.waitForOtherLeader(leader)
 	c.recoverAll()
 	for range 300 {
 		c.step(0)
 	}
-	deposed.Step(lead.node, lead.state, c.now, 0)
+	deposed.Step(leader.node, leader.state, c.now, 0)
 	want := []string{
 		`503 "too many calls wait\n" 0 "" false`,
 		`503 "this machine leads no longer; ask again\n" 0 "not_leading" true`,
--- a/internal/controlplane/orders/step.go
+++ b/internal/controlplane/orders/step.go
@@ -9,25 +9,25 @@
 	"weirwind/internal/session/sites"
 )
 
-// phase is how far an order has come. It only rises.
+// phase is the progress of an order. It never decreases.
 type phase uint8
 
 const (
-	phaseQueued     phase = iota // nothing was asked of other machines for it
-	phaseConfirming              // its read or rejection waits for a quorum to confirm the leader
+	phaseQueued     phase = iota // no message to other machines has been sent for it
+	phaseConfirming              // its read or rejection is waiting for a quorum to confirm the leader
 	phaseProposed                // its change is in an entry of the log
 )
 
 // step is one pass over the pending orders.
 type step struct {
 	node    *consensus.Node
-	state   *config.State // committed; nil: none is known
+	state   *config.State // committed; nil if none is known
 	now     float64
-	wall    int64 // time of day in milliseconds, for people
-	blocked bool  // a change before this order is in flight: none that arrived later is decided
+	wallMs  int64 // Unix time in milliseconds, recorded in the history for operators
+	blocked bool  // an earlier change is in flight: no later order is decided
 }
 
-// decide gives an order's answer, nil while it stays pending.
+// decide returns an order's answer, or nil while it stays pending.
 func (s *step) decide(order *Order) *Answer {
 	switch order.phase {
 	case phaseProposed:
@@ -40,7 +40,7 @@
 }
 
 func (s *step) stepQueued(order *Order) *Answer {
-	if a := s.expired(order); a != nil || s.blocks() {
+	if a := s.checkDecidable(order); a != nil || s.isBlocked() {
 		return a
 	}
 	result := s.evaluate(order)
@@ -51,10 +51,10 @@
 	return s.conclude(order, result)
 }
 
-// stepConfirming evaluates the order anew: the state may be another than the one when the confirmation began, and the
-// answer is made by the state of now.
+// stepConfirming evaluates the order again, as the state may have changed since the confirmation began: the answer is
+// based on the current state.
 func (s *step) stepConfirming(order *Order) *Answer {
-	if a := s.expired(order); a != nil || s.blocks() {
+	if a := s.checkDecidable(order); a != nil || s.isBlocked() {
 		return a
 	}
 	result := s.evaluate(order)
@@ -64,29 +64,31 @@
 	if !s.node.ReadConfirmed(order.round) {
 		return nil
 	}
-	return s.confirmed(order)
+	return s.answerConfirmed(order)
 }
 
-// stepProposed answers once the order's entry is committed, or can't be known to be. An entry of the term in which this
-// node proposed is this node's own, and it proposes none before the one before it is committed: so a committed entry of
-// that term at or after the order's index covers it.
+// stepProposed answers once the order's entry is committed, or it can no longer be known whether it is. All entries of
+// the term in which this node proposed are its own, and it proposes one only after the previous one was committed. So a
+// committed entry of that term at or after the order's index implies that the order's entry is committed.
 func (s *step) stepProposed(order *Order) *Answer {
 	if e, found := s.node.Committed(); found && e.Term == order.term && e.Index >= order.index {
 		return succeeded(OutcomeApplied, []byte("taken\n"))
 	}
 	if s.node.HardState.Term != order.term {
-		// It was deposed meanwhile, even if it leads again: another entry may have the place of the order's.
+		// This node was deposed in the meantime, even if it is the leader again: another entry may have replaced the
+		// order's.
 		return unknown(ErrNotLeader, "this machine led no longer as it was decided; ask again")
 	}
-	if a := s.expired(order); a != nil {
+	if a := s.checkDecidable(order); a != nil {
 		return a
 	}
 	s.blocked = true
 	return nil
 }
 
-// expired answers for an order that can't be decided here, or not in time.
-func (s *step) expired(order *Order) *Answer {
+// checkDecidable returns the answer to an order that this node can't decide, as it is not the leader or the deadline
+// has passed; nil if it can.
+func (s *step) checkDecidable(order *Order) *Answer {
 	switch {
 	case !s.node.Established():
 		return unknown(ErrNotLeader, "this machine leads no longer; ask again")
@@ -96,21 +98,22 @@
 	return nil
 }
 
-// blocks says that nothing can be decided now, for this order and all after it.
-func (s *step) blocks() bool {
+// isBlocked reports whether this order and all later ones have to wait, and remembers that for the rest of the step.
+func (s *step) isBlocked() bool {
 	s.blocked = s.blocked || s.node.InFlight() || s.state == nil
 	return s.blocked
 }
 
-// confirmLeader asks a quorum whether this node still leads: only who leads for certain may reject or read.
+// confirmLeader starts a heartbeat round that confirms this node as the leader: without it, the node may have been
+// deposed, so it must neither reject nor read.
 func (s *step) confirmLeader(order *Order) {
 	order.phase = phaseConfirming
 	order.round = s.node.ReadIndex(s.now)
 	s.node.Tick(s.now)
 }
 
-// confirmed answers for an order on which a quorum has confirmed this node as the leader.
-func (s *step) confirmed(order *Order) *Answer {
+// answerConfirmed returns the answer to a read or a rejected change. A quorum has confirmed this node as the leader.
+func (s *step) answerConfirmed(order *Order) *Answer {
 	switch {
 	case order.SiteLease != nil:
 		return s.grantSiteLease(order)
@@ -119,7 +122,7 @@
 	case order.ReadLog:
 		return s.readLog()
 	}
-	return rejection(order.err)
+	return rejection(order.evaluationErr)
 }
 
 func (s *step) readConfig() *Answer {
@@ -129,7 +132,7 @@
 	return succeeded(OutcomeRead, s.state.Raw)
 }
 
-// readLog answers with the history as JSON: null before the first change.
+// readLog returns the history as JSON, null before the first change.
 func (s *step) readLog() *Answer {
 	body, err := json.Marshal(s.state.History)
 	if err != nil {
@@ -138,28 +141,29 @@
 	return succeeded(OutcomeRead, append(body, '\n'))
 }
 
-// grantSiteLease answers with the map of sites, which the site needs along with its lease.
+// grantSiteLease returns the site map as JSON, which the site needs along with its lease.
 func (s *step) grantSiteLease(order *Order) *Answer {
-	known := s.state.Sites
-	if known == nil || !isIn(known.Sites[order.SiteLease.Site], order.SiteLease.Incarnation) {
+	siteMap := s.state.Sites
+	if siteMap == nil || !hasJoined(siteMap.Sites[order.SiteLease.Site], order.SiteLease.Incarnation) {
 		a := failed(OutcomeRejected, ErrSiteNotJoined, "this life of the site is over, or has not joined")
 		a.Reason = "sites"
 		return a
 	}
-	body, err := json.Marshal(known)
+	body, err := json.Marshal(siteMap)
 	if err != nil {
 		return unknown(err, err.Error())
 	}
 	return succeeded(OutcomeRead, body)
 }
 
-func isIn(site sites.Site, incarnation uint64) bool {
+func hasJoined(site sites.Site, incarnation uint64) bool {
 	return site.Incarnation == incarnation && site.State != sites.StateRemoved
 }
 
-// propose has the node propose the state with a change. Where the node can't now, the order stays as it was.
+// propose proposes the state with the order's change. If the node can't propose at present, the order is left unchanged
+// and tried again in a later step.
 func (s *step) propose(order *Order) *Answer {
-	value, err := order.next.Encode()
+	value, err := order.nextState.Encode()
 	if err != nil {
 		return unknown(err, err.Error())
 	}
@@ -170,7 +174,7 @@
 	return nil
 }
 
-// conclude carries out a verdict that needs no confirmation.
+// conclude carries out a verdict that needs no confirmation of the leader.
 func (s *step) conclude(order *Order, result verdict) *Answer {
 	switch result {
 	case verdictAlreadyApplied:
@@ -178,45 +182,45 @@
 	case verdictPropose:
 		return s.propose(order)
 	case verdictUndecided:
-		return unknown(order.err, order.err.Error())
+		return unknown(order.evaluationErr, order.evaluationErr.Error())
 	}
 	return nil
 }
 
-// verdict is what an order comes to in the state in place.
+// verdict is the result of evaluating an order against the committed state.
 type verdict uint8
 
 const (
-	verdictPending        verdict = iota // its base is not in place yet: it waits, and holds up nobody
-	verdictPropose                       // it applies
-	verdictAlreadyApplied                // the state has it already
-	verdictUndecided                     // it can be neither applied nor rejected
-	verdictConfirm                       // it is a read or is rejected, once the leader is confirmed
+	verdictPending        verdict = iota // its base version does not exist yet: it waits without blocking others
+	verdictPropose                       // the change can be applied
+	verdictAlreadyApplied                // the state already includes the change
+	verdictUndecided                     // the change can be neither applied nor rejected
+	verdictConfirm                       // a read or a rejection, to be answered once the leader is confirmed
 )
 
 func (s *step) evaluate(order *Order) verdict {
 	if order.SiteLease != nil || order.ReadConfig || order.ReadLog {
 		return verdictConfirm
 	}
-	if order.evaluated != s.state {
-		order.next, order.err = s.apply(order)
-		order.evaluated = s.state
+	if order.evaluatedState != s.state {
+		order.nextState, order.evaluationErr = s.apply(order)
+		order.evaluatedState = s.state
 	}
 	var undecided *config.UndecidedError
 	switch {
-	case order.err == nil && order.next == s.state:
+	case order.evaluationErr == nil && order.nextState == s.state:
 		return verdictAlreadyApplied
-	case order.err == nil:
+	case order.evaluationErr == nil:
 		return verdictPropose
-	case errors.Is(order.err, config.ErrBaseVersionAhead):
+	case errors.Is(order.evaluationErr, config.ErrBaseVersionAhead):
 		return verdictPending
-	case errors.As(order.err, &undecided):
+	case errors.As(order.evaluationErr, &undecided):
 		return verdictUndecided
 	}
 	return verdictConfirm
 }
 
-// apply gives the state with an order's change, the same state where the change was applied before.
+// apply returns the state with an order's change, or the current state itself if the change was already applied.
 func (s *step) apply(order *Order) (*config.State, error) {
 	switch {
 	case order.ShardChange != nil:
@@ -230,5 +234,5 @@
 	if s.state.HasApplied(c) {
 		return s.state, nil
 	}
-	return s.state.Apply(c, order.Origin, s.wall)
+	return s.state.Apply(c, order.Origin, s.wallMs)
 }
