--- a/internal/controlplane/config/amend.go
+++ b/internal/controlplane/config/amend.go
@@ -1,6 +1,6 @@
 package config
 
-// Amendments: changes of named items of the configuration in place.
+// This file implements amendments, which change named items of the current configuration.
 
 import (
 	"encoding/json"
@@ -11,8 +11,8 @@
 	"github.com/samber/oops"
 )
 
-// amendment adds or replaces items by their names, and then deletes others, in each of the configuration's lists. The
-// name of the type and its JSON stand in errors that operators see.
+// amendment adds or replaces items by name, and then deletes others, in each of the configuration's lists. The names of
+// the type and of its JSON fields appear in errors that operators see.
 type amendment struct {
 	Version *uint64                      `json:"gen"`
 	Upsert  map[string][]json.RawMessage `json:"upsert"` // by list
@@ -30,7 +30,7 @@
 	return &a, nil
 }
 
-// lists gives the names of the lists that change.
+// changedLists returns the names of the lists that the amendment changes.
 func (a *amendment) changedLists() map[string]bool {
 	lists := map[string]bool{}
 	for list := range a.Upsert {
@@ -42,8 +42,8 @@
 	return lists
 }
 
-// amendRaw gives the configuration in place with an amendment, valid as a whole. Items and fields unknown to this
-// version stay.
+// applyAmendment returns the current configuration with an amendment applied, validated as a whole. Items and fields
+// unknown to this version of the software are kept.
 func (s *State) applyAmendment(body []byte) ([]byte, error) {
 	a, err := parseAmendment(body)
 	if err != nil {
@@ -57,7 +57,7 @@
 	if err := decodeStrict(s.Raw, &doc); err != nil {
 		return nil, oops.In("amend").Wrap(err)
 	}
-	for _, list := range slices.Sorted(maps.Keys(a.changedLists())) { // in one order, as the first error is told
+	for _, list := range slices.Sorted(maps.Keys(a.changedLists())) { // sorted: the first error is reported
 		if doc[list], err = amendList(list, doc[list], a.Upsert[list], a.Delete[list]); err != nil {
 			return nil, err
 		}
@@ -75,7 +75,7 @@
 	return raw, nil
 }
 
-// amendList amends one list; raw is nil where there is none yet.
+// amendList amends one list. raw is nil if the configuration has no such list yet.
 func amendList(list string, raw json.RawMessage, upserts []json.RawMessage, deletes []string) (json.RawMessage, error) {
 	var items []json.RawMessage
 	if raw != nil {
@@ -94,7 +94,7 @@
 	return raw, nil
 }
 
-// upsertItems replaces items in their places and appends new ones. upserted has their names.
+// upsertItems replaces existing items in place and appends new ones. It returns the names of both in upserted.
 func upsertItems(items, upserts []json.RawMessage) (_ []json.RawMessage, upserted map[string]bool, _ error) {
 	index := map[string]int{}
 	for i, item := range items {
@@ -118,7 +118,7 @@
 	return items, upserted, nil
 }
 
-// deleteItems deletes by name, but never an item that the same amendment upserted.
+// deleteItems deletes items by name, except those that the same amendment upserted.
 func deleteItems(items []json.RawMessage, names []string, upserted map[string]bool) []json.RawMessage {
 	if len(names) == 0 {
 		return items
@@ -133,7 +133,7 @@
 	})
 }
 
-// itemName gives "" for an item without a name.
+// itemName returns the name of an item, "" for an item without one.
 func itemName(item json.RawMessage) string {
 	var named struct {
 		Name string `json:"name"`
--- a/internal/controlplane/config/bench_test.go
+++ b/internal/controlplane/config/bench_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// sharedDeployment is a configuration of the size of the largest deployment: 83 tenants, 30 services, 70 routes.
+// sharedDeployment returns a configuration as large as that of the largest deployment: 83 tenants, 30 services, 70
+// routes.
 func sharedDeployment() []byte {
 	var routes, services, tenants []string
 	for i := range 70 {
@@ -37,7 +38,7 @@
 	}
 }
 
-// BenchmarkAmend is what a change costs the leader: the amendment, its validation and the entry of the log.
+// BenchmarkAmend measures the cost of a change at the leader: amending, validating and encoding the log entry.
 func BenchmarkAmend(b *testing.B) {
 	state := &State{Version: 1, Raw: sharedDeployment()}
 	for i := range maxHistory {
--- a/internal/controlplane/config/change.go
+++ b/internal/controlplane/config/change.go
@@ -5,14 +5,15 @@
 	"fmt"
 )
 
-// Change is what an operator sends: a whole configuration, or an amendment of the one in place.
+// Change is an operator's change: a whole configuration, or an amendment of the current one.
 type Change struct {
 	Amend       bool
-	BaseVersion uint64 // the version that it is built on
+	BaseVersion uint64 // the version that the change is based on
 	Body        []byte // JSON
 }
 
-// Digest tells exact repeats from other changes. It is stored: its value may not change.
+// Digest returns a hash that identifies exact repeats of a change. It is stored, so the same change must always have
+// the same digest.
 func (c *Change) Digest() [sha256.Size]byte {
 	h := sha256.New()
 	fmt.Fprintf(h, "%v %d ", c.Amend, c.BaseVersion)
@@ -20,7 +21,7 @@
 	return [sha256.Size]byte(h.Sum(nil))
 }
 
-// version reads which version the change makes, and checks what can be checked of it without a state.
+// newVersion returns the version that the change creates, after the checks that need no state.
 func (c *Change) newVersion() (uint64, error) {
 	if c.Amend {
 		a, err := parseAmendment(c.Body)
--- a/internal/controlplane/config/diff.go
+++ b/internal/controlplane/config/diff.go
@@ -8,9 +8,9 @@
 	"slices"
 )
 
-// Diff says for people what differs between two configurations, in lines: + for an item that only after has, - for
-// one that only before has, ~ for what changed. Fields are in order; items are in the order of after, followed by the
-// removed ones by name. Keys of tenants are masked.
+// Diff returns the differences between two configurations as lines for operators: + for an added item, - for a removed
+// one, ~ for a changed one. Fields are sorted by name; items are in the order of after, followed by the removed ones
+// sorted by name. Keys of tenants are masked.
 func Diff(before, after []byte) ([]string, error) {
 	oldDoc, newDoc := map[string]json.RawMessage{}, map[string]json.RawMessage{}
 	if err := decodeStrict(before, &oldDoc); err != nil {
@@ -30,7 +30,7 @@
 	return lines, nil
 }
 
-// diffKey compares item by item where both values are lists.
+// diffKey compares two values of a top-level key, item by item if both are lists.
 func diffKey(mask keyMask, key string, before, after json.RawMessage) []string {
 	var oldItems, newItems []json.RawMessage
 	lists := json.Unmarshal(before, &oldItems) == nil && json.Unmarshal(after, &newItems) == nil
@@ -65,7 +65,7 @@
 	return lines
 }
 
-// compact gives JSON without its white space, and anything else as it is.
+// compact returns JSON without insignificant white space. Input that is not JSON is returned unchanged.
 func compact(raw json.RawMessage) string {
 	var b bytes.Buffer
 	if json.Compact(&b, raw) != nil {
--- a/internal/controlplane/config/encode_test.go
+++ b/internal/controlplane/config/encode_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Equal states are equal bytes, however their rosters came about: maps have no order of their own.
+// Equal states encode to equal bytes whatever the history of their rosters: Go's map order must not matter.
 func TestEqualStatesEncodeToEqualBytes(t *testing.T) {
 	state := &State{Version: 3}
 	for service := range 12 {
@@ -25,7 +25,7 @@
 	}
 }
 
-// Of several errors in an amendment the same one is told each time.
+// If an amendment has several errors, the same one is reported each time.
 func TestAmendmentErrorIsDeterministic(t *testing.T) {
 	state := &State{Version: 1, Raw: []byte(`{"gen":1,"routes":{},"svcs":{},"limits":{}}`)}
 	body := []byte(`{"gen":2,"upsert":{"svcs":[{"name":"s"}],"routes":[{"name":"r"}],"limits":[{"name":"l"}]}}`)
--- a/internal/controlplane/config/errors.go
+++ b/internal/controlplane/config/errors.go
@@ -5,28 +5,28 @@
 	"fmt"
 )
 
-// Why a change is rejected for good. Each RejectedError wraps one of these.
+// Reasons for which a change is rejected permanently. Each RejectedError wraps one of them.
 var (
-	// ErrInvalid is a change, or a configuration that it would make, that is wrong on any base.
+	// ErrInvalid means that the change, or the configuration that would result from it, is invalid on any base.
 	ErrInvalid = errors.New("the configuration is invalid")
-	// ErrVersionNotIncreasing is a change whose own version is not higher than the one that it follows.
+	// ErrVersionNotIncreasing means that the change's version is not higher than the one before it.
 	ErrVersionNotIncreasing = errors.New("the version does not increase")
-	// ErrBaseVersionMismatch is a change whose base has another successor already.
-	ErrBaseVersionMismatch = errors.New("another version is in place than the base")
-	// ErrConflict is a change of the shards or sites that their map does not allow.
-	ErrConflict = errors.New("the map in place does not allow the change")
+	// ErrBaseVersionMismatch means that the change's base already has another successor.
+	ErrBaseVersionMismatch = errors.New("the base is not the current version")
+	// ErrConflict means that the current shard map or site map does not allow the change.
+	ErrConflict = errors.New("the current map does not allow the change")
 )
 
-// Why a change can be neither applied nor rejected. Each UndecidedError wraps one of these.
+// Reasons for which a change can be neither applied nor rejected. Each UndecidedError wraps one of them.
 var (
-	// ErrBaseVersionAhead is a change whose base is not in place yet: another change, under way, may bring it.
-	ErrBaseVersionAhead = errors.New("the base is not in place yet")
-	// ErrBaseVersionCompacted is a change on a base that the history no longer reaches back to: this very change may be
-	// the one that was applied on it.
-	ErrBaseVersionCompacted = errors.New("the history no longer reaches back to the base")
+	// ErrBaseVersionAhead means that the change's base does not exist yet: a change in flight may create it.
+	ErrBaseVersionAhead = errors.New("the base version does not exist yet")
+	// ErrBaseVersionCompacted means that the history no longer includes the successor of the change's base: it may have
+	// been this change.
+	ErrBaseVersionCompacted = errors.New("the history no longer includes the successor of the base")
 )
 
-// Reasons of errors, as logs have them.
+// Reasons of errors, as they appear in logs.
 const (
 	reasonTruncated        = "cut_short"
 	reasonInvalidField     = "bad_field"
@@ -44,30 +44,30 @@
 	reasonSites            = "sites"
 )
 
-// RejectedError is why a change is not applied, now or in any state that can follow.
+// RejectedError reports that a change is not accepted by the current state nor by any state that can follow it.
 type RejectedError struct {
-	Err    error  // the sentinel that tells its kind
-	Reason string // a word for logs
-	Text   string // for the operator
+	Err    error  // one of the Err... values
+	Reason string // short reason, for logs
+	Text   string // message for the operator
 }
 
-// Error gives the operator's text.
+// Error returns the message for the operator.
 func (e *RejectedError) Error() string { return e.Text }
 
-// Unwrap gives the sentinel.
+// Unwrap returns the wrapped Err... value.
 func (e *RejectedError) Unwrap() error { return e.Err }
 
-// UndecidedError is why a change can be neither applied nor rejected: its caller retries it.
+// UndecidedError reports that a change can be neither applied nor rejected. The caller should retry.
 type UndecidedError struct {
-	Err    error  // the sentinel that tells its kind
-	Reason string // a word for logs
-	Text   string // for the operator
+	Err    error  // one of the Err... values
+	Reason string // short reason, for logs
+	Text   string // message for the operator
 }
 
-// Error gives the operator's text.
+// Error returns the message for the operator.
 func (e *UndecidedError) Error() string { return e.Text }
 
-// Unwrap gives the sentinel.
+// Unwrap returns the wrapped Err... value.
 func (e *UndecidedError) Unwrap() error { return e.Err }
 
 func reject(kind error, reason, format string, args ...any) error {
--- a/internal/controlplane/config/golden_test.go
+++ b/internal/controlplane/config/golden_test.go
@@ -16,13 +16,13 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-var update = flag.Bool("update", false, "record testdata/texts.txt anew from what the code does")
+var update = flag.Bool("update", false, "rewrite testdata/texts.txt with the code's current output")
 
 var sampleChange = AppliedChange{Version: 7, BaseVersion: 6, Digest: [32]byte{1, 2, 31: 255}, Origin: "core-1",
 	AppliedAt: 1764600000000}
 
-// The state is kept on disk and goes over the wire as CBOR with these bytes. A roster of several services is
-// encoded in no order, so this one has one.
+// The state is stored and replicated as CBOR with these bytes. The roster has only one service because cbor.Marshal
+// does not sort map keys.
 func TestStoredForms(t *testing.T) {
 	full := &State{Version: 7, Raw: []byte(`{"gen":7}`), History: []AppliedChange{sampleChange},
 		Roster: Roster{"orders": {"a", "b"}}}
@@ -48,7 +48,7 @@
 	}
 }
 
-// GET /config/log answers with the past changes in this form, and weirctl reads it.
+// GET /config/log returns the history in this JSON form, and weirctl parses it.
 func TestAppliedChangeAsJSON(t *testing.T) {
 	want := `{"Gen":7,"Base":6,"Digest":[1,2` + strings.Repeat(",0", 29) + `,255],"Node":"core-1","At":1764600000000}`
 	raw, err := json.Marshal(sampleChange)
@@ -69,8 +69,8 @@
 	}
 }
 
-// Operators see these texts. Each case in testdata/texts.txt is a line with what is done, and below it what comes
-// of it.
+// Operators see these texts. Each case in testdata/texts.txt is a line with an operation, followed by its indented
+// outcome.
 func TestOperatorTexts(t *testing.T) {
 	const file = "testdata/texts.txt"
 	raw, err := os.ReadFile(file)
@@ -80,7 +80,7 @@
 	var out strings.Builder
 	for _, line := range strings.Split(string(raw), "\n") {
 		switch {
-		case strings.HasPrefix(line, "    "): // an old outcome
+		case strings.HasPrefix(line, "    "): // the recorded outcome
 		case line == "" || strings.HasPrefix(line, "#"):
 			fmt.Fprintln(&out, line)
 		default:
@@ -105,10 +105,11 @@
 	}
 }
 
-// inPlace is what changes and differences of testdata/texts.txt begin from.
+// currentConfig is the configuration to which the changes and diffs of testdata/texts.txt refer.
 const currentConfig = `{"gen":5,"note":"kept",` +
 	`"routes":[{"name":"r","host":"h","type":"primary","timeoutMs":1,"svc":"s","more":1}],"svcs":[{"name":"s"}]}`
 
+// outcome carries out an operation of testdata/texts.txt and returns the text that describes its result.
 func outcome(t *testing.T, line string) string {
 	verb, body, _ := strings.Cut(line, " ")
 	history := []AppliedChange{{Version: 4, BaseVersion: 3}, {Version: 5, BaseVersion: 4}}
@@ -141,7 +142,7 @@
 	return fmt.Sprintf("%d: %s", next.Version, next.Raw)
 }
 
-// statusOf is what orders makes of an error: its kind is as good as the status that was recorded.
+// statusOf maps errors to the HTTP statuses that package orders answers with, as recorded in testdata/texts.txt.
 var statusOf = map[error]int{
 	ErrInvalid:              400,
 	ErrVersionNotIncreasing: 400,
@@ -166,7 +167,8 @@
 	wantHistoriesDigest uint64 = 0xd0fe903ab5783d86
 )
 
-// Replacements, amendments and changes of the roster, many of them wrong, on bases behind and ahead, over 20 seeds.
+// Digests the results of random replacements, amendments and roster changes, many of them invalid or on bases that are
+// behind or ahead, over 20 seeds.
 func TestRandomHistoriesMatchRecordedDigest(t *testing.T) {
 	digest := fnv.New64a()
 	for seed := range uint64(20) {
@@ -217,7 +219,7 @@
 	return out
 }
 
-// someChange is wrong in one place at most: which of two wrong lists is named is left to chance.
+// randomChange returns a change that may be invalid, but for at most one reason, so that its error is deterministic.
 func randomChange(r *rand.Rand, gen uint64) *Change {
 	c := &Change{Amend: r.IntN(2) == 0, BaseVersion: gen}
 	switch r.IntN(10) {
--- a/internal/controlplane/config/mask.go
+++ b/internal/controlplane/config/mask.go
@@ -1,7 +1,7 @@
 package config
 
-// This file owns the masking of tenants' keys in what people and logs see. Keys are secrets, and short ones could be
-// found from a digest: they are numbered, in the order in which they are met.
+// This file masks tenants' keys in output for operators and in logs. Keys are secrets, and short ones could be
+// recovered from a digest by brute force, so each key is replaced by a number, in order of appearance.
 
 import (
 	"bytes"
@@ -12,12 +12,13 @@
 	"strings"
 )
 
-const fieldKeys = "keys" // of a tenant
+const fieldKeys = "keys" // JSON field of a tenant
 
-// keyMask has the numbers of keys: the same key has the same number wherever it stands.
+// keyMask maps keys to their numbers: a key has the same number wherever it appears.
 type keyMask map[string]int
 
-// text gives JSON without its white space and with its keys masked. What has keys has its fields in order.
+// format returns JSON without insignificant white space and with its keys masked. If there are any keys, the fields are
+// sorted by name.
 func (m keyMask) format(raw json.RawMessage) string {
 	decoder := json.NewDecoder(bytes.NewReader(raw))
 	decoder.UseNumber()
@@ -28,16 +29,16 @@
 	var masked bytes.Buffer
 	encoder := json.NewEncoder(&masked)
 	encoder.SetEscapeHTML(false)
-	_ = encoder.Encode(value) // what was decoded can be encoded
+	_ = encoder.Encode(value) // can't fail: the value was decoded from JSON
 	return strings.TrimSuffix(masked.String(), "\n")
 }
 
-// mask masks the keys within a decoded value in place, at any depth, and says whether there were any.
+// mask replaces the keys within a decoded value in place, at any depth, and reports whether there were any.
 func (m keyMask) mask(value any) (found bool) {
 	switch value := value.(type) {
 	case map[string]any:
-		for _, field := range slices.Sorted(maps.Keys(value)) { // in order, as keys are numbered
-			if strings.EqualFold(field, fieldKeys) { // as the decoder compares names
+		for _, field := range slices.Sorted(maps.Keys(value)) { // sorted, so that the numbers are deterministic
+			if strings.EqualFold(field, fieldKeys) { // encoding/json matches field names like this
 				value[field], found = m.maskKeys(value[field]), true
 			} else if m.mask(value[field]) {
 				found = true
@@ -51,7 +52,7 @@
 	return found
 }
 
-// maskKeys gives the masked value of a field of keys, which need not be valid.
+// maskKeys returns the masked value of a keys field, which may be of any type.
 func (m keyMask) maskKeys(value any) any {
 	keys, isList := value.([]any)
 	if !isList {
@@ -63,6 +64,7 @@
 	return keys
 }
 
+// placeholder returns the text that replaces a key.
 func (m keyMask) placeholder(key any) string {
 	text := fmt.Sprint(key)
 	if m[text] == 0 {
--- a/internal/controlplane/config/parse.go
+++ b/internal/controlplane/config/parse.go
@@ -1,6 +1,6 @@
 package config
 
-// Reading a configuration and validating it against itself.
+// This file parses a configuration and validates it.
 
 import (
 	"bytes"
@@ -12,7 +12,7 @@
 	"github.com/go-playground/validator/v10"
 )
 
-// Parse reads a whole configuration and validates it. Its errors are RejectedErrors.
+// Parse parses and validates a whole configuration. Errors are of type *RejectedError.
 func Parse(raw []byte) (*Config, error) {
 	c := &Config{}
 	if err := decodeStrict(raw, c); err != nil {
@@ -33,7 +33,7 @@
 	return c, nil
 }
 
-// decodeStrict reads JSON that must be one value with nothing after it.
+// decodeStrict decodes one JSON value and fails if anything follows it.
 func decodeStrict(raw []byte, target any) error {
 	decoder := json.NewDecoder(bytes.NewReader(raw))
 	if err := decoder.Decode(target); err != nil {
@@ -53,7 +53,7 @@
 	return v
 }
 
-// checkFields checks each field by itself, and reports the first that is wrong.
+// checkFields validates each field on its own, and returns an error for the first invalid one.
 func checkFields(config *Config) error {
 	err := fieldValidator.Struct(config)
 	if err == nil {
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// indexRoutes needs the services' index.
+// indexRoutes must be called after indexServices.
 func (c *Config) indexRoutes() error {
 	c.routeByHost = map[string]*Route{}
 	type match struct{ host, prefix string }
@@ -106,7 +106,7 @@
 	return nil
 }
 
-// indexTenants leaves keys out of its errors, which operators see and logs keep: keys are secrets.
+// indexTenants does not include keys in its errors: keys are secrets, and errors are logged and shown to operators.
 func (c *Config) indexTenants() error {
 	c.tenantByName, c.tenantByKey = map[string]*Tenant{}, map[string]*Tenant{}
 	for i := range c.Tenants {
--- a/internal/controlplane/config/parse_test.go
+++ b/internal/controlplane/config/parse_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Of several invalid fields the first in the order of the documentation is reported, whatever their order in the JSON.
+// If several fields are invalid, the first in the order of declaration is reported, whatever their order in the JSON.
 func TestFirstInvalidFieldIsReported(t *testing.T) {
 	const route = `{"gen":1,"svcs":[{"name":"s"}],"routes":[{"name":"r","host":"h","type":"self","timeoutMs":1`
 	for _, c := range []struct{ name, rest, want string }{
@@ -28,7 +28,7 @@
 	}
 }
 
-// A document may be null, which has no keys.
+// A document may be null, which is treated as one without keys.
 func TestDiffOfNull(t *testing.T) {
 	for _, c := range []struct{ before, after, want string }{
 		{`null`, `{"gen":1}`, "~ gen:  -> 1"},
--- a/internal/controlplane/config/quotalimit/limit.go
+++ b/internal/controlplane/config/quotalimit/limit.go
@@ -1,17 +1,18 @@
 package quotalimit
 
-// minTokenDepth is how many tokens a bucket holds at least, where its limit's burst does: each holder has a part.
+// minTokenDepth is the minimum depth of a bucket in tokens, unless the limit's burst is lower. The depth is divided
+// among the holders of tokens.
 const minTokenDepth = 10.0
 
-// Limit is a token bucket.
+// Limit holds the parameters of a token bucket.
 type Limit struct {
-	Rate  float64 // operations a second
-	Burst float64 // its depth, in operations
+	Rate  float64 // operations per second
+	Burst float64 // depth of the bucket, in operations
 }
 
-// ForTokenLifetime returns the bucket that tokens are to be given out by, where each may be used up to lifetimeMs later: no
-// window of windowMs has more operations by it than by l. The depth makes up for it, or where that is too small, the
-// rate.
+// ForTokenLifetime returns the bucket from which tokens are issued if each may be used up to lifetimeMs after it was
+// issued: within any window of windowMs, no more operations are made with its tokens than l allows. To compensate for
+// late use, the depth is reduced, or where it would become too small, the rate.
 func (l Limit) ForTokenLifetime(lifetimeMs, windowMs float64) Limit {
 	lateTokens := l.Rate * lifetimeMs / 1000
 	depth := l.Burst - lateTokens
--- a/internal/controlplane/config/quotalimit/quotalimit_test.go
+++ b/internal/controlplane/config/quotalimit/quotalimit_test.go
@@ -14,8 +14,8 @@
 		limited     bool
 	}{
 		"rate and burst":  {&config.Tenant{Rate: 100, Burst: 40}, 107.5, 58, true},
-		"rate alone":      {&config.Tenant{Rate: 100}, 107.5, 15, true},
-		"burst alone":     {&config.Tenant{Burst: 40}, 0, 58, true},
+		"rate only":       {&config.Tenant{Rate: 100}, 107.5, 15, true},
+		"burst only":      {&config.Tenant{Burst: 40}, 0, 58, true},
 		"without a quota": {&config.Tenant{}, 0, 0, false},
 		"no tenant":       {nil, 0, 0, false},
 	} {
@@ -29,7 +29,7 @@
 	}
 }
 
-// What the bucket admits in a window stays below what the rule allows in it, by a quarter of the tolerance.
+// The bucket admits less in a window than the quota with its tolerance allows, by a quarter of the tolerance.
 func TestLimitLeavesAMargin(t *testing.T) {
 	const window, excess, extra = 5, 0.1, 20
 	tenant := &config.Tenant{Rate: 30, Burst: 15}
@@ -41,15 +41,16 @@
 	}
 }
 
-// What is used late counts in a window that its token was given out before.
+// Tokens may be used in a later window than that in which they were issued, and then count in the later one.
 func TestTokensUsedLateStayWithinTheLimit(t *testing.T) {
 	const lifetime, window = 500, 5000
 	for _, l := range []Limit{{Rate: 10, Burst: 25}, {Rate: 350, Burst: 360}, {Rate: 100, Burst: 15}, {Rate: 0, Burst: 15},
 		{Rate: 100, Burst: 4}} {
 		got := l.ForTokenLifetime(lifetime, window)
 		used := got.Rate*(window+lifetime)/1000 + got.Burst
-		if allowed := l.Rate*window/1000 + l.Burst; used > allowed+1e-9 || got.Burst > l.Burst || got.Burst < min(l.Burst, 10) {
-			t.Errorf("%+v: %+v, by which %v may be used in a window, of %v", l, got, used, allowed)
+		if allowed := l.Rate*window/1000 + l.Burst; used > allowed+1e-9 ||
+			got.Burst > l.Burst || got.Burst < min(l.Burst, 10) {
+			t.Errorf("%+v: with %+v a window may have %v operations, limit %v", l, got, used, allowed)
 		}
 	}
 }
--- a/internal/controlplane/config/roster.go
+++ b/internal/controlplane/config/roster.go
@@ -5,31 +5,31 @@
 	"slices"
 )
 
-// Roster gives the ids of each service's members that may hold an acknowledged commit, sorted, much as Kafka's
-// in-sync replica sets do. It is replicated, as nobody can restore it: a member that is dead says nothing, and a
-// table of members that was lost doesn't tell that there was one.
+// Roster lists for each service the sorted ids of the members that may hold an acknowledged commit, similar to the
+// in-sync replica sets of Kafka. It is replicated because it can't be reconstructed: a dead member reports nothing, so
+// after the loss of an unreplicated list nobody would know that the member existed.
 type Roster map[string][]string
 
-// RosterMember is an entry of a roster.
+// RosterMember identifies a member on the roster.
 type RosterMember struct {
 	Service string `cbor:"1,keyasint"`
 	ID      string `cbor:"2,keyasint"`
 }
 
-// RosterChange adds members and then removes others. To add one that is there, or remove one that is not, changes
-// nothing.
+// RosterChange adds members and then removes others. Adding a member that is on the roster, or removing one that is
+// not, has no effect.
 type RosterChange struct {
 	Add    []RosterMember
 	Remove []RosterMember
 }
 
-// Contains says whether a member is on the roster of a service.
+// Contains reports whether a member is on the roster of a service.
 func (r Roster) Contains(service, id string) bool {
 	_, found := slices.BinarySearch(r[service], id)
 	return found
 }
 
-// add keeps the lists that r shares with other rosters as they are. It says whether r changed.
+// add adds a member and reports whether r changed. It does not modify lists that r shares with other rosters.
 func (r Roster) add(member RosterMember) bool {
 	i, found := slices.BinarySearch(r[member.Service], member.ID)
 	if !found {
@@ -38,7 +38,7 @@
 	return !found
 }
 
-// remove keeps the lists that r shares with other rosters as they are. It says whether r changed.
+// remove removes a member and reports whether r changed. It does not modify lists that r shares with other rosters.
 func (r Roster) remove(member RosterMember) bool {
 	i, found := slices.BinarySearch(r[member.Service], member.ID)
 	if found {
@@ -47,7 +47,7 @@
 	return found
 }
 
-// WithRoster gives the state with a change of the roster; the same state if the change makes no difference.
+// WithRoster returns the state with a change of the roster, or s itself if the change has no effect.
 func (s *State) WithRoster(change RosterChange) *State {
 	roster, changed := maps.Clone(s.Roster), false
 	if roster == nil {
@@ -67,8 +67,8 @@
 	return &next
 }
 
-// WithoutMember gives the state with a member removed from every roster: an operator says that it is gone for good, and
-// gives up what it alone held.
+// WithoutMember returns the state with a member removed from the rosters of all services. It is for an operator's
+// statement that the member is gone for good, which accepts the loss of commits that only this member had.
 func (s *State) WithoutMember(id string) *State {
 	var change RosterChange
 	for service := range s.Roster {
--- a/internal/controlplane/config/roster_test.go
+++ b/internal/controlplane/config/roster_test.go
@@ -2,8 +2,7 @@
 
 import "testing"
 
-// A change of the roster leaves the state that it was made of alone, and one that changes nothing gives that very
-// state.
+// WithRoster does not modify the original state, and returns that very state for a change without effect.
 func TestWithRosterLeavesOriginalStateUnchanged(t *testing.T) {
 	first := &State{Version: 3}
 	two := first.WithRoster(RosterChange{Add: []RosterMember{{"s", "b"}, {"s", "a"}, {"r", "c"}}})
@@ -13,7 +12,7 @@
 	}
 	noop := RosterChange{Add: []RosterMember{{"s", "a"}}, Remove: []RosterMember{{"s", "x"}}}
 	if same := two.WithRoster(noop); same != two {
-		t.Error("a change that changes nothing gave another state")
+		t.Error("a change without effect returned a different state")
 	}
 	one := two.WithRoster(RosterChange{Remove: []RosterMember{{"s", "a"}}})
 	if one.Roster.Contains("s", "a") || !one.Roster.Contains("s", "b") || !two.Roster.Contains("s", "a") {
@@ -24,7 +23,7 @@
 	}
 }
 
-// An operator's change of the configuration keeps the roster, which operators don't set.
+// A change of the configuration keeps the roster, which is not part of the configuration.
 func TestApplyKeepsRoster(t *testing.T) {
 	s := (&State{}).WithRoster(RosterChange{Add: []RosterMember{{"s", "a"}}})
 	next, err := s.Apply(&Change{Body: []byte(`{"gen":1,"routes":[],"svcs":[]}`)}, "n", 0)
--- a/internal/controlplane/config/state.go
+++ b/internal/controlplane/config/state.go
@@ -8,39 +8,39 @@
 	"weirwind/internal/shard/shardmap"
 )
 
-// State is what the control plane agrees on. It is replicated and stored whole, as CBOR by the keys of its tags. A
-// State is never changed once it is made: each change makes another.
+// State is the value that the control plane's machines agree on. It is replicated and stored as a whole, as CBOR with
+// the integer keys of its tags. A State is immutable: each change creates a new one.
 type State struct {
-	Version uint64          `cbor:"1,keyasint"` // of the configuration in place; 0: there is none yet
-	Raw     []byte          `cbor:"2,keyasint"` // the configuration as it was sent, or as amendments left it
-	History []AppliedChange `cbor:"3,keyasint"` // newest last, at most maxHistory
+	Version uint64          `cbor:"1,keyasint"` // of the current configuration; 0 if there is none yet
+	Raw     []byte          `cbor:"2,keyasint"` // the configuration as it was sent, with amendments applied
+	History []AppliedChange `cbor:"3,keyasint"` // newest last, at most maxHistory entries
 
-	Shards *shardmap.Map `cbor:"4,keyasint,omitempty"` // who owns which shard; nil: none were founded
-	Sites  *sites.Map    `cbor:"5,keyasint,omitempty"` // that hold open sessions; nil: there are none
+	Shards *shardmap.Map `cbor:"4,keyasint,omitempty"` // owners of the shards; nil if no shards were created
+	Sites  *sites.Map    `cbor:"5,keyasint,omitempty"` // sites that hold open sessions; nil if there are none
 	Roster Roster        `cbor:"9,keyasint,omitempty"` // members that may hold an acknowledged commit
 }
 
 // AppliedChange is an entry of the history. GET /config/log shows it as JSON.
 type AppliedChange struct {
-	Version     uint64   `cbor:"1,keyasint" json:"Gen"`  // that the change made
-	BaseVersion uint64   `cbor:"2,keyasint" json:"Base"` // that it was built on
+	Version     uint64   `cbor:"1,keyasint" json:"Gen"`  // that the change created
+	BaseVersion uint64   `cbor:"2,keyasint" json:"Base"` // that the change was based on
 	Digest      [32]byte `cbor:"3,keyasint" json:"Digest"`
-	Origin      string   `cbor:"4,keyasint" json:"Node"` // machine of the control plane that was called
-	AppliedAt   int64    `cbor:"5,keyasint" json:"At"`   // time of day in milliseconds, for people; nothing decides by it
+	Origin      string   `cbor:"4,keyasint" json:"Node"` // machine of the control plane that received the change
+	AppliedAt   int64    `cbor:"5,keyasint" json:"At"`   // Unix time in milliseconds, informational only
 }
 
-// maxHistory is how many changes a retry is recognized among. Any number is safe, as a change on an older base is
-// left undecided; each costs some eighty bytes of every log entry, which is replicated whole. Callers retry within
-// seconds: at 22,000 changes a day these are a quarter of an hour, at four a second a minute.
+// maxHistory is the number of changes of which retries are recognized. Any number is safe, as a change on an older base
+// is left undecided. Each change takes about 80 bytes of every log entry, which is replicated as a whole. Callers retry
+// within seconds, while 256 changes span 15 minutes at 22,000 changes a day, and one minute at four changes a second.
 const maxHistory = 256
 
-// HasApplied says whether exactly this change is in the history.
+// HasApplied reports whether exactly this change is in the history.
 func (s *State) HasApplied(change *Change) bool {
 	digest := change.Digest()
 	return slices.ContainsFunc(s.History, func(applied AppliedChange) bool { return applied.Digest == digest })
 }
 
-// oldestKnownBase is the oldest version of which it is known which change followed it.
+// oldestKnownBase returns the oldest version whose successor is known.
 func (s *State) oldestKnownBase() uint64 {
 	if len(s.History) == 0 {
 		return s.Version
@@ -48,7 +48,7 @@
 	return s.History[0].BaseVersion
 }
 
-// checkBase says whether a change on a base may follow, given that it is not in the history.
+// checkBase returns an error unless base is the current version. The change must not be in the history.
 func (s *State) checkBase(base uint64) error {
 	switch {
 	case base > s.Version:
@@ -63,11 +63,12 @@
 	return nil
 }
 
-// Apply gives the state with a change that is not in the history. origin and at (milliseconds) are for people. The
-// error is a RejectedError, which holds in every state that can follow this one, or an UndecidedError; any other is a
-// fault of the stored document, and says as little as an UndecidedError.
+// Apply returns the state with a change that is not in the history. origin and atMs (Unix time in milliseconds) are
+// only recorded. The error is a *RejectedError, which holds in every state that can follow this one, or an
+// *UndecidedError. Any other error means that the stored document is faulty; like an UndecidedError it does not decide
+// the change.
 func (s *State) Apply(change *Change, origin string, atMs int64) (*State, error) {
-	version, err := change.newVersion() // first, as what is wrong by itself is so on any base
+	version, err := change.newVersion() // first: a change that is invalid by itself is rejected on any base
 	if err != nil {
 		return nil, err
 	}
@@ -92,8 +93,8 @@
 	return &next, nil
 }
 
-// checkVersions says whether a change from base to version may follow. A version that doesn't exceed its own base is
-// wrong even before that base is in place.
+// checkVersions returns an error unless a change from base to version may be applied. A version that doesn't exceed its
+// own base is rejected even before that base exists.
 func (s *State) checkVersions(base, version uint64) error {
 	if version <= base && base > s.Version {
 		return reject(ErrVersionNotIncreasing, reasonVersion,
@@ -114,7 +115,7 @@
 	return history[max(len(history)-maxHistory, 0):]
 }
 
-// WithShards gives the state with a change of the shard map; the same state if the change was applied before.
+// WithShards returns the state with a change of the shard map, or s itself if the change was already applied.
 func (s *State) WithShards(change *shardmap.Change) (*State, error) {
 	shards, err := s.Shards.Apply(change)
 	if err != nil {
@@ -128,7 +129,7 @@
 	return &next, nil
 }
 
-// WithSites gives the state with a change of the site map; the same state if the change makes no difference.
+// WithSites returns the state with a change of the site map, or s itself if the change has no effect.
 func (s *State) WithSites(change *sites.Change) (*State, error) {
 	siteMap, err := s.Sites.Apply(change)
 	if err != nil {
--- a/internal/controlplane/config/tenants_test.go
+++ b/internal/controlplane/config/tenants_test.go
@@ -8,11 +8,11 @@
 	"testing"
 )
 
-// tenantsInPlace is what amendments of tenants begin from.
+// currentTenants is the configuration that the amendments in these tests change.
 const currentTenants = `{"gen":5,"tenants":[{"name":"a","keys":["a1","a2"],"perS":9,"burst":3,"more":{"x":1}},` +
 	`{"name":"b","keys":["b1"]}]}`
 
-// withTenants gives a configuration with a list of tenants.
+// withTenants returns a configuration with a list of tenants.
 func withTenants(tenants string) []byte { return fmt.Appendf(nil, `{"gen":1,"tenants":[%s]}`, tenants) }
 
 func TestSharedTenantKeyIsRejected(t *testing.T) {
@@ -23,6 +23,7 @@
 	requireReason(t, `{"name":"a","keys":["k"]},{"name":"a","keys":["l"]}`, reasonDuplicateTenant)
 }
 
+// requireReason checks the reason for which a configuration with a list of tenants is rejected.
 func requireReason(t *testing.T, tenants, reason string) {
 	t.Helper()
 	var rejected *RejectedError
@@ -31,7 +32,7 @@
 	}
 }
 
-// Tenants without keys are valid, as one is that has lost all of them, and so is a key that a tenant has twice.
+// Tenants without keys are valid, as all keys of a tenant may be removed, and so is a tenant with the same key twice.
 func TestTenantsAreFoundByKeyAndName(t *testing.T) {
 	c, err := Parse(withTenants(`{"name":"a","keys":["k","l","k"]},{"name":"b"},{"name":"c","keys":[]},` +
 		`{"name":"d","keys":["m"],"prio":2,"perS":7.5,"burst":4}`))
@@ -61,13 +62,13 @@
 		body string
 		want map[string]string // tenants by key, "" for none
 	}{
-		"a key passed on in one amendment": {
+		"a key moved to another tenant in one amendment": {
 			`{"gen":6,"upsert":{"tenants":[{"name":"b","keys":["b1","a2"]},{"name":"a","keys":["a1"]}]}}`,
 			map[string]string{"a1": "a", "a2": "b", "b1": "b"}},
-		"keys exchanged": {
+		"keys of two tenants exchanged": {
 			`{"gen":6,"upsert":{"tenants":[{"name":"a","keys":["b1"]},{"name":"b","keys":["a1","a2"]}]}}`,
 			map[string]string{"a1": "b", "a2": "b", "b1": "a"}},
-		"the keys of a tenant that is removed": {
+		"a key of a removed tenant given to a new one": {
 			`{"gen":6,"upsert":{"tenants":[{"name":"c","keys":["a1"]}]},"del":{"tenants":["a"]}}`,
 			map[string]string{"a1": "c", "a2": "", "b1": "b"}},
 		"a key removed": {
@@ -158,7 +159,7 @@
 	}
 }
 
-// A first list of tenants, and one that is none, are told as whole values.
+// If one document has no list of tenants, or a value that is not a list, the diff has whole values.
 func TestDiffOfWholeListsPrintsNoKeys(t *testing.T) {
 	for _, other := range []string{`{"gen":1}`, `{"gen":1,"tenants":{"keys":{"x":["secret"]}}}`} {
 		for _, documents := range [][2][]byte{
@@ -173,7 +174,7 @@
 	}
 }
 
-// What is answered to an operator's invalid change is logged, too.
+// Errors of invalid changes are shown to operators and logged, so they must not include keys.
 func TestErrorsPrintNoKeys(t *testing.T) {
 	for _, body := range []string{
 		`{"gen":6,"upsert":{"tenants":[{"keys":["secret"]}]}}`,
--- a/internal/controlplane/config/unknown_test.go
+++ b/internal/controlplane/config/unknown_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Fields that this version doesn't know, as weight, split and homes, are taken and kept: in a configuration, and in the
-// items that an amendment leaves as they are.
+// Fields unknown to this version of the software, such as weight, split and homes, are accepted and kept, also in the
+// items that an amendment does not change.
 func TestUnknownFieldsAreKept(t *testing.T) {
 	raw := []byte(`{"gen":1,"routes":[{"name":"r","host":"h","type":"primary","timeoutMs":9,"svc":"s","weight":3,` +
 		`"split":[{"svc":"s"}],"homes":["z"]}],"svcs":[{"name":"s"}],"limits":{}}`)
