--- a/internal/controlplane/failover/candidate.go
+++ b/internal/controlplane/failover/candidate.go
@@ -5,14 +5,14 @@
 	"slices"
 )
 
-// This file chooses the candidate: the longest log first, then the better machine.
+// This file selects the candidate: the longest log first, then the preferred machine.
 
-// hasSuccessor is whether any member could take over from the primary.
+// hasSuccessor reports whether any member could take over from the primary.
 func hasSuccessor(view *View, primary string) bool {
 	return slices.ContainsFunc(view.Members, func(m Member) bool { return m.ID != primary && !m.Draining && !m.Absent })
 }
 
-// betterCandidate is whether a goes before b in a failover: the longer log, then as comparePreference says.
+// betterCandidate reports whether a is preferred to b in a failover: by the longer log, then by comparePreference.
 func (c *Controller) betterCandidate(view *View, a, b string) bool {
 	endA, endB := c.observation(a).status.Received, c.observation(b).status.Received
 	if endA != endB {
@@ -21,8 +21,8 @@
 	return comparePreference(findMember(view, a), findMember(view, b)) < 0
 }
 
-// comparePreference orders members that would do as well by their logs: fresh heartbeats first, then who does not
-// drain, then the newer software, then who is nearer to the old primary.
+// comparePreference orders members whose logs are equivalent: those with fresh heartbeats first, then those that are
+// not draining, then by newer software, then by distance from the old primary.
 func comparePreference(a, b *Member) int {
 	return cmp.Or(
 		compareBool(a.SinceHeartbeat > staleHeartbeatAge, b.SinceHeartbeat > staleHeartbeatAge),
@@ -58,8 +58,8 @@
 	return best
 }
 
-// preferredReplica returns the candidate of a switchover, which has yet to catch up. If all were rejected it returns
-// "", and all may be tried again.
+// preferredReplica returns the candidate of a switchover, which still has to catch up. If all replicas were rejected it
+// returns "" and clears the rejections, so that all may be tried again.
 func (c *Controller) preferredReplica(replicas []Member) string {
 	var best *Member
 	for i := range replicas {
--- a/internal/controlplane/failover/catchup.go
+++ b/internal/controlplane/failover/catchup.go
@@ -2,7 +2,8 @@
 
 import "weirwind/internal/member/wire"
 
-// This file has phaseCatchingUp: the candidate catches up with all that the paused replicas, or the old primary, have.
+// This file implements phaseCatchingUp: the candidate receives all entries that the paused replicas, or the old
+// primary, have.
 
 // stepCatchingUp promotes the candidate once its log is complete.
 func (c *Controller) stepCatchingUp(view *View, now float64) {
@@ -20,7 +21,7 @@
 	if c.mode == switchoverSteppedDown && c.candidate != c.oldPrimary && end.Less(c.oldPosition) {
 		complete = false
 		if now-c.phaseStart > pauseTimeout {
-			// A commit came in between: the old primary alone surely has it, so it leads again.
+			// A commit was made just before the step-down. Only the old primary certainly has it, so it is promoted again.
 			c.logOnce("the old primary is to lead again")
 			c.candidate = c.oldPrimary
 			c.promote(now)
@@ -48,8 +49,8 @@
 	}
 }
 
-// hasAllOfPaused is whether a log up to end has all that the paused replicas have. A reply that is too old proves
-// nothing, as the replica may have restarted and forgotten its pause.
+// coversPausedLogs reports whether a log up to end includes the logs of all paused replicas. It returns false if a
+// reply is too old, as the replica may have restarted since and so have lost its pause.
 func (c *Controller) coversPausedLogs(view *View, end wire.Position, now float64) bool {
 	for _, m := range c.replicas(view) {
 		o := c.observation(m.ID)
@@ -63,8 +64,8 @@
 	return true
 }
 
-// replaceCandidate has a switchover try another candidate. If the platform may still carry out a promote, it is
-// abandoned instead, as nobody may be resumed before a fence.
+// replaceCandidate makes a switchover try another candidate. If the platform may still carry out an earlier promote,
+// the switchover is abandoned instead, as no replica may be resumed before a fence.
 func (c *Controller) replaceCandidate(view *View, now float64) {
 	reason := c.candidate + " does not catch up"
 	c.logOnce(reason)
@@ -77,6 +78,6 @@
 		o := c.observation(m.ID)
 		o.known = m.ID == c.oldPrimary && o.known
 	}
-	c.candidate = "" // the next one is resumed as it is queried (pauseReplicas)
+	c.candidate = "" // pauseReplicas resumes the next candidate when it queries it
 	c.enterPhase(phasePausing, now)
 }
--- a/internal/controlplane/failover/controller.go
+++ b/internal/controlplane/failover/controller.go
@@ -6,54 +6,56 @@
 	"weirwind/internal/member/wire"
 )
 
-// Controller is the state machine for one service. Times are milliseconds of the caller's clock.
+// Controller is the failover state machine of one service. Times are milliseconds of the caller's clock.
 type Controller struct {
-	startedAt    float64 // when this machine began to lead the control plane
+	startedAt    float64 // when this machine became leader of the control plane
 	phase        phase
 	phaseStart   float64
-	nextQueryAt  float64 // of the phase; not before it
+	nextQueryAt  float64 // earliest time of the phase's next queries
 	observations map[string]*observation
-	highestTerm  uint64   // that any member reported
-	lastReason   string   // that was logged by logOnce
-	actions      []Action // of the step under way
+	highestTerm  uint64   // highest term that any member reported
+	lastReason   string   // last reason logged by logOnce
+	actions      []Action // of the current step
 
-	primary         string  // who is taken to lead; "": nobody is known to
-	leaderlessSince float64 // 0: somebody leads
+	primary        string  // current primary; "" if none is known
+	noPrimarySince float64 // 0 while there is a primary
 
-	// Of the failover or switchover under way. Between two, they are those of the last one.
+	// State of the current failover or switchover; in between, of the last one.
 	mode        mode
-	oldPrimary  string          // "": not known
-	oldPosition wire.Position   // at which it stepped down; of switchoverSteppedDown only
-	candidate   string          // "": not chosen yet. In phaseFencing and phaseQuiescing, the present primary
+	oldPrimary  string          // "" if not known
+	oldPosition wire.Position   // at which it stepped down; only in switchoverSteppedDown
+	candidate   string          // "" if not selected yet; in phaseFencing and phaseQuiescing the current primary
 	rejected    map[string]bool // candidates that did not catch up
 
-	// primaryStalled: the old primary replies, but commits nothing, so that its claim to lead does not end the failover.
+	// primaryStalled is set if the old primary replies but commits nothing. Its claim to be the primary does not end the
+	// failover then.
 	primaryStalled bool
-	// promoteIssued: a promote of this failover may have been, or may yet be, carried out. The old primary's claim to
-	// lead no longer ends the failover then.
+	// promoteIssued is set if a promote of this failover may have been carried out or may still be. The old primary's
+	// claim to be the primary no longer ends the failover then.
 	promoteIssued bool
-	// promoteUnresolved: a promote of this controller got no answer that tells what came of it.
+	// promoteUnresolved is set if a promote of this controller got no conclusive answer.
 	promoteUnresolved bool
-	// earlierPromotesVoid: no promote that was issued before can be carried out any more. Paused replicas are resumed
-	// only while this holds.
+	// earlierPromotesVoid is set if no promote that was issued earlier can still be carried out. Paused replicas are
+	// resumed only while it is set.
 	earlierPromotesVoid bool
 
-	// Stall detection: positions of the replicas that stand still behind the primary since stalledSince.
+	// Stall detection: positions of the replicas, which are behind the primary and unchanged since stalledSince.
 	stalledPositions map[string]wire.Position
 	stalledSince     float64
 	nextStallQueryAt float64
 
-	coverages           map[string]*coverage // of departed members, by their IDs
+	coverages           map[string]*coverage // of departed members, by ID
 	nextCoverageQueryAt float64
 }
 
-// New returns a controller for a service. This machine has just begun to lead the control plane: replicas that an
-// earlier leader paused will be looked for and resumed.
+// New returns a controller for a service. It is called when this machine becomes leader of the control plane: the
+// controller finds and resumes replicas that an earlier leader left paused.
 func New(now float64) *Controller {
 	return &Controller{observations: map[string]*observation{}, startedAt: now}
 }
 
-// Step advances the state machine and returns what is to be done, in order. The result is valid until the next call.
+// Step advances the state machine and returns the actions to carry out, in order. The result is valid until the next
+// call.
 func (c *Controller) Step(view *View, now float64) []Action {
 	c.actions = nil
 	c.forgetRemovedMembers(view)
@@ -76,11 +78,11 @@
 	return c.actions
 }
 
-// pastEarlierPromotes is whether a promote which an earlier leader issued would have been carried out by now. Nothing
-// is begun before.
+// pastPromoteLatency reports whether enough time has passed since this machine became leader that any promote issued by
+// an earlier leader would have been carried out. No failover or fence is started before.
 func (c *Controller) pastPromoteLatency(now float64) bool { return now-c.startedAt > promoteLatency }
 
-// begin starts a failover or switchover. Statuses from before it don't count, apart from the old primary's.
+// begin starts a failover or switchover. It discards all earlier statuses except the old primary's.
 func (c *Controller) begin(view *View, oldPrimary string, newMode mode, reason string, now float64) {
 	if oldPrimary != c.oldPrimary || c.rejected == nil {
 		c.rejected = map[string]bool{}
@@ -106,7 +108,7 @@
 	c.enterPhase(phaseWatching, now)
 }
 
-// restart begins anew with pausing replicas: all of them are queried again.
+// restart returns to phasePausing, in which all replicas are queried again.
 func (c *Controller) restart(now float64) {
 	for _, o := range c.observations {
 		o.known, o.paused = false, false
@@ -115,7 +117,7 @@
 	c.nextQueryAt = now + retryDelay
 }
 
-// abandonIfLed abandons the failover if somebody leads after all, and tells whether it did.
+// abandonIfPrimaryExists abandons the failover if some member turns out to be the primary, and reports whether it did.
 func (c *Controller) abandonIfPrimaryExists(view *View, now float64) bool {
 	for _, m := range view.Members {
 		o := c.observation(m.ID)
@@ -141,7 +143,7 @@
 	c.actions = append(c.actions, Action{Kind: kind, ID: id, Term: c.highestTerm, Reason: reason})
 }
 
-// logOnce logs a reason unless it is the one that was logged last.
+// logOnce logs a reason unless it is the same as the last one.
 func (c *Controller) logOnce(reason string) {
 	if reason != c.lastReason {
 		c.lastReason = reason
@@ -149,7 +151,7 @@
 	}
 }
 
-// findMember returns a member that can be queried, nil for none.
+// findMember returns the member with an ID, nil if there is none or it can't be queried.
 func findMember(view *View, id string) *Member {
 	i := slices.IndexFunc(view.Members, func(m Member) bool { return m.ID == id && !m.Absent })
 	if i < 0 {
--- a/internal/controlplane/failover/controller_test.go
+++ b/internal/controlplane/failover/controller_test.go
@@ -10,29 +10,32 @@
 	"weirwind/internal/member/wire"
 )
 
-// A transcript of the paths that matter, step by step.
+// Steps the controller through a failover, two switchovers and lost answers, and checks the actions of each step.
 func TestControllerTranscript(t *testing.T) {
 	newStatus := func(primary bool, term, n uint64) wire.MemberStatus {
-		return wire.MemberStatus{Primary: primary, Term: term, PromisedTerm: map[bool]uint64{true: term}[primary], Received: wire.Position{Term: term, Number: n}}
+		return wire.MemberStatus{Primary: primary, Term: term, PromisedTerm: map[bool]uint64{true: term}[primary],
+			Received: wire.Position{Term: term, Number: n}}
 	}
-	newPausedStatus := func(term, n uint64) wire.MemberStatus { // a paused replica answers the term of its pause as the one that it holds
+	newPausedStatus := func(term, n uint64) wire.MemberStatus { // PromisedTerm is the term of the pause
 		st := newStatus(false, term, n)
 		st.PromisedTerm = term + 1
 		return st
 	}
 	newView := func() *View {
-		return &View{Service: "s", SyncReplicas: 1, Drivers: 6, Members: []Member{{ID: "a", Primary: true}, {ID: "b", Replica: true}, {ID: "c", Replica: true}}}
+		return &View{Service: "s", SyncReplicas: 1, Drivers: 6, Members: []Member{
+			{ID: "a", Primary: true}, {ID: "b", Replica: true}, {ID: "c", Replica: true}}}
 	}
 	describe := func(actions []Action) string {
 		var b strings.Builder
 		for _, a := range actions {
 			if a.Kind != Log {
-				fmt.Fprintf(&b, "%s:%s ", [...]string{"stat", "pause", "cont", "failover", "handed", "note", "stepdown"}[a.Kind], a.ID)
+				fmt.Fprintf(&b, "%s:%s ",
+					[...]string{"status", "pause", "resume", "promote", "drain", "log", "stepdown"}[a.Kind], a.ID)
 			}
 		}
 		return strings.TrimSpace(b.String())
 	}
-	Convey("A primary that takes no connection", t, func() {
+	Convey("A primary that refuses connections", t, func() {
 		c, v := New(-5000), newView()
 		c.Step(v, 0)
 		c.HandleStatus("a", QueryStatus, 0, newStatus(true, 1, 9))
@@ -42,33 +45,33 @@
 		v.Members[0].SinceHeartbeat = 800
 		c.HandleStatusFailure("a", true, 900)
 		c.HandleStatusFailure("a", true, 900)
-		So(describe(c.Step(v, 900)), ShouldEqual, "stat:a pause:b pause:c")
-		Convey("is not succeeded while a replica that may alone hold a commit is not heard", func() {
+		So(describe(c.Step(v, 900)), ShouldEqual, "status:a pause:b pause:c")
+		Convey("is not replaced while a replica that may be the only one with a commit has not replied", func() {
 			c.HandleStatus("b", PauseReplication, 900, newPausedStatus(1, 9))
 			So(describe(c.Step(v, 950)), ShouldEqual, "")
 			So(c.State(), ShouldEqual, "freezing: ? after a")
-			Convey("and then by the longer log", func() {
+			Convey("and is then replaced by the replica with the longer log", func() {
 				c.HandleStatus("c", PauseReplication, 900, newPausedStatus(1, 10))
-				So(describe(c.Step(v, 970)), ShouldEqual, "failover:c")
+				So(describe(c.Step(v, 970)), ShouldEqual, "promote:c")
 			})
-			Convey("and keeps its lead if it speaks again; who was paused is let go", func() {
+			Convey("and stays the primary if it replies again; the paused replica is resumed", func() {
 				c.HandleStatus("a", QueryStatus, 960, newStatus(true, 1, 9))
 				c.Step(v, 980)
 				So(c.State(), ShouldStartWith, "watching")
-				So(describe(c.Step(v, 1000)), ShouldStartWith, "cont:b")
+				So(describe(c.Step(v, 1000)), ShouldStartWith, "resume:b")
 			})
 		})
-		Convey("after the platform's answer is lost is not let back in", func() {
+		Convey("does not stay the primary once the platform's answer to a promote was lost", func() {
 			c.HandleStatus("b", PauseReplication, 900, newPausedStatus(1, 9))
 			c.HandleStatus("c", PauseReplication, 900, newPausedStatus(1, 9))
-			So(describe(c.Step(v, 950)), ShouldStartWith, "failover:")
+			So(describe(c.Step(v, 950)), ShouldStartWith, "promote:")
 			c.HandlePromoteResult("b", 0, 2950)
 			c.HandleStatus("a", QueryStatus, 2960, newStatus(true, 1, 9))
 			c.Step(v, 2980)
 			So(c.State(), ShouldNotStartWith, "watching")
 		})
 	})
-	Convey("A primary that is to be replaced while a replica is dead for good", t, func() {
+	Convey("A draining primary with one replica permanently dead", t, func() {
 		c, v := New(-5000), newView()
 		v.Members[0].Draining = true
 		c.Step(v, 0)
@@ -82,37 +85,38 @@
 			c.HandleStatus("b", QueryStatus, now, newStatus(false, 1, 9))
 			c.HandleStatusFailure("c", false, now)
 		}
-		So(describe(c.Step(v, 1000)), ShouldContainSubstring, "handed:a") // nothing new comes to it
+		So(describe(c.Step(v, 1000)), ShouldContainSubstring, "drain:a") // drivers send no new work to the primary
 		c.HandleStatus("a", QueryStatus, 1000, newStatus(true, 1, 11))
 		c.HandleStatus("b", QueryStatus, 1000, newStatus(false, 1, 10))
-		So(describe(c.Step(v, 1020)), ShouldNotContainSubstring, "stepdown") // what is under way has not come to the successor
+		// The candidate has not received everything yet.
+		So(describe(c.Step(v, 1020)), ShouldNotContainSubstring, "stepdown")
 		c.Step(v, 1200)
 		c.HandleStatus("a", QueryStatus, 1200, newStatus(true, 1, 11))
 		c.HandleStatus("b", QueryStatus, 1200, newStatus(false, 1, 11))
 		So(describe(c.Step(v, 1220)), ShouldContainSubstring, "stepdown:a")
 		c.HandleStatus("a", StepDown, 1220, newStatus(false, 1, 11))
-		So(describe(c.Step(v, 1240)), ShouldContainSubstring, "failover:b")
+		So(describe(c.Step(v, 1240)), ShouldContainSubstring, "promote:b")
 	})
-	Convey("A new leader of the core begins nothing at once", t, func() {
+	Convey("A new leader of the control plane starts no failover at first", t, func() {
 		c, v := New(0), newView()
 		v.Members[0].Draining = true
-		So(describe(c.Step(v, 100)), ShouldEqual, "stat:a")
-		Convey("then hands over from a primary that drains, with the other replica paused", func() {
+		So(describe(c.Step(v, 100)), ShouldEqual, "status:a")
+		Convey("and later replaces a draining primary, with the other replica paused", func() {
 			c.HandleStatus("b", ResumeReplication, 950, newStatus(false, 1, 18))
 			c.HandleStatus("c", ResumeReplication, 950, newStatus(false, 1, 18))
-			So(describe(c.Step(v, 1000)), ShouldContainSubstring, "stat:b")
+			So(describe(c.Step(v, 1000)), ShouldContainSubstring, "status:b")
 			c.HandleStatus("a", QueryStatus, 1000, newStatus(true, 1, 20))
 			c.HandleStatus("b", QueryStatus, 1000, newStatus(false, 1, 18))
 			c.Step(v, 1200)
 			c.HandleStatus("c", PauseReplication, 1200, newPausedStatus(1, 19))
-			So(describe(c.Step(v, 1220)), ShouldNotContainSubstring, "failover")
+			So(describe(c.Step(v, 1220)), ShouldNotContainSubstring, "promote")
 			c.HandleStatus("b", QueryStatus, 1220, newStatus(false, 1, 19))
-			So(describe(c.Step(v, 1400)), ShouldContainSubstring, "failover:b")
+			So(describe(c.Step(v, 1400)), ShouldContainSubstring, "promote:b")
 		})
 	})
 }
 
-// Replicas that stand still behind the primary are timed anew once no driver reports a stall.
+// The stall timer starts again after a time in which no driver reported a stall.
 func TestStallTimerRestartsWithoutReports(t *testing.T) {
 	c := New(-5000)
 	v := &View{Service: "s", SyncReplicas: 1, Drivers: 6, Members: []Member{
@@ -136,10 +140,10 @@
 	}
 	v.StallReports = 0
 	if at := firstBegin(300, 350); at != 0 {
-		t.Fatalf("began at %.0f, without a report", at)
+		t.Fatalf("began at %.0f without reports", at)
 	}
 	v.StallReports = 2
 	if at := firstBegin(350, 1000); at != 750 {
-		t.Fatalf("began at %.0f, not %.0f after the reports", at, stallTimeout)
+		t.Fatalf("began at %.0f, want %.0f after the second reports began", at, stallTimeout)
 	}
 }
--- a/internal/controlplane/failover/controlplane_test.go
+++ b/internal/controlplane/failover/controlplane_test.go
@@ -5,24 +5,25 @@
 	"slices"
 )
 
-// controlPlane is what the leader of the control plane knows, and what it has committed: the second outlives it.
+// controlPlane simulates the leader of the control plane: its volatile knowledge, and the committed roster, which
+// survives a change of leader.
 type controlPlane struct {
-	known               map[string]bool    // members that send heartbeats here and have not departed
+	known               map[string]bool    // members whose heartbeats arrive and that have not departed
 	departed            map[string]bool    // members known to have departed
-	heartbeatsLostUntil map[string]float64 // until when a member's heartbeats go elsewhere
+	heartbeatsLostUntil map[string]float64 // time until which a member's heartbeats don't arrive
 	term                uint64             // of the leader
-	promotes            uint64             // that it issued
+	promotes            uint64             // number of promotes that the leader issued
 
-	roster       map[string]bool // committed
-	removals     map[string]bool // proposed: members that are covered
+	roster       map[string]bool // committed members
+	removals     map[string]bool // covered members whose removal is proposed
 	nextCommitAt float64
 
-	latePromotes    int     // that are under way
-	latePromoteRate float64 // share of promotes that are carried out late, and not answered
-	delayReceiving  bool    // members that start receive from startDelay on
+	latePromotes    int     // number in flight
+	latePromoteRate float64 // share of promotes that are carried out late and not answered
+	delayReceiving  bool    // members receive only receiveDelay after a restart
 
-	ignoreRoster    bool // the guard is taken out: members of which nothing is known don't count
-	oneTokenPerTerm bool // the guard is taken out: all promotes of a leader have one fencing token
+	ignoreRoster    bool // disables a guard: unknown members are not counted
+	oneTokenPerTerm bool // disables a guard: all promotes of a leader have the same fencing token
 }
 
 func newControlPlane(ids ...string) *controlPlane {
@@ -34,7 +35,7 @@
 	return c
 }
 
-// heartbeat takes a member's heartbeat, which is lost while the member is hidden.
+// heartbeat processes a member's heartbeat, unless it is lost (heartbeatsLostUntil).
 func (c *controlPlane) heartbeat(id string, now float64) {
 	if now >= c.heartbeatsLostUntil[id] {
 		c.known[id] = true
@@ -43,7 +44,7 @@
 	}
 }
 
-// depart notes that a member has left, or was silent for long.
+// depart records that a known member has departed.
 func (c *controlPlane) depart(id string) {
 	if c.known[id] {
 		delete(c.known, id)
@@ -53,7 +54,7 @@
 
 func (c *controlPlane) allowRemoval(id string) { c.removals[id] = true }
 
-// commit changes the roster by all that was proposed since the last commit, some time later.
+// commit applies the proposed changes to the roster, at most once every 200 ms.
 func (c *controlPlane) commit(now float64) {
 	if now < c.nextCommitAt {
 		return
@@ -68,7 +69,7 @@
 	clear(c.removals)
 }
 
-// absent returns the members on the roster of which nothing is known, or that have departed.
+// absent returns the members on the roster that are unknown or have departed.
 func (c *controlPlane) absent() (out []Member) {
 	for _, id := range slices.Sorted(maps.Keys(c.roster)) {
 		if !c.known[id] && !c.ignoreRoster {
@@ -78,6 +79,7 @@
 	return out
 }
 
+// nextFencingToken returns the fencing token of the next promote.
 func (c *controlPlane) nextFencingToken() uint64 {
 	if c.promotes++; c.oneTokenPerTerm {
 		return c.term << 16
@@ -85,7 +87,7 @@
 	return c.term<<16 | c.promotes
 }
 
-// forget changes the leader: the new one knows only what was committed.
+// changeLeader replaces the leader. The new one knows only what was committed.
 func (c *controlPlane) changeLeader() {
 	c.term++
 	c.promotes = 0
--- a/internal/controlplane/failover/coverage.go
+++ b/internal/controlplane/failover/coverage.go
@@ -2,22 +2,23 @@
 
 import "weirwind/internal/member/wire"
 
-// This file decides when a member that has departed may leave the roster.
+// This file decides when a departed member may be removed from the roster.
 //
-// It may have been the only receiver of acknowledged commits, and it may come back with its log. It counts as a
-// replica that does not answer until it is covered: the primary, queried after the member was known to have departed,
-// reported a position, and SyncReplicas replicas on the roster were seen at or beyond it. From then on every commit
-// up to that position is on SyncReplicas others, and later ones can't be on a member that receives nothing.
+// The member may have been the only replica with some acknowledged commits, and it may come back with its log. It
+// counts as a replica that does not answer until it is covered: the primary, queried after the departure was known,
+// reported a position, and SyncReplicas replicas on the roster reported the same or a later position. From then on
+// every commit up to that position is on SyncReplicas other replicas, and later commits can't be on a member that
+// receives nothing.
 
-// coverage is how far a departed member is covered.
+// coverage tracks whether a departed member's log is covered by other replicas.
 type coverage struct {
-	departedAt float64       // when it was known to have departed
-	primary    string        // that reported the position; "": none yet
-	term       uint64        // in which that primary led
-	position   wire.Position // of its log, at departedAt or later
+	departedAt float64       // when the departure became known
+	primary    string        // member that reported the position; "" if none did yet
+	term       uint64        // of that primary
+	position   wire.Position // end of that primary's log, at departedAt or later
 }
 
-// updateCoverage queries members while one that has departed isn't covered, and allows the removal of those that are.
+// updateCoverage queries members while a departed member is not covered, and allows the removal of covered ones.
 func (c *Controller) updateCoverage(view *View, now float64) {
 	c.trackDeparted(view, now)
 	if len(c.coverages) == 0 || view.SyncReplicas == 0 {
@@ -37,7 +38,7 @@
 	}
 }
 
-// trackDeparted keeps one coverage for each member that has departed.
+// trackDeparted maintains one coverage for each departed member.
 func (c *Controller) trackDeparted(view *View, now float64) {
 	previous := c.coverages
 	c.coverages = map[string]*coverage{}
@@ -54,8 +55,8 @@
 	}
 }
 
-// currentPrimary returns who leads in phaseWatching, or while a switchover is prepared: at other times nobody is sure
-// to.
+// currentPrimary returns the primary in phaseWatching and while a switchover is prepared, and "" at other times, when
+// it is not certain which member is the primary.
 func (c *Controller) currentPrimary() string {
 	preparing := c.phase == phasePausing || c.phase == phaseCatchingUp
 	switch {
@@ -76,7 +77,8 @@
 	return coverageSlowInterval
 }
 
-// recordPosition keeps the primary's first reply in its term since each member departed.
+// recordPosition records, for each departed member, the first position that the primary reported in its term after the
+// departure.
 func (c *Controller) recordPosition(primary string) {
 	o := c.observation(primary)
 	if !o.known || !o.status.Primary {
@@ -89,8 +91,8 @@
 	}
 }
 
-// covered is whether enough replicas hold what the primary had after the member departed. That stays true if the
-// primary has died since.
+// covered reports whether enough replicas have the log up to the position that the primary reported after the
+// departure. It does not matter whether the primary has failed since.
 func (c *Controller) covered(view *View, cov *coverage) bool {
 	if cov.primary == "" {
 		return false
@@ -102,7 +104,7 @@
 			continue
 		}
 		if o.status.Received.Term > cov.term {
-			return false // another primary has led since
+			return false // there has been another primary since
 		}
 		if !o.status.Received.Less(cov.position) {
 			holders++
--- a/internal/controlplane/failover/coverage_test.go
+++ b/internal/controlplane/failover/coverage_test.go
@@ -7,6 +7,7 @@
 	"weirwind/internal/member/wire"
 )
 
+// newStatus returns the status of a member with term 1 and the given end of its log.
 func newStatus(primary bool, number uint64) wire.MemberStatus {
 	return wire.MemberStatus{Primary: primary, Term: 1, Received: wire.Position{Term: 1, Number: number}}
 }
@@ -15,18 +16,19 @@
 	return slices.ContainsFunc(actions, func(a Action) bool { return a.Kind == AllowRemoval && a.ID == id })
 }
 
-// A member that has departed leaves the roster only once a position that the primary gave afterwards is at a replica on
-// the roster.
+// A departed member may be removed from the roster only once a replica on the roster has reached a position that the
+// primary reported after the departure.
 func TestDepartedMemberStaysOnRosterUntilCovered(t *testing.T) {
 	c := New(-5000)
-	v := &View{Service: "s", SyncReplicas: 1, Members: []Member{{ID: "a", Primary: true}, {ID: "b", Replica: true}, {ID: "c", Replica: true}}}
+	v := &View{Service: "s", SyncReplicas: 1, Members: []Member{
+		{ID: "a", Primary: true}, {ID: "b", Replica: true}, {ID: "c", Replica: true}}}
 	c.Step(v, 0)
 	for _, id := range []string{"a", "b", "c"} {
 		c.HandleStatus(id, QueryStatus, 0, newStatus(id == "a", 9))
 	}
 	v.Members[2] = Member{ID: "c", Absent: true, Departed: true}
 	if allowsRemoval(c.Step(v, 100), "c") {
-		t.Fatal("covered by what the primary had said before it ended")
+		t.Fatal("covered by a position that the primary reported before the departure")
 	}
 	c.HandleStatus("a", QueryStatus, 100, newStatus(true, 12))
 	c.HandleStatus("b", QueryStatus, 100, newStatus(false, 11))
@@ -40,43 +42,50 @@
 	}
 	v.Members[1].Unlisted = false
 	if !allowsRemoval(c.Step(v, 250), "c") {
-		t.Fatal("not covered, though a replica has all that the primary had")
+		t.Fatal("not covered, though a replica has the primary's whole log")
 	}
 }
 
-// Where the primary left before it was succeeded, it counts among those that may hold a commit.
+// A primary that departed before it was replaced counts as a member that may have a commit.
 func TestDepartedPrimaryCountsTowardQuorum(t *testing.T) {
 	c := New(-5000)
-	v := &View{Service: "s", SyncReplicas: 1, Members: []Member{{ID: "a", Absent: true, Departed: true}, {ID: "b", Replica: true}, {ID: "c", Replica: true}}}
+	v := &View{Service: "s", SyncReplicas: 1, Members: []Member{
+		{ID: "a", Absent: true, Departed: true}, {ID: "b", Replica: true}, {ID: "c", Replica: true}}}
 	actions := stepThrough(c, v, 0, 3000, "b")
 	if slices.ContainsFunc(actions, func(a Action) bool { return a.Kind == Promote }) {
-		t.Fatal("one of two replicas was read, and a successor named: the other may alone hold a commit")
+		t.Fatal("promoted after the reply of one of two replicas, though the other may be the only one with a commit")
 	}
 	actions = stepThrough(c, v, 3000, 5000, "b", "c")
 	if !slices.ContainsFunc(actions, func(a Action) bool { return a.Kind == Promote }) {
-		t.Fatal("nobody was named, though both replicas were read")
+		t.Fatal("no promote, though both replicas replied")
 	}
 }
 
-// A leader that knows nothing of a member on the roster doesn't take it for one that doesn't lead; for long it waits
-// for it, and then only the replicas that hold every commit between them may do without it.
+// A member on the roster that a new leader of the control plane knows nothing of may be the primary. No failover begins
+// without its reply, except after a long wait if the members that replied have every commit between them.
 func TestFailoverWaitsForUnknownMember(t *testing.T) {
 	c := New(-5000)
-	v := &View{Service: "s", SyncReplicas: 1, Members: []Member{{ID: "a", Absent: true}, {ID: "b", Replica: true}, {ID: "c", Absent: true}}}
-	if actions := stepThrough(c, v, 0, 60000, "b"); slices.ContainsFunc(actions, func(a Action) bool { return a.Kind == PauseReplication || a.Kind == Promote }) {
-		t.Fatal("a succession was begun by one of three members")
+	v := &View{Service: "s", SyncReplicas: 1, Members: []Member{
+		{ID: "a", Absent: true}, {ID: "b", Replica: true}, {ID: "c", Absent: true}}}
+	if actions := stepThrough(c, v, 0, 60000, "b"); slices.ContainsFunc(actions, func(a Action) bool {
+		return a.Kind == PauseReplication || a.Kind == Promote
+	}) {
+		t.Fatal("a failover began after the reply of one of three members")
 	}
 	v.Members[2] = Member{ID: "c", Replica: true}
-	if actions := stepThrough(c, v, 60000, 62000, "b", "c"); !slices.ContainsFunc(actions, func(a Action) bool { return a.Kind == Promote }) {
-		t.Fatal("nobody was named, though one of both has every commit")
+	if actions := stepThrough(c, v, 60000, 62000, "b", "c"); !slices.ContainsFunc(actions, func(a Action) bool {
+		return a.Kind == Promote
+	}) {
+		t.Fatal("no promote, though the two replicas have every commit between them")
 	}
 }
 
-// While membership is uncertain, a switchover doesn't rely on pauses: the old primary steps down first.
+// While membership is uncertain, a switchover does not rely on pauses: the old primary steps down first.
 func TestUncertainMembershipRequiresStepDown(t *testing.T) {
 	for _, uncertain := range []bool{false, true} {
 		c := New(-5000)
-		v := &View{Service: "s", SyncReplicas: 1, MembershipUncertain: uncertain, Members: []Member{{ID: "a", Primary: true, Draining: true}, {ID: "b", Replica: true}, {ID: "c", Replica: true}}}
+		v := &View{Service: "s", SyncReplicas: 1, MembershipUncertain: uncertain, Members: []Member{
+			{ID: "a", Primary: true, Draining: true}, {ID: "b", Replica: true}, {ID: "c", Replica: true}}}
 		oldPrimaryLeads, promoted, promotedWhileLed := true, false, false
 		for now := 0.0; now < 3000 && !promoted; now += 50 {
 			for _, a := range c.Step(v, now) {
@@ -96,12 +105,13 @@
 			}
 		}
 		if !promoted || promotedWhileLed == uncertain {
-			t.Errorf("membership uncertain %v: called %v, while the old primary led %v", uncertain, promoted, promotedWhileLed)
+			t.Errorf("membership uncertain %v: promoted %v, before the step-down %v", uncertain, promoted, promotedWhileLed)
 		}
 	}
 }
 
-// stepThrough answers for those that are up, as replicas, until then, and gives all actions.
+// stepThrough steps the controller from one time until another and returns all actions. Reachable members reply as
+// replicas; queries to others fail.
 func stepThrough(c *Controller, v *View, from, until float64, reachable ...string) (all []Action) {
 	for now := from; now < until; now += 50 {
 		for _, a := range c.Step(v, now) {
--- a/internal/controlplane/failover/digest_test.go
+++ b/internal/controlplane/failover/digest_test.go
@@ -9,20 +9,22 @@
 	"weirwind/internal/standin/replicaset"
 )
 
-// digestHistory is a simulation that hashes every action, fencing token and state text in order, and also injects
-// drivers' reports, uncertain membership, stale heartbeats and faults in the midst of a switchover.
+// digestHistory is a simulation that hashes every action, fencing token and state text in order. It also injects
+// drivers' reports, uncertain membership, stale heartbeats and faults during switchovers.
 type digestHistory struct {
 	*simulation
 	sum   hash.Hash64
-	kinds map[string]int // of actions and phases, how often
+	kinds map[string]int // number of occurrences of each action and phase
 
 	suspects, healthy, stalls int // drivers' reports
 	uncertain                 bool
 	staleMember               string // member whose heartbeats are stale
 }
 
+// runDigestHistory runs a seeded history of faults.
 func runDigestHistory(seed uint64, syncReplicas int, ids ...string) *digestHistory {
-	h := &digestHistory{simulation: newSimulationOf(seed, syncReplicas, ids...), sum: fnv.New64a(), kinds: map[string]int{}}
+	h := &digestHistory{simulation: newSimulationOf(seed, syncReplicas, ids...), sum: fnv.New64a(),
+		kinds: map[string]int{}}
 	h.control.delayReceiving = true
 	h.record = h.recordStep
 	h.modifyView = func(v *View) { h.addReports(v, seed) }
@@ -87,7 +89,7 @@
 	case 3:
 		h.refuseConnections = true
 		h.injectHardFault()
-	case 4: // the candidate may receive nothing
+	case 4: // the member that stops receiving may be the candidate
 		h.drainPrimary()
 		h.randomMember().NotReceiving = true
 	case 5:
@@ -96,7 +98,7 @@
 	case 6:
 		h.drainPrimary()
 		h.after(700*h.random.Float64(), h.removeOldPrimary)
-	case 7: // all drain, one soon after another
+	case 7: // all members drain, in quick succession after the primary
 		h.drainPrimary()
 		h.after(400*h.random.Float64(), func() {
 			for _, m := range h.group.Members {
@@ -110,14 +112,14 @@
 		if h.control.latePromotes == 0 && h.random.IntN(3) == 0 {
 			h.loseLeaderAndMember()
 		}
-	case 10: // an answer that nobody waits for
+	case 10: // an unexpected answer of the platform
 		h.controller.HandlePromoteResult(h.group.Members[0].ID, 200, h.now)
 	default:
 		h.injectHardFault()
 	}
 }
 
-// failBothEnds fails the candidate of a switchover, and at times the old primary.
+// failCandidate makes the candidate of a switchover fail, and sometimes the old primary too.
 func (h *digestHistory) failCandidate() {
 	if m := h.group.Member(h.controller.candidate); m != nil {
 		m.Up = false
@@ -127,7 +129,7 @@
 	}
 }
 
-// removeOldPrimary has the old primary leave in the midst of a switchover, and another member join.
+// removeOldPrimary makes the old primary leave during a switchover, and another member join.
 func (h *digestHistory) removeOldPrimary() {
 	m := h.group.Member(h.controller.oldPrimary)
 	if m == nil || len(h.group.Members) <= 2 {
@@ -139,8 +141,8 @@
 	h.group.Join(fmt.Sprint("n", h.joins))
 }
 
-// loseLeaderAndMember changes the leader of the control plane. The new one doesn't hear of one member for long, and
-// nobody leads.
+// loseLeaderAndMember changes the leader of the control plane while the primary fails. The new leader gets no
+// heartbeats of one member for a long time.
 func (h *digestHistory) loseLeaderAndMember() {
 	h.control.changeLeader()
 	h.controller = New(h.now)
@@ -153,7 +155,7 @@
 	h.run(24000)
 }
 
-// What is decided, when and in which order stays as it was when these digests were recorded.
+// The controller's decisions, their times and their order match the recorded digests.
 func TestDecisionsMatchRecordedDigests(t *testing.T) {
 	for _, group := range []struct {
 		name         string
@@ -163,9 +165,9 @@
 	}{
 		{"three members, one acknowledgement", 1, []string{"a", "b", "c"}, 0xc732a671973df86d},
 		{"five members, two acknowledgements", 2, []string{"a", "b", "c", "d", "e"}, 0x40abfd539e744c41},
-		{"four members, none", 0, []string{"a", "b", "c", "d"}, 0x5eec4882b1b3e6bd},
+		{"four members, no acknowledgement", 0, []string{"a", "b", "c", "d"}, 0x5eec4882b1b3e6bd},
 		{"a primary and one replica", 1, []string{"a", "b"}, 0x04d5d672b9b8345b},
-		{"a primary alone", 0, []string{"a"}, 0x841d83015b29b8f2},
+		{"a single primary", 0, []string{"a"}, 0x841d83015b29b8f2},
 	} {
 		t.Run(group.name, func(t *testing.T) {
 			sum, kinds := fnv.New64a(), map[string]int{}
--- a/internal/controlplane/failover/faults_test.go
+++ b/internal/controlplane/failover/faults_test.go
@@ -2,24 +2,25 @@
 
 import "fmt"
 
-// What the histories leave out, as nothing here can guard against it (docs/control-state.md says so too):
-//   - A replica that starts receives before it can be paused, while a promote is under way and the old primary lives:
-//     here it receives from startDelay on, and one that is off the roster is down for returnDelay longer than others,
-//     and sends its heartbeats here.
-//   - A promote is carried out seconds after it was issued, and the replicas that it relied on were restarted under
-//     another leader that knew no primary to make a fence with: no leader forgets while a late promote is under way.
+// The simulated histories exclude two cases against which the controller can't protect (see docs/control-state.md):
+//   - A replica that starts receives commits before it can be paused, while a promote is in flight and the old primary
+//     is still running. Here a starting replica receives only after receiveDelay, and one that is not on the roster
+//     restarts departedRestartDelay later than others, with its heartbeats sent to the leader.
+//   - A promote is carried out seconds after it was issued, and in the meantime the replicas that it relied on were
+//     restarted under another leader that knew no primary for a fence. Here the leader does not lose its state while a
+//     late promote is in flight.
 const (
 	departedRestartDelay = 2500.0
 	receiveDelay         = 300.0
 	maxPromoteDelay      = 4000.0
-	// lateStatementMax is how long after it was given up a statement may be executed (lateStatement in tuning.go).
+	// maxStatementDelay is how long a statement may be executed after it was given up (lateStatementWindow in tuning.go).
 	maxStatementDelay = 1900.0
-	// deposedStatementMax is until when in its successor's lead a deposed leader's statement is executed. No later one can
-	// be told apart from the successor's, as a resume bears no term.
+	// maxDeposedStatementDelay is how long a deposed leader's statement may be executed after its successor took over.
+	// Later ones could not be distinguished from the successor's, as a resume has no term.
 	maxDeposedStatementDelay = 850.0
 )
 
-// promoteLate has a promote carried out after it was given up.
+// promoteLate carries out a promote after its caller has given it up.
 func (sim *simulation) promoteLate(id string, token uint64) {
 	sim.control.latePromotes++
 	sim.after(1500+maxPromoteDelay*sim.random.Float64(), func() {
@@ -28,7 +29,7 @@
 	})
 }
 
-// injectFault injects one fault and returns what it is. heal ends it.
+// injectFault injects one random fault and returns its description. heal ends it.
 func (sim *simulation) injectFault() string {
 	primary := sim.group.Leader()
 	member := sim.group.Members[sim.random.IntN(len(sim.group.Members))]
@@ -37,33 +38,33 @@
 		if primary != nil {
 			primary.Up = false
 		}
-		return "primary dark"
+		return "primary down"
 	case 2:
 		member.Up = false
-		return member.ID + " dark"
+		return member.ID + " down"
 	case 3:
 		member.NotReceiving = true
-		return member.ID + " deaf"
+		return member.ID + " receives nothing"
 	case 4:
 		if primary != nil {
 			primary.Partitioned = true
 		}
-		return "primary cut from replicas"
+		return "primary partitioned from replicas"
 	case 5:
 		sim.control.term++
 		sim.controller = New(sim.now)
-		return "another leader"
+		return "leader of the control plane changed"
 	case 6:
 		if primary != nil {
 			primary.Draining = true
 		}
-		return "primary to be replaced"
+		return "primary draining"
 	}
 	sim.lossRate = 0.15
 	return "answers lost"
 }
 
-// heal ends all faults, and restarts members that are down.
+// heal ends all faults and restarts members that are down.
 func (sim *simulation) heal() {
 	sim.lossRate = 0
 	for _, m := range sim.group.Members {
@@ -80,7 +81,8 @@
 	}
 }
 
-// injectHardFault injects one of the faults that the roster and the fencing tokens are for, or one of the others.
+// injectHardFault injects one of the faults that the roster and the fencing tokens protect against, or a fault of
+// injectFault, and returns its description.
 func (sim *simulation) injectHardFault() string {
 	primary := sim.group.Leader()
 	var replicas []string
@@ -96,12 +98,12 @@
 		}
 		sim.control.changeLeader()
 		sim.controller = New(sim.now)
-		for _, m := range sim.group.Members { // half of them send heartbeats to machines that are cut off
+		for _, m := range sim.group.Members { // half of the members send heartbeats to partitioned machines
 			if sim.random.IntN(2) == 0 {
 				sim.control.heartbeatsLostUntil[m.ID] = sim.now + 15000*sim.random.Float64()
 			}
 		}
-		return "a new leader that knows nobody"
+		return "new leader of the control plane without any heartbeats"
 	case 2:
 		if len(replicas) > 1 {
 			id := replicas[sim.random.IntN(len(replicas))]
@@ -114,33 +116,33 @@
 			next := fmt.Sprint("n", sim.joins)
 			sim.group.Join(next)
 			sim.blockReceivingFor(next, receiveDelay)
-			return id + " leaves for " + next
+			return id + " replaced by " + next
 		}
 	case 3:
 		sim.control.latePromoteRate = 0.5
 		if primary == nil || sim.random.IntN(2) == 0 {
-			return "a slow platform"
+			return "platform slow"
 		}
 		primary.Up = false
-		sim.after(1600+1000*sim.random.Float64(), func() { // the candidate falls before the platform promotes it, and comes back
+		sim.after(1600+1000*sim.random.Float64(), func() { // the candidate fails before its promotion, and restarts
 			if next := sim.group.Member(sim.controller.candidate); next != nil && next.Up && !next.Primary {
 				next.Up = false
 				sim.after(1500*sim.random.Float64(), func() { sim.restart(next.ID) })
 			}
 		})
-		return "a slow platform, and the primary and its successor fall"
-	case 4: // a member that is down for long counts as departed, and comes back with its log
+		return "platform slow, primary and candidate down"
+	case 4: // a member that is down for long counts as departed, and restarts with its log
 		if len(replicas) > 1 {
 			id := replicas[sim.random.IntN(len(replicas))]
 			sim.group.Member(id).Up = false
 			sim.control.depart(id)
-			return id + " taken for gone"
+			return id + " counted as departed"
 		}
 	}
 	return sim.injectFault()
 }
 
-// deafenFor keeps a member from receiving for so long.
+// blockReceivingFor stops a member from receiving for a time.
 func (sim *simulation) blockReceivingFor(id string, ms float64) {
 	sim.group.Member(id).NotReceiving = true
 	sim.after(ms, func() {
@@ -150,7 +152,7 @@
 	})
 }
 
-// restart brings a member back that is down.
+// restart restarts a member that is down.
 func (sim *simulation) restart(id string) {
 	if m := sim.group.Member(id); m != nil && !m.Up {
 		m.Restart()
@@ -158,7 +160,7 @@
 	}
 }
 
-// returnLater restarts a member that counted as departed.
+// restartLater restarts a departed member after departedRestartDelay.
 func (sim *simulation) restartLater(id string) {
 	sim.after(departedRestartDelay, func() {
 		delete(sim.control.heartbeatsLostUntil, id)
--- a/internal/controlplane/failover/fencing.go
+++ b/internal/controlplane/failover/fencing.go
@@ -1,15 +1,15 @@
 package failover
 
-// This file resumes paused replicas, after a fence where one is needed.
+// This file resumes paused replicas, after a fence if one is needed.
 //
 // A promote may reach the platform late, and its answer may be lost. While every replica that the promote relied on
 // is paused, nothing is acknowledged that the candidate lacks; so they stay paused until a promote with a higher
-// fencing token was answered. Where nothing is to be changed, that promote names the present primary. A new leader of
-// the control plane issues one only if it finds a replica that an earlier leader paused: where all members replied
-// and none was paused, no failover is under way.
+// fencing token was answered. If the primary is not to change, that promote names the current primary; this is called a
+// fence. A new leader of the control plane issues one only if it finds a replica that an earlier leader paused: if all
+// members replied and none was paused, no failover is in progress.
 
-// resumePaused looks for replicas that were left paused, by this leader or an earlier one, and resumes them. It
-// reports whether it has begun to fence, with nothing else to be done in this step.
+// resumePaused finds replicas that were left paused, by this leader or an earlier one, and resumes them. It returns
+// true if it started a fence, in which case nothing else is to be done in this step.
 func (c *Controller) resumePaused(view *View, now float64) (fencing bool) {
 	if !c.pastPromoteLatency(now) {
 		return false
@@ -23,7 +23,7 @@
 	for _, m := range view.Members {
 		o := c.observation(m.ID)
 		if m.Absent || !o.resumeCheckDue || m.ID == c.primary || o.pending || now < o.nextResumeCheckAt {
-			continue // it may be cut off and still paused: it is queried for as long as it is there
+			continue // an unreachable member may still be paused: it is queried again for as long as it is in the view
 		}
 		o.nextResumeCheckAt = now + resumeInterval
 		if o.reportsPause && c.earlierPromotesVoid {
@@ -35,8 +35,8 @@
 	return false
 }
 
-// nonePaused is whether every member was queried since earlier promotes would have been carried out, and none is
-// paused.
+// nonePaused reports whether no member is paused, by replies to queries that were sent after any promote of an earlier
+// leader had been carried out. It is false while a reply is missing.
 func (c *Controller) nonePaused(view *View) bool {
 	for _, m := range view.Members {
 		if m.Departed {
@@ -50,10 +50,10 @@
 	return len(view.Members) > 0
 }
 
-// startFencing promotes the present primary anew if a replica is to be resumed and the primary has just reported that
-// it leads. It reports whether it did.
+// startFencing promotes the current primary again if a replica has to be resumed and the primary has just confirmed its
+// role. It reports whether it did.
 func (c *Controller) startFencing(view *View, now float64) bool {
-	primary := c.leader(view, now)
+	primary := c.claimedPrimary(view, now)
 	if primary == nil || !c.resumeNeeded(view) || now < c.nextQueryAt {
 		return false
 	}
@@ -68,7 +68,7 @@
 	return true
 }
 
-// anyToResume is whether a member that can be queried is known to be paused, with no failover under way.
+// resumeNeeded reports whether a reachable member is known to be paused while no failover is in progress.
 func (c *Controller) resumeNeeded(view *View) bool {
 	for _, m := range view.Members {
 		o := c.observations[m.ID]
@@ -88,8 +88,8 @@
 	c.nextQueryAt = now + fenceRetryDelay
 }
 
-// stepQuiescing ends the fence once promotes that the platform accepted before it would have shown. Who leads is
-// queried anew.
+// stepQuiescing ends the fence once any promote that the platform accepted before it must have taken effect. All
+// members are queried again to find the primary.
 func (c *Controller) stepQuiescing(now float64) {
 	if now-c.phaseStart < promoteLatency {
 		return
--- a/internal/controlplane/failover/observation.go
+++ b/internal/controlplane/failover/observation.go
@@ -6,38 +6,38 @@
 	"weirwind/internal/member/wire"
 )
 
-// observation is what a member reported, and which queries to it are under way.
+// observation holds a member's latest reply and the state of the queries to it.
 type observation struct {
-	status    wire.MemberStatus // latest reply; meaningful only while known
-	queriedAt float64           // when the query that it replied to was sent: the status is at least as new as that
-	known     bool              // cleared where a phase needs newer statuses
+	status    wire.MemberStatus // latest reply; valid only if known is set
+	queriedAt float64           // when the query of the latest reply was sent: status is at least as recent
+	known     bool              // cleared when a phase needs a newer status
 
 	refusals     int  // connections refused in a row
 	failures     int  // queries without a reply in a row
-	pending      bool // at most one query is under way
+	pending      bool // a query is in flight; at most one is at a time
 	pendingKind  ActionKind
 	pendingSince float64 // when the latest query was sent
 
-	// paused: it replied to a pause of this failover that it is paused, and no reply since contradicts that.
+	// paused is set if the member confirmed a pause of this failover, and no later reply contradicts it.
 	paused bool
-	// reportsPause: by its latest reply it is paused, whoever paused it.
+	// reportsPause is set if the member is paused according to its latest reply, by whichever leader.
 	reportsPause bool
-	// pauseSent: a pause was sent, and it isn't known whether it still has an effect or may yet arrive.
+	// pauseSent is set if a pause was sent that may still be in effect or may still arrive.
 	pauseSent bool
-	// resumeDue: it may be paused with no failover under way. It is queried until it reports that it isn't, and resumed
-	// if it is.
+	// resumeCheckDue is set if the member may be paused while no failover is in progress. It is queried until it reports
+	// that it is not paused, and resumed if it is.
 	resumeCheckDue bool
-	// resumeLateUntil: a resume that was given up may be executed until then. A reply to a pause that was sent before
-	// proves nothing, as the resume may follow it.
+	// resumeLateUntil is the time until which a resume that was given up may still be executed. A reply to a pause that
+	// was sent before does not count, as the resume may be executed after the pause.
 	resumeLateUntil float64
-	// pauseLateUntil: a pause that was given up may be executed until then.
+	// pauseLateUntil is the time until which a pause that was given up may still be executed.
 	pauseLateUntil float64
-	// nextResumeAt: it is not queried for resumeDue before.
+	// nextResumeCheckAt is the earliest time of the next query for resumeCheckDue.
 	nextResumeCheckAt float64
 }
 
-// observation returns the one for a member. A member of which nothing is known may have been paused by an earlier
-// leader.
+// observation returns a member's observation. A new one has resumeCheckDue set, as an earlier leader may have paused
+// the member.
 func (c *Controller) observation(id string) *observation {
 	o := c.observations[id]
 	if o == nil {
@@ -47,6 +47,7 @@
 	return o
 }
 
+// forgetRemovedMembers deletes the observations of members that are no longer in the view.
 func (c *Controller) forgetRemovedMembers(view *View) {
 	for id := range c.observations {
 		if !slices.ContainsFunc(view.Members, func(m Member) bool { return m.ID == id }) {
@@ -55,7 +56,7 @@
 	}
 }
 
-// HandleStatus takes a member's reply to QueryStatus, PauseReplication, ResumeReplication or StepDown. The query was
+// HandleStatus processes a member's reply to a QueryStatus, PauseReplication, ResumeReplication or StepDown that was
 // sent at the time sent.
 func (c *Controller) HandleStatus(id string, kind ActionKind, sent float64, status wire.MemberStatus) {
 	o := c.observation(id)
@@ -66,24 +67,24 @@
 	switch {
 	case kind == PauseReplication:
 		o.paused = o.reportsPause && sent >= o.resumeLateUntil
-	case !o.reportsPause: // it was resumed, or has restarted
+	case !o.reportsPause: // it was resumed or has restarted
 		o.paused = false
 	}
 	pauseMayFollow := sent < o.pauseLateUntil
 	switch {
 	case pauseMayFollow:
-		o.resumeCheckDue = o.resumeCheckDue || o.pauseSent // it is queried again until no pause can follow
+		o.resumeCheckDue = o.resumeCheckDue || o.pauseSent // it is queried again until no pause can arrive any more
 	case kind == ResumeReplication:
 		o.resumeCheckDue, o.pauseSent = o.reportsPause, false
 	case kind == QueryStatus && !o.reportsPause && o.pauseSent:
-		o.pauseSent = false // a pause that got no reply may arrive late: it is queried once more
+		o.pauseSent = false // a pause without a reply may arrive late: query once more
 	case kind == QueryStatus && !o.reportsPause:
 		o.resumeCheckDue = false
 	}
 }
 
-// HandleStatusFailure takes a query that was given up at now, without a reply. refused: the member is not at its
-// address.
+// HandleStatusFailure processes a query that was given up at now without a reply. refused is set if the connection was
+// refused, that is, no process listens at the member's address.
 func (c *Controller) HandleStatusFailure(id string, refused bool, now float64) {
 	o := c.observation(id)
 	o.pending = false
@@ -110,7 +111,7 @@
 	}
 }
 
-// query sends a query unless one is under way.
+// query sends a query to a member unless one is in flight.
 func (c *Controller) query(id string, kind ActionKind, now float64) {
 	o := c.observation(id)
 	if o.pending {
@@ -121,25 +122,25 @@
 	c.addAction(kind, id, "")
 }
 
-// leader returns the member with the latest claim to lead, nil for none. Claims in replies go by term and come before
-// those in heartbeats, which bear none.
-func (c *Controller) leader(view *View, now float64) *Member {
-	var leader *Member
-	var leaderTerm uint64
-	var leaderAt float64
+// claimedPrimary returns the member with the latest claim to be the primary, nil for none. Claims in replies are
+// ordered by term and take precedence over claims in heartbeats, which have no term.
+func (c *Controller) claimedPrimary(view *View, now float64) *Member {
+	var primary *Member
+	var primaryTerm uint64
+	var claimedAt float64
 	for i := range view.Members {
 		m := &view.Members[i]
-		term, at, ok := c.leadershipClaim(m, now)
-		if ok && (leader == nil || term > leaderTerm || term == leaderTerm && at > leaderAt) {
-			leader, leaderTerm, leaderAt = m, term, at
+		term, at, ok := c.primaryClaim(m, now)
+		if ok && (primary == nil || term > primaryTerm || term == primaryTerm && at > claimedAt) {
+			primary, primaryTerm, claimedAt = m, term, at
 		}
 	}
-	return leader
+	return primary
 }
 
-// leadershipClaim returns the term in which a member claims to lead, 0 if it did so by a heartbeat, and since when
-// that is known.
-func (c *Controller) leadershipClaim(member *Member, now float64) (term uint64, at float64, ok bool) {
+// primaryClaim returns whether a member claims to be the primary, the term of the claim, 0 if it was made by a
+// heartbeat, and the time of the claim.
+func (c *Controller) primaryClaim(member *Member, now float64) (term uint64, at float64, ok bool) {
 	o := c.observations[member.ID]
 	replied := o != nil && o.known
 	switch {
@@ -149,15 +150,15 @@
 		return max(o.status.Term, 1), o.queriedAt, true
 	case !member.Primary:
 		return 0, 0, false
-	case replied && member.SinceHeartbeat > now-o.queriedAt: // the reply that it doesn't lead is newer
+	case replied && member.SinceHeartbeat > now-o.queriedAt: // a newer reply says that it is not the primary
 		return 0, 0, false
 	}
 	return 0, now - member.SinceHeartbeat, true
 }
 
-// possibleLeader returns the first member that may lead, as it has not replied that it doesn't, "" for none. One that
-// has departed does not.
-func (c *Controller) possibleLeader(view *View) string {
+// possiblePrimary returns the first member that may be the primary, as it has not replied that it is not, "" for none.
+// Departed members are skipped.
+func (c *Controller) possiblePrimary(view *View) string {
 	for _, m := range view.Members {
 		o := c.observations[m.ID]
 		if !m.Departed && (o == nil || !o.known || o.status.Primary) {
--- a/internal/controlplane/failover/pausing.go
+++ b/internal/controlplane/failover/pausing.go
@@ -5,11 +5,11 @@
 	"slices"
 )
 
-// This file has phasePausing: replicas are paused and queried until the mode's condition for a candidate holds.
+// This file implements phasePausing: replicas are paused and queried until the mode's condition for a candidate holds.
 
-// pauseQuorum is how many of so many replicas hold every acknowledged commit between them, whichever they are: any
-// set of that many meets every set of syncReplicas. If the old primary isn't known, it is one of them, and a commit
-// is on syncReplicas+1 of them.
+// pauseQuorum returns how many replicas must be paused so that together they have every acknowledged commit, whichever
+// they are: any set of that size intersects every set of syncReplicas replicas. If the old primary is not known, it is
+// counted in replicas, and a commit is on syncReplicas+1 of them.
 func pauseQuorum(replicas, syncReplicas int, primaryKnown bool) int {
 	switch {
 	case syncReplicas == 0:
@@ -20,13 +20,13 @@
 	return max(replicas-syncReplicas, 1)
 }
 
-// replicas returns all members that may have received a commit apart from the old primary, also those that can't be
-// queried.
+// replicas returns all members except the old primary, including those that can't be queried: each may have received a
+// commit.
 func (c *Controller) replicas(view *View) []Member {
 	return slices.DeleteFunc(slices.Clone(view.Members), func(m Member) bool { return m.ID == c.oldPrimary })
 }
 
-// stepPausing pauses replicas, and goes on to phaseCatchingUp once the mode's condition holds.
+// stepPausing pauses replicas, and enters phaseCatchingUp once the mode's condition holds.
 func (c *Controller) stepPausing(view *View, now float64) {
 	replicas := c.replicas(view)
 	if len(replicas) == 0 {
@@ -60,7 +60,7 @@
 	}
 }
 
-// startCatchingUp takes the first step of phaseCatchingUp at once.
+// startCatchingUp enters phaseCatchingUp and takes its first step at once.
 func (c *Controller) startCatchingUp(view *View, now float64) {
 	c.enterPhase(phaseCatchingUp, now)
 	c.stepCatchingUp(view, now)
@@ -89,8 +89,8 @@
 	c.startCatchingUp(view, now)
 }
 
-// pauseForSwitchover waits until all replicas but the candidate are paused. Where that can't be had, or unknown
-// replicas may exist, the old primary is to step down first.
+// pauseForSwitchover waits until all replicas but the candidate are paused. If that fails, or unknown replicas may
+// exist, the old primary has to step down first.
 func (c *Controller) pauseForSwitchover(view *View, replicas []Member, now float64) {
 	if findMember(view, c.oldPrimary) == nil {
 		c.turnIntoFailover("the old primary has left")
@@ -115,15 +115,16 @@
 	}
 }
 
-// turnIntoFailover holds the candidate to the stricter terms of a failover, as the old primary no longer cooperates.
+// turnIntoFailover changes the mode to failover, with its stricter conditions for a candidate, as the old primary no
+// longer cooperates.
 func (c *Controller) turnIntoFailover(reason string) {
 	c.mode, c.candidate = failover, ""
 	c.logOnce(reason)
 }
 
-// stepDownOldPrimary leads a switchover through the old primary itself: a replica can't be paused, or isn't known,
-// and might receive what the candidate lacks, so the old primary is the only one that surely has all. Its drain is
-// enforced, so that nothing new comes; once the candidate has what it has, it steps down.
+// stepDownOldPrimary continues a switchover in which a replica can't be paused or is not known. That replica might
+// receive entries that the candidate lacks, so only the old primary certainly has all entries. Its drain is enforced,
+// so that it gets no new writes, and once the candidate has caught up with it, it steps down.
 func (c *Controller) stepDownOldPrimary(view *View, now float64) {
 	if c.mode == switchover {
 		c.mode = switchoverDraining
@@ -144,8 +145,8 @@
 	}
 }
 
-// pauseReplicas pauses the replicas that are not, or whose reply is so old that they may have restarted and forgotten
-// the pause. The candidate of a switchover is only queried, as it has to receive.
+// pauseReplicas pauses the replicas that are not paused, or whose reply is so old that they may have restarted and lost
+// the pause. The candidate of a switchover is only queried, as it has to keep receiving.
 func (c *Controller) pauseReplicas(view *View, now float64) {
 	for _, m := range c.replicas(view) {
 		o := c.observation(m.ID)
@@ -154,7 +155,7 @@
 		case c.mode.planned() && m.ID == c.candidate:
 			c.queryCandidate(now)
 		case o.paused && now-o.queriedAt <= pauseValidity:
-		case c.highestTerm == 0: // a pause must bear a term above the highest
+		case c.highestTerm == 0: // a pause must have a term above the highest one
 			c.query(m.ID, QueryStatus, now)
 		default:
 			c.query(m.ID, PauseReplication, now)
@@ -162,8 +163,9 @@
 	}
 }
 
-// queryCandidate queries the candidate of a switchover. One that may be paused, as another was to take over before, is
-// resumed: it has to receive. As at most one query to a member is under way, no pause of it is overtaken.
+// queryCandidate queries the candidate of a switchover. If it may be paused, as another member was the candidate
+// before, it is resumed, because it has to receive. As at most one query per member is in flight, the resume can't
+// overtake a pause.
 func (c *Controller) queryCandidate(now float64) {
 	o := c.observation(c.candidate)
 	mayBePaused := o.reportsPause || o.pauseSent
@@ -174,8 +176,8 @@
 	c.query(c.candidate, QueryStatus, now)
 }
 
-// queryOldPrimary queries the old primary. In a failover that its claim to lead can't end any more, it is told to
-// step down instead, so that nothing of its is acknowledged by a replica that isn't paused yet.
+// queryOldPrimary queries the old primary. In a failover that its claim to be the primary can no longer end, it is told
+// to step down instead, so that no replica that is not paused yet acknowledges its commits.
 func (c *Controller) queryOldPrimary(view *View, now float64) {
 	if findMember(view, c.oldPrimary) == nil {
 		return
@@ -190,7 +192,7 @@
 	c.query(c.oldPrimary, QueryStatus, now)
 }
 
-// releaseReplicas marks every replica that may be paused: phaseWatching resumes it once earlier promotes are void.
+// scheduleResumes marks every replica that may be paused. phaseWatching resumes them once earlier promotes are void.
 func (c *Controller) scheduleResumes(view *View, now float64) {
 	for _, m := range view.Members {
 		if o := c.observation(m.ID); !m.Absent && (o.paused || o.pauseSent) {
--- a/internal/controlplane/failover/phase.go
+++ b/internal/controlplane/failover/phase.go
@@ -5,42 +5,42 @@
 	"fmt"
 )
 
-// phase is the state of the state machine; doc.go has the transitions.
+// phase is the state of the state machine. The package documentation lists the transitions.
 type phase uint8
 
 const (
-	phaseWatching   phase = iota // the primary leads, or none is known
+	phaseWatching   phase = iota // there is a primary, or none is known
 	phasePausing                 // replicas are paused and queried
-	phaseCatchingUp              // the candidate catches up with those that are paused
-	phasePromoting               // a promote of the candidate is with the platform
-	phaseConfirming              // the promote was accepted; the candidate does not lead yet
-	phaseFencing                 // a promote of the present primary, which voids earlier ones, is with the platform
-	phaseQuiescing               // what the platform accepted before it is given time to show
+	phaseCatchingUp              // the candidate catches up with the paused replicas
+	phasePromoting               // the platform was called to promote the candidate
+	phaseConfirming              // the promote was accepted, but has not taken effect yet
+	phaseFencing                 // the platform was called to promote the current primary, which voids earlier promotes
+	phaseQuiescing               // promotes accepted before the fence are given time to take effect
 )
 
-// phaseNames are the names that operators see.
+// phaseNames has the phases' names as operators see them.
 var phaseNames = [...]string{"watching", "freezing", "catching", "calling", "proving", "fencing", "settling"}
 
-// String returns the name that operators see.
+// String returns the name of the phase as operators see it.
 func (p phase) String() string { return phaseNames[p] }
 
-// mode is the way by which the candidate is ensured to have every acknowledged commit. It is one of a failover or
-// switchover, and has no meaning between them.
+// mode is how it is ensured that the candidate has every acknowledged commit. It has no meaning while no failover or
+// switchover is in progress.
 type mode uint8
 
 const (
-	// failover: the old primary has failed, or nobody knows who it was. A quorum of replicas is paused.
+	// failover: the old primary has failed or is not known. A quorum of replicas is paused.
 	failover mode = iota
-	// switchover: the old primary serves on. All replicas but the candidate are paused.
+	// switchover: the old primary continues to serve. All replicas but the candidate are paused.
 	switchover
-	// switchoverDraining: a replica can't be paused or isn't known, so the old primary's drain is enforced and it is to
-	// step down.
+	// switchoverDraining: a replica can't be paused or is not known, so the old primary's drain is enforced before it
+	// steps down.
 	switchoverDraining
-	// switchoverSteppedDown: the old primary has stepped down. Its log has all that was ever acknowledged.
+	// switchoverSteppedDown: the old primary has stepped down. Its log has every acknowledged commit.
 	switchoverSteppedDown
 )
 
-// planned is whether the old primary cooperates.
+// planned reports whether the old primary cooperates.
 func (m mode) planned() bool { return m != failover }
 
 // State describes the state machine in one line for operators.
@@ -51,9 +51,10 @@
 	return fmt.Sprintf("%s: %s after %s", c.phase, cmp.Or(c.candidate, "?"), cmp.Or(c.oldPrimary, "?"))
 }
 
-// Phase is the phase's name, as State has it.
+// Phase returns the name of the current phase.
 func (c *Controller) Phase() string { return c.phase.String() }
 
+// enterPhase changes the phase. Its queries may start at once.
 func (c *Controller) enterPhase(next phase, now float64) {
 	c.phase, c.phaseStart, c.nextQueryAt = next, now, now
 }
--- a/internal/controlplane/failover/promoting.go
+++ b/internal/controlplane/failover/promoting.go
@@ -1,8 +1,9 @@
 package failover
 
-// This file has phasePromoting and phaseConfirming: the platform is called, and the candidate reports that it leads.
+// This file implements phasePromoting and phaseConfirming: the platform is called, then the candidate confirms that it
+// is the primary.
 
-// promote has the platform make the candidate the primary.
+// promote calls the platform to make the candidate the primary.
 func (c *Controller) promote(now float64) {
 	c.enterPhase(phasePromoting, now)
 	c.nextQueryAt = now + urgentInterval
@@ -10,8 +11,8 @@
 	c.addAction(Promote, c.candidate, c.oldPrimary)
 }
 
-// stepPromoting keeps replicas paused while the platform is slow: one that restarts or joins now would receive what
-// the candidate lacks.
+// stepPromoting keeps replicas paused until the platform answers: a replica that restarts or joins in the meantime
+// could receive entries that the candidate lacks.
 func (c *Controller) stepPromoting(view *View, now float64) {
 	c.pauseReplicas(view, now)
 	if now >= c.nextQueryAt {
@@ -20,7 +21,8 @@
 	}
 }
 
-// HandlePromoteResult takes the platform's answer to a promote: its HTTP status, 0 for none.
+// HandlePromoteResult processes the platform's answer to a promote of a member. status is its HTTP status, 0 if there
+// was no answer.
 func (c *Controller) HandlePromoteResult(id string, status int, now float64) {
 	if c.candidate != id {
 		return
@@ -35,19 +37,21 @@
 
 func (c *Controller) handlePromoteResult(status int, now float64) {
 	switch status {
-	case statusAccepted: // its fencing token is the highest: earlier promotes are rejected from now on
+	case statusAccepted: // the platform rejects earlier promotes from now on, as their fencing tokens are lower
 		c.promoteUnresolved, c.earlierPromotesVoid = false, true
 		c.enterPhase(phaseConfirming, now)
 	case statusRejected:
 		c.promoteIssued = false
 		c.logOnce("the platform refuses " + c.candidate)
 		c.restart(now)
-	default: // it may be carried out at any time until a later call; statuses are too old by now to promote by them again
+	default:
+		// The promote may be carried out at any time until a later call is answered. The statuses are too old by now for
+		// another promote, so they are queried again.
 		c.restart(now)
 	}
 }
 
-// stepConfirming waits until the candidate reports that it leads.
+// stepConfirming waits until the candidate reports that it is the primary.
 func (c *Controller) stepConfirming(view *View, now float64) {
 	o := c.observation(c.candidate)
 	m := findMember(view, c.candidate)
@@ -73,7 +77,7 @@
 	}
 }
 
-// complete ends a failover or switchover: the candidate is the primary.
+// complete ends a failover or switchover, as the candidate is the primary now.
 func (c *Controller) complete(view *View, now float64) {
 	c.addAction(Log, c.candidate, "leads")
 	if c.oldPrimary != "" {
--- a/internal/controlplane/failover/safety_test.go
+++ b/internal/controlplane/failover/safety_test.go
@@ -6,11 +6,11 @@
 )
 
 const (
-	historyCount     = 150 // that are played; 600 held when this was written
-	lateHistoryCount = 400 // of late statements
+	historyCount     = 150 // seeds per test; the tests also passed with 600
+	lateHistoryCount = 400 // seeds of the test of late statements
 )
 
-// playHistory plays a seeded history of hard faults and returns the simulation at its end, and the faults.
+// runHistory runs a seeded history of hard faults. It returns the simulation at its end, and the injected faults.
 func runHistory(seed uint64, configure func(*controlPlane)) (sim *simulation, faults []string) {
 	sim = newSimulation(seed)
 	sim.control.delayReceiving = true
@@ -30,7 +30,8 @@
 	return sim, faults
 }
 
-// No acknowledged commit is missing from a promoted log, somebody leads in the end, and nobody is left paused.
+// With faults of members, links and leaders, no promoted member lacks an acknowledged commit, and in the end there is a
+// primary and no member is left paused.
 func TestFailoverLosesNoCommit(t *testing.T) {
 	for seed := range 300 {
 		sim := newSimulation(uint64(seed))
@@ -47,11 +48,12 @@
 		}
 		sim.run(8000)
 		if len(sim.group.Lost) > 0 {
-			t.Fatalf("seed %d, %v: the promoted lacked %v\n%s", seed, faults, sim.group.Lost, strings.Join(sim.transcript, "\n"))
+			t.Fatalf("seed %d, %v: the promoted member lacks %v\n%s", seed, faults, sim.group.Lost,
+				strings.Join(sim.transcript, "\n"))
 		}
 		primary := sim.group.Leader()
 		if primary == nil || primary.Paused {
-			t.Fatalf("seed %d, %v: nobody leads\n%s", seed, faults, strings.Join(sim.transcript, "\n"))
+			t.Fatalf("seed %d, %v: no primary at the end\n%s", seed, faults, strings.Join(sim.transcript, "\n"))
 		}
 		for _, m := range sim.group.Members {
 			if m.Paused {
@@ -61,14 +63,15 @@
 	}
 }
 
-// No acknowledged commit is missing from a promoted log: members crash, leave and join, lag and are cut off, leaders
-// of the control plane change and know nothing but what was committed, and promotes are late or lost.
+// No promoted member lacks an acknowledged commit, although members crash, leave, join, lag and are partitioned, new
+// leaders of the control plane know only what was committed, and promotes are late or lost.
 func TestFailoverAfterLeaderChangeLosesNoCommit(t *testing.T) {
 	waiting := 0
 	for seed := range uint64(historyCount) {
 		sim, faults := runHistory(seed, func(*controlPlane) {})
 		if len(sim.group.Lost) > 0 {
-			t.Errorf("seed %d, %v: the promoted lacked %v\n%s", seed, faults, sim.group.Lost, strings.Join(sim.transcript, "\n"))
+			t.Errorf("seed %d, %v: the promoted member lacks %v\n%s", seed, faults, sim.group.Lost,
+				strings.Join(sim.transcript, "\n"))
 		}
 		if primary := sim.group.Leader(); primary == nil || primary.Paused {
 			uncovered := 0
@@ -78,16 +81,16 @@
 				}
 			}
 			if waiting++; uncovered == 0 {
-				t.Fatalf("seed %d, %v: nobody leads, though all that may hold a commit are there\n%s", seed, faults,
+				t.Fatalf("seed %d, %v: no primary, though all members that may have a commit are reachable\n%s", seed, faults,
 					strings.Join(sim.transcript, "\n"))
 			}
 		}
 	}
-	t.Logf("%d of %d wait for a member that ended and may alone hold a commit", waiting, historyCount)
+	t.Logf("%d of %d histories wait for an absent member that may be the only one with a commit", waiting, historyCount)
 }
 
-// Statements that were given up are executed afterwards: a resume behind a later pause, a pause behind a later resume. No
-// commit is lost, somebody leads in the end, and nobody is left paused.
+// Statements are executed after they were given up, such as a resume after a later pause, or a pause after a later
+// resume. No commit is lost, and in the end there is a primary and no member is left paused.
 func TestLateStatementsLoseNoCommit(t *testing.T) {
 	for seed := range uint64(lateHistoryCount) {
 		sim := newSimulation(seed)
@@ -107,10 +110,10 @@
 		sim.run(15000)
 		transcript := strings.Join(sim.transcript, "\n")
 		if len(sim.group.Lost) > 0 {
-			t.Fatalf("seed %d, %v: the promoted lacked %v\n%s", seed, faults, sim.group.Lost, transcript)
+			t.Fatalf("seed %d, %v: the promoted member lacks %v\n%s", seed, faults, sim.group.Lost, transcript)
 		}
 		if primary := sim.group.Leader(); primary == nil || primary.Paused {
-			t.Fatalf("seed %d, %v: nobody leads\n%s", seed, faults, transcript)
+			t.Fatalf("seed %d, %v: no primary at the end\n%s", seed, faults, transcript)
 		}
 		for _, m := range sim.group.Members {
 			if m.Paused {
@@ -120,16 +123,17 @@
 	}
 }
 
-// The histories do lose commits where a guard is taken out: the line that adds absent members to the view
-// (controlplane's step), or the number of the promote in the fencing token (controlplane's nextFence).
+// Checks that the simulated histories are able to detect faults: they lose commits if a guard is disabled, either the
+// absent members in the view (controlPlane.absent) or the number of the promote in the fencing token
+// (controlPlane.nextFencingToken).
 func TestHistoriesLoseCommitsWithoutGuards(t *testing.T) {
 	for _, guard := range []struct {
 		name  string
-		first uint64 // seed: many lose commits without the roster, few without the fence
+		first uint64 // first seed: without the roster many seeds lose commits, without fencing tokens only few
 		set   func(*controlPlane)
 	}{
 		{"roster", 0, func(c *controlPlane) { c.ignoreRoster = true }},
-		{"fence", 400, func(c *controlPlane) { c.oneTokenPerTerm = true }},
+		{"fencing tokens", 400, func(c *controlPlane) { c.oneTokenPerTerm = true }},
 	} {
 		seed, lost := guard.first, false
 		for ; seed < guard.first+historyCount && !lost; seed++ {
@@ -137,7 +141,7 @@
 			lost = len(sim.group.Lost) > 0
 		}
 		if t.Logf("without the %s: seed %d loses commits", guard.name, seed-1); !lost {
-			t.Errorf("without the %s nothing is lost: the histories don't try it", guard.name)
+			t.Errorf("without the %s no commit is lost: the histories do not exercise this guard", guard.name)
 		}
 	}
 }
--- a/internal/controlplane/failover/simulation_test.go
+++ b/internal/controlplane/failover/simulation_test.go
@@ -13,12 +13,12 @@
 	stepMillis         = 25.0
 	heartbeatMillis    = 1200.0
 	queryTimeoutMillis = 700.0
-	refusalMillis      = 10.0
-	callTimeoutMillis  = 2000.0
+	refusalMillis      = 10.0   // until a refused connection is reported
+	callTimeoutMillis  = 2000.0 // for calls to the platform
 )
 
-// simulation plays failovers of a group in virtual time: queries and promotes take their time or are lost, members
-// fail and come back, leaders of the control plane follow one another with nothing handed on.
+// simulation runs failovers of a replication group in virtual time: queries and promotes are delayed or lost, members
+// fail and restart, and the leader of the control plane changes without a transfer of state.
 type simulation struct {
 	random     *rand.Rand
 	now        float64
@@ -28,18 +28,18 @@
 	scheduled  []event
 	transcript []string
 
-	highestToken    uint64             // that the platform has seen
+	highestToken    uint64             // highest fencing token that the platform has seen
 	lastHeartbeat   map[string]float64 // by member
-	reportedPrimary map[string]bool    // by the member's last heartbeat
-	drainEnforced   map[string]bool    // members that drivers send nothing new to
-	stalledAt       float64            // when a primary last committed nothing
-	writes, joins   int
+	reportedPrimary map[string]bool    // by member ID, as in its last heartbeat
+	drainEnforced   map[string]bool    // members to which drivers send no new work
+	stalledAt       float64            // when a partitioned primary last committed nothing
+	writes, joins   int                // number of writes, and of members that joined
 
 	lossRate          float64       // share of queries, promotes and answers that are lost
-	lateStatementRate float64       // share of queries that are given up and executed afterwards
-	refuseConnections bool          // members that are down refuse connections, in place of silence
-	modifyView        func(v *View) // what a history adds to the view; nil: nothing
-	record            func(...any)  // takes each thing that is done, in order
+	lateStatementRate float64       // share of queries that are executed after they were given up
+	refuseConnections bool          // members that are down refuse connections instead of not replying
+	modifyView        func(v *View) // changes each view before the controller gets it; may be nil
+	record            func(...any)  // called for each step, action and fencing token, in order
 }
 
 type event struct {
@@ -62,7 +62,7 @@
 	}
 }
 
-// after schedules what happens so many milliseconds from now.
+// after schedules do to run in ms milliseconds.
 func (sim *simulation) after(ms float64, do func()) {
 	sim.scheduled = append(sim.scheduled, event{sim.now + ms, do})
 }
@@ -110,7 +110,7 @@
 	}
 }
 
-// write has clients write at every member that takes it.
+// write makes clients write at every running primary that is not drained.
 func (sim *simulation) write() {
 	for _, m := range sim.group.Members {
 		if !m.Up || !m.Primary {
@@ -133,8 +133,8 @@
 			continue
 		}
 		primary := sim.reportedPrimary[m.ID]
-		v.Members = append(v.Members, Member{ID: m.ID, Generation: "v1", Primary: primary, Replica: !primary, Draining: m.Draining,
-			SinceHeartbeat: sim.now - sim.lastHeartbeat[m.ID], Unlisted: !sim.control.roster[m.ID]})
+		v.Members = append(v.Members, Member{ID: m.ID, Generation: "v1", Primary: primary, Replica: !primary,
+			Draining: m.Draining, SinceHeartbeat: sim.now - sim.lastHeartbeat[m.ID], Unlisted: !sim.control.roster[m.ID]})
 	}
 	v.Members = append(v.Members, sim.control.absent()...)
 	if sim.now-sim.stalledAt < 300 {
@@ -146,7 +146,7 @@
 	return v
 }
 
-// inOrder sorts a step's actions of kind AllowRemoval, which come last and from a map, by their members.
+// sortRemovals sorts a step's AllowRemoval actions by member. They come last, in the random order of a map.
 func sortRemovals(actions []Action) []Action {
 	first := slices.IndexFunc(actions, func(a Action) bool { return a.Kind == AllowRemoval })
 	if first >= 0 {
@@ -155,8 +155,8 @@
 	return actions
 }
 
-// carryOut does what the controlplane package does with an action. What comes of it goes to the controller that asked
-// for it.
+// carryOut carries out an action like the controlplane package. The outcome is reported to c, the controller that
+// issued the action, even if it was replaced meanwhile.
 func (sim *simulation) carryOut(c *Controller, a Action) {
 	switch a.Kind {
 	case AllowRemoval:
@@ -178,7 +178,7 @@
 	sim.transcript = append(sim.transcript, fmt.Sprintf("%.0f ", sim.now)+fmt.Sprintf(format, args...))
 }
 
-// promote calls the platform. The call may be lost, come late, or lose its answer.
+// promote calls the platform. The call or its answer may be lost, or the call may be carried out late.
 func (sim *simulation) promote(c *Controller, id string) {
 	token := sim.control.nextFencingToken()
 	sim.record("fence", token)
@@ -202,8 +202,8 @@
 	})
 }
 
-// platform takes a call: 409 for an old fencing token or a member that isn't running; who leads already is left as it
-// is.
+// handlePromoteCall is the platform's side of a promote. It returns 409 for an outdated fencing token or a member that
+// is not running, and 200 otherwise; if the member is already the primary nothing else happens.
 func (sim *simulation) handlePromoteCall(id string, token uint64) int {
 	if token < sim.highestToken {
 		return 409
@@ -219,7 +219,7 @@
 	return 200
 }
 
-// query sends a query to a member. It may be lost, and finds the member as it is when it arrives.
+// query sends a query to a member. It may be lost; otherwise it takes effect and is answered when it arrives.
 func (sim *simulation) query(c *Controller, a Action) {
 	sent := sim.now
 	m := sim.group.Member(a.ID)
@@ -247,7 +247,7 @@
 	})
 }
 
-// execute has a member that is up carry out a statement.
+// execute carries out a statement at a member, if it is up.
 func execute(m *replicaset.Member, a Action) {
 	if m == nil || !m.Up {
 		return
--- a/internal/controlplane/failover/tuning.go
+++ b/internal/controlplane/failover/tuning.go
@@ -1,41 +1,41 @@
 package failover
 
-// Tuned values, in milliseconds unless stated otherwise.
+// Timing parameters, in milliseconds unless stated otherwise.
 const (
 	// Failure detection.
-	watchInterval         = 500.0 // between status queries to a healthy primary
-	urgentInterval        = 150.0 // between queries while something is wrong
-	silenceTimeout        = 1000.0
-	maxRefusals           = 2 // connections refused in a row, after which a member is dead
-	leaderlessTimeout     = 700.0
-	suspectedReplyTimeout = 160.0 // for a reply, while enough drivers suspect the primary
-	minSuspectedSilence   = 400.0 // since the primary was last heard from, likewise
-	stallTimeout          = 400.0 // for which all replicas stand still behind a primary that goes on
+	watchInterval         = 500.0  // between status queries to a healthy primary
+	urgentInterval        = 150.0  // between queries while something is wrong
+	silenceTimeout        = 1000.0 // since the primary was last heard from, with a query failed and no healthy reports
+	maxRefusals           = 2      // refused connections in a row after which a member counts as dead
+	noPrimaryTimeout      = 700.0  // without a primary, before a failover starts
+	suspectedReplyTimeout = 160.0  // for a reply, while enough drivers report that the primary does not answer
+	minSuspectedSilence   = 400.0  // since the primary was last heard from, under the same condition
+	stallTimeout          = 400.0  // how long all replicas make no progress although the primary's log is ahead
 
 	// Members.
-	staleHeartbeatAge    = 4000.0  // a member without a heartbeat for so long is the last choice as a candidate
-	unknownMemberTimeout = 20000.0 // within which agents and peers report a member, if any of them knows it
+	staleHeartbeatAge    = 4000.0  // after which a member is the last choice as a candidate
+	unknownMemberTimeout = 20000.0 // by which a member that any agent or peer knows has been reported
 
 	// Pausing and catching up.
-	pauseTimeout    = 700.0  // for pausing replicas, then the old primary is to step down
-	pauseValidity   = 900.0  // of a reply that reports a pause: a replica that restarts forgets it
-	retryDelay      = 300.0  // before a phase that failed begins again
+	pauseTimeout    = 700.0  // for pausing replicas; after that the old primary has to step down
+	pauseValidity   = 900.0  // of a reply that confirms a pause: a replica that restarts loses the pause
+	retryDelay      = 300.0  // before phasePausing starts again after a failed attempt
 	catchUpInterval = 50.0   // between queries while a candidate catches up
-	catchUpTimeout  = 1500.0 // after which a candidate gives way to another
+	catchUpTimeout  = 1500.0 // after which the candidate is given up
 
 	// Promoting and fencing.
-	confirmTimeout    = 3500.0 // in which a promote that was answered shows
-	confirmQueryDelay = 450.0  // a promote is not carried out sooner
-	promoteLatency    = 900.0  // in which an earlier promote is carried out, if it ever is
-	fenceRetryDelay   = 500.0
+	confirmTimeout    = 3500.0 // for the candidate to become primary after the platform's answer
+	confirmQueryDelay = 450.0  // before the candidate is queried: a promote always takes longer
+	promoteLatency    = 900.0  // within which an earlier promote is carried out, if at all
+	fenceRetryDelay   = 500.0  // after a fence that the platform did not accept
 	resumeInterval    = 2000.0 // between queries to a member that may be paused
-	// lateStatement is for how long after it was given up a pause or resume may still be executed. Its connection is
-	// reset then, so that only what is on its way already arrives.
+	// lateStatementWindow is how long a pause or resume may still be executed after it was given up. Its connection is
+	// reset when it is given up, so that only data already in transit can arrive.
 	lateStatementWindow = 2000.0
 
 	// Coverage of departed members.
-	coverageInterval     = 250.0
-	coverageFastPeriod   = 3000.0 // since a member departed, after which queries are fewer
+	coverageInterval     = 250.0  // between status queries
+	coverageFastPeriod   = 3000.0 // since a member departed, after which coverageSlowInterval applies
 	coverageSlowInterval = 2000.0
 )
 
--- a/internal/controlplane/failover/view.go
+++ b/internal/controlplane/failover/view.go
@@ -1,55 +1,55 @@
 package failover
 
-// Member is what the control plane knows of one member.
+// Member is the control plane's knowledge of one member.
 type Member struct {
 	ID             string
-	Generation     string // as directory.Member has it
-	Primary        bool   // by its latest heartbeat
-	Replica        bool   // by its latest heartbeat
+	Generation     string // software generation as in directory.Member; the higher text is preferred
+	Primary        bool   // according to its latest heartbeat
+	Replica        bool   // according to its latest heartbeat
 	Draining       bool
-	Absent         bool    // on the roster, but can't be queried: it has departed, or nothing is known of it here
-	Departed       bool    // Absent because it left, or was silent for long
-	Unlisted       bool    // not on the roster yet: it is no candidate, and covers nothing
-	SinceHeartbeat float64 // milliseconds
-	Distance       float64 // from the old primary's zone, to choose among equals
+	Absent         bool    // on the roster, but can't be queried: it departed, or this machine knows no more of it
+	Departed       bool    // absent because it left or sent no heartbeat for long
+	Unlisted       bool    // not on the roster yet: it can't become candidate and does not count for coverage
+	SinceHeartbeat float64 // milliseconds since the last heartbeat
+	Distance       float64 // from the old primary's zone; smaller is preferred among equal candidates
 }
 
-// View is a service at one moment.
+// View is a snapshot of a service.
 type View struct {
 	Service      string
-	SyncReplicas int      // on so many replicas a commit must be before it is acknowledged
-	Members      []Member // those that are present, and those on the roster
+	SyncReplicas int      // number of replicas that must have a commit before it is acknowledged
+	Members      []Member // members that are present or on the roster
 
-	// MembershipUncertain is set while members may send heartbeats to machines of the control plane that this one
-	// doesn't hear: there may be replicas that it doesn't know.
+	// MembershipUncertain is set while members may be sending heartbeats to machines of the control plane that can't reach
+	// this one: there may be replicas that it does not know.
 	MembershipUncertain bool
 
-	Drivers        int // all of them
-	SuspectReports int // drivers that get no reply from the primary
-	StallReports   int // drivers that it replies to, but commits nothing for
-	HealthyReports int // drivers that it serves
+	Drivers        int // number of all drivers
+	SuspectReports int // number of drivers that get no reply from the primary
+	StallReports   int // number of drivers that get replies, but no commits
+	HealthyReports int // number of drivers that the primary serves
 }
 
-// Action is something that the caller has to do.
+// Action is a task for the caller.
 type Action struct {
 	Kind   ActionKind
-	ID     string // of the member
-	Term   uint64 // the highest that was seen: pauses and step-downs must be above it
-	Reason string
+	ID     string // member ID
+	Term   uint64 // highest term seen; pauses and step-downs must use a higher one
+	Reason string // see Log and Promote
 }
 
-// ActionKind tells what is to be done.
+// ActionKind is the kind of an Action.
 type ActionKind uint8
 
-// Kinds of actions. The outcome of QueryStatus, PauseReplication, ResumeReplication and StepDown goes to HandleStatus
-// or HandleStatusFailure, that of Promote to HandlePromoteResult.
+// Kinds of actions. The caller reports the outcome of QueryStatus, PauseReplication, ResumeReplication and StepDown to
+// HandleStatus or HandleStatusFailure, and that of Promote to HandlePromoteResult.
 const (
 	QueryStatus       ActionKind = iota // query the member's status
-	PauseReplication                    // keep the replica from receiving
-	ResumeReplication                   // let the replica receive again
-	Promote                             // have the platform make the member the primary; Reason is the old primary
-	EnforceDrain                        // drivers send nothing new to the member: it no longer leads, or is to step down
-	Log                                 // Reason is for the log
-	StepDown                            // have the primary become a replica
-	AllowRemoval                        // the departed member is covered: it may leave the roster
+	PauseReplication                    // stop the replica from receiving the log
+	ResumeReplication                   // let the replica receive the log again
+	Promote                             // call the platform to make the member the primary; Reason is the old primary's ID
+	EnforceDrain                        // stop drivers from using the member: it was replaced or will step down
+	Log                                 // write Reason to the log
+	StepDown                            // make the primary a replica
+	AllowRemoval                        // the departed member is covered and may be removed from the roster
 )
--- a/internal/controlplane/failover/watching.go
+++ b/internal/controlplane/failover/watching.go
@@ -6,20 +6,20 @@
 	"weirwind/internal/member/wire"
 )
 
-// This file has the failure detector: when a failover or switchover begins.
+// This file implements phaseWatching and the failure detector, which decides when a failover or switchover begins.
 
-// stepWatching queries the primary, and begins a switchover if it drains, or a failover if it has failed or nobody
-// leads.
+// stepWatching queries the primary. It begins a switchover if the primary is draining, and a failover if the primary
+// has failed or there is none.
 func (c *Controller) stepWatching(view *View, now float64) {
 	if c.resumePaused(view, now) {
 		return
 	}
-	primary := c.leader(view, now)
+	primary := c.claimedPrimary(view, now)
 	if primary == nil {
-		c.watchLeaderless(view, now)
+		c.watchWithoutPrimary(view, now)
 		return
 	}
-	c.leaderlessSince = 0
+	c.noPrimarySince = 0
 	c.primary = primary.ID
 	if primary.Draining && c.pastPromoteLatency(now) {
 		if hasSuccessor(view, primary.ID) {
@@ -73,15 +73,15 @@
 	}
 }
 
-// suspected is whether the primary does not reply while enough drivers get no reply from it either.
+// suspected reports whether the primary does not reply while enough drivers get no reply from it either.
 func suspected(view *View, primary *observation, silentFor, now float64) bool {
 	return primary.pending && now-primary.pendingSince > suspectedReplyTimeout &&
 		view.SuspectReports >= max(2, view.Drivers/3) && view.HealthyReports == 0 &&
 		silentFor >= minSuspectedSilence
 }
 
-// stalled queries all members, and tells whether every replica has stood still behind the primary for stallTimeout:
-// its commits reach none of them.
+// stalled queries all members, and reports whether for stallTimeout every replica has been behind the primary without
+// making progress, that is, the primary's commits reach none of them.
 func (c *Controller) stalled(view *View, primary string, now float64) bool {
 	positions := c.positionsBehind(view, primary, now)
 	if now >= c.nextStallQueryAt {
@@ -95,8 +95,8 @@
 	return now-c.stalledSince >= stallTimeout
 }
 
-// positionsBehind returns the positions of all replicas that can be queried, none if one of them isn't known to be
-// behind the primary.
+// positionsBehind returns the positions of all reachable replicas. It returns an empty map if any of them is not known
+// to be behind the primary.
 func (c *Controller) positionsBehind(view *View, primary string, now float64) map[string]wire.Position {
 	end := c.observation(primary).status.Received
 	positions := map[string]wire.Position{}
@@ -113,23 +113,23 @@
 	return positions
 }
 
-// watchLeaderless queries all members while nobody claims to lead, and begins a failover without an old primary once
-// each member on the roster replied that it doesn't lead. A member that nobody knows anything of for long counts as
-// one that may have led, or may hold a commit; it is waited for only if the others are too few.
-func (c *Controller) watchLeaderless(view *View, now float64) {
-	if c.leaderlessSince == 0 {
-		c.leaderlessSince = now
+// watchWithoutPrimary queries all members while none claims to be the primary, and begins a failover without an old
+// primary once each member on the roster has replied that it is not the primary. A member that has been unknown for
+// unknownMemberTimeout may have been the primary or may have a commit; it is waited for only if too few others replied.
+func (c *Controller) watchWithoutPrimary(view *View, now float64) {
+	if c.noPrimarySince == 0 {
+		c.noPrimarySince = now
 	}
 	c.primary = ""
 	if now >= c.nextQueryAt {
 		c.nextQueryAt = now + urgentInterval
 		c.queryAll(view, now)
 	}
-	if !c.pastPromoteLatency(now) || now-c.leaderlessSince <= leaderlessTimeout || len(view.Members) == 0 {
+	if !c.pastPromoteLatency(now) || now-c.noPrimarySince <= noPrimaryTimeout || len(view.Members) == 0 {
 		return
 	}
-	possible := c.possibleLeader(view)
-	waitedLong := now-max(c.leaderlessSince, c.startedAt) > unknownMemberTimeout
+	possible := c.possiblePrimary(view)
+	waitedLong := now-max(c.noPrimarySince, c.startedAt) > unknownMemberTimeout
 	if possible == "" || waitedLong && c.repliesCoverCommits(view) {
 		c.begin(view, "", failover, "nobody leads", now)
 		return
@@ -137,7 +137,8 @@
 	c.logOnce("nobody leads, and it waits for " + possible + ", which may lead or alone hold a commit")
 }
 
-// repliesCoverCommits is whether those who replied that they don't lead hold every acknowledged commit between them.
+// repliesCoverCommits reports whether the members that replied that they are not the primary have every acknowledged
+// commit between them.
 func (c *Controller) repliesCoverCommits(view *View) bool {
 	replies := 0
 	for _, m := range view.Members {
