--- a/internal/controlplane/failover/fencing.go
+++ b/internal/controlplane/failover/fencing.go
@@ -36,7 +36,7 @@
 }
 
 // nonePaused reports whether no member is paused, by replies to queries that were sent after any promote of an earlier
-// leader had been carried out. It is false while a reply is missing.
+// leader would have been carried out. It is false while a reply is missing.
 func (c *Controller) nonePaused(view *View) bool {
 	for _, m := range view.Members {
 		if m.Departed {
@@ -88,7 +88,7 @@
 	c.nextQueryAt = now + fenceRetryDelay
 }
 
-// stepQuiescing ends the fence once any promote that the platform accepted before it must have taken effect. All
+// stepQuiescing ends the fence once any promote that the platform accepted before it would have taken effect. All
 // members are queried again to find the primary.
 func (c *Controller) stepQuiescing(now float64) {
 	if now-c.phaseStart < promoteLatency {
--- a/internal/controlplane/failover/pausing.go
+++ b/internal/controlplane/failover/pausing.go
@@ -183,9 +183,9 @@
 		return
 	}
 	o := c.observation(c.oldPrimary)
-	leads := o.known && o.status.Primary && o.queriedAt >= c.phaseStart
+	isPrimary := o.known && o.status.Primary && o.queriedAt >= c.phaseStart
 	replaced := !c.mode.planned() && (c.promoteIssued || c.primaryStalled) && c.candidate != c.oldPrimary
-	if leads && replaced {
+	if isPrimary && replaced {
 		c.query(c.oldPrimary, StepDown, now)
 		return
 	}
--- a/internal/controlplane/failover/view.go
+++ b/internal/controlplane/failover/view.go
@@ -7,7 +7,7 @@
 	Primary        bool   // according to its latest heartbeat
 	Replica        bool   // according to its latest heartbeat
 	Draining       bool
-	Absent         bool    // on the roster, but can't be queried: it departed, or this machine knows no more of it
+	Absent         bool    // on the roster, but can't be queried: it departed, or nothing else is known of it
 	Departed       bool    // absent because it left or sent no heartbeat for long
 	Unlisted       bool    // not on the roster yet: it can't become candidate and does not count for coverage
 	SinceHeartbeat float64 // milliseconds since the last heartbeat
