--- a/internal/controlplane/failover/coverage_test.go
+++ b/internal/controlplane/failover/coverage_test.go
@@ -86,15 +86,15 @@
 		c := New(-5000)
 		v := &View{Service: "s", SyncReplicas: 1, MembershipUncertain: uncertain, Members: []Member{
 			{ID: "a", Primary: true, Draining: true}, {ID: "b", Replica: true}, {ID: "c", Replica: true}}}
-		oldPrimaryLeads, promoted, promotedWhileLed := true, false, false
+		oldPrimaryActive, promoted, promotedBeforeStepDown := true, false, false
 		for now := 0.0; now < 3000 && !promoted; now += 50 {
 			for _, a := range c.Step(v, now) {
-				status := newStatus(a.ID == "a" && oldPrimaryLeads, 9)
+				status := newStatus(a.ID == "a" && oldPrimaryActive, 9)
 				switch a.Kind {
 				case Promote:
-					promoted, promotedWhileLed = true, oldPrimaryLeads
+					promoted, promotedBeforeStepDown = true, oldPrimaryActive
 				case StepDown:
-					oldPrimaryLeads = false
+					oldPrimaryActive = false
 					c.HandleStatus("a", StepDown, now, newStatus(false, 9))
 				case PauseReplication:
 					status.PromisedTerm = a.Term + 1
@@ -104,8 +104,8 @@
 				}
 			}
 		}
-		if !promoted || promotedWhileLed == uncertain {
-			t.Errorf("membership uncertain %v: promoted %v, before the step-down %v", uncertain, promoted, promotedWhileLed)
+		if !promoted || promotedBeforeStepDown == uncertain {
+			t.Errorf("membership uncertain %v: promoted %v, before the step-down %v", uncertain, promoted, promotedBeforeStepDown)
 		}
 	}
 }
--- a/internal/controlplane/orders/doc.go
+++ b/internal/controlplane/orders/doc.go
@@ -11,7 +11,7 @@
 //	             evaluate: a read, a lease, a rejection
 //	phaseQueued ------------------------------------------> phaseConfirming ---> answered
 //	     |  \                                                     |          a quorum has confirmed the leader
-//	     |   `---> answered: applied before, undecided            | evaluate: a change after all
+//	     |   `---> answered: already applied, undecided           | evaluate: a change after all
 //	     | evaluate: a change                                     v
 //	     `--------------------------------------------------> phaseProposed ---> answered
 //	                                                                         the entry is committed or lost
