--- a/internal/controlplane/quotafigures.go
+++ b/internal/controlplane/quotafigures.go
@@ -17,7 +17,12 @@
 	if q.limiter == nil {
 		return nil
 	}
-	s := &quotaSnapshot{given: q.given, refused: q.refused, lapsed: q.limiter.LeaseExpirations(), leads: q.allocator != nil}
+	s := &quotaSnapshot{
+		given:   q.given,
+		refused: q.refused,
+		lapsed:  q.limiter.LeaseExpirations(),
+		leads:   q.allocator != nil,
+	}
 	s.shares, s.demand = q.limiter.Totals(now)
 	s.known = s.leads && q.allocator.SharesKnown(now)
 	return s
