--- a/internal/dataplane/group/group.go
+++ b/internal/dataplane/group/group.go
@@ -79,7 +79,7 @@
 
 // offerSlot puts a member into the slot if evidence of the time when allows it.
 func (g *Group) offerSlot(member *Member, when float64, source string) {
-	if !g.Slot.Takes(member.ID, when, member.replicaSeenAt, member.Draining, true) {
+	if !g.Slot.Accepts(member.ID, when, member.replicaSeenAt, member.Draining, true) {
 		return
 	}
 	g.Slot.Fill(member.ID, when)
@@ -91,13 +91,13 @@
 // SilentPrimary returns the id of the member that was taken out of the slot for its silence alone, and of which nothing
 // was heard since that tells that it leads no longer; "" for none.
 func (g *Group) SilentPrimary() string {
-	if g.Slot.Holder != "" || !g.Slot.Silent {
+	if g.Slot.Holder != "" || !g.Slot.Unresponsive {
 		return ""
 	}
-	if m := g.Members[g.Slot.Last]; m != nil && m.replicaSeenAt > g.Slot.Emptied {
+	if m := g.Members[g.Slot.LastHolder]; m != nil && m.replicaSeenAt > g.Slot.EmptiedAt {
 		return ""
 	}
-	return g.Slot.Last
+	return g.Slot.LastHolder
 }
 
 // Primary returns the member in the writer slot, nil for none.
--- a/internal/dataplane/group/health.go
+++ b/internal/dataplane/group/health.go
@@ -65,7 +65,7 @@
 	case RefusedReadOnly:
 		member.replicaSeenAt = now
 		reason := "miss"
-		if sentAt < g.Slot.Seen {
+		if sentAt < g.Slot.SeenAt {
 			reason = "miss, late"
 		}
 		g.vacateSlot(member.ID, now, reason)
--- a/internal/driver/decider.go
+++ b/internal/driver/decider.go
@@ -114,8 +114,8 @@
 	d.step(logic.Event{Kind: logic.EvRemember, Memory: &memory})
 	all := map[int64]string{}
 	for _, g := range memory.Groups {
-		if g.Held {
-			all[g.Group] = g.Slot
+		if g.InSlot {
+			all[g.Group] = g.Primary
 		}
 	}
 	return all
--- a/internal/driver/zone_observations.go
+++ b/internal/driver/zone_observations.go
@@ -44,7 +44,7 @@
 	members := z.service.decider.listedMembers()
 	byZone, reported := z.countMembers(now, &memory, members)
 	for _, g := range memory.Groups {
-		if l, ok := members[g.Slot]; ok && g.Slot != "" {
+		if l, ok := members[g.Primary]; ok && g.Primary != "" {
 			primaries = append(primaries, zones.PrimaryLocation{Group: g.Group, Zone: l.Zone})
 		}
 	}
@@ -84,7 +84,7 @@
 			o = &zones.Observation{Zone: l.Zone}
 			byZone[l.Zone] = o
 		}
-		if o.Members++; m.Aside > 0 {
+		if o.Members++; m.EjectedAt > 0 {
 			o.Unreachable++
 		}
 		if p, ok := positions[m.Member]; ok {
--- a/internal/lab/emulator/stats.go
+++ b/internal/lab/emulator/stats.go
@@ -234,7 +234,7 @@
 	}
 	memory, _ := d.moduleMemory()
 	for _, g := range memory.Groups {
-		if !g.Held {
+		if !g.InSlot {
 			second.WithoutPrimary[g.Group-1]++
 		}
 	}
--- a/internal/lab/emulator/switchover.go
+++ b/internal/lab/emulator/switchover.go
@@ -107,8 +107,8 @@
 		return
 	}
 	for _, g := range memory.Groups {
-		if g.Held {
-			d.applyOutcome(d.switchovers.ObservePrimary(d.now, g.Group, g.Slot))
+		if g.InSlot {
+			d.applyOutcome(d.switchovers.ObservePrimary(d.now, g.Group, g.Primary))
 		}
 	}
 	d.applyOutcome(d.switchovers.Tick(d.now))
--- a/internal/learned/fixtures_test.go
+++ b/internal/learned/fixtures_test.go
@@ -33,11 +33,11 @@
 
 // memoryAt is the decision module's memory, whose primary, member 1, was seen at that time after day.
 func memoryAt(seen float64) *logic.Memory {
-	return &logic.Memory{OpTypes: []logic.TypeMemory{{Took: 80, Best: 40}, {Took: 120, Best: 100}},
-		Groups: []logic.GroupMemory{{Group: 3, Slot: "1", Held: true, Seen: day + seen, Rate: 2}},
+	return &logic.Memory{OpTypes: []logic.TypeMemory{{Typical: 80, Best: 40}, {Typical: 120, Best: 100}},
+		Groups: []logic.GroupMemory{{Group: 3, Primary: "1", InSlot: true, SeenAt: day + seen, WorkRate: 2}},
 		Members: []logic.MemberMemory{{Member: "1", Group: 3, Position: day + seen, Window: 16},
-			{Member: "2", Group: 3, Position: day + seen - 50, Aside: day + seen - 3000, Cut: true, Window: 8},
-			{Member: "3", Group: 3, Position: day + seen - 9000, Started: day + seen - 4000, Window: 2}}}
+			{Member: "2", Group: 3, Position: day + seen - 50, EjectedAt: day + seen - 3000, Disconnected: true, Window: 8},
+			{Member: "3", Group: 3, Position: day + seen - 9000, StartedAt: day + seen - 4000, Window: 2}}}
 }
 
 // savedState is the state that a run saved which ended at that time.
--- a/internal/learned/golden_test.go
+++ b/internal/learned/golden_test.go
@@ -83,18 +83,18 @@
 }
 
 func (h *history) memory() *logic.Memory {
-	k := &logic.Memory{OpTypes: []logic.TypeMemory{{Took: 100 * h.draw.Float64(), Best: 40}, {Took: 120, Best: 100 * h.draw.Float64()}}}
+	k := &logic.Memory{OpTypes: []logic.TypeMemory{{Typical: 100 * h.draw.Float64(), Best: 40}, {Typical: 120, Best: 100 * h.draw.Float64()}}}
 	for g := range int64(2) {
 		if h.draw.IntN(8) > 0 {
-			k.Groups = append(k.Groups, logic.GroupMemory{Group: g, Slot: fmt.Sprint(g + 2*int64(h.draw.IntN(2))), Held: h.draw.IntN(3) > 0,
-				Seen: h.wall - 3000*h.draw.Float64(), Rate: 5 * h.draw.Float64(), Commit: h.wall - 500})
+			k.Groups = append(k.Groups, logic.GroupMemory{Group: g, Primary: fmt.Sprint(g + 2*int64(h.draw.IntN(2))), InSlot: h.draw.IntN(3) > 0,
+				SeenAt: h.wall - 3000*h.draw.Float64(), WorkRate: 5 * h.draw.Float64(), LastCommit: h.wall - 500})
 		}
 	}
 	for id := range 6 {
 		if h.draw.IntN(8) > 0 {
 			k.Members = append(k.Members, logic.MemberMemory{Member: fmt.Sprint(id), Group: int64(id % 2), Position: h.wall - 400*h.draw.Float64(),
-				Started: []float64{0, h.wall - 5000}[h.draw.IntN(2)], Aside: []float64{0, 0, h.wall - 900}[h.draw.IntN(3)],
-				Cut: h.draw.IntN(2) > 0, Window: 30 * h.draw.Float64()})
+				StartedAt: []float64{0, h.wall - 5000}[h.draw.IntN(2)], EjectedAt: []float64{0, 0, h.wall - 900}[h.draw.IntN(3)],
+				Disconnected: h.draw.IntN(2) > 0, Window: 30 * h.draw.Float64()})
 		}
 	}
 	return k
--- a/internal/learned/record_test.go
+++ b/internal/learned/record_test.go
@@ -40,7 +40,7 @@
 		}
 		restored := Restore(s, testConfig(), at(0), Membership{})
 		for _, g := range restored.Memory.Groups {
-			if math.IsNaN(g.Seen) || g.Seen > day+0.001 {
+			if math.IsNaN(g.SeenAt) || g.SeenAt > day+0.001 {
 				t.Fatalf("evidence from the future: %+v", g)
 			}
 		}
--- a/internal/learned/recorded_test.go
+++ b/internal/learned/recorded_test.go
@@ -73,19 +73,19 @@
 }
 
 func drawMemory(draw *rand.Rand, now float64) logic.Memory {
-	k := logic.Memory{OpTypes: []logic.TypeMemory{{Took: 80 + float64(draw.IntN(60)), Best: 40}, {Took: 120, Best: 100}}}
+	k := logic.Memory{OpTypes: []logic.TypeMemory{{Typical: 80 + float64(draw.IntN(60)), Best: 40}, {Typical: 120, Best: 100}}}
 	for g := range int64(3) {
 		if draw.IntN(8) > 0 {
-			k.Groups = append(k.Groups, logic.GroupMemory{Group: g, Slot: fmt.Sprint(3*int(g) + draw.IntN(2)),
-				Held: draw.IntN(5) == 0, Seen: day + now - float64(draw.IntN(300)), Rate: float64(draw.IntN(20)),
-				Commit: day + now - float64(draw.IntN(900))})
+			k.Groups = append(k.Groups, logic.GroupMemory{Group: g, Primary: fmt.Sprint(3*int(g) + draw.IntN(2)),
+				InSlot: draw.IntN(5) == 0, SeenAt: day + now - float64(draw.IntN(300)), WorkRate: float64(draw.IntN(20)),
+				LastCommit: day + now - float64(draw.IntN(900))})
 		}
 	}
 	for id := range 8 {
 		if draw.IntN(8) > 0 {
 			k.Members = append(k.Members, logic.MemberMemory{Member: fmt.Sprint(id), Group: int64(id / 3),
-				Position: day + now - float64(draw.IntN(500)), Started: float64(draw.IntN(2)) * (day + 5000),
-				Aside: float64(draw.IntN(2)) * (day + now - 900), Cut: draw.IntN(9) == 0, Window: float64(1 + draw.IntN(30))})
+				Position: day + now - float64(draw.IntN(500)), StartedAt: float64(draw.IntN(2)) * (day + 5000),
+				EjectedAt: float64(draw.IntN(2)) * (day + now - 900), Disconnected: draw.IntN(9) == 0, Window: float64(1 + draw.IntN(30))})
 		}
 	}
 	return k
--- a/internal/learned/restore.go
+++ b/internal/learned/restore.go
@@ -63,7 +63,7 @@
 		r.discard("evidence and hints: dated after the present")
 		return r
 	case since.certain:
-		r.Verdict, r.Memory.Trust = VerdictTrusted, config.trustWindow()
+		r.Verdict, r.Memory.TrustWindow = VerdictTrusted, config.trustWindow()
 	default: // another boot, or the machine doesn't tell: a switchover may fit into the time that isn't known
 		r.Verdict = VerdictUncertain
 		r.discard("trust in primaries: their age is by a clock that may have been stepped")
@@ -119,9 +119,9 @@
 		r.Memory.Members = append(r.Memory.Members, restoreMember(e, m, saved.Meta.SavedAt, config, now, since))
 	}
 	for id, g := range saved.Groups {
-		k := logic.GroupMemory{Group: id, Rate: g.WorkRate * config.hintWeight(since.ms)}
+		k := logic.GroupMemory{Group: id, WorkRate: g.WorkRate * config.hintWeight(since.ms)}
 		if e, ok := listed[g.Primary]; ok && !moved[g.Primary] && e.Group == id && g.SeenAt > 0 {
-			k.Slot, k.Held, k.Seen = g.Primary, g.InSlot, redate(g.SeenAt, saved.Meta.SavedAt, now, since)
+			k.Primary, k.InSlot, k.SeenAt = g.Primary, g.InSlot, redate(g.SeenAt, saved.Meta.SavedAt, now, since)
 		}
 		r.Memory.Groups = append(r.Memory.Groups, k)
 	}
@@ -142,15 +142,15 @@
 	}
 	if saved.StartedAt > 0 && !restarted {
 		if startedAt := redate(saved.StartedAt, savedAt, now, since); now.Wall-startedAt < config.WarmUp {
-			k.Started = saved.StartedAt
+			k.StartedAt = saved.StartedAt
 			if since.stepped && entry.StartedAt != saved.StartedAt { // it was dated by the clock before the step
-				k.Started = startedAt
+				k.StartedAt = startedAt
 			}
 		}
 	}
 	ejectedAt := redate(saved.EjectedAt, savedAt, now, since)
 	if saved.EjectedAt > 0 && !restarted && now.Wall-ejectedAt < config.halfLife() {
-		k.Aside, k.Cut = ejectedAt, saved.Disconnected
+		k.EjectedAt, k.Disconnected = ejectedAt, saved.Disconnected
 	}
 	if window := saved.Window * config.hintWeight(since.ms); window >= minWindow {
 		k.Window = window
@@ -167,7 +167,7 @@
 		saved, ok := state.OpTypes[opType.Name]
 		if ok && saved.LatencyTarget == opType.LatencyTarget && weight > 0 && saved.Typical > 0 {
 			assumed := opType.LatencyTarget / 3
-			k.Took = assumed + (saved.Typical-assumed)*weight
+			k.Typical = assumed + (saved.Typical-assumed)*weight
 			k.Best = assumed + (saved.Best-assumed)*weight
 		}
 		r.Memory.OpTypes = append(r.Memory.OpTypes, k)
--- a/internal/learned/restore_test.go
+++ b/internal/learned/restore_test.go
@@ -33,23 +33,23 @@
 		t.Run(fmt.Sprint(c.after, " ms"), func(t *testing.T) {
 			r := Restore(savedState(t, 0), testConfig(), at(c.after), Membership{Revision: 30, Entries: entriesUp("1")})
 			one, two, three := r.member("1"), r.member("2"), r.member("3")
-			if r.Verdict != VerdictTrusted || r.Memory.Trust != 2000 || r.Age != c.after {
+			if r.Verdict != VerdictTrusted || r.Memory.TrustWindow != 2000 || r.Age != c.after {
 				t.Errorf("%+v", r)
 			}
 			if !r.FromSaved || len(r.Membership.Entries) != 3 {
 				t.Errorf("membership %+v", r.Membership)
 			}
-			if g := r.Memory.Groups[0]; g.Slot != "1" || !g.Held || g.Seen != day-20 {
+			if g := r.Memory.Groups[0]; g.Primary != "1" || !g.InSlot || g.SeenAt != day-20 {
 				t.Errorf("slot %+v: the date is not the evidence's", g)
 			}
-			if (one.Position > 0) != c.position || (two.Aside > 0) != c.ejected || two.Cut != c.ejected {
+			if (one.Position > 0) != c.position || (two.EjectedAt > 0) != c.ejected || two.Disconnected != c.ejected {
 				t.Errorf("%+v %+v", one, two)
 			}
-			if three.Position > 0 || (three.Started > 0) != (c.after+4020 < 10000) {
+			if three.Position > 0 || (three.StartedAt > 0) != (c.after+4020 < 10000) {
 				t.Errorf("%+v: a position or a start that is too old", three)
 			}
-			if math.Abs(one.Window-c.window) > 0.1 || math.Abs(r.Memory.OpTypes[0].Took-c.readTime) > 1 {
-				t.Errorf("window %g, usual time %g", one.Window, r.Memory.OpTypes[0].Took)
+			if math.Abs(one.Window-c.window) > 0.1 || math.Abs(r.Memory.OpTypes[0].Typical-c.readTime) > 1 {
+				t.Errorf("window %g, usual time %g", one.Window, r.Memory.OpTypes[0].Typical)
 			}
 			if r.Memory.Ceiling != day+c.after+100 && r.Memory.Ceiling != day+2100 {
 				t.Errorf("no commit lies beyond %g", r.Memory.Ceiling-day)
@@ -78,8 +78,8 @@
 		t.Run(name, func(t *testing.T) {
 			now := Timestamp{Wall: day + c.wall, Uptime: c.uptime, BootID: c.boot}
 			r := Restore(savedState(t, 0), testConfig(), now, Membership{Revision: 30})
-			if r.Verdict != c.verdict || r.Memory.Trust != c.trust || r.Age != c.age || !r.FromSaved {
-				t.Errorf("%s, trust %g, age %g", r.Verdict, r.Memory.Trust, r.Age)
+			if r.Verdict != c.verdict || r.Memory.TrustWindow != c.trust || r.Age != c.age || !r.FromSaved {
+				t.Errorf("%s, trust %g, age %g", r.Verdict, r.Memory.TrustWindow, r.Age)
 			}
 			if r.Memory.Ceiling < now.Wall+100 {
 				t.Errorf("commits may lie beyond %g ms before the start", now.Wall-r.Memory.Ceiling)
@@ -90,8 +90,8 @@
 				}
 				return
 			}
-			if g := r.Memory.Groups[0]; math.Abs(now.Wall-g.Seen-c.age-20) > 0.001 {
-				t.Errorf("the slot's evidence is %g ms old, want %g", now.Wall-g.Seen, c.age+20)
+			if g := r.Memory.Groups[0]; math.Abs(now.Wall-g.SeenAt-c.age-20) > 0.001 {
+				t.Errorf("the slot's evidence is %g ms old, want %g", now.Wall-g.SeenAt, c.age+20)
 			}
 			if one := r.member("1"); one.Position > 0 {
 				t.Error("a position by a clock that is not this one")
@@ -124,7 +124,7 @@
 	config := testConfig()
 	config.OpTypes = []OpType{{"write", 500}, {"read", 900}, {"new", 100}}
 	k := Restore(savedState(t, 0), config, at(0), Membership{Revision: 7}).Memory.OpTypes
-	if len(k) != 3 || k[0].Took != 120 || k[1].Took != 0 || k[2].Took != 0 {
+	if len(k) != 3 || k[0].Typical != 120 || k[1].Typical != 0 || k[2].Typical != 0 {
 		t.Errorf("%+v", k)
 	}
 }
@@ -139,14 +139,14 @@
 	if r.FromSaved || r.member("1") != (logic.MemberMemory{}) || r.member("3") != (logic.MemberMemory{}) {
 		t.Errorf("members that moved: %+v", r)
 	}
-	if two := r.member("2"); two.Aside > 0 || two.Position > 0 {
+	if two := r.member("2"); two.EjectedAt > 0 || two.Position > 0 {
 		t.Errorf("a member that was started: %+v", two)
 	}
-	if g := r.Memory.Groups[0]; g.Slot != "" {
+	if g := r.Memory.Groups[0]; g.Primary != "" {
 		t.Errorf("the primary has moved: %+v", g)
 	}
 	r = Restore(savedState(t, 0), testConfig(), at(100), Membership{Revision: 42, Entries: entriesUp("2", "3", "4")})
-	if r.Memory.Groups[0].Slot != "" || len(r.Memory.Members) != 2 {
+	if r.Memory.Groups[0].Primary != "" || len(r.Memory.Members) != 2 {
 		t.Errorf("the primary has left the list: %+v", r)
 	}
 }
--- a/internal/learned/scale_test.go
+++ b/internal/learned/scale_test.go
@@ -25,9 +25,9 @@
 	}
 	b.UpdateMembership(at(0), 41, true, entries)
 	return b, func(ms float64) *logic.Memory {
-		k := &logic.Memory{OpTypes: []logic.TypeMemory{{Took: 80, Best: 40}, {Took: 120, Best: 100}}}
+		k := &logic.Memory{OpTypes: []logic.TypeMemory{{Typical: 80, Best: 40}, {Typical: 120, Best: 100}}}
 		for i := range manyGroups {
-			k.Groups = append(k.Groups, logic.GroupMemory{Group: int64(i), Slot: entries[i].ID, Held: true, Seen: day + ms - float64(i%900), Rate: 1.5})
+			k.Groups = append(k.Groups, logic.GroupMemory{Group: int64(i), Primary: entries[i].ID, InSlot: true, SeenAt: day + ms - float64(i%900), WorkRate: 1.5})
 		}
 		for i, e := range entries {
 			k.Members = append(k.Members, logic.MemberMemory{Member: e.ID, Group: e.Group, Position: day + ms - float64(i%300), Window: 4 + float64(i%17)})
--- a/internal/learned/table.go
+++ b/internal/learned/table.go
@@ -133,8 +133,8 @@
 	known := make(map[int64]bool, len(memory.Groups))
 	for _, m := range memory.Groups {
 		known[m.Group] = true
-		g := Group{m.Group, m.Slot, m.Held, math.Floor(m.Seen), m.Rate, m.Commit}
-		if math.IsInf(m.Seen, 0) {
+		g := Group{m.Group, m.Primary, m.InSlot, math.Floor(m.SeenAt), m.WorkRate, m.LastCommit}
+		if math.IsInf(m.SeenAt, 0) {
 			g.SeenAt = 0
 		}
 		saved, isSaved := s.Groups[m.Group]
@@ -161,7 +161,7 @@
 	known := make(map[string]bool, len(memory.Members))
 	for _, k := range memory.Members {
 		known[k.Member] = true
-		m := Member{k.Member, k.Group, math.Floor(max(k.Position, 0)), k.Started, k.Aside, k.Cut, k.Window}
+		m := Member{k.Member, k.Group, math.Floor(max(k.Position, 0)), k.StartedAt, k.EjectedAt, k.Disconnected, k.Window}
 		saved, isSaved := s.Members[k.Member]
 		if !isSaved || m.StartedAt != saved.StartedAt || m.EjectedAt != saved.EjectedAt ||
 			m.Disconnected != saved.Disconnected || m.Group != saved.Group ||
@@ -186,8 +186,8 @@
 		}
 		opType := t.config.OpTypes[i]
 		saved := t.state.OpTypes[opType.Name]
-		if changed(m.Took, saved.Typical) || changed(m.Best, saved.Best) || saved.LatencyTarget != opType.LatencyTarget {
-			r.OpTypes = append(r.OpTypes, OpTypeStats{opType.Name, opType.LatencyTarget, m.Took, m.Best})
+		if changed(m.Typical, saved.Typical) || changed(m.Best, saved.Best) || saved.LatencyTarget != opType.LatencyTarget {
+			r.OpTypes = append(r.OpTypes, OpTypeStats{opType.Name, opType.LatencyTarget, m.Typical, m.Best})
 		}
 	}
 }
--- a/internal/learned/table_test.go
+++ b/internal/learned/table_test.go
@@ -54,17 +54,17 @@
 	}{
 		{"what is of no use after a restart", 1000, func() {
 			k.Members[0].Position += 1000
-			k.Groups[0].Seen += 1000
-			k.OpTypes[0].Took++
+			k.Groups[0].SeenAt += 1000
+			k.OpTypes[0].Typical++
 		}, 0, 0},
-		{"a member ejected", 1100, func() { k.Members[0].Aside = day + 1000 }, 1, 200},
-		{"a slot emptied", 1200, func() { k.Groups[0].Held = false }, 1, 200},
-		{"a hint that has doubled, too early", 2000, func() { k.OpTypes[0].Took *= 2 }, 0, 0},
+		{"a member ejected", 1100, func() { k.Members[0].EjectedAt = day + 1000 }, 1, 200},
+		{"a slot emptied", 1200, func() { k.Groups[0].InSlot = false }, 1, 200},
+		{"a hint that has doubled, too early", 2000, func() { k.OpTypes[0].Typical *= 2 }, 0, 0},
 		{"that hint in its time", 11000, func() {}, 1, 1 << 20},
 		{"the timestamp alone", 15000, func() {}, 1, 100},
 		{"a sighting that is of use", 16000, func() {
 			table.config.MinSwitchover = 2000
-			k.Groups[0].Seen += 3000
+			k.Groups[0].SeenAt += 3000
 		}, 1, 100},
 	} {
 		step.change()
@@ -76,8 +76,8 @@
 			t.Errorf("%s: %d bytes", step.name, bytes)
 		}
 	}
-	if g := table.State().Groups[3]; g.SeenAt > k.Groups[0].Seen || g.SeenAt < k.Groups[0].Seen-2 {
-		t.Errorf("seen at %g is saved as %g", k.Groups[0].Seen-day, g.SeenAt-day)
+	if g := table.State().Groups[3]; g.SeenAt > k.Groups[0].SeenAt || g.SeenAt < k.Groups[0].SeenAt-2 {
+		t.Errorf("seen at %g is saved as %g", k.Groups[0].SeenAt-day, g.SeenAt-day)
 	}
 }
 
@@ -104,14 +104,14 @@
 			var k logic.Memory
 			for _, id := range ids.Draw(t, "known") {
 				k.Members = append(k.Members, logic.MemberMemory{
-					Member:   id,
-					Group:    1,
-					Position: day + rapid.Float64Range(0, 1e6).Draw(t, "position"),
-					Aside:    float64(rapid.IntRange(0, 2).Draw(t, "aside")),
-					Window:   rapid.Float64Range(1, 40).Draw(t, "window"),
+					Member:    id,
+					Group:     1,
+					Position:  day + rapid.Float64Range(0, 1e6).Draw(t, "position"),
+					EjectedAt: float64(rapid.IntRange(0, 2).Draw(t, "aside")),
+					Window:    rapid.Float64Range(1, 40).Draw(t, "window"),
 				})
 				held := rapid.Bool().Draw(t, "held")
-				k.Groups = []logic.GroupMemory{{Group: 1, Slot: id, Held: held, Seen: day + now - 5}}
+				k.Groups = []logic.GroupMemory{{Group: 1, Primary: id, InSlot: held, SeenAt: day + now - 5}}
 			}
 			records = append(records, table.Update(at(now), &k, rapid.Bool().Draw(t, "last"))...)
 		}
--- a/internal/writerslot/doc.go
+++ b/internal/writerslot/doc.go
@@ -1,25 +1,26 @@
-// Package writerslot is a replication group's writer slot, which names the believed primary.
+// Package writerslot implements the writer slot of a replication group: the record of the member that is believed to
+// be the primary.
 //
-// The slot holds the member that writes are sent to, or none; while it holds none, its owner queues writes and
-// never guesses. The driver's decision module (logic) and the proxy's routing (internal/dataplane/group) share
-// these rules; deploy/balancer.toml lists slot.go among the files that decide.
+// The slot holds the member that writes are sent to, or none. While it is empty, its owner queues writes and never
+// guesses a primary. The driver's routing module (package logic) and the proxy's routing (internal/dataplane/group)
+// share these rules; deploy/balancer.toml lists slot.go among the files that hold the decision logic.
 //
 // # What fills the slot
 //
-// Evidence that a member is the primary: its heartbeat, its answer to a request that only a primary answers, or its
-// answer to a health check. Takes accepts it if
+// The slot is filled on evidence that a member is the primary: its heartbeat, its answer to a request that only a
+// primary answers, or its answer to a health check. Accepts accepts the evidence if
 //
-//   - the member isn't draining: the control plane is about to promote another one, and a write that it still takes
-//     could be lost;
-//   - the evidence is newer than the newest for any earlier holder (Seen), so that of two members that both claim to be
-//     the primary the later claim counts;
-//   - it isn't older than the newest evidence that the member is a replica;
-//   - the member wasn't itself emptied out of the slot later than that. The exception is a slot that was emptied only
-//     because nothing was heard of the member (Silent): if the member itself answers, that is undone.
+//   - the member isn't draining: the control plane is about to promote another one, and a write that the draining
+//     member still takes could be lost;
+//   - the evidence is newer than the newest evidence for any earlier holder (SeenAt): if two members both claim to be
+//     the primary, the later claim counts;
+//   - the evidence isn't older than the newest evidence that the member is a replica;
+//   - the member wasn't itself removed from the slot later than the evidence. The exception is a removal only because
+//     the member was unresponsive (Unresponsive): if the member itself responds, the removal is undone.
 //
 // # What empties the slot
 //
-// Its owner calls Clear when the holder drains, is removed, refuses a write as read-only or reports that it is a
-// replica (silent false: evidence of the member or the control plane), and when it doesn't answer or takes no
-// connection (silent true: nothing is known but that).
+// The owner calls Clear with unresponsive = false when the holder drains, is removed, rejects a write as read-only or
+// reports that it is a replica: the evidence comes from the member or the control plane. It calls Clear with
+// unresponsive = true when the holder doesn't respond or can't be connected to: its role is then unknown.
 package writerslot
--- a/internal/writerslot/slot.go
+++ b/internal/writerslot/slot.go
@@ -1,34 +1,34 @@
-package writerslot // doc.go says what fills the slot and what empties it, and why
+package writerslot // see doc.go for what fills and what empties the slot
 
 import "math"
 
-// Slot is one group's. M names a member; its zero value is none. Times are milliseconds on a monotonic clock. Evidence
-// is dated by when its request began, so that an answer that was long under way never undoes anything newer.
+// Slot is the writer slot of a group. M identifies a member; its zero value is none. Times are monotonic milliseconds.
+// Evidence is dated by the start of its request, so that a delayed answer never undoes newer evidence.
 type Slot[M comparable] struct {
-	Holder, Last  M       // the believed primary; the member that was in the slot when it was last emptied
-	Seen, Emptied float64 // time of the newest evidence for a holder; time when the slot was last emptied
-	Silent        bool    // it was emptied for a timeout or a dead connection, not on the member's own evidence
+	Holder, LastHolder M       // the believed primary; the holder when the slot was last emptied
+	SeenAt, EmptiedAt  float64 // time of the newest evidence for a holder; time when the slot was last emptied
+	Unresponsive       bool    // the slot was emptied after a timeout or a broken connection, not on evidence
 }
 
 // NewSlot returns an empty slot.
-func NewSlot[M comparable]() Slot[M] { return Slot[M]{Seen: math.Inf(-1), Emptied: math.Inf(-1)} }
+func NewSlot[M comparable]() Slot[M] { return Slot[M]{SeenAt: math.Inf(-1), EmptiedAt: math.Inf(-1)} }
 
-// Takes says whether evidence of time when that m is primary fills the slot; spoke: m itself answered.
-func (s *Slot[M]) Takes(m M, when, replicaAt float64, draining, spoke bool) bool {
+// Accepts reports whether evidence of time when for m as primary fills the slot. responded: m itself answered.
+func (s *Slot[M]) Accepts(m M, when, replicaAt float64, draining, responded bool) bool {
 	if s.Holder == m {
-		s.Seen = max(s.Seen, when)
+		s.SeenAt = max(s.SeenAt, when)
 		return false
 	}
-	refuted := m == s.Last && when <= s.Emptied && !(s.Silent && spoke)
-	return !draining && when > s.Seen && replicaAt <= when && !refuted
+	refuted := m == s.LastHolder && when <= s.EmptiedAt && !(s.Unresponsive && responded)
+	return !draining && when > s.SeenAt && replicaAt <= when && !refuted
 }
 
-// Fill puts m into the slot by evidence of time when.
+// Fill makes m the holder on evidence of time when.
 func (s *Slot[M]) Fill(m M, when float64) {
-	*s = Slot[M]{m, *new(M), max(s.Seen, when), s.Emptied, s.Silent}
+	*s = Slot[M]{m, *new(M), max(s.SeenAt, when), s.EmptiedAt, s.Unresponsive}
 }
 
-// Clear empties the slot and keeps who was in it. silent: for a timeout or a dead connection.
-func (s *Slot[M]) Clear(now float64, silent bool) {
-	*s = Slot[M]{*new(M), s.Holder, s.Seen, now, silent}
+// Clear empties the slot and keeps its holder as LastHolder. unresponsive: it timed out or its connection broke.
+func (s *Slot[M]) Clear(now float64, unresponsive bool) {
+	*s = Slot[M]{*new(M), s.Holder, s.SeenAt, now, unresponsive}
 }
--- a/internal/writerslot/slot_test.go
+++ b/internal/writerslot/slot_test.go
@@ -8,53 +8,53 @@
 	"testing"
 )
 
-// Which evidence fills the slot.
-func TestTakes(t *testing.T) {
+// Evidence fills the slot only if it is newer than what the slot and the member's own record already hold.
+func TestAccepts(t *testing.T) {
 	never := math.Inf(-1)
-	held := func() Slot[string] {
+	filled := func() Slot[string] {
 		s := NewSlot[string]()
 		s.Fill("a", 100)
 		return s
 	}
-	emptied := func(silent bool) func() Slot[string] {
+	emptied := func(unresponsive bool) func() Slot[string] {
 		return func() Slot[string] {
-			s := held()
-			s.Clear(200, silent)
-			return s
+			slot := filled()
+			slot.Clear(200, unresponsive)
+			return slot
 		}
 	}
 	for _, c := range []struct {
-		name            string
-		slot            func() Slot[string]
-		member          string
-		when, replicaAt float64
-		draining, spoke bool
-		want            bool
+		name                string
+		slot                func() Slot[string]
+		member              string
+		when, replicaAt     float64
+		draining, responded bool
+		want                bool
 	}{
 		{"first evidence", NewSlot[string], "a", 5, never, false, true, true},
 		{"a draining member", NewSlot[string], "a", 5, never, true, true, false},
-		{"a member that was a replica later", NewSlot[string], "a", 5, 6, false, true, false},
-		{"a member that was a replica before", NewSlot[string], "a", 5, 4, false, true, true},
-		{"the holder already", held, "a", 150, never, false, true, false},
-		{"another, later", held, "b", 101, never, false, true, true},
-		{"another, earlier", held, "b", 99, never, false, true, false},
-		{"another, at the same time", held, "b", 100, never, false, true, false},
-		{"the last holder, from before it was emptied", emptied(false), "a", 150, never, false, true, false},
-		{"the last holder, from after it was emptied", emptied(false), "a", 201, never, false, true, true},
-		{"the last holder, silent, by its own answer", emptied(true), "a", 150, never, false, true, true},
-		{"the last holder, silent, by a peer's word", emptied(true), "a", 150, never, false, false, false},
-		{"another, from before it was emptied", emptied(false), "b", 150, never, false, true, true},
+		{"a member seen as replica later", NewSlot[string], "a", 5, 6, false, true, false},
+		{"a member seen as replica earlier", NewSlot[string], "a", 5, 4, false, true, true},
+		{"the current holder", filled, "a", 150, never, false, true, false},
+		{"another member, newer evidence", filled, "b", 101, never, false, true, true},
+		{"another member, older evidence", filled, "b", 99, never, false, true, false},
+		{"another member, evidence of the same time", filled, "b", 100, never, false, true, false},
+		{"the last holder, evidence from before the slot was emptied", emptied(false), "a", 150, never, false, true, false},
+		{"the last holder, evidence from after the slot was emptied", emptied(false), "a", 201, never, false, true, true},
+		{"the last holder, unresponsive, by its own response", emptied(true), "a", 150, never, false, true, true},
+		{"the last holder, unresponsive, by a peer's report", emptied(true), "a", 150, never, false, false, false},
+		{"another member, evidence from before the slot was emptied", emptied(false), "b", 150, never, false, true, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := c.slot()
-			if got := s.Takes(c.member, c.when, c.replicaAt, c.draining, c.spoke); got != c.want {
-				t.Errorf("takes %v, want %v", got, c.want)
+			if got := s.Accepts(c.member, c.when, c.replicaAt, c.draining, c.responded); got != c.want {
+				t.Errorf("Accepts returns %v, want %v", got, c.want)
 			}
 		})
 	}
 }
 
-// The slot's states over seeded histories.
+// The slot states over seeded random histories match a recorded digest.
 func TestDigestOfHistories(t *testing.T) {
 	const want = uint64(0x19d4631b431245ed)
 	sum := fnv.New64a()
@@ -67,7 +67,7 @@
 			case 0:
 				s.Clear(now, rng.IntN(2) == 0)
 			default:
-				if s.Takes(m, when, now-90*rng.Float64(), rng.IntN(9) == 0, rng.IntN(2) == 0) {
+				if s.Accepts(m, when, now-90*rng.Float64(), rng.IntN(9) == 0, rng.IntN(2) == 0) {
 					s.Fill(m, when)
 				}
 			}
--- a/logic/api.go
+++ b/logic/api.go
@@ -196,38 +196,38 @@
 // EvRecall has left out what is too old or too doubtful to be said at all; the module decides by the dates what the
 // rest may do. EvRemember keeps the slices' room.
 type Memory struct {
-	Ceiling float64 // a position that no commit of an earlier run lies beyond, in milliseconds after PositionZero
-	Trust   float64 // milliseconds: a primary can't be replaced in less
-	OpTypes []TypeMemory
-	Groups  []GroupMemory
-	Members []MemberMemory
+	Ceiling     float64 // a position that no commit of an earlier run lies beyond, in milliseconds after PositionZero
+	TrustWindow float64 // milliseconds: a primary can't be replaced in less
+	OpTypes     []TypeMemory
+	Groups      []GroupMemory
+	Members     []MemberMemory
 }
 
 // TypeMemory is of the op type at the same index: its usual and best time, 0 for unknown.
 type TypeMemory struct {
-	Took, Best float64
+	Typical, Best float64
 }
 
 // GroupMemory names the primary that a group's slot held, or held last.
 type GroupMemory struct {
-	Group int64
-	Slot  string  // empty for none ever
-	Held  bool    // it was in the slot still
-	Seen  float64 // newest evidence that it is the primary
-	Rate  float64 // usual milliseconds of work answered a millisecond; 0 for unknown
+	Group    int64
+	Primary  string  // empty for none ever
+	InSlot   bool    // it was in the slot still
+	SeenAt   float64 // newest evidence that it is the primary
+	WorkRate float64 // usual milliseconds of work answered a millisecond; 0 for unknown
 
-	Commit float64 // the position of the last own write, 0 for none or where sessions carry theirs
+	LastCommit float64 // the position of the last own write, 0 for none or where sessions carry theirs
 }
 
 // MemberMemory is of one member.
 type MemberMemory struct {
-	Member   string
-	Group    int64
-	Position float64 // as in Sight
-	Started  float64 // by the list, or as its return was taken for a start; 0 for long ago
-	Aside    float64 // since when it has been set aside, 0 for not
-	Cut      bool    // as its connections broke or none came
-	Window   float64 // sends that may be out there; 0 for unknown
+	Member       string
+	Group        int64
+	Position     float64 // as in Sight
+	StartedAt    float64 // by the list, or as its return was taken for a start; 0 for long ago
+	EjectedAt    float64 // since when it has been set aside, 0 for not
+	Disconnected bool    // as its connections broke or none came
+	Window       float64 // sends that may be out there; 0 for unknown
 }
 
 // ActionKind names what is to be done.
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -280,12 +280,12 @@
 		m.draining, m.left = false, 0
 		if e.Started > m.started {
 			d.chill(m, e.Started)
-			if g.Holder == m && e.Started > g.Seen {
+			if g.Holder == m && e.Started > g.SeenAt {
 				d.empty(m, false, "restarted") // it comes back as a replica
 			}
 		}
-		if e.Primary && !m.listed && g.Holder == nil && m.replicaAt <= g.Emptied &&
-			(g.Last == nil || d.roleLate && g.Last != m) {
+		if e.Primary && !m.listed && g.Holder == nil && m.replicaAt <= g.EmptiedAt &&
+			(g.LastHolder == nil || d.roleLate && g.LastHolder != m) {
 			d.fill(m, math.Inf(-1), "list")
 		}
 		m.listed = e.Primary
@@ -309,8 +309,8 @@
 		g.commit = max(g.commit, d.ceiling)
 	}
 	for i, t := range k.OpTypes[:min(len(k.OpTypes), len(d.types))] {
-		if t.Took > 0 && t.Best > 0 {
-			d.types[i].took, d.types[i].best = t.Took, min(t.Best, t.Took)
+		if t.Typical > 0 && t.Best > 0 {
+			d.types[i].took, d.types[i].best = t.Typical, min(t.Best, t.Typical)
 		}
 	}
 	for _, r := range k.Members {
@@ -321,12 +321,12 @@
 		if m.position = max(m.position, r.Position); r.Window > 0 {
 			m.window = r.Window
 		}
-		if r.Started > 0 && r.Started >= m.started { // what it may be sent while cold begins at nothing, not anew
-			m.started, m.backAt, m.credit, m.creditAt = r.Started, r.Started, 0, d.now
+		if r.StartedAt > 0 && r.StartedAt >= m.started { // what it may be sent while cold begins at nothing, not anew
+			m.started, m.backAt, m.credit, m.creditAt = r.StartedAt, r.StartedAt, 0, d.now
 		}
-		if r.Aside >= m.started && r.Aside > 0 && !m.draining {
-			m.aside, m.asideAt, m.pause, m.trialAt = true, r.Aside, trialFirst, d.after(trialFirst)
-			if r.Cut {
+		if r.EjectedAt >= m.started && r.EjectedAt > 0 && !m.draining {
+			m.aside, m.asideAt, m.pause, m.trialAt = true, r.EjectedAt, trialFirst, d.after(trialFirst)
+			if r.Disconnected {
 				m.cut = tellCut
 			}
 			if m.group.Holder == m {
@@ -335,17 +335,17 @@
 		}
 	}
 	for _, r := range k.Groups {
-		g, m := d.groupOf[r.Group], d.members[r.Slot]
-		if g != nil && r.Rate > 0 {
-			g.rate, g.blur = r.Rate, min(d.crowd-1, 1) // alike in all drivers that start at once: chance decides
+		g, m := d.groupOf[r.Group], d.members[r.Primary]
+		if g != nil && r.WorkRate > 0 {
+			g.rate, g.blur = r.WorkRate, min(d.crowd-1, 1) // alike in all drivers that start at once: chance decides
 		}
-		if g == nil || m == nil || m.group != g || r.Seen <= g.Seen || m.started > r.Seen {
+		if g == nil || m == nil || m.group != g || r.SeenAt <= g.SeenAt || m.started > r.SeenAt {
 			continue
 		}
-		if age := d.now - r.Seen; r.Held && age >= 0 && age < k.Trust && !m.draining && !m.aside {
-			d.fill(m, r.Seen, "recalled")
+		if age := d.now - r.SeenAt; r.InSlot && age >= 0 && age < k.TrustWindow && !m.draining && !m.aside {
+			d.fill(m, r.SeenAt, "recalled")
 		} else if g.Holder == nil || !d.roleLate {
-			g.Holder, g.Last, g.Seen, g.Emptied, g.probeAt, m.doubted = nil, m, r.Seen, r.Seen, d.now, true
+			g.Holder, g.LastHolder, g.SeenAt, g.EmptiedAt, g.probeAt, m.doubted = nil, m, r.SeenAt, r.SeenAt, d.now, true
 			if d.log("group %d: %s was primary, to be asked", g.id, m.id); d.reports && !m.draining {
 				d.act(Action{Kind: ActProbe, Member: m.id})
 			}
@@ -357,19 +357,19 @@
 func (d *Driver) remember(k *Memory) {
 	k.OpTypes, k.Groups, k.Members = k.OpTypes[:0], k.Groups[:0], k.Members[:0]
 	for _, t := range d.types {
-		k.OpTypes = append(k.OpTypes, TypeMemory{Took: t.took, Best: t.best})
+		k.OpTypes = append(k.OpTypes, TypeMemory{Typical: t.took, Best: t.best})
 	}
 	for _, g := range d.groups {
-		r := GroupMemory{Group: g.id, Held: g.Holder != nil, Rate: g.rate, Commit: g.commit}
-		if p := cmp.Or(g.Holder, g.Last); p != nil && !math.IsInf(g.Seen, -1) {
-			r.Slot, r.Seen = p.id, g.Seen
+		r := GroupMemory{Group: g.id, InSlot: g.Holder != nil, WorkRate: g.rate, LastCommit: g.commit}
+		if p := cmp.Or(g.Holder, g.LastHolder); p != nil && !math.IsInf(g.SeenAt, -1) {
+			r.Primary, r.SeenAt = p.id, g.SeenAt
 		}
 		k.Groups = append(k.Groups, r)
 		for _, m := range g.members {
-			r := MemberMemory{Member: m.id, Group: g.id, Position: m.position, Started: m.started, Cut: m.cut != 0,
+			r := MemberMemory{Member: m.id, Group: g.id, Position: m.position, StartedAt: m.started, Disconnected: m.cut != 0,
 				Window: m.window}
 			if m.aside {
-				r.Aside = m.asideAt
+				r.EjectedAt = m.asideAt
 			}
 			k.Members = append(k.Members, r)
 		}
@@ -455,7 +455,7 @@
 		if to, fresh = d.replica(o); to == nil && !fresh && d.checks && !o.missed {
 			to = d.farthest(o, false)
 		}
-		old := d.reports && o.kind.need == Bounded && g.Seen > 0 && d.now-g.Seen > o.kind.maxAge // may be deposed
+		old := d.reports && o.kind.need == Bounded && g.SeenAt > 0 && d.now-g.SeenAt > o.kind.maxAge // may be deposed
 		if p := g.Holder; to == nil && p != nil && !p.aside && !old && (!fresh ||
 			float64(p.inFlight) < p.window*headroom && (1-o.luck)*g.blur*g.blur*float64(g.serving) < headroom) {
 			to = p // all drivers together spill to it no more than half of a replica's reads
@@ -778,7 +778,7 @@
 	}
 	if s.Role == Primary {
 		d.primarySeen(m, when, by)
-	} else if s.Role == Replica && (by != "report" || when >= m.group.Seen) {
+	} else if s.Role == Replica && (by != "report" || when >= m.group.SeenAt) {
 		m.replicaAt = d.now
 		if m.group.Holder == m {
 			d.empty(m, false, "replica")
@@ -787,14 +787,14 @@
 }
 
 func (d *Driver) primarySeen(m *member, when float64, by string) {
-	if g := m.group; g.Takes(m, when, m.replicaAt, m.draining, m.heard == d.now) { // a silent one may speak again
+	if g := m.group; g.Accepts(m, when, m.replicaAt, m.draining, m.heard == d.now) { // a silent one may speak again
 		d.fill(m, when, by)
 	}
 }
 
 func (d *Driver) fill(m *member, when float64, by string) {
 	g := m.group
-	if g.Holder != nil || g.Last != nil && (g.Last != m || d.now-g.Emptied >= trialFirst) { // all let go of writes
+	if g.Holder != nil || g.LastHolder != nil && (g.LastHolder != m || d.now-g.EmptiedAt >= trialFirst) { // all let go of writes
 		m.window, m.late = min(m.window, startWindow), max(m.late, min(startLate, d.crowd-1))
 		g.filled, m.over = d.now, m.late
 	}
@@ -995,12 +995,12 @@
 		d.chance()*(d.crowd-1) > trialShare {
 		return
 	}
-	if p := g.Last; p != nil && p.doubted && !p.draining && !p.aside && g.denied(p) {
-		d.fill(p, g.Seen, "no other is")
+	if p := g.LastHolder; p != nil && p.doubted && !p.draining && !p.aside && g.denied(p) {
+		d.fill(p, g.SeenAt, "no other is")
 		return
 	}
 	for _, m := range g.members {
-		if m.aside || m.doubted || d.now-max(m.replicaAt, g.Emptied) < probeEvery || !d.allowed(o, m) ||
+		if m.aside || m.doubted || d.now-max(m.replicaAt, g.EmptiedAt) < probeEvery || !d.allowed(o, m) ||
 			!d.admits(m, o) || len(o.sends) >= d.sendCap-1 {
 			continue
 		}
--- a/logic/recall_test.go
+++ b/logic/recall_test.go
@@ -13,7 +13,7 @@
 }
 
 func slotMemory(member string, held bool, ago float64) Memory {
-	return Memory{Trust: 500, Groups: []GroupMemory{{Group: 1, Slot: member, Held: held, Seen: 100000 - ago}}}
+	return Memory{TrustWindow: 500, Groups: []GroupMemory{{Group: 1, Primary: member, InSlot: held, SeenAt: 100000 - ago}}}
 }
 
 // A recalled primary younger than a switch fills the slot, also against the list of the day's start; at the bound,
@@ -25,7 +25,7 @@
 	}{{slotMemory("r", true, 0), "r"}, {slotMemory("r", true, 499), "r"}, {slotMemory("r", true, 500), ""},
 		{slotMemory("r", true, 90e3), ""}, {slotMemory("r", false, 10), ""}, {slotMemory("r", true, -1), ""},
 		{slotMemory("p", true, 10), "p"}, {slotMemory("p", true, 500), ""}, {slotMemory("x", true, 10), "p"},
-		{Memory{Trust: 500}, "p"}} {
+		{Memory{TrustWindow: 500}, "p"}} {
 		r := recalls(t, opening(), x.k)
 		if got := r.op("w", once, 2000); got != x.want {
 			t.Errorf("%+v: write sent to %q, want %q", x.k.Groups, got, x.want)
@@ -99,8 +99,8 @@
 
 // Who was set aside stays so until it answers a trial; a member that has started since is not concerned.
 func TestRecalledAsSetAside(t *testing.T) {
-	k := Memory{Members: []MemberMemory{{Member: "r", Group: 1, Aside: 99000, Cut: true}, {Member: "s", Group: 9, Aside: 99000},
-		{Member: "p", Group: 1, Aside: 99000, Started: 99500}}}
+	k := Memory{Members: []MemberMemory{{Member: "r", Group: 1, EjectedAt: 99000, Disconnected: true}, {Member: "s", Group: 9, EjectedAt: 99000},
+		{Member: "p", Group: 1, EjectedAt: 99000, StartedAt: 99500}}}
 	r := recalls(t, opening(), k)
 	r.d.members["p"].inFlight = 99
 	for i := range 5 {
@@ -134,7 +134,7 @@
 		}
 		return n
 	}
-	k := Memory{Members: []MemberMemory{{Member: "r", Group: 1, Started: 100000}}}
+	k := Memory{Members: []MemberMemory{{Member: "r", Group: 1, StartedAt: 100000}}}
 	if with, without := granted(&k), granted(nil); with != 0 || without == 0 {
 		t.Errorf("of 300 drivers that start at once %d send to the cold member, %d without memory", with, without)
 	}
@@ -142,8 +142,8 @@
 
 // 300 drivers start at once with the same knowledge: no member gets much more of their first ops than its share.
 func TestDriversThatStartAtOnceSpreadOut(t *testing.T) {
-	k := Memory{Trust: 500, OpTypes: []TypeMemory{{60, 50}, {70, 60}}, Groups: []GroupMemory{{Group: 1, Slot: "p", Held: true, Seen: 99990,
-		Rate: 3}}}
+	k := Memory{TrustWindow: 500, OpTypes: []TypeMemory{{60, 50}, {70, 60}}, Groups: []GroupMemory{{Group: 1, Primary: "p", InSlot: true, SeenAt: 99990,
+		WorkRate: 3}}}
 	names := []string{"p", "r", "s", "t", "u", "v"}
 	for i, n := range names {
 		k.Members = append(k.Members, MemberMemory{Member: n, Group: 1, Position: 99980 + float64(i), Window: float64(4 + 3*i)})
@@ -204,13 +204,13 @@
 	}
 	r.step(Event{Kind: EvProbed, Member: "p", Outcome: OK, Took: 1, Report: Sight{Primary, r.now}})
 	r.d.setAside(r.d.members["s"], tellSilent|tellCut, "test")
-	k := Memory{Trust: 1000}
+	k := Memory{TrustWindow: 1000}
 	r.step(Event{Kind: EvRemember, Memory: &k})
 	again := &rig{t: t, now: r.now + 100}
 	again.step(Event{Kind: EvOpen, Opening: opening()}, members(ListCached, "p", "r", "s"), Event{Kind: EvRecall, Memory: &k})
 	var back Memory
 	again.step(Event{Kind: EvRemember, Memory: &back})
-	if len(back.Groups) != 1 || back.Groups[0] != k.Groups[0] || back.Groups[0].Slot != "p" || !back.Groups[0].Held {
+	if len(back.Groups) != 1 || back.Groups[0] != k.Groups[0] || back.Groups[0].Primary != "p" || !back.Groups[0].InSlot {
 		t.Errorf("groups %+v, want %+v", back.Groups, k.Groups)
 	}
 	for i, m := range k.Members {
@@ -218,10 +218,10 @@
 			t.Errorf("member %+v, want %+v", back.Members[i], m)
 		}
 	}
-	if back.OpTypes[anyRead] != k.OpTypes[anyRead] || k.OpTypes[anyRead].Took == opening().OpTypes[anyRead].LatencyTarget/3 {
+	if back.OpTypes[anyRead] != k.OpTypes[anyRead] || k.OpTypes[anyRead].Typical == opening().OpTypes[anyRead].LatencyTarget/3 {
 		t.Errorf("op types %+v, want %+v", back.OpTypes, k.OpTypes)
 	}
-	again.step(Event{Kind: EvRecall, Memory: &Memory{OpTypes: make([]TypeMemory, 99), Groups: []GroupMemory{{Group: 77, Slot: "p"}},
+	again.step(Event{Kind: EvRecall, Memory: &Memory{OpTypes: make([]TypeMemory, 99), Groups: []GroupMemory{{Group: 77, Primary: "p"}},
 		Members: []MemberMemory{{Member: "nobody"}}}})
 	again.want(!math.IsNaN(again.d.types[0].took) && again.d.types[0].took > 0, "nothing taken from what fits nothing")
 }
