--- a/logic/helpers_test.go
+++ b/logic/helpers_test.go
@@ -3,16 +3,16 @@
 import "testing"
 
 // rig drives one Driver by hand and keeps what it did.
-type rig struct {
-	t    *testing.T
-	d    Driver
-	now  float64
-	acts []Action // of the last step
-	all  []Action
-	ends []Event // of cancelled sends, for the next step
+type fixture struct {
+	t             *testing.T
+	d             Driver
+	now           float64
+	lastActions   []Action // of the last step
+	allActions    []Action
+	cancelledEnds []Event // of cancelled sends, for the next step
 }
 
-func opening() *Opening {
+func testOpening() *Opening {
 	return &Opening{Seed: 7, Drivers: 2, Zone: "a", Tick: 5, Checks: ChecksRefuse, ListRole: RoleAtStart,
 		SessionCarried: true, ReportsByProbe: true, MayProbe: true, MayCancel: true,
 		MayOverlap: true, SendCap: 8, ColdFrom: 0.2, ColdFor: 10000, FallMultiple: 2.5, FallSpan: 1500,
@@ -28,23 +28,23 @@
 }
 
 const (
-	bounded = iota
+	boundedRead = iota
 	anyRead
-	once
+	writeOnce
 	token
-	session
-	fresh
+	sessionRead
+	freshRead
 )
 
 // start opens a driver with members p (listed primary), r and s of group 1.
-func start(t *testing.T, o *Opening) *rig {
-	r := &rig{t: t, now: 100000}
-	r.step(Event{Kind: EvOpen, Opening: o}, members(ListCached, "p", "r", "s"))
+func newFixture(t *testing.T, o *Opening) *fixture {
+	r := &fixture{t: t, now: 100000}
+	r.step(Event{Kind: EvOpen, Opening: o}, memberList(ListCached, "p", "r", "s"))
 	return r
 }
 
 // members makes a list event; a name may carry '-' for draining, 'x' for gone or '+' for started just now at 100 s.
-func members(kind ListKind, names ...string) Event {
+func memberList(kind ListKind, names ...string) Event {
 	ev := Event{Kind: EvMembers, List: kind}
 	for _, n := range names {
 		e := ListEntry{Member: n[:1], Group: 1, Zone: "a", Primary: n[0] == 'p'}
@@ -60,34 +60,34 @@
 	return ev
 }
 
-func (r *rig) step(evs ...Event) []Action {
-	r.acts = append([]Action(nil), r.d.Step(r.now, append(r.ends, evs...))...)
-	r.ends = nil
-	for _, a := range r.acts {
+func (r *fixture) step(evs ...Event) []Action {
+	r.lastActions = append([]Action(nil), r.d.Step(r.now, append(r.cancelledEnds, evs...))...)
+	r.cancelledEnds = nil
+	for _, a := range r.lastActions {
 		if a.Kind == ActCancel {
-			r.ends = append(r.ends, Event{Kind: EvAnswer, Op: a.Op, Send: a.Send, Outcome: Cancelled, Closed: true})
+			r.cancelledEnds = append(r.cancelledEnds, Event{Kind: EvAnswer, Op: a.Op, Send: a.Send, Outcome: Cancelled, Closed: true})
 		}
 	}
-	r.all = append(r.all, r.acts...)
-	return r.acts
+	r.allActions = append(r.allActions, r.lastActions...)
+	return r.lastActions
 }
 
 // wait lets time pass in ticks, each with the driver's own timer.
-func (r *rig) wait(ms float64) {
+func (r *fixture) wait(ms float64) {
 	for end := r.now + ms; r.now < end; {
 		r.now += 5
 		r.step(Event{Kind: EvTimer})
 	}
 }
 
-func (r *rig) op(id string, kind int, left float64) string {
-	return to(r.step(Event{Kind: EvOp, Op: id, OpType: kind, Group: 1, Left: left}), id)
+func (r *fixture) submit(id string, kind int, left float64) string {
+	return target(r.step(Event{Kind: EvOp, Op: id, OpType: kind, Group: 1, Left: left}), id)
 }
 
 // answer ends the latest send of an op; the role and position are the member's.
-func (r *rig) answer(id, member string, out Outcome, role Role, pos float64) []Action {
+func (r *fixture) answer(id, member string, out Outcome, role Role, pos float64) []Action {
 	n := -1
-	for _, a := range r.all {
+	for _, a := range r.allActions {
 		if a.Kind == ActSend && a.Op == id {
 			n++
 		}
@@ -97,9 +97,9 @@
 }
 
 // to is the member that the last send of an op among the actions goes to, or "".
-func to(acts []Action, id string) string {
+func target(actions []Action, id string) string {
 	m := ""
-	for _, a := range acts {
+	for _, a := range actions {
 		if a.Kind == ActSend && a.Op == id {
 			m = a.Member
 		}
@@ -107,9 +107,9 @@
 	return m
 }
 
-func count(acts []Action, kind ActionKind, id string) int {
+func count(actions []Action, kind ActionKind, id string) int {
 	n := 0
-	for _, a := range acts {
+	for _, a := range actions {
 		if a.Kind == kind && (id == "" || a.Op == id) {
 			n++
 		}
@@ -117,9 +117,9 @@
 	return n
 }
 
-func (r *rig) want(ok bool, what string) {
+func (r *fixture) want(ok bool, what string) {
 	r.t.Helper()
 	if !ok {
-		r.t.Errorf("at %.0f: want %s; last actions %+v", r.now, what, r.acts)
+		r.t.Errorf("at %.0f: want %s; last actions %+v", r.now, what, r.lastActions)
 	}
 }
--- a/logic/recall_test.go
+++ b/logic/recall_test.go
@@ -6,14 +6,14 @@
 )
 
 // recalls starts a driver whose list names p, and tells it of an earlier run.
-func recalls(t *testing.T, o *Opening, k Memory) *rig {
-	r := start(t, o)
-	r.step(Event{Kind: EvRecall, Memory: &k})
+func recallFixture(t *testing.T, o *Opening, memory Memory) *fixture {
+	r := newFixture(t, o)
+	r.step(Event{Kind: EvRecall, Memory: &memory})
 	return r
 }
 
-func slotMemory(member string, held bool, ago float64) Memory {
-	return Memory{TrustWindow: 500, Groups: []GroupMemory{{Group: 1, Primary: member, InSlot: held, SeenAt: 100000 - ago}}}
+func slotMemory(member string, inSlot bool, ageMS float64) Memory {
+	return Memory{TrustWindow: 500, Groups: []GroupMemory{{Group: 1, Primary: member, InSlot: inSlot, SeenAt: 100000 - ageMS}}}
 }
 
 // A recalled primary younger than a switch fills the slot, also against the list of the day's start; at the bound,
@@ -26,51 +26,51 @@
 		{slotMemory("r", true, 90e3), ""}, {slotMemory("r", false, 10), ""}, {slotMemory("r", true, -1), ""},
 		{slotMemory("p", true, 10), "p"}, {slotMemory("p", true, 500), ""}, {slotMemory("x", true, 10), "p"},
 		{Memory{TrustWindow: 500}, "p"}} {
-		r := recalls(t, opening(), x.k)
-		if got := r.op("w", once, 2000); got != x.want {
+		r := recallFixture(t, testOpening(), x.k)
+		if got := r.submit("w", writeOnce, 2000); got != x.want {
 			t.Errorf("%+v: write sent to %q, want %q", x.k.Groups, got, x.want)
 		}
 	}
-	r := start(t, opening())
-	r.step(members(ListFull, "p", "r-", "s"))
+	r := newFixture(t, testOpening())
+	r.step(memberList(ListFull, "p", "r-", "s"))
 	k := slotMemory("r", true, 10)
 	r.step(Event{Kind: EvRecall, Memory: &k})
-	r.want(r.op("w", once, 2000) != "r", "no write to a recalled primary that drains")
+	r.want(r.submit("w", writeOnce, 2000) != "r", "no write to a recalled primary that drains")
 }
 
 // Where the list follows the roles it yields only to evidence that is young.
-func TestRecalledAgainstAListThatFollows(t *testing.T) {
-	o := opening()
+func TestRecalledPrimaryAgainstRoleTrackingList(t *testing.T) {
+	o := testOpening()
 	o.ListRole = RoleLate
-	r := recalls(t, o, slotMemory("r", true, 90e3))
-	r.want(r.op("w", once, 2000) == "p", "the list's primary")
-	r = recalls(t, o, slotMemory("r", true, 10))
-	r.want(r.op("w", once, 2000) == "r", "the recalled primary")
+	r := recallFixture(t, o, slotMemory("r", true, 90e3))
+	r.want(r.submit("w", writeOnce, 2000) == "p", "the list's primary")
+	r = recallFixture(t, o, slotMemory("r", true, 10))
+	r.want(r.submit("w", writeOnce, 2000) == "r", "the recalled primary")
 }
 
 // An old one is asked at once and first; it gets no write before it has answered as primary, be the search by
 // probes or by trials.
-func TestOldRecalledPrimaryOnlyOrdersTheSearch(t *testing.T) {
-	r := recalls(t, opening(), slotMemory("r", true, 90e3))
-	r.want(count(r.acts, ActProbe, "") > 0 && r.acts[len(r.acts)-1].Kind != ActSend, "probes")
+func TestOldRecalledPrimaryIsOnlyTriedFirst(t *testing.T) {
+	r := recallFixture(t, testOpening(), slotMemory("r", true, 90e3))
+	r.want(count(r.lastActions, ActProbe, "") > 0 && r.lastActions[len(r.lastActions)-1].Kind != ActSend, "probes")
 	first := ""
-	for _, a := range r.acts {
+	for _, a := range r.lastActions {
 		if a.Kind == ActProbe && first == "" {
 			first = a.Member
 		}
 	}
 	r.want(first == "r", "r to be probed first")
-	r.want(r.op("w", once, 2000) == "", "the write to be held")
+	r.want(r.submit("w", writeOnce, 2000) == "", "the write to be held")
 	r.step(Event{Kind: EvProbed, Member: "r", Outcome: OK, Took: 1, Report: Sight{Primary, r.now}})
-	r.want(to(r.acts, "w") == "r", "the write to go to r once it has answered")
+	r.want(target(r.lastActions, "w") == "r", "the write to go to r once it has answered")
 
-	o := opening()
+	o := testOpening()
 	o.ReportsByProbe, o.MayProbe = false, false
-	r = recalls(t, o, slotMemory("r", true, 90e3))
+	r = recallFixture(t, o, slotMemory("r", true, 90e3))
 	sent := map[string]int{}
-	r.step(Event{Kind: EvOp, Op: "a", OpType: once, Group: 1, Left: 2000})
+	r.step(Event{Kind: EvOp, Op: "a", OpType: writeOnce, Group: 1, Left: 2000})
 	for range 100 { // p and s deny in turn, and only then is r tried
-		if m := to(r.acts, "a"); m == "r" {
+		if m := target(r.lastActions, "a"); m == "r" {
 			if sent[m]++; sent["p"] == 0 || sent["s"] == 0 {
 				t.Fatal("r got a write while another might be the primary")
 			}
@@ -85,50 +85,50 @@
 }
 
 // What speaks against a recalled primary in this run wins over it.
-func TestRecalledPrimaryYieldsToWhatIsNewer(t *testing.T) {
-	r := recalls(t, opening(), slotMemory("r", true, 400))
-	r.op("w", once, 2000)
+func TestRecalledPrimaryYieldsToNewerEvidence(t *testing.T) {
+	r := recallFixture(t, testOpening(), slotMemory("r", true, 400))
+	r.submit("w", writeOnce, 2000)
 	r.answer("w", "r", Miss, Replica, r.now)
-	r.want(to(r.acts, "w") == "", "the write to be held after the miss")
+	r.want(target(r.lastActions, "w") == "", "the write to be held after the miss")
 	r.step(Event{Kind: EvProbed, Member: "s", Outcome: OK, Took: 1, Report: Sight{Primary, r.now}})
-	r.want(to(r.acts, "w") == "s", "the write to go to the primary found")
+	r.want(target(r.lastActions, "w") == "s", "the write to go to the primary found")
 	k := slotMemory("r", true, 400) // told once more, late: the slot is s's, by newer evidence
 	r.step(Event{Kind: EvRecall, Memory: &k})
-	r.want(r.op("v", once, 2000) == "s", "the newer primary to stay")
+	r.want(r.submit("v", writeOnce, 2000) == "s", "the newer primary to stay")
 }
 
 // Who was set aside stays so until it answers a trial; a member that has started since is not concerned.
-func TestRecalledAsSetAside(t *testing.T) {
+func TestRecalledEjection(t *testing.T) {
 	k := Memory{Members: []MemberMemory{{Member: "r", Group: 1, EjectedAt: 99000, Disconnected: true}, {Member: "s", Group: 9, EjectedAt: 99000},
 		{Member: "p", Group: 1, EjectedAt: 99000, StartedAt: 99500}}}
-	r := recalls(t, opening(), k)
+	r := recallFixture(t, testOpening(), k)
 	r.d.members["p"].inFlight = 99
 	for i := range 5 {
 		id := string(rune('a' + i))
-		r.want(r.op(id, anyRead, 1000) == "s", "reads to go where nothing is known")
+		r.want(r.submit(id, anyRead, 1000) == "s", "reads to go where nothing is known")
 		r.answer(id, "s", OK, Replica, r.now)
 	}
-	r.want(!r.d.members["p"].aside, "p in use, as it has started since")
+	r.want(!r.d.members["p"].ejected, "p in use, as it has started since")
 	r.wait(1000)
-	r.want(r.op("t", anyRead, 1000) == "r", "a trial when its pause is over")
+	r.want(r.submit("t", anyRead, 1000) == "r", "a trial when its pause is over")
 	r.answer("t", "r", OK, Replica, r.now)
-	r.want(!r.d.members["r"].aside, "r back")
+	r.want(!r.d.members["r"].ejected, "r back")
 	r.want(r.d.warmth(r.d.members["r"]) < 1, "r to count as just started, as its connections broke")
 }
 
 // Rule 4: what a cold member may be sent begins at nothing after a restart, not at another first credit.
-func TestRestartGrantsNoBudgetAnew(t *testing.T) {
+func TestRestartGrantsNoNewColdBudget(t *testing.T) {
 	granted := func(k *Memory) (n int) {
 		for seed := range uint64(300) {
-			o := opening()
+			o := testOpening()
 			o.Seed = (seed + 1) * 0x9E3779B97F4A7C15
-			r := &rig{t: t, now: 100000}
-			r.step(Event{Kind: EvOpen, Opening: o}, members(ListCached, "p", "r+"))
+			r := &fixture{t: t, now: 100000}
+			r.step(Event{Kind: EvOpen, Opening: o}, memberList(ListCached, "p", "r+"))
 			if k != nil {
 				r.step(Event{Kind: EvRecall, Memory: k})
 			}
-			r.d.members["r"].credit *= 3 // what a first op of any type costs
-			if r.op("a", anyRead, 1000) == "r" {
+			r.d.members["r"].coldCredit *= 3 // what a first op of any type costs
+			if r.submit("a", anyRead, 1000) == "r" {
 				n++
 			}
 		}
@@ -141,7 +141,7 @@
 }
 
 // 300 drivers start at once with the same knowledge: no member gets much more of their first ops than its share.
-func TestDriversThatStartAtOnceSpreadOut(t *testing.T) {
+func TestSimultaneousStartsSpreadLoad(t *testing.T) {
 	k := Memory{TrustWindow: 500, OpTypes: []TypeMemory{{60, 50}, {70, 60}}, Groups: []GroupMemory{{Group: 1, Primary: "p", InSlot: true, SeenAt: 99990,
 		WorkRate: 3}}}
 	names := []string{"p", "r", "s", "t", "u", "v"}
@@ -149,14 +149,14 @@
 		k.Members = append(k.Members, MemberMemory{Member: n, Group: 1, Position: 99980 + float64(i), Window: float64(4 + 3*i)})
 	}
 	for _, talk := range []bool{true, false} {
-		for _, kind := range []int{bounded, anyRead, session} {
+		for _, kind := range []int{boundedRead, anyRead, sessionRead} {
 			got := map[string]int{}
 			for seed := range uint64(300) {
-				o := opening()
+				o := testOpening()
 				o.Seed, o.Drivers, o.MayMessage, o.Checks = (seed+1)*0x9E3779B97F4A7C15, 300, talk, ChecksNone
-				r := &rig{t: t, now: 100000}
-				r.step(Event{Kind: EvOpen, Opening: o}, members(ListCached, names...), Event{Kind: EvRecall, Memory: &k})
-				got[r.op("a", kind, 1000)]++
+				r := &fixture{t: t, now: 100000}
+				r.step(Event{Kind: EvOpen, Opening: o}, memberList(ListCached, names...), Event{Kind: EvRecall, Memory: &k})
+				got[r.submit("a", kind, 1000)]++
 			}
 			for m, n := range got {
 				if m == "" || n > 2*300/5 {
@@ -169,45 +169,45 @@
 
 // Sessions that do not carry their writes: what an earlier run acknowledged lies before this one's start, or before
 // a ceiling that was held further ahead.
-func TestCeilingsOfSessions(t *testing.T) {
-	o := opening()
+func TestSessionReadsRespectCommitCeiling(t *testing.T) {
+	o := testOpening()
 	o.SessionCarried, o.Positions, o.Checks = false, true, ChecksNone
-	position := func(r *rig, at float64) {
+	position := func(r *fixture, at float64) {
 		for _, m := range []string{"r", "s"} {
 			r.step(Event{Kind: EvProbed, Member: m, Outcome: OK, Took: 1, Report: Sight{Replica, at}})
 		}
 	}
-	r := start(t, o)
+	r := newFixture(t, o)
 	position(r, 99999)
-	r.want(r.op("a", session, 1000) == "p", "the primary: replicas may lack what an earlier run wrote")
+	r.want(r.submit("a", sessionRead, 1000) == "p", "the primary: replicas may lack what an earlier run wrote")
 	r.wait(20)
 	position(r, 100001)
-	r.want(r.op("b", session, 1000) != "p", "a replica that is past the start")
-	r = recalls(t, o, Memory{Ceiling: 102000})
+	r.want(r.submit("b", sessionRead, 1000) != "p", "a replica that is past the start")
+	r = recallFixture(t, o, Memory{Ceiling: 102000})
 	position(r, 101999)
-	r.want(r.op("a", session, 1000) == "p", "the primary: under the ceiling")
+	r.want(r.submit("a", sessionRead, 1000) == "p", "the primary: under the ceiling")
 	position(r, 102000)
-	r.want(r.op("b", session, 1000) != "p", "a replica past the ceiling")
+	r.want(r.submit("b", sessionRead, 1000) != "p", "a replica past the ceiling")
 	o.Positions = false // nobody tells positions: then no replica could ever do
-	r = start(t, o)
-	r.want(r.op("a", session, 1000) != "p", "a replica, where positions are not told")
+	r = newFixture(t, o)
+	r.want(r.submit("a", sessionRead, 1000) != "p", "a replica, where positions are not told")
 }
 
 // What one run remembers, the next recalls: slot, usual times, who is set aside, windows.
 func TestRememberAndRecall(t *testing.T) {
-	r := start(t, opening())
+	r := newFixture(t, testOpening())
 	for i := range 40 {
 		id := string(rune('A' + i))
-		r.op(id, anyRead, 1000)
+		r.submit(id, anyRead, 1000)
 		r.now += 37
-		r.answer(id, to(r.all, id), OK, Replica, r.now-20)
+		r.answer(id, target(r.allActions, id), OK, Replica, r.now-20)
 	}
 	r.step(Event{Kind: EvProbed, Member: "p", Outcome: OK, Took: 1, Report: Sight{Primary, r.now}})
-	r.d.setAside(r.d.members["s"], tellSilent|tellCut, "test")
+	r.d.eject(r.d.members["s"], flagSilent|flagDisconnected, "test")
 	k := Memory{TrustWindow: 1000}
 	r.step(Event{Kind: EvRemember, Memory: &k})
-	again := &rig{t: t, now: r.now + 100}
-	again.step(Event{Kind: EvOpen, Opening: opening()}, members(ListCached, "p", "r", "s"), Event{Kind: EvRecall, Memory: &k})
+	again := &fixture{t: t, now: r.now + 100}
+	again.step(Event{Kind: EvOpen, Opening: testOpening()}, memberList(ListCached, "p", "r", "s"), Event{Kind: EvRecall, Memory: &k})
 	var back Memory
 	again.step(Event{Kind: EvRemember, Memory: &back})
 	if len(back.Groups) != 1 || back.Groups[0] != k.Groups[0] || back.Groups[0].Primary != "p" || !back.Groups[0].InSlot {
@@ -218,41 +218,41 @@
 			t.Errorf("member %+v, want %+v", back.Members[i], m)
 		}
 	}
-	if back.OpTypes[anyRead] != k.OpTypes[anyRead] || k.OpTypes[anyRead].Typical == opening().OpTypes[anyRead].LatencyTarget/3 {
+	if back.OpTypes[anyRead] != k.OpTypes[anyRead] || k.OpTypes[anyRead].Typical == testOpening().OpTypes[anyRead].LatencyTarget/3 {
 		t.Errorf("op types %+v, want %+v", back.OpTypes, k.OpTypes)
 	}
 	again.step(Event{Kind: EvRecall, Memory: &Memory{OpTypes: make([]TypeMemory, 99), Groups: []GroupMemory{{Group: 77, Primary: "p"}},
 		Members: []MemberMemory{{Member: "nobody"}}}})
-	again.want(!math.IsNaN(again.d.types[0].took) && again.d.types[0].took > 0, "nothing taken from what fits nothing")
+	again.want(!math.IsNaN(again.d.opTypes[0].meanLatency) && again.d.opTypes[0].meanLatency > 0, "nothing taken from what fits nothing")
 }
 
 // Drivers come and go: what is spread out over them follows, and a driver that is alone tells nobody.
 func TestNumberOfDriversChanges(t *testing.T) {
-	o := opening()
+	o := testOpening()
 	o.MayMessage, o.Drivers = true, 1
-	words := func(r *rig) (n int) {
-		r.all = nil
+	messagesSent := func(r *fixture) (n int) {
+		r.allActions = nil
 		for i := range 20 {
 			id := string(rune('a' + i))
-			r.op(id, anyRead, 1000)
-			r.answer(id, to(r.all, id), OK, Replica, r.now-10)
+			r.submit(id, anyRead, 1000)
+			r.answer(id, target(r.allActions, id), OK, Replica, r.now-10)
 			r.wait(50)
 		}
-		return count(r.all, ActMessage, "")
+		return count(r.allActions, ActMessage, "")
 	}
-	r := start(t, o)
-	r.want(words(r) == 0, "no words from a driver that is alone")
+	r := newFixture(t, o)
+	r.want(messagesSent(r) == 0, "no words from a driver that is alone")
 	r.step(Event{Kind: EvDrivers, Drivers: 3})
-	r.want(words(r) > 0, "words when there are three")
-	pause := func() (sum float64) {
+	r.want(messagesSent(r) > 0, "words when there are three")
+	meanJitteredPause := func() (sum float64) {
 		for range 200 {
-			sum += r.d.after(100) - r.now
+			sum += r.d.jittered(100) - r.now
 		}
 		return sum / 200
 	}
-	few := pause()
+	smallFleetPause := meanJitteredPause()
 	r.step(Event{Kind: EvDrivers, Drivers: 300})
-	r.want(pause() > 20*few, "what all do to be spread out over 300")
+	r.want(meanJitteredPause() > 20*smallFleetPause, "what all do to be spread out over 300")
 	r.step(Event{Kind: EvDrivers, Drivers: 1})
-	r.want(words(r) == 0 && pause() <= few, "all as before when it is alone again")
+	r.want(messagesSent(r) == 0 && meanJitteredPause() <= smallFleetPause, "all as before when it is alone again")
 }
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -8,50 +8,50 @@
 
 // ruleBook is the slow, plain model of the rules: it keeps everything that was said and done, and judges by
 // looking through all of it. It shares no code with the module.
-type ruleBook struct {
-	o       *Opening
-	now     float64
-	ops     map[string]*taken
-	told    map[string]bool      // told to drain or gone
-	at      map[string]float64   // newest position heard of
-	primary map[string][]float64 // by member: when it was last heard to be primary, and replica
-	breaks  []string
+type ruleModel struct {
+	o          *Opening
+	now        float64
+	ops        map[string]*modelOp
+	withdrawn  map[string]bool      // told to drain or gone
+	positions  map[string]float64   // newest position heard of
+	roleSeenAt map[string][]float64 // by member: when it was last heard to be primary, and replica
+	violations []string
 }
 
-type taken struct {
-	kind     OpType
-	until    float64
-	tries    []try
-	finals   int
-	position float64 // that a session read needs
+type modelOp struct {
+	kind         OpType
+	until        float64
+	attempts     []attempt
+	finalAnswers int
+	minPosition  float64 // that a session read needs
 }
 
-type try struct {
+type attempt struct {
 	member, outcome string
 	at              float64
 }
 
-func (b *ruleBook) broken(format string, args ...any) {
-	b.breaks = append(b.breaks, fmt.Sprintf("at %.0f: ", b.now)+fmt.Sprintf(format, args...))
+func (b *ruleModel) addViolation(format string, args ...any) {
+	b.violations = append(b.violations, fmt.Sprintf("at %.0f: ", b.now)+fmt.Sprintf(format, args...))
 }
 
 // mayRepeat says whether rule 2 lets another try of an op go out; early is the time by which a driver may
 // stop before a token's window ends.
-func (b *ruleBook) mayRepeat(t *taken, early float64) bool {
-	for _, x := range t.tries {
+func (b *ruleModel) mayRepeat(t *modelOp, margin float64) bool {
+	for _, x := range t.attempts {
 		if x.outcome == "never ran" {
 			continue
 		}
-		if t.kind.Effect == NonRetryable || t.kind.Effect == Tokened && b.now >= x.at+t.kind.Window-early {
+		if t.kind.Effect == NonRetryable || t.kind.Effect == Tokened && b.now >= x.at+t.kind.Window-margin {
 			return false
 		}
 	}
 	return true
 }
 
-func (b *ruleBook) out(t *taken) int {
+func (b *ruleModel) openAttempts(t *modelOp) int {
 	n := 0
-	for _, x := range t.tries {
+	for _, x := range t.attempts {
 		if x.outcome == "out" {
 			n++
 		}
@@ -60,57 +60,57 @@
 }
 
 // maySend says whether the rules let an op go to a member now.
-func (b *ruleBook) maySend(t *taken, member string, early float64) bool {
-	return t.finals == 0 && !b.told[member] && len(t.tries) < b.o.SendCap &&
-		(b.o.MayOverlap || b.out(t) == 0) && b.mayRepeat(t, early)
+func (b *ruleModel) maySend(t *modelOp, member string, margin float64) bool {
+	return t.finalAnswers == 0 && !b.withdrawn[member] && len(t.attempts) < b.o.SendCap &&
+		(b.o.MayOverlap || b.openAttempts(t) == 0) && b.mayRepeat(t, margin)
 }
 
 // stale says whether a read sent to a member could be answered from data older than it allows.
-func (b *ruleBook) stale(t *taken, member string) bool {
+func (b *ruleModel) couldBeStale(t *modelOp, member string) bool {
 	if b.o.Checks != ChecksNone || t.kind.Need == Any || t.kind.Need == Write {
 		return false
 	}
-	if p := b.primary[member]; p != nil && p[0] > p[1] {
+	if p := b.roleSeenAt[member]; p != nil && p[0] > p[1] {
 		return false // it has been primary, and no answer has said that it is none
 	}
-	known, ok := b.at[member]
+	known, ok := b.positions[member]
 	switch {
 	case !ok:
-		return t.kind.Need != Session || t.position >= 0
+		return t.kind.Need != Session || t.minPosition >= 0
 	case t.kind.Need == Bounded:
 		return known < b.now-t.kind.MaxAge
 	case t.kind.Need == Session:
-		return known < t.position
+		return known < t.minPosition
 	}
 	return true
 }
 
-func (b *ruleBook) judge(a Action) {
+func (b *ruleModel) check(a Action) {
 	t := b.ops[a.Op]
 	switch a.Kind {
 	case ActSend:
 		if !b.maySend(t, a.Member, 0) || b.now >= t.until {
-			b.broken("send of %s (%v) to %s, tries %v, told %v", a.Op, t.kind.Effect, a.Member, t.tries, b.told)
+			b.addViolation("send of %s (%v) to %s, tries %v, told %v", a.Op, t.kind.Effect, a.Member, t.attempts, b.withdrawn)
 		}
-		if b.stale(t, a.Member) {
-			b.broken("stale read %s at %s, known %v", a.Op, a.Member, b.at)
+		if b.couldBeStale(t, a.Member) {
+			b.addViolation("stale read %s at %s, known %v", a.Op, a.Member, b.positions)
 		}
-		t.tries = append(t.tries, try{a.Member, "out", b.now})
+		t.attempts = append(t.attempts, attempt{a.Member, "out", b.now})
 	case ActRefuse:
 		ran := false
-		for _, x := range t.tries {
+		for _, x := range t.attempts {
 			ran = ran || x.outcome != "never ran"
 		}
 		if ran && t.kind.Effect != Retryable && !(t.kind.Effect == Tokened && t.kind.Scope == ScopeAll) {
-			b.broken("busy reply to %s, which may have run: %v", a.Op, t.tries)
+			b.addViolation("busy reply to %s, which may have run: %v", a.Op, t.attempts)
 		}
 		fallthrough
 	case ActFail:
-		if t.finals++; t.finals > 1 {
-			b.broken("second final answer to %s", a.Op)
+		if t.finalAnswers++; t.finalAnswers > 1 {
+			b.addViolation("second final answer to %s", a.Op)
 		}
 		if b.now > t.until+20 {
-			b.broken("late final answer to %s", a.Op)
+			b.addViolation("late final answer to %s", a.Op)
 		}
 	}
 }
@@ -123,33 +123,33 @@
 	}
 	f.Fuzz(func(t *testing.T, seed uint64) {
 		rnd := rand.New(rand.NewPCG(seed, 1))
-		o := opening()
+		o := testOpening()
 		o.Seed, o.Checks, o.MayOverlap = seed, Checks(rnd.IntN(3)), rnd.IntN(4) > 0
 		o.ReportsByProbe, o.SessionCarried = rnd.IntN(2) == 0, rnd.IntN(2) == 0
 		o.OpTypes[token].Scope, o.SendCap = Scope(rnd.IntN(3)), 2+rnd.IntN(8)
-		b := &ruleBook{o: o, ops: map[string]*taken{}, told: map[string]bool{}, at: map[string]float64{},
-			primary: map[string][]float64{"p": {1, 0}}}
+		b := &ruleModel{o: o, ops: map[string]*modelOp{}, withdrawn: map[string]bool{}, positions: map[string]float64{},
+			roleSeenAt: map[string][]float64{"p": {1, 0}}}
 		var d Driver
 		b.now = 100000
 		names := []string{"p", "r", "s", "u"}
-		prime := "p"
+		currentPrimary := "p"
 		var pending []Event // answers on their way
 		var ids []string    // in order, as the generator must not depend on a map's order
 		step := func(evs ...Event) {
 			for _, a := range d.Step(b.now, evs) {
-				if b.judge(a); a.Kind == ActSend {
+				if b.check(a); a.Kind == ActSend {
 					pending = append(pending, Event{Kind: EvAnswer, Op: a.Op, Member: a.Member,
-						Send: len(b.ops[a.Op].tries) - 1})
+						Send: len(b.ops[a.Op].attempts) - 1})
 				} else if a.Kind == ActProbe && rnd.IntN(3) > 0 {
 					r := Sight{Replica, b.now - 50 - 300*rnd.Float64()}
-					if a.Member == prime {
+					if a.Member == currentPrimary {
 						r = Sight{Primary, b.now}
 					}
 					pending = append(pending, Event{Kind: EvProbed, Member: a.Member, Took: 1, Report: r})
 				}
 			}
 		}
-		step(Event{Kind: EvOpen, Opening: o}, members(ListCached, names...))
+		step(Event{Kind: EvOpen, Opening: o}, memberList(ListCached, names...))
 		for i := range 2000 {
 			b.now += 5
 			if rnd.IntN(3) > 0 && i < 900 {
@@ -157,68 +157,68 @@
 				id := fmt.Sprint(i)
 				left := o.OpTypes[k].OpTimeout * (0.4 + 0.6*rnd.Float64())
 				ev := Event{Kind: EvOp, Op: id, OpType: k, Group: 1, Left: left}
-				x := &taken{kind: o.OpTypes[k], until: b.now + left, position: -1}
-				if o.SessionCarried && k == session && rnd.IntN(2) == 0 {
+				x := &modelOp{kind: o.OpTypes[k], until: b.now + left, minPosition: -1}
+				if o.SessionCarried && k == sessionRead && rnd.IntN(2) == 0 {
 					ev.WroteAgo = 1 + 300*rnd.Float64()
-					x.position = b.now - ev.WroteAgo
+					x.minPosition = b.now - ev.WroteAgo
 				}
 				b.ops[id] = x
 				ids = append(ids, id)
 				step(ev)
 			}
 			if rnd.IntN(60) == 0 { // the primary's place moves
-				prime = names[rnd.IntN(4)]
+				currentPrimary = names[rnd.IntN(4)]
 			}
 			if rnd.IntN(80) == 0 {
 				n := names[1+rnd.IntN(3)]
-				if b.told[n] = !b.told[n]; b.told[n] {
-					step(members(ListChanges, n+"-"))
+				if b.withdrawn[n] = !b.withdrawn[n]; b.withdrawn[n] {
+					step(memberList(ListChanges, n+"-"))
 				} else {
-					step(members(ListChanges, n))
+					step(memberList(ListChanges, n))
 				}
 			}
-			late := pending
+			inFlight := pending
 			pending = nil
-			for _, ev := range late {
+			for _, ev := range inFlight {
 				if rnd.IntN(12) > 0 {
 					pending = append(pending, ev)
 					continue
 				}
 				if ev.Kind == EvProbed {
-					b.at[ev.Member] = max(b.at[ev.Member], ev.Report.Position)
+					b.positions[ev.Member] = max(b.positions[ev.Member], ev.Report.Position)
 					if ev.Report.Role == Primary {
-						p := append(b.primary[ev.Member], 0, 0)
-						b.primary[ev.Member] = []float64{max(p[0], ev.Report.Position), p[1]}
+						p := append(b.roleSeenAt[ev.Member], 0, 0)
+						b.roleSeenAt[ev.Member] = []float64{max(p[0], ev.Report.Position), p[1]}
 					}
 					step(ev)
 					continue
 				}
 				x := b.ops[ev.Op]
-				mine := &x.tries[ev.Send]
+				attempt := &x.attempts[ev.Send]
 				ev.Outcome = Outcome(rnd.IntN(9))
-				if prime != ev.Member && x.kind.Need == Write && ev.Outcome == OK {
+				if currentPrimary != ev.Member && x.kind.Need == Write && ev.Outcome == OK {
 					ev.Outcome = Miss
 				}
-				mine.outcome = "may have run"
+				attempt.outcome = "may have run"
 				if ev.Outcome == Miss || ev.Outcome == Full || ev.Outcome == ConnectFailed || ev.Outcome == Moot {
-					mine.outcome = "never ran"
+					attempt.outcome = "never ran"
 				}
 				if ev.Outcome == OK || ev.Outcome == Miss || ev.Outcome == Full || ev.Outcome == Fault {
 					ev.Note = Sight{Replica, b.now - 200*rnd.Float64()}
 					heard := 1
-					if ev.Member == prime {
+					if ev.Member == currentPrimary {
 						ev.Note, heard = Sight{Primary, b.now}, 0
 					}
-					b.at[ev.Member] = max(b.at[ev.Member], ev.Note.Position)
-					if b.primary[ev.Member] == nil {
-						b.primary[ev.Member] = []float64{0, 0}
+					b.positions[ev.Member] = max(b.positions[ev.Member], ev.Note.Position)
+					if b.roleSeenAt[ev.Member] == nil {
+						b.roleSeenAt[ev.Member] = []float64{0, 0}
 					}
-					b.primary[ev.Member][heard] = b.now + 1e-6*float64(i)
+					b.roleSeenAt[ev.Member][heard] = b.now + 1e-6*float64(i)
 				}
-				if ev.Outcome == OK && x.finals == 0 {
-					x.finals++
+				if ev.Outcome == OK && x.finalAnswers == 0 {
+					x.finalAnswers++
 				}
-				ev.Closed = x.finals > 0
+				ev.Closed = x.finalAnswers > 0
 				step(ev)
 			}
 			step(Event{Kind: EvTimer})
@@ -228,51 +228,51 @@
 					continue
 				}
 				for _, n := range names {
-					if got, want := d.allowed(op, d.members[n]), b.maySend(x, n, d.margin); got != want {
-						t.Fatalf("at %.0f: module allows %s to %s: %v, model %v, tries %v", b.now, id, n, got, want, x.tries)
+					if got, want := d.maySend(op, d.members[n]), b.maySend(x, n, d.deadlineMargin); got != want {
+						t.Fatalf("at %.0f: module allows %s to %s: %v, model %v, tries %v", b.now, id, n, got, want, x.attempts)
 					}
 				}
 			}
 		}
 		for _, id := range ids {
-			if x := b.ops[id]; x.finals != 1 {
-				b.broken("%s has %d final answers, tries %v", id, x.finals, x.tries)
+			if x := b.ops[id]; x.finalAnswers != 1 {
+				b.addViolation("%s has %d final answers, tries %v", id, x.finalAnswers, x.attempts)
 			}
 		}
-		for _, s := range b.breaks {
+		for _, s := range b.violations {
 			t.Error(s)
 		}
 	})
 }
 
 // A primary that lost its role and was not heard of since gets no bounded read: its data may be older than anybody knows.
-func TestBoundedReadsLeaveAPrimaryThatIsSilent(t *testing.T) {
-	o := opening()
+func TestBoundedReadsAvoidASilentPrimary(t *testing.T) {
+	o := testOpening()
 	o.Checks = ChecksNone
-	r := start(t, o)
-	r.op("w", once, 2000)
+	r := newFixture(t, o)
+	r.submit("w", writeOnce, 2000)
 	r.answer("w", "p", OK, Primary, r.now)
-	r.want(r.op("b0", bounded, 1000) == "p", "a read at the primary just heard of")
+	r.want(r.submit("b0", boundedRead, 1000) == "p", "a read at the primary just heard of")
 	r.now += 250
-	r.want(r.op("b1", bounded, 1000) == "", "no read at a primary not heard of for longer than the bound")
-	r.want(r.op("w2", once, 2000) == "p", "a write there as ever")
+	r.want(r.submit("b1", boundedRead, 1000) == "", "no read at a primary not heard of for longer than the bound")
+	r.want(r.submit("w2", writeOnce, 2000) == "p", "a write there as ever")
 	r.answer("w2", "p", OK, Primary, r.now)
-	r.want(r.op("b2", bounded, 1000) == "p", "reads again once it has spoken")
+	r.want(r.submit("b2", boundedRead, 1000) == "p", "reads again once it has spoken")
 }
 
 // Where only draining binds, a member that was told to drain, then called gone, and named so again long after,
 // gets nothing: its drain is not forgotten with it.
-func TestDrainedMemberNamedGoneLaterGetsNothing(t *testing.T) {
-	o := opening()
+func TestDrainedMemberListedAsGoneStaysDrained(t *testing.T) {
+	o := testOpening()
 	o.OnlyDrainBinds = true
-	r := start(t, o)
-	r.step(members(ListChanges, "s-"))
-	r.step(members(ListChanges, "sx"))
+	r := newFixture(t, o)
+	r.step(memberList(ListChanges, "s-"))
+	r.step(memberList(ListChanges, "sx"))
 	r.wait(30000)
-	r.step(members(ListChanges, "sx"))
+	r.step(memberList(ListChanges, "sx"))
 	for i := 0; i < 40; i++ {
 		id := fmt.Sprintf("a%d", i)
-		r.want(r.op(id, anyRead, 1000) != "s", "no read at the drained member")
+		r.want(r.submit(id, anyRead, 1000) != "s", "no read at the drained member")
 		r.answer(id, "r", OK, Replica, r.now)
 	}
 }
--- a/logic/tolls_test.go
+++ b/logic/tolls_test.go
@@ -4,16 +4,16 @@
 
 // A plan's tolls send reads elsewhere, to the own zone or out of it, and are gone with the plan; a zone that the plan does
 // not name costs what it costs without one.
-func TestTolls(t *testing.T) {
-	r := start(t, opening())
-	far := members(ListChanges, "f", "r")
-	far.Members[0].Zone = "b"
-	r.step(far)
+func TestZonePenaltiesSteerReads(t *testing.T) {
+	r := newFixture(t, testOpening())
+	remote := memberList(ListChanges, "f", "r")
+	remote.Members[0].Zone = "b"
+	r.step(remote)
 	reads := func() (n map[string]int) {
 		n = map[string]int{}
 		for i := range 60 {
-			id := string(rune('A'+i%26)) + string(rune('a'+i/26)) + string(rune('a'+len(r.all)%26))
-			m := r.op(id, anyRead, 1200)
+			id := string(rune('A'+i%26)) + string(rune('a'+i/26)) + string(rune('a'+len(r.allActions)%26))
+			m := r.submit(id, anyRead, 1200)
 			n[m]++
 			r.answer(id, m, OK, Replica, r.now)
 			r.wait(20)
