--- /dev/null
+++ b/logic/doc.go
@@ -0,0 +1,39 @@
+// Package logic decides where each op of a driver goes: to which member it is sent, whether it waits, and when it is
+// refused. It is a deterministic state machine without I/O or a clock of its own.
+//
+// # Use
+//
+// Give a zero Driver an EvOpen event first. Then call Step with the clock (milliseconds) and the events since the last
+// call, in order, and carry out the actions that it returns, in order. The types of events and actions are in api.go,
+// the decisions in logic.go; docs/design.md tells which of them come from the design.
+//
+// # Routing
+//
+// Method route is the ordinary path of an op. Writes and fresh reads go to the primary that the group's writer slot
+// names (package writerslot), and are queued while the slot is empty. Other reads go to the least loaded replica that
+// is fresh enough, else to the primary.
+//
+// Five mechanisms support it:
+//
+//  1. Outlier ejection: a member that is silent, returns errors or breaks connections gets no ops until a trial op
+//     succeeds, it answers an earlier send, or a peer reports that it answers.
+//  2. Retries and hedging: an op is sent again if its effect allows it, at once after a send that failed, and within a
+//     budget while a send is stuck at an ejected member.
+//  3. Adaptive concurrency: every member has a window for this driver's sends in flight; in a large fleet, where the
+//     sends of one driver seldom fill a window, a member takes a fraction of the ops instead. A member that has just
+//     started (a cold one) has a budget. Queued ops that can still meet their latency target are sent first.
+//  4. Load shedding: under overload new reads are refused at random, those that earn less for their work more often.
+//  5. Gossip: drivers tell each other the members' positions, the primary, who answers and how fast, and who is silent.
+//
+// # Latency ratios
+//
+// Overload is detected by latency. For each op type, overloadLatency derives from the latency target and from the best
+// mean latency so far the mean latency above which a member counts as overloaded. A latency ratio is a latency divided
+// by it: a member with a smoothed ratio over 1 is overloaded.
+//
+// # Fleet scale
+//
+// Drivers of one fleet know much the same of each other's members and must not act all at once. Delays, probes and
+// budgets are therefore scaled by fleetScale, a third of the number of drivers, such that a large fleet acts about as
+// often as three drivers do.
+package logic
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -1,15 +1,4 @@
-package logic
-
-// A Driver is the decision module for one driver of a cluster. Give a zero Driver an EvOpen event first; then
-// call Step with the clock (milliseconds) and what has happened since, in order, and carry out the actions it
-// returns, in order. The types at its door are in api.go; docs/design.md tells what comes from the design.
-//
-// The ordinary path of an op is route. Five mechanisms stand beside the design:
-//  1. setting aside: a member that is silent, fails or cuts connections, until a trial, an answer or a word;
-//  2. further sends: where the op's effect allows, for sends that failed, and on a budget for stuck ones;
-//  3. pace: a window on own sends or a share of ops at each member, a budget for cold ones, timely ops first;
-//  4. turning away: under strain new reads are refused by chance, the cheaper for their work more often;
-//  5. word to peers: positions, the primary seen, who answers and how fast, who is silent.
+package logic // see doc.go for an overview
 
 import (
 	"cmp"
@@ -23,78 +12,95 @@
 	"weirwind/internal/writerslot"
 )
 
-// Tuned values. Those that weigh time are multiples of what is observed or of the opening's own figures.
+// Times are milliseconds. Limits of latencies are multiples of observed latencies or of the figures in Opening. docs/design.md gives the probe intervals.
 const (
-	probeInterval, idleProbeInterval        = 200.0, 1000.0 // design: probes of a group with an empty slot; with a full one
-	probersPerMember, maxOpenOps            = 8.0, 2000     // drivers that probe a member at a time, about; open ops of a group
-	trialProbability, unsentWaitFraction    = 0.1, 0.45     // chance of a held write's trial a sweep; of its time, held unsent
-	pauseSweeps, gossipBudget               = 20.0, 30000.0 // sweeps missed: a pause; words a second, by threes of drivers
-	suspicionLimit, primarySuspicionLimit   = 7.0, 9.0      // usual times owed that set a member aside; that empty the slot
-	disconnectLimit                         = 3             // connections broken or refused in a row that set a member aside
-	errorRateLimit, errorSmoothing          = 0.5, 0.15     // share of errors that sets aside; weight of one answer in it
-	minBackoff, maxBackoff                  = 250.0, 2000.0 // pauses before a member set aside, or a failed call, is tried again
-	readWaitFraction                        = 0.04          // of the latency target: a read waits so long for room
-	hedgeEarned, maxHedgeBudget             = 0.03, 10.0    // sends beside one that is stuck: earned by a good answer; saved up
-	initialWindow, initialLatencyRatio      = 4.0, 2.0      // sends out at a new primary; times over the easy ones there
-	windowDecrease, windowFloorFraction     = 0.85, 0.7     // cut of a window; its floor, of what was out while times were easy
-	overloadTargetFraction                  = 0.28          // of the latency target: a mean time so long is easy for a member
-	overloadBestMultiple, overloadTargetCap = 1.07, 0.6     // and so many times the best mean, up to this share of the target
-	certaintyGain, headroom                 = 10.0, 0.5     // how own sends lessen chance; of a primary's window for other reads
-	laggingFraction, laggingRatio           = 0.25, 1.2     // of the tightest bound: a replica is behind; times over easy for it
-	coldBudgetFraction, shedSlope           = 0.8, 2.0      // of a cold member's budget; chance of refusal for strain
-	remoteZonePenalty, latencyPenalty       = 0.3, 0.3      // in sends in flight: for another zone; times over the easy ones
-	freshReplicaPenalty                     = 1.0           // sends more for a fresh replica, for reads of any age
-	smoothing, lostSendMultiple             = 0.03, 6.0     // weight of an answer; usual times after which a send is lost
+	probeInterval, idleProbeInterval        = 200.0, 1000.0 // between probes of a group whose writer slot is empty; whose slot is filled
+	probersPerMember                        = 8.0           // about how many drivers probe a member at the same time
+	maxOpenOps                              = 2000          // unfinished ops of a group above which no further op is queued
+	trialProbability                        = 0.1           // of a queued write's trial at a possible primary, per sweep; divided by fleetScale-1
+	unsentWaitFraction                      = 0.45          // of an op's time limit: how long it is queued if it was never transmitted
+	pauseSweeps                             = 20.0          // sweep intervals without a step after which the driver itself was paused
+	gossipBudget                            = 30000.0       // messages received per second, times fleetScale, above which drivers gossip less often
+	suspicionLimit, primarySuspicionLimit   = 7.0, 9.0      // suspicion that ejects a member; that ejects the primary and empties the slot
+	disconnectLimit                         = 3             // consecutive broken or refused connections that eject a member
+	errorRateLimit, errorSmoothing          = 0.5, 0.15     // smoothed error rate that ejects a member; weight of one answer in it
+	minBackoff, maxBackoff                  = 250.0, 2000.0 // before an ejected member or a failed list request is tried again
+	readWaitFraction                        = 0.04          // of the latency target: how long a read is queued for capacity
+	hedgeEarned, maxHedgeBudget             = 0.03, 10.0    // hedged sends that each good answer adds to the budget; maximum of the budget
+	initialWindow, initialLatencyRatio      = 4.0, 2.0      // of a new primary: maximum of its window; minimum of its latency ratio
+	windowDecrease, windowFloorFraction     = 0.85, 0.7     // factor at overload; fraction of uncongestedInFlight that a window doesn't go below
+	overloadTargetFraction                  = 0.28          // of the latency target: a mean latency below this is never overload
+	overloadBestMultiple, overloadTargetCap = 1.07, 0.6     // else overload begins at this multiple of the best mean latency; cap, of the latency target
+	certaintyGain                           = 10.0          // reduces uncertainty as the own work per member (warmWorkRate) grows
+	headroom                                = 0.5           // use of a window above which it grows; use of the primary's below which other reads go there
+	laggingFraction, laggingRatio           = 0.25, 1.2     // of minMaxAge: a replica that lags more counts as overloaded; its minimum latency ratio then
+	coldBudgetFraction                      = 0.8           // of FallMultiple, the load at which a cold member falls over
+	shedSlope                               = 2.0           // shedding probability per lateFraction
+	remoteZonePenalty, latencyPenalty       = 0.3, 0.3      // in sends in flight, for the load estimate: of another zone; per unit of latency ratio
+	freshReplicaPenalty                     = 1.0           // in sends in flight: of a fresh replica for reads of any age
+	smoothing                               = 0.03          // weight of one answer in smoothed values
+	lostSendMultiple                        = 6.0           // of the mean latency: a send without an answer for longer is lost if the member answers others
 )
 
 type opKind struct {
-	index                                                               int
-	need                                                                Need
-	effect                                                              Effect
-	scope                                                               Scope
-	maxAge, tokenWindow, latencyTarget, value, meanLatency, bestLatency float64 // took: smoothed time of good answers; best: at its lowest
+	index                                     int
+	need                                      Need
+	effect                                    Effect
+	scope                                     Scope
+	maxAge, tokenWindow, latencyTarget, value float64
+	meanLatency, bestLatency                  float64 // of good answers: smoothed mean; its minimum so far, which slowly rises back
 }
 
 type group struct {
-	id, serving int64 // serving: members not draining
+	id, serving int64 // serving: number of members that are not draining
 	members     []*member
 	writerslot.Slot[*member]
 
-	filledAt, nextProbeAt, sweptAt, nextPruneAt float64 // when the slot was filled, the group last swept; when members long gone are let go
-
-	openOps                              []*op     // unfinished ops in order of arrival
-	trialOp                              *op       // a held write out at a member whose role is not known
-	work, workRate, warmWorkRate         float64   // own work answered: since the last sweep; usual ms a ms; the same by warm ones
-	lateFraction                         []float64 // per op type: share of ops late or refused for want of room
-	latencyRatio, uncertainty, minWarmth float64   // times over the easy ones at replicas; how little own sends tell; least warmth
-	lastCommit                           float64   // the last that own writes have seen, for sessions that do not carry theirs
+	filledAt, sweptAt        float64 // when the slot last got a new primary; when the group was last swept
+	nextProbeAt, nextPruneAt float64 // when probes are due; when unlisted members are pruned
+
+	openOps                      []*op     // unfinished ops in order of arrival
+	trialOp                      *op       // the last queued write that was sent to a member whose role is not known
+	work, workRate, warmWorkRate float64   // own work answered: milliseconds since the last sweep; smoothed rate; the same, not reduced while a member is cold
+	lateFraction                 []float64 // per op type: smoothed fraction of reads that are late or refused for lack of capacity
+	latencyRatio                 float64   // smoothed, of all replicas
+	uncertainty                  float64   // of load estimates, 0 to 1: high if own sends are few in a large fleet
+	minWarmth                    float64   // the lowest warmth of the serving members
+	lastCommit                   float64   // highest commit position of own writes, for sessions that don't carry theirs
 }
 
 type member struct {
-	id, zone                                     string
-	hash                                         uint32
-	group                                        *group
-	draining, listedPrimary                      bool    // listed: the list calls it primary
-	zonePenalty                                  float64 // of its zone, in sends in flight
-	position, replicaSeenAt                      float64 // replicaAt: when it last said that it is a replica
-	inFlight, disconnects                        int     // cuts: connections that broke since it was heard of
-	heardAt, overdue, suspicion                  float64 // last word; usual times unanswered since: of ended sends, with those out
-	errorRate, latencyRatio, uncongestedInFlight float64 // smoothed: share of errors, times over the easy, sends out while so
-
-	overload, gossipRatio, gossipedAt, readmittedAt, backoff, nextTrialAt float64 // over: late, at a replica half of all; ease: own
-	startedAt, ejectedAt, unlistedAt                                      float64 // left: the list, 0 while it is there
-	window, windowReducedAt, fullUntil, coldCredit, coldCreditAt          float64 // window: sends that may be out; credit: of a cold one
-
-	ejected, gossipPending      bool   // news: to tell peers
-	unconfirmed                 bool   // the primary of an earlier run: no write before it has answered as primary
-	gossipFlags, disconnectFlag uint64 // the flags that go with it; set aside as connections broke or none came
+	id, zone                string
+	hash                    uint32 // identifies the member in peers' messages
+	group                   *group
+	draining, listedPrimary bool    // draining: or gone; gets no new ops. listedPrimary: the member list has it as primary
+	zonePenalty             float64 // for the load estimate, in sends in flight
+	position, replicaSeenAt float64 // newest known position; when it last reported that it is a replica
+	inFlight, disconnects   int     // own sends in flight; broken or refused connections since the last answer
+	heardAt                 float64 // when it last answered this driver or a peer
+	overdue                 float64 // waiting time without an answer since heardAt of sends that have ended, in mean latencies
+	suspicion               float64 // overdue plus that of the open sends, as in an accrual failure detector
+	errorRate, latencyRatio float64 // smoothed
+	uncongestedInFlight     float64 // smoothed sends in flight while the member was not overloaded
+
+	overload                           float64 // smoothed latency ratio; for a replica the mean of its own and all replicas'. Over 1: overloaded
+	gossipRatio, gossipedAt            float64 // newest own latency ratio, 0 if peers have it; when this or another driver last gossiped of the member
+	readmittedAt, backoff, nextTrialAt float64 // of the ejection: when the last one ended; pause between trial ops; when the next one is due
+	startedAt, ejectedAt, unlistedAt   float64 // unlistedAt: when the list first called it gone, 0 while it is listed
+	window, windowReducedAt            float64 // most sends in flight; when it was last reduced
+	fullUntil                          float64 // no sends until then, after a reply that it is full
+	coldCredit, coldCreditAt           float64 // work that a cold member may still get, in milliseconds; when it was last topped up
+
+	ejected, gossipPending      bool   // gossipPending: there is something to tell peers
+	unconfirmed                 bool   // primary of an earlier run: gets no write before it has answered as primary
+	gossipFlags, disconnectFlag uint64 // flags for peers; flagDisconnected if it was ejected as connections broke or were refused, else 0
 }
 
 type send struct {
 	member         *member
 	sentAt         float64
-	open, neverRan bool // proved: known never to have run
-	weight         int  // as so many in flight: none once it is lost, as its connection fell silent
+	open, neverRan bool // neverRan: the member certainly did not run the op
+	weight         int  // in member.inFlight: 1, or 0 once the send counts as lost
 }
 
 type op struct {
@@ -102,41 +108,48 @@
 	kind  *opKind
 	group *group
 
-	arrivedAt, deadline, minPosition, admissionDraw float64 // until: when it is due; luck: a member takes it up to such a share
+	arrivedAt, deadline        float64
+	minPosition, admissionDraw float64 // position that a session read needs; a random number: a member takes the op if its share is larger
 
-	sends                                                      []send
-	openSends                                                  int     // sends that are out
-	faultedBy                                                  *member // that answered it with an error
-	queued, done, clientGone, transmitted, noCandidate, missed bool    // stalled: not for want of room; missed: by one behind
+	sends                    []send
+	openSends                int
+	faultedBy                *member // answered the last send with an error
+	queued, done, clientGone bool
+	transmitted, missed      bool // a send of it may have reached a member; a member lacked the role or the position to answer it
+	noCandidate              bool // it waited because no member qualified, not for lack of capacity
 }
 
+// Driver is the decision module of one driver. Its zero value takes an EvOpen event first.
 type Driver struct {
-	now, positionZero, minMaxAge, sweepInterval, deadlineMargin float64 // bound: the tightest bound on the age of data
-	zone                                                        string
-	zonePenalties                                               map[string]float64 // by zone, where a plan says them
-	actions                                                     []Action
-	rngState                                                    uint64
-	opTypes                                                     []*opKind
-	members                                                     map[string]*member
-	membersByHash                                               map[uint32]*member
-	groups                                                      []*group
-	groupsByID                                                  map[int64]*group
-	ops                                                         map[string]*op
-
-	membersCheckLag, listTracksRole, sessionCarried, probesShowRole, mayCancel, mayOverlap, onlyDrainBinds, noGossip bool // mute: many that can't talk
-
-	hedgeBudget, maxRetryAfter, coldFrom, coldFor, coldRateMultiple, coldRateSpan float64 // spare: further sends; coldPace: a cold one's most
+	now, positionZero, minMaxAge  float64 // minMaxAge: the smallest MaxAge of the bounded op types
+	sweepInterval, deadlineMargin float64 // deadlineMargin: time before an op's deadline, or the end of its token window, that is left unused
+	zone                          string
+	zonePenalties                 map[string]float64 // by zone, as long as a plan sets them
+	actions                       []Action
+	rngState                      uint64
+	opTypes                       []*opKind
+	members                       map[string]*member
+	membersByHash                 map[uint32]*member
+	groups                        []*group
+	groupsByID                    map[int64]*group
+	ops                           map[string]*op
+
+	membersCheckLag, listTracksRole, sessionCarried, probesShowRole, mayCancel, mayOverlap bool
+	onlyDrainBinds, noGossip                                                               bool // noGossip: there are peers, but no messages
+
+	hedgeBudget, maxRetryAfter, coldFrom, coldFor, coldRateMultiple, coldRateSpan float64 // coldRateMultiple: of the mean work per member, for a cold one
 
 	sendCap, maxGossipEntries                         int
-	gossipInterval, minGossipInterval, maxMessageRate float64 // all drivers tell of a member so often, 0: never; at the most often
+	gossipInterval, minGossipInterval, maxMessageRate float64 // between messages about the same member by all drivers, 0: never; its minimum
 
-	nextWatchAt, watchBackoff, resumedAt, messageRate, fleetScale, commitCeiling float64 // woke: from its own pause; crowd: drivers by threes; ceiling: of earlier runs' commits
+	nextWatchAt, watchBackoff, resumedAt, messageRate float64 // resumedAt: end of the driver's own last pause; messageRate: received, per second
+	fleetScale, commitCeiling                         float64 // a third of the number of drivers, at least 1; no commit of an earlier run lies beyond the ceiling
 }
 
-// Step takes what happened at now and returns what is to be done.
+// Step takes the events up to now, in milliseconds, and returns the actions to carry out. The slice is valid until the next call.
 func (d *Driver) Step(now float64, events []Event) []Action {
 	if now-d.now > pauseSweeps*d.sweepInterval {
-		d.resumedAt = now // it stood still itself: that is nobody's silence, and answers' times tell nothing
+		d.resumedAt = now // the driver itself was paused: this is no silence of members, and latencies measured across it mean nothing
 	}
 	d.now, d.actions = now, d.actions[:0]
 	timerFired := false
@@ -177,7 +190,7 @@
 			}
 		}
 	}
-	if timerFired { // after the answers that came with the timer
+	if timerFired { // after the answers that came in the same step
 		d.sweep()
 		d.emit(Action{Kind: ActTimer, Wait: d.sweepInterval})
 	}
@@ -190,20 +203,19 @@
 	d.emit(Action{Kind: ActLog, Text: fmt.Sprintf(format, args...)})
 }
 
-// open derives the figures that decisions use.
+// open resets the driver to the options of its opening.
 func (d *Driver) open(opening *Opening) {
-	*d = Driver{now: d.now, actions: d.actions, rngState: opening.Seed, zone: opening.Zone, positionZero: opening.PositionZero,
-		members: map[string]*member{}, membersByHash: map[uint32]*member{}, groupsByID: map[int64]*group{},
-		ops: map[string]*op{}, sweepInterval: max(opening.Tick, 4), hedgeBudget: maxHedgeBudget / 2, membersCheckLag: opening.Checks != ChecksNone,
-		listTracksRole: opening.ListRole == RoleLate, sessionCarried: opening.SessionCarried, probesShowRole: opening.ReportsByProbe && opening.MayProbe,
-		mayCancel: opening.MayCancel, mayOverlap: opening.MayOverlap, sendCap: max(opening.SendCap, 1), maxRetryAfter: opening.MaxRetryAfter,
-		coldFrom: opening.ColdFrom, coldFor: opening.ColdFor, coldRateMultiple: opening.FallMultiple * coldBudgetFraction, coldRateSpan: opening.FallSpan,
-		onlyDrainBinds: opening.OnlyDrainBinds, maxGossipEntries: opening.MaxMessageBytes / entryBytes, maxMessageRate: opening.MaxMessages}
+	*d = Driver{now: d.now, actions: d.actions, rngState: opening.Seed, zone: opening.Zone, positionZero: opening.PositionZero, members: map[string]*member{},
+		membersByHash: map[uint32]*member{}, groupsByID: map[int64]*group{}, ops: map[string]*op{}, sweepInterval: max(opening.Tick, 4),
+		hedgeBudget: maxHedgeBudget / 2, membersCheckLag: opening.Checks != ChecksNone, listTracksRole: opening.ListRole == RoleLate,
+		sessionCarried: opening.SessionCarried, probesShowRole: opening.ReportsByProbe && opening.MayProbe, mayCancel: opening.MayCancel,
+		mayOverlap: opening.MayOverlap, sendCap: max(opening.SendCap, 1), maxRetryAfter: opening.MaxRetryAfter, coldFrom: opening.ColdFrom, coldFor: opening.ColdFor,
+		coldRateMultiple: opening.FallMultiple * coldBudgetFraction, coldRateSpan: opening.FallSpan, onlyDrainBinds: opening.OnlyDrainBinds,
+		maxGossipEntries: opening.MaxMessageBytes / entryBytes, maxMessageRate: opening.MaxMessages}
 	d.deadlineMargin, d.minMaxAge = d.sweepInterval+2*opening.Tick, math.Inf(1)
 	for i, t := range opening.OpTypes {
-		d.opTypes = append(d.opTypes, &opKind{index: i, need: t.Need, maxAge: t.MaxAge, effect: t.Effect,
-			scope: t.Scope, tokenWindow: t.Window, latencyTarget: t.LatencyTarget,
-			meanLatency: t.LatencyTarget / 3, bestLatency: t.LatencyTarget / 3, value: t.Value})
+		d.opTypes = append(d.opTypes, &opKind{index: i, need: t.Need, maxAge: t.MaxAge, effect: t.Effect, scope: t.Scope, tokenWindow: t.Window,
+			latencyTarget: t.LatencyTarget, meanLatency: t.LatencyTarget / 3, bestLatency: t.LatencyTarget / 3, value: t.Value})
 		if t.Need == Bounded {
 			d.minMaxAge = min(d.minMaxAge, t.MaxAge)
 		}
@@ -219,8 +231,7 @@
 	d.emit(Action{Kind: ActTimer, Wait: d.sweepInterval})
 }
 
-// fleet follows how many drivers there are: words where they may talk, and shares and what is spread out
-// over them, where they may not as well.
+// setDrivers adapts to the number of drivers: the gossip interval if they can exchange messages, and the fleet scale in any case.
 func (d *Driver) setDrivers(drivers float64) {
 	if d.fleetScale, d.gossipInterval = max(1, drivers/3), 0; drivers > 1 && !d.noGossip {
 		d.minGossipInterval = min(max(d.minMaxAge/4, 5*(d.deadlineMargin-d.sweepInterval)), probeInterval) * min(d.fleetScale/3, 1)
@@ -228,7 +239,7 @@
 	}
 }
 
-// chance draws from a permuted congruential generator (PCG-XSH-RR), in [0, 1).
+// random returns a number in [0, 1) from a permuted congruential generator (PCG-XSH-RR).
 func (d *Driver) random() float64 {
 	s := d.rngState
 	d.rngState = s*6364136223846793005 + 1442695040888963407
@@ -238,15 +249,14 @@
 func (d *Driver) ensureGroup(id int64) *group {
 	g := d.groupsByID[id]
 	if g == nil {
-		g = &group{id: id, Slot: writerslot.NewSlot[*member](), lastCommit: d.commitCeiling, sweptAt: d.now,
-			lateFraction: make([]float64, len(d.opTypes))}
+		g = &group{id: id, Slot: writerslot.NewSlot[*member](), lastCommit: d.commitCeiling, sweptAt: d.now, lateFraction: make([]float64, len(d.opTypes))}
 		d.groupsByID[id] = g
 		d.groups = append(d.groups, g)
 	}
 	return g
 }
 
-// list keeps up with the member list. Its roles are late or of the day's start: they fill a slot first alone.
+// updateMembers applies the member list. As its roles are late, its primary fills only a new slot, or, if it tracks roles, one that last held another.
 func (d *Driver) updateMembers(ev *Event) {
 	if ev.List == ListFailed {
 		d.watchBackoff = min(max(2*d.watchBackoff, minBackoff), 2*maxBackoff)
@@ -261,14 +271,13 @@
 		if m == nil {
 			hash := fnv.New32a()
 			hash.Write([]byte(entry.Member))
-			m = &member{id: entry.Member, hash: hash.Sum32() >> 8, group: d.ensureGroup(entry.Group), position: -1,
-				heardAt: d.now, replicaSeenAt: math.Inf(-1), readmittedAt: math.Inf(-1), window: initialWindow / 2,
-				zone: entry.Zone, zonePenalty: d.zonePenalty(entry.Zone)}
+			m = &member{id: entry.Member, hash: hash.Sum32() >> 8, group: d.ensureGroup(entry.Group), position: -1, heardAt: d.now,
+				replicaSeenAt: math.Inf(-1), readmittedAt: math.Inf(-1), window: initialWindow / 2, zone: entry.Zone, zonePenalty: d.zonePenalty(entry.Zone)}
 			d.members[entry.Member] = m
 			m.group.members = append(m.group.members, m)
 			_, taken := d.membersByHash[m.hash]
 			if d.membersByHash[m.hash] = m; taken {
-				d.membersByHash[m.hash] = nil // two members of one hash: peers cannot tell us of either
+				d.membersByHash[m.hash] = nil // a hash collision: messages of peers about either member are ambiguous and ignored
 			}
 		}
 		listed[m] = true
@@ -281,11 +290,10 @@
 		if entry.Started > m.startedAt {
 			d.beginWarmUp(m, entry.Started)
 			if g.Holder == m && entry.Started > g.SeenAt {
-				d.emptySlot(m, false, "restarted") // it comes back as a replica
+				d.emptySlot(m, false, "restarted") // a restarted primary comes back as a replica
 			}
 		}
-		if entry.Primary && !m.listedPrimary && g.Holder == nil && m.replicaSeenAt <= g.EmptiedAt &&
-			(g.LastHolder == nil || d.listTracksRole && g.LastHolder != m) {
+		if entry.Primary && !m.listedPrimary && g.Holder == nil && m.replicaSeenAt <= g.EmptiedAt && (g.LastHolder == nil || d.listTracksRole && g.LastHolder != m) {
 			d.fillSlot(m, math.Inf(-1), "list")
 		}
 		m.listedPrimary = entry.Primary
@@ -301,8 +309,8 @@
 	}
 }
 
-// recall takes what an earlier run knew as dated evidence: a primary seen within the time of a switch fills
-// the slot; one seen before only orders the search, and yields to a list that follows roles.
+// restoreMemory takes what an earlier run knew as dated evidence. A primary seen within the trust window, in which no other can
+// have been promoted, fills the slot; one seen earlier is only probed first, and yields to a member list that tracks roles.
 func (d *Driver) restoreMemory(memory *Memory) {
 	d.commitCeiling = max(d.commitCeiling, memory.Ceiling)
 	for _, g := range d.groups {
@@ -321,11 +329,11 @@
 		if m.position = max(m.position, saved.Position); saved.Window > 0 {
 			m.window = saved.Window
 		}
-		if saved.StartedAt > 0 && saved.StartedAt >= m.startedAt { // what it may be sent while cold begins at nothing, not anew
+		if saved.StartedAt > 0 && saved.StartedAt >= m.startedAt { // the cold budget starts empty: a restart of the driver grants no new one
 			m.startedAt, m.readmittedAt, m.coldCredit, m.coldCreditAt = saved.StartedAt, saved.StartedAt, 0, d.now
 		}
 		if saved.EjectedAt >= m.startedAt && saved.EjectedAt > 0 && !m.draining {
-			m.ejected, m.ejectedAt, m.backoff, m.nextTrialAt = true, saved.EjectedAt, minBackoff, d.jittered(minBackoff)
+			m.ejected, m.ejectedAt, m.backoff, m.nextTrialAt = true, saved.EjectedAt, minBackoff, d.jitter(minBackoff)
 			if saved.Disconnected {
 				m.disconnectFlag = flagDisconnected
 			}
@@ -337,7 +345,7 @@
 	for _, r := range memory.Groups {
 		g, m := d.groupsByID[r.Group], d.members[r.Primary]
 		if g != nil && r.WorkRate > 0 {
-			g.warmWorkRate, g.uncertainty = r.WorkRate, min(d.fleetScale-1, 1) // alike in all drivers that start at once: chance decides
+			g.warmWorkRate, g.uncertainty = r.WorkRate, min(d.fleetScale-1, 1) // drivers that start together know the same, so their choices must be random
 		}
 		if g == nil || m == nil || m.group != g || r.SeenAt <= g.SeenAt || m.startedAt > r.SeenAt {
 			continue
@@ -360,44 +368,42 @@
 		memory.OpTypes = append(memory.OpTypes, TypeMemory{Typical: t.meanLatency, Best: t.bestLatency})
 	}
 	for _, g := range d.groups {
-		r := GroupMemory{Group: g.id, InSlot: g.Holder != nil, WorkRate: g.warmWorkRate, LastCommit: g.lastCommit}
+		saved := GroupMemory{Group: g.id, InSlot: g.Holder != nil, WorkRate: g.warmWorkRate, LastCommit: g.lastCommit}
 		if p := cmp.Or(g.Holder, g.LastHolder); p != nil && !math.IsInf(g.SeenAt, -1) {
-			r.Primary, r.SeenAt = p.id, g.SeenAt
+			saved.Primary, saved.SeenAt = p.id, g.SeenAt
 		}
-		memory.Groups = append(memory.Groups, r)
+		memory.Groups = append(memory.Groups, saved)
 		for _, m := range g.members {
-			r := MemberMemory{Member: m.id, Group: g.id, Position: m.position, StartedAt: m.startedAt, Disconnected: m.disconnectFlag != 0,
-				Window: m.window}
+			saved := MemberMemory{Member: m.id, Group: g.id, Position: m.position, StartedAt: m.startedAt, Disconnected: m.disconnectFlag != 0, Window: m.window}
 			if m.ejected {
-				r.EjectedAt = m.ejectedAt
+				saved.EjectedAt = m.ejectedAt
 			}
-			memory.Members = append(memory.Members, r)
+			memory.Members = append(memory.Members, saved)
 		}
 	}
 }
 
-// denied says whether no other member can be the primary, as all say that they are replicas or don't answer.
+// noOtherCandidate reports whether no member but p can be the primary: all others have reported that they are replicas, drain or are ejected.
 func (g *group) noOtherCandidate(p *member) bool {
 	return !slices.ContainsFunc(g.members, func(m *member) bool {
 		return m != p && !m.draining && !m.ejected && math.IsInf(m.replicaSeenAt, -1)
 	})
 }
 
-// leave takes a member out of service: one that drains or is gone gets nothing new from now on.
+// withdraw takes a member that drains or is gone out of service: it gets no new sends.
 func (d *Driver) withdraw(m *member, phase Phase) {
 	if phase == Gone && m.unlistedAt == 0 {
 		m.unlistedAt = d.now
 	}
-	if !m.draining && (phase != Gone || !d.onlyDrainBinds) { // else the list does not establish which members are up
+	if !m.draining && (phase != Gone || !d.onlyDrainBinds) { // with onlyDrainBinds the list does not establish which members are up
 		if m.draining = true; m.group.Holder == m {
 			d.emptySlot(m, false, "drains")
 		}
 	}
 }
 
-// forgets lets go of a member that left the list so long ago that no late word of it comes, with nothing out.
-// Where only draining binds, a list may name a drained member as gone much later, and it must not come back
-// new: it is kept twenty times as long.
+// prune forgets a member that left the list so long ago that no late evidence of it can arrive, and reports whether it did. With onlyDrainBinds,
+// drained members are kept twenty times as long: a list may name one as gone much later, and it must not be taken for a new one.
 func (d *Driver) prune(m *member) bool {
 	retention := max(d.coldFor, 5*maxBackoff)
 	if m.draining && d.onlyDrainBinds {
@@ -428,8 +434,8 @@
 	d.route(o)
 }
 
-// turnAway refuses by chance under strain, types that earn little for their work more often. Guards against
-// queues in which answers are late, whatever fills them. It could harm where the strain is of one member.
+// shed reports whether a read is refused at random because many are late, op types of little value per work more often. This keeps
+// queues short whatever fills them; it sheds too much where a single member causes the overload.
 func (d *Driver) shed(o *op) bool {
 	probability := o.group.lateFraction[o.kind.index] * shedSlope * (1 + 3*o.group.uncertainty*o.group.uncertainty)
 	if probability <= 0 || o.kind.need == Write {
@@ -439,8 +445,8 @@
 	return d.random() < min(probability*(1.5-o.kind.value/o.kind.meanLatency/(mostValuable.value/mostValuable.meanLatency)), 0.9)
 }
 
-// route is the ordinary path of an op: writes and fresh reads go to the writer slot's primary and wait while
-// it is empty; other reads go to the replica that is fresh enough and least in use, else to the primary.
+// route sends or queues an op: writes and fresh reads go to the primary in the writer slot and are queued while it is empty;
+// other reads go to the least loaded replica that is fresh enough, else to the primary.
 func (d *Driver) route(o *op) {
 	g := o.group
 	if d.now >= o.deadline || len(o.sends) >= d.sendCap && o.openSends == 0 {
@@ -455,10 +461,10 @@
 		if to, fresh = d.pickReplica(o); to == nil && !fresh && d.membersCheckLag && !o.missed {
 			to = d.mostAdvanced(o, false)
 		}
-		mayBeDeposed := d.probesShowRole && o.kind.need == Bounded && g.SeenAt > 0 && d.now-g.SeenAt > o.kind.maxAge // may be deposed
-		if p := g.Holder; to == nil && p != nil && !p.ejected && !mayBeDeposed && (!fresh ||
-			float64(p.inFlight) < p.window*headroom && (1-o.admissionDraw)*g.uncertainty*g.uncertainty*float64(g.serving) < headroom) {
-			to = p // all drivers together spill to it no more than half of a replica's reads
+		mayBeDeposed := d.probesShowRole && o.kind.need == Bounded && g.SeenAt > 0 && d.now-g.SeenAt > o.kind.maxAge // no evidence of it within the bound
+		if primary := g.Holder; to == nil && primary != nil && !primary.ejected && !mayBeDeposed && (!fresh ||
+			float64(primary.inFlight) < primary.window*headroom && (1-o.admissionDraw)*g.uncertainty*g.uncertainty*float64(g.serving) < headroom) {
+			to = primary // all drivers together move at most half of a replica's reads to it
 		}
 		if to == nil && !fresh && o.kind.need == Any {
 			to = d.mostAdvanced(o, true)
@@ -479,20 +485,16 @@
 	}
 }
 
-func (d *Driver) positionWithin(m *member, age float64) bool {
-	return m.position >= d.now-d.positionZero-age
-}
+func (d *Driver) lagWithin(m *member, ms float64) bool { return m.position >= d.now-d.positionZero-ms }
 
-// fresh says whether what is known of a member's position covers the op's need, were it sent now.
+// isFresh reports whether a member's newest known position satisfies the need of an op that is sent to it now.
 func (d *Driver) isFresh(o *op, m *member) bool {
 	k := o.kind
-	return k.need == Any || k.need == Bounded && d.positionWithin(m, k.maxAge) ||
-		k.need == Session && (o.minPosition <= 0 || m.position >= o.minPosition)
+	return k.need == Any || k.need == Bounded && d.lagWithin(m, k.maxAge) || k.need == Session && (o.minPosition <= 0 || m.position >= o.minPosition)
 }
 
-// replica is the companion rule: of the replicas fresh enough, that with fewest own sends in flight, a cold
-// one counting as smaller. Distance only tips near ties. A member set aside gets one trial when its pause is
-// over, by a read that may run again elsewhere. It also says whether any was fresh.
+// pickReplica returns the replica with the lowest load estimate among those that are fresh enough and have capacity, nil for none,
+// and reports whether any was fresh enough. An ejected member gets one trial op when its backoff is over: a read that can be retried.
 func (d *Driver) pickReplica(o *op) (*member, bool) {
 	var best *member
 	minLoad, anyFresh := math.Inf(1), false
@@ -501,10 +503,9 @@
 			continue
 		}
 		if m.ejected {
-			if d.now >= m.nextTrialAt && o.kind.effect == Retryable && o.openSends == 0 && d.hasCapacity(m, o) &&
-				(d.membersCheckLag || d.isFresh(o, m)) {
+			if d.now >= m.nextTrialAt && o.kind.effect == Retryable && o.openSends == 0 && d.hasCapacity(m, o) && (d.membersCheckLag || d.isFresh(o, m)) {
 				m.backoff = min(2*m.backoff, maxBackoff)
-				m.nextTrialAt = d.jittered(m.backoff)
+				m.nextTrialAt = d.jitter(m.backoff)
 				return m, true
 			}
 			continue
@@ -520,14 +521,14 @@
 	return best, anyFresh
 }
 
-// load is what the companion rule compares: own sends in flight. The fewer they are the more members are
-// drawn by chance, in proportion: many drivers know the same of them and must not act as one.
+// loadEstimate estimates a member's load from the own sends in flight, relative to its warmth, and from its latency and zone. The fewer
+// own sends there are, the more it is randomised: drivers that know the same must not all choose the same member.
 func (d *Driver) loadEstimate(m *member) float64 {
-	l := float64(m.inFlight+1)/d.warmth(m) + latencyPenalty*(1+2*m.group.uncertainty)*m.latencyRatio + 0.05*d.random()
-	return (l + m.zonePenalty) * math.Pow(-math.Log(1-d.random()), m.group.uncertainty)
+	load := float64(m.inFlight+1)/d.warmth(m) + latencyPenalty*(1+2*m.group.uncertainty)*m.latencyRatio + 0.05*d.random()
+	return (load + m.zonePenalty) * math.Pow(-math.Log(1-d.random()), m.group.uncertainty)
 }
 
-// toll is what a zone's members cost more: by the plan that holds, or for another zone.
+// zonePenalty returns what the load estimate of a zone's members has added: by the plan in force, else for a zone other than the driver's.
 func (d *Driver) zonePenalty(zone string) float64 {
 	if penalty, planned := d.zonePenalties[zone]; planned || zone == d.zone {
 		return penalty
@@ -535,20 +536,19 @@
 	return remoteZonePenalty
 }
 
-// apart puts reads of any age rather where data is not fresh anyway, as fresh replicas are scarce for others.
+// freshnessPenalty makes reads of any age prefer replicas that lag, as reads that need fresh replicas have fewer to choose from.
 func (d *Driver) freshnessPenalty(o *op, m *member) float64 {
-	if o.kind.need == Any && d.positionWithin(m, d.minMaxAge) {
+	if o.kind.need == Any && d.lagWithin(m, d.minMaxAge) {
 		return freshReplicaPenalty
 	}
 	return 0
 }
 
-// farthest is the replica with the newest known position; as a last resort any member, even one set aside.
+// mostAdvanced returns the replica with the newest known position; as a last resort any member, even an ejected one.
 func (d *Driver) mostAdvanced(o *op, lastResort bool) *member {
 	var best *member
 	for _, m := range o.group.members {
-		if !m.draining && !o.sentTo(m) && (lastResort || m != o.group.Holder && !m.ejected) && d.hasCapacity(m, o) &&
-			(best == nil || m.position > best.position) {
+		if !m.draining && !o.sentTo(m) && (lastResort || m != o.group.Holder && !m.ejected) && d.hasCapacity(m, o) && (best == nil || m.position > best.position) {
 			best = m
 		}
 	}
@@ -559,7 +559,7 @@
 	return !m.draining && !o.done && len(o.sends) < d.sendCap && (o.openSends == 0 || d.mayOverlap) && d.mayRepeat(o, m)
 }
 
-// mayRepeat says whether what an op's earlier sends may have done allows another to m, or anywhere for nil.
+// mayRepeat reports whether the earlier sends of an op, which may have run, allow another send to m, or to any member if m is nil.
 func (d *Driver) mayRepeat(o *op, m *member) bool {
 	for i := range o.sends {
 		s := &o.sends[i]
@@ -572,6 +572,7 @@
 	return true
 }
 
+// warmth returns the fraction of its full capacity that a member has while it warms up, 1 after that.
 func (d *Driver) warmth(m *member) float64 {
 	if age := d.now - m.startedAt; m.startedAt > 0 && age < d.coldFor {
 		return d.coldFrom + (1-d.coldFrom)*max(age, 0)/d.coldFor
@@ -579,24 +580,23 @@
 	return 1
 }
 
-// chill notes a member's start. Its first credit comes by chance, lest many drivers spend it at once.
+// beginWarmUp records a member's start. Its first credit is random, lest many drivers spend it at the same time.
 func (d *Driver) beginWarmUp(m *member, started float64) {
 	m.startedAt, m.coldCredit, m.coldCreditAt = started, d.random()*d.opTypes[0].meanLatency, d.now
 }
 
-// admits says whether a member has room: in its window, after its last full reply, and, while it is cold, in
-// its budget: a share of the work that this driver has answered by a member on average, so that all stay
-// under it.
+// hasCapacity reports whether a member may get an op: it has room in its window, didn't just reply that it is full, and has budget left
+// while cold. The budget is a fraction of this driver's mean work per member, so that all drivers together stay below the limit.
 func (d *Driver) hasCapacity(m *member, o *op) bool {
 	k, limit, share := o.kind, m.window, 1.0
-	if d.fleetScale > 2 { // hardly a send is out anywhere, no window binds: the mean times that all tell of do
+	if d.fleetScale > 2 { // one driver's sends hardly fill a window: the latency ratios that all drivers gossip limit the ops instead
 		share = min(1/m.overload, 1)
-		if m == m.group.Holder && k.need < Fresh { // writes first, alone while what was held comes
+		if m == m.group.Holder && k.need < Fresh { // writes come first, and alone while those queued for a new primary are sent
 			share *= share * share * math.Floor(min((d.now-m.group.filledAt)/probeInterval, 1))
 		}
 	}
 	if k.need == Write {
-		limit, share = 2*limit, 2*share // nowhere else to go; other reads make way first
+		limit, share = 2*limit, 2*share // a write has no other member to go to: reads are limited first
 	}
 	if float64(m.inFlight) >= limit || o.admissionDraw >= share || d.now < m.fullUntil {
 		return false
@@ -611,14 +611,13 @@
 	return m.coldCredit >= k.meanLatency
 }
 
-// easy is the mean time of answers above which a member has too much work.
+// overloadLatency returns the mean latency of an op type above which a member counts as overloaded.
 func (d *Driver) overloadLatency(k *opKind) float64 {
 	return max(overloadTargetFraction*k.latencyTarget, min(overloadBestMultiple*k.bestLatency, overloadTargetCap*k.latencyTarget))
 }
 
-// pace learns from how long an answer took, an own one or a peer's, and moves the window. Guards against
-// queues whatever fills them; it could harm where ops turn long by themselves: they then wait here instead of
-// there.
+// recordLatency records the latency ratio of an answer to this driver or a peer and adapts the window. This keeps members' queues short
+// whatever fills them; where ops become longer by themselves it only moves the wait from the member to the driver.
 func (d *Driver) recordLatency(m *member, k *opKind, ratio float64, full, own bool) {
 	g := m.group
 	if d.resumedAt == d.now {
@@ -660,7 +659,7 @@
 	return slices.ContainsFunc(o.sends, func(s send) bool { return s.member == m })
 }
 
-// answer takes the end of a send.
+// endSend handles the end of a send.
 func (d *Driver) endSend(ev *Event) {
 	o := d.ops[ev.Op]
 	if o == nil || ev.Send < 0 || ev.Send >= len(o.sends) || !o.sends[ev.Send].open {
@@ -676,7 +675,7 @@
 	if note := ev.Note; ev.Outcome == OK || ev.Outcome == Miss || ev.Outcome == Full || ev.Outcome == Fault {
 		m.heardAt, m.overdue, m.disconnects = d.now, 0, 0
 		if o.kind.need == Write && note.Position > 0 {
-			note.Position-- // commits are rounded up
+			note.Position-- // commit positions are rounded up
 		}
 		d.observe(m, note, s.sentAt, "answer")
 		d.observe(m, ev.Report, s.sentAt-probeInterval, "report")
@@ -686,19 +685,19 @@
 		d.recordSuccess(o, m, s.sentAt, ev)
 	case TimedOut, Cancelled:
 		if s.weight > 0 {
-			d.recordLatency(m, o.kind, (d.now-s.sentAt)/d.overloadLatency(o.kind), false, true) // the member may still be at work on it
+			d.recordLatency(m, o.kind, (d.now-s.sentAt)/d.overloadLatency(o.kind), false, true) // the member may still be running it
 		}
 		m.overdue += (d.now - max(s.sentAt, m.heardAt, d.resumedAt)) / o.kind.meanLatency
 	case ConnectFailed, Reset:
 		recent := ev.Outcome == Reset || m.inFlight > 0 || d.now-m.heardAt < 2*max(d.gossipInterval, o.kind.meanLatency)
 		if m.disconnects++; s.sentAt >= m.readmittedAt && (!recent || m.inFlight == 0 && m.disconnects >= disconnectLimit) {
-			d.eject(m, flagSilent|flagDisconnected, "connection") // the dead break and refuse all; some break alone
+			d.eject(m, flagSilent|flagDisconnected, "connection") // a dead member breaks or refuses all connections; a single one also breaks otherwise
 		} else if ev.Outcome == ConnectFailed {
-			d.recordLatency(m, o.kind, 1, true, true) // it serves on connections that it has; new ones are slow or few
+			d.recordLatency(m, o.kind, 1, true, true) // it answers on existing connections; new ones are slow or few
 		}
 	case Fault:
 		if o.faultedBy != nil && !o.done && o.openSends == 0 {
-			d.rejectOp(o) // two members failed it: the fault follows the op
+			d.rejectOp(o) // two members returned an error: the op itself causes it
 		}
 		o.faultedBy = m
 	case Full:
@@ -720,18 +719,18 @@
 		d.rejectOp(o)
 	case o.openSends > 0:
 	case ev.Outcome == Full:
-		d.enqueue(o) // the next sweep tries again, elsewhere if it can
+		d.enqueue(o) // the next sweep tries again, at another member if possible
 	case d.mayRepeat(o, nil):
 		d.route(o)
 	default:
-		d.rejectOp(o) // what may have run and may not run again is given up at once
+		d.rejectOp(o) // it may have run and must not run again
 	}
 }
 
 func (d *Driver) recordSuccess(o *op, m *member, sentAt float64, ev *Event) {
 	latency := d.now - sentAt
 	m.errorRate -= m.errorRate * errorSmoothing
-	if f := o.faultedBy; f != nil { // an error is a member's only where another answers the op well
+	if f := o.faultedBy; f != nil { // an error counts against a member only if another one answers the op
 		if o.faultedBy, f.errorRate = nil, f.errorRate+(1-f.errorRate)*errorSmoothing; f.errorRate > errorRateLimit {
 			d.eject(f, 0, "errors")
 		}
@@ -744,17 +743,17 @@
 	o.group.work += o.kind.meanLatency
 	bestRise := smoothing / 20
 	if m.window <= max(1, m.uncongestedInFlight*windowFloorFraction) {
-		bestRise = smoothing // it can't be this driver's sends that make the member slow
+		bestRise = smoothing // with a window this small, the own sends can't be what makes the member slow
 	}
 	o.kind.bestLatency = min(o.kind.bestLatency+(o.kind.meanLatency-o.kind.bestLatency)*bestRise, o.kind.meanLatency)
 	ratio := latency / d.overloadLatency(o.kind)
-	if m != o.group.Holder && !d.positionWithin(m, d.minMaxAge*laggingFraction) {
-		ratio = max(ratio, laggingRatio) // crowded: its log waits for the cores; it could harm where the log alone is slow
+	if m != o.group.Holder && !d.lagWithin(m, d.minMaxAge*laggingFraction) {
+		ratio = max(ratio, laggingRatio) // lag is taken for a lack of CPU for applying the log, wrongly where only the log transfer is slow
 	}
 	d.recordLatency(m, o.kind, ratio, false, true)
 	d.readmit(m, "answers")
 	if ev.Opened > 0 && ev.Opened < m.startedAt && m.startedAt == m.readmittedAt {
-		m.startedAt = 0 // its connection is older than the start that its return was taken for
+		m.startedAt = 0 // the connection is older than the start that was inferred when the member was readmitted
 	}
 	d.recordLateness(o, min(math.Floor((d.now-o.arrivedAt)/o.kind.latencyTarget), 1))
 	if o.kind.need == Write {
@@ -769,7 +768,7 @@
 	}
 }
 
-// learn takes role and position, as old as the position (a primary stands at the present) or else the asking.
+// observe takes a member's role and position. They date from the position, as a primary's is the present time, else from when it was asked.
 func (d *Driver) observe(m *member, sight Sight, askedAt float64, source string) {
 	if sight.Position > m.position {
 		m.position, m.gossipPending = sight.Position, true
@@ -788,22 +787,22 @@
 	}
 }
 
-func (d *Driver) observePrimary(m *member, when float64, source string) {
-	if g := m.group; g.Accepts(m, when, m.replicaSeenAt, m.draining, m.heardAt == d.now) { // a silent one may speak again
-		d.fillSlot(m, when, source)
+func (d *Driver) observePrimary(m *member, observedAt float64, source string) {
+	if g := m.group; g.Accepts(m, observedAt, m.replicaSeenAt, m.draining, m.heardAt == d.now) { // after silence only an answer to this driver counts
+		d.fillSlot(m, observedAt, source)
 	}
 }
 
-func (d *Driver) fillSlot(m *member, when float64, source string) {
+func (d *Driver) fillSlot(m *member, observedAt float64, source string) {
 	g := m.group
-	if g.Holder != nil || g.LastHolder != nil && (g.LastHolder != m || d.now-g.EmptiedAt >= minBackoff) { // all let go of writes
+	if g.Holder != nil || g.LastHolder != nil && (g.LastHolder != m || d.now-g.EmptiedAt >= minBackoff) { // all drivers now send it their queued writes
 		m.window, m.latencyRatio = min(m.window, initialWindow), max(m.latencyRatio, min(initialLatencyRatio, d.fleetScale-1))
 		g.filledAt, m.overload = d.now, m.latencyRatio
 	}
-	g.Fill(m, when)
+	g.Fill(m, observedAt)
 	d.readmit(m, source)
 	if m.gossipPending, m.unconfirmed = true, false; source == "answer" || source == "report" {
-		m.gossipedAt = d.now - d.gossipInterval // the others wait for this word
+		m.gossipedAt = d.now - d.gossipInterval // peers wait for this news: due at once
 	}
 	d.log("group %d: %s is primary (%s), %d open", g.id, m.id, source, len(g.openOps))
 	d.routeQueued(g)
@@ -821,8 +820,8 @@
 	if !d.probesShowRole || d.now < g.nextProbeAt {
 		return
 	}
-	probability := probersPerMember / (3 * d.fleetScale) // what one finds, all are told
-	if d.noGossip {                                      // many, and nobody to tell: each asks for itself, and only for what waits
+	probability := probersPerMember / (3 * d.fleetScale) // what one driver finds it gossips to all
+	if d.noGossip {                                      // every driver must find out for itself, but only if an op waits for the result
 		if g.Holder != nil || !slices.ContainsFunc(g.openOps, func(o *op) bool { return o.queued }) {
 			return
 		}
@@ -838,8 +837,8 @@
 	}
 }
 
-// release routes held ops, oldest first, those that can still meet their latency target before the others,
-// lest every op of a long queue be late. It could harm old ops under lasting want of room.
+// routeQueued routes queued ops, oldest first, but those that can still meet their latency target before the others, lest all ops of a
+// long queue be late. Under a lasting lack of capacity this delays old ops further.
 func (d *Driver) routeQueued(g *group) {
 	for _, late := range [...]bool{false, true} {
 		for _, o := range g.openOps {
@@ -850,14 +849,14 @@
 	}
 }
 
-// setAside keeps ops from a member that does not answer, breaks connections or fails what it is sent, and
-// empties the slot of a silent or dead primary. It could harm where one member's times rise at once.
+// eject stops sends to a member that is silent, breaks connections or returns errors, and empties the slot of a silent or dead primary.
+// A sudden rise of a single member's latency can be mistaken for silence. flags is what peers are told, 0 for nothing.
 func (d *Driver) eject(m *member, flags uint64, reason string) {
 	if !m.ejected {
-		m.gossipFlags = 0 // what was good of it is no news any more
+		m.gossipFlags = 0 // pending news of good answers is void
 	}
 	if flags != 0 && reason != "peer" && (!m.ejected || flags&flagDisconnected > m.disconnectFlag) {
-		m.gossipPending, m.gossipFlags, m.gossipedAt = true, flags, d.now-d.gossipInterval // peers took one set aside for silent, not dead
+		m.gossipPending, m.gossipFlags, m.gossipedAt = true, flags, d.now-d.gossipInterval // also if it was ejected as silent and now proves dead
 	}
 	if m.disconnectFlag |= flags & flagDisconnected; m.ejected {
 		return
@@ -865,24 +864,22 @@
 	if m.backoff == 0 || d.now-m.readmittedAt > 10*m.backoff {
 		m.backoff = minBackoff
 	}
-	m.ejected, m.ejectedAt, m.nextTrialAt = true, d.now, d.jittered(m.backoff)
+	m.ejected, m.ejectedAt, m.nextTrialAt = true, d.now, d.jitter(m.backoff)
 	d.log("group %d: %s set aside: %s", m.group.id, m.id, reason)
 	if flags != 0 && m.group.Holder == m {
 		d.emptySlot(m, true, reason)
 	}
 }
 
-// after is a time to act after a pause, for many drivers spread so that they act together as often as three.
-func (d *Driver) jittered(pause float64) float64 {
-	return d.now + pause*(1+2*(d.fleetScale-1)*d.random())
-}
+// jitter returns a time after a wait, spread at random so that a fleet together acts about as often as three drivers.
+func (d *Driver) jitter(wait float64) float64 { return d.now + wait*(1+2*(d.fleetScale-1)*d.random()) }
 
 func (d *Driver) readmit(m *member, source string) {
 	if !m.ejected {
 		return
 	}
-	if d.now-m.ejectedAt >= minBackoff { // sooner it was a false alarm
-		if m.window = min(m.window, initialWindow); m.disconnectFlag != 0 && m.startedAt < m.ejectedAt { // it has started again
+	if d.now-m.ejectedAt >= minBackoff { // sooner than that, the ejection was a false alarm
+		if m.window = min(m.window, initialWindow); m.disconnectFlag != 0 && m.startedAt < m.ejectedAt { // a restart is inferred
 			d.beginWarmUp(m, d.now)
 		}
 	}
@@ -890,7 +887,7 @@
 	d.log("group %d: %s is back (%s)", m.group.id, m.id, source)
 }
 
-// finish gives an op its final answer: busy where that is true, an error where it may have run.
+// rejectOp gives an op its final answer: busy if it surely didn't run or may run again, else an error.
 func (d *Driver) rejectOp(o *op) {
 	mayHaveRun := slices.ContainsFunc(o.sends, func(s send) bool { return !s.neverRan })
 	if !mayHaveRun || o.kind.effect == Retryable || o.kind.effect == Tokened && o.kind.scope == ScopeAll {
@@ -909,7 +906,7 @@
 	o.queued, o.done = false, true
 	for i := range o.sends {
 		if wait := 0.0; o.sends[i].open && d.mayCancel {
-			if o.clientGone { // cut off, its connection would be lost with it; the member may run it all the same
+			if o.clientGone { // cancelling would cost the connection, and the member may run the op anyway: allow it some time to end
 				wait = o.kind.latencyTarget
 			}
 			d.emit(Action{Kind: ActCancel, Op: o.id, Send: i, Wait: wait})
@@ -924,7 +921,7 @@
 	for _, g := range d.groups {
 		elapsed := d.now - g.sweptAt
 		if len(g.openOps) == 0 && elapsed < probeInterval {
-			continue // nothing of its own is there: now and then is enough, however many groups there are
+			continue // groups without open ops are swept less often, as there may be many
 		}
 		if g.sweptAt = d.now; d.now >= g.nextPruneAt {
 			g.members, g.nextPruneAt = slices.DeleteFunc(g.members, d.prune), d.now+maxBackoff
@@ -934,7 +931,7 @@
 		if elapsed > 0 {
 			g.workRate += (g.work/elapsed - g.workRate) * min(elapsed/max(d.coldRateSpan, 5*probeInterval)/min(d.fleetScale, 4), 1)
 			if g.work = 0; g.workRate > g.warmWorkRate || g.minWarmth == 1 {
-				g.warmWorkRate = g.workRate // while members are cold, what they got before they were replaced holds
+				g.warmWorkRate = g.workRate // while members are cold, the rate from before their restart stays
 			}
 			g.uncertainty = min(d.fleetScale-1, 1) / (1 + certaintyGain*g.warmWorkRate/float64(max(g.serving, 1)))
 		}
@@ -946,7 +943,7 @@
 		}
 		g.openOps = slices.DeleteFunc(g.openOps, func(o *op) bool { return o.done && o.openSends == 0 })
 		for i := range g.lateFraction {
-			speedup := max(1, min(d.fleetScale, 8)*(1-g.latencyRatio)) // few answers each, but word of all that members are
+			speedup := max(1, min(d.fleetScale, 8)*(1-g.latencyRatio)) // few own answers, but gossip of fast replicas
 			g.lateFraction[i] -= g.lateFraction[i] * min(smoothing*elapsed/probeInterval*speedup, 1)
 		}
 	}
@@ -957,7 +954,7 @@
 	if d.gossipInterval > 0 {
 		decay := d.sweepInterval / (2 * idleProbeInterval)
 		if d.messageRate -= d.messageRate * 2 * decay; d.messageRate > cmp.Or(d.maxMessageRate, gossipBudget/d.fleetScale) {
-			d.gossipInterval *= 1 + decay // what all drivers together are sent stays bounded, however many they are
+			d.gossipInterval *= 1 + decay // bounds the messages of the whole fleet, whatever its size
 		} else {
 			d.gossipInterval = max(d.gossipInterval*(1-decay), d.minGossipInterval)
 		}
@@ -967,13 +964,12 @@
 
 func (d *Driver) sweepOp(o *op) {
 	switch {
-	case d.now >= o.deadline || o.queued && (!o.transmitted && d.now-o.arrivedAt > unsentWaitFraction*(o.deadline-o.arrivedAt) ||
-		!d.mayRepeat(o, nil)):
-		d.rejectOp(o) // its time or its token has run out; unsent, its client still has time to ask again
+	case d.now >= o.deadline || o.queued && (!o.transmitted && d.now-o.arrivedAt > unsentWaitFraction*(o.deadline-o.arrivedAt) || !d.mayRepeat(o, nil)):
+		d.rejectOp(o) // its deadline or token window has passed, or it was never transmitted and its client still has time to retry
 	case o.queued && o.kind.need < Fresh && (!o.noCandidate && d.now-o.arrivedAt > readWaitFraction*o.kind.latencyTarget ||
 		d.now-o.arrivedAt+o.kind.meanLatency > o.kind.latencyTarget):
 		d.recordLateness(o, 1)
-		d.rejectOp(o) // while a further try by the client can still be in time
+		d.rejectOp(o) // early, while a retry by the client can still be in time
 	case o.queued:
 		d.tryAsPrimary(o)
 	case d.mayOverlap && o.kind.effect != NonRetryable && d.hedgeBudget >= 1:
@@ -986,13 +982,13 @@
 			}
 		}
 		if sendsBefore := len(o.sends); d.now-newestSentAt >= min(2*o.kind.meanLatency, o.kind.latencyTarget) {
-			d.route(o) // all that it waits for are set aside
+			d.route(o) // all members that it waits for are ejected: hedge
 			d.hedgeBudget -= float64(len(o.sends) - sendsBefore)
 		}
 	}
 }
 
-// tryRole lets one held write at a time try members not heard of late, where no probe can tell the primary.
+// tryAsPrimary sends one queued write at a time to members that may be the primary, if probes don't show roles. A miss proves that it didn't run.
 func (d *Driver) tryAsPrimary(o *op) {
 	g := o.group
 	if g.Holder != nil || g.trialOp != nil && g.trialOp.openSends > 0 || d.probesShowRole || o.kind.need != Write ||
@@ -1014,8 +1010,8 @@
 	}
 }
 
-// silence sets aside a member that owes more than chance explains: at the usual rate, no answer comes for so
-// long with a chance of e to minus the sum. It must stand out, lest a shared slowdown pass for it.
+// detectSilence ejects members whose missing answers chance doesn't explain: at the usual rate of answers, none comes for so long with
+// probability exp(-suspicion). The limit rises with the other members' suspicion, so that a slowdown of all is not taken for silence.
 func (d *Driver) detectSilence(g *group) {
 	totalSuspicion, busyMembers := 0.0, 0.0
 	g.serving, g.minWarmth = 0, 1
@@ -1034,7 +1030,7 @@
 				overdue := (d.now - max(s.sentAt, s.member.heardAt, d.resumedAt)) / o.kind.meanLatency
 				s.member.suspicion += overdue
 				totalSuspicion += overdue
-				if s.member.heardAt > s.sentAt && d.now-s.sentAt > lostSendMultiple*o.kind.meanLatency { // others got answers since
+				if s.member.heardAt > s.sentAt && d.now-s.sentAt > lostSendMultiple*o.kind.meanLatency { // later sends were answered
 					s.member.inFlight -= s.weight
 					s.weight = 0
 				}
@@ -1053,26 +1049,25 @@
 }
 
 const (
-	flagPrimary, flagGood, flagSilent, flagDisconnected, ratioShift = 1, 2, 4, 2, 3   // good and silent: cut off
-	positionRange, ratioScale, entryBytes                           = 1 << 24, 6.0, 7 // 24 bits for hash and position
+	flagPrimary, flagGood, flagSilent, flagDisconnected, ratioShift = 1, 2, 4, 2, 3   // flagDisconnected stands with flagSilent and shares its bit with flagGood
+	positionRange, ratioScale, entryBytes                           = 1 << 24, 6.0, 7 // 24 bits each for hash and position; latency ratios in sixths
 )
 
-// tell sends peers what own sends taught, of members that no driver told of for a while: so the fleet's
-// messages follow its members and not its drivers. It could harm only as far as a peer lies: positions never
-// go back, roles are dated by them, and silence is believed only of a member that nobody heard from.
+// sendGossip sends peers news about members of which no driver gossiped for gossipInterval, so that messages grow with members, not drivers.
+// False news do little harm: positions never go back, roles are dated by them, and silence is believed only of members that nobody heard from.
 func (d *Driver) sendGossip() {
 	var data []byte
 	for _, g := range d.groups {
 		for _, m := range g.members {
-			news := m.gossipPending && d.now >= m.gossipedAt+d.gossipInterval && len(data) < d.maxGossipEntries*entryBytes
-			if m.gossipPending = false; !news {
-				continue // were it kept, all who have some would tell it at once
+			due := m.gossipPending && d.now >= m.gossipedAt+d.gossipInterval && len(data) < d.maxGossipEntries*entryBytes
+			if m.gossipPending = false; !due {
+				continue // news isn't kept, else all drivers that have some would send it when the interval ends
 			}
 			flags, position := m.gossipFlags|uint64(min(m.gossipRatio*ratioScale, 31))<<ratioShift, uint64(0)
 			if g.Holder == m {
 				flags |= flagPrimary
 			}
-			if m.position > 0 && d.positionWithin(m, positionRange/2) {
+			if m.position > 0 && d.lagWithin(m, positionRange/2) {
 				position = uint64(m.position) % positionRange
 			}
 			m.gossipFlags, m.gossipRatio, m.gossipedAt = 0, 0, d.now
@@ -1095,7 +1090,7 @@
 		m.gossipedAt = d.now
 		flags, position := uint64(data[3]), 0.0
 		if lowBits := uint64(binary.BigEndian.Uint32(data[3:])) % positionRange; lowBits > 0 {
-			present := uint64(max(d.now-d.positionZero, 0)) + maxBackoff // no two clocks are quite alike
+			present := uint64(max(d.now-d.positionZero, 0)) + maxBackoff // allows for clock skew
 			position = float64(present) - float64((present-lowBits)%positionRange)
 		}
 		m.position = max(m.position, position)
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -161,23 +161,23 @@
 // When every member slows down alike, windows keep to what was out before and nobody is set aside.
 func TestSharedSlowdownKeepsWindowsOpen(t *testing.T) {
 	r := newFixture(t, testOpening())
-	run := func(took float64, rounds int) {
+	runReads := func(latency float64, rounds int) {
 		for i := range rounds {
-			var ids, at []string
+			var ids, targets []string
 			for j := range 4 {
 				id := fmt.Sprint(r.now, i, j)
 				if m := r.submit(id, anyRead, 1200); m != "" {
-					ids, at = append(ids, id), append(at, m)
+					ids, targets = append(ids, id), append(targets, m)
 				}
 			}
-			r.wait(took)
+			r.wait(latency)
 			for j, id := range ids {
-				r.answer(id, at[j], OK, Replica, r.now)
+				r.answer(id, targets[j], OK, Replica, r.now)
 			}
 		}
 	}
-	run(40, 150)
-	run(150, 60)
+	runReads(40, 150)
+	runReads(150, 60)
 	for _, m := range r.d.groups[0].members[1:] {
 		r.want(!m.ejected && m.window >= 1.5, fmt.Sprintf("%s in use with a window, has %.1f", m.id, m.window))
 	}
@@ -218,10 +218,10 @@
 	m := r.d.members["r"]
 	r.want(m.ejected, "a member that fails everything set aside")
 	r.now += 5000
-	e := gossipMessage(m, flagGood, 0, 0)
-	r.step(e)
+	message := gossipMessage(m, flagGood, 0, 0)
+	r.step(message)
 	r.want(!m.ejected, "it back on a peer's word of good answers")
-	r.step(Event{Kind: EvMessage, Data: e.Data[:entryBytes-1]}, Event{Kind: EvMessage})
+	r.step(Event{Kind: EvMessage, Data: message.Data[:entryBytes-1]}, Event{Kind: EvMessage})
 }
 
 // Some ops fail at every member. They must cost neither members nor many sends.
@@ -415,22 +415,22 @@
 
 // What many drivers know alike must not make them act as one; and a slow primary gets a share of the writes.
 func TestFleetSpreadsReadsAndLimitsWrites(t *testing.T) {
-	at, writes := map[string]int{}, 0
+	reads, writes := map[string]int{}, 0
 	for _, r := range newFleet(t, 90) {
 		for i := range 60 {
 			r.now += 20
 			r.step(gossipMessage(r.d.members["r"], flagGood, 0.5, r.now), gossipMessage(r.d.members["s"], flagGood, 1, r.now),
 				gossipMessage(r.d.members["p"], flagGood, 5, r.now), Event{Kind: EvTimer})
 			if i == 59 {
-				at[r.submit("a", anyRead, 1200)]++
+				reads[r.submit("a", anyRead, 1200)]++
 				if r.submit("w", writeOnce, 2000) != "" {
 					writes++
 				}
 			}
 		}
 	}
-	if at["r"] < at["s"] || at["s"] < 15 {
-		t.Errorf("reads %v, want both replicas used, the quicker one more", at)
+	if reads["r"] < reads["s"] || reads["s"] < 15 {
+		t.Errorf("reads %v, want both replicas used, the quicker one more", reads)
 	}
 	if writes < 20 || writes > 75 {
 		t.Errorf("%d of 90 writes at a primary four times over its easy times, want a share", writes)
--- a/logic/recall_test.go
+++ b/logic/recall_test.go
@@ -118,7 +118,7 @@
 
 // Rule 4: what a cold member may be sent begins at nothing after a restart, not at another first credit.
 func TestRestartGrantsNoNewColdBudget(t *testing.T) {
-	granted := func(k *Memory) (n int) {
+	firstOpsAtColdMember := func(k *Memory) (n int) {
 		for seed := range uint64(300) {
 			o := testOpening()
 			o.Seed = (seed + 1) * 0x9E3779B97F4A7C15
@@ -135,8 +135,8 @@
 		return n
 	}
 	k := Memory{Members: []MemberMemory{{Member: "r", Group: 1, StartedAt: 100000}}}
-	if with, without := granted(&k), granted(nil); with != 0 || without == 0 {
-		t.Errorf("of 300 drivers that start at once %d send to the cold member, %d without memory", with, without)
+	if withMemory, withoutMemory := firstOpsAtColdMember(&k), firstOpsAtColdMember(nil); withMemory != 0 || withoutMemory == 0 {
+		t.Errorf("of 300 drivers that start at once %d send to the cold member, %d without memory", withMemory, withoutMemory)
 	}
 }
 
@@ -148,19 +148,19 @@
 	for i, n := range names {
 		k.Members = append(k.Members, MemberMemory{Member: n, Group: 1, Position: 99980 + float64(i), Window: float64(4 + 3*i)})
 	}
-	for _, talk := range []bool{true, false} {
+	for _, mayMessage := range []bool{true, false} {
 		for _, kind := range []int{boundedRead, anyRead, sessionRead} {
 			got := map[string]int{}
 			for seed := range uint64(300) {
 				o := testOpening()
-				o.Seed, o.Drivers, o.MayMessage, o.Checks = (seed+1)*0x9E3779B97F4A7C15, 300, talk, ChecksNone
+				o.Seed, o.Drivers, o.MayMessage, o.Checks = (seed+1)*0x9E3779B97F4A7C15, 300, mayMessage, ChecksNone
 				r := &fixture{t: t, now: 100000}
 				r.step(Event{Kind: EvOpen, Opening: o}, memberList(ListCached, names...), Event{Kind: EvRecall, Memory: &k})
 				got[r.submit("a", kind, 1000)]++
 			}
 			for m, n := range got {
 				if m == "" || n > 2*300/5 {
-					t.Errorf("messages %v, type %d: of 300 first ops %q gets %d: %v", talk, kind, m, n, got)
+					t.Errorf("messages %v, type %d: of 300 first ops %q gets %d: %v", mayMessage, kind, m, n, got)
 				}
 			}
 		}
@@ -172,21 +172,21 @@
 func TestSessionReadsRespectCommitCeiling(t *testing.T) {
 	o := testOpening()
 	o.SessionCarried, o.Positions, o.Checks = false, true, ChecksNone
-	position := func(r *fixture, at float64) {
+	reportPositions := func(r *fixture, position float64) {
 		for _, m := range []string{"r", "s"} {
-			r.step(Event{Kind: EvProbed, Member: m, Outcome: OK, Took: 1, Report: Sight{Replica, at}})
+			r.step(Event{Kind: EvProbed, Member: m, Outcome: OK, Took: 1, Report: Sight{Replica, position}})
 		}
 	}
 	r := newFixture(t, o)
-	position(r, 99999)
+	reportPositions(r, 99999)
 	r.want(r.submit("a", sessionRead, 1000) == "p", "the primary: replicas may lack what an earlier run wrote")
 	r.wait(20)
-	position(r, 100001)
+	reportPositions(r, 100001)
 	r.want(r.submit("b", sessionRead, 1000) != "p", "a replica that is past the start")
 	r = recallFixture(t, o, Memory{Ceiling: 102000})
-	position(r, 101999)
+	reportPositions(r, 101999)
 	r.want(r.submit("a", sessionRead, 1000) == "p", "the primary: under the ceiling")
-	position(r, 102000)
+	reportPositions(r, 102000)
 	r.want(r.submit("b", sessionRead, 1000) != "p", "a replica past the ceiling")
 	o.Positions = false // nobody tells positions: then no replica could ever do
 	r = newFixture(t, o)
@@ -206,24 +206,24 @@
 	r.d.eject(r.d.members["s"], flagSilent|flagDisconnected, "test")
 	k := Memory{TrustWindow: 1000}
 	r.step(Event{Kind: EvRemember, Memory: &k})
-	again := &fixture{t: t, now: r.now + 100}
-	again.step(Event{Kind: EvOpen, Opening: testOpening()}, memberList(ListCached, "p", "r", "s"), Event{Kind: EvRecall, Memory: &k})
-	var back Memory
-	again.step(Event{Kind: EvRemember, Memory: &back})
-	if len(back.Groups) != 1 || back.Groups[0] != k.Groups[0] || back.Groups[0].Primary != "p" || !back.Groups[0].InSlot {
-		t.Errorf("groups %+v, want %+v", back.Groups, k.Groups)
+	restarted := &fixture{t: t, now: r.now + 100}
+	restarted.step(Event{Kind: EvOpen, Opening: testOpening()}, memberList(ListCached, "p", "r", "s"), Event{Kind: EvRecall, Memory: &k})
+	var savedAgain Memory
+	restarted.step(Event{Kind: EvRemember, Memory: &savedAgain})
+	if len(savedAgain.Groups) != 1 || savedAgain.Groups[0] != k.Groups[0] || savedAgain.Groups[0].Primary != "p" || !savedAgain.Groups[0].InSlot {
+		t.Errorf("groups %+v, want %+v", savedAgain.Groups, k.Groups)
 	}
 	for i, m := range k.Members {
-		if back.Members[i] != m {
-			t.Errorf("member %+v, want %+v", back.Members[i], m)
+		if savedAgain.Members[i] != m {
+			t.Errorf("member %+v, want %+v", savedAgain.Members[i], m)
 		}
 	}
-	if back.OpTypes[anyRead] != k.OpTypes[anyRead] || k.OpTypes[anyRead].Typical == testOpening().OpTypes[anyRead].LatencyTarget/3 {
-		t.Errorf("op types %+v, want %+v", back.OpTypes, k.OpTypes)
+	if savedAgain.OpTypes[anyRead] != k.OpTypes[anyRead] || k.OpTypes[anyRead].Typical == testOpening().OpTypes[anyRead].LatencyTarget/3 {
+		t.Errorf("op types %+v, want %+v", savedAgain.OpTypes, k.OpTypes)
 	}
-	again.step(Event{Kind: EvRecall, Memory: &Memory{OpTypes: make([]TypeMemory, 99), Groups: []GroupMemory{{Group: 77, Primary: "p"}},
+	restarted.step(Event{Kind: EvRecall, Memory: &Memory{OpTypes: make([]TypeMemory, 99), Groups: []GroupMemory{{Group: 77, Primary: "p"}},
 		Members: []MemberMemory{{Member: "nobody"}}}})
-	again.want(!math.IsNaN(again.d.opTypes[0].meanLatency) && again.d.opTypes[0].meanLatency > 0, "nothing taken from what fits nothing")
+	restarted.want(!math.IsNaN(restarted.d.opTypes[0].meanLatency) && restarted.d.opTypes[0].meanLatency > 0, "nothing taken from what fits nothing")
 }
 
 // Drivers come and go: what is spread out over them follows, and a driver that is alone tells nobody.
@@ -246,7 +246,7 @@
 	r.want(messagesSent(r) > 0, "words when there are three")
 	meanJitteredPause := func() (sum float64) {
 		for range 200 {
-			sum += r.d.jittered(100) - r.now
+			sum += r.d.jitter(100) - r.now
 		}
 		return sum / 200
 	}
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -122,28 +122,28 @@
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, seed uint64) {
-		rnd := rand.New(rand.NewPCG(seed, 1))
+		rng := rand.New(rand.NewPCG(seed, 1))
 		o := testOpening()
-		o.Seed, o.Checks, o.MayOverlap = seed, Checks(rnd.IntN(3)), rnd.IntN(4) > 0
-		o.ReportsByProbe, o.SessionCarried = rnd.IntN(2) == 0, rnd.IntN(2) == 0
-		o.OpTypes[token].Scope, o.SendCap = Scope(rnd.IntN(3)), 2+rnd.IntN(8)
-		b := &ruleModel{o: o, ops: map[string]*modelOp{}, withdrawn: map[string]bool{}, positions: map[string]float64{},
+		o.Seed, o.Checks, o.MayOverlap = seed, Checks(rng.IntN(3)), rng.IntN(4) > 0
+		o.ReportsByProbe, o.SessionCarried = rng.IntN(2) == 0, rng.IntN(2) == 0
+		o.OpTypes[token].Scope, o.SendCap = Scope(rng.IntN(3)), 2+rng.IntN(8)
+		model := &ruleModel{o: o, ops: map[string]*modelOp{}, withdrawn: map[string]bool{}, positions: map[string]float64{},
 			roleSeenAt: map[string][]float64{"p": {1, 0}}}
 		var d Driver
-		b.now = 100000
+		model.now = 100000
 		names := []string{"p", "r", "s", "u"}
 		currentPrimary := "p"
 		var pending []Event // answers on their way
 		var ids []string    // in order, as the generator must not depend on a map's order
 		step := func(evs ...Event) {
-			for _, a := range d.Step(b.now, evs) {
-				if b.check(a); a.Kind == ActSend {
+			for _, a := range d.Step(model.now, evs) {
+				if model.check(a); a.Kind == ActSend {
 					pending = append(pending, Event{Kind: EvAnswer, Op: a.Op, Member: a.Member,
-						Send: len(b.ops[a.Op].attempts) - 1})
-				} else if a.Kind == ActProbe && rnd.IntN(3) > 0 {
-					r := Sight{Replica, b.now - 50 - 300*rnd.Float64()}
+						Send: len(model.ops[a.Op].attempts) - 1})
+				} else if a.Kind == ActProbe && rng.IntN(3) > 0 {
+					r := Sight{Replica, model.now - 50 - 300*rng.Float64()}
 					if a.Member == currentPrimary {
-						r = Sight{Primary, b.now}
+						r = Sight{Primary, model.now}
 					}
 					pending = append(pending, Event{Kind: EvProbed, Member: a.Member, Took: 1, Report: r})
 				}
@@ -151,27 +151,27 @@
 		}
 		step(Event{Kind: EvOpen, Opening: o}, memberList(ListCached, names...))
 		for i := range 2000 {
-			b.now += 5
-			if rnd.IntN(3) > 0 && i < 900 {
-				k := rnd.IntN(len(o.OpTypes))
+			model.now += 5
+			if rng.IntN(3) > 0 && i < 900 {
+				k := rng.IntN(len(o.OpTypes))
 				id := fmt.Sprint(i)
-				left := o.OpTypes[k].OpTimeout * (0.4 + 0.6*rnd.Float64())
+				left := o.OpTypes[k].OpTimeout * (0.4 + 0.6*rng.Float64())
 				ev := Event{Kind: EvOp, Op: id, OpType: k, Group: 1, Left: left}
-				x := &modelOp{kind: o.OpTypes[k], until: b.now + left, minPosition: -1}
-				if o.SessionCarried && k == sessionRead && rnd.IntN(2) == 0 {
-					ev.WroteAgo = 1 + 300*rnd.Float64()
-					x.minPosition = b.now - ev.WroteAgo
+				x := &modelOp{kind: o.OpTypes[k], until: model.now + left, minPosition: -1}
+				if o.SessionCarried && k == sessionRead && rng.IntN(2) == 0 {
+					ev.WroteAgo = 1 + 300*rng.Float64()
+					x.minPosition = model.now - ev.WroteAgo
 				}
-				b.ops[id] = x
+				model.ops[id] = x
 				ids = append(ids, id)
 				step(ev)
 			}
-			if rnd.IntN(60) == 0 { // the primary's place moves
-				currentPrimary = names[rnd.IntN(4)]
+			if rng.IntN(60) == 0 { // the primary's place moves
+				currentPrimary = names[rng.IntN(4)]
 			}
-			if rnd.IntN(80) == 0 {
-				n := names[1+rnd.IntN(3)]
-				if b.withdrawn[n] = !b.withdrawn[n]; b.withdrawn[n] {
+			if rng.IntN(80) == 0 {
+				n := names[1+rng.IntN(3)]
+				if model.withdrawn[n] = !model.withdrawn[n]; model.withdrawn[n] {
 					step(memberList(ListChanges, n+"-"))
 				} else {
 					step(memberList(ListChanges, n))
@@ -180,22 +180,22 @@
 			inFlight := pending
 			pending = nil
 			for _, ev := range inFlight {
-				if rnd.IntN(12) > 0 {
+				if rng.IntN(12) > 0 {
 					pending = append(pending, ev)
 					continue
 				}
 				if ev.Kind == EvProbed {
-					b.positions[ev.Member] = max(b.positions[ev.Member], ev.Report.Position)
+					model.positions[ev.Member] = max(model.positions[ev.Member], ev.Report.Position)
 					if ev.Report.Role == Primary {
-						p := append(b.roleSeenAt[ev.Member], 0, 0)
-						b.roleSeenAt[ev.Member] = []float64{max(p[0], ev.Report.Position), p[1]}
+						p := append(model.roleSeenAt[ev.Member], 0, 0)
+						model.roleSeenAt[ev.Member] = []float64{max(p[0], ev.Report.Position), p[1]}
 					}
 					step(ev)
 					continue
 				}
-				x := b.ops[ev.Op]
+				x := model.ops[ev.Op]
 				attempt := &x.attempts[ev.Send]
-				ev.Outcome = Outcome(rnd.IntN(9))
+				ev.Outcome = Outcome(rng.IntN(9))
 				if currentPrimary != ev.Member && x.kind.Need == Write && ev.Outcome == OK {
 					ev.Outcome = Miss
 				}
@@ -204,16 +204,16 @@
 					attempt.outcome = "never ran"
 				}
 				if ev.Outcome == OK || ev.Outcome == Miss || ev.Outcome == Full || ev.Outcome == Fault {
-					ev.Note = Sight{Replica, b.now - 200*rnd.Float64()}
+					ev.Note = Sight{Replica, model.now - 200*rng.Float64()}
 					heard := 1
 					if ev.Member == currentPrimary {
-						ev.Note, heard = Sight{Primary, b.now}, 0
+						ev.Note, heard = Sight{Primary, model.now}, 0
 					}
-					b.positions[ev.Member] = max(b.positions[ev.Member], ev.Note.Position)
-					if b.roleSeenAt[ev.Member] == nil {
-						b.roleSeenAt[ev.Member] = []float64{0, 0}
+					model.positions[ev.Member] = max(model.positions[ev.Member], ev.Note.Position)
+					if model.roleSeenAt[ev.Member] == nil {
+						model.roleSeenAt[ev.Member] = []float64{0, 0}
 					}
-					b.roleSeenAt[ev.Member][heard] = b.now + 1e-6*float64(i)
+					model.roleSeenAt[ev.Member][heard] = model.now + 1e-6*float64(i)
 				}
 				if ev.Outcome == OK && x.finalAnswers == 0 {
 					x.finalAnswers++
@@ -223,23 +223,23 @@
 			}
 			step(Event{Kind: EvTimer})
 			for _, id := range ids[max(0, len(ids)-25):] {
-				x, op := b.ops[id], d.ops[id]
+				x, op := model.ops[id], d.ops[id]
 				if op == nil || op.done {
 					continue
 				}
 				for _, n := range names {
-					if got, want := d.maySend(op, d.members[n]), b.maySend(x, n, d.deadlineMargin); got != want {
-						t.Fatalf("at %.0f: module allows %s to %s: %v, model %v, tries %v", b.now, id, n, got, want, x.attempts)
+					if got, want := d.maySend(op, d.members[n]), model.maySend(x, n, d.deadlineMargin); got != want {
+						t.Fatalf("at %.0f: module allows %s to %s: %v, model %v, tries %v", model.now, id, n, got, want, x.attempts)
 					}
 				}
 			}
 		}
 		for _, id := range ids {
-			if x := b.ops[id]; x.finalAnswers != 1 {
-				b.addViolation("%s has %d final answers, tries %v", id, x.finalAnswers, x.attempts)
+			if x := model.ops[id]; x.finalAnswers != 1 {
+				model.addViolation("%s has %d final answers, tries %v", id, x.finalAnswers, x.attempts)
 			}
 		}
-		for _, s := range b.violations {
+		for _, s := range model.violations {
 			t.Error(s)
 		}
 	})
