--- a/logic/doc.go
+++ b/logic/doc.go
@@ -25,6 +25,25 @@
 //  4. Load shedding: under overload new reads are refused at random, those that earn less for their work more often.
 //  5. Gossip: drivers tell each other the members' positions, the primary, who answers and how fast, and who is silent.
 //
+// # Life of an op
+//
+// startOp takes a new op and sheds it, or hands it to route, which sends or queues it. endSend takes the end of each
+// send: it records what the answer tells of the member (observe, recordSuccess, recordLatency) and then closes the op,
+// routes it again or rejects it. sweep runs at every timer: it detects silent members, probes for primaries, routes
+// queued ops again, and lets sweepOp reject those that wait too long, try a queued write at a possible primary, or hedge
+// a stuck send. closeOp cancels what is still open when an op has its final answer.
+//
+// # Evidence of roles
+//
+// Answers, probes, peers, the member list and the memory of an earlier run all tell of roles (observe, observePrimary).
+// fillSlot and emptySlot apply what package writerslot accepts: a filled slot gets the queued ops, an emptied one starts
+// the search for the new primary (probeGroup, or tryAsPrimary if probes don't show roles).
+//
+// # Gossip messages
+//
+// A message is a sequence of entries of 7 bytes, one per member: 24 bits of the hash of its id, 8 bits of flags with the
+// newest latency ratio in sixths, and the 24 low bits of its position in milliseconds, 0 for unknown or too old.
+//
 // # Latency ratios
 //
 // Overload is detected by latency. For each op type, overloadLatency derives from the latency target and from the best
