--- a/internal/controlplane/consensus/clockrate.go
+++ b/internal/controlplane/consensus/clockrate.go
@@ -136,9 +136,9 @@
 
 // ClockDrift is a voter whose clock is proved to run at another rate than the leader's.
 type ClockDrift struct {
-	Voter Voter
-	Rate  float64 // difference of rates that is certain, in parts of one; below 0 the voter's clock is slow
-	Own   bool    // it is the leader's own clock that differs
+	Voter       Voter
+	Rate        float64 // difference of rates that is certain, in parts of one; below 0 the voter's clock is slow
+	LeaderClock bool    // it is the leader's own clock that differs
 }
 
 // ClockDrifts gives the voters whose contact doesn't count on account of their clocks, in the order of the voters; nil
@@ -148,7 +148,7 @@
 		return nil
 	}
 	if n.ownClockDrifts() {
-		return []ClockDrift{{Voter: n.self(), Own: true}}
+		return []ClockDrift{{Voter: n.self(), LeaderClock: true}}
 	}
 	for _, v := range n.HardState.Last.Voters {
 		if p := n.progress[v.ID]; p != nil && v.ID != n.HardState.ID && p.clockRate.drifts() {
--- a/internal/controlplane/consensus/clockrate_test.go
+++ b/internal/controlplane/consensus/clockrate_test.go
@@ -40,7 +40,7 @@
 		setRate(c, odd, rate)
 		runModel(t, c, c.now+60_000)
 		drifts := c.leader().node.ClockDrifts()
-		if len(drifts) != 1 || drifts[0].Voter.Addr != odd.addr || drifts[0].Own || (drifts[0].Rate > 0) != (rate > 1) {
+		if len(drifts) != 1 || drifts[0].Voter.Addr != odd.addr || drifts[0].LeaderClock || (drifts[0].Rate > 0) != (rate > 1) {
 			t.Errorf("rate %v: %+v", rate, drifts)
 		}
 		for _, m := range c.machines {
@@ -79,7 +79,7 @@
 	for _, p := range leader.node.progress {
 		p.clockRate.drift = 2 * MaxClockDrift
 	}
-	if drifts := leader.node.ClockDrifts(); len(drifts) != 1 || !drifts[0].Own {
+	if drifts := leader.node.ClockDrifts(); len(drifts) != 1 || !drifts[0].LeaderClock {
 		t.Fatalf("%+v", drifts)
 	}
 	before := leader.node.LastContact()
--- a/internal/controlplane/consensus/digest_test.go
+++ b/internal/controlplane/consensus/digest_test.go
@@ -145,7 +145,7 @@
 		c.terminate(m)
 		for _, a := range c.liveAddrs() {
 			if o := c.machines[a]; o.running && c.random.IntN(2) == 0 {
-				o.node.LeaderDisconnected(m.addr, c.now)
+				o.node.PeerDisconnected(m.addr, c.now)
 			}
 		}
 		c.run(500+3000*c.random.Float64(), 0)
@@ -209,7 +209,7 @@
 			d.add("%v", n.ReadConfirmed(uint64(r.IntN(40))))
 		case 8:
 			if leader, ok := n.Leader(); ok {
-				n.LeaderDisconnected(leader.Addr, now)
+				n.PeerDisconnected(leader.Addr, now)
 			}
 		case 9:
 			switch r.IntN(12) {
--- a/internal/controlplane/consensus/election.go
+++ b/internal/controlplane/consensus/election.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// LeaderDisconnected says that the connection to a machine broke. Where that leads, an election begins early.
-func (n *Node) LeaderDisconnected(addr string, now float64) {
+// PeerDisconnected says that the connection to a machine broke. Where that leads, an election begins early.
+func (n *Node) PeerDisconnected(addr string, now float64) {
 	if n.role != Leader && n.leader.Addr == addr {
 		n.leader, n.lastLeaderMessage = Voter{}, now-n.options.ElectionTimeout
 		n.electionDeadline = min(n.electionDeadline, now+n.options.ElectionTimeout*0.4*n.options.Random())
--- a/internal/controlplane/consensus/former.go
+++ b/internal/controlplane/consensus/former.go
@@ -32,9 +32,9 @@
 	return former[max(len(former)-maxFormerVoters, 0):]
 }
 
-// Holders gives the addresses of all that may act on what this or an earlier leader leased out: those that vote by the
+// LeaseHolders gives the addresses of all that may act on what this or an earlier leader leased out: those that vote by the
 // last entry, and those that did before.
-func (n *Node) Holders() (addrs []string) {
+func (n *Node) LeaseHolders() (addrs []string) {
 	for _, v := range n.HardState.Last.Voters {
 		addrs = append(addrs, v.Addr)
 	}
--- a/internal/controlplane/consensus/former_test.go
+++ b/internal/controlplane/consensus/former_test.go
@@ -38,7 +38,7 @@
 	if got := n.formerVoters(votersAt("a"), 5000); !slices.Equal(got, []string{"b"}) {
 		t.Errorf("a new lead remembers %v", got)
 	}
-	if got := n.Holders(); !slices.Equal(got, []string{"a", "b"}) {
+	if got := n.LeaseHolders(); !slices.Equal(got, []string{"a", "b"}) {
 		t.Errorf("holders %v", got)
 	}
 }
--- a/internal/controlplane/consensus/join.go
+++ b/internal/controlplane/consensus/join.go
@@ -65,7 +65,7 @@
 // may know none but seeds.
 func (n *Node) handleJoin(msg *Message, now float64) {
 	if n.leader.Addr == msg.From.Addr && n.leader.ID != msg.From.ID {
-		n.LeaderDisconnected(msg.From.Addr, now) // its disk has another life
+		n.PeerDisconnected(msg.From.Addr, now) // its disk has another life
 	}
 	if n.role == Leader {
 		n.addJoiner(msg.From, now)
--- a/internal/controlplane/consensus/measure_test.go
+++ b/internal/controlplane/consensus/measure_test.go
@@ -39,7 +39,7 @@
 	m.running = false
 	for _, addr := range c.addrs() {
 		if other := c.machines[addr]; other.running {
-			other.node.LeaderDisconnected(m.addr, c.now)
+			other.node.PeerDisconnected(m.addr, c.now)
 		}
 	}
 }
--- a/internal/controlplane/consensus/store/fullfs.go
+++ b/internal/controlplane/consensus/store/fullfs.go
@@ -12,12 +12,12 @@
 //
 // Pebble can't be used after a write that failed: its process would have to end, and again at each start until the
 // disk has room, with its members, agents and votes gone each time. So a write that is refused for want of room is
-// held and tried again, by the FullDisk function's leave: to pebble and to who waits for the sync it is a slow disk.
+// held and tried again, by the DiskFullHandler's leave: to pebble and to who waits for the sync it is a slow disk.
 // Nothing that depends on the write is said meanwhile, as nothing is sent before its sync.
 
-// FullDisk is called with the error of a write that the disk refused for want of room. It returns when the write is to
+// DiskFullHandler is called with the error of a write that the disk refused for want of room. It returns when the write is to
 // be tried again, or false where it is to fail. Several goroutines may call it at once: pebble has some of its own.
-type FullDisk func(err error) (retry bool)
+type DiskFullHandler func(err error) (retry bool)
 
 // isFull reports whether the disk had no room.
 func isFull(err error) bool { return errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT) }
@@ -25,7 +25,7 @@
 // fullFS is a file system whose writes are held while its disk is full.
 type fullFS struct {
 	vfs.FS
-	full FullDisk
+	full DiskFullHandler
 }
 
 // try does an operation until it succeeds, fails for another reason, or is to fail.
--- a/internal/controlplane/consensus/store/store.go
+++ b/internal/controlplane/consensus/store/store.go
@@ -52,9 +52,9 @@
 	return open(folder, FS, false)
 }
 
-// OpenPatient opens a folder as Open does, and holds each write for which the disk has no room, from the opening on,
-// for as long as full says.
-func OpenPatient(folder string, full FullDisk) (s *Store, state consensus.HardState, found bool, err error) {
+// OpenWithRetry opens a folder as Open does. While the disk is full, each refused write is retried for as long as
+// onDiskFull returns true, also during the opening itself.
+func OpenWithRetry(folder string, full DiskFullHandler) (s *Store, state consensus.HardState, found bool, err error) {
 	return open(folder, &fullFS{FS, full}, false)
 }
 
--- a/internal/controlplane/consensus/store/store_test.go
+++ b/internal/controlplane/consensus/store/store_test.go
@@ -200,7 +200,7 @@
 	h := consensus.HardState{ID: "me", Term: 4, Last: consensus.Entry{Term: 3, Value: make([]byte, 20_000)}}
 	for range 4 {
 		fill()
-		s, back, found, err := OpenPatient(dir, full)
+		s, back, found, err := OpenWithRetry(dir, full)
 		if err != nil || found && !reflect.DeepEqual(back, h) {
 			t.Fatal(err, found, back.Last.Index, h.Last.Index)
 		}
@@ -231,7 +231,7 @@
 	dir, control := t.TempDir(), filepath.Join(t.TempDir(), "disk")
 	FS = disk.FaultyFS(control)
 	defer func() { FS = vfs.Default }()
-	s, _, _, err := OpenPatient(dir, func(error) bool { return false })
+	s, _, _, err := OpenWithRetry(dir, func(error) bool { return false })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/controlplane/corelinks.go
+++ b/internal/controlplane/corelinks.go
@@ -65,7 +65,7 @@
 	}, h.handleFrame, func() {
 		h.pending.failLink(c.setDialled(core, nil))
 		h.log.Event(events.LinkDown, "core", controlAddr)
-		h.loop.offer(func() { h.loop.node.LeaderDisconnected(controlAddr, h.now()) })
+		h.loop.offer(func() { h.loop.node.PeerDisconnected(controlAddr, h.now()) })
 	})
 }
 
--- a/internal/controlplane/forward_golden_test.go
+++ b/internal/controlplane/forward_golden_test.go
@@ -75,7 +75,7 @@
 	l := linkOver(t, near, from.handleFrame, func(l *link) {
 		from.pending.failLink(l)
 		from.cores.setDialled(core, nil)
-		from.loop.offer(func() { from.loop.node.LeaderDisconnected(to.settings.ControlAddr, from.now()) })
+		from.loop.offer(func() { from.loop.node.PeerDisconnected(to.settings.ControlAddr, from.now()) })
 	})
 	from.cores.setDialled(core, l)
 	c.conns[from], c.conns[to] = append(c.conns[from], far), append(c.conns[to], far)
--- a/internal/controlplane/loop.go
+++ b/internal/controlplane/loop.go
@@ -90,7 +90,7 @@
 func openConsensusLoop(ctx context.Context, server *Server) (*consensusLoop, error) {
 	s := server.settings
 	wait := &diskWait{ctx: ctx, log: server.log, now: server.now}
-	disk, hardState, found, err := store.OpenPatient(s.DataDir, wait.waitForRoom)
+	disk, hardState, found, err := store.OpenWithRetry(s.DataDir, wait.waitForRoom)
 	if err != nil {
 		return nil, err
 	}
@@ -324,7 +324,7 @@
 	}
 	c.server.log.Event(event, "term", term)
 	s := c.server.state
-	holders := c.node.Holders()
+	holders := c.node.LeaseHolders()
 	s.do(func() { s.setLeadership(established, term, holders) })
 }
 
--- a/internal/controlplane/voters.go
+++ b/internal/controlplane/voters.go
@@ -25,7 +25,7 @@
 		now[drift.Voter.ID] = true
 		if !c.drifting[drift.Voter.ID] {
 			rate := math.Round(drift.Rate * partsPerMillion)
-			c.server.log.Event(events.ClockDrift, "machine", drift.Voter.Addr, "rate", rate, "own", drift.Own)
+			c.server.log.Event(events.ClockDrift, "machine", drift.Voter.Addr, "rate", rate, "own", drift.LeaderClock)
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(c.drifting)) {
