--- a/internal/controlplane/consensus/catch_up_test.go
+++ b/internal/controlplane/consensus/catch_up_test.go
@@ -10,12 +10,12 @@
 // TestCatchesUpFromAnyAge has a machine away from the tenth of some hundreds of changes on, and back while
 // changes go on every 20 ms, from each state that its disk may have; then made the leader. It must hold all
 // that was acknowledged.
-func TestCatchesUpFromAnyAge(t *testing.T) {
+func TestCatchUpFromAnyDiskState(t *testing.T) {
 	const removed = "removed meanwhile"
 	tests := []struct {
-		name  string
-		leads bool // it led when it went
-		then  func(c *cluster, m *machine, term uint64)
+		name          string
+		wasLeader     bool // it led when it went
+		beforeRestart func(c *cluster, m *machine, term uint64)
 	}{
 		{"as it was", false, func(*cluster, *machine, uint64) {}},
 		{"it led", true, func(*cluster, *machine, uint64) {}},
@@ -37,10 +37,10 @@
 			c.crashRate, c.lossRate = 0, []float64{0, 0.05}[seed%2]
 			c.run(4000, 0)
 			history := fmt.Sprint(test.name, ", seed ", seed)
-			if !c.acknowledge(10) {
+			if !c.awaitAcknowledged(10) {
 				t.Fatal(history, c.violation, c.describe())
 			}
-			m := c.pick(test.leads)
+			m := c.pickMachine(test.wasLeader)
 			m.running = false
 			if test.name == removed {
 				for _, addr := range c.liveAddrs() {
@@ -48,10 +48,10 @@
 				}
 			}
 			c.run(6000, 0)
-			if !c.acknowledge(500) {
+			if !c.awaitAcknowledged(500) {
 				t.Fatal(history, c.violation, c.describe())
 			}
-			test.then(c, m, c.leader().node.HardState.Term)
+			test.beforeRestart(c, m, c.leader().node.HardState.Term)
 			c.start(m)
 			c.runBusy(4000)
 			c.requireCaughtUp(t, history, m)
@@ -66,12 +66,12 @@
 // requireCaughtUp fails the test unless a machine votes, and knows committed what was acknowledged half a second ago.
 func (c *cluster) requireCaughtUp(t *testing.T, history string, m *machine) {
 	t.Helper()
-	known := len(c.acknowledged)
+	acknowledged := len(c.acknowledged)
 	c.runBusy(500)
 	e, _ := m.node.Committed()
 	l := c.leader()
 	votes := l != nil && l.node.isVoter(m.node.HardState.ID)
-	if known == 0 || !votes || !containsChange(string(e.Value), c.acknowledged[known-1]) {
+	if acknowledged == 0 || !votes || !containsChange(string(e.Value), c.acknowledged[acknowledged-1]) {
 		t.Fatalf("%s: %s has not caught up with %d changes: it knows entry %d\n%s", history, m.addr, len(c.acknowledged),
 			e.Index, c.describe())
 	}
@@ -86,7 +86,7 @@
 	t.Helper()
 	for end := c.now + 20_000; c.leader() != m; {
 		if l := c.leader(); l != nil && !l.node.InFlight() {
-			if p := l.node.progress[m.node.HardState.ID]; p != nil && !l.node.lacksLast(p) {
+			if p := l.node.progress[m.node.HardState.ID]; p != nil && !l.node.lacksLastEntry(p) {
 				l.node.send(m.addr, Message{Kind: TimeoutNow, Term: l.node.HardState.Term})
 				c.flush(l, 0)
 				for range 30 { // a leader that is about to lose its lead takes no change meanwhile
@@ -108,7 +108,7 @@
 }
 
 // TestJoinsWhileChangesGoOn has machines join behind a connection so slow that changes outrun their answers.
-func TestJoinsWhileChangesGoOn(t *testing.T) {
+func TestJoinDuringChanges(t *testing.T) {
 	for seed := range seedCount(20) {
 		c := newFaultlessCluster(seed, 200, 3)
 		c.run(4000, 0)
@@ -122,28 +122,28 @@
 
 // TestJoinsWithinASecond has an empty machine start at a new address. One of its seeds was replaced, and
 // connections are made first.
-func TestJoinsWithinASecond(t *testing.T) {
+func TestJoinWithinOneSecond(t *testing.T) {
 	slowest := 0.0
 	for seed := range seedCount(200) {
 		c := newFaultlessCluster(seed, 201, 3)
 		c.run(4000, 0)
 		m := &machine{addr: "n1", seeds: []string{"m0", "m1", "gone"}, disk: Empty("1@n1")}
 		c.start(m)
-		began := c.now
+		startedAt := c.now
 		for l := c.leader(); l == nil || !l.node.isVoter("1@n1") || l.node.InFlight(); l = c.leader() {
-			if c.now > began+1000 {
+			if c.now > startedAt+1000 {
 				t.Fatalf("seed %d: it does not vote after a second\n%s", seed, c.describe())
 			}
 			c.run(10, 0)
 		}
-		slowest = max(slowest, c.now-began)
+		slowest = max(slowest, c.now-startedAt)
 	}
 	t.Logf("the slowest took %.0f ms", slowest)
 }
 
 // TestComesBackWhenAllThatItKnewAreReplaced has a machine removed while it is away, and come back with an
 // empty disk when none of its seeds is there: those that saw it removed notify it of who leads.
-func TestComesBackWhenAllThatItKnewAreReplaced(t *testing.T) {
+func TestRejoinAfterAllKnownVotersWereReplaced(t *testing.T) {
 	for seed := range seedCount(20) {
 		c := newFaultlessCluster(seed, 202, 5)
 		for _, addr := range []string{"m3", "m4"} {
--- a/internal/controlplane/consensus/clockrate.go
+++ b/internal/controlplane/consensus/clockrate.go
@@ -2,78 +2,79 @@
 
 import "math"
 
-// This file holds the check that voters' clocks run at one rate, on which contact rests (contact.go).
+// This file holds the check that the voters' clocks run at the same rate, which contact relies on (contact.go).
 //
-// Each answer to a heartbeat bears a reading of the peer's clock, taken at some moment between the heartbeat's
-// sending and the answer's receipt. So the peer's clock is ahead of the leader's by at least the reading less the
-// time of receipt, and by at most the reading less the time of sending, whatever the links, disks and pauses did in
-// between. Where two such intervals, some time apart, don't meet, the difference of rates is proved, and bounded from
-// below. A link that is slow only makes intervals wide, so that nothing is proved by it.
+// Each answer to a heartbeat carries a reading of the peer's clock, taken between the sending of the heartbeat and
+// the receipt of the answer. So the offset of the peer's clock from the leader's is at least the reading minus the
+// time of receipt and at most the reading minus the time of sending, regardless of delays by links, disks and pauses.
+// If two such intervals, taken some time apart, don't overlap, the clocks' rates are proven to differ, by at least
+// the gap. A slow link only widens the intervals, which proves nothing.
 //
-// A peer whose clock is proved to run at another rate is given no contact: it answers 503 and its agents leave it, as
-// if it were cut off. A leader of which most other voters prove the same is itself the one that differs: it renews no
-// contact of its own, and has another voter stand for election, which then judges it like any other.
+// A peer whose clock is proven to run at another rate is given no contact: it answers 503 and its agents leave it, as
+// if it were partitioned. If a majority of the other voters differ from the leader in the same direction, the
+// leader's own clock is wrong: it renews no contact of its own and transfers its leadership to another voter, which
+// then treats it like any other peer.
 
 const (
-	// MaxClockDrift is the difference of rates above which a peer's contact no longer counts, in parts of one. Sound
-	// clocks stay under a thousandth; at this bound a contact of ContactLease is wrong by 6 ms.
+	// MaxClockDrift is the difference of rates, as a fraction, above which a peer's contact no longer counts. Normal
+	// clocks stay below 0.001; at this bound a contact of ContactLease is wrong by 6 ms.
 	MaxClockDrift = 0.004
-	// clockWindow is the time in milliseconds of which the narrowest interval is kept, and clockWindows how many are.
-	// A jump, as of a machine that was suspended, is forgotten after their product, one minute.
-	clockWindow  = 5000.0
-	clockWindows = 12
-	// sentRounds is how many of the newest rounds' sending times are kept.
-	sentRounds = 64
+	// clockWindowMs is the length of a window of which only the narrowest interval is kept, and maxClockWindows the
+	// number of windows. A jump, such as that of a suspended machine, is forgotten after their product, one minute.
+	clockWindowMs   = 5000.0
+	maxClockWindows = 12
+	// trackedRounds is the number of latest rounds whose sending times are kept.
+	trackedRounds = 64
 )
 
-// clockInterval is by how much a peer's clock was ahead of the leader's, at a moment between two of the leader's.
-type clockInterval struct {
-	sentAt, receivedAt float64 // the leader's milliseconds
-	low, high          float64 // milliseconds
+// offsetInterval bounds the offset of a peer's clock from the leader's at some moment between sentAt and receivedAt.
+type offsetInterval struct {
+	sentAt, receivedAt   float64 // milliseconds on the leader's clock
+	minOffset, maxOffset float64 // milliseconds
 }
 
-func (i *clockInterval) width() float64 { return i.high - i.low }
+func (i *offsetInterval) width() float64 { return i.maxOffset - i.minOffset }
 
-// clockRate is what a leader knows of the rate of a peer's clock.
+// clockRate is what a leader knows about the rate of a peer's clock.
 type clockRate struct {
-	incarnation uint32          // of the peer's process: its clock begins anew with each
-	windows     []clockInterval // the narrowest of each clockWindow, the oldest first
-	windowEnd   float64         // when the newest of them ends
-	drift       float64         // that is proved: above 0 the peer's clock is fast, below it is slow
+	incarnation uint32           // of the peer's process: each process starts a new clock
+	windows     []offsetInterval // the narrowest interval of each window, oldest first
+	windowEnd   float64          // end of the latest window
+	drift       float64          // proven lower bound of the difference of rates; positive if the peer's clock is fast
 }
 
-// observe takes an interval.
-func (c *clockRate) observe(interval clockInterval, incarnation uint32) {
+// observe adds an interval.
+func (c *clockRate) observe(interval offsetInterval, incarnation uint32) {
 	if incarnation != c.incarnation {
 		*c = clockRate{incarnation: incarnation}
 	}
 	last := len(c.windows) - 1
 	switch {
 	case last < 0 || interval.receivedAt >= c.windowEnd:
-		if len(c.windows) == clockWindows {
+		if len(c.windows) == maxClockWindows {
 			c.windows = append(c.windows[:0], c.windows[1:]...)
 		}
 		c.windows = append(c.windows, interval)
-		c.windowEnd = interval.receivedAt + clockWindow
+		c.windowEnd = interval.receivedAt + clockWindowMs
 	case interval.width() < c.windows[last].width():
 		c.windows[last] = interval
 	default:
 		return
 	}
-	c.drift = c.provedDrift()
+	c.drift = c.provenDrift()
 }
 
-// provedDrift compares the newest interval with each earlier one, and gives the greatest difference of rates that is
-// certain.
-func (c *clockRate) provedDrift() (drift float64) {
+// provenDrift compares the latest interval with each earlier one, and returns the largest difference of rates that is
+// proven.
+func (c *clockRate) provenDrift() (drift float64) {
 	newest := &c.windows[len(c.windows)-1]
 	for i := range c.windows[:len(c.windows)-1] {
 		earlier := &c.windows[i]
 		elapsed := newest.receivedAt - earlier.sentAt
-		leastGained, mostGained := newest.low-earlier.high, newest.high-earlier.low
-		rate := max(leastGained, 0) / elapsed // of a fast clock
-		if mostGained < 0 {
-			rate = mostGained / elapsed // of a slow one
+		minGain, maxGain := newest.minOffset-earlier.maxOffset, newest.maxOffset-earlier.minOffset
+		rate := max(minGain, 0) / elapsed // the clock is fast
+		if maxGain < 0 {
+			rate = maxGain / elapsed // the clock is slow
 		}
 		if math.Abs(rate) > math.Abs(drift) {
 			drift = rate
@@ -82,38 +83,38 @@
 	return drift
 }
 
-// drifts says that the peer's clock is proved to run at another rate than the leader's.
-func (c *clockRate) drifts() bool { return math.Abs(c.drift) > MaxClockDrift }
+// isDrifting reports whether the peer's clock is proven to run at another rate than the leader's.
+func (c *clockRate) isDrifting() bool { return math.Abs(c.drift) > MaxClockDrift }
 
-// roundTimes are when the newest rounds were sent.
-type roundTimes [sentRounds]struct {
+// roundTimes holds the sending times of the latest rounds.
+type roundTimes [trackedRounds]struct {
 	round  uint64
 	sentAt float64
 }
 
 func (r *roundTimes) record(round uint64, now float64) {
-	slot := &r[round%sentRounds]
+	slot := &r[round%trackedRounds]
 	slot.round, slot.sentAt = round, now
 }
 
-// sentAt is when a round was sent; ok is false for one that is too old.
+// sentAt returns when a round was sent; ok is false for a round that is too old.
 func (r *roundTimes) sentAt(round uint64) (at float64, ok bool) {
-	slot := &r[round%sentRounds]
+	slot := &r[round%trackedRounds]
 	return slot.sentAt, slot.round == round && round > 0
 }
 
-// observeClock takes the reading of a peer's clock in its answer.
+// observeClock records the clock reading of a peer's answer.
 func (n *Node) observeClock(peer *progress, msg *Message, now float64) {
 	sentAt, ok := n.roundTimes.sentAt(msg.Round)
 	if !ok || msg.Clock == 0 {
 		return
 	}
-	interval := clockInterval{sentAt: sentAt, receivedAt: now, low: msg.Clock - now, high: msg.Clock - sentAt}
+	interval := offsetInterval{sentAt: sentAt, receivedAt: now, minOffset: msg.Clock - now, maxOffset: msg.Clock - sentAt}
 	peer.clockRate.observe(interval, msg.Incarnation)
 }
 
-// ownClockDrifts says that most other voters' clocks, two at least, are proved to differ from this leader's in the
-// same direction: it is this one that runs at another rate.
+// ownClockDrifts reports whether the clocks of a majority of the other voters, and at least two, are proven to differ
+// from this leader's in the same direction: then it is the leader's clock that runs at another rate.
 func (n *Node) ownClockDrifts() bool {
 	fast, slow, others := 0, 0, 0
 	for _, v := range n.HardState.Last.Voters {
@@ -123,7 +124,7 @@
 		others++
 		p := n.progress[v.ID]
 		switch {
-		case p == nil || !p.clockRate.drifts():
+		case p == nil || !p.clockRate.isDrifting():
 		case p.clockRate.drift > 0:
 			fast++
 		default:
@@ -134,15 +135,15 @@
 	return agreed >= 2 && 2*agreed > others
 }
 
-// ClockDrift is a voter whose clock is proved to run at another rate than the leader's.
+// ClockDrift describes a voter whose clock is proven to run at another rate than the leader's.
 type ClockDrift struct {
 	Voter       Voter
-	Rate        float64 // difference of rates that is certain, in parts of one; below 0 the voter's clock is slow
+	Rate        float64 // proven difference of rates as a fraction; negative if the voter's clock is slow
 	LeaderClock bool    // it is the leader's own clock that differs
 }
 
-// ClockDrifts gives the voters whose contact doesn't count on account of their clocks, in the order of the voters; nil
-// where this node does not lead.
+// ClockDrifts returns the voters whose contact doesn't count because of their clocks, in the order of the voters, or
+// nil if this node doesn't lead.
 func (n *Node) ClockDrifts() (drifts []ClockDrift) {
 	if n.role != Leader {
 		return nil
@@ -151,7 +152,7 @@
 		return []ClockDrift{{Voter: n.self(), LeaderClock: true}}
 	}
 	for _, v := range n.HardState.Last.Voters {
-		if p := n.progress[v.ID]; p != nil && v.ID != n.HardState.ID && p.clockRate.drifts() {
+		if p := n.progress[v.ID]; p != nil && v.ID != n.HardState.ID && p.clockRate.isDrifting() {
 			drifts = append(drifts, ClockDrift{Voter: v, Rate: p.clockRate.drift})
 		}
 	}
--- a/internal/controlplane/consensus/clockrate_test.go
+++ b/internal/controlplane/consensus/clockrate_test.go
@@ -7,7 +7,7 @@
 )
 
 // runModel lets a model run until a moment, without faults.
-func runModel(t *testing.T, c *contactModel, until float64) {
+func runUntil(t *testing.T, c *contactModel, until float64) {
 	t.Helper()
 	for c.now < until {
 		if err := c.step(); err != nil {
@@ -25,46 +25,46 @@
 	return nil
 }
 
-// A follower whose clock runs at another rate is found within a minute, and has no contact from then on, while the others
-// keep theirs. It fails without the condition in contactFor.
+// A follower whose clock runs at another rate is found within a minute, and has no contact from then on, while the
+// others keep theirs. It fails without the condition in contactFor.
 func TestFollowerWithAnotherClockRateLosesContact(t *testing.T) {
 	for _, rate := range []float64{0.5, 0.98, 0.99, 1.01, 1.03, 2} {
 		c := newContactModel(5, 3)
-		runModel(t, c, 5000)
-		var odd *contactMachine
+		runUntil(t, c, 5000)
+		var drifting *contactMachine
 		for _, m := range c.machines {
 			if m != c.leader() {
-				odd = m
+				drifting = m
 			}
 		}
-		setRate(c, odd, rate)
-		runModel(t, c, c.now+60_000)
+		setRate(c, drifting, rate)
+		runUntil(t, c, c.now+60_000)
 		drifts := c.leader().node.ClockDrifts()
-		if len(drifts) != 1 || drifts[0].Voter.Addr != odd.addr || drifts[0].LeaderClock || (drifts[0].Rate > 0) != (rate > 1) {
+		if len(drifts) != 1 || drifts[0].Voter.Addr != drifting.addr || drifts[0].LeaderClock || (drifts[0].Rate > 0) != (rate > 1) {
 			t.Errorf("rate %v: %+v", rate, drifts)
 		}
 		for _, m := range c.machines {
-			if age := m.node.ContactAge(c.clock(m)); (age > ContactLease) != (m == odd) {
-				t.Errorf("rate %v: %s, of which %s is odd, has contact of %.0f ms ago", rate, m.addr, odd.addr, age)
+			if age := m.node.ContactAge(c.clock(m)); (age > ContactLease) != (m == drifting) {
+				t.Errorf("rate %v: %s, of which %s is odd, has contact of %.0f ms ago", rate, m.addr, drifting.addr, age)
 			}
 		}
 	}
 }
 
-// A leader whose clock runs at another rate finds that all others differ alike, lets another lead, and has no contact as
-// its follower. It fails without ownClockDrifts in tickLeader.
-func TestLeaderWithAnotherClockRateHandsOver(t *testing.T) {
+// A leader whose clock runs at another rate finds that all others differ alike, lets another lead, and has no contact
+// as its follower. It fails without ownClockDrifts in tickLeader.
+func TestLeaderWithAnotherClockRateTransfersLeadership(t *testing.T) {
 	for _, rate := range []float64{0.98, 1.02} {
 		c := newContactModel(6, 3)
-		runModel(t, c, 5000)
-		odd := c.leader()
-		setRate(c, odd, rate)
-		runModel(t, c, c.now+120_000)
-		if c.leader() == nil || c.leader() == odd {
-			t.Errorf("rate %v: %s still leads", rate, odd.addr)
+		runUntil(t, c, 5000)
+		drifting := c.leader()
+		setRate(c, drifting, rate)
+		runUntil(t, c, c.now+120_000)
+		if c.leader() == nil || c.leader() == drifting {
+			t.Errorf("rate %v: %s still leads", rate, drifting.addr)
 			continue
 		}
-		if age := odd.node.ContactAge(c.clock(odd)); age <= ContactLease {
+		if age := drifting.node.ContactAge(c.clock(drifting)); age <= ContactLease {
 			t.Errorf("rate %v: the machine with the odd clock has contact of %.0f ms ago", rate, age)
 		}
 	}
@@ -74,7 +74,7 @@
 // in endContactRound.
 func TestLeaderWithAnotherClockRateRenewsNoContact(t *testing.T) {
 	c := newContactModel(6, 3)
-	runModel(t, c, 5000)
+	runUntil(t, c, 5000)
 	leader := c.leader()
 	for _, p := range leader.node.progress {
 		p.clockRate.drift = 2 * MaxClockDrift
@@ -96,19 +96,19 @@
 // setRate changes the rate of a machine's clock from now on, without a jump.
 func setRate(c *contactModel, m *contactMachine, rate float64) {
 	reading := c.clock(m)
-	c.unsoundClocks = true
+	c.skipContactCheck = true
 	m.clockRate = rate
 	m.startedAt = c.now - reading/rate
 }
 
-// No sound clock is taken for another: over histories with faults, clocks apart by a thousandth, lost and late messages,
-// nobody is found to drift.
-func TestSoundClocksAreNotSuspected(t *testing.T) {
+// No sound clock is taken for another: over histories with faults, clocks apart by a thousandth, lost and late
+// messages, nobody is found to drift.
+func TestNormalClocksAreNotReportedAsDrifting(t *testing.T) {
 	for seed := range uint64(40) {
 		c := newContactModel(seed, 3+2*int(seed%2))
 		for c.now < 90_000 {
 			if c.now > 3000 && c.random.IntN(500) == 0 {
-				c.fault()
+				c.injectFault()
 			}
 			if err := c.step(); err != nil {
 				t.Fatalf("seed %d: %v", seed, err)
@@ -124,25 +124,25 @@
 
 // What is proved of a clock's rate is never more than its difference, whatever the links do, and for narrow intervals
 // not much less.
-func TestProvedDriftIsALowerBound(t *testing.T) {
+func TestProvenDriftIsALowerBound(t *testing.T) {
 	for seed := range uint64(500) {
 		random := rand.New(rand.NewPCG(seed, 5))
 		rate := 0.1 * (2*random.Float64() - 1)
-		slowest := 5 + 2000*random.Float64()*random.Float64()
+		maxDelay := 5 + 2000*random.Float64()*random.Float64()
 		var c clockRate
 		for now := 1000.0; now < 70_000; now += 200 {
 			sentAt := now
-			readAt := sentAt + slowest*random.Float64()
-			receivedAt := readAt + slowest*random.Float64()
+			readAt := sentAt + maxDelay*random.Float64()
+			receivedAt := readAt + maxDelay*random.Float64()
 			reading := 5e6 + readAt*(1+rate)
-			interval := clockInterval{sentAt: sentAt, receivedAt: receivedAt, low: reading - receivedAt, high: reading - sentAt}
+			interval := offsetInterval{sentAt: sentAt, receivedAt: receivedAt, minOffset: reading - receivedAt, maxOffset: reading - sentAt}
 			c.observe(interval, 1)
 			if c.drift != 0 && (c.drift > 0) != (rate > 0) || math.Abs(c.drift) > math.Abs(rate)+1e-9 {
 				t.Fatalf("seed %d: %v is taken for proved, the rate is %v", seed, c.drift, rate)
 			}
 		}
-		if slowest < 100 && math.Abs(rate) > 2*MaxClockDrift && !c.drifts() {
-			t.Errorf("seed %d: links of %.0f ms, a rate of %v, proved %v", seed, slowest, rate, c.drift)
+		if maxDelay < 100 && math.Abs(rate) > 2*MaxClockDrift && !c.isDrifting() {
+			t.Errorf("seed %d: links of %.0f ms, a rate of %v, proved %v", seed, maxDelay, rate, c.drift)
 		}
 	}
 }
@@ -150,8 +150,8 @@
 // Another process of a peer has another clock: its readings are not compared with those of the one before.
 func TestClockOfAnotherIncarnation(t *testing.T) {
 	var c clockRate
-	c.observe(clockInterval{sentAt: 0, receivedAt: 1, low: 1e6, high: 1e6 + 1}, 1)
-	c.observe(clockInterval{sentAt: 6000, receivedAt: 6001, low: 20, high: 21}, 2)
+	c.observe(offsetInterval{sentAt: 0, receivedAt: 1, minOffset: 1e6, maxOffset: 1e6 + 1}, 1)
+	c.observe(offsetInterval{sentAt: 6000, receivedAt: 6001, minOffset: 20, maxOffset: 21}, 2)
 	if c.drift != 0 || len(c.windows) != 1 {
 		t.Errorf("%+v", c)
 	}
--- a/internal/controlplane/consensus/cluster_faults_test.go
+++ b/internal/controlplane/consensus/cluster_faults_test.go
@@ -37,10 +37,10 @@
 }
 
 // pick is the leader, or another machine that is not retired.
-func (c *cluster) pick(leader bool, but ...string) *machine {
-	addrs := slices.DeleteFunc(c.liveAddrs(), func(addr string) bool { return slices.Contains(but, addr) })
+func (c *cluster) pickMachine(wantLeader bool, excluded ...string) *machine {
+	addrs := slices.DeleteFunc(c.liveAddrs(), func(addr string) bool { return slices.Contains(excluded, addr) })
 	if l := c.leader(); l != nil {
-		if leader && slices.Contains(addrs, l.addr) {
+		if wantLeader && slices.Contains(addrs, l.addr) {
 			return l
 		}
 		addrs = slices.DeleteFunc(addrs, func(addr string) bool { return addr == l.addr })
@@ -49,34 +49,34 @@
 }
 
 // replace retires a machine, or loses only its disk, and gives the time at which its successor started.
-func (c *cluster) replace(how string, m *machine) (successor string, at float64) {
-	c.disks++
-	if how == "wiped" {
-		m.disk, m.running = Empty(fmt.Sprintf("%d@%s", c.disks, m.addr)), false
+func (c *cluster) replace(kind string, m *machine) (successor string, startedAt float64) {
+	c.diskCount++
+	if kind == "wiped" {
+		m.disk, m.running = Empty(fmt.Sprintf("%d@%s", c.diskCount, m.addr)), false
 		c.run(300+2000*c.random.Float64(), 0)
 		c.start(m)
 		return m.addr, c.now
 	}
 	addrs := c.liveAddrs()
 	c.random.Shuffle(len(addrs), func(i, j int) { addrs[i], addrs[j] = addrs[j], addrs[i] })
-	addr := fmt.Sprint("n", c.disks)
-	next := &machine{addr: addr, seeds: addrs[:3], disk: Empty(fmt.Sprintf("%d@%s", c.disks, addr))}
-	if how == "gone" {
+	addr := fmt.Sprint("n", c.diskCount)
+	replacement := &machine{addr: addr, seeds: addrs[:3], disk: Empty(fmt.Sprintf("%d@%s", c.diskCount, addr))}
+	if kind == "gone" {
 		m.running, m.retired = false, true
 		c.run(1000, 0)
-		c.start(next)
+		c.start(replacement)
 		return addr, c.now
 	}
-	c.start(next)
-	at = c.now
+	c.start(replacement)
+	startedAt = c.now
 	c.run(1000, 0)
 	m.retired = true
 	c.terminate(m)
-	return addr, at
+	return addr, startedAt
 }
 
 // fault brings one about, of those that are tolerated: one machine of three or two of five at a time.
-func (c *cluster) fault() string {
+func (c *cluster) injectFault() string {
 	live := c.liveAddrs()
 	m := c.machines[live[c.random.IntN(len(live))]]
 	switch c.random.IntN(7) {
@@ -95,18 +95,18 @@
 		}
 		return "partitioned off"
 	case 4: // the disk is lost, with power elsewhere too
-		c.disks++
-		m.disk, m.running = Empty(fmt.Sprintf("%d@%s", c.disks, m.addr)), false
+		c.diskCount++
+		m.disk, m.running = Empty(fmt.Sprintf("%d@%s", c.diskCount, m.addr)), false
 		if c.random.IntN(2) == 0 {
 			c.powerOff(live)
 		}
 		return "wiped"
 	case 5: // a machine is gone for good, an empty one comes at another address
 		m.running, m.retired = false, true
-		c.disks++
-		addr := fmt.Sprint("n", c.disks)
+		c.diskCount++
+		addr := fmt.Sprint("n", c.diskCount)
 		// Its seeds are three of the machines that stood before the loss, as the operator's list had them.
-		c.start(&machine{addr: addr, seeds: live[:3], disk: Empty(fmt.Sprintf("%d@%s", c.disks, addr))})
+		c.start(&machine{addr: addr, seeds: live[:3], disk: Empty(fmt.Sprintf("%d@%s", c.diskCount, addr))})
 		return "replaced"
 	}
 	return "none"
@@ -188,12 +188,12 @@
 }
 
 // seedCount gives how many seeds a test plays; the variable SEEDS asks for more.
-func seedCount(usual int) int {
+func seedCount(defaultCount int) int {
 	if n, err := strconv.Atoi(os.Getenv("SEEDS")); err == nil {
 		return n
 	}
 	if testing.Short() {
-		return usual / 4
+		return defaultCount / 4
 	}
-	return usual
+	return defaultCount
 }
--- a/internal/controlplane/consensus/cluster_network_test.go
+++ b/internal/controlplane/consensus/cluster_network_test.go
@@ -12,7 +12,7 @@
 }
 
 // post puts a message on its way, once or twice, or loses it.
-func (c *cluster) post(from string, e Envelope) {
+func (c *cluster) transmit(from string, e Envelope) {
 	if c.partitioned[[2]string{from, e.To}] || !c.connected(from, e.To) || c.random.Float64() < c.lossRate {
 		return
 	}
@@ -49,6 +49,6 @@
 	if !known {
 		c.connectedAt[[2]string{from, to}] = c.now + 5 + 95*c.random.Float64()
 	}
-	back, asked := c.connectedAt[[2]string{to, from}]
-	return known && at <= c.now || asked && back <= c.now
+	reverseAt, reverseKnown := c.connectedAt[[2]string{to, from}]
+	return known && at <= c.now || reverseKnown && reverseAt <= c.now
 }
--- a/internal/controlplane/consensus/cluster_test.go
+++ b/internal/controlplane/consensus/cluster_test.go
@@ -24,7 +24,7 @@
 	minVoters       int     // Options.MinVoters; 0: as many as founders
 	crashRate       float64 // chance that power goes in the middle of a proposal
 	newestCrashesAt float64 // when the newest machine loses power; 0: it doesn't
-	disks           int     // numbers disks and machines that were replaced
+	diskCount       int     // numbers disks and machines that were replaced
 
 	proposals    int               // made so far
 	acknowledged []string          // proposals that were known committed where they were made
@@ -83,11 +83,11 @@
 		minVoters = len(c.founders)
 	}
 	m.node = New(Options{Addr: m.addr, Seeds: seeds, MinVoters: minVoters, HeartbeatInterval: 200, ElectionTimeout: 900,
-		RemoveAfter: 1575, Random: c.random.Float64}, copyOf(m.disk), c.now)
+		RemoveAfter: 1575, Random: c.random.Float64}, cloneState(m.disk), c.now)
 	c.reconnect(m.addr)
 }
 
-func copyOf(h HardState) HardState {
+func cloneState(h HardState) HardState {
 	h.Last.Voters = slices.Clone(h.Last.Voters)
 	h.Last.Value = slices.Clone(h.Last.Value)
 	return h
@@ -137,17 +137,17 @@
 		if m.node.Dirty() {
 			if c.random.Float64() < crashRate {
 				if c.random.IntN(2) == 0 {
-					m.disk = copyOf(m.node.HardState)
+					m.disk = cloneState(m.node.HardState)
 				}
 				m.running = false
 				return
 			}
-			m.disk = copyOf(m.node.HardState)
+			m.disk = cloneState(m.node.HardState)
 			m.node.Synced(c.now)
 		}
 		for _, e := range m.node.Messages() {
 			c.digest.message(m.addr, e)
-			c.post(m.addr, e)
+			c.transmit(m.addr, e)
 		}
 		c.digest.node(m.node, c.now)
 		c.checkCommitted(m)
@@ -161,8 +161,8 @@
 func (c *cluster) checkCommitted(m *machine) {
 	if e, ok := m.node.Committed(); ok {
 		value := string(e.Value)
-		if old, known := c.committed[e.Index]; known && old != value {
-			c.violation = fmt.Sprintf("entry %d: %q and %q", e.Index, old, value)
+		if previous, known := c.committed[e.Index]; known && previous != value {
+			c.violation = fmt.Sprintf("entry %d: %q and %q", e.Index, previous, value)
 		}
 		c.committed[e.Index] = value
 		if m.proposed != "" && e.Term == m.term && e.Index >= m.index {
@@ -195,7 +195,7 @@
 func (c *cluster) step(crashRate float64) {
 	c.now += 10
 	if c.newestCrashesAt > 0 && c.newestCrashesAt <= c.now {
-		if m := c.machines[fmt.Sprint("n", c.disks)]; m != nil {
+		if m := c.machines[fmt.Sprint("n", c.diskCount)]; m != nil {
 			m.running = false
 		}
 		c.newestCrashesAt = 0
@@ -246,7 +246,7 @@
 }
 
 // acknowledge offers changes until so many more were acknowledged; false: it takes too long.
-func (c *cluster) acknowledge(changes int) bool {
+func (c *cluster) awaitAcknowledged(changes int) bool {
 	for want, end := len(c.acknowledged)+changes, c.now+600_000; len(c.acknowledged) < want; {
 		if c.now > end || c.violation != "" {
 			return false
--- a/internal/controlplane/consensus/confchange.go
+++ b/internal/controlplane/consensus/confchange.go
@@ -2,23 +2,30 @@
 
 import "slices"
 
-// membershipState is what a node knows of machines that join and leave. It lives for as long as the process,
-// across terms.
+// membershipState is a node's record of machines that join and leave. It lives as long as the process, across terms.
 type membershipState struct {
-	joiners         map[string]joiner  // machines that want to vote, by ID; at most maxJoiners
-	nextJoinRequest float64            // this node, no voter, asks again
-	removedAddrs    map[string]float64 // addresses at which voters were removed, until when leaders write to them
-	removal         removalRound
-	// leavingVoters is when voters last said that their processes shut down, by ID.
+	joiners           map[string]joiner  // machines that ask to vote, by ID; at most maxJoiners
+	nextJoinRequestAt float64            // when this node sends Join again if it is no voter
+	removedAddrs      map[string]float64 // addresses of removed voters, with the time until which leaders notify them
+	removal           removalRound
+	// leavingVoters is when voters last announced that their processes shut down, by ID.
 	leavingVoters map[string]float64
 }
 
 // removalRound is the heartbeat round that confirms a removal.
 type removalRound struct {
-	number  uint64 // 0: none
-	beganAt float64
+	number    uint64 // 0 if there is none
+	startedAt float64
 }
 
+// maintainVoters changes the set of voters: one step at a time, and only after an entry of its own term is committed.
+//
+// A voter that must go and a machine that joins change places in two steps, the removal first. With 2*tolerate + 1
+// voters of which one is down, the remaining 2*tolerate voters commit with as many disks as before (tolerate + 1), and
+// neither step depends on the joining machine. In the other order there would be 2*tolerate + 2 voters between the
+// steps, and the voter that is down and the joining machine, if that fails too, would both count against the majority:
+// for tolerate = 1 they are half of the voters.
+
 // maintainVoters changes who votes: one step at a time, and only after an entry of its own term is committed.
 //
 // One that must go and one that comes change places in two steps, the removal first: with 2 tolerate + 1
@@ -29,17 +36,17 @@
 	if n.InFlight() {
 		return
 	}
-	joiner, joins := n.nextJoiner(now)
+	joiner, hasJoiner := n.nextJoiner(now)
 	switch {
-	case joins && n.replaceVoter(joiner, now):
-	case n.removeVoter(joins, now):
-	case joins && !n.removalExpected(now):
+	case hasJoiner && n.replaceVoter(joiner, now):
+	case n.removeVoter(hasJoiner, now):
+	case hasJoiner && !n.removalExpected(now):
 		n.addVoter(joiner, now)
 	}
 }
 
-// replaceVoter puts a joiner in the place of the voter at its address: the same machine with another disk.
-// The old life's disk is gone for certain.
+// replaceVoter puts a joining machine in the place of the voter at the same address: it is the same machine with
+// another disk, so the old voter's disk is certainly gone.
 func (n *Node) replaceVoter(joiner Voter, now float64) bool {
 	i := indexOfAddr(n.HardState.Last.Voters, joiner.Addr)
 	if i < 0 {
@@ -52,30 +59,30 @@
 	return true
 }
 
-// removeVoter removes one that leaves or is silent, once enough of the others have confirmed that they can go
-// on without it.
-func (n *Node) removeVoter(joins bool, now float64) bool {
-	gone := n.removalCandidate(now)
-	if gone < 0 || !n.mayRemove(joins) {
+// removeVoter removes a voter that leaves or is silent, once a majority of the others has confirmed that it can go on
+// without that voter.
+func (n *Node) removeVoter(hasJoiner bool, now float64) bool {
+	candidate := n.removalCandidate(now)
+	if candidate < 0 || !n.canRemove(hasJoiner) {
 		return false
 	}
-	rest := slices.Delete(slices.Clone(n.HardState.Last.Voters), gone, gone+1)
-	if !n.confirmedBy(rest, now) {
+	remaining := slices.Delete(slices.Clone(n.HardState.Last.Voters), candidate, candidate+1)
+	if !n.removalConfirmed(remaining, now) {
 		return false
 	}
 	n.removal = removalRound{}
-	n.appendEntry(rest, n.HardState.Last.Value, now)
+	n.appendEntry(remaining, n.HardState.Last.Value, now)
 	return true
 }
 
-// addVoter adds a joiner after the others.
+// addVoter appends a joining machine to the voters.
 func (n *Node) addVoter(joiner Voter, now float64) {
 	delete(n.joiners, joiner.ID)
 	n.appendEntry(append(slices.Clone(n.HardState.Last.Voters), joiner), n.HardState.Last.Value, now)
 }
 
-// removalExpected says that no voter may be removed but in a joiner's favor, and one missed some heartbeats:
-// the joiner may be there for that one, which is known soon.
+// removalExpected reports whether voters can be removed only in exchange for a joining machine, and one has missed some
+// heartbeats: the joining machine may be the replacement of that voter, and it is known soon whether it is.
 func (n *Node) removalExpected(now float64) bool {
 	voters := n.HardState.Last.Voters
 	return len(voters) == n.minVoters() && slices.ContainsFunc(voters, func(v Voter) bool {
@@ -86,16 +93,16 @@
 
 func (n *Node) minVoters() int { return max(n.options.MinVoters, 1) }
 
-// mayRemove says that one voter less is enough, or that another joins at once.
-func (n *Node) mayRemove(joins bool) bool {
+// canRemove reports whether one voter fewer is enough, or another machine joins at once.
+func (n *Node) canRemove(hasJoiner bool) bool {
 	voters := len(n.HardState.Last.Voters)
-	return voters > n.minVoters() || voters == n.minVoters() && voters > 1 && joins
+	return voters > n.minVoters() || voters == n.minVoters() && voters > 1 && hasJoiner
 }
 
-// removalCandidate gives the position of the first voter that said that it leaves, or else of the one that is
-// silent for longest, and for longer than RemoveAfter; -1: none is.
+// removalCandidate returns the position of the first voter that announced its shutdown, or else of the voter that has
+// been silent longest, and for longer than RemoveAfter; -1 if there is none.
 func (n *Node) removalCandidate(now float64) int {
-	found, longest := -1, n.options.RemoveAfter
+	candidate, longestSilence := -1, n.options.RemoveAfter
 	for i, v := range n.HardState.Last.Voters {
 		p := n.progress[v.ID]
 		if v.ID == n.HardState.ID || p == nil {
@@ -104,25 +111,25 @@
 		if n.isLeaving(v.ID, now) {
 			return i
 		}
-		if silent := p.silentFor(now); silent > longest {
-			found, longest = i, silent
+		if silent := p.silentFor(now); silent > longestSilence {
+			candidate, longestSilence = i, silent
 		}
 	}
-	return found
+	return candidate
 }
 
-// confirmedBy says whether a majority of the voters that would be left has answered a heartbeat that was sent
-// for this removal. That they answered lately is not enough: one that has ended since would be part of a set
-// in which no majority is left for ever, where the one that is removed might have come back.
-func (n *Node) confirmedBy(voters []Voter, now float64) bool {
-	if n.removal.number == 0 || now-n.removal.beganAt > n.responseWindow() {
+// removalConfirmed reports whether a majority of the voters that would remain has answered a heartbeat sent for this
+// removal. A recent answer is not enough: if one of them died since, the remaining set might never have a majority
+// again, while the removed voter might have come back.
+func (n *Node) removalConfirmed(voters []Voter, now float64) bool {
+	if n.removal.number == 0 || now-n.removal.startedAt > n.responseWindow() {
 		n.removal = removalRound{n.ReadIndex(now), now}
 	}
 	return n.quorumAcked(voters, n.removal.number)
 }
 
-// responseWindow is how long ago, in milliseconds, the last answer of a machine may be that counts as alive
-// for a change of voters.
+// responseWindow returns the maximum time in milliseconds since the last answer of a machine that counts as alive for a
+// change of the voters.
 func (n *Node) responseWindow() float64 {
 	return n.options.ElectionTimeout + 2*n.options.HeartbeatInterval
 }
--- a/internal/controlplane/consensus/contact_model_test.go
+++ b/internal/controlplane/consensus/contact_model_test.go
@@ -20,9 +20,9 @@
 	splitUntil float64
 	splitSince float64
 
-	unsoundClocks      bool // contacts may be wrong until a clock's rate is found out: they are not checked
-	samples, inContact int
-	digest             *digest // see cluster
+	skipContactCheck          bool // contacts may be wrong until a clock's rate is found out: they are not checked
+	samples, samplesInContact int
+	digest                    *digest // see cluster
 }
 
 type contactMachine struct {
@@ -33,16 +33,16 @@
 	startedAt float64 // of that process
 	clockRate float64
 
-	running     bool
-	offUntil    float64
-	frozenUntil float64
+	running         bool
+	poweredOffUntil float64
+	frozenUntil     float64
 
 	// committed is the index of the newest entry that this process has known committed.
 	committed uint64
 
-	minority                bool    // the side of a split
-	outCutUntil, inCutUntil float64 // none of its messages goes out, or comes in
-	partitionedSince        float64 // by these; +Inf: it is not
+	inMinority                                bool    // the side of a split
+	outboundBlockedUntil, inboundBlockedUntil float64 // none of its messages goes out, or comes in
+	partitionedSince                          float64 // by these; +Inf: it is not
 }
 
 type contactDelivery struct {
@@ -77,14 +77,14 @@
 	m.process++
 	m.running, m.startedAt, m.committed = true, c.now, 0
 	m.node = New(Options{Addr: m.addr, Seeds: seeds, MinVoters: len(seeds), HeartbeatInterval: 200, ElectionTimeout: 900,
-		RemoveAfter: 4500, Random: c.random.Float64}, copyOf(m.disk), 0)
-	c.noteCommitted(m)
+		RemoveAfter: 4500, Random: c.random.Float64}, cloneState(m.disk), 0)
+	c.recordCommitted(m)
 }
 
 // clock is a reading of a machine's own, in milliseconds since its process started.
 func (c *contactModel) clock(m *contactMachine) float64 { return (c.now - m.startedAt) * m.clockRate }
 
-func (c *contactModel) runs(m *contactMachine) bool { return m.running && m.frozenUntil <= c.now }
+func (c *contactModel) isActive(m *contactMachine) bool { return m.running && m.frozenUntil <= c.now }
 
 func (c *contactModel) machine(addr string) *contactMachine {
 	for _, m := range c.machines {
@@ -96,13 +96,13 @@
 }
 
 func (c *contactModel) partitioned(from, to *contactMachine) bool {
-	return from.outCutUntil > c.now || to.inCutUntil > c.now || c.splitUntil > c.now && from.minority != to.minority
+	return from.outboundBlockedUntil > c.now || to.inboundBlockedUntil > c.now || c.splitUntil > c.now && from.inMinority != to.inMinority
 }
 
 func (c *contactModel) flush(m *contactMachine) {
 	for range 4 {
 		if m.node.Dirty() {
-			m.disk = copyOf(m.node.HardState)
+			m.disk = cloneState(m.node.HardState)
 			m.node.Synced(c.clock(m))
 		}
 		for _, e := range m.node.Messages() {
@@ -119,7 +119,7 @@
 			c.inTransit = append(c.inTransit, contactDelivery{at, to, to.process, e.Message})
 		}
 		c.digest.node(m.node, c.clock(m))
-		c.noteCommitted(m)
+		c.recordCommitted(m)
 		if !m.node.Dirty() {
 			return
 		}
@@ -127,7 +127,7 @@
 }
 
 // noteCommitted notes what a machine knows committed.
-func (c *contactModel) noteCommitted(m *contactMachine) {
+func (c *contactModel) recordCommitted(m *contactMachine) {
 	e, ok := m.node.Committed()
 	if !ok || e.Index <= m.committed {
 		return
@@ -150,7 +150,7 @@
 
 // check holds a machine's contact against what was acknowledged, and against the partitions that it is behind.
 func (c *contactModel) check(m *contactMachine) error {
-	if c.unsoundClocks {
+	if c.skipContactCheck {
 		return nil
 	}
 	age := m.node.ContactAge(c.clock(m))
@@ -158,18 +158,18 @@
 	if age > ContactLease {
 		return nil
 	}
-	c.inContact++
-	drift := 1 + 0.003*age
-	if need := c.acknowledged(c.now - age - drift); m.committed < need {
+	c.samplesInContact++
+	tolerance := 1 + 0.003*age
+	if required := c.acknowledged(c.now - age - tolerance); m.committed < required {
 		return fmt.Errorf("at %.0f %s has contact of %.0f ms ago and knows entry %d; %d was acknowledged before",
-			c.now, m.addr, age, m.committed, need)
+			c.now, m.addr, age, m.committed, required)
 	}
-	apart := m.partitionedSince
-	if m.minority && c.splitUntil > c.now {
-		apart = min(apart, c.splitSince)
+	isolatedSince := m.partitionedSince
+	if m.inMinority && c.splitUntil > c.now {
+		isolatedSince = min(isolatedSince, c.splitSince)
 	}
-	if inTransit := 70.0; c.now-apart > ContactLease+inTransit+drift {
-		return fmt.Errorf("at %.0f %s has contact of %.0f ms ago and is apart since %.0f", c.now, m.addr, age, apart)
+	if maxTransit := 70.0; c.now-isolatedSince > ContactLease+maxTransit+tolerance {
+		return fmt.Errorf("at %.0f %s has contact of %.0f ms ago and is apart since %.0f", c.now, m.addr, age, isolatedSince)
 	}
 	return nil
 }
@@ -188,13 +188,13 @@
 		}
 	}
 	for _, m := range c.machines {
-		if !m.running && m.offUntil <= c.now {
+		if !m.running && m.poweredOffUntil <= c.now {
 			c.start(m, m.node.options.Seeds)
 		}
-		if max(m.outCutUntil, m.inCutUntil) <= c.now {
+		if max(m.outboundBlockedUntil, m.inboundBlockedUntil) <= c.now {
 			m.partitionedSince = math.Inf(1)
 		}
-		if !c.runs(m) {
+		if !c.isActive(m) {
 			continue
 		}
 		m.node.Tick(c.clock(m))
@@ -210,24 +210,24 @@
 	return nil
 }
 
-func (c *contactModel) fault() {
+func (c *contactModel) injectFault() {
 	m := c.machines[c.random.IntN(len(c.machines))]
 	duration := 500 + 6000*c.random.Float64()
 	switch c.random.IntN(6) {
 	case 0:
-		m.outCutUntil, m.inCutUntil = c.now+duration, c.now+duration
+		m.outboundBlockedUntil, m.inboundBlockedUntil = c.now+duration, c.now+duration
 	case 1:
-		m.outCutUntil = c.now + duration
+		m.outboundBlockedUntil = c.now + duration
 	case 2:
-		m.inCutUntil = c.now + duration
+		m.inboundBlockedUntil = c.now + duration
 	case 3:
 		m.frozenUntil = c.now + duration/2
 		return
 	case 4:
-		m.running, m.offUntil = false, c.now+100+duration/3
+		m.running, m.poweredOffUntil = false, c.now+100+duration/3
 		return
 	case 5:
-		c.divide(c.now + duration)
+		c.startSplit(c.now + duration)
 		return
 	}
 	m.partitionedSince = min(m.partitionedSince, c.now)
@@ -235,12 +235,12 @@
 
 // divide puts up to as many machines as a majority can do without on a side of their own, a leader and its
 // followers maybe among them.
-func (c *contactModel) divide(until float64) {
+func (c *contactModel) startSplit(until float64) {
 	if c.splitUntil > c.now {
 		return
 	}
 	c.splitUntil, c.splitSince = until, c.now
 	for i, k := range c.random.Perm(len(c.machines)) {
-		c.machines[k].minority = i < len(c.machines)/2
+		c.machines[k].inMinority = i < len(c.machines)/2
 	}
 }
--- a/internal/controlplane/consensus/contact_test.go
+++ b/internal/controlplane/consensus/contact_test.go
@@ -7,7 +7,7 @@
 // machine that is partitioned off, in one direction or both, has no contact once the lease is over. It fails
 // without the condition of ReadConfirmed in endContactRound, of committed or incarnation in updateContact, and
 // of lastContact or receivedAt in contactFor; without Established there in the history numbered afterElection.
-func TestContactVouchesForWhatIsKnown(t *testing.T) {
+func TestContactImpliesKnowledgeOfAcknowledgedEntries(t *testing.T) {
 	const afterElection = 1607 // a new leader passes on a contact of its own that is older than its lead
 	seeds := 300
 	if testing.Short() {
@@ -21,7 +21,7 @@
 		c := newContactModel(uint64(seed), 3+2*(seed%2))
 		for c.now < 60_000 {
 			if c.now > 3000 && c.random.IntN(500) == 0 {
-				c.fault()
+				c.injectFault()
 			}
 			if err := c.step(); err != nil {
 				t.Fatalf("seed %d: %v", seed, err)
@@ -30,7 +30,7 @@
 		if len(c.commits) < 20 {
 			t.Fatalf("seed %d: %d entries were acknowledged", seed, len(c.commits))
 		}
-		inContact, samples = inContact+c.inContact, samples+c.samples
+		inContact, samples = inContact+c.samplesInContact, samples+c.samples
 	}
 	t.Logf("%.2f of %d samples had contact", float64(inContact)/float64(samples), samples)
 	if inContact < samples/3 {
@@ -40,7 +40,7 @@
 
 // TestContactIsKeptUp: where nothing is wrong but a message in twenty is lost, each machine has contact, well
 // under the lease.
-func TestContactIsKeptUp(t *testing.T) {
+func TestContactStaysWithinLease(t *testing.T) {
 	for seed := range 20 {
 		c := newContactModel(uint64(seed), 3+2*(seed%2))
 		oldest := 0.0
--- a/internal/controlplane/consensus/digest_test.go
+++ b/internal/controlplane/consensus/digest_test.go
@@ -13,26 +13,26 @@
 
 // digest folds all that nodes put out, in order, into one number: messages, hard state, role, what is known
 // committed, the other voters' progress, and contact. A nil digest takes nothing.
-type digest struct{ sum hash.Hash64 }
+type digest struct{ hash hash.Hash64 }
 
 func newDigest() *digest { return &digest{fnv.New64a()} }
 
 func (d *digest) add(format string, args ...any) {
 	if d != nil {
-		fmt.Fprintf(d.sum, format, args...)
+		fmt.Fprintf(d.hash, format, args...)
 	}
 }
 
 // message takes one that a node sends, as it is on the wire.
-func (d *digest) message(from string, s Envelope) {
+func (d *digest) message(from string, envelope Envelope) {
 	if d == nil {
 		return
 	}
-	b, err := cbor.Marshal(&s.Message)
+	b, err := cbor.Marshal(&envelope.Message)
 	if err != nil {
 		panic(err)
 	}
-	d.add("%s>%s %x\n", from, s.To, b)
+	d.add("%s>%s %x\n", from, envelope.To, b)
 }
 
 // node takes what a node shows to its caller.
@@ -49,8 +49,8 @@
 		d.add("%d/%d %d|", e.Term, e.Index, len(e.Value))
 	}
 	d.add("%v %v|", n.ContactAge(now), n.LastContact())
-	for _, o := range n.PeerStatuses(now) {
-		d.add("%s %d %v %v|", o.Voter, o.Index, o.Behind, o.Silent)
+	for _, peer := range n.PeerStatuses(now) {
+		d.add("%s %d %v %v|", peer.Voter, peer.Index, peer.Behind, peer.Silent)
 	}
 }
 
@@ -58,25 +58,25 @@
 type history struct {
 	name  string
 	seeds int
-	play  func(d *digest, seed uint64)
+	run   func(d *digest, seed uint64)
 	want  string
 }
 
 // TestDigests holds what nodes put out over seeded histories against what they put out when this was recorded.
 func TestDigests(t *testing.T) {
 	for _, h := range []history{
-		{"losses of power, disks and machines, partitions", 12, playLosses, "71cdbc8bcb46772b"},
-		{"replacements behind connections that are made anew", 8, playReplacements, "fde9c6a578f2788d"},
-		{"processes that leave, and leadership transfers", 12, playLeaving, "14c0a41f6c041cc9"},
-		{"contact, on clocks that differ", 6, playContact, "3fcf4d09a1b1792e"},
-		{"any message in any state", 400, playAnyMessage, "121551336998e895"},
+		{"losses of power, disks and machines, partitions", 12, runLosses, "71cdbc8bcb46772b"},
+		{"replacements behind connections that are made anew", 8, runReplacements, "fde9c6a578f2788d"},
+		{"processes that leave, and leadership transfers", 12, runShutdowns, "14c0a41f6c041cc9"},
+		{"contact, on clocks that differ", 6, runContact, "3fcf4d09a1b1792e"},
+		{"any message in any state", 400, runRandomMessages, "121551336998e895"},
 	} {
 		t.Run(h.name, func(t *testing.T) {
 			d := newDigest()
 			for seed := range h.seeds {
-				h.play(d, uint64(seed))
+				h.run(d, uint64(seed))
 			}
-			if got := fmt.Sprintf("%016x", d.sum.Sum64()); got != h.want {
+			if got := fmt.Sprintf("%016x", d.hash.Sum64()); got != h.want {
 				t.Errorf("digest %s, recorded was %s", got, h.want)
 			}
 		})
@@ -85,13 +85,13 @@
 
 // playLosses has machines lose power and disks, freeze, be cut off and replaced; with changes, and reads that
 // are confirmed.
-func playLosses(d *digest, seed uint64) {
+func runLosses(d *digest, seed uint64) {
 	c := newCluster(seed, 3+2*int(seed%2))
 	c.digest = d
 	c.run(4000, 0)
 	for range 4 {
 		for range 1 + seed%2 {
-			c.fault()
+			c.injectFault()
 		}
 		for range 4 {
 			m := c.machines[c.addrs()[c.random.IntN(len(c.machines))]]
@@ -111,7 +111,7 @@
 }
 
 // playReplacements replaces machines in each way, and loses others right behind.
-func playReplacements(d *digest, seed uint64) {
+func runReplacements(d *digest, seed uint64) {
 	tolerate := 1 + int(seed%2)
 	c := newCluster(seed, 3)
 	c.digest = d
@@ -122,9 +122,9 @@
 	}
 	c.run(5000, 0)
 	for _, how := range []string{"gone", "planned", "wiped"} {
-		c.replace(how, c.pick(c.random.IntN(2) == 0))
+		c.replace(how, c.pickMachine(c.random.IntN(2) == 0))
 		c.run(4000, 0)
-		m := c.pick(c.random.IntN(2) == 0)
+		m := c.pickMachine(c.random.IntN(2) == 0)
 		m.running = false
 		c.run(1500+3000*c.random.Float64(), 0)
 		c.restartAll()
@@ -135,17 +135,17 @@
 
 // playLeaving has processes end in order where their voters may be removed and where not, connections to
 // leaders break, and leaders asked to transfer their leadership.
-func playLeaving(d *digest, seed uint64) {
+func runShutdowns(d *digest, seed uint64) {
 	c := newCluster(seed, 3+2*int(seed/2%2))
 	c.digest = d
 	c.lossRate, c.crashRate, c.minVoters = 0.02*float64(seed%3), 0, []int{2, 3, 5}[seed%3]
 	c.run(4000, 0)
 	for range 4 {
-		m := c.pick(c.random.IntN(2) == 0)
+		m := c.pickMachine(c.random.IntN(2) == 0)
 		c.terminate(m)
-		for _, a := range c.liveAddrs() {
-			if o := c.machines[a]; o.running && c.random.IntN(2) == 0 {
-				o.node.PeerDisconnected(m.addr, c.now)
+		for _, addr := range c.liveAddrs() {
+			if other := c.machines[addr]; other.running && c.random.IntN(2) == 0 {
+				other.node.PeerDisconnected(m.addr, c.now)
 			}
 		}
 		c.run(500+3000*c.random.Float64(), 0)
@@ -155,9 +155,9 @@
 		c.restartAll()
 		c.run(3000, 0)
 		if l := c.leader(); l != nil {
-			to := c.pick(false, l.addr)
-			to.node.Step(&Message{Kind: TimeoutNow, From: l.node.self(), Term: l.node.HardState.Term}, c.now)
-			c.flush(to, 0)
+			successor := c.pickMachine(false, l.addr)
+			successor.node.Step(&Message{Kind: TimeoutNow, From: l.node.self(), Term: l.node.HardState.Term}, c.now)
+			c.flush(successor, 0)
 		}
 		c.run(2000, 0)
 	}
@@ -165,62 +165,62 @@
 }
 
 // playContact runs the model of contact through its partitions, freezes and restarts.
-func playContact(d *digest, seed uint64) {
-	w := newContactModel(seed, 3+2*int(seed%2))
-	w.digest = d
-	for w.now < 30_000 {
-		if w.now > 3000 && w.random.IntN(400) == 0 {
-			w.fault()
+func runContact(d *digest, seed uint64) {
+	model := newContactModel(seed, 3+2*int(seed%2))
+	model.digest = d
+	for model.now < 30_000 {
+		if model.now > 3000 && model.random.IntN(400) == 0 {
+			model.injectFault()
 		}
-		if err := w.step(); err != nil {
+		if err := model.step(); err != nil {
 			panic(err)
 		}
 	}
-	d.add("%v %v", w.inContact, w.samples)
+	d.add("%v %v", model.samplesInContact, model.samples)
 }
 
 // playAnyMessage calls one node in any order with messages of every kind, from voters, joiners and strangers,
 // of terms, entries and rounds around its own.
-func playAnyMessage(d *digest, seed uint64) {
-	r := rand.New(rand.NewPCG(seed, 41))
+func runRandomMessages(d *digest, seed uint64) {
+	random := rand.New(rand.NewPCG(seed, 41))
 	addrs := []string{"m0", "m1", "m2", "m3", "m4"}[:[]int{1, 2, 3, 5}[seed%4]]
-	options := Options{Addr: "m0", Seeds: addrs, MinVoters: []int{0, 2, 3}[r.IntN(3)], HeartbeatInterval: 200,
-		ElectionTimeout: 900, RemoveAfter: 1575, Random: r.Float64}
+	options := Options{Addr: "m0", Seeds: addrs, MinVoters: []int{0, 2, 3}[random.IntN(3)], HeartbeatInterval: 200,
+		ElectionTimeout: 900, RemoveAfter: 1575, Random: random.Float64}
 	now, disk := 10_000.0, Bootstrap("m0", addrs)
 	if seed%7 == 6 {
 		disk = Empty("e@m0")
 	}
-	n := New(options, copyOf(disk), now)
+	n := New(options, cloneState(disk), now)
 	for range 300 {
-		now += math.Floor(r.Float64() * r.Float64() * 400)
-		switch r.IntN(24) {
+		now += math.Floor(random.Float64() * random.Float64() * 400)
+		switch random.IntN(24) {
 		default:
-			n.Step(anyMessage(r, n), now)
+			n.Step(randomMessage(random, n), now)
 		case 0, 1, 2, 3:
 			n.Tick(now)
 		case 4, 5:
-			e, ok := n.Propose([]byte{byte(r.IntN(256))}, now)
+			e, ok := n.Propose([]byte{byte(random.IntN(256))}, now)
 			d.add("%d %v", e.Index, ok)
 		case 6:
 			if n.Role() == Leader {
 				d.add("%d", n.ReadIndex(now))
 			}
 		case 7:
-			d.add("%v", n.ReadConfirmed(uint64(r.IntN(40))))
+			d.add("%v", n.ReadConfirmed(uint64(random.IntN(40))))
 		case 8:
 			if leader, ok := n.Leader(); ok {
 				n.PeerDisconnected(leader.Addr, now)
 			}
 		case 9:
-			switch r.IntN(12) {
+			switch random.IntN(12) {
 			case 0:
 				n.Leave(now)
 			case 1:
-				n = New(options, copyOf(disk), now)
+				n = New(options, cloneState(disk), now)
 			}
 		}
-		if n.Dirty() && r.IntN(3) > 0 {
-			disk = copyOf(n.HardState)
+		if n.Dirty() && random.IntN(3) > 0 {
+			disk = cloneState(n.HardState)
 			n.Synced(now)
 		}
 		for _, s := range n.Messages() {
@@ -231,9 +231,9 @@
 }
 
 // anyMessage makes a message that might come, with all fields set that its kind bears.
-func anyMessage(r *rand.Rand, n *Node) *Message {
+func randomMessage(random *rand.Rand, n *Node) *Message {
 	h := &n.HardState
-	near := func(v uint64) uint64 { return uint64(max(0, int(v)+[]int{0, 0, 0, 0, 1, -1, 2}[r.IntN(7)])) }
+	nearby := func(v uint64) uint64 { return uint64(max(0, int(v)+[]int{0, 0, 0, 0, 1, -1, 2}[random.IntN(7)])) }
 	senders := []Voter{{"0@m1", "m1"}, {"0@m2", "m2"}, {"0@m3", "m3"}, {"0@m4", "m4"}, {"x@m1", "m1"}, {"j@n1", "n1"},
 		{"k@n2", "n2"}}
 	for _, v := range h.Last.Voters {
@@ -244,26 +244,26 @@
 	if leader, ok := n.Leader(); ok && leader.ID != h.ID {
 		senders = append(senders, leader, leader, leader)
 	}
-	m := &Message{Kind: Kind(1 + r.IntN(10)), From: senders[r.IntN(len(senders))], Term: near(h.Term),
-		LastTerm: near(h.Last.Term), LastIndex: near(h.Last.Index), Granted: r.IntN(3) == 0, Commit: near(h.Last.Index), Round: uint64(r.IntN(40)),
-		Clock: 1000 * r.Float64(), Contact: 10_000 + 20_000*r.Float64(), Incarnation: uint32(r.IntN(2))}
-	if r.IntN(2) == 0 {
-		m.Incarnation = n.incarnation
+	msg := &Message{Kind: Kind(1 + random.IntN(10)), From: senders[random.IntN(len(senders))], Term: nearby(h.Term),
+		LastTerm: nearby(h.Last.Term), LastIndex: nearby(h.Last.Index), Granted: random.IntN(3) == 0, Commit: nearby(h.Last.Index), Round: uint64(random.IntN(40)),
+		Clock: 1000 * random.Float64(), Contact: 10_000 + 20_000*random.Float64(), Incarnation: uint32(random.IntN(2))}
+	if random.IntN(2) == 0 {
+		msg.Incarnation = n.incarnation
 	}
-	if m.Kind == PreVoteResponse || m.Kind == VoteResponse {
-		m.Granted = r.IntN(4) > 0
+	if msg.Kind == PreVoteResponse || msg.Kind == VoteResponse {
+		msg.Granted = random.IntN(4) > 0
 	}
-	if m.Kind == PreVoteResponse {
-		m.Term = near(h.Term + 1)
+	if msg.Kind == PreVoteResponse {
+		msg.Term = nearby(h.Term + 1)
 	}
-	if m.Kind == AppendEntries && r.IntN(2) == 0 {
-		m.Entry = &Entry{Term: m.LastTerm, Index: m.LastIndex, Voters: append([]Voter{}, h.Last.Voters...),
-			Value: []byte{byte(r.IntN(256))}}
-		if len(m.Entry.Voters) == 0 || r.IntN(4) == 0 {
-			m.Entry.Voters = append(m.Entry.Voters, m.From)
-		} else if len(m.Entry.Voters) > 1 && r.IntN(4) == 0 {
-			m.Entry.Voters = m.Entry.Voters[1:]
+	if msg.Kind == AppendEntries && random.IntN(2) == 0 {
+		msg.Entry = &Entry{Term: msg.LastTerm, Index: msg.LastIndex, Voters: append([]Voter{}, h.Last.Voters...),
+			Value: []byte{byte(random.IntN(256))}}
+		if len(msg.Entry.Voters) == 0 || random.IntN(4) == 0 {
+			msg.Entry.Voters = append(msg.Entry.Voters, msg.From)
+		} else if len(msg.Entry.Voters) > 1 && random.IntN(4) == 0 {
+			msg.Entry.Voters = msg.Entry.Voters[1:]
 		}
 	}
-	return m
+	return msg
 }
--- a/internal/controlplane/consensus/doc.go
+++ b/internal/controlplane/consensus/doc.go
@@ -1,20 +1,20 @@
-// Package consensus lets the machines of the core agree on one value, and on which of them vote on it.
+// Package consensus replicates one value among a cluster of machines, and the set of machines that vote on it.
 //
-// The value is opaque here; its caller, the control plane, keeps the operators' configuration in it. The
-// package is Raft (Ongaro and Ousterhout, In Search of an Understandable Consensus Algorithm, 2014; section
-// numbers below are of that paper, "thesis" is Ongaro's Consensus: Bridging Theory and Practice) with the
-// departures that are listed here. It does no I/O, starts no goroutine and reads no clock, so that tests play
-// whole clusters in virtual time.
+// The value is opaque to the package; the control plane, its caller, keeps the operators' configuration in it. The
+// package implements Raft (Ongaro and Ousterhout, In Search of an Understandable Consensus Algorithm, 2014; section
+// numbers below refer to that paper, and "thesis" to Ongaro's Consensus: Bridging Theory and Practice) with the
+// departures listed below. It does no I/O, starts no goroutine and reads no clock, so that tests can run whole
+// clusters in virtual time.
 //
 // # How to drive a node
 //
-// One goroutine owns a [Node]. It makes one by [New] from the [HardState] on its disk (or [Bootstrap],
-// [Restore] or [Empty] where there is none), and from then on, with now in milliseconds of a clock that never
-// goes back:
+// One goroutine owns a [Node]. It calls [New] with the [HardState] read from disk, or with that of [Bootstrap],
+// [Restore] or [Empty] if the disk has none, and from then on, where now is the reading of a monotonic clock in
+// milliseconds:
 //
-//	n.Tick(now)              // several times a heartbeat interval
-//	n.Step(&message, now)    // for each message that comes
-//	n.Propose(value, now)    // at an established leader, for a change
+//	n.Tick(now)              // several times per heartbeat interval
+//	n.Step(&message, now)    // for each message received
+//	n.Propose(value, now)    // on an established leader, to change the value
 //
 // After each call, or after several:
 //
@@ -32,85 +32,83 @@
 //		}
 //	}
 //
-// The order is the contract: nothing that follows from HardState may be sent before HardState is synced.
-// Where a save fails, drop the messages and don't call Synced: a node that never speaks of what it doesn't
-// hold is only slow. A message may be lost, late or come twice. Message.Entry points to the sender's own
-// state; encode it before the node is called again.
+// The order matters: no message that depends on HardState may be sent before HardState is synced. If a save fails,
+// drop the messages and don't call Synced: a node that sends nothing about state it hasn't stored is merely slow.
+// Messages may be lost, delayed or duplicated. Message.Entry points into the sender's state; encode it before the
+// next call of the node.
 //
-// A change is acknowledged to a client once [Node.Committed] gives an entry of the proposal's term with its
-// index or a higher one. A read of the newest value is answered once [Node.ReadConfirmed] says so of a
-// [Node.ReadIndex]. A process that shuts down calls [Node.Leave] and goes on driving the node until
-// [Node.LeaveDone].
+// A change is acknowledged to a client once [Node.Committed] returns an entry of the proposal's term with the
+// proposal's index or a higher one. A linearizable read is answered once [Node.ReadConfirmed] reports true for the
+// round that [Node.ReadIndex] returned. A process that shuts down calls [Node.Leave] and drives the node until
+// [Node.LeaveDone] reports true.
 //
 // # Departures from Raft
 //
-// The log is one entry. Each [Entry] holds the whole value and the whole set of voters, so that an entry
-// replaces the one before, and there is no log to compare, truncate or compact: AppendEntries bears the last
-// entry where the receiver may lack it, and a follower takes it if it is newer by (term, index). The leader
-// proposes an entry only when the one before is committed ([Node.InFlight]), so each entry of a term was
-// written in the knowledge of all that was committed before. A newly elected leader writes its last entry
-// anew in its own term, and proposes nothing else until that is committed (section 5.4.2); only then is it
-// established.
+// The log is one entry. Each [Entry] holds the whole value and the whole set of voters, so an entry replaces its
+// predecessor, and there is no log to compare, truncate or compact: AppendEntries carries the leader's last entry if
+// the receiver may lack it, and a follower accepts it if it is newer by (term, index). The leader proposes an entry
+// only when the previous one is committed ([Node.InFlight]), so each entry of a term follows from everything
+// committed before. A newly elected leader rewrites its last entry in its own term and proposes nothing else until
+// that entry is committed (section 5.4.2); only then is the leader established.
 //
-// Voters change by one at a time (thesis, section 4.1), after a committed entry of the leader's own term,
-// and with the entry that names them: from the moment at which it is accepted, whether or not it commits. The
-// majorities of two sets that differ by one voter meet. Only a voter that comes back with an empty disk is
-// exchanged for its new life in one step: the old one answers nobody any more, so every later majority of the
-// old set is of the others, and meets each of the new set. That assumes that no vote of the old life is still
-// on its way.
+// Voters change one at a time (thesis, section 4.1), after a committed entry of the leader's own term. A new set of
+// voters takes effect as soon as the entry that holds it is accepted, committed or not. The majorities of two sets
+// that differ by one voter overlap. Only a voter that returns with an empty disk is replaced, by the same machine
+// under a new ID, in one step: the old ID no longer answers, so every later majority of the old set consists of other
+// voters and overlaps each majority of the new set. This assumes that no vote of the old ID is still in transit.
 //
-// The leader changes the voters by itself. It replaces a voter whose disk was lost by the new life of the
-// same machine, adds machines that send Join, and removes voters that leave or are silent for RemoveAfter,
-// but never below MinVoters unless another joins at once. A removal waits until a majority of those that
-// remain has answered a heartbeat sent for it: a majority that is dead when it is made the quorum could never
-// elect or commit again. See maintainVoters for the order of the steps.
+// The leader changes the voters by itself. It replaces a voter whose disk was lost by the same machine under its new
+// ID, adds machines that send Join, and removes voters that leave or are silent for RemoveAfter, but never below
+// MinVoters unless another machine joins at once. A removal waits until a majority of the remaining voters has
+// answered a heartbeat sent for it: a set whose majority is already dead when it becomes the configuration could
+// never elect or commit again. See maintainVoters for the order of the steps.
 //
-// A lost disk is another voter. A voter's ID is drawn when its disk is first used, so that a machine which
-// forgot its vote can't vote again under the same name. It gives no vote until it has an entry, and joins as
-// a stranger.
+// A machine that lost its disk is a new voter. A voter's ID is drawn at random when its disk is first used, so that a
+// machine which lost the record of its vote can't vote again under the same ID. It grants no vote until it has an
+// entry, and joins like any new machine.
 //
-// A candidate asks first (pre-vote, thesis section 9.6), and voters that hear a leader give no vote to others
-// (section 6), so that a machine that comes back doesn't unseat a working leader. Of two that ask at once
-// with equal entries, the lower ID goes first.
+// Elections begin with a pre-vote (thesis, section 9.6), and voters that hear from a leader vote for nobody else
+// (section 6), so that a returning machine doesn't disrupt a working leader. If two pre-candidates with equal entries
+// start at the same time, the one with the lower ID goes first.
 //
-// A leader that no majority answered for two election timeouts steps down (CheckQuorum, thesis section 6.2).
+// A leader that no majority has answered for two election timeouts steps down (CheckQuorum; thesis, section 6.2).
 //
-// A leadership transfer is TimeoutNow (thesis, section 3.10). A leader that shuts down has itself voted out
-// where there are voters to spare, and transfers its leadership where not.
+// A leadership transfer uses TimeoutNow (thesis, section 3.10). A leader that shuts down has itself removed from the
+// voters if enough others remain, and transfers its leadership otherwise.
 //
-// Contact is a lease on knowledge, not on leadership: it lets every node, followers too, say up to which
-// moment it knows all that was acknowledged. See [ContactLease] and contact.go.
+// Contact is a lease on knowledge, not on leadership: it tells every node, followers included, up to which moment it
+// knows everything that was acknowledged. See [ContactLease] and contact.go.
 //
 // # Invariants
 //
-//   - At most one node leads a term. A vote is synced before it is sent, and given once a term.
-//   - The entries known committed under one index are the same everywhere, and a leader's last
-//     entry is as new as every entry that was committed in earlier terms.
-//   - HardState.Term and the last entry's (term, index) never fall while the disk lives, nor the last contact
-//     while the process lives.
-//   - What a leader knows of a peer's disk (progress.match) is never newer than what the peer has synced.
-//   - A node knows all that was acknowledged anywhere before its last contact.
+//   - At most one node leads in a term. A node votes once per term, and syncs the vote before it sends it.
+//   - All nodes that know an entry with some index to be committed know the same entry, and a leader's last entry is at
+//     least as new as every entry that was committed in earlier terms.
+//   - HardState.Term and the (term, index) of the last entry never decrease during the lifetime of the disk, nor does
+//     the last contact during that of the process.
+//   - The entry that a leader records as stored by a peer (progress.match) is never newer than what the peer synced.
+//   - A node knows everything that was acknowledged anywhere before its last contact.
 //
 // # Failures
 //
-// Of 2f+1 voters f may be gone or apart at a time: the others elect, commit and, where MinVoters allows,
-// remove the silent ones. A minority commits nothing, and its contact ages beyond ContactLease. A voter that
-// comes back votes again if it was not removed, and else joins; for two minutes leaders send heartbeats to
-// the addresses of voters that they removed, as those may know nobody else. A node that was wiped joins as a
-// new voter in its old one's place. Where a majority of disks is lost for good, [Restore] founds the core
-// anew from an exported entry.
+// Of 2f+1 voters, f may be down or partitioned at a time: the others elect, commit and, if MinVoters allows it,
+// remove the silent ones. A minority commits nothing, and the age of its contact exceeds ContactLease. A voter that
+// returns votes again if it was not removed, and joins otherwise; leaders send heartbeats to the addresses of removed
+// voters for two minutes, as those may know no other address of a current voter. A machine whose disk was wiped joins
+// as a new voter in place of its old ID. If a majority of the disks is lost permanently, [Restore] bootstraps the
+// cluster again from an exported entry.
 //
 // # Files
 //
-//   - state.go: what is stored: voters, entries, HardState
-//   - message.go: what is sent
-//   - node.go: Node, its roles, and how a caller drives it
+//   - state.go: the stored state: voters, entries, HardState
+//   - message.go: messages
+//   - node.go: Node, its roles, and the calls that drive it
 //   - election.go: pre-votes, votes, leaders
 //   - replication.go: heartbeats, entries, commits
-//   - progress.go, quorum.go: what a leader knows of its peers, and majorities
-//   - contact.go: reads and contact
-//   - join.go, confchange.go: joiners, and changes of voters
-//   - shutdown.go: processes that leave, leadership transfers
+//   - progress.go, quorum.go: a leader's view of its peers, and majorities
+//   - contact.go, clockrate.go: confirmed reads and contact, and the check of clock rates that contact relies on
+//   - join.go, confchange.go, former.go: joining machines, changes of the voters, and former voters
+//   - shutdown.go: processes that shut down, leadership transfers
 //
 // testdata/transcripts shows an election, a partition, a lost disk, joins and removals, and shutdowns, message by
 // message.
--- a/internal/controlplane/consensus/election_test.go
+++ b/internal/controlplane/consensus/election_test.go
@@ -10,7 +10,7 @@
 // TestNothingAcknowledgedIsLost plays faults of every kind against three and five machines, as many at a time
 // as may be tolerated: no two machines take different values for committed, every change that was acknowledged
 // stays, and the core recovers from each.
-func TestNothingAcknowledgedIsLost(t *testing.T) {
+func TestAcknowledgedChangesSurviveFaults(t *testing.T) {
 	seeds := 400
 	if testing.Short() {
 		seeds = 40
@@ -21,7 +21,7 @@
 		var faults []string
 		for range 5 {
 			for range 1 + seed%2 { // five machines tolerate two losses
-				faults = append(faults, c.fault())
+				faults = append(faults, c.injectFault())
 			}
 			c.run(200+2500*c.random.Float64(), 0.002)
 			clear(c.partitioned)
@@ -49,8 +49,8 @@
 			m.disk = Empty("1@m0")
 			c.start(m)
 			m.node.Step(&Message{Kind: RequestVote, From: Voter{"0@m1", "m1"}, Term: 99, LastTerm: 98, LastIndex: 9}, c.now)
-			out := m.node.Messages()
-			So(out[len(out)-1].Message.Granted, ShouldBeFalse)
+			messages := m.node.Messages()
+			So(messages[len(messages)-1].Message.Granted, ShouldBeFalse)
 		})
 		Convey("and it does not unseat a leader that is followed", func() {
 			for _, addr := range c.addrs() {
--- a/internal/controlplane/consensus/exhaustive_test.go
+++ b/internal/controlplane/consensus/exhaustive_test.go
@@ -23,7 +23,7 @@
 }
 
 // lowest draws the lowest number: times are no matter here.
-func lowest() float64 { return 0 }
+func zeroRandom() float64 { return 0 }
 
 func newSmallCluster(minVoters int) *smallCluster {
 	addrs := []string{"m0", "m1", "m2"}
@@ -31,7 +31,7 @@
 	for i, addr := range addrs {
 		c.disks[i] = Bootstrap(addr, addrs)
 		c.nodes[i] = New(Options{Addr: addr, Seeds: addrs, MinVoters: minVoters, HeartbeatInterval: 200, ElectionTimeout: 900,
-			RemoveAfter: 1e9, Random: lowest}, copyOf(c.disks[i]), 0)
+			RemoveAfter: 1e9, Random: zeroRandom}, cloneState(c.disks[i]), 0)
 	}
 	return c
 }
@@ -42,7 +42,7 @@
 	f.committed = maps.Clone(c.committed)
 	for i, n := range c.nodes {
 		m := *n
-		m.HardState = copyOf(n.HardState)
+		m.HardState = cloneState(n.HardState)
 		m.votes = map[string]bool{}
 		maps.Copy(m.votes, n.votes)
 		m.progress = map[string]*progress{}
@@ -53,7 +53,7 @@
 		m.joiners = map[string]joiner{}
 		m.leavingVoters, m.removedAddrs = maps.Clone(n.leavingVoters), maps.Clone(n.removedAddrs)
 		f.nodes[i] = &m
-		f.disks[i] = copyOf(c.disks[i])
+		f.disks[i] = cloneState(c.disks[i])
 	}
 	return &f
 }
@@ -65,9 +65,9 @@
 	n := c.nodes[i]
 	for range 4 {
 		if n.Dirty() {
-			c.disks[i] = copyOf(n.HardState)
+			c.disks[i] = cloneState(n.HardState)
 			if crash {
-				c.nodes[i] = New(n.options, copyOf(c.disks[i]), c.now)
+				c.nodes[i] = New(n.options, cloneState(c.disks[i]), c.now)
 				return
 			}
 			n.Synced(c.now)
@@ -98,14 +98,14 @@
 	leaders := map[uint64]int{}
 	for i, n := range c.nodes {
 		if n.role == Leader {
-			if j, taken := leaders[n.HardState.Term]; taken {
+			if j, exists := leaders[n.HardState.Term]; exists {
 				t.Fatalf("%s: %d and %d lead in term %d", path, i, j, n.HardState.Term)
 			}
 			leaders[n.HardState.Term] = i
 		}
 		if e, ok := n.Committed(); ok {
-			if old, known := c.committed[e.Index]; known && old != string(e.Value) {
-				t.Fatalf("%s: entry %d is %q and %q", path, e.Index, old, e.Value)
+			if previous, known := c.committed[e.Index]; known && previous != string(e.Value) {
+				t.Fatalf("%s: entry %d is %q and %q", path, e.Index, previous, e.Value)
 			}
 			c.committed[e.Index] = string(e.Value)
 		}
@@ -129,15 +129,15 @@
 	return b.String() + strings.Join(messages, ";")
 }
 
-func TestEveryOrderOfFewEvents(t *testing.T) { everyOrder(t, 3, false) }
+func TestAllEventOrders(t *testing.T) { exploreAllOrders(t, 3, false) }
 
 // TestEveryOrderOfLeaving has one machine shut down as well, at any time, where two voters are enough: a leader
 // transfers its leadership, or is removed by itself; a follower is removed by who leads then.
-func TestEveryOrderOfLeaving(t *testing.T) { everyOrder(t, 2, true) }
+func TestAllEventOrdersWithShutdown(t *testing.T) { exploreAllOrders(t, 2, true) }
 
-func everyOrder(t *testing.T, minVoters int, leaving bool) {
+func exploreAllOrders(t *testing.T, minVoters int, withShutdown bool) {
 	c := newSmallCluster(minVoters)
-	if leaving { // from where one leads: all of the depth is for what comes then
+	if withShutdown { // from where one leads: all of the depth is for what comes then
 		c.nodes[0].preCampaign(c.now)
 		c.flush(0, false)
 		c.deliverAll()
@@ -149,54 +149,54 @@
 	if d := os.Getenv("DEPTH"); d != "" { // 11 takes three minutes: 5.1 million states
 		depth, _ = strconv.Atoi(d)
 	}
-	w := &walker{t: t, leaving: leaving, seen: map[string]int{}}
-	w.walk(c, depth, "")
+	w := &explorer{t: t, withShutdown: withShutdown, seen: map[string]int{}}
+	w.explore(c, depth, "")
 	if w.states < 1000 {
 		t.Fatal(w.states)
 	}
-	if leaving && (w.removed == 0 || w.transferred == 0) {
+	if withShutdown && (w.removed == 0 || w.transferred == 0) {
 		t.Fatal("no voter was removed, or no leadership transferred", w.removed, w.transferred)
 	}
 	t.Log(w.states, "states")
 }
 
 // walker walks all states that follow from one.
-type walker struct {
-	t       *testing.T
-	leaving bool
-	seen    map[string]int // the depth that was left where a state was seen, plus one
+type explorer struct {
+	t            *testing.T
+	withShutdown bool
+	seen         map[string]int // the depth that was left where a state was seen, plus one
 
 	states, removed, transferred int
 }
 
-func (w *walker) walk(c *smallCluster, left int, path string) {
+func (w *explorer) explore(c *smallCluster, depthLeft int, path string) {
 	w.states++
 	c.check(w.t, path)
-	w.count(c)
+	w.countEvents(c)
 	key := c.key()
-	if w.seen[key] >= left+1 {
+	if w.seen[key] >= depthLeft+1 {
 		return
 	}
-	w.seen[key] = left + 1
-	if left == 0 {
+	w.seen[key] = depthLeft + 1
+	if depthLeft == 0 {
 		return
 	}
 	for i := range 2 { // the third only answers: who is third is no matter
-		w.act(c, i, left, path)
+		w.act(c, i, depthLeft, path)
 	}
 	for k := range c.inTransit {
 		if k > 0 && fmt.Sprint(c.inTransit[k]) == fmt.Sprint(c.inTransit[k-1]) {
 			continue
 		}
-		w.deliver(c, k, left, path, false)
+		w.deliver(c, k, depthLeft, path, false)
 		if !strings.Contains(path, "!") {
-			w.deliver(c, k, left, path, true)
+			w.deliver(c, k, depthLeft, path, true)
 		}
 	}
 }
 
 // count counts what must be met on the way.
-func (w *walker) count(c *smallCluster) {
+func (w *explorer) countEvents(c *smallCluster) {
 	for i, n := range c.nodes {
 		if e, ok := n.Committed(); ok && len(e.Voters) == 2 {
 			w.removed++
@@ -208,28 +208,28 @@
 }
 
 // act tries each of a machine's own actions: a campaign, a shutdown, a tick, a proposal.
-func (w *walker) act(c *smallCluster, i, left int, path string) {
-	then := func(mark string, do func(*smallCluster, *Node)) {
+func (w *explorer) act(c *smallCluster, i, depthLeft int, path string) {
+	tryAction := func(mark string, action func(*smallCluster, *Node)) {
 		f := c.fork()
-		do(f, f.nodes[i])
+		action(f, f.nodes[i])
 		f.flush(i, false)
-		w.walk(f, left-1, path+fmt.Sprint(" ", mark, i))
+		w.explore(f, depthLeft-1, path+fmt.Sprint(" ", mark, i))
 	}
 	n := c.nodes[i]
 	if n.role != Leader && strings.Count(path, fmt.Sprint("c", i)) < 2 {
-		then("c", func(f *smallCluster, n *Node) { n.preCampaign(f.now) })
+		tryAction("c", func(f *smallCluster, n *Node) { n.preCampaign(f.now) })
 	}
-	if w.leaving && !strings.Contains(path, "l") && n.HardState.Term > 0 {
-		then("l", func(f *smallCluster, n *Node) { n.Leave(f.now) })
+	if w.withShutdown && !strings.Contains(path, "l") && n.HardState.Term > 0 {
+		tryAction("l", func(f *smallCluster, n *Node) { n.Leave(f.now) })
 	}
-	if w.leaving && n.role == Leader && !n.InFlight() {
-		then("t", func(f *smallCluster, n *Node) {
-			n.nextHeartbeat = f.now + 1
+	if w.withShutdown && n.role == Leader && !n.InFlight() {
+		tryAction("t", func(f *smallCluster, n *Node) {
+			n.nextHeartbeatAt = f.now + 1
 			n.Tick(f.now)
 		})
 	}
 	if n.Established() && c.proposals < 2 {
-		then("p", func(f *smallCluster, n *Node) {
+		tryAction("p", func(f *smallCluster, n *Node) {
 			f.proposals++
 			n.Propose([]byte(string(n.HardState.Last.Value)+fmt.Sprint(i)), f.now)
 		})
@@ -238,7 +238,7 @@
 
 // deliver tries the kth message in transit; crash: its receiver loses power behind the sync that follows, if
 // one does.
-func (w *walker) deliver(c *smallCluster, k, left int, path string, crash bool) {
+func (w *explorer) deliver(c *smallCluster, k, depthLeft int, path string, crash bool) {
 	f := c.fork()
 	e := f.inTransit[k]
 	f.inTransit = slices.Delete(f.inTransit, k, k+1)
@@ -252,5 +252,5 @@
 	if crash {
 		mark = " !"
 	}
-	w.walk(f, left-1, path+fmt.Sprint(mark, e.To, uint8(e.Message.Kind)))
+	w.explore(f, depthLeft-1, path+fmt.Sprint(mark, e.To, uint8(e.Message.Kind)))
 }
--- a/internal/controlplane/consensus/former.go
+++ b/internal/controlplane/consensus/former.go
@@ -2,16 +2,16 @@
 
 import "slices"
 
-// maxFormerVoters bounds the list in an entry. The core is a few machines.
+// maxFormerVoters bounds the list in an entry. A cluster has only a few machines.
 const maxFormerVoters = 8
 
-// formerVoters gives the list for the next entry of a leader: who voted before it, and may still act on what an earlier
-// leader leased out to it. An address leaves the list when it votes again, and once this leader has led, without it as
-// a voter, for longer than any such lease.
+// formerVoters returns the former voters for the leader's next entry: machines that voted before it and may still act
+// on a lease from an earlier leader. An address leaves the list when it votes again, and once this leader has led for
+// longer than FormerVoterLifetime, the lifetime of such leases, without it as a voter.
 func (n *Node) formerVoters(voters []Voter, now float64) (former []string) {
 	for _, addr := range n.HardState.Last.Former {
-		since, noted := n.formerSince[addr]
-		if !noted {
+		since, known := n.formerSince[addr]
+		if !known {
 			since = now
 			n.formerSince[addr] = now
 		}
@@ -32,8 +32,8 @@
 	return former[max(len(former)-maxFormerVoters, 0):]
 }
 
-// LeaseHolders gives the addresses of all that may act on what this or an earlier leader leased out: those that vote by the
-// last entry, and those that did before.
+// LeaseHolders returns the addresses of all machines that may act on a lease from this or an earlier leader: the
+// voters of the last entry, and the former voters.
 func (n *Node) LeaseHolders() (addrs []string) {
 	for _, v := range n.HardState.Last.Voters {
 		addrs = append(addrs, v.Addr)
--- a/internal/controlplane/consensus/former_test.go
+++ b/internal/controlplane/consensus/former_test.go
@@ -12,7 +12,7 @@
 	return voters
 }
 
-func TestFormerVotersAreRememberedForALease(t *testing.T) {
+func TestFormerVotersAreListedForLeaseLifetime(t *testing.T) {
 	n := &Node{options: Options{FormerVoterLifetime: 100}, leaderState: leaderState{formerSince: map[string]float64{}}}
 	n.HardState.Last.Voters = votersAt("a", "b", "c")
 	for _, step := range []struct {
--- a/internal/controlplane/consensus/golden_test.go
+++ b/internal/controlplane/consensus/golden_test.go
@@ -16,7 +16,7 @@
 )
 
 // TestMessageForm holds the bytes of each kind of message: they are what machines of another build send.
-func TestMessageForm(t *testing.T) {
+func TestMessageEncoding(t *testing.T) {
 	from := goldenVoters[1]
 	golden.CBOR(t, "testdata/messages.golden", []golden.Case[Message]{
 		golden.Of("vote request", Message{Kind: 1, From: from, Term: 4, LastTerm: 3, LastIndex: 7}),
@@ -41,7 +41,7 @@
 }
 
 // TestStoredForm holds the bytes of entries, which are stored, exported and sent, and of states.
-func TestStoredForm(t *testing.T) {
+func TestStoredEncoding(t *testing.T) {
 	golden.CBOR(t, "testdata/entries.golden", []golden.Case[Entry]{
 		golden.Of("entry", goldenEntry),
 		golden.Of("entry without value", Entry{Index: 1, Voters: goldenVoters}),
@@ -56,9 +56,9 @@
 }
 
 // TestStatusForm holds what the control plane's status call shows of voters.
-func TestStatusForm(t *testing.T) {
+func TestStatusJSON(t *testing.T) {
 	n := New(Options{Addr: "a:1", MinVoters: 3, HeartbeatInterval: 200, ElectionTimeout: 900, RemoveAfter: 1575,
-		Random: lowest}, Bootstrap("a:1", []string{"a:1", "b:2", "c:3"}), 1000)
+		Random: zeroRandom}, Bootstrap("a:1", []string{"a:1", "b:2", "c:3"}), 1000)
 	other := Voter{"0@b:2", "b:2"}
 	n.preCampaign(1000)
 	n.Step(&Message{Kind: PreVoteResponse, From: other, Term: 1, Granted: true}, 1000)
--- a/internal/controlplane/consensus/join.go
+++ b/internal/controlplane/consensus/join.go
@@ -5,67 +5,67 @@
 	"slices"
 )
 
-// maxJoiners bounds the machines that wait to vote; the core is a few.
+// maxJoiners bounds the number of machines that wait to vote; a cluster has only a few machines.
 const maxJoiners = 64
 
-// maxJoinLag is how many entries a joiner may be behind. Each message brings it the whole value, so that one
-// that answers is as good as brought up; to wait for the newest entry would keep it out for as long as
-// changes come faster than it answers.
+// maxJoinLag is the maximum number of entries by which a joining machine may be behind. Each message carries the whole
+// value, so a machine that answers has practically caught up; if it had to hold the latest entry, it would be kept out
+// for as long as changes arrive faster than its answers.
 const maxJoinLag = 8
 
-// A voter that was removed while it was away may come back knowing none of those that vote now: those that it
-// knew may all have been replaced. For a while leaders let it hear that they lead, by a heartbeat in
-// removedHeartbeatEvery.
+// A voter that was removed while it was away may return without knowing any current voter, as all those that it knew
+// may have been replaced. Leaders therefore send heartbeats to removed voters for some time, in one of every
+// removedHeartbeatRounds rounds.
 const (
-	removedNotifiedFor    = 120_000 // milliseconds
-	removedHeartbeatEvery = 4
+	removedNotifyMs        = 120_000 // two minutes
+	removedHeartbeatRounds = 4
 )
 
-// joiner is a machine that wants to vote.
+// joiner is a machine that asks to become a voter.
 type joiner struct {
 	voter       Voter
-	requestedAt float64 // newest request, in milliseconds
+	requestedAt float64 // time of the latest request, in milliseconds
 }
 
-// tickNonVoter asks for a place, at once where it knows nothing yet or was voted out, and else where no
-// leader is heard.
+// tickNonVoter asks to become a voter. A node without an entry asks only while it hears no leader; a node that has one
+// was removed, and asks regardless.
 func (n *Node) tickNonVoter(now float64) {
 	empty := n.HardState.Last.Index == 0
 	leaderHeard := now-n.lastLeaderMessage <= 2*n.options.HeartbeatInterval
-	if now < n.nextJoinRequest || empty && leaderHeard {
+	if now < n.nextJoinRequestAt || empty && leaderHeard {
 		return
 	}
-	n.nextJoinRequest = now + 3*n.options.HeartbeatInterval
-	if empty { // the first requests go before their connections stand
-		n.nextJoinRequest = now + n.options.HeartbeatInterval
+	n.nextJoinRequestAt = now + 3*n.options.HeartbeatInterval
+	if empty { // the first requests are sent before the connections are established
+		n.nextJoinRequestAt = now + n.options.HeartbeatInterval
 	}
 	n.requestJoin()
 }
 
-// requestJoin asks all that are known for a place among the voters.
+// requestJoin sends Join to all known addresses.
 func (n *Node) requestJoin() {
 	for _, addr := range n.knownAddrs() {
 		n.send(addr, Message{Kind: Join})
 	}
 }
 
-// knownAddrs are the addresses of all other machines that this node knows: seeds, voters, and leaders that
-// wrote to an earlier life of its disk.
+// knownAddrs returns the addresses of all other machines that this node knows: seeds, voters, the current leader, and
+// the last leader that it followed.
 func (n *Node) knownAddrs() []string {
-	all := slices.Clone(n.options.Seeds)
+	addrs := slices.Clone(n.options.Seeds)
 	for _, v := range append(slices.Clone(n.HardState.Last.Voters), n.leader, n.lastFollowed.voter) {
-		if v.Addr != "" && !slices.Contains(all, v.Addr) {
-			all = append(all, v.Addr)
+		if v.Addr != "" && !slices.Contains(addrs, v.Addr) {
+			addrs = append(addrs, v.Addr)
 		}
 	}
-	return slices.DeleteFunc(all, func(addr string) bool { return addr == n.options.Addr })
+	return slices.DeleteFunc(addrs, func(addr string) bool { return addr == n.options.Addr })
 }
 
-// handleJoin takes a machine's request to vote at the leader. Another node forwards it, once, as the joiner
-// may know none but seeds.
+// handleJoin records the request of a machine to vote if this node leads. Another node forwards the request to the
+// leader, once, as the joining machine may know only the seeds.
 func (n *Node) handleJoin(msg *Message, now float64) {
 	if n.leader.Addr == msg.From.Addr && n.leader.ID != msg.From.ID {
-		n.PeerDisconnected(msg.From.Addr, now) // its disk has another life
+		n.PeerDisconnected(msg.From.Addr, now) // the leader's machine came back with an empty disk
 	}
 	if n.role == Leader {
 		n.addJoiner(msg.From, now)
@@ -78,7 +78,7 @@
 	}
 }
 
-// addJoiner notes at the leader that a machine wants to vote. It gets heartbeats from then on.
+// addJoiner records that a machine asks to vote. The leader sends it heartbeats from then on.
 func (n *Node) addJoiner(voter Voter, now float64) {
 	if n.isVoter(voter.ID) || len(n.joiners) >= maxJoiners {
 		return
@@ -89,7 +89,7 @@
 	n.joiners[voter.ID] = joiner{voter, now}
 }
 
-// nextJoiner gives the first machine, by ID, that wants to vote, answers, and has nearly all.
+// nextJoiner returns the first machine by ID that asks to vote, answers, and has caught up within maxJoinLag.
 func (n *Node) nextJoiner(now float64) (Voter, bool) {
 	last := &n.HardState.Last
 	for _, id := range slices.Sorted(maps.Keys(n.joiners)) {
@@ -108,11 +108,11 @@
 	return Voter{}, false
 }
 
-// recordRemoved notes the addresses at which nobody votes any more after a change to other voters.
+// recordRemoved records the addresses at which nobody votes any more after a change to the given voters.
 func (n *Node) recordRemoved(voters []Voter, now float64) {
 	for _, v := range n.HardState.Last.Voters {
 		if indexOfAddr(voters, v.Addr) < 0 && v.Addr != n.options.Addr {
-			n.removedAddrs[v.Addr] = now + removedNotifiedFor
+			n.removedAddrs[v.Addr] = now + removedNotifyMs
 		}
 	}
 	maps.DeleteFunc(n.removedAddrs, func(addr string, until float64) bool {
@@ -120,7 +120,7 @@
 	})
 }
 
-// notifyRemoved lets removed voters hear who leads, so that they know whom to ask for a place.
+// notifyRemoved sends heartbeats to removed voters, so that they know the leader to send Join to.
 func (n *Node) notifyRemoved(now float64) {
 	for _, addr := range slices.Sorted(maps.Keys(n.removedAddrs)) {
 		if now <= n.removedAddrs[addr] {
--- a/internal/controlplane/consensus/message.go
+++ b/internal/controlplane/consensus/message.go
@@ -2,31 +2,32 @@
 
 import "strconv"
 
-// Kind of a message. The numbers are on the wire.
+// Kind is the type of a message. The numbers are part of the wire format.
 type Kind uint8
 
-// Kinds, with the fields that each bears besides From.
+// Message kinds, with the fields that each carries besides From.
 const (
-	// RequestVote asks for a vote in Term: LastTerm and LastIndex of the candidate's last entry, Granted for
-	// a leadership transfer.
+	// RequestVote asks for a vote in Term. LastTerm and LastIndex are those of the candidate's last entry; Granted is
+	// set if the election is part of a leadership transfer.
 	RequestVote Kind = iota + 1
-	// VoteResponse answers it: Term, Granted.
+	// VoteResponse answers RequestVote: Term, Granted.
 	VoteResponse
 	// AppendEntries is a leader's heartbeat: Term, Round, LastTerm and LastIndex of its last entry, Commit,
-	// Contact and Incarnation; with that entry itself in Entry for who is not known to hold it.
+	// Contact and Incarnation. Entry is that last entry if the receiver is not known to hold it.
 	AppendEntries
-	// AppendEntriesResponse answers it: Term, Round, LastTerm and LastIndex of the entry that the sender
-	// holds synced, Clock and Incarnation; Granted while the sender's process is shutting down.
+	// AppendEntriesResponse answers AppendEntries: Term, Round, LastTerm and LastIndex of the entry that the sender
+	// has synced, Clock and Incarnation. Granted is set while the sender's process is shutting down.
 	AppendEntriesResponse
-	// Join says that the sender wants to vote; Granted: it was forwarded to the leader.
+	// Join asks for the sender to become a voter. Granted is set if another node forwarded it to the leader.
 	Join
-	// RequestPreVote asks whether a vote would be given in Term: LastTerm, LastIndex. It binds nobody.
+	// RequestPreVote asks whether the receiver would grant a vote in Term: LastTerm, LastIndex. The answer commits the
+	// receiver to nothing.
 	RequestPreVote
-	// PreVoteResponse answers it: Term as in the request, Granted.
+	// PreVoteResponse answers RequestPreVote: Term as in the request, Granted.
 	PreVoteResponse
-	// Leave says that the sender's process is shutting down.
+	// Leave announces that the sender's process is shutting down.
 	Leave
-	// TimeoutNow has the receiver begin an election at once: the sender, leader of Term, transfers its leadership.
+	// TimeoutNow asks the receiver to start an election at once: the sender, leader of Term, transfers its leadership.
 	TimeoutNow
 )
 
@@ -42,7 +43,7 @@
 	TimeoutNow:            "TimeoutNow",
 }
 
-// String is the kind's name, for people; on the wire it is a number.
+// String returns the kind's name.
 func (k Kind) String() string {
 	if k >= RequestVote && int(k) < len(kindNames) {
 		return kindNames[k]
@@ -50,55 +51,55 @@
 	return "Kind(" + strconv.Itoa(int(k)) + ")"
 }
 
-// Message goes between two machines. It may be lost, late, or come twice.
+// Message is a message between two machines. It may be lost, delayed or duplicated.
 type Message struct {
 	Kind Kind `cbor:"1,keyasint"`
-	// From sent it first: a forwarded Join bears the joiner.
+	// From is the original sender: a forwarded Join carries the joining machine.
 	From      Voter  `cbor:"2,keyasint"`
 	Term      uint64 `cbor:"3,keyasint,omitempty"`
 	LastTerm  uint64 `cbor:"4,keyasint,omitempty"`
 	LastIndex uint64 `cbor:"5,keyasint,omitempty"`
-	// Granted means what the comment on its kind says.
+	// Granted has a meaning of its own in each kind, see there.
 	Granted bool `cbor:"6,keyasint,omitempty"`
-	// Entry is the sender's own, valid until the sender is called again: encode or copy it before.
+	// Entry points into the sender's state and is valid until the next call of the sender: encode or copy it before.
 	Entry *Entry `cbor:"7,keyasint,omitempty"`
-	// Commit is the index known committed, of an entry of LastTerm; 0: none of that term is.
+	// Commit is the highest index known to be committed of an entry of LastTerm; 0 if there is none.
 	Commit uint64 `cbor:"8,keyasint,omitempty"`
-	// Round numbers heartbeats.
+	// Round is the number of the heartbeat round.
 	Round uint64 `cbor:"9,keyasint,omitempty"`
-	// Clock is the sender's steady clock when it answered, in milliseconds.
+	// Clock is the reading of the sender's monotonic clock when it answered, in milliseconds.
 	Clock float64 `cbor:"10,keyasint,omitempty"`
-	// Contact is the leader's last contact, in milliseconds on the receiver's clock; 0: not known.
+	// Contact is the time of the leader's last contact on the receiver's clock, in milliseconds; 0 if unknown.
 	Contact float64 `cbor:"11,keyasint,omitempty"`
-	// Incarnation is that of the process whose clock Clock or Contact is a reading of.
+	// Incarnation identifies the process whose clock Clock or Contact refers to.
 	Incarnation uint32 `cbor:"12,keyasint,omitempty"`
 }
 
-// lastID identifies the entry that LastTerm and LastIndex tell of.
+// lastID returns the ID of the entry that LastTerm and LastIndex describe.
 func (m *Message) lastID() entryID { return entryID{m.LastTerm, m.LastIndex} }
 
-// leadershipTransfer says of a RequestVote that the leader asked for the election.
+// leadershipTransfer reports whether a RequestVote was triggered by the leader.
 func (m *Message) leadershipTransfer() bool { return m.Granted }
 
-// forwarded says of a Join that it comes from a machine to which the joiner sent it.
+// forwarded reports whether a Join was sent by another node than the joining machine.
 func (m *Message) forwarded() bool { return m.Granted }
 
-// senderLeaving says of an AppendEntriesResponse that the sender's process is shutting down.
+// senderLeaving reports whether the sender of an AppendEntriesResponse is shutting down.
 func (m *Message) senderLeaving() bool { return m.Granted }
 
-// Envelope is a message with the address that it is for.
+// Envelope is a message with its destination address.
 type Envelope struct {
 	To      string
 	Message Message
 }
 
-// send queues a message of this node's own.
+// send queues a message with this node as the sender.
 func (n *Node) send(to string, msg Message) {
 	msg.From = n.self()
 	n.outbox = append(n.outbox, Envelope{to, msg})
 }
 
-// forward queues a message that another node sent.
+// forward queues a message of another sender unchanged.
 func (n *Node) forward(to string, msg Message) {
 	n.outbox = append(n.outbox, Envelope{to, msg})
 }
--- a/internal/controlplane/consensus/node.go
+++ b/internal/controlplane/consensus/node.go
@@ -4,48 +4,49 @@
 
 // Options are a node's settings. Durations are in milliseconds.
 type Options struct {
-	Addr                string         // of this machine, as other voters know it
-	Seeds               []string       // addresses to ask for a place among the voters
-	MinVoters           int            // a removal never leaves fewer voters than this, and at least one
-	HeartbeatInterval   float64        // between two heartbeats of a leader
-	ElectionTimeout     float64        // a follower begins an election once it heard no leader for this to 1.5 times this
-	RemoveAfter         float64        // a voter silent for longer is removed if enough others vote, or one waits to join
-	FormerVoterLifetime float64        // for which a leader remembers whom it removed, at least: the term of leases
-	Random              func() float64 // uniform in [0, 1): spreads elections, and tells processes apart
+	Addr                string         // this machine's address, as other voters know it
+	Seeds               []string       // addresses to send Join to
+	MinVoters           int            // removals never leave fewer voters than this, and at least one
+	HeartbeatInterval   float64        // time between a leader's heartbeats
+	ElectionTimeout     float64        // followers that hear no leader start an election after 1 to 1.5 times this
+	RemoveAfter         float64        // voters silent for longer are removed if enough others vote, or one joins
+	FormerVoterLifetime float64        // minimum time for which a leader lists former voters: the lifetime of leases
+	Random              func() float64 // uniform in [0, 1): spreads elections and draws the incarnation of the process
 }
 
-// Role of a node.
+// Role is a node's role in the current term.
 type Role uint8
 
-// Roles. Role() shows a pre-candidate as a Candidate.
+// Roles. Node.Role reports a pre-candidate as a Candidate.
 const (
 	Follower Role = iota
 	Candidate
 	Leader
-	preCandidate // asks whether an election could be won
+	preCandidate // collects pre-votes before it starts an election
 )
 
-// Node is one machine's part of the agreement. It isn't safe for concurrent use. Times are milliseconds on
+// Node is one machine's instance of the consensus algorithm. It isn't safe for concurrent use. Times are in
+// milliseconds on the caller's monotonic clock.
 // the caller's steady clock.
 type Node struct {
 	options Options
 
-	// HardState is read by the caller, and written by the node alone. Messages wait in the outbox until it is synced.
+	// HardState is read by the caller and written only by the node. Messages wait in the outbox until it is synced.
 	HardState HardState
 	unsynced  bool // HardState changed since the last Synced
 	outbox    []Envelope
 
 	role Role
-	// leader is that of HardState.Term as far as it is known, this node itself included; zero: none is.
+	// leader is the leader of HardState.Term if known, possibly this node itself; zero otherwise.
 	leader Voter
-	// lastLeaderMessage is when that leader was last heard. Before any was, and after a broken connection to
-	// it, it is one ElectionTimeout ago, so that no vote is refused on its account.
+	// lastLeaderMessage is the time of that leader's latest message. Before the first message, and after the
+	// connection to the leader broke, it is one ElectionTimeout ago, so that this node refuses no vote because of it.
 	lastLeaderMessage float64
 
 	electionState
 	lastFollowed followedLeader
 
-	// committed is the newest entry known committed; HardState.Last is that or a newer one.
+	// committed is the latest entry known to be committed; HardState.Last is that entry or a newer one.
 	committed Entry
 
 	leaderState
@@ -54,42 +55,43 @@
 	shutdownState
 }
 
-// electionState is a non-leader's.
+// electionState is the state of a node that doesn't lead.
 type electionState struct {
-	// electionDeadline is when the next election begins, unless it is put off.
+	// electionDeadline is when the next election starts unless the deadline is reset.
 	electionDeadline float64
-	// votes are the voters that granted what is being asked for, by ID: votes of HardState.Term to a
-	// candidate, pre-votes of the next term to a pre-candidate. nil for a follower.
+	// votes are the IDs of the voters that granted the current request: votes of HardState.Term to a candidate,
+	// pre-votes of the next term to a pre-candidate. It is nil for a follower.
 	votes            map[string]bool
 	preVoteStartedAt float64
-	// transferredElection says that the newest candidacy was asked for by the leader.
+	// transferredElection is set if the latest candidacy was triggered by a leadership transfer.
 	transferredElection bool
 }
 
-// followedLeader is the last leader that was followed, also after its lead.
+// followedLeader is the leader that the node followed last, kept also after the end of its leadership.
 type followedLeader struct {
 	voter         Voter
 	lastMessageAt float64
 }
 
-// leaderState is a leader's.
+// leaderState is the state of a leader.
 type leaderState struct {
-	// progress is by ID, of the other voters and of joiners; some are of voters that were removed. It begins
-	// anew with each lead.
+	// progress holds the other voters and joining machines by ID, and possibly voters that were removed. It is reset
+	// at each election to leader.
 	progress map[string]*progress
-	// formerSince is when this lead saw an address vote last, at most one entry for each voter or former one.
+	// formerSince is when this leader last saw an address among the voters. It has at most one element for each voter
+	// and former voter.
 	formerSince map[string]float64
-	// round numbers heartbeats. It grows for as long as the process lives, so that no answer to an earlier
-	// lead confirms a later one.
-	round         uint64
-	roundTimes    roundTimes
-	nextHeartbeat float64
-	// termCommitted says that an entry of this leader's own term is committed, and so all that was committed
-	// before is known to it.
+	// round is the number of the latest heartbeat round. It only grows while the process lives, so that no answer to a
+	// heartbeat of an earlier leadership confirms a later one.
+	round           uint64
+	roundTimes      roundTimes
+	nextHeartbeatAt float64
+	// termCommitted is set once an entry of this leader's own term is committed, so that the leader knows everything
+	// that was committed before.
 	termCommitted bool
 }
 
-// New starts a node from what its disk holds.
+// New returns a node that starts from the state on its disk.
 func New(options Options, state HardState, now float64) *Node {
 	n := &Node{options: options, HardState: state}
 	n.progress = map[string]*progress{}
@@ -99,18 +101,18 @@
 	}
 	n.lastContact, n.incarnation = math.Inf(-1), uint32(options.Random()*math.MaxUint32)
 	n.lastLeaderMessage = now - options.ElectionTimeout
-	// Early: a pre-vote costs nobody anything where somebody leads.
+	// The first deadline is early: a pre-vote disturbs nobody while there is a leader.
 	n.electionDeadline = now + options.ElectionTimeout*(0.2+0.4*options.Random())
 	return n
 }
 
-// Tick lets time pass. Call it several times a HeartbeatInterval.
+// Tick advances the node's time. It must be called several times per HeartbeatInterval.
 func (n *Node) Tick(now float64) {
 	switch {
 	case n.role == Leader:
 		n.tickLeader(now)
 	case n.leaving():
-		// it answers, and begins nothing
+		// a node that shuts down answers messages and starts nothing
 	case !n.isVoter(n.HardState.ID):
 		n.tickNonVoter(now)
 	case now >= n.electionDeadline:
@@ -119,22 +121,22 @@
 }
 
 func (n *Node) tickLeader(now float64) {
-	if now >= n.nextHeartbeat {
+	if now >= n.nextHeartbeatAt {
 		n.broadcastAppend(now)
 	}
 	n.advance(now)
 	switch {
 	case n.role != Leader: // no quorum, or voted out
 	case n.leaving():
-		n.transferOrLeave(now)
-	case n.ownClockDrifts() && n.mayTransfer(now):
+		n.removeSelfOrTransfer(now)
+	case n.ownClockDrifts() && n.canTransfer(now):
 		n.transferLeadership(now)
 	default:
 		n.maintainVoters(now)
 	}
 }
 
-// Step takes a message.
+// Step processes a message.
 func (n *Node) Step(msg *Message, now float64) {
 	switch msg.Kind {
 	case RequestPreVote:
@@ -158,10 +160,10 @@
 	}
 }
 
-// Dirty says that HardState must be synced before Messages are sent.
+// Dirty reports whether HardState must be synced before Messages are sent.
 func (n *Node) Dirty() bool { return n.unsynced }
 
-// Synced says that HardState, as it is now, is on disk.
+// Synced tells the node that HardState, as it is now, is on disk.
 func (n *Node) Synced(now float64) {
 	n.unsynced = false
 	if n.role == Leader {
@@ -169,14 +171,14 @@
 	}
 }
 
-// Messages gives what is to be sent, in order, and forgets it.
+// Messages returns the queued messages in order and empties the queue.
 func (n *Node) Messages() []Envelope {
-	out := n.outbox
+	messages := n.outbox
 	n.outbox = nil
-	return out
+	return messages
 }
 
-// Role gives this node's.
+// Role returns this node's role.
 func (n *Node) Role() Role {
 	if n.role == preCandidate {
 		return Candidate
@@ -184,7 +186,7 @@
 	return n.role
 }
 
-// Leader gives the leader that is known, this node included; false: none is.
+// Leader returns the known leader, possibly this node itself, and false if none is known.
 func (n *Node) Leader() (Voter, bool) {
 	if n.role == Leader {
 		return n.self(), true
@@ -192,14 +194,14 @@
 	return n.leader, n.leader.ID != ""
 }
 
-// Established says that this node leads, and that all that was ever committed is known to it.
+// Established reports whether this node leads and knows everything that was ever committed.
 func (n *Node) Established() bool { return n.role == Leader && n.termCommitted }
 
-// Committed gives the newest entry known committed, also while another is in flight; false: none is.
+// Committed returns the latest entry known to be committed, also while another is in flight; false if there is none.
 func (n *Node) Committed() (Entry, bool) { return n.committed, n.committed.Index > 0 }
 
-// InFlight says that an entry is not known committed yet, or that this node is no established leader: no
-// value can be proposed.
+// InFlight reports whether the last entry is not yet known to be committed, or this node has not yet committed an entry
+// of its own term as leader. No value can be proposed then.
 func (n *Node) InFlight() bool {
 	return n.HardState.Commit < n.HardState.Last.Index || !n.termCommitted
 }
--- a/internal/controlplane/consensus/measure_test.go
+++ b/internal/controlplane/consensus/outage_test.go
@@ -7,11 +7,11 @@
 )
 
 // measuredFaults are brought about at a machine; in its place in the cluster, a follower or the leader.
-var measuredFaults = []struct {
+var outageFaults = []struct {
 	name     string
 	follower bool
 	// bring brings the fault about.
-	bring func(c *cluster, m *machine)
+	inject func(c *cluster, m *machine)
 	// keepsProposal: a proposal that was made before the fault may be the one that is acknowledged behind it.
 	keepsProposal bool
 }{
@@ -46,8 +46,8 @@
 
 // TestMeasure prints how long the core is without a leader, and a change without its answer, after each kind
 // of fault; -v shows it.
-func TestMeasure(t *testing.T) {
-	for _, fault := range measuredFaults {
+func TestOutageDurations(t *testing.T) {
+	for _, fault := range outageFaults {
 		var outages []float64 // milliseconds
 		for seed := range 200 {
 			c := newCluster(uint64(seed+7000), 3)
@@ -63,16 +63,16 @@
 			if m == nil {
 				continue
 			}
-			at, acknowledged := c.now, len(c.acknowledged)
-			fault.bring(c, m)
-			for c.now < at+20000 && len(c.acknowledged) == acknowledged {
+			faultAt, acknowledged := c.now, len(c.acknowledged)
+			fault.inject(c, m)
+			for c.now < faultAt+20000 && len(c.acknowledged) == acknowledged {
 				c.run(10, 0)
 				m.running = m.running && !m.node.LeaveDone(c.now)
 				if !fault.keepsProposal {
 					m.proposed = ""
 				}
 			}
-			outages = append(outages, c.now-at)
+			outages = append(outages, c.now-faultAt)
 		}
 		slices.Sort(outages)
 		if n := len(outages); n == 0 || outages[n-1] > 15000 {
--- a/internal/controlplane/consensus/progress.go
+++ b/internal/controlplane/consensus/progress.go
@@ -1,15 +1,14 @@
 package consensus
 
-// progress is what a leader knows of another voter, or of a machine that wants to vote. It begins anew with
-// each lead.
+// progress is a leader's view of another voter or of a joining machine. It is reset at each election to leader.
 type progress struct {
-	// match is the entry that the peer held synced when it answered ackedRound. It may be older than what it
-	// holds, never newer, as long as the peer's disk keeps it; another disk is another peer.
+	// match is the entry that the peer had synced when it answered ackedRound. It may be older than what the peer
+	// holds now, but never newer while the peer keeps its disk; a peer that loses its disk gets a new ID.
 	match entryID
-	// ackedRound is the newest heartbeat round that the peer has answered in the leader's term; 0: none.
+	// ackedRound is the latest heartbeat round that the peer has answered in the leader's term; 0 if none.
 	ackedRound uint64
-	// lastResponse is when the peer last answered, in the leader's milliseconds. Before its first answer it
-	// is when the leader began to count its silence.
+	// lastResponse is when the peer last answered, in milliseconds of the leader's clock. Before the first answer it
+	// is the time from which the peer's silence is counted.
 	lastResponse float64
 
 	inflight  inflightEntry
@@ -17,20 +16,23 @@
 	clockRate clockRate
 }
 
-// inflightEntry is the entry that was last sent to a peer, so that it isn't sent with each heartbeat.
+// inflightEntry is the entry that was last sent to a peer. It avoids sending the entry again with each heartbeat.
 type inflightEntry struct {
-	index  uint64  // 0: none, or it is known lost
-	round  uint64  // of the heartbeat that bore it: an answer to that one or a later one shows whether it came
-	sentAt float64 // the leader's milliseconds
+	index  uint64  // 0 if there is none, or if it is known to be lost
+	round  uint64  // heartbeat round of the entry: an answer to this or a later round shows whether it arrived
+	sentAt float64 // milliseconds on the leader's clock
 }
 
-// peerClock is a reading of a peer's steady clock, by its newest answer.
+// peerClock is the latest reading of a peer's monotonic clock.
 type peerClock struct {
-	reading     float64 // the peer's milliseconds; 0: none came
-	receivedAt  float64 // the leader's milliseconds
-	incarnation uint32  // of the peer's process: its clock begins anew with each
+	reading     float64 // milliseconds on the peer's clock; 0 if there is no reading
+	receivedAt  float64 // milliseconds on the leader's clock
+	incarnation uint32  // of the peer's process: each process starts a new clock
 }
 
+// recordResponse records a peer's answer. An answer to an earlier round than ackedRound was delivered out of order and
+// doesn't update match.
+
 // recordResponse takes an answer. An answer to an earlier round than ackedRound was overtaken and says
 // nothing of what is synced now.
 func (p *progress) recordResponse(msg *Message, now float64) {
@@ -41,26 +43,26 @@
 	}
 }
 
-// silentFor is for how many milliseconds the peer has not answered.
+// silentFor returns the time in milliseconds since the peer's last answer.
 func (p *progress) silentFor(now float64) float64 { return now - p.lastResponse }
 
-// lacksLast says that a peer is not known to hold the leader's last entry.
-func (n *Node) lacksLast(peer *progress) bool { return peer.match != n.HardState.Last.id() }
+// lacksLastEntry reports whether a peer is not known to hold the leader's last entry.
+func (n *Node) lacksLastEntry(peer *progress) bool { return peer.match != n.HardState.Last.id() }
 
-// PeerStatus is how far another voter is, as the leader knows it. Its JSON form is shown by the control
-// plane's status call.
+// PeerStatus describes another voter as the leader sees it. Its JSON form is part of the control plane's status
+// response.
 type PeerStatus struct {
 	Voter
-	Index  uint64  // of the entry that it holds synced
-	Behind bool    // it lacks the leader's last entry
-	Silent float64 // milliseconds since its last answer; below 0: none came
-	// ClockDrift is by how much its clock is proved to run faster than the leader's, in parts of one, where that is more
-	// than MaxClockDrift; else 0.
+	Index  uint64  // index of the entry that the voter has synced
+	Behind bool    // the voter lacks the leader's last entry
+	Silent float64 // milliseconds since the voter's last answer; negative if there was none
+	// ClockDrift is the proven amount by which the voter's clock runs faster than the leader's, as a fraction, if its
+	// magnitude is above MaxClockDrift; 0 otherwise.
 	ClockDrift float64 `json:",omitempty"`
 }
 
-// PeerStatuses gives the other voters' in the order of the voters; nil where this node does not lead.
-func (n *Node) PeerStatuses(now float64) (out []PeerStatus) {
+// PeerStatuses returns the statuses of the other voters in the order of the voters, or nil if this node doesn't lead.
+func (n *Node) PeerStatuses(now float64) (statuses []PeerStatus) {
 	if n.role != Leader {
 		return nil
 	}
@@ -69,17 +71,17 @@
 		if v.ID == n.HardState.ID {
 			continue
 		}
-		s := PeerStatus{Voter: v, Behind: true, Silent: -1}
+		status := PeerStatus{Voter: v, Behind: true, Silent: -1}
 		if p := n.progress[v.ID]; p != nil {
-			s.Index, s.Behind = p.match.index, p.match.index < last.Index || p.match.term < last.Term
+			status.Index, status.Behind = p.match.index, p.match.index < last.Index || p.match.term < last.Term
 			if p.lastResponse > 0 {
-				s.Silent = p.silentFor(now)
+				status.Silent = p.silentFor(now)
 			}
-			if p.clockRate.drifts() {
-				s.ClockDrift = p.clockRate.drift
+			if p.clockRate.isDrifting() {
+				status.ClockDrift = p.clockRate.drift
 			}
 		}
-		out = append(out, s)
+		statuses = append(statuses, status)
 	}
-	return out
+	return statuses
 }
--- a/internal/controlplane/consensus/second_loss_test.go
+++ b/internal/controlplane/consensus/second_loss_test.go
@@ -9,7 +9,7 @@
 // as many others at the earliest moment that the rules give: catchupS after the successors' start. A change
 // must be acknowledged while they are away.
 func TestSecondLossRightAfterReplacement(t *testing.T) {
-	const ackMs = 5000
+	const ackTimeoutMs = 5000
 	seeds := seedCount(150)
 	slowest := 0.0
 	for seed := range seeds {
@@ -26,33 +26,33 @@
 		c.run(catchUp, 0)
 		var events []string
 		for range 3 {
-			last, successors := 0.0, []string{}
+			lastStart, successors := 0.0, []string{}
 			for range 1 + c.random.IntN(tolerate) {
-				how := []string{"gone", "planned", "wiped"}[c.random.IntN(3)]
-				m := c.pick(c.random.IntN(2) == 0, successors...)
-				successor, at := c.replace(how, m)
-				events = append(events, fmt.Sprint(how, " ", m.addr, " at ", at))
-				last, successors = max(last, at), append(successors, successor)
+				kind := []string{"gone", "planned", "wiped"}[c.random.IntN(3)]
+				m := c.pickMachine(c.random.IntN(2) == 0, successors...)
+				successor, at := c.replace(kind, m)
+				events = append(events, fmt.Sprint(kind, " ", m.addr, " at ", at))
+				lastStart, successors = max(lastStart, at), append(successors, successor)
 			}
-			c.run(last+catchUp-c.now, 0)
-			began, asked := c.now, c.proposals
+			c.run(lastStart+catchUp-c.now, 0)
+			lossAt, proposalsBefore := c.now, c.proposals
 			var lost []string
 			for n := range tolerate {
-				m := c.pick(n == 0 && c.random.IntN(2) == 0, lost...)
+				m := c.pickMachine(n == 0 && c.random.IntN(2) == 0, lost...)
 				lost = append(lost, m.addr)
 				events = append(events, fmt.Sprint("lost ", m.addr, " at ", c.now))
 				m.running = false
 				if c.random.IntN(3) == 0 {
-					c.disks++
-					m.disk = Empty(fmt.Sprintf("%d@%s", c.disks, m.addr))
+					c.diskCount++
+					m.disk = Empty(fmt.Sprintf("%d@%s", c.diskCount, m.addr))
 				}
 			}
-			for c.now < began+ackMs && !c.acknowledgedSince(asked) {
+			for c.now < lossAt+ackTimeoutMs && !c.acknowledgedSince(proposalsBefore) {
 				c.run(10, 0)
 			}
-			slowest = max(slowest, c.now-began)
-			if c.violation != "" || !c.acknowledgedSince(asked) {
-				t.Fatalf("seed %d, %v: no change was acknowledged for %d ms; %s\n%s", seed, events, ackMs, c.violation,
+			slowest = max(slowest, c.now-lossAt)
+			if c.violation != "" || !c.acknowledgedSince(proposalsBefore) {
+				t.Fatalf("seed %d, %v: no change was acknowledged for %d ms; %s\n%s", seed, events, ackTimeoutMs, c.violation,
 					c.describe())
 			}
 			c.restartAll()
@@ -65,26 +65,26 @@
 
 // TestSuccessorLostToo replaces a machine and loses its successor within its first seconds: the others go on
 // without either.
-func TestSuccessorLostToo(t *testing.T) {
-	const ackMs = 5000
+func TestLossOfReplacement(t *testing.T) {
+	const ackTimeoutMs = 5000
 	for seed := range seedCount(400) {
 		c := newFaultlessCluster(seed, 34, 3)
 		c.run(4000, 0)
-		m := c.pick(seed%2 == 0)
-		how := []string{"gone", "planned"}[c.random.IntN(2)]
-		history := fmt.Sprint("seed ", seed, ": ", how, " ", m.addr)
+		m := c.pickMachine(seed%2 == 0)
+		kind := []string{"gone", "planned"}[c.random.IntN(2)]
+		history := fmt.Sprint("seed ", seed, ": ", kind, " ", m.addr)
 		c.newestCrashesAt = c.now + 1000 + 3000*c.random.Float64()
-		_, at := c.replace(how, m)
+		_, startedAt := c.replace(kind, m)
 		for c.newestCrashesAt > c.now {
 			c.run(10, 0)
 		}
 		began, asked := c.now, c.proposals
-		for c.now < began+ackMs && !c.acknowledgedSince(asked) {
+		for c.now < began+ackTimeoutMs && !c.acknowledgedSince(asked) {
 			c.run(10, 0)
 		}
 		if c.violation != "" || !c.acknowledgedSince(asked) {
 			t.Fatalf("%s, its successor started at %.0f and lost at %.0f: no change was acknowledged for %d ms; %s\n%s",
-				history, at, began, ackMs, c.violation, c.describe())
+				history, startedAt, began, ackTimeoutMs, c.violation, c.describe())
 		}
 		c.restartAll()
 		c.run(4000, 0)
--- a/internal/controlplane/consensus/shutdown.go
+++ b/internal/controlplane/consensus/shutdown.go
@@ -2,15 +2,15 @@
 
 import "slices"
 
-// shutdownState is of a process that shuts down in order.
+// shutdownState is the state of a process that shuts down gracefully, and of its leadership transfers.
 type shutdownState struct {
-	leavingSince float64 // this process's own shutdown began, in milliseconds; 0: it did not
-	nextTransfer float64 // a leader asks another successor
+	leavingSince   float64 // when this process began to shut down, in milliseconds; 0 if it doesn't
+	nextTransferAt float64 // when a leader may ask another successor
 }
 
-// Leave says that this process shuts down in order. It notifies all that it knows, and as leader lets go of
-// its lead; it answers on until its process ends, so that what is in flight is decided. Tick on until
-// LeaveDone.
+// Leave begins the graceful shutdown of this process. The node notifies all machines that it knows and, if it leads,
+// gives up its leadership. It keeps answering messages until the process ends, so that entries in flight are decided.
+// Tick must be called until LeaveDone reports true.
 func (n *Node) Leave(now float64) {
 	if n.leaving() {
 		return
@@ -20,12 +20,12 @@
 		n.send(addr, Message{Kind: Leave})
 	}
 	if n.role == Leader {
-		n.transferOrLeave(now)
+		n.removeSelfOrTransfer(now)
 	}
 }
 
-// LeaveDone says that nothing waits for this process any more after Leave: it votes no longer, or the time
-// is over in which the leader would have had it removed.
+// LeaveDone reports whether the process may end after Leave: the node doesn't lead, and either no longer votes or has
+// given the leader enough time to remove it.
 func (n *Node) LeaveDone(now float64) bool {
 	if !n.leaving() || n.role == Leader {
 		return false
@@ -33,10 +33,10 @@
 	return !n.isVoter(n.HardState.ID) || now-n.leavingSince > n.options.ElectionTimeout*2/3
 }
 
-// leaving says that this node's own process shuts down.
+// leaving reports whether this node's own process shuts down.
 func (n *Node) leaving() bool { return n.leavingSince > 0 }
 
-// setLeaving notes whether a voter's process shuts down. It answers on until it ends.
+// setLeaving records whether a voter's process shuts down. Such a voter still answers until its process ends.
 func (n *Node) setLeaving(id string, leaving bool, now float64) {
 	if leaving && n.isVoter(id) {
 		n.leavingVoters[id] = now
@@ -45,64 +45,66 @@
 	}
 }
 
-// isLeaving says that a voter told of its shutdown not long ago; after that its silence counts, as it may be
-// back unheard.
+// isLeaving reports whether a voter announced its shutdown within RemoveAfter. After that only its silence counts, as
+// its process may have been restarted without this node noticing.
 func (n *Node) isLeaving(id string, now float64) bool {
 	at, notified := n.leavingVoters[id]
 	return notified && now-at < n.options.RemoveAfter
 }
 
-// transferOrLeave ends a leaving leader's part once no entry is in flight. Where it may be removed,
-// the rest votes without it first (its successor could else need a vote that went with it); where not,
-// another is asked to stand, and one more if that one did not.
-func (n *Node) transferOrLeave(now float64) {
-	if !n.mayTransfer(now) {
+// removeSelfOrTransfer ends the leadership of a node that shuts down, once no entry is in flight. If the node may be
+// removed, it first removes itself from the voters: otherwise its successor could need a vote of a process that has
+// ended. If not, it asks another voter to take over, and after a while a further one if that one did not.
+func (n *Node) removeSelfOrTransfer(now float64) {
+	if !n.canTransfer(now) {
 		return
 	}
 	last := &n.HardState.Last
-	rest := slices.DeleteFunc(slices.Clone(last.Voters), func(v Voter) bool { return v.ID == n.HardState.ID })
-	if _, joins := n.nextJoiner(now); n.mayRemove(joins) && n.quorumAnswers(rest, now) {
-		n.appendEntry(rest, last.Value, now)
+	remaining := slices.DeleteFunc(slices.Clone(last.Voters), func(v Voter) bool { return v.ID == n.HardState.ID })
+	if _, hasJoiner := n.nextJoiner(now); n.canRemove(hasJoiner) && n.quorumResponsive(remaining, now) {
+		n.appendEntry(remaining, last.Value, now)
 		return
 	}
 	n.transferLeadership(now)
 }
 
-// quorumAnswers says that a majority of voters answered one of the newest heartbeats. A leader that leaves
-// has no time to ask anew: its successor may end with it.
-func (n *Node) quorumAnswers(voters []Voter, now float64) bool {
+// quorumResponsive reports whether a majority of voters answered one of the latest heartbeats. A leader that shuts down
+// has no time for a new round: its successor may be shutting down as well.
+func (n *Node) quorumResponsive(voters []Voter, now float64) bool {
 	return n.quorumOf(voters, func(peer *progress) bool { return peer.silentFor(now) < 3*n.options.HeartbeatInterval })
 }
 
-// transferLeadership has the voter stand for election that answered last, of those that hold this leader's
-// last entry and don't leave.
+// transferLeadership sends TimeoutNow to the voter that answered last among those that hold this leader's last entry
+// and are not shutting down.
 func (n *Node) transferLeadership(now float64) {
-	n.nextTransfer = now + n.options.ElectionTimeout/3
+	n.nextTransferAt = now + n.options.ElectionTimeout/3
 	var successor Voter
-	newest := 0.0
+	latestResponse := 0.0
 	for _, v := range n.HardState.Last.Voters {
 		p := n.progress[v.ID]
-		if v.ID == n.HardState.ID || p == nil || n.lacksLast(p) || n.isLeaving(v.ID, now) {
+		if v.ID == n.HardState.ID || p == nil || n.lacksLastEntry(p) || n.isLeaving(v.ID, now) {
 			continue
 		}
-		if p.lastResponse > newest {
-			successor, newest = v, p.lastResponse
+		if p.lastResponse > latestResponse {
+			successor, latestResponse = v, p.lastResponse
 		}
 	}
 	if successor.ID == "" {
 		return
 	}
 	n.send(successor.Addr, Message{Kind: TimeoutNow, Term: n.HardState.Term})
-	n.progress[successor.ID].lastResponse = newest - 2*n.options.HeartbeatInterval // the next attempt is another's
+	// The next attempt picks another voter.
+	n.progress[successor.ID].lastResponse = latestResponse - 2*n.options.HeartbeatInterval
 }
 
-// mayTransfer says that no entry is in flight, and that the last successor that was asked has had its time.
-func (n *Node) mayTransfer(now float64) bool { return !n.InFlight() && now >= n.nextTransfer }
+// canTransfer reports whether no entry is in flight, and the last successor that was asked has had its time.
+func (n *Node) canTransfer(now float64) bool { return !n.InFlight() && now >= n.nextTransferAt }
 
-// TransferLeadership has this leader let another voter lead, or itself in a later term where it votes alone or nobody
-// else holds its last entry. It does nothing while an entry is in flight: the caller asks again.
+// TransferLeadership asks another voter to lead. If this node is the only voter, it steps down instead and is elected
+// again in a later term. It does nothing while an entry is in flight or no other voter holds the last entry; the caller
+// must call it again.
 func (n *Node) TransferLeadership(now float64) {
-	if n.role != Leader || !n.mayTransfer(now) {
+	if n.role != Leader || !n.canTransfer(now) {
 		return
 	}
 	n.transferLeadership(now)
@@ -111,7 +113,7 @@
 	}
 }
 
-// handleTimeoutNow begins an election for the leader that is followed.
+// handleTimeoutNow starts an election if the followed leader asked for it.
 func (n *Node) handleTimeoutNow(msg *Message, now float64) {
 	fromLeader := msg.Term == n.HardState.Term && msg.From.ID == n.leader.ID
 	if n.role == Follower && !n.leaving() && fromLeader && n.isVoter(n.HardState.ID) {
--- a/internal/controlplane/consensus/store/errors.go
+++ b/internal/controlplane/consensus/store/errors.go
@@ -5,49 +5,49 @@
 	"fmt"
 )
 
-// ErrBroken says that a write failed in a way after which the database may not be used: it would wait for ever.
-// The folder holds what was saved before, and another process can open it. Where the operating system said why
-// the write failed, say syscall.ENOSPC for a full disk, errors.Is finds that too.
+// ErrBroken means that a write failed in a way that makes the database unusable: pebble would block forever. The folder
+// still holds what was saved before, and another process can open it. If the operating system gave a reason for the
+// failure, such as syscall.ENOSPC for a full disk, errors.Is matches that too.
 var ErrBroken = errors.New("the store is broken")
 
-// brokenError is ErrBroken with its cause.
+// brokenError is ErrBroken together with its cause.
 type brokenError struct{ cause error }
 
-// Error is the text of ErrBroken; the caller puts the cause before it.
+// Error returns the text of ErrBroken; the caller puts the cause before it.
 func (e *brokenError) Error() string { return ErrBroken.Error() }
 
-// Is says that the error is ErrBroken.
+// Is reports whether target is ErrBroken.
 func (e *brokenError) Is(target error) bool { return target == ErrBroken }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *brokenError) Unwrap() error { return e.cause }
 
-// CorruptError says that a record in the folder is not one that was saved. Nothing in the folder may be used then:
+// CorruptError means that a record in the folder is not one that was saved. Nothing in the folder may be used then:
 // a machine that went on without what it had promised could vote twice.
 type CorruptError struct {
-	Record string // "meta" or "entry"
-	Err    error  // what is wrong with it
+	Record string // key of the record, "meta" or "entry"
+	Err    error  // what is wrong with the record
 }
 
-// Error is the text of what is wrong; the caller's step names the record.
+// Error returns the text of Err; the caller adds the name of the record.
 func (e *CorruptError) Error() string { return e.Err.Error() }
 
-// Unwrap gives what is wrong.
+// Unwrap returns Err.
 func (e *CorruptError) Unwrap() error { return e.Err }
 
-// fatalError is the panic in which pebble's calls end where it would end the process.
+// fatalError is the value of the panic that panicLogger raises where pebble would end the process.
 type fatalError struct {
 	text  string
-	cause error // nil: pebble gave none
+	cause error // nil if pebble gave none
 }
 
-// Error is what pebble said.
+// Error returns pebble's message.
 func (e *fatalError) Error() string { return e.text }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *fatalError) Unwrap() error { return e.cause }
 
-// panicError is what was recovered, as an error.
+// panicError returns a recovered panic value as an error.
 func panicError(recovered any) error {
 	if err, ok := recovered.(error); ok {
 		return err
@@ -55,16 +55,16 @@
 	return fmt.Errorf("%v", recovered)
 }
 
-// panicLogger is pebble's logger: it keeps still, and panics where pebble's own would end the process.
+// panicLogger is a logger for pebble. It discards messages, and panics where pebble's default logger ends the process.
 type panicLogger struct{}
 
-// Infof drops a message.
+// Infof discards a message.
 func (panicLogger) Infof(string, ...any) {}
 
-// Errorf drops a message.
+// Errorf discards a message.
 func (panicLogger) Errorf(string, ...any) {}
 
-// Fatalf panics with a fatalError, which keeps the error that pebble met.
+// Fatalf panics with a fatalError that holds the message and the last error among the arguments.
 func (panicLogger) Fatalf(format string, args ...any) {
 	fatal := &fatalError{text: fmt.Sprintf(format, args...)}
 	for _, arg := range args {
--- a/internal/controlplane/consensus/store/golden_test.go
+++ b/internal/controlplane/consensus/store/golden_test.go
@@ -18,7 +18,7 @@
 var update = flag.Bool("update", false, "write testdata/folder anew")
 
 // recorded is what testdata/folder holds.
-func recorded() consensus.HardState {
+func recordedState() consensus.HardState {
 	voters := []consensus.Voter{{ID: "0@a:1", Addr: "a:1"}, {ID: "7f3a@b:2", Addr: "b:2"}}
 	return consensus.HardState{ID: "0@a:1", Term: 5, Vote: "7f3a@b:2", Commit: 7, CommitTerm: 3,
 		Last: consensus.Entry{Term: 3, Index: 7, Voters: voters, Value: []byte("value")}}
@@ -31,35 +31,35 @@
 
 // TestStoredForm reads a folder that an earlier build wrote, and holds the records that are written today
 // against its.
-func TestStoredForm(t *testing.T) {
+func TestStoredFormat(t *testing.T) {
 	const folder = "testdata/folder"
 	if *update {
 		if err := os.RemoveAll(folder); err != nil {
 			t.Fatal(err)
 		}
-		write(t, folder)
+		writeRecorded(t, folder)
 	}
-	earlier, today := filepath.Join(t.TempDir(), "earlier"), filepath.Join(t.TempDir(), "today")
-	if err := os.CopyFS(earlier, os.DirFS(folder)); err != nil {
+	earlierDir, currentDir := filepath.Join(t.TempDir(), "earlier"), filepath.Join(t.TempDir(), "today")
+	if err := os.CopyFS(earlierDir, os.DirFS(folder)); err != nil {
 		t.Fatal(err)
 	}
-	write(t, today)
-	for name, dir := range map[string]string{"written by an earlier build": earlier, "written by this one": today} {
+	writeRecorded(t, currentDir)
+	for name, dir := range map[string]string{"written by an earlier build": earlierDir, "written by this one": currentDir} {
 		t.Run(name, func(t *testing.T) {
-			h, found, err := Inspect(dir)
-			if err != nil || !found || !reflect.DeepEqual(h, recorded()) {
-				t.Fatalf("%+v %v %v", h, found, err)
+			state, found, err := Inspect(dir)
+			if err != nil || !found || !reflect.DeepEqual(state, recordedState()) {
+				t.Fatalf("%+v %v %v", state, found, err)
 			}
-			s, h, found, err := Open(dir)
-			if err != nil || !found || !reflect.DeepEqual(h, recorded()) {
-				t.Fatalf("%+v %v %v", h, found, err)
+			s, state, found, err := Open(dir)
+			if err != nil || !found || !reflect.DeepEqual(state, recordedState()) {
+				t.Fatalf("%+v %v %v", state, found, err)
 			}
 			for key, want := range map[string]string{"meta": recordedMeta, "entry": recordedEntry} {
-				v, closer, err := s.db.Get([]byte(key))
+				data, closer, err := s.db.Get([]byte(key))
 				if err != nil {
 					t.Fatal(key, err)
 				}
-				if got := fmt.Sprintf("%x", v); got != want {
+				if got := fmt.Sprintf("%x", data); got != want {
 					t.Errorf("%s is %s, recorded was %s", key, got, want)
 				}
 				_ = closer.Close()
@@ -72,16 +72,16 @@
 }
 
 // write keeps an entry, a later one, and a term behind it.
-func write(t *testing.T, folder string) {
+func writeRecorded(t *testing.T, folder string) {
 	t.Helper()
 	s, _, found, err := Open(folder)
 	if err != nil || found {
 		t.Fatal(found, err)
 	}
-	h := recorded()
-	first := h
+	state := recordedState()
+	first := state
 	first.Term, first.Vote, first.Last.Index, first.Last.Value = 3, "", 6, []byte("earlier")
-	for _, state := range []consensus.HardState{first, {ID: h.ID, Term: 3, Last: h.Last}, h} {
+	for _, state := range []consensus.HardState{first, {ID: state.ID, Term: 3, Last: state.Last}, state} {
 		if err := s.Save(&state); err != nil {
 			t.Fatal(err)
 		}
@@ -99,15 +99,15 @@
 		value  []byte // nil: it is deleted
 		want   string
 	}{
-		{"no entry", "entry", nil, "read entry: the entry [3 7] that was kept is not there"},
-		{"another entry", "entry", []byte{0xa1, 0x01, 0x02}, "read entry: the entry [3 7] that was kept is not there"},
+		{"no entry", "entry", nil, "read entry: the record is missing or is not entry [3 7]"},
+		{"another entry", "entry", []byte{0xa1, 0x01, 0x02}, "read entry: the record is missing or is not entry [3 7]"},
 		{"an entry that is cut", "entry", []byte{0xa4, 0x01}, "read entry: unexpected EOF"},
 		{"no meta", "meta", []byte("!"),
 			"read meta: cbor: cannot unmarshal negative integer into Go value of type store.meta"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			folder := filepath.Join(t.TempDir(), "folder")
-			write(t, folder)
+			writeRecorded(t, folder)
 			s, _, _, err := Open(folder)
 			if err != nil {
 				t.Fatal(err)
@@ -120,17 +120,17 @@
 			if err := errors.Join(err, s.Close()); err != nil {
 				t.Fatal(err)
 			}
-			for how, open := range map[string]func() error{
+			for function, open := range map[string]func() error{
 				"Look": func() error { _, _, err := Inspect(folder); return err },
 				"Open": func() error { _, _, _, err := Open(folder); return err },
 			} {
 				err := open()
 				if err == nil || err.Error() != c.want {
-					t.Errorf("%s: %v, recorded was %s", how, err, c.want)
+					t.Errorf("%s: %v, recorded was %s", function, err, c.want)
 				}
 				var corrupt *CorruptError
 				if !errors.As(err, &corrupt) || corrupt.Record != c.record {
-					t.Errorf("%s: %v is no CorruptError of %s", how, err, c.record)
+					t.Errorf("%s: %v is no CorruptError of %s", function, err, c.record)
 				}
 			}
 		})
--- a/internal/controlplane/consensus/store/store_test.go
+++ b/internal/controlplane/consensus/store/store_test.go
@@ -35,7 +35,7 @@
 }
 
 // filesIn are those of a folder whose names match.
-func filesIn(folder, pattern string) []string {
+func filesMatching(folder, pattern string) []string {
 	names, err := filepath.Glob(filepath.Join(folder, pattern))
 	So(err, ShouldBeNil)
 	So(names, ShouldNotBeEmpty)
@@ -52,7 +52,7 @@
 }
 
 // damage flips bits of a file's beginning.
-func damage(name string) {
+func corruptHead(name string) {
 	b, err := os.ReadFile(name)
 	So(err, ShouldBeNil)
 	for i := range min(len(b)/2, 200) {
@@ -67,41 +67,41 @@
 		s, _, found, err := Open(dir)
 		So(err, ShouldBeNil)
 		So(found, ShouldBeFalse)
-		h := consensus.HardState{ID: "me", Term: 4, Vote: "you", Commit: 7, CommitTerm: 3,
+		state := consensus.HardState{ID: "me", Term: 4, Vote: "you", Commit: 7, CommitTerm: 3,
 			Last: consensus.Entry{Term: 3, Index: 7, Voters: []consensus.Voter{{ID: "me", Addr: "a"}}, Value: []byte("word")}}
-		So(s.Save(&h), ShouldBeNil)
+		So(s.Save(&state), ShouldBeNil)
 		Convey("gives back what was saved", func() {
-			h.Term, h.Vote = 5, ""
-			So(s.Save(&h), ShouldBeNil)
+			state.Term, state.Vote = 5, ""
+			So(s.Save(&state), ShouldBeNil)
 			So(s.Close(), ShouldBeNil)
-			back, found, err := Inspect(dir)
+			loaded, found, err := Inspect(dir)
 			So(err, ShouldBeNil)
 			So(found, ShouldBeTrue)
-			So(back, ShouldResemble, h)
+			So(loaded, ShouldResemble, state)
 		})
 		Convey("whose log lost its end holds all that was saved before, complete", func() {
 			So(s.Close(), ShouldBeNil)
-			logs := filesIn(dir, "*.log")
+			logs := filesMatching(dir, "*.log")
 			appendTo(logs[len(logs)-1], "half a record that was torn")
-			_, back, found, err := Open(dir)
+			_, loaded, found, err := Open(dir)
 			So(err, ShouldBeNil)
 			So(found, ShouldBeTrue)
-			So(back.Last.Index, ShouldEqual, 7)
+			So(loaded.Last.Index, ShouldEqual, 7)
 		})
 		Convey("in which a table is damaged is an error, never empty", func() {
 			So(s.db.Flush(), ShouldBeNil)
 			So(s.Close(), ShouldBeNil)
-			for _, name := range filesIn(dir, "*.sst") {
-				damage(name)
+			for _, name := range filesMatching(dir, "*.sst") {
+				corruptHead(name)
 			}
 			_, _, found, err := Open(dir)
 			So(err != nil || found, ShouldBeTrue)
 		})
 		Convey("grows by no more than a few changes' size over thousands", func() {
-			h.Last.Value = []byte(strings.Repeat("route ", 20000))
+			state.Last.Value = []byte(strings.Repeat("route ", 20000))
 			for i := range 300 {
-				h.Last.Index = uint64(8 + i)
-				So(s.Save(&h), ShouldBeNil)
+				state.Last.Index = uint64(8 + i)
+				So(s.Save(&state), ShouldBeNil)
 			}
 			So(s.Close(), ShouldBeNil)
 			So(folderSize(t, dir), ShouldBeLessThan, 40<<20)
@@ -118,27 +118,27 @@
 		t.Fatal(err)
 	}
 	value := []byte(strings.Repeat("0123456789abcdef", 4<<20/16))
-	h := consensus.HardState{ID: "me", Term: 1, Last: consensus.Entry{Term: 1, Value: value}}
+	state := consensus.HardState{ID: "me", Term: 1, Last: consensus.Entry{Term: 1, Value: value}}
 	const changes = 25
-	began := time.Now()
+	startedAt := time.Now()
 	for i := range changes {
-		h.Last.Index = uint64(i + 1)
-		if err := s.Save(&h); err != nil {
+		state.Last.Index = uint64(i + 1)
+		if err := s.Save(&state); err != nil {
 			t.Fatal(err)
 		}
 	}
-	each := time.Since(began) / changes
+	saveTime := time.Since(startedAt) / changes
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
 	size := folderSize(t, dir)
-	began = time.Now()
-	s, back, found, err := Open(dir)
-	if err != nil || !found || back.Last.Index != changes || len(back.Last.Value) != 4<<20 {
-		t.Fatal(err, found, back.Last.Index)
+	startedAt = time.Now()
+	s, loaded, found, err := Open(dir)
+	if err != nil || !found || loaded.Last.Index != changes || len(loaded.Last.Value) != 4<<20 {
+		t.Fatal(err, found, loaded.Last.Index)
 	}
-	t.Logf("4 MB: %v a change, %d MB on disk behind %d, open again in %v", each.Round(time.Millisecond), size>>20, changes,
-		time.Since(began).Round(time.Millisecond))
+	t.Logf("4 MB: %v a change, %d MB on disk behind %d, open again in %v", saveTime.Round(time.Millisecond), size>>20, changes,
+		time.Since(startedAt).Round(time.Millisecond))
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
@@ -149,18 +149,18 @@
 
 // TestManyChanges saves some hundreds of changes, each with a longer list behind it: the folder stays small,
 // and opens with the newest after each hundred.
-func TestManyChanges(t *testing.T) {
+func TestFolderStaysSmallOverManySaves(t *testing.T) {
 	dir := t.TempDir()
-	h := consensus.HardState{ID: "me", Term: 1, Last: consensus.Entry{Term: 1}}
+	state := consensus.HardState{ID: "me", Term: 1, Last: consensus.Entry{Term: 1}}
 	for range 6 {
-		s, back, found, err := Open(dir)
-		if err != nil || found && (back.Last.Index != h.Last.Index || len(back.Last.Value) != len(h.Last.Value)) {
-			t.Fatal(err, found, back.Last.Index, h.Last.Index)
+		s, loaded, found, err := Open(dir)
+		if err != nil || found && (loaded.Last.Index != state.Last.Index || len(loaded.Last.Value) != len(state.Last.Value)) {
+			t.Fatal(err, found, loaded.Last.Index, state.Last.Index)
 		}
 		for range 100 {
-			h.Last.Index++
-			h.Last.Value = append(h.Last.Value, strings.Repeat("x", 200)...)
-			if err := s.Save(&h); err != nil {
+			state.Last.Index++
+			state.Last.Value = append(state.Last.Value, strings.Repeat("x", 200)...)
+			if err := s.Save(&state); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -169,7 +169,7 @@
 		}
 	}
 	size := folderSize(t, dir)
-	t.Logf("%d KB on disk behind %d changes, %d KB the last", size>>10, h.Last.Index, len(h.Last.Value)>>10)
+	t.Logf("%d KB on disk behind %d changes, %d KB the last", size>>10, state.Last.Index, len(state.Last.Value)>>10)
 	if size > 32<<20 {
 		t.Errorf("%d bytes on disk", size)
 	}
@@ -178,7 +178,7 @@
 // TestAFullDiskIsWaitedFor has a disk full for a while, as a folder is made, as changes are written, and as it is opened
 // again: each write that meets it is held, and nothing is lost or written twice. It fails without fullFS's Create, and
 // where Write begins anew behind a part that was taken.
-func TestAFullDiskIsWaitedFor(t *testing.T) {
+func TestWritesAreRetriedWhileDiskIsFull(t *testing.T) {
 	dir, control := t.TempDir(), filepath.Join(t.TempDir(), "disk")
 	FS = disk.FaultyFS(control)
 	defer func() { FS = vfs.Default }()
@@ -188,7 +188,7 @@
 		}
 	}
 	var refusals atomic.Int64
-	full := func(err error) bool {
+	onDiskFull := func(err error) bool {
 		if !errors.Is(err, syscall.ENOSPC) {
 			t.Errorf("waits for %v", err)
 		}
@@ -197,19 +197,19 @@
 		}
 		return true
 	}
-	h := consensus.HardState{ID: "me", Term: 4, Last: consensus.Entry{Term: 3, Value: make([]byte, 20_000)}}
+	state := consensus.HardState{ID: "me", Term: 4, Last: consensus.Entry{Term: 3, Value: make([]byte, 20_000)}}
 	for range 4 {
 		fill()
-		s, back, found, err := OpenWithRetry(dir, full)
-		if err != nil || found && !reflect.DeepEqual(back, h) {
-			t.Fatal(err, found, back.Last.Index, h.Last.Index)
+		s, loaded, found, err := OpenWithRetry(dir, onDiskFull)
+		if err != nil || found && !reflect.DeepEqual(loaded, state) {
+			t.Fatal(err, found, loaded.Last.Index, state.Last.Index)
 		}
 		for range 300 { // some logs and tables
-			h.Last.Index++
-			if h.Last.Index%7 == 0 {
+			state.Last.Index++
+			if state.Last.Index%7 == 0 {
 				fill()
 			}
-			if err := s.Save(&h); err != nil {
+			if err := s.Save(&state); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -218,8 +218,8 @@
 		}
 	}
 	_ = os.Remove(control)
-	if back, found, err := Inspect(dir); err != nil || !found || !reflect.DeepEqual(back, h) {
-		t.Error(err, found, back.Last.Index, h.Last.Index)
+	if loaded, found, err := Inspect(dir); err != nil || !found || !reflect.DeepEqual(loaded, state) {
+		t.Error(err, found, loaded.Last.Index, state.Last.Index)
 	}
 	if refusals.Load() < 100 {
 		t.Errorf("only %d writes were refused", refusals.Load())
@@ -227,7 +227,7 @@
 }
 
 // A process that is stopped waits no longer: its write fails, and its store is broken as by any fault.
-func TestAFullDiskEndsWithItsProcess(t *testing.T) {
+func TestWriteFailsWhenRetryIsDeclined(t *testing.T) {
 	dir, control := t.TempDir(), filepath.Join(t.TempDir(), "disk")
 	FS = disk.FaultyFS(control)
 	defer func() { FS = vfs.Default }()
@@ -247,20 +247,20 @@
 // TestAFullDiskHangsNobody has a disk full for a while: the change that meets it is refused, the next one too
 // and at once, and what was saved before is found by another process. It fails without broken in Save or in
 // Close, as pebble then waits for ever (incident on a full disk).
-func TestAFullDiskHangsNobody(t *testing.T) {
+func TestSaveAfterFailedWriteReturnsError(t *testing.T) {
 	Convey("A folder on a disk that is full", t, func() {
 		dir, control := t.TempDir(), filepath.Join(t.TempDir(), "disk")
 		FS = disk.FaultyFS(control)
 		defer func() { FS = vfs.Default }()
 		s, _, _, err := Open(dir)
 		So(err, ShouldBeNil)
-		h := consensus.HardState{ID: "me", Term: 4, Last: consensus.Entry{Term: 3, Index: 7, Value: make([]byte, 20_000)}}
-		So(s.Save(&h), ShouldBeNil)
+		state := consensus.HardState{ID: "me", Term: 4, Last: consensus.Entry{Term: 3, Index: 7, Value: make([]byte, 20_000)}}
+		So(s.Save(&state), ShouldBeNil)
 		So(os.WriteFile(control, []byte(disk.Refuse), 0o600), ShouldBeNil)
-		refused := h
+		refusedState := state
 		for i := range 20 { // with changes of this size pebble's fifth commit would wait for ever
-			refused.Last.Index++
-			err := s.Save(&refused)
+			refusedState.Last.Index++
+			err := s.Save(&refusedState)
 			So(errors.Is(err, ErrBroken), ShouldBeTrue)
 			if i == 0 {
 				So(err.Error(), ShouldEqual, "pebble: fatal commit error: disk: refused: the store is broken")
@@ -268,17 +268,17 @@
 			}
 		}
 		So(s.Close(), ShouldBeNil)
-		copyOf := func() string { // as another process finds it: this one holds the folder's lock
+		copyFolder := func() string { // as another process finds it: this one holds the folder's lock
 			to := filepath.Join(t.TempDir(), "copy")
 			So(os.CopyFS(to, os.DirFS(dir)), ShouldBeNil)
 			return to
 		}
-		_, _, _, err = Open(copyOf())
+		_, _, _, err = Open(copyFolder())
 		So(err, ShouldNotBeNil)
 		So(os.Remove(control), ShouldBeNil)
-		_, back, found, err := Open(copyOf())
+		_, loaded, found, err := Open(copyFolder())
 		So(err, ShouldBeNil)
 		So(found, ShouldBeTrue)
-		So(back, ShouldResemble, h)
+		So(loaded, ShouldResemble, state)
 	})
 }
--- a/internal/controlplane/consensus/transcript_test.go
+++ b/internal/controlplane/consensus/transcript_test.go
@@ -11,9 +11,9 @@
 	"testing"
 )
 
-// TestTranscripts plays the scripts in testdata/transcripts and holds what happens against what the files say. Lines that
-// begin with "> " are commands, see transcript.run; those behind a command are what follows from it. Run with -update to
-// write the files anew, and read the difference.
+// TestTranscripts plays the scripts in testdata/transcripts and holds what happens against what the files say. Lines
+// that begin with "> " are commands, see transcript.run; those behind a command are what follows from it. Run with
+// -update to write the files anew, and read the difference.
 func TestTranscripts(t *testing.T) {
 	files, err := filepath.Glob("testdata/transcripts/*.txt")
 	if err != nil || len(files) == 0 {
@@ -25,7 +25,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			got := play(t, string(recorded))
+			got := playScript(t, string(recorded))
 			if *update {
 				if err := os.WriteFile(file, []byte(got), 0o644); err != nil {
 					t.Fatal(err)
@@ -38,10 +38,10 @@
 }
 
 // play runs a script's commands, and gives it with what follows from each.
-func play(t *testing.T, script string) string {
+func playScript(t *testing.T, script string) string {
 	t.Helper()
-	p := &transcript{t: t, minVoters: 3, nodes: map[string]*scriptedNode{}, down: map[string]bool{},
-		shown: map[string]bool{}}
+	p := &transcript{t: t, minVoters: 3, nodes: map[string]*scriptedNode{}, isolated: map[string]bool{},
+		shownResponses: map[string]bool{}}
 	lines := bufio.NewScanner(strings.NewReader(script))
 	for lines.Scan() {
 		switch line := lines.Text(); {
@@ -58,14 +58,14 @@
 // transcript plays nodes in virtual time and writes what they do. Messages arrive at once and in order; heartbeats and
 // answers that say nothing new aren't shown.
 type transcript struct {
-	t         *testing.T
-	minVoters int
-	out       strings.Builder
-	now       float64
-	nodes     map[string]*scriptedNode
-	inTransit []Envelope
-	down      map[string]bool // machines that nothing reaches, and that reach nobody
-	shown     map[string]bool // answers
+	t              *testing.T
+	minVoters      int
+	out            strings.Builder
+	now            float64
+	nodes          map[string]*scriptedNode
+	inTransit      []Envelope
+	isolated       map[string]bool // machines that nothing reaches, and that reach nobody
+	shownResponses map[string]bool // answers
 }
 
 type scriptedNode struct {
@@ -113,9 +113,9 @@
 	case "kill":
 		p.nodes[addrs[0]].running = false
 	case "isolate":
-		p.down[addrs[0]] = true
+		p.isolated[addrs[0]] = true
 	case "heal":
-		clear(p.down)
+		clear(p.isolated)
 	case "read":
 		n := p.nodes[addrs[0]]
 		round := n.ReadIndex(p.now)
@@ -146,19 +146,19 @@
 	fmt.Fprintf(&p.out, "  "+format+"\n", args...)
 }
 
-func (p *transcript) addrs() (out []string) {
+func (p *transcript) addrs() (addrs []string) {
 	for addr := range p.nodes {
-		out = append(out, addr)
+		addrs = append(addrs, addr)
 	}
-	slices.Sort(out)
-	return out
+	slices.Sort(addrs)
+	return addrs
 }
 
 // start starts a machine. Its place in the order of addresses spreads its elections.
 func (p *transcript) start(addr string, disk HardState) {
 	spread := float64(addr[1]-'0') / 5
 	n := New(Options{Addr: addr, Seeds: []string{"m0"}, MinVoters: p.minVoters, HeartbeatInterval: 200, ElectionTimeout: 900,
-		RemoveAfter: 1575, Random: func() float64 { return spread }}, copyOf(disk), p.now)
+		RemoveAfter: 1575, Random: func() float64 { return spread }}, cloneState(disk), p.now)
 	p.nodes[addr] = &scriptedNode{Node: n, disk: disk, running: true}
 }
 
@@ -182,7 +182,7 @@
 		e := p.inTransit[0]
 		p.inTransit = p.inTransit[1:]
 		to := p.nodes[e.To]
-		if to == nil || !to.running || p.down[e.To] || p.down[e.Message.From.Addr] {
+		if to == nil || !to.running || p.isolated[e.To] || p.isolated[e.Message.From.Addr] {
 			continue
 		}
 		to.Step(&e.Message, p.now)
@@ -195,7 +195,7 @@
 	n := p.nodes[addr]
 	for n.running {
 		if n.Dirty() {
-			n.disk = copyOf(n.HardState)
+			n.disk = cloneState(n.HardState)
 			h := &n.disk
 			p.show("%s syncs term %d, vote %q, entry %d/%d", addr, h.Term, h.Vote, h.Last.Term, h.Last.Index)
 			n.Synced(p.now)
@@ -249,10 +249,10 @@
 		text += fmt.Sprintf(", entry %d/%d %q for %d voters", m.Entry.Term, m.Entry.Index, m.Entry.Value, len(m.Entry.Voters))
 	case AppendEntriesResponse:
 		text += fmt.Sprintf(", holds %d/%d", m.LastTerm, m.LastIndex)
-		if p.shown[text] {
+		if p.shownResponses[text] {
 			return
 		}
-		p.shown[text] = true
+		p.shownResponses[text] = true
 	case Join, Leave, TimeoutNow:
 	}
 	p.show("%s", text)
