--- a/internal/controlplane/consensus/catch_up_test.go
+++ b/internal/controlplane/consensus/catch_up_test.go
@@ -7,28 +7,28 @@
 	"testing"
 )
 
-// TestCatchesUpFromAnyAge has a machine away from the tenth of some hundreds of changes on, and back while
-// changes go on every 20 ms, from each state that its disk may have; then made the leader. It must hold all
-// that was acknowledged.
+// TestCatchUpFromAnyDiskState stops a machine after ten changes and restarts it some hundreds of changes later, with
+// each state that its disk may have, while a change is made every 20 ms. The machine must catch up, and as the leader
+// afterwards it must hold every acknowledged change.
 func TestCatchUpFromAnyDiskState(t *testing.T) {
 	const removed = "removed meanwhile"
 	tests := []struct {
 		name          string
-		wasLeader     bool // it led when it went
+		wasLeader     bool // the machine led when it was stopped
 		beforeRestart func(c *cluster, m *machine, term uint64)
 	}{
-		{"as it was", false, func(*cluster, *machine, uint64) {}},
-		{"it led", true, func(*cluster, *machine, uint64) {}},
-		{"it led, with an entry nobody else has", true, func(_ *cluster, m *machine, _ uint64) {
+		{"unchanged disk", false, func(*cluster, *machine, uint64) {}},
+		{"former leader", true, func(*cluster, *machine, uint64) {}},
+		{"former leader with an entry that no other machine has", true, func(_ *cluster, m *machine, _ uint64) {
 			m.disk.Last.Index, m.disk.Last.Value = m.disk.Last.Index+1, append(m.disk.Last.Value, "lost;"...)
 		}},
-		{"with an older term's entry of a higher index", true, func(_ *cluster, m *machine, _ uint64) {
+		{"entry of an older term with a higher index", true, func(_ *cluster, m *machine, _ uint64) {
 			m.disk.Last.Index += 5000
 		}},
-		{"with a higher term", false, func(_ *cluster, m *machine, term uint64) { m.disk.Term, m.disk.Vote = term+3, "" }},
-		{"with an empty disk", false, func(_ *cluster, m *machine, _ uint64) { m.disk = Empty("9@" + m.addr) }},
+		{"higher term", false, func(_ *cluster, m *machine, term uint64) { m.disk.Term, m.disk.Vote = term+3, "" }},
+		{"empty disk", false, func(_ *cluster, m *machine, _ uint64) { m.disk = Empty("9@" + m.addr) }},
 		{removed, false, func(c *cluster, _ *machine, _ uint64) { c.minVoters = 2 }},
-		{"behind a slow connection", false, func(c *cluster, m *machine, _ uint64) { c.extraDelay[m.addr] = 150 }},
+		{"slow connection", false, func(c *cluster, m *machine, _ uint64) { c.extraDelay[m.addr] = 150 }},
 	}
 	for i, test := range tests {
 		for seed := range max(1, seedCount(4)/2) {
@@ -63,7 +63,8 @@
 	}
 }
 
-// requireCaughtUp fails the test unless a machine votes, and knows committed what was acknowledged half a second ago.
+// requireCaughtUp fails the test unless a machine votes, and knows the changes that were acknowledged half a second ago
+// to be committed.
 func (c *cluster) requireCaughtUp(t *testing.T, history string, m *machine) {
 	t.Helper()
 	acknowledged := len(c.acknowledged)
@@ -81,7 +82,7 @@
 	return len(value) > len(change) && (value[:len(change)] == change || strings.Contains(value, ";"+change))
 }
 
-// transferTo has a machine made the leader, while changes go on.
+// transferTo transfers leadership to a machine while changes go on.
 func (c *cluster) transferTo(t *testing.T, history string, m *machine) {
 	t.Helper()
 	for end := c.now + 20_000; c.leader() != m; {
@@ -89,7 +90,7 @@
 			if p := l.node.progress[m.node.HardState.ID]; p != nil && !l.node.lacksLastEntry(p) {
 				l.node.send(m.addr, Message{Kind: TimeoutNow, Term: l.node.HardState.Term})
 				c.flush(l, 0)
-				for range 30 { // a leader that is about to lose its lead takes no change meanwhile
+				for range 30 { // propose nothing while the leader is about to be replaced
 					c.step(0)
 				}
 				continue
@@ -97,7 +98,7 @@
 		}
 		c.runBusy(20)
 		if c.now > end || c.violation != "" {
-			t.Fatalf("%s: %s does not lead; %s\n%s", history, m.addr, c.violation, c.describe())
+			t.Fatalf("%s: %s doesn't lead; %s\n%s", history, m.addr, c.violation, c.describe())
 		}
 	}
 	for i, change := range c.acknowledged {
@@ -107,7 +108,7 @@
 	}
 }
 
-// TestJoinsWhileChangesGoOn has machines join behind a connection so slow that changes outrun their answers.
+// TestJoinDuringChanges lets machines join over a connection so slow that changes arrive faster than their answers.
 func TestJoinDuringChanges(t *testing.T) {
 	for seed := range seedCount(20) {
 		c := newFaultlessCluster(seed, 200, 3)
@@ -120,8 +121,8 @@
 	}
 }
 
-// TestJoinsWithinASecond has an empty machine start at a new address. One of its seeds was replaced, and
-// connections are made first.
+// TestJoinWithinOneSecond starts an empty machine at a new address, with no connection established yet. One of its
+// seeds no longer exists.
 func TestJoinWithinOneSecond(t *testing.T) {
 	slowest := 0.0
 	for seed := range seedCount(200) {
@@ -132,17 +133,17 @@
 		startedAt := c.now
 		for l := c.leader(); l == nil || !l.node.isVoter("1@n1") || l.node.InFlight(); l = c.leader() {
 			if c.now > startedAt+1000 {
-				t.Fatalf("seed %d: it does not vote after a second\n%s", seed, c.describe())
+				t.Fatalf("seed %d: the machine doesn't vote after one second\n%s", seed, c.describe())
 			}
 			c.run(10, 0)
 		}
 		slowest = max(slowest, c.now-startedAt)
 	}
-	t.Logf("the slowest took %.0f ms", slowest)
+	t.Logf("the slowest join took %.0f ms", slowest)
 }
 
-// TestComesBackWhenAllThatItKnewAreReplaced has a machine removed while it is away, and come back with an
-// empty disk when none of its seeds is there: those that saw it removed notify it of who leads.
+// TestRejoinAfterAllKnownVotersWereReplaced removes a machine while it is down and restarts it with an empty disk after
+// all its seeds were replaced: leaders notify the address of the removed voter, so that it can join.
 func TestRejoinAfterAllKnownVotersWereReplaced(t *testing.T) {
 	for seed := range seedCount(20) {
 		c := newFaultlessCluster(seed, 202, 5)
@@ -160,13 +161,13 @@
 		c.start(&machine{addr: "n9", seeds: []string{"m0", "m3", "m4"}, disk: Empty("9@n9")})
 		c.run(6000, 0)
 		if l := c.leader(); l == nil || l.node.isVoter("0@m0") {
-			t.Fatalf("seed %d: it still votes\n%s", seed, c.describe())
+			t.Fatalf("seed %d: the machine still votes\n%s", seed, c.describe())
 		}
 		away.disk = Empty("8@m0")
 		c.start(away)
 		c.run(4000, 0)
 		if l := c.leader(); l == nil || !l.node.isVoter("8@m0") {
-			t.Fatalf("seed %d: it does not vote again\n%s", seed, c.describe())
+			t.Fatalf("seed %d: the machine doesn't vote again\n%s", seed, c.describe())
 		}
 		c.requireNothingLost(t, fmt.Sprint("seed ", seed))
 	}
--- a/internal/controlplane/consensus/clockrate_test.go
+++ b/internal/controlplane/consensus/clockrate_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// runModel lets a model run until a moment, without faults.
+// runUntil runs a model up to a point in time without injecting faults.
 func runUntil(t *testing.T, c *contactModel, until float64) {
 	t.Helper()
 	for c.now < until {
@@ -25,8 +25,8 @@
 	return nil
 }
 
-// A follower whose clock runs at another rate is found within a minute, and has no contact from then on, while the
-// others keep theirs. It fails without the condition in contactFor.
+// A follower whose clock runs at another rate must be detected within a minute and have no contact from then on, while
+// the others keep theirs. It fails without the condition in contactFor.
 func TestFollowerWithAnotherClockRateLosesContact(t *testing.T) {
 	for _, rate := range []float64{0.5, 0.98, 0.99, 1.01, 1.03, 2} {
 		c := newContactModel(5, 3)
@@ -40,19 +40,20 @@
 		setRate(c, drifting, rate)
 		runUntil(t, c, c.now+60_000)
 		drifts := c.leader().node.ClockDrifts()
-		if len(drifts) != 1 || drifts[0].Voter.Addr != drifting.addr || drifts[0].LeaderClock || (drifts[0].Rate > 0) != (rate > 1) {
+		if len(drifts) != 1 || drifts[0].Voter.Addr != drifting.addr || drifts[0].LeaderClock ||
+			(drifts[0].Rate > 0) != (rate > 1) {
 			t.Errorf("rate %v: %+v", rate, drifts)
 		}
 		for _, m := range c.machines {
 			if age := m.node.ContactAge(c.clock(m)); (age > ContactLease) != (m == drifting) {
-				t.Errorf("rate %v: %s, of which %s is odd, has contact of %.0f ms ago", rate, m.addr, drifting.addr, age)
+				t.Errorf("rate %v: %s has contact of %.0f ms ago; the drifting machine is %s", rate, m.addr, age, drifting.addr)
 			}
 		}
 	}
 }
 
-// A leader whose clock runs at another rate finds that all others differ alike, lets another lead, and has no contact
-// as its follower. It fails without ownClockDrifts in tickLeader.
+// A leader whose clock runs at another rate must find that all others differ in the same direction, transfer its
+// leadership, and have no contact as a follower. It fails without ownClockDrifts in tickLeader.
 func TestLeaderWithAnotherClockRateTransfersLeadership(t *testing.T) {
 	for _, rate := range []float64{0.98, 1.02} {
 		c := newContactModel(6, 3)
@@ -65,13 +66,13 @@
 			continue
 		}
 		if age := drifting.node.ContactAge(c.clock(drifting)); age <= ContactLease {
-			t.Errorf("rate %v: the machine with the odd clock has contact of %.0f ms ago", rate, age)
+			t.Errorf("rate %v: the drifting machine has contact of %.0f ms ago", rate, age)
 		}
 	}
 }
 
-// A leader whose own clock differs renews no contact, also where nobody takes its lead. It fails without ownClockDrifts
-// in endContactRound.
+// A leader whose own clock differs must renew no contact, even if nobody takes over its leadership. It fails without
+// ownClockDrifts in endContactRound.
 func TestLeaderWithAnotherClockRateRenewsNoContact(t *testing.T) {
 	c := newContactModel(6, 3)
 	runUntil(t, c, 5000)
@@ -89,11 +90,11 @@
 	}
 	leader.node.endContactRound()
 	if after := leader.node.LastContact(); after != before {
-		t.Errorf("contact went from %.0f to %.0f", before, after)
+		t.Errorf("contact changed from %.0f to %.0f", before, after)
 	}
 }
 
-// setRate changes the rate of a machine's clock from now on, without a jump.
+// setRate changes the rate of a machine's clock from now on, without a jump of its reading.
 func setRate(c *contactModel, m *contactMachine, rate float64) {
 	reading := c.clock(m)
 	c.skipContactCheck = true
@@ -101,8 +102,8 @@
 	m.startedAt = c.now - reading/rate
 }
 
-// No sound clock is taken for another: over histories with faults, clocks apart by a thousandth, lost and late
-// messages, nobody is found to drift.
+// Normal clocks must never be reported as drifting, over histories with faults, lost and late messages, and clock rates
+// that differ by up to 0.001 from the true rate.
 func TestNormalClocksAreNotReportedAsDrifting(t *testing.T) {
 	for seed := range uint64(40) {
 		c := newContactModel(seed, 3+2*int(seed%2))
@@ -122,8 +123,8 @@
 	}
 }
 
-// What is proved of a clock's rate is never more than its difference, whatever the links do, and for narrow intervals
-// not much less.
+// The proven drift of a clock must never exceed the real one, regardless of the links, and must come close to it for
+// narrow intervals.
 func TestProvenDriftIsALowerBound(t *testing.T) {
 	for seed := range uint64(500) {
 		random := rand.New(rand.NewPCG(seed, 5))
@@ -135,19 +136,20 @@
 			readAt := sentAt + maxDelay*random.Float64()
 			receivedAt := readAt + maxDelay*random.Float64()
 			reading := 5e6 + readAt*(1+rate)
-			interval := offsetInterval{sentAt: sentAt, receivedAt: receivedAt, minOffset: reading - receivedAt, maxOffset: reading - sentAt}
+			interval := offsetInterval{sentAt: sentAt, receivedAt: receivedAt,
+				minOffset: reading - receivedAt, maxOffset: reading - sentAt}
 			c.observe(interval, 1)
 			if c.drift != 0 && (c.drift > 0) != (rate > 0) || math.Abs(c.drift) > math.Abs(rate)+1e-9 {
-				t.Fatalf("seed %d: %v is taken for proved, the rate is %v", seed, c.drift, rate)
+				t.Fatalf("seed %d: proven drift %v, actual rate %v", seed, c.drift, rate)
 			}
 		}
 		if maxDelay < 100 && math.Abs(rate) > 2*MaxClockDrift && !c.isDrifting() {
-			t.Errorf("seed %d: links of %.0f ms, a rate of %v, proved %v", seed, maxDelay, rate, c.drift)
+			t.Errorf("seed %d: link delay of up to %.0f ms, actual rate %v, proven drift %v", seed, maxDelay, rate, c.drift)
 		}
 	}
 }
 
-// Another process of a peer has another clock: its readings are not compared with those of the one before.
+// A restarted process of a peer starts a new clock, whose readings must not be compared with those of the previous one.
 func TestClockOfAnotherIncarnation(t *testing.T) {
 	var c clockRate
 	c.observe(offsetInterval{sentAt: 0, receivedAt: 1, minOffset: 1e6, maxOffset: 1e6 + 1}, 1)
--- a/internal/controlplane/consensus/cluster_faults_test.go
+++ b/internal/controlplane/consensus/cluster_faults_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// restartAll gives power back to all machines that aren't retired.
+// restartAll starts all stopped machines that aren't retired.
 func (c *cluster) restartAll() {
 	for _, addr := range c.addrs() {
 		if m := c.machines[addr]; !m.running && !m.retired {
@@ -18,14 +18,14 @@
 	}
 }
 
-// isolate cuts a machine off from others, in both directions.
+// isolate blocks messages between a machine and others in both directions.
 func (c *cluster) isolate(addr string, others []string) {
 	for _, other := range others {
 		c.partitioned[[2]string{addr, other}], c.partitioned[[2]string{other, addr}] = true, true
 	}
 }
 
-// terminate is a SIGTERM: the process says that it leaves, and ends when nothing waits for it.
+// terminate simulates SIGTERM: the node leaves, and its process ends once LeaveDone reports true or 1.5 s have passed.
 func (c *cluster) terminate(m *machine) {
 	m.node.Leave(c.now)
 	c.flush(m, 0)
@@ -36,7 +36,8 @@
 	m.running = false
 }
 
-// pick is the leader, or another machine that is not retired.
+// pickMachine returns the leader if wantLeader is set, and otherwise a random machine that neither leads nor is
+// retired.
 func (c *cluster) pickMachine(wantLeader bool, excluded ...string) *machine {
 	addrs := slices.DeleteFunc(c.liveAddrs(), func(addr string) bool { return slices.Contains(excluded, addr) })
 	if l := c.leader(); l != nil {
@@ -48,7 +49,7 @@
 	return c.machines[addrs[c.random.IntN(len(addrs))]]
 }
 
-// replace retires a machine, or loses only its disk, and gives the time at which its successor started.
+// replace retires a machine, or only empties its disk, and returns the time at which its replacement started.
 func (c *cluster) replace(kind string, m *machine) (successor string, startedAt float64) {
 	c.diskCount++
 	if kind == "wiped" {
@@ -75,7 +76,7 @@
 	return addr, startedAt
 }
 
-// fault brings one about, of those that are tolerated: one machine of three or two of five at a time.
+// injectFault injects a random fault of those that are tolerated: of one machine of three or two of five at a time.
 func (c *cluster) injectFault() string {
 	live := c.liveAddrs()
 	m := c.machines[live[c.random.IntN(len(live))]]
@@ -94,18 +95,18 @@
 			c.partitioned[[2]string{m.addr, other}], c.partitioned[[2]string{other, m.addr}] = true, c.random.IntN(3) > 0
 		}
 		return "partitioned off"
-	case 4: // the disk is lost, with power elsewhere too
+	case 4: // the disk is lost, possibly together with power everywhere
 		c.diskCount++
 		m.disk, m.running = Empty(fmt.Sprintf("%d@%s", c.diskCount, m.addr)), false
 		if c.random.IntN(2) == 0 {
 			c.powerOff(live)
 		}
 		return "wiped"
-	case 5: // a machine is gone for good, an empty one comes at another address
+	case 5: // a machine is lost for good, and an empty one starts at another address
 		m.running, m.retired = false, true
 		c.diskCount++
 		addr := fmt.Sprint("n", c.diskCount)
-		// Its seeds are three of the machines that stood before the loss, as the operator's list had them.
+		// Its seeds are three of the machines that existed before the loss, as in an operator's list of that time.
 		c.start(&machine{addr: addr, seeds: live[:3], disk: Empty(fmt.Sprintf("%d@%s", c.diskCount, addr))})
 		return "replaced"
 	}
@@ -118,8 +119,7 @@
 	}
 }
 
-// awaitRecovery waits until all live machines vote and one leads, as the rules give the core time between two
-// losses; false: that takes too long.
+// awaitRecovery waits for up to 30 s until all live machines vote and one of them leads, and reports whether they do.
 func (c *cluster) awaitRecovery() bool {
 	for range 60 {
 		c.run(500, 0)
@@ -131,8 +131,8 @@
 	return false
 }
 
-// recovered says that one machine leads, that the live machines vote and no others, and that all hold the
-// leader's value.
+// recovered reports whether exactly one machine leads, all live machines and no others vote, and all live machines hold
+// the leader's value.
 func (c *cluster) recovered() bool {
 	leaders := 0
 	var voters []Voter
@@ -142,7 +142,7 @@
 			voters = m.node.HardState.Last.Voters
 		}
 	}
-	if leaders != 1 || len(voters) != len(c.liveAddrs()) { // the retired ones are voted out
+	if leaders != 1 || len(voters) != len(c.liveAddrs()) { // retired machines must have been removed from the voters
 		return false
 	}
 	for _, m := range c.machines {
@@ -154,27 +154,27 @@
 	return true
 }
 
-// requireNothingLost waits until the core has recovered, and fails the test if a change was acknowledged and is lost.
+// requireNothingLost waits for the cluster to recover, and fails the test if an acknowledged change was lost.
 func (c *cluster) requireNothingLost(t *testing.T, history string) {
 	t.Helper()
 	if !c.awaitRecovery() {
-		t.Fatalf("%s: the core doesn't recover; %s\n%s", history, c.violation, c.describe())
+		t.Fatalf("%s: the cluster doesn't recover; %s\n%s", history, c.violation, c.describe())
 	}
 	c.requireAcknowledged(t, history)
 }
 
-// requireAcknowledged fails the test if the leader lacks a change that was acknowledged.
+// requireAcknowledged fails the test if the leader lacks an acknowledged change.
 func (c *cluster) requireAcknowledged(t *testing.T, history string) {
 	t.Helper()
 	value := string(c.leaderValue())
 	for _, change := range c.acknowledged {
 		if !strings.Contains(value, change) {
-			t.Fatalf("%s: %s was acknowledged and is lost: %s", history, change, value)
+			t.Fatalf("%s: acknowledged change %s was lost: %s", history, change, value)
 		}
 	}
 }
 
-// describe tells each machine's state, for a test that failed.
+// describe returns the state of each machine, for the message of a failed test.
 func (c *cluster) describe() string {
 	var b strings.Builder
 	for _, addr := range c.addrs() {
@@ -187,7 +187,7 @@
 	return b.String()
 }
 
-// seedCount gives how many seeds a test plays; the variable SEEDS asks for more.
+// seedCount returns the number of seeds that a test runs; the environment variable SEEDS overrides it.
 func seedCount(defaultCount int) int {
 	if n, err := strconv.Atoi(os.Getenv("SEEDS")); err == nil {
 		return n
--- a/internal/controlplane/consensus/cluster_network_test.go
+++ b/internal/controlplane/consensus/cluster_network_test.go
@@ -2,8 +2,8 @@
 
 import "math/rand/v2"
 
-// newFaultlessCluster has three founders, whose machines and messages fail by themselves in no way; connections
-// are made first. stream tells tests apart that play the same seeds.
+// newFaultlessCluster returns a cluster of three founders without random faults, whose connections are not yet
+// established. stream selects the random numbers, so that tests with the same seeds run different histories.
 func newFaultlessCluster(seed int, stream uint64, minVoters int) *cluster {
 	c := newCluster(uint64(seed), 3)
 	c.random = rand.New(rand.NewPCG(uint64(seed), stream))
@@ -11,7 +11,7 @@
 	return c
 }
 
-// post puts a message on its way, once or twice, or loses it.
+// transmit puts a message in transit once or, rarely, twice, or loses it.
 func (c *cluster) transmit(from string, e Envelope) {
 	if c.partitioned[[2]string{from, e.To}] || !c.connected(from, e.To) || c.random.Float64() < c.lossRate {
 		return
@@ -27,20 +27,20 @@
 	}
 }
 
-// reconnect has the connections of a machine that starts made anew: its own soon, those of the others at their
-// next attempt.
+// reconnect drops the connections of a machine that starts: its own are established again soon, those of other machines
+// at their next attempt.
 func (c *cluster) reconnect(addr string) {
 	for _, other := range c.addrs() {
 		delete(c.connectedAt, [2]string{addr, other})
 		if _, known := c.connectedAt[[2]string{other, addr}]; known {
-			// The longest backoff, and an attempt that met nobody.
+			// The longest backoff after an attempt that failed while the machine was down.
 			c.connectedAt[[2]string{other, addr}] = c.now + 2500*c.random.Float64()
 		}
 	}
 }
 
-// connected says whether a connection stands, either one's: answers go the way that the question came. The
-// first message to an address only has one made.
+// connected reports whether a connection is established in either direction, as answers use the connection of the
+// request. The first message to an address only starts a connection and is lost.
 func (c *cluster) connected(from, to string) bool {
 	if c.connectedAt == nil {
 		return true
--- a/internal/controlplane/consensus/cluster_test.go
+++ b/internal/controlplane/consensus/cluster_test.go
@@ -6,9 +6,10 @@
 	"slices"
 )
 
-// cluster runs machines of a core under one scheduler, in virtual time. Messages are lost, doubled and delayed;
-// machines lose power between a write and its sync, freeze, lose their disks, and are replaced at other
-// addresses. Proposed values are chains ("c1;c2;"), so that a lost one shows.
+// cluster runs the machines of a cluster under one scheduler in virtual time. Messages are lost, duplicated and
+// delayed; machines lose power between a write and its sync, freeze, lose their disks, and are replaced at other
+// addresses. Each proposed value appends a change to the previous value ("c1;c2;"), so that a lost change is
+// detected.
 type cluster struct {
 	random   *rand.Rand
 	now      float64             // milliseconds
@@ -16,25 +17,25 @@
 	founders []string
 
 	inTransit   []delivery
-	lossRate    float64               // share of messages that are lost
+	lossRate    float64               // fraction of messages that are lost
 	extraDelay  map[string]float64    // milliseconds, by receiver
 	partitioned map[[2]string]bool    // by sender and receiver
-	connectedAt map[[2]string]float64 // when a connection stands; nil: all do at all times
+	connectedAt map[[2]string]float64 // when a connection is established; nil: all are at all times
 
-	minVoters       int     // Options.MinVoters; 0: as many as founders
-	crashRate       float64 // chance that power goes in the middle of a proposal
-	newestCrashesAt float64 // when the newest machine loses power; 0: it doesn't
-	diskCount       int     // numbers disks and machines that were replaced
+	minVoters       int     // Options.MinVoters; 0: the number of founders
+	crashRate       float64 // probability that power is lost during a proposal
+	newestCrashesAt float64 // when the newest machine loses power; 0: never
+	diskCount       int     // number of replaced disks and machines so far, used to name new ones
 
-	proposals    int               // made so far
-	acknowledged []string          // proposals that were known committed where they were made
-	committed    map[uint64]string // by index: what any machine ever knew committed
-	violation    string            // of agreement; "": none was seen
+	proposals    int               // number of proposals so far
+	acknowledged []string          // proposals that their proposer knew to be committed
+	committed    map[uint64]string // by index: values that any machine knew to be committed
+	violation    string            // conflicting committed values; "" if none were seen
 
-	digest *digest // of all that the machines put out; nil: none is taken
+	digest *digest // of all output of the machines; nil if not needed
 }
 
-// machine is a host with a node and its disk.
+// machine is a machine with a node and a disk.
 type machine struct {
 	addr  string
 	seeds []string // nil: the founders
@@ -42,16 +43,16 @@
 	disk  HardState
 
 	running     bool
-	retired     bool // gone for good
+	retired     bool // gone permanently
 	frozenUntil float64
 
-	// proposed is a value that was proposed here and isn't known committed yet, with the index and term of its entry.
+	// proposed is a change that was proposed here and isn't known to be committed, with the index and term of its entry.
 	proposed string
 	index    uint64
 	term     uint64
 }
 
-// delivery is a message on its way.
+// delivery is a message in transit.
 type delivery struct {
 	at      float64
 	to      string
@@ -70,7 +71,7 @@
 	return c
 }
 
-// start gives a machine power: its node begins with what is on its disk.
+// start powers on a machine: its node starts from the state on the disk.
 func (c *cluster) start(m *machine) {
 	c.machines[m.addr] = m
 	m.running, m.frozenUntil, m.proposed = true, 0, ""
@@ -93,7 +94,7 @@
 	return h
 }
 
-// addrs are those of all machines that ever were, in order.
+// addrs returns the addresses of all machines that ever existed, sorted.
 func (c *cluster) addrs() []string {
 	var out []string
 	for addr := range c.machines {
@@ -103,7 +104,7 @@
 	return out
 }
 
-// liveAddrs are those of the machines that are not retired, in order.
+// liveAddrs returns the addresses of all machines that are not retired, sorted.
 func (c *cluster) liveAddrs() (out []string) {
 	for _, addr := range c.addrs() {
 		if !c.machines[addr].retired {
@@ -113,7 +114,7 @@
 	return out
 }
 
-// leader is the established one; nil: there is none.
+// leader returns the established leader, or nil if there is none.
 func (c *cluster) leader() *machine {
 	for _, addr := range c.addrs() {
 		if m := c.machines[addr]; m.running && m.node.Established() {
@@ -130,8 +131,8 @@
 	return nil
 }
 
-// flush syncs and sends as the control plane does. Power may be lost before the sync, or behind it and before
-// the messages.
+// flush syncs and sends as the control plane does. With a probability of crashRate, power is lost before the sync, or
+// after it and before messages are sent.
 func (c *cluster) flush(m *machine, crashRate float64) {
 	for range 4 {
 		if m.node.Dirty() {
@@ -157,7 +158,8 @@
 	}
 }
 
-// checkCommitted holds what a node takes for committed against what any did before, and acknowledges proposals.
+// checkCommitted compares the entry that a node knows to be committed with those of all nodes before, and acknowledges
+// proposals.
 func (c *cluster) checkCommitted(m *machine) {
 	if e, ok := m.node.Committed(); ok {
 		value := string(e.Value)
@@ -175,7 +177,7 @@
 	}
 }
 
-// propose offers a change at each machine that takes one.
+// propose proposes a change on each established leader that has none in flight.
 func (c *cluster) propose() {
 	for _, addr := range c.addrs() {
 		m := c.machines[addr]
@@ -191,7 +193,7 @@
 	}
 }
 
-// step lets 10 ms pass: messages that are due come, and clocks tick.
+// step advances time by 10 ms: due messages are delivered, and nodes tick.
 func (c *cluster) step(crashRate float64) {
 	c.now += 10
 	if c.newestCrashesAt > 0 && c.newestCrashesAt <= c.now {
@@ -220,13 +222,13 @@
 			m.node.Step(&d.message, c.now)
 			c.flush(m, crashRate)
 		} else if m != nil && m.running && c.random.IntN(2) == 0 {
-			d.at = m.frozenUntil + 1 // it waits in a buffer
+			d.at = m.frozenUntil + 1 // the message waits in a buffer of the frozen machine
 			c.inTransit = append(c.inTransit, d)
 		}
 	}
 }
 
-// run lets time pass, with a change offered every 120 ms or so.
+// run advances time, with a change proposed about every 120 ms.
 func (c *cluster) run(ms, crashRate float64) {
 	for end := c.now + ms; c.now < end && c.violation == ""; {
 		if c.random.IntN(12) == 0 {
@@ -236,7 +238,7 @@
 	}
 }
 
-// runBusy lets time pass with a change offered every 20 ms.
+// runBusy advances time, with a change proposed every 20 ms.
 func (c *cluster) runBusy(ms float64) {
 	for end := c.now + ms; c.now < end && c.violation == ""; {
 		c.propose()
@@ -245,7 +247,7 @@
 	}
 }
 
-// acknowledge offers changes until so many more were acknowledged; false: it takes too long.
+// awaitAcknowledged proposes changes until the given number was acknowledged. It returns false after 600 s.
 func (c *cluster) awaitAcknowledged(changes int) bool {
 	for want, end := len(c.acknowledged)+changes, c.now+600_000; len(c.acknowledged) < want; {
 		if c.now > end || c.violation != "" {
@@ -256,7 +258,7 @@
 	return true
 }
 
-// acknowledgedSince says whether a change was acknowledged that was proposed behind the nth.
+// acknowledgedSince reports whether the latest acknowledged change was proposed after the nth.
 func (c *cluster) acknowledgedSince(n int) bool {
 	if len(c.acknowledged) == 0 {
 		return false
--- a/internal/controlplane/consensus/confchange.go
+++ b/internal/controlplane/consensus/confchange.go
@@ -25,13 +25,6 @@
 // neither step depends on the joining machine. In the other order there would be 2*tolerate + 2 voters between the
 // steps, and the voter that is down and the joining machine, if that fails too, would both count against the majority:
 // for tolerate = 1 they are half of the voters.
-
-// maintainVoters changes who votes: one step at a time, and only after an entry of its own term is committed.
-//
-// One that must go and one that comes change places in two steps, the removal first: with 2 tolerate + 1
-// voters, of which one is gone, the 2 tolerate that are left commit on as many disks as before (tolerate +
-// 1), and neither step needs the joiner. In the other order 2 tolerate + 2 would vote between the steps, of
-// which the gone one and the joiner, if that fails too, are half.
 func (n *Node) maintainVoters(now float64) {
 	if n.InFlight() {
 		return
--- a/internal/controlplane/consensus/contact_model_test.go
+++ b/internal/controlplane/consensus/contact_model_test.go
@@ -6,21 +6,21 @@
 	"math/rand/v2"
 )
 
-// contactModel runs machines whose clocks start with their processes and drift apart by up to one in a
-// thousand. Messages are lost, late and, at a frozen machine, buffered; machines are partitioned off in both
-// directions or one, freeze and lose power.
+// contactModel runs machines whose clocks start with their processes and run up to 0.001 fast or slow. Messages are
+// lost, delayed and, at a frozen machine, buffered; machines are partitioned in one or both directions, freeze and lose
+// power.
 type contactModel struct {
 	random    *rand.Rand
-	now       float64 // milliseconds of the true time
+	now       float64 // true time in milliseconds
 	machines  []*contactMachine
 	inTransit []contactDelivery
-	commits   []commitMoment // in the order of time
+	commits   []commitMoment // ordered by time
 
-	// Machines of two sides don't reach each other until splitUntil.
+	// Machines on different sides of a split can't reach each other until splitUntil.
 	splitUntil float64
 	splitSince float64
 
-	skipContactCheck          bool // contacts may be wrong until a clock's rate is found out: they are not checked
+	skipContactCheck          bool // clock rates are changed, so contact may be wrong until the drift is detected
 	samples, samplesInContact int
 	digest                    *digest // see cluster
 }
@@ -29,20 +29,20 @@
 	addr      string
 	node      *Node
 	disk      HardState
-	process   int     // number of the process that runs
-	startedAt float64 // of that process
+	process   int     // number of the current process
+	startedAt float64 // when the current process started
 	clockRate float64
 
 	running         bool
 	poweredOffUntil float64
 	frozenUntil     float64
 
-	// committed is the index of the newest entry that this process has known committed.
+	// committed is the index of the latest entry that the current process has known to be committed.
 	committed uint64
 
-	inMinority                                bool    // the side of a split
-	outboundBlockedUntil, inboundBlockedUntil float64 // none of its messages goes out, or comes in
-	partitionedSince                          float64 // by these; +Inf: it is not
+	inMinority                                bool    // on the smaller side of a split
+	outboundBlockedUntil, inboundBlockedUntil float64 // end of the block of messages in each direction
+	partitionedSince                          float64 // start of these blocks; +Inf if there is none
 }
 
 type contactDelivery struct {
@@ -52,7 +52,7 @@
 	message Message
 }
 
-// commitMoment is when some leader knew an entry committed: what is acknowledged is, then or later.
+// commitMoment is the first time at which a leader knew an entry to be committed. Acknowledgments come then or later.
 type commitMoment struct {
 	at    float64
 	index uint64
@@ -81,7 +81,7 @@
 	c.recordCommitted(m)
 }
 
-// clock is a reading of a machine's own, in milliseconds since its process started.
+// clock returns the reading of a machine's clock, in milliseconds since its process started.
 func (c *contactModel) clock(m *contactMachine) float64 { return (c.now - m.startedAt) * m.clockRate }
 
 func (c *contactModel) isActive(m *contactMachine) bool { return m.running && m.frozenUntil <= c.now }
@@ -96,7 +96,8 @@
 }
 
 func (c *contactModel) partitioned(from, to *contactMachine) bool {
-	return from.outboundBlockedUntil > c.now || to.inboundBlockedUntil > c.now || c.splitUntil > c.now && from.inMinority != to.inMinority
+	return from.outboundBlockedUntil > c.now || to.inboundBlockedUntil > c.now ||
+		c.splitUntil > c.now && from.inMinority != to.inMinority
 }
 
 func (c *contactModel) flush(m *contactMachine) {
@@ -126,7 +127,7 @@
 	}
 }
 
-// noteCommitted notes what a machine knows committed.
+// recordCommitted records what a machine knows to be committed.
 func (c *contactModel) recordCommitted(m *contactMachine) {
 	e, ok := m.node.Committed()
 	if !ok || e.Index <= m.committed {
@@ -138,7 +139,7 @@
 	}
 }
 
-// acknowledged is the newest index that was acknowledged before a moment.
+// acknowledged returns the highest index that was acknowledged before a point in time.
 func (c *contactModel) acknowledged(before float64) uint64 {
 	for i := len(c.commits) - 1; i >= 0; i-- {
 		if c.commits[i].at < before {
@@ -148,7 +149,7 @@
 	return 0
 }
 
-// check holds a machine's contact against what was acknowledged, and against the partitions that it is behind.
+// check verifies a machine's contact against the acknowledged entries and the partitions that affect the machine.
 func (c *contactModel) check(m *contactMachine) error {
 	if c.skipContactCheck {
 		return nil
@@ -169,7 +170,8 @@
 		isolatedSince = min(isolatedSince, c.splitSince)
 	}
 	if maxTransit := 70.0; c.now-isolatedSince > ContactLease+maxTransit+tolerance {
-		return fmt.Errorf("at %.0f %s has contact of %.0f ms ago and is apart since %.0f", c.now, m.addr, age, isolatedSince)
+		return fmt.Errorf("at %.0f %s has contact of %.0f ms ago and is isolated since %.0f", c.now,
+			m.addr, age, isolatedSince)
 	}
 	return nil
 }
@@ -233,8 +235,7 @@
 	m.partitionedSince = min(m.partitionedSince, c.now)
 }
 
-// divide puts up to as many machines as a majority can do without on a side of their own, a leader and its
-// followers maybe among them.
+// startSplit moves a random minority of the machines, possibly with the leader, to a side of their own.
 func (c *contactModel) startSplit(until float64) {
 	if c.splitUntil > c.now {
 		return
--- a/internal/controlplane/consensus/contact_test.go
+++ b/internal/controlplane/consensus/contact_test.go
@@ -2,13 +2,13 @@
 
 import "testing"
 
-// TestContactVouchesForWhatIsKnown holds, over random histories of three and five machines: a machine whose
-// contact is younger than the lease knows all that was acknowledged anywhere before that contact, and a
-// machine that is partitioned off, in one direction or both, has no contact once the lease is over. It fails
-// without the condition of ReadConfirmed in endContactRound, of committed or incarnation in updateContact, and
-// of lastContact or receivedAt in contactFor; without Established there in the history numbered afterElection.
+// TestContactImpliesKnowledgeOfAcknowledgedEntries checks random histories of three and five machines: a machine whose
+// contact is younger than the lease knows everything that was acknowledged anywhere before that contact, and a machine
+// that is partitioned, in one direction or both, has no contact once the lease has expired. It fails without the
+// condition of ReadConfirmed in endContactRound, of committed or incarnation in updateContact, or of lastContact or
+// receivedAt in contactFor; and without the condition of Established there, in the history of seed afterElection.
 func TestContactImpliesKnowledgeOfAcknowledgedEntries(t *testing.T) {
-	const afterElection = 1607 // a new leader passes on a contact of its own that is older than its lead
+	const afterElection = 1607 // a new leader passes on a contact from before its leadership
 	seeds := 300
 	if testing.Short() {
 		seeds = 60
@@ -34,12 +34,12 @@
 	}
 	t.Logf("%.2f of %d samples had contact", float64(inContact)/float64(samples), samples)
 	if inContact < samples/3 {
-		t.Errorf("%d of %d samples had contact: the lease can't be kept up", inContact, samples)
+		t.Errorf("%d of %d samples had contact: contact is not renewed often enough", inContact, samples)
 	}
 }
 
-// TestContactIsKeptUp: where nothing is wrong but a message in twenty is lost, each machine has contact, well
-// under the lease.
+// TestContactStaysWithinLease checks that without faults other than a loss of one message in twenty, the contact of
+// each machine stays younger than the lease.
 func TestContactStaysWithinLease(t *testing.T) {
 	for seed := range 20 {
 		c := newContactModel(uint64(seed), 3+2*(seed%2))
@@ -55,7 +55,7 @@
 			}
 		}
 		if oldest > ContactLease {
-			t.Errorf("seed %d: a contact grew %.0f ms old", seed, oldest)
+			t.Errorf("seed %d: the oldest contact was %.0f ms old", seed, oldest)
 		}
 	}
 }
--- a/internal/controlplane/consensus/digest_test.go
+++ b/internal/controlplane/consensus/digest_test.go
@@ -11,8 +11,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// digest folds all that nodes put out, in order, into one number: messages, hard state, role, what is known
-// committed, the other voters' progress, and contact. A nil digest takes nothing.
+// digest hashes all output of nodes in order: messages, hard state, role, what is known to be committed, peer statuses
+// and contact. A nil digest ignores everything.
 type digest struct{ hash hash.Hash64 }
 
 func newDigest() *digest { return &digest{fnv.New64a()} }
@@ -23,7 +23,7 @@
 	}
 }
 
-// message takes one that a node sends, as it is on the wire.
+// message adds a message as it is encoded on the wire.
 func (d *digest) message(from string, envelope Envelope) {
 	if d == nil {
 		return
@@ -35,7 +35,7 @@
 	d.add("%s>%s %x\n", from, envelope.To, b)
 }
 
-// node takes what a node shows to its caller.
+// node adds what a node exposes to its caller.
 func (d *digest) node(n *Node, now float64) {
 	if d == nil {
 		return
@@ -54,7 +54,7 @@
 	}
 }
 
-// history is a kind of seeded run whose digest is recorded.
+// history is a kind of seeded run with a recorded digest.
 type history struct {
 	name  string
 	seeds int
@@ -62,14 +62,15 @@
 	want  string
 }
 
-// TestDigests holds what nodes put out over seeded histories against what they put out when this was recorded.
+// TestDigests compares the output of nodes over seeded histories with recorded digests, to detect unintended changes of
+// behaviour.
 func TestDigests(t *testing.T) {
 	for _, h := range []history{
 		{"losses of power, disks and machines, partitions", 12, runLosses, "71cdbc8bcb46772b"},
-		{"replacements behind connections that are made anew", 8, runReplacements, "fde9c6a578f2788d"},
-		{"processes that leave, and leadership transfers", 12, runShutdowns, "14c0a41f6c041cc9"},
-		{"contact, on clocks that differ", 6, runContact, "3fcf4d09a1b1792e"},
-		{"any message in any state", 400, runRandomMessages, "121551336998e895"},
+		{"replacements while connections are re-established", 8, runReplacements, "fde9c6a578f2788d"},
+		{"shutdowns and leadership transfers", 12, runShutdowns, "14c0a41f6c041cc9"},
+		{"contact with clocks of different rates", 6, runContact, "3fcf4d09a1b1792e"},
+		{"random messages in random states", 400, runRandomMessages, "121551336998e895"},
 	} {
 		t.Run(h.name, func(t *testing.T) {
 			d := newDigest()
@@ -77,14 +78,14 @@
 				h.run(d, uint64(seed))
 			}
 			if got := fmt.Sprintf("%016x", d.hash.Sum64()); got != h.want {
-				t.Errorf("digest %s, recorded was %s", got, h.want)
+				t.Errorf("digest %s, want %s", got, h.want)
 			}
 		})
 	}
 }
 
-// playLosses has machines lose power and disks, freeze, be cut off and replaced; with changes, and reads that
-// are confirmed.
+// runLosses injects losses of power and disks, freezes, partitions and replacements, during changes and confirmed
+// reads.
 func runLosses(d *digest, seed uint64) {
 	c := newCluster(seed, 3+2*int(seed%2))
 	c.digest = d
@@ -97,7 +98,7 @@
 			m := c.machines[c.addrs()[c.random.IntN(len(c.machines))]]
 			round := m.node.ReadIndex(c.now)
 			if m.node.Role() != Leader {
-				m.node.Messages() // a caller asks leaders only
+				m.node.Messages() // ReadIndex may only be called on a leader: drop the messages
 			}
 			c.flush(m, 0)
 			c.run(100+500*c.random.Float64(), 0.002)
@@ -110,7 +111,7 @@
 	d.add("%v %v", c.acknowledged, c.violation)
 }
 
-// playReplacements replaces machines in each way, and loses others right behind.
+// runReplacements replaces machines in each way, and stops others shortly after.
 func runReplacements(d *digest, seed uint64) {
 	tolerate := 1 + int(seed%2)
 	c := newCluster(seed, 3)
@@ -133,8 +134,8 @@
 	d.add("%v %v", c.acknowledged, c.violation)
 }
 
-// playLeaving has processes end in order where their voters may be removed and where not, connections to
-// leaders break, and leaders asked to transfer their leadership.
+// runShutdowns shuts processes down gracefully, with and without enough other voters for a removal, breaks connections
+// to leaders, and requests leadership transfers.
 func runShutdowns(d *digest, seed uint64) {
 	c := newCluster(seed, 3+2*int(seed/2%2))
 	c.digest = d
@@ -164,7 +165,7 @@
 	d.add("%v %v", c.acknowledged, c.violation)
 }
 
-// playContact runs the model of contact through its partitions, freezes and restarts.
+// runContact runs a contactModel through partitions, freezes and restarts.
 func runContact(d *digest, seed uint64) {
 	model := newContactModel(seed, 3+2*int(seed%2))
 	model.digest = d
@@ -179,8 +180,8 @@
 	d.add("%v %v", model.samplesInContact, model.samples)
 }
 
-// playAnyMessage calls one node in any order with messages of every kind, from voters, joiners and strangers,
-// of terms, entries and rounds around its own.
+// runRandomMessages calls one node in random order with messages of every kind, from voters, joining machines and
+// unknown senders, with terms, entries and rounds close to its own.
 func runRandomMessages(d *digest, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 41))
 	addrs := []string{"m0", "m1", "m2", "m3", "m4"}[:[]int{1, 2, 3, 5}[seed%4]]
@@ -230,7 +231,7 @@
 	}
 }
 
-// anyMessage makes a message that might come, with all fields set that its kind bears.
+// randomMessage returns a random message with plausible values in all fields that its kind carries.
 func randomMessage(random *rand.Rand, n *Node) *Message {
 	h := &n.HardState
 	nearby := func(v uint64) uint64 { return uint64(max(0, int(v)+[]int{0, 0, 0, 0, 1, -1, 2}[random.IntN(7)])) }
@@ -245,7 +246,8 @@
 		senders = append(senders, leader, leader, leader)
 	}
 	msg := &Message{Kind: Kind(1 + random.IntN(10)), From: senders[random.IntN(len(senders))], Term: nearby(h.Term),
-		LastTerm: nearby(h.Last.Term), LastIndex: nearby(h.Last.Index), Granted: random.IntN(3) == 0, Commit: nearby(h.Last.Index), Round: uint64(random.IntN(40)),
+		LastTerm: nearby(h.Last.Term), LastIndex: nearby(h.Last.Index), Granted: random.IntN(3) == 0,
+		Commit: nearby(h.Last.Index), Round: uint64(random.IntN(40)),
 		Clock: 1000 * random.Float64(), Contact: 10_000 + 20_000*random.Float64(), Incarnation: uint32(random.IntN(2))}
 	if random.IntN(2) == 0 {
 		msg.Incarnation = n.incarnation
--- a/internal/controlplane/consensus/election.go
+++ b/internal/controlplane/consensus/election.go
@@ -12,8 +12,8 @@
 	n.resetElectionDeadline(now)
 }
 
-// becomePreCandidate starts a round of pre-votes. Granting a pre-vote commits a voter to nothing, so a failed round is
-// soon repeated.
+// becomePreCandidate starts a round of pre-votes. A pre-vote doesn't restrict the voter's later votes, so a failed
+// round is soon repeated.
 func (n *Node) becomePreCandidate(now float64) {
 	n.electionDeadline = now + n.options.ElectionTimeout*(0.3+0.5*n.options.Random())
 	n.role, n.leader, n.votes = preCandidate, Voter{}, map[string]bool{n.HardState.ID: true}
--- a/internal/controlplane/consensus/election_test.go
+++ b/internal/controlplane/consensus/election_test.go
@@ -7,9 +7,9 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// TestNothingAcknowledgedIsLost plays faults of every kind against three and five machines, as many at a time
-// as may be tolerated: no two machines take different values for committed, every change that was acknowledged
-// stays, and the core recovers from each.
+// TestAcknowledgedChangesSurviveFaults injects faults of every kind into clusters of three and five machines, as many
+// at a time as are tolerated: no two machines know different values to be committed, every acknowledged change is
+// kept, and the cluster recovers from each fault.
 func TestAcknowledgedChangesSurviveFaults(t *testing.T) {
 	seeds := 400
 	if testing.Short() {
@@ -27,7 +27,7 @@
 			clear(c.partitioned)
 			c.restartAll()
 			if !c.awaitRecovery() {
-				t.Fatalf("seed %d, %v: the core doesn't recover; %s", seed, faults, c.violation)
+				t.Fatalf("seed %d, %v: the cluster doesn't recover; %s", seed, faults, c.violation)
 			}
 		}
 		c.requireAcknowledged(t, fmt.Sprintf("seed %d, %v", seed, faults))
@@ -38,13 +38,13 @@
 }
 
 func TestVotes(t *testing.T) {
-	Convey("Three machines that found a core", t, func() {
+	Convey("Three founders of a cluster", t, func() {
 		c := newCluster(1, 3)
 		c.run(3000, 0)
-		Convey("have one leader, which alone is established", func() {
+		Convey("elect exactly one established leader", func() {
 			So(c.awaitRecovery(), ShouldBeTrue)
 		})
-		Convey("and one of them with an empty disk gives no vote, though asked", func() {
+		Convey("grant no vote with an empty disk", func() {
 			m := c.machines["m0"]
 			m.disk = Empty("1@m0")
 			c.start(m)
@@ -52,7 +52,7 @@
 			messages := m.node.Messages()
 			So(messages[len(messages)-1].Message.Granted, ShouldBeFalse)
 		})
-		Convey("and it does not unseat a leader that is followed", func() {
+		Convey("don't disrupt a leader that they follow", func() {
 			for _, addr := range c.addrs() {
 				if m := c.machines[addr]; m.node.Role() == Follower {
 					term := m.node.HardState.Term
@@ -62,7 +62,7 @@
 				}
 			}
 		})
-		Convey("and a leader that is partitioned off steps down, confirming nothing meanwhile", func() {
+		Convey("have a partitioned leader step down without confirming a read", func() {
 			for _, addr := range c.addrs() {
 				m := c.machines[addr]
 				if m.node.Role() != Leader {
--- a/internal/controlplane/consensus/exhaustive_test.go
+++ b/internal/controlplane/consensus/exhaustive_test.go
@@ -11,8 +11,8 @@
 	"testing"
 )
 
-// smallCluster is three machines whose every order of events is tried up to a depth: who acts, which message comes,
-// whose power goes between its sync and its messages.
+// smallCluster is a cluster of three machines. The tests explore all orders of events up to some depth: which machine
+// acts, which message is delivered, and which machine loses power between its sync and its messages.
 type smallCluster struct {
 	nodes     [3]*Node
 	disks     [3]HardState
@@ -22,7 +22,7 @@
 	proposals int
 }
 
-// lowest draws the lowest number: times are no matter here.
+// zeroRandom always returns the lowest value: timeouts don't matter in these tests.
 func zeroRandom() float64 { return 0 }
 
 func newSmallCluster(minVoters int) *smallCluster {
@@ -60,7 +60,7 @@
 
 func (c *smallCluster) index(addr string) int { return int(addr[1] - '0') }
 
-// flush syncs and sends; crash: power is lost behind the sync and before the messages.
+// flush syncs and sends; if crash is set, power is lost after the sync and before messages are sent.
 func (c *smallCluster) flush(i int, crash bool) {
 	n := c.nodes[i]
 	for range 4 {
@@ -93,7 +93,7 @@
 	}
 }
 
-// check holds that one leads a term, and that no two nodes take different values for committed.
+// check verifies that each term has at most one leader, and that no two nodes know different values to be committed.
 func (c *smallCluster) check(t *testing.T, path string) {
 	leaders := map[uint64]int{}
 	for i, n := range c.nodes {
@@ -112,7 +112,7 @@
 	}
 }
 
-// key tells states apart in what decides.
+// key identifies a state by everything that determines its successors.
 func (c *smallCluster) key() string {
 	var b strings.Builder
 	for _, n := range c.nodes {
@@ -131,18 +131,18 @@
 
 func TestAllEventOrders(t *testing.T) { exploreAllOrders(t, 3, false) }
 
-// TestEveryOrderOfLeaving has one machine shut down as well, at any time, where two voters are enough: a leader
-// transfers its leadership, or is removed by itself; a follower is removed by who leads then.
+// TestAllEventOrdersWithShutdown also shuts one machine down at any time, where two voters are enough: a leader
+// transfers its leadership or removes itself, and a follower is removed by the leader.
 func TestAllEventOrdersWithShutdown(t *testing.T) { exploreAllOrders(t, 2, true) }
 
 func exploreAllOrders(t *testing.T, minVoters int, withShutdown bool) {
 	c := newSmallCluster(minVoters)
-	if withShutdown { // from where one leads: all of the depth is for what comes then
+	if withShutdown { // start with a leader, so that the whole depth is spent on what follows
 		c.nodes[0].preCampaign(c.now)
 		c.flush(0, false)
 		c.deliverAll()
 		if !c.nodes[0].Established() {
-			t.Fatal("nobody leads")
+			t.Fatal("there is no leader")
 		}
 	}
 	depth := 8
@@ -160,11 +160,11 @@
 	t.Log(w.states, "states")
 }
 
-// walker walks all states that follow from one.
+// explorer explores all states that follow from one.
 type explorer struct {
 	t            *testing.T
 	withShutdown bool
-	seen         map[string]int // the depth that was left where a state was seen, plus one
+	seen         map[string]int // depth left at each visited state, plus one
 
 	states, removed, transferred int
 }
@@ -181,7 +181,7 @@
 	if depthLeft == 0 {
 		return
 	}
-	for i := range 2 { // the third only answers: who is third is no matter
+	for i := range 2 { // the third machine only answers; by symmetry it doesn't matter which one that is
 		w.act(c, i, depthLeft, path)
 	}
 	for k := range c.inTransit {
@@ -195,7 +195,7 @@
 	}
 }
 
-// count counts what must be met on the way.
+// countEvents counts events that the exploration must include.
 func (w *explorer) countEvents(c *smallCluster) {
 	for i, n := range c.nodes {
 		if e, ok := n.Committed(); ok && len(e.Voters) == 2 {
@@ -207,7 +207,7 @@
 	}
 }
 
-// act tries each of a machine's own actions: a campaign, a shutdown, a tick, a proposal.
+// act tries each action of a machine: an election, a shutdown, a tick, a proposal.
 func (w *explorer) act(c *smallCluster, i, depthLeft int, path string) {
 	tryAction := func(mark string, action func(*smallCluster, *Node)) {
 		f := c.fork()
@@ -236,8 +236,8 @@
 	}
 }
 
-// deliver tries the kth message in transit; crash: its receiver loses power behind the sync that follows, if
-// one does.
+// deliver tries the kth message in transit. If crash is set, its receiver loses power after the sync that the message
+// causes, if any.
 func (w *explorer) deliver(c *smallCluster, k, depthLeft int, path string, crash bool) {
 	f := c.fork()
 	e := f.inTransit[k]
--- a/internal/controlplane/consensus/former_test.go
+++ b/internal/controlplane/consensus/former_test.go
@@ -21,12 +21,12 @@
 		voters []Voter
 		want   []string
 	}{
-		{"one is removed", 1000, votersAt("a", "b"), []string{"c"}},
-		{"a change of the value", 1050, votersAt("a", "b"), []string{"c"}},
-		{"another one is removed", 1090, votersAt("a"), []string{"c", "b"}},
-		{"the first one's leases are over", 1101, votersAt("a"), []string{"b"}},
+		{"a voter is removed", 1000, votersAt("a", "b"), []string{"c"}},
+		{"the value changes", 1050, votersAt("a", "b"), []string{"c"}},
+		{"another voter is removed", 1090, votersAt("a"), []string{"c", "b"}},
+		{"the leases of the first one expire", 1101, votersAt("a"), []string{"b"}},
 		{"the second one votes again", 1102, votersAt("a", "b"), nil},
-		{"it is removed again", 1200, votersAt("a"), []string{"b"}},
+		{"the second one is removed again", 1200, votersAt("a"), []string{"b"}},
 	} {
 		got := n.formerVoters(step.voters, step.now)
 		if !slices.Equal(got, step.want) {
@@ -34,11 +34,11 @@
 		}
 		n.HardState.Last.Voters, n.HardState.Last.Former = step.voters, got
 	}
-	n.formerSince = map[string]float64{} // a new lead
+	n.formerSince = map[string]float64{} // as after an election
 	if got := n.formerVoters(votersAt("a"), 5000); !slices.Equal(got, []string{"b"}) {
-		t.Errorf("a new lead remembers %v", got)
+		t.Errorf("a new leader lists %v", got)
 	}
 	if got := n.LeaseHolders(); !slices.Equal(got, []string{"a", "b"}) {
-		t.Errorf("holders %v", got)
+		t.Errorf("lease holders %v", got)
 	}
 }
--- a/internal/controlplane/consensus/golden_test.go
+++ b/internal/controlplane/consensus/golden_test.go
@@ -8,14 +8,14 @@
 	"weirwind/internal/standin/golden"
 )
 
-var update = flag.Bool("update", false, "write testdata/transcripts anew")
+var update = flag.Bool("update", false, "rewrite testdata/transcripts")
 
 var (
 	goldenVoters = []Voter{{"0@a:1", "a:1"}, {"7f3a@b:2", "b:2"}}
 	goldenEntry  = Entry{Term: 3, Index: 7, Voters: goldenVoters, Value: []byte("value")}
 )
 
-// TestMessageForm holds the bytes of each kind of message: they are what machines of another build send.
+// TestMessageEncoding compares the encoding of each kind of message with a recorded one: other builds send the same.
 func TestMessageEncoding(t *testing.T) {
 	from := goldenVoters[1]
 	golden.CBOR(t, "testdata/messages.golden", []golden.Case[Message]{
@@ -40,14 +40,16 @@
 	})
 }
 
-// TestStoredForm holds the bytes of entries, which are stored, exported and sent, and of states.
+// TestStoredEncoding compares the encodings of entries, which are stored, exported and sent, and of hard states with
+// recorded ones.
 func TestStoredEncoding(t *testing.T) {
 	golden.CBOR(t, "testdata/entries.golden", []golden.Case[Entry]{
 		golden.Of("entry", goldenEntry),
 		golden.Of("entry without value", Entry{Index: 1, Voters: goldenVoters}),
 	})
 	golden.CBOR(t, "testdata/hardstates.golden", []golden.Case[HardState]{
-		golden.Of("after a vote", HardState{ID: "0@a:1", Term: 4, Vote: "7f3a@b:2", Last: goldenEntry, Commit: 6, CommitTerm: 3}),
+		golden.Of("after a vote", HardState{ID: "0@a:1", Term: 4, Vote: "7f3a@b:2", Last: goldenEntry, Commit: 6,
+			CommitTerm: 3}),
 		golden.Of("bootstrap", Bootstrap("b:2", []string{"c:3", "a:1", "b:2"})),
 		golden.Of("restored", Restore("b:2", []string{"c:3", "b:2"}, goldenEntry, 1<<20+4)),
 		golden.Of("restored elsewhere", Restore("d:4", []string{"c:3", "b:2"}, goldenEntry, 1<<20+4)),
@@ -55,7 +57,7 @@
 	})
 }
 
-// TestStatusForm holds what the control plane's status call shows of voters.
+// TestStatusJSON checks the JSON form of voters and peers in the control plane's status response.
 func TestStatusJSON(t *testing.T) {
 	n := New(Options{Addr: "a:1", MinVoters: 3, HeartbeatInterval: 200, ElectionTimeout: 900, RemoveAfter: 1575,
 		Random: zeroRandom}, Bootstrap("a:1", []string{"a:1", "b:2", "c:3"}), 1000)
--- a/internal/controlplane/consensus/message.go
+++ b/internal/controlplane/consensus/message.go
@@ -20,8 +20,8 @@
 	AppendEntriesResponse
 	// Join asks for the sender to become a voter. Granted is set if another node forwarded it to the leader.
 	Join
-	// RequestPreVote asks whether the receiver would grant a vote in Term: LastTerm, LastIndex. The answer commits the
-	// receiver to nothing.
+	// RequestPreVote asks whether the receiver would grant a vote in Term: LastTerm, LastIndex. The answer doesn't
+	// restrict the receiver's later votes.
 	RequestPreVote
 	// PreVoteResponse answers RequestPreVote: Term as in the request, Granted.
 	PreVoteResponse
--- a/internal/controlplane/consensus/node.go
+++ b/internal/controlplane/consensus/node.go
@@ -27,7 +27,6 @@
 
 // Node is one machine's instance of the consensus algorithm. It isn't safe for concurrent use. Times are in
 // milliseconds on the caller's monotonic clock.
-// the caller's steady clock.
 type Node struct {
 	options Options
 
@@ -126,7 +125,7 @@
 	}
 	n.advance(now)
 	switch {
-	case n.role != Leader: // no quorum, or voted out
+	case n.role != Leader: // it lost its quorum, or was removed from the voters
 	case n.leaving():
 		n.removeSelfOrTransfer(now)
 	case n.ownClockDrifts() && n.canTransfer(now):
--- a/internal/controlplane/consensus/outage_test.go
+++ b/internal/controlplane/consensus/outage_test.go
@@ -6,18 +6,18 @@
 	"testing"
 )
 
-// measuredFaults are brought about at a machine; in its place in the cluster, a follower or the leader.
+// outageFaults are faults that TestOutageDurations injects at a follower or the leader.
 var outageFaults = []struct {
 	name     string
 	follower bool
-	// bring brings the fault about.
+	// inject injects the fault at a machine.
 	inject func(c *cluster, m *machine)
-	// keepsProposal: a proposal that was made before the fault may be the one that is acknowledged behind it.
+	// keepsProposal is set if a proposal from before the fault may be the one that is acknowledged after it.
 	keepsProposal bool
 }{
 	{"leader killed", false, (*cluster).kill, false},
 	{"leader frozen", false, func(c *cluster, m *machine) { m.frozenUntil = c.now + 20000 }, false},
-	{"leader cut off", false, func(c *cluster, m *machine) { c.isolate(m.addr, c.addrs()) }, false},
+	{"leader isolated", false, func(c *cluster, m *machine) { c.isolate(m.addr, c.addrs()) }, false},
 	{"follower killed", true, (*cluster).kill, true},
 	{"power lost everywhere", false, func(c *cluster, _ *machine) {
 		for _, addr := range c.addrs() {
@@ -28,13 +28,13 @@
 		m.disk = Empty("9@" + m.addr)
 		c.start(m)
 	}, false},
-	{"leader told to end", false, func(c *cluster, m *machine) {
+	{"leader shut down", false, func(c *cluster, m *machine) {
 		m.node.Leave(c.now)
 		c.flush(m, 0)
 	}, false},
 }
 
-// kill ends a machine's process: the others see its connections break.
+// kill ends a machine's process: the others notice that their connections to it broke.
 func (c *cluster) kill(m *machine) {
 	m.running = false
 	for _, addr := range c.addrs() {
@@ -44,8 +44,8 @@
 	}
 }
 
-// TestMeasure prints how long the core is without a leader, and a change without its answer, after each kind
-// of fault; -v shows it.
+// TestOutageDurations measures, for each kind of fault, the time until the next change is acknowledged. It logs the
+// figures, and fails if an outage lasts longer than 15 s.
 func TestOutageDurations(t *testing.T) {
 	for _, fault := range outageFaults {
 		var outages []float64 // milliseconds
--- a/internal/controlplane/consensus/progress.go
+++ b/internal/controlplane/consensus/progress.go
@@ -32,9 +32,6 @@
 
 // recordResponse records a peer's answer. An answer to an earlier round than ackedRound was delivered out of order and
 // doesn't update match.
-
-// recordResponse takes an answer. An answer to an earlier round than ackedRound was overtaken and says
-// nothing of what is synced now.
 func (p *progress) recordResponse(msg *Message, now float64) {
 	p.lastResponse = now
 	p.clock = peerClock{reading: msg.Clock, receivedAt: now, incarnation: msg.Incarnation}
--- a/internal/controlplane/consensus/quorum.go
+++ b/internal/controlplane/consensus/quorum.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// majority returns the smallest size at which any two subsets of the voters overlap. For no voters it is 1, so that an
-// empty set decides nothing.
+// majority returns the smallest number of voters such that any two sets of that many voters overlap. For no voters it
+// is 1, so that an empty set decides nothing.
 func majority(voters []Voter) int { return len(voters)/2 + 1 }
 
 // hasMajority reports whether a majority of voters satisfies a condition.
--- a/internal/controlplane/consensus/second_loss_test.go
+++ b/internal/controlplane/consensus/second_loss_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// TestSecondLossRightAfterReplacement replaces as many machines as may be lost, one way or another, and loses
-// as many others at the earliest moment that the rules give: catchupS after the successors' start. A change
-// must be acknowledged while they are away.
+// TestSecondLossRightAfterReplacement replaces as many machines as may be lost at a time, in various ways, and stops
+// as many others after the catch-up time that the cluster has between two losses. A change must be acknowledged while
+// those are down.
 func TestSecondLossRightAfterReplacement(t *testing.T) {
 	const ackTimeoutMs = 5000
 	seeds := seedCount(150)
@@ -60,11 +60,11 @@
 		}
 		c.requireNothingLost(t, fmt.Sprint("seed ", seed, events))
 	}
-	t.Logf("%d histories; the slowest first change took %.0f ms", seeds, slowest)
+	t.Logf("%d histories; the slowest first acknowledgment took %.0f ms", seeds, slowest)
 }
 
-// TestSuccessorLostToo replaces a machine and loses its successor within its first seconds: the others go on
-// without either.
+// TestLossOfReplacement replaces a machine and stops the replacement within its first seconds: the cluster must go on
+// without both.
 func TestLossOfReplacement(t *testing.T) {
 	const ackTimeoutMs = 5000
 	for seed := range seedCount(400) {
@@ -83,7 +83,7 @@
 			c.run(10, 0)
 		}
 		if c.violation != "" || !c.acknowledgedSince(asked) {
-			t.Fatalf("%s, its successor started at %.0f and lost at %.0f: no change was acknowledged for %d ms; %s\n%s",
+			t.Fatalf("%s, replacement started at %.0f and stopped at %.0f: no change was acknowledged for %d ms; %s\n%s",
 				history, startedAt, began, ackTimeoutMs, c.violation, c.describe())
 		}
 		c.restartAll()
--- a/internal/controlplane/consensus/store/golden_test.go
+++ b/internal/controlplane/consensus/store/golden_test.go
@@ -15,9 +15,9 @@
 	"weirwind/internal/controlplane/consensus"
 )
 
-var update = flag.Bool("update", false, "write testdata/folder anew")
+var update = flag.Bool("update", false, "rewrite testdata/folder")
 
-// recorded is what testdata/folder holds.
+// recordedState returns the state stored in testdata/folder.
 func recordedState() consensus.HardState {
 	voters := []consensus.Voter{{ID: "0@a:1", Addr: "a:1"}, {ID: "7f3a@b:2", Addr: "b:2"}}
 	return consensus.HardState{ID: "0@a:1", Term: 5, Vote: "7f3a@b:2", Commit: 7, CommitTerm: 3,
@@ -29,8 +29,8 @@
 	recordedEntry = "a4010302070382a201653040613a310263613a31a201683766336140623a320263623a32044576616c7565"
 )
 
-// TestStoredForm reads a folder that an earlier build wrote, and holds the records that are written today
-// against its.
+// TestStoredFormat reads a folder that an earlier build wrote, and compares the records written by the current build
+// with that build's.
 func TestStoredFormat(t *testing.T) {
 	const folder = "testdata/folder"
 	if *update {
@@ -44,7 +44,8 @@
 		t.Fatal(err)
 	}
 	writeRecorded(t, currentDir)
-	for name, dir := range map[string]string{"written by an earlier build": earlierDir, "written by this one": currentDir} {
+	for name, dir := range map[string]string{"written by an earlier build": earlierDir,
+		"written by the current build": currentDir} {
 		t.Run(name, func(t *testing.T) {
 			state, found, err := Inspect(dir)
 			if err != nil || !found || !reflect.DeepEqual(state, recordedState()) {
@@ -60,7 +61,7 @@
 					t.Fatal(key, err)
 				}
 				if got := fmt.Sprintf("%x", data); got != want {
-					t.Errorf("%s is %s, recorded was %s", key, got, want)
+					t.Errorf("%s is %s, want %s", key, got, want)
 				}
 				_ = closer.Close()
 			}
@@ -71,7 +72,7 @@
 	}
 }
 
-// write keeps an entry, a later one, and a term behind it.
+// writeRecorded saves an entry, a later one in a second save, and a newer term without a new entry in a third.
 func writeRecorded(t *testing.T, folder string) {
 	t.Helper()
 	s, _, found, err := Open(folder)
@@ -91,18 +92,18 @@
 	}
 }
 
-// TestErrorTexts holds what operators read where a folder can't be read.
+// TestErrorTexts checks the messages that operators get if a folder can't be read.
 func TestErrorTexts(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		record string // that is wrong
-		value  []byte // nil: it is deleted
+		record string // the damaged record
+		value  []byte // its new value; nil: it is deleted
 		want   string
 	}{
 		{"no entry", "entry", nil, "read entry: the record is missing or is not entry [3 7]"},
 		{"another entry", "entry", []byte{0xa1, 0x01, 0x02}, "read entry: the record is missing or is not entry [3 7]"},
-		{"an entry that is cut", "entry", []byte{0xa4, 0x01}, "read entry: unexpected EOF"},
-		{"no meta", "meta", []byte("!"),
+		{"truncated entry", "entry", []byte{0xa4, 0x01}, "read entry: unexpected EOF"},
+		{"invalid meta", "meta", []byte("!"),
 			"read meta: cbor: cannot unmarshal negative integer into Go value of type store.meta"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -126,11 +127,11 @@
 			} {
 				err := open()
 				if err == nil || err.Error() != c.want {
-					t.Errorf("%s: %v, recorded was %s", function, err, c.want)
+					t.Errorf("%s: %v, want %s", function, err, c.want)
 				}
 				var corrupt *CorruptError
 				if !errors.As(err, &corrupt) || corrupt.Record != c.record {
-					t.Errorf("%s: %v is no CorruptError of %s", function, err, c.record)
+					t.Errorf("%s: %v is not a CorruptError for %s", function, err, c.record)
 				}
 			}
 		})
--- a/internal/controlplane/consensus/store/store_test.go
+++ b/internal/controlplane/consensus/store/store_test.go
@@ -19,7 +19,7 @@
 	"weirwind/internal/standin/disk"
 )
 
-// folderSize is that of all files in a folder, in bytes.
+// folderSize returns the total size of the files in a folder in bytes.
 func folderSize(t *testing.T, folder string) (size int64) {
 	t.Helper()
 	err := filepath.Walk(folder, func(_ string, i fs.FileInfo, err error) error {
@@ -34,7 +34,7 @@
 	return size
 }
 
-// filesIn are those of a folder whose names match.
+// filesMatching returns the files of a folder whose names match a pattern. There must be at least one.
 func filesMatching(folder, pattern string) []string {
 	names, err := filepath.Glob(filepath.Join(folder, pattern))
 	So(err, ShouldBeNil)
@@ -42,7 +42,7 @@
 	return names
 }
 
-// appendTo writes behind the end of a file.
+// appendTo appends text to a file.
 func appendTo(name, text string) {
 	f, err := os.OpenFile(name, os.O_APPEND|os.O_WRONLY, 0)
 	So(err, ShouldBeNil)
@@ -51,7 +51,7 @@
 	So(f.Close(), ShouldBeNil)
 }
 
-// damage flips bits of a file's beginning.
+// corruptHead flips bits at the beginning of a file.
 func corruptHead(name string) {
 	b, err := os.ReadFile(name)
 	So(err, ShouldBeNil)
@@ -70,7 +70,7 @@
 		state := consensus.HardState{ID: "me", Term: 4, Vote: "you", Commit: 7, CommitTerm: 3,
 			Last: consensus.Entry{Term: 3, Index: 7, Voters: []consensus.Voter{{ID: "me", Addr: "a"}}, Value: []byte("word")}}
 		So(s.Save(&state), ShouldBeNil)
-		Convey("gives back what was saved", func() {
+		Convey("returns what was saved", func() {
 			state.Term, state.Vote = 5, ""
 			So(s.Save(&state), ShouldBeNil)
 			So(s.Close(), ShouldBeNil)
@@ -79,7 +79,7 @@
 			So(found, ShouldBeTrue)
 			So(loaded, ShouldResemble, state)
 		})
-		Convey("whose log lost its end holds all that was saved before, complete", func() {
+		Convey("with a torn record at the end of its log returns the complete last save", func() {
 			So(s.Close(), ShouldBeNil)
 			logs := filesMatching(dir, "*.log")
 			appendTo(logs[len(logs)-1], "half a record that was torn")
@@ -88,7 +88,7 @@
 			So(found, ShouldBeTrue)
 			So(loaded.Last.Index, ShouldEqual, 7)
 		})
-		Convey("in which a table is damaged is an error, never empty", func() {
+		Convey("with a damaged table is an error, or still found, but never empty", func() {
 			So(s.db.Flush(), ShouldBeNil)
 			So(s.Close(), ShouldBeNil)
 			for _, name := range filesMatching(dir, "*.sst") {
@@ -97,7 +97,7 @@
 			_, _, found, err := Open(dir)
 			So(err != nil || found, ShouldBeTrue)
 		})
-		Convey("grows by no more than a few changes' size over thousands", func() {
+		Convey("stays small over hundreds of large changes", func() {
 			state.Last.Value = []byte(strings.Repeat("route ", 20000))
 			for i := range 300 {
 				state.Last.Index = uint64(8 + i)
@@ -109,8 +109,8 @@
 	})
 }
 
-// TestLargestState saves the largest configuration that is accepted, many times over: how long a change and a
-// start take, and what is on the disk.
+// TestLargestState saves the largest accepted configuration many times. It logs how long a save and an open take, and
+// checks the size on disk.
 func TestLargestState(t *testing.T) {
 	dir := t.TempDir()
 	s, _, _, err := Open(dir)
@@ -137,8 +137,8 @@
 	if err != nil || !found || loaded.Last.Index != changes || len(loaded.Last.Value) != 4<<20 {
 		t.Fatal(err, found, loaded.Last.Index)
 	}
-	t.Logf("4 MB: %v a change, %d MB on disk behind %d, open again in %v", saveTime.Round(time.Millisecond), size>>20, changes,
-		time.Since(startedAt).Round(time.Millisecond))
+	t.Logf("4 MB: %v per save, %d MB on disk after %d saves, reopened in %v", saveTime.Round(time.Millisecond),
+		size>>20, changes, time.Since(startedAt).Round(time.Millisecond))
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
@@ -147,8 +147,8 @@
 	}
 }
 
-// TestManyChanges saves some hundreds of changes, each with a longer list behind it: the folder stays small,
-// and opens with the newest after each hundred.
+// TestFolderStaysSmallOverManySaves saves some hundreds of changes, each longer than the one before. The folder must
+// stay small, and must open with the latest state after each hundred saves.
 func TestFolderStaysSmallOverManySaves(t *testing.T) {
 	dir := t.TempDir()
 	state := consensus.HardState{ID: "me", Term: 1, Last: consensus.Entry{Term: 1}}
@@ -169,15 +169,15 @@
 		}
 	}
 	size := folderSize(t, dir)
-	t.Logf("%d KB on disk behind %d changes, %d KB the last", size>>10, state.Last.Index, len(state.Last.Value)>>10)
+	t.Logf("%d KB on disk after %d saves, the last of %d KB", size>>10, state.Last.Index, len(state.Last.Value)>>10)
 	if size > 32<<20 {
 		t.Errorf("%d bytes on disk", size)
 	}
 }
 
-// TestAFullDiskIsWaitedFor has a disk full for a while, as a folder is made, as changes are written, and as it is opened
-// again: each write that meets it is held, and nothing is lost or written twice. It fails without fullFS's Create, and
-// where Write begins anew behind a part that was taken.
+// TestWritesAreRetriedWhileDiskIsFull fills the disk temporarily while a folder is created, written to and reopened:
+// each refused write is retried, and nothing is lost or written twice. It fails without retryFS.Create, or if Write
+// repeats bytes that a partial write already stored.
 func TestWritesAreRetriedWhileDiskIsFull(t *testing.T) {
 	dir, control := t.TempDir(), filepath.Join(t.TempDir(), "disk")
 	FS = disk.FaultyFS(control)
@@ -190,9 +190,9 @@
 	var refusals atomic.Int64
 	onDiskFull := func(err error) bool {
 		if !errors.Is(err, syscall.ENOSPC) {
-			t.Errorf("waits for %v", err)
+			t.Errorf("retry after %v", err)
 		}
-		if refusals.Add(1)%3 == 0 { // room comes as somebody clears the disk up
+		if refusals.Add(1)%3 == 0 { // every third refusal frees the disk
 			_ = os.Remove(control)
 		}
 		return true
@@ -204,7 +204,7 @@
 		if err != nil || found && !reflect.DeepEqual(loaded, state) {
 			t.Fatal(err, found, loaded.Last.Index, state.Last.Index)
 		}
-		for range 300 { // some logs and tables
+		for range 300 { // enough for a number of logs and tables
 			state.Last.Index++
 			if state.Last.Index%7 == 0 {
 				fill()
@@ -226,7 +226,7 @@
 	}
 }
 
-// A process that is stopped waits no longer: its write fails, and its store is broken as by any fault.
+// A process that stops declines further retries: its write must fail, and its store is broken as after any other fault.
 func TestWriteFailsWhenRetryIsDeclined(t *testing.T) {
 	dir, control := t.TempDir(), filepath.Join(t.TempDir(), "disk")
 	FS = disk.FaultyFS(control)
@@ -244,11 +244,11 @@
 	}
 }
 
-// TestAFullDiskHangsNobody has a disk full for a while: the change that meets it is refused, the next one too
-// and at once, and what was saved before is found by another process. It fails without broken in Save or in
-// Close, as pebble then waits for ever (incident on a full disk).
+// TestSaveAfterFailedWriteReturnsError lets the disk refuse writes for a while: the save that meets the fault fails,
+// each later save fails at once, and another process finds what was saved before. Without the check of broken in Save
+// or Close, pebble would block forever, as it did in an incident with a full disk.
 func TestSaveAfterFailedWriteReturnsError(t *testing.T) {
-	Convey("A folder on a disk that is full", t, func() {
+	Convey("A folder on a disk that refuses writes", t, func() {
 		dir, control := t.TempDir(), filepath.Join(t.TempDir(), "disk")
 		FS = disk.FaultyFS(control)
 		defer func() { FS = vfs.Default }()
@@ -258,7 +258,7 @@
 		So(s.Save(&state), ShouldBeNil)
 		So(os.WriteFile(control, []byte(disk.Refuse), 0o600), ShouldBeNil)
 		refusedState := state
-		for i := range 20 { // with changes of this size pebble's fifth commit would wait for ever
+		for i := range 20 { // at this size pebble's fifth commit would block forever
 			refusedState.Last.Index++
 			err := s.Save(&refusedState)
 			So(errors.Is(err, ErrBroken), ShouldBeTrue)
@@ -268,7 +268,7 @@
 			}
 		}
 		So(s.Close(), ShouldBeNil)
-		copyFolder := func() string { // as another process finds it: this one holds the folder's lock
+		copyFolder := func() string { // a copy, as this process holds the lock of the folder
 			to := filepath.Join(t.TempDir(), "copy")
 			So(os.CopyFS(to, os.DirFS(dir)), ShouldBeNil)
 			return to
--- a/internal/controlplane/consensus/transcript_test.go
+++ b/internal/controlplane/consensus/transcript_test.go
@@ -11,9 +11,9 @@
 	"testing"
 )
 
-// TestTranscripts plays the scripts in testdata/transcripts and holds what happens against what the files say. Lines
-// that begin with "> " are commands, see transcript.run; those behind a command are what follows from it. Run with
-// -update to write the files anew, and read the difference.
+// TestTranscripts runs the scripts in testdata/transcripts and compares the output with that in the files. Lines that
+// begin with "> " are commands, see transcript.run; the lines after a command are its output. With -update the test
+// rewrites the files, and the difference must be reviewed.
 func TestTranscripts(t *testing.T) {
 	files, err := filepath.Glob("testdata/transcripts/*.txt")
 	if err != nil || len(files) == 0 {
@@ -31,13 +31,13 @@
 					t.Fatal(err)
 				}
 			} else if got != string(recorded) {
-				t.Errorf("the transcript is\n%s\nrecorded was\n%s", got, recorded)
+				t.Errorf("the transcript is\n%s\nwant\n%s", got, recorded)
 			}
 		})
 	}
 }
 
-// play runs a script's commands, and gives it with what follows from each.
+// playScript runs a script's commands and returns the script with their output.
 func playScript(t *testing.T, script string) string {
 	t.Helper()
 	p := &transcript{t: t, minVoters: 3, nodes: map[string]*scriptedNode{}, isolated: map[string]bool{},
@@ -55,8 +55,8 @@
 	return p.out.String()
 }
 
-// transcript plays nodes in virtual time and writes what they do. Messages arrive at once and in order; heartbeats and
-// answers that say nothing new aren't shown.
+// transcript runs nodes in virtual time and records their output. Messages are delivered at once and in order.
+// Heartbeats without an entry, and repeated answers, are not recorded.
 type transcript struct {
 	t              *testing.T
 	minVoters      int
@@ -64,31 +64,31 @@
 	now            float64
 	nodes          map[string]*scriptedNode
 	inTransit      []Envelope
-	isolated       map[string]bool // machines that nothing reaches, and that reach nobody
-	shownResponses map[string]bool // answers
+	isolated       map[string]bool // machines that neither receive nor send
+	shownResponses map[string]bool // texts of the recorded AppendEntriesResponses
 }
 
 type scriptedNode struct {
 	*Node
 	disk    HardState
 	running bool
-	state   string // as it was last shown
+	state   string // as last recorded
 }
 
 // run runs a command:
 //
-//	minvoters 2         as the option; it is 3 without this
-//	found m0 m1 m2      the machines found a core
-//	start m0            a machine that was killed starts again
-//	empty n0            a machine starts with an empty disk; it knows m0
-//	wait 300            so many milliseconds pass
-//	propose m0 text     a value is offered
-//	leave m0            its process begins to shut down
-//	kill m0             its process ends
-//	isolate m0          nothing reaches it, and it reaches nobody
-//	heal                all reach all
-//	read m0             it asks for a confirmation that its knowledge is the newest
-//	status              what each node shows
+//	minvoters 2         sets Options.MinVoters; the default is 3
+//	found m0 m1 m2      bootstraps a cluster of these machines
+//	start m0            restarts a machine that was killed
+//	empty n0            starts a machine with an empty disk; its seed is m0
+//	wait 300            advances time by this many milliseconds
+//	propose m0 text     proposes a value
+//	leave m0            begins a graceful shutdown
+//	kill m0             ends the machine's process
+//	isolate m0          blocks all messages from and to the machine
+//	heal                ends the isolation of all machines
+//	read m0             calls ReadIndex, and prints whether the read is confirmed
+//	status              prints the state of each node
 func (p *transcript) run(command []string) {
 	p.t.Helper()
 	addrs := command[1:]
@@ -154,15 +154,16 @@
 	return addrs
 }
 
-// start starts a machine. Its place in the order of addresses spreads its elections.
+// start starts a machine. The digit in its address determines its election timeouts, so that they differ.
 func (p *transcript) start(addr string, disk HardState) {
 	spread := float64(addr[1]-'0') / 5
-	n := New(Options{Addr: addr, Seeds: []string{"m0"}, MinVoters: p.minVoters, HeartbeatInterval: 200, ElectionTimeout: 900,
+	n := New(Options{Addr: addr, Seeds: []string{"m0"}, MinVoters: p.minVoters,
+		HeartbeatInterval: 200, ElectionTimeout: 900,
 		RemoveAfter: 1575, Random: func() float64 { return spread }}, cloneState(disk), p.now)
 	p.nodes[addr] = &scriptedNode{Node: n, disk: disk, running: true}
 }
 
-// wait lets time pass in steps of 50 ms.
+// wait advances time in steps of 50 ms.
 func (p *transcript) wait(ms float64) {
 	for end := p.now + ms; p.now < end; {
 		p.now += 50
@@ -176,7 +177,7 @@
 	}
 }
 
-// settle delivers until nothing is in transit.
+// settle delivers messages until none is in transit.
 func (p *transcript) settle() {
 	for len(p.inTransit) > 0 {
 		e := p.inTransit[0]
@@ -190,7 +191,7 @@
 	}
 }
 
-// flush syncs and sends, and shows both.
+// flush syncs and sends, and records both.
 func (p *transcript) flush(addr string) {
 	n := p.nodes[addr]
 	for n.running {
@@ -215,9 +216,10 @@
 	}
 }
 
-// showState shows a node's role and what is committed where they changed.
+// showState records a node's role and its committed entry if they changed.
 func (p *transcript) showState(addr string, n *scriptedNode) {
-	role := [...]string{Follower: "follower", Candidate: "candidate", Leader: "leader", preCandidate: "pre-candidate"}[n.role]
+	role := [...]string{Follower: "follower", Candidate: "candidate", Leader: "leader",
+		preCandidate: "pre-candidate"}[n.role]
 	if n.Established() {
 		role = "established leader"
 	}
