--- a/internal/controlplane/consensus/confchange.go
+++ b/internal/controlplane/consensus/confchange.go
@@ -20,11 +20,10 @@
 
 // maintainVoters changes the set of voters: one step at a time, and only after an entry of its own term is committed.
 //
-// A voter that must go and a machine that joins change places in two steps, the removal first. With 2*tolerate + 1
-// voters of which one is down, the remaining 2*tolerate voters commit with as many disks as before (tolerate + 1), and
-// neither step depends on the joining machine. In the other order there would be 2*tolerate + 2 voters between the
-// steps, and the voter that is down and the joining machine, if that fails too, would both count against the majority:
-// for tolerate = 1 they are half of the voters.
+// A voter that must go and a machine that joins change places in two steps, the removal first. With 2f+1 voters of
+// which one is down, the remaining 2f voters commit with as many disks as before (f+1), and neither step depends on the
+// joining machine. In the other order there would be 2f+2 voters between the steps, and the voter that is down and the
+// joining machine, if that fails too, would both count against the majority: for f = 1 they are half of the voters.
 func (n *Node) maintainVoters(now float64) {
 	if n.InFlight() {
 		return
--- a/internal/controlplane/consensus/second_loss_test.go
+++ b/internal/controlplane/consensus/second_loss_test.go
@@ -78,13 +78,13 @@
 		for c.newestCrashesAt > c.now {
 			c.run(10, 0)
 		}
-		began, asked := c.now, c.proposals
-		for c.now < began+ackTimeoutMs && !c.acknowledgedSince(asked) {
+		lossAt, proposalsBefore := c.now, c.proposals
+		for c.now < lossAt+ackTimeoutMs && !c.acknowledgedSince(proposalsBefore) {
 			c.run(10, 0)
 		}
-		if c.violation != "" || !c.acknowledgedSince(asked) {
+		if c.violation != "" || !c.acknowledgedSince(proposalsBefore) {
 			t.Fatalf("%s, replacement started at %.0f and stopped at %.0f: no change was acknowledged for %d ms; %s\n%s",
-				history, startedAt, began, ackTimeoutMs, c.violation, c.describe())
+				history, startedAt, lossAt, ackTimeoutMs, c.violation, c.describe())
 		}
 		c.restartAll()
 		c.run(4000, 0)
--- a/internal/controlplane/consensus/store/retryfs.go
+++ b/internal/controlplane/consensus/store/retryfs.go
@@ -11,10 +11,10 @@
 // This file handles writes that a full disk refuses.
 //
 // Pebble can't be used after a failed write: the process would have to end, and would end again at each start until
-// the disk has space, each time without its members, agents and votes. So a write that is refused for lack of space
-// blocks and is retried for as long as the DiskFullHandler returns true: to pebble, and to whoever waits for the
-// sync, the disk is merely slow. No message that depends on the write is sent meanwhile, as messages are sent only
-// after the sync.
+// the disk has space, each time losing its connections to members and agents and its vote in the cluster. So a write
+// that is refused for lack of space blocks and is retried for as long as the DiskFullHandler returns true: to pebble,
+// and to whoever waits for the sync, the disk is merely slow. No message that depends on the write is sent meanwhile,
+// as messages are sent only after the sync.
 
 // DiskFullHandler is called with the error of a write that was refused because the disk is full. It returns true when
 // the write is to be retried, and false if it is to fail. Pebble's goroutines may call it concurrently.
