--- a/internal/controlplane/consensus/contact_model_test.go
+++ b/internal/controlplane/consensus/contact_model_test.go
@@ -6,43 +6,43 @@
 	"math/rand/v2"
 )
 
-// contactModel runs machines whose clocks start with their processes and drift apart by up to one in a
-// thousand. Messages are lost, late and, at a frozen machine, buffered; machines are partitioned off in both
-// directions or one, freeze and lose power.
+// contactModel runs machines whose clocks start with their processes and run up to 0.001 fast or slow. Messages are
+// lost, delayed and, at a frozen machine, buffered; machines are partitioned in one or both directions, freeze and lose
+// power.
 type contactModel struct {
 	random    *rand.Rand
-	now       float64 // milliseconds of the true time
+	now       float64 // true time in milliseconds
 	machines  []*contactMachine
 	inTransit []contactDelivery
-	commits   []commitMoment // in the order of time
+	commits   []commitMoment // ordered by time
 
-	// Machines of two sides don't reach each other until splitUntil.
+	// Machines on different sides of a split can't reach each other until splitUntil.
 	splitUntil float64
 	splitSince float64
 
-	unsoundClocks      bool // contacts may be wrong until a clock's rate is found out: they are not checked
-	samples, inContact int
-	digest             *digest // see cluster
+	skipContactCheck          bool // clock rates are changed, so contact may be wrong until the drift is detected
+	samples, samplesInContact int
+	digest                    *digest // see cluster
 }
 
 type contactMachine struct {
 	addr      string
 	node      *Node
 	disk      HardState
-	process   int     // number of the process that runs
-	startedAt float64 // of that process
+	process   int     // number of the current process
+	startedAt float64 // when the current process started
 	clockRate float64
 
-	running     bool
-	offUntil    float64
-	frozenUntil float64
+	running         bool
+	poweredOffUntil float64
+	frozenUntil     float64
 
-	// committed is the index of the newest entry that this process has known committed.
+	// committed is the index of the latest entry that the current process has known to be committed.
 	committed uint64
 
-	minority                bool    // the side of a split
-	outCutUntil, inCutUntil float64 // none of its messages goes out, or comes in
-	partitionedSince        float64 // by these; +Inf: it is not
+	inMinority                                bool    // on the smaller side of a split
+	outboundBlockedUntil, inboundBlockedUntil float64 // end of the block of messages in each direction
+	partitionedSince                          float64 // start of these blocks; +Inf if there is none
 }
 
 type contactDelivery struct {
@@ -52,7 +52,7 @@
 	message Message
 }
 
-// commitMoment is when some leader knew an entry committed: what is acknowledged is, then or later.
+// commitMoment is the first time at which a leader knew an entry to be committed. Acknowledgments come then or later.
 type commitMoment struct {
 	at    float64
 	index uint64
@@ -77,14 +77,14 @@
 	m.process++
 	m.running, m.startedAt, m.committed = true, c.now, 0
 	m.node = New(Options{Addr: m.addr, Seeds: seeds, MinVoters: len(seeds), HeartbeatInterval: 200, ElectionTimeout: 900,
-		RemoveAfter: 4500, Random: c.random.Float64}, copyOf(m.disk), 0)
-	c.noteCommitted(m)
+		RemoveAfter: 4500, Random: c.random.Float64}, cloneState(m.disk), 0)
+	c.recordCommitted(m)
 }
 
-// clock is a reading of a machine's own, in milliseconds since its process started.
+// clock returns the reading of a machine's clock, in milliseconds since its process started.
 func (c *contactModel) clock(m *contactMachine) float64 { return (c.now - m.startedAt) * m.clockRate }
 
-func (c *contactModel) runs(m *contactMachine) bool { return m.running && m.frozenUntil <= c.now }
+func (c *contactModel) isActive(m *contactMachine) bool { return m.running && m.frozenUntil <= c.now }
 
 func (c *contactModel) machine(addr string) *contactMachine {
 	for _, m := range c.machines {
@@ -96,13 +96,14 @@
 }
 
 func (c *contactModel) partitioned(from, to *contactMachine) bool {
-	return from.outCutUntil > c.now || to.inCutUntil > c.now || c.splitUntil > c.now && from.minority != to.minority
+	return from.outboundBlockedUntil > c.now || to.inboundBlockedUntil > c.now ||
+		c.splitUntil > c.now && from.inMinority != to.inMinority
 }
 
 func (c *contactModel) flush(m *contactMachine) {
 	for range 4 {
 		if m.node.Dirty() {
-			m.disk = copyOf(m.node.HardState)
+			m.disk = cloneState(m.node.HardState)
 			m.node.Synced(c.clock(m))
 		}
 		for _, e := range m.node.Messages() {
@@ -119,15 +120,15 @@
 			c.inTransit = append(c.inTransit, contactDelivery{at, to, to.process, e.Message})
 		}
 		c.digest.node(m.node, c.clock(m))
-		c.noteCommitted(m)
+		c.recordCommitted(m)
 		if !m.node.Dirty() {
 			return
 		}
 	}
 }
 
-// noteCommitted notes what a machine knows committed.
-func (c *contactModel) noteCommitted(m *contactMachine) {
+// recordCommitted records what a machine knows to be committed.
+func (c *contactModel) recordCommitted(m *contactMachine) {
 	e, ok := m.node.Committed()
 	if !ok || e.Index <= m.committed {
 		return
@@ -138,7 +139,7 @@
 	}
 }
 
-// acknowledged is the newest index that was acknowledged before a moment.
+// acknowledged returns the highest index that was acknowledged before a point in time.
 func (c *contactModel) acknowledged(before float64) uint64 {
 	for i := len(c.commits) - 1; i >= 0; i-- {
 		if c.commits[i].at < before {
@@ -148,9 +149,9 @@
 	return 0
 }
 
-// check holds a machine's contact against what was acknowledged, and against the partitions that it is behind.
+// check verifies a machine's contact against the acknowledged entries and the partitions that affect the machine.
 func (c *contactModel) check(m *contactMachine) error {
-	if c.unsoundClocks {
+	if c.skipContactCheck {
 		return nil
 	}
 	age := m.node.ContactAge(c.clock(m))
@@ -158,18 +159,19 @@
 	if age > ContactLease {
 		return nil
 	}
-	c.inContact++
-	drift := 1 + 0.003*age
-	if need := c.acknowledged(c.now - age - drift); m.committed < need {
+	c.samplesInContact++
+	tolerance := 1 + 0.003*age
+	if required := c.acknowledged(c.now - age - tolerance); m.committed < required {
 		return fmt.Errorf("at %.0f %s has contact of %.0f ms ago and knows entry %d; %d was acknowledged before",
-			c.now, m.addr, age, m.committed, need)
+			c.now, m.addr, age, m.committed, required)
 	}
-	apart := m.partitionedSince
-	if m.minority && c.splitUntil > c.now {
-		apart = min(apart, c.splitSince)
+	isolatedSince := m.partitionedSince
+	if m.inMinority && c.splitUntil > c.now {
+		isolatedSince = min(isolatedSince, c.splitSince)
 	}
-	if inTransit := 70.0; c.now-apart > ContactLease+inTransit+drift {
-		return fmt.Errorf("at %.0f %s has contact of %.0f ms ago and is apart since %.0f", c.now, m.addr, age, apart)
+	if maxTransit := 70.0; c.now-isolatedSince > ContactLease+maxTransit+tolerance {
+		return fmt.Errorf("at %.0f %s has contact of %.0f ms ago and is isolated since %.0f", c.now,
+			m.addr, age, isolatedSince)
 	}
 	return nil
 }
@@ -188,13 +190,13 @@
 		}
 	}
 	for _, m := range c.machines {
-		if !m.running && m.offUntil <= c.now {
+		if !m.running && m.poweredOffUntil <= c.now {
 			c.start(m, m.node.options.Seeds)
 		}
-		if max(m.outCutUntil, m.inCutUntil) <= c.now {
+		if max(m.outboundBlockedUntil, m.inboundBlockedUntil) <= c.now {
 			m.partitionedSince = math.Inf(1)
 		}
-		if !c.runs(m) {
+		if !c.isActive(m) {
 			continue
 		}
 		m.node.Tick(c.clock(m))
@@ -210,37 +212,36 @@
 	return nil
 }
 
-func (c *contactModel) fault() {
+func (c *contactModel) injectFault() {
 	m := c.machines[c.random.IntN(len(c.machines))]
 	duration := 500 + 6000*c.random.Float64()
 	switch c.random.IntN(6) {
 	case 0:
-		m.outCutUntil, m.inCutUntil = c.now+duration, c.now+duration
+		m.outboundBlockedUntil, m.inboundBlockedUntil = c.now+duration, c.now+duration
 	case 1:
-		m.outCutUntil = c.now + duration
+		m.outboundBlockedUntil = c.now + duration
 	case 2:
-		m.inCutUntil = c.now + duration
+		m.inboundBlockedUntil = c.now + duration
 	case 3:
 		m.frozenUntil = c.now + duration/2
 		return
 	case 4:
-		m.running, m.offUntil = false, c.now+100+duration/3
+		m.running, m.poweredOffUntil = false, c.now+100+duration/3
 		return
 	case 5:
-		c.divide(c.now + duration)
+		c.startSplit(c.now + duration)
 		return
 	}
 	m.partitionedSince = min(m.partitionedSince, c.now)
 }
 
-// divide puts up to as many machines as a majority can do without on a side of their own, a leader and its
-// followers maybe among them.
-func (c *contactModel) divide(until float64) {
+// startSplit moves a random minority of the machines, possibly with the leader, to a side of their own.
+func (c *contactModel) startSplit(until float64) {
 	if c.splitUntil > c.now {
 		return
 	}
 	c.splitUntil, c.splitSince = until, c.now
 	for i, k := range c.random.Perm(len(c.machines)) {
-		c.machines[k].minority = i < len(c.machines)/2
+		c.machines[k].inMinority = i < len(c.machines)/2
 	}
 }
--- a/internal/controlplane/consensus/exhaustive_test.go
+++ b/internal/controlplane/consensus/exhaustive_test.go
@@ -11,8 +11,8 @@
 	"testing"
 )
 
-// smallCluster is three machines whose every order of events is tried up to a depth: who acts, which message comes,
-// whose power goes between its sync and its messages.
+// smallCluster is a cluster of three machines. The tests explore all orders of events up to some depth: which machine
+// acts, which message is delivered, and which machine loses power between its sync and its messages.
 type smallCluster struct {
 	nodes     [3]*Node
 	disks     [3]HardState
@@ -22,8 +22,8 @@
 	proposals int
 }
 
-// lowest draws the lowest number: times are no matter here.
-func lowest() float64 { return 0 }
+// zeroRandom always returns the lowest value: timeouts don't matter in these tests.
+func zeroRandom() float64 { return 0 }
 
 func newSmallCluster(minVoters int) *smallCluster {
 	addrs := []string{"m0", "m1", "m2"}
@@ -31,7 +31,7 @@
 	for i, addr := range addrs {
 		c.disks[i] = Bootstrap(addr, addrs)
 		c.nodes[i] = New(Options{Addr: addr, Seeds: addrs, MinVoters: minVoters, HeartbeatInterval: 200, ElectionTimeout: 900,
-			RemoveAfter: 1e9, Random: lowest}, copyOf(c.disks[i]), 0)
+			RemoveAfter: 1e9, Random: zeroRandom}, cloneState(c.disks[i]), 0)
 	}
 	return c
 }
@@ -42,7 +42,7 @@
 	f.committed = maps.Clone(c.committed)
 	for i, n := range c.nodes {
 		m := *n
-		m.HardState = copyOf(n.HardState)
+		m.HardState = cloneState(n.HardState)
 		m.votes = map[string]bool{}
 		maps.Copy(m.votes, n.votes)
 		m.progress = map[string]*progress{}
@@ -53,21 +53,21 @@
 		m.joiners = map[string]joiner{}
 		m.leavingVoters, m.removedAddrs = maps.Clone(n.leavingVoters), maps.Clone(n.removedAddrs)
 		f.nodes[i] = &m
-		f.disks[i] = copyOf(c.disks[i])
+		f.disks[i] = cloneState(c.disks[i])
 	}
 	return &f
 }
 
 func (c *smallCluster) index(addr string) int { return int(addr[1] - '0') }
 
-// flush syncs and sends; crash: power is lost behind the sync and before the messages.
+// flush syncs and sends; if crash is set, power is lost after the sync and before messages are sent.
 func (c *smallCluster) flush(i int, crash bool) {
 	n := c.nodes[i]
 	for range 4 {
 		if n.Dirty() {
-			c.disks[i] = copyOf(n.HardState)
+			c.disks[i] = cloneState(n.HardState)
 			if crash {
-				c.nodes[i] = New(n.options, copyOf(c.disks[i]), c.now)
+				c.nodes[i] = New(n.options, cloneState(c.disks[i]), c.now)
 				return
 			}
 			n.Synced(c.now)
@@ -93,26 +93,26 @@
 	}
 }
 
-// check holds that one leads a term, and that no two nodes take different values for committed.
+// check verifies that each term has at most one leader, and that no two nodes know different values to be committed.
 func (c *smallCluster) check(t *testing.T, path string) {
 	leaders := map[uint64]int{}
 	for i, n := range c.nodes {
 		if n.role == Leader {
-			if j, taken := leaders[n.HardState.Term]; taken {
+			if j, exists := leaders[n.HardState.Term]; exists {
 				t.Fatalf("%s: %d and %d lead in term %d", path, i, j, n.HardState.Term)
 			}
 			leaders[n.HardState.Term] = i
 		}
 		if e, ok := n.Committed(); ok {
-			if old, known := c.committed[e.Index]; known && old != string(e.Value) {
-				t.Fatalf("%s: entry %d is %q and %q", path, e.Index, old, e.Value)
+			if previous, known := c.committed[e.Index]; known && previous != string(e.Value) {
+				t.Fatalf("%s: entry %d is %q and %q", path, e.Index, previous, e.Value)
 			}
 			c.committed[e.Index] = string(e.Value)
 		}
 	}
 }
 
-// key tells states apart in what decides.
+// key identifies a state by everything that determines its successors.
 func (c *smallCluster) key() string {
 	var b strings.Builder
 	for _, n := range c.nodes {
@@ -129,74 +129,74 @@
 	return b.String() + strings.Join(messages, ";")
 }
 
-func TestEveryOrderOfFewEvents(t *testing.T) { everyOrder(t, 3, false) }
+func TestAllEventOrders(t *testing.T) { exploreAllOrders(t, 3, false) }
 
-// TestEveryOrderOfLeaving has one machine shut down as well, at any time, where two voters are enough: a leader
-// transfers its leadership, or is removed by itself; a follower is removed by who leads then.
-func TestEveryOrderOfLeaving(t *testing.T) { everyOrder(t, 2, true) }
+// TestAllEventOrdersWithShutdown also shuts one machine down at any time, where two voters are enough: a leader
+// transfers its leadership or removes itself, and a follower is removed by the leader.
+func TestAllEventOrdersWithShutdown(t *testing.T) { exploreAllOrders(t, 2, true) }
 
-func everyOrder(t *testing.T, minVoters int, leaving bool) {
+func exploreAllOrders(t *testing.T, minVoters int, withShutdown bool) {
 	c := newSmallCluster(minVoters)
-	if leaving { // from where one leads: all of the depth is for what comes then
+	if withShutdown { // start with a leader, so that the whole depth is spent on what follows
 		c.nodes[0].preCampaign(c.now)
 		c.flush(0, false)
 		c.deliverAll()
 		if !c.nodes[0].Established() {
-			t.Fatal("nobody leads")
+			t.Fatal("there is no leader")
 		}
 	}
 	depth := 8
 	if d := os.Getenv("DEPTH"); d != "" { // 11 takes three minutes: 5.1 million states
 		depth, _ = strconv.Atoi(d)
 	}
-	w := &walker{t: t, leaving: leaving, seen: map[string]int{}}
-	w.walk(c, depth, "")
+	w := &explorer{t: t, withShutdown: withShutdown, seen: map[string]int{}}
+	w.explore(c, depth, "")
 	if w.states < 1000 {
 		t.Fatal(w.states)
 	}
-	if leaving && (w.removed == 0 || w.transferred == 0) {
+	if withShutdown && (w.removed == 0 || w.transferred == 0) {
 		t.Fatal("no voter was removed, or no leadership transferred", w.removed, w.transferred)
 	}
 	t.Log(w.states, "states")
 }
 
-// walker walks all states that follow from one.
-type walker struct {
-	t       *testing.T
-	leaving bool
-	seen    map[string]int // the depth that was left where a state was seen, plus one
+// explorer explores all states that follow from one.
+type explorer struct {
+	t            *testing.T
+	withShutdown bool
+	seen         map[string]int // depth left at each visited state, plus one
 
 	states, removed, transferred int
 }
 
-func (w *walker) walk(c *smallCluster, left int, path string) {
+func (w *explorer) explore(c *smallCluster, depthLeft int, path string) {
 	w.states++
 	c.check(w.t, path)
-	w.count(c)
+	w.countEvents(c)
 	key := c.key()
-	if w.seen[key] >= left+1 {
+	if w.seen[key] >= depthLeft+1 {
 		return
 	}
-	w.seen[key] = left + 1
-	if left == 0 {
+	w.seen[key] = depthLeft + 1
+	if depthLeft == 0 {
 		return
 	}
-	for i := range 2 { // the third only answers: who is third is no matter
-		w.act(c, i, left, path)
+	for i := range 2 { // the third machine only answers; by symmetry it doesn't matter which one that is
+		w.act(c, i, depthLeft, path)
 	}
 	for k := range c.inTransit {
 		if k > 0 && fmt.Sprint(c.inTransit[k]) == fmt.Sprint(c.inTransit[k-1]) {
 			continue
 		}
-		w.deliver(c, k, left, path, false)
+		w.deliver(c, k, depthLeft, path, false)
 		if !strings.Contains(path, "!") {
-			w.deliver(c, k, left, path, true)
+			w.deliver(c, k, depthLeft, path, true)
 		}
 	}
 }
 
-// count counts what must be met on the way.
-func (w *walker) count(c *smallCluster) {
+// countEvents counts events that the exploration must include.
+func (w *explorer) countEvents(c *smallCluster) {
 	for i, n := range c.nodes {
 		if e, ok := n.Committed(); ok && len(e.Voters) == 2 {
 			w.removed++
@@ -207,38 +207,38 @@
 	}
 }
 
-// act tries each of a machine's own actions: a campaign, a shutdown, a tick, a proposal.
-func (w *walker) act(c *smallCluster, i, left int, path string) {
-	then := func(mark string, do func(*smallCluster, *Node)) {
+// act tries each action of a machine: an election, a shutdown, a tick, a proposal.
+func (w *explorer) act(c *smallCluster, i, depthLeft int, path string) {
+	tryAction := func(mark string, action func(*smallCluster, *Node)) {
 		f := c.fork()
-		do(f, f.nodes[i])
+		action(f, f.nodes[i])
 		f.flush(i, false)
-		w.walk(f, left-1, path+fmt.Sprint(" ", mark, i))
+		w.explore(f, depthLeft-1, path+fmt.Sprint(" ", mark, i))
 	}
 	n := c.nodes[i]
 	if n.role != Leader && strings.Count(path, fmt.Sprint("c", i)) < 2 {
-		then("c", func(f *smallCluster, n *Node) { n.preCampaign(f.now) })
+		tryAction("c", func(f *smallCluster, n *Node) { n.preCampaign(f.now) })
 	}
-	if w.leaving && !strings.Contains(path, "l") && n.HardState.Term > 0 {
-		then("l", func(f *smallCluster, n *Node) { n.Leave(f.now) })
+	if w.withShutdown && !strings.Contains(path, "l") && n.HardState.Term > 0 {
+		tryAction("l", func(f *smallCluster, n *Node) { n.Leave(f.now) })
 	}
-	if w.leaving && n.role == Leader && !n.InFlight() {
-		then("t", func(f *smallCluster, n *Node) {
-			n.nextHeartbeat = f.now + 1
+	if w.withShutdown && n.role == Leader && !n.InFlight() {
+		tryAction("t", func(f *smallCluster, n *Node) {
+			n.nextHeartbeatAt = f.now + 1
 			n.Tick(f.now)
 		})
 	}
 	if n.Established() && c.proposals < 2 {
-		then("p", func(f *smallCluster, n *Node) {
+		tryAction("p", func(f *smallCluster, n *Node) {
 			f.proposals++
 			n.Propose([]byte(string(n.HardState.Last.Value)+fmt.Sprint(i)), f.now)
 		})
 	}
 }
 
-// deliver tries the kth message in transit; crash: its receiver loses power behind the sync that follows, if
-// one does.
-func (w *walker) deliver(c *smallCluster, k, left int, path string, crash bool) {
+// deliver tries the kth message in transit. If crash is set, its receiver loses power after the sync that the message
+// causes, if any.
+func (w *explorer) deliver(c *smallCluster, k, depthLeft int, path string, crash bool) {
 	f := c.fork()
 	e := f.inTransit[k]
 	f.inTransit = slices.Delete(f.inTransit, k, k+1)
@@ -252,5 +252,5 @@
 	if crash {
 		mark = " !"
 	}
-	w.walk(f, left-1, path+fmt.Sprint(mark, e.To, uint8(e.Message.Kind)))
+	w.explore(f, depthLeft-1, path+fmt.Sprint(mark, e.To, uint8(e.Message.Kind)))
 }
