--- a/internal/dataplane/proxy/attempt.go
+++ b/internal/dataplane/proxy/attempt.go
@@ -12,12 +12,12 @@
 	"weirwind/internal/util/idempotency"
 )
 
-// readTimeout bounds one attempt of a read, in milliseconds: then the read is retried at another member. A
-// write is not retried, and waits until its deadline.
+// readTimeout is the time limit of one attempt of a read, in milliseconds. After it the read is retried at another
+// member. A write is not retried and waits until its deadline.
 const readTimeout = 450.0
 
-// acquire borrows a member connection, and checks that the member has not closed it while it was idle. It waits until
-// there is one, at the latest until the request's deadline is near.
+// acquire checks out a member connection that the member has not closed while it was idle. It waits for a connection
+// until the request's deadline is near.
 func (s *session) acquire(service string, request *connRequest) (*lentConn, error) {
 	router := s.proxy.router
 	for {
@@ -35,13 +35,13 @@
 		if lent.conn.Alive() {
 			return &lent, nil
 		}
-		s.finish(&lent, false, group.NoAnswer, wire.Position{})
+		s.release(&lent, false, group.NoAnswer, wire.Position{})
 	}
 }
 
-// finish gives back a connection whose one request ended with the outcome. A connection that is not reusable is
-// closed, which rolls back what is open on it.
-func (s *session) finish(lent *lentConn, reusable bool, outcome group.Outcome, position wire.Position) {
+// release returns a connection after its only request, which ended with the outcome. A connection that is not reusable
+// is closed, so that the member rolls back a transaction that is open on it.
+func (s *session) release(lent *lentConn, reusable bool, outcome group.Outcome, position wire.Position) {
 	if !reusable {
 		lent.conn.Close()
 	}
@@ -52,23 +52,23 @@
 	})
 }
 
-// recordOutcome notes how a request ended on a connection that stays checked out.
+// recordOutcome records how a request ended on a connection that stays checked out.
 func (s *session) recordOutcome(lent *lentConn, sentAt float64, outcome group.Outcome, position wire.Position) {
 	router := s.proxy.router
 	router.do(func() { router.recordOutcome(lent, sentAt, outcome, position) })
 }
 
-// send sends a single statement to a member and reads its answer, with what it means for routing.
+// send sends a single statement to a member. It returns the reply and the outcome for routing.
 func (s *session) send(lent *lentConn, st *statement, write bool, deadline float64) (
 	*memberconn.Reply, group.Outcome, error) {
 	if write {
 		return s.sendWrite(lent, st, s.proxy.timeAt(deadline))
 	}
-	until := s.proxy.timeAt(min(deadline, s.proxy.now()+readTimeout))
+	readDeadline := s.proxy.timeAt(min(deadline, s.proxy.now()+readTimeout))
 	if lent.verifyPrimary {
-		return s.sendVerifiedRead(lent, st, until)
+		return s.sendVerifiedRead(lent, st, readDeadline)
 	}
-	return s.sendRead(lent, st, until)
+	return s.sendRead(lent, st, readDeadline)
 }
 
 func (s *session) sendWrite(lent *lentConn, st *statement, deadline time.Time) (
@@ -87,7 +87,7 @@
 	return &reply, outcome, nil
 }
 
-// sendRead sends a read that any member may answer whose log reaches the position that the read must see.
+// sendRead sends a read that may be answered by any member whose log has reached the position that the read must see.
 func (s *session) sendRead(lent *lentConn, st *statement, deadline time.Time) (
 	*memberconn.Reply, group.Outcome, error) {
 	var batch strings.Builder
@@ -100,21 +100,20 @@
 	return &reply, outcomeOf(&reply), nil
 }
 
-// sendVerifiedRead sends a read in a transaction of the proxy's own, as a member that is no longer the primary
-// refuses to begin one. The answer to BEGIN is awaited before the read is sent: had the member lost its role in
-// between, its rows could be forwarded before that is known. The transaction is rolled back, and nothing of it is
-// kept.
+// sendVerifiedRead sends a read inside a transaction that the proxy begins, because a member that is no longer the
+// primary refuses BEGIN. It waits for the answer to BEGIN before it sends the read: otherwise rows of a member that has
+// lost its role could be forwarded before the refusal is known. The transaction is rolled back afterwards.
 func (s *session) sendVerifiedRead(lent *lentConn, st *statement, deadline time.Time) (
 	*memberconn.Reply, group.Outcome, error) {
 	var batch strings.Builder
 	text, preludes := s.appendPrelude(&batch, lent.conn, st)
 	memberconn.AppendQuery(&batch, internalQueryID, "BEGIN")
-	begun, err := exchangeInternal(lent.conn, batch.String(), preludes, deadline)
+	beginReply, err := exchangeInternal(lent.conn, batch.String(), preludes, deadline)
 	if err != nil {
 		return nil, 0, err
 	}
-	if !begun.OK {
-		return &begun, outcomeOf(&begun), nil
+	if !beginReply.OK {
+		return &beginReply, outcomeOf(&beginReply), nil
 	}
 	batch.Reset()
 	memberconn.AppendQuery(&batch, st.id, text)
@@ -124,18 +123,19 @@
 		return nil, 0, err
 	}
 	outcome := outcomeOf(&reply)
-	ended, err := lent.conn.ReadReply(nil)
+	abortReply, err := lent.conn.ReadReply(nil)
 	if err != nil {
 		return nil, 0, err
 	}
-	reply.State = ended.State
+	reply.State = abortReply.State
 	if reply.OK {
 		outcome = group.AnsweredAsPrimary
 	}
 	return &reply, outcome, nil
 }
 
-// positionClause makes the member check that its log reaches the position that the read must see; "" for none.
+// positionClause returns the AFTER clause by which the member checks that its log has reached the position that the
+// read must see. It returns "" if the read requires no position.
 func (c *lentConn) positionClause() string {
 	if c.minPosition.IsZero() {
 		return ""
@@ -143,30 +143,30 @@
 	return "AFTER " + c.minPosition.String()
 }
 
-// appendPrelude adds to a batch what the connection must be sent before the statement, so that it holds the session's
-// state. It returns the statement's text as it goes to the connection, and the number of queries added.
+// appendPrelude appends to a batch the queries that bring the connection to the session's state. It returns the text
+// of the statement in the form to send on this connection, and the number of queries that it appended.
 func (s *session) appendPrelude(batch *strings.Builder, conn *memberConn, st *statement) (text string, preludes int) {
 	text = st.text
 	var prepared *sessionstate.Statement
 	if st.parsed.Verb == "EXEC" {
-		p, _ := s.kept.Prepared(st.parsed.Name)
-		prepared = &p
+		original, _ := s.sessionState.Prepared(st.parsed.Name)
+		prepared = &original
 	}
-	texts, name := conn.state.Sync(&s.kept, prepared)
-	for _, t := range texts {
-		memberconn.AppendQuery(batch, internalQueryID, t)
+	preludeTexts, memberName := conn.state.Sync(&s.sessionState, prepared)
+	for _, preludeText := range preludeTexts {
+		memberconn.AppendQuery(batch, internalQueryID, preludeText)
 	}
 	if prepared != nil {
-		text = "EXEC " + name + " " + st.parsed.Args
+		text = "EXEC " + memberName + " " + st.parsed.Args
 	}
-	if s.tx == nil { // the BEGIN of a transaction has it already
+	if s.tx == nil { // in a transaction the BEGIN had the prefix
 		text = s.shardPrefix + text
 	}
-	return text, len(texts)
+	return text, len(preludeTexts)
 }
 
-// exchange sends a batch and reads the answer to its statement, after those to the preludes. forward takes rows
-// that are too many to keep.
+// exchange sends a batch, reads the answers to its preludes and returns the answer to its statement. It passes rows
+// beyond the buffer limit to forward.
 func exchange(conn *memberConn, batch string, preludes int, deadline time.Time,
 	forward func(rows []string) error) (memberconn.Reply, error) {
 	if err := sendBatch(conn, batch, preludes, deadline); err != nil {
@@ -176,7 +176,8 @@
 	return reply, requireStamp(&reply, err)
 }
 
-// exchangeInternal is exchange for a query of the proxy's own or a BEGIN, whose answers have no stamp.
+// exchangeInternal is like exchange, for a query that the proxy itself makes or for a BEGIN. Their answers bear no
+// stamp, and no rows are forwarded.
 func exchangeInternal(conn *memberConn, batch string, preludes int, deadline time.Time) (memberconn.Reply, error) {
 	if err := sendBatch(conn, batch, preludes, deadline); err != nil {
 		return memberconn.Reply{}, err
@@ -184,7 +185,7 @@
 	return conn.ReadReply(nil)
 }
 
-// sendBatch sends a batch and reads the answers to the preludes, all of which must be successes.
+// sendBatch sends a batch and reads the answers to its preludes. It returns an error unless all of them succeeded.
 func sendBatch(conn *memberConn, batch string, preludes int, deadline time.Time) error {
 	if err := conn.WriteBatch(batch, deadline); err != nil {
 		return err
@@ -195,22 +196,22 @@
 			return err
 		}
 		if !reply.OK || reply.Text != wire.NoStamp {
-			return errors.New("a member refused what goes before a statement: " + reply.Text)
+			return errors.New("a member refused a query that sets up the session state: " + reply.Text)
 		}
 	}
 	return nil
 }
 
-// requireStamp makes a success without a member's stamp an error: it is the answer to another query, and this one has
-// none.
+// requireStamp returns an error for a success without a stamp: such a reply belongs to another query, so this query was
+// not answered.
 func requireStamp(reply *memberconn.Reply, err error) error {
 	if err == nil && reply.OK && reply.Text == wire.NoStamp {
-		return &idempotency.NoResponseError{Progress: idempotency.MaybeSent, Err: errors.New("a success without a stamp")}
+		return &idempotency.NoResponseError{Progress: idempotency.MaybeSent, Err: errors.New("the reply has no stamp")}
 	}
 	return err
 }
 
-// discardRows drops rows that are too many to keep. Those of a write are not forwarded early: they are not needed.
+// discardRows drops rows beyond the buffer limit. It is used for writes, whose rows are not needed.
 func discardRows([]string) error { return nil }
 
 // outcomeOf is what a member's answer means for routing, whatever the member's role.
--- a/internal/dataplane/proxy/bench_test.go
+++ b/internal/dataplane/proxy/bench_test.go
@@ -64,7 +64,7 @@
 			go serveBenchMember(there)
 			g.pool("a").open++
 			conn := &memberConn{Conn: &memberconn.Conn{NetConn: here, Reader: wire.NewReader(here)}}
-			p.router.keep(g, g.routing.Members["a"], conn)
+			p.router.poolOrClose(g, g.routing.Members["a"], conn)
 		}
 	})
 	<-done
--- a/internal/dataplane/proxy/connpool.go
+++ b/internal/dataplane/proxy/connpool.go
@@ -15,30 +15,30 @@
 
 const (
 	dialTimeout  = 700 * time.Millisecond
-	probeTimeout = 500 * time.Millisecond
+	probeTimeout = 500 * time.Millisecond // of a health check
 
-	defaultShare = 64 // connections to a member while no configuration bounds them
-	minShare     = 2
-	// Dials that all drivers together make to a member at a time: each takes a slot of the member for a while, and all
-	// drivers come at once when it starts.
-	maxDials          = 24
+	defaultConnShare = 64 // connections to a member if the configuration sets no limit
+	minConnShare     = 2
+	// maxMemberDials limits the concurrent dials of all drivers to one member. Each dial occupies a session slot of the
+	// member for a while, and all drivers dial at the same time when the member starts.
+	maxMemberDials    = 24
 	minDialsPerDriver = 2
 
-	minIdleConns = 2 // of a member, kept however long they are idle
+	minIdleConns = 2 // to a member; they stay open regardless of their idle time
 	maxIdleTime  = 4 * time.Second
 
-	maxLastIdleTime = 60 * time.Second // of the only idle connection of a tenant to a member
+	maxTenantLastIdleTime = 60 * time.Second // of a tenant's only idle connection to a member
 
-	// A member that rejected a connection for want of capacity is not dialled again at once if this proxy has none
-	// there, as other drivers have to close theirs first.
+	// rejectedDialBackoff is the delay of the next dial after the member rejected one for lack of capacity, if this proxy
+	// has no connection to it: other drivers must close some of theirs first.
 	rejectedDialBackoff = 40 * time.Millisecond
 )
 
-// memberConn is a connection to a member, with the session state that it holds. A session that has checked it out
-// owns it; while it is idle, its pool does.
+// memberConn is a connection to a member, with the session state that was set on it. It belongs to the session that has
+// checked it out; while it is idle, to its pool.
 type memberConn struct {
 	*memberconn.Conn
-	tenant    string // in whose name it is attached, "" for none; it serves no other
+	tenant    string // the tenant that it is attached for and serves alone, "" for none
 	state     sessionstate.Conn
 	idleSince float64 // milliseconds
 }
@@ -57,7 +57,7 @@
 	return &memberConn{Conn: c, tenant: tenant}, nil
 }
 
-// queryStatus sends a member a health check, over a connection of its own.
+// queryStatus sends a health check to a member, over a separate connection.
 func queryStatus(record directory.Member) (wire.MemberStatus, error) {
 	deadline := time.Now().Add(probeTimeout)
 	c, _, err := memberconn.Dial(record, deadline)
@@ -68,25 +68,25 @@
 	return c.QueryStatus("STAT", deadline)
 }
 
-// connPool is this proxy's connections to one member.
+// connPool holds this proxy's connections to one member.
 //
-// open counts all of them: len(idle) idle ones, dialing ones that are being made, and those that are checked out.
-// Each has its place in open from the start of its dial until it is closed.
+// open counts all connections: the idle ones, those whose dial is in progress (dialing), and those that are checked
+// out. A connection is counted from the start of its dial until it is closed.
 type connPool struct {
-	idle    []*memberConn // the longest idle first; all are reusable
+	idle    []*memberConn // reusable connections, the longest idle first
 	open    int
 	dialing int
 
-	openByTenant map[string]int // the same as open, by the tenant that each is for; nil: none was opened
-	// rejections is how many dials the member has rejected in a row. Until dialAfter (milliseconds) no further one is made
-	// for a tenant.
+	openByTenant map[string]int // open, by the connection's tenant; nil before the first connection
+	// rejections is the number of consecutive dials that the member has rejected. Before nextDialAt (milliseconds) no
+	// further dial is made for a tenant.
 	rejections  int
-	dialAfter   float64
-	fastestDial float64 // milliseconds; 0: none has succeeded
+	nextDialAt  float64
+	fastestDial float64 // duration of the fastest successful dial in milliseconds, 0 for none
 }
 
-// opened counts a connection for a tenant, from the start of its dial.
-func (p *connPool) opened(tenant string) {
+// recordOpened counts a connection of a tenant when its dial starts.
+func (p *connPool) recordOpened(tenant string) {
 	p.open++
 	if p.openByTenant == nil {
 		p.openByTenant = map[string]int{}
@@ -94,8 +94,8 @@
 	p.openByTenant[tenant]++
 }
 
-// closed counts a connection for a tenant that has ended, or that was not made.
-func (p *connPool) closed(tenant string) {
+// recordClosed stops counting a connection of a tenant when it is closed or its dial has failed.
+func (p *connPool) recordClosed(tenant string) {
 	p.open--
 	if p.openByTenant[tenant] > 1 {
 		p.openByTenant[tenant]--
@@ -104,14 +104,14 @@
 	}
 }
 
-// hasIdle reports whether a connection of the tenant is idle.
+// hasIdle reports whether the pool has an idle connection of the tenant.
 func (p *connPool) hasIdle(tenant string) bool {
 	return slices.ContainsFunc(p.idle, func(c *memberConn) bool { return c.tenant == tenant })
 }
 
-// take removes an idle connection of the tenant, of which there must be one: the newest that holds values of the hash,
-// else the newest.
-func (p *connPool) take(tenant string, valuesHash uint64) *memberConn {
+// takeIdle removes and returns an idle connection of the tenant, which must exist: the most recently used one whose
+// variables have the hash, else the most recently used one.
+func (p *connPool) takeIdle(tenant string, valuesHash uint64) *memberConn {
 	chosen := -1
 	for i := len(p.idle) - 1; i >= 0; i-- {
 		if p.idle[i].tenant != tenant {
@@ -130,8 +130,8 @@
 	return c
 }
 
-// put adds a connection that is no longer in use.
-func (p *connPool) put(conn *memberConn, now float64) {
+// putIdle adds a connection that is no longer in use.
+func (p *connPool) putIdle(conn *memberConn, now float64) {
 	conn.idleSince = now
 	p.idle = append(p.idle, conn)
 }
@@ -140,21 +140,22 @@
 func (p *connPool) closeIdle() {
 	for _, c := range p.idle {
 		c.Close()
-		p.closed(c.tenant)
+		p.recordClosed(c.tenant)
 	}
 	p.idle = nil
 }
 
-// closeExpired closes connections that were idle for too long, but keeps a few, and each tenant's last for longer: a
-// tenant returns seldom to one member over one proxy, and where its place is needed, dial takes it.
+// closeExpired closes connections that have been idle for too long, but keeps at least minIdleConns. The only idle
+// connection of a tenant is kept for longer, as requests of one tenant to one member through one proxy are rare, and
+// evictForDial closes it if its capacity is needed.
 func (p *connPool) closeExpired(now float64) {
 	for i := 0; i < len(p.idle) && len(p.idle) > minIdleConns; {
 		c := p.idle[i]
-		allowed := maxIdleTime
+		limit := maxIdleTime
 		if p.countIdle(c.tenant) == 1 {
-			allowed = maxLastIdleTime
+			limit = maxTenantLastIdleTime
 		}
-		if now-c.idleSince > milliseconds(allowed) {
+		if now-c.idleSince > milliseconds(limit) {
 			p.closeIdleAt(i)
 		} else {
 			i++
@@ -171,9 +172,9 @@
 	return n
 }
 
-// closeIdleAt closes an idle connection by its index; 0 is the one that has been idle for longest.
+// closeIdleAt closes the idle connection with the given index; index 0 is the longest idle one.
 func (p *connPool) closeIdleAt(i int) {
-	p.closed(p.idle[i].tenant)
+	p.recordClosed(p.idle[i].tenant)
 	p.idle[i].Close()
 	p.idle = slices.Delete(p.idle, i, i+1)
 }
@@ -187,7 +188,7 @@
 	return p
 }
 
-// closeIdle closes a member's idle connections, as it drains or was removed.
+// closeIdle closes the idle connections to a member that drains or was removed.
 func (g *memberGroup) closeIdle(id string) {
 	if p := g.pools[id]; p != nil {
 		p.closeIdle()
@@ -195,53 +196,53 @@
 	}
 }
 
-// dropUnusedPool forgets a pool without connections, but not while it holds dials back.
+// dropUnusedPool deletes a pool without connections, unless its dials are delayed until after now.
 func (g *memberGroup) dropUnusedPool(id string, now float64) {
-	if p := g.pools[id]; p != nil && p.open <= 0 && len(p.idle) == 0 && p.dialAfter <= now {
+	if p := g.pools[id]; p != nil && p.open <= 0 && len(p.idle) == 0 && p.nextDialAt <= now {
 		delete(g.pools, id)
 	}
 }
 
-// connShare is how many connections this proxy may have to one member of the group: its part of nine tenths of what
-// the member takes, as the drivers don't see the same number of drivers at all times.
+// connShare returns how many connections this proxy may have to one member of the group. All drivers share nine tenths
+// of the member's limit equally; the rest is a reserve, as drivers may know different numbers of drivers for a while.
 func (r *router) connShare(grp *memberGroup) int {
 	if grp.maxConns == 0 {
-		return defaultShare
+		return defaultConnShare
 	}
-	return max((grp.maxConns-grp.maxConns/10)/r.drivers(), minShare)
+	return max((grp.maxConns-grp.maxConns/10)/r.assumedDriverCount(), minConnShare)
 }
 
-// availability returns a function that says whether a connection to a member is idle, or may be made, for the request
-// that dispatch routes at the time.
+// availability returns a function that reports whether a connection to a member is idle, or may be dialled, for the
+// request that dispatch is routing.
 func (r *router) availability(grp *memberGroup, now float64) func(*group.Member) bool {
-	share, drivers := r.connShare(grp), r.drivers()
+	share, drivers := r.connShare(grp), r.assumedDriverCount()
 	return func(m *group.Member) bool {
 		p := grp.pools[m.ID]
-		return p == nil || p.hasIdle(grp.routed.tenant) ||
-			p.dialing < dialsAtATime(grp.routed, drivers) && p.hasPlace(grp.routed, share, now)
+		return p == nil || p.hasIdle(grp.dispatching.tenant) ||
+			p.dialing < maxConcurrentDials(grp.dispatching, drivers) && p.mayDial(grp.dispatching, share, now)
 	}
 }
 
-// dial makes a connection for a tenant, which goes to whichever request of that tenant is next once it is established.
-// It has a deadline of its own: bound to that of the oldest request, which has the least time left, no connection would
-// ever be established while many wait.
+// dial starts a dial for a tenant. The connection serves the tenant's first queued request at the time when it is
+// established. The dial has a timeout of its own: with the deadline of the oldest request, which has the least time
+// left, no connection would ever be established under a long queue.
 func (r *router) dial(grp *memberGroup, member *group.Member, tenant string) {
 	p := grp.pool(member.ID)
-	p.opened(tenant)
+	p.recordOpened(tenant)
 	p.dialing++
 	record, startedAt := member.Member, r.proxy.now()
 	go func() {
 		c, err := dialMember(record, tenant, time.Now().Add(dialTimeout))
-		r.do(func() { r.dialed(grp, member, tenant, c, err, startedAt) })
+		r.do(func() { r.handleDialResult(grp, member, tenant, c, err, startedAt) })
 	}()
 }
 
-// dialed takes the result of a dial.
-func (r *router) dialed(grp *memberGroup, member *group.Member, tenant string, conn *memberConn, err error,
+// handleDialResult processes the result of a dial.
+func (r *router) handleDialResult(grp *memberGroup, member *group.Member, tenant string, conn *memberConn, err error,
 	startedAt float64) {
 	p := grp.pool(member.ID)
 	p.dialing--
-	rejected := errors.Is(err, memberconn.ErrAttachRejected) // the member is there, and has no capacity
+	rejected := errors.Is(err, memberconn.ErrAttachRejected) // the member is up but has no capacity
 	for _, request := range grp.queue.waiting {
 		if request.dialing != member.ID {
 			continue
@@ -253,16 +254,16 @@
 	}
 	switch {
 	case err == nil:
-		p.pace(r.proxy.now(), startedAt, r.drivers())
-		r.keep(grp, member, conn)
+		p.paceDials(r.proxy.now(), startedAt, r.assumedDriverCount())
+		r.poolOrClose(grp, member, conn)
 	case rejected:
-		p.closed(tenant)
+		p.recordClosed(tenant)
 		if tenant != "" {
-			p.backOff(r.proxy.now())
+			p.backOffDials(r.proxy.now())
 		}
 	default:
-		p.closed(tenant)
-		grp.figures.outcomes[group.ConnectFailed]++
+		p.recordClosed(tenant)
+		grp.metrics.outcomes[group.ConnectFailed]++
 		grp.routing.RecordOutcome(member, startedAt, r.proxy.now(), group.ConnectFailed, wire.Position{})
 		r.logSlot(grp)
 	}
@@ -273,21 +274,20 @@
 	r.dispatch(grp)
 }
 
-// keep puts a connection into its member's pool, or closes it if the pool may not keep it.
-func (r *router) keep(grp *memberGroup, member *group.Member, conn *memberConn) {
+// poolOrClose adds a connection to the pool of its member, or closes it if the pool may not keep it.
+func (r *router) poolOrClose(grp *memberGroup, member *group.Member, conn *memberConn) {
 	p := grp.pool(member.ID)
 	removed := member.Tombstone || grp.routing.Members[member.ID] != member
 	if removed || member.Draining || p.open > r.connShare(grp) || !conn.Reusable() {
 		conn.Close()
-		p.closed(conn.tenant)
+		p.recordClosed(conn.tenant)
 		return
 	}
-	p.put(conn, r.proxy.now())
+	p.putIdle(conn, r.proxy.now())
 }
 
-// warmUp makes a first connection to a group's primary and to its nearest replica, so that the first requests of a
-// process don't all wait for one at the same time. Where there are tenants it makes none, as nobody knows whose the
-// first requests will be.
+// warmUp makes a first connection to the group's primary and to its nearest replica, so that the first requests of a
+// process don't all wait for a dial. With tenants it makes none, as the tenants of the first requests are not known.
 func (r *router) warmUp(grp *memberGroup) {
 	if r.proxy.tenantsInForce(r.config) {
 		return
--- a/internal/dataplane/proxy/connpool_test.go
+++ b/internal/dataplane/proxy/connpool_test.go
@@ -20,7 +20,7 @@
 		c := &memberConn{Conn: &memberconn.Conn{NetConn: here, Reader: wire.NewReader(here)}}
 		c.state.Sync(sessionWith(value), nil)
 		pool.open++
-		pool.put(c, float64(1000*i))
+		pool.putIdle(c, float64(1000*i))
 		conns = append(conns, c)
 	}
 	return pool, conns
@@ -43,7 +43,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			pool, conns := poolOf(t, "x", "y", "x", "w")
-			if got := pool.take("", sessionWith(c.value).ValuesHash()); got != conns[c.want] {
+			if got := pool.takeIdle("", sessionWith(c.value).ValuesHash()); got != conns[c.want] {
 				t.Errorf("another connection than number %d", c.want)
 			}
 			if len(pool.idle) != 3 || pool.open != 4 {
--- a/internal/dataplane/proxy/denials.go
+++ b/internal/dataplane/proxy/denials.go
@@ -8,17 +8,17 @@
 	"weirwind/internal/util/metrics"
 )
 
-// This file owns the figures on clients whose key is no tenant's. No key is ever told.
+// This file counts and logs requests of clients whose key belongs to no tenant. Keys are never logged.
 
-const denialInterval = 1000.0 // milliseconds between two log lines on denials
+const denialLogInterval = 1000.0 // minimum time between two log lines on denials, in milliseconds
 
-// denialKind is what was denied.
+// denialKind is the kind of request that was denied.
 type denialKind uint8
 
 const (
-	deniedAttach      denialKind = iota // a session was not opened
-	deniedOperation                     // the key of an open session had been taken away
-	deniedTransaction                   // the same while a transaction was open: it was rolled back
+	deniedAttach      denialKind = iota // ATTACH of a new session
+	deniedOperation                     // operation of an open session whose key had been revoked
+	deniedTransaction                   // statement in a transaction that is rolled back as the key was revoked
 	denialKinds
 )
 
@@ -28,7 +28,7 @@
 	deniedTransaction: "transaction",
 }
 
-// denials counts what was denied. Sessions use it from their own goroutines.
+// denials counts denied requests. It is safe for concurrent use by sessions.
 type denials struct {
 	counts [denialKinds]atomic.Uint64
 	proxy  *Proxy
@@ -38,10 +38,10 @@
 	loggedAt float64 // milliseconds
 }
 
-// record counts a denial, and logs the counts at most once in denialInterval.
+// record counts a denial, and logs the counts if the last log line is at least denialLogInterval old.
 func (d *denials) record(kind denialKind) {
 	d.counts[kind].Add(1)
-	if !d.isLogDue(d.proxy.now()) {
+	if !d.claimLogLine(d.proxy.now()) {
 		return
 	}
 	pairs := []any{"gen", d.proxy.configVersion()}
@@ -51,18 +51,19 @@
 	d.proxy.log.Event(events.ClientsDenied, pairs...)
 }
 
-func (d *denials) isLogDue(now float64) bool {
+// claimLogLine reports whether a log line may be written now, and if so records now as the time of the last one.
+func (d *denials) claimLogLine(now float64) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.logged && now < d.loggedAt+denialInterval {
+	if d.logged && now < d.loggedAt+denialLogInterval {
 		return false
 	}
 	d.logged, d.loggedAt = true, now
 	return true
 }
 
-// figures writes the counts.
-func (d *denials) figures(set metrics.Set) {
+// writeMetrics writes the number of denials of each kind.
+func (d *denials) writeMetrics(set metrics.Set) {
 	for kind, name := range denialNames {
 		set.Counter("weirwind_proxy_denied_total", "Requests of clients whose key is no tenant's, by what was denied.",
 			float64(d.counts[kind].Load()), "what", name)
--- a/internal/dataplane/proxy/dispatch.go
+++ b/internal/dataplane/proxy/dispatch.go
@@ -10,76 +10,76 @@
 )
 
 const (
-	maxQueuedRequests = 2000   // of a group
-	rejectionInterval = 1000.0 // milliseconds between two log lines on a group's rejections
+	maxQueuedPerGroup    = 2000   // requests that may wait in the queue of one group
+	rejectionLogInterval = 1000.0 // minimum time between two log lines on rejections of a group, in milliseconds
 )
 
-// connRequest asks for a member connection on which a statement, or a transaction, can be run. A session makes one
-// for each statement and uses it for all its attempts; while it is queued, the router owns it.
+// connRequest is a request for a member connection that can run a statement or a transaction. A session creates one
+// for each statement and reuses it for all attempts. The router owns it while it is queued.
 type connRequest struct {
-	tenant      string // name of the tenant whose client asks; "": there are no tenants, or the route is public
+	tenant      string // name of the client's tenant; "" without tenants and on a public route
 	requirement group.Requirement
-	commit      bool   // the answer to what is sent waits for replicas
-	valuesHash  uint64 // of the session's values: a connection that holds them already is preferred
-	// Milliseconds: when its statement came, and when it must be answered at the latest.
+	commit      bool   // the member answers only after replicas have acknowledged
+	valuesHash  uint64 // hash of the session's variables; a connection that has the same values is preferred
+	// Arrival of the statement and the latest time for its answer, in milliseconds.
 	startedAt, deadline float64
-	avoid               []string     // members at which earlier attempts failed
-	dialing             string       // the member that a connection is being made to on its behalf, "" for none
-	admitted            bool         // its operation was counted: further attempts are not
-	refusal             *clientError // why it was refused by its tenant's quota
+	avoid               []string     // ids of members at which earlier attempts failed
+	dialing             string       // id of the member that is being dialled for this request, "" for none
+	admitted            bool         // the operation was counted in its quota; further attempts are not counted
+	quotaError          *clientError // the refusal by the tenant's quota, nil for none
 	reply               chan lentConn
 }
 
-// avoidMember keeps further attempts away from a member, where another may do.
+// avoidMember makes further attempts prefer other members.
 func (q *connRequest) avoidMember(id string) { q.avoid = append(q.avoid, id) }
 
-// lentConn is a connection that is lent to a session, with what the member must check.
+// lentConn is a member connection that a session has checked out, with the conditions that the member must verify.
 type lentConn struct {
 	group  *memberGroup
 	member *group.Member
-	record directory.Member // the member's, as it was then
+	record directory.Member // copy of the member's record at checkout
 	conn   *memberConn
 
-	minPosition   wire.Position // as group.Target has it
-	verifyPrimary bool
-	sentAt        float64 // when it was lent, which counts as the time of the first request
+	minPosition   wire.Position // see group.Target
+	verifyPrimary bool          // see group.Target
+	sentAt        float64       // time of checkout in milliseconds, used as the send time of the first request
 
-	err error // why there is no connection; nothing else is set then
+	err error // the reason why there is no connection; if set, all other fields are empty
 }
 
-// failure is what its client is answered with when it got no connection.
-func (q *connRequest) failure() error {
-	if q.refusal != nil {
-		return q.refusal
+// replyError returns the error for the client of a request that got no connection.
+func (q *connRequest) replyError() error {
+	if q.quotaError != nil {
+		return q.quotaError
 	}
 	return errRetryLater
 }
 
-// enqueue queues a request for a connection to a group, or answers it at once. A request whose tenant's quota is used
-// up is refused, or waits elsewhere.
+// enqueue queues a request for a connection to a member of the service, or answers it at once. If the quota of its
+// tenant is used up, the request is refused or waits in the queue of the quota.
 func (r *router) enqueue(service string, request *connRequest) {
 	if r.admit(service, request) {
 		r.enqueueAdmitted(service, request)
 	}
 }
 
-// enqueueAdmitted is enqueue for a request that is within its tenant's quota.
+// enqueueAdmitted is like enqueue, for a request that the tenant's quota has admitted.
 func (r *router) enqueueAdmitted(service string, request *connRequest) {
 	g := r.group(service)
 	if !g.queue.push(request) {
-		g.figures.overflown++
+		g.metrics.queueFull++
 		request.reply <- lentConn{err: errRetryLater}
 		return
 	}
 	r.dispatch(g)
 }
 
-// dispatch answers the queued requests that can be answered, in order of arrival: with an idle connection to the
-// member that the request is routed to, or with an error once too little time is left. For others it has
-// connections made. A connection serves only the tenant that it was made for.
+// dispatch goes through the queued requests in order of arrival. It answers a request with an idle connection to the
+// member that the request is routed to, or with an error once too little time is left, and starts dials for the others.
+// A connection serves only the tenant that it was made for.
 //
-// While there is no primary, requests of writes and linearizable reads are routed nowhere and so stay queued; the
-// dispatch after the writer slot was filled releases them in order.
+// Without a primary, requests for writes and linearizable reads can't be routed and stay queued. The first dispatch
+// after the writer slot is filled releases them in order.
 func (r *router) dispatch(grp *memberGroup) {
 	if grp.queue.len() == 0 {
 		return
@@ -88,32 +88,32 @@
 	available := r.availability(grp, now)
 	latency := grp.routing.TypicalLatency()
 	grp.queue.removeIf(func(request *connRequest) bool {
-		// A request without enough time for an answer would time out, and its connection be closed with it: while
-		// many wait, every connection would be, and no request would ever be answered.
+		// A request without enough time for an answer would time out, which closes its connection. Under a long queue
+		// that would happen to every connection, and no request would ever be answered.
 		if now >= request.deadline-min(2*latency, (request.deadline-request.startedAt)/3) {
-			grp.figures.expired++
+			grp.metrics.expired++
 			request.reply <- lentConn{err: errRetryLater}
 			r.logRejection(grp, request, now)
 			return true
 		}
-		grp.routed = request
+		grp.dispatching = request
 		target := grp.routing.Route(&request.requirement, now, available,
 			func(id string) bool { return slices.Contains(request.avoid, id) })
 		if target.Member == nil {
 			if r.proxy.phase() < refusing {
 				return false
 			}
-			request.reply <- lentConn{err: errRetryLater} // the process would end before a member is found
+			request.reply <- lentConn{err: errRetryLater} // the process may end before a member is found
 			return true
 		}
 		if pool := grp.pool(target.Member.ID); pool.hasIdle(request.tenant) {
-			grp.figures.queueWait.Observe((now - request.startedAt) / 1000)
+			grp.metrics.queueWait.Observe((now - request.startedAt) / 1000)
 			request.reply <- r.checkOut(grp, pool, request, target, now)
 			return true
 		}
 		if request.dialing == "" {
 			request.dialing = target.Member.ID
-			grp.pool(target.Member.ID).makePlace(request, r.connShare(grp), now)
+			grp.pool(target.Member.ID).evictForDial(request, r.connShare(grp), now)
 			r.dial(grp, target.Member, request.tenant)
 		}
 		return false
@@ -121,39 +121,39 @@
 	r.probe(grp)
 }
 
-// checkOut lends an idle connection of a pool that has one.
+// checkOut takes an idle connection from a pool that has one for the request's tenant.
 func (r *router) checkOut(grp *memberGroup, pool *connPool, request *connRequest, target group.Target,
 	now float64) lentConn {
 	m := target.Member
 	m.InFlight++
 	grp.routing.RecordSend(m, now, request.commit)
-	return lentConn{group: grp, member: m, record: m.Member, conn: pool.take(request.tenant, request.valuesHash),
+	return lentConn{group: grp, member: m, record: m.Member, conn: pool.takeIdle(request.tenant, request.valuesHash),
 		minPosition: target.MinPosition, verifyPrimary: target.VerifyPrimary, sentAt: now}
 }
 
-// checkIn takes a connection back. not reusable: it was closed.
+// checkIn takes back a connection. If it is not reusable, the caller has closed it.
 func (r *router) checkIn(lent *lentConn, reusable bool) {
 	g, m := lent.group, lent.member
 	m.InFlight--
 	if reusable {
-		r.keep(g, m, lent.conn)
+		r.poolOrClose(g, m, lent.conn)
 	} else {
-		g.pool(m.ID).closed(lent.conn.tenant)
+		g.pool(m.ID).recordClosed(lent.conn.tenant)
 	}
 	g.dropUnusedPool(m.ID, r.proxy.now())
 	r.dispatch(g)
 }
 
-// rejectionLog counts the requests of a group that were rejected since the last log line on them.
+// rejectionLog counts the rejected requests of a group since the last log line on them.
 type rejectionLog struct {
 	count    int
-	loggedAt float64
+	loggedAt float64 // milliseconds
 }
 
-// logRejection logs what a rejected request was waiting for, at most one line a second for each group.
+// logRejection logs the state of the group when a request is rejected, at most once per rejectionLogInterval.
 func (r *router) logRejection(grp *memberGroup, request *connRequest, now float64) {
 	log := &grp.rejections
-	if log.count++; now < log.loggedAt+rejectionInterval {
+	if log.count++; now < log.loggedAt+rejectionLogInterval {
 		return
 	}
 	log.loggedAt = now
--- a/internal/dataplane/proxy/dispatch_test.go
+++ b/internal/dataplane/proxy/dispatch_test.go
@@ -42,7 +42,7 @@
 	}
 	here, there := net.Pipe()
 	defer there.Close()
-	r.keep(g, a, &memberConn{Conn: &memberconn.Conn{NetConn: here, Reader: wire.NewReader(here)}})
+	r.poolOrClose(g, a, &memberConn{Conn: &memberconn.Conn{NetConn: here, Reader: wire.NewReader(here)}})
 	r.dispatch(g)
 	for i, request := range requests {
 		select {
--- a/internal/dataplane/proxy/errors.go
+++ b/internal/dataplane/proxy/errors.go
@@ -10,25 +10,25 @@
 	"weirwind/internal/shard/shardnode"
 )
 
-// errorKind is what an error means for a client.
+// errorKind classifies errors by what they mean for a client.
 type errorKind uint8
 
 const (
-	// unavailable: nothing of the statement was kept, and the client may retry it.
+	// unavailable means that the statement had no effect and the client may retry it.
 	unavailable errorKind = iota
-	// aborted: the transaction has ended, and nothing of it was kept.
+	// aborted means that the transaction has ended without an effect.
 	aborted
-	// outcomeUnknown: the statement, or the transaction, may have been kept or not.
+	// outcomeUnknown means that the statement or the transaction may have been committed.
 	outcomeUnknown
-	// invalid: the client's message, or its place, is against the protocol.
+	// invalid means that the client's message violates the protocol or is not allowed in the session's state.
 	invalid
 	unknownDatabase
 	unknownStatement
-	// denied: the client's key is no tenant's, and the session ends.
+	// denied means that the client's key belongs to no tenant. The session ends.
 	denied
 )
 
-// failCodes are the codes of FAIL by kind.
+// failCodes maps kinds of errors to codes of FAIL.
 var failCodes = [...]string{
 	unavailable:      wire.CodeRetry,
 	aborted:          wire.CodeAborted,
@@ -39,16 +39,16 @@
 	denied:           wire.CodeDenied,
 }
 
-// clientError is an error of the proxy's own that a client is answered with. Its text is part of the protocol.
+// clientError is an error of the proxy that a client is answered with. Its text is part of the protocol.
 type clientError struct {
 	kind errorKind
 	text string
 }
 
-// Error is the text that the client is answered with.
+// Error returns the text for the client.
 func (e *clientError) Error() string { return e.text }
 
-// Errors with texts that never differ.
+// Errors with a fixed text.
 var (
 	errRetryLater    = &clientError{unavailable, "come back after 200 ms"}
 	errNotConfigured = &clientError{unavailable, "no configuration is known yet"}
@@ -62,14 +62,15 @@
 	errNoTransaction     = &clientError{invalid, "no transaction is open"}
 	errTransactionFailed = &clientError{invalid, "the transaction has failed and is to be ended"}
 
-	errCommitOfFailed = &clientError{aborted, "the transaction had failed"}
-	errIdleTooLong    = &clientError{aborted, "it rested for too long"}
-	errKeyWithdrawn   = &clientError{aborted, "its key was taken away"}
+	errFailedTransactionCommit = &clientError{aborted, "the transaction had failed"}
+	errTransactionIdle         = &clientError{aborted, "it rested for too long"}
+	errKeyRevoked              = &clientError{aborted, "its key was taken away"}
 
 	errUnknownKey = &clientError{denied, "no tenant has this key"}
 )
 
-// retryAfterError says that nothing of the statement was sent, and when to come back.
+// retryAfterError returns the error of a statement of which nothing was sent, with the time in milliseconds after which
+// the client should retry.
 func retryAfterError(ms float64) *clientError {
 	return &clientError{unavailable, "come back after " + strconv.Itoa(int(math.Ceil(ms))) + " ms"}
 }
@@ -77,7 +78,7 @@
 func databaseError(host string) error  { return &clientError{unknownDatabase, host} }
 func statementError(name string) error { return &clientError{unknownStatement, name} }
 
-// unansweredError says that a member did not answer. kind says what that means for the client.
+// unansweredError returns the error of a statement that a member did not answer. kind is its meaning for the client.
 func unansweredError(kind errorKind, memberID string) error {
 	return &clientError{kind, "no answer came from " + memberID}
 }
@@ -90,29 +91,29 @@
 	return &clientError{outcomeUnknown, "no node that holds " + shard + " could say what came of it"}
 }
 
-// isProtocolError says whether a client's bytes were no message.
+// isProtocolError reports whether a read failed because the client's bytes are no valid message.
 func isProtocolError(err error) bool {
 	return errors.Is(err, wire.ErrMalformedLine) || errors.Is(err, wire.ErrMessageTooLong) ||
 		errors.Is(err, wire.ErrBufferBudget)
 }
 
-// failCode maps an error to the code of FAIL that a client is answered with. No other place does. An error that was
-// not made for clients promises nothing.
+// failCode returns the code of FAIL for an error. An error of an unexpected type becomes CodeOutcomeUnknown, which
+// promises nothing.
 func failCode(err error) string {
-	var own *clientError
+	var clientErr *clientError
 	switch {
-	case errors.As(err, &own):
-		return failCodes[own.kind]
+	case errors.As(err, &clientErr):
+		return failCodes[clientErr.kind]
 	case isProtocolError(err):
 		return wire.CodeMalformed
 	}
 	return wire.CodeOutcomeUnknown
 }
 
-// The codes of members' own FAILs are forwarded to clients, but for those that the proxy acts on itself:
+// The codes of FAILs from members are forwarded to clients, except for those that the proxy handles itself.
 
-// isRetryableShardCode says whether a shard node's refusal only means that nothing was kept: the client may
-// retry.
+// isRetryableShardCode reports whether a code of a shard node means no more than that the statement had no effect, so
+// that the client may retry it.
 func isRetryableShardCode(code string) bool {
 	switch strings.ToUpper(code) {
 	case shardnode.CodeNoRoom, shardnode.CodeVoid, shardnode.CodeState:
@@ -121,5 +122,5 @@
 	return false
 }
 
-// mayHaveRun says whether a member that failed a statement with the code may have run it all the same.
+// mayHaveRun reports whether a member that failed a statement with the code may still have run it.
 func mayHaveRun(code string) bool { return code == wire.CodeFailed || code == wire.CodeTimeout }
--- a/internal/dataplane/proxy/errors_test.go
+++ b/internal/dataplane/proxy/errors_test.go
@@ -21,7 +21,7 @@
 		{databaseError("db"), "NODB"},
 		{statementError("p"), "NOSTMT"},
 		{errUnknownKey, "DENIED"},
-		{errKeyWithdrawn, "ABORTED"},
+		{errKeyRevoked, "ABORTED"},
 		{fmt.Errorf("wrapped: %w", errRetryLater), "RETRY"},
 		{wire.ErrMalformedLine, "MALFORMED"},
 		{wire.ErrMessageTooLong, "MALFORMED"},
--- a/internal/dataplane/proxy/golden_test.go
+++ b/internal/dataplane/proxy/golden_test.go
@@ -125,7 +125,7 @@
 			func(*transcript) { time.Sleep(5 * time.Second) },
 			queries(nil, "FETCH a", "FETCH a", "COMMIT", "FETCH a"))},
 		{"end of the process", "db", then(queries(nil, "BEGIN", "STORE a 1"), func(x *transcript) {
-			x.p.enter(closingAll)
+			x.p.enterPhase(closingAll)
 			x.p.wakeSessions()
 			synctest.Wait()
 		}, queries(nil, "FETCH a", "COMMIT"))},
@@ -197,7 +197,7 @@
 			x.p.routes().ServeHTTP(w, httptest.NewRequest("GET", path, nil))
 			fmt.Fprintf(&b, "GET %s\n%d\n%s", path, w.Code, w.Body)
 		}
-		x.p.enter(draining)
+		x.p.enterPhase(draining)
 		w := httptest.NewRecorder()
 		x.p.routes().ServeHTTP(w, httptest.NewRequest("GET", "/ready", nil))
 		fmt.Fprintf(&b, "leaving: %d\n", w.Code)
--- a/internal/dataplane/proxy/message.go
+++ b/internal/dataplane/proxy/message.go
@@ -7,17 +7,17 @@
 	"weirwind/internal/member/wire"
 )
 
-// internalQueryID is the id of the proxy's own queries to members. No client may use it.
+// internalQueryID is the id of queries that the proxy itself makes. No client may use it.
 const internalQueryID = wire.NoStamp
 
-// statement is what a client wants to be run: BEGIN, COMMIT, or what reads or writes.
+// statement is a client's statement that a member runs: COMMIT, a read or a write.
 type statement struct {
-	id, text   string // as the client sent them
+	id, text   string // unchanged from the client's QUERY
 	parsed     wire.Statement
 	receivedAt float64 // milliseconds
 }
 
-// handleMessage carries out a message of the client and collects its answer. false: the session ends.
+// handleMessage processes a message from the client and buffers the answer. It returns false if the session ends.
 func (s *session) handleMessage(line string) bool {
 	word, rest := wire.CutField(line)
 	if word == wire.MsgBye {
@@ -29,7 +29,7 @@
 		return false
 	}
 	parsed := wire.ParseStatement(text)
-	if s.tx != nil && s.refuses() && parsed.Verb != "COMMIT" {
+	if s.tx != nil && s.refusesStatements() && parsed.Verb != "COMMIT" {
 		s.failIdleTransaction()
 	}
 	switch {
@@ -43,7 +43,7 @@
 	return true
 }
 
-// handleInFailedTransaction answers in a transaction that has failed: only COMMIT or ABORT is accepted.
+// handleInFailedTransaction answers a statement in a failed transaction, where only COMMIT and ABORT are accepted.
 func (s *session) handleInFailedTransaction(verb string) {
 	switch verb {
 	case "ABORT":
@@ -51,28 +51,27 @@
 		s.replyDone()
 	case "COMMIT":
 		s.tx = nil
-		s.replyError(errCommitOfFailed, wire.StateIdle)
+		s.replyError(errFailedTransactionCommit, wire.StateIdle)
 	default:
-		err := s.tx.unreported
+		err := s.tx.unreportedError
 		if err == nil {
 			err = errTransactionFailed
 		}
-		s.tx.unreported = nil
+		s.tx.unreportedError = nil
 		s.replyError(err, wire.StateFailedTransaction)
 	}
 }
 
-// handleStatement carries out a statement: by the session alone if it only changes the session's state, else by a
-// member.
+// handleStatement runs a statement: in the session if it only changes the session's state, else at a member.
 func (s *session) handleStatement(id, text string, parsed wire.Statement) {
 	switch parsed.Verb {
 	case "SET":
-		s.replyResult(s.kept.SetValue(parsed.Name, parsed.Args), errTooManyValues)
+		s.replyResult(s.sessionState.SetValue(parsed.Name, parsed.Args), errTooManyValues)
 	case "PREP":
 		prepared := sessionstate.Statement{Kind: parsed.PreparedVerb, Text: parsed.Args}
-		s.replyResult(s.kept.Prepare(parsed.Name, prepared), errTooManyPrepared)
+		s.replyResult(s.sessionState.Prepare(parsed.Name, prepared), errTooManyPrepared)
 	case "UNPREP":
-		if !s.kept.Unprepare(parsed.Name) {
+		if !s.sessionState.Unprepare(parsed.Name) {
 			s.replyError(statementError(parsed.Name), s.state())
 			return
 		}
@@ -86,16 +85,16 @@
 	}
 }
 
-// replyResult answers a statement that only changes the session's state.
-func (s *session) replyResult(ok bool, otherwise error) {
+// replyResult answers a statement that only changes the session's state, with the failure unless ok.
+func (s *session) replyResult(ok bool, failure error) {
 	if !ok {
-		s.replyError(otherwise, s.state())
+		s.replyError(failure, s.state())
 		return
 	}
 	s.replyDone()
 }
 
-// runStatement has a member run a statement, inside the open transaction or on its own.
+// runStatement runs a statement at a member, inside the open transaction or as a single statement.
 func (s *session) runStatement(st *statement) {
 	switch st.parsed.Verb {
 	case "COMMIT":
@@ -104,7 +103,7 @@
 			return
 		}
 	case "EXEC":
-		if _, known := s.kept.Prepared(st.parsed.Name); !known {
+		if _, known := s.sessionState.Prepared(st.parsed.Name); !known {
 			s.replyError(statementError(st.parsed.Name), s.state())
 			return
 		}
@@ -113,7 +112,7 @@
 		s.runInTransaction(st)
 		return
 	}
-	if s.refuses() {
+	if s.refusesStatements() {
 		s.replyError(errRetryLater, wire.StateIdle)
 		return
 	}
@@ -130,8 +129,8 @@
 	s.runSingle(st, route, tenant)
 }
 
-// route is the host's in the configuration of the moment, nil for none any more. It binds a single statement, or a
-// whole transaction.
+// route returns the route of the session's host in the current configuration, nil if there is none. A single statement,
+// or a whole transaction, keeps the route that it started with.
 func (s *session) route() *config.Route {
 	if cfg := s.proxy.config.Load(); cfg != nil {
 		return cfg.RouteForHost(s.host)
@@ -139,23 +138,24 @@
 	return nil
 }
 
-// writes says whether a statement writes.
-func (s *session) writes(st *statement) bool {
+// isWrite reports whether a statement writes.
+func (s *session) isWrite(st *statement) bool {
 	if st.parsed.Verb == "EXEC" {
-		prepared, _ := s.kept.Prepared(st.parsed.Name)
+		prepared, _ := s.sessionState.Prepared(st.parsed.Name)
 		return prepared.Kind == "STORE"
 	}
 	return st.parsed.Verb == "STORE"
 }
 
-// readRequirement is what a read, or a transaction that only reads, must see if it began at startedAt.
+// readRequirement returns what a read, or a read-only transaction, must see if it began at startedAt.
 func (s *session) readRequirement(route *config.Route, startedAt float64) group.Requirement {
 	switch {
 	case route.Shard != "":
 	case route.Consistency == config.ConsistencyBoundedStaleness:
 		return group.Requirement{AckedBefore: startedAt - route.MaxStaleness}
 	case route.Consistency == config.ConsistencySession:
-		// What the client wrote before this session began, perhaps at another proxy, was acknowledged before it began.
+		// Writes that the client made before this session, perhaps through another proxy, were acknowledged before the
+		// session started.
 		return group.Requirement{AckedBefore: max(startedAt-route.MaxStaleness, s.startedAt),
 			SessionCommit: s.lastCommit, SessionCommitAt: s.lastCommitAt}
 	}
--- a/internal/dataplane/proxy/metrics.go
+++ b/internal/dataplane/proxy/metrics.go
@@ -9,21 +9,21 @@
 	"weirwind/internal/util/metrics"
 )
 
-// This file owns the proxy's own figures, as Prometheus fetches them.
+// This file exports the proxy's metrics to Prometheus.
 
-// groupFigures are what the router counts of a group for its operators.
-type groupFigures struct {
-	queueWait metrics.Histogram // of requests that were lent a connection, from the statement's arrival
-	expired   uint64            // requests that were rejected as their time was nearly over
-	overflown uint64            // requests that found the queue full
+// groupMetrics are the metrics that the router keeps for a group.
+type groupMetrics struct {
+	queueWait metrics.Histogram // seconds from a statement's arrival until it got a connection
+	expired   uint64            // requests that were rejected because their deadline was too close
+	queueFull uint64            // requests that were rejected because the queue was full
 	outcomes  [group.OutcomeCount]uint64
 }
 
-// groupSnapshot is a copy of a group's figures.
+// groupSnapshot is a copy of the metrics of a group.
 type groupSnapshot struct {
-	groupFigures
+	groupMetrics
 	service, slot string
-	slotAge       float64 // seconds
+	slotAge       float64 // seconds since the slot's last change
 	waiting       int
 	maxConns      int
 	members       []memberSnapshot
@@ -35,27 +35,27 @@
 	ejected             bool
 }
 
-// routerSnapshot is a copy of the router's figures.
+// routerSnapshot is a copy of the router's metrics.
 type routerSnapshot struct {
 	drivers int
-	version uint64
+	version uint64 // of the configuration, 0 for none
 	groups  []groupSnapshot
-	quotas  *quotaSnapshot // nil: nothing is limited
+	quotas  *quotaSnapshot // nil if no quotas are in force
 }
 
-// snapshot copies the figures, for another goroutine.
+// snapshot copies the metrics for use by another goroutine.
 func (r *router) snapshot() routerSnapshot {
 	now := r.proxy.now()
-	all := routerSnapshot{drivers: r.driverCount}
+	snapshot := routerSnapshot{drivers: r.driverCount}
 	if r.quotas != nil {
-		all.quotas = r.quotas.snapshot()
+		snapshot.quotas = r.quotas.snapshot()
 	}
 	if r.config != nil {
-		all.version = r.config.Version
+		snapshot.version = r.config.Version
 	}
 	for service, grp := range r.groups {
-		g := groupSnapshot{groupFigures: grp.figures, service: service, slot: grp.routing.Slot.Holder,
-			slotAge: (now - grp.slotSince) / 1000, waiting: grp.queue.len(), maxConns: r.connShare(grp)}
+		g := groupSnapshot{groupMetrics: grp.metrics, service: service, slot: grp.routing.Slot.Holder,
+			slotAge: (now - grp.primarySince) / 1000, waiting: grp.queue.len(), maxConns: r.connShare(grp)}
 		for id, member := range grp.routing.Members {
 			m := memberSnapshot{id: id, ejected: member.Ejected(now)}
 			if pool := grp.pools[id]; pool != nil {
@@ -63,37 +63,38 @@
 			}
 			g.members = append(g.members, m)
 		}
-		all.groups = append(all.groups, g)
+		snapshot.groups = append(snapshot.groups, g)
 	}
-	return all
+	return snapshot
 }
 
-// figures writes the proxy's figures. Without the router's answer in time those of groups are left out.
-func (p *Proxy) figures(set metrics.Set) {
+// writeMetrics writes the proxy's metrics. It leaves out those of the router if the router does not answer in time.
+func (p *Proxy) writeMetrics(set metrics.Set) {
 	set.Gauge("weirwind_proxy_sessions", "Clients' sessions that are open.", float64(p.clientConns.Load()))
 	set.Flag("weirwind_proxy_ready", "1 while the platform is told that this proxy is ready.", p.ready())
 	set.Flag("weirwind_proxy_agent_linked", "1 while the agent on this machine feeds this proxy.",
 		p.agent.Load() != nil)
-	p.denials.figures(set)
+	p.denials.writeMetrics(set)
 	events.Figures(p.log, set)
-	ctx, stop := context.WithTimeout(p.ctx, metrics.OwnerTimeout)
-	defer stop()
-	all, err := commandqueue.Call(ctx, p.router.commands, p.router.snapshot)
+	ctx, cancel := context.WithTimeout(p.ctx, metrics.OwnerTimeout)
+	defer cancel()
+	snapshot, err := commandqueue.Call(ctx, p.router.commands, p.router.snapshot)
 	if err != nil {
 		return
 	}
-	set.Gauge("weirwind_proxy_config_version", "Version of the configuration in force; 0: none.", float64(all.version))
-	set.Gauge("weirwind_proxy_drivers", "Drivers that share members' connections.", float64(all.drivers))
-	if all.quotas != nil {
-		all.quotas.write(set)
+	set.Gauge("weirwind_proxy_config_version", "Version of the configuration in force; 0: none.",
+		float64(snapshot.version))
+	set.Gauge("weirwind_proxy_drivers", "Drivers that share members' connections.", float64(snapshot.drivers))
+	if snapshot.quotas != nil {
+		snapshot.quotas.writeMetrics(set)
 	}
-	for i := range all.groups {
-		all.groups[i].write(set)
+	for i := range snapshot.groups {
+		snapshot.groups[i].writeMetrics(set)
 	}
 }
 
-// write writes a group's figures.
-func (g *groupSnapshot) write(set metrics.Set) {
+// writeMetrics writes the metrics of a group.
+func (g *groupSnapshot) writeMetrics(set metrics.Set) {
 	set.Flag("weirwind_proxy_slot_filled", "1 while the writer slot names a primary.",
 		g.slot != "", "service", g.service)
 	set.Gauge("weirwind_proxy_slot_age_seconds", "Since the writer slot changed last.", g.slotAge, "service", g.service)
@@ -106,20 +107,20 @@
 	set.Counter("weirwind_proxy_rejected_requests_total", "Requests that were rejected unsent, by reason.",
 		float64(g.expired), "service", g.service, "reason", "expired")
 	set.Counter("weirwind_proxy_rejected_requests_total", "Requests that were rejected unsent, by reason.",
-		float64(g.overflown), "service", g.service, "reason", "queue_full")
-	for outcome, n := range g.outcomes {
-		set.Counter("weirwind_proxy_attempts_total", "Requests to members, by how they ended.", float64(n),
+		float64(g.queueFull), "service", g.service, "reason", "queue_full")
+	for outcome, count := range g.outcomes {
+		set.Counter("weirwind_proxy_attempts_total", "Requests to members, by how they ended.", float64(count),
 			"service", g.service, "outcome", group.Outcome(outcome).String())
 	}
 	for _, m := range g.members {
-		m.write(set, g.service)
+		m.writeMetrics(set, g.service)
 	}
 }
 
-// write writes a member's figures.
-func (m *memberSnapshot) write(set metrics.Set, service string) {
-	for state, n := range map[string]int{"idle": m.idle, "dialing": m.dialing, "lent": m.open - m.idle - m.dialing} {
-		set.Gauge("weirwind_proxy_connections", "Connections to members, by what they do.", float64(n),
+// writeMetrics writes the metrics of a member.
+func (m *memberSnapshot) writeMetrics(set metrics.Set, service string) {
+	for state, count := range map[string]int{"idle": m.idle, "dialing": m.dialing, "lent": m.open - m.idle - m.dialing} {
+		set.Gauge("weirwind_proxy_connections", "Connections to members, by what they do.", float64(count),
 			"service", service, "member", m.id, "state", state)
 	}
 	set.Flag("weirwind_proxy_member_ejected", "1 while routing leaves the member out.", m.ejected,
--- a/internal/dataplane/proxy/metrics_test.go
+++ b/internal/dataplane/proxy/metrics_test.go
@@ -30,13 +30,13 @@
 	g.pool("a").open, g.pool("a").dialing = 3, 1
 	lent := lentConn{group: g, member: g.routing.Members["a"]}
 	p.router.recordOutcome(&lent, p.now(), group.AnsweredAsPrimary, wire.Position{})
-	g.figures.queueWait.Observe(0.002)
+	g.metrics.queueWait.Observe(0.002)
 	g.queue.max = 0
 	request := &connRequest{reply: make(chan lentConn, 1)}
 	p.router.enqueue("orders", request) // finds the queue full
 	go p.router.run()
 	w := httptest.NewRecorder()
-	metrics.Handler(p.figures).ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/metrics", nil))
+	metrics.Handler(p.writeMetrics).ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/metrics", nil))
 	for _, line := range []string{
 		`weirwind_proxy_ready 0`,
 		`weirwind_proxy_slot_filled{service="orders"} 1`,
@@ -66,7 +66,7 @@
 		}
 	}
 	go p.router.run()
-	handler := metrics.Handler(p.figures)
+	handler := metrics.Handler(p.writeMetrics)
 	b.ReportAllocs()
 	for b.Loop() {
 		w := httptest.NewRecorder()
--- a/internal/dataplane/proxy/proxy.go
+++ b/internal/dataplane/proxy/proxy.go
@@ -23,77 +23,77 @@
 )
 
 const (
-	warmUpPeriod = 2 * time.Second // in which the first connections are made
+	warmUpPeriod = 2 * time.Second // after the first configuration, in which the first connections are made
 
-	acceptPause     = 5 * time.Millisecond // after an error of accept, as when there are no file descriptors left
-	reservedFiles   = 600                  // of the process's limit: what is not clients' connections
-	minClientConns  = 64
-	bufferBudgetDiv = 8 // part of the memory that long messages that have not ended may take
+	acceptRetryDelay    = 5 * time.Millisecond // after a failed accept, for example when no file descriptor is left
+	reservedFiles       = 600                  // of the process's file limit, for files other than client connections
+	minClientConns      = 64
+	bufferBudgetDivisor = 8 // incomplete long messages may use 1/8 of the memory limit
 )
 
-// Proxy is the state that the sessions and the router share. Its fields but the last group are set before it serves.
+// Proxy is the state that the sessions and the router share. The fields above config are set before it serves clients.
 type Proxy struct {
 	settings     *settings.Settings
 	log          events.Log
-	ctx          context.Context // of its goroutines: it ends after the shutdown of the last session
+	ctx          context.Context // of all goroutines; it ends after the graceful shutdown
 	startedAt    time.Time
 	router       *router
-	bufferBudget *wire.BufferBudget // for long messages that have not ended
+	bufferBudget *wire.BufferBudget // for incomplete long messages
 
-	tenantsByContract bool // clients attach with a tenant's key, whatever the configuration
+	tenantsRequired bool // clients must attach with a tenant's key even if the configuration has no tenants
 
-	config        atomic.Pointer[config.Config] // nil until the first came
+	config        atomic.Pointer[config.Config] // nil until the first configuration has arrived
 	denials       denials
-	agent         atomic.Pointer[transport.Link[controlmsg.Frame]]
-	shutdownPhase atomic.Int32 // a phase
+	agent         atomic.Pointer[transport.Link[controlmsg.Frame]] // nil while there is no connection to the agent
+	shutdownPhase atomic.Int32                                     // of type phase
 	clientConns   atomic.Int32
 	mu            sync.Mutex
 	sessions      map[*session]struct{} // guarded by mu
 }
 
-// newProxy returns a proxy whose goroutines end with ctx.
+// newProxy returns a proxy. Its goroutines end with ctx.
 func newProxy(ctx context.Context, s *settings.Settings, log events.Log) *Proxy {
 	p := &Proxy{settings: s, log: log, ctx: ctx, startedAt: time.Now(), sessions: map[*session]struct{}{},
-		bufferBudget:      wire.NewBufferBudget(int64(s.MemoryMB) << 20 / bufferBudgetDiv),
-		tenantsByContract: s.HasContract(settings.ContractTenants)}
+		bufferBudget:    wire.NewBufferBudget(int64(s.MemoryMB) << 20 / bufferBudgetDivisor),
+		tenantsRequired: s.HasContract(settings.ContractTenants)}
 	p.router = newRouter(p)
 	p.denials.proxy = p
 	return p
 }
 
-// Run serves until ctx ends and what was open then is answered. All goroutines that it starts end with it.
+// Run serves clients until ctx ends, then shuts down gracefully. All goroutines that it starts end with it.
 func Run(ctx context.Context, s *settings.Settings, log events.Log) error {
-	inner, stop := context.WithCancel(context.WithoutCancel(ctx))
+	serveCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	p := newProxy(inner, s, log)
-	front, err := net.Listen("tcp4", s.FrontAddr)
+	p := newProxy(serveCtx, s, log)
+	clientListener, err := net.Listen("tcp4", s.FrontAddr)
 	if err != nil {
 		return oops.In("listen").Wrap(err)
 	}
-	ready, err := net.Listen("tcp4", s.ReadyAddr)
+	httpListener, err := net.Listen("tcp4", s.ReadyAddr)
 	if err != nil {
 		return oops.In("listen").Wrap(err)
 	}
-	server := &http.Server{Handler: p.routes(), ReadHeaderTimeout: 2 * time.Second, IdleTimeout: 30 * time.Second,
+	httpServer := &http.Server{Handler: p.routes(), ReadHeaderTimeout: 2 * time.Second, IdleTimeout: 30 * time.Second,
 		MaxHeaderBytes: 8 << 10}
-	go func() { _ = server.Serve(ready) }() // until Close
+	go func() { _ = httpServer.Serve(httpListener) }() // until Close
 	go p.router.run()
 	go p.followAgent()
 	go p.warmUp()
-	go p.accept(front)
-	defer metrics.Register(p.figures)()
+	go p.accept(clientListener)
+	defer metrics.Register(p.writeMetrics)()
 	log.Event(events.Started, "front", s.FrontAddr, "ready", s.ReadyAddr)
 	<-ctx.Done()
-	p.shutDown(front)
-	_ = server.Close()
+	p.shutDown(clientListener)
+	_ = httpServer.Close()
 	log.Event(events.Stopped)
 	return nil
 }
 
-// now is the time since the proxy's start, in milliseconds: the clock of all that it decides.
+// now returns the time since the proxy's start in milliseconds. All decisions of the proxy use this clock.
 func (p *Proxy) now() float64 { return milliseconds(time.Since(p.startedAt)) }
 
-// configVersion is the version of the configuration in force, 0 for none.
+// configVersion returns the version of the current configuration, 0 for none.
 func (p *Proxy) configVersion() uint64 {
 	if cfg := p.config.Load(); cfg != nil {
 		return cfg.Version
@@ -101,10 +101,10 @@
 	return 0
 }
 
-// timeAt turns a time of now into one of the runtime's clock.
+// timeAt converts a time of now to a time.Time.
 func (p *Proxy) timeAt(ms float64) time.Time { return p.startedAt.Add(time.Duration(ms * 1e6)) }
 
-// distanceTo says how far a zone is from the proxy's.
+// distanceTo returns the distance of a zone from the proxy's zone.
 func (p *Proxy) distanceTo(zone string) group.Distance {
 	region := p.settings.Regions[zone]
 	switch {
@@ -116,33 +116,33 @@
 	return group.OtherRegion
 }
 
-// followAgent takes what the agent on this machine sends, over loopback.
+// followAgent keeps a connection to the agent on this machine and handles the frames that it sends.
 func (p *Proxy) followAgent() {
 	backoff := transport.Backoff{Initial: 20 * time.Millisecond, Max: 500 * time.Millisecond,
 		DialTimeout: func(int) time.Duration { return transport.DialTimeout(0) }}
 	transport.KeepConnected(p.ctx, p.settings.FeedAddr, backoff,
-		func(l *transport.Link[controlmsg.Frame]) { p.agent.Store(l) },
-		func(_ *transport.Link[controlmsg.Frame], f *controlmsg.Frame) {
-			if f.Update != nil {
-				p.router.do(func() { p.router.update(f.Update) })
+		func(link *transport.Link[controlmsg.Frame]) { p.agent.Store(link) },
+		func(_ *transport.Link[controlmsg.Frame], frame *controlmsg.Frame) {
+			if frame.Update != nil {
+				p.router.do(func() { p.router.update(frame.Update) })
 			}
-			if f.QuotaAnswer != nil {
-				p.router.do(func() { p.router.takeQuotaAnswer(f.QuotaAnswer) })
+			if frame.QuotaAnswer != nil {
+				p.router.do(func() { p.router.handleQuotaAnswer(frame.QuotaAnswer) })
 			}
 		},
 		func() { p.agent.Store(nil) })
 }
 
-// report sends the agent what the control plane is to know of a primary. Without an agent it is dropped: the next one
-// says the same again.
-func (p *Proxy) report(report *controlmsg.PrimaryReport) {
-	if l := p.agent.Load(); l != nil {
-		l.Send(&controlmsg.Frame{PrimaryReport: report})
+// report sends the agent a report on a primary for the control plane. Without a connection to the agent the report is
+// dropped, as reports are repeated.
+func (p *Proxy) report(primaryReport *controlmsg.PrimaryReport) {
+	if link := p.agent.Load(); link != nil {
+		link.Send(&controlmsg.Frame{PrimaryReport: primaryReport})
 	}
 }
 
-// warmUp has the first connections made once there is a configuration, at random times as all proxies may start at
-// once.
+// warmUp makes the first connections once there is a configuration. Their times are random, as all proxies may start at
+// the same time.
 func (p *Proxy) warmUp() {
 	select {
 	case <-p.router.configured:
@@ -150,10 +150,10 @@
 		return
 	}
 	cfg := p.config.Load()
-	meanPause := warmUpPeriod / time.Duration(max(len(cfg.Services), 1))
+	meanDelay := warmUpPeriod / time.Duration(max(len(cfg.Services), 1))
 	for _, i := range rand.Perm(len(cfg.Services)) {
 		select {
-		case <-time.After(time.Duration(rand.Int64N(int64(2*meanPause) + 1))):
+		case <-time.After(time.Duration(rand.Int64N(int64(2*meanDelay) + 1))):
 		case <-p.ctx.Done():
 			return
 		}
@@ -161,24 +161,24 @@
 	}
 }
 
-// accept takes clients' connections until the listener is closed, and closes those that are too many at once.
+// accept serves client connections until the listener is closed. It closes connections beyond the maximum.
 func (p *Proxy) accept(listener net.Listener) {
 	maxConns := int32(max(p.settings.MaxOpenFiles-reservedFiles, minClientConns))
 	for {
-		c, err := listener.Accept()
+		conn, err := listener.Accept()
 		if err != nil {
 			if p.ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
 				return
 			}
-			time.Sleep(acceptPause)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		if p.clientConns.Add(1) > maxConns {
 			p.clientConns.Add(-1)
-			_ = c.Close()
+			_ = conn.Close()
 			continue
 		}
-		go p.serve(c)
+		go p.serve(conn)
 	}
 }
 
--- a/internal/dataplane/proxy/quota.go
+++ b/internal/dataplane/proxy/quota.go
@@ -14,47 +14,47 @@
 	"weirwind/internal/util/settings"
 )
 
-// This file owns tenants' quotas at the proxy: which operations may go to a member, each by a token that the core
-// machine gave, and the timer for those that wait for one. What waits there has no place in a group's queue.
+// This file enforces the quotas of tenants. An operation may go to a member once it has a token from a core machine. An
+// operation that waits for a token is not in the queue of a group.
 
 const (
-	maxQuotaWait        = 600.0            // milliseconds until an operation that waits is refused
-	minQuotaWake        = time.Millisecond // before a look at what waits
-	timerRounding       = time.Microsecond // so that what is due is due when the timer for it fires
-	quotaRefusalLogging = 1000.0           // milliseconds between two log lines on a tenant's refusals
+	maxQuotaWait            = 600.0            // milliseconds after which a waiting operation is refused
+	minQuotaTimerDelay      = time.Millisecond // shortest delay of the quota timer
+	quotaTimerRounding      = time.Microsecond // added to the delay so that the timer never fires before the due time
+	quotaRefusalLogInterval = 1000.0           // milliseconds between two log lines on refusals of a tenant
 )
 
-// quotas bounds what tenants' clients send to members. It belongs to the router's goroutine.
+// quotas limits the operations of tenants. It belongs to the router's goroutine.
 type quotas struct {
-	client  *quota.Client[quotaWaiter]
-	timer   *time.Timer // nil: none was needed yet
-	wakeAt  float64     // milliseconds, when the timer fires; +Inf: it isn't set
-	refused uint64
-	waited  metrics.Histogram      // of operations that got their token
-	logs    map[string]*refusalLog // by tenant; one that nothing was refused of has none
+	client      *quota.Client[quotaWaiter]
+	timer       *time.Timer // nil until the first operation needs it
+	wakeAt      float64     // time at which the timer fires, in milliseconds; +Inf if it is not set
+	refused     uint64
+	waitTimes   metrics.Histogram      // of operations that waited and got a token, in seconds
+	refusalLogs map[string]*refusalLog // by tenant, only for tenants with refused operations
 }
 
-// quotaWaiter is an operation that waits for a token.
+// quotaWaiter is an operation that waits for a token of its tenant's quota.
 type quotaWaiter struct {
 	service string
 	request *connRequest
 }
 
-// refusalLog counts the operations of a tenant that were refused since the last log line on them.
+// refusalLog counts the refused operations of a tenant since the last log line on them.
 type refusalLog struct {
 	count    int
 	loggedAt float64 // milliseconds
 }
 
-// newQuotas returns nil where the contract isn't in force.
+// newQuotas returns nil if the quota contract is not in force.
 func newQuotas(s *settings.Settings, incarnation uint64) *quotas {
 	if !s.HasContract(settings.ContractQuota) {
 		return nil
 	}
-	return &quotas{client: quota.New[quotaWaiter](incarnation), wakeAt: math.Inf(1), logs: map[string]*refusalLog{}}
+	return &quotas{client: quota.New[quotaWaiter](incarnation), wakeAt: math.Inf(1), refusalLogs: map[string]*refusalLog{}}
 }
 
-// updateQuotas takes the tenants of a new configuration.
+// updateQuotas applies the tenants of a new configuration.
 func (r *router) updateQuotas(cfg *config.Config) {
 	if r.quotas == nil {
 		return
@@ -65,53 +65,53 @@
 		_, _, limited[tenant.Name] = quotalimit.Of(tenant, r.proxy.settings.QuotaExcess, r.proxy.settings.QuotaExtra)
 	}
 	now := r.proxy.now()
-	r.finishQuotaWaits(r.quotas.client.SetTenants(limited, now), now)
-	maps.DeleteFunc(r.quotas.logs, func(tenant string, _ *refusalLog) bool { return !limited[tenant] })
+	r.applyQuotaOutcomes(r.quotas.client.SetTenants(limited, now), now)
+	maps.DeleteFunc(r.quotas.refusalLogs, func(tenant string, _ *refusalLog) bool { return !limited[tenant] })
 }
 
-// takeQuotaAnswer takes the core's answer to a request for tokens.
-func (r *router) takeQuotaAnswer(answer *controlmsg.QuotaAnswer) {
+// handleQuotaAnswer processes a core machine's answer to a request for tokens.
+func (r *router) handleQuotaAnswer(answer *controlmsg.QuotaAnswer) {
 	if r.quotas == nil {
 		return
 	}
 	now := r.proxy.now()
-	r.finishQuotaWaits(r.quotas.client.Answer(answer, now), now)
-	r.askForTokens(now)
+	r.applyQuotaOutcomes(r.quotas.client.Answer(answer, now), now)
+	r.requestTokens(now)
 }
 
-// tickQuotas does what is due: it refuses what has waited for too long, and asks for tokens.
+// tickQuotas refuses operations that have waited for too long, and sends the request for tokens that is due.
 func (r *router) tickQuotas(now float64) {
 	if r.quotas == nil {
 		return
 	}
-	r.finishQuotaWaits(r.quotas.client.Expire(now), now)
-	r.askForTokens(now)
+	r.applyQuotaOutcomes(r.quotas.client.Expire(now), now)
+	r.requestTokens(now)
 }
 
-// admit takes a token of the tenant's quota for the request's operation, once for all of its attempts. true: it may go
-// on. Else it was answered, or waits and goes on later.
+// admit takes one token of the tenant's quota for all attempts of the request's operation. It returns true if the
+// request may be queued for a connection now. Otherwise the request was answered, or waits and is queued later.
 func (r *router) admit(service string, request *connRequest) bool {
 	if r.quotas == nil || request.tenant == "" || request.admitted {
 		return true
 	}
 	now := r.proxy.now()
 	until := min(now+maxQuotaWait, request.deadline-milliseconds(tickInterval))
-	verdict, afterMs := r.quotas.client.Enqueue(request.tenant, quotaWaiter{service, request}, until, now)
+	verdict, retryAfterMs := r.quotas.client.Enqueue(request.tenant, quotaWaiter{service, request}, until, now)
 	switch verdict {
 	case quota.Admitted:
 		request.admitted = true
 		return true
 	case quota.Refused:
-		r.refuseByQuota(request, afterMs, now)
+		r.refuseOverQuota(request, retryAfterMs, now)
 	case quota.Waiting:
-		r.askForTokens(now)
+		r.requestTokens(now)
 	}
 	return false
 }
 
-// askForTokens sends the request that is due, and has the timer set for what is due next. Without a link to the agent
-// operations wait: the next tick of the router that finds one asks.
-func (r *router) askForTokens(now float64) {
+// requestTokens sends the request for tokens that is due, if any, and sets the timer for the next due time. Without a
+// connection to the agent operations wait; the first tick of the router with a connection sends the request.
+func (r *router) requestTokens(now float64) {
 	link := r.proxy.agent.Load()
 	if link != nil {
 		if request := r.quotas.client.NextRequest(now); request != nil {
@@ -119,57 +119,57 @@
 		}
 	}
 	at := r.quotas.client.WakeAt(link != nil)
-	if at >= r.quotas.wakeAt { // one that fires too early is harmless
+	if at >= r.quotas.wakeAt { // a timer that fires too early is harmless
 		return
 	}
 	r.quotas.wakeAt = at
-	after := max(time.Duration((at-now)*float64(time.Millisecond))+timerRounding, minQuotaWake)
+	delay := max(time.Duration((at-now)*float64(time.Millisecond))+quotaTimerRounding, minQuotaTimerDelay)
 	if r.quotas.timer != nil {
-		r.quotas.timer.Reset(after)
+		r.quotas.timer.Reset(delay)
 		return
 	}
-	r.quotas.timer = time.AfterFunc(after, func() { r.do(r.wakeQuotas) })
+	r.quotas.timer = time.AfterFunc(delay, func() { r.do(r.handleQuotaTimer) })
 }
 
-// wakeQuotas is called as the timer has fired.
-func (r *router) wakeQuotas() {
+// handleQuotaTimer runs when the timer has fired.
+func (r *router) handleQuotaTimer() {
 	r.quotas.wakeAt = math.Inf(1)
 	r.tickQuotas(r.proxy.now())
 }
 
-// finishQuotaWaits answers operations that waited, or lets them go on.
-func (r *router) finishQuotaWaits(outcomes []quota.Outcome[quotaWaiter], now float64) {
+// applyQuotaOutcomes answers the refused ones of the operations that waited for a token, and queues the admitted ones.
+func (r *router) applyQuotaOutcomes(outcomes []quota.Outcome[quotaWaiter], now float64) {
 	for _, outcome := range outcomes {
 		waiter := outcome.Operation
 		if outcome.Verdict == quota.Refused {
-			r.refuseByQuota(waiter.request, outcome.RetryAfterMs, now)
+			r.refuseOverQuota(waiter.request, outcome.RetryAfterMs, now)
 			continue
 		}
-		r.quotas.waited.Observe(outcome.WaitedMs / 1000)
+		r.quotas.waitTimes.Observe(outcome.WaitedMs / 1000)
 		waiter.request.admitted = true
 		r.enqueueAdmitted(waiter.service, waiter.request)
 	}
 }
 
-// refuseByQuota answers a request that its tenant's quota has no room for.
-func (r *router) refuseByQuota(request *connRequest, afterMs, now float64) {
-	request.refusal = retryAfterError(afterMs)
-	request.reply <- lentConn{err: request.refusal}
+// refuseOverQuota rejects a request that exceeds the quota of its tenant.
+func (r *router) refuseOverQuota(request *connRequest, retryAfterMs, now float64) {
+	request.quotaError = retryAfterError(retryAfterMs)
+	request.reply <- lentConn{err: request.quotaError}
 	r.quotas.refused++
-	log := r.quotas.logs[request.tenant]
+	log := r.quotas.refusalLogs[request.tenant]
 	if log == nil {
 		log = &refusalLog{loggedAt: math.Inf(-1)}
-		r.quotas.logs[request.tenant] = log
+		r.quotas.refusalLogs[request.tenant] = log
 	}
-	if log.count++; now < log.loggedAt+quotaRefusalLogging {
+	if log.count++; now < log.loggedAt+quotaRefusalLogInterval {
 		return
 	}
-	r.proxy.log.Event(events.QuotaRefusals, "tenant", request.tenant, "count", log.count, "retryAfterMs", int(afterMs),
-		"waiting", r.quotas.client.Waiting(request.tenant), "agent", r.proxy.agent.Load() != nil)
+	r.proxy.log.Event(events.QuotaRefusals, "tenant", request.tenant, "count", log.count,
+		"retryAfterMs", int(retryAfterMs), "waiting", r.quotas.client.Waiting(request.tenant), "agent", r.proxy.agent.Load() != nil)
 	log.count, log.loggedAt = 0, now
 }
 
-// quotaSnapshot is a copy of the figures of quotas.
+// quotaSnapshot is a copy of the metrics of quotas.
 type quotaSnapshot struct {
 	quota.Figures
 	refused uint64
@@ -179,11 +179,11 @@
 
 func (q *quotas) snapshot() *quotaSnapshot {
 	return &quotaSnapshot{Figures: q.client.Figures(), refused: q.refused, waiting: q.client.TotalWaiting(),
-		waited: q.waited}
+		waited: q.waitTimes}
 }
 
-// write writes the figures. They have no label for the tenant, as there may be any number of them.
-func (q *quotaSnapshot) write(set metrics.Set) {
+// writeMetrics writes the metrics. They have no label for the tenant, as the number of tenants is unbounded.
+func (q *quotaSnapshot) writeMetrics(set metrics.Set) {
 	set.Counter("weirwind_proxy_quota_operations_total", "Operations of tenants with a quota.", float64(q.Operations))
 	set.Counter("weirwind_proxy_quota_refused_total", "Operations that got no token of their tenant's quota.",
 		float64(q.refused))
--- a/internal/dataplane/proxy/quota_test.go
+++ b/internal/dataplane/proxy/quota_test.go
@@ -62,7 +62,7 @@
 func (x *quotaRig) answer(seq uint64, tokens int, retryAfterMs float64) {
 	answer := &controlmsg.QuotaAnswer{Incarnation: uint64(x.p.startedAt.UnixNano()), Seq: seq,
 		Tenants: []controlmsg.QuotaTokens{{Tenant: "hot", Tokens: tokens, RetryAfterMs: retryAfterMs}}}
-	x.do(func() { x.p.router.takeQuotaAnswer(answer) })
+	x.do(func() { x.p.router.handleQuotaAnswer(answer) })
 }
 
 // asked is how many requests were sent.
@@ -124,7 +124,7 @@
 		x.p.agent.Store(l)
 		close(up)
 	}, func(_ *transport.Link[controlmsg.Frame], f *controlmsg.Frame) {
-		x.p.router.do(func() { x.p.router.takeQuotaAnswer(f.QuotaAnswer) })
+		x.p.router.do(func() { x.p.router.handleQuotaAnswer(f.QuotaAnswer) })
 	}, func(*transport.Link[controlmsg.Frame]) {})
 	<-up
 	x.ends = append(x.ends, there)
@@ -237,7 +237,7 @@
 		if err := refusal(request); err == nil || err.Error() != "come back after 500 ms" {
 			t.Errorf("after 600 ms: %v", err)
 		}
-		if err := request.failure(); err.Error() != "come back after 500 ms" {
+		if err := request.replyError(); err.Error() != "come back after 500 ms" {
 			t.Errorf("its client is answered %v", err)
 		}
 		for _, left := range []float64{20, 70} {
@@ -299,7 +299,7 @@
 			x.ask("hot")
 		}
 		w := httptest.NewRecorder()
-		metrics.Handler(x.p.figures).ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/metrics", nil))
+		metrics.Handler(x.p.writeMetrics).ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/metrics", nil))
 		for _, line := range []string{
 			"weirwind_proxy_quota_operations_total 132",
 			"weirwind_proxy_quota_refused_total 30", // beyond the 100 that may wait
--- a/internal/dataplane/proxy/reply.go
+++ b/internal/dataplane/proxy/reply.go
@@ -9,26 +9,28 @@
 )
 
 const (
-	writeTimeout  = 5 * time.Second // for a client that doesn't read its answer
-	keptOutBuffer = 4096            // bytes; the buffer of a longer answer is not kept
+	writeTimeout    = 5 * time.Second // for a client that does not read its answer
+	maxKeptOutBytes = 4096            // maximum capacity of a session's out buffer that is kept for reuse
 )
 
-// Answers are collected in session.out and written by flush, so that a short one takes one write.
+// Answers are collected in session.outBuffer and written by flush, so that a short answer takes one write.
 
-func (s *session) replyLine(line string) { s.out = append(append(s.out, line...), '\r', '\n') }
+func (s *session) replyLine(line string) {
+	s.outBuffer = append(append(s.outBuffer, line...), '\r', '\n')
+}
 
-// replyReady ends an answer: the session's state and a log position, NoStamp for none.
+// replyReady ends an answer with the session's state and a log position, which is NoStamp for none.
 func (s *session) replyReady(state, position string) {
 	s.replyLine(wire.MsgReady + " " + state + " " + position)
 }
 
-// replyDone answers what needs no member.
+// replyDone answers a statement that the session itself has run.
 func (s *session) replyDone() {
 	s.replyLine(wire.MsgDone + " " + wire.NoStamp)
 	s.replyReady(s.state(), wire.NoStamp)
 }
 
-// replyError answers with an error and the session's state after it.
+// replyError answers with an error and the state of the session after it.
 func (s *session) replyError(err error, state string) {
 	s.replyFail(err)
 	s.replyReady(state, wire.NoStamp)
@@ -38,13 +40,13 @@
 	s.replyLine(strings.TrimRight(wire.MsgFail+" "+failCode(err)+" "+err.Error(), " "))
 }
 
-// rejectSession answers with an error, after which the session ends.
+// rejectSession answers with an error that ends the session.
 func (s *session) rejectSession(err error) {
 	s.replyFail(err)
 	s.flush()
 }
 
-// forwardReply answers as the member did.
+// forwardReply answers with a member's reply.
 func (s *session) forwardReply(reply *memberconn.Reply, state string) {
 	for _, row := range reply.Rows {
 		s.replyLine(row)
@@ -57,8 +59,8 @@
 	s.replyReady(state, reply.Position.String())
 }
 
-// forwardRows sends the client rows of an answer that has too many to keep, before its end is known. From then on no
-// other member may answer the statement.
+// forwardRows sends rows to the client before the member's reply is complete, as they exceed the buffer limit. After
+// that no other member may answer the statement.
 func (s *session) forwardRows(rows []string) error {
 	s.rowsForwarded = true
 	for _, row := range rows {
@@ -70,16 +72,16 @@
 	return nil
 }
 
-// flush writes what was collected. false: the client doesn't take it.
+// flush writes the collected answers. It returns false if the write fails.
 func (s *session) flush() bool {
-	if len(s.out) == 0 {
+	if len(s.outBuffer) == 0 {
 		return true
 	}
-	_ = s.client.SetWriteDeadline(time.Now().Add(writeTimeout)) // the write fails too if this does
-	_, err := s.client.Write(s.out)
-	if cap(s.out) > keptOutBuffer {
-		s.out = nil
+	_ = s.client.SetWriteDeadline(time.Now().Add(writeTimeout)) // if this fails, the write fails too
+	_, err := s.client.Write(s.outBuffer)
+	if cap(s.outBuffer) > maxKeptOutBytes {
+		s.outBuffer = nil
 	}
-	s.out = s.out[:0]
+	s.outBuffer = s.outBuffer[:0]
 	return err == nil
 }
--- a/internal/dataplane/proxy/reporter.go
+++ b/internal/dataplane/proxy/reporter.go
@@ -5,26 +5,26 @@
 	"weirwind/internal/dataplane/group"
 )
 
-const reportInterval = 400.0 // milliseconds between two reports on one group
+const reportInterval = 400.0 // minimum time between two reports on one group, in milliseconds
 
-// reporter makes the reports to the control plane on one group's primary: that it doesn't answer, answers no commit,
-// or takes no connection, repeated while it is so, and once that it is healthy again.
+// reporter creates the reports to the control plane on the primary of one group. While the primary does not answer,
+// answers no commit or accepts no connection, the report is repeated. One more report tells that it is healthy again.
 type reporter struct {
-	reportedAt float64
-	unhealthy  bool // the last report said so
+	reportedAt float64 // milliseconds
+	unhealthy  bool    // the primary's state in the last report
 }
 
-// next returns the report that is due at now, nil for none.
+// next returns the report that is due at the time now, nil for none.
 func (r *reporter) next(g *group.Group, now float64) *controlmsg.PrimaryReport {
 	primary := g.Primary()
 	stalled := g.CommitsStalled(now)
-	silent := g.SilentPrimary()
-	unreachable := silent != ""
+	unreachableID := g.SilentPrimary()
+	unreachable := unreachableID != ""
 	unhealthy := stalled || unreachable || primary != nil && primary.Suspected
 	if !unhealthy && !r.unhealthy || now < r.reportedAt+reportInterval {
 		return nil
 	}
-	if primary == nil && !unreachable { // nobody is known to lead: there is nobody to report, and earlier reports expire
+	if primary == nil && !unreachable { // no primary is known, so there is none to report; earlier reports expire
 		r.unhealthy = false
 		return nil
 	}
@@ -32,7 +32,7 @@
 	report := &controlmsg.PrimaryReport{Service: g.Service}
 	switch {
 	case unreachable:
-		report.MemberID, report.Unreachable = silent, true
+		report.MemberID, report.Unreachable = unreachableID, true
 	case primary != nil:
 		report.MemberID = primary.ID
 		report.CommitsStalled = stalled
--- a/internal/dataplane/proxy/router.go
+++ b/internal/dataplane/proxy/router.go
@@ -14,47 +14,47 @@
 
 const (
 	tickInterval   = 50 * time.Millisecond
-	commandBacklog = 4096 // commands queued before a session that sends one has to wait
+	commandBacklog = 4096 // queued commands beyond which a sender blocks
 )
 
-// A process that has just started doesn't know all drivers yet, nor how many connections are still open of drivers
-// that have just died: for startupPeriod (milliseconds) at least startupDriverCount drivers are assumed.
+// A process that has just started does not know all drivers yet, nor how many connections of drivers that have just
+// died are still open. For startupPeriod (milliseconds) it assumes at least minStartupDrivers drivers.
 const (
-	startupPeriod      = 1500.0
-	startupDriverCount = 6
+	startupPeriod     = 1500.0
+	minStartupDrivers = 6
 )
 
-// router owns what the sessions of a proxy share: the configuration, the replication groups with their connection
-// pools and queues, and the shards' routing table.
+// router owns the state that the sessions of a proxy share: the configuration, the replication groups with their
+// connection pools and queues, and the routing table of the shards.
 //
-// All its fields but commands and configured, and all its methods but do and run, belong to the one goroutine that
-// runs it. Sessions reach it by commands only. It does no I/O itself: connections are made,
-// and health checks sent, by goroutines that hand their result back as a command.
+// All fields except commands and configured, and all methods except do and run, belong to the goroutine of run.
+// Sessions use commands to reach them. The router does no I/O: dials and health checks run in goroutines that send
+// their results back as commands.
 type router struct {
 	proxy    *Proxy
 	commands *commandqueue.Queue
 
 	config      *config.Config // nil until the agent has sent the first
-	configured  chan struct{}  // closed then
+	configured  chan struct{}  // closed when the first configuration is applied
 	members     *directory.Members
-	driverCount int // drivers (proxies) with a lease, by the agent's last update; at least 1
-	groups      map[string]*memberGroup
+	driverCount int                     // drivers (proxy processes) with a lease, by the agent's last update; at least 1
+	groups      map[string]*memberGroup // by service
 	shards      *shardRouter
-	quotas      *quotas // nil: without the contract nothing is limited
+	quotas      *quotas // nil if the quota contract is not in force
 }
 
-// memberGroup is a replication group with this proxy's connections to its members.
+// memberGroup is a replication group and this proxy's connections to its members.
 type memberGroup struct {
-	routing    *group.Group         // decides where statements go
-	pools      map[string]*connPool // by member id; a member without connections has none
-	queue      waitQueue[*connRequest]
-	routed     *connRequest // the one of queue that dispatch routes
-	maxConns   int          // connections that each member may have from all drivers; 0: not configured
-	loggedSlot string
-	slotSince  float64 // when loggedSlot changed last, in milliseconds
-	rejections rejectionLog
-	figures    groupFigures
-	reporter   reporter
+	routing       *group.Group         // chooses the member for a statement
+	pools         map[string]*connPool // by member id, only for members with connections
+	queue         waitQueue[*connRequest]
+	dispatching   *connRequest // the request that dispatch is routing
+	maxConns      int          // limit of connections to each member from all drivers together, 0 if not configured
+	loggedPrimary string       // the writer slot's holder in the last log line on the slot
+	primarySince  float64      // time of the last change of loggedPrimary, in milliseconds
+	rejections    rejectionLog
+	metrics       groupMetrics
+	reporter      reporter
 }
 
 func newRouter(proxy *Proxy) *router {
@@ -70,10 +70,10 @@
 	}
 }
 
-// do queues a command. After the proxy's context has ended, it never runs.
+// do queues a command. Commands that are queued after the end of the proxy's context never run.
 func (r *router) do(command func()) { r.commands.Do(command) }
 
-// run carries out commands until the proxy's context ends.
+// run executes commands and ticks until the proxy's context ends.
 func (r *router) run() { r.commands.Run(tickInterval, r.tick) }
 
 func (r *router) tick() {
@@ -94,7 +94,7 @@
 	}
 }
 
-// update applies an update from the agent. Fields that are not set change nothing.
+// update applies an update from the agent. Fields that are not set leave the state unchanged.
 func (r *router) update(update *controlmsg.StateUpdate) {
 	now := r.proxy.now()
 	if update.DriverCount > 0 {
@@ -130,12 +130,12 @@
 
 func (r *router) updateMembers(records []directory.Member, now float64) {
 	changed := map[string]*memberGroup{}
-	for _, m := range r.members.Merge(records, now) {
-		g := r.group(m.Service)
-		g.routing.UpdateMember(m, now)
-		changed[m.Service] = g
-		if m.Tombstone || m.Draining {
-			g.closeIdle(m.ID)
+	for _, record := range r.members.Merge(records, now) {
+		g := r.group(record.Service)
+		g.routing.UpdateMember(record, now)
+		changed[record.Service] = g
+		if record.Tombstone || record.Draining {
+			g.closeIdle(record.ID)
 		}
 	}
 	for _, g := range changed {
@@ -144,40 +144,40 @@
 	}
 }
 
-// group returns a service's group, a new one if the service was not known: its members may become known before
-// the configuration that names it.
+// group returns the group of a service. It creates the group if the service is unknown, as members may be announced
+// before the configuration that names their service.
 func (r *router) group(service string) *memberGroup {
 	g := r.groups[service]
 	if g == nil {
 		g = &memberGroup{routing: group.NewGroup(service, r.proxy.distanceTo), pools: map[string]*connPool{},
-			queue: waitQueue[*connRequest]{max: maxQueuedRequests}}
+			queue: waitQueue[*connRequest]{max: maxQueuedPerGroup}}
 		r.groups[service] = g
 	}
 	return g
 }
 
-// drivers is how many drivers share the members' connections, as far as is known.
-func (r *router) drivers() int {
+// assumedDriverCount returns the number of drivers that share the members' connections, to the router's knowledge.
+func (r *router) assumedDriverCount() int {
 	if r.proxy.now() < startupPeriod {
-		return max(r.driverCount, startupDriverCount)
+		return max(r.driverCount, minStartupDrivers)
 	}
 	return max(r.driverCount, 1)
 }
 
-// recordOutcome notes how a request ended on a connection that stays lent.
+// recordOutcome records how a request ended on a connection that is checked out.
 func (r *router) recordOutcome(lent *lentConn, sentAt float64, outcome group.Outcome, position wire.Position) {
-	lent.group.figures.outcomes[outcome]++
+	lent.group.metrics.outcomes[outcome]++
 	lent.group.routing.RecordOutcome(lent.member, sentAt, r.proxy.now(), outcome, position)
 	r.logSlot(lent.group)
 }
 
-// logSlot logs the change of a group's writer slot, if there was one.
+// logSlot logs a change of the group's writer slot since the last call.
 func (r *router) logSlot(grp *memberGroup) {
 	holder := grp.routing.Slot.Holder
-	if holder == grp.loggedSlot {
+	if holder == grp.loggedPrimary {
 		return
 	}
-	grp.loggedSlot, grp.slotSince = holder, r.proxy.now()
+	grp.loggedPrimary, grp.primarySince = holder, r.proxy.now()
 	service, reason, queued := grp.routing.Service, grp.routing.SlotReason, grp.queue.len()
 	if holder == "" {
 		r.proxy.log.Event(events.SlotEmptied, "svc", service, "why", reason, "held", queued)
@@ -186,17 +186,17 @@
 	}
 }
 
-// probe sends the health checks that are due, while something waits for a primary.
+// probe sends the health checks that are due while requests are queued or the primary is suspected.
 func (r *router) probe(grp *memberGroup) {
 	if p := grp.routing.Primary(); grp.queue.len() == 0 && (p == nil || !p.Suspected) {
 		return
 	}
 	now := r.proxy.now()
-	for _, m := range grp.routing.ProbesToSend(now) {
-		record := m.Member
+	for _, member := range grp.routing.ProbesToSend(now) {
+		record := member.Member
 		go func() {
 			status, err := queryStatus(record)
-			r.do(func() { r.recordProbe(grp, m, now, status, err) })
+			r.do(func() { r.recordProbe(grp, member, now, status, err) })
 		}()
 	}
 }
--- a/internal/dataplane/proxy/session.go
+++ b/internal/dataplane/proxy/session.go
@@ -14,47 +14,47 @@
 )
 
 const (
-	messageTimeout = 10 * time.Second // for the rest of a message that has begun, and for ATTACH
-	configTimeout  = 1500 * time.Millisecond
+	messageTimeout = 10 * time.Second        // for ATTACH, and for the rest of a message after its first byte
+	configTimeout  = 1500 * time.Millisecond // maximum wait of ATTACH for the first configuration
 
-	defaultTxIdle = 60000.0 // milliseconds, where the configuration sets no bound
-	txIdleSlack   = 5.0     // milliseconds that a read deadline may fire early
+	defaultIdleInTransactionTimeout = 60000.0 // milliseconds, if the configuration sets none
+	readTimerSlack                  = 5.0     // milliseconds by which a read deadline may fire early
 )
 
-// session is a client's connection. Its goroutine (run) reads the client's messages one at a time, carries each out
-// to the end and writes the answer; all fields but mu and waiting belong to it.
+// session is the session of a client connection. Its goroutine (run) reads the client's messages one at a time,
+// processes each to the end and writes the answer. All fields except mu and waiting belong to that goroutine.
 type session struct {
-	proxy  *Proxy
-	client net.Conn
-	reader *wire.Reader
-	out    []byte // answers that were not written yet
-	host   string // the database that the client attached to
-	key    string // that it attached with
-	ended  bool   // no further message of the client is taken
+	proxy     *Proxy
+	client    net.Conn
+	reader    *wire.Reader
+	outBuffer []byte // answers that are not written yet
+	host      string // the database in the client's ATTACH
+	key       string // the key in the client's ATTACH
+	closing   bool   // the session ends after the current answer
 
-	startedAt  float64 // milliseconds, as the two below
-	answeredAt float64 // of its last answer
-	kept       sessionstate.Session
+	startedAt    float64 // milliseconds
+	answeredAt   float64 // time of the last answer in milliseconds
+	sessionState sessionstate.Session
 
-	lastCommit   wire.Position // of this session, which its reads by config.ConsistencySession must see
-	lastCommitAt float64
+	lastCommit   wire.Position // of this session; reads with config.ConsistencySession must see it
+	lastCommitAt float64       // milliseconds
 
-	tx *transaction // nil: none is open
+	tx *transaction // nil if no transaction is open
 
-	// shardPrefix is "ON shard epoch ", which goes in front of a statement, or a BEGIN, of a route with a shard. It is
-	// that of the last resolveService, and empty for other routes.
+	// shardPrefix is "ON shard epoch ", which precedes a statement or a BEGIN on a route with a shard. resolveService
+	// sets it, to "" for routes without a shard.
 	shardPrefix string
-	// rowsForwarded: rows of the current answer went to the client before the answer's end was known.
+	// rowsForwarded means that rows of the current answer were sent to the client before the answer was complete.
 	rowsForwarded bool
 
 	mu      sync.Mutex
-	waiting bool // for the client's next message: wake may interrupt it
+	waiting bool // the session waits for the client's next message, so wake may interrupt it; guarded by mu
 }
 
-// errClientGone ends a statement whose client doesn't read the rows.
+// errClientGone is the error of a statement whose rows could not be written to the client.
 var errClientGone = errors.New("the client is gone")
 
-// run serves the client until it disconnects or breaks the protocol, or the process shuts down.
+// run serves the client until it disconnects or violates the protocol, or the process shuts down.
 func (s *session) run() {
 	defer s.client.Close()
 	defer s.abandonTransaction()
@@ -68,22 +68,22 @@
 		wait := s.idleTimeout()
 		line, err := s.readMessage(wait)
 		if err != nil {
-			if s.endsOnReadError(err, wait) {
+			if s.handleReadError(err, wait) {
 				return
 			}
 			continue
 		}
-		if !s.handleMessage(line) || !s.flush() || s.ended || s.endsAfterAnswer() {
+		if !s.handleMessage(line) || !s.flush() || s.closing || s.closesAfterReply() {
 			return
 		}
 		s.answeredAt = s.proxy.now()
 	}
 }
 
-// endsOnReadError takes an error of readMessage. true: the session ends.
-func (s *session) endsOnReadError(err error, wait time.Duration) bool {
+// handleReadError handles an error of readMessage and reports whether the session ends.
+func (s *session) handleReadError(err error, wait time.Duration) bool {
 	if errors.Is(err, errInterrupted) {
-		return s.endsWhileIdle(wait)
+		return s.handleIdle(wait)
 	}
 	if isProtocolError(err) {
 		s.proxy.log.Event(events.MalformedMessage, "peer", s.client.RemoteAddr().String(), "why", err.Error())
@@ -92,7 +92,7 @@
 	return true
 }
 
-// attach takes the client's first message and answers it. false: the session ends.
+// attach reads the client's first message and answers it. It returns false if the session ends.
 func (s *session) attach() bool {
 	s.mu.Lock()
 	_ = s.client.SetReadDeadline(time.Now().Add(messageTimeout))
@@ -130,7 +130,8 @@
 	return s.flush()
 }
 
-// awaitConfig waits for a configuration where a process has just started; nil: none came in time.
+// awaitConfig returns the configuration. In a process that has just started it waits for the first one, and returns nil
+// if none arrives in time.
 func (s *session) awaitConfig() *config.Config {
 	if cfg := s.proxy.config.Load(); cfg != nil {
 		return cfg
@@ -143,13 +144,14 @@
 	return s.proxy.config.Load()
 }
 
-// errInterrupted: no message came in time, or wake was called. The session's state is to be looked at.
+// errInterrupted is the error of a wait for a message that timed out or was interrupted by wake.
 var errInterrupted = errors.New("no message yet")
 
-// readMessage waits for the client's next message, for as long as wait says; 0: for ever.
+// readMessage reads the client's next message. It waits up to the given time for its first byte, without limit if the
+// time is 0.
 func (s *session) readMessage(wait time.Duration) (string, error) {
 	if s.reader.Buffered() == 0 {
-		if err := s.awaitBytes(wait); err != nil {
+		if err := s.waitForInput(wait); err != nil {
 			return "", err
 		}
 	}
@@ -157,7 +159,8 @@
 	return s.reader.ReadMessage()
 }
 
-func (s *session) awaitBytes(wait time.Duration) error {
+// waitForInput waits until input from the client is available, with the time limit of readMessage.
+func (s *session) waitForInput(wait time.Duration) error {
 	s.mu.Lock()
 	s.waiting = true
 	var deadline time.Time
@@ -181,7 +184,7 @@
 	return errors.As(err, &netErr) && netErr.Timeout()
 }
 
-// wake interrupts a session that waits for its client, so that it looks at the process's phase.
+// wake interrupts a session that waits for its client, so that it checks the shutdown phase.
 func (s *session) wake() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -190,40 +193,40 @@
 	}
 }
 
-// idleTimeout is how long the session waits for its client's next message; 0: for ever.
+// idleTimeout returns how long the session waits for the client's next message, 0 for no limit.
 func (s *session) idleTimeout() time.Duration {
 	if s.tx == nil {
 		return s.proxy.idleTimeout()
 	}
-	idle := defaultTxIdle
+	idle := defaultIdleInTransactionTimeout
 	if cfg := s.proxy.config.Load(); cfg != nil && cfg.Limits.IdleInTransactionTimeout > 0 {
 		idle = cfg.Limits.IdleInTransactionTimeout
 	}
 	return time.Duration(idle * 1e6)
 }
 
-// endsWhileIdle looks at a session whose client sent nothing for the time wait, or that was woken. A transaction
-// that is idle for too long, or still open at the end of the process, is rolled back. true: the session ends.
-func (s *session) endsWhileIdle(wait time.Duration) bool {
+// handleIdle handles a wait for the client that timed out or was interrupted, and reports whether the session ends. It
+// rolls back a transaction that is idle for too long, or still open late in the shutdown.
+func (s *session) handleIdle(wait time.Duration) bool {
 	phase := s.proxy.phase()
-	if s.tx != nil && (s.proxy.now()-s.answeredAt > milliseconds(wait)-txIdleSlack || phase >= closingAll) {
+	if s.tx != nil && (s.proxy.now()-s.answeredAt > milliseconds(wait)-readTimerSlack || phase >= closingAll) {
 		s.failIdleTransaction()
 	}
-	return s.tx == nil && phase >= draining && s.isIdle() && s.nothingUnread()
+	return s.tx == nil && phase >= draining && s.isIdle() && s.noUnreadInput()
 }
 
-// isIdle says whether the session has been idle for so long that its client is hardly about to send anything: one
-// that has just attached, or was just answered, may have its next message on the way.
+// isIdle reports whether the session has been idle for at least half of the phase's idle timeout. Before that the
+// client's next message may be in flight, as it has just attached or just received an answer.
 func (s *session) isIdle() bool {
 	return s.proxy.now()-s.answeredAt >= milliseconds(s.proxy.idleTimeout())/2
 }
 
-// nothingUnread says whether the client has sent nothing that was not read yet.
-func (s *session) nothingUnread() bool {
+// noUnreadInput reports whether the client has sent nothing that is still unread.
+func (s *session) noUnreadInput() bool {
 	return (&memberconn.Conn{NetConn: s.client, Reader: s.reader}).Alive()
 }
 
-// state is the session's state as READY has it.
+// state returns the session's state as READY reports it.
 func (s *session) state() string {
 	switch {
 	case s.tx == nil:
--- a/internal/dataplane/proxy/shard.go
+++ b/internal/dataplane/proxy/shard.go
@@ -15,10 +15,11 @@
 	"weirwind/internal/util/commandqueue"
 )
 
-const shardRetryPause = 15 * time.Millisecond // before a retry at a node that doesn't know its epoch yet
+const shardRetryDelay = 15 * time.Millisecond // before a retry at a node that does not know the epoch yet
 
-// resolveService returns the service that a route's statement goes to now, and the epoch by which it owns the route's
-// shard, if the route has one. While the shard has no owner, it waits. false: none is known in time.
+// resolveService returns the service that statements of a route are sent to. For a route with a shard that is the owner
+// of the shard, and epoch is the epoch of its ownership. While the shard has no owner, it waits; ok is false if no
+// owner becomes known in time.
 func (s *session) resolveService(route *config.Route, deadline float64) (service string, epoch uint64, ok bool) {
 	s.shardPrefix = ""
 	if route.Shard == "" {
@@ -38,23 +39,24 @@
 	}
 }
 
-// shardMoved takes a node's refusal of a statement that was sent by an epoch: text is the refusal's code and the
-// newest epoch that the node knows. A node that doesn't know the epoch yet is given a moment; otherwise the shard has
-// another owner, and the next resolveService waits for a map that names it.
-func (s *session) shardMoved(route *config.Route, epoch uint64, text string) {
-	_, number := wire.CutField(text)
-	known, _ := strconv.ParseUint(number, 10, 64) // a refusal without one is as of epoch 0
+// handleShardMoved handles a node's refusal of a statement that was sent with an epoch. text is the code of the refusal
+// and the newest epoch that the node knows. If the node does not know the sent epoch yet, handleShardMoved waits for a
+// short time. Otherwise the shard has another owner, and the next resolveService waits for a map that names it.
+func (s *session) handleShardMoved(route *config.Route, epoch uint64, text string) {
+	_, knownText := wire.CutField(text)
+	knownEpoch, _ := strconv.ParseUint(knownText, 10, 64) // 0 if the refusal names no epoch
 	router := s.proxy.router
 	retry, err := commandqueue.Call(s.proxy.ctx, router.commands, func() bool {
-		return router.shards.table.HandleMoved(route.Shard, epoch, known)
+		return router.shards.table.HandleMoved(route.Shard, epoch, knownEpoch)
 	})
 	if err == nil && retry {
-		time.Sleep(shardRetryPause)
+		time.Sleep(shardRetryDelay)
 	}
 }
 
-// resolveOutcome finds out what came of an attempt that was sent to a shard's owner and not answered, and answers the
-// client. Whichever node owns the shard now either knows the outcome or makes sure that the attempt never has any.
+// resolveOutcome queries the outcome of an attempt that was sent to the owner of a shard and not answered, and answers
+// the client. The node that owns the shard now either knows the outcome or makes sure that the attempt never takes
+// effect.
 func (s *session) resolveOutcome(route *config.Route, id string, startedAt, deadline float64) {
 	request := &connRequest{startedAt: startedAt, deadline: deadline, requirement: group.Requirement{Write: true}}
 	for s.proxy.now() < deadline {
@@ -66,15 +68,15 @@
 		if err != nil {
 			break
 		}
-		question := fmt.Sprintf("SHARD SETTLE %s %d %s", route.Shard, epoch, id)
-		rows, err := lent.conn.Query(question, s.proxy.timeAt(deadline))
+		query := fmt.Sprintf("SHARD SETTLE %s %d %s", route.Shard, epoch, id)
+		rows, err := lent.conn.Query(query, s.proxy.timeAt(deadline))
 		var refusal *memberconn.MemberError
 		refused := errors.As(err, &refusal)
 		if err != nil && !refused {
-			s.finish(lent, false, group.NoAnswer, wire.Position{})
+			s.release(lent, false, group.NoAnswer, wire.Position{})
 			continue
 		}
-		s.finish(lent, true, group.Answered, wire.Position{})
+		s.release(lent, true, group.Answered, wire.Position{})
 		switch {
 		case !refused && len(rows) == 1:
 			s.replyLine(wire.MsgDone + " " + rows[0])
@@ -84,9 +86,9 @@
 			s.replyError(errRetryLater, wire.StateIdle)
 			return
 		case refused && refusal.Code == shardnode.CodeMoved:
-			s.shardMoved(route, epoch, refusal.Text)
+			s.handleShardMoved(route, epoch, refusal.Text)
 		default:
-			time.Sleep(shardRetryPause)
+			time.Sleep(shardRetryDelay)
 		}
 	}
 	s.replyError(shardOutcomeError(route.Shard), wire.StateIdle)
--- a/internal/dataplane/proxy/shardrouter.go
+++ b/internal/dataplane/proxy/shardrouter.go
@@ -4,26 +4,26 @@
 	"weirwind/internal/shard/shardmap"
 )
 
-const maxQueuedAtShard = 4000 // requests that wait for one shard's owner
+const maxQueuedPerShard = 4000 // requests that may wait for the owner of one shard
 
-// shardRouter owns the shards' routing table and the requests that wait for a shard without an owner. It belongs to
-// the router's goroutine.
+// shardRouter owns the routing table of the shards and the requests that wait for a shard without an owner. It belongs
+// to the router's goroutine.
 type shardRouter struct {
 	table  *shardmap.RoutingTable
-	queues map[string]*waitQueue[*shardRequest] // by shard; a shard that nothing waits for has none
+	queues map[string]*waitQueue[*shardRequest] // by shard, only for shards with waiting requests
 }
 
-// shardRequest asks which node owns a shard.
+// shardRequest is a request for the node that owns a shard.
 type shardRequest struct {
 	deadline float64                  // milliseconds
-	reply    chan shardmap.Assignment // closed without an answer if there was no owner in time
+	reply    chan shardmap.Assignment // closed without an answer if there is no owner in time
 }
 
 func newShardRouter() *shardRouter {
 	return &shardRouter{table: shardmap.NewRoutingTable(), queues: map[string]*waitQueue[*shardRequest]{}}
 }
 
-// resolve answers with a shard's owner, or queues the request until there is one.
+// resolve answers a request with the shard's owner, or queues it until there is an owner.
 func (r *shardRouter) resolve(shard string, request *shardRequest) {
 	if owner, ok := r.table.Owner(shard); ok {
 		request.reply <- owner
@@ -31,7 +31,7 @@
 	}
 	queue := r.queues[shard]
 	if queue == nil {
-		queue = &waitQueue[*shardRequest]{max: maxQueuedAtShard}
+		queue = &waitQueue[*shardRequest]{max: maxQueuedPerShard}
 		r.queues[shard] = queue
 	}
 	if !queue.push(request) {
@@ -39,7 +39,7 @@
 	}
 }
 
-// dispatch answers what waited for shards that have an owner again, and what has run out of time.
+// dispatch answers the queued requests for shards that have an owner again, and rejects those past their deadline.
 func (r *shardRouter) dispatch(now float64) {
 	for shard, queue := range r.queues {
 		owner, ok := r.table.Owner(shard)
--- a/internal/dataplane/proxy/shutdown.go
+++ b/internal/dataplane/proxy/shutdown.go
@@ -8,25 +8,25 @@
 	"weirwind/internal/util/events"
 )
 
-// phase is how far a graceful shutdown has come. Phases follow each other in order and never go back.
+// phase is a phase of the graceful shutdown. The phases follow each other in ascending order.
 type phase int32
 
 const (
 	serving     phase = iota
-	draining          // not ready any more; idle sessions end, others after the answers that they wait for
-	closingIdle       // the same, with less patience
-	closingAll        // transactions that are still open are rolled back
-	refusing          // nothing new goes to members; sessions end with the answer that they wait for
+	draining          // the process is not ready; sessions end when they are idle
+	closingIdle       // like draining, with a shorter idle timeout
+	closingAll        // open transactions are rolled back as well
+	refusing          // new statements are refused; sessions end after their current answer
 )
 
 const (
-	readinessDelay = 2300 * time.Millisecond // until the platform has seen that the process is not ready
-	killMargin     = 500 * time.Millisecond  // before the end of the grace period, at which the platform kills
+	readinessDelay = 2300 * time.Millisecond // until the platform has noticed that the process is not ready
+	killMargin     = 500 * time.Millisecond  // before the end of the grace period, when the platform kills the process
 	wakeInterval   = 25 * time.Millisecond
-	lingerTime     = 100 * time.Millisecond // for a client that is told of the end to see it
+	lingerTimeout  = 100 * time.Millisecond // for a client to notice the end of the connection
 )
 
-// idleTimeouts are how long a session may be idle in each phase before it ends; 0: for ever.
+// idleTimeouts are the idle timeouts of sessions in each phase; 0 means no limit.
 var idleTimeouts = [...]time.Duration{
 	serving:     0,
 	draining:    300 * time.Millisecond,
@@ -37,31 +37,32 @@
 
 func (p *Proxy) phase() phase { return phase(p.shutdownPhase.Load()) }
 
-func (p *Proxy) enter(next phase) { p.shutdownPhase.Store(int32(next)) }
+func (p *Proxy) enterPhase(next phase) { p.shutdownPhase.Store(int32(next)) }
 
 func (p *Proxy) idleTimeout() time.Duration { return idleTimeouts[p.phase()] }
 
-// shutDown disconnects the clients, phase by phase, within the grace period. New clients are served in all of them:
-// they still come for as long as the platform hasn't seen that the process is not ready, or has no other in their
-// zone.
-func (p *Proxy) shutDown(front net.Listener) {
+// shutDown disconnects the clients, phase by phase, within the grace period. New clients are accepted in all phases:
+// they arrive until the platform has noticed that the process is not ready, and as long as it has no other process in
+// their zone.
+func (p *Proxy) shutDown(listener net.Listener) {
 	p.log.Event(events.Stopping, "sessions", p.clientConns.Load())
 	startedAt, grace := time.Now(), p.settings.GracePeriod
-	p.enter(draining)
+	p.enterPhase(draining)
 	p.awaitSessions(startedAt.Add(min(readinessDelay, grace/2)))
-	p.enter(closingIdle)
+	p.enterPhase(closingIdle)
 	if !p.awaitSessions(startedAt.Add(grace / 2)) {
-		p.enter(closingAll)
-		last := grace - killMargin
-		if !p.awaitSessions(startedAt.Add((grace/2 + last) / 2)) {
-			p.enter(refusing)
-			p.awaitSessions(startedAt.Add(last))
+		p.enterPhase(closingAll)
+		killDeadline := grace - killMargin
+		if !p.awaitSessions(startedAt.Add((grace/2 + killDeadline) / 2)) {
+			p.enterPhase(refusing)
+			p.awaitSessions(startedAt.Add(killDeadline))
 		}
 	}
-	_ = front.Close()
+	_ = listener.Close()
 }
 
-// awaitSessions waits until the time until. true: the phase is closingIdle or later, and no session was left before.
+// awaitSessions waits until the given time while it wakes the sessions. From phase closingIdle on it returns true as
+// soon as no session is left.
 func (p *Proxy) awaitSessions(until time.Time) bool {
 	for time.Now().Before(until) {
 		p.wakeSessions()
@@ -73,7 +74,7 @@
 	return false
 }
 
-// wakeSessions has all sessions that wait for their clients look at the phase.
+// wakeSessions makes all sessions that wait for their clients check the phase.
 func (p *Proxy) wakeSessions() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -82,20 +83,21 @@
 	}
 }
 
-// refuses says whether a statement that would go to a member is refused instead: what is sent so late could be cut by
-// the end of the process. A client that asks without a pause is never idle, and its session would last until then.
-func (s *session) refuses() bool { return s.proxy.phase() >= refusing }
+// refusesStatements reports whether new statements are refused instead of sent to a member: the end of the process
+// could interrupt a statement that is sent so late. The session of a client that sends without pauses is never idle and
+// would otherwise last until then.
+func (s *session) refusesStatements() bool { return s.proxy.phase() >= refusing }
 
-// endsAfterAnswer ends a session that was answered after the process has begun to refuse. The client may be sending its
-// next message: what comes is read and dropped for a while, as a connection that is closed with something unread is
-// reset, and the last answer may be lost by that.
-func (s *session) endsAfterAnswer() bool {
-	if s.tx != nil || !s.refuses() {
+// closesAfterReply reports whether the session ends after an answer because the process refuses statements. If so, it
+// closes the sending half of the connection, and reads and discards input for lingerTimeout: the client may be sending
+// its next message, and closing a connection with unread input resets it, which may lose the last answer.
+func (s *session) closesAfterReply() bool {
+	if s.tx != nil || !s.refusesStatements() {
 		return false
 	}
-	if half, ok := s.client.(interface{ CloseWrite() error }); ok && half.CloseWrite() == nil {
-		_ = s.client.SetReadDeadline(time.Now().Add(lingerTime))
-		_, _ = io.Copy(io.Discard, s.client) // until the client is gone or the time is over
+	if halfCloser, ok := s.client.(interface{ CloseWrite() error }); ok && halfCloser.CloseWrite() == nil {
+		_ = s.client.SetReadDeadline(time.Now().Add(lingerTimeout))
+		_, _ = io.Copy(io.Discard, s.client) // until the client disconnects or lingerTimeout ends
 	}
 	return true
 }
--- a/internal/dataplane/proxy/statement.go
+++ b/internal/dataplane/proxy/statement.go
@@ -12,47 +12,48 @@
 )
 
 const (
-	deadlineMargin = 25.0 // milliseconds before a route's timeout by which the client must be answered
-	maxAttempts    = 5
+	deadlineMargin = 25.0 // the client must be answered this many milliseconds before the route's timeout
+	maxAttempts    = 5    // of a statement or a BEGIN
 
-	retryPause       = 20 * time.Millisecond // before an attempt that follows a member's refusal
-	minRetryTime     = 60.0                  // milliseconds to the deadline below which there is none
-	maxPausedRetries = 2                     // attempts of a single statement that may be followed by such a pause
+	retryDelay        = 20 * time.Millisecond // before an attempt after a member's refusal
+	minTimeForRetry   = 60.0                  // milliseconds to the deadline that an attempt after a refusal requires
+	maxDelayedRetries = 2                     // attempts of a single statement after which retryDelay may follow
 )
 
-// execution carries out a statement outside a transaction: attempt after attempt, until its client is answered.
+// execution runs a statement outside a transaction. It makes attempts until the client is answered.
 //
-// What was sent to a member and not answered is retried only if a second run is harmless (idempotency): reads are
-// idempotent, writes are not. The client of a write without an answer is answered that the outcome is unknown.
+// A statement that was sent to a member and not answered is retried only if a second run is harmless (package
+// idempotency): reads are idempotent, writes are not. For a write without an answer the client is told that the outcome
+// is unknown.
 //
-// An execution, its statement included, stays on the stack: the statement is a value, as what a field points to
-// would not.
+// The statement is a value rather than a pointer so that it stays on the stack with the execution.
 type execution struct {
 	*session
 	statement statement
 	route     *config.Route
 	write     bool
 	deadline  float64      // milliseconds
-	request   *connRequest // of a connection, the same for all attempts
-	attempts  int          // attempts before the current one that count
+	request   *connRequest // the same for all attempts
+
+	previousAttempts int // counted attempts before the current one
 }
 
-// verdict is what follows from an attempt.
-type verdict uint8
+// attemptResult is the result of an attempt.
+type attemptResult uint8
 
 const (
-	answered     verdict = iota // the client has its answer
-	retry                       // another attempt, if there were not too many
-	retryAtOwner                // another attempt at the shard's next owner; this one doesn't count
-	giveUp                      // no attempt is left, and nothing of the statement was kept
+	attemptAnswered     attemptResult = iota // the client is answered, or the transaction has begun at a member
+	attemptRetry                             // make another attempt, up to maxAttempts
+	attemptRetryAtOwner                      // make another attempt at the shard's next owner; this one is not counted
+	attemptGiveUp                            // make no further attempt; the statement had no effect
 )
 
-// runSingle carries out a statement outside a transaction, for a tenant.
+// runSingle runs a statement outside a transaction, on behalf of a tenant.
 func (s *session) runSingle(st *statement, route *config.Route, tenant string) {
-	e := execution{session: s, statement: *st, route: route, write: s.writes(st),
+	e := execution{session: s, statement: *st, route: route, write: s.isWrite(st),
 		deadline: st.receivedAt + route.Timeout - deadlineMargin}
 	e.request = &connRequest{tenant: tenant, startedAt: st.receivedAt, deadline: e.deadline,
-		valuesHash: s.kept.ValuesHash(), commit: e.write}
+		valuesHash: s.sessionState.ValuesHash(), commit: e.write}
 	if e.write {
 		e.request.requirement = group.Requirement{Write: true}
 	} else {
@@ -60,121 +61,123 @@
 	}
 	s.rowsForwarded = false
 	if !attemptUntilAnswered(e.attempt) {
-		s.replyError(e.request.failure(), wire.StateIdle)
+		s.replyError(e.request.replyError(), wire.StateIdle)
 	}
 }
 
-// attemptUntilAnswered makes attempts, each of which is passed the number of those before it that count. false: none is
-// left, and nothing was kept of those that were made.
-func attemptUntilAnswered(attempt func(previous int) verdict) bool {
+// attemptUntilAnswered calls attempt, with the number of counted attempts before, until it returns attemptAnswered. It
+// returns false if no attempt is left; then none of them had an effect.
+func attemptUntilAnswered(attempt func(previous int) attemptResult) bool {
 	for attempts := 0; attempts < maxAttempts; {
 		switch attempt(attempts) {
-		case answered:
+		case attemptAnswered:
 			return true
-		case giveUp:
+		case attemptGiveUp:
 			return false
-		case retry:
+		case attemptRetry:
 			attempts++
-		case retryAtOwner: // bounded by the deadline: the shard has no owner until a newer map names one
+		case attemptRetryAtOwner: // bounded by the deadline, as the shard has no owner until a newer map names one
 		}
 	}
 	return false
 }
 
-// attempt sends the statement to one member.
-func (e *execution) attempt(previous int) verdict {
-	e.attempts = previous
+// attempt sends the statement to one member. previous is the number of counted attempts before this one.
+func (e *execution) attempt(previous int) attemptResult {
+	e.previousAttempts = previous
 	service, epoch, ok := e.resolveService(e.route, e.deadline)
 	if !ok {
-		return giveUp
+		return attemptGiveUp
 	}
 	lent, err := e.acquire(service, e.request)
 	if err != nil {
-		return giveUp
+		return attemptGiveUp
 	}
 	reply, outcome, err := e.send(lent, &e.statement, e.write, e.deadline)
 	switch {
 	case err != nil:
-		return e.unanswered(lent, err)
+		return e.handleNoResponse(lent, err)
 	case reply.OK:
-		return e.succeeded(lent, reply, outcome)
+		return e.handleSuccess(lent, reply, outcome)
 	}
-	return e.refused(lent, epoch, reply, outcome)
+	return e.handleFail(lent, epoch, reply, outcome)
 }
 
-func (e *execution) succeeded(lent *lentConn, reply *memberconn.Reply, outcome group.Outcome) verdict {
-	// A connection on which a transaction is still open is closed, as the next client's statement would run inside it.
-	e.finish(lent, reply.State == wire.StateIdle, outcome, reply.Position)
+func (e *execution) handleSuccess(lent *lentConn, reply *memberconn.Reply, outcome group.Outcome) attemptResult {
+	// A connection with an open transaction is closed, as the next client's statement would run inside the transaction.
+	e.release(lent, reply.State == wire.StateIdle, outcome, reply.Position)
 	if e.write {
 		e.recordCommit(reply.Position)
 	}
 	e.forwardReply(reply, wire.StateIdle)
-	return answered
+	return attemptAnswered
 }
 
-// unanswered takes an attempt without an answer, or with one that doesn't belong to it.
-func (e *execution) unanswered(lent *lentConn, err error) verdict {
-	e.finish(lent, false, group.NoAnswer, wire.Position{})
+// handleNoResponse handles an attempt without an answer, or with an answer that belongs to another query.
+func (e *execution) handleNoResponse(lent *lentConn, err error) attemptResult {
+	e.release(lent, false, group.NoAnswer, wire.Position{})
 	switch {
-	case e.rowsForwarded: // another member's rows would not be those that the client has the first of
+	case e.rowsForwarded: // another member's rows need not continue those that the client has
 		e.replyError(errRetryLater, wire.StateIdle)
-	case kindOf(e.write).MayRetry(err):
-		if !e.write { // a write's next attempt goes to the primary, wherever that is
+	case idempotencyOf(e.write).MayRetry(err):
+		if !e.write { // the next attempt of a write goes to the primary in any case
 			e.request.avoidMember(lent.record.ID)
 		}
-		return retry
+		return attemptRetry
 	case e.route.Shard != "":
 		e.resolveOutcome(e.route, e.statement.id, e.statement.receivedAt, e.deadline)
 	default:
 		e.replyError(unansweredError(outcomeUnknown, lent.record.ID), wire.StateIdle)
 	}
-	return answered
+	return attemptAnswered
 }
 
-// refused takes a member's FAIL.
-func (e *execution) refused(lent *lentConn, epoch uint64, reply *memberconn.Reply, outcome group.Outcome) verdict {
-	// A connection on which a transaction is still open is closed, which rolls it back. So is one whose member doesn't
-	// know a prepared statement any more, as its state is not the one that is kept here.
+// handleFail handles a member's FAIL.
+func (e *execution) handleFail(lent *lentConn, epoch uint64, reply *memberconn.Reply,
+	outcome group.Outcome) attemptResult {
+	// A connection with an open transaction is closed, which rolls the transaction back. A connection whose member no
+	// longer knows a prepared statement is closed because its state differs from the state recorded here.
 	reusable := reply.State == wire.StateIdle && reply.Code != wire.CodeNoStatement
-	e.finish(lent, reusable, outcome, reply.Position)
+	e.release(lent, reusable, outcome, reply.Position)
 	if e.route.Shard != "" {
 		switch {
 		case reply.Code == shardnode.CodeMoved:
-			e.shardMoved(e.route, epoch, reply.Text)
-			return retryAtOwner
+			e.handleShardMoved(e.route, epoch, reply.Text)
+			return attemptRetryAtOwner
 		case isRetryableShardCode(reply.Code):
-			return giveUp
+			return attemptGiveUp
 		}
 	}
 	switch reply.Code {
-	case wire.CodeReadOnly, wire.CodeLagging: // the statement is queued and routed anew
-		return retry
+	case wire.CodeReadOnly, wire.CodeLagging: // queue and route the statement again
+		return attemptRetry
 	case wire.CodeRetry, wire.CodeFull, wire.CodeWrongHost, wire.CodeNoStatement:
 		e.request.avoidMember(lent.record.ID)
-		if e.proxy.now()+minRetryTime >= e.deadline || e.attempts >= maxPausedRetries {
-			return giveUp
+		if e.proxy.now()+minTimeForRetry >= e.deadline || e.previousAttempts >= maxDelayedRetries {
+			return attemptGiveUp
 		}
-		time.Sleep(retryPause)
-		return retry
+		time.Sleep(retryDelay)
+		return attemptRetry
 	case wire.CodeFailed, wire.CodeTimeout:
 		if e.mayRetryFailedRead() {
 			e.request.avoidMember(lent.record.ID)
-			return retry
+			return attemptRetry
 		}
 	}
 	e.forwardReply(reply, wire.StateIdle)
-	return answered
+	return attemptAnswered
 }
 
-// mayRetryFailedRead: that a read failed may be the replica's fault, so that it is retried once, elsewhere.
+// mayRetryFailedRead reports whether a failed read may be retried. It is retried once at another member, as the replica
+// may have caused the failure.
 func (e *execution) mayRetryFailedRead() bool {
-	return !e.write && e.attempts == 0 && !e.request.requirement.Linearizable && !e.rowsForwarded
+	return !e.write && e.previousAttempts == 0 && !e.request.requirement.Linearizable && !e.rowsForwarded
 }
 
-// kindOf says what a second run of a statement would do, outside a transaction or as its COMMIT. Statements inside
-// a transaction are never retried: it ends with its connection. BEGIN is idempotent, as the end of its connection
-// rolls it back.
-func kindOf(write bool) idempotency.Kind {
+// idempotencyOf returns the kind of a statement outside a transaction. Statements inside a transaction are never
+// retried, as the transaction ends with its connection. BEGIN is idempotent, as the end of its connection rolls the
+// transaction back.
+func idempotencyOf(write bool) idempotency.Kind {
 	if write {
 		return idempotency.AtMostOnce
 	}
--- a/internal/dataplane/proxy/tenantpool_test.go
+++ b/internal/dataplane/proxy/tenantpool_test.go
@@ -38,13 +38,13 @@
 	f.t.Cleanup(func() { here.Close(); there.Close() })
 	c := &memberConn{Conn: &memberconn.Conn{NetConn: here, Reader: wire.NewReader(here)}, tenant: tenant}
 	c.state.Sync(sessionWith(value), nil)
-	f.group.pool("a").opened(tenant)
+	f.group.pool("a").recordOpened(tenant)
 	return c
 }
 
 func (f *poolFixture) idle(tenant, value string) *memberConn {
 	c := f.conn(tenant, value)
-	f.router.keep(f.group, f.primary, c)
+	f.router.poolOrClose(f.group, f.primary, c)
 	return c
 }
 
@@ -80,7 +80,7 @@
 // reopened makes a connection in the place that its dial holds.
 func (f *poolFixture) reopened(tenant string) *memberConn {
 	c := f.conn(tenant, "")
-	f.group.pool("a").closed(tenant)
+	f.group.pool("a").recordClosed(tenant)
 	return c
 }
 
@@ -90,7 +90,7 @@
 	if request.dialing != "a" {
 		f.t.Fatal("no connection is being made")
 	}
-	f.router.dialed(f.group, f.primary, request.tenant, f.reopened(request.tenant), nil, f.router.proxy.now())
+	f.router.handleDialResult(f.group, f.primary, request.tenant, f.reopened(request.tenant), nil, f.router.proxy.now())
 }
 
 // UNASKED: a connection that was made for one tenant served another.
@@ -118,10 +118,10 @@
 	want := f.idle("south", "x")
 	f.idle("south", "y")
 	f.idle("north", "x")
-	if got := f.group.pool("a").take("south", sessionWith("x").ValuesHash()); got != want {
+	if got := f.group.pool("a").takeIdle("south", sessionWith("x").ValuesHash()); got != want {
 		t.Error("another connection than the tenant's with the values")
 	}
-	if got := f.group.pool("a").take("north", sessionWith("z").ValuesHash()); got.tenant != "north" {
+	if got := f.group.pool("a").takeIdle("north", sessionWith("z").ValuesHash()); got.tenant != "north" {
 		t.Error("another tenant's connection")
 	}
 }
@@ -145,8 +145,8 @@
 	f.expect(3, 4, 0)
 }
 
-// Above its share, which other drivers' coming has lowered, a pool closes as many as a dial needs: the connection that is
-// made would be closed as one too many.
+// Above its share, which other drivers' coming has lowered, a pool closes as many as a dial needs: the connection that
+// is made would be closed as one too many.
 func TestADialAboveTheShareMakesPlaceForItself(t *testing.T) {
 	f := newPoolFixture(t, 8)
 	for range 5 {
@@ -205,19 +205,19 @@
 	f := newPoolFixture(t, 10)
 	pool := f.group.pool("a")
 	for i, tenant := range []string{"north", "south", "north", "east"} {
-		pool.put(f.conn(tenant, ""), float64(1000*i))
+		pool.putIdle(f.conn(tenant, ""), float64(1000*i))
 	}
 	pool.closeExpired(9000)
 	f.expect(3, 3, 0)
 	if !pool.hasIdle("north") || !pool.hasIdle("south") || !pool.hasIdle("east") {
 		t.Error("a tenant has none left")
 	}
-	pool.closeExpired(1001 + milliseconds(maxLastIdleTime))
+	pool.closeExpired(1001 + milliseconds(maxTenantLastIdleTime))
 	f.expect(2, 2, 0)
 	if pool.hasIdle("south") {
 		t.Error("the connection that was idle for longest is open")
 	}
-	pool.closeExpired(10 * milliseconds(maxLastIdleTime))
+	pool.closeExpired(10 * milliseconds(maxTenantLastIdleTime))
 	f.expect(minIdleConns, minIdleConns, 0)
 }
 
@@ -233,7 +233,7 @@
 		{"one more than south", 2, 1, 0, false},
 		{"two more than south", 3, 1, 0, true},
 		{"fewer than south", 1, 3, 0, false},
-		{"fewer than south, which has waited", 1, 3, maxWaitForOwn, true},
+		{"fewer than south, which has waited", 1, 3, maxWaitForOwnConn, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newPoolFixture(t, 100)
@@ -245,10 +245,10 @@
 			}
 			pool, share := f.group.pool("a"), c.north+c.south
 			request := &connRequest{tenant: "south", startedAt: 1000}
-			if got := pool.hasPlace(request, share, 1000+c.waited); got != c.want {
+			if got := pool.mayDial(request, share, 1000+c.waited); got != c.want {
 				t.Errorf("hasPlace: %v", got)
 			}
-			if !pool.hasPlace(request, share+1, 1000) {
+			if !pool.mayDial(request, share+1, 1000) {
 				t.Error("a free place is not used")
 			}
 		})
@@ -261,7 +261,7 @@
 	f.idle("east", "")
 	want := f.idle("north", "")
 	f.idle("north", "")
-	f.group.pool("a").makePlace(&connRequest{tenant: "south"}, 3, 1000)
+	f.group.pool("a").evictForDial(&connRequest{tenant: "south"}, 3, 1000)
 	f.expect(2, 2, 0)
 	if want.NetConn.SetDeadline(time.Now()) == nil {
 		t.Error("another connection was closed")
@@ -274,18 +274,18 @@
 	pool, request := f.group.pool("a"), &connRequest{tenant: "south"}
 	now, pause := 1000.0, milliseconds(rejectedDialBackoff)
 	for range 8 {
-		pool.backOff(now)
-		if pool.hasPlace(request, 10, now+pause/2-1) || !pool.hasPlace(request, 10, now+pause*3/2) {
-			t.Errorf("the next dial is made %v ms after the rejection, want %v to %v", pool.dialAfter-now, pause/2, pause*3/2)
+		pool.backOffDials(now)
+		if pool.mayDial(request, 10, now+pause/2-1) || !pool.mayDial(request, 10, now+pause*3/2) {
+			t.Errorf("the next dial is made %v ms after the rejection, want %v to %v", pool.nextDialAt-now, pause/2, pause*3/2)
 		}
-		if !pool.hasPlace(&connRequest{}, 10, now) {
+		if !pool.mayDial(&connRequest{}, 10, now) {
 			t.Error("a request without a tenant waits")
 		}
 		pause = min(2*pause, milliseconds(rejectedDialBackoff)*(1<<maxBackoffDoublings))
 	}
-	pool.opened("south")
+	pool.recordOpened("south")
 	pool.dialing++
-	f.router.dialed(f.group, f.primary, "south", f.reopened("south"), nil, now)
+	f.router.handleDialResult(f.group, f.primary, "south", f.reopened("south"), nil, now)
 	if pool.rejections != 0 {
 		t.Error("rejections are counted on after a success")
 	}
@@ -293,21 +293,22 @@
 
 func TestDialsAtATime(t *testing.T) {
 	for drivers, want := range map[int][2]int{1: {24, 24}, 6: {4, 4}, 12: {2, 2}, 82: {2, 1}} {
-		got := [2]int{dialsAtATime(&connRequest{}, drivers), dialsAtATime(&connRequest{tenant: "north"}, drivers)}
+		got := [2]int{maxConcurrentDials(&connRequest{}, drivers), maxConcurrentDials(&connRequest{tenant: "north"}, drivers)}
 		if got != want {
 			t.Errorf("%d drivers: %v without and with a tenant, want %v", drivers, got, want)
 		}
 	}
 }
 
-// A pool of which more are lent than its share allows makes no place: the new connection would be closed on its arrival.
+// A pool of which more are lent than its share allows makes no place: the new connection would be closed on its
+// arrival.
 func TestNoPlaceWhileTooManyAreLent(t *testing.T) {
 	f := newPoolFixture(t, 100)
 	for range 3 {
 		f.conn("north", "")
 	}
 	f.idle("north", "")
-	if f.group.pool("a").hasPlace(&connRequest{tenant: "south"}, 3, 1000) {
+	if f.group.pool("a").mayDial(&connRequest{tenant: "south"}, 3, 1000) {
 		t.Error("one more would be made")
 	}
 }
@@ -319,7 +320,7 @@
 	f.idle("north", "")
 	south := f.enqueue("south")
 	f.expect(1, 2, 1)
-	f.router.dialed(f.group, f.primary, "south", nil, memberconn.ErrAttachRejected, f.router.proxy.now())
+	f.router.handleDialResult(f.group, f.primary, "south", nil, memberconn.ErrAttachRejected, f.router.proxy.now())
 	f.expect(1, 1, 0)
 	if south.dialing != "" || f.group.pool("a").openByTenant["south"] != 0 {
 		t.Error("the place is held, or the dial is repeated at once")
@@ -338,13 +339,13 @@
 		{70, 96, 0, 0}, // the first is the fastest
 		{70, 96, 0, 0},
 		{170, 96, 150, 450}, // 100 longer, 96 drivers are four times maxDials
-		{170, maxDials, 0, 0},
+		{170, maxMemberDials, 0, 0},
 		{50, 96, 0, 0},
 		{70, 96, 30, 90},
 	} {
 		pool.rejections = 3
-		pool.pace(5000, 5000-c.took, c.drivers)
-		if pause := pool.dialAfter - 5000; pause < c.min || pause > c.max || pool.rejections != 0 {
+		pool.paceDials(5000, 5000-c.took, c.drivers)
+		if pause := pool.nextDialAt - 5000; pause < c.min || pause > c.max || pool.rejections != 0 {
 			t.Errorf("a dial of %v ms, %d drivers: a pause of %v ms, want %v to %v", c.took, c.drivers, pause, c.min, c.max)
 		}
 	}
@@ -353,7 +354,7 @@
 // A proxy without any connection to a member forgot that it was to wait, and dialled it at each tick.
 func TestAnEmptyPoolHoldsDialsBack(t *testing.T) {
 	f := newPoolFixture(t, 100)
-	f.group.pool("a").backOff(1000)
+	f.group.pool("a").backOffDials(1000)
 	f.group.dropUnusedPool("a", 1001)
 	if f.group.pools["a"] == nil {
 		t.Error("the pause is forgotten")
@@ -362,7 +363,7 @@
 	if f.group.pools["a"] != nil {
 		t.Error("an unused pool is kept")
 	}
-	f.group.pool("a").backOff(1000)
+	f.group.pool("a").backOffDials(1000)
 	f.group.closeIdle("a") // the member leaves
 	if f.group.pools["a"] != nil {
 		t.Error("the pool of a member that leaves is kept")
--- a/internal/dataplane/proxy/tenants.go
+++ b/internal/dataplane/proxy/tenants.go
@@ -5,17 +5,17 @@
 	"weirwind/internal/member/wire"
 )
 
-// This file owns the lookup of the tenant that a client's operation is run for.
+// This file looks up the tenant for which a client's operation runs.
 
-// tenantsInForce reports whether a client is served only in the name of a tenant, but on public routes: by the
-// deployment's contract or by the configuration, which may be nil.
+// tenantsInForce reports whether clients must have the key of a tenant on all but public routes. The deployment's
+// tenant contract requires it, or a configuration with tenants. cfg may be nil.
 func (p *Proxy) tenantsInForce(cfg *config.Config) bool {
-	return p.tenantsByContract || cfg != nil && len(cfg.Tenants) > 0
+	return p.tenantsRequired || cfg != nil && len(cfg.Tenants) > 0
 }
 
-// tenantFor gives the name of the tenant that an operation on a route, which begins now, is run for: "" on a public
-// route and where there are no tenants. The key is looked up anew for each operation, as it may have been taken away
-// from the client or passed on to another tenant. A tenant whose name can't be sent to a member has no clients.
+// tenantFor returns the name of the tenant for which an operation on a route runs, "" on a public route or without
+// tenants. It is called for each operation, as the key may have been revoked or reassigned to another tenant. The keys
+// of a tenant whose name can't be sent to a member are treated as unknown.
 func (s *session) tenantFor(route *config.Route) (string, error) {
 	cfg := s.proxy.config.Load()
 	if route.Public || !s.proxy.tenantsInForce(cfg) {
@@ -28,23 +28,23 @@
 	return tenant.Name, nil
 }
 
-// deny answers an operation whose client's key is no tenant's any more. The session ends after the answer.
+// deny answers an operation of a client whose key no longer belongs to a tenant. The session ends after the answer.
 func (s *session) deny() {
 	s.proxy.denials.record(deniedOperation)
-	s.ended = true
+	s.closing = true
 	s.replyError(errUnknownKey, wire.StateIdle)
 }
 
-// endWithdrawn rolls the open transaction back if the client's key is no longer that of the tenant for which it was
-// begun. true: it did, and the statement is answered. No time is left to such a transaction: after a request with a
-// newer key has reached a member, one that only an older configuration allows must not.
-func (s *session) endWithdrawn(tx *transaction, st *statement) bool {
+// rollBackIfKeyRevoked rolls back the open transaction if the client's key no longer belongs to the tenant for which
+// the transaction began. It then answers the statement and returns true. There is no grace period: once a member has
+// received a request that needs the newer configuration, it must not receive one that only the older one allows.
+func (s *session) rollBackIfKeyRevoked(tx *transaction, st *statement) bool {
 	tenant, err := s.tenantFor(tx.route)
 	if err == nil && tenant == tx.tenant {
 		return false
 	}
 	s.proxy.denials.record(deniedTransaction)
 	s.rollBack(tx)
-	s.failTransaction(errKeyWithdrawn, st)
+	s.failTransaction(errKeyRevoked, st)
 	return true
 }
--- a/internal/dataplane/proxy/tenants_test.go
+++ b/internal/dataplane/proxy/tenants_test.go
@@ -308,7 +308,7 @@
 	k.query("FETCH x")
 	tx.query("FETCH x")
 	w := httptest.NewRecorder()
-	metrics.Handler(f.proxy.figures).ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/metrics", nil))
+	metrics.Handler(f.proxy.writeMetrics).ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/metrics", nil))
 	for _, what := range []string{"attach", "operation", "transaction"} {
 		if line := fmt.Sprintf("\nweirwind_proxy_denied_total{what=%q} 1\n", what); !strings.Contains(w.Body.String(), line) {
 			t.Errorf("%q is not in\n%s", line, w.Body)
@@ -332,7 +332,7 @@
 		now  float64
 		want bool
 	}{{0, true}, {999, false}, {1000, true}, {1500, false}, {9000, true}} {
-		if got := d.isLogDue(c.now); got != c.want {
+		if got := d.claimLogLine(c.now); got != c.want {
 			t.Errorf("at %v ms: %v", c.now, got)
 		}
 	}
--- a/internal/dataplane/proxy/transaction.go
+++ b/internal/dataplane/proxy/transaction.go
@@ -14,32 +14,32 @@
 
 const rollbackTimeout = time.Second
 
-// transaction is one that the client has open. It begins at a member only before its first statement, so that one
-// that is begun and not used takes no connection; from then on its connection is pinned, as only there it exists.
+// transaction is the transaction that a client has open. It begins at a member just before its first statement, so that
+// an unused transaction takes no connection. From then on its connection is pinned to the session.
 type transaction struct {
 	id, text  string // of the client's BEGIN
 	readOnly  bool
-	startedAt float64 // milliseconds, when the BEGIN came
+	startedAt float64 // arrival of the BEGIN in milliseconds
 	route     *config.Route
-	tenant    string // that it is run for, "" for none
+	tenant    string // the tenant for which it runs, "" for none
 
-	admitted bool // it was counted in its tenant's quota
+	admitted bool // it was counted in the quota of its tenant
 
-	pinned *lentConn // nil: it has not begun at a member, or has ended there
-	ran    bool      // a statement went to a member and was answered
-	wrote  bool      // one that writes ran, or may have run
+	pinned       *lentConn // nil before it begins at a member and after it has ended there
+	statementRan bool      // a member has answered one of its statements
+	writeRan     bool      // one of its writes ran or may have run
 
-	failed     bool  // it is rolled back; only COMMIT or ABORT is accepted
-	unreported error // why, while the client has not been answered with it
+	failed          bool  // it was rolled back; only COMMIT or ABORT is accepted
+	unreportedError error // the reason of the failure, until the client is answered with it
 }
 
-// begin opens a transaction, as yet at no member.
+// begin opens a transaction for the session. It does not begin at a member yet.
 func (s *session) begin(id, text string, readOnly bool) {
 	if s.tx != nil {
 		s.replyError(errTransactionOpen, wire.StateInTransaction)
 		return
 	}
-	if s.refuses() {
+	if s.refusesStatements() {
 		s.replyError(errRetryLater, wire.StateIdle)
 		return
 	}
@@ -57,7 +57,7 @@
 	s.replyDone()
 }
 
-// abort ends the transaction on the client's ABORT.
+// abort handles the client's ABORT.
 func (s *session) abort() {
 	if s.tx == nil {
 		s.replyError(errNoTransaction, wire.StateIdle)
@@ -68,12 +68,12 @@
 	s.replyDone()
 }
 
-// runInTransaction carries out a statement, or the COMMIT, of the open transaction. A statement is sent once:
-// without an answer the transaction ends, rolled back with its connection. Only a first statement that a member
-// refused as read-only is sent to another one, in a new transaction.
+// runInTransaction runs a statement or the COMMIT of the open transaction. A statement is sent once: if it is not
+// answered, the transaction is rolled back by closing its connection. Only a first statement that the member refused as
+// read-only is sent again, to another member in a new transaction.
 func (s *session) runInTransaction(st *statement) {
 	tx := s.tx
-	if s.endWithdrawn(tx, st) {
+	if s.rollBackIfKeyRevoked(tx, st) {
 		return
 	}
 	deadline := st.receivedAt + tx.route.Timeout - deadlineMargin
@@ -86,10 +86,10 @@
 		}
 		reply, err := s.sendInTransaction(tx, st, deadline)
 		if err != nil {
-			s.transactionUnanswered(tx, st, deadline, err)
+			s.handleNoResponseInTransaction(tx, st, deadline, err)
 			return
 		}
-		if reply.Code == wire.CodeReadOnly && !tx.ran && !tx.readOnly {
+		if reply.Code == wire.CodeReadOnly && !tx.statementRan && !tx.readOnly {
 			s.unpin(tx, false)
 			continue
 		}
@@ -99,14 +99,14 @@
 	s.failTransaction(errRetryLater, st)
 }
 
-// sendInTransaction sends a statement over the pinned connection and reads its answer.
+// sendInTransaction sends a statement over the pinned connection and returns the reply.
 func (s *session) sendInTransaction(tx *transaction, st *statement, deadline float64) (memberconn.Reply, error) {
 	router, lent := s.proxy.router, tx.pinned
 	var batch strings.Builder
 	text, preludes := s.appendPrelude(&batch, lent.conn, st)
 	memberconn.AppendQuery(&batch, st.id, text)
 	sentAt := s.proxy.now()
-	commit := st.parsed.Verb == "COMMIT" && tx.wrote
+	commit := st.parsed.Verb == "COMMIT" && tx.writeRan
 	router.do(func() { lent.group.routing.RecordSend(lent.member, sentAt, commit) })
 	reply, err := exchange(lent.conn, batch.String(), preludes, s.proxy.timeAt(deadline), s.forwardRows)
 	switch {
@@ -120,13 +120,13 @@
 	return reply, err
 }
 
-// transactionUnanswered ends a transaction one of whose statements was not answered. Its connection's end rolls it
-// back, unless it was a COMMIT, after writes, that may have reached the member.
-func (s *session) transactionUnanswered(tx *transaction, st *statement, deadline float64, err error) {
+// handleNoResponseInTransaction ends a transaction after a statement without an answer. Closing the connection rolls
+// the transaction back, unless the statement was a COMMIT after writes that may have reached the member.
+func (s *session) handleNoResponseInTransaction(tx *transaction, st *statement, deadline float64, err error) {
 	memberID := tx.pinned.record.ID
 	s.unpin(tx, false)
 	switch {
-	case st.parsed.Verb != "COMMIT" || !tx.wrote || !idempotency.MayHaveRun(err):
+	case st.parsed.Verb != "COMMIT" || !tx.writeRan || !idempotency.MayHaveRun(err):
 		s.failTransaction(unansweredError(aborted, memberID), st)
 	case tx.route.Shard != "":
 		s.tx = nil
@@ -137,30 +137,30 @@
 	}
 }
 
-// forwardInTransaction forwards a member's answer and takes what it says of the transaction.
+// forwardInTransaction forwards a member's reply and updates the state of the transaction from it.
 func (s *session) forwardInTransaction(tx *transaction, st *statement, reply *memberconn.Reply) {
-	tx.ran = true
-	if s.writes(st) && (reply.OK || mayHaveRun(reply.Code)) {
-		tx.wrote = true
+	tx.statementRan = true
+	if s.isWrite(st) && (reply.OK || mayHaveRun(reply.Code)) {
+		tx.writeRan = true
 	}
 	switch {
 	case st.parsed.Verb == "COMMIT":
 		s.tx = nil
-		if reply.OK && tx.wrote {
+		if reply.OK && tx.writeRan {
 			s.recordCommit(reply.Position)
 		}
 		s.unpin(tx, reply.State == wire.StateIdle)
 		s.forwardReply(reply, wire.StateIdle)
 	case reply.State != wire.StateInTransaction:
 		tx.failed = true
-		s.endFailed(tx, reply)
+		s.releaseFailed(tx, reply)
 		s.forwardReply(reply, wire.StateFailedTransaction)
 	default:
 		s.forwardReply(reply, wire.StateInTransaction)
 	}
 }
 
-// failTransaction answers a statement whose transaction has ended, with nothing of it kept.
+// failTransaction answers a statement whose transaction was rolled back or never began at a member.
 func (s *session) failTransaction(err error, st *statement) {
 	if st.parsed.Verb == "COMMIT" {
 		s.tx = nil
@@ -171,66 +171,66 @@
 	s.replyError(err, wire.StateFailedTransaction)
 }
 
-// pin begins the transaction at a member, whose connection is then pinned. Attempts are free: BEGIN is idempotent.
+// pin begins the transaction at a member and pins the connection. It may make several attempts, as BEGIN is idempotent.
 func (s *session) pin(tx *transaction, deadline float64) error {
 	request := &connRequest{tenant: tx.tenant, startedAt: tx.startedAt, deadline: deadline,
-		valuesHash: s.kept.ValuesHash()}
+		valuesHash: s.sessionState.ValuesHash()}
 	if tx.readOnly {
 		request.requirement = s.readRequirement(tx.route, tx.startedAt)
 	} else {
 		request.requirement = group.Requirement{Write: true}
 	}
 	request.admitted = tx.admitted
-	if !attemptUntilAnswered(func(int) verdict { return s.attemptPin(tx, request) }) {
-		return request.failure()
+	if !attemptUntilAnswered(func(int) attemptResult { return s.pinAt(tx, request) }) {
+		return request.replyError()
 	}
 	tx.admitted = true
 	return nil
 }
 
-// attemptPin begins the transaction at one member. answered: its connection is pinned.
-func (s *session) attemptPin(tx *transaction, request *connRequest) verdict {
+// pinAt tries to begin the transaction at one member. It returns attemptAnswered if the connection is pinned.
+func (s *session) pinAt(tx *transaction, request *connRequest) attemptResult {
 	service, epoch, ok := s.resolveService(tx.route, request.deadline)
 	if !ok {
-		return giveUp
+		return attemptGiveUp
 	}
 	lent, err := s.acquire(service, request)
 	if err != nil {
-		return giveUp
+		return attemptGiveUp
 	}
 	reply, outcome, err := s.sendBegin(lent, tx, request.deadline)
 	if err != nil {
-		s.finish(lent, false, group.NoAnswer, wire.Position{})
+		s.release(lent, false, group.NoAnswer, wire.Position{})
 		request.avoidMember(lent.record.ID)
-		return retry
+		return attemptRetry
 	}
 	if reply.OK && reply.State == wire.StateInTransaction {
 		tx.pinned = lent
 		s.recordOutcome(lent, lent.sentAt, outcome, reply.Position)
-		return answered
+		return attemptAnswered
 	}
-	s.finish(lent, reply.State == wire.StateIdle, outcome, reply.Position)
+	s.release(lent, reply.State == wire.StateIdle, outcome, reply.Position)
 	switch {
 	case tx.route.Shard != "" && reply.Code == shardnode.CodeMoved:
-		s.shardMoved(tx.route, epoch, reply.Text)
-		return retryAtOwner
+		s.handleShardMoved(tx.route, epoch, reply.Text)
+		return attemptRetryAtOwner
 	case reply.Code == wire.CodeReadOnly || reply.Code == wire.CodeLagging:
-		return retry
+		return attemptRetry
 	}
 	request.avoidMember(lent.record.ID)
-	if s.proxy.now()+minRetryTime >= request.deadline {
-		return giveUp
+	if s.proxy.now()+minTimeForRetry >= request.deadline {
+		return attemptGiveUp
 	}
-	time.Sleep(retryPause)
-	return retry
+	time.Sleep(retryDelay)
+	return attemptRetry
 }
 
-// sendBegin sends the transaction's BEGIN. Where the member must prove that it is the primary, that of a reading
-// transaction is sent as a plain BEGIN, which only the primary accepts.
+// sendBegin sends the BEGIN of the transaction. If the member must prove that it is the primary, the BEGIN of a
+// read-only transaction is sent as a plain BEGIN, which only the primary accepts.
 func (s *session) sendBegin(lent *lentConn, tx *transaction, deadline float64) (
 	memberconn.Reply, group.Outcome, error) {
 	var batch strings.Builder
-	texts, _ := lent.conn.state.Sync(&s.kept, nil)
+	texts, _ := lent.conn.state.Sync(&s.sessionState, nil)
 	for _, text := range texts {
 		memberconn.AppendQuery(&batch, internalQueryID, text)
 	}
@@ -252,13 +252,13 @@
 	return reply, outcome, nil
 }
 
-// recordCommit notes the log position of a commit of this session.
+// recordCommit records the log position of the session's last commit.
 func (s *session) recordCommit(position wire.Position) {
 	s.lastCommit, s.lastCommitAt = position, s.proxy.now()
 }
 
-// unpin gives the transaction's connection back. One that is not reusable is closed, which rolls the transaction
-// back.
+// unpin returns the connection of the transaction. A connection that is not reusable is closed, which rolls the
+// transaction back.
 func (s *session) unpin(tx *transaction, reusable bool) {
 	lent := tx.pinned
 	if lent == nil {
@@ -272,10 +272,10 @@
 	router.do(func() { router.checkIn(lent, reusable) })
 }
 
-// endFailed ends a transaction at its member that has failed there. The connection is closed, but kept where there are
-// tenants: there it is seldom that another of the tenant is idle, and each new one holds up the member, which may have
-// failed the transaction for want of capacity.
-func (s *session) endFailed(tx *transaction, reply *memberconn.Reply) {
+// releaseFailed ends a transaction at the member where it has failed. Without a tenant it closes the connection. With a
+// tenant it rolls back and keeps the connection: the tenant rarely has another idle connection, and each new one delays
+// the member, which may have failed the transaction for lack of capacity.
+func (s *session) releaseFailed(tx *transaction, reply *memberconn.Reply) {
 	if tx.tenant != "" && reply.Code != wire.CodeNoStatement {
 		s.rollBack(tx)
 		return
@@ -283,7 +283,8 @@
 	s.unpin(tx, false)
 }
 
-// rollBack ends a transaction at its member without waiting: the connection comes back once the member has answered.
+// rollBack rolls back a transaction at its member without waiting. The connection is returned once the member has
+// answered.
 func (s *session) rollBack(tx *transaction) {
 	lent := tx.pinned
 	if lent == nil {
@@ -291,8 +292,8 @@
 	}
 	tx.pinned = nil
 	router := s.proxy.router
-	go func() { // ends by its timeout
-		reusable := rolledBack(lent.conn)
+	go func() { // ends after rollbackTimeout at the latest
+		reusable := rollBackConn(lent.conn)
 		if !reusable {
 			lent.conn.Close()
 		}
@@ -300,22 +301,22 @@
 	}()
 }
 
-// rolledBack has a member roll back the transaction on a connection, and says whether it did.
-func rolledBack(conn *memberConn) bool {
+// rollBackConn rolls back the transaction on a connection and reports whether that succeeded.
+func rollBackConn(conn *memberConn) bool {
 	reply, err := exchangeInternal(conn, "QUERY - ABORT\r\n", 0, time.Now().Add(rollbackTimeout))
 	return err == nil && reply.State == wire.StateIdle
 }
 
-// failIdleTransaction rolls back a transaction whose client is idle in it, and is answered so at its next statement.
+// failIdleTransaction rolls back the transaction of an idle client. The client gets the error at its next statement.
 func (s *session) failIdleTransaction() {
 	if s.tx.failed {
 		return
 	}
 	s.rollBack(s.tx)
-	s.tx.failed, s.tx.unreported = true, errIdleTooLong
+	s.tx.failed, s.tx.unreportedError = true, errTransactionIdle
 }
 
-// abandonTransaction rolls back the transaction of a client that is gone.
+// abandonTransaction rolls back the open transaction of a session that ends.
 func (s *session) abandonTransaction() {
 	if s.tx != nil {
 		s.rollBack(s.tx)
--- a/internal/dataplane/proxy/transcript_test.go
+++ b/internal/dataplane/proxy/transcript_test.go
@@ -120,7 +120,7 @@
 				rng := rand.New(rand.NewPCG(uint64(len(x.members)), 9))
 				go x.member(id, there, side, rng)
 				g.pool(id).open++
-				x.p.router.keep(g, m, &memberConn{Conn: &memberconn.Conn{NetConn: here, Reader: wire.NewReader(here)}})
+				x.p.router.poolOrClose(g, m, &memberConn{Conn: &memberconn.Conn{NetConn: here, Reader: wire.NewReader(here)}})
 			}
 		}
 	})
--- a/internal/dataplane/proxy/waitqueue.go
+++ b/internal/dataplane/proxy/waitqueue.go
@@ -2,14 +2,14 @@
 
 import "slices"
 
-// waitQueue holds what waits, in order of arrival. Each waiter is answered exactly once, at the latest when its
-// deadline is near; it is removed by the code that answers it.
+// waitQueue is a bounded queue of waiters in order of arrival. Each waiter is answered exactly once, when its deadline
+// is near at the latest, and removed by the code that answers it.
 type waitQueue[W any] struct {
 	waiting []W
-	max     int // waiters beyond it are rejected at once
+	max     int // maximum length
 }
 
-// push appends a waiter. false: the queue is full.
+// push appends a waiter. It returns false if the queue is full.
 func (q *waitQueue[W]) push(waiter W) bool {
 	if len(q.waiting) >= q.max {
 		return false
@@ -18,8 +18,8 @@
 	return true
 }
 
-// removeIf passes each waiter, in order, to done and removes those that it returns true for. done must not change the
-// queue.
+// removeIf calls done for each waiter, in order, and removes those for which done returns true. done must not change
+// the queue.
 func (q *waitQueue[W]) removeIf(done func(W) bool) { q.waiting = slices.DeleteFunc(q.waiting, done) }
 
 func (q *waitQueue[W]) len() int { return len(q.waiting) }
--- a/internal/member/memberconn/golden_test.go
+++ b/internal/member/memberconn/golden_test.go
@@ -173,8 +173,8 @@
 	return b.String()
 }
 
-// What goes over a connection and what comes of each answer stay as they were when the golden file was written. Only dialling needs a
-// socket, on the loopback; all else is scripted.
+// What goes over a connection and what comes of each answer stay as they were when the golden file was written. Only
+// dialling needs a socket, on the loopback; all else is scripted.
 func TestConversationsMatchTheGoldenFile(t *testing.T) {
 	golden.Lines(t, "testdata/conversations.golden", conversations(t))
 }
--- a/internal/member/memberconn/query.go
+++ b/internal/member/memberconn/query.go
@@ -12,13 +12,14 @@
 	"weirwind/internal/util/idempotency"
 )
 
-// internalQueryID is the id of the system's own queries, whose replies bear no stamp.
+// internalQueryID is the id of internal queries. Replies to them bear no stamp.
 const internalQueryID = "-"
 
-// ErrNotReusable is the error of a batch for a connection that has not replied to the last one, or never will.
-var ErrNotReusable = errors.New("an answer is owed on this connection")
+// ErrNotReusable means that a batch can't be written, as replies to the last one are pending or the connection is
+// broken.
+var ErrNotReusable = errors.New("the connection is not reusable: a reply is pending or was lost")
 
-// AppendQuery appends a query to a batch. Empty parts are left out.
+// AppendQuery appends a query to a batch. It skips empty parts.
 func AppendQuery(batch *strings.Builder, id string, parts ...string) {
 	batch.WriteString(wire.MsgQuery)
 	batch.WriteByte(' ')
@@ -32,8 +33,9 @@
 	batch.WriteString("\r\n")
 }
 
-// WriteBatch sends a batch of queries, whose replies are to be read by the deadline. After an error the member may
-// still have received some of them, unless it is an idempotency.NoResponseError with NotSent: not a byte was taken.
+// WriteBatch sends a batch of queries and sets the deadline for reading their replies. After an error the member may
+// have received some of the queries, unless the error is an idempotency.NoResponseError with NotSent: then no byte was
+// sent.
 func (c *Conn) WriteBatch(batch string, deadline time.Time) error {
 	if !c.Reusable() {
 		c.broken = true
@@ -45,28 +47,28 @@
 		c.pendingReplies = append(c.pendingReplies, id == internalQueryID)
 	}
 	c.NetConn.SetDeadline(deadline)
-	n, err := io.WriteString(c.NetConn, batch)
+	written, err := io.WriteString(c.NetConn, batch)
 	if err == nil {
 		return nil
 	}
 	c.broken = true
 	progress := idempotency.MaybeSent
-	if n == 0 {
+	if written == 0 {
 		progress = idempotency.NotSent
 	}
 	return &idempotency.NoResponseError{Progress: progress, Err: err}
 }
 
-// MemberError is a member's FAIL to a query.
+// MemberError is a member's FAIL reply to a query.
 type MemberError struct {
 	Code string
-	Text string // the code and what follows it
+	Text string // the code and the text after it
 }
 
 // Error returns the text.
 func (e *MemberError) Error() string { return e.Text }
 
-// Query sends one query of the system's own and returns the fields of each row of the reply. A FAIL is a *MemberError.
+// Query sends one internal query and returns the fields of each row of the reply. For a FAIL it returns a *MemberError.
 func (c *Conn) Query(text string, deadline time.Time) ([]string, error) {
 	var batch strings.Builder
 	AppendQuery(&batch, internalQueryID, text)
@@ -86,7 +88,7 @@
 	return reply.Rows, nil
 }
 
-// QueryStatus queries the member's status by STAT, or by another statement that is replied to with the same row.
+// QueryStatus sends STAT, or another statement whose reply is a status row, and returns the status.
 func (c *Conn) QueryStatus(text string, deadline time.Time) (wire.MemberStatus, error) {
 	rows, err := c.Query(text, deadline)
 	if err != nil {
--- a/internal/member/memberconn/reply.go
+++ b/internal/member/memberconn/reply.go
@@ -10,44 +10,45 @@
 	"weirwind/internal/util/idempotency"
 )
 
-// maxBufferedRowBytes is how many bytes of rows are kept before they are spilled.
+// maxBufferedRowBytes is the number of bytes of rows beyond which the rows are passed to spill.
 const maxBufferedRowBytes = 256 << 10
 
 // Errors of replies.
 var (
-	// ErrNoReplyPending is the error of a reply that is read where none is pending.
-	ErrNoReplyPending = errors.New("no answer is owed on this connection")
-	// ErrNoStatus is the error of a reply that isn't one row of status.
-	ErrNoStatus = errors.New("no row")
+	// ErrNoReplyPending means that ReadReply was called while no reply was pending.
+	ErrNoReplyPending = errors.New("no reply is pending on this connection")
+	// ErrNoStatus means that a reply is not a single valid status row.
+	ErrNoStatus = errors.New("the reply is not a status row")
 )
 
-// UnexpectedMessageError is the error of a message that has no place in a reply.
+// UnexpectedMessageError means that a message is not allowed at its position in a reply.
 type UnexpectedMessageError struct{ Message string }
 
-// Error returns the beginning of the message.
-func (e *UnexpectedMessageError) Error() string { return fmt.Sprintf("a member said %.40q", e.Message) }
+// Error returns a description with the first 40 characters of the message.
+func (e *UnexpectedMessageError) Error() string {
+	return fmt.Sprintf("unexpected message in a member's reply: %.40q", e.Message)
+}
 
-// MisdirectedReplyError is the error of a reply to one of the system's own queries that bears a stamp: it belongs to
-// another query.
+// MisdirectedReplyError means that the reply to an internal query bears a stamp, so it belongs to another query.
 type MisdirectedReplyError struct{ Stamp string }
 
-// Error returns the beginning of the stamp.
+// Error returns a description with the first 40 characters of the stamp.
 func (e *MisdirectedReplyError) Error() string {
-	return fmt.Sprintf("a member answered a question of ours as another's: %.40q", e.Stamp)
+	return fmt.Sprintf("the reply to an internal query has the stamp of another query: %.40q", e.Stamp)
 }
 
 // Reply is a member's reply to one query.
 type Reply struct {
-	Rows     []string // whole messages; those that were spilled are not among them
-	OK       bool     // DONE, not FAIL
-	Text     string   // of DONE: the stamp; of FAIL: the code and what follows it
-	Code     string   // of FAIL
-	State    string   // of the session behind it
-	Position wire.Position
+	Rows     []string      // complete ROW messages, without those that were passed to spill
+	OK       bool          // true for DONE, false for FAIL
+	Text     string        // the stamp of DONE, or the code of FAIL and the text after it
+	Code     string        // the code of FAIL, "" for DONE
+	State    string        // the session's state after the reply
+	Position wire.Position // from READY, zero if it has none
 }
 
-// ReadReply reads the reply to the first query that has none. spill takes rows that are too many to keep; nil: all
-// are kept.
+// ReadReply reads the reply to the oldest query without one. Whenever the buffered rows exceed maxBufferedRowBytes, it
+// passes them to spill; if spill is nil, it buffers all rows.
 func (c *Conn) ReadReply(spill func([]string) error) (Reply, error) {
 	if c.broken || len(c.pendingReplies) == 0 {
 		c.broken = true
@@ -69,7 +70,7 @@
 // readReply reads messages up to the READY that ends a reply.
 func (c *Conn) readReply(spill func([]string) error) (Reply, error) {
 	var reply Reply
-	rowBytes, ended := 0, false
+	rowBytes, resultRead := 0, false
 	for {
 		line, err := c.Reader.ReadMessage()
 		if err != nil {
@@ -77,7 +78,7 @@
 		}
 		word, rest := wire.CutField(line)
 		switch {
-		case word == wire.MsgRow && !ended:
+		case word == wire.MsgRow && !resultRead:
 			reply.Rows = append(reply.Rows, line)
 			rowBytes += len(line)
 			if rowBytes > maxBufferedRowBytes && spill != nil {
@@ -86,13 +87,13 @@
 				}
 				reply.Rows, rowBytes = nil, 0
 			}
-		case word == wire.MsgDone && !ended:
-			reply.OK, reply.Text, ended = true, rest, true
-		case word == wire.MsgFail && !ended:
-			reply.Text, ended = rest, true
+		case word == wire.MsgDone && !resultRead:
+			reply.OK, reply.Text, resultRead = true, rest, true
+		case word == wire.MsgFail && !resultRead:
+			reply.Text, resultRead = rest, true
 			reply.Code, _ = wire.CutField(rest)
-		case word == wire.MsgReady && ended:
-			c.endReply(&reply, rest)
+		case word == wire.MsgReady && resultRead:
+			c.applyReady(&reply, rest)
 			return reply, nil
 		default:
 			return reply, oops.In("answer").Wrap(&UnexpectedMessageError{Message: line})
@@ -100,8 +101,8 @@
 	}
 }
 
-// endReply takes the fields of READY.
-func (c *Conn) endReply(reply *Reply, ready string) {
+// applyReady parses the fields of READY into the reply and updates the connection's position.
+func (c *Conn) applyReady(reply *Reply, ready string) {
 	state, position := wire.CutField(ready)
 	reply.State = state
 	reply.Position, _ = wire.ParsePosition(position)
--- a/internal/member/memberconn/reuse_test.go
+++ b/internal/member/memberconn/reuse_test.go
@@ -86,9 +86,9 @@
 	return m.random.IntN(n)
 }
 
-// A careless caller keeps a connection whatever came of its last query, and retries each query where its kind allows it: it
-// gets its own reply or an error, and what may run only once does. The test fails with Reusable always true, with MayHaveRun
-// always true or always false, and with MayRetry always true.
+// A careless caller keeps a connection whatever came of its last query, and retries each query where its kind allows
+// it: it gets its own reply or an error, and what may run only once does. The test fails with Reusable always true,
+// with MayHaveRun always true or always false, and with MayRetry always true.
 func TestCarelessCallersGetTheirOwnAnswers(t *testing.T) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
--- a/internal/member/wire/message.go
+++ b/internal/member/wire/message.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// Words that start a message and tell its kind.
+// Words at the start of a message, one for each kind.
 const (
 	MsgAttach = "ATTACH"
 	MsgReady  = "READY"
@@ -13,8 +13,8 @@
 	MsgBye    = "BYE"
 )
 
-// NoStamp is the stamp of DONE where a success bears none: replies that the system makes itself, and replies to its
-// own queries.
+// NoStamp stands in DONE for a missing stamp: in replies that this system itself makes, and in replies to queries of
+// its own.
 const NoStamp = "-"
 
 // States of a session, as READY reports them.
@@ -24,30 +24,30 @@
 	StateFailedTransaction = "E" // a statement of the open transaction failed
 )
 
-// Codes of FAIL which promise that nothing of the attempt has an effect.
+// Codes of FAIL that promise that the attempt has no effect.
 const (
-	CodeRetry     = "RETRY"   // not attempted; it may be sent again
-	CodeAborted   = "ABORTED" // the transaction was rolled back
-	CodeLagging   = "LAGGING" // the member has not received the position that the query asks for
-	CodeReadOnly  = "RDONLY"  // the member is a replica
-	CodeWrongHost = "WRONGHOST"
-	CodeFull      = "FULL" // the member has no place for another session
+	CodeRetry     = "RETRY"     // the statement was not attempted and may be sent again
+	CodeAborted   = "ABORTED"   // the transaction was rolled back
+	CodeLagging   = "LAGGING"   // the member has not received the position in AFTER
+	CodeReadOnly  = "RDONLY"    // the member is a replica
+	CodeWrongHost = "WRONGHOST" // the server is not the member that ATTACH names
+	CodeFull      = "FULL"      // the member has no capacity for another session
 )
 
-// Codes of FAIL which promise nothing of the kind.
+// Codes of FAIL that don't promise that the attempt has no effect.
 const (
-	CodeNoStatement    = "NOSTMT" // there is no such prepared statement
-	CodeMalformed      = "MALFORMED"
-	CodeNoDatabase     = "NODB"
-	CodeDenied         = "DENIED" // the key that the client attached with is no tenant's
+	CodeNoStatement    = "NOSTMT"    // there is no such prepared statement
+	CodeMalformed      = "MALFORMED" // the message violates the protocol
+	CodeNoDatabase     = "NODB"      // there is no such database
+	CodeDenied         = "DENIED"    // the key in the client's ATTACH belongs to no tenant
 	CodeFailed         = "FAILED"
 	CodeTimeout        = "TIMEOUT"
-	CodeOutcomeUnknown = "UNKNOWN" // a write whose reply was lost
+	CodeOutcomeUnknown = "UNKNOWN" // the reply to a write was lost
 )
 
 const deleteByte = 0x7f
 
-// IsField reports whether a text can stand as a single field within a message.
+// IsField reports whether a text is valid as a single field of a message.
 func IsField(text string) bool {
 	for i := range len(text) {
 		if text[i] <= ' ' || text[i] == deleteByte {
@@ -57,7 +57,7 @@
 	return text != ""
 }
 
-// CutField splits a text around its first blank, into the next field and the rest.
+// CutField splits a text at its first blank into the first field and the rest.
 func CutField(text string) (field, rest string) {
 	field, rest, _ = strings.Cut(text, " ")
 	return field, rest
--- a/internal/member/wire/position.go
+++ b/internal/member/wire/position.go
@@ -8,22 +8,22 @@
 // noPosition is the text of the zero Position.
 const noPosition = "-"
 
-// Position is the end of a log: the term of its last commit and that commit's number. Its text is TERM.NUMBER. The
-// zero value is the position of no log.
+// Position is a position in a log: the term and the number of the last commit before it. Its text form is TERM.NUMBER.
+// The zero value means that no position is known.
 type Position struct {
 	Term   uint64 `cbor:"1,keyasint"`
 	Number uint64 `cbor:"2,keyasint"`
 }
 
-// ParsePosition parses TERM.NUMBER, and reports whether the text is that. "-" is not.
+// ParsePosition parses a text of the form TERM.NUMBER and reports whether it has that form. It does not accept "-".
 func ParsePosition(text string) (Position, bool) {
 	term, number, found := strings.Cut(text, ".")
-	t, termOK := parseUint(term)
-	n, numberOK := parseUint(number)
-	return Position{Term: t, Number: n}, found && termOK && numberOK
+	termValue, termOK := parseUint(term)
+	numberValue, numberOK := parseUint(number)
+	return Position{Term: termValue, Number: numberValue}, found && termOK && numberOK
 }
 
-// parseUint parses decimal digits. Numbers from about 2^62 on are no numbers: the protocol has none as large.
+// parseUint parses decimal digits. It rejects numbers above about 2^62, which the protocol never uses.
 func parseUint(digits string) (uint64, bool) {
 	n := uint64(0)
 	for _, digit := range digits {
@@ -35,15 +35,15 @@
 	return n, digits != ""
 }
 
-// Less orders positions by term, then by number.
+// Less reports whether p is before other. Positions are ordered by term, then by number.
 func (p Position) Less(other Position) bool {
 	return p.Term < other.Term || p.Term == other.Term && p.Number < other.Number
 }
 
-// IsZero reports whether it is the position of no log.
+// IsZero reports whether p is the zero value.
 func (p Position) IsZero() bool { return p == Position{} }
 
-// String returns TERM.NUMBER, "-" for the zero value.
+// String returns TERM.NUMBER, or "-" for the zero value.
 func (p Position) String() string {
 	if p.IsZero() {
 		return noPosition
--- a/internal/member/wire/reader.go
+++ b/internal/member/wire/reader.go
@@ -7,40 +7,41 @@
 	"sync/atomic"
 )
 
-// MaxMessageBytes is the length of the longest message, its end included.
+// MaxMessageBytes is the maximum length of a message, including CR LF.
 const MaxMessageBytes = 1 << 20
 
 const (
 	// readBufferBytes is small, as most sessions are idle.
 	readBufferBytes = 1024
-	// maxKeptBytes is the capacity up to which a buffer for long messages is kept for the next one, as they are rare.
-	maxKeptBytes = 16 << 10
+	// maxKeptBufferBytes is the maximum capacity of a buffer for long messages that is kept for reuse. Long messages are
+	// rare.
+	maxKeptBufferBytes = 16 << 10
 )
 
-// Errors of messages. After ErrMalformedLine the next message can be read; after the others, what would be read next is
-// the rest of the same message, so that the connection is of no further use.
+// Errors of ReadMessage. After ErrMalformedLine the next message can be read. After the others the rest of the same
+// message would be read next, so the connection must be closed.
 var (
-	// ErrMessageTooLong is the error of a message longer than MaxMessageBytes.
+	// ErrMessageTooLong means that a message is longer than MaxMessageBytes.
 	ErrMessageTooLong = errors.New("message longer than 1 MiB")
-	// ErrBufferBudget is the error of a long message for which the shared budget is used up.
+	// ErrBufferBudget means that the shared budget has not enough bytes left for a long message.
 	ErrBufferBudget = errors.New("too many long messages at a time")
-	// ErrMalformedLine is the error of bytes that are no line of text.
+	// ErrMalformedLine means that a line does not end in CR LF or contains a control character.
 	ErrMalformedLine = errors.New("not a line of text")
 )
 
-// BufferBudget bounds the memory that all readers which share it use for long messages that have not ended. It is
-// safe for concurrent use.
+// BufferBudget limits the memory that the readers that share it use for incomplete long messages. It is safe for
+// concurrent use.
 type BufferBudget struct{ available atomic.Int64 }
 
-// NewBufferBudget returns a budget of so many bytes.
+// NewBufferBudget returns a budget with the given number of bytes.
 func NewBufferBudget(bytes int64) *BufferBudget {
 	b := &BufferBudget{}
 	b.available.Store(bytes)
 	return b
 }
 
-// reserve takes bytes off the budget, and reports whether there were as many. They are to be released in any case. A
-// nil budget is unlimited.
+// reserve subtracts bytes from the budget and reports whether the budget had enough. The caller must release the bytes
+// in either case. A nil budget is unlimited.
 func (b *BufferBudget) reserve(bytes int64) bool {
 	return b == nil || b.available.Add(-bytes) >= 0
 }
@@ -51,66 +52,66 @@
 	}
 }
 
-// Reader reads messages. It is used by one goroutine at a time.
+// Reader reads messages. It is not safe for concurrent use.
 type Reader struct {
-	buffer *bufio.Reader
-	long   []byte        // a message that is longer than the buffer; reused
-	budget *BufferBudget // nil: not shared
+	source      *bufio.Reader
+	longMessage []byte        // buffer for a message longer than readBufferBytes, reused
+	budget      *BufferBudget // nil for no limit
 }
 
 // NewReader returns a Reader that reads from r.
-func NewReader(r io.Reader) *Reader { return &Reader{buffer: bufio.NewReaderSize(r, readBufferBytes)} }
+func NewReader(r io.Reader) *Reader { return &Reader{source: bufio.NewReaderSize(r, readBufferBytes)} }
 
-// WithBudget has the reader share a budget, and returns the reader.
+// WithBudget sets the budget that the reader shares, and returns the reader.
 func (r *Reader) WithBudget(budget *BufferBudget) *Reader {
 	r.budget = budget
 	return r
 }
 
-// Buffered returns how many bytes were received beyond the last message that was read.
-func (r *Reader) Buffered() int { return r.buffer.Buffered() }
+// Buffered returns the number of received bytes that have not been read yet.
+func (r *Reader) Buffered() int { return r.source.Buffered() }
 
-// Wait blocks until there is something to read, or an error.
+// Wait blocks until a byte is available or an error occurs.
 func (r *Reader) Wait() error {
-	_, err := r.buffer.Peek(1)
+	_, err := r.source.Peek(1)
 	return err
 }
 
-// ReadMessage reads one message without its end.
+// ReadMessage reads one message and returns it without CR LF.
 func (r *Reader) ReadMessage() (string, error) {
-	part, err := r.buffer.ReadSlice('\n')
+	part, err := r.source.ReadSlice('\n')
 	switch {
 	case err == nil:
 		return parseLine(part)
 	case errors.Is(err, bufio.ErrBufferFull):
-		return r.readLong(part)
+		return r.readLongMessage(part)
 	}
 	return "", err
 }
 
-// readLong reads the rest of a message that is longer than the buffer. What it takes of the budget is released at its
-// end.
-func (r *Reader) readLong(part []byte) (string, error) {
+// readLongMessage reads the rest of a message that is longer than the buffer. It releases the bytes that it has
+// reserved when it returns.
+func (r *Reader) readLongMessage(part []byte) (string, error) {
 	reserved := int64(0)
 	defer func() { r.budget.release(reserved) }()
-	r.long = append(r.long[:0], part...)
+	r.longMessage = append(r.longMessage[:0], part...)
 	err := bufio.ErrBufferFull
-	for errors.Is(err, bufio.ErrBufferFull) && len(r.long) <= MaxMessageBytes {
+	for errors.Is(err, bufio.ErrBufferFull) && len(r.longMessage) <= MaxMessageBytes {
 		reserved += int64(len(part))
 		if !r.budget.reserve(int64(len(part))) {
-			r.long = nil
+			r.longMessage = nil
 			return "", ErrBufferBudget
 		}
-		part, err = r.buffer.ReadSlice('\n')
-		r.long = append(r.long, part...)
+		part, err = r.source.ReadSlice('\n')
+		r.longMessage = append(r.longMessage, part...)
 	}
-	if len(r.long) > MaxMessageBytes {
-		r.long = nil
+	if len(r.longMessage) > MaxMessageBytes {
+		r.longMessage = nil
 		return "", ErrMessageTooLong
 	}
-	line := r.long
-	if cap(r.long) > maxKeptBytes {
-		r.long = nil
+	line := r.longMessage
+	if cap(r.longMessage) > maxKeptBufferBytes {
+		r.longMessage = nil
 	}
 	if err != nil {
 		return "", err
@@ -118,7 +119,7 @@
 	return parseLine(line)
 }
 
-// parseLine checks a line and returns it without its end.
+// parseLine validates a line and returns it without CR LF.
 func parseLine(line []byte) (string, error) {
 	end := len(line) - 2
 	if end < 0 || line[end] != '\r' {
--- a/internal/member/wire/statement.go
+++ b/internal/member/wire/statement.go
@@ -2,17 +2,17 @@
 
 import "strings"
 
-// Statement is the text of a query, taken apart.
+// Statement is the parsed text of a query.
 type Statement struct {
 	Verb         string // BEGIN, COMMIT, ABORT, FETCH, STORE, SET, PREP, EXEC, UNPREP or, if not valid, any other word
-	Name         string // of a key (FETCH, STORE), a session variable (SET) or a prepared statement
-	Args         string // what follows the name, or for PREP what follows PreparedVerb
-	PreparedVerb string // of PREP: FETCH or STORE
-	ReadOnly     bool   // BEGIN FETCH
-	Valid        bool   // a client may send it
+	Name         string // name of a key (FETCH, STORE), a session variable (SET) or a prepared statement
+	Args         string // the text after the name, or for PREP the text after PreparedVerb
+	PreparedVerb string // FETCH or STORE, for PREP only
+	ReadOnly     bool   // the statement is BEGIN FETCH
+	Valid        bool   // clients may send the statement
 }
 
-// ParseStatement takes a query's text apart. Texts that no client may send give a Statement that isn't Valid.
+// ParseStatement parses the text of a query. For a text that clients may not send, Valid is false.
 func ParseStatement(text string) Statement {
 	verb, rest := CutField(text)
 	s := Statement{Verb: verb}
--- a/internal/member/wire/status.go
+++ b/internal/member/wire/status.go
@@ -2,17 +2,17 @@
 
 import "strings"
 
-// MemberStatus is the row that a member answers to STAT, PAUSE, CONT and STEPDOWN with:
+// MemberStatus is the row in a member's reply to STAT, PAUSE, CONT and STEPDOWN:
 //
 //	ROW primary|replica TERM RECEIVED PROMISED LAG BUSY CONNECTIONS
 type MemberStatus struct {
 	Primary      bool
-	Term         uint64   // the newest that it knows
-	Received     Position // the end of its log
-	PromisedTerm uint64   // a paused replica's: the one that it was paused with. 0: it is not paused
-	LagMillis    uint64
-	Busy         uint64
-	Conns        uint64
+	Term         uint64   // the newest term that the member knows
+	Received     Position // the end of the member's log
+	PromisedTerm uint64   // the term that a paused replica was paused with, 0 for other members
+	LagMillis    uint64   // replication lag
+	Busy         uint64   // as the member reports it; not used by this system
+	Conns        uint64   // number of connections
 }
 
 const (
@@ -20,8 +20,7 @@
 	roleReplica = "replica"
 )
 
-// ParseMemberStatus parses the fields of a status row, and reports whether they are that. Fields after the known
-// ones are ignored.
+// ParseMemberStatus parses the fields of a status row and reports whether they are valid. It ignores additional fields.
 func ParseMemberStatus(row string) (MemberStatus, bool) {
 	fields := strings.Fields(row)
 	if len(fields) < 7 || fields[0] != rolePrimary && fields[0] != roleReplica {
@@ -29,9 +28,9 @@
 	}
 	valid := true
 	number := func(field string) uint64 {
-		n, ok := parseUint(field)
+		value, ok := parseUint(field)
 		valid = valid && ok
-		return n
+		return value
 	}
 	status := MemberStatus{
 		Primary:      fields[0] == rolePrimary,
