--- a/internal/dataplane/proxy/bench_test.go
+++ b/internal/dataplane/proxy/bench_test.go
@@ -15,8 +15,8 @@
 	"weirwind/internal/util/settings"
 )
 
-// BenchmarkStatements measures the way of a statement, client and member included: what it allocates is the same in
-// each run, and is not to grow.
+// BenchmarkStatements measures the path of a statement, including client and member. Its allocations are the same in
+// each run and must not grow.
 func BenchmarkStatements(b *testing.B) {
 	for _, c := range []struct {
 		name, host string
@@ -47,13 +47,13 @@
 // attachBenchClient starts a proxy with three idle connections to a primary, and attaches a client to it.
 func attachBenchClient(b *testing.B, host string) net.Conn {
 	b.Helper()
-	ctx, stop := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	p := newProxy(ctx, &settings.Settings{Zone: "z", MemoryMB: 8}, events.Discard())
 	go p.router.run()
 	done := make(chan struct{})
 	p.router.do(func() {
 		defer close(done)
-		p.router.update(&controlmsg.StateUpdate{ConfigVersion: 3, Config: []byte(transcripts), DriverCount: 2,
+		p.router.update(&controlmsg.StateUpdate{ConfigVersion: 3, Config: []byte(transcriptConfig), DriverCount: 2,
 			ShardMap: &shardmap.Map{Version: 5, Shards: map[string]shardmap.Assignment{"sh": {Node: "s", Epoch: 8}}},
 			Members: []directory.Member{{ID: "a", Service: "s", Zone: "z", Role: directory.RolePrimary, Incarnation: 1,
 				Seq: 1}}})
@@ -70,7 +70,7 @@
 	<-done
 	here, there := net.Pipe()
 	go p.serve(there)
-	b.Cleanup(func() { here.Close(); stop() })
+	b.Cleanup(func() { here.Close(); cancel() })
 	if _, err := here.Write([]byte("ATTACH " + host + " who\r\n")); err != nil {
 		b.Fatal(err)
 	}
@@ -91,7 +91,7 @@
 	}
 }
 
-// serveBenchMember answers as a primary does, with a success to everything.
+// serveBenchMember answers as a primary for which every statement succeeds.
 func serveBenchMember(c net.Conn) {
 	queries, state := wire.NewReader(c), wire.StateIdle
 	for {
--- a/internal/dataplane/proxy/connpool_test.go
+++ b/internal/dataplane/proxy/connpool_test.go
@@ -9,19 +9,20 @@
 	"weirwind/internal/member/wire"
 )
 
-// poolOf returns a pool of idle connections, each of which holds one value: those given, in order.
-func poolOf(t *testing.T, values ...string) (*connPool, []*memberConn) {
+// newIdlePool returns a pool with an idle connection for each of the values, in order. On each connection the session
+// variable v has that value.
+func newIdlePool(t *testing.T, values ...string) (*connPool, []*memberConn) {
 	t.Helper()
 	pool := &connPool{}
 	var conns []*memberConn
 	for i, value := range values {
-		here, there := net.Pipe()
-		t.Cleanup(func() { here.Close(); there.Close() })
-		c := &memberConn{Conn: &memberconn.Conn{NetConn: here, Reader: wire.NewReader(here)}}
-		c.state.Sync(sessionWith(value), nil)
+		proxyEnd, memberEnd := net.Pipe()
+		t.Cleanup(func() { proxyEnd.Close(); memberEnd.Close() })
+		conn := &memberConn{Conn: &memberconn.Conn{NetConn: proxyEnd, Reader: wire.NewReader(proxyEnd)}}
+		conn.state.Sync(sessionWith(value), nil)
 		pool.open++
-		pool.putIdle(c, float64(1000*i))
-		conns = append(conns, c)
+		pool.putIdle(conn, float64(1000*i))
+		conns = append(conns, conn)
 	}
 	return pool, conns
 }
@@ -42,22 +43,22 @@
 		{"the newest, where none holds them", "z", 3},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			pool, conns := poolOf(t, "x", "y", "x", "w")
+			pool, conns := newIdlePool(t, "x", "y", "x", "w")
 			if got := pool.takeIdle("", sessionWith(c.value).ValuesHash()); got != conns[c.want] {
-				t.Errorf("another connection than number %d", c.want)
+				t.Errorf("got another connection than number %d", c.want)
 			}
 			if len(pool.idle) != 3 || pool.open != 4 {
-				t.Errorf("%d idle of %d open", len(pool.idle), pool.open)
+				t.Errorf("%d idle of %d open, want 3 of 4", len(pool.idle), pool.open)
 			}
 		})
 	}
 }
 
-func TestPoolClosesExpiredConnectionsButAFew(t *testing.T) {
-	pool, conns := poolOf(t, "a", "b", "c", "d") // idle since 0, 1000, 2000 and 3000 ms
+func TestPoolKeepsTheMinimumOfExpiredConnections(t *testing.T) {
+	pool, conns := newIdlePool(t, "a", "b", "c", "d") // idle since 0, 1000, 2000 and 3000 ms
 	pool.closeExpired(4000)
 	if len(pool.idle) != 4 {
-		t.Fatalf("%d are left, none was idle for too long", len(pool.idle))
+		t.Fatalf("%d connections left, want all 4, as none has expired", len(pool.idle))
 	}
 	pool.closeExpired(5500)
 	if len(pool.idle) != 2 || pool.idle[0] != conns[2] || pool.open != 2 {
@@ -65,7 +66,7 @@
 	}
 	pool.closeExpired(60000)
 	if len(pool.idle) != minIdleConns {
-		t.Errorf("%d are left, want %d", len(pool.idle), minIdleConns)
+		t.Errorf("%d connections left, want %d", len(pool.idle), minIdleConns)
 	}
 }
 
@@ -76,12 +77,12 @@
 			t.Errorf("push of %d: %v", i, got)
 		}
 	}
-	var seen []int
+	var visited []int
 	q.removeIf(func(i int) bool {
-		seen = append(seen, i)
+		visited = append(visited, i)
 		return i%2 == 0
 	})
-	if len(seen) != 4 || q.len() != 2 || q.waiting[0] != 1 || q.waiting[1] != 3 {
-		t.Errorf("saw %v, left %v", seen, q.waiting)
+	if len(visited) != 4 || q.len() != 2 || q.waiting[0] != 1 || q.waiting[1] != 3 {
+		t.Errorf("saw %v, left %v", visited, q.waiting)
 	}
 }
--- a/internal/dataplane/proxy/metrics_test.go
+++ b/internal/dataplane/proxy/metrics_test.go
@@ -15,9 +15,9 @@
 	"weirwind/internal/util/settings"
 )
 
-// A proxy's figures are those of its groups: slot, queue, connections, how requests ended. Their labels are services,
-// members, states and outcomes alone.
-func TestProxiesTellTheirFigures(t *testing.T) {
+// A proxy exports metrics of its groups: slot, queue, connections and outcomes of requests. Their labels are only
+// services, members, states, reasons and outcomes.
+func TestProxyMetrics(t *testing.T) {
 	p := newProxy(t.Context(), &settings.Settings{Zone: "z", MemoryMB: 8}, events.Discard())
 	g := p.router.group("orders")
 	for _, m := range []directory.Member{
@@ -33,7 +33,7 @@
 	g.metrics.queueWait.Observe(0.002)
 	g.queue.max = 0
 	request := &connRequest{reply: make(chan lentConn, 1)}
-	p.router.enqueue("orders", request) // finds the queue full
+	p.router.enqueue("orders", request) // is rejected, as the queue is full
 	go p.router.run()
 	w := httptest.NewRecorder()
 	metrics.Handler(p.writeMetrics).ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/metrics", nil))
@@ -50,13 +50,13 @@
 		`weirwind_events_total{event="E501"} 1`,
 	} {
 		if !strings.Contains(w.Body.String(), "\n"+line+"\n") {
-			t.Errorf("%q is not in\n%s", line, w.Body)
+			t.Errorf("%q is missing in\n%s", line, w.Body)
 		}
 	}
 }
 
-// What a fetch costs a proxy of thirty services of three members each.
-func BenchmarkFetchOfThirtyServices(b *testing.B) {
+// BenchmarkMetricsOfThirtyServices measures one scrape of a proxy with thirty services of three members each.
+func BenchmarkMetricsOfThirtyServices(b *testing.B) {
 	p := newProxy(b.Context(), &settings.Settings{Zone: "z", MemoryMB: 8}, events.Discard())
 	for n := range 30 {
 		service := fmt.Sprint("service", n)
--- a/internal/dataplane/proxy/proxy.go
+++ b/internal/dataplane/proxy/proxy.go
@@ -135,7 +135,7 @@
 
 // report sends the agent a report on a primary for the control plane. Without a connection to the agent the report is
 // dropped, as reports are repeated.
-func (p *Proxy) report(primaryReport *controlmsg.PrimaryReport) {
+func (p *Proxy) sendReport(primaryReport *controlmsg.PrimaryReport) {
 	if link := p.agent.Load(); link != nil {
 		link.Send(&controlmsg.Frame{PrimaryReport: primaryReport})
 	}
--- a/internal/dataplane/proxy/quota.go
+++ b/internal/dataplane/proxy/quota.go
@@ -165,7 +165,8 @@
 		return
 	}
 	r.proxy.log.Event(events.QuotaRefusals, "tenant", request.tenant, "count", log.count,
-		"retryAfterMs", int(retryAfterMs), "waiting", r.quotas.client.Waiting(request.tenant), "agent", r.proxy.agent.Load() != nil)
+		"retryAfterMs", int(retryAfterMs), "waiting", r.quotas.client.Waiting(request.tenant),
+		"agent", r.proxy.agent.Load() != nil)
 	log.count, log.loggedAt = 0, now
 }
 
--- a/internal/dataplane/proxy/reporter_test.go
+++ b/internal/dataplane/proxy/reporter_test.go
@@ -9,12 +9,12 @@
 	"weirwind/internal/member/wire"
 )
 
-// A primary that answers nothing, then answers, then takes no connection: a report at each interval while it is
-// unhealthy, and one that it is healthy again.
+// A primary first does not answer, then answers, then accepts no connection. There is a report at each interval while it
+// is unhealthy, and one when it is healthy again.
 func TestReporter(t *testing.T) {
 	g := group.NewGroup("s", func(string) group.Distance { return group.SameZone })
 	g.UpdateMember(directory.Member{ID: "a", Role: directory.RolePrimary, Incarnation: 1, Seq: 1}, 1000)
-	a := g.Members["a"]
+	primary := g.Members["a"]
 	var r reporter
 	expect := func(now float64, want *controlmsg.PrimaryReport) {
 		t.Helper()
@@ -28,17 +28,17 @@
 		}
 	}
 	expect(1000, nil)
-	g.RecordSend(a, 1000, false)
+	g.RecordSend(primary, 1000, false)
 	g.SuspectPrimary(1300)
 	expect(1300, &controlmsg.PrimaryReport{Service: "s", MemberID: "a", UnresponsiveMs: 300})
 	expect(1600, nil)
 	expect(1700, &controlmsg.PrimaryReport{Service: "s", MemberID: "a", UnresponsiveMs: 700})
-	g.RecordOutcome(a, 1000, 1800, group.Answered, wire.Position{})
+	g.RecordOutcome(primary, 1000, 1800, group.Answered, wire.Position{})
 	expect(1900, nil)
 	expect(2100, &controlmsg.PrimaryReport{Service: "s", MemberID: "a"})
 	expect(2600, nil)
-	g.RecordOutcome(a, 2700, 2800, group.ConnectFailed, wire.Position{})
+	g.RecordOutcome(primary, 2700, 2800, group.ConnectFailed, wire.Position{})
 	expect(2800, &controlmsg.PrimaryReport{Service: "s", MemberID: "a", Unreachable: true})
 	g.UpdateMember(directory.Member{ID: "a", Role: directory.RoleReplica, Incarnation: 1, Seq: 2}, 2900)
-	expect(3200, nil) // it said itself that it leads no longer
+	expect(3200, nil) // the member itself announced that it is no longer the primary
 }
--- a/internal/dataplane/proxy/retry_test.go
+++ b/internal/dataplane/proxy/retry_test.go
@@ -19,48 +19,49 @@
 	"weirwind/internal/util/settings"
 )
 
-// What a scripted member does in place of an answer of the script.
+// Scripted replies with a special meaning.
 const (
-	cutOff  = "cut off"  // it takes the statement and closes the connection
-	byHalf  = "by half"  // the same, after many rows
-	asUsual = "as usual" // there is no answer of the script: it answers as members do
+	cutOff          = "cut off"            // the member reads the statement and closes the connection
+	cutOffAfterRows = "cut off after rows" // the same, after it has sent many rows
+	defaultReply    = "default reply"      // the member replies as usual
 )
 
-// scriptedMember is a primary that answers statements by a script.
+// scriptedMember is a primary with scripted replies.
 type scriptedMember struct {
-	mu     sync.Mutex
-	script map[string][]string // by text: the answers to it, one after the other; then as usual
-	ran    []string            // texts with a client's id, in order of arrival
-	ranAs  []string            // for each of ran, whom its connection was attached as
-	conns  int
+	mu         sync.Mutex
+	script     map[string][]string // by statement: the next replies; after them the member replies as usual
+	ranTexts   []string            // statements of clients, in order of arrival
+	ranTenants []string            // for each of ranTexts, the name in its connection's ATTACH
+	conns      int
 
-	failing string // a text whose FAIL leaves a transaction failed
+	failingText string // a statement whose FAIL puts the transaction into the failed state
 }
 
-func (m *scriptedMember) take(who, id, text string) string {
+// nextReply records a statement and returns the scripted reply to it.
+func (m *scriptedMember) nextReply(tenant, id, text string) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if id != wire.NoStamp {
-		m.ran, m.ranAs = append(m.ran, text), append(m.ranAs, who)
+		m.ranTexts, m.ranTenants = append(m.ranTexts, text), append(m.ranTenants, tenant)
 	}
-	all := m.script[text]
-	if len(all) == 0 {
-		return asUsual
+	replies := m.script[text]
+	if len(replies) == 0 {
+		return defaultReply
 	}
-	m.script[text] = all[1:]
-	return all[0]
+	m.script[text] = replies[1:]
+	return replies[0]
 }
 
-// times counts how often a text arrived.
-func (m *scriptedMember) times(text string) (n int) {
+// runCount returns how often a client's statement has arrived.
+func (m *scriptedMember) runCount(text string) (count int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, t := range m.ran {
+	for _, t := range m.ranTexts {
 		if t == text {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
 
 func (m *scriptedMember) serve(c net.Conn) {
@@ -70,7 +71,7 @@
 	if err != nil {
 		return
 	}
-	who := strings.Fields(attach)[2]
+	tenant := strings.Fields(attach)[2]
 	m.mu.Lock()
 	m.conns++
 	m.mu.Unlock()
@@ -83,20 +84,20 @@
 		}
 		_, rest := wire.CutField(line)
 		id, text := wire.CutField(rest)
-		said := m.take(who, id, text)
+		reply := m.nextReply(tenant, id, text)
 		verb, _ := wire.CutField(text)
 		stamp := "m." + id
 		switch {
-		case said == cutOff:
+		case reply == cutOff:
 			return
-		case said == byHalf:
+		case reply == cutOffAfterRows:
 			fmt.Fprint(c, strings.Repeat("ROW "+strings.Repeat("x", 1000)+"\r\n", 400))
 			return
-		case said != asUsual:
-			if text == m.failing {
+		case reply != defaultReply:
+			if text == m.failingText {
 				state = wire.StateFailedTransaction
 			}
-			fmt.Fprint(c, said+"\r\nREADY "+state+" 1.1\r\n")
+			fmt.Fprint(c, reply+"\r\nREADY "+state+" 1.1\r\n")
 			continue
 		case verb == "STAT":
 			fmt.Fprint(c, "ROW primary 1 1.1 1 0 0 0\r\n")
@@ -114,15 +115,16 @@
 	}
 }
 
-// client is a session with a proxy whose only member is a scripted one.
+// client is a client's session with a proxy.
 type client struct {
 	conn    net.Conn
 	replies *wire.Reader
 	queries int
 }
 
+// attachClient starts a proxy whose only member is the scripted one, and attaches a client to it.
 func attachClient(t *testing.T, m *scriptedMember) *client {
-	ctx, stop := context.WithCancel(t.Context())
+	ctx, cancel := context.WithCancel(t.Context())
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -152,95 +154,96 @@
 	g.routing.RecordSend(g.routing.Members["a"], now-1, false)
 	g.routing.RecordOutcome(g.routing.Members["a"], now-1, now, group.AnsweredAsPrimary, wire.Position{Term: 1, Number: 1})
 	go p.router.run()
-	here, there := net.Pipe()
-	k := &client{conn: here, replies: wire.NewReader(here)}
-	go (&session{proxy: p, client: there}).run()
-	Reset(func() { stop(); ln.Close(); here.Close() })
-	fmt.Fprint(here, "ATTACH db who\r\n")
+	clientEnd, proxyEnd := net.Pipe()
+	k := &client{conn: clientEnd, replies: wire.NewReader(clientEnd)}
+	go (&session{proxy: p, client: proxyEnd}).run()
+	Reset(func() { cancel(); ln.Close(); clientEnd.Close() })
+	fmt.Fprint(clientEnd, "ATTACH db who\r\n")
 	if l, err := k.replies.ReadMessage(); err != nil || l != "READY I -" {
 		t.Fatal(l, err)
 	}
 	return k
 }
 
-// query returns the lines of an answer, equal ones that follow each other as one.
+// query sends a statement and returns the lines of the answer, without consecutive duplicates.
 func (k *client) query(text string) string {
 	k.queries++
 	fmt.Fprintf(k.conn, "QUERY q%d %s\r\n", k.queries, text)
-	var all []string
+	var lines []string
 	for {
 		k.conn.SetReadDeadline(time.Now().Add(10 * time.Second))
 		l, err := k.replies.ReadMessage()
 		if err != nil {
-			return strings.Join(append(all, err.Error()), " | ")
+			return strings.Join(append(lines, err.Error()), " | ")
 		}
 		if len(l) > 100 {
 			l = l[:10] + ".."
 		}
-		if len(all) == 0 || all[len(all)-1] != l {
-			all = append(all, l)
+		if len(lines) == 0 || lines[len(lines)-1] != l {
+			lines = append(lines, l)
 		}
 		if strings.HasPrefix(l, wire.MsgReady) {
-			return strings.Join(all, " | ")
+			return strings.Join(lines, " | ")
 		}
 	}
 }
 
-// Which statements are retried after an answer that did not come. In brackets: what to take out to see the case fail.
+// Which statements are retried after a lost answer. The name in parentheses is the code that each case tests: the case
+// fails without it.
 func TestRetries(t *testing.T) {
-	Convey("With a member that loses answers", t, func() {
+	Convey("With a member that loses replies", t, func() {
 		m := &scriptedMember{script: map[string][]string{}}
 		k := attachClient(t, m)
 
-		Convey("a read is retried, and answered once (kindOf)", func() {
+		Convey("a read is retried and answered once (idempotencyOf)", func() {
 			m.script["FETCH x"] = []string{cutOff}
 			So(k.query("FETCH x"), ShouldEqual, "ROW whole | DONE m.q1 | READY I 1.1")
-			So(m.times("FETCH x"), ShouldEqual, 2)
+			So(m.runCount("FETCH x"), ShouldEqual, 2)
 		})
-		Convey("a read whose first rows have gone to the client is not: they would be another answer's (rowsForwarded)", func() {
-			m.script["FETCH x"] = []string{byHalf}
+		Convey("a read is not retried once rows were forwarded, as another reply may differ (rowsForwarded)", func() {
+			m.script["FETCH x"] = []string{cutOffAfterRows}
 			So(k.query("FETCH x"), ShouldEqual, "ROW xxxxxx.. | FAIL RETRY come back after 200 ms | READY I -")
-			So(m.times("FETCH x"), ShouldEqual, 1)
+			So(m.runCount("FETCH x"), ShouldEqual, 1)
 			So(k.query("FETCH x"), ShouldEqual, "ROW whole | DONE m.q2 | READY I 1.1")
 		})
-		Convey("a write is not (kindOf)", func() {
+		Convey("a write is not retried (idempotencyOf)", func() {
 			m.script["STORE x 1"] = []string{cutOff}
 			So(k.query("STORE x 1"), ShouldEqual, "FAIL UNKNOWN no answer came from a | READY I -")
-			So(m.times("STORE x 1"), ShouldEqual, 1)
+			So(m.runCount("STORE x 1"), ShouldEqual, 1)
 		})
-		Convey("a success without a stamp is another query's (requireStamp)", func() {
+		Convey("a success without a stamp belongs to another query (requireStamp)", func() {
 			m.script["STORE x 1"] = []string{"DONE -"}
 			So(k.query("STORE x 1"), ShouldEqual, "FAIL UNKNOWN no answer came from a | READY I -")
-			So(m.times("STORE x 1"), ShouldEqual, 1)
+			So(m.runCount("STORE x 1"), ShouldEqual, 1)
 		})
-		Convey("the beginning of a transaction is, as its connection's end rolls it back", func() {
+		Convey("BEGIN is retried, as closing its connection rolls the transaction back", func() {
 			m.script["BEGIN"] = []string{cutOff}
 			So(k.query("BEGIN"), ShouldEqual, "DONE - | READY T -")
 			So(k.query("STORE x 1"), ShouldEqual, "DONE m.q2 | READY T 1.1")
 			So(k.query("COMMIT"), ShouldEqual, "DONE m.q3 | READY I 1.1")
-			So(m.times("BEGIN"), ShouldEqual, 2)
-			So(m.times("STORE x 1"), ShouldEqual, 1)
+			So(m.runCount("BEGIN"), ShouldEqual, 2)
+			So(m.runCount("STORE x 1"), ShouldEqual, 1)
 		})
-		Convey("a statement of a transaction is not: it ends, with a promise", func() {
+		Convey("a statement in a transaction is not retried, and the transaction is reported as rolled back", func() {
 			m.script["STORE x 1"] = []string{cutOff}
 			k.query("BEGIN")
 			So(k.query("STORE x 1"), ShouldEqual, "FAIL ABORTED no answer came from a | READY E -")
-			So(m.times("STORE x 1"), ShouldEqual, 1)
+			So(m.runCount("STORE x 1"), ShouldEqual, 1)
 		})
-		Convey("a COMMIT is not, and is promised nothing of", func() {
+		Convey("a COMMIT is not retried, and its outcome is reported as unknown", func() {
 			m.script["COMMIT"] = []string{cutOff}
 			k.query("BEGIN")
 			k.query("STORE x 1")
 			So(k.query("COMMIT"), ShouldEqual, "FAIL UNKNOWN no answer to the commit came from a | READY I -")
-			So(m.times("COMMIT"), ShouldEqual, 1)
+			So(m.runCount("COMMIT"), ShouldEqual, 1)
 		})
-		Convey("a COMMIT behind a write that failed, and may have run, is promised nothing of either (mayHaveRun)", func() {
+		Convey("the outcome of a COMMIT is also unknown after a failed write that may have run (mayHaveRun)", func() {
 			m.script["STORE x 1"], m.script["COMMIT"] = []string{"FAIL TIMEOUT"}, []string{cutOff}
 			k.query("BEGIN")
 			So(k.query("STORE x 1"), ShouldEqual, "FAIL TIMEOUT | READY T 1.1")
 			So(k.query("COMMIT"), ShouldEqual, "FAIL UNKNOWN no answer to the commit came from a | READY I -")
 		})
-		Convey("a read whose ABORT was refused leaves its connection with an open transaction: it is closed (succeeded)", func() {
+		Convey("a connection is closed if the ABORT after a read was refused, as a transaction is open (handleSuccess)", func() {
 			m.script["ABORT"] = []string{"FAIL FAILED no"}
 			So(k.query("FETCH x"), ShouldContainSubstring, "DONE m.q1")
 			m.mu.Lock()
@@ -251,7 +254,7 @@
 			defer m.mu.Unlock()
 			So(m.conns, ShouldEqual, before+1)
 		})
-		Convey("a connection whose member forgot a prepared name is not used again (CodeNoStatement)", func() {
+		Convey("a connection is closed if the member no longer knows a prepared statement (CodeNoStatement)", func() {
 			k.query("PREP s STORE q")
 			m.script["EXEC w1 x 1"] = []string{"FAIL NOSTMT w1"}
 			So(k.query("EXEC s x 1"), ShouldContainSubstring, "DONE m.q2")
--- a/internal/dataplane/proxy/router.go
+++ b/internal/dataplane/proxy/router.go
@@ -85,7 +85,7 @@
 		r.dispatch(g)
 		r.probe(g)
 		if report := g.reporter.next(g.routing, now); report != nil {
-			r.proxy.report(report)
+			r.proxy.sendReport(report)
 		}
 		for id, pool := range g.pools {
 			pool.closeExpired(now)
--- a/internal/dataplane/proxy/status_test.go
+++ b/internal/dataplane/proxy/status_test.go
@@ -10,18 +10,18 @@
 	"weirwind/internal/util/settings"
 )
 
-// A caller that closes its sending half, upon which HTTP's server cancels the request's context, still waits for the
-// answer.
-func TestStatusIsGivenToCallersThatCloseTheirSendingHalf(t *testing.T) {
+// When a caller closes its sending half, the HTTP server cancels the request's context, but the caller still waits for
+// the response.
+func TestStatusAnswersCallersWithAClosedSendingHalf(t *testing.T) {
 	p := newProxy(t.Context(), &settings.Settings{}, events.Discard())
 	go p.router.commands.Run(time.Hour, func() {})
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	for range 20 {
-		answer := httptest.NewRecorder()
-		p.handleStatus(answer, httptest.NewRequestWithContext(ctx, "GET", "/status", nil))
-		if answer.Body.Len() == 0 {
-			t.Fatal("an empty answer")
+		response := httptest.NewRecorder()
+		p.handleStatus(response, httptest.NewRequestWithContext(ctx, "GET", "/status", nil))
+		if response.Body.Len() == 0 {
+			t.Fatal("the response is empty")
 		}
 	}
 }
--- a/internal/dataplane/proxy/tenants_test.go
+++ b/internal/dataplane/proxy/tenants_test.go
@@ -18,7 +18,7 @@
 	"weirwind/internal/util/settings"
 )
 
-// tenantFixture is a proxy with one member, the primary, whose clients attach with tenants' keys.
+// tenantFixture is a proxy with tenants and one member, a scripted primary.
 type tenantFixture struct {
 	t      *testing.T
 	proxy  *Proxy
@@ -26,7 +26,7 @@
 	log    strings.Builder
 }
 
-// tenantConfig is a configuration with a private route, a public one and the tenants given, as JSON.
+// tenantConfig returns a configuration with a private route, a public route and the given tenants, as JSON.
 func tenantConfig(version int, tenants string) []byte {
 	return fmt.Appendf(nil, `{"gen":%d,"routes":[
 		{"name":"r","host":"db","type":"primary","timeoutMs":3000,"svc":"s"},
@@ -78,15 +78,15 @@
 	f.update(&controlmsg.StateUpdate{ConfigVersion: uint64(version), Config: tenantConfig(version, tenants)})
 }
 
-// attach opens a session and gives the answer to its ATTACH.
-func (f *tenantFixture) attach(host, who string) (*client, string) {
+// attach sends ATTACH in a new session and returns the answer.
+func (f *tenantFixture) attach(host, key string) (*client, string) {
 	f.t.Helper()
-	here, there := net.Pipe()
-	f.t.Cleanup(func() { here.Close() })
-	go f.proxy.serve(there)
-	k := &client{conn: here, replies: wire.NewReader(here)}
-	fmt.Fprintf(here, "ATTACH %s %s\r\n", host, who)
-	here.SetReadDeadline(time.Now().Add(10 * time.Second))
+	clientEnd, proxyEnd := net.Pipe()
+	f.t.Cleanup(func() { clientEnd.Close() })
+	go f.proxy.serve(proxyEnd)
+	k := &client{conn: clientEnd, replies: wire.NewReader(clientEnd)}
+	fmt.Fprintf(clientEnd, "ATTACH %s %s\r\n", host, key)
+	clientEnd.SetReadDeadline(time.Now().Add(10 * time.Second))
 	line, err := k.replies.ReadMessage()
 	if err != nil {
 		f.t.Fatal(err)
@@ -94,35 +94,35 @@
 	return k, line
 }
 
-// attached opens a session that must be accepted.
-func (f *tenantFixture) attached(host, who string) *client {
+// mustAttach opens a session and fails the test if it is not accepted.
+func (f *tenantFixture) mustAttach(host, key string) *client {
 	f.t.Helper()
-	k, line := f.attach(host, who)
+	k, line := f.attach(host, key)
 	if line != "READY I -" {
 		f.t.Fatal(line)
 	}
 	return k
 }
 
-// expect runs a statement and compares the answer.
-func (f *tenantFixture) expect(k *client, text, want string) {
+// expectReply sends a statement and compares the answer.
+func (f *tenantFixture) expectReply(k *client, text, want string) {
 	f.t.Helper()
 	if got := k.query(text); got != want {
 		f.t.Errorf("%s: %q, want %q", text, got, want)
 	}
 }
 
-// expectEnd checks that the proxy closes a client's connection.
-func (f *tenantFixture) expectEnd(k *client) {
+// expectClosed checks that the proxy closes a client's connection.
+func (f *tenantFixture) expectClosed(k *client) {
 	f.t.Helper()
 	k.conn.SetReadDeadline(time.Now().Add(10 * time.Second))
 	if line, err := k.replies.ReadMessage(); err == nil || isTimeout(err) {
-		f.t.Errorf("the session goes on: %q, %v", line, err)
+		f.t.Errorf("the session is still open: %q, %v", line, err)
 	}
 }
 
-// awaitReturned waits until no connection is lent.
-func (f *tenantFixture) awaitReturned() {
+// awaitAllReturned waits until no connection is checked out.
+func (f *tenantFixture) awaitAllReturned() {
 	f.t.Helper()
 	for until := time.Now().Add(10 * time.Second); time.Now().Before(until); {
 		lent := 0
@@ -135,27 +135,27 @@
 			return
 		}
 	}
-	f.t.Error("a connection was not returned")
+	f.t.Error("a connection is still checked out after 10 s")
 }
 
-// expectRan compares what the member ran, each as "whom it was told: text".
+// expectRan compares the statements that the member ran, each as "name in ATTACH: statement".
 func (f *tenantFixture) expectRan(want ...string) {
 	f.t.Helper()
 	f.member.mu.Lock()
 	defer f.member.mu.Unlock()
 	var got []string
-	for i, text := range f.member.ran {
-		got = append(got, f.member.ranAs[i]+": "+text)
+	for i, text := range f.member.ranTexts {
+		got = append(got, f.member.ranTenants[i]+": "+text)
 	}
 	if !slices.Equal(got, want) {
 		f.t.Errorf("the member ran %q, want %q", got, want)
 	}
 }
 
-// ROUTE: requests ran under a key that no configuration ever held.
+// A client whose key belongs to no tenant must be denied at ATTACH, except on public routes.
 func TestUnknownKeysAreDenied(t *testing.T) {
 	f := newTenantFixture(t, twoTenants)
-	for _, c := range []struct{ host, who, want string }{
+	for _, c := range []struct{ host, key, want string }{
 		{"db", "key-n1", "READY I -"},
 		{"db", "key-s", "READY I -"},
 		{"db", "key-x", "FAIL DENIED no tenant has this key"},
@@ -164,17 +164,18 @@
 		{"open", "key-x", "READY I -"},
 		{"nowhere", "key-x", "FAIL NODB nowhere"},
 	} {
-		k, got := f.attach(c.host, c.who)
+		k, got := f.attach(c.host, c.key)
 		if got != c.want {
-			t.Errorf("ATTACH %s %s: %q, want %q", c.host, c.who, got, c.want)
+			t.Errorf("ATTACH %s %s: %q, want %q", c.host, c.key, got, c.want)
 		}
 		if strings.HasPrefix(got, wire.MsgFail) {
-			f.expectEnd(k)
+			f.expectClosed(k)
 		}
 	}
 }
 
-// By the contract a configuration without tenants serves nobody but on public routes; without both, anybody.
+// With the tenant contract and a configuration without tenants, only public routes are served. Without either, all
+// clients are served.
 func TestTenantsInForce(t *testing.T) {
 	for _, c := range []struct {
 		contracts []string
@@ -189,106 +190,107 @@
 		if _, got := f.attach("db", "who"); got != c.want {
 			t.Errorf("contracts %q, tenants %q: %q, want %q", c.contracts, c.tenants, got, c.want)
 		}
-		f.attached("open", "who")
+		f.mustAttach("open", "who")
 	}
 }
 
-// UNASKED: a member was told another tenant than that of the client's key.
-func TestMembersAreToldTheTenant(t *testing.T) {
+// The name in ATTACH at a member must be the tenant of the client's key.
+func TestMembersReceiveTheTenantOfTheKey(t *testing.T) {
 	f := newTenantFixture(t, twoTenants)
-	north, south, other := f.attached("db", "key-n1"), f.attached("db", "key-s"), f.attached("open", "key-n1")
-	f.expect(north, "STORE x 1", "DONE m.q1 | READY I 1.1")
-	f.expect(south, "FETCH x", "ROW whole | DONE m.q1 | READY I 1.1")
-	f.expect(other, "FETCH y", "ROW whole | DONE m.q1 | READY I 1.1")
-	f.expect(south, "BEGIN", "DONE - | READY T -")
-	f.expect(south, "STORE z 1", "DONE m.q3 | READY T 1.1")
-	f.expect(north, "STORE z 2", "DONE m.q2 | READY I 1.1")
-	f.expect(south, "COMMIT", "DONE m.q4 | READY I 1.1")
-	f.expect(f.attached("db", "key-n2"), "FETCH z", "ROW whole | DONE m.q1 | READY I 1.1")
+	north, south, public := f.mustAttach("db", "key-n1"), f.mustAttach("db", "key-s"), f.mustAttach("open", "key-n1")
+	f.expectReply(north, "STORE x 1", "DONE m.q1 | READY I 1.1")
+	f.expectReply(south, "FETCH x", "ROW whole | DONE m.q1 | READY I 1.1")
+	f.expectReply(public, "FETCH y", "ROW whole | DONE m.q1 | READY I 1.1")
+	f.expectReply(south, "BEGIN", "DONE - | READY T -")
+	f.expectReply(south, "STORE z 1", "DONE m.q3 | READY T 1.1")
+	f.expectReply(north, "STORE z 2", "DONE m.q2 | READY I 1.1")
+	f.expectReply(south, "COMMIT", "DONE m.q4 | READY I 1.1")
+	f.expectReply(f.mustAttach("db", "key-n2"), "FETCH z", "ROW whole | DONE m.q1 | READY I 1.1")
 	f.expectRan("north: STORE x 1", "south: FETCH x", "weirwind: FETCH y", "south: BEGIN", "south: STORE z 1",
 		"north: STORE z 2", "south: COMMIT", "north: FETCH z")
 	if f.member.conns != 3 {
-		t.Errorf("%d connections were made, want one for each tenant and one for the public route", f.member.conns)
+		t.Errorf("%d connections, want one for each tenant and one for the public route", f.member.conns)
 	}
 }
 
-// CONFIG: a key that was taken away was still served on open sessions.
-func TestDroppedKeysAreDeniedOnOpenSessions(t *testing.T) {
+// A key that was revoked must be denied on open sessions too.
+func TestRevokedKeysAreDeniedOnOpenSessions(t *testing.T) {
 	for _, text := range []string{"STORE x 1", "BEGIN", "FETCH x"} {
 		t.Run(text, func(t *testing.T) {
 			f := newTenantFixture(t, twoTenants)
-			north, south, other := f.attached("db", "key-n1"), f.attached("db", "key-s"), f.attached("open", "key-n1")
+			north, south, other := f.mustAttach("db", "key-n1"), f.mustAttach("db", "key-s"), f.mustAttach("open", "key-n1")
 			f.configure(2, `{"name":"north","keys":["key-n2"]},{"name":"south","keys":["key-s"]}`)
-			f.expect(north, "SET v 1", "DONE - | READY I -")
-			f.expect(north, text, "FAIL DENIED no tenant has this key | READY I -")
-			f.expectEnd(north)
-			f.expect(south, "FETCH y", "ROW whole | DONE m.q1 | READY I 1.1")
-			f.expect(other, "FETCH z", "ROW whole | DONE m.q1 | READY I 1.1")
+			f.expectReply(north, "SET v 1", "DONE - | READY I -")
+			f.expectReply(north, text, "FAIL DENIED no tenant has this key | READY I -")
+			f.expectClosed(north)
+			f.expectReply(south, "FETCH y", "ROW whole | DONE m.q1 | READY I 1.1")
+			f.expectReply(other, "FETCH z", "ROW whole | DONE m.q1 | READY I 1.1")
 			f.expectRan("south: FETCH y", "weirwind: FETCH z")
 		})
 	}
 }
 
-// CONFIG: a transaction went on under a key that was taken away, or passed on to another tenant.
-func TestTransactionsOfDroppedKeysAreRolledBack(t *testing.T) {
-	without := `{"name":"north","keys":[]},{"name":"south","keys":["key-s"]}`
-	passedOn := `{"name":"north","keys":[]},{"name":"south","keys":["key-s","key-n1"]}`
+// A transaction must not continue after its key was revoked or reassigned to another tenant.
+func TestTransactionsOfRevokedKeysAreRolledBack(t *testing.T) {
+	revoked := `{"name":"north","keys":[]},{"name":"south","keys":["key-s"]}`
+	reassigned := `{"name":"north","keys":[]},{"name":"south","keys":["key-s","key-n1"]}`
 	for _, c := range []struct {
 		name, tenants, text, want, next string
 	}{
-		{"statement", without, "STORE x 2", "FAIL ABORTED its key was taken away | READY E -",
+		{"statement", revoked, "STORE x 2", "FAIL ABORTED its key was taken away | READY E -",
 			"FAIL DENIED no tenant has this key | READY I -"},
-		{"commit", without, "COMMIT", "FAIL ABORTED its key was taken away | READY I -",
+		{"commit", revoked, "COMMIT", "FAIL ABORTED its key was taken away | READY I -",
 			"FAIL DENIED no tenant has this key | READY I -"},
-		{"passed on", passedOn, "STORE x 2", "FAIL ABORTED its key was taken away | READY E -",
+		{"reassigned", reassigned, "STORE x 2", "FAIL ABORTED its key was taken away | READY E -",
 			"ROW whole | DONE m.q5 | READY I 1.1"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newTenantFixture(t, twoTenants)
-			north := f.attached("db", "key-n1")
-			f.expect(north, "BEGIN", "DONE - | READY T -")
-			f.expect(north, "STORE x 1", "DONE m.q2 | READY T 1.1")
+			north := f.mustAttach("db", "key-n1")
+			f.expectReply(north, "BEGIN", "DONE - | READY T -")
+			f.expectReply(north, "STORE x 1", "DONE m.q2 | READY T 1.1")
 			f.configure(2, c.tenants)
-			f.expect(north, c.text, c.want)
+			f.expectReply(north, c.text, c.want)
 			north.query("ABORT")
-			f.expect(north, "FETCH x", c.next)
-			if f.member.times("STORE x 2")+f.member.times("COMMIT") > 0 {
+			f.expectReply(north, "FETCH x", c.next)
+			if f.member.runCount("STORE x 2")+f.member.runCount("COMMIT") > 0 {
 				t.Error("the member ran a statement of the transaction")
 			}
 		})
 	}
 }
 
-// A key that was passed on to another tenant serves that one from the next operation on.
-func TestPassedOnKeysServeTheNewTenant(t *testing.T) {
+// A key that was reassigned to another tenant serves that tenant from the next operation on.
+func TestReassignedKeysServeTheNewTenant(t *testing.T) {
 	f := newTenantFixture(t, twoTenants)
-	k := f.attached("db", "key-n1")
-	f.expect(k, "FETCH x", "ROW whole | DONE m.q1 | READY I 1.1")
+	k := f.mustAttach("db", "key-n1")
+	f.expectReply(k, "FETCH x", "ROW whole | DONE m.q1 | READY I 1.1")
 	f.configure(2, `{"name":"north","keys":[]},{"name":"south","keys":["key-n1"]}`)
-	f.expect(k, "FETCH x", "ROW whole | DONE m.q2 | READY I 1.1")
+	f.expectReply(k, "FETCH x", "ROW whole | DONE m.q2 | READY I 1.1")
 	f.expectRan("north: FETCH x", "south: FETCH x")
 }
 
-// A transaction that its member failed for want of capacity cost its tenant the connection, and the member another one.
+// With a tenant, a transaction that the member failed for lack of capacity must keep its connection: closing it costs
+// the member another new connection.
 func TestFailedTransactionsKeepTheirConnection(t *testing.T) {
 	f := newTenantFixture(t, twoTenants)
 	f.member.script["STORE x 1"] = []string{"FAIL RETRY"}
-	f.member.failing = "STORE x 1"
-	k := f.attached("db", "key-s")
-	f.expect(k, "BEGIN", "DONE - | READY T -")
-	f.expect(k, "STORE x 1", "FAIL RETRY | READY E 1.1")
-	f.expect(k, "ABORT", "DONE - | READY I -")
-	f.awaitReturned()
-	f.expect(k, "FETCH x", "ROW whole | DONE m.q4 | READY I 1.1")
+	f.member.failingText = "STORE x 1"
+	k := f.mustAttach("db", "key-s")
+	f.expectReply(k, "BEGIN", "DONE - | READY T -")
+	f.expectReply(k, "STORE x 1", "FAIL RETRY | READY E 1.1")
+	f.expectReply(k, "ABORT", "DONE - | READY I -")
+	f.awaitAllReturned()
+	f.expectReply(k, "FETCH x", "ROW whole | DONE m.q4 | READY I 1.1")
 	f.member.mu.Lock()
 	defer f.member.mu.Unlock()
 	if f.member.conns != 1 {
-		t.Errorf("%d connections were made, want one", f.member.conns)
+		t.Errorf("%d connections, want one", f.member.conns)
 	}
 }
 
-// A tenant whose name is no single field of the wire is told to no member.
-func TestNamesThatAreNoFieldAreNotSent(t *testing.T) {
+// The name of a tenant that is not a valid field of a message is never sent to a member. Its clients are denied.
+func TestTenantsWithInvalidNamesAreDenied(t *testing.T) {
 	for _, name := range []string{`north pole`, `north\r\nBYE`, `\u0000`, `nor\tth`} {
 		f := newTenantFixture(t, `{"name":"`+name+`","keys":["key-n1"]}`)
 		if _, got := f.attach("db", "key-n1"); got != "FAIL DENIED no tenant has this key" {
@@ -297,10 +299,10 @@
 	}
 }
 
-// What was denied is counted, and logged without the key.
+// Denials are counted and logged without the key.
 func TestDenialsAreCountedAndLogged(t *testing.T) {
 	f := newTenantFixture(t, twoTenants)
-	k, tx := f.attached("db", "key-n1"), f.attached("db", "key-n1")
+	k, tx := f.mustAttach("db", "key-n1"), f.mustAttach("db", "key-n1")
 	tx.query("BEGIN")
 	f.attach("db", "key-unknown")
 	f.configure(2, "")
@@ -311,21 +313,21 @@
 	metrics.Handler(f.proxy.writeMetrics).ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/metrics", nil))
 	for _, what := range []string{"attach", "operation", "transaction"} {
 		if line := fmt.Sprintf("\nweirwind_proxy_denied_total{what=%q} 1\n", what); !strings.Contains(w.Body.String(), line) {
-			t.Errorf("%q is not in\n%s", line, w.Body)
+			t.Errorf("%q is missing in\n%s", line, w.Body)
 		}
 	}
-	lines := f.proxy.log.Recent()
+	logLines := f.proxy.log.Recent()
 	if f.proxy.log.Count(events.ClientsDenied) == 0 {
-		t.Errorf("no line on denials: %q", lines)
+		t.Errorf("no log line on denials: %q", logLines)
 	}
-	for _, line := range lines {
+	for _, line := range logLines {
 		if strings.Contains(line, "key-") {
 			t.Errorf("a key is logged: %s", line)
 		}
 	}
 }
 
-// One line on denials a second, in which the counts are those since the process began.
+// There is at most one log line on denials per second.
 func TestDenialsAreLoggedOnceASecond(t *testing.T) {
 	d := &denials{}
 	for _, c := range []struct {
@@ -338,21 +340,22 @@
 	}
 }
 
-// PINNED: a connection whose member had forgotten a prepared name, as a transaction found, was used again.
-func TestTransactionsThatFindAForgottenNameCloseTheirConnection(t *testing.T) {
+// A connection whose member no longer knows a prepared statement must be closed after the transaction that found it, and
+// not be used again.
+func TestTransactionsWithAnUnknownStatementCloseTheirConnection(t *testing.T) {
 	f := newTenantFixture(t, twoTenants)
 	f.member.script["EXEC w1 x 1"] = []string{"FAIL NOSTMT w1"}
-	f.member.failing = "EXEC w1 x 1"
-	k := f.attached("db", "key-s")
-	f.expect(k, "PREP p STORE q", "DONE - | READY I -")
-	f.expect(k, "BEGIN", "DONE - | READY T -")
-	f.expect(k, "EXEC p x 1", "FAIL NOSTMT w1 | READY E 1.1")
-	f.expect(k, "ABORT", "DONE - | READY I -")
-	f.awaitReturned()
-	f.expect(k, "EXEC p x 1", "DONE m.q5 | READY I 1.1")
+	f.member.failingText = "EXEC w1 x 1"
+	k := f.mustAttach("db", "key-s")
+	f.expectReply(k, "PREP p STORE q", "DONE - | READY I -")
+	f.expectReply(k, "BEGIN", "DONE - | READY T -")
+	f.expectReply(k, "EXEC p x 1", "FAIL NOSTMT w1 | READY E 1.1")
+	f.expectReply(k, "ABORT", "DONE - | READY I -")
+	f.awaitAllReturned()
+	f.expectReply(k, "EXEC p x 1", "DONE m.q5 | READY I 1.1")
 	f.member.mu.Lock()
 	defer f.member.mu.Unlock()
 	if f.member.conns != 2 {
-		t.Errorf("%d connections were made, want a new one on which the name is prepared anew", f.member.conns)
+		t.Errorf("%d connections, want a second one on which the statement is prepared again", f.member.conns)
 	}
 }
--- a/internal/dataplane/proxy/transcript_test.go
+++ b/internal/dataplane/proxy/transcript_test.go
@@ -21,30 +21,31 @@
 	"weirwind/internal/util/settings"
 )
 
-// transcript plays one client against members in virtual time, without sockets: each member connection is a pipe that
-// was put into the pool before, and the members have no address, so that each dial and each probe fails at once. The
-// member's answers come 1.37 ms late, the client thinks for 7.13 ms and the clock of the proxy is odd to the router's
-// ticks, so that no two goroutines act at the same moment and the transcript is the same in each run.
+// transcript runs one client against scripted members in virtual time and records all messages. It uses no sockets: each
+// member connection is a pipe that is put into the pool beforehand. The members have no address, so that each dial and
+// each health check fails at once. The transcript is the same in each run, as no two goroutines act at the same moment:
+// members answer after memberDelay, the client waits for thinkTime between messages, and the proxy's clock is offset
+// from the router's ticks.
 type transcript struct {
-	t       *testing.T
-	p       *Proxy
-	client  net.Conn
-	replies *wire.Reader
-	lines   []string        // of the client's side
-	members []*[]string     // of each member connection's side
-	ends    []net.Conn      // the members' ends of them
-	log     strings.Builder // events
-	mu      sync.Mutex
-	script  map[string][]string // by text: what a member answers, one after the other; then as members do
-	rng     *rand.Rand          // nil: by the script
-	asked   int
-	seq     uint64
+	t           *testing.T
+	proxy       *Proxy
+	client      net.Conn
+	replies     *wire.Reader
+	clientLines []string        // messages sent and received by the client
+	memberLines []*[]string     // messages received by the member, for each member connection
+	memberEnds  []net.Conn      // the member's end of each member connection
+	log         strings.Builder // events of the proxy
+	mu          sync.Mutex
+	script      map[string][]string // by statement: the next replies of a member; after them it replies as usual
+	rng         *rand.Rand          // source of random replies; nil to use only the script
+	queryCount  int
+	seq         uint64
 }
 
 const (
-	memberDelay = 1370 * time.Microsecond
-	thinkTime   = 7130 * time.Microsecond
-	transcripts = `{"gen":3,"limits":{"txIdleMs":4000},"routes":[
+	memberDelay      = 1370 * time.Microsecond
+	thinkTime        = 7130 * time.Microsecond
+	transcriptConfig = `{"gen":3,"limits":{"txIdleMs":4000},"routes":[
 		{"name":"r","host":"db","type":"primary","timeoutMs":900,"svc":"s"},
 		{"name":"o","host":"old","type":"stale_ok","maxStaleMs":300,"timeoutMs":900,"svc":"s"},
 		{"name":"m","host":"own","type":"self","maxStaleMs":300,"timeoutMs":900,"svc":"s"},
@@ -53,22 +54,22 @@
 )
 
 func newTranscript(t *testing.T, host string) *transcript {
-	ctx, stop := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	x := &transcript{t: t, script: map[string][]string{}}
-	x.p = newProxy(ctx, &settings.Settings{Zone: "z", MemoryMB: 8}, events.New(&x.log, "proxy"))
+	x.proxy = newProxy(ctx, &settings.Settings{Zone: "z", MemoryMB: 8}, events.New(&x.log, "proxy"))
 	time.Sleep(time.Minute + 1110*time.Microsecond)
-	go x.p.router.run()
-	raw := []byte(transcripts)
+	go x.proxy.router.run()
+	raw := []byte(transcriptConfig)
 	x.update(&controlmsg.StateUpdate{ConfigVersion: 3, Config: raw, DriverCount: 2, ShardMap: &shardmap.Map{Version: 5,
 		Shards: map[string]shardmap.Assignment{"sh": {Node: "s", Epoch: 8}}}})
-	x.role("a", directory.RolePrimary)
-	x.role("b", directory.RoleReplica)
-	x.fill()
+	x.setRole("a", directory.RolePrimary)
+	x.setRole("b", directory.RoleReplica)
+	x.fillPools()
 	here, there := net.Pipe()
 	x.client, x.replies = here, wire.NewReader(here)
 	done := make(chan struct{})
-	s := &session{proxy: x.p, client: there}
-	x.p.sessions[s] = struct{}{}
+	s := &session{proxy: x.proxy, client: there}
+	x.proxy.sessions[s] = struct{}{}
 	go func() {
 		s.run()
 		close(done)
@@ -76,68 +77,68 @@
 	t.Cleanup(func() {
 		here.Close()
 		<-done
-		time.Sleep(3 * time.Second) // what is rolled back is answered
-		stop()
-		for _, c := range x.ends {
+		time.Sleep(3 * time.Second) // rollbacks are answered in this time
+		cancel()
+		for _, c := range x.memberEnds {
 			c.Close()
 		}
 	})
 	if host != "" {
-		x.say("ATTACH " + host + " who")
+		x.send("ATTACH " + host + " who")
 	}
 	return x
 }
 
 func (x *transcript) do(f func()) {
 	done := make(chan struct{})
-	x.p.router.do(func() { f(); close(done) })
+	x.proxy.router.do(func() { f(); close(done) })
 	select {
 	case <-done:
-	case <-x.p.ctx.Done():
+	case <-x.proxy.ctx.Done():
 	}
 }
 
-func (x *transcript) update(u *controlmsg.StateUpdate) { x.do(func() { x.p.router.update(u) }) }
+func (x *transcript) update(u *controlmsg.StateUpdate) { x.do(func() { x.proxy.router.update(u) }) }
 
-// zones differ in distance, so that no choice between members is left to chance.
-var zones = map[string]string{"a": "z", "b": "y"}
+// zoneOf is the zone of each member. The distances differ, so that the choice of a member is deterministic.
+var zoneOf = map[string]string{"a": "z", "b": "y"}
 
-func (x *transcript) role(id string, role directory.Role) {
+func (x *transcript) setRole(id string, role directory.Role) {
 	x.seq++
-	x.update(&controlmsg.StateUpdate{Members: []directory.Member{{ID: id, Service: "s", Zone: zones[id],
+	x.update(&controlmsg.StateUpdate{Members: []directory.Member{{ID: id, Service: "s", Zone: zoneOf[id],
 		Role: role, Incarnation: 1, Seq: x.seq}}})
 }
 
-// fill puts member connections into the pools, up to seven of each.
-func (x *transcript) fill() {
+// fillPools adds member connections to the pools until each has seven idle ones.
+func (x *transcript) fillPools() {
 	x.do(func() {
-		g := x.p.router.group("s")
+		g := x.proxy.router.group("s")
 		for _, id := range []string{"a", "b"} {
 			for m := g.routing.Members[id]; m != nil && len(g.pool(id).idle) < 7; {
 				here, there := net.Pipe()
 				side := &[]string{}
-				x.members, x.ends = append(x.members, side), append(x.ends, there)
-				rng := rand.New(rand.NewPCG(uint64(len(x.members)), 9))
-				go x.member(id, there, side, rng)
+				x.memberLines, x.memberEnds = append(x.memberLines, side), append(x.memberEnds, there)
+				rng := rand.New(rand.NewPCG(uint64(len(x.memberLines)), 9))
+				go x.serveMember(id, there, side, rng)
 				g.pool(id).open++
-				x.p.router.poolOrClose(g, m, &memberConn{Conn: &memberconn.Conn{NetConn: here, Reader: wire.NewReader(here)}})
+				x.proxy.router.poolOrClose(g, m, &memberConn{Conn: &memberconn.Conn{NetConn: here, Reader: wire.NewReader(here)}})
 			}
 		}
 	})
 }
 
-// member answers on one connection.
-func (x *transcript) member(id string, c net.Conn, side *[]string, rng *rand.Rand) {
+// serveMember answers as a member on one connection and records the messages that it receives.
+func (x *transcript) serveMember(id string, c net.Conn, received *[]string, rng *rand.Rand) {
 	defer c.Close()
 	r := wire.NewReader(c)
 	state := wire.StateIdle
 	for {
 		line, err := r.ReadMessage()
 		if err != nil {
-			x.record(side, id+" ended")
+			x.record(received, id+" ended")
 			return
 		}
-		x.record(side, id+" "+line)
+		x.record(received, id+" "+line)
 		time.Sleep(memberDelay)
 		if !x.answer(id, c, line, &state, rng) {
 			return
@@ -145,26 +146,26 @@
 	}
 }
 
-func (x *transcript) record(side *[]string, line string) {
+func (x *transcript) record(lines *[]string, line string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	*side = append(*side, line)
+	*lines = append(*lines, line)
 }
 
-// scripted takes the next answer of the script to a text; "" for none.
-func (x *transcript) scripted(text string) string {
+// nextScripted removes and returns the next scripted reply to a statement, "" for none.
+func (x *transcript) nextScripted(text string) string {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	all := x.script[text]
-	if len(all) == 0 {
+	replies := x.script[text]
+	if len(replies) == 0 {
 		return ""
 	}
-	x.script[text] = all[1:]
-	return all[0]
+	x.script[text] = replies[1:]
+	return replies[0]
 }
 
-// replies of members by chance, in place of the usual ones.
-var odd = []string{cutOff, byHalf, "DONE -", "FAIL RDONLY no", "FAIL LAGGING no", "FAIL RETRY no", "FAIL FULL",
+// randomReplies are the faulty replies from which members choose at random.
+var randomReplies = []string{cutOff, cutOffAfterRows, "DONE -", "FAIL RDONLY no", "FAIL LAGGING no", "FAIL RETRY no", "FAIL FULL",
 	"FAIL WRONGHOST x",
 	"FAIL NOSTMT w1", "FAIL FAILED no such thing", "FAIL TIMEOUT", "FAIL MOVED 9", "FAIL MOVED 7",
 	"FAIL NOROOM", "FAIL VOID", "FAIL OLD",
@@ -174,31 +175,31 @@
 	_, rest := wire.CutField(line)
 	stamp, text := wire.CutField(rest)
 	verb, _ := wire.CutField(text)
-	said := asUsual
-	plain := text
+	reply := defaultReply
+	bareText := text
 	if v, rest := wire.CutField(text); v == "AFTER" {
-		_, plain = wire.CutField(rest)
+		_, bareText = wire.CutField(rest)
 	}
-	if next := x.scripted(plain); next != "" {
-		said = next
+	if next := x.nextScripted(bareText); next != "" {
+		reply = next
 	} else if x.rng != nil && rng.IntN(9) == 0 {
-		said = odd[rng.IntN(len(odd))]
+		reply = randomReplies[rng.IntN(len(randomReplies))]
 	}
-	switch said {
+	switch reply {
 	case cutOff:
 		return false
-	case byHalf:
+	case cutOffAfterRows:
 		fmt.Fprint(c, strings.Repeat("ROW "+strings.Repeat("x", 1000)+"\r\n", 400))
 		return false
 	case "late":
 		time.Sleep(1003 * time.Millisecond)
 	case "broken":
 		*state = wire.StateFailedTransaction
-		said = "FAIL ABORTED by the member"
+		reply = "FAIL ABORTED by the member"
 	}
 	switch {
-	case said != asUsual && said != "late":
-		fmt.Fprintf(c, "%s\r\nREADY %s 1.4\r\n", said, *state)
+	case reply != defaultReply && reply != "late":
+		fmt.Fprintf(c, "%s\r\nREADY %s 1.4\r\n", reply, *state)
 		return true
 	case verb == "FETCH" || verb == "ON" && strings.Contains(text, "FETCH"):
 		fmt.Fprint(c, "ROW whole\r\n")
@@ -209,78 +210,79 @@
 	case verb == "COMMIT", verb == "ABORT":
 		*state = wire.StateIdle
 	}
-	done := id + "." + stamp
+	doneStamp := id + "." + stamp
 	if stamp == wire.NoStamp || verb == "BEGIN" {
-		done = wire.NoStamp
+		doneStamp = wire.NoStamp
 	}
-	fmt.Fprintf(c, "DONE %s\r\nREADY %s 1.%d\r\n", done, *state, 4+len(text)%3)
+	fmt.Fprintf(c, "DONE %s\r\nREADY %s 1.%d\r\n", doneStamp, *state, 4+len(text)%3)
 	return true
 }
 
-// say sends one line and records the answer to it.
-func (x *transcript) say(line string) {
-	began := x.p.now()
-	shown := line
-	if len(shown) > 60 {
-		shown = shown[:60] + ".."
+// send sends one line from the client and records the answer.
+func (x *transcript) send(line string) {
+	sentAt := x.proxy.now()
+	abbreviated := line
+	if len(abbreviated) > 60 {
+		abbreviated = abbreviated[:60] + ".."
 	}
-	x.lines = append(x.lines, "> "+shown)
+	x.clientLines = append(x.clientLines, "> "+abbreviated)
 	fmt.Fprint(x.client, line+"\r\n")
-	var got []string
+	var reply []string
 	for {
 		x.client.SetReadDeadline(time.Now().Add(20 * time.Second))
-		l, err := x.replies.ReadMessage()
+		line, err := x.replies.ReadMessage()
 		if err != nil {
-			got = append(got, err.Error())
+			reply = append(reply, err.Error())
 			break
 		}
-		if len(l) > 100 {
-			l = l[:10] + ".."
+		if len(line) > 100 {
+			line = line[:10] + ".."
 		}
-		if len(got) == 0 || got[len(got)-1] != l {
-			got = append(got, l)
+		if len(reply) == 0 || reply[len(reply)-1] != line {
+			reply = append(reply, line)
 		}
-		if strings.HasPrefix(l, wire.MsgReady) {
+		if strings.HasPrefix(line, wire.MsgReady) {
 			break
 		}
 	}
-	x.lines = append(x.lines, fmt.Sprintf("< %s  (%.2f ms)", strings.Join(got, " | "), x.p.now()-began))
+	x.clientLines = append(x.clientLines, fmt.Sprintf("< %s  (%.2f ms)", strings.Join(reply, " | "), x.proxy.now()-sentAt))
 	time.Sleep(thinkTime)
-	x.fill()
+	x.fillPools()
 }
 
 func (x *transcript) query(text string) {
-	x.asked++
-	x.say(fmt.Sprintf("QUERY q%d %s", x.asked, text))
+	x.queryCount++
+	x.send(fmt.Sprintf("QUERY q%d %s", x.queryCount, text))
 }
 
-// end gives all that was said: by and to the client, then on each member connection, then the events.
-func (x *transcript) end() string {
+// render returns the transcript: the client's messages, those on each member connection, then the events.
+func (x *transcript) render() string {
 	time.Sleep(1200 * time.Millisecond)
 	synctest.Wait()
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	all := slices.Clone(x.lines)
-	for i, side := range x.members {
-		if len(*side) > 0 {
-			all = append(all, fmt.Sprintf("connection %d: %s", i, strings.Join(*side, " | ")))
+	lines := slices.Clone(x.clientLines)
+	for i, received := range x.memberLines {
+		if len(*received) > 0 {
+			lines = append(lines, fmt.Sprintf("connection %d: %s", i, strings.Join(*received, " | ")))
 		}
 	}
-	return strings.Join(all, "\n") + "\n" + x.log.String()
+	return strings.Join(lines, "\n") + "\n" + x.log.String()
 }
 
-// in plays a client of a host in a bubble of virtual time.
-func in(t *testing.T, host string, play func(x *transcript)) (all string) {
+// runTranscript runs a client of the host in virtual time and returns the transcript.
+func runTranscript(t *testing.T, host string, run func(x *transcript)) (rendered string) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		x := newTranscript(t, host)
-		play(x)
-		all = x.end()
+		run(x)
+		rendered = x.render()
 	})
-	return all
+	return rendered
 }
 
-func queries(script map[string][]string, texts ...string) func(x *transcript) {
+// sendQueries returns a function that sets scripted replies and sends the statements.
+func sendQueries(script map[string][]string, texts ...string) func(x *transcript) {
 	return func(x *transcript) {
 		x.mu.Lock()
 		for text, answers := range script {
--- a/internal/member/memberconn/dialas_test.go
+++ b/internal/member/memberconn/dialas_test.go
@@ -11,8 +11,8 @@
 	"weirwind/internal/member/wire"
 )
 
-// attachLines accepts connections and gives the first message on each.
-func attachLines(t *testing.T) (addr string, lines chan string) {
+// recordAttaches accepts connections, sends the first message on each to a channel, and replies with READY.
+func recordAttaches(t *testing.T) (addr string, lines chan string) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -34,9 +34,9 @@
 	return ln.Addr().String(), lines
 }
 
-// UNASKED: a member was told another tenant than that of the client's key.
-func TestDialTellsInWhoseName(t *testing.T) {
-	addr, lines := attachLines(t)
+// The ATTACH message must have the name that was passed to DialAs, or the system's own name.
+func TestDialSendsTheName(t *testing.T) {
+	addr, lines := recordAttaches(t)
 	member := directory.Member{ID: "i-7", Service: "orders", Addr: addr}
 	if _, _, err := Dial(member, time.Now().Add(5*time.Second)); err != nil {
 		t.Fatal(err)
@@ -52,9 +52,9 @@
 	}
 }
 
-// A name that would end the field, or the message, is not sent.
-func TestDialSendsNoNameThatIsNoField(t *testing.T) {
-	addr, lines := attachLines(t)
+// A name that is not a single field must not be sent, as it would add a field or a message.
+func TestDialRejectsInvalidNames(t *testing.T) {
+	addr, lines := recordAttaches(t)
 	for _, name := range []string{"", "north pole", "north\r\nQUERY 1 STORE x 1"} {
 		_, absent, err := DialAs(directory.Member{ID: "i-7", Service: "orders", Addr: addr}, name, time.Now().Add(time.Second))
 		if !errors.Is(err, ErrInvalidName) || absent {
@@ -62,6 +62,6 @@
 		}
 	}
 	if n := len(lines); n > 0 {
-		t.Errorf("%d sessions were asked for", n)
+		t.Errorf("%d ATTACH messages were sent", n)
 	}
 }
--- a/internal/member/memberconn/golden_test.go
+++ b/internal/member/memberconn/golden_test.go
@@ -16,50 +16,50 @@
 	"weirwind/internal/util/idempotency"
 )
 
-// script is a connection whose peer says what is written here, and which takes so many bytes.
-type script struct {
+// scriptedConn is a connection with a fixed input. It records up to writeLimit bytes of output and then fails.
+type scriptedConn struct {
 	net.Conn
-	in    io.Reader
-	out   bytes.Buffer
-	takes int
+	input      io.Reader
+	written    bytes.Buffer
+	writeLimit int
 }
 
-func (s *script) Read(b []byte) (int, error) { return s.in.Read(b) }
+func (s *scriptedConn) Read(b []byte) (int, error) { return s.input.Read(b) }
 
-func (s *script) Write(b []byte) (int, error) {
-	if len(b) > s.takes {
-		n := s.takes
-		s.out.Write(b[:n])
-		s.takes = 0
-		return n, errors.New("the peer takes no more")
+func (s *scriptedConn) Write(b []byte) (int, error) {
+	if len(b) > s.writeLimit {
+		n := s.writeLimit
+		s.written.Write(b[:n])
+		s.writeLimit = 0
+		return n, errors.New("write limit reached")
 	}
-	s.takes -= len(b)
-	return s.out.Write(b)
+	s.writeLimit -= len(b)
+	return s.written.Write(b)
 }
 
-func (s *script) SetDeadline(time.Time) error { return nil }
-func (s *script) Close() error                { return nil }
+func (s *scriptedConn) SetDeadline(time.Time) error { return nil }
+func (s *scriptedConn) Close() error                { return nil }
 
-func scripted(in string, takes int) (*Conn, *script) {
-	s := &script{in: strings.NewReader(in), takes: takes}
+func newScriptedConn(input string, writeLimit int) (*Conn, *scriptedConn) {
+	s := &scriptedConn{input: strings.NewReader(input), writeLimit: writeLimit}
 	return &Conn{NetConn: s, Reader: wire.NewReader(s)}, s
 }
 
-// of tells an error: its text, how far the call got, and which of the package's own it is.
-func of(err error) string {
+// describe formats an error: its text, whether the query may have run, and which errors of the package it is.
+func describe(err error) string {
 	if err == nil {
 		return "no error"
 	}
-	var r *MemberError
-	var u *idempotency.NoResponseError
-	return fmt.Sprintf("%q ran %v unanswered %v refused %v unsettled %v refusal %v", err, idempotency.MayHaveRun(err), errors.As(err, &u),
-		errors.Is(err, ErrAttachRejected), errors.Is(err, ErrNotReusable), errors.As(err, &r))
+	var memberErr *MemberError
+	var noResponse *idempotency.NoResponseError
+	return fmt.Sprintf("%q may have run %v, no response %v, rejected %v, not reusable %v, FAIL %v", err, idempotency.MayHaveRun(err), errors.As(err, &noResponse),
+		errors.Is(err, ErrAttachRejected), errors.Is(err, ErrNotReusable), errors.As(err, &memberErr))
 }
 
-// A server that says it is another one tells that the member is not there. That is no lack of capacity.
-func TestDialTellsAnotherMemberApart(t *testing.T) {
+// A server that answers WRONGHOST means that the member is absent. It must not be mistaken for a member without capacity.
+func TestDialDetectsAnotherMember(t *testing.T) {
 	for _, c := range []struct {
-		says                    string
+		reply                   string
 		absent, wrong, rejected bool
 	}{
 		{"FAIL WRONGHOST\r\n", true, true, false},
@@ -78,26 +78,26 @@
 			}
 			defer conn.Close()
 			_, _ = wire.NewReader(conn).ReadMessage()
-			_, _ = io.WriteString(conn, c.says)
+			_, _ = io.WriteString(conn, c.reply)
 		}()
 		member := directory.Member{ID: "m1", Service: "orders", Addr: ln.Addr().String()}
 		_, absent, err := Dial(member, time.Now().Add(10*time.Second))
 		ln.Close()
 		if absent != c.absent || errors.Is(err, ErrWrongMember) != c.wrong || errors.Is(err, ErrAttachRejected) != c.rejected {
-			t.Errorf("%q: absent %v, %v", c.says, absent, err)
+			t.Errorf("%q: absent %v, %v", c.reply, absent, err)
 		}
 	}
 }
 
-// dialed gives what a member that takes a connection and says this reads of it, and what comes of it.
-func dialed(t *testing.T, says string) string {
+// dialAndDescribe dials a member that sends the given reply, and returns the message that it received and the result.
+func dialAndDescribe(t *testing.T, reply string) string {
 	t.Helper()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	first := make(chan string, 1)
+	attach := make(chan string, 1)
 	go func() {
 		c, err := ln.Accept()
 		if err != nil {
@@ -105,76 +105,76 @@
 		}
 		defer c.Close()
 		l, _ := wire.NewReader(c).ReadMessage()
-		first <- l
-		io.WriteString(c, says)
+		attach <- l
+		io.WriteString(c, reply)
 	}()
-	c, refused, err := Dial(directory.Member{ID: "m1", Service: "orders", Addr: ln.Addr().String()}, time.Now().Add(10*time.Second))
+	c, absent, err := Dial(directory.Member{ID: "m1", Service: "orders", Addr: ln.Addr().String()}, time.Now().Add(10*time.Second))
 	if err != nil {
-		return fmt.Sprintf("%q: nothing there %v, %s", <-first, refused, of(err))
+		return fmt.Sprintf("%q: absent %v, %s", <-attach, absent, describe(err))
 	}
 	defer c.Close()
-	return fmt.Sprintf("%q: position %v, settled %v", <-first, c.Position, c.Reusable())
+	return fmt.Sprintf("%q: position %v, reusable %v", <-attach, c.Position, c.Reusable())
 }
 
 func conversations(t *testing.T) string {
 	t.Helper()
 	var b strings.Builder
 	for _, parts := range [][]string{{"FETCH a"}, {"", "FETCH a"}, {"AFTER 1.2", "FETCH a"}, {}} {
-		var q strings.Builder
-		AppendQuery(&q, "7", parts...)
-		fmt.Fprintf(&b, "query\t%q\t%q\n", parts, q.String())
+		var query strings.Builder
+		AppendQuery(&query, "7", parts...)
+		fmt.Fprintf(&b, "query\t%q\t%q\n", parts, query.String())
 	}
-	for _, says := range []string{"READY I 3.7\r\n", "READY I -\r\n", "READY\r\n", "FAIL FULL no place\r\n", "BYE\r\n", "READY I 3.7\n", ""} {
-		fmt.Fprintf(&b, "dial\t%q\t%s\n", says, dialed(t, says))
+	for _, reply := range []string{"READY I 3.7\r\n", "READY I -\r\n", "READY\r\n", "FAIL FULL no place\r\n", "BYE\r\n", "READY I 3.7\n", ""} {
+		fmt.Fprintf(&b, "dial\t%q\t%s\n", reply, dialAndDescribe(t, reply))
 	}
 	for _, in := range []string{
 		"ROW a 1\r\nDONE -\r\nREADY I 2.5\r\n", "DONE -\r\nREADY I -\r\n", "DONE m.1\r\nREADY I 2.5\r\n", "FAIL LAGGING far behind\r\nREADY E 2.5\r\n",
 		"DONE -\r\nREADY I 2.5\r\nDONE -\r\n", "DONE -\r\n", "ROW a 1\r\nROW", "DONE -\r\nROW a 1\r\n", "READY I -\r\n", "BYE\r\n", "DONE -\r\nDONE -\r\n", "x\n", "",
 	} {
-		c, s := scripted(in, 1<<20)
+		c, s := newScriptedConn(in, 1<<20)
 		rows, err := c.Query("SHOW x", time.Time{})
-		fmt.Fprintf(&b, "ask\t%q\t%q: %q %s, position %v, settled %v\n", in, s.out.String(), rows, of(err), c.Position, c.Reusable())
+		fmt.Fprintf(&b, "internal query\t%q\t%q: %q %s, position %v, reusable %v\n", in, s.written.String(), rows, describe(err), c.Position, c.Reusable())
 		_, err = c.Query("SHOW y", time.Time{})
-		fmt.Fprintf(&b, "again\t%q\t%q: %s\n", in, s.out.String(), of(err))
+		fmt.Fprintf(&b, "second query\t%q\t%q: %s\n", in, s.written.String(), describe(err))
 	}
 	for _, in := range []string{"ROW replica 3 3.9 4 0 0 1\r\nDONE -\r\nREADY I -\r\n", "DONE -\r\nREADY I -\r\n", "ROW x\r\nDONE -\r\nREADY I -\r\n", "FAIL MALFORMED what\r\nREADY I -\r\n"} {
-		c, s := scripted(in, 1<<20)
-		st, err := c.QueryStatus("PAUSE 4", time.Time{})
-		fmt.Fprintf(&b, "stat\t%q\t%q: primary %t term %d received %v held %d conns %d, %s, settled %v\n", in, s.out.String(),
-			st.Primary, st.Term, st.Received, st.PromisedTerm, st.Conns, of(err), c.Reusable())
+		c, s := newScriptedConn(in, 1<<20)
+		status, err := c.QueryStatus("PAUSE 4", time.Time{})
+		fmt.Fprintf(&b, "status\t%q\t%q: primary %t term %d received %v promised %d conns %d, %s, reusable %v\n", in, s.written.String(),
+			status.Primary, status.Term, status.Received, status.PromisedTerm, status.Conns, describe(err), c.Reusable())
 	}
-	for _, takes := range []int{0, 3} {
-		c, s := scripted("", takes)
+	for _, writeLimit := range []int{0, 3} {
+		c, s := newScriptedConn("", writeLimit)
 		_, err := c.Query("SHOW x", time.Time{})
-		fmt.Fprintf(&b, "write\t%d bytes\t%q: %s\n", takes, s.out.String(), of(err))
+		fmt.Fprintf(&b, "write\t%d bytes\t%q: %s\n", writeLimit, s.written.String(), describe(err))
 	}
-	c, _ := scripted("DONE m.1\r\nREADY T 1.1\r\nFAIL FULL no room\r\nREADY I 1.2\r\n", 1<<20)
+	c, _ := newScriptedConn("DONE m.1\r\nREADY T 1.1\r\nFAIL FULL no room\r\nREADY I 1.2\r\n", 1<<20)
 	_, err := c.ReadReply(nil)
-	fmt.Fprintf(&b, "read\tunasked\t%s\n", of(err))
-	c, _ = scripted("DONE m.1\r\nREADY T 1.1\r\nFAIL FULL no room\r\nREADY I 1.2\r\n", 1<<20)
+	fmt.Fprintf(&b, "read\twithout a query\t%s\n", describe(err))
+	c, _ = newScriptedConn("DONE m.1\r\nREADY T 1.1\r\nFAIL FULL no room\r\nREADY I 1.2\r\n", 1<<20)
 	err = c.WriteBatch("QUERY 1 BEGIN\r\nQUERY 2 STORE a\r\n", time.Time{})
 	for range 3 {
-		fmt.Fprintf(&b, "batch\tsettled %v\t%s\n", c.Reusable(), of(err))
-		var a Reply
-		a, err = c.ReadReply(nil)
-		fmt.Fprintf(&b, "batch\trows %q done %t text %q code %q state %q position %v\tposition %v\n", a.Rows, a.OK, a.Text, a.Code, a.State, a.Position, c.Position)
+		fmt.Fprintf(&b, "batch\treusable %v\t%s\n", c.Reusable(), describe(err))
+		var reply Reply
+		reply, err = c.ReadReply(nil)
+		fmt.Fprintf(&b, "batch\trows %q done %t text %q code %q state %q position %v\tposition %v\n", reply.Rows, reply.OK, reply.Text, reply.Code, reply.State, reply.Position, c.Position)
 	}
-	fmt.Fprintf(&b, "batch\tsettled %v\t%s\n", c.Reusable(), of(err))
-	for _, fails := range []error{nil, errors.New("the client is gone")} {
-		c, _ = scripted(strings.Repeat("ROW "+strings.Repeat("x", 100<<10)+"\r\n", 5)+"DONE m.1\r\nREADY I 1.1\r\n", 1<<20)
+	fmt.Fprintf(&b, "batch\treusable %v\t%s\n", c.Reusable(), describe(err))
+	for _, spillErr := range []error{nil, errors.New("the client is gone")} {
+		c, _ = newScriptedConn(strings.Repeat("ROW "+strings.Repeat("x", 100<<10)+"\r\n", 5)+"DONE m.1\r\nREADY I 1.1\r\n", 1<<20)
 		_ = c.WriteBatch("QUERY 1 FETCH a\r\n", time.Time{})
 		spilled := ""
-		a, err := c.ReadReply(func(rows []string) error {
+		reply, err := c.ReadReply(func(rows []string) error {
 			spilled += fmt.Sprint(len(rows), " ")
-			return fails
+			return spillErr
 		})
-		fmt.Fprintf(&b, "spill\t%v\t%s: %d rows kept, done %v, %s\n", fails, spilled, len(a.Rows), a.OK, of(err))
+		fmt.Fprintf(&b, "spill\t%v\t%s: %d rows kept, done %v, %s\n", spillErr, spilled, len(reply.Rows), reply.OK, describe(err))
 	}
 	return b.String()
 }
 
-// What goes over a connection and what comes of each answer stay as they were when the golden file was written. Only
-// dialling needs a socket, on the loopback; all else is scripted.
+// The messages on a connection and the result of each reply must not change. Only dials use a socket, on the loopback;
+// all other connections are scripted.
 func TestConversationsMatchTheGoldenFile(t *testing.T) {
 	golden.Lines(t, "testdata/conversations.golden", conversations(t))
 }
--- a/internal/member/memberconn/reuse_test.go
+++ b/internal/member/memberconn/reuse_test.go
@@ -15,17 +15,17 @@
 	"weirwind/internal/util/idempotency"
 )
 
-// Ways in which a faultyMember replies.
+// Kinds of replies of a faultyMember.
 const (
-	late      = iota // with the next reply
-	truncated        // by a part of it, and ends the connection
-	lost             // not at all, and ends the connection
+	late      = iota // sent together with the next reply
+	truncated        // sent in part, then the connection is closed
+	lost             // not sent, and the connection is closed
 	duplicated
 	complete
 	replyKinds
 )
 
-// faultyMember is a member whose replies are complete, late, truncated, duplicated or lost. It counts what it ran.
+// faultyMember is a member with random kinds of replies. It counts the queries that it ran.
 type faultyMember struct {
 	mu      sync.Mutex
 	random  *rand.Rand
@@ -57,7 +57,7 @@
 		m.ran[id]++
 		kind := min(m.random.IntN(12), complete)
 		if kind == duplicated && id == internalQueryID {
-			kind = complete // within a batch nothing could tell it from the next reply
+			kind = complete // a duplicate within a batch can't be told from the next reply
 		}
 		m.replies[kind]++
 		m.mu.Unlock()
@@ -86,10 +86,10 @@
 	return m.random.IntN(n)
 }
 
-// A careless caller keeps a connection whatever came of its last query, and retries each query where its kind allows
-// it: it gets its own reply or an error, and what may run only once does. The test fails with Reusable always true,
-// with MayHaveRun always true or always false, and with MayRetry always true.
-func TestCarelessCallersGetTheirOwnAnswers(t *testing.T) {
+// A caller that keeps using a connection after errors, and retries each query that may be retried, must get the reply to
+// its own query or an error, and a query that may run at most once must not run twice. The test fails if Reusable is
+// always true, MayHaveRun always true or always false, or MayRetry always true.
+func TestCallersGetOnlyTheirOwnReplies(t *testing.T) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -117,10 +117,10 @@
 				}
 			}
 			deadline := time.Now().Add(5 * time.Millisecond)
-			var b strings.Builder
-			AppendQuery(&b, internalQueryID, "SET a "+id)
-			AppendQuery(&b, id, "STORE "+id)
-			err := c.WriteBatch(b.String(), deadline)
+			var batch strings.Builder
+			AppendQuery(&batch, internalQueryID, "SET a "+id)
+			AppendQuery(&batch, id, "STORE "+id)
+			err := c.WriteBatch(batch.String(), deadline)
 			var first, reply Reply
 			if err == nil {
 				first, err = c.ReadReply(nil)
@@ -139,7 +139,7 @@
 			if errors.Is(err, ErrNotReusable) {
 				notReusable++
 			}
-			if !idempotency.MayHaveRun(err) { // the connection was no use before
+			if !idempotency.MayHaveRun(err) { // nothing was sent, so the connection was not reusable
 				c.Close()
 				c = nil
 			}
@@ -156,6 +156,6 @@
 	}
 	t.Logf("%d answered, %d connections not reusable, %d retries, replies by kind %v", answered, notReusable, retried, m.replies)
 	if answered < 500 || notReusable < 100 || retried < 100 {
-		t.Error("too few of a kind")
+		t.Error("too few answers, connections that are not reusable, or retries")
 	}
 }
--- a/internal/member/wire/golden_test.go
+++ b/internal/member/wire/golden_test.go
@@ -9,11 +9,11 @@
 	"weirwind/internal/standin/golden"
 )
 
-// render writes what each kind of message parses to, the limits, the errors' texts and the words on the wire, one a
-// line.
-func render() string {
+// renderCases returns one line for each case: the words of the protocol, the limits, the texts of errors, and what
+// messages of each kind parse to.
+func renderCases() string {
 	var b strings.Builder
-	line := func(kind string, in, out any) { fmt.Fprintf(&b, "%s\t%q\t%v\n", kind, in, out) }
+	line := func(kind string, input, output any) { fmt.Fprintf(&b, "%s\t%q\t%v\n", kind, input, output) }
 
 	for _, word := range []string{MsgAttach, MsgReady, MsgFail, MsgQuery, MsgRow, MsgDone, MsgBye, NoStamp, StateIdle, StateInTransaction, StateFailedTransaction, CodeRetry, CodeAborted, CodeLagging,
 		CodeReadOnly, CodeWrongHost, CodeFull, CodeNoStatement, CodeMalformed, CodeNoDatabase, CodeFailed, CodeTimeout, CodeOutcomeUnknown} {
@@ -31,45 +31,45 @@
 	for _, s := range []string{"BEGIN", "BEGIN FETCH", "BEGIN STORE", "BEGIN ", "COMMIT", "COMMIT x", "ABORT", "ABORT ", "FETCH a", "FETCH", "FETCH a ",
 		"FETCH a b", "STORE a", "STORE a b c", "STORE", "SET a", "SET a b c", "SET", "PREP p FETCH q", "PREP p STORE q r", "PREP p DROP q", "PREP p STORE", "PREP",
 		"EXEC p a", "EXEC p a b", "EXEC p", "EXEC", "UNPREP p", "UNPREP p q", "UNPREP", "AFTER 1.2 FETCH a", "STAT", "PAUSE 3", "begin", ""} {
-		t := ParseStatement(s)
-		line("text", s, fmt.Sprintf("verb %q name %q rest %q kind %q fetch %t valid %t", t.Verb, t.Name, t.Args, t.PreparedVerb, t.ReadOnly, t.Valid))
+		statement := ParseStatement(s)
+		line("text", s, fmt.Sprintf("verb %q name %q args %q prepared %q read-only %t valid %t", statement.Verb, statement.Name, statement.Args, statement.PreparedVerb, statement.ReadOnly, statement.Valid))
 	}
 	for _, s := range []string{"3.1207", "0.0", "0.1", "-", "", "3.", ".3", "a.1", "3", "1.2.3", "+1.2", "1.-2", "18446744073709551615.1",
 		"576460752303423488.9", "5764607523034234880.1", "5764607523034234890.1", "99999999999999999999.1", "007.08"} {
-		p, ok := ParsePosition(s)
-		line("position", s, fmt.Sprintf("%v %d.%d none %v ok %v", p, p.Term, p.Number, p.IsZero(), ok))
+		position, ok := ParsePosition(s)
+		line("position", s, fmt.Sprintf("%v %d.%d zero %v ok %v", position, position.Term, position.Number, position.IsZero(), ok))
 	}
 	for _, s := range []string{"primary 3 3.1209 3 0 2 17", "replica 3 3.1209 0 12 2 17", "replica 3 - 4 12 2 17 more fields", "replica 0 - 0 0 0 0",
 		"leader 3 3.1209 0 12 2 17", "replica 3 3.1209 0 12 2", "replica x 3.1209 0 12 2 17", "replica 3 3 0 12 2 17", "replica 3 3.1 x 12 2 17",
 		"replica 3 3.1 0 x 2 17", "replica 3 3.1 0 12 x 17", "replica 3 3.1 0 12 2 x", ""} {
-		st, ok := ParseMemberStatus(s)
-		line("status", s, fmt.Sprintf("primary %t term %d received %v held %d lag %d busy %d conns %d ok %v",
-			st.Primary, st.Term, st.Received, st.PromisedTerm, st.LagMillis, st.Busy, st.Conns, ok))
+		status, ok := ParseMemberStatus(s)
+		line("status", s, fmt.Sprintf("primary %t term %d received %v promised %d lag %d busy %d conns %d ok %v",
+			status.Primary, status.Term, status.Received, status.PromisedTerm, status.LagMillis, status.Busy, status.Conns, ok))
 	}
-	ps := []Position{{}, {0, 1}, {1, 0}, {1, 7}, {2, 3}, {18446744073709551615, 18446744073709551615}}
-	for _, p := range ps {
+	positions := []Position{{}, {0, 1}, {1, 0}, {1, 7}, {2, 3}, {18446744073709551615, 18446744073709551615}}
+	for _, p := range positions {
 		less := ""
-		for _, q := range ps {
+		for _, q := range positions {
 			less += fmt.Sprintf("%t ", p.Less(q))
 		}
 		line("less", p.String(), less)
 	}
 
-	x := strings.Repeat("x", MaxMessageBytes)
-	for _, in := range []struct{ name, bytes string }{
+	filler := strings.Repeat("x", MaxMessageBytes)
+	for _, input := range []struct{ name, bytes string }{
 		{"one", "READY I -\r\n"}, {"two", "BYE\r\nBYE\r\n"}, {"tab", "a\tb\r\n"}, {"not UTF-8", "a\xff\r\n"}, {"empty", "\r\n"}, {"no return", "BYE\n"}, {"one byte", "\n"},
 		{"control", "a\x00b\r\n"}, {"return within", "a\rb\r\n"}, {"no end", "BYE"}, {"none", ""},
-		{"just fits", x[:MaxMessageBytes-2] + "\r\n"}, {"too long by one", x[:MaxMessageBytes-1] + "\r\n"}, {"too long", x + x + "\r\nBYE\r\n"},
-		{"long without return", x[:5000] + "\n"}, {"long without end", x[:5000]}, {"long with control", x[:5000] + "\x01\r\n"},
+		{"just fits", filler[:MaxMessageBytes-2] + "\r\n"}, {"too long by one", filler[:MaxMessageBytes-1] + "\r\n"}, {"too long", filler + filler + "\r\nBYE\r\n"},
+		{"long without return", filler[:5000] + "\n"}, {"long without end", filler[:5000]}, {"long with control", filler[:5000] + "\x01\r\n"},
 	} {
-		for _, shared := range []int64{-1, 4000, 1 << 22} {
-			r := NewReader(strings.NewReader(in.bytes))
-			if shared >= 0 {
-				r.WithBudget(NewBufferBudget(shared))
+		for _, budget := range []int64{-1, 4000, 1 << 22} {
+			r := NewReader(strings.NewReader(input.bytes))
+			if budget >= 0 {
+				r.WithBudget(NewBufferBudget(budget))
 			}
 			var got []string
 			for {
-				l, err := r.ReadMessage()
+				message, err := r.ReadMessage()
 				if err != nil {
 					got = append(got, fmt.Sprintf("%v, %d buffered", err, r.Buffered()))
 					if err == io.EOF || err == ErrBufferBudget || len(got) > 3 {
@@ -77,9 +77,9 @@
 					}
 					continue
 				}
-				got = append(got, fmt.Sprintf("%d bytes %.12q, %d buffered", len(l), l, r.Buffered()))
+				got = append(got, fmt.Sprintf("%d bytes %.12q, %d buffered", len(message), message, r.Buffered()))
 			}
-			line("line", in.name, fmt.Sprintf("of %d: %s", shared, strings.Join(got, "; ")))
+			line("line", input.name, fmt.Sprintf("of %d: %s", budget, strings.Join(got, "; ")))
 		}
 	}
 	r := NewReader(strings.NewReader("BYE\r\n"))
@@ -88,16 +88,16 @@
 	return b.String()
 }
 
-// What is read of each kind of message, and the limits and errors, stay as they were when the golden file was written.
+// Words, limits, errors and the parsing of each kind of message must not change.
 func TestMessagesMatchTheGoldenFile(t *testing.T) {
-	golden.Lines(t, "testdata/messages.golden", render())
+	golden.Lines(t, "testdata/messages.golden", renderCases())
 }
 
-// A position and a message's text come out of the bytes that they were written to.
-func TestPositionsAreReadBackAsWritten(t *testing.T) {
+// A position that is formatted and parsed again must be unchanged.
+func TestPositionsRoundTrip(t *testing.T) {
 	for _, p := range []Position{{1, 0}, {0, 1}, {3, 1207}, {1 << 59, 1 << 59}} {
 		if q, ok := ParsePosition(p.String()); !ok || p != q {
-			t.Errorf("%v was read back as %v, %v", p, q, ok)
+			t.Errorf("%v was parsed as %v, %v", p, q, ok)
 		}
 	}
 }
--- a/internal/member/wire/wire_test.go
+++ b/internal/member/wire/wire_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestLines(t *testing.T) {
+func TestReadMessage(t *testing.T) {
 	long := strings.Repeat("x", 100_000)
 	r := NewReader(strings.NewReader("ATTACH a b\r\n" + long + "\r\nno return\nBYE\r\n"))
 	for _, want := range []string{"ATTACH a b", long} {
@@ -26,32 +26,33 @@
 	if _, err := NewReader(strings.NewReader(strings.Repeat("x", MaxMessageBytes+9) + "\r\n")).ReadMessage(); err != ErrMessageTooLong {
 		t.Error(err)
 	}
-	room := NewBufferBudget(150_000)
-	endless := NewReader(io.LimitReader(zeros{}, 140_000)).WithBudget(room)
+	budget := NewBufferBudget(150_000)
+	endless := NewReader(io.LimitReader(endlessZeros{}, 140_000)).WithBudget(budget)
 	if _, err := endless.ReadMessage(); err != io.EOF {
 		t.Error(err)
 	}
-	if l, err := NewReader(strings.NewReader(long + "\r\n")).WithBudget(room).ReadMessage(); len(l) != len(long) || err != nil {
-		t.Error("what an ended message held was not given back", err)
+	if l, err := NewReader(strings.NewReader(long + "\r\n")).WithBudget(budget).ReadMessage(); len(l) != len(long) || err != nil {
+		t.Error("the bytes reserved for an earlier message were not released", err)
 	}
-	if _, err := NewReader(strings.NewReader(long + long + "\r\n")).WithBudget(room).ReadMessage(); err != ErrBufferBudget {
+	if _, err := NewReader(strings.NewReader(long + long + "\r\n")).WithBudget(budget).ReadMessage(); err != ErrBufferBudget {
 		t.Error(err)
 	}
-	if left := room.available.Load(); left != 150_000 {
+	if left := budget.available.Load(); left != 150_000 {
 		t.Error(left)
 	}
 }
 
-type zeros struct{}
+// endlessZeros is a reader of an endless line of zeros.
+type endlessZeros struct{}
 
-func (zeros) Read(b []byte) (int, error) {
+func (endlessZeros) Read(b []byte) (int, error) {
 	for i := range b {
 		b[i] = '0'
 	}
 	return len(b), nil
 }
 
-func TestTexts(t *testing.T) {
+func TestParse(t *testing.T) {
 	for text, want := range map[string]bool{"BEGIN": true, "BEGIN FETCH": true, "BEGIN STORE": false, "BEGIN ": false, "COMMIT": true, "COMMIT x": false,
 		"FETCH a": true, "FETCH": false, "FETCH a b": false, "STORE a": true, "STORE a b c": true, "STORE": false, "SET a": true, "SET a b c": true, "SET": false,
 		"PREP p FETCH q": true, "PREP p DROP q": false, "PREP p STORE": false, "EXEC p a": true, "EXEC p": false, "UNPREP p": true, "UNPREP p q": false,
@@ -69,7 +70,7 @@
 		t.Error(s, ok)
 	}
 	if _, ok := ParseMemberStatus("leader 3 3.1209 0 12 2 17"); ok {
-		t.Error("a role that there is not")
+		t.Error("a status with an unknown role was accepted")
 	}
 }
 
