--- a/internal/dataplane/proxy/attempt.go
+++ b/internal/dataplane/proxy/attempt.go
@@ -214,7 +214,7 @@
 // discardRows drops rows beyond the buffer limit. It is used for writes, whose rows are not needed.
 func discardRows([]string) error { return nil }
 
-// outcomeOf is what a member's answer means for routing, whatever the member's role.
+// outcomeOf returns the outcome for routing of a member's reply, without regard to the member's role.
 func outcomeOf(reply *memberconn.Reply) group.Outcome {
 	switch reply.Code {
 	case wire.CodeReadOnly:
--- a/internal/dataplane/proxy/bench_test.go
+++ b/internal/dataplane/proxy/bench_test.go
@@ -59,23 +59,23 @@
 				Seq: 1}}})
 		g := p.router.group("s")
 		for range 3 {
-			here, there := net.Pipe()
-			b.Cleanup(func() { there.Close() })
-			go serveBenchMember(there)
+			proxyEnd, memberEnd := net.Pipe()
+			b.Cleanup(func() { memberEnd.Close() })
+			go serveBenchMember(memberEnd)
 			g.pool("a").open++
-			conn := &memberConn{Conn: &memberconn.Conn{NetConn: here, Reader: wire.NewReader(here)}}
+			conn := &memberConn{Conn: &memberconn.Conn{NetConn: proxyEnd, Reader: wire.NewReader(proxyEnd)}}
 			p.router.poolOrClose(g, g.routing.Members["a"], conn)
 		}
 	})
 	<-done
-	here, there := net.Pipe()
-	go p.serve(there)
-	b.Cleanup(func() { here.Close(); cancel() })
-	if _, err := here.Write([]byte("ATTACH " + host + " who\r\n")); err != nil {
+	clientEnd, proxyEnd := net.Pipe()
+	go p.serve(proxyEnd)
+	b.Cleanup(func() { clientEnd.Close(); cancel() })
+	if _, err := clientEnd.Write([]byte("ATTACH " + host + " who\r\n")); err != nil {
 		b.Fatal(err)
 	}
-	awaitReady(b, wire.NewReader(here))
-	return here
+	awaitReady(b, wire.NewReader(clientEnd))
+	return clientEnd
 }
 
 func awaitReady(b *testing.B, replies *wire.Reader) {
--- a/internal/dataplane/proxy/connpool.go
+++ b/internal/dataplane/proxy/connpool.go
@@ -38,7 +38,7 @@
 // checked it out; while it is idle, to its pool.
 type memberConn struct {
 	*memberconn.Conn
-	tenant    string // the tenant that it is attached for and serves alone, "" for none
+	tenant    string // the tenant in its ATTACH, which is the only one that it serves; "" for none
 	state     sessionstate.Conn
 	idleSince float64 // milliseconds
 }
--- a/internal/dataplane/proxy/connpool_test.go
+++ b/internal/dataplane/proxy/connpool_test.go
@@ -74,7 +74,7 @@
 	q := waitQueue[int]{max: 4}
 	for i := range 6 {
 		if got, want := q.push(i), i < 4; got != want {
-			t.Errorf("push of %d: %v", i, got)
+			t.Errorf("push of %d: %v, want %v", i, got, want)
 		}
 	}
 	var visited []int
@@ -83,6 +83,6 @@
 		return i%2 == 0
 	})
 	if len(visited) != 4 || q.len() != 2 || q.waiting[0] != 1 || q.waiting[1] != 3 {
-		t.Errorf("saw %v, left %v", visited, q.waiting)
+		t.Errorf("removeIf visited %v and left %v, want all 4 visited and 1, 3 left", visited, q.waiting)
 	}
 }
--- a/internal/dataplane/proxy/retry_test.go
+++ b/internal/dataplane/proxy/retry_test.go
@@ -66,8 +66,8 @@
 
 func (m *scriptedMember) serve(c net.Conn) {
 	defer c.Close()
-	r := wire.NewReader(c)
-	attach, err := r.ReadMessage()
+	queries := wire.NewReader(c)
+	attach, err := queries.ReadMessage()
 	if err != nil {
 		return
 	}
@@ -78,7 +78,7 @@
 	fmt.Fprint(c, "READY I 1.1\r\n")
 	state := wire.StateIdle
 	for {
-		line, err := r.ReadMessage()
+		line, err := queries.ReadMessage()
 		if err != nil {
 			return
 		}
@@ -155,34 +155,34 @@
 	g.routing.RecordOutcome(g.routing.Members["a"], now-1, now, group.AnsweredAsPrimary, wire.Position{Term: 1, Number: 1})
 	go p.router.run()
 	clientEnd, proxyEnd := net.Pipe()
-	k := &client{conn: clientEnd, replies: wire.NewReader(clientEnd)}
+	sess := &client{conn: clientEnd, replies: wire.NewReader(clientEnd)}
 	go (&session{proxy: p, client: proxyEnd}).run()
 	Reset(func() { cancel(); ln.Close(); clientEnd.Close() })
 	fmt.Fprint(clientEnd, "ATTACH db who\r\n")
-	if l, err := k.replies.ReadMessage(); err != nil || l != "READY I -" {
-		t.Fatal(l, err)
+	if line, err := sess.replies.ReadMessage(); err != nil || line != "READY I -" {
+		t.Fatal(line, err)
 	}
-	return k
+	return sess
 }
 
 // query sends a statement and returns the lines of the answer, without consecutive duplicates.
-func (k *client) query(text string) string {
-	k.queries++
-	fmt.Fprintf(k.conn, "QUERY q%d %s\r\n", k.queries, text)
+func (sess *client) query(text string) string {
+	sess.queries++
+	fmt.Fprintf(sess.conn, "QUERY q%d %s\r\n", sess.queries, text)
 	var lines []string
 	for {
-		k.conn.SetReadDeadline(time.Now().Add(10 * time.Second))
-		l, err := k.replies.ReadMessage()
+		sess.conn.SetReadDeadline(time.Now().Add(10 * time.Second))
+		line, err := sess.replies.ReadMessage()
 		if err != nil {
 			return strings.Join(append(lines, err.Error()), " | ")
 		}
-		if len(l) > 100 {
-			l = l[:10] + ".."
+		if len(line) > 100 {
+			line = line[:10] + ".."
 		}
-		if len(lines) == 0 || lines[len(lines)-1] != l {
-			lines = append(lines, l)
+		if len(lines) == 0 || lines[len(lines)-1] != line {
+			lines = append(lines, line)
 		}
-		if strings.HasPrefix(l, wire.MsgReady) {
+		if strings.HasPrefix(line, wire.MsgReady) {
 			return strings.Join(lines, " | ")
 		}
 	}
@@ -193,71 +193,71 @@
 func TestRetries(t *testing.T) {
 	Convey("With a member that loses replies", t, func() {
 		m := &scriptedMember{script: map[string][]string{}}
-		k := attachClient(t, m)
+		sess := attachClient(t, m)
 
 		Convey("a read is retried and answered once (idempotencyOf)", func() {
 			m.script["FETCH x"] = []string{cutOff}
-			So(k.query("FETCH x"), ShouldEqual, "ROW whole | DONE m.q1 | READY I 1.1")
+			So(sess.query("FETCH x"), ShouldEqual, "ROW whole | DONE m.q1 | READY I 1.1")
 			So(m.runCount("FETCH x"), ShouldEqual, 2)
 		})
 		Convey("a read is not retried once rows were forwarded, as another reply may differ (rowsForwarded)", func() {
 			m.script["FETCH x"] = []string{cutOffAfterRows}
-			So(k.query("FETCH x"), ShouldEqual, "ROW xxxxxx.. | FAIL RETRY come back after 200 ms | READY I -")
+			So(sess.query("FETCH x"), ShouldEqual, "ROW xxxxxx.. | FAIL RETRY come back after 200 ms | READY I -")
 			So(m.runCount("FETCH x"), ShouldEqual, 1)
-			So(k.query("FETCH x"), ShouldEqual, "ROW whole | DONE m.q2 | READY I 1.1")
+			So(sess.query("FETCH x"), ShouldEqual, "ROW whole | DONE m.q2 | READY I 1.1")
 		})
 		Convey("a write is not retried (idempotencyOf)", func() {
 			m.script["STORE x 1"] = []string{cutOff}
-			So(k.query("STORE x 1"), ShouldEqual, "FAIL UNKNOWN no answer came from a | READY I -")
+			So(sess.query("STORE x 1"), ShouldEqual, "FAIL UNKNOWN no answer came from a | READY I -")
 			So(m.runCount("STORE x 1"), ShouldEqual, 1)
 		})
 		Convey("a success without a stamp belongs to another query (requireStamp)", func() {
 			m.script["STORE x 1"] = []string{"DONE -"}
-			So(k.query("STORE x 1"), ShouldEqual, "FAIL UNKNOWN no answer came from a | READY I -")
+			So(sess.query("STORE x 1"), ShouldEqual, "FAIL UNKNOWN no answer came from a | READY I -")
 			So(m.runCount("STORE x 1"), ShouldEqual, 1)
 		})
 		Convey("BEGIN is retried, as closing its connection rolls the transaction back", func() {
 			m.script["BEGIN"] = []string{cutOff}
-			So(k.query("BEGIN"), ShouldEqual, "DONE - | READY T -")
-			So(k.query("STORE x 1"), ShouldEqual, "DONE m.q2 | READY T 1.1")
-			So(k.query("COMMIT"), ShouldEqual, "DONE m.q3 | READY I 1.1")
+			So(sess.query("BEGIN"), ShouldEqual, "DONE - | READY T -")
+			So(sess.query("STORE x 1"), ShouldEqual, "DONE m.q2 | READY T 1.1")
+			So(sess.query("COMMIT"), ShouldEqual, "DONE m.q3 | READY I 1.1")
 			So(m.runCount("BEGIN"), ShouldEqual, 2)
 			So(m.runCount("STORE x 1"), ShouldEqual, 1)
 		})
 		Convey("a statement in a transaction is not retried, and the transaction is reported as rolled back", func() {
 			m.script["STORE x 1"] = []string{cutOff}
-			k.query("BEGIN")
-			So(k.query("STORE x 1"), ShouldEqual, "FAIL ABORTED no answer came from a | READY E -")
+			sess.query("BEGIN")
+			So(sess.query("STORE x 1"), ShouldEqual, "FAIL ABORTED no answer came from a | READY E -")
 			So(m.runCount("STORE x 1"), ShouldEqual, 1)
 		})
 		Convey("a COMMIT is not retried, and its outcome is reported as unknown", func() {
 			m.script["COMMIT"] = []string{cutOff}
-			k.query("BEGIN")
-			k.query("STORE x 1")
-			So(k.query("COMMIT"), ShouldEqual, "FAIL UNKNOWN no answer to the commit came from a | READY I -")
+			sess.query("BEGIN")
+			sess.query("STORE x 1")
+			So(sess.query("COMMIT"), ShouldEqual, "FAIL UNKNOWN no answer to the commit came from a | READY I -")
 			So(m.runCount("COMMIT"), ShouldEqual, 1)
 		})
 		Convey("the outcome of a COMMIT is also unknown after a failed write that may have run (mayHaveRun)", func() {
 			m.script["STORE x 1"], m.script["COMMIT"] = []string{"FAIL TIMEOUT"}, []string{cutOff}
-			k.query("BEGIN")
-			So(k.query("STORE x 1"), ShouldEqual, "FAIL TIMEOUT | READY T 1.1")
-			So(k.query("COMMIT"), ShouldEqual, "FAIL UNKNOWN no answer to the commit came from a | READY I -")
+			sess.query("BEGIN")
+			So(sess.query("STORE x 1"), ShouldEqual, "FAIL TIMEOUT | READY T 1.1")
+			So(sess.query("COMMIT"), ShouldEqual, "FAIL UNKNOWN no answer to the commit came from a | READY I -")
 		})
 		Convey("a connection is closed if the ABORT after a read was refused, as a transaction is open (handleSuccess)", func() {
 			m.script["ABORT"] = []string{"FAIL FAILED no"}
-			So(k.query("FETCH x"), ShouldContainSubstring, "DONE m.q1")
+			So(sess.query("FETCH x"), ShouldContainSubstring, "DONE m.q1")
 			m.mu.Lock()
 			before := m.conns
 			m.mu.Unlock()
-			So(k.query("STORE x 1"), ShouldEqual, "DONE m.q2 | READY I 1.1")
+			So(sess.query("STORE x 1"), ShouldEqual, "DONE m.q2 | READY I 1.1")
 			m.mu.Lock()
 			defer m.mu.Unlock()
 			So(m.conns, ShouldEqual, before+1)
 		})
 		Convey("a connection is closed if the member no longer knows a prepared statement (CodeNoStatement)", func() {
-			k.query("PREP s STORE q")
+			sess.query("PREP s STORE q")
 			m.script["EXEC w1 x 1"] = []string{"FAIL NOSTMT w1"}
-			So(k.query("EXEC s x 1"), ShouldContainSubstring, "DONE m.q2")
+			So(sess.query("EXEC s x 1"), ShouldContainSubstring, "DONE m.q2")
 			So(m.conns, ShouldBeGreaterThan, 1)
 		})
 	})
--- a/internal/dataplane/proxy/session.go
+++ b/internal/dataplane/proxy/session.go
@@ -73,7 +73,7 @@
 			}
 			continue
 		}
-		if !s.handleMessage(line) || !s.flush() || s.closing || s.closesAfterReply() {
+		if !s.handleMessage(line) || !s.flush() || s.closing || s.closeIfRefusing() {
 			return
 		}
 		s.answeredAt = s.proxy.now()
--- a/internal/dataplane/proxy/shutdown.go
+++ b/internal/dataplane/proxy/shutdown.go
@@ -88,10 +88,10 @@
 // would otherwise last until then.
 func (s *session) refusesStatements() bool { return s.proxy.phase() >= refusing }
 
-// closesAfterReply reports whether the session ends after an answer because the process refuses statements. If so, it
+// closeIfRefusing ends the session after an answer if the process refuses statements, and reports whether it did. It
 // closes the sending half of the connection, and reads and discards input for lingerTimeout: the client may be sending
 // its next message, and closing a connection with unread input resets it, which may lose the last answer.
-func (s *session) closesAfterReply() bool {
+func (s *session) closeIfRefusing() bool {
 	if s.tx != nil || !s.refusesStatements() {
 		return false
 	}
--- a/internal/dataplane/proxy/tenantpool_test.go
+++ b/internal/dataplane/proxy/tenantpool_test.go
@@ -78,8 +78,8 @@
 	}
 }
 
-// finishDial returns the connection of a successful dial, which is already counted as open.
-func (f *poolFixture) finishDial(tenant string) *memberConn {
+// dialedConn returns the connection of a successful dial, which is already counted as open.
+func (f *poolFixture) dialedConn(tenant string) *memberConn {
 	c := f.newConn(tenant, "")
 	f.group.pool("a").recordClosed(tenant)
 	return c
@@ -91,7 +91,7 @@
 	if request.dialing != "a" {
 		f.t.Fatal("no dial is in progress for the request")
 	}
-	f.router.handleDialResult(f.group, f.primary, request.tenant, f.finishDial(request.tenant), nil, f.router.proxy.now())
+	f.router.handleDialResult(f.group, f.primary, request.tenant, f.dialedConn(request.tenant), nil, f.router.proxy.now())
 }
 
 // A connection that was dialled for one tenant must not serve another one.
@@ -275,20 +275,20 @@
 func TestRejectedDialsBackOff(t *testing.T) {
 	f := newPoolFixture(t, 100)
 	pool, request := f.group.pool("a"), &connRequest{tenant: "south"}
-	now, pause := 1000.0, milliseconds(rejectedDialBackoff)
+	now, backoff := 1000.0, milliseconds(rejectedDialBackoff)
 	for range 8 {
 		pool.backOffDials(now)
-		if pool.mayDial(request, 10, now+pause/2-1) || !pool.mayDial(request, 10, now+pause*3/2) {
-			t.Errorf("the next dial may start %v ms after the rejection, want %v to %v", pool.nextDialAt-now, pause/2, pause*3/2)
+		if pool.mayDial(request, 10, now+backoff/2-1) || !pool.mayDial(request, 10, now+backoff*3/2) {
+			t.Errorf("the next dial may start %v ms after the rejection, want %v to %v", pool.nextDialAt-now, backoff/2, backoff*3/2)
 		}
 		if !pool.mayDial(&connRequest{}, 10, now) {
 			t.Error("a request without a tenant is delayed")
 		}
-		pause = min(2*pause, milliseconds(rejectedDialBackoff)*(1<<maxBackoffDoublings))
+		backoff = min(2*backoff, milliseconds(rejectedDialBackoff)*(1<<maxBackoffDoublings))
 	}
 	pool.recordOpened("south")
 	pool.dialing++
-	f.router.handleDialResult(f.group, f.primary, "south", f.finishDial("south"), nil, now)
+	f.router.handleDialResult(f.group, f.primary, "south", f.dialedConn("south"), nil, now)
 	if pool.rejections != 0 {
 		t.Error("the count of rejections is not reset by a success")
 	}
@@ -348,8 +348,8 @@
 	} {
 		pool.rejections = 3
 		pool.paceDials(5000, 5000-c.duration, c.drivers)
-		if pause := pool.nextDialAt - 5000; pause < c.min || pause > c.max || pool.rejections != 0 {
-			t.Errorf("dial of %v ms, %d drivers: a delay of %v ms, want %v to %v", c.duration, c.drivers, pause, c.min, c.max)
+		if delay := pool.nextDialAt - 5000; delay < c.min || delay > c.max || pool.rejections != 0 {
+			t.Errorf("dial of %v ms, %d drivers: a delay of %v ms, want %v to %v", c.duration, c.drivers, delay, c.min, c.max)
 		}
 	}
 }
--- a/internal/dataplane/proxy/tenants_test.go
+++ b/internal/dataplane/proxy/tenants_test.go
@@ -84,39 +84,39 @@
 	clientEnd, proxyEnd := net.Pipe()
 	f.t.Cleanup(func() { clientEnd.Close() })
 	go f.proxy.serve(proxyEnd)
-	k := &client{conn: clientEnd, replies: wire.NewReader(clientEnd)}
+	sess := &client{conn: clientEnd, replies: wire.NewReader(clientEnd)}
 	fmt.Fprintf(clientEnd, "ATTACH %s %s\r\n", host, key)
 	clientEnd.SetReadDeadline(time.Now().Add(10 * time.Second))
-	line, err := k.replies.ReadMessage()
+	line, err := sess.replies.ReadMessage()
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	return k, line
+	return sess, line
 }
 
 // mustAttach opens a session and fails the test if it is not accepted.
 func (f *tenantFixture) mustAttach(host, key string) *client {
 	f.t.Helper()
-	k, line := f.attach(host, key)
+	sess, line := f.attach(host, key)
 	if line != "READY I -" {
 		f.t.Fatal(line)
 	}
-	return k
+	return sess
 }
 
 // expectReply sends a statement and compares the answer.
-func (f *tenantFixture) expectReply(k *client, text, want string) {
+func (f *tenantFixture) expectReply(sess *client, text, want string) {
 	f.t.Helper()
-	if got := k.query(text); got != want {
+	if got := sess.query(text); got != want {
 		f.t.Errorf("%s: %q, want %q", text, got, want)
 	}
 }
 
 // expectClosed checks that the proxy closes a client's connection.
-func (f *tenantFixture) expectClosed(k *client) {
+func (f *tenantFixture) expectClosed(sess *client) {
 	f.t.Helper()
-	k.conn.SetReadDeadline(time.Now().Add(10 * time.Second))
-	if line, err := k.replies.ReadMessage(); err == nil || isTimeout(err) {
+	sess.conn.SetReadDeadline(time.Now().Add(10 * time.Second))
+	if line, err := sess.replies.ReadMessage(); err == nil || isTimeout(err) {
 		f.t.Errorf("the session is still open: %q, %v", line, err)
 	}
 }
@@ -164,12 +164,12 @@
 		{"open", "key-x", "READY I -"},
 		{"nowhere", "key-x", "FAIL NODB nowhere"},
 	} {
-		k, got := f.attach(c.host, c.key)
+		sess, got := f.attach(c.host, c.key)
 		if got != c.want {
 			t.Errorf("ATTACH %s %s: %q, want %q", c.host, c.key, got, c.want)
 		}
 		if strings.HasPrefix(got, wire.MsgFail) {
-			f.expectClosed(k)
+			f.expectClosed(sess)
 		}
 	}
 }
@@ -263,10 +263,10 @@
 // A key that was reassigned to another tenant serves that tenant from the next operation on.
 func TestReassignedKeysServeTheNewTenant(t *testing.T) {
 	f := newTenantFixture(t, twoTenants)
-	k := f.mustAttach("db", "key-n1")
-	f.expectReply(k, "FETCH x", "ROW whole | DONE m.q1 | READY I 1.1")
+	sess := f.mustAttach("db", "key-n1")
+	f.expectReply(sess, "FETCH x", "ROW whole | DONE m.q1 | READY I 1.1")
 	f.configure(2, `{"name":"north","keys":[]},{"name":"south","keys":["key-n1"]}`)
-	f.expectReply(k, "FETCH x", "ROW whole | DONE m.q2 | READY I 1.1")
+	f.expectReply(sess, "FETCH x", "ROW whole | DONE m.q2 | READY I 1.1")
 	f.expectRan("north: FETCH x", "south: FETCH x")
 }
 
@@ -276,12 +276,12 @@
 	f := newTenantFixture(t, twoTenants)
 	f.member.script["STORE x 1"] = []string{"FAIL RETRY"}
 	f.member.failingText = "STORE x 1"
-	k := f.mustAttach("db", "key-s")
-	f.expectReply(k, "BEGIN", "DONE - | READY T -")
-	f.expectReply(k, "STORE x 1", "FAIL RETRY | READY E 1.1")
-	f.expectReply(k, "ABORT", "DONE - | READY I -")
+	sess := f.mustAttach("db", "key-s")
+	f.expectReply(sess, "BEGIN", "DONE - | READY T -")
+	f.expectReply(sess, "STORE x 1", "FAIL RETRY | READY E 1.1")
+	f.expectReply(sess, "ABORT", "DONE - | READY I -")
 	f.awaitAllReturned()
-	f.expectReply(k, "FETCH x", "ROW whole | DONE m.q4 | READY I 1.1")
+	f.expectReply(sess, "FETCH x", "ROW whole | DONE m.q4 | READY I 1.1")
 	f.member.mu.Lock()
 	defer f.member.mu.Unlock()
 	if f.member.conns != 1 {
@@ -302,12 +302,12 @@
 // Denials are counted and logged without the key.
 func TestDenialsAreCountedAndLogged(t *testing.T) {
 	f := newTenantFixture(t, twoTenants)
-	k, tx := f.mustAttach("db", "key-n1"), f.mustAttach("db", "key-n1")
+	sess, tx := f.mustAttach("db", "key-n1"), f.mustAttach("db", "key-n1")
 	tx.query("BEGIN")
 	f.attach("db", "key-unknown")
 	f.configure(2, "")
 	f.configure(3, `{"name":"south","keys":["key-s"]}`)
-	k.query("FETCH x")
+	sess.query("FETCH x")
 	tx.query("FETCH x")
 	w := httptest.NewRecorder()
 	metrics.Handler(f.proxy.writeMetrics).ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/metrics", nil))
@@ -346,13 +346,13 @@
 	f := newTenantFixture(t, twoTenants)
 	f.member.script["EXEC w1 x 1"] = []string{"FAIL NOSTMT w1"}
 	f.member.failingText = "EXEC w1 x 1"
-	k := f.mustAttach("db", "key-s")
-	f.expectReply(k, "PREP p STORE q", "DONE - | READY I -")
-	f.expectReply(k, "BEGIN", "DONE - | READY T -")
-	f.expectReply(k, "EXEC p x 1", "FAIL NOSTMT w1 | READY E 1.1")
-	f.expectReply(k, "ABORT", "DONE - | READY I -")
+	sess := f.mustAttach("db", "key-s")
+	f.expectReply(sess, "PREP p STORE q", "DONE - | READY I -")
+	f.expectReply(sess, "BEGIN", "DONE - | READY T -")
+	f.expectReply(sess, "EXEC p x 1", "FAIL NOSTMT w1 | READY E 1.1")
+	f.expectReply(sess, "ABORT", "DONE - | READY I -")
 	f.awaitAllReturned()
-	f.expectReply(k, "EXEC p x 1", "DONE m.q5 | READY I 1.1")
+	f.expectReply(sess, "EXEC p x 1", "DONE m.q5 | READY I 1.1")
 	f.member.mu.Lock()
 	defer f.member.mu.Unlock()
 	if f.member.conns != 2 {
--- a/internal/dataplane/proxy/transcript_test.go
+++ b/internal/dataplane/proxy/transcript_test.go
@@ -65,17 +65,17 @@
 	x.setRole("a", directory.RolePrimary)
 	x.setRole("b", directory.RoleReplica)
 	x.fillPools()
-	here, there := net.Pipe()
-	x.client, x.replies = here, wire.NewReader(here)
+	clientEnd, proxyEnd := net.Pipe()
+	x.client, x.replies = clientEnd, wire.NewReader(clientEnd)
 	done := make(chan struct{})
-	s := &session{proxy: x.proxy, client: there}
+	s := &session{proxy: x.proxy, client: proxyEnd}
 	x.proxy.sessions[s] = struct{}{}
 	go func() {
 		s.run()
 		close(done)
 	}()
 	t.Cleanup(func() {
-		here.Close()
+		clientEnd.Close()
 		<-done
 		time.Sleep(3 * time.Second) // rollbacks are answered in this time
 		cancel()
@@ -115,13 +115,13 @@
 		g := x.proxy.router.group("s")
 		for _, id := range []string{"a", "b"} {
 			for m := g.routing.Members[id]; m != nil && len(g.pool(id).idle) < 7; {
-				here, there := net.Pipe()
-				side := &[]string{}
-				x.memberLines, x.memberEnds = append(x.memberLines, side), append(x.memberEnds, there)
+				proxyEnd, memberEnd := net.Pipe()
+				received := &[]string{}
+				x.memberLines, x.memberEnds = append(x.memberLines, received), append(x.memberEnds, memberEnd)
 				rng := rand.New(rand.NewPCG(uint64(len(x.memberLines)), 9))
-				go x.serveMember(id, there, side, rng)
+				go x.serveMember(id, memberEnd, received, rng)
 				g.pool(id).open++
-				x.proxy.router.poolOrClose(g, m, &memberConn{Conn: &memberconn.Conn{NetConn: here, Reader: wire.NewReader(here)}})
+				x.proxy.router.poolOrClose(g, m, &memberConn{Conn: &memberconn.Conn{NetConn: proxyEnd, Reader: wire.NewReader(proxyEnd)}})
 			}
 		}
 	})
@@ -130,10 +130,10 @@
 // serveMember answers as a member on one connection and records the messages that it receives.
 func (x *transcript) serveMember(id string, c net.Conn, received *[]string, rng *rand.Rand) {
 	defer c.Close()
-	r := wire.NewReader(c)
+	queries := wire.NewReader(c)
 	state := wire.StateIdle
 	for {
-		line, err := r.ReadMessage()
+		line, err := queries.ReadMessage()
 		if err != nil {
 			x.record(received, id+" ended")
 			return
--- a/internal/member/memberconn/golden_test.go
+++ b/internal/member/memberconn/golden_test.go
@@ -104,8 +104,8 @@
 			return
 		}
 		defer c.Close()
-		l, _ := wire.NewReader(c).ReadMessage()
-		attach <- l
+		message, _ := wire.NewReader(c).ReadMessage()
+		attach <- message
 		io.WriteString(c, reply)
 	}()
 	c, absent, err := Dial(directory.Member{ID: "m1", Service: "orders", Addr: ln.Addr().String()}, time.Now().Add(10*time.Second))
@@ -127,20 +127,20 @@
 	for _, reply := range []string{"READY I 3.7\r\n", "READY I -\r\n", "READY\r\n", "FAIL FULL no place\r\n", "BYE\r\n", "READY I 3.7\n", ""} {
 		fmt.Fprintf(&b, "dial\t%q\t%s\n", reply, dialAndDescribe(t, reply))
 	}
-	for _, in := range []string{
+	for _, input := range []string{
 		"ROW a 1\r\nDONE -\r\nREADY I 2.5\r\n", "DONE -\r\nREADY I -\r\n", "DONE m.1\r\nREADY I 2.5\r\n", "FAIL LAGGING far behind\r\nREADY E 2.5\r\n",
 		"DONE -\r\nREADY I 2.5\r\nDONE -\r\n", "DONE -\r\n", "ROW a 1\r\nROW", "DONE -\r\nROW a 1\r\n", "READY I -\r\n", "BYE\r\n", "DONE -\r\nDONE -\r\n", "x\n", "",
 	} {
-		c, s := newScriptedConn(in, 1<<20)
+		c, s := newScriptedConn(input, 1<<20)
 		rows, err := c.Query("SHOW x", time.Time{})
-		fmt.Fprintf(&b, "internal query\t%q\t%q: %q %s, position %v, reusable %v\n", in, s.written.String(), rows, describe(err), c.Position, c.Reusable())
+		fmt.Fprintf(&b, "internal query\t%q\t%q: %q %s, position %v, reusable %v\n", input, s.written.String(), rows, describe(err), c.Position, c.Reusable())
 		_, err = c.Query("SHOW y", time.Time{})
-		fmt.Fprintf(&b, "second query\t%q\t%q: %s\n", in, s.written.String(), describe(err))
+		fmt.Fprintf(&b, "second query\t%q\t%q: %s\n", input, s.written.String(), describe(err))
 	}
-	for _, in := range []string{"ROW replica 3 3.9 4 0 0 1\r\nDONE -\r\nREADY I -\r\n", "DONE -\r\nREADY I -\r\n", "ROW x\r\nDONE -\r\nREADY I -\r\n", "FAIL MALFORMED what\r\nREADY I -\r\n"} {
-		c, s := newScriptedConn(in, 1<<20)
+	for _, input := range []string{"ROW replica 3 3.9 4 0 0 1\r\nDONE -\r\nREADY I -\r\n", "DONE -\r\nREADY I -\r\n", "ROW x\r\nDONE -\r\nREADY I -\r\n", "FAIL MALFORMED what\r\nREADY I -\r\n"} {
+		c, s := newScriptedConn(input, 1<<20)
 		status, err := c.QueryStatus("PAUSE 4", time.Time{})
-		fmt.Fprintf(&b, "status\t%q\t%q: primary %t term %d received %v promised %d conns %d, %s, reusable %v\n", in, s.written.String(),
+		fmt.Fprintf(&b, "status\t%q\t%q: primary %t term %d received %v promised %d conns %d, %s, reusable %v\n", input, s.written.String(),
 			status.Primary, status.Term, status.Received, status.PromisedTerm, status.Conns, describe(err), c.Reusable())
 	}
 	for _, writeLimit := range []int{0, 3} {
--- a/internal/member/wire/wire_test.go
+++ b/internal/member/wire/wire_test.go
@@ -10,35 +10,35 @@
 	long := strings.Repeat("x", 100_000)
 	r := NewReader(strings.NewReader("ATTACH a b\r\n" + long + "\r\nno return\nBYE\r\n"))
 	for _, want := range []string{"ATTACH a b", long} {
-		if l, err := r.ReadMessage(); l != want || err != nil {
-			t.Fatalf("%.20q %v", l, err)
+		if line, err := r.ReadMessage(); line != want || err != nil {
+			t.Fatalf("read %.20q, %v, want %.20q", line, err, want)
 		}
 	}
 	if _, err := r.ReadMessage(); err != ErrMalformedLine {
-		t.Error(err)
+		t.Errorf("line without a return: %v", err)
 	}
-	if l, err := r.ReadMessage(); l != "BYE" || err != nil {
-		t.Error(l, err)
+	if line, err := r.ReadMessage(); line != "BYE" || err != nil {
+		t.Errorf("after a malformed line: read %q, %v, want BYE", line, err)
 	}
 	if _, err := r.ReadMessage(); err != io.EOF {
-		t.Error(err)
+		t.Errorf("at the end: %v, want EOF", err)
 	}
 	if _, err := NewReader(strings.NewReader(strings.Repeat("x", MaxMessageBytes+9) + "\r\n")).ReadMessage(); err != ErrMessageTooLong {
-		t.Error(err)
+		t.Errorf("message above the maximum length: %v", err)
 	}
 	budget := NewBufferBudget(150_000)
 	endless := NewReader(io.LimitReader(endlessZeros{}, 140_000)).WithBudget(budget)
 	if _, err := endless.ReadMessage(); err != io.EOF {
-		t.Error(err)
+		t.Errorf("message without an end: %v, want EOF", err)
 	}
-	if l, err := NewReader(strings.NewReader(long + "\r\n")).WithBudget(budget).ReadMessage(); len(l) != len(long) || err != nil {
+	if line, err := NewReader(strings.NewReader(long + "\r\n")).WithBudget(budget).ReadMessage(); len(line) != len(long) || err != nil {
 		t.Error("the bytes reserved for an earlier message were not released", err)
 	}
 	if _, err := NewReader(strings.NewReader(long + long + "\r\n")).WithBudget(budget).ReadMessage(); err != ErrBufferBudget {
-		t.Error(err)
+		t.Errorf("message above the budget: %v", err)
 	}
 	if left := budget.available.Load(); left != 150_000 {
-		t.Error(left)
+		t.Errorf("%d bytes available in the budget, want 150000", left)
 	}
 }
 
@@ -58,16 +58,16 @@
 		"PREP p FETCH q": true, "PREP p DROP q": false, "PREP p STORE": false, "EXEC p a": true, "EXEC p": false, "UNPREP p": true, "UNPREP p q": false,
 		"AFTER 1.2 FETCH a": false, "STAT": false, "PAUSE 3": false, "RESET": false, "": false} {
 		if got := ParseStatement(text).Valid; got != want {
-			t.Errorf("%q: %v", text, got)
+			t.Errorf("%q: valid %v, want %v", text, got, want)
 		}
 	}
 	for s, want := range map[string]bool{"3.1207": true, "-": false, "3.": false, ".3": false, "a.1": false, "3": false, "99999999999999999999.1": false} {
 		if p, ok := ParsePosition(s); ok != want || ok && p.String() != s {
-			t.Errorf("%q: %v %v", s, p, ok)
+			t.Errorf("position %q: parsed as %v, %v, want %v", s, p, ok, want)
 		}
 	}
 	if s, ok := ParseMemberStatus("replica 3 3.1209 0 12 2 17"); !ok || s.Primary || s.Term != 3 || s.Received != (Position{3, 1209}) || s.LagMillis != 12 || s.Conns != 17 {
-		t.Error(s, ok)
+		t.Errorf("status parsed as %+v, %v", s, ok)
 	}
 	if _, ok := ParseMemberStatus("leader 3 3.1209 0 12 2 17"); ok {
 		t.Error("a status with an unknown role was accepted")
