--- a/internal/dataplane/proxy/attempt.go
+++ b/internal/dataplane/proxy/attempt.go
@@ -18,65 +18,65 @@
 
 // acquire checks out a member connection that the member has not closed while it was idle. It waits for a connection
 // until the request's deadline is near.
-func (s *session) acquire(service string, request *connRequest) (*lentConn, error) {
+func (s *session) acquire(service string, request *connRequest) (*connCheckout, error) {
 	router := s.proxy.router
 	for {
-		request.reply, request.dialing = make(chan lentConn, 1), ""
+		request.reply, request.dialing = make(chan connCheckout, 1), ""
 		router.do(func() { router.enqueue(service, request) })
-		var lent lentConn
+		var checkout connCheckout
 		select {
-		case lent = <-request.reply:
+		case checkout = <-request.reply:
 		case <-s.proxy.ctx.Done():
 			return nil, errRetryLater
 		}
-		if lent.err != nil {
-			return nil, lent.err
+		if checkout.err != nil {
+			return nil, checkout.err
 		}
-		if lent.conn.Alive() {
-			return &lent, nil
+		if checkout.conn.Alive() {
+			return &checkout, nil
 		}
-		s.release(&lent, false, group.NoAnswer, wire.Position{})
+		s.release(&checkout, false, group.NoAnswer, wire.Position{})
 	}
 }
 
 // release returns a connection after its only request, which ended with the outcome. A connection that is not reusable
 // is closed, so that the member rolls back a transaction that is open on it.
-func (s *session) release(lent *lentConn, reusable bool, outcome group.Outcome, position wire.Position) {
+func (s *session) release(checkout *connCheckout, reusable bool, outcome group.Outcome, position wire.Position) {
 	if !reusable {
-		lent.conn.Close()
+		checkout.conn.Close()
 	}
 	router := s.proxy.router
 	router.do(func() {
-		router.recordOutcome(lent, lent.sentAt, outcome, position)
-		router.checkIn(lent, reusable)
+		router.recordOutcome(checkout, checkout.sentAt, outcome, position)
+		router.checkIn(checkout, reusable)
 	})
 }
 
 // recordOutcome records how a request ended on a connection that stays checked out.
-func (s *session) recordOutcome(lent *lentConn, sentAt float64, outcome group.Outcome, position wire.Position) {
+func (s *session) recordOutcome(checkout *connCheckout, sentAt float64, outcome group.Outcome, position wire.Position) {
 	router := s.proxy.router
-	router.do(func() { router.recordOutcome(lent, sentAt, outcome, position) })
+	router.do(func() { router.recordOutcome(checkout, sentAt, outcome, position) })
 }
 
 // send sends a single statement to a member. It returns the reply and the outcome for routing.
-func (s *session) send(lent *lentConn, st *statement, write bool, deadline float64) (
+func (s *session) send(checkout *connCheckout, st *statement, write bool, deadline float64) (
 	*memberconn.Reply, group.Outcome, error) {
 	if write {
-		return s.sendWrite(lent, st, s.proxy.timeAt(deadline))
+		return s.sendWrite(checkout, st, s.proxy.timeAt(deadline))
 	}
 	readDeadline := s.proxy.timeAt(min(deadline, s.proxy.now()+readTimeout))
-	if lent.verifyPrimary {
-		return s.sendVerifiedRead(lent, st, readDeadline)
+	if checkout.verifyPrimary {
+		return s.sendVerifiedRead(checkout, st, readDeadline)
 	}
-	return s.sendRead(lent, st, readDeadline)
+	return s.sendRead(checkout, st, readDeadline)
 }
 
-func (s *session) sendWrite(lent *lentConn, st *statement, deadline time.Time) (
+func (s *session) sendWrite(checkout *connCheckout, st *statement, deadline time.Time) (
 	*memberconn.Reply, group.Outcome, error) {
 	var batch strings.Builder
-	text, preludes := s.appendPrelude(&batch, lent.conn, st)
+	text, preludes := s.appendPrelude(&batch, checkout.conn, st)
 	memberconn.AppendQuery(&batch, st.id, text)
-	reply, err := exchange(lent.conn, batch.String(), preludes, deadline, discardRows)
+	reply, err := exchange(checkout.conn, batch.String(), preludes, deadline, discardRows)
 	if err != nil {
 		return nil, 0, err
 	}
@@ -88,12 +88,12 @@
 }
 
 // sendRead sends a read that may be answered by any member whose log has reached the position that the read must see.
-func (s *session) sendRead(lent *lentConn, st *statement, deadline time.Time) (
+func (s *session) sendRead(checkout *connCheckout, st *statement, deadline time.Time) (
 	*memberconn.Reply, group.Outcome, error) {
 	var batch strings.Builder
-	text, preludes := s.appendPrelude(&batch, lent.conn, st)
-	memberconn.AppendQuery(&batch, st.id, lent.positionClause(), text)
-	reply, err := exchange(lent.conn, batch.String(), preludes, deadline, s.forwardRows)
+	text, preludes := s.appendPrelude(&batch, checkout.conn, st)
+	memberconn.AppendQuery(&batch, st.id, checkout.positionClause(), text)
+	reply, err := exchange(checkout.conn, batch.String(), preludes, deadline, s.forwardRows)
 	if err != nil {
 		return nil, 0, err
 	}
@@ -103,12 +103,12 @@
 // sendVerifiedRead sends a read inside a transaction that the proxy begins, because a member that is no longer the
 // primary refuses BEGIN. It waits for the answer to BEGIN before it sends the read: otherwise rows of a member that has
 // lost its role could be forwarded before the refusal is known. The transaction is rolled back afterwards.
-func (s *session) sendVerifiedRead(lent *lentConn, st *statement, deadline time.Time) (
+func (s *session) sendVerifiedRead(checkout *connCheckout, st *statement, deadline time.Time) (
 	*memberconn.Reply, group.Outcome, error) {
 	var batch strings.Builder
-	text, preludes := s.appendPrelude(&batch, lent.conn, st)
+	text, preludes := s.appendPrelude(&batch, checkout.conn, st)
 	memberconn.AppendQuery(&batch, internalQueryID, "BEGIN")
-	beginReply, err := exchangeInternal(lent.conn, batch.String(), preludes, deadline)
+	beginReply, err := exchangeInternal(checkout.conn, batch.String(), preludes, deadline)
 	if err != nil {
 		return nil, 0, err
 	}
@@ -118,12 +118,12 @@
 	batch.Reset()
 	memberconn.AppendQuery(&batch, st.id, text)
 	memberconn.AppendQuery(&batch, internalQueryID, "ABORT")
-	reply, err := exchange(lent.conn, batch.String(), 0, deadline, s.forwardRows)
+	reply, err := exchange(checkout.conn, batch.String(), 0, deadline, s.forwardRows)
 	if err != nil {
 		return nil, 0, err
 	}
 	outcome := outcomeOf(&reply)
-	abortReply, err := lent.conn.ReadReply(nil)
+	abortReply, err := checkout.conn.ReadReply(nil)
 	if err != nil {
 		return nil, 0, err
 	}
@@ -136,7 +136,7 @@
 
 // positionClause returns the AFTER clause by which the member checks that its log has reached the position that the
 // read must see. It returns "" if the read requires no position.
-func (c *lentConn) positionClause() string {
+func (c *connCheckout) positionClause() string {
 	if c.minPosition.IsZero() {
 		return ""
 	}
--- a/internal/dataplane/proxy/dispatch.go
+++ b/internal/dataplane/proxy/dispatch.go
@@ -27,14 +27,14 @@
 	dialing             string       // id of the member that is being dialled for this request, "" for none
 	admitted            bool         // the operation was counted in its quota; further attempts are not counted
 	quotaError          *clientError // the refusal by the tenant's quota, nil for none
-	reply               chan lentConn
+	reply               chan connCheckout
 }
 
 // avoidMember makes further attempts prefer other members.
 func (q *connRequest) avoidMember(id string) { q.avoid = append(q.avoid, id) }
 
-// lentConn is a member connection that a session has checked out, with the conditions that the member must verify.
-type lentConn struct {
+// connCheckout is a member connection that a session has checked out, with the conditions that the member must verify.
+type connCheckout struct {
 	group  *memberGroup
 	member *group.Member
 	record directory.Member // copy of the member's record at checkout
@@ -68,7 +68,7 @@
 	g := r.group(service)
 	if !g.queue.push(request) {
 		g.metrics.queueFull++
-		request.reply <- lentConn{err: errRetryLater}
+		request.reply <- connCheckout{err: errRetryLater}
 		return
 	}
 	r.dispatch(g)
@@ -92,7 +92,7 @@
 		// that would happen to every connection, and no request would ever be answered.
 		if now >= request.deadline-min(2*latency, (request.deadline-request.startedAt)/3) {
 			grp.metrics.expired++
-			request.reply <- lentConn{err: errRetryLater}
+			request.reply <- connCheckout{err: errRetryLater}
 			r.logRejection(grp, request, now)
 			return true
 		}
@@ -103,7 +103,7 @@
 			if r.proxy.phase() < refusing {
 				return false
 			}
-			request.reply <- lentConn{err: errRetryLater} // the process may end before a member is found
+			request.reply <- connCheckout{err: errRetryLater} // the process may end before a member is found
 			return true
 		}
 		if pool := grp.pool(target.Member.ID); pool.hasIdle(request.tenant) {
@@ -123,22 +123,22 @@
 
 // checkOut takes an idle connection from a pool that has one for the request's tenant.
 func (r *router) checkOut(grp *memberGroup, pool *connPool, request *connRequest, target group.Target,
-	now float64) lentConn {
+	now float64) connCheckout {
 	m := target.Member
 	m.InFlight++
 	grp.routing.RecordSend(m, now, request.commit)
-	return lentConn{group: grp, member: m, record: m.Member, conn: pool.takeIdle(request.tenant, request.valuesHash),
+	return connCheckout{group: grp, member: m, record: m.Member, conn: pool.takeIdle(request.tenant, request.valuesHash),
 		minPosition: target.MinPosition, verifyPrimary: target.VerifyPrimary, sentAt: now}
 }
 
 // checkIn takes back a connection. If it is not reusable, the caller has closed it.
-func (r *router) checkIn(lent *lentConn, reusable bool) {
-	g, m := lent.group, lent.member
+func (r *router) checkIn(checkout *connCheckout, reusable bool) {
+	g, m := checkout.group, checkout.member
 	m.InFlight--
 	if reusable {
-		r.poolOrClose(g, m, lent.conn)
+		r.poolOrClose(g, m, checkout.conn)
 	} else {
-		g.pool(m.ID).recordClosed(lent.conn.tenant)
+		g.pool(m.ID).recordClosed(checkout.conn.tenant)
 	}
 	g.dropUnusedPool(m.ID, r.proxy.now())
 	r.dispatch(g)
--- a/internal/dataplane/proxy/dispatch_test.go
+++ b/internal/dataplane/proxy/dispatch_test.go
@@ -36,7 +36,7 @@
 	var requests []*connRequest
 	for _, timeLeft := range []float64{60, 110, 700} {
 		request := &connRequest{requirement: group.Requirement{Write: true}, startedAt: p.now() + timeLeft - 1000,
-			deadline: p.now() + timeLeft, reply: make(chan lentConn, 1)}
+			deadline: p.now() + timeLeft, reply: make(chan connCheckout, 1)}
 		requests = append(requests, request)
 		r.enqueue("s", request)
 	}
@@ -46,9 +46,9 @@
 	r.dispatch(g)
 	for i, request := range requests {
 		select {
-		case lent := <-request.reply:
-			if (lent.err == nil) != (i == 2) {
-				t.Errorf("request %d: %v", i, lent.err)
+		case checkout := <-request.reply:
+			if (checkout.err == nil) != (i == 2) {
+				t.Errorf("request %d: %v", i, checkout.err)
 			}
 		default:
 			t.Errorf("request %d still waits", i)
--- a/internal/dataplane/proxy/metrics_test.go
+++ b/internal/dataplane/proxy/metrics_test.go
@@ -28,11 +28,11 @@
 	}
 	p.router.logSlot(g)
 	g.pool("a").open, g.pool("a").dialing = 3, 1
-	lent := lentConn{group: g, member: g.routing.Members["a"]}
-	p.router.recordOutcome(&lent, p.now(), group.AnsweredAsPrimary, wire.Position{})
+	checkout := connCheckout{group: g, member: g.routing.Members["a"]}
+	p.router.recordOutcome(&checkout, p.now(), group.AnsweredAsPrimary, wire.Position{})
 	g.metrics.queueWait.Observe(0.002)
 	g.queue.max = 0
-	request := &connRequest{reply: make(chan lentConn, 1)}
+	request := &connRequest{reply: make(chan connCheckout, 1)}
 	p.router.enqueue("orders", request) // is rejected, as the queue is full
 	go p.router.run()
 	w := httptest.NewRecorder()
--- a/internal/dataplane/proxy/quota.go
+++ b/internal/dataplane/proxy/quota.go
@@ -154,7 +154,7 @@
 // refuseOverQuota rejects a request that exceeds the quota of its tenant.
 func (r *router) refuseOverQuota(request *connRequest, retryAfterMs, now float64) {
 	request.quotaError = retryAfterError(retryAfterMs)
-	request.reply <- lentConn{err: request.quotaError}
+	request.reply <- connCheckout{err: request.quotaError}
 	r.quotas.refused++
 	log := r.quotas.refusalLogs[request.tenant]
 	if log == nil {
--- a/internal/dataplane/proxy/quota_test.go
+++ b/internal/dataplane/proxy/quota_test.go
@@ -53,7 +53,7 @@
 // enqueue enqueues an operation of a tenant.
 func (x *quotaFixture) enqueue(tenant string) *connRequest {
 	request := &connRequest{tenant: tenant, startedAt: x.proxy.now(), deadline: x.proxy.now() + 60000,
-		reply: make(chan lentConn, 1)}
+		reply: make(chan connCheckout, 1)}
 	x.do(func() { x.proxy.router.enqueue("s", request) })
 	return request
 }
@@ -86,8 +86,8 @@
 // refusalOf returns the error that a request was answered with, nil for none.
 func refusalOf(request *connRequest) error {
 	select {
-	case lent := <-request.reply:
-		return lent.err
+	case checkout := <-request.reply:
+		return checkout.err
 	default:
 		return nil
 	}
@@ -243,7 +243,7 @@
 			t.Errorf("the error for the client is %v", err)
 		}
 		for _, timeLeft := range []float64{20, 70} {
-			urgent := &connRequest{tenant: "hot", deadline: x.proxy.now() + timeLeft, reply: make(chan lentConn, 1)}
+			urgent := &connRequest{tenant: "hot", deadline: x.proxy.now() + timeLeft, reply: make(chan connCheckout, 1)}
 			x.do(func() { x.proxy.router.enqueue("s", urgent) })
 			if time.Sleep(22 * time.Millisecond); refusalOf(urgent) == nil {
 				t.Errorf("an operation with %v ms left was not refused before its deadline", timeLeft)
@@ -341,8 +341,8 @@
 	x.update(&controlmsg.StateUpdate{ConfigVersion: 3, Config: []byte(quotaConfig)})
 	x.do(func() { x.proxy.router.group("s").queue.max = 0 }) // admitted requests are rejected at once
 	for range 20 {                                           // the link may not be connected at the first ones
-		lent := <-x.enqueue("hot").reply
-		if errors.Is(lent.err, errRetryLater) {
+		checkout := <-x.enqueue("hot").reply
+		if errors.Is(checkout.err, errRetryLater) {
 			return
 		}
 	}
--- a/internal/dataplane/proxy/router.go
+++ b/internal/dataplane/proxy/router.go
@@ -165,10 +165,10 @@
 }
 
 // recordOutcome records how a request ended on a connection that is checked out.
-func (r *router) recordOutcome(lent *lentConn, sentAt float64, outcome group.Outcome, position wire.Position) {
-	lent.group.metrics.outcomes[outcome]++
-	lent.group.routing.RecordOutcome(lent.member, sentAt, r.proxy.now(), outcome, position)
-	r.logSlot(lent.group)
+func (r *router) recordOutcome(checkout *connCheckout, sentAt float64, outcome group.Outcome, position wire.Position) {
+	checkout.group.metrics.outcomes[outcome]++
+	checkout.group.routing.RecordOutcome(checkout.member, sentAt, r.proxy.now(), outcome, position)
+	r.logSlot(checkout.group)
 }
 
 // logSlot logs a change of the group's writer slot since the last call.
--- a/internal/dataplane/proxy/shard.go
+++ b/internal/dataplane/proxy/shard.go
@@ -64,19 +64,19 @@
 		if !ok {
 			break
 		}
-		lent, err := s.acquire(node, request)
+		checkout, err := s.acquire(node, request)
 		if err != nil {
 			break
 		}
 		query := fmt.Sprintf("SHARD SETTLE %s %d %s", route.Shard, epoch, id)
-		rows, err := lent.conn.Query(query, s.proxy.timeAt(deadline))
+		rows, err := checkout.conn.Query(query, s.proxy.timeAt(deadline))
 		var refusal *memberconn.MemberError
 		refused := errors.As(err, &refusal)
 		if err != nil && !refused {
-			s.release(lent, false, group.NoAnswer, wire.Position{})
+			s.release(checkout, false, group.NoAnswer, wire.Position{})
 			continue
 		}
-		s.release(lent, true, group.Answered, wire.Position{})
+		s.release(checkout, true, group.Answered, wire.Position{})
 		switch {
 		case !refused && len(rows) == 1:
 			s.replyLine(wire.MsgDone + " " + rows[0])
--- a/internal/dataplane/proxy/statement.go
+++ b/internal/dataplane/proxy/statement.go
@@ -89,23 +89,24 @@
 	if !ok {
 		return attemptGiveUp
 	}
-	lent, err := e.acquire(service, e.request)
+	checkout, err := e.acquire(service, e.request)
 	if err != nil {
 		return attemptGiveUp
 	}
-	reply, outcome, err := e.send(lent, &e.statement, e.write, e.deadline)
+	reply, outcome, err := e.send(checkout, &e.statement, e.write, e.deadline)
 	switch {
 	case err != nil:
-		return e.handleNoResponse(lent, err)
+		return e.handleNoResponse(checkout, err)
 	case reply.OK:
-		return e.handleSuccess(lent, reply, outcome)
+		return e.handleSuccess(checkout, reply, outcome)
 	}
-	return e.handleFail(lent, epoch, reply, outcome)
+	return e.handleFail(checkout, epoch, reply, outcome)
 }
 
-func (e *execution) handleSuccess(lent *lentConn, reply *memberconn.Reply, outcome group.Outcome) attemptResult {
+func (e *execution) handleSuccess(checkout *connCheckout, reply *memberconn.Reply,
+	outcome group.Outcome) attemptResult {
 	// A connection with an open transaction is closed, as the next client's statement would run inside the transaction.
-	e.release(lent, reply.State == wire.StateIdle, outcome, reply.Position)
+	e.release(checkout, reply.State == wire.StateIdle, outcome, reply.Position)
 	if e.write {
 		e.recordCommit(reply.Position)
 	}
@@ -114,31 +115,31 @@
 }
 
 // handleNoResponse handles an attempt without an answer, or with an answer that belongs to another query.
-func (e *execution) handleNoResponse(lent *lentConn, err error) attemptResult {
-	e.release(lent, false, group.NoAnswer, wire.Position{})
+func (e *execution) handleNoResponse(checkout *connCheckout, err error) attemptResult {
+	e.release(checkout, false, group.NoAnswer, wire.Position{})
 	switch {
 	case e.rowsForwarded: // another member's rows need not continue those that the client has
 		e.replyError(errRetryLater, wire.StateIdle)
 	case idempotencyOf(e.write).MayRetry(err):
 		if !e.write { // the next attempt of a write goes to the primary in any case
-			e.request.avoidMember(lent.record.ID)
+			e.request.avoidMember(checkout.record.ID)
 		}
 		return attemptRetry
 	case e.route.Shard != "":
 		e.resolveOutcome(e.route, e.statement.id, e.statement.receivedAt, e.deadline)
 	default:
-		e.replyError(unansweredError(outcomeUnknown, lent.record.ID), wire.StateIdle)
+		e.replyError(unansweredError(outcomeUnknown, checkout.record.ID), wire.StateIdle)
 	}
 	return attemptAnswered
 }
 
 // handleFail handles a member's FAIL.
-func (e *execution) handleFail(lent *lentConn, epoch uint64, reply *memberconn.Reply,
+func (e *execution) handleFail(checkout *connCheckout, epoch uint64, reply *memberconn.Reply,
 	outcome group.Outcome) attemptResult {
 	// A connection with an open transaction is closed, which rolls the transaction back. A connection whose member no
 	// longer knows a prepared statement is closed because its state differs from the state recorded here.
 	reusable := reply.State == wire.StateIdle && reply.Code != wire.CodeNoStatement
-	e.release(lent, reusable, outcome, reply.Position)
+	e.release(checkout, reusable, outcome, reply.Position)
 	if e.route.Shard != "" {
 		switch {
 		case reply.Code == shardnode.CodeMoved:
@@ -152,7 +153,7 @@
 	case wire.CodeReadOnly, wire.CodeLagging: // queue and route the statement again
 		return attemptRetry
 	case wire.CodeRetry, wire.CodeFull, wire.CodeWrongHost, wire.CodeNoStatement:
-		e.request.avoidMember(lent.record.ID)
+		e.request.avoidMember(checkout.record.ID)
 		if e.proxy.now()+minTimeForRetry >= e.deadline || e.previousAttempts >= maxDelayedRetries {
 			return attemptGiveUp
 		}
@@ -160,7 +161,7 @@
 		return attemptRetry
 	case wire.CodeFailed, wire.CodeTimeout:
 		if e.mayRetryFailedRead() {
-			e.request.avoidMember(lent.record.ID)
+			e.request.avoidMember(checkout.record.ID)
 			return attemptRetry
 		}
 	}
--- a/internal/dataplane/proxy/tenantpool.go
+++ b/internal/dataplane/proxy/tenantpool.go
@@ -32,8 +32,8 @@
 	if p.fastestDial == 0 || duration < p.fastestDial {
 		p.fastestDial = duration
 	}
-	delaysPerDial := max(float64(drivers)/maxMemberDials-1, 0)
-	p.nextDialAt = now + (duration-p.fastestDial)*delaysPerDial*(0.5+rand.Float64())
+	delayFactor := max(float64(drivers)/maxMemberDials-1, 0)
+	p.nextDialAt = now + (duration-p.fastestDial)*delayFactor*(0.5+rand.Float64())
 }
 
 // backOffDials records that the member rejected a dial, and delays the next one for a tenant.
--- a/internal/dataplane/proxy/tenantpool_test.go
+++ b/internal/dataplane/proxy/tenantpool_test.go
@@ -53,13 +53,13 @@
 func (f *poolFixture) enqueue(tenant string) *connRequest {
 	now := f.router.proxy.now()
 	request := &connRequest{tenant: tenant, requirement: group.Requirement{Write: true}, startedAt: now,
-		deadline: now + 5000, valuesHash: (&sessionstate.Session{}).ValuesHash(), reply: make(chan lentConn, 1)}
+		deadline: now + 5000, valuesHash: (&sessionstate.Session{}).ValuesHash(), reply: make(chan connCheckout, 1)}
 	f.router.enqueue("s", request)
 	return request
 }
 
 // receivedConn returns the connection that a request was answered with, nil for none yet.
-func (f *poolFixture) receivedConn(request *connRequest) *lentConn {
+func (f *poolFixture) receivedConn(request *connRequest) *connCheckout {
 	select {
 	case c := <-request.reply:
 		if c.err != nil {
@@ -305,7 +305,7 @@
 
 // In a pool with more connections checked out than its share no dial may start, as the new connection would be closed on
 // arrival.
-func TestNoDialWhileMoreThanTheShareAreLent(t *testing.T) {
+func TestNoDialWhileMoreThanTheShareAreCheckedOut(t *testing.T) {
 	f := newPoolFixture(t, 100)
 	for range 3 {
 		f.newConn("north", "")
--- a/internal/dataplane/proxy/tenants_test.go
+++ b/internal/dataplane/proxy/tenants_test.go
@@ -125,13 +125,13 @@
 func (f *tenantFixture) awaitAllReturned() {
 	f.t.Helper()
 	for until := time.Now().Add(10 * time.Second); time.Now().Before(until); {
-		lent := 0
+		checkedOut := 0
 		f.do(func() {
 			for _, pool := range f.proxy.router.group("s").pools {
-				lent += pool.open - len(pool.idle)
+				checkedOut += pool.open - len(pool.idle)
 			}
 		})
-		if lent == 0 {
+		if checkedOut == 0 {
 			return
 		}
 	}
--- a/internal/dataplane/proxy/transaction.go
+++ b/internal/dataplane/proxy/transaction.go
@@ -25,9 +25,9 @@
 
 	admitted bool // it was counted in the quota of its tenant
 
-	pinned       *lentConn // nil before it begins at a member and after it has ended there
-	statementRan bool      // a member has answered one of its statements
-	writeRan     bool      // one of its writes ran or may have run
+	pinned       *connCheckout // nil before it begins at a member and after it has ended there
+	statementRan bool          // a member has answered one of its statements
+	writeRan     bool          // one of its writes ran or may have run
 
 	failed          bool  // it was rolled back; only COMMIT or ABORT is accepted
 	unreportedError error // the reason of the failure, until the client is answered with it
@@ -101,21 +101,21 @@
 
 // sendInTransaction sends a statement over the pinned connection and returns the reply.
 func (s *session) sendInTransaction(tx *transaction, st *statement, deadline float64) (memberconn.Reply, error) {
-	router, lent := s.proxy.router, tx.pinned
+	router, checkout := s.proxy.router, tx.pinned
 	var batch strings.Builder
-	text, preludes := s.appendPrelude(&batch, lent.conn, st)
+	text, preludes := s.appendPrelude(&batch, checkout.conn, st)
 	memberconn.AppendQuery(&batch, st.id, text)
 	sentAt := s.proxy.now()
 	commit := st.parsed.Verb == "COMMIT" && tx.writeRan
-	router.do(func() { lent.group.routing.RecordSend(lent.member, sentAt, commit) })
-	reply, err := exchange(lent.conn, batch.String(), preludes, s.proxy.timeAt(deadline), s.forwardRows)
+	router.do(func() { checkout.group.routing.RecordSend(checkout.member, sentAt, commit) })
+	reply, err := exchange(checkout.conn, batch.String(), preludes, s.proxy.timeAt(deadline), s.forwardRows)
 	switch {
 	case err != nil:
-		s.recordOutcome(lent, sentAt, group.NoAnswer, wire.Position{})
+		s.recordOutcome(checkout, sentAt, group.NoAnswer, wire.Position{})
 	case reply.OK && !tx.readOnly:
-		s.recordOutcome(lent, sentAt, group.AnsweredAsPrimary, reply.Position)
+		s.recordOutcome(checkout, sentAt, group.AnsweredAsPrimary, reply.Position)
 	default:
-		s.recordOutcome(lent, sentAt, outcomeOf(&reply), reply.Position)
+		s.recordOutcome(checkout, sentAt, outcomeOf(&reply), reply.Position)
 	}
 	return reply, err
 }
@@ -194,22 +194,22 @@
 	if !ok {
 		return attemptGiveUp
 	}
-	lent, err := s.acquire(service, request)
+	checkout, err := s.acquire(service, request)
 	if err != nil {
 		return attemptGiveUp
 	}
-	reply, outcome, err := s.sendBegin(lent, tx, request.deadline)
+	reply, outcome, err := s.sendBegin(checkout, tx, request.deadline)
 	if err != nil {
-		s.release(lent, false, group.NoAnswer, wire.Position{})
-		request.avoidMember(lent.record.ID)
+		s.release(checkout, false, group.NoAnswer, wire.Position{})
+		request.avoidMember(checkout.record.ID)
 		return attemptRetry
 	}
 	if reply.OK && reply.State == wire.StateInTransaction {
-		tx.pinned = lent
-		s.recordOutcome(lent, lent.sentAt, outcome, reply.Position)
+		tx.pinned = checkout
+		s.recordOutcome(checkout, checkout.sentAt, outcome, reply.Position)
 		return attemptAnswered
 	}
-	s.release(lent, reply.State == wire.StateIdle, outcome, reply.Position)
+	s.release(checkout, reply.State == wire.StateIdle, outcome, reply.Position)
 	switch {
 	case tx.route.Shard != "" && reply.Code == shardnode.CodeMoved:
 		s.handleShardMoved(tx.route, epoch, reply.Text)
@@ -217,7 +217,7 @@
 	case reply.Code == wire.CodeReadOnly || reply.Code == wire.CodeLagging:
 		return attemptRetry
 	}
-	request.avoidMember(lent.record.ID)
+	request.avoidMember(checkout.record.ID)
 	if s.proxy.now()+minTimeForRetry >= request.deadline {
 		return attemptGiveUp
 	}
@@ -227,21 +227,21 @@
 
 // sendBegin sends the BEGIN of the transaction. If the member must prove that it is the primary, the BEGIN of a
 // read-only transaction is sent as a plain BEGIN, which only the primary accepts.
-func (s *session) sendBegin(lent *lentConn, tx *transaction, deadline float64) (
+func (s *session) sendBegin(checkout *connCheckout, tx *transaction, deadline float64) (
 	memberconn.Reply, group.Outcome, error) {
 	var batch strings.Builder
-	texts, _ := lent.conn.state.Sync(&s.sessionState, nil)
+	texts, _ := checkout.conn.state.Sync(&s.sessionState, nil)
 	for _, text := range texts {
 		memberconn.AppendQuery(&batch, internalQueryID, text)
 	}
 	text, clause := tx.text, ""
-	if lent.verifyPrimary {
+	if checkout.verifyPrimary {
 		text = "BEGIN"
 	} else if tx.readOnly {
-		clause = lent.positionClause()
+		clause = checkout.positionClause()
 	}
 	memberconn.AppendQuery(&batch, tx.id, clause, s.shardPrefix+text)
-	reply, err := exchangeInternal(lent.conn, batch.String(), len(texts), s.proxy.timeAt(deadline))
+	reply, err := exchangeInternal(checkout.conn, batch.String(), len(texts), s.proxy.timeAt(deadline))
 	if err != nil {
 		return reply, group.NoAnswer, err
 	}
@@ -260,16 +260,16 @@
 // unpin returns the connection of the transaction. A connection that is not reusable is closed, which rolls the
 // transaction back.
 func (s *session) unpin(tx *transaction, reusable bool) {
-	lent := tx.pinned
-	if lent == nil {
+	checkout := tx.pinned
+	if checkout == nil {
 		return
 	}
 	if !reusable {
-		lent.conn.Close()
+		checkout.conn.Close()
 	}
 	tx.pinned = nil
 	router := s.proxy.router
-	router.do(func() { router.checkIn(lent, reusable) })
+	router.do(func() { router.checkIn(checkout, reusable) })
 }
 
 // releaseFailed ends a transaction at the member where it has failed. Without a tenant it closes the connection. With a
@@ -286,18 +286,18 @@
 // rollBack rolls back a transaction at its member without waiting. The connection is returned once the member has
 // answered.
 func (s *session) rollBack(tx *transaction) {
-	lent := tx.pinned
-	if lent == nil {
+	checkout := tx.pinned
+	if checkout == nil {
 		return
 	}
 	tx.pinned = nil
 	router := s.proxy.router
 	go func() { // ends after rollbackTimeout at the latest
-		reusable := rollBackConn(lent.conn)
+		reusable := rollBackConn(checkout.conn)
 		if !reusable {
-			lent.conn.Close()
+			checkout.conn.Close()
 		}
-		router.do(func() { router.checkIn(lent, reusable) })
+		router.do(func() { router.checkIn(checkout, reusable) })
 	}()
 }
 
--- a/internal/dataplane/proxy/transcript_test.go
+++ b/internal/dataplane/proxy/transcript_test.go
@@ -33,7 +33,7 @@
 	replies     *wire.Reader
 	clientLines []string        // messages sent and received by the client
 	memberLines []*[]string     // messages received by the member, for each member connection
-	memberEnds  []net.Conn      // the member's end of each member connection
+	memberEnds  []net.Conn      // the far ends of all pipes to members and the agent
 	log         strings.Builder // events of the proxy
 	mu          sync.Mutex
 	script      map[string][]string // by statement: the next replies of a member; after them it replies as usual
@@ -171,6 +171,7 @@
 	"FAIL NOROOM", "FAIL VOID", "FAIL OLD",
 	"FAIL OTHER a b", "late", "nonsense", "broken"}
 
+// answer replies to a message as the member with the id. It returns false if the member closes the connection.
 func (x *transcript) answer(id string, c net.Conn, line string, state *string, rng *rand.Rand) bool {
 	_, rest := wire.CutField(line)
 	stamp, text := wire.CutField(rest)
