--- a/internal/dataplane/proxy/metrics_test.go
+++ b/internal/dataplane/proxy/metrics_test.go
@@ -15,9 +15,9 @@
 	"weirwind/internal/util/settings"
 )
 
-// A proxy's figures are those of its groups: slot, queue, connections, how requests ended. Their labels are services,
-// members, states and outcomes alone.
-func TestProxiesTellTheirFigures(t *testing.T) {
+// A proxy exports metrics of its groups: slot, queue, connections and outcomes of requests. Their labels are only
+// services, members, states, reasons and outcomes.
+func TestProxyMetrics(t *testing.T) {
 	p := newProxy(t.Context(), &settings.Settings{Zone: "z", MemoryMB: 8}, events.Discard())
 	g := p.router.group("orders")
 	for _, m := range []directory.Member{
@@ -28,15 +28,15 @@
 	}
 	p.router.logSlot(g)
 	g.pool("a").open, g.pool("a").dialing = 3, 1
-	lent := lentConn{group: g, member: g.routing.Members["a"]}
-	p.router.recordOutcome(&lent, p.now(), group.AnsweredAsPrimary, wire.Position{})
-	g.figures.queueWait.Observe(0.002)
+	checkout := connCheckout{group: g, member: g.routing.Members["a"]}
+	p.router.recordOutcome(&checkout, p.now(), group.AnsweredAsPrimary, wire.Position{})
+	g.metrics.queueWait.Observe(0.002)
 	g.queue.max = 0
-	request := &connRequest{reply: make(chan lentConn, 1)}
-	p.router.enqueue("orders", request) // finds the queue full
+	request := &connRequest{reply: make(chan connCheckout, 1)}
+	p.router.enqueue("orders", request) // is rejected, as the queue is full
 	go p.router.run()
 	w := httptest.NewRecorder()
-	metrics.Handler(p.figures).ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/metrics", nil))
+	metrics.Handler(p.writeMetrics).ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/metrics", nil))
 	for _, line := range []string{
 		`weirwind_proxy_ready 0`,
 		`weirwind_proxy_slot_filled{service="orders"} 1`,
@@ -50,13 +50,13 @@
 		`weirwind_events_total{event="E501"} 1`,
 	} {
 		if !strings.Contains(w.Body.String(), "\n"+line+"\n") {
-			t.Errorf("%q is not in\n%s", line, w.Body)
+			t.Errorf("%q is missing in\n%s", line, w.Body)
 		}
 	}
 }
 
-// What a fetch costs a proxy of thirty services of three members each.
-func BenchmarkFetchOfThirtyServices(b *testing.B) {
+// BenchmarkMetricsOfThirtyServices measures one scrape of a proxy with thirty services of three members each.
+func BenchmarkMetricsOfThirtyServices(b *testing.B) {
 	p := newProxy(b.Context(), &settings.Settings{Zone: "z", MemoryMB: 8}, events.Discard())
 	for n := range 30 {
 		service := fmt.Sprint("service", n)
@@ -66,7 +66,7 @@
 		}
 	}
 	go p.router.run()
-	handler := metrics.Handler(p.figures)
+	handler := metrics.Handler(p.writeMetrics)
 	b.ReportAllocs()
 	for b.Loop() {
 		w := httptest.NewRecorder()
