--- a/cmd/weirwind/run.go
+++ b/cmd/weirwind/run.go
@@ -33,7 +33,7 @@
 	go func() { // until the process ends
 		for s := range signals {
 			if s == syscall.SIGUSR1 {
-				service.Report()
+				service.LogCounters()
 				continue
 			}
 			text, o, err := c.read()
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -1,6 +1,6 @@
 package discovery
 
-// This file owns the connection: when it is opened, kept and closed.
+// This file manages the connection: when it is opened, reused and closed.
 
 import (
 	"bufio"
@@ -10,13 +10,13 @@
 	"time"
 )
 
-// Client calls discovery. It makes one call at a time.
+// Client is a client of discovery. It makes one call at a time.
 type Client struct {
 	Address string
-	Timeout time.Duration // of a call, beyond the time that it asks discovery to wait
+	Timeout time.Duration // of a call, in addition to the time that discovery is requested to wait
 
-	conn net.Conn // nil where none is open
-	r    *bufio.Reader
+	conn   net.Conn // nil if none is open
+	reader *bufio.Reader
 }
 
 // List returns the complete list.
@@ -24,7 +24,7 @@
 	return c.call(ctx, "/discovery/hosts", 0)
 }
 
-// Watch waits, no longer than wait, for a revision newer than since.
+// Watch waits up to wait for a revision newer than since, and returns what has changed or the complete list.
 func (c *Client) Watch(ctx context.Context, since int64, wait time.Duration) (Response, error) {
 	return c.call(ctx, fmt.Sprintf("/discovery/hosts?since=%d&timeout_ms=%d", since, wait.Milliseconds()), wait)
 }
@@ -37,7 +37,7 @@
 	}
 }
 
-// call makes one call. The connection is kept only after a call that succeeded.
+// call makes one call. The connection is reused only after a successful call.
 func (c *Client) call(ctx context.Context, path string, wait time.Duration) (Response, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+c.Timeout)
 	defer cancel()
@@ -56,7 +56,7 @@
 	return Parse(body)
 }
 
-// connect opens a connection where there is none.
+// connect opens a connection if there is none.
 func (c *Client) connect(ctx context.Context) error {
 	if c.conn != nil {
 		return nil
@@ -65,6 +65,6 @@
 	if err != nil {
 		return err
 	}
-	c.conn, c.r = conn, bufio.NewReaderSize(conn, maxLine)
+	c.conn, c.reader = conn, bufio.NewReaderSize(conn, maxLine)
 	return nil
 }
--- a/internal/discovery/http.go
+++ b/internal/discovery/http.go
@@ -1,6 +1,6 @@
 package discovery
 
-// This file owns HTTP/1.1 as far as discovery needs it: one GET, and a response of any framing, within bounds.
+// This file implements the part of HTTP/1.1 that discovery needs: a GET, and a response of bounded size in any framing.
 
 import (
 	"errors"
@@ -11,21 +11,21 @@
 )
 
 const (
-	maxBody        = 8 << 20 // bytes of a list
-	maxLine        = 8 << 10 // bytes
+	maxBody        = 8 << 20 // bytes in a response body
+	maxLine        = 8 << 10 // bytes in a header or chunk line
 	maxHeaderLines = 100
 )
 
-// responseHeader is what of a response's header matters.
+// responseHeader is the used part of a response's header.
 type responseHeader struct {
-	code    string
-	length  int // -1 where the header doesn't say
-	chunked bool
-	keep    bool // the connection can serve another call
+	code      string
+	length    int // -1 if the header has no length
+	chunked   bool
+	keepAlive bool // the connection can serve another call
 }
 
-// exchange sends one GET and reads its response. keep says that the connection can serve another call.
-func (c *Client) exchange(path string) (body []byte, keep bool, err error) {
+// exchange sends a GET request and reads the response. keepAlive reports whether the connection can be reused.
+func (c *Client) exchange(path string) (body []byte, keepAlive bool, err error) {
 	request := "GET " + path + " HTTP/1.1\r\nHost: " + c.Address + "\r\nAccept: application/json\r\n\r\n"
 	if _, err := io.WriteString(c.conn, request); err != nil {
 		return nil, false, err
@@ -39,15 +39,15 @@
 		body, err = c.readChunks()
 	case header.length >= 0:
 		body = make([]byte, header.length)
-		_, err = io.ReadFull(c.r, body)
-	default: // up to the connection's end
-		header.keep = false
-		body, err = io.ReadAll(io.LimitReader(c.r, maxBody))
+		_, err = io.ReadFull(c.reader, body)
+	default: // until the end of the connection
+		header.keepAlive = false
+		body, err = io.ReadAll(io.LimitReader(c.reader, maxBody))
 	}
 	if err == nil && header.code != "200" {
 		err = fmt.Errorf("status %.10s", header.code)
 	}
-	return body, header.keep, err
+	return body, header.keepAlive, err
 }
 
 // readHeader reads the status line and the header.
@@ -60,7 +60,7 @@
 	if version != "HTTP/1.1" && version != "HTTP/1.0" {
 		return header, fmt.Errorf("not an HTTP answer: %.40q", status)
 	}
-	header = responseHeader{length: -1, keep: version == "HTTP/1.1"}
+	header = responseHeader{length: -1, keepAlive: version == "HTTP/1.1"}
 	header.code, _, _ = strings.Cut(rest, " ")
 	for n := 0; ; n++ {
 		line, err := c.readLine()
@@ -89,13 +89,13 @@
 	case "transfer-encoding":
 		h.chunked = strings.EqualFold(value, "chunked")
 	case "connection":
-		h.keep = h.keep && !strings.EqualFold(value, "close")
+		h.keepAlive = h.keepAlive && !strings.EqualFold(value, "close")
 	}
 	return nil
 }
 
 func (c *Client) readLine() (string, error) {
-	b, err := c.r.ReadSlice('\n')
+	b, err := c.reader.ReadSlice('\n')
 	if err != nil {
 		return "", err
 	}
@@ -121,7 +121,7 @@
 			return body, nil
 		}
 		body = append(body, make([]byte, n)...)
-		if _, err = io.ReadFull(c.r, body[len(body)-int(n):]); err != nil {
+		if _, err = io.ReadFull(c.reader, body[len(body)-int(n):]); err != nil {
 			return nil, err
 		}
 		if err := c.readChunkEnd(); err != nil {
@@ -130,7 +130,7 @@
 	}
 }
 
-// readChunkEnd reads the line's end behind a chunk.
+// readChunkEnd reads the line break after a chunk.
 func (c *Client) readChunkEnd() error {
 	line, err := c.readLine()
 	switch {
@@ -142,7 +142,7 @@
 	return nil
 }
 
-// skipTrailers reads up to the empty line that ends them.
+// skipTrailers skips trailers up to the empty line that ends them.
 func (c *Client) skipTrailers() error {
 	for {
 		if line, err := c.readLine(); err != nil || line == "" {
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -1,6 +1,6 @@
 package discovery
 
-// This file owns the form of the list.
+// This file defines the format of the list.
 
 import (
 	"encoding/json"
@@ -9,25 +9,25 @@
 	"net"
 )
 
-// Response is the list, or what has changed in it.
+// Response is the complete list, or the changes of it.
 type Response struct {
 	Revision int64
-	Complete bool // else only the members that have changed
+	Complete bool // if false, Members has only the changed members
 	Members  []Entry
 }
 
-// Entry is one member as the list has it. Errors of encoding/json quote the names in the tags, and operators read them.
+// Entry is a member in the list. Errors of encoding/json, which operators read, quote the names in the tags.
 type Entry struct {
 	ID        string
 	Address   string `json:"host_port"`
 	Zone      string `json:"Locality"`
 	Group     int64  `json:"Cell"`
 	Phase     string
-	Access    string  // the role, where the list shows it
-	StartedAt float64 `json:"up_since_ms"` // Unix time in milliseconds, 0 for long ago
+	Access    string  // the role, if the list shows it
+	StartedAt float64 `json:"up_since_ms"` // Unix time in milliseconds; 0 if long ago
 }
 
-// The values of phases, and of access.
+// The values of Entry.Phase and Entry.Access.
 const (
 	PhaseUp       = "up"
 	PhaseDraining = "draining"
@@ -35,7 +35,7 @@
 	AccessWriter  = "writer"
 )
 
-// Parse parses a list. It rejects one that lacks a field or has an entry that is wrong.
+// Parse parses a list. A list that lacks a field or has an invalid entry is an error.
 func Parse(text []byte) (Response, error) {
 	var list struct {
 		Revision *int64
--- a/internal/driver/admission.go
+++ b/internal/driver/admission.go
@@ -13,23 +13,23 @@
 )
 
 const (
-	silentEvictAfter = 30 * time.Millisecond  // a client that has not sent a byte for so long may be evicted
-	idleEvictAfter   = 100 * time.Millisecond // as one without an open op for so long
-	headroomInterval = 50 * time.Millisecond  // between checks whether enough places are free
-	headroomShare    = 0.65                   // of the budget that is kept free, where clients can be evicted for it
-	maxEvictions     = 12                     // connections beside the budget that close after their place was reassigned
-	maxRejections    = 8                      // and connections that get an answer that there is no room
-	acceptGrace      = 500 * time.Millisecond // new connections are accepted for so long after SIGTERM
-	acceptQuiet      = 50 * time.Millisecond  // and until none has come for so long
+	silentEvictAfter = 30 * time.Millisecond  // a client that has sent no byte for this long may be evicted
+	idleEvictAfter   = 100 * time.Millisecond // a client that has had no open op for this long may be evicted
+	headroomInterval = 50 * time.Millisecond  // between checks of the free share of the budget
+	headroomShare    = 0.65                   // share of the budget that is kept free as long as clients can be evicted
+	maxEvictions     = 12                     // closing connections whose slot was reassigned; they exceed the budget
+	maxRejections    = 8                      // connections that are being rejected with an answer; they exceed the budget
+	acceptGrace      = 500 * time.Millisecond // for which new connections are accepted after SIGTERM, at least
+	acceptQuiet      = 50 * time.Millisecond  // without a new connection, after which accepting ends
 )
 
-// clientSet is the connections that were admitted.
+// clientSet holds the admitted clients.
 type clientSet struct {
 	mu  sync.Mutex // also guards some of each client's fields
 	all map[*client]bool
 }
 
-// accept admits connections until the context ends and no more come.
+// accept admits connections until the context has ended and no new ones arrive.
 func (s *Service) accept(ctx context.Context, ln *net.TCPListener) error {
 	defer ln.Close()
 	stop := context.AfterFunc(ctx, func() { ln.SetDeadline(time.Now().Add(acceptGrace)) })
@@ -47,7 +47,7 @@
 			return nil
 		case errors.Is(err, net.ErrClosed):
 			return err
-		default: // out of descriptors, say: what is open goes on
+		default: // such as no free file descriptors; open connections are not affected
 			s.log.Warn("accept_failed", "error", err)
 			time.Sleep(5 * time.Millisecond)
 		}
@@ -61,7 +61,7 @@
 	return b
 }
 
-// admit admits a client while there is room, or in place of one that can be evicted. It never waits.
+// admit admits a client while the budget has room, or in place of one that can be evicted. It never blocks.
 func (s *Service) admit(conn *net.TCPConn) {
 	raw, err := conn.SyscallConn()
 	if err != nil {
@@ -71,11 +71,11 @@
 	c := &client{
 		service:      s,
 		conn:         conn,
-		raw:          raw,
+		rawConn:      raw,
 		openedAt:     time.Now(),
 		messages:     make(chan message, 1),
 		disconnected: make(chan struct{}),
-		answered:     make(chan struct{}),
+		serveEnded:   make(chan struct{}),
 	}
 	c.changedAt = c.openedAt
 	if !s.clientBudget.acquire(1) && !s.evictClient(true) {
@@ -91,7 +91,7 @@
 	s.inFlight.Go(func() error { c.run(); return nil })
 }
 
-// removeClient frees the place of a client whose connection is closed.
+// removeClient frees the slot of a client whose connection is closed.
 func (s *Service) removeClient(client *client) {
 	s.clients.mu.Lock()
 	if delete(s.clients.all, client); client.slotReassigned {
@@ -103,7 +103,7 @@
 	s.counters.ClientsOpen.Add(-1)
 }
 
-// rejectClient tells a client that there is no room, so many at a time; others are closed without an answer.
+// rejectClient answers "too many connections", to maxRejections clients at a time; others are closed without an answer.
 func (s *Service) rejectClient(client *client) {
 	s.counters.ClientsTurnedAway.Add(1)
 	select {
@@ -126,25 +126,25 @@
 	})
 }
 
-// evictClient closes the least useful connection that may be evicted, if there is one: a client that has sent nothing,
-// else one that stays after at most one op, else the one without an op for longest. Clients that connect and say
-// nothing must not keep out those with ops. With reassign the client's place is given to another at once, before the
-// connection is closed.
+// evictClient evicts the client with the lowest rank among those that may be evicted, and reports whether there was
+// one: first clients that have sent nothing, then those with at most one op, then the one that has been idle for
+// longest. Clients that connect and send nothing must not keep out those with ops. With reassign the client's slot is
+// given to another client at once, before the connection is closed.
 //
-// It could harm clients that pause for a little longer than idleEvictAfter while many connections are open: they
-// connect again.
+// Clients that pause for a little longer than idleEvictAfter while many connections are open have to reconnect.
 func (s *Service) evictClient(reassign bool) bool {
 	s.clients.mu.Lock()
 	defer s.clients.mu.Unlock()
-	var victim *client
+	var candidate *client
 	now := time.Now()
 	for c := range s.clients.all {
 		limit := c.idleLimit()
-		if !c.evicted && limit > 0 && now.Sub(c.changedAt) > limit && c.goesBefore(victim) && unread(c.raw) == 0 {
-			victim = c
+		if !c.evicted && limit > 0 && now.Sub(c.changedAt) > limit && c.evictedBefore(candidate) &&
+			unreadBytes(c.rawConn) == 0 {
+			candidate = c
 		}
 	}
-	if victim == nil {
+	if candidate == nil {
 		return false
 	}
 	if reassign {
@@ -154,24 +154,23 @@
 			return false
 		}
 	}
-	victim.evicted, victim.slotReassigned = true, reassign
-	victim.conn.SetReadDeadline(time.Unix(1, 0))
+	candidate.evicted, candidate.slotReassigned = true, reassign
+	candidate.conn.SetReadDeadline(time.Unix(1, 0))
 	return true
 }
 
-// keepHeadroom evicts clients before their places are needed: clients have limits too, and a client process that is
-// slow to close connections which it no longer uses, or never closes them, runs out of them long before the budget here
-// is used up.
+// keepHeadroom evicts clients before their slots are needed: client processes have connection limits of their own, and
+// one that closes its unused connections late, or not at all, reaches its limit long before the budget here is used up.
 func (s *Service) keepHeadroom(ctx context.Context) {
 	headroom := int64(float64(s.clientBudget.available.Load()) * headroomShare)
-	every(ctx, headroomInterval, func() {
+	runPeriodically(ctx, headroomInterval, func() {
 		for n := headroom - s.clientBudget.available.Load(); n > 0 && s.evictClient(false); n-- {
 		}
 	})
 }
 
-// idleLimit is how long a client may stay unchanged before it may be evicted; 0 for as long as it likes. The caller
-// holds the lock, as for what follows.
+// idleLimit returns how long a client may be idle before it may be evicted, or 0 for no limit. The caller holds the
+// lock, as for evictedBefore and evictionRank.
 func (c *client) idleLimit() time.Duration {
 	switch {
 	case c.openMessages > 0:
@@ -182,17 +181,17 @@
 	return idleEvictAfter
 }
 
-// goesBefore says whether a client is evicted rather than another, nil for none.
-func (c *client) goesBefore(other *client) bool {
+// evictedBefore reports whether c is evicted rather than other, which may be nil.
+func (c *client) evictedBefore(other *client) bool {
 	if other == nil {
 		return true
 	}
-	own, others := c.usefulness(), other.usefulness()
-	return own < others || own == others && c.changedAt.Before(other.changedAt)
+	rank, otherRank := c.evictionRank(), other.evictionRank()
+	return rank < otherRank || rank == otherRank && c.changedAt.Before(other.changedAt)
 }
 
-// usefulness ranks clients by what has come from them: nothing, a startup and at most one op, more.
-func (c *client) usefulness() int {
+// evictionRank returns 0 for a client that has sent nothing, 1 after a startup and at most one op, 2 after more.
+func (c *client) evictionRank() int {
 	switch {
 	case c.finishedMessages == 0:
 		return 0
--- a/internal/driver/admission_test.go
+++ b/internal/driver/admission_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Of two clients that may be evicted the less useful one goes first, and of two alike the one unchanged for longer.
-func TestWhoIsEvictedFirst(t *testing.T) {
+// A client with a lower rank is evicted first; among equal ranks, the client that has been idle for longer.
+func TestEvictionOrder(t *testing.T) {
 	now := time.Unix(1000, 0)
 	idle := func(finished int, ago time.Duration) *client {
 		return &client{finishedMessages: finished, changedAt: now.Add(-ago)}
@@ -16,23 +16,23 @@
 		client, other *client
 		want          bool
 	}{
-		{"any before none", idle(9, 0), nil, true},
-		{"a silent one before one with a startup", idle(0, time.Second), idle(1, time.Hour), true},
-		{"not the other way round", idle(1, time.Hour), idle(0, time.Second), false},
-		{"a startup and one op before more", idle(2, time.Second), idle(3, time.Hour), true},
-		{"a startup is like a startup and one op", idle(2, time.Second), idle(1, time.Hour), false},
-		{"of many ops the longest idle", idle(3, time.Hour), idle(9, time.Second), true},
-		{"not the one that was busy just now", idle(9, time.Second), idle(3, time.Hour), false},
+		{"any client before nil", idle(9, 0), nil, true},
+		{"a client that sent nothing before one with a startup", idle(0, time.Second), idle(1, time.Hour), true},
+		{"a client with a startup not before one that sent nothing", idle(1, time.Hour), idle(0, time.Second), false},
+		{"a startup and one op before several ops", idle(2, time.Second), idle(3, time.Hour), true},
+		{"a startup and one op rank like a startup alone", idle(2, time.Second), idle(1, time.Hour), false},
+		{"among clients with several ops the longest idle", idle(3, time.Hour), idle(9, time.Second), true},
+		{"not the most recently active", idle(9, time.Second), idle(3, time.Hour), false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if got := c.client.goesBefore(c.other); got != c.want {
-				t.Errorf("goes before: %v", got)
+			if got := c.client.evictedBefore(c.other); got != c.want {
+				t.Errorf("evicted before: %v", got)
 			}
 		})
 	}
 }
 
-// A client with an op open is never evicted, a silent one soon, an idle one later.
+// A client with an open op is never evicted, one that has sent nothing soon, an idle one later.
 func TestIdleLimits(t *testing.T) {
 	for _, c := range []struct {
 		open, finished int
--- a/internal/driver/attempt.go
+++ b/internal/driver/attempt.go
@@ -12,80 +12,80 @@
 	"weirwind/logic"
 )
 
-// attempt is one request to a member: an op's, or a health check. It is sent at most once, and nothing of it is written
-// once cancel or forbidWrites has returned.
+// attempt is one request to a member, for an op or a health check. It is sent at most once, and none of it is written
+// after cancel or forbidWrites has returned.
 type attempt struct {
-	pool      *pool
-	member    string
-	statement *pgwire.Statement // nil for a health check
-	deadline  time.Time
-	staleAt   time.Time // when the positions that it was decided by are too old; zero where that doesn't matter
-	ctx       context.Context
-	release   context.CancelFunc
+	pool          *pool
+	member        string
+	statement     *pgwire.Statement // nil for a health check
+	deadline      time.Time
+	staleAt       time.Time // when the positions it was decided by expire; zero if they don't
+	ctx           context.Context
+	cancelContext context.CancelFunc
 
-	writing         sync.Mutex  // held while the request is written; taken with mu held, never the other way round
+	writeMu         sync.Mutex  // held while the request is written; mu may be held when it is taken, never the reverse
 	mu              sync.Mutex  // guards what follows
-	conn            *memberConn // only while it is this attempt's alone
+	conn            *memberConn // set only while this attempt owns it
 	cancelled       bool
 	writesForbidden bool // never reset
 }
 
 func (p *pool) newAttempt(member string, statement *pgwire.Statement, timeout time.Duration) *attempt {
-	x := &attempt{pool: p, member: member, statement: statement, deadline: time.Now().Add(timeout)}
-	x.ctx, x.release = context.WithDeadline(context.Background(), x.deadline)
-	return x
+	a := &attempt{pool: p, member: member, statement: statement, deadline: time.Now().Add(timeout)}
+	a.ctx, a.cancelContext = context.WithDeadline(context.Background(), a.deadline)
+	return a
 }
 
-// cancel ends an attempt. It must not touch a connection that has gone back to the pool: another op may be on it.
-func (x *attempt) cancel() {
-	x.release()
-	x.mu.Lock()
-	x.cancelled = true
-	if x.conn != nil {
-		x.conn.SetDeadline(time.Unix(1, 0))
+// cancel ends an attempt. It must not touch a connection that has gone back to the pool: another op may be using it.
+func (a *attempt) cancel() {
+	a.cancelContext()
+	a.mu.Lock()
+	a.cancelled = true
+	if a.conn != nil {
+		a.conn.SetDeadline(time.Unix(1, 0))
 	}
-	x.mu.Unlock()
-	x.forbidWrites()
+	a.mu.Unlock()
+	a.forbidWrites()
 }
 
-// forbidWrites keeps the request from being written, and ends a write under way; an answer may still come.
-func (x *attempt) forbidWrites() {
-	x.mu.Lock()
-	x.writesForbidden = true
-	if x.conn != nil {
-		x.conn.SetWriteDeadline(time.Unix(1, 0))
+// forbidWrites prevents the request from being written, and ends a write in progress; an answer may still arrive.
+func (a *attempt) forbidWrites() {
+	a.mu.Lock()
+	a.writesForbidden = true
+	if a.conn != nil {
+		a.conn.SetWriteDeadline(time.Unix(1, 0))
 	}
-	x.mu.Unlock()
-	x.writing.Lock() // a write under way has ended
-	defer x.writing.Unlock()
+	a.mu.Unlock()
+	a.writeMu.Lock() // waits for a write in progress to end
+	defer a.writeMu.Unlock()
 }
 
-// setConn makes a connection the attempt's own, so that cancel can end it; nil ends that.
-func (x *attempt) setConn(conn *memberConn) {
-	x.mu.Lock()
-	x.conn = conn
-	x.mu.Unlock()
+// setConn sets the connection that the attempt owns and cancel may interrupt; nil if it owns none any more.
+func (a *attempt) setConn(conn *memberConn) {
+	a.mu.Lock()
+	a.conn = conn
+	a.mu.Unlock()
 }
 
-// limitAnswerTime leaves a member that has begun its answer only the connect timeout for the rest. An answer that
-// doesn't end in that time is malformed; one that is complete but for its end must not be lost for it.
-func (x *attempt) limitAnswerTime() {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	if limit := time.Now().Add(x.pool.connectTimeout); !x.cancelled && limit.Before(x.deadline) {
-		x.conn.SetReadDeadline(limit)
+// limitAnswerTime gives a member that has begun its answer the connect timeout for the rest. An answer that doesn't end
+// in that time is malformed, but one that lacks only ReadyForQuery is still used.
+func (a *attempt) limitAnswerTime() {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if limit := time.Now().Add(a.pool.connectTimeout); !a.cancelled && limit.Before(a.deadline) {
+		a.conn.SetReadDeadline(limit)
 	}
 }
 
-// run makes the attempt and says how it ended.
-func (x *attempt) run() result {
-	defer x.release()
-	x.pool.counters.Sends.Add(1)
-	r := x.exchange()
-	if r.member = x.member; x.statement == nil {
+// run makes the attempt and returns its result.
+func (a *attempt) run() result {
+	defer a.cancelContext()
+	a.pool.counters.Sends.Add(1)
+	r := a.exchange()
+	if r.member = a.member; a.statement == nil {
 		r.parseUsage(r.value)
 	}
-	if c := x.pool.counters.forOutcome(r.outcome); c != nil {
+	if c := a.pool.counters.forOutcome(r.outcome); c != nil {
 		c.Add(1)
 	}
 	return r
@@ -93,56 +93,56 @@
 
 // exchange sends the request and reads the answer. The connection goes back to the pool only if nothing of the request
 // was written, or the answer ended cleanly.
-func (x *attempt) exchange() result {
-	c := x.pool.takeIdle(x.member)
+func (a *attempt) exchange() result {
+	c := a.pool.takeIdle(a.member)
 	if c != nil {
-		x.pool.counters.Reused.Add(1)
+		a.pool.counters.Reused.Add(1)
 	} else {
 		var outcome logic.Outcome
-		if c, outcome = x.pool.dial(x.ctx, x.member); c == nil {
-			return result{outcome: x.outcomeUnlessEnded(outcome)}
+		if c, outcome = a.pool.dial(a.ctx, a.member); c == nil {
+			return result{outcome: a.outcomeUnlessCancelled(outcome)}
 		}
 	}
-	c.served++
-	x.setConn(c)
-	if begun, err := x.write(c); err != nil {
-		x.setConn(nil)
-		if begun {
-			x.pool.closeConn(c, memberCut)
+	c.requests++
+	a.setConn(c)
+	if started, err := a.write(c); err != nil {
+		a.setConn(nil)
+		if started {
+			a.pool.closeConn(c, memberWriteFailed)
 		} else {
-			c.served--
+			c.requests--
 			c.SetDeadline(time.Time{})
-			x.pool.putIdle(c)
+			a.pool.putIdle(c)
 		}
-		return result{outcome: x.outcomeUnlessEnded(logic.ConnectFailed)}
+		return result{outcome: a.outcomeUnlessCancelled(logic.ConnectFailed)}
 	}
-	r, clean, err := readAnswer(c.reader, x.limitAnswerTime)
+	r, clean, err := readAnswer(c.reader, a.limitAnswerTime)
 	r.connOpenedAt = c.openedAt
-	x.setConn(nil)
+	a.setConn(nil)
 	if clean {
 		c.SetDeadline(time.Time{})
-		x.pool.putIdle(c)
+		a.pool.putIdle(c)
 		return r
 	}
 	var reason memberClose
-	r.outcome, reason = x.brokenOutcome(r.outcome, err)
-	x.pool.closeConn(c, reason)
+	r.outcome, reason = a.incompleteAnswerOutcome(r.outcome, err)
+	a.pool.closeConn(c, reason)
 	return r
 }
 
-// brokenOutcome is the outcome of an answer that did not end cleanly, and why its connection is closed.
-func (x *attempt) brokenOutcome(outcome logic.Outcome, err error) (logic.Outcome, memberClose) {
+// incompleteAnswerOutcome returns the outcome of an answer that did not end cleanly, and why its connection is closed.
+func (a *attempt) incompleteAnswerOutcome(outcome logic.Outcome, err error) (logic.Outcome, memberClose) {
 	switch {
-	case outcome != noOutcome: // it came, and then the connection ended
-		return outcome, memberEnded
+	case outcome != noOutcome: // the connection ended after the answer
+		return outcome, memberClosedAfterAnswer
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		outcome = x.outcomeUnlessEnded(logic.TimedOut)
-		if outcome == logic.TimedOut && time.Now().Before(x.deadline) {
-			outcome = logic.Fault // limitAnswerTime's limit was over: the answer had begun
+		outcome = a.outcomeUnlessCancelled(logic.TimedOut)
+		if outcome == logic.TimedOut && time.Now().Before(a.deadline) {
+			outcome = logic.Fault // the limit of limitAnswerTime expired: the answer had begun
 		}
 		return outcome, closeReason(outcome)
 	case errors.Is(err, pgwire.ErrFraming):
-		return logic.Fault, memberGarbled
+		return logic.Fault, memberMalformed
 	}
 	return logic.Reset, memberReset
 }
@@ -152,43 +152,43 @@
 	case logic.Cancelled:
 		return memberCancelled
 	case logic.Fault:
-		return memberGarbled
+		return memberMalformed
 	}
 	return memberTimedOut
 }
 
-// outcomeUnlessEnded is the outcome, but for an attempt that was cancelled, forbidden to write or out of time.
-func (x *attempt) outcomeUnlessEnded(outcome logic.Outcome) logic.Outcome {
-	x.mu.Lock()
-	defer x.mu.Unlock()
+// outcomeUnlessCancelled returns outcome, unless the attempt was cancelled, forbidden to write or out of time.
+func (a *attempt) outcomeUnlessCancelled(outcome logic.Outcome) logic.Outcome {
+	a.mu.Lock()
+	defer a.mu.Unlock()
 	switch {
-	case x.cancelled:
+	case a.cancelled:
 		return logic.Cancelled
-	case (x.writesForbidden || x.ctx.Err() != nil) && outcome == logic.ConnectFailed:
-		return logic.Moot // its time ran out, which is not the member's fault
+	case (a.writesForbidden || a.ctx.Err() != nil) && outcome == logic.ConnectFailed:
+		return logic.Moot // the attempt ran out of time, which is not the member's fault
 	}
 	return outcome
 }
 
-// write sends the request, unless that is forbidden. Without an error its last byte is written; begun says whether its
-// first may be.
-func (x *attempt) write(conn *memberConn) (begun bool, err error) {
-	x.mu.Lock()
-	x.writesForbidden = x.writesForbidden || !x.staleAt.IsZero() && time.Now().After(x.staleAt)
-	if x.writesForbidden || x.ctx.Err() != nil {
-		x.mu.Unlock()
+// write sends the request, unless that is forbidden. Without an error the whole request was written; started reports
+// whether a part of it may have been written.
+func (a *attempt) write(conn *memberConn) (started bool, err error) {
+	a.mu.Lock()
+	a.writesForbidden = a.writesForbidden || !a.staleAt.IsZero() && time.Now().After(a.staleAt)
+	if a.writesForbidden || a.ctx.Err() != nil {
+		a.mu.Unlock()
 		return false, os.ErrDeadlineExceeded
 	}
-	x.writing.Lock()
-	defer x.writing.Unlock()
-	conn.SetDeadline(x.deadline)
-	x.mu.Unlock()
-	var b net.Buffers
-	if x.statement != nil {
-		b = x.statement.Query(time.Until(x.deadline).Milliseconds())
+	a.writeMu.Lock()
+	defer a.writeMu.Unlock()
+	conn.SetDeadline(a.deadline)
+	a.mu.Unlock()
+	var buffers net.Buffers
+	if a.statement != nil {
+		buffers = a.statement.Query(time.Until(a.deadline).Milliseconds())
 	} else {
-		b = net.Buffers{pgwire.AppendQuery(nil, x.pool.healthCheckQuery)}
+		buffers = net.Buffers{pgwire.AppendQuery(nil, a.pool.healthCheckQuery)}
 	}
-	_, err = b.WriteTo(conn.Conn)
+	_, err = buffers.WriteTo(conn.Conn)
 	return true, err
 }
--- a/internal/driver/attempt_test.go
+++ b/internal/driver/attempt_test.go
@@ -15,9 +15,9 @@
 	"weirwind/logic"
 )
 
-// An attempt that is cancelled when its answer has come must leave alone the connection it came on, which by then
-// may be another op's. Seen by reading: the deadline set by cancel would have ended that op's exchange.
-func TestLateCancelLeavesTheConnectionAlone(t *testing.T) {
+// Cancelling an attempt after its answer has arrived must not affect its connection, which by then may be used by
+// another op: the deadline that cancel sets would end the exchange of that op.
+func TestCancelAfterAnswerSparesPooledConnection(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -39,17 +39,17 @@
 			}
 			queries <- struct{}{}
 			<-answer
-			conn.Write(pgwire.AppendReadyForQuery(append(bytes.Clone(described), append(frame('D', []byte("\x00\x01\x00\x00\x00\x01v")),
-				frame('C', []byte("SELECT 1\x00"))...)...)))
+			conn.Write(pgwire.AppendReadyForQuery(append(bytes.Clone(rowDescription),
+				append(frame('D', []byte("\x00\x01\x00\x00\x00\x01v")), frame('C', []byte("SELECT 1\x00"))...)...)))
 		}
 	}()
-	var count counters
-	l, _ := newLog("json", slog.LevelInfo, &count.LogLost)
-	room := &budget{}
-	room.available.Store(2)
-	m := &pool{connectTimeout: 10 * time.Second, idleTimeout: time.Hour, budget: room, counters: &count, log: l,
-		healthCheckQuery: "SELECT 1", members: map[string]*poolMember{"m": {address: ln.Addr().String()}}}
-	first, second := m.newAttempt("m", nil, time.Minute), m.newAttempt("m", nil, time.Minute)
+	var counts counters
+	logger, _ := newLog("json", slog.LevelInfo, &counts.LogLost)
+	sockets := &budget{}
+	sockets.available.Store(2)
+	testPool := &pool{connectTimeout: 10 * time.Second, idleTimeout: time.Hour, budget: sockets, counters: &counts,
+		log: logger, healthCheckQuery: "SELECT 1", members: map[string]*poolMember{"m": {address: ln.Addr().String()}}}
+	first, second := testPool.newAttempt("m", nil, time.Minute), testPool.newAttempt("m", nil, time.Minute)
 	go func() { <-queries; answer <- struct{}{} }()
 	if r := first.run(); r.outcome != logic.OK {
 		t.Fatalf("outcome %d", r.outcome)
@@ -59,27 +59,28 @@
 	<-queries
 	first.cancel()
 	answer <- struct{}{}
-	if r := <-done; r.outcome != logic.OK || count.Dials.Load() != 1 {
-		t.Errorf("outcome %d on the connection of a send cancelled late, %d dials", r.outcome, count.Dials.Load())
+	if r := <-done; r.outcome != logic.OK || counts.Dials.Load() != 1 {
+		t.Errorf("outcome %d on the connection of an attempt that was cancelled late, %d dials",
+			r.outcome, counts.Dials.Load())
 	}
-	third := m.newAttempt("m", nil, time.Minute)
+	third := testPool.newAttempt("m", nil, time.Minute)
 	third.cancel()
 	if r := third.run(); r.outcome != logic.Cancelled {
-		t.Errorf("outcome %d for a send cancelled before it began", r.outcome)
+		t.Errorf("outcome %d for an attempt that was cancelled before it ran", r.outcome)
 	}
-	barred := m.newAttempt("m", nil, time.Minute)
-	barred.forbidWrites()
-	if r := barred.run(); r.outcome != logic.Moot {
-		t.Errorf("outcome %d for a send that may not begin", r.outcome)
+	forbidden := testPool.newAttempt("m", nil, time.Minute)
+	forbidden.forbidWrites()
+	if r := forbidden.run(); r.outcome != logic.Moot {
+		t.Errorf("outcome %d for an attempt that was forbidden to write", r.outcome)
 	}
-	if l := m.takeIdle("m"); l == nil || l.served != 2 {
-		t.Error("the unused connection was not kept")
+	if conn := testPool.takeIdle("m"); conn == nil || conn.requests != 2 {
+		t.Error("the unused connection was not returned to the pool")
 	}
 }
 
-// An answer that did not end cleanly has the outcome that came before, or one by how its connection ended.
-func TestBrokenOutcomes(t *testing.T) {
-	soon, past := time.Now().Add(time.Hour), time.Now().Add(-time.Hour)
+// An answer that did not end cleanly has the outcome received before, or one that follows from the connection's end.
+func TestIncompleteAnswerOutcomes(t *testing.T) {
+	future, past := time.Now().Add(time.Hour), time.Now().Add(-time.Hour)
 	for _, c := range []struct {
 		name      string
 		outcome   logic.Outcome
@@ -89,17 +90,18 @@
 		want      logic.Outcome
 		reason    memberClose
 	}{
-		{"an answer, then the end", logic.OK, io.EOF, soon, false, logic.OK, memberEnded},
-		{"a miss, then garbage", logic.Miss, pgwire.ErrFraming, soon, false, logic.Miss, memberEnded},
+		{"an answer, then the connection ends", logic.OK, io.EOF, future, false, logic.OK, memberClosedAfterAnswer},
+		{"a miss, then garbage", logic.Miss, pgwire.ErrFraming, future, false, logic.Miss, memberClosedAfterAnswer},
 		{"no answer in time", noOutcome, os.ErrDeadlineExceeded, past, false, logic.TimedOut, memberTimedOut},
-		{"an answer that began and did not end", noOutcome, os.ErrDeadlineExceeded, soon, false, logic.Fault, memberGarbled},
-		{"cancelled", noOutcome, os.ErrDeadlineExceeded, soon, true, logic.Cancelled, memberCancelled},
-		{"garbage", noOutcome, pgwire.ErrFraming, soon, false, logic.Fault, memberGarbled},
-		{"closed", noOutcome, io.EOF, soon, false, logic.Reset, memberReset},
+		{"an answer that began and did not end", noOutcome, os.ErrDeadlineExceeded, future, false, logic.Fault,
+			memberMalformed},
+		{"cancelled", noOutcome, os.ErrDeadlineExceeded, future, true, logic.Cancelled, memberCancelled},
+		{"garbage", noOutcome, pgwire.ErrFraming, future, false, logic.Fault, memberMalformed},
+		{"closed", noOutcome, io.EOF, future, false, logic.Reset, memberReset},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			x := &attempt{ctx: context.Background(), deadline: c.deadline, cancelled: c.cancelled}
-			if got, reason := x.brokenOutcome(c.outcome, c.err); got != c.want || reason != c.reason {
+			a := &attempt{ctx: context.Background(), deadline: c.deadline, cancelled: c.cancelled}
+			if got, reason := a.incompleteAnswerOutcome(c.outcome, c.err); got != c.want || reason != c.reason {
 				t.Errorf("outcome %d, reason %s", got, reason)
 			}
 		})
--- a/internal/driver/budget.go
+++ b/internal/driver/budget.go
@@ -2,12 +2,12 @@
 
 import "sync/atomic"
 
-// budget counts what may still be used: sockets, or bytes.
+// budget counts the available units of a resource: sockets or bytes.
 type budget struct {
 	available atomic.Int64
 }
 
-// acquire takes n; false where fewer are available.
+// acquire takes amount units, and reports whether that many were available.
 func (b *budget) acquire(amount int64) bool {
 	if b.available.Add(-amount) < 0 {
 		b.available.Add(amount)
--- a/internal/driver/client.go
+++ b/internal/driver/client.go
@@ -18,36 +18,36 @@
 	messageTimeout     = 2500 * time.Millisecond // for a first query, and from the first byte of a message to its last
 	clientWriteTimeout = 2500 * time.Millisecond // for a client to take an answer
 	lingerTimeout      = 500 * time.Millisecond  // for a client to see the last answer before the connection is closed
-	maxDrainBytes      = 1 << 20                 // read and dropped meanwhile
+	maxDrainBytes      = 1 << 20                 // bytes read and dropped during lingerTimeout
 )
 
 // client is a connection of a client. Its main goroutine (run) answers messages in order; its reader goroutine
-// (readLoop) reads ahead by one message and notices when the client leaves.
+// (readLoop) reads one message ahead and detects when the client disconnects.
 type client struct {
 	service  *Service
 	conn     *net.TCPConn
-	raw      syscall.RawConn
+	rawConn  syscall.RawConn
 	reader   *bufio.Reader
 	openedAt time.Time
 
 	messages     chan message
-	disconnected chan struct{} // closed by the reader when the client has left; endReason is set by then
+	disconnected chan struct{} // closed by the reader when the client has disconnected; endReason is set before
 	endReason    clientClose
-	answered     chan struct{} // closed by the main goroutine when it answers no more
-	ops          int           // the main goroutine's: for the log
+	serveEnded   chan struct{} // closed by the main goroutine when it has ended serving
+	opCount      int           // for the log; used by the main goroutine only
 
-	pipelined     int  // the reader's: messages in a row that came before the answer to the one before
-	skipUntilSync bool // the main goroutine's: after a message of the extended protocol
+	pipelinedCount int  // consecutive messages that arrived before the previous answer; used by the reader only
+	skipUntilSync  bool // after a message of the extended protocol; used by the main goroutine only
 
-	// Under the lock of the service's clients.
-	openMessages     int       // begun and not yet answered; the startup is one
-	finishedMessages int       // answered, with the startup
+	// Guarded by the lock of the service's clients.
+	openMessages     int       // messages that were begun and not yet answered, including the startup
+	finishedMessages int       // answered messages, including the startup
 	changedAt        time.Time // the last change of either count
-	evicted          bool      // it is being closed in favour of other clients
-	slotReassigned   bool      // its place in the budget is another client's already
+	evicted          bool      // it is being closed to make room for other clients
+	slotReassigned   bool      // its slot in the budget already belongs to another client
 }
 
-// beginMessage notes that a message is on its way; false where the client is evicted.
+// beginMessage records that a message is arriving, and reports whether the client may go on: it is false if evicted.
 func (c *client) beginMessage() bool {
 	c.service.clients.mu.Lock()
 	defer c.service.clients.mu.Unlock()
@@ -56,7 +56,7 @@
 	return !c.evicted
 }
 
-// finishMessage notes that a message has been answered.
+// finishMessage records that a message has been answered.
 func (c *client) finishMessage() {
 	c.service.clients.mu.Lock()
 	defer c.service.clients.mu.Unlock()
@@ -65,11 +65,11 @@
 	c.changedAt = time.Now()
 }
 
-// run serves a client that was admitted, up to the close of its connection.
+// run serves an admitted client until its connection is closed.
 func (c *client) run() {
 	var reader errgroup.Group
 	reason := c.serve(&reader)
-	close(c.answered)
+	close(c.serveEnded)
 	c.conn.CloseWrite()
 	c.conn.SetReadDeadline(time.Now().Add(lingerTimeout))
 	_ = reader.Wait() // its functions return no error
@@ -83,47 +83,47 @@
 	}
 }
 
-// serve answers what a client sends, one message after the other. It returns the reason for the end.
+// serve answers a client's messages one after the other, and returns why the connection ends.
 func (c *client) serve(reader *errgroup.Group) (reason clientClose) {
-	if reason = c.startup(); reason != clientGoesOn {
+	if reason = c.startup(); reason != clientOpen {
 		return reason
 	}
 	reader.Go(func() error { c.readLoop(); return nil })
 	for {
-		m, reason := c.nextMessage()
-		if reason != clientGoesOn {
+		msg, reason := c.nextMessage()
+		if reason != clientOpen {
 			return reason
 		}
-		if m.framingErr != nil {
+		if msg.framingErr != nil {
 			c.service.counters.BadInput.Add(1)
-			c.write(pgwire.AppendErrorResponse(nil, "FATAL", pgwire.CodeProtocolViolation, m.framingErr.Error(), ""))
-			return clientFramingLost
+			c.write(pgwire.AppendErrorResponse(nil, "FATAL", pgwire.CodeProtocolViolation, msg.framingErr.Error(), ""))
+			return clientFramingError
 		}
-		answer, reason := c.answer(m)
-		c.service.messageBudget.release(m.budgetBytes)
-		if reason == clientGoesOn && answer != nil {
+		answer, reason := c.answer(msg)
+		c.service.messageBudget.release(msg.budgetBytes)
+		if reason == clientOpen && answer != nil {
 			reason = c.write(answer)
 		}
-		if c.finishMessage(); reason == clientGoesOn && c.service.stopping() && m.kind == 'Q' {
+		if c.finishMessage(); reason == clientOpen && c.service.stopping() && msg.kind == 'Q' {
 			reason = clientShutdown
 		}
-		if reason != clientGoesOn {
+		if reason != clientOpen {
 			return reason
 		}
 	}
 }
 
-// nextMessage waits for a message. One that has come is answered even if the client has left since or the service
-// stops: it may have been sent before either.
+// nextMessage waits for a message. A message that has arrived is answered even if the client has disconnected or the
+// service is stopping: it may have been sent before either.
 func (c *client) nextMessage() (msg message, endReason clientClose) {
 	select {
 	case msg = <-c.messages:
-		return msg, clientGoesOn
+		return msg, clientOpen
 	default:
 	}
 	select {
 	case msg = <-c.messages:
-		return msg, clientGoesOn
+		return msg, clientOpen
 	case <-c.disconnected:
 		return msg, c.endReason
 	case <-c.service.acceptEnded:
@@ -131,7 +131,7 @@
 	}
 }
 
-// startup declines requests for encryption and welcomes any user.
+// startup declines requests for encryption and accepts any user.
 func (c *client) startup() (endReason clientClose) {
 	c.conn.SetDeadline(c.openedAt.Add(messageTimeout))
 	if _, err := c.reader.Peek(1); !c.beginMessage() {
@@ -145,38 +145,38 @@
 		case errors.Is(err, pgwire.ErrFraming):
 			c.service.counters.BadInput.Add(1)
 			c.write(pgwire.AppendErrorResponse(nil, "FATAL", pgwire.CodeProtocolViolation, err.Error(), ""))
-			return clientFramingLost
+			return clientFramingError
 		case err != nil:
 			return clientNoStartup
 		case kind == pgwire.StartupCancel:
 			return clientCancelRequest
 		case kind == pgwire.StartupEncrypt:
-			if endReason = c.write([]byte{'N'}); endReason != clientGoesOn {
+			if endReason = c.write([]byte{'N'}); endReason != clientOpen {
 				return endReason
 			}
 			continue
 		}
 		endReason = c.write(pgwire.AppendStartupResponse(nil, minor))
-		c.conn.SetReadDeadline(c.openedAt.Add(messageTimeout)) // up to the first byte of a query
+		c.conn.SetReadDeadline(c.openedAt.Add(messageTimeout)) // until the first byte of a query
 		c.finishMessage()
 		return endReason
 	}
 	return clientNoStartup
 }
 
-func (c *client) write(b []byte) (endReason clientClose) {
+func (c *client) write(data []byte) (endReason clientClose) {
 	c.conn.SetWriteDeadline(time.Now().Add(clientWriteTimeout))
-	if _, err := c.conn.Write(b); err != nil {
+	if _, err := c.conn.Write(data); err != nil {
 		return clientWriteFailed
 	}
-	return clientGoesOn
+	return clientOpen
 }
 
-// drain reads and drops what a client still sends, up to a limit: unread bytes would make the close a reset, by which
+// drain reads and drops what a client still sends, up to a limit: closing a connection with unread bytes resets it, and
 // the client could lose the last answer.
 func (c *client) drain() { _, _ = io.CopyN(io.Discard, c.conn, maxDrainBytes) }
 
 func (c *client) logClosed(reason clientClose) {
-	c.service.log.Info("client_closed", "client", c.conn.RemoteAddr().String(), "reason", string(reason), "ops", c.ops,
+	c.service.log.Info("client_closed", "client", c.conn.RemoteAddr().String(), "reason", string(reason), "ops", c.opCount,
 		"age_ms", time.Since(c.openedAt).Milliseconds())
 }
--- a/internal/driver/clock_test.go
+++ b/internal/driver/clock_test.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-func TestClockRunsOnFromItsStart(t *testing.T) {
-	at := time.Now()
-	c := newClock(func() time.Time { return at })
-	began := c.now()
-	if math.Abs(began-float64(at.UnixMicro())/1000) > 0.001 {
-		t.Errorf("starts at %f", began)
+func TestClockAdvancesWithTimeSource(t *testing.T) {
+	current := time.Now()
+	c := newClock(func() time.Time { return current })
+	startedAt := c.now()
+	if math.Abs(startedAt-float64(current.UnixMicro())/1000) > 0.001 {
+		t.Errorf("starts at %f", startedAt)
 	}
-	at = at.Add(1500 * time.Microsecond)
-	if got := c.now() - began; math.Abs(got-1.5) > 0.001 {
-		t.Errorf("1.5 ms later it is %g ms later", got)
+	current = current.Add(1500 * time.Microsecond)
+	if got := c.now() - startedAt; math.Abs(got-1.5) > 0.001 {
+		t.Errorf("advanced by %g ms, want 1.5 ms", got)
 	}
 }
--- a/internal/driver/close_reasons.go
+++ b/internal/driver/close_reasons.go
@@ -1,42 +1,42 @@
 package driver
 
-// clientClose is why a client's connection ends. Its text is the log's reason of event=client_closed, which operators
-// read; empty while the connection goes on.
+// clientClose is the reason for the end of a client's connection. Its text is the reason in the log's
+// event=client_closed, which operators read; it is empty while the connection is open.
 type clientClose string
 
 const (
-	clientGoesOn        clientClose = ""
-	clientLeft          clientClose = "left"
-	clientTerminated    clientClose = "terminate"      // it said so
-	clientNoStartup     clientClose = "no_startup"     // nothing or no more of it came
-	clientCancelRequest clientClose = "cancel_request" // a connection of its own, which is not served
-	clientFramingLost   clientClose = "framing"
-	clientSilent        clientClose = "silent"     // no first query in time
-	clientUnfinished    clientClose = "unfinished" // a message did not come completely in time
-	clientWriteFailed   clientClose = "write"
-	clientEvicted       clientClose = "made_room"
-	clientRejected      clientClose = "too_many"
-	clientShutdown      clientClose = "shutdown"
+	clientOpen              clientClose = ""
+	clientClosed            clientClose = "left"
+	clientTerminated        clientClose = "terminate"      // the client sent Terminate
+	clientNoStartup         clientClose = "no_startup"     // no complete startup message in time
+	clientCancelRequest     clientClose = "cancel_request" // a CancelRequest, which is not supported
+	clientFramingError      clientClose = "framing"
+	clientNoQuery           clientClose = "silent"     // no first query in time
+	clientIncompleteMessage clientClose = "unfinished" // a message was not complete in time
+	clientWriteFailed       clientClose = "write"
+	clientEvicted           clientClose = "made_room"
+	clientRejected          clientClose = "too_many"
+	clientShutdown          clientClose = "shutdown"
 )
 
-// memberClose is why a connection to a member is closed, or was not made. Its text is the log's reason of
-// event=member_closed.
+// memberClose is the reason why a connection to a member was closed or not established. Its text is the reason in the
+// log's event=member_closed.
 type memberClose string
 
 const (
-	memberIdle         memberClose = "idle" // for longer than members let it be
-	memberSpared       memberClose = "spared"
-	memberMoved        memberClose = "moved" // to another address
-	memberRemoved      memberClose = "removed"
-	memberStale        memberClose = "stale"  // it moved or was removed meanwhile, or sent more than its answer
-	memberBroken       memberClose = "broken" // while idle
-	memberNoConnection memberClose = "no_connection"
-	memberNoWelcome    memberClose = "no_welcome"
-	memberTurnedAway   memberClose = "turned_away" // by an error in place of a welcome
-	memberCut          memberClose = "cut"         // while the request was written
-	memberCancelled    memberClose = "cancelled"
-	memberTimedOut     memberClose = "timed_out"
-	memberGarbled      memberClose = "garbled" // a malformed answer, or one that did not end
-	memberReset        memberClose = "reset"
-	memberEnded        memberClose = "ended" // after an answer
+	memberIdleTimeout       memberClose = "idle"   // idle for almost as long as members allow
+	memberEvicted           memberClose = "spared" // the oldest idle one, to make room for another
+	memberAddressChanged    memberClose = "moved"  // to another address
+	memberRemoved           memberClose = "removed"
+	memberStale             memberClose = "stale"  // the member moved or was removed meanwhile, or sent extra bytes
+	memberBroken            memberClose = "broken" // while idle
+	memberNoConnection      memberClose = "no_connection"
+	memberStartupFailed     memberClose = "no_welcome"
+	memberRejected          memberClose = "turned_away" // by an error during the startup
+	memberWriteFailed       memberClose = "cut"         // writing the request failed
+	memberCancelled         memberClose = "cancelled"
+	memberTimedOut          memberClose = "timed_out"
+	memberMalformed         memberClose = "garbled" // a malformed answer, or one without an end
+	memberReset             memberClose = "reset"
+	memberClosedAfterAnswer memberClose = "ended" // after an answer
 )
--- a/internal/driver/configuration.go
+++ b/internal/driver/configuration.go
@@ -15,8 +15,8 @@
 
 const minMemoryMB = 16
 
-// Assignment is the platform's configuration of a driver. Errors of its decoding, which operators see, name the type
-// and its fields.
+// Assignment is the platform's configuration of a driver. Decoding errors, which operators see, contain the names of
+// the type and its fields.
 type Assignment struct {
 	Name, Listen, Discovery string
 	Seed                    string // hexadecimal
@@ -27,12 +27,12 @@
 	}
 	PeerListen string `json:"peer_listen"`
 	Peers      []string
-	PeersAll   string          `json:"peers_all"` // address that reaches all of Peers
-	Membership json.RawMessage `json:"known"`     // in discovery's form
-	Settings   json.RawMessage `json:"settings"`  // internal/opening reads it
+	PeersAll   string          `json:"peers_all"` // broadcast address that reaches all of Peers
+	Membership json.RawMessage `json:"known"`     // in the format of discovery
+	Settings   json.RawMessage `json:"settings"`  // parsed by internal/opening
 }
 
-// configuration is a valid Assignment, with its parts decoded and its values by name as they stand in the file.
+// configuration is a valid Assignment with its parts decoded, and its raw values by name.
 type configuration struct {
 	Assignment
 	settings   opening.Settings
@@ -40,7 +40,7 @@
 	values     map[string]json.RawMessage
 }
 
-// parseConfiguration reads a configuration, at the start and again on SIGHUP, and rejects an invalid one.
+// parseConfiguration parses a configuration, at the start and again on SIGHUP, and returns an error if it is invalid.
 func parseConfiguration(text []byte) (config configuration, err error) {
 	if err = json.Unmarshal(text, &config.Assignment); err == nil {
 		err = json.Unmarshal(text, &config.values)
@@ -74,14 +74,14 @@
 	return config, nil
 }
 
-// Check says what is wrong with a configuration.
+// Check returns an error if a configuration is invalid.
 func Check(text []byte) error {
 	_, err := parseConfiguration(text)
 	return err
 }
 
-// applyOverrides lays the operators' view of the deployment over the platform's settings. They may forbid messages
-// between drivers that the platform allows, never allow ones that it forbids.
+// applyOverrides applies the operators' overrides to the platform's settings. Operators may forbid messages between
+// drivers that the platform allows, but not allow messages that it forbids.
 func applyOverrides(opening *logic.Opening, fleet *operator.Fleet) {
 	if fleet == nil {
 		return
--- a/internal/driver/configuration_test.go
+++ b/internal/driver/configuration_test.go
@@ -7,19 +7,19 @@
 	"weirwind/logic"
 )
 
-func TestOverridesOfTheDeployment(t *testing.T) {
-	o := logic.Opening{Drivers: 3, MayMessage: true}
-	applyOverrides(&o, nil)
-	if o.Drivers != 3 || !o.MayMessage || o.OnlyDrainBinds {
-		t.Fatal("no block changes nothing", o)
+func TestApplyOverrides(t *testing.T) {
+	opening := logic.Opening{Drivers: 3, MayMessage: true}
+	applyOverrides(&opening, nil)
+	if opening.Drivers != 3 || !opening.MayMessage || opening.OnlyDrainBinds {
+		t.Fatal("overrides without a fleet block:", opening)
 	}
-	no, yes := false, true
-	applyOverrides(&o, &operator.Fleet{Peers: &no, Drivers: 320, OnlyDrainingBinds: &yes})
-	if o.MayMessage || o.Drivers != 320 || !o.OnlyDrainBinds {
-		t.Fatal(o)
+	forbid, allow := false, true
+	applyOverrides(&opening, &operator.Fleet{Peers: &forbid, Drivers: 320, OnlyDrainingBinds: &allow})
+	if opening.MayMessage || opening.Drivers != 320 || !opening.OnlyDrainBinds {
+		t.Fatal(opening)
 	}
-	applyOverrides(&o, &operator.Fleet{Peers: &yes})
-	if o.MayMessage {
-		t.Fatal("the operators' file let drivers talk where the platform does not")
+	applyOverrides(&opening, &operator.Fleet{Peers: &allow})
+	if opening.MayMessage {
+		t.Fatal("the operators' file allowed messages between drivers that the platform forbids")
 	}
 }
--- a/internal/driver/convert.go
+++ b/internal/driver/convert.go
@@ -7,7 +7,7 @@
 	"weirwind/internal/roster"
 )
 
-// A member has one form in each of discovery, roster and learned. This file translates between them.
+// Packages discovery, roster and learned each have their own type for a member. This file converts between them.
 
 var (
 	rosterPhases = map[string]roster.Phase{
--- a/internal/driver/counters.go
+++ b/internal/driver/counters.go
@@ -9,8 +9,8 @@
 	"weirwind/logic"
 )
 
-// counters are added to from everywhere. The fields' names and order are those of the log: to rename one is to change
-// what operators read.
+// counters are the counters in the log. The names and the order of the fields appear in the log, so renaming a field
+// changes what operators read.
 type counters struct {
 	Clients, ClientsTurnedAway, ClientsOpen            atomic.Int64
 	Ops, Acked, BusyReplied, Errored, Left, BadInput   atomic.Int64
@@ -24,7 +24,7 @@
 	LogLost                                            atomic.Int64
 }
 
-// attrs are the counters for a line of the log.
+// attrs returns the counters as attributes of a log line.
 func (c *counters) attrs() (attrs []any) {
 	v := reflect.ValueOf(c).Elem()
 	for i := range v.NumField() {
@@ -34,7 +34,7 @@
 	return attrs
 }
 
-// forOutcome is the counter of an outcome; nil where a good answer needs none.
+// forOutcome returns the counter of an outcome, or nil for OK, which has none.
 func (c *counters) forOutcome(outcome logic.Outcome) *atomic.Int64 {
 	return [...]*atomic.Int64{
 		logic.OK:            nil,
--- a/internal/driver/datagrams.go
+++ b/internal/driver/datagrams.go
@@ -11,28 +11,28 @@
 	"weirwind/logic"
 )
 
-const outgoingDatagrams = 64
+const datagramQueueSize = 64 // outgoing datagrams
 
-// datagrams is the UDP socket by which the decision modules of drivers exchange messages. It never waits for a peer,
-// and takes nothing from an address that is no peer's.
+// datagrams is the UDP socket through which the decision modules of drivers exchange messages. It never waits for a
+// peer, and discards messages from addresses that don't belong to a peer.
 type datagrams struct {
-	conn            *net.UDPConn            // nil where there are no peers
+	conn            *net.UDPConn            // nil if there are no peers
 	configuredPeers map[netip.AddrPort]bool // the other drivers; never changes
 	broadcast       netip.AddrPort          // reaches all of them; may be invalid
-	// registryPeers are those that the registry lists, which replace the configured ones and are sent to one by one;
-	// nil until then.
+	// registryPeers are the peers listed in the registry. They replace the configured ones, and each is sent to directly;
+	// nil until the registry has listed any.
 	registryPeers atomic.Pointer[map[netip.AddrPort]string]
 	onMessage     func(netip.AddrPort) // called for each message of a peer; may be nil
 	outgoing      chan []byte
 	counters      *counters
 }
 
-// newDatagrams opens the socket, unless there is no address to listen at or nobody to send to. own is this driver's
-// index among Peers; registered says that peers are in the registry.
+// newDatagrams opens the socket, unless there is no listen address or there are no peers. own is this driver's index in
+// Peers; registered means that peers are listed in the registry.
 func newDatagrams(assignment *Assignment, own int, registered bool, counters *counters) (*datagrams, error) {
 	d := &datagrams{
 		configuredPeers: map[netip.AddrPort]bool{},
-		outgoing:        make(chan []byte, outgoingDatagrams),
+		outgoing:        make(chan []byte, datagramQueueSize),
 		counters:        counters,
 	}
 	if assignment.PeerListen == "" || assignment.PeersAll == "" && !registered {
@@ -60,7 +60,7 @@
 	return d, err
 }
 
-// send queues a message to every other driver; one that can't go out soon is lost, as on the network.
+// send queues a message to every other driver. If the queue is full the message is lost, as it could be on the network.
 func (d *datagrams) send(data []byte) {
 	if d.conn == nil || len(data) > opening.MaxMessageBytes {
 		d.counters.MessagesLost.Add(1)
@@ -73,7 +73,7 @@
 	}
 }
 
-// writeLoop sends what is queued until the context ends.
+// writeLoop sends queued messages until the context ends.
 func (d *datagrams) writeLoop(ctx context.Context) {
 	for {
 		select {
@@ -99,7 +99,7 @@
 	}
 }
 
-// setRegistryPeers takes the peers that the registry lists, with their names.
+// setRegistryPeers sets the peers that the registry lists, by address with their names.
 func (d *datagrams) setRegistryPeers(names map[netip.AddrPort]string) { d.registryPeers.Store(&names) }
 
 func (d *datagrams) isPeer(from netip.AddrPort) bool {
@@ -109,16 +109,16 @@
 	return d.configuredPeers[from]
 }
 
-// readLoop gives peers' messages to the decider until the context ends, which closes the socket.
+// readLoop passes peers' messages to the decider until the context ends, which closes the socket.
 func (d *datagrams) readLoop(ctx context.Context, decider *decider) {
 	stop := context.AfterFunc(ctx, func() { d.conn.Close() })
 	defer stop()
-	buf := make([]byte, opening.MaxMessageBytes+1) // one byte more, to tell messages that are too long
+	buf := make([]byte, opening.MaxMessageBytes+1) // one byte more, to detect messages that are too long
 	for ctx.Err() == nil {
 		n, from, err := d.conn.ReadFromUDPAddrPort(buf)
 		switch {
 		case err != nil:
-			select { // an error of one datagram, such as a peer that does not listen
+			select { // an error that affects one datagram only, such as a peer that does not listen
 			case <-ctx.Done():
 			case <-time.After(time.Millisecond):
 			}
--- a/internal/driver/decider_members.go
+++ b/internal/driver/decider_members.go
@@ -7,12 +7,12 @@
 	"weirwind/logic"
 )
 
-// drainReasons are why a member counts as draining whatever the list says.
+// drainReasons is a set of reasons for which a member counts as draining, whatever phase the list has for it.
 type drainReasons uint8
 
 const (
-	drainSwitchover drainReasons = 1 << iota // its role is moving to another member
-	drainPeer                                // a peer was notified of its drain, and the own list doesn't show it yet
+	drainSwitchover drainReasons = 1 << iota // the primary role is moving to another member
+	drainPeer                                // a peer reported the drain, and the driver's own list doesn't show it yet
 )
 
 var phases = map[string]logic.Phase{
@@ -21,83 +21,83 @@
 	discovery.PhaseRemoved:  logic.Gone,
 }
 
-// updateMembership gives the module a list, changes of it, or notice that a call for it failed.
+// updateMembership passes a list, changes of it, or the failure of a call for it to the module.
 func (d *decider) updateMembership(kind logic.ListKind, entries []discovery.Entry) {
 	ev := logic.Event{Kind: logic.EvMembers, List: kind}
-	for _, e := range entries {
+	for _, entry := range entries {
 		ev.Members = append(ev.Members, logic.ListEntry{
-			Member:  e.ID,
-			Phase:   phases[e.Phase],
-			Zone:    e.Zone,
-			Started: e.StartedAt,
-			Group:   e.Group,
-			Primary: e.Access == discovery.AccessWriter,
+			Member:  entry.ID,
+			Phase:   phases[entry.Phase],
+			Zone:    entry.Zone,
+			Started: entry.StartedAt,
+			Group:   entry.Group,
+			Primary: entry.Access == discovery.AccessWriter,
 		})
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for i, e := range entries {
-		d.groups[e.Group] = true
-		if l := &ev.Members[i]; l.Phase == logic.Gone {
-			delete(d.members, l.Member)
-		} else if d.members[l.Member] = *l; d.drains[l.Member] != 0 {
-			l.Phase = logic.Draining
+	for i, entry := range entries {
+		d.groups[entry.Group] = true
+		if listed := &ev.Members[i]; listed.Phase == logic.Gone {
+			delete(d.members, listed.Member)
+		} else if d.members[listed.Member] = *listed; d.drains[listed.Member] != 0 {
+			listed.Phase = logic.Draining
 		}
 	}
-	d.findNearGroups()
+	d.updateLocalGroups()
 	d.stepLocked(ev)
 }
 
-// setDraining makes a member count as draining for a reason, or no longer for that one. Without any reason it is as the
-// list says again.
-func (d *decider) setDraining(member string, reason drainReasons, on bool) {
+// setDraining adds or removes a reason for which a member counts as draining. Without any reason its phase is the one
+// in the list.
+func (d *decider) setDraining(member string, reason drainReasons, draining bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	before := d.drains[member]
 	after := before | reason
-	if !on {
+	if !draining {
 		after = before &^ reason
 	}
 	if d.drains[member] = after; after == 0 {
 		delete(d.drains, member)
 	}
-	if l, listed := d.members[member]; listed && l.Phase == logic.Ready && (before != 0) != (after != 0) {
+	if entry, listed := d.members[member]; listed && entry.Phase == logic.Ready && (before != 0) != (after != 0) {
 		if after != 0 {
-			l.Phase = logic.Draining
+			entry.Phase = logic.Draining
 		}
-		d.stepLocked(logic.Event{Kind: logic.EvMembers, List: logic.ListChanges, Members: []logic.ListEntry{l}})
+		d.stepLocked(logic.Event{Kind: logic.EvMembers, List: logic.ListChanges, Members: []logic.ListEntry{entry}})
 	}
 }
 
-// servesGroup says whether a group was ever listed.
-func (d *decider) servesGroup(group int64) bool {
+// knowsGroup reports whether a group has ever been listed.
+func (d *decider) knowsGroup(group int64) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.groups[group]
 }
 
-// listedMembers is the list as its sources gave it, without drains of other reasons.
+// listedMembers returns the members as listed by their sources, without the drains for other reasons.
 func (d *decider) listedMembers() map[string]logic.ListEntry {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return maps.Clone(d.members)
 }
 
-// countByZone has attempts counted by zone from here on.
-func (d *decider) countByZone(zones *zoneAgent) {
+// setZoneAgent sets the zone agent, which counts attempts by zone from then on.
+func (d *decider) setZoneAgent(zones *zoneAgent) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.zones = zones
-	d.findNearGroups()
+	d.updateLocalGroups()
 }
 
-// findNearGroups finds the groups that have a member in the own zone. The caller holds the lock.
-func (d *decider) findNearGroups() {
+// updateLocalGroups finds the groups that have a member in the driver's own zone. The caller holds the lock.
+func (d *decider) updateLocalGroups() {
 	if d.zones == nil {
 		return
 	}
-	d.nearGroups = map[int64]bool{}
-	for _, l := range d.members {
-		d.nearGroups[l.Group] = d.nearGroups[l.Group] || l.Zone == d.zones.zone && l.Phase == logic.Ready
+	d.localGroups = map[int64]bool{}
+	for _, entry := range d.members {
+		d.localGroups[entry.Group] = d.localGroups[entry.Group] || entry.Zone == d.zones.zone && entry.Phase == logic.Ready
 	}
 }
--- a/internal/driver/decider_ops.go
+++ b/internal/driver/decider_ops.go
@@ -7,19 +7,19 @@
 	"weirwind/logic"
 )
 
-// knows finds an op's type, and says whether it and the op's group are ones that the driver serves.
-func (d *decider) knows(opType []byte, group int64) (index int, ok bool) {
+// lookupOpType returns the index of an op type, and reports whether both the type and the op's group are known.
+func (d *decider) lookupOpType(opType []byte, group int64) (index int, ok bool) {
 	index, ok = d.opTypes[string(opType)]
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return index, ok && d.groups[group]
 }
 
-// staleDataMatters says whether an op's attempts are decided on by positions that grow too old.
-func (d *decider) staleDataMatters(op *op) bool { return d.bounded[op.opType] }
+// hasStalenessBound reports whether an op's reads have a staleness bound, so that decisions on its attempts expire.
+func (d *decider) hasStalenessBound(op *op) bool { return d.boundedReads[op.opType] }
 
-// submit puts a new op before the module, under an id of the driver's own. It is false where the id that the client
-// wrote is that of an op still open, whose attempts a member couldn't tell from this one's.
+// submit passes a new op to the module under an ID of the driver's own. It returns false if the ID given by the client
+// belongs to an op that is still open: a member couldn't distinguish the attempts of the two.
 func (d *decider) submit(op *op) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -28,8 +28,8 @@
 		return false
 	}
 	d.openIDs[id] = true
-	d.serial++
-	op.id = strconv.FormatUint(d.serial, 36)
+	d.lastSerial++
+	op.id = strconv.FormatUint(d.lastSerial, 36)
 	d.ops[op.id] = op
 	d.stepLocked(logic.Event{
 		Kind:     logic.EvOp,
@@ -42,8 +42,8 @@
 	return true
 }
 
-// takeActions gives what has been decided for an op since the last call, and the answer if one has come. An op that is
-// finished is forgotten.
+// takeActions returns the actions that were decided for an op since the last call, and its answer, if there is one. A
+// finished op is removed from the open ones.
 func (d *decider) takeActions(op *op) (actions []decidedAction, rows []byte) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -55,26 +55,26 @@
 	return actions, op.rows
 }
 
-// attemptEnded tells the module how the attempt with that index ended. The first good answer is the op's, unless the
-// op was finished before.
+// attemptEnded passes the result of the op's attempt with that index to the module. The first successful answer becomes
+// the op's answer, unless the op was finished before.
 func (d *decider) attemptEnded(op *op, index int, r result) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if r.outcome == logic.OK && !op.finished {
 		op.finished, op.rows = true, r.rows
 	}
-	if d.zones != nil && r.outcome == logic.OK && index < len(op.sentTo) {
-		sent := op.sentTo[index]
-		d.zones.recordAnswer(sent.member, d.members[sent.member].Zone, d.clock.now()-sent.at,
+	if d.zones != nil && r.outcome == logic.OK && index < len(op.zoneAttempts) {
+		sentAttempt := op.zoneAttempts[index]
+		d.zones.recordAnswer(sentAttempt.member, d.members[sentAttempt.member].Zone, d.clock.now()-sentAttempt.decidedAt,
 			d.clock.observation(r.role, r.position).Position)
 	}
-	opened := 0.0
+	connOpenedAt := 0.0
 	if r.outcome == logic.OK && !r.connOpenedAt.IsZero() {
-		opened = d.clock.at(r.connOpenedAt)
+		connOpenedAt = d.clock.at(r.connOpenedAt)
 	}
 	d.stepLocked(logic.Event{
 		Kind:    logic.EvAnswer,
-		Opened:  opened,
+		Opened:  connOpenedAt,
 		Op:      op.id,
 		Send:    index,
 		Member:  r.member,
@@ -88,7 +88,7 @@
 	}
 }
 
-// clientDisconnected tells the module that the client of an op has left.
+// clientDisconnected notifies the module that the client of an op has disconnected.
 func (d *decider) clientDisconnected(op *op) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -98,13 +98,13 @@
 	}
 }
 
-// healthChecked tells the module how a health check of a member ended.
-func (d *decider) healthChecked(member string, r result, took time.Duration) {
+// healthChecked passes the result of a member's health check to the module.
+func (d *decider) healthChecked(member string, r result, latency time.Duration) {
 	d.step(logic.Event{
 		Kind:    logic.EvProbed,
 		Member:  member,
 		Outcome: r.outcome,
-		Took:    float64(took.Microseconds()) / 1000,
+		Took:    float64(latency.Microseconds()) / 1000,
 		Report:  d.clock.observation(r.reportRole, r.reportPosition),
 	})
 }
--- a/internal/driver/discovery.go
+++ b/internal/driver/discovery.go
@@ -10,25 +10,25 @@
 )
 
 const (
-	// watchTimeout is how long discovery may keep a watch waiting, and discoveryTimeout ends a call: a connection that
-	// fell silent is found out, and the list counts as received, within 2 s after the wait.
+	// watchTimeout is how long discovery may delay the response to a watch. A call ends discoveryTimeout after that, so
+	// that a dead connection is detected, or the list counts as received, within 2 s after the wait.
 	watchTimeout     = 1500 * time.Millisecond
 	discoveryTimeout = 1700 * time.Millisecond
 )
 
-// watchDiscovery watches discovery's list from each request of the module until a call fails. A call follows an answer
-// at once, so that no change is missed in between.
+// watchDiscovery watches discovery's list, from each request of the module until a call fails. Each response is
+// followed by the next call at once, so that no change is missed in between.
 func (s *Service) watchDiscovery(ctx context.Context) {
 	defer s.discovery.Close()
-	complete := s.registryConfig != nil // whether a complete list is needed, whatever is held already
+	complete := s.registryConfig != nil // whether to request a complete list, even if there is a known revision
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-s.listRequested:
 		}
-		for ok := true; ok; {
-			complete, ok = s.callDiscovery(ctx, complete)
+		for continueWatch := true; continueWatch; {
+			complete, continueWatch = s.callDiscovery(ctx, complete)
 		}
 		if ctx.Err() != nil {
 			return
@@ -36,23 +36,24 @@
 	}
 }
 
-// callDiscovery makes one call, and says whether the next has to be for a complete list, and whether to go on. Where
-// discovery has moved, the call that is out ends at once, and the next one starts with a complete list.
-func (s *Service) callDiscovery(ctx context.Context, complete bool) (nextComplete, ok bool) {
-	call, cancel := context.WithCancel(ctx)
-	complete = s.takeMove(cancel) || complete
+// callDiscovery makes one call. It reports whether the next call has to request a complete list, and whether to
+// continue the watch. If the address of discovery changes, the current call ends at once and the next one requests a
+// complete list.
+func (s *Service) callDiscovery(ctx context.Context, complete bool) (nextComplete, continueWatch bool) {
+	callCtx, cancel := context.WithCancel(ctx)
+	complete = s.applyDiscoveryAddress(cancel) || complete
 	var response discovery.Response
 	var err error
 	if complete {
-		response, err = s.discovery.List(call)
+		response, err = s.discovery.List(callCtx)
 	} else {
-		response, err = s.discovery.Watch(call, s.discoveryRevision(), watchTimeout)
+		response, err = s.discovery.Watch(callCtx, s.discoveryRevision(), watchTimeout)
 	}
 	cancel()
 	switch {
 	case ctx.Err() != nil:
 		return complete, false
-	case err != nil && s.movePending():
+	case err != nil && s.discoveryAddressChanged():
 		return complete, true
 	case err != nil:
 		s.counters.ListsFailed.Add(1)
@@ -62,38 +63,39 @@
 		return complete, false
 	}
 	s.counters.Lists.Add(1)
-	held := s.discoveryRevision()
+	previous := s.discoveryRevision()
 	if s.updateMembership(discoveryUpdate(response)) != roster.VerdictGap {
 		return false, true
 	}
-	s.log.Warn("list_went_back", "from", held, "to", response.Revision)
+	s.log.Warn("list_went_back", "from", previous, "to", response.Revision)
 	return true, true
 }
 
-// moveDiscovery has the watch follow discovery to another address. The caller holds discoveryMu.
-func (s *Service) moveDiscovery(address string) {
-	s.newDiscovery = address
+// setDiscoveryAddress makes the watch switch to another address of discovery. The caller holds discoveryMu.
+func (s *Service) setDiscoveryAddress(address string) {
+	s.newDiscoveryAddress = address
 	if s.cancelDiscoveryCall != nil {
 		s.cancelDiscoveryCall()
 	}
 	s.requestList()
 }
 
-// takeMove makes calls go to where discovery has moved, and cancel end the call to come.
-func (s *Service) takeMove(cancel func()) (moved bool) {
+// applyDiscoveryAddress switches to a new address of discovery, if there is one, and registers cancel to end the next
+// call.
+func (s *Service) applyDiscoveryAddress(cancel func()) (changed bool) {
 	s.discoveryMu.Lock()
 	defer s.discoveryMu.Unlock()
-	if s.cancelDiscoveryCall = cancel; s.newDiscovery == "" {
+	if s.cancelDiscoveryCall = cancel; s.newDiscoveryAddress == "" {
 		return false
 	}
 	s.discovery.Close()
-	s.discovery.Address, s.newDiscovery = s.newDiscovery, ""
+	s.discovery.Address, s.newDiscoveryAddress = s.newDiscoveryAddress, ""
 	return true
 }
 
-// movePending says whether discovery has moved since the last call began.
-func (s *Service) movePending() bool {
+// discoveryAddressChanged reports whether the address of discovery has changed since the last call began.
+func (s *Service) discoveryAddressChanged() bool {
 	s.discoveryMu.Lock()
 	defer s.discoveryMu.Unlock()
-	return s.newDiscovery != ""
+	return s.newDiscoveryAddress != ""
 }
--- a/internal/driver/fleet.go
+++ b/internal/driver/fleet.go
@@ -14,48 +14,48 @@
 	"weirwind/logic"
 )
 
-// fleet is the other drivers, by whatever way they are reached. The packages behind each way judge what drivers say; no
-// hook and no op waits for a peer.
+// fleet communicates with the other drivers through all configured channels. The package behind each channel decides
+// what follows from the received messages; no hook and no op waits for a peer.
 type fleet struct {
 	service   *Service
-	datagrams *datagrams // the decision modules' messages
-	presence  *presence  // in the registry; nil where drivers are not announced there
-	peers     []*peer    // of the operators' fixed list, by HTTP
-	mesh      *mesh.Mesh // of drivers with a membership of their own; nil where there is none
+	datagrams *datagrams // messages between decision modules
+	presence  *presence  // in the registry; nil if drivers are not announced there
+	peers     []*peer    // from the operators' fixed list, reached by HTTP
+	mesh      *mesh.Mesh // gossip membership of drivers; nil if it is not configured
 
-	mu         sync.Mutex // guards what follows
-	drains     *membership.Drains
-	seeds      []string // of the mesh, from the operators
-	otherSeeds []string // and from the platform or the registry
-	period     time.Duration
+	mu              sync.Mutex // guards what follows
+	drains          *membership.Drains
+	seeds           []string // seeds of the mesh, from the operators
+	discoveredSeeds []string // seeds from the platform or the registry
+	protocolPeriod  time.Duration
 }
 
-// setPeers takes the operators' fixed list.
+// setPeers sets the peers of the operators' fixed list.
 func (f *fleet) setPeers(addresses []string, token string) {
-	for _, a := range addresses {
-		f.peers = append(f.peers, &peer{Client: control.NewClient(a, token), changed: make(chan struct{}, 1)})
+	for _, address := range addresses {
+		f.peers = append(f.peers, &peer{Client: control.NewClient(address, token), changed: make(chan struct{}, 1)})
 	}
 }
 
-// run exchanges with peers until the context ends.
+// run communicates with peers until the context ends.
 func (f *fleet) run(ctx context.Context, group *errgroup.Group) {
-	if p := f.presence; p != nil {
-		group.Go(func() error { p.run(ctx); return nil })
-		group.Go(func() error { p.watcher.Run(ctx); return nil })
+	if presence := f.presence; presence != nil {
+		group.Go(func() error { presence.run(ctx); return nil })
+		group.Go(func() error { presence.watcher.Run(ctx); return nil })
 	}
 	if f.datagrams.conn != nil {
 		group.Go(func() error { f.datagrams.writeLoop(ctx); return nil })
 		group.Go(func() error { f.datagrams.readLoop(ctx, f.service.decider); return nil })
 	}
-	for _, p := range f.peers {
-		group.Go(func() error { p.run(ctx, f.service.switchovers); p.Close(); return nil })
+	for _, peer := range f.peers {
+		group.Go(func() error { peer.run(ctx, f.service.switchovers); peer.Close(); return nil })
 	}
 	if f.mesh != nil {
 		group.Go(func() error { return f.mesh.Run(ctx) })
 	}
 }
 
-// notifyPeers has peers notified of a switchover's change that is new here.
+// notifyPeers starts notifying peers of a switchover whose state has changed.
 func (f *fleet) notifyPeers() {
 	for _, p := range f.peers {
 		select {
@@ -68,35 +68,35 @@
 	}
 }
 
-// setRegistryAddresses takes the addresses of peers that the registry lists, as further seeds of the mesh.
+// setRegistryAddresses adds the peers' addresses in the registry to the seeds of the mesh.
 func (f *fleet) setRegistryAddresses(addresses []netip.AddrPort) {
 	if f.mesh == nil {
 		return
 	}
 	var seeds []string
-	for _, at := range addresses {
-		if f.datagrams.conn != nil { // those are addresses for datagrams
-			seeds = append(seeds, f.meshAddressOf(at))
+	for _, address := range addresses {
+		if f.datagrams.conn != nil { // these are addresses for datagrams
+			seeds = append(seeds, f.meshAddressOf(address))
 		} else {
-			seeds = append(seeds, at.String())
+			seeds = append(seeds, address.String())
 		}
 	}
-	f.setOtherSeeds(seeds)
+	f.setDiscoveredSeeds(seeds)
 }
 
-// onPartitionStatus takes a new partition status or count of drivers from the mesh.
+// onPartitionStatus handles a new partition status or number of drivers from the mesh.
 func (f *fleet) onPartitionStatus(_ membership.PartitionStatus, count int) {
 	f.driverCountChanged(count, true, true)
 }
 
-// driverCountChanged takes how many drivers there are: from the mesh, which alone decides where there is one, or from
-// the registry. toModule says whether the decision module goes by it.
-func (f *fleet) driverCountChanged(count int, fromMesh, toModule bool) {
+// driverCountChanged handles a new number of drivers. If there is a mesh only its count is used, otherwise that of the
+// registry. notifyModule tells whether the decision module gets the count.
+func (f *fleet) driverCountChanged(count int, fromMesh, notifyModule bool) {
 	if !fromMesh && f.mesh != nil {
 		return
 	}
 	f.service.log.Info("drivers", "count", count)
-	if toModule {
+	if notifyModule {
 		f.service.decider.step(logic.Event{Kind: logic.EvDrivers, Drivers: count})
 	}
 	if f.service.registryWatcher != nil {
--- a/internal/driver/fleet_mesh.go
+++ b/internal/driver/fleet_mesh.go
@@ -12,7 +12,7 @@
 	"weirwind/internal/roster"
 )
 
-// openMesh opens the sockets of drivers that keep a membership of their own.
+// openMesh opens the mesh, through which drivers maintain a gossip membership.
 func (f *fleet) openMesh(block operator.Membership, config *configuration) error {
 	service := f.service
 	token, err := readToken(block.TokenFile)
@@ -24,14 +24,14 @@
 		return fmt.Errorf("membership: listen: %w", err)
 	}
 	f.drains = membership.NewDrains(maxDrains, milliseconds(drainRetention))
-	f.seeds, f.period = block.Seeds, block.ProtocolPeriod
+	f.seeds, f.protocolPeriod = block.Seeds, block.ProtocolPeriod
 	expected := block.ExpectedDrivers
 	if expected == 0 {
 		expected = max(config.settings.Opening.Drivers, expectedDrivers(block))
 	}
-	opts := mesh.Options{
+	options := mesh.Options{
 		Name:              config.Name,
-		Zone:              zoneOf(block, config),
+		Zone:              driverZone(block, config),
 		Listen:            listen,
 		Advertise:         block.Advertise,
 		Seeds:             block.Seeds,
@@ -40,7 +40,7 @@
 		ExpectedDrivers:   expected,
 		TakeoverAfter:     block.TakeOverAfter,
 		RandomSeed:        config.settings.Opening.Seed + 2,
-		Run:               uint64(service.decider.clock.unixMs),
+		Run:               uint64(service.decider.clock.startUnixMs),
 		Now:               service.decider.clock.now,
 		Log:               service.log,
 		StateDir:          block.Folder,
@@ -49,85 +49,85 @@
 		OnPartitionStatus: f.onPartitionStatus,
 	}
 	if service.zones != nil {
-		opts.ReceivePayload = service.zones.receive
+		options.ReceivePayload = service.zones.receive
 	}
-	if f.mesh, err = mesh.Open(opts); err != nil {
+	if f.mesh, err = mesh.Open(options); err != nil {
 		return fmt.Errorf("membership: %w", err)
 	}
 	for i, text := range config.Peers {
-		if at, err := netip.ParseAddrPort(text); err == nil && i != config.settings.Index {
-			f.otherSeeds = append(f.otherSeeds, f.meshAddressOf(at))
+		if address, err := netip.ParseAddrPort(text); err == nil && i != config.settings.Index {
+			f.discoveredSeeds = append(f.discoveredSeeds, f.meshAddressOf(address))
 		}
 	}
-	f.reseed()
+	f.applySeeds()
 	f.gossipInitialDrains()
 	return nil
 }
 
-// gossipInitialDrains has peers notified of the drains in the list that the start began with.
+// gossipInitialDrains notifies peers of the drains in the initial list.
 func (f *fleet) gossipInitialDrains() {
 	revision, entries := f.service.membership()
 	var draining []roster.Entry
-	for _, e := range entries {
-		if e := toRoster(fromLearned(e)); e.Phase != roster.PhaseUp {
+	for _, entry := range entries {
+		if e := toRoster(fromLearned(entry)); e.Phase != roster.PhaseUp {
 			draining = append(draining, e)
 		}
 	}
 	f.membershipUpdated(roster.SourceDiscovery, revision, draining)
 }
 
-// zoneOf is the driver's zone: the operators', or else the platform's.
-func zoneOf(block operator.Membership, config *configuration) string {
+// driverZone returns the driver's zone: the one set by the operators, or else the platform's.
+func driverZone(block operator.Membership, config *configuration) string {
 	return cmp.Or(block.Zone, config.settings.Opening.Zone)
 }
 
-// expectedDrivers is how many drivers the seeds name, this one included.
+// expectedDrivers returns the number of distinct drivers in the seeds, including this one.
 func expectedDrivers(block operator.Membership) int {
-	all := append(slices.Clone(block.Seeds), block.Advertise)
+	addresses := append(slices.Clone(block.Seeds), block.Advertise)
 	if block.Advertise == "" {
-		all[len(all)-1] = block.Listen
+		addresses[len(addresses)-1] = block.Listen
 	}
-	slices.Sort(all)
-	return len(slices.Compact(all))
+	slices.Sort(addresses)
+	return len(slices.Compact(addresses))
 }
 
-// meshAddressOf is where the mesh looks for a peer of which only another address is known: the same host, at this
-// driver's port.
+// meshAddressOf returns the address at which the mesh contacts a peer of which only another address is known: the same
+// host with this driver's mesh port.
 func (f *fleet) meshAddressOf(at netip.AddrPort) string {
-	own, err := netip.ParseAddrPort(f.mesh.Address())
+	ownAddress, err := netip.ParseAddrPort(f.mesh.Address())
 	if err != nil {
 		return at.String()
 	}
-	return netip.AddrPortFrom(at.Addr().Unmap(), own.Port()).String()
+	return netip.AddrPortFrom(at.Addr().Unmap(), ownAddress.Port()).String()
 }
 
-// reconfigure takes other seeds and another period from the operators.
+// reconfigure applies changed seeds and protocol period from the operators.
 func (f *fleet) reconfigure(block *operator.Membership) {
 	if f.mesh == nil || block == nil {
 		return
 	}
 	f.mu.Lock()
-	f.seeds, f.period = block.Seeds, block.ProtocolPeriod
+	f.seeds, f.protocolPeriod = block.Seeds, block.ProtocolPeriod
 	f.mu.Unlock()
-	f.reseed()
+	f.applySeeds()
 }
 
-// setOtherSeeds takes seeds beside the operators'.
-func (f *fleet) setOtherSeeds(seeds []string) {
+// setDiscoveredSeeds sets the seeds that don't come from the operators.
+func (f *fleet) setDiscoveredSeeds(seeds []string) {
 	slices.Sort(seeds)
 	f.mu.Lock()
-	same := slices.Equal(seeds, f.otherSeeds)
-	f.otherSeeds = seeds
+	unchanged := slices.Equal(seeds, f.discoveredSeeds)
+	f.discoveredSeeds = seeds
 	f.mu.Unlock()
-	if !same {
-		f.reseed()
+	if !unchanged {
+		f.applySeeds()
 	}
 }
 
-func (f *fleet) reseed() {
+func (f *fleet) applySeeds() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	all := append(slices.Clone(f.seeds), f.otherSeeds...)
-	slices.Sort(all)
-	f.mesh.Reconfigure(slices.Compact(all), f.period)
+	seeds := append(slices.Clone(f.seeds), f.discoveredSeeds...)
+	slices.Sort(seeds)
+	f.mesh.Reconfigure(slices.Compact(seeds), f.protocolPeriod)
 }
--- a/internal/driver/golden_test.go
+++ b/internal/driver/golden_test.go
@@ -11,18 +11,18 @@
 	"weirwind/internal/standin/golden"
 )
 
-// What clients are told in place of an answer, byte for byte.
-func TestRecordedRefusals(t *testing.T) {
+// The replies that clients get in place of an answer are recorded byte for byte.
+func TestRecordedReplies(t *testing.T) {
 	golden.Text(t, "testdata/refusals.golden", []golden.Case[string]{
 		golden.Of("unsupported", string(unsupportedAnswer)), golden.Of("bad token", string(invalidKey)),
 		golden.Of("another statement's", string(keyConflict)), golden.Of("done", string(answerLost)),
 		golden.Of("in doubt", string(outcomeInDoubt)), golden.Of("repeated", string(duplicateID)),
 		golden.Of("failed", string(opFailed)), golden.Of("busy", string(busyAnswer(0))), golden.Of("busy with advice", string(busyAnswer(12.6))),
-		golden.Of("ledger's form", string(statementForm(&pgwire.Statement{OpType: []byte("w"), Group: 7, Text: []byte("insert /* a */ b /* c */")}))),
+		golden.Of("ledger's form", string(canonicalStatement(&pgwire.Statement{OpType: []byte("w"), Group: 7, Text: []byte("insert /* a */ b /* c */")}))),
 	})
 }
 
-// The counters of the log, in their order, and a line in both forms.
+// The log's counters in their order, and a line in both formats.
 func TestRecordedLog(t *testing.T) {
 	var c counters
 	c.Sends.Add(3)
@@ -31,16 +31,16 @@
 		names = append(names, a.(slog.Attr).String())
 	}
 	texts := []golden.Case[string]{golden.Of("counters", strings.Join(names, " "))}
-	for _, form := range []string{"text", "json"} {
-		l, q := newLog(form, slog.LevelInfo, &c.LogLost)
-		l.Info("decided", "text", "a b", "ops", 1)
-		line := string(<-q.lines)
-		texts = append(texts, golden.Of(form, line[strings.Index(line, "level"):]))
+	for _, format := range []string{"text", "json"} {
+		logger, queue := newLog(format, slog.LevelInfo, &c.LogLost)
+		logger.Info("decided", "text", "a b", "ops", 1)
+		line := string(<-queue.lines)
+		texts = append(texts, golden.Of(format, line[strings.Index(line, "level"):]))
 	}
 	golden.Text(t, "testdata/log.golden", texts)
 }
 
-// What the registry holds of a driver, as other drivers of any build read it.
+// A driver's entry in the registry, which drivers of other versions read.
 func TestRecordedAnnouncement(t *testing.T) {
 	b, err := json.Marshal(announcement{HostPort: "127.0.0.1:1", Locality: "a<b", Phase: "up", UpSinceMs: 1767225600000})
 	if err != nil {
@@ -51,7 +51,7 @@
 	}
 }
 
-// What operators read of a configuration that makes no sense.
+// The errors that operators get for an invalid configuration.
 func TestRecordedConfigurationErrors(t *testing.T) {
 	settings := `"settings":{"policy_limits":{"connect_timeout":1,"conn_idle":1}}`
 	var texts []golden.Case[string]
@@ -68,23 +68,24 @@
 	golden.Text(t, "testdata/configuration.golden", texts)
 }
 
-// The log's reasons for closed connections, as operators and their tools read them.
+// The reasons for closed connections in the log, which operators and their tools read.
 func TestRecordedCloseReasons(t *testing.T) {
 	for reason, text := range map[clientClose]string{
-		clientGoesOn: "", clientLeft: "left", clientTerminated: "terminate", clientNoStartup: "no_startup",
-		clientCancelRequest: "cancel_request", clientFramingLost: "framing", clientSilent: "silent",
-		clientUnfinished: "unfinished", clientWriteFailed: "write", clientEvicted: "made_room", clientRejected: "too_many",
-		clientShutdown: "shutdown",
+		clientOpen: "", clientClosed: "left", clientTerminated: "terminate", clientNoStartup: "no_startup",
+		clientCancelRequest: "cancel_request", clientFramingError: "framing", clientNoQuery: "silent",
+		clientIncompleteMessage: "unfinished", clientWriteFailed: "write", clientEvicted: "made_room",
+		clientRejected: "too_many", clientShutdown: "shutdown",
 	} {
 		if string(reason) != text {
 			t.Errorf("%q, not %q", reason, text)
 		}
 	}
 	for reason, text := range map[memberClose]string{
-		memberIdle: "idle", memberSpared: "spared", memberMoved: "moved", memberRemoved: "removed", memberStale: "stale",
-		memberBroken: "broken", memberNoConnection: "no_connection", memberNoWelcome: "no_welcome",
-		memberTurnedAway: "turned_away", memberCut: "cut", memberCancelled: "cancelled", memberTimedOut: "timed_out",
-		memberGarbled: "garbled", memberReset: "reset", memberEnded: "ended",
+		memberIdleTimeout: "idle", memberEvicted: "spared", memberAddressChanged: "moved", memberRemoved: "removed",
+		memberStale:  "stale",
+		memberBroken: "broken", memberNoConnection: "no_connection", memberStartupFailed: "no_welcome",
+		memberRejected: "turned_away", memberWriteFailed: "cut", memberCancelled: "cancelled", memberTimedOut: "timed_out",
+		memberMalformed: "garbled", memberReset: "reset", memberClosedAfterAnswer: "ended",
 	} {
 		if string(reason) != text {
 			t.Errorf("%q, not %q", reason, text)
--- a/internal/driver/ledger.go
+++ b/internal/driver/ledger.go
@@ -15,16 +15,16 @@
 )
 
 const (
-	ledgerTag         = "WWLG" // names this kind of state to the store
-	ledgerAnswerBytes = 4096   // of an answer that is kept
-	ledgerTimeShare   = 0.3    // of an op's time that the disk may take for its record
+	ledgerTag         = "WWLG" // identifies this kind of state in the store
+	ledgerAnswerBytes = 4096   // maximum size of a stored answer
+	ledgerTimeShare   = 0.3    // share of an op's timeout that writing its record may take
 	maxKeyBytes       = 128
-	maxQueuedRecords  = 4096 // that wait for the disk
-	maxRecordBatch    = 256  // records in one write and sync
+	maxQueuedRecords  = 4096 // records that wait for the disk
+	maxRecordBatch    = 256  // records per write and sync
 )
 
-// opLedger carries ops with idempotency keys through. internal/ledger decides what a key means; opLedger brings its
-// records to disk, in the order in which they were returned, and lets no byte for an op out before its record is safe.
+// opLedger executes ops with idempotency keys. internal/ledger decides what to do for a key; opLedger writes its
+// records to disk, in the order in which they were returned, and sends nothing for an op before its record is on disk.
 type opLedger struct {
 	service *Service
 	store   *durable.Store
@@ -34,17 +34,17 @@
 
 	mu     sync.Mutex // guards what follows, and the order of the queue
 	table  *ledger.Table
-	closed bool // the queue is
+	closed bool // whether the queue is closed
 }
 
-// queuedRecord is a record on its way to disk.
+// queuedRecord is a record that is waiting to be written.
 type queuedRecord struct {
 	record  []byte
-	written chan error // gets the result, without being waited for; nil where nobody waits
+	written chan error // receives the result and is buffered; nil if nobody waits
 }
 
-// openLedger recovers the table of keys. A damaged one is an error, as without it keys could run twice: operators have
-// to say that they begin a new one, by moving the folder away.
+// openLedger recovers the table of keys. A damaged table is an error, because without it an op could be executed twice:
+// operators have to move the folder away to start with an empty ledger.
 func (s *Service) openLedger(block operator.Ledger, opTypes []logic.OpType) error {
 	limitBytes := int64(block.LimitMB) << 20
 	limits := ledger.Limits{
@@ -69,12 +69,12 @@
 		done:    make(chan struct{}),
 	}
 	if found.RecordsLost {
-		err = fmt.Errorf("%s has lost records; move it away to begin a new book", block.Folder)
+		err = fmt.Errorf("%s has lost records; move it away to start with an empty ledger", block.Folder)
 	} else if l.table, err = ledger.Load(limits, s.decider.clock.now(), found.Snapshot, found.Records); err == nil {
 		err = store.Compact(l.table.Snapshot())
 	}
 	if err != nil {
-		_ = store.Close() // err is what went wrong
+		_ = store.Close() // the earlier error is returned
 		return fmt.Errorf("ledger: %w", err)
 	}
 	open, acked, unknown, size := l.table.Counts()
@@ -84,30 +84,30 @@
 	return nil
 }
 
-// writeLoop brings records to disk until the queue is closed; those that wait together share a write and a sync.
+// writeLoop writes records to disk until the queue is closed; records that wait together share a write and a sync.
 func (l *opLedger) writeLoop() {
 	defer close(l.done)
 	for first := range l.queue {
 		batch, records := l.nextBatch(first)
 		err := l.writeBatch(records)
-		for _, q := range batch {
-			if q.written != nil {
-				q.written <- err
+		for _, queued := range batch {
+			if queued.written != nil {
+				queued.written <- err
 			}
 		}
 	}
 }
 
-// nextBatch takes what waits in the queue, up to a limit.
+// nextBatch takes the records waiting in the queue, up to maxRecordBatch.
 func (l *opLedger) nextBatch(first queuedRecord) (batch []queuedRecord, records [][]byte) {
 	batch, records = []queuedRecord{first}, [][]byte{first.record}
 	for len(batch) < maxRecordBatch {
 		select {
-		case q, ok := <-l.queue:
+		case queued, ok := <-l.queue:
 			if !ok {
 				return batch, records
 			}
-			batch, records = append(batch, q), append(records, q.record)
+			batch, records = append(batch, queued), append(records, queued.record)
 		default:
 			return batch, records
 		}
@@ -115,12 +115,12 @@
 	return batch, records
 }
 
-// writeBatch appends records, and compacts the store where it needs that or can't append.
+// writeBatch appends records, and compacts the store if it needs compaction or the append failed.
 func (l *opLedger) writeBatch(records [][]byte) error {
 	err := l.store.Append(records...)
 	if err != nil || l.store.NeedsCompaction() {
-		// The snapshot holds what is still in the queue already. Those records follow it in the log, where they can only make
-		// a key that is finished in doubt, which is the safe side.
+		// The snapshot already includes the records that are still queued. They follow it in the log, where at worst they
+		// turn a finished key into one in doubt, which is safe.
 		l.mu.Lock()
 		snapshot := l.table.Snapshot()
 		l.mu.Unlock()
@@ -136,7 +136,7 @@
 	return err
 }
 
-// close brings what is left to disk and closes the store. Ops have ended by then.
+// close writes the remaining records and closes the store. All ops must have ended.
 func (l *opLedger) close() {
 	l.mu.Lock()
 	l.closed = true
@@ -145,20 +145,20 @@
 	select {
 	case <-l.done:
 		_ = l.store.Close() // what was appended is on disk
-	case <-time.After(diskOpenTimeout): // the disk does not answer
+	case <-time.After(diskOpenTimeout): // the disk does not respond
 	}
 }
 
-// covers says whether an op is of a type that the ledger is for: others may be executed twice.
+// covers reports whether an op's type needs the ledger: ops of other types may be executed twice.
 func (l *opLedger) covers(op *op) bool { return l.opTypes[op.opType].Effect != logic.Retryable }
 
-// perform carries an op with a key through.
+// perform executes an op with a key and returns its answer.
 func (l *opLedger) perform(op *op, disconnected <-chan struct{}) []byte {
 	if !validKey(op.statement.IdempotencyKey) {
 		return invalidKey
 	}
-	key, began := string(op.statement.IdempotencyKey), time.Now()
-	verdict, answer, written := l.begin(key, ledger.Fingerprint(statementForm(&op.statement)))
+	key, beganAt := string(op.statement.IdempotencyKey), time.Now()
+	verdict, answer, written := l.begin(key, ledger.Fingerprint(canonicalStatement(&op.statement)))
 	switch verdict {
 	case ledger.Replay:
 		return answer
@@ -172,12 +172,12 @@
 		l.service.counters.BusyReplied.Add(1)
 		return busyAnswer(0)
 	}
-	limit := time.NewTimer(duration(op.statement.Timeout * ledgerTimeShare))
-	defer limit.Stop()
+	timer := time.NewTimer(duration(op.statement.Timeout * ledgerTimeShare))
+	defer timer.Stop()
 	var err error
 	select {
 	case err = <-written:
-	case <-limit.C:
+	case <-timer.C:
 		err = fmt.Errorf("the disk took longer than %.0f ms", op.statement.Timeout*ledgerTimeShare)
 	case <-disconnected:
 		l.finish(key, ledger.StateFree, nil)
@@ -189,19 +189,19 @@
 		l.service.counters.BusyReplied.Add(1)
 		return busyAnswer(0)
 	}
-	op.statement.Timeout = max(op.statement.Timeout-milliseconds(time.Since(began)), 0)
+	op.statement.Timeout = max(op.statement.Timeout-milliseconds(time.Since(beganAt)), 0)
 	answer, end := l.service.execute(op, disconnected)
 	l.finishOp(op, key, end, answer)
 	return answer
 }
 
-// finishOp finishes the key of an op that was executed.
+// finishOp records the result of an executed op for its key.
 func (l *opLedger) finishOp(op *op, key string, end opEnd, answer []byte) {
 	switch {
 	case end == endAcked:
 		l.finish(key, ledger.StateAcked, answer)
 	case end == endNotStarted, end == endBusy && l.opTypes[op.opType].Effect == logic.NonRetryable:
-		l.finish(key, ledger.StateFree, nil) // no attempt at it can have been executed
+		l.finish(key, ledger.StateFree, nil) // no attempt can have been executed
 	default:
 		l.finish(key, ledger.StateUnknown, nil)
 	}
@@ -211,8 +211,8 @@
 	return len(key) > 0 && len(key) <= maxKeyBytes && utf8.Valid(key) && !bytes.ContainsAny(key, " '\"\x00\r\n")
 }
 
-// statementForm is a statement without its comment, which differs between a client's attempts.
-func statementForm(statement *pgwire.Statement) []byte {
+// canonicalStatement returns a statement without its comment, which differs between a client's attempts.
+func canonicalStatement(statement *pgwire.Statement) []byte {
 	text := statement.Text
 	if i := bytes.LastIndex(text, []byte(" /* ")); i >= 0 {
 		text = text[:i]
@@ -220,7 +220,7 @@
 	return append(append(bytes.Clone(statement.OpType), ' '), fmt.Sprintf("%d %s", statement.Group, text)...)
 }
 
-// begin begins a key. With Execute written gets the result of writing its record.
+// begin starts an op with a key. With verdict Execute, written receives the result of writing its record.
 func (l *opLedger) begin(key string, fingerprint uint64) (verdict ledger.Verdict, answer []byte, written chan error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -230,24 +230,24 @@
 	}
 	written = make(chan error, 1)
 	if !l.enqueue(queuedRecord{record, written}) {
-		l.table.Finish(l.service.decider.clock.now(), key, ledger.StateFree, nil) // its record is nowhere
+		l.table.Finish(l.service.decider.clock.now(), key, ledger.StateFree, nil) // no record was written
 		return ledger.TableFull, nil, nil
 	}
 	return verdict, nil, written
 }
 
-// finish finishes a key that was begun.
+// finish sets the final state of a key that was begun.
 func (l *opLedger) finish(key string, state ledger.State, answer []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	record := l.table.Finish(l.service.decider.clock.now(), key, state, answer)
 	if record != nil && !l.enqueue(queuedRecord{record: record}) {
-		// The disk is far behind. Without this record the key is in doubt after a restart, which is the safe side.
+		// The disk is too slow. Without this record the key is in doubt after a restart, which is safe.
 		l.service.log.Warn("ledger_failed", "error", "the queue is full")
 	}
 }
 
-// enqueue queues a record in order; false where there is no room. The caller holds the lock.
+// enqueue appends a record to the queue, and reports whether there was room. The caller holds the lock.
 func (l *opLedger) enqueue(queued queuedRecord) bool {
 	if l.closed {
 		return false
--- a/internal/driver/log.go
+++ b/internal/driver/log.go
@@ -9,26 +9,26 @@
 
 const logQueueLines = 4096
 
-// logQueue is a writer that never blocks: it passes lines on to a slower one, and drops and counts those that can't be
-// written in time.
+// logQueue is a writer that never blocks: it queues lines for a slower writer, and drops and counts lines for which the
+// queue has no room.
 type logQueue struct {
 	lines chan []byte
 	lost  *atomic.Int64
 }
 
-// newLog makes the log and the queue that its lines go through. The format is "text", as name=value, or "json".
+// newLog returns a logger and the queue that its lines go through. The format is "text", as name=value, or "json".
 func newLog(format string, level slog.Leveler, lost *atomic.Int64) (*slog.Logger, *logQueue) {
 	q := &logQueue{make(chan []byte, logQueueLines), lost}
-	o := &slog.HandlerOptions{Level: level, ReplaceAttr: func(groups []string, a slog.Attr) slog.Attr {
+	options := &slog.HandlerOptions{Level: level, ReplaceAttr: func(groups []string, a slog.Attr) slog.Attr {
 		if a.Key == slog.MessageKey && len(groups) == 0 {
 			a.Key = "event"
 		}
 		return a
 	}}
 	if format == "json" {
-		return slog.New(slog.NewJSONHandler(q, o)), q
+		return slog.New(slog.NewJSONHandler(q, options)), q
 	}
-	return slog.New(slog.NewTextHandler(q, o)), q
+	return slog.New(slog.NewTextHandler(q, options)), q
 }
 
 // Write queues a line. It never fails.
@@ -41,24 +41,24 @@
 	return len(line), nil
 }
 
-// writeTo writes lines until the context ends, then those that are left.
+// writeTo writes lines until the context ends, then the remaining ones.
 func (q *logQueue) writeTo(ctx context.Context, to io.Writer) {
 	for {
 		select {
 		case line := <-q.lines:
-			_, _ = to.Write(line) // there is no other place to say that the log fails
+			_, _ = to.Write(line) // a failure of the log can't be reported anywhere else
 		case <-ctx.Done():
-			q.writeRest(to)
+			q.writeRemaining(to)
 			return
 		}
 	}
 }
 
-func (q *logQueue) writeRest(to io.Writer) {
+func (q *logQueue) writeRemaining(to io.Writer) {
 	for {
 		select {
 		case line := <-q.lines:
-			_, _ = to.Write(line) // likewise
+			_, _ = to.Write(line) // as above
 		default:
 			return
 		}
--- a/internal/driver/log_test.go
+++ b/internal/driver/log_test.go
@@ -5,12 +5,12 @@
 	"testing"
 )
 
-// Lines that can't be written in time are dropped and counted; who logs never waits.
+// Lines for which the queue has no room are dropped and counted; logging never blocks.
 func TestLogNeverBlocks(t *testing.T) {
 	var c counters
-	l, q := newLog("text", slog.LevelInfo, &c.LogLost)
-	for range cap(q.lines) + 5 {
-		l.Info("x")
+	logger, queue := newLog("text", slog.LevelInfo, &c.LogLost)
+	for range cap(queue.lines) + 5 {
+		logger.Info("x")
 	}
 	if c.LogLost.Load() != 5 {
 		t.Errorf("%d lines lost", c.LogLost.Load())
--- a/internal/driver/membership.go
+++ b/internal/driver/membership.go
@@ -9,36 +9,36 @@
 	"weirwind/logic"
 )
 
-const maxLoggedMembers = 8 // members in a line of the log
+const maxLoggedMembers = 8 // members per log line
 
-// initMembership takes the list that a start begins with. It is discovery's, which goes on from its revision; where
-// there is a registry beside it, nobody knows whose it is.
-func (s *Service) initMembership(known discovery.Response) {
-	u := discoveryUpdate(known)
-	if u.Snapshot = true; s.registryConfig != nil {
-		u.Source = roster.SourceKnown
+// initMembership sets the initial list. Without a registry it counts as discovery's list, and the watch continues from
+// its revision; with a registry its source is unknown.
+func (s *Service) initMembership(initial discovery.Response) {
+	update := discoveryUpdate(initial)
+	if update.Snapshot = true; s.registryConfig != nil {
+		update.Source = roster.SourceKnown
 	}
 	s.rosterMu.Lock()
 	defer s.rosterMu.Unlock()
-	out := s.roster.Apply(s.decider.clock.now(), u)
-	s.roster.SetDisconnected(u.Source)
-	s.publish(out, logic.ListCached)
+	outcome := s.roster.Apply(s.decider.clock.now(), update)
+	s.roster.SetDisconnected(update.Source)
+	s.publish(outcome, logic.ListCached)
 }
 
-// updateMembership takes a list or changes from a source, and says what the roster, which chooses between sources,
-// makes of them.
+// updateMembership applies a list or changes from a source, and returns the verdict of the roster, which chooses
+// between sources.
 func (s *Service) updateMembership(update roster.Update) roster.Verdict {
 	s.rosterMu.Lock()
 	defer s.rosterMu.Unlock()
-	out := s.roster.Apply(s.decider.clock.now(), update)
-	s.publish(out, logic.ListChanges)
-	if out.Verdict != roster.VerdictGap && out.Verdict != roster.VerdictUnconfirmed {
-		s.fleet.membershipUpdated(update.Source, update.Revision, out.Changes)
+	outcome := s.roster.Apply(s.decider.clock.now(), update)
+	s.publish(outcome, logic.ListChanges)
+	if outcome.Verdict != roster.VerdictGap && outcome.Verdict != roster.VerdictUnconfirmed {
+		s.fleet.membershipUpdated(update.Source, update.Revision, outcome.Changes)
 	}
-	return out.Verdict
+	return outcome.Verdict
 }
 
-// sourceDisconnected notes that a source can't be reached.
+// sourceDisconnected records that a source can't be reached.
 func (s *Service) sourceDisconnected(source roster.Source) {
 	s.rosterMu.Lock()
 	defer s.rosterMu.Unlock()
@@ -46,26 +46,26 @@
 	s.publish(s.roster.Tick(s.decider.clock.now()), logic.ListChanges)
 }
 
-// tickRoster lets another source take the lead when it is time.
+// tickRoster lets the roster fail over to another source when a timeout has passed.
 func (s *Service) tickRoster() {
 	s.rosterMu.Lock()
 	defer s.rosterMu.Unlock()
-	if out := s.roster.Tick(s.decider.clock.now()); len(out.Changes)+len(out.Notes) > 0 {
-		s.publish(out, logic.ListChanges)
+	if outcome := s.roster.Tick(s.decider.clock.now()); len(outcome.Changes)+len(outcome.Notes) > 0 {
+		s.publish(outcome, logic.ListChanges)
 	}
 }
 
-// publish passes the roster's changes on: addresses first, so that attempts find them. The caller holds rosterMu, so
-// that changes are passed on in their order.
-func (s *Service) publish(out roster.Outcome, kind logic.ListKind) {
-	for _, text := range out.Notes {
+// publish passes the roster's changes to the pool, then to the module, so that attempts find the addresses. The caller
+// holds rosterMu, so that changes are published in order.
+func (s *Service) publish(outcome roster.Outcome, kind logic.ListKind) {
+	for _, text := range outcome.Notes {
 		s.log.Warn("roster", "text", text)
 	}
-	changes := make([]discovery.Entry, 0, len(out.Changes))
+	changes := make([]discovery.Entry, 0, len(outcome.Changes))
 	var logged []string
-	for i, e := range out.Changes {
-		if changes = append(changes, fromRoster(e)); i < maxLoggedMembers {
-			logged = append(logged, e.ID+"="+changes[i].Phase)
+	for i, entry := range outcome.Changes {
+		if changes = append(changes, fromRoster(entry)); i < maxLoggedMembers {
+			logged = append(logged, entry.ID+"="+changes[i].Phase)
 		}
 	}
 	if len(changes) > 0 {
@@ -74,31 +74,31 @@
 			strings.Join(logged, ","))
 	}
 	s.pool.setMembers(changes, false)
-	s.decider.updateMembership(kind, changes) // also without changes: a list has come
+	s.decider.updateMembership(kind, changes) // also without changes: a list was received
 	if s.stateSaver != nil {
 		s.stateSaver.recordMembership(s.discoveryRevisionLocked(), len(changes) > 0)
 	}
 }
 
-// discoveryRevision is up to which revision discovery's list is held.
+// discoveryRevision returns the revision of discovery's list that the roster has.
 func (s *Service) discoveryRevision() int64 {
 	s.rosterMu.Lock()
 	defer s.rosterMu.Unlock()
 	return s.discoveryRevisionLocked()
 }
 
-// membership is the roster's members, and the revision of discovery's list that is held.
+// membership returns the roster's members, and the revision of discovery's list that the roster has.
 func (s *Service) membership() (revision int64, entries []learned.Entry) {
 	s.rosterMu.Lock()
 	defer s.rosterMu.Unlock()
-	for _, e := range s.roster.Members() {
-		entries = append(entries, toLearned(fromRoster(e)))
+	for _, entry := range s.roster.Members() {
+		entries = append(entries, toLearned(fromRoster(entry)))
 	}
 	return s.discoveryRevisionLocked(), entries
 }
 
-// discoveryRevisionLocked is up to which revision discovery's list is held, or that of the start's list; a registry
-// has revisions of its own. The caller holds rosterMu.
+// discoveryRevisionLocked returns the revision of discovery's list that the roster has, or else that of the initial
+// list. The revisions of a registry are independent of it. The caller holds rosterMu.
 func (s *Service) discoveryRevisionLocked() int64 {
 	if _, revision, known := s.roster.Revision(roster.SourceDiscovery); known {
 		return revision
--- a/internal/driver/op.go
+++ b/internal/driver/op.go
@@ -7,31 +7,31 @@
 	"weirwind/logic"
 )
 
-// staleAfter is how much longer an attempt may be held up than it was decided for. One that depends on how old data is
-// goes out within it or, behind a slow connect or a pause of the machine, not at all: the module then decides again.
+// staleAfter is the validity of a decision that depends on how old a member's data is. Its attempt is sent within that
+// time or, after a slow connect or a pause of the machine, not at all: the module then decides again.
 const staleAfter = 50 * time.Millisecond
 
-// op is one statement of a client, from its submission to its answer.
+// op is one statement of a client, from its submission until its answer.
 type op struct {
-	id        string // the driver's own
+	id        string // assigned by the driver
 	opType    int    // index in the module's opening
 	statement pgwire.Statement
-	ready     chan struct{} // signaled when there are actions or an answer; holds one signal
+	ready     chan struct{} // signaled when there are actions or an answer; buffers one signal
 
-	// Under the decider's lock.
-	pending  []decidedAction // decided and not yet carried out
-	finished bool            // its answer is decided, or its client has left; never reset
-	rows     []byte          // the first good answer, as the member gave it
-	sentTo   []zoneAttempt   // by attempt, where zones are decided on
+	// Guarded by the decider's lock.
+	pending      []decidedAction // decided but not yet carried out
+	finished     bool            // its answer is decided or its client has disconnected; never reset
+	rows         []byte          // the first successful answer, as the member sent it
+	zoneAttempts []zoneAttempt   // by attempt; used if decisions about zones are enabled
 }
 
-// zoneAttempt is where an attempt went, and when that was decided on the module's clock.
+// zoneAttempt is the member of an attempt, and when it was decided on the module's clock.
 type zoneAttempt struct {
-	member string
-	at     float64
+	member    string
+	decidedAt float64
 }
 
-// decidedAction is an action of the module on an op, and when it was decided.
+// decidedAction is an action of the module for an op, and when it was decided.
 type decidedAction struct {
 	logic.Action
 	decidedAt time.Time
@@ -61,11 +61,11 @@
 	endAcked
 	endBusy
 	endFailed
-	endClientDisconnected // with attempts out
+	endClientDisconnected // while attempts were in flight
 )
 
-// perform carries an op through and returns its complete answer, or nil if the client left; disconnected is closed
-// when it does. A write that must not run twice and has an idempotency key goes by the ledger, where there is one.
+// perform executes an op and returns its complete answer, or nil if the client disconnected, which closes disconnected.
+// A write that must not run twice and has an idempotency key goes through the ledger, if there is one.
 func (s *Service) perform(op *op, disconnected <-chan struct{}) []byte {
 	if s.ledger != nil && op.statement.Write && op.statement.IdempotencyKey != nil && s.ledger.covers(op) {
 		return s.ledger.perform(op, disconnected)
@@ -74,14 +74,14 @@
 	return answer
 }
 
-// execute submits an op to the module, carries out what it decides until the op is finished, and says how it ended. It
-// decides nothing itself: no retry, no choice and no timeout.
+// execute submits an op to the module, carries out the module's actions until the op is finished, and returns the
+// answer and how the op ended. All retries, choices of members and timeouts are decided by the module.
 func (s *Service) execute(op *op, disconnected <-chan struct{}) ([]byte, opEnd) {
 	if !s.decider.submit(op) {
 		return duplicateID, endNotStarted
 	}
 	s.counters.Ops.Add(1)
-	var attempts []*attempt // by their index in actions; local, so that a few need no allocation
+	var attempts []*attempt // by their index in actions; local, so that a few need no allocation on the heap
 	for {
 		clientDisconnected := false
 		select {
@@ -101,8 +101,8 @@
 			}
 		}
 		if answer != nil || rows != nil || clientDisconnected {
-			for _, x := range attempts {
-				x.forbidWrites() // nothing is sent for an op once its answer is due
+			for _, started := range attempts {
+				started.forbidWrites() // nothing is sent for an op once its answer is decided
 			}
 		}
 		switch {
@@ -121,15 +121,15 @@
 	}
 }
 
-// applyAction carries out an action on an op, other than a new attempt. There is an answer where the module decided on
-// one.
+// applyAction carries out an action for an op, other than a new attempt. It returns an answer if the module decided on
+// one, or nil.
 func (s *Service) applyAction(action decidedAction, attempts []*attempt) (answer []byte, end opEnd) {
 	switch action.Kind {
 	case logic.ActCancel:
-		if x := attempts[action.Send]; action.Wait > 0 {
-			time.AfterFunc(duration(action.Wait), x.cancel)
+		if started := attempts[action.Send]; action.Wait > 0 {
+			time.AfterFunc(duration(action.Wait), started.cancel)
 		} else {
-			x.cancel()
+			started.cancel()
 		}
 	case logic.ActRefuse:
 		s.counters.BusyReplied.Add(1)
@@ -141,15 +141,15 @@
 	return nil, endNotStarted
 }
 
-// startAttempt starts the op's attempt with that index; its result goes to the decider.
+// startAttempt starts the op's attempt with that index and passes its result to the decider.
 func (s *Service) startAttempt(op *op, action decidedAction, index int) *attempt {
-	x := s.pool.newAttempt(action.Member, &op.statement, duration(action.Wait))
-	if s.decider.staleDataMatters(op) {
-		x.staleAt = action.decidedAt.Add(staleAfter)
+	attempt := s.pool.newAttempt(action.Member, &op.statement, duration(action.Wait))
+	if s.decider.hasStalenessBound(op) {
+		attempt.staleAt = action.decidedAt.Add(staleAfter)
 	}
 	s.inFlight.Go(func() error {
-		s.decider.attemptEnded(op, index, x.run())
+		s.decider.attemptEnded(op, index, attempt.run())
 		return nil
 	})
-	return x
+	return attempt
 }
--- a/internal/driver/peer.go
+++ b/internal/driver/peer.go
@@ -8,20 +8,20 @@
 	"weirwind/internal/switchover"
 )
 
-// peerPollInterval is the time between calls for what a peer of the fixed list knows.
+// peerPollInterval is the time between polls of a peer's switchovers.
 const peerPollInterval = time.Second
 
-// peer is another driver of the operators' fixed list, with which switchovers are exchanged by HTTP.
+// peer is another driver from the operators' fixed list, with which switchovers are exchanged by HTTP.
 type peer struct {
 	*control.Client
-	changed     chan struct{} // signaled when something is new here
+	changed     chan struct{} // signaled when the state of a switchover has changed here
 	unreachable bool          // the last call failed
 }
 
-// run exchanges with the peer at the start and every second, and notifies it at once of what is new here. One that
-// can't be reached learns of it by the next call, its own or this driver's.
+// run exchanges switchovers with the peer at the start and every second, and notifies it of changes at once. A peer
+// that can't be reached learns of them by the next call, its own or this driver's.
 func (p *peer) run(ctx context.Context, switchovers *switchovers) {
-	known := map[int64]switchover.Notification{} // what the peer knows of each group, by notificationKey
+	known := map[int64]switchover.Notification{} // the state known to the peer, by group; see notificationKey
 	for {
 		err := p.exchange(ctx, switchovers, known)
 		if unreachable := err != nil; unreachable != p.unreachable && ctx.Err() == nil {
@@ -37,14 +37,14 @@
 	}
 }
 
-// exchange gets what the peer knows, and notifies it until nothing is new here.
+// exchange fetches the peer's switchovers, and notifies it until it knows all of this driver's.
 func (p *peer) exchange(ctx context.Context, switchovers *switchovers, known map[int64]switchover.Notification) error {
-	all, err := p.Client.Status(ctx)
-	for _, c := range all {
-		if err := switchovers.HandlePeer(c.Notification); err != nil {
+	statuses, err := p.Client.Status(ctx)
+	for _, status := range statuses {
+		if err := switchovers.HandlePeer(status.Notification); err != nil {
 			switchovers.service.log.Warn("switch", "fellow", p.Address, "error", err)
 		}
-		known[c.Group] = notificationKey(c.Notification)
+		known[status.Group] = notificationKey(status.Notification)
 	}
 	for err == nil {
 		err = p.notifyOfNew(ctx, switchovers, known)
@@ -57,13 +57,13 @@
 	return err
 }
 
-// notifyOfNew sends what the peer doesn't know yet.
+// notifyOfNew sends the switchovers whose state the peer doesn't know yet.
 func (p *peer) notifyOfNew(ctx context.Context, switchovers *switchovers,
 	known map[int64]switchover.Notification) (err error) {
 	var notifications []switchover.Notification
-	for _, c := range switchovers.Status() {
-		if known[c.Group] != notificationKey(c.Notification) {
-			notifications = append(notifications, c.Notification)
+	for _, status := range switchovers.Status() {
+		if known[status.Group] != notificationKey(status.Notification) {
+			notifications = append(notifications, status.Notification)
 		}
 	}
 	if len(notifications) > 0 {
@@ -75,7 +75,7 @@
 	return err
 }
 
-// notificationKey is what tells one state of a change from another; a lease's rest, say, does not.
+// notificationKey returns the fields that identify a state of a switchover, and omits others, like the remaining lease.
 func notificationKey(notification switchover.Notification) switchover.Notification {
 	return switchover.Notification{
 		Group:    notification.Group,
--- a/internal/driver/performer.go
+++ b/internal/driver/performer.go
@@ -6,12 +6,12 @@
 	"weirwind/logic"
 )
 
-// maxHealthChecks are open at a time; the module decides on more anew, later.
+// maxHealthChecks limits concurrent health checks; the module decides again later on those beyond the limit.
 const maxHealthChecks = 64
 
 // The methods of this file make Service the decider's performer. They are called under the decider's lock.
 
-// checkHealth sends a health check to a member; its result goes to the decider.
+// checkHealth sends a health check to a member and passes its result to the decider.
 func (s *Service) checkHealth(member string) {
 	if s.openHealthChecks.Add(1) > maxHealthChecks {
 		s.openHealthChecks.Add(-1)
@@ -34,7 +34,7 @@
 
 func (s *Service) sendToPeers(data []byte) { s.fleet.datagrams.send(data) }
 
-// requestList has the watch of discovery go on after a failure.
+// requestList resumes the watch of discovery after a failure.
 func (s *Service) requestList() {
 	select {
 	case s.listRequested <- struct{}{}:
--- a/internal/driver/pool.go
+++ b/internal/driver/pool.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	idleTimeoutShare  = 0.9 // of the time after which a member closes an idle connection: then this side does
+	idleTimeoutShare  = 0.9 // share of a member's idle timeout after which the pool closes an idle connection itself
 	memberBufferBytes = 4096
-	settleTime        = 10 * time.Millisecond // after which the end of a connection that a member closed has come
-	forgetAfter       = time.Minute           // from when a removed member's address isn't needed any more
+	closeSettleTime   = 10 * time.Millisecond // after an answer, within which a close by the member has arrived
+	addressRetention  = time.Minute           // for which a removed member's address is kept
 )
 
-// pool knows where members listen and keeps connections that can be used again. No connection is shared between two
-// requests, and none is kept whose last exchange did not end cleanly.
+// pool has the addresses of members and their idle connections. A connection is never shared by two requests, and is
+// closed if its last exchange did not end cleanly.
 type pool struct {
 	connectTimeout, idleTimeout time.Duration
 	budget                      *budget // of sockets
@@ -36,43 +36,43 @@
 // poolMember is a member's address and its idle connections.
 type poolMember struct {
 	address    string
-	idle       []*memberConn // the newest last
-	removedAt  time.Time     // by the list; zero while it is listed
+	idle       []*memberConn // most recently used last
+	removedAt  time.Time     // when it left the list; zero while it is listed
 	lastDialed time.Time
 }
 
-// setMembers takes where members listen, from a complete list or changes. Connections to removed members are closed;
-// their addresses go later (see reap), as an attempt that was decided before may still need one.
+// setMembers updates the members' addresses from a complete list or changes. Idle connections to removed members are
+// closed; their addresses are deleted later (see reap), as an attempt that was decided before may still need one.
 func (p *pool) setMembers(entries []discovery.Entry, complete bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	listed := map[*poolMember]bool{}
-	for _, e := range entries {
-		m := p.members[e.ID]
-		if e.Phase == discovery.PhaseRemoved {
+	present := map[*poolMember]bool{}
+	for _, entry := range entries {
+		m := p.members[entry.ID]
+		if entry.Phase == discovery.PhaseRemoved {
 			p.remove(m)
 			continue
 		}
 		if m == nil {
 			m = &poolMember{}
-			p.members[e.ID] = m
+			p.members[entry.ID] = m
 		}
-		if e.Address != m.address {
-			p.closeIdle(m, memberMoved)
-			m.address = e.Address
+		if entry.Address != m.address {
+			p.closeIdle(m, memberAddressChanged)
+			m.address = entry.Address
 		}
-		listed[m], m.removedAt = true, time.Time{}
+		present[m], m.removedAt = true, time.Time{}
 	}
 	if complete {
 		for _, m := range p.members {
-			if !listed[m] {
+			if !present[m] {
 				p.remove(m)
 			}
 		}
 	}
 }
 
-// remove notes that a member has left the list; nil for one that is not known. The caller holds the lock.
+// remove records that a member, nil if it is unknown, has left the list. The caller holds the lock.
 func (p *pool) remove(member *poolMember) {
 	if member != nil && member.removedAt.IsZero() {
 		member.removedAt = time.Now()
@@ -88,64 +88,66 @@
 	member.idle = nil
 }
 
-// reap closes connections that have been idle for too long until the context ends, and then all.
+// reap closes connections that have been idle for too long, until the context ends; then it closes all.
 func (p *pool) reap(ctx context.Context) {
 	tick := time.NewTicker(max(p.idleTimeout/20, 10*time.Millisecond))
 	defer tick.Stop()
-	for done := false; !done; {
+	for stopping := false; !stopping; {
 		limit := p.idleTimeout
 		select {
 		case <-ctx.Done():
-			done, limit = true, -1
+			stopping, limit = true, -1
 		case <-tick.C:
 		}
 		p.mu.Lock()
-		for id, m := range p.members {
-			if !m.removedAt.IsZero() && time.Since(m.removedAt) > forgetAfter && time.Since(m.lastDialed) > forgetAfter {
+		for name, m := range p.members {
+			if !m.removedAt.IsZero() && time.Since(m.removedAt) > addressRetention &&
+				time.Since(m.lastDialed) > addressRetention {
 				p.closeIdle(m, memberRemoved)
-				delete(p.members, id)
+				delete(p.members, name)
 			}
-			n := 0
-			for n < len(m.idle) && time.Since(m.idle[n].idleSince) > limit {
+			expired := 0
+			for expired < len(m.idle) && time.Since(m.idle[expired].idleSince) > limit {
 				p.counters.IdleClosed.Add(1)
-				p.closeConn(m.idle[n], memberIdle)
-				n++
+				p.closeConn(m.idle[expired], memberIdleTimeout)
+				expired++
 			}
-			m.idle = m.idle[n:]
+			m.idle = m.idle[expired:]
 		}
 		p.mu.Unlock()
 	}
 }
 
-// closeConn closes a connection, frees its place in the budget and logs it.
+// closeConn closes a connection, frees its slot in the budget and logs the reason.
 func (p *pool) closeConn(conn *memberConn, reason memberClose) {
 	conn.Close()
 	p.budget.release(1)
 	p.counters.Open.Add(-1)
-	p.log.Info("member_closed", "member", conn.member, "reason", string(reason), "served", conn.served,
-		"age_ms", time.Since(conn.openedAt).Milliseconds(), "rested_ms", conn.idleFor.Milliseconds())
+	p.log.Info("member_closed", "member", conn.member, "reason", string(reason), "served", conn.requests,
+		"age_ms", time.Since(conn.openedAt).Milliseconds(), "rested_ms", conn.idleTime.Milliseconds())
 }
 
-// takeIdle takes the newest idle connection that isn't broken, preferably one that has settled: members close some
-// right after an answer, and a request that crosses such a close may have been executed. nil for none.
+// takeIdle takes the most recently used idle connection that isn't broken, preferably one that has been idle for longer
+// than closeSettleTime: members close some connections right after an answer, and if a request crosses such a close it
+// is unknown whether it was executed. It returns nil if there is none.
 func (p *pool) takeIdle(member string) *memberConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	m := p.members[member]
 	for m != nil && len(m.idle) > 0 {
-		at := len(m.idle) - 1
-		for i := at; i >= 0; i-- {
-			if time.Since(m.idle[i].idleSince) > settleTime {
-				at = i
+		index := len(m.idle) - 1
+		for i := index; i >= 0; i-- {
+			if time.Since(m.idle[i].idleSince) > closeSettleTime {
+				index = i
 				break
 			}
 		}
-		c := m.idle[at]
-		m.idle = slices.Delete(m.idle, at, at+1)
-		switch c.idleFor = time.Since(c.idleSince); {
-		case c.idleFor > p.idleTimeout:
+		c := m.idle[index]
+		m.idle = slices.Delete(m.idle, index, index+1)
+		switch c.idleTime = time.Since(c.idleSince); {
+		case c.idleTime > p.idleTimeout:
 			p.counters.IdleClosed.Add(1)
-			p.closeConn(c, memberIdle)
+			p.closeConn(c, memberIdleTimeout)
 		case c.broken():
 			p.counters.Broken.Add(1)
 			p.closeConn(c, memberBroken)
@@ -169,7 +171,7 @@
 	m.idle = append(m.idle, conn)
 }
 
-// dial connects to a member and waits until it is ready. Where there is no connection the outcome says why.
+// dial connects to a member and waits until it is ready. If that fails it returns nil and the outcome.
 func (p *pool) dial(ctx context.Context, member string) (*memberConn, logic.Outcome) {
 	p.mu.Lock()
 	address := ""
@@ -177,7 +179,7 @@
 		address, m.lastDialed = m.address, time.Now()
 	}
 	p.mu.Unlock()
-	if !p.budget.acquire(1) && !p.closeOldestIdle() {
+	if !p.budget.acquire(1) && !p.evictOldestIdle() {
 		return nil, logic.Full
 	}
 	p.counters.Dials.Add(1)
@@ -195,13 +197,13 @@
 		openedAt: time.Now()}
 	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
-	if c.raw, err = conn.(*net.TCPConn).SyscallConn(); err != nil {
+	if c.rawConn, err = conn.(*net.TCPConn).SyscallConn(); err != nil {
 		p.closeConn(c, memberNoConnection)
 		return nil, logic.ConnectFailed
 	}
 	outcome, reason := c.startup()
-	if outcome == logic.OK && !stop() { // the deadline in the past is on the connection
-		outcome, reason = logic.ConnectFailed, memberNoWelcome
+	if outcome == logic.OK && !stop() { // the context has ended, and the connection has a deadline in the past
+		outcome, reason = logic.ConnectFailed, memberStartupFailed
 	}
 	if outcome != logic.OK {
 		p.closeConn(c, reason)
@@ -210,8 +212,8 @@
 	return c, logic.OK
 }
 
-// closeOldestIdle closes the connection that has been idle for longest, and takes its place in the budget.
-func (p *pool) closeOldestIdle() bool {
+// evictOldestIdle closes the connection that has been idle for longest, and takes its slot in the budget.
+func (p *pool) evictOldestIdle() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var oldest *poolMember
@@ -223,7 +225,7 @@
 	if oldest == nil {
 		return false
 	}
-	p.closeConn(oldest.idle[0], memberSpared)
+	p.closeConn(oldest.idle[0], memberEvicted)
 	oldest.idle = oldest.idle[1:]
 	return p.budget.acquire(1)
 }
--- a/internal/driver/presence.go
+++ b/internal/driver/presence.go
@@ -16,39 +16,39 @@
 )
 
 const (
-	leaseCallTimeout = 3 * time.Second // for one call about the lease
+	leaseCallTimeout = 3 * time.Second // for one call that grants or renews the lease
 	revokeTimeout    = time.Second
-	silentLeases     = 2.0 // a listed peer that sent no message for so many leases is silent
+	silentLeaseTTLs  = 2.0 // in lease TTLs: a listed peer without a message for this long is silent
 )
 
-// presence announces the driver in the registry by a lease, and follows which other drivers are announced. roster
-// decides on both.
+// presence announces the driver in the registry by a lease, and watches which other drivers are announced. Package
+// roster decides on both.
 type presence struct {
-	service     *Service
-	leaseClient registry.LeaseClient
-	watcher     *registry.Watcher
-	key         string
-	value       []byte
-	mayMessage  bool // messages to peers are allowed
-
-	// The announcing goroutine's.
+	service         *Service
+	leaseClient     registry.LeaseClient
+	watcher         *registry.Watcher
+	key             string
+	value           []byte
+	messagesAllowed bool // whether messages to peers are allowed
+
+	// Used by the announcing goroutine only.
 	lease         *roster.Presence
-	leaseID       string // the last granted; empty before
-	endpoint      int    // of the registry, by its index
-	announced     bool   // as it was logged last, as are the two that follow
-	nameTaken     bool   // another driver has the name
+	leaseID       string // of the last granted lease; empty before the first
+	endpoint      int    // index of the registry endpoint in use
+	announced     bool   // as last logged, like the two fields that follow
+	nameTaken     bool   // another driver uses the name
 	loggedLeaseID string
 
 	mu        sync.Mutex // guards what follows
 	drivers   *roster.Roster
 	peers     roster.Peers
 	peerNames map[netip.AddrPort]string
-	connected bool // to the registry
-	count     int  // of drivers, this one included
+	connected bool // whether the registry is connected
+	count     int  // number of drivers, including this one
 }
 
-// announcement is what the registry holds of a driver: an entry in the form of members, with what a driver has none of
-// left empty. Keys are in the order of the registry's first version, by name.
+// announcement is a driver's entry in the registry. It has the format of a member's entry; the fields that don't apply
+// to a driver are empty. The order of the keys, by name, is that of the first version of the registry.
 type announcement struct {
 	Cell      int    `json:"cell"`
 	HostPort  string `json:"host_port"`
@@ -57,56 +57,56 @@
 	UpSinceMs int64  `json:"up_since_ms"`
 }
 
-// openPresence makes the driver's lease, which announces it at an address, and the watcher of other drivers.
-func (s *Service) openPresence(address string, drivers int, seed uint64, mayMessage bool) error {
-	o := RegistryOptions(s.registryConfig)
-	o.Prefix, o.Service = s.registryConfig.DriversPrefix, ""
-	client, err := registry.New(o)
+// openPresence creates the driver's lease, which announces it at an address, and the watcher of other drivers.
+func (s *Service) openPresence(address string, drivers int, seed uint64, messagesAllowed bool) error {
+	options := RegistryOptions(s.registryConfig)
+	options.Prefix, options.Service = s.registryConfig.DriversPrefix, ""
+	client, err := registry.New(options)
 	if err != nil {
 		return fmt.Errorf("registry: %w", err)
 	}
 	ttl := milliseconds(s.registryConfig.LeaseTTL)
-	p := &presence{
-		service:     s,
-		leaseClient: client,
-		key:         o.Prefix + s.config.Name,
-		lease:       roster.NewPresence(ttl, seed),
-		mayMessage:  mayMessage,
+	presence := &presence{
+		service:         s,
+		leaseClient:     client,
+		key:             options.Prefix + s.config.Name,
+		lease:           roster.NewPresence(ttl, seed),
+		messagesAllowed: messagesAllowed,
 		drivers: roster.New(
 			roster.Options{Preferred: roster.SourceRegistry, ConfirmAfter: milliseconds(s.registryConfig.ConfirmAfter)},
 		),
 		peers: roster.Peers{
 			Self:           s.config.Name,
 			ShrinkAfter:    ttl,
-			MessageTimeout: silentLeases * ttl,
+			MessageTimeout: silentLeaseTTLs * ttl,
 		},
 		count: max(drivers, 1),
 	}
-	p.value, err = json.Marshal(announcement{
+	presence.value, err = json.Marshal(announcement{
 		HostPort:  address,
 		Locality:  s.config.settings.Opening.Zone,
 		Phase:     "up",
-		UpSinceMs: int64(s.decider.clock.unixMs),
+		UpSinceMs: int64(s.decider.clock.startUnixMs),
 	})
 	if err != nil {
 		return err
 	}
-	p.watcher = &registry.Watcher{
+	presence.watcher = &registry.Watcher{
 		Client:       client,
 		Now:          s.decider.clock.now,
-		Position:     p.revision,
-		Apply:        p.updateDrivers,
-		OnDisconnect: p.registryDisconnected,
-		OnActivity:   p.registryConnected,
+		Position:     presence.revision,
+		Apply:        presence.updateDrivers,
+		OnDisconnect: presence.registryDisconnected,
+		OnActivity:   presence.registryConnected,
 		Scheduler: roster.NewScheduler(
-			roster.SchedulerOptions{Endpoints: len(o.Endpoints), Drivers: drivers, Seed: seed + 1},
+			roster.SchedulerOptions{Endpoints: len(options.Endpoints), Drivers: drivers, Seed: seed + 1},
 		),
 	}
-	s.fleet.presence = p
+	s.fleet.presence = presence
 	return nil
 }
 
-// revision is up to which revision the registry's drivers are held, if any are.
+// revision returns the known revision of the registry's drivers, and whether there is one.
 func (p *presence) revision() (revision int64, known bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -118,11 +118,11 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.connected = true
-	out := p.drivers.Apply(p.service.decider.clock.now(), update)
-	for _, text := range out.Notes {
+	outcome := p.drivers.Apply(p.service.decider.clock.now(), update)
+	for _, text := range outcome.Notes {
 		p.service.log.Warn("drivers", "text", text)
 	}
-	return out.Verdict, milliseconds(p.service.registryConfig.ConfirmAfter)
+	return outcome.Verdict, milliseconds(p.service.registryConfig.ConfirmAfter)
 }
 
 func (p *presence) registryDisconnected(error) {
@@ -138,7 +138,7 @@
 	p.connected = true
 }
 
-// messageReceived notes a message of a peer.
+// messageReceived records that a peer has sent a message.
 func (p *presence) messageReceived(from netip.AddrPort) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -147,43 +147,43 @@
 	}
 }
 
-// refresh brings the number of drivers, and the peers that are sent messages, up to date.
+// refresh updates the number of drivers and the peers that messages are sent to.
 func (p *presence) refresh() {
 	p.mu.Lock()
 	now := p.service.decider.clock.now()
 	listed := p.drivers.Members()
-	n := p.count
+	count := p.count
 	if _, _, known := p.drivers.Revision(roster.SourceRegistry); known {
-		n = p.peers.Count(now, listed, p.connected)
+		count = p.peers.Count(now, listed, p.connected)
 	}
 	names := map[netip.AddrPort]string{}
-	for _, e := range listed {
-		if at, err := netip.ParseAddrPort(e.Address); err == nil && e.ID != p.peers.Self {
-			names[at] = e.ID
+	for _, entry := range listed {
+		if address, err := netip.ParseAddrPort(entry.Address); err == nil && entry.ID != p.peers.Self {
+			names[address] = entry.ID
 		}
 	}
 	p.peerNames = names
-	var silent, back []string
-	if p.mayMessage {
-		silent, back = p.peers.CheckTimeouts(now, listed)
+	var silent, recovered []string
+	if p.messagesAllowed {
+		silent, recovered = p.peers.CheckTimeouts(now, listed)
 	}
-	changed := n != p.count
-	p.count = n
+	changed := count != p.count
+	p.count = count
 	p.mu.Unlock()
-	if p.mayMessage {
+	if p.messagesAllowed {
 		p.service.fleet.datagrams.setRegistryPeers(names)
 	}
-	if len(silent)+len(back) > 0 {
-		p.service.log.Warn("fellows", "silent", strings.Join(silent, ","), "back", strings.Join(back, ","))
+	if len(silent)+len(recovered) > 0 {
+		p.service.log.Warn("fellows", "silent", strings.Join(silent, ","), "back", strings.Join(recovered, ","))
 	}
 	if changed {
-		p.service.fleet.driverCountChanged(n, false, p.mayMessage)
-		p.watcher.Scheduler.SetDrivers(n)
+		p.service.fleet.driverCountChanged(count, false, p.messagesAllowed)
+		p.watcher.Scheduler.SetDrivers(count)
 	}
 	p.service.fleet.setRegistryAddresses(slices.Collect(maps.Keys(names)))
 }
 
-// run keeps the lease and follows other drivers until the context ends, then revokes the lease.
+// run maintains the lease and the set of drivers until the context ends, then revokes the lease.
 func (p *presence) run(ctx context.Context) {
 	tick := time.NewTicker(rosterInterval)
 	defer tick.Stop()
@@ -203,15 +203,15 @@
 	}
 }
 
-// callRegistry carries out a step toward the lease. After a failure the next call goes to another endpoint.
+// callRegistry grants or renews the lease. After a failure the next call goes to another endpoint.
 func (p *presence) callRegistry(ctx context.Context, now float64, step roster.PresenceStep) {
-	call, cancel := context.WithTimeout(ctx, leaseCallTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, leaseCallTimeout)
 	var ttl time.Duration
 	var err error
 	if step == roster.StepGrant {
-		p.leaseID, ttl, err = p.leaseClient.Grant(call, p.endpoint, p.key, p.value, p.service.registryConfig.LeaseTTL)
+		p.leaseID, ttl, err = p.leaseClient.Grant(callCtx, p.endpoint, p.key, p.value, p.service.registryConfig.LeaseTTL)
 	} else {
-		ttl, err = p.leaseClient.Renew(call, p.endpoint, p.leaseID)
+		ttl, err = p.leaseClient.Renew(callCtx, p.endpoint, p.leaseID)
 	}
 	cancel()
 	result := registry.PresenceResultOf(err)
@@ -221,7 +221,7 @@
 	p.lease.StepEnded(now, p.service.decider.clock.now(), result, milliseconds(ttl))
 }
 
-// logLease logs when the lease is granted, renewed under another id or lost, and when another driver has the name.
+// logLease logs when the lease is granted, replaced under another ID or lost, and when another driver uses the name.
 func (p *presence) logLease() {
 	announced, nameTaken := p.lease.Status(p.service.decider.clock.now())
 	if announced != p.announced || announced && p.leaseID != p.loggedLeaseID {
@@ -239,7 +239,7 @@
 	if p.leaseID == "" {
 		return
 	}
-	call, cancel := context.WithTimeout(context.WithoutCancel(ctx), revokeTimeout)
+	callCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), revokeTimeout)
 	defer cancel()
-	_ = p.leaseClient.Revoke(call, p.endpoint, p.leaseID) // else the lease expires
+	_ = p.leaseClient.Revoke(callCtx, p.endpoint, p.leaseID) // if this fails the lease expires
 }
--- a/internal/driver/registry_members.go
+++ b/internal/driver/registry_members.go
@@ -9,10 +9,10 @@
 	"weirwind/internal/roster"
 )
 
-// rosterInterval is how often time passes for the roster, which then may take another source for its leader.
+// rosterInterval is the time between ticks of the roster, in which it may fail over to another source.
 const rosterInterval = 250 * time.Millisecond
 
-// RegistryOptions are an operators' registry block as its client takes it.
+// RegistryOptions converts the registry block of the operators' file to options of the registry client.
 func RegistryOptions(block *operator.Registry) registry.Options {
 	return registry.Options{
 		Dialect:         block.Dialect,
@@ -25,7 +25,7 @@
 	}
 }
 
-// openRegistry makes the watcher of members in the registry beside discovery.
+// openRegistry creates the watcher of members in the registry, which is used in addition to discovery.
 func (s *Service) openRegistry(drivers int, seed uint64) error {
 	client, err := registry.New(RegistryOptions(s.registryConfig))
 	if err != nil {
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// registryRevision is up to which revision the registry's members are held, if any are.
+// registryRevision returns the known revision of the registry's members, and whether there is one.
 func (s *Service) registryRevision() (revision int64, known bool) {
 	s.rosterMu.Lock()
 	defer s.rosterMu.Unlock()
@@ -53,7 +53,7 @@
 	return revision, known
 }
 
-// applyRegistryUpdate takes members from the registry. It returns the verdict, and after how many milliseconds an
+// applyRegistryUpdate applies members from the registry. It returns the verdict, and after how many milliseconds an
 // unconfirmed list may be confirmed.
 func (s *Service) applyRegistryUpdate(update roster.Update) (roster.Verdict, float64) {
 	s.counters.Registries.Add(1)
--- a/internal/driver/reload.go
+++ b/internal/driver/reload.go
@@ -8,13 +8,13 @@
 	"weirwind/internal/operator"
 )
 
-// Reload takes a configuration that has replaced the one in use, or the error of reading it. Of its values a running
-// driver changes only the address of discovery; an invalid file changes nothing. Of the operators' file it takes the
-// log's level, how often and how much state is saved, and the mesh's seeds and period.
+// Reload applies a changed configuration; err is the error of reading it. A running driver applies only the address of
+// discovery and logs the other changed values; an invalid configuration changes nothing. From the operators' file it
+// applies the log's level, the interval and size limit of saved state, and the mesh's seeds and protocol period.
 func (s *Service) Reload(text []byte, err error, operators operator.File) {
-	var c configuration
+	var config configuration
 	if err == nil {
-		c, err = parseConfiguration(text)
+		config, err = parseConfiguration(text)
 	}
 	if err != nil {
 		s.counters.ReloadsFailed.Add(1)
@@ -27,20 +27,20 @@
 	}
 	s.fleet.reconfigure(operators.Membership)
 	s.discoveryMu.Lock()
-	before, kept := s.config.Discovery, s.config.changedValues(c)
-	if s.config.Discovery = c.Discovery; before != c.Discovery {
-		s.moveDiscovery(c.Discovery)
+	oldAddress, ignored := s.config.Discovery, s.config.changedValues(config)
+	if s.config.Discovery = config.Discovery; oldAddress != config.Discovery {
+		s.setDiscoveryAddress(config.Discovery)
 	}
 	s.discoveryMu.Unlock()
-	s.log.Info("reloaded", "discovery", c.Discovery, "before", before, "kept", strings.Join(kept, ","))
+	s.log.Info("reloaded", "discovery", config.Discovery, "before", oldAddress, "kept", strings.Join(ignored, ","))
 	s.level.Set(operators.Log.Level)
 }
 
-// changedValues names the values that another file changes and that stay as they are until a restart.
+// changedValues returns the names of values that differ in another configuration and need a restart to be applied.
 func (c *configuration) changedValues(other configuration) (changed []string) {
 	for name, value := range other.values {
 		switch name {
-		case "discovery", "known", "seed": // discovery announces the list, and each start has another seed
+		case "discovery", "known", "seed": // applied, superseded by discovery, and different at each start
 		default:
 			if !bytes.Equal(value, c.values[name]) {
 				changed = append(changed, name)
--- a/internal/driver/replies.go
+++ b/internal/driver/replies.go
@@ -7,7 +7,7 @@
 	"weirwind/internal/pgwire"
 )
 
-// What clients get in place of an answer, each with ReadyForQuery behind it.
+// Replies that clients get in place of a member's answer, each followed by ReadyForQuery.
 var (
 	duplicateID = errorAnswer(pgwire.CodeProtocolViolation, "an op of this id is open")
 	opFailed    = errorAnswer(pgwire.CodeSystemError, "the op failed and may have taken effect")
@@ -28,7 +28,8 @@
 	return pgwire.AppendReadyForQuery(pgwire.AppendErrorResponse(nil, "ERROR", code, text, ""))
 }
 
-// busyAnswer says that a retry is harmless, and after how many milliseconds if the module advises some.
+// busyAnswer returns a reply that asks the client to retry, which is safe, and has the module's advised delay in
+// milliseconds, if any, as its detail.
 func busyAnswer(wait float64) []byte {
 	detail := ""
 	if ms := duration(wait).Round(time.Millisecond).Milliseconds(); ms > 0 {
--- a/internal/driver/replies_test.go
+++ b/internal/driver/replies_test.go
@@ -6,10 +6,10 @@
 	"testing"
 )
 
-func TestRetryAdviceIsInMilliseconds(t *testing.T) {
+func TestBusyAnswerRetryDelay(t *testing.T) {
 	for wait, detail := range map[float64]string{0: "", 0.2: "", 12.6: "13", 200: "200"} {
-		has := strings.Contains(string(busyAnswer(wait)), "\x00D")
-		if has != (detail != "") || has && !strings.Contains(string(busyAnswer(wait)), "\x00D"+detail+"\x00") {
+		hasDetail := strings.Contains(string(busyAnswer(wait)), "\x00D")
+		if hasDetail != (detail != "") || hasDetail && !strings.Contains(string(busyAnswer(wait)), "\x00D"+detail+"\x00") {
 			t.Errorf("%s ms: %q", strconv.FormatFloat(wait, 'g', -1, 64), busyAnswer(wait))
 		}
 	}
--- a/internal/driver/service.go
+++ b/internal/driver/service.go
@@ -19,16 +19,16 @@
 )
 
 const (
-	// reservedSockets of the limit are the listener, peers, discovery, log, poller, and connections being rejected.
+	// reservedSockets are kept for the listener, peers, discovery, log, poller, and connections being rejected.
 	reservedSockets    = 32
-	clientSocketShare  = 0.6  // of the sockets: an op that is held needs its client's and no member's
-	memoryLimitShare   = 0.75 // of the limit: from there on the garbage collector works harder
-	messageMemoryShare = 0.25 // of the limit, for large messages of clients
+	clientSocketShare  = 0.6  // share of the sockets for clients: a queued op uses its client's, but none to a member
+	memoryLimitShare   = 0.75 // share of the limit from which the garbage collector works harder
+	messageMemoryShare = 0.25 // share of the limit for large messages of clients
 )
 
-// Service is one driver.
+// Service is a driver.
 type Service struct {
-	config   configuration // its Discovery is under discoveryMu
+	config   configuration // its Discovery is guarded by discoveryMu
 	log      *slog.Logger
 	level    slog.LevelVar
 	logLines *logQueue
@@ -40,14 +40,14 @@
 
 	listener      *net.TCPListener
 	clients       clientSet
-	clientBudget  budget         // of connections
-	messageBudget budget         // of bytes of large messages from clients
-	inFlight      errgroup.Group // clients' connections, and attempts
-	evictions     chan struct{}  // holds a value for each client that is closing after its slot was reassigned
-	rejections    chan struct{}  // and for each that is being rejected with an answer
-	acceptEnded   chan struct{}  // closed when no new connection is accepted any more
+	clientBudget  budget         // client connections
+	messageBudget budget         // bytes of large messages from clients
+	inFlight      errgroup.Group // client connections and attempts
+	evictions     chan struct{}  // holds a value for each closing client whose slot was reassigned
+	rejections    chan struct{}  // holds a value for each client that is being rejected with an answer
+	acceptEnded   chan struct{}  // closed when no more connections are accepted
 
-	stopRequestedAt atomic.Pointer[time.Time] // nil until then
+	stopRequestedAt atomic.Pointer[time.Time] // nil until a stop is requested
 
 	healthChecks     errgroup.Group
 	openHealthChecks atomic.Int64
@@ -55,13 +55,13 @@
 	rosterMu sync.Mutex // guards what follows, and the order in which its changes are published
 	roster   *roster.Roster
 
-	discovery           discovery.Client // the watching goroutine's
-	listRequested       chan struct{}    // holds one request
+	discovery           discovery.Client // used by the watching goroutine only
+	listRequested       chan struct{}    // buffers one request
 	discoveryMu         sync.Mutex       // guards what follows
-	newDiscovery        string           // where discovery has moved, until the watch follows; else empty
-	cancelDiscoveryCall func()           // ends the call that is out; nil before the first
+	newDiscoveryAddress string           // address that the watch is to switch to; else empty
+	cancelDiscoveryCall func()           // ends the current call; nil before the first
 
-	// What the operators' file switches on; nil where it doesn't.
+	// Optional parts, enabled in the operators' file; nil if disabled.
 	stateSaver      *stateSaver
 	ledger          *opLedger
 	switchovers     *switchovers
@@ -70,35 +70,35 @@
 	registryWatcher *registry.Watcher
 }
 
-// New reads a configuration, opens the sockets and the decision module, and restores the state that an earlier run
-// saved, where the operators have state saved. The driver serves as soon as Run is called.
+// New parses a configuration, opens the sockets and the decision module, and restores the state that an earlier run
+// saved, if the operators have enabled that. The driver serves once Run is called.
 func New(text []byte, operators operator.File) (*Service, error) {
-	c, err := parseConfiguration(text)
+	config, err := parseConfiguration(text)
 	if err != nil {
 		return nil, err
 	}
-	debug.SetMemoryLimit(int64(c.Limits.MemoryMB * memoryLimitShare * (1 << 20)))
-	runtime.GOMAXPROCS(max(1, min(int(c.Limits.Cores+0.5), runtime.NumCPU())))
+	debug.SetMemoryLimit(int64(config.Limits.MemoryMB * memoryLimitShare * (1 << 20)))
+	runtime.GOMAXPROCS(max(1, min(int(config.Limits.Cores+0.5), runtime.NumCPU())))
 
-	s := newService(c, operators)
-	if s.fleet.datagrams, err = newDatagrams(&c.Assignment, c.settings.Index,
+	s := newService(config, operators)
+	if s.fleet.datagrams, err = newDatagrams(&config.Assignment, config.settings.Index,
 		operators.Registry != nil && operators.Registry.DriversPrefix != "", &s.counters); err != nil {
 		return nil, fmt.Errorf("configuration: peers: %w", err)
 	}
-	c.settings.Opening.MaxMessages = float64(operators.Peers.MessagesPerSecond)
-	applyOverrides(c.settings.Opening, operators.Fleet)
-	s.decider = newDecider(newClock(time.Now), c.settings, s)
+	config.settings.Opening.MaxMessages = float64(operators.Peers.MessagesPerSecond)
+	applyOverrides(config.settings.Opening, operators.Fleet)
+	s.decider = newDecider(newClock(time.Now), config.settings, s)
 	s.registryConfig = operators.Registry
 	s.roster = roster.New(rosterOptions(operators.Registry))
 	if operators.State != nil {
-		s.restoreState(*operators.State, c.settings, c.membership)
+		s.restoreState(*operators.State, config.settings, config.membership)
 	} else {
-		s.initMembership(c.membership)
+		s.initMembership(config.membership)
 	}
-	if err := s.openParts(&c, operators); err != nil {
+	if err := s.openParts(&config, operators); err != nil {
 		return nil, err
 	}
-	address, err := net.ResolveTCPAddr("tcp", c.Listen)
+	address, err := net.ResolveTCPAddr("tcp", config.Listen)
 	if err == nil {
 		s.listener, err = net.ListenTCP("tcp", address)
 	}
@@ -108,7 +108,7 @@
 	return s, nil
 }
 
-// newService is a driver without its sockets and optional parts.
+// newService returns a driver without its sockets and optional parts.
 func newService(config configuration, operators operator.File) *Service {
 	s := &Service{
 		config:        config,
@@ -142,8 +142,8 @@
 	return s
 }
 
-// openParts opens what the operators' file switches on. Zones come before the mesh, which delivers to them, and both
-// before the registry, to which the mesh's address is announced.
+// openParts opens the parts that the operators' file enables. Zones are opened before the mesh, which delivers messages
+// to them, and both before the registry, in which the mesh's address is announced.
 func (s *Service) openParts(config *configuration, operators operator.File) error {
 	opening := config.settings.Opening
 	if operators.Ledger != nil {
@@ -178,10 +178,10 @@
 	return s.openDriverPresence(config)
 }
 
-// openDriverPresence announces this driver to others in the registry, under the address at which they reach it.
+// openDriverPresence announces this driver in the registry, with the address at which other drivers reach it.
 func (s *Service) openDriverPresence(config *configuration) error {
 	opening, datagrams := config.settings.Opening, s.fleet.datagrams
-	address, mayMessage := config.PeerListen, opening.MayMessage && datagrams.conn != nil
+	address, messagesAllowed := config.PeerListen, opening.MayMessage && datagrams.conn != nil
 	switch {
 	case datagrams.conn != nil:
 		address = datagrams.conn.LocalAddr().String()
@@ -190,10 +190,10 @@
 	case address == "":
 		address = config.Listen
 	}
-	if err := s.openPresence(address, opening.Drivers, opening.Seed, mayMessage); err != nil {
+	if err := s.openPresence(address, opening.Drivers, opening.Seed, messagesAllowed); err != nil {
 		return err
 	}
-	if mayMessage {
+	if messagesAllowed {
 		datagrams.onMessage = s.fleet.presence.messageReceived
 	}
 	return nil
--- a/internal/driver/state_restore.go
+++ b/internal/driver/state_restore.go
@@ -18,49 +18,49 @@
 	"weirwind/logic"
 )
 
-const diskOpenTimeout = 2 * time.Second // after which a driver starts without its saved state
+const diskOpenTimeout = 2 * time.Second // after this a driver starts without its saved state
 
-// restoreState restores what an earlier run saved: the membership that holds is published, and the module recalls the
-// rest.
-func (s *Service) restoreState(block operator.State, settings opening.Settings, known discovery.Response) {
-	k := &stateSaver{service: s, files: durable.OS{}, wake: make(chan struct{}, 1), config: block}
-	began := time.Now()
-	opened := k.openStoreInTime()
+// restoreState restores the state that an earlier run saved: it publishes the saved or the configured membership,
+// whichever internal/learned chooses, and passes the rest to the module.
+func (s *Service) restoreState(block operator.State, settings opening.Settings, initial discovery.Response) {
+	saver := &stateSaver{service: s, files: durable.OS{}, wake: make(chan struct{}, 1), config: block}
+	beganAt := time.Now()
+	opened := saver.openStoreWithTimeout()
 	now, config := s.decider.timestamp(), learnedConfig(s.config.Name, settings, block)
-	given := learned.Membership{Revision: known.Revision}
-	for _, e := range known.Members {
-		given.Entries = append(given.Entries, toLearned(e))
+	configured := learned.Membership{Revision: initial.Revision}
+	for _, entry := range initial.Members {
+		configured.Entries = append(configured.Entries, toLearned(entry))
 	}
-	restored := learned.Restore(opened.state, config, now, given)
+	restored := learned.Restore(opened.state, config, now, configured)
 	if restored.FromSaved {
-		known = discovery.Response{Revision: restored.Membership.Revision, Complete: true}
-		for _, e := range restored.Membership.Entries {
-			known.Members = append(known.Members, fromLearned(e))
+		initial = discovery.Response{Revision: restored.Membership.Revision, Complete: true}
+		for _, entry := range restored.Membership.Entries {
+			initial.Members = append(initial.Members, fromLearned(entry))
 		}
 	}
-	k.table = learned.NewTable(config, opened.state, now)
-	k.table.StartRun(now)
-	s.stateSaver = k
-	s.initMembership(known)
+	saver.table = learned.NewTable(config, opened.state, now)
+	saver.table.StartRun(now)
+	s.stateSaver = saver
+	s.initMembership(initial)
 	s.decider.step(logic.Event{Kind: logic.EvRecall, Memory: &restored.Memory})
-	k.store, k.storeBehind = opened.store, true
+	saver.store, saver.storeOutdated = opened.store, true
 	if opened.err != nil {
-		k.saveFailed(now, opened.err)
+		saver.saveFailed(now, opened.err)
 	}
 	s.log.Info("state_recalled", "verdict", string(restored.Verdict), "age_ms", int64(restored.Age),
-		"from_kept", restored.FromSaved, "revision", known.Revision,
+		"from_kept", restored.FromSaved, "revision", initial.Revision,
 		"members", len(restored.Memory.Members), "groups", len(restored.Memory.Groups),
-		"dropped", strings.Join(restored.Discarded, "; "), "took_us", time.Since(began).Microseconds())
+		"dropped", strings.Join(restored.Discarded, "; "), "took_us", time.Since(beganAt).Microseconds())
 }
 
-// openStoreInTime opens the folder, or gives up on a disk that doesn't answer: a store that comes later is closed.
-func (k *stateSaver) openStoreInTime() (opened openedStore) {
+// openStoreWithTimeout opens the store, or gives up after diskOpenTimeout; a store that is opened later is closed.
+func (s *stateSaver) openStoreWithTimeout() (opened openedStore) {
 	result := make(chan openedStore, 1)
-	go func() { result <- k.openStore() }()
+	go func() { result <- s.openStore() }()
 	select {
 	case opened = <-result:
 	case <-time.After(diskOpenTimeout):
-		opened.err = errors.New("the disk does not answer")
+		opened.err = errors.New("the disk does not respond")
 		go func() {
 			if late := <-result; late.store != nil {
 				_ = late.store.Close() // unused
@@ -70,9 +70,9 @@
 	return opened
 }
 
-// learnedConfig gathers what decisions on saved state depend on.
+// learnedConfig returns the settings that decisions about saved state depend on.
 func learnedConfig(name string, settings opening.Settings, block operator.State) learned.Config {
-	c := learned.Config{
+	config := learned.Config{
 		Name:                  name,
 		OpTypes:               make([]learned.OpType, len(settings.OpTypes)),
 		SaveInterval:          milliseconds(block.SaveInterval),
@@ -82,33 +82,33 @@
 		SessionsTrackPosition: settings.Opening.SessionCarried,
 	}
 	for name, i := range settings.OpTypes {
-		t := &settings.Opening.OpTypes[i]
-		c.OpTypes[i] = learned.OpType{Name: name, LatencyTarget: t.LatencyTarget}
-		if t.Need == logic.Bounded {
-			c.StalenessBound = min(c.StalenessBound, t.MaxAge)
+		opType := &settings.Opening.OpTypes[i]
+		config.OpTypes[i] = learned.OpType{Name: name, LatencyTarget: opType.LatencyTarget}
+		if opType.Need == logic.Bounded {
+			config.StalenessBound = min(config.StalenessBound, opType.MaxAge)
 		}
 	}
-	return c
+	return config
 }
 
-// bootID names the machine's boot; empty where it doesn't tell.
+// bootID returns the ID of the machine's current boot, or "" if it is not available.
 var bootID = sync.OnceValue(func() string {
 	id, _ := os.ReadFile("/proc/sys/kernel/random/boot_id")
 	return strings.TrimSpace(string(id))
 })
 
-// timestamp reads both clocks: the driver's own, which is not stepped while it runs, and the machine's uptime, which
-// outlives the driver. Where the machine doesn't tell, the uptime is the driver's.
+// timestamp reads two clocks: the driver's own, which is never stepped while it runs, and the machine's uptime, which
+// continues across restarts of the driver. If that is not available, the driver's uptime is used.
 func (d *decider) timestamp() learned.Timestamp {
-	t := learned.Timestamp{Wall: d.clock.now()}
+	timestamp := learned.Timestamp{Wall: d.clock.now()}
 	if uptime, err := os.ReadFile("/proc/uptime"); err == nil {
-		first, _, _ := strings.Cut(string(uptime), " ")
-		if seconds, err := strconv.ParseFloat(first, 64); err == nil {
-			t.Uptime, t.BootID = seconds*1000, bootID()
+		seconds, _, _ := strings.Cut(string(uptime), " ")
+		if seconds, err := strconv.ParseFloat(seconds, 64); err == nil {
+			timestamp.Uptime, timestamp.BootID = seconds*1000, bootID()
 		}
 	}
-	if t.BootID == "" {
-		t.Uptime = float64(time.Since(d.clock.start).Milliseconds())
+	if timestamp.BootID == "" {
+		timestamp.Uptime = float64(time.Since(d.clock.start).Milliseconds())
 	}
-	return t
+	return timestamp
 }
--- a/internal/driver/state_saver.go
+++ b/internal/driver/state_saver.go
@@ -14,8 +14,8 @@
 
 const lastSaveTimeout = time.Second // for the last save at a shutdown
 
-// stateSaver saves what the decision module has learned. internal/learned decides what is saved, and internal/durable
-// owns the files. Only its own goroutine and that of a last save wait for the disk; no error stops the service.
+// stateSaver saves what the decision module has learned. internal/learned decides what to save, and internal/durable
+// owns the files. Only its own goroutine and that of the last save wait for the disk; no error stops the service.
 type stateSaver struct {
 	service *Service
 	files   durable.FS
@@ -23,173 +23,173 @@
 
 	mu                sync.Mutex // guards what follows
 	config            operator.State
-	revision          int64 // of the membership when it was last noted
-	membershipChanged bool  // since the last save
+	revision          int64 // of the membership when it was last recorded
+	membershipChanged bool  // whether it changed since the last save
 
-	saveMu      sync.Mutex // held through a save; guards what follows
-	store       *durable.Store
-	table       *learned.Table
-	memory      logic.Memory
-	storeBehind bool // the table holds what the store does not
-	backoff     learned.Backoff
-	closed      bool // the last save has begun
+	saveMu        sync.Mutex // held through a save; guards what follows
+	store         *durable.Store
+	table         *learned.Table
+	memory        logic.Memory
+	storeOutdated bool // the table has changes that the store lacks
+	backoff       learned.Backoff
+	closed        bool // whether the last save has begun
 }
 
-// openedStore is a folder as it was found: without an error there is a store, and perhaps a state.
+// openedStore is the result of opening a store: without an error there is a store, and a state if one could be loaded.
 type openedStore struct {
 	store *durable.Store
 	state *learned.State
 	err   error
 }
 
-func (k *stateSaver) openStore() (opened openedStore) {
-	k.mu.Lock()
-	o := durable.Options{Folder: k.config.Folder, Tag: learned.Tag, Limit: int64(k.config.LimitMB) << 20}
-	k.mu.Unlock()
-	var found durable.Recovered
-	if opened.store, found, opened.err = durable.Open(k.files, o); opened.err != nil {
+func (s *stateSaver) openStore() (opened openedStore) {
+	s.mu.Lock()
+	options := durable.Options{Folder: s.config.Folder, Tag: learned.Tag, Limit: int64(s.config.LimitMB) << 20}
+	s.mu.Unlock()
+	var recovered durable.Recovered
+	if opened.store, recovered, opened.err = durable.Open(s.files, options); opened.err != nil {
 		return opened
 	}
-	for _, err := range found.Damage() {
-		k.service.log.Warn("state_damaged", "folder", o.Folder, "error", err)
+	for _, err := range recovered.Damage() {
+		s.service.log.Warn("state_damaged", "folder", options.Folder, "error", err)
 	}
-	if found.Snapshot != nil {
+	if recovered.Snapshot != nil {
 		var err error
-		if opened.state, err = learned.Load(found.Snapshot, found.Records); err != nil {
-			k.service.log.Warn("state_damaged", "folder", o.Folder, "error", err)
+		if opened.state, err = learned.Load(recovered.Snapshot, recovered.Records); err != nil {
+			s.service.log.Warn("state_damaged", "folder", options.Folder, "error", err)
 		}
 	}
 	return opened
 }
 
-// recordMembership records the membership's revision and whether its members changed, and wakes the saver if either is
-// new. It never waits.
-func (k *stateSaver) recordMembership(revision int64, changed bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if !changed && revision == k.revision {
+// recordMembership records the membership's revision and whether its members changed, and wakes the saver if either
+// changed. It never blocks.
+func (s *stateSaver) recordMembership(revision int64, changed bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if !changed && revision == s.revision {
 		return
 	}
-	k.revision, k.membershipChanged = revision, true
+	s.revision, s.membershipChanged = revision, true
 	select {
-	case k.wake <- struct{}{}:
+	case s.wake <- struct{}{}:
 	default:
 	}
 }
 
-// reconfigure takes another interval or limit; the folder stays.
-func (k *stateSaver) reconfigure(block operator.State) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	block.Folder = k.config.Folder
-	k.config = block
+// reconfigure applies a changed interval or limit; the folder stays the same.
+func (s *stateSaver) reconfigure(block operator.State) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	block.Folder = s.config.Folder
+	s.config = block
 }
 
-// run saves until the context ends.
-func (k *stateSaver) run(ctx context.Context) {
+// run saves after each interval and each change of the membership until the context ends.
+func (s *stateSaver) run(ctx context.Context) {
 	for {
-		k.mu.Lock()
-		interval := k.config.SaveInterval
-		k.mu.Unlock()
+		s.mu.Lock()
+		interval := s.config.SaveInterval
+		s.mu.Unlock()
 		timer := time.NewTimer(interval)
 		select {
 		case <-ctx.Done():
 			timer.Stop()
 			return
-		case <-k.wake:
+		case <-s.wake:
 		case <-timer.C:
 		}
 		timer.Stop()
-		k.save(false)
+		s.save(false)
 	}
 }
 
-// close saves all once more and closes the store; it waits only so long for a disk that doesn't answer.
-func (k *stateSaver) close() {
+// close saves everything a last time and closes the store. It waits for the disk no longer than lastSaveTimeout.
+func (s *stateSaver) close() {
 	done := make(chan struct{})
 	go func() {
-		k.save(true)
+		s.save(true)
 		close(done)
 	}()
 	select {
 	case <-done:
 	case <-time.After(lastSaveTimeout):
-		k.service.log.Error("state_failed", "error", "the disk does not answer: the last save is lost")
+		s.service.log.Error("state_failed", "error", "the disk does not respond: the last save is lost")
 	}
 }
 
-// save saves what of the present knowledge is worth a write; at the last save of a run all of it is.
-func (k *stateSaver) save(last bool) {
-	k.saveMu.Lock()
-	defer k.saveMu.Unlock()
-	if k.closed {
+// save saves the learned state that internal/learned selects; the last save of a run includes all of it.
+func (s *stateSaver) save(last bool) {
+	s.saveMu.Lock()
+	defer s.saveMu.Unlock()
+	if s.closed {
 		return
 	}
-	k.closed = last
-	now := k.service.decider.timestamp()
-	k.mu.Lock()
-	changed, limit := k.membershipChanged, int64(k.config.LimitMB)<<20
-	k.membershipChanged = false // before the membership is read, so that a change from here on is not lost
-	k.mu.Unlock()
+	s.closed = last
+	now := s.service.decider.timestamp()
+	s.mu.Lock()
+	changed, limit := s.membershipChanged, int64(s.config.LimitMB)<<20
+	s.membershipChanged = false // before the membership is read, so that a later change is not lost
+	s.mu.Unlock()
 	var records [][]byte
 	if changed {
-		revision, entries := k.service.membership()
-		records = k.table.UpdateMembership(now, revision, true, entries)
+		revision, entries := s.service.membership()
+		records = s.table.UpdateMembership(now, revision, true, entries)
 	}
-	k.service.decider.step(logic.Event{Kind: logic.EvRemember, Memory: &k.memory})
-	records = append(records, k.table.Update(now, &k.memory, last)...)
-	if !last && !k.backoff.Ready(now) {
-		k.storeBehind = k.storeBehind || len(records) > 0
+	s.service.decider.step(logic.Event{Kind: logic.EvRemember, Memory: &s.memory})
+	records = append(records, s.table.Update(now, &s.memory, last)...)
+	if !last && !s.backoff.Ready(now) {
+		s.storeOutdated = s.storeOutdated || len(records) > 0
 		return
 	}
-	if err := k.persist(records, limit); err != nil {
-		k.storeBehind = true
-		k.saveFailed(now, err)
-	} else if k.service.counters.StateSaves.Add(1); k.backoff.RecordSuccess() {
-		k.service.log.Info("state_saved", "text", "saving goes on")
+	if err := s.persist(records, limit); err != nil {
+		s.storeOutdated = true
+		s.saveFailed(now, err)
+	} else if s.service.counters.StateSaves.Add(1); s.backoff.RecordSuccess() {
+		s.service.log.Info("state_saved", "text", "saving works again")
 	}
-	if last && k.store != nil {
-		_ = k.store.Close() // what was appended is on disk
+	if last && s.store != nil {
+		_ = s.store.Close() // what was appended is on disk
 	}
 }
 
-// persist brings the store up to the table: by the records, or by a snapshot where the store needs one or is behind.
-func (k *stateSaver) persist(records [][]byte, limit int64) (err error) {
-	if k.store == nil {
-		opened := k.openStore()
+// persist brings the store up to date: by records, or by a snapshot if the store needs compaction or is outdated.
+func (s *stateSaver) persist(records [][]byte, limit int64) (err error) {
+	if s.store == nil {
+		opened := s.openStore()
 		if opened.err != nil {
 			return opened.err
 		}
-		k.store, k.storeBehind = opened.store, true
+		s.store, s.storeOutdated = opened.store, true
 	}
-	k.store.SetLimit(limit)
-	before := k.store.BytesWritten()
+	s.store.SetLimit(limit)
+	writtenBefore := s.store.BytesWritten()
 	switch {
-	case k.storeBehind || k.store.NeedsCompaction():
-		err = k.store.Compact(k.table.Snapshot())
+	case s.storeOutdated || s.store.NeedsCompaction():
+		err = s.store.Compact(s.table.Snapshot())
 	case len(records) > 0:
-		if err = k.store.Append(records...); errors.Is(err, durable.ErrLimit) {
-			err = k.store.Compact(k.table.Snapshot())
+		if err = s.store.Append(records...); errors.Is(err, durable.ErrLimit) {
+			err = s.store.Compact(s.table.Snapshot())
 		}
 	}
-	k.service.counters.StateBytes.Add(k.store.BytesWritten() - before)
+	s.service.counters.StateBytes.Add(s.store.BytesWritten() - writtenBefore)
 	if err == nil {
-		err = k.store.CheckLog()
+		err = s.store.CheckLog()
 	}
-	if err != nil { // the folder may be gone, and its lock with it
-		_ = k.store.Close() // what was appended is on disk
-		k.store = nil
+	if err != nil { // the folder, and the lock in it, may have been deleted
+		_ = s.store.Close() // what was appended is on disk
+		s.store = nil
 		return err
 	}
-	k.storeBehind = false
+	s.storeOutdated = false
 	return nil
 }
 
-// saveFailed counts a failure; the first of a row is logged.
-func (k *stateSaver) saveFailed(now learned.Timestamp, err error) {
-	k.service.counters.StateFailed.Add(1)
-	first := k.backoff == (learned.Backoff{})
-	if wait := k.backoff.RecordFailure(now); first {
-		k.service.log.Error("state_failed", "error", err, "retry_ms", int64(wait))
+// saveFailed counts a failure, and logs the first of consecutive ones.
+func (s *stateSaver) saveFailed(now learned.Timestamp, err error) {
+	s.service.counters.StateFailed.Add(1)
+	firstFailure := s.backoff == (learned.Backoff{})
+	if retryAfter := s.backoff.RecordFailure(now); firstFailure {
+		s.service.log.Error("state_failed", "error", err, "retry_ms", int64(retryAfter))
 	}
 }
--- a/internal/driver/switchover.go
+++ b/internal/driver/switchover.go
@@ -19,24 +19,24 @@
 )
 
 const (
-	switchoverInterval  = 20 * time.Millisecond // between looks at who is primary
+	switchoverInterval  = 20 * time.Millisecond // between observations of the primaries
 	maxSwitchoverGroups = 64
 )
 
-// switchovers gives notifications of switchovers to internal/switchover, carries out what that decides, and has peers
-// notified, for which no hook waits. It also serves the control sockets.
+// switchovers passes notifications of switchovers to internal/switchover, carries out its decisions, and has peers
+// notified without making a hook wait for them. It also serves the control sockets.
 type switchovers struct {
 	service   *Service
 	listeners []net.Listener
-	token     string // that peers and remote callers show
+	token     string // shared secret of peers and remote callers
 
 	mu      sync.Mutex // guards what follows, and the order in which its outcomes are applied
 	tracker *switchover.Tracker
 }
 
-// openControl opens the control sockets that the operators' file names. origin tells this driver's epochs from others'.
+// openControl opens the control sockets of the operators' file. origin distinguishes this driver's epochs from others'.
 func (s *Service) openControl(block operator.Control, origin int) error {
-	switches := &switchovers{service: s, tracker: switchover.New(switchover.Config{
+	handler := &switchovers{service: s, tracker: switchover.New(switchover.Config{
 		DefaultLease:      milliseconds(block.HoldLease),
 		MaxHold:           milliseconds(block.MaxHold),
 		ReleaseTimeout:    milliseconds(block.ReleaseTimeout),
@@ -47,35 +47,35 @@
 	})}
 	if block.TokenFile != "" {
 		var err error
-		if switches.token, err = readToken(block.TokenFile); err != nil {
+		if handler.token, err = readToken(block.TokenFile); err != nil {
 			return fmt.Errorf("control: token: %w", err)
 		}
 	}
-	if c, err := net.Dial("unix", block.Socket); err == nil {
-		c.Close()
+	if conn, err := net.Dial("unix", block.Socket); err == nil {
+		conn.Close()
 		return fmt.Errorf("control: another driver serves %s", block.Socket)
 	}
-	_ = os.Remove(block.Socket) // of a driver that was killed: nobody answers there
-	for _, at := range []struct{ network, address string }{{"unix", block.Socket}, {"tcp", block.Listen}} {
-		if at.address == "" {
+	_ = os.Remove(block.Socket) // left by a driver that was killed: nobody listens on it
+	for _, socket := range []struct{ network, address string }{{"unix", block.Socket}, {"tcp", block.Listen}} {
+		if socket.address == "" {
 			continue
 		}
-		ln, err := net.Listen(at.network, at.address)
-		if err == nil && at.network == "unix" {
+		listener, err := net.Listen(socket.network, socket.address)
+		if err == nil && socket.network == "unix" {
 			err = os.Chmod(block.Socket, 0o600)
 		}
 		if err != nil {
-			switches.close()
+			handler.close()
 			return fmt.Errorf("control: %w", err)
 		}
-		switches.listeners = append(switches.listeners, ln)
+		handler.listeners = append(handler.listeners, listener)
 	}
-	s.fleet.setPeers(block.Peers, switches.token)
-	s.switchovers = switches
+	s.fleet.setPeers(block.Peers, handler.token)
+	s.switchovers = handler
 	return nil
 }
 
-// readToken reads the secret that drivers show each other.
+// readToken reads the shared secret of the drivers from a file.
 func readToken(file string) (string, error) {
 	text, err := os.ReadFile(file)
 	token := strings.TrimSpace(string(text))
@@ -94,27 +94,27 @@
 // run serves the control sockets and observes primaries until the context ends.
 func (s *switchovers) run(ctx context.Context) error {
 	defer s.close()
-	var all errgroup.Group
+	var group errgroup.Group
 	for _, ln := range s.listeners {
 		token := s.token
 		if ln.Addr().Network() == "unix" {
-			token = "" // its file mode says who may call
+			token = "" // its file mode restricts who may connect
 		}
-		all.Go(func() error {
+		group.Go(func() error {
 			if err := control.Serve(ctx, ln, s, token); err != nil {
 				s.service.log.Error("control_failed", "error", err)
 			}
 			return nil
 		})
 	}
-	all.Go(func() error { every(ctx, switchoverInterval, s.observePrimaries); return nil })
-	return all.Wait()
+	group.Go(func() error { runPeriodically(ctx, switchoverInterval, s.observePrimaries); return nil })
+	return group.Wait()
 }
 
-// HandleHook takes a hook of the topology manager, and returns it with its epoch. Peers are notified after that.
+// HandleHook handles a hook of the topology manager and returns it with its epoch. Peers are notified asynchronously.
 func (s *switchovers) HandleHook(notification switchover.Notification) (switchover.Notification, error) {
-	if !s.service.decider.servesGroup(notification.Group) {
-		return notification, fmt.Errorf("group %d is not known here", notification.Group)
+	if !s.service.decider.knowsGroup(notification.Group) {
+		return notification, fmt.Errorf("group %d is unknown to this driver", notification.Group)
 	}
 	primary := s.service.decider.primaries()[notification.Group]
 	if err := s.checkPartition(notification); err != nil {
@@ -122,14 +122,14 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	notification, out, err := s.tracker.HandleHook(s.service.decider.clock.now(), notification, primary)
+	notification, outcome, err := s.tracker.HandleHook(s.service.decider.clock.now(), notification, primary)
 	if err == nil {
-		s.apply(out)
+		s.apply(outcome)
 	}
 	return notification, err
 }
 
-// checkPartition says whether a hook may be taken in this driver's partition.
+// checkPartition returns an error if the hook is not allowed in this driver's partition.
 func (s *switchovers) checkPartition(notification switchover.Notification) error {
 	if s.service.fleet.mesh == nil {
 		return nil
@@ -137,23 +137,23 @@
 	action := membership.EndWritePause
 	if notification.Stage <= switchover.StageHeld {
 		action = membership.BeginWritePause
-		for _, c := range s.Status() {
-			sameChange := c.Group == notification.Group && (notification.Epoch == 0 || notification.Epoch == c.Epoch)
-			if sameChange && c.Stage == switchover.StageHeld && !c.Finished {
+		for _, change := range s.Status() {
+			sameChange := change.Group == notification.Group && (notification.Epoch == 0 || notification.Epoch == change.Epoch)
+			if sameChange && change.Stage == switchover.StageHeld && !change.Finished {
 				action = membership.RenewWritePause
 			}
 		}
 	}
-	status, why := s.service.fleet.mesh.PartitionStatus()
+	status, detail := s.service.fleet.mesh.PartitionStatus()
 	allowed, reason := membership.Allowed(status, action)
 	if allowed {
 		return nil
 	}
-	s.service.log.Warn("switch", "reason", reason, "group", notification.Group, "standing", status.String(), "why", why)
-	return fmt.Errorf("%w (it is %s %s)", control.ErrNotInMajority, status, why)
+	s.service.log.Warn("switch", "reason", reason, "group", notification.Group, "standing", status.String(), "why", detail)
+	return fmt.Errorf("%w (it is %s %s)", control.ErrNotInMajority, status, detail)
 }
 
-// Membership is the drivers' own membership; nil where there is none.
+// Membership returns the gossip membership of drivers, or nil if it is not configured.
 func (s *switchovers) Membership() control.Membership {
 	if s.service.fleet.mesh == nil {
 		return nil
@@ -161,7 +161,7 @@
 	return s.service.fleet.mesh
 }
 
-// Zones is this driver's part in decisions on zones; nil where there is none.
+// Zones returns this driver's part in decisions about zones, or nil if they are not enabled.
 func (s *switchovers) Zones() control.Zones {
 	if s.service.zones == nil {
 		return nil
@@ -169,29 +169,29 @@
 	return s.service.zones
 }
 
-// HandlePeer takes a notification of a peer.
+// HandlePeer handles a notification from a peer.
 func (s *switchovers) HandlePeer(notification switchover.Notification) error {
 	_, err := s.handleNotification(notification)
 	return err
 }
 
-// handleNotification takes a notification of a peer, and says whether it was new.
+// handleNotification handles a notification from a peer, and reports whether it was new.
 func (s *switchovers) handleNotification(notification switchover.Notification) (isNew bool, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out, err := s.tracker.HandleNotification(s.service.decider.clock.now(), notification)
-	s.apply(out)
-	return out.LogText != "", err
+	outcome, err := s.tracker.HandleNotification(s.service.decider.clock.now(), notification)
+	s.apply(outcome)
+	return outcome.LogText != "", err
 }
 
-// Status is what is known of all changes.
+// Status returns the status of all known switchovers.
 func (s *switchovers) Status() []switchover.ChangeStatus {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.tracker.Status(s.service.decider.clock.now())
 }
 
-// observeRole takes the role that a member reported at a health check.
+// observeRole passes on the role that a member reported at a health check.
 func (s *switchovers) observeRole(member string, role logic.Role) {
 	if role == logic.RoleUnknown {
 		return
@@ -201,7 +201,7 @@
 	s.apply(s.tracker.ObserveRole(s.service.decider.clock.now(), member, role == logic.Primary))
 }
 
-// observePrimaries tells the tracker who is primary, while a change is active, and that time passes.
+// observePrimaries passes the current primaries, while a switchover is active, and the time to the tracker.
 func (s *switchovers) observePrimaries() {
 	s.mu.Lock()
 	active := s.tracker.Active()
@@ -219,16 +219,16 @@
 	s.apply(s.tracker.Tick(now))
 }
 
-// apply carries out what was decided. The caller holds the lock.
-func (s *switchovers) apply(out switchover.Outcome) {
-	for _, m := range out.Marks {
-		s.service.decider.setDraining(m.Member, drainSwitchover, m.Draining)
+// apply carries out the decisions of the tracker. The caller holds the lock.
+func (s *switchovers) apply(outcome switchover.Outcome) {
+	for _, mark := range outcome.Marks {
+		s.service.decider.setDraining(mark.Member, drainSwitchover, mark.Draining)
 	}
-	for _, member := range out.QueryRoles {
+	for _, member := range outcome.QueryRoles {
 		s.service.checkHealth(member)
 	}
-	if out.LogText != "" {
-		s.service.log.Info("switch", "text", out.LogText)
+	if outcome.LogText != "" {
+		s.service.log.Info("switch", "text", outcome.LogText)
 		s.service.fleet.notifyPeers()
 	}
 }
--- a/internal/driver/zone_messages.go
+++ b/internal/driver/zone_messages.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	zoneSenders          = 8 // calls to peers at a time
-	outgoingZoneMessages = 256
+	zoneSenders          = 8 // concurrent calls to peers
+	zoneMessageQueueSize = 256
 	zoneCallTimeout      = 2 * time.Second
-	maxZoneMessages      = 16 // in one call
+	maxZoneMessages      = 16 // messages per call
 )
 
-// send queues a message to a peer. One for which there is no room is dropped: it is sent again where it matters.
+// send queues a message to a peer. If the queue is full the message is dropped: important messages are repeated.
 func (z *zoneAgent) send(envelope zones.Envelope) {
 	select {
 	case z.outgoing <- envelope:
@@ -33,25 +33,25 @@
 		select {
 		case <-ctx.Done():
 			return
-		case e := <-z.outgoing:
-			z.deliver(ctx, e)
+		case envelope := <-z.outgoing:
+			z.deliver(ctx, envelope)
 		}
 	}
 }
 
-// deliver calls a peer with a message, and gives its answers to the decisions.
+// deliver sends a message to a peer, and passes its answers to the coordinator.
 func (z *zoneAgent) deliver(ctx context.Context, envelope zones.Envelope) {
-	b, err := cbor.Marshal([]zones.Message{envelope.Message})
+	payload, err := cbor.Marshal([]zones.Message{envelope.Message})
 	if err != nil {
 		return
 	}
-	call, cancel := context.WithTimeout(ctx, zoneCallTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, zoneCallTimeout)
 	defer cancel()
 	requestedAt := z.service.decider.clock.now()
-	answer, err := z.service.fleet.mesh.Request(call, envelope.To, b)
+	answer, err := z.service.fleet.mesh.Request(callCtx, envelope.To, payload)
 	if err == nil {
-		for _, m := range z.receiveMessages(envelope.To, answer, requestedAt) {
-			z.send(zones.Envelope{To: envelope.To, Message: m})
+		for _, message := range z.receiveMessages(envelope.To, answer, requestedAt) {
+			z.send(zones.Envelope{To: envelope.To, Message: message})
 		}
 	} else if !errors.Is(err, membership.ErrUnknownDriver) {
 		z.service.log.Debug("zones", "reason", "word_not_sent", "to", envelope.To, "step", envelope.Message.Kind, "took",
@@ -59,34 +59,34 @@
 	}
 }
 
-// receive takes messages of a peer's call and returns those that answer it; the others are sent.
+// receive handles the messages of a peer's call and returns the messages that answer it; others are sent separately.
 func (z *zoneAgent) receive(from string, payload []byte) []byte {
 	if answers := z.receiveMessages(from, payload, math.Inf(-1)); len(answers) > 0 {
-		b, _ := cbor.Marshal(answers) // every type in messages can be encoded
-		return b
+		encoded, _ := cbor.Marshal(answers) // all types in messages can be encoded
+		return encoded
 	}
 	return nil
 }
 
-// receiveMessages gives messages to the decisions and returns those for the peer that they came from. requestedAt is
-// when it was called for them, -Inf where it called.
+// receiveMessages passes messages to the coordinator and returns its answers to their sender. requestedAt is when this
+// driver called the sender, or -Inf if the sender called.
 func (z *zoneAgent) receiveMessages(from string, payload []byte, requestedAt float64) (answers []zones.Message) {
 	var messages []zones.Message
 	if len(payload) == 0 || cbor.Unmarshal(payload, &messages) != nil || len(messages) > maxZoneMessages {
 		return nil
 	}
-	for _, m := range messages {
+	for _, message := range messages {
 		z.apply(func(now float64) zones.Output {
-			out := z.zones.Receive(now, requestedAt, from, m)
-			if out.Save == nil { // else messages may be sent only once that is on disk
-				out.Messages = slices.DeleteFunc(out.Messages, func(e zones.Envelope) bool {
-					if e.To == from {
-						answers = append(answers, e.Message)
+			output := z.coordinator.Receive(now, requestedAt, from, message)
+			if output.Save == nil { // otherwise messages may be sent only after the state is on disk
+				output.Messages = slices.DeleteFunc(output.Messages, func(envelope zones.Envelope) bool {
+					if envelope.To == from {
+						answers = append(answers, envelope.Message)
 					}
-					return e.To == from
+					return envelope.To == from
 				})
 			}
-			return out
+			return output
 		})
 	}
 	return answers
--- a/internal/driver/zone_webhook.go
+++ b/internal/driver/zone_webhook.go
@@ -13,49 +13,49 @@
 
 const (
 	webhookTimeout   = 5 * time.Second
-	webhookInterval  = 10 * time.Second // between calls for a group
-	maxWebhookGroups = 1024             // that are remembered
+	webhookInterval  = 10 * time.Second // minimum time between calls for the same group
+	maxWebhookGroups = 1024             // groups whose last call is remembered
 )
 
 // moveRequest is the body of a webhook call.
 type moveRequest struct {
 	zones.Move
-	Epoch uint64 `json:"epoch"` // of the plan
+	Epoch uint64 `json:"epoch"` // epoch of the plan
 }
 
-// callWebhook asks the topology manager to move primaries, while this driver leads and may ask. Calls go out in
-// goroutines of their own, which end with the context or their timeout.
+// callWebhook requests moves of primaries from the topology manager, if the coordinator of this driver has pending
+// moves. Calls are made in goroutines of their own, which end with the context or their timeout.
 func (z *zoneAgent) callWebhook(ctx context.Context) {
 	if z.webhook == "" {
 		return
 	}
 	z.mu.Lock()
-	moves, epoch := z.zones.PendingMoves(z.service.decider.clock.now())
+	moves, epoch := z.coordinator.PendingMoves(z.service.decider.clock.now())
 	z.mu.Unlock()
-	for _, m := range moves {
-		if time.Since(z.webhookCalls[m.Group]) < webhookInterval {
+	for _, move := range moves {
+		if time.Since(z.webhookCalls[move.Group]) < webhookInterval {
 			continue
 		}
 		if len(z.webhookCalls) > maxWebhookGroups {
 			clear(z.webhookCalls)
 		}
-		z.webhookCalls[m.Group] = time.Now()
-		request := moveRequest{Move: m, Epoch: epoch}
+		z.webhookCalls[move.Group] = time.Now()
+		request := moveRequest{Move: move, Epoch: epoch}
 		go func() {
 			err := z.requestMove(ctx, request)
-			z.service.log.Info("zones", "reason", "move_asked", "group", m.Group, "to", m.To, "epoch", epoch, "error", err)
+			z.service.log.Info("zones", "reason", "move_asked", "group", move.Group, "to", move.To, "epoch", epoch, "error", err)
 		}()
 	}
 }
 
 func (z *zoneAgent) requestMove(ctx context.Context, move moveRequest) error {
-	call, cancel := context.WithTimeout(ctx, webhookTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, webhookTimeout)
 	defer cancel()
 	body, err := json.Marshal(move)
 	if err != nil {
 		return err
 	}
-	request, err := http.NewRequestWithContext(call, http.MethodPost, z.webhook, bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(callCtx, http.MethodPost, z.webhook, bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
--- a/internal/driver/zones_test.go
+++ b/internal/driver/zones_test.go
@@ -9,7 +9,7 @@
 	"weirwind/internal/operator"
 )
 
-// What an operators' block of zones means for decisions.
+// The options of the coordinator follow from the operators' zones block.
 func TestZoneOptions(t *testing.T) {
 	got := zoneOptions(operator.Zones{HeartbeatInterval: time.Second, PlanLease: 10 * time.Second, Voters: 3, TargetLoad: 50,
 		EjectAfter: 2 * time.Second, MinEjectionTime: 3 * time.Second, Headroom: 20, CrossZoneBudget: 5})
@@ -23,7 +23,7 @@
 	}
 }
 
-// The body of a webhook's call, as topology managers read it.
+// The body of a webhook call, which topology managers read.
 func TestRecordedMoveRequest(t *testing.T) {
 	b, err := json.Marshal(moveRequest{Move: zones.Move{Group: 3, From: "a", To: "b"}, Epoch: 7})
 	if err != nil || string(b) != `{"group":3,"from":"a","to":"b","epoch":7}` {
--- a/internal/limits/backoff.go
+++ b/internal/limits/backoff.go
@@ -5,25 +5,25 @@
 	"math/rand/v2"
 )
 
-// maxDoublings keeps the limit's exponent within what a float holds, long after Max is reached.
+// maxDoublings bounds the exponent, so that the limit can't overflow; Max is reached long before.
 const maxDoublings = 40
 
-// Backoff is the pause after a failed attempt, drawn evenly from nothing up to a limit that doubles with every failure
-// in a row (full jitter). Times are milliseconds.
+// Backoff computes the pause after a failed attempt: uniformly random from 0 up to a limit that doubles with every
+// consecutive failure (exponential backoff with full jitter). Times are milliseconds.
 type Backoff struct {
-	Base, Max float64 // the limit of the first pause, and of all
-	failures  int     // in a row
+	Base, Max float64 // the limits of the first pause and of all pauses
+	failures  int     // consecutive failures
 }
 
-// RecordFailure returns the pause before the next attempt.
+// RecordFailure records a failure and returns the pause before the next attempt.
 func (b *Backoff) RecordFailure(rng *rand.Rand) float64 {
 	limit := min(b.Base*math.Pow(2, float64(min(b.failures, maxDoublings))), b.Max)
 	b.failures++
 	return rng.Float64() * limit
 }
 
-// Reset ends a row of failures.
+// Reset records a success, which ends a sequence of failures.
 func (b *Backoff) Reset() { b.failures = 0 }
 
-// Failures is how many there have been in a row.
+// Failures returns the number of consecutive failures.
 func (b *Backoff) Failures() int { return b.failures }
--- a/internal/limits/backoff_test.go
+++ b/internal/limits/backoff_test.go
@@ -6,22 +6,22 @@
 	"testing"
 )
 
-const users = 1000
+const clients = 1000
 
-// Pauses of users that failed together so often in a row fill the whole span evenly, up to Max.
+// Pauses of clients that failed at the same time are spread uniformly from 0 to the limit, which never exceeds Max.
 func TestBackoffHasFullJitter(t *testing.T) {
 	for failures := range 60 {
 		t.Run(fmt.Sprint("failure ", failures+1), func(t *testing.T) {
 			limit, sum, longest := min(100*float64(uint64(1)<<min(failures, 30)), 10000), 0.0, 0.0
-			for user := range uint64(users) {
-				b, rng := Backoff{Base: 100, Max: 10000}, rand.New(rand.NewPCG(user, 1))
+			for client := range uint64(clients) {
+				b, rng := Backoff{Base: 100, Max: 10000}, rand.New(rand.NewPCG(client, 1))
 				pause := 0.0
 				for range failures + 1 {
 					pause = b.RecordFailure(rng)
 				}
 				sum, longest = sum+pause, max(longest, pause)
 			}
-			if mean := sum / users; longest > limit || mean < limit*0.45 || mean > limit*0.55 {
+			if mean := sum / clients; longest > limit || mean < limit*0.45 || mean > limit*0.55 {
 				t.Errorf("mean %g, longest %g, limit %g", mean, longest, limit)
 			}
 		})
@@ -34,6 +34,6 @@
 		b.RecordFailure(rng)
 	}
 	if b.Reset(); b.Failures() != 0 || b.RecordFailure(rng) > 100 {
-		t.Error("a success does not end the row")
+		t.Error("a success does not reset the backoff")
 	}
 }
--- a/internal/limits/budget.go
+++ b/internal/limits/budget.go
@@ -1,15 +1,16 @@
 package limits
 
-// RetryBudget is a token bucket of attempts: each takes a token, and Rate tokens come back a second, up to Burst.
+// RetryBudget is a token bucket for attempts: each takes a token, and the bucket is refilled at Rate tokens per second,
+// up to Burst.
 type RetryBudget struct {
 	Rate, Burst float64
-	tokens      float64 // below zero by what is reserved ahead
+	tokens      float64 // negative if tokens were reserved in advance
 	refilledAt  float64 // milliseconds; never goes back
 	started     bool    // the bucket was full at the first use
 }
 
-// Reserve takes a token at a time in milliseconds, and returns how many milliseconds to wait before it may be used, 0
-// for none. What is reserved ahead is owed: the next attempt waits longer.
+// Reserve takes a token at time now, in milliseconds, and returns how many milliseconds to wait before using it, 0 if
+// it can be used at once. Tokens may be reserved in advance: each such reservation makes the next one wait longer.
 func (b *RetryBudget) Reserve(now float64) (wait float64) {
 	if !b.started {
 		b.tokens, b.refilledAt, b.started = b.Burst, now, true
--- a/internal/limits/budget_test.go
+++ b/internal/limits/budget_test.go
@@ -4,18 +4,18 @@
 
 func TestRetryBudgetNeverExceedsItsRate(t *testing.T) {
 	b := RetryBudget{Rate: 2, Burst: 5}
-	now, taken := 0.0, 0
-	for now < 60000 { // taken as fast as it allows
+	now, attempts := 0.0, 0
+	for now < 60000 { // as fast as the budget allows
 		now += b.Reserve(now)
-		taken++
+		attempts++
 	}
-	if taken < 120 || taken > 127 {
-		t.Errorf("%d attempts in a minute", taken)
+	if attempts < 120 || attempts > 127 {
+		t.Errorf("%d attempts in a minute", attempts)
 	}
 	if b.Reserve(now+1e9) != 0 {
-		t.Error("does not fill up again")
+		t.Error("the budget is not refilled")
 	}
 	if b.Reserve(0) != 0 || b.tokens > 5 {
-		t.Error("a clock that goes back fills it")
+		t.Error("a clock that goes backwards refills the budget")
 	}
 }
--- a/internal/limits/doc.go
+++ b/internal/limits/doc.go
@@ -1,11 +1,11 @@
-// Package limits decides how often something may be attempted again: a [Backoff] with full jitter between one user's
-// attempts, and a [RetryBudget] that many attempts share. It does no I/O and reads no clock. Their
-// limits are exported fields that the caller sets before the first use; all times are milliseconds.
+// Package limits limits retries: a [Backoff] with full jitter between the attempts of one client, and a [RetryBudget]
+// that many clients share. It does no I/O and reads no clock. The limits are exported fields that the caller sets
+// before the first use; all times are milliseconds.
 //
 // # Invariants
 //
-//   - Users with different random generators spread out: a pause is drawn evenly from nothing up to its limit, so no
-//     two of them act as one after a failure that they had together.
-//   - A budget never allows more than Burst at once, nor more than Rate a second in the long run, whatever is asked of
-//     it. A clock that goes back adds nothing.
+//   - Clients with different random generators spread out: a pause is uniformly random from 0 up to its limit, so
+//     clients that fail at the same time don't retry at the same time.
+//   - A budget never allows more than Burst attempts at once, nor more than Rate per second in the long run, however
+//     many are requested. A clock that goes backwards adds no tokens.
 package limits
