--- a/internal/opening/golden_test.go
+++ b/internal/opening/golden_test.go
@@ -10,23 +10,23 @@
 	"weirwind/internal/standin/golden"
 )
 
-// settingsOf are settings with every key that is read, words drawn from those of the wire and a few that are none.
-func settingsOf(draw *rand.Rand) string {
-	word := func(all ...string) string {
-		if draw.IntN(60) == 0 {
+// randomSettings returns settings with all known keys, whose keywords are drawn at random; a few of them are invalid.
+func randomSettings(rng *rand.Rand) string {
+	pick := func(all ...string) string {
+		if rng.IntN(60) == 0 {
 			return `"other"`
 		}
-		return fmt.Sprintf("%q", all[draw.IntN(len(all))])
+		return fmt.Sprintf("%q", all[rng.IntN(len(all))])
 	}
-	n := func() int { return draw.IntN(1000000) }
-	yes := func() bool { return draw.IntN(2) > 0 }
+	number := func() int { return rng.IntN(1000000) }
+	flag := func() bool { return rng.IntN(2) > 0 }
 	var profiles, needs []string
-	for i := range 1 + draw.IntN(3) {
+	for i := range 1 + rng.IntN(3) {
 		profiles = append(profiles, fmt.Sprintf(`{"name":"p%d","aim":%d,"deadline":%d,"effect":%s,"key_scope":%s,"window":%d,"points":%d}`,
-			i, n(), n(), word("repeatable", "by_key", "once"), word("", "all", "zone", "cell"), n(), n()))
-		needs = append(needs, word("eventual", "lag_bound", "causal", "strong", "mutate"))
+			i, number(), number(), pick("repeatable", "by_key", "once"), pick("", "all", "zone", "cell"), number(), number()))
+		needs = append(needs, pick("eventual", "lag_bound", "causal", "strong", "mutate"))
 	}
-	if draw.IntN(40) == 0 {
+	if rng.IntN(40) == 0 {
 		needs = nil
 	}
 	return fmt.Sprintf(`{"index":%d,"siblings":%d,"zone":"z%d","tick":%d,"profiles":[%s],"family_info":{"checks":%s,`+
@@ -34,28 +34,28 @@
 		`"policy_limits":{"cancel":%v,"may_probe":%v,"parallel_tries":%v,"peers":%v,"retry_after":%v,"max_retry_after":%d,`+
 		`"send_cap":%d,"conn_idle":%d,"connect_timeout":%d},"registry_mode":%s,"report":{"fields":["x0",%s],"source":%s},`+
 		`"rules":{"cold":%d,"cold_from":%d,"fall":%d,"tip_multiple":%d,"only_draining_binds":%v,"stop_sending_within":%d},"more":1}`,
-		draw.IntN(9), draw.IntN(9), draw.IntN(3), n(), strings.Join(profiles, ","), word("", "silent", "bounce", "await"),
-		strings.Join(needs, ","), n(), n(), word("", "silent", "static", "trailing"), word("", "kept", "brought"), yes(),
-		yes(), yes(), yes(), yes(), yes(), n(),
-		draw.IntN(9), n(), n(), word("on_request", "push"), word("x1", "x2"), word("silent", "notes"),
-		n(), draw.IntN(9), n(), draw.IntN(9), yes(), n())
+		rng.IntN(9), rng.IntN(9), rng.IntN(3), number(), strings.Join(profiles, ","), pick("", "silent", "bounce", "await"),
+		strings.Join(needs, ","), number(), number(), pick("", "silent", "static", "trailing"), pick("", "kept", "brought"), flag(),
+		flag(), flag(), flag(), flag(), flag(), number(),
+		rng.IntN(9), number(), number(), pick("on_request", "push"), pick("x1", "x2"), pick("silent", "notes"),
+		number(), rng.IntN(9), number(), rng.IntN(9), flag(), number())
 }
 
-// What settings mean, over many drawn at random, is what it meant when the digest was recorded.
+// Parsing many random settings gives the same results as when the digest was recorded.
 func TestRecordedOpenings(t *testing.T) {
-	digest, failed := fnv.New64a(), 0
-	draw := rand.New(rand.NewPCG(1, 1))
+	digest, rejected := fnv.New64a(), 0
+	rng := rand.New(rand.NewPCG(1, 1))
 	for seed := range uint64(500) {
-		s, err := Parse([]byte(settingsOf(draw)), seed)
+		s, err := Parse([]byte(randomSettings(rng)), seed)
 		if err != nil {
-			failed++
+			rejected++
 			fmt.Fprintln(digest, err)
 			continue
 		}
 		fmt.Fprintf(digest, "%v %v %v %v %v %v\n", *s.Opening, s.OpTypes, s.Index, s.ConnectTimeout, s.ConnIdleTimeout, s.DrainGrace)
 	}
-	if failed < 50 || failed > 300 {
-		t.Errorf("%d of 500 settings make no sense", failed)
+	if rejected < 50 || rejected > 300 {
+		t.Errorf("%d of 500 settings were rejected", rejected)
 	}
 	const recorded = 0xe01f536dbee228a3
 	if got := digest.Sum64(); got != recorded {
--- a/internal/opening/opening.go
+++ b/internal/opening/opening.go
@@ -8,24 +8,25 @@
 	"weirwind/logic"
 )
 
-// MaxMessageBytes is how many bytes one message between drivers may carry.
+// MaxMessageBytes is the maximum size of a message between drivers.
 const MaxMessageBytes = 256
 
 const microsPerMilli = 1000
 
 func milliseconds(micros float64) float64 { return micros / microsPerMilli }
 
-// Settings are what a driver was given: the module's opening, and what its host alone needs. Times are milliseconds.
+// Settings are a driver's settings: the module's opening event, and values that only its host uses. Times are
+// milliseconds.
 type Settings struct {
 	Opening         *logic.Opening
-	OpTypes         map[string]int // index in the opening by name
-	Index           int            // this driver's number among all
+	OpTypes         map[string]int // index of each op type in the opening, by name
+	Index           int            // this driver's index among all drivers
 	ConnectTimeout  float64
-	ConnIdleTimeout float64 // after which members close an idle connection
-	DrainGrace      float64 // from when a drain is announced until sends must have stopped; 0 for unknown
+	ConnIdleTimeout float64 // after this members close an idle connection
+	DrainGrace      float64 // from the notice of a drain until sends must have stopped; 0 if unknown
 }
 
-// Parse reads the settings object. The module draws from the seed.
+// Parse parses the settings object. The seed is that of the module's random generator.
 func Parse(object []byte, seed uint64) (Settings, error) {
 	var s setup
 	if err := json.Unmarshal(object, &s); err != nil {
@@ -57,7 +58,7 @@
 	}, nil
 }
 
-// opening is all of the module's opening but op types.
+// opening returns the module's opening event without the op types.
 func (s *setup) opening(seed uint64) (*logic.Opening, error) {
 	o := &logic.Opening{
 		Seed:            seed,
@@ -94,7 +95,7 @@
 	return o, err
 }
 
-// opType is the i-th profile in the module's terms.
+// opType converts the i-th profile to an op type of the module.
 func (s *setup) opType(i int) (t logic.OpType, err error) {
 	p := s.Profiles[i]
 	t = logic.OpType{
--- a/internal/opening/setup.go
+++ b/internal/opening/setup.go
@@ -1,7 +1,7 @@
 package opening
 
-// setup is the part of the settings object that is read. The fields are named as the settings are, also where those
-// have other names than the module's, as errors of the decoder show them to operators.
+// setup is the part of the settings object that is used. The fields are named like the settings, also where the module
+// uses other names, because decoding errors, which operators see, contain them.
 type setup struct {
 	Index    int
 	Siblings int    `json:"siblings"`
@@ -43,7 +43,8 @@
 	}
 }
 
-// profile is an op type. It stands for an unnamed type, so that errors name its fields by their settings alone.
+// profile is the settings of an op type. It is an alias of an unnamed type, so that decoding errors contain only the
+// names of the settings.
 type profile = struct {
 	Name     string
 	Aim      float64
--- a/internal/opening/words.go
+++ b/internal/opening/words.go
@@ -6,7 +6,7 @@
 	"weirwind/logic"
 )
 
-// The wire's words for the module's values.
+// The keywords of the settings, and the module's values for them.
 var (
 	needs = map[string]logic.Need{
 		"eventual":  logic.Any,
@@ -38,11 +38,11 @@
 		"static":   logic.RoleAtStart,
 		"trailing": logic.RoleLate,
 	}
-	// writeMarks says whether sessions carry the positions of their writes.
+	// writeMarks tells whether sessions carry the positions of their writes.
 	writeMarks = map[string]bool{"": false, "kept": false, "brought": true}
 )
 
-// lookup translates a setting's word; the error names the setting.
+// lookup returns the value for a setting's keyword; the error names the setting.
 func lookup[T any](table map[string]T, word, setting string) (T, error) {
 	v, ok := table[word]
 	if !ok {
