--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -29,11 +29,11 @@
 			}
 			r := bufio.NewReader(conn)
 			for _, answer := range answers {
-				for line, first := "x", true; line != "\r\n"; first = false {
+				for line, isRequestLine := "x", true; line != "\r\n"; isRequestLine = false {
 					if line, err = r.ReadString('\n'); err != nil {
 						break
 					}
-					if first {
+					if isRequestLine {
 						requests <- strings.TrimSpace(line)
 					}
 				}
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -16,22 +16,22 @@
 	written strings.Builder
 }
 
-func (a *cannedConn) Write(b []byte) (int, error) { return a.written.Write(b) }
+func (conn *cannedConn) Write(b []byte) (int, error) { return conn.written.Write(b) }
 
 // The request, and the result of each response, are the same as recorded.
 func TestRecordedExchanges(t *testing.T) {
 	var cases []golden.Case[string]
-	head := "HTTP/1.1 200 OK\r\n"
+	statusLine := "HTTP/1.1 200 OK\r\n"
 	for i, answer := range []string{
-		okResponse(sampleList), "HTTP/1.0 200 OK\r\n\r\n" + sampleList, head + "\r\n" + sampleList, head + "Connection: close\r\nContent-Length: 2\r\n\r\n{}",
+		okResponse(sampleList), "HTTP/1.0 200 OK\r\n\r\n" + sampleList, statusLine + "\r\n" + sampleList, statusLine + "Connection: close\r\nContent-Length: 2\r\n\r\n{}",
 		"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 2\r\n\r\nno", "HTTP/1.1 204\r\nContent-Length: 0\r\n\r\n", "", "HTTP/1.1",
-		"SSH-2.0-x\r\n\r\n", head + "Conte", head + "odd\r\n\r\n", head + strings.Repeat("A: b\r\n", 101) + "\r\n",
-		head + "Content-Length: -1\r\n\r\n", head + "content-length: 99999999999\r\n\r\n", head + "Content-Length: 9\r\n\r\n{}",
-		head + "X: " + strings.Repeat("y", 9000) + "\r\n\r\n",
-		head + "Transfer-Encoding: chunked\r\n\r\n1;x=y\r\n{\r\n1\r\n}\r\n0\r\nT: x\r\n\r\n",
-		head + "Transfer-Encoding: CHUNKED\r\n\r\nxyz\r\n", head + "Transfer-Encoding: chunked\r\n\r\n1\r\n{}\r\n",
-		head + "Transfer-Encoding: chunked\r\n\r\n1\r\n{", head + "Transfer-Encoding: chunked\r\n\r\n3\r\n{",
-		head + "Transfer-Encoding: chunked\r\n\r\n0\r\nT: x", head + "Transfer-Encoding: chunked\r\n\r\n7fffffff\r\n",
+		"SSH-2.0-x\r\n\r\n", statusLine + "Conte", statusLine + "odd\r\n\r\n", statusLine + strings.Repeat("A: b\r\n", 101) + "\r\n",
+		statusLine + "Content-Length: -1\r\n\r\n", statusLine + "content-length: 99999999999\r\n\r\n", statusLine + "Content-Length: 9\r\n\r\n{}",
+		statusLine + "X: " + strings.Repeat("y", 9000) + "\r\n\r\n",
+		statusLine + "Transfer-Encoding: chunked\r\n\r\n1;x=y\r\n{\r\n1\r\n}\r\n0\r\nT: x\r\n\r\n",
+		statusLine + "Transfer-Encoding: CHUNKED\r\n\r\nxyz\r\n", statusLine + "Transfer-Encoding: chunked\r\n\r\n1\r\n{}\r\n",
+		statusLine + "Transfer-Encoding: chunked\r\n\r\n1\r\n{", statusLine + "Transfer-Encoding: chunked\r\n\r\n3\r\n{",
+		statusLine + "Transfer-Encoding: chunked\r\n\r\n0\r\nT: x", statusLine + "Transfer-Encoding: chunked\r\n\r\n7fffffff\r\n",
 	} {
 		conn := &cannedConn{}
 		c := Client{Address: "a:1", conn: conn, reader: bufio.NewReaderSize(strings.NewReader(answer), maxLine)}
--- a/internal/discovery/http.go
+++ b/internal/discovery/http.go
@@ -18,10 +18,10 @@
 
 // responseHeader is the used part of a response's header.
 type responseHeader struct {
-	code      string
-	length    int // -1 if the header has no length
-	chunked   bool
-	keepAlive bool // the connection can serve another call
+	statusCode    string
+	contentLength int // -1 if the header has no length
+	chunked       bool
+	keepAlive     bool // the connection can serve another call
 }
 
 // exchange sends a GET request and reads the response. keepAlive reports whether the connection can be reused.
@@ -37,15 +37,15 @@
 	switch {
 	case header.chunked:
 		body, err = c.readChunks()
-	case header.length >= 0:
-		body = make([]byte, header.length)
+	case header.contentLength >= 0:
+		body = make([]byte, header.contentLength)
 		_, err = io.ReadFull(c.reader, body)
 	default: // until the end of the connection
 		header.keepAlive = false
 		body, err = io.ReadAll(io.LimitReader(c.reader, maxBody))
 	}
-	if err == nil && header.code != "200" {
-		err = fmt.Errorf("status %.10s", header.code)
+	if err == nil && header.statusCode != "200" {
+		err = fmt.Errorf("status %.10s", header.statusCode)
 	}
 	return body, header.keepAlive, err
 }
@@ -60,8 +60,8 @@
 	if version != "HTTP/1.1" && version != "HTTP/1.0" {
 		return header, fmt.Errorf("not an HTTP answer: %.40q", status)
 	}
-	header = responseHeader{length: -1, keepAlive: version == "HTTP/1.1"}
-	header.code, _, _ = strings.Cut(rest, " ")
+	header = responseHeader{contentLength: -1, keepAlive: version == "HTTP/1.1"}
+	header.statusCode, _, _ = strings.Cut(rest, " ")
 	for n := 0; ; n++ {
 		line, err := c.readLine()
 		if err != nil {
@@ -83,7 +83,7 @@
 func (h *responseHeader) set(name, value string) (err error) {
 	switch name {
 	case "content-length":
-		if h.length, err = strconv.Atoi(value); err != nil || h.length < 0 || h.length > maxBody {
+		if h.contentLength, err = strconv.Atoi(value); err != nil || h.contentLength < 0 || h.contentLength > maxBody {
 			return fmt.Errorf("bad length %.40q", value)
 		}
 	case "transfer-encoding":
@@ -110,18 +110,18 @@
 			return nil, err
 		}
 		size, _, _ := strings.Cut(line, ";")
-		n, err := strconv.ParseUint(strings.TrimSpace(size), 16, 31)
-		if err != nil || len(body)+int(n) > maxBody {
+		chunkBytes, err := strconv.ParseUint(strings.TrimSpace(size), 16, 31)
+		if err != nil || len(body)+int(chunkBytes) > maxBody {
 			return nil, fmt.Errorf("bad chunk %.40q", line)
 		}
-		if n == 0 {
+		if chunkBytes == 0 {
 			if err := c.skipTrailers(); err != nil {
 				return nil, err
 			}
 			return body, nil
 		}
-		body = append(body, make([]byte, n)...)
-		if _, err = io.ReadFull(c.reader, body[len(body)-int(n):]); err != nil {
+		body = append(body, make([]byte, chunkBytes)...)
+		if _, err = io.ReadFull(c.reader, body[len(body)-int(chunkBytes):]); err != nil {
 			return nil, err
 		}
 		if err := c.readChunkEnd(); err != nil {
--- a/internal/driver/answer.go
+++ b/internal/driver/answer.go
@@ -37,7 +37,7 @@
 	}
 	onFirstByte()
 	for {
-		before := len(a.messages)
+		previousBytes := len(a.messages)
 		kind, messages, err := pgwire.Read(reader, a.messages)
 		if errors.Is(err, pgwire.ErrFraming) || len(messages) > 2*pgwire.MaxMessage { // longer than any valid answer
 			return a.malformed(), false, pgwire.ErrFraming
@@ -45,7 +45,7 @@
 		if err != nil {
 			return a.result, false, err
 		}
-		switch a.addMessage(kind, messages, pgwire.Body(messages[before:])) {
+		switch a.addMessage(kind, messages, pgwire.Body(messages[previousBytes:])) {
 		case answerComplete:
 			return a.result, true, nil
 		case answerMalformed:
@@ -61,16 +61,16 @@
 	lastKind byte   // kind of the last of them: T, D, then C or E; 0 if none
 }
 
-type answerPhase uint8
+type answerProgress uint8
 
 const (
-	answerIncomplete answerPhase = iota
+	answerIncomplete answerProgress = iota
 	answerComplete
 	answerMalformed
 )
 
 // addMessage processes one message. messages ends with it, after the earlier ones; body is its body.
-func (a *memberAnswer) addMessage(kind byte, messages, body []byte) answerPhase {
+func (a *memberAnswer) addMessage(kind byte, messages, body []byte) answerProgress {
 	switch {
 	case kind == 'T' && a.lastKind == 0 && pgwire.IsBinaryColumn(body):
 		a.messages, a.lastKind = messages, kind
--- a/internal/driver/attempt_test.go
+++ b/internal/driver/attempt_test.go
@@ -44,7 +44,7 @@
 		}
 	}()
 	var counts counters
-	logger, _ := newLog("json", slog.LevelInfo, &counts.LogLost)
+	logger, _ := newLogger("json", slog.LevelInfo, &counts.LogLost)
 	sockets := &budget{}
 	sockets.available.Store(2)
 	testPool := &pool{connectTimeout: 10 * time.Second, idleTimeout: time.Hour, budget: sockets, counters: &counts,
--- a/internal/driver/bench_test.go
+++ b/internal/driver/bench_test.go
@@ -40,12 +40,12 @@
 			}
 			go func() {
 				defer conn.Close()
-				r := bufio.NewReader(conn)
-				pgwire.ReadStartup(r)
+				reader := bufio.NewReader(conn)
+				pgwire.ReadStartup(reader)
 				conn.Write(pgwire.AppendStartupResponse(nil, 0))
 				var buf []byte
 				for {
-					if _, buf, err = pgwire.Read(r, buf[:0]); err != nil {
+					if _, buf, err = pgwire.Read(reader, buf[:0]); err != nil {
 						return
 					}
 					conn.Write(answer)
@@ -59,7 +59,7 @@
 func BenchmarkOp(b *testing.B) {
 	for _, saveState := range []bool{false, true} {
 		b.Run(map[bool]string{false: "no-state", true: "state"}[saveState], func(b *testing.B) {
-			member := echoMember(b)
+			memberAddress := echoMember(b)
 			discovery, err := net.Listen("tcp", "127.0.0.1:0") // a discovery that never responds
 			if err != nil {
 				b.Fatal(err)
@@ -74,13 +74,13 @@
 					`"known":{"revision":1,"complete":true,"members":[{"id":"m","host_port":%q,"cell":3,"phase":"up","access":"writer"}]},`+
 					`"settings":{"tick":5000,"family_info":{"needs_by_class":["eventual"],"shows_role":"static"},"policy_limits":{"send_cap":4,`+
 					`"connect_timeout":1000000,"conn_idle":60000000},"profiles":[{"name":"read","aim":300000,"deadline":1e6,"effect":"repeatable","points":1}]}}`,
-				discovery.Addr().String(), member), operators)
+				discovery.Addr().String(), memberAddress), operators)
 			if err != nil {
 				b.Fatal(err)
 			}
 			ctx, cancel := context.WithCancel(context.Background())
-			ended := make(chan error)
-			go func() { ended <- service.Run(ctx, io.Discard) }()
+			runDone := make(chan error)
+			go func() { runDone <- service.Run(ctx, io.Discard) }()
 			conn, err := net.Dial("tcp", service.listener.Addr().String())
 			if err != nil {
 				b.Fatal(err)
@@ -99,7 +99,7 @@
 			}
 			conn.Write(pgwire.AppendStartupMessage(nil, "svc", "main"))
 			waitReady()
-			took := make([]time.Duration, 0, b.N)
+			latencies := make([]time.Duration, 0, b.N)
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := range b.N {
@@ -108,15 +108,15 @@
 				beganAt := time.Now()
 				conn.Write(query)
 				waitReady()
-				took = append(took, time.Since(beganAt))
+				latencies = append(latencies, time.Since(beganAt))
 			}
 			b.StopTimer()
-			slices.Sort(took)
-			b.ReportMetric(float64(took[len(took)*99/100].Nanoseconds()), "p99-ns")
-			b.ReportMetric(float64(took[len(took)/2].Nanoseconds()), "p50-ns")
+			slices.Sort(latencies)
+			b.ReportMetric(float64(latencies[len(latencies)*99/100].Nanoseconds()), "p99-ns")
+			b.ReportMetric(float64(latencies[len(latencies)/2].Nanoseconds()), "p50-ns")
 			conn.Close()
 			cancel()
-			<-ended
+			<-runDone
 		})
 	}
 }
--- a/internal/driver/client.go
+++ b/internal/driver/client.go
@@ -77,8 +77,8 @@
 	c.service.removeClient(c)
 	c.logClosed(reason)
 	select {
-	case m := <-c.messages:
-		c.service.messageBudget.release(m.budgetBytes)
+	case msg := <-c.messages:
+		c.service.messageBudget.release(msg.budgetBytes)
 	default:
 	}
 }
--- a/internal/driver/datagrams.go
+++ b/internal/driver/datagrams.go
@@ -113,23 +113,23 @@
 func (d *datagrams) readLoop(ctx context.Context, decider *decider) {
 	stop := context.AfterFunc(ctx, func() { d.conn.Close() })
 	defer stop()
-	buf := make([]byte, opening.MaxMessageBytes+1) // one byte more, to detect messages that are too long
+	buffer := make([]byte, opening.MaxMessageBytes+1) // one byte more, to detect messages that are too long
 	for ctx.Err() == nil {
-		n, from, err := d.conn.ReadFromUDPAddrPort(buf)
+		size, from, err := d.conn.ReadFromUDPAddrPort(buffer)
 		switch {
 		case err != nil:
 			select { // an error that affects one datagram only, such as a peer that does not listen
 			case <-ctx.Done():
 			case <-time.After(time.Millisecond):
 			}
-		case n > opening.MaxMessageBytes || !d.isPeer(netip.AddrPortFrom(from.Addr().Unmap(), from.Port())):
+		case size > opening.MaxMessageBytes || !d.isPeer(netip.AddrPortFrom(from.Addr().Unmap(), from.Port())):
 			d.counters.MessagesBad.Add(1)
 		default:
 			if d.onMessage != nil {
 				d.onMessage(netip.AddrPortFrom(from.Addr().Unmap(), from.Port()))
 			}
 			d.counters.MessagesIn.Add(1)
-			decider.step(logic.Event{Kind: logic.EvMessage, Data: append([]byte(nil), buf[:n]...)})
+			decider.step(logic.Event{Kind: logic.EvMessage, Data: append([]byte(nil), buffer[:size]...)})
 		}
 	}
 }
--- a/internal/driver/decider_members.go
+++ b/internal/driver/decider_members.go
@@ -53,16 +53,17 @@
 func (d *decider) setDraining(member string, reason drainReasons, draining bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	before := d.drains[member]
-	after := before | reason
+	reasonsBefore := d.drains[member]
+	reasonsAfter := reasonsBefore | reason
 	if !draining {
-		after = before &^ reason
+		reasonsAfter = reasonsBefore &^ reason
 	}
-	if d.drains[member] = after; after == 0 {
+	if d.drains[member] = reasonsAfter; reasonsAfter == 0 {
 		delete(d.drains, member)
 	}
-	if entry, listed := d.members[member]; listed && entry.Phase == logic.Ready && (before != 0) != (after != 0) {
-		if after != 0 {
+	if entry, listed := d.members[member]; listed && entry.Phase == logic.Ready &&
+		(reasonsBefore != 0) != (reasonsAfter != 0) {
+		if reasonsAfter != 0 {
 			entry.Phase = logic.Draining
 		}
 		d.stepLocked(logic.Event{Kind: logic.EvMembers, List: logic.ListChanges, Members: []logic.ListEntry{entry}})
--- a/internal/driver/decider_ops.go
+++ b/internal/driver/decider_ops.go
@@ -64,8 +64,8 @@
 		op.finished, op.rows = true, r.rows
 	}
 	if d.zones != nil && r.outcome == logic.OK && index < len(op.zoneAttempts) {
-		sentAttempt := op.zoneAttempts[index]
-		d.zones.recordAnswer(sentAttempt.member, d.members[sentAttempt.member].Zone, d.clock.now()-sentAttempt.decidedAt,
+		sent := op.zoneAttempts[index]
+		d.zones.recordAnswer(sent.member, d.members[sent.member].Zone, d.clock.now()-sent.decidedAt,
 			d.clock.observation(r.role, r.position).Position)
 	}
 	connOpenedAt := 0.0
--- a/internal/driver/doc.go
+++ b/internal/driver/doc.go
@@ -43,7 +43,7 @@
 //	zoneAgent.mu       >  decider.mu
 //	switchovers.mu     >  decider.mu
 //	Service.rosterMu   >  pool.mu, stateSaver.mu
-//	attempt.mu         >  attempt.writing
+//	attempt.mu         >  attempt.writeMu
 //
 // No lock is taken while one of the others (clientSet.mu, opLedger.mu, presence.mu, Service.discoveryMu) is held.
 //
--- a/internal/driver/golden_test.go
+++ b/internal/driver/golden_test.go
@@ -32,7 +32,7 @@
 	}
 	texts := []golden.Case[string]{golden.Of("counters", strings.Join(names, " "))}
 	for _, format := range []string{"text", "json"} {
-		logger, queue := newLog(format, slog.LevelInfo, &c.LogLost)
+		logger, queue := newLogger(format, slog.LevelInfo, &c.LogLost)
 		logger.Info("decided", "text", "a b", "ops", 1)
 		line := string(<-queue.lines)
 		texts = append(texts, golden.Of(format, line[strings.Index(line, "level"):]))
--- a/internal/driver/ledger.go
+++ b/internal/driver/ledger.go
@@ -46,18 +46,18 @@
 // openLedger recovers the table of keys. A damaged table is an error, because without it an op could be executed twice:
 // operators have to move the folder away to start with an empty ledger.
 func (s *Service) openLedger(block operator.Ledger, opTypes []logic.OpType) error {
-	limitBytes := int64(block.LimitMB) << 20
+	storeLimitBytes := int64(block.LimitMB) << 20
 	limits := ledger.Limits{
 		Retention:   milliseconds(block.Retention),
 		Keys:        block.MaxKeys,
-		TotalBytes:  int(limitBytes / 4), // the store may hold two generations, each a snapshot and a log
+		TotalBytes:  int(storeLimitBytes / 4), // the store may hold two generations, each a snapshot and a log
 		AnswerBytes: ledgerAnswerBytes,
 	}
 	if err := limits.Check(); err != nil {
 		return err
 	}
 	store, found, err := durable.Open(durable.OS{},
-		durable.Options{Folder: block.Folder, Tag: ledgerTag, Limit: limitBytes})
+		durable.Options{Folder: block.Folder, Tag: ledgerTag, Limit: storeLimitBytes})
 	if err != nil {
 		return fmt.Errorf("ledger: %w", err)
 	}
--- a/internal/driver/log.go
+++ b/internal/driver/log.go
@@ -16,8 +16,8 @@
 	lost  *atomic.Int64
 }
 
-// newLog returns a logger and the queue that its lines go through. The format is "text", as name=value, or "json".
-func newLog(format string, level slog.Leveler, lost *atomic.Int64) (*slog.Logger, *logQueue) {
+// newLogger returns a logger and the queue that its lines go through. The format is "text", as name=value, or "json".
+func newLogger(format string, level slog.Leveler, lost *atomic.Int64) (*slog.Logger, *logQueue) {
 	q := &logQueue{make(chan []byte, logQueueLines), lost}
 	options := &slog.HandlerOptions{Level: level, ReplaceAttr: func(groups []string, a slog.Attr) slog.Attr {
 		if a.Key == slog.MessageKey && len(groups) == 0 {
--- a/internal/driver/log_test.go
+++ b/internal/driver/log_test.go
@@ -8,7 +8,7 @@
 // Lines for which the queue has no room are dropped and counted; logging never blocks.
 func TestLogNeverBlocks(t *testing.T) {
 	var c counters
-	logger, queue := newLog("text", slog.LevelInfo, &c.LogLost)
+	logger, queue := newLogger("text", slog.LevelInfo, &c.LogLost)
 	for range cap(queue.lines) + 5 {
 		logger.Info("x")
 	}
--- a/internal/driver/performer.go
+++ b/internal/driver/performer.go
@@ -20,9 +20,9 @@
 	s.counters.Probes.Add(1)
 	s.healthChecks.Go(func() error {
 		defer s.openHealthChecks.Add(-1)
-		began := time.Now()
+		beganAt := time.Now()
 		r := s.pool.newAttempt(member, nil, s.pool.connectTimeout).run()
-		s.decider.healthChecked(member, r, time.Since(began))
+		s.decider.healthChecked(member, r, time.Since(beganAt))
 		if s.switchovers != nil && r.outcome == logic.OK {
 			s.switchovers.observeRole(member, r.reportRole)
 		}
--- a/internal/driver/presence.go
+++ b/internal/driver/presence.go
@@ -147,8 +147,8 @@
 	}
 }
 
-// refresh updates the number of drivers and the peers that messages are sent to.
-func (p *presence) refresh() {
+// refreshDrivers updates the number of drivers and the peers that messages are sent to.
+func (p *presence) refreshDrivers() {
 	p.mu.Lock()
 	now := p.service.decider.clock.now()
 	listed := p.drivers.Members()
@@ -193,7 +193,7 @@
 			p.callRegistry(ctx, now, step)
 		}
 		p.logLease()
-		p.refresh()
+		p.refreshDrivers()
 		select {
 		case <-ctx.Done():
 			p.revoke(ctx)
--- a/internal/driver/service.go
+++ b/internal/driver/service.go
@@ -120,7 +120,7 @@
 		discovery:     discovery.Client{Address: config.Discovery, Timeout: discoveryTimeout},
 	}
 	s.level.Set(operators.Log.Level)
-	s.log, s.logLines = newLog(operators.Log.Format, &s.level, &s.counters.LogLost)
+	s.log, s.logLines = newLogger(operators.Log.Format, &s.level, &s.counters.LogLost)
 	sockets := config.Limits.Sockets - reservedSockets
 	s.clientBudget.available.Store(int64(float64(sockets) * clientSocketShare))
 	s.messageBudget.available.Store(int64(config.Limits.MemoryMB * messageMemoryShare * (1 << 20)))
--- a/internal/driver/zone_webhook.go
+++ b/internal/driver/zone_webhook.go
@@ -42,13 +42,13 @@
 		z.webhookCalls[move.Group] = time.Now()
 		request := moveRequest{Move: move, Epoch: epoch}
 		go func() {
-			err := z.requestMove(ctx, request)
+			err := z.postMoveRequest(ctx, request)
 			z.service.log.Info("zones", "reason", "move_asked", "group", move.Group, "to", move.To, "epoch", epoch, "error", err)
 		}()
 	}
 }
 
-func (z *zoneAgent) requestMove(ctx context.Context, move moveRequest) error {
+func (z *zoneAgent) postMoveRequest(ctx context.Context, move moveRequest) error {
 	callCtx, cancel := context.WithTimeout(ctx, webhookTimeout)
 	defer cancel()
 	body, err := json.Marshal(move)
--- a/internal/opening/opening.go
+++ b/internal/opening/opening.go
@@ -58,7 +58,7 @@
 	}, nil
 }
 
-// opening returns the module's opening event without the op types.
+// opening returns the module's opening event without op types.
 func (s *setup) opening(seed uint64) (*logic.Opening, error) {
 	o := &logic.Opening{
 		Seed:            seed,
@@ -91,7 +91,7 @@
 	if o.SessionCarried, err = lookup(writeMarks, s.Family.WriteMarks, "write_marks"); err != nil {
 		return nil, err
 	}
-	o.ListRole, err = lookup(listRoles, s.Family.ShowsRole, "shows_role")
+	o.ListRole, err = lookup(listRoleModes, s.Family.ShowsRole, "shows_role")
 	return o, err
 }
 
--- a/internal/opening/words.go
+++ b/internal/opening/words.go
@@ -32,7 +32,7 @@
 		"bounce": logic.ChecksRefuse,
 		"await":  logic.ChecksWait,
 	}
-	listRoles = map[string]logic.ListRole{
+	listRoleModes = map[string]logic.ListRole{
 		"":         logic.RoleNone,
 		"silent":   logic.RoleNone,
 		"static":   logic.RoleAtStart,
@@ -43,10 +43,10 @@
 )
 
 // lookup returns the value for a setting's keyword; the error names the setting.
-func lookup[T any](table map[string]T, word, setting string) (T, error) {
-	v, ok := table[word]
+func lookup[T any](table map[string]T, keyword, setting string) (T, error) {
+	v, ok := table[keyword]
 	if !ok {
-		return v, fmt.Errorf("setup: %s has the unknown word %q", setting, word)
+		return v, fmt.Errorf("setup: %s has the unknown word %q", setting, keyword)
 	}
 	return v, nil
 }
