--- a/internal/discovery/http.go
+++ b/internal/discovery/http.go
@@ -1,6 +1,6 @@
 package discovery
 
-// This file owns HTTP/1.1 as far as discovery needs it: one GET, and a response of any framing, within bounds.
+// This file implements the part of HTTP/1.1 that discovery needs: a GET, and a response of bounded size in any framing.
 
 import (
 	"errors"
@@ -11,21 +11,21 @@
 )
 
 const (
-	maxBody        = 8 << 20 // bytes of a list
-	maxLine        = 8 << 10 // bytes
+	maxBody        = 8 << 20 // bytes in a response body
+	maxLine        = 8 << 10 // bytes in a header or chunk line
 	maxHeaderLines = 100
 )
 
-// responseHeader is what of a response's header matters.
+// responseHeader is the used part of a response's header.
 type responseHeader struct {
-	code    string
-	length  int // -1 where the header doesn't say
-	chunked bool
-	keep    bool // the connection can serve another call
+	statusCode    string
+	contentLength int // -1 if the header has no length
+	chunked       bool
+	keepAlive     bool // the connection can serve another call
 }
 
-// exchange sends one GET and reads its response. keep says that the connection can serve another call.
-func (c *Client) exchange(path string) (body []byte, keep bool, err error) {
+// exchange sends a GET request and reads the response. keepAlive reports whether the connection can be reused.
+func (c *Client) exchange(path string) (body []byte, keepAlive bool, err error) {
 	request := "GET " + path + " HTTP/1.1\r\nHost: " + c.Address + "\r\nAccept: application/json\r\n\r\n"
 	if _, err := io.WriteString(c.conn, request); err != nil {
 		return nil, false, err
@@ -37,17 +37,17 @@
 	switch {
 	case header.chunked:
 		body, err = c.readChunks()
-	case header.length >= 0:
-		body = make([]byte, header.length)
-		_, err = io.ReadFull(c.r, body)
-	default: // up to the connection's end
-		header.keep = false
-		body, err = io.ReadAll(io.LimitReader(c.r, maxBody))
+	case header.contentLength >= 0:
+		body = make([]byte, header.contentLength)
+		_, err = io.ReadFull(c.reader, body)
+	default: // until the end of the connection
+		header.keepAlive = false
+		body, err = io.ReadAll(io.LimitReader(c.reader, maxBody))
 	}
-	if err == nil && header.code != "200" {
-		err = fmt.Errorf("status %.10s", header.code)
+	if err == nil && header.statusCode != "200" {
+		err = fmt.Errorf("status %.10s", header.statusCode)
 	}
-	return body, header.keep, err
+	return body, header.keepAlive, err
 }
 
 // readHeader reads the status line and the header.
@@ -60,8 +60,8 @@
 	if version != "HTTP/1.1" && version != "HTTP/1.0" {
 		return header, fmt.Errorf("not an HTTP answer: %.40q", status)
 	}
-	header = responseHeader{length: -1, keep: version == "HTTP/1.1"}
-	header.code, _, _ = strings.Cut(rest, " ")
+	header = responseHeader{contentLength: -1, keepAlive: version == "HTTP/1.1"}
+	header.statusCode, _, _ = strings.Cut(rest, " ")
 	for n := 0; ; n++ {
 		line, err := c.readLine()
 		if err != nil {
@@ -83,19 +83,19 @@
 func (h *responseHeader) set(name, value string) (err error) {
 	switch name {
 	case "content-length":
-		if h.length, err = strconv.Atoi(value); err != nil || h.length < 0 || h.length > maxBody {
+		if h.contentLength, err = strconv.Atoi(value); err != nil || h.contentLength < 0 || h.contentLength > maxBody {
 			return fmt.Errorf("bad length %.40q", value)
 		}
 	case "transfer-encoding":
 		h.chunked = strings.EqualFold(value, "chunked")
 	case "connection":
-		h.keep = h.keep && !strings.EqualFold(value, "close")
+		h.keepAlive = h.keepAlive && !strings.EqualFold(value, "close")
 	}
 	return nil
 }
 
 func (c *Client) readLine() (string, error) {
-	b, err := c.r.ReadSlice('\n')
+	b, err := c.reader.ReadSlice('\n')
 	if err != nil {
 		return "", err
 	}
@@ -110,18 +110,18 @@
 			return nil, err
 		}
 		size, _, _ := strings.Cut(line, ";")
-		n, err := strconv.ParseUint(strings.TrimSpace(size), 16, 31)
-		if err != nil || len(body)+int(n) > maxBody {
+		chunkBytes, err := strconv.ParseUint(strings.TrimSpace(size), 16, 31)
+		if err != nil || len(body)+int(chunkBytes) > maxBody {
 			return nil, fmt.Errorf("bad chunk %.40q", line)
 		}
-		if n == 0 {
+		if chunkBytes == 0 {
 			if err := c.skipTrailers(); err != nil {
 				return nil, err
 			}
 			return body, nil
 		}
-		body = append(body, make([]byte, n)...)
-		if _, err = io.ReadFull(c.r, body[len(body)-int(n):]); err != nil {
+		body = append(body, make([]byte, chunkBytes)...)
+		if _, err = io.ReadFull(c.reader, body[len(body)-int(chunkBytes):]); err != nil {
 			return nil, err
 		}
 		if err := c.readChunkEnd(); err != nil {
@@ -130,7 +130,7 @@
 	}
 }
 
-// readChunkEnd reads the line's end behind a chunk.
+// readChunkEnd reads the line break after a chunk.
 func (c *Client) readChunkEnd() error {
 	line, err := c.readLine()
 	switch {
@@ -142,7 +142,7 @@
 	return nil
 }
 
-// skipTrailers reads up to the empty line that ends them.
+// skipTrailers skips trailers up to the empty line that ends them.
 func (c *Client) skipTrailers() error {
 	for {
 		if line, err := c.readLine(); err != nil || line == "" {
