--- a/internal/controlplane/agent/history_test.go
+++ b/internal/controlplane/agent/history_test.go
@@ -193,7 +193,7 @@
 		return "digest of core"
 	case n < 14:
 		if t := h.anyCore(); t != nil {
-			a.takeFromCore(t, controlmsg.NewHello(controlmsg.KindWelcome, "", ""))
+			a.takeFromCore(t, controlmsg.NewHello(controlmsg.KindHelloReply, "", ""))
 		}
 		return "hello of core"
 	case n < 15:
--- a/internal/controlplane/agent/metrics.go
+++ b/internal/controlplane/agent/metrics.go
@@ -32,9 +32,9 @@
 // figures writes the agent's figures.
 func (a *Agent) figures(set metrics.Set) {
 	events.Figures(a.log, set)
-	controlmsg.Figures(set, "weirwind_agent", "core", &CoreTraffic)
-	controlmsg.Figures(set, "weirwind_agent", "peers", &PeerTraffic)
-	controlmsg.Figures(set, "weirwind_agent", "proxy", &ProxyTraffic)
+	controlmsg.WriteMetrics(set, "weirwind_agent", "core", &CoreTraffic)
+	controlmsg.WriteMetrics(set, "weirwind_agent", "peers", &PeerTraffic)
+	controlmsg.WriteMetrics(set, "weirwind_agent", "proxy", &ProxyTraffic)
 	ctx, stop := context.WithTimeout(a.ctx, metrics.OwnerTimeout)
 	defer stop()
 	s, err := commandqueue.Call(ctx, a.commands, a.snapshot)
--- a/internal/controlplane/controlmsg/costs_test.go
+++ b/internal/controlplane/controlmsg/costs_test.go
@@ -9,17 +9,16 @@
 	"weirwind/internal/controlplane/directory"
 )
 
-func size(f *Frame) float64 {
+func encodedSize(f *Frame) float64 {
 	b, _ := cbor.Marshal(f)
 	return float64(len(b) + 4)
 }
 
-// What the control plane's messages cost by fleet size, in bytes as they are encoded: nothing at a core machine may
-// grow by drivers times members, or by drivers times drivers, but for the one start of all. docs/scale.md has the
-// table.
+// The encoded size of the control plane's messages by fleet size. Traffic at a core machine must not grow with drivers
+// times members or with the square of drivers, except once when the whole fleet starts. docs/scale.md has the table.
 func TestCostsBySize(t *testing.T) {
 	const cores = 5
-	var last float64
+	var previousPerDriver float64
 	for _, n := range []int{10, 30, 90, 300, 1000} {
 		var drivers []directory.Driver
 		for i := range n {
@@ -35,24 +34,26 @@
 				Zone: "seoul-gangnam", Generation: "v1", Slots: 7, Role: directory.RoleReplica, Seq: 40,
 			}, 0, 1)
 		}
-		has := StateDigest{ConfigVersion: 7, MembersHash: members.Digest(), DriversHash: directory.DriversDigest(drivers)}
-		renew := size(&Frame{LeaseRenewal: &LeaseRenewal{Driver: drivers[0], Digest: has}})
+		stateDigest := StateDigest{ConfigVersion: 7, MembersHash: members.Digest(),
+			DriversHash: directory.DriversDigest(drivers)}
+		renew := encodedSize(&Frame{LeaseRenewal: &LeaseRenewal{Driver: drivers[0], Digest: stateDigest}})
 		addrs := []string{"10.1.0.10:8782", "10.2.0.8:8782", "10.3.0.9:8782", "10.4.0.8:8782", "10.5.0.8:8782"}
-		answer := size(&Frame{Update: &StateUpdate{CoreAddrs: addrs}})
-		digest := size(&Frame{Digest: &has})
-		heartbeat := size(&Frame{Heartbeats: []Heartbeat{{MemberID: "i-00000001", Incarnation: 1, Seq: 40}}})
-		lease := size(&Frame{Leases: []DriverLease{{Driver: drivers[0], RemainingMs: 3500}}})
-		one := size(&Frame{Update: &StateUpdate{Members: members.Snapshot()[:1]}})
-		per := float64(n) / cores // agents, and members, at a core machine
-		core := per*(renew+answer) + (cores-1)*2*per*lease + (cores-1)*2*per/1.2*heartbeat
-		agent := renew + answer + 2*2*digest/3
-		join := per * size(&Frame{Update: &StateUpdate{DriversAdded: drivers[:1]}})
-		all := size(&Frame{Update: &StateUpdate{Members: members.Snapshot(), Drivers: drivers}})
-		t.Logf("%4d drivers, %4d members: a core machine %8.0f bytes/s, an agent %4.0f; one that joins %7.0f at a core machine; "+
-			"a member's record %6.0f; all lists once %7.0f", n, n, core, agent, join, per*one, all)
-		if last > 0 && core/float64(n) > 1.2*last {
-			t.Errorf("%d drivers: %f bytes a driver, %f in the smaller fleet", n, core/float64(n), last)
+		answer := encodedSize(&Frame{Update: &StateUpdate{CoreAddrs: addrs}})
+		digest := encodedSize(&Frame{Digest: &stateDigest})
+		heartbeat := encodedSize(&Frame{Heartbeats: []Heartbeat{{MemberID: "i-00000001", Incarnation: 1, Seq: 40}}})
+		lease := encodedSize(&Frame{Leases: []DriverLease{{Driver: drivers[0], RemainingMs: 3500}}})
+		memberUpdate := encodedSize(&Frame{Update: &StateUpdate{Members: members.Snapshot()[:1]}})
+		perMachine := float64(n) / cores // agents, and members, at a core machine
+		coreBytes := perMachine*(renew+answer) + (cores-1)*2*perMachine*lease + (cores-1)*2*perMachine/1.2*heartbeat
+		agentBytes := renew + answer + 2*2*digest/3
+		joinBytes := perMachine * encodedSize(&Frame{Update: &StateUpdate{DriversAdded: drivers[:1]}})
+		allLists := encodedSize(&Frame{Update: &StateUpdate{Members: members.Snapshot(), Drivers: drivers}})
+		t.Logf("%4d drivers, %4d members: a core machine %8.0f bytes/s, an agent %4.0f; one that joins %7.0f at a core "+
+			"machine; a member's record %6.0f; all lists once %7.0f", n, n, coreBytes, agentBytes, joinBytes,
+			perMachine*memberUpdate, allLists)
+		if previousPerDriver > 0 && coreBytes/float64(n) > 1.2*previousPerDriver {
+			t.Errorf("%d drivers: %f bytes a driver, %f in the smaller fleet", n, coreBytes/float64(n), previousPerDriver)
 		}
-		last = core / float64(n)
+		previousPerDriver = coreBytes / float64(n)
 	}
 }
--- a/internal/controlplane/controlmsg/golden_test.go
+++ b/internal/controlplane/controlmsg/golden_test.go
@@ -12,8 +12,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// fill sets every field of a value to one that follows from the CBOR key alone, so that renamed Go fields give the
-// same bytes. Slices get two elements and maps one entry.
+// fill sets every field of a value depending only on its CBOR key, so that renaming Go fields does not change the
+// bytes. Slices get two elements and maps one entry.
 func fill(t *testing.T, v reflect.Value, key int) {
 	t.Helper()
 	switch v.Kind() {
@@ -59,9 +59,9 @@
 	}
 }
 
-// samples gives for each field of Frame one with that field alone, all fields in it set, and one where what it holds
-// is empty.
-func samples(t *testing.T) (names []string, frames map[string]*Frame) {
+// sampleFrames returns two frames for each field of Frame, with only that field set: one with all nested fields set,
+// and one with an empty value. It adds a frame with all fields, one without fields, and the two kinds of Hello.
+func sampleFrames(t *testing.T) (names []string, frames map[string]*Frame) {
 	t.Helper()
 	frames = map[string]*Frame{}
 	add := func(name string, f *Frame) {
@@ -86,14 +86,14 @@
 	add("all", all)
 	add("none", &Frame{})
 	add("hello", NewHello("agent", "a1", "10.1.0.8:7440"))
-	add("welcome", &Frame{Hello: &Hello{Kind: KindWelcome, AcceptsCompressed: true}})
+	add("welcome", &Frame{Hello: &Hello{Kind: KindHelloReply, AcceptsCompressed: true}})
 	return names, frames
 }
 
-// Each frame's bytes and traffic class are those of testdata/frames.txt, and its bytes give the frame back.
-// GOLDEN=write records them anew, which changes what processes of two versions say to each other.
-func TestFramesKeepTheirBytes(t *testing.T) {
-	names, frames := samples(t)
+// The bytes and traffic class of each frame are those of testdata/frames.txt, and the bytes decode to the same frame.
+// GOLDEN=write rewrites the file; a change of it changes the protocol between processes of different versions.
+func TestFrameEncodings(t *testing.T) {
+	names, frames := sampleFrames(t)
 	var b strings.Builder
 	for _, name := range names {
 		raw, err := cbor.Marshal(frames[name])
@@ -131,8 +131,8 @@
 	}
 }
 
-// The names of purposes are keys of a machine's status, and their numbers are classes of traffic.
-func TestPurposesKeepTheirNames(t *testing.T) {
+// The names of purposes are keys in a process's status, and their numbers are traffic classes.
+func TestPurposeNames(t *testing.T) {
 	want := []string{"unknown", "discovery", "lease renewals", "lease records", "driver lists", "member records",
 		"member heartbeats", "configuration", "shard maps", "digests", "agreement heartbeats", "agreement entries",
 		"primary reports", "operator calls", "quotas", "unknown"}
--- a/internal/controlplane/controlmsg/hello.go
+++ b/internal/controlplane/controlmsg/hello.go
@@ -1,35 +1,36 @@
 package controlmsg
 
-// This file owns the opening of a link: who dialled, and which form of frames both sides read.
+// This file defines the handshake of a link: who dialled, and whether both sides read compressed frames.
 
 import "weirwind/internal/util/transport"
 
-// KindWelcome is the kind of a Hello that answers one.
-const KindWelcome = "welcome"
+// KindHelloReply is the kind of a Hello that answers another one.
+const KindHelloReply = "welcome"
 
-// Hello opens a link. Whoever dialled sends it as the first frame; a receiver that reads compressed frames answers
-// with one of kind KindWelcome, and from then on both send long frames compressed. A process of a version that knows
-// no compressed frames leaves AcceptsCompressed out, and is sent none.
+// Hello opens a link. The process that dialled sends it as the first frame; a receiver that reads compressed frames
+// answers with one of kind KindHelloReply, and from then on both send long frames compressed. A process of a version
+// without compression leaves AcceptsCompressed out, and is sent no compressed frames.
 type Hello struct {
-	Kind string `cbor:"1,keyasint"` // kind of the process that dialled: "core", "agent"; or KindWelcome
-	Name string `cbor:"2,keyasint"` // its host name
-	Addr string `cbor:"3,keyasint"` // where its peers reach it: a core machine's control address, an agent's mesh address
+	Kind string `cbor:"1,keyasint"` // kind of the process that dialled, "core" or "agent"; or KindHelloReply
+	Name string `cbor:"2,keyasint"` // host name of the sender
+	Addr string `cbor:"3,keyasint"` // address for peers: a core machine's control address, an agent's mesh address
 
 	AcceptsCompressed bool `cbor:"4,keyasint,omitempty"` // the sender reads compressed frames
 }
 
-// NewHello returns the frame that opens a link of a process of some kind.
+// NewHello returns the frame that opens a link of a process of the given kind, host name and address.
 func NewHello(kind, name, addr string) *Frame {
 	return &Frame{Hello: &Hello{Kind: kind, Name: name, Addr: addr, AcceptsCompressed: true}}
 }
 
-// HandleHello agrees on the form of frames with a peer that sent a Hello, and answers one that is not itself an answer.
+// HandleHello handles a Hello from a peer: it enables compression if the peer accepts it, and answers unless the Hello
+// is itself an answer.
 func HandleHello(l *transport.Link[Frame], hello *Hello) {
 	if !hello.AcceptsCompressed {
 		return
 	}
 	l.EnableCompression()
-	if hello.Kind != KindWelcome {
-		l.Send(&Frame{Hello: &Hello{Kind: KindWelcome, AcceptsCompressed: true}})
+	if hello.Kind != KindHelloReply {
+		l.Send(&Frame{Hello: &Hello{Kind: KindHelloReply, AcceptsCompressed: true}})
 	}
 }
--- a/internal/controlplane/controlmsg/figures.go
+++ b/internal/controlplane/controlmsg/metrics.go
@@ -7,8 +7,9 @@
 	"weirwind/internal/util/transport"
 )
 
-// Figures writes what was sent and received over some links, by purpose. Purposes without a frame are left out.
-func Figures(set metrics.Set, prefix, links string, counters *transport.Counters) {
+// WriteMetrics writes metrics of the frames and bytes that were sent and received over some links, by purpose. Purposes
+// without a frame are left out.
+func WriteMetrics(set metrics.Set, prefix, links string, counters *transport.Counters) {
 	for p := PurposeUnknown; p < purposeCount; p++ {
 		purpose := strings.ReplaceAll(p.String(), " ", "_")
 		for direction, count := range map[string]transport.Count{
@@ -18,8 +19,8 @@
 				continue
 			}
 			labels := []string{"links", links, "purpose", purpose, "direction", direction}
-			set.Counter(prefix+"_frames_total", "Frames over links of the control plane.", float64(count.Frames), labels...)
-			set.Counter(prefix+"_bytes_total", "Bytes over links of the control plane, headers of TCP and IP left out.",
+			set.Counter(prefix+"_frames_total", "Frames on links of the control plane.", float64(count.Frames), labels...)
+			set.Counter(prefix+"_bytes_total", "Bytes on links of the control plane, without TCP and IP headers.",
 				float64(count.Bytes), labels...)
 		}
 	}
--- a/internal/controlplane/controlmsg/purpose.go
+++ b/internal/controlplane/controlmsg/purpose.go
@@ -1,33 +1,33 @@
 package controlmsg
 
-// This file owns the counting of frames by what they are sent for.
+// This file defines the purposes by which frames are counted.
 
 import "weirwind/internal/util/transport"
 
-// Purpose is what a frame is sent for: the class by which its traffic is counted.
+// Purpose is the class of a frame for traffic counters.
 type Purpose uint8
 
-// Purposes of frames. A frame with several parts is counted by the part that grows fastest with the fleet.
+// Purposes of frames. A frame with more than one part is counted by the part that grows fastest with the fleet.
 const (
 	PurposeUnknown      Purpose = iota
-	Discovery                   // the opening of links
-	LeaseRenewals               // an agent's renewals, and answers with nothing new
+	Discovery                   // handshakes of links
+	LeaseRenewals               // agents' renewals, and answers without new state
 	LeaseRecords                // drivers' leases between core machines
-	DriverLists                 // drivers that were added or removed, or all of them
-	MemberRecords               // members' records that changed, or all of them
-	MemberHeartbeats            // heartbeats passed on between core machines
-	Configuration               // the operator's configuration
-	ShardMaps                   // which node owns which shard
-	Digests                     // of state, between agents
+	DriverLists                 // drivers that were added or removed, or all drivers
+	MemberRecords               // members' records that changed, or all records
+	MemberHeartbeats            // members' heartbeats between core machines
+	Configuration               // operators' configurations
+	ShardMaps                   // assignments of shards to nodes
+	Digests                     // digests of state without other content
 	ConsensusHeartbeats         // messages of the consensus protocol without an entry
-	ConsensusEntries            // and with one
-	PrimaryReports              // what proxies observe of primaries
-	OperatorCalls               // forwarded to the leader, and their answers
-	Quotas                      // shares of tenants' quotas
+	ConsensusEntries            // messages of the consensus protocol with an entry
+	PrimaryReports              // proxies' reports on primaries
+	OperatorCalls               // operators' calls that are forwarded to the leader, and their answers
+	Quotas                      // tokens and shares of tenants' quotas
 	purposeCount
 )
 
-// purposeNames are keys of the status that processes answer with, and stay as they are.
+// purposeNames holds the names of purposes. They are keys in the status of processes, and must not change.
 var purposeNames = [purposeCount]string{
 	PurposeUnknown:      "unknown",
 	Discovery:           "discovery",
@@ -46,7 +46,7 @@
 	Quotas:              "quotas",
 }
 
-// String returns the purpose's name in a process's status.
+// String returns the purpose's name, as in the status of a process.
 func (p Purpose) String() string {
 	if p >= purposeCount {
 		return purposeNames[PurposeUnknown]
@@ -54,10 +54,10 @@
 	return purposeNames[p]
 }
 
-// TrafficClass returns the frame's purpose as the class that package transport counts it in.
+// TrafficClass returns the frame's purpose as the class by which package transport counts it.
 func (f *Frame) TrafficClass() uint8 { return uint8(f.Purpose()) }
 
-// Purpose returns what the frame is sent for.
+// Purpose returns the purpose of the frame.
 func (f *Frame) Purpose() Purpose {
 	switch {
 	case f.Hello != nil:
@@ -101,13 +101,13 @@
 	return LeaseRenewals
 }
 
-// Traffic is what a process sent and received, by name of purpose.
+// Traffic counts the frames that a process sent and received, by the purpose's name.
 type Traffic struct {
 	Sent     map[string]transport.Count `json:"sent"`
 	Received map[string]transport.Count `json:"received"`
 }
 
-// ReadTraffic reads counters. Purposes without a frame are left out.
+// ReadTraffic returns the current values of counters. Purposes without a frame are left out.
 func ReadTraffic(counters *transport.Counters) Traffic {
 	t := Traffic{Sent: map[string]transport.Count{}, Received: map[string]transport.Count{}}
 	for p := PurposeUnknown; p < purposeCount; p++ {
--- a/internal/controlplane/controlmsg/quota.go
+++ b/internal/controlplane/controlmsg/quota.go
@@ -1,80 +1,83 @@
 package controlmsg
 
-// This file owns the messages about tenants' quotas. A proxy asks its core machine for tokens (QuotaRequest), and core
-// machines share each tenant's bucket by reports to the leader (QuotaReport): package quota has the argument.
+// This file defines the messages about tenants' quotas. A proxy asks its core machine for tokens (QuotaRequest), and
+// core machines share each tenant's token bucket by reports to the leader (QuotaReport). Package quota describes the
+// protocol.
 
-// QuotaTokenLifetimeMs is for how long a proxy may use a token, in milliseconds from the sending of the request that it
-// was granted on.
+// QuotaTokenLifetimeMs is how long a proxy may use a token, in milliseconds from the sending of the request that it was
+// granted for.
 const QuotaTokenLifetimeMs = 500.0
 
-// QuotaRequest is sent by a proxy to its agent, which adds its name and forwards it to its core machine: it asks for a
-// token for each of some operations that clients wait for. The machine answers at once with a QuotaAnswer.
+// QuotaRequest is sent by a proxy to its agent, which adds its name and forwards it to its core machine. It asks for
+// one token for each operation that clients wait for. The machine answers at once with a QuotaAnswer.
 type QuotaRequest struct {
 	Driver string `cbor:"1,keyasint"` // name of the driver, added by the agent
-	// Incarnation is of the proxy's process. Seq rises with each request of it.
+	// Incarnation identifies the proxy's process. Seq increases with each of its requests.
 	Incarnation uint64       `cbor:"2,keyasint"`
 	Seq         uint64       `cbor:"3,keyasint"`
 	Tenants     []QuotaCount `cbor:"4,keyasint"`
 }
 
-// QuotaCount is a part of a request, on one tenant.
+// QuotaCount is the part of a request for one tenant.
 type QuotaCount struct {
-	Tenant     string `cbor:"1,keyasint"` // by its name
-	Operations int    `cbor:"2,keyasint"` // that ask for a token, from 1 on
+	Tenant     string `cbor:"1,keyasint"` // name
+	Operations int    `cbor:"2,keyasint"` // number of operations that need a token, at least 1
 }
 
-// QuotaAnswer answers a QuotaRequest, whose Driver, Incarnation and Seq it has.
+// QuotaAnswer answers a QuotaRequest, and has its Driver, Incarnation and Seq.
 type QuotaAnswer struct {
 	Driver      string        `cbor:"1,keyasint"`
 	Incarnation uint64        `cbor:"2,keyasint"`
 	Seq         uint64        `cbor:"3,keyasint"`
-	Tenants     []QuotaTokens `cbor:"4,keyasint"` // those of the request
+	Tenants     []QuotaTokens `cbor:"4,keyasint"` // those of the request, in its order
 }
 
-// QuotaTokens is a part of an answer, on one tenant.
+// QuotaTokens is the part of an answer for one tenant.
 type QuotaTokens struct {
 	Tenant string `cbor:"1,keyasint"`
-	Tokens int    `cbor:"2,keyasint"` // at most as many as were asked for
-	// RetryAfterMs is for the operations without a token: in how many milliseconds to ask again.
+	Tokens int    `cbor:"2,keyasint"` // at most as many as were requested
+	// RetryAfterMs is the delay in milliseconds after which to ask again for the operations without a token.
 	RetryAfterMs float64 `cbor:"3,keyasint,omitempty"`
 }
 
-// QuotaReport is sent to the leader by another core machine, or by a stand-by agent through its core machine. It says
-// what the sender holds of each tenant's quota, and what proxies ask it for. From the moment that it is sent, the
-// sender applies no grant but the one that answers it or a later report.
+// QuotaReport is sent to the leader by another core machine, or by a stand-by agent through its core machine. It
+// reports the sender's share of each tenant's quota, and the demand of proxies at the sender. Once it is sent, the
+// sender applies no grant except one that answers this or a later report.
 type QuotaReport struct {
 	Holder string `cbor:"1,keyasint"` // control address of the machine, or name of the agent's driver
-	// Incarnation is of the sender's process: a later one's is higher. Seq rises with each report of an incarnation.
+	// Incarnation identifies the sender's process, and is higher for a later one. Seq increases with each report of an
+	// incarnation.
 	Incarnation uint64        `cbor:"2,keyasint"`
 	Seq         uint64        `cbor:"3,keyasint"`
-	Tenants     []QuotaDemand `cbor:"4,keyasint,omitempty"` // those that it holds a share of, or is asked for
-	Lead        uint64        `cbor:"5,keyasint,omitempty"` // of the newest grant that it applied
+	Tenants     []QuotaDemand `cbor:"4,keyasint,omitempty"` // tenants with a share or demand at the sender
+	Term        uint64        `cbor:"5,keyasint,omitempty"` // Term of the newest grant that the sender applied
 	Standby     bool          `cbor:"6,keyasint,omitempty"` // the sender is a stand-by agent
 }
 
-// QuotaDemand is a part of a report, on one tenant.
+// QuotaDemand is the part of a report for one tenant.
 type QuotaDemand struct {
-	Tenant string  `cbor:"1,keyasint"`           // by its name
-	Share  float64 `cbor:"2,keyasint,omitempty"` // held, of the tenant's quota: 0 to 1
-	Demand float64 `cbor:"3,keyasint,omitempty"` // operations a second that it is asked for
+	Tenant string  `cbor:"1,keyasint"`           // name
+	Share  float64 `cbor:"2,keyasint,omitempty"` // share of the tenant's quota that the sender holds, from 0 to 1
+	Demand float64 `cbor:"3,keyasint,omitempty"` // operations per second that proxies ask the sender for
 }
 
-// QuotaGrant is the leader's answer to a report. It replaces all shares that the machine holds: tenants that are not
-// listed have none.
+// QuotaGrant is the leader's answer to a report. It replaces all shares that the receiver holds; it has no share of
+// tenants that are not listed.
 type QuotaGrant struct {
 	Holder      string       `cbor:"1,keyasint"`
 	Incarnation uint64       `cbor:"2,keyasint"`
 	Seq         uint64       `cbor:"3,keyasint"` // of the report that it answers
-	LeaseMs     float64      `cbor:"4,keyasint"` // milliseconds from the sending of that report, for which the shares hold
+	LeaseMs     float64      `cbor:"4,keyasint"` // validity of the shares in milliseconds, from the sending of that report
 	Shares      []QuotaShare `cbor:"5,keyasint,omitempty"`
-	// Lead is the leader's term, once no earlier leader grants any more; 0 before. A report with it was sent since.
-	Lead    uint64 `cbor:"6,keyasint,omitempty"`
-	Standby bool   `cbor:"7,keyasint,omitempty"` // it answers a stand-by agent
+	// Term is the leader's term, once no earlier leader can grant shares any more; 0 before. So a report with that term
+	// was sent after that.
+	Term    uint64 `cbor:"6,keyasint,omitempty"`
+	Standby bool   `cbor:"7,keyasint,omitempty"` // the receiver is a stand-by agent
 }
 
-// QuotaShare is a part of a grant, on one tenant.
+// QuotaShare is the part of a grant for one tenant.
 type QuotaShare struct {
 	Tenant string  `cbor:"1,keyasint"`
-	Share  float64 `cbor:"2,keyasint"`           // of the tenant's rate and burst
-	Tokens float64 `cbor:"3,keyasint,omitempty"` // operations added to the machine's bucket, once
+	Share  float64 `cbor:"2,keyasint"`           // share of the tenant's rate and burst, from 0 to 1
+	Tokens float64 `cbor:"3,keyasint,omitempty"` // operations that are added to the receiver's bucket once
 }
--- a/internal/controlplane/metrics.go
+++ b/internal/controlplane/metrics.go
@@ -69,8 +69,8 @@
 // figures writes the machine's figures. What an owner doesn't answer in time is left out.
 func (h *Server) figures(set metrics.Set) {
 	events.Figures(h.log, set)
-	controlmsg.Figures(set, "weirwind_controlplane", "accepted", &h.accepted)
-	controlmsg.Figures(set, "weirwind_controlplane", "dialled", &h.dialled)
+	controlmsg.WriteMetrics(set, "weirwind_controlplane", "accepted", &h.accepted)
+	controlmsg.WriteMetrics(set, "weirwind_controlplane", "dialled", &h.dialled)
 	if age := h.contactAge(); !math.IsInf(age, 1) {
 		set.Gauge("weirwind_controlplane_contact_age_seconds",
 			"Since this machine last knew all that was acknowledged anywhere.", age/1000)
--- a/internal/controlplane/quota/allocator.go
+++ b/internal/controlplane/quota/allocator.go
@@ -108,21 +108,21 @@
 		return nil
 	}
 	a.updateHoldings(r, now)
-	if r.Lead == a.term {
+	if r.Term == a.term {
 		a.holders[r.Holder].accounted = true
 		delete(a.unreportedHolders, r.Holder)
 		a.updateUnreported(now)
 	}
 	grant := &controlmsg.QuotaGrant{Holder: r.Holder, Incarnation: r.Incarnation, Seq: r.Seq, LeaseMs: LeaseMs}
 	if now >= a.soleLeaderFrom {
-		grant.Lead = a.term
+		grant.Term = a.term
 	}
 	for _, demand := range r.Tenants {
 		allocation := a.tenants[demand.Tenant]
 		if allocation == nil || !allocation.limited {
 			continue
 		}
-		if share, tokens := allocation.grant(r.Holder, a.sharesKnown || r.Lead == a.term, a.voters, now); share > 0 {
+		if share, tokens := allocation.grant(r.Holder, a.sharesKnown || r.Term == a.term, a.voters, now); share > 0 {
 			grant.Shares = append(grant.Shares, controlmsg.QuotaShare{Tenant: demand.Tenant, Share: share, Tokens: tokens})
 		}
 	}
@@ -165,7 +165,7 @@
 		}
 	}
 	for _, demand := range reported {
-		a.updateHolding(r.Holder, demand, r.Lead == a.term, now)
+		a.updateHolding(r.Holder, demand, r.Term == a.term, now)
 	}
 }
 
--- a/internal/controlplane/quota/limiter/limiter.go
+++ b/internal/controlplane/quota/limiter/limiter.go
@@ -193,8 +193,8 @@
 		return false
 	}
 	l.reports.outstanding = false
-	if grant.Lead != l.term { // the leader is to see at once that this one was applied
-		l.term = grant.Lead
+	if grant.Term != l.term { // the leader is to see at once that this one was applied
+		l.term = grant.Term
 		l.reports.urgency = unknownDemand
 	}
 	granted := make(map[string]controlmsg.QuotaShare, len(grant.Shares))
--- a/internal/controlplane/quota/limiter/report.go
+++ b/internal/controlplane/quota/limiter/report.go
@@ -59,7 +59,7 @@
 	}
 	listed := l.listTenants(now)
 	l.reports = reportState{seq: l.reports.seq + 1, sentAt: now, outstanding: true}
-	return &controlmsg.QuotaReport{Incarnation: l.incarnation, Seq: l.reports.seq, Tenants: listed, Lead: l.term}
+	return &controlmsg.QuotaReport{Incarnation: l.incarnation, Seq: l.reports.seq, Tenants: listed, Term: l.term}
 }
 
 // listTenants lists the shares and the demand of tenants. It gives up the shares of tenants without demand: a tenant
