--- a/internal/controlplane/agentlinks.go
+++ b/internal/controlplane/agentlinks.go
@@ -5,24 +5,24 @@
 	"weirwind/internal/util/transport"
 )
 
-// agentLinks are the agents that renew their drivers' leases at this machine: who is notified of changes. It belongs
+// agentLinks holds the agents that renew their drivers' leases at this machine and are notified of changes. It belongs
 // to softState.
 type agentLinks struct {
 	subscriptions map[*link]*subscription
 }
 
-// subscription is an agent's, from its first renewal on a link until the link ends.
+// subscription is the state of one agent, from its first renewal on a link until the link ends.
 type subscription struct {
 	driver string // name
-	// outdated is whether the agent's last renewal showed other members or drivers than it had been notified of. A
-	// renewal that crosses an update on its way shows that, too: only one that is outdated twice in a row is sent the
-	// whole lists.
+	// outdated reports whether the agent's last renewal showed other members or drivers than it had been notified of.
+	// This also happens when a renewal crosses an update on its way, so only an agent that is outdated twice in a row is
+	// sent the full lists.
 	outdated bool
 }
 
 func newAgentLinks() agentLinks { return agentLinks{subscriptions: map[*link]*subscription{}} }
 
-// subscribe notes a renewal that came on a link. first: it is the link's first.
+// subscribe records a renewal that came on a link. first reports whether it is the first one on that link.
 func (a *agentLinks) subscribe(agent *link, driver string) (sub *subscription, first bool) {
 	sub, known := a.subscriptions[agent]
 	if !known {
@@ -33,10 +33,11 @@
 	return sub, !known
 }
 
-// remove forgets the agent of a link that has ended.
+// remove drops the agent of a link that has ended.
 func (a *agentLinks) remove(agent *link) { delete(a.subscriptions, agent) }
 
-// sendTo sends a frame to a driver's agent, where it renews at this machine: on each of its links, as one may be dead.
+// sendTo sends a frame to a driver's agent if it renews at this machine. The frame is sent on each of the agent's
+// links, as one may be dead.
 func (a *agentLinks) sendTo(driver string, frame *controlmsg.Frame) {
 	for l, s := range a.subscriptions {
 		if s.driver == driver {
@@ -45,7 +46,7 @@
 	}
 }
 
-// driverNames gives the names of the drivers that renew at this machine.
+// driverNames returns the names of the drivers that renew at this machine.
 func (a *agentLinks) driverNames() map[string]bool {
 	names := map[string]bool{}
 	for _, s := range a.subscriptions {
@@ -65,14 +66,14 @@
 	}
 }
 
-// handleLeaseRenewal prolongs a driver's lease, and sends its agent what it lacks.
+// handleLeaseRenewal renews a driver's lease, and sends its agent the state that it lacks.
 func (s *softState) handleLeaseRenewal(from *link, r *controlmsg.LeaseRenewal, now float64) {
 	if r.Release {
 		s.drivers.release(r.Driver)
 		return
 	}
 	contactAgeMs := s.server.contactAge()
-	if r.Tentative && !s.contact.established {
+	if r.Tentative && !s.contact.inContact {
 		from.Send(&controlmsg.Frame{Update: &controlmsg.StateUpdate{QuorumContactAgeMs: &contactAgeMs}})
 		return
 	}
@@ -85,36 +86,36 @@
 	}
 	own := s.digest()
 	update := &controlmsg.StateUpdate{QuorumContactAgeMs: &contactAgeMs}
-	if s.contact.established || first {
+	if s.contact.inContact || first {
 		update.CoreAddrs = s.coreAddrs
 	}
 	s.addCommitted(update, &r.Digest, &own)
 	s.addDirectory(update, &r.Digest, &own, agent, first, now)
 	f := &controlmsg.Frame{Update: update}
 	if now < ms(recoveryPeriod) && r.Digest.MembersHash != own.MembersHash {
-		// A restarted machine's agents know the members that it had before, tombstones included: it asks for them.
+		// The agents of a restarted machine know the members that it had before, tombstones included. Its digest asks for
+		// them.
 		f.Digest = &controlmsg.StateDigest{ConfigVersion: r.Digest.ConfigVersion, MembersHash: own.MembersHash, NoReply: true}
 	}
 	from.Send(f)
 }
 
-// addCommitted adds the configuration and the shard map to an answer, where the agent's are older.
-func (s *softState) addCommitted(update *controlmsg.StateUpdate, agents, own *controlmsg.StateDigest) {
-	if s.committed != nil && agents.ConfigVersion < own.ConfigVersion {
+// addCommitted adds the configuration and the shard map to an answer if the agent's are older.
+func (s *softState) addCommitted(update *controlmsg.StateUpdate, theirs, own *controlmsg.StateDigest) {
+	if s.committed != nil && theirs.ConfigVersion < own.ConfigVersion {
 		update.ConfigVersion, update.Config = s.committed.Version, s.committed.Raw
 	}
-	if agents.ShardMapVersion < own.ShardMapVersion {
+	if theirs.ShardMapVersion < own.ShardMapVersion {
 		update.ShardMap = s.committed.Shards
 	}
 }
 
-// addDirectory adds the lists of members and drivers to an answer, where the agent's differ on a link's first renewal
-// or twice in a row. A list of drivers that may lack some is given as an addition to what the agent has, and once
-// only.
-func (s *softState) addDirectory(update *controlmsg.StateUpdate, agents, own *controlmsg.StateDigest,
+// addDirectory adds the lists of members and drivers to an answer if the agent's differ on a link's first renewal or
+// twice in a row. A list of drivers that may be incomplete is sent only once, as an addition to the agent's list.
+func (s *softState) addDirectory(update *controlmsg.StateUpdate, theirs, own *controlmsg.StateDigest,
 	agent *subscription, first bool, now float64) {
-	membersDiffer := agents.MembersHash != own.MembersHash
-	driversDiffer := agents.DriversHash != s.drivers.notifiedDigest
+	membersDiffer := theirs.MembersHash != own.MembersHash
+	driversDiffer := theirs.DriversHash != s.drivers.notifiedDigest
 	due := first || agent.outdated
 	agent.outdated = membersDiffer || driversDiffer
 	if due && membersDiffer {
@@ -123,7 +124,7 @@
 	switch {
 	case !due || !driversDiffer:
 	case s.directoryComplete(now):
-		update.Drivers = s.drivers.notified
+		update.Drivers = s.drivers.notifiedDrivers
 	case first:
 		update.DriversAdded = s.drivers.table.Drivers()
 	}
--- a/internal/controlplane/calls_golden_test.go
+++ b/internal/controlplane/calls_golden_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Bodies of calls.
+// Request bodies.
 const (
 	twoServices = `{"gen":1,"routes":[{"name":"r","host":"db","type":"primary","timeoutMs":3000,"svc":"s"}],` +
 		`"svcs":[{"name":"s","maxConns":50,"syncN":1},{"name":"n1","maxConns":5}]}`
@@ -18,17 +18,17 @@
 )
 
 type httpCall struct {
-	method, path, base, body string
+	method, path, baseVersion, body string
 }
 
-// Every call of members, operators and sites, with its status, headers and body byte for byte, at a machine that
-// leads. The machine is alone, so each moment is known.
-func TestCallsKeepTheirAnswers(t *testing.T) {
+// Every HTTP call of members, operators and sites, with its status, headers and body byte for byte, at the leader. It
+// is the only machine of the core, so all times are deterministic.
+func TestHTTPResponses(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		record := newTranscript()
-		h := startServer(t, "10.0.0.1:7000", []string{"10.0.0.1:7000"}, "", newTranscript())
-		time.Sleep(8011 * time.Millisecond) // never at the moment of a tick
-		beat := `{"svc":"s","addr":"10.0.1.1:1","zone":"z","gen":"g","slots":3,"state":"ok","dbRole":"primary","seq":1}`
+		srv := startServer(t, "10.0.0.1:7000", []string{"10.0.0.1:7000"}, "", newTranscript())
+		time.Sleep(8011 * time.Millisecond) // not at the time of a tick
+		heartbeat := `{"svc":"s","addr":"10.0.1.1:1","zone":"z","gen":"g","slots":3,"state":"ok","dbRole":"primary","seq":1}`
 		for _, c := range []httpCall{
 			{"GET", "/status", "", ""},
 			{"GET", "/status?brief=1", "", ""},
@@ -38,8 +38,8 @@
 			{"GET", "/sites", "", ""},
 			{"GET", "/none", "", ""},
 			{"GET", "/config/replace", "", ""},
-			{"POST", "/members/a/heartbeat", "", beat},
-			{"POST", "/members/b/heartbeat", "", strings.ReplaceAll(beat, "primary", "replica")},
+			{"POST", "/members/a/heartbeat", "", heartbeat},
+			{"POST", "/members/b/heartbeat", "", strings.ReplaceAll(heartbeat, "primary", "replica")},
 			{"POST", "/members/c/heartbeat", "", `{"svc":"s","addr":"10.0.1.3:1","state":"draining","seq":7}`},
 			{"POST", "/members/d/heartbeat", "", `{"svc":"s"}`},
 			{"POST", "/members/d/heartbeat", "", `no`},
@@ -87,24 +87,25 @@
 			{"GET", "/events?about=E402", "", ""},
 		} {
 			var header map[string]string
-			if c.base != "" {
-				header = map[string]string{"Weirwind-Base-Version": c.base}
+			if c.baseVersion != "" {
+				header = map[string]string{"Weirwind-Base-Version": c.baseVersion}
 			}
-			call(record, h, c.method, c.path, header, c.body)
+			call(record, srv, c.method, c.path, header, c.body)
 			time.Sleep(100 * time.Millisecond)
 		}
 		compareGolden(t, "calls.txt", record.String())
 	})
 }
 
-// The same at a machine that has had no contact with a majority, at one that has contact but knows no leader, and at
+// The same calls at a machine without contact with a majority, at one with contact but without a known leader, and at
 // one that is stopping.
-func TestCallsKeepTheirRefusals(t *testing.T) {
+func TestHTTPErrorResponses(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		record := newTranscript()
-		h := startServer(t, "10.0.0.1:7000", []string{"10.0.0.1:7000", "10.0.0.2:7000", "10.0.0.3:7000"}, "", newTranscript())
+		srv := startServer(t, "10.0.0.1:7000", []string{"10.0.0.1:7000", "10.0.0.2:7000", "10.0.0.3:7000"}, "",
+			newTranscript())
 		time.Sleep(111 * time.Millisecond)
-		all := func() {
+		callAll := func() {
 			for _, c := range []httpCall{
 				{"POST", "/members/a/heartbeat", "", `{"svc":"s","addr":"10.0.1.1:1"}`},
 				{"POST", "/members/a/leave", "", ""},
@@ -119,36 +120,36 @@
 				{"POST", "/sites/one/leave?epoch=1", "", ""},
 				{"GET", "/sites", "", ""},
 			} {
-				call(record, h, c.method, c.path, map[string]string{"Weirwind-Base-Version": c.base}, c.body)
+				call(record, srv, c.method, c.path, map[string]string{"Weirwind-Base-Version": c.baseVersion}, c.body)
 			}
 		}
 		record.step("no contact")
-		all()
+		callAll()
 		record.step("contact, but no leader")
-		h.contact.set(h.now() + 100_000)
-		all()
+		srv.contact.set(srv.now() + 100_000)
+		callAll()
 		record.step("stopping")
-		h.cancel(nil)
+		srv.cancel(nil)
 		synctest.Wait()
 		for _, c := range []httpCall{
 			{"POST", "/config/replace", "0", twoServices},
 			{"GET", "/config/show", "", ""},
 			{"POST", "/sites/one/drain", "", ""},
 		} {
-			call(record, h, c.method, c.path, map[string]string{"Weirwind-Base-Version": c.base}, c.body)
+			call(record, srv, c.method, c.path, map[string]string{"Weirwind-Base-Version": c.baseVersion}, c.body)
 		}
 		compareGolden(t, "refusals.txt", record.String())
 	})
 }
 
-// A body that comes too slowly, is too long or is cut short is answered by its own status.
-func TestBodiesThatDoNotCome(t *testing.T) {
+// A body that arrives too slowly, is too long or is truncated is answered with a status of its own.
+func TestBodyErrorStatuses(t *testing.T) {
 	for _, c := range []struct {
 		err  error
 		want int
 	}{
 		{&http.MaxBytesError{Limit: 1}, http.StatusRequestEntityTooLarge},
-		{slowError{}, http.StatusRequestTimeout},
+		{timeoutError{}, http.StatusRequestTimeout},
 		{http.ErrBodyReadAfterClose, http.StatusBadRequest},
 	} {
 		if got := statusOf(&bodyError{c.err}); got != c.want {
@@ -157,8 +158,8 @@
 	}
 }
 
-type slowError struct{}
+type timeoutError struct{}
 
-func (slowError) Error() string   { return "slow" }
-func (slowError) Timeout() bool   { return true }
-func (slowError) Temporary() bool { return true }
+func (timeoutError) Error() string   { return "slow" }
+func (timeoutError) Timeout() bool   { return true }
+func (timeoutError) Temporary() bool { return true }
--- a/internal/controlplane/configresource.go
+++ b/internal/controlplane/configresource.go
@@ -8,16 +8,16 @@
 	"weirwind/internal/controlplane/controlmsg"
 )
 
-// configResource serves the operators' configuration.
+// configResource serves the calls that read and change the configuration.
 type configResource struct{ server *Server }
 
-// replace takes a whole configuration.
+// replace handles the replacement of the whole configuration.
 func (c *configResource) replace(w http.ResponseWriter, r *http.Request) { c.change(w, r, false) }
 
-// amend takes an amendment of the configuration in place.
+// amend handles an amendment to the current configuration.
 func (c *configResource) amend(w http.ResponseWriter, r *http.Request) { c.change(w, r, true) }
 
-// change has the leader apply a change to the version that it is built on, and to no other.
+// change has the leader apply a change, which is rejected unless its base version is the current one.
 func (c *configResource) change(w http.ResponseWriter, r *http.Request, amend bool) {
 	base, err := strconv.ParseUint(r.Header.Get(headerBaseVersion), 10, 64)
 	if err != nil {
@@ -38,12 +38,12 @@
 	writeJSONAnswer(w, c.server.submit(controlmsg.Request{ReadConfig: true}))
 }
 
-// log reads the newest changes from the leader, as show reads the configuration.
+// log reads the newest changes of the configuration from the leader.
 func (c *configResource) log(w http.ResponseWriter, _ *http.Request) {
 	result := c.server.submit(controlmsg.Request{ReadLog: true})
 	if result.status == http.StatusBadRequest {
-		// A leader of an earlier version takes the request for an empty configuration.
-		result = answerTo(errEarlierLeader)
+		// A leader of an earlier software version ignores ReadLog, and rejects the request as an empty configuration.
+		result = errorAnswer(errEarlierLeader)
 	}
 	writeJSONAnswer(w, result)
 }
--- a/internal/controlplane/contact_test.go
+++ b/internal/controlplane/contact_test.go
@@ -13,24 +13,25 @@
 	"weirwind/internal/util/settings"
 )
 
-// silentState gives the soft state of a machine that has run for an hour, at which a driver's lease is over and a
-// member was silent for long.
-func silentState() (*Server, *softState) {
-	h := newServer(context.Background(), &settings.Settings{}, events.Discard())
-	Reset(func() { h.cancel(nil) })
-	h.start = time.Now().Add(-time.Hour)
-	s := newSoftState(h)
-	now := h.now()
+// newExpiredState returns the soft state of a machine that has run for an hour, with an expired driver lease and a
+// member that was silent for twice its timeout.
+func newExpiredState() (*Server, *softState) {
+	srv := newServer(context.Background(), &settings.Settings{}, events.Discard())
+	Reset(func() { srv.cancel(nil) })
+	srv.start = time.Now().Add(-time.Hour)
+	s := newSoftState(srv)
+	now := srv.now()
 	s.drivers.table.Renew(directory.Driver{Name: "front", Incarnation: 1}, now-1)
 	s.members.table.Heartbeat(directory.Member{ID: "member", Service: "svc", Seq: 1}, now-2*ms(memberTimeout), 1000)
-	return h, s
+	return srv, s
 }
 
-// It fails without directoryComplete's condition in tick, in one case or another for each half of it.
-func TestNobodyExpiresWithoutContact(t *testing.T) {
-	Convey("A machine at which a driver and a member were silent for too long", t, func() {
-		h, state := silentState()
-		known := func() (drivers, members int) {
+// Members and drivers expire only after contact has lasted for a driver lease. The test fails without the condition
+// directoryComplete in tick; each half of the condition is covered by a case.
+func TestExpiryRequiresContact(t *testing.T) {
+	Convey("A machine with an expired driver and member", t, func() {
+		srv, state := newExpiredState()
+		knownAfterTick := func() (drivers, members int) {
 			state.tick()
 			for _, m := range state.members.table.Snapshot() {
 				if !m.Tombstone {
@@ -39,28 +40,28 @@
 			}
 			return len(state.drivers.table.Drivers()), members
 		}
-		Convey("lets both go where it has had contact for long", func() {
-			h.contact.set(h.now())
-			state.contact = contactState{established: true, since: h.now() - 2*ms(driverLeaseDuration)}
-			drivers, members := known()
+		Convey("removes both after long contact", func() {
+			srv.contact.set(srv.now())
+			state.contact = contactState{inContact: true, since: srv.now() - 2*ms(driverLeaseDuration)}
+			drivers, members := knownAfterTick()
 			So(drivers, ShouldEqual, 0)
 			So(members, ShouldEqual, 0)
 		})
 		Convey("keeps both without contact", func() {
-			h.contact.set(h.now() - 2*consensus.ContactLease)
-			state.contact = contactState{established: true, since: h.now() - 2*ms(driverLeaseDuration)}
-			drivers, members := known()
+			srv.contact.set(srv.now() - 2*consensus.ContactLease)
+			state.contact = contactState{inContact: true, since: srv.now() - 2*ms(driverLeaseDuration)}
+			drivers, members := knownAfterTick()
 			So(drivers, ShouldEqual, 1)
 			So(members, ShouldEqual, 1)
-			So(state.contact.established, ShouldBeFalse)
+			So(state.contact.inContact, ShouldBeFalse)
 		})
-		Convey("keeps both where contact has just come back", func() {
-			h.contact.set(h.now())
-			state.contact = contactState{established: false, since: h.now() - 2*ms(driverLeaseDuration)}
-			drivers, members := known()
+		Convey("keeps both just after contact was regained", func() {
+			srv.contact.set(srv.now())
+			state.contact = contactState{inContact: false, since: srv.now() - 2*ms(driverLeaseDuration)}
+			drivers, members := knownAfterTick()
 			So(drivers, ShouldEqual, 1)
 			So(members, ShouldEqual, 1)
-			So(state.contact.established, ShouldBeTrue)
+			So(state.contact.inContact, ShouldBeTrue)
 		})
 	})
 }
--- a/internal/controlplane/corelinks.go
+++ b/internal/controlplane/corelinks.go
@@ -9,46 +9,47 @@
 	"weirwind/internal/util/transport"
 )
 
-// Pauses between two attempts to connect to another core machine.
+// Delays between two attempts to connect to another core machine.
 const (
-	initialReconnectPause = 50 * time.Millisecond
-	maxReconnectPause     = time.Second
+	initialReconnectDelay = 50 * time.Millisecond
+	maxReconnectDelay     = time.Second
 )
 
-// kindCore is the kind of process that a core machine's Hello names.
+// kindCore is the kind in a core machine's Hello.
 const kindCore = "core"
 
-// coreLinks are this machine's links to the other machines of the core. Any goroutine may use them.
+// coreLinks holds this machine's links to the other core machines. Any goroutine may use it.
 //
-// Each pair of machines dials both ways. A machine sends over the link that it dialled itself, or, while that is
-// down, over the one on which the peer sent its last consensus message.
+// Each machine of a pair dials the other. A machine sends on the link that it dialled itself or, while that is down, on
+// the link on which the peer sent its last consensus message.
 type coreLinks struct {
 	server *Server
 
 	mu sync.Mutex
-	// byAddr is by mesh address. Entries are never removed, as each has a goroutine that keeps it connected.
+	// byAddr is keyed by mesh address. Entries are never removed, as each has a goroutine that keeps it connected.
 	byAddr map[string]*coreLink
-	// senders are the links that other core machines dialled, with their control addresses, as their Hello named them.
+	// senders maps each link that another core machine dialled to the control address in its Hello.
 	senders map[*link]string
 }
 
-// coreLink is the two links between this machine and another one.
+// coreLink holds the two links between this machine and another one.
 type coreLink struct {
 	dialled  *link // nil while it is down
-	accepted *link // on which the peer sent its last consensus message: it may be up while dialled is still down
+	accepted *link // link of the peer's last consensus message; it may be up while dialled is down
 }
 
 func newCoreLinks(server *Server) *coreLinks {
 	return &coreLinks{server: server, byAddr: map[string]*coreLink{}, senders: map[*link]string{}}
 }
 
-// connect keeps a link to the core machine with that control address, until the process ends.
+// connect starts to keep a link to the core machine with that control address until the process ends. It does nothing
+// for this machine's own address, or if there is already such a link.
 func (c *coreLinks) connect(controlAddr string) {
-	h := c.server
-	if controlAddr == h.settings.ControlAddr {
+	srv := c.server
+	if controlAddr == srv.settings.ControlAddr {
 		return
 	}
-	addr := h.settings.MeshAddr(controlAddr)
+	addr := srv.settings.MeshAddr(controlAddr)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.byAddr[addr] != nil {
@@ -56,20 +57,21 @@
 	}
 	core := &coreLink{}
 	c.byAddr[addr] = core
-	pauses := transport.Backoff{Initial: initialReconnectPause, Max: maxReconnectPause, DialTimeout: transport.DialTimeout}
-	go transport.KeepConnected(h.ctx, addr, pauses, func(dialled *link) {
-		dialled.SetCounters(&h.dialled)
-		dialled.Send(controlmsg.NewHello(kindCore, h.settings.Hostname, h.settings.ControlAddr))
+	backoff := transport.Backoff{Initial: initialReconnectDelay, Max: maxReconnectDelay,
+		DialTimeout: transport.DialTimeout}
+	go transport.KeepConnected(srv.ctx, addr, backoff, func(dialled *link) {
+		dialled.SetCounters(&srv.dialled)
+		dialled.Send(controlmsg.NewHello(kindCore, srv.settings.Hostname, srv.settings.ControlAddr))
 		c.setDialled(core, dialled)
-		h.log.Event(events.LinkUp, "core", controlAddr)
-	}, h.handleFrame, func() {
-		h.pending.failLink(c.setDialled(core, nil))
-		h.log.Event(events.LinkDown, "core", controlAddr)
-		h.loop.offer(func() { h.loop.node.LeaderDisconnected(controlAddr, h.now()) })
+		srv.log.Event(events.LinkUp, "core", controlAddr)
+	}, srv.handleFrame, func() {
+		srv.pending.failLink(c.setDialled(core, nil))
+		srv.log.Event(events.LinkDown, "core", controlAddr)
+		srv.loop.offer(func() { srv.loop.node.LeaderDisconnected(controlAddr, srv.now()) })
 	})
 }
 
-// setDialled replaces the link that this machine dialled, and gives the one before it.
+// setDialled replaces the link that this machine dialled, and returns the previous one.
 func (c *coreLinks) setDialled(core *coreLink, dialled *link) (previous *link) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -77,8 +79,8 @@
 	return previous
 }
 
-// noteSender records the link on which a core machine sent a message, and connects to one that was unknown.
-func (c *coreLinks) noteSender(controlAddr string, accepted *link) {
+// recordSender records the link on which a core machine sent a message, and connects to the machine if it was unknown.
+func (c *coreLinks) recordSender(controlAddr string, accepted *link) {
 	c.connect(controlAddr)
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -87,8 +89,8 @@
 	}
 }
 
-// noteHello records who dialled a link, where it is a core machine.
-func (c *coreLinks) noteHello(from *link, hello *controlmsg.Hello) {
+// recordHello records the address of the core machine that dialled a link. Links of other processes are ignored.
+func (c *coreLinks) recordHello(from *link, hello *controlmsg.Hello) {
 	if hello.Kind != kindCore {
 		return
 	}
@@ -97,22 +99,22 @@
 	c.senders[from] = hello.Addr
 }
 
-// forgetSender forgets who dialled a link that has ended.
-func (c *coreLinks) forgetSender(down *link) {
+// removeSender drops the record of who dialled a link that has ended.
+func (c *coreLinks) removeSender(down *link) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.senders, down)
 }
 
-// senderAddr is the control address of the core machine that dialled a link, "" where it is none.
+// senderAddr returns the control address of the core machine that dialled a link, "" if no core machine did.
 func (c *coreLinks) senderAddr(from *link) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.senders[from]
 }
 
-// count counts the dialled links that are up.
-func (c *coreLinks) count() (up int) {
+// countDialled returns the number of dialled links that are up.
+func (c *coreLinks) countDialled() (up int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, core := range c.byAddr {
@@ -123,7 +125,7 @@
 	return up
 }
 
-// linkTo gives a link to a core machine that is up, nil for none at the moment, and connects to one that was unknown.
+// linkTo returns a link to a core machine that is up, or nil. It connects to the machine if it was unknown.
 func (c *coreLinks) linkTo(controlAddr string) *link {
 	var dialled, accepted *link
 	c.mu.Lock()
@@ -143,14 +145,14 @@
 	return nil
 }
 
-// send sends to a core machine. A frame for which no link is up is dropped: whoever needs an answer retries.
+// send sends a frame to a core machine. If no link is up, the frame is dropped; a sender that needs an answer retries.
 func (c *coreLinks) send(controlAddr string, frame *controlmsg.Frame) {
 	if l := c.linkTo(controlAddr); l != nil {
 		l.Send(frame)
 	}
 }
 
-// broadcast sends to all other core machines whose dialled link is up.
+// broadcast sends a frame to all other core machines whose dialled link is up.
 func (c *coreLinks) broadcast(frame *controlmsg.Frame) {
 	encoded := transport.Encode(frame)
 	c.mu.Lock()
--- a/internal/controlplane/failover_golden_test.go
+++ b/internal/controlplane/failover_golden_test.go
@@ -18,61 +18,61 @@
 	"weirwind/internal/controlplane/controlmsg"
 )
 
-// replica is a member that the test plays, outside of virtual time: it listens at a port of its own.
-type replica struct {
+// fakeMember is a member that the test implements, outside virtual time: it listens on a real port.
+type fakeMember struct {
 	mu             sync.Mutex
 	id             string
-	ln             net.Listener
+	listener       net.Listener
 	role, position string
 	term, paused   string
-	rows           map[string]string // other answers, by the first word of what is asked
-	asked          []string
-	dead           bool
+	replies        map[string]string // answers that replace the status, by statement
+	statements     []string
+	stopped        bool
 }
 
-func newReplica(t *testing.T, id, role, position string) *replica {
+func newFakeMember(t *testing.T, id, role, position string) *fakeMember {
 	t.Helper()
-	ln, err := net.Listen("tcp4", "127.0.0.1:0")
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &replica{id: id, ln: ln, role: role, position: position, term: "3", paused: "0"}
-	t.Cleanup(func() { ln.Close() })
+	r := &fakeMember{id: id, listener: listener, role: role, position: position, term: "3", paused: "0"}
+	t.Cleanup(func() { listener.Close() })
 	go func() {
 		for {
-			c, err := ln.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go r.serve(c)
+			go r.serve(conn)
 		}
 	}()
 	return r
 }
 
-func (r *replica) serve(c net.Conn) {
-	defer c.Close()
-	in := bufio.NewScanner(c)
+func (r *fakeMember) serve(conn net.Conn) {
+	defer conn.Close()
+	in := bufio.NewScanner(conn)
 	for in.Scan() {
 		answer, alive := r.answer(in.Text())
 		if !alive {
 			return
 		}
-		io.WriteString(c, answer+"READY idle -\r\n")
+		io.WriteString(conn, answer+"READY idle -\r\n")
 	}
 }
 
-func (r *replica) answer(line string) (answer string, alive bool) {
+func (r *fakeMember) answer(line string) (answer string, alive bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	word, rest, _ := strings.Cut(line, " ")
 	if word != "QUERY" {
-		return "", !r.dead
+		return "", !r.stopped
 	}
 	_, text, _ := strings.Cut(rest, " ")
-	r.asked = append(r.asked, text)
+	r.statements = append(r.statements, text)
 	first, term, _ := strings.Cut(text, " ")
-	row, known := r.rows[text]
+	row, known := r.replies[text]
 	switch first {
 	case "PAUSE":
 		r.paused = term
@@ -83,44 +83,44 @@
 	case "STAT":
 	default:
 		if !known {
-			return "FAIL nope not this\r\n", !r.dead
+			return "FAIL nope not this\r\n", !r.stopped
 		}
 	}
 	if !known {
 		row = strings.Join([]string{r.role, r.term, r.position, r.paused, "0 0 0"}, " ")
 	}
-	return "ROW " + row + "\r\nDONE -\r\n", !r.dead
+	return "ROW " + row + "\r\nDONE -\r\n", !r.stopped
 }
 
-// set has it be another.
-func (r *replica) set(role, term, position string) {
+// setState sets the member's role, term and log position.
+func (r *fakeMember) setState(role, term, position string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.role, r.term, r.position = role, term, position
 }
 
-func (r *replica) is() string {
+func (r *fakeMember) currentRole() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.role
 }
 
-// kill has it take no connection from now on.
-func (r *replica) kill() {
+// stop makes the member accept no connections and answer no statements from now on.
+func (r *fakeMember) stop() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.dead = true
-	r.ln.Close()
+	r.stopped = true
+	r.listener.Close()
 }
 
-// A leader whose service loses its primary: what members are asked, what the platform is called with, what is logged
-// and when. Then a planned hand-over, shards on two nodes, and the end of a lead.
-func TestFailoverKeepsItsSteps(t *testing.T) {
-	members := []*replica{newReplica(t, "m1", "primary", "3.10"), newReplica(t, "m2", "replica", "3.10"),
-		newReplica(t, "m3", "replica", "3.9"), newReplica(t, "n1", "primary", "1.1")}
-	members[2].rows = map[string]string{"SHARD LOOK": `{"limit":2000,"foreign":1,"free":1900,"busy":0,"slots":4,` +
+// A service at a leader loses its primary. The transcript has the statements to members, the calls to the platform, and
+// the log with its times. It continues with a planned hand-over, shards on two nodes, and the loss of leadership.
+func TestFailoverTranscript(t *testing.T) {
+	members := []*fakeMember{newFakeMember(t, "m1", "primary", "3.10"), newFakeMember(t, "m2", "replica", "3.10"),
+		newFakeMember(t, "m3", "replica", "3.9"), newFakeMember(t, "n1", "primary", "1.1")}
+	members[2].replies = map[string]string{"SHARD LOOK": `{"limit":2000,"foreign":1,"free":1900,"busy":0,"slots":4,` +
 		`"copies":{"y":{"epoch":1,"state":"open","last":4,"held":5}}}`}
-	members[3].rows = map[string]string{"SHARD LOOK": `{"limit":1000,"foreign":1,"free":900,"busy":0,"slots":4,` +
+	members[3].replies = map[string]string{"SHARD LOOK": `{"limit":1000,"foreign":1,"free":900,"busy":0,"slots":4,` +
 		`"copies":{}}`}
 	var mu sync.Mutex
 	var calls strings.Builder
@@ -132,21 +132,21 @@
 			r.Header.Get("Weirwind-Holder"), r.Header.Get("Weirwind-Fence"), body)
 		for _, m := range members[:3] {
 			if strings.Contains(string(body), strconv.Quote(m.id)) {
-				m.set("primary", "4", m.position)
-			} else if m.is() == "primary" {
-				m.set("replica", "4", m.position)
+				m.setState("primary", "4", m.position)
+			} else if m.currentRole() == "primary" {
+				m.setState("replica", "4", m.position)
 			}
 		}
 	}))
 	defer platform.Close()
-	log := &transcript{sortLogs: true} // questions to several members run side by side
+	log := &transcript{sortLogs: true} // statements to members run concurrently
 	inVirtualTime(t, func(t *testing.T) {
 		log.start = time.Now()
-		h := startServer(t, "10.0.0.1:7000", []string{"10.0.0.1:7000"}, platform.Listener.Addr().String(), log)
+		srv := startServer(t, "10.0.0.1:7000", []string{"10.0.0.1:7000"}, platform.Listener.Addr().String(), log)
 		time.Sleep(1011 * time.Millisecond)
-		call(log, h, "POST", "/config/replace", map[string]string{"Weirwind-Base-Version": "0"}, twoServices)
+		call(log, srv, "POST", "/config/replace", map[string]string{"Weirwind-Base-Version": "0"}, twoServices)
 		seq, draining := 0, map[string]bool{}
-		run := func(d time.Duration, silent ...string) {
+		heartbeatFor := func(d time.Duration, silent ...string) {
 			for range d / (500 * time.Millisecond) {
 				for _, m := range members {
 					svc, state := "s", "ok"
@@ -157,60 +157,60 @@
 						state = "draining"
 					}
 					if seq++; !slices.Contains(silent, m.id) {
-						heartbeat(h, m.id, svc, m.ln.Addr().String(), m.is(), state, seq)
+						sendHeartbeat(srv, m.id, svc, m.listener.Addr().String(), m.currentRole(), state, seq)
 					}
 				}
 				time.Sleep(500 * time.Millisecond)
 				synctest.Wait()
 			}
 		}
-		run(8 * time.Second)
-		call(log, h, "GET", "/status", nil, "")
+		heartbeatFor(8 * time.Second)
+		call(log, srv, "GET", "/status", nil, "")
 		log.step("the primary dies")
-		members[0].kill()
+		members[0].stop()
 		for _, r := range []controlmsg.PrimaryReport{
 			{Service: "s", MemberID: "m1", UnresponsiveMs: 100, Driver: "d1", Unreachable: true},
 			{Service: "s", MemberID: "m1", Driver: "d2", CommitsStalled: true},
 			{Service: "s", MemberID: "m1", Driver: "d3"},
 		} {
-			h.state.do(func() { h.state.handlePrimaryReport(&r, h.now()) })
+			srv.state.enqueue(func() { srv.state.handlePrimaryReport(&r, srv.now()) })
 		}
-		run(12*time.Second, "m1")
+		heartbeatFor(12*time.Second, "m1")
 		log.step("it stays away, and the other one drains")
-		members[1].set("primary", "4", "4.2")
-		members[2].set("replica", "4", "4.2")
-		run(60*time.Second, "m1")
+		members[1].setState("primary", "4", "4.2")
+		members[2].setState("replica", "4", "4.2")
+		heartbeatFor(60*time.Second, "m1")
 		draining["m2"] = true
-		run(5*time.Second, "m1")
+		heartbeatFor(5*time.Second, "m1")
 		log.step("shards")
-		call(log, h, "POST", "/shards", nil,
+		call(log, srv, "POST", "/shards", nil,
 			`{"kind":"found","shards":{"x":"n1","y":"s"},"nodes":{"n1":{"zone":"z1"},"s":{"zone":"z2"}}}`)
-		run(3*time.Second, "m1")
-		call(log, h, "POST", "/shards", nil, `{"kind":"plan","tasks":[{"shard":"x","from":"n1","to":"s","bytes":10}]}`)
-		run(6*time.Second, "m1")
-		call(log, h, "GET", "/shards", nil, "")
-		call(log, h, "GET", "/status", nil, "")
+		heartbeatFor(3*time.Second, "m1")
+		call(log, srv, "POST", "/shards", nil, `{"kind":"plan","tasks":[{"shard":"x","from":"n1","to":"s","bytes":10}]}`)
+		heartbeatFor(6*time.Second, "m1")
+		call(log, srv, "GET", "/shards", nil, "")
+		call(log, srv, "GET", "/status", nil, "")
 		log.step("the lead ends")
-		h.state.do(func() { h.state.setLeadership(false, 9, nil) })
-		run(2*time.Second, "m1")
-		call(log, h, "GET", "/shards", nil, "")
-		call(log, h, "GET", "/status", nil, "")
+		srv.state.enqueue(func() { srv.state.setLeadership(false, 9, nil) })
+		heartbeatFor(2*time.Second, "m1")
+		call(log, srv, "GET", "/shards", nil, "")
+		call(log, srv, "GET", "/status", nil, "")
 	})
 	text := log.String()
 	for _, m := range members {
-		text = strings.ReplaceAll(text, m.ln.Addr().String(), m.id+":1")
+		text = strings.ReplaceAll(text, m.listener.Addr().String(), m.id+":1")
 	}
 	var all strings.Builder
 	all.WriteString(text + "-- calls to the platform\n" + calls.String())
 	for _, m := range members {
 		fmt.Fprintf(&all, "-- %s was asked\n", m.id)
 		polls := map[string]int{}
-		for _, text := range m.asked {
+		for _, text := range m.statements {
 			if polls[text]++; text != "STAT" && text != "SHARD LOOK" {
-				fmt.Fprintln(&all, strings.ReplaceAll(text, members[3].ln.Addr().String(), "n1:1"))
+				fmt.Fprintln(&all, strings.ReplaceAll(text, members[3].listener.Addr().String(), "n1:1"))
 			}
 		}
-		// How often depends on the test's end.
+		// Their number depends on when the test ends.
 		fmt.Fprintf(&all, "STAT: %t, SHARD LOOK: %t\n", polls["STAT"] > 10, polls["SHARD LOOK"] > 10)
 	}
 	compareGolden(t, "failover.txt", all.String())
--- a/internal/controlplane/failovers.go
+++ b/internal/controlplane/failovers.go
@@ -15,45 +15,45 @@
 
 // Times of failovers.
 const (
-	// minDirectoryAge, and four heartbeat intervals, are how long a process runs before it decides anything about
-	// failovers: all members have sent a heartbeat by then. One that it lacks may alone hold a commit, or be the
-	// primary.
+	// A process decides nothing about failovers until it has run for minDirectoryAge and for minDirectoryIntervals
+	// heartbeat intervals: by then all members have sent a heartbeat. A member that is still unknown may be the only one
+	// with a commit, or the primary.
 	minDirectoryAge       = 2 * time.Second
 	minDirectoryIntervals = 4
-	reportMaxAgeMs        = 1500.0 // of what drivers report of a primary
-	voterSilentMs         = 1000.0 // after which another machine of the core counts as silent
-	// uncertainForMs is for how long members may be unknown after a silent machine sends again, or after this one
-	// began to lead.
-	uncertainForMs = 3000.0
-	// forgetIntervalMs is the time between two looks for members and services that are gone.
-	forgetIntervalMs = 1000.0
+	reportMaxAgeMs        = 1500.0 // age beyond which a driver's report on a primary is ignored
+	voterSilenceTimeoutMs = 1000.0 // after which another core machine counts as silent
+	// membershipUncertaintyMs is how long live members may still be unknown after a silent machine sends again, or after
+	// this machine became the leader.
+	membershipUncertaintyMs = 3000.0
+	// cleanupIntervalMs is the time between two removals of the state of departed members and services.
+	cleanupIntervalMs = 1000.0
 )
 
-// fenceCallBits is how many of a fencing token's bits number the leader's calls to the platform. The higher bits are
-// its term.
+// fenceCallBits is the number of low bits of a fencing token that count the leader's calls to the platform. The higher
+// bits are its term.
 const (
 	fenceCallBits    = 16
 	maxPlatformCalls = 1<<fenceCallBits - 1
 )
 
-// failovers carries out what package failover decides, for each service, while this machine leads. It belongs to
+// failovers carries out the decisions of package failover for each service while this machine leads. It belongs to
 // softState.
 type failovers struct {
 	owner *softState
 
-	controllers  map[string]*failover.Controller     // by service
-	reports      map[string]map[string]primaryReport // by service and driver
-	nextForgetAt float64                             // of what belongs to members and services that are gone
+	controllers   map[string]*failover.Controller     // by service
+	reports       map[string]map[string]primaryReport // by service and driver
+	nextCleanupAt float64                             // next removal of the state of departed members and services
 
-	// platformCalls counts the calls of this lead, for their fencing tokens.
+	// platformCalls counts the calls to the platform in this leadership, for their fencing tokens.
 	platformCalls uint64
 
-	// voterSilent is whether another machine of the core is silent: members may send their heartbeats to it.
+	// voterSilent reports whether another core machine is silent. Members may be sending their heartbeats to it.
 	voterSilent          bool
 	voterSilentChangedAt float64
 }
 
-// primaryReport is what a driver reported last of a service's primary.
+// primaryReport is a driver's last report on a service's primary.
 type primaryReport struct {
 	report     controlmsg.PrimaryReport
 	receivedAt float64
@@ -64,26 +64,26 @@
 		reports: map[string]map[string]primaryReport{}}
 }
 
-// reset forgets what an earlier lead knew.
+// reset drops the state of an earlier leadership.
 func (f *failovers) reset() {
 	f.controllers, f.reports = map[string]*failover.Controller{}, map[string]map[string]primaryReport{}
 	f.platformCalls = 0
 }
 
-// setVoterSilent notes that another machine of the core fell silent, or that none is silent any more.
+// setVoterSilent records that another core machine became silent, or that none is silent any more.
 func (f *failovers) setVoterSilent(silent bool, now float64) {
 	f.voterSilent, f.voterSilentChangedAt = silent, now
 }
 
 // membershipUncertain reports whether there may be live members that this leader does not know.
 func (f *failovers) membershipUncertain(now float64) bool {
-	return f.voterSilent || now-max(f.voterSilentChangedAt, f.owner.leadership.since) < uncertainForMs
+	return f.voterSilent || now-max(f.voterSilentChangedAt, f.owner.leadership.since) < membershipUncertaintyMs
 }
 
-// nextFence gives a fencing token higher than that of every call before it, of this leader and of earlier ones: a
-// call that arrives late is refused by the platform once a later one was seen. After 65,535 calls there is none left
-// in this term, as the next would reach into the following one: ok is false.
-func (f *failovers) nextFence() (fence uint64, ok bool) {
+// nextFencingToken returns a fencing token higher than that of every earlier call of this leader and its predecessors.
+// The platform rejects a call that arrives after one with a higher token. After 65,535 calls in a term ok is false, as
+// the next token would fall into the range of the following term.
+func (f *failovers) nextFencingToken() (fence uint64, ok bool) {
 	if f.platformCalls == maxPlatformCalls {
 		return 0, false
 	}
@@ -91,23 +91,22 @@
 	return f.owner.leadership.term<<fenceCallBits | f.platformCalls, true
 }
 
-// promoteWithFence calls the platform. Where this term has no fencing token left, nothing is called, which is as a
-// rejected call to the controller, and another machine is to lead: its term has tokens of its own.
+// promoteWithFence calls the platform with the next fencing token. If this term has none left, it makes no call,
+// reports a rejected call to the controller, and transfers the leadership, as the next term has tokens of its own.
 func (f *failovers) promoteWithFence(controller *failover.Controller, service string, action failover.Action) {
-	fence, ok := f.nextFence()
+	fence, ok := f.nextFencingToken()
 	if ok {
 		go f.promote(controller, service, action.ID, fence)
 		return
 	}
 	server := f.owner.server
 	server.log.Event(events.FailoverStatus, "svc", service, "member", action.ID,
-		"what", "this term's fencing tokens are used up: another machine is to lead")
+		"what", "this term's fencing tokens are exhausted; transferring leadership")
 	controller.HandlePromoteResult(action.ID, http.StatusConflict, server.now())
 	server.loop.offer(func() { server.loop.node.TransferLeadership(server.now()) })
 }
 
-// handlePrimaryReport takes what a driver reports of a primary. A machine that does not lead forwards it to the one
-// that does.
+// handlePrimaryReport records a driver's report on a primary. A machine that does not lead forwards it to the leader.
 func (s *softState) handlePrimaryReport(r *controlmsg.PrimaryReport, now float64) {
 	if !s.leadership.active {
 		s.sendToLeader(&controlmsg.Frame{PrimaryReport: r})
@@ -121,7 +120,7 @@
 	byDriver[r.Driver] = primaryReport{report: *r, receivedAt: now}
 }
 
-// stepFailovers steps each service's controller with what is known now, and then the roster.
+// stepFailovers steps each service's controller with the current state, and then the roster.
 func (s *softState) stepFailovers(now float64) {
 	heartbeatInterval := ms(s.server.settings.HeartbeatInterval)
 	if s.config == nil || now < max(ms(minDirectoryAge), minDirectoryIntervals*heartbeatInterval) {
@@ -131,28 +130,28 @@
 	drivers := len(s.drivers.table.Drivers())
 	for i := range s.config.Services {
 		service := &s.config.Services[i]
-		c := s.failovers.controllers[service.Name]
-		if c == nil {
-			c = failover.New(now)
-			s.failovers.controllers[service.Name] = c
+		controller := s.failovers.controllers[service.Name]
+		if controller == nil {
+			controller = failover.New(now)
+			s.failovers.controllers[service.Name] = controller
 		}
 		view := s.failoverView(service, live[service.Name], drivers, now)
-		for _, action := range c.Step(view, now) {
-			s.failovers.perform(c, service.Name, action)
+		for _, action := range controller.Step(view, now) {
+			s.failovers.perform(controller, service.Name, action)
 		}
 	}
 	s.roster.step(live, now)
-	s.forgetGone(live, now)
+	s.removeStale(live, now)
 }
 
-// forgetGone drops the connections to members that are gone, and the controllers and reports of services that are no
-// longer configured. A service that comes back begins as under a new leader.
-func (s *softState) forgetGone(live map[string][]directory.Member, now float64) {
+// removeStale drops the connections to departed members, and the controllers and reports of services that are no longer
+// configured. A service that is configured again starts as under a new leader.
+func (s *softState) removeStale(live map[string][]directory.Member, now float64) {
 	f := &s.failovers
-	if now < f.nextForgetAt {
+	if now < f.nextCleanupAt {
 		return
 	}
-	f.nextForgetAt = now + forgetIntervalMs
+	f.nextCleanupAt = now + cleanupIntervalMs
 	ids, services := map[string]bool{}, map[string]bool{}
 	for _, members := range live {
 		for _, member := range members {
@@ -167,7 +166,7 @@
 	maps.DeleteFunc(f.reports, func(name string, _ map[string]primaryReport) bool { return !services[name] })
 }
 
-// failoverView is what a service's controller decides by.
+// failoverView returns the state of a service by which its controller decides.
 func (s *softState) failoverView(service *config.Service, live []directory.Member, drivers int,
 	now float64) *failover.View {
 	view := &failover.View{Service: service.Name, SyncReplicas: service.SyncReplicas, Drivers: drivers,
@@ -203,8 +202,8 @@
 	}
 }
 
-// perform carries out an action of a service's controller. What waits for others runs in a goroutine of its own,
-// whose result is a command to the owner; it ends by its own timeout.
+// perform carries out an action of a service's controller. Calls to members and the platform run in goroutines of their
+// own, which are bounded by a timeout and return their result as a command to the owner.
 func (f *failovers) perform(controller *failover.Controller, service string, action failover.Action) {
 	s := f.owner
 	log := s.server.log
@@ -232,8 +231,8 @@
 	}
 }
 
-// statusStatement is the statement to a member that carries out an action and is answered with the member's status.
-// PAUSE and STEPDOWN name the next term, so that a second run of one changes nothing more.
+// statusStatement returns the statement that carries out an action at a member and is answered with the member's
+// status. PAUSE and STEPDOWN include the next term, so that repeating one has no further effect.
 func statusStatement(action failover.Action) string {
 	nextTerm := strconv.FormatUint(action.Term+1, 10)
 	switch action.Kind {
@@ -247,13 +246,13 @@
 	return "STAT"
 }
 
-// queryStatus sends a member a statement, and its controller the result.
+// queryStatus sends a member a statement, and passes the result to the controller.
 func (f *failovers) queryStatus(controller *failover.Controller, member directory.Member, kind failover.ActionKind,
 	statement string) {
 	s := f.owner
 	sentAt := s.server.now()
 	status, refused, err := s.memberClient.queryStatus(member, statement)
-	s.do(func() {
+	s.enqueue(func() {
 		if err != nil {
 			controller.HandleStatusFailure(member.ID, refused, s.server.now())
 			return
@@ -262,17 +261,17 @@
 	})
 }
 
-// promote has the platform make a member the primary, and gives the controller the result.
+// promote asks the platform to make a member the primary, and passes the result to the controller.
 func (f *failovers) promote(controller *failover.Controller, service, id string, fence uint64) {
 	s := f.owner
-	h := s.server
-	call := platformCall{addr: h.settings.PlatformAddr, caller: h.settings.Hostname, fence: fence,
+	srv := s.server
+	call := platformCall{addr: srv.settings.PlatformAddr, caller: srv.settings.Hostname, fence: fence,
 		service: service, member: id}
-	status, err := call.do(h.ctx)
+	status, err := call.do(srv.ctx)
 	if err != nil {
-		h.log.Error(events.PlatformCall, err, "svc", service, "member", id)
+		srv.log.Error(events.PlatformCall, err, "svc", service, "member", id)
 	} else {
-		h.log.Event(events.PlatformCall, "svc", service, "member", id, "fence", fence, "status", status)
+		srv.log.Event(events.PlatformCall, "svc", service, "member", id, "fence", fence, "status", status)
 	}
-	s.do(func() { controller.HandlePromoteResult(id, status, h.now()) })
+	s.enqueue(func() { controller.HandlePromoteResult(id, status, srv.now()) })
 }
--- a/internal/controlplane/fixture_test.go
+++ b/internal/controlplane/fixture_test.go
@@ -1,8 +1,8 @@
 package controlplane
 
-// This file owns the fixture of the tests that record behaviour: whole servers in virtual time (testing/synctest), on
-// a disk in memory, with fixed random numbers, over links that are pipes. Nothing sleeps but virtually, and no port
-// is taken.
+// This file has the fixture of the tests that compare with golden files: complete servers in virtual time
+// (testing/synctest), on an in-memory disk, with fixed random numbers, over links that are pipes. They take no real
+// time to sleep and use no ports.
 
 import (
 	"bytes"
@@ -40,7 +40,7 @@
 	"weirwind/internal/util/transport"
 )
 
-// inVirtualTime runs a test in a bubble: its clocks stand still while anything runs.
+// inVirtualTime runs a test in a synctest bubble: its clock advances only while all goroutines are blocked.
 func inVirtualTime(t *testing.T, run func(t *testing.T)) {
 	t.Helper()
 	cryptotest.SetGlobalRandom(t, 20261202)
@@ -52,25 +52,25 @@
 	})
 }
 
-// transcript is what a test records, compared with a file of testdata. GOLDEN=write records it anew, which changes
-// what members, agents, operators or other machines of the core see.
+// transcript records the events of a test for comparison with a golden file. GOLDEN=write rewrites the file; a change
+// of it is a change that members, agents, operators or other core machines can see.
 //
-// Its entries are in the order of their moments, then of their sources, then as they came: what two goroutines do at
-// one moment has no order of its own. Where several goroutines log at one moment, sortLogs orders their lines.
+// Its entries are sorted by time, then by source, then by arrival, as events of two goroutines at the same time have no
+// defined order. If goroutines log lines at the same time, sortLogs sorts these by text.
 type transcript struct {
 	mu       sync.Mutex
 	start    time.Time
-	entries  []entry
+	entries  []transcriptEntry
 	sortLogs bool
-	round    int64 // moments are rounded down to so many milliseconds; 0: they are not
+	roundMs  int64 // times are rounded down to a multiple of this many milliseconds; 0 for no rounding
 }
 
-type entry struct {
+type transcriptEntry struct {
 	at           int64 // milliseconds
 	source, text string
 }
 
-// logSource comes before all others, and httpSource behind them.
+// Sources of entries. logSource sorts before all others, httpSource after them.
 const (
 	logSource  = "  log"
 	httpSource = "~http"
@@ -78,7 +78,7 @@
 
 func newTranscript() *transcript { return &transcript{start: time.Now()} }
 
-// Write takes a line of a server's log.
+// Write records a line of a server's log.
 func (r *transcript) Write(b []byte) (int, error) {
 	_, text, _ := strings.Cut(strings.TrimSuffix(string(b), "\n"), " ")
 	r.add(logSource, text)
@@ -89,19 +89,19 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	at := time.Since(r.start).Milliseconds()
-	if r.round > 0 {
-		at -= at % r.round
+	if r.roundMs > 0 {
+		at -= at % r.roundMs
 	}
-	r.entries = append(r.entries, entry{at, source, text})
+	r.entries = append(r.entries, transcriptEntry{at, source, text})
 }
 
-// step notes what the test does next.
+// step records a heading for the next step of the test.
 func (r *transcript) step(format string, args ...any) { r.add("", "-- "+fmt.Sprintf(format, args...)) }
 
 func (r *transcript) String() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	slices.SortStableFunc(r.entries, func(a, b entry) int {
+	slices.SortStableFunc(r.entries, func(a, b transcriptEntry) int {
 		c := cmp.Or(cmp.Compare(a.at, b.at), strings.Compare(a.source, b.source))
 		if c == 0 && r.sortLogs && a.source == logSource {
 			c = strings.Compare(a.text, b.text)
@@ -136,49 +136,49 @@
 	}
 }
 
-// startServer starts a machine of the core as Run does, but for its listeners. Its two goroutines tick at moments of
-// their own, offset behind those of other machines, so that what happens at one moment happens in one order.
-func startServer(t *testing.T, ctl string, peers []string, platform string, log io.Writer) *Server {
+// startServer starts a core machine as Run does, but without listeners. Its two goroutines tick at different times,
+// also from those of machines that were started before, so that the order of events is deterministic.
+func startServer(t *testing.T, controlAddr string, peers []string, platform string, log io.Writer) *Server {
 	t.Helper()
-	host, _, _ := net.SplitHostPort(ctl)
+	host, _, _ := net.SplitHostPort(controlAddr)
 	name := "core" + host[strings.LastIndexByte(host, '.')+1:]
-	set := &settings.Settings{Hostname: name, ControlAddr: ctl, IP: host, PortRange: [2]int{7100, 7110}, Peers: peers,
-		Bootstrap: true, DataDir: name, HeartbeatInterval: 600 * time.Millisecond, TolerateNodes: (len(peers) - 1) / 2,
-		PlatformAddr: platform}
-	h := newServer(context.Background(), set, events.New(log, name))
-	for _, p := range peers { // links to them are the test's to make
-		if p != ctl {
-			h.cores.byAddr[set.MeshAddr(p)] = &coreLink{}
+	set := &settings.Settings{Hostname: name, ControlAddr: controlAddr, IP: host, PortRange: [2]int{7100, 7110},
+		Peers: peers, Bootstrap: true, DataDir: name, HeartbeatInterval: 600 * time.Millisecond,
+		TolerateNodes: (len(peers) - 1) / 2, PlatformAddr: platform}
+	srv := newServer(context.Background(), set, events.New(log, name))
+	for _, p := range peers { // the test makes the links to them
+		if p != controlAddr {
+			srv.cores.byAddr[set.MeshAddr(p)] = &coreLink{}
 		}
 	}
-	if err := h.open(t.Context()); err != nil {
+	if err := srv.open(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	done := make(chan struct{})
-	go func() { h.loop.run(h.ctx); close(done) }()
+	go func() { srv.loop.run(srv.ctx); close(done) }()
 	time.Sleep(17 * time.Millisecond)
-	go h.state.run()
+	go srv.state.run()
 	t.Cleanup(func() {
-		h.cancel(nil)
+		srv.cancel(nil)
 		<-done
 	})
-	return h
+	return srv
 }
 
-// oneListener accepts one connection, then waits until it is closed.
-type oneListener struct {
+// singleConnListener is a listener that accepts one connection, then blocks until it is closed.
+type singleConnListener struct {
 	conns chan net.Conn
 	done  chan struct{}
 	once  sync.Once
 }
 
-func listenerOf(c net.Conn) *oneListener {
-	l := &oneListener{conns: make(chan net.Conn, 1), done: make(chan struct{})}
+func newSingleConnListener(c net.Conn) *singleConnListener {
+	l := &singleConnListener{conns: make(chan net.Conn, 1), done: make(chan struct{})}
 	l.conns <- c
 	return l
 }
 
-func (l *oneListener) Accept() (net.Conn, error) {
+func (l *singleConnListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-l.conns:
 		return c, nil
@@ -187,29 +187,29 @@
 	}
 }
 
-func (l *oneListener) Close() error   { l.once.Do(func() { close(l.done) }); return nil }
-func (l *oneListener) Addr() net.Addr { return &net.TCPAddr{} }
+func (l *singleConnListener) Close() error   { l.once.Do(func() { close(l.done) }); return nil }
+func (l *singleConnListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// linkOver makes a link of one end of a pipe, whose frames go to take, and its end to down.
-func linkOver(t *testing.T, c net.Conn, take func(*link, *controlmsg.Frame), down func(*link)) *link {
+// newPipeLink returns a link over one end of a pipe. Its frames are passed to handleFrame, its end to handleDown.
+func newPipeLink(t *testing.T, c net.Conn, handleFrame func(*link, *controlmsg.Frame), handleDown func(*link)) *link {
 	t.Helper()
-	ln, up := listenerOf(c), make(chan *link, 1)
-	go transport.Serve(ln, 0, func(l *link) { up <- l }, take, down)
+	ln, up := newSingleConnListener(c), make(chan *link, 1)
+	go transport.Serve(ln, 0, func(l *link) { up <- l }, handleFrame, handleDown)
 	t.Cleanup(func() { ln.Close(); c.Close() })
 	return <-up
 }
 
-// peer is a process that the test plays: an agent, or another machine of the core. What it is sent is recorded.
-type peer struct {
+// fakePeer is an agent or another core machine that the test implements. The frames that it receives are recorded.
+type fakePeer struct {
 	conn net.Conn
 	link *link // the server's end
 }
 
-// newPeer links one to a server, and records what it is sent.
-func newPeer(t *testing.T, h *Server, name string, record *transcript) *peer {
+// newFakePeer links a fake peer to a server, and records the frames that it receives.
+func newFakePeer(t *testing.T, srv *Server, name string, record *transcript) *fakePeer {
 	t.Helper()
 	near, far := net.Pipe()
-	p := &peer{conn: far, link: linkOver(t, near, h.handleFrame, h.handleLinkDown)}
+	p := &fakePeer{conn: far, link: newPipeLink(t, near, srv.handleFrame, srv.handleLinkDown)}
 	t.Cleanup(func() { far.Close() })
 	go func() {
 		var head [4]byte
@@ -227,8 +227,8 @@
 	return p
 }
 
-// send has the peer say something, and waits until everything that follows at once is done.
-func (p *peer) send(t *testing.T, f *controlmsg.Frame) {
+// send sends a frame from the peer, and waits until its immediate effects are done.
+func (p *fakePeer) send(t *testing.T, f *controlmsg.Frame) {
 	t.Helper()
 	raw, err := cbor.Marshal(f)
 	if err != nil {
@@ -240,8 +240,8 @@
 	synctest.Wait()
 }
 
-// frameText gives a frame's bytes, a long one's by their number and digest. Records in one frame that waited for a
-// tick come in the order of a map: they are sorted first.
+// frameText returns a frame's purpose and bytes, or the length and a hash of a long frame. Members' records are sorted
+// first, as those that are published at a tick are in map order.
 func frameText(raw []byte) string {
 	var f controlmsg.Frame
 	if err := cbor.Unmarshal(raw, &f); err != nil {
@@ -263,15 +263,15 @@
 	return fmt.Sprintf("%s %d bytes %016x", f.Purpose(), len(raw), d.Sum64())
 }
 
-// call puts an HTTP call to a server in process, and records it with its answer.
-func call(record *transcript, h *Server, method, path string, header map[string]string,
+// call makes an HTTP call to a server in process, and records it with its response.
+func call(record *transcript, srv *Server, method, path string, header map[string]string,
 	body string) *httptest.ResponseRecorder {
 	r := httptest.NewRequest(method, path, strings.NewReader(body))
 	for k, v := range header {
 		r.Header.Set(k, v)
 	}
 	w := httptest.NewRecorder()
-	h.routes().ServeHTTP(w, r)
+	srv.routes().ServeHTTP(w, r)
 	if record == nil {
 		return w
 	}
@@ -282,7 +282,7 @@
 		value := strings.Join(headers[k], " | ")
 		age, err := strconv.Atoi(value)
 		if k == headerContactAgeMs && err == nil && age >= 0 && age <= consensus.ContactLease {
-			value = "(age)" // the call itself may have the loop renew the contact, before or after it is read
+			value = "(age)" // the call itself may make the loop renew the contact, before or after it is read
 		}
 		fmt.Fprintf(&out, "  %s: %s\n", k, value)
 	}
@@ -293,9 +293,9 @@
 	return w
 }
 
-// heartbeat puts a member's heartbeat.
-func heartbeat(h *Server, id, svc, addr, role, state string, seq int) int {
+// sendHeartbeat puts a member's heartbeat.
+func sendHeartbeat(srv *Server, id, svc, addr, role, state string, seq int) int {
 	body := fmt.Sprintf(`{"svc":%q,"addr":%q,"zone":"z1","gen":"g","slots":4,"state":%q,"dbRole":%q,"seq":%d}`,
 		svc, addr, state, role, seq)
-	return call(nil, h, http.MethodPost, "/members/"+id+"/heartbeat", nil, body).Code
+	return call(nil, srv, http.MethodPost, "/members/"+id+"/heartbeat", nil, body).Code
 }
--- a/internal/controlplane/forward_golden_test.go
+++ b/internal/controlplane/forward_golden_test.go
@@ -15,37 +15,37 @@
 	"weirwind/internal/controlplane/controlmsg"
 )
 
-// trio is three machines of the core, all linked. Which of them is elected is not fixed, so that they are recorded by
-// their roles.
-type trio struct {
+// testCluster is a core of three linked machines. Which of them is elected is not fixed, so the transcript has their
+// roles.
+type testCluster struct {
 	servers []*Server
 	conns   map[*Server][]net.Conn
 	record  *transcript
 
 	mu    sync.Mutex
 	roles map[*Server]string
-	drops func(from, to *Server, frame *controlmsg.Frame) bool // frames that are lost on their way; nil: none
+	drops func(from, to *Server, frame *controlmsg.Frame) bool // selects the frames to drop; nil for none
 }
 
-// setDrops has frames lost on their way from now on.
-func (c *trio) setDrops(drops func(from, to *Server, frame *controlmsg.Frame) bool) {
+// setDrops sets which frames are dropped from now on.
+func (c *testCluster) setDrops(drops func(from, to *Server, frame *controlmsg.Frame) bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.drops = drops
 }
 
-func (c *trio) dropped(from, to *Server, frame *controlmsg.Frame) bool {
+func (c *testCluster) dropped(from, to *Server, frame *controlmsg.Frame) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.drops != nil && c.drops(from, to, frame)
 }
 
-func newTrio(t *testing.T, record *transcript) *trio {
+func newTestCluster(t *testing.T, record *transcript) *testCluster {
 	t.Helper()
-	c := &trio{record: record, conns: map[*Server][]net.Conn{}}
+	c := &testCluster{record: record, conns: map[*Server][]net.Conn{}}
 	all := []string{"10.0.0.1:7000", "10.0.0.2:7000", "10.0.0.3:7000"}
-	for _, ctl := range all {
-		c.servers = append(c.servers, startServer(t, ctl, all, "", newTranscript()))
+	for _, controlAddr := range all {
+		c.servers = append(c.servers, startServer(t, controlAddr, all, "", newTranscript()))
 	}
 	for _, from := range c.servers {
 		for _, to := range c.servers {
@@ -57,22 +57,22 @@
 	return c
 }
 
-// connect makes the link that one server dials to another.
-func (c *trio) connect(t *testing.T, from, to *Server) {
+// connect makes the link that one server dials to another one.
+func (c *testCluster) connect(t *testing.T, from, to *Server) {
 	t.Helper()
 	near, far := net.Pipe()
 	core := from.cores.byAddr[from.settings.MeshAddr(to.settings.ControlAddr)]
-	accepted := linkOver(t, far, func(l *link, f *controlmsg.Frame) {
+	accepted := newPipeLink(t, far, func(l *link, f *controlmsg.Frame) {
 		if c.dropped(from, to, f) {
 			return
 		}
-		if f.Consensus == nil && f.Digest == nil && f.LeaseSync == nil { // who leads next, and asks whom, is drawn
-			c.record.add(c.role(from)+" > "+c.role(to), c.textOf(f, from))
+		if f.Consensus == nil && f.Digest == nil && f.LeaseSync == nil { // these depend on the random election
+			c.record.add(c.role(from)+" > "+c.role(to), c.describeFrame(f, from))
 		}
 		to.handleFrame(l, f)
 	}, to.handleLinkDown)
-	to.cores.noteHello(accepted, controlmsg.NewHello(kindCore, "", from.settings.ControlAddr).Hello)
-	l := linkOver(t, near, from.handleFrame, func(l *link) {
+	to.cores.recordHello(accepted, controlmsg.NewHello(kindCore, "", from.settings.ControlAddr).Hello)
+	l := newPipeLink(t, near, from.handleFrame, func(l *link) {
 		from.pending.failLink(l)
 		from.cores.setDialled(core, nil)
 		from.loop.offer(func() { from.loop.node.LeaderDisconnected(to.settings.ControlAddr, from.now()) })
@@ -81,39 +81,39 @@
 	c.conns[from], c.conns[to] = append(c.conns[from], far), append(c.conns[to], far)
 }
 
-func (c *trio) role(h *Server) string {
+func (c *testCluster) role(srv *Server) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.roles[h]
+	return c.roles[srv]
 }
 
-// elected gives the servers that run, the leader first, and names them by their roles.
-func (c *trio) elected(t *testing.T, prefix string) []*Server {
+// servers returns the running servers with the leader first, and assigns their roles.
+func (c *testCluster) leaderFirst(t *testing.T, prefix string) []*Server {
 	t.Helper()
 	var all []*Server
-	for _, h := range c.servers {
-		if h.ctx.Err() != nil {
+	for _, srv := range c.servers {
+		if srv.ctx.Err() != nil {
 			continue
 		}
 		leads := make(chan bool, 1)
-		h.loop.offer(func() { leads <- h.loop.established })
+		srv.loop.offer(func() { leads <- srv.loop.established })
 		if <-leads {
-			all = slices.Insert(all, 0, h)
+			all = slices.Insert(all, 0, srv)
 		} else {
-			all = append(all, h)
+			all = append(all, srv)
 		}
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.roles = map[*Server]string{}
-	for i, h := range all {
-		c.roles[h] = prefix + []string{"leader", "second", "third"}[i]
+	for i, srv := range all {
+		c.roles[srv] = prefix + []string{"leader", "second", "third"}[i]
 	}
 	return all
 }
 
-// textOf gives a frame's text, but for numbers of requests, which begin at the time of day, and for the sender's name.
-func (c *trio) textOf(f *controlmsg.Frame, from *Server) string {
+// describeFrame returns a frame's text. Request numbers, which start at the wall-clock time, and origins are replaced.
+func (c *testCluster) describeFrame(f *controlmsg.Frame, from *Server) string {
 	switch {
 	case f.Request != nil:
 		r := *f.Request
@@ -131,39 +131,39 @@
 	return frameText(raw)
 }
 
-// Three machines of the core: calls put to each are forwarded to who leads and answered from there; then the leader
-// is cut off, and calls are forwarded to the next.
-func TestForwardedCallsKeepTheirFrames(t *testing.T) {
+// Calls to each of three core machines are forwarded to the leader and answered by it. Then the leader is disconnected,
+// and calls are forwarded to the next one.
+func TestForwardedCallTranscript(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		record := newTranscript()
-		record.round = 1000 // each machine ticks at moments of its own
-		c := newTrio(t, record)
-		round := func(servers []*Server, base int) {
-			for i, h := range servers {
-				record.step("calls to the %s", c.role(h))
+		record.roundMs = 1000 // machines tick at different times
+		c := newTestCluster(t, record)
+		callEach := func(servers []*Server, base int) {
+			for i, srv := range servers {
+				record.step("calls to the %s", c.role(srv))
 				header := map[string]string{"Weirwind-Base-Version": strconv.Itoa(base + i)}
 				if base+i == 0 {
-					call(record, h, "POST", "/config/replace", header, twoServices)
+					call(record, srv, "POST", "/config/replace", header, twoServices)
 				} else {
 					amendment := fmt.Sprintf(`{"gen":%d,"upsert":{"svcs":[{"name":"s%d"}]}}`, base+i+1, base+i)
-					call(record, h, "POST", "/config/amend", header, amendment)
+					call(record, srv, "POST", "/config/amend", header, amendment)
 				}
-				call(record, h, "GET", "/config/show", nil, "")
-				call(record, h, "POST", "/members/m/forget", nil, "")
-				call(record, h, "POST", fmt.Sprintf("/sites/one/renew?%d", i), nil, siteRenewal)
+				call(record, srv, "GET", "/config/show", nil, "")
+				call(record, srv, "POST", "/members/m/forget", nil, "")
+				call(record, srv, "POST", fmt.Sprintf("/sites/one/renew?%d", i), nil, siteRenewal)
 				time.Sleep(time.Second)
 			}
 		}
 		time.Sleep(6003 * time.Millisecond)
-		first := c.elected(t, "first ")
-		round(first, 0)
-		for i, h := range first {
-			if heartbeat(h, "m", "s0", "10.0.1.1:1", "primary", "ok", i+1) != 200 {
-				t.Error("a heartbeat was refused")
+		first := c.leaderFirst(t, "first ")
+		callEach(first, 0)
+		for i, srv := range first {
+			if sendHeartbeat(srv, "m", "s0", "10.0.1.1:1", "primary", "ok", i+1) != 200 {
+				t.Error("a heartbeat was rejected")
 			}
-			h.state.do(func() {
-				report := controlmsg.PrimaryReport{Service: "s0", MemberID: "m", UnresponsiveMs: 3, Driver: c.role(h)}
-				h.state.handleFrame(nil, &controlmsg.Frame{PrimaryReport: &report})
+			srv.state.enqueue(func() {
+				report := controlmsg.PrimaryReport{Service: "s0", MemberID: "m", UnresponsiveMs: 3, Driver: c.role(srv)}
+				srv.state.handleFrame(nil, &controlmsg.Frame{PrimaryReport: &report})
 			})
 			time.Sleep(time.Second)
 		}
@@ -175,7 +175,7 @@
 		call(record, first[0], "GET", "/config/show", nil, "")
 		first[0].cancel(nil)
 		synctest.Wait()
-		round(c.elected(t, "next "), 3)
+		callEach(c.leaderFirst(t, "next "), 3)
 		compareGolden(t, "forwards.txt", record.String())
 	})
 }
--- a/internal/controlplane/frames_golden_test.go
+++ b/internal/controlplane/frames_golden_test.go
@@ -10,19 +10,20 @@
 	"weirwind/internal/controlplane/directory"
 )
 
-// What a machine that leads says to two agents and to another machine of the core, with its moment and byte for byte:
-// answers to renewals, members' records, drivers that come and go, configurations, shard maps, heartbeats passed on,
-// digests, and what is said as contact is lost and regained.
-func TestFramesKeepTheirBytes(t *testing.T) {
+// The frames that a leader sends to two agents and another core machine, with their times and bytes: answers to
+// renewals, members' records, added and removed drivers, configurations, shard maps, heartbeats that are passed on,
+// digests, and updates when contact is lost and regained.
+func TestFrameTranscript(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		record := newTranscript()
-		record.sortLogs = true // leases that lapse at one moment come in the order of a map
-		h := startServer(t, "10.0.0.1:7000", []string{"10.0.0.1:7000"}, "", record)
+		record.sortLogs = true // leases that expire at the same time are in map order
+		srv := startServer(t, "10.0.0.1:7000", []string{"10.0.0.1:7000"}, "", record)
 		time.Sleep(3011 * time.Millisecond)
-		agent, other, core := newPeer(t, h, "agent", record), newPeer(t, h, "other", record), newPeer(t, h, "core", record)
-		h.cores.mu.Lock()
-		h.cores.byAddr["10.0.0.2:7100"] = &coreLink{dialled: core.link}
-		h.cores.mu.Unlock()
+		agent, other, core := newFakePeer(t, srv, "agent", record), newFakePeer(t, srv, "other", record),
+			newFakePeer(t, srv, "core", record)
+		srv.cores.mu.Lock()
+		srv.cores.byAddr["10.0.0.2:7100"] = &coreLink{dialled: core.link}
+		srv.cores.mu.Unlock()
 		pause := func(d time.Duration) {
 			time.Sleep(d)
 			synctest.Wait()
@@ -30,18 +31,18 @@
 		a := directory.Driver{Name: "agent", Addr: "10.0.3.1:1", Zone: "z1", Incarnation: 1}
 		b := directory.Driver{Name: "other", Addr: "10.0.3.2:1", Zone: "z2", Incarnation: 2}
 		third := directory.Driver{Name: "third", Addr: "10.0.3.3:1", Incarnation: 9}
-		renew := func(p *peer, d directory.Driver, has controlmsg.StateDigest) {
-			p.send(t, &controlmsg.Frame{LeaseRenewal: &controlmsg.LeaseRenewal{Driver: d, Digest: has}})
+		renew := func(p *fakePeer, d directory.Driver, digest controlmsg.StateDigest) {
+			p.send(t, &controlmsg.Frame{LeaseRenewal: &controlmsg.LeaseRenewal{Driver: d, Digest: digest}})
 		}
 		seq := 0
-		beat := func(role, state string) {
+		sendHeartbeats := func(role, state string) {
 			for _, id := range []string{"m1", "m2", "m3"} {
 				seq++
-				is := "replica"
+				currentRole := "replica"
 				if id == "m1" {
-					is = role
+					currentRole = role
 				}
-				if code := heartbeat(h, id, "n1", "10.0.1."+id[1:]+":1", is, state, seq); code != http.StatusOK {
+				if code := sendHeartbeat(srv, id, "n1", "10.0.1."+id[1:]+":1", currentRole, state, seq); code != http.StatusOK {
 					t.Fatalf("a heartbeat was answered %d", code)
 				}
 			}
@@ -58,19 +59,19 @@
 		step("trial", func() {
 			other.send(t, &controlmsg.Frame{LeaseRenewal: &controlmsg.LeaseRenewal{Driver: b, Tentative: true}})
 		})
-		step("members", func() { beat("primary", "ok") })
-		step("heartbeats", func() { beat("primary", "ok") })
-		step("role", func() { beat("replica", "ok") })
+		step("members", func() { sendHeartbeats("primary", "ok") })
+		step("heartbeats", func() { sendHeartbeats("primary", "ok") })
+		step("role", func() { sendHeartbeats("replica", "ok") })
 		step("renewals that differ", func() {
 			renew(agent, a, controlmsg.StateDigest{})
 			renew(agent, a, controlmsg.StateDigest{})
 		})
 		step("configuration", func() {
-			call(record, h, "POST", "/config/replace", map[string]string{"Weirwind-Base-Version": "0"}, twoServices)
+			call(record, srv, "POST", "/config/replace", map[string]string{"Weirwind-Base-Version": "0"}, twoServices)
 		})
 		step("shards", func() {
-			call(record, h, "POST", "/shards", nil, `{"kind":"found","shards":{"x":"n1"},"nodes":{"n1":{"zone":"z1"}}}`)
-			call(record, h, "POST", "/shards", nil, `{"kind":"pause"}`)
+			call(record, srv, "POST", "/shards", nil, `{"kind":"found","shards":{"x":"n1"},"nodes":{"n1":{"zone":"z1"}}}`)
+			call(record, srv, "POST", "/shards", nil, `{"kind":"pause"}`)
 		})
 		step("new driver with nothing", func() {
 			renew(other, third, controlmsg.StateDigest{})
@@ -99,19 +100,19 @@
 			request(controlmsg.Request{Number: 79, BaseVersion: 0, Body: []byte("{"), Origin: "core2"})
 			core.send(t, &controlmsg.Frame{Response: &controlmsg.Response{Number: 80, Status: 200}})
 		})
-		step("draining", func() { beat("primary", "draining") })
+		step("draining", func() { sendHeartbeats("primary", "draining") })
 		for range 8 {
 			step("draining on", func() {
-				beat("primary", "draining")
+				sendHeartbeats("primary", "draining")
 				renew(agent, a, controlmsg.StateDigest{ConfigVersion: 1, ShardMapVersion: 2})
 			})
 			pause(270 * time.Millisecond)
 		}
-		step("back", func() { beat("replica", "ok") })
-		step("leave", func() { call(record, h, "POST", "/members/m3/leave", nil, "") })
+		step("back", func() { sendHeartbeats("replica", "ok") })
+		step("leave", func() { call(record, srv, "POST", "/members/m3/leave", nil, "") })
 		step("another at its address", func() {
 			pause(2 * time.Second)
-			heartbeat(h, "m9", "n1", "10.0.1.2:1", "replica", "ok", 1)
+			sendHeartbeat(srv, "m9", "n1", "10.0.1.2:1", "replica", "ok", 1)
 		})
 		step("lease given back", func() {
 			for _, d := range []directory.Driver{b, third} {
@@ -119,20 +120,20 @@
 			}
 		})
 		step("contact lost", func() {
-			contact := h.contact.at()
-			h.contact.set(contact - 5000)
+			contact := srv.contact.at()
+			srv.contact.set(contact - 5000)
 			pause(60 * time.Millisecond)
 			other.send(t, &controlmsg.Frame{LeaseRenewal: &controlmsg.LeaseRenewal{Driver: b, Tentative: true}})
 			renew(other, b, controlmsg.StateDigest{ConfigVersion: 1})
 		})
 		step("link lost", func() { other.conn.Close(); pause(time.Second) })
 		step("sites", func() {
-			call(record, h, "POST", "/sites/one/renew", nil, siteRenewal)
+			call(record, srv, "POST", "/sites/one/renew", nil, siteRenewal)
 			pause(3 * time.Second)
-			call(record, h, "GET", "/sites", nil, "")
+			call(record, srv, "GET", "/sites", nil, "")
 		})
 		step("all silent", func() { pause(70 * time.Second) })
-		call(record, h, "GET", "/status", nil, "")
+		call(record, srv, "GET", "/status", nil, "")
 		compareGolden(t, "frames.txt", record.String())
 	})
 }
--- a/internal/controlplane/leasesync_test.go
+++ b/internal/controlplane/leasesync_test.go
@@ -9,16 +9,17 @@
 	"weirwind/internal/controlplane/directory"
 )
 
-// followersCutApart starts three machines, with an agent at each follower that renews every second, and cuts the link
-// between the two followers; lost adds to what is lost from then on. It gives the followers.
-func followersCutApart(t *testing.T, lost func(frame *controlmsg.Frame) bool) []*Server {
+// partitionedFollowers starts three machines, with an agent at each follower that renews every second, and breaks the
+// link between the two followers. From then on frames for which alsoDropped returns true are dropped too. It returns
+// the followers.
+func partitionedFollowers(t *testing.T, alsoDropped func(frame *controlmsg.Frame) bool) []*Server {
 	t.Helper()
 	record := newTranscript()
-	machines := newTrio(t, record)
+	machines := newTestCluster(t, record)
 	time.Sleep(6 * time.Second)
-	all := machines.elected(t, "")
+	all := machines.leaderFirst(t, "")
 	leader, followers := all[0], all[1:]
-	agents := []*peer{newPeer(t, followers[0], "agent", record), newPeer(t, followers[1], "agent", record)}
+	agents := []*fakePeer{newFakePeer(t, followers[0], "agent", record), newFakePeer(t, followers[1], "agent", record)}
 	renewFor := func(seconds int) {
 		for range seconds {
 			for i, agent := range agents {
@@ -30,7 +31,7 @@
 	}
 	renewFor(3)
 	machines.setDrops(func(from, to *Server, frame *controlmsg.Frame) bool {
-		return from != leader && to != leader || lost(frame)
+		return from != leader && to != leader || alsoDropped(frame)
 	})
 	renewFor(15)
 	return followers
@@ -38,14 +39,14 @@
 
 var driverNames = []string{"front-1", "front-2"}
 
-// knownDrivers gives the drivers that a machine knows, and whether it gives its list out as complete.
-func knownDrivers(t *testing.T, h *Server) (names []string, complete bool) {
+// knownDrivers returns the drivers that a machine knows, and whether it considers its list complete.
+func knownDrivers(t *testing.T, srv *Server) (names []string, complete bool) {
 	t.Helper()
-	err := h.state.call(func() {
-		for _, driver := range h.state.drivers.table.Drivers() {
+	err := srv.state.call(func() {
+		for _, driver := range srv.state.drivers.table.Drivers() {
 			names = append(names, driver.Name)
 		}
-		complete = h.state.directoryComplete(h.now())
+		complete = srv.state.directoryComplete(srv.now())
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -53,35 +54,35 @@
 	return names, complete
 }
 
-// Two followers that don't reach each other, but the leader, know each other's drivers by it, and give out complete
-// lists. It fails without requestLeases, where lists are not complete, and without leasesKnown in directoryComplete as
-// well, where each lets the other's driver expire and gives out a list without it.
-func TestFollowersCutApartKnowAllDrivers(t *testing.T) {
+// Two followers that reach the leader but not each other learn each other's drivers from the leader, and have complete
+// lists. The test fails without requestLeases, as lists are then never complete. It also fails without requestLeases
+// and leasesKnown in directoryComplete, as each follower then expires the other's driver and sends a list without it.
+func TestPartitionedFollowersKnowAllDrivers(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		followers := followersCutApart(t, func(*controlmsg.Frame) bool { return false })
-		for _, h := range followers {
-			if names, complete := knownDrivers(t, h); !slices.Equal(names, driverNames) || !complete {
-				t.Errorf("%s knows %v, complete %v", h.settings.ControlAddr, names, complete)
+		followers := partitionedFollowers(t, func(*controlmsg.Frame) bool { return false })
+		for _, srv := range followers {
+			if names, complete := knownDrivers(t, srv); !slices.Equal(names, driverNames) || !complete {
+				t.Errorf("%s knows %v, complete %v", srv.settings.ControlAddr, names, complete)
 			}
 		}
 	})
 }
 
-// Where the leader gives no answer, as one of an earlier version, nobody expires and no list is complete.
-func TestFollowersWithoutTheLeadersLeasesLetNobodyGo(t *testing.T) {
+// If the leader sends no answer, as an earlier version does, no driver expires and no list is complete.
+func TestFollowersWithoutLeaseSyncExpireNoDriver(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		followers := followersCutApart(t, func(frame *controlmsg.Frame) bool { return frame.LeaseSync != nil })
-		for _, h := range followers {
-			if names, complete := knownDrivers(t, h); !slices.Equal(names, driverNames) || complete {
-				t.Errorf("%s knows %v, complete %v", h.settings.ControlAddr, names, complete)
+		followers := partitionedFollowers(t, func(frame *controlmsg.Frame) bool { return frame.LeaseSync != nil })
+		for _, srv := range followers {
+			if names, complete := knownDrivers(t, srv); !slices.Equal(names, driverNames) || complete {
+				t.Errorf("%s knows %v, complete %v", srv.settings.ControlAddr, names, complete)
 			}
 		}
 	})
 }
 
-// A machine whose list is the leader's is told so in one figure, unless some lease is nearly over; any other list is
-// answered with all leases.
-func TestLeaderConfirmsEqualListsInOneFigure(t *testing.T) {
+// The leader answers a list that equals its own with the digest and one remaining time, unless a lease is about to
+// expire. It answers any other list with all leases.
+func TestLeaderConfirmsEqualListsByDigest(t *testing.T) {
 	leases := driverLeases{table: directory.NewLeases()}
 	leases.table.Renew(directory.Driver{Name: "front-1", Incarnation: 1}, 4000)
 	leases.table.Renew(directory.Driver{Name: "front-2", Incarnation: 1}, 3000)
@@ -91,7 +92,7 @@
 		t.Errorf("the same list: %+v", answer)
 	}
 	if answer := leases.syncAnswer(same, 1600); answer.LeaseSync.DriversHash != 0 || len(answer.Leases) != 2 {
-		t.Errorf("a lease that is nearly over: %+v", answer)
+		t.Errorf("a lease that is about to expire: %+v", answer)
 	}
 	if answer := leases.syncAnswer(same+1, 500); answer.LeaseSync.DriversHash != 0 || len(answer.Leases) != 2 {
 		t.Errorf("another list: %+v", answer)
--- a/internal/controlplane/loop.go
+++ b/internal/controlplane/loop.go
@@ -27,70 +27,70 @@
 const (
 	heartbeatInterval = 200 * time.Millisecond
 	electionTimeout   = 900 * time.Millisecond
-	// removeAfter is when a silent voter may be removed: before a leader without a quorum steps down, at twice the
-	// timeout.
-	removeAfter        = electionTimeout * 7 / 4
-	consensusTick      = 50 * time.Millisecond
-	requestTimeout     = 3 * time.Second
-	maxPendingRequests = 64
-	maxLoopCommands    = 256 // commands that wait for the loop; more are dropped
-	loopAnswerTimeout  = 500 * time.Millisecond
-	// leaveTimeout is for how long a process that is stopped waits until another leads, or until it votes no longer.
-	leaveTimeout = time.Second
-	leaveLinger  = 50 * time.Millisecond // in which its last messages are written
-	// maxDiskFailures is how many writes in a row may fail before the process ends.
+	// removeAfter is how long a voter must be silent before it may be removed. It is less than the twice electionTimeout
+	// after which a leader without a quorum steps down.
+	removeAfter           = electionTimeout * 7 / 4
+	consensusTickInterval = 50 * time.Millisecond
+	requestTimeout        = 3 * time.Second
+	maxPendingRequests    = 64
+	maxLoopCommands       = 256 // commands queued for the loop; more are dropped
+	loopAnswerTimeout     = 500 * time.Millisecond
+	// leaveTimeout is how long a stopping process waits for another machine to lead, or for its removal from the voters.
+	leaveTimeout    = time.Second
+	leaveFlushDelay = 50 * time.Millisecond // time for the last messages to be written to the links
+	// maxDiskFailures is how many consecutive writes may fail before the process ends.
 	maxDiskFailures = 20
-	// maxFlushRounds bounds how often one turn of the loop syncs: what is left waits for the next turn.
+	// maxFlushRounds limits the syncs in one iteration of the loop: the rest waits for the next iteration.
 	maxFlushRounds = 8
 )
 
-// consensusLoop owns the consensus node, its disk and the queue of orders. One goroutine, run, touches them; others
-// send it commands through offer.
+// consensusLoop owns the consensus node, its disk and the queue of orders. Only one goroutine, run, accesses them;
+// others send it commands through offer.
 //
-// The loop sends nothing that the disk doesn't hold yet. Each turn takes all commands that have arrived, ticks
-// the node, and flushes: sync the hard state, then send the messages that follow from it, take what became committed,
-// and decide orders, until nothing more follows. Commands that arrived together thus share one sync. A disk that
-// hangs holds up this loop, and so the contact's renewal, but not the soft state: heartbeats and driver leases go on.
+// The loop sends no message that depends on state that is not on the disk yet. Each iteration runs all commands that
+// have arrived, ticks the node, and flushes: it syncs the hard state, sends the messages that follow from it, applies
+// what was committed, and decides orders, until nothing more follows. Commands that arrive together thus share one
+// sync. A hanging disk blocks this loop, and with it the renewal of contact, but not the soft state: heartbeats and
+// driver leases continue.
 //
-// The loop sends commands to the soft state, and waits where that has many. Nobody waits for the loop to take a
-// command: whoever sends it one that finds no room is told (offer), so that the two can't wait for each other, and a
-// disk that hangs holds up no link and no table. Only HTTP handlers wait for the loop's answers, and for a bounded
-// time.
+// The loop sends commands to the soft state, and blocks while that queue is full. No sender blocks on the loop's
+// queue: if it is full, offer returns false. So the two owners can't deadlock, and a hanging disk blocks neither links
+// nor tables. Only HTTP handlers wait for answers of the loop, and only for a bounded time.
 type consensusLoop struct {
-	server *Server
-	node   *consensus.Node
-	store  *store.Store
-	queue  *commandqueue.Queue
-	close  context.CancelFunc // of the queue: it outlives the process's context until the node has left
-	orders *orders.Queue
+	server     *Server
+	node       *consensus.Node
+	store      *store.Store
+	queue      *commandqueue.Queue
+	closeQueue context.CancelFunc // of the queue: it outlives the process's context until the node has left
+	orders     *orders.Queue
 
-	committed       *config.State   // newest that is known committed; nil: none
-	applied         entryID         // the entry that committed was read from
-	notifiedVersion uint64          // newest configuration that the soft state was notified of
+	committed       *config.State   // newest known committed state; nil if there is none
+	appliedEntry    entryID         // entry that committed was decoded from
+	notifiedVersion uint64          // newest configuration version that the soft state was notified of
 	notifiedContact float64         // newest contact that the soft state was notified of
-	established     bool            // this machine leads and may decide, as the soft state was notified last
-	leader          consensus.Voter // that is followed, or this machine; the zero value: none
-	voterSilent     bool            // another machine of the core is silent, as the soft state was notified last
-	voters          string          // ids, as logged last
-	drifting        map[string]bool // ids of voters whose clocks were logged to drift
+	established     bool            // whether this machine leads and may decide, as last notified to the soft state
+	leader          consensus.Voter // leader that this machine follows, or itself; the zero value if none is known
+	voterSilent     bool            // whether another core machine is silent, as last notified to the soft state
+	loggedVoters    string          // ids of the voters, as last logged
+	driftingVoters  map[string]bool // ids of voters whose clock drift was logged
 
 	diskWait     *diskWait
-	diskFailures int // in a row
+	diskFailures int // consecutive
 	syncs        uint64
 	lastSyncMs   float64
 	maxSyncMs    float64
 }
 
-// entryID is an entry's term and index.
+// entryID identifies a log entry by its term and index.
 type entryID struct{ term, index uint64 }
 
 func entryIDOf(entry *consensus.Entry) entryID { return entryID{entry.Term, entry.Index} }
 
-// openConsensusLoop opens the disk, and founds the core or joins it where the disk is empty.
+// openConsensusLoop opens the disk. If the disk is empty, the machine bootstraps the core or asks to join it.
 func openConsensusLoop(ctx context.Context, server *Server) (*consensusLoop, error) {
 	s := server.settings
 	wait := &diskWait{ctx: ctx, log: server.log, now: server.now}
-	disk, hardState, found, err := store.OpenPatient(s.DataDir, wait.waitForRoom)
+	disk, hardState, found, err := store.OpenPatient(s.DataDir, wait.waitForSpace)
 	if err != nil {
 		return nil, err
 	}
@@ -101,7 +101,7 @@
 		}
 	}
 	queueCtx, closeQueue := context.WithCancel(context.WithoutCancel(ctx))
-	c := &consensusLoop{server: server, store: disk, diskWait: wait, close: closeQueue,
+	c := &consensusLoop{server: server, store: disk, diskWait: wait, closeQueue: closeQueue,
 		queue:  commandqueue.New(queueCtx, maxLoopCommands),
 		orders: orders.New(orders.Limits{Pending: maxPendingRequests, Timeout: ms(requestTimeout)})}
 	options := consensus.Options{Addr: s.ControlAddr, Seeds: s.Peers, MinVoters: 2*s.TolerateNodes + 1,
@@ -112,7 +112,8 @@
 	return c, nil
 }
 
-// initialHardState is that of an empty disk: of a founding voter, or of a machine that asks to join.
+// initialHardState returns the hard state for an empty disk: that of an initial voter if the machine bootstraps the
+// core, otherwise that of a machine that asks to join.
 func initialHardState(server *Server) consensus.HardState {
 	s := server.settings
 	if s.Bootstrap && slices.Contains(s.Peers, s.ControlAddr) {
@@ -127,7 +128,7 @@
 	return hardState
 }
 
-// drawFraction draws a number from 0 to 1, which spreads elections.
+// drawFraction returns a random number from 0 to 1, which randomizes election timeouts.
 func drawFraction() float64 {
 	var b [4]byte
 	if _, err := rand.Read(b[:]); err != nil {
@@ -136,14 +137,14 @@
 	return float64(binary.LittleEndian.Uint32(b[:])) / math.MaxUint32
 }
 
-// offer queues a command for the loop. It is dropped, and false returned, where the queue is full, as the loop waits
-// for its disk: nobody else may wait with it. So a command is one that is repeated by itself, or whose caller is
-// told.
+// offer queues a command for the loop. If the queue is full because the loop waits for its disk, offer drops the
+// command and returns false instead of blocking. So every command must be one that is repeated later anyway, or whose
+// sender handles the false.
 func (c *consensusLoop) offer(command func()) bool { return c.queue.Offer(command) }
 
-// askLoop has the loop read something, and waits for it for loopAnswerTimeout at most; false: there is no answer.
-func askLoop[T any](c *consensusLoop, read func() T) (value T, ok bool) {
-	values := make(chan T, 1) // has room for one: the loop never waits for a caller that has given up
+// callLoop runs read in the loop and waits up to loopAnswerTimeout for its value. ok is false if there is no answer.
+func callLoop[T any](c *consensusLoop, read func() T) (value T, ok bool) {
+	values := make(chan T, 1) // buffered, so that the loop never blocks on a caller that has given up
 	if !c.offer(func() { values <- read() }) {
 		return value, false
 	}
@@ -158,13 +159,13 @@
 	return value, false
 }
 
-// run is the owner's goroutine. When ctx ends the node first leaves in order: it transfers its leadership, and asks
-// to be removed from the voters where enough others vote. After a failure it sends nothing more.
+// run is the owner's goroutine. When ctx ends the node shuts down gracefully: it transfers its leadership, and asks to
+// be removed from the voters if enough others remain. After a fatal failure it sends nothing more.
 func (c *consensusLoop) run(ctx context.Context) {
-	tick := time.NewTicker(consensusTick)
+	tick := time.NewTicker(consensusTickInterval)
 	defer tick.Stop()
 	defer func() { _ = c.store.Close() }()
-	defer c.close()
+	defer c.closeQueue()
 	stopping, leaveDeadline := ctx.Done(), math.Inf(1)
 	for {
 		select {
@@ -184,13 +185,13 @@
 		c.flush()
 		c.notifyContact()
 		if stopping == nil && (c.node.LeaveDone(c.server.now()) || c.server.now() > leaveDeadline) {
-			time.Sleep(leaveLinger)
+			time.Sleep(leaveFlushDelay)
 			return
 		}
 	}
 }
 
-// runQueued runs the commands that have arrived: they share one sync.
+// runQueued runs the commands that have arrived, so that they share one sync.
 func (c *consensusLoop) runQueued() {
 	for {
 		select {
@@ -202,7 +203,7 @@
 	}
 }
 
-// flush syncs, sends and answers until nothing more follows, and notifies the soft state of what changed.
+// flush syncs, sends and answers until nothing is left to do, and notifies the soft state of changes.
 func (c *consensusLoop) flush() {
 	for range maxFlushRounds {
 		if c.node.Dirty() && !c.sync() {
@@ -221,14 +222,14 @@
 	c.notifyLeadership()
 }
 
-// sync writes the hard state to the disk. Where that fails the messages that would follow from it are dropped; peers
-// take it for loss on the way, and retry.
+// sync writes the hard state to the disk, and reports whether that succeeded. On failure the messages that depend on
+// the write are dropped; to peers this looks like loss on the network, and they retry.
 func (c *consensusLoop) sync() bool {
-	began := c.server.now()
-	c.diskWait.begin(began)
+	startedAt := c.server.now()
+	c.diskWait.beginWrite(startedAt)
 	err := c.store.Save(&c.node.HardState)
-	c.diskWait.end()
-	c.lastSyncMs = c.server.now() - began
+	c.diskWait.endWrite()
+	c.lastSyncMs = c.server.now() - startedAt
 	c.maxSyncMs = max(c.maxSyncMs, c.lastSyncMs)
 	c.syncs++
 	if err != nil {
@@ -241,8 +242,8 @@
 	return true
 }
 
-// handleDiskFailure ends the process where the disk fails too often, or in a way after which nothing can be written
-// any more.
+// handleDiskFailure stops the process if the disk fails too often, or fails in a way that makes further writes
+// impossible.
 func (c *consensusLoop) handleDiskFailure(err error) {
 	c.diskFailures++
 	if c.diskFailures == 1 {
@@ -253,28 +254,28 @@
 	}
 }
 
-// sendMessages sends the node's messages to the machines that they are for.
+// sendMessages sends the node's pending messages to their receivers.
 func (c *consensusLoop) sendMessages() {
 	for _, envelope := range c.node.Messages() {
 		c.server.cores.send(envelope.To, &controlmsg.Frame{Consensus: &envelope.Message})
 	}
 }
 
-// notifyCommitted notifies the soft state of a newly committed entry.
+// notifyCommitted notifies the soft state of a newly committed entry, if there is one.
 func (c *consensusLoop) notifyCommitted() {
 	if update, ok := c.takeCommitted(); ok {
 		s := c.server.state
-		s.do(func() { s.applyCommitted(update) })
+		s.enqueue(func() { s.applyCommitted(update) })
 	}
 }
 
-// takeCommitted reads the state of the newest committed entry; not ok: it was read before.
+// takeCommitted decodes the state of the newest committed entry. ok is false if it was taken before.
 func (c *consensusLoop) takeCommitted() (update committedUpdate, ok bool) {
 	entry, known := c.node.Committed()
-	if !known || c.applied == entryIDOf(&entry) {
+	if !known || c.appliedEntry == entryIDOf(&entry) {
 		return update, false
 	}
-	c.applied = entryIDOf(&entry)
+	c.appliedEntry = entryIDOf(&entry)
 	state := &config.State{}
 	if len(entry.Value) > 0 {
 		if err := cbor.Unmarshal(entry.Value, state); err != nil {
@@ -288,21 +289,21 @@
 	return update, true
 }
 
-// logVoters gives the voters' control addresses, and logs the voters where they changed.
+// logVoters returns the voters' control addresses, and logs the voters if they changed.
 func (c *consensusLoop) logVoters(entry *consensus.Entry) (addrs []string) {
 	voters := ""
 	for _, voter := range entry.Voters {
 		addrs = append(addrs, voter.Addr)
 		voters += voter.ID + " "
 	}
-	if voters != c.voters {
-		c.voters = voters
+	if voters != c.loggedVoters {
+		c.loggedVoters = voters
 		c.server.log.Event(events.VotersChanged, "voters", voters, "index", entry.Index)
 	}
 	return addrs
 }
 
-// followLeader ends the calls that wait for a leader that leads no longer: their callers retry.
+// followLeader notes a change of leader. It fails the calls that wait for the former one; their callers retry.
 func (c *consensusLoop) followLeader() {
 	if leader, _ := c.node.Leader(); leader != c.leader {
 		c.server.pending.failLeader(c.leader.Addr)
@@ -310,7 +311,7 @@
 	}
 }
 
-// notifyLeadership notifies the soft state when this machine begins to lead, or leads no longer.
+// notifyLeadership notifies the soft state when this machine becomes the leader, or stops being it.
 func (c *consensusLoop) notifyLeadership() {
 	established := c.node.Established()
 	if established == c.established {
@@ -325,16 +326,16 @@
 	c.server.log.Event(event, "term", term)
 	s := c.server.state
 	holders := c.node.Holders()
-	s.do(func() { s.setLeadership(established, term, holders) })
+	s.enqueue(func() { s.setLeadership(established, term, holders) })
 }
 
-// notifyContact renews the machine's contact, after all that the soft state was notified of before: a reader of the
-// contact finds what it vouches for.
+// notifyContact renews the machine's contact. The command is queued behind all earlier notifications to the soft
+// state, so that whoever reads the new contact also sees the state that the contact covers.
 func (c *consensusLoop) notifyContact() {
 	at := c.node.LastContact()
 	if at == c.notifiedContact {
 		return
 	}
 	c.notifiedContact = at
-	c.server.state.do(func() { c.server.contact.set(at) })
+	c.server.state.enqueue(func() { c.server.contact.set(at) })
 }
--- a/internal/controlplane/memberclient.go
+++ b/internal/controlplane/memberclient.go
@@ -13,14 +13,14 @@
 	"weirwind/internal/util/idempotency"
 )
 
-// statusTimeout bounds a question of a member's status.
+// statusTimeout bounds a statement that is answered with a member's status.
 const statusTimeout = 700 * time.Millisecond
 
-// memberClient puts the control plane's own questions to members, and keeps an idle connection to each. Any goroutine
+// memberClient sends the control plane's own statements to members, and keeps an idle connection to each. Any goroutine
 // may use it.
 type memberClient struct {
 	mu   sync.Mutex
-	idle map[string]*memberconn.Conn // by the member's id; a connection in use is not in it
+	idle map[string]*memberconn.Conn // by member id; connections in use are not included
 }
 
 func newMemberClient() *memberClient { return &memberClient{idle: map[string]*memberconn.Conn{}} }
@@ -36,7 +36,7 @@
 	}
 }
 
-// retain closes the idle connections to all members but some.
+// retain closes the idle connections to all members but the given ones.
 func (c *memberClient) retain(ids map[string]bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -48,7 +48,7 @@
 	}
 }
 
-// acquire gives the idle connection to a member, nil for none.
+// acquire removes and returns the idle connection to a member, nil if there is none.
 func (c *memberClient) acquire(id string) *memberconn.Conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -57,7 +57,7 @@
 	return conn
 }
 
-// release keeps a connection for the next question, in place of another that was kept meanwhile.
+// release keeps a connection for the next statement, and closes another that was released meanwhile.
 func (c *memberClient) release(id string, conn *memberconn.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -67,9 +67,9 @@
 	c.idle[id] = conn
 }
 
-// queryStatus sends a statement that is answered with the member's status; refused: the member is not at its address.
-// A second run of one is the same again: STAT changes nothing, PAUSE and STEPDOWN name their term, CONT resumes what
-// may be resumed.
+// queryStatus sends a statement that is answered with the member's status. refused reports whether the member's address
+// refused the connection. The statements are idempotent: STAT changes nothing, PAUSE and STEPDOWN include their term,
+// and CONT resumes replication only where that is allowed.
 func (c *memberClient) queryStatus(member directory.Member,
 	statement string) (status wire.MemberStatus, refused bool, err error) {
 	deadline := time.Now().Add(statusTimeout)
@@ -92,11 +92,11 @@
 	return rows, err
 }
 
-// do puts a question over the idle connection, or over a new one where that ended as it rested and the question may
-// be retried. A member's own error leaves the connection usable; after any other the connection is reset, as a late
-// PAUSE or CONT could undo a later one.
+// do makes a request over the idle connection, and repeats it over a new one if the idle connection turns out to be
+// closed and the request may be retried. After an error reported by the member the connection is kept; after any other
+// error it is reset, as a PAUSE or CONT that is still in flight could undo a later one.
 func (c *memberClient) do(member directory.Member, deadline time.Time, effect idempotency.Kind,
-	put func(*memberconn.Conn) error) (refused bool, err error) {
+	request func(*memberconn.Conn) error) (refused bool, err error) {
 	conn := c.acquire(member.ID)
 	for reused := conn != nil; ; reused = false {
 		if conn == nil {
@@ -104,7 +104,7 @@
 				return refused, err
 			}
 		}
-		err = put(conn)
+		err = request(conn)
 		var memberError *memberconn.MemberError
 		switch {
 		case err == nil, errors.As(err, &memberError):
--- a/internal/controlplane/membership.go
+++ b/internal/controlplane/membership.go
@@ -10,26 +10,27 @@
 
 // Times of members.
 const (
-	// memberTimeout is for how long a member may be silent before it expires, and for how long its tombstone is kept.
+	// memberTimeout is how long a member may be silent before it expires, and how long its tombstone is kept.
 	memberTimeout = 60 * time.Second
-	// drainDeadlineMs is when a primary's drain takes effect though its role was not handed over.
+	// drainDeadlineMs is the time after which a primary's drain takes effect even if its role was not handed over.
 	drainDeadlineMs = 3500.0
-	// newIncarnationIntervals is after how many heartbeat intervals of silence a lower sequence number begins a new
-	// incarnation of the member. Before that it is a heartbeat that arrived late, and is dropped.
+	// newIncarnationIntervals is the number of heartbeat intervals of silence after which a lower sequence number starts a
+	// new incarnation of the member. Before that it is a late heartbeat, and is dropped.
 	newIncarnationIntervals = 3.0
-	// replacedIntervals is after how many heartbeat intervals of silence a member ends because another one sends from
-	// its address. One that was heard of since stays, so that a late heartbeat of the old one doesn't end the new one.
+	// replacedIntervals is the number of heartbeat intervals of silence after which a member is removed because another
+	// one uses its address. A member with a more recent heartbeat stays, so that a late heartbeat of the old member does
+	// not remove the new one.
 	replacedIntervals = 1.5
 )
 
-// membership is the table of members, and which of its records others have yet to be sent. It belongs to softState.
+// membership holds the table of members, and the records that are yet to be published. It belongs to softState.
 type membership struct {
 	table *directory.Members
 
-	// pendingRecords are the ids of members whose records are published at the next tick, as they are by then. When many
-	// members start, each agent is sent a frame a tick, not one for each of them.
+	// pendingRecords holds the ids of members whose current records are published at the next tick. When many members
+	// start at once, each agent gets one frame per tick instead of one per member.
 	pendingRecords map[string]bool
-	// drainingSince is when each leaving member was first known to leave, until its drain takes effect at drivers.
+	// drainingSince is the time at which each leaving member began to leave, until its drain takes effect at drivers.
 	drainingSince map[string]float64
 
 	heartbeatInterval float64 // of a member, in ms
@@ -43,8 +44,8 @@
 		drainingSince: map[string]float64{}, heartbeatInterval: heartbeatInterval, log: log, agents: agents, peers: peers}
 }
 
-// handleHeartbeat takes a member's own heartbeat. A change of its role, or a drain, is published at once, as
-// statements wait for it; all else waits for the next tick.
+// handleHeartbeat handles a heartbeat that a member sent to this machine. A change of role or a drain is published at
+// once, as clients' statements wait for it; all other changes are published at the next tick.
 func (m *membership) handleHeartbeat(record directory.Member, now float64) {
 	previous, known := m.table.Get(record.ID)
 	current, fresh, changed := m.table.Heartbeat(record, now, newIncarnationIntervals*m.heartbeatInterval)
@@ -58,7 +59,7 @@
 	if !known {
 		m.log.Event(events.MemberJoined, "member", current.ID, "svc", current.Service, "addr", current.Addr,
 			"role", int(current.Role))
-		m.endReplaced(current, now)
+		m.removeReplaced(current, now)
 	} else if previous.Role != current.Role {
 		m.log.Event(events.MemberRoleChanged, "member", current.ID, "svc", current.Service, "role", int(current.Role))
 	}
@@ -70,14 +71,14 @@
 	m.publish([]directory.Member{current})
 }
 
-// observe takes heartbeats that arrived at another core machine.
-func (m *membership) observe(heartbeats []controlmsg.Heartbeat, now float64) {
-	for _, h := range heartbeats {
-		m.table.ObserveHeartbeat(h.MemberID, h.Incarnation, h.Seq, now)
+// mergeHeartbeats merges heartbeats that arrived at another core machine.
+func (m *membership) mergeHeartbeats(heartbeats []controlmsg.Heartbeat, now float64) {
+	for _, heartbeat := range heartbeats {
+		m.table.ObserveHeartbeat(heartbeat.MemberID, heartbeat.Incarnation, heartbeat.Seq, now)
 	}
 }
 
-// merge takes records of another process, and notifies agents of those that are new here.
+// merge merges records from another process, and notifies agents of those that changed here.
 func (m *membership) merge(records []directory.Member, now float64) {
 	changed := m.table.Merge(records, now)
 	for _, record := range changed {
@@ -88,41 +89,41 @@
 	}
 }
 
-// leave notes that a member left by its own word. It reports whether the member is known here.
+// leave records that a member announced its departure. It reports whether the member is known here.
 func (m *membership) leave(id string, now float64) (known bool) {
 	if record, ok := m.table.Leave(id, now); ok {
-		m.publishEnd(record)
+		m.publishRemoval(record)
 	}
 	_, known = m.table.Get(id)
 	return known
 }
 
-// remove notes that a member has ended, without its word: it comes back by a heartbeat if it hasn't.
+// remove records that a member has ended without announcing it. A later heartbeat of the member brings it back.
 func (m *membership) remove(id string, now float64) {
 	if record, ok := m.table.Remove(id, now); ok {
-		m.publishEnd(record)
+		m.publishRemoval(record)
 	}
 }
 
-// publishEnd logs and publishes that a member has ended.
-func (m *membership) publishEnd(record directory.Member) {
+// publishRemoval logs and publishes the end of a member.
+func (m *membership) publishRemoval(record directory.Member) {
 	m.log.Event(events.MemberRemoved, "member", record.ID, "why", "left")
 	m.publish([]directory.Member{record})
 }
 
-// endReplaced notes the end of members whose address another now has: a member that crashed comes back with its log
-// and another id. The old id stays on the roster until it may be removed, which takes a live primary, but nobody
-// waits for it to expire.
-func (m *membership) endReplaced(by directory.Member, now float64) {
+// removeReplaced removes members whose address another member now uses: a member that crashed comes back with its log
+// but with another id. The old id stays on the roster until it may be removed, which takes a live primary; it is
+// removed from the directory at once instead of when it expires.
+func (m *membership) removeReplaced(replacement directory.Member, now float64) {
 	for _, old := range m.table.Snapshot() {
-		sameAddress := old.Service == by.Service && old.Addr == by.Addr && old.ID != by.ID
+		sameAddress := old.Service == replacement.Service && old.Addr == replacement.Addr && old.ID != replacement.ID
 		if sameAddress && !old.Tombstone && m.table.HeartbeatAge(old.ID, now) > replacedIntervals*m.heartbeatInterval {
 			m.remove(old.ID, now)
 		}
 	}
 }
 
-// expire lets go of members that were silent for too long.
+// expire removes members that were silent for memberTimeout.
 func (m *membership) expire(now float64) {
 	expired := m.table.Expire(now, ms(memberTimeout))
 	for _, record := range expired {
@@ -133,8 +134,8 @@
 	}
 }
 
-// beginDrain follows a record of a member that is leaving. The drain of one that is no primary takes effect at once;
-// a primary's role is handed over first.
+// beginDrain starts the drain of a member whose record says that it is leaving. The drain of a non-primary takes effect
+// at once; a primary's role is handed over first.
 func (m *membership) beginDrain(record directory.Member, now float64) {
 	if !record.Leaving || record.Draining || record.Tombstone {
 		return
@@ -148,8 +149,7 @@
 	}
 }
 
-// enforceDrains has drains take effect that wait for a hand-over no longer: the member is no primary any more, or its
-// time is up.
+// enforceDrains applies pending drains whose member is no longer a primary, or whose deadline has passed.
 func (m *membership) enforceDrains(now float64) {
 	for id, since := range m.drainingSince {
 		record, ok := m.table.Get(id)
@@ -162,14 +162,14 @@
 	}
 }
 
-// enforceDrain has a leaving member's drain take effect at drivers.
+// enforceDrain publishes a leaving member's drain, so that it takes effect at drivers.
 func (m *membership) enforceDrain(id string) {
 	if record, ok := m.table.StartDraining(id); ok {
 		m.publish([]directory.Member{record})
 	}
 }
 
-// publishPending publishes the records that waited for the tick.
+// publishPending publishes the records in pendingRecords.
 func (m *membership) publishPending() {
 	var records []directory.Member
 	for id := range m.pendingRecords {
@@ -190,7 +190,7 @@
 	m.peers.broadcast(&controlmsg.Frame{Update: update})
 }
 
-// live gives the members that have not ended, by service, in the order of their ids.
+// live returns the members that have not ended, by service and sorted by id.
 func (m *membership) live() map[string][]directory.Member {
 	byService := map[string][]directory.Member{}
 	for _, record := range m.table.Snapshot() {
--- a/internal/controlplane/membersresource.go
+++ b/internal/controlplane/membersresource.go
@@ -9,22 +9,22 @@
 	"weirwind/internal/controlplane/directory"
 )
 
-// membersResource serves the calls of members.
+// membersResource serves the calls of members, and an operator's call to remove one.
 type membersResource struct{ server *Server }
 
-// heartbeatBody is the body of a heartbeat, as members send it. Fields that are not known here are ignored.
+// heartbeatBody is the body of a member's heartbeat. Unknown fields are ignored.
 type heartbeatBody struct {
 	Service    string `json:"svc"`
 	Addr       string `json:"addr"`
 	Zone       string `json:"zone"`
 	Generation string `json:"gen"`
 	Slots      int    `json:"slots"`
-	State      string `json:"state"`  // "draining": it wants to leave
+	State      string `json:"state"`  // "draining" if the member wants to leave
 	Role       string `json:"dbRole"` // "primary" or "replica"; any other is unknown
 	Seq        uint64 `json:"seq"`
 }
 
-// record gives the member's record, as it describes itself.
+// record returns the member's record according to the heartbeat.
 func (b *heartbeatBody) record(id string) directory.Member {
 	record := directory.Member{ID: id, Service: b.Service, Addr: b.Addr, Zone: b.Zone, Generation: b.Generation,
 		Slots: b.Slots, Leaving: b.State == "draining", Seq: b.Seq}
@@ -37,18 +37,18 @@
 	return record
 }
 
-// heartbeat takes a member's heartbeat, and acknowledges it once it is in the table here.
+// heartbeat handles a member's heartbeat, and acknowledges it once it is in this machine's table.
 func (m *membersResource) heartbeat(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxHeartbeatBytes))
-	var b heartbeatBody
+	var parsed heartbeatBody
 	if err == nil {
-		err = json.Unmarshal(body, &b)
+		err = json.Unmarshal(body, &parsed)
 	}
-	if err != nil || b.Service == "" || b.Addr == "" {
+	if err != nil || parsed.Service == "" || parsed.Addr == "" {
 		writeError(w, &invalidCallError{"a beat names its svc and addr"})
 		return
 	}
-	record, state := b.record(r.PathValue("id")), m.server.state
+	record, state := parsed.record(r.PathValue("id")), m.server.state
 	if err := state.call(func() { state.members.handleHeartbeat(record, m.server.now()) }); err != nil {
 		writeError(w, errStopping)
 		return
@@ -60,7 +60,7 @@
 	m.acknowledge(w)
 }
 
-// leave takes a member's notice that it ends.
+// leave handles a member's notice that it is shutting down.
 func (m *membersResource) leave(w http.ResponseWriter, r *http.Request) {
 	id, state := r.PathValue("id"), m.server.state
 	known := false
@@ -69,34 +69,34 @@
 	case err != nil:
 		writeError(w, errStopping)
 	case !known && m.server.now() < ms(recoveryPeriod):
-		writeError(w, errUnknownMember) // another machine's record of it would stay
+		writeError(w, errUnknownMember) // otherwise another machine's record of it would remain
 	default:
 		m.acknowledgeLeaving(w)
 	}
 }
 
-// forget removes a member that is gone for good from the roster, by an operator's call: its group waits for it no
-// longer. What it alone held is given up.
+// forget removes a permanently lost member from the roster, on an operator's call, so that its group no longer waits
+// for it. Commits that only this member held are lost.
 func (m *membersResource) forget(w http.ResponseWriter, r *http.Request) {
 	id := r.PathValue("id")
 	state := m.server.state
-	state.do(func() { state.members.remove(id, m.server.now()) })
+	state.enqueue(func() { state.members.remove(id, m.server.now()) })
 	writeAnswer(w, m.server.submit(controlmsg.Request{ForgetMember: id}), contentTypeText)
 }
 
 // acknowledgeLeaving answers a member that drains or leaves, once a majority has been in contact since its record was
-// sent to the other machines. What is acknowledged binds all drivers: where the core has just been cut apart, contact
-// still lasts for a moment, and the other side would never learn of it.
+// sent to the other machines. An acknowledged drain or leave must take effect at all drivers: just after a network
+// partition this machine's contact lasts for a moment longer, and the other side would never learn of the record.
 func (m *membersResource) acknowledgeLeaving(w http.ResponseWriter) {
-	if m.server.inContact() && !m.server.awaitContact(m.server.now(), leavingTimeout) {
+	if m.server.inContact() && !m.server.awaitContact(m.server.now(), leaveContactTimeout) {
 		writeError(w, errNoContact)
 		return
 	}
 	m.acknowledge(w)
 }
 
-// acknowledge answers a member whose record is in the table here. Without contact it would be in no other: the member
-// is to repeat its call to another machine.
+// acknowledge answers a member whose record is in this machine's table. Without contact the record reaches no other
+// machine, so the member gets an error and repeats its call to another one.
 func (m *membersResource) acknowledge(w http.ResponseWriter) {
 	if m.server.rejectWithoutContact(w) {
 		return
--- a/internal/controlplane/peerexchange.go
+++ b/internal/controlplane/peerexchange.go
@@ -6,26 +6,26 @@
 )
 
 const (
-	heartbeatBatchIntervalMs = 300.0  // between two batches of heartbeats to other core machines
-	maxBatchedHeartbeats     = 1024   // in a batch; more are not passed on, as the members repeat them
-	digestIntervalMs         = 1000.0 // between two digests
+	heartbeatBatchIntervalMs = 300.0  // time between two batches of heartbeats to other core machines
+	maxBatchedHeartbeats     = 1024   // heartbeats in a batch; more are dropped, as members repeat them
+	digestIntervalMs         = 1000.0 // time between two digests
 )
 
-// peerExchange is what this machine sends to the other core machines of its own accord: members' heartbeats in
-// batches, and digests by which they find out what they missed. It belongs to softState.
+// peerExchange holds what this machine sends to the other core machines periodically: members' heartbeats in batches,
+// and digests by which they detect missed updates. It belongs to softState.
 type peerExchange struct {
 	cores            *coreLinks
-	heartbeats       []controlmsg.Heartbeat // of the next batch; nil: none
+	heartbeats       []controlmsg.Heartbeat // next batch; nil if it is empty
 	nextHeartbeatsAt float64
 	nextDigestAt     float64
 }
 
 func newPeerExchange(cores *coreLinks) peerExchange { return peerExchange{cores: cores} }
 
-// broadcast sends a frame to all other core machines at once.
+// broadcast sends a frame to all other core machines immediately.
 func (p *peerExchange) broadcast(frame *controlmsg.Frame) { p.cores.broadcast(frame) }
 
-// addHeartbeat passes on, with the next batch, a member's heartbeat that changed nothing but its number.
+// addHeartbeat adds to the next batch a member's heartbeat that changed nothing but the sequence number.
 func (p *peerExchange) addHeartbeat(member directory.Member) {
 	if len(p.heartbeats) < maxBatchedHeartbeats {
 		heartbeat := controlmsg.Heartbeat{MemberID: member.ID, Incarnation: member.Incarnation, Seq: member.Seq}
@@ -33,7 +33,7 @@
 	}
 }
 
-// sendHeartbeats sends the batch, where one is due and there are any.
+// sendHeartbeats sends the batch if it is due and not empty.
 func (p *peerExchange) sendHeartbeats(now float64) {
 	if now < p.nextHeartbeatsAt {
 		return
@@ -45,14 +45,14 @@
 	}
 }
 
-// sendDigest sends what this machine has, in short, where that is due, and the leases of the drivers that renew at it:
-// each machine reports its own.
+// sendDigest sends, if it is due, the digest of this machine's state together with the leases of the drivers that renew
+// here. Each machine reports its own drivers.
 func (s *softState) sendDigest(now float64) {
 	if now < s.peers.nextDigestAt {
 		return
 	}
 	s.peers.nextDigestAt = now + digestIntervalMs
-	digest, leases := s.digest(), s.drivers.leasesOf(s.agents.driverNames(), now)
+	digest, leases := s.digest(), s.drivers.leasesByName(s.agents.driverNames(), now)
 	s.peers.broadcast(&controlmsg.Frame{Digest: &digest, Leases: leases})
 	s.requestLeases(now)
 }
--- a/internal/controlplane/pending.go
+++ b/internal/controlplane/pending.go
@@ -7,33 +7,33 @@
 	"weirwind/internal/controlplane/controlmsg"
 )
 
-// callID is a forwarded request's identity. A number is never used twice by one process, nor, as it begins at the
-// time of day, by two incarnations of one; a response counts only where it comes over the very link that the request
-// went out on.
+// callID identifies a forwarded request. Numbers start at the wall-clock time of the process's start, so that neither
+// one process nor two of its incarnations use a number twice. A response counts only if it arrives on the link on which
+// the request was sent.
 type callID struct {
 	link   *link
 	number uint64
 }
 
-// pendingCalls are the requests that were forwarded to the leader and wait for their response. Any goroutine may use
-// them. Each call gets one response at most: the leader's, or one by statusNotLeader where none can come any more.
+// pendingCalls holds the requests that were forwarded to the leader and wait for their response. Any goroutine may use
+// it. Each call gets at most one response: the leader's, or one with statusNotLeader if none can arrive any more.
 type pendingCalls struct {
 	mu     sync.Mutex
-	number uint64 // of the newest
+	number uint64 // of the newest call
 	calls  map[callID]pendingCall
 }
 
 type pendingCall struct {
-	leader   string                      // control address of the machine that was asked
-	response chan<- *controlmsg.Response // accepts one without waiting
+	leader   string                      // control address of the machine that the request was sent to
+	response chan<- *controlmsg.Response // accepts one response without blocking
 }
 
 func newPendingCalls(start time.Time) *pendingCalls {
 	return &pendingCalls{number: uint64(start.UnixNano()), calls: map[callID]pendingCall{}}
 }
 
-// add registers a request that goes out to a leader over a link. Its response goes to response, which must have room
-// for one.
+// add registers a request that is sent to a leader over a link. Its response goes to the channel response, which must
+// have buffer space for one.
 func (p *pendingCalls) add(over *link, leader string, response chan<- *controlmsg.Response) callID {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -43,7 +43,7 @@
 	return id
 }
 
-// send sends a request over a link to a leader, once, and has its response go to response.
+// send sends a request to a leader over a link, once. Its response goes to the channel response.
 func (p *pendingCalls) send(over *link, leader string, r controlmsg.Request,
 	response chan<- *controlmsg.Response) callID {
 	id := p.add(over, leader, response)
@@ -54,14 +54,14 @@
 	return id
 }
 
-// forget drops a call whose caller waits no longer: its response will be dropped.
+// forget drops a call whose caller has stopped waiting. Its response will be ignored.
 func (p *pendingCalls) forget(id callID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.calls, id)
 }
 
-// answer gives a response to its call. One that nobody waits for is dropped.
+// answer passes a response to its call. A response without a pending call is dropped.
 func (p *pendingCalls) answer(from *link, r *controlmsg.Response) {
 	p.mu.Lock()
 	id := callID{from, r.Number}
@@ -73,13 +73,13 @@
 	}
 }
 
-// failLink ends the calls that went out over a link that has ended: what became of them is not known, and no response
-// can come any more.
+// failLink fails the calls that were sent over a link that has ended. Their outcome is unknown, and no response can
+// arrive any more.
 func (p *pendingCalls) failLink(down *link) {
 	p.fail(func(id callID, _ pendingCall) bool { return id.link == down })
 }
 
-// failLeader ends the calls that were forwarded to a machine that leads no longer.
+// failLeader fails the calls that were forwarded to a machine that no longer leads.
 func (p *pendingCalls) failLeader(leader string) {
 	p.fail(func(_ callID, call pendingCall) bool { return leader != "" && call.leader == leader })
 }
@@ -90,7 +90,7 @@
 	for id, call := range p.calls {
 		if matches(id, call) {
 			delete(p.calls, id)
-			lost := answerTo(errLeaderLost)
+			lost := errorAnswer(errLeaderLost)
 			call.response <- &controlmsg.Response{Status: lost.status, Body: lost.body}
 		}
 	}
--- a/internal/controlplane/platform_test.go
+++ b/internal/controlplane/platform_test.go
@@ -9,9 +9,9 @@
 	"testing"
 )
 
-// A platform that takes a call, and then ends the connection without an answer, was asked once: the client puts no
-// call again, and none over an idle connection. It fails with kept connections, which end unseen as
-// they rest.
+// If the platform accepts a call and closes the connection without a response, the client does not repeat the call,
+// and it makes no call over an idle connection. The test fails with keep-alive connections, which may be closed
+// unnoticed while they are idle.
 func TestPlatformIsAskedOnce(t *testing.T) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -36,7 +36,7 @@
 					}
 					req.Body.Close()
 					if calls.Add(1)%2 == 0 {
-						return // it was carried out, and its answer is lost
+						return // the call was carried out, but its response is lost
 					}
 					c.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
 				}
--- a/internal/controlplane/quotas.go
+++ b/internal/controlplane/quotas.go
@@ -11,21 +11,22 @@
 	"weirwind/internal/util/settings"
 )
 
-// This file owns tenants' quotas at a core machine: the tokens that it gives out to proxies by its shares, its reports
-// on them to the leader, and the leader's grants. A machine without contact with a quorum must grant nothing, as
-// another may lead; it gives out tokens until the lease of its shares is over.
+// This file handles tenants' quotas at a core machine: the tokens that it grants to proxies from its shares, its
+// reports on the shares to the leader, and the leader's grants of shares. A leader without contact with a quorum must
+// grant no shares, as another machine may lead; it continues to grant tokens until the lease of its own shares
+// expires.
 
-// quotas is what this machine holds of tenants' quotas, and what it has granted while it leads. It belongs to
-// softState.
+// quotas holds this machine's shares of tenants' quotas and, while it leads, the shares that it has granted. It belongs
+// to softState.
 type quotas struct {
-	settings  *settings.Settings
-	limiter   *limiter.Limiter // nil where the contract isn't in force
-	allocator *quota.Allocator // of core machines' shares; nil while another machine leads
-	standbys  *quota.Allocator // of stand-by agents' shares, likewise
-	lapsed    int              // of the limiter, as logged last
-	known     bool             // it was logged that this lead knows all shares
+	settings          *settings.Settings
+	limiter           *limiter.Limiter // nil if the quota contract is not enabled
+	allocator         *quota.Allocator // of core machines' shares; nil unless this machine leads
+	standbys          *quota.Allocator // of stand-by agents' shares; nil unless this machine leads
+	loggedExpirations int              // the limiter's lease expirations, as last logged
+	loggedSharesKnown bool             // whether it was logged that this leader knows all shares
 
-	given, refused uint64 // tokens, and requests for one without
+	granted, refused uint64 // operations that were granted and refused a token
 }
 
 func newQuotas(s *settings.Settings, incarnation uint64) quotas {
@@ -36,20 +37,20 @@
 	return q
 }
 
-// reset begins a lead, or ends it: what was granted before is not known.
-func (q *quotas) reset(lead leadership, current *config.Config) {
-	now := lead.since
-	q.allocator, q.standbys, q.known = nil, nil, false
-	if lead.active && q.limiter != nil {
-		q.allocator = quota.New(now, lead.term, lead.holders, q.settings.TolerateNodes > 0)
-		// Any agent may have been a stand-by: only time tells that no other holds a share.
-		q.standbys = quota.New(now, lead.term, nil, false)
+// reset starts or ends a leadership. A new leader does not know which shares were granted before.
+func (q *quotas) reset(state leadership, current *config.Config) {
+	now := state.since
+	q.allocator, q.standbys, q.loggedSharesKnown = nil, nil, false
+	if state.active && q.limiter != nil {
+		q.allocator = quota.New(now, state.term, state.leaseHolders, q.settings.TolerateNodes > 0)
+		// Any agent may have been a stand-by, so that only the end of earlier leases shows that no other holds a share.
+		q.standbys = quota.New(now, state.term, nil, false)
 		q.standbys.SetVoters(len(q.settings.Regions))
 		q.setConfig(current, now)
 	}
 }
 
-// setConfig sets the tenants' limits by a configuration; nil: there is none.
+// setConfig sets the tenants' limits according to a configuration. It does nothing if there is none.
 func (q *quotas) setConfig(current *config.Config, now float64) {
 	if q.limiter == nil || current == nil {
 		return
@@ -62,30 +63,32 @@
 	}
 }
 
-// answer answers a proxy's request with the tokens that there are; without the contract, with all.
+// answer answers a proxy's request with the tokens that are available, or with all that it asks for if the quota
+// contract is not enabled.
 func (q *quotas) answer(r *controlmsg.QuotaRequest, now float64) *controlmsg.QuotaAnswer {
 	if q.limiter == nil {
 		answer := &controlmsg.QuotaAnswer{Driver: r.Driver, Incarnation: r.Incarnation, Seq: r.Seq}
-		for _, asked := range r.Tenants {
-			answer.Tenants = append(answer.Tenants, controlmsg.QuotaTokens{Tenant: asked.Tenant, Tokens: asked.Operations})
+		for _, requested := range r.Tenants {
+			answer.Tenants = append(answer.Tenants,
+				controlmsg.QuotaTokens{Tenant: requested.Tenant, Tokens: requested.Operations})
 		}
 		return answer
 	}
 	answer := q.limiter.Answer(r, now)
 	for i, tokens := range answer.Tenants {
-		q.given += uint64(tokens.Tokens)
+		q.granted += uint64(tokens.Tokens)
 		q.refused += uint64(max(r.Tenants[i].Operations-tokens.Tokens, 0))
 	}
 	return answer
 }
 
-// handleQuotaRequest gives a proxy the tokens that there are.
+// handleQuotaRequest answers a proxy's request for tokens.
 func (s *softState) handleQuotaRequest(from *link, r *controlmsg.QuotaRequest, now float64) {
 	from.Send(&controlmsg.Frame{QuotaAnswer: s.quotas.answer(r, now)})
 	s.sendQuotaReport(now)
 }
 
-// sendQuotaReport sends the leader the report that is due, if one is.
+// sendQuotaReport sends the leader a report on this machine's shares if one is due.
 func (s *softState) sendQuotaReport(now float64) {
 	if s.quotas.limiter == nil {
 		return
@@ -104,9 +107,9 @@
 	s.sendToLeader(&controlmsg.Frame{QuotaReport: report})
 }
 
-// answerQuotaReport answers a report at the leader; nil: there is no answer. Only voters may hold shares, as a new lead
-// knows those. Contact is asked for after the clock was read: what is granted counts from a moment at which no other
-// machine had led for longer than the contact lasts.
+// answerQuotaReport returns the leader's grant for a report, nil if there is none. Only voters may hold shares, as a
+// new leader knows the voters. Contact is checked after now was read: a grant counts from a time at which no other
+// machine had led for longer than contact lasts.
 func (s *softState) answerQuotaReport(r *controlmsg.QuotaReport, now float64) *controlmsg.QuotaGrant {
 	if s.quotas.allocator == nil || !s.server.inContact() {
 		return nil
@@ -124,8 +127,8 @@
 	return s.quotas.allocator.Report(r, now)
 }
 
-// handleQuotaReport answers another core machine's report, or a stand-by agent's. The latter is forwarded where this
-// machine doesn't lead.
+// handleQuotaReport answers the report of another core machine or a stand-by agent. A stand-by agent's report is
+// forwarded if this machine does not lead.
 func (s *softState) handleQuotaReport(from *link, r *controlmsg.QuotaReport, now float64) {
 	if r.Standby && s.quotas.allocator == nil {
 		s.sendToLeader(&controlmsg.Frame{QuotaReport: r})
@@ -136,7 +139,7 @@
 	}
 }
 
-// handleQuotaGrant takes the leader's answer to this machine's report, or passes on that to an agent's.
+// handleQuotaGrant applies the leader's grant to this machine, or passes on a grant to a stand-by agent.
 func (s *softState) handleQuotaGrant(grant *controlmsg.QuotaGrant, now float64) {
 	if grant.Standby {
 		s.agents.sendTo(grant.Holder, &controlmsg.Frame{QuotaGrant: grant})
@@ -147,16 +150,17 @@
 	}
 }
 
-// stepQuotas sends the report that is due, and logs the end of a lease, and of what a new lead doesn't know.
+// stepQuotas sends a report if one is due, and logs when the lease of the shares has expired and when a new leader
+// knows all shares.
 func (s *softState) stepQuotas(now float64) {
 	s.sendQuotaReport(now)
 	q := &s.quotas
-	if q.limiter != nil && q.limiter.LeaseExpirations() != q.lapsed {
-		q.lapsed = q.limiter.LeaseExpirations()
+	if q.limiter != nil && q.limiter.LeaseExpirations() != q.loggedExpirations {
+		q.loggedExpirations = q.limiter.LeaseExpirations()
 		s.server.log.Event(events.QuotaLeaseExpired, "leads", s.leadership.active)
 	}
-	if q.allocator != nil && !q.known && q.allocator.SharesKnown(now) {
-		q.known = true
+	if q.allocator != nil && !q.loggedSharesKnown && q.allocator.SharesKnown(now) {
+		q.loggedSharesKnown = true
 		s.server.log.Event(events.QuotasKnown, "afterMs", int(now-s.leadership.since))
 	}
 }
--- a/internal/controlplane/quotas_test.go
+++ b/internal/controlplane/quotas_test.go
@@ -12,10 +12,10 @@
 	"weirwind/internal/util/settings"
 )
 
-const oneTenant = `{"gen":1,"routes":[],"svcs":[],"tenants":[{"name":"t","keys":["k"],"perS":100,"burst":100},` +
+const tenantConfig = `{"gen":1,"routes":[],"svcs":[],"tenants":[{"name":"t","keys":["k"],"perS":100,"burst":100},` +
 	`{"name":"free","keys":["f"]}]}`
 
-// quotaAgent plays a driver's agent at a core machine.
+// quotaAgent is a fake agent of a driver that is linked to a core machine.
 type quotaAgent struct {
 	link    *link
 	answers chan *controlmsg.QuotaAnswer
@@ -23,12 +23,12 @@
 	seq     uint64
 }
 
-func newQuotaAgent(t *testing.T, h *Server) *quotaAgent {
+func newQuotaAgent(t *testing.T, srv *Server) *quotaAgent {
 	t.Helper()
 	near, far := net.Pipe()
-	linkOver(t, near, h.handleFrame, h.handleLinkDown)
+	newPipeLink(t, near, srv.handleFrame, srv.handleLinkDown)
 	a := &quotaAgent{answers: make(chan *controlmsg.QuotaAnswer, 100), grants: make(chan *controlmsg.QuotaGrant, 100)}
-	a.link = linkOver(t, far, func(_ *link, frame *controlmsg.Frame) {
+	a.link = newPipeLink(t, far, func(_ *link, frame *controlmsg.Frame) {
 		if frame.QuotaAnswer != nil {
 			a.answers <- frame.QuotaAnswer
 		}
@@ -39,8 +39,8 @@
 	return a
 }
 
-// ask asks for tokens of a tenant, and gives how many came.
-func (a *quotaAgent) ask(t *testing.T, tenant string, operations int) (tokens int) {
+// requestTokens requests tokens of a tenant, and returns how many were granted.
+func (a *quotaAgent) requestTokens(t *testing.T, tenant string, operations int) (tokens int) {
 	t.Helper()
 	a.seq++
 	a.link.Send(&controlmsg.Frame{QuotaRequest: &controlmsg.QuotaRequest{Driver: "front", Incarnation: 7, Seq: a.seq,
@@ -51,7 +51,7 @@
 			t.Fatalf("answered %+v", answer)
 		}
 		if got := answer.Tenants[0]; got.Tokens < operations && got.RetryAfterMs <= 0 {
-			t.Errorf("no time to come back in %+v", got)
+			t.Errorf("no time to retry in %+v", got)
 		}
 		return answer.Tenants[0].Tokens
 	case <-time.After(time.Second):
@@ -60,45 +60,47 @@
 	return 0
 }
 
-// askFor asks for a token each 40 ms, a quarter of the quota, for so long, and gives how many came.
-func (a *quotaAgent) askFor(t *testing.T, duration time.Duration) (tokens int) {
+// requestTokensFor requests a token every 40 ms, a quarter of the quota, for the duration, and returns how many were
+// granted.
+func (a *quotaAgent) requestTokensFor(t *testing.T, duration time.Duration) (tokens int) {
 	t.Helper()
 	for end := time.Now().Add(duration); time.Now().Before(end); {
-		tokens += a.ask(t, "t", 1)
+		tokens += a.requestTokens(t, "t", 1)
 		time.Sleep(40 * time.Millisecond)
 	}
 	return tokens
 }
 
-// quotaTrio gives three machines with the contract in force, of which the first leads.
-func quotaTrio(t *testing.T) (machines *trio, leaderFirst []*Server) {
+// newQuotaCluster returns three machines with the quota contract enabled, of which the first leads.
+func newQuotaCluster(t *testing.T) (machines *testCluster, servers []*Server) {
 	t.Helper()
-	machines = newTrio(t, newTranscript())
-	for _, h := range machines.servers {
-		h.settings.Contracts = []string{settings.ContractQuota}
-		h.settings.QuotaWindow = 5 * time.Second
-		h.state.do(func() { h.state.quotas = newQuotas(h.settings, 1) })
+	machines = newTestCluster(t, newTranscript())
+	for _, srv := range machines.servers {
+		srv.settings.Contracts = []string{settings.ContractQuota}
+		srv.settings.QuotaWindow = 5 * time.Second
+		srv.state.enqueue(func() { srv.state.quotas = newQuotas(srv.settings, 1) })
 	}
 	time.Sleep(6 * time.Second)
-	leaderFirst = machines.elected(t, "")
-	call(nil, leaderFirst[0], "POST", "/config/replace", map[string]string{"Weirwind-Base-Version": "0"}, oneTenant)
+	servers = machines.leaderFirst(t, "")
+	call(nil, servers[0], "POST", "/config/replace", map[string]string{"Weirwind-Base-Version": "0"}, tenantConfig)
 	time.Sleep(20 * time.Second)
-	return machines, leaderFirst
+	return machines, servers
 }
 
 func TestEachCoreMachineGivesOutTokens(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		_, servers := quotaTrio(t)
-		for i, h := range servers {
-			agent := newQuotaAgent(t, h)
-			agent.askFor(t, 3*time.Second) // by then it has its share
-			if tokens := agent.askFor(t, 2*time.Second); tokens < 50 {
-				t.Errorf("machine %d, leader first, gave %d tokens of 50 that were asked for", i, tokens)
+		_, servers := newQuotaCluster(t)
+		for i, srv := range servers {
+			agent := newQuotaAgent(t, srv)
+			agent.requestTokensFor(t, 3*time.Second) // by then it has its share
+			if tokens := agent.requestTokensFor(t, 2*time.Second); tokens < 50 {
+				t.Errorf("machine %d, leader first, granted %d of 50 requested tokens", i, tokens)
 			}
-			time.Sleep(20 * time.Second)                         // until the share is given back
-			for _, tenant := range []string{"free", "unknown"} { // proxies ask for tenants that they know to be limited
-				if agent.ask(t, tenant, 50) != 0 {
-					t.Errorf("machine %d gave tokens of tenant %q, by an old configuration", i, tenant)
+			time.Sleep(20 * time.Second) // until the share is released
+			// Proxies ask for tenants that are limited in their configuration, which may be another one.
+			for _, tenant := range []string{"free", "unknown"} {
+				if agent.requestTokens(t, tenant, 50) != 0 {
+					t.Errorf("machine %d granted tokens of tenant %q, which its configuration does not limit", i, tenant)
 				}
 			}
 		}
@@ -107,35 +109,36 @@
 
 func TestTokensOfAllMachinesStayWithinTheQuota(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		_, servers := quotaTrio(t)
+		_, servers := newQuotaCluster(t)
 		var agents []*quotaAgent
-		for _, h := range servers {
-			agents = append(agents, newQuotaAgent(t, h))
+		for _, srv := range servers {
+			agents = append(agents, newQuotaAgent(t, srv))
 		}
 		tokens := 0
 		for end := time.Now().Add(5 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 			for _, agent := range agents {
-				tokens += agent.ask(t, "t", 20)
+				tokens += agent.requestTokens(t, "t", 20)
 			}
 		}
-		whole := 5*100.0 + 100 - 100*controlmsg.QuotaTokenLifetimeMs/1000 // what is used late is taken off the burst
-		if most := whole * quota.CoreFraction; float64(tokens) > most || float64(tokens) < 0.95*most {
-			t.Errorf("%d tokens in 5 s, of %v", tokens, most)
+		// The burst is reduced by the tokens that may be used late.
+		quotaTokens := 5*100.0 + 100 - 100*controlmsg.QuotaTokenLifetimeMs/1000
+		if maximum := quotaTokens * quota.CoreFraction; float64(tokens) > maximum || float64(tokens) < 0.95*maximum {
+			t.Errorf("%d tokens in 5 s, of %v", tokens, maximum)
 		}
 	})
 }
 
-func TestTokensOutliveTheLeaderForALease(t *testing.T) {
+func TestTokensAreGivenForOneLeaseWithoutLeader(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		machines, servers := quotaTrio(t)
+		machines, servers := newQuotaCluster(t)
 		agent := newQuotaAgent(t, servers[1])
-		agent.askFor(t, 4*time.Second)
+		agent.requestTokensFor(t, 4*time.Second)
 		machines.setDrops(func(_, _ *Server, frame *controlmsg.Frame) bool { return true })
-		if tokens := agent.askFor(t, 8*time.Second); tokens < 190 {
+		if tokens := agent.requestTokensFor(t, 8*time.Second); tokens < 190 {
 			t.Errorf("%d tokens of 200 in 8 s without a leader", tokens)
 		}
 		time.Sleep(5 * time.Second)
-		if tokens := agent.askFor(t, time.Second); tokens != 0 {
+		if tokens := agent.requestTokensFor(t, time.Second); tokens != 0 {
 			t.Errorf("%d tokens after the lease", tokens)
 		}
 	})
@@ -143,7 +146,7 @@
 
 func TestNoQuotaIsGrantedWithoutContact(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		machines, servers := quotaTrio(t)
+		machines, servers := newQuotaCluster(t)
 		leader := servers[0]
 		report := &controlmsg.QuotaReport{Holder: servers[1].settings.ControlAddr, Incarnation: 9, Seq: 1,
 			Tenants: []controlmsg.QuotaDemand{{Tenant: "t", Demand: 10}}}
@@ -157,16 +160,17 @@
 		}
 		machines.setDrops(func(_, _ *Server, frame *controlmsg.Frame) bool { return true })
 		time.Sleep(time.Duration(consensus.ContactLease+1) * time.Millisecond)
-		_ = leader.state.call(func() { leader.state.setLeadership(true, 99, leader.state.coreAddrs) }) // as before its end is noticed
+		// It still believes that it leads, as before it notices the loss of leadership.
+		_ = leader.state.call(func() { leader.state.setLeadership(true, 99, leader.state.coreAddrs) })
 		if grant := answer(); grant != nil {
-			t.Errorf("granted without contact: %+v", grant)
+			t.Errorf("a share was granted without contact: %+v", grant)
 		}
 	})
 }
 
-func TestWhoDoesNotVoteIsGrantedNoQuota(t *testing.T) {
+func TestNonVoterIsGrantedNoQuota(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		_, servers := quotaTrio(t)
+		_, servers := newQuotaCluster(t)
 		agent := newQuotaAgent(t, servers[0])
 		agent.link.Send(&controlmsg.Frame{QuotaReport: &controlmsg.QuotaReport{Holder: "10.0.0.9:1", Incarnation: 1, Seq: 1,
 			Tenants: []controlmsg.QuotaDemand{{Tenant: "t", Demand: 10}}}})
@@ -177,34 +181,35 @@
 	})
 }
 
-func TestANewLeadRaisesNoShareWhileTwoHoldersAreSilent(t *testing.T) {
+func TestNewLeaderRaisesNoShareWhileTwoHoldersAreSilent(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		_, servers := quotaTrio(t)
+		_, servers := newQuotaCluster(t)
 		leader := servers[0]
 		_ = leader.state.call(func() {
-			silent := []string{"10.0.0.8:1", "10.0.0.9:1"} // each may hold a half
+			silent := []string{"10.0.0.8:1", "10.0.0.9:1"} // each may hold half of the quota
 			leader.state.setLeadership(true, 99, append(silent, leader.state.coreAddrs...))
 		})
 		agent := newQuotaAgent(t, servers[1])
-		if tokens := agent.askFor(t, 10*time.Second); tokens != 0 {
-			t.Errorf("%d tokens while two silent machines may hold all shares", tokens)
+		if tokens := agent.requestTokensFor(t, 10*time.Second); tokens != 0 {
+			t.Errorf("%d tokens, though two silent machines may hold all shares", tokens)
 		}
 		time.Sleep(5 * time.Second)
-		if tokens := agent.askFor(t, time.Second); tokens == 0 {
-			t.Error("no tokens once all earlier leases are over")
+		if tokens := agent.requestTokensFor(t, time.Second); tokens == 0 {
+			t.Error("no tokens after all earlier leases have expired")
 		}
 	})
 }
 
-// QUOTA: a machine that was cut off gave any number of tokens of a tenant that its old configuration doesn't limit.
-func TestWithoutContactNoTokensOfATenantThatMayBeLimitedByNow(t *testing.T) {
+// A machine without contact may have an outdated configuration, so it grants no tokens of a tenant that its
+// configuration does not limit. It once granted any number of them.
+func TestMachineWithoutContactGivesNoTokensOfUnlimitedTenant(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		machines, servers := quotaTrio(t)
+		machines, servers := newQuotaCluster(t)
 		agent := newQuotaAgent(t, servers[1])
 		machines.setDrops(func(_, _ *Server, frame *controlmsg.Frame) bool { return true })
 		time.Sleep(20 * time.Second) // longer than any lease
-		if tokens := agent.ask(t, "free", 50); tokens != 0 {
-			t.Errorf("%d tokens, by a configuration that may be old", tokens)
+		if tokens := agent.requestTokens(t, "free", 50); tokens != 0 {
+			t.Errorf("%d tokens, by a configuration that may be outdated", tokens)
 		}
 	})
 }
--- a/internal/controlplane/requests.go
+++ b/internal/controlplane/requests.go
@@ -8,21 +8,22 @@
 	"weirwind/internal/util/events"
 )
 
-// submit queues a request at the leader. reply is called once, with an HTTP status and a body, or with statusNotLeader.
+// submit queues a request at the leader. reply is called once, with the HTTP status and body of the answer, or with
+// statusNotLeader if this machine does not lead.
 func (c *consensusLoop) submit(request controlmsg.Request, reply func(status int, body []byte)) {
 	order := &orders.Order{Request: request, Reply: func(result orders.Answer) {
 		c.logAnswer(&request, &result)
 		if request.SiteLease != nil && result.Outcome == orders.OutcomeRead {
 			s := c.server.state
-			s.do(func() { s.siteLeases.renewed(request.SiteLease.Site, c.server.now()) })
+			s.enqueue(func() { s.siteLeases.recordGrant(request.SiteLease.Site, c.server.now()) })
 		}
 		reply(statusOfOrder(&result), result.Body)
 	}}
 	c.orders.Submit(order, c.server.now())
 }
 
-// decideOrders decides the orders that can be decided, and has the next change proposed. What that has to ask of
-// other machines is sent at once, where nothing must be synced before it.
+// decideOrders answers the orders that can be decided, and proposes the next change. The messages that this produces
+// are sent at once, unless a sync must precede them.
 func (c *consensusLoop) decideOrders() {
 	c.orders.Step(c.node, c.committed, c.server.now(), time.Now().UnixMilli())
 	if !c.node.Dirty() {
@@ -30,7 +31,7 @@
 	}
 }
 
-// logAnswer logs what was applied or rejected.
+// logAnswer logs a change that was applied or rejected.
 func (c *consensusLoop) logAnswer(r *controlmsg.Request, result *orders.Answer) {
 	log := c.server.log
 	switch {
--- a/internal/controlplane/resets_test.go
+++ b/internal/controlplane/resets_test.go
@@ -13,42 +13,42 @@
 	"weirwind/internal/util/transport"
 )
 
-// peers is a machine that passes calls on, and one that carries them out, over a link that is reset at drawn bytes.
-type peers struct {
-	pending *pendingCalls
-	mu      sync.Mutex
-	link    *link
-	up      chan struct{} // closed and made anew as a link comes
-	runs    map[uint64]int
+// forwardingPair is a machine that forwards calls and one that carries them out, over a link that is reset after
+// random numbers of bytes.
+type forwardingPair struct {
+	pending    *pendingCalls
+	mu         sync.Mutex
+	link       *link
+	linkUp     chan struct{} // closed and replaced when a link is up
+	executions map[uint64]int
 }
 
-func (p *peers) serve(l *link, f *controlmsg.Frame) {
+func (p *forwardingPair) serve(l *link, f *controlmsg.Frame) {
 	if f.Request == nil {
 		return
 	}
 	p.mu.Lock()
-	p.runs[binary.BigEndian.Uint64(f.Request.Body)]++
+	p.executions[binary.BigEndian.Uint64(f.Request.Body)]++
 	p.mu.Unlock()
 	l.Send(&controlmsg.Frame{Response: &controlmsg.Response{Number: f.Request.Number, Status: 200, Body: f.Request.Body}})
 }
 
-func (p *peers) set(l *link) (old *link) {
+func (p *forwardingPair) setLink(l *link) (old *link) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if old, p.link = p.link, l; l != nil {
-		close(p.up)
-		p.up = make(chan struct{})
+		close(p.linkUp)
+		p.linkUp = make(chan struct{})
 	}
 	return old
 }
 
-// call puts one call as Server.route does, and waits until it has ended. sent is false where no link
-// stood.
-func (p *peers) call(t *testing.T, body []byte) (r *controlmsg.Response, sent bool) {
+// call forwards one call as Server.route does, and waits until it has ended. sent is false if no link was up.
+func (p *forwardingPair) call(t *testing.T, body []byte) (r *controlmsg.Response, sent bool) {
 	p.mu.Lock()
-	l, up := p.link, p.up
+	l, up := p.link, p.linkUp
 	p.mu.Unlock()
-	if l == nil || !l.Up() { // as linkTo does: a call is put on a link that is up
+	if l == nil || !l.Up() { // as linkTo does: calls are sent only on links that are up
 		<-up
 		return nil, false
 	}
@@ -63,11 +63,11 @@
 	}
 }
 
-// Calls between machines of the core over links that are reset at drawn bytes, half written frames among them: each
-// ends with its own answer or with none that is clear, and runs once at most. It fails where a link that
-// ends leaves its calls waiting (failLink).
+// Calls between core machines run over links that are reset after random numbers of bytes, also in the middle of
+// frames. Each call ends with its own answer or an unknown outcome, and is executed at most once. The test fails if
+// the end of a link leaves its calls waiting (failLink).
 func TestCallsOverLinksThatAreReset(t *testing.T) {
-	p := &peers{pending: newPendingCalls(time.Now()), up: make(chan struct{}), runs: map[uint64]int{}}
+	p := &forwardingPair{pending: newPendingCalls(time.Now()), linkUp: make(chan struct{}), executions: map[uint64]int{}}
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -83,16 +83,16 @@
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	again := transport.Backoff{Initial: time.Millisecond, Max: time.Millisecond, DialTimeout: transport.DialTimeout}
-	go transport.KeepConnected(ctx, relay.Addr(), again, func(l *link) { p.set(l) },
+	go transport.KeepConnected(ctx, relay.Addr(), again, func(l *link) { p.setLink(l) },
 		func(l *link, f *controlmsg.Frame) { p.pending.answer(l, f.Response) },
-		func() { p.pending.failLink(p.set(nil)) })
+		func() { p.pending.failLink(p.setLink(nil)) })
 
 	const callers, each = 8, 150
-	var all sync.WaitGroup
+	var workers sync.WaitGroup
 	var mu sync.Mutex
 	answered := map[uint64]bool{}
 	for c := range callers {
-		all.Go(func() {
+		workers.Go(func() {
 			for n := 0; n < each; {
 				id := uint64(c*each + n)
 				body := binary.BigEndian.AppendUint64(nil, id)
@@ -102,7 +102,7 @@
 				}
 				n++
 				if r.Status == 200 && string(r.Body) != string(body) {
-					t.Errorf("call %d was told %x", id, r.Body)
+					t.Errorf("call %d was answered %x", id, r.Body)
 				}
 				mu.Lock()
 				answered[id] = r.Status == 200
@@ -110,20 +110,20 @@
 			}
 		})
 	}
-	all.Wait()
-	clear := 0
+	workers.Wait()
+	succeeded := 0
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for id, ok := range answered {
 		if ok {
-			clear++
+			succeeded++
 		}
-		if p.runs[id] > 1 || ok && p.runs[id] != 1 {
-			t.Errorf("call %d ran %d times, answered: %v", id, p.runs[id], ok)
+		if p.executions[id] > 1 || ok && p.executions[id] != 1 {
+			t.Errorf("call %d was executed %d times, answered: %v", id, p.executions[id], ok)
 		}
 	}
-	t.Logf("%d calls, %d answered, %d connections were reset", len(answered), clear, relay.Resets())
-	if clear < callers*each/4 || clear == callers*each || relay.Resets() < 10 {
+	t.Logf("%d calls, %d answered, %d connections were reset", len(answered), succeeded, relay.Resets())
+	if succeeded < callers*each/4 || succeeded == callers*each || relay.Resets() < 10 {
 		t.Error("too few resets, or too few answers")
 	}
 }
--- a/internal/controlplane/restarts_golden_test.go
+++ b/internal/controlplane/restarts_golden_test.go
@@ -9,44 +9,44 @@
 	"weirwind/internal/controlplane/directory"
 )
 
-// Members whose count of heartbeats starts again, sooner and later than an incarnation may; members that join one
-// after another, whose proposals of a roster share an interval; an agent's first renewal at a machine without
-// contact.
-func TestRestartsKeepTheirFrames(t *testing.T) {
+// Members join one after another, so that their roster proposals fall into one interval. A member's heartbeat sequence
+// restarts before and after the silence that starts a new incarnation. An agent renews for the first time at a machine
+// without contact.
+func TestMemberRestartTranscript(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		record := newTranscript()
-		h := startServer(t, "10.0.0.1:7000", []string{"10.0.0.1:7000"}, "", record)
+		srv := startServer(t, "10.0.0.1:7000", []string{"10.0.0.1:7000"}, "", record)
 		time.Sleep(3011 * time.Millisecond)
-		agent := newPeer(t, h, "agent", record)
+		agent := newFakePeer(t, srv, "agent", record)
 		pause := func(d time.Duration) {
 			time.Sleep(d)
 			synctest.Wait()
 		}
-		renew := func(p *peer, name string) {
+		renew := func(p *fakePeer, name string) {
 			driver := directory.Driver{Name: name, Addr: "10.0.3.1:1"}
 			p.send(t, &controlmsg.Frame{LeaseRenewal: &controlmsg.LeaseRenewal{Driver: driver}})
 		}
-		call(record, h, "POST", "/config/replace", map[string]string{"Weirwind-Base-Version": "0"}, twoServices)
+		call(record, srv, "POST", "/config/replace", map[string]string{"Weirwind-Base-Version": "0"}, twoServices)
 		renew(agent, "agent")
 		for i, id := range []string{"m1", "m2", "m3", "m4"} {
 			record.step("%s joins", id)
-			heartbeat(h, id, "s", "10.0.1.1:"+id[1:], "replica", "ok", 100+i)
+			sendHeartbeat(srv, id, "s", "10.0.1.1:"+id[1:], "replica", "ok", 100+i)
 			pause(110 * time.Millisecond)
 		}
 		for _, silenceMs := range []time.Duration{1700, 1900, 5300, 5500} {
 			silence := silenceMs * time.Millisecond
-			heartbeat(h, "m1", "s", "10.0.1.1:1", "replica", "ok", 200)
+			sendHeartbeat(srv, "m1", "s", "10.0.1.1:1", "replica", "ok", 200)
 			pause(silence)
 			record.step("m1 counts anew after %v", silence)
-			heartbeat(h, "m1", "s", "10.0.1.1:1", "primary", "ok", 1)
+			sendHeartbeat(srv, "m1", "s", "10.0.1.1:1", "primary", "ok", 1)
 			pause(60 * time.Millisecond)
-			heartbeat(h, "m1", "s", "10.0.1.1:1", "replica", "ok", 2)
+			sendHeartbeat(srv, "m1", "s", "10.0.1.1:1", "replica", "ok", 2)
 			pause(60 * time.Millisecond)
 		}
 		record.step("no contact")
-		h.contact.set(h.contact.at() - 5000)
+		srv.contact.set(srv.contact.at() - 5000)
 		pause(60 * time.Millisecond)
-		late := newPeer(t, h, "late", record)
+		late := newFakePeer(t, srv, "late", record)
 		renew(late, "late")
 		renew(late, "late")
 		pause(1100 * time.Millisecond)
--- a/internal/controlplane/roster.go
+++ b/internal/controlplane/roster.go
@@ -7,15 +7,17 @@
 	"weirwind/internal/util/events"
 )
 
-// rosterIntervalMs is the time between two proposals of a roster: what comes together costs one.
+// rosterIntervalMs is the minimum time between two proposals of a roster, so that changes that occur together take one
+// entry.
 const rosterIntervalMs = 200.0
 
-// rosterTracker has the leader keep the committed roster up to date: the members that may hold an acknowledged
-// commit. It belongs to softState.
+// rosterTracker keeps the committed roster up to date at the leader. The roster lists the members that may hold an
+// acknowledged commit. It belongs to softState.
 type rosterTracker struct {
 	owner *softState
 
-	// removable are members that ended and hold no commit alone: they may leave the roster. It holds for this lead.
+	// removable holds the members that ended and are not the only holder of a commit, so that they may leave the roster.
+	// It is valid for this leadership.
 	removable      map[config.RosterMember]bool
 	nextProposalAt float64
 }
@@ -24,20 +26,20 @@
 	return rosterTracker{owner: owner}
 }
 
-// reset forgets what an earlier lead knew.
+// reset drops the state of an earlier leadership.
 func (r *rosterTracker) reset() {
 	r.removable, r.nextProposalAt = map[config.RosterMember]bool{}, 0
 }
 
-// absent gives the members on the roster of a service that have ended or are unknown here, so that no question can be
-// put to them. An unknown one counts as departed once this machine has led for memberTimeout without a heartbeat of
-// it: a known one would have expired by then.
+// absent returns the members on a service's roster that have ended or are unknown here, so that no statement can be
+// sent to them. An unknown member counts as departed once this machine has led for memberTimeout without a heartbeat
+// from it, as a known one would have expired by then.
 func (r *rosterTracker) absent(service string, now float64) (out []failover.Member) {
 	s := r.owner
 	for _, id := range s.committed.Roster[service] {
 		record, known := s.members.table.Get(id)
 		if known && !record.Tombstone || r.removable[config.RosterMember{Service: service, ID: id}] {
-			continue // a removable one is about to leave the roster: what it held is at others, committed or not
+			continue // a removable member is about to leave the roster; others hold all that it held, committed or not
 		}
 		departed := known || now-s.leadership.since > ms(memberTimeout)
 		out = append(out, failover.Member{ID: id, Absent: true, Departed: departed})
@@ -45,7 +47,7 @@
 	return out
 }
 
-// step proposes the members that the roster lacks, and those that may leave it.
+// step proposes to add the members that the roster lacks, and to remove those that may leave it.
 func (r *rosterTracker) step(live map[string][]directory.Member, now float64) {
 	if now < r.nextProposalAt {
 		return
@@ -59,13 +61,13 @@
 	loop.offer(func() { loop.proposeRoster(change) }) // proposed again at the next step
 }
 
-// change compares the live members with the roster.
+// change returns the difference between the live members and the roster.
 func (r *rosterTracker) change(live map[string][]directory.Member) (change config.RosterChange) {
 	s := r.owner
 	for i := range s.config.Services {
 		service := &s.config.Services[i]
 		if service.SyncReplicas == 0 {
-			continue // nothing is promised of its commits
+			continue // its commits are not guaranteed to survive a failover
 		}
 		for _, m := range live[service.Name] {
 			entry := config.RosterMember{Service: service.Name, ID: m.ID}
@@ -85,11 +87,11 @@
 	return change
 }
 
-// proposeRoster proposes a change of the roster on top of the newest committed state, unless an entry is in flight:
-// then the soft state repeats the change.
+// proposeRoster proposes a change of the roster on top of the newest committed state. It does nothing while an entry is
+// in flight; the soft state proposes the change again.
 func (c *consensusLoop) proposeRoster(change config.RosterChange) {
 	entry, committed := c.node.Committed()
-	upToDate := committed && c.committed != nil && c.applied == entryIDOf(&entry)
+	upToDate := committed && c.committed != nil && c.appliedEntry == entryIDOf(&entry)
 	if !upToDate || !c.node.Established() || c.node.InFlight() {
 		return
 	}
@@ -107,7 +109,7 @@
 	}
 }
 
-// loggedMember is a member as the log shows it: readers of logs know its keys.
+// loggedMember is a member in a log line. Its keys are fixed, as log readers depend on them.
 type loggedMember struct {
 	Service string `json:"Svc"`
 	ID      string `json:"ID"`
--- a/internal/controlplane/routes.go
+++ b/internal/controlplane/routes.go
@@ -6,21 +6,21 @@
 	"weirwind/internal/session/sites"
 )
 
-// Headers of calls, and their values.
+// HTTP headers and their values.
 const (
 	headerContentType  = "Content-Type"
-	headerBaseVersion  = "Weirwind-Base-Version"   // of an operator's change: the version that it is built on
-	headerContactAgeMs = "Weirwind-Contact-Age-Ms" // of what a machine answers from its own knowledge
+	headerBaseVersion  = "Weirwind-Base-Version"   // on an operator's change: the version that it is based on
+	headerContactAgeMs = "Weirwind-Contact-Age-Ms" // on answers from a machine's local state: the age of its contact
 
 	contentTypeJSON = "application/json"
 	contentTypeText = "text/plain; charset=utf-8"
 )
 
-// routes gives the HTTP calls of members, sites and operators: one handler object for each resource.
-func (h *Server) routes() http.Handler {
+// routes returns the handler of the HTTP calls of members, sites and operators, with one handler object per resource.
+func (srv *Server) routes() http.Handler {
 	mux := http.NewServeMux()
-	members, configuration := &membersResource{h}, &configResource{h}
-	shards, sessionSites := &shardsResource{h}, &sitesResource{h}
+	members, configuration := &membersResource{srv}, &configResource{srv}
+	shards, sessionSites := &shardsResource{srv}, &sitesResource{srv}
 	mux.HandleFunc("POST /members/{id}/heartbeat", members.heartbeat)
 	mux.HandleFunc("POST /members/{id}/leave", members.leave)
 	mux.HandleFunc("POST /members/{id}/forget", members.forget)
@@ -35,12 +35,12 @@
 	mux.HandleFunc("POST /sites/{name}/drain", sessionSites.change(sites.ChangeDrain))
 	mux.HandleFunc("POST /sites/{name}/undrain", sessionSites.change(sites.ChangeUndrain))
 	mux.HandleFunc("POST /sites/{name}/leave", sessionSites.change(sites.ChangeLeave))
-	mux.Handle("GET /status", &statusResource{h})
-	mux.Handle("GET /events", h.log)
+	mux.Handle("GET /status", &statusResource{srv})
+	mux.Handle("GET /events", srv.log)
 	return mux
 }
 
-// writeAnswer answers with what the leader decided. contentType is the answer's; "" for none of its own.
+// writeAnswer writes the leader's answer. contentType is its content type; "" to set none.
 func writeAnswer(w http.ResponseWriter, result answer, contentType string) {
 	if contentType != "" {
 		w.Header().Set(headerContentType, contentType)
@@ -49,7 +49,7 @@
 	_, _ = w.Write(result.body)
 }
 
-// writeJSONAnswer answers with what the leader decided: JSON, unless it is an error.
+// writeJSONAnswer writes the leader's answer, which is JSON unless it is an error.
 func writeJSONAnswer(w http.ResponseWriter, result answer) {
 	if result.status == http.StatusOK {
 		writeAnswer(w, result, contentTypeJSON)
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -17,10 +17,10 @@
 	"weirwind/internal/util/transport"
 )
 
-// linkIdleTimeout is how long an accepted link may carry nothing.
+// linkIdleTimeout is how long an accepted link may be silent before it is closed.
 const linkIdleTimeout = 4 * time.Second
 
-// Bounds of HTTP calls.
+// Limits on HTTP calls.
 const (
 	readHeaderTimeout = 3 * time.Second
 	readTimeout       = 10 * time.Second
@@ -33,14 +33,14 @@
 // link is a connection to another process of the system.
 type link = transport.Link[controlmsg.Frame]
 
-// Server is one machine's process. Its fields are set before its goroutines start, and not changed any more; what
-// changes belongs to one of the two owners, loop and state, or has a lock of its own.
+// Server is the process of one core machine. Its fields are set before its goroutines start and do not change
+// afterwards; mutable state belongs to one of the two owners, loop and state, or has a lock of its own.
 type Server struct {
 	settings *settings.Settings
 	log      events.Log
-	ctx      context.Context // ends with the process, or by fail
+	ctx      context.Context // canceled when the process stops, or by fail
 	cancel   context.CancelCauseFunc
-	start    time.Time // of the process's clock
+	start    time.Time // zero of the process's clock
 
 	loop    *consensusLoop
 	state   *softState
@@ -48,88 +48,88 @@
 	cores   *coreLinks
 	pending *pendingCalls
 
-	dialled  transport.Counters // frames of links to other core machines that this one dialled
-	accepted transport.Counters // and of the links that it accepted, from core machines and agents
+	dialled  transport.Counters // frames on the links to other core machines that this machine dialled
+	accepted transport.Counters // frames on the links that it accepted, from core machines and agents
 }
 
-// Run serves until ctx ends, or until a failure that can't be served with.
-func Run(ctx context.Context, set *settings.Settings, log events.Log) error {
-	h := newServer(ctx, set, log)
-	if err := h.open(ctx); err != nil {
+// Run serves until ctx ends or a fatal failure occurs, and returns the failure.
+func Run(ctx context.Context, cfg *settings.Settings, log events.Log) error {
+	srv := newServer(ctx, cfg, log)
+	if err := srv.open(ctx); err != nil {
 		return err
 	}
-	mesh, err := net.Listen("tcp4", set.PortAddr(set.IP, 0))
+	mesh, err := net.Listen("tcp4", cfg.PortAddr(cfg.IP, 0))
 	if err != nil {
 		return oops.In("listen").Wrap(err)
 	}
-	control, err := net.Listen("tcp4", set.ControlAddr)
+	control, err := net.Listen("tcp4", cfg.ControlAddr)
 	if err != nil {
 		_ = mesh.Close()
 		return oops.In("listen").Wrap(err)
 	}
-	return h.serve(mesh, control)
+	return srv.serve(mesh, control)
 }
 
-// newServer gives a machine that is not opened yet: it has no owners.
-func newServer(ctx context.Context, set *settings.Settings, log events.Log) *Server {
+// newServer returns a server that is not opened yet: its owners, loop and state, are still nil.
+func newServer(ctx context.Context, cfg *settings.Settings, log events.Log) *Server {
 	now := time.Now()
-	h := &Server{settings: set, log: log, start: now, pending: newPendingCalls(now)}
-	h.ctx, h.cancel = context.WithCancelCause(ctx)
-	h.cores = newCoreLinks(h)
-	h.contact.set(math.Inf(-1))
-	return h
+	srv := &Server{settings: cfg, log: log, start: now, pending: newPendingCalls(now)}
+	srv.ctx, srv.cancel = context.WithCancelCause(ctx)
+	srv.cores = newCoreLinks(srv)
+	srv.contact.set(math.Inf(-1))
+	return srv
 }
 
-// open reads the disk and makes the owners. The soft state begins with what the disk knows committed.
-func (h *Server) open(ctx context.Context) error {
-	loop, err := openConsensusLoop(ctx, h)
+// open reads the disk and creates the owners. The soft state begins with the committed state on the disk.
+func (srv *Server) open(ctx context.Context) error {
+	loop, err := openConsensusLoop(ctx, srv)
 	if err != nil {
 		return err
 	}
-	h.loop, h.state = loop, newSoftState(h)
+	srv.loop, srv.state = loop, newSoftState(srv)
 	if update, ok := loop.takeCommitted(); ok {
-		h.state.applyCommitted(update)
+		srv.state.applyCommitted(update)
 	}
 	return nil
 }
 
-// serve runs the machine at its two listeners, and closes them.
-func (h *Server) serve(mesh, control net.Listener) error {
-	setCounters := func(accepted *link) { accepted.SetCounters(&h.accepted) }
-	go transport.Serve(mesh, linkIdleTimeout, setCounters, h.handleFrame, h.handleLinkDown)
-	for _, peer := range h.settings.Peers {
-		h.cores.connect(peer)
+// serve runs the server on its two listeners until its context ends, and closes them.
+func (srv *Server) serve(mesh, control net.Listener) error {
+	setCounters := func(accepted *link) { accepted.SetCounters(&srv.accepted) }
+	go transport.Serve(mesh, linkIdleTimeout, setCounters, srv.handleFrame, srv.handleLinkDown)
+	for _, peer := range srv.settings.Peers {
+		srv.cores.connect(peer)
 	}
-	server := &http.Server{Handler: h.routes(), ReadHeaderTimeout: readHeaderTimeout, ReadTimeout: readTimeout,
+	server := &http.Server{Handler: srv.routes(), ReadHeaderTimeout: readHeaderTimeout, ReadTimeout: readTimeout,
 		IdleTimeout: connIdleTimeout, MaxHeaderBytes: maxHeaderBytes}
 	go func() { _ = server.Serve(control) }() // until server.Close
 	loopDone := make(chan struct{})
 	go func() {
 		defer close(loopDone)
-		h.loop.run(h.ctx)
+		srv.loop.run(srv.ctx)
 	}()
-	go h.state.run()
-	defer metrics.Register(h.figures)()
-	h.log.Event(events.Started, "ctl", h.settings.ControlAddr, "mesh", mesh.Addr().String())
+	go srv.state.run()
+	defer metrics.Register(srv.writeMetrics)()
+	srv.log.Event(events.Started, "ctl", srv.settings.ControlAddr, "mesh", mesh.Addr().String())
 
-	<-h.ctx.Done()
+	<-srv.ctx.Done()
 	<-loopDone
 	_ = server.Close()
 	_ = mesh.Close()
-	h.log.Event(events.Stopped, "dialled", controlmsg.ReadTraffic(&h.dialled),
-		"accepted", controlmsg.ReadTraffic(&h.accepted))
-	if cause := context.Cause(h.ctx); !errors.Is(cause, context.Canceled) {
+	srv.log.Event(events.Stopped, "dialled", controlmsg.ReadTraffic(&srv.dialled),
+		"accepted", controlmsg.ReadTraffic(&srv.accepted))
+	if cause := context.Cause(srv.ctx); !errors.Is(cause, context.Canceled) {
 		return cause
 	}
 	return nil
 }
 
-// now is the time on the process's own clock, in milliseconds since its start. All times within a process are of this
-// clock.
-func (h *Server) now() float64 { return ms(time.Since(h.start)) }
+// now returns the time on the process's own clock, in milliseconds since its start. All times within a process are
+// read from this clock.
+func (srv *Server) now() float64 { return ms(time.Since(srv.start)) }
 
-// ms gives a duration in milliseconds.
+// ms returns a duration in milliseconds.
 func ms(duration time.Duration) float64 { return float64(duration) / float64(time.Millisecond) }
 
-// fail ends the process by a failure that it can't serve with.
-func (h *Server) fail(err error) { h.cancel(err) }
+// fail stops the process because of a fatal failure.
+func (srv *Server) fail(err error) { srv.cancel(err) }
--- a/internal/controlplane/shardmoves.go
+++ b/internal/controlplane/shardmoves.go
@@ -15,24 +15,24 @@
 )
 
 const (
-	nodeTimeout        = 2 * time.Second // of a statement to a node
+	nodeTimeout        = 2 * time.Second // for a statement to a node
 	maxProgressPoints  = 600
 	progressIntervalMs = 1000.0
 )
 
-// resultRejected is the result of a change of the shard map that was rejected, or whose outcome is unknown.
+// resultRejected is the result of a shard map change that was rejected, or whose outcome is unknown.
 const resultRejected shardmap.ResultCode = "refused"
 
-// shardMoves carries out what the rebalancer decides, while this machine leads and there is a shard map. It belongs
-// to softState.
+// shardMoves carries out the rebalancer's decisions while this machine leads and there is a shard map. It belongs to
+// softState.
 type shardMoves struct {
 	owner *softState
 
-	rebalancer *shardmap.Rebalancer // this lead's; nil until it first steps
-	progress   []progressPoint      // the newest, of this lead and earlier ones
+	rebalancer *shardmap.Rebalancer // of this leadership; nil before its first step
+	progress   []progressPoint      // newest points, of this leadership and earlier ones
 }
 
-// progressPoint is the progress at a moment.
+// progressPoint is the progress of moves at one time.
 type progressPoint struct {
 	AtMs       float64          `json:"at"`
 	BytesMoved int64            `json:"moved"`
@@ -41,10 +41,10 @@
 
 func newShardMoves(owner *softState) shardMoves { return shardMoves{owner: owner} }
 
-// reset forgets what an earlier lead knew. Results that are still to come are dropped.
+// reset drops the state of an earlier leadership. Results that arrive later are ignored.
 func (m *shardMoves) reset() { m.rebalancer = nil }
 
-// step has the rebalancer decide by the newest shard map, and carries out its actions.
+// step runs the rebalancer on the newest shard map, and carries out its actions.
 func (m *shardMoves) step(now float64) {
 	s := m.owner
 	if !s.leadership.active || s.committed == nil || s.committed.Shards == nil || s.config == nil {
@@ -60,7 +60,7 @@
 	m.recordProgress(now)
 }
 
-// recordProgress adds a point to the progress, where one is due.
+// recordProgress adds a point to the progress if one is due.
 func (m *shardMoves) recordProgress(now float64) {
 	if n := len(m.progress); n > 0 && now-m.progress[n-1].AtMs <= progressIntervalMs {
 		return
@@ -75,8 +75,8 @@
 	}
 }
 
-// nodeMembers gives the member that answers for each node: the primary of the service of its name, the one with the
-// newest heartbeat of several.
+// nodeMembers returns the member that represents each node: the primary of the service with the node's name. If there
+// is more than one, it is the one with the newest heartbeat.
 func (s *softState) nodeMembers(now float64) map[string]directory.Member {
 	nodes := map[string]directory.Member{}
 	age := func(member directory.Member) float64 { return s.members.table.HeartbeatAge(member.ID, now) }
@@ -91,8 +91,8 @@
 	return nodes
 }
 
-// perform carries out one action. What waits for others runs in a goroutine of its own, whose result is a command to
-// the owner; it ends by its own timeout.
+// perform carries out one action. Calls to other processes run in goroutines of their own, which are bounded by a
+// timeout and return their result as a command to the owner.
 func (m *shardMoves) perform(rb *shardmap.Rebalancer, nodes map[string]directory.Member, action shardmap.Action) {
 	log := m.owner.server.log
 	switch action.Kind {
@@ -106,7 +106,7 @@
 	node, ok := nodes[action.Node]
 	source, sourceOK := "", true
 	if ok && action.Kind == shardmap.ActionFetch {
-		source, sourceOK = sourceOf(nodes, action.Source)
+		source, sourceOK = fetchSource(nodes, action.Source)
 	}
 	if !ok || !sourceOK {
 		go m.finish(rb, action, shardmap.Result{Code: shardmap.ResultNoAnswer})
@@ -123,23 +123,23 @@
 	go m.request(rb, node, action, statement)
 }
 
-// sourceOf names the member that a fetch reads from.
-func sourceOf(nodes map[string]directory.Member, node string) (source string, ok bool) {
+// fetchSource returns the address, service and id of the member that a fetch reads from, as the statement has them.
+func fetchSource(nodes map[string]directory.Member, node string) (source string, ok bool) {
 	m, ok := nodes[node]
 	return m.Addr + " " + m.Service + " " + m.ID, ok
 }
 
 // propose has a change of the shard map committed.
 func (m *shardMoves) propose(rb *shardmap.Rebalancer, action shardmap.Action) {
-	h := m.owner.server
+	srv := m.owner.server
 	result := shardmap.Result{}
-	if h.submit(controlmsg.Request{ShardChange: action.Change}).status != http.StatusOK {
+	if srv.submit(controlmsg.Request{ShardChange: action.Change}).status != http.StatusOK {
 		result.Code = resultRejected
 	}
 	m.finish(rb, action, result)
 }
 
-// request puts an action to a node.
+// request sends an action's statement to a node.
 func (m *shardMoves) request(rb *shardmap.Rebalancer, node directory.Member, action shardmap.Action, statement string) {
 	rows, err := m.owner.memberClient.query(node, statement, time.Now().Add(nodeTimeout))
 	var refusal *memberconn.MemberError
@@ -153,11 +153,11 @@
 	}
 }
 
-// requestReport requests a node's report.
+// requestReport requests a node's report, and passes it to the rebalancer.
 func (m *shardMoves) requestReport(rb *shardmap.Rebalancer, member directory.Member, node, statement string,
 	sentAt float64) {
 	rows, err := m.owner.memberClient.query(member, statement, time.Now().Add(nodeTimeout))
-	m.owner.do(func() {
+	m.owner.enqueue(func() {
 		report, ok := shardmap.ParseReport(rows)
 		if m.rebalancer == rb {
 			rb.HandleReport(node, sentAt, report, ok && err == nil)
@@ -165,10 +165,10 @@
 	})
 }
 
-// finish gives the rebalancer an action's result, unless the lead that it was of is over.
+// finish passes an action's result to the rebalancer, unless the rebalancer's leadership is over.
 func (m *shardMoves) finish(rb *shardmap.Rebalancer, action shardmap.Action, result shardmap.Result) {
 	s := m.owner
-	s.do(func() {
+	s.enqueue(func() {
 		if m.rebalancer == rb {
 			rb.HandleResult(action, result, s.server.now())
 			m.step(s.server.now())
@@ -176,7 +176,7 @@
 	})
 }
 
-// shardsView is the body of GET /shards but for the leader.
+// shardsView returns the body of GET /shards without the leader's address.
 func (s *softState) shardsView() ShardsView {
 	view := ShardsView{Leading: s.leadership.active}
 	if s.committed != nil {
--- a/internal/controlplane/shardsresource.go
+++ b/internal/controlplane/shardsresource.go
@@ -9,22 +9,22 @@
 	"weirwind/internal/shard/shardnode"
 )
 
-// shardsResource serves the shard map and its transfers.
+// shardsResource serves the calls that read and change the shard map.
 type shardsResource struct{ server *Server }
 
-// ShardsView is the body of GET /shards. Only the leader knows what nodes report, and which transfers go on.
+// ShardsView is the body of GET /shards. Only the leader knows the nodes' reports and the transfers in progress.
 type ShardsView struct {
 	Leading     bool                        `json:"leads"`
-	Leader      string                      `json:"leader"` // control address; empty: not known
+	Leader      string                      `json:"leader"` // control address; empty if unknown
 	Map         *shardmap.Map               `json:"map"`
 	Nodes       map[string]shardnode.Report `json:"nodes,omitempty"`
 	Transfers   map[string]string           `json:"runs,omitempty"` // state by shard
 	BytesMoved  int64                       `json:"moved"`
-	WriteGapsMs []float64                   `json:"gapsMs,omitempty"` // for which shards were not served as they moved
+	WriteGapsMs []float64                   `json:"gapsMs,omitempty"` // time without service in the newest hand-overs
 	Progress    []progressPoint             `json:"points,omitempty"`
 }
 
-// change takes an operator's change, as JSON. What the rebalancer alone may propose is rejected.
+// change handles an operator's change, which is JSON. Changes that only the rebalancer may propose are rejected.
 func (s *shardsResource) change(w http.ResponseWriter, r *http.Request) {
 	var change shardmap.Change
 	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxOperatorBytes))
@@ -42,14 +42,14 @@
 	writeAnswer(w, s.server.submit(controlmsg.Request{ShardChange: &change}), contentTypeText)
 }
 
-// show queries both owners in turn: the soft state for the map and its transfers, the loop for the leader.
+// show answers with the shard map and its transfers from the soft state, and the leader from the loop.
 func (s *shardsResource) show(w http.ResponseWriter, _ *http.Request) {
 	var view ShardsView
 	err := s.server.state.call(func() { view = s.server.state.shardsView() })
 	if err != nil {
 		return
 	}
-	view.Leader, _ = askLoop(s.server.loop, func() string { // "" where the loop doesn't answer
+	view.Leader, _ = callLoop(s.server.loop, func() string { // "" if the loop does not answer
 		leader, _ := s.server.loop.node.Leader()
 		return leader.Addr
 	})
--- a/internal/controlplane/shardsresource_test.go
+++ b/internal/controlplane/shardsresource_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// The text was recorded before the type had its present name.
-func TestShardChangeThatCannotBeReadKeepsItsText(t *testing.T) {
+// The error text has the type's published name, not its Go name.
+func TestUnreadableShardChangeErrorText(t *testing.T) {
 	answer := httptest.NewRecorder()
 	body := strings.NewReader(`{"kind":5}`)
 	(&shardsResource{}).change(answer, httptest.NewRequest(http.MethodPost, "/shards", body))
--- a/internal/controlplane/sitesresource.go
+++ b/internal/controlplane/sitesresource.go
@@ -10,10 +10,10 @@
 	"weirwind/internal/session/sites"
 )
 
-// sitesResource serves the sites that hold open sessions.
+// sitesResource serves the calls about sites that hold open sessions.
 type sitesResource struct{ server *Server }
 
-// renew grants a site's lease. A site that has not joined, or whose earlier incarnation had, joins first.
+// renew grants a site's lease. If this incarnation of the site has not joined yet, it joins first.
 func (s *sitesResource) renew(w http.ResponseWriter, r *http.Request) {
 	var renewal sites.Renewal
 	name := r.PathValue("name")
@@ -33,13 +33,13 @@
 	writeJSONAnswer(w, a)
 }
 
-// change gives the handler of an operator's change of a site. The site's epoch is in the query, and for a drain the
-// number of sessions that are handed on a second.
+// change returns the handler of an operator's change of a site. The query has the site's epoch and, for a drain, the
+// number of sessions to hand over per second.
 func (s *sitesResource) change(kind sites.ChangeKind) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		query := r.URL.Query()
 		change := &sites.Change{Kind: kind, Name: r.PathValue("name")}
-		change.Epoch, _ = strconv.ParseUint(query.Get("epoch"), 10, 64) // without one: 0, which no site has
+		change.Epoch, _ = strconv.ParseUint(query.Get("epoch"), 10, 64) // 0 if missing, which no site has
 		if pace := query.Get("pace"); pace != "" {
 			n, err := strconv.Atoi(pace)
 			if err != nil || n < 1 {
@@ -52,8 +52,8 @@
 	}
 }
 
-// show gives the map of sites as this machine knows it. Edges may follow an old one: the sites that it names refuse
-// what is out of date.
+// show answers with the map of sites that this machine knows. Edges may safely follow an outdated map, as its sites
+// reject outdated requests.
 func (s *sitesResource) show(w http.ResponseWriter, _ *http.Request) {
 	state := s.server.state
 	siteMap := &sites.Map{}
--- a/internal/controlplane/state.go
+++ b/internal/controlplane/state.go
@@ -11,23 +11,23 @@
 // Times of the soft state.
 const (
 	tickInterval = 50 * time.Millisecond
-	// recoveryPeriod is for how long after its start a machine requests from agents the members that it lacks.
+	// recoveryPeriod is how long after its start a machine asks agents for the members that it lacks.
 	recoveryPeriod   = 20 * time.Second
-	maxStateCommands = 1024 // commands that wait for the owner before their senders wait
+	maxStateCommands = 1024 // commands queued for the owner before their senders block
 )
 
-// softState owns what a machine learns from others and keeps in memory only, and what it does as the leader. One
-// goroutine, run, touches it; others send it commands through do. A restarted machine learns it anew: members and
+// softState owns what a machine learns from others and keeps in memory only, and the leader's tasks. Only one
+// goroutine, run, accesses it; others send it commands through enqueue. A restarted machine rebuilds it: members and
 // drivers repeat their heartbeats and renewals, and other machines send what they know.
 //
-// Each concern is a type of its own, in the file of its name. What involves several of them is a method of softState.
+// Each concern is a type of its own, in the file of its name. What involves more than one is a method of softState.
 type softState struct {
 	server *Server
 	queue  *commandqueue.Queue
 
-	// committed is the newest state that this machine knows to be committed, nil for none. Its version never decreases.
+	// committed is the newest known committed state; nil if there is none. Its version never decreases.
 	committed *config.State
-	config    *config.Config // parsed from committed; nil: none
+	config    *config.Config // parsed from committed; nil if there is none
 	coreAddrs []string       // control addresses of the voters
 	contact   contactState
 
@@ -44,22 +44,22 @@
 	siteLeases siteLeases
 	quotas     quotas
 
-	memberClient *memberClient // for the questions of failovers and shardMoves
+	memberClient *memberClient // for the statements of failovers and shardMoves
 }
 
-// leadership is whether this machine leads the core, as the consensus loop notified last.
+// leadership describes whether this machine leads the core, as last notified by the consensus loop.
 type leadership struct {
 	active bool
 	term   uint64
-	since  float64 // when active or term changed last, in ms
-	// holders are the machines that may hold leases of this or an earlier lead, by control address.
-	holders []string
+	since  float64 // when active or term last changed, in ms
+	// leaseHolders are the control addresses of the machines that may hold leases that this or an earlier leader granted.
+	leaseHolders []string
 }
 
 // committedUpdate is a newly committed entry, from the consensus loop.
 type committedUpdate struct {
 	state      *config.State
-	newVersion bool // its configuration is newer than all before it
+	newVersion bool // the configuration is newer than all earlier ones
 	voterAddrs []string
 }
 
@@ -78,18 +78,18 @@
 	return s
 }
 
-// do queues a command for the owner.
-func (s *softState) do(command func()) { s.queue.Do(command) }
+// enqueue queues a command for the owner, and blocks while the queue is full.
+func (s *softState) enqueue(command func()) { s.queue.Do(command) }
 
-// call runs a command in the owner's goroutine and waits until it has run. On an error, which is that the process is
-// stopping, it may still run: what it writes must not be read then.
+// call runs a command in the owner's goroutine and waits until it has run. It returns an error if the process is
+// stopping; the command may then still run, so that the caller must not read what it writes.
 func (s *softState) call(command func()) error { return s.queue.Wait(s.server.ctx, command) }
 
 // run is the owner's goroutine, until the process's context ends.
 func (s *softState) run() { s.queue.Run(tickInterval, s.tick) }
 
-// tick does what is due, concern by concern. The order is part of the behaviour: members that expire are published
-// before the pending records, and the leader decides by tables that are up to date.
+// tick does the periodic work of each concern. The order matters: members that expire are published before the pending
+// records, and the leader decides by up-to-date tables.
 func (s *softState) tick() {
 	now := s.server.now()
 	s.updateContact(now)
@@ -103,14 +103,14 @@
 	s.peers.sendHeartbeats(now)
 	s.sendDigest(now)
 	s.stepQuotas(now)
-	if s.leadership.active && s.contact.established { // a machine without contact is about to lead no longer
+	if s.leadership.active && s.contact.inContact { // a leader without contact is about to step down
 		s.stepFailovers(now)
 		s.shardMoves.step(now)
 		s.siteLeases.expire(now)
 	}
 }
 
-// digest is what this machine has, in short.
+// digest returns the digest of this machine's state.
 func (s *softState) digest() controlmsg.StateDigest {
 	d := controlmsg.StateDigest{MembersHash: s.members.table.Digest(), DriversHash: s.drivers.table.Digest()}
 	if s.committed != nil {
@@ -122,10 +122,10 @@
 	return d
 }
 
-// setLeadership begins or ends this machine's lead. What an earlier lead knew of failovers, transfers and
-// quotas is forgotten: another machine may have led since.
+// setLeadership starts or ends this machine's leadership. The state of failovers, shard moves and quotas from an
+// earlier leadership is dropped, as another machine may have led since.
 func (s *softState) setLeadership(active bool, term uint64, holders []string) {
-	s.leadership = leadership{active: active, term: term, since: s.server.now(), holders: holders}
+	s.leadership = leadership{active: active, term: term, since: s.server.now(), leaseHolders: holders}
 	s.memberClient.closeAll()
 	s.failovers.reset()
 	s.roster.reset()
@@ -134,7 +134,7 @@
 	s.quotas.reset(s.leadership, s.config)
 }
 
-// applyCommitted takes a newly committed state, and notifies the agents of what is new in it.
+// applyCommitted stores a newly committed state, and notifies the agents of what is new in it.
 func (s *softState) applyCommitted(update committedUpdate) {
 	now := s.server.now()
 	s.coreAddrs = update.voterAddrs
@@ -142,7 +142,7 @@
 	if s.quotas.allocator != nil {
 		s.quotas.allocator.SetVoters(len(s.coreAddrs))
 	}
-	for _, addr := range s.coreAddrs { // the settings may name fewer
+	for _, addr := range s.coreAddrs { // the settings may list only some of them
 		s.server.cores.connect(addr)
 	}
 	next := update.state
@@ -165,7 +165,7 @@
 	s.agents.notify(&controlmsg.StateUpdate{ConfigVersion: next.Version, Config: next.Raw, CoreAddrs: s.coreAddrs})
 }
 
-// shardMapVersion is that of the committed shard map, 0 for none.
+// shardMapVersion returns the version of the committed shard map, 0 if there is none.
 func (s *softState) shardMapVersion() uint64 {
 	if s.committed == nil || s.committed.Shards == nil {
 		return 0
@@ -173,17 +173,17 @@
 	return s.committed.Shards.Version
 }
 
-// sendToLeader sends a frame to the machine that leads, if another one does. It may be lost: its sender repeats it.
+// sendToLeader sends a frame to the leader if another machine leads. The frame may be lost; its sender repeats it.
 func (s *softState) sendToLeader(frame *controlmsg.Frame) {
-	h := s.server
-	h.loop.offer(func() {
-		if leader, ok := h.loop.node.Leader(); ok && leader.Addr != h.settings.ControlAddr {
-			h.cores.send(leader.Addr, frame)
+	srv := s.server
+	srv.loop.offer(func() {
+		if leader, ok := srv.loop.node.Leader(); ok && leader.Addr != srv.settings.ControlAddr {
+			srv.cores.send(leader.Addr, frame)
 		}
 	})
 }
 
-// handleFrame takes a frame of another core machine or of an agent.
+// handleFrame handles a frame from another core machine or an agent.
 func (s *softState) handleFrame(from *link, frame *controlmsg.Frame) {
 	now := s.server.now()
 	switch {
@@ -192,7 +192,7 @@
 	case frame.Update != nil:
 		s.members.merge(frame.Update.Members, now)
 	case frame.Heartbeats != nil:
-		s.members.observe(frame.Heartbeats, now)
+		s.members.mergeHeartbeats(frame.Heartbeats, now)
 	case frame.PrimaryReport != nil:
 		s.handlePrimaryReport(frame.PrimaryReport, now)
 	case frame.QuotaReport != nil:
@@ -208,8 +208,9 @@
 	}
 }
 
-// handleDigest takes another core machine's digest, and the driver leases that came with it. Where its members differ
-// from this machine's it is sent all of them, on its own link; it does likewise by this machine's digests.
+// handleDigest handles another core machine's digest and the driver leases that came with it. If the members of the two
+// machines differ, it sends the sender all of its own on the same link; the other machine does the same on this
+// machine's digests.
 func (s *softState) handleDigest(from *link, frame *controlmsg.Frame, now float64) {
 	s.leaseSync.observe(s.server.cores.senderAddr(from), now)
 	s.drivers.merge(frame.Leases, now)
--- a/internal/controlplane/status.go
+++ b/internal/controlplane/status.go
@@ -10,20 +10,20 @@
 	"weirwind/internal/controlplane/directory"
 )
 
-// statusResource serves GET /status: what this machine knows, for operators. With ?brief=1 the lists of members and
-// drivers are left out.
+// statusResource serves GET /status, this machine's state for operators. With ?brief=1 the lists of members and drivers
+// are left out.
 type statusResource struct{ server *Server }
 
-// serverStatus is the body of GET /status. Its keys are in order of the alphabet, which readers may rely on. Pointers
-// are nil where a key is left out: those of a brief status, of a machine that knows no committed state, and the
-// configuration's version at one without contact.
+// serverStatus is the body of GET /status. Its keys are in alphabetical order, which readers may rely on. A pointer is
+// nil if its key is left out: in a brief status, on a machine without a committed state, and for the configuration's
+// version on one without contact.
 type serverStatus struct {
 	Agents      int                    `json:"agents"`
 	Changes     *int                   `json:"changes,omitempty"`
 	Committed   bool                   `json:"committed"`
 	CoreLinks   int                    `json:"coreLinks"`
 	DiskFull    bool                   `json:"diskFull,omitempty"`
-	DiskWaitMs  float64                `json:"diskWaitMs,omitempty"` // for which a write has kept the loop waiting
+	DiskWaitMs  float64                `json:"diskWaitMs,omitempty"` // time for which a write has blocked the loop
 	DriverCount int                    `json:"driverCount"`
 	Drivers     *[]driverStatus        `json:"drivers,omitempty"`
 	Version     *uint64                `json:"gen,omitempty"`
@@ -45,13 +45,13 @@
 	Voters      []consensus.Voter      `json:"voters"`
 }
 
-// trafficStatus counts the frames of the links that this machine dialled, and of those that it accepted.
+// trafficStatus counts the frames on the links that this machine dialled, and on those that it accepted.
 type trafficStatus struct {
 	Accepted controlmsg.Traffic `json:"accepted"`
 	Dialled  controlmsg.Traffic `json:"dialled"`
 }
 
-// memberStatus is a member's record.
+// memberStatus is a member's record in GET /status.
 type memberStatus struct {
 	ID          string         `json:"ID"`
 	Service     string         `json:"Svc"`
@@ -68,7 +68,7 @@
 	Revision    uint64         `json:"Mark"`
 }
 
-// driverStatus is a driver that holds a lease.
+// driverStatus is a driver with a lease in GET /status.
 type driverStatus struct {
 	Name        string `json:"Name"`
 	Addr        string `json:"Addr"`
@@ -76,7 +76,7 @@
 	Incarnation uint64 `json:"Life"`
 }
 
-// memberStatuses gives members' records as GET /status shows them; nil for nil, which is null in JSON.
+// memberStatuses returns members' records for GET /status. It returns nil for nil, which is null in JSON.
 func memberStatuses(members []directory.Member) (out []memberStatus) {
 	if members != nil {
 		out = make([]memberStatus, 0, len(members))
@@ -89,7 +89,7 @@
 	return out
 }
 
-// driverStatuses gives drivers as GET /status shows them; nil for nil, which is null in JSON.
+// driverStatuses returns drivers for GET /status. It returns nil for nil, which is null in JSON.
 func driverStatuses(drivers []directory.Driver) (out []driverStatus) {
 	if drivers != nil {
 		out = make([]driverStatus, 0, len(drivers))
@@ -100,30 +100,31 @@
 	return out
 }
 
-// ServeHTTP has the two owners fill in their parts.
+// ServeHTTP answers with the status, of which each of the two owners fills in its part.
 func (r *statusResource) ServeHTTP(w http.ResponseWriter, request *http.Request) {
 	brief := request.URL.Query().Get("brief") != ""
-	h := r.server
-	status := serverStatus{Machine: h.settings.Hostname, Traffic: trafficStatus{
-		Accepted: controlmsg.ReadTraffic(&h.accepted), Dialled: controlmsg.ReadTraffic(&h.dialled)}}
-	err := h.state.call(func() { h.state.reportStatus(&status, brief) })
+	srv := r.server
+	status := serverStatus{Machine: srv.settings.Hostname, Traffic: trafficStatus{
+		Accepted: controlmsg.ReadTraffic(&srv.accepted), Dialled: controlmsg.ReadTraffic(&srv.dialled)}}
+	err := srv.state.call(func() { srv.state.reportStatus(&status, brief) })
 	if err != nil {
 		return
 	}
-	if !h.loop.fillStatus(&status) {
-		status.DiskWaitMs, status.DiskFull = math.Round(h.loop.diskWait.writingFor(h.now())), h.loop.diskWait.isFull()
+	if !srv.loop.fillStatus(&status) {
+		status.DiskWaitMs, status.DiskFull = math.Round(srv.loop.diskWait.currentWriteMs(srv.now())),
+			srv.loop.diskWait.isFull()
 	}
 	w.Header().Set(headerContentType, contentTypeJSON)
-	e := json.NewEncoder(w)
-	e.SetIndent("", "  ")
-	_ = e.Encode(&status)
+	encoder := json.NewEncoder(w)
+	encoder.SetIndent("", "  ")
+	_ = encoder.Encode(&status)
 }
 
 // reportStatus fills in the soft state's part.
 func (s *softState) reportStatus(status *serverStatus, brief bool) {
 	members, drivers := s.members.table.Snapshot(), s.drivers.table.Drivers()
 	status.Leading = s.leadership.active
-	status.Agents, status.CoreLinks = len(s.agents.subscriptions), s.server.cores.count()
+	status.Agents, status.CoreLinks = len(s.agents.subscriptions), s.server.cores.countDialled()
 	status.MemberCount, status.DriverCount = len(members), len(drivers)
 	if brief {
 		return
@@ -132,14 +133,14 @@
 	for service, c := range s.failovers.controllers {
 		failovers[service] = c.State()
 	}
-	inContact, memberList, driverList := s.contact.established, memberStatuses(members), driverStatuses(drivers)
+	inContact, memberList, driverList := s.contact.inContact, memberStatuses(members), driverStatuses(drivers)
 	status.InContact, status.Members, status.Drivers, status.Failovers = &inContact, &memberList, &driverList, &failovers
 }
 
-// fillStatus fills in the loop's part; false: the loop doesn't answer, as it waits for its disk, or the process ends.
-// Then the status has the other parts alone.
+// fillStatus fills in the loop's part. It returns false, and leaves that part empty, if the loop does not answer
+// because it waits for its disk or the process stops.
 func (c *consensusLoop) fillStatus(status *serverStatus) (answered bool) {
-	part, answered := askLoop(c, func() (part serverStatus) {
+	part, answered := callLoop(c, func() (part serverStatus) {
 		c.reportStatus(&part)
 		return part
 	})
@@ -163,7 +164,7 @@
 	if c.committed != nil {
 		changes := len(c.committed.History)
 		status.Changes = &changes
-		if c.server.inContact() { // else another version may be in place
+		if c.server.inContact() { // otherwise a newer version may be committed
 			version := c.committed.Version
 			status.Version = &version
 		}
--- a/internal/controlplane/voters.go
+++ b/internal/controlplane/voters.go
@@ -9,42 +9,42 @@
 	"weirwind/internal/util/events"
 )
 
-// This file owns what the consensus loop watches of the other voters while this machine leads: who is silent, and whose
-// clock runs at another rate.
+// This file has what the consensus loop monitors about the other voters while this machine leads: which are silent, and
+// whose clocks run at a different rate.
 
 const partsPerMillion = 1e6
 
-// watchClocks logs when a voter's clock is found to run at another rate, and when it no longer does.
+// watchClocks logs when a voter's clock is found to run at a different rate, and when it no longer does.
 func (c *consensusLoop) watchClocks() {
 	drifts := c.node.ClockDrifts()
-	if len(drifts) == 0 && len(c.drifting) == 0 {
+	if len(drifts) == 0 && len(c.driftingVoters) == 0 {
 		return
 	}
-	now := map[string]bool{}
+	drifting := map[string]bool{}
 	for _, drift := range drifts {
-		now[drift.Voter.ID] = true
-		if !c.drifting[drift.Voter.ID] {
+		drifting[drift.Voter.ID] = true
+		if !c.driftingVoters[drift.Voter.ID] {
 			rate := math.Round(drift.Rate * partsPerMillion)
 			c.server.log.Event(events.ClockDrift, "machine", drift.Voter.Addr, "rate", rate, "own", drift.Own)
 		}
 	}
-	for _, id := range slices.Sorted(maps.Keys(c.drifting)) {
-		if !now[id] {
+	for _, id := range slices.Sorted(maps.Keys(c.driftingVoters)) {
+		if !drifting[id] {
 			c.server.log.Event(events.ClockDrift, "machine", id, "rate", 0)
 		}
 	}
-	c.drifting = now
+	c.driftingVoters = drifting
 }
 
-// watchVoters notifies the soft state when another machine of the core falls silent, and when none is silent any more.
+// watchVoters notifies the soft state when another core machine becomes silent, and when none is silent any more.
 func (c *consensusLoop) watchVoters() {
 	silent := slices.ContainsFunc(c.node.PeerStatuses(c.server.now()), func(peer consensus.PeerStatus) bool {
-		return peer.Silent < 0 || peer.Silent > voterSilentMs
+		return peer.Silent < 0 || peer.Silent > voterSilenceTimeoutMs
 	})
 	if silent == c.voterSilent {
 		return
 	}
 	c.voterSilent = silent
 	s := c.server.state
-	s.do(func() { s.failovers.setVoterSilent(silent, c.server.now()) })
+	s.enqueue(func() { s.failovers.setVoterSilent(silent, c.server.now()) })
 }
