--- a/internal/controlplane/cleanup_test.go
+++ b/internal/controlplane/cleanup_test.go
@@ -24,14 +24,14 @@
 		s.failovers.reports[service] = map[string]primaryReport{}
 	}
 	present, departed := &closeCounter{}, &closeCounter{}
-	s.memberClient.release("here", &memberconn.Conn{NetConn: present})
-	s.memberClient.release("gone", &memberconn.Conn{NetConn: departed})
-	s.removeStale(map[string][]directory.Member{"orders": {{ID: "here"}}}, 1)
+	s.memberClient.release("present", &memberconn.Conn{NetConn: present})
+	s.memberClient.release("departed", &memberconn.Conn{NetConn: departed})
+	s.removeStale(map[string][]directory.Member{"orders": {{ID: "present"}}}, 1)
 	if len(s.failovers.controllers) != 1 || len(s.failovers.reports) != 1 || s.failovers.controllers["orders"] == nil {
 		t.Errorf("%d controllers and %d services with reports are kept",
 			len(s.failovers.controllers), len(s.failovers.reports))
 	}
-	if present.closed != 0 || departed.closed != 1 || s.memberClient.acquire("gone") != nil {
+	if present.closed != 0 || departed.closed != 1 || s.memberClient.acquire("departed") != nil {
 		t.Errorf("the connection to a live member was closed %d times, that to a departed one %d times",
 			present.closed, departed.closed)
 	}
--- a/internal/controlplane/contact.go
+++ b/internal/controlplane/contact.go
@@ -31,7 +31,7 @@
 func (srv *Server) inContact() bool { return srv.contactAge() <= consensus.ContactLease }
 
 const (
-	// leaveContactTimeout bounds the wait for contact before a member's drain or leave is acknowledged. The member calls
+	// leaveContactTimeout limits the wait for contact before a member's drain or leave is acknowledged. The member calls
 	// the next machine after a second.
 	leaveContactTimeout = 700 * time.Millisecond
 	contactPollInterval = 20 * time.Millisecond
@@ -74,7 +74,7 @@
 // contactState is the contact as of the soft state's last tick.
 type contactState struct {
 	inContact bool
-	since     float64 // when established changed last, in ms
+	since     float64 // when inContact last changed, in ms
 }
 
 // updateContact notifies agents when contact is lost or regained.
--- a/internal/controlplane/diskwait.go
+++ b/internal/controlplane/diskwait.go
@@ -34,7 +34,7 @@
 	loggedAt       atomic.Uint64 // float64 bits of the time of the last log line, in ms; 0 if there was none
 }
 
-// beginWrite and end enclose each write of the loop.
+// beginWrite and endWrite enclose each write of the loop.
 func (d *diskWait) beginWrite(now float64) { d.writeStartedAt.Store(math.Float64bits(now)) }
 
 func (d *diskWait) endWrite() {
--- a/internal/controlplane/doc.go
+++ b/internal/controlplane/doc.go
@@ -15,12 +15,13 @@
 //   - softState.run owns the rest: membership, driverLeases, agentLinks, peerExchange, and the leader's failovers,
 //     rosterTracker, shardMoves and siteLeases, each a type in the file of its name.
 //
-// Neither waits for the other's reply: each sends the other commands and continues. (A full queue does block its
-// sender, so the queues are far longer than what arrives during a sync; two full queues would deadlock.) HTTP handlers
-// run in goroutines of their own and wait for both owners; no owner waits for a handler. Three types are shared under
-// locks of their own, which are held briefly, and never while another lock than a link's is acquired: coreLinks (links
-// to other core machines), pendingCalls (forwarded requests) and memberClient (idle connections to members).
-// contactClock is a single atomic number.
+// Neither waits for the other's reply: each sends the other commands and continues. A full queue of the soft state
+// blocks its sender, but a full queue of the loop drops the command: if both blocked, the two owners could deadlock.
+// Both queues are far longer than what arrives during a sync. HTTP handlers run in goroutines of their own and wait
+// for both owners; no owner waits for a handler. Three types are shared under locks of their own, which are held
+// briefly, and never while another lock than a link's is acquired: coreLinks (links to other core machines),
+// pendingCalls (forwarded requests) and memberClient (idle connections to members). contactClock is a single atomic
+// number.
 //
 // Whatever takes time, such as a statement to a member or a call to the platform, runs in a goroutine of its own that
 // is bounded by a timeout; its result comes back as a command. A result from an earlier leadership reaches the
@@ -46,7 +47,7 @@
 //  6. Notified: on each machine that learns of the commit, takeCommitted reads the new state, and
 //     softState.applyCommitted stores it and notifies the agents that are linked there, which notify their proxies.
 //     Agents that miss the update are found by the digest in their next lease renewal.
-//  7. Acknowledged: at the leader, orders answers the request after the commit. The response takes the same way back,
+//  7. Acknowledged: at the leader, orders answers the request after the commit. The response is returned the same way,
 //     and the operator gets 200. The answer waits for the commit only, not for agents.
 //
 // # Contact
--- a/internal/controlplane/failover_golden_test.go
+++ b/internal/controlplane/failover_golden_test.go
@@ -36,7 +36,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &fakeMember{id: id, listener: listener, role: role, position: position, term: "3", paused: "0"}
+	member := &fakeMember{id: id, listener: listener, role: role, position: position, term: "3", paused: "0"}
 	t.Cleanup(func() { listener.Close() })
 	go func() {
 		for {
@@ -44,17 +44,17 @@
 			if err != nil {
 				return
 			}
-			go r.serve(conn)
+			go member.serve(conn)
 		}
 	}()
-	return r
+	return member
 }
 
-func (r *fakeMember) serve(conn net.Conn) {
+func (m *fakeMember) serve(conn net.Conn) {
 	defer conn.Close()
-	in := bufio.NewScanner(conn)
-	for in.Scan() {
-		answer, alive := r.answer(in.Text())
+	scanner := bufio.NewScanner(conn)
+	for scanner.Scan() {
+		answer, alive := m.answer(scanner.Text())
 		if !alive {
 			return
 		}
@@ -62,55 +62,55 @@
 	}
 }
 
-func (r *fakeMember) answer(line string) (answer string, alive bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+func (m *fakeMember) answer(line string) (answer string, alive bool) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	word, rest, _ := strings.Cut(line, " ")
 	if word != "QUERY" {
-		return "", !r.stopped
+		return "", !m.stopped
 	}
 	_, text, _ := strings.Cut(rest, " ")
-	r.statements = append(r.statements, text)
+	m.statements = append(m.statements, text)
 	first, term, _ := strings.Cut(text, " ")
-	row, known := r.replies[text]
+	row, known := m.replies[text]
 	switch first {
 	case "PAUSE":
-		r.paused = term
+		m.paused = term
 	case "CONT":
-		r.paused = "0"
+		m.paused = "0"
 	case "STEPDOWN":
-		r.role = "replica"
+		m.role = "replica"
 	case "STAT":
 	default:
 		if !known {
-			return "FAIL nope not this\r\n", !r.stopped
+			return "FAIL nope not this\r\n", !m.stopped
 		}
 	}
 	if !known {
-		row = strings.Join([]string{r.role, r.term, r.position, r.paused, "0 0 0"}, " ")
+		row = strings.Join([]string{m.role, m.term, m.position, m.paused, "0 0 0"}, " ")
 	}
-	return "ROW " + row + "\r\nDONE -\r\n", !r.stopped
+	return "ROW " + row + "\r\nDONE -\r\n", !m.stopped
 }
 
 // setState sets the member's role, term and log position.
-func (r *fakeMember) setState(role, term, position string) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.role, r.term, r.position = role, term, position
+func (m *fakeMember) setState(role, term, position string) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.role, m.term, m.position = role, term, position
 }
 
-func (r *fakeMember) currentRole() string {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.role
+func (m *fakeMember) currentRole() string {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.role
 }
 
 // stop makes the member accept no connections and answer no statements from now on.
-func (r *fakeMember) stop() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.stopped = true
-	r.listener.Close()
+func (m *fakeMember) stop() {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.stopped = true
+	m.listener.Close()
 }
 
 // A service at a leader loses its primary. The transcript has the statements to members, the calls to the platform, and
--- a/internal/controlplane/fixture_test.go
+++ b/internal/controlplane/fixture_test.go
@@ -1,8 +1,8 @@
 package controlplane
 
 // This file has the fixture of the tests that compare with golden files: complete servers in virtual time
-// (testing/synctest), on an in-memory disk, with fixed random numbers, over links that are pipes. They take no real
-// time to sleep and use no ports.
+// (testing/synctest), on an in-memory disk, with fixed random numbers, over links that are pipes. Sleeping takes no
+// real time, and no ports are used.
 
 import (
 	"bytes"
@@ -127,11 +127,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g, w := strings.Split(got, "\n"), strings.Split(string(want), "\n")
-	for i := range max(len(g), len(w)) {
-		if i >= len(g) || i >= len(w) || g[i] != w[i] {
+	gotLines, wantLines := strings.Split(got, "\n"), strings.Split(string(want), "\n")
+	for i := range max(len(gotLines), len(wantLines)) {
+		if i >= len(gotLines) || i >= len(wantLines) || gotLines[i] != wantLines[i] {
 			t.Fatalf("%s differs from line %d on; got\n%s\nwant\n%s", name, i+1,
-				strings.Join(g[min(i, len(g)):min(i+12, len(g))], "\n"), strings.Join(w[min(i, len(w)):min(i+12, len(w))], "\n"))
+				strings.Join(gotLines[min(i, len(gotLines)):min(i+12, len(gotLines))], "\n"),
+				strings.Join(wantLines[min(i, len(wantLines)):min(i+12, len(wantLines))], "\n"))
 		}
 	}
 }
@@ -142,13 +143,13 @@
 	t.Helper()
 	host, _, _ := net.SplitHostPort(controlAddr)
 	name := "core" + host[strings.LastIndexByte(host, '.')+1:]
-	set := &settings.Settings{Hostname: name, ControlAddr: controlAddr, IP: host, PortRange: [2]int{7100, 7110},
+	cfg := &settings.Settings{Hostname: name, ControlAddr: controlAddr, IP: host, PortRange: [2]int{7100, 7110},
 		Peers: peers, Bootstrap: true, DataDir: name, HeartbeatInterval: 600 * time.Millisecond,
 		TolerateNodes: (len(peers) - 1) / 2, PlatformAddr: platform}
-	srv := newServer(context.Background(), set, events.New(log, name))
+	srv := newServer(context.Background(), cfg, events.New(log, name))
 	for _, p := range peers { // the test makes the links to them
 		if p != controlAddr {
-			srv.cores.byAddr[set.MeshAddr(p)] = &coreLink{}
+			srv.cores.byAddr[cfg.MeshAddr(p)] = &coreLink{}
 		}
 	}
 	if err := srv.open(t.Context()); err != nil {
@@ -251,8 +252,8 @@
 		return "is encoded anew as other bytes: " + hex.EncodeToString(raw)
 	}
 	if f.Update != nil && f.Update.Members != nil {
-		ms := f.Update.Members
-		slices.SortFunc(ms, func(a, b directory.Member) int { return strings.Compare(a.ID, b.ID) })
+		members := f.Update.Members
+		slices.SortFunc(members, func(a, b directory.Member) int { return strings.Compare(a.ID, b.ID) })
 		raw, _ = cbor.Marshal(&f)
 	}
 	if len(raw) <= 100 {
--- a/internal/controlplane/frames_golden_test.go
+++ b/internal/controlplane/frames_golden_test.go
@@ -28,9 +28,9 @@
 			time.Sleep(d)
 			synctest.Wait()
 		}
-		a := directory.Driver{Name: "agent", Addr: "10.0.3.1:1", Zone: "z1", Incarnation: 1}
-		b := directory.Driver{Name: "other", Addr: "10.0.3.2:1", Zone: "z2", Incarnation: 2}
-		third := directory.Driver{Name: "third", Addr: "10.0.3.3:1", Incarnation: 9}
+		agentDriver := directory.Driver{Name: "agent", Addr: "10.0.3.1:1", Zone: "z1", Incarnation: 1}
+		otherDriver := directory.Driver{Name: "other", Addr: "10.0.3.2:1", Zone: "z2", Incarnation: 2}
+		thirdDriver := directory.Driver{Name: "third", Addr: "10.0.3.3:1", Incarnation: 9}
 		renew := func(p *fakePeer, d directory.Driver, digest controlmsg.StateDigest) {
 			p.send(t, &controlmsg.Frame{LeaseRenewal: &controlmsg.LeaseRenewal{Driver: d, Digest: digest}})
 		}
@@ -55,16 +55,16 @@
 		step("hello", func() {
 			agent.send(t, &controlmsg.Frame{Hello: &controlmsg.Hello{Kind: "agent", Name: "agent", Addr: "10.0.3.1:1"}})
 		})
-		step("first renewal", func() { renew(agent, a, controlmsg.StateDigest{}) })
+		step("first renewal", func() { renew(agent, agentDriver, controlmsg.StateDigest{}) })
 		step("trial", func() {
-			other.send(t, &controlmsg.Frame{LeaseRenewal: &controlmsg.LeaseRenewal{Driver: b, Tentative: true}})
+			other.send(t, &controlmsg.Frame{LeaseRenewal: &controlmsg.LeaseRenewal{Driver: otherDriver, Tentative: true}})
 		})
 		step("members", func() { sendHeartbeats("primary", "ok") })
 		step("heartbeats", func() { sendHeartbeats("primary", "ok") })
 		step("role", func() { sendHeartbeats("replica", "ok") })
 		step("renewals that differ", func() {
-			renew(agent, a, controlmsg.StateDigest{})
-			renew(agent, a, controlmsg.StateDigest{})
+			renew(agent, agentDriver, controlmsg.StateDigest{})
+			renew(agent, agentDriver, controlmsg.StateDigest{})
 		})
 		step("configuration", func() {
 			call(record, srv, "POST", "/config/replace", map[string]string{"Weirwind-Base-Version": "0"}, twoServices)
@@ -74,7 +74,7 @@
 			call(record, srv, "POST", "/shards", nil, `{"kind":"pause"}`)
 		})
 		step("new driver with nothing", func() {
-			renew(other, third, controlmsg.StateDigest{})
+			renew(other, thirdDriver, controlmsg.StateDigest{})
 		})
 		step("records of another machine", func() {
 			core.send(t, &controlmsg.Frame{Update: &controlmsg.StateUpdate{Members: []directory.Member{
@@ -104,7 +104,7 @@
 		for range 8 {
 			step("draining on", func() {
 				sendHeartbeats("primary", "draining")
-				renew(agent, a, controlmsg.StateDigest{ConfigVersion: 1, ShardMapVersion: 2})
+				renew(agent, agentDriver, controlmsg.StateDigest{ConfigVersion: 1, ShardMapVersion: 2})
 			})
 			pause(270 * time.Millisecond)
 		}
@@ -115,7 +115,7 @@
 			sendHeartbeat(srv, "m9", "n1", "10.0.1.2:1", "replica", "ok", 1)
 		})
 		step("lease given back", func() {
-			for _, d := range []directory.Driver{b, third} {
+			for _, d := range []directory.Driver{otherDriver, thirdDriver} {
 				other.send(t, &controlmsg.Frame{LeaseRenewal: &controlmsg.LeaseRenewal{Driver: d, Release: true}})
 			}
 		})
@@ -123,8 +123,8 @@
 			contact := srv.contact.at()
 			srv.contact.set(contact - 5000)
 			pause(60 * time.Millisecond)
-			other.send(t, &controlmsg.Frame{LeaseRenewal: &controlmsg.LeaseRenewal{Driver: b, Tentative: true}})
-			renew(other, b, controlmsg.StateDigest{ConfigVersion: 1})
+			other.send(t, &controlmsg.Frame{LeaseRenewal: &controlmsg.LeaseRenewal{Driver: otherDriver, Tentative: true}})
+			renew(other, otherDriver, controlmsg.StateDigest{ConfigVersion: 1})
 		})
 		step("link lost", func() { other.conn.Close(); pause(time.Second) })
 		step("sites", func() {
--- a/internal/controlplane/loop.go
+++ b/internal/controlplane/loop.go
@@ -27,8 +27,8 @@
 const (
 	heartbeatInterval = 200 * time.Millisecond
 	electionTimeout   = 900 * time.Millisecond
-	// removeAfter is how long a voter must be silent before it may be removed. It is less than the twice electionTimeout
-	// after which a leader without a quorum steps down.
+	// removeAfter is how long a voter must be silent before it may be removed. It is less than twice electionTimeout, so
+	// that a leader can still remove the voter before it steps down for lack of a quorum.
 	removeAfter           = electionTimeout * 7 / 4
 	consensusTickInterval = 50 * time.Millisecond
 	requestTimeout        = 3 * time.Second
@@ -303,7 +303,7 @@
 	return addrs
 }
 
-// followLeader notes a change of leader. It fails the calls that wait for the former one; their callers retry.
+// followLeader records a change of leader. It fails the calls that wait for the former one; their callers retry.
 func (c *consensusLoop) followLeader() {
 	if leader, _ := c.node.Leader(); leader != c.leader {
 		c.server.pending.failLeader(c.leader.Addr)
@@ -330,7 +330,7 @@
 }
 
 // notifyContact renews the machine's contact. The command is queued behind all earlier notifications to the soft
-// state, so that whoever reads the new contact also sees the state that the contact covers.
+// state, so that a reader of the new contact also sees the state that the contact covers.
 func (c *consensusLoop) notifyContact() {
 	at := c.node.LastContact()
 	if at == c.notifiedContact {
--- a/internal/controlplane/metrics.go
+++ b/internal/controlplane/metrics.go
@@ -74,7 +74,7 @@
 	controlmsg.WriteMetrics(set, "weirwind_controlplane", "dialled", &srv.dialled)
 	if age := srv.contactAge(); !math.IsInf(age, 1) {
 		set.Gauge("weirwind_controlplane_contact_age_seconds",
-			"Time since this machine last had contact with a quorum.", age/1000)
+			"Time since this machine last had contact with a quorum, and so knew all acknowledged state.", age/1000)
 	}
 	set.Flag("weirwind_controlplane_in_contact", "1 while this machine has contact with a quorum.",
 		srv.inContact())
--- a/internal/controlplane/pending.go
+++ b/internal/controlplane/pending.go
@@ -34,22 +34,22 @@
 
 // add registers a request that is sent to a leader over a link. Its response goes to the channel response, which must
 // have buffer space for one.
-func (p *pendingCalls) add(over *link, leader string, response chan<- *controlmsg.Response) callID {
+func (p *pendingCalls) add(via *link, leader string, response chan<- *controlmsg.Response) callID {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.number++
-	id := callID{over, p.number}
+	id := callID{via, p.number}
 	p.calls[id] = pendingCall{leader, response}
 	return id
 }
 
 // send sends a request to a leader over a link, once. Its response goes to the channel response.
-func (p *pendingCalls) send(over *link, leader string, r controlmsg.Request,
+func (p *pendingCalls) send(via *link, leader string, r controlmsg.Request,
 	response chan<- *controlmsg.Response) callID {
-	id := p.add(over, leader, response)
+	id := p.add(via, leader, response)
 	r.Number = id.number
-	if !over.Send(&controlmsg.Frame{Request: &r}) {
-		p.failLink(over)
+	if !via.Send(&controlmsg.Frame{Request: &r}) {
+		p.failLink(via)
 	}
 	return id
 }
--- a/internal/controlplane/pending_test.go
+++ b/internal/controlplane/pending_test.go
@@ -16,10 +16,10 @@
 func TestAnswersFindTheirCallers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type call struct {
-			id   callID
-			ch   chan *controlmsg.Response
-			body string
-			done bool
+			id       callID
+			response chan *controlmsg.Response
+			body     string
+			done     bool
 		}
 		start := time.Unix(1_000_000, 0)
 		p := newPendingCalls(start)
@@ -30,7 +30,7 @@
 		checkResponses := func() {
 			for _, c := range calls {
 				select {
-				case r := <-c.ch:
+				case r := <-c.response:
 					if c.done || r.Status == 200 && string(r.Body) != c.body {
 						t.Fatalf("%s was answered %s", c.body, r.Body)
 					}
@@ -43,24 +43,24 @@
 			l := links[rapid.IntRange(0, 2).Draw(t, "link")]
 			switch rapid.IntRange(0, 6).Draw(t, "what") {
 			case 0, 1, 2:
-				c := &call{ch: make(chan *controlmsg.Response, 1)}
-				c.id = p.add(l, "leader", c.ch)
-				c.body = body(c.id)
-				calls, inFlight = append(calls, c), append(inFlight, c.id)
+				newCall := &call{response: make(chan *controlmsg.Response, 1)}
+				newCall.id = p.add(l, "leader", newCall.response)
+				newCall.body = body(newCall.id)
+				calls, inFlight = append(calls, newCall), append(inFlight, newCall.id)
 			case 3, 4:
 				if len(inFlight) == 0 {
 					continue
 				}
 				id := inFlight[rapid.IntRange(0, len(inFlight)-1).Draw(t, "answer")]
-				over := id.link
+				via := id.link
 				if rapid.IntRange(0, 3).Draw(t, "stray") == 0 { // another peer answers its own call with the same number
-					over = l
+					via = l
 				}
-				p.answer(over, &controlmsg.Response{Number: id.number, Status: 200, Body: []byte(body(callID{over, id.number}))})
+				p.answer(via, &controlmsg.Response{Number: id.number, Status: 200, Body: []byte(body(callID{via, id.number}))})
 			case 5:
 				p.failLink(l)
 				for _, c := range calls {
-					if c.id.link == l && len(c.ch) == 0 && !c.done {
+					if c.id.link == l && len(c.response) == 0 && !c.done {
 						t.Fatalf("%s waits on a link that has ended", c.body)
 					}
 				}
--- a/internal/controlplane/platform_test.go
+++ b/internal/controlplane/platform_test.go
@@ -13,22 +13,22 @@
 // and it makes no call over an idle connection. The test fails with keep-alive connections, which may be closed
 // unnoticed while they are idle.
 func TestPlatformIsAskedOnce(t *testing.T) {
-	ln, err := net.Listen("tcp4", "127.0.0.1:0")
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ln.Close()
+	defer listener.Close()
 	var conns, calls atomic.Int32
 	go func() {
 		for {
-			c, err := ln.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
 			conns.Add(1)
 			go func() {
-				defer c.Close()
-				r := bufio.NewReader(c)
+				defer conn.Close()
+				r := bufio.NewReader(conn)
 				for {
 					req, err := http.ReadRequest(r)
 					if err != nil {
@@ -38,7 +38,7 @@
 					if calls.Add(1)%2 == 0 {
 						return // the call was carried out, but its response is lost
 					}
-					c.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
+					conn.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
 				}
 			}()
 		}
@@ -46,7 +46,7 @@
 	failed := 0
 	for range 10 {
 		body := strings.NewReader(`{"svc":"s","id":"a"}`)
-		resp, err := platformClient.Post("http://"+ln.Addr().String()+"/failover", "application/json", body)
+		resp, err := platformClient.Post("http://"+listener.Addr().String()+"/failover", "application/json", body)
 		if err != nil {
 			failed++
 			continue
--- a/internal/controlplane/resets_test.go
+++ b/internal/controlplane/resets_test.go
@@ -33,14 +33,14 @@
 	l.Send(&controlmsg.Frame{Response: &controlmsg.Response{Number: f.Request.Number, Status: 200, Body: f.Request.Body}})
 }
 
-func (p *forwardingPair) setLink(l *link) (old *link) {
+func (p *forwardingPair) setLink(l *link) (previous *link) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if old, p.link = p.link, l; l != nil {
+	if previous, p.link = p.link, l; l != nil {
 		close(p.linkUp)
 		p.linkUp = make(chan struct{})
 	}
-	return old
+	return previous
 }
 
 // call forwards one call as Server.route does, and waits until it has ended. sent is false if no link was up.
@@ -52,10 +52,10 @@
 		<-up
 		return nil, false
 	}
-	ch := make(chan *controlmsg.Response, 1)
-	p.pending.send(l, "leader", controlmsg.Request{Body: body}, ch)
+	response := make(chan *controlmsg.Response, 1)
+	p.pending.send(l, "leader", controlmsg.Request{Body: body}, response)
 	select {
-	case r := <-ch:
+	case r := <-response:
 		return r, true
 	case <-time.After(20 * time.Second):
 		t.Error("a call did not end")
@@ -68,13 +68,13 @@
 // the end of a link leaves its calls waiting (failLink).
 func TestCallsOverLinksThatAreReset(t *testing.T) {
 	p := &forwardingPair{pending: newPendingCalls(time.Now()), linkUp: make(chan struct{}), executions: map[uint64]int{}}
-	ln, err := net.Listen("tcp4", "127.0.0.1:0")
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ln.Close()
-	go transport.Serve(ln, 0, func(*link) {}, p.serve, func(*link) {})
-	relay, err := links.NewResettingRelay("127.0.0.1:0", ln.Addr().String(), 3)
+	defer listener.Close()
+	go transport.Serve(listener, 0, func(*link) {}, p.serve, func(*link) {})
+	relay, err := links.NewResettingRelay("127.0.0.1:0", listener.Addr().String(), 3)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -82,19 +82,19 @@
 	relay.SetByteLimit(2000)
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	again := transport.Backoff{Initial: time.Millisecond, Max: time.Millisecond, DialTimeout: transport.DialTimeout}
-	go transport.KeepConnected(ctx, relay.Addr(), again, func(l *link) { p.setLink(l) },
+	backoff := transport.Backoff{Initial: time.Millisecond, Max: time.Millisecond, DialTimeout: transport.DialTimeout}
+	go transport.KeepConnected(ctx, relay.Addr(), backoff, func(l *link) { p.setLink(l) },
 		func(l *link, f *controlmsg.Frame) { p.pending.answer(l, f.Response) },
 		func() { p.pending.failLink(p.setLink(nil)) })
 
-	const callers, each = 8, 150
+	const callers, callsPerCaller = 8, 150
 	var workers sync.WaitGroup
 	var mu sync.Mutex
 	answered := map[uint64]bool{}
 	for c := range callers {
 		workers.Go(func() {
-			for n := 0; n < each; {
-				id := uint64(c*each + n)
+			for n := 0; n < callsPerCaller; {
+				id := uint64(c*callsPerCaller + n)
 				body := binary.BigEndian.AppendUint64(nil, id)
 				r, sent := p.call(t, body)
 				if !sent {
@@ -123,7 +123,7 @@
 		}
 	}
 	t.Logf("%d calls, %d answered, %d connections were reset", len(answered), succeeded, relay.Resets())
-	if succeeded < callers*each/4 || succeeded == callers*each || relay.Resets() < 10 {
+	if succeeded < callers*callsPerCaller/4 || succeeded == callers*callsPerCaller || relay.Resets() < 10 {
 		t.Error("too few resets, or too few answers")
 	}
 }
