--- a/internal/controlplane/platform_test.go
+++ b/internal/controlplane/platform_test.go
@@ -9,26 +9,26 @@
 	"testing"
 )
 
-// A platform that takes a call, and then ends the connection without an answer, was asked once: the client puts no
-// call again, and none over an idle connection. It fails with kept connections, which end unseen as
-// they rest.
+// If the platform accepts a call and closes the connection without a response, the client does not repeat the call,
+// and it makes no call over an idle connection. The test fails with keep-alive connections, which may be closed
+// unnoticed while they are idle.
 func TestPlatformIsAskedOnce(t *testing.T) {
-	ln, err := net.Listen("tcp4", "127.0.0.1:0")
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ln.Close()
+	defer listener.Close()
 	var conns, calls atomic.Int32
 	go func() {
 		for {
-			c, err := ln.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
 			conns.Add(1)
 			go func() {
-				defer c.Close()
-				r := bufio.NewReader(c)
+				defer conn.Close()
+				r := bufio.NewReader(conn)
 				for {
 					req, err := http.ReadRequest(r)
 					if err != nil {
@@ -36,9 +36,9 @@
 					}
 					req.Body.Close()
 					if calls.Add(1)%2 == 0 {
-						return // it was carried out, and its answer is lost
+						return // the call was carried out, but its response is lost
 					}
-					c.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
+					conn.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
 				}
 			}()
 		}
@@ -46,7 +46,7 @@
 	failed := 0
 	for range 10 {
 		body := strings.NewReader(`{"svc":"s","id":"a"}`)
-		resp, err := platformClient.Post("http://"+ln.Addr().String()+"/failover", "application/json", body)
+		resp, err := platformClient.Post("http://"+listener.Addr().String()+"/failover", "application/json", body)
 		if err != nil {
 			failed++
 			continue
