--- a/internal/controlplane/controlmsg/metrics.go
+++ b/internal/controlplane/controlmsg/metrics.go
@@ -19,8 +19,8 @@
 				continue
 			}
 			labels := []string{"links", links, "purpose", purpose, "direction", direction}
-			set.Counter(prefix+"_frames_total", "Frames on links of the control plane.", float64(count.Frames), labels...)
-			set.Counter(prefix+"_bytes_total", "Bytes on links of the control plane, without TCP and IP headers.",
+			set.Counter(prefix+"_frames_total", "Frames over links of the control plane.", float64(count.Frames), labels...)
+			set.Counter(prefix+"_bytes_total", "Bytes over links of the control plane, headers of TCP and IP left out.",
 				float64(count.Bytes), labels...)
 		}
 	}
--- a/internal/controlplane/metrics.go
+++ b/internal/controlplane/metrics.go
@@ -74,13 +74,13 @@
 	controlmsg.WriteMetrics(set, "weirwind_controlplane", "dialled", &srv.dialled)
 	if age := srv.contactAge(); !math.IsInf(age, 1) {
 		set.Gauge("weirwind_controlplane_contact_age_seconds",
-			"Time since this machine last had contact with a quorum, and so knew all acknowledged state.", age/1000)
+			"Since this machine last knew all that was acknowledged anywhere.", age/1000)
 	}
-	set.Flag("weirwind_controlplane_in_contact", "1 while this machine has contact with a quorum.",
+	set.Flag("weirwind_controlplane_in_contact", "1 while this machine answers calls by a majority.",
 		srv.inContact())
 	set.Gauge("weirwind_controlplane_disk_wait_seconds",
-		"Time for which the current write has blocked the consensus loop.", srv.loop.diskWait.currentWriteMs(srv.now())/1000)
-	set.Flag("weirwind_controlplane_disk_full", "1 while the disk has no space for the current write.",
+		"For which a write has kept the consensus loop waiting.", srv.loop.diskWait.currentWriteMs(srv.now())/1000)
+	set.Flag("weirwind_controlplane_disk_full", "1 while the disk has no room for the present write.",
 		srv.loop.diskWait.isFull())
 	if loop, ok := callLoop(srv.loop, srv.loop.snapshot); ok {
 		loop.write(set)
@@ -93,37 +93,37 @@
 }
 
 func (s *loopSnapshot) write(set metrics.Set) {
-	set.Gauge("weirwind_controlplane_term", "Current consensus term.", float64(s.term))
-	set.Gauge("weirwind_controlplane_commit_index", "Index of the newest known committed entry.",
+	set.Gauge("weirwind_controlplane_term", "Term of consensus.", float64(s.term))
+	set.Gauge("weirwind_controlplane_commit_index", "Index of the newest entry that is known committed.",
 		float64(s.commitIndex))
 	set.Gauge("weirwind_controlplane_last_index", "Index of the newest entry on this disk.", float64(s.lastIndex))
-	set.Gauge("weirwind_controlplane_config_version", "Version of the committed configuration; 0 if there is none.",
+	set.Gauge("weirwind_controlplane_config_version", "Version of the committed configuration; 0: none.",
 		float64(s.configVersion))
-	set.Gauge("weirwind_controlplane_voters", "Voters of the core.", float64(s.voters))
-	set.Gauge("weirwind_controlplane_silent_voters", "Other voters that are silent, as known to the leader.",
+	set.Gauge("weirwind_controlplane_voters", "Machines that vote.", float64(s.voters))
+	set.Gauge("weirwind_controlplane_silent_voters", "Other voters that are silent; known by the leader.",
 		float64(s.silentVoters))
-	set.Gauge("weirwind_controlplane_lagging_voters", "Other voters that lack the last entry, as known to the leader.",
+	set.Gauge("weirwind_controlplane_lagging_voters", "Other voters that lack the last entry; known by the leader.",
 		float64(s.laggingVoters))
 	set.Gauge("weirwind_controlplane_drifting_voters",
-		"Voters whose clocks run at a different rate, as known to the leader.", float64(s.driftingVoters))
+		"Voters whose clocks run at another rate; known by the leader.", float64(s.driftingVoters))
 	set.Gauge("weirwind_controlplane_roster_members", "Members that may hold an acknowledged commit.",
 		float64(s.rosterMembers))
 	set.Counter("weirwind_controlplane_disk_syncs_total", "Writes to the disk.", float64(s.syncs))
-	set.Gauge("weirwind_controlplane_disk_last_sync_seconds", "Duration of the newest disk write.", s.lastSyncMs/1000)
-	set.Gauge("weirwind_controlplane_disk_max_sync_seconds", "Duration of the longest disk write.", s.maxSyncMs/1000)
+	set.Gauge("weirwind_controlplane_disk_last_sync_seconds", "Time of the newest write.", s.lastSyncMs/1000)
+	set.Gauge("weirwind_controlplane_disk_max_sync_seconds", "Time of the longest write.", s.maxSyncMs/1000)
 }
 
 func (s *stateSnapshot) write(set metrics.Set) {
 	set.Flag("weirwind_controlplane_leads", "1 while this machine leads.", s.leading)
 	set.Flag("weirwind_controlplane_directory_complete",
-		"1 while this machine knows all members and drivers that other core machines know.", s.directoryComplete)
+		"1 while nothing that others know is missing here.", s.directoryComplete)
 	set.Gauge("weirwind_controlplane_members", "Members that have not ended.", float64(s.members))
 	set.Gauge("weirwind_controlplane_driver_leases", "Drivers that hold a lease.", float64(s.drivers))
-	set.Gauge("weirwind_controlplane_agents", "Agents that renew their leases at this machine.", float64(s.agents))
+	set.Gauge("weirwind_controlplane_agents", "Agents that renew at this machine.", float64(s.agents))
 	set.Gauge("weirwind_controlplane_core_links", "Links to other core machines that are up.", float64(s.coreLinks))
 	s.quotas.write(set)
 	for service, phase := range s.failovers {
 		set.Gauge("weirwind_controlplane_failover_phase",
-			"1 for the current phase of a service's failover controller, at the leader.", 1, "service", service, "phase", phase)
+			"1 for the phase of a service's failover, at the leader.", 1, "service", service, "phase", phase)
 	}
 }
--- a/internal/controlplane/quotametrics.go
+++ b/internal/controlplane/quotametrics.go
@@ -31,15 +31,15 @@
 	}
 	set.Gauge("weirwind_controlplane_quota_shares", "Sum of the shares of tenants' quotas that this machine holds.",
 		s.shares)
-	set.Gauge("weirwind_controlplane_quota_demand", "Operations per second for which proxies ask this machine for tokens.",
+	set.Gauge("weirwind_controlplane_quota_demand", "Operations a second for which this machine is asked for tokens.",
 		s.demand)
-	set.Counter("weirwind_controlplane_quota_tokens_total", "Tokens that were granted to proxies.", float64(s.granted))
-	set.Counter("weirwind_controlplane_quota_refused_total", "Operations that were refused a token.",
+	set.Counter("weirwind_controlplane_quota_tokens_total", "Tokens that were given out to proxies.", float64(s.granted))
+	set.Counter("weirwind_controlplane_quota_refused_total", "Operations for which there was no token.",
 		float64(s.refused))
-	set.Counter("weirwind_controlplane_quota_lapses_total", "Number of times that all shares expired with their lease.",
+	set.Counter("weirwind_controlplane_quota_lapses_total", "How often all shares ended with their lease.",
 		float64(s.leaseExpirations))
 	if s.leading {
 		set.Flag("weirwind_controlplane_quota_shares_known",
-			"At the leader, 1 once all shares that may be held were reported to it.", s.sharesKnown)
+			"At the leader, 1 once no share may be held that was not reported to it.", s.sharesKnown)
 	}
 }
