--- a/internal/plan/doc.go
+++ b/internal/plan/doc.go
@@ -1,25 +1,25 @@
 // Package plan schedules planned changes of primaries and replacements of members over many groups, so that enough
-// capacity is left at every moment, members that warm up get no more than they can take, and little write time is
-// lost. It does no I/O and reads no clock.
+// capacity remains at any time, members that warm up are not overloaded, and writes are interrupted only briefly. It
+// does no I/O and reads no clock.
 //
 // # The problem
 //
 // Members form groups, each with one primary. A Step either switches a group's primary (Switch) or replaces a member
-// (Replace): the member is away, then it warms up and counts for a part of its capacity. Replacing a primary changes
-// the primary first. Limits hold at every moment of the plan.
+// (Replace): the member is away, then it warms up and counts for a part of its capacity. Replacing a primary switches
+// the primary first. The limits must hold at any time during the plan.
 //
 // # The search
 //
 // Steps are scheduled one after the other, each at the earliest start that all limits allow (serial schedule
-// generation). Nothing that is scheduled moves again. The first order is by priority: groups with least spare
-// capacity first. A few hundred other orders, drawn from a seed, are tried for a shorter plan. Capacity and limits
-// change only where a step begins or ends, so those are the only starts to try.
+// generation). A scheduled step is never moved. The first order is by priority: groups with the least spare capacity
+// first. The caller can have more orders, shuffled by a seeded generator, tried for a shorter plan. Capacity and limits
+// change only when a step begins or ends, so those are the only starts to try.
 //
-// A linear program was considered: starts are disjunctions (this group first, or that one), so it would need integer
-// variables, for which no library at hand is maintained; and a limit that binds is easier to name here.
+// The alternative, a linear program, was rejected: starts are disjunctions (this group first, or that one), so it would
+// need integer variables, for which no maintained library was available, and a binding limit is easier to name here.
 //
 // # Invariants
 //
-// A plan keeps every limit. Where there is no plan, Solve returns an InfeasibleError that names the limit that binds
-// in the first order. The same problem, number of attempts and seed give the same plan.
+// A plan keeps every limit. If no order gives a plan, Solve returns an InfeasibleError that names the binding limit of
+// the first order that failed. The same problem, number of attempts and seed give the same plan.
 package plan
--- a/internal/plan/plan_test.go
+++ b/internal/plan/plan_test.go
@@ -9,77 +9,77 @@
 	"pgregory.net/rapid"
 )
 
-// audit looks at a plan at many moments, without the planner's own reckoning.
-func audit(members []Member, steps []Step, l Limits, all []ScheduledStep) error {
-	if len(all) != len(steps) {
-		return fmt.Errorf("%d of %d steps", len(all), len(steps))
+// checkPlan checks all limits at many moments of a plan, independently of the planner's own computation.
+func checkPlan(members []Member, steps []Step, limits Limits, scheduled []ScheduledStep) error {
+	if len(scheduled) != len(steps) {
+		return fmt.Errorf("%d of %d steps", len(scheduled), len(steps))
 	}
-	by := map[string]Member{}
+	byName := map[string]Member{}
 	for _, m := range members {
-		by[m.Name] = m
+		byName[m.Name] = m
 	}
-	lost := map[int64]float64{}
+	writeGaps := map[int64]float64{}
 	var moments []float64
-	for _, p := range all {
-		away := p.Start + p.WriteGap
-		moments = append(moments, p.Start, p.Start+0.001, away+0.001, away+l.ReplaceTime+0.001, p.End-0.001)
-		lost[p.Group] += p.WriteGap
-		late := l.Deadline > 0 && p.End > l.Deadline+1e-6
-		if late || p.ChangesPrimary != by[p.Member].Primary || p.ChangesPrimary && p.WriteGap != l.WriteGap {
-			return fmt.Errorf("%+v", p)
+	for _, step := range scheduled {
+		awayFrom := step.Start + step.WriteGap
+		moments = append(moments, step.Start, step.Start+0.001, awayFrom+0.001, awayFrom+limits.ReplaceTime+0.001, step.End-0.001)
+		writeGaps[step.Group] += step.WriteGap
+		late := limits.Deadline > 0 && step.End > limits.Deadline+1e-6
+		if late || step.ChangesPrimary != byName[step.Member].Primary || step.ChangesPrimary && step.WriteGap != limits.WriteGap {
+			return fmt.Errorf("%+v", step)
 		}
-		for _, q := range all {
-			bothChange := q.Member != p.Member && q.ChangesPrimary && p.ChangesPrimary
-			if bothChange && q.Start-p.Start < l.SwitchInterval-1e-6 && q.Start >= p.Start {
-				return fmt.Errorf("%s and %s change primaries within the pause", p.Member, q.Member)
+		for _, other := range scheduled {
+			bothChange := other.Member != step.Member && other.ChangesPrimary && step.ChangesPrimary
+			if bothChange && other.Start-step.Start < limits.SwitchInterval-1e-6 && other.Start >= step.Start {
+				return fmt.Errorf("%s and %s change primaries within the switch interval", step.Member, other.Member)
 			}
 		}
 	}
-	for g, x := range lost {
-		if x > l.MaxWriteGap+1e-6 {
-			return fmt.Errorf("group %d loses %g s", g, x)
+	for group, gap := range writeGaps {
+		if gap > limits.MaxWriteGap+1e-6 {
+			return fmt.Errorf("writes of group %d are interrupted for %g s", group, gap)
 		}
 	}
-	for _, t := range moments {
-		group, zone, cold := map[int64]float64{}, map[string]float64{}, 0
+	for _, moment := range moments {
+		groupCapacity, zoneCapacity, unavailable := map[int64]float64{}, map[string]float64{}, 0
 		for _, m := range members {
-			has := m.Capacity
-			for _, p := range all {
-				if away := p.Start + p.WriteGap; p.Member == m.Name && p.Kind == Replace && t > away && t < p.End {
-					cold++
-					if has = 0; t > away+l.ReplaceTime {
-						has = m.Capacity * l.WarmupCapacity
+			capacity := m.Capacity
+			for _, step := range scheduled {
+				if awayFrom := step.Start + step.WriteGap; step.Member == m.Name && step.Kind == Replace && moment > awayFrom && moment < step.End {
+					unavailable++
+					if capacity = 0; moment > awayFrom+limits.ReplaceTime {
+						capacity = m.Capacity * limits.WarmupCapacity
 					}
 				}
 			}
-			group[m.Group] += has
-			zone[m.Zone] += has
+			groupCapacity[m.Group] += capacity
+			zoneCapacity[m.Zone] += capacity
 		}
-		if cold > l.MaxUnavailable {
-			return fmt.Errorf("%d cold at %g", cold, t)
+		if unavailable > limits.MaxUnavailable {
+			return fmt.Errorf("%d members are unavailable at %g", unavailable, moment)
 		}
-		for g, need := range l.GroupCapacity {
-			if group[g] < need-1e-6 {
-				return fmt.Errorf("group %d has %g of %g at %g", g, group[g], need, t)
+		for g, need := range limits.GroupCapacity {
+			if groupCapacity[g] < need-1e-6 {
+				return fmt.Errorf("group %d has %g of %g at %g", g, groupCapacity[g], need, moment)
 			}
 		}
-		for z, need := range l.ZoneCapacity {
-			if zone[z] < need-1e-6 {
-				return fmt.Errorf("zone %s has %g of %g at %g", z, zone[z], need, t)
+		for z, need := range limits.ZoneCapacity {
+			if zoneCapacity[z] < need-1e-6 {
+				return fmt.Errorf("zone %s has %g of %g at %g", z, zoneCapacity[z], need, moment)
 			}
 		}
 	}
 	return nil
 }
 
-// Every plan keeps every limit, whatever the problem; where there is none, a limit is named.
+// For any problem, a plan keeps every limit, and an error for a problem without a plan names a limit.
 func TestPlansKeepLimits(t *testing.T) {
-	plans, refusals := 0, 0
+	plans, infeasible := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		var members []Member
 		var steps []Step
-		whole := func(most int, label string) float64 { return float64(rapid.IntRange(0, most).Draw(t, label)) }
-		l := Limits{
+		whole := func(maximum int, label string) float64 { return float64(rapid.IntRange(0, maximum).Draw(t, label)) }
+		limits := Limits{
 			GroupCapacity:  map[int64]float64{},
 			ZoneCapacity:   map[string]float64{},
 			MaxUnavailable: rapid.IntRange(1, 4).Draw(t, "cold"),
@@ -107,30 +107,30 @@
 					steps = append(steps, Step{kind, m.Name})
 				}
 			}
-			l.GroupCapacity[int64(g)] = sum * rapid.Float64Range(0, 0.8).Draw(t, "need")
-			l.ZoneCapacity["a"] += sum * rapid.Float64Range(0, 0.4).Draw(t, "zone")
+			limits.GroupCapacity[int64(g)] = sum * rapid.Float64Range(0, 0.8).Draw(t, "need")
+			limits.ZoneCapacity["a"] += sum * rapid.Float64Range(0, 0.4).Draw(t, "zone")
 		}
-		all, err := Solve(members, steps, l, 5, 1)
-		var refused *InfeasibleError
+		all, err := Solve(members, steps, limits, 5, 1)
+		var infeasibleErr *InfeasibleError
 		switch {
 		case err == nil && len(steps) == 0:
 		case err == nil:
 			plans++
-			if err := audit(members, steps, l, all); err != nil {
+			if err := checkPlan(members, steps, limits, all); err != nil {
 				t.Fatalf("%v\n%s", err, Format(all))
 			}
-		case !errors.As(err, &refused) || refused.Limit == "":
+		case !errors.As(err, &infeasibleErr) || infeasibleErr.Limit == "":
 			t.Fatal(err)
 		default:
-			refusals++
+			infeasible++
 		}
 	})
-	if plans < 10 || refusals < 10 {
-		t.Errorf("%d plans and %d refusals: the test says little", plans, refusals)
+	if plans < 10 || infeasible < 10 {
+		t.Errorf("%d plans and %d infeasible problems are too few for a meaningful test", plans, infeasible)
 	}
 }
 
-func four() []Member {
+func fourMembers() []Member {
 	return []Member{
 		{"p", "a", 1, 100, true},
 		{"q", "b", 1, 100, false},
@@ -139,12 +139,12 @@
 	}
 }
 
-// Steps that may overlap do; more attempts never give a longer plan.
-func TestPlansAreShort(t *testing.T) {
-	l := Limits{MaxUnavailable: 2, ReplaceTime: 10, WarmupTime: 20, WarmupCapacity: 0.5, WriteGap: 2, MaxWriteGap: 10,
+// Steps that may overlap do overlap, and more attempts don't give a longer plan.
+func TestIndependentStepsOverlap(t *testing.T) {
+	limits := Limits{MaxUnavailable: 2, ReplaceTime: 10, WarmupTime: 20, WarmupCapacity: 0.5, WriteGap: 2, MaxWriteGap: 10,
 		GroupCapacity: map[int64]float64{1: 200}}
-	all, err := Solve(four(), []Step{{Replace, "q"}, {Replace, "r"}, {Replace, "p"}}, l, 1, 1)
-	if err != nil || length(all) != 62 || all[0].Start != 0 || all[1].Start != 0 || all[2].Member != "p" ||
+	all, err := Solve(fourMembers(), []Step{{Replace, "q"}, {Replace, "r"}, {Replace, "p"}}, limits, 1, 1)
+	if err != nil || duration(all) != 62 || all[0].Start != 0 || all[1].Start != 0 || all[2].Member != "p" ||
 		!all[2].ChangesPrimary {
 		t.Fatalf("%v\n%s", err, Format(all))
 	}
@@ -153,14 +153,14 @@
 			t.Errorf("%q is not in\n%s", want, Format(all))
 		}
 	}
-	again, err := Solve(four(), []Step{{Replace, "q"}, {Replace, "r"}, {Replace, "p"}}, l, 200, 1)
-	if err != nil || length(again) > length(all) {
-		t.Error(err, length(again))
+	again, err := Solve(fourMembers(), []Step{{Replace, "q"}, {Replace, "r"}, {Replace, "p"}}, limits, 200, 1)
+	if err != nil || duration(again) > duration(all) {
+		t.Error(err, duration(again))
 	}
 }
 
-// The limit that makes a problem infeasible is named.
-func TestLimitsAreNamed(t *testing.T) {
+// The error of an infeasible problem names the binding limit.
+func TestInfeasibleErrorNamesTheLimit(t *testing.T) {
 	for want, change := range map[string]func(*Limits){
 		"capacity: group 1 would have 300 of the 350": func(l *Limits) { l.GroupCapacity = map[int64]float64{1: 350} },
 		"capacity: zone a would have 100 of the 150":  func(l *Limits) { l.ZoneCapacity = map[string]float64{"a": 150} },
@@ -170,10 +170,10 @@
 		"candidates: group 1 has 3 warm members":      func(l *Limits) { l.MinCandidates = 4 },
 	} {
 		t.Run(want, func(t *testing.T) {
-			l := Limits{MaxUnavailable: 4, ReplaceTime: 10, WarmupTime: 20, WarmupCapacity: 0.5, WriteGap: 2,
+			limits := Limits{MaxUnavailable: 4, ReplaceTime: 10, WarmupTime: 20, WarmupCapacity: 0.5, WriteGap: 2,
 				MaxWriteGap: 10, SwitchInterval: 5}
-			change(&l)
-			_, err := Solve(four(), []Step{{Replace, "p"}}, l, 20, 1)
+			change(&limits)
+			_, err := Solve(fourMembers(), []Step{{Replace, "p"}}, limits, 20, 1)
 			var infeasible *InfeasibleError
 			if !errors.As(err, &infeasible) || !strings.HasPrefix(infeasible.Limit, want) || infeasible.Step.Member != "p" {
 				t.Error(err)
@@ -182,26 +182,26 @@
 	}
 }
 
-func TestProblemsThatMakeNoSense(t *testing.T) {
+func TestInvalidProblemsAreRejected(t *testing.T) {
 	good := Limits{MaxUnavailable: 1}
 	for i, c := range []struct {
 		members []Member
 		steps   []Step
-		l       Limits
+		limits  Limits
 	}{
-		{append(four(), four()[0]), nil, good},
-		{four()[1:], nil, good},
-		{four(), []Step{{Replace, "x"}}, good},
-		{four(), []Step{{Switch, "q"}}, good},
-		{four(), []Step{{Replace, "q"}, {Replace, "q"}}, good},
-		{four(), nil, Limits{}},
-		{four(), nil, Limits{MaxUnavailable: 1, WriteGap: -1}},
+		{append(fourMembers(), fourMembers()[0]), nil, good},
+		{fourMembers()[1:], nil, good},
+		{fourMembers(), []Step{{Replace, "x"}}, good},
+		{fourMembers(), []Step{{Switch, "q"}}, good},
+		{fourMembers(), []Step{{Replace, "q"}, {Replace, "q"}}, good},
+		{fourMembers(), nil, Limits{}},
+		{fourMembers(), nil, Limits{MaxUnavailable: 1, WriteGap: -1}},
 	} {
-		if _, err := Solve(c.members, c.steps, c.l, 1, 1); err == nil {
-			t.Errorf("%d: a problem that makes no sense is planned", i)
+		if _, err := Solve(c.members, c.steps, c.limits, 1, 1); err == nil {
+			t.Errorf("%d: no error for an invalid problem", i)
 		}
 	}
-	if all, err := Solve(four(), nil, good, 1, 1); err != nil || len(all) > 0 {
+	if all, err := Solve(fourMembers(), nil, good, 1, 1); err != nil || len(all) > 0 {
 		t.Error(all, err)
 	}
 }
--- a/internal/plan/problem.go
+++ b/internal/plan/problem.go
@@ -1,6 +1,6 @@
 package plan
 
-// This file owns the problem: members, steps and limits, and what makes a problem invalid or infeasible at once.
+// This file has the problem (members, steps and limits), its validation, and the check for obvious infeasibility.
 
 import (
 	"errors"
@@ -13,7 +13,7 @@
 // epsilon is the tolerance in comparisons of times and capacities.
 const epsilon = 1e-9
 
-// Member is one server of a group. Capacity is in any unit, the same for all.
+// Member is one server of a group. Capacity is in any unit that is the same for all members.
 type Member struct {
 	Name, Zone string
 	Group      int64
@@ -21,57 +21,57 @@
 	Primary    bool
 }
 
-// Kind is what a step does.
+// Kind is the kind of a step.
 type Kind uint8
 
 // The kinds of steps.
 const (
-	Switch  Kind = iota // the group's primary hands its role over; no member is away
-	Replace             // the member is away, then it warms up; a primary hands its role over first
+	Switch  Kind = iota // the group's primary hands its role over; no member becomes unavailable
+	Replace             // the member is away, then it warms up; a primary first hands its role over
 )
 
-// String is the kind's name.
+// String returns the kind's name.
 func (k Kind) String() string { return [...]string{"switch", "replace"}[k] }
 
-// Step is one thing to be done. The member of a Switch is the primary.
+// Step is one operation to be scheduled. The member of a Switch is the current primary.
 type Step struct {
 	Kind   Kind
 	Member string
 }
 
-// Limits hold at every moment. Times are seconds.
+// Limits are constraints that hold at any time during a plan, and the durations of steps. Times are in seconds.
 type Limits struct {
-	GroupCapacity  map[int64]float64  // that a group keeps at least
-	ZoneCapacity   map[string]float64 // that a zone keeps at least
-	MaxUnavailable int                // members away or warming up at a time, of all groups together
-	ReplaceTime    float64            // for which a replaced member is away
-	WarmupTime     float64            // for which it warms up then
-	WarmupCapacity float64            // of a member that warms up, from 0 to 1 of its capacity
-	WriteGap       float64            // for which a change of its primary stops a group's writes
-	MaxWriteGap    float64            // of a group, in all
-	SwitchInterval float64            // between two changes of a primary, of all groups
-	Deadline       float64            // of the whole plan; 0 for none
-	// MinCandidates is how many other members, neither away nor warming up, a group has when its primary changes. 0
-	// for 1.
+	GroupCapacity  map[int64]float64  // minimum available capacity by group
+	ZoneCapacity   map[string]float64 // minimum available capacity by zone
+	MaxUnavailable int                // maximum members away or warming up at a time, over all groups
+	ReplaceTime    float64            // how long a replaced member is away
+	WarmupTime     float64            // how long it then warms up
+	WarmupCapacity float64            // fraction of its capacity, from 0 to 1, that a member has while it warms up
+	WriteGap       float64            // how long a change of its primary interrupts a group's writes
+	MaxWriteGap    float64            // maximum total interruption of a group's writes
+	SwitchInterval float64            // minimum time between two changes of primaries, over all groups
+	Deadline       float64            // maximum duration of the plan; 0 for none
+	// MinCandidates is the minimum number of other members, neither away nor warming up, that a group has when its
+	// primary changes. 0 stands for 1.
 	MinCandidates int
 }
 
 func (l *Limits) minCandidates() int { return max(l.MinCandidates, 1) }
 
-// InfeasibleError says why there is no plan.
+// InfeasibleError is the error of a problem without a plan.
 type InfeasibleError struct {
 	Step  Step
-	Limit string // the one that binds
+	Limit string // description of the binding limit
 }
 
-// Error names the step and the limit.
+// Error returns a text with the step and the limit.
 func (e *InfeasibleError) Error() string {
 	return fmt.Sprintf("no plan: %s of %s: %s", e.Step.Kind, e.Step.Member, e.Limit)
 }
 
-// check returns what makes a problem invalid.
-func check(members []Member, steps []Step, limits *Limits) error {
-	byName, err := checkMembers(members)
+// validate returns an error if the problem is invalid.
+func validate(members []Member, steps []Step, limits *Limits) error {
+	byName, err := validateMembers(members)
 	if err != nil {
 		return err
 	}
@@ -92,7 +92,7 @@
 	return nil
 }
 
-func checkMembers(members []Member) (byName map[string]Member, err error) {
+func validateMembers(members []Member) (byName map[string]Member, err error) {
 	byName = map[string]Member{}
 	primaries := map[int64]int{}
 	for _, m := range members {
@@ -113,7 +113,7 @@
 	return byName, nil
 }
 
-// shortage names a capacity that is not there even with all members available; empty for none.
+// shortage describes the first group or zone whose minimum capacity exceeds that of all its members; "" for none.
 func shortage(members []Member, limits *Limits) string {
 	groups, zones := map[int64]float64{}, map[string]float64{}
 	for _, m := range members {
--- a/internal/plan/schedule.go
+++ b/internal/plan/schedule.go
@@ -1,6 +1,6 @@
 package plan
 
-// This file owns one schedule in the making: the earliest start of each step that all limits allow.
+// This file builds one schedule: it places each step at the earliest start that all limits allow.
 
 import (
 	"fmt"
@@ -8,26 +8,28 @@
 	"slices"
 )
 
-// outage is a time in which a member has lost capacity: all of it while it is away, a part while it warms up.
+// outage is an interval in which a member lacks capacity: all of it while it is away, a part while it warms up.
 type outage struct {
 	from, to float64
 	loss     float64
 	member   Member
 }
 
-// at says whether the outage lasts at a moment.
-func (o *outage) at(moment float64) bool { return o.from <= moment+epsilon && o.to > moment+epsilon }
+// activeAt reports whether the outage covers a moment.
+func (o *outage) activeAt(moment float64) bool {
+	return o.from <= moment+epsilon && o.to > moment+epsilon
+}
 
-// schedule holds the steps that are scheduled so far. Each keeps all limits together with those before it.
+// schedule has the steps scheduled so far. Together they keep all limits.
 type schedule struct {
 	limits    Limits
 	members   map[string]Member
 	groups    map[int64][]Member
 	steps     []ScheduledStep
 	outages   []outage
-	changes   []float64         // starts of changes of primaries, of all groups
-	writeGaps map[int64]float64 // by group, of its steps so far
-	primaries map[int64]string  // by group; empty once it has changed: the new one is not known
+	changes   []float64         // starts of changes of primaries, over all groups
+	writeGaps map[int64]float64 // total of the steps so far, by group
+	primaries map[int64]string  // by group; "" after a change, as the new primary isn't known
 }
 
 func newSchedule(members []Member, limits Limits) *schedule {
@@ -48,17 +50,17 @@
 	return s
 }
 
-// scheduleAll schedules steps in an order, but primaries last: else the new primary may be a member that is replaced
-// next.
+// scheduleAll schedules steps in the given order, but primaries last: otherwise the new primary might be a member that
+// is replaced next.
 func (s *schedule) scheduleAll(order []Step) ([]ScheduledStep, error) {
-	rank := func(step Step) int {
+	priority := func(step Step) int {
 		if s.members[step.Member].Primary {
 			return 1
 		}
 		return 0
 	}
 	order = slices.Clone(order)
-	slices.SortStableFunc(order, func(a, b Step) int { return rank(a) - rank(b) })
+	slices.SortStableFunc(order, func(a, b Step) int { return priority(a) - priority(b) })
 	for _, step := range order {
 		if err := s.schedule(step); err != nil {
 			return nil, err
@@ -69,26 +71,26 @@
 
 // schedule adds a step at the earliest start that all limits allow.
 func (s *schedule) schedule(step Step) error {
-	m := s.members[step.Member]
-	p := ScheduledStep{Step: step, Group: m.Group, ChangesPrimary: s.primaries[m.Group] == m.Name}
-	if p.ChangesPrimary {
-		p.WriteGap, p.PriorWriteGap = s.limits.WriteGap, s.writeGaps[m.Group]
-		if total := p.PriorWriteGap + p.WriteGap; total > s.limits.MaxWriteGap+epsilon {
-			return &InfeasibleError{step, fmt.Sprintf("write time: group %d would lose %g s, %g are allowed", m.Group, total,
-				s.limits.MaxWriteGap)}
+	member := s.members[step.Member]
+	scheduled := ScheduledStep{Step: step, Group: member.Group, ChangesPrimary: s.primaries[member.Group] == member.Name}
+	if scheduled.ChangesPrimary {
+		scheduled.WriteGap, scheduled.PriorWriteGap = s.limits.WriteGap, s.writeGaps[member.Group]
+		if total := scheduled.PriorWriteGap + scheduled.WriteGap; total > s.limits.MaxWriteGap+epsilon {
+			return &InfeasibleError{step, fmt.Sprintf("write time: group %d would lose %g s, %g are allowed", member.Group,
+				total, s.limits.MaxWriteGap)}
 		}
 	}
 	limit := ""
 	for _, start := range s.starts() {
-		if limit = s.fit(&p, m, start); limit == "" {
-			s.add(p, m)
+		if limit = s.tryStart(&scheduled, member, start); limit == "" {
+			s.add(scheduled, member)
 			return nil
 		}
 	}
 	return &InfeasibleError{step, limit}
 }
 
-// starts are the moments at which what is available or allowed changes.
+// starts returns, in order, the moments at which the available capacity or an allowance changes.
 func (s *schedule) starts() []float64 {
 	starts := []float64{0}
 	for _, o := range s.outages {
@@ -97,15 +99,15 @@
 	for _, change := range s.changes {
 		starts = append(starts, change+s.limits.SwitchInterval)
 	}
-	for _, p := range s.steps { // a group's steps do not overlap a change of its primary
+	for _, p := range s.steps { // ends of steps and of interruptions of writes
 		starts = append(starts, p.End, p.Start+p.WriteGap)
 	}
 	slices.Sort(starts)
 	return slices.Compact(starts)
 }
 
-// fit sets a step's times to a start, and names the first limit that forbids it; empty for none.
-func (s *schedule) fit(step *ScheduledStep, member Member, start float64) string {
+// tryStart sets a step's times for a start, and describes the first limit that forbids it; "" for none.
+func (s *schedule) tryStart(step *ScheduledStep, member Member, start float64) string {
 	step.Start, step.End = start, start+step.WriteGap
 	if step.Kind == Replace {
 		step.End += s.limits.ReplaceTime + s.limits.WarmupTime
@@ -119,28 +121,28 @@
 		}
 	}
 	outages := append(slices.Clone(s.outages), s.outagesOf(step, member)...)
-	moments := beginnings(outages, step)
+	moments := outageStarts(outages, step)
 	if limit := s.checkCapacity(step, member, outages, moments); limit != "" {
 		return limit
 	}
 	return s.checkUnavailable(outages, moments)
 }
 
-// outagesOf are a step's own: the member is away, and then it warms up.
+// outagesOf returns the outages of a step: the member is away, and then it warms up.
 func (s *schedule) outagesOf(step *ScheduledStep, member Member) []outage {
 	if step.Kind != Replace {
 		return nil
 	}
 	from := step.Start + step.WriteGap
-	back := from + s.limits.ReplaceTime
+	returnsAt := from + s.limits.ReplaceTime
 	return []outage{
-		{from, back, member.Capacity, member},
-		{back, step.End, member.Capacity * (1 - s.limits.WarmupCapacity), member},
+		{from, returnsAt, member.Capacity, member},
+		{returnsAt, step.End, member.Capacity * (1 - s.limits.WarmupCapacity), member},
 	}
 }
 
-// beginnings are the moments within a step at which an outage begins: capacity is least at one of them.
-func beginnings(outages []outage, step *ScheduledStep) []float64 {
+// outageStarts returns the moments within a step at which an outage begins: capacity is lowest at one of them.
+func outageStarts(outages []outage, step *ScheduledStep) []float64 {
 	moments := []float64{}
 	for _, outage := range outages {
 		if outage.from >= step.Start-epsilon && outage.from < step.End {
@@ -150,7 +152,7 @@
 	return moments
 }
 
-// checkChange names the first limit that forbids a change of the group's primary at the step's start.
+// checkChange describes the first limit that forbids a change of the group's primary at the step's start; "" for none.
 func (s *schedule) checkChange(step *ScheduledStep, member Member) string {
 	for _, change := range s.changes {
 		if math.Abs(change-step.Start) < s.limits.SwitchInterval-epsilon {
@@ -170,14 +172,15 @@
 	return ""
 }
 
-// available says whether a member has no outage within a time.
+// available reports whether a member has no outage in an interval.
 func (s *schedule) available(member Member, from, to float64) bool {
 	return !slices.ContainsFunc(s.outages, func(outage outage) bool {
 		return outage.member.Name == member.Name && outage.from < to+epsilon && outage.to > from+epsilon
 	})
 }
 
-// checkCapacity sets the capacity that the group has left, and names the group or zone that would have too little.
+// checkCapacity sets the step's remaining group capacity, and describes the group or zone that would lack capacity; ""
+// for none.
 func (s *schedule) checkCapacity(step *ScheduledStep, member Member, outages []outage, moments []float64) string {
 	step.GroupCapacity = s.minCapacity(append([]float64{step.Start}, moments...), outages, func(other Member) bool {
 		return other.Group == member.Group
@@ -193,24 +196,24 @@
 		return ""
 	}
 	inZone := func(other Member) bool { return other.Zone == member.Zone }
-	if left := s.minCapacity(moments, outages, inZone); left < need-epsilon {
-		return fmt.Sprintf("capacity: zone %s would have %g of the %g that it needs", member.Zone, left, need)
+	if remaining := s.minCapacity(moments, outages, inZone); remaining < need-epsilon {
+		return fmt.Sprintf("capacity: zone %s would have %g of the %g that it needs", member.Zone, remaining, need)
 	}
 	return ""
 }
 
-// minCapacity is the least that some members have at given moments.
-func (s *schedule) minCapacity(moments []float64, outages []outage, of func(Member) bool) float64 {
+// minCapacity returns the minimum, over given moments, of the total capacity of the members that match.
+func (s *schedule) minCapacity(moments []float64, outages []outage, matches func(Member) bool) float64 {
 	lowest := math.Inf(1)
 	for _, moment := range moments {
 		capacity := 0.0
 		for _, m := range s.members {
-			if of(m) {
+			if matches(m) {
 				capacity += m.Capacity
 			}
 		}
 		for _, o := range outages {
-			if of(o.member) && o.at(moment) {
+			if matches(o.member) && o.activeAt(moment) {
 				capacity -= o.loss
 			}
 		}
@@ -219,12 +222,12 @@
 	return lowest
 }
 
-// checkUnavailable names the first moment at which too many members are away or warm up.
+// checkUnavailable describes the first moment at which too many members are away or warming up; "" for none.
 func (s *schedule) checkUnavailable(outages []outage, moments []float64) string {
 	for _, moment := range moments {
 		unavailable := map[string]bool{}
 		for _, o := range outages {
-			if o.at(moment) {
+			if o.activeAt(moment) {
 				unavailable[o.member.Name] = true
 			}
 		}
@@ -235,7 +238,7 @@
 	return ""
 }
 
-// add adds a step whose times keep all limits.
+// add adds a step whose times keep all limits to the schedule.
 func (s *schedule) add(step ScheduledStep, member Member) {
 	if step.ChangesPrimary {
 		s.changes = append(s.changes, step.Start)
--- a/internal/plan/solve.go
+++ b/internal/plan/solve.go
@@ -1,6 +1,6 @@
 package plan
 
-// This file owns the search over orders of steps, and a plan's printed form.
+// This file has the search over orders of steps, and the formatting of plans.
 
 import (
 	"cmp"
@@ -10,21 +10,22 @@
 	"strings"
 )
 
-// ScheduledStep is a step with its time, in seconds from the beginning of the plan.
+// ScheduledStep is a step with its times, in seconds since the start of the plan.
 type ScheduledStep struct {
 	Step
 	Group          int64
-	Start, End     float64 // of the whole step, until the member has warmed up
-	ChangesPrimary bool    // at Start
-	GroupCapacity  float64 // the least that the group has left meanwhile
-	WriteGap       float64 // of this step
-	PriorWriteGap  float64 // of the group's earlier steps together
+	Start, End     float64 // End is when the member has warmed up
+	ChangesPrimary bool    // the group's primary changes at Start
+	GroupCapacity  float64 // minimum available capacity of the group during the step
+	WriteGap       float64 // interruption of the group's writes by this step
+	PriorWriteGap  float64 // total interruption by earlier steps of the group
 }
 
-// Solve schedules all steps, and returns them by their starts. It tries so many orders, drawn from a seed, and takes
-// the shortest plan. The error is an InfeasibleError, or says what makes the problem invalid.
+// Solve schedules all steps and returns them ordered by start. It tries the given number of orders, all but the first
+// shuffled by a seeded generator, and returns the shortest plan. The error is an InfeasibleError, or describes why the
+// problem is invalid.
 func Solve(members []Member, steps []Step, limits Limits, attempts int, seed uint64) ([]ScheduledStep, error) {
-	if err := check(members, steps, &limits); err != nil {
+	if err := validate(members, steps, &limits); err != nil {
 		return nil, err
 	}
 	if len(steps) > 0 {
@@ -34,11 +35,11 @@
 	}
 	order := byPriority(members, steps, &limits)
 	var best []ScheduledStep
-	var infeasible error // of the first order that was
+	var infeasible error // of the first infeasible order
 	random := rand.New(rand.NewPCG(seed, 31))
 	for range max(attempts, 1) {
 		scheduled, err := newSchedule(members, limits).scheduleAll(order)
-		if err == nil && (best == nil || length(scheduled) < length(best)) {
+		if err == nil && (best == nil || duration(scheduled) < duration(best)) {
 			best = scheduled
 		} else if err != nil && infeasible == nil {
 			infeasible = err
@@ -54,9 +55,9 @@
 	return best, nil
 }
 
-// byPriority orders steps by the capacity that their group has to spare without the member.
+// byPriority returns the steps ordered by the spare capacity of their group without the step's member.
 func byPriority(members []Member, steps []Step, limits *Limits) []Step {
-	spare := func(step Step) float64 {
+	spareCapacity := func(step Step) float64 {
 		total, own, group := 0.0, 0.0, int64(0)
 		for _, member := range members {
 			if member.Name == step.Member {
@@ -72,19 +73,19 @@
 	}
 	order := slices.Clone(steps)
 	slices.SortStableFunc(order, func(a, b Step) int {
-		return cmp.Or(cmp.Compare(spare(a), spare(b)), cmp.Compare(a.Member, b.Member))
+		return cmp.Or(cmp.Compare(spareCapacity(a), spareCapacity(b)), cmp.Compare(a.Member, b.Member))
 	})
 	return order
 }
 
-func length(steps []ScheduledStep) (end float64) {
+func duration(steps []ScheduledStep) (end float64) {
 	for _, s := range steps {
 		end = max(end, s.End)
 	}
 	return end
 }
 
-// Format prints a plan, a line a step.
+// Format returns a plan as text, one line per step.
 func Format(steps []ScheduledStep) string {
 	var b strings.Builder
 	for _, s := range steps {
--- a/internal/switchover/change.go
+++ b/internal/switchover/change.go
@@ -5,25 +5,25 @@
 // change is the state of one group's change at this driver.
 type change struct {
 	latest    Notification // the highest of the group, with From and To filled in from earlier ones of its epoch
-	heldSince float64      // of the hold, at the driver where it began
-	expiresAt float64      // of the lease, or of the wait behind a release
-	expired   bool         // the hold's lease has ended here; it can't be renewed
+	heldSince float64      // when the hold began, at the driver where it began
+	expiresAt float64      // when the lease expires, or the release times out
+	expired   bool         // the hold's lease has expired at this driver; it can't be renewed
 
 	draining      string  // the member that is marked as draining; "": none
-	newPrimary    string  // a member other than the old primary that is seen as primary; "": none
-	roleQueriedAt float64 // when the old primary was last queried for its role, beside a new one; 0: not yet
-	claimsPrimary bool    // it replied to that query that it is primary
-	twoPrimaries  bool    // it did so once, which was logged
+	newPrimary    string  // a member other than the old primary that is observed as primary; "": none
+	roleQueriedAt float64 // when the old primary was last queried for its role after a new one appeared; 0: not yet
+	claimsPrimary bool    // the old primary replied to that query that it is primary
+	twoPrimaries  bool    // such a reply has been received and logged
 
-	finishedAt float64 // since when nothing is left to be done; 0: something is
+	finishedAt float64 // when the change was finished; 0: it isn't
 }
 
-// open is whether a hook without an epoch means this change.
-func (c *change) open() bool { return c.latest.Stage < StageReleased && !c.expired }
+// isOpen reports whether a hook without an epoch refers to this change.
+func (c *change) isOpen() bool { return c.latest.Stage < StageReleased && !c.expired }
 
-// update takes a notification that is newer than the latest.
+// update applies a notification that is newer than the latest one.
 func (c *change) update(n Notification, out *Outcome) {
-	if n.Epoch > c.latest.Epoch { // what was open of an older change is finished
+	if n.Epoch > c.latest.Epoch { // an older change ends
 		if c.draining != n.From || n.Stage != StageHeld {
 			c.unmark(out)
 		}
@@ -34,18 +34,18 @@
 }
 
 func (c *change) announce(now float64, out *Outcome) {
-	c.finishedAt = now // nothing is held
+	c.finishedAt = now // an announcement holds no writes
 	out.queryRole(c.latest.To)
 }
 
-// hold begins a hold, or renews it.
+// hold begins or renews a hold.
 func (c *change) hold(now, maxHold float64, renewal bool, out *Outcome) {
 	if !renewal {
 		c.heldSince, c.newPrimary = now-c.latest.HoldAge, ""
 	}
 	c.expiresAt = min(now+c.latest.Lease, c.heldSince+maxHold)
 	switch {
-	case c.expired || c.expiresAt <= now: // it ended on its way here, or here before it was renewed
+	case c.expired || c.expiresAt <= now: // expired in transit, or here before the renewal
 		c.expire(now, out)
 	case c.draining == "" && c.newPrimary == "":
 		c.draining = c.latest.From
@@ -53,7 +53,7 @@
 	}
 }
 
-// release leaves the old primary marked until another is primary and the old one is none, or the timeout.
+// release keeps the old primary marked until another member is primary and the old one is not, or until the timeout.
 func (c *change) release(now, timeout float64, out *Outcome) {
 	c.expiresAt = now + timeout
 	if c.draining == "" {
@@ -69,7 +69,7 @@
 	out.queryRole(c.latest.From)
 }
 
-// expire ends a hold whose lease has ended.
+// expire ends a hold whose lease has expired.
 func (c *change) expire(now float64, out *Outcome) {
 	c.finish(now, out)
 	c.expired = true
--- a/internal/switchover/golden_test.go
+++ b/internal/switchover/golden_test.go
@@ -12,16 +12,17 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Notifications and statuses go between drivers and to operators as they did when these texts were recorded, and are read back the same.
+// Notifications and statuses are encoded as recorded in JSON and CBOR, for drivers and operators of other versions, and
+// are decoded to the same values.
 func TestStoredFormsMatchTheGoldenBytes(t *testing.T) {
-	whole := Notification{Group: 3, Epoch: 5120007, Stage: StageHeld, From: "m1", To: "m2", Renewals: 2, Lease: 99.5, HoldAge: 12.25}
+	hold := Notification{Group: 3, Epoch: 5120007, Stage: StageHeld, From: "m1", To: "m2", Renewals: 2, Lease: 99.5, HoldAge: 12.25}
 	for _, c := range []struct {
 		notification      Notification
 		wantJSON, wantHex string
 	}{
 		{Notification{}, `{"group":0,"epoch":0,"stage":"none"}`, "a36567726f7570006565706f63680065737461676500"},
 		{Notification{Group: 1, Epoch: 7, Stage: StageAnnounced, To: "m2"}, `{"group":1,"epoch":7,"stage":"announced","to":"m2"}`, "a46567726f7570016565706f6368076573746167650162746f626d32"},
-		{whole, `{"group":3,"epoch":5120007,"stage":"held","from":"m1","to":"m2","beat":2,"lease":99.5,"age":12.25}`, "a86567726f7570036565706f63681a004e2007657374616765026466726f6d626d3162746f626d32646265617402656c65617365fb4058e0000000000063616765fb4028800000000000"},
+		{hold, `{"group":3,"epoch":5120007,"stage":"held","from":"m1","to":"m2","beat":2,"lease":99.5,"age":12.25}`, "a86567726f7570036565706f63681a004e2007657374616765026466726f6d626d3162746f626d32646265617402656c65617365fb4058e0000000000063616765fb4028800000000000"},
 		{Notification{Group: -1, Epoch: 9, Stage: StageReleased}, `{"group":-1,"epoch":9,"stage":"released"}`, "a36567726f7570206565706f63680965737461676503"},
 		{Notification{Group: 1, Epoch: 9, Stage: StageAborted, From: "m1"}, `{"group":1,"epoch":9,"stage":"aborted","from":"m1"}`, "a46567726f7570016565706f636809657374616765046466726f6d626d31"},
 	} {
@@ -29,18 +30,18 @@
 		if err != nil || string(text) != c.wantJSON {
 			t.Errorf("%s, %v", text, err)
 		}
-		var back Notification
-		if err := json.Unmarshal([]byte(c.wantJSON), &back); err != nil || back != c.notification {
-			t.Error(back, err)
+		var decoded Notification
+		if err := json.Unmarshal([]byte(c.wantJSON), &decoded); err != nil || decoded != c.notification {
+			t.Error(decoded, err)
 		}
 		bytes, err := cbor.Marshal(c.notification)
 		if got := hex.EncodeToString(bytes); err != nil || got != c.wantHex {
 			t.Errorf("%s, %v", got, err)
 		}
 		golden, _ := hex.DecodeString(c.wantHex)
-		back = Notification{}
-		if err := cbor.Unmarshal(golden, &back); err != nil || back != c.notification {
-			t.Error(back, err)
+		decoded = Notification{}
+		if err := cbor.Unmarshal(golden, &decoded); err != nil || decoded != c.notification {
+			t.Error(decoded, err)
 		}
 	}
 	for _, c := range []struct {
@@ -48,7 +49,7 @@
 		want   string
 	}{
 		{ChangeStatus{}, `{"group":0,"epoch":0,"stage":"none"}`},
-		{ChangeStatus{Notification: whole, Draining: "m1", Primary: "m2", TwoPrimaries: true, Remaining: 4, Expired: true, Finished: true},
+		{ChangeStatus{Notification: hold, Draining: "m1", Primary: "m2", TwoPrimaries: true, Remaining: 4, Expired: true, Finished: true},
 			`{"group":3,"epoch":5120007,"stage":"held","from":"m1","to":"m2","beat":2,"lease":99.5,"age":12.25,` +
 				`"marked":"m1","primary":"m2","two_primaries":true,"left":4,"lapsed":true,"over":true}`},
 	} {
@@ -74,12 +75,12 @@
 	}
 }
 
-// What drivers decide in seeded histories stays as it was when the digest was recorded: hooks, notifications of peers that come late, twice
-// or not at all, members that are seen, roles, pauses and restarts, at three drivers and six groups.
+// Compares the decisions of three drivers for six groups in seeded random runs with a recorded digest. The runs have
+// hooks, late, duplicated and lost notifications of peers, observations of primaries and roles, delays and restarts.
 func TestDecisionsMatchTheRecordedDigest(t *testing.T) {
 	sum, counts := fnv.New64a(), map[string]int{}
 	for seed := range uint64(200) {
-		r := rand.New(rand.NewPCG(seed, 5))
+		random := rand.New(rand.NewPCG(seed, 5))
 		now := 1000.0
 		trackers := make([]*Tracker, 3)
 		restart := func(i int) {
@@ -91,8 +92,8 @@
 			restart(i)
 		}
 		var sent []Notification
-		member := func() string { return [...]string{"", "m1", "m2", "m3"}[r.IntN(4)] }
-		took := func(kind string, out Outcome, err error) {
+		member := func() string { return [...]string{"", "m1", "m2", "m3"}[random.IntN(4)] }
+		record := func(kind string, out Outcome, err error) {
 			for _, known := range []error{ErrUnknownPrimary, ErrStale, ErrNoChange, ErrChangeFinished, ErrLeaseExpired, ErrTooManyGroups, ErrInvalid} {
 				if errors.Is(err, known) {
 					kind += " " + known.Error()
@@ -105,51 +106,51 @@
 			fmt.Fprintln(sum, now, kind, out.QueryRoles, out.LogText)
 		}
 		for range 400 {
-			b := trackers[r.IntN(len(trackers))]
-			switch r.IntN(10) {
+			tracker := trackers[random.IntN(len(trackers))]
+			switch random.IntN(10) {
 			case 0, 1, 2:
-				w := Notification{Group: int64(r.IntN(6)), Stage: Stage(r.IntN(6)), From: member(), To: member()}
-				if r.IntN(3) == 0 {
-					w.Lease = float64(r.IntN(400) - 20)
+				notification := Notification{Group: int64(random.IntN(6)), Stage: Stage(random.IntN(6)), From: member(), To: member()}
+				if random.IntN(3) == 0 {
+					notification.Lease = float64(random.IntN(400) - 20)
 				}
-				if r.IntN(4) == 0 && len(sent) > 0 {
-					w.Epoch = sent[r.IntN(len(sent))].Epoch
+				if random.IntN(4) == 0 && len(sent) > 0 {
+					notification.Epoch = sent[random.IntN(len(sent))].Epoch
 				}
-				whole, out, err := b.HandleHook(now, w, member())
+				complete, out, err := tracker.HandleHook(now, notification, member())
 				if err == nil {
-					sent = append(sent, whole)
+					sent = append(sent, complete)
 				}
-				text, _ := json.Marshal(whole)
+				text, _ := json.Marshal(complete)
 				fmt.Fprintln(sum, string(text))
-				took("hook", out, err)
+				record("hook", out, err)
 			case 3, 4:
 				if len(sent) > 0 {
-					out, err := b.HandleNotification(now, sent[r.IntN(len(sent))])
-					took("told", out, err)
+					out, err := tracker.HandleNotification(now, sent[random.IntN(len(sent))])
+					record("told", out, err)
 				}
 			case 5:
-				for _, s := range trackers[r.IntN(len(trackers))].Status(now) {
-					out, err := b.HandleNotification(now, s.Notification)
-					took("told status", out, err)
+				for _, s := range trackers[random.IntN(len(trackers))].Status(now) {
+					out, err := tracker.HandleNotification(now, s.Notification)
+					record("told status", out, err)
 				}
 			case 6:
-				took("seen", b.ObservePrimary(now, int64(r.IntN(6)), member()), nil)
+				record("seen", tracker.ObservePrimary(now, int64(random.IntN(6)), member()), nil)
 			case 7:
-				took("role", b.ObserveRole(now, member(), r.IntN(2) == 0), nil)
+				record("role", tracker.ObserveRole(now, member(), random.IntN(2) == 0), nil)
 			case 8:
-				now += float64(r.IntN(60))
-				took("tick", b.Tick(now), nil)
+				now += float64(random.IntN(60))
+				record("tick", tracker.Tick(now), nil)
 			default:
-				if r.IntN(30) == 0 {
-					restart(r.IntN(len(trackers)))
+				if random.IntN(30) == 0 {
+					restart(random.IntN(len(trackers)))
 				}
-				if r.IntN(20) == 0 {
+				if random.IntN(20) == 0 {
 					now += 1200
 				}
-				took("tick", b.Tick(now), nil)
+				record("tick", tracker.Tick(now), nil)
 			}
-			text, _ := json.Marshal(b.Status(now))
-			fmt.Fprintln(sum, string(text), b.Draining(), b.Active())
+			text, _ := json.Marshal(tracker.Status(now))
+			fmt.Fprintln(sum, string(text), tracker.Draining(), tracker.Active())
 		}
 	}
 	t.Log(counts)
--- a/internal/switchover/hook.go
+++ b/internal/switchover/hook.go
@@ -2,11 +2,11 @@
 
 import "cmp"
 
-// maxOrigins is how many drivers may begin changes in the same millisecond without making the same epoch.
+// maxOrigins is the number of drivers that can begin changes in the same millisecond without creating the same epoch.
 const maxOrigins = 1024
 
-// HandleHook takes a hook's notification at this driver, fills in what it leaves out, and returns it complete, to be
-// passed on to peers. primary is the member that this driver takes for the primary, "" for none.
+// HandleHook applies a notification from a hook of this driver. It fills in omitted fields and returns the complete
+// notification to be passed on to peers. primary is the group's primary as this driver observes it, "" for none.
 func (t *Tracker) HandleHook(now float64, n Notification, primary string) (Notification, Outcome, error) {
 	if n.Stage == StageNone || n.Stage > StageAborted || n.Lease < 0 {
 		return n, Outcome{}, ErrInvalid
@@ -32,27 +32,28 @@
 	return n, out, err
 }
 
-// hookEpoch returns the epoch that a hook means. c is the group's latest change, nil for none.
+// hookEpoch returns the epoch that a hook refers to. c is the group's latest change, nil for none.
 func (t *Tracker) hookEpoch(now float64, n Notification, c *change) (uint64, error) {
 	switch {
 	case n.Epoch != 0 && c != nil && n.Epoch < c.latest.Epoch:
 		return 0, ErrStale
 	case n.Epoch != 0:
 		return n.Epoch, nil
-	case c != nil && c.open():
+	case c != nil && c.isOpen():
 		return c.latest.Epoch, nil
 	case n.Stage <= StageHeld:
 		return t.newEpoch(now, c), nil
 	case c == nil:
 		return 0, ErrNoChange
-	case c.latest.Stage == n.Stage || c.expired: // repeated, or too late: nothing is open any more
+	case c.latest.Stage == n.Stage || c.expired: // a duplicate, or too late: no change is open
 		return c.latest.Epoch, nil
 	}
 	return 0, ErrChangeFinished
 }
 
-// newEpoch returns a higher epoch than that of the group's latest change. It goes by the clock, so that it grows also
-// where earlier changes are forgotten, and by the driver, so that no two begin the same one.
+// newEpoch returns a higher epoch than that of the group's latest change. It includes the clock, so that epochs
+// increase even if earlier changes have been forgotten, and the driver's origin, so that no two drivers create the same
+// one.
 func (t *Tracker) newEpoch(now float64, c *change) uint64 {
 	epoch := uint64(max(now, 1))
 	if c != nil {
@@ -61,7 +62,7 @@
 	return epoch*maxOrigins + t.config.Origin%maxOrigins
 }
 
-// checkHook checks a hook against the change that it means, nil for a new one.
+// checkHook validates a hook against the change that it refers to, nil for a new one.
 func checkHook(n Notification, c *change) error {
 	switch {
 	case c != nil && n.Stage == StageHeld && c.expired:
@@ -76,8 +77,8 @@
 	return nil
 }
 
-// completeHold fills in the lease and renewals of a hold. c is the change that it renews or begins, nil for a new
-// one. Other stages have none of it.
+// completeHold sets the lease, age and renewals of a hold, and clears them for other stages. c is the change that the
+// hold renews or begins, nil for a new one.
 func (t *Tracker) completeHold(now float64, n *Notification, c *change) {
 	if n.Stage != StageHeld {
 		n.Lease, n.HoldAge, n.Renewals = 0, 0, 0
--- a/internal/switchover/notification.go
+++ b/internal/switchover/notification.go
@@ -7,7 +7,7 @@
 	"weirwind/internal/util/enum"
 )
 
-// Stage is how far a change has come.
+// Stage is the stage of a change.
 type Stage uint8
 
 // Stages of a change, in order.
@@ -30,19 +30,19 @@
 // UnmarshalText parses a stage's name.
 func (s *Stage) UnmarshalText(text []byte) error { return enum.Parse(stageNames, "stage", text, s) }
 
-// Notification is what a hook or a peer says of a group's change.
+// Notification is a message of a hook or a peer about a group's change.
 type Notification struct {
 	Group    int64   `json:"group"`
-	Epoch    uint64  `json:"epoch"` // 0 from a hook: the open change or, on its announcement or first hold, a new one
+	Epoch    uint64  `json:"epoch"` // 0 from a hook: the open change or, for an announcement or first hold, a new one
 	Stage    Stage   `json:"stage"`
-	From     string  `json:"from,omitempty"`  // the old primary; a hold always has it
-	To       string  `json:"to,omitempty"`    // the new primary, where it is known
-	Renewals uint64  `json:"beat,omitempty"`  // of the hold, itself included
-	Lease    float64 `json:"lease,omitempty"` // milliseconds that are left of the hold
+	From     string  `json:"from,omitempty"`  // the old primary; required for a hold
+	To       string  `json:"to,omitempty"`    // the new primary, if known
+	Renewals uint64  `json:"beat,omitempty"`  // number of notifications of the hold, including the first
+	Lease    float64 `json:"lease,omitempty"` // remaining milliseconds of the hold
 	HoldAge  float64 `json:"age,omitempty"`   // milliseconds since the hold began, at the sender
 }
 
-// Errors of notifications that are rejected. One that is merely old, or known already, is none.
+// Errors of rejected notifications. A peer's notification that is old or already known is ignored without an error.
 var (
 	ErrUnknownPrimary = errors.New("the old primary is not known here: name it")
 	ErrStale          = errors.New("a newer change of this group has begun")
@@ -53,7 +53,7 @@
 	ErrInvalid        = errors.New("the word makes no sense")
 )
 
-// valid is whether a complete notification makes sense.
+// valid reports whether a complete notification is valid.
 func (n *Notification) valid() bool {
 	switch {
 	case n.Epoch == 0, n.Stage == StageNone, n.Stage > StageAborted:
@@ -64,7 +64,7 @@
 	return n.Lease >= 0 && n.HoldAge >= 0 // false for NaN, too
 }
 
-// newerThan is whether a notification tells more than another of the same group.
+// newerThan reports whether a notification supersedes another one of the same group.
 func (n *Notification) newerThan(other *Notification) bool {
 	return cmp.Or(cmp.Compare(n.Epoch, other.Epoch), cmp.Compare(n.Stage, other.Stage),
 		cmp.Compare(n.Renewals, other.Renewals)) > 0
--- a/internal/switchover/status.go
+++ b/internal/switchover/status.go
@@ -2,13 +2,13 @@
 
 import "slices"
 
-// ChangeStatus is what is known of one group's change. Its Notification is complete, and may be passed on to peers now.
+// ChangeStatus is the status of one group's change. Its Notification is complete and may be passed on to peers.
 type ChangeStatus struct {
 	Notification
 	Draining     string  `json:"marked,omitempty"`        // the member that is marked as draining
-	Primary      string  `json:"primary,omitempty"`       // a member that is seen as primary, other than the old one
-	TwoPrimaries bool    `json:"two_primaries,omitempty"` // the old one answered as primary beside it
-	Remaining    float64 `json:"left,omitempty"`          // of the lease, or of the wait behind a release, in milliseconds
+	Primary      string  `json:"primary,omitempty"`       // a member other than the old one that is observed as primary
+	TwoPrimaries bool    `json:"two_primaries,omitempty"` // the old primary replied that it is still primary
+	Remaining    float64 `json:"left,omitempty"`          // milliseconds until the lease expires or the release times out
 	Expired      bool    `json:"lapsed,omitempty"`
 	Finished     bool    `json:"over,omitempty"`
 }
@@ -44,7 +44,7 @@
 	return all
 }
 
-// Active is whether any change still needs ticks and observations of the primary.
+// Active reports whether any change still needs ticks and observations of the primary.
 func (t *Tracker) Active() bool {
 	for _, c := range t.changes {
 		if c.finishedAt == 0 {
--- a/internal/switchover/tracker.go
+++ b/internal/switchover/tracker.go
@@ -6,32 +6,32 @@
 	"slices"
 )
 
-// Config has a driver's limits. Times are milliseconds. Clocks are about Unix time, so that of two changes the one
-// that began later has the higher epoch.
+// Config has a driver's limits. Times are in milliseconds. The clock should be close to Unix time, so that of two
+// changes the later one has the higher epoch.
 type Config struct {
-	DefaultLease      float64 // of a hold that names none
-	MaxHold           float64 // of a hold with all its renewals
-	ReleaseTimeout    float64 // for which the old primary stays marked after a release, if no other is seen as primary
-	RoleQueryInterval float64 // between queries to an old primary that claims to be one; without a reply it is let go
-	Retention         float64 // of a change that is finished, for drivers that missed it
-	MaxGroups         int     // with changes at a time
-	Origin            uint64  // of this driver, other than its peers'; its last ten bits count
+	DefaultLease      float64 // of a hold without a lease
+	MaxHold           float64 // maximum duration of a hold, including all renewals
+	ReleaseTimeout    float64 // how long the old primary stays marked after a release if no other is observed as primary
+	RoleQueryInterval float64 // between queries to an old primary that claims the role; without a reply it is unmarked
+	Retention         float64 // how long a finished change is kept, for drivers that missed it
+	MaxGroups         int     // maximum number of groups with changes at a time
+	Origin            uint64  // number of this driver, unique among its peers; only its low ten bits are used
 }
 
-// DrainMark says that a member is to be treated as draining, or no longer.
+// DrainMark tells the driver to start or stop treating a member as draining.
 type DrainMark struct {
 	Member   string
 	Draining bool
 }
 
-// Outcome is what is to be done: marks first, then queries.
+// Outcome is what the driver must do: first apply the marks, then send the queries.
 type Outcome struct {
 	Marks      []DrainMark
 	QueryRoles []string // members to be queried for their role at once
-	LogText    string   // empty where nothing changed
+	LogText    string   // to be logged; "": nothing
 }
 
-// logf adds a line to what is logged: several groups may change at once.
+// logf appends to the log text: more than one group may change at once.
 func (o *Outcome) logf(format string, args ...any) {
 	if o.LogText != "" {
 		o.LogText += "; "
@@ -45,7 +45,7 @@
 	}
 }
 
-// Tracker holds the changes of all groups.
+// Tracker tracks the changes of all groups at one driver.
 type Tracker struct {
 	config  Config
 	changes map[int64]*change // by group; at most MaxGroups
@@ -54,7 +54,8 @@
 // New returns a Tracker without changes.
 func New(config Config) *Tracker { return &Tracker{config: config, changes: map[int64]*change{}} }
 
-// HandleNotification takes a complete notification, from this driver's hook or a peer.
+// HandleNotification applies a complete notification from this driver's hook or from a peer. It ignores one that is old
+// or already known.
 func (t *Tracker) HandleNotification(now float64, n Notification) (Outcome, error) {
 	if !n.valid() {
 		return Outcome{}, ErrInvalid
@@ -91,8 +92,8 @@
 	return out, nil
 }
 
-// ObservePrimary takes the member that this driver takes for a group's primary now, "" for none. Another than the old
-// one ends the wait for one; the old one is queried until it is a replica, and may be read from.
+// ObservePrimary applies an observation of a group's primary, "" for none. After a release, a primary other than the
+// old one ends the wait for a new primary, and the old one is queried until it is a replica.
 func (t *Tracker) ObservePrimary(now float64, group int64, primary string) (out Outcome) {
 	c := t.changes[group]
 	if c == nil || primary == "" || c.draining == "" || primary == c.draining {
@@ -106,8 +107,8 @@
 	return out
 }
 
-// ObserveRole takes a member's reply to the query for its role. An old primary that is a replica now may be read
-// from; one that goes on as a primary beside another stays marked.
+// ObserveRole applies a member's reply to the query for its role. The mark of an old primary is removed once it is a
+// replica, so that it may serve reads; as long as it claims to be primary beside another one it stays marked.
 func (t *Tracker) ObserveRole(now float64, member string, primary bool) (out Outcome) {
 	for _, group := range t.groups() {
 		c := t.changes[group]
@@ -128,7 +129,7 @@
 	return out
 }
 
-// Tick ends leases and waits whose time is over, and forgets changes that were finished long ago.
+// Tick expires leases and timeouts, and removes changes that were finished longer than Retention ago.
 func (t *Tracker) Tick(now float64) (out Outcome) {
 	for _, group := range t.groups() {
 		c := t.changes[group]
