--- a/cmd/agent/main.go
+++ b/cmd/agent/main.go
@@ -1,4 +1,5 @@
-// Command agent is the agent beside a proxy: it holds the driver's lease at the core and feeds the proxy over loopback.
+// Command agent is the agent beside a proxy: it renews the driver's lease at the control plane, and sends updates to
+// the proxy over loopback.
 package main
 
 import (
--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -1,4 +1,5 @@
-// Command benchlink serves the wire of the operators' simulator on standard input and output, decided by the module.
+// Command benchlink serves the line protocol of the operators' simulator on standard input and output, and answers with
+// the decisions of package logic.
 package main
 
 import (
--- a/cmd/controlplane/main.go
+++ b/cmd/controlplane/main.go
@@ -1,5 +1,5 @@
-// Command controlplane is a core machine: it replicates the operator's configuration, keeps the directory of members
-// and drivers, and fails primaries over.
+// Command controlplane is a machine of the control plane, a core machine: it replicates the operator's configuration,
+// keeps the directory of members and drivers, and fails over primaries.
 package main
 
 import (
--- a/cmd/proxy/main.go
+++ b/cmd/proxy/main.go
@@ -1,4 +1,5 @@
-// Command proxy is the proxy on a front machine: it accepts clients' sessions and forwards their statements to members.
+// Command proxy is the proxy on a front machine: it accepts clients' sessions and forwards their statements to members,
+// the database servers.
 package main
 
 import (
--- a/cmd/weirctl/main.go
+++ b/cmd/weirctl/main.go
@@ -1,4 +1,5 @@
-// Command weirctl is the operators' command: status, reasons, configurations, and core machines' disks.
+// Command weirctl is the operators' command line tool: status and its reasons, configurations, shards, sessions, and
+// the disks of core machines.
 package main
 
 import (
--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -1,6 +1,6 @@
 package control
 
-// This file owns the client's way over HTTP.
+// This file has the client's HTTP transport.
 
 import (
 	"bytes"
@@ -19,13 +19,13 @@
 	maxResponseBytes  = 64 << 20
 )
 
-// Client calls one driver. The address is the path of a Unix socket, with a slash in it, or host:port.
+// Client calls one driver. Address is the path of a Unix socket if it contains a slash, otherwise host:port.
 type Client struct {
 	Address, Token string
 	http           http.Client
 }
 
-// NewClient returns a client, which keeps a connection between calls.
+// NewClient returns a client that keeps a connection open between calls.
 func NewClient(address, token string) *Client {
 	network := "tcp"
 	if strings.Contains(address, "/") {
@@ -48,7 +48,8 @@
 // Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// call makes one call. A response of any status but OK is an error with its body's text; result may be nil.
+// call makes one call, and decodes the response into result unless it is nil. A response with a status other than 200
+// is returned as an error with the text of its body.
 func (c *Client) call(ctx context.Context, method, path string, body, result any) error {
 	var content bytes.Buffer
 	if body != nil {
--- a/internal/control/errors.go
+++ b/internal/control/errors.go
@@ -1,6 +1,6 @@
 package control
 
-// This file owns the errors of calls and their mapping to HTTP statuses.
+// This file has the errors of calls and their mapping to HTTP statuses.
 
 import (
 	"errors"
@@ -11,7 +11,8 @@
 	"weirwind/internal/switchover"
 )
 
-// ErrNotInMajority is the error of a notification that a driver may not take in its partition of the fleet.
+// ErrNotInMajority is the error of a notification that a driver rejects because it is in a minority partition of the
+// fleet.
 var ErrNotInMajority = errors.New("this driver is not with the larger part of the fleet: ask another one")
 
 var (
@@ -19,23 +20,23 @@
 	errNoZones      = errors.New("zones are not switched on in the operators' file")
 )
 
-// statuses maps errors to statuses. Any other error is a bad request.
+// statuses maps errors to HTTP statuses. Any other error is mapped to 400 Bad Request.
 type statuses []struct {
 	err    error
 	status int
 }
 
-// of returns the status of the first error that err wraps.
-func (s statuses) of(err error) int {
-	for _, x := range s {
-		if errors.Is(err, x.err) {
-			return x.status
+// statusFor returns the status of the first listed error that err wraps.
+func (s statuses) statusFor(err error) int {
+	for _, mapping := range s {
+		if errors.Is(err, mapping.err) {
+			return mapping.status
 		}
 	}
 	return http.StatusBadRequest
 }
 
-// fleetStatuses are those of calls on changes of primaries and on membership.
+// fleetStatuses maps errors of calls on changes of primaries and on membership.
 var fleetStatuses = statuses{
 	{switchover.ErrStale, http.StatusConflict},
 	{switchover.ErrChangeFinished, http.StatusConflict},
@@ -49,7 +50,7 @@
 	{switchover.ErrTooManyGroups, http.StatusTooManyRequests},
 }
 
-// zoneStatuses are those of calls on zones.
+// zoneStatuses maps errors of calls on zones.
 var zoneStatuses = statuses{
 	{errNoZones, http.StatusNotFound},
 	{zones.ErrUnknownZone, http.StatusNotFound},
--- a/internal/control/golden_test.go
+++ b/internal/control/golden_test.go
@@ -18,21 +18,21 @@
 	"weirwind/internal/switchover"
 )
 
-// fakeDriver takes every call; err is what it says to those that may fail.
+// fakeDriver records every call, and returns err from those that can fail.
 type fakeDriver struct {
-	err            error
-	peersOff, zOff bool
-	taken          []string
+	err                     error
+	membershipOff, zonesOff bool
+	received                []string
 }
 
 func (d *fakeDriver) HandleHook(n switchover.Notification) (switchover.Notification, error) {
-	d.taken = append(d.taken, fmt.Sprintf("hook %v", n))
+	d.received = append(d.received, fmt.Sprintf("hook %v", n))
 	n.Epoch, n.From = 7, "m1"
 	return n, d.err
 }
 
 func (d *fakeDriver) HandlePeer(n switchover.Notification) error {
-	d.taken = append(d.taken, fmt.Sprintf("peer %v", n))
+	d.received = append(d.received, fmt.Sprintf("peer %v", n))
 	return d.err
 }
 
@@ -42,14 +42,14 @@
 }
 
 func (d *fakeDriver) Membership() Membership {
-	if d.peersOff {
+	if d.membershipOff {
 		return nil
 	}
 	return &fakeMembership{d}
 }
 
 func (d *fakeDriver) Zones() Zones {
-	if d.zOff {
+	if d.zonesOff {
 		return nil
 	}
 	return &fakeZones{d}
@@ -58,9 +58,9 @@
 type fakeMembership struct{ d *fakeDriver }
 
 func (f *fakeMembership) Status() membership.Status { return membership.Status{Self: "n0", Count: 3} }
-func (f *fakeMembership) Leave()                    { f.d.taken = append(f.d.taken, "leave") }
+func (f *fakeMembership) Leave()                    { f.d.received = append(f.d.received, "leave") }
 func (f *fakeMembership) Forget(name string, certain bool) error {
-	f.d.taken = append(f.d.taken, fmt.Sprintf("forget %s %v", name, certain))
+	f.d.received = append(f.d.received, fmt.Sprintf("forget %s %v", name, certain))
 	return f.d.err
 }
 
@@ -72,16 +72,16 @@
 
 func (f *fakeZones) Status() zones.Status { return zones.Status{Self: "n0", Zone: "a", Age: -1} }
 func (f *fakeZones) Preview(zone string) (zones.Preview, error) {
-	f.d.taken = append(f.d.taken, "without "+zone)
+	f.d.received = append(f.d.received, "without "+zone)
 	return zones.Preview{BindingConstraints: []string{"none"}}, f.d.err
 }
 
 func (f *fakeZones) Submit(c zones.Command) error {
-	f.d.taken = append(f.d.taken, fmt.Sprintf("order %s %v %g %v", c.Zone, c.Evacuate, c.Duration, c.Freeze != nil))
+	f.d.received = append(f.d.received, fmt.Sprintf("order %s %v %g %v", c.Zone, c.Evacuate, c.Duration, c.Freeze != nil))
 	return f.d.err
 }
 
-// plainDriver knows neither peers nor zones.
+// plainDriver supports neither membership nor zones.
 type plainDriver struct{ d *fakeDriver }
 
 func (p plainDriver) HandleHook(n switchover.Notification) (switchover.Notification, error) {
@@ -92,19 +92,19 @@
 
 const heldBody = `{"group":3,"epoch":0,"stage":"held","from":"m1","to":"m2","beat":2,"lease":10.5,"age":1}`
 
-// exchange makes one call and returns its answer and what the driver took, as text.
-func exchange(s Switcher, d *fakeDriver, token, method, path, auth, body string) string {
-	d.taken = nil
+// serveRequest makes one call, and returns its response and the calls that the driver received as text.
+func serveRequest(s Switcher, d *fakeDriver, token, method, path, auth, body string) string {
+	d.received = nil
 	r := httptest.NewRequest(method, path, strings.NewReader(body))
 	if auth != "" {
 		r.Header.Set("Authorization", auth)
 	}
 	w := httptest.NewRecorder()
 	handler(s, token).ServeHTTP(w, r)
-	return fmt.Sprintf("%d %v %s | %s", w.Code, w.Header(), w.Body, strings.Join(d.taken, "; "))
+	return fmt.Sprintf("%d %v %s | %s", w.Code, w.Header(), w.Body, strings.Join(d.received, "; "))
 }
 
-// Every call with its status, headers and body, as the build before the refactoring answered it.
+// Compares the status, headers and body of every call with those recorded from the build before a refactoring.
 func TestRecordedAnswers(t *testing.T) {
 	var cases []golden.Case[string]
 	add := func(name, answer string) { cases = append(cases, golden.Of(name, answer)) }
@@ -122,15 +122,15 @@
 	for i, c := range calls {
 		d := &fakeDriver{}
 		name := fmt.Sprintf("%02d %s %s", i, c.method, c.path)
-		add(name, exchange(d, d, "", c.method, c.path, "", c.body))
-		add(name+" peer", exchange(d, d, "secret", c.method, c.path, "Bearer secret", c.body))
-		add(name+" plain", exchange(plainDriver{d}, d, "", c.method, c.path, "", c.body))
-		off := &fakeDriver{peersOff: true, zOff: true}
-		add(name+" off", exchange(off, off, "", c.method, c.path, "", c.body))
+		add(name, serveRequest(d, d, "", c.method, c.path, "", c.body))
+		add(name+" peer", serveRequest(d, d, "secret", c.method, c.path, "Bearer secret", c.body))
+		add(name+" plain", serveRequest(plainDriver{d}, d, "", c.method, c.path, "", c.body))
+		off := &fakeDriver{membershipOff: true, zonesOff: true}
+		add(name+" off", serveRequest(off, off, "", c.method, c.path, "", c.body))
 	}
 	d := &fakeDriver{}
-	add("no token", exchange(d, d, "secret", "GET", "/switch", "", ""))
-	add("wrong token", exchange(d, d, "secret", "GET", "/switch", "Bearer secreT", ""))
+	add("no token", serveRequest(d, d, "secret", "GET", "/switch", "", ""))
+	add("wrong token", serveRequest(d, d, "secret", "GET", "/switch", "Bearer secreT", ""))
 	for _, err := range []error{switchover.ErrUnknownPrimary, switchover.ErrStale, switchover.ErrNoChange,
 		switchover.ErrChangeFinished, switchover.ErrLeaseExpired, switchover.ErrTooManyGroups, switchover.ErrInvalid,
 		ErrNotInMajority, membership.ErrUnknownDriver, membership.ErrNoMajority, membership.ErrAlive, zones.ErrNoPlan,
@@ -141,18 +141,18 @@
 			if body == "" {
 				body = "{}"
 			}
-			add(path+": "+err.Error(), exchange(d, d, "", "POST", path, "", body))
+			add(path+": "+err.Error(), serveRequest(d, d, "", "POST", path, "", body))
 		}
 	}
 	golden.Text(t, "testdata/answers.txt", cases)
 }
 
-// recorder keeps the requests that a client sends and gives one answer to all.
+// recorder records the requests that a client sends, and answers each of them in the same way.
 type recorder struct {
 	sent    []string
 	status  int
 	body    string
-	timeout time.Duration // of the newest call, rounded to seconds
+	timeout time.Duration // of the last call, rounded to seconds
 }
 
 func (r *recorder) RoundTrip(q *http.Request) (*http.Response, error) {
@@ -168,10 +168,11 @@
 		Body: io.NopCloser(strings.NewReader(r.body)), Request: q}, nil
 }
 
-// Every call of the client, as the build before the refactoring made it, and what becomes of a refusal.
+// Compares every request of the client, and its errors for a response of 409, with those recorded from the build before
+// a refactoring.
 func TestRecordedCalls(t *testing.T) {
 	var cases []golden.Case[string]
-	ctx, on := context.Background(), true
+	ctx, freeze := context.Background(), true
 	n := switchover.Notification{Group: 3, Stage: switchover.StageHeld, From: "m1", Lease: 10.5}
 	calls := map[string]func(c *Client) error{
 		"hook":    func(c *Client) error { _, err := c.NotifyHook(ctx, n); return err },
@@ -183,7 +184,7 @@
 		"forget":  func(c *Client) error { return c.Forget(ctx, ForgetRequest{Name: "n1", Certain: true}) },
 		"zones":   func(c *Client) error { _, err := c.Zones(ctx); return err },
 		"without": func(c *Client) error { _, err := c.PreviewZones(ctx, "a b&c"); return err },
-		"order":   func(c *Client) error { return c.SubmitZoneCommand(ctx, zones.Command{Zone: "a", Freeze: &on}) },
+		"order":   func(c *Client) error { return c.SubmitZoneCommand(ctx, zones.Command{Zone: "a", Freeze: &freeze}) },
 	}
 	for _, name := range []string{"hook", "tell", "status", "members", "compare", "leave", "forget", "zones", "without",
 		"order"} {
@@ -194,7 +195,7 @@
 			cases = append(cases, golden.Of(fmt.Sprintf("%s %d", name, answer.status), fmt.Sprintf("%s | %v | %v",
 				strings.Join(answer.sent, "; "), err, answer.timeout)))
 			if c.http.Timeout != callTimeout {
-				t.Errorf("%s leaves other calls a timeout of %v", name, c.http.Timeout)
+				t.Errorf("%s changed the timeout of other calls to %v", name, c.http.Timeout)
 			}
 		}
 	}
--- a/internal/control/membership.go
+++ b/internal/control/membership.go
@@ -1,6 +1,6 @@
 package control
 
-// This file owns calls on membership. They are served on the Unix socket alone.
+// This file has the calls on membership, which are served on the Unix socket only.
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 	"weirwind/internal/fleet/mesh"
 )
 
-// Membership is a driver's view of its peers. Its methods may be called from several goroutines.
+// Membership is a driver's view of its peers. Its methods may be called concurrently.
 type Membership interface {
 	Status() membership.Status
 	Leave()
@@ -19,18 +19,19 @@
 	Compare(context.Context) []mesh.DriverView
 }
 
-// membershipProvider is what a Switcher also is where drivers may know each other; Membership is nil while they do not.
+// membershipProvider is implemented by a Switcher that supports membership. Membership returns nil while it is
+// disabled.
 type membershipProvider interface{ Membership() Membership }
 
-// ForgetRequest names a driver that has failed for good.
+// ForgetRequest names a driver that has failed permanently.
 type ForgetRequest struct {
 	Name    string `json:"name"`
-	Certain bool   `json:"certain"` // the operators made sure that it does not run
+	Certain bool   `json:"certain"` // the operators have verified that it is not running
 }
 
 type membershipCall func(http.ResponseWriter, *http.Request, Membership) error
 
-// withMembership serves a call on membership, where there is one.
+// withMembership returns a handler for a call on membership. The handler fails if membership is disabled.
 func withMembership(switcher Switcher, call membershipCall) http.HandlerFunc {
 	return fleetStatuses.serve(func(w http.ResponseWriter, r *http.Request) error {
 		if p, ok := switcher.(membershipProvider); ok {
@@ -51,7 +52,7 @@
 		return nil
 	})
 	handle("GET /membership/compare", func(w http.ResponseWriter, r *http.Request, fleet Membership) error {
-		_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(compareTimeout)) // every server here has one
+		_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(compareTimeout)) // the server supports deadlines
 		writeJSON(w, fleet.Compare(r.Context()))
 		return nil
 	})
@@ -75,17 +76,17 @@
 
 // Compare returns the views of all drivers that this one knows, its own first.
 func (c *Client) Compare(ctx context.Context) (all []mesh.DriverView, err error) {
-	patient := *c // of its own: other calls keep their timeout
-	patient.http.Timeout = compareTimeout
-	return all, patient.call(ctx, http.MethodGet, "/membership/compare", nil, &all)
+	compareClient := *c // a copy, as other calls keep their timeout
+	compareClient.http.Timeout = compareTimeout
+	return all, compareClient.call(ctx, http.MethodGet, "/membership/compare", nil, &all)
 }
 
-// Leave has the driver leave the fleet; it goes on serving clients.
+// Leave makes the driver leave the fleet; it continues to serve clients.
 func (c *Client) Leave(ctx context.Context) error {
 	return c.call(ctx, http.MethodPost, "/membership/leave", nil, nil)
 }
 
-// Forget has a failed driver removed from the roster.
+// Forget removes a failed driver from the roster.
 func (c *Client) Forget(ctx context.Context, request ForgetRequest) error {
 	return c.call(ctx, http.MethodPost, "/membership/forget", request, nil)
 }
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -1,6 +1,6 @@
 package control
 
-// This file owns the server: its limits, its token, and the form of requests and responses.
+// This file has the server: its limits, the check of its token, and the encoding of requests and responses.
 
 import (
 	"context"
@@ -15,7 +15,7 @@
 
 const (
 	callTimeout    = 2 * time.Second
-	compareTimeout = 20 * time.Second // for all peers' answers
+	compareTimeout = 20 * time.Second // for the answers of all peers
 	idleTimeout    = 10 * time.Second
 
 	maxRequestBytes  = 64 << 10
@@ -24,8 +24,8 @@
 	maxNotifications = 256 // in one request
 )
 
-// Serve answers calls on a listener until the context ends. With a token it serves peers, who must show it; without
-// one it serves operators.
+// Serve serves calls on a listener until the context ends. With a token it serves peers, which must send it; without
+// one it serves hooks and operators.
 func Serve(ctx context.Context, ln net.Listener, switcher Switcher, token string) error {
 	server := &http.Server{
 		Handler:        handler(switcher, token),
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// handler answers calls; an empty token requires none.
+// handler returns the handler of all calls that are served with the given token. An empty token requires none.
 func handler(switcher Switcher, token string) http.Handler {
 	mux := http.NewServeMux()
 	handleSwitch(mux, switcher)
@@ -55,7 +55,7 @@
 	return authenticated(mux, token)
 }
 
-// authenticated serves requests that show a token.
+// authenticated returns a handler that serves only requests with the token.
 func authenticated(next http.Handler, token string) http.Handler {
 	want := []byte("Bearer " + token)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -67,16 +67,16 @@
 	})
 }
 
-// serve makes a handler out of a call, whose error it maps.
+// serve returns a handler for a call, and maps the call's error to a status.
 func (s statuses) serve(call func(http.ResponseWriter, *http.Request) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if err := call(w, r); err != nil {
-			http.Error(w, err.Error(), s.of(err))
+			http.Error(w, err.Error(), s.statusFor(err))
 		}
 	}
 }
 
-// readJSON reads a request's body. Fields that are not known are errors.
+// readJSON decodes a request's body. Unknown fields are errors.
 func readJSON(w http.ResponseWriter, r *http.Request, value any) error {
 	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBytes))
 	d.DisallowUnknownFields()
@@ -85,13 +85,13 @@
 
 func writeJSON(w http.ResponseWriter, value any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(value) // the caller may have left
+	_ = json.NewEncoder(w).Encode(value) // the caller may have disconnected
 }
 
-// limitedListener accepts no more connections at a time than it has slots; others wait in the kernel's backlog.
+// limitedListener limits the number of open connections to the capacity of slots; others wait in the kernel's backlog.
 type limitedListener struct {
 	net.Listener
-	slots chan struct{} // holds a value for each connection that is open
+	slots chan struct{} // has one value for each open connection
 }
 
 // Accept waits for a slot, then for a connection.
@@ -105,14 +105,14 @@
 	return &limitedConn{Conn: c, release: func() { <-l.slots }}, nil
 }
 
-// limitedConn releases its slot when it is closed, once.
+// limitedConn releases its slot when it is closed for the first time.
 type limitedConn struct {
 	net.Conn
 	release func()
 	once    sync.Once
 }
 
-// Close closes the connection.
+// Close closes the connection and releases its slot.
 func (c *limitedConn) Close() error {
 	c.once.Do(c.release)
 	return c.Conn.Close()
--- a/internal/control/switch.go
+++ b/internal/control/switch.go
@@ -1,6 +1,6 @@
 package control
 
-// This file owns calls on changes of primaries.
+// This file has the calls on changes of primaries.
 
 import (
 	"context"
@@ -10,11 +10,11 @@
 	"weirwind/internal/switchover"
 )
 
-// Switcher takes notifications of changes of primaries. Its methods may be called from several goroutines.
+// Switcher handles notifications of changes of primaries. Its methods may be called concurrently.
 type Switcher interface {
-	// HandleHook takes a notification from a hook, and returns it complete.
+	// HandleHook handles a notification from a hook, and returns it with omitted fields filled in.
 	HandleHook(switchover.Notification) (switchover.Notification, error)
-	// HandlePeer takes a notification that a peer passes on.
+	// HandlePeer handles a notification that a peer passes on.
 	HandlePeer(switchover.Notification) error
 	Status() []switchover.ChangeStatus
 }
@@ -49,7 +49,7 @@
 	}))
 }
 
-// NotifyHook sends a notification as a hook does, and returns it complete.
+// NotifyHook sends a notification as a hook does, and returns it with omitted fields filled in.
 func (c *Client) NotifyHook(ctx context.Context, notification switchover.Notification) (
 	complete switchover.Notification, err error) {
 	return complete, c.call(ctx, http.MethodPost, "/switch", notification, &complete)
--- a/internal/control/typenames.go
+++ b/internal/control/typenames.go
@@ -1,6 +1,6 @@
 package control
 
-// This file owns the names of types in errors that callers see.
+// This file has the names of types in errors that callers see.
 
 import (
 	"encoding/json"
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// publishedTypes has the types that errors of encoding/json name otherwise than Go does. Callers' scripts may look for
-// the names, so they stay as the types are renamed.
+// publishedTypes replaces Go names of types in errors of encoding/json by the names that were published first. Callers'
+// scripts may match those names, so they stay the same when a type is renamed.
 var publishedTypes = strings.NewReplacer(
 	"switchover.Notification", "switchover.Word",
 	"field Notification.", "field Word.",
@@ -17,17 +17,17 @@
 	"field ForgetRequest.", "field Forgotten.",
 )
 
-// bodyTypeError is a json.UnmarshalTypeError under the published names of its types.
+// bodyTypeError is a json.UnmarshalTypeError whose text has the published names of types.
 type bodyTypeError struct{ cause *json.UnmarshalTypeError }
 
-// Error is the cause's text, but for the names.
+// Error returns the cause's text with the published names.
 func (e *bodyTypeError) Error() string { return publishedTypes.Replace(e.cause.Error()) }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *bodyTypeError) Unwrap() error { return e.cause }
 
-// withPublishedTypes returns an error of decoding a body in the form that callers are shown. Any other error is
-// returned as it is.
+// withPublishedTypes replaces an error for a wrong type in a body by one with the published names of types. It returns
+// any other error unchanged.
 func withPublishedTypes(err error) error {
 	var cause *json.UnmarshalTypeError
 	if !errors.As(err, &cause) {
--- a/internal/control/typenames_test.go
+++ b/internal/control/typenames_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// The texts were recorded before the types had their present names.
+// Errors for bodies of wrong types must keep the names that the types had when the texts were recorded.
 func TestBodiesOfWrongTypesKeepTheirText(t *testing.T) {
 	const prefix = "json: cannot unmarshal "
 	for _, c := range []struct{ path, body, want string }{
@@ -20,7 +20,7 @@
 	} {
 		t.Run(c.path+" "+c.body, func(t *testing.T) {
 			d := &fakeDriver{}
-			answer := exchange(d, d, "", "POST", c.path, "", c.body)
+			answer := serveRequest(d, d, "", "POST", c.path, "", c.body)
 			if !strings.HasPrefix(answer, "400 ") || !strings.Contains(answer, "] "+c.want+"\n") {
 				t.Errorf("got  %s\nwant %s", answer, c.want)
 			}
--- a/internal/control/zones.go
+++ b/internal/control/zones.go
@@ -1,6 +1,6 @@
 package control
 
-// This file owns calls on zones. They are served on the Unix socket alone.
+// This file has the calls on zones, which are served on the Unix socket only.
 
 import (
 	"context"
@@ -10,20 +10,21 @@
 	"weirwind/internal/fleet/zones"
 )
 
-// Zones is a driver's part in deciding on zones. Its methods may be called from several goroutines.
+// Zones is a driver's interface to the fleet's decisions on zones. Its methods may be called concurrently.
 type Zones interface {
 	Status() zones.Status
-	// Preview returns what would be planned without a zone; empty: as it is.
+	// Preview returns the plan that would be made without a zone, or, for "", with the zones as they are.
 	Preview(without string) (zones.Preview, error)
 	Submit(zones.Command) error
 }
 
-// zonesProvider is what a Switcher also is where drivers may decide on zones in common; Zones is nil while they do not.
+// zonesProvider is implemented by a Switcher that supports decisions on zones. Zones returns nil while they are
+// disabled.
 type zonesProvider interface{ Zones() Zones }
 
 type zonesCall func(http.ResponseWriter, *http.Request, Zones) error
 
-// withZones serves a call on zones, where they are decided on in common.
+// withZones returns a handler for a call on zones. The handler fails if decisions on zones are disabled.
 func withZones(switcher Switcher, call zonesCall) http.HandlerFunc {
 	return zoneStatuses.serve(func(w http.ResponseWriter, r *http.Request) error {
 		if p, ok := switcher.(zonesProvider); ok {
@@ -59,12 +60,12 @@
 	})
 }
 
-// Zones returns the driver's part in deciding on zones.
+// Zones returns the driver's status in the decisions on zones.
 func (c *Client) Zones(ctx context.Context) (status zones.Status, err error) {
 	return status, c.call(ctx, http.MethodGet, "/zones", nil, &status)
 }
 
-// PreviewZones returns what would be planned without a zone; empty: as it is.
+// PreviewZones returns the plan that would be made without a zone, or, for "", with the zones as they are.
 func (c *Client) PreviewZones(ctx context.Context, without string) (preview zones.Preview, err error) {
 	return preview, c.call(ctx, http.MethodGet, "/zones/plan?without="+url.QueryEscape(without), nil, &preview)
 }
--- a/internal/weirctl/client.go
+++ b/internal/weirctl/client.go
@@ -1,6 +1,6 @@
 package weirctl
 
-// This file owns the HTTP calls to the system's machines.
+// This file has the HTTP calls to the system's machines.
 
 import (
 	"bytes"
@@ -19,27 +19,27 @@
 	maxAnswerBytes = 64 << 20
 )
 
-// statusError is an answer other than 200.
+// statusError is the error of a response with a status other than 200.
 type statusError struct {
-	url, status, body string // url without its scheme
+	url, status, body string // url has no scheme
 	code              int
 }
 
-// Error names the call, the status and the answer's text.
+// Error returns the URL, the status and the body of the response.
 func (e *statusError) Error() string { return fmt.Sprintf("%s: %s: %s", e.url, e.status, e.body) }
 
 func get(addr, path string) ([]byte, error) { return call(http.MethodGet, addr, path, nil) }
 
-// getJSON decodes an answer.
-func getJSON(addr, path string, into any) error {
+// getJSON makes a GET call and decodes the response.
+func getJSON(addr, path string, target any) error {
 	body, err := get(addr, path)
 	if err != nil {
 		return err
 	}
-	return json.Unmarshal(body, into)
+	return json.Unmarshal(body, target)
 }
 
-// postAndPrint makes a call that changes something, and prints its answer.
+// postAndPrint makes a POST call and prints the response.
 func postAndPrint(addr, path string, out io.Writer) error {
 	answer, err := call(http.MethodPost, addr, path, nil)
 	if err == nil {
@@ -48,7 +48,7 @@
 	return err
 }
 
-// call makes a call and returns its answer's body, with an error where its status is not 200.
+// call makes a call and returns the body of the response, and a statusError unless the status is 200.
 func call(method, addr, path string, body []byte) ([]byte, error) {
 	request, err := http.NewRequest(method, "http://"+addr+path, bytes.NewReader(body))
 	if err != nil {
@@ -68,9 +68,9 @@
 	return answer, err
 }
 
-// printJSON prints a value indented.
+// printJSON prints a value as indented JSON.
 func printJSON(value any, out io.Writer) error {
-	e := json.NewEncoder(out)
-	e.SetIndent("", "  ")
-	return e.Encode(value)
+	encoder := json.NewEncoder(out)
+	encoder.SetIndent("", "  ")
+	return encoder.Encode(value)
 }
--- a/internal/weirctl/config.go
+++ b/internal/weirctl/config.go
@@ -1,6 +1,6 @@
 package weirctl
 
-// This file owns the commands about the operator's configuration.
+// This file has the commands about the operator's configuration.
 
 import (
 	"fmt"
--- a/internal/weirctl/doc.go
+++ b/internal/weirctl/doc.go
@@ -1,9 +1,9 @@
-// Package weirctl is the operators' command: what the system is doing and why, what a configuration would change,
-// moves of shards and sessions, and what to do with a core machine's disk.
+// Package weirctl implements the operators' command: the status of the system and its reasons, the effects of a
+// configuration, moves of shards and sessions, and the disks of core machines (machines of the control plane).
 //
-// It owns the command line and the form of what is printed, by which operators' scripts go. It asks machines by their
-// published HTTP calls (client.go) and opens the folders of stopped core machines (state.go); it decides nothing.
+// It defines the command line and the format of the output, which operators' scripts rely on. It calls the HTTP API of
+// the machines (client.go), and opens the folders of stopped core machines (state.go).
 //
-// Every command is a line of the table in commands.go. A family of commands has a file: status.go, config.go,
+// The table of commands is built in commands.go. Each family of commands has its own files: status.go, config.go,
 // members.go, shards.go with shardplan.go and shardpage.go, sessions.go, state.go.
 package weirctl
--- a/internal/weirctl/files_test.go
+++ b/internal/weirctl/files_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// The texts were recorded before the types had their present names.
-func TestErrorsOfFilesKeepTheirText(t *testing.T) {
+// Errors for files with wrong types must keep the names that the types had when the texts were recorded.
+func TestFileErrorsUsePublishedTypeNames(t *testing.T) {
 	for _, c := range []struct{ name, command, text, want string }{
 		{"change", "found", `{"fate":5}`, "Change.fate of type shardmap.Fate"},
 		{"cluster", "plan", `{"nodes":[{"state":5}]}`, "Node.nodes.state of type shardplan.State"},
--- a/internal/weirctl/golden_test.go
+++ b/internal/weirctl/golden_test.go
@@ -23,10 +23,10 @@
 "others":[{"ID":"v2","Addr":"x","Index":42,"Behind":false,"Silent":18.4},{"ID":"v3","Addr":"x","Index":40,"Behind":true,"Silent":1900.6},{"ID":"v4","Addr":"x","Index":0,"Behind":true,"Silent":-1}],
 "members":[{"ID":"m1","Svc":"orders","Addr":"10.0.1.1:5432","Zone":"z1","Gen":"v1","Role":1,"Draining":false,"Gone":false},{"ID":"m2","Svc":"orders","Addr":"10.0.1.2:5432","Zone":"z2","Role":2,"Draining":true,"Gone":true},{"ID":"m3"}],
 "drivers":[{"Name":"front-1"}],"successions":{"orders":"waits for m2"}}` + "\n"
-	proxyStatusJSON = `{"gen":9,"sessions":3,"drivers":4,"groups":{"orders":{"slot":"m1","why":"m1 by heartbeat","waiting":2,"connections":{"m1":5,"m2":1},"share":12.5}}}`
-	oddStatusJSON   = `{"sessions":0,"groups":{"orders":{}}}`
-	configLogJSON   = `[{"Gen":8,"Base":7,"Digest":[1,2,3,4,5,250,7],"Node":"core-1","At":1764600000000},{"Gen":9,"Base":8,"Digest":[9],"Node":"core-2","At":1764600060000}]`
-	shardsJSON      = `{"leads":true,"leader":"","map":{"version":5,"shards":{"s1":{"node":"a","epoch":3,"last":17},"s2":{"node":"b","epoch":1,"last":0}},
+	proxyStatusJSON  = `{"gen":9,"sessions":3,"drivers":4,"groups":{"orders":{"slot":"m1","why":"m1 by heartbeat","waiting":2,"connections":{"m1":5,"m2":1},"share":12.5}}}`
+	sparseStatusJSON = `{"sessions":0,"groups":{"orders":{}}}`
+	configLogJSON    = `[{"Gen":8,"Base":7,"Digest":[1,2,3,4,5,250,7],"Node":"core-1","At":1764600000000},{"Gen":9,"Base":8,"Digest":[9],"Node":"core-2","At":1764600060000}]`
+	shardsJSON       = `{"leads":true,"leader":"","map":{"version":5,"shards":{"s1":{"node":"a","epoch":3,"last":17},"s2":{"node":"b","epoch":1,"last":0}},
 "tasks":[{"shard":"s1","from":"a","to":"b","bytes":100,"round":1,"fate":"waiting"},{"shard":"s2","from":"b","to":"a","bytes":70,"round":1,"fate":"failed","why":"no <room>"},{"shard":"s3","from":"b","to":"a","bytes":7,"round":2,"fate":"done"}],
 "paused":true,"rules":{"perNode":1,"rate":8388608,"band":0.1,"reserve":0.05,"growth":0.1,"replans":3},"nodes":{"b":{"zone":"z2","state":"leaving"}}},
 "nodes":{"a":{"limit":1000,"foreign":10,"free":300,"busy":1,"slots":4,"copies":{"s1":{"epoch":3,"state":"open","last":17,"held":500}}},"b":{"limit":2000,"foreign":0,"free":1900,"copies":{}}},
@@ -37,11 +37,12 @@
 	configJSON     = `{"gen":10,"routes":[{"host":"db","svc":"orders"}],"svcs":[{"name":"orders"}],"limits":{"txIdleMs":1000}}`
 )
 
-// machines answers the calls that weirctl makes, and writes down those that change something.
-func machines(calls *strings.Builder) *httptest.Server {
+// newFakeMachines returns a server that answers the calls of weirctl for all kinds of machines. It writes calls with a
+// query or a method other than GET to calls.
+func newFakeMachines(calls *strings.Builder) *httptest.Server {
 	answers := map[string]string{"/status": coreStatusJSON, "/config/log": configLogJSON, "/shards": shardsJSON,
 		"/config/show": `{"gen":9,"routes":[],"svcs":[]}`,
-		"/events":      "1 core \"E501\"\n2 core \"E502\"\n", "/sessions/id1": `{"session":"id1"}` + "\n", "/proxy/status": proxyStatusJSON, "/odd/status": oddStatusJSON}
+		"/events":      "1 core \"E501\"\n2 core \"E502\"\n", "/sessions/id1": `{"session":"id1"}` + "\n", "/proxy/status": proxyStatusJSON, "/odd/status": sparseStatusJSON}
 	s := httptest.NewUnstartedServer(nil)
 	s.Config.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		path, addr := r.URL.Path, s.Listener.Addr().String()
@@ -78,8 +79,8 @@
 	return s
 }
 
-// disk makes the folder of a core machine that has stopped.
-func disk(t *testing.T, folder string, commit uint64) {
+// writeDisk creates the folder of a stopped core machine.
+func writeDisk(t *testing.T, folder string, commit uint64) {
 	t.Helper()
 	s, _, _, err := store.Open(folder)
 	if err != nil {
@@ -100,28 +101,28 @@
 	}
 }
 
-func write(t *testing.T, file, text string) {
+func writeFile(t *testing.T, file, text string) {
 	t.Helper()
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// Every call's exit code, output, errors and requests are as in testdata/calls.txt; GOLDEN=write records them anew.
-// ADDR is a machine whose answers are the constants above, DIR a folder.
-func TestCallsKeepTheirOutput(t *testing.T) {
+// Compares the exit code, output, errors and requests of every command line with testdata/calls.txt; GOLDEN=write
+// rewrites the file. ADDR stands for a machine that answers with the constants above, DIR for a folder.
+func TestCommandsMatchRecordedOutput(t *testing.T) {
 	var calls strings.Builder
-	s := machines(&calls)
+	s := newFakeMachines(&calls)
 	defer s.Close()
 	dir, addr := t.TempDir(), s.Listener.Addr().String()
 	file := func(name string) string { return filepath.Join(dir, name) }
-	disk(t, file("disk"), 42)
-	disk(t, file("behind"), 41)
-	write(t, file("config.json"), configJSON)
-	write(t, file("cluster.json"), clusterJSON)
-	write(t, file("rules.json"), `{"perNode":2,"rate":1000}`)
-	write(t, file("found.json"), `{"shards":{"s1":"a"},"nodes":{"a":{"zone":"z1","state":"in"}}}`)
-	write(t, file("bad.json"), `{"unknown":1}`)
+	writeDisk(t, file("disk"), 42)
+	writeDisk(t, file("behind"), 41)
+	writeFile(t, file("config.json"), configJSON)
+	writeFile(t, file("cluster.json"), clusterJSON)
+	writeFile(t, file("rules.json"), `{"perNode":2,"rate":1000}`)
+	writeFile(t, file("found.json"), `{"shards":{"s1":"a"},"nodes":{"a":{"zone":"z1","state":"in"}}}`)
+	writeFile(t, file("bad.json"), `{"unknown":1}`)
 	var b strings.Builder
 	var usage bytes.Buffer
 	printUsage(&usage)
@@ -145,7 +146,7 @@
 	got := strings.NewReplacer(addr, "ADDR", dir, "DIR").Replace(b.String())
 	const golden = "testdata/calls.txt"
 	if os.Getenv("GOLDEN") == "write" {
-		write(t, golden, got)
+		writeFile(t, golden, got)
 	}
 	want, err := os.ReadFile(golden)
 	if err != nil {
--- a/internal/weirctl/members.go
+++ b/internal/weirctl/members.go
@@ -1,6 +1,6 @@
 package weirctl
 
-// This file owns the commands about members.
+// This file has the commands about members.
 
 import (
 	"io"
--- a/internal/weirctl/sessions.go
+++ b/internal/weirctl/sessions.go
@@ -1,6 +1,6 @@
 package weirctl
 
-// This file owns the commands about open sessions: docs/sessions.md.
+// This file has the commands about open sessions: docs/sessions.md.
 
 import (
 	"flag"
@@ -16,18 +16,18 @@
 )
 
 var sessionCommands = []command{
-	{"sessions status", minimum(1), sessionsStatus, `  weirctl sessions status ADDR              ` +
+	{"sessions status", atLeast(1), sessionsStatus, `  weirctl sessions status ADDR              ` +
 		`sites of open sessions, and what they hold: docs/sessions.md
 `},
-	{"sessions drain", minimum(1), sessionsDrain, "  weirctl sessions drain [-pace N] ADDR SITE, undrain ADDR SITE\n" +
-		continuation + "hands a site's sessions to its neighbours, N a second\n"},
+	{"sessions drain", atLeast(1), sessionsDrain, "  weirctl sessions drain [-pace N] ADDR SITE, undrain ADDR SITE\n" +
+		continuationIndent + "hands a site's sessions to its neighbours, N a second\n"},
 	{"sessions undrain", exactly(2), sessionsUndrain, ""},
 	{"sessions show", exactly(2), sessionsShow, `  weirctl sessions show ADDR ID             ` +
 		`where a session is and what is queued
 `},
 }
 
-// siteStatus is what GET /status of a site answers.
+// siteStatus is a site's response to GET /status.
 type siteStatus struct {
 	Primaries int   `json:"homes"`
 	Replicas  int   `json:"copies"`
@@ -51,7 +51,7 @@
 
 func sitePath(site, action string) string { return "/sites/" + url.PathEscape(site) + action }
 
-// fetchSites asks a core machine for the map of sites.
+// fetchSites returns the map of sites from a core machine. A map without sites is an error.
 func fetchSites(addr string) (siteMap sites.Map, err error) {
 	err = getJSON(addr, "/sites", &siteMap)
 	if err == nil && siteMap.Version == 0 {
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// siteDetail is what a site itself answers; "" for one that was removed, which is asked all the same.
+// siteDetail asks a site for its status, and returns it as text. The text is "" for a site that was removed.
 func siteDetail(site *sites.Site) string {
 	var s siteStatus
 	err := getJSON(site.HTTPAddr, "/status", &s)
@@ -93,7 +93,7 @@
 	if err != nil {
 		return err
 	}
-	id, _, _ := strings.Cut(args[1], ".") // what follows in a token is its secret, which no site is sent
+	id, _, _ := strings.Cut(args[1], ".") // the rest of a token is its secret, which must not be sent to sites
 	for _, site := range siteMap.Sites {
 		if site.State == sites.StateRemoved {
 			continue
--- a/internal/weirctl/shardpage.go
+++ b/internal/weirctl/shardpage.go
@@ -1,6 +1,6 @@
 package weirctl
 
-// This file owns the page on which operators follow a rebalance.
+// This file renders the HTML page about the progress of a rebalance.
 
 import (
 	"fmt"
@@ -29,7 +29,7 @@
 	return os.WriteFile(args[1], []byte(renderPage(&view)), 0o644)
 }
 
-// renderPage is the progress as HTML: bytes moved and disk used over time, nodes, tasks.
+// renderPage returns the progress as HTML: bytes moved and disk used over time by node, and tasks.
 func renderPage(view *controlplane.ShardsView) string {
 	var b strings.Builder
 	b.WriteString(plot.Head + "<title>Shards</title>")
@@ -48,7 +48,8 @@
 	return b.String()
 }
 
-// renderProgress draws bytes moved, of those moved so far, and each node's disk, of its capacity.
+// renderProgress draws the bytes moved over time, relative to those moved so far, and the bytes used on each node,
+// relative to its capacity.
 func renderProgress(b *strings.Builder, view *controlplane.ShardsView) {
 	n := len(view.Progress)
 	moved := float64(max(view.Progress[n-1].BytesMoved, 1))
--- a/internal/weirctl/shardplan.go
+++ b/internal/weirctl/shardplan.go
@@ -1,6 +1,6 @@
 package weirctl
 
-// This file owns the commands that plan moves of shards.
+// This file has the commands that plan moves of shards.
 
 import (
 	"crypto/sha256"
@@ -17,12 +17,12 @@
 )
 
 const (
-	planIDBytes    = 8 // of its digest
+	planIDBytes    = 8 // bytes of the plan's digest that make up its ID
 	planRetries    = 3
 	planRetryDelay = 500 * time.Millisecond
 )
 
-// shardsPlan prints the plan for a cluster as a file has it, or as the nodes of a system report it.
+// shardsPlan prints the plan for a cluster that is described by a file or reported by the nodes of a running system.
 func shardsPlan(args []string, out io.Writer) error {
 	flags := flag.NewFlagSet("shards plan", flag.ContinueOnError)
 	asJSON := flags.Bool("json", false, "as JSON")
@@ -44,7 +44,7 @@
 	return printPlan(plan, out)
 }
 
-// readCluster asks a core machine's nodes, or reads a file where there is no address.
+// readCluster returns the cluster as reported by a core machine, or as described by a file if addr is "".
 func readCluster(addr, file string) (*shardplan.Cluster, error) {
 	if addr == "" {
 		cluster := &shardplan.Cluster{}
@@ -57,7 +57,7 @@
 	return shardmap.ClusterOf(view.Map, view.Nodes)
 }
 
-// shardsApply plans for what the nodes report, and has the core carry the plan out.
+// shardsApply makes a plan for the cluster as reported by the nodes, and submits it to the core for execution.
 func shardsApply(args []string, out io.Writer) error {
 	addr := args[0]
 	view, err := fetchShards(addr)
@@ -80,8 +80,8 @@
 	return submitPlan(addr, shardmap.Change{Kind: shardmap.ChangePlan, BaseVersion: view.Map.Version, Tasks: tasks}, out)
 }
 
-// submitPlan has the core take a plan. A plan has an identity, by which the core recognizes one that it has taken: so
-// where there was no clear answer it is sent again.
+// submitPlan submits a plan to the core, and retries unless the answer is definite. Retries are safe because the core
+// recognizes a plan that it has accepted by its ID.
 func submitPlan(addr string, change shardmap.Change, out io.Writer) error {
 	encoded, err := json.Marshal(change)
 	if err != nil {
@@ -98,13 +98,13 @@
 	}
 }
 
-// isRejected reports whether a machine answered that it never takes the call.
+// isRejected reports whether an error is a response with a status of 4xx, after which a retry is useless.
 func isRejected(err error) bool {
 	var answered *statusError
 	return errors.As(err, &answered) && answered.code >= 400 && answered.code < 500
 }
 
-// printPlan prints a plan. One that leaves moves without room is an error, after it was printed.
+// printPlan prints a plan. It then returns an error if moves of the plan are unplaced for lack of room.
 func printPlan(plan *shardplan.Plan, out io.Writer) error {
 	for i, round := range plan.Rounds {
 		for _, move := range round {
--- a/internal/weirctl/shards.go
+++ b/internal/weirctl/shards.go
@@ -1,6 +1,6 @@
 package weirctl
 
-// This file owns the commands about shards but for plans: docs/rebalance.md.
+// This file has the commands about shards, except those for plans: docs/rebalance.md.
 
 import (
 	"bytes"
@@ -25,22 +25,22 @@
 	{"shards found", exactly(2), shardsFound, `  weirctl shards found ADDR FILE            ` +
 		`first holders of shards, and the nodes' zones
 `},
-	{"shards status", minimum(1), shardsStatus, `  weirctl shards status [-json] ADDR        ` +
+	{"shards status", atLeast(1), shardsStatus, `  weirctl shards status [-json] ADDR        ` +
 		`nodes, room, and what moves
 `},
-	{"shards plan", minimum(1), shardsPlan, `  weirctl shards plan [-json] FILE          ` +
+	{"shards plan", atLeast(1), shardsPlan, `  weirctl shards plan [-json] FILE          ` +
 		`moves that rebalance the nodes and shards of FILE, in rounds: docs/rebalance.md
   weirctl shards plan [-json] -at ADDR      the same for what the nodes of a system hold
 `},
-	{"shards apply", minimum(1), shardsApply, `  weirctl shards apply ADDR                 ` +
+	{"shards apply", atLeast(1), shardsApply, `  weirctl shards apply ADDR                 ` +
 		`makes that plan and has it carried out
 `},
-	{"shards pause", minimum(1), shardsChange(shardmap.ChangePause), `  weirctl shards pause|resume|abort ADDR    ` +
+	{"shards pause", atLeast(1), shardsChange(shardmap.ChangePause), `  weirctl shards pause|resume|abort ADDR    ` +
 		`abort: what was not handed over goes back
 `},
-	{"shards resume", minimum(1), shardsChange(shardmap.ChangeResume), ""},
-	{"shards abort", minimum(1), shardsChange(shardmap.ChangeAbort), ""},
-	{"shards mark", count{3, 4}, shardsSetNode, "  weirctl shards mark ADDR NODE in|leaving|gone [ZONE]\n"},
+	{"shards resume", atLeast(1), shardsChange(shardmap.ChangeResume), ""},
+	{"shards abort", atLeast(1), shardsChange(shardmap.ChangeAbort), ""},
+	{"shards mark", argumentCount{3, 4}, shardsSetNode, "  weirctl shards mark ADDR NODE in|leaving|gone [ZONE]\n"},
 	{"shards rules", exactly(2), shardsRules, `  weirctl shards rules ADDR FILE            ` +
 		`how much goes on at a time; FILE has what is to change
 `},
@@ -52,24 +52,24 @@
 `},
 }
 
-// maxLeaderHops bounds how often a machine's word on who leads is followed.
+// maxLeaderHops is the maximum number of machines that are asked while looking for the core's leader.
 const maxLeaderHops = 3
 
-// readStrict reads a JSON file; a field that is not known is an error.
-func readStrict(file string, into any) error {
+// readStrict decodes a JSON file. An unknown field is an error.
+func readStrict(file string, target any) error {
 	raw, err := os.ReadFile(file)
 	if err != nil {
 		return err
 	}
-	d := json.NewDecoder(bytes.NewReader(raw))
-	d.DisallowUnknownFields()
-	if err := d.Decode(into); err != nil {
+	decoder := json.NewDecoder(bytes.NewReader(raw))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(target); err != nil {
 		return oops.In("shards").With("file", file).Wrap(shardmap.WithPublishedTypes(err))
 	}
 	return nil
 }
 
-// fetchShards asks the leader for the state of shards, by whichever core machine.
+// fetchShards returns the state of shards from the core's leader. addr is any core machine.
 func fetchShards(addr string) (view controlplane.ShardsView, err error) {
 	for range maxLeaderHops {
 		view = controlplane.ShardsView{}
@@ -89,7 +89,7 @@
 	return view, fmt.Errorf("nobody is known to lead the core")
 }
 
-// submit has the core make a change of the shard map, and prints its answer.
+// submit submits a change of the shard map to the core, and prints the response.
 func submit(addr string, change shardmap.Change, out io.Writer) error {
 	body, err := json.Marshal(change)
 	if err != nil {
@@ -111,7 +111,7 @@
 	return submit(args[0], change, out)
 }
 
-// shardsChange returns the command for a change that has a kind alone.
+// shardsChange returns the command for a change that consists of its kind only.
 func shardsChange(kind shardmap.ChangeKind) func([]string, io.Writer) error {
 	return func(args []string, out io.Writer) error { return submit(args[0], shardmap.Change{Kind: kind}, out) }
 }
@@ -189,14 +189,15 @@
 		tasks[shardmap.TaskDone], tasks[shardmap.TaskPending], tasks[shardmap.TaskFailed], tasks[shardmap.TaskAborted])
 }
 
-// distribution sums up the times, in milliseconds, for which shards took no writes as they were handed over.
+// distribution returns the median, the 99th percentile and the maximum of the times, in milliseconds, for which shards
+// accepted no writes during a hand-over.
 func distribution(gaps []float64) string {
 	if len(gaps) == 0 {
 		return "-"
 	}
-	sorted := slices.Sorted(slices.Values(gaps))
-	n := len(sorted)
-	return fmt.Sprintf("%.0f ms at the median, %.0f at p99, %.0f at most", sorted[n/2], sorted[n*99/100], sorted[n-1])
+	ordered := slices.Sorted(slices.Values(gaps))
+	n := len(ordered)
+	return fmt.Sprintf("%.0f ms at the median, %.0f at p99, %.0f at most", ordered[n/2], ordered[n*99/100], ordered[n-1])
 }
 
 func shardsExplain(args []string, out io.Writer) error {
@@ -223,6 +224,6 @@
 		}
 	}
 	body, err := get(cmp.Or(view.Leader, addr), eventsAbout("shard", shard))
-	_, _ = out.Write(body) // the call's error comes first
+	_, _ = out.Write(body) // the error of the call is the one returned
 	return err
 }
--- a/internal/weirctl/state.go
+++ b/internal/weirctl/state.go
@@ -1,6 +1,6 @@
 package weirctl
 
-// This file owns the commands on the disks of stopped core machines: docs/system-operator.md.
+// This file has the commands for the disks of stopped core machines: docs/system-operator.md.
 
 import (
 	"fmt"
@@ -21,22 +21,22 @@
 	{"state export", exactly(2), stateExport, `  weirctl state export FOLDER FILE          ` +
 		`its operator's word, for a restore
 `},
-	{"state import", minimum(4), stateImport, "  weirctl state import FILE FOLDER ADDR VOTER...\n" +
-		continuation + "founds a core anew from an export: on each new machine's empty FOLDER, with its own\n" +
-		continuation + "ctl ADDR and the same list of all VOTERs' ctl addresses. Only for the day on which\n" +
-		continuation + "a majority of the disks is gone: docs/system-operator.md\n"},
+	{"state import", atLeast(4), stateImport, "  weirctl state import FILE FOLDER ADDR VOTER...\n" +
+		continuationIndent + "founds a core anew from an export: on each new machine's empty FOLDER, with its own\n" +
+		continuationIndent + "ctl ADDR and the same list of all VOTERs' ctl addresses. Only for the day on which\n" +
+		continuationIndent + "a majority of the disks is gone: docs/system-operator.md\n"},
 }
 
-// exported is the replicated state in a file, outside of a core.
-type exported struct {
+// exportFile is the content of a file with the exported replicated state of a core.
+type exportFile struct {
 	Format string          `cbor:"1,keyasint"` // exportFormat
-	Entry  consensus.Entry `cbor:"2,keyasint"` // newest entry of the disk
-	Term   uint64          `cbor:"3,keyasint"` // newest term that the disk knows
+	Entry  consensus.Entry `cbor:"2,keyasint"` // the last entry on the disk
+	Term   uint64          `cbor:"3,keyasint"` // the highest term on the disk
 }
 
 const exportFormat = "weirwind core 1"
 
-// termIncrement lifts a restored core over all terms that its lost machines can have reached.
+// termIncrement makes the term of a restored core higher than any term that the lost machines can have reached.
 const termIncrement = 1 << 20
 
 func stateCheck(args []string, out io.Writer) error {
@@ -77,7 +77,7 @@
 	if !found {
 		return fmt.Errorf("%s: nothing was ever kept there", folder)
 	}
-	raw, err := cbor.Marshal(exported{exportFormat, hard.Last, hard.Term})
+	raw, err := cbor.Marshal(exportFile{exportFormat, hard.Last, hard.Term})
 	if err != nil {
 		return err
 	}
@@ -96,8 +96,8 @@
 	if err != nil {
 		return err
 	}
-	var e exported
-	if err := cbor.Unmarshal(raw, &e); err != nil || e.Format != exportFormat {
+	var export exportFile
+	if err := cbor.Unmarshal(raw, &export); err != nil || export.Format != exportFormat {
 		return fmt.Errorf("%s is no export of a core", file)
 	}
 	disk, _, found, err := store.Open(folder)
@@ -105,14 +105,14 @@
 		return err
 	}
 	defer func() {
-		if closed := disk.Close(); err == nil {
-			err = closed
+		if closeErr := disk.Close(); err == nil {
+			err = closeErr
 		}
 	}()
 	if found {
 		return fmt.Errorf("%s is not empty: a restore goes to an empty folder only", folder)
 	}
-	hard := consensus.Restore(addr, voters, e.Entry, max(e.Term, e.Entry.Term)+termIncrement)
+	hard := consensus.Restore(addr, voters, export.Entry, max(export.Term, export.Entry.Term)+termIncrement)
 	if hard.ID == "" {
 		return fmt.Errorf("%s is not among the voters", addr)
 	}
@@ -121,15 +121,15 @@
 	}
 	fmt.Fprintf(out, "%s begins as voter %s with term %d; start it with init=false once all voters are restored\n",
 		addr, hard.ID, hard.Term)
-	return warnOfLaterChanges(&e, out)
+	return warnOfLaterChanges(&export, out)
 }
 
-// warnOfLaterChanges says which changes a restore gives up: those that were acknowledged after the exported version.
-// Who retries one of them is told the version that is in place, and has to build on that.
-func warnOfLaterChanges(e *exported, out io.Writer) error {
+// warnOfLaterChanges prints which changes are lost by a restore: those that were acknowledged after the exported
+// version. A client that retries one of them gets the restored version and has to base the change on it.
+func warnOfLaterChanges(export *exportFile, out io.Writer) error {
 	var state config.State
-	if len(e.Entry.Value) > 0 {
-		if err := cbor.Unmarshal(e.Entry.Value, &state); err != nil {
+	if len(export.Entry.Value) > 0 {
+		if err := cbor.Unmarshal(export.Entry.Value, &state); err != nil {
 			return err
 		}
 	}
--- a/internal/weirctl/status.go
+++ b/internal/weirctl/status.go
@@ -1,6 +1,6 @@
 package weirctl
 
-// This file owns the commands about what the system is doing and why.
+// This file has the commands about the status of the system and its reasons.
 
 import (
 	"encoding/json"
@@ -16,41 +16,41 @@
 )
 
 var statusCommands = []command{
-	{"status", minimum(1), status, `  weirctl status [-json] ADDR...            ` +
+	{"status", atLeast(1), status, `  weirctl status [-json] ADDR...            ` +
 		`versions, voters, members, drivers, slots; ADDR is a machine's ctl or ready address
 `},
-	{"explain", minimum(2), explain, `  weirctl explain GROUP ADDR...            ` +
+	{"explain", atLeast(2), explain, `  weirctl explain GROUP ADDR...            ` +
 		`why a group's slot is as it is: the newest events of these machines about it
 `},
 }
 
-// machineStatus is what GET /status answers: a core machine, or a proxy, which has Sessions.
+// machineStatus is the response to GET /status of a core machine or of a proxy. Only a proxy's has Sessions.
 type machineStatus struct {
-	// Version is of the configuration; nil: the machine has none, or no contact with a majority to know it by.
+	// Version is the version of the configuration; nil: the machine has none, or no contact with a majority.
 	Version *uint64 `json:"gen"`
 
-	// Of a core machine.
+	// Fields of a core machine.
 	Machine     string                 `json:"machine"`
 	Leader      string                 `json:"leader"`
 	Leading     bool                   `json:"leads"`
 	Term        uint64                 `json:"term"`
 	Index       uint64                 `json:"index"`
 	Voters      []consensus.Voter      `json:"voters"`
-	Peers       []consensus.PeerStatus `json:"others"` // the other voters, where this machine leads
+	Peers       []consensus.PeerStatus `json:"others"` // the other voters, if this machine is the leader
 	DiskFull    bool                   `json:"diskFull"`
-	DiskWaitMs  float64                `json:"diskWaitMs"` // above 0: the machine waits for its disk, and says no more
+	DiskWaitMs  float64                `json:"diskWaitMs"` // above 0: it waits for its disk, and reports no more
 	Syncs       uint64                 `json:"syncs"`
 	LastSyncMs  float64                `json:"lastSyncMs"`
 	SlowestSync float64                `json:"mostSyncMs"` // milliseconds
 	Members     []memberStatus         `json:"members"`
-	Failovers   map[string]string      `json:"successions"` // by service: what each waits for
-	Drivers     json.RawMessage        `json:"drivers"`     // a list; a proxy's is their number
-	Sessions    *int                   `json:"sessions"`    // a proxy's; nil: it is a core machine
+	Failovers   map[string]string      `json:"successions"` // by service: what its failover waits for
+	Drivers     json.RawMessage        `json:"drivers"`     // a list from a core machine, a number from a proxy
+	Sessions    *int                   `json:"sessions"`    // nil for a core machine
 
-	Groups map[string]groupStatus `json:"groups"` // a proxy's, by service
+	Groups map[string]groupStatus `json:"groups"` // of a proxy, by service
 }
 
-// memberStatus is a member as a core machine knows it.
+// memberStatus is a core machine's view of a member.
 type memberStatus struct {
 	ID       optional[string]  `json:"ID"`
 	Service  optional[string]  `json:"Svc"`
@@ -61,7 +61,7 @@
 	Departed optional[bool]    `json:"Gone"`
 }
 
-// groupStatus is a group as a proxy knows it.
+// groupStatus is a proxy's view of a group.
 type groupStatus struct {
 	Slot        optional[string]             `json:"slot"`
 	Reason      optional[string]             `json:"why"`
@@ -70,14 +70,14 @@
 	Share       optional[float64]            `json:"share"`
 }
 
-// optional is a value that a machine of another version may leave out. It then prints as <nil>. Numbers are float64
-// so that they print as they always have.
+// optional is a value that machines of other versions may omit. A missing value is printed as <nil>. Numbers are
+// float64 to keep their printed format.
 type optional[T any] struct{ value *T }
 
-// UnmarshalJSON sets the value; null is as if it were left out.
+// UnmarshalJSON sets the value; null is the same as a missing value.
 func (o *optional[T]) UnmarshalJSON(raw []byte) error { return json.Unmarshal(raw, &o.value) }
 
-// String returns the value in its usual form.
+// String returns the value in its default format, or <nil>.
 func (o optional[T]) String() string {
 	if o.value == nil {
 		return "<nil>"
@@ -85,7 +85,8 @@
 	return fmt.Sprint(*o.value)
 }
 
-// status prints the status of each machine. One that doesn't answer is said so, and the others are asked still.
+// status prints the status of each machine. The error of one that doesn't answer is printed, the others are still
+// asked, and the last such error is returned.
 func status(args []string, out io.Writer) error {
 	flags := flag.NewFlagSet("status", flag.ContinueOnError)
 	raw := flags.Bool("json", false, "as JSON")
@@ -101,7 +102,7 @@
 			continue
 		}
 		if *raw {
-			_, _ = out.Write(body) // nobody is left to be told
+			_, _ = out.Write(body) // there is no other output to report a write error to
 			continue
 		}
 		var machine machineStatus
@@ -117,7 +118,7 @@
 	return failed
 }
 
-// versionText gives a configuration's version, or that it isn't known.
+// versionText returns a configuration's version as text, or "unknown".
 func versionText(version *uint64) string {
 	if version == nil {
 		return "unknown"
@@ -159,7 +160,7 @@
 	}
 }
 
-// peerDetail says how a voter stands with the leader; "" where nothing is known of it.
+// peerDetail describes a voter as the leader sees it, or returns "" if the leader has no status of it.
 func peerDetail(peers []consensus.PeerStatus, id string) (detail string) {
 	for _, peer := range peers {
 		switch {
@@ -178,7 +179,7 @@
 	return detail
 }
 
-// explain prints the newest events of machines about a group.
+// explain prints the latest events about a group from each machine.
 func explain(args []string, out io.Writer) error {
 	for _, addr := range args[1:] {
 		body, err := get(addr, eventsAbout("svc", args[0]))
@@ -190,7 +191,7 @@
 	return nil
 }
 
-// eventsAbout returns the path of the events that have a key with a value.
+// eventsAbout returns the URL path of the events with the given key and value.
 func eventsAbout(key, value string) string {
 	return "/events?about=" + url.QueryEscape(`"`+key+`"="`+value+`"`)
 }
--- a/internal/weirctl/weirctl.go
+++ b/internal/weirctl/weirctl.go
@@ -1,6 +1,6 @@
 package weirctl
 
-// This file owns the program's frame: finding the command, and the exit code.
+// This file has the entry point: it selects the command, and maps its error to an exit code.
 
 import (
 	"errors"
@@ -15,10 +15,11 @@
 	exitUsage   = 2 // the command line is wrong
 )
 
-// errUsage says that the command line is wrong; the usage is printed instead of it.
+// errUsage is the error of a wrong command line. The usage text is printed in its place.
 var errUsage = errors.New("wrong command line")
 
-// Main runs a command and returns the exit code: 0, 1 for a failure, 2 for a wrong command line.
+// Main runs the command of a command line and returns the exit code: 0 for success, 1 for a failure, 2 for a wrong
+// command line.
 func Main(args []string, out, errs io.Writer) int {
 	if len(args) == 1 && isHelp(args[0]) {
 		printUsage(out)
@@ -41,7 +42,7 @@
 	return arg == "-h" || arg == "-help" || arg == "--help" || arg == "help"
 }
 
-// run finds the command that the arguments begin with, and runs it with the others.
+// run runs the command that the arguments begin with on the remaining arguments.
 func run(args []string, out io.Writer) error {
 	for _, c := range commands() {
 		rest, ok := c.match(args)
