--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -57,14 +57,14 @@
 			return err
 		}
 	}
-	r, err := http.NewRequestWithContext(ctx, method, "http://driver"+path, &content)
+	request, err := http.NewRequestWithContext(ctx, method, "http://driver"+path, &content)
 	if err != nil {
 		return err
 	}
 	if c.Token != "" {
-		r.Header.Set("Authorization", "Bearer "+c.Token)
+		request.Header.Set("Authorization", "Bearer "+c.Token)
 	}
-	response, err := c.http.Do(r)
+	response, err := c.http.Do(request)
 	if err != nil {
 		return err
 	}
--- a/internal/control/golden_test.go
+++ b/internal/control/golden_test.go
@@ -95,13 +95,13 @@
 // serveRequest makes one call, and returns its response and the calls that the driver received as text.
 func serveRequest(s Switcher, d *fakeDriver, token, method, path, auth, body string) string {
 	d.received = nil
-	r := httptest.NewRequest(method, path, strings.NewReader(body))
+	request := httptest.NewRequest(method, path, strings.NewReader(body))
 	if auth != "" {
-		r.Header.Set("Authorization", auth)
+		request.Header.Set("Authorization", auth)
 	}
-	w := httptest.NewRecorder()
-	handler(s, token).ServeHTTP(w, r)
-	return fmt.Sprintf("%d %v %s | %s", w.Code, w.Header(), w.Body, strings.Join(d.received, "; "))
+	response := httptest.NewRecorder()
+	handler(s, token).ServeHTTP(response, request)
+	return fmt.Sprintf("%d %v %s | %s", response.Code, response.Header(), response.Body, strings.Join(d.received, "; "))
 }
 
 // Compares the status, headers and body of every call with those recorded from the build before a refactoring.
@@ -173,10 +173,10 @@
 func TestRecordedCalls(t *testing.T) {
 	var cases []golden.Case[string]
 	ctx, freeze := context.Background(), true
-	n := switchover.Notification{Group: 3, Stage: switchover.StageHeld, From: "m1", Lease: 10.5}
+	notification := switchover.Notification{Group: 3, Stage: switchover.StageHeld, From: "m1", Lease: 10.5}
 	calls := map[string]func(c *Client) error{
-		"hook":    func(c *Client) error { _, err := c.NotifyHook(ctx, n); return err },
-		"tell":    func(c *Client) error { return c.NotifyPeer(ctx, []switchover.Notification{n, n}) },
+		"hook":    func(c *Client) error { _, err := c.NotifyHook(ctx, notification); return err },
+		"tell":    func(c *Client) error { return c.NotifyPeer(ctx, []switchover.Notification{notification, notification}) },
 		"status":  func(c *Client) error { _, err := c.Status(ctx); return err },
 		"members": func(c *Client) error { _, err := c.Membership(ctx); return err },
 		"compare": func(c *Client) error { _, err := c.Compare(ctx); return err },
@@ -189,13 +189,13 @@
 	for _, name := range []string{"hook", "tell", "status", "members", "compare", "leave", "forget", "zones", "without",
 		"order"} {
 		for _, answer := range []recorder{{status: 200, body: "null"}, {status: 409, body: " no: because\n"}} {
-			c := NewClient("a:1", map[int]string{200: "secret"}[answer.status])
-			c.http.Transport = &answer
-			err := calls[name](c)
+			client := NewClient("a:1", map[int]string{200: "secret"}[answer.status])
+			client.http.Transport = &answer
+			err := calls[name](client)
 			cases = append(cases, golden.Of(fmt.Sprintf("%s %d", name, answer.status), fmt.Sprintf("%s | %v | %v",
 				strings.Join(answer.sent, "; "), err, answer.timeout)))
-			if c.http.Timeout != callTimeout {
-				t.Errorf("%s changed the timeout of other calls to %v", name, c.http.Timeout)
+			if client.http.Timeout != callTimeout {
+				t.Errorf("%s changed the timeout of other calls to %v", name, client.http.Timeout)
 			}
 		}
 	}
--- a/internal/control/membership.go
+++ b/internal/control/membership.go
@@ -34,8 +34,8 @@
 // withMembership returns a handler for a call on membership. The handler fails if membership is disabled.
 func withMembership(switcher Switcher, call membershipCall) http.HandlerFunc {
 	return fleetStatuses.serve(func(w http.ResponseWriter, r *http.Request) error {
-		if p, ok := switcher.(membershipProvider); ok {
-			if fleet := p.Membership(); fleet != nil {
+		if provider, ok := switcher.(membershipProvider); ok {
+			if fleet := provider.Membership(); fleet != nil {
 				return call(w, r, fleet)
 			}
 		}
@@ -52,7 +52,7 @@
 		return nil
 	})
 	handle("GET /membership/compare", func(w http.ResponseWriter, r *http.Request, fleet Membership) error {
-		_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(compareTimeout)) // the server supports deadlines
+		_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(compareTimeout)) // no error: the server's connections support deadlines
 		writeJSON(w, fleet.Compare(r.Context()))
 		return nil
 	})
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -78,9 +78,9 @@
 
 // readJSON decodes a request's body. Unknown fields are errors.
 func readJSON(w http.ResponseWriter, r *http.Request, value any) error {
-	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBytes))
-	d.DisallowUnknownFields()
-	return withPublishedTypes(d.Decode(value))
+	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBytes))
+	decoder.DisallowUnknownFields()
+	return withPublishedTypes(decoder.Decode(value))
 }
 
 func writeJSON(w http.ResponseWriter, value any) {
@@ -97,12 +97,12 @@
 // Accept waits for a slot, then for a connection.
 func (l *limitedListener) Accept() (net.Conn, error) {
 	l.slots <- struct{}{}
-	c, err := l.Listener.Accept()
+	conn, err := l.Listener.Accept()
 	if err != nil {
 		<-l.slots
 		return nil, err
 	}
-	return &limitedConn{Conn: c, release: func() { <-l.slots }}, nil
+	return &limitedConn{Conn: conn, release: func() { <-l.slots }}, nil
 }
 
 // limitedConn releases its slot when it is closed for the first time.
--- a/internal/control/zones.go
+++ b/internal/control/zones.go
@@ -27,8 +27,8 @@
 // withZones returns a handler for a call on zones. The handler fails if decisions on zones are disabled.
 func withZones(switcher Switcher, call zonesCall) http.HandlerFunc {
 	return zoneStatuses.serve(func(w http.ResponseWriter, r *http.Request) error {
-		if p, ok := switcher.(zonesProvider); ok {
-			if decider := p.Zones(); decider != nil {
+		if provider, ok := switcher.(zonesProvider); ok {
+			if decider := provider.Zones(); decider != nil {
 				return call(w, r, decider)
 			}
 		}
--- a/internal/controlplane/agent/corelist.go
+++ b/internal/controlplane/agent/corelist.go
@@ -25,8 +25,8 @@
 // nextCoreAddr cycles through the addresses of core machines, near ones first.
 func (a *Agent) nextCoreAddr() string {
 	near, far := a.coresByDistance()
-	for _, p := range a.settings.Peers { // the configured addresses are tried last
-		far = append(far, a.settings.MeshAddr(p))
+	for _, seed := range a.settings.Peers { // the configured addresses are tried last
+		far = append(far, a.settings.MeshAddr(seed))
 	}
 	rotation := a.rotation()
 	addrs := near
@@ -67,7 +67,7 @@
 }
 
 // sameNetwork reports whether two IPv4 addresses are in one /16.
-func sameNetwork(x, y string) bool {
-	a, b := net.ParseIP(x).To4(), net.ParseIP(y).To4()
-	return a != nil && b != nil && a[0] == b[0] && a[1] == b[1]
+func sameNetwork(hostA, hostB string) bool {
+	ipA, ipB := net.ParseIP(hostA).To4(), net.ParseIP(hostB).To4()
+	return ipA != nil && ipB != nil && ipA[0] == ipB[0] && ipA[1] == ipB[1]
 }
--- a/internal/controlplane/agent/failover_test.go
+++ b/internal/controlplane/agent/failover_test.go
@@ -73,14 +73,14 @@
 	}
 }
 
-func describe(what string, core *coreLink) string {
+func describe(label string, core *coreLink) string {
 	switch {
 	case core == nil:
-		return what + " none"
+		return label + " none"
 	case core.link == nil:
-		return fmt.Sprintf("%s %s (being dialled)", what, core.addr)
+		return fmt.Sprintf("%s %s (being dialled)", label, core.addr)
 	case core.isolated:
-		return fmt.Sprintf("%s %s (isolated)", what, core.addr)
+		return fmt.Sprintf("%s %s (isolated)", label, core.addr)
 	}
-	return fmt.Sprintf("%s %s", what, core.addr)
+	return fmt.Sprintf("%s %s", label, core.addr)
 }
--- a/internal/controlplane/agent/peers.go
+++ b/internal/controlplane/agent/peers.go
@@ -114,12 +114,12 @@
 // choosePeers keeps links to the drivers that directory.GossipPeers selects, and closes the others.
 func (a *Agent) choosePeers() {
 	wanted := map[string]bool{}
-	for _, d := range directory.GossipPeers(a.drivers, a.self.Name, peerCount) {
-		wanted[d.Addr] = true
-		if a.peers[d.Addr] == nil {
+	for _, driver := range directory.GossipPeers(a.drivers, a.self.Name, peerCount) {
+		wanted[driver.Addr] = true
+		if a.peers[driver.Addr] == nil {
 			ctx, stop := context.WithCancel(a.ctx)
-			a.peers[d.Addr] = &peer{stop: stop}
-			go a.runPeerLink(ctx, d.Addr)
+			a.peers[driver.Addr] = &peer{stop: stop}
+			go a.runPeerLink(ctx, driver.Addr)
 		}
 	}
 	for addr, p := range a.peers {
--- a/internal/pgwire/append.go
+++ b/internal/pgwire/append.go
@@ -58,7 +58,8 @@
 // AppendSingleRow appends a RowDescription, a DataRow and a CommandComplete: one row of one column in binary format.
 func AppendSingleRow(b []byte, value string) []byte {
 	b, lengthAt := beginMessage(b, 'T')
-	b = endMessage(append(b, "\x00\x01v\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x11\xff\xff\xff\xff\xff\xff\x00\x01"...), lengthAt)
+	b = endMessage(append(b, "\x00\x01v\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x11\xff\xff\xff\xff\xff\xff\x00\x01"...),
+		lengthAt)
 	b, lengthAt = beginMessage(b, 'D')
 	b = binary.BigEndian.AppendUint32(append(b, 0, 1), uint32(len(value)))
 	b = endMessage(append(b, value...), lengthAt)
--- a/internal/pgwire/parse.go
+++ b/internal/pgwire/parse.go
@@ -61,6 +61,6 @@
 	if len(body) < 6 || binary.BigEndian.Uint16(body) != 1 {
 		return nil, false
 	}
-	n := int32(binary.BigEndian.Uint32(body[2:]))
-	return body[6:], n >= 0 && int(n) == len(body)-6
+	valueLength := int32(binary.BigEndian.Uint32(body[2:]))
+	return body[6:], valueLength >= 0 && int(valueLength) == len(body)-6
 }
--- a/internal/pgwire/pgwire_test.go
+++ b/internal/pgwire/pgwire_test.go
@@ -16,25 +16,25 @@
 )
 
 func TestParseStatement(t *testing.T) {
-	r, err := ParseStatement([]byte(sampleRead))
-	if err != nil || string(r.ID) != "9b1f03aa5c7e2d41" || string(r.OpType) != "basket" || r.Timeout != 480 ||
-		r.Group != 2 || r.MinPosition != 1767225600123 || r.Write || string(r.Key) != "7f3a9c21e0b4d655" {
-		t.Errorf("%v %+v", err, r)
+	read, err := ParseStatement([]byte(sampleRead))
+	if err != nil || string(read.ID) != "9b1f03aa5c7e2d41" || string(read.OpType) != "basket" || read.Timeout != 480 ||
+		read.Group != 2 || read.MinPosition != 1767225600123 || read.Write || string(read.Key) != "7f3a9c21e0b4d655" {
+		t.Errorf("%v %+v", err, read)
 	}
-	w, err := ParseStatement([]byte(sampleWrite))
-	if err != nil || string(w.ID) != "9b" || w.Timeout != 480.5 || w.Group != -2 || w.MinPosition != 0 || !w.Write {
-		t.Errorf("%v %+v", err, w)
+	write, err := ParseStatement([]byte(sampleWrite))
+	if err != nil || string(write.ID) != "9b" || write.Timeout != 480.5 || write.Group != -2 || write.MinPosition != 0 || !write.Write {
+		t.Errorf("%v %+v", err, write)
 	}
 }
 
 // A member is sent the client's text with another value of d, the timeout.
 func TestQueryChangesOnlyTheTimeout(t *testing.T) {
 	for _, text := range []string{sampleRead, sampleWrite} {
-		s, err := ParseStatement([]byte(text))
+		statement, err := ParseStatement([]byte(text))
 		if err != nil {
 			t.Fatal(err)
 		}
-		buffers := s.Query(73)
+		buffers := statement.Query(73)
 		var out bytes.Buffer
 		buffers.WriteTo(&out)
 		kind, message, err := Read(bufio.NewReader(&out), nil)
@@ -128,12 +128,12 @@
 	f.Add([]byte(sampleRead), int64(1))
 	f.Add([]byte(sampleWrite), int64(70000))
 	f.Fuzz(func(t *testing.T, text []byte, timeout int64) {
-		s, err := ParseStatement(text)
+		statement, err := ParseStatement(text)
 		if err != nil {
 			return
 		}
 		var query bytes.Buffer
-		buffers := s.Query(timeout)
+		buffers := statement.Query(timeout)
 		buffers.WriteTo(&query)
 		_, message, err := Read(bufio.NewReader(&query), nil)
 		if err != nil {
@@ -144,8 +144,8 @@
 		}
 		got := bytes.TrimSuffix(Body(message), []byte{0})
 		again, err := ParseStatement(got)
-		if err != nil || again.Timeout != float64(max(timeout, 1)) && timeout <= maxTimeout || !bytes.Equal(again.ID, s.ID) ||
-			again.Group != s.Group || again.Write != s.Write {
+		if err != nil || again.Timeout != float64(max(timeout, 1)) && timeout <= maxTimeout || !bytes.Equal(again.ID, statement.ID) ||
+			again.Group != statement.Group || again.Write != statement.Write {
 			if timeout > maxTimeout {
 				return
 			}
--- a/internal/pgwire/statement.go
+++ b/internal/pgwire/statement.go
@@ -47,11 +47,11 @@
 			return s, errUnsupportedStatement
 		}
 	}
-	n := quotedLength(rest)
-	if n < 0 {
+	keyLength := quotedLength(rest)
+	if keyLength < 0 {
 		return s, errUnsupportedStatement
 	}
-	s.Key, rest = rest[:n], rest[n+1:]
+	s.Key, rest = rest[:keyLength], rest[keyLength+1:]
 	if s.Write {
 		if rest, ok = skipInsertValue(rest); !ok {
 			return s, errUnsupportedStatement
@@ -71,11 +71,11 @@
 	if b, ok = bytes.CutPrefix(b, insertValue); !ok {
 		return nil, false
 	}
-	n := hexLength(b)
-	if n%2 != 0 {
+	digits := hexLength(b)
+	if digits%2 != 0 {
 		return nil, false
 	}
-	if b, ok = bytes.CutPrefix(b[n:], insertEnd); !ok {
+	if b, ok = bytes.CutPrefix(b[digits:], insertEnd); !ok {
 		return nil, false
 	}
 	return bytes.CutPrefix(b, returning)
--- a/internal/plan/plan_test.go
+++ b/internal/plan/plan_test.go
@@ -82,19 +82,19 @@
 		limits := Limits{
 			GroupCapacity:  map[int64]float64{},
 			ZoneCapacity:   map[string]float64{},
-			MaxUnavailable: rapid.IntRange(1, 4).Draw(t, "cold"),
-			ReplaceTime:    whole(40, "away"),
-			WarmupTime:     whole(60, "warm"),
-			WarmupCapacity: rapid.Float64Range(0, 1).Draw(t, "share"),
-			WriteGap:       whole(5, "gap"),
-			MaxWriteGap:    whole(20, "lost"),
-			SwitchInterval: whole(30, "pause"),
-			Deadline:       whole(2, "within") * 400,
+			MaxUnavailable: rapid.IntRange(1, 4).Draw(t, "max unavailable"),
+			ReplaceTime:    whole(40, "replace time"),
+			WarmupTime:     whole(60, "warm-up time"),
+			WarmupCapacity: rapid.Float64Range(0, 1).Draw(t, "warm-up capacity"),
+			WriteGap:       whole(5, "write gap"),
+			MaxWriteGap:    whole(20, "max write gap"),
+			SwitchInterval: whole(30, "switch interval"),
+			Deadline:       whole(2, "deadline") * 400,
 		}
 		for g := range rapid.IntRange(1, 4).Draw(t, "groups") {
-			n := rapid.IntRange(2, 5).Draw(t, "members")
+			memberCount := rapid.IntRange(2, 5).Draw(t, "members")
 			sum := 0.0
-			for i := range n {
+			for i := range memberCount {
 				capacity := float64(rapid.IntRange(50, 150).Draw(t, "capacity"))
 				m := Member{fmt.Sprintf("g%dm%d", g, i), string(rune('a' + i%2)), int64(g), capacity, i == 0}
 				members = append(members, m)
@@ -107,8 +107,8 @@
 					steps = append(steps, Step{kind, m.Name})
 				}
 			}
-			limits.GroupCapacity[int64(g)] = sum * rapid.Float64Range(0, 0.8).Draw(t, "need")
-			limits.ZoneCapacity["a"] += sum * rapid.Float64Range(0, 0.4).Draw(t, "zone")
+			limits.GroupCapacity[int64(g)] = sum * rapid.Float64Range(0, 0.8).Draw(t, "group capacity")
+			limits.ZoneCapacity["a"] += sum * rapid.Float64Range(0, 0.4).Draw(t, "zone capacity")
 		}
 		all, err := Solve(members, steps, limits, 5, 1)
 		var infeasibleErr *InfeasibleError
--- a/internal/plan/schedule.go
+++ b/internal/plan/schedule.go
@@ -99,8 +99,8 @@
 	for _, change := range s.changes {
 		starts = append(starts, change+s.limits.SwitchInterval)
 	}
-	for _, p := range s.steps { // ends of steps and of interruptions of writes
-		starts = append(starts, p.End, p.Start+p.WriteGap)
+	for _, step := range s.steps { // steps of a group must not overlap a change of its primary
+		starts = append(starts, step.End, step.Start+step.WriteGap)
 	}
 	slices.Sort(starts)
 	return slices.Compact(starts)
--- a/internal/weirctl/config.go
+++ b/internal/weirctl/config.go
@@ -28,9 +28,10 @@
 	if err != nil {
 		return err
 	}
-	c, err := config.Parse(raw)
+	configuration, err := config.Parse(raw)
 	if err == nil {
-		fmt.Fprintf(out, "version %d can be served: %d routes, %d services\n", c.Version, len(c.Routes), len(c.Services))
+		fmt.Fprintf(out, "version %d can be served: %d routes, %d services\n", configuration.Version,
+			len(configuration.Routes), len(configuration.Services))
 	}
 	return err
 }
@@ -40,9 +41,10 @@
 	if err := getJSON(args[0], "/config/log", &changes); err != nil {
 		return err
 	}
-	for _, c := range changes {
+	for _, change := range changes {
 		fmt.Fprintf(out, "%s version %d on %d, taken at %s, digest %x\n",
-			time.UnixMilli(c.AppliedAt).UTC().Format(time.RFC3339), c.Version, c.BaseVersion, c.Origin, c.Digest[:6])
+			time.UnixMilli(change.AppliedAt).UTC().Format(time.RFC3339), change.Version, change.BaseVersion,
+			change.Origin, change.Digest[:6])
 	}
 	return nil
 }
--- a/internal/weirctl/golden_test.go
+++ b/internal/weirctl/golden_test.go
@@ -43,9 +43,9 @@
 	answers := map[string]string{"/status": coreStatusJSON, "/config/log": configLogJSON, "/shards": shardsJSON,
 		"/config/show": `{"gen":9,"routes":[],"svcs":[]}`,
 		"/events":      "1 core \"E501\"\n2 core \"E502\"\n", "/sessions/id1": `{"session":"id1"}` + "\n", "/proxy/status": proxyStatusJSON, "/odd/status": sparseStatusJSON}
-	s := httptest.NewUnstartedServer(nil)
-	s.Config.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		path, addr := r.URL.Path, s.Listener.Addr().String()
+	server := httptest.NewUnstartedServer(nil)
+	server.Config.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		path, addr := r.URL.Path, server.Listener.Addr().String()
 		if strings.HasPrefix(path, "/lost") {
 			http.Error(w, "no contact\n", http.StatusServiceUnavailable)
 			return
@@ -75,14 +75,14 @@
 			http.NotFound(w, r)
 		}
 	})
-	s.Start()
-	return s
+	server.Start()
+	return server
 }
 
 // writeDisk creates the folder of a stopped core machine.
 func writeDisk(t *testing.T, folder string, commit uint64) {
 	t.Helper()
-	s, _, _, err := store.Open(folder)
+	disk, _, _, err := store.Open(folder)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -92,11 +92,11 @@
 	}
 	voters := []consensus.Voter{{ID: "v1", Addr: "10.0.0.1:8782"}, {ID: "v2", Addr: "10.0.0.2:8782"}}
 	last := consensus.Entry{Term: 6, Index: 42, Voters: voters, Value: value}
-	h := consensus.HardState{ID: "v1", Term: 7, Last: last, Commit: commit, CommitTerm: 6}
-	if err := s.Save(&h); err != nil {
+	hardState := consensus.HardState{ID: "v1", Term: 7, Last: last, Commit: commit, CommitTerm: 6}
+	if err := disk.Save(&hardState); err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Close(); err != nil {
+	if err := disk.Close(); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -112,9 +112,9 @@
 // rewrites the file. ADDR stands for a machine that answers with the constants above, DIR for a folder.
 func TestCommandsMatchRecordedOutput(t *testing.T) {
 	var calls strings.Builder
-	s := newFakeMachines(&calls)
-	defer s.Close()
-	dir, addr := t.TempDir(), s.Listener.Addr().String()
+	server := newFakeMachines(&calls)
+	defer server.Close()
+	dir, addr := t.TempDir(), server.Listener.Addr().String()
 	file := func(name string) string { return filepath.Join(dir, name) }
 	writeDisk(t, file("disk"), 42)
 	writeDisk(t, file("behind"), 41)
@@ -123,7 +123,7 @@
 	writeFile(t, file("rules.json"), `{"perNode":2,"rate":1000}`)
 	writeFile(t, file("found.json"), `{"shards":{"s1":"a"},"nodes":{"a":{"zone":"z1","state":"in"}}}`)
 	writeFile(t, file("bad.json"), `{"unknown":1}`)
-	var b strings.Builder
+	var transcript strings.Builder
 	var usage bytes.Buffer
 	printUsage(&usage)
 	for _, line := range strings.Split(strings.TrimSpace(goldenCalls), "\n") {
@@ -131,19 +131,19 @@
 		var out, errs bytes.Buffer
 		calls.Reset()
 		code := Main(args, &out, &errs)
-		fmt.Fprintf(&b, "$ weirctl %s\n%s", line, calls.String())
+		fmt.Fprintf(&transcript, "$ weirctl %s\n%s", line, calls.String())
 		if errs.String() == usage.String() {
 			errs.Reset()
 			errs.WriteString("(usage)\n")
 		}
-		fmt.Fprintf(&b, "exit %d\n%s%s", code, out.String(), errs.String())
+		fmt.Fprintf(&transcript, "exit %d\n%s%s", code, out.String(), errs.String())
 	}
 	page, err := os.ReadFile(file("page.html"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	fmt.Fprintf(&b, "page.html:\n%s", page)
-	got := strings.NewReplacer(addr, "ADDR", dir, "DIR").Replace(b.String())
+	fmt.Fprintf(&transcript, "page.html:\n%s", page)
+	got := strings.NewReplacer(addr, "ADDR", dir, "DIR").Replace(transcript.String())
 	const golden = "testdata/calls.txt"
 	if os.Getenv("GOLDEN") == "write" {
 		writeFile(t, golden, got)
--- a/internal/weirctl/shardpage.go
+++ b/internal/weirctl/shardpage.go
@@ -39,10 +39,10 @@
 		renderProgress(&b, view)
 	}
 	b.WriteString("<h2>Tasks</h2><table><tr><th>shard<th>from<th>to<th>bytes<th>fate<th>now<th>why")
-	for _, t := range view.Map.Tasks {
+	for _, task := range view.Map.Tasks {
 		fmt.Fprintf(&b, "<tr><td>%s<td>%s<td>%s<td>%d<td>%s<td>%s<td>%s",
-			html.EscapeString(t.Shard), html.EscapeString(t.From), html.EscapeString(t.To), t.Bytes, t.Status,
-			html.EscapeString(view.Transfers[t.Shard]), html.EscapeString(t.Reason))
+			html.EscapeString(task.Shard), html.EscapeString(task.From), html.EscapeString(task.To), task.Bytes, task.Status,
+			html.EscapeString(view.Transfers[task.Shard]), html.EscapeString(task.Reason))
 	}
 	b.WriteString("</table>\n")
 	return b.String()
@@ -51,14 +51,14 @@
 // renderProgress draws the bytes moved over time, relative to those moved so far, and the bytes used on each node,
 // relative to its capacity.
 func renderProgress(b *strings.Builder, view *controlplane.ShardsView) {
-	n := len(view.Progress)
-	moved := float64(max(view.Progress[n-1].BytesMoved, 1))
+	samples := len(view.Progress)
+	moved := float64(max(view.Progress[samples-1].BytesMoved, 1))
 	b.WriteString("<h2>Bytes moved</h2>")
-	plot.Line(b, n, func(i int) float64 { return float64(view.Progress[i].BytesMoved) / moved }, bytesColour)
+	plot.Line(b, samples, func(i int) float64 { return float64(view.Progress[i].BytesMoved) / moved }, bytesColour)
 	b.WriteString("<h2>Room used, of each disk</h2>")
 	for _, id := range slices.Sorted(maps.Keys(view.Nodes)) {
 		fmt.Fprintf(b, "<p>%s</p>", html.EscapeString(id))
 		capacity := float64(max(view.Nodes[id].Capacity, 1))
-		plot.Line(b, n, func(i int) float64 { return float64(view.Progress[i].BytesUsed[id]) / capacity }, diskColour)
+		plot.Line(b, samples, func(i int) float64 { return float64(view.Progress[i].BytesUsed[id]) / capacity }, diskColour)
 	}
 }
--- a/internal/weirctl/shards.go
+++ b/internal/weirctl/shards.go
@@ -178,11 +178,11 @@
 
 func printTasks(view *controlplane.ShardsView, out io.Writer) {
 	tasks := map[shardmap.TaskStatus]int{}
-	for _, t := range view.Map.Tasks {
-		tasks[t.Status]++
-		if t.Status != shardmap.TaskDone {
+	for _, task := range view.Map.Tasks {
+		tasks[task.Status]++
+		if task.Status != shardmap.TaskDone {
 			fmt.Fprintf(out, "  shard %s, %s to %s: %s %s %s\n",
-				t.Shard, t.From, t.To, t.Status, view.Transfers[t.Shard], t.Reason)
+				task.Shard, task.From, task.To, task.Status, view.Transfers[task.Shard], task.Reason)
 		}
 	}
 	fmt.Fprintf(out, "  tasks: %d done, %d waiting, %d failed, %d aborted\n",
@@ -218,9 +218,9 @@
 				id, replica.State, replica.Epoch, replica.LastIndex, replica.Size)
 		}
 	}
-	for _, t := range view.Map.Tasks {
-		if t.Shard == shard {
-			fmt.Fprintf(out, "  planned from %s to %s: %s %s\n", t.From, t.To, t.Status, t.Reason)
+	for _, task := range view.Map.Tasks {
+		if task.Shard == shard {
+			fmt.Fprintf(out, "  planned from %s to %s: %s %s\n", task.From, task.To, task.Status, task.Reason)
 		}
 	}
 	body, err := get(cmp.Or(view.Leader, addr), eventsAbout("shard", shard))
--- a/internal/weirctl/state.go
+++ b/internal/weirctl/state.go
@@ -40,7 +40,7 @@
 const termIncrement = 1 << 20
 
 func stateCheck(args []string, out io.Writer) error {
-	hard, found, err := store.Inspect(args[0])
+	hardState, found, err := store.Inspect(args[0])
 	if err != nil {
 		return err
 	}
@@ -49,20 +49,21 @@
 		return nil
 	}
 	var state config.State
-	if len(hard.Last.Value) > 0 {
-		if err := cbor.Unmarshal(hard.Last.Value, &state); err != nil {
+	if len(hardState.Last.Value) > 0 {
+		if err := cbor.Unmarshal(hardState.Last.Value, &state); err != nil {
 			return err
 		}
 	}
 	fmt.Fprintf(out, "voter %s, term %d, entry %d of term %d, configuration %d (%d bytes, %d changes)\n",
-		hard.ID, hard.Term, hard.Last.Index, hard.Last.Term, state.Version, len(state.Raw), len(state.History))
-	if hard.Commit >= hard.Last.Index && hard.CommitTerm == hard.Last.Term {
+		hardState.ID, hardState.Term, hardState.Last.Index, hardState.Last.Term, state.Version, len(state.Raw),
+		len(state.History))
+	if hardState.Commit >= hardState.Last.Index && hardState.CommitTerm == hardState.Last.Term {
 		fmt.Fprintln(out, "the entry was known committed here")
 	} else {
 		fmt.Fprintln(out, "whether the entry was committed is not known here: "+
 			"another disk may hold a newer one, or none took it")
 	}
-	for _, voter := range hard.Last.Voters {
+	for _, voter := range hardState.Last.Voters {
 		fmt.Fprintf(out, "  voter %s at %s\n", voter.ID, voter.Addr)
 	}
 	return nil
@@ -70,14 +71,14 @@
 
 func stateExport(args []string, out io.Writer) error {
 	folder, file := args[0], args[1]
-	hard, found, err := store.Inspect(folder)
+	hardState, found, err := store.Inspect(folder)
 	if err != nil {
 		return err
 	}
 	if !found {
 		return fmt.Errorf("%s: nothing was ever kept there", folder)
 	}
-	raw, err := cbor.Marshal(exportFile{exportFormat, hard.Last, hard.Term})
+	raw, err := cbor.Marshal(exportFile{exportFormat, hardState.Last, hardState.Term})
 	if err != nil {
 		return err
 	}
@@ -85,7 +86,7 @@
 		return err
 	}
 	fmt.Fprintf(out, "entry %d of term %d is in %s; of several disks' exports the one with the highest term, "+
-		"then entry, is the newest\n", hard.Last.Index, hard.Last.Term, file)
+		"then entry, is the newest\n", hardState.Last.Index, hardState.Last.Term, file)
 	return nil
 }
 
@@ -112,15 +113,15 @@
 	if found {
 		return fmt.Errorf("%s is not empty: a restore goes to an empty folder only", folder)
 	}
-	hard := consensus.Restore(addr, voters, export.Entry, max(export.Term, export.Entry.Term)+termIncrement)
-	if hard.ID == "" {
+	hardState := consensus.Restore(addr, voters, export.Entry, max(export.Term, export.Entry.Term)+termIncrement)
+	if hardState.ID == "" {
 		return fmt.Errorf("%s is not among the voters", addr)
 	}
-	if err := disk.Save(&hard); err != nil {
+	if err := disk.Save(&hardState); err != nil {
 		return err
 	}
 	fmt.Fprintf(out, "%s begins as voter %s with term %d; start it with init=false once all voters are restored\n",
-		addr, hard.ID, hard.Term)
+		addr, hardState.ID, hardState.Term)
 	return warnOfLaterChanges(&export, out)
 }
 
--- a/internal/weirctl/status.go
+++ b/internal/weirctl/status.go
@@ -151,9 +151,9 @@
 	for _, voter := range core.Voters {
 		fmt.Fprintf(out, "  voter %s at %s%s\n", voter.ID, voter.Addr, peerDetail(core.Peers, voter.ID))
 	}
-	for _, m := range core.Members {
+	for _, member := range core.Members {
 		fmt.Fprintf(out, "  member %v of %v at %v in %v: role %v, draining %v, gone %v\n",
-			m.ID, m.Service, m.Addr, m.Zone, m.Role, m.Draining, m.Departed)
+			member.ID, member.Service, member.Addr, member.Zone, member.Role, member.Draining, member.Departed)
 	}
 	for _, service := range slices.Sorted(maps.Keys(core.Failovers)) {
 		fmt.Fprintf(out, "  succession of %s: %s\n", service, core.Failovers[service])
