--- a/internal/control/membership.go
+++ b/internal/control/membership.go
@@ -52,7 +52,7 @@
 		return nil
 	})
 	handle("GET /membership/compare", func(w http.ResponseWriter, r *http.Request, fleet Membership) error {
-		_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(compareTimeout)) // no error: the server's connections support deadlines
+		_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(compareTimeout)) // the server supports deadlines
 		writeJSON(w, fleet.Compare(r.Context()))
 		return nil
 	})
--- a/internal/controlplane/agent/history_test.go
+++ b/internal/controlplane/agent/history_test.go
@@ -77,6 +77,7 @@
 	return sim
 }
 
+// link returns a new link of the agent, and records it under a name.
 func (sim *simulation) link(name string) *controlLink {
 	local, remote := net.Pipe()
 	go io.Copy(io.Discard, remote)
@@ -93,6 +94,7 @@
 	sim.agent.startedAt = time.Now().Add(-time.Duration(sim.elapsedMs * float64(time.Millisecond)))
 }
 
+// update returns a random update.
 func (sim *simulation) update() *controlmsg.StateUpdate {
 	update, random := &controlmsg.StateUpdate{}, sim.random
 	if random.IntN(4) == 0 {
@@ -134,6 +136,7 @@
 	return update
 }
 
+// digest returns the agent's own digest with a random difference, or none.
 func (sim *simulation) digest() *controlmsg.StateDigest {
 	digest := sim.agent.digest()
 	digest.Isolated, digest.NoReply = sim.random.IntN(2) == 0, sim.random.IntN(2) == 0
@@ -148,8 +151,7 @@
 	return &digest
 }
 
-// anyCore returns a random link to the core: the one in use, the candidate, or one that has been replaced. The result
-// is nil if there is none in use to fall back to.
+// anyCore returns the link in use or, at random, the candidate if it is up. It returns nil if there is neither.
 func (sim *simulation) anyCore() *coreLink {
 	switch core := []*coreLink{sim.agent.core, sim.agent.candidate, {addr: "127.9.0.1:1"}}[sim.random.IntN(8)/3]; {
 	case core == nil || core.link == nil:
@@ -159,6 +161,7 @@
 	}
 }
 
+// step advances the virtual time, runs a random step, and returns its name.
 func (sim *simulation) step() string {
 	a, random := sim.agent, sim.random
 	// No sum of these steps is within 20 ms of a timeout, so that real time spent in the test makes no difference.
--- a/internal/controlplane/agent/quotarelay.go
+++ b/internal/controlplane/agent/quotarelay.go
@@ -10,7 +10,7 @@
 
 const (
 	quotaAnswerTimeout = 200.0 // milliseconds without an answer after which another route is chosen
-	relayDialRounds    = 1     // argument of transport.DialTimeout: a slow standby is of no use
+	relayDialRounds    = 1     // argument of transport.DialTimeout: a standby is near, or unreachable
 )
 
 // quotaRoute is the current route of requests for tokens, and the links of agents whose requests this one relays.
--- a/internal/plan/schedule.go
+++ b/internal/plan/schedule.go
@@ -99,7 +99,7 @@
 	for _, change := range s.changes {
 		starts = append(starts, change+s.limits.SwitchInterval)
 	}
-	for _, step := range s.steps { // steps of a group must not overlap a change of its primary
+	for _, step := range s.steps { // a group's steps don't overlap a change of its primary
 		starts = append(starts, step.End, step.Start+step.WriteGap)
 	}
 	slices.Sort(starts)
