--- a/internal/weirctl/shardpage.go
+++ b/internal/weirctl/shardpage.go
@@ -1,6 +1,6 @@
 package weirctl
 
-// This file owns the page on which operators follow a rebalance.
+// This file renders the HTML page about the progress of a rebalance.
 
 import (
 	"fmt"
@@ -29,7 +29,7 @@
 	return os.WriteFile(args[1], []byte(renderPage(&view)), 0o644)
 }
 
-// renderPage is the progress as HTML: bytes moved and disk used over time, nodes, tasks.
+// renderPage returns the progress as HTML: bytes moved and disk used over time by node, and tasks.
 func renderPage(view *controlplane.ShardsView) string {
 	var b strings.Builder
 	b.WriteString(plot.Head + "<title>Shards</title>")
@@ -39,25 +39,26 @@
 		renderProgress(&b, view)
 	}
 	b.WriteString("<h2>Tasks</h2><table><tr><th>shard<th>from<th>to<th>bytes<th>fate<th>now<th>why")
-	for _, t := range view.Map.Tasks {
+	for _, task := range view.Map.Tasks {
 		fmt.Fprintf(&b, "<tr><td>%s<td>%s<td>%s<td>%d<td>%s<td>%s<td>%s",
-			html.EscapeString(t.Shard), html.EscapeString(t.From), html.EscapeString(t.To), t.Bytes, t.Status,
-			html.EscapeString(view.Transfers[t.Shard]), html.EscapeString(t.Reason))
+			html.EscapeString(task.Shard), html.EscapeString(task.From), html.EscapeString(task.To), task.Bytes, task.Status,
+			html.EscapeString(view.Transfers[task.Shard]), html.EscapeString(task.Reason))
 	}
 	b.WriteString("</table>\n")
 	return b.String()
 }
 
-// renderProgress draws bytes moved, of those moved so far, and each node's disk, of its capacity.
+// renderProgress draws the bytes moved over time, relative to those moved so far, and the bytes used on each node,
+// relative to its capacity.
 func renderProgress(b *strings.Builder, view *controlplane.ShardsView) {
-	n := len(view.Progress)
-	moved := float64(max(view.Progress[n-1].BytesMoved, 1))
+	samples := len(view.Progress)
+	moved := float64(max(view.Progress[samples-1].BytesMoved, 1))
 	b.WriteString("<h2>Bytes moved</h2>")
-	plot.Line(b, n, func(i int) float64 { return float64(view.Progress[i].BytesMoved) / moved }, bytesColour)
+	plot.Line(b, samples, func(i int) float64 { return float64(view.Progress[i].BytesMoved) / moved }, bytesColour)
 	b.WriteString("<h2>Room used, of each disk</h2>")
 	for _, id := range slices.Sorted(maps.Keys(view.Nodes)) {
 		fmt.Fprintf(b, "<p>%s</p>", html.EscapeString(id))
 		capacity := float64(max(view.Nodes[id].Capacity, 1))
-		plot.Line(b, n, func(i int) float64 { return float64(view.Progress[i].BytesUsed[id]) / capacity }, diskColour)
+		plot.Line(b, samples, func(i int) float64 { return float64(view.Progress[i].BytesUsed[id]) / capacity }, diskColour)
 	}
 }
