--- a/cmd/weirwind/membership.go
+++ b/cmd/weirwind/membership.go
@@ -29,12 +29,12 @@
 	if status.Reason != "" {
 		text += " reason=" + status.Reason
 	}
-	text += fmt.Sprintf(" for=%s count=%d health=%d", roundedDuration(status.For), status.Count, status.Health)
+	text += fmt.Sprintf(" for=%s count=%d health=%d", roundedDuration(status.PartitionDuration), status.DriverCount, status.Health)
 	if status.Roster != nil {
 		text += fmt.Sprintf(" roster=%d of=%d", status.Roster.Version, len(status.Roster.Names))
 	}
-	if status.Refused > 0 {
-		text += fmt.Sprintf(" frames_refused=%d", status.Refused)
+	if status.RejectedFrames > 0 {
+		text += fmt.Sprintf(" frames_refused=%d", status.RejectedFrames)
 	}
 	return text
 }
@@ -42,7 +42,7 @@
 // peerLine prints its part on one peer.
 func peerLine(view *membership.View) string {
 	text := fmt.Sprintf("name=%s state=%s heard=%v listed=%v address=%s zone=%s for=%s", view.Name, view.State,
-		view.Reachable, view.OnRoster, view.Address, view.Zone, roundedDuration(view.For))
+		view.Reachable, view.OnRoster, view.Address, view.Zone, roundedDuration(view.StateDuration))
 	if len(view.Unreachable) > 0 {
 		text += " does_not_hear=" + strings.Join(view.Unreachable, ",")
 	}
@@ -94,7 +94,7 @@
 				}
 			}
 		}
-		printChange("", fmt.Sprint(s.Partition, s.Reason, s.Count, s.Roster), driverLine(&s))
+		printChange("", fmt.Sprint(s.Partition, s.Reason, s.DriverCount, s.Roster), driverLine(&s))
 		for i := range s.Drivers {
 			v := &s.Drivers[i]
 			printChange(v.Name, fmt.Sprint(v.State, v.Reachable, v.OnRoster, v.Run, v.Unreachable), peerLine(v))
--- a/cmd/weirwind/zones.go
+++ b/cmd/weirwind/zones.go
@@ -33,7 +33,7 @@
 	fmt.Fprintf(out, " epoch=%d voters=%v frozen=%v\n", status.Plan.Epoch, status.Plan.Voters, status.Plan.Frozen)
 	for _, z := range status.Plan.Zones {
 		fmt.Fprintf(out, "zone=%s state=%s cause=%s part=%.2f", z.Name, z.State, z.Cause, z.Capacity)
-		if t, ok := status.Tolls[z.Name]; ok {
+		if t, ok := status.ZonePenalties[z.Name]; ok {
 			fmt.Fprintf(out, " toll=%.2f", t)
 		}
 		fmt.Fprintln(out)
--- a/internal/control/golden_test.go
+++ b/internal/control/golden_test.go
@@ -57,8 +57,10 @@
 
 type fakeMembership struct{ d *fakeDriver }
 
-func (f *fakeMembership) Status() membership.Status { return membership.Status{Self: "n0", Count: 3} }
-func (f *fakeMembership) Leave()                    { f.d.taken = append(f.d.taken, "leave") }
+func (f *fakeMembership) Status() membership.Status {
+	return membership.Status{Self: "n0", DriverCount: 3}
+}
+func (f *fakeMembership) Leave() { f.d.taken = append(f.d.taken, "leave") }
 func (f *fakeMembership) Forget(name string, certain bool) error {
 	f.d.taken = append(f.d.taken, fmt.Sprintf("forget %s %v", name, certain))
 	return f.d.err
--- a/internal/driver/zones.go
+++ b/internal/driver/zones.go
@@ -177,8 +177,8 @@
 			z.zones.Saved(now, true)
 		}
 	}
-	if out.TollsChanged {
-		tolls := z.zones.Tolls()
+	if out.PenaltiesChanged {
+		tolls := z.zones.ZonePenalties()
 		z.service.decider.step(logic.Event{Kind: logic.EvTolls, Tolls: tolls})
 		z.service.log.Info("zones", "reason", "tolls", "text", fmt.Sprint(tolls))
 		z.trafficMu.Lock()
--- a/internal/fleet/mesh/status.go
+++ b/internal/fleet/mesh/status.go
@@ -24,7 +24,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	status := m.view.Status()
-	status.Refused, status.Sent = m.rejectedCount.Load(), m.bytesSent.Load()
+	status.RejectedFrames, status.BytesSent = m.rejectedCount.Load(), m.bytesSent.Load()
 	return status
 }
 
--- a/internal/fleet/zones/coordinator.go
+++ b/internal/fleet/zones/coordinator.go
@@ -48,17 +48,17 @@
 	reportSequence uint64                     // of the last own report
 	nextReportAt   float64
 
-	tolls        tollController
-	appliedTolls map[string]float64 // that the module was given last; nil: none
+	penalties        penaltyController
+	appliedPenalties map[string]float64 // that the module was given last; nil: none
 }
 
 // Output is what is to be done after a call.
 type Output struct {
-	Messages     []Envelope
-	Events       []Event     // for the log
-	Save         *SavedState // to be durable before Messages are sent, then Saved is called; nil: nothing to save
-	PlanChanged  bool        // the plan is to be gossiped at once
-	TollsChanged bool        // the routing module is to be given Tolls
+	Messages         []Envelope
+	Events           []Event     // for the log
+	Save             *SavedState // to be durable before Messages are sent, then Saved is called; nil: nothing to save
+	PlanChanged      bool        // the plan is to be gossiped at once
+	PenaltiesChanged bool        // the routing module is to be given Tolls
 }
 
 // New makes the part of a driver that starts. run is higher than that of an earlier process of its name.
@@ -74,12 +74,12 @@
 			evacuations:     map[string]float64{},
 			appliedCommands: map[uint64]bool{},
 		},
-		options:  options,
-		self:     self,
-		run:      run,
-		regionOf: map[string]string{},
-		reports:  map[string]*receivedReport{},
-		tolls:    tollController{zone: self.Zone, steeredAt: now},
+		options:   options,
+		self:      self,
+		run:       run,
+		regionOf:  map[string]string{},
+		reports:   map[string]*receivedReport{},
+		penalties: penaltyController{zone: self.Zone, updatedAt: now},
 	}
 	z.confirmation.at = math.Inf(-1)
 	for _, region := range options.Regions {
@@ -126,7 +126,7 @@
 	}
 	z.observations, z.primaries = observations, primaries
 	if z.plan != nil {
-		z.tolls.steer(now, z.plan, z.zoneNames(), sent)
+		z.penalties.update(now, z.plan, z.zoneNames(), sent)
 	}
 	return z.output(now)
 }
@@ -200,7 +200,7 @@
 	learned := z.observeSummary(now, requestedAt, &received)
 	out := z.output(now)
 	out.PlanChanged = learned
-	out.TollsChanged = out.TollsChanged || wasInForce != z.inForce(now)
+	out.PenaltiesChanged = out.PenaltiesChanged || wasInForce != z.inForce(now)
 	return out
 }
 
@@ -211,20 +211,20 @@
 func (z *Coordinator) output(now float64) (out Output) {
 	out = Output{Messages: z.outbox, Events: z.events, Save: z.save(now)}
 	z.outbox, z.events = nil, nil
-	tolls := z.tolls.effective(z.plan, z.zoneNames(), z.inForce(now))
-	if !sameTolls(tolls, z.appliedTolls) {
-		z.appliedTolls, out.TollsChanged = tolls, true
+	tolls := z.penalties.effective(z.plan, z.zoneNames(), z.inForce(now))
+	if !samePenalties(tolls, z.appliedPenalties) {
+		z.appliedPenalties, out.PenaltiesChanged = tolls, true
 	}
 	return out
 }
 
 // sameTolls compares tolls; none, nil, differ from an empty map.
-func sameTolls(a, b map[string]float64) bool {
+func samePenalties(a, b map[string]float64) bool {
 	return (a == nil) == (b == nil) && maps.Equal(a, b)
 }
 
 // Tolls are those for the routing module, by zone; nil for none: it goes by its defaults.
-func (z *Coordinator) Tolls() map[string]float64 { return z.appliedTolls }
+func (z *Coordinator) ZonePenalties() map[string]float64 { return z.appliedPenalties }
 
 // PlannedZones are the zones that the plan has a share of this driver's reads for.
 func (z *Coordinator) PlannedZones() map[string]bool {
--- a/internal/fleet/zones/digest_test.go
+++ b/internal/fleet/zones/digest_test.go
@@ -36,7 +36,7 @@
 	s.primaries = map[int64]string{1: "b"}
 	sum, lines, outputs := fnv.New64a(), map[string]int{}, 0
 	s.watch = func(d *node, o Output) {
-		fmt.Fprintf(sum, "%v %s %v %v\n", s.Now, d.name, o.PlanChanged, o.TollsChanged)
+		fmt.Fprintf(sum, "%v %s %v %v\n", s.Now, d.name, o.PlanChanged, o.PenaltiesChanged)
 		for _, envelope := range o.Messages {
 			b, err := cbor.Marshal(envelope.Message)
 			if err != nil {
@@ -61,7 +61,7 @@
 		if d.coordinator.readsPerMember != learned {
 			panic("a preview taught the leader what a member serves")
 		}
-		shown, _ := json.Marshal([]any{d.coordinator.Status(s.Now), preview, d.coordinator.Tolls(),
+		shown, _ := json.Marshal([]any{d.coordinator.Status(s.Now), preview, d.coordinator.ZonePenalties(),
 			d.coordinator.PlannedZones(), moves, epoch})
 		fmt.Fprintln(sum, string(shown), err)
 		lines["moves"] += len(moves)
@@ -160,16 +160,16 @@
 		})
 		fmt.Fprintln(sum, j.Causes, j.Partitions, j.Unobserved, primaryZones(reports), flows, binds)
 	}
-	f, a, u := &tollController{zone: "a"}, &TrafficCounter{}, &LatencyBaseline{}
+	f, a, u := &penaltyController{zone: "a"}, &TrafficCounter{}, &LatencyBaseline{}
 	for i := range 2000 {
 		p := goldenPlan()
 		p.Flows = []Flow{{"a", "b", float64(r.IntN(10)) / 10}, {"b", "a", r.Float64()}}
 		p.Zones[r.IntN(3)].State = State(r.IntN(5))
-		f.steer(float64(i*700), p, names, map[string]float64{"a": 100 * r.Float64(), "b": 100 * r.Float64()})
+		f.update(float64(i*700), p, names, map[string]float64{"a": 100 * r.Float64(), "b": 100 * r.Float64()})
 		facts := SendAttributes{r.IntN(3) == 0, r.IntN(3) == 0, r.IntN(3) == 0}
 		a.Record("a", names[r.IntN(4)], "get", r.IntN(100), facts, r.IntN(2) == 0)
 		u.Add(math.Exp(5 * r.Float64()))
-		fmt.Fprintln(sum, f.tolls, f.effective(p, names, i%3 > 0), u.Ratio())
+		fmt.Fprintln(sum, f.penalties, f.effective(p, names, i%3 > 0), u.Ratio())
 	}
 	fmt.Fprintln(sum, a.TakeReads(), a.CrossZone())
 	if got := fmt.Sprintf("%016x", sum.Sum64()); got != "907853c319422bd0" {
--- a/internal/fleet/zones/golden_test.go
+++ b/internal/fleet/zones/golden_test.go
@@ -57,7 +57,7 @@
 	golden.JSON(t, "testdata/status.golden", []golden.Case[Status]{
 		golden.Of("empty", Status{}),
 		golden.Of("full", Status{Self: "n0", Zone: "a", Leader: true, InForce: true, Age: 1.5, Lease: 15000,
-			Plan: goldenPlan(), Tolls: map[string]float64{"a": 0, "b": 60}, Observations: goldenReport().Observations,
+			Plan: goldenPlan(), ZonePenalties: map[string]float64{"a": 0, "b": 60}, Observations: goldenReport().Observations,
 			Causes: map[string]Cause{"b": ZoneLost}, Votes: "promised {5 n1}, taken {4 n0}, leads a round: true",
 			CrossZone: []CrossZoneTraffic{{"b", "get", ReasonPlan, 3, 4}}})})
 	golden.JSON(t, "testdata/preview.golden", []golden.Case[Preview]{golden.Of("empty", Preview{}), golden.Of("full",
--- a/internal/fleet/zones/plan_test.go
+++ b/internal/fleet/zones/plan_test.go
@@ -130,14 +130,14 @@
 			}
 		}
 	}
-	f := &tollController{zone: "a", tolls: map[string]float64{"a": 1, "b": 0, "c": 0.3}}
+	f := &penaltyController{zone: "a", penalties: map[string]float64{"a": 1, "b": 0, "c": 0.3}}
 	p := &Plan{Zones: []Zone{{Name: "a", Capacity: 1}, {Name: "b", Capacity: 1}, {Name: "c", State: Ejected}},
 		Flows: []Flow{{"a", "b", 0.5}}}
-	if got := f.effective(p, []string{"a", "b", "c"}, true); got["a"] != 1 || got["b"] != 0 || got["c"] != avoidToll {
+	if got := f.effective(p, []string{"a", "b", "c"}, true); got["a"] != 1 || got["b"] != 0 || got["c"] != avoidPenalty {
 		t.Errorf("in force: %v", got)
 	}
 	got := f.effective(p, []string{"a", "b", "c"}, false)
-	if got["a"] != 0 || got["b"] != defaultToll || got["c"] != avoidToll {
+	if got["a"] != 0 || got["b"] != defaultPenalty || got["c"] != avoidPenalty {
 		t.Errorf("without: no zone is filled, and what was away is still avoided: %v", got)
 	}
 	if got := f.effective(&Plan{}, []string{"a", "b"}, false); got != nil {
@@ -147,14 +147,14 @@
 
 // TestSteering: tolls bring a driver's own reads to the shares that are planned.
 func TestSteering(t *testing.T) {
-	f := &tollController{zone: "a"}
+	f := &penaltyController{zone: "a"}
 	p := &Plan{Flows: []Flow{{"a", "b", 0.3}}}
 	share := 0.0
 	for now := 0.0; now < 60000; now += 1000 {
-		f.steer(now, p, []string{"a", "b"}, map[string]float64{"a": 100 * (1 - share), "b": 100 * share})
-		share = 1 / (1 + math.Exp(3*(f.tolls["b"]-f.tolls["a"]+0.4))) // some monotone answer of the module
+		f.update(now, p, []string{"a", "b"}, map[string]float64{"a": 100 * (1 - share), "b": 100 * share})
+		share = 1 / (1 + math.Exp(3*(f.penalties["b"]-f.penalties["a"]+0.4))) // some monotone answer of the module
 	}
 	if math.Abs(share-0.3) > 0.03 {
-		t.Errorf("%.2f, tolls %v", share, f.tolls)
+		t.Errorf("%.2f, tolls %v", share, f.penalties)
 	}
 }
--- a/internal/fleet/zones/status.go
+++ b/internal/fleet/zones/status.go
@@ -42,32 +42,32 @@
 
 // Status is what operators are shown of one driver.
 type Status struct {
-	Self         string             `json:"self"`
-	Zone         string             `json:"zone"`
-	Leader       bool               `json:"leads"`
-	InForce      bool               `json:"in_force"`
-	Age          float64            `json:"age_ms"` // since the plan was certainly the newest; -1: not known
-	Lease        float64            `json:"lease_ms"`
-	Plan         *Plan              `json:"plan"`
-	Tolls        map[string]float64 `json:"tolls,omitempty"`
-	Observations []Observation      `json:"sights"`
-	Causes       map[string]Cause   `json:"causes,omitempty"` // by zone, at the leader
-	Votes        string             `json:"votes,omitempty"`  // while the plan's successor is voted on: state of that
-	CrossZone    []CrossZoneTraffic `json:"crossings,omitempty"`
+	Self          string             `json:"self"`
+	Zone          string             `json:"zone"`
+	Leader        bool               `json:"leads"`
+	InForce       bool               `json:"in_force"`
+	Age           float64            `json:"age_ms"` // since the plan was certainly the newest; -1: not known
+	Lease         float64            `json:"lease_ms"`
+	Plan          *Plan              `json:"plan"`
+	ZonePenalties map[string]float64 `json:"tolls,omitempty"`
+	Observations  []Observation      `json:"sights"`
+	Causes        map[string]Cause   `json:"causes,omitempty"` // by zone, at the leader
+	Votes         string             `json:"votes,omitempty"`  // while the plan's successor is voted on: state of that
+	CrossZone     []CrossZoneTraffic `json:"crossings,omitempty"`
 }
 
 // Status gives the view as it is now. CrossZone is left to the owner of the counts.
 func (z *Coordinator) Status(now float64) Status {
 	s := Status{
-		Self:         z.self.Name,
-		Zone:         z.self.Zone,
-		Leader:       z.leading && z.plan != nil,
-		InForce:      z.inForce(now),
-		Age:          -1,
-		Lease:        z.lease,
-		Plan:         z.plan,
-		Tolls:        z.appliedTolls,
-		Observations: z.observations,
+		Self:          z.self.Name,
+		Zone:          z.self.Zone,
+		Leader:        z.leading && z.plan != nil,
+		InForce:       z.inForce(now),
+		Age:           -1,
+		Lease:         z.lease,
+		Plan:          z.plan,
+		ZonePenalties: z.appliedPenalties,
+		Observations:  z.observations,
 	}
 	if age := z.age(now); !math.IsInf(age, 1) {
 		s.Age = age
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -210,7 +210,7 @@
 	f.eventually(t, "the majority killed", func() bool { return f.HavePartitionStatus(membership.Minority, 0, 1) })
 	f.Drivers[1].Kill()
 	f.eventually(t, "all but one killed", func() bool { return f.HavePartitionStatus(membership.Isolated, 0) })
-	if s, err := f.Drivers[0].Status(); err != nil || s.Count != 10 || len(s.Roster.Names) != 5 {
+	if s, err := f.Drivers[0].Status(); err != nil || s.DriverCount != 10 || len(s.Roster.Names) != 5 {
 		t.Errorf("a loss may not shrink what is counted: %+v %v", s, err)
 	}
 	if _, err := f.Drivers[0].Control.NotifyHook(
@@ -828,7 +828,7 @@
 	f.eventually(t, "three of five", func() bool { return f.HavePartitionStatus(membership.Majority, 0, 1, 2) })
 	f.eventually(t, "they take over what those two must have given up: 2*3*5/8", func() bool {
 		for _, i := range []int{0, 1, 2} {
-			if s, err := f.Drivers[i].Status(); err != nil || s.Count != 4 {
+			if s, err := f.Drivers[i].Status(); err != nil || s.DriverCount != 4 {
 				return false
 			}
 		}
--- a/internal/lab/fleet/zones_test.go
+++ b/internal/lab/fleet/zones_test.go
@@ -205,7 +205,7 @@
 		}
 		f.membersOf("b", "heal")
 		f.eventually(t, "the larger part goes on", func() bool { return f.followPlan(allServe, 2, 3, 4, 5) })
-		if s, ok := f.Drivers[0].zonesStatus(); !ok || s.Plan.Epoch < before.Plan.Epoch || s.Tolls["b"] < 1 {
+		if s, ok := f.Drivers[0].zonesStatus(); !ok || s.Plan.Epoch < before.Plan.Epoch || s.ZonePenalties["b"] < 1 {
 			t.Errorf("cut off it forgot what was away: %+v", s)
 		}
 	}, 1, 2, 3, 4, 5)
