--- a/internal/fleet/membership/bootstrap.go
+++ b/internal/fleet/membership/bootstrap.go
@@ -6,22 +6,22 @@
 	"weirwind/internal/fleet/paxos"
 )
 
-// bootstrapState is of the founding of a roster.
+// bootstrapState is the state of bootstrapping the first roster.
 type bootstrapState struct {
-	// bootstrapConfirmedBy are the drivers that see the fleet whose names bootstrapHash stands for, this one
-	// included; nil: this driver founds none.
+	// bootstrapConfirmedBy are the drivers, including this one, that confirmed the set of names with bootstrapHash; nil
+	// if this driver is not bootstrapping a roster.
 	bootstrapConfirmedBy map[string]bool
 	bootstrapHash        uint64
 	nextBootstrapRequest float64
 
-	// This driver confirmed another's founding of confirmedBootstrapHash, and confirms no other before
+	// This driver confirmed another driver's bootstrap with confirmedBootstrapHash, and confirms no other one before
 	// bootstrapConfirmedUntil.
 	confirmedBootstrapHash  uint64
 	bootstrapConfirmedUntil float64
 }
 
-// bootstrap founds a roster, where the fleet has been the same for a while: the driver whose name comes first
-// asks all that it sees whether they see the same.
+// bootstrap creates the first roster once the set of drivers has been stable for a while: the driver with the first
+// name asks all others to confirm that they see the same set.
 func (f *Fleet) bootstrap() {
 	names, ok := f.bootstrapNames()
 	if !ok {
@@ -46,20 +46,20 @@
 	}
 }
 
-// bootstrapNames are the names of the roster that this driver is to found; false: none, or not now. Suspects
-// are among them, as each is asked whether it sees the same: among many drivers there is always one that is
-// suspected.
+// bootstrapNames returns the names of the roster that this driver should bootstrap, and false if it should not
+// bootstrap now. Suspects are included, because each has to confirm, and because a large fleet nearly always has a
+// suspect.
 func (f *Fleet) bootstrapNames() ([]string, bool) {
 	settled := f.now-f.liveSetChangedAt >= bootstrapPeriods*f.options.Period
 	if !settled || len(f.peers)+1 < f.options.ExpectedDrivers || f.unconfirmed {
 		return nil, false
 	}
 	names := f.aliveNames(true)
-	alone := len(f.seeds) > 0 && len(names) == 1 // its seeds were not reached yet
-	return names, len(names) >= f.options.ExpectedDrivers && names[0] == f.self.Name && !alone
+	unjoined := len(f.seeds) > 0 && len(names) == 1 // no seed was reached yet
+	return names, len(names) >= f.options.ExpectedDrivers && names[0] == f.self.Name && !unjoined
 }
 
-// requestBootstrap asks those that have not confirmed yet.
+// requestBootstrap asks the drivers that have not confirmed yet.
 func (f *Fleet) requestBootstrap(hash uint64) {
 	for _, p := range f.peers {
 		if !p.State.ended() && !f.bootstrapConfirmedBy[p.Name] {
@@ -69,8 +69,8 @@
 	}
 }
 
-// receiveBootstrapVote answers who founds a roster, or counts an answer. Where there is one already, the other
-// learns of it by an exchange.
+// receiveBootstrapVote answers a bootstrap request, or counts a confirmation. If this driver already has a roster, the
+// sender learns it by a snapshot exchange.
 func (f *Fleet) receiveBootstrapVote(name, address string, vote Vote) {
 	if f.roster != nil {
 		return
@@ -82,15 +82,15 @@
 		}
 		return
 	}
-	same := namesHash(names) == vote.Hash && name == names[0]
-	free := f.bootstrapConfirmedUntil <= f.now || f.confirmedBootstrapHash == vote.Hash
-	if same && free && f.nameTakenAt == 0 && f.now >= f.uncertainUntil {
+	sameView := namesHash(names) == vote.Hash && name == names[0]
+	mayConfirm := f.bootstrapConfirmedUntil <= f.now || f.confirmedBootstrapHash == vote.Hash
+	if sameView && mayConfirm && f.nameTakenAt == 0 && f.now >= f.uncertainUntil {
 		f.confirmedBootstrapHash, f.bootstrapConfirmedUntil = vote.Hash, f.now+6*f.options.Period
 		f.replyVote(name, address, Vote{Kind: Bootstrapped, Version: 1, Hash: vote.Hash, Ballot: vote.Ballot})
 	}
 }
 
-// receiveBootstrapped takes the first roster that another driver founded, if it is of the names that this one sees.
+// receiveBootstrapped adopts a first roster that another driver created, if this driver sees the same names.
 func (f *Fleet) receiveBootstrapped(first Change) {
 	if first.Version != 1 {
 		return
--- a/internal/fleet/membership/digest_test.go
+++ b/internal/fleet/membership/digest_test.go
@@ -15,14 +15,14 @@
 	"weirwind/internal/standin/virtualclock"
 )
 
-// digest folds all that drivers put out, in order, into one number.
+// digest hashes the outputs of drivers in order.
 type digest struct{ sum hash.Hash64 }
 
 func newDigest() *digest { return &digest{fnv.New64a()} }
 
 func (d *digest) add(values ...any) { fmt.Fprintln(d.sum, values...) }
 
-func (d *digest) encoded(v any) {
+func (d *digest) addEncoded(v any) {
 	b, err := cbor.Marshal(v)
 	if err != nil {
 		panic(err)
@@ -30,34 +30,34 @@
 	d.sum.Write(b)
 }
 
-func (d *digest) out(name string, out Output) {
-	for _, s := range out.Messages {
-		d.add(name, s.Address)
-		d.encoded(&s.Message)
+func (d *digest) addOutput(name string, out Output) {
+	for _, envelope := range out.Messages {
+		d.add(name, envelope.Address)
+		d.addEncoded(&envelope.Message)
 	}
-	for _, n := range out.Events {
-		d.add(name, n.Reason, n.Name, n.Text)
+	for _, event := range out.Events {
+		d.add(name, event.Reason, event.Name, event.Text)
 	}
 	d.add(out.SyncWith)
 	if out.Save != nil {
-		d.encoded(out.Save)
+		d.addEncoded(out.Save)
 	}
 }
 
-func (d *digest) status(f *Fleet) {
+func (d *digest) addStatus(f *Fleet) {
 	b, err := json.Marshal(f.Status())
 	if err != nil {
 		panic(err)
 	}
 	d.sum.Write(b)
-	d.encoded(f.Snapshot())
-	standing, why, since := f.PartitionStatus()
-	d.add(f.DriverCount(), f.LiveAddresses(), standing, why, since, f.StateOf("n1"), f.AddressOf("n1"))
+	d.addEncoded(f.Snapshot())
+	status, reason, since := f.PartitionStatus()
+	d.add(f.DriverCount(), f.LiveAddresses(), status, reason, since, f.StateOf("n1"), f.AddressOf("n1"))
 }
 
-// TestDigests holds what drivers put out over seeded histories against what they put out when this was recorded.
+// TestDigests compares the outputs of drivers over seeded histories with recorded digests.
 func TestDigests(t *testing.T) {
-	for _, h := range []struct {
+	for _, history := range []struct {
 		name  string
 		seeds int
 		play  func(d *digest, seed uint64)
@@ -65,171 +65,171 @@
 	}{
 		{"faults of every kind", 48, playFaults, "88ace982605027a1"},
 		{"any message in any state", 200, playAnyMessage, "1c19e21d1440a415"},
-		{"more drivers and news than fit", 20, playCrowd, "c79deffa239299e7"},
+		{"more drivers and gossip than fit", 20, playOverload, "c79deffa239299e7"},
 		{"drains", 200, playDrains, "0ca13cb669ebc5b8"},
 	} {
-		t.Run(h.name, func(t *testing.T) {
+		t.Run(history.name, func(t *testing.T) {
 			d := newDigest()
-			for seed := range h.seeds {
-				h.play(d, uint64(seed))
+			for seed := range history.seeds {
+				history.play(d, uint64(seed))
 			}
-			if got := fmt.Sprintf("%016x", d.sum.Sum64()); got != h.want {
-				t.Errorf("digest %s, recorded was %s", got, h.want)
+			if got := fmt.Sprintf("%016x", d.sum.Sum64()); got != history.want {
+				t.Errorf("digest %s, recorded was %s", got, history.want)
 			}
 		})
 	}
 }
 
-// network is some drivers with a network between them, in virtual time.
+// network is a set of drivers connected by a simulated network, in virtual time.
 type network struct {
 	virtualclock.Scheduler
-	d       *digest
-	r       *rand.Rand
+	digest  *digest
+	random  *rand.Rand
 	drivers []*driver
 	loss    float64
 	latency float64
-	cut     map[[2]int]bool
+	blocked map[[2]int]bool
 
-	founders int
+	initialDrivers int
 }
 
 type driver struct {
-	name   string
-	at     int
-	view   *Fleet // nil while it doesn't run
-	run    uint64
-	frozen float64
-	saved  *SavedState
+	name        string
+	index       int
+	view        *Fleet // nil while it does not run
+	run         uint64
+	pausedUntil float64
+	saved       *SavedState
 }
 
 func (n *network) start(i int) {
 	d := n.drivers[i]
-	d.run = uint64(n.Now) + 1 - uint64(50_000*(n.r.IntN(4)/3))
-	options := Options{Period: 500, ExpectedDrivers: n.founders, RetainFor: 20_000, MaxDrivers: n.founders + 3,
+	d.run = uint64(n.Now) + 1 - uint64(50_000*(n.random.IntN(4)/3))
+	options := Options{Period: 500, ExpectedDrivers: n.initialDrivers, RetainFor: 20_000, MaxDrivers: n.initialDrivers + 3,
 		TakeoverAfter: 15_000, Persistent: i%2 == 0}
 	if options.Persistent {
 		options.Saved = d.saved
 	}
 	self := Record{Name: d.name, Run: d.run, Address: fmt.Sprint(i), Zone: "a"}
-	f := New(n.Now, options, self, []string{"0", "1"}, n.r.Uint64())
-	d.view, d.frozen = f, 0
+	f := New(n.Now, options, self, []string{"0", "1"}, n.random.Uint64())
+	d.view, d.pausedUntil = f, 0
 	var tick func()
 	tick = func() {
 		if d.view != f {
 			return
 		}
-		if n.Now >= d.frozen {
-			n.out(d, f.Tick(n.Now))
+		if n.Now >= d.pausedUntil {
+			n.handle(d, f.Tick(n.Now))
 		}
 		n.After(50, tick)
 	}
-	n.After(50*n.r.Float64(), tick)
+	n.After(50*n.random.Float64(), tick)
 }
 
-func (n *network) out(d *driver, out Output) {
-	n.d.out(d.name, out)
+func (n *network) handle(d *driver, out Output) {
+	n.digest.addOutput(d.name, out)
 	if out.Save != nil {
-		kept := n.r.IntN(20) > 0
-		if d.view.Saved(kept); !kept {
+		saved := n.random.IntN(20) > 0
+		if d.view.Saved(saved); !saved {
 			return
 		}
 		d.saved = out.Save
 	}
-	for _, s := range out.Messages {
-		n.send(d, s.Address, func(t *driver) { n.out(t, t.view.Receive(n.Now, s.Message)) })
+	for _, envelope := range out.Messages {
+		n.send(d, envelope.Address, func(t *driver) { n.handle(t, t.view.Receive(n.Now, envelope.Message)) })
 	}
 	for _, address := range out.SyncWith {
-		asked := d.view.Snapshot()
+		request := d.view.Snapshot()
 		n.send(d, address, func(t *driver) {
 			answer := t.view.Snapshot()
-			n.out(t, t.view.Merge(n.Now, asked))
-			n.send(t, fmt.Sprint(d.at), func(d *driver) { n.out(d, d.view.Merge(n.Now, answer)) })
+			n.handle(t, t.view.Merge(n.Now, request))
+			n.send(t, fmt.Sprint(d.index), func(d *driver) { n.handle(d, d.view.Merge(n.Now, answer)) })
 		})
 	}
 }
 
-func (n *network) send(from *driver, address string, take func(*driver)) {
+func (n *network) send(from *driver, address string, deliver func(*driver)) {
 	to := -1
 	fmt.Sscan(address, &to)
-	if to < 0 || to >= len(n.drivers) || n.cut[[2]int{from.at, to}] || n.r.Float64() < n.loss {
+	if to < 0 || to >= len(n.drivers) || n.blocked[[2]int{from.index, to}] || n.random.Float64() < n.loss {
 		return
 	}
-	for range 1 + n.r.IntN(10)/9 {
-		n.After(n.latency*n.r.ExpFloat64(), func() {
-			if t := n.drivers[to]; t.view != nil && n.Now >= t.frozen {
-				take(t)
+	for range 1 + n.random.IntN(10)/9 {
+		n.After(n.latency*n.random.ExpFloat64(), func() {
+			if t := n.drivers[to]; t.view != nil && n.Now >= t.pausedUntil {
+				deliver(t)
 			}
 		})
 	}
 }
 
-// playFaults has drivers killed, restarted with what they saved or without, frozen, partitioned, renamed,
-// added, leaving and forgotten, over a network that loses, doubles and delays.
+// playFaults kills, restarts (with saved state or without), pauses, partitions, adds and forgets drivers, adds some
+// under a name in use and lets some leave, over a network that loses, duplicates and delays messages.
 func playFaults(d *digest, seed uint64) {
-	n := &network{Scheduler: virtualclock.Scheduler{Now: 1e6}, d: d, r: rand.New(rand.NewPCG(seed, 51)),
-		cut: map[[2]int]bool{}, latency: []float64{1, 30, 120}[seed%3], founders: 4}
+	n := &network{Scheduler: virtualclock.Scheduler{Now: 1e6}, digest: d, random: rand.New(rand.NewPCG(seed, 51)),
+		blocked: map[[2]int]bool{}, latency: []float64{1, 30, 120}[seed%3], initialDrivers: 4}
 	if seed%12 == 11 {
-		n.founders = 30
+		n.initialDrivers = 30
 	}
-	for i := range n.founders {
-		n.drivers = append(n.drivers, &driver{name: fmt.Sprint("n", i), at: i})
+	for i := range n.initialDrivers {
+		n.drivers = append(n.drivers, &driver{name: fmt.Sprint("n", i), index: i})
 		n.start(i)
 	}
 	n.RunUntil(n.Now + 8000)
 	for range 14 {
-		i := n.r.IntN(len(n.drivers))
-		x := n.drivers[i]
-		switch fault := n.r.IntN(13); {
+		i := n.random.IntN(len(n.drivers))
+		target := n.drivers[i]
+		switch fault := n.random.IntN(13); {
 		case fault < 2:
-			x.view = nil
+			target.view = nil
 		case fault < 4:
 			n.start(i)
 		case fault == 4:
-			x.frozen = n.Now + 4000*n.r.Float64()
+			target.pausedUntil = n.Now + 4000*n.random.Float64()
 		case fault < 7:
-			side := 1 + n.r.IntN(n.founders-1)
+			side := 1 + n.random.IntN(n.initialDrivers-1)
 			for a := range n.drivers {
 				for b := range n.drivers {
-					n.cut[[2]int{a, b}] = (a < side) != (b < side) && (fault == 5 || a < b)
+					n.blocked[[2]int{a, b}] = (a < side) != (b < side) && (fault == 5 || a < b)
 				}
 			}
 		case fault == 7:
-			n.cut[[2]int{i, n.r.IntN(len(n.drivers))}] = true
-		case fault == 8 && x.view != nil:
-			n.out(x, x.view.Leave(n.Now))
-		case fault == 9 && len(n.drivers) < n.founders+5:
+			n.blocked[[2]int{i, n.random.IntN(len(n.drivers))}] = true
+		case fault == 8 && target.view != nil:
+			n.handle(target, target.view.Leave(n.Now))
+		case fault == 9 && len(n.drivers) < n.initialDrivers+5:
 			name := fmt.Sprint("n", len(n.drivers))
-			if n.r.IntN(3) == 0 {
-				name = "n2" // it is another's
+			if n.random.IntN(3) == 0 {
+				name = "n2" // used by another driver
 			}
-			if x.view != nil {
-				x.view.SetPeriod(400)
+			if target.view != nil {
+				target.view.SetPeriod(400)
 			}
-			n.drivers = append(n.drivers, &driver{name: name, at: len(n.drivers)})
+			n.drivers = append(n.drivers, &driver{name: name, index: len(n.drivers)})
 			n.start(len(n.drivers) - 1)
-		case fault == 10 && x.view != nil:
-			out, err := x.view.Forget(n.Now, fmt.Sprint("n", n.r.IntN(5)), n.r.IntN(2) == 0)
+		case fault == 10 && target.view != nil:
+			out, err := target.view.Forget(n.Now, fmt.Sprint("n", n.random.IntN(5)), n.random.IntN(2) == 0)
 			d.add(err)
-			n.out(x, out)
+			n.handle(target, out)
 		case fault == 11:
 			n.loss = 0.3
 		default:
-			clear(n.cut)
+			clear(n.blocked)
 			n.loss = 0
 		}
 		for range 4 {
-			n.RunUntil(n.Now + 2500*n.r.Float64())
+			n.RunUntil(n.Now + 2500*n.random.Float64())
 			for _, x := range n.drivers {
 				if x.view != nil {
-					d.status(x.view)
+					d.addStatus(x.view)
 				}
 			}
 		}
 	}
 }
 
-// playAnyMessage gives one driver messages of every kind in any order, from peers, strangers and those who bear
-// its name, with records, votes and rosters near its own.
+// playAnyMessage sends one driver messages of every kind in random order, from peers, unknown drivers and processes
+// with its own name, with records, votes and rosters close to its own.
 func playAnyMessage(d *digest, seed uint64) {
 	r := rand.New(rand.NewPCG(seed, 52))
 	now := 10_000.0
@@ -240,36 +240,36 @@
 	if seed%4 > 0 {
 		out := f.Merge(now, Snapshot{From: Record{Name: "a", Run: 3, Address: "a"},
 			Roster: &Roster{Version: 3, Lineage: 3, Names: names}})
-		d.out("c", out)
+		d.addOutput("c", out)
 		now += 15_000
 	}
 	for range 250 {
 		now += math.Floor(r.Float64() * r.Float64() * 400)
 		switch r.IntN(20) {
 		case 0, 1, 2, 3, 4:
-			d.out("c", f.Tick(now))
+			d.addOutput("c", f.Tick(now))
 		case 5:
 			from := anyRecord(r, names)
-			x := Snapshot{From: from, Records: []Record{anyRecord(r, names), anyRecord(r, names)}}
+			snapshot := Snapshot{From: from, Records: []Record{anyRecord(r, names), anyRecord(r, names)}}
 			if r.IntN(2) == 0 {
-				x.Roster = &Roster{Version: uint64(r.IntN(6)), Lineage: uint64(3 + r.IntN(2)),
+				snapshot.Roster = &Roster{Version: uint64(r.IntN(6)), Lineage: uint64(3 + r.IntN(2)),
 					Names: names[:1+r.IntN(len(names))]}
 			}
-			d.out("c", f.Merge(now, x))
+			d.addOutput("c", f.Merge(now, snapshot))
 		case 6:
 			out, err := f.Forget(now, names[r.IntN(len(names))], r.IntN(2) == 0)
 			d.add(err)
-			d.out("c", out)
+			d.addOutput("c", out)
 		case 7:
 			f.Saved(r.IntN(2) == 0)
 		case 8:
 			if r.IntN(20) == 0 {
-				d.out("c", f.Leave(now))
+				d.addOutput("c", f.Leave(now))
 			}
 		default:
-			d.out("c", f.Receive(now, anyMessage(r, f, names)))
+			d.addOutput("c", f.Receive(now, anyMessage(r, f, names)))
 		}
-		d.status(f)
+		d.addStatus(f)
 	}
 }
 
@@ -326,9 +326,8 @@
 	return m
 }
 
-// playCrowd tells one driver of more drivers than it takes, and changes what it says of them faster than it
-// passes on.
-func playCrowd(d *digest, seed uint64) {
+// playOverload sends one driver records of more drivers than MaxDrivers, which change faster than it can gossip.
+func playOverload(d *digest, seed uint64) {
 	r := rand.New(rand.NewPCG(seed, 54))
 	now := 10_000.0
 	f := New(now, Options{Period: 500, ExpectedDrivers: 2, RetainFor: 2000, MaxDrivers: 60},
@@ -340,15 +339,15 @@
 	}
 	for range 100 {
 		now += 100 * r.Float64()
-		x := Snapshot{From: record()}
+		snapshot := Snapshot{From: record()}
 		for range 20 {
-			x.Records = append(x.Records, record())
+			snapshot.Records = append(snapshot.Records, record())
 		}
 		if r.IntN(10) == 0 {
-			x.From.Run = 0 // it can't be true
-			x.Records[0].Address = ""
+			snapshot.From.Run = 0 // invalid
+			snapshot.Records[0].Address = ""
 		}
-		d.out("c", f.Merge(now, x))
+		d.addOutput("c", f.Merge(now, snapshot))
 		m := Message{Kind: Ping, From: record(), Target: "c", Counter: uint64(r.IntN(50))}
 		m.Reachability = []Reachability{{Name: record().Name, Run: 3, Sequence: uint32(r.IntN(9)),
 			Unreachable: []string{"driver-with-a-name-01"}}}
@@ -359,29 +358,29 @@
 		if r.IntN(10) == 0 {
 			m.From.Name = ""
 		}
-		d.out("c", f.Receive(now, m))
-		d.out("c", f.Tick(now))
-		d.status(f)
+		d.addOutput("c", f.Receive(now, m))
+		d.addOutput("c", f.Tick(now))
+		d.addStatus(f)
 	}
 }
 
-// playDrains gives lists and peers' words of drains in any order.
+// playDrains applies lists and drains announced by peers in random order.
 func playDrains(d *digest, seed uint64) {
 	r := rand.New(rand.NewPCG(seed, 53))
-	all := NewDrains(4, 300)
+	drains := NewDrains(4, 300)
 	for now := 0.0; now < 3000; now += math.Floor(40 * r.Float64()) {
-		one := Drain{Member: string(rune('a' + r.IntN(6))), Source: uint8(r.IntN(2)),
+		drain := Drain{Member: string(rune('a' + r.IntN(6))), Source: uint8(r.IntN(2)),
 			Revision: int64(2*r.IntN(15)) - 1, Up: r.IntN(3) == 0}
-		if one.Source == 1 {
-			one.Revision++ // which of two sources' drains of one revision is forgotten first is not determined
+		if drain.Source == 1 {
+			drain.Revision++ // keeps revisions of the two sources distinct
 		}
 		if r.IntN(2) == 0 {
-			marks, news := all.ApplyPeer(now, one)
-			d.add(marks, news)
+			changes, isNew := drains.ApplyPeer(now, drain)
+			d.add(changes, isNew)
 		} else {
-			marks, news := all.ApplyList(now, one.Source, int64(r.IntN(20)), []Drain{one})
-			d.add(marks, news)
+			changes, isNew := drains.ApplyList(now, drain.Source, int64(r.IntN(20)), []Drain{drain})
+			d.add(changes, isNew)
 		}
-		d.add(all.Draining(), all.Since(now-200))
+		d.add(drains.Draining(), drains.Since(now-200))
 	}
 }
--- a/internal/fleet/membership/drains.go
+++ b/internal/fleet/membership/drains.go
@@ -6,11 +6,11 @@
 	"slices"
 )
 
-// Drain is the state of one member in one source's list, at a revision of that list: it is draining or was removed, or
-// it is up again.
+// Drain is the state of one member in one source's member list at a revision of that list: draining or removed, or up
+// again.
 type Drain struct {
 	Member   string `json:"member"`
-	Source   uint8  `json:"source"`   // number of the list's source
+	Source   uint8  `json:"source"`   // index of the list's source
 	Revision int64  `json:"revision"` // of the list
 	Up       bool   `json:"up,omitempty"`
 }
@@ -20,32 +20,32 @@
 	source uint8
 }
 
-// storedDrain is a drain, and when it was recorded here.
+// storedDrain is a drain with the time at which this driver recorded it.
 type storedDrain struct {
 	Drain
-	at float64 // milliseconds
+	recordedAt float64 // milliseconds
 }
 
-// Drains holds the drains that peers have announced, and those of this driver's own lists, which it announces to them.
-// A drain ends only by a list that is at least as new as the one that announced it, read here or by a peer: neither
-// the heal of a partition nor the failure of the announcing peer ends it.
+// Drains holds the drains that peers have announced, and those of this driver's own lists, which it announces to peers.
+// A drain ends only by a list that is at least as new as the one that announced it, whether this driver or a peer read
+// that list. Neither a healed partition nor the failure of the announcing peer ends it.
 type Drains struct {
 	limit        int
 	retainFor    float64 // milliseconds
-	all          map[drainKey]storedDrain
-	ownRevisions map[uint8]int64 // of the own lists, by source
-	draining     map[string]bool // members that count as draining by peers' messages alone
+	drains       map[drainKey]storedDrain
+	ownRevisions map[uint8]int64 // revisions of the own lists, by source
+	draining     map[string]bool // members that are draining only according to peers
 }
 
-// NewDrains makes room for so many. A drain that the own list never came to, though it is read, is dropped
-// after retainFor milliseconds: its revisions are of another list than the one that told of it.
+// NewDrains returns an empty set with room for limit drains. A drain with a revision that the own list, though it is
+// read, has not reached after retainFor milliseconds is dropped: it was announced from a list with other revisions.
 func NewDrains(limit int, retainFor float64) *Drains {
-	return &Drains{limit: limit, retainFor: retainFor, all: map[drainKey]storedDrain{}, ownRevisions: map[uint8]int64{},
+	return &Drains{limit: limit, retainFor: retainFor, drains: map[drainKey]storedDrain{}, ownRevisions: map[uint8]int64{},
 		draining: map[string]bool{}}
 }
 
-// ApplyList takes what an own list says: its revision, and drains of members. It gives the members whose
-// draining by peers' messages changes (true: it begins), and whether there is news for peers.
+// ApplyList records a revision of an own list and its drains. It returns the members that start (true) or stop (false)
+// draining according to peers, and whether there are changes to announce to peers.
 func (d *Drains) ApplyList(now float64, source uint8, revision int64, drains []Drain) (
 	changes map[string]bool, isNew bool,
 ) {
@@ -53,18 +53,18 @@
 	for _, drain := range drains {
 		isNew = d.record(now, drain) || isNew
 	}
-	for key, stored := range d.all {
-		if key.source == source && stored.Revision > revision && now-stored.at > d.retainFor {
-			delete(d.all, key)
+	for key, stored := range d.drains {
+		if key.source == source && stored.Revision > revision && now-stored.recordedAt > d.retainFor {
+			delete(d.drains, key)
 		}
 	}
 	return d.updateDraining(), isNew
 }
 
-// maxMemberBytes bounds the names of members that peers tell of.
+// maxMemberBytes bounds the member names that peers announce.
 const maxMemberBytes = 256
 
-// ApplyPeer takes a peer's message, and gives the changes as ApplyList does, and whether it was news.
+// ApplyPeer records a drain announced by a peer. It returns the changes as ApplyList does, and whether it was new.
 func (d *Drains) ApplyPeer(now float64, drain Drain) (changes map[string]bool, isNew bool) {
 	valid := drain.Member != "" && len(drain.Member) <= maxMemberBytes && drain.Revision >= 0
 	if !valid || !d.record(now, drain) {
@@ -73,44 +73,44 @@
 	return d.updateDraining(), true
 }
 
-// record stores a drain that says more than what is stored, and says whether it does.
+// record stores a drain if it supersedes the stored one, and reports whether it did.
 func (d *Drains) record(now float64, drain Drain) bool {
 	key := drainKey{drain.Member, drain.Source}
-	stored, known := d.all[key]
+	stored, known := d.drains[key]
 	if known {
 		older := drain.Revision < stored.Revision
-		// Of one revision the message by which less is sent holds.
+		// At equal revisions draining wins over up: it sends less traffic to the member.
 		if older || drain.Revision == stored.Revision && (drain.Up || !stored.Up) {
 			return false
 		}
-	} else if drain.Up || len(d.all) >= d.limit && !d.evictOldest() {
+	} else if drain.Up || len(d.drains) >= d.limit && !d.evictOldest() {
 		return false
 	}
-	d.all[key] = storedDrain{drain, now}
+	d.drains[key] = storedDrain{drain, now}
 	return true
 }
 
-// evictOldest forgets the oldest drain that the own list covers; one that only peers told of stays.
+// evictOldest drops the oldest drain that the own list covers. Drains known only from peers are kept.
 func (d *Drains) evictOldest() bool {
 	var oldest drainKey
 	found := false
-	for key, stored := range d.all {
+	for key, stored := range d.drains {
 		if stored.Revision > d.ownRevisions[key.source] {
 			continue
 		}
-		byAge := cmp.Compare(stored.Revision, d.all[oldest].Revision)
-		if !found || cmp.Or(byAge, cmp.Compare(key.member, oldest.member), cmp.Compare(key.source, oldest.source)) < 0 {
+		byRevision := cmp.Compare(stored.Revision, d.drains[oldest].Revision)
+		if !found || cmp.Or(byRevision, cmp.Compare(key.member, oldest.member), cmp.Compare(key.source, oldest.source)) < 0 {
 			oldest, found = key, true
 		}
 	}
-	delete(d.all, oldest)
+	delete(d.drains, oldest)
 	return found
 }
 
-// updateDraining works out who drains: a member of which a peer told so by a list newer than the own one.
+// updateDraining recomputes the members that peers announced as draining from a newer list than the own one.
 func (d *Drains) updateDraining() (changes map[string]bool) {
 	draining := map[string]bool{}
-	for key, stored := range d.all {
+	for key, stored := range d.drains {
 		if !stored.Up && stored.Revision > d.ownRevisions[key.source] {
 			draining[key.member] = true
 		}
@@ -130,10 +130,10 @@
 	return changes
 }
 
-// Since are the drains that came here from a time on, sorted: what a peer should know that heard of the earlier ones.
+// Since returns the drains recorded at or after a time, sorted, for peers that already know the earlier ones.
 func (d *Drains) Since(from float64) (drains []Drain) {
-	for _, stored := range d.all {
-		if stored.at >= from {
+	for _, stored := range d.drains {
+		if stored.recordedAt >= from {
 			drains = append(drains, stored.Drain)
 		}
 	}
@@ -143,5 +143,5 @@
 	return drains
 }
 
-// Draining are the members that count as draining by peers' messages alone, sorted.
+// Draining returns the members that are draining only according to peers, sorted.
 func (d *Drains) Draining() []string { return slices.Sorted(maps.Keys(d.draining)) }
--- a/internal/fleet/membership/drains_test.go
+++ b/internal/fleet/membership/drains_test.go
@@ -8,68 +8,69 @@
 	"pgregory.net/rapid"
 )
 
-// A drain binds until a list as new as the one that told it, or word of such a list; in whatever order words come.
-func TestDrainsBind(t *testing.T) {
+// TestDrainEndsWithNewerList checks that a drain announced by a peer stays until the own list, or a peer's
+// announcement, is as new as the list that announced it, and that the stored drains stay bounded.
+func TestDrainEndsWithNewerList(t *testing.T) {
 	d := NewDrains(8, 1000)
 	d.ApplyList(0, 0, 5, nil)
-	if marks, news := d.ApplyPeer(1, Drain{"m1", 0, 7, false}); !news || !maps.Equal(marks, map[string]bool{"m1": true}) {
-		t.Error(marks, news)
+	if changes, isNew := d.ApplyPeer(1, Drain{"m1", 0, 7, false}); !isNew || !maps.Equal(changes, map[string]bool{"m1": true}) {
+		t.Error(changes, isNew)
 	}
-	if _, news := d.ApplyPeer(2, Drain{"m1", 0, 7, false}); news {
-		t.Error("told twice")
+	if _, isNew := d.ApplyPeer(2, Drain{"m1", 0, 7, false}); isNew {
+		t.Error("a duplicate is new")
 	}
-	if _, news := d.ApplyPeer(2, Drain{"m1", 0, 6, true}); news {
-		t.Error("an older list ends it")
+	if _, isNew := d.ApplyPeer(2, Drain{"m1", 0, 6, true}); isNew {
+		t.Error("a peer's older list ends the drain")
 	}
-	if marks, _ := d.ApplyList(3, 0, 6, []Drain{{"m1", 0, 6, true}}); len(marks) > 0 {
-		t.Error("the own older list ends it")
+	if changes, _ := d.ApplyList(3, 0, 6, []Drain{{"m1", 0, 6, true}}); len(changes) > 0 {
+		t.Error("the own older list ends the drain")
 	}
-	if marks, _ := d.ApplyList(4, 0, 7, nil); !maps.Equal(marks, map[string]bool{"m1": false}) {
-		t.Error("the own list is as new and says it itself", marks)
+	if changes, _ := d.ApplyList(4, 0, 7, nil); !maps.Equal(changes, map[string]bool{"m1": false}) {
+		t.Error("the own list, as new, does not end the drain", changes)
 	}
 	d.ApplyPeer(5, Drain{"m2", 0, 9, false})
-	if marks, news := d.ApplyPeer(6, Drain{"m2", 0, 10, true}); !news || !maps.Equal(marks, map[string]bool{"m2": false}) {
-		t.Error("word of a newer list", marks)
+	if changes, isNew := d.ApplyPeer(6, Drain{"m2", 0, 10, true}); !isNew || !maps.Equal(changes, map[string]bool{"m2": false}) {
+		t.Error("a peer's newer list does not end the drain", changes)
 	}
-	d.ApplyPeer(7, Drain{"m3", 1, 99, false}) // by a source that this driver does not have
-	if marks, _ := d.ApplyList(5000, 0, 11, nil); len(marks) > 0 || fmt.Sprint(d.Draining()) != "[m3]" {
-		t.Error("another source's list says nothing of it", marks, d.Draining())
+	d.ApplyPeer(7, Drain{"m3", 1, 99, false}) // from a source that this driver does not read
+	if changes, _ := d.ApplyList(5000, 0, 11, nil); len(changes) > 0 || fmt.Sprint(d.Draining()) != "[m3]" {
+		t.Error("another source's list ended the drain", changes, d.Draining())
 	}
-	d.ApplyPeer(5001, Drain{"m4", 0, 999, false}) // of a list that was begun anew
-	if marks, _ := d.ApplyList(5002, 0, 12, nil); len(marks) > 0 {
-		t.Error(marks)
+	d.ApplyPeer(5001, Drain{"m4", 0, 999, false}) // of a list whose revisions were restarted
+	if changes, _ := d.ApplyList(5002, 0, 12, nil); len(changes) > 0 {
+		t.Error(changes)
 	}
-	if marks, _ := d.ApplyList(7000, 0, 13, nil); !maps.Equal(marks, map[string]bool{"m4": false}) {
-		t.Error("kept for ever", marks)
+	if changes, _ := d.ApplyList(7000, 0, 13, nil); !maps.Equal(changes, map[string]bool{"m4": false}) {
+		t.Error("a drain that the own list never reaches is kept forever", changes)
 	}
 	for i := range 100 {
 		d.ApplyList(8000, 0, int64(20+i), []Drain{{fmt.Sprint("x", i), 0, int64(20 + i), false}})
 	}
 	if n := len(d.Since(0)); n > 8 || fmt.Sprint(d.Draining()) != "[m3]" {
-		t.Error("grows without bound, or forgets what only a fellow told", n, d.Draining())
+		t.Error("stored drains exceed the limit, or one known only from a peer was evicted", n, d.Draining())
 	}
 }
 
-// Two books that heard the same words in another order mark the same members.
+// TestDrainsInAnyOrder checks that the order in which peers announce drains does not change which members drain.
 func TestDrainsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var words []Drain
-		for range rapid.IntRange(1, 12).Draw(t, "words") {
-			words = append(words, Drain{rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "m"),
+		var drains []Drain
+		for range rapid.IntRange(1, 12).Draw(t, "drains") {
+			drains = append(drains, Drain{rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "m"),
 				uint8(rapid.IntRange(0, 1).Draw(t, "s")),
 				int64(rapid.IntRange(1, 9).Draw(t, "r")), rapid.Bool().Draw(t, "up")})
 		}
-		marks := func(of []Drain) string {
+		drainingAfter := func(sequence []Drain) string {
 			d := NewDrains(100, 1e9)
 			d.ApplyList(0, 0, 4, nil)
-			for range 2 { // an up that came before its drain comes again
-				for _, w := range of {
-					d.ApplyPeer(1, w)
+			for range 2 { // an up that arrived before its drain is repeated
+				for _, drain := range sequence {
+					d.ApplyPeer(1, drain)
 				}
 			}
 			return fmt.Sprint(d.Draining())
 		}
-		if a, b := marks(words), marks(rapid.Permutation(words).Draw(t, "order")); a != b {
+		if a, b := drainingAfter(drains), drainingAfter(rapid.Permutation(drains).Draw(t, "order")); a != b {
 			t.Fatal(a, b)
 		}
 	})
--- a/internal/fleet/membership/fleet.go
+++ b/internal/fleet/membership/fleet.go
@@ -5,28 +5,28 @@
 	"slices"
 )
 
-// Fleet is one driver's view. It is not safe for use by several goroutines at a time.
+// Fleet is one driver's view of the fleet. It is not safe for concurrent use.
 type Fleet struct {
 	options Options
 	random  *rand.Rand
-	now     float64 // newest that the caller gave
+	now     float64 // latest time passed in by the caller
 
-	// self is this driver's own record. Its Run rises where another process under the name was there, its Incarnation
-	// where it refutes that it has failed.
+	// self is this driver's own record. Its Run is raised above the Run of an earlier process of the same name, and its
+	// Incarnation to refute a suspicion or failure.
 	self Record
-	// peers are all other known drivers, in whatever state, sorted by name.
+	// peers are all other known drivers in any state, sorted by name.
 	peers       []*peer
 	peersByName map[string]*peer
-	suspects    []*peer // those in the state Suspect are among them
-	// viewHash stands for the processes that have not ended, this one included: equal views have equal hashes.
+	suspects    []*peer // includes all peers in the state Suspect; others are removed by advanceSuspicions
+	// viewHash is a hash of the live processes, including this one: equal views have equal hashes.
 	viewHash         uint64
-	liveSetChangedAt float64 // when a driver came, ended or came back last
-	stateVersion     uint64  // rises with each change that the partition's status may depend on
+	liveSetChangedAt float64 // when a driver last joined, ended or returned
+	stateVersion     uint64  // incremented by each change that can affect the partition status
 
-	counter uint64 // of messages sent
+	counter uint64 // number of messages sent
 	seeds   []string
 	leaving bool
-	pending Output // since the last call
+	pending Output // collected since the last takeOutput
 
 	schedule
 	probeState
@@ -34,46 +34,46 @@
 	nameState
 	rosterState
 	partitionState
-	reachability Reachability // this driver's own, as gossiped last
+	reachability Reachability // this driver's own, as last gossiped
 }
 
-// schedule is when Tick does what it does from time to time, in milliseconds.
+// schedule holds the times of the periodic tasks of Tick, in milliseconds.
 type schedule struct {
 	lastTick              float64
 	nextProbe             float64
 	nextGossip            float64
 	nextSeedSync          float64
-	nextSync              float64 // no exchange of snapshots with anybody before
+	nextSync              float64 // earliest time of the next snapshot exchange with any peer
 	nextRosterTick        float64
 	nextReap              float64
 	nextReachabilityCheck float64
 }
 
-// probeState is of what this driver finds out by pings.
+// probeState is the state of this driver's failure detector.
 type probeState struct {
-	probe    *probe            // nil: none is out
-	probeSeq uint64            // ID of the newest ping
-	relays   map[uint64]*relay // by the ID of the ping
-	recheck  []string          // peers that others suspect and this driver is to probe as well
-	health   int               // Lifeguard's score, 0 (good) to maxHealth
-
-	missedProbes   int     // in a row that nobody answered
-	uncertainUntil float64 // this driver was paused: its view is uncertain until then,
-	unconfirmed    bool    // and until a peer has answered
+	probe    *probe            // in flight; nil if none is
+	probeSeq uint64            // ID of the latest ping
+	relays   map[uint64]*relay // by the ID of the relayed ping
+	recheck  []string          // names of peers that others suspect and that this driver probes next
+	health   int               // Lifeguard's health score, 0 (good) to maxHealth
+
+	missedProbes   int     // consecutive probes without any answer
+	uncertainUntil float64 // after a pause this driver's view is uncertain until this time
+	unconfirmed    bool    // no peer has answered since the last pause
 }
 
-// nameState is of processes that have this driver's name, or one name.
+// nameState tracks conflicts between processes that use the same name.
 type nameState struct {
-	nameTakenAt float64            // when it was last heard that another process has this driver's name; 0: none has
-	nameOwner   string             // that one's address
-	warnedAt    map[string]float64 // when it was logged that two have a name
+	nameTakenAt float64            // last report that another process owns this driver's name; 0: none does
+	nameOwner   string             // address of that process
+	warnedAt    map[string]float64 // by name: when a conflict was last logged
 }
 
-// randomStream keeps a driver's draws here apart from others made from the same seed.
+// randomStream separates this package's random sequence from others with the same seed.
 const randomStream = 0x6d656d62
 
-// New makes the view of a driver that starts. Its record gives its name, run and address; seeds are addresses
-// of peers.
+// New returns the view of a driver that starts. Its record contains its name, run and address; seeds are addresses of
+// peers.
 func New(now float64, options Options, self Record, seeds []string, seed uint64) *Fleet {
 	f := &Fleet{
 		options:          options,
@@ -85,28 +85,28 @@
 		liveSetChangedAt: now,
 		schedule:         schedule{lastTick: now},
 		probeState:       probeState{relays: map[uint64]*relay{}},
-		broadcastQueue:   broadcastQueue{broadcastsAbout: map[string][]*broadcast{}, lastQueuedAt: now},
+		broadcastQueue:   broadcastQueue{broadcastsBySubject: map[string][]*broadcast{}, lastQueuedAt: now},
 		nameState:        nameState{warnedAt: map[string]float64{}},
 		partitionState:   partitionState{partition: Undetermined, partitionReason: "no_roster", partitionSince: now},
 		reachability:     Reachability{Name: self.Name, Run: self.Run},
 	}
 	f.restore(options.Saved)
-	f.probeSeq = f.random.Uint64() >> 2 // answers to an earlier run are not taken for ones to this
+	f.probeSeq = f.random.Uint64() >> 2 // acks for pings of an earlier run do not match
 	f.nextProbe = now + f.options.Period*f.random.Float64()
 	f.SetSeeds(seeds)
 	return f
 }
 
-// SetSeeds takes the addresses at which peers may be found; they are tried at once.
+// SetSeeds replaces the addresses at which peers may be found, and contacts one of them on the next Tick.
 func (f *Fleet) SetSeeds(addresses []string) {
 	f.seeds = slices.DeleteFunc(slices.Clone(addresses), func(a string) bool { return a == f.self.Address })
 	f.nextSeedSync = f.now
 }
 
-// SetPeriod takes another period, in milliseconds.
+// SetPeriod changes the probe period, in milliseconds.
 func (f *Fleet) SetPeriod(period float64) { f.options.Period = period }
 
-// takeOutput gives what is to be done since the last call.
+// takeOutput returns the output collected since its last call.
 func (f *Fleet) takeOutput() (out Output) {
 	f.pending.Save = f.save()
 	out, f.pending = f.pending, Output{}
@@ -117,8 +117,8 @@
 	f.pending.Events = append(f.pending.Events, Event{reason, name, text})
 }
 
-// Tick lets time pass. It is to be called several times a period; after a longer gap this driver takes itself
-// for paused.
+// Tick advances the time and runs what is due. It must be called several times per period: after a longer gap this
+// driver assumes that it was paused.
 func (f *Fleet) Tick(now float64) Output {
 	f.advance(now)
 	f.lastTick = now
@@ -133,7 +133,7 @@
 	return f.takeOutput()
 }
 
-// tickPeriodic does what is due.
+// tickPeriodic runs the periodic tasks that are due.
 func (f *Fleet) tickPeriodic(now float64) {
 	period := f.options.Period
 	if now >= f.nextReachabilityCheck {
@@ -151,7 +151,7 @@
 	if now >= f.nextSeedSync {
 		f.syncWithSeed()
 	}
-	if f.nameTakenAt > 0 && now-f.nameTakenAt > 12*period { // the other process is not heard of any more
+	if f.nameTakenAt > 0 && now-f.nameTakenAt > 12*period { // the other process is no longer reported
 		f.nameTakenAt = 0
 		f.broadcastRecord(f.self)
 	}
@@ -161,7 +161,7 @@
 	}
 }
 
-// advance brings the time up to date, and sees a gap since the last tick, whatever call comes first after it.
+// advance updates the time, and detects a gap since the last tick, whichever call comes first after it.
 func (f *Fleet) advance(now float64) {
 	if gap := now - f.lastTick; gap > pauseAfter*f.options.Period {
 		f.lastTick = now
@@ -170,13 +170,13 @@
 	f.now = max(f.now, now)
 }
 
-// syncWithSeed exchanges snapshots with a seed that is no peer yet.
+// syncWithSeed requests a snapshot exchange with a random seed that is not a live peer yet.
 func (f *Fleet) syncWithSeed() {
-	known, living := map[string]bool{}, 0
+	known, live := map[string]bool{}, 0
 	for _, p := range f.peers {
 		if !p.State.ended() {
 			known[p.Address] = true
-			living++
+			live++
 		}
 	}
 	var unknown []string
@@ -185,17 +185,17 @@
 			unknown = append(unknown, seed)
 		}
 	}
-	pause := 2.0 // periods
-	if living > 0 {
-		pause = 10
+	intervalPeriods := 2.0
+	if live > 0 {
+		intervalPeriods = 10
 	}
-	f.nextSeedSync = f.now + f.options.Period*pause*(0.75+0.5*f.random.Float64())
+	f.nextSeedSync = f.now + f.options.Period*intervalPeriods*(0.75+0.5*f.random.Float64())
 	if len(unknown) > 0 {
 		f.pending.SyncWith = append(f.pending.SyncWith, unknown[f.random.IntN(len(unknown))])
 	}
 }
 
-// Leave notifies peers that this driver shuts down. Ticks from then on only spread that.
+// Leave notifies peers that this driver shuts down. From then on Tick only gossips.
 func (f *Fleet) Leave(now float64) Output {
 	f.now = max(f.now, now)
 	if !f.leaving {
@@ -209,7 +209,7 @@
 	return f.takeOutput()
 }
 
-// notifyLeaving sends some peers at once that this driver leaves: it may end before the next Tick.
+// notifyLeaving notifies some peers immediately, because the process may end before the next Tick.
 func (f *Fleet) notifyLeaving() {
 	notified := map[string]bool{}
 	for range 2 * indirectProbes {
--- a/internal/fleet/membership/fleet_test.go
+++ b/internal/fleet/membership/fleet_test.go
@@ -10,18 +10,18 @@
 	"weirwind/internal/lab/membershipsim"
 )
 
-var all = []int{0, 1, 2, 3, 4}
+var allFive = []int{0, 1, 2, 3, 4}
 
-// five is a fleet of five that has founded its roster.
-func five(t *testing.T, o membershipsim.Options) *membershipsim.Simulation {
+// newFleet returns a simulated fleet, by default of five drivers, that has bootstrapped its roster.
+func newFleet(t *testing.T, options membershipsim.Options) *membershipsim.Simulation {
 	t.Helper()
-	if o.Drivers == 0 {
-		o.Drivers = 5
+	if options.Drivers == 0 {
+		options.Drivers = 5
 	}
-	f := membershipsim.New(o)
+	sim := membershipsim.New(options)
 	var log []string
-	f.OnEvent = func(at float64, d string, n membership.Event) {
-		log = append(log, fmt.Sprintf("%.0f %s: %s %s %s", at, d, n.Reason, n.Name, n.Text))
+	sim.OnEvent = func(at float64, driver string, event membership.Event) {
+		log = append(log, fmt.Sprintf("%.0f %s: %s %s %s", at, driver, event.Reason, event.Name, event.Text))
 	}
 	t.Cleanup(func() {
 		if t.Failed() {
@@ -30,43 +30,45 @@
 			}
 		}
 	})
-	var each []int
-	for i := range o.Drivers {
-		f.Start(i, 0)
-		each = append(each, i)
+	var indices []int
+	for i := range options.Drivers {
+		sim.Start(i, 0)
+		indices = append(indices, i)
 	}
-	wait(t, f, "founding", func() bool { return f.HavePartitionStatus(membership.Complete, each...) })
-	return f
+	waitUntil(t, sim, "bootstrap", func() bool { return sim.HavePartitionStatus(membership.Complete, indices...) })
+	return sim
 }
 
-func wait(t *testing.T, f *membershipsim.Simulation, what string, so func() bool) {
+func waitUntil(t *testing.T, sim *membershipsim.Simulation, what string, condition func() bool) {
 	t.Helper()
-	if _, ok := f.RunUntilTrue(60000, so); !ok {
-		for _, d := range f.Drivers {
+	if _, ok := sim.RunUntilTrue(60000, condition); !ok {
+		for _, d := range sim.Drivers {
 			if d.View != nil {
 				t.Logf("%s: %+v", d.Name, d.View.Status())
 			}
 		}
-		t.Fatalf("%s: not so after a minute", what)
+		t.Fatalf("%s: condition not reached within a minute", what)
 	}
 }
 
-// parts cuts drivers of different parts from each other.
-func parts(of ...int) func(a, b int) bool {
-	return func(a, b int) bool { return of[a] != of[b] }
+// partitionedInto returns a Blocked function that separates the drivers of different parts.
+func partitionedInto(partOf ...int) func(a, b int) bool {
+	return func(a, b int) bool { return partOf[a] != partOf[b] }
 }
 
-func state(f *membershipsim.Simulation, at int, of string) membership.View {
-	for _, v := range f.Drivers[at].View.Status().Drivers {
-		if v.Name == of {
+func viewOf(sim *membershipsim.Simulation, observer int, name string) membership.View {
+	for _, v := range sim.Drivers[observer].View.Status().Drivers {
+		if v.Name == name {
 			return v
 		}
 	}
 	return membership.View{Name: "unknown", State: membership.Left}
 }
 
-func TestStandingsOfParts(t *testing.T) {
-	for _, x := range []struct {
+// TestPartitionStatusOfParts checks the status of drivers in partitions of different sizes, during the partition and
+// while it heals.
+func TestPartitionStatusOfParts(t *testing.T) {
+	for _, test := range []struct {
 		parts []int
 		want  [2]membership.PartitionStatus
 	}{
@@ -74,98 +76,102 @@
 		{[]int{0, 1, 1, 1, 1}, [2]membership.PartitionStatus{membership.Isolated, membership.Majority}},
 		{[]int{0, 0, 1, 1}, [2]membership.PartitionStatus{membership.Undetermined, membership.Undetermined}},
 	} {
-		f := five(t, membershipsim.Options{Drivers: len(x.parts), Seed: 7})
-		f.Blocked = parts(x.parts...)
-		for part, want := range x.want {
-			for i, p := range x.parts {
+		sim := newFleet(t, membershipsim.Options{Drivers: len(test.parts), Seed: 7})
+		sim.Blocked = partitionedInto(test.parts...)
+		for part, want := range test.want {
+			for i, p := range test.parts {
 				if p == part {
-					wait(t, f, fmt.Sprint(x.parts, want), func() bool { return f.HavePartitionStatus(want, i) })
+					waitUntil(t, sim, fmt.Sprint(test.parts, want), func() bool { return sim.HavePartitionStatus(want, i) })
 				}
 			}
 		}
-		f.Run(60000) // and it stays so
-		for i, p := range x.parts {
-			if !f.HavePartitionStatus(x.want[p], i) {
-				s, why, _ := f.Drivers[i].View.PartitionStatus()
-				t.Errorf("%v: n%d is %s (%s) after a minute", x.parts, i, s, why)
+		sim.Run(60000) // the status is stable
+		for i, p := range test.parts {
+			if !sim.HavePartitionStatus(test.want[p], i) {
+				status, reason, _ := sim.Drivers[i].View.PartitionStatus()
+				t.Errorf("%v: n%d is %s (%s) after a minute", test.parts, i, status, reason)
 			}
 		}
-		if r := f.Drivers[0].View.Status().Roster; len(r.Names) != len(x.parts) || r.Version != 1 {
-			t.Errorf("a loss changed the roster: %+v", r)
+		if r := sim.Drivers[0].View.Status().Roster; len(r.Names) != len(test.parts) || r.Version != 1 {
+			t.Errorf("a partition changed the roster: %+v", r)
 		}
-		f.Blocked = nil
-		fell := "" // what the other side said of the own peers is no news to who hears them
-		notes := f.OnEvent
-		f.OnEvent = func(at float64, d string, n membership.Event) {
-			if notes(at, d, n); n.Reason == "standing" &&
-				(strings.HasPrefix(n.Text, "smaller") || strings.HasPrefix(n.Text, "alone")) {
-				fell = d + " " + n.Text
+		sim.Blocked = nil
+		lostMajority := "" // failures reported by the other side must not override direct contact
+		logEvent := sim.OnEvent
+		sim.OnEvent = func(at float64, driver string, event membership.Event) {
+			if logEvent(at, driver, event); event.Reason == "standing" &&
+				(strings.HasPrefix(event.Text, "smaller") || strings.HasPrefix(event.Text, "alone")) {
+				lostMajority = driver + " " + event.Text
 			}
 		}
-		wait(t, f, "heal", func() bool { return f.HavePartitionStatus(membership.Complete, all[:len(x.parts)]...) })
-		if fell != "" {
-			t.Errorf("%v: by the heal alone: %s", x.parts, fell)
+		waitUntil(t, sim, "heal", func() bool {
+			return sim.HavePartitionStatus(membership.Complete, allFive[:len(test.parts)]...)
+		})
+		if lostMajority != "" {
+			t.Errorf("%v: status fell during the heal: %s", test.parts, lostMajority)
 		}
 	}
 }
 
-// Killed ones stay on the roster until they come again, leave, or operators forget them.
-func TestKilledForgottenAndBack(t *testing.T) {
-	f := five(t, membershipsim.Options{Seed: 3})
-	f.Kill(4)
-	wait(t, f, "one lost", func() bool { return f.HavePartitionStatus(membership.Majority, 0, 1, 2, 3) })
-	f.Start(4, 0)
-	wait(t, f, "one back", func() bool { return f.HavePartitionStatus(membership.Complete, all...) })
+// TestForgetFailedDrivers checks that killed drivers stay on the roster until they leave or operators forget them.
+func TestForgetFailedDrivers(t *testing.T) {
+	sim := newFleet(t, membershipsim.Options{Seed: 3})
+	sim.Kill(4)
+	waitUntil(t, sim, "one killed", func() bool { return sim.HavePartitionStatus(membership.Majority, 0, 1, 2, 3) })
+	sim.Start(4, 0)
+	waitUntil(t, sim, "one restarted", func() bool { return sim.HavePartitionStatus(membership.Complete, allFive...) })
 	for i := 1; i < 5; i++ {
-		f.Kill(i)
+		sim.Kill(i)
 	}
-	wait(t, f, "all but one lost", func() bool { return f.HavePartitionStatus(membership.Isolated, 0) })
-	if n := f.Drivers[0].View.DriverCount(); n != 10 {
-		t.Errorf("alone of five it counts %d drivers: it may be cut off, and takes half of its share", n)
+	waitUntil(t, sim, "all but one killed", func() bool { return sim.HavePartitionStatus(membership.Isolated, 0) })
+	if n := sim.Drivers[0].View.DriverCount(); n != 10 {
+		t.Errorf("an isolated driver of five counts %d drivers; it may be partitioned and must use half of its share", n)
 	}
-	_, err := f.Drivers[0].View.Forget(f.Now, "n4", false)
+	_, err := sim.Drivers[0].View.Forget(sim.Now, "n4", false)
 	if err != membership.ErrNoMajority {
 		t.Error(err)
 	}
 	for i := 1; i < 5; i++ {
-		f.Apply(0, func(v *membership.Fleet) membership.Output {
-			out, err := v.Forget(f.Now, fmt.Sprintf("n%d", i), true)
+		sim.Apply(0, func(v *membership.Fleet) membership.Output {
+			out, err := v.Forget(sim.Now, fmt.Sprintf("n%d", i), true)
 			if err != nil {
 				t.Error(err)
 			}
 			return out
 		})
 	}
-	if !f.HavePartitionStatus(membership.Complete, 0) || f.Drivers[0].View.DriverCount() != 1 {
-		t.Errorf("all others forgotten: %+v", f.Drivers[0].View.Status())
+	if !sim.HavePartitionStatus(membership.Complete, 0) || sim.Drivers[0].View.DriverCount() != 1 {
+		t.Errorf("all others forgotten: %+v", sim.Drivers[0].View.Status())
 	}
-	f.Start(2, 0)
-	wait(t, f, "a forgotten one comes anew", func() bool {
-		return f.HavePartitionStatus(membership.Complete, 0, 2) && len(f.Drivers[0].View.Status().Roster.Names) == 2
+	sim.Start(2, 0)
+	waitUntil(t, sim, "a forgotten driver rejoins", func() bool {
+		return sim.HavePartitionStatus(membership.Complete, 0, 2) && len(sim.Drivers[0].View.Status().Roster.Names) == 2
 	})
 }
 
-// Leaving on purpose shrinks what majorities are counted in; starting more grows it.
-func TestShrinkAndGrowOnPurpose(t *testing.T) {
-	f := five(t, membershipsim.Options{Seed: 5})
+// TestRosterFollowsLeaveAndJoin checks that the roster shrinks when drivers leave gracefully and grows when drivers
+// join.
+func TestRosterFollowsLeaveAndJoin(t *testing.T) {
+	sim := newFleet(t, membershipsim.Options{Seed: 5})
 	for i := 4; i > 1; i-- {
-		f.Apply(i, func(v *membership.Fleet) membership.Output { return v.Leave(f.Now) })
-		f.Run(300)
-		f.Kill(i)
-		wait(t, f, "one left", func() bool {
-			return f.HavePartitionStatus(membership.Complete, all[:i]...) && len(f.Drivers[0].View.Status().Roster.Names) == i
+		sim.Apply(i, func(v *membership.Fleet) membership.Output { return v.Leave(sim.Now) })
+		sim.Run(300)
+		sim.Kill(i)
+		waitUntil(t, sim, "one left", func() bool {
+			return sim.HavePartitionStatus(membership.Complete, allFive[:i]...) &&
+				len(sim.Drivers[0].View.Status().Roster.Names) == i
 		})
-		if s := state(f, 0, fmt.Sprintf("n%d", i)).State; s != membership.Left {
-			t.Errorf("n%d left on purpose and is taken for %s", i, s)
+		if state := viewOf(sim, 0, fmt.Sprintf("n%d", i)).State; state != membership.Left {
+			t.Errorf("n%d left gracefully and has state %s", i, state)
 		}
 	}
-	f.Add()
-	f.Start(5, 0)
-	wait(t, f, "one more", func() bool {
-		return f.HavePartitionStatus(membership.Complete, 0, 1, 5) && len(f.Drivers[5].View.Status().Roster.Names) == 3
+	sim.Add()
+	sim.Start(5, 0)
+	waitUntil(t, sim, "one joined", func() bool {
+		return sim.HavePartitionStatus(membership.Complete, 0, 1, 5) && len(sim.Drivers[5].View.Status().Roster.Names) == 3
 	})
-	f.Apply(1, func(v *membership.Fleet) membership.Output {
-		out, err := v.Forget(f.Now, "n0", false)
+	sim.Apply(1, func(v *membership.Fleet) membership.Output {
+		out, err := v.Forget(sim.Now, "n0", false)
 		if err != membership.ErrAlive {
 			t.Error(err)
 		}
@@ -173,156 +179,168 @@
 	})
 }
 
-// A new driver that only the smaller part hears is not admitted: majorities are not made by who happens to be there.
-func TestNewcomersOfTheSmallerPart(t *testing.T) {
-	f := five(t, membershipsim.Options{Seed: 9, Seeds: 5})
-	f.Blocked = parts(0, 0, 1, 1, 1, 0, 0, 0, 0)
-	wait(t, f, "cut", func() bool {
-		return f.HavePartitionStatus(membership.Minority, 0, 1) && f.HavePartitionStatus(membership.Majority, 2, 3, 4)
+// TestMinorityAdmitsNoDrivers checks that drivers that join in the minority partition are not added to the roster.
+func TestMinorityAdmitsNoDrivers(t *testing.T) {
+	sim := newFleet(t, membershipsim.Options{Seed: 9, Seeds: 5})
+	sim.Blocked = partitionedInto(0, 0, 1, 1, 1, 0, 0, 0, 0)
+	waitUntil(t, sim, "partition", func() bool {
+		return sim.HavePartitionStatus(membership.Minority, 0, 1) && sim.HavePartitionStatus(membership.Majority, 2, 3, 4)
 	})
 	for i := 5; i < 9; i++ {
-		f.Add()
-		f.Start(i, 0)
+		sim.Add()
+		sim.Start(i, 0)
 	}
-	wait(t, f, "newcomers", func() bool { return f.HavePartitionStatus(membership.Minority, 0, 1, 5, 6, 7, 8) })
-	f.Run(60000)
-	minority := f.HavePartitionStatus(membership.Minority, 0, 1, 5, 6, 7, 8)
-	if !minority || !f.HavePartitionStatus(membership.Majority, 2, 3, 4) {
-		t.Error("six of nine that are there, two of five that count")
+	waitUntil(t, sim, "drivers joined in the minority", func() bool {
+		return sim.HavePartitionStatus(membership.Minority, 0, 1, 5, 6, 7, 8)
+	})
+	sim.Run(60000)
+	minority := sim.HavePartitionStatus(membership.Minority, 0, 1, 5, 6, 7, 8)
+	if !minority || !sim.HavePartitionStatus(membership.Majority, 2, 3, 4) {
+		t.Error("six of nine running drivers must stay a minority: only two of them are on the roster of five")
 	}
-	f.Blocked = nil
-	wait(t, f, "heal", func() bool {
-		complete := f.HavePartitionStatus(membership.Complete, 0, 1, 2, 3, 4, 5, 6, 7, 8)
-		return complete && len(f.Drivers[8].View.Status().Roster.Names) == 9
+	sim.Blocked = nil
+	waitUntil(t, sim, "heal", func() bool {
+		complete := sim.HavePartitionStatus(membership.Complete, 0, 1, 2, 3, 4, 5, 6, 7, 8)
+		return complete && len(sim.Drivers[8].View.Status().Roster.Names) == 9
 	})
 }
 
-// One that stood still blames itself: it fails nobody, and is believed again once it says so.
-func TestStoodStill(t *testing.T) {
+// TestPausedDriverFailsNobody checks that a paused driver marks nobody as failed, and is trusted again after the pause.
+func TestPausedDriverFailsNobody(t *testing.T) {
 	for _, length := range []float64{1000, 3000, 5000, 20000} {
-		f := five(t, membershipsim.Options{Seed: uint64(length)})
+		sim := newFleet(t, membershipsim.Options{Seed: uint64(length)})
 		failed := 0
-		notes := f.OnEvent
-		f.OnEvent = func(at float64, d string, n membership.Event) {
-			if notes(at, d, n); n.Reason == "fellow_failed" && (d == "n2" || n.Name != "n2") {
+		logEvent := sim.OnEvent
+		sim.OnEvent = func(at float64, driver string, event membership.Event) {
+			if logEvent(at, driver, event); event.Reason == "fellow_failed" && (driver == "n2" || event.Name != "n2") {
 				failed++
 			}
 		}
-		f.Pause(2, length)
-		f.Run(length + 100)
-		if s, _, _ := f.Drivers[2].View.PartitionStatus(); s != membership.Undetermined {
-			t.Errorf("thawed after %.0f ms it is %s", length, s)
+		sim.Pause(2, length)
+		sim.Run(length + 100)
+		if status, _, _ := sim.Drivers[2].View.PartitionStatus(); status != membership.Undetermined {
+			t.Errorf("after a pause of %.0f ms its status is %s", length, status)
 		}
-		wait(t, f, "thawed", func() bool { return f.HavePartitionStatus(membership.Complete, all...) })
-		f.Run(20000)
-		if failed > 0 || !f.HavePartitionStatus(membership.Complete, all...) {
-			t.Errorf("%.0f ms: %d failed wrongly", length, failed)
+		waitUntil(t, sim, "pause ended", func() bool { return sim.HavePartitionStatus(membership.Complete, allFive...) })
+		sim.Run(20000)
+		if failed > 0 || !sim.HavePartitionStatus(membership.Complete, allFive...) {
+			t.Errorf("pause of %.0f ms: %d wrong failures", length, failed)
 		}
 	}
 }
 
-func TestOneDirectionOfOnePair(t *testing.T) {
-	f := five(t, membershipsim.Options{Seed: 2})
-	f.Blocked = func(a, b int) bool { return a == 0 && b == 1 }
-	wait(t, f, "told", func() bool {
-		return !state(f, 1, "n0").Reachable && slices.Contains(state(f, 3, "n1").Unreachable, "n0")
+// TestOneWayLinkFailure checks that a link that fails in one direction is reported as unreachable to all drivers, and
+// that nobody is marked as failed.
+func TestOneWayLinkFailure(t *testing.T) {
+	sim := newFleet(t, membershipsim.Options{Seed: 2})
+	sim.Blocked = func(a, b int) bool { return a == 0 && b == 1 }
+	waitUntil(t, sim, "unreachability gossiped", func() bool {
+		return !viewOf(sim, 1, "n0").Reachable && slices.Contains(viewOf(sim, 3, "n1").Unreachable, "n0")
 	})
-	f.Run(60000)
-	failed := state(f, 1, "n0").State == membership.Failed
-	if !state(f, 0, "n1").Reachable || failed || !f.HavePartitionStatus(membership.Complete, all...) {
-		t.Errorf("cut from one alone: %+v %+v", f.Drivers[0].View.Status(), f.Drivers[1].View.Status())
+	sim.Run(60000)
+	failed := viewOf(sim, 1, "n0").State == membership.Failed
+	if !viewOf(sim, 0, "n1").Reachable || failed || !sim.HavePartitionStatus(membership.Complete, allFive...) {
+		t.Errorf("one link fails in one direction: %+v %+v", sim.Drivers[0].View.Status(), sim.Drivers[1].View.Status())
 	}
-	f.Blocked = nil
-	wait(t, f, "heal", func() bool { return state(f, 1, "n0").Reachable && len(state(f, 3, "n1").Unreachable) == 0 })
+	sim.Blocked = nil
+	waitUntil(t, sim, "heal", func() bool {
+		return viewOf(sim, 1, "n0").Reachable && len(viewOf(sim, 3, "n1").Unreachable) == 0
+	})
 }
 
-// One that is heard and does not hear, or is not heard at all, fails nobody else and does not count itself in.
-func TestMuteAndDeaf(t *testing.T) {
-	for name, cut := range map[string]func(a, b int) bool{"mute": func(a, b int) bool {
+// TestDriverCutInOneDirection checks that a driver that only sends or only receives is never in the majority, and that
+// the others stay in it.
+func TestDriverCutInOneDirection(t *testing.T) {
+	for name, blocked := range map[string]func(a, b int) bool{"receives only": func(a, b int) bool {
 		return a == 3
-	}, "deaf": func(a, b int) bool {
+	}, "sends only": func(a, b int) bool {
 		return b == 3
 	}} {
-		f := five(t, membershipsim.Options{Seed: 4})
-		f.Blocked = cut
-		wait(t, f, name, func() bool {
-			s, _, _ := f.Drivers[3].View.PartitionStatus()
-			return s < membership.Majority && f.HavePartitionStatus(membership.Majority, 0, 1, 2, 4)
+		sim := newFleet(t, membershipsim.Options{Seed: 4})
+		sim.Blocked = blocked
+		waitUntil(t, sim, name, func() bool {
+			status, _, _ := sim.Drivers[3].View.PartitionStatus()
+			return status < membership.Majority && sim.HavePartitionStatus(membership.Majority, 0, 1, 2, 4)
 		})
-		f.Run(30000)
-		s, _, _ := f.Drivers[3].View.PartitionStatus()
-		if s >= membership.Majority || !f.HavePartitionStatus(membership.Majority, 0, 1, 2, 4) {
-			t.Errorf("%s: it is %s", name, s)
+		sim.Run(30000)
+		status, _, _ := sim.Drivers[3].View.PartitionStatus()
+		if status >= membership.Majority || !sim.HavePartitionStatus(membership.Majority, 0, 1, 2, 4) {
+			t.Errorf("%s: its status is %s", name, status)
 		}
-		f.Blocked = nil
-		wait(t, f, "heal", func() bool { return f.HavePartitionStatus(membership.Complete, all...) })
+		sim.Blocked = nil
+		waitUntil(t, sim, "heal", func() bool { return sim.HavePartitionStatus(membership.Complete, allFive...) })
 	}
 }
 
-func TestRing(t *testing.T) {
-	f := five(t, membershipsim.Options{Seed: 6})
-	f.Blocked = func(a, b int) bool { return (a+1)%5 != b && (b+1)%5 != a }
-	f.Run(30000)
+// TestRingTopology checks that nobody is marked as failed when each driver reaches only its two neighbors, and that
+// unreachable drivers are reported.
+func TestRingTopology(t *testing.T) {
+	sim := newFleet(t, membershipsim.Options{Seed: 6})
+	sim.Blocked = func(a, b int) bool { return (a+1)%5 != b && (b+1)%5 != a }
+	sim.Run(30000)
 	for range 100 {
-		f.Run(300)
+		sim.Run(300)
 		for i := range 5 {
-			for _, v := range f.Drivers[i].View.Status().Drivers {
+			for _, v := range sim.Drivers[i].View.Status().Drivers {
 				if v.State == membership.Failed {
-					t.Fatalf("n%d takes %s for failed", i, v.Name)
+					t.Fatalf("n%d regards %s as failed", i, v.Name)
 				}
 			}
 		}
 	}
-	if state(f, 0, "n2").Reachable || !state(f, 0, "n1").Reachable {
-		t.Error("who hears whom is not told")
+	if viewOf(sim, 0, "n2").Reachable || !viewOf(sim, 0, "n1").Reachable {
+		t.Error("reachability does not match the ring")
 	}
 }
 
-// The first one under a name keeps it; the second gets it when the first has ended.
-func TestNameTwice(t *testing.T) {
-	f := five(t, membershipsim.Options{Seed: 8})
-	f.Add().Name = "n4"
-	f.Start(5, 0)
-	wait(t, f, "told", func() bool {
-		s, why, _ := f.Drivers[5].View.PartitionStatus()
-		return s == membership.Undetermined && why == "name_taken"
+// TestDuplicateName checks that the first process with a name keeps it, and that a second one gets it after the first
+// ended.
+func TestDuplicateName(t *testing.T) {
+	sim := newFleet(t, membershipsim.Options{Seed: 8})
+	sim.Add().Name = "n4"
+	sim.Start(5, 0)
+	waitUntil(t, sim, "conflict detected", func() bool {
+		status, reason, _ := sim.Drivers[5].View.PartitionStatus()
+		return status == membership.Undetermined && reason == "name_taken"
 	})
-	f.Run(30000)
-	first := f.Drivers[4].View.Status().Address
-	if !f.HavePartitionStatus(membership.Complete, all...) || state(f, 0, "n4").Address != first {
-		t.Error("the second one took the name")
+	sim.Run(30000)
+	firstAddress := sim.Drivers[4].View.Status().Address
+	if !sim.HavePartitionStatus(membership.Complete, allFive...) || viewOf(sim, 0, "n4").Address != firstAddress {
+		t.Error("the second process took the name")
 	}
-	f.Kill(4)
-	wait(t, f, "taken over", func() bool { return f.HavePartitionStatus(membership.Complete, 0, 1, 2, 3, 5) })
-	// a clock that went back, at the same address
-	f.Kill(0)
-	f.Start(0, -500000)
-	wait(t, f, "back in time", func() bool { return f.HavePartitionStatus(membership.Complete, 0, 1, 2, 3, 5) })
+	sim.Kill(4)
+	waitUntil(t, sim, "name taken over", func() bool { return sim.HavePartitionStatus(membership.Complete, 0, 1, 2, 3, 5) })
+	// a restart at the same address after the clock was set back
+	sim.Kill(0)
+	sim.Start(0, -500000)
+	waitUntil(t, sim, "clock set back", func() bool { return sim.HavePartitionStatus(membership.Complete, 0, 1, 2, 3, 5) })
 }
 
-func TestAllRestarted(t *testing.T) {
-	f := five(t, membershipsim.Options{Seed: 1})
+// TestRestartOfAllDrivers checks that the fleet is complete again after a rolling restart and after a restart of all
+// drivers at once.
+func TestRestartOfAllDrivers(t *testing.T) {
+	sim := newFleet(t, membershipsim.Options{Seed: 1})
 	for i := range 5 {
-		f.Kill(i)
-		f.Run(700)
-		f.Start(i, 0)
-		f.Run(700)
+		sim.Kill(i)
+		sim.Run(700)
+		sim.Start(i, 0)
+		sim.Run(700)
 	}
-	wait(t, f, "one by one", func() bool { return f.HavePartitionStatus(membership.Complete, all...) })
+	waitUntil(t, sim, "rolling restart", func() bool { return sim.HavePartitionStatus(membership.Complete, allFive...) })
 	for i := range 5 {
-		f.Kill(i)
+		sim.Kill(i)
 	}
 	for i := range 5 {
-		f.Start(i, 0)
+		sim.Start(i, 0)
 	}
-	wait(t, f, "at once", func() bool { return f.HavePartitionStatus(membership.Complete, all...) })
+	waitUntil(t, sim, "simultaneous restart", func() bool { return sim.HavePartitionStatus(membership.Complete, allFive...) })
 }
 
-// Datagrams lost, doubled and late fail nobody for good.
+// TestLossyNetwork checks that lost, duplicated and delayed datagrams mark nobody as failed permanently.
 func TestLossyNetwork(t *testing.T) {
-	f := five(t, membershipsim.Options{Seed: 12, Duplicate: 0.2, Latency: 40})
-	f.Loss = 0.3
-	f.Run(600000)
-	f.Loss = 0
-	wait(t, f, "calm again", func() bool { return f.HavePartitionStatus(membership.Complete, all...) })
+	sim := newFleet(t, membershipsim.Options{Seed: 12, Duplicate: 0.2, Latency: 40})
+	sim.Loss = 0.3
+	sim.Run(600000)
+	sim.Loss = 0
+	waitUntil(t, sim, "loss ended", func() bool { return sim.HavePartitionStatus(membership.Complete, allFive...) })
 }
--- a/internal/fleet/membership/forget.go
+++ b/internal/fleet/membership/forget.go
@@ -14,9 +14,9 @@
 			"or say that the forgotten one is certain not to run")
 )
 
-// Forget takes a failed driver for gone for good, so that majorities are no longer counted with it. With a
-// majority the rest agrees on that; otherwise operators must be certain that it does not run, as nobody else
-// can be asked, and the roster is changed by force.
+// Forget removes a failed driver from the roster, so that it no longer counts towards majorities. With a majority the
+// remaining drivers agree on the removal. Without one the operator must state that the driver certainly does not run,
+// because no majority can be asked, and the roster is changed by force.
 func (f *Fleet) Forget(now float64, name string, certain bool) (Output, error) {
 	f.now = max(f.now, now)
 	p := f.peersByName[name]
@@ -26,8 +26,8 @@
 	case p != nil && !p.State.ended():
 		return Output{}, ErrAlive
 	}
-	agreed := f.partition == Complete || f.partition == Majority
-	if !agreed && !certain {
+	withMajority := f.partition == Complete || f.partition == Majority
+	if !withMajority && !certain {
 		return Output{}, ErrNoMajority
 	}
 	if p != nil && p.State == Failed {
@@ -35,7 +35,7 @@
 		r.State, r.ReportedBy = Left, f.self.Name
 		f.applyRecord(r)
 	}
-	if f.onRoster(name) && (!agreed || p == nil) {
+	if f.onRoster(name) && (!withMajority || p == nil) {
 		rest := slices.DeleteFunc(slices.Clone(f.roster.Names), func(n string) bool { return n == name })
 		if len(rest) == 0 {
 			return f.takeOutput(), ErrUnknownDriver
--- a/internal/fleet/membership/golden_test.go
+++ b/internal/fleet/membership/golden_test.go
@@ -20,7 +20,7 @@
 	goldenEarlier = paxos.Ballot{Number: 1, Proposer: "n3"}
 )
 
-// TestWireForm holds the bytes of what drivers send each other.
+// TestWireForm compares the encoding of messages between drivers with recorded bytes.
 func TestWireForm(t *testing.T) {
 	golden.CBOR(t, "testdata/records.golden", []golden.Case[Record]{
 		golden.Of("record", goldenSelf),
@@ -58,7 +58,7 @@
 	})
 }
 
-// TestSavedForm holds the bytes of what drivers keep on disk.
+// TestSavedForm compares the encoding of saved state with recorded bytes.
 func TestSavedForm(t *testing.T) {
 	golden.CBOR(t, "testdata/saved.golden", []golden.Case[SavedState]{
 		golden.Of("saved", SavedState{Name: "n1", Run: 7, Roster: goldenRoster, Version: 5, Promised: goldenBallot,
@@ -66,8 +66,8 @@
 	})
 }
 
-// TestTexts holds what operators see: the status of a driver, drains, names of states and statuses, reasons and
-// errors.
+// TestTexts compares texts shown to operators with recorded ones: a driver's status, drains, names of states and
+// statuses, reasons and errors.
 func TestTexts(t *testing.T) {
 	var cases []golden.Case[string]
 	add := func(name, text string) { cases = append(cases, golden.Of(name, text)) }
@@ -91,7 +91,7 @@
 	golden.Text(t, "testdata/texts.golden", cases)
 }
 
-// goldenFleet is a driver that knows two peers and a roster.
+// goldenFleet returns the view of a driver that knows two peers and a roster.
 func goldenFleet() *Fleet {
 	f := New(1000, Options{Period: 500, ExpectedDrivers: 3, MaxDrivers: 10, TakeoverAfter: 15000},
 		Record{Name: "n1", Run: 7, Address: "a:1", Zone: "z"}, nil, 1)
--- a/internal/fleet/membership/gossip.go
+++ b/internal/fleet/membership/gossip.go
@@ -5,25 +5,25 @@
 	"slices"
 )
 
-// broadcast is a record or a reachability that this driver passes on, on one message after another.
+// broadcast is a record or reachability that this driver gossips on successive messages.
 type broadcast struct {
 	record        Record
-	reachability  *Reachability // in place of the record; nil: none
+	reachability  *Reachability // if not nil, sent instead of the record
 	transmissions int           // so far
-	superseded    bool          // by a newer one; it is dropped from the queue in passing
+	superseded    bool          // replaced by a newer one or sent often enough; removed when the queue is next reordered
 }
 
-// broadcastQueue is what is passed on.
+// broadcastQueue holds what is gossiped.
 type broadcastQueue struct {
-	// broadcasts are in the order of their transmissions, the newest first among equals.
-	broadcasts      []*broadcast
-	spareBroadcasts []*broadcast // storage for the next order
-	// broadcastsAbout are those that are not superseded, by whom they are about.
-	broadcastsAbout map[string][]*broadcast
-	lastQueuedAt    float64 // when a record was queued last
+	// broadcasts are sorted by transmissions, newest first among equals.
+	broadcasts    []*broadcast
+	reorderBuffer []*broadcast // reused by reorderBroadcasts
+	// broadcastsBySubject are the broadcasts that are not superseded, by broadcast.subject.
+	broadcastsBySubject map[string][]*broadcast
+	lastQueuedAt        float64 // when a record was last queued
 }
 
-// send queues a message with what a peer is to know: of this driver itself, then the newest gossip.
+// send queues a message for a peer and adds this driver's record, view and roster hashes, and gossip.
 func (f *Fleet) send(address string, msg Message) {
 	f.counter++
 	msg.From, msg.Counter, msg.ViewHash = f.self, f.counter, f.viewHash
@@ -43,7 +43,7 @@
 	f.pending.Messages = append(f.pending.Messages, Envelope{address, msg})
 }
 
-// piggyback puts gossip into a message, up to so many bytes: what was passed on least often first.
+// piggyback adds gossip to a message, up to budget bytes, least transmitted first.
 func (f *Fleet) piggyback(msg *Message, budget int) {
 	i := 0
 	for ; i < len(f.broadcasts); i++ {
@@ -68,12 +68,12 @@
 	}
 }
 
-// reorderBroadcasts merges the first ones, which were passed on, with the rest, without those that were passed on
-// often enough.
+// reorderBroadcasts merges the first count broadcasts, which were just sent, with the rest, and drops those that
+// reached the retransmit limit.
 func (f *Fleet) reorderBroadcasts(count int) {
 	sent, rest, limit := f.broadcasts[:count], f.broadcasts[count:], f.retransmitLimit()
-	merged := f.spareBroadcasts[:0]
-	for len(sent) > 0 || len(rest) > 0 { // both are in order
+	merged := f.reorderBuffer[:0]
+	for len(sent) > 0 || len(rest) > 0 { // both are sorted
 		switch {
 		case len(sent) > 0 && (sent[0].superseded || sent[0].transmissions >= limit):
 			f.dropBroadcast(sent[0])
@@ -88,17 +88,17 @@
 			sent = sent[1:]
 		}
 	}
-	f.broadcasts, f.spareBroadcasts = merged, f.broadcasts
+	f.broadcasts, f.reorderBuffer = merged, f.broadcasts
 }
 
-// retransmitLimit is how often one driver passes a broadcast on: by the logarithm of the fleet's size (SWIM,
-// section 4.1).
+// retransmitLimit returns how often one driver sends a broadcast: it grows with the logarithm of the fleet's size
+// (SWIM, section 4.1).
 func (f *Fleet) retransmitLimit() int {
 	return 3*int(math.Ceil(math.Log10(float64(len(f.peers)+2)))) + 2
 }
 
-// about is whom a broadcast is about: a newer one with the same key replaces it.
-func (b *broadcast) about() string {
+// subject returns the key of what a broadcast describes: a newer broadcast with the same key replaces it.
+func (b *broadcast) subject() string {
 	if b.reachability != nil {
 		return "hears " + b.reachability.Name
 	}
@@ -112,29 +112,29 @@
 	return b.record.size()
 }
 
-// dropBroadcast takes a broadcast out of those that are passed on.
+// dropBroadcast stops sending a broadcast.
 func (f *Fleet) dropBroadcast(dropped *broadcast) {
 	dropped.superseded = true
-	key := dropped.about()
-	rest := slices.DeleteFunc(f.broadcastsAbout[key], func(b *broadcast) bool { return b.superseded })
+	key := dropped.subject()
+	rest := slices.DeleteFunc(f.broadcastsBySubject[key], func(b *broadcast) bool { return b.superseded })
 	if len(rest) > 0 {
-		f.broadcastsAbout[key] = rest
+		f.broadcastsBySubject[key] = rest
 	} else {
-		delete(f.broadcastsAbout, key)
+		delete(f.broadcastsBySubject, key)
 	}
 }
 
-// addBroadcast has a broadcast passed on, before all others.
+// addBroadcast queues a broadcast ahead of all others.
 func (f *Fleet) addBroadcast(added *broadcast) {
 	f.broadcasts = slices.Insert(f.broadcasts, 0, added)
-	key := added.about()
-	f.broadcastsAbout[key] = append(f.broadcastsAbout[key], added)
+	key := added.subject()
+	f.broadcastsBySubject[key] = append(f.broadcastsBySubject[key], added)
 }
 
-// broadcastRecord has a record passed on. Records of a driver replace each other, but for suspicions by several.
+// broadcastRecord queues a record. It replaces earlier records of the driver, except suspicions by other accusers.
 func (f *Fleet) broadcastRecord(r Record) {
 	f.lastQueuedAt = f.now
-	for _, old := range slices.Clone(f.broadcastsAbout[r.Name]) {
+	for _, old := range slices.Clone(f.broadcastsBySubject[r.Name]) {
 		o := &old.record
 		confirms := r.State == Suspect && o.State == Suspect && o.Run == r.Run && o.Incarnation == r.Incarnation &&
 			o.ReportedBy != r.ReportedBy
@@ -145,25 +145,24 @@
 	f.addBroadcast(&broadcast{record: r})
 }
 
-// gossip passes on between probes.
+// gossip sends queued broadcasts to random peers, between probes.
 func (f *Fleet) gossip() {
-	if len(f.broadcastsAbout) == 0 && f.decidedTransmissions == 0 {
+	if len(f.broadcastsBySubject) == 0 && f.decidedTransmissions == 0 {
 		return
 	}
-	f.randomPeers(gossipFanout, expected, func(p *peer) {
+	f.randomPeers(gossipFanout, notEnded, func(p *peer) {
 		f.send(p.Address, Message{Kind: Gossip, Target: p.Name})
 	})
 }
 
-// compareViews asks for an exchange of snapshots with a peer that has a newer roster, or that sees the fleet
-// otherwise though nothing was gossiped for a while, or though there is more than gossip carries: after a heal,
-// or as many start at once.
+// compareViews requests a snapshot exchange with a peer that has a newer roster, or whose view differs although nothing
+// was gossiped for a while or the gossip backlog is too long, as after a partition or a start of many drivers.
 func (f *Fleet) compareViews(from *peer, msg *Message) {
 	if from == nil || from.Run != msg.From.Run || from.State.ended() {
 		return
 	}
 	f.compareRosters(msg)
-	settled := f.now-f.lastQueuedAt > viewsSettleAfter*f.options.Period || len(f.broadcastsAbout) > maxBroadcastBacklog
+	settled := f.now-f.lastQueuedAt > viewsSettleAfter*f.options.Period || len(f.broadcastsBySubject) > maxBroadcastBacklog
 	differs := msg.ViewHash != f.viewHash && settled
 	if !f.lacksRoster(msg) && !differs || f.now < f.nextSync || f.now < from.nextSync {
 		return
@@ -172,7 +171,7 @@
 	f.pending.SyncWith = append(f.pending.SyncWith, from.Address)
 }
 
-// lacksRoster says that a peer has a roster that this driver lacks: a newer one, or another of this version.
+// lacksRoster reports whether a peer has a newer roster, or a different one of the same version.
 func (f *Fleet) lacksRoster(msg *Message) bool {
 	if msg.RosterVersion == 0 || f.roster == nil {
 		return msg.RosterVersion > 0
@@ -180,7 +179,7 @@
 	return msg.RosterVersion > f.roster.Version || msg.RosterVersion == f.roster.Version && msg.RosterHash != f.roster.hash
 }
 
-// compareRosters notes since when a peer has a newer roster.
+// compareRosters records since when a peer has had a newer roster.
 func (f *Fleet) compareRosters(msg *Message) {
 	if f.roster == nil || msg.RosterVersion <= f.roster.Version {
 		f.rosterBehindSince = 0
--- a/internal/fleet/membership/memory_test.go
+++ b/internal/fleet/membership/memory_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// What a driver keeps of a thousand peers, with a roster of all of them, is under 2 MB.
-func TestMemoryOfAThousand(t *testing.T) {
+// TestMemoryOfThousandPeers checks that the state about a thousand peers on the roster takes less than 2 MB.
+func TestMemoryOfThousandPeers(t *testing.T) {
 	heap := func() uint64 {
 		var m runtime.MemStats
 		runtime.GC()
--- a/internal/fleet/membership/message.go
+++ b/internal/fleet/membership/message.go
@@ -1,30 +1,30 @@
 package membership
 
-// Kind of a message.
+// Kind is the kind of a message.
 type Kind uint8
 
 // The kinds of messages.
 const (
-	Ping        Kind = iota + 1 // Target answers by Ack
+	Ping        Kind = iota + 1 // Target answers with Ack
 	PingRequest                 // the receiver pings Target at TargetAddress for the sender
-	Ack                         // Target lives: from itself, or from who pinged it for the receiver
-	Nack                        // who was requested to ping lives, and Target does not answer
-	Gossip                      // bears records, votes and changes alone
+	Ack                         // Target is alive; sent by itself, or by a relay
+	Nack                        // the relay is alive, but has not heard Target
+	Gossip                      // carries only records, votes and changes
 )
 
-// Message is a datagram between two drivers. Gossip goes along with each.
+// Message is a datagram between two drivers. Every message can carry gossip.
 type Message struct {
 	Kind Kind   `cbor:"1,keyasint"`
 	From Record `cbor:"2,keyasint"`
-	// Counter numbers the sender's messages: one that is not higher than an earlier one is late, or a copy.
+	// Counter numbers the sender's messages. A message whose counter does not increase is late or a duplicate.
 	Counter uint64 `cbor:"3,keyasint"`
-	// ProbeID is drawn by who begins a probe, and comes back with its answers.
+	// ProbeID is set by the prober and repeated in answers to the probe.
 	ProbeID       uint64 `cbor:"4,keyasint,omitempty"`
 	Target        string `cbor:"5,keyasint,omitempty"` // name
 	TargetAddress string `cbor:"6,keyasint,omitempty"`
-	// ViewHash stands for the processes that live, as the sender sees it.
+	// ViewHash is a hash of the processes that the sender regards as live.
 	ViewHash uint64 `cbor:"7,keyasint,omitempty"`
-	// RosterVersion and RosterHash tell which roster the sender has; 0: none.
+	// RosterVersion and RosterHash identify the sender's roster; 0: none.
 	RosterVersion uint64         `cbor:"8,keyasint,omitempty"`
 	RosterHash    uint64         `cbor:"9,keyasint,omitempty"`
 	Records       []Record       `cbor:"10,keyasint,omitempty"`
@@ -34,12 +34,12 @@
 }
 
 const (
-	maxPiggybackBytes = 1000 // of gossip in a message, about
-	maxUnreachable    = 16   // names in a Reachability
-	maxRecords        = 64   // in a message that is accepted
+	maxPiggybackBytes = 1000 // approximate bytes of gossip in a message
+	maxUnreachable    = 16   // maximum names in a Reachability
+	maxRecords        = 64   // maximum records in an accepted message
 )
 
-// Reachability tells which peers a driver doesn't hear itself, though others say that they live.
+// Reachability lists the peers that a driver does not hear directly although others report them as live.
 type Reachability struct {
 	Name        string   `cbor:"1,keyasint"`
 	Run         uint64   `cbor:"2,keyasint"`
@@ -47,16 +47,16 @@
 	Unreachable []string `cbor:"4,keyasint,omitempty"`
 }
 
-// size is about how many bytes it takes in a message.
-func (h *Reachability) size() int {
-	n := 24 + len(h.Name)
-	for _, name := range h.Unreachable {
+// size returns the approximate number of bytes that r takes in a message.
+func (r *Reachability) size() int {
+	n := 24 + len(r.Name)
+	for _, name := range r.Unreachable {
 		n += 2 + len(name)
 	}
 	return n
 }
 
-// Snapshot is all that a driver knows, for a peer that starts or was partitioned off.
+// Snapshot is a driver's full state, for a peer that starts or was partitioned.
 type Snapshot struct {
 	From         Record         `cbor:"1,keyasint"`
 	Records      []Record       `cbor:"2,keyasint,omitempty"`
@@ -64,21 +64,21 @@
 	Roster       *Roster        `cbor:"4,keyasint,omitempty"`
 }
 
-// Envelope is a message with the address that it is for.
+// Envelope is a message with its destination address.
 type Envelope struct {
 	Address string
 	Message Message
 }
 
-// Event is a line for the log: a reason code, whom it is about, and more.
+// Event is a log entry: a reason code, the driver concerned, and details.
 type Event struct {
 	Reason, Name, Text string
 }
 
-// Output is what a call of Fleet's asks of its caller.
+// Output is what the caller must do after a call of a Fleet method.
 type Output struct {
 	Messages []Envelope
-	SyncWith []string // addresses with which snapshots are to be exchanged
+	SyncWith []string // addresses to exchange snapshots with
 	Events   []Event
-	Save     *SavedState // to be durable before Messages go out, see Fleet.Saved; nil: nothing new
+	Save     *SavedState // must be durable before Messages are sent, see Fleet.Saved; nil: nothing to save
 }
--- a/internal/fleet/membership/options.go
+++ b/internal/fleet/membership/options.go
@@ -2,48 +2,48 @@
 
 // Options are a driver's settings. Times are milliseconds.
 type Options struct {
-	Period          float64 // between two probes of a driver whose health is good
-	ExpectedDrivers int     // before a roster is founded
-	RetainFor       float64 // a driver that has ended and is on no roster is remembered for so long
-	MaxDrivers      int     // known at most
-	// TakeoverAfter is after how long the majority takes over the share of those that are lost, see DriverCount.
+	Period          float64 // probe interval of a driver with good health
+	ExpectedDrivers int     // number of drivers required to bootstrap a roster
+	RetainFor       float64 // how long an ended driver that is not on the roster stays known
+	MaxDrivers      int     // maximum number of known drivers
+	// TakeoverAfter is the delay until the majority takes over the shares of lost drivers, see DriverCount.
 	TakeoverAfter float64
-	// Persistent says that votes and rosters outlive the process: the caller makes Output.Save durable.
+	// Persistent is set if votes and rosters survive a restart: the caller makes Output.Save durable.
 	Persistent bool
-	Saved      *SavedState // what an earlier process saved last; nil: nothing
+	Saved      *SavedState // last state saved by an earlier process; nil: none
 }
 
-// Probes and suspicions. Durations are in periods.
+// Constants of probes and suspicions. Durations are in periods.
 const (
-	directProbeShare  = 0.4  // an ack by then, or others are requested to ping
-	probeShare        = 0.95 // an ack by then, from whoever, or the target is suspected
-	nackShare         = 0.3  // who is requested to ping answers by a nack if it has not heard the target for so long
-	indirectProbes    = 3    // drivers that are requested to ping
-	maxRelays         = 256  // pings for others at a time
-	minSuspicion      = 3.0  // a suspicion with maxConfirmations
-	maxSuspicion      = 9.0  // one with none
-	maxConfirmations  = 2    // more make it no shorter
-	lastProbeBefore   = 2.5  // before the end of a suspicion that few confirm its subject is pinged once more
-	suspicionCheckers = 4.0  // drivers that probe next whom another suspects, about
-	maxRechecks       = 4    // of these probes to come
-	maxHealth         = 4    // score: how much of the delays a driver blames on itself; 0 is good
-	pauseAfter        = 1.5  // between two ticks: this driver was paused
-	recentlyHeard     = 4.0  // a peer heard directly lives, whatever others say
+	directProbeShare  = 0.4  // time to a direct ack before other peers are asked to ping
+	probeShare        = 0.95 // time to any ack before the target is suspected
+	nackShare         = 0.3  // a relay that has not heard the target for this long sends a nack
+	indirectProbes    = 3    // number of peers that are asked to ping
+	maxRelays         = 256  // concurrent pings on behalf of other drivers
+	minSuspicion      = 3.0  // suspicion timeout with maxConfirmations
+	maxSuspicion      = 9.0  // suspicion timeout without confirmations
+	maxConfirmations  = 2    // further confirmations do not shorten the timeout
+	lastProbeBefore   = 2.5  // a suspect with few accusers is pinged again from this long before its timeout
+	suspicionCheckers = 4.0  // expected number of drivers that recheck a suspect of another driver
+	maxRechecks       = 4    // queued rechecks
+	maxHealth         = 4    // worst score; the higher, the more a driver attributes delays to itself
+	pauseAfter        = 1.5  // a longer gap between two ticks means that this driver was paused
+	recentlyHeard     = 4.0  // a peer heard directly within this time is alive, whatever others report
 )
 
-// Reachability. Durations are in periods.
+// Constants of reachability. Durations are in periods.
 const (
-	checkInterval       = 0.2  // of what changes slowly
-	maxReprobes         = 4    // a period apart, to a peer that did not ack directly
-	minUnreachableAfter = 5.0  // a peer not heard directly for so long is unreachable; longer the more peers there are,
-	maxUnreachableAfter = 60.0 // up to this
+	checkInterval       = 0.2  // between checks of reachability, roster and partition status
+	maxReprobes         = 4    // pings, one per period, to a peer that did not ack directly
+	minUnreachableAfter = 5.0  // a peer not heard directly for this long is unreachable; grows with the number of peers
+	maxUnreachableAfter = 60.0 // upper bound of that growth
 )
 
-// Gossip. Durations are in periods.
+// Constants of gossip. Durations are in periods.
 const (
-	gossipInterval      = 0.2 // while there is something to pass on
-	gossipFanout        = 2   // peers at a time
-	viewsSettleAfter    = 3.0 // views that differ though nothing was gossiped for so long are exchanged
-	maxBroadcastBacklog = 64  // drivers that there is gossip of; above that views are exchanged at once
-	syncInterval        = 3.0 // between exchanges with one peer
+	gossipInterval      = 0.2 // between gossip messages while broadcasts are queued
+	gossipFanout        = 2   // peers per gossip round
+	viewsSettleAfter    = 3.0 // views that still differ this long after the last gossip are exchanged
+	maxBroadcastBacklog = 64  // subjects with queued broadcasts above which views are exchanged immediately
+	syncInterval        = 3.0 // between snapshot exchanges with one peer
 )
--- a/internal/fleet/membership/partition.go
+++ b/internal/fleet/membership/partition.go
@@ -7,83 +7,83 @@
 	"weirwind/internal/util/enum"
 )
 
-// PartitionStatus is how much of the roster a driver is with. Operators and logs call it its standing.
+// PartitionStatus is the size of the partition that a driver is in, relative to the roster. Logs call it the standing.
 type PartitionStatus uint8
 
-// The statuses, from the least that is known to the most.
+// The statuses, in ascending order.
 const (
-	Undetermined PartitionStatus = iota // too much is unknown, or two halves are alike
-	Isolated                            // it reaches nobody
-	Minority                            // it is with less than half
-	Majority                            // it is with more than half
-	Complete                            // it is with all
+	Undetermined PartitionStatus = iota // too much is unknown, or the partition is exactly half of the roster
+	Isolated                            // no other driver is reachable
+	Minority                            // less than half of the roster is reachable
+	Majority                            // more than half of the roster is alive
+	Complete                            // the whole roster is alive
 )
 
 var partitionNames = enum.Names{"unsure", "alone", "smaller", "larger", "whole"}
 
-// String is a status's name, as operators know it.
+// String returns the status's name as shown to operators.
 func (s PartitionStatus) String() string { return partitionNames.Of(uint8(s)) }
 
-// MarshalText gives a status its name.
+// MarshalText returns the status's name.
 func (s PartitionStatus) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
-// UnmarshalText takes a status's name.
+// UnmarshalText parses a status's name.
 func (s *PartitionStatus) UnmarshalText(text []byte) error {
 	return enum.Parse(partitionNames, "standing", text, s)
 }
 
-// hasMajority says that the driver may act for the fleet.
+// hasMajority reports whether the driver may act for the fleet.
 func (s PartitionStatus) hasMajority() bool { return s == Majority || s == Complete }
 
-// Action is something that several drivers could do to each other's harm.
+// Action is an operation that is harmful if drivers on both sides of a partition perform it.
 type Action uint8
 
-// What Allowed is asked for.
+// The actions that Allowed decides on.
 const (
-	BeginWritePause Action = iota // of a group's writes, or announce one
-	RenewWritePause               // one that goes on
-	EndWritePause                 // release or abort it
+	BeginWritePause Action = iota // pause a group's writes, or announce a pause
+	RenewWritePause               // extend a pause in progress
+	EndWritePause                 // release or abort a pause
 	ChangeRoster
-	ApplyDrain   // that any peer tells of, at any time
-	ReduceCount  // count fewer drivers than there were, since some have failed
-	LearnPrimary // take a primary from a peer's message alone
+	ApplyDrain   // apply a drain announced by any peer
+	ReduceCount  // leave failed drivers out of DriverCount
+	LearnPrimary // accept a primary only on a peer's word
 )
 
-// Allowed is the table of what is allowed in each status (docs/membership.md). The reason is for the log and
-// for who asked.
+// Allowed reports whether an action is allowed in a status (docs/membership.md), and if not, the reason for the log and
+// the caller.
 func Allowed(status PartitionStatus, action Action) (allowed bool, reason string) {
 	switch action {
 	case BeginWritePause, ChangeRoster, ReduceCount:
-		// Of a write pause, most drivers must hear: hooks go on with the takeover once it was accepted.
+		// A write pause must reach most drivers: hooks proceed with the takeover once it was accepted.
 		if status.hasMajority() {
 			return true, ""
 		}
 		return false, "not_with_the_larger_part"
-	case RenewWritePause: // writes that wait break no rule, and the lease ends it
+	case RenewWritePause: // delayed writes are safe, and the lease ends the pause
 		return true, ""
-	case EndWritePause: // each driver finds out itself which member is primary
+	case EndWritePause: // each driver determines the primary by itself
 		return true, ""
-	case ApplyDrain: // too many drains lose capacity, one too few breaks a rule
+	case ApplyDrain: // an extra drain only costs capacity, a missed one sends traffic to a draining member
 		return true, ""
-	case LearnPrimary: // a member's own answer decides, in every status
+	case LearnPrimary: // only a member's own answer counts, in every status
 		return false, "members_speak_for_themselves"
 	}
 	return false, "unknown"
 }
 
-// partitionState is the status and what it was assessed from.
+// partitionState is the status with the bookkeeping of its assessment.
 type partitionState struct {
 	partition       PartitionStatus
-	partitionReason string  // a code; "" for Isolated and above, other than for a leaving driver
-	partitionSince  float64 // when the status, apart from its reason, changed last
+	partitionReason string  // code of the reason; "" unless the status is Undetermined
+	partitionSince  float64 // when the status, not just its reason, last changed
 	nextAssessment  float64
-	assessedVersion uint64 // stateVersion when it was last assessed
+	assessedVersion uint64 // stateVersion at the last assessment
 }
 
-// missedProbesUnheard is how many probes in a row nobody answers to a driver that is not heard itself.
+// missedProbesUnheard is the number of consecutive missed probes after which a driver assumes that nobody hears it.
 const missedProbesUnheard = 4
 
-// updatePartition brings the status up to date, where something has changed and from time to time.
+// updatePartition reassesses the status after a change of state, and periodically.
 func (f *Fleet) updatePartition() {
 	if f.assessedVersion == f.stateVersion && f.now < f.nextAssessment {
 		return
@@ -100,22 +100,22 @@
 	f.partition, f.partitionReason, f.assessedVersion = status, reason, f.stateVersion
 }
 
-// census is how many drivers there are of each kind.
+// census counts drivers by kind.
 type census struct {
-	listed   int // on the roster
-	alive    int // of these, this driver with them
-	suspects int // of these
-	others   int // peers that do not count as ended, on the roster or not
+	onRoster  int // drivers on the roster
+	alive     int // alive drivers on the roster, including this one
+	suspects  int // suspects on the roster
+	livePeers int // alive or suspected peers, on the roster or not
 }
 
 func (f *Fleet) census() census {
-	c := census{listed: len(f.roster.Names)}
+	c := census{onRoster: len(f.roster.Names)}
 	if f.roster.has(f.self.Name) {
 		c.alive++
 	}
 	for _, p := range f.peers {
 		if !p.State.ended() {
-			c.others++
+			c.livePeers++
 		}
 		if !p.onRoster {
 			continue
@@ -130,8 +130,8 @@
 	return c
 }
 
-// assessPartition decides the status. What this driver may not know decides, never what it can see: two parts
-// that can't reach each other must never both take themselves for the majority.
+// assessPartition decides the status. It is pessimistic about what this driver may not know, because two partitions
+// must never both regard themselves as the majority.
 func (f *Fleet) assessPartition() (status PartitionStatus, reason string) {
 	switch {
 	case f.leaving:
@@ -145,28 +145,28 @@
 	if reason := f.uncertainty(c); reason != "" {
 		return Undetermined, reason
 	}
-	reached := c.alive + c.suspects // at most
+	maxReached := c.alive + c.suspects // at most
 	switch {
-	case c.alive == c.listed:
+	case c.alive == c.onRoster:
 		return Complete, ""
-	case 2*c.alive > c.listed && f.pendingChangeHasMajority():
+	case 2*c.alive > c.onRoster && f.pendingChangeHasMajority():
 		return Majority, ""
-	case c.suspects == 0 && c.others == 0:
+	case c.suspects == 0 && c.livePeers == 0:
 		return Isolated, ""
-	case 2*reached > c.listed:
+	case 2*maxReached > c.onRoster:
 		return Undetermined, "suspects"
-	case 2*reached == c.listed:
+	case 2*maxReached == c.onRoster:
 		return Undetermined, "halves"
 	}
 	return Minority, ""
 }
 
-// uncertainty is why this driver's view may be wrong; "": it is not.
-func (f *Fleet) uncertainty(seen census) (reason string) {
+// uncertainty returns the reason why this driver's view may be wrong, or "".
+func (f *Fleet) uncertainty(counts census) (reason string) {
 	switch {
-	case f.now < f.uncertainUntil || f.unconfirmed && seen.others > 0:
+	case f.now < f.uncertainUntil || f.unconfirmed && counts.livePeers > 0:
 		return "stood_still"
-	case seen.others > 0 && f.missedProbes >= missedProbesUnheard:
+	case counts.livePeers > 0 && f.missedProbes >= missedProbesUnheard:
 		return "unheard"
 	case f.rosterBehindSince > 0 && f.now-f.rosterBehindSince > 6*f.options.Period:
 		return "behind"
@@ -174,8 +174,8 @@
 	return ""
 }
 
-// pendingChangeHasMajority says that a change which may have been decided without this driver's knowing has its
-// majority here too.
+// pendingChangeHasMajority reports whether this driver also sees a majority of the next roster, if a change that it
+// accepted may have been decided without its knowledge.
 func (f *Fleet) pendingChangeHasMajority() bool {
 	pending := f.acceptor.Value != nil && f.voteVersion == f.roster.Version+1
 	if !pending || f.now-f.acceptedAt < roundPeriods*f.options.Period {
@@ -189,57 +189,57 @@
 	return paxos.Majority(next.Names, alive)
 }
 
-// PartitionStatus is this driver's, the reason's code, and since when, in milliseconds.
+// PartitionStatus returns this driver's status, the code of its reason, and when the status last changed.
 func (f *Fleet) PartitionStatus() (status PartitionStatus, reason string, since float64) {
 	return f.partition, f.partitionReason, f.partitionSince
 }
 
-// minTakeoverAfter, in periods, is longer than the slowest driver takes to find out that it is not with the majority.
+// minTakeoverAfter, in periods, exceeds the time in which the slowest driver detects that it lost the majority.
 const minTakeoverAfter = 30
 
-// DriverCount is how many drivers count for shares that all of them together must not exceed, such as
-// connections to warm up, health checks and messages: each takes one part in DriverCount. One that has failed
-// may only be partitioned off, and goes on with its share. Where the majority takes that over, after
-// TakeoverAfter, the others have given half of theirs up by then: a of n count the harmonic mean of both,
-// 2an/(a+n), the others 2n, so that all shares add up to one. Without a roster as many count as were ever
-// expected.
+// DriverCount returns the number of drivers among which limits of the whole fleet are divided, such as connections to
+// warm up, health checks and messages: each driver takes a share of 1/DriverCount. A failed driver may only be
+// partitioned and still use its share. Drivers outside the majority count 2n drivers and so use half a share. When the
+// majority takes over the other half, after TakeoverAfter, its a live drivers of n count the harmonic mean of both,
+// 2an/(a+n), so that all shares add up to at most one. Without a roster the count is the expected number of drivers, or
+// the alive ones if there are more.
 func (f *Fleet) DriverCount() int {
 	if f.roster == nil {
 		return max(f.options.ExpectedDrivers, f.aliveCount(), 1)
 	}
-	n, living := f.sharers()
-	reduce, _ := Allowed(f.partition, ReduceCount)
+	total, live := f.countShares()
+	mayReduce, _ := Allowed(f.partition, ReduceCount)
 	wait := max(f.options.TakeoverAfter, minTakeoverAfter*f.options.Period)
-	waited := f.now-max(f.partitionSince, f.liveSetChangedAt) >= wait
+	takeoverDue := f.now-max(f.partitionSince, f.liveSetChangedAt) >= wait
 	switch {
 	case f.partition == Complete, f.partitionReason == "leaving":
-		return n
-	case reduce && waited && living < n:
-		return int(math.Ceil(2 * float64(living) * float64(n) / float64(living+n)))
-	case reduce:
-		return n
+		return total
+	case mayReduce && takeoverDue && live < total:
+		return int(math.Ceil(2 * float64(live) * float64(total) / float64(live+total)))
+	case mayReduce:
+		return total
 	}
-	return 2 * n
+	return 2 * total
 }
 
-// sharers counts the drivers that may use a share, by the roster and by what is seen, and those of them that
-// are not taken for ended.
-func (f *Fleet) sharers() (n, living int) {
-	n, living = len(f.roster.Names), 1 // this one
+// countShares returns how many drivers may use a share, by the roster and by this driver's view, and how many of them
+// are live.
+func (f *Fleet) countShares() (total, live int) {
+	total, live = len(f.roster.Names), 1 // this one
 	if !f.roster.has(f.self.Name) {
-		n++
+		total++
 	}
 	for _, p := range f.peers {
 		if p.onRoster && p.State == Left {
-			n--
+			total--
 		}
 		if p.State.ended() {
 			continue
 		}
-		living++
+		live++
 		if !p.onRoster {
-			n++
+			total++
 		}
 	}
-	return max(n, 1), living
+	return max(total, 1), live
 }
--- a/internal/fleet/membership/peer.go
+++ b/internal/fleet/membership/peer.go
@@ -5,30 +5,30 @@
 	"strings"
 )
 
-// peer is what this driver knows of another.
+// peer is what this driver knows about another driver.
 type peer struct {
 	Record
-	stateSince float64 // when State or Run changed last
-	aliveSince float64 // when it was first known, or last came back
-	onRoster   bool    // it is on the roster that holds
+	stateSince float64 // when State or Run last changed
+	aliveSince float64 // when it was first known, or last returned
+	onRoster   bool    // it is on the current roster
 
-	lastCounter uint64  // of the newest message that came directly from it
-	lastDirect  float64 // when that came
-	unanswered  bool    // the last probe directly to it was not answered
-	reprobes    int     // pings since, to find out whether it is reachable
-	nextReprobe float64 // the next of these, or the last ping of a suspicion
-	unreachable bool    // it is not heard directly, though it is said to live
+	lastCounter uint64  // Counter of the latest message received directly from it
+	lastDirect  float64 // when that message was received
+	unanswered  bool    // the last direct ping was not answered
+	reprobes    int     // pings since then, to check whether it is reachable
+	nextReprobe float64 // earliest time of the next of these pings, or of the next ping before a suspicion times out
+	unreachable bool    // not heard directly, although others report it as live
 
-	reachability   Reachability // the newest that came from it
+	reachability   Reachability // the latest one that it gossiped
 	suspicion      suspicion    // while State is Suspect
-	nextSync       float64      // no exchange of snapshots with it before
-	nextAccusation float64      // it is not notified before then that others take it for failed
+	nextSync       float64      // earliest time of the next snapshot exchange with it
+	nextAccusation float64      // earliest time at which it is next notified that others report it as failed
 }
 
-// maxNameWarnings bounds the names that two processes were seen to have.
+// maxNameWarnings bounds the number of names for which a conflict is logged.
 const maxNameWarnings = 256
 
-// applyRecord takes a record of a driver, from itself or from others.
+// applyRecord merges a record of a driver, received from itself or from others.
 func (f *Fleet) applyRecord(r Record) {
 	if !r.valid() {
 		return
@@ -43,7 +43,7 @@
 		return
 	}
 	switch {
-	case r.State == Failed && f.refutedHere(known, r):
+	case r.State == Failed && f.contradictedLocally(known, r):
 		f.notifyAccused(known, r)
 	case known.Run == r.Run && known.Incarnation == r.Incarnation && known.State == Suspect && r.State == Suspect:
 		if known.suspicion.confirm(r.ReportedBy) {
@@ -51,30 +51,30 @@
 		}
 	case r.supersedes(&known.Record):
 		f.setRecord(known, r)
-	case r.conflictsWith(&known.Record) && f.warnNow(r.Name) && len(f.warnedAt) < maxNameWarnings:
+	case r.conflictsWith(&known.Record) && f.mayWarn(r.Name) && len(f.warnedAt) < maxNameWarnings:
 		f.warnedAt[r.Name] = f.now
 		f.emit("name_twice", r.Name, "at "+known.Address+" and at "+r.Address)
 	}
 }
 
-// warnNow says that the last warning about a name is not recent. "" stands for a fleet that is full.
-func (f *Fleet) warnNow(name string) bool { return f.now-f.warnedAt[name] > 60*f.options.Period }
+// mayWarn reports whether the last warning about a name is long enough ago. "" stands for the fleet_full warning.
+func (f *Fleet) mayWarn(name string) bool { return f.now-f.warnedAt[name] > 60*f.options.Period }
 
-// addPeer takes the first record of a driver. One that has ended counts if it is on the roster: else nothing is
-// lost by not knowing it.
+// addPeer adds a peer by its first record. An ended driver is added only if it is on the roster; otherwise nothing
+// depends on it.
 func (f *Fleet) addPeer(r Record) {
 	if r.State.ended() && !f.onRoster(r.Name) {
 		return
 	}
 	if len(f.peers) >= f.options.MaxDrivers {
-		if f.warnNow("") {
+		if f.mayWarn("") {
 			f.warnedAt[""] = f.now
 			f.emit("fleet_full", r.Name, "")
 		}
 		return
 	}
-	none := Record{Name: r.Name, State: Left}
-	added := &peer{Record: none, aliveSince: f.now, stateSince: f.now, onRoster: f.onRoster(r.Name)}
+	placeholder := Record{Name: r.Name, State: Left}
+	added := &peer{Record: placeholder, aliveSince: f.now, stateSince: f.now, onRoster: f.onRoster(r.Name)}
 	i, _ := slices.BinarySearchFunc(f.peers, r.Name, func(p *peer, name string) int {
 		return strings.Compare(p.Name, name)
 	})
@@ -83,15 +83,15 @@
 	f.setRecord(added, r)
 }
 
-// refutedHere says of a record by which a peer has failed that it was heard here a moment ago: others' view
-// from the other side of a partition that healed.
-func (f *Fleet) refutedHere(known *peer, r Record) bool {
+// contradictedLocally reports whether a record marks a peer as failed that this driver heard a moment ago. Such records
+// come from the other side of a partition that has healed.
+func (f *Fleet) contradictedLocally(known *peer, r Record) bool {
 	return known.State == Alive && known.Run == r.Run && known.Incarnation <= r.Incarnation &&
 		f.now-known.lastDirect < recentlyHeard*f.options.Period
 }
 
-// notifyAccused tells a peer that it is said to have failed, so that it refutes that. If it has failed since,
-// this driver finds out, or hears of it once more.
+// notifyAccused sends a peer the record that marks it as failed, so that it can refute it. If the peer has failed in
+// the meantime, this driver detects that itself or receives the record again.
 func (f *Fleet) notifyAccused(accused *peer, r Record) {
 	if f.now >= accused.nextAccusation {
 		accused.nextAccusation = f.now + f.options.Period
@@ -99,7 +99,7 @@
 	}
 }
 
-// setRecord makes a record the one that holds, and passes it on.
+// setRecord replaces a peer's record and gossips the new one.
 func (f *Fleet) setRecord(target *peer, r Record) {
 	before, otherRun := target.State, r.Run != target.Run
 	if !before.ended() {
@@ -133,7 +133,7 @@
 	f.broadcastRecord(r)
 }
 
-// emitLiveness logs that a peer came, came back, left or failed.
+// emitLiveness logs that a peer joined, returned, left or failed.
 func (f *Fleet) emitLiveness(target *peer, otherRun bool) {
 	switch {
 	case !target.State.ended() && otherRun:
@@ -148,15 +148,15 @@
 	}
 }
 
-// applyOwnRecord takes what others say of this driver, or of another process with its name.
+// applyOwnRecord handles a record about this driver, or about another process with its name.
 func (f *Fleet) applyOwnRecord(r Record) {
 	switch {
-	case r.Run == f.self.Run && r.State == Left && !f.leaving: // operators took it for gone: it comes as a new one
+	case r.Run == f.self.Run && r.State == Left && !f.leaving: // an operator forgot this driver: rejoin as a new process
 		f.adoptRun(r.Run + 1)
 		f.emit("forgotten", f.self.Name, "")
 	case r.Run == f.self.Run:
 		f.refute(r)
-	case r.Address == f.self.Address || r.State.ended(): // an earlier run of its own, or one that has ended elsewhere
+	case r.Address == f.self.Address || r.State.ended(): // an earlier run of this driver, or an ended process elsewhere
 		if r.Run > f.self.Run {
 			f.adoptRun(r.Run + 1)
 		}
@@ -164,7 +164,7 @@
 			f.nameTakenAt, f.nameOwner, f.nextAssessment = 0, "", 0
 			f.broadcastRecord(f.self)
 		}
-	case r.Run < f.self.Run: // it was there first
+	case r.Run < f.self.Run: // the other process used the name first
 		if f.nameTakenAt == 0 && f.nameOwner != r.Address {
 			f.emit("name_taken", f.self.Name, "by the driver at "+r.Address)
 		}
@@ -172,7 +172,7 @@
 	}
 }
 
-// refute answers that this driver is suspected or has failed by a higher incarnation.
+// refute raises the incarnation to refute a record that marks this driver as suspect or failed.
 func (f *Fleet) refute(r Record) {
 	accused := r.State == Suspect || r.State == Failed
 	if !accused || r.Incarnation < f.self.Incarnation || f.leaving {
@@ -186,7 +186,7 @@
 	f.broadcastRecord(f.self)
 }
 
-// adoptRun takes a higher run: what is said of the earlier ones is not about this process.
+// adoptRun switches to a higher run, so that records of earlier runs do not apply to this process.
 func (f *Fleet) adoptRun(run uint64) {
 	f.viewHash ^= processHash(f.self.Name, f.self.Run) ^ processHash(f.self.Name, run)
 	f.self.Run, f.self.Incarnation = run, 0
@@ -194,7 +194,7 @@
 	f.broadcastRecord(f.self)
 }
 
-// reapEnded forgets those that have ended, are on no roster and were remembered for long enough.
+// reapEnded removes ended peers that are not on the roster and were retained for Options.RetainFor.
 func (f *Fleet) reapEnded() {
 	expired := func(p *peer) bool {
 		return p.State.ended() && f.now-p.stateSince > f.options.RetainFor && !p.onRoster
@@ -211,7 +211,7 @@
 	})
 }
 
-// aliveCount counts the drivers that live, this one included.
+// aliveCount returns the number of alive drivers, including this one.
 func (f *Fleet) aliveCount() int {
 	n := 1
 	for _, p := range f.peers {
@@ -222,7 +222,7 @@
 	return n
 }
 
-// randomPeer draws a peer that fits; nil: there is none.
+// randomPeer returns a random peer that fits, or nil if there is none.
 func (f *Fleet) randomPeer(fits func(*peer) bool) *peer {
 	if len(f.peers) == 0 {
 		return nil
@@ -244,7 +244,7 @@
 	return found
 }
 
-// randomPeers draws at most so many different peers that fit, and gives each to do.
+// randomPeers calls do with up to limit distinct random peers that fit.
 func (f *Fleet) randomPeers(limit int, fits func(*peer) bool, do func(*peer)) {
 	drawn := map[string]bool{}
 	for range limit {
@@ -257,5 +257,5 @@
 	}
 }
 
-// expected says that a peer does not count as ended.
-func expected(known *peer) bool { return !known.State.ended() }
+// notEnded reports whether a peer is alive or suspected.
+func notEnded(known *peer) bool { return !known.State.ended() }
--- a/internal/fleet/membership/persist.go
+++ b/internal/fleet/membership/persist.go
@@ -2,35 +2,35 @@
 
 import "weirwind/internal/fleet/paxos"
 
-// SavedState is what must outlive the process for its votes to count when it comes back.
+// SavedState is the state that must survive a restart for the driver to vote again immediately.
 type SavedState struct {
 	Name         string       `cbor:"1,keyasint"`
 	Run          uint64       `cbor:"2,keyasint"`
 	Roster       Roster       `cbor:"3,keyasint"`
-	Version      uint64       `cbor:"4,keyasint,omitempty"` // of the roster to come that the votes are about
+	Version      uint64       `cbor:"4,keyasint,omitempty"` // roster version that the votes are for
 	Promised     paxos.Ballot `cbor:"5,keyasint"`
 	Accepted     paxos.Ballot `cbor:"6,keyasint"`
-	Change       *Change      `cbor:"7,keyasint,omitempty"` // accepted
-	BallotNumber uint32       `cbor:"8,keyasint,omitempty"` // highest known
+	Change       *Change      `cbor:"7,keyasint,omitempty"` // the accepted value
+	BallotNumber uint32       `cbor:"8,keyasint,omitempty"` // highest ballot number seen
 }
 
-// saveState is of what is to be saved.
+// saveState tracks pending and failed saves.
 type saveState struct {
 	unsavedVotes bool    // the roster or a vote changed since the last Output.Save
-	nextSave     float64 // none before: the last one failed
-	saveFailed   bool    // and no later one has succeeded
+	nextSave     float64 // earliest time of the next save, after a failed one
+	saveFailed   bool    // the last save failed
 }
 
-// mayVote says that no earlier vote of this driver can have been forgotten.
+// mayVote reports whether this driver certainly remembers all its earlier votes.
 func (f *Fleet) mayVote() bool { return f.now >= f.mayVoteAt && !f.saveFailed }
 
-// restore takes up what an earlier run under the name saved, its roster and its votes, so that this one votes
-// at once.
+// restore restores the roster and votes that an earlier run of the same name saved, so that this run may vote
+// immediately.
 func (f *Fleet) restore(saved *SavedState) {
 	if saved == nil || saved.Name != f.self.Name || saved.Roster.Version == 0 {
 		return
 	}
-	if saved.Run >= f.self.Run && saved.Run < maxRun-1 { // the clock went back
+	if saved.Run >= f.self.Run && saved.Run < maxRun-1 { // the clock was set back
 		f.adoptRun(saved.Run + 1)
 	}
 	f.receiveRoster(saved.Roster)
@@ -40,7 +40,7 @@
 	f.mayVoteAt = 0
 }
 
-// save gives what is to be saved; nil: nothing new.
+// save returns the state to save, or nil if there is nothing to save now.
 func (f *Fleet) save() *SavedState {
 	if !f.options.Persistent || !f.unsavedVotes || f.roster == nil || f.now < f.nextSave {
 		return nil
@@ -58,8 +58,8 @@
 	}
 }
 
-// Saved tells what became of the last Output.Save. Where it could not be made durable, that Output's messages
-// must not be sent, and this driver gives no votes until a later one could be.
+// Saved reports the result of the last Output.Save. If it could not be made durable, the messages of that Output must
+// not be sent, and this driver does not vote until a later save succeeds.
 func (f *Fleet) Saved(ok bool) {
 	if !ok {
 		f.unsavedVotes, f.nextSave, f.round = true, f.now+settledPeriods*f.options.Period, nil
--- a/internal/fleet/membership/probe.go
+++ b/internal/fleet/membership/probe.go
@@ -1,26 +1,26 @@
 package membership
 
-// probe is the one that this driver has out.
+// probe is this driver's probe in flight.
 type probe struct {
 	target     string // name
 	id         uint64
 	sentAt     float64
-	indirectAt float64 // others are requested to ping from then on
-	deadline   float64 // the target is suspected then
-	indirect   bool    // others were requested
-	helpers    int     // how many
-	nacks      int     // of theirs
+	indirectAt float64 // when other peers are asked to ping the target
+	deadline   float64 // when the target is suspected
+	indirect   bool    // other peers were asked
+	helpers    int     // number of peers asked
+	nacks      int     // number of nacks received from them
 }
 
-// relay is a ping that this driver sent for a peer.
+// relay is a ping that this driver sent on behalf of a peer.
 type relay struct {
 	requester string // address
 	target    string // name
-	probeID   uint64 // of the requester's probe
+	probeID   uint64 // ID of the requester's probe
 	expiresAt float64
 }
 
-// tickProbe goes on with the probe that is out, or begins one where it is time.
+// tickProbe advances the probe in flight, or starts one if it is due.
 func (f *Fleet) tickProbe(now float64) {
 	f.advanceProbe()
 	if now >= f.nextProbe && f.probe == nil {
@@ -36,7 +36,7 @@
 	}
 }
 
-// startProbe pings a peer: one that others suspect, if it is to be rechecked, or the one whose turn it is.
+// startProbe pings a peer: a queued recheck of a suspect if there is one, otherwise the scheduled target.
 func (f *Fleet) startProbe() {
 	target := f.nextRecheck()
 	if target == nil {
@@ -46,13 +46,14 @@
 		return
 	}
 	f.probeSeq++
-	slow := 1 + float64(f.health)/2
+	healthFactor := 1 + float64(f.health)/2
 	f.probe = &probe{target: target.Name, id: f.probeSeq, sentAt: f.now,
-		indirectAt: f.now + directProbeShare*f.options.Period*slow, deadline: f.now + probeShare*f.options.Period*slow}
+		indirectAt: f.now + directProbeShare*f.options.Period*healthFactor,
+		deadline:   f.now + probeShare*f.options.Period*healthFactor}
 	f.send(target.Address, Message{Kind: Ping, ProbeID: f.probeSeq, Target: target.Name})
 }
 
-// nextRecheck takes the next peer to be rechecked that is still suspected; nil: there is none.
+// nextRecheck dequeues the next peer to recheck that is still suspected, or returns nil.
 func (f *Fleet) nextRecheck() *peer {
 	for len(f.recheck) > 0 {
 		suspect := f.peersByName[f.recheck[0]]
@@ -64,10 +65,10 @@
 	return nil
 }
 
-// scheduledTarget is whom this driver pings in a period; nil: there is nobody. Turns go by the clock that all
-// drivers share, about, so that in each period each driver is pinged by one other.
+// scheduledTarget returns the peer that this driver pings in a period, or nil if there is none. The period's number
+// comes from the roughly common clock of all drivers, so that each driver is pinged by one other in each period.
 func (f *Fleet) scheduledTarget(period uint64) *peer {
-	n, before := 0, 0 // of the peers; of those before this driver
+	n, before := 0, 0 // live peers; those that sort before this driver
 	for _, p := range f.peers {
 		if !p.State.ended() {
 			if n++; p.Name < f.self.Name {
@@ -78,7 +79,7 @@
 	if n == 0 {
 		return nil
 	}
-	skip := (before + int(period%uint64(n))) % n // the peers, without this driver, from the next one on
+	skip := (before + int(period%uint64(n))) % n // index in the list of live peers, rotated by period
 	for _, p := range f.peers {
 		if !p.State.ended() {
 			if skip == 0 {
@@ -90,7 +91,7 @@
 	return nil
 }
 
-// advanceProbe requests others to ping where no ack came, and suspects a target that did not answer them either.
+// advanceProbe asks other peers to ping if no ack arrived in time, and ends the probe at its deadline.
 func (f *Fleet) advanceProbe() {
 	if f.probe == nil {
 		return
@@ -108,7 +109,7 @@
 	}
 }
 
-// probeIndirectly requests some peers to ping the target.
+// probeIndirectly asks some peers to ping the target.
 func (f *Fleet) probeIndirectly(target *peer) {
 	p := f.probe
 	p.indirect = true
@@ -122,12 +123,12 @@
 	})
 }
 
-// failProbe ends a probe that nobody answered: the target is suspected unless it was heard otherwise. Nacks
-// that are missing tell of this driver's own health (Lifeguard, section 4).
+// failProbe ends a probe without an answer: the target is suspected, unless another message arrived from it since.
+// Missing nacks degrade this driver's own health score (Lifeguard, section 4).
 func (f *Fleet) failProbe(target *peer) {
 	p := f.probe
 	f.probe = nil
-	if target.lastDirect >= p.sentAt { // it lives, whatever became of the answer
+	if target.lastDirect >= p.sentAt { // it is alive although the ack was lost
 		return
 	}
 	f.missedProbes++
@@ -139,7 +140,7 @@
 	f.applyRecord(r)
 }
 
-// receivePingRequest pings another driver for a peer, and answers by a nack at once where that is not heard here.
+// receivePingRequest pings a driver on behalf of a peer, and sends a nack immediately if it was not heard recently.
 func (f *Fleet) receivePingRequest(msg *Message) {
 	if len(f.relays) >= maxRelays || msg.Target == f.self.Name || len(msg.TargetAddress) > maxNameBytes {
 		return
@@ -153,7 +154,7 @@
 	}
 }
 
-// receiveAck takes an answer to a ping, of this driver's own probe or one that it sent for a peer.
+// receiveAck handles an ack of this driver's own probe, or relays one of a ping on behalf of a peer.
 func (f *Fleet) receiveAck(msg *Message) {
 	if r := f.relays[msg.ProbeID]; r != nil && r.target == msg.Target {
 		delete(f.relays, msg.ProbeID)
@@ -168,14 +169,14 @@
 	}
 }
 
-// receiveNack counts that a helper lives and did not hear the target.
+// receiveNack counts a helper that is alive but has not heard the target.
 func (f *Fleet) receiveNack(msg *Message) {
 	if p := f.probe; p != nil && p.id == msg.ProbeID {
 		p.nacks++
 	}
 }
 
-// probeAnswered notes a sign of life that this driver asked for.
+// probeAnswered records that a probe was answered.
 func (f *Fleet) probeAnswered() {
 	if f.unconfirmed || f.missedProbes > 0 {
 		f.nextAssessment = 0
@@ -183,8 +184,8 @@
 	f.missedProbes, f.health, f.unconfirmed = 0, max(0, f.health-1), false
 }
 
-// probeFailedPeer pings one of those that have failed, now and then: they may be behind a partition that has
-// healed. All drivers together ping each about twice a period.
+// probeFailedPeer occasionally pings a random failed peer, which may be behind a partition that has healed. All drivers
+// together ping each failed peer about twice per period.
 func (f *Fleet) probeFailedPeer() {
 	failed, alive := 0, 1
 	for _, p := range f.peers {
@@ -203,8 +204,8 @@
 	}
 }
 
-// resumeAfterPause blames a gap between two ticks on this driver itself: no probe was waited for, nobody had a
-// chance to refute a suspicion, and what it takes for true may be old.
+// resumeAfterPause handles a gap between two ticks as a pause of this driver: the probe in flight is void, suspects had
+// no chance to refute, and this driver's view may be stale.
 func (f *Fleet) resumeAfterPause(now, gap float64) {
 	f.emit("stood_still", f.self.Name, "")
 	f.probe, f.missedProbes = nil, 0
@@ -218,8 +219,8 @@
 	}
 	f.relays = map[uint64]*relay{}
 	f.uncertainUntil, f.unconfirmed, f.nextAssessment = now+2*f.options.Period, true, 0
-	f.rosterState.abandon()
-	if p := f.randomPeer(expected); p != nil {
+	f.rosterState.abandonRounds()
+	if p := f.randomPeer(notEnded); p != nil {
 		f.pending.SyncWith = append(f.pending.SyncWith, p.Address)
 	}
 	f.nextProbe = now
--- a/internal/fleet/membership/property_test.go
+++ b/internal/fleet/membership/property_test.go
@@ -10,136 +10,137 @@
 	"weirwind/internal/lab/membershipsim"
 )
 
-// watch notes, while a flock runs, since when two parts that can't reach each other both take themselves for the
-// larger.
-type watch struct {
-	f     *membershipsim.Simulation
-	since float64
+// splitBrainWatch detects two partitions of a simulated fleet that both have the status Majority.
+type splitBrainWatch struct {
+	sim        *membershipsim.Simulation
+	splitSince float64
 }
 
-// look gives for how long two drivers that are cut from each other both ways, and from each other's peers, have both
-// been with the larger part.
-func (w *watch) look() float64 {
-	both := false
-	run := w.f.Running()
-	for i, a := range run {
-		for _, b := range run[i+1:] {
+// check returns for how long two drivers, with no path between them in either direction, have both had the status
+// Majority or Complete.
+func (w *splitBrainWatch) check() float64 {
+	split := false
+	running := w.sim.Running()
+	for i, a := range running {
+		for _, b := range running[i+1:] {
 			sa, _, _ := a.View.PartitionStatus()
 			sb, _, _ := b.View.PartitionStatus()
-			if sa >= membership.Majority && sb >= membership.Majority && w.apart(a, b) {
-				both = true
+			if sa >= membership.Majority && sb >= membership.Majority && w.separated(a, b) {
+				split = true
 			}
 		}
 	}
 	switch {
-	case !both:
-		w.since = 0
-	case w.since == 0:
-		w.since = w.f.Now
+	case !split:
+		w.splitSince = 0
+	case w.splitSince == 0:
+		w.splitSince = w.sim.Now
 	default:
-		return w.f.Now - w.since
+		return w.sim.Now - w.splitSince
 	}
 	return 0
 }
 
-// apart says that no word goes from either to the other, by whatever way.
-func (w *watch) apart(a, b *membershipsim.Driver) bool {
+// separated reports whether no message can get from either driver to the other, directly or by other drivers.
+func (w *splitBrainWatch) separated(a, b *membershipsim.Driver) bool {
 	return !w.reaches(a, b) && !w.reaches(b, a)
 }
 
-func (w *watch) reaches(a, b *membershipsim.Driver) bool {
+func (w *splitBrainWatch) reaches(a, b *membershipsim.Driver) bool {
 	index := map[*membershipsim.Driver]int{}
-	for i, d := range w.f.Drivers {
+	for i, d := range w.sim.Drivers {
 		index[d] = i
 	}
-	seen, todo := map[*membershipsim.Driver]bool{a: true}, []*membershipsim.Driver{a}
-	for len(todo) > 0 {
-		d := todo[0]
-		todo = todo[1:]
-		for _, o := range w.f.Running() {
-			if !seen[o] && (w.f.Blocked == nil || !w.f.Blocked(index[d], index[o])) {
+	seen, queue := map[*membershipsim.Driver]bool{a: true}, []*membershipsim.Driver{a}
+	for len(queue) > 0 {
+		d := queue[0]
+		queue = queue[1:]
+		for _, o := range w.sim.Running() {
+			if !seen[o] && (w.sim.Blocked == nil || !w.sim.Blocked(index[d], index[o])) {
 				if o == b {
 					return true
 				}
 				seen[o] = true
-				todo = append(todo, o)
+				queue = append(queue, o)
 			}
 		}
 	}
 	return false
 }
 
-// settleBy is how long two parts may both think to be the larger one: as long as it takes to find out, and no longer.
-const settleBy = 20000.0
+// maxSplitBrainMillis bounds how long two partitions may both have the status Majority: the time of failure detection.
+const maxSplitBrainMillis = 20000.0
 
-// play carries out one fault by a number.
-func play(f *membershipsim.Simulation, n, what, a, b int, frozen float64) {
-	switch what {
+// injectFault injects one fault, chosen by a number.
+func injectFault(sim *membershipsim.Simulation, n, kind, first, second int, pause float64) {
+	switch kind {
 	case 0:
-		f.Blocked = nil
-	case 1: // one direction of one pair
-		before := f.Blocked
-		f.Blocked = func(x, y int) bool { return x == a && y == b || before != nil && before(x, y) }
-	case 2: // a pair
-		before := f.Blocked
-		f.Blocked = func(x, y int) bool { return x == a && y == b || x == b && y == a || before != nil && before(x, y) }
-	case 3: // two parts
-		f.Blocked = func(x, y int) bool { return (x < a) != (y < a) }
+		sim.Blocked = nil
+	case 1: // cut one direction between a pair
+		before := sim.Blocked
+		sim.Blocked = func(x, y int) bool { return x == first && y == second || before != nil && before(x, y) }
+	case 2: // cut a pair
+		before := sim.Blocked
+		sim.Blocked = func(x, y int) bool {
+			return x == first && y == second || x == second && y == first || before != nil && before(x, y)
+		}
+	case 3: // two partitions
+		sim.Blocked = func(x, y int) bool { return (x < first) != (y < first) }
 	case 4:
-		f.Pause(a, frozen)
+		sim.Pause(first, pause)
 	case 5:
-		f.Kill(a)
+		sim.Kill(first)
 	case 6:
-		if f.Drivers[a].View == nil {
-			f.Start(a, 0)
+		if sim.Drivers[first].View == nil {
+			sim.Start(first, 0)
 		}
 	case 7:
-		f.Kill(a)
-		f.Start(a, 0)
+		sim.Kill(first)
+		sim.Start(first, 0)
 	case 8:
-		f.Loss = 0.3
+		sim.Loss = 0.3
 	case 9:
-		f.Loss = 0
+		sim.Loss = 0
 	case 10:
-		if f.Drivers[a].View != nil {
-			f.Apply(a, func(v *membership.Fleet) membership.Output { return v.Leave(f.Now) })
+		if sim.Drivers[first].View != nil {
+			sim.Apply(first, func(v *membership.Fleet) membership.Output { return v.Leave(sim.Now) })
 		}
 	}
 }
 
-// Whatever happens, views converge after the last fault, nobody that lives is failed for good, and no two parts both
-// act as the larger one for longer than it takes to find out.
+// TestAnyFaults checks under random faults that no two partitions both have a majority for longer than failure
+// detection takes, and that all views converge after the last fault, with no live driver marked as failed.
 func TestAnyFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 7).Draw(t, "drivers")
-		f := membershipsim.New(membershipsim.Options{Drivers: n, Seed: rapid.Uint64().Draw(t, "seed"), Duplicate: 0.1,
+		sim := membershipsim.New(membershipsim.Options{Drivers: n, Seed: rapid.Uint64().Draw(t, "seed"), Duplicate: 0.1,
 			Latency: rapid.SampledFrom([]float64{1, 20, 60}).Draw(t, "latency")})
 		for i := range n {
-			f.Start(i, 0)
+			sim.Start(i, 0)
 		}
-		f.Run(10000)
-		w := &watch{f: f}
+		sim.Run(10000)
+		watch := &splitBrainWatch{sim: sim}
 		for range rapid.IntRange(1, 12).Draw(t, "faults") {
 			a := rapid.IntRange(0, n-1).Draw(t, "a")
-			play(f, n, rapid.IntRange(0, 10).Draw(t, "what"), a, rapid.IntRange(0, n-1).Draw(t, "b"),
+			injectFault(sim, n, rapid.IntRange(0, 10).Draw(t, "what"), a, rapid.IntRange(0, n-1).Draw(t, "b"),
 				500*float64(rapid.IntRange(1, 20).Draw(t, "frozen")))
-			for end := f.Now + 500*float64(rapid.IntRange(0, 30).Draw(t, "steps")); f.Now < end; f.Run(250) {
-				if both := w.look(); both > settleBy {
-					t.Fatalf("two parts both the larger one for %.0f ms", both)
+			for end := sim.Now + 500*float64(rapid.IntRange(0, 30).Draw(t, "steps")); sim.Now < end; sim.Run(250) {
+				if duration := watch.check(); duration > maxSplitBrainMillis {
+					t.Fatalf("two partitions both had a majority for %.0f ms", duration)
 				}
 			}
 		}
-		f.Blocked, f.Loss = nil, 0
-		f.Run(12000)
-		for i, d := range f.Drivers { // who left starts anew, who was killed too
-			if s, why, _ := standing(d); d.View == nil || why == "leaving" {
-				_ = s
-				f.Kill(i)
-				f.Start(i, 0)
+		sim.Blocked, sim.Loss = nil, 0
+		sim.Run(12000)
+		for i, d := range sim.Drivers { // restart drivers that left or were killed
+			if status, reason, _ := partitionStatusOf(d); d.View == nil || reason == "leaving" {
+				_ = status
+				sim.Kill(i)
+				sim.Start(i, 0)
 			}
 		}
-		if _, ok := f.RunUntilTrue(180000, func() bool { return agreed(f, n) }); !ok {
-			for _, d := range f.Drivers {
+		if _, ok := sim.RunUntilTrue(180000, func() bool { return converged(sim, n) }); !ok {
+			for _, d := range sim.Drivers {
 				t.Logf("%+v", d.View.Status())
 			}
 			t.Fatal("views do not converge")
@@ -147,17 +148,17 @@
 	})
 }
 
-func standing(d *membershipsim.Driver) (membership.PartitionStatus, string, float64) {
+func partitionStatusOf(d *membershipsim.Driver) (membership.PartitionStatus, string, float64) {
 	if d.View == nil {
 		return membership.Undetermined, "", 0
 	}
 	return d.View.PartitionStatus()
 }
 
-// agreed says that all drivers run, see each other alive and hold one roster of all.
-func agreed(f *membershipsim.Simulation, n int) bool {
+// converged reports whether all drivers run, see each other alive and have the same roster with all of them.
+func converged(sim *membershipsim.Simulation, n int) bool {
 	var version uint64
-	for i, d := range f.Drivers {
+	for i, d := range sim.Drivers {
 		if d.View == nil {
 			return false
 		}
@@ -173,10 +174,10 @@
 	return true
 }
 
-// Three drivers, and every order of three faults between them: each pair cut one way or both, each driver frozen,
-// killed or restarted, word lost, healed.
+// TestEveryOrderOfFaults runs every sequence of three faults (two with -short) on three drivers: each pair cut in one
+// or both directions, each driver paused, killed or restarted, message loss, and healing.
 func TestEveryOrderOfFaults(t *testing.T) {
-	type fault struct{ what, a, b int }
+	type fault struct{ kind, a, b int }
 	var faults []fault
 	for a := range 3 {
 		faults = append(faults, fault{4, a, 0}, fault{5, a, 0}, fault{7, a, 0})
@@ -195,7 +196,7 @@
 		depth = 3
 	}
 	var run func(order []fault)
-	played := 0
+	orders := 0
 	run = func(order []fault) {
 		if len(order) < depth {
 			for _, x := range faults {
@@ -203,51 +204,51 @@
 			}
 			return
 		}
-		played++
-		f := membershipsim.New(membershipsim.Options{Drivers: 3, Seed: uint64(played)})
+		orders++
+		sim := membershipsim.New(membershipsim.Options{Drivers: 3, Seed: uint64(orders)})
 		for i := range 3 {
-			f.Start(i, 0)
+			sim.Start(i, 0)
 		}
-		f.Run(6000)
-		w := &watch{f: f}
+		sim.Run(6000)
+		watch := &splitBrainWatch{sim: sim}
 		for _, x := range order {
-			play(f, 3, x.what, x.a, x.b, 4000)
+			injectFault(sim, 3, x.kind, x.a, x.b, 4000)
 			for range 10 {
-				f.Run(300)
-				if both := w.look(); both > settleBy {
-					t.Fatalf("%v: two parts both the larger one for %.0f ms", order, both)
+				sim.Run(300)
+				if duration := watch.check(); duration > maxSplitBrainMillis {
+					t.Fatalf("%v: two partitions both had a majority for %.0f ms", order, duration)
 				}
 			}
 		}
-		f.Blocked, f.Loss = nil, 0
-		for i, d := range f.Drivers {
+		sim.Blocked, sim.Loss = nil, 0
+		for i, d := range sim.Drivers {
 			if d.View == nil {
-				f.Start(i, 0)
+				sim.Start(i, 0)
 			}
 		}
-		if _, ok := f.RunUntilTrue(120000, func() bool { return agreed(f, 3) }); !ok {
-			for _, d := range f.Drivers {
+		if _, ok := sim.RunUntilTrue(120000, func() bool { return converged(sim, 3) }); !ok {
+			for _, d := range sim.Drivers {
 				t.Logf("%+v", d.View.Status())
 			}
 			t.Fatalf("%v: views do not converge", order)
 		}
 	}
 	run(nil)
-	t.Logf("%d orders", played)
+	t.Logf("%d orders", orders)
 }
 
-// Votes: whatever is lost, doubled or late, one version has one roster.
-func TestOneRosterAVersion(t *testing.T) {
+// TestOneRosterPerVersion checks that all rosters of one version are equal, with messages lost, duplicated and delayed.
+func TestOneRosterPerVersion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(3, 6).Draw(t, "drivers")
-		f := membershipsim.New(membershipsim.Options{Drivers: n, Seed: rapid.Uint64().Draw(t, "seed"), Duplicate: 0.3,
+		sim := membershipsim.New(membershipsim.Options{Drivers: n, Seed: rapid.Uint64().Draw(t, "seed"), Duplicate: 0.3,
 			Latency: rapid.SampledFrom([]float64{1, 100, 400}).Draw(t, "latency")})
 		rosters := map[uint64]string{}
-		f.OnEvent = func(at float64, d string, note membership.Event) {
-			if note.Reason != "roster" {
+		sim.OnEvent = func(at float64, d string, event membership.Event) {
+			if event.Reason != "roster" {
 				return
 			}
-			for _, o := range f.Drivers {
+			for _, o := range sim.Drivers {
 				if o.Name == d && o.View != nil {
 					r := o.View.Status().Roster
 					names := fmt.Sprint(r.Lineage, r.Names)
@@ -259,32 +260,32 @@
 			}
 		}
 		for i := range n {
-			f.Start(i, 0)
+			sim.Start(i, 0)
 		}
-		f.Run(20000)
+		sim.Run(20000)
 		for range rapid.IntRange(1, 6).Draw(t, "changes") {
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
-			case 0: // two come at once
-				f.Add()
-				f.Add()
-				f.Start(len(f.Drivers)-1, 0)
-				f.Start(len(f.Drivers)-2, 0)
-			case 1: // one leaves
-				if d := f.Drivers[rapid.IntRange(0, len(f.Drivers)-1).Draw(t, "who")]; d.View != nil {
-					i := f.Index(d)
-					f.Apply(i, func(v *membership.Fleet) membership.Output { return v.Leave(f.Now) })
-					f.Run(400)
-					f.Kill(i)
+			case 0: // two drivers join at once
+				sim.Add()
+				sim.Add()
+				sim.Start(len(sim.Drivers)-1, 0)
+				sim.Start(len(sim.Drivers)-2, 0)
+			case 1: // a driver leaves
+				if d := sim.Drivers[rapid.IntRange(0, len(sim.Drivers)-1).Draw(t, "who")]; d.View != nil {
+					i := sim.Index(d)
+					sim.Apply(i, func(v *membership.Fleet) membership.Output { return v.Leave(sim.Now) })
+					sim.Run(400)
+					sim.Kill(i)
 				}
 			case 2:
 				at := rapid.IntRange(1, n-1).Draw(t, "cut")
-				f.Blocked = func(x, y int) bool { return (x%n < at) != (y%n < at) }
+				sim.Blocked = func(x, y int) bool { return (x%n < at) != (y%n < at) }
 			case 3:
-				f.Loss = 0.3
+				sim.Loss = 0.3
 			}
-			f.Run(500 * float64(rapid.IntRange(0, 40).Draw(t, "wait")))
+			sim.Run(500 * float64(rapid.IntRange(0, 40).Draw(t, "wait")))
 			if rapid.Bool().Draw(t, "heal") {
-				f.Blocked, f.Loss = nil, 0
+				sim.Blocked, sim.Loss = nil, 0
 			}
 		}
 	})
--- a/internal/fleet/membership/reachability.go
+++ b/internal/fleet/membership/reachability.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// checkReachability pings again who did not answer directly, and notes who is not reachable. One lost datagram
-// says nothing, and that somebody is unreachable is gossiped to all.
+// checkReachability pings peers that did not answer directly again, and marks them as unreachable if they still do not.
+// It retries because unreachability is gossiped to all drivers, and a single lost datagram is no evidence.
 func (f *Fleet) checkReachability() {
 	for _, p := range f.peers {
 		switch {
@@ -17,13 +17,13 @@
 	}
 }
 
-// unreachableAfter is for how many milliseconds a peer may not be heard directly before it is unreachable.
+// unreachableAfter returns how long, in milliseconds, a peer may go unheard directly before it is unreachable.
 func (f *Fleet) unreachableAfter() float64 {
 	periods := min(max(minUnreachableAfter, float64(2*len(f.peers))), maxUnreachableAfter)
 	return f.options.Period * (1 + float64(f.health)/2) * periods
 }
 
-// setReachable notes whether a peer is heard directly.
+// setReachable records whether a peer is heard directly.
 func (f *Fleet) setReachable(target *peer, reachable bool) {
 	if reachable {
 		target.unanswered = false
@@ -41,7 +41,7 @@
 	}
 }
 
-// broadcastReachability gossips which peers this driver doesn't hear.
+// broadcastReachability gossips the peers that this driver does not hear.
 func (f *Fleet) broadcastReachability() {
 	own := Reachability{Name: f.self.Name, Run: f.self.Run, Sequence: f.reachability.Sequence + 1}
 	for _, p := range f.peers {
@@ -53,16 +53,16 @@
 	f.queueReachability(own)
 }
 
-// queueReachability gossips which peers a driver doesn't hear, in place of what was gossiped of that before.
+// queueReachability queues a driver's reachability and drops queued earlier ones of it.
 func (f *Fleet) queueReachability(reported Reachability) {
 	added := &broadcast{reachability: &reported}
-	for _, old := range slices.Clone(f.broadcastsAbout[added.about()]) {
+	for _, old := range slices.Clone(f.broadcastsBySubject[added.subject()]) {
 		f.dropBroadcast(old)
 	}
 	f.addBroadcast(added)
 }
 
-// receiveReachability takes which peers another doesn't hear.
+// receiveReachability stores a peer's reachability, and gossips it if it is newer.
 func (f *Fleet) receiveReachability(reported Reachability) {
 	from := f.peersByName[reported.Name]
 	if from == nil || from.Run != reported.Run || len(reported.Unreachable) > maxUnreachable {
--- a/internal/fleet/membership/receive.go
+++ b/internal/fleet/membership/receive.go
@@ -1,16 +1,16 @@
 package membership
 
-// Receive takes a message. What a stranger under a peer's name or address says of itself counts for nothing.
+// Receive handles a message. A process with a peer's name but another run cannot act as that peer.
 func (f *Fleet) Receive(now float64, msg Message) Output {
 	f.advance(now)
 	if !f.acceptable(&msg) {
 		return f.takeOutput()
 	}
-	from, known := f.receiveGossip(&msg)
+	from, sameRun := f.receiveGossip(&msg)
 	if f.leaving {
 		return f.takeOutput()
 	}
-	f.respond(from, known, &msg)
+	f.respond(from, sameRun, &msg)
 	if msg.Vote != nil {
 		f.receiveVote(msg.From.Name, msg.From.Address, *msg.Vote)
 	}
@@ -22,30 +22,30 @@
 	return f.takeOutput()
 }
 
-// acceptable says that a message can be true, and is not this process's own.
+// acceptable reports whether a message is valid and was not sent by this process.
 func (f *Fleet) acceptable(msg *Message) bool {
 	bounded := len(msg.Records) <= maxRecords && len(msg.Reachability) <= maxRecords
 	return msg.From.valid() && bounded && !f.isSelf(&msg.From)
 }
 
-// isSelf says that a record is of this process.
+// isSelf reports whether a record describes this process.
 func (f *Fleet) isSelf(r *Record) bool { return r.Name == f.self.Name && r.Run == f.self.Run }
 
-// receiveGossip takes what a message says of drivers, and gives what is known of its sender (nil: it is no
-// peer), and whether the sender is that process.
-func (f *Fleet) receiveGossip(msg *Message) (from *peer, known bool) {
+// receiveGossip applies the sender's record and the gossip of a message. It returns the sender's peer, nil if it is not
+// known, and whether the known process is the one that sent the message.
+func (f *Fleet) receiveGossip(msg *Message) (from *peer, sameRun bool) {
 	f.applyRecord(msg.From)
 	from = f.peersByName[msg.From.Name]
-	known = from != nil && from.Run == msg.From.Run
-	if known && msg.Counter > from.lastCounter {
+	sameRun = from != nil && from.Run == msg.From.Run
+	if sameRun && msg.Counter > from.lastCounter {
 		from.lastCounter, from.lastDirect = msg.Counter, f.now
 		f.setReachable(from, true)
 	}
 	f.applyAll(msg.Records, msg.Reachability)
-	return from, known
+	return from, sameRun
 }
 
-// applyAll takes records of drivers and whom they don't hear.
+// applyAll applies records and reachabilities.
 func (f *Fleet) applyAll(records []Record, reachability []Reachability) {
 	for _, r := range records {
 		f.applyRecord(r)
@@ -55,9 +55,9 @@
 	}
 }
 
-// respond answers by the message's kind. A sender whose record here is of another process, or isn't alive, gets that
-// record, with the answer or in a message of its own, so that it can refute it.
-func (f *Fleet) respond(from *peer, known bool, msg *Message) {
+// respond answers a message by its kind. If this driver's record of the sender is not alive or has another run, the
+// record is sent back, with the answer or in a separate message, so that the sender can refute it.
+func (f *Fleet) respond(from *peer, sameRun bool, msg *Message) {
 	var correction []Record
 	if from != nil && (from.State != Alive || from.Run != msg.From.Run) {
 		correction = []Record{from.Record}
@@ -69,7 +69,7 @@
 			correction = nil
 		}
 	case PingRequest:
-		if known {
+		if sameRun {
 			f.receivePingRequest(msg)
 		}
 	case Ack:
@@ -78,12 +78,12 @@
 		f.receiveNack(msg)
 	case Gossip:
 	}
-	if correction != nil && msg.Kind != Ack { // an answer to an answer could go on for ever
+	if correction != nil && msg.Kind != Ack { // answering an ack could continue forever
 		f.send(msg.From.Address, Message{Kind: Gossip, Target: msg.From.Name, Records: correction})
 	}
 }
 
-// Snapshot is all that this driver knows.
+// Snapshot returns this driver's full state.
 func (f *Fleet) Snapshot() Snapshot {
 	s := Snapshot{From: f.self, Roster: f.roster}
 	for _, p := range f.peers {
@@ -98,7 +98,7 @@
 	return s
 }
 
-// Merge takes all that a peer knows: who lives and who does not, then the roster.
+// Merge merges a peer's full state: its records first, then its roster.
 func (f *Fleet) Merge(now float64, snapshot Snapshot) Output {
 	f.advance(now)
 	if snapshot.From.valid() && !f.isSelf(&snapshot.From) {
--- a/internal/fleet/membership/roster.go
+++ b/internal/fleet/membership/roster.go
@@ -8,13 +8,13 @@
 	"weirwind/internal/fleet/paxos"
 )
 
-// Roster is the names that majorities are counted in. Names are sorted.
+// Roster is the set of names in which majorities are counted. Names are sorted.
 type Roster struct {
 	Version uint64   `cbor:"1,keyasint" json:"version"`
-	Lineage uint64   `cbor:"2,keyasint" json:"lineage"` // the run of the driver that founded it
+	Lineage uint64   `cbor:"2,keyasint" json:"lineage"` // the run of the driver that bootstrapped it
 	Names   []string `cbor:"3,keyasint" json:"names"`
 
-	hash uint64 // of the names
+	hash uint64 // namesHash of Names
 }
 
 func newRoster(version, lineage uint64, names []string) Roster {
@@ -26,10 +26,10 @@
 	return found
 }
 
-// Change makes a roster out of the one before it. The first one has no base, and adds nobody: its names are
-// those whose hash it bears.
+// Change turns a roster into its successor. The first change has no base and no names to add: its Hash identifies the
+// names of the first roster.
 type Change struct {
-	Version  uint64   `cbor:"1,keyasint"` // of the roster that it makes
+	Version  uint64   `cbor:"1,keyasint"` // of the resulting roster
 	Lineage  uint64   `cbor:"2,keyasint"`
 	BaseHash uint64   `cbor:"3,keyasint,omitempty"` // of the names before
 	Hash     uint64   `cbor:"4,keyasint"`           // of the names after
@@ -37,9 +37,9 @@
 	Remove   []string `cbor:"6,keyasint,omitempty"`
 }
 
-func (c *Change) names() int { return len(c.Add) + len(c.Remove) }
+func (c *Change) nameCount() int { return len(c.Add) + len(c.Remove) }
 
-// size is about how many bytes it takes in a message.
+// size returns the approximate number of bytes that c takes in a message.
 func (c *Change) size() int {
 	n := 48
 	for _, name := range c.Add {
@@ -52,36 +52,36 @@
 }
 
 const (
-	maxChange         = 16      // names in one change
-	forcedVersionStep = 1 << 32 // by which a forced roster's version is above all that can have been agreed on
+	maxChangeNames    = 16      // maximum names in one change
+	forcedVersionStep = 1 << 32 // puts the version of a forced roster above all that can have been agreed on
 )
 
-// Of agreements on a roster, in periods.
+// Timing of roster changes, in periods.
 const (
-	bootstrapPeriods = 4.0  // the fleet that founds a roster has been the same for so long
-	settledPeriods   = 3.0  // a driver that came or left is known for so long before a change is proposed
-	roundPeriods     = 4.0  // one ballot
-	rankPeriods      = 8.0  // before the next driver in order proposes as well
-	maxRank          = 8    // that is counted so
-	forgetPeriods    = 20.0 // a driver that may have forgotten a vote gives none; longer than any ballot takes
+	bootstrapPeriods = 4.0  // the set of drivers must be stable this long before a bootstrap
+	settledPeriods   = 3.0  // a driver's state must be stable this long before a change for it is proposed
+	roundPeriods     = 4.0  // timeout of one ballot
+	rankPeriods      = 8.0  // extra delay per rank before a driver proposes
+	maxRank          = 8    // rank at which that delay stops growing
+	forgetPeriods    = 20.0 // a driver that may have lost votes abstains this long; longer than any ballot
 )
 
-// rosterState is a driver's part in agreements on the roster.
+// rosterState is a driver's state in agreeing on the roster.
 type rosterState struct {
 	roster            *Roster // nil: none is known
-	rosterBehindSince float64 // a peer has a newer one; 0: none is known to have
+	rosterBehindSince float64 // since when a peer has a newer roster; 0: none is known to
 
-	mayVoteAt    float64                // no votes before: an earlier process may have given some
-	voteVersion  uint64                 // that acceptor is about
-	acceptor     paxos.Acceptor[Change] // this driver's votes on that version
-	acceptedAt   float64                // when the acceptor's value was accepted
-	ballotNumber uint32                 // highest known
-	round        *round                 // nil: this driver leads none
+	mayVoteAt    float64                // no votes before this time: an earlier process may have voted
+	voteVersion  uint64                 // roster version that acceptor votes on
+	acceptor     paxos.Acceptor[Change] // this driver's votes on voteVersion
+	acceptedAt   float64                // when acceptor last accepted
+	ballotNumber uint32                 // highest ballot number seen
+	round        *round                 // the ballot that this driver leads; nil: none
 
-	changeWantedSince float64 // 0: the roster is as it should be
-	nextProposal      float64 // none before
+	changeWantedSince float64 // since when a change is needed; 0: none is
+	nextProposal      float64 // earliest time of the next proposal
 
-	// decidedChange made the roster; it is passed on decidedTransmissions times more.
+	// decidedChange led to the current roster; it is sent decidedTransmissions more times.
 	decidedChange        *Change
 	decidedTransmissions int
 
@@ -89,14 +89,14 @@
 	bootstrapState
 }
 
-// abandon forgets what this driver leads, as it may be over.
-func (s *rosterState) abandon() {
+// abandonRounds drops the ballot and the bootstrap that this driver leads or confirmed, as they may have ended.
+func (s *rosterState) abandonRounds() {
 	s.round, s.bootstrapConfirmedBy, s.bootstrapConfirmedUntil = nil, nil, 0
 }
 
 func (f *Fleet) onRoster(name string) bool { return f.roster != nil && f.roster.has(name) }
 
-// aliveNames are those of all drivers that are alive, or also of those that are suspected, sorted.
+// aliveNames returns the sorted names of all alive drivers, and of suspects if asked to.
 func (f *Fleet) aliveNames(suspects bool) []string {
 	names := append(make([]string, 0, len(f.peers)+1), f.self.Name)
 	for _, p := range f.peers {
@@ -108,7 +108,7 @@
 	return names
 }
 
-// tickRoster founds a roster, or proposes a change of the one that holds.
+// tickRoster bootstraps a roster, or proposes a change of the current one.
 func (f *Fleet) tickRoster() {
 	if f.nameTakenAt > 0 || f.now < f.uncertainUntil {
 		return
@@ -137,8 +137,8 @@
 	}
 }
 
-// mayPropose says that it is this driver's turn to propose: the drivers of the roster do it in the order of
-// their names.
+// mayPropose reports whether this driver may propose now. The drivers of the roster propose in the order of their
+// names, each with a longer delay.
 func (f *Fleet) mayPropose() bool {
 	rank := 0
 	for _, p := range f.peers {
@@ -154,8 +154,8 @@
 	return allowed
 }
 
-// wantedChange is the change of the roster to what this driver sees: who came is to be on it, who left is not.
-// One that has failed stays. A change that was accepted and may have been decided goes first.
+// wantedChange returns the change that adds drivers that joined and removes those that left, or nil. Failed drivers
+// stay on the roster. A change that was accepted, and so may have been decided, takes precedence.
 func (f *Fleet) wantedChange() *Change {
 	pending := f.acceptor.Value != nil && f.voteVersion == f.roster.Version+1
 	if pending && f.now-f.acceptedAt > roundPeriods*f.options.Period {
@@ -166,7 +166,7 @@
 		c.Add = append(c.Add, f.self.Name)
 	}
 	for _, p := range f.peers {
-		if c.names() >= maxChange {
+		if c.nameCount() >= maxChangeNames {
 			break
 		}
 		if f.now-p.stateSince <= settledPeriods*f.options.Period {
@@ -179,21 +179,21 @@
 			c.Add = append(c.Add, p.Name)
 		}
 	}
-	if c.names() == 0 {
+	if c.nameCount() == 0 {
 		return nil
 	}
 	c.Hash ^= namesHash(c.Add) ^ namesHash(c.Remove)
 	return c
 }
 
-// rosterAfter is the roster that a change makes of the one that holds.
+// rosterAfter returns the roster that results from applying a change to the current one.
 func (f *Fleet) rosterAfter(change *Change) Roster {
 	names := slices.DeleteFunc(f.voters(change), func(name string) bool { return slices.Contains(change.Remove, name) })
 	slices.Sort(names)
 	return newRoster(change.Version, change.Lineage, names)
 }
 
-// adoptChange makes the roster of a change that was decided, if it comes out as meant, and passes the change on.
+// adoptChange applies a decided change if the result has the expected hash, and sends the change to peers.
 func (f *Fleet) adoptChange(change Change, transmissions int) {
 	if next := f.rosterAfter(&change); next.hash == change.Hash {
 		f.adoptRoster(next)
@@ -201,7 +201,7 @@
 	}
 }
 
-// adoptRoster makes a roster the one that holds.
+// adoptRoster makes a roster the current one.
 func (f *Fleet) adoptRoster(r Roster) {
 	f.roster, f.round, f.rosterBehindSince, f.unsavedVotes = &r, nil, 0, true
 	for _, p := range f.peers {
@@ -214,20 +214,20 @@
 	f.emit("roster", f.self.Name, fmt.Sprintf("version %d, %d drivers", r.Version, len(r.Names)))
 }
 
-// receiveDecided takes a change that others decided, if it is one of the roster that holds here.
+// receiveDecided applies a change that others decided, if it is based on the current roster.
 func (f *Fleet) receiveDecided(change Change) {
 	if f.roster == nil {
 		f.receiveBootstrapped(change)
 		return
 	}
 	follows := change.Version == f.roster.Version+1 && change.Lineage == f.roster.Lineage
-	if follows && change.BaseHash == f.roster.hash && change.names() <= maxChange {
+	if follows && change.BaseHash == f.roster.hash && change.nameCount() <= maxChangeNames {
 		f.adoptChange(change, f.retransmitLimit())
 	}
 }
 
-// receiveRoster takes a peer's roster where it is newer. Of two that were founded apart the one with more names
-// holds.
+// receiveRoster adopts a peer's roster if it is newer. Of two rosters that were bootstrapped separately, the one with
+// more names wins.
 func (f *Fleet) receiveRoster(r Roster) {
 	if !f.validRoster(&r) {
 		return
@@ -235,7 +235,7 @@
 	r = newRoster(r.Version, r.Lineage, slices.Compact(slices.Clone(r.Names)))
 	switch current := f.roster; {
 	case current == nil:
-		if r.has(f.self.Name) { // an earlier run may have voted
+		if r.has(f.self.Name) { // an earlier run of this driver may have voted
 			f.mayVoteAt = f.now + forgetPeriods*f.options.Period
 		}
 	case current.Lineage == r.Lineage:
@@ -251,7 +251,7 @@
 	f.adoptRoster(r)
 }
 
-// validRoster says whether a peer's roster can be true at all.
+// validRoster reports whether a peer's roster is well-formed and within bounds.
 func (f *Fleet) validRoster(r *Roster) bool {
 	if r.Version == 0 || len(r.Names) == 0 || len(r.Names) > f.options.MaxDrivers || !slices.IsSorted(r.Names) {
 		return false
--- a/internal/fleet/membership/status.go
+++ b/internal/fleet/membership/status.go
@@ -1,36 +1,36 @@
 package membership
 
-// View is what operators are shown of a peer.
+// View is a peer's status as shown to operators.
 type View struct {
 	Name          string   `json:"name"`
 	State         State    `json:"state"`
-	Reachable     bool     `json:"heard"`  // directly, by this driver itself
-	OnRoster      bool     `json:"listed"` // on the one that this driver has
+	Reachable     bool     `json:"heard"`  // heard directly by this driver
+	OnRoster      bool     `json:"listed"` // on this driver's roster
 	Address       string   `json:"address"`
 	Zone          string   `json:"zone,omitempty"`
 	Run           uint64   `json:"run"`
 	Incarnation   uint32   `json:"inc"`
-	StateDuration float64  `json:"for_ms"`                  // in this state, in milliseconds
-	Unreachable   []string `json:"does_not_hear,omitempty"` // by this peer
+	StateDuration float64  `json:"for_ms"`                  // time in this state, in milliseconds
+	Unreachable   []string `json:"does_not_hear,omitempty"` // names of drivers that this peer does not hear
 }
 
-// Status is a driver's view as operators are shown it.
+// Status is a driver's view as shown to operators.
 type Status struct {
 	Self              string          `json:"self"`
 	Partition         PartitionStatus `json:"standing"`
 	Reason            string          `json:"reason,omitempty"`
-	PartitionDuration float64         `json:"for_ms"` // with this status, in milliseconds
+	PartitionDuration float64         `json:"for_ms"` // time with this status, in milliseconds
 	DriverCount       int             `json:"count"`  // Fleet.DriverCount
 	Address           string          `json:"address"`
 	Run               uint64          `json:"run"`
-	Health            int             `json:"health"` // Lifeguard's score; 0: good
+	Health            int             `json:"health"` // Lifeguard's health score; 0: good
 	Roster            *Roster         `json:"roster"`
-	RejectedFrames    int64           `json:"frames_refused"` // from another secret's drivers, or damaged; the mesh fills it in
-	BytesSent         int64           `json:"bytes_sent"`     // by UDP; the mesh fills it in
+	RejectedFrames    int64           `json:"frames_refused"` // damaged, or sealed with another secret; set by the mesh
+	BytesSent         int64           `json:"bytes_sent"`     // sent over UDP; set by the mesh
 	Drivers           []View          `json:"drivers"`
 }
 
-// Status gives the view as it is now.
+// Status returns the current view.
 func (f *Fleet) Status() Status {
 	s := Status{
 		Self:              f.self.Name,
@@ -61,7 +61,7 @@
 	return s
 }
 
-// StateOf is what a peer is taken for; Left where it is not known.
+// StateOf returns a peer's state, or Left if it is not known.
 func (f *Fleet) StateOf(name string) State {
 	if p := f.peersByName[name]; p != nil {
 		return p.Record.State
@@ -69,7 +69,7 @@
 	return Left
 }
 
-// AddressOf is where a peer is reached that does not count as ended; "": none is.
+// AddressOf returns the address of an alive or suspected peer, or "".
 func (f *Fleet) AddressOf(name string) string {
 	if p := f.peersByName[name]; p != nil && !p.State.ended() {
 		return p.Record.Address
@@ -77,7 +77,7 @@
 	return ""
 }
 
-// LiveAddresses are the addresses of peers that do not count as ended, in the order of their names.
+// LiveAddresses returns the addresses of alive and suspected peers, in the order of their names.
 func (f *Fleet) LiveAddresses() (addresses []string) {
 	for _, p := range f.peers {
 		if !p.State.ended() {
--- a/internal/fleet/membership/suspicion.go
+++ b/internal/fleet/membership/suspicion.go
@@ -5,14 +5,14 @@
 	"slices"
 )
 
-// suspicion is a peer's, while it has the state Suspect.
+// suspicion is the state of a suspected peer.
 type suspicion struct {
 	beganAt  float64
-	scale    float64         // of its duration: 1 at good health of this driver, more otherwise
-	accusers map[string]bool // names of those that reported it, at least one
+	scale    float64         // factor of the timeout: 1 at good health of this driver, otherwise more
+	accusers map[string]bool // names of the drivers that reported it, at least one
 }
 
-// confirm counts another accuser; false: it is counted, or enough are.
+// confirm adds an accuser, and returns false if it is known or enough are.
 func (s *suspicion) confirm(accuser string) bool {
 	if s.accusers[accuser] || len(s.accusers) > maxConfirmations {
 		return false
@@ -21,8 +21,8 @@
 	return true
 }
 
-// beginSuspicion begins a peer's suspicion, or begins it anew for a higher incarnation. Some of the drivers
-// that hear of it probe the peer themselves.
+// beginSuspicion starts a peer's suspicion, or restarts it for a higher incarnation. Some of the drivers that learn of
+// the suspicion recheck the peer themselves.
 func (f *Fleet) beginSuspicion(suspect *peer, before State) {
 	if before != Suspect {
 		f.suspects = append(f.suspects, suspect)
@@ -37,7 +37,7 @@
 	}
 }
 
-// advanceSuspicions takes suspects for failed whose time is over, and pings others a last time.
+// advanceSuspicions marks suspects as failed after their timeout, and pings them again shortly before.
 func (f *Fleet) advanceSuspicions() {
 	for _, suspect := range slices.Clone(f.suspects) {
 		if suspect.State != Suspect {
@@ -50,9 +50,9 @@
 			f.applyRecord(r)
 			continue
 		}
-		few := len(suspect.suspicion.accusers) <= maxConfirmations
-		late := f.now >= deadline-lastProbeBefore*f.options.Period
-		if few && late && f.now >= suspect.nextReprobe { // its refutation may be lost
+		fewAccusers := len(suspect.suspicion.accusers) <= maxConfirmations
+		nearDeadline := f.now >= deadline-lastProbeBefore*f.options.Period
+		if fewAccusers && nearDeadline && f.now >= suspect.nextReprobe { // its refutation may have been lost
 			suspect.nextReprobe = f.now + f.options.Period/2
 			f.send(suspect.Address, Message{Kind: Ping, Target: suspect.Name, Records: []Record{suspect.Record}})
 		}
@@ -60,11 +60,11 @@
 	f.suspects = slices.DeleteFunc(f.suspects, func(p *peer) bool { return p.State != Suspect })
 }
 
-// suspicionDeadline is when a suspicion becomes certain: the more confirm it the sooner, the worse this
-// driver's health was the later (Lifeguard, section 4).
+// suspicionDeadline returns when a suspect is marked as failed: sooner with more confirmations, and later the worse
+// this driver's health was (Lifeguard, section 4).
 func (f *Fleet) suspicionDeadline(suspect *peer) float64 {
 	shortest, longest := minSuspicion*f.options.Period, maxSuspicion*f.options.Period
-	confirmers := 0 // that there can be
+	confirmers := 0 // possible confirmers, up to maxConfirmations
 	for _, p := range f.peers {
 		if p.State == Alive && p != suspect {
 			if confirmers++; confirmers == maxConfirmations {
@@ -74,8 +74,8 @@
 	}
 	s, length := &suspect.suspicion, shortest
 	if confirmers > 0 {
-		spread, confirmed := longest-shortest, math.Log(float64(len(s.accusers)))
-		length = max(shortest, longest-spread*confirmed/math.Log(float64(confirmers+1)))
+		span, confirmed := longest-shortest, math.Log(float64(len(s.accusers)))
+		length = max(shortest, longest-span*confirmed/math.Log(float64(confirmers+1)))
 	}
 	return s.beganAt + length*s.scale
 }
--- a/internal/fleet/membership/vote.go
+++ b/internal/fleet/membership/vote.go
@@ -6,38 +6,38 @@
 	"weirwind/internal/fleet/paxos"
 )
 
-// VoteKind is of a Vote.
+// VoteKind is the kind of a Vote.
 type VoteKind uint8
 
-// The kinds of votes: two to found a roster, five of the agreement on a change (Paxos).
+// The kinds of votes: two to bootstrap a roster, five of the Paxos agreement on a change.
 const (
-	Bootstrap    VoteKind = iota + 1 // the sender would found a roster of the names that it sees
-	Bootstrapped                     // the receiver of Bootstrap sees the same
-	Prepare                          // of a ballot
-	Promise                          // no lower ballot is answered; the change accepted last comes along
-	Accept                           // this change
-	Accepted                         // it is accepted
+	Bootstrap    VoteKind = iota + 1 // the sender proposes a first roster of the names that it sees
+	Bootstrapped                     // the sender sees the same names as the proposer
+	Prepare                          // phase 1a of a ballot
+	Promise                          // phase 1b, with the change that was last accepted
+	Accept                           // phase 2a, with the change to accept
+	Accepted                         // phase 2b
 	Reject                           // a higher ballot was promised
 )
 
-// Vote is one step of an agreement between two drivers.
+// Vote is one message of an agreement between drivers.
 type Vote struct {
 	Kind     VoteKind     `cbor:"1,keyasint"`
-	Version  uint64       `cbor:"2,keyasint"`           // of the roster to come
-	BaseHash uint64       `cbor:"3,keyasint,omitempty"` // of the names before it
+	Version  uint64       `cbor:"2,keyasint"`           // of the next roster
+	BaseHash uint64       `cbor:"3,keyasint,omitempty"` // of the names before the change
 	Ballot   paxos.Ballot `cbor:"4,keyasint"`
-	Accepted paxos.Ballot `cbor:"5,keyasint"` // of the change in a promise
+	Accepted paxos.Ballot `cbor:"5,keyasint"` // in Promise: ballot in which Change was accepted
 	Change   *Change      `cbor:"6,keyasint,omitempty"`
-	Hash     uint64       `cbor:"7,keyasint,omitempty"` // of the names of a bootstrap
+	Hash     uint64       `cbor:"7,keyasint,omitempty"` // of the names, for a bootstrap
 }
 
 // round is a ballot that this driver leads.
 type round struct {
 	paxos.Proposer[Change]
-	deadline float64 // it is given up then
+	deadline float64 // when it is abandoned
 }
 
-// propose begins a ballot for a change.
+// propose starts a ballot for a change.
 func (f *Fleet) propose(change *Change) {
 	f.ballotNumber++
 	ballot := paxos.Ballot{Number: f.ballotNumber, Proposer: f.self.Name}
@@ -47,7 +47,7 @@
 		Ballot: f.round.Ballot})
 }
 
-// broadcastVote sends a vote to drivers, this one included.
+// broadcastVote sends a vote to the named drivers; if this driver is among them, it handles the vote itself.
 func (f *Fleet) broadcastVote(names []string, vote Vote) {
 	for _, name := range names {
 		if p := f.peersByName[name]; p != nil && !p.State.ended() {
@@ -59,7 +59,7 @@
 	}
 }
 
-// replyVote sends a vote back, or takes it where it came from here, which an address of "" says.
+// replyVote replies with a vote. An address of "" stands for this driver itself.
 func (f *Fleet) replyVote(name, address string, vote Vote) {
 	if address == "" {
 		f.receiveVote(name, "", vote)
@@ -68,9 +68,9 @@
 	f.send(address, Message{Kind: Gossip, Target: name, Vote: &vote})
 }
 
-// receiveVote takes a step of a peer, or of this driver itself.
+// receiveVote handles a vote from a peer, or from this driver itself.
 func (f *Fleet) receiveVote(name, address string, vote Vote) {
-	if c := vote.Change; c != nil && (len(c.Add)+len(c.Remove) > maxChange || c.Version != vote.Version) {
+	if c := vote.Change; c != nil && (len(c.Add)+len(c.Remove) > maxChangeNames || c.Version != vote.Version) {
 		return
 	}
 	if vote.Kind == Bootstrap || vote.Kind == Bootstrapped {
@@ -99,8 +99,8 @@
 	}
 }
 
-// acceptOwnAddition accepts a change that adds this driver, which has no roster yet: it is counted in the names
-// after the change.
+// acceptOwnAddition accepts a change that adds this driver while it has no roster yet: it counts towards the majority
+// of the names after the change.
 func (f *Fleet) acceptOwnAddition(name, address string, vote Vote) {
 	added := f.roster == nil && vote.Change != nil && slices.Contains(vote.Change.Add, f.self.Name)
 	if vote.Kind == Accept && added {
@@ -108,7 +108,7 @@
 	}
 }
 
-// ownRound is the round that a vote answers; nil: it is over, or another driver's.
+// ownRound returns the round that a vote answers, or nil if it has ended or another driver leads it.
 func (f *Fleet) ownRound(vote Vote) *round {
 	if r := f.round; r != nil && vote.Ballot.Compare(r.Ballot) == 0 {
 		return r
@@ -152,7 +152,7 @@
 	f.replyVote(name, address, reply)
 }
 
-// receiveAccepted counts an acceptance: a change is decided by majorities of the names before it and after it.
+// receiveAccepted counts an acceptance. A change is decided by majorities of the names before it and of those after it.
 func (f *Fleet) receiveAccepted(name string, vote Vote) {
 	r := f.ownRound(vote)
 	if r == nil || !r.Accepting {
@@ -165,7 +165,7 @@
 	}
 }
 
-// receiveReject gives up a round where another driver leads a higher one, and waits for that.
+// receiveReject abandons a round if a higher ballot was promised, and backs off.
 func (f *Fleet) receiveReject(vote Vote) {
 	if r := f.round; r != nil && vote.Ballot.Compare(r.Ballot) > 0 {
 		f.round = nil
@@ -173,12 +173,12 @@
 	}
 }
 
-// backOff puts the next proposal off by one to three periods, at random: two proposers may have met.
+// backOff delays the next proposal by one to three periods at random, so that competing proposers do not collide again.
 func (f *Fleet) backOff() {
 	f.nextProposal = f.now + 2*f.options.Period*(0.5+f.random.Float64())
 }
 
-// voters are the names before a change and after it.
+// voters returns the names before a change together with those after it.
 func (f *Fleet) voters(change *Change) []string {
 	names := slices.Clone(f.roster.Names)
 	for _, name := range change.Add {
--- a/internal/fleet/membership/votes_test.go
+++ b/internal/fleet/membership/votes_test.go
@@ -8,66 +8,66 @@
 	"weirwind/internal/fleet/paxos"
 )
 
-// vote is a message between two drivers of the model.
-type vote struct {
+// sentVote is a vote in transit between two drivers of the model.
+type sentVote struct {
 	from, to string
-	v        Vote
+	vote     Vote
 }
 
-// voteModel is some drivers that have one roster, and whatever is on its way between them.
+// voteModel is a set of drivers with a common roster, and the votes in transit between them.
 type voteModel struct {
 	fleets    map[string]*Fleet
 	names     []string
-	inTransit []vote
+	inTransit []sentVote
 	disks     map[string]*SavedState
 }
 
 func newVoteModel(n, newcomers int) *voteModel {
-	c := &voteModel{fleets: map[string]*Fleet{}, disks: map[string]*SavedState{}}
+	model := &voteModel{fleets: map[string]*Fleet{}, disks: map[string]*SavedState{}}
 	var roster []string
 	for i := range n + newcomers {
 		name := fmt.Sprintf("n%d", i)
-		c.names = append(c.names, name)
+		model.names = append(model.names, name)
 		if i < n {
 			roster = append(roster, name)
 		}
 	}
-	for _, name := range c.names {
-		f := c.start(name)
+	for _, name := range model.names {
+		f := model.start(name)
 		if name < roster[len(roster)-1] || name == roster[len(roster)-1] {
 			f.adoptRoster(Roster{Version: 1, Lineage: 1, Names: roster, hash: namesHash(roster)})
 		}
-		c.flush(f)
+		model.flush(f)
 	}
-	return c
+	return model
 }
 
-// start starts a process that knows what an earlier one kept, and all drivers.
-func (c *voteModel) start(name string) *Fleet {
-	f := New(0, Options{Period: 100, ExpectedDrivers: 1, MaxDrivers: 100, Persistent: true, Saved: c.disks[name]},
+// start starts a process that restores the saved state of an earlier one, and knows all drivers.
+func (m *voteModel) start(name string) *Fleet {
+	f := New(0, Options{Period: 100, ExpectedDrivers: 1, MaxDrivers: 100, Persistent: true, Saved: m.disks[name]},
 		Record{Name: name, Run: 1, Address: name}, nil, 1)
-	for _, o := range c.names {
+	for _, o := range m.names {
 		f.applyRecord(Record{Name: o, Run: 1, Address: o})
 	}
-	c.fleets[name] = f
+	m.fleets[name] = f
 	return f
 }
 
-// flush saves what a driver is to save, and puts what it sends on its way.
-func (c *voteModel) flush(f *Fleet) {
+// flush saves a driver's state and puts its sent votes in transit.
+func (m *voteModel) flush(f *Fleet) {
 	out := f.takeOutput()
 	if out.Save != nil {
-		c.disks[f.self.Name] = out.Save
+		m.disks[f.self.Name] = out.Save
 		f.Saved(true)
 	}
 	for _, s := range out.Messages {
 		if s.Message.Vote != nil {
-			c.inTransit = append(c.inTransit, vote{f.self.Name, s.Address, *s.Message.Vote})
+			m.inTransit = append(m.inTransit, sentVote{f.self.Name, s.Address, *s.Message.Vote})
 		}
 	}
 }
 
-func change(f *Fleet, add, remove string) *Change {
+func newChange(f *Fleet, add, remove string) *Change {
 	c := &Change{Version: f.roster.Version + 1, Lineage: 1, BaseHash: f.roster.hash, Hash: f.roster.hash}
 	if add != "" {
 		c.Add = []string{add}
@@ -79,126 +79,125 @@
 	return c
 }
 
-// TestVotesInAnyOrder: several drivers propose different changes at once, again and again, and every message is
-// lost, late, doubled or out of order as it happens, and drivers are killed and come back, before or after what
-// they voted was on disk, or can't write to it: whoever decides on the next version decides the same, and each
-// decision had both majorities.
+// TestVotesInAnyOrder checks that all decisions on the next roster version are the same. Several drivers repeatedly
+// propose different changes at once, messages are lost, delayed, duplicated and reordered, drivers are killed and
+// restarted before or after their votes are on disk, and writes to disk fail.
 func TestVotesInAnyOrder(t *testing.T) {
 	decided, killed := 0, 0
 	for seed := range uint64(10000) {
-		draw := rand.New(rand.NewPCG(seed, 5))
-		n := 3 + draw.IntN(3)
-		c := newVoteModel(n, 2)
-		versions := map[uint64]*Roster{} // that a process held when it was killed
-		for range 60 + draw.IntN(120) {
-			name := c.names[draw.IntN(n)]
-			switch f := c.fleets[name]; {
-			case draw.IntN(12) == 0 && f.roster.Version == 1:
-				switch f.round = nil; draw.IntN(3) {
+		random := rand.New(rand.NewPCG(seed, 5))
+		n := 3 + random.IntN(3)
+		model := newVoteModel(n, 2)
+		versions := map[uint64]*Roster{} // rosters of processes when they were killed
+		for range 60 + random.IntN(120) {
+			name := model.names[random.IntN(n)]
+			switch f := model.fleets[name]; {
+			case random.IntN(12) == 0 && f.roster.Version == 1:
+				switch f.round = nil; random.IntN(3) {
 				case 0:
-					f.propose(change(f, c.names[n+draw.IntN(2)], ""))
+					f.propose(newChange(f, model.names[n+random.IntN(2)], ""))
 				case 1:
-					f.propose(change(f, "", c.names[draw.IntN(n)]))
+					f.propose(newChange(f, "", model.names[random.IntN(n)]))
 				case 2:
-					f.propose(change(f, c.names[n+draw.IntN(2)], c.names[draw.IntN(n)]))
+					f.propose(newChange(f, model.names[n+random.IntN(2)], model.names[random.IntN(n)]))
 				}
-				c.flush(f)
-			case draw.IntN(20) == 0: // killed, and back with what it kept
+				model.flush(f)
+			case random.IntN(20) == 0: // killed and restarted with its saved state
 				if f.roster.Version > 1 {
 					versions[f.roster.hash] = f.roster
 				}
-				f = c.start(name)
+				f = model.start(name)
 				f.takeOutput()
 				killed++
-			case len(c.inTransit) > 0:
-				i := draw.IntN(len(c.inTransit))
-				m := c.inTransit[i]
-				if draw.IntN(8) > 0 { // else it comes once more, later
-					c.inTransit = append(c.inTransit[:i], c.inTransit[i+1:]...)
+			case len(model.inTransit) > 0:
+				i := random.IntN(len(model.inTransit))
+				next := model.inTransit[i]
+				if random.IntN(8) > 0 { // otherwise it is delivered again later
+					model.inTransit = append(model.inTransit[:i], model.inTransit[i+1:]...)
 				}
-				if draw.IntN(10) == 0 {
+				if random.IntN(10) == 0 {
 					continue // lost
 				}
-				to := c.fleets[m.to]
-				to.receiveVote(m.from, m.from, m.v)
-				switch draw.IntN(30) {
-				case 0: // killed before anything was written
-					c.start(m.to).takeOutput()
-				case 1: // nothing can be written
+				to := model.fleets[next.to]
+				to.receiveVote(next.from, next.from, next.vote)
+				switch random.IntN(30) {
+				case 0: // killed before its state was saved
+					model.start(next.to).takeOutput()
+				case 1: // saving fails
 					if to.takeOutput().Save != nil {
 						to.Saved(false)
 						to.now += settledPeriods * 100
 					}
 				default:
-					c.flush(to)
+					model.flush(to)
 				}
 			}
 		}
-		var first *Roster
-		for _, name := range c.names[:n] {
-			versions[c.fleets[name].roster.hash] = c.fleets[name].roster
+		var decidedRoster *Roster
+		for _, name := range model.names[:n] {
+			versions[model.fleets[name].roster.hash] = model.fleets[name].roster
 		}
 		for _, r := range versions {
 			if r.Version == 1 {
 				continue
 			}
 			decided++
-			if first == nil {
-				first = r
+			if decidedRoster == nil {
+				decidedRoster = r
 			}
-			if r.Version != 2 || r.hash != first.hash {
-				t.Fatalf("seed %d: version 2 is %v and %v", seed, first.Names, r.Names)
+			if r.Version != 2 || r.hash != decidedRoster.hash {
+				t.Fatalf("seed %d: version 2 is %v and %v", seed, decidedRoster.Names, r.Names)
 			}
 		}
 	}
 	if decided < 1000 || killed < 1000 {
-		t.Errorf("only %d decisions, %d killed: the test does not test", decided, killed)
+		t.Errorf("only %d decisions and %d kills: the test exercises too little", decided, killed)
 	}
 }
 
-// TestForgetfulDriversDoNotVote: a driver that may have forgotten a vote gives none for a while.
-func TestForgetfulDriversDoNotVote(t *testing.T) {
-	c := newVoteModel(3, 0)
-	f := c.fleets["n1"]
+// TestNoVotesAfterForgottenVotes checks that a driver that may have forgotten a vote abstains for a while.
+func TestNoVotesAfterForgottenVotes(t *testing.T) {
+	model := newVoteModel(3, 0)
+	f := model.fleets["n1"]
 	f.roster = nil
 	f.receiveRoster(Roster{Version: 1, Lineage: 1, Names: []string{"n0", "n1", "n2"}})
-	p := c.fleets["n0"]
-	p.propose(change(p, "", "n2"))
-	for _, s := range p.takeOutput().Messages {
+	proposer := model.fleets["n0"]
+	proposer.propose(newChange(proposer, "", "n2"))
+	for _, s := range proposer.takeOutput().Messages {
 		if s.Address == "n1" {
 			f.receiveVote("n0", "n0", *s.Message.Vote)
 		}
 	}
 	if out := f.takeOutput(); len(out.Messages) > 0 {
-		t.Errorf("it votes: %+v", out.Messages)
+		t.Errorf("a driver that may have forgotten a vote votes: %+v", out.Messages)
 	}
 	f.now = forgetPeriods*100 + 1
 	f.receiveVote("n0", "n0", Vote{Kind: Prepare, Version: 2, BaseHash: f.roster.hash,
 		Ballot: paxos.Ballot{Number: 9, Proposer: "n0"}})
 	if out := f.takeOutput(); len(out.Messages) != 1 || out.Messages[0].Message.Vote.Kind != Promise {
-		t.Errorf("it never votes again: %+v", out)
+		t.Errorf("it does not vote after forgetPeriods: %+v", out)
 	}
 }
 
-// TestWhatStandingsAllow holds the table of what each status allows.
-func TestWhatStandingsAllow(t *testing.T) {
+// TestAllowedActions checks which actions each status allows.
+func TestAllowedActions(t *testing.T) {
 	for s := Undetermined; s <= Complete; s++ {
 		for a := BeginWritePause; a <= LearnPrimary; a++ {
-			larger := s == Majority || s == Complete
-			want := map[Action]bool{BeginWritePause: larger, RenewWritePause: true, EndWritePause: true,
-				ChangeRoster: larger, ApplyDrain: true, ReduceCount: larger}[a]
-			if got, why := Allowed(s, a); got != want || got != (why == "") {
-				t.Errorf("%s, act %d: %v %q", s, a, got, why)
+			withMajority := s == Majority || s == Complete
+			want := map[Action]bool{BeginWritePause: withMajority, RenewWritePause: true, EndWritePause: true,
+				ChangeRoster: withMajority, ApplyDrain: true, ReduceCount: withMajority}[a]
+			if got, reason := Allowed(s, a); got != want || got != (reason == "") {
+				t.Errorf("%s, action %d: %v %q", s, a, got, reason)
 			}
 		}
 	}
 }
 
-// TestSharesAddUp: all shares together are one, however a fleet has come apart.
-func TestSharesAddUp(t *testing.T) {
+// TestSharesNeverExceedOne checks that the shares of all drivers add up to at most one for every split into two parts.
+func TestSharesNeverExceedOne(t *testing.T) {
 	for n := 2; n <= 40; n++ {
-		for a := 1; a < n; a++ {
-			view := func(living int) int {
+		for part := 1; part < n; part++ {
+			countFor := func(live int) int {
 				f := New(0, Options{Period: 100, ExpectedDrivers: 1, MaxDrivers: 100, TakeoverAfter: 1000},
 					Record{Name: "n00", Run: 1, Address: "n00"}, nil, 1)
 				names := []string{"n00"}
@@ -206,7 +205,7 @@
 					r := Record{Name: fmt.Sprintf("n%02d", i), Run: 1, Address: fmt.Sprint(i)}
 					names = append(names, r.Name)
 					f.applyRecord(r)
-					if i >= living {
+					if i >= live {
 						r.State = Failed
 						f.applyRecord(r)
 					}
@@ -214,36 +213,36 @@
 				f.adoptRoster(Roster{Version: 1, Lineage: 1, Names: names, hash: namesHash(names)})
 				f.updatePartition()
 				if c := f.DriverCount(); f.partition == Majority && c < n {
-					t.Errorf("%d of %d count %d before the others can have given way", living, n, c)
+					t.Errorf("%d of %d count %d before the others can have reduced their shares", live, n, c)
 				}
 				f.now = 4000
 				c := f.DriverCount()
-				if n > 3 && living == n-1 { // another one is lost: the wait begins anew
+				if n > 3 && live == n-1 { // losing another driver restarts the wait
 					r := f.peers[0].Record
 					r.State = Failed
 					f.applyRecord(r)
 					if f.updatePartition(); f.partition == Majority && f.DriverCount() != n {
-						t.Errorf("%d of %d count %d at once", living-1, n, f.DriverCount())
+						t.Errorf("%d of %d count %d immediately", live-1, n, f.DriverCount())
 					}
 				}
 				return c
 			}
-			if sum := float64(a)/float64(view(a)) + float64(n-a)/float64(view(n-a)); sum > 1.0001 {
-				t.Errorf("%d and %d of %d: all shares are %.3f", a, n-a, n, sum)
+			if sum := float64(part)/float64(countFor(part)) + float64(n-part)/float64(countFor(n-part)); sum > 1.0001 {
+				t.Errorf("%d and %d of %d: the sum of all shares is %.3f", part, n-part, n, sum)
 			}
 		}
 	}
 }
 
-// TestWhichSayingHolds: of two living processes with one name the first keeps it; word of an ended one does not
-// end the other.
-func TestWhichSayingHolds(t *testing.T) {
+// TestRecordSupersedes checks that of two live processes with one name the first keeps it, and that a record of an
+// ended process does not end the other one.
+func TestRecordSupersedes(t *testing.T) {
 	first := Record{Name: "a", Run: 5, Address: "x"}
 	second := Record{Name: "a", Run: 9, Address: "y"}
 	with := func(r Record, s State, inc uint32) Record { r.State, r.Incarnation = s, inc; return r }
-	for _, x := range []struct {
-		r, held Record
-		want    bool
+	for _, test := range []struct {
+		r, current Record
+		want       bool
 	}{
 		{second, first, false}, {first, second, true}, {second, with(first, Failed, 3), true},
 		{first, with(second, Failed, 0), false},
@@ -253,8 +252,8 @@
 		{Record{Name: "a", Run: 6, Address: "x"}, with(first, Left, 0), true},
 		{Record{Name: "a", Run: 4, Address: "x"}, first, false},
 	} {
-		if got := x.r.supersedes(&x.held); got != x.want {
-			t.Errorf("%+v over %+v: %v", x.r, x.held, got)
+		if got := test.r.supersedes(&test.current); got != test.want {
+			t.Errorf("%+v supersedes %+v: %v", test.r, test.current, got)
 		}
 	}
 }
--- a/internal/fleet/mesh/client.go
+++ b/internal/fleet/mesh/client.go
@@ -1,6 +1,6 @@
 package mesh
 
-// This file owns calls to peers.
+// This file implements calls to peers.
 
 import (
 	"context"
@@ -13,13 +13,13 @@
 )
 
 const (
-	callTimeout      = 2 * time.Second // of a call with its answer
-	maxOutgoingCalls = 8               // at a time, but for Request
+	callTimeout      = 2 * time.Second // for a call with its answer
+	maxOutgoingCalls = 8               // concurrent calls, not counting those by Request
 )
 
-var errOtherCall = errors.New("the answer is to another call")
+var errAnswerMismatch = errors.New("the answer belongs to another call")
 
-// callLoop makes the calls that are queued until the context ends.
+// callLoop makes queued calls until the context ends.
 func (m *Mesh) callLoop(ctx context.Context) {
 	for {
 		select {
@@ -33,8 +33,8 @@
 	}
 }
 
-// Request has a peer take a payload (Options.ReceivePayload), and gives its answer. The error is
-// membership.ErrUnknownDriver where no peer of the name is known, else of the network.
+// Request sends a payload to a peer, which passes it to its Options.ReceivePayload, and returns the answer. The error
+// is membership.ErrUnknownDriver if no live peer of that name is known, or a network error.
 func (m *Mesh) Request(ctx context.Context, to string, payload []byte) ([]byte, error) {
 	m.mu.Lock()
 	address := m.view.AddressOf(to)
@@ -49,7 +49,7 @@
 	return answer.Payload, nil
 }
 
-// exchangeState exchanges whole states, and gossip, with a peer.
+// exchangeState exchanges full snapshots and gossip with a peer.
 func (m *Mesh) exchangeState(ctx context.Context, address string) {
 	m.mu.Lock()
 	own := m.view.Snapshot()
@@ -69,7 +69,7 @@
 	m.receiveGossip(answer.Gossip, requestedAt)
 }
 
-// call makes one call, on a connection of its own.
+// call makes one call on its own connection.
 func (m *Mesh) call(ctx context.Context, address string, request *frame) (*frame, error) {
 	dialer := net.Dialer{Timeout: callTimeout}
 	if ip := m.tcp.Addr().(*net.TCPAddr).IP; !ip.IsUnspecified() {
@@ -92,7 +92,7 @@
 		return nil, err
 	}
 	if answer.Call != request.Call || answer.Nonce != request.Nonce {
-		return nil, errOtherCall
+		return nil, errAnswerMismatch
 	}
 	return answer, nil
 }
--- a/internal/fleet/mesh/codec.go
+++ b/internal/fleet/mesh/codec.go
@@ -1,7 +1,7 @@
 package mesh
 
-// This file owns the form of datagrams and frames: CBOR behind an authentication code. It must never decode more than a
-// bounded size, or anything whose code is wrong.
+// This file implements the encoding of datagrams and frames: CBOR preceded by an authentication code. It must never
+// decode more than a bounded size, or anything with a wrong code.
 
 import (
 	"crypto/hmac"
@@ -14,7 +14,7 @@
 
 const (
 	authenticatorSize = 16 // bytes, of an HMAC-SHA256
-	version           = 1  // of the form; the code covers it
+	version           = 1  // of the encoding; covered by the authentication code
 )
 
 // Errors of datagrams and frames that are rejected.
@@ -35,19 +35,19 @@
 	}.DecMode()
 )
 
-// codec seals and opens with one secret.
+// codec seals and opens messages with a key derived from one secret.
 type codec struct {
 	key []byte
 }
 
-// newCodec derives a key for one use, so that what was sealed for it can't be taken for another.
+// newCodec derives a key for one use, so that a message sealed for one use cannot be replayed in another.
 func newCodec(secret, use string) codec {
 	mac := hmac.New(sha256.New, []byte(secret))
 	mac.Write([]byte(use))
 	return codec{mac.Sum(nil)}
 }
 
-// authenticate makes the code of a payload.
+// authenticate returns the authentication code of a payload.
 func (c codec) authenticate(payload []byte) []byte {
 	mac := hmac.New(sha256.New, c.key)
 	mac.Write([]byte{version})
@@ -55,7 +55,7 @@
 	return mac.Sum(nil)[:authenticatorSize]
 }
 
-// seal encodes a value, behind its code.
+// seal returns the encoding of a value preceded by its authentication code.
 func (c codec) seal(value any) ([]byte, error) {
 	payload, err := encoder.Marshal(value)
 	if err != nil {
@@ -64,7 +64,7 @@
 	return append(c.authenticate(payload), payload...), nil
 }
 
-// open decodes what seal made, if its code is right.
+// open verifies the authentication code of a sealed message and decodes it.
 func (c codec) open(b []byte, into any) error {
 	if len(b) < authenticatorSize {
 		return errAuthentication
--- a/internal/fleet/mesh/datagrams.go
+++ b/internal/fleet/mesh/datagrams.go
@@ -1,6 +1,6 @@
 package mesh
 
-// This file owns datagrams: health checks and piggybacked records, sealed, one message each.
+// This file implements datagrams: probes with piggybacked gossip, one sealed message each.
 
 import (
 	"context"
@@ -12,10 +12,10 @@
 
 const (
 	maxDatagram         = 1400             // bytes
-	rejectedLogInterval = 30 * time.Second // between two lines on what was rejected
+	rejectedLogInterval = 30 * time.Second // between log lines about rejected datagrams and frames
 )
 
-// sendDatagram sends a message; what can't be sent is lost, as datagrams may be.
+// sendDatagram sends a message. Errors are ignored, because datagrams may be lost anyway.
 func (m *Mesh) sendDatagram(envelope *membership.Envelope) {
 	to, err := netip.ParseAddrPort(envelope.Address)
 	if err != nil {
@@ -30,13 +30,13 @@
 	}
 }
 
-// receiveLoop takes datagrams until the context ends.
+// receiveLoop receives datagrams until the context ends.
 func (m *Mesh) receiveLoop(ctx context.Context) {
 	buf := make([]byte, maxDatagram+1)
 	for ctx.Err() == nil {
 		n, from, err := m.udp.ReadFromUDPAddrPort(buf)
 		if err != nil {
-			select { // an error of one datagram, such as a peer that does not listen
+			select { // the error concerns one datagram, for instance a peer that does not listen
 			case <-ctx.Done():
 			case <-time.After(time.Millisecond):
 			}
@@ -60,7 +60,7 @@
 	return m.datagramCodec.open(b, message)
 }
 
-// reject counts a datagram or frame that could not be taken, and logs the count now and then.
+// reject counts a rejected datagram or frame, and logs the count at most once per rejectedLogInterval.
 func (m *Mesh) reject(err error, from string) {
 	n := m.rejectedCount.Add(1)
 	now, last := int64(m.options.Now()), m.rejectedLoggedAt.Load()
--- a/internal/fleet/mesh/frame.go
+++ b/internal/fleet/mesh/frame.go
@@ -1,6 +1,6 @@
 package mesh
 
-// This file owns the frames of calls.
+// This file implements the frames of calls.
 
 import (
 	"encoding/binary"
@@ -9,7 +9,7 @@
 	"weirwind/internal/fleet/membership"
 )
 
-const maxFrame = 2 << 20 // bytes, without the length
+const maxFrame = 2 << 20 // bytes, without the length prefix
 
 // frame is a call, or its answer.
 type frame struct {
@@ -17,22 +17,22 @@
 	Exchange *membership.Snapshot `cbor:"2,keyasint,omitempty"`
 	Gossip   *Gossip              `cbor:"3,keyasint,omitempty"`
 	Status   []byte               `cbor:"4,keyasint,omitempty"` // a membership.Status as JSON
-	Nonce    uint64               `cbor:"5,keyasint"`           // of the call; its answer bears it too
-	From     string               `cbor:"6,keyasint,omitempty"` // name of the driver that requests
-	Payload  []byte               `cbor:"7,keyasint,omitempty"` // of a request, or of its answer
+	Nonce    uint64               `cbor:"5,keyasint"`           // of the call, repeated in its answer
+	From     string               `cbor:"6,keyasint,omitempty"` // name of the requesting driver
+	Payload  []byte               `cbor:"7,keyasint,omitempty"` // of a callRequest, or of its answer
 }
 
-// call says what is asked for.
+// call is the kind of a call.
 type call uint8
 
 const (
-	callExchangeState call = iota + 1 // whole states, and gossip
-	callGossip                        // gossip alone
-	callStatus                        // the driver's view
-	callRequest                       // that another package takes a payload
+	callExchangeState call = iota + 1 // exchanges full snapshots and gossip
+	callGossip                        // exchanges gossip
+	callStatus                        // returns the driver's view
+	callRequest                       // delivers a payload of another package
 )
 
-// write sends a frame, sealed, behind its length of four bytes, big-endian.
+// write sends a sealed frame, preceded by its length in four bytes, big-endian.
 func (c codec) write(w io.Writer, f *frame) error {
 	b, err := c.seal(f)
 	if err != nil {
@@ -56,7 +56,7 @@
 	if n > maxFrame {
 		return nil, errTooLong
 	}
-	b, err := io.ReadAll(io.LimitReader(r, int64(n))) // grows with what really comes
+	b, err := io.ReadAll(io.LimitReader(r, int64(n))) // allocates only for bytes that were received
 	if err != nil {
 		return nil, err
 	}
--- a/internal/fleet/mesh/golden_test.go
+++ b/internal/fleet/mesh/golden_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// TestFrameForms holds the bytes of each kind of frame, as CBOR and sealed.
+// TestFrameForms compares the bytes of each kind of frame, as CBOR and sealed, with recorded ones.
 func TestFrameForms(t *testing.T) {
 	golden.CBOR(t, "testdata/frames.golden", goldenFrames())
 	var sealed []golden.Case[string]
@@ -50,7 +50,7 @@
 	golden.Text(t, "testdata/sealed.golden", sealed)
 }
 
-// TestCompareTexts holds what operators are shown of compared views, and the texts of errors.
+// TestCompareTexts compares the texts of differences between views and of errors with recorded ones.
 func TestCompareTexts(t *testing.T) {
 	driver := func(name string, s membership.State) membership.View {
 		return membership.View{Name: name, State: s}
--- a/internal/fleet/mesh/gossip.go
+++ b/internal/fleet/mesh/gossip.go
@@ -1,6 +1,6 @@
 package mesh
 
-// This file owns how gossip spreads.
+// This file implements the spreading of gossip.
 
 import (
 	"context"
@@ -14,19 +14,19 @@
 )
 
 const (
-	gossipFanout   = 8 // peers that get a change at once; they pass it on
+	gossipFanout   = 8 // peers that a change is sent to immediately
 	gossipInterval = time.Second
 )
 
-// Gossip is what drivers exchange besides membership.
+// Gossip is the state that drivers exchange in addition to membership.
 type Gossip struct {
 	Switchovers []switchover.Notification `cbor:"1,keyasint,omitempty"`
 	Drains      []membership.Drain        `cbor:"2,keyasint,omitempty"`
-	From        string                    `cbor:"3,keyasint,omitempty"` // address at which the sender is asked
+	From        string                    `cbor:"3,keyasint,omitempty"` // address at which the sender takes calls
 	Zones       *zones.Summary            `cbor:"4,keyasint,omitempty"`
 }
 
-// ownGossip is what this driver sends peers; nil for nothing.
+// ownGossip returns the gossip that this driver sends to peers, or nil.
 func (m *Mesh) ownGossip(all bool) *Gossip {
 	if m.options.Gossip == nil {
 		return nil
@@ -36,8 +36,8 @@
 	return gossip
 }
 
-// receiveGossip takes a peer's gossip, and passes on what is new here. requestedAt is when it was asked for; -Inf where
-// it came unasked.
+// receiveGossip handles a peer's gossip, and spreads it if it changed this driver's state. requestedAt is when it was
+// requested; -Inf if it was unsolicited.
 func (m *Mesh) receiveGossip(gossip *Gossip, requestedAt float64) {
 	if gossip == nil || m.options.ReceiveGossip == nil {
 		return
@@ -46,7 +46,7 @@
 	if request && gossip.From != "" {
 		select {
 		case m.gossipRequests <- gossip.From:
-		default: // the next peer that is asked will do
+		default: // the queue is full; a later exchange makes up for it
 		}
 	}
 	if changed {
@@ -58,12 +58,12 @@
 func (m *Mesh) exchangeGossip(ctx context.Context, address string) {
 	requestedAt := m.options.Now()
 	answer, err := m.call(ctx, address, &frame{Call: callGossip, Gossip: m.ownGossip(false)})
-	if err == nil { // else there will be other exchanges
+	if err == nil { // after an error a later exchange makes up for it
 		m.receiveGossip(answer.Gossip, requestedAt)
 	}
 }
 
-// SpreadGossip has what is new here sent to peers soon.
+// SpreadGossip triggers spreadLoop to send changed gossip to peers.
 func (m *Mesh) SpreadGossip() {
 	select {
 	case m.wake <- struct{}{}:
@@ -71,8 +71,8 @@
 	}
 }
 
-// spreadLoop exchanges gossip with some peers when there is new one, and with one every second in case a message was
-// lost, until the context ends.
+// spreadLoop exchanges gossip with gossipFanout peers after a change, and with one peer every second in case a message
+// was lost, until the context ends.
 func (m *Mesh) spreadLoop(ctx context.Context) {
 	if m.options.Gossip == nil {
 		return
@@ -100,7 +100,7 @@
 	}
 }
 
-// randomPeers are the addresses of some peers that are alive.
+// randomPeers returns the addresses of up to count random live peers.
 func (m *Mesh) randomPeers(count int) []string {
 	m.mu.Lock()
 	alive := m.view.LiveAddresses()
