--- a/internal/fleet/mesh/mesh.go
+++ b/internal/fleet/mesh/mesh.go
@@ -1,6 +1,6 @@
 package mesh
 
-// This file owns the sockets, the goroutines and the lock around the view.
+// This file implements the mesh's sockets, goroutines and the lock around the view.
 
 import (
 	"context"
@@ -18,42 +18,42 @@
 )
 
 const (
-	maxQueuedExchanges = 64 // addresses that wait for a whole state to be exchanged
+	maxQueuedExchanges = 64 // addresses that wait for a snapshot exchange
 	listenAttempts     = 16
-	leaveDelay         = 300 * time.Millisecond // between leaving and closing the sockets
+	leaveDelay         = 300 * time.Millisecond // between Leave and closing the sockets
 )
 
-var errNoSecret = errors.New("there is no secret")
+var errNoSecret = errors.New("no fleet secret is set")
 
-// Mesh is a driver's place among its peers. It is safe for concurrent use.
+// Mesh connects a driver with its peers. It is safe for concurrent use.
 type Mesh struct {
 	options       Options
 	udp           *net.UDPConn
 	tcp           *net.TCPListener
 	datagramCodec codec
 	frameCodec    codec
-	votes         *durable.Latest // nil where they do not outlive the process
+	votes         *durable.Latest // stores votes; nil if they do not survive a restart
 
-	exchanges      chan string   // addresses to exchange whole states with
+	exchanges      chan string   // addresses to exchange snapshots with
 	gossipRequests chan string   // addresses to exchange gossip with
-	wake           chan struct{} // there is new gossip to be spread
+	wake           chan struct{} // signals that there is gossip to spread
 
 	leaving          atomic.Bool
-	rejectedCount    atomic.Int64 // datagrams and frames
-	rejectedLoggedAt atomic.Int64 // when that was logged last, milliseconds by Options.Now; 0: never
-	bytesSent        atomic.Int64 // by UDP
+	rejectedCount    atomic.Int64 // number of rejected datagrams and frames
+	rejectedLoggedAt atomic.Int64 // when rejections were last logged, milliseconds by Options.Now; 0: never
+	bytesSent        atomic.Int64 // over UDP
 
 	notifying sync.Mutex // held during OnPartitionStatus; never taken with mu held
 
-	mu                sync.Mutex // guards what follows
+	mu                sync.Mutex // guards the fields below
 	view              *membership.Fleet
-	period            time.Duration              // tickLoop brings the view's to it
+	period            time.Duration              // wanted probe period; tickLoop applies it to the view
 	partition         membership.PartitionStatus // as of the last step
 	drivers           int                        // as of the last step
-	partitionNotified bool                       // there was a step
+	partitionNotified bool                       // set by the first step
 }
 
-// Open opens the sockets. No peer is contacted before Run.
+// Open opens the sockets and returns the mesh. No peer is contacted before Run.
 func Open(o Options) (*Mesh, error) {
 	if o.Secret == "" {
 		return nil, errNoSecret
@@ -87,39 +87,39 @@
 	return m, nil
 }
 
-// listen opens both sockets at one port. With port 0 the one that UDP got may be taken for TCP: it tries a few.
-func (m *Mesh) listen(at netip.AddrPort) (err error) {
+// listen opens both sockets at one port. With port 0 the port chosen for UDP may be in use for TCP, so it retries.
+func (m *Mesh) listen(address netip.AddrPort) (err error) {
 	for range listenAttempts {
-		if m.udp, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(at)); err != nil {
+		if m.udp, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(address)); err != nil {
 			return err
 		}
-		got := m.udp.LocalAddr().(*net.UDPAddr).AddrPort()
-		same := netip.AddrPortFrom(got.Addr().Unmap(), got.Port())
-		if m.tcp, err = net.ListenTCP("tcp", net.TCPAddrFromAddrPort(same)); err == nil {
+		udpAddress := m.udp.LocalAddr().(*net.UDPAddr).AddrPort()
+		tcpAddress := netip.AddrPortFrom(udpAddress.Addr().Unmap(), udpAddress.Port())
+		if m.tcp, err = net.ListenTCP("tcp", net.TCPAddrFromAddrPort(tcpAddress)); err == nil {
 			return nil
 		}
-		if m.udp.Close(); at.Port() != 0 {
+		if m.udp.Close(); address.Port() != 0 {
 			return err
 		}
 	}
 	return err
 }
 
-// Address is the one that is advertised to peers.
+// Address returns the address that is advertised to peers.
 func (m *Mesh) Address() string { return m.options.Advertise }
 
-// Close closes the sockets of a mesh that does not run.
+// Close closes the sockets and the vote store of a mesh that does not run.
 func (m *Mesh) Close() {
 	m.udp.Close()
 	m.tcp.Close()
 	if m.votes != nil {
-		_ = m.votes.Close() // what was appended is on disk
+		_ = m.votes.Close() // saved votes are on disk already
 	}
 }
 
-// Run takes part until the context ends, then leaves, and returns once all goroutines have ended. It closes the mesh.
+// Run runs the mesh until the context ends, then leaves, closes the mesh and returns once all goroutines have ended.
 func (m *Mesh) Run(ctx context.Context) error {
-	running, stop := context.WithCancel(context.WithoutCancel(ctx)) // it leaves in order once ctx ends
+	running, stop := context.WithCancel(context.WithoutCancel(ctx)) // outlives ctx, so that the driver leaves gracefully
 	var loops errgroup.Group
 	start := func(loop func(context.Context)) {
 		loops.Go(func() error { loop(running); return nil })
@@ -135,13 +135,13 @@
 	if !m.leaving.Load() {
 		m.Leave()
 	}
-	time.Sleep(leaveDelay) // the message goes out a few times; nobody waits for this
+	time.Sleep(leaveDelay) // time to send the leave message several times
 	stop()
 	m.Close()
 	return loops.Wait()
 }
 
-// tickLoop lets time pass in the view.
+// tickLoop ticks the view until the context ends.
 func (m *Mesh) tickLoop(ctx context.Context) {
 	m.mu.Lock()
 	period := m.period
@@ -165,8 +165,8 @@
 	}
 }
 
-// step has the view decide with the lock held, and carries out what comes of it. Votes are on disk before they are
-// sent, and before anything else is decided.
+// step runs a decision of the view with the lock held, and carries out its output. Votes are on disk before they are
+// sent, and before the next decision.
 func (m *Mesh) step(decide func(view *membership.Fleet) membership.Output) {
 	m.mu.Lock()
 	out := decide(m.view)
@@ -188,12 +188,12 @@
 	for _, address := range out.SyncWith {
 		select {
 		case m.exchanges <- address:
-		default: // membership asks for another one
+		default: // the queue is full; membership requests a later exchange
 		}
 	}
 }
 
-// save brings votes to disk, and tells the view of the outcome. The caller holds the lock.
+// save writes votes to disk and reports the result to the view. The caller holds the lock.
 func (m *Mesh) save(state *membership.SavedState) bool {
 	b, err := encoder.Marshal(state)
 	if err == nil {
@@ -214,8 +214,8 @@
 	}
 }
 
-// notifyPartition notifies of the status and the count as they are now: of two that notify at once the second has the
-// newest.
+// notifyPartition calls OnPartitionStatus with the current status and count. Concurrent calls are serialized, so that
+// the last one passes the latest values.
 func (m *Mesh) notifyPartition() {
 	m.notifying.Lock()
 	defer m.notifying.Unlock()
@@ -225,13 +225,13 @@
 	m.options.OnPartitionStatus(partition, drivers)
 }
 
-// Leave tells peers that this driver leaves on purpose.
+// Leave notifies peers that this driver leaves gracefully.
 func (m *Mesh) Leave() {
 	m.leaving.Store(true)
 	m.step(func(view *membership.Fleet) membership.Output { return view.Leave(m.options.Now()) })
 }
 
-// Forget takes a failed driver off the roster; see membership.Fleet.
+// Forget removes a failed driver from the roster; see membership.Fleet.Forget.
 func (m *Mesh) Forget(name string, certain bool) (err error) {
 	m.step(func(view *membership.Fleet) (out membership.Output) {
 		out, err = view.Forget(m.options.Now(), name, certain)
@@ -240,7 +240,7 @@
 	return err
 }
 
-// Reconfigure takes other seeds and another period.
+// Reconfigure replaces the seeds and the probe period.
 func (m *Mesh) Reconfigure(seeds []string, period time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/fleet/mesh/options.go
+++ b/internal/fleet/mesh/options.go
@@ -13,46 +13,47 @@
 	Name       string
 	Zone       string
 	Listen     netip.AddrPort
-	Advertise  string // host:port at which peers reach this driver; empty: Listen as it was opened
+	Advertise  string // host:port at which peers reach this driver; empty: the address that Listen was opened at
 	Seeds      []string
 	Secret     string // of the fleet; not empty
 	RandomSeed uint64
-	Run        uint64         // of the process: a later one of the name has a higher one
-	StateDir   string         // where votes outlive the process; empty: nowhere
-	Now        func() float64 // milliseconds; never steps
+	Run        uint64         // of the process; a later process of the same name has a higher one
+	StateDir   string         // directory for votes; empty: votes do not survive a restart
+	Now        func() float64 // monotonic clock, milliseconds
 	Log        *slog.Logger
 
-	// Options of membership; see there.
+	// Options of membership; see membership.Options.
 	Period          time.Duration
-	ExpectedDrivers int // before the drivers have agreed on a roster
+	ExpectedDrivers int // number of drivers required to bootstrap a roster
 	TakeoverAfter   time.Duration
 
-	// Gossip gives what this driver sends peers: all of it, along with complete states, or the recent part. Nil: no
-	// gossip.
+	// Gossip returns what this driver sends to peers: everything, for exchanges of snapshots, or the recent part. Nil
+	// disables gossip.
 	Gossip func(all bool) *Gossip
-	// ReceiveGossip takes a peer's. requestedAt is when it was asked for, by Now, and -Inf where it came unasked.
-	// changed: it is to be passed on. request: the peer is to be asked at once, as what it says then counts for more.
+	// ReceiveGossip handles a peer's gossip. requestedAt is when it was requested, by Now, or -Inf if it was
+	// unsolicited. It returns whether the gossip is to be spread (changed), and whether to ask the peer immediately
+	// (request), because only requested gossip can confirm a zone plan.
 	ReceiveGossip func(g *Gossip, requestedAt float64) (changed, request bool)
-	// ReceivePayload takes what a peer sent by Request, and gives what goes back. Nil: nothing is taken.
+	// ReceivePayload handles the payload of a peer's Request and returns the answer. Nil: payloads are ignored.
 	ReceivePayload func(from string, payload []byte) (answer []byte)
-	// OnPartitionStatus is notified of the status and of the count of drivers, when they change.
+	// OnPartitionStatus is called with the status and the number of drivers when either changes.
 	OnPartitionStatus func(status membership.PartitionStatus, drivers int)
-	// OnEvent sees each event; false keeps it out of the log. Nil: all are logged.
+	// OnEvent is called for each event and returns whether to log it. Nil: all events are logged.
 	OnEvent func(event membership.Event) bool
 }
 
 const (
-	retainLeft     = 10 * time.Minute // that a driver which left is remembered
+	retainEnded    = 10 * time.Minute // how long an ended driver that is not on the roster stays known
 	maxDrivers     = 20000
 	ticksPerPeriod = 10
 )
 
-// membershipOptions are those of the view. saved is what an earlier process saved; nil for nothing.
+// membershipOptions returns the options of the view. saved is the state saved by an earlier process, or nil.
 func (o *Options) membershipOptions(persistent bool, saved *membership.SavedState) membership.Options {
 	return membership.Options{
 		Period:          milliseconds(o.Period),
 		ExpectedDrivers: o.ExpectedDrivers,
-		RetainFor:       milliseconds(retainLeft),
+		RetainFor:       milliseconds(retainEnded),
 		MaxDrivers:      maxDrivers,
 		TakeoverAfter:   milliseconds(o.TakeoverAfter),
 		Persistent:      persistent,
--- a/internal/fleet/mesh/persist.go
+++ b/internal/fleet/mesh/persist.go
@@ -1,6 +1,6 @@
 package mesh
 
-// This file owns the form in which votes outlive the process.
+// This file implements the storage of votes on disk.
 
 import (
 	"fmt"
@@ -14,7 +14,7 @@
 	maxVotesBytes = 8 << 20
 )
 
-// openVotes opens the store, and gives what an earlier process saved last; nil for nothing.
+// openVotes opens the store and returns the state that an earlier process last saved, or nil.
 func openVotes(dir string) (*durable.Latest, *membership.SavedState, error) {
 	store, last, err := durable.OpenLatest(dir, votesTag, maxVotesBytes)
 	if err != nil || len(last) == 0 {
@@ -22,7 +22,7 @@
 	}
 	saved := &membership.SavedState{}
 	if err := decoder.Unmarshal(last, saved); err != nil {
-		_ = store.Close() // err is what went wrong
+		_ = store.Close() // err is the cause
 		return nil, nil, fmt.Errorf("folder: %s: %w", dir, err)
 	}
 	return store, saved, nil
--- a/internal/fleet/mesh/recorded_test.go
+++ b/internal/fleet/mesh/recorded_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// A sealed frame as the build of the first version wrote it: this build writes the same bytes and reads them.
+// TestRecordedFrame checks that a sealed frame recorded from the first version is still written and read unchanged.
 func TestRecordedFrame(t *testing.T) {
 	const want = "0000003b675395a7e489c87c451549ecf1e682b0" +
 		"a6010403a1036d31302e302e302e343a3739343604427b7d051b010203040506070806626e330743010203"
--- a/internal/fleet/mesh/server.go
+++ b/internal/fleet/mesh/server.go
@@ -1,6 +1,6 @@
 package mesh
 
-// This file owns calls of peers.
+// This file serves calls from peers.
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 	"weirwind/internal/fleet/membership"
 )
 
-const maxIncomingCalls = 32 // at a time
+const maxIncomingCalls = 32 // concurrent calls
 
 // acceptLoop serves peers' calls until the context ends.
 func (m *Mesh) acceptLoop(ctx context.Context) {
@@ -30,11 +30,11 @@
 		}
 		select {
 		case serving <- struct{}{}:
-			go func() { // it ends within callTimeout
+			go func() { // ends within callTimeout
 				defer func() { <-serving }()
 				m.serveCall(conn)
 			}()
-		default: // too many at a time: the peer calls again, or another one
+		default: // too many concurrent calls; the peer retries, or calls another driver
 			conn.Close()
 		}
 	}
@@ -51,10 +51,10 @@
 		}
 		return
 	}
-	_ = m.frameCodec.write(conn, m.answer(request)) // the caller sees that no answer comes
+	_ = m.frameCodec.write(conn, m.answer(request)) // on error the caller times out
 }
 
-// answer carries a call out.
+// answer executes a call and returns its answer.
 func (m *Mesh) answer(request *frame) *frame {
 	answer := &frame{Call: request.Call, Nonce: request.Nonce}
 	switch request.Call {
@@ -77,7 +77,7 @@
 	return answer
 }
 
-// merge merges a peer's complete state, and returns this driver's as it was before.
+// merge merges a peer's snapshot, and returns this driver's snapshot from before the merge.
 func (m *Mesh) merge(peer *membership.Snapshot) *membership.Snapshot {
 	var own membership.Snapshot
 	m.step(func(view *membership.Fleet) membership.Output {
--- a/internal/fleet/mesh/status.go
+++ b/internal/fleet/mesh/status.go
@@ -1,6 +1,6 @@
 package mesh
 
-// This file owns what operators are shown, here and compared over all drivers.
+// This file implements the status shown to operators, and its comparison across all drivers.
 
 import (
 	"context"
@@ -13,12 +13,12 @@
 	"weirwind/internal/fleet/membership"
 )
 
-// refresh lets the view decide by the present time, so that what is read next is of now.
+// refresh ticks the view, so that subsequent reads reflect the current time.
 func (m *Mesh) refresh() {
 	m.step(func(view *membership.Fleet) membership.Output { return view.Tick(m.options.Now()) })
 }
 
-// Status is the view as it is now.
+// Status returns the current view.
 func (m *Mesh) Status() membership.Status {
 	m.refresh()
 	m.mu.Lock()
@@ -28,7 +28,7 @@
 	return status
 }
 
-// PartitionStatus is the side of a partition that this driver is on now, and why.
+// PartitionStatus returns this driver's current partition status and its reason.
 func (m *Mesh) PartitionStatus() (status membership.PartitionStatus, reason string) {
 	m.refresh()
 	m.mu.Lock()
@@ -37,14 +37,14 @@
 	return status, reason
 }
 
-// DriverView is what a driver answered when it was asked for its view, or why there is none.
+// DriverView is a driver's view, or the error of requesting it.
 type DriverView struct {
 	Name   string             `json:"name"`
 	Error  string             `json:"error,omitempty"`
 	Status *membership.Status `json:"status,omitempty"`
 }
 
-// Compare asks all known peers that have not left for their views. The first one is this driver's.
+// Compare requests the views of all known peers that have not left. The first result is this driver's own view.
 func (m *Mesh) Compare(ctx context.Context) []DriverView {
 	own := m.Status()
 	views, addresses := []DriverView{{Name: own.Self, Status: &own}}, map[string]string{}
@@ -70,7 +70,7 @@
 	return views
 }
 
-// statusOf asks one peer for its view.
+// statusOf requests one peer's view.
 func (m *Mesh) statusOf(ctx context.Context, address string) (*membership.Status, error) {
 	answer, err := m.call(ctx, address, &frame{Call: callStatus})
 	if err != nil {
@@ -83,42 +83,42 @@
 	return status, nil
 }
 
-// opinion is what a view says of one driver, or of the roster.
-type opinion struct{ subject, says string }
+// claim is what a view states about one driver, or about the roster.
+type claim struct{ subject, claim string }
 
-// Differences says in words, sorted, where views differ: of drivers' states, and of rosters.
+// Differences describes where views differ, on drivers' states and on the roster, in sorted lines of text.
 func Differences(views []DriverView) (lines []string) {
-	heldBy := map[opinion][]string{}
+	claimedBy := map[claim][]string{}
 	for _, view := range views {
 		if view.Status == nil {
 			lines = append(lines, fmt.Sprintf("%s gives no view: %s", view.Name, view.Error))
 			continue
 		}
-		for _, o := range opinions(view.Status) {
-			heldBy[o] = append(heldBy[o], view.Name)
+		for _, o := range claims(view.Status) {
+			claimedBy[o] = append(claimedBy[o], view.Name)
 		}
 	}
 	count := map[string]int{}
-	for o := range heldBy {
+	for o := range claimedBy {
 		count[o.subject]++
 	}
-	for o, names := range heldBy {
+	for o, names := range claimedBy {
 		if count[o.subject] > 1 {
 			slices.Sort(names)
-			lines = append(lines, fmt.Sprintf("%s: %s, say %v", o.subject, o.says, names))
+			lines = append(lines, fmt.Sprintf("%s: %s, say %v", o.subject, o.claim, names))
 		}
 	}
 	slices.Sort(lines)
 	return lines
 }
 
-func opinions(status *membership.Status) (all []opinion) {
+func claims(status *membership.Status) (all []claim) {
 	for _, driver := range status.Drivers {
-		all = append(all, opinion{driver.Name, driver.State.String()})
+		all = append(all, claim{driver.Name, driver.State.String()})
 	}
 	roster := "none"
 	if r := status.Roster; r != nil {
 		roster = fmt.Sprintf("version %d of %d drivers", r.Version, len(r.Names))
 	}
-	return append(all, opinion{"the roster", roster})
+	return append(all, claim{"the roster", roster})
 }
--- a/internal/fleet/paxos/golden_test.go
+++ b/internal/fleet/paxos/golden_test.go
@@ -9,7 +9,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// TestBallotForm holds a ballot's bytes, and the text that operators see of it.
+// TestBallotForm compares a ballot's encoding, and its text as shown to operators, with recorded ones.
 func TestBallotForm(t *testing.T) {
 	b, err := cbor.Marshal(Ballot{1000, "n1"})
 	if err != nil {
@@ -24,7 +24,7 @@
 	}
 }
 
-// TestDigest holds the answers of acceptors and proposers over seeded histories against those that were recorded.
+// TestDigest compares the answers of acceptors and proposers over seeded histories with a recorded digest.
 func TestDigest(t *testing.T) {
 	sum := fnv.New64a()
 	for seed := range uint64(300) {
--- a/internal/fleet/paxos/paxos.go
+++ b/internal/fleet/paxos/paxos.go
@@ -1,13 +1,13 @@
-// Package paxos is single-decree Paxos (Lamport, Paxos Made Simple, 2001): the rules of one instance, for an
-// acceptor and for the proposer of a ballot. It does no I/O and reads no clock. Who the voters are, what goes
-// over the wire and what is kept on disk is its users' concern.
+// Package paxos implements single-decree Paxos (Lamport, Paxos Made Simple, 2001): the rules of one instance, for an
+// acceptor and for the proposer of a ballot. It does no I/O and reads no clock. Its callers choose the voters, send the
+// messages and store the state.
 //
-// Two rules make an instance decide one value at most. An acceptor never answers for a ballot below the one
-// that it promised, not even after a restart: an Acceptor must be stored before an answer by it is sent. And a
-// proposer proposes the value of the highest ballot that its promises name, if they name any. As two majorities
-// of the voters share one, a later ballot's promises name a value that an earlier one can have decided.
+// Two rules ensure that an instance decides at most one value. An acceptor never accepts or promises a ballot below the
+// one that it promised, not even after a restart: an Acceptor must be stored before its answer is sent. And a proposer
+// proposes the value of the highest ballot that its promises report, if they report any. Because any two majorities of
+// the voters overlap, the promises for a later ballot report any value that an earlier ballot may have decided.
 //
-// Users that change the voters by their decisions ask Proposer.Decided with the voters before and after the change.
+// Callers whose decisions change the set of voters pass the voters before and after the change to Proposer.Decided.
 package paxos
 
 import (
@@ -15,22 +15,22 @@
 	"strings"
 )
 
-// MaxNumber bounds the ballot numbers that are taken over from others, so that a damaged or hostile one can't use up
-// the rest.
+// MaxNumber bounds the ballot numbers that are adopted from others, so that a corrupt or malicious message cannot
+// exhaust the number space.
 const MaxNumber = 1 << 30
 
-// Ballot orders attempts at one decision. Of one number the proposers' names decide, so that no two are alike.
+// Ballot identifies and orders attempts at one decision. Proposers break ties between equal numbers.
 type Ballot struct {
 	Number   uint32 `cbor:"1,keyasint"`
 	Proposer string `cbor:"2,keyasint"` // name
 }
 
-// Compare orders ballots, as cmp.Compare does.
+// Compare returns the order of two ballots as cmp.Compare does.
 func (b Ballot) Compare(other Ballot) int {
 	return cmp.Or(cmp.Compare(b.Number, other.Number), strings.Compare(b.Proposer, other.Proposer))
 }
 
-// Majority says whether more than half of the voters are in a set of names.
+// Majority reports whether more than half of the voters are in a set of names.
 func Majority(voters []string, names map[string]bool) bool {
 	n := 0
 	for _, voter := range voters {
@@ -41,18 +41,18 @@
 	return 2*n > len(voters)
 }
 
-// Acceptor is a voter's state in one instance; its zero value has promised nothing. It must be stored before
-// any answer by it is sent.
+// Acceptor is a voter's state in one instance. Its zero value has promised nothing. It must be stored before its answer
+// is sent.
 type Acceptor[V any] struct {
-	// Promised is the highest ballot answered. It never falls.
+	// Promised is the highest ballot promised. It never decreases.
 	Promised Ballot
-	// Accepted is the ballot in which Value was accepted; at most Promised.
+	// Accepted is the ballot in which Value was accepted. It is at most Promised.
 	Accepted Ballot
-	// Value is accepted, and not known to be decided; nil: none is.
+	// Value is the accepted value, which is not known to be decided; nil if none was accepted.
 	Value *V
 }
 
-// Prepare promises to answer for no ballot below b: false where a higher one was promised.
+// Prepare promises to accept no ballot below b. It returns false if a higher ballot was promised.
 func (a *Acceptor[V]) Prepare(b Ballot) bool {
 	if b.Compare(a.Promised) < 0 {
 		return false
@@ -61,7 +61,7 @@
 	return true
 }
 
-// Accept takes a ballot's value: false where a higher ballot was promised.
+// Accept accepts a ballot's value. It returns false if a higher ballot was promised.
 func (a *Acceptor[V]) Accept(b Ballot, value *V) bool {
 	if !a.Prepare(b) {
 		return false
@@ -70,27 +70,27 @@
 	return true
 }
 
-// Proposer is the state of who leads a ballot. It needs not outlive the process: a later ballot finds out what was
-// accepted.
+// Proposer is the state of the proposer of a ballot. It need not survive a restart: the promises for a later ballot
+// report what was accepted.
 type Proposer[V any] struct {
 	Ballot Ballot
-	// Value is the proposer's own until a promise names another; it doesn't change once Accepting is set.
+	// Value is the proposer's own until a promise reports another one. It does not change once Accepting is set.
 	Value *V
-	// Accepting says that a majority has promised, and that the value may be sent.
+	// Accepting is set once a majority has promised, so that the value may be sent.
 	Accepting bool
 
-	promisedBy map[string]bool // names
+	promisedBy map[string]bool // names of voters
 	acceptedBy map[string]bool
-	highest    Ballot // of the values that promises named
+	highest    Ballot // highest ballot of the values that promises reported
 }
 
-// NewProposer begins a ballot for a value.
+// NewProposer returns a proposer that starts a ballot for a value.
 func NewProposer[V any](b Ballot, value *V) Proposer[V] {
 	return Proposer[V]{Ballot: b, Value: value, promisedBy: map[string]bool{}, acceptedBy: map[string]bool{}}
 }
 
-// RecordPromise counts a promise, with what its sender accepted before (value is nil for nothing), and says
-// whether it is the one that makes a majority of the voters.
+// RecordPromise counts a promise with the value that its sender accepted before, nil for none. It reports whether this
+// promise completes a majority of the voters.
 func (p *Proposer[V]) RecordPromise(name string, accepted Ballot, value *V, voters []string) bool {
 	if p.Accepting {
 		return false
@@ -106,10 +106,10 @@
 // RecordAccepted counts an acceptance.
 func (p *Proposer[V]) RecordAccepted(name string) { p.acceptedBy[name] = true }
 
-// HasAccepted says whether a voter has accepted.
+// HasAccepted reports whether a voter has accepted.
 func (p *Proposer[V]) HasAccepted(name string) bool { return p.acceptedBy[name] }
 
-// Decided says whether majorities of all these sets of voters have accepted.
+// Decided reports whether a majority of each of these sets of voters has accepted.
 func (p *Proposer[V]) Decided(sets ...[]string) bool {
 	for _, voters := range sets {
 		if !Majority(voters, p.acceptedBy) {
--- a/internal/fleet/paxos/paxos_test.go
+++ b/internal/fleet/paxos/paxos_test.go
@@ -7,8 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestOneValue has prepares and accepts of several ballots meet in any order: no two values are decided.
-func TestOneValue(t *testing.T) {
+// TestDecidesOneValue checks that no two values are decided, with the prepares and accepts of several ballots in random
+// order.
+func TestDecidesOneValue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		voters := []string{"a", "b", "c", "d", "e"}[:rapid.IntRange(1, 5).Draw(t, "voters")]
 		acceptors := map[string]*Acceptor[string]{}
@@ -37,7 +38,7 @@
 			}
 			if p.Decided(voters) {
 				if decided != "" && decided != *p.Value {
-					t.Fatalf("%q was decided, and then %q", decided, *p.Value)
+					t.Fatalf("both %q and %q were decided", decided, *p.Value)
 				}
 				decided = *p.Value
 			}
--- a/internal/fleet/zones/acceptor.go
+++ b/internal/fleet/zones/acceptor.go
@@ -1,9 +1,9 @@
 package zones
 
-// This file owns the acceptor's part of Paxos. It must never answer for a ballot below the one promised, or vote where
+// This file implements the Paxos acceptor. It must never promise or accept a ballot below the one promised, or vote if
 // an earlier vote may have been forgotten.
 
-// receivePrepare answers phase 1a.
+// receivePrepare answers a Prepare (phase 1a).
 func (c *consensus) receivePrepare(now float64, msg *Message, reply func(Message)) {
 	if !c.mayVote(now) || !c.isVoter() {
 		return
@@ -18,7 +18,8 @@
 	reply(answer)
 }
 
-// receiveAccept answers phase 2a. Voters of the proposed plan that are none of the plan held accept it as well.
+// receiveAccept answers an Accept (phase 2a). Voters of the proposed plan accept it even if the current plan lacks
+// them.
 func (c *consensus) receiveAccept(now float64, msg *Message, reply func(Message)) {
 	if msg.Plan == nil || msg.Plan.Epoch != c.plan.Epoch+1 || msg.Plan.BaseSum != c.planSum || !c.mayVote(now) {
 		return
--- a/internal/fleet/zones/allowed.go
+++ b/internal/fleet/zones/allowed.go
@@ -1,37 +1,36 @@
 package zones
 
-// This file owns the table of what a driver may do (docs/zones.md).
+// This file implements the table of allowed actions (docs/zones.md).
 
 import "weirwind/internal/fleet/membership"
 
-// Action is something that a driver could do to others' harm by itself.
+// Action is an operation that can harm the fleet if drivers perform it without agreement.
 type Action uint8
 
 // The actions that Allowed decides on.
 const (
-	MovePrimary Action = iota // ask for a primary in another zone
-	SpillToZone               // send a zone more than its drivers' own reads
-	FollowPlan                // go by the plan held
-	AvoidZone                 // send nothing new to a zone that the plan has ejected
-	ConfirmPlan               // lead, and confirm the plan held
+	MovePrimary Action = iota // request the move of a primary to another zone
+	SpillToZone               // send a zone reads from other zones
+	FollowPlan                // apply the current plan
+	AvoidZone                 // send no new requests to a zone that the plan has ejected
+	ConfirmPlan               // lead, and confirm the current plan
 )
 
-// withMajority says whether a driver is on the side of most of them.
+// withMajority reports whether a driver is in the majority partition.
 func withMajority(partition membership.PartitionStatus) bool {
 	return partition == membership.Complete || partition == membership.Majority
 }
 
-// Allowed says whether a driver may do something, by the side of a partition that it is on and by whether its plan is
-// in force.
+// Allowed reports whether a driver may perform an action, given its partition status and whether its plan is in force.
 func Allowed(partition membership.PartitionStatus, inForce bool, action Action) bool {
 	switch action {
-	case MovePrimary: // at one place only: with most drivers, under a plan that is the newest
+	case MovePrimary: // in one partition only: in the majority, under the newest plan
 		return withMajority(partition) && inForce
-	case SpillToZone, FollowPlan: // for a lease, on any side: a majority of voters confirmed the plan
+	case SpillToZone, FollowPlan: // in any partition during the lease: a majority of voters confirmed the plan
 		return inForce
-	case AvoidZone: // sending less breaks no rule, and lasts beyond the lease
+	case AvoidZone: // sending less is safe, also after the lease has expired
 		return true
-	case ConfirmPlan: // a majority of the voters has to agree in any case
+	case ConfirmPlan: // needs a majority of the voters anyway
 		return true
 	}
 	return false
--- a/internal/fleet/zones/assessment.go
+++ b/internal/fleet/zones/assessment.go
@@ -1,25 +1,26 @@
 package zones
 
-// This file owns what the reports of several zones add up to: which zone is lost, partitioned, slow or lagging. It must
-// never take one driver's report for its zone's, or what one zone can't reach for lost.
+// This file combines the reports of all zones into an assessment: which zone is lost, partitioned, slow or lagging. It
+// must never take one driver's report for that of its zone, or regard a zone as lost because one other zone cannot
+// reach it.
 
 import (
 	"cmp"
 	"slices"
 )
 
-// verdict is what a zone finds of another, or of itself, by the majority of its reporters.
+// verdict is a zone's finding about another zone, or about itself, by the majority of its reporters.
 type verdict uint8
 
 const (
-	verdictUnknown verdict = iota // nobody reports on it
+	verdictUnknown verdict = iota // no reports
 	verdictHealthy
 	verdictUnreachable
 	verdictSlow
 	verdictLagging
 )
 
-// From which shares and ratios on an observation is not healthy.
+// Thresholds of an unhealthy observation.
 const (
 	unreachableShare = 0.5 // of a zone's members
 	slowRatio        = 2.5 // of recent latency to its baseline
@@ -40,23 +41,23 @@
 	return verdictHealthy
 }
 
-// Assessment is what is wrong, zone by zone.
+// Assessment lists the faults of all zones.
 type Assessment struct {
-	Causes     map[string]Cause // by zone; none for a zone without fault
+	Causes     map[string]Cause // by zone; no entry for a zone without fault
 	Partitions []Partition      // sorted
-	Unobserved []string         // zones that nobody reports on
+	Unobserved []string         // zones without reports about them
 }
 
-// verdicts are by the zone that reports, and then by the zone that it reports on.
+// verdicts are indexed by the reporting zone, then by the zone reported on.
 type verdicts map[string]map[string]verdict
 
-// assess adds reports up. zones are all that are known; alive says whether any driver of a zone is alive.
+// assess combines reports. zones are all known zones; alive tells which zones have a live driver.
 func assess(zones []string, reports []Report, alive map[string]bool, regionOf map[string]string) Assessment {
 	found := verdicts{}
-	for _, from := range zones {
-		found[from] = map[string]verdict{}
-		for _, of := range zones {
-			found[from][of] = majorityVerdict(reports, from, of)
+	for _, observer := range zones {
+		found[observer] = map[string]verdict{}
+		for _, subject := range zones {
+			found[observer][subject] = majorityVerdict(reports, observer, subject)
 		}
 	}
 	a := Assessment{Causes: map[string]Cause{}}
@@ -71,9 +72,9 @@
 		if cause == ZoneLost || cause == MembersLost {
 			continue
 		}
-		for _, from := range zones {
-			if from != zone && found[from][zone] == verdictUnreachable {
-				a.Partitions = append(a.Partitions, Partition{from, zone})
+		for _, observer := range zones {
+			if observer != zone && found[observer][zone] == verdictUnreachable {
+				a.Partitions = append(a.Partitions, Partition{observer, zone})
 			}
 		}
 	}
@@ -84,17 +85,17 @@
 	return a
 }
 
-// majorityVerdict is what most reporters of one zone find of another; healthy where they differ, unknown where none
-// reports on it.
-func majorityVerdict(reports []Report, from, of string) verdict {
+// majorityVerdict returns the verdict of most reporters of one zone about another: healthy if they disagree, unknown if
+// there are no reports.
+func majorityVerdict(reports []Report, observer, subject string) verdict {
 	votes, total := map[verdict]int{}, 0
 	for _, r := range reports {
-		if r.Zone != from {
+		if r.Zone != observer {
 			continue
 		}
 		for i := range r.Observations {
 			o := &r.Observations[i]
-			if v := o.verdict(); o.Zone == of && v != verdictUnknown {
+			if v := o.verdict(); o.Zone == subject && v != verdictUnknown {
 				votes[v]++
 				total++
 			}
@@ -111,19 +112,19 @@
 	return verdictHealthy
 }
 
-// causeOf is what is wrong with one zone by its own verdict and those of the others; observed is false where there are
-// none.
+// causeOf returns the fault of one zone by its own verdict and those of other zones. observed is false if there are no
+// verdicts.
 func (found verdicts) causeOf(zone string, zones []string, alive bool) (cause Cause, observed bool) {
 	others, count := 0, map[verdict]int{}
-	for _, from := range zones {
-		if v := found[from][zone]; from != zone && v != verdictUnknown {
+	for _, observer := range zones {
+		if v := found[observer][zone]; observer != zone && v != verdictUnknown {
 			others++
 			count[v]++
 		}
 	}
 	own := found[zone][zone]
 	total := others + toInt(own != verdictUnknown)
-	unreachable := count[verdictUnreachable] == others // for all others
+	unreachable := count[verdictUnreachable] == others // from all other zones that report
 	majority := func(v verdict) bool { return 2*(count[v]+toInt(own == v)) > total }
 	switch {
 	case total == 0:
@@ -144,7 +145,7 @@
 	return NoCause, true
 }
 
-// attributeToRegions gives the zones of a region of several, all of which are lost, that cause.
+// attributeToRegions changes the cause of zones to RegionLost if all zones of their region, at least two, are lost.
 func (a *Assessment) attributeToRegions(zones []string, regionOf map[string]string) {
 	lost, total := map[string]int{}, map[string]int{}
 	for _, zone := range zones {
--- a/internal/fleet/zones/bootstrap.go
+++ b/internal/fleet/zones/bootstrap.go
@@ -1,11 +1,12 @@
 package zones
 
-// This file owns the first plan: all drivers of the roster accept it once, so that no fleet has two.
+// This file implements the bootstrap of the first plan. All drivers of the roster must accept it, so that no fleet has
+// two.
 
 import "weirwind/internal/fleet/paxos"
 
-// bootstrap proposes a first plan once the fleet has been complete for a while. The driver whose name comes first in
-// the roster does it.
+// bootstrap proposes a first plan once the fleet has been complete for a while. The first driver of the roster is the
+// proposer.
 func (c *consensus) bootstrap(now float64, fleet *Fleet, firstPlan func() *Plan) {
 	if !fleet.complete() {
 		c.completeSince = 0
@@ -39,7 +40,7 @@
 	return Message{Kind: Bootstrap, Roster: fleet.RosterVersion, Ballot: c.proposal.Ballot, Plan: c.proposal.Value}
 }
 
-// resendBootstrap asks those again that have not accepted, as messages may have been lost.
+// resendBootstrap resends the first plan to drivers that have not accepted it, as messages may have been lost.
 func (c *consensus) resendBootstrap(now float64, fleet *Fleet) {
 	p := c.proposal
 	if p == nil || !p.bootstrap || now < p.resendAt {
@@ -53,8 +54,8 @@
 	}
 }
 
-// receiveBootstrap accepts a first plan of the driver that comes first in a roster which is the same here. fleet is nil
-// where the message is this driver's own.
+// receiveBootstrap accepts a first plan proposed by the first driver of the roster, if this driver has the same roster.
+// fleet is nil if the message is this driver's own.
 func (c *consensus) receiveBootstrap(now float64, from string, msg *Message, fleet *Fleet, reply func(Message)) {
 	if c.plan != nil {
 		if from != c.name {
@@ -80,7 +81,7 @@
 	p.RecordAccepted(from)
 }
 
-// finishBootstrap adopts a first plan that all of the roster accepted.
+// finishBootstrap adopts a first plan once all drivers of the roster have accepted it.
 func (c *consensus) finishBootstrap(now float64, fleet *Fleet) {
 	p := c.proposal
 	if p == nil || !p.bootstrap || !fleet.complete() {
--- a/internal/fleet/zones/commands.go
+++ b/internal/fleet/zones/commands.go
@@ -1,6 +1,6 @@
 package zones
 
-// This file owns operators' commands: each is applied once, by the leader, and expires by the leader's clock.
+// This file implements operators' commands: each is applied once, by the leader, and expires by the leader's clock.
 
 import (
 	"errors"
@@ -9,13 +9,13 @@
 	"slices"
 )
 
-// Command is what operators order: to evacuate a zone, to let it return, or to freeze the plan.
+// Command is an operator's command: to evacuate a zone, to let it return, or to freeze the plan.
 type Command struct {
 	Zone     string  `cbor:"1,keyasint,omitempty" json:"zone,omitempty"`
-	Evacuate bool    `cbor:"2,keyasint,omitempty" json:"away,omitempty"`     // else it is to return
-	Duration float64 `cbor:"3,keyasint,omitempty" json:"for_ms,omitempty"`   // milliseconds; 0: until it is revoked
-	Freeze   *bool   `cbor:"4,keyasint,omitempty" json:"freeze,omitempty"`   // whether only voters change; nil: as before
-	ID       uint64  `cbor:"5,keyasint,omitempty" json:"asked_at,omitempty"` // of the command: it is applied once
+	Evacuate bool    `cbor:"2,keyasint,omitempty" json:"away,omitempty"`     // false: let it return
+	Duration float64 `cbor:"3,keyasint,omitempty" json:"for_ms,omitempty"`   // milliseconds; 0: until revoked
+	Freeze   *bool   `cbor:"4,keyasint,omitempty" json:"freeze,omitempty"`   // only voters may change; nil: as before
+	ID       uint64  `cbor:"5,keyasint,omitempty" json:"asked_at,omitempty"` // the command is applied once
 }
 
 // Errors of commands and of Simulate, distinguished by errors.Is; internal/control maps them to statuses.
@@ -26,10 +26,10 @@
 	ErrNotLeader   = errors.New("this driver does not lead: ask the first voter that lives")
 )
 
-// maxAppliedCommands is how many IDs of commands are remembered before all are forgotten.
+// maxAppliedCommands is the number of remembered command IDs above which all are dropped.
 const maxAppliedCommands = 32
 
-// Submit takes a command, and forwards it to the voters. Errors: ErrNoPlan, ErrNotInForce, ErrUnknownZone.
+// Submit applies a command and forwards it to the voters. Errors: ErrNoPlan, ErrNotInForce, ErrUnknownZone.
 func (z *Coordinator) Submit(now float64, cmd Command) (Output, error) {
 	switch {
 	case z.plan == nil:
@@ -48,7 +48,7 @@
 	return z.output(now), nil
 }
 
-// apply carries out a command, where this driver leads.
+// apply executes a command if this driver leads.
 func (z *Coordinator) apply(now float64, cmd Command) {
 	if z.trackers == nil || z.appliedCommands[cmd.ID] {
 		return
@@ -79,8 +79,8 @@
 	}
 }
 
-// activeEvacuations are those that hold, for a plan. The time that is left is rounded up to 60 heartbeats, so that a
-// plan does not differ from the last one at each heartbeat. They are in no order: Plan.sort follows.
+// activeEvacuations returns the current evacuations in the form used by plans, unsorted (see Plan.sort). The remaining
+// time is rounded up to a multiple of 60 heartbeats, so that plans do not change at every heartbeat.
 func (z *Coordinator) activeEvacuations(now float64) (active []Evacuation) {
 	for zone, until := range z.evacuations {
 		e := Evacuation{Zone: zone}
--- a/internal/fleet/zones/consensus.go
+++ b/internal/fleet/zones/consensus.go
@@ -1,7 +1,7 @@
 package zones
 
-// This file owns a driver's part in agreeing: the plan that it holds, and what follows from one that was decided. It
-// must never let two plans follow one.
+// This file implements a driver's part in the consensus on plans: its current plan and the adoption of decided plans.
+// It must never allow two successors of one plan.
 
 import (
 	"slices"
@@ -9,46 +9,46 @@
 	"weirwind/internal/fleet/paxos"
 )
 
-// In heartbeats.
+// Durations in heartbeats.
 const (
-	proposalHeartbeats  = 4.0  // until a proposal is given up
-	successionDelay     = 4.0  // for each rank, before the voter of that rank leads
-	abstainHeartbeats   = 10.0 // that a driver which may have forgotten a vote gives none
-	completeHeartbeats  = 3.0  // that the fleet is complete before a first plan is proposed
-	bootstrapHeartbeats = 20.0 // until the proposal of a first plan is given up: all have to answer
+	proposalHeartbeats  = 4.0  // timeout of a proposal
+	successionDelay     = 4.0  // delay per rank before the voter of that rank takes over leadership
+	abstainHeartbeats   = 10.0 // a driver that may have forgotten a vote abstains for this long
+	completeHeartbeats  = 3.0  // the fleet must be complete for this long before a first plan is proposed
+	bootstrapHeartbeats = 20.0 // timeout of the proposal of a first plan, which all drivers have to answer
 )
 
-// consensus is a driver's part in deciding on plans.
+// consensus is a driver's state in the consensus on plans.
 type consensus struct {
 	name      string
 	heartbeat float64 // milliseconds
 	lease     float64 // milliseconds
 
-	plan    *Plan  // the newest decided one that is known; its Epoch only grows
+	plan    *Plan  // the newest known decided plan, called the current plan; its Epoch never decreases
 	planSum uint64 // its checksum
 
-	// acceptor is this driver's vote on plan's successor. It is durable before an answer by it is sent, or voteAfter
+	// acceptor is this driver's vote on the successor of plan. It is durable before its answer is sent, or voteAfter
 	// covers the time in which an earlier process of this name may have voted.
 	acceptor      paxos.Acceptor[Plan]
-	acceptedAt    float64 // when acceptor accepted last
+	acceptedAt    float64 // when acceptor last accepted
 	voteAfter     float64
-	highestNumber uint32 // no lower than any ballot number seen, bounded by paxos.MaxNumber
+	highestNumber uint32 // highest ballot number seen, bounded by paxos.MaxNumber
 
-	proposal      *proposal // that this driver leads; nil: none
-	proposeAfter  float64   // no next one before
-	completeSince float64   // since when the fleet is complete, without a plan; 0: it is not
+	proposal      *proposal // this driver's own proposal; nil: none
+	proposeAfter  float64   // earliest time of the next proposal
+	completeSince float64   // since when the fleet has been complete without a plan; 0: it is not
 	confirmation  confirmation
 
 	leading          bool
-	candidateSince   float64 // since when this driver could lead a plan that was never confirmed; 0: it can't
-	peerLeaderSeenAt float64 // when another voter asked for a confirmation last
+	candidateSince   float64 // since when this driver could lead under a never confirmed plan; 0: it cannot
+	peerLeaderSeenAt float64 // when another voter last sent a Confirm
 
-	persistent bool    // votes outlive the process
-	unsaved    bool    // something has to be saved before outbox goes out
-	saveFailed bool    // the last save: no votes until one succeeds
-	saveAt     float64 // no save before
+	persistent bool    // votes survive a restart
+	unsaved    bool    // there is state to save before outbox is sent
+	saveFailed bool    // the last save failed: no votes until one succeeds
+	saveAt     float64 // earliest time of the next save
 
-	outbox []Envelope // of the call under way
+	outbox []Envelope // collected during the current call
 	events []Event
 }
 
@@ -58,7 +58,7 @@
 	c.events = append(c.events, Event{reason, name, text})
 }
 
-// broadcast sends a message to some drivers; this one, if it is among them, takes it at once, as the last.
+// broadcast sends a message to drivers. If this driver is among them, it handles the message itself, as the last one.
 func (c *consensus) broadcast(now float64, to []string, msg Message) {
 	for _, name := range to {
 		if name != c.name {
@@ -70,7 +70,7 @@
 	}
 }
 
-// announce sends the plan held to those named.
+// announce sends the current plan to the named drivers.
 func (c *consensus) announce(to []string) {
 	for _, name := range to {
 		if name != c.name {
@@ -86,13 +86,13 @@
 	return c.plan.Epoch
 }
 
-// isVoter says whether this driver is a voter of the plan held.
+// isVoter reports whether this driver is a voter of the current plan.
 func (c *consensus) isVoter() bool { return c.plan != nil && slices.Contains(c.plan.Voters, c.name) }
 
-// mayVote says whether a vote of this driver would be kept, and none that it gave was forgotten.
+// mayVote reports whether votes of this driver can be saved, and none of its earlier votes was forgotten.
 func (c *consensus) mayVote(now float64) bool { return now >= c.voteAfter && !c.saveFailed }
 
-// tick lets time pass: proposals end, the plan is confirmed again, or a first one is proposed. firstPlan makes that.
+// tick expires proposals, renews the confirmation of the plan, or bootstraps a first one, returned by firstPlan.
 func (c *consensus) tick(now float64, fleet *Fleet, firstPlan func() *Plan) {
 	if c.proposal != nil && now >= c.proposal.deadline {
 		c.proposal, c.proposeAfter = nil, now+c.heartbeat*(1+c.jitter())
@@ -102,12 +102,12 @@
 		return
 	}
 	done := c.confirmationDone(now)
-	if c.updateLeading(now, fleet) && now >= c.confirmation.nextAt && done {
+	if c.updateLeading(now, fleet) && now >= c.confirmation.nextRoundAt && done {
 		c.confirm(now)
 	}
 }
 
-// jitter is a fraction below 1 that differs between drivers, so that two proposers do not collide again and again.
+// jitter returns a fraction below 1 that differs between drivers, so that two proposers do not collide repeatedly.
 func (c *consensus) jitter() float64 {
 	var hash uint32
 	for _, b := range []byte(c.name) {
@@ -116,7 +116,7 @@
 	return float64(hash%7) / 7
 }
 
-// receive takes a message. fleet is the fleet as it is seen; nil where the message is this driver's own.
+// receive handles a message. fleet is the current view of the fleet; nil if the message is this driver's own.
 func (c *consensus) receive(now float64, from string, msg *Message, fleet *Fleet) {
 	reply := func(answer Message) {
 		if from == c.name {
@@ -163,8 +163,8 @@
 	}
 }
 
-// concernsCurrentPlan says whether a message is about the plan that this driver holds. A sender that lags behind is
-// sent the newest plan; one that is ahead is asked for its own.
+// concernsCurrentPlan reports whether a message is about this driver's current plan. It sends a sender with an older
+// plan the current one, and asks a sender with a newer plan for that.
 func (c *consensus) concernsCurrentPlan(from string, msg *Message) bool {
 	if msg.Epoch < c.epoch() {
 		if from != c.name && msg.isRequest() {
@@ -184,7 +184,7 @@
 	return false
 }
 
-// adopt makes a decided plan the one that is held. It is in force once it is confirmed.
+// adopt makes a decided plan the current one. It is in force once it is confirmed.
 func (c *consensus) adopt(now float64, plan *Plan) {
 	c.plan, c.planSum = plan, plan.sum()
 	c.acceptor, c.proposal = paxos.Acceptor[Plan]{}, nil
@@ -193,13 +193,13 @@
 	c.emit("plan", c.name, describe(plan))
 }
 
-// learn takes a plan that was decided, and says whether it is newer than the one held.
+// learn adopts a decided plan if it is newer than the current one, and reports whether it is.
 func (c *consensus) learn(now float64, plan *Plan) bool {
 	if !plan.valid() || plan.Epoch <= c.epoch() {
 		return false
 	}
 	if c.plan == nil && slices.Contains(plan.Voters, c.name) && !c.persistent {
-		// an earlier process of this name may have voted on its successor
+		// An earlier process of this name may have voted on its successor.
 		c.voteAfter = max(c.voteAfter, now+abstainHeartbeats*c.heartbeat)
 	}
 	c.adopt(now, plan)
--- a/internal/fleet/zones/consensus_test.go
+++ b/internal/fleet/zones/consensus_test.go
@@ -7,9 +7,9 @@
 	"weirwind/internal/fleet/paxos"
 )
 
-// newDecided is a driver that holds a first plan of three voters.
+// newDecided returns a driver whose current plan is a first plan with three voters.
 func newDecided(name string) *consensus {
-	c := &consensus{name: name, heartbeat: 100, lease: 1000, confirmation: confirmation{at: math.Inf(-1)}}
+	c := &consensus{name: name, heartbeat: 100, lease: 1000, confirmation: confirmation{confirmedAt: math.Inf(-1)}}
 	c.adopt(0, &Plan{Epoch: 1, Voters: []string{"a", "b", "c"}})
 	c.events, c.outbox = nil, nil
 	return c
@@ -24,54 +24,54 @@
 	return all
 }
 
-// TestLateSummaryShortensLease: an answer that was long on its way counts from when it was asked for; a summary that
-// nobody asked for counts for nothing, and neither does the age of another plan than the one held.
-func TestLateSummaryShortensLease(t *testing.T) {
+// TestLateSummaryDoesNotExtendLease checks that the age in a delayed summary counts from when the summary was
+// requested, and that unsolicited summaries and those of other plans do not confirm the current plan.
+func TestLateSummaryDoesNotExtendLease(t *testing.T) {
 	c := newDecided("d")
 	c.observeSummary(20000, 1000, &Summary{Epoch: 1, Sum: c.planSum, Age: 50})
-	if c.confirmation.at != 950 || c.inForce(2000) || !c.inForce(1900) {
-		t.Errorf("confirmed at %v", c.confirmation.at)
+	if c.confirmation.confirmedAt != 950 || c.inForce(2000) || !c.inForce(1900) {
+		t.Errorf("confirmed at %v", c.confirmation.confirmedAt)
 	}
 	c.observeSummary(30000, math.Inf(-1), &Summary{Epoch: 1, Sum: c.planSum, Age: -1})
 	c.observeSummary(30000, 30000, &Summary{Epoch: 1, Sum: c.planSum + 1, Age: 0})
 	c.observeSummary(30000, 30000, &Summary{Epoch: 2, Sum: c.planSum, Age: 0})
 	c.observeSummary(30000, 30000, &Summary{Epoch: 1, Sum: c.planSum, Age: math.NaN()})
-	if c.confirmation.at != 950 {
-		t.Errorf("confirmed at %v", c.confirmation.at)
+	if c.confirmation.confirmedAt != 950 {
+		t.Errorf("confirmed at %v", c.confirmation.confirmedAt)
 	}
 }
 
-// TestNoConfirmationAfterVote: a voter that accepted the next plan confirms this one no more, whatever it did before.
+// TestNoConfirmationAfterVote checks that a voter that accepted the next plan no longer confirms the current one.
 func TestNoConfirmationAfterVote(t *testing.T) {
 	c := newDecided("b")
-	renew := &Message{Kind: Confirm, Epoch: 1, Sum: c.planSum, Nonce: 7}
-	c.receive(10, "a", renew, nil)
+	confirm := &Message{Kind: Confirm, Epoch: 1, Sum: c.planSum, Nonce: 7}
+	c.receive(10, "a", confirm, nil)
 	if s := c.takeOutbox(); len(s) != 1 || s[0].Message.Kind != Confirmed {
 		t.Fatalf("%+v", s)
 	}
 	c.receive(20, "a", &Message{Kind: Accept, Epoch: 1, Sum: c.planSum, Ballot: paxos.Ballot{Number: 1, Proposer: "a"},
 		Plan: c.successor("x")}, nil)
 	c.takeOutbox()
-	c.receive(30, "a", renew, nil)
+	c.receive(30, "a", confirm, nil)
 	if s := c.takeOutbox(); len(s) != 0 {
 		t.Errorf("%+v", s)
 	}
 }
 
-// TestProposal: two of three are needed, answers of others and to other ballots count for nothing, and a plan that one
-// of them accepted before goes first.
+// TestProposal checks that a decision needs two of three voters, that answers of non-voters and to other ballots are
+// ignored, and that a plan that a voter accepted before takes precedence.
 func TestProposal(t *testing.T) {
 	c := newDecided("a")
 	c.propose(10, c.successor("mine"))
 	if s := c.takeOutbox(); len(s) != 2 || c.proposal == nil || c.proposal.Accepting {
-		t.Fatalf("one promise is no majority: %+v", s)
+		t.Fatalf("one promise counts as a majority: %+v", s)
 	}
 	promise := Message{Kind: Promise, Epoch: 1, Sum: c.planSum, Ballot: c.proposal.Ballot}
 	c.receive(20, "x", &promise, nil)
-	old := promise
-	old.Ballot.Number--
-	if c.receive(20, "b", &old, nil); c.proposal.Accepting {
-		t.Fatal("a stranger's promise, or one to another ballot, counts")
+	otherBallot := promise
+	otherBallot.Ballot.Number--
+	if c.receive(20, "b", &otherBallot, nil); c.proposal.Accepting {
+		t.Fatal("a promise of a non-voter, or for another ballot, counts")
 	}
 	promise.Accepted, promise.Plan = paxos.Ballot{Number: 0, Proposer: "b"}, c.successor("before")
 	c.receive(30, "b", &promise, nil)
@@ -81,41 +81,41 @@
 	}
 	accepted := Message{Kind: Accepted, Epoch: 1, Sum: c.planSum, Ballot: c.proposal.Ballot}
 	if c.receive(40, "x", &accepted, nil); c.plan.Epoch != 1 {
-		t.Fatal("a stranger's vote counts")
+		t.Fatal("a non-voter's vote counts")
 	}
 	if c.receive(40, "c", &accepted, nil); c.plan.Epoch != 2 || c.plan.BindingConstraints[0] != "before" {
 		t.Errorf("%+v", c.plan)
 	}
 }
 
-// TestUnsavedVotes: what can't be saved is not sent, and no votes are given until a save succeeds.
+// TestUnsavedVotes checks that after a failed save a driver does not vote until a save succeeds.
 func TestUnsavedVotes(t *testing.T) {
 	c := newDecided("b")
 	c.persistent = true
 	c.receive(10, "a", &Message{Kind: Prepare, Epoch: 1, Sum: c.planSum,
 		Ballot: paxos.Ballot{Number: 1, Proposer: "a"}}, nil)
 	if c.save(10) == nil {
-		t.Fatal("nothing to keep")
+		t.Fatal("nothing to save")
 	}
-	c.takeOutbox() // not sent
+	c.takeOutbox() // not sent, as the save fails
 	c.saved(10, false)
 	if c.receive(20, "a", &Message{Kind: Prepare, Epoch: 1, Sum: c.planSum,
 		Ballot: paxos.Ballot{Number: 2, Proposer: "a"}}, nil); len(c.takeOutbox()) != 0 {
-		t.Error("it votes")
+		t.Error("it votes after a failed save")
 	}
-	k := c.save(300)
-	if k == nil || k.Promised.Number != 1 {
-		t.Fatalf("%+v", k)
+	state := c.save(300)
+	if state == nil || state.Promised.Number != 1 {
+		t.Fatalf("%+v", state)
 	}
 	c.saved(300, true)
 	if c.receive(310, "a", &Message{Kind: Prepare, Epoch: 1, Sum: c.planSum,
 		Ballot: paxos.Ballot{Number: 3, Proposer: "a"}}, nil); len(c.takeOutbox()) != 1 {
-		t.Error("it votes no more")
+		t.Error("it does not vote after a successful save")
 	}
-	again := &consensus{name: "b", heartbeat: 100, persistent: true, confirmation: confirmation{at: math.Inf(-1)}}
-	again.restore(k)
-	if again.receive(400, "c", &Message{Kind: Prepare, Epoch: 1, Sum: c.planSum,
-		Ballot: paxos.Ballot{Number: 0, Proposer: "c"}}, nil); again.takeOutbox()[0].Message.Kind != Reject {
+	restarted := &consensus{name: "b", heartbeat: 100, persistent: true, confirmation: confirmation{confirmedAt: math.Inf(-1)}}
+	restarted.restore(state)
+	if restarted.receive(400, "c", &Message{Kind: Prepare, Epoch: 1, Sum: c.planSum,
+		Ballot: paxos.Ballot{Number: 0, Proposer: "c"}}, nil); restarted.takeOutbox()[0].Message.Kind != Reject {
 		t.Error("it forgot its promise")
 	}
 }
--- a/internal/fleet/zones/coordinator.go
+++ b/internal/fleet/zones/coordinator.go
@@ -1,7 +1,7 @@
 package zones
 
-// This file owns one driver's part in all of it: calls of its owner, and what is to be done after each. It must never
-// go by a plan that was not decided.
+// This file implements the calls of a driver's Coordinator and collects the output of each. It must never apply a plan
+// that was not decided.
 
 import (
 	"maps"
@@ -9,59 +9,59 @@
 	"slices"
 )
 
-// Region is a group of zones that are nearer to each other than to others.
+// Region is a group of zones that are closer to each other than to other zones.
 type Region struct {
 	Name  string
 	Zones []string
 }
 
-// Options are set by operators, but for Persistent and Saved. Times are milliseconds.
+// Options are set by operators, except Persistent and Saved. Times are milliseconds.
 type Options struct {
-	Heartbeat float64 // between two steps of the leader, two confirmations and two reports of a driver
-	Lease     float64 // for which a plan is in force after it was certainly the newest
-	Voters    int     // at most
+	Heartbeat float64 // interval of the leader's steps, of confirmations and of each driver's reports
+	Lease     float64 // how long a plan is in force after its confirmation
+	Voters    int     // maximum number of voters
 	Regions   []Region
 	Timing    Timing
 	Limits    Limits
-	// BaselineUtilization is the share of what all members can do that reads take while nothing is wrong.
+	// BaselineUtilization is the share of all members' capacity that reads use in normal operation.
 	BaselineUtilization float64
-	// MaxShiftRate is the most of a zone's reads by which a planned share rises or falls within a second.
+	// MaxShiftRate is the maximum change of a planned share per second, as a fraction of the zone's reads.
 	MaxShiftRate float64
 	Persistent   bool        // the owner saves Output.Save
-	Saved        *SavedState // what an earlier process saved last; nil: nothing
+	Saved        *SavedState // last state saved by an earlier process; nil: none
 }
 
-// Coordinator is one driver's part in deciding on plans. It is not safe for concurrent use.
+// Coordinator is one driver's state in deciding on and applying plans. It is not safe for concurrent use.
 type Coordinator struct {
 	consensus
 	leader
 	options  Options
 	self     Peer
-	run      uint64 // of the process: a later one has a higher one
+	run      uint64 // of the process; a later process of the same name has a higher one
 	regionOf map[string]string
 
 	fleet        Fleet             // as of the last Tick
 	observations []Observation     // as of the last Observe, by zone
 	primaries    []PrimaryLocation // as of the last Observe
 
-	reports        map[string]*receivedReport // by driver
-	reportSequence uint64                     // of the last own report
+	reports        map[string]*receivedReport // by name of the driver
+	reportSequence uint64                     // of this driver's last report
 	nextReportAt   float64
 
 	penalties        penaltyController
-	appliedPenalties map[string]float64 // that the module was given last; nil: none
+	appliedPenalties map[string]float64 // last output to the routing module; nil: none
 }
 
-// Output is what is to be done after a call.
+// Output is what the caller must do after a call.
 type Output struct {
 	Messages         []Envelope
 	Events           []Event     // for the log
-	Save             *SavedState // to be durable before Messages are sent, then Saved is called; nil: nothing to save
-	PlanChanged      bool        // the plan is to be gossiped at once
-	PenaltiesChanged bool        // the routing module is to be given Tolls
+	Save             *SavedState // must be durable before Messages are sent, then call Saved; nil: nothing to save
+	PlanChanged      bool        // gossip the plan immediately
+	PenaltiesChanged bool        // pass ZonePenalties to the routing module
 }
 
-// New makes the part of a driver that starts. run is higher than that of an earlier process of its name.
+// New returns the coordinator of a driver that starts. run must be higher than that of earlier processes of its name.
 func New(now float64, options Options, self Peer, run uint64) *Coordinator {
 	z := &Coordinator{
 		consensus: consensus{
@@ -81,7 +81,7 @@
 		reports:   map[string]*receivedReport{},
 		penalties: penaltyController{zone: self.Zone, updatedAt: now},
 	}
-	z.confirmation.at = math.Inf(-1)
+	z.confirmation.confirmedAt = math.Inf(-1)
 	for _, region := range options.Regions {
 		for _, zone := range region.Zones {
 			z.regionOf[zone] = region.Name
@@ -91,7 +91,7 @@
 	return z
 }
 
-// zoneNames are all zones that are known: of regions, of drivers, of members and of the plan. Sorted.
+// zoneNames returns all known zones, sorted: those of regions, drivers, members and the plan.
 func (z *Coordinator) zoneNames() []string {
 	names := slices.Clone(z.fleet.Zones)
 	for name := range z.regionOf {
@@ -110,8 +110,8 @@
 	return names[:min(len(names), maxZones)]
 }
 
-// Observe takes what the own driver observes of each zone, and how many of its reads went to each since the last call;
-// nil while that was not counted. A changed verdict is reported at once.
+// Observe records this driver's observations of each zone, and how many of its reads were sent to each since the last
+// call; sent is nil if reads were not counted. A changed verdict is reported to the voters immediately.
 func (z *Coordinator) Observe(
 	now float64,
 	observations []Observation,
@@ -131,7 +131,7 @@
 	return z.output(now)
 }
 
-// Tick lets time pass, with the fleet as it is seen now.
+// Tick advances the time and runs what is due, with the current view of the fleet.
 func (z *Coordinator) Tick(now float64, fleet Fleet) Output {
 	z.fleet = fleet
 	z.finishBootstrap(now, &z.fleet)
@@ -148,8 +148,8 @@
 	return z.output(now)
 }
 
-// Receive takes a message of a peer. requestedAt is when the peer was asked for it, on the own clock; -Inf where it
-// came unasked.
+// Receive handles a message from a peer. requestedAt is when this driver requested it, on its own clock; -Inf if it was
+// unsolicited.
 func (z *Coordinator) Receive(now, requestedAt float64, from string, msg Message) Output {
 	if msg.Kind == ReportReply {
 		return z.ReceiveSummary(now, requestedAt, msg.Summary)
@@ -173,7 +173,7 @@
 	return out
 }
 
-// Summary is this driver's; nil while it holds no plan.
+// Summary returns this driver's summary, or nil if it has no plan.
 func (z *Coordinator) Summary(now float64) *Summary {
 	if z.plan == nil {
 		return nil
@@ -185,9 +185,10 @@
 	return s
 }
 
-// ReceiveSummary takes a peer's summary; nil for none. requestedAt is when the peer was asked for it, on the own clock,
-// and -Inf where it was not: then only its plan counts, its age says nothing of now. Where Output.PlanChanged is set
-// after that the peer should be asked, so that the plan comes in force here.
+// ReceiveSummary handles a peer's summary, which may be nil. requestedAt is when this driver requested it, on its own
+// clock, or -Inf if it was unsolicited. The age of an unsolicited summary is ignored, because it may have been delayed;
+// only its plan is used. If Output.PlanChanged is set after that, the caller should request the peer's summary, so that
+// the plan comes into force here.
 func (z *Coordinator) ReceiveSummary(now, requestedAt float64, summary *Summary) Output {
 	if summary == nil {
 		return Output{}
@@ -204,10 +205,10 @@
 	return out
 }
 
-// Saved takes the outcome of Output.Save.
+// Saved reports the result of Output.Save.
 func (z *Coordinator) Saved(now float64, ok bool) { z.saved(now, ok) }
 
-// output collects what is to be done after a call.
+// output collects the output of a call.
 func (z *Coordinator) output(now float64) (out Output) {
 	out = Output{Messages: z.outbox, Events: z.events, Save: z.save(now)}
 	z.outbox, z.events = nil, nil
@@ -218,15 +219,15 @@
 	return out
 }
 
-// sameTolls compares tolls; none, nil, differ from an empty map.
+// samePenalties reports whether two sets of penalties are equal. A nil map differs from an empty one.
 func samePenalties(a, b map[string]float64) bool {
 	return (a == nil) == (b == nil) && maps.Equal(a, b)
 }
 
-// Tolls are those for the routing module, by zone; nil for none: it goes by its defaults.
+// ZonePenalties returns the penalties for the routing module, by zone; nil if the module's defaults apply.
 func (z *Coordinator) ZonePenalties() map[string]float64 { return z.appliedPenalties }
 
-// PlannedZones are the zones that the plan has a share of this driver's reads for.
+// PlannedZones returns the zones to which the plan assigns a share of this driver's reads.
 func (z *Coordinator) PlannedZones() map[string]bool {
 	planned := map[string]bool{}
 	if z.plan != nil {
--- a/internal/fleet/zones/digest_test.go
+++ b/internal/fleet/zones/digest_test.go
@@ -11,7 +11,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// TestDigest holds all decisions of whole fleets, in their order, over seeded histories against those recorded.
+// TestDigest compares all outputs of simulated fleets over seeded histories with recorded digests.
 func TestDigest(t *testing.T) {
 	for seed, want := range map[uint64]string{
 		1: "c5522a2ccb20772b",
@@ -29,12 +29,12 @@
 	}
 }
 
-// digest plays one fleet through faults and commands, and hashes what each driver puts out.
+// digest runs one simulated fleet through faults and commands, and hashes the output of each driver.
 func digest(t *testing.T, seed uint64) string {
 	s := newSimulation(seed, "a", "b", "c", "a", "b", "c", "a", "b")
 	s.persistent, s.loss = seed%2 == 0, []float64{0, 0.05, 0.2}[seed%3]
 	s.primaries = map[int64]string{1: "b"}
-	sum, lines, outputs := fnv.New64a(), map[string]int{}, 0
+	sum, counts, outputs := fnv.New64a(), map[string]int{}, 0
 	s.watch = func(d *node, o Output) {
 		fmt.Fprintf(sum, "%v %s %v %v\n", s.Now, d.name, o.PlanChanged, o.PenaltiesChanged)
 		for _, envelope := range o.Messages {
@@ -43,11 +43,11 @@
 				t.Fatal(err)
 			}
 			fmt.Fprintf(sum, "%s %x\n", envelope.To, b)
-			lines[fmt.Sprint("message ", envelope.Message.Kind)]++
+			counts[fmt.Sprint("message ", envelope.Message.Kind)]++
 		}
-		for _, n := range o.Events {
-			fmt.Fprintln(sum, n.Reason, n.Name, n.Text)
-			lines["note "+n.Reason]++
+		for _, event := range o.Events {
+			fmt.Fprintln(sum, event.Reason, event.Name, event.Text)
+			counts["event "+event.Reason]++
 		}
 		if b, err := cbor.Marshal(o.Save); err == nil && o.Save != nil {
 			fmt.Fprintf(sum, "save %x\n", b)
@@ -59,13 +59,13 @@
 		learned := d.coordinator.readsPerMember
 		preview, err := d.coordinator.Simulate(s.Now, "b")
 		if d.coordinator.readsPerMember != learned {
-			panic("a preview taught the leader what a member serves")
+			panic("a preview changed the leader's estimate of a member's capacity")
 		}
 		shown, _ := json.Marshal([]any{d.coordinator.Status(s.Now), preview, d.coordinator.ZonePenalties(),
 			d.coordinator.PlannedZones(), moves, epoch})
 		fmt.Fprintln(sum, string(shown), err)
-		lines["moves"] += len(moves)
-		lines["flows"] += len(preview.Flows)
+		counts["moves"] += len(moves)
+		counts["flows"] += len(preview.Flows)
 	}
 	s.runUntilConverged(60000, anyPlan)
 	r := rand.New(rand.NewPCG(seed, 77))
@@ -75,11 +75,11 @@
 	}
 	s.blocked, s.loss, s.observe = nil, 0, observeHealthy
 	s.run(60000)
-	t.Log(lines)
+	t.Log(counts)
 	return fmt.Sprintf("%016x", sum.Sum64())
 }
 
-// digestFault draws one fault or command.
+// digestFault injects one random fault or command.
 func digestFault(s *simulation, r *rand.Rand) {
 	d, to := s.nodes[r.IntN(len(s.nodes))], s.nodes[r.IntN(len(s.nodes))]
 	switch r.IntN(8) {
@@ -98,10 +98,10 @@
 		side := r.Uint64()
 		s.blocked = func(a, b int) bool { return side>>a&1 != side>>b&1 }
 	case 5:
-		silent, lag, slow, rate := r.IntN(5), r.IntN(5), 4*r.Float64(), 200*r.Float64()
+		unreachable, lag, slow, rate := r.IntN(5), r.IntN(5), 4*r.Float64(), 200*r.Float64()
 		s.observe = func(from, of string) Observation {
-			if of == d.zone && (from != to.zone || silent%2 == 0) {
-				return Observation{Zone: of, Members: 4, Reads: rate, Unreachable: silent, LatencyRatio: slow, Lagging: lag}
+			if of == d.zone && (from != to.zone || unreachable%2 == 0) {
+				return Observation{Zone: of, Members: 4, Reads: rate, Unreachable: unreachable, LatencyRatio: slow, Lagging: lag}
 			}
 			return Observation{Zone: of, Members: 4, Reads: 100, LatencyRatio: 1}
 		}
@@ -120,8 +120,8 @@
 	}
 }
 
-// TestDigestOfParts holds the parts that no fleet of the above runs widely: trackers, assessments, flows, tolls, counts.
-func TestDigestOfParts(t *testing.T) {
+// TestComponentDigest compares components that TestDigest covers too little with a recorded digest.
+func TestComponentDigest(t *testing.T) {
 	r := rand.New(rand.NewPCG(5, 5))
 	sum, names := fnv.New64a(), []string{"a", "b", "c", "d"}
 	causes := []Cause{NoCause, NoCause, NoCause, ZoneLost, MembersLost, DriversLost, Isolated, Slow, Lagging, RegionLost}
@@ -130,9 +130,9 @@
 	for range 40 {
 		c, now := &tracker{Zone: Zone{Name: "a", Capacity: 1}}, 0.0
 		for range 200 {
-			cause, ordered, may := causes[r.IntN(len(causes))], r.IntN(6) == 0, r.IntN(4) > 0
+			cause, evacuated, mayRecover := causes[r.IntN(len(causes))], r.IntN(6) == 0, r.IntN(4) > 0
 			for range 1 + r.IntN(20) {
-				c.step(now, timing, cause, ordered, may)
+				c.step(now, timing, cause, evacuated, mayRecover)
 				fmt.Fprintln(sum, c.Zone, c.since, c.healthySince, c.degradedSince, c.degraded)
 				now += 300
 			}
@@ -140,38 +140,38 @@
 	}
 	for range 400 {
 		var reports []Report
-		var places []ZoneLoad
+		var loads []ZoneLoad
 		for _, n := range names {
-			places = append(places, ZoneLoad{n, string('r' + n[0]%2), 100 * r.Float64(), float64(r.IntN(3)) * 60})
+			loads = append(loads, ZoneLoad{n, string('r' + n[0]%2), 100 * r.Float64(), float64(r.IntN(3)) * 60})
 			for range r.IntN(4) {
-				p := Report{Zone: n}
-				for _, of := range names {
-					p.Observations = append(p.Observations, Observation{Zone: of, Members: r.IntN(4), Unreachable: r.IntN(4),
+				report := Report{Zone: n}
+				for _, zone := range names {
+					report.Observations = append(report.Observations, Observation{Zone: zone, Members: r.IntN(4), Unreachable: r.IntN(4),
 						LatencyRatio: 4 * r.Float64(), Lagging: r.IntN(4)})
 				}
-				p.Primaries = []PrimaryLocation{{1, names[r.IntN(2)]}, {2, names[r.IntN(4)]}}
-				reports = append(reports, p)
+				report.Primaries = []PrimaryLocation{{1, names[r.IntN(2)]}, {2, names[r.IntN(4)]}}
+				reports = append(reports, report)
 			}
 		}
-		lives := map[string]bool{"a": r.IntN(2) == 0, "b": r.IntN(2) == 0, "c": true}
-		j := assess(names, reports, lives, map[string]string{"a": "r", "b": "r", "c": "s"})
-		flows, binds := solveFlows(places, Limits{0.3 * r.Float64(), r.Float64()}, func(f, t string) bool {
+		alive := map[string]bool{"a": r.IntN(2) == 0, "b": r.IntN(2) == 0, "c": true}
+		assessment := assess(names, reports, alive, map[string]string{"a": "r", "b": "r", "c": "s"})
+		flows, binding := solveFlows(loads, Limits{0.3 * r.Float64(), r.Float64()}, func(f, t string) bool {
 			return f == t || f != "a" || t != "b"
 		})
-		fmt.Fprintln(sum, j.Causes, j.Partitions, j.Unobserved, primaryZones(reports), flows, binds)
+		fmt.Fprintln(sum, assessment.Causes, assessment.Partitions, assessment.Unobserved, primaryZones(reports), flows, binding)
 	}
-	f, a, u := &penaltyController{zone: "a"}, &TrafficCounter{}, &LatencyBaseline{}
+	controller, traffic, latency := &penaltyController{zone: "a"}, &TrafficCounter{}, &LatencyBaseline{}
 	for i := range 2000 {
-		p := goldenPlan()
-		p.Flows = []Flow{{"a", "b", float64(r.IntN(10)) / 10}, {"b", "a", r.Float64()}}
-		p.Zones[r.IntN(3)].State = State(r.IntN(5))
-		f.update(float64(i*700), p, names, map[string]float64{"a": 100 * r.Float64(), "b": 100 * r.Float64()})
-		facts := SendAttributes{r.IntN(3) == 0, r.IntN(3) == 0, r.IntN(3) == 0}
-		a.Record("a", names[r.IntN(4)], "get", r.IntN(100), facts, r.IntN(2) == 0)
-		u.Add(math.Exp(5 * r.Float64()))
-		fmt.Fprintln(sum, f.penalties, f.effective(p, names, i%3 > 0), u.Ratio())
+		plan := goldenPlan()
+		plan.Flows = []Flow{{"a", "b", float64(r.IntN(10)) / 10}, {"b", "a", r.Float64()}}
+		plan.Zones[r.IntN(3)].State = State(r.IntN(5))
+		controller.update(float64(i*700), plan, names, map[string]float64{"a": 100 * r.Float64(), "b": 100 * r.Float64()})
+		attributes := SendAttributes{r.IntN(3) == 0, r.IntN(3) == 0, r.IntN(3) == 0}
+		traffic.Record("a", names[r.IntN(4)], "get", r.IntN(100), attributes, r.IntN(2) == 0)
+		latency.Add(math.Exp(5 * r.Float64()))
+		fmt.Fprintln(sum, controller.penalties, controller.effective(plan, names, i%3 > 0), latency.Ratio())
 	}
-	fmt.Fprintln(sum, a.TakeReads(), a.CrossZone())
+	fmt.Fprintln(sum, traffic.TakeReads(), traffic.CrossZone())
 	if got := fmt.Sprintf("%016x", sum.Sum64()); got != "907853c319422bd0" {
 		t.Errorf("digest %s", got)
 	}
--- a/internal/fleet/zones/fleet_test.go
+++ b/internal/fleet/zones/fleet_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// observeWithout is what drivers observe where members of zone b answer none in some zones.
+// observeWithout returns observations in which the members of zone b are unreachable from some zones.
 func observeWithout(unreachableFrom ...string) func(from, of string) Observation {
 	return func(from, of string) Observation {
 		o := observeHealthy(from, of)
@@ -26,7 +26,7 @@
 	}
 }
 
-// startAll starts the nodes that don't run.
+// startAll starts the nodes that do not run.
 func (s *simulation) startAll() {
 	for _, n := range s.nodes {
 		if n.coordinator == nil {
@@ -35,7 +35,7 @@
 	}
 }
 
-// TestCauses: each fault is told from the others, decided on by all, and undone when it is over.
+// TestCauses checks that each kind of fault leads to its own plan, and that the plan is normal again after the fault.
 func TestCauses(t *testing.T) {
 	for name, test := range map[string]struct {
 		fault func(s *simulation)
@@ -81,7 +81,7 @@
 				return zoneIs("b", Serving, Slow)(p) && p.zone("b").Capacity == degradedCapacity
 			},
 		},
-		"one driver reports that all is lost": {
+		"one driver reports all members as unreachable": {
 			fault: func(s *simulation) {
 				s.tamper = func(n *node, sent []Observation) {
 					if n.index == 4 {
@@ -91,38 +91,38 @@
 					}
 				}
 			},
-			want: allWhole,
+			want: allServingLocally,
 		},
 	} {
 		t.Run(name, func(t *testing.T) { testCause(t, test.fault, test.want) })
 	}
 }
 
-// testCause has nine drivers agree on a first plan, go through a fault to the plan wanted, and return.
+// testCause runs nine drivers from a first plan through a fault to the wanted plan and back.
 func testCause(t *testing.T, fault func(s *simulation), want func(p *Plan) bool) {
 	t.Helper()
 	s := newSimulation(1, "a", "b", "c", "a", "b", "c", "a", "b", "c")
-	if s.runUntilConverged(60000, allWhole) < 0 {
+	if s.runUntilConverged(60000, allServingLocally) < 0 {
 		s.dump(t)
 		t.Fatal("no first plan")
 	}
 	fault(s)
-	took := s.runUntilConverged(60000, want)
-	if s.run(5000); took < 0 || s.runUntilConverged(5000, want) < 0 {
+	elapsed := s.runUntilConverged(60000, want)
+	if s.run(5000); elapsed < 0 || s.runUntilConverged(5000, want) < 0 {
 		s.dump(t)
-		t.Fatal("not the plan wanted, or not for long")
+		t.Fatal("the wanted plan was not reached, or not kept")
 	}
-	t.Logf("%.0f ms", took)
+	t.Logf("%.0f ms", elapsed)
 	s.observe, s.tamper = observeHealthy, nil
 	s.startAll()
-	if s.runUntilConverged(120000, allWhole) < 0 || len(s.violations) > 0 {
+	if s.runUntilConverged(120000, allServingLocally) < 0 || len(s.violations) > 0 {
 		s.dump(t)
-		t.Fatal("not as before")
+		t.Fatal("not back to normal, or invariants violated")
 	}
 }
 
-// TestAnyFaults: under any faults between drivers no two plans of one epoch are in force, and none for longer than its
-// lease beside a later one; after the last fault all follow one plan.
+// TestAnyFaults checks under random faults that no two plans of one epoch are in force, that no plan is in force for
+// longer than its lease alongside a later one, and that all drivers follow one plan after the last fault.
 func TestAnyFaults(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		count := rapid.IntRange(3, 7).Draw(r, "drivers")
@@ -131,7 +131,7 @@
 			zones = append(zones, string(rune('a'+i%3)))
 		}
 		s := newSimulation(rapid.Uint64().Draw(r, "seed"), zones...)
-		s.persistent = rapid.Bool().Draw(r, "keeps")
+		s.persistent = rapid.Bool().Draw(r, "persistent")
 		for _, n := range s.nodes {
 			s.start(n)
 		}
@@ -156,12 +156,12 @@
 		s.startAll()
 		if s.runUntilConverged(400000, allServing) < 0 || len(s.violations) > 0 {
 			logFailure(r, s)
-			r.Fatal("after the last fault")
+			r.Fatal("no common plan after the last fault, or invariants violated")
 		}
 	})
 }
 
-// drawFault draws one fault, or the end of one.
+// drawFault injects one random fault, or ends one.
 func drawFault(r *rapid.T, s *simulation, unreachable map[string]bool) {
 	count := len(s.nodes)
 	n := s.nodes[rapid.IntRange(0, count-1).Draw(r, "at")]
--- a/internal/fleet/zones/flows.go
+++ b/internal/fleet/zones/flows.go
@@ -1,6 +1,6 @@
 package zones
 
-// This file owns the flows of a plan: what zones need and can serve, and how fast shares of reads may shift.
+// This file computes the flows of a plan: each zone's demand and capacity, and how fast shares of reads may shift.
 
 import (
 	"math"
@@ -8,11 +8,11 @@
 )
 
 const (
-	goalHeartbeats = 5.0  // that flows approach one goal at least
-	goalTolerance  = 0.15 // of a zone's reads: another goal has to differ by so much
+	goalHeartbeats = 5.0  // minimum time for which flows approach one goal
+	goalTolerance  = 0.15 // minimum difference of a new goal, as a share of a zone's reads
 )
 
-// stepFlows solves for the flows that are due, and shifts the plan's flows toward them as fast as they may.
+// stepFlows computes the goal flows, and shifts the plan's flows toward them at the allowed rate.
 func (z *Coordinator) stepFlows(now float64, next *Plan, names []string, reports []Report) {
 	loads, readsPerMember := z.zoneLoads(next, names, reports)
 	z.readsPerMember = readsPerMember
@@ -21,8 +21,8 @@
 	if z.needsFlows(next, loads) {
 		solution, binding = solveFlows(loads, z.options.Limits, next.reaches)
 	}
-	// Another goal only where zones are no longer the same, or the old one is far off after a while: demand is noisy,
-	// and of several solutions that cost the same the solver gives any.
+	// The goal changes only if zones changed, or if it is far from the solution after a while: demand is noisy, and the
+	// solver may return any of several solutions with the same cost.
 	changed := !slices.Equal(next.Zones, z.plan.Zones) ||
 		!slices.Equal(next.Partitions, z.plan.Partitions) ||
 		z.goalSetAt == 0
@@ -40,7 +40,7 @@
 	}
 }
 
-// needsFlows says whether reads can't all stay local: a zone is not whole or not reached, or has too little capacity.
+// needsFlows reports whether reads cannot all stay local: a zone is degraded, partitioned or has too little capacity.
 func (z *Coordinator) needsFlows(next *Plan, loads []ZoneLoad) bool {
 	if len(next.Partitions) > 0 {
 		return true
@@ -55,8 +55,8 @@
 	})
 }
 
-// rateLimitedFlows shifts the shares of the plan held toward the goal, no faster than Options.MaxShiftRate. From a
-// zone without capacity and to an ejected one they shift at once.
+// rateLimitedFlows shifts the shares of the current plan toward the goal, no faster than Options.MaxShiftRate. Shares
+// from a zone without capacity and to an ejected zone shift immediately.
 func (z *Coordinator) rateLimitedFlows(now float64, next *Plan, names []string) (flows []Flow) {
 	maxShift := z.options.MaxShiftRate * (now - z.flowsChangedAt) / 1000
 	goal := &Plan{Flows: z.goalFlows}
@@ -66,9 +66,9 @@
 			if from == to {
 				continue
 			}
-			present, share := z.plan.share(from, to), goal.share(from, to)
+			current, share := z.plan.share(from, to), goal.share(from, to)
 			if !empty && next.zone(to).State != Ejected {
-				share = present + min(max(share-present, -maxShift), maxShift)
+				share = current + min(max(share-current, -maxShift), maxShift)
 			}
 			if share = math.Round(share*100) / 100; share >= minShare {
 				flows = append(flows, Flow{from, to, share})
@@ -78,51 +78,51 @@
 	return flows
 }
 
-// maxDifference is the difference of two sets of flows in the share that differs most.
+// maxDifference returns the largest difference between shares of two sets of flows.
 func maxDifference(names []string, a, b []Flow) (difference float64) {
-	x, y := &Plan{Flows: a}, &Plan{Flows: b}
+	planA, planB := &Plan{Flows: a}, &Plan{Flows: b}
 	for _, from := range names {
 		for _, to := range names {
-			difference = max(difference, math.Abs(x.share(from, to)-y.share(from, to)))
+			difference = max(difference, math.Abs(planA.share(from, to)-planB.share(from, to)))
 		}
 	}
 	return difference
 }
 
-// zoneCounts is what reports say of one zone.
+// zoneCounts aggregates the reports about one zone.
 type zoneCounts struct {
-	reporters float64 // drivers of the zone that report
-	reads     float64 // that these send, to any zone, a second
-	drivers   float64 // that are alive
-	members   float64 // the most that a reporter of any zone lists
-	reachable float64 // the most that a reporter of any zone reaches
+	reporters float64 // drivers of the zone that sent a report
+	reads     float64 // reads per second that they send, to any zone
+	drivers   float64 // drivers of the zone that are alive
+	members   float64 // maximum of the members that any reporter lists
+	reachable float64 // maximum of the members that any reporter reaches
 }
 
 func (z *Coordinator) countZones(reports []Report) map[string]*zoneCounts {
 	counts := map[string]*zoneCounts{}
-	of := func(zone string) *zoneCounts {
+	countsOf := func(zone string) *zoneCounts {
 		if counts[zone] == nil {
 			counts[zone] = &zoneCounts{}
 		}
 		return counts[zone]
 	}
 	for _, r := range reports {
-		own := of(r.Zone)
+		own := countsOf(r.Zone)
 		own.reporters++
 		for _, o := range r.Observations {
 			own.reads += o.Reads
-			seen := of(o.Zone)
-			seen.members = max(seen.members, float64(o.Members))
-			seen.reachable = max(seen.reachable, float64(o.Members-o.Unreachable))
+			observed := countsOf(o.Zone)
+			observed.members = max(observed.members, float64(o.Members))
+			observed.reachable = max(observed.reachable, float64(o.Members-o.Unreachable))
 		}
 	}
 	for _, peer := range z.fleet.Alive {
-		of(peer.Zone).drivers++
+		countsOf(peer.Zone).drivers++
 	}
 	return counts
 }
 
-// demand is what all drivers of the zone read, a second, if those that do not report read as much as the others.
+// demand returns the reads per second of all drivers of the zone, extrapolated from those that report.
 func (c *zoneCounts) demand() float64 {
 	if c == nil || c.reporters == 0 {
 		return 0
@@ -130,8 +130,8 @@
 	return c.reads / c.reporters * c.drivers
 }
 
-// zoneLoads are the zones with their demand and capacity, both in reads a second, and what a member serves by these
-// reports. It teaches the leader nothing: stepFlows keeps that.
+// zoneLoads returns the demand and capacity of each zone, in reads per second, and the reads per second that a member
+// serves according to these reports. It does not change the leader's state: stepFlows stores the latter.
 func (z *Coordinator) zoneLoads(plan *Plan, names []string, reports []Report) (
 	loads []ZoneLoad, readsPerMember float64) {
 	counts := z.countZones(reports)
@@ -154,8 +154,8 @@
 	return loads, readsPerMember
 }
 
-// learnedCapacity takes what a member serves from the demand while nothing is wrong: it follows a rise at once and a
-// fall slowly.
+// learnedCapacity estimates the reads per second that a member serves from the demand in normal operation. The estimate
+// follows a rise immediately and a fall slowly.
 func (z *Coordinator) learnedCapacity(demand, members float64) float64 {
 	healthy := len(z.assessment.Causes) == 0 && len(z.assessment.Partitions) == 0
 	if demand > 0 && members > 0 && (healthy || z.readsPerMember == 0) {
--- a/internal/fleet/zones/golden_test.go
+++ b/internal/fleet/zones/golden_test.go
@@ -20,9 +20,9 @@
 		Primaries: []PrimaryLocation{{3, "b"}}}
 }
 
-// TestMessageForms holds the bytes of each kind of message.
+// TestMessageForms compares the encoding of each kind of message with recorded bytes.
 func TestMessageForms(t *testing.T) {
-	on, ballot, earlier := true, paxos.Ballot{Number: 5, Proposer: "n1"}, paxos.Ballot{Number: 4, Proposer: "n0"}
+	freeze, ballot, earlier := true, paxos.Ballot{Number: 5, Proposer: "n1"}, paxos.Ballot{Number: 4, Proposer: "n0"}
 	var cases []golden.Case[Message]
 	for kind := Prepare; kind <= ForwardCommand; kind++ {
 		m := Message{Kind: kind, Epoch: 6, Sum: 1 << 63, Ballot: ballot}
@@ -38,21 +38,21 @@
 		case ReportReply:
 			m.Summary = &Summary{7, 99, 12.5, goldenPlan()}
 		case ForwardCommand:
-			m.Command = &Command{"b", true, 60000, &on, 1796000000001}
+			m.Command = &Command{"b", true, 60000, &freeze, 1796000000001}
 		}
 		cases = append(cases, golden.Of(fmt.Sprint("kind ", kind), m))
 	}
 	golden.CBOR(t, "testdata/messages.golden", append(cases, golden.Of("empty", Message{})))
 }
 
-// TestSavedForms holds the bytes of what outlives the process.
+// TestSavedForms compares the encoding of saved state with recorded bytes.
 func TestSavedForms(t *testing.T) {
 	golden.CBOR(t, "testdata/saved.golden", []golden.Case[SavedState]{golden.Of("empty", SavedState{Name: "n0"}),
 		golden.Of("full", SavedState{"n0", goldenPlan(), paxos.Ballot{Number: 5, Proposer: "n1"},
 			paxos.Ballot{Number: 4, Proposer: "n0"}, goldenPlan(), 6})})
 }
 
-// TestStatusForms holds what operators are shown, and the sum of a plan, which is over its JSON.
+// TestStatusForms compares texts shown to operators, and the checksum of a plan's JSON, with recorded ones.
 func TestStatusForms(t *testing.T) {
 	golden.JSON(t, "testdata/status.golden", []golden.Case[Status]{
 		golden.Of("empty", Status{}),
@@ -62,9 +62,9 @@
 			CrossZone: []CrossZoneTraffic{{"b", "get", ReasonPlan, 3, 4}}})})
 	golden.JSON(t, "testdata/preview.golden", []golden.Case[Preview]{golden.Of("empty", Preview{}), golden.Of("full",
 		Preview{[]ZoneLoad{{"a", "r", 10, 20}}, goldenPlan().Flows, goldenPlan().BindingConstraints})})
-	on := false
+	freeze := false
 	golden.JSON(t, "testdata/command.golden", []golden.Case[Command]{golden.Of("empty", Command{}),
-		golden.Of("full", Command{"b", true, 60000, &on, 1796000000001})})
+		golden.Of("full", Command{"b", true, 60000, &freeze, 1796000000001})})
 	golden.Text(t, "testdata/texts.golden", []golden.Case[string]{
 		golden.Of("plan", describe(goldenPlan())),
 		golden.Of("sum", fmt.Sprintf("%016x %016x", goldenPlan().sum(), (*Plan)(nil).sum())),
--- a/internal/fleet/zones/latency.go
+++ b/internal/fleet/zones/latency.go
@@ -1,9 +1,9 @@
 package zones
 
-// This file owns the latency of one zone against its baseline.
+// This file compares the latency of one zone with its baseline.
 
-// LatencyBaseline follows the latencies of one zone by two moving averages: recent ones, and a baseline, which does not
-// follow while recent ones are far off.
+// LatencyBaseline tracks the latency of one zone by two moving averages: the recent latency, and a baseline that is
+// frozen while the recent latency is far above it.
 type LatencyBaseline struct {
 	recent   float64 // milliseconds
 	baseline float64 // milliseconds
@@ -11,13 +11,13 @@
 }
 
 const (
-	minLatencySamples = 30    // before anything is said; up to there the baseline is the mean
+	minLatencySamples = 30    // required for a ratio; until then the baseline is the mean
 	recentWeight      = 0.05  // of a new sample
 	baselineWeight    = 0.002 // of a new sample
-	baselineFollows   = 1.8   // recent latencies up to so many times the baseline move it
+	baselineFollows   = 1.8   // the baseline is updated while the recent latency is below this multiple of it
 )
 
-// Add takes the latency of an answer, in milliseconds.
+// Add records the latency of an answer, in milliseconds.
 func (b *LatencyBaseline) Add(ms float64) {
 	if b.samples++; b.samples == 1 {
 		b.recent, b.baseline = ms, ms
@@ -30,7 +30,7 @@
 	}
 }
 
-// Ratio is the recent latency over the baseline; 0 while there were too few answers.
+// Ratio returns the recent latency divided by the baseline, or 0 if there are too few samples.
 func (b *LatencyBaseline) Ratio() float64 {
 	if b.samples < minLatencySamples || b.baseline <= 0 {
 		return 0
--- a/internal/fleet/zones/leader.go
+++ b/internal/fleet/zones/leader.go
@@ -1,7 +1,7 @@
 package zones
 
-// This file owns what the leader does: it assesses the reports that it has and proposes the plan that is due. It must
-// never have a primary moved by what only its own zone observes.
+// This file implements the leader: it assesses reports and proposes the next plan. It must never move a primary because
+// of observations of its own zone alone.
 
 import (
 	"fmt"
@@ -9,23 +9,23 @@
 	"slices"
 )
 
-// leader is what a driver keeps while it leads, and of the last time that it did.
+// leader is the state of a driver while it leads, or from when it last led.
 type leader struct {
 	trackers     map[string]*tracker // by zone; nil while this driver does not lead
-	leadingSince float64             // when it began to lead
-	assessment   Assessment          // of the last step
+	leadingSince float64             // when it started to lead
+	assessment   Assessment          // result of the last step
 
-	evacuations     map[string]float64 // by zone: until when; +Inf: until revoked
-	appliedCommands map[uint64]bool    // their IDs
+	evacuations     map[string]float64 // end time by zone; +Inf: until revoked
+	appliedCommands map[uint64]bool    // IDs of commands
 	frozen          bool
 
-	readsPerMember float64 // reads a second that a member serves at baseline utilization, as far as observed
-	goalFlows      []Flow  // that plans' flows approach
-	goalSetAt      float64 // 0: there is none yet
-	flowsChangedAt float64 // when plans' flows changed last
+	readsPerMember float64 // estimated reads per second that a member can serve, see learnedCapacity
+	goalFlows      []Flow  // flows that successive plans approach
+	goalSetAt      float64 // when goalFlows was set; 0: not yet
+	flowsChangedAt float64 // when the plan's flows last changed
 }
 
-// startLeading takes up leading: states and evacuations go on from the plan, their times begin anew.
+// startLeading initializes the leader's state from the plan. Timers of states and evacuations restart.
 func (z *Coordinator) startLeading(now float64) {
 	z.trackers, z.leadingSince, z.evacuations = map[string]*tracker{}, now, map[string]float64{}
 	for _, name := range z.zoneNames() {
@@ -42,8 +42,8 @@
 	z.emit("leads", z.self.Name, fmt.Sprintf("epoch %d", z.plan.Epoch))
 }
 
-// lead proposes the plan that is due, if another one than the present is. A successor that was accepted and not decided
-// goes first.
+// lead proposes the next plan if it differs from the current one. A successor that this driver accepted and that is not
+// known to be decided takes precedence.
 func (z *Coordinator) lead(now float64) {
 	if z.proposal != nil || now < z.proposeAfter {
 		return
@@ -53,14 +53,14 @@
 		return
 	}
 	next := z.nextPlan(now)
-	// a successor that some voter accepted keeps this plan from being confirmed: any proposal brings that to an end
-	lapsing := z.confirmation.known() && now-z.confirmation.at > 4*z.heartbeat
+	// A successor that some voter accepted prevents confirmations of this plan until a proposal decides on a successor.
+	lapsing := z.confirmation.known() && now-z.confirmation.confirmedAt > 4*z.heartbeat
 	if (lapsing || !next.equivalent(z.plan)) && withMajority(z.fleet.Partition) {
 		z.propose(now, next)
 	}
 }
 
-// nextPlan is the plan that should follow the one held, by the reports of now.
+// nextPlan returns the plan that should follow the current one, by recent reports.
 func (z *Coordinator) nextPlan(now float64) *Plan {
 	reports, names := z.recentReports(now), z.zoneNames()
 	z.assessment = assess(names, reports, z.zonesAlive(), z.regionOf)
@@ -80,7 +80,7 @@
 	if z.votersIncomplete() {
 		next.Voters = z.selectVoters(z.plan.Voters)
 	}
-	// the reports of a leader that has just begun, or that none reach, say nothing yet
+	// a new leader, or one that receives no reports, has no basis for changes
 	informed := now-z.leadingSince > 2*z.heartbeat && len(reports) > 0
 	if informed && !z.frozen && len(names) > 1 {
 		z.stepTrackers(now, next, names)
@@ -91,7 +91,7 @@
 	return next
 }
 
-// zonesAlive are the zones of which a driver is alive.
+// zonesAlive returns the zones with a live driver.
 func (z *Coordinator) zonesAlive() map[string]bool {
 	alive := map[string]bool{}
 	for _, peer := range z.fleet.Alive {
@@ -121,7 +121,7 @@
 	}
 }
 
-// stepTracker advances one zone's state by its cause; a zone that nobody reports on keeps the one it had.
+// stepTracker advances one zone's state by its cause. A zone without reports keeps its previous cause.
 func (z *Coordinator) stepTracker(now float64, t *tracker, mayRecover bool) {
 	cause := z.assessment.Causes[t.Name]
 	if slices.Contains(z.assessment.Unobserved, t.Name) {
--- a/internal/fleet/zones/lease.go
+++ b/internal/fleet/zones/lease.go
@@ -1,7 +1,7 @@
 package zones
 
-// This file owns the lease of a plan, and who leads. It must never let a message that was late on its way lengthen a
-// lease: ages count from when an answer was asked for, on the asker's own clock.
+// This file implements the lease of a plan, and leadership. A delayed message must never extend a lease: ages count
+// from when an answer was requested, on the requester's own clock.
 
 import (
 	"math"
@@ -10,50 +10,52 @@
 	"weirwind/internal/fleet/paxos"
 )
 
-// confirmation is what is known of the plan held being the newest, and the round of Confirm messages that renews it.
+// confirmation tracks until when the current plan was certainly the newest, and the Confirm round that renews it.
 type confirmation struct {
-	at     float64         // the latest time at which the plan was certainly the newest; -Inf: it was never confirmed
-	nonce  uint64          // of the round; each one has a higher one
-	sentAt float64         // when the round began
-	by     map[string]bool // who answered it; nil: there was none for this plan
-	nextAt float64         // no round before
+	confirmedAt float64         // latest time at which the plan was certainly the newest; -Inf: never confirmed
+	nonce       uint64          // of the round; increases with each round
+	sentAt      float64         // when the round started
+	answeredBy  map[string]bool // voters that answered the round; nil: no round for this plan yet
+	nextRoundAt float64         // earliest time of the next round
 }
 
-// restart is for another plan: nothing is known of it, and a round may begin at once.
-func (c *confirmation) restart(now float64) { c.at, c.by, c.nextAt = math.Inf(-1), nil, now }
+// restart resets the confirmation for a new plan and allows a round immediately.
+func (c *confirmation) restart(now float64) {
+	c.confirmedAt, c.answeredBy, c.nextRoundAt = math.Inf(-1), nil, now
+}
 
-// known says whether the plan was ever confirmed.
-func (c *confirmation) known() bool { return !math.IsInf(c.at, -1) }
+// known reports whether the plan was ever confirmed.
+func (c *confirmation) known() bool { return !math.IsInf(c.confirmedAt, -1) }
 
-// inForce says whether the plan held was certainly the newest less than a lease ago.
+// inForce reports whether the current plan was certainly the newest less than a lease ago.
 func (c *consensus) inForce(now float64) bool {
-	return c.plan != nil && now < c.confirmation.at+c.lease
+	return c.plan != nil && now < c.confirmation.confirmedAt+c.lease
 }
 
-// age is how long ago the plan was certainly the newest; +Inf where that is not known.
+// age returns how long ago the plan was certainly the newest, or +Inf if that is unknown.
 func (c *consensus) age(now float64) float64 {
 	if c.plan == nil || !c.confirmation.known() {
 		return math.Inf(1)
 	}
-	return max(now-c.confirmation.at, 0)
+	return max(now-c.confirmation.confirmedAt, 0)
 }
 
-// confirmationDone says whether the last round was answered by a majority, or is to be waited for no more.
+// confirmationDone reports whether the last round was answered by a majority, or has timed out.
 func (c *consensus) confirmationDone(now float64) bool {
-	answered := c.confirmation.by == nil || paxos.Majority(c.plan.Voters, c.confirmation.by)
+	answered := c.confirmation.answeredBy == nil || paxos.Majority(c.plan.Voters, c.confirmation.answeredBy)
 	return answered || now-c.confirmation.sentAt > proposalHeartbeats*c.heartbeat
 }
 
-// confirm starts a round: it asks all voters whether the plan is still the newest that they accepted.
+// confirm starts a round: it asks all voters to confirm that they have accepted no successor of the plan.
 func (c *consensus) confirm(now float64) {
-	c.confirmation.nextAt = now + c.heartbeat
+	c.confirmation.nextRoundAt = now + c.heartbeat
 	c.confirmation.nonce++
-	c.confirmation.sentAt, c.confirmation.by = now, map[string]bool{}
+	c.confirmation.sentAt, c.confirmation.answeredBy = now, map[string]bool{}
 	c.broadcast(now, c.plan.Voters,
 		Message{Kind: Confirm, Epoch: c.plan.Epoch, Sum: c.planSum, Nonce: c.confirmation.nonce})
 }
 
-// receiveConfirm answers a leader, unless a successor of the plan was accepted here.
+// receiveConfirm answers a leader, unless this driver accepted a successor of the plan.
 func (c *consensus) receiveConfirm(now float64, from string, msg *Message, reply func(Message)) {
 	if from != c.name && slices.Contains(c.plan.Voters, from) {
 		c.peerLeaderSeenAt = now
@@ -65,31 +67,31 @@
 	}
 }
 
-// receiveConfirmed counts an answer: with a majority the plan was the newest when the round began.
+// receiveConfirmed counts an answer. With a majority, the plan was certainly the newest when the round started.
 func (c *consensus) receiveConfirmed(from string, msg *Message) {
 	round := &c.confirmation
-	if msg.Nonce != round.nonce || round.by == nil || !slices.Contains(c.plan.Voters, from) {
+	if msg.Nonce != round.nonce || round.answeredBy == nil || !slices.Contains(c.plan.Voters, from) {
 		return
 	}
-	if round.by[from] = true; paxos.Majority(c.plan.Voters, round.by) {
-		round.at = max(round.at, round.sentAt)
+	if round.answeredBy[from] = true; paxos.Majority(c.plan.Voters, round.answeredBy) {
+		round.confirmedAt = max(round.confirmedAt, round.sentAt)
 	}
 }
 
-// observeSummary takes what a peer answered, and says whether its plan was new here. requestedAt is when the peer was
-// asked, on this driver's clock.
+// observeSummary handles a peer's summary, and reports whether its plan was new to this driver. requestedAt is when the
+// summary was requested, on this driver's clock.
 func (c *consensus) observeSummary(now, requestedAt float64, summary *Summary) (learned bool) {
 	if summary.Plan != nil {
 		learned = c.learn(now, summary.Plan)
 	}
 	samePlan := c.plan != nil && summary.Epoch == c.plan.Epoch && summary.Sum == c.planSum
 	if samePlan && summary.Age >= 0 && !math.IsInf(summary.Age, 1) {
-		c.confirmation.at = max(c.confirmation.at, min(requestedAt-summary.Age, now))
+		c.confirmation.confirmedAt = max(c.confirmation.confirmedAt, min(requestedAt-summary.Age, now))
 	}
 	return learned
 }
 
-// rank is this driver's among the voters that are alive, the first of which leads; -1: it is no voter.
+// rank returns this driver's position among the live voters, the first of which leads, or -1 if it is no voter.
 func (c *consensus) rank(fleet *Fleet) int {
 	if !c.isVoter() {
 		return -1
@@ -106,8 +108,8 @@
 	return rank
 }
 
-// updateLeading decides whether this driver leads now: the first of the voters that are alive does, and each next one
-// where the plan has not been confirmed for longer.
+// updateLeading decides whether this driver leads: the first live voter does, and each following one after the plan has
+// not been confirmed for a longer time.
 func (c *consensus) updateLeading(now float64, fleet *Fleet) bool {
 	rank := c.rank(fleet)
 	if rank < 0 || !c.mayVote(now) {
@@ -119,15 +121,15 @@
 	case rank == 0:
 		c.leading = true
 	case !c.confirmation.known():
-		c.leading = c.candidateFor(now) > delay*c.heartbeat
+		c.leading = c.candidateDuration(now) > delay*c.heartbeat
 	default:
-		stale := now - max(c.confirmation.at, c.peerLeaderSeenAt)
+		stale := now - max(c.confirmation.confirmedAt, c.peerLeaderSeenAt)
 		c.leading = stale > (2+delay)*c.heartbeat
 	}
 	return c.leading
 }
 
-func (c *consensus) candidateFor(now float64) float64 {
+func (c *consensus) candidateDuration(now float64) float64 {
 	if c.candidateSince == 0 {
 		c.candidateSince = now
 	}
--- a/internal/fleet/zones/main_test.go
+++ b/internal/fleet/zones/main_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// The drawn faults are the same at each run, so that a run's verdict is the code's; -rapid.seed draws others.
-// docs/zones.md tells of a case that others found and that is open.
+// TestMain fixes the seed of random faults, so that results depend on the code only; -rapid.seed sets another one.
+// docs/zones.md describes an open case that another seed found.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.seed", "7"); err != nil {
 		panic(err)
--- a/internal/fleet/zones/penalties.go
+++ b/internal/fleet/zones/penalties.go
@@ -1,28 +1,28 @@
 package zones
 
-// This file owns what one driver makes of the plan: tolls for its routing module, which bring its own reads to the
-// shares planned for its zone. It must never shut the own zone's members off, or move faster than they can warm up.
+// This file computes a driver's zone penalties for its routing module, which bring its own reads to the shares planned
+// for its zone. It must never exclude the own zone's members, or shift load faster than members can warm up.
 
 import "math"
 
-// A toll is a cost that the routing module adds to the members of a zone, in sends in flight.
+// A penalty is a cost that the routing module adds to the members of a zone, in sends in flight.
 const (
-	defaultPenalty = 0.3 // of another zone's members, the module's default
-	avoidPenalty   = 60.0
-	maxPenalty     = 8.0  // of what the controller sets
-	penaltyGain    = 1.5  // a second, for the whole of a share missed
-	minSamples     = 20   // sends since the last step: fewer say nothing of shares
-	maxStepMillis  = 2000 // milliseconds that one step counts for at most
+	defaultPenalty = 0.3  // the module's default for other zones
+	avoidPenalty   = 60.0 // of zones that should receive no reads
+	maxPenalty     = 8.0  // upper bound of the controller's penalties
+	penaltyGain    = 1.5  // change per second for a share that is missed by 1
+	minSamples     = 20   // reads since the last update; fewer say nothing about shares
+	maxStepMillis  = 2000 // upper bound of the time that one update accounts for
 )
 
-// tollController brings the shares of a driver's own reads to the planned ones, by integral control.
+// penaltyController brings the shares of a driver's own reads to the planned ones by integral control.
 type penaltyController struct {
 	zone      string             // of the driver
-	penalties map[string]float64 // by zone, 0 to maxToll; nil before the first step
-	updatedAt float64            // the last step
+	penalties map[string]float64 // by zone, 0 to maxPenalty; nil before the first update
+	updatedAt float64            // when update was last called
 }
 
-// baseToll is the module's default for a zone.
+// basePenalty returns the module's default for a zone.
 func (c *penaltyController) basePenalty(zone string) float64 {
 	if zone == c.zone {
 		return 0
@@ -30,8 +30,8 @@
 	return defaultPenalty
 }
 
-// steer brings tolls nearer to what the planned shares need. sent is how many of the own reads went to each zone since
-// the last step.
+// update adjusts the penalties toward the planned shares. sent is the number of the driver's own reads to each zone
+// since the last update.
 func (c *penaltyController) update(now float64, plan *Plan, zones []string, sent map[string]float64) {
 	if c.penalties == nil {
 		c.penalties = map[string]float64{}
@@ -42,7 +42,7 @@
 	for _, n := range sent {
 		total += n
 	}
-	lowest := math.Inf(1) // of zones that have a share
+	lowest := math.Inf(1) // penalty of the zones that have a share
 	for _, zone := range zones {
 		penalty, known := c.penalties[zone]
 		if !known {
@@ -52,7 +52,7 @@
 		controlled := share > 0 && share < 0.995
 		if controlled && total >= minSamples {
 			penalty += penaltyGain * seconds * (sent[zone]/total - share)
-		} else if !controlled { // back to what it is without a plan
+		} else if !controlled { // return to the default
 			penalty += (c.basePenalty(zone) - penalty) * min(1, seconds/2)
 		}
 		c.penalties[zone] = penalty
@@ -63,7 +63,7 @@
 	c.normalize(lowest)
 }
 
-// normalize keeps tolls within bounds. Only their differences matter, so that a negative lowest one raises them all.
+// normalize bounds the penalties. Only their differences matter, so it raises all of them if the lowest is negative.
 func (c *penaltyController) normalize(lowest float64) {
 	for zone, penalty := range c.penalties {
 		if lowest < 0 {
@@ -73,8 +73,8 @@
 	}
 }
 
-// effective are the tolls for the module; nil where they are its defaults. Without a plan in force only
-// ejected zones keep their toll, and all else is as it is without a plan.
+// effective returns the penalties for the module, or nil if they equal its defaults. Without a plan in force only the
+// zones that the plan took out of service keep avoidPenalty, and all others have the default.
 func (c *penaltyController) effective(plan *Plan, zones []string, inForce bool) map[string]float64 {
 	if plan == nil {
 		return nil
--- a/internal/fleet/zones/persist.go
+++ b/internal/fleet/zones/persist.go
@@ -1,20 +1,20 @@
 package zones
 
-// This file owns what of the votes outlives the process.
+// This file implements the state of votes that survives a restart.
 
 import "weirwind/internal/fleet/paxos"
 
-// SavedState is what must outlive the process for its votes to count when it comes back.
+// SavedState is the state that must survive a restart for the driver to vote again immediately.
 type SavedState struct {
-	Name         string       `cbor:"1,keyasint"` // of the driver; another one's state is not taken
+	Name         string       `cbor:"1,keyasint"` // of the driver; another driver's state is ignored
 	Plan         *Plan        `cbor:"2,keyasint,omitempty"`
-	Promised     paxos.Ballot `cbor:"3,keyasint"` // this and what follows is on Plan's successor
+	Promised     paxos.Ballot `cbor:"3,keyasint"` // this and the following fields are votes on Plan's successor
 	Accepted     paxos.Ballot `cbor:"4,keyasint"`
 	AcceptedPlan *Plan        `cbor:"5,keyasint,omitempty"`
 	Number       uint32       `cbor:"6,keyasint,omitempty"` // highest ballot number seen
 }
 
-// restore takes over what an earlier process saved; nil for nothing.
+// restore restores the state saved by an earlier process, which may be nil.
 func (c *consensus) restore(state *SavedState) {
 	if state == nil || state.Name != c.name || state.Plan != nil && !state.Plan.valid() ||
 		state.AcceptedPlan != nil && !state.AcceptedPlan.valid() {
@@ -27,7 +27,7 @@
 	c.highestNumber, c.voteAfter = state.Number, 0
 }
 
-// save gives what is to be saved; nil where nothing is new or a failed save is to be waited for.
+// save returns the state to save, or nil if nothing changed or a failed save is not yet to be retried.
 func (c *consensus) save(now float64) *SavedState {
 	if !c.persistent || !c.unsaved || now < c.saveAt {
 		return nil
@@ -43,7 +43,7 @@
 	}
 }
 
-// saved takes the outcome. After a failure it is tried again, and no votes are given until it succeeds.
+// saved handles the result of a save. A failed save is retried, and this driver does not vote until one succeeds.
 func (c *consensus) saved(now float64, ok bool) {
 	if !ok {
 		c.unsaved, c.saveAt, c.proposal = true, now+2*c.heartbeat, nil
--- a/internal/fleet/zones/plan.go
+++ b/internal/fleet/zones/plan.go
@@ -1,6 +1,6 @@
 package zones
 
-// This file owns the plan and its parts.
+// This file defines the plan and its parts.
 
 import (
 	"cmp"
@@ -9,60 +9,61 @@
 	"slices"
 )
 
-// Zone is one zone's part of a plan.
+// Zone is the state of one zone in a plan.
 type Zone struct {
 	Name  string `cbor:"1,keyasint" json:"zone"`
 	State State  `cbor:"2,keyasint" json:"state"`
 	Cause Cause  `cbor:"3,keyasint,omitempty" json:"cause,omitempty"`
-	// Capacity is the fraction of what its members can do that may be used, 0 to 1.
+	// Capacity is the usable fraction of its members' capacity, 0 to 1.
 	Capacity float64 `cbor:"4,keyasint" json:"part"`
-	Flaps    int     `cbor:"5,keyasint,omitempty" json:"flaps,omitempty"` // recoveries that failed, and aren't forgiven
+	Flaps    int     `cbor:"5,keyasint,omitempty" json:"flaps,omitempty"` // failed recoveries that were not forgiven
 }
 
-// Partition is a pair of zones of which drivers in From do not reach members in To. It says nothing of the other
+// Partition is a pair of zones where drivers in From do not reach members in To. It implies nothing about the other
 // direction.
 type Partition struct {
 	From string `cbor:"1,keyasint" json:"from"`
 	To   string `cbor:"2,keyasint" json:"to"`
 }
 
-// Flow is the share, 0 to 1, of a zone's reads that another one serves. Reads that no flow names stay local.
+// Flow is the share, 0 to 1, of a zone's reads that another zone serves. Reads without a flow stay local.
 type Flow struct {
 	From  string  `cbor:"1,keyasint" json:"from"`
 	To    string  `cbor:"2,keyasint" json:"to"`
 	Share float64 `cbor:"3,keyasint" json:"share"`
 }
 
-// Move asks the topology manager for a group's primary in another zone.
+// Move requests from the topology manager to move a group's primary to another zone.
 type Move struct {
 	Group int64  `cbor:"1,keyasint" json:"group"`
 	From  string `cbor:"2,keyasint" json:"from"`
 	To    string `cbor:"3,keyasint" json:"to"`
 }
 
-// Evacuation is an order of operators to keep a zone out of service.
+// Evacuation is an operator's command to keep a zone out of service.
 type Evacuation struct {
 	Zone string `cbor:"1,keyasint" json:"zone"`
-	// RemainingHeartbeats are those of the leader for which it lasts, rounded up to a multiple of 60; 0: until revoked.
+	// RemainingHeartbeats is the remaining time in leader heartbeats, rounded up to a multiple of 60; 0: until revoked.
 	RemainingHeartbeats uint64 `cbor:"2,keyasint" json:"beats_left"`
 }
 
-// Plan is what all drivers follow. Each follows one that it names by its checksum, so that plans form a chain.
+// Plan is the plan that all drivers follow. Each plan contains the checksum of its predecessor, so that plans form a
+// chain.
 type Plan struct {
-	Epoch       uint64       `cbor:"1,keyasint" json:"epoch"`  // 1 for the first plan, each next one is one higher
-	BaseSum     uint64       `cbor:"2,keyasint" json:"base"`   // checksum of the plan before; 0 for the first
+	Epoch       uint64       `cbor:"1,keyasint" json:"epoch"`  // 1 for the first plan, incremented by each successor
+	BaseSum     uint64       `cbor:"2,keyasint" json:"base"`   // checksum of the previous plan; 0 for the first
 	Voters      []string     `cbor:"3,keyasint" json:"voters"` // sorted, unique; they decide on the next plan
 	Zones       []Zone       `cbor:"4,keyasint,omitempty" json:"zones"`
 	Partitions  []Partition  `cbor:"5,keyasint,omitempty" json:"cuts,omitempty"`
 	Flows       []Flow       `cbor:"6,keyasint,omitempty" json:"flows,omitempty"`
-	Moves       []Move       `cbor:"7,keyasint,omitempty" json:"moves,omitempty"` // due while the plan is in force
+	Moves       []Move       `cbor:"7,keyasint,omitempty" json:"moves,omitempty"` // requested while the plan is in force
 	Evacuations []Evacuation `cbor:"8,keyasint,omitempty" json:"orders,omitempty"`
-	Frozen      bool         `cbor:"9,keyasint,omitempty" json:"frozen,omitempty"` // by operators: only voters change
-	// BindingConstraints are the limits that leave no better Flows, in words for operators.
+	Frozen      bool         `cbor:"9,keyasint,omitempty" json:"frozen,omitempty"` // only voters may change
+	// BindingConstraints describe the limits that prevent better Flows, as text for operators.
 	BindingConstraints []string `cbor:"10,keyasint,omitempty" json:"binds,omitempty"`
 }
 
-// Bounds of a plan that a peer may send.
+// Bounds of a plan received from a peer.
 const (
 	maxZones     = 64
 	maxVoters    = 9
@@ -70,7 +71,7 @@
 	maxMoves     = 256
 )
 
-// valid says whether a plan that came from a peer or from disk is within bounds.
+// valid reports whether a plan from a peer or from disk is within bounds.
 func (p *Plan) valid() bool {
 	return p.Epoch > 0 && p.validSizes() && p.validVoters() && p.validZones() &&
 		!slices.ContainsFunc(p.Flows, func(f Flow) bool { return !(f.Share >= 0 && f.Share <= 1.001) })
@@ -102,14 +103,14 @@
 		if zone.Name == "" || len(zone.Name) > maxNameBytes || zone.State > Recovering {
 			return false
 		}
-		if !(zone.Capacity >= 0 && zone.Capacity <= 1) { // not a number either
+		if !(zone.Capacity >= 0 && zone.Capacity <= 1) { // the negation also rejects NaN
 			return false
 		}
 	}
 	return true
 }
 
-// sum is the checksum of a plan; by BaseSum it stands for all plans before it as well.
+// sum returns the checksum of a plan, which by BaseSum covers all earlier plans as well.
 func (p *Plan) sum() uint64 {
 	if p == nil {
 		return 0
@@ -123,7 +124,7 @@
 	return h.Sum64()
 }
 
-// zone is one zone's part of the plan; a serving zone with all its capacity where the plan does not name it.
+// zone returns the state of one zone in the plan, or a serving zone with full capacity if the plan does not contain it.
 func (p *Plan) zone(name string) Zone {
 	if p != nil {
 		if i := slices.IndexFunc(p.Zones, func(z Zone) bool { return z.Name == name }); i >= 0 {
@@ -133,15 +134,15 @@
 	return Zone{Name: name, Capacity: 1}
 }
 
-// partitioned says whether drivers of one zone do not reach members of another.
+// partitioned reports whether drivers of one zone do not reach members of another.
 func (p *Plan) partitioned(from, to string) bool {
 	return p != nil && slices.Contains(p.Partitions, Partition{from, to})
 }
 
-// reaches is the opposite.
+// reaches reports the opposite of partitioned.
 func (p *Plan) reaches(from, to string) bool { return !p.partitioned(from, to) }
 
-// share is the share of a zone's reads that another zone, or itself, is to serve.
+// share returns the share of a zone's reads that another zone, or itself, serves.
 func (p *Plan) share(from, to string) float64 {
 	local := 1.0
 	for _, f := range p.Flows {
@@ -158,14 +159,14 @@
 	return 0
 }
 
-// equivalent says whether two plans ask for the same, whatever their epochs and what they follow.
+// equivalent reports whether two plans are equal except for their epochs and predecessors.
 func (p *Plan) equivalent(other *Plan) bool {
 	a, b := *p, *other
 	a.Epoch, a.BaseSum, b.Epoch, b.BaseSum = 0, 0, 0, 0
 	return a.sum() == b.sum()
 }
 
-// sort brings a plan's parts into the one order that they have, as its checksum depends on it.
+// sort brings a plan's parts into their canonical order, because its checksum depends on it.
 func (p *Plan) sort() {
 	slices.Sort(p.Voters)
 	slices.SortFunc(p.Zones, func(a, b Zone) int { return cmp.Compare(a.Name, b.Name) })
--- a/internal/fleet/zones/primaries.go
+++ b/internal/fleet/zones/primaries.go
@@ -1,15 +1,15 @@
 package zones
 
-// This file owns the moves of primaries that a plan asks for. It must never name a zone that is not serving as the
-// target.
+// This file computes the moves of primaries that a plan requests. It must never choose a target zone that is not
+// serving.
 
 import (
 	"math"
 	"slices"
 )
 
-// planMoves asks for primaries out of zones that are to be empty. A move is over once most reports see the primary
-// elsewhere.
+// planMoves requests moves of primaries out of draining and ejected zones. A move is complete once most reports see the
+// primary elsewhere.
 func (z *Coordinator) planMoves(next *Plan, reports []Report) {
 	next.Moves = nil
 	for group, from := range primaryZones(reports) {
@@ -22,8 +22,8 @@
 	}
 }
 
-// moveTarget is the zone to which a primary should move: the one of the move that is under way while that one serves,
-// else the most suitable; empty where there is none.
+// moveTarget returns the zone to which a primary should move: the target of a move in progress while that zone serves,
+// otherwise the most suitable zone, or "" if there is none.
 func (z *Coordinator) moveTarget(next *Plan, group int64, from string) (to string) {
 	i := slices.IndexFunc(z.plan.Moves, func(m Move) bool { return m.Group == group && m.From == from })
 	if i >= 0 && next.zone(z.plan.Moves[i].To).State == Serving {
@@ -38,7 +38,7 @@
 	return to
 }
 
-// primaryZones are the zones in which most reports see each group's primary. Groups without a majority are left out.
+// primaryZones returns the zone in which most reports see each group's primary. Groups without a majority are omitted.
 func primaryZones(reports []Report) map[int64]string {
 	votes := map[int64]map[string]int{}
 	for _, r := range reports {
@@ -64,8 +64,8 @@
 	return located
 }
 
-// suitability scores a zone for a primary that leaves another: reached by all serving zones, in the same region, with
-// members. Below -1 it is out of the question.
+// suitability scores a zone as the target for a primary that leaves another zone. Zones that all serving zones reach,
+// that are in the same region and that have many members score higher. Scores up to -1 rule a zone out.
 func (z *Coordinator) suitability(zone string, plan *Plan, from string) float64 {
 	score := 0.0
 	for _, other := range plan.Zones {
@@ -88,8 +88,8 @@
 	return score
 }
 
-// PendingMoves are the moves of primaries that this driver is to ask the topology manager for, and the plan's epoch;
-// none unless it leads and Allowed permits MovePrimary.
+// PendingMoves returns the moves of primaries that this driver should request from the topology manager, and the plan's
+// epoch. There are none unless it leads and Allowed permits MovePrimary.
 func (z *Coordinator) PendingMoves(now float64) ([]Move, uint64) {
 	if z.trackers == nil || !Allowed(z.fleet.Partition, z.inForce(now), MovePrimary) {
 		return nil, 0
--- a/internal/fleet/zones/program.go
+++ b/internal/fleet/zones/program.go
@@ -1,7 +1,7 @@
 package zones
 
-// This file owns the linear program of the flows: which zone serves how much of another's reads. It must never send
-// reads to a zone that they can't reach or that has no capacity, or fill one beyond it while another has some.
+// This file implements the linear program that computes the flows between zones. It must never send reads to a zone
+// that is unreachable or without capacity, or overload a zone while another has free capacity.
 
 import (
 	"fmt"
@@ -11,48 +11,48 @@
 	"gonum.org/v1/gonum/optimize/convex/lp"
 )
 
-// ZoneLoad is a zone as the solver sees it. Demand and Capacity are in reads a second.
+// ZoneLoad is a zone's input to the solver. Demand and Capacity are in reads per second.
 type ZoneLoad struct {
 	Name     string  `json:"zone"`
 	Region   string  `json:"region"`
-	Demand   float64 `json:"reads"` // of its own drivers
-	Capacity float64 `json:"room"`  // what its members can serve now, warm, in the part that the plan lets be used
+	Demand   float64 `json:"reads"` // reads of its own drivers
+	Capacity float64 `json:"room"`  // what its reachable members can serve, times the plan's Zone.Capacity
 }
 
 // Limits are set by operators.
 type Limits struct {
-	Headroom        float64 // share of a zone's capacity kept free for one more loss; using it costs more than crossing
-	CrossZoneBudget float64 // share of all reads that may cross between zones; 1: any
+	Headroom        float64 // share of a zone's capacity reserved for one more loss; using it costs more than crossing
+	CrossZoneBudget float64 // share of all reads that may cross between zones; 1: no limit
 }
 
-// Costs of all reads doing so; a part of them costs that part.
+// Costs per unit of all reads.
 const (
-	costCross    = 1.0
+	costCross    = 1.0 // crossing within a region
 	costRegion   = 2.0 // crossing into another region
 	costHeadroom = 3.0 // served within the headroom
 	costBudget   = 20.0
 	costUnserved = 100.0
 )
 
-// minShare is the least share of a zone's reads that is worth a flow.
+// minShare is the minimum share of a zone's reads for a flow.
 const minShare = 0.01
 
-// candidate is a flow that may be: reads of the zone from, served by the zone to. Both are indices of zones.
+// candidate is a possible flow: reads of the zone from, served by the zone to. Both are indices of zones.
 type candidate struct{ from, to int }
 
-// program is the linear program: minimize cost·x under coefficients·x = bounds, x >= 0. Amounts are in parts of all
-// reads.
+// program is the linear program: minimize cost·x subject to coefficients·x = bounds, x >= 0. Amounts are fractions of
+// all reads.
 //
-// The columns of x, in this order, with the fields that say where the columns of a kind begin:
+// The columns of x, in this order, with the fields that hold the first column of each kind:
 //
 //	flow of each candidate
 //	unserved       reads of each zone that find no capacity
 //	normal         load of each zone below its headroom
 //	headroom       load of each zone within its headroom
-//	slackNormal    what is free of each of the two
+//	slackNormal    unused part of normal and headroom of each zone
 //	slackHeadroom
-//	slackBudget    what is free of the cross-zone budget
-//	overBudget     what is used beyond it
+//	slackBudget    unused part of the cross-zone budget
+//	overBudget     crossing reads beyond the budget
 //
 // The rows:
 //
@@ -64,7 +64,7 @@
 type program struct {
 	zones      []ZoneLoad
 	limits     Limits
-	total      float64 // of all reads, a second; above 0
+	total      float64 // all reads per second; above 0
 	candidates []candidate
 
 	unserved, normal, headroom, slackNormal, slackHeadroom, slackBudget, overBudget int
@@ -109,7 +109,7 @@
 
 func (p *program) set(row, column int, value float64) { p.coefficients[row*p.columns+column] = value }
 
-// fillFlows sets what flows cost, and that they serve demand, load zones and use the budget.
+// fillFlows sets the cost of flows, and their coefficients in the rows of demand, load and budget.
 func (p *program) fillFlows() {
 	for column, flow := range p.candidates {
 		if flow.from != flow.to {
@@ -124,7 +124,7 @@
 	}
 }
 
-// fillZones sets each zone's demand and the limits of its load.
+// fillZones sets each zone's demand and the limits of its load and headroom.
 func (p *program) fillZones() {
 	for i, zone := range p.zones {
 		capacity := zone.Capacity / p.total
@@ -150,7 +150,7 @@
 	p.bounds[p.budgetRow()] = p.limits.CrossZoneBudget
 }
 
-// flows are those of a solution that are worth an entry, in shares of their zone's reads.
+// flows returns the flows of a solution of at least minShare, as shares of their zone's reads.
 func (p *program) flows(solution []float64) (flows []Flow) {
 	for column, flow := range p.candidates {
 		from, to := p.zones[flow.from], p.zones[flow.to]
@@ -164,7 +164,7 @@
 	return flows
 }
 
-// bindingConstraints says which limits a solution meets, for operators.
+// bindingConstraints describes for operators which limits a solution reaches.
 func (p *program) bindingConstraints(solution []float64) (binding []string) {
 	const negligible = 1e-6
 	for i, zone := range p.zones {
@@ -183,8 +183,8 @@
 	return binding
 }
 
-// solveFlows gives the flows that cost least. reaches says which zones' drivers reach which zones' members. binding are
-// the limits that leave no better flows.
+// solveFlows returns the flows with minimum cost, and the limits that prevent better ones. reaches reports whether the
+// drivers of one zone reach the members of another.
 func solveFlows(zones []ZoneLoad, limits Limits, reaches func(from, to string) bool) (flows []Flow, binding []string) {
 	total := 0.0
 	for i := range zones {
@@ -201,8 +201,8 @@
 	return p.flows(solution), p.bindingConstraints(solution)
 }
 
-// simplex minimizes cost·x under coefficients·x = bounds, x >= 0. The library panics where a basis is singular; that is
-// no solution.
+// simplex minimizes cost·x subject to coefficients·x = bounds, x >= 0. The library panics on a singular basis, which is
+// treated as no solution.
 func simplex(cost, coefficients []float64, rows, columns int, bounds []float64) (solution []float64, ok bool) {
 	defer func() {
 		if recover() != nil {
--- a/internal/fleet/zones/proposer.go
+++ b/internal/fleet/zones/proposer.go
@@ -1,6 +1,6 @@
 package zones
 
-// This file owns the proposer's part of Paxos: a driver that leads brings a plan's successor to a decision.
+// This file implements the Paxos proposer: a leading driver brings the successor of a plan to a decision.
 
 import (
 	"slices"
@@ -8,22 +8,22 @@
 	"weirwind/internal/fleet/paxos"
 )
 
-// proposal is an attempt of this driver to have one plan decided.
+// proposal is an attempt of this driver to get one plan decided.
 type proposal struct {
 	paxos.Proposer[Plan]
-	deadline  float64 // it is given up then
-	bootstrap bool    // of a first plan: all of the roster accept it, there is no prepare phase
-	resendAt  float64 // of a bootstrap: those that have not accepted are asked again then
+	deadline  float64 // when it is abandoned
+	bootstrap bool    // set for a first plan: the whole roster must accept it, without a prepare phase
+	resendAt  float64 // for a bootstrap: when it is resent to drivers that have not accepted
 }
 
-// newProposal makes a proposal with a ballot above all that were seen.
+// newProposal returns a proposal with a ballot above all ballots seen.
 func (c *consensus) newProposal(plan *Plan, deadline float64) *proposal {
 	c.highestNumber++
 	ballot := paxos.Ballot{Number: c.highestNumber, Proposer: c.name}
 	return &proposal{Proposer: paxos.NewProposer(ballot, plan), deadline: deadline}
 }
 
-// propose starts a proposal of a next plan with its prepare phase, if none is under way.
+// propose starts the prepare phase for a next plan, if no proposal is in progress.
 func (c *consensus) propose(now float64, plan *Plan) {
 	if c.proposal != nil || now < c.proposeAfter || c.plan == nil {
 		return
@@ -33,11 +33,11 @@
 		Message{Kind: Prepare, Epoch: c.plan.Epoch, Sum: c.planSum, Ballot: c.proposal.Ballot})
 }
 
-// undecided is a plan that this driver accepted and does not know to be decided: it is brought to a decision before
-// another one is proposed.
+// undecided returns a plan that this driver accepted and that is not known to be decided, or nil. It must be brought to
+// a decision before another plan is proposed.
 func (c *consensus) undecided() *Plan { return c.acceptor.Value }
 
-// answeredProposal is the proposal that a message answers; nil where it is over or another driver's.
+// answeredProposal returns the proposal that a message answers, or nil if it has ended or is another driver's.
 func (c *consensus) answeredProposal(msg *Message) *proposal {
 	if p := c.proposal; p != nil && !p.bootstrap && msg.Ballot.Compare(p.Ballot) == 0 {
 		return p
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// receivePromise counts a promise; with a majority of them the accept phase begins.
+// receivePromise counts a promise. A majority of promises starts the accept phase.
 func (c *consensus) receivePromise(now float64, from string, msg *Message) {
 	p := c.answeredProposal(msg)
 	if p == nil || !slices.Contains(c.plan.Voters, from) {
@@ -58,7 +58,7 @@
 	}
 }
 
-// receiveAccepted counts an acceptance: a plan is decided by majorities of the voters before it and of its own.
+// receiveAccepted counts an acceptance. A plan is decided by majorities of the previous plan's voters and of its own.
 func (c *consensus) receiveAccepted(now float64, from string, msg *Message) {
 	p := c.answeredProposal(msg)
 	if p == nil || !p.Accepting {
@@ -70,12 +70,12 @@
 	voters := union(c.plan.Voters, p.Value.Voters)
 	startedAt := p.deadline - proposalHeartbeats*c.heartbeat
 	c.adopt(now, p.Value)
-	// no successor of it can have been decided before it was proposed
-	c.confirmation.at = max(c.confirmation.at, startedAt)
+	// No successor of the plan can have been decided before the plan was proposed.
+	c.confirmation.confirmedAt = max(c.confirmation.confirmedAt, startedAt)
 	c.announce(voters)
 }
 
-// receiveReject gives up a proposal where a higher ballot was promised, or sends the plan that the sender lacks.
+// receiveReject abandons a proposal if a higher ballot was promised, or sends the plan that the sender lacks.
 func (c *consensus) receiveReject(now float64, from string, msg *Message) {
 	if msg.Nonce == nonceWantsPlan && from != c.name {
 		c.send(from, Message{Kind: Decided, Plan: c.plan})
@@ -86,7 +86,7 @@
 	}
 }
 
-// union is the names of both, sorted.
+// union returns the sorted union of two sets of names.
 func union(a, b []string) []string {
 	all := append(slices.Clone(a), b...)
 	slices.Sort(all)
--- a/internal/fleet/zones/reports.go
+++ b/internal/fleet/zones/reports.go
@@ -1,17 +1,17 @@
 package zones
 
-// This file owns the reports that drivers send the voters, and those that a voter has received.
+// This file implements the reports that drivers send to the voters, and their storage at the voters.
 
 import "slices"
 
-// Observation is what a driver observes of one zone.
+// Observation is a driver's observation of one zone.
 type Observation struct {
 	Zone         string  `cbor:"1,keyasint" json:"zone"`
 	Members      int     `cbor:"2,keyasint" json:"members"` // listed and not draining
-	Unreachable  int     `cbor:"3,keyasint" json:"silent"`  // of them: ejected, as they do not answer
-	LatencyRatio float64 `cbor:"4,keyasint" json:"slow"`    // recent latency over its baseline; 0: too few answers
+	Unreachable  int     `cbor:"3,keyasint" json:"silent"`  // members ejected because they do not answer
+	LatencyRatio float64 `cbor:"4,keyasint" json:"slow"`    // recent latency divided by its baseline; 0: too few samples
 	Lagging      int     `cbor:"5,keyasint" json:"behind"`  // members too far behind for the tightest staleness bound
-	Reads        float64 `cbor:"6,keyasint" json:"reads"`   // that this driver sent there, a second
+	Reads        float64 `cbor:"6,keyasint" json:"reads"`   // reads per second that this driver sends there
 }
 
 // PrimaryLocation is the zone of a group's primary, as a driver sees it.
@@ -20,16 +20,16 @@
 	Zone  string `cbor:"2,keyasint" json:"zone"`
 }
 
-// Report is what one driver observes.
+// Report contains one driver's observations.
 type Report struct {
 	Zone         string            `cbor:"1,keyasint"` // of the driver
-	Sequence     uint64            `cbor:"2,keyasint"` // of reports of one run: a higher one is newer
-	Run          uint64            `cbor:"3,keyasint"` // of the process: a later one has a higher one
-	Observations []Observation     `cbor:"4,keyasint"` // at most one a zone
+	Sequence     uint64            `cbor:"2,keyasint"` // increases with each report of one run
+	Run          uint64            `cbor:"3,keyasint"` // of the process; a later process of the same name has a higher one
+	Observations []Observation     `cbor:"4,keyasint"` // at most one per zone
 	Primaries    []PrimaryLocation `cbor:"5,keyasint,omitempty"`
 }
 
-// valid says whether a report that came from a peer is within bounds.
+// valid reports whether a report from a peer is within bounds.
 func (r *Report) valid() bool {
 	if r == nil || len(r.Zone) > maxNameBytes || len(r.Observations) > maxZones || len(r.Primaries) > maxMoves {
 		return false
@@ -48,9 +48,9 @@
 }
 
 const (
-	reportersPerZone    = 5   // drivers of a zone that report, the first ones by name
-	reportMaxHeartbeats = 3.5 // age up to which a report counts; it is forgotten at four times that
-	maxReports          = 512 // that are kept
+	reportersPerZone    = 5   // number of drivers per zone that report, the first by name
+	reportMaxHeartbeats = 3.5 // maximum age of a report that is used; it is dropped at four times that age
+	maxReports          = 512 // maximum number of stored reports
 )
 
 // receivedReport is the newest report of one driver.
@@ -59,7 +59,7 @@
 	receivedAt float64
 }
 
-// isReporter says whether this driver is among those of its zone that report.
+// isReporter reports whether this driver is one of its zone's reporters.
 func (z *Coordinator) isReporter() bool {
 	before := 0
 	for _, peer := range z.fleet.Alive {
@@ -75,7 +75,7 @@
 	return false
 }
 
-// report sends what this driver observes to the voters, when that is due.
+// report sends this driver's observations to the voters, if a report is due.
 func (z *Coordinator) report(now float64) {
 	if now < z.nextReportAt || z.plan == nil || !z.isReporter() {
 		return
@@ -98,7 +98,7 @@
 	}
 }
 
-// receiveReport takes a peer's report and answers it with this driver's Summary.
+// receiveReport stores a peer's report and answers it with this driver's Summary.
 func (z *Coordinator) receiveReport(now float64, from string, r *Report) {
 	if !r.valid() || !z.fleet.isAlive(from) {
 		return
@@ -109,7 +109,7 @@
 	}
 }
 
-// storeReport keeps a report, unless one of the driver is there that is as new.
+// storeReport stores a report, unless a stored one of the same driver is as new.
 func (z *Coordinator) storeReport(now float64, from string, r *Report) {
 	old := z.reports[from]
 	if old != nil && (old.Run > r.Run || old.Run == r.Run && old.Sequence >= r.Sequence) {
@@ -121,7 +121,7 @@
 	z.reports[from] = &receivedReport{*r, now}
 }
 
-// recentReports are those that are young enough of drivers that are alive, by their names. Old ones are forgotten.
+// recentReports returns the recent reports of live drivers, sorted by driver, and drops old ones.
 func (z *Coordinator) recentReports(now float64) (recent []Report) {
 	maxAge := reportMaxHeartbeats * z.heartbeat
 	var names []string
--- a/internal/fleet/zones/simulation_test.go
+++ b/internal/fleet/zones/simulation_test.go
@@ -12,27 +12,27 @@
 	"weirwind/internal/standin/virtualclock"
 )
 
-// simulation is some drivers in virtual time, with a network between them and members that are nothing but health.
+// simulation is a set of drivers in virtual time with a simulated network and simulated observations of members.
 type simulation struct {
 	virtualclock.Scheduler
 	nodes      []*node
 	random     *rand.Rand
-	persistent bool             // votes outlive a node's process
+	persistent bool             // votes survive a restart of a node
 	primaries  map[int64]string // zone by group
 
-	blocked func(from, to int) bool           // whether messages between these nodes are lost; nil: none are
-	loss    float64                           // share of messages; half as many are up to 20 s late, as many duplicated
+	blocked func(from, to int) bool           // whether messages between two nodes are lost; nil: none are
+	loss    float64                           // share of lost and of duplicated messages; half as many are up to 20 s late
 	latency float64                           // mean, milliseconds
-	observe func(from, of string) Observation // what drivers of a zone observe of another
-	tamper  func(n *node, sent []Observation) // changes what a node reports; nil: nothing
-	watch   func(n *node, out Output)         // sees what each driver puts out; nil: nobody does
+	observe func(from, of string) Observation // observation by drivers of one zone of another zone
+	tamper  func(n *node, sent []Observation) // changes a node's observations; may be nil
+	watch   func(n *node, out Output)         // called with each output; may be nil
 
-	sums         map[uint64]uint64  // by epoch, of all plans that were ever in force
-	inForceSince map[uint64]float64 // by epoch, anywhere
-	violations   []string           // of invariants
+	sums         map[uint64]uint64  // checksums by epoch of all plans that were ever in force
+	inForceSince map[uint64]float64 // by epoch: when its plan first came into force at any node
+	violations   []string           // violated invariants
 }
 
-// node is a driver: a process that may be stopped, started and paused.
+// node is a driver with a process that can be stopped, started and paused.
 type node struct {
 	index       int
 	name        string
@@ -40,9 +40,9 @@
 	coordinator *Coordinator // nil while no process runs
 	incarnation int          // of the process
 	pausedUntil float64
-	queued      []func()    // what arrived while it was paused
-	saved       *SavedState // outlives the process
-	lastHeard   []float64   // of each node
+	queued      []func()    // messages that arrived during a pause
+	saved       *SavedState // survives a restart
+	lastHeard   []float64   // by index of the other node
 }
 
 func testOptions() Options {
@@ -65,10 +65,10 @@
 	}
 }
 
-// observeHealthy is what drivers observe of a zone without fault.
+// observeHealthy returns an observation of a zone without fault.
 func observeHealthy(_, of string) Observation { return Observation{Zone: of, Members: 4, Reads: 100} }
 
-// newSimulation starts a node in each of the zones named.
+// newSimulation returns a simulation with a started node in each of the given zones.
 func newSimulation(seed uint64, zones ...string) *simulation {
 	s := &simulation{
 		Scheduler:    virtualclock.Scheduler{Now: 1000},
@@ -105,7 +105,7 @@
 	return s.nodes[slices.IndexFunc(s.nodes, func(n *node) bool { return n.name == name })]
 }
 
-// start begins a process, which knows what an earlier one saved.
+// start starts a process with the saved state of an earlier one.
 func (s *simulation) start(n *node) {
 	options := testOptions()
 	options.Persistent, options.Saved = s.persistent, n.saved
@@ -146,14 +146,14 @@
 
 func (s *simulation) stop(n *node) { n.incarnation++; n.coordinator = nil }
 
-// deliver carries something from one node to another, if it comes through.
+// deliver runs do at another node after a delay, unless the message is lost.
 func (s *simulation) deliver(from, to *node, do func()) {
 	if from == to || s.blocked != nil && s.blocked(from.index, to.index) || s.random.Float64() < s.loss {
 		return
 	}
 	incarnation := to.incarnation
 	delay := s.latency * (0.5 + s.random.ExpFloat64())
-	if s.random.Float64() < s.loss/2 { // much too late
+	if s.random.Float64() < s.loss/2 { // long delay
 		delay += 20000 * s.random.Float64()
 	}
 	arrive := func() {
@@ -172,7 +172,7 @@
 	}
 }
 
-// exchange has one node ask another for its Summary.
+// exchange lets one node request another node's Summary.
 func (s *simulation) exchange(from, to *node) {
 	askedAt, incarnation := s.Now, from.incarnation
 	s.deliver(from, to, func() {
@@ -185,7 +185,7 @@
 	})
 }
 
-// handle carries out what a driver decided.
+// handle carries out a driver's output.
 func (s *simulation) handle(n *node, out Output) {
 	if s.watch != nil {
 		s.watch(n, out)
@@ -204,7 +204,7 @@
 	s.checkInvariants(n)
 }
 
-// send delivers a message. What answers a report goes back as the answer of one call.
+// send delivers a message. Answers to a report are returned as the answer to the same call.
 func (s *simulation) send(from *node, envelope Envelope) {
 	to := s.node(envelope.To)
 	askedAt, incarnation := s.Now, from.incarnation
@@ -227,7 +227,7 @@
 	})
 }
 
-// gossipPlan tells some nodes of a new plan. Those that did not know it ask for its age.
+// gossipPlan sends a new plan to some nodes. Those that did not know it request its age.
 func (s *simulation) gossipPlan(from *node) {
 	for range 3 {
 		to := s.nodes[s.random.IntN(len(s.nodes))]
@@ -241,8 +241,8 @@
 	}
 }
 
-// checkInvariants records where a node breaks what must always hold: no two plans of one epoch in force, and none for
-// longer than its lease beside a later one.
+// checkInvariants records violations of invariants by a node: two plans of one epoch in force, or a plan in force for
+// longer than its lease alongside a later one.
 func (s *simulation) checkInvariants(n *node) {
 	c := n.coordinator
 	if c == nil || !c.inForce(s.Now) {
@@ -264,7 +264,7 @@
 	}
 }
 
-// tick lets a node see what membership and its own sends would tell it.
+// tick passes a node its observations and its view of the fleet.
 func (s *simulation) tick(n *node) {
 	var observations []Observation
 	for _, zone := range s.zones() {
@@ -287,12 +287,12 @@
 	s.handle(n, n.coordinator.Tick(s.Now, fleet))
 }
 
-// reachable says whether two nodes reach each other.
+// reachable reports whether two nodes reach each other.
 func (s *simulation) reachable(a, b *node) bool {
 	return s.blocked == nil || !s.blocked(a.index, b.index) && !s.blocked(b.index, a.index)
 }
 
-// fleetOf is what a node's membership knows.
+// fleetOf returns the view that a node's membership provides.
 func (s *simulation) fleetOf(n *node) Fleet {
 	f := Fleet{RosterVersion: 1, Zones: s.zones()}
 	for _, other := range s.nodes {
@@ -320,7 +320,7 @@
 
 func (s *simulation) run(duration float64) { s.RunUntil(s.Now + duration) }
 
-// runUntil runs until a condition holds; it gives how long that took, -1 where it did not hold in time.
+// runUntil runs until a condition holds, and returns how long that took, or -1 after the timeout.
 func (s *simulation) runUntil(timeout float64, condition func() bool) float64 {
 	for start := s.Now; s.Now-start < timeout; s.run(50) {
 		if condition() {
@@ -330,7 +330,7 @@
 	return -1
 }
 
-// converged says whether every driver that runs follows one plan in force, for which a condition holds.
+// converged reports whether all running drivers follow one plan in force that satisfies a condition.
 func (s *simulation) converged(condition func(p *Plan) bool) bool {
 	var sum uint64
 	for _, n := range s.nodes {
@@ -346,17 +346,17 @@
 	return true
 }
 
-// runUntilConverged runs until all follow one plan for which a condition holds; -1 where they don't in time.
+// runUntilConverged runs until converged, and returns how long that took, or -1 after the timeout.
 func (s *simulation) runUntilConverged(timeout float64, condition func(p *Plan) bool) float64 {
 	return s.runUntil(timeout, func() bool { return s.converged(condition) })
 }
 
 func anyPlan(*Plan) bool { return true }
 
-// allWhole says whether all zones serve their own reads with all their capacity.
-func allWhole(p *Plan) bool { return allServing(p) && len(p.Flows) == 0 }
+// allServingLocally reports whether all zones serve their own reads with full capacity.
+func allServingLocally(p *Plan) bool { return allServing(p) && len(p.Flows) == 0 }
 
-// allServing says whether all zones serve; one with more drivers may still spill reads to others.
+// allServing reports whether all zones serve; one with more drivers may still spill reads to others.
 func allServing(p *Plan) bool {
 	for _, zone := range p.Zones {
 		if zone.State != Serving || zone.Capacity < 1 {
@@ -370,7 +370,7 @@
 	return func(p *Plan) bool { zone := p.zone(name); return zone.State == state && zone.Cause == cause }
 }
 
-// dump logs what each driver holds, and the violations.
+// dump logs each driver's status, and the violations.
 func (s *simulation) dump(t testing.TB) {
 	t.Helper()
 	for _, n := range s.nodes {
--- a/internal/fleet/zones/status.go
+++ b/internal/fleet/zones/status.go
@@ -1,6 +1,6 @@
 package zones
 
-// This file owns what operators are shown.
+// This file implements the status shown to operators.
 
 import (
 	"fmt"
@@ -9,15 +9,15 @@
 	"strings"
 )
 
-// Preview is what would be planned.
+// Preview is the result of a simulation.
 type Preview struct {
 	Zones              []ZoneLoad `json:"places"`
 	Flows              []Flow     `json:"flows"`
 	BindingConstraints []string   `json:"binds"`
 }
 
-// Simulate gives what would be planned were a zone without capacity, by the reports that the leader has; with an empty
-// name, as it is. Errors: ErrNoPlan, ErrNotLeader, ErrUnknownZone.
+// Simulate returns the flows that would be planned if a zone had no capacity, by the leader's reports; with an empty
+// name all zones keep their capacity. Errors: ErrNoPlan, ErrNotLeader, ErrUnknownZone.
 func (z *Coordinator) Simulate(now float64, zone string) (Preview, error) {
 	switch {
 	case z.plan == nil:
@@ -34,29 +34,29 @@
 			p.Zones[i].Capacity = 0
 		}
 	}
-	loads, _ := z.zoneLoads(&p, z.zoneNames(), z.recentReports(now)) // a preview teaches the leader nothing
+	loads, _ := z.zoneLoads(&p, z.zoneNames(), z.recentReports(now)) // a preview must not change the leader's estimate
 	preview := Preview{Zones: loads}
 	preview.Flows, preview.BindingConstraints = solveFlows(preview.Zones, z.options.Limits, p.reaches)
 	return preview, nil
 }
 
-// Status is what operators are shown of one driver.
+// Status is one driver's status as shown to operators.
 type Status struct {
 	Self          string             `json:"self"`
 	Zone          string             `json:"zone"`
 	Leader        bool               `json:"leads"`
 	InForce       bool               `json:"in_force"`
-	Age           float64            `json:"age_ms"` // since the plan was certainly the newest; -1: not known
+	Age           float64            `json:"age_ms"` // milliseconds since the plan was certainly the newest; -1: unknown
 	Lease         float64            `json:"lease_ms"`
 	Plan          *Plan              `json:"plan"`
 	ZonePenalties map[string]float64 `json:"tolls,omitempty"`
 	Observations  []Observation      `json:"sights"`
-	Causes        map[string]Cause   `json:"causes,omitempty"` // by zone, at the leader
-	Votes         string             `json:"votes,omitempty"`  // while the plan's successor is voted on: state of that
+	Causes        map[string]Cause   `json:"causes,omitempty"` // by zone; set at the leader only
+	Votes         string             `json:"votes,omitempty"`  // on the plan's successor, if any
 	CrossZone     []CrossZoneTraffic `json:"crossings,omitempty"`
 }
 
-// Status gives the view as it is now. CrossZone is left to the owner of the counts.
+// Status returns the current status, without CrossZone, which the owner of the counts sets.
 func (z *Coordinator) Status(now float64) Status {
 	s := Status{
 		Self:          z.self.Name,
@@ -82,7 +82,7 @@
 	return s
 }
 
-// describe is a plan in one line, for the log.
+// describe returns a plan as one line for the log.
 func describe(plan *Plan) string {
 	text := fmt.Sprintf("epoch %d, voters %s", plan.Epoch, strings.Join(plan.Voters, ","))
 	for _, zone := range plan.Zones {
@@ -90,8 +90,8 @@
 			text += fmt.Sprintf("; %s %s %s", zone.Name, zone.State, zone.Cause)
 		}
 	}
-	for _, cut := range plan.Partitions {
-		text += fmt.Sprintf("; %s does not reach %s", cut.From, cut.To)
+	for _, partition := range plan.Partitions {
+		text += fmt.Sprintf("; %s does not reach %s", partition.From, partition.To)
 	}
 	for _, flow := range plan.Flows {
 		text += fmt.Sprintf("; %s to %s %.0f%%", flow.From, flow.To, 100*flow.Share)
--- a/internal/fleet/zones/tracker.go
+++ b/internal/fleet/zones/tracker.go
@@ -1,43 +1,43 @@
 package zones
 
-// This file owns the state machine of one zone, at the leader: what must last for how long, and one recovery at a time.
-// It must never bring back a zone that was just lost, or eject one for what did not last.
+// This file implements the leader's state machine of one zone. It must never recover a zone immediately after a loss,
+// or eject one for a short-lived cause.
 
 import "math"
 
-// Timing says how fast zones are ejected and come back, in milliseconds.
+// Timing determines how fast zones are ejected and recover, in milliseconds.
 type Timing struct {
-	SuspectFor   float64 // an ejecting cause lasts so long before it counts
-	DegradedFor  float64 // and slowness, or lagging replicas, before capacity is reduced or restored
-	BaseEjection float64 // least time ejected; doubled with each recovery that failed
-	MaxEjection  float64 // bounds the doubling
-	SlowStart    float64 // of a recovery, from no capacity to all of it
-	ForgiveAfter float64 // serving for so long forgets one failed recovery
+	SuspectFor   float64 // how long an ejecting cause must last before the zone is ejected
+	DegradedFor  float64 // how long a degradation, or its end, must last before capacity is reduced or restored
+	BaseEjection float64 // minimum time of an ejection; doubled with each failed recovery
+	MaxEjection  float64 // upper bound of the doubled time
+	SlowStart    float64 // duration of a recovery, from no capacity to full capacity
+	ForgiveAfter float64 // time of service after which one failed recovery is forgiven
 }
 
-// degradedCapacity is left to a zone that is slow or whose replicas lag.
+// degradedCapacity is the capacity of a zone that is slow or whose replicas lag.
 const degradedCapacity = 0.5
 
 const (
-	drainStep = 0.25 // of a zone's capacity that a draining one loses in each step of the leader
-	maxFlaps  = 8    // failed recoveries that are counted
+	drainStep = 0.25 // capacity that a draining zone loses in each step of the leader
+	maxFlaps  = 8    // maximum count of failed recoveries
 )
 
 // tracker is one zone's state machine.
 type tracker struct {
-	Zone                  // as plans have it, but that Capacity is not rounded here
-	since         float64 // when State was entered; while serving, when the last flap was forgiven
-	healthySince  float64 // since when no ejecting cause holds; +Inf: one does
-	degradedSince float64 // when degraded changed last
-	degraded      bool    // the cause seen last degrades
+	Zone                  // as in plans, but Capacity is not rounded
+	since         float64 // when State was entered, or, while serving, when a flap was last forgiven
+	healthySince  float64 // since when there has been no ejecting cause; +Inf: there is one
+	degradedSince float64 // when degraded last changed
+	degraded      bool    // whether the last cause degrades
 }
 
-// newTracker takes a zone on in the state that the plan gives it; its times begin anew.
+// newTracker returns a tracker in the state that the plan gives the zone, with its timers restarted.
 func newTracker(now float64, zone Zone) *tracker {
 	return &tracker{Zone: zone, since: now, healthySince: now}
 }
 
-// step advances the state machine. mayRecover says that no other zone recovers now.
+// step advances the state machine. mayRecover is set if no other zone is recovering.
 func (t *tracker) step(now float64, timing Timing, cause Cause, evacuated, mayRecover bool) {
 	if evacuated {
 		cause = Evacuated
@@ -83,7 +83,7 @@
 	}
 }
 
-// stepDraining takes capacity away step by step. Planned flows follow at their own rate.
+// stepDraining reduces capacity by one step. Planned flows follow at their own rate.
 func (t *tracker) stepDraining(now float64, cause Cause) {
 	if cause.isHard() {
 		t.eject(now, cause)
@@ -95,15 +95,15 @@
 	}
 }
 
-// stepEjected begins a recovery once the zone has stayed out long enough and been healthy for as long, or twice the
-// base time where that is less.
+// stepEjected starts a recovery once the zone has been ejected for long enough, and healthy for as long or for twice
+// the base time, whichever is less.
 func (t *tracker) stepEjected(now float64, timing Timing, cause Cause, mayRecover bool) {
 	if cause.ejects() {
 		t.Cause = cause
 		return
 	}
-	stay := min(timing.BaseEjection*math.Exp2(float64(t.Flaps)), timing.MaxEjection)
-	if mayRecover && now-t.since >= stay && now-t.healthySince >= min(stay, timing.BaseEjection*2) {
+	ejectionTime := min(timing.BaseEjection*math.Exp2(float64(t.Flaps)), timing.MaxEjection)
+	if mayRecover && now-t.since >= ejectionTime && now-t.healthySince >= min(ejectionTime, timing.BaseEjection*2) {
 		t.transition(now, Recovering, t.Cause)
 	}
 }
@@ -119,7 +119,7 @@
 	}
 }
 
-// transition enters a state, if it is another one, and takes over its cause.
+// transition enters a state, unless the zone is already in it, and sets the cause.
 func (t *tracker) transition(now float64, state State, cause Cause) {
 	if t.State != state {
 		t.State, t.since = state, now
@@ -127,7 +127,7 @@
 	t.Cause = cause
 }
 
-// eject takes the zone out of service, at once or by draining it. A recovery that ends so counts as a flap.
+// eject takes the zone out of service, immediately or by draining. An ejection during recovery counts as a flap.
 func (t *tracker) eject(now float64, cause Cause) {
 	if t.State == Recovering {
 		t.Flaps = min(t.Flaps+1, maxFlaps)
@@ -140,8 +140,8 @@
 	}
 }
 
-// adjustCapacity keeps a zone serving: degradation that lasts reduces its capacity, and a long time of service forgives
-// failed recoveries, one at a time.
+// adjustCapacity updates a serving zone: a lasting degradation reduces its capacity, and a long time of service
+// forgives failed recoveries, one at a time.
 func (t *tracker) adjustCapacity(now float64, timing Timing, cause Cause) {
 	if t.degraded != cause.degrades() {
 		t.degraded, t.degradedSince = !t.degraded, now
--- a/internal/fleet/zones/traffic.go
+++ b/internal/fleet/zones/traffic.go
@@ -1,39 +1,39 @@
 package zones
 
-// This file owns the counts of a driver's sends by zone. They must never grow with operations or members.
+// This file counts a driver's sends by zone. The size of the counts must not depend on operations or members.
 
 import (
 	"cmp"
 	"slices"
 )
 
-// CrossZoneTraffic is a count of sends from drivers of one zone to members of another.
+// CrossZoneTraffic counts sends from drivers of one zone to members of another.
 type CrossZoneTraffic struct {
 	To     string `json:"to"`
 	Type   string `json:"type"`   // of the operation
-	Reason string `json:"reason"` // one of those below
+	Reason string `json:"reason"` // one of the Reason constants
 	Ops    int64  `json:"ops"`
 	Bytes  int64  `json:"bytes"`
 }
 
 // Reasons of sends to another zone.
 const (
-	ReasonPlan          = "plan"        // the plan has a share for that zone
-	ReasonPrimary       = "primary"     // the group's primary is there, and it is a write or needs it
-	ReasonRetry         = "repeat"      // a send before it failed
+	ReasonPlan          = "plan"        // the plan assigns a share to that zone
+	ReasonPrimary       = "primary"     // the group's primary is there, and the operation is a write or requires it
+	ReasonRetry         = "repeat"      // an earlier send failed
 	ReasonNoLocalMember = "no_near"     // the group has no usable member in the zone
-	ReasonLocalLoaded   = "near_loaded" // local members have more in flight, or are too far behind
+	ReasonLocalLoaded   = "near_loaded" // local members have more sends in flight, or lag too far behind
 )
 
-// maxTrafficKeys bounds the counts: what would be a further one is not counted.
+// maxTrafficKeys bounds the number of counts: sends with further keys are not counted.
 const maxTrafficKeys = 4096
 
-// SendAttributes is what is known of a send.
+// SendAttributes are the attributes of a send that determine its reason.
 type SendAttributes struct {
 	Retry, Primary, NoLocalMember bool
 }
 
-// reason is why a send went to another zone, the first one that holds.
+// reason returns the first reason that applies to a send to another zone.
 func (s SendAttributes) reason(planned bool) string {
 	switch {
 	case s.Retry:
@@ -58,7 +58,7 @@
 	reads  map[string]float64 // by zone, since the last TakeReads
 }
 
-// Record counts a send of so many bytes. planned says that the plan has a share for that zone.
+// Record counts a send of a number of bytes. planned is set if the plan assigns a share to the destination zone.
 func (c *TrafficCounter) Record(from, to, opType string, bytes int, attributes SendAttributes, planned bool) {
 	if c.counts == nil {
 		c.counts, c.reads = map[trafficKey]*trafficCount{}, map[string]float64{}
@@ -82,14 +82,14 @@
 	n.bytes += int64(bytes)
 }
 
-// TakeReads gives how many reads went to each zone since it was called last.
+// TakeReads returns the number of reads to each zone since its last call.
 func (c *TrafficCounter) TakeReads() map[string]float64 {
 	reads := c.reads
 	c.reads = map[string]float64{}
 	return reads
 }
 
-// CrossZone are the counts since the start, sorted.
+// CrossZone returns the counts since the start, sorted.
 func (c *TrafficCounter) CrossZone() (all []CrossZoneTraffic) {
 	for key, n := range c.counts {
 		all = append(all, CrossZoneTraffic{key.to, key.opType, key.reason, n.ops, n.bytes})
--- a/internal/fleet/zones/voters.go
+++ b/internal/fleet/zones/voters.go
@@ -1,6 +1,6 @@
 package zones
 
-// This file owns the choice of voters, and the first plan, which does nothing but name them.
+// This file selects voters and creates the first plan, which only names them.
 
 import (
 	"cmp"
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// firstPlan names voters and moves nothing.
+// firstPlan returns a plan that names voters and moves nothing.
 func (z *Coordinator) firstPlan() *Plan {
 	p := &Plan{Epoch: 1, Voters: z.selectVoters(nil)}
 	for _, name := range z.zoneNames() {
@@ -18,26 +18,26 @@
 	return p
 }
 
-// selectVoters spreads voters over the zones. Present ones that are alive stay, as long as no zone has too many.
-func (z *Coordinator) selectVoters(present []string) []string {
+// selectVoters spreads voters over the zones. Current voters that are alive are preferred within each zone.
+func (z *Coordinator) selectVoters(current []string) []string {
 	byZone, zones := z.electable()
 	for _, names := range byZone {
 		slices.SortStableFunc(names, func(a, b string) int {
 			return cmp.Or(
-				cmp.Compare(toInt(slices.Contains(present, b)), toInt(slices.Contains(present, a))),
+				cmp.Compare(toInt(slices.Contains(current, b)), toInt(slices.Contains(current, a))),
 				strings.Compare(a, b))
 		})
 	}
-	want := min(z.options.Voters, len(z.fleet.Alive))
-	if want%2 == 0 { // an even number more makes no majority smaller
-		want--
+	target := min(z.options.Voters, len(z.fleet.Alive))
+	if target%2 == 0 { // an even number of voters tolerates no more failures than one voter fewer
+		target--
 	}
 	var voters []string
-	for turn := 0; len(voters) < want; turn++ {
+	for round := 0; len(voters) < target; round++ {
 		found := false
 		for _, zone := range zones {
-			if turn < len(byZone[zone]) && len(voters) < want {
-				voters, found = append(voters, byZone[zone][turn]), true
+			if round < len(byZone[zone]) && len(voters) < target {
+				voters, found = append(voters, byZone[zone][round]), true
 			}
 		}
 		if !found {
@@ -48,7 +48,7 @@
 	return voters
 }
 
-// electable are the drivers that are alive and on the roster, by zone, and these zones, sorted.
+// electable returns the live drivers on the roster by zone, and the sorted names of these zones.
 func (z *Coordinator) electable() (byZone map[string][]string, zones []string) {
 	byZone = map[string][]string{}
 	for _, peer := range z.fleet.Alive {
@@ -64,10 +64,10 @@
 	return byZone, zones
 }
 
-// votersIncomplete says whether a voter is gone, or more could be had.
+// votersIncomplete reports whether a voter is not alive, or more voters are available.
 func (z *Coordinator) votersIncomplete() bool {
-	want := min(z.options.Voters, len(z.fleet.Alive))
-	if len(z.plan.Voters) < want-1+want%2 {
+	target := min(z.options.Voters, len(z.fleet.Alive))
+	if len(z.plan.Voters) < target-1+target%2 {
 		return true
 	}
 	return slices.ContainsFunc(z.plan.Voters, func(name string) bool { return !z.fleet.isAlive(name) })
