--- a/cmd/weirwind/membership.go
+++ b/cmd/weirwind/membership.go
@@ -29,7 +29,8 @@
 	if status.Reason != "" {
 		text += " reason=" + status.Reason
 	}
-	text += fmt.Sprintf(" for=%s count=%d health=%d", roundedDuration(status.PartitionDuration), status.DriverCount, status.Health)
+	text += fmt.Sprintf(" for=%s count=%d health=%d", roundedDuration(status.PartitionDuration), status.DriverCount,
+		status.Health)
 	if status.Roster != nil {
 		text += fmt.Sprintf(" roster=%d of=%d", status.Roster.Version, len(status.Roster.Names))
 	}
--- a/internal/fleet/membership/digest_test.go
+++ b/internal/fleet/membership/digest_test.go
@@ -372,7 +372,7 @@
 		drain := Drain{Member: string(rune('a' + r.IntN(6))), Source: uint8(r.IntN(2)),
 			Revision: int64(2*r.IntN(15)) - 1, Up: r.IntN(3) == 0}
 		if drain.Source == 1 {
-			drain.Revision++ // keeps revisions of the two sources distinct
+			drain.Revision++ // distinct revisions per source, so that no eviction is a tie
 		}
 		if r.IntN(2) == 0 {
 			changes, isNew := drains.ApplyPeer(now, drain)
