--- a/internal/driver/zones.go
+++ b/internal/driver/zones.go
@@ -177,8 +177,8 @@
 			z.coordinator.Saved(now, true)
 		}
 	}
-	if output.TollsChanged {
-		tolls := z.coordinator.Tolls()
+	if output.PenaltiesChanged {
+		tolls := z.coordinator.ZonePenalties()
 		z.service.decider.step(logic.Event{Kind: logic.EvTolls, Tolls: tolls})
 		z.service.log.Info("zones", "reason", "tolls", "text", fmt.Sprint(tolls))
 		z.trafficMu.Lock()
