--- a/internal/dataplane/proxy/errors.go
+++ b/internal/dataplane/proxy/errors.go
@@ -116,7 +116,7 @@
 // that the client may retry it.
 func isRetryableShardCode(code string) bool {
 	switch strings.ToUpper(code) {
-	case shardnode.CodeNoRoom, shardnode.CodeVoid, shardnode.CodeState:
+	case shardnode.CodeNoCapacity, shardnode.CodeAborted, shardnode.CodeWrongState:
 		return true
 	}
 	return false
--- a/internal/dataplane/proxy/shard.go
+++ b/internal/dataplane/proxy/shard.go
@@ -82,7 +82,7 @@
 			s.replyLine(wire.MsgDone + " " + rows[0])
 			s.replyReady(wire.StateIdle, wire.NoStamp)
 			return
-		case refused && refusal.Code == shardnode.CodeVoid:
+		case refused && refusal.Code == shardnode.CodeAborted:
 			s.replyError(errRetryLater, wire.StateIdle)
 			return
 		case refused && refusal.Code == shardnode.CodeMoved:
--- a/internal/session/queue/doc.go
+++ b/internal/session/queue/doc.go
@@ -27,7 +27,7 @@
 // # How the owner changes
 //
 //   - Takeover: the map says that the owner's epoch is over. The first of SessionState.Replicas that is alive becomes
-//     the owner by the next epoch. Replicas further back don't wait in vain: they ask the one before them (KindDefer),
+//     the owner by the next epoch. Replicas further back don't wait in vain: they ask the one before them (KindTakeOverRequest),
 //     which tells if it has nothing of the session, or that it is the owner and they are no replicas any more.
 //   - Hand-over: the owner drains. Once its first active replica has the whole log the owner stops changing the session
 //     and sends KindHandOver until it is answered; the new owner keeps the old one as a replica until another has all.
--- a/internal/session/queue/golden_test.go
+++ b/internal/session/queue/golden_test.go
@@ -37,7 +37,7 @@
 		golden.Of("hand over done", Envelope{Kind: KindHandOverDone, Session: "s", Epoch: 3, SiteEpoch: 3, Owner: "b"}),
 		golden.Of("forget", Envelope{Kind: KindDiscard, Session: "s", Epoch: 3, SiteEpoch: 3}),
 		golden.Of("find", Envelope{Kind: KindLocate, Session: "s", Socket: 5}),
-		golden.Of("defer", Envelope{Kind: KindDefer, Session: "s", Epoch: 3, SiteEpoch: 3, New: true}),
+		golden.Of("defer", Envelope{Kind: KindTakeOverRequest, Session: "s", Epoch: 3, SiteEpoch: 3, New: true}),
 		golden.Of("map", Envelope{Map: &sites.Map{Version: 2, Sites: map[string]sites.Site{"a": {Addr: "x",
 			State: sites.StateActive}}}}),
 	})
--- a/internal/session/queue/messages.go
+++ b/internal/session/queue/messages.go
@@ -44,9 +44,9 @@
 	KindDiscard
 	// KindLocate (edge to all sites): who owns the session? The owner answers with KindRedirect.
 	KindLocate
-	// KindDefer (replica to the one before it): the owner's epoch is over, take over. New: its answer, of a site that
+	// KindTakeOverRequest (replica to the one before it): the owner's epoch is over, take over. New: its answer, of a site that
 	// has nothing of the session.
-	KindDefer
+	KindTakeOverRequest
 )
 
 // Reasons of a KindRejected.
--- a/internal/session/queue/receive.go
+++ b/internal/session/queue/receive.go
@@ -32,7 +32,7 @@
 		s.receiveHandOverDone(from, envelope)
 	case KindDiscard:
 		s.receiveDiscard(envelope)
-	case KindDefer:
+	case KindTakeOverRequest:
 		s.receiveDefer(from, envelope, now)
 	}
 }
--- a/internal/session/queue/takeover.go
+++ b/internal/session/queue/takeover.go
@@ -26,7 +26,7 @@
 			return
 		}
 		if s.current.Alive(replica) {
-			s.send(replica, Envelope{Kind: KindDefer, Session: sess.id, Epoch: sess.Epoch})
+			s.send(replica, Envelope{Kind: KindTakeOverRequest, Session: sess.id, Epoch: sess.Epoch})
 			return
 		}
 	}
@@ -55,7 +55,7 @@
 	case owned != nil && owned.Epoch > envelope.Epoch && !slices.Contains(owned.Replicas, from):
 		s.send(from, Envelope{Kind: KindDiscard, Session: envelope.Session, Epoch: owned.Epoch})
 	case owned == nil && replica == nil: // nothing of it is here: who asks is to take over itself
-		s.send(from, Envelope{Kind: KindDefer, Session: envelope.Session, Epoch: envelope.Epoch, New: true})
+		s.send(from, Envelope{Kind: KindTakeOverRequest, Session: envelope.Session, Epoch: envelope.Epoch, New: true})
 	}
 	if replica != nil && envelope.New && replica.Epoch == envelope.Epoch &&
 		!s.current.AliveAt(replica.Owner, replica.OwnerEpoch) {
--- a/internal/shard/shardnode/errors.go
+++ b/internal/shard/shardnode/errors.go
@@ -27,28 +27,28 @@
 
 // Codes of a node's refusals on the wire.
 const (
-	CodeMoved  = "MOVED" // followed by MovedError.HighestEpoch
-	CodeNoRoom = "NOROOM"
-	CodeVoid   = "VOID"
-	CodeOld    = "OLD"
-	CodeBehind = "BEHIND"
-	CodeState  = "STATE"
+	CodeMoved      = "MOVED" // followed by MovedError.HighestEpoch
+	CodeNoCapacity = "NOROOM"
+	CodeAborted    = "VOID"
+	CodeStaleEpoch = "OLD"
+	CodeIncomplete = "BEHIND"
+	CodeWrongState = "STATE"
 )
 
-// Code gives a refusal's code, with what follows it. Errors that are none of this package's are CodeState.
+// Code gives a refusal's code, with what follows it. Errors that are none of this package's are CodeWrongState.
 func Code(err error) string {
 	var moved *MovedError
 	switch {
 	case errors.As(err, &moved):
 		return CodeMoved + " " + strconv.FormatUint(moved.HighestEpoch, 10)
 	case errors.Is(err, ErrNoCapacity):
-		return CodeNoRoom
+		return CodeNoCapacity
 	case errors.Is(err, ErrAborted):
-		return CodeVoid
+		return CodeAborted
 	case errors.Is(err, ErrStaleEpoch):
-		return CodeOld
+		return CodeStaleEpoch
 	case errors.Is(err, ErrIncomplete):
-		return CodeBehind
+		return CodeIncomplete
 	}
-	return CodeState
+	return CodeWrongState
 }
