--- a/internal/session/edge/edge.go
+++ b/internal/session/edge/edge.go
@@ -53,17 +53,17 @@
 
 // Run serves until ctx ends; then it asks its clients to go to another edge, for half of the grace period at most.
 func Run(ctx context.Context, set *settings.Settings, log events.Log) error {
-	inner, stop := context.WithCancel(context.WithoutCancel(ctx))
-	defer stop()
-	r := newRunner(inner, set, log)
-	front, err := net.Listen("tcp4", set.FrontAddr)
+	workCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	defer cancel()
+	r := newRunner(workCtx, set, log)
+	listener, err := net.Listen("tcp4", set.FrontAddr)
 	if err != nil {
 		return oops.In("listen").Wrap(err)
 	}
 	server := &http.Server{Handler: r.routes(), ReadHeaderTimeout: 2 * time.Second, IdleTimeout: 30 * time.Second,
-		MaxHeaderBytes: 8 << 10, BaseContext: func(net.Listener) context.Context { return inner }}
-	go func() { _ = server.Serve(front) }() // until it is closed
-	go r.pollMap(inner)
+		MaxHeaderBytes: 8 << 10, BaseContext: func(net.Listener) context.Context { return workCtx }}
+	go func() { _ = server.Serve(listener) }() // until it is closed
+	go r.pollMap(workCtx)
 	go r.commands.Run(tickInterval, r.tick)
 	log.Event(events.Started, "edge", set.Hostname, "front", set.FrontAddr)
 	<-ctx.Done()
@@ -121,7 +121,7 @@
 func (r *runner) showStatus(w http.ResponseWriter, req *http.Request) {
 	// The request's context would end as soon as the caller closes its sending half, and it still waits then.
 	ctx := context.WithoutCancel(req.Context())
-	got, err := commandqueue.Call(ctx, r.commands, func() status {
+	current, err := commandqueue.Call(ctx, r.commands, func() status {
 		return status{r.settings.Hostname, slices.Clone(r.decider.OwnerGaps()), r.decider.Sockets()}
 	})
 	if err != nil {
@@ -129,5 +129,5 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(got) // an error is the caller's, who has gone
+	_ = json.NewEncoder(w).Encode(current) // an error is the caller's, who has gone
 }
--- a/internal/session/edge/golden_test.go
+++ b/internal/session/edge/golden_test.go
@@ -21,33 +21,33 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	e := &runner{settings: &settings.Settings{Hostname: "e"}, startedAt: time.Now(), decider: queue.NewEdge("e", "", ""),
+	runner := &runner{settings: &settings.Settings{Hostname: "e"}, startedAt: time.Now(), decider: queue.NewEdge("e", "", ""),
 		commands: commandqueue.New(t.Context(), 16), sites: map[string]*siteLink{}, sockets: map[uint64]*socket{}}
-	e.decider.ApplyMap(m, 0)
+	runner.decider.ApplyMap(m, 0)
 	var cases []golden.Case[string]
 	for id := uint64(1); id <= 2; id++ {
 		plain := id == 2
-		s := &socket{id: id, plain: plain, wakeWriter: make(chan struct{}, 1), cancel: func() {}}
-		e.sockets[id] = s
+		sock := &socket{id: id, plain: plain, wakeWriter: make(chan struct{}, 1), cancel: func() {}}
+		runner.sockets[id] = sock
 		name := fmt.Sprint("s", id)
-		e.decider.OpenSocket(id, name, "secret", true, 0, 0)
-		for _, w := range []queue.Envelope{{Kind: queue.KindAttached, Owner: "a", Epoch: 1, Connection: 1, Number: 4},
+		runner.decider.OpenSocket(id, name, "secret", true, 0, 0)
+		for _, envelope := range []queue.Envelope{{Kind: queue.KindAttached, Owner: "a", Epoch: 1, Connection: 1, Number: 4},
 			{Kind: queue.KindDeliver, Epoch: 1, Messages: []queue.Message{{Number: 1, Body: []byte("one")}, {Number: 2,
 				Body: []byte("t w")}}}} {
-			w.Session, w.Socket = name, id
-			e.decider.Receive("a", &w, 0)
+			envelope.Session, envelope.Socket = name, id
+			runner.decider.Receive("a", &envelope, 0)
 		}
-		e.decider.Publish(id, 5, []byte("mine"))
-		e.decider.Receive("a", &queue.Envelope{Kind: queue.KindPublishAck, Session: name, Socket: id, Epoch: 1, Number: 5}, 0)
-		e.flush()
-		for i, l := range s.outgoing {
-			cases = append(cases, golden.Of(fmt.Sprint("socket ", id, " line ", i), l.text+fmt.Sprint(" n ", l.number)))
+		runner.decider.Publish(id, 5, []byte("mine"))
+		runner.decider.Receive("a", &queue.Envelope{Kind: queue.KindPublishAck, Session: name, Socket: id, Epoch: 1, Number: 5}, 0)
+		runner.flush()
+		for i, line := range sock.outgoing {
+			cases = append(cases, golden.Of(fmt.Sprint("socket ", id, " line ", i), line.text+fmt.Sprint(" n ", line.number)))
 		}
 	}
-	go e.commands.Run(time.Hour, func() {})
-	w := httptest.NewRecorder()
-	e.showStatus(w, httptest.NewRequestWithContext(t.Context(), "GET", "/status", nil))
-	cases = append(cases, golden.Of("status", w.Body.String()))
+	go runner.commands.Run(time.Hour, func() {})
+	recorder := httptest.NewRecorder()
+	runner.showStatus(recorder, httptest.NewRequestWithContext(t.Context(), "GET", "/status", nil))
+	cases = append(cases, golden.Of("status", recorder.Body.String()))
 	golden.Text(t, "testdata/lines.txt", cases)
 
 	// A caller that has closed its sending half, whose request's context is cancelled, gets the same.
@@ -55,8 +55,8 @@
 	cancel()
 	for range 20 {
 		again := httptest.NewRecorder()
-		e.showStatus(again, httptest.NewRequestWithContext(ctx, "GET", "/status", nil))
-		if again.Code != w.Code || again.Body.String() != w.Body.String() {
+		runner.showStatus(again, httptest.NewRequestWithContext(ctx, "GET", "/status", nil))
+		if again.Code != recorder.Code || again.Body.String() != recorder.Body.String() {
 			t.Fatalf("%d %s", again.Code, again.Body)
 		}
 	}
--- a/internal/session/edge/session.go
+++ b/internal/session/edge/session.go
@@ -39,15 +39,15 @@
 	if request.newSession {
 		request.id, request.secret = randomToken()
 	} else {
-		found := false
-		request.id, request.secret, found = strings.Cut(query.Get("token"), ".")
+		separated := false
+		request.id, request.secret, separated = strings.Cut(query.Get("token"), ".")
 		const length = 2 * tokenPartBytes
-		if !found || len(request.id) != length || len(request.secret) != length {
+		if !separated || len(request.id) != length || len(request.secret) != length {
 			return nil, errBadToken
 		}
 	}
-	if got := query.Get("got"); got != "" {
-		number, err := strconv.ParseUint(got, 10, 63)
+	if lastReceived := query.Get("got"); lastReceived != "" {
+		number, err := strconv.ParseUint(lastReceived, 10, 63)
 		if err != nil {
 			return nil, errBadNumber
 		}
--- a/internal/session/edge/sites.go
+++ b/internal/session/edge/sites.go
@@ -35,8 +35,8 @@
 func (r *runner) pollMap(ctx context.Context) {
 	client := http.Client{Timeout: mapTimeout}
 	machines := r.settings.Peers
-	for n := 0; ctx.Err() == nil; n++ {
-		if m, err := fetchMap(ctx, &client, machines[n%len(machines)]); err == nil {
+	for attempt := 0; ctx.Err() == nil; attempt++ {
+		if m, err := fetchMap(ctx, &client, machines[attempt%len(machines)]); err == nil {
 			r.commands.Do(func() { r.applyMap(ctx, m) })
 		}
 		select {
@@ -89,7 +89,7 @@
 func (r *runner) connectSite(ctx context.Context, name, addr string) *siteLink {
 	linkCtx, stop := context.WithCancel(ctx)
 	s := &siteLink{addr: addr, stop: stop}
-	up := func(l *link) {
+	onLinkChange := func(l *link) {
 		r.commands.Do(func() {
 			s.link = l
 			if l == nil {
@@ -103,7 +103,7 @@
 			r.commands.Do(func() { r.receive(ctx, name, frame) })
 		}
 	}
-	go site.KeepLink(linkCtx, addr, site.Frame{Hello: r.settings.Hostname, Edge: true}, up, receive)
+	go site.KeepLink(linkCtx, addr, site.Frame{Hello: r.settings.Hostname, Edge: true}, onLinkChange, receive)
 	return s
 }
 
--- a/internal/session/edge/socket.go
+++ b/internal/session/edge/socket.go
@@ -17,10 +17,10 @@
 )
 
 const (
-	maxLineBytes       = 80 << 10
-	writeTimeout       = 5 * time.Second
-	maxOutgoingLines   = 512 // that wait to be written to one socket
-	publishRetryPeriod = 10 * time.Millisecond
+	maxLineBytes         = 80 << 10
+	writeTimeout         = 5 * time.Second
+	maxOutgoingLines     = 512 // that wait to be written to one socket
+	publishRetryInterval = 10 * time.Millisecond
 )
 
 // socket is a client's connection. A plain client speaks no subprotocol: its lines are bodies alone, and it has a
@@ -182,7 +182,7 @@
 // is that of a socket that has ended.
 func (s *socket) publish(ctx context.Context, r *runner, number uint64, body []byte) error {
 	for {
-		taken, err := commandqueue.Call(ctx, r.commands, func() bool {
+		accepted, err := commandqueue.Call(ctx, r.commands, func() bool {
 			if r.sockets[s.id] == s && !r.decider.CanPublish(s.id) {
 				return false
 			}
@@ -190,9 +190,9 @@
 			r.flush()
 			return true
 		})
-		if err != nil || taken {
+		if err != nil || accepted {
 			return err
 		}
-		time.Sleep(publishRetryPeriod)
+		time.Sleep(publishRetryInterval)
 	}
 }
--- a/internal/session/queue/attach.go
+++ b/internal/session/queue/attach.go
@@ -26,7 +26,7 @@
 	}
 	switch {
 	case sess == nil:
-		s.attachElsewhere(from, envelope)
+		s.redirectToOwner(from, envelope)
 	case subtle.ConstantTimeCompare([]byte(sess.Secret), []byte(envelope.Secret)) != 1:
 		s.reject(from, envelope, reasonUnknown) // as if it were not there
 	case sess.handOverTo != "":
@@ -39,7 +39,7 @@
 }
 
 // attachElsewhere sends an edge to the owner of a session that this site has a replica of.
-func (s *Site) attachElsewhere(from string, envelope *Envelope) {
+func (s *Site) redirectToOwner(from string, envelope *Envelope) {
 	replica := s.replicas[envelope.Session]
 	if replica == nil {
 		s.reject(from, envelope, reasonUnknown)
@@ -142,11 +142,11 @@
 	}
 	last := sess.replicatedOutbox(replicated)
 	var messages []Message
-	inFlight := int64(0) // bytes that the client has not acknowledged
+	inFlightBytes := int64(0) // bytes that the client has not acknowledged
 	for i := range sess.Outbox {
 		m := &sess.Outbox[i]
-		inFlight += messageSize(m)
-		if i >= s.Limits.WindowMessages || i > 0 && inFlight > s.Limits.WindowBytes {
+		inFlightBytes += messageSize(m)
+		if i >= s.Limits.WindowMessages || i > 0 && inFlightBytes > s.Limits.WindowBytes {
 			break
 		}
 		if m.Number > sess.delivered && m.Number <= last {
--- a/internal/session/queue/edge.go
+++ b/internal/session/queue/edge.go
@@ -12,14 +12,14 @@
 
 // Times are milliseconds.
 const (
-	locateInterval   = 100.0     // between attempts to attach a socket
-	locateTimeout    = 15000.0   // after which a detached socket is closed; its session may still exist
-	unknownTimeout   = 4000.0    // the same for one that never was attached: longer than a lease, so that it is unknown
-	republishAfter   = 500.0     // after which what is not acknowledged is sent again
-	maxUnacked       = 64        // messages of a client that are not acknowledged; more are not read
-	maxUnackedBytes  = 256 << 10 // and their bytes
-	maxOwnerGaps     = 8192      // that are remembered
-	droppedOwnerGaps = maxOwnerGaps / 4
+	locateInterval     = 100.0     // between attempts to attach a socket
+	locateTimeout      = 15000.0   // after which a detached socket is closed; its session may still exist
+	unknownTimeout     = 4000.0    // the same for one that never was attached: longer than a lease, so that it is unknown
+	republishAfter     = 500.0     // after which what is not acknowledged is sent again
+	maxUnackedMessages = 64        // messages of a client that are not acknowledged; more are not read
+	maxUnackedBytes    = 256 << 10 // and their bytes
+	maxOwnerGaps       = 8192      // that are remembered
+	prunedOwnerGaps    = maxOwnerGaps / 4
 )
 
 // ClientEventKind of a client event.
@@ -60,15 +60,15 @@
 	attached bool
 	opened   bool // it was attached once
 
-	delivered uint64    // number of the last message that was given to the client
-	acked     uint64    // and of the last one that it acknowledged
-	unacked   []Message // of the client, not replicated yet; numbers without gaps up to published
-	published uint64    // number of the client's last message
+	delivered     uint64    // number of the last message that was given to the client
+	acked         uint64    // and of the last one that it acknowledged
+	unacked       []Message // of the client, not replicated yet; numbers without gaps up to published
+	lastPublished uint64    // number of the client's last message
 
-	retryAt     float64 // no attempt to attach before
-	detachedAt  float64
-	attempts    int // to attach, since detachedAt
-	publishedAt float64
+	nextAttachAt   float64 // no attempt to attach before
+	detachedAt     float64
+	attachAttempts int // to attach, since detachedAt
+	publishSentAt  float64
 }
 
 // Edge is one process.
@@ -109,7 +109,7 @@
 func (e *Edge) addOwnerGap(gap float64) {
 	e.ownerGaps = append(e.ownerGaps, gap)
 	if len(e.ownerGaps) > maxOwnerGaps {
-		e.ownerGaps = slices.Delete(e.ownerGaps, 0, droppedOwnerGaps)
+		e.ownerGaps = slices.Delete(e.ownerGaps, 0, prunedOwnerGaps)
 	}
 }
 
@@ -151,7 +151,7 @@
 // CanPublish says whether more of a client's messages may be read now.
 func (e *Edge) CanPublish(id uint64) bool {
 	sock := e.sockets[id]
-	if sock == nil || !sock.opened || len(sock.unacked) >= maxUnacked {
+	if sock == nil || !sock.opened || len(sock.unacked) >= maxUnackedMessages {
 		return false
 	}
 	bytes := 0
@@ -165,15 +165,15 @@
 // nothing, and a gap closes the socket.
 func (e *Edge) Publish(id, number uint64, body []byte) {
 	sock := e.sockets[id]
-	if sock == nil || !sock.opened || number > 0 && number <= sock.published {
+	if sock == nil || !sock.opened || number > 0 && number <= sock.lastPublished {
 		return
 	}
-	sock.published++
-	if number > 0 && number != sock.published {
+	sock.lastPublished++
+	if number > 0 && number != sock.lastPublished {
 		e.endSocket(sock, "message numbers go up by one", false)
 		return
 	}
-	m := Message{Number: sock.published, Body: body}
+	m := Message{Number: sock.lastPublished, Body: body}
 	sock.unacked = append(sock.unacked, m)
 	if sock.attached {
 		e.send(sock.owner, sock, Envelope{Kind: KindPublish, Epoch: sock.epoch, Messages: []Message{m}})
@@ -182,7 +182,7 @@
 
 // republish sends all of the client's messages that are not acknowledged.
 func (e *Edge) republish(sock *socket, now float64) {
-	sock.publishedAt = now
+	sock.publishSentAt = now
 	if len(sock.unacked) > 0 {
 		e.send(sock.owner, sock, Envelope{Kind: KindPublish, Epoch: sock.epoch, Messages: slices.Clone(sock.unacked)})
 	}
@@ -206,14 +206,14 @@
 		sock := e.sockets[id]
 		switch {
 		case sock.attached:
-			if now-sock.publishedAt > republishAfter {
+			if now-sock.publishSentAt > republishAfter {
 				e.republish(sock, now)
 			}
 		case !sock.opened && !sock.newSession && e.current != nil && now-sock.detachedAt > unknownTimeout:
 			e.endSocket(sock, "unknown session", false)
 		case now-sock.detachedAt > locateTimeout:
 			e.endSocket(sock, "no site serves this session now", true)
-		case now >= sock.retryAt:
+		case now >= sock.nextAttachAt:
 			e.locateOwner(sock, now)
 		}
 	}
--- a/internal/session/queue/edgereceive.go
+++ b/internal/session/queue/edgereceive.go
@@ -39,12 +39,12 @@
 	if sock.connection > 0 && !sock.attached {
 		e.addOwnerGap(now - sock.detachedAt)
 	}
-	first := !sock.opened
+	firstAttach := !sock.opened
 	sock.delivered = max(sock.delivered, envelope.Base) // the client had those by an earlier connection
-	sock.attached, sock.opened, sock.attempts = true, true, 0
+	sock.attached, sock.opened, sock.attachAttempts = true, true, 0
 	sock.epoch, sock.connection, sock.replicas = envelope.Epoch, envelope.Connection, envelope.Replicas
-	if first {
-		sock.published = max(sock.published, envelope.Number)
+	if firstAttach {
+		sock.lastPublished = max(sock.lastPublished, envelope.Number)
 		e.emit(ClientEvent{Kind: EventOpened, Socket: sock.id, Number: envelope.Number, Secret: sock.secret,
 			Session: sock.session})
 	} else {
@@ -66,11 +66,11 @@
 
 // receivePublishAck takes that the client's messages up to a number are replicated.
 func (e *Edge) receivePublishAck(sock *socket, number uint64) {
-	before := len(sock.unacked)
+	unackedBefore := len(sock.unacked)
 	for len(sock.unacked) > 0 && sock.unacked[0].Number <= number {
 		sock.unacked = sock.unacked[1:]
 	}
-	if len(sock.unacked) != before {
+	if len(sock.unacked) != unackedBefore {
 		e.emit(ClientEvent{Kind: EventPublishAcked, Socket: sock.id, Number: number})
 	}
 }
@@ -81,6 +81,6 @@
 		return
 	}
 	sock.detach(now)
-	sock.owner, sock.replicas, sock.retryAt = envelope.Owner, envelope.Replicas, now+locateInterval
+	sock.owner, sock.replicas, sock.nextAttachAt = envelope.Owner, envelope.Replicas, now+locateInterval
 	e.attach(sock)
 }
--- a/internal/session/queue/enqueue.go
+++ b/internal/session/queue/enqueue.go
@@ -44,7 +44,7 @@
 func (s *Site) enqueue(sess *session, key string, body []byte, now float64, reply Reply) {
 	if key != "" {
 		if i := slices.IndexFunc(sess.RecentKeys, func(m Message) bool { return m.Key == key }); i >= 0 {
-			s.repeat(sess, sess.RecentKeys[i].Number, now, reply)
+			s.replyToRepeat(sess, sess.RecentKeys[i].Number, now, reply)
 			return
 		}
 	}
@@ -63,7 +63,7 @@
 }
 
 // repeat answers who sends a message again: at once, or when it is replicated.
-func (s *Site) repeat(sess *session, number uint64, now float64, reply Reply) {
+func (s *Site) replyToRepeat(sess *session, number uint64, now float64, reply Reply) {
 	if sess.replicatedOutbox(s.replicatedIndex(sess)) >= number {
 		reply(StatusRepeated, number)
 		return
--- a/internal/session/queue/golden_test.go
+++ b/internal/session/queue/golden_test.go
@@ -11,11 +11,11 @@
 
 // One envelope of each kind, with the fields that it uses; the state and each kind of op among them.
 func TestGoldenForms(t *testing.T) {
-	msgs := []Message{{7, "key", []byte("body"), 12.5}, {Number: 8, Body: []byte("b")}}
-	state := &SessionState{"secret", 3, "a", 4, []string{"b", "c"}, 19, msgs, 8, []Message{{Number: 2,
+	messages := []Message{{7, "key", []byte("body"), 12.5}, {Number: 8, Body: []byte("b")}}
+	state := &SessionState{"secret", 3, "a", 4, []string{"b", "c"}, 19, messages, 8, []Message{{Number: 2,
 		Body: []byte("in")}}, 2, 5,
 		[]Message{{Number: 7, Key: "key"}}}
-	ops := []Op{{OpPut, 0, &msgs[0]}, {OpAck, 7, nil}, {OpPublish, 0, &msgs[1]}, {OpConsume, 2, nil}, {OpAttach, 6, nil}}
+	ops := []Op{{OpPut, 0, &messages[0]}, {OpAck, 7, nil}, {OpPublish, 0, &messages[1]}, {OpConsume, 2, nil}, {OpAttach, 6, nil}}
 	golden.CBOR(t, "testdata/envelopes.cbor", []golden.Case[Envelope]{
 		golden.Of("attach", Envelope{Kind: KindAttach, Session: "s", Secret: "x", Connection: 1, Socket: 2, Number: 3,
 			Base: 4, New: true}),
@@ -23,9 +23,9 @@
 			Owner:    "a",
 			Replicas: []string{"b"}, Number: 6, Base: 7}),
 		golden.Of("refused", Envelope{Kind: KindRejected, Session: "s", Socket: 5, Reason: "not now"}),
-		golden.Of("deliver", Envelope{Kind: KindDeliver, Session: "s", Epoch: 2, SiteEpoch: 3, Socket: 5, Messages: msgs}),
+		golden.Of("deliver", Envelope{Kind: KindDeliver, Session: "s", Epoch: 2, SiteEpoch: 3, Socket: 5, Messages: messages}),
 		golden.Of("ack", Envelope{Kind: KindAck, Session: "s", Epoch: 2, Socket: 5, Number: 9}),
-		golden.Of("publish", Envelope{Kind: KindPublish, Session: "s", Epoch: 2, Socket: 5, Messages: msgs[1:]}),
+		golden.Of("publish", Envelope{Kind: KindPublish, Session: "s", Epoch: 2, Socket: 5, Messages: messages[1:]}),
 		golden.Of("publish ack", Envelope{Kind: KindPublishAck, Session: "s", Epoch: 2, SiteEpoch: 3, Socket: 5, Number: 9}),
 		golden.Of("detach", Envelope{Kind: KindDetach, Session: "s", Socket: 5, Epoch: 2}),
 		golden.Of("redirect", Envelope{Kind: KindRedirect, Session: "s", Socket: 5, Owner: "b", Replicas: []string{"a"},
@@ -44,21 +44,21 @@
 }
 
 // What operators are shown of a session.
-func TestGoldenShown(t *testing.T) {
-	o := newInterleaving()
-	h := o.owner()
-	h.Enqueue("s", "k", []byte("body"), o.now, func(Status, uint64) {})
-	o.flush()
-	o.settle()
-	b, err := json.Marshal(h.Describe("s"))
+func TestGoldenSessionInfo(t *testing.T) {
+	il := newInterleaving()
+	owner := il.owner()
+	owner.Enqueue("s", "k", []byte("body"), il.now, func(Status, uint64) {})
+	il.flush()
+	il.settle()
+	info, err := json.Marshal(owner.Describe("s"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	none, err := json.Marshal(h.Describe("none"))
+	missing, err := json.Marshal(owner.Describe("none"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden.Text(t, "testdata/shown.txt", []golden.Case[string]{golden.Of("shown", string(b)), golden.Of("none",
-		string(none)),
-		golden.Of("counts", fmt.Sprint(h.OwnedSessions(), h.ReplicatedSessions(), h.Bytes(), h.ExpiredMessages))})
+	golden.Text(t, "testdata/shown.txt", []golden.Case[string]{golden.Of("shown", string(info)), golden.Of("none",
+		string(missing)),
+		golden.Of("counts", fmt.Sprint(owner.OwnedSessions(), owner.ReplicatedSessions(), owner.Bytes(), owner.ExpiredMessages))})
 }
--- a/internal/session/queue/interleavings_test.go
+++ b/internal/session/queue/interleavings_test.go
@@ -37,18 +37,18 @@
 	il := &interleaving{current: &sites.Map{Sites: map[string]sites.Site{}}, sites: map[string]*Site{},
 		removed: map[string]bool{},
 		edge:    NewEdge("e", "z0", "r"), links: map[[2]string][]Envelope{}}
-	for i, n := range siteNames {
-		il.sites[n] = NewSite(n, Limits{Sessions: 9, SessionBytes: 1 << 20, SessionMessages: 9, MaxAge: 1e12,
+	for i, name := range siteNames {
+		il.sites[name] = NewSite(name, Limits{Sessions: 9, SessionBytes: 1 << 20, SessionMessages: 9, MaxAge: 1e12,
 			TotalBytes: 1 << 20, MessageBytes: 99, WindowMessages: 9,
 			WindowBytes: 1 << 20, Replicas: 1, RecentKeys: 9})
-		il.current, _ = il.current.Apply(&sites.Change{Kind: sites.ChangeJoin, Name: n,
-			Site: sites.Site{Addr: n, Zone: fmt.Sprint("z", i), Region: "r", Incarnation: 1}})
-		for _, p := range append(siteNames, "e") {
-			if p != n {
-				il.linkOrder = append(il.linkOrder, [2]string{n, p})
+		il.current, _ = il.current.Apply(&sites.Change{Kind: sites.ChangeJoin, Name: name,
+			Site: sites.Site{Addr: name, Zone: fmt.Sprint("z", i), Region: "r", Incarnation: 1}})
+		for _, peer := range append(siteNames, "e") {
+			if peer != name {
+				il.linkOrder = append(il.linkOrder, [2]string{name, peer})
 			}
 		}
-		il.linkOrder = append(il.linkOrder, [2]string{"e", n})
+		il.linkOrder = append(il.linkOrder, [2]string{"e", name})
 	}
 	il.publishMap()
 	il.edge.OpenSocket(1, "s", "x", true, 0, il.now)
@@ -69,37 +69,37 @@
 
 func (il *interleaving) flush() {
 	for _, n := range siteNames {
-		for _, s := range il.sites[n].TakeOutgoing() {
-			if !il.removed[n] && !il.removed[s.To] {
-				k := [2]string{n, s.To}
-				il.links[k] = append(il.links[k], s.Envelope)
+		for _, outgoing := range il.sites[n].TakeOutgoing() {
+			if !il.removed[n] && !il.removed[outgoing.To] {
+				k := [2]string{n, outgoing.To}
+				il.links[k] = append(il.links[k], outgoing.Envelope)
 			}
 		}
 	}
-	for _, t := range il.edge.TakeClientEvents() {
-		if t.Kind == EventMessage {
-			il.received = append(il.received, t.Number)
+	for _, event := range il.edge.TakeClientEvents() {
+		if event.Kind == EventMessage {
+			il.received = append(il.received, event.Number)
 		}
 	}
-	for _, s := range il.edge.TakeOutgoing() {
-		if !il.removed[s.To] {
-			k := [2]string{"e", s.To}
-			il.links[k] = append(il.links[k], s.Envelope)
+	for _, outgoing := range il.edge.TakeOutgoing() {
+		if !il.removed[outgoing.To] {
+			k := [2]string{"e", outgoing.To}
+			il.links[k] = append(il.links[k], outgoing.Envelope)
 		}
 	}
 }
 
-func (il *interleaving) deliver(k [2]string) bool {
-	q := il.links[k]
-	if len(q) == 0 {
+func (il *interleaving) deliver(link [2]string) bool {
+	pending := il.links[link]
+	if len(pending) == 0 {
 		return false
 	}
-	w := q[0]
-	il.links[k] = slices.Clone(q[1:])
-	if k[1] == "e" {
-		il.edge.Receive(k[0], &w, il.now)
+	envelope := pending[0]
+	il.links[link] = slices.Clone(pending[1:])
+	if link[1] == "e" {
+		il.edge.Receive(link[0], &envelope, il.now)
 	} else {
-		il.sites[k[1]].Receive(k[0], &w, il.now)
+		il.sites[link[1]].Receive(link[0], &envelope, il.now)
 	}
 	il.flush()
 	return true
@@ -125,15 +125,15 @@
 		}
 		choice--
 	}
-	h := il.owner()
-	can := []struct {
-		may bool
-		do  func()
+	owner := il.owner()
+	events := []struct {
+		possible bool
+		run      func()
 	}{
-		{h != nil && il.producedCount < 2, func() {
+		{owner != nil && il.producedCount < 2, func() {
 			il.producedCount++
 			n := uint64(il.producedCount)
-			h.Enqueue("s", fmt.Sprint(n), []byte("x"), il.now, func(status Status, got uint64) {
+			owner.Enqueue("s", fmt.Sprint(n), []byte("x"), il.now, func(status Status, got uint64) {
 				if status == 202 || status == 200 {
 					il.acknowledged = append(il.acknowledged, got)
 				}
@@ -142,40 +142,40 @@
 		{il.edge.sockets[1] != nil && il.edge.sockets[1].acked < il.edge.sockets[1].delivered,
 			func() { il.edge.Ack(1, il.edge.sockets[1].delivered) }},
 		{il.published < 1 && il.edge.sockets[1] != nil, func() { il.published++; il.edge.Publish(1, il.published, []byte("y")) }},
-		{!il.ownerDrained && h != nil, func() {
+		{!il.ownerDrained && owner != nil, func() {
 			il.ownerDrained = true
-			il.current, _ = il.current.Apply(&sites.Change{Kind: sites.ChangeDrain, Name: h.Name, DrainRate: 1000})
+			il.current, _ = il.current.Apply(&sites.Change{Kind: sites.ChangeDrain, Name: owner.Name, DrainRate: 1000})
 			il.publishMap()
 			il.now += 60
-			h.Tick(il.now)
+			owner.Tick(il.now)
 		}},
-		{!il.ownerRemoved && h != nil, func() {
+		{!il.ownerRemoved && owner != nil, func() {
 			il.ownerRemoved = true
-			il.removed[h.Name] = true
+			il.removed[owner.Name] = true
 			for k := range il.links {
-				if k[0] == h.Name || k[1] == h.Name {
+				if k[0] == owner.Name || k[1] == owner.Name {
 					delete(il.links, k)
 				}
 			}
-			il.edge.HandleSiteLost(h.Name, il.now)
-			il.current, _ = il.current.Apply(&sites.Change{Kind: sites.ChangeExpire, Name: h.Name, Epoch: 1})
+			il.edge.HandleSiteLost(owner.Name, il.now)
+			il.current, _ = il.current.Apply(&sites.Change{Kind: sites.ChangeExpire, Name: owner.Name, Epoch: 1})
 			il.publishMap()
 		}},
-		{!il.linksBroken && h != nil, func() { // the owner's links to other sites lose what is on its way
+		{!il.linksBroken && owner != nil, func() { // the owner's links to other sites lose what is on its way
 			il.linksBroken = true
 			for k := range il.links {
-				if k[0] == h.Name && k[1] != "e" || k[1] == h.Name && k[0] != "e" {
+				if k[0] == owner.Name && k[1] != "e" || k[1] == owner.Name && k[0] != "e" {
 					delete(il.links, k)
 				}
 			}
 		}},
 	}
-	for _, c := range can {
-		if !c.may {
+	for _, event := range events {
+		if !event.possible {
 			continue
 		}
 		if choice == 0 {
-			c.do()
+			event.run()
 			il.flush()
 			return true
 		}
@@ -187,10 +187,10 @@
 // settle lets all that is left happen, with time.
 func (il *interleaving) settle() {
 	for range 30 {
-		for more := true; more; {
-			more = false
+		for delivered := true; delivered; {
+			delivered = false
 			for _, k := range il.linkOrder {
-				more = il.deliver(k) || more
+				delivered = il.deliver(k) || delivered
 			}
 		}
 		il.now += 210
@@ -206,12 +206,12 @@
 
 func (il *interleaving) verify() string {
 	il.settle()
-	if h := il.owner(); h == nil {
+	if owner := il.owner(); owner == nil {
 		return "no owner"
-	} else if k := il.edge.sockets[1]; k == nil || !k.attached || k.owner != h.Name {
+	} else if sock := il.edge.sockets[1]; sock == nil || !sock.attached || sock.owner != owner.Name {
 		return "the socket has no owner"
-	} else if msgs, _ := h.Inbox("s", 0, il.now); uint64(len(msgs)) != il.published {
-		return fmt.Sprintf("%d of the client's %d messages are there", len(msgs), il.published)
+	} else if messages, _ := owner.Inbox("s", 0, il.now); uint64(len(messages)) != il.published {
+		return fmt.Sprintf("%d of the client's %d messages are there", len(messages), il.published)
 	}
 	owners := 0
 	for _, n := range siteNames {
@@ -240,35 +240,35 @@
 	if n, err := strconv.Atoi(os.Getenv("DEPTH")); err == nil {
 		depth = n
 	}
-	ends := 0
+	played := 0
 	path := make([]int, 0, depth)
 	var walk func()
 	walk = func() {
 		if len(path) == depth {
 			il := newInterleaving()
-			for _, c := range path {
-				il.step(c)
+			for _, choice := range path {
+				il.step(choice)
 			}
-			if ends++; ends > 0 {
-				if why := il.verify(); why != "" {
-					t.Fatalf("%v: %s", path, why)
+			if played++; played > 0 {
+				if problem := il.verify(); problem != "" {
+					t.Fatalf("%v: %s", path, problem)
 				}
 			}
 			return
 		}
-		for c := 0; ; c++ {
+		for choice := 0; ; choice++ {
 			il := newInterleaving()
 			for _, p := range path {
 				il.step(p)
 			}
-			if !il.step(c) {
+			if !il.step(choice) {
 				return
 			}
-			path = append(path, c)
+			path = append(path, choice)
 			walk()
 			path = path[:len(path)-1]
 		}
 	}
 	walk()
-	t.Logf("%d interleavings of %d events", ends, depth)
+	t.Logf("%d interleavings of %d events", played, depth)
 }
--- a/internal/session/queue/locate.go
+++ b/internal/session/queue/locate.go
@@ -16,19 +16,19 @@
 // locateOwner attaches a socket to the owner that is assumed: for a new session the nearest sites in turn, else the
 // last one known, else a replica. Now and then, and where none of them is alive, it asks all sites.
 func (e *Edge) locateOwner(sock *socket, now float64) {
-	sock.retryAt = now + locateInterval
-	sock.attempts++
+	sock.nextAttachAt = now + locateInterval
+	sock.attachAttempts++
 	if e.current == nil {
 		return
 	}
 	if sock.newSession && sock.epoch == 0 {
 		if nearest := e.nearestSites(); len(nearest) > 0 {
-			sock.owner = nearest[(sock.attempts-1)%len(nearest)]
+			sock.owner = nearest[(sock.attachAttempts-1)%len(nearest)]
 			e.attach(sock)
 		}
 		return
 	}
-	if sock.attempts%locateEvery != 0 {
+	if sock.attachAttempts%locateEvery != 0 {
 		if sock.owner != "" && e.current.Alive(sock.owner) {
 			e.attach(sock)
 			return
@@ -77,7 +77,7 @@
 // detach notes that a socket has no owner.
 func (sock *socket) detach(now float64) {
 	if sock.attached {
-		sock.attached, sock.detachedAt, sock.attempts = false, now, 0
+		sock.attached, sock.detachedAt, sock.attachAttempts = false, now, 0
 	}
 }
 
@@ -86,11 +86,11 @@
 	if m == nil || e.current != nil && m.Version <= e.current.Version {
 		return
 	}
-	before := e.current
+	previous := e.current
 	e.current = m
 	for _, id := range slices.Sorted(maps.Keys(e.sockets)) {
 		sock := e.sockets[id]
-		if before != nil && sock.owner != "" && before.Sites[sock.owner].Epoch == m.Sites[sock.owner].Epoch &&
+		if previous != nil && sock.owner != "" && previous.Sites[sock.owner].Epoch == m.Sites[sock.owner].Epoch &&
 			m.Sites[sock.owner].State != sites.StateRemoved {
 			continue
 		}
@@ -104,7 +104,7 @@
 	for _, id := range slices.Sorted(maps.Keys(e.sockets)) {
 		if sock := e.sockets[id]; sock.owner == site {
 			sock.detach(now)
-			sock.retryAt = min(sock.retryAt, now+locateInterval/2)
+			sock.nextAttachAt = min(sock.nextAttachAt, now+locateInterval/2)
 		}
 	}
 }
--- a/internal/session/queue/receive.go
+++ b/internal/session/queue/receive.go
@@ -33,7 +33,7 @@
 	case KindDiscard:
 		s.receiveDiscard(envelope)
 	case KindTakeOverRequest:
-		s.receiveDefer(from, envelope, now)
+		s.receiveTakeOverRequest(from, envelope, now)
 	}
 }
 
--- a/internal/session/queue/replica.go
+++ b/internal/session/queue/replica.go
@@ -37,7 +37,7 @@
 	replica := &session{id: id, SessionState: *state}
 	replica.Outbox, replica.Inbox = slices.Clone(state.Outbox), slices.Clone(state.Inbox)
 	replica.RecentKeys, replica.Replicas = slices.Clone(state.RecentKeys), slices.Clone(state.Replicas)
-	replica.measure()
+	replica.recomputeBytes()
 	return replica
 }
 
--- a/internal/session/queue/replicas.go
+++ b/internal/session/queue/replicas.go
@@ -52,7 +52,7 @@
 }
 
 // dropSpareReplica drops a draining site's replica once all have the whole log and enough remain.
-func (s *Site) dropSpareReplica(sess *session, now float64) {
+func (s *Site) dropExcessReplica(sess *session, now float64) {
 	if sess.handOverTo != "" || s.replicatedIndex(sess) != sess.LogLength || len(sess.Replicas) <= s.Limits.Replicas {
 		return
 	}
--- a/internal/session/queue/replicate.go
+++ b/internal/session/queue/replicate.go
@@ -14,7 +14,7 @@
 // replicate sends each replica what it was not sent yet, and again what it has not acknowledged for a while: ops, or
 // a snapshot where the ops that it lacks are gone or nothing is known of it.
 func (s *Site) replicate(sess *session, now float64) {
-	first := sess.LogLength - uint64(len(sess.ops)) // ops[0] has index first+1
+	droppedOps := sess.LogLength - uint64(len(sess.ops)) // ops[0] has index first+1
 	for _, replica := range sess.Replicas {
 		acked, known := sess.ackedIndex[replica]
 		resend := now-sess.sentAt[replica] >= resendAfter
@@ -23,14 +23,14 @@
 			from = acked
 		}
 		switch {
-		case !known || from < first:
+		case !known || from < droppedOps:
 			if _, sent := sess.sentAt[replica]; !sent || resend {
 				s.sendSnapshot(sess, replica, now)
 			}
 		case from < sess.LogLength:
 			sess.sentAt[replica], sess.sentIndex[replica] = now, sess.LogLength
 			s.send(replica, Envelope{Kind: KindReplicate, Session: sess.id, Epoch: sess.Epoch, Base: from,
-				Ops: slices.Clone(sess.ops[from-first:])})
+				Ops: slices.Clone(sess.ops[from-droppedOps:])})
 		}
 	}
 }
@@ -70,7 +70,7 @@
 	}
 	s.replicate(sess, now)
 	s.progress(sess, now)
-	s.dropSpareReplica(sess, now)
+	s.dropExcessReplica(sess, now)
 }
 
 // progress does what newly replicated ops allow: replies, delivery, and the next step of a hand-over.
--- a/internal/session/queue/scenario_clients_test.go
+++ b/internal/session/queue/scenario_clients_test.go
@@ -27,56 +27,56 @@
 
 // resend is what a client of the subprotocol does when it is connected anew: what is not acknowledged goes again,
 // under its own numbers.
-func (e *scenario) resend(c *client, n uint64) {
-	c.publishAcked = max(c.publishAcked, n)
-	edge := e.edges[c.edge]
+func (sc *scenario) resend(c *client, acked uint64) {
+	c.publishAcked = max(c.publishAcked, acked)
+	edge := sc.edges[c.edge]
 	for i := c.publishAcked; i < uint64(len(c.sent)); i++ {
 		edge.decider.Publish(c.socket, i+1, []byte(c.sent[i]))
 	}
 }
 
-func (e *scenario) reconnectLater(c *client) {
-	if !e.clientsRun && len(c.received) >= len(c.acknowledged) {
+func (sc *scenario) reconnectLater(c *client) {
+	if !sc.clientsActive && len(c.received) >= len(c.acknowledged) {
 		return
 	}
 	c.reconnects++
-	e.After(50+200*e.random.Float64(), func() { e.connect(c, false) })
+	sc.After(50+200*sc.random.Float64(), func() { sc.connect(c, false) })
 }
 
 // connect opens a socket of a client at any edge; fresh: its session begins.
-func (e *scenario) connect(c *client, fresh bool) {
-	edge := e.edges[simEdges[e.random.IntN(2)]]
+func (sc *scenario) connect(c *client, newSession bool) {
+	edge := sc.edges[simEdges[sc.random.IntN(2)]]
 	if !edge.up {
-		e.After(50, func() { e.connect(c, fresh) })
+		sc.After(50, func() { sc.connect(c, newSession) })
 		return
 	}
 	edge.lastSocket++
 	c.edge, c.socket = edge.name, edge.lastSocket
 	edge.sockets[edge.lastSocket] = c
-	edge.decider.OpenSocket(edge.lastSocket, c.id, c.secret, fresh, c.acked, e.Now)
-	e.flushEdge(edge)
+	edge.decider.OpenSocket(edge.lastSocket, c.id, c.secret, newSession, c.acked, sc.Now)
+	sc.flushEdge(edge)
 }
 
 // produce queues a message, repeating it under its key until it has an answer.
-func (e *scenario) produce(c *client, n int) {
+func (sc *scenario) produce(c *client, n int) {
 	key := fmt.Sprint("k", n)
 	body := fmt.Sprint(c.id, "-", n)
 	c.produced[body] = true
-	var try func(left int)
-	try = func(left int) {
-		if left == 0 {
+	var attempt func(left int)
+	attempt = func(attemptsLeft int) {
+		if attemptsLeft == 0 {
 			return
 		}
-		done := false
+		asked := false
 		for _, name := range simSites { // the owner answers
-			site := e.sites[name]
+			site := sc.sites[name]
 			if !site.up || site.frozen || site.decider.owned[c.id] == nil {
 				continue
 			}
-			site.decider.Enqueue(c.id, key, []byte(body), e.Now, func(status Status, n uint64) {
-				e.record("reply", e.Now, status, n)
-				if e.random.IntN(50) == 0 { // the answer is lost
-					e.After(300, func() { try(left - 1) })
+			site.decider.Enqueue(c.id, key, []byte(body), sc.Now, func(status Status, n uint64) {
+				sc.record("reply", sc.Now, status, n)
+				if sc.random.IntN(50) == 0 { // the answer is lost
+					sc.After(300, func() { attempt(attemptsLeft - 1) })
 					return
 				}
 				switch {
@@ -85,114 +85,114 @@
 						c.acknowledged = append(c.acknowledged, body)
 					}
 				case status == 503 || status == 404:
-					e.After(100, func() { try(left - 1) })
+					sc.After(100, func() { attempt(attemptsLeft - 1) })
 				}
 			})
-			e.flushSite(site)
-			done = true
+			sc.flushSite(site)
+			asked = true
 			break
 		}
-		if !done {
-			e.After(100, func() { try(left - 1) })
+		if !asked {
+			sc.After(100, func() { attempt(attemptsLeft - 1) })
 		}
 	}
-	try(60)
+	attempt(60)
 }
 
 // consume takes what has come from a client, at whichever site owns its session.
-func (e *scenario) consume(c *client) {
+func (sc *scenario) consume(c *client) {
 	for _, name := range simSites {
-		site := e.sites[name]
+		site := sc.sites[name]
 		if !site.up || site.frozen {
 			continue
 		}
-		msgs, ok := site.decider.Inbox(c.id, c.consumedNumber, e.Now)
-		e.record("inbox", msgs, ok)
+		messages, ok := site.decider.Inbox(c.id, c.consumedNumber, sc.Now)
+		sc.record("inbox", messages, ok)
 		if !ok {
 			continue
 		}
-		for _, m := range msgs {
+		for _, m := range messages {
 			c.consumed = append(c.consumed, string(m.Body))
 			c.consumedNumber = m.Number
 		}
-		if len(msgs) > 0 {
-			site.decider.Consume(c.id, c.consumedNumber, e.Now)
-			e.flushSite(site)
+		if len(messages) > 0 {
+			site.decider.Consume(c.id, c.consumedNumber, sc.Now)
+			sc.flushSite(site)
 		}
 		return
 	}
 }
 
-func (e *scenario) startTraffic(until float64) {
-	for _, c := range e.clients {
+func (sc *scenario) startTraffic(until float64) {
+	for _, c := range sc.clients {
 		n := 0
-		var put, say, take func()
-		put = func() {
-			if e.Now < until {
-				e.produce(c, n)
+		var enqueue, publish, consume func()
+		enqueue = func() {
+			if sc.Now < until {
+				sc.produce(c, n)
 				n++
-				e.After(400*e.random.Float64(), put)
+				sc.After(400*sc.random.Float64(), enqueue)
 			}
 		}
-		say = func() {
-			if e.Now < until {
-				if edge := e.edges[c.edge]; c.open && edge.up && edge.decider.CanPublish(c.socket) {
+		publish = func() {
+			if sc.Now < until {
+				if edge := sc.edges[c.edge]; c.open && edge.up && edge.decider.CanPublish(c.socket) {
 					c.sent = append(c.sent, fmt.Sprint(c.id, ">", len(c.sent)))
-					num := uint64(len(c.sent))
+					number := uint64(len(c.sent))
 					if c.plain {
-						num = 0
+						number = 0
 					}
-					edge.decider.Publish(c.socket, num, []byte(c.sent[len(c.sent)-1]))
-					e.flushEdge(edge)
+					edge.decider.Publish(c.socket, number, []byte(c.sent[len(c.sent)-1]))
+					sc.flushEdge(edge)
 				}
-				e.After(600*e.random.Float64(), say)
+				sc.After(600*sc.random.Float64(), publish)
 			}
 		}
-		take = func() {
-			e.consume(c)
-			e.After(100, take)
+		consume = func() {
+			sc.consume(c)
+			sc.After(100, consume)
 		}
-		e.After(500*e.random.Float64(), put)
-		e.After(500*e.random.Float64(), say)
-		e.After(500, take)
+		sc.After(500*sc.random.Float64(), enqueue)
+		sc.After(500*sc.random.Float64(), publish)
+		sc.After(500, consume)
 	}
 }
 
-func (e *scenario) verify(closedOK bool) (wrong []string) {
-	for _, c := range e.clients {
+func (sc *scenario) verify(mayReconnect bool) (problems []string) {
+	for _, c := range sc.clients {
 		if len(c.received) > 0 && strings.Contains(strings.Join(c.received, " "), "!gap") {
-			wrong = append(wrong, c.id+" saw a gap")
+			problems = append(problems, c.id+" saw a gap")
 		}
 		seen := map[string]int{}
 		for _, m := range c.received {
 			seen[m]++
 			if seen[m] > 1 {
-				wrong = append(wrong, fmt.Sprintf("%s got %s twice", c.id, m))
+				problems = append(problems, fmt.Sprintf("%s got %s twice", c.id, m))
 			}
 			if !c.produced[m] {
-				wrong = append(wrong, fmt.Sprintf("%s got %s, which nobody sent", c.id, m))
+				problems = append(problems, fmt.Sprintf("%s got %s, which nobody sent", c.id, m))
 			}
 		}
 		for _, m := range c.acknowledged {
 			if seen[m] != 1 {
-				wrong = append(wrong, fmt.Sprintf("%s never got %s, which was queued", c.id, m))
+				problems = append(problems, fmt.Sprintf("%s never got %s, which was queued", c.id, m))
 			}
 		}
 		for i, m := range c.consumed {
 			if i >= len(c.sent) || c.sent[i] != m {
-				wrong = append(wrong, fmt.Sprintf("%s: the consumer's %d is %s", c.id, i, m))
+				problems = append(problems, fmt.Sprintf("%s: the consumer's %d is %s", c.id, i, m))
 				break
 			}
 		}
 		if len(c.consumed) < len(c.sent) {
-			wrong = append(wrong, fmt.Sprintf("%s: %d were sent, %d came", c.id, len(c.sent), len(c.consumed)))
+			problems = append(problems, fmt.Sprintf("%s: %d were sent, %d came", c.id, len(c.sent), len(c.consumed)))
 		}
 		if len(c.consumed) < int(c.publishAcked) {
-			wrong = append(wrong, fmt.Sprintf("%s: %d are safe, %d came", c.id, c.publishAcked, len(c.consumed)))
+			problems = append(problems, fmt.Sprintf("%s: %d are safe, %d came", c.id, c.publishAcked, len(c.consumed)))
 		}
-		if !closedOK && c.reconnects > 0 {
-			wrong = append(wrong, fmt.Sprintf("%s did not stay open", c.id))
+		if !mayReconnect && c.reconnects > 0 {
+			problems = append(problems, fmt.Sprintf("%s did not stay open", c.id))
 		}
 	}
-	return wrong
+	return problems
 }
--- a/internal/session/queue/session.go
+++ b/internal/session/queue/session.go
@@ -134,7 +134,7 @@
 func (sess *session) detach(now float64) { sess.attached, sess.idleSince = false, now }
 
 // measure sums the messages' sizes up.
-func (sess *session) measure() {
+func (sess *session) recomputeBytes() {
 	sess.bytes = 0
 	for i := range sess.Outbox {
 		sess.bytes += messageSize(&sess.Outbox[i])
--- a/internal/session/queue/site.go
+++ b/internal/session/queue/site.go
@@ -23,9 +23,9 @@
 	bytes      int64 // of the sessions in both
 	outgoing   []Outgoing
 
-	drainBudget   float64 // sessions that a drain may hand over now
-	drainBudgetAt float64 // as of
-	takeOverAt    float64 // next check for sessions whose owner is gone
+	drainBudget          float64 // sessions that a drain may hand over now
+	drainBudgetUpdatedAt float64 // as of
+	nextTakeOverCheckAt  float64 // next check for sessions whose owner is gone
 }
 
 // NewSite holds no session.
@@ -146,11 +146,11 @@
 	draining := self.State == sites.StateDraining
 	if draining {
 		rate := float64(self.DrainRate)
-		s.drainBudget = min(s.drainBudget+rate*(now-s.drainBudgetAt)/1000, rate)
+		s.drainBudget = min(s.drainBudget+rate*(now-s.drainBudgetUpdatedAt)/1000, rate)
 	}
-	s.drainBudgetAt = now
-	if now >= s.takeOverAt {
-		s.takeOverAt = now + takeOverInterval
+	s.drainBudgetUpdatedAt = now
+	if now >= s.nextTakeOverCheckAt {
+		s.nextTakeOverCheckAt = now + takeOverInterval
 		s.takeOverOrphans(now)
 	}
 	for _, id := range slices.Sorted(maps.Keys(s.owned)) {
--- a/internal/session/queue/takeover.go
+++ b/internal/session/queue/takeover.go
@@ -49,7 +49,7 @@
 }
 
 // receiveDefer answers a replica that waits for this site to take over, or takes such an answer.
-func (s *Site) receiveDefer(from string, envelope *Envelope, now float64) {
+func (s *Site) receiveTakeOverRequest(from string, envelope *Envelope, now float64) {
 	owned, replica := s.owned[envelope.Session], s.replicas[envelope.Session]
 	switch {
 	case owned != nil && owned.Epoch > envelope.Epoch && !slices.Contains(owned.Replicas, from):
--- a/internal/session/site/calls.go
+++ b/internal/session/site/calls.go
@@ -43,7 +43,7 @@
 type sessionResource struct{ runner *runner }
 
 // elsewhere redirects a caller to the session's owner where this site knows it, else says that it is not here.
-func (s *sessionResource) elsewhere(w http.ResponseWriter, req *http.Request) {
+func (s *sessionResource) redirectToOwner(w http.ResponseWriter, req *http.Request) {
 	addr, err := commandqueue.Call(req.Context(), s.runner.commands, func() string {
 		owner, ok := s.runner.decider.OwnerOf(req.PathValue("id"))
 		if m := s.runner.decider.Map(); ok && m != nil {
@@ -97,7 +97,7 @@
 func (s *sessionResource) writeEnqueued(w http.ResponseWriter, req *http.Request, answer enqueued) {
 	switch answer.status {
 	case queue.StatusNoSession:
-		s.elsewhere(w, req)
+		s.redirectToOwner(w, req)
 		return
 	case queue.StatusUnavailable:
 		w.Header().Set("Retry-After", "1")
@@ -115,23 +115,23 @@
 
 // inbox gives the client's messages behind the number in the query, to the consumer.
 func (s *sessionResource) inbox(w http.ResponseWriter, req *http.Request) {
-	after, _ := strconv.ParseUint(req.URL.Query().Get("after"), 10, 64) // none or nonsense: from the first on
+	afterNumber, _ := strconv.ParseUint(req.URL.Query().Get("after"), 10, 64) // none or nonsense: from the first on
 	type result struct {
 		messages []queue.Message
 		ok       bool
 	}
-	got, err := commandqueue.Call(req.Context(), s.runner.commands, func() (r result) {
-		r.messages, r.ok = s.runner.decider.Inbox(req.PathValue("id"), after, s.runner.now())
+	inbox, err := commandqueue.Call(req.Context(), s.runner.commands, func() (r result) {
+		r.messages, r.ok = s.runner.decider.Inbox(req.PathValue("id"), afterNumber, s.runner.now())
 		return r
 	})
 	switch {
 	case err != nil:
 		writeUnavailable(w, err)
-	case !got.ok:
-		s.elsewhere(w, req)
+	case !inbox.ok:
+		s.redirectToOwner(w, req)
 	default:
 		messages := []inboxMessage{}
-		for _, m := range got.messages {
+		for _, m := range inbox.messages {
 			messages = append(messages, inboxMessage{string(m.Body), m.Number})
 		}
 		writeJSON(w, messages, "")
@@ -154,7 +154,7 @@
 	case err != nil:
 		writeUnavailable(w, err)
 	case !ok:
-		s.elsewhere(w, req)
+		s.redirectToOwner(w, req)
 	}
 }
 
@@ -167,7 +167,7 @@
 	case err != nil:
 		writeUnavailable(w, err)
 	case info == nil:
-		s.elsewhere(w, req)
+		s.redirectToOwner(w, req)
 	default:
 		writeJSON(w, info, "")
 	}
@@ -190,12 +190,12 @@
 }
 
 func (s *statusResource) show(w http.ResponseWriter, req *http.Request) {
-	got, err := s.get(req.Context())
+	current, err := s.get(req.Context())
 	if err != nil {
 		writeUnavailable(w, err)
 		return
 	}
-	writeJSON(w, got, "  ")
+	writeJSON(w, current, "  ")
 }
 
 func (s *statusResource) get(ctx context.Context) (status, error) {
@@ -203,7 +203,7 @@
 	return commandqueue.Call(ctx, r.commands, func() status {
 		return status{Bytes: r.decider.Bytes(), Replicas: r.decider.ReplicatedSessions(), Edges: len(r.edges),
 			Epoch: r.decider.Epoch, Expired: r.decider.ExpiredMessages, Owned: r.decider.OwnedSessions(),
-			Site: r.settings.Hostname, Sites: r.decider.Map(), State: r.state}
+			Site: r.settings.Hostname, Sites: r.decider.Map(), State: r.loggedState}
 	})
 }
 
--- a/internal/session/site/calls_test.go
+++ b/internal/session/site/calls_test.go
@@ -30,26 +30,26 @@
 		"POST /sessions/none/messages?": http.StatusNotFound,
 	} {
 		t.Run(call, func(t *testing.T) {
-			c, err := net.Dial("tcp", server.Listener.Addr().String())
+			conn, err := net.Dial("tcp", server.Listener.Addr().String())
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer c.Close()
-			fmt.Fprintf(c, "%s HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n", call)
-			c.(*net.TCPConn).CloseWrite()
-			answered := make(chan int, 1)
+			defer conn.Close()
+			fmt.Fprintf(conn, "%s HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n", call)
+			conn.(*net.TCPConn).CloseWrite()
+			statusCode := make(chan int, 1)
 			go func() {
-				response, err := http.ReadResponse(bufio.NewReader(c), nil)
+				response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 				if err != nil {
-					answered <- 0
+					statusCode <- 0
 					return
 				}
 				response.Body.Close()
-				answered <- response.StatusCode
+				statusCode <- response.StatusCode
 			}()
 			for { // commands wait until the server has had the time to notice
 				select {
-				case got := <-answered:
+				case got := <-statusCode:
 					if got != want {
 						t.Errorf("%d, not %d", got, want)
 					}
--- a/internal/session/site/golden_test.go
+++ b/internal/session/site/golden_test.go
@@ -24,13 +24,13 @@
 
 // The calls of producers, consumers and operators: statuses, headers and bodies.
 func TestGoldenCalls(t *testing.T) {
-	s := &runner{settings: &settings.Settings{Hostname: "a", ReadyAddr: "127.0.0.1:9"}, ctx: t.Context(),
+	runner := &runner{settings: &settings.Settings{Hostname: "a", ReadyAddr: "127.0.0.1:9"}, ctx: t.Context(),
 		startedAt: time.Now(),
 		commands:  commandqueue.New(t.Context(), 16), limits: queue.DefaultLimits, incarnation: 1, edges: map[string]*link{},
-		state: sites.StateActive}
-	s.limits.MessageBytes = 20
-	s.decider = queue.NewSite("a", s.limits)
-	other := queue.NewSite("b", s.limits)
+		loggedState: sites.StateActive}
+	runner.limits.MessageBytes = 20
+	runner.decider = queue.NewSite("a", runner.limits)
+	other := queue.NewSite("b", runner.limits)
 	var m *sites.Map
 	for _, name := range []string{"a", "b"} {
 		next, err := m.Apply(&sites.Change{Kind: sites.ChangeJoin, Name: name, Site: sites.Site{Addr: name,
@@ -40,36 +40,36 @@
 		}
 		m = next
 	}
-	e := queue.NewEdge("e", "", "")
-	e.ApplyMap(m, 0)
-	for _, x := range []*queue.Site{s.decider, other} {
-		x.ApplyMap(m, 1, 0)
-		x.ExtendLease(1e12)
+	edge := queue.NewEdge("e", "", "")
+	edge.ApplyMap(m, 0)
+	for _, site := range []*queue.Site{runner.decider, other} {
+		site.ApplyMap(m, 1, 0)
+		site.ExtendLease(1e12)
 	}
-	e.OpenSocket(1, "here", "secret", true, 0, 0)
-	carry := func() {
+	edge.OpenSocket(1, "here", "secret", true, 0, 0)
+	deliverAll := func() {
 		for range 20 {
-			for _, send := range e.TakeOutgoing() {
-				s.decider.Receive("e", &send.Envelope, 0)
+			for _, outgoing := range edge.TakeOutgoing() {
+				runner.decider.Receive("e", &outgoing.Envelope, 0)
 			}
-			for _, send := range s.decider.TakeOutgoing() {
-				if send.To == "e" {
-					e.Receive("a", &send.Envelope, 0)
+			for _, outgoing := range runner.decider.TakeOutgoing() {
+				if outgoing.To == "e" {
+					edge.Receive("a", &outgoing.Envelope, 0)
 				} else {
-					other.Receive("a", &send.Envelope, 0)
+					other.Receive("a", &outgoing.Envelope, 0)
 				}
 			}
-			for _, send := range other.TakeOutgoing() {
-				s.decider.Receive("b", &send.Envelope, 0)
+			for _, outgoing := range other.TakeOutgoing() {
+				runner.decider.Receive("b", &outgoing.Envelope, 0)
 			}
 		}
 	}
-	carry()
-	e.Publish(1, 1, []byte("from the client"))
-	carry()
-	s.decider.Receive("b", &queue.Envelope{Kind: queue.KindSnapshot, Session: "there", Epoch: 1, SiteEpoch: 1,
+	deliverAll()
+	edge.Publish(1, 1, []byte("from the client"))
+	deliverAll()
+	runner.decider.Receive("b", &queue.Envelope{Kind: queue.KindSnapshot, Session: "there", Epoch: 1, SiteEpoch: 1,
 		State: &queue.SessionState{Epoch: 1, Owner: "b", OwnerEpoch: 1, Replicas: []string{"a"}}}, 0)
-	go s.commands.Run(time.Hour, func() {})
+	go runner.commands.Run(time.Hour, func() {})
 	var cases []golden.Case[string]
 	for _, call := range []string{
 		"GET /sessions/here", "GET /sessions/there", "GET /sessions/none", "GET /sessions/here/inbox?after=0",
@@ -80,19 +80,19 @@
 	} {
 		method, rest, _ := strings.Cut(call, " ")
 		path, body, _ := strings.Cut(rest, " ")
-		w := httptest.NewRecorder()
-		r := httptest.NewRequestWithContext(t.Context(), method, path, strings.NewReader(body))
+		recorder := httptest.NewRecorder()
+		request := httptest.NewRequestWithContext(t.Context(), method, path, strings.NewReader(body))
 		if body == "long key" {
-			r.Header.Set("Weirwind-Key", strings.Repeat("k", 200))
+			request.Header.Set("Weirwind-Key", strings.Repeat("k", 200))
 		}
-		s.routes().ServeHTTP(w, r)
-		head := http.Header{}
+		runner.routes().ServeHTTP(recorder, request)
+		headers := http.Header{}
 		for _, key := range []string{"Content-Type", "Location", "Retry-After"} {
-			if v := w.Header().Get(key); v != "" {
-				head.Set(key, v)
+			if v := recorder.Header().Get(key); v != "" {
+				headers.Set(key, v)
 			}
 		}
-		cases = append(cases, golden.Of(call, fmt.Sprint(w.Code, head, w.Body.String())))
+		cases = append(cases, golden.Of(call, fmt.Sprint(recorder.Code, headers, recorder.Body.String())))
 	}
 	golden.Text(t, "testdata/calls.txt", cases)
 }
--- a/internal/session/site/lease.go
+++ b/internal/session/site/lease.go
@@ -55,22 +55,22 @@
 	r.log.Event(events.SiteStateChanged, "site", r.settings.Hostname, "what", "this life is over; another begins")
 	r.decider = queue.NewSite(r.settings.Hostname, r.limits)
 	r.incarnation = newIncarnation()
-	r.state = ""
+	r.loggedState = ""
 }
 
 // applyMap takes the answer to a renewal that was asked for at that time. Links to new sites end with ctx.
 func (r *runner) applyMap(ctx context.Context, m *sites.Map, askedAt float64) {
-	before := r.decider.Map()
+	previous := r.decider.Map()
 	r.decider.ApplyMap(m, r.incarnation, r.now())
 	self := m.Sites[r.settings.Hostname]
 	if self.Incarnation == r.incarnation && self.State != sites.StateRemoved {
 		r.decider.ExtendLease(askedAt + float64(sites.LeaseDuration.Milliseconds()))
-		if self.State != r.state {
-			r.state = self.State
+		if self.State != r.loggedState {
+			r.loggedState = self.State
 			r.log.Event(events.SiteStateChanged, "site", r.settings.Hostname, "what", string(self.State), "epoch", self.Epoch)
 		}
 	}
-	if before == nil || before.Version < m.Version {
+	if previous == nil || previous.Version < m.Version {
 		r.connectPeers(ctx, m)
 		for _, l := range r.edges {
 			l.Send(&Frame{Envelope: &queue.Envelope{Map: m}})
--- a/internal/session/site/links.go
+++ b/internal/session/site/links.go
@@ -54,27 +54,27 @@
 func (r *runner) connectPeer(ctx context.Context, addr string) *peer {
 	ctx, stop := context.WithCancel(ctx)
 	p := &peer{addr: addr, stop: stop}
-	up := func(l *link) {
+	onLinkChange := func(l *link) {
 		r.commands.Do(func() {
 			p.link = l
 			r.flush()
 		})
 	}
-	go KeepLink(ctx, addr, Frame{Hello: r.settings.Hostname}, up, func(*link, *Frame) {})
+	go KeepLink(ctx, addr, Frame{Hello: r.settings.Hostname}, onLinkChange, func(*link, *Frame) {})
 	return p
 }
 
 // KeepLink keeps a link to a process until ctx ends, and begins each with hello. up gets each link, and nil when it
 // has ended; take gets the frames.
-func KeepLink(ctx context.Context, addr string, hello Frame, up func(*link), take func(*link, *Frame)) {
+func KeepLink(ctx context.Context, addr string, hello Frame, onLinkChange func(*link), onFrame func(*link, *Frame)) {
 	backoff := transport.Backoff{Initial: redialInterval, Max: redialInterval,
 		DialTimeout: func(nth int) time.Duration { return transport.DialTimeout(nth / 3) }}
-	begin := func(l *link) {
+	onConnect := func(l *link) {
 		l.Send(&hello)
 		go ping(ctx, l)
-		up(l)
+		onLinkChange(l)
 	}
-	transport.KeepConnected(ctx, addr, backoff, begin, take, func() { up(nil) })
+	transport.KeepConnected(ctx, addr, backoff, onConnect, onFrame, func() { onLinkChange(nil) })
 }
 
 // ping keeps a link up until it ends, and closes it when ctx ends.
--- a/internal/session/site/site.go
+++ b/internal/session/site/site.go
@@ -46,14 +46,14 @@
 	decider     *queue.Site // of this incarnation
 	peers       map[string]*peer
 	edges       map[string]*link
-	state       sites.State // that was logged last
+	loggedState sites.State // that was logged last
 }
 
 // Run serves until ctx ends and the site's sessions are handed over, or the grace period is over.
 func Run(ctx context.Context, set *settings.Settings, log events.Log) error {
-	inner, stop := context.WithCancel(context.WithoutCancel(ctx))
-	defer stop()
-	r := newRunner(inner, set, log)
+	workCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	defer cancel()
+	r := newRunner(workCtx, set, log)
 	mesh, err := net.Listen("tcp4", r.meshAddr())
 	if err != nil {
 		return oops.In("listen").Wrap(err)
@@ -67,11 +67,11 @@
 		IdleTimeout: 30 * time.Second, MaxHeaderBytes: 8 << 10}
 	go transport.Serve(mesh, linkIdleTimeout, func(*link) {}, r.receive, r.handleLinkLost)
 	go func() { _ = server.Serve(control) }() // until it is closed
-	go r.keepLease(inner)
+	go r.keepLease(workCtx)
 	go r.commands.Run(tickInterval, r.tick)
 	log.Event(events.Started, "site", set.Hostname, "mesh", mesh.Addr().String(), "http", set.ReadyAddr)
 	<-ctx.Done()
-	r.shutDown(inner)
+	r.shutDown(workCtx)
 	_ = server.Close()
 	log.Event(events.Stopped)
 	return nil
@@ -107,7 +107,7 @@
 	deadline := time.Now().Add(r.settings.GracePeriod - leaveReserve)
 	r.core.drain(ctx, r.settings.Hostname)
 	for time.Now().Before(deadline) {
-		drained, err := commandqueue.Call(ctx, r.commands, r.drained)
+		drained, err := commandqueue.Call(ctx, r.commands, r.isDrained)
 		if err != nil || drained {
 			break
 		}
@@ -121,7 +121,7 @@
 }
 
 // drained says whether the site drains and owns no session any more.
-func (r *runner) drained() bool {
+func (r *runner) isDrained() bool {
 	m := r.decider.Map()
 	return r.decider.OwnedSessions() == 0 && m != nil && m.Sites[r.settings.Hostname].State == sites.StateDraining
 }
--- a/internal/session/sites/sites.go
+++ b/internal/session/sites/sites.go
@@ -103,11 +103,11 @@
 	if exists && s.Incarnation == change.Site.Incarnation {
 		return false, nil // also one that was removed: it needs another incarnation
 	}
-	before := *s
+	previous := *s
 	*s = change.Site
-	s.Epoch, s.State, s.DrainRate = before.Epoch+1, StateActive, 0
-	if before.State == StateDraining {
-		s.State, s.DrainRate = StateDraining, before.DrainRate
+	s.Epoch, s.State, s.DrainRate = previous.Epoch+1, StateActive, 0
+	if previous.State == StateDraining {
+		s.State, s.DrainRate = StateDraining, previous.DrainRate
 	}
 	return true, nil
 }
--- a/internal/session/sites/sites_test.go
+++ b/internal/session/sites/sites_test.go
@@ -13,9 +13,9 @@
 )
 
 func TestGoldenForms(t *testing.T) {
-	one := Site{"10.0.0.1:1", "10.0.0.1:2", "z1", "r1", 3, 4, StateDraining, 500}
+	site := Site{"10.0.0.1:1", "10.0.0.1:2", "z1", "r1", 3, 4, StateDraining, 500}
 	changes := []golden.Case[Change]{
-		golden.Of("join", Change{Kind: ChangeJoin, Name: "a", Site: one}),
+		golden.Of("join", Change{Kind: ChangeJoin, Name: "a", Site: site}),
 		golden.Of("lapse", Change{Kind: ChangeExpire, Name: "a", Epoch: 7}),
 		golden.Of("leave", Change{Kind: ChangeLeave, Name: "a", Epoch: 8}),
 		golden.Of("drain", Change{Kind: ChangeDrain, Name: "a", DrainRate: 9}),
@@ -23,7 +23,7 @@
 	}
 	golden.CBOR(t, "testdata/change.cbor", changes)
 	golden.JSON(t, "testdata/change.json", changes)
-	maps := []golden.Case[Map]{golden.Of("map", Map{Version: 5, Sites: map[string]Site{"a": one}})}
+	maps := []golden.Case[Map]{golden.Of("map", Map{Version: 5, Sites: map[string]Site{"a": site}})}
 	golden.CBOR(t, "testdata/map.cbor", maps)
 	golden.JSON(t, "testdata/map.json", maps)
 }
@@ -37,12 +37,12 @@
 		var m *Map
 		for range 200 {
 			name := fmt.Sprint("s", r.IntN(7))
-			c := &Change{Kind: []ChangeKind{ChangeJoin, ChangeJoin, ChangeExpire, ChangeLeave, ChangeDrain, ChangeUndrain,
+			change := &Change{Kind: []ChangeKind{ChangeJoin, ChangeJoin, ChangeExpire, ChangeLeave, ChangeDrain, ChangeUndrain,
 				"none"}[r.IntN(7)], Name: name,
 				Epoch: uint64(r.IntN(4)), DrainRate: r.IntN(3), Site: Site{Addr: strings.Repeat("x", r.IntN(5)),
 					Incarnation: uint64(r.IntN(4)),
 					Zone:        fmt.Sprint("z", r.IntN(3)), Region: fmt.Sprint("r", r.IntN(2))}}
-			next, err := m.Apply(c)
+			next, err := m.Apply(change)
 			_, _ = fmt.Fprint(trace, err, next == m)
 			if err != nil {
 				continue
@@ -53,10 +53,10 @@
 				t.Fatal(err)
 			}
 			_, _ = trace.Write(b)
-			for _, few := range []int{1, 2, 3} {
-				but := fmt.Sprint("s", r.IntN(7))
-				near := m.ReplicaCandidates(name, fmt.Sprint("session", r.IntN(9)), few, func(s string) bool { return s == but })
-				_, _ = fmt.Fprint(trace, strings.Join(near, " "), m.Alive(name), m.AliveAt(name, 2), slices.Contains(near, name))
+			for _, count := range []int{1, 2, 3} {
+				excluded := fmt.Sprint("s", r.IntN(7))
+				candidates := m.ReplicaCandidates(name, fmt.Sprint("session", r.IntN(9)), count, func(s string) bool { return s == excluded })
+				_, _ = fmt.Fprint(trace, strings.Join(candidates, " "), m.Alive(name), m.AliveAt(name, 2), slices.Contains(candidates, name))
 			}
 		}
 	}
--- a/internal/shard/shardmap/apply.go
+++ b/internal/shard/shardmap/apply.go
@@ -9,9 +9,9 @@
 )
 
 // command carries a change out on a copy of the map. Not changed: the change was applied before.
-type command func(next *Map, change *Change) (changed bool, err error)
+type applyFunc func(next *Map, change *Change) (changed bool, err error)
 
-var commands = map[ChangeKind]command{
+var applyFuncs = map[ChangeKind]applyFunc{
 	ChangeCreate:   applyCreate,
 	ChangePlan:     applyPlan,
 	ChangePause:    applyPause,
@@ -36,13 +36,13 @@
 	if m == nil && change.Kind != ChangeCreate {
 		return nil, fmt.Errorf("no shards were founded yet")
 	}
-	run := commands[change.Kind]
-	if run == nil {
+	apply := applyFuncs[change.Kind]
+	if apply == nil {
 		return nil, fmt.Errorf("no such change: %q", change.Kind)
 	}
 	next := m.clone()
 	next.Version++
-	changed, err := run(next, change)
+	changed, err := apply(next, change)
 	switch {
 	case err != nil:
 		return nil, err
--- a/internal/shard/shardmap/emitonce_test.go
+++ b/internal/shard/shardmap/emitonce_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // Two actions whose nodes and shards read the same side by side are two actions: neither waits for the other.
-func TestActionsAreToldApart(t *testing.T) {
+func TestEmitOnceDistinguishesActions(t *testing.T) {
 	rb := NewRebalancer()
 	rb.emitOnce(Action{Kind: ActionDrop, Node: "n1", Shard: "1s", Epoch: 2}, 1000)
 	rb.emitOnce(Action{Kind: ActionDrop, Node: "n11", Shard: "s", Epoch: 2}, 1000)
--- a/internal/shard/shardmap/golden_test.go
+++ b/internal/shard/shardmap/golden_test.go
@@ -42,8 +42,8 @@
 
 // What the map refuses is read by operators.
 func TestGoldenRefusals(t *testing.T) {
-	var none *Map
-	base, err := none.Apply(&Change{Kind: ChangeCreate, InitialOwners: map[string]string{"s1": "a"}})
+	var noMap *Map
+	base, err := noMap.Apply(&Change{Kind: ChangeCreate, InitialOwners: map[string]string{"s1": "a"}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -53,11 +53,11 @@
 	}
 	var cases []golden.Case[string]
 	for _, c := range []struct {
-		on     *Map
+		base   *Map
 		change Change
 	}{
-		{none, Change{Kind: ChangePause}},
-		{none, Change{Kind: ChangeCreate, BaseVersion: 3}},
+		{noMap, Change{Kind: ChangePause}},
+		{noMap, Change{Kind: ChangeCreate, BaseVersion: 3}},
 		{base, Change{Kind: ChangePause, BaseVersion: 8}},
 		{base, Change{Kind: ChangeCreate, InitialOwners: map[string]string{"": "a"}}},
 		{base, Change{Kind: ChangeCreate, InitialOwners: map[string]string{"s1": "b"}}},
@@ -69,7 +69,7 @@
 		{base, Change{Kind: ChangeNodes, Nodes: map[string]Node{"a": {}}}},
 		{base, Change{Kind: "none"}},
 	} {
-		_, err := c.on.Apply(&c.change)
+		_, err := c.base.Apply(&c.change)
 		cases = append(cases, golden.Of(fmt.Sprint(len(cases), " ", c.change.Kind), fmt.Sprint(err)))
 	}
 	golden.Text(t, "testdata/refusals.txt", cases)
@@ -78,25 +78,25 @@
 func TestGoldenStatements(t *testing.T) {
 	var cases []golden.Case[string]
 	for kind := ActionReport; kind < ActionPropose; kind++ {
-		a := Action{Kind: kind, Node: "n", Shard: "s", Epoch: 3, Source: "m", Bytes: 500, LastIndex: 42}
-		cases = append(cases, golden.Of(fmt.Sprint("act ", kind), a.Statement("10.0.0.1:1 svc id")))
+		action := Action{Kind: kind, Node: "n", Shard: "s", Epoch: 3, Source: "m", Bytes: 500, LastIndex: 42}
+		cases = append(cases, golden.Of(fmt.Sprint("act ", kind), action.Statement("10.0.0.1:1 svc id")))
 		for _, answer := range [][]string{{"42 true"}, {"42 7 false 900"}, {"x"}, nil} {
-			cases = append(cases, golden.Of(fmt.Sprint("result ", kind, " ", answer), resultText(a.ParseResult(answer, ""))))
+			cases = append(cases, golden.Of(fmt.Sprint("result ", kind, " ", answer), resultText(action.ParseResult(answer, ""))))
 		}
-		cases = append(cases, golden.Of(fmt.Sprint("refused ", kind), resultText(a.ParseResult(nil, "MOVED 7"))))
+		cases = append(cases, golden.Of(fmt.Sprint("refused ", kind), resultText(action.ParseResult(nil, "MOVED 7"))))
 	}
 	for p := range phaseNames {
-		mv := NewRebalancer()
-		mv.transfers["s"] = &transfer{Task: Task{From: "a", To: "b"}, phase: phase(p)}
-		cases = append(cases, golden.Of(fmt.Sprint("phase ", p), mv.TransferState("s")))
+		rebalancer := NewRebalancer()
+		rebalancer.transfers["s"] = &transfer{Task: Task{From: "a", To: "b"}, phase: phase(p)}
+		cases = append(cases, golden.Of(fmt.Sprint("phase ", p), rebalancer.TransferState("s")))
 	}
 	golden.Text(t, "testdata/statements.txt", cases)
-	r, ok := ParseReport([]string{`{"limit":9,"foreign":1,"free":2,"busy":3,"slots":4,"copies":{"s":{"epoch":5,"state":"sealed","last":6,"held":7}}}`})
-	if h := r.Replicas["s"]; !ok || h.Epoch != 5 || h.State != shardnode.StateSealed || h.LastIndex != 6 || h.Size != 7 {
-		t.Errorf("%+v", r)
+	report, ok := ParseReport([]string{`{"limit":9,"foreign":1,"free":2,"busy":3,"slots":4,"copies":{"s":{"epoch":5,"state":"sealed","last":6,"held":7}}}`})
+	if replica := report.Replicas["s"]; !ok || replica.Epoch != 5 || replica.State != shardnode.StateSealed || replica.LastIndex != 6 || replica.Size != 7 {
+		t.Errorf("%+v", report)
 	}
 }
 
-func resultText(r Result) string {
-	return fmt.Sprint(r.Code, " ", r.LastIndex, r.Remaining, r.Done, r.Bytes)
+func resultText(result Result) string {
+	return fmt.Sprint(result.Code, " ", result.LastIndex, result.Remaining, result.Done, result.Bytes)
 }
--- a/internal/shard/shardmap/planid_test.go
+++ b/internal/shard/shardmap/planid_test.go
@@ -5,25 +5,25 @@
 // A plan that was taken is recognized by its id, however far it has come, and changes nothing; one with another id, or
 // without one, is taken by its base alone. An automatic plan in between doesn't make the operator's unknown.
 func TestPlansAreRecognizedByTheirIDs(t *testing.T) {
-	founded, err := (*Map)(nil).Apply(&Change{Kind: ChangeCreate, InitialOwners: map[string]string{"s1": "a"}})
+	created, err := (*Map)(nil).Apply(&Change{Kind: ChangeCreate, InitialOwners: map[string]string{"s1": "a"}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	plan := &Change{Kind: ChangePlan, BaseVersion: founded.Version, ID: "p1",
+	plan := &Change{Kind: ChangePlan, BaseVersion: created.Version, ID: "p1",
 		Tasks: []Task{{Shard: "s1", From: "a", To: "b"}}}
-	planned, err := founded.Apply(plan)
+	planned, err := created.Apply(plan)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if again, err := planned.Apply(plan); err != nil || again != planned {
-		t.Errorf("a retry: %v, the same map %v", err, again == planned)
+	if retried, err := planned.Apply(plan); err != nil || retried != planned {
+		t.Errorf("a retry: %v, the same map %v", err, retried == planned)
 	}
 	replanned, err := planned.Apply(&Change{Kind: ChangePlan, BaseVersion: planned.Version, Replan: true,
 		Tasks: []Task{{Shard: "s1", From: "a", To: "c"}}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if again, err := replanned.Apply(plan); err != nil || again != replanned {
+	if retried, err := replanned.Apply(plan); err != nil || retried != replanned {
 		t.Errorf("a retry after an automatic plan: %v", err)
 	}
 	for _, id := range []string{"p2", ""} {
--- a/internal/shard/shardmap/rebalance_test.go
+++ b/internal/shard/shardmap/rebalance_test.go
@@ -13,76 +13,76 @@
 )
 
 // change applies an operator's change, and says whether the map took it.
-func (e *scenario) change(change *Change) bool {
-	next, err := e.current.Apply(change)
+func (sc *scenario) change(change *Change) bool {
+	next, err := sc.current.Apply(change)
 	if err == nil {
-		e.current = next
+		sc.current = next
 	}
 	return err == nil
 }
 
 // runWithFaults plays a scenario with eight faults drawn by its seed, and then to its quiet end.
-func runWithFaults(seed uint64, trace hash.Hash64) (e *scenario, planned int, rebalancers []*Rebalancer) {
-	e = newScenario(seed, 4, 12)
-	e.trace = trace
-	e.loss = []float64{0, 0.01, 0.05}[seed%3]
+func runWithFaults(seed uint64, trace hash.Hash64) (sc *scenario, plannedMoves int, rebalancers []*Rebalancer) {
+	sc = newScenario(seed, 4, 12)
+	sc.trace = trace
+	sc.loss = []float64{0, 0.01, 0.05}[seed%3]
 	for i := range 12 {
 		for c := range 2 {
-			e.startClient(fmt.Sprint("c", i, "-", c), fmt.Sprint("s", i), 60, 20+e.random.IntN(30))
+			sc.startClient(fmt.Sprint("c", i, "-", c), fmt.Sprint("s", i), 60, 20+sc.random.IntN(30))
 		}
 	}
 	elect := func() {
-		e.elect()
-		rebalancers = append(rebalancers, e.leader.rebalancer)
+		sc.elect()
+		rebalancers = append(rebalancers, sc.leader.rebalancer)
 	}
 	elect()
-	e.RunUntil(300)
-	planned = e.applyPlan()
+	sc.RunUntil(300)
+	plannedMoves = sc.applyPlan()
 	for range 8 {
-		e.After(8000*e.random.Float64(), func() { e.injectFault(elect) })
+		sc.After(8000*sc.random.Float64(), func() { sc.injectFault(elect) })
 	}
-	e.RunUntil(10000)
-	e.change(&Change{Kind: ChangeResume})
-	e.loss = 0
+	sc.RunUntil(10000)
+	sc.change(&Change{Kind: ChangeResume})
+	sc.loss = 0
 	elect()
-	e.RunUntil(20000)
-	e.clientsRun = false
-	e.RunUntil(26000)
-	return e, planned, rebalancers
+	sc.RunUntil(20000)
+	sc.clientsActive = false
+	sc.RunUntil(26000)
+	return sc, plannedMoves, rebalancers
 }
 
 // injectFault draws a fault, or something that the operator does meanwhile.
-func (e *scenario) injectFault(elect func()) {
-	switch e.random.IntN(9) {
+func (sc *scenario) injectFault(elect func()) {
+	switch sc.random.IntN(9) {
 	case 0, 1:
-		e.crash(e.ids[e.random.IntN(4)], 50+1500*e.random.Float64())
+		sc.crash(sc.ids[sc.random.IntN(4)], 50+1500*sc.random.Float64())
 	case 2:
 		elect()
 	case 3: // a proxy is frozen with its map
-		proxy := e.proxies[e.random.IntN(3)]
+		proxy := sc.proxies[sc.random.IntN(3)]
 		proxy.frozen = true
-		e.After(2000*e.random.Float64(), func() { proxy.frozen = false; proxy.routes.Update(e.current) })
+		sc.After(2000*sc.random.Float64(), func() { proxy.frozen = false; proxy.routes.Update(sc.current) })
 	case 4:
-		node := e.nodes[e.ids[e.random.IntN(4)]]
+		node := sc.nodes[sc.ids[sc.random.IntN(4)]]
 		node.partitioned = true
-		e.After(1500*e.random.Float64(), func() { node.partitioned = false })
+		sc.After(1500*sc.random.Float64(), func() { node.partitioned = false })
 	case 5: // others than shards fill a disk
-		if node := e.nodes[e.ids[e.random.IntN(4)]]; !node.down {
+		if node := sc.nodes[sc.ids[sc.random.IntN(4)]]; !node.down {
 			store := node.store
 			store.SetExternal(min(store.External+store.FreeBytes()*3/4,
 				store.Capacity-store.UsedBytes()+store.External))
-			e.checkCapacity(node)
+			sc.checkCapacity(node)
 		}
 	case 6, 7:
-		if e.change(&Change{Kind: []ChangeKind{ChangePause, ChangeAbort, ChangeResume}[e.random.IntN(3)]}) {
-			e.publishMap()
+		if sc.change(&Change{Kind: []ChangeKind{ChangePause, ChangeAbort, ChangeResume}[sc.random.IntN(3)]}) {
+			sc.publishMap()
 		}
 	case 8:
-		id := e.ids[e.random.IntN(4)]
-		node := e.current.Nodes[id]
+		id := sc.ids[sc.random.IntN(4)]
+		node := sc.current.Nodes[id]
 		node.State = shardplan.NodeDraining
-		e.change(&Change{Kind: ChangeNodes, Nodes: map[string]Node{id: node}})
-		e.applyPlan()
+		sc.change(&Change{Kind: ChangeNodes, Nodes: map[string]Node{id: node}})
+		sc.applyPlan()
 	}
 }
 
@@ -93,53 +93,53 @@
 	if n, err := strconv.Atoi(os.Getenv("SEEDS")); err == nil {
 		seeds = n
 	}
-	moves, handed, gaps := 0, 0, []float64(nil)
+	totalMoves, handOvers, writeGaps := 0, 0, []float64(nil)
 	for seed := range uint64(seeds) {
-		e, planned, rebalancers := runWithFaults(seed, nil)
-		moves += planned
+		sc, plannedMoves, rebalancers := runWithFaults(seed, nil)
+		totalMoves += plannedMoves
 		for _, rebalancer := range rebalancers {
-			gaps = append(gaps, rebalancer.WriteGaps()...)
-			handed += len(rebalancer.WriteGaps())
+			writeGaps = append(writeGaps, rebalancer.WriteGaps()...)
+			handOvers += len(rebalancer.WriteGaps())
 		}
-		if wrong := e.verify(); len(wrong) > 0 {
-			t.Errorf("seed %d: %v\n%v", seed, wrong[:min(len(wrong), 5)], e.events[max(0, len(e.events)-10):])
+		if problems := sc.verify(); len(problems) > 0 {
+			t.Errorf("seed %d: %v\n%v", seed, problems[:min(len(problems), 5)], sc.events[max(0, len(sc.events)-10):])
 			if t.Failed() && seed > 20 {
 				return
 			}
 		}
-		for _, task := range e.current.Tasks {
+		for _, task := range sc.current.Tasks {
 			if task.Status == TaskPending {
-				t.Errorf("seed %d: %+v waits for ever\n%v %+v %+v", seed, task, e.events[max(0, len(e.events)-10):],
-					e.leader.rebalancer.transfers[task.Shard], e.current)
+				t.Errorf("seed %d: %+v waits for ever\n%v %+v %+v", seed, task, sc.events[max(0, len(sc.events)-10):],
+					sc.leader.rebalancer.transfers[task.Shard], sc.current)
 			}
 		}
 	}
-	slices.Sort(gaps)
-	if handed < seeds {
-		t.Errorf("%d hand-overs only", handed)
+	slices.Sort(writeGaps)
+	if handOvers < seeds {
+		t.Errorf("%d hand-overs only", handOvers)
 	}
-	t.Logf("%d moves planned, %d handed over; shards closed for %.0f ms at the median, %.0f at p99, %.0f at most", moves,
-		handed, gaps[len(gaps)/2], gaps[len(gaps)*99/100], gaps[len(gaps)-1])
+	t.Logf("%d moves planned, %d handed over; shards closed for %.0f ms at the median, %.0f at p99, %.0f at most", totalMoves,
+		handOvers, writeGaps[len(writeGaps)/2], writeGaps[len(writeGaps)*99/100], writeGaps[len(writeGaps)-1])
 }
 
 // Where nothing fails a shard is closed for few round trips and one agreement.
 func TestWriteGaps(t *testing.T) {
-	var gaps []float64
+	var writeGaps []float64
 	for seed := range uint64(20) {
-		e := newScenario(seed, 4, 12)
+		sc := newScenario(seed, 4, 12)
 		for i := range 12 {
-			e.startClient(fmt.Sprint("c", i), fmt.Sprint("s", i), 60, 20)
+			sc.startClient(fmt.Sprint("c", i), fmt.Sprint("s", i), 60, 20)
 		}
-		e.elect()
-		e.RunUntil(300)
-		e.applyPlan()
-		e.RunUntil(6000)
-		gaps = append(gaps, e.leader.rebalancer.WriteGaps()...)
+		sc.elect()
+		sc.RunUntil(300)
+		sc.applyPlan()
+		sc.RunUntil(6000)
+		writeGaps = append(writeGaps, sc.leader.rebalancer.WriteGaps()...)
 	}
-	slices.Sort(gaps)
-	t.Logf("%d hand-overs: closed for %.0f ms at the median, %.0f at p99, %.0f at most", len(gaps), gaps[len(gaps)/2],
-		gaps[len(gaps)*99/100], gaps[len(gaps)-1])
-	if gaps[len(gaps)*99/100] > 150 {
+	slices.Sort(writeGaps)
+	t.Logf("%d hand-overs: closed for %.0f ms at the median, %.0f at p99, %.0f at most", len(writeGaps), writeGaps[len(writeGaps)/2],
+		writeGaps[len(writeGaps)*99/100], writeGaps[len(writeGaps)-1])
+	if writeGaps[len(writeGaps)*99/100] > 150 {
 		t.Error("over 150 ms at p99")
 	}
 }
@@ -150,12 +150,12 @@
 	const recorded = 0x535fca893ea8b3c7
 	trace := fnv.New64a()
 	for seed := range uint64(15) {
-		e, _, rebalancers := runWithFaults(100+seed, trace)
+		sc, _, rebalancers := runWithFaults(100+seed, trace)
 		for _, rebalancer := range rebalancers {
-			e.record("gaps", rebalancer.WriteGaps(), rebalancer.BytesMoved())
+			sc.record("gaps", rebalancer.WriteGaps(), rebalancer.BytesMoved())
 		}
-		for _, id := range e.ids {
-			e.record("node", id, e.nodes[id].store)
+		for _, id := range sc.ids {
+			sc.record("node", id, sc.nodes[id].store)
 		}
 	}
 	if got := trace.Sum64(); got != recorded {
--- a/internal/shard/shardmap/rebalancer.go
+++ b/internal/shard/shardmap/rebalancer.go
@@ -12,24 +12,24 @@
 
 // Tuned values. Times are milliseconds.
 const (
-	pollBusy               = 250.0          // between reports of a node, while tasks are pending
-	pollIdle               = 1000.0         // and while none is
-	reportMaxAge           = 1500.0         // an older report of a node counts for nothing
-	retryAfter             = 100.0          // between attempts of a request
-	closeRetryAfter        = 5.0            // of a close: the shard isn't served until the last transaction has ended
-	abortTransactionsAfter = 80.0           // from the begin of a close
-	closeTimeout           = 1200.0         // from the begin of a close to its roll-back
-	silenceTimeout         = 3000.0         // without an answer of source or target, a copy is abandoned
-	replanInterval         = 4000.0         // between automatic plans
-	reconcileInterval      = 2 * pollBusy   // between attempts of one action of the reconciliation
-	reconcileMemory        = 4000.0         // after which an action of the reconciliation is forgotten
-	chunkInterval          = 40.0           // for which a chunk is to last at the transfer's rate
-	maxChunk               = int64(1 << 20) // bytes
-	maxGapToClose          = 64             // entries that the target may lack as the source closes
-	rateStep               = 1.5            // by which a transfer that falls behind is sped up
-	maxRateFactor          = 16.0           // in all
-	minRateShare           = 0.05           // of its rate that a transfer has while its nodes are full
-	maxWriteGaps           = 4096           // that are remembered
+	busyPollInterval       = 250.0                // between reports of a node, while tasks are pending
+	idlePollInterval       = 1000.0               // and while none is
+	reportMaxAge           = 1500.0               // an older report of a node counts for nothing
+	retryInterval          = 100.0                // between attempts of a request
+	closeRetryInterval     = 5.0                  // of a close: the shard isn't served until the last transaction has ended
+	abortTransactionsAfter = 80.0                 // from the begin of a close
+	closeTimeout           = 1200.0               // from the begin of a close to its roll-back
+	contactTimeout         = 3000.0               // without an answer of source or target, a copy is abandoned
+	replanInterval         = 4000.0               // between automatic plans
+	reconcileInterval      = 2 * busyPollInterval // between attempts of one action of the reconciliation
+	reconcileRetention     = 4000.0               // after which an action of the reconciliation is forgotten
+	chunkInterval          = 40.0                 // for which a chunk is to last at the transfer's rate
+	maxChunkBytes          = int64(1 << 20)       // bytes
+	maxLagToClose          = 64                   // entries that the target may lack as the source closes
+	rateStep               = 1.5                  // by which a transfer that falls behind is sped up
+	maxRateFactor          = 16.0                 // in all
+	minRateShare           = 0.05                 // of its rate that a transfer has while its nodes are full
+	maxWriteGaps           = 4096                 // that are remembered
 )
 
 // ActionKind of an action.
@@ -66,9 +66,9 @@
 
 // Rebalancer carries out the map's tasks at one leader.
 type Rebalancer struct {
-	nodes       map[string]*nodeView   // by id; those of the newest Step
-	transfers   map[string]*transfer   // by shard: at most one of each
-	reconcileAt map[emittedKey]float64 // by action: when it may be repeated
+	nodes       map[string]*nodeView     // by id; those of the newest Step
+	transfers   map[string]*transfer     // by shard: at most one of each
+	reconcileAt map[reconcileKey]float64 // by action: when it may be repeated
 	writeGaps   []float64
 	actions     []Action // since the last Step
 	bytesMoved  int64
@@ -79,7 +79,7 @@
 // NewRebalancer knows nothing of nodes and transfers yet.
 func NewRebalancer() *Rebalancer {
 	return &Rebalancer{nodes: map[string]*nodeView{}, transfers: map[string]*transfer{},
-		reconcileAt: map[emittedKey]float64{}}
+		reconcileAt: map[reconcileKey]float64{}}
 }
 
 // Step gives the actions that are due. nodes are the ids of those that are known now; a nil map has none.
@@ -124,7 +124,7 @@
 func (rb *Rebalancer) Reports() map[string]shardnode.Report {
 	reports := map[string]shardnode.Report{}
 	for id, view := range rb.nodes {
-		if view.known {
+		if view.hasReport {
 			reports[id] = view.report
 		}
 	}
@@ -133,18 +133,18 @@
 
 // nodeView is what is known of a node.
 type nodeView struct {
-	report  shardnode.Report
-	known   bool    // there is a report
-	sentAt  float64 // when the report was asked for
-	pending bool    // a report is asked for
-	nextAt  float64 // when the next one is to be asked for
+	report         shardnode.Report
+	hasReport      bool    // there is a report
+	requestedAt    float64 // when the report was asked for
+	requestPending bool    // a report is asked for
+	nextPollAt     float64 // when the next one is to be asked for
 }
 
 // pollNodes asks nodes for their reports.
 func (rb *Rebalancer) pollNodes(m *Map, nodes []string, now float64) {
-	interval := pollIdle
+	interval := idlePollInterval
 	if len(rb.transfers) > 0 || m.hasPending() {
-		interval = pollBusy
+		interval = busyPollInterval
 	}
 	for id := range rb.nodes {
 		if !slices.Contains(nodes, id) {
@@ -157,8 +157,8 @@
 			view = &nodeView{}
 			rb.nodes[id] = view
 		}
-		if !view.pending && now >= view.nextAt {
-			view.pending, view.nextAt = true, now+interval
+		if !view.requestPending && now >= view.nextPollAt {
+			view.requestPending, view.nextPollAt = true, now+interval
 			rb.emit(Action{Kind: ActionReport, Node: id})
 		}
 	}
@@ -170,15 +170,15 @@
 	if view == nil {
 		return
 	}
-	view.pending = false
+	view.requestPending = false
 	if ok {
-		view.report, view.sentAt, view.known = report, sentAt, true
+		view.report, view.requestedAt, view.hasReport = report, sentAt, true
 	}
 }
 
 // report gives a node's report, nil where there is no recent one.
 func (rb *Rebalancer) report(node string, now float64) *shardnode.Report {
-	if view := rb.nodes[node]; view != nil && view.known && now-view.sentAt < reportMaxAge {
+	if view := rb.nodes[node]; view != nil && view.hasReport && now-view.requestedAt < reportMaxAge {
 		return &view.report
 	}
 	return nil
--- a/internal/shard/shardmap/reconcile.go
+++ b/internal/shard/shardmap/reconcile.go
@@ -11,16 +11,16 @@
 )
 
 // emittedKey tells an action of the reconciliation from all others.
-type emittedKey struct {
+type reconcileKey struct {
 	kind, node, shard string
 	epoch             uint64
 }
 
 // emitOnce emits an action of the reconciliation, and not again for a while.
 func (rb *Rebalancer) emitOnce(action Action, now float64) {
-	key := emittedKey{kind: fmt.Sprint(action.Kind), node: action.Node, shard: action.Shard, epoch: action.Epoch}
+	key := reconcileKey{kind: fmt.Sprint(action.Kind), node: action.Node, shard: action.Shard, epoch: action.Epoch}
 	if change := action.Change; change != nil {
-		key = emittedKey{kind: string(change.Kind), shard: change.Shard, epoch: change.Epoch}
+		key = reconcileKey{kind: string(change.Kind), shard: change.Shard, epoch: change.Epoch}
 	}
 	if now >= rb.reconcileAt[key] {
 		rb.reconcileAt[key] = now + reconcileInterval
@@ -31,30 +31,30 @@
 // reconcile goes through all shards, and of each through all nodes.
 func (rb *Rebalancer) reconcile(m *Map, now float64) {
 	for key, at := range rb.reconcileAt {
-		if now > at+reconcileMemory {
+		if now > at+reconcileRetention {
 			delete(rb.reconcileAt, key)
 		}
 	}
 	nodes := slices.Sorted(maps.Keys(rb.nodes))
 	for _, shard := range slices.Sorted(maps.Keys(m.Shards)) {
-		served := rb.reconcileOwner(m, shard, now)
+		serving := rb.reconcileOwner(m, shard, now)
 		for _, node := range nodes {
 			if node != m.Shards[shard].Node {
-				rb.reconcileReplica(m, shard, node, served, now)
+				rb.reconcileReplica(m, shard, node, serving, now)
 			}
 		}
 	}
 }
 
 // reconcileOwner has the owner of a shard activate it, and says whether the shard is open there.
-func (rb *Rebalancer) reconcileOwner(m *Map, shard string, now float64) (served bool) {
+func (rb *Rebalancer) reconcileOwner(m *Map, shard string, now float64) (serving bool) {
 	assignment := m.Shards[shard]
 	owner := rb.report(assignment.Node, now)
 	if owner == nil {
 		return false
 	}
 	replica, found := owner.Replicas[shard]
-	current := found && replica.Epoch == assignment.Epoch
+	currentEpoch := found && replica.Epoch == assignment.Epoch
 	closed := replica.State == shardnode.StateClosing || replica.State == shardnode.StateClosed
 	t := rb.transfers[shard]
 	switch {
@@ -62,14 +62,14 @@
 		found && replica.Epoch < assignment.Epoch && replica.State != shardnode.StateReceiving:
 		rb.emitOnce(Action{Kind: ActionActivate, Node: assignment.Node, Shard: shard, Epoch: assignment.Epoch,
 			LastIndex: assignment.RequiredIndex}, now)
-	case current && closed && (t == nil || t.phase < phaseClosing): // by a transfer that nobody carries on
+	case currentEpoch && closed && (t == nil || t.phase < phaseClosing): // by a transfer that nobody carries on
 		rb.reopenOwner(shard, assignment, now)
 	}
-	return current && replica.State == shardnode.StateOpen
+	return currentEpoch && replica.State == shardnode.StateOpen
 }
 
 // reconcileReplica removes the replica of a node that isn't the owner, unless a transfer is making it.
-func (rb *Rebalancer) reconcileReplica(m *Map, shard, node string, served bool, now float64) {
+func (rb *Rebalancer) reconcileReplica(m *Map, shard, node string, serving bool, now float64) {
 	report := rb.report(node, now)
 	if report == nil {
 		return
@@ -83,7 +83,7 @@
 		return
 	}
 	switch {
-	case replica.Epoch < assignment.Epoch && (served || replica.State == shardnode.StateReceiving):
+	case replica.Epoch < assignment.Epoch && (serving || replica.State == shardnode.StateReceiving):
 		rb.emitOnce(Action{Kind: ActionDrop, Node: node, Shard: shard, Epoch: assignment.Epoch}, now)
 	case replica.Epoch != assignment.Epoch:
 	case replica.State == shardnode.StateReceiving:
--- a/internal/shard/shardmap/results.go
+++ b/internal/shard/shardmap/results.go
@@ -29,7 +29,7 @@
 		return
 	}
 	if view := rb.nodes[action.Node]; view != nil && action.Kind != ActionFetch { // its effect is to show at once
-		view.nextAt = min(view.nextAt, now)
+		view.nextPollAt = min(view.nextPollAt, now)
 	}
 	shard, epoch := action.Shard, action.Epoch
 	if action.Change != nil {
@@ -49,7 +49,7 @@
 	if epoch != t.epoch {
 		return
 	}
-	t.pending = false
+	t.requestPending = false
 	if result.Code != ResultNoAnswer {
 		t.lastContactAt = now
 	}
@@ -65,11 +65,11 @@
 	if action.Epoch != t.epoch+1 {
 		return
 	}
-	t.pending = false
+	t.requestPending = false
 	if result.Code != ResultOK || action.Node != t.To || t.activated {
 		return
 	}
-	t.activated, t.nextAt = true, now
+	t.activated, t.nextRequestAt = true, now
 	rb.writeGaps = append(rb.writeGaps, now-t.closedAt)
 	if len(rb.writeGaps) > maxWriteGaps {
 		rb.writeGaps = rb.writeGaps[maxWriteGaps/4:]
@@ -78,7 +78,7 @@
 
 // handleFailure has the action repeated soon, unless the refusal ends the transfer.
 func (rb *Rebalancer) handleFailure(t *transfer, action Action, result Result, now float64) {
-	t.nextAt = now + retryAfter/2
+	t.nextRequestAt = now + retryInterval/2
 	code := string(result.Code)
 	switch {
 	case action.Kind == ActionReserve && result.Code != ResultNoAnswer:
@@ -106,7 +106,7 @@
 			t.phase = phaseHandingOver
 		}
 	case ActionPropose:
-		t.nextAt = now // the map has it
+		t.nextRequestAt = now // the map has it
 	}
 }
 
@@ -126,7 +126,7 @@
 	}
 	t.remaining = result.Remaining
 	switch {
-	case t.phase == phaseCopying && result.Remaining <= maxGapToClose:
+	case t.phase == phaseCopying && result.Remaining <= maxLagToClose:
 		t.closedAt = now
 		t.enter(phaseClosing, now)
 	case t.phase == phaseClosing && t.closed && result.Done:
@@ -142,5 +142,5 @@
 		t.lastIndex, t.closed = result.LastIndex, true
 		return
 	}
-	t.nextAt = now + closeRetryAfter
+	t.nextRequestAt = now + closeRetryInterval
 }
--- a/internal/shard/shardmap/scenario_clients_test.go
+++ b/internal/shard/shardmap/scenario_clients_test.go
@@ -9,30 +9,30 @@
 // This file owns the scenario's clients, and the check of what became of their requests.
 
 // startClient sends writes of one shard, each until it has a final answer.
-func (e *scenario) startClient(name, shard string, gap float64, size int) {
+func (sc *scenario) startClient(name, shard string, meanInterval float64, bodySize int) {
 	seq := 0
 	var next func()
 	next = func() {
-		if !e.clientsRun {
+		if !sc.clientsActive {
 			return
 		}
 		seq++
 		request := &request{}
-		e.requests[fmt.Sprint(name, ".", seq)] = request
-		e.attempt(name, shard, seq, request, e.Now+2000, size, func() { e.After(gap*(0.2+1.6*e.random.Float64()), next) })
+		sc.requests[fmt.Sprint(name, ".", seq)] = request
+		sc.attempt(name, shard, seq, request, sc.Now+2000, bodySize, func() { sc.After(meanInterval*(0.2+1.6*sc.random.Float64()), next) })
 	}
-	e.After(gap*e.random.Float64(), next)
+	sc.After(meanInterval*sc.random.Float64(), next)
 }
 
 // attempt sends a write under an id of its own, resolves it if the answer is lost, and follows the shard as it moves.
-func (e *scenario) attempt(name, shard string, seq int, request *request, until float64, size int, done func()) {
+func (sc *scenario) attempt(name, shard string, seq int, request *request, deadline float64, bodySize int, done func()) {
 	id := fmt.Sprintf("%s.%d.%d", name, seq, len(request.attempts))
 	request.attempts = append(request.attempts, id)
-	proxy := e.proxies[e.random.IntN(len(e.proxies))]
+	proxy := sc.proxies[sc.random.IntN(len(sc.proxies))]
 	rejected := func() {
 		request.rejected = append(request.rejected, id)
-		if e.Now < until-200 && len(request.attempts) < 4 {
-			e.After(50, func() { e.attempt(name, shard, seq, request, until, size, done) })
+		if sc.Now < deadline-200 && len(request.attempts) < 4 {
+			sc.After(50, func() { sc.attempt(name, shard, seq, request, deadline, bodySize, done) })
 			return
 		}
 		done()
@@ -41,8 +41,8 @@
 	var send func()
 	send = func() {
 		assignment, ok := proxy.routes.Owner(shard)
-		e.record("where", proxy.routes.Version(), assignment, ok)
-		if e.Now >= until {
+		sc.record("where", proxy.routes.Version(), assignment, ok)
+		if sc.Now >= deadline {
 			if sent {
 				request.unknown = true
 				done()
@@ -52,34 +52,34 @@
 			return
 		}
 		if !ok || proxy.frozen {
-			e.After(10, send)
+			sc.After(10, send)
 			return
 		}
 		var err error
 		resolve := sent
-		e.call(assignment.Node, func(store *shardnode.Store) {
+		sc.call(assignment.Node, func(store *shardnode.Store) {
 			if resolve { // what was sent and not answered
 				_, err = store.ResolveAttempt(shard, assignment.Epoch, id)
-			} else if e.random.IntN(3) == 0 { // as a transaction
+			} else if sc.random.IntN(3) == 0 { // as a transaction
 				if err = store.BeginTransaction(shard, assignment.Epoch); err == nil {
-					_, err = store.CommitTransaction(shard, assignment.Epoch, id, make([]byte, size))
+					_, err = store.CommitTransaction(shard, assignment.Epoch, id, make([]byte, bodySize))
 					store.EndTransaction(shard, assignment.Epoch)
 				}
 			} else {
-				_, err = store.Write(shard, assignment.Epoch, id, make([]byte, size))
+				_, err = store.Write(shard, assignment.Epoch, id, make([]byte, bodySize))
 			}
 		}, func(ok bool) {
 			moved, isMoved := err.(*shardnode.MovedError)
 			switch {
 			case !ok:
 				sent = true
-				e.After(5, send)
+				sc.After(5, send)
 			case err == nil:
 				request.acknowledged = append(request.acknowledged, id)
 				done()
 			case isMoved:
-				e.record("missed", proxy.routes.HandleMoved(shard, assignment.Epoch, moved.HighestEpoch))
-				e.After(5, send)
+				sc.record("missed", proxy.routes.HandleMoved(shard, assignment.Epoch, moved.HighestEpoch))
+				sc.After(5, send)
 			default: // no capacity, or aborted: it never runs
 				rejected()
 			}
@@ -89,12 +89,12 @@
 }
 
 // verify gives what is wrong with where all shards and attempts ended.
-func (e *scenario) verify() (wrong []string) {
+func (sc *scenario) verify() (problems []string) {
 	effects := map[string]int{} // by attempt
-	for shard, assignment := range e.current.Shards {
-		replica := e.nodes[assignment.Node].store.Replicas[shard]
+	for shard, assignment := range sc.current.Shards {
+		replica := sc.nodes[assignment.Node].store.Replicas[shard]
 		if replica == nil || replica.State != shardnode.StateOpen || replica.Epoch != assignment.Epoch {
-			wrong = append(wrong, fmt.Sprintf("%s is not open at %s by %d: %+v", shard, assignment.Node, assignment.Epoch,
+			problems = append(problems, fmt.Sprintf("%s is not open at %s by %d: %+v", shard, assignment.Node, assignment.Epoch,
 				replica))
 			continue
 		}
@@ -103,39 +103,39 @@
 				effects[entry.AttemptID]++
 			}
 		}
-		for id, other := range e.nodes {
-			if rest := other.store.Replicas[shard]; id != assignment.Node && rest != nil {
-				wrong = append(wrong, fmt.Sprintf("%s is still at %s: %s %d", shard, id, rest.State, rest.Epoch))
+		for id, other := range sc.nodes {
+			if leftover := other.store.Replicas[shard]; id != assignment.Node && leftover != nil {
+				problems = append(problems, fmt.Sprintf("%s is still at %s: %s %d", shard, id, leftover.State, leftover.Epoch))
 			}
 		}
 	}
-	for name, request := range e.requests {
-		wrong = append(wrong, request.verify(name, effects)...)
+	for name, request := range sc.requests {
+		problems = append(problems, request.verify(name, effects)...)
 	}
-	if e.overCapacity != "" {
-		wrong = append(wrong, e.overCapacity)
+	if sc.overCapacity != "" {
+		problems = append(problems, sc.overCapacity)
 	}
-	return wrong
+	return problems
 }
 
 // verify checks a request's attempts against the effects that they had.
-func (r *request) verify(name string, effects map[string]int) (wrong []string) {
+func (r *request) verify(name string, effects map[string]int) (problems []string) {
 	total := 0
 	for _, id := range r.attempts {
 		total += effects[id]
 	}
 	for _, id := range r.acknowledged {
 		if effects[id] != 1 {
-			wrong = append(wrong, fmt.Sprintf("%s: %s was acknowledged and has %d effects", name, id, effects[id]))
+			problems = append(problems, fmt.Sprintf("%s: %s was acknowledged and has %d effects", name, id, effects[id]))
 		}
 	}
 	for _, id := range r.rejected {
 		if effects[id] != 0 {
-			wrong = append(wrong, fmt.Sprintf("%s: %s was rejected and has %d effects", name, id, effects[id]))
+			problems = append(problems, fmt.Sprintf("%s: %s was rejected and has %d effects", name, id, effects[id]))
 		}
 	}
 	if total > 1 {
-		wrong = append(wrong, fmt.Sprintf("%s: %d effects", name, total))
+		problems = append(problems, fmt.Sprintf("%s: %d effects", name, total))
 	}
-	return wrong
+	return problems
 }
--- a/internal/shard/shardmap/schedule.go
+++ b/internal/shard/shardmap/schedule.go
@@ -23,14 +23,14 @@
 		return
 	}
 	counts := rb.countTransfers(m)
-	first := firstRounds(m.Tasks)
+	firstRoundOf := firstRounds(m.Tasks)
 	for _, task := range m.Tasks {
-		if task.Status != TaskPending || rb.transfers[task.Shard] != nil || task.Round > first[task.From] ||
-			task.Round > first[task.To] {
+		if task.Status != TaskPending || rb.transfers[task.Shard] != nil || task.Round > firstRoundOf[task.From] ||
+			task.Round > firstRoundOf[task.To] {
 			continue
 		}
 		if m.Shards[task.Shard].Node != task.From {
-			rb.endMisplaced(m, task, now)
+			rb.endMisplacedTask(m, task, now)
 			continue
 		}
 		if counts.allows(m, task) && rb.startTask(m, task, now) {
@@ -43,7 +43,7 @@
 // startTask starts a task if its nodes are ready.
 func (rb *Rebalancer) startTask(m *Map, task Task, now float64) (started bool) {
 	epoch := m.Shards[task.Shard].Epoch
-	if !rb.ready(task, epoch, now) {
+	if !rb.nodesReady(task, epoch, now) {
 		if rb.nodes[task.To] == nil {
 			rb.endTask(task, TaskFailed, "there is no such node", now)
 		}
@@ -120,7 +120,7 @@
 }
 
 // ready says whether both nodes of a task have reported lately, and the source has the shard open.
-func (rb *Rebalancer) ready(task Task, epoch uint64, now float64) bool {
+func (rb *Rebalancer) nodesReady(task Task, epoch uint64, now float64) bool {
 	from, to := rb.report(task.From, now), rb.report(task.To, now)
 	if from == nil || to == nil {
 		return false
@@ -130,7 +130,7 @@
 }
 
 // endMisplaced ends a task whose shard is not at its source: it is done once the shard is open at the target.
-func (rb *Rebalancer) endMisplaced(m *Map, task Task, now float64) {
+func (rb *Rebalancer) endMisplacedTask(m *Map, task Task, now float64) {
 	if m.Shards[task.Shard].Node != task.To {
 		rb.endTask(task, TaskFailed, "it is no longer where the plan had it", now)
 		return
@@ -141,14 +141,14 @@
 }
 
 func (rb *Rebalancer) endTask(task Task, status TaskStatus, reason string, now float64) {
-	end := &Change{Kind: ChangeEndTask, Shard: task.Shard, Node: task.To, Status: status, Reason: reason}
-	rb.emitOnce(Action{Kind: ActionPropose, Change: end}, now)
+	change := &Change{Kind: ChangeEndTask, Shard: task.Shard, Node: task.To, Status: status, Reason: reason}
+	rb.emitOnce(Action{Kind: ActionPropose, Change: change}, now)
 }
 
 // replan makes a plan from the present placement where tasks of the last one failed. What has moved stays where it is,
 // as plans move little.
 func (rb *Rebalancer) replan(m *Map, now float64) {
-	if !rb.mayReplan(m, now) {
+	if !rb.replanDue(m, now) {
 		return
 	}
 	rb.replanAt = now + replanInterval
@@ -170,7 +170,7 @@
 }
 
 // mayReplan says whether all tasks have ended and one has failed, and an automatic plan is due.
-func (rb *Rebalancer) mayReplan(m *Map, now float64) bool {
+func (rb *Rebalancer) replanDue(m *Map, now float64) bool {
 	failed := slices.ContainsFunc(m.Tasks, func(task Task) bool { return task.Status == TaskFailed })
 	return failed && !m.hasPending() && !m.Paused && !m.Aborting && len(rb.transfers) == 0 &&
 		m.Replans < m.Rules.MaxReplans && now >= rb.replanAt
--- a/internal/shard/shardmap/transfer.go
+++ b/internal/shard/shardmap/transfer.go
@@ -26,10 +26,10 @@
 	epoch uint64 // of the source as owner; the hand-over or roll-back makes it epoch+1
 	phase phase
 
-	enteredAt     float64 // when the phase began; sealing and handing over keep closing's: the whole close is bounded
-	nextAt        float64 // no request is sent before
-	pending       bool    // a request is sent and not answered
-	lastContactAt float64 // newest answer of the source or the target
+	enteredAt      float64 // when the phase began; sealing and handing over keep closing's: the whole close is bounded
+	nextRequestAt  float64 // no request is sent before
+	requestPending bool    // a request is sent and not answered
+	lastContactAt  float64 // newest answer of the source or the target
 
 	remaining  uint64  // entries that the target lacked, by the last fetch
 	rateFactor float64 // times the rules' rate; 0: 1
@@ -42,11 +42,13 @@
 	reason string
 }
 
-func (t *transfer) enter(p phase, now float64) { t.phase, t.enteredAt, t.nextAt = p, now, now }
+func (t *transfer) enter(next phase, now float64) {
+	t.phase, t.enteredAt, t.nextRequestAt = next, now, now
+}
 
 // send sends a request of the transfer.
 func (rb *Rebalancer) send(t *transfer, action Action) {
-	t.pending = true
+	t.requestPending = true
 	action.Shard, action.Epoch = t.Shard, t.epoch
 	rb.emit(action)
 }
@@ -54,7 +56,7 @@
 // advance sends a transfer's next request if it is due, or ends the transfer by what the map says.
 func (rb *Rebalancer) advance(m *Map, t *transfer, now float64) {
 	if t.phase == phaseDone {
-		if now >= t.nextAt { // until the map has it
+		if now >= t.nextRequestAt { // until the map has it
 			rb.finish(t, t.status, t.reason, now)
 		}
 		return
@@ -69,7 +71,7 @@
 		return
 	}
 	rb.checkTimeouts(m, t, now)
-	if t.phase == phaseDone || t.pending || now < t.nextAt {
+	if t.phase == phaseDone || t.requestPending || now < t.nextRequestAt {
 		return
 	}
 	rb.sendNext(m, t, now)
@@ -83,7 +85,7 @@
 	if t.phase >= phaseClosing && t.phase <= phaseSealing && now-t.enteredAt > closeTimeout {
 		rb.abortTransfer(t, TaskFailed, "the hand-over took too long", now)
 	}
-	if t.phase < phaseClosing && now-t.lastContactAt > silenceTimeout {
+	if t.phase < phaseClosing && now-t.lastContactAt > contactTimeout {
 		rb.abortTransfer(t, TaskFailed, "its source or target is silent", now)
 	}
 }
@@ -126,8 +128,8 @@
 	}
 	rate := int64(float64(m.Rules.BytesPerSecond) * max(t.rateFactor, 1))
 	rate = throttle(rate, rb.report(t.From, now), rb.report(t.To, now))
-	bytes := min(maxChunk, max(int64(float64(rate)*chunkInterval/1000), 1))
-	t.nextAt = now + float64(bytes)/float64(rate)*1000
+	bytes := min(maxChunkBytes, max(int64(float64(rate)*chunkInterval/1000), 1))
+	t.nextRequestAt = now + float64(bytes)/float64(rate)*1000
 	rb.send(t, Action{Kind: ActionFetch, Node: t.To, Source: t.From, Bytes: bytes})
 }
 
@@ -135,7 +137,7 @@
 func (rb *Rebalancer) sendClose(t *transfer, now float64) {
 	switch {
 	case t.closed:
-		rb.send(t, Action{Kind: ActionFetch, Node: t.To, Source: t.From, Bytes: maxChunk, LastIndex: t.lastIndex})
+		rb.send(t, Action{Kind: ActionFetch, Node: t.To, Source: t.From, Bytes: maxChunkBytes, LastIndex: t.lastIndex})
 	case now-t.enteredAt > abortTransactionsAfter:
 		rb.send(t, Action{Kind: ActionAbortTransactions, Node: t.From})
 	default:
@@ -144,29 +146,29 @@
 }
 
 func (rb *Rebalancer) proposeHandOver(t *transfer, now float64) {
-	t.nextAt = now + retryAfter
+	t.nextRequestAt = now + retryInterval
 	rb.send(t, Action{Kind: ActionPropose, Change: &Change{Kind: ChangeHandOver, Shard: t.Shard, Epoch: t.epoch,
 		Node: t.To, LastIndex: t.lastIndex}})
 }
 
 // proposeRollBack gives the source the next epoch, after which a hand-over that is still in flight is refused.
 func (rb *Rebalancer) proposeRollBack(t *transfer, now float64) {
-	t.nextAt = now + retryAfter
+	t.nextRequestAt = now + retryInterval
 	rb.send(t, Action{Kind: ActionPropose, Change: &Change{Kind: ChangeRollBack, Shard: t.Shard, Epoch: t.epoch,
 		Node: t.From}})
 }
 
 // completeHandOver activates the target and has the source drop its replica, once the map has the hand-over.
 func (rb *Rebalancer) completeHandOver(t *transfer, assignment Assignment, now float64) {
-	if t.pending || now < t.nextAt {
+	if t.requestPending || now < t.nextRequestAt {
 		return
 	}
-	t.nextAt = now + retryAfter
+	t.nextRequestAt = now + retryInterval
 	t.phase = phaseHandingOver // a roll-back that was proposed meanwhile came too late
 	if !t.activated {
 		rb.emit(Action{Kind: ActionActivate, Node: t.To, Shard: t.Shard, Epoch: assignment.Epoch,
 			LastIndex: assignment.RequiredIndex})
-		t.pending = true
+		t.requestPending = true
 		return
 	}
 	rb.emit(Action{Kind: ActionDrop, Node: t.From, Shard: t.Shard, Epoch: assignment.Epoch})
@@ -193,7 +195,7 @@
 	if t.status == "" {
 		t.status, t.reason = status, reason
 	}
-	t.phase, t.nextAt = phaseDone, now+reconcileInterval
+	t.phase, t.nextRequestAt = phaseDone, now+reconcileInterval
 	rb.emit(Action{Kind: ActionPropose, Change: &Change{Kind: ChangeEndTask, Shard: t.Shard, Node: t.To,
 		Status: t.status, Reason: t.reason}})
 }
--- a/internal/shard/shardmap/typenames_test.go
+++ b/internal/shard/shardmap/typenames_test.go
@@ -9,7 +9,7 @@
 )
 
 // The texts were recorded before the types had their present names.
-func TestErrorsOfOperatorsFilesKeepTheirText(t *testing.T) {
+func TestJSONErrorsKeepPublishedTypeNames(t *testing.T) {
 	const prefix = "json: cannot unmarshal number into Go "
 	for _, c := range []struct {
 		into       any
--- a/internal/shard/shardnode/golden_test.go
+++ b/internal/shard/shardnode/golden_test.go
@@ -40,13 +40,13 @@
 // The stored form. Maps are encoded one key at a time, as their order is not fixed.
 func TestGoldenForms(t *testing.T) {
 	store := goldenStore(t)
-	var copies []golden.Case[Replica]
+	var replicas []golden.Case[Replica]
 	for _, shard := range []string{"open", "closed", "comes", "sealed"} {
-		c := *store.Replicas[shard]
-		c.byAttempt = nil
-		copies = append(copies, golden.Of(shard, c))
+		replica := *store.Replicas[shard]
+		replica.byAttempt = nil
+		replicas = append(replicas, golden.Of(shard, replica))
 	}
-	golden.CBOR(t, "testdata/copies.cbor", copies)
+	golden.CBOR(t, "testdata/copies.cbor", replicas)
 	golden.CBOR(t, "testdata/keeper.cbor", []golden.Case[Store]{golden.Of("keeper",
 		Store{Capacity: 9, External: 1, Headroom: 2, Replicas: map[string]*Replica{},
 			HighestEpochs: map[string]uint64{"s": 4}})})
@@ -82,13 +82,13 @@
 		if err != nil {
 			code = Code(err)
 		}
-		said := fmt.Sprintf("%q %q", rows, code)
+		answer := fmt.Sprintf("%q %q", rows, code)
 		if fetch != nil {
-			said += fmt.Sprint(fetch.Shard, fetch.Epoch, fetch.MaxBytes, fetch.SealAt, fetch.Addr, fetch.Service, fetch.Member,
+			answer += fmt.Sprint(fetch.Shard, fetch.Epoch, fetch.MaxBytes, fetch.SealAt, fetch.Addr, fetch.Service, fetch.Member,
 				fetch.AfterIndex,
 				fetch.EntriesStatement)
 		}
-		cases = append(cases, golden.Of(text, said))
+		cases = append(cases, golden.Of(text, answer))
 	}
 	for _, text := range []string{"ON s 3 READ x y", "ON s x READ", "ON s 3", "READ x"} {
 		shard, epoch, rest, ok := CutShardPrefix(text)
@@ -97,8 +97,8 @@
 	store := goldenStore(t)
 	for _, rows := range [][]string{nil, {"x"}, {"0", "x"}, {"7", `{"N":1,"ID":"a","Bytes":3,"Body":"YWJj"}`}, {"0",
 		`{"N":9}`}} {
-		got, err := store.ApplyFetch(&FetchRequest{Shard: "comes", Epoch: 3, SealAt: 1}, rows)
-		cases = append(cases, golden.Of(fmt.Sprint("fetched ", rows), fmt.Sprint(got, err)))
+		fetched, err := store.ApplyFetch(&FetchRequest{Shard: "comes", Epoch: 3, SealAt: 1}, rows)
+		cases = append(cases, golden.Of(fmt.Sprint("fetched ", rows), fmt.Sprint(fetched, err)))
 	}
 	for _, err := range []error{ErrNoCapacity, ErrAborted, ErrStaleEpoch, ErrIncomplete, ErrWrongState, &MovedError{7},
 		fmt.Errorf("x: %w", ErrStaleEpoch), errors.New("x")} {
@@ -125,7 +125,7 @@
 			if r.IntN(30) == 0 {
 				epochs[shard]++
 			}
-			said := drawnStatement(r, nodes, store, shard, epochs[shard]-uint64(r.IntN(8)/7))
+			answer := executeRandomOperation(r, nodes, store, shard, epochs[shard]-uint64(r.IntN(8)/7))
 			for _, store := range nodes {
 				b, err := canonical.Marshal(store)
 				if err != nil {
@@ -134,7 +134,7 @@
 				_, _ = trace.Write(b)
 				_, _ = fmt.Fprint(trace, store.FreeBytes(), store.UsedBytes())
 			}
-			_, _ = fmt.Fprint(trace, step, said)
+			_, _ = fmt.Fprint(trace, step, answer)
 		}
 	}
 	if got := trace.Sum64(); got != recorded {
@@ -143,21 +143,21 @@
 }
 
 // drawnStatement has a node do one thing and gives what it answered.
-func drawnStatement(r *rand.Rand, nodes []*Store, store *Store, shard string, epoch uint64) string {
+func executeRandomOperation(r *rand.Rand, nodes []*Store, store *Store, shard string, epoch uint64) string {
 	code := func(err error) string {
 		if err == nil {
 			return ""
 		}
 		return Code(err)
 	}
-	last := uint64(0)
-	for _, n := range nodes {
-		if c := n.Replicas[shard]; c != nil {
-			last = max(last, c.LastIndex())
+	lastIndex := uint64(0)
+	for _, node := range nodes {
+		if replica := node.Replicas[shard]; replica != nil {
+			lastIndex = max(lastIndex, replica.LastIndex())
 		}
 	}
 	id := fmt.Sprint("id", r.IntN(60))
-	switch what := r.IntN(22); what {
+	switch operation := r.IntN(22); operation {
 	case 0, 1, 2, 3:
 		e, err := store.Write(shard, epoch, id, make([]byte, r.IntN(300)))
 		return fmt.Sprint(e.Index, code(err))
@@ -179,7 +179,7 @@
 		store.Recover()
 	case 11, 12, 13, 14:
 		_, fetch, err := store.Execute(fmt.Sprintf("SHARD FETCH %s %d %d %d a s i", shard, epoch, 100+r.IntN(500),
-			last*uint64(r.IntN(2))))
+			lastIndex*uint64(r.IntN(2))))
 		if err != nil {
 			return code(err)
 		}
@@ -190,8 +190,8 @@
 		rows, err = store.ApplyFetch(fetch, rows)
 		return fmt.Sprint(rows, code(err))
 	default:
-		text := []string{"RESERVE %s %d 700", "SEAL %s %d " + fmt.Sprint(last), "HOLD %s %d 0",
-			"HOLD %s %d " + fmt.Sprint(last),
+		text := []string{"RESERVE %s %d 700", "SEAL %s %d " + fmt.Sprint(lastIndex), "HOLD %s %d 0",
+			"HOLD %s %d " + fmt.Sprint(lastIndex),
 			"CLOSE %s %d", "CUT %s %d", "DROP %s %d", "ABANDON %s %d", "RESERVE %s %d 100"}[r.IntN(9)]
 		rows, _, err := store.Execute("SHARD " + fmt.Sprintf(text, shard, epoch))
 		return fmt.Sprint(rows, code(err))
@@ -205,8 +205,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var e map[string]any
-	if err := json.Unmarshal([]byte(rows[1]), &e); err != nil || e["N"] != 1.0 || e["ID"] != "c.1" {
-		t.Errorf("%v %v", e, err)
+	var entry map[string]any
+	if err := json.Unmarshal([]byte(rows[1]), &entry); err != nil || entry["N"] != 1.0 || entry["ID"] != "c.1" {
+		t.Errorf("%v %v", entry, err)
 	}
 }
--- a/internal/shard/shardnode/serve.go
+++ b/internal/shard/shardnode/serve.go
@@ -3,9 +3,9 @@
 // This file owns what an owner serves: reads, writes, transactions, and the outcome of attempts whose answer was lost.
 
 // served gives the replica that a request by this epoch may run on.
-func (s *Store) served(shard string, epoch uint64) (*Replica, error) {
+func (s *Store) openReplica(shard string, epoch uint64) (*Replica, error) {
 	replica := s.Replicas[shard]
-	if !replica.inEpoch(epoch, StateOpen) {
+	if !replica.matches(epoch, StateOpen) {
 		return nil, s.movedError(shard)
 	}
 	return replica, nil
@@ -13,13 +13,13 @@
 
 // CheckRead says whether a read by this epoch may run.
 func (s *Store) CheckRead(shard string, epoch uint64) error {
-	_, err := s.served(shard, epoch)
+	_, err := s.openReplica(shard, epoch)
 	return err
 }
 
 // Write runs an attempt once. A repeated attempt gives the entry of the first; ErrAborted means that it was resolved.
 func (s *Store) Write(shard string, epoch uint64, attemptID string, body []byte) (Entry, error) {
-	replica, err := s.served(shard, epoch)
+	replica, err := s.openReplica(shard, epoch)
 	if err != nil {
 		return Entry{}, err
 	}
@@ -42,7 +42,7 @@
 // BeginTransaction counts a transaction as open. CommitTransaction runs what it wrote, and EndTransaction counts it
 // out, committed or not.
 func (s *Store) BeginTransaction(shard string, epoch uint64) error {
-	replica, err := s.served(shard, epoch)
+	replica, err := s.openReplica(shard, epoch)
 	if err == nil {
 		replica.OpenTransactions++
 	}
@@ -53,7 +53,7 @@
 // closes, and no longer once it is closed.
 func (s *Store) CommitTransaction(shard string, epoch uint64, attemptID string, body []byte) (Entry, error) {
 	replica := s.Replicas[shard]
-	if !replica.inEpoch(epoch, StateOpen, StateClosing) {
+	if !replica.matches(epoch, StateOpen, StateClosing) {
 		return Entry{}, s.movedError(shard)
 	}
 	return s.applyOnce(replica, attemptID, body)
@@ -78,7 +78,7 @@
 // ResolveAttempt determines for good what came of an attempt that was sent and not answered: its entry, or ErrAborted,
 // after which it never runs.
 func (s *Store) ResolveAttempt(shard string, epoch uint64, attemptID string) (Entry, error) {
-	replica, err := s.served(shard, epoch)
+	replica, err := s.openReplica(shard, epoch)
 	if err != nil {
 		return Entry{}, err
 	}
--- a/internal/shard/shardnode/statements.go
+++ b/internal/shard/shardnode/statements.go
@@ -214,7 +214,7 @@
 		return nil, err
 	}
 	replica := s.Replicas[st.shard]
-	if len(st.args) != 5 || !replica.inEpoch(st.epoch, StateReceiving, StateSealed) {
+	if len(st.args) != 5 || !replica.matches(st.epoch, StateReceiving, StateSealed) {
 		return nil, ErrWrongState
 	}
 	return &FetchRequest{
--- a/internal/shard/shardnode/store.go
+++ b/internal/shard/shardnode/store.go
@@ -70,7 +70,7 @@
 }
 
 // inEpoch says whether there is a replica, of this epoch and in one of these states.
-func (r *Replica) inEpoch(epoch uint64, states ...State) bool {
+func (r *Replica) matches(epoch uint64, states ...State) bool {
 	return r != nil && r.Epoch == epoch && slices.Contains(states, r.State)
 }
 
--- a/internal/shard/shardnode/transfer.go
+++ b/internal/shard/shardnode/transfer.go
@@ -9,7 +9,7 @@
 		return ErrStaleEpoch
 	}
 	old := s.Replicas[shard]
-	if old.inEpoch(epoch, StateReceiving, StateSealed) { // this transfer's own; a sealed one needs no more space
+	if old.matches(epoch, StateReceiving, StateSealed) { // this transfer's own; a sealed one needs no more space
 		return nil
 	}
 	if old != nil {
@@ -33,7 +33,7 @@
 // that is free; where there is none the replica is removed.
 func (s *Store) AppendEntries(shard string, epoch uint64, entries []Entry) error {
 	replica := s.Replicas[shard]
-	if !replica.inEpoch(epoch, StateReceiving) {
+	if !replica.matches(epoch, StateReceiving) {
 		return ErrWrongState
 	}
 	for _, entry := range entries {
@@ -56,7 +56,7 @@
 // Seal keeps a replica that is complete up to lastIndex, until it is activated or dropped.
 func (s *Store) Seal(shard string, epoch, lastIndex uint64) error {
 	replica := s.Replicas[shard]
-	if !replica.inEpoch(epoch, StateReceiving, StateSealed) {
+	if !replica.matches(epoch, StateReceiving, StateSealed) {
 		return ErrWrongState
 	}
 	if replica.LastIndex() != lastIndex {
@@ -70,7 +70,7 @@
 // lastIndex is the log's final one.
 func (s *Store) Close(shard string, epoch uint64) (lastIndex uint64, done bool, err error) {
 	replica := s.Replicas[shard]
-	if !replica.inEpoch(epoch, StateOpen, StateClosing, StateClosed) {
+	if !replica.matches(epoch, StateOpen, StateClosing, StateClosed) {
 		return 0, false, s.movedError(shard)
 	}
 	if replica.State == StateOpen {
@@ -96,7 +96,7 @@
 		return s.activateNew(shard, epoch, requiredIndex)
 	}
 	switch {
-	case replica.inEpoch(epoch, StateOpen):
+	case replica.matches(epoch, StateOpen):
 		return nil
 	case epoch <= s.HighestEpochs[shard]:
 		return ErrStaleEpoch
@@ -157,16 +157,16 @@
 func (s *Store) ReadEntries(shard string, epoch, afterIndex uint64, maxBytes int64) (
 	entries []Entry, remaining uint64, err error) {
 	replica := s.Replicas[shard]
-	if !replica.inEpoch(epoch, StateOpen, StateClosing, StateClosed) {
+	if !replica.matches(epoch, StateOpen, StateClosing, StateClosed) {
 		return nil, 0, s.movedError(shard)
 	}
-	from := min(afterIndex, replica.LastIndex())
+	start := min(afterIndex, replica.LastIndex())
 	size := int64(0)
-	for _, entry := range replica.Log[from:] {
+	for _, entry := range replica.Log[start:] {
 		if size += entry.Bytes + entryOverhead; len(entries) > 0 && size > maxBytes {
 			break
 		}
 		entries = append(entries, entry)
 	}
-	return entries, replica.LastIndex() - from - uint64(len(entries)), nil
+	return entries, replica.LastIndex() - start - uint64(len(entries)), nil
 }
--- a/internal/shard/shardplan/assign.go
+++ b/internal/shard/shardplan/assign.go
@@ -20,16 +20,16 @@
 	active := p.active()
 	for _, d := range departures {
 		shard := &p.cluster.Shards[d.shard]
-		target, quality := p.bestTarget(d, active, replicas[d.shard])
-		if target == nil || !d.forced && quality < fitBand {
-			p.put(d.from, d.shard)
+		target, targetFit := p.bestTarget(d, active, replicas[d.shard])
+		if target == nil || !d.forced && targetFit < fitBand {
+			p.place(d.from, d.shard)
 			if d.forced {
 				plan.Unplaced = append(plan.Unplaced, fmt.Sprintf(
 					"shard %s (%d bytes) finds no room beside its copies; it stays on %s", shard.ID, shard.Size, d.from.ID))
 			}
 			continue
 		}
-		p.put(target, d.shard)
+		p.place(target, d.shard)
 		if target == d.from {
 			continue
 		}
@@ -49,31 +49,31 @@
 
 // bestTarget gives the node that a departure fits best: within its band before within its capacity, then the one with
 // the most slack. A departure that isn't forced may return to its node. nil: there is none.
-func (p *placement) bestTarget(d departure, active, replicas []*nodeLoad) (best *nodeLoad, quality fit) {
+func (p *placement) bestTarget(d departure, active, replicas []*nodeLoad) (best *nodeLoad, bestFit fit) {
 	size := p.cluster.Shards[d.shard].Size
 	for _, node := range active {
 		if node.shards[d.shard] || node == d.from && d.forced || slices.Contains(replicas, node) && node != d.from {
 			continue
 		}
-		if node.used+size > node.capacity || !p.spread(node, replicas, d.from) {
+		if node.used+size > node.capacity || !p.zonesDiffer(node, replicas, d.from) {
 			continue
 		}
-		q := fitCapacity
+		nodeFit := fitCapacity
 		if node.used+size <= node.maxUsed {
-			q = fitBand
+			nodeFit = fitBand
 		}
-		if best == nil || q > quality || q == quality && node.slack() > best.slack() {
-			best, quality = node, q
+		if best == nil || nodeFit > bestFit || nodeFit == bestFit && node.slack() > best.slack() {
+			best, bestFit = node, nodeFit
 		}
 	}
-	return best, quality
+	return best, bestFit
 }
 
 // replaced gives the nodes of a shard with one in place of another.
 func replaced(replicas []*nodeLoad, from, to *nodeLoad) []*nodeLoad {
-	out := slices.Clone(replicas)
-	out[slices.Index(out, from)] = to
-	return out
+	updated := slices.Clone(replicas)
+	updated[slices.Index(updated, from)] = to
+	return updated
 }
 
 // readable says whether any replica of a shard is on a node that isn't lost.
@@ -85,7 +85,7 @@
 const maxDonors = 8
 
 // fill moves to nodes below their band what others can spare within theirs. A shard moves once in a plan.
-func (p *placement) fill(replicas [][]*nodeLoad, earlier []Move) (moves []Move) {
+func (p *placement) fillBelowBand(replicas [][]*nodeLoad, earlier []Move) (moves []Move) {
 	moved := map[string]bool{}
 	for _, move := range earlier {
 		moved[move.Shard] = true
@@ -97,8 +97,8 @@
 			if donor == nil {
 				break
 			}
-			p.take(donor, index)
-			p.put(node, index)
+			p.remove(donor, index)
+			p.place(node, index)
 			shard := &p.cluster.Shards[index]
 			moved[shard.ID] = true
 			replicas[index] = replaced(replicas[index], donor, node)
@@ -135,26 +135,26 @@
 // betterDonation says whether a shard is to be moved in place of the best one so far.
 func (p *placement) betterDonation(index, best int, need int64) bool {
 	size, bestSize := p.cluster.Shards[index].Size, p.cluster.Shards[best].Size
-	if closer(size, bestSize, need) {
+	if closerToNeed(size, bestSize, need) {
 		return true
 	}
-	return !closer(bestSize, size, need) && index < best
+	return !closerToNeed(bestSize, size, need) && index < best
 }
 
 // canDonate says whether both nodes stay within their bands, and the shard's replicas in zones of their own.
 func (p *placement) canDonate(donor, node *nodeLoad, index int, replicas []*nodeLoad) bool {
 	size := p.cluster.Shards[index].Size
 	return size != 0 && donor.used-size >= donor.minUsed && node.used+size <= node.maxUsed &&
-		!node.shards[index] && p.spread(node, replicas, donor)
+		!node.shards[index] && p.zonesDiffer(node, replicas, donor)
 }
 
 // closer says whether moving a bytes leaves less to be moved than b, or overshoots less. Missing bytes weigh half.
-func closer(a, b, need int64) bool {
-	distance := func(size int64) int64 {
+func closerToNeed(a, b, need int64) bool {
+	cost := func(size int64) int64 {
 		if size >= need {
 			return size - need
 		}
 		return (need - size) / 2
 	}
-	return distance(a) < distance(b)
+	return cost(a) < cost(b)
 }
--- a/internal/shard/shardplan/donation_test.go
+++ b/internal/shard/shardplan/donation_test.go
@@ -7,7 +7,7 @@
 func TestEquallyCloseDonationsHaveAnOrder(t *testing.T) {
 	p := &placement{cluster: &Cluster{Shards: []Shard{{ID: "large", Size: 110}, {ID: "small", Size: 80}}}}
 	const need = 100
-	if closer(110, 80, need) || closer(80, 110, need) {
+	if closerToNeed(110, 80, need) || closerToNeed(80, 110, need) {
 		t.Fatal("they are not equally close")
 	}
 	if !p.betterDonation(0, 1, need) || p.betterDonation(1, 0, need) {
--- a/internal/shard/shardplan/placement.go
+++ b/internal/shard/shardplan/placement.go
@@ -54,7 +54,7 @@
 	p.zoneCount = len(zones)
 	for i, shard := range c.Shards {
 		for _, node := range shard.Replicas {
-			p.put(p.byID[node], i)
+			p.place(p.byID[node], i)
 		}
 	}
 	p.setBands()
@@ -96,18 +96,18 @@
 	return slices.DeleteFunc(slices.Clone(p.nodes), func(n *nodeLoad) bool { return n.State != NodeActive })
 }
 
-func (p *placement) put(node *nodeLoad, shard int) {
+func (p *placement) place(node *nodeLoad, shard int) {
 	node.shards[shard] = true
 	node.used += p.cluster.Shards[shard].Size
 }
 
-func (p *placement) take(node *nodeLoad, shard int) {
+func (p *placement) remove(node *nodeLoad, shard int) {
 	delete(node.shards, shard)
 	node.used -= p.cluster.Shards[shard].Size
 }
 
 // spread says whether a replica may be on a node beside those on others, leaving out the one that it replaces.
-func (p *placement) spread(node *nodeLoad, replicas []*nodeLoad, replaced *nodeLoad) bool {
+func (p *placement) zonesDiffer(node *nodeLoad, replicas []*nodeLoad, replaced *nodeLoad) bool {
 	if !p.cluster.Rules.SpreadZones || p.zoneCount < len(replicas) {
 		return true
 	}
@@ -119,14 +119,14 @@
 // lowerBound is what any plan has to move: what leaves nodes that aren't active or are above their band, or what comes
 // to those below it.
 func (p *placement) lowerBound() int64 {
-	leaving, above, below := int64(0), int64(0), int64(0)
+	departing, above, below := int64(0), int64(0), int64(0)
 	for _, node := range p.nodes {
 		if node.State != NodeActive {
-			leaving += node.used
+			departing += node.used
 			continue
 		}
 		above += max(0, node.used-node.maxUsed)
 		below += max(0, node.minUsed-node.used)
 	}
-	return max(leaving+above, below)
+	return max(departing+above, below)
 }
--- a/internal/shard/shardplan/plan.go
+++ b/internal/shard/shardplan/plan.go
@@ -29,7 +29,7 @@
 	plan := &Plan{LowerBound: p.lowerBound()}
 	replicas := p.replicas()
 	moves := p.assign(p.departures(replicas), replicas, plan)
-	moves = append(moves, p.fill(replicas, moves)...)
+	moves = append(moves, p.fillBelowBand(replicas, moves)...)
 	for _, node := range p.nodes {
 		if node.State == NodeActive && (node.used > node.maxUsed || node.used < node.minUsed) {
 			plan.OutOfBand = append(plan.OutOfBand, fmt.Sprintf("%s is to hold %d bytes, its band is %d to %d",
--- a/internal/shard/shardplan/rounds.go
+++ b/internal/shard/shardplan/rounds.go
@@ -14,16 +14,16 @@
 // scheduler puts moves into rounds. A replica is counted on its target, with its growth, from the start of its round,
 // and on its source up to the end.
 type scheduler struct {
-	placement   *placement
-	plan        *Plan
-	pending     []Move
-	grown       map[string]int64    // bytes of each shard with its growth
-	index       map[string]int      // of each shard in the cluster
-	used        map[string]int64    // bytes of each node, moves of this round included
-	readable    map[string][]string // nodes that a shard can be read from
-	perNode     int                 // moves that a node takes part in at a time
-	stagings    int
-	maxStagings int // more of them don't come to an end
+	placement       *placement
+	plan            *Plan
+	pending         []Move
+	grownSize       map[string]int64    // bytes of each shard with its growth
+	shardIndex      map[string]int      // of each shard in the cluster
+	used            map[string]int64    // bytes of each node, moves of this round included
+	readable        map[string][]string // nodes that a shard can be read from
+	maxMovesPerNode int                 // moves that a node takes part in at a time
+	stagingMoves    int
+	maxStagingMoves int // more of them don't come to an end
 }
 
 // scheduleRounds adds the moves to the plan in rounds, or says there which of them no order can carry out.
@@ -33,12 +33,12 @@
 		round := s.nextRound()
 		if len(round) == 0 {
 			move, ok := s.stage()
-			if !ok || s.stagings > s.maxStagings {
+			if !ok || s.stagingMoves > s.maxStagingMoves {
 				s.explainPending()
 				return
 			}
-			s.stagings++
-			s.used[move.To] += s.grown[move.Shard]
+			s.stagingMoves++
+			s.used[move.To] += s.grownSize[move.Shard]
 			round = append(round, move)
 		}
 		s.finishRound(round)
@@ -46,14 +46,14 @@
 }
 
 func newScheduler(c *Cluster, moves []Move, plan *Plan) *scheduler {
-	s := &scheduler{placement: newPlacement(c), plan: plan, pending: slices.Clone(moves), grown: map[string]int64{},
-		index: map[string]int{}, used: map[string]int64{}, readable: map[string][]string{},
-		perNode: c.Rules.MaxMovesPerNode, maxStagings: 2*len(moves) + 8}
-	if s.perNode == 0 {
-		s.perNode = defaultMovesPerNode
+	s := &scheduler{placement: newPlacement(c), plan: plan, pending: slices.Clone(moves), grownSize: map[string]int64{},
+		shardIndex: map[string]int{}, used: map[string]int64{}, readable: map[string][]string{},
+		maxMovesPerNode: c.Rules.MaxMovesPerNode, maxStagingMoves: 2*len(moves) + 8}
+	if s.maxMovesPerNode == 0 {
+		s.maxMovesPerNode = defaultMovesPerNode
 	}
 	for i, shard := range c.Shards {
-		s.grown[shard.ID], s.index[shard.ID] = shard.Size+shard.Growth, i
+		s.grownSize[shard.ID], s.shardIndex[shard.ID] = shard.Size+shard.Growth, i
 		for _, node := range shard.Replicas {
 			if s.placement.byID[node].State != NodeLost {
 				s.readable[shard.ID] = append(s.readable[shard.ID], node)
@@ -68,49 +68,49 @@
 
 // fits says whether a node has capacity for a shard and its growth.
 func (s *scheduler) fits(node *nodeLoad, shard string) bool {
-	return s.used[node.ID]+s.grown[shard] <= node.capacity
+	return s.used[node.ID]+s.grownSize[shard] <= node.capacity
 }
 
 // nextRound takes the pending moves that can go on together now, in their order.
 func (s *scheduler) nextRound() (round []Move) {
-	active := map[string]int{} // moves of the round by node
-	var rest []Move
+	movesByNode := map[string]int{} // moves of the round by node
+	var postponed []Move
 	for _, move := range s.pending {
 		if move.Restore {
 			move.From = s.readable[move.Shard][0]
 		}
-		if active[move.From] >= s.perNode || active[move.To] >= s.perNode ||
+		if movesByNode[move.From] >= s.maxMovesPerNode || movesByNode[move.To] >= s.maxMovesPerNode ||
 			!s.fits(s.placement.byID[move.To], move.Shard) {
-			rest = append(rest, move)
+			postponed = append(postponed, move)
 			continue
 		}
-		active[move.From]++
-		active[move.To]++
-		s.used[move.To] += s.grown[move.Shard]
+		movesByNode[move.From]++
+		movesByNode[move.To]++
+		s.used[move.To] += s.grownSize[move.Shard]
 		round = append(round, move)
 	}
-	s.pending = rest
+	s.pending = postponed
 	return round
 }
 
 // stage picks the smallest replica that others wait for, and a node with capacity from which it goes on later.
 func (s *scheduler) stage() (Move, bool) {
 	best := -1
-	var via *nodeLoad
+	var bestNode *nodeLoad
 	for i, move := range s.pending {
 		if move.Restore || best >= 0 && move.Bytes >= s.pending[best].Bytes || !s.blocksOthers(move) {
 			continue
 		}
 		if node := s.stagingNode(move); node != nil {
-			best, via = i, node
+			best, bestNode = i, node
 		}
 	}
 	if best < 0 {
 		return Move{}, false
 	}
 	move := &s.pending[best]
-	staging := Move{Shard: move.Shard, From: move.From, To: via.ID, Bytes: move.Bytes, Staging: true}
-	move.From = via.ID
+	staging := Move{Shard: move.Shard, From: move.From, To: bestNode.ID, Bytes: move.Bytes, Staging: true}
+	move.From = bestNode.ID
 	return staging, true
 }
 
@@ -123,7 +123,7 @@
 func (s *scheduler) stagingNode(move Move) *nodeLoad {
 	for _, node := range s.placement.nodes {
 		if node.State == NodeActive && node.ID != move.From && node.ID != move.To &&
-			!node.shards[s.index[move.Shard]] && s.fits(node, move.Shard) {
+			!node.shards[s.shardIndex[move.Shard]] && s.fits(node, move.Shard) {
 			return node
 		}
 	}
@@ -134,7 +134,7 @@
 func (s *scheduler) finishRound(round []Move) {
 	for _, move := range round {
 		s.plan.Bytes += move.Bytes
-		s.used[move.To] -= s.grown[move.Shard] - move.Bytes // what it did not grow by is free again
+		s.used[move.To] -= s.grownSize[move.Shard] - move.Bytes // what it did not grow by is free again
 		s.readable[move.Shard] = append(s.readable[move.Shard], move.To)
 		if !move.Restore {
 			s.used[move.From] -= move.Bytes
@@ -150,6 +150,6 @@
 	for _, move := range s.pending {
 		s.plan.Unplaced = append(s.plan.Unplaced, fmt.Sprintf(
 			"shard %s can't go to %s: %d bytes are wanted, %d are free, and no node has room for a stop",
-			move.Shard, move.To, s.grown[move.Shard], s.placement.byID[move.To].capacity-s.used[move.To]))
+			move.Shard, move.To, s.grownSize[move.Shard], s.placement.byID[move.To].capacity-s.used[move.To]))
 	}
 }
--- a/internal/shard/shardplan/shardplan_test.go
+++ b/internal/shard/shardplan/shardplan_test.go
@@ -13,7 +13,7 @@
 )
 
 // randomCluster is a cluster as they grow: filled evenly once, then nodes came, went, filled, and shards grew.
-func randomCluster(r *rand.Rand, nodes, shards int, full float64) *Cluster {
+func randomCluster(r *rand.Rand, nodes, shards int, utilization float64) *Cluster {
 	c := &Cluster{Rules: Rules{BalanceBand: 0.1, ReservedShare: 0.05, SpreadZones: true, MaxMovesPerNode: 2}}
 	zones := min(nodes, 3+r.IntN(3))
 	for i := range nodes {
@@ -25,79 +25,79 @@
 		if r.IntN(10) == 0 {
 			size *= int64(1 + r.IntN(8))
 		}
-		s := Shard{ID: fmt.Sprint("s", i), Size: size, Growth: size / 50, RequestRate: r.ExpFloat64()}
+		shard := Shard{ID: fmt.Sprint("s", i), Size: size, Growth: size / 50, RequestRate: r.ExpFloat64()}
 		first := r.IntN(nodes)
 		for k := range 2 {
-			n := (first + k) % nodes // the next zone
-			s.Replicas = append(s.Replicas, c.Nodes[n].ID)
-			load[n] += size
+			node := (first + k) % nodes // the next zone
+			shard.Replicas = append(shard.Replicas, c.Nodes[node].ID)
+			load[node] += size
 		}
-		c.Shards = append(c.Shards, s)
+		c.Shards = append(c.Shards, shard)
 	}
-	most := slices.Max(load)
+	maxLoad := slices.Max(load)
 	for i := range c.Nodes {
-		c.Nodes[i].Capacity = int64(float64(most) / 0.95 / full)
+		c.Nodes[i].Capacity = int64(float64(maxLoad) / 0.95 / utilization)
 	}
 	return c
 }
 
 func injectFault(r *rand.Rand, c *Cluster) string {
-	n := &c.Nodes[r.IntN(len(c.Nodes))]
+	node := &c.Nodes[r.IntN(len(c.Nodes))]
 	switch r.IntN(4) {
 	case 0:
-		n.State = NodeDraining
+		node.State = NodeDraining
 		return "a node leaves"
 	case 1:
-		n.State = NodeLost
+		node.State = NodeLost
 		return "a node is gone"
 	case 2:
 		for k := range 1 + len(c.Nodes)/10 {
-			c.Nodes = append(c.Nodes, Node{ID: fmt.Sprint("new", k), Zone: c.Nodes[k].Zone, Capacity: n.Capacity,
+			c.Nodes = append(c.Nodes, Node{ID: fmt.Sprint("new", k), Zone: c.Nodes[k].Zone, Capacity: node.Capacity,
 				State: NodeActive})
 		}
 		return "nodes are added"
 	}
-	n.External = n.Capacity / 4
+	node.External = node.Capacity / 4
 	return "others fill a node"
 }
 
 // replay plays a plan and checks the capacities at each moment.
-func replay(c *Cluster, p *Plan) error {
-	b := newPlacement(c)
-	on := map[string]map[string]bool{}
-	size, grow := map[string]int64{}, map[string]int64{}
+func replay(c *Cluster, plan *Plan) error {
+	initial := newPlacement(c)
+	storedOn := map[string]map[string]bool{}
+	size, grownSize := map[string]int64{}, map[string]int64{}
 	for _, s := range c.Shards {
-		size[s.ID], grow[s.ID], on[s.ID] = s.Size, s.Size+s.Growth, map[string]bool{}
-		for _, h := range s.Replicas {
-			on[s.ID][h] = true
+		size[s.ID], grownSize[s.ID], storedOn[s.ID] = s.Size, s.Size+s.Growth, map[string]bool{}
+		for _, node := range s.Replicas {
+			storedOn[s.ID][node] = true
 		}
 	}
 	load := map[string]int64{}
-	for _, n := range b.nodes {
+	for _, n := range initial.nodes {
 		load[n.ID] = n.used
 	}
 	bytes := int64(0)
-	for k, round := range p.Rounds {
-		for _, m := range round {
-			if !on[m.Shard][m.From] || on[m.Shard][m.To] {
-				return fmt.Errorf("round %d: %+v, held by %v", k, m, on[m.Shard])
+	for roundNumber, round := range plan.Rounds {
+		for _, move := range round {
+			if !storedOn[move.Shard][move.From] || storedOn[move.Shard][move.To] {
+				return fmt.Errorf("round %d: %+v, held by %v", roundNumber, move, storedOn[move.Shard])
 			}
-			if load[m.To] += grow[m.Shard]; load[m.To] > b.byID[m.To].capacity {
-				return fmt.Errorf("round %d: %s holds %d of %d", k, m.To, load[m.To], b.byID[m.To].capacity)
+			if load[move.To] += grownSize[move.Shard]; load[move.To] > initial.byID[move.To].capacity {
+				return fmt.Errorf("round %d: %s holds %d of %d", roundNumber, move.To, load[move.To], initial.byID[move.To].capacity)
 			}
 		}
-		for _, m := range round {
-			load[m.To] -= grow[m.Shard] - size[m.Shard]
-			on[m.Shard][m.To] = true
-			bytes += m.Bytes
-			if !m.Restore {
-				load[m.From] -= size[m.Shard]
-				delete(on[m.Shard], m.From)
+		for _, move := range round {
+			load[move.To] -= grownSize[move.Shard] - size[move.Shard]
+			storedOn[move.Shard][move.To] = true
+			bytes += move.Bytes
+			if !move.Restore {
+				load[move.From] -= size[move.Shard]
+				delete(storedOn[move.Shard], move.From)
 			}
 		}
 	}
-	if bytes != p.Bytes || bytes < p.LowerBound && len(p.Unplaced)+len(p.OutOfBand) == 0 {
-		return fmt.Errorf("%d bytes moved, %d said, bound %d", bytes, p.Bytes, p.LowerBound)
+	if bytes != plan.Bytes || bytes < plan.LowerBound && len(plan.Unplaced)+len(plan.OutOfBand) == 0 {
+		return fmt.Errorf("%d bytes moved, %d said, bound %d", bytes, plan.Bytes, plan.LowerBound)
 	}
 	return nil
 }
@@ -105,22 +105,22 @@
 // rendezvous is the baseline of hashing: each copy goes to the nodes of the highest weights.
 func rendezvous(c *Cluster) (bytes int64) {
 	for _, s := range c.Shards {
-		type w struct {
-			id string
-			h  uint64
+		type weight struct {
+			node string
+			hash uint64
 		}
-		var all []w
+		var weights []weight
 		for _, n := range c.Nodes {
 			if n.State != NodeActive {
 				continue
 			}
-			h := fnv.New64a()
-			h.Write([]byte(s.ID + n.ID))
-			all = append(all, w{n.ID, h.Sum64()})
+			hasher := fnv.New64a()
+			hasher.Write([]byte(s.ID + n.ID))
+			weights = append(weights, weight{n.ID, hasher.Sum64()})
 		}
-		slices.SortFunc(all, func(a, b w) int { return cmp.Compare(b.h, a.h) })
-		for _, x := range all[:min(len(all), len(s.Replicas))] {
-			if !slices.Contains(s.Replicas, x.id) {
+		slices.SortFunc(weights, func(a, b weight) int { return cmp.Compare(b.hash, a.hash) })
+		for _, chosen := range weights[:min(len(weights), len(s.Replicas))] {
+			if !slices.Contains(s.Replicas, chosen.node) {
 				bytes += s.Size
 			}
 		}
@@ -130,43 +130,43 @@
 
 // greedy is the baseline of taking the largest from the fullest to the emptiest until all are within the band. fair
 // says whether it came to what a plan must come to.
-func greedy(c *Cluster) (bytes int64, fair bool) {
+func greedy(c *Cluster) (bytes int64, balanced bool) {
 	b := newPlacement(c)
-	in := slices.DeleteFunc(slices.Clone(b.nodes), func(p *nodeLoad) bool { return p.State != NodeActive })
-	empty := func() *nodeLoad { return slices.MaxFunc(in, byUtilization) }
-	for _, p := range b.nodes {
-		for i := range p.shards {
-			if p.State != NodeActive {
+	active := slices.DeleteFunc(slices.Clone(b.nodes), func(node *nodeLoad) bool { return node.State != NodeActive })
+	emptiest := func() *nodeLoad { return slices.MaxFunc(active, byUtilization) }
+	for _, node := range b.nodes {
+		for i := range node.shards {
+			if node.State != NodeActive {
 				bytes += c.Shards[i].Size
-				b.put(empty(), i)
+				b.place(emptiest(), i)
 			}
 		}
 	}
 	for range 100000 {
-		p := slices.MinFunc(in, byUtilization)
-		if p.used <= p.maxUsed {
+		fullest := slices.MinFunc(active, byUtilization)
+		if fullest.used <= fullest.maxUsed {
 			break
 		}
 		best := -1
-		for i := range p.shards {
+		for i := range fullest.shards {
 			if best < 0 || c.Shards[i].Size > c.Shards[best].Size {
 				best = i
 			}
 		}
-		to := empty()
-		if best < 0 || to == p || to.used+c.Shards[best].Size >= p.used {
+		target := emptiest()
+		if best < 0 || target == fullest || target.used+c.Shards[best].Size >= fullest.used {
 			break
 		}
-		b.take(p, best)
-		b.put(to, best)
+		b.remove(fullest, best)
+		b.place(target, best)
 		bytes += c.Shards[best].Size
 	}
-	for _, p := range in {
-		if p.used > p.maxUsed || p.used < p.minUsed {
+	for _, node := range active {
+		if node.used > node.maxUsed || node.used < node.minUsed {
 			return bytes, false
 		}
-		for i := range p.shards {
-			if slices.ContainsFunc(in, func(o *nodeLoad) bool { return o != p && o.Zone == p.Zone && o.shards[i] }) {
+		for i := range node.shards {
+			if slices.ContainsFunc(active, func(other *nodeLoad) bool { return other != node && other.Zone == node.Zone && other.shards[i] }) {
 				return bytes, false
 			}
 		}
@@ -177,47 +177,47 @@
 func TestPlansAgainstTheBoundAndBaselines(t *testing.T) {
 	for _, size := range []struct{ nodes, shards, cases int }{{10, 300, 300}, {100, 3000, 40}, {1000, 50000, 1}} {
 		var ratios []float64
-		worse, failed := 0, 0
-		took := time.Duration(0)
+		aboveBaseline, incomplete := 0, 0
+		planningTime := time.Duration(0)
 		for seed := range size.cases {
 			r := rand.New(rand.NewPCG(uint64(seed), uint64(size.nodes)))
 			c := randomCluster(r, size.nodes, size.shards, 0.5+0.3*r.Float64())
-			what := injectFault(r, c)
+			fault := injectFault(r, c)
 			if err := c.Validate(); err != nil {
 				t.Fatal(err)
 			}
-			began := time.Now()
-			p := c.MakePlan()
-			took += time.Since(began)
-			if err := replay(c, p); err != nil {
-				t.Fatalf("%d nodes, seed %d, %s: %v", size.nodes, seed, what, err)
+			startedAt := time.Now()
+			plan := c.MakePlan()
+			planningTime += time.Since(startedAt)
+			if err := replay(c, plan); err != nil {
+				t.Fatalf("%d nodes, seed %d, %s: %v", size.nodes, seed, fault, err)
 			}
-			if len(p.Unplaced)+len(p.OutOfBand) > 0 {
-				failed++
+			if len(plan.Unplaced)+len(plan.OutOfBand) > 0 {
+				incomplete++
 				continue
 			}
-			if p.LowerBound > 200<<20 { // some twenty shards: below, one shard's size decides
-				ratios = append(ratios, float64(p.Bytes)/float64(p.LowerBound))
+			if plan.LowerBound > 200<<20 { // some twenty shards: below, one shard's size decides
+				ratios = append(ratios, float64(plan.Bytes)/float64(plan.LowerBound))
 			}
-			if p.Bytes > rendezvous(c) {
-				worse++
+			if plan.Bytes > rendezvous(c) {
+				aboveBaseline++
 			} else if size.nodes < 1000 { // it takes ten seconds there
-				if bytes, fair := greedy(c); fair && p.Bytes > bytes {
-					worse++
+				if bytes, balanced := greedy(c); balanced && plan.Bytes > bytes {
+					aboveBaseline++
 				}
 			}
 		}
 		slices.Sort(ratios)
 		t.Logf("%d nodes, %d shards: %d plans, bytes over the bound: median %.3f, worst %.3f; worse than a baseline %d, band or room not reached %d; %v a plan",
-			size.nodes, size.shards, size.cases, ratios[len(ratios)/2], ratios[len(ratios)-1], worse, failed,
-			took/time.Duration(size.cases))
-		if ratios[len(ratios)/2] > 1.05 || worse > 0 {
+			size.nodes, size.shards, size.cases, ratios[len(ratios)/2], ratios[len(ratios)-1], aboveBaseline, incomplete,
+			planningTime/time.Duration(size.cases))
+		if ratios[len(ratios)/2] > 1.05 || aboveBaseline > 0 {
 			t.Error("more is moved than is to be")
 		}
 	}
 }
 
-func TestReplicasThatWaitForEachOthersSpace(t *testing.T) {
+func TestStagingResolvesCyclicMoves(t *testing.T) {
 	// Two nodes are full of what the other is to hold, as zones want; the third has space for one replica.
 	c := &Cluster{Rules: Rules{BalanceBand: 1, SpreadZones: true, MaxMovesPerNode: 1},
 		Nodes: []Node{{ID: "a", Zone: "1", Capacity: 10, State: NodeActive}, {ID: "b", Zone: "2", Capacity: 10,
--- a/sessionclient/connection.go
+++ b/sessionclient/connection.go
@@ -13,7 +13,7 @@
 )
 
 // connect serves one connection to its end. stood: the session stood on it.
-func (s *Session) connect(ctx context.Context, edge string) (stood bool) {
+func (s *Session) connect(ctx context.Context, edge string) (established bool) {
 	dialCtx, cancel := context.WithTimeout(ctx, dialTimeout)
 	conn, _, err := websocket.Dial(dialCtx, s.address(edge), &websocket.DialOptions{Subprotocols: []string{subprotocol}})
 	cancel()
@@ -27,13 +27,13 @@
 		_, line, err := conn.Read(ctx)
 		if err != nil {
 			s.handleReadError(err)
-			return stood
+			return established
 		}
 		kind, rest, _ := strings.Cut(string(line), " ")
 		if !s.receive(ctx, conn, kind, rest) {
-			return stood
+			return established
 		}
-		stood = stood || kind == "s"
+		established = established || kind == "s"
 	}
 }
 
@@ -55,7 +55,7 @@
 
 // receive takes a line of the server: "s TOKEN NUMBER", the session stands; "a NUMBER", messages up to it are
 // acknowledged; "m NUMBER BODY", a message. false: the connection is over.
-func (s *Session) receive(ctx context.Context, conn *websocket.Conn, kind, rest string) (goOn bool) {
+func (s *Session) receive(ctx context.Context, conn *websocket.Conn, kind, rest string) (ok bool) {
 	first, body, _ := strings.Cut(rest, " ")
 	switch kind {
 	case "s":
@@ -76,8 +76,8 @@
 
 // receiveOpened takes the first line of a connection, and sends what is not acknowledged.
 func (s *Session) receiveOpened(ctx context.Context, conn *websocket.Conn, token string, acked uint64) {
-	s.writing.Lock()
-	defer s.writing.Unlock()
+	s.writeMu.Lock()
+	defer s.writeMu.Unlock()
 	number, unacked := s.resume(conn, token, acked)
 	for _, body := range unacked {
 		number++
@@ -121,7 +121,7 @@
 
 // receiveMessage gives a message to the caller, unless it came before, and acknowledges it. false: the connection is
 // over.
-func (s *Session) receiveMessage(ctx context.Context, conn *websocket.Conn, digits, body string) (goOn bool) {
+func (s *Session) receiveMessage(ctx context.Context, conn *websocket.Conn, digits, body string) (ok bool) {
 	number, err := strconv.ParseUint(digits, 10, 64)
 	if err != nil {
 		return false
--- a/sessionclient/queue.go
+++ b/sessionclient/queue.go
@@ -32,32 +32,32 @@
 // again under the same key, which makes the attempts idempotent, until a site says that the session's owner and
 // replicas have it, or that they never will (a *RejectedError), or ctx ends (its error: the message may be queued).
 // It gives the index of the site that answered, to begin with next time.
-func Queue(ctx context.Context, sites []string, from int, session, key string, body []byte) (at int, err error) {
-	for at = from; ; at++ {
-		request, err := newQueueRequest(ctx, sites[at%len(sites)], session, key, body)
+func Queue(ctx context.Context, sites []string, firstSite int, session, key string, body []byte) (site int, err error) {
+	for site = firstSite; ; site++ {
+		request, err := newQueueRequest(ctx, sites[site%len(sites)], session, key, body)
 		if err != nil {
-			return at, err
+			return site, err
 		}
 		if response, err := producer.Do(request); err == nil {
 			_, _ = io.Copy(io.Discard, response.Body)
 			_ = response.Body.Close()
 			switch response.StatusCode {
 			case http.StatusOK, http.StatusAccepted:
-				return at % len(sites), nil
+				return site % len(sites), nil
 			case http.StatusBadRequest, http.StatusRequestEntityTooLarge:
-				return at % len(sites), &RejectedError{session, response.Status}
+				return site % len(sites), &RejectedError{session, response.Status}
 			}
 		}
 		select {
 		case <-time.After(queueInterval):
 		case <-ctx.Done():
-			return at % len(sites), ctx.Err()
+			return site % len(sites), ctx.Err()
 		}
 	}
 }
 
-func newQueueRequest(ctx context.Context, site, session, key string, body []byte) (*http.Request, error) {
-	address := "http://" + site + "/sessions/" + url.PathEscape(session) + "/messages"
+func newQueueRequest(ctx context.Context, siteAddr, session, key string, body []byte) (*http.Request, error) {
+	address := "http://" + siteAddr + "/sessions/" + url.PathEscape(session) + "/messages"
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, address, bytes.NewReader(body))
 	if err == nil {
 		request.Header.Set("Weirwind-Key", key)
--- a/sessionclient/session.go
+++ b/sessionclient/session.go
@@ -31,7 +31,7 @@
 	cancel   context.CancelFunc
 	done     chan struct{} // closed once run has ended
 
-	writing sync.Mutex // held over the numbering and the writing of a message, so that numbers go out in their order
+	writeMu sync.Mutex // held over the numbering and the writing of a message, so that numbers go out in their order
 
 	mu          sync.Mutex // guards what follows; taken behind writing where both are
 	token       string     // "" until the first connection has opened a new session
@@ -46,7 +46,7 @@
 
 // Open begins a session at one of the edges ("ws://host:port"), or resumes the one that a token names ("" for a new
 // one) behind message got. It returns at once and connects on its own, again and again, until ctx ends or Close.
-func Open(ctx context.Context, edges []string, token string, got uint64) *Session {
+func Open(ctx context.Context, edges []string, token string, lastReceived uint64) *Session {
 	ctx, cancel := context.WithCancel(ctx)
 	s := &Session{
 		ctx:      ctx,
@@ -55,7 +55,7 @@
 		cancel:   cancel,
 		done:     make(chan struct{}),
 		token:    token,
-		received: got,
+		received: lastReceived,
 		opened:   make(chan struct{}),
 	}
 	go s.run(ctx)
@@ -70,7 +70,7 @@
 
 // Token gives what another process needs to go on with the session: its token, and the number of the last message
 // that Messages has given.
-func (s *Session) Token() (token string, got uint64) {
+func (s *Session) Token() (token string, lastReceived uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.token, s.received
@@ -93,8 +93,8 @@
 // Send sends a message to the server; it is sent again over each next connection until it is acknowledged. It waits
 // while the connection takes nothing; the error is that of a session that has ended here.
 func (s *Session) Send(body []byte) error {
-	s.writing.Lock()
-	defer s.writing.Unlock()
+	s.writeMu.Lock()
+	defer s.writeMu.Unlock()
 	number, conn := s.addUnacked(body)
 	if conn != nil && conn.Write(s.ctx, websocket.MessageText, formatMessage(number, body)) != nil {
 		_ = conn.CloseNow() // it is sent again over the next one
@@ -128,8 +128,8 @@
 	defer close(s.done)
 	defer close(s.messages)
 	backoff := initialBackoff
-	for n := rand.IntN(len(s.edges)); ctx.Err() == nil; n++ {
-		if stood := s.connect(ctx, s.edges[n%len(s.edges)]); stood {
+	for attempt := rand.IntN(len(s.edges)); ctx.Err() == nil; attempt++ {
+		if established := s.connect(ctx, s.edges[attempt%len(s.edges)]); established {
 			backoff = initialBackoff
 		}
 		if s.Err() != nil {
--- a/sessionclient/session_test.go
+++ b/sessionclient/session_test.go
@@ -67,56 +67,56 @@
 // A session over two connections, line by line: what has no acknowledgement is sent again, what came before is given
 // once, and an end by the server is told.
 func TestSessionTranscript(t *testing.T) {
-	e, addr := newEdge(t)
+	server, addr := newEdge(t)
 	s := Open(t.Context(), []string{addr}, "", 0)
-	first := e.accept("/session")
-	e.send(first, "s id.secret 0")
+	first := server.accept("/session")
+	server.send(first, "s id.secret 0")
 	<-s.Opened()
 	for _, body := range []string{"one", "two"} {
 		if err := s.Send([]byte(body)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	e.expect(first, "m 1 one")
-	e.expect(first, "m 2 two")
-	e.send(first, "m 1 hello there")
+	server.expect(first, "m 1 one")
+	server.expect(first, "m 2 two")
+	server.send(first, "m 1 hello there")
 	if got := string(<-s.Messages()); got != "hello there" {
 		t.Errorf("%q came", got)
 	}
-	e.expect(first, "a 1")
-	e.send(first, "a 1")
-	e.send(first, "m 2 more")
+	server.expect(first, "a 1")
+	server.send(first, "a 1")
+	server.send(first, "m 2 more")
 	if got := string(<-s.Messages()); got != "more" {
 		t.Errorf("%q came", got)
 	}
-	e.expect(first, "a 2")
+	server.expect(first, "a 2")
 	if s.Pending() != 1 || s.Connections() != 1 {
 		t.Errorf("%d pending, %d connections", s.Pending(), s.Connections())
 	}
 	_ = first.CloseNow()
 
-	second := e.accept("/session?token=id.secret&got=2")
-	e.send(second, "s id.secret 1")
-	e.expect(second, "m 2 two")
-	e.send(second, "m 2 more") // it has that one
-	e.expect(second, "a 2")
-	e.send(second, "m 3 last")
+	second := server.accept("/session?token=id.secret&got=2")
+	server.send(second, "s id.secret 1")
+	server.expect(second, "m 2 two")
+	server.send(second, "m 2 more") // it has that one
+	server.expect(second, "a 2")
+	server.send(second, "m 3 last")
 	if got := string(<-s.Messages()); got != "last" {
 		t.Errorf("%q came", got)
 	}
-	e.expect(second, "a 3")
-	e.send(second, "a 2")
+	server.expect(second, "a 3")
+	server.send(second, "a 2")
 	go second.Close(websocket.StatusPolicyViolation, "unknown session")
 	if _, open := <-s.Messages(); open {
 		t.Error("it goes on")
 	}
-	token, got := s.Token()
+	token, lastReceived := s.Token()
 	if err := s.Err(); err == nil || !strings.HasPrefix(err.Error(), "the server ended the session: ") ||
 		websocket.CloseStatus(err) != websocket.StatusPolicyViolation {
 		t.Errorf("it ended with %v", err)
 	}
-	if token != "id.secret" || got != 3 || s.Pending() != 0 || s.Connections() != 2 {
-		t.Errorf("%s %d, %d pending, %d connections", token, got, s.Pending(), s.Connections())
+	if token != "id.secret" || lastReceived != 3 || s.Pending() != 0 || s.Connections() != 2 {
+		t.Errorf("%s %d, %d pending, %d connections", token, lastReceived, s.Pending(), s.Connections())
 	}
 }
 
