--- a/internal/shard/shardmap/apply.go
+++ b/internal/shard/shardmap/apply.go
@@ -1,6 +1,6 @@
 package shardmap
 
-// This file owns the changes of the map: what each requires, and what it makes of the map.
+// This file implements the changes of the map: their preconditions and their effects.
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	"slices"
 )
 
-// command carries a change out on a copy of the map. Not changed: the change was applied before.
+// applyFunc applies a change to a copy of the map. It returns false if the change was applied before.
 type applyFunc func(next *Map, change *Change) (changed bool, err error)
 
 var applyFuncs = map[ChangeKind]applyFunc{
@@ -24,8 +24,8 @@
 	ChangeNodes:    applyNodes,
 }
 
-// Apply gives the next map, or why the change is refused. A change that was applied before gives the map itself. A nil
-// map takes ChangeCreate alone.
+// Apply returns the next version of the map, or an error that says why the change is refused. It returns m itself if
+// the change was applied before. On a nil map only ChangeCreate succeeds.
 func (m *Map) Apply(change *Change) (*Map, error) {
 	if m.hasPlan(change) {
 		return m, nil
@@ -52,12 +52,13 @@
 	return next, nil
 }
 
-// hasPlan reports whether a plan is the newest one that was taken. A retry of an older plan fails by its base.
+// hasPlan reports whether the change repeats the newest plan that was applied. A retry of an older plan is refused
+// because its BaseVersion is outdated.
 func (m *Map) hasPlan(change *Change) bool {
 	return m != nil && change.Kind == ChangePlan && change.ID != "" && change.ID == m.PlanID
 }
 
-// clone copies a map, a new one for nil.
+// clone returns a copy of the map, or a new map if m is nil.
 func (m *Map) clone() *Map {
 	if m == nil {
 		return &Map{Rules: DefaultRules, Shards: map[string]Assignment{}, Nodes: map[string]Node{}}
@@ -97,7 +98,7 @@
 		}
 	}
 	next.Tasks, next.Aborting = slices.Clone(change.Tasks), false
-	if change.ID != "" { // an automatic plan leaves the operator's, whose retry may still come
+	if change.ID != "" { // an automatic plan keeps the operator's ID, since that plan may still be retried
 		next.PlanID = change.ID
 	}
 	for i := range next.Tasks {
@@ -126,7 +127,7 @@
 	return true, nil
 }
 
-// applyHandOver makes another node the owner, by the next epoch.
+// applyHandOver makes another node the owner, with the next epoch.
 func applyHandOver(next *Map, change *Change) (bool, error) {
 	current := next.Shards[change.Shard]
 	if current.Epoch == change.Epoch+1 && current.Node == change.Node {
@@ -139,8 +140,8 @@
 	return true, nil
 }
 
-// applyRollBack gives the owner the next epoch, by which it opens again whatever a transfer had it close. A hand-over
-// that replaces the same epoch is refused from here on.
+// applyRollBack assigns the next epoch to the same owner, which then reopens the shard if a transfer had closed it. A
+// hand-over that replaces the same epoch is refused from then on.
 func applyRollBack(next *Map, change *Change) (bool, error) {
 	current := next.Shards[change.Shard]
 	if current.Epoch != change.Epoch || change.Node != current.Node {
--- a/internal/shard/shardmap/doc.go
+++ b/internal/shard/shardmap/doc.go
@@ -1,53 +1,54 @@
-// Package shardmap decides which node owns each shard, and moves shards from one node to another. It does no I/O and
-// reads no clock: time comes in as milliseconds, requests go out as Actions, and answers come back as Results.
+// Package shardmap records which node owns each shard and moves shards between nodes. It does no I/O and reads no
+// clock: callers pass the time in milliseconds, requests are returned as Actions, and their outcomes are passed back as
+// Results.
 //
 // # Parts
 //
-//   - Map (map.go, apply.go) is the replicated state: each shard's owner and epoch, the tasks of the plan, the rules.
-//     The core agrees on each Change; Apply is deterministic, so that all its machines have the same map.
-//   - Rebalancer (rebalancer.go) runs at the core's leader. It carries out the tasks as transfers (transfer.go,
-//     results.go), starts them within the rules and makes new plans (schedule.go), and brings what nodes store in line
-//     with the map, whoever began it and died (reconcile.go). It keeps nothing on disk: a new leader begins with an
-//     empty one, and each request may be repeated.
+//   - Map (map.go, apply.go) is the replicated state: each shard's owner and epoch, the tasks of the plan, and the
+//     rules. The core, a Raft group, commits each Change; Apply is deterministic, so that all machines of the core have
+//     the same map.
+//   - Rebalancer (rebalancer.go) runs at the core's leader. It executes the tasks as transfers (transfer.go,
+//     results.go), starts them within the rules and makes new plans (schedule.go), and reconciles the replicas that
+//     nodes store with the map, including those left behind by an earlier leader (reconcile.go). It keeps nothing on
+//     disk: a new leader starts with an empty Rebalancer, and each request is idempotent.
 //   - RoutingTable (routing.go) is a proxy's view of the map.
-//   - statements.go turns actions into statements of the line protocol, and answers into results.
+//   - statements.go formats actions as statements of the line protocol and parses the answers into results.
 //
 // The other side of the protocol is package shardnode.
 //
 // # Epochs are fencing tokens
 //
-// Map.Shards gives each shard an owner by an epoch. A hand-over and a roll-back both name the epoch e that they replace
-// and make the owner's epoch e+1, so that of the two only the first to be agreed on is applied. No epoch is given out
-// twice, and nodes refuse requests by an epoch that is not the owner's present one.
+// Map.Shards assigns each shard an owner and an epoch. A hand-over and a roll-back both name the epoch e that they
+// replace and set the owner's epoch to e+1, so that only the first of the two to be committed is applied. No epoch is
+// assigned twice, and nodes refuse requests that carry any other epoch than the owner's current one.
 //
 // # A transfer
 //
-//	phase         the rebalancer has                                  ends with
-//	reserving     the target reserve disk space                       its promise
-//	copying       the target fetch the log in chunks, at a rate       few entries that remain
-//	closing       the source close (80 ms on: abort transactions),    the source's final index at the target,
-//	              then the target fetch the rest                      sealed or not
-//	sealing       the target seal the complete replica                its confirmation
-//	handing over  the core agree on the target as owner by e+1;       the source's replica dropped
-//	              then the target activate, and the source drop
-//	rolling back  the core agree on the source as owner by e+1        an owner by e+1, whoever it is
-//	done          the core record the task's status                   the task no longer pending in the map
-//
-// Until the source closes a transfer ends by being abandoned: the source never stopped serving. From closing on it ends
-// by a hand-over or a roll-back, whichever is agreed on first; the shard isn't served between the close and the
+//	phase         requests of the rebalancer                          ends when
+//	reserving     target: reserve disk space                          the target has reserved it
+//	copying       target: fetch the log in chunks, at a limited rate  at most maxLagToClose entries remain
+//	closing       source: close (after 80 ms: abort transactions);    the target has the source's final index,
+//	              then target: fetch the remaining entries            sealed or not
+//	sealing       target: seal the complete replica                   the target confirms
+//	handing over  core: commit the target as owner with epoch e+1;    the source has dropped its replica
+//	              then target: activate, and source: drop
+//	rolling back  core: commit the source as owner with epoch e+1     the map has an owner with epoch e+1
+//	done          core: record the task's status                      the task is no longer pending in the map
+//
+// A transfer that fails before the source closes is abandoned: the source never stopped serving. From closing on it
+// ends with a hand-over or a roll-back, whichever is committed first; the shard isn't served between the close and the
 // activation. The close is bounded: after closeTimeout the transfer rolls back.
 //
 // # Invariants
 //
-//   - A shard has one owner by one epoch; at most one replica ever opens by an epoch.
-//   - A hand-over is proposed only after the source had closed with its final index n and the target had sealed a
+//   - A shard has one owner per epoch, and at most one replica ever opens with a given epoch.
+//   - A hand-over is proposed only after the source has closed with its final index n and the target has sealed a
 //     replica that ends at n. Change.LastIndex carries n into the map as Assignment.RequiredIndex, and the target
-//     refuses to activate with less. So no acknowledged write is lost; package shardnode's doc.go has the whole
+//     refuses to activate a shorter log. So no acknowledged write is lost; doc.go of package shardnode has the complete
 //     argument.
-//   - A leader that was deposed can do no lasting harm: its proposals aren't agreed on, its requests to nodes bear an
-//     epoch that is over or repeat what was asked for anyway, and a close that comes late is undone by the
-//     reconciliation.
-//   - A transfer whose leader died leaves a receiving or sealed replica, or a closed shard. The next leader's
-//     reconciliation discards the first, and rolls the others back to the owner by a new epoch before it touches the
-//     replica, since a hand-over may still be in flight.
+//   - A deposed leader does no lasting damage: its proposals aren't committed, its requests to nodes carry an outdated
+//     epoch or repeat a request that is valid anyway, and a close that arrives late is undone by the reconciliation.
+//   - A transfer whose leader crashed leaves a receiving replica, a sealed replica or a closed shard. The next leader's
+//     reconciliation discards a receiving replica. In the other two cases it first rolls the shard back to its owner
+//     with a new epoch, because a hand-over may still be in flight.
 package shardmap
--- a/internal/shard/shardmap/emitonce_test.go
+++ b/internal/shard/shardmap/emitonce_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// Two actions whose nodes and shards read the same side by side are two actions: neither waits for the other.
+// Two actions whose node and shard names are equal only when concatenated are different actions: emitting one must not
+// suppress the other.
 func TestEmitOnceDistinguishesActions(t *testing.T) {
 	rb := NewRebalancer()
 	rb.emitOnce(Action{Kind: ActionDrop, Node: "n1", Shard: "1s", Epoch: 2}, 1000)
--- a/internal/shard/shardmap/golden_test.go
+++ b/internal/shard/shardmap/golden_test.go
@@ -9,7 +9,7 @@
 	"weirwind/internal/standin/golden"
 )
 
-// everyChange has one of each kind, with every field that it uses.
+// everyChange returns one change of each kind, with all fields that the kind uses.
 func everyChange() []golden.Case[Change] {
 	rules := Rules{2, 3, 4, 1 << 20, 0.25, 0.125, 0.5, 6}
 	tasks := []Task{{"s1", "a", "b", 7000, 1, TaskPending, ""}, {"s2", "b", "a", 9, 2, TaskFailed, "no room"}}
@@ -40,7 +40,7 @@
 	golden.JSON(t, "testdata/map.json", maps)
 }
 
-// What the map refuses is read by operators.
+// Operators see why a change is refused, so the error texts are recorded.
 func TestGoldenRefusals(t *testing.T) {
 	var noMap *Map
 	base, err := noMap.Apply(&Change{Kind: ChangeCreate, InitialOwners: map[string]string{"s1": "a"}})
--- a/internal/shard/shardmap/planid_test.go
+++ b/internal/shard/shardmap/planid_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// A plan that was taken is recognized by its id, however far it has come, and changes nothing; one with another id, or
-// without one, is taken by its base alone. An automatic plan in between doesn't make the operator's unknown.
+// A retry of a plan that was applied is recognized by its id and changes nothing, whatever the state of its tasks and
+// also after an automatic plan. A plan with another id, or without one, is checked by its base version only.
 func TestPlansAreRecognizedByTheirIDs(t *testing.T) {
 	created, err := (*Map)(nil).Apply(&Change{Kind: ChangeCreate, InitialOwners: map[string]string{"s1": "a"}})
 	if err != nil {
@@ -30,7 +30,7 @@
 		other := *plan
 		other.ID = id
 		if _, err := planned.Apply(&other); err == nil {
-			t.Errorf("another plan, with the id %q, was taken on an old base", id)
+			t.Errorf("another plan, with the id %q, was applied to an outdated base version", id)
 		}
 	}
 }
--- a/internal/shard/shardmap/rebalance_test.go
+++ b/internal/shard/shardmap/rebalance_test.go
@@ -12,7 +12,7 @@
 	"weirwind/internal/shard/shardplan"
 )
 
-// change applies an operator's change, and says whether the map took it.
+// change applies an operator's change, and reports whether the map accepted it.
 func (sc *scenario) change(change *Change) bool {
 	next, err := sc.current.Apply(change)
 	if err == nil {
@@ -21,7 +21,7 @@
 	return err == nil
 }
 
-// runWithFaults plays a scenario with eight faults drawn by its seed, and then to its quiet end.
+// runWithFaults runs a scenario with eight faults drawn from its seed, and then without faults until it is quiescent.
 func runWithFaults(seed uint64, trace hash.Hash64) (sc *scenario, plannedMoves int, rebalancers []*Rebalancer) {
 	sc = newScenario(seed, 4, 12)
 	sc.trace = trace
@@ -51,14 +51,14 @@
 	return sc, plannedMoves, rebalancers
 }
 
-// injectFault draws a fault, or something that the operator does meanwhile.
+// injectFault injects a random fault or performs a random operator action.
 func (sc *scenario) injectFault(elect func()) {
 	switch sc.random.IntN(9) {
 	case 0, 1:
 		sc.crash(sc.ids[sc.random.IntN(4)], 50+1500*sc.random.Float64())
 	case 2:
 		elect()
-	case 3: // a proxy is frozen with its map
+	case 3: // a proxy freezes and keeps its map
 		proxy := sc.proxies[sc.random.IntN(3)]
 		proxy.frozen = true
 		sc.After(2000*sc.random.Float64(), func() { proxy.frozen = false; proxy.routes.Update(sc.current) })
@@ -66,7 +66,7 @@
 		node := sc.nodes[sc.ids[sc.random.IntN(4)]]
 		node.partitioned = true
 		sc.After(1500*sc.random.Float64(), func() { node.partitioned = false })
-	case 5: // others than shards fill a disk
+	case 5: // a disk fills with other data than shards
 		if node := sc.nodes[sc.ids[sc.random.IntN(4)]]; !node.down {
 			store := node.store
 			store.SetExternal(min(store.External+store.FreeBytes()*3/4,
@@ -86,8 +86,8 @@
 	}
 }
 
-// A scenario with faults drawn by its seed: nothing lost, nothing doubled, no disk over its capacity, and every
-// shard open at its owner alone at the end.
+// In scenarios with random faults no acknowledged write is lost, none takes effect twice, no disk exceeds its capacity,
+// and in the end every shard is open at its owner only.
 func TestScenarios(t *testing.T) {
 	seeds := 45
 	if n, err := strconv.Atoi(os.Getenv("SEEDS")); err == nil {
@@ -109,20 +109,20 @@
 		}
 		for _, task := range sc.current.Tasks {
 			if task.Status == TaskPending {
-				t.Errorf("seed %d: %+v waits for ever\n%v %+v %+v", seed, task, sc.events[max(0, len(sc.events)-10):],
+				t.Errorf("seed %d: %+v stays pending\n%v %+v %+v", seed, task, sc.events[max(0, len(sc.events)-10):],
 					sc.leader.rebalancer.transfers[task.Shard], sc.current)
 			}
 		}
 	}
 	slices.Sort(writeGaps)
 	if handOvers < seeds {
-		t.Errorf("%d hand-overs only", handOvers)
+		t.Errorf("only %d hand-overs in %d scenarios", handOvers, seeds)
 	}
 	t.Logf("%d moves planned, %d handed over; shards closed for %.0f ms at the median, %.0f at p99, %.0f at most", totalMoves,
 		handOvers, writeGaps[len(writeGaps)/2], writeGaps[len(writeGaps)*99/100], writeGaps[len(writeGaps)-1])
 }
 
-// Where nothing fails a shard is closed for few round trips and one agreement.
+// Without faults a shard is closed only for a few round trips and one commit of the core.
 func TestWriteGaps(t *testing.T) {
 	var writeGaps []float64
 	for seed := range uint64(20) {
@@ -144,8 +144,8 @@
 	}
 }
 
-// The decisions of fifteen scenarios with faults, in order: every act, every map, every answer of a proxy's routes,
-// and what the nodes hold at the end.
+// The digest covers the decisions of fifteen scenarios with faults, in order: every action, every map, every answer of
+// a proxy's routing table, and what the nodes store at the end.
 func TestDecisionDigest(t *testing.T) {
 	const recorded = 0x535fca893ea8b3c7
 	trace := fnv.New64a()
@@ -159,6 +159,6 @@
 		}
 	}
 	if got := trace.Sum64(); got != recorded {
-		t.Errorf("the digest is %#x, recorded is %#x", got, uint64(recorded))
+		t.Errorf("the digest is %#x, recorded: %#x", got, uint64(recorded))
 	}
 }
--- a/internal/shard/shardmap/rebalancer.go
+++ b/internal/shard/shardmap/rebalancer.go
@@ -1,6 +1,6 @@
 package shardmap
 
-// This file owns the rebalancer: its state, the actions that it asks for, and the order of its steps.
+// This file implements the rebalancer's state, its actions and the order of its steps.
 
 import (
 	"fmt"
@@ -10,79 +10,79 @@
 	"weirwind/internal/shard/shardnode"
 )
 
-// Tuned values. Times are milliseconds.
+// Intervals, timeouts and limits. Times are milliseconds.
 const (
-	busyPollInterval       = 250.0                // between reports of a node, while tasks are pending
-	idlePollInterval       = 1000.0               // and while none is
-	reportMaxAge           = 1500.0               // an older report of a node counts for nothing
-	retryInterval          = 100.0                // between attempts of a request
-	closeRetryInterval     = 5.0                  // of a close: the shard isn't served until the last transaction has ended
-	abortTransactionsAfter = 80.0                 // from the begin of a close
-	closeTimeout           = 1200.0               // from the begin of a close to its roll-back
-	contactTimeout         = 3000.0               // without an answer of source or target, a copy is abandoned
+	busyPollInterval       = 250.0                // between polls of a node while tasks are pending
+	idlePollInterval       = 1000.0               // between polls of a node while no task is pending
+	reportMaxAge           = 1500.0               // older reports are ignored
+	retryInterval          = 100.0                // between retries of a request
+	closeRetryInterval     = 5.0                  // between retries of a close, during which the shard isn't served
+	abortTransactionsAfter = 80.0                 // after the start of a close, open transactions are aborted
+	closeTimeout           = 1200.0               // after the start of a close, the transfer is rolled back
+	contactTimeout         = 3000.0               // without any answer a transfer is abandoned until its source closes
 	replanInterval         = 4000.0               // between automatic plans
-	reconcileInterval      = 2 * busyPollInterval // between attempts of one action of the reconciliation
-	reconcileRetention     = 4000.0               // after which an action of the reconciliation is forgotten
-	chunkInterval          = 40.0                 // for which a chunk is to last at the transfer's rate
+	reconcileInterval      = 2 * busyPollInterval // between retries of one reconciliation action
+	reconcileRetention     = 4000.0               // after which the time of a reconciliation action is forgotten
+	chunkInterval          = 40.0                 // duration of a chunk at the transfer's rate
 	maxChunkBytes          = int64(1 << 20)       // bytes
-	maxLagToClose          = 64                   // entries that the target may lack as the source closes
-	rateStep               = 1.5                  // by which a transfer that falls behind is sped up
-	maxRateFactor          = 16.0                 // in all
-	minRateShare           = 0.05                 // of its rate that a transfer has while its nodes are full
-	maxWriteGaps           = 4096                 // that are remembered
+	maxLagToClose          = 64                   // entries that the target may lack when the source is closed
+	rateStep               = 1.5                  // factor by which a transfer is sped up when it falls behind
+	maxRateFactor          = 16.0                 // upper limit of the product of these factors
+	minRateShare           = 0.05                 // of its rate, that a transfer keeps while its nodes are busy
+	maxWriteGaps           = 4096                 // write gaps that are kept
 )
 
-// ActionKind of an action.
+// ActionKind is the kind of an Action.
 type ActionKind uint8
 
-// The kinds of actions. Those to a node are requests of package shardnode.
+// The kinds of actions, with the fields that they use. Those sent to a node are requests of package shardnode.
 const (
-	ActionReport            ActionKind = iota // a node's report is wanted, for HandleReport
+	ActionReport            ActionKind = iota // request a node's report, for HandleReport
 	ActionReserve                             // Bytes
-	ActionFetch                               // up to Bytes from Source; once it has LastIndex the target seals
-	ActionClose                               // the source begins nothing more
-	ActionAbortTransactions                   // closes, and aborts the open transactions
-	ActionSeal                                // at LastIndex
-	ActionActivate                            // requires LastIndex
-	ActionDrop                                // a newer owner has made the replica redundant
-	ActionDiscard                             // the receiving replica of a transfer that has ended
-	ActionPropose                             // Change, to the core
-	ActionLog                                 // Message, to the event log; it has no result
+	ActionFetch                               // up to Bytes from Source; the target seals once it has LastIndex
+	ActionClose                               // the source starts no more work
+	ActionAbortTransactions                   // like ActionClose, and the source aborts open transactions
+	ActionSeal                                // at LastIndex, the last index of the complete log
+	ActionActivate                            // open the replica, which must reach LastIndex
+	ActionDrop                                // remove a replica that a newer owner has made redundant
+	ActionDiscard                             // remove the receiving replica of a transfer that has ended
+	ActionPropose                             // propose Change to the core
+	ActionLog                                 // write Message to the event log; has no result
 )
 
-// Action is something that the rebalancer asks its runner to do. But for ActionReport, whose answer goes to
-// HandleReport, its outcome goes to HandleResult.
+// Action is a request from the rebalancer to its runner. The answer to an ActionReport goes to HandleReport, all other
+// outcomes go to HandleResult.
 type Action struct {
 	Kind      ActionKind
-	Node      string // that is asked
+	Node      string // the node to which the request is sent
 	Shard     string
 	Epoch     uint64
-	Source    string // node id
+	Source    string // id of the node to fetch from
 	Bytes     int64
 	LastIndex uint64
 	Change    *Change
 	Message   string
 }
 
-// Rebalancer carries out the map's tasks at one leader.
+// Rebalancer executes the map's tasks during one term of a leader.
 type Rebalancer struct {
-	nodes       map[string]*nodeView     // by id; those of the newest Step
-	transfers   map[string]*transfer     // by shard: at most one of each
-	reconcileAt map[reconcileKey]float64 // by action: when it may be repeated
+	nodes       map[string]*nodeView     // by id; the nodes passed to the latest Step
+	transfers   map[string]*transfer     // by shard
+	reconcileAt map[reconcileKey]float64 // time from which an action may be repeated
 	writeGaps   []float64
-	actions     []Action // since the last Step
+	actions     []Action // emitted since the last Step
 	bytesMoved  int64
-	replanAt    float64 // no automatic plan before
-	emptyPlans  int     // automatic plans that would have moved nothing
+	replanAt    float64 // time of the next automatic plan at the earliest
+	emptyPlans  int     // automatic plans that contained no moves
 }
 
-// NewRebalancer knows nothing of nodes and transfers yet.
+// NewRebalancer returns a rebalancer without nodes and transfers.
 func NewRebalancer() *Rebalancer {
 	return &Rebalancer{nodes: map[string]*nodeView{}, transfers: map[string]*transfer{},
 		reconcileAt: map[reconcileKey]float64{}}
 }
 
-// Step gives the actions that are due. nodes are the ids of those that are known now; a nil map has none.
+// Step returns the actions that are due. nodes are the ids of the nodes that are known now. A nil map has no actions.
 func (rb *Rebalancer) Step(m *Map, nodes []string, now float64) []Action {
 	if m == nil {
 		return nil
@@ -98,14 +98,14 @@
 	}
 	rb.startTasks(m, now)
 	rb.replan(m, now)
-	actions := rb.actions // with those that followed from results
+	actions := rb.actions // includes those emitted while results were handled
 	rb.actions = nil
 	return actions
 }
 
 func (rb *Rebalancer) emit(action Action) { rb.actions = append(rb.actions, action) }
 
-// TransferState describes a shard's transfer for operators, "" for none.
+// TransferState describes a shard's transfer for operators. It returns "" if there is none.
 func (rb *Rebalancer) TransferState(shard string) string {
 	t := rb.transfers[shard]
 	if t == nil {
@@ -114,13 +114,13 @@
 	return fmt.Sprintf("%s from %s to %s", phaseNames[t.phase], t.From, t.To)
 }
 
-// BytesMoved is how many bytes were copied.
+// BytesMoved returns the number of bytes copied so far.
 func (rb *Rebalancer) BytesMoved() int64 { return rb.bytesMoved }
 
-// WriteGaps gives for how many milliseconds shards were not served, for each of the newest hand-overs.
+// WriteGaps returns, for each of the latest hand-overs, the milliseconds for which the shard was not served.
 func (rb *Rebalancer) WriteGaps() []float64 { return rb.writeGaps }
 
-// Reports gives the newest report of each node, however old.
+// Reports returns the newest report of each node, regardless of its age.
 func (rb *Rebalancer) Reports() map[string]shardnode.Report {
 	reports := map[string]shardnode.Report{}
 	for id, view := range rb.nodes {
@@ -131,16 +131,16 @@
 	return reports
 }
 
-// nodeView is what is known of a node.
+// nodeView is the rebalancer's view of a node.
 type nodeView struct {
 	report         shardnode.Report
-	hasReport      bool    // there is a report
-	requestedAt    float64 // when the report was asked for
-	requestPending bool    // a report is asked for
-	nextPollAt     float64 // when the next one is to be asked for
+	hasReport      bool
+	requestedAt    float64 // when report was requested
+	requestPending bool    // an ActionReport has not been answered
+	nextPollAt     float64
 }
 
-// pollNodes asks nodes for their reports.
+// pollNodes requests the reports that are due and forgets nodes that are no longer known.
 func (rb *Rebalancer) pollNodes(m *Map, nodes []string, now float64) {
 	interval := idlePollInterval
 	if len(rb.transfers) > 0 || m.hasPending() {
@@ -164,7 +164,7 @@
 	}
 }
 
-// HandleReport takes the answer to an ActionReport that was sent at that time; not ok: there was none.
+// HandleReport processes the answer to an ActionReport that was sent at sentAt. ok is false if there was no answer.
 func (rb *Rebalancer) HandleReport(node string, sentAt float64, report shardnode.Report, ok bool) {
 	view := rb.nodes[node]
 	if view == nil {
@@ -176,7 +176,7 @@
 	}
 }
 
-// report gives a node's report, nil where there is no recent one.
+// report returns a node's report, or nil if there is no recent one.
 func (rb *Rebalancer) report(node string, now float64) *shardnode.Report {
 	if view := rb.nodes[node]; view != nil && view.hasReport && now-view.requestedAt < reportMaxAge {
 		return &view.report
--- a/internal/shard/shardmap/reconcile.go
+++ b/internal/shard/shardmap/reconcile.go
@@ -1,6 +1,7 @@
 package shardmap
 
-// This file owns the reconciliation: what nodes store is brought in line with the map, whoever began it and died.
+// This file implements the reconciliation: it brings the replicas that nodes store in line with the map, also after a
+// transfer whose leader has crashed.
 
 import (
 	"fmt"
@@ -10,13 +11,13 @@
 	"weirwind/internal/shard/shardnode"
 )
 
-// emittedKey tells an action of the reconciliation from all others.
+// reconcileKey identifies an action of the reconciliation.
 type reconcileKey struct {
 	kind, node, shard string
 	epoch             uint64
 }
 
-// emitOnce emits an action of the reconciliation, and not again for a while.
+// emitOnce emits an action of the reconciliation unless it was emitted within the last reconcileInterval.
 func (rb *Rebalancer) emitOnce(action Action, now float64) {
 	key := reconcileKey{kind: fmt.Sprint(action.Kind), node: action.Node, shard: action.Shard, epoch: action.Epoch}
 	if change := action.Change; change != nil {
@@ -28,7 +29,7 @@
 	}
 }
 
-// reconcile goes through all shards, and of each through all nodes.
+// reconcile checks the owner and all other replicas of every shard.
 func (rb *Rebalancer) reconcile(m *Map, now float64) {
 	for key, at := range rb.reconcileAt {
 		if now > at+reconcileRetention {
@@ -46,7 +47,7 @@
 	}
 }
 
-// reconcileOwner has the owner of a shard activate it, and says whether the shard is open there.
+// reconcileOwner has the owner of a shard activate it if necessary, and reports whether the shard is open there.
 func (rb *Rebalancer) reconcileOwner(m *Map, shard string, now float64) (serving bool) {
 	assignment := m.Shards[shard]
 	owner := rb.report(assignment.Node, now)
@@ -62,13 +63,13 @@
 		found && replica.Epoch < assignment.Epoch && replica.State != shardnode.StateReceiving:
 		rb.emitOnce(Action{Kind: ActionActivate, Node: assignment.Node, Shard: shard, Epoch: assignment.Epoch,
 			LastIndex: assignment.RequiredIndex}, now)
-	case currentEpoch && closed && (t == nil || t.phase < phaseClosing): // by a transfer that nobody carries on
+	case currentEpoch && closed && (t == nil || t.phase < phaseClosing): // closed by a transfer that no longer runs
 		rb.reopenOwner(shard, assignment, now)
 	}
 	return currentEpoch && replica.State == shardnode.StateOpen
 }
 
-// reconcileReplica removes the replica of a node that isn't the owner, unless a transfer is making it.
+// reconcileReplica removes the replica of a node that isn't the owner, unless a running transfer is creating it.
 func (rb *Rebalancer) reconcileReplica(m *Map, shard, node string, serving bool, now float64) {
 	report := rb.report(node, now)
 	if report == nil {
@@ -89,12 +90,12 @@
 	case replica.State == shardnode.StateReceiving:
 		rb.emitOnce(Action{Kind: ActionDiscard, Node: node, Shard: shard, Epoch: assignment.Epoch}, now)
 	case replica.State == shardnode.StateSealed && m.pendingTask(shard, node) < 0:
-		// A hand-over to it may have been proposed, and can't be agreed on once the owner has another epoch.
+		// A hand-over to this node may have been proposed. It can't be applied once the owner has a new epoch.
 		rb.reopenOwner(shard, assignment, now)
 	}
 }
 
-// reopenOwner gives a shard's owner the next epoch.
+// reopenOwner proposes the next epoch for a shard's owner.
 func (rb *Rebalancer) reopenOwner(shard string, assignment Assignment, now float64) {
 	rb.emitOnce(Action{Kind: ActionPropose, Change: &Change{Kind: ChangeRollBack, Shard: shard,
 		Epoch: assignment.Epoch, Node: assignment.Node}}, now)
--- a/internal/shard/shardmap/results.go
+++ b/internal/shard/shardmap/results.go
@@ -1,34 +1,34 @@
 package shardmap
 
-// This file owns what follows from the results of actions.
+// This file handles the results of actions.
 
-// ResultCode is how an action failed: a code of this package, or a node's in lower case.
+// ResultCode says how an action failed: a code of this package, or a node's code in lower case.
 type ResultCode string
 
-// Codes that the rebalancer tells apart.
+// Codes that the rebalancer treats differently.
 const (
 	ResultOK         ResultCode = ""
 	ResultNoAnswer   ResultCode = "dark"
 	ResultNoCapacity ResultCode = "noroom"
-	ResultWrongState ResultCode = "state" // the replica is in another state, or the answer makes no sense
+	ResultWrongState ResultCode = "state" // the replica is in another state, or the answer is malformed
 	ResultMoved      ResultCode = "moved"
 )
 
 // Result is the outcome of an action.
 type Result struct {
 	Code      ResultCode
-	LastIndex uint64 // of the replica that was closed or fetched to
-	Remaining uint64 // entries that the source has beyond LastIndex
-	Done      bool   // the source is closed; the target is sealed
-	Bytes     int64  // that a fetch brought
+	LastIndex uint64 // last index of the closed source, or of the target after a fetch
+	Remaining uint64 // entries that the source has after LastIndex
+	Done      bool   // after a close: the source is closed; after a fetch: the target is sealed
+	Bytes     int64  // bytes fetched
 }
 
-// HandleResult takes the result of an action. It may come late, or after the transfer has ended.
+// HandleResult processes the result of an action. The result may arrive late, or after the transfer has ended.
 func (rb *Rebalancer) HandleResult(action Action, result Result, now float64) {
 	if action.Kind == ActionReport || action.Kind == ActionPropose && action.Change.Kind == ChangeEndTask {
 		return
 	}
-	if view := rb.nodes[action.Node]; view != nil && action.Kind != ActionFetch { // its effect is to show at once
+	if view := rb.nodes[action.Node]; view != nil && action.Kind != ActionFetch { // poll now to see the effect
 		view.nextPollAt = min(view.nextPollAt, now)
 	}
 	shard, epoch := action.Shard, action.Epoch
@@ -41,7 +41,7 @@
 	}
 	switch action.Kind {
 	case ActionDiscard, ActionDrop:
-		return // asked for by the reconciliation, or behind the end
+		return // requested by the reconciliation, or after the end of the transfer
 	case ActionActivate:
 		rb.handleActivated(t, action, result, now)
 		return
@@ -60,7 +60,7 @@
 	rb.handleSuccess(t, action, result, now)
 }
 
-// handleActivated notes that the target has activated: the shard is served again.
+// handleActivated records that the target has activated the shard, which is served again from then on.
 func (rb *Rebalancer) handleActivated(t *transfer, action Action, result Result, now float64) {
 	if action.Epoch != t.epoch+1 {
 		return
@@ -76,7 +76,7 @@
 	}
 }
 
-// handleFailure has the action repeated soon, unless the refusal ends the transfer.
+// handleFailure schedules a retry of the action, unless the refusal ends the transfer.
 func (rb *Rebalancer) handleFailure(t *transfer, action Action, result Result, now float64) {
 	t.nextRequestAt = now + retryInterval/2
 	code := string(result.Code)
@@ -92,7 +92,7 @@
 	}
 }
 
-// handleSuccess moves the transfer to its next phase where the action ends the present one.
+// handleSuccess moves the transfer to its next phase if the action completes the current one.
 func (rb *Rebalancer) handleSuccess(t *transfer, action Action, result Result, now float64) {
 	switch action.Kind {
 	case ActionReserve:
@@ -118,7 +118,7 @@
 	t.enter(phaseCopying, now)
 }
 
-// handleFetched takes a chunk. A shard that grows as fast as it is copied is copied faster.
+// handleFetched records a fetched chunk. It raises the rate if the shard grows as fast as it is copied.
 func (rb *Rebalancer) handleFetched(t *transfer, result Result, now float64) {
 	rb.bytesMoved += result.Bytes
 	if t.phase == phaseCopying && t.remaining > 0 && result.Remaining >= t.remaining {
@@ -136,7 +136,7 @@
 	}
 }
 
-// handleClosed takes the source's final index, or has the close repeated while transactions are open.
+// handleClosed records the source's final index, or schedules a retry of the close while transactions are open.
 func (t *transfer) handleClosed(result Result, now float64) {
 	if result.Done && t.phase == phaseClosing {
 		t.lastIndex, t.closed = result.LastIndex, true
--- a/internal/shard/shardmap/routing.go
+++ b/internal/shard/shardmap/routing.go
@@ -1,18 +1,19 @@
 package shardmap
 
-// This file owns a proxy's view of the map. An old view does no harm, since nodes refuse requests by the epoch.
+// This file implements a proxy's view of the map. An outdated view is harmless, since nodes check the epoch of each
+// request.
 
-// RoutingTable gives the owner of each shard by the newest map. A shard has no owner in it from a refusal by its epoch
-// until a newer map has another epoch for it.
+// RoutingTable holds the owner of each shard according to the newest map. After a node has refused a shard's epoch, the
+// shard has no owner until a newer map has a newer epoch for it.
 type RoutingTable struct {
 	current *Map
-	fenced  map[string]uint64 // by shard: epochs up to this are over
+	fenced  map[string]uint64 // by shard: epochs up to this one are outdated
 }
 
-// NewRoutingTable has no map yet.
+// NewRoutingTable returns a routing table without a map.
 func NewRoutingTable() *RoutingTable { return &RoutingTable{fenced: map[string]uint64{}} }
 
-// Update takes a map and says whether it is newer than the present one; an older one changes nothing.
+// Update replaces the map if m is newer, and reports whether it is.
 func (t *RoutingTable) Update(m *Map) bool {
 	if m == nil || t.current != nil && m.Version <= t.current.Version {
 		return false
@@ -26,10 +27,10 @@
 	return true
 }
 
-// Version is that of the present map, 0 for none.
+// Version returns the version of the current map, or 0 if there is none.
 func (t *RoutingTable) Version() uint64 { return t.current.version() }
 
-// Owner gives a shard's owner; not ok: there is none now, and the request has to wait for a newer map.
+// Owner returns a shard's owner. ok is false if there is none now and the request has to wait for a newer map.
 func (t *RoutingTable) Owner(shard string) (assignment Assignment, ok bool) {
 	if t.current == nil {
 		return Assignment{}, false
@@ -38,8 +39,9 @@
 	return assignment, ok && assignment.Epoch > t.fenced[shard]
 }
 
-// HandleMoved takes a node's refusal of a request by an epoch; highest is the highest that the node has observed.
-// retry: the node has not heard of the request's epoch yet, and is to be asked again in a moment.
+// HandleMoved processes a node's refusal of a request that carried epoch; highest is the highest epoch that the node
+// has observed. retry is true if the node has not observed the request's epoch yet, so that the request should be
+// repeated there shortly.
 func (t *RoutingTable) HandleMoved(shard string, epoch, highest uint64) (retry bool) {
 	if highest < epoch {
 		return true
--- a/internal/shard/shardmap/scenario_clients_test.go
+++ b/internal/shard/shardmap/scenario_clients_test.go
@@ -6,9 +6,9 @@
 	"weirwind/internal/shard/shardnode"
 )
 
-// This file owns the scenario's clients, and the check of what became of their requests.
+// This file implements the scenario's clients and checks the outcome of their requests.
 
-// startClient sends writes of one shard, each until it has a final answer.
+// startClient starts a client that writes to one shard and repeats each write until it has a final answer.
 func (sc *scenario) startClient(name, shard string, meanInterval float64, bodySize int) {
 	seq := 0
 	var next func()
@@ -24,7 +24,8 @@
 	sc.After(meanInterval*sc.random.Float64(), next)
 }
 
-// attempt sends a write under an id of its own, resolves it if the answer is lost, and follows the shard as it moves.
+// attempt sends a write under a new attempt id, resolves the attempt if its answer is lost, and follows the shard when
+// it moves.
 func (sc *scenario) attempt(name, shard string, seq int, request *request, deadline float64, bodySize int, done func()) {
 	id := fmt.Sprintf("%s.%d.%d", name, seq, len(request.attempts))
 	request.attempts = append(request.attempts, id)
@@ -58,7 +59,7 @@
 		var err error
 		resolve := sent
 		sc.call(assignment.Node, func(store *shardnode.Store) {
-			if resolve { // what was sent and not answered
+			if resolve { // sent before, and not answered
 				_, err = store.ResolveAttempt(shard, assignment.Epoch, id)
 			} else if sc.random.IntN(3) == 0 { // as a transaction
 				if err = store.BeginTransaction(shard, assignment.Epoch); err == nil {
@@ -80,7 +81,7 @@
 			case isMoved:
 				sc.record("missed", proxy.routes.HandleMoved(shard, assignment.Epoch, moved.HighestEpoch))
 				sc.After(5, send)
-			default: // no capacity, or aborted: it never runs
+			default: // no capacity, or aborted: the attempt never takes effect
 				rejected()
 			}
 		})
@@ -88,7 +89,7 @@
 	send()
 }
 
-// verify gives what is wrong with where all shards and attempts ended.
+// verify returns the problems with the final state of shards and attempts.
 func (sc *scenario) verify() (problems []string) {
 	effects := map[string]int{} // by attempt
 	for shard, assignment := range sc.current.Shards {
@@ -118,7 +119,7 @@
 	return problems
 }
 
-// verify checks a request's attempts against the effects that they had.
+// verify compares the outcomes of a request's attempts with the number of effects that they had.
 func (r *request) verify(name string, effects map[string]int) (problems []string) {
 	total := 0
 	for _, id := range r.attempts {
--- a/internal/shard/shardmap/scenario_test.go
+++ b/internal/shard/shardmap/scenario_test.go
@@ -14,9 +14,9 @@
 	"weirwind/internal/standin/virtualclock"
 )
 
-// scenario plays a rebalance under traffic in virtual time: nodes with disks that fill, a core whose leader dies,
-// freezes and is followed, proxies with maps of their own age, clients that repeat attempts as theirs do. Every
-// message may be late or lost.
+// scenario simulates a rebalance under traffic in virtual time: nodes whose disks fill up, a core whose leader crashes
+// or freezes and is replaced, proxies with maps of different versions, and clients that retry like real ones. Any
+// message may be delayed or lost.
 type scenario struct {
 	virtualclock.Scheduler
 	random        *rand.Rand
@@ -30,12 +30,12 @@
 	loss          float64
 	overCapacity  string
 	events        []string
-	clientsActive bool // clients go on
+	clientsActive bool // clients send more requests
 
-	trace hash.Hash64 // over every decision in order; nil: none is kept
+	trace hash.Hash64 // hash of every decision in order; nil: not recorded
 }
 
-// record adds a decision to the trace, by the values of its fields in a fixed order.
+// record adds the values that describe a decision to the trace.
 func (sc *scenario) record(values ...any) {
 	if sc.trace != nil {
 		b, err := canonical.Marshal(values)
@@ -46,7 +46,7 @@
 	}
 }
 
-// canonical sorts the keys of maps.
+// canonical encodes maps with sorted keys.
 var canonical, _ = cbor.CanonicalEncOptions().EncMode()
 
 type node struct {
@@ -75,8 +75,8 @@
 	unknown      bool
 }
 
-// call carries a request to a node and its answer back; either may be lost, and the node may die before or after it
-// syncs.
+// call delivers a request to a node and its answer to the caller. Either may be lost, and the node may crash before or
+// after it has synced its store.
 func (sc *scenario) call(id string, request func(store *shardnode.Store), reply func(ok bool)) {
 	target := sc.nodes[id]
 	if target == nil {
@@ -95,7 +95,7 @@
 		return
 	}
 	delay := 1 + 8*sc.random.Float64()
-	if sc.random.Float64() < sc.loss { // it arrives long after it was given up
+	if sc.random.Float64() < sc.loss { // it arrives long after the caller's timeout
 		delay = 400 + 2000*sc.random.Float64()
 	}
 	sc.After(delay, func() {
@@ -137,8 +137,8 @@
 	})
 }
 
-// elect lets another leader begin; the one before goes on for a while, as one that was frozen does, but commits
-// nothing.
+// elect starts a new leader. The previous one continues for a while, like a leader that was frozen, but its proposals
+// are not committed.
 func (sc *scenario) elect() {
 	old := sc.leader
 	sc.term++
@@ -180,7 +180,7 @@
 	return ResultWrongState
 }
 
-// execute carries an action out and gives its result to the leader that asked for it.
+// execute executes an action and returns its result to the leader that requested it.
 func (sc *scenario) execute(leader *leader, action Action) {
 	sent := sc.Now
 	sc.record("act", sc.Now, leader.term, uint8(action.Kind), action.Node, action.Shard, action.Epoch, action.Source,
@@ -213,7 +213,7 @@
 	}
 }
 
-// answered is a result, or that there was no answer.
+// resultOrNoAnswer returns result, or ResultNoAnswer if there was no answer.
 func resultOrNoAnswer(result Result, ok bool) Result {
 	if !ok {
 		return Result{Code: ResultNoAnswer}
@@ -221,7 +221,7 @@
 	return result
 }
 
-// propose applies a change where its leader wasn't deposed.
+// propose applies a change, unless its leader has been replaced.
 func (sc *scenario) propose(leader *leader, change *Change) Result {
 	if leader.term != sc.term {
 		return Result{Code: ResultNoAnswer}
@@ -236,7 +236,7 @@
 	return Result{}
 }
 
-// fetch has the target ask the source: three calls.
+// fetch copies entries from the source to the target, in three calls.
 func (sc *scenario) fetch(action Action, handle func(Result)) {
 	var result Result
 	var entries []shardnode.Entry
@@ -260,7 +260,7 @@
 			refused = shardnode.ErrWrongState
 		}
 	}
-	// then carries on where the call before was answered and not refused.
+	// onSuccess returns a reply function that continues with next if the call was answered and not refused.
 	onSuccess := func(next func()) func(ok bool) {
 		return func(ok bool) {
 			if ok && refused == nil {
@@ -277,7 +277,7 @@
 	}))
 }
 
-// carryOut has a node do what an action asks for.
+// executeOnStore executes an action that is sent to a node.
 func executeOnStore(store *shardnode.Store, action Action) Result {
 	switch action.Kind {
 	case ActionReserve:
@@ -301,7 +301,7 @@
 	panic(fmt.Sprint("not a request to a node: ", action.Kind))
 }
 
-// publishMap lets the proxies learn the map, each after a while.
+// publishMap sends the map to the proxies, each with a random delay.
 func (sc *scenario) publishMap() {
 	m := sc.current
 	for _, p := range sc.proxies {
@@ -324,11 +324,11 @@
 		create.Nodes[id] = Node{Zone: fmt.Sprint("z", i%3), State: shardplan.NodeActive}
 	}
 	for i := range shards {
-		create.InitialOwners[fmt.Sprint("s", i)] = sc.ids[i%(nodes-1)] // the last one is new and empty
+		create.InitialOwners[fmt.Sprint("s", i)] = sc.ids[i%(nodes-1)] // the last node is new and empty
 	}
 	sc.current, _ = (*Map)(nil).Apply(create)
 	sc.current.Rules.BytesPerSecond = 400000
-	for _, shard := range slices.Sorted(maps.Keys(sc.current.Shards)) { // sorted: what a seed draws is the same each time
+	for _, shard := range slices.Sorted(maps.Keys(sc.current.Shards)) { // sorted for reproducibility
 		store := sc.nodes[sc.current.Shards[shard].Node].store
 		_ = store.Activate(shard, 1, 0)
 		for i := range 20 + sc.random.IntN(40) {
@@ -343,7 +343,7 @@
 	return sc
 }
 
-// applyPlan plans from what the nodes have, and gives how many tasks it made.
+// applyPlan makes a plan from the nodes' reports, applies it, and returns its number of tasks.
 func (sc *scenario) applyPlan() int {
 	reports := map[string]shardnode.Report{}
 	for id, node := range sc.nodes {
--- a/internal/shard/shardmap/schedule.go
+++ b/internal/shard/shardmap/schedule.go
@@ -1,6 +1,6 @@
 package shardmap
 
-// This file owns which task begins when, and when a new plan is made.
+// This file decides when tasks start and when a new plan is made.
 
 import (
 	"cmp"
@@ -13,7 +13,7 @@
 	"weirwind/internal/shard/shardplan"
 )
 
-// startTasks starts tasks in the plan's order, as far as the rules allow.
+// startTasks starts pending tasks in the plan's order, within the limits of the rules.
 func (rb *Rebalancer) startTasks(m *Map, now float64) {
 	if m.Aborting {
 		rb.abortTasks(m, now)
@@ -56,7 +56,7 @@
 	return true
 }
 
-// abortTasks ends the tasks that have not begun.
+// abortTasks ends the tasks that have not started.
 func (rb *Rebalancer) abortTasks(m *Map, now float64) {
 	for _, task := range m.Tasks {
 		if task.Status == TaskPending && rb.transfers[task.Shard] == nil {
@@ -65,10 +65,10 @@
 	}
 }
 
-// transferCounts are the transfers under way.
+// transferCounts holds the numbers of running transfers.
 type transferCounts struct {
-	byNode, byZone map[string]int // those that are not done
-	total          int            // with those that are done and not recorded yet
+	byNode, byZone map[string]int // transfers before phaseDone
+	total          int            // all transfers, including those in phaseDone
 }
 
 func (rb *Rebalancer) countTransfers(m *Map) *transferCounts {
@@ -88,7 +88,7 @@
 	c.byZone[m.Nodes[task.To].Zone]++
 }
 
-// allows says whether the rules allow one more transfer.
+// allows reports whether the rules allow the transfer of one more task.
 func (c *transferCounts) allows(m *Map, task Task) bool {
 	if c.byNode[task.From] >= m.Rules.MaxPerNode || c.byNode[task.To] >= m.Rules.MaxPerNode {
 		return false
@@ -103,7 +103,7 @@
 	return c.byZone[from] < m.Rules.MaxPerZone && c.byZone[to] < m.Rules.MaxPerZone
 }
 
-// firstRounds gives the lowest round of each node's pending tasks.
+// firstRounds returns the lowest round of each node's pending tasks.
 func firstRounds(tasks []Task) map[string]int {
 	first := map[string]int{}
 	for _, task := range tasks {
@@ -119,7 +119,7 @@
 	return first
 }
 
-// ready says whether both nodes of a task have reported lately, and the source has the shard open.
+// nodesReady reports whether there are recent reports of both nodes of a task and the shard is open at the source.
 func (rb *Rebalancer) nodesReady(task Task, epoch uint64, now float64) bool {
 	from, to := rb.report(task.From, now), rb.report(task.To, now)
 	if from == nil || to == nil {
@@ -129,7 +129,8 @@
 	return replica.State == shardnode.StateOpen && replica.Epoch == epoch
 }
 
-// endMisplaced ends a task whose shard is not at its source: it is done once the shard is open at the target.
+// endMisplacedTask ends a task whose source doesn't own the shard. The task is done once the shard is open at the
+// target, and has failed if a third node owns it.
 func (rb *Rebalancer) endMisplacedTask(m *Map, task Task, now float64) {
 	if m.Shards[task.Shard].Node != task.To {
 		rb.endTask(task, TaskFailed, "it is no longer where the plan had it", now)
@@ -145,8 +146,8 @@
 	rb.emitOnce(Action{Kind: ActionPropose, Change: change}, now)
 }
 
-// replan makes a plan from the present placement where tasks of the last one failed. What has moved stays where it is,
-// as plans move little.
+// replan makes a new plan from the current placement if tasks of the last plan failed. Shards that have moved already
+// stay where they are, since a plan moves as few bytes as possible.
 func (rb *Rebalancer) replan(m *Map, now float64) {
 	if !rb.replanDue(m, now) {
 		return
@@ -158,7 +159,7 @@
 	}
 	plan := cluster.MakePlan()
 	tasks := TasksFromPlan(plan)
-	if len(tasks) == 0 { // the failed tasks stay, for operators to read
+	if len(tasks) == 0 { // the failed tasks stay visible to operators
 		if rb.emptyPlans++; rb.emptyPlans > m.Rules.MaxReplans {
 			rb.replanAt = math.Inf(1)
 		}
@@ -169,15 +170,15 @@
 		Replan: true}})
 }
 
-// mayReplan says whether all tasks have ended and one has failed, and an automatic plan is due.
+// replanDue reports whether all tasks have ended, at least one has failed, and an automatic plan is allowed now.
 func (rb *Rebalancer) replanDue(m *Map, now float64) bool {
 	failed := slices.ContainsFunc(m.Tasks, func(task Task) bool { return task.Status == TaskFailed })
 	return failed && !m.hasPending() && !m.Paused && !m.Aborting && len(rb.transfers) == 0 &&
 		m.Replans < m.Rules.MaxReplans && now >= rb.replanAt
 }
 
-// ClusterOf gives what a plan is made from, out of the map and the nodes' reports. A node without a report counts as
-// lost.
+// ClusterOf returns the cluster to plan for, as described by the map and the nodes' reports. A node without a report
+// counts as lost.
 func ClusterOf(m *Map, reports map[string]shardnode.Report) (*shardplan.Cluster, error) {
 	cluster := &shardplan.Cluster{Rules: shardplan.Rules{BalanceBand: m.Rules.BalanceBand,
 		ReservedShare: m.Rules.ReservedShare, MaxMovesPerNode: m.Rules.MaxPerNode}}
@@ -199,7 +200,7 @@
 	return cluster, cluster.Validate()
 }
 
-// nodeIDs gives all nodes that the map or a report names, sorted.
+// nodeIDs returns the ids of all nodes that the map names or that have reported, sorted.
 func nodeIDs(m *Map, reports map[string]shardnode.Report) []string {
 	ids := map[string]bool{}
 	for id := range m.Nodes {
--- a/internal/shard/shardmap/statements.go
+++ b/internal/shard/shardmap/statements.go
@@ -1,6 +1,6 @@
 package shardmap
 
-// This file owns how actions are said on the line protocol, and how a node's answers are read.
+// This file formats actions as statements of the line protocol and parses the nodes' answers.
 
 import (
 	"encoding/json"
@@ -10,7 +10,7 @@
 	"weirwind/internal/shard/shardnode"
 )
 
-// verbs of the statements that have no argument but the shard and its epoch.
+// verbs holds the verbs of the statements whose only arguments are the shard and its epoch.
 var verbs = map[ActionKind]string{
 	ActionClose:             "CLOSE",
 	ActionAbortTransactions: "CUT",
@@ -18,7 +18,8 @@
 	ActionDiscard:           "ABANDON",
 }
 
-// Statement is the text of an action to a node. source is that of an ActionFetch: address, service and member id.
+// Statement returns the statement for an action that is sent to a node. source is the source of an ActionFetch: its
+// address, service and member id.
 func (a *Action) Statement(source string) string {
 	switch a.Kind {
 	case ActionReport:
@@ -35,7 +36,7 @@
 	return fmt.Sprintf("SHARD %s %s %d", verbs[a.Kind], a.Shard, a.Epoch)
 }
 
-// ParseResult reads a node's answer: its rows, or the text of its refusal.
+// ParseResult parses a node's answer: its rows, or the text of its refusal.
 func (a *Action) ParseResult(rows []string, refusal string) Result {
 	if refusal != "" {
 		return Result{Code: ResultCode(strings.ToLower(strings.Fields(refusal)[0]))}
@@ -55,7 +56,7 @@
 	return result
 }
 
-// ParseReport reads the answer to an ActionReport.
+// ParseReport parses the answer to an ActionReport.
 func ParseReport(rows []string) (report shardnode.Report, ok bool) {
 	ok = len(rows) == 1 && json.Unmarshal([]byte(rows[0]), &report) == nil && report.Replicas != nil
 	return report, ok
--- a/internal/shard/shardmap/transfer.go
+++ b/internal/shard/shardmap/transfer.go
@@ -1,10 +1,11 @@
 package shardmap
 
-// This file owns a transfer: its phases, the request that each sends, and how it ends. doc.go has them in a table.
+// This file implements a transfer: its phases, the requests of each, and how it ends. doc.go has a table of the phases.
 
 import "weirwind/internal/shard/shardnode"
 
-// phase of a transfer. Phases are entered in this order; rolling back may follow any from closing on, and done any.
+// phase is a phase of a transfer. Phases are entered in the order of the constants, except that phaseRollingBack may
+// follow any phase from phaseClosing on, and phaseDone any phase.
 type phase uint8
 
 const (
@@ -17,28 +18,30 @@
 	phaseDone
 )
 
-// phaseNames are shown to operators.
+// phaseNames holds the names of the phases that operators see.
 var phaseNames = [...]string{"reserving", "copying", "closing", "sealing", "handing over", "going back", "over"}
 
-// transfer is a task that is being carried out.
+// transfer is a running task.
 type transfer struct {
 	Task
-	epoch uint64 // of the source as owner; the hand-over or roll-back makes it epoch+1
+	epoch uint64 // the source's epoch as owner; the hand-over or roll-back replaces it with epoch+1
 	phase phase
 
-	enteredAt      float64 // when the phase began; sealing and handing over keep closing's: the whole close is bounded
-	nextRequestAt  float64 // no request is sent before
-	requestPending bool    // a request is sent and not answered
-	lastContactAt  float64 // newest answer of the source or the target
+	// enteredAt is the start of the phase. phaseSealing and phaseHandingOver keep the time of phaseClosing, so that
+	// closeTimeout bounds the whole close.
+	enteredAt      float64
+	nextRequestAt  float64 // earliest time of the next request
+	requestPending bool    // a request has not been answered
+	lastContactAt  float64 // time of the latest answer of the source or the target
 
-	remaining  uint64  // entries that the target lacked, by the last fetch
-	rateFactor float64 // times the rules' rate; 0: 1
+	remaining  uint64  // entries that the target lacked after the last fetch
+	rateFactor float64 // multiplies the rate of the rules; 0 means 1
 	closed     bool    // the source is closed, and lastIndex is final
 	lastIndex  uint64
-	closedAt   float64 // when closing began
-	activated  bool    // the target is open by epoch+1
+	closedAt   float64 // start of phaseClosing
+	activated  bool    // the target is open with epoch+1
 
-	status TaskStatus // of the task, once it is known how the transfer ends; "" before
+	status TaskStatus // the task's status once the transfer is bound to end with it; "" before
 	reason string
 }
 
@@ -46,17 +49,17 @@
 	t.phase, t.enteredAt, t.nextRequestAt = next, now, now
 }
 
-// send sends a request of the transfer.
+// send emits a request of the transfer.
 func (rb *Rebalancer) send(t *transfer, action Action) {
 	t.requestPending = true
 	action.Shard, action.Epoch = t.Shard, t.epoch
 	rb.emit(action)
 }
 
-// advance sends a transfer's next request if it is due, or ends the transfer by what the map says.
+// advance sends a transfer's next request if it is due, or ends the transfer if the map has a newer epoch.
 func (rb *Rebalancer) advance(m *Map, t *transfer, now float64) {
 	if t.phase == phaseDone {
-		if now >= t.nextRequestAt { // until the map has it
+		if now >= t.nextRequestAt { // repeated until the map has the status
 			rb.finish(t, t.status, t.reason, now)
 		}
 		return
@@ -108,7 +111,7 @@
 	}
 }
 
-// sendReserve has the target reserve the shard's size and what it may grow by meanwhile.
+// sendReserve has the target reserve space for the shard's size and its growth during the transfer.
 func (rb *Rebalancer) sendReserve(m *Map, t *transfer, now float64) {
 	if m.Paused {
 		return
@@ -121,7 +124,7 @@
 	rb.send(t, Action{Kind: ActionReserve, Node: t.To, Bytes: size})
 }
 
-// sendFetch has the target fetch a chunk from the source; the next one follows at the transfer's rate.
+// sendFetch has the target fetch a chunk from the source, and schedules the next chunk by the transfer's rate.
 func (rb *Rebalancer) sendFetch(m *Map, t *transfer, now float64) {
 	if m.Paused {
 		return
@@ -133,7 +136,7 @@
 	rb.send(t, Action{Kind: ActionFetch, Node: t.To, Source: t.From, Bytes: bytes})
 }
 
-// sendClose has the source close, then the target fetch the rest and seal.
+// sendClose has the source close, and then has the target fetch the remaining entries and seal.
 func (rb *Rebalancer) sendClose(t *transfer, now float64) {
 	switch {
 	case t.closed:
@@ -151,7 +154,7 @@
 		Node: t.To, LastIndex: t.lastIndex}})
 }
 
-// proposeRollBack gives the source the next epoch, after which a hand-over that is still in flight is refused.
+// proposeRollBack proposes the next epoch for the source. Once it is applied, a hand-over in flight is refused.
 func (rb *Rebalancer) proposeRollBack(t *transfer, now float64) {
 	t.nextRequestAt = now + retryInterval
 	rb.send(t, Action{Kind: ActionPropose, Change: &Change{Kind: ChangeRollBack, Shard: t.Shard, Epoch: t.epoch,
@@ -164,7 +167,7 @@
 		return
 	}
 	t.nextRequestAt = now + retryInterval
-	t.phase = phaseHandingOver // a roll-back that was proposed meanwhile came too late
+	t.phase = phaseHandingOver // a roll-back proposed in the meantime was refused
 	if !t.activated {
 		rb.emit(Action{Kind: ActionActivate, Node: t.To, Shard: t.Shard, Epoch: assignment.Epoch,
 			LastIndex: assignment.RequiredIndex})
@@ -176,11 +179,11 @@
 	rb.finish(t, TaskDone, "", now)
 }
 
-// abortTransfer ends a transfer that has not been rolled back yet: at once while the source still serves, else by a
-// roll-back.
+// abortTransfer ends a transfer that is not rolling back yet: immediately while the source still serves the shard,
+// otherwise with a roll-back.
 func (rb *Rebalancer) abortTransfer(t *transfer, status TaskStatus, reason string, now float64) {
 	switch {
-	case t.phase < phaseClosing: // the reconciliation discards the target's replica
+	case t.phase < phaseClosing: // the reconciliation will discard the target's replica
 		rb.emit(Action{Kind: ActionLog, Shard: t.Shard, Message: "given up: " + reason})
 		rb.finish(t, status, reason, now)
 	case t.phase < phaseRollingBack:
@@ -190,7 +193,7 @@
 	}
 }
 
-// finish proposes the task's status, that of an earlier failure if there was one.
+// finish proposes the task's final status. The status of an earlier failure takes precedence.
 func (rb *Rebalancer) finish(t *transfer, status TaskStatus, reason string, now float64) {
 	if t.status == "" {
 		t.status, t.reason = status, reason
@@ -200,8 +203,8 @@
 		Status: t.status, Reason: t.reason}})
 }
 
-// throttle gives the rate that a transfer may take, in bytes a second: all of it while its nodes are idle, little while
-// one is full. A nil report counts as idle.
+// throttle returns the rate of a transfer in bytes per second: the full rate while its nodes are idle, less the more of
+// a node's slots are busy, and at least minRateShare of it. A nil report counts as idle.
 func throttle(rate int64, reports ...*shardnode.Report) int64 {
 	share := 1.0
 	for _, report := range reports {
--- a/internal/shard/shardmap/typenames_test.go
+++ b/internal/shard/shardmap/typenames_test.go
@@ -8,7 +8,7 @@
 	"weirwind/internal/shard/shardplan"
 )
 
-// The texts were recorded before the types had their present names.
+// The expected texts were recorded before the types were renamed.
 func TestJSONErrorsKeepPublishedTypeNames(t *testing.T) {
 	const prefix = "json: cannot unmarshal number into Go "
 	for _, c := range []struct {
--- a/internal/shard/shardnode/errors.go
+++ b/internal/shard/shardnode/errors.go
@@ -1,6 +1,6 @@
 package shardnode
 
-// This file owns the refusals of a node, and the one place where they become codes of the line protocol.
+// This file defines the refusals of a node and maps them to codes of the line protocol.
 
 import (
 	"errors"
@@ -8,21 +8,21 @@
 	"strconv"
 )
 
-// Refusals. Each promises that the request had no effect.
+// Refusals. A refused request had no effect.
 var (
 	ErrNoCapacity = errors.New("no room")                                        // the disk is too full
-	ErrAborted    = errors.New("this try never runs")                            // the attempt was resolved as aborted
-	ErrStaleEpoch = errors.New("an older epoch than one heard before")           // than HighestEpochs has
-	ErrIncomplete = errors.New("the copy lacks what the shard had at its close") // entries are missing
-	ErrWrongState = errors.New("not in this state")                              // or a malformed statement
+	ErrAborted    = errors.New("this try never runs")                            // aborted by ResolveAttempt
+	ErrStaleEpoch = errors.New("an older epoch than one heard before")           // older than in HighestEpochs
+	ErrIncomplete = errors.New("the copy lacks what the shard had at its close") // log entries are missing
+	ErrWrongState = errors.New("not in this state")                              // also for a malformed statement
 )
 
-// MovedError refuses by the epoch: the node doesn't own the shard, or owns it by another epoch.
+// MovedError refuses a request because of its epoch: the node doesn't own the shard, or owns it with another epoch.
 type MovedError struct {
-	HighestEpoch uint64 // observed by the node; a request by a newer one may be repeated here in a moment
+	HighestEpoch uint64 // observed by the node; a request with a newer epoch may be retried here shortly
 }
 
-// Error gives the code and the epoch.
+// Error returns the code and the epoch.
 func (e *MovedError) Error() string { return fmt.Sprint("moved ", e.HighestEpoch) }
 
 // Codes of a node's refusals on the wire.
@@ -35,7 +35,8 @@
 	CodeWrongState = "STATE"
 )
 
-// Code gives a refusal's code, with what follows it. Errors that are none of this package's are CodeWrongState.
+// Code returns a refusal's code, followed by the epoch for a MovedError. For errors of other packages it returns
+// CodeWrongState.
 func Code(err error) string {
 	var moved *MovedError
 	switch {
--- a/internal/shard/shardnode/golden_test.go
+++ b/internal/shard/shardnode/golden_test.go
@@ -37,7 +37,7 @@
 	return store
 }
 
-// The stored form. Maps are encoded one key at a time, as their order is not fixed.
+// Golden files of the stored form. Replicas are encoded one by one, since the order of a map's keys is not fixed.
 func TestGoldenForms(t *testing.T) {
 	store := goldenStore(t)
 	var replicas []golden.Case[Replica]
@@ -56,7 +56,7 @@
 		golden.Of("void", Entry{2, "c.2", 0, true, nil})})
 }
 
-// Every statement's answer, in a state in which it is carried out and in ones in which it is refused.
+// Golden file of each statement's answers, in states in which it is executed and in states in which it is refused.
 func TestGoldenStatements(t *testing.T) {
 	var cases []golden.Case[string]
 	for _, text := range []string{
@@ -108,7 +108,7 @@
 	golden.Text(t, "testdata/statements.txt", cases)
 }
 
-// Two nodes under drawn statements: every answer and the whole state behind each, in order.
+// The digest covers two nodes that execute random statements: every answer and the complete state after it, in order.
 func TestDecisionDigest(t *testing.T) {
 	const recorded = 0xa4c9691abeb21fe1
 	trace := fnv.New64a()
@@ -138,11 +138,11 @@
 		}
 	}
 	if got := trace.Sum64(); got != recorded {
-		t.Errorf("the digest is %#x, recorded is %#x", got, uint64(recorded))
+		t.Errorf("the digest is %#x, recorded: %#x", got, uint64(recorded))
 	}
 }
 
-// drawnStatement has a node do one thing and gives what it answered.
+// executeRandomOperation executes a random operation on a node and returns its answer.
 func executeRandomOperation(r *rand.Rand, nodes []*Store, store *Store, shard string, epoch uint64) string {
 	code := func(err error) string {
 		if err == nil {
@@ -199,7 +199,7 @@
 	return ""
 }
 
-// The entries of a report and of an answer are read by name.
+// Other nodes decode entries by the names of their JSON fields.
 func TestEntryRowsAreReadByName(t *testing.T) {
 	rows, _, err := goldenStore(t).Execute("SHARD ENTRIES open 1 0 1000")
 	if err != nil {
--- a/internal/shard/shardnode/report.go
+++ b/internal/shard/shardnode/report.go
@@ -1,18 +1,18 @@
 package shardnode
 
-// This file owns what a node reports of itself.
+// This file defines a node's report of its store.
 
-// Report is a node's answer to LOOK. The store fills in all but Busy and Slots, which are the runner's.
+// Report is a node's answer to LOOK. Store.Report sets all fields except Busy and Slots, which the runner sets.
 type Report struct {
-	Capacity int64                    `json:"limit"`   // bytes of the disk
-	External int64                    `json:"foreign"` // bytes of it that others than shards take
+	Capacity int64                    `json:"limit"`   // size of the disk in bytes
+	External int64                    `json:"foreign"` // bytes of the disk used by other data than shards
 	Free     int64                    `json:"free"`    // bytes
-	Busy     int                      `json:"busy"`    // of Slots
-	Slots    int                      `json:"slots"`   // requests that the node runs at a time; 0: not known
+	Busy     int                      `json:"busy"`    // slots in use
+	Slots    int                      `json:"slots"`   // requests that the node runs concurrently; 0: unknown
 	Replicas map[string]ReplicaReport `json:"copies"`  // by shard
 }
 
-// ReplicaReport is one replica in a Report.
+// ReplicaReport describes one replica in a Report.
 type ReplicaReport struct {
 	Epoch     uint64 `json:"epoch"`
 	State     State  `json:"state"`
@@ -20,7 +20,7 @@
 	Size      int64  `json:"held"` // bytes
 }
 
-// Report describes the store.
+// Report returns a report of the store.
 func (s *Store) Report() Report {
 	report := Report{Capacity: s.Capacity, External: s.External, Free: s.FreeBytes(),
 		Replicas: map[string]ReplicaReport{}}
--- a/internal/shard/shardnode/serve.go
+++ b/internal/shard/shardnode/serve.go
@@ -1,8 +1,9 @@
 package shardnode
 
-// This file owns what an owner serves: reads, writes, transactions, and the outcome of attempts whose answer was lost.
+// This file implements the requests that a shard's owner serves: reads, writes, transactions, and the resolution of
+// attempts whose answer was lost.
 
-// served gives the replica that a request by this epoch may run on.
+// openReplica returns the replica on which a request with this epoch may run.
 func (s *Store) openReplica(shard string, epoch uint64) (*Replica, error) {
 	replica := s.Replicas[shard]
 	if !replica.matches(epoch, StateOpen) {
@@ -11,13 +12,14 @@
 	return replica, nil
 }
 
-// CheckRead says whether a read by this epoch may run.
+// CheckRead returns an error if a read with this epoch may not run.
 func (s *Store) CheckRead(shard string, epoch uint64) error {
 	_, err := s.openReplica(shard, epoch)
 	return err
 }
 
-// Write runs an attempt once. A repeated attempt gives the entry of the first; ErrAborted means that it was resolved.
+// Write runs an attempt at most once. For a repeated attempt it returns the entry of the first one, or ErrAborted if
+// the attempt was aborted by ResolveAttempt.
 func (s *Store) Write(shard string, epoch uint64, attemptID string, body []byte) (Entry, error) {
 	replica, err := s.openReplica(shard, epoch)
 	if err != nil {
@@ -39,8 +41,8 @@
 	return replica.appendEntry(Entry{AttemptID: attemptID, Bytes: int64(len(body)), Body: body}), nil
 }
 
-// BeginTransaction counts a transaction as open. CommitTransaction runs what it wrote, and EndTransaction counts it
-// out, committed or not.
+// BeginTransaction counts a transaction as open. CommitTransaction applies its writes, and EndTransaction must be
+// called at its end, committed or not.
 func (s *Store) BeginTransaction(shard string, epoch uint64) error {
 	replica, err := s.openReplica(shard, epoch)
 	if err == nil {
@@ -49,8 +51,8 @@
 	return err
 }
 
-// CommitTransaction runs a transaction's writes as the one effect of an attempt. It still succeeds while the shard
-// closes, and no longer once it is closed.
+// CommitTransaction applies a transaction's writes as the effect of one attempt. It still succeeds while the shard is
+// closing, but not once it is closed.
 func (s *Store) CommitTransaction(shard string, epoch uint64, attemptID string, body []byte) (Entry, error) {
 	replica := s.Replicas[shard]
 	if !replica.matches(epoch, StateOpen, StateClosing) {
@@ -59,7 +61,7 @@
 	return s.applyOnce(replica, attemptID, body)
 }
 
-// EndTransaction counts a transaction out.
+// EndTransaction counts a transaction as ended.
 func (s *Store) EndTransaction(shard string, epoch uint64) {
 	replica := s.Replicas[shard]
 	if replica != nil && replica.Epoch == epoch && replica.OpenTransactions > 0 {
@@ -68,15 +70,15 @@
 	}
 }
 
-// finishClosing ends a close that waits for no transaction any more.
+// finishClosing completes a close once no transaction is open.
 func (r *Replica) finishClosing() {
 	if r.State == StateClosing && r.OpenTransactions == 0 {
 		r.State = StateClosed
 	}
 }
 
-// ResolveAttempt determines for good what came of an attempt that was sent and not answered: its entry, or ErrAborted,
-// after which it never runs.
+// ResolveAttempt determines the final outcome of an attempt whose answer was lost. It returns the attempt's entry, or
+// ErrAborted if the attempt has not run; from then on it never runs.
 func (s *Store) ResolveAttempt(shard string, epoch uint64, attemptID string) (Entry, error) {
 	replica, err := s.openReplica(shard, epoch)
 	if err != nil {
--- a/internal/shard/shardnode/statements.go
+++ b/internal/shard/shardnode/statements.go
@@ -1,7 +1,7 @@
 package shardnode
 
-// This file owns the statements that a node takes on the line protocol: the system's own, which begin with SHARD, and
-// the prefix ON of a client's. docs/rebalance.md lists them.
+// This file parses and executes the statements that a node accepts on the line protocol: internal statements, which
+// begin with SHARD, and the prefix ON of clients' statements. docs/rebalance.md lists them.
 
 import (
 	"encoding/json"
@@ -10,7 +10,8 @@
 	"strings"
 )
 
-// CutShardPrefix takes ON shard epoch off the front of a client's statement; ok is false where it isn't there.
+// CutShardPrefix splits a client's statement of the form "ON shard epoch rest". ok is false if it doesn't have this
+// form.
 func CutShardPrefix(text string) (shard string, epoch uint64, rest string, ok bool) {
 	fields := strings.SplitN(text, " ", 4)
 	if len(fields) < 4 || fields[0] != "ON" {
@@ -20,18 +21,18 @@
 	return fields[1], epoch, fields[3], err == nil
 }
 
-// EffectPosition is what a client is told of its effect, the same wherever the shard has moved since.
+// EffectPosition returns the position of an entry that is sent to the client. It doesn't change when the shard moves.
 func EffectPosition(shard string, entry Entry) string {
 	return shard + "." + strconv.FormatUint(entry.Index, 10)
 }
 
-// FetchRequest is what FETCH asks the target of a transfer to do: the runner sends EntriesStatement to the source and
-// gives the rows of its answer to ApplyFetch.
+// FetchRequest describes the fetch that a FETCH statement requests from the target of a transfer: the runner sends
+// EntriesStatement to the source and passes the rows of its answer to ApplyFetch.
 type FetchRequest struct {
 	Shard            string
 	Epoch            uint64
 	MaxBytes         int64
-	SealAt           uint64 // seal the replica once its last index is this; 0: not yet
+	SealAt           uint64 // last index at which the replica is to be sealed; 0: don't seal
 	Addr             string // of the source
 	Service, Member  string // of the source
 	AfterIndex       uint64 // the replica's last index
@@ -43,7 +44,7 @@
 	verb  string
 	shard string
 	epoch uint64
-	args  []string // behind the epoch
+	args  []string // arguments after the epoch
 }
 
 // parseStatement parses SHARD verb shard epoch args...
@@ -75,7 +76,7 @@
 	return first, second, err
 }
 
-// parseNumber parses a number that fits an int64 too.
+// parseNumber parses a number that also fits into an int64.
 func parseNumber(text string) (uint64, error) {
 	n, err := strconv.ParseUint(text, 10, 63)
 	if err != nil {
@@ -84,8 +85,8 @@
 	return n, nil
 }
 
-// Execute runs a SHARD statement and gives the rows of its answer; the store is to be synced before they are sent. A
-// FETCH gives what is to be fetched instead.
+// Execute executes a SHARD statement and returns the rows of its answer. The caller must sync the store before it sends
+// them. For FETCH it returns the request to be made to the source instead.
 func (s *Store) Execute(text string) (rows []string, fetch *FetchRequest, err error) {
 	fields := strings.Fields(text)
 	if len(fields) < 2 || fields[0] != "SHARD" {
@@ -126,13 +127,13 @@
 	return rows, fetch, err
 }
 
-// executeReport answers with the report, in JSON.
+// executeReport returns the report, in JSON.
 func (s *Store) executeReport() ([]string, error) {
 	report, err := json.Marshal(s.Report())
 	return []string{string(report)}, err
 }
 
-// executeReserve takes the bytes.
+// executeReserve executes RESERVE with the argument bytes.
 func (s *Store) executeReserve(st *statement) error {
 	bytes, err := st.number(0)
 	if err != nil {
@@ -141,7 +142,7 @@
 	return s.Reserve(st.shard, st.epoch, int64(bytes))
 }
 
-// executeSeal takes the last index.
+// executeSeal executes SEAL with the argument last index.
 func (s *Store) executeSeal(st *statement) error {
 	lastIndex, err := st.number(0)
 	if err != nil {
@@ -150,7 +151,7 @@
 	return s.Seal(st.shard, st.epoch, lastIndex)
 }
 
-// executeActivate takes the required index.
+// executeActivate executes HOLD with the argument required index.
 func (s *Store) executeActivate(st *statement) error {
 	requiredIndex, err := st.number(0)
 	if err != nil {
@@ -159,7 +160,7 @@
 	return s.Activate(st.shard, st.epoch, requiredIndex)
 }
 
-// executeResolve takes the attempt's id and answers with the effect's position.
+// executeResolve executes SETTLE with the argument attempt id, and returns the effect's position.
 func (s *Store) executeResolve(st *statement) ([]string, error) {
 	if len(st.args) != 1 {
 		return nil, ErrWrongState
@@ -171,13 +172,13 @@
 	return []string{EffectPosition(st.shard, entry)}, nil
 }
 
-// executeClose answers with the last index and whether it is final.
+// executeClose executes CLOSE, and returns the last index and whether it is final.
 func (s *Store) executeClose(st *statement) ([]string, error) {
 	lastIndex, done, err := s.Close(st.shard, st.epoch)
 	return []string{fmt.Sprint(lastIndex, " ", done)}, err
 }
 
-// executeAbortTransactions closes, and aborts the transactions that this would wait for.
+// executeAbortTransactions executes CUT: it closes the shard and aborts the transactions that are still open.
 func (s *Store) executeAbortTransactions(st *statement) ([]string, error) {
 	if _, done, err := s.Close(st.shard, st.epoch); err == nil && !done {
 		s.AbortTransactions(st.shard)
@@ -185,8 +186,8 @@
 	return s.executeClose(st)
 }
 
-// executeEntries takes the index behind which entries are wanted and the most bytes of them. It answers with how many
-// are left, then with the entries in JSON.
+// executeEntries executes ENTRIES with the arguments index, after which entries are requested, and maximum number of
+// bytes. It returns the number of remaining entries, followed by the entries in JSON.
 func (s *Store) executeEntries(st *statement) ([]string, error) {
 	afterIndex, maxBytes, err := st.numbers()
 	if err != nil {
@@ -207,7 +208,8 @@
 	return rows, nil
 }
 
-// executeFetch takes the most bytes, the index to seal at, and the source's address, service and member.
+// executeFetch executes FETCH with the arguments maximum number of bytes, index to seal at, and the source's address,
+// service and member.
 func (s *Store) executeFetch(st *statement) (*FetchRequest, error) {
 	maxBytes, sealAt, err := st.numbers()
 	if err != nil {
@@ -224,8 +226,8 @@
 	}, nil
 }
 
-// ApplyFetch appends the entries of the source's answer, seals the replica if that was asked for, and gives the row of
-// FETCH's own answer: last index, entries that remain at the source, sealed, bytes.
+// ApplyFetch appends the entries of the source's answer, seals the replica if requested, and returns the row of FETCH's
+// own answer: last index, number of entries that remain at the source, whether the replica is sealed, bytes fetched.
 func (s *Store) ApplyFetch(fetch *FetchRequest, rows []string) ([]string, error) {
 	remaining, entries, err := parseEntries(rows)
 	if err != nil {
@@ -245,7 +247,7 @@
 	return []string{fmt.Sprint(lastIndex, " ", remaining, " ", sealed, " ", bytes)}, nil
 }
 
-// parseEntries reads the answer to ENTRIES.
+// parseEntries parses the answer to ENTRIES.
 func parseEntries(rows []string) (remaining uint64, entries []Entry, err error) {
 	if len(rows) == 0 {
 		return 0, nil, ErrWrongState
--- a/internal/shard/shardnode/statements_test.go
+++ b/internal/shard/shardnode/statements_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A shard is copied, closed, sealed and activated elsewhere by the statements that the rebalancer sends, and by what
-// FETCH has the target ask the source.
+// The statements that the rebalancer sends, and those that FETCH has the target send to the source, move a shard: it is
+// copied, closed, sealed, activated at the target and dropped at the source.
 func TestMoveByStatements(t *testing.T) {
 	source, target := NewStore(1<<20, 0), NewStore(1<<20, 0)
 	execute := func(store *Store, format string, args ...any) ([]string, *FetchRequest) {
@@ -49,7 +49,7 @@
 	}
 	fetchAll(writes)
 	if state := target.Replicas["s"].State; state != StateSealed {
-		t.Errorf("it is %v", state)
+		t.Errorf("the replica is %v, want sealed", state)
 	}
 	execute(target, "SHARD HOLD s 2 %d", writes)
 	execute(source, "SHARD DROP s 2")
--- a/internal/shard/shardnode/store.go
+++ b/internal/shard/shardnode/store.go
@@ -1,50 +1,49 @@
 package shardnode
 
-// This file owns what a node stores, and the accounting of its disk.
+// This file defines the data that a node stores and accounts for its disk space.
 
 import (
 	"maps"
 	"slices"
 )
 
-// State of a replica. Its values are stored and reported.
+// State is the state of a replica. Its values are stored and reported.
 type State string
 
 // The states of a replica; doc.go has the transitions.
 const (
 	StateReceiving State = "receiving" // space is reserved, and the log is being copied from the owner
 	StateSealed    State = "sealed"    // complete, and kept until it is activated or dropped
-	StateOpen      State = "open"      // this node is the owner, and serves the shard
-	StateClosing   State = "closing"   // open transactions may end, nothing new begins
-	StateClosed    State = "closed"    // nothing is written here any more by this epoch
+	StateOpen      State = "open"      // this node is the owner and serves the shard
+	StateClosing   State = "closing"   // open transactions may end, new work is refused
+	StateClosed    State = "closed"    // nothing more is written with this epoch
 )
 
-// Entry is one record of a shard's log: the effect of an attempt, or the mark that the attempt is aborted.
-//
-// The names in JSON are those that nodes exchange (ENTRIES).
+// Entry is one record of a shard's log: the effect of an attempt, or a marker that the attempt is aborted. Nodes
+// exchange entries in JSON (ENTRIES).
 type Entry struct {
 	Index     uint64 `cbor:"1,keyasint" json:"N"`  // from 1, without gaps
-	AttemptID string `cbor:"2,keyasint" json:"ID"` // of the request's attempt; at most one entry bears it
+	AttemptID string `cbor:"2,keyasint" json:"ID"` // id of the request's attempt, unique within the log
 	Bytes     int64  `cbor:"3,keyasint" json:"Bytes"`
 	Aborted   bool   `cbor:"4,keyasint,omitempty" json:"Void"` // the attempt had no effect and never will
 	Body      []byte `cbor:"5,keyasint,omitempty" json:"Body"`
 }
 
-// Replica is one shard as this node stores it.
+// Replica is this node's replica of a shard.
 type Replica struct {
-	Epoch            uint64  `cbor:"1,keyasint"` // by which it is open or was closed, or of its source
+	Epoch            uint64  `cbor:"1,keyasint"` // with which it was opened; while receiving or sealed, the source's
 	State            State   `cbor:"2,keyasint"`
 	Log              []Entry `cbor:"3,keyasint"` // Log[i].Index is i+1; only appended to
-	Size             int64   `cbor:"4,keyasint"` // bytes: the sum of Log's
-	Reserved         int64   `cbor:"5,keyasint"` // bytes kept free for entries that are still to come; 0 unless receiving
+	Size             int64   `cbor:"4,keyasint"` // sum of the Bytes of Log
+	Reserved         int64   `cbor:"5,keyasint"` // bytes reserved for further entries; 0 unless receiving
 	OpenTransactions int     `cbor:"6,keyasint"` // 0 unless open or closing
 
-	// byAttempt is the place in Log of each attempt's entry. It isn't stored: nil, or of another length than Log, means
-	// that it has to be built again.
+	// byAttempt maps attempt ids to positions in Log. It isn't stored, and is rebuilt if it is nil or its length differs
+	// from Log's.
 	byAttempt map[string]int
 }
 
-// LastIndex is the index of the newest entry, 0 for an empty log.
+// LastIndex returns the index of the newest entry, or 0 if the log is empty.
 func (r *Replica) LastIndex() uint64 { return uint64(len(r.Log)) }
 
 func (r *Replica) findAttempt(id string) (Entry, bool) {
@@ -62,34 +61,34 @@
 
 func (r *Replica) appendEntry(entry Entry) Entry {
 	entry.Index = r.LastIndex() + 1
-	r.findAttempt(entry.AttemptID) // has byAttempt built
+	r.findAttempt(entry.AttemptID) // builds byAttempt
 	r.byAttempt[entry.AttemptID] = len(r.Log)
 	r.Log = append(r.Log, entry)
 	r.Size += entry.Bytes
 	return entry
 }
 
-// inEpoch says whether there is a replica, of this epoch and in one of these states.
+// matches reports whether r is not nil, has this epoch and is in one of these states.
 func (r *Replica) matches(epoch uint64, states ...State) bool {
 	return r != nil && r.Epoch == epoch && slices.Contains(states, r.State)
 }
 
-// Store is all that a node holds of shards. The runner syncs it as a whole before it sends an answer.
+// Store holds all shard data of a node. The runner syncs it as a whole before it sends an answer.
 type Store struct {
-	Capacity      int64               `cbor:"1,keyasint"` // bytes of the disk
-	External      int64               `cbor:"2,keyasint"` // bytes of it that others than shards take
-	Headroom      int64               `cbor:"3,keyasint"` // bytes that no incoming replica may take
+	Capacity      int64               `cbor:"1,keyasint"` // size of the disk in bytes
+	External      int64               `cbor:"2,keyasint"` // bytes of the disk used by other data than shards
+	Headroom      int64               `cbor:"3,keyasint"` // bytes that incoming replicas must leave free
 	Replicas      map[string]*Replica `cbor:"4,keyasint"` // by shard
-	HighestEpochs map[string]uint64   `cbor:"5,keyasint"` // by shard; the highest observed, never falls
+	HighestEpochs map[string]uint64   `cbor:"5,keyasint"` // by shard: the highest epoch observed; never decreases
 }
 
-// NewStore is empty. Capacity and headroom are bytes.
+// NewStore returns an empty store. capacity and headroom are bytes.
 func NewStore(capacity, headroom int64) *Store {
 	return &Store{Capacity: capacity, Headroom: headroom, Replicas: map[string]*Replica{},
 		HighestEpochs: map[string]uint64{}}
 }
 
-// Recover makes a store that was read back from disk ready for use: transactions that were open are no more.
+// Recover prepares a store that was read from disk for use. Transactions that were open have ended with the process.
 func (s *Store) Recover() {
 	if s.Replicas == nil {
 		s.Replicas = map[string]*Replica{}
@@ -103,7 +102,7 @@
 	}
 }
 
-// FreeBytes is the part of the disk that is neither stored, nor reserved, nor external. It may be negative.
+// FreeBytes returns the number of bytes of the disk that are neither used nor reserved. It may be negative.
 func (s *Store) FreeBytes() int64 {
 	free := s.Capacity - s.External
 	for _, replica := range s.Replicas {
@@ -112,7 +111,7 @@
 	return free
 }
 
-// UsedBytes is the part of the disk that is stored or external, without reservations.
+// UsedBytes returns the number of bytes used by replicas and external data, without reservations.
 func (s *Store) UsedBytes() int64 {
 	used := s.External
 	for _, replica := range s.Replicas {
@@ -121,14 +120,15 @@
 	return used
 }
 
-// SetExternal takes the bytes of the disk that others than shards use now.
+// SetExternal sets the number of bytes of the disk that are used by other data than shards. It evicts receiving
+// replicas if the disk is too full.
 func (s *Store) SetExternal(bytes int64) {
 	s.External = bytes
 	s.evictUntilFree(0)
 }
 
-// evictUntilFree removes receiving replicas, in the order of their names, until that many bytes are free: a transfer
-// can be repeated, a write of the owner can't wait. It says whether they are free now.
+// evictUntilFree removes receiving replicas, in the order of their names, until the given number of bytes is free, and
+// reports whether it is. Writes of owners take precedence because a transfer can be repeated.
 func (s *Store) evictUntilFree(bytes int64) bool {
 	for _, shard := range slices.Sorted(maps.Keys(s.Replicas)) {
 		if s.FreeBytes() >= bytes {
--- a/internal/shard/shardnode/transfer.go
+++ b/internal/shard/shardnode/transfer.go
@@ -1,15 +1,15 @@
 package shardnode
 
-// This file owns the steps of a transfer. Each may be repeated; one by an older epoch is refused.
+// This file implements the steps of a transfer. Each step is idempotent, and is refused if its epoch is outdated.
 
-// Reserve creates a receiving replica at the target, of the shard that its owner has by this epoch, and reserves bytes
-// for it. The node decides, by what is really free of its disk.
+// Reserve creates a receiving replica at the target of a transfer and reserves bytes for it. epoch is the epoch of the
+// shard's owner. It fails with ErrNoCapacity if the bytes are not free on the node's disk.
 func (s *Store) Reserve(shard string, epoch uint64, bytes int64) error {
 	if epoch < s.HighestEpochs[shard] {
 		return ErrStaleEpoch
 	}
 	old := s.Replicas[shard]
-	if old.matches(epoch, StateReceiving, StateSealed) { // this transfer's own; a sealed one needs no more space
+	if old.matches(epoch, StateReceiving, StateSealed) { // of this transfer; a sealed replica needs no more space
 		return nil
 	}
 	if old != nil {
@@ -29,8 +29,8 @@
 	return nil
 }
 
-// AppendEntries appends the source's entries that the receiving replica lacks. Beyond its reservation it needs space
-// that is free; where there is none the replica is removed.
+// AppendEntries appends the source's entries that the receiving replica lacks. If they exceed both the reservation and
+// the free space, the replica is removed.
 func (s *Store) AppendEntries(shard string, epoch uint64, entries []Entry) error {
 	replica := s.Replicas[shard]
 	if !replica.matches(epoch, StateReceiving) {
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// Seal keeps a replica that is complete up to lastIndex, until it is activated or dropped.
+// Seal seals a replica that is complete up to lastIndex. It is kept until it is activated or dropped.
 func (s *Store) Seal(shard string, epoch, lastIndex uint64) error {
 	replica := s.Replicas[shard]
 	if !replica.matches(epoch, StateReceiving, StateSealed) {
@@ -66,8 +66,8 @@
 	return nil
 }
 
-// Close stops the source's replica from beginning anything more by this epoch. Once done, no transaction is open and
-// lastIndex is the log's final one.
+// Close stops new work with this epoch on the source's replica. done is true once no transaction is open; lastIndex is
+// then the log's final index.
 func (s *Store) Close(shard string, epoch uint64) (lastIndex uint64, done bool, err error) {
 	replica := s.Replicas[shard]
 	if !replica.matches(epoch, StateOpen, StateClosing, StateClosed) {
@@ -80,7 +80,7 @@
 	return replica.LastIndex(), replica.State == StateClosed, nil
 }
 
-// AbortTransactions ends the transactions that are still open at a shard that closes; the runner rolls them back.
+// AbortTransactions counts the transactions of a closing shard as ended; the runner rolls them back.
 func (s *Store) AbortTransactions(shard string) {
 	if replica := s.Replicas[shard]; replica != nil && replica.State == StateClosing {
 		replica.OpenTransactions = 0
@@ -88,7 +88,7 @@
 	}
 }
 
-// Activate opens the shard here by an epoch that the core has agreed on: at the target of a hand-over, where the log
+// Activate opens the replica with an epoch that the core has committed: at the target of a hand-over, where the log
 // must reach requiredIndex, at the source of a roll-back, or at the first owner of a new shard.
 func (s *Store) Activate(shard string, epoch, requiredIndex uint64) error {
 	replica := s.Replicas[shard]
@@ -108,7 +108,7 @@
 	return nil
 }
 
-// activateNew creates a shard that has no entries anywhere.
+// activateNew creates the replica of a new shard, which has no entries yet.
 func (s *Store) activateNew(shard string, epoch, requiredIndex uint64) error {
 	if requiredIndex != 0 || epoch <= s.HighestEpochs[shard] {
 		return ErrIncomplete
@@ -118,7 +118,7 @@
 	return nil
 }
 
-// Drop removes a replica of a shard that another node owns by a newer epoch, which is observed from here on.
+// Drop removes the replica of a shard that another node owns with a newer epoch, and records that epoch as observed.
 func (s *Store) Drop(shard string, epoch uint64) error {
 	replica := s.Replicas[shard]
 	if replica == nil {
@@ -136,7 +136,7 @@
 	return nil
 }
 
-// Discard removes a receiving replica of a transfer by this epoch or an older one.
+// Discard removes the receiving replica of a transfer with this epoch or an older one.
 func (s *Store) Discard(shard string, epoch uint64) error {
 	replica := s.Replicas[shard]
 	if replica == nil || replica.State != StateReceiving {
@@ -149,11 +149,11 @@
 	return nil
 }
 
-// entryOverhead is what an entry takes in an answer beside its body, in bytes.
+// entryOverhead is the size of an entry in an answer without its body, in bytes.
 const entryOverhead = 32
 
-// ReadEntries gives the entries behind afterIndex, up to maxBytes and one at least, and how many are left behind them.
-// Only the shard's owner by this epoch has them, open or closed.
+// ReadEntries returns the entries after afterIndex, up to maxBytes but at least one, and the number of entries that
+// remain after them. It succeeds only at the shard's owner with this epoch, whether the shard is open or closed.
 func (s *Store) ReadEntries(shard string, epoch, afterIndex uint64, maxBytes int64) (
 	entries []Entry, remaining uint64, err error) {
 	replica := s.Replicas[shard]
--- a/internal/shard/shardplan/assign.go
+++ b/internal/shard/shardplan/assign.go
@@ -1,13 +1,13 @@
 package shardplan
 
-// This file owns where replicas go: those that have left a node, and those that fill nodes below their band.
+// This file chooses the targets of replicas: of those that leave a node, and of those that fill nodes below their band.
 
 import (
 	"fmt"
 	"slices"
 )
 
-// fit is how well a replica fits a node.
+// fit says how well a replica fits a node.
 type fit int
 
 const (
@@ -15,7 +15,7 @@
 	fitBand                    // within its band
 )
 
-// assign finds a node for each departure and gives the moves. What finds none stays where it was.
+// assign finds a target for each departure and returns the moves. A replica without a target stays where it was.
 func (p *placement) assign(departures []departure, replicas [][]*nodeLoad, plan *Plan) (moves []Move) {
 	active := p.active()
 	for _, d := range departures {
@@ -35,7 +35,7 @@
 		}
 		replicas[d.shard] = replaced(replicas[d.shard], d.from, target)
 		move := Move{Shard: shard.ID, From: d.from.ID, To: target.ID, Bytes: shard.Size}
-		if d.from.State == NodeLost { // whom it is read from is known once its turn comes
+		if d.from.State == NodeLost { // the replica to read is chosen when the move is scheduled
 			move.Restore, move.From = true, ""
 			if !p.readable(shard) {
 				plan.Unplaced = append(plan.Unplaced, fmt.Sprintf("shard %s was on nodes alone that are gone", shard.ID))
@@ -47,8 +47,9 @@
 	return moves
 }
 
-// bestTarget gives the node that a departure fits best: within its band before within its capacity, then the one with
-// the most slack. A departure that isn't forced may return to its node. nil: there is none.
+// bestTarget returns the node that a departure fits best, or nil if it fits none: nodes that stay within their band
+// come before those that only stay within their capacity, then the node with the most slack wins. A departure that
+// isn't forced may return to its own node.
 func (p *placement) bestTarget(d departure, active, replicas []*nodeLoad) (best *nodeLoad, bestFit fit) {
 	size := p.cluster.Shards[d.shard].Size
 	for _, node := range active {
@@ -69,22 +70,23 @@
 	return best, bestFit
 }
 
-// replaced gives the nodes of a shard with one in place of another.
+// replaced returns a copy of a shard's nodes with one node replaced by another.
 func replaced(replicas []*nodeLoad, from, to *nodeLoad) []*nodeLoad {
 	updated := slices.Clone(replicas)
 	updated[slices.Index(updated, from)] = to
 	return updated
 }
 
-// readable says whether any replica of a shard is on a node that isn't lost.
+// readable reports whether any replica of a shard is on a node that isn't lost.
 func (p *placement) readable(shard *Shard) bool {
 	return slices.ContainsFunc(shard.Replicas, func(node string) bool { return p.byID[node].State != NodeLost })
 }
 
-// maxDonors is how many of the fullest nodes are asked for a replica.
+// maxDonors limits how many of the fullest nodes are searched for a replica to move.
 const maxDonors = 8
 
-// fill moves to nodes below their band what others can spare within theirs. A shard moves once in a plan.
+// fillBelowBand moves replicas to nodes below their band from nodes that stay within theirs. A shard moves at most once
+// in a plan.
 func (p *placement) fillBelowBand(replicas [][]*nodeLoad, earlier []Move) (moves []Move) {
 	moved := map[string]bool{}
 	for _, move := range earlier {
@@ -108,8 +110,8 @@
 	return moves
 }
 
-// bestDonation gives the replica that brings a node closest to its band, of those that full nodes can spare; of those
-// that bring it equally close the first of the cluster. A nil donor: there is none.
+// bestDonation returns the replica of the fullest nodes that brings a node closest to its band, and the node to take it
+// from, nil if there is none. Ties go to the shard that comes first in the cluster.
 func (p *placement) bestDonation(node *nodeLoad, active []*nodeLoad, replicas [][]*nodeLoad, moved map[string]bool) (
 	best int, from *nodeLoad) {
 	need := node.minUsed - node.used
@@ -132,7 +134,7 @@
 	return best, from
 }
 
-// betterDonation says whether a shard is to be moved in place of the best one so far.
+// betterDonation reports whether a shard is preferred over the best one so far.
 func (p *placement) betterDonation(index, best int, need int64) bool {
 	size, bestSize := p.cluster.Shards[index].Size, p.cluster.Shards[best].Size
 	if closerToNeed(size, bestSize, need) {
@@ -141,14 +143,15 @@
 	return !closerToNeed(bestSize, size, need) && index < best
 }
 
-// canDonate says whether both nodes stay within their bands, and the shard's replicas in zones of their own.
+// canDonate reports whether both nodes stay within their bands and the shard's replicas stay in different zones.
 func (p *placement) canDonate(donor, node *nodeLoad, index int, replicas []*nodeLoad) bool {
 	size := p.cluster.Shards[index].Size
 	return size != 0 && donor.used-size >= donor.minUsed && node.used+size <= node.maxUsed &&
 		!node.shards[index] && p.zonesDiffer(node, replicas, donor)
 }
 
-// closer says whether moving a bytes leaves less to be moved than b, or overshoots less. Missing bytes weigh half.
+// closerToNeed reports whether a bytes are closer to need than b bytes. Missing bytes count half as much as excess
+// bytes.
 func closerToNeed(a, b, need int64) bool {
 	cost := func(size int64) int64 {
 		if size >= need {
--- a/internal/shard/shardplan/cluster.go
+++ b/internal/shard/shardplan/cluster.go
@@ -1,59 +1,59 @@
 package shardplan
 
-// This file owns what a plan is made from: nodes, shards and rules, and their validation.
+// This file defines the input of a plan, nodes, shards and rules, and validates it.
 
 import (
 	"fmt"
 	"slices"
 )
 
-// NodeState is what an operator says of a node. Its values are stored and reported.
+// NodeState is the state of a node. Its values are stored and reported.
 type NodeState string
 
 // The states of a node.
 const (
 	NodeActive   NodeState = "in"
-	NodeDraining NodeState = "leaving" // it still serves what it has, and is to end up with nothing
+	NodeDraining NodeState = "leaving" // it still serves its replicas, and all of them are to be moved away
 	NodeLost     NodeState = "gone"    // its replicas can't be read
 )
 
-// Valid says whether a state is one of them.
+// Valid reports whether s is one of these states.
 func (s NodeState) Valid() bool { return s == NodeActive || s == NodeDraining || s == NodeLost }
 
 // Node stores replicas of shards.
 type Node struct {
 	ID       string    `json:"id"`
 	Zone     string    `json:"zone"`
-	Capacity int64     `json:"limit"`   // bytes of its disk
-	External int64     `json:"foreign"` // bytes of it that others than shards use
+	Capacity int64     `json:"limit"`   // size of its disk in bytes
+	External int64     `json:"foreign"` // bytes of the disk used by other data than shards
 	State    NodeState `json:"state"`
 }
 
-// Shard is moved as a whole.
+// Shard is the unit of placement: its replicas are moved as a whole.
 type Shard struct {
 	ID          string   `json:"id"`
 	Size        int64    `json:"size"`   // bytes
-	Growth      int64    `json:"growth"` // bytes that it may grow by while it moves
-	RequestRate float64  `json:"heat"`   // requests a second
-	Replicas    []string `json:"on"`     // ids of the nodes that store one, without repeats
+	Growth      int64    `json:"growth"` // bytes by which it may grow while it moves
+	RequestRate float64  `json:"heat"`   // requests per second
+	Replicas    []string `json:"on"`     // ids of the nodes that store a replica, without duplicates
 }
 
-// Rules are what a plan has to keep.
+// Rules are the constraints of a plan.
 type Rules struct {
-	BalanceBand     float64 `json:"band"`    // by which share of the mean a node's use may differ from it
-	ReservedShare   float64 `json:"reserve"` // of a disk, which is never planned for; below 1
-	SpreadZones     bool    `json:"apart"`   // no two replicas of a shard in one zone, where there are zones enough
-	MaxMovesPerNode int     `json:"round"`   // that a node takes part in at a time; 0: defaultMovesPerNode
+	BalanceBand     float64 `json:"band"`    // how far a node's use may differ from its mean, as a share of the mean
+	ReservedShare   float64 `json:"reserve"` // share of each disk that plans leave free; below 1
+	SpreadZones     bool    `json:"apart"`   // no two replicas of a shard in one zone, if there are enough zones
+	MaxMovesPerNode int     `json:"round"`   // concurrent moves from or to a node; 0: defaultMovesPerNode
 }
 
-// Cluster is what there is.
+// Cluster is the input of a plan.
 type Cluster struct {
 	Nodes  []Node  `json:"nodes"`
 	Shards []Shard `json:"shards"`
 	Rules  Rules   `json:"rules"`
 }
 
-// Validate gives what is wrong with a cluster, nil for nothing. MakePlan needs a valid one.
+// Validate returns an error if the cluster is invalid. MakePlan and LowerBound require a valid cluster.
 func (c *Cluster) Validate() error {
 	nodes, err := validateNodes(c.Nodes)
 	if err != nil {
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// validateNodes gives the nodes' ids.
+// validateNodes returns the set of the nodes' ids, or an error.
 func validateNodes(nodes []Node) (map[string]bool, error) {
 	ids := map[string]bool{}
 	for _, node := range nodes {
--- a/internal/shard/shardplan/depart.go
+++ b/internal/shard/shardplan/depart.go
@@ -1,6 +1,6 @@
 package shardplan
 
-// This file owns which replicas leave their nodes.
+// This file selects the replicas that leave their nodes.
 
 import (
 	"cmp"
@@ -8,14 +8,14 @@
 	"slices"
 )
 
-// departure is a replica that is taken off its node and needs another.
+// departure is a replica that is removed from its node and needs another one.
 type departure struct {
 	shard  int
 	from   *nodeLoad
-	forced bool // its node isn't active, lacks the capacity, or has another replica of the shard in its zone
+	forced bool // its node isn't active, exceeds its capacity, or shares a zone with another replica of the shard
 }
 
-// departures takes replicas off their nodes and gives them with the largest first.
+// departures removes replicas from their nodes and returns them, the largest first.
 func (p *placement) departures(replicas [][]*nodeLoad) []departure {
 	var all []departure
 	all = append(all, p.drainInactive()...)
@@ -29,7 +29,7 @@
 	return all
 }
 
-// drain takes everything off nodes that aren't active.
+// drainInactive removes all replicas from nodes that aren't active.
 func (p *placement) drainInactive() (all []departure) {
 	for _, node := range p.nodes {
 		if node.State == NodeActive {
@@ -43,7 +43,8 @@
 	return all
 }
 
-// separateZones takes off replicas that share a zone with another of their shard, those on the fullest nodes first.
+// separateZones removes replicas that share a zone with another replica of their shard, beginning with the fullest node
+// of each shard.
 func (p *placement) separateZones(replicas [][]*nodeLoad) (all []departure) {
 	for shard, nodes := range replicas {
 		if p.zoneCount < len(nodes) {
@@ -62,7 +63,7 @@
 	return all
 }
 
-// relieve takes off nodes above their band what they have too much.
+// removeExcess removes replicas from nodes above their band.
 func (p *placement) removeExcess() (all []departure) {
 	for _, node := range p.nodes {
 		if node.State != NodeActive || node.used <= node.maxUsed {
@@ -76,9 +77,10 @@
 	return all
 }
 
-// subset picks replicas of a node whose bytes come to the excess or a little more: the largest that fit into it, then
-// the smallest that closes the gap, without those that this one makes needless; and instead of all of them a single one
-// that comes closer. Of equal sizes the one with the most requests goes, as busy nodes are the full ones.
+// excessReplicas picks replicas of a node whose sizes add up to the excess or slightly more: the largest that fit into
+// it, then the smallest that covers the rest, without those that the last one makes redundant. A single replica is
+// picked instead of all of these if it exceeds the excess by no more. Of replicas of equal size the one with the
+// highest request rate is picked, since full nodes tend to be busy.
 func (p *placement) excessReplicas(node *nodeLoad, excess int64) []int {
 	shards := p.cluster.Shards
 	candidates := slices.SortedFunc(maps.Keys(node.shards), func(a, b int) int {
@@ -90,7 +92,7 @@
 		last := -1
 		for _, shard := range candidates {
 			if shards[shard].Size >= uncovered && !slices.Contains(picked, shard) {
-				last = shard // the smallest, as sizes fall
+				last = shard // ends as the smallest, since candidates are in descending order
 			}
 		}
 		if last < 0 {
@@ -103,7 +105,7 @@
 	single := -1
 	for _, shard := range candidates {
 		if shards[shard].Size >= excess {
-			single = shard // the smallest that does it alone
+			single = shard // ends as the smallest that covers the excess alone
 		}
 	}
 	if single >= 0 && shards[single].Size <= excess-uncovered {
@@ -112,7 +114,8 @@
 	return picked
 }
 
-// largestThatFit picks candidates, which fall in size, as far as they fit into excess, and gives what remains of it.
+// largestThatFit picks candidates, which are in descending order of size, as long as they fit into excess. uncovered is
+// the part of excess that is left.
 func (p *placement) largestThatFit(candidates []int, excess int64) (picked []int, uncovered int64) {
 	uncovered = excess
 	for _, shard := range candidates {
@@ -124,8 +127,8 @@
 	return picked, uncovered
 }
 
-// withoutNeedless takes out, from the smallest on, what the last one picked makes needless. remaining is at most 0: by
-// how many bytes too many are picked.
+// dropRedundant drops the replicas that the last picked one makes redundant, beginning with the smallest. uncovered is
+// negative or 0: its magnitude is the number of bytes picked in excess.
 func (p *placement) dropRedundant(picked []int, uncovered int64) ([]int, int64) {
 	for i := len(picked) - 2; i >= 0; i-- {
 		if size := p.cluster.Shards[picked[i]].Size; size <= -uncovered {
--- a/internal/shard/shardplan/donation_test.go
+++ b/internal/shard/shardplan/donation_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Of two shards that bring a node equally close to its band, one too large and one too small, the first of the cluster is
-// chosen, in whichever order they are looked at.
+// If two shards bring a node equally close to its band, one too large and one too small, the first one in the cluster
+// is chosen, regardless of the order in which they are compared.
 func TestEquallyCloseDonationsHaveAnOrder(t *testing.T) {
 	p := &placement{cluster: &Cluster{Shards: []Shard{{ID: "large", Size: 110}, {ID: "small", Size: 80}}}}
 	const need = 100
@@ -11,6 +11,6 @@
 		t.Fatal("they are not equally close")
 	}
 	if !p.betterDonation(0, 1, need) || p.betterDonation(1, 0, need) {
-		t.Error("the choice depends on the order in which they are looked at")
+		t.Error("the choice depends on the order of the comparison")
 	}
 }
--- a/internal/shard/shardplan/golden_test.go
+++ b/internal/shard/shardplan/golden_test.go
@@ -37,8 +37,9 @@
 	golden.Text(t, "testdata/refusals.txt", cases)
 }
 
-// Whole plans, by their JSON, for drawn clusters under one to four faults. Clusters are drawn so that no two
-// candidates of fill differ in size and are worth the same, which it would tell apart by the order of a map.
+// The digest covers the JSON of plans for random clusters under one to four faults. In these clusters no two candidates
+// of fillBelowBand differ in size and are equally close to what a node needs, so that the digest doesn't depend on how
+// such ties are broken.
 func TestDecisionDigest(t *testing.T) {
 	const recorded = 0x22a44d8c88e69381
 	trace := fnv.New64a()
@@ -62,6 +63,6 @@
 		}
 	}
 	if got := trace.Sum64(); got != recorded {
-		t.Errorf("the digest is %#x, recorded is %#x", got, uint64(recorded))
+		t.Errorf("the digest is %#x, recorded: %#x", got, uint64(recorded))
 	}
 }
--- a/internal/shard/shardplan/placement.go
+++ b/internal/shard/shardplan/placement.go
@@ -1,6 +1,7 @@
 package shardplan
 
-// This file owns the placement that planning works on: which node stores what, and what each may store.
+// This file implements the placement that planning works on: which replicas each node stores, and how many bytes it may
+// store.
 
 import (
 	"cmp"
@@ -12,20 +13,20 @@
 	Node
 	capacity int64        // bytes for shards; 0 unless active
 	used     int64        // bytes: the sum of the sizes of shards
-	maxUsed  int64        // upper end of its band, at most capacity; 0 unless active
-	minUsed  int64        // lower end
-	shards   map[int]bool // by their index in the cluster
+	maxUsed  int64        // upper end of its band in bytes, at most capacity; 0 unless active
+	minUsed  int64        // lower end of its band
+	shards   map[int]bool // by index in Cluster.Shards
 }
 
-// slack is the free share of a node's band.
+// slack returns the free share of the upper end of a node's band.
 func (n *nodeLoad) slack() float64 {
 	return float64(n.maxUsed-n.used) / float64(max(n.maxUsed, 1))
 }
 
-// utilization is the used share of a node's capacity.
+// utilization returns the used share of a node's capacity.
 func (n *nodeLoad) utilization() float64 { return float64(n.used) / float64(max(n.capacity, 1)) }
 
-// byUtilization orders the fullest first.
+// byUtilization orders nodes from the fullest to the emptiest.
 func byUtilization(a, b *nodeLoad) int {
 	return cmp.Or(cmp.Compare(b.utilization(), a.utilization()), cmp.Compare(a.ID, b.ID))
 }
@@ -35,10 +36,10 @@
 	cluster   *Cluster
 	nodes     []*nodeLoad // in the cluster's order
 	byID      map[string]*nodeLoad
-	zoneCount int // zones of active nodes
+	zoneCount int // number of zones that have active nodes
 }
 
-// newPlacement places the replicas where the cluster has them.
+// newPlacement returns the cluster's current placement.
 func newPlacement(c *Cluster) *placement {
 	p := &placement{cluster: c, byID: map[string]*nodeLoad{}}
 	zones := map[string]bool{}
@@ -61,7 +62,7 @@
 	return p
 }
 
-// setBands gives each active node its fair share of all bytes, by capacity, and the band round it.
+// setBands sets the band of each active node around its share of all bytes in proportion to its capacity.
 func (p *placement) setBands() {
 	total, capacity := 0.0, 0.0
 	for _, shard := range p.cluster.Shards {
@@ -80,7 +81,7 @@
 	}
 }
 
-// replicas gives the nodes that store each shard, by its index.
+// replicas returns the nodes that store each shard, by the shard's index.
 func (p *placement) replicas() [][]*nodeLoad {
 	replicas := make([][]*nodeLoad, len(p.cluster.Shards))
 	for i, shard := range p.cluster.Shards {
@@ -91,7 +92,7 @@
 	return replicas
 }
 
-// active gives the nodes that take replicas.
+// active returns the nodes that accept replicas.
 func (p *placement) active() []*nodeLoad {
 	return slices.DeleteFunc(slices.Clone(p.nodes), func(n *nodeLoad) bool { return n.State != NodeActive })
 }
@@ -106,7 +107,8 @@
 	node.used -= p.cluster.Shards[shard].Size
 }
 
-// spread says whether a replica may be on a node beside those on others, leaving out the one that it replaces.
+// zonesDiffer reports whether a replica may be placed on a node: no other replica of the shard, except the replaced
+// one, may be in the node's zone. It always is if the rules don't require that or there are too few zones.
 func (p *placement) zonesDiffer(node *nodeLoad, replicas []*nodeLoad, replaced *nodeLoad) bool {
 	if !p.cluster.Rules.SpreadZones || p.zoneCount < len(replicas) {
 		return true
@@ -116,8 +118,8 @@
 	})
 }
 
-// lowerBound is what any plan has to move: what leaves nodes that aren't active or are above their band, or what comes
-// to those below it.
+// lowerBound returns the bytes that any plan has to move at least: those that leave inactive nodes and nodes above
+// their band, or those that nodes below their band lack, whichever is more.
 func (p *placement) lowerBound() int64 {
 	departing, above, below := int64(0), int64(0), int64(0)
 	for _, node := range p.nodes {
--- a/internal/shard/shardplan/plan.go
+++ b/internal/shard/shardplan/plan.go
@@ -1,29 +1,29 @@
 package shardplan
 
-// This file owns the plan: what it says, and the steps that make it.
+// This file defines a plan and the steps that make it.
 
 import "fmt"
 
-// Move takes a replica from one node to another.
+// Move moves a replica from one node to another.
 type Move struct {
 	Shard   string `json:"shard"`
 	From    string `json:"from"`
 	To      string `json:"to"`
 	Bytes   int64  `json:"bytes"`
-	Staging bool   `json:"via,omitempty"`  // it only makes space: a later move takes the replica on from To
-	Restore bool   `json:"copy,omitempty"` // it replaces a replica of a lost node: another one is read, and none removed
+	Staging bool   `json:"via,omitempty"`  // only frees space: a later move takes the replica from To to its target
+	Restore bool   `json:"copy,omitempty"` // replaces a replica of a lost node: copies another one without removing it
 }
 
-// Plan is moves in rounds: those of one round may go on together.
+// Plan is a list of moves in rounds. The moves of one round may run concurrently.
 type Plan struct {
 	Rounds     [][]Move `json:"rounds"`
-	Bytes      int64    `json:"bytes"`         // of all moves
-	LowerBound int64    `json:"bound"`         // bytes; no plan moves less
-	Unplaced   []string `json:"why,omitempty"` // what could not be done, and which node and bytes bind
-	OutOfBand  []string `json:"off,omitempty"` // nodes that stay out of their band, as no shard's size would help
+	Bytes      int64    `json:"bytes"`         // sum of the bytes of all moves
+	LowerBound int64    `json:"bound"`         // bytes that any plan has to move at least
+	Unplaced   []string `json:"why,omitempty"` // replicas that can't be moved, and why
+	OutOfBand  []string `json:"off,omitempty"` // nodes outside of their band, for which no shard has a fitting size
 }
 
-// MakePlan plans for a valid cluster.
+// MakePlan returns a plan for a valid cluster.
 func (c *Cluster) MakePlan() *Plan {
 	p := newPlacement(c)
 	plan := &Plan{LowerBound: p.lowerBound()}
@@ -40,5 +40,5 @@
 	return plan
 }
 
-// LowerBound is what any plan of the cluster has to move at least, in bytes.
+// LowerBound returns the bytes that any plan for the cluster has to move at least.
 func (c *Cluster) LowerBound() int64 { return newPlacement(c).lowerBound() }
--- a/internal/shard/shardplan/rounds.go
+++ b/internal/shard/shardplan/rounds.go
@@ -1,32 +1,32 @@
 package shardplan
 
-// This file owns the order of moves: rounds in which no node is ever above its capacity, with staging moves where
-// replicas wait for each other's space.
+// This file groups moves into rounds in which no node exceeds its capacity, and adds staging moves if replicas wait for
+// each other's space.
 
 import (
 	"fmt"
 	"slices"
 )
 
-// defaultMovesPerNode holds where the rules say nothing.
+// defaultMovesPerNode applies if Rules.MaxMovesPerNode is 0.
 const defaultMovesPerNode = 2
 
-// scheduler puts moves into rounds. A replica is counted on its target, with its growth, from the start of its round,
-// and on its source up to the end.
+// scheduler groups moves into rounds. A replica counts on its target, with its growth, from the start of its round, and
+// on its source until the end of the round.
 type scheduler struct {
 	placement       *placement
 	plan            *Plan
 	pending         []Move
-	grownSize       map[string]int64    // bytes of each shard with its growth
-	shardIndex      map[string]int      // of each shard in the cluster
-	used            map[string]int64    // bytes of each node, moves of this round included
-	readable        map[string][]string // nodes that a shard can be read from
-	maxMovesPerNode int                 // moves that a node takes part in at a time
+	grownSize       map[string]int64    // size of each shard plus its growth, in bytes
+	shardIndex      map[string]int      // index of each shard in the cluster
+	used            map[string]int64    // used bytes of each node, including the moves of the current round
+	readable        map[string][]string // nodes from which each shard can be read
+	maxMovesPerNode int                 // concurrent moves from or to a node
 	stagingMoves    int
-	maxStagingMoves int // more of them don't come to an end
+	maxStagingMoves int // limit that guarantees termination
 }
 
-// scheduleRounds adds the moves to the plan in rounds, or says there which of them no order can carry out.
+// scheduleRounds adds the moves to the plan in rounds. Moves for which it finds no order are listed in plan.Unplaced.
 func (c *Cluster) scheduleRounds(moves []Move, plan *Plan) {
 	s := newScheduler(c, moves, plan)
 	for len(s.pending) > 0 {
@@ -66,12 +66,12 @@
 	return s
 }
 
-// fits says whether a node has capacity for a shard and its growth.
+// fits reports whether a node has capacity for a shard and its growth.
 func (s *scheduler) fits(node *nodeLoad, shard string) bool {
 	return s.used[node.ID]+s.grownSize[shard] <= node.capacity
 }
 
-// nextRound takes the pending moves that can go on together now, in their order.
+// nextRound removes the pending moves that can run concurrently now and returns them, in their order.
 func (s *scheduler) nextRound() (round []Move) {
 	movesByNode := map[string]int{} // moves of the round by node
 	var postponed []Move
@@ -93,7 +93,8 @@
 	return round
 }
 
-// stage picks the smallest replica that others wait for, and a node with capacity from which it goes on later.
+// stage returns a staging move of the smallest replica that blocks others, to a node with capacity. The replica's
+// pending move then starts from that node.
 func (s *scheduler) stage() (Move, bool) {
 	best := -1
 	var bestNode *nodeLoad
@@ -114,12 +115,12 @@
 	return staging, true
 }
 
-// blocksOthers says whether a move's source is the target of another.
+// blocksOthers reports whether a move's source is the target of another pending move.
 func (s *scheduler) blocksOthers(move Move) bool {
 	return slices.ContainsFunc(s.pending, func(other Move) bool { return other.To == move.From })
 }
 
-// stagingNode gives the first node that a replica can wait on, nil for none.
+// stagingNode returns the first node that can hold a replica temporarily, or nil.
 func (s *scheduler) stagingNode(move Move) *nodeLoad {
 	for _, node := range s.placement.nodes {
 		if node.State == NodeActive && node.ID != move.From && node.ID != move.To &&
@@ -130,11 +131,11 @@
 	return nil
 }
 
-// finishRound adds a round to the plan and takes its moves as done.
+// finishRound adds a round to the plan and accounts for its completed moves.
 func (s *scheduler) finishRound(round []Move) {
 	for _, move := range round {
 		s.plan.Bytes += move.Bytes
-		s.used[move.To] -= s.grownSize[move.Shard] - move.Bytes // what it did not grow by is free again
+		s.used[move.To] -= s.grownSize[move.Shard] - move.Bytes // release the space reserved for growth
 		s.readable[move.Shard] = append(s.readable[move.Shard], move.To)
 		if !move.Restore {
 			s.used[move.From] -= move.Bytes
@@ -145,7 +146,7 @@
 	s.plan.Rounds = append(s.plan.Rounds, round)
 }
 
-// explainPending says of each move that is left what it lacks.
+// explainPending records in plan.Unplaced how many bytes each remaining move lacks.
 func (s *scheduler) explainPending() {
 	for _, move := range s.pending {
 		s.plan.Unplaced = append(s.plan.Unplaced, fmt.Sprintf(
--- a/internal/shard/shardplan/shardplan_test.go
+++ b/internal/shard/shardplan/shardplan_test.go
@@ -12,7 +12,8 @@
 	"pgregory.net/rapid"
 )
 
-// randomCluster is a cluster as they grow: filled evenly once, then nodes came, went, filled, and shards grew.
+// randomCluster returns a cluster with shards of random size, two replicas of each, and the given utilization of its
+// fullest node.
 func randomCluster(r *rand.Rand, nodes, shards int, utilization float64) *Cluster {
 	c := &Cluster{Rules: Rules{BalanceBand: 0.1, ReservedShare: 0.05, SpreadZones: true, MaxMovesPerNode: 2}}
 	zones := min(nodes, 3+r.IntN(3))
@@ -28,7 +29,7 @@
 		shard := Shard{ID: fmt.Sprint("s", i), Size: size, Growth: size / 50, RequestRate: r.ExpFloat64()}
 		first := r.IntN(nodes)
 		for k := range 2 {
-			node := (first + k) % nodes // the next zone
+			node := (first + k) % nodes // the second replica goes to the next zone
 			shard.Replicas = append(shard.Replicas, c.Nodes[node].ID)
 			load[node] += size
 		}
@@ -61,7 +62,7 @@
 	return "others fill a node"
 }
 
-// replay plays a plan and checks the capacities at each moment.
+// replay executes a plan and checks the nodes' capacities in each round.
 func replay(c *Cluster, plan *Plan) error {
 	initial := newPlacement(c)
 	storedOn := map[string]map[string]bool{}
@@ -80,7 +81,7 @@
 	for roundNumber, round := range plan.Rounds {
 		for _, move := range round {
 			if !storedOn[move.Shard][move.From] || storedOn[move.Shard][move.To] {
-				return fmt.Errorf("round %d: %+v, held by %v", roundNumber, move, storedOn[move.Shard])
+				return fmt.Errorf("round %d: %+v, stored on %v", roundNumber, move, storedOn[move.Shard])
 			}
 			if load[move.To] += grownSize[move.Shard]; load[move.To] > initial.byID[move.To].capacity {
 				return fmt.Errorf("round %d: %s holds %d of %d", roundNumber, move.To, load[move.To], initial.byID[move.To].capacity)
@@ -97,12 +98,13 @@
 		}
 	}
 	if bytes != plan.Bytes || bytes < plan.LowerBound && len(plan.Unplaced)+len(plan.OutOfBand) == 0 {
-		return fmt.Errorf("%d bytes moved, %d said, bound %d", bytes, plan.Bytes, plan.LowerBound)
+		return fmt.Errorf("%d bytes moved, plan.Bytes is %d, lower bound %d", bytes, plan.Bytes, plan.LowerBound)
 	}
 	return nil
 }
 
-// rendezvous is the baseline of hashing: each copy goes to the nodes of the highest weights.
+// rendezvous returns the bytes that rendezvous hashing moves, as a baseline: replicas go to the nodes with the highest
+// weights.
 func rendezvous(c *Cluster) (bytes int64) {
 	for _, s := range c.Shards {
 		type weight struct {
@@ -128,8 +130,9 @@
 	return bytes
 }
 
-// greedy is the baseline of taking the largest from the fullest to the emptiest until all are within the band. fair
-// says whether it came to what a plan must come to.
+// greedy returns the bytes that a greedy strategy moves, as a baseline: it moves the largest shard from the fullest
+// node to the emptiest until all nodes are below the upper end of their band. balanced reports whether the result meets
+// all rules of a plan.
 func greedy(c *Cluster) (bytes int64, balanced bool) {
 	b := newPlacement(c)
 	active := slices.DeleteFunc(slices.Clone(b.nodes), func(node *nodeLoad) bool { return node.State != NodeActive })
@@ -196,12 +199,12 @@
 				incomplete++
 				continue
 			}
-			if plan.LowerBound > 200<<20 { // some twenty shards: below, one shard's size decides
+			if plan.LowerBound > 200<<20 { // about twenty shards; with less, the size of a single shard dominates the ratio
 				ratios = append(ratios, float64(plan.Bytes)/float64(plan.LowerBound))
 			}
 			if plan.Bytes > rendezvous(c) {
 				aboveBaseline++
-			} else if size.nodes < 1000 { // it takes ten seconds there
+			} else if size.nodes < 1000 { // greedy takes ten seconds for 1000 nodes
 				if bytes, balanced := greedy(c); balanced && plan.Bytes > bytes {
 					aboveBaseline++
 				}
@@ -212,13 +215,13 @@
 			size.nodes, size.shards, size.cases, ratios[len(ratios)/2], ratios[len(ratios)-1], aboveBaseline, incomplete,
 			planningTime/time.Duration(size.cases))
 		if ratios[len(ratios)/2] > 1.05 || aboveBaseline > 0 {
-			t.Error("more is moved than is to be")
+			t.Error("plans move too many bytes")
 		}
 	}
 }
 
 func TestStagingResolvesCyclicMoves(t *testing.T) {
-	// Two nodes are full of what the other is to hold, as zones want; the third has space for one replica.
+	// Two nodes exchange their only replicas and have no space for a second one; a third node has space for one replica.
 	c := &Cluster{Rules: Rules{BalanceBand: 1, SpreadZones: true, MaxMovesPerNode: 1},
 		Nodes: []Node{{ID: "a", Zone: "1", Capacity: 10, State: NodeActive}, {ID: "b", Zone: "2", Capacity: 10,
 			State: NodeActive},
@@ -232,7 +235,7 @@
 		!plan.Rounds[0][0].Staging {
 		t.Fatalf("%+v: %v", plan, err)
 	}
-	c.Nodes[2].Capacity = 20 // no space is free: what binds is said, and nothing is moved
+	c.Nodes[2].Capacity = 20 // without free space nothing is moved, and the plan says what is missing
 	plan = &Plan{}
 	c.scheduleRounds([]Move{{Shard: "x", From: "a", To: "b", Bytes: 10}, {Shard: "y", From: "b", To: "a", Bytes: 10}},
 		plan)
