--- a/cmd/sessionedge/main.go
+++ b/cmd/sessionedge/main.go
@@ -1,4 +1,4 @@
-// Command sessionedge is an edge, where the websockets of open sessions end: docs/sessions.md.
+// Command sessionedge runs an edge, to which clients connect their sessions with websockets: docs/sessions.md.
 package main
 
 import (
--- a/cmd/sessionsite/main.go
+++ b/cmd/sessionsite/main.go
@@ -1,4 +1,4 @@
-// Command sessionsite is a site, which holds open websocket sessions with what is queued for them: docs/sessions.md.
+// Command sessionsite runs a site, which stores open websocket sessions and their queued messages: docs/sessions.md.
 package main
 
 import (
--- a/internal/session/edge/edge.go
+++ b/internal/session/edge/edge.go
@@ -1,8 +1,8 @@
-// Package edge runs an edge of sessions: clients' websockets on one side, links to sites on the other.
+// Package edge runs an edge, a process that connects clients' websockets to the sites that own their sessions.
 //
-// Package queue decides; here are its sockets and clocks. One goroutine owns the state of the edge and runs commands
-// from a queue; each socket has one goroutine that reads and one that writes. What waits to be written to a client is
-// bounded: a client that doesn't read loses its socket.
+// The protocol is implemented by queue.Edge, the decider; this package adds connections and clocks. One goroutine owns
+// the state of the edge and runs commands from a queue; each socket has one goroutine that reads and one that writes.
+// The lines that wait to be written to a client are bounded: the socket of a client that doesn't read is closed.
 package edge
 
 import (
@@ -23,18 +23,18 @@
 	"weirwind/internal/util/settings"
 )
 
-// Subprotocol is spoken where the client asks for it; docs/sessions.md has its lines.
+// Subprotocol is the websocket subprotocol that clients may request; docs/sessions.md describes its lines.
 const Subprotocol = "weirwind.session.1"
 
 const (
 	tickInterval      = 25 * time.Millisecond
 	commandCapacity   = 4096
-	reservedFiles     = 200 // open files that aren't clients' sockets
+	reservedFiles     = 200 // open files that are kept for other uses than clients' sockets
 	minSockets        = 64
 	closePollInterval = 20 * time.Millisecond
 )
 
-// runner is the edge's process.
+// runner holds the state of an edge's process.
 type runner struct {
 	settings  *settings.Settings
 	log       events.Log
@@ -44,14 +44,14 @@
 	maxSockets  int64
 	openSockets atomic.Int64
 
-	// The owner of commands alone uses these.
+	// Only the goroutine that runs commands uses these.
 	decider    *queue.Edge
 	sites      map[string]*siteLink // by name
 	sockets    map[uint64]*socket   // by id
-	lastSocket uint64               // the highest id given out
+	lastSocket uint64               // the highest id assigned
 }
 
-// Run serves until ctx ends; then it asks its clients to go to another edge, for half of the grace period at most.
+// Run serves until ctx ends. Then it asks its clients to connect to another edge, at most for half of the grace period.
 func Run(ctx context.Context, set *settings.Settings, log events.Log) error {
 	workCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
@@ -89,7 +89,7 @@
 	return mux
 }
 
-// now is the decider's clock, in milliseconds.
+// now returns the time of the decider's clock, in milliseconds.
 func (r *runner) now() float64 { return float64(time.Since(r.startedAt)) / 1e6 }
 
 func (r *runner) tick() {
@@ -97,7 +97,7 @@
 	r.flush()
 }
 
-// shutDown closes all sockets; their clients come again to another edge, by their tokens.
+// shutDown closes all sockets; their clients reconnect to another edge with their tokens.
 func (r *runner) shutDown() {
 	r.log.Event(events.Stopping, "sockets", r.openSockets.Load())
 	r.commands.Do(func() {
@@ -111,7 +111,7 @@
 	}
 }
 
-// status is what operators are shown of the edge. Its fields stand in the order of their names.
+// status describes the edge to operators. Its fields are in the order of their JSON names.
 type status struct {
 	Edge      string    `json:"edge"`
 	OwnerGaps []float64 `json:"gapsMs"`
@@ -119,7 +119,8 @@
 }
 
 func (r *runner) showStatus(w http.ResponseWriter, req *http.Request) {
-	// The request's context would end as soon as the caller closes its sending half, and it still waits then.
+	// The request's context is cancelled as soon as the caller closes the sending half of its connection, but such a
+	// caller still waits for its answer.
 	ctx := context.WithoutCancel(req.Context())
 	current, err := commandqueue.Call(ctx, r.commands, func() status {
 		return status{r.settings.Hostname, slices.Clone(r.decider.OwnerGaps()), r.decider.Sockets()}
@@ -129,5 +130,5 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(current) // an error is the caller's, who has gone
+	_ = json.NewEncoder(w).Encode(current) // an error means that the caller has disconnected
 }
--- a/internal/session/edge/golden_test.go
+++ b/internal/session/edge/golden_test.go
@@ -14,7 +14,7 @@
 	"weirwind/internal/util/settings"
 )
 
-// The lines that clients get, of the subprotocol and plain, and what operators are shown.
+// Golden file of the lines that clients get, with and without the subprotocol, and of the status for operators.
 func TestGoldenLines(t *testing.T) {
 	m, err := (*sites.Map)(nil).Apply(&sites.Change{Kind: sites.ChangeJoin, Name: "a", Site: sites.Site{Addr: "a",
 		Incarnation: 1}})
@@ -50,14 +50,14 @@
 	cases = append(cases, golden.Of("status", recorder.Body.String()))
 	golden.Text(t, "testdata/lines.txt", cases)
 
-	// A caller that has closed its sending half, whose request's context is cancelled, gets the same.
+	// A caller that has closed its sending half, so that its request's context is cancelled, gets the same answer.
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	for range 20 {
 		again := httptest.NewRecorder()
 		runner.showStatus(again, httptest.NewRequestWithContext(ctx, "GET", "/status", nil))
 		if again.Code != recorder.Code || again.Body.String() != recorder.Body.String() {
-			t.Fatalf("%d %s", again.Code, again.Body)
+			t.Fatalf("with a cancelled context: %d %s", again.Code, again.Body)
 		}
 	}
 }
--- a/internal/session/edge/session.go
+++ b/internal/session/edge/session.go
@@ -1,6 +1,6 @@
 package edge
 
-// This file owns how a client's connection begins and ends.
+// This file handles the start and the end of a client's connection.
 
 import (
 	"context"
@@ -16,24 +16,24 @@
 	"github.com/coder/websocket"
 )
 
-// tokenPartBytes are the bytes of a session's id, and of its secret; a token has both in hexadecimal.
+// tokenPartBytes is the number of bytes of a session's id, and of its secret. A token contains both in hexadecimal.
 const tokenPartBytes = 16
 
-// Errors of a session request, with the texts that clients get.
+// Errors of a session request. Clients get their texts.
 var (
 	errBadToken  = errors.New("that is no token")
 	errBadNumber = errors.New("got is the number of the last message")
 )
 
-// sessionRequest says which session a client wants.
+// sessionRequest is a client's request to create or resume a session.
 type sessionRequest struct {
 	id, secret string
 	newSession bool
-	acked      uint64 // number of the last message that the client has
+	acked      uint64 // number of the last message that the client has received
 }
 
-// parseSessionRequest reads the query: token names a session to resume, got the last message that the client has of
-// it. Without a token it makes a new session's.
+// parseSessionRequest parses the query: token names a session to resume, got is the number of the last message that the
+// client has received. Without a token it returns a request for a new session.
 func parseSessionRequest(query url.Values) (*sessionRequest, error) {
 	request := &sessionRequest{newSession: query.Get("token") == ""}
 	if request.newSession {
@@ -62,13 +62,13 @@
 	return hex.EncodeToString(b[:tokenPartBytes]), hex.EncodeToString(b[tokenPartBytes:])
 }
 
-// offersSubprotocol says whether the client asks for the subprotocol; else it is a plain one.
+// offersSubprotocol reports whether the client offers the subprotocol; otherwise it is a plain client.
 func offersSubprotocol(header http.Header) bool {
 	offered := strings.FieldsFunc(header.Get("Sec-WebSocket-Protocol"), func(c rune) bool { return c == ',' || c == ' ' })
 	return slices.Contains(offered, Subprotocol)
 }
 
-// serveSession serves a client's connection from its request to its end.
+// serveSession serves a client's connection until it ends.
 func (r *runner) serveSession(w http.ResponseWriter, req *http.Request) {
 	if r.openSockets.Add(1) > r.maxSockets {
 		r.openSockets.Add(-1)
--- a/internal/session/edge/sites.go
+++ b/internal/session/edge/sites.go
@@ -1,6 +1,6 @@
 package edge
 
-// This file owns the edge's links to sites, and its map of them.
+// This file keeps the edge's map of sites, and its links to them.
 
 import (
 	"context"
@@ -24,14 +24,14 @@
 
 type link = transport.Link[site.Frame]
 
-// siteLink is a site with the link to it.
+// siteLink is a site to which the edge keeps a link.
 type siteLink struct {
 	addr string
 	link *link // nil while there is none
 	stop context.CancelFunc
 }
 
-// pollMap asks the machines of the core in turn for the map of sites; sites send their changes sooner.
+// pollMap polls the machines of the core in turn for the map of sites. Sites usually send a new map earlier.
 func (r *runner) pollMap(ctx context.Context) {
 	client := http.Client{Timeout: mapTimeout}
 	machines := r.settings.Peers
@@ -46,7 +46,7 @@
 	}
 }
 
-// fetchMap asks one machine of the core.
+// fetchMap fetches the map from one machine of the core.
 func fetchMap(ctx context.Context, client *http.Client, machine string) (*sites.Map, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+machine+"/sites", http.NoBody)
 	if err != nil {
@@ -67,7 +67,8 @@
 	return &m, nil
 }
 
-// applyMap keeps links to the sites that are alive, until ctx ends, and gives the decider the map.
+// applyMap opens links to new sites, closes links to sites that are gone or have another address, and passes the map to
+// the decider. The links end with ctx.
 func (r *runner) applyMap(ctx context.Context, m *sites.Map) {
 	for name, s := range r.sites {
 		if current, ok := m.Sites[name]; !ok || current.Addr != s.addr {
@@ -84,8 +85,8 @@
 	r.flush()
 }
 
-// connectSite keeps a link to a site until it is stopped or ctx ends. What the site sends may have other links made,
-// which outlive this one: they end with ctx, not with the link.
+// connectSite keeps a link to a site until it is stopped or ctx ends. A map that the site sends may open other links,
+// which must outlive this one: they end with ctx, not with the link.
 func (r *runner) connectSite(ctx context.Context, name, addr string) *siteLink {
 	linkCtx, stop := context.WithCancel(ctx)
 	s := &siteLink{addr: addr, stop: stop}
@@ -107,7 +108,7 @@
 	return s
 }
 
-// receive takes an envelope of a site, or a map.
+// receive handles an envelope of a site, which may contain a map.
 func (r *runner) receive(ctx context.Context, name string, frame *site.Frame) {
 	if frame.Envelope.Map != nil {
 		r.applyMap(ctx, frame.Envelope.Map)
@@ -117,8 +118,8 @@
 	r.flush()
 }
 
-// flush sends what the decider has for clients and for sites. What has no link to its site is dropped: it is sent
-// again.
+// flush sends the decider's events to clients and its envelopes to sites. Envelopes without a link are dropped, since
+// the decider sends them again.
 func (r *runner) flush() {
 	for _, event := range r.decider.TakeClientEvents() {
 		if s := r.sockets[event.Socket]; s != nil {
--- a/internal/session/edge/socket.go
+++ b/internal/session/edge/socket.go
@@ -1,6 +1,6 @@
 package edge
 
-// This file owns a client's socket: its lines in both directions. docs/sessions.md has the subprotocol.
+// This file implements a client's socket: its lines in both directions. docs/sessions.md describes the subprotocol.
 
 import (
 	"context"
@@ -19,32 +19,32 @@
 const (
 	maxLineBytes         = 80 << 10
 	writeTimeout         = 5 * time.Second
-	maxOutgoingLines     = 512 // that wait to be written to one socket
+	maxOutgoingLines     = 512 // lines that may wait to be written to one socket
 	publishRetryInterval = 10 * time.Millisecond
 )
 
-// socket is a client's connection. A plain client speaks no subprotocol: its lines are bodies alone, and it has a
-// message once that is written.
+// socket is a client's connection. A plain client doesn't use the subprotocol: its lines consist of a message's body
+// only, and a message counts as acknowledged once it is written to the socket.
 type socket struct {
-	id         uint64 // the owner of commands sets it
+	id         uint64 // set by the goroutine that runs commands
 	conn       *websocket.Conn
 	plain      bool
 	cancel     context.CancelFunc // ends the socket
-	wakeWriter chan struct{}      // has room for one: outgoing is not empty
+	wakeWriter chan struct{}      // signals that outgoing isn't empty; has a buffer of one
 
 	mu       sync.Mutex
-	outgoing []line // that wait to be written; nil for most sockets, which are idle
+	outgoing []line // lines that wait to be written; nil while the socket is idle, as most are
 }
 
-// line is a text to write.
+// line is a line to write.
 type line struct {
 	text   string
-	number uint64 // of a plain client's message
+	number uint64 // number of the message, for a plain client; else 0
 }
 
-// close closes the connection with a status; it waits for the client to do so too.
+// close closes the connection with a status, and waits for the client's close frame.
 func (s *socket) close(status websocket.StatusCode, reason string) {
-	_ = s.conn.Close(status, reason) // an error is a client that has gone
+	_ = s.conn.Close(status, reason) // an error means that the client has disconnected
 }
 
 // writeEvent writes an event of the decider to a client.
@@ -81,7 +81,8 @@
 	go s.close(status, event.Reason)
 }
 
-// enqueue has a line written; a client that doesn't read loses its socket.
+// enqueue appends a line to those that wait to be written. If there are too many, because the client doesn't read, it
+// ends the socket.
 func (s *socket) enqueue(l line) {
 	s.mu.Lock()
 	full := len(s.outgoing) >= maxOutgoingLines
@@ -99,7 +100,7 @@
 	}
 }
 
-// dequeue gives all lines that wait.
+// dequeue removes and returns all waiting lines.
 func (s *socket) dequeue() []line {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -136,7 +137,7 @@
 	return s.conn.Write(ctx, websocket.MessageText, []byte(text))
 }
 
-// ack takes that the client has all messages up to a number.
+// ack acknowledges all messages up to a number for the client.
 func (r *runner) ack(s *socket, number uint64) {
 	r.commands.Do(func() {
 		r.decider.Ack(s.id, number)
@@ -144,7 +145,7 @@
 	})
 }
 
-// read takes a client's lines until ctx or the connection ends, no more than there is room for.
+// read reads a client's lines until ctx or the connection ends. It stops reading while the decider accepts no message.
 func (s *socket) read(ctx context.Context, r *runner) {
 	for {
 		_, text, err := s.conn.Read(ctx)
@@ -170,7 +171,7 @@
 	}
 }
 
-// parseLine reads "m NUMBER body", a message, or "a NUMBER", an acknowledgement.
+// parseLine parses "m NUMBER body", a message, or "a NUMBER", an acknowledgement.
 func parseLine(text string) (kind string, number uint64, body string, ok bool) {
 	kind, rest, _ := strings.Cut(text, " ")
 	digits, body, _ := strings.Cut(rest, " ")
@@ -178,8 +179,8 @@
 	return kind, number, body, err == nil && number > 0 && (kind == "m" || kind == "a")
 }
 
-// publish gives the decider a client's message once there is room for it; until then nothing more is read. The error
-// is that of a socket that has ended.
+// publish passes a client's message to the decider, once the decider can accept it. It returns an error if the socket
+// has ended.
 func (s *socket) publish(ctx context.Context, r *runner, number uint64, body []byte) error {
 	for {
 		accepted, err := commandqueue.Call(ctx, r.commands, func() bool {
--- a/internal/session/queue/attach.go
+++ b/internal/session/queue/attach.go
@@ -1,6 +1,6 @@
 package queue
 
-// This file owns clients' sockets at a session's owner: how they attach, and what goes through them.
+// This file handles clients' sockets at a session's owner: how they attach, and the messages that pass through them.
 
 import (
 	"cmp"
@@ -11,7 +11,7 @@
 	"weirwind/internal/session/sites"
 )
 
-// attach takes a client's socket for a session, one that exists or a new one.
+// attach attaches a client's socket to its session, which it creates if requested.
 func (s *Site) attach(from string, envelope *Envelope, now float64) {
 	if !s.holdsLease(now) {
 		s.reject(from, envelope, reasonNotNow)
@@ -28,17 +28,17 @@
 	case sess == nil:
 		s.redirectToOwner(from, envelope)
 	case subtle.ConstantTimeCompare([]byte(sess.Secret), []byte(envelope.Secret)) != 1:
-		s.reject(from, envelope, reasonUnknown) // as if it were not there
+		s.reject(from, envelope, reasonUnknown) // don't reveal that the session exists
 	case sess.handOverTo != "":
 		s.reject(from, envelope, reasonNotNow)
-	case envelope.Connection > 0 && envelope.Connection < sess.Connection: // a newer one has taken its place
+	case envelope.Connection > 0 && envelope.Connection < sess.Connection: // replaced by a newer connection
 		s.send(from, Envelope{Kind: KindDetach, Session: envelope.Session, Socket: envelope.Socket, Epoch: sess.Epoch})
 	default:
 		s.connect(sess, from, envelope, now)
 	}
 }
 
-// attachElsewhere sends an edge to the owner of a session that this site has a replica of.
+// redirectToOwner redirects an edge to the owner of a session of which this site has a replica.
 func (s *Site) redirectToOwner(from string, envelope *Envelope) {
 	replica := s.replicas[envelope.Session]
 	if replica == nil {
@@ -49,7 +49,7 @@
 		Replicas: replica.Replicas, Epoch: replica.Epoch})
 }
 
-// create makes a session that this site owns; nil where it is full or takes none.
+// create creates a session that this site owns. It returns nil if the site isn't active or has reached its limits.
 func (s *Site) create(envelope *Envelope, now float64) *session {
 	if s.current.Sites[s.Name].State != sites.StateActive || len(s.owned) >= s.Limits.Sessions ||
 		s.bytes >= s.Limits.TotalBytes {
@@ -63,7 +63,7 @@
 	return sess
 }
 
-// connect makes a socket the session's, in place of the one before.
+// connect makes a socket the session's current one, and detaches the previous one.
 func (s *Site) connect(sess *session, from string, envelope *Envelope, now float64) {
 	if sess.attached && (sess.edge != from || sess.socket != envelope.Socket) {
 		s.send(sess.edge, Envelope{Kind: KindDetach, Session: sess.id, Socket: sess.socket, Epoch: sess.Epoch})
@@ -82,7 +82,7 @@
 	s.progress(sess, now)
 }
 
-// receiveFromEdge takes what an attached edge sends of a session.
+// receiveFromEdge handles an envelope of the edge that the session's socket is connected to.
 func (s *Site) receiveFromEdge(from string, envelope *Envelope, now float64) {
 	sess := s.owned[envelope.Session]
 	if sess == nil || sess.edge != from || sess.socket != envelope.Socket {
@@ -93,7 +93,7 @@
 		return
 	}
 	if sess.handOverTo != "" {
-		return // it is sent again to the next owner
+		return // the edge sends it again to the next owner
 	}
 	switch envelope.Kind {
 	case KindAck:
@@ -104,7 +104,7 @@
 	}
 }
 
-// receiveAck takes that the client has all messages up to a number.
+// receiveAck handles the client's acknowledgement of all messages up to a number.
 func (s *Site) receiveAck(sess *session, number uint64, now float64) {
 	if len(sess.Outbox) > 0 && sess.Outbox[0].Number <= number {
 		s.applyAsOwner(sess, Op{Kind: OpAck, Number: min(number, sess.delivered)}, now)
@@ -112,10 +112,10 @@
 	}
 }
 
-// acceptPublished takes the client's messages in order, as far as there is space; the rest is sent again.
+// acceptPublished accepts the client's messages in order, as long as there is space. The edge sends the others again.
 func (s *Site) acceptPublished(sess *session, messages []Message, now float64) {
 	for _, m := range messages {
-		if m.Number <= sess.InboxLast { // it was taken, here or at an earlier owner
+		if m.Number <= sess.InboxLast { // a duplicate, accepted here or by an earlier owner
 			continue
 		}
 		sessionFits, siteFits := s.fits(sess, len(sess.Inbox), &m)
@@ -127,7 +127,7 @@
 	}
 }
 
-// ackPublished tells the edge which of the client's messages are replicated.
+// ackPublished acknowledges to the edge the client's messages that are replicated.
 func (s *Site) ackPublished(sess *session) {
 	if sess.attached {
 		s.send(sess.edge, Envelope{Kind: KindPublishAck, Session: sess.id, Epoch: sess.Epoch, Socket: sess.socket,
@@ -135,14 +135,14 @@
 	}
 }
 
-// deliver sends the client what is replicated and fits its window.
+// deliver sends the client the messages that are replicated and fit into its window.
 func (s *Site) deliver(sess *session, replicated uint64, now float64) {
 	if !sess.attached || !s.holdsLease(now) || sess.handOverTo != "" || replicated == 0 {
 		return
 	}
 	last := sess.replicatedOutbox(replicated)
 	var messages []Message
-	inFlightBytes := int64(0) // bytes that the client has not acknowledged
+	inFlightBytes := int64(0) // bytes not acknowledged by the client
 	for i := range sess.Outbox {
 		m := &sess.Outbox[i]
 		inFlightBytes += messageSize(m)
@@ -161,7 +161,7 @@
 		Messages: messages})
 }
 
-// HandleEdgeLost takes that the link to an edge has ended: its sockets attach again.
+// HandleEdgeLost detaches the sockets of an edge whose link has ended. They will attach again.
 func (s *Site) HandleEdgeLost(edge string, now float64) {
 	for _, id := range slices.Sorted(maps.Keys(s.owned)) {
 		if sess := s.owned[id]; sess.attached && sess.edge == edge {
--- a/internal/session/queue/bounds_test.go
+++ b/internal/session/queue/bounds_test.go
@@ -7,9 +7,9 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// What a session may hold, and what its producers are told beyond it.
+// The limits of a session, and the statuses that producers get when they exceed them.
 func TestBounds(t *testing.T) {
-	Convey("A session whose client reads, but acknowledges nothing", t, func() {
+	Convey("A session whose client reads messages but doesn't acknowledge them", t, func() {
 		il := newInterleaving()
 		owner := il.owner()
 		owner.Limits.SessionMessages, owner.Limits.WindowBytes, owner.Limits.MessageBytes = 4, 100, 50
@@ -21,14 +21,14 @@
 		}
 		So(put("k1", strings.Repeat("x", 40)), ShouldEqual, 202)
 		So(put("k2", strings.Repeat("x", 40)), ShouldEqual, 202)
-		Convey("gets one message, as two are over its window's bytes", func() {
+		Convey("delivers one message, since two exceed the bytes of the window", func() {
 			So(il.received, ShouldResemble, []uint64{1})
 			il.edge.Ack(1, 1)
 			il.flush()
 			il.settle()
 			So(il.received, ShouldResemble, []uint64{1, 2})
 		})
-		Convey("refuses what is too long, a key that is, and the fifth message, and says the same of a repeat as before",
+		Convey("refuses a message that is too long, a key that is too long and a fifth message, and recognizes a duplicate",
 			func() {
 				So(put("k3", strings.Repeat("x", 60)), ShouldEqual, 413)
 				So(put(strings.Repeat("k", 200), "x"), ShouldEqual, 400)
@@ -36,7 +36,7 @@
 				So(put("k3", "x"), ShouldEqual, 202)
 				So(put("k4", "x"), ShouldEqual, 202)
 				So(put("k5", "x"), ShouldEqual, 429)
-				Convey("which all come once it acknowledges", func() {
+				Convey("and delivers all queued messages once the client acknowledges them", func() {
 					for range 4 {
 						il.edge.Ack(1, il.edge.sockets[1].delivered)
 						il.flush()
@@ -46,14 +46,14 @@
 					So(put("k5", "x"), ShouldEqual, 202)
 				})
 			})
-		Convey("takes nothing without a lease, or without a neighbour", func() {
+		Convey("accepts nothing without a lease or without a replica", func() {
 			owner.leaseUntil = 0
 			So(put("k6", "x"), ShouldEqual, 503)
 			owner.leaseUntil = 1e12
 			owner.owned["s"].Replicas = nil
 			So(put("k7", "x"), ShouldEqual, 503)
 		})
-		Convey("gives up what nobody fetches in time, and counts it", func() {
+		Convey("drops messages that aren't acknowledged in time, and counts them", func() {
 			owner.Limits.MaxAge = 1
 			il.now += 10
 			owner.Tick(il.now)
@@ -62,17 +62,16 @@
 	})
 }
 
-// A client that sends faster than two sites take it is read no further than its edge may hold, by messages and by
-// bytes.
+// An edge stops reading from a client whose messages the sites don't acknowledge, at a limit of messages and of bytes.
 func TestEdgeBoundsUnackedMessages(t *testing.T) {
 	for _, bodySize := range []int{1, 100 << 10} {
 		o := newInterleaving()
 		published := 0
-		for ; o.edge.CanPublish(1) && published < 1000; published++ { // nothing comes to any site meanwhile
+		for ; o.edge.CanPublish(1) && published < 1000; published++ { // no envelope reaches a site
 			o.edge.Publish(1, uint64(published+1), make([]byte, bodySize))
 		}
 		if want := map[int]int{1: maxUnackedMessages, 100 << 10: 3}[bodySize]; published != want {
-			t.Errorf("%d messages of %d bytes, not %d", published, bodySize, want)
+			t.Errorf("%d messages of %d bytes were accepted, want %d", published, bodySize, want)
 		}
 	}
 }
--- a/internal/session/queue/edge.go
+++ b/internal/session/queue/edge.go
@@ -1,7 +1,7 @@
 package queue
 
-// This file owns an edge, where clients' sockets end: what it holds of each, and what clients do. It keeps what the
-// client sent and is not replicated yet, and sends it again to each next owner, so that the client notices nothing.
+// This file implements an edge, to which clients' sockets are connected. It keeps each client's messages until they are
+// replicated and sends them again to each new owner, so that a change of the owner is transparent to the client.
 
 import (
 	"maps"
@@ -13,19 +13,19 @@
 // Times are milliseconds.
 const (
 	locateInterval     = 100.0     // between attempts to attach a socket
-	locateTimeout      = 15000.0   // after which a detached socket is closed; its session may still exist
-	unknownTimeout     = 4000.0    // the same for one that never was attached: longer than a lease, so that it is unknown
-	republishAfter     = 500.0     // after which what is not acknowledged is sent again
-	maxUnackedMessages = 64        // messages of a client that are not acknowledged; more are not read
-	maxUnackedBytes    = 256 << 10 // and their bytes
-	maxOwnerGaps       = 8192      // that are remembered
+	locateTimeout      = 15000.0   // after which a detached socket is closed, although its session may still exist
+	unknownTimeout     = 4000.0    // the same for a socket that was never attached; longer than a lease
+	republishAfter     = 500.0     // after which unacknowledged messages are sent again
+	maxUnackedMessages = 64        // unacknowledged messages of a client at which reading from it stops
+	maxUnackedBytes    = 256 << 10 // bytes of unacknowledged messages at which reading stops
+	maxOwnerGaps       = 8192      // owner gaps that are kept
 	prunedOwnerGaps    = maxOwnerGaps / 4
 )
 
-// ClientEventKind of a client event.
+// ClientEventKind is the kind of a ClientEvent.
 type ClientEventKind uint8
 
-// The kinds of client events, with their fields beside Socket.
+// The kinds of client events, with the fields that they use besides Socket.
 const (
 	EventOpened       ClientEventKind = iota + 1 // the session is attached: Session, Secret, Number as below
 	EventMessage                                 // Number, Body
@@ -33,7 +33,7 @@
 	EventClosed                                  // Reason, Resumable
 )
 
-// ClientEvent is something to tell a client.
+// ClientEvent is an event to send to a client.
 type ClientEvent struct {
 	Kind      ClientEventKind
 	Socket    uint64
@@ -50,28 +50,28 @@
 	id         uint64
 	session    string
 	secret     string
-	newSession bool   // the session begins with this socket
-	connection uint64 // number of the connection, once it was attached
+	newSession bool   // the session is created with this socket
+	connection uint64 // number of the connection; 0 before the socket was attached
 
-	// The session's owner, as far as it is known.
-	epoch    uint64 // of the session; 0: it was not attached yet
+	// The session's owner as known to the edge.
+	epoch    uint64 // of the session; 0: the socket was never attached
 	owner    string
 	replicas []string
 	attached bool
-	opened   bool // it was attached once
+	opened   bool // the socket was attached at least once
 
-	delivered     uint64    // number of the last message that was given to the client
-	acked         uint64    // and of the last one that it acknowledged
-	unacked       []Message // of the client, not replicated yet; numbers without gaps up to published
+	delivered     uint64    // number of the last message sent to the client
+	acked         uint64    // number of the last message that the client acknowledged
+	unacked       []Message // the client's messages that are not replicated; numbered without gaps up to lastPublished
 	lastPublished uint64    // number of the client's last message
 
-	nextAttachAt   float64 // no attempt to attach before
+	nextAttachAt   float64 // earliest time of the next attempt to attach
 	detachedAt     float64
-	attachAttempts int // to attach, since detachedAt
+	attachAttempts int // attempts to attach since detachedAt
 	publishSentAt  float64
 }
 
-// Edge is one process.
+// Edge is the state of an edge process.
 type Edge struct {
 	Name string
 
@@ -84,26 +84,26 @@
 	ownerGaps []float64
 }
 
-// NewEdge has no socket.
+// NewEdge returns an edge without sockets.
 func NewEdge(name, zone, region string) *Edge {
 	return &Edge{Name: name, zone: zone, region: region, sockets: map[uint64]*socket{}}
 }
 
-// TakeOutgoing gives what is to be sent to sites since the last call.
+// TakeOutgoing returns the envelopes to be sent to sites since the last call.
 func (e *Edge) TakeOutgoing() []Outgoing {
 	outgoing := e.outgoing
 	e.outgoing = nil
 	return outgoing
 }
 
-// TakeClientEvents gives what is to be told to clients since the last call.
+// TakeClientEvents returns the events to be sent to clients since the last call.
 func (e *Edge) TakeClientEvents() []ClientEvent {
 	events := e.events
 	e.events = nil
 	return events
 }
 
-// OwnerGaps gives for how many milliseconds sockets were without an owner, of the newest changes.
+// OwnerGaps returns, for the latest changes of owners, the milliseconds for which a socket was detached.
 func (e *Edge) OwnerGaps() []float64 { return e.ownerGaps }
 
 func (e *Edge) addOwnerGap(gap float64) {
@@ -113,7 +113,7 @@
 	}
 }
 
-// Sockets is how many are open.
+// Sockets returns the number of open sockets.
 func (e *Edge) Sockets() int { return len(e.sockets) }
 
 func (e *Edge) send(to string, sock *socket, envelope Envelope) {
@@ -123,8 +123,8 @@
 
 func (e *Edge) emit(event ClientEvent) { e.events = append(e.events, event) }
 
-// OpenSocket takes a client's socket. newSession: its session begins with it; else acked is the last message that the
-// client has of it.
+// OpenSocket adds a client's socket. newSession says that its session is to be created; otherwise acked is the number
+// of the last message that the client has received.
 func (e *Edge) OpenSocket(id uint64, session, secret string, newSession bool, acked uint64, now float64) {
 	sock := &socket{id: id, session: session, secret: secret, newSession: newSession, delivered: acked, acked: acked,
 		detachedAt: now}
@@ -132,7 +132,7 @@
 	e.locateOwner(sock, now)
 }
 
-// CloseSocket takes that a client's socket is closed.
+// CloseSocket removes a client's socket that was closed.
 func (e *Edge) CloseSocket(id uint64) {
 	if sock := e.sockets[id]; sock != nil {
 		if sock.attached {
@@ -142,13 +142,13 @@
 	}
 }
 
-// endSocket has a client's socket closed.
+// endSocket emits an event that closes a client's socket, and removes the socket.
 func (e *Edge) endSocket(sock *socket, reason string, resumable bool) {
 	e.emit(ClientEvent{Kind: EventClosed, Socket: sock.id, Reason: reason, Resumable: resumable})
 	e.CloseSocket(sock.id)
 }
 
-// CanPublish says whether more of a client's messages may be read now.
+// CanPublish reports whether another message of a client may be read now.
 func (e *Edge) CanPublish(id uint64) bool {
 	sock := e.sockets[id]
 	if sock == nil || !sock.opened || len(sock.unacked) >= maxUnackedMessages {
@@ -161,8 +161,8 @@
 	return bytes < maxUnackedBytes
 }
 
-// Publish takes a client's message. number is the client's own for it, 0 where it gives none; a repeated one changes
-// nothing, and a gap closes the socket.
+// Publish accepts a client's message. number is the message's number, or 0 if the client doesn't number its messages. A
+// duplicate is ignored, and a gap closes the socket.
 func (e *Edge) Publish(id, number uint64, body []byte) {
 	sock := e.sockets[id]
 	if sock == nil || !sock.opened || number > 0 && number <= sock.lastPublished {
@@ -180,7 +180,7 @@
 	}
 }
 
-// republish sends all of the client's messages that are not acknowledged.
+// republish sends all unacknowledged messages of the client again.
 func (e *Edge) republish(sock *socket, now float64) {
 	sock.publishSentAt = now
 	if len(sock.unacked) > 0 {
@@ -188,7 +188,8 @@
 	}
 }
 
-// Ack takes that the client, or the socket of one that doesn't acknowledge, has all messages up to a number.
+// Ack acknowledges all messages up to a number for a client. For a client that doesn't acknowledge messages itself the
+// caller acknowledges those that were written to its socket.
 func (e *Edge) Ack(id, number uint64) {
 	sock := e.sockets[id]
 	if sock == nil || number <= sock.acked || number > sock.delivered {
@@ -200,7 +201,8 @@
 	}
 }
 
-// Tick does what is due: attaching sockets, sending again, closing sockets whose session is not found.
+// Tick performs the periodic work: it attaches sockets, sends unacknowledged messages again, and closes sockets whose
+// session isn't found.
 func (e *Edge) Tick(now float64) {
 	for _, id := range slices.Sorted(maps.Keys(e.sockets)) {
 		sock := e.sockets[id]
--- a/internal/session/queue/edgereceive.go
+++ b/internal/session/queue/edgereceive.go
@@ -1,8 +1,8 @@
 package queue
 
-// This file owns what an edge does with the messages of sites.
+// This file handles the envelopes that an edge receives from sites.
 
-// Receive takes an envelope of a site.
+// Receive handles an envelope of a site.
 func (e *Edge) Receive(from string, envelope *Envelope, now float64) {
 	sock := e.sockets[envelope.Socket]
 	if sock == nil || sock.session != envelope.Session || envelope.Epoch > 0 && envelope.Epoch < sock.epoch {
@@ -40,7 +40,7 @@
 		e.addOwnerGap(now - sock.detachedAt)
 	}
 	firstAttach := !sock.opened
-	sock.delivered = max(sock.delivered, envelope.Base) // the client had those by an earlier connection
+	sock.delivered = max(sock.delivered, envelope.Base) // received by the client over an earlier connection
 	sock.attached, sock.opened, sock.attachAttempts = true, true, 0
 	sock.epoch, sock.connection, sock.replicas = envelope.Epoch, envelope.Connection, envelope.Replicas
 	if firstAttach {
@@ -53,7 +53,7 @@
 	e.republish(sock, now)
 }
 
-// receiveDeliver gives the client the messages that follow those that it was given.
+// receiveDeliver sends the client the messages that follow the last one sent to it.
 func (e *Edge) receiveDeliver(sock *socket, envelope *Envelope) {
 	sock.epoch = envelope.Epoch
 	for _, m := range envelope.Messages {
@@ -64,7 +64,7 @@
 	}
 }
 
-// receivePublishAck takes that the client's messages up to a number are replicated.
+// receivePublishAck handles the acknowledgement that the client's messages up to a number are replicated.
 func (e *Edge) receivePublishAck(sock *socket, number uint64) {
 	unackedBefore := len(sock.unacked)
 	for len(sock.unacked) > 0 && sock.unacked[0].Number <= number {
@@ -75,7 +75,7 @@
 	}
 }
 
-// receiveRedirect follows a session to its owner.
+// receiveRedirect attaches a socket to the owner that a site has named.
 func (e *Edge) receiveRedirect(sock *socket, envelope *Envelope, now float64) {
 	if sock.attached && sock.owner == envelope.Owner && envelope.Epoch <= sock.epoch {
 		return
--- a/internal/session/queue/enqueue.go
+++ b/internal/session/queue/enqueue.go
@@ -1,29 +1,29 @@
 package queue
 
-// This file owns what producers and consumers ask of a session's owner.
+// This file implements the calls of producers and consumers at a session's owner.
 
 import "slices"
 
-// Status is the answer to a producer, in the terms of HTTP.
+// Status is the answer to a producer, as an HTTP status code.
 type Status int
 
 // The statuses of an Enqueue.
 const (
-	StatusRepeated    Status = 200 // the same message was queued before
-	StatusQueued      Status = 202 // at the owner and all replicas
+	StatusRepeated    Status = 200 // a message with the same key was queued before
+	StatusQueued      Status = 202 // the owner and all replicas have the message
 	StatusBadKey      Status = 400 // the key is too long
 	StatusNoSession   Status = 404 // the session isn't owned here
-	StatusTooLong     Status = 413 // the message is
-	StatusQueueFull   Status = 429 // the session's
-	StatusUnavailable Status = 503 // now: no lease, a hand-over, no replica, or no answer of one in time
+	StatusTooLong     Status = 413 // the message is too long
+	StatusQueueFull   Status = 429 // the session's outbox is full
+	StatusUnavailable Status = 503 // temporarily: no lease, a hand-over, no replica, or a replica didn't answer in time
 	StatusSiteFull    Status = 507
 )
 
-// Reply takes the answer to a producer: the status, and the message's number where it was queued.
+// Reply receives the answer to a producer: the status, and the message's number if it was queued.
 type Reply func(status Status, number uint64)
 
-// Enqueue queues a message for the client. key is the producer's idempotency key: the same key is the same message;
-// "" is none. The reply may come at once or later, from a call of another method.
+// Enqueue queues a message for the client. key is the producer's idempotency key, which identifies the message, or ""
+// for none. reply is called immediately or later, by another method of the site.
 func (s *Site) Enqueue(id, key string, body []byte, now float64, reply Reply) {
 	sess := s.owned[id]
 	switch {
@@ -40,7 +40,7 @@
 	}
 }
 
-// enqueue queues a message unless it was queued before or there is no space.
+// enqueue queues a message unless it is a duplicate or there is no space.
 func (s *Site) enqueue(sess *session, key string, body []byte, now float64, reply Reply) {
 	if key != "" {
 		if i := slices.IndexFunc(sess.RecentKeys, func(m Message) bool { return m.Key == key }); i >= 0 {
@@ -62,7 +62,7 @@
 	sess.waiters = append(sess.waiters, waiter{sess.LogLength, m.Number, reply, now + replyTimeout})
 }
 
-// repeat answers who sends a message again: at once, or when it is replicated.
+// replyToRepeat answers a producer that sends a message again: immediately, or once the message is replicated.
 func (s *Site) replyToRepeat(sess *session, number uint64, now float64, reply Reply) {
 	if sess.replicatedOutbox(s.replicatedIndex(sess)) >= number {
 		reply(StatusRepeated, number)
@@ -71,8 +71,8 @@
 	sess.waiters = append(sess.waiters, waiter{sess.LogLength, number, reply, now + replyTimeout})
 }
 
-// Inbox gives the client's messages behind a number that are replicated and not consumed; not ok: the session isn't
-// owned here.
+// Inbox returns the client's messages with higher numbers than after that are replicated and not consumed. ok is false
+// if the session isn't owned here or the site has no lease.
 func (s *Site) Inbox(id string, after uint64, now float64) (messages []Message, ok bool) {
 	sess := s.owned[id]
 	if sess == nil || !s.holdsLease(now) {
@@ -87,8 +87,8 @@
 	return messages, true
 }
 
-// Consume takes that the consumer has all messages up to a number; false: the session isn't owned here, or is being
-// handed over.
+// Consume removes the client's messages up to a number, which the consumer has processed. It returns false if the
+// session isn't owned here, is being handed over, or the site has no lease.
 func (s *Site) Consume(id string, number uint64, now float64) bool {
 	sess := s.owned[id]
 	if sess == nil || !s.holdsLease(now) || sess.handOverTo != "" {
--- a/internal/session/queue/golden_test.go
+++ b/internal/session/queue/golden_test.go
@@ -9,7 +9,8 @@
 	"weirwind/internal/standin/golden"
 )
 
-// One envelope of each kind, with the fields that it uses; the state and each kind of op among them.
+// Golden file with one envelope of each kind, with all fields that the kind uses, including a session's state and each
+// kind of op.
 func TestGoldenForms(t *testing.T) {
 	messages := []Message{{7, "key", []byte("body"), 12.5}, {Number: 8, Body: []byte("b")}}
 	state := &SessionState{"secret", 3, "a", 4, []string{"b", "c"}, 19, messages, 8, []Message{{Number: 2,
@@ -43,7 +44,7 @@
 	})
 }
 
-// What operators are shown of a session.
+// Golden file of a session's description for operators.
 func TestGoldenSessionInfo(t *testing.T) {
 	il := newInterleaving()
 	owner := il.owner()
--- a/internal/session/queue/handover.go
+++ b/internal/session/queue/handover.go
@@ -1,6 +1,6 @@
 package queue
 
-// This file owns the hand-over: a draining owner makes one of its replicas the owner.
+// This file implements the hand-over of a session by a draining owner to one of its replicas.
 
 import (
 	"slices"
@@ -8,7 +8,8 @@
 	"weirwind/internal/session/sites"
 )
 
-// startHandOver begins to hand a session over to its first replica at an active site. From here on it doesn't change.
+// startHandOver starts to hand a session over to its first replica at an active site. The session doesn't change from
+// then on.
 func (s *Site) startHandOver(sess *session, now float64) {
 	for _, replica := range sess.Replicas {
 		if _, known := sess.ackedIndex[replica]; known && s.current.Sites[replica].State == sites.StateActive {
@@ -20,7 +21,8 @@
 	}
 }
 
-// sendHandOver asks the new owner to take the session, once all replicas have all of it, and again until it answers.
+// sendHandOver asks the new owner to take the session over once all replicas have the complete log, and repeats the
+// request until it is answered.
 func (s *Site) sendHandOver(sess *session, replicated uint64, now float64) {
 	if replicated == sess.LogLength && now-sess.handOverAt >= resendAfter {
 		sess.handOverAt = now
@@ -28,11 +30,11 @@
 	}
 }
 
-// acceptHandOver makes this site the owner of a session that its owner hands over.
+// acceptHandOver makes this site the owner of a session that is handed over to it.
 func (s *Site) acceptHandOver(from string, envelope *Envelope, now float64) {
 	done := Envelope{Kind: KindHandOverDone, Session: envelope.Session, Epoch: envelope.Epoch, Owner: s.Name}
 	if owned := s.owned[envelope.Session]; owned != nil && owned.Epoch >= envelope.Epoch {
-		s.send(from, done) // again: the first answer was lost
+		s.send(from, done) // repeated, since the first answer was lost
 		return
 	}
 	sess := s.replicas[envelope.Session]
@@ -40,7 +42,7 @@
 		!s.current.AliveAt(sess.Owner, sess.OwnerEpoch) {
 		return
 	}
-	sess.Replicas = append(sess.Replicas, from) // until another has all
+	sess.Replicas = append(sess.Replicas, from) // kept as a replica until another site has the complete log
 	s.takeOver(sess, now)
 	s.send(from, done)
 }
@@ -52,7 +54,7 @@
 	}
 }
 
-// finishHandOver makes the old owner a replica, and tells the edge who the new one is.
+// finishHandOver makes this site, the old owner, a replica, and redirects the edge to the new owner.
 func (s *Site) finishHandOver(sess *session, owner string, epoch uint64) {
 	sess.failWaiters(StatusUnavailable)
 	if sess.attached {
@@ -66,13 +68,13 @@
 	s.replicas[sess.id] = sess
 }
 
-// abandonHandOver keeps a session whose new owner was removed. It may have been the owner by the next epoch, which is
-// over, so this site goes on by the one behind that.
+// abandonHandOver keeps a session whose designated owner was removed from the map. That site may have been the owner
+// with the next epoch, so this site skips that epoch.
 func (s *Site) abandonHandOver(sess *session) {
 	sess.handOverTo = ""
 	sess.Epoch += 2
 	sess.resyncReplicas()
-	if sess.attached { // what the client sent meanwhile was not accepted
+	if sess.attached { // messages that the client sent during the hand-over were not accepted
 		s.redirect(sess, s.Name, sess.Replicas, sess.Epoch)
 	}
 }
--- a/internal/session/queue/interleavings_test.go
+++ b/internal/session/queue/interleavings_test.go
@@ -10,10 +10,10 @@
 	"weirwind/internal/session/sites"
 )
 
-// interleaving plays one session of three sites and an edge through every order of few events: which link's next
-// envelope arrives, a message is enqueued, the client acknowledges or publishes, the owner is removed or drains, a link
-// breaks. Time stands still up to the end, when all that is left may happen; then everything that was acknowledged must
-// have arrived once and in order.
+// interleaving runs one session, with three sites and an edge, through one order of a few events: the next envelope of
+// a link arrives, a message is enqueued, the client acknowledges or publishes, the owner is removed or drains, or its
+// links break. Time doesn't advance until the end, when all remaining envelopes are delivered. Then every acknowledged
+// message must have arrived once and in order.
 type interleaving struct {
 	now           float64
 	current       *sites.Map
@@ -114,7 +114,7 @@
 	return nil
 }
 
-// step takes the choice-th thing that can happen; false: there is none of that number.
+// step performs the event with the number choice of those that are possible now. It returns false if there are fewer.
 func (il *interleaving) step(choice int) bool {
 	for _, k := range il.linkOrder {
 		if len(il.links[k]) == 0 {
@@ -161,7 +161,7 @@
 			il.current, _ = il.current.Apply(&sites.Change{Kind: sites.ChangeExpire, Name: owner.Name, Epoch: 1})
 			il.publishMap()
 		}},
-		{!il.linksBroken && owner != nil, func() { // the owner's links to other sites lose what is on its way
+		{!il.linksBroken && owner != nil, func() { // the owner's links to other sites lose their envelopes in flight
 			il.linksBroken = true
 			for k := range il.links {
 				if k[0] == owner.Name && k[1] != "e" || k[1] == owner.Name && k[0] != "e" {
@@ -184,7 +184,7 @@
 	return false
 }
 
-// settle lets all that is left happen, with time.
+// settle delivers all envelopes and advances the time until nothing more happens.
 func (il *interleaving) settle() {
 	for range 30 {
 		for delivered := true; delivered; {
@@ -209,9 +209,9 @@
 	if owner := il.owner(); owner == nil {
 		return "no owner"
 	} else if sock := il.edge.sockets[1]; sock == nil || !sock.attached || sock.owner != owner.Name {
-		return "the socket has no owner"
+		return "the socket isn't attached to the owner"
 	} else if messages, _ := owner.Inbox("s", 0, il.now); uint64(len(messages)) != il.published {
-		return fmt.Sprintf("%d of the client's %d messages are there", len(messages), il.published)
+		return fmt.Sprintf("the inbox has %d of the client's %d messages", len(messages), il.published)
 	}
 	owners := 0
 	for _, n := range siteNames {
@@ -224,12 +224,12 @@
 	}
 	for i, n := range il.received {
 		if n != uint64(i+1) {
-			return fmt.Sprintf("the client saw %v", il.received)
+			return fmt.Sprintf("the client received %v", il.received)
 		}
 	}
 	for _, n := range il.acknowledged {
 		if !slices.Contains(il.received, n) {
-			return fmt.Sprintf("%v were queued, %v came", il.acknowledged, il.received)
+			return fmt.Sprintf("%v were acknowledged, %v were received", il.acknowledged, il.received)
 		}
 	}
 	return ""
--- a/internal/session/queue/limits.go
+++ b/internal/session/queue/limits.go
@@ -1,24 +1,24 @@
 package queue
 
-// This file owns the limits of a site and of a session.
+// This file defines the limits of a site and of a session.
 
-// Limits bound what a site holds.
+// Limits limit the resources of a site.
 type Limits struct {
-	Sessions        int     // that the site owns
-	SessionBytes    int64   // of a session's outbox and inbox
-	SessionMessages int     // in a session's outbox, and as many in its inbox
-	MaxAge          float64 // milliseconds after which a message that was not acknowledged is dropped
-	TotalBytes      int64   // of all sessions, replicas included
-	MessageBytes    int     // of one message
-
-	WindowMessages int   // not acknowledged, that are delivered to a client
-	WindowBytes    int64 // and their bytes, beyond the first
-
-	Replicas   int // beside the owner
-	RecentKeys int // idempotency keys that are remembered of a session
+	Sessions        int     // number of sessions that the site owns
+	SessionBytes    int64   // bytes of a session's outbox and inbox together
+	SessionMessages int     // messages in a session's outbox, and in its inbox
+	MaxAge          float64 // milliseconds after which an unacknowledged message is dropped
+	TotalBytes      int64   // bytes of all sessions, including replicas
+	MessageBytes    int     // bytes of one message's body
+
+	WindowMessages int   // unacknowledged messages that are delivered to a client
+	WindowBytes    int64 // bytes of these messages; the first one may exceed it
+
+	Replicas   int // replicas of a session in addition to the owner
+	RecentKeys int // idempotency keys that are kept for each session
 }
 
-// DefaultLimits are a site's where nothing else is said.
+// DefaultLimits are the default limits of a site.
 var DefaultLimits = Limits{
 	Sessions:        20000,
 	SessionBytes:    1 << 20,
@@ -34,17 +34,17 @@
 
 // Times are milliseconds.
 const (
-	resendAfter      = 200.0            // after which what was not answered is sent again
+	resendAfter      = 200.0            // after which an unanswered message is sent again
 	replyTimeout     = 2000.0           // for which a producer's reply waits for replication
 	idleTimeout      = 10 * 60 * 1000.0 // after which an empty session without a socket is discarded
 	takeOverInterval = 5 * resendAfter  // between checks for sessions whose owner is gone
-	maxKeyBytes      = 128              // of an idempotency key
-	messageOverhead  = 64               // bytes that a message takes beside its body and key
+	maxKeyBytes      = 128              // length of an idempotency key
+	messageOverhead  = 64               // bytes that a message takes in addition to its body and key
 )
 
 func messageSize(m *Message) int64 { return int64(len(m.Body) + len(m.Key) + messageOverhead) }
 
-// fits says whether a session, and the site, have space for one more message in a queue of that length.
+// fits reports whether the session and the site have space for one more message in a queue that holds queued messages.
 func (s *Site) fits(sess *session, queued int, m *Message) (session, site bool) {
 	size := messageSize(m)
 	return queued < s.Limits.SessionMessages && sess.bytes+size <= s.Limits.SessionBytes,
--- a/internal/session/queue/locate.go
+++ b/internal/session/queue/locate.go
@@ -1,6 +1,6 @@
 package queue
 
-// This file owns how an edge finds a session's owner, and finds it again.
+// This file locates a session's owner for an edge.
 
 import (
 	"cmp"
@@ -10,11 +10,13 @@
 	"weirwind/internal/session/sites"
 )
 
-// locateEvery is how often, in attempts, all sites are asked for the owner instead of the one that is assumed.
+// locateEvery is the number of attempts of which one asks all sites for the owner, instead of attaching to the presumed
+// owner.
 const locateEvery = 3
 
-// locateOwner attaches a socket to the owner that is assumed: for a new session the nearest sites in turn, else the
-// last one known, else a replica. Now and then, and where none of them is alive, it asks all sites.
+// locateOwner attaches a socket to the presumed owner: for a new session one of the nearest sites in turn, otherwise
+// the last known owner, or a replica if the owner isn't alive. In every locateEvery-th attempt, and if none of these
+// sites is alive, it asks all sites.
 func (e *Edge) locateOwner(sock *socket, now float64) {
 	sock.nextAttachAt = now + locateInterval
 	sock.attachAttempts++
@@ -46,7 +48,7 @@
 	}
 }
 
-// nearestSites gives the sites that take new sessions, near ones first.
+// nearestSites returns the sites that accept new sessions, the nearest first.
 func (e *Edge) nearestSites() []string {
 	var active []string
 	for name, site := range e.current.Sites {
@@ -74,14 +76,14 @@
 		Number: sock.delivered, Base: sock.acked, New: sock.newSession && sock.epoch == 0})
 }
 
-// detach notes that a socket has no owner.
+// detach marks a socket as detached from its owner.
 func (sock *socket) detach(now float64) {
 	if sock.attached {
 		sock.attached, sock.detachedAt, sock.attachAttempts = false, now, 0
 	}
 }
 
-// ApplyMap takes a newer map. Sockets whose owner's epoch is over look for another.
+// ApplyMap applies a map if it is newer, and locates a new owner for sockets whose owner's epoch has ended.
 func (e *Edge) ApplyMap(m *sites.Map, now float64) {
 	if m == nil || e.current != nil && m.Version <= e.current.Version {
 		return
@@ -99,7 +101,7 @@
 	}
 }
 
-// HandleSiteLost takes that the link to a site has ended.
+// HandleSiteLost detaches the sockets whose owner is a site to which the link has ended.
 func (e *Edge) HandleSiteLost(site string, now float64) {
 	for _, id := range slices.Sorted(maps.Keys(e.sockets)) {
 		if sock := e.sockets[id]; sock.owner == site {
--- a/internal/session/queue/receive.go
+++ b/internal/session/queue/receive.go
@@ -1,8 +1,8 @@
 package queue
 
-// This file owns which part of the package takes which message of a site or an edge.
+// This file dispatches the envelopes that a site receives.
 
-// Receive takes an envelope of a site or an edge.
+// Receive handles an envelope of a site or an edge.
 func (s *Site) Receive(from string, envelope *Envelope, now float64) {
 	if s.Epoch == 0 || s.current == nil {
 		if envelope.Kind == KindAttach {
@@ -11,7 +11,7 @@
 		return
 	}
 	if site, ok := s.current.Sites[from]; ok && envelope.SiteEpoch != site.Epoch {
-		return // of another incarnation, or of one that this site has not heard of yet: it is sent again
+		return // from another incarnation than this site's map has; if the map is outdated, the message will be sent again
 	}
 	switch envelope.Kind {
 	case KindAttach:
@@ -37,12 +37,12 @@
 	}
 }
 
-// reject answers a KindAttach.
+// reject answers a KindAttach with a rejection.
 func (s *Site) reject(edge string, attach *Envelope, reason string) {
 	s.send(edge, Envelope{Kind: KindRejected, Session: attach.Session, Socket: attach.Socket, Reason: reason})
 }
 
-// receiveLocate answers an edge that looks for a session's owner.
+// receiveLocate answers an edge that asks for a session's owner.
 func (s *Site) receiveLocate(from string, envelope *Envelope, now float64) {
 	if sess := s.owned[envelope.Session]; sess != nil && s.holdsLease(now) {
 		s.send(from, Envelope{Kind: KindRedirect, Session: envelope.Session, Socket: envelope.Socket, Owner: s.Name,
@@ -50,7 +50,7 @@
 	}
 }
 
-// redirect tells the edge of a session's socket who owns it.
+// redirect tells the edge of a session's socket which site owns the session.
 func (s *Site) redirect(sess *session, owner string, replicas []string, epoch uint64) {
 	s.send(sess.edge, Envelope{Kind: KindRedirect, Session: sess.id, Socket: sess.socket, Owner: owner,
 		Replicas: replicas, Epoch: epoch})
--- a/internal/session/queue/replica.go
+++ b/internal/session/queue/replica.go
@@ -1,15 +1,15 @@
 package queue
 
-// This file owns replication at a replica.
+// This file implements replication at a replica.
 
 import "slices"
 
-// receiveSnapshot takes a session as a whole. An owner whose epoch is older than what this site knows of the session
-// is told to discard it.
+// receiveSnapshot replaces this site's replica with a snapshot. If this site has a newer epoch of the session it tells
+// the sender to discard the session.
 func (s *Site) receiveSnapshot(from string, envelope *Envelope) {
 	state := envelope.State
 	if !s.current.AliveAt(state.Owner, state.OwnerEpoch) || state.Owner != from {
-		return // of an epoch that is over, or not known yet
+		return // the sender's epoch has ended, or isn't known yet
 	}
 	if owned := s.owned[envelope.Session]; owned != nil && !s.yieldOwnership(owned, from, envelope) {
 		return
@@ -32,7 +32,7 @@
 		Base: replica.LogLength})
 }
 
-// newReplica copies a snapshot: what runs in one process must not share its slices.
+// newReplica returns a replica with a copy of a snapshot: sites in one process, as in tests, must not share its slices.
 func newReplica(id string, state *SessionState) *session {
 	replica := &session{id: id, SessionState: *state}
 	replica.Outbox, replica.Inbox = slices.Clone(state.Outbox), slices.Clone(state.Inbox)
@@ -41,7 +41,8 @@
 	return replica
 }
 
-// yieldOwnership gives a session up that another site owns by a newer epoch, or refuses an older one.
+// yieldOwnership gives up a session that another site owns with a newer epoch, and redirects its edge. If the
+// snapshot's epoch isn't newer it tells the sender to discard the session instead.
 func (s *Site) yieldOwnership(owned *session, from string, snapshot *Envelope) (yielded bool) {
 	if owned.Epoch >= snapshot.Epoch {
 		s.send(from, Envelope{Kind: KindDiscard, Session: owned.id, Epoch: owned.Epoch})
@@ -54,7 +55,7 @@
 	return true
 }
 
-// receiveOps takes the part of a session's log that this replica lacks; where there is a gap it asks for a snapshot.
+// receiveOps applies the ops that this replica lacks. If there is a gap it asks for a snapshot.
 func (s *Site) receiveOps(from string, envelope *Envelope) {
 	replica := s.replicas[envelope.Session]
 	if replica == nil || replica.Epoch != envelope.Epoch || replica.LogLength < envelope.Base {
@@ -70,12 +71,12 @@
 		Base: replica.LogLength})
 }
 
-// receiveDiscard drops what is no newer than the owner that says so.
+// receiveDiscard removes this site's data of a session if its epoch is not newer than the sender's.
 func (s *Site) receiveDiscard(envelope *Envelope) {
 	if replica := s.replicas[envelope.Session]; replica != nil && replica.Epoch <= envelope.Epoch {
 		s.remove(s.replicas, replica, StatusUnavailable)
 	}
-	if owned := s.owned[envelope.Session]; owned != nil && owned.Epoch <= envelope.Epoch { // a newer owner answered
+	if owned := s.owned[envelope.Session]; owned != nil && owned.Epoch <= envelope.Epoch { // answered by a newer owner
 		s.remove(s.owned, owned, StatusUnavailable)
 	}
 }
--- a/internal/session/queue/replicas.go
+++ b/internal/session/queue/replicas.go
@@ -1,6 +1,6 @@
 package queue
 
-// This file owns which sites hold a session's replicas.
+// This file chooses the sites that hold a session's replicas.
 
 import (
 	"slices"
@@ -8,7 +8,8 @@
 	"weirwind/internal/session/sites"
 )
 
-// repairReplicas replaces replicas whose site is gone or begun anew, and adds some where there are too few.
+// repairReplicas removes replicas whose site is no longer alive, resynchronizes those whose site has a new incarnation,
+// and adds replicas if there are too few.
 func (s *Site) repairReplicas(sess *session, now float64) {
 	sess.Replicas = slices.DeleteFunc(sess.Replicas, func(replica string) bool {
 		gone := !s.current.Alive(replica)
@@ -27,13 +28,14 @@
 	s.progress(sess, now)
 }
 
-// hasNewEpoch says whether a replica's site has another epoch than when its snapshot was sent: it has lost it.
+// hasNewEpoch reports whether a replica's site has another epoch than when its snapshot was sent. It has then lost the
+// replica.
 func (s *Site) hasNewEpoch(sess *session, replica string) bool {
 	epoch, sent := sess.replicaEpoch[replica]
 	return sent && epoch != s.current.Sites[replica].Epoch
 }
 
-// addReplicas names more replicas until enough are at active sites. A draining site's doesn't count.
+// addReplicas adds replicas until enough are at active sites. Replicas at draining sites don't count.
 func (s *Site) addReplicas(sess *session) {
 	active := 0
 	for _, replica := range sess.Replicas {
@@ -51,7 +53,7 @@
 	}
 }
 
-// dropSpareReplica drops a draining site's replica once all have the whole log and enough remain.
+// dropExcessReplica drops a replica at a draining site once all replicas have the complete log and enough remain.
 func (s *Site) dropExcessReplica(sess *session, now float64) {
 	if sess.handOverTo != "" || s.replicatedIndex(sess) != sess.LogLength || len(sess.Replicas) <= s.Limits.Replicas {
 		return
@@ -65,7 +67,8 @@
 	dropped := sess.Replicas[i]
 	sess.Replicas = slices.DeleteFunc(slices.Clone(sess.Replicas), func(replica string) bool { return replica == dropped })
 	s.send(dropped, Envelope{Kind: KindDiscard, Session: sess.id, Epoch: sess.Epoch})
-	// Those that remain have to know who takes over. One that has not heard of it has an older epoch, and yields.
+	// The remaining replicas have to know the new order of take-over. One that doesn't know it yet has an older epoch and
+	// yields.
 	sess.Epoch++
 	sess.resyncReplicas()
 	s.replicate(sess, now)
--- a/internal/session/queue/replicate.go
+++ b/internal/session/queue/replicate.go
@@ -1,6 +1,6 @@
 package queue
 
-// This file owns replication at the owner. An op is replicated once all replicas have acknowledged it.
+// This file implements replication at the owner. An op is replicated once all replicas have acknowledged it.
 
 import "slices"
 
@@ -11,8 +11,8 @@
 	s.replicate(sess, now)
 }
 
-// replicate sends each replica what it was not sent yet, and again what it has not acknowledged for a while: ops, or
-// a snapshot where the ops that it lacks are gone or nothing is known of it.
+// replicate sends each replica the ops that were not sent to it yet, and after resendAfter also those that it has not
+// acknowledged. It sends a snapshot if these ops have been dropped or the replica's state is unknown.
 func (s *Site) replicate(sess *session, now float64) {
 	droppedOps := sess.LogLength - uint64(len(sess.ops)) // ops[0] has index first+1
 	for _, replica := range sess.Replicas {
@@ -42,8 +42,8 @@
 	s.send(replica, Envelope{Kind: KindSnapshot, Session: sess.id, Epoch: sess.Epoch, State: &state})
 }
 
-// replicatedIndex is the log index up to which all replicas have acknowledged. Without any replica nothing counts as
-// replicated, and nothing more is accepted.
+// replicatedIndex returns the log index up to which all replicas have acknowledged. Without replicas it is 0, and no
+// message is accepted.
 func (s *Site) replicatedIndex(sess *session) uint64 {
 	if len(sess.Replicas) == 0 {
 		return 0
@@ -55,7 +55,7 @@
 	return index
 }
 
-// receiveReplicateAck takes how much of the log a replica has, or that it needs a snapshot.
+// receiveReplicateAck records how much of the log a replica has, or that it needs a snapshot.
 func (s *Site) receiveReplicateAck(from string, envelope *Envelope, now float64) {
 	sess := s.owned[envelope.Session]
 	if sess == nil || sess.Epoch != envelope.Epoch || !slices.Contains(sess.Replicas, from) {
@@ -73,7 +73,7 @@
 	s.dropExcessReplica(sess, now)
 }
 
-// progress does what newly replicated ops allow: replies, delivery, and the next step of a hand-over.
+// progress performs the work that newly replicated ops allow: replies, delivery, and the next step of a hand-over.
 func (s *Site) progress(sess *session, now float64) {
 	replicated := s.replicatedIndex(sess)
 	s.replyToWaiters(sess, replicated, now)
@@ -87,7 +87,7 @@
 	s.deliver(sess, replicated, now)
 }
 
-// replyToWaiters answers the producers whose messages are replicated, and those whose time is over.
+// replyToWaiters answers the producers whose messages are replicated, and those whose deadline has passed.
 func (s *Site) replyToWaiters(sess *session, replicated uint64, now float64) {
 	waiting := sess.waiters[:0]
 	for _, w := range sess.waiters {
--- a/internal/session/queue/scenario_clients_test.go
+++ b/internal/session/queue/scenario_clients_test.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// This file owns the scenario's clients, producers and consumers, and the check of what they have got.
+// This file implements the scenario's clients, producers and consumers, and checks the messages that they received.
 
 type client struct {
 	id, secret     string
@@ -15,18 +15,18 @@
 	socket         uint64
 	open           bool
 	acked          uint64
-	received       []string // as they came
-	acknowledged   []string // the producer was told that they are, in this order
+	received       []string // bodies in the order of arrival
+	acknowledged   []string // bodies whose enqueuing was acknowledged to the producer, in this order
 	produced       map[string]bool
-	sent           []string // to the server
+	sent           []string // bodies published by the client
 	publishAcked   uint64
-	consumed       []string // by the consumer
+	consumed       []string // bodies received by the consumer
 	consumedNumber uint64
 	reconnects     int
 }
 
-// resend is what a client of the subprotocol does when it is connected anew: what is not acknowledged goes again,
-// under its own numbers.
+// resend publishes the client's unacknowledged messages again with their numbers, as a client of the subprotocol does
+// after it has reconnected.
 func (sc *scenario) resend(c *client, acked uint64) {
 	c.publishAcked = max(c.publishAcked, acked)
 	edge := sc.edges[c.edge]
@@ -43,7 +43,7 @@
 	sc.After(50+200*sc.random.Float64(), func() { sc.connect(c, false) })
 }
 
-// connect opens a socket of a client at any edge; fresh: its session begins.
+// connect opens a client's socket at a random edge. newSession says that its session is to be created.
 func (sc *scenario) connect(c *client, newSession bool) {
 	edge := sc.edges[simEdges[sc.random.IntN(2)]]
 	if !edge.up {
@@ -57,7 +57,7 @@
 	sc.flushEdge(edge)
 }
 
-// produce queues a message, repeating it under its key until it has an answer.
+// produce enqueues a message and retries with the same key until it has a final answer.
 func (sc *scenario) produce(c *client, n int) {
 	key := fmt.Sprint("k", n)
 	body := fmt.Sprint(c.id, "-", n)
@@ -68,7 +68,7 @@
 			return
 		}
 		asked := false
-		for _, name := range simSites { // the owner answers
+		for _, name := range simSites { // find the session's owner
 			site := sc.sites[name]
 			if !site.up || site.frozen || site.decider.owned[c.id] == nil {
 				continue
@@ -99,7 +99,7 @@
 	attempt(60)
 }
 
-// consume takes what has come from a client, at whichever site owns its session.
+// consume fetches and consumes a client's messages at the site that owns its session.
 func (sc *scenario) consume(c *client) {
 	for _, name := range simSites {
 		site := sc.sites[name]
@@ -161,37 +161,38 @@
 func (sc *scenario) verify(mayReconnect bool) (problems []string) {
 	for _, c := range sc.clients {
 		if len(c.received) > 0 && strings.Contains(strings.Join(c.received, " "), "!gap") {
-			problems = append(problems, c.id+" saw a gap")
+			problems = append(problems, c.id+" received a gap")
 		}
 		seen := map[string]int{}
 		for _, m := range c.received {
 			seen[m]++
 			if seen[m] > 1 {
-				problems = append(problems, fmt.Sprintf("%s got %s twice", c.id, m))
+				problems = append(problems, fmt.Sprintf("%s received %s twice", c.id, m))
 			}
 			if !c.produced[m] {
-				problems = append(problems, fmt.Sprintf("%s got %s, which nobody sent", c.id, m))
+				problems = append(problems, fmt.Sprintf("%s received %s, which was never produced", c.id, m))
 			}
 		}
 		for _, m := range c.acknowledged {
 			if seen[m] != 1 {
-				problems = append(problems, fmt.Sprintf("%s never got %s, which was queued", c.id, m))
+				problems = append(problems, fmt.Sprintf("%s never received %s, which was acknowledged", c.id, m))
 			}
 		}
 		for i, m := range c.consumed {
 			if i >= len(c.sent) || c.sent[i] != m {
-				problems = append(problems, fmt.Sprintf("%s: the consumer's %d is %s", c.id, i, m))
+				problems = append(problems, fmt.Sprintf("%s: message %d of the consumer is %s", c.id, i, m))
 				break
 			}
 		}
 		if len(c.consumed) < len(c.sent) {
-			problems = append(problems, fmt.Sprintf("%s: %d were sent, %d came", c.id, len(c.sent), len(c.consumed)))
+			problems = append(problems, fmt.Sprintf("%s: %d were sent, %d were consumed", c.id, len(c.sent), len(c.consumed)))
 		}
 		if len(c.consumed) < int(c.publishAcked) {
-			problems = append(problems, fmt.Sprintf("%s: %d are safe, %d came", c.id, c.publishAcked, len(c.consumed)))
+			problems = append(problems, fmt.Sprintf("%s: %d were acknowledged to the client, %d were consumed", c.id,
+				c.publishAcked, len(c.consumed)))
 		}
 		if !mayReconnect && c.reconnects > 0 {
-			problems = append(problems, fmt.Sprintf("%s did not stay open", c.id))
+			problems = append(problems, fmt.Sprintf("%s had to reconnect", c.id))
 		}
 	}
 	return problems
--- a/internal/session/queue/scenario_test.go
+++ b/internal/session/queue/scenario_test.go
@@ -17,25 +17,25 @@
 	simEdges = []string{"e0", "e1"}
 )
 
-// scenario plays sessions of sites and edges in virtual time: sites are killed, frozen, drained and come back empty,
-// links break, edges die, clients come again by their token, producers repeat what got no answer. verify: each
-// message that was acknowledged arrives once and in order, in both directions.
+// scenario simulates sessions of sites and edges in virtual time: sites are killed, frozen, drained and restarted
+// empty, links break, edges crash, clients reconnect with their tokens, and producers retry messages without an answer.
+// verify checks that each acknowledged message arrives once and in order, in both directions.
 type scenario struct {
 	virtualclock.Scheduler
 	random        *rand.Rand
 	current       *sites.Map
 	sites         map[string]*simSite
 	edges         map[string]*simEdge
-	linkBreaks    map[string]int // by pair of ends
+	linkBreaks    map[string]int // number of breaks, by the result of pair
 	renewedAt     map[string]float64
 	clients       []*client
 	clientsActive bool
 	log           []string
 
-	trace hash.Hash64 // over every message and answer in order; nil: none is kept
+	trace hash.Hash64 // hash of every message and answer in order; nil: not recorded
 }
 
-// record adds a decision to the trace, by the values of its fields in a fixed order.
+// record adds the values that describe a decision to the trace.
 func (sc *scenario) record(values ...any) {
 	if sc.trace != nil {
 		b, err := cbor.Marshal(values)
@@ -74,7 +74,7 @@
 	return b + " " + a
 }
 
-// deliver carries an envelope in order; a break loses what is on its way, and both ends hear of it.
+// deliver delivers an envelope in order, unless the link breaks before it arrives.
 func (sc *scenario) deliver(from, to string, envelope Envelope) {
 	key := pair(from, to)
 	breaks := sc.linkBreaks[key]
@@ -135,11 +135,11 @@
 			}
 		case EventMessage:
 			if !recipient.plain && (event.Number <= recipient.acked || recipient.edge != edge.name || recipient.socket != event.Socket) {
-				break // what it has, or on a connection that it has given up
+				break // a duplicate, or on an abandoned connection
 			}
 			recipient.received = append(recipient.received, string(event.Body))
 			if recipient.acked+1 != event.Number && recipient.acked != 0 {
-				sc.logf("client %s got %d behind %d", recipient.id, event.Number, recipient.acked)
+				sc.logf("client %s received %d after %d", recipient.id, event.Number, recipient.acked)
 				recipient.received = append(recipient.received, "!gap")
 			}
 			recipient.acked = event.Number
@@ -207,7 +207,7 @@
 
 const leaseFor = 1500.0
 
-// startSite begins an incarnation of a site, which renews its lease while it runs.
+// startSite starts a new incarnation of a site, which renews its lease while it runs.
 func (sc *scenario) startSite(site *simSite) {
 	site.incarnation++
 	site.decider = NewSite(site.name, Limits{Sessions: 20000, SessionBytes: 1 << 20, SessionMessages: 200, MaxAge: 1e9,
@@ -227,7 +227,7 @@
 		}
 		if !site.frozen {
 			requestedAt := sc.Now
-			sc.After(5, func() { // the core's answer, confirmed
+			sc.After(5, func() { // the core's answer
 				if s := sc.current.Sites[site.name]; s.Incarnation == incarnation && s.State != sites.StateRemoved && site.up {
 					sc.renewedAt[site.name] = sc.Now
 					sc.After(5, func() { site.run(func() { site.decider.ExtendLease(requestedAt + leaseFor) }) })
@@ -250,14 +250,14 @@
 	sc.After(20, tick)
 }
 
-// expireLeases is the core's part: a site whose lease has surely expired is removed.
+// expireLeases does what the core does: it removes sites whose leases have certainly expired.
 func (sc *scenario) expireLeases() {
 	for _, name := range simSites {
 		s, ok := sc.current.Sites[name]
 		if ok && s.State != sites.StateRemoved && sc.Now-sc.renewedAt[name] > leaseFor+200 {
-			sc.logf("%s lapses", name)
+			sc.logf("%s is removed, its lease has expired", name)
 			sc.change(&sites.Change{Kind: sites.ChangeExpire, Name: name, Epoch: s.Epoch})
-			if site := sc.sites[name]; site.up && !site.frozen { // it begins another incarnation
+			if site := sc.sites[name]; site.up && !site.frozen { // the process starts a new incarnation
 				site.up = false
 				sc.After(500, func() { sc.startSite(site) })
 			}
@@ -266,9 +266,9 @@
 	sc.After(50, sc.expireLeases)
 }
 
-// kill ends a site's process, and its links; another begins after a while.
+// kill ends a site's process and its links, and starts a new process after the downtime.
 func (sc *scenario) kill(site *simSite, downtimeMs float64) {
-	sc.logf("%s is pulled", site.name)
+	sc.logf("%s is killed", site.name)
 	site.up = false
 	for _, name := range []string{"e0", "e1", "a", "b", "c", "d"} {
 		if name != site.name {
--- a/internal/session/queue/session.go
+++ b/internal/session/queue/session.go
@@ -1,37 +1,37 @@
 package queue
 
-// This file owns a session as a site has it, and how ops change it.
+// This file implements a session at a site, and the effects of ops.
 
 import "slices"
 
-// session is what a site holds of a session, as its owner or as a replica.
+// session is the state of a session at a site, its owner or a replica.
 type session struct {
 	SessionState
 	id    string
-	bytes int64 // the sizes of outbox and inbox
+	bytes int64 // sum of the message sizes of outbox and inbox
 
-	// Replication, at the owner; the maps are by replica. A replica that is in none of them has not been sent a
+	// Replication, at the owner; the maps are keyed by replica. A replica that is in none of them has not been sent a
 	// snapshot of this epoch yet.
-	ackedIndex   map[string]uint64  // log index up to which it has acknowledged; none: a snapshot is needed
-	sentIndex    map[string]uint64  // and up to which it was sent, at least ackedIndex
-	sentAt       map[string]float64 // newest sending
-	replicaEpoch map[string]uint64  // its epoch as a site, as its snapshot was sent
-	ops          []Op               // the log's end that some replica may lack; the last one has index LogLength
+	ackedIndex   map[string]uint64  // log index that it has acknowledged; missing: it needs a snapshot
+	sentIndex    map[string]uint64  // log index up to which ops were sent to it; at least ackedIndex
+	sentAt       map[string]float64 // time of the latest send
+	replicaEpoch map[string]uint64  // epoch of its site when its snapshot was sent
+	ops          []Op               // tail of the log that some replica may lack; the last op has index LogLength
 	waiters      []waiter           // in the order of their log indexes
 
 	// The client's socket, at the owner.
 	attached  bool
 	edge      string
-	socket    uint64  // the edge's number for it
-	delivered uint64  // the highest number that was sent to it
-	idleSince float64 // when it was detached
+	socket    uint64  // the edge's number for the socket
+	delivered uint64  // highest message number sent to the socket
+	idleSince float64 // when the socket was detached
 
-	// A hand-over, at the owner. While handOverTo names a site the session doesn't change.
+	// A hand-over, at the owner. The session doesn't change while handOverTo is set.
 	handOverTo string
-	handOverAt float64 // newest sending
+	handOverAt float64 // time of the latest KindHandOver
 }
 
-// waiter is a producer who waits until its message is replicated.
+// waiter is a producer that waits until its message is replicated.
 type waiter struct {
 	logIndex uint64
 	number   uint64
@@ -39,8 +39,8 @@
 	deadline float64
 }
 
-// apply applies the next op of the log, at the owner and at replicas alike, and gives by how many bytes the session
-// grew.
+// apply applies the next op of the log, at the owner and at replicas. It returns the number of bytes by which the
+// session grew.
 func (sess *session) apply(op *Op, maxKeys int) (growth int64) {
 	sess.LogLength++
 	switch op.Kind {
@@ -73,7 +73,7 @@
 	return messageSize(m)
 }
 
-// removeUpTo removes the messages up to a number.
+// removeUpTo removes the messages up to a number. growth is the change of the total size, at most 0.
 func removeUpTo(messages []Message, number uint64) (rest []Message, growth int64) {
 	for len(messages) > 0 && messages[0].Number <= number {
 		growth -= messageSize(&messages[0])
@@ -82,20 +82,21 @@
 	return messages, growth
 }
 
-// outboxAcked is the highest number up to which the client has acknowledged.
+// outboxAcked returns the number up to which the client has acknowledged messages.
 func (sess *session) outboxAcked() uint64 { return sess.OutboxLast - uint64(len(sess.Outbox)) }
 
-// replicatedOutbox is the highest number for the client whose op is within the replicated part of the log.
+// replicatedOutbox returns the number up to which messages for the client are replicated.
 func (sess *session) replicatedOutbox(replicated uint64) uint64 {
 	return sess.replicatedNumber(OpPut, sess.OutboxLast, replicated)
 }
 
-// replicatedInbox is the highest number of the client whose op is.
+// replicatedInbox returns the number up to which messages from the client are replicated.
 func (sess *session) replicatedInbox(replicated uint64) uint64 {
 	return sess.replicatedNumber(OpPublish, sess.InboxLast, replicated)
 }
 
-// replicatedNumber goes back from a kind's last number over the ops that are not replicated.
+// replicatedNumber returns the highest replicated message number of a kind of op. It starts from the last number and
+// goes back over the ops that are not replicated.
 func (sess *session) replicatedNumber(kind OpKind, last, replicated uint64) uint64 {
 	index := sess.LogLength
 	for i := len(sess.ops) - 1; i >= 0 && index > replicated; i-- {
@@ -107,7 +108,7 @@
 	return last
 }
 
-// resetReplication forgets what replicas have.
+// resetReplication clears the replication state of all replicas.
 func (sess *session) resetReplication() {
 	sess.ackedIndex = map[string]uint64{}
 	sess.sentIndex = map[string]uint64{}
@@ -116,13 +117,14 @@
 	sess.ops = nil
 }
 
-// resyncReplicas has a snapshot sent to all replicas, as what they know of owner and replicas is no longer so.
+// resyncReplicas causes a snapshot to be sent to all replicas, because the owner's epoch or the list of replicas has
+// changed.
 func (sess *session) resyncReplicas() {
 	clear(sess.sentAt)
 	clear(sess.ackedIndex)
 }
 
-// failWaiters answers all producers that wait.
+// failWaiters answers all waiting producers with a status.
 func (sess *session) failWaiters(status Status) {
 	for _, w := range sess.waiters {
 		w.reply(status, 0)
@@ -130,10 +132,10 @@
 	sess.waiters = nil
 }
 
-// detach notes that the client has no socket any more.
+// detach records that the client's socket is gone.
 func (sess *session) detach(now float64) { sess.attached, sess.idleSince = false, now }
 
-// measure sums the messages' sizes up.
+// recomputeBytes sets bytes to the sum of the message sizes.
 func (sess *session) recomputeBytes() {
 	sess.bytes = 0
 	for i := range sess.Outbox {
--- a/internal/session/queue/sessions_test.go
+++ b/internal/session/queue/sessions_test.go
@@ -14,13 +14,13 @@
 	"weirwind/internal/session/sites"
 )
 
-// runSiteFaults plays a scenario whose sites come and go, to its quiet end.
+// runSiteFaults runs a scenario with faults of sites, and then without faults until it is quiescent.
 func runSiteFaults(seed uint64, trace hash.Hash64) *scenario {
 	sc := newScenario(seed, 12)
 	sc.trace = trace
 	sc.RunUntil(1000)
 	sc.startTraffic(12000)
-	// One site at a time is away, and the next one only once sessions have their replicas again.
+	// One site at a time fails, and the next one only after the sessions have all replicas again.
 	at := 1500.0
 	for at < 11000 {
 		site := sc.sites[simSites[sc.random.IntN(4)]]
@@ -60,7 +60,8 @@
 	return sc
 }
 
-// Sites are pulled, frozen, drained and return; links break. The edges live: every socket stays open.
+// Sites are killed, frozen, drained and restarted, and links break. The edges don't fail, so every socket must stay
+// open.
 func TestScenarios(t *testing.T) {
 	seeds := 60
 	if n, err := strconv.Atoi(os.Getenv("SEEDS")); err == nil {
@@ -81,11 +82,11 @@
 		}
 	}
 	slices.Sort(ownerGaps)
-	t.Logf("%d scenarios, %d messages queued, %d changes of owner: silence %.0f ms at the median, %.0f at p99, %.0f at most",
+	t.Logf("%d scenarios, %d messages acknowledged, %d changes of owner: detached for %.0f ms at p50, %.0f at p99, max %.0f",
 		seeds, acknowledged, len(ownerGaps), ownerGaps[len(ownerGaps)/2], ownerGaps[len(ownerGaps)*99/100], ownerGaps[len(ownerGaps)-1])
 }
 
-// runEdgeFaults plays a scenario whose edges die, to its quiet end.
+// runEdgeFaults runs a scenario with crashes of edges, and then without faults until it is quiescent.
 func runEdgeFaults(seed uint64, trace hash.Hash64) *scenario {
 	sc := newScenario(seed, 10)
 	sc.trace = trace
@@ -98,7 +99,7 @@
 		edge := sc.edges[fmt.Sprint("e", sc.random.IntN(2))]
 		killSite := sc.random.IntN(3) == 0
 		sc.After(at-sc.Now, func() {
-			sc.logf("%s dies", edge.name)
+			sc.logf("%s crashes", edge.name)
 			lostSockets := edge.sockets
 			edge.sockets = map[uint64]*client{}
 			edge.up = false
@@ -132,8 +133,8 @@
 	return sc
 }
 
-// Edges die too: the client's next connection, at any edge, resumes its session from what it has, sometimes two at
-// once.
+// Edges crash: the client's next connection, at any edge, resumes its session after the last message that it received.
+// Sometimes a client opens two connections at once.
 func TestEdgeCrashes(t *testing.T) {
 	for seed := range uint64(40) {
 		sc := runEdgeFaults(1000+seed, nil)
@@ -143,8 +144,8 @@
 	}
 }
 
-// A drain hands some 5,000 sessions over at its rate, and each socket is without an owner for little longer than the
-// messages take.
+// A drain of a site with a part of 5,000 sessions hands them over at its rate, and each socket is detached only
+// slightly longer than the messages of a hand-over take.
 func TestDrainOfThousands(t *testing.T) {
 	sc := newScenario(7, 0)
 	var clients []*client
@@ -168,16 +169,17 @@
 	}
 	slices.Sort(gaps)
 	if ownedBefore < 1000 || sc.sites["a"].decider.OwnedSessions() > 0 || len(gaps) < ownedBefore {
-		t.Fatalf("%d homes of %d are left, %d changes", sc.sites["a"].decider.OwnedSessions(), ownedBefore, len(gaps))
+		t.Fatalf("%d of %d sessions are left, %d changes of owner", sc.sites["a"].decider.OwnedSessions(), ownedBefore,
+			len(gaps))
 	}
-	t.Logf("%d sessions in %.0f ms; silence %.0f ms at the median, %.0f at p99, %.0f at most", ownedBefore, sc.Now-startedAt-500,
-		gaps[len(gaps)/2], gaps[len(gaps)*99/100], gaps[len(gaps)-1])
+	t.Logf("%d sessions in %.0f ms; detached for %.0f ms at the median, %.0f at p99, max %.0f", ownedBefore,
+		sc.Now-startedAt-500, gaps[len(gaps)/2], gaps[len(gaps)*99/100], gaps[len(gaps)-1])
 	if gaps[len(gaps)*99/100] > 100 {
 		t.Error("over 100 ms at p99")
 	}
 }
 
-// What an idle session takes at its owner, its replica and its edge together.
+// The memory of an idle session at its owner, its replica and its edge together is bounded.
 func TestIdleMemory(t *testing.T) {
 	sc := newScenario(8, 0)
 	var before, after runtime.MemStats
@@ -200,15 +202,15 @@
 		owned += site.decider.OwnedSessions()
 	}
 	bytesEach := float64(after.HeapAlloc-before.HeapAlloc) / float64(max(owned, 1))
-	t.Logf("%d sessions: %.0f bytes each at home, copy and edge", owned, bytesEach)
+	t.Logf("%d sessions: %.0f bytes each at owner, replica and edge", owned, bytesEach)
 	if owned < 1000 || bytesEach > 20<<10 {
 		t.Errorf("%d sessions, %.0f bytes each", owned, bytesEach)
 	}
 	runtime.KeepAlive(sc)
 }
 
-// Every message of sites and edges, everything that clients are told and every reply, in order, over scenarios of
-// both sorts of faults.
+// The digest covers every message of sites and edges, every client event and every reply, in order, in scenarios with
+// both kinds of faults.
 func TestDecisionDigest(t *testing.T) {
 	const recorded = 0x84654f2fbf612f12
 	trace := fnv.New64a()
@@ -217,6 +219,6 @@
 		runEdgeFaults(1200+seed, trace)
 	}
 	if got := trace.Sum64(); got != recorded {
-		t.Errorf("the digest is %#x, recorded is %#x", got, uint64(recorded))
+		t.Errorf("the digest is %#x, recorded: %#x", got, uint64(recorded))
 	}
 }
--- a/internal/session/queue/site.go
+++ b/internal/session/queue/site.go
@@ -1,6 +1,6 @@
 package queue
 
-// This file owns a site as a whole: what it holds, the map that it knows, and the lease under which it serves.
+// This file implements a site: its sessions, its copy of the map, its lease and its periodic work.
 
 import (
 	"maps"
@@ -12,28 +12,28 @@
 // Site is one incarnation of a site.
 type Site struct {
 	Name            string
-	Epoch           uint64 // by the map; 0: not in it yet, and nothing is held
+	Epoch           uint64 // assigned by the map; 0: this incarnation isn't in the map and holds no sessions
 	Limits          Limits
-	ExpiredMessages int // that were dropped for their age
+	ExpiredMessages int // number of messages dropped because of their age
 
 	current    *sites.Map
 	leaseUntil float64
 	owned      map[string]*session // by id; no session is in both maps
 	replicas   map[string]*session
-	bytes      int64 // of the sessions in both
+	bytes      int64 // of the sessions in both maps
 	outgoing   []Outgoing
 
-	drainBudget          float64 // sessions that a drain may hand over now
-	drainBudgetUpdatedAt float64 // as of
-	nextTakeOverCheckAt  float64 // next check for sessions whose owner is gone
+	drainBudget          float64 // number of sessions that a drain may hand over now
+	drainBudgetUpdatedAt float64
+	nextTakeOverCheckAt  float64 // next check for sessions whose owner's epoch has ended
 }
 
-// NewSite holds no session.
+// NewSite returns a site without sessions.
 func NewSite(name string, limits Limits) *Site {
 	return &Site{Name: name, Limits: limits, owned: map[string]*session{}, replicas: map[string]*session{}}
 }
 
-// TakeOutgoing gives what is to be sent since the last call.
+// TakeOutgoing returns the envelopes to be sent since the last call.
 func (s *Site) TakeOutgoing() []Outgoing {
 	outgoing := s.outgoing
 	s.outgoing = nil
@@ -45,24 +45,25 @@
 	s.outgoing = append(s.outgoing, Outgoing{to, envelope})
 }
 
-// ExtendLease has the lease hold until then: only while it holds is anything delivered, accepted or acknowledged.
+// ExtendLease extends the lease until the given time. Messages are delivered, accepted and acknowledged only while the
+// lease is valid.
 func (s *Site) ExtendLease(until float64) { s.leaseUntil = max(s.leaseUntil, until) }
 
 func (s *Site) holdsLease(now float64) bool { return s.Epoch > 0 && now < s.leaseUntil }
 
-// OwnedSessions is how many sessions the site owns.
+// OwnedSessions returns the number of sessions that the site owns.
 func (s *Site) OwnedSessions() int { return len(s.owned) }
 
-// ReplicatedSessions is how many sessions it has a replica of.
+// ReplicatedSessions returns the number of sessions of which the site has a replica.
 func (s *Site) ReplicatedSessions() int { return len(s.replicas) }
 
-// Bytes is what all its sessions take, replicas included.
+// Bytes returns the size of all sessions, including replicas.
 func (s *Site) Bytes() int64 { return s.bytes }
 
-// Map is the map that the site knows, nil for none.
+// Map returns the newest map that the site knows, or nil.
 func (s *Site) Map() *sites.Map { return s.current }
 
-// OwnerOf gives the owner of a session that the site has a replica of.
+// OwnerOf returns the owner of a session of which the site has a replica.
 func (s *Site) OwnerOf(id string) (owner string, ok bool) {
 	if sess := s.replicas[id]; sess != nil {
 		return sess.Owner, true
@@ -70,7 +71,7 @@
 	return "", false
 }
 
-// SessionInfo is what operators are shown of a session. Its fields stand in the order of their JSON names.
+// SessionInfo describes a session to operators. Its fields are in the order of their JSON names.
 type SessionInfo struct {
 	Attached     bool     `json:"attached"`
 	Bytes        int64    `json:"bytes"`
@@ -85,7 +86,7 @@
 	OutboxLength int      `json:"queued"`
 }
 
-// Describe describes a session that the site owns, nil for another.
+// Describe returns a description of a session that the site owns, or nil if it doesn't own the session.
 func (s *Site) Describe(id string) *SessionInfo {
 	sess := s.owned[id]
 	if sess == nil {
@@ -96,8 +97,8 @@
 		HandOverTo: sess.handOverTo, Owner: sess.Owner, OutboxLast: sess.OutboxLast, OutboxLength: len(sess.Outbox)}
 }
 
-// ApplyMap takes a newer map. If the epoch of this incarnation is over the site holds nothing any more; sessions
-// whose owner's epoch is over become this site's where it is the first of their replicas that is alive.
+// ApplyMap applies a map if it is newer. If this incarnation's epoch has ended the site drops all sessions. Otherwise
+// it takes over sessions whose owner's epoch has ended if it is the first of their replicas that is alive.
 func (s *Site) ApplyMap(m *sites.Map, incarnation uint64, now float64) {
 	if m == nil || s.current != nil && m.Version <= s.current.Version {
 		return
@@ -120,7 +121,7 @@
 	}
 }
 
-// reset drops everything: other sites have it, or will.
+// reset drops all sessions: their replicas at other sites take over.
 func (s *Site) reset() {
 	for _, sess := range s.owned {
 		sess.failWaiters(StatusUnavailable)
@@ -129,15 +130,15 @@
 	s.bytes, s.Epoch, s.leaseUntil = 0, 0, 0
 }
 
-// remove drops a session from one of the site's maps; producers that wait get the status.
+// remove removes a session from one of the site's maps, and answers waiting producers with the status.
 func (s *Site) remove(from map[string]*session, sess *session, status Status) {
 	sess.failWaiters(status)
 	s.bytes -= sess.bytes
 	delete(from, sess.id)
 }
 
-// Tick does what is due: resending, drains, messages and sessions that expire. It is to be called every few
-// milliseconds.
+// Tick performs the periodic work: it resends messages, hands sessions over while the site drains, and expires messages
+// and idle sessions. It must be called every few milliseconds.
 func (s *Site) Tick(now float64) {
 	if s.current == nil || s.Epoch == 0 {
 		return
@@ -176,12 +177,12 @@
 		}
 	}
 	s.progress(sess, now)
-	if sess.attached && len(sess.Inbox) > 0 { // its acknowledgement may have been lost
+	if sess.attached && len(sess.Inbox) > 0 { // an earlier acknowledgement may have been lost
 		s.ackPublished(sess)
 	}
 }
 
-// expireMessages drops messages that were not acknowledged in time.
+// expireMessages drops messages that were not acknowledged within MaxAge.
 func (s *Site) expireMessages(sess *session, now float64) {
 	for len(sess.Outbox) > 0 && now-sess.Outbox[0].EnqueuedAt > s.Limits.MaxAge && sess.Outbox[0].EnqueuedAt > 0 {
 		s.ExpiredMessages++
@@ -190,7 +191,7 @@
 	}
 }
 
-// discardIdle ends an idle session here and at its replicas.
+// discardIdle removes an idle session here and at its replicas.
 func (s *Site) discardIdle(sess *session) {
 	for _, replica := range sess.Replicas {
 		s.send(replica, Envelope{Kind: KindDiscard, Session: sess.id, Epoch: sess.Epoch})
--- a/internal/session/site/calls.go
+++ b/internal/session/site/calls.go
@@ -1,6 +1,6 @@
 package site
 
-// This file owns the HTTP calls of producers, consumers and operators: a handler object for each resource.
+// This file implements the HTTP calls of producers, consumers and operators, with a handler type for each resource.
 
 import (
 	"context"
@@ -16,7 +16,7 @@
 	"weirwind/internal/util/commandqueue"
 )
 
-// enqueueTimeout is longer than the decider lets a producer wait.
+// enqueueTimeout is longer than the time for which package queue lets a producer wait.
 const enqueueTimeout = 2500 * time.Millisecond
 
 func (r *runner) routes() http.Handler {
@@ -31,18 +31,19 @@
 	return withoutCancel(mux)
 }
 
-// withoutCancel keeps requests' contexts from being cancelled. HTTP's server does so as soon as a caller closes the
-// sending half of its connection, and such a caller still waits for its answer.
+// withoutCancel prevents requests' contexts from being cancelled. net/http cancels a request's context as soon as the
+// caller closes the sending half of its connection, but such a caller still waits for its answer.
 func withoutCancel(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		next.ServeHTTP(w, req.WithContext(context.WithoutCancel(req.Context())))
 	})
 }
 
-// sessionResource is a session with its messages.
+// sessionResource handles the calls for a session and its messages.
 type sessionResource struct{ runner *runner }
 
-// elsewhere redirects a caller to the session's owner where this site knows it, else says that it is not here.
+// redirectToOwner redirects a caller to the session's owner if this site knows it, and otherwise answers that the
+// session isn't found.
 func (s *sessionResource) redirectToOwner(w http.ResponseWriter, req *http.Request) {
 	addr, err := commandqueue.Call(req.Context(), s.runner.commands, func() string {
 		owner, ok := s.runner.decider.OwnerOf(req.PathValue("id"))
@@ -61,7 +62,7 @@
 	}
 }
 
-// enqueued is the decider's answer to a producer.
+// enqueued is the answer of queue.Site to a producer.
 type enqueued struct {
 	status queue.Status
 	number uint64
@@ -75,7 +76,8 @@
 		http.Error(w, fmt.Sprintf("a message has at most %d bytes", maxBytes), http.StatusRequestEntityTooLarge)
 		return
 	}
-	// The reply comes from a later command, so that this is no Call. It has room for one: nobody waits for the caller.
+	// This isn't a Call, because the reply may come from a later command. The channel is buffered, so that the reply
+	// doesn't block if the caller has timed out.
 	reply := make(chan enqueued, 1)
 	s.runner.commands.Do(func() {
 		s.runner.decider.Enqueue(req.PathValue("id"), req.Header.Get("Weirwind-Key"), body, s.runner.now(),
@@ -93,7 +95,7 @@
 	}
 }
 
-// writeEnqueued maps the decider's status to HTTP's, whose terms it is in.
+// writeEnqueued answers a producer with the status, which is an HTTP status code.
 func (s *sessionResource) writeEnqueued(w http.ResponseWriter, req *http.Request, answer enqueued) {
 	switch answer.status {
 	case queue.StatusNoSession:
@@ -107,15 +109,15 @@
 	fmt.Fprintf(w, `{"n":%d}`+"\n", answer.number)
 }
 
-// inboxMessage is a message of the client in JSON. Its fields stand in the order of their names.
+// inboxMessage is a message of the client in JSON. Its fields are in the order of their JSON names.
 type inboxMessage struct {
 	Body   string `json:"body"`
 	Number uint64 `json:"n"`
 }
 
-// inbox gives the client's messages behind the number in the query, to the consumer.
+// inbox answers a consumer with the client's messages after the number in the query.
 func (s *sessionResource) inbox(w http.ResponseWriter, req *http.Request) {
-	afterNumber, _ := strconv.ParseUint(req.URL.Query().Get("after"), 10, 64) // none or nonsense: from the first on
+	afterNumber, _ := strconv.ParseUint(req.URL.Query().Get("after"), 10, 64) // 0 if missing or malformed
 	type result struct {
 		messages []queue.Message
 		ok       bool
@@ -138,7 +140,7 @@
 	}
 }
 
-// consume takes that the consumer has all messages up to the number in the query.
+// consume removes the messages up to the number in the query, which the consumer has processed.
 func (s *sessionResource) consume(w http.ResponseWriter, req *http.Request) {
 	number, err := strconv.ParseUint(req.URL.Query().Get("n"), 10, 64)
 	if err != nil {
@@ -173,10 +175,10 @@
 	}
 }
 
-// statusResource is the site as a whole.
+// statusResource handles calls for the status of the site.
 type statusResource struct{ runner *runner }
 
-// status is what operators are shown of the site. Its fields stand in the order of their names.
+// status describes the site to operators. Its fields are in the order of their JSON names.
 type status struct {
 	Bytes    int64       `json:"bytes"`
 	Replicas int         `json:"copies"`
@@ -207,7 +209,7 @@
 	})
 }
 
-// writeUnavailable answers a call that the process is too far into its end to serve.
+// writeUnavailable answers a call that can't be served because the process is shutting down.
 func writeUnavailable(w http.ResponseWriter, err error) {
 	http.Error(w, err.Error(), http.StatusServiceUnavailable)
 }
@@ -216,5 +218,5 @@
 	w.Header().Set("Content-Type", "application/json")
 	encoder := json.NewEncoder(w)
 	encoder.SetIndent("", indent)
-	_ = encoder.Encode(value) // an error is the caller's, who has gone
+	_ = encoder.Encode(value) // an error means that the caller has disconnected
 }
--- a/internal/session/site/calls_test.go
+++ b/internal/session/site/calls_test.go
@@ -14,8 +14,8 @@
 	"weirwind/internal/util/settings"
 )
 
-// A caller that closes its sending half behind its request gets its answer, as HTTP's server cancels the request's
-// context then.
+// A caller that closes its sending half after its request still gets its answer, although net/http then cancels the
+// request's context.
 func TestCallersThatCloseTheirSendingHalfAreAnswered(t *testing.T) {
 	r := &runner{settings: &settings.Settings{Hostname: "a"}, ctx: t.Context(), startedAt: time.Now(),
 		commands: commandqueue.New(t.Context(), 16), limits: queue.DefaultLimits, edges: map[string]*link{},
@@ -47,11 +47,11 @@
 				response.Body.Close()
 				statusCode <- response.StatusCode
 			}()
-			for { // commands wait until the server has had the time to notice
+			for { // delay commands until the server has noticed the close
 				select {
 				case got := <-statusCode:
 					if got != want {
-						t.Errorf("%d, not %d", got, want)
+						t.Errorf("status %d, want %d", got, want)
 					}
 					return
 				case command := <-r.commands.Commands:
--- a/internal/session/site/core.go
+++ b/internal/session/site/core.go
@@ -1,6 +1,6 @@
 package site
 
-// This file owns the calls to the core.
+// This file implements the calls to the core, the Raft group that stores the map of sites.
 
 import (
 	"bytes"
@@ -18,12 +18,12 @@
 )
 
 const (
-	coreTimeout    = 900 * time.Millisecond // of one machine
+	coreTimeout    = 900 * time.Millisecond // of a call to one machine
 	maxAnswerBytes = 4 << 20
-	shutdownRate   = 5000 // sessions a second
+	shutdownRate   = 5000 // sessions per second
 )
 
-// Errors of a renewal.
+// Errors of calls to the core.
 var (
 	errNoAnswer         = errors.New("no machine of the core answered")
 	errIncarnationEnded = errors.New("the core has removed this incarnation")
@@ -58,7 +58,8 @@
 	return response.StatusCode, answer, err
 }
 
-// renew renews a site's lease and gives the map. errIncarnationEnded: the site has to join by another incarnation.
+// renew renews a site's lease and returns the map. After errIncarnationEnded the site has to join with a new
+// incarnation.
 func (c coreClient) renew(ctx context.Context, site string, renewal sites.Renewal) (*sites.Map, error) {
 	body, err := json.Marshal(renewal)
 	if err != nil {
@@ -80,12 +81,12 @@
 	return &m, nil
 }
 
-// drain has the site drain at the rate of a shutdown. Its success shows in the map.
+// drain requests that the site drains at the rate of a shutdown. The map shows whether the request has succeeded.
 func (c coreClient) drain(ctx context.Context, site string) {
 	_, _, _ = c.call(ctx, http.MethodPost, fmt.Sprintf("/sites/%s/drain?pace=%d", site, shutdownRate), nil)
 }
 
-// leave removes an epoch of the site; where nobody hears it, its lease expires.
+// leave removes an epoch of the site from the map. If the call fails, the site's lease expires instead.
 func (c coreClient) leave(ctx context.Context, site string, epoch uint64) {
 	_, _, _ = c.call(ctx, http.MethodPost, fmt.Sprintf("/sites/%s/leave?epoch=%d", site, epoch), nil)
 }
--- a/internal/session/site/golden_test.go
+++ b/internal/session/site/golden_test.go
@@ -22,7 +22,7 @@
 		golden.Of("word", Frame{Envelope: &queue.Envelope{Kind: queue.KindAck, Session: "s", Number: 4}})})
 }
 
-// The calls of producers, consumers and operators: statuses, headers and bodies.
+// Golden file of the calls of producers, consumers and operators: statuses, headers and bodies.
 func TestGoldenCalls(t *testing.T) {
 	runner := &runner{settings: &settings.Settings{Hostname: "a", ReadyAddr: "127.0.0.1:9"}, ctx: t.Context(),
 		startedAt: time.Now(),
--- a/internal/session/site/lease.go
+++ b/internal/session/site/lease.go
@@ -1,6 +1,6 @@
 package site
 
-// This file owns the site's lease, and what it does with the map that comes with it.
+// This file renews the site's lease and applies the map that the core returns with it.
 
 import (
 	"context"
@@ -15,8 +15,8 @@
 
 const renewInterval = 400 * time.Millisecond
 
-// keepLease renews the lease until ctx ends. The lease holds from when it was asked for, so that a late answer
-// extends nothing.
+// keepLease renews the lease until ctx ends. A lease starts when its renewal is sent, so that a late answer doesn't
+// extend it.
 func (r *runner) keepLease(ctx context.Context) {
 	ticker := time.NewTicker(renewInterval)
 	defer ticker.Stop()
@@ -46,19 +46,20 @@
 	}
 }
 
-// beginIncarnation replaces an incarnation that the core has removed: what it held is its replicas'.
+// beginIncarnation starts a new incarnation after the core has removed the ended one, whose sessions are taken over by
+// their replicas.
 func (r *runner) beginIncarnation(ended uint64) {
 	m := r.decider.Map()
 	if ended != r.incarnation || m == nil || m.Sites[r.settings.Hostname].Incarnation != ended {
 		return
 	}
-	r.log.Event(events.SiteStateChanged, "site", r.settings.Hostname, "what", "this life is over; another begins")
+	r.log.Event(events.SiteStateChanged, "site", r.settings.Hostname, "what", "this incarnation has ended; a new one starts")
 	r.decider = queue.NewSite(r.settings.Hostname, r.limits)
 	r.incarnation = newIncarnation()
 	r.loggedState = ""
 }
 
-// applyMap takes the answer to a renewal that was asked for at that time. Links to new sites end with ctx.
+// applyMap applies the answer to a renewal that was sent at askedAt. Links to new sites end with ctx.
 func (r *runner) applyMap(ctx context.Context, m *sites.Map, askedAt float64) {
 	previous := r.decider.Map()
 	r.decider.ApplyMap(m, r.incarnation, r.now())
--- a/internal/session/site/links.go
+++ b/internal/session/site/links.go
@@ -1,6 +1,6 @@
 package site
 
-// This file owns the links between sites and edges.
+// This file implements the links between sites and edges.
 
 import (
 	"context"
@@ -16,24 +16,24 @@
 	redialInterval = 50 * time.Millisecond
 )
 
-// Frame is what goes over a link: who connects, then envelopes and pings.
+// Frame is a frame of a link. The first one names the sender, later ones are envelopes or pings.
 type Frame struct {
 	Hello    string          `cbor:"1,keyasint,omitempty"` // the sender's name; the first frame of a link
 	Envelope *queue.Envelope `cbor:"2,keyasint,omitempty"`
-	Ping     bool            `cbor:"3,keyasint,omitempty"` // keeps an idle link up
-	Edge     bool            `cbor:"4,keyasint,omitempty"` // with Hello: an edge, which is answered over this link
+	Ping     bool            `cbor:"3,keyasint,omitempty"` // keeps an idle link open
+	Edge     bool            `cbor:"4,keyasint,omitempty"` // with Hello: the sender is an edge, answered over this link
 }
 
 type link = transport.Link[Frame]
 
-// peer is another site. This site sends over a link of its own and receives over the peer's.
+// peer is another site. This site sends over the link that it has opened and receives over the link opened by the peer.
 type peer struct {
 	addr string
 	link *link // nil while there is none
 	stop context.CancelFunc
 }
 
-// connectPeers keeps links to the other sites that are alive.
+// connectPeers opens links to the other sites that are alive, and closes those to sites that are not.
 func (r *runner) connectPeers(ctx context.Context, m *sites.Map) {
 	for name, p := range r.peers {
 		if site, ok := m.Sites[name]; !ok || site.Addr != p.addr || site.State == sites.StateRemoved {
@@ -64,8 +64,8 @@
 	return p
 }
 
-// KeepLink keeps a link to a process until ctx ends, and begins each with hello. up gets each link, and nil when it
-// has ended; take gets the frames.
+// KeepLink keeps a link to a process open until ctx ends, and sends hello first on each connection. onLinkChange is
+// called with each new link, and with nil when it has ended; onFrame is called with each frame received.
 func KeepLink(ctx context.Context, addr string, hello Frame, onLinkChange func(*link), onFrame func(*link, *Frame)) {
 	backoff := transport.Backoff{Initial: redialInterval, Max: redialInterval,
 		DialTimeout: func(nth int) time.Duration { return transport.DialTimeout(nth / 3) }}
@@ -77,7 +77,7 @@
 	transport.KeepConnected(ctx, addr, backoff, onConnect, onFrame, func() { onLinkChange(nil) })
 }
 
-// ping keeps a link up until it ends, and closes it when ctx ends.
+// ping sends pings over a link until it ends, and closes it when ctx ends.
 func ping(ctx context.Context, l *link) {
 	ticker := time.NewTicker(pingInterval)
 	defer ticker.Stop()
@@ -94,7 +94,7 @@
 	}
 }
 
-// receive takes a frame of a site or an edge that has connected.
+// receive handles a frame of a site or an edge that has connected.
 func (r *runner) receive(l *link, frame *Frame) {
 	r.commands.Do(func() {
 		switch {
@@ -128,7 +128,7 @@
 	})
 }
 
-// flush sends what the decider has to send. What has no link is dropped: it is sent again.
+// flush sends the decider's outgoing envelopes. Those without a link are dropped, since the decider sends them again.
 func (r *runner) flush() {
 	for _, outgoing := range r.decider.TakeOutgoing() {
 		if l := r.edges[outgoing.To]; l != nil {
--- a/internal/session/site/site.go
+++ b/internal/session/site/site.go
@@ -1,8 +1,8 @@
-// Package site runs a site of sessions: its links to other sites and to edges, its lease at the core, and the HTTP
-// calls of producers, consumers and operators.
+// Package site runs a site, a process that stores sessions: its links to other sites and to edges, its lease at the
+// core, and the HTTP calls of producers, consumers and operators.
 //
-// Package queue decides; here are its sockets and clocks. One goroutine owns the state of the site and runs commands
-// from a queue; everything else sends it commands.
+// The protocol is implemented by queue.Site, the decider; this package adds connections and clocks. One goroutine owns
+// the state of the site and runs commands from a queue; all other goroutines send it commands.
 package site
 
 import (
@@ -26,30 +26,29 @@
 	commandCapacity = 4096
 	linkIdleTimeout = 3 * time.Second
 
-	// What the shutdown leaves of the grace period for leaving the map.
-	leaveReserve      = 300 * time.Millisecond
+	leaveReserve      = 300 * time.Millisecond // part of the grace period that is kept for leaving the map
 	drainPollInterval = 20 * time.Millisecond
 )
 
-// runner is the site's process.
+// runner holds the state of a site's process.
 type runner struct {
 	settings  *settings.Settings
 	log       events.Log
-	ctx       context.Context // ends behind the last work of the process
+	ctx       context.Context // ends after the last work of the process
 	startedAt time.Time
 	limits    queue.Limits
 	commands  *commandqueue.Queue
 	core      coreClient
 
-	// The owner of commands alone uses these.
+	// Only the goroutine that runs commands uses these.
 	incarnation uint64
 	decider     *queue.Site // of this incarnation
 	peers       map[string]*peer
 	edges       map[string]*link
-	loggedState sites.State // that was logged last
+	loggedState sites.State // the state that was logged last
 }
 
-// Run serves until ctx ends and the site's sessions are handed over, or the grace period is over.
+// Run serves until ctx ends. Then it hands the site's sessions over, at most for the grace period.
 func Run(ctx context.Context, set *settings.Settings, log events.Log) error {
 	workCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
@@ -87,13 +86,13 @@
 		peers: map[string]*peer{}, edges: map[string]*link{}}
 }
 
-// newIncarnation is a number that no earlier process of the site had.
+// newIncarnation returns a number that no earlier process of the site has used.
 func newIncarnation() uint64 { return uint64(time.Now().UnixNano()) }
 
-// meshAddr is where other sites and edges connect.
+// meshAddr returns the address to which other sites and edges connect.
 func (r *runner) meshAddr() string { return r.settings.PortAddr(r.settings.IP, 0) }
 
-// now is the decider's clock, in milliseconds.
+// now returns the time of the decider's clock, in milliseconds.
 func (r *runner) now() float64 { return float64(time.Since(r.startedAt)) / 1e6 }
 
 func (r *runner) tick() {
@@ -101,7 +100,7 @@
 	r.flush()
 }
 
-// shutDown drains the site as far as the grace period goes, and leaves the map.
+// shutDown drains the site within the grace period, and leaves the map.
 func (r *runner) shutDown(ctx context.Context) {
 	r.log.Event(events.Stopping)
 	deadline := time.Now().Add(r.settings.GracePeriod - leaveReserve)
@@ -115,12 +114,12 @@
 	}
 	epoch, err := commandqueue.Call(ctx, r.commands, func() uint64 { return r.decider.Epoch })
 	if err != nil {
-		return // the process is over: its lease expires
+		return // commands have stopped; the lease will expire
 	}
 	r.core.leave(ctx, r.settings.Hostname, epoch)
 }
 
-// drained says whether the site drains and owns no session any more.
+// isDrained reports whether the site is draining and owns no more sessions.
 func (r *runner) isDrained() bool {
 	m := r.decider.Map()
 	return r.decider.OwnedSessions() == 0 && m != nil && m.Sites[r.settings.Hostname].State == sites.StateDraining
--- a/internal/session/sites/sites.go
+++ b/internal/session/sites/sites.go
@@ -1,6 +1,6 @@
 package sites
 
-// This file owns the map, its changes, and the choice of sites for replicas.
+// This file implements the map, its changes, and the choice of sites for replicas.
 
 import (
 	"cmp"
@@ -9,60 +9,60 @@
 	"slices"
 )
 
-// State of a site. Its values are stored and reported.
+// State is the state of a site. Its values are stored and reported.
 type State string
 
 // The states of a site.
 const (
 	StateActive   State = "in"
-	StateDraining State = "draining" // it hands its sessions over and takes no new ones
-	StateRemoved  State = "out"      // its lease has expired, or it left: its sessions are its replicas' to take over
+	StateDraining State = "draining" // it hands its sessions over and accepts no new ones
+	StateRemoved  State = "out"      // its lease has expired or it has left; replicas take its sessions over
 )
 
-// Site is one process that serves sessions.
+// Site describes a process that serves sessions.
 type Site struct {
 	Addr        string `cbor:"1,keyasint" json:"addr"` // for other sites and for edges
 	HTTPAddr    string `cbor:"8,keyasint" json:"http"` // for producers and consumers
 	Zone        string `cbor:"2,keyasint" json:"zone"`
 	Region      string `cbor:"3,keyasint" json:"region"`
-	Epoch       uint64 `cbor:"4,keyasint" json:"epoch"` // rises by one with each incarnation that joins
+	Epoch       uint64 `cbor:"4,keyasint" json:"epoch"` // incremented by each incarnation that joins
 	Incarnation uint64 `cbor:"5,keyasint" json:"life"`
 	State       State  `cbor:"6,keyasint" json:"state"`
-	DrainRate   int    `cbor:"7,keyasint" json:"pace"` // sessions a second that it hands over while it drains
+	DrainRate   int    `cbor:"7,keyasint" json:"pace"` // sessions per second to hand over while draining
 }
 
-// Map is all sites by name. A version of it is never modified: Apply makes the next one.
+// Map holds all sites by name. It is immutable: Apply returns a new version.
 type Map struct {
-	Version uint64          `cbor:"1,keyasint" json:"version"` // rises by one with each change
+	Version uint64          `cbor:"1,keyasint" json:"version"` // incremented by each change
 	Sites   map[string]Site `cbor:"2,keyasint" json:"sites"`
 }
 
-// ChangeKind of a change. Its values are stored.
+// ChangeKind is the kind of a Change. Its values are stored.
 type ChangeKind string
 
 // The kinds of changes.
 const (
-	ChangeJoin    ChangeKind = "join"    // a process has begun
+	ChangeJoin    ChangeKind = "join"    // a process has started
 	ChangeExpire  ChangeKind = "lapse"   // the lease of an epoch has expired
-	ChangeLeave   ChangeKind = "leave"   // an epoch's process has handed everything over, and ends
-	ChangeDrain   ChangeKind = "drain"   // by the operator, or by the site itself as it shuts down
-	ChangeUndrain ChangeKind = "undrain" // by the operator
+	ChangeLeave   ChangeKind = "leave"   // the process of an epoch shuts down
+	ChangeDrain   ChangeKind = "drain"   // requested by the operator, or by the site when it shuts down
+	ChangeUndrain ChangeKind = "undrain" // requested by the operator
 )
 
-// Change is one step of the map.
+// Change is a change of the map.
 type Change struct {
 	Kind      ChangeKind `cbor:"1,keyasint" json:"kind"`
 	Name      string     `cbor:"2,keyasint" json:"name"`
-	Epoch     uint64     `cbor:"3,keyasint,omitempty" json:"epoch,omitempty"` // of ChangeExpire and ChangeLeave
-	Site      Site       `cbor:"4,keyasint,omitempty" json:"site"`            // of ChangeJoin
-	DrainRate int        `cbor:"5,keyasint,omitempty" json:"pace,omitempty"`  // of ChangeDrain; 0: the default
+	Epoch     uint64     `cbor:"3,keyasint,omitempty" json:"epoch,omitempty"` // for ChangeExpire and ChangeLeave
+	Site      Site       `cbor:"4,keyasint,omitempty" json:"site"`            // for ChangeJoin
+	DrainRate int        `cbor:"5,keyasint,omitempty" json:"pace,omitempty"`  // for ChangeDrain; 0: DefaultDrainRate
 }
 
-// DefaultDrainRate is how many sessions a second a drain hands over where the operator says nothing.
+// DefaultDrainRate is the default rate of a drain, in sessions per second.
 const DefaultDrainRate = 500
 
-// Apply gives the next map, or why the change is refused. A change that has nothing to do gives the map itself. A nil
-// map is an empty one.
+// Apply returns the next version of the map, or an error that says why the change is refused. It returns m itself if
+// the change has no effect. A nil map is empty.
 func (m *Map) Apply(change *Change) (*Map, error) {
 	next := &Map{Version: 1, Sites: map[string]Site{}}
 	if m != nil {
@@ -95,13 +95,13 @@
 	return next, nil
 }
 
-// join gives a new incarnation the next epoch. It goes on draining where the one before did.
+// join assigns the next epoch to a new incarnation. It continues to drain if the previous incarnation did.
 func (s *Site) join(change *Change, exists bool) (changed bool, err error) {
 	if change.Name == "" || change.Site.Addr == "" || change.Site.Incarnation == 0 {
 		return false, fmt.Errorf("a site has a name, an address and a life")
 	}
 	if exists && s.Incarnation == change.Site.Incarnation {
-		return false, nil // also one that was removed: it needs another incarnation
+		return false, nil // also if it was removed: the process needs a new incarnation
 	}
 	previous := *s
 	*s = change.Site
@@ -112,7 +112,7 @@
 	return true, nil
 }
 
-// remove ends an epoch; another one is not concerned.
+// remove ends an epoch. It has no effect if the site has another epoch.
 func (s *Site) remove(epoch uint64) (changed bool) {
 	if s.Epoch != epoch || s.State == StateRemoved {
 		return false
@@ -137,24 +137,24 @@
 	return true
 }
 
-// AliveAt says whether a site's present epoch is this one, and not over.
+// AliveAt reports whether the site is alive and has this epoch.
 func (m *Map) AliveAt(name string, epoch uint64) bool {
 	return m != nil && m.Alive(name) && m.Sites[name].Epoch == epoch
 }
 
-// Alive says whether there is a site of this name whose epoch is not over.
+// Alive reports whether there is a site of this name that isn't removed.
 func (m *Map) Alive(name string) bool {
 	site, ok := m.Sites[name]
 	return ok && site.State != StateRemoved
 }
 
-// distance of a site as a place for replicas, nearest first.
+// distance ranks a site as a place for replicas, relative to a session's owner. Lower values are preferred.
 type distance int
 
 const (
-	otherZone   distance = iota // of the owner's region
-	otherRegion                 // than the owner's
-	sameZone                    // a zone's failure would take both
+	otherZone   distance = iota // another zone of the owner's region
+	otherRegion                 // another region
+	sameZone                    // last, since a failure of the zone would affect the owner and the replica
 )
 
 func (s *Site) distanceFrom(owner *Site) distance {
@@ -167,9 +167,9 @@
 	return otherRegion
 }
 
-// ReplicaCandidates gives up to count active sites that may hold a replica of an owner's session: no two in one zone
-// where that can be, near ones first. Of equally near ones the order is by a hash of the session's name, so that the
-// sessions of a site spread over its neighbours. exclude, which may be nil, leaves sites out.
+// ReplicaCandidates returns up to count active sites for replicas of a session: no two in one zone if possible, and the
+// nearest first. Sites at equal distance are ordered by a hash of the session's and the site's name, so that the
+// sessions of one owner are spread over its neighbours. exclude, which may be nil, reports whether to leave a site out.
 func (m *Map) ReplicaCandidates(owner, session string, count int, exclude func(name string) bool) []string {
 	ownerSite := m.Sites[owner]
 	var candidates []string
@@ -189,7 +189,7 @@
 	return m.spreadZones(candidates, ownerSite.Zone, count)
 }
 
-// spreadZones picks up to count candidates in their order: first those in zones of their own, then any.
+// spreadZones picks up to count candidates in their order: first those in zones that are not used yet, then any others.
 func (m *Map) spreadZones(candidates []string, ownerZone string, count int) (picked []string) {
 	used := map[string]bool{ownerZone: true}
 	for _, ownZone := range []bool{true, false} {
@@ -204,7 +204,7 @@
 	return picked
 }
 
-// rendezvousHash is FNV-1a over a session's and a site's name.
+// rendezvousHash returns the FNV-1a hash of a session's and a site's name.
 func rendezvousHash(session, site string) uint32 {
 	hash := uint32(2166136261)
 	for _, b := range []byte(session + " " + site) {
--- a/internal/session/sites/sites_test.go
+++ b/internal/session/sites/sites_test.go
@@ -28,7 +28,7 @@
 	golden.JSON(t, "testdata/map.json", maps)
 }
 
-// Drawn changes of a map: what each gives or why there is none, and where replicas would go.
+// The digest covers random changes of a map: the resulting map or the error, and the candidates for replicas.
 func TestDecisionDigest(t *testing.T) {
 	const recorded = 0xcb07f8436d95ab21
 	trace := fnv.New64a()
@@ -61,6 +61,6 @@
 		}
 	}
 	if got := trace.Sum64(); got != recorded {
-		t.Errorf("the digest is %#x, recorded is %#x", got, uint64(recorded))
+		t.Errorf("the digest is %#x, recorded: %#x", got, uint64(recorded))
 	}
 }
--- a/sessionclient/connection.go
+++ b/sessionclient/connection.go
@@ -1,6 +1,6 @@
 package sessionclient
 
-// This file owns one connection: its lines in both directions.
+// This file implements a connection: its lines in both directions.
 
 import (
 	"context"
@@ -12,7 +12,8 @@
 	"github.com/coder/websocket"
 )
 
-// connect serves one connection to its end. stood: the session stood on it.
+// connect opens a connection to an edge and serves it until it ends. established reports whether the session was
+// attached to the connection.
 func (s *Session) connect(ctx context.Context, edge string) (established bool) {
 	dialCtx, cancel := context.WithTimeout(ctx, dialTimeout)
 	conn, _, err := websocket.Dial(dialCtx, s.address(edge), &websocket.DialOptions{Subprotocols: []string{subprotocol}})
@@ -37,7 +38,8 @@
 	}
 }
 
-// address is where to connect at an edge, for a new session or behind the last message that was received.
+// address returns the URL of a connection to an edge: for a new session, or to resume the session after the last
+// message that was received.
 func (s *Session) address(edge string) string {
 	token, received := s.Token()
 	address := edge + "/session"
@@ -53,8 +55,9 @@
 	s.conn = conn
 }
 
-// receive takes a line of the server: "s TOKEN NUMBER", the session stands; "a NUMBER", messages up to it are
-// acknowledged; "m NUMBER BODY", a message. false: the connection is over.
+// receive handles a line of the server: "s TOKEN NUMBER", the session is attached and the messages up to NUMBER are
+// acknowledged; "a NUMBER", messages up to NUMBER are acknowledged; "m NUMBER BODY", a message. It returns false if the
+// connection must be closed.
 func (s *Session) receive(ctx context.Context, conn *websocket.Conn, kind, rest string) (ok bool) {
 	first, body, _ := strings.Cut(rest, " ")
 	switch kind {
@@ -74,7 +77,7 @@
 	return true
 }
 
-// receiveOpened takes the first line of a connection, and sends what is not acknowledged.
+// receiveOpened handles the first line of a connection, and sends the unacknowledged messages again.
 func (s *Session) receiveOpened(ctx context.Context, conn *websocket.Conn, token string, acked uint64) {
 	s.writeMu.Lock()
 	defer s.writeMu.Unlock()
@@ -87,14 +90,14 @@
 	}
 }
 
-// resume makes a connection the session's, and gives the number that is acknowledged with the messages behind it.
-// What is sent from now on waits for writing, which is held.
+// resume makes a connection the session's current one, and returns the last acknowledged number and the messages after
+// it. The caller holds writeMu, so that new messages are sent after these.
 func (s *Session) resume(conn *websocket.Conn, token string, acked uint64) (last uint64, unacked [][]byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.connections == 0 {
 		if s.token != "" {
-			s.acked = max(s.acked, acked) // another process sent those
+			s.acked = max(s.acked, acked) // these were sent by another process
 		}
 		close(s.opened)
 	}
@@ -111,7 +114,7 @@
 	s.dropAcked(number)
 }
 
-// dropAcked drops the messages up to a number. s.mu is held.
+// dropAcked drops the messages up to a number. The caller holds s.mu.
 func (s *Session) dropAcked(number uint64) {
 	for s.acked < number && len(s.unacked) > 0 {
 		s.unacked = s.unacked[1:]
@@ -119,8 +122,8 @@
 	}
 }
 
-// receiveMessage gives a message to the caller, unless it came before, and acknowledges it. false: the connection is
-// over.
+// receiveMessage passes a message to the reader of Messages, unless it is a duplicate, and acknowledges it. It returns
+// false if the connection must be closed.
 func (s *Session) receiveMessage(ctx context.Context, conn *websocket.Conn, digits, body string) (ok bool) {
 	number, err := strconv.ParseUint(digits, 10, 64)
 	if err != nil {
@@ -139,7 +142,7 @@
 	return conn.Write(ctx, websocket.MessageText, []byte("a "+digits)) == nil
 }
 
-// formatMessage is the line of a message.
+// formatMessage returns the line of a message.
 func formatMessage(number uint64, body []byte) []byte {
 	return append([]byte("m "+strconv.FormatUint(number, 10)+" "), body...)
 }
--- a/sessionclient/queue.go
+++ b/sessionclient/queue.go
@@ -1,6 +1,6 @@
 package sessionclient
 
-// This file owns a producer's side: a message queued for a session, at whichever site owns it.
+// This file implements the producer's side: it queues messages at the site that owns a session.
 
 import (
 	"bytes"
@@ -14,24 +14,25 @@
 
 const (
 	queueInterval = 15 * time.Millisecond // between attempts
-	queueTimeout  = 3 * time.Second       // of an attempt
+	queueTimeout  = 3 * time.Second       // of one attempt
 )
 
 var producer = http.Client{Timeout: queueTimeout}
 
-// RejectedError is a site's answer that a message never will be queued.
+// RejectedError is returned if a site has answered that a message will never be queued.
 type RejectedError struct {
 	Session string
-	Status  string // HTTP's
+	Status  string // status line of the HTTP response
 }
 
-// Error gives the session and the status.
+// Error returns the session and the status.
 func (e *RejectedError) Error() string { return fmt.Sprintf("session %s: %s", e.Session, e.Status) }
 
-// Queue queues a message for a session at one of the sites ("host:port"), trying first the one at index from, and
-// again under the same key, which makes the attempts idempotent, until a site says that the session's owner and
-// replicas have it, or that they never will (a *RejectedError), or ctx ends (its error: the message may be queued).
-// It gives the index of the site that answered, to begin with next time.
+// Queue queues a message for a session at one of the sites ("host:port"). It tries the sites in turn, beginning at
+// index firstSite, and uses the same key for all attempts, which makes them idempotent. It returns nil once the
+// session's owner and replicas have the message, a *RejectedError if the message will never be queued, or ctx's error
+// if ctx ends, in which case the message may be queued or not. site is the index of the last site tried, to begin with
+// next time.
 func Queue(ctx context.Context, sites []string, firstSite int, session, key string, body []byte) (site int, err error) {
 	for site = firstSite; ; site++ {
 		request, err := newQueueRequest(ctx, sites[site%len(sites)], session, key, body)
--- a/sessionclient/session_test.go
+++ b/sessionclient/session_test.go
@@ -14,7 +14,7 @@
 	"github.com/coder/websocket"
 )
 
-// edge is a server that takes connections one at a time, for a test that plays its part.
+// edge is a server that accepts connections one at a time; the test reads and writes their lines.
 type edge struct {
 	t     *testing.T
 	conns chan *websocket.Conn
@@ -41,11 +41,11 @@
 	return e, "ws" + strings.TrimPrefix(server.URL, "http")
 }
 
-// accept takes the next connection, whose request is to be this one.
+// accept returns the next connection, and checks its request.
 func (e *edge) accept(want string) *websocket.Conn {
 	e.t.Helper()
 	if got := <-e.query; got != want {
-		e.t.Errorf("the request is %q, not %q", got, want)
+		e.t.Errorf("the request is %q, want %q", got, want)
 	}
 	return <-e.conns
 }
@@ -60,12 +60,12 @@
 func (e *edge) expect(c *websocket.Conn, want string) {
 	e.t.Helper()
 	if _, got, err := c.Read(e.t.Context()); err != nil || string(got) != want {
-		e.t.Fatalf("the client sent %q, not %q: %v", got, want, err)
+		e.t.Fatalf("the client sent %q, want %q: %v", got, want, err)
 	}
 }
 
-// A session over two connections, line by line: what has no acknowledgement is sent again, what came before is given
-// once, and an end by the server is told.
+// A session over two connections, line by line: an unacknowledged message is sent again, a duplicate is delivered only
+// once, and Err reports that the server has ended the session.
 func TestSessionTranscript(t *testing.T) {
 	server, addr := newEdge(t)
 	s := Open(t.Context(), []string{addr}, "", 0)
@@ -98,7 +98,7 @@
 	second := server.accept("/session?token=id.secret&got=2")
 	server.send(second, "s id.secret 1")
 	server.expect(second, "m 2 two")
-	server.send(second, "m 2 more") // it has that one
+	server.send(second, "m 2 more") // a duplicate
 	server.expect(second, "a 2")
 	server.send(second, "m 3 last")
 	if got := string(<-s.Messages()); got != "last" {
@@ -108,19 +108,19 @@
 	server.send(second, "a 2")
 	go second.Close(websocket.StatusPolicyViolation, "unknown session")
 	if _, open := <-s.Messages(); open {
-		t.Error("it goes on")
+		t.Error("Messages isn't closed after the end of the session")
 	}
 	token, lastReceived := s.Token()
 	if err := s.Err(); err == nil || !strings.HasPrefix(err.Error(), "the server ended the session: ") ||
 		websocket.CloseStatus(err) != websocket.StatusPolicyViolation {
-		t.Errorf("it ended with %v", err)
+		t.Errorf("the session ended with %v", err)
 	}
 	if token != "id.secret" || lastReceived != 3 || s.Pending() != 0 || s.Connections() != 2 {
 		t.Errorf("%s %d, %d pending, %d connections", token, lastReceived, s.Pending(), s.Connections())
 	}
 }
 
-// Another process goes on with a session: what the one before sent is not its own.
+// Another process resumes a session: it must number its messages after those that the previous process sent.
 func TestResumedTranscript(t *testing.T) {
 	e, addr := newEdge(t)
 	s := Open(t.Context(), []string{addr}, "id.secret", 7)
@@ -133,11 +133,11 @@
 	e.expect(c, "m 5 five")
 	s.Close()
 	if err := s.Send(nil); !errors.Is(err, context.Canceled) {
-		t.Errorf("behind the end it sends: %v", err)
+		t.Errorf("Send after Close: %v", err)
 	}
 }
 
-// A producer goes from site to site until one has the message, or says that it never will.
+// A producer tries one site after the other until one has queued the message or rejects it for good.
 func TestQueueTranscript(t *testing.T) {
 	var calls []string
 	site := func(name string, statuses ...int) string {
