--- a/internal/session/edge/golden_test.go
+++ b/internal/session/edge/golden_test.go
@@ -21,32 +21,34 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	runner := &runner{settings: &settings.Settings{Hostname: "e"}, startedAt: time.Now(), decider: queue.NewEdge("e", "", ""),
+	edgeRunner := &runner{settings: &settings.Settings{Hostname: "e"}, startedAt: time.Now(),
+		decider:  queue.NewEdge("e", "", ""),
 		commands: commandqueue.New(t.Context(), 16), sites: map[string]*siteLink{}, sockets: map[uint64]*socket{}}
-	runner.decider.ApplyMap(m, 0)
+	edgeRunner.decider.ApplyMap(m, 0)
 	var cases []golden.Case[string]
 	for id := uint64(1); id <= 2; id++ {
 		plain := id == 2
 		sock := &socket{id: id, plain: plain, wakeWriter: make(chan struct{}, 1), cancel: func() {}}
-		runner.sockets[id] = sock
+		edgeRunner.sockets[id] = sock
 		name := fmt.Sprint("s", id)
-		runner.decider.OpenSocket(id, name, "secret", true, 0, 0)
+		edgeRunner.decider.OpenSocket(id, name, "secret", true, 0, 0)
 		for _, envelope := range []queue.Envelope{{Kind: queue.KindAttached, Owner: "a", Epoch: 1, Connection: 1, Number: 4},
 			{Kind: queue.KindDeliver, Epoch: 1, Messages: []queue.Message{{Number: 1, Body: []byte("one")}, {Number: 2,
 				Body: []byte("t w")}}}} {
 			envelope.Session, envelope.Socket = name, id
-			runner.decider.Receive("a", &envelope, 0)
+			edgeRunner.decider.Receive("a", &envelope, 0)
 		}
-		runner.decider.Publish(id, 5, []byte("mine"))
-		runner.decider.Receive("a", &queue.Envelope{Kind: queue.KindPublishAck, Session: name, Socket: id, Epoch: 1, Number: 5}, 0)
-		runner.flush()
+		edgeRunner.decider.Publish(id, 5, []byte("mine"))
+		edgeRunner.decider.Receive("a", &queue.Envelope{Kind: queue.KindPublishAck, Session: name, Socket: id, Epoch: 1,
+			Number: 5}, 0)
+		edgeRunner.flush()
 		for i, line := range sock.outgoing {
 			cases = append(cases, golden.Of(fmt.Sprint("socket ", id, " line ", i), line.text+fmt.Sprint(" n ", line.number)))
 		}
 	}
-	go runner.commands.Run(time.Hour, func() {})
+	go edgeRunner.commands.Run(time.Hour, func() {})
 	recorder := httptest.NewRecorder()
-	runner.showStatus(recorder, httptest.NewRequestWithContext(t.Context(), "GET", "/status", nil))
+	edgeRunner.showStatus(recorder, httptest.NewRequestWithContext(t.Context(), "GET", "/status", nil))
 	cases = append(cases, golden.Of("status", recorder.Body.String()))
 	golden.Text(t, "testdata/lines.txt", cases)
 
@@ -55,7 +57,7 @@
 	cancel()
 	for range 20 {
 		again := httptest.NewRecorder()
-		runner.showStatus(again, httptest.NewRequestWithContext(ctx, "GET", "/status", nil))
+		edgeRunner.showStatus(again, httptest.NewRequestWithContext(ctx, "GET", "/status", nil))
 		if again.Code != recorder.Code || again.Body.String() != recorder.Body.String() {
 			t.Fatalf("with a cancelled context: %d %s", again.Code, again.Body)
 		}
--- a/internal/session/edge/sites.go
+++ b/internal/session/edge/sites.go
@@ -67,18 +67,18 @@
 	return &m, nil
 }
 
-// applyMap opens links to new sites, closes links to sites that are gone or have another address, and passes the map to
-// the decider. The links end with ctx.
+// applyMap closes links to sites that are no longer in the map or have another address, opens links to sites that are
+// alive, and passes the map to the decider. The links end with ctx.
 func (r *runner) applyMap(ctx context.Context, m *sites.Map) {
-	for name, s := range r.sites {
-		if current, ok := m.Sites[name]; !ok || current.Addr != s.addr {
-			s.stop()
+	for name, known := range r.sites {
+		if current, ok := m.Sites[name]; !ok || current.Addr != known.addr {
+			known.stop()
 			delete(r.sites, name)
 		}
 	}
-	for name, s := range m.Sites {
-		if s.State != sites.StateRemoved && r.sites[name] == nil {
-			r.sites[name] = r.connectSite(ctx, name, s.Addr)
+	for name, entry := range m.Sites {
+		if entry.State != sites.StateRemoved && r.sites[name] == nil {
+			r.sites[name] = r.connectSite(ctx, name, entry.Addr)
 		}
 	}
 	r.decider.ApplyMap(m, r.now())
--- a/internal/session/queue/interleavings_test.go
+++ b/internal/session/queue/interleavings_test.go
@@ -57,10 +57,10 @@
 }
 
 func (il *interleaving) publishMap() {
-	for _, n := range siteNames {
-		if !il.removed[n] {
-			il.sites[n].ApplyMap(il.current, 1, il.now)
-			il.sites[n].ExtendLease(1e12)
+	for _, name := range siteNames {
+		if !il.removed[name] {
+			il.sites[name].ApplyMap(il.current, 1, il.now)
+			il.sites[name].ExtendLease(1e12)
 		}
 	}
 	il.edge.ApplyMap(il.current, il.now)
@@ -68,11 +68,11 @@
 }
 
 func (il *interleaving) flush() {
-	for _, n := range siteNames {
-		for _, outgoing := range il.sites[n].TakeOutgoing() {
-			if !il.removed[n] && !il.removed[outgoing.To] {
-				k := [2]string{n, outgoing.To}
-				il.links[k] = append(il.links[k], outgoing.Envelope)
+	for _, name := range siteNames {
+		for _, outgoing := range il.sites[name].TakeOutgoing() {
+			if !il.removed[name] && !il.removed[outgoing.To] {
+				link := [2]string{name, outgoing.To}
+				il.links[link] = append(il.links[link], outgoing.Envelope)
 			}
 		}
 	}
@@ -83,8 +83,8 @@
 	}
 	for _, outgoing := range il.edge.TakeOutgoing() {
 		if !il.removed[outgoing.To] {
-			k := [2]string{"e", outgoing.To}
-			il.links[k] = append(il.links[k], outgoing.Envelope)
+			link := [2]string{"e", outgoing.To}
+			il.links[link] = append(il.links[link], outgoing.Envelope)
 		}
 	}
 }
@@ -106,9 +106,9 @@
 }
 
 func (il *interleaving) owner() *Site {
-	for _, n := range siteNames {
-		if s := il.sites[n]; !il.removed[n] && s.owned["s"] != nil {
-			return s
+	for _, name := range siteNames {
+		if site := il.sites[name]; !il.removed[name] && site.owned["s"] != nil {
+			return site
 		}
 	}
 	return nil
@@ -116,12 +116,12 @@
 
 // step performs the event with the number choice of those that are possible now. It returns false if there are fewer.
 func (il *interleaving) step(choice int) bool {
-	for _, k := range il.linkOrder {
-		if len(il.links[k]) == 0 {
+	for _, link := range il.linkOrder {
+		if len(il.links[link]) == 0 {
 			continue
 		}
 		if choice == 0 {
-			return il.deliver(k)
+			return il.deliver(link)
 		}
 		choice--
 	}
@@ -132,8 +132,8 @@
 	}{
 		{owner != nil && il.producedCount < 2, func() {
 			il.producedCount++
-			n := uint64(il.producedCount)
-			owner.Enqueue("s", fmt.Sprint(n), []byte("x"), il.now, func(status Status, got uint64) {
+			number := uint64(il.producedCount)
+			owner.Enqueue("s", fmt.Sprint(number), []byte("x"), il.now, func(status Status, got uint64) {
 				if status == 202 || status == 200 {
 					il.acknowledged = append(il.acknowledged, got)
 				}
@@ -152,9 +152,9 @@
 		{!il.ownerRemoved && owner != nil, func() {
 			il.ownerRemoved = true
 			il.removed[owner.Name] = true
-			for k := range il.links {
-				if k[0] == owner.Name || k[1] == owner.Name {
-					delete(il.links, k)
+			for link := range il.links {
+				if link[0] == owner.Name || link[1] == owner.Name {
+					delete(il.links, link)
 				}
 			}
 			il.edge.HandleSiteLost(owner.Name, il.now)
@@ -163,9 +163,9 @@
 		}},
 		{!il.linksBroken && owner != nil, func() { // the owner's links to other sites lose their envelopes in flight
 			il.linksBroken = true
-			for k := range il.links {
-				if k[0] == owner.Name && k[1] != "e" || k[1] == owner.Name && k[0] != "e" {
-					delete(il.links, k)
+			for link := range il.links {
+				if link[0] == owner.Name && link[1] != "e" || link[1] == owner.Name && link[0] != "e" {
+					delete(il.links, link)
 				}
 			}
 		}},
@@ -189,14 +189,14 @@
 	for range 30 {
 		for delivered := true; delivered; {
 			delivered = false
-			for _, k := range il.linkOrder {
-				delivered = il.deliver(k) || delivered
+			for _, link := range il.linkOrder {
+				delivered = il.deliver(link) || delivered
 			}
 		}
 		il.now += 210
-		for _, n := range siteNames {
-			if !il.removed[n] {
-				il.sites[n].Tick(il.now)
+		for _, name := range siteNames {
+			if !il.removed[name] {
+				il.sites[name].Tick(il.now)
 			}
 		}
 		il.edge.Tick(il.now)
@@ -214,21 +214,21 @@
 		return fmt.Sprintf("the inbox has %d of the client's %d messages", len(messages), il.published)
 	}
 	owners := 0
-	for _, n := range siteNames {
-		if !il.removed[n] && il.sites[n].owned["s"] != nil {
+	for _, name := range siteNames {
+		if !il.removed[name] && il.sites[name].owned["s"] != nil {
 			owners++
 		}
 	}
 	if owners != 1 {
 		return fmt.Sprintf("%d owners", owners)
 	}
-	for i, n := range il.received {
-		if n != uint64(i+1) {
+	for i, number := range il.received {
+		if number != uint64(i+1) {
 			return fmt.Sprintf("the client received %v", il.received)
 		}
 	}
-	for _, n := range il.acknowledged {
-		if !slices.Contains(il.received, n) {
+	for _, number := range il.acknowledged {
+		if !slices.Contains(il.received, number) {
 			return fmt.Sprintf("%v were acknowledged, %v were received", il.acknowledged, il.received)
 		}
 	}
@@ -258,8 +258,8 @@
 		}
 		for choice := 0; ; choice++ {
 			il := newInterleaving()
-			for _, p := range path {
-				il.step(p)
+			for _, earlier := range path {
+				il.step(earlier)
 			}
 			if !il.step(choice) {
 				return
--- a/internal/session/queue/scenario_clients_test.go
+++ b/internal/session/queue/scenario_clients_test.go
@@ -58,9 +58,9 @@
 }
 
 // produce enqueues a message and retries with the same key until it has a final answer.
-func (sc *scenario) produce(c *client, n int) {
-	key := fmt.Sprint("k", n)
-	body := fmt.Sprint(c.id, "-", n)
+func (sc *scenario) produce(c *client, sequence int) {
+	key := fmt.Sprint("k", sequence)
+	body := fmt.Sprint(c.id, "-", sequence)
 	c.produced[body] = true
 	var attempt func(left int)
 	attempt = func(attemptsLeft int) {
@@ -125,12 +125,12 @@
 
 func (sc *scenario) startTraffic(until float64) {
 	for _, c := range sc.clients {
-		n := 0
+		produced := 0
 		var enqueue, publish, consume func()
 		enqueue = func() {
 			if sc.Now < until {
-				sc.produce(c, n)
-				n++
+				sc.produce(c, produced)
+				produced++
 				sc.After(400*sc.random.Float64(), enqueue)
 			}
 		}
--- a/internal/session/queue/scenario_test.go
+++ b/internal/session/queue/scenario_test.go
@@ -63,8 +63,8 @@
 	sockets    map[uint64]*client
 }
 
-func (sc *scenario) logf(f string, args ...any) {
-	sc.log = append(sc.log, fmt.Sprintf("%.0f ", sc.Now)+fmt.Sprintf(f, args...))
+func (sc *scenario) logf(format string, args ...any) {
+	sc.log = append(sc.log, fmt.Sprintf("%.0f ", sc.Now)+fmt.Sprintf(format, args...))
 }
 
 func pair(a, b string) string {
@@ -91,12 +91,12 @@
 	})
 }
 
-func (site *simSite) run(f func()) {
+func (site *simSite) run(command func()) {
 	switch {
 	case site.frozen:
-		site.frozenCommands = append(site.frozenCommands, f)
+		site.frozenCommands = append(site.frozenCommands, command)
 	case site.up:
-		f()
+		command()
 	}
 }
 
@@ -228,7 +228,8 @@
 		if !site.frozen {
 			requestedAt := sc.Now
 			sc.After(5, func() { // the core's answer
-				if s := sc.current.Sites[site.name]; s.Incarnation == incarnation && s.State != sites.StateRemoved && site.up {
+				if entry := sc.current.Sites[site.name]; entry.Incarnation == incarnation &&
+					entry.State != sites.StateRemoved && site.up {
 					sc.renewedAt[site.name] = sc.Now
 					sc.After(5, func() { site.run(func() { site.decider.ExtendLease(requestedAt + leaseFor) }) })
 				}
@@ -253,10 +254,10 @@
 // expireLeases does what the core does: it removes sites whose leases have certainly expired.
 func (sc *scenario) expireLeases() {
 	for _, name := range simSites {
-		s, ok := sc.current.Sites[name]
-		if ok && s.State != sites.StateRemoved && sc.Now-sc.renewedAt[name] > leaseFor+200 {
+		entry, ok := sc.current.Sites[name]
+		if ok && entry.State != sites.StateRemoved && sc.Now-sc.renewedAt[name] > leaseFor+200 {
 			sc.logf("%s is removed, its lease has expired", name)
-			sc.change(&sites.Change{Kind: sites.ChangeExpire, Name: name, Epoch: s.Epoch})
+			sc.change(&sites.Change{Kind: sites.ChangeExpire, Name: name, Epoch: entry.Epoch})
 			if site := sc.sites[name]; site.up && !site.frozen { // the process starts a new incarnation
 				site.up = false
 				sc.After(500, func() { sc.startSite(site) })
@@ -299,18 +300,18 @@
 	sc.After(50, sc.expireLeases)
 	sc.RunUntil(400)
 	for i := range clients {
-		c := &client{id: fmt.Sprint("c", i), secret: fmt.Sprint("s", i), plain: i%3 == 0, produced: map[string]bool{}}
-		sc.clients = append(sc.clients, c)
-		sc.connect(c, true)
+		newClient := &client{id: fmt.Sprint("c", i), secret: fmt.Sprint("s", i), plain: i%3 == 0, produced: map[string]bool{}}
+		sc.clients = append(sc.clients, newClient)
+		sc.connect(newClient, true)
 	}
 	return sc
 }
 
 func (sc *scenario) startEdge(edge *simEdge) {
-	started := edge.decider
+	decider := edge.decider
 	var tick func()
 	tick = func() {
-		if edge.decider == started && edge.up {
+		if edge.decider == decider && edge.up {
 			edge.decider.Tick(sc.Now)
 			sc.flushEdge(edge)
 			sc.After(25, tick)
--- a/internal/session/queue/sessions_test.go
+++ b/internal/session/queue/sessions_test.go
@@ -21,11 +21,11 @@
 	sc.RunUntil(1000)
 	sc.startTraffic(12000)
 	// One site at a time fails, and the next one only after the sessions have all replicas again.
-	at := 1500.0
-	for at < 11000 {
+	faultAt := 1500.0
+	for faultAt < 11000 {
 		site := sc.sites[simSites[sc.random.IntN(4)]]
 		fault := sc.random.IntN(5)
-		sc.After(at-sc.Now, func() {
+		sc.After(faultAt-sc.Now, func() {
 			if !site.up || site.frozen {
 				return
 			}
@@ -37,8 +37,8 @@
 				site.frozen = true
 				sc.After(1000+2500*sc.random.Float64(), func() {
 					site.frozen = false
-					for _, f := range site.frozenCommands {
-						f()
+					for _, command := range site.frozenCommands {
+						command()
 					}
 					site.frozenCommands = nil
 				})
@@ -52,7 +52,7 @@
 				sc.breakLink(site.name, simSites[sc.random.IntN(4)])
 			}
 		})
-		at += []float64{4500, 5500, 1200, 300, 300}[fault]
+		faultAt += []float64{4500, 5500, 1200, 300, 300}[fault]
 	}
 	sc.RunUntil(14000)
 	sc.clientsActive = false
--- a/internal/session/site/golden_test.go
+++ b/internal/session/site/golden_test.go
@@ -24,13 +24,13 @@
 
 // Golden file of the calls of producers, consumers and operators: statuses, headers and bodies.
 func TestGoldenCalls(t *testing.T) {
-	runner := &runner{settings: &settings.Settings{Hostname: "a", ReadyAddr: "127.0.0.1:9"}, ctx: t.Context(),
+	siteRunner := &runner{settings: &settings.Settings{Hostname: "a", ReadyAddr: "127.0.0.1:9"}, ctx: t.Context(),
 		startedAt: time.Now(),
 		commands:  commandqueue.New(t.Context(), 16), limits: queue.DefaultLimits, incarnation: 1, edges: map[string]*link{},
 		loggedState: sites.StateActive}
-	runner.limits.MessageBytes = 20
-	runner.decider = queue.NewSite("a", runner.limits)
-	other := queue.NewSite("b", runner.limits)
+	siteRunner.limits.MessageBytes = 20
+	siteRunner.decider = queue.NewSite("a", siteRunner.limits)
+	other := queue.NewSite("b", siteRunner.limits)
 	var m *sites.Map
 	for _, name := range []string{"a", "b"} {
 		next, err := m.Apply(&sites.Change{Kind: sites.ChangeJoin, Name: name, Site: sites.Site{Addr: name,
@@ -42,7 +42,7 @@
 	}
 	edge := queue.NewEdge("e", "", "")
 	edge.ApplyMap(m, 0)
-	for _, site := range []*queue.Site{runner.decider, other} {
+	for _, site := range []*queue.Site{siteRunner.decider, other} {
 		site.ApplyMap(m, 1, 0)
 		site.ExtendLease(1e12)
 	}
@@ -50,9 +50,9 @@
 	deliverAll := func() {
 		for range 20 {
 			for _, outgoing := range edge.TakeOutgoing() {
-				runner.decider.Receive("e", &outgoing.Envelope, 0)
+				siteRunner.decider.Receive("e", &outgoing.Envelope, 0)
 			}
-			for _, outgoing := range runner.decider.TakeOutgoing() {
+			for _, outgoing := range siteRunner.decider.TakeOutgoing() {
 				if outgoing.To == "e" {
 					edge.Receive("a", &outgoing.Envelope, 0)
 				} else {
@@ -60,16 +60,16 @@
 				}
 			}
 			for _, outgoing := range other.TakeOutgoing() {
-				runner.decider.Receive("b", &outgoing.Envelope, 0)
+				siteRunner.decider.Receive("b", &outgoing.Envelope, 0)
 			}
 		}
 	}
 	deliverAll()
 	edge.Publish(1, 1, []byte("from the client"))
 	deliverAll()
-	runner.decider.Receive("b", &queue.Envelope{Kind: queue.KindSnapshot, Session: "there", Epoch: 1, SiteEpoch: 1,
+	siteRunner.decider.Receive("b", &queue.Envelope{Kind: queue.KindSnapshot, Session: "there", Epoch: 1, SiteEpoch: 1,
 		State: &queue.SessionState{Epoch: 1, Owner: "b", OwnerEpoch: 1, Replicas: []string{"a"}}}, 0)
-	go runner.commands.Run(time.Hour, func() {})
+	go siteRunner.commands.Run(time.Hour, func() {})
 	var cases []golden.Case[string]
 	for _, call := range []string{
 		"GET /sessions/here", "GET /sessions/there", "GET /sessions/none", "GET /sessions/here/inbox?after=0",
@@ -85,7 +85,7 @@
 		if body == "long key" {
 			request.Header.Set("Weirwind-Key", strings.Repeat("k", 200))
 		}
-		runner.routes().ServeHTTP(recorder, request)
+		siteRunner.routes().ServeHTTP(recorder, request)
 		headers := http.Header{}
 		for _, key := range []string{"Content-Type", "Location", "Retry-After"} {
 			if v := recorder.Header().Get(key); v != "" {
--- a/internal/session/site/lease.go
+++ b/internal/session/site/lease.go
@@ -53,7 +53,7 @@
 	if ended != r.incarnation || m == nil || m.Sites[r.settings.Hostname].Incarnation != ended {
 		return
 	}
-	r.log.Event(events.SiteStateChanged, "site", r.settings.Hostname, "what", "this incarnation has ended; a new one starts")
+	r.log.Event(events.SiteStateChanged, "site", r.settings.Hostname, "what", "this incarnation has ended; another starts")
 	r.decider = queue.NewSite(r.settings.Hostname, r.limits)
 	r.incarnation = newIncarnation()
 	r.loggedState = ""
--- a/internal/session/site/links.go
+++ b/internal/session/site/links.go
@@ -35,11 +35,11 @@
 
 // connectPeers opens links to the other sites that are alive, and closes those to sites that are not.
 func (r *runner) connectPeers(ctx context.Context, m *sites.Map) {
-	for name, p := range r.peers {
-		if site, ok := m.Sites[name]; !ok || site.Addr != p.addr || site.State == sites.StateRemoved {
-			p.stop()
-			if p.link != nil {
-				p.link.Close()
+	for name, known := range r.peers {
+		if site, ok := m.Sites[name]; !ok || site.Addr != known.addr || site.State == sites.StateRemoved {
+			known.stop()
+			if known.link != nil {
+				known.link.Close()
 			}
 			delete(r.peers, name)
 		}
--- a/internal/session/sites/sites_test.go
+++ b/internal/session/sites/sites_test.go
@@ -48,11 +48,11 @@
 				continue
 			}
 			m = next
-			b, err := json.Marshal(m)
+			encoded, err := json.Marshal(m)
 			if err != nil {
 				t.Fatal(err)
 			}
-			_, _ = trace.Write(b)
+			_, _ = trace.Write(encoded)
 			for _, count := range []int{1, 2, 3} {
 				excluded := fmt.Sprint("s", r.IntN(7))
 				candidates := m.ReplicaCandidates(name, fmt.Sprint("session", r.IntN(9)), count, func(s string) bool { return s == excluded })
--- a/internal/shard/shardmap/scenario_test.go
+++ b/internal/shard/shardmap/scenario_test.go
@@ -182,7 +182,7 @@
 
 // execute executes an action and returns its result to the leader that requested it.
 func (sc *scenario) execute(leader *leader, action Action) {
-	sent := sc.Now
+	sentAt := sc.Now
 	sc.record("act", sc.Now, leader.term, uint8(action.Kind), action.Node, action.Shard, action.Epoch, action.Source,
 		action.Bytes, action.LastIndex, action.Change, action.Message, leader.rebalancer.TransferState(action.Shard))
 	handle := func(result Result) {
@@ -198,7 +198,7 @@
 		var report shardnode.Report
 		sc.call(action.Node, func(store *shardnode.Store) { report = store.Report() }, func(ok bool) {
 			if !leader.deposed {
-				leader.rebalancer.HandleReport(action.Node, sent, report, ok)
+				leader.rebalancer.HandleReport(action.Node, sentAt, report, ok)
 			}
 		})
 	case ActionPropose:
@@ -304,10 +304,10 @@
 // publishMap sends the map to the proxies, each with a random delay.
 func (sc *scenario) publishMap() {
 	m := sc.current
-	for _, p := range sc.proxies {
+	for _, recipient := range sc.proxies {
 		sc.After(2+30*sc.random.Float64()*sc.random.Float64()*10, func() {
-			if !p.frozen {
-				p.routes.Update(m)
+			if !recipient.frozen {
+				recipient.routes.Update(m)
 			}
 		})
 	}
@@ -336,9 +336,9 @@
 		}
 	}
 	for range 3 {
-		p := &proxy{routes: NewRoutingTable()}
-		p.routes.Update(sc.current)
-		sc.proxies = append(sc.proxies, p)
+		newProxy := &proxy{routes: NewRoutingTable()}
+		newProxy.routes.Update(sc.current)
+		sc.proxies = append(sc.proxies, newProxy)
 	}
 	return sc
 }
--- a/internal/shard/shardplan/shardplan_test.go
+++ b/internal/shard/shardplan/shardplan_test.go
@@ -28,8 +28,8 @@
 		}
 		shard := Shard{ID: fmt.Sprint("s", i), Size: size, Growth: size / 50, RequestRate: r.ExpFloat64()}
 		first := r.IntN(nodes)
-		for k := range 2 {
-			node := (first + k) % nodes // the second replica goes to the next zone
+		for replica := range 2 {
+			node := (first + replica) % nodes // the second replica goes to the next zone
 			shard.Replicas = append(shard.Replicas, c.Nodes[node].ID)
 			load[node] += size
 		}
@@ -67,24 +67,24 @@
 	initial := newPlacement(c)
 	storedOn := map[string]map[string]bool{}
 	size, grownSize := map[string]int64{}, map[string]int64{}
-	for _, s := range c.Shards {
-		size[s.ID], grownSize[s.ID], storedOn[s.ID] = s.Size, s.Size+s.Growth, map[string]bool{}
-		for _, node := range s.Replicas {
-			storedOn[s.ID][node] = true
+	for _, shard := range c.Shards {
+		size[shard.ID], grownSize[shard.ID], storedOn[shard.ID] = shard.Size, shard.Size+shard.Growth, map[string]bool{}
+		for _, node := range shard.Replicas {
+			storedOn[shard.ID][node] = true
 		}
 	}
 	load := map[string]int64{}
-	for _, n := range initial.nodes {
-		load[n.ID] = n.used
+	for _, node := range initial.nodes {
+		load[node.ID] = node.used
 	}
 	bytes := int64(0)
-	for roundNumber, round := range plan.Rounds {
+	for number, round := range plan.Rounds {
 		for _, move := range round {
 			if !storedOn[move.Shard][move.From] || storedOn[move.Shard][move.To] {
-				return fmt.Errorf("round %d: %+v, stored on %v", roundNumber, move, storedOn[move.Shard])
+				return fmt.Errorf("round %d: %+v, stored on %v", number, move, storedOn[move.Shard])
 			}
 			if load[move.To] += grownSize[move.Shard]; load[move.To] > initial.byID[move.To].capacity {
-				return fmt.Errorf("round %d: %s holds %d of %d", roundNumber, move.To, load[move.To], initial.byID[move.To].capacity)
+				return fmt.Errorf("round %d: %s holds %d of %d", number, move.To, load[move.To], initial.byID[move.To].capacity)
 			}
 		}
 		for _, move := range round {
@@ -134,14 +134,14 @@
 // node to the emptiest until all nodes are below the upper end of their band. balanced reports whether the result meets
 // all rules of a plan.
 func greedy(c *Cluster) (bytes int64, balanced bool) {
-	b := newPlacement(c)
-	active := slices.DeleteFunc(slices.Clone(b.nodes), func(node *nodeLoad) bool { return node.State != NodeActive })
+	result := newPlacement(c)
+	active := slices.DeleteFunc(slices.Clone(result.nodes), func(node *nodeLoad) bool { return node.State != NodeActive })
 	emptiest := func() *nodeLoad { return slices.MaxFunc(active, byUtilization) }
-	for _, node := range b.nodes {
+	for _, node := range result.nodes {
 		for i := range node.shards {
 			if node.State != NodeActive {
 				bytes += c.Shards[i].Size
-				b.place(emptiest(), i)
+				result.place(emptiest(), i)
 			}
 		}
 	}
@@ -160,8 +160,8 @@
 		if best < 0 || target == fullest || target.used+c.Shards[best].Size >= fullest.used {
 			break
 		}
-		b.remove(fullest, best)
-		b.place(target, best)
+		result.remove(fullest, best)
+		result.place(target, best)
 		bytes += c.Shards[best].Size
 	}
 	for _, node := range active {
--- a/sessionclient/queue.go
+++ b/sessionclient/queue.go
@@ -33,26 +33,27 @@
 // session's owner and replicas have the message, a *RejectedError if the message will never be queued, or ctx's error
 // if ctx ends, in which case the message may be queued or not. site is the index of the last site tried, to begin with
 // next time.
-func Queue(ctx context.Context, sites []string, firstSite int, session, key string, body []byte) (site int, err error) {
-	for site = firstSite; ; site++ {
-		request, err := newQueueRequest(ctx, sites[site%len(sites)], session, key, body)
+func Queue(ctx context.Context, sites []string, firstSite int, session, key string, body []byte) (
+	siteIndex int, err error) {
+	for siteIndex = firstSite; ; siteIndex++ {
+		request, err := newQueueRequest(ctx, sites[siteIndex%len(sites)], session, key, body)
 		if err != nil {
-			return site, err
+			return siteIndex, err
 		}
 		if response, err := producer.Do(request); err == nil {
 			_, _ = io.Copy(io.Discard, response.Body)
 			_ = response.Body.Close()
 			switch response.StatusCode {
 			case http.StatusOK, http.StatusAccepted:
-				return site % len(sites), nil
+				return siteIndex % len(sites), nil
 			case http.StatusBadRequest, http.StatusRequestEntityTooLarge:
-				return site % len(sites), &RejectedError{session, response.Status}
+				return siteIndex % len(sites), &RejectedError{session, response.Status}
 			}
 		}
 		select {
 		case <-time.After(queueInterval):
 		case <-ctx.Done():
-			return site % len(sites), ctx.Err()
+			return siteIndex % len(sites), ctx.Err()
 		}
 	}
 }
