--- a/internal/shard/shardmap/rebalancer.go
+++ b/internal/shard/shardmap/rebalancer.go
@@ -19,7 +19,7 @@
 	closeRetryInterval     = 5.0                  // between retries of a close, during which the shard isn't served
 	abortTransactionsAfter = 80.0                 // after the start of a close, open transactions are aborted
 	closeTimeout           = 1200.0               // after the start of a close, the transfer is rolled back
-	contactTimeout         = 3000.0               // without any answer a transfer is abandoned until its source closes
+	contactTimeout         = 3000.0               // without an answer, a transfer whose source is not closing is abandoned
 	replanInterval         = 4000.0               // between automatic plans
 	reconcileInterval      = 2 * busyPollInterval // between retries of one reconciliation action
 	reconcileRetention     = 4000.0               // after which the time of a reconciliation action is forgotten
@@ -28,7 +28,7 @@
 	maxLagToClose          = 64                   // entries that the target may lack when the source is closed
 	rateStep               = 1.5                  // factor by which a transfer is sped up when it falls behind
 	maxRateFactor          = 16.0                 // upper limit of the product of these factors
-	minRateShare           = 0.05                 // of its rate, that a transfer keeps while its nodes are busy
+	minRateShare           = 0.05                 // share of the rate that is left while a node has no free slots
 	maxWriteGaps           = 4096                 // write gaps that are kept
 )
 
