--- a/internal/session/edge/sites.go
+++ b/internal/session/edge/sites.go
@@ -1,6 +1,6 @@
 package edge
 
-// This file owns the edge's links to sites, and its map of them.
+// This file keeps the edge's map of sites, and its links to them.
 
 import (
 	"context"
@@ -24,19 +24,19 @@
 
 type link = transport.Link[site.Frame]
 
-// siteLink is a site with the link to it.
+// siteLink is a site to which the edge keeps a link.
 type siteLink struct {
 	addr string
 	link *link // nil while there is none
 	stop context.CancelFunc
 }
 
-// pollMap asks the machines of the core in turn for the map of sites; sites send their changes sooner.
+// pollMap polls the machines of the core in turn for the map of sites. Sites usually send a new map earlier.
 func (r *runner) pollMap(ctx context.Context) {
 	client := http.Client{Timeout: mapTimeout}
 	machines := r.settings.Peers
-	for n := 0; ctx.Err() == nil; n++ {
-		if m, err := fetchMap(ctx, &client, machines[n%len(machines)]); err == nil {
+	for attempt := 0; ctx.Err() == nil; attempt++ {
+		if m, err := fetchMap(ctx, &client, machines[attempt%len(machines)]); err == nil {
 			r.commands.Do(func() { r.applyMap(ctx, m) })
 		}
 		select {
@@ -46,7 +46,7 @@
 	}
 }
 
-// fetchMap asks one machine of the core.
+// fetchMap fetches the map from one machine of the core.
 func fetchMap(ctx context.Context, client *http.Client, machine string) (*sites.Map, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+machine+"/sites", http.NoBody)
 	if err != nil {
@@ -67,29 +67,30 @@
 	return &m, nil
 }
 
-// applyMap keeps links to the sites that are alive, until ctx ends, and gives the decider the map.
+// applyMap closes links to sites that are no longer in the map or have another address, opens links to sites that are
+// alive, and passes the map to the decider. The links end with ctx.
 func (r *runner) applyMap(ctx context.Context, m *sites.Map) {
-	for name, s := range r.sites {
-		if current, ok := m.Sites[name]; !ok || current.Addr != s.addr {
-			s.stop()
+	for name, known := range r.sites {
+		if current, ok := m.Sites[name]; !ok || current.Addr != known.addr {
+			known.stop()
 			delete(r.sites, name)
 		}
 	}
-	for name, s := range m.Sites {
-		if s.State != sites.StateRemoved && r.sites[name] == nil {
-			r.sites[name] = r.connectSite(ctx, name, s.Addr)
+	for name, entry := range m.Sites {
+		if entry.State != sites.StateRemoved && r.sites[name] == nil {
+			r.sites[name] = r.connectSite(ctx, name, entry.Addr)
 		}
 	}
 	r.decider.ApplyMap(m, r.now())
 	r.flush()
 }
 
-// connectSite keeps a link to a site until it is stopped or ctx ends. What the site sends may have other links made,
-// which outlive this one: they end with ctx, not with the link.
+// connectSite keeps a link to a site until it is stopped or ctx ends. A map that the site sends may open other links,
+// which must outlive this one: they end with ctx, not with the link.
 func (r *runner) connectSite(ctx context.Context, name, addr string) *siteLink {
 	linkCtx, stop := context.WithCancel(ctx)
 	s := &siteLink{addr: addr, stop: stop}
-	up := func(l *link) {
+	onLinkChange := func(l *link) {
 		r.commands.Do(func() {
 			s.link = l
 			if l == nil {
@@ -103,11 +104,11 @@
 			r.commands.Do(func() { r.receive(ctx, name, frame) })
 		}
 	}
-	go site.KeepLink(linkCtx, addr, site.Frame{Hello: r.settings.Hostname, Edge: true}, up, receive)
+	go site.KeepLink(linkCtx, addr, site.Frame{Hello: r.settings.Hostname, Edge: true}, onLinkChange, receive)
 	return s
 }
 
-// receive takes an envelope of a site, or a map.
+// receive handles an envelope of a site, which may contain a map.
 func (r *runner) receive(ctx context.Context, name string, frame *site.Frame) {
 	if frame.Envelope.Map != nil {
 		r.applyMap(ctx, frame.Envelope.Map)
@@ -117,8 +118,8 @@
 	r.flush()
 }
 
-// flush sends what the decider has for clients and for sites. What has no link to its site is dropped: it is sent
-// again.
+// flush sends the decider's events to clients and its envelopes to sites. Envelopes without a link are dropped, since
+// the decider sends them again.
 func (r *runner) flush() {
 	for _, event := range r.decider.TakeClientEvents() {
 		if s := r.sockets[event.Socket]; s != nil {
--- a/internal/session/queue/edgereceive.go
+++ b/internal/session/queue/edgereceive.go
@@ -1,8 +1,8 @@
 package queue
 
-// This file owns what an edge does with the messages of sites.
+// This file handles the envelopes that an edge receives from sites.
 
-// Receive takes an envelope of a site.
+// Receive handles an envelope of a site.
 func (e *Edge) Receive(from string, envelope *Envelope, now float64) {
 	sock := e.sockets[envelope.Socket]
 	if sock == nil || sock.session != envelope.Session || envelope.Epoch > 0 && envelope.Epoch < sock.epoch {
@@ -39,12 +39,12 @@
 	if sock.connection > 0 && !sock.attached {
 		e.addOwnerGap(now - sock.detachedAt)
 	}
-	first := !sock.opened
-	sock.delivered = max(sock.delivered, envelope.Base) // the client had those by an earlier connection
-	sock.attached, sock.opened, sock.attempts = true, true, 0
+	firstAttach := !sock.opened
+	sock.delivered = max(sock.delivered, envelope.Base) // received by the client over an earlier connection
+	sock.attached, sock.opened, sock.attachAttempts = true, true, 0
 	sock.epoch, sock.connection, sock.replicas = envelope.Epoch, envelope.Connection, envelope.Replicas
-	if first {
-		sock.published = max(sock.published, envelope.Number)
+	if firstAttach {
+		sock.lastPublished = max(sock.lastPublished, envelope.Number)
 		e.emit(ClientEvent{Kind: EventOpened, Socket: sock.id, Number: envelope.Number, Secret: sock.secret,
 			Session: sock.session})
 	} else {
@@ -53,7 +53,7 @@
 	e.republish(sock, now)
 }
 
-// receiveDeliver gives the client the messages that follow those that it was given.
+// receiveDeliver sends the client the messages that follow the last one sent to it.
 func (e *Edge) receiveDeliver(sock *socket, envelope *Envelope) {
 	sock.epoch = envelope.Epoch
 	for _, m := range envelope.Messages {
@@ -64,23 +64,23 @@
 	}
 }
 
-// receivePublishAck takes that the client's messages up to a number are replicated.
+// receivePublishAck handles the acknowledgement that the client's messages up to a number are replicated.
 func (e *Edge) receivePublishAck(sock *socket, number uint64) {
-	before := len(sock.unacked)
+	unackedBefore := len(sock.unacked)
 	for len(sock.unacked) > 0 && sock.unacked[0].Number <= number {
 		sock.unacked = sock.unacked[1:]
 	}
-	if len(sock.unacked) != before {
+	if len(sock.unacked) != unackedBefore {
 		e.emit(ClientEvent{Kind: EventPublishAcked, Socket: sock.id, Number: number})
 	}
 }
 
-// receiveRedirect follows a session to its owner.
+// receiveRedirect attaches a socket to the owner that a site has named.
 func (e *Edge) receiveRedirect(sock *socket, envelope *Envelope, now float64) {
 	if sock.attached && sock.owner == envelope.Owner && envelope.Epoch <= sock.epoch {
 		return
 	}
 	sock.detach(now)
-	sock.owner, sock.replicas, sock.retryAt = envelope.Owner, envelope.Replicas, now+locateInterval
+	sock.owner, sock.replicas, sock.nextAttachAt = envelope.Owner, envelope.Replicas, now+locateInterval
 	e.attach(sock)
 }
--- a/internal/session/queue/interleavings_test.go
+++ b/internal/session/queue/interleavings_test.go
@@ -10,10 +10,10 @@
 	"weirwind/internal/session/sites"
 )
 
-// interleaving plays one session of three sites and an edge through every order of few events: which link's next
-// envelope arrives, a message is enqueued, the client acknowledges or publishes, the owner is removed or drains, a link
-// breaks. Time stands still up to the end, when all that is left may happen; then everything that was acknowledged must
-// have arrived once and in order.
+// interleaving runs one session, with three sites and an edge, through one order of a few events: the next envelope of
+// a link arrives, a message is enqueued, the client acknowledges or publishes, the owner is removed or drains, or its
+// links break. Time doesn't advance until the end, when all remaining envelopes are delivered. Then every acknowledged
+// message must have arrived once and in order.
 type interleaving struct {
 	now           float64
 	current       *sites.Map
@@ -37,18 +37,18 @@
 	il := &interleaving{current: &sites.Map{Sites: map[string]sites.Site{}}, sites: map[string]*Site{},
 		removed: map[string]bool{},
 		edge:    NewEdge("e", "z0", "r"), links: map[[2]string][]Envelope{}}
-	for i, n := range siteNames {
-		il.sites[n] = NewSite(n, Limits{Sessions: 9, SessionBytes: 1 << 20, SessionMessages: 9, MaxAge: 1e12,
+	for i, name := range siteNames {
+		il.sites[name] = NewSite(name, Limits{Sessions: 9, SessionBytes: 1 << 20, SessionMessages: 9, MaxAge: 1e12,
 			TotalBytes: 1 << 20, MessageBytes: 99, WindowMessages: 9,
 			WindowBytes: 1 << 20, Replicas: 1, RecentKeys: 9})
-		il.current, _ = il.current.Apply(&sites.Change{Kind: sites.ChangeJoin, Name: n,
-			Site: sites.Site{Addr: n, Zone: fmt.Sprint("z", i), Region: "r", Incarnation: 1}})
-		for _, p := range append(siteNames, "e") {
-			if p != n {
-				il.linkOrder = append(il.linkOrder, [2]string{n, p})
+		il.current, _ = il.current.Apply(&sites.Change{Kind: sites.ChangeJoin, Name: name,
+			Site: sites.Site{Addr: name, Zone: fmt.Sprint("z", i), Region: "r", Incarnation: 1}})
+		for _, peer := range append(siteNames, "e") {
+			if peer != name {
+				il.linkOrder = append(il.linkOrder, [2]string{name, peer})
 			}
 		}
-		il.linkOrder = append(il.linkOrder, [2]string{"e", n})
+		il.linkOrder = append(il.linkOrder, [2]string{"e", name})
 	}
 	il.publishMap()
 	il.edge.OpenSocket(1, "s", "x", true, 0, il.now)
@@ -57,10 +57,10 @@
 }
 
 func (il *interleaving) publishMap() {
-	for _, n := range siteNames {
-		if !il.removed[n] {
-			il.sites[n].ApplyMap(il.current, 1, il.now)
-			il.sites[n].ExtendLease(1e12)
+	for _, name := range siteNames {
+		if !il.removed[name] {
+			il.sites[name].ApplyMap(il.current, 1, il.now)
+			il.sites[name].ExtendLease(1e12)
 		}
 	}
 	il.edge.ApplyMap(il.current, il.now)
@@ -68,72 +68,72 @@
 }
 
 func (il *interleaving) flush() {
-	for _, n := range siteNames {
-		for _, s := range il.sites[n].TakeOutgoing() {
-			if !il.removed[n] && !il.removed[s.To] {
-				k := [2]string{n, s.To}
-				il.links[k] = append(il.links[k], s.Envelope)
+	for _, name := range siteNames {
+		for _, outgoing := range il.sites[name].TakeOutgoing() {
+			if !il.removed[name] && !il.removed[outgoing.To] {
+				link := [2]string{name, outgoing.To}
+				il.links[link] = append(il.links[link], outgoing.Envelope)
 			}
 		}
 	}
-	for _, t := range il.edge.TakeClientEvents() {
-		if t.Kind == EventMessage {
-			il.received = append(il.received, t.Number)
+	for _, event := range il.edge.TakeClientEvents() {
+		if event.Kind == EventMessage {
+			il.received = append(il.received, event.Number)
 		}
 	}
-	for _, s := range il.edge.TakeOutgoing() {
-		if !il.removed[s.To] {
-			k := [2]string{"e", s.To}
-			il.links[k] = append(il.links[k], s.Envelope)
+	for _, outgoing := range il.edge.TakeOutgoing() {
+		if !il.removed[outgoing.To] {
+			link := [2]string{"e", outgoing.To}
+			il.links[link] = append(il.links[link], outgoing.Envelope)
 		}
 	}
 }
 
-func (il *interleaving) deliver(k [2]string) bool {
-	q := il.links[k]
-	if len(q) == 0 {
+func (il *interleaving) deliver(link [2]string) bool {
+	pending := il.links[link]
+	if len(pending) == 0 {
 		return false
 	}
-	w := q[0]
-	il.links[k] = slices.Clone(q[1:])
-	if k[1] == "e" {
-		il.edge.Receive(k[0], &w, il.now)
+	envelope := pending[0]
+	il.links[link] = slices.Clone(pending[1:])
+	if link[1] == "e" {
+		il.edge.Receive(link[0], &envelope, il.now)
 	} else {
-		il.sites[k[1]].Receive(k[0], &w, il.now)
+		il.sites[link[1]].Receive(link[0], &envelope, il.now)
 	}
 	il.flush()
 	return true
 }
 
 func (il *interleaving) owner() *Site {
-	for _, n := range siteNames {
-		if s := il.sites[n]; !il.removed[n] && s.owned["s"] != nil {
-			return s
+	for _, name := range siteNames {
+		if site := il.sites[name]; !il.removed[name] && site.owned["s"] != nil {
+			return site
 		}
 	}
 	return nil
 }
 
-// step takes the choice-th thing that can happen; false: there is none of that number.
+// step performs the event with the number choice of those that are possible now. It returns false if there are fewer.
 func (il *interleaving) step(choice int) bool {
-	for _, k := range il.linkOrder {
-		if len(il.links[k]) == 0 {
+	for _, link := range il.linkOrder {
+		if len(il.links[link]) == 0 {
 			continue
 		}
 		if choice == 0 {
-			return il.deliver(k)
+			return il.deliver(link)
 		}
 		choice--
 	}
-	h := il.owner()
-	can := []struct {
-		may bool
-		do  func()
+	owner := il.owner()
+	events := []struct {
+		possible bool
+		run      func()
 	}{
-		{h != nil && il.producedCount < 2, func() {
+		{owner != nil && il.producedCount < 2, func() {
 			il.producedCount++
-			n := uint64(il.producedCount)
-			h.Enqueue("s", fmt.Sprint(n), []byte("x"), il.now, func(status Status, got uint64) {
+			number := uint64(il.producedCount)
+			owner.Enqueue("s", fmt.Sprint(number), []byte("x"), il.now, func(status Status, got uint64) {
 				if status == 202 || status == 200 {
 					il.acknowledged = append(il.acknowledged, got)
 				}
@@ -142,40 +142,40 @@
 		{il.edge.sockets[1] != nil && il.edge.sockets[1].acked < il.edge.sockets[1].delivered,
 			func() { il.edge.Ack(1, il.edge.sockets[1].delivered) }},
 		{il.published < 1 && il.edge.sockets[1] != nil, func() { il.published++; il.edge.Publish(1, il.published, []byte("y")) }},
-		{!il.ownerDrained && h != nil, func() {
+		{!il.ownerDrained && owner != nil, func() {
 			il.ownerDrained = true
-			il.current, _ = il.current.Apply(&sites.Change{Kind: sites.ChangeDrain, Name: h.Name, DrainRate: 1000})
+			il.current, _ = il.current.Apply(&sites.Change{Kind: sites.ChangeDrain, Name: owner.Name, DrainRate: 1000})
 			il.publishMap()
 			il.now += 60
-			h.Tick(il.now)
+			owner.Tick(il.now)
 		}},
-		{!il.ownerRemoved && h != nil, func() {
+		{!il.ownerRemoved && owner != nil, func() {
 			il.ownerRemoved = true
-			il.removed[h.Name] = true
-			for k := range il.links {
-				if k[0] == h.Name || k[1] == h.Name {
-					delete(il.links, k)
+			il.removed[owner.Name] = true
+			for link := range il.links {
+				if link[0] == owner.Name || link[1] == owner.Name {
+					delete(il.links, link)
 				}
 			}
-			il.edge.HandleSiteLost(h.Name, il.now)
-			il.current, _ = il.current.Apply(&sites.Change{Kind: sites.ChangeExpire, Name: h.Name, Epoch: 1})
+			il.edge.HandleSiteLost(owner.Name, il.now)
+			il.current, _ = il.current.Apply(&sites.Change{Kind: sites.ChangeExpire, Name: owner.Name, Epoch: 1})
 			il.publishMap()
 		}},
-		{!il.linksBroken && h != nil, func() { // the owner's links to other sites lose what is on its way
+		{!il.linksBroken && owner != nil, func() { // the owner's links to other sites lose their envelopes in flight
 			il.linksBroken = true
-			for k := range il.links {
-				if k[0] == h.Name && k[1] != "e" || k[1] == h.Name && k[0] != "e" {
-					delete(il.links, k)
+			for link := range il.links {
+				if link[0] == owner.Name && link[1] != "e" || link[1] == owner.Name && link[0] != "e" {
+					delete(il.links, link)
 				}
 			}
 		}},
 	}
-	for _, c := range can {
-		if !c.may {
+	for _, event := range events {
+		if !event.possible {
 			continue
 		}
 		if choice == 0 {
-			c.do()
+			event.run()
 			il.flush()
 			return true
 		}
@@ -184,19 +184,19 @@
 	return false
 }
 
-// settle lets all that is left happen, with time.
+// settle delivers all envelopes and advances the time until nothing more happens.
 func (il *interleaving) settle() {
 	for range 30 {
-		for more := true; more; {
-			more = false
-			for _, k := range il.linkOrder {
-				more = il.deliver(k) || more
+		for delivered := true; delivered; {
+			delivered = false
+			for _, link := range il.linkOrder {
+				delivered = il.deliver(link) || delivered
 			}
 		}
 		il.now += 210
-		for _, n := range siteNames {
-			if !il.removed[n] {
-				il.sites[n].Tick(il.now)
+		for _, name := range siteNames {
+			if !il.removed[name] {
+				il.sites[name].Tick(il.now)
 			}
 		}
 		il.edge.Tick(il.now)
@@ -206,30 +206,30 @@
 
 func (il *interleaving) verify() string {
 	il.settle()
-	if h := il.owner(); h == nil {
+	if owner := il.owner(); owner == nil {
 		return "no owner"
-	} else if k := il.edge.sockets[1]; k == nil || !k.attached || k.owner != h.Name {
-		return "the socket has no owner"
-	} else if msgs, _ := h.Inbox("s", 0, il.now); uint64(len(msgs)) != il.published {
-		return fmt.Sprintf("%d of the client's %d messages are there", len(msgs), il.published)
+	} else if sock := il.edge.sockets[1]; sock == nil || !sock.attached || sock.owner != owner.Name {
+		return "the socket isn't attached to the owner"
+	} else if messages, _ := owner.Inbox("s", 0, il.now); uint64(len(messages)) != il.published {
+		return fmt.Sprintf("the inbox has %d of the client's %d messages", len(messages), il.published)
 	}
 	owners := 0
-	for _, n := range siteNames {
-		if !il.removed[n] && il.sites[n].owned["s"] != nil {
+	for _, name := range siteNames {
+		if !il.removed[name] && il.sites[name].owned["s"] != nil {
 			owners++
 		}
 	}
 	if owners != 1 {
 		return fmt.Sprintf("%d owners", owners)
 	}
-	for i, n := range il.received {
-		if n != uint64(i+1) {
-			return fmt.Sprintf("the client saw %v", il.received)
+	for i, number := range il.received {
+		if number != uint64(i+1) {
+			return fmt.Sprintf("the client received %v", il.received)
 		}
 	}
-	for _, n := range il.acknowledged {
-		if !slices.Contains(il.received, n) {
-			return fmt.Sprintf("%v were queued, %v came", il.acknowledged, il.received)
+	for _, number := range il.acknowledged {
+		if !slices.Contains(il.received, number) {
+			return fmt.Sprintf("%v were acknowledged, %v were received", il.acknowledged, il.received)
 		}
 	}
 	return ""
@@ -240,35 +240,35 @@
 	if n, err := strconv.Atoi(os.Getenv("DEPTH")); err == nil {
 		depth = n
 	}
-	ends := 0
+	played := 0
 	path := make([]int, 0, depth)
 	var walk func()
 	walk = func() {
 		if len(path) == depth {
 			il := newInterleaving()
-			for _, c := range path {
-				il.step(c)
+			for _, choice := range path {
+				il.step(choice)
 			}
-			if ends++; ends > 0 {
-				if why := il.verify(); why != "" {
-					t.Fatalf("%v: %s", path, why)
+			if played++; played > 0 {
+				if problem := il.verify(); problem != "" {
+					t.Fatalf("%v: %s", path, problem)
 				}
 			}
 			return
 		}
-		for c := 0; ; c++ {
+		for choice := 0; ; choice++ {
 			il := newInterleaving()
-			for _, p := range path {
-				il.step(p)
+			for _, earlier := range path {
+				il.step(earlier)
 			}
-			if !il.step(c) {
+			if !il.step(choice) {
 				return
 			}
-			path = append(path, c)
+			path = append(path, choice)
 			walk()
 			path = path[:len(path)-1]
 		}
 	}
 	walk()
-	t.Logf("%d interleavings of %d events", ends, depth)
+	t.Logf("%d interleavings of %d events", played, depth)
 }
--- a/internal/session/queue/locate.go
+++ b/internal/session/queue/locate.go
@@ -1,6 +1,6 @@
 package queue
 
-// This file owns how an edge finds a session's owner, and finds it again.
+// This file locates a session's owner for an edge.
 
 import (
 	"cmp"
@@ -10,25 +10,27 @@
 	"weirwind/internal/session/sites"
 )
 
-// locateEvery is how often, in attempts, all sites are asked for the owner instead of the one that is assumed.
+// locateEvery is the number of attempts of which one asks all sites for the owner, instead of attaching to the presumed
+// owner.
 const locateEvery = 3
 
-// locateOwner attaches a socket to the owner that is assumed: for a new session the nearest sites in turn, else the
-// last one known, else a replica. Now and then, and where none of them is alive, it asks all sites.
+// locateOwner attaches a socket to the presumed owner: for a new session one of the nearest sites in turn, otherwise
+// the last known owner, or a replica if the owner isn't alive. In every locateEvery-th attempt, and if none of these
+// sites is alive, it asks all sites.
 func (e *Edge) locateOwner(sock *socket, now float64) {
-	sock.retryAt = now + locateInterval
-	sock.attempts++
+	sock.nextAttachAt = now + locateInterval
+	sock.attachAttempts++
 	if e.current == nil {
 		return
 	}
 	if sock.newSession && sock.epoch == 0 {
 		if nearest := e.nearestSites(); len(nearest) > 0 {
-			sock.owner = nearest[(sock.attempts-1)%len(nearest)]
+			sock.owner = nearest[(sock.attachAttempts-1)%len(nearest)]
 			e.attach(sock)
 		}
 		return
 	}
-	if sock.attempts%locateEvery != 0 {
+	if sock.attachAttempts%locateEvery != 0 {
 		if sock.owner != "" && e.current.Alive(sock.owner) {
 			e.attach(sock)
 			return
@@ -46,7 +48,7 @@
 	}
 }
 
-// nearestSites gives the sites that take new sessions, near ones first.
+// nearestSites returns the sites that accept new sessions, the nearest first.
 func (e *Edge) nearestSites() []string {
 	var active []string
 	for name, site := range e.current.Sites {
@@ -74,23 +76,23 @@
 		Number: sock.delivered, Base: sock.acked, New: sock.newSession && sock.epoch == 0})
 }
 
-// detach notes that a socket has no owner.
+// detach marks a socket as detached from its owner.
 func (sock *socket) detach(now float64) {
 	if sock.attached {
-		sock.attached, sock.detachedAt, sock.attempts = false, now, 0
+		sock.attached, sock.detachedAt, sock.attachAttempts = false, now, 0
 	}
 }
 
-// ApplyMap takes a newer map. Sockets whose owner's epoch is over look for another.
+// ApplyMap applies a map if it is newer, and locates a new owner for sockets whose owner's epoch has ended.
 func (e *Edge) ApplyMap(m *sites.Map, now float64) {
 	if m == nil || e.current != nil && m.Version <= e.current.Version {
 		return
 	}
-	before := e.current
+	previous := e.current
 	e.current = m
 	for _, id := range slices.Sorted(maps.Keys(e.sockets)) {
 		sock := e.sockets[id]
-		if before != nil && sock.owner != "" && before.Sites[sock.owner].Epoch == m.Sites[sock.owner].Epoch &&
+		if previous != nil && sock.owner != "" && previous.Sites[sock.owner].Epoch == m.Sites[sock.owner].Epoch &&
 			m.Sites[sock.owner].State != sites.StateRemoved {
 			continue
 		}
@@ -99,12 +101,12 @@
 	}
 }
 
-// HandleSiteLost takes that the link to a site has ended.
+// HandleSiteLost detaches the sockets whose owner is a site to which the link has ended.
 func (e *Edge) HandleSiteLost(site string, now float64) {
 	for _, id := range slices.Sorted(maps.Keys(e.sockets)) {
 		if sock := e.sockets[id]; sock.owner == site {
 			sock.detach(now)
-			sock.retryAt = min(sock.retryAt, now+locateInterval/2)
+			sock.nextAttachAt = min(sock.nextAttachAt, now+locateInterval/2)
 		}
 	}
 }
--- a/internal/session/site/calls_test.go
+++ b/internal/session/site/calls_test.go
@@ -14,8 +14,8 @@
 	"weirwind/internal/util/settings"
 )
 
-// A caller that closes its sending half behind its request gets its answer, as HTTP's server cancels the request's
-// context then.
+// A caller that closes its sending half after its request still gets its answer, although net/http then cancels the
+// request's context.
 func TestCallersThatCloseTheirSendingHalfAreAnswered(t *testing.T) {
 	r := &runner{settings: &settings.Settings{Hostname: "a"}, ctx: t.Context(), startedAt: time.Now(),
 		commands: commandqueue.New(t.Context(), 16), limits: queue.DefaultLimits, edges: map[string]*link{},
@@ -30,28 +30,28 @@
 		"POST /sessions/none/messages?": http.StatusNotFound,
 	} {
 		t.Run(call, func(t *testing.T) {
-			c, err := net.Dial("tcp", server.Listener.Addr().String())
+			conn, err := net.Dial("tcp", server.Listener.Addr().String())
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer c.Close()
-			fmt.Fprintf(c, "%s HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n", call)
-			c.(*net.TCPConn).CloseWrite()
-			answered := make(chan int, 1)
+			defer conn.Close()
+			fmt.Fprintf(conn, "%s HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n", call)
+			conn.(*net.TCPConn).CloseWrite()
+			statusCode := make(chan int, 1)
 			go func() {
-				response, err := http.ReadResponse(bufio.NewReader(c), nil)
+				response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 				if err != nil {
-					answered <- 0
+					statusCode <- 0
 					return
 				}
 				response.Body.Close()
-				answered <- response.StatusCode
+				statusCode <- response.StatusCode
 			}()
-			for { // commands wait until the server has had the time to notice
+			for { // delay commands until the server has noticed the close
 				select {
-				case got := <-answered:
+				case got := <-statusCode:
 					if got != want {
-						t.Errorf("%d, not %d", got, want)
+						t.Errorf("status %d, want %d", got, want)
 					}
 					return
 				case command := <-r.commands.Commands:
--- a/internal/shard/shardmap/typenames_test.go
+++ b/internal/shard/shardmap/typenames_test.go
@@ -8,8 +8,8 @@
 	"weirwind/internal/shard/shardplan"
 )
 
-// The texts were recorded before the types had their present names.
-func TestErrorsOfOperatorsFilesKeepTheirText(t *testing.T) {
+// The expected texts were recorded before the types were renamed.
+func TestJSONErrorsKeepPublishedTypeNames(t *testing.T) {
 	const prefix = "json: cannot unmarshal number into Go "
 	for _, c := range []struct {
 		into       any
