--- a/Makefile
+++ b/Makefile
@@ -27,7 +27,7 @@
 # BEFORE names an earlier build, whose idle memory is measured beside this one's.
 measure: build
 	go test -count=1 -run TestMeasure -v ./cmd/weirwind -args -restarts 50 -binary $(CURDIR)/bin/weirwind -before "$(BEFORE)"
-	go test -run TestSteadyDay -v -bench . -benchtime 2s ./internal/learned
+	go test -run TestBytesWrittenInSteadyState -v -bench . -benchtime 2s ./internal/learned
 	bin/weirlab storm
 	go test -run '^$$' -bench Read -benchtime 20x ./internal/registry
 	go test -run '^$$' -bench Op -benchtime 20000x -count 5 ./internal/driver
--- a/internal/learned/backoff.go
+++ b/internal/learned/backoff.go
@@ -2,7 +2,7 @@
 
 const minBackoff, maxBackoff = 1e3, 30e3 // milliseconds
 
-// Backoff says when a save that failed is attempted again: after a pause that doubles up to a limit.
+// Backoff schedules the retries of a failed save: the delay doubles up to a limit.
 type Backoff struct {
 	pause   float64 // milliseconds; 0 while saves succeed
 	readyAt float64 // by the machine's uptime
@@ -15,10 +15,10 @@
 	return b.pause
 }
 
-// Ready says whether it is time for an attempt.
+// Ready reports whether an attempt is due.
 func (b *Backoff) Ready(now Timestamp) bool { return b.pause == 0 || now.Uptime >= b.readyAt }
 
-// RecordSuccess resets the pause, and says whether a failure had come before.
+// RecordSuccess resets the delay, and reports whether a failure had come before.
 func (b *Backoff) RecordSuccess() (recovered bool) {
 	recovered = b.pause > 0
 	*b = Backoff{}
--- a/internal/learned/config.go
+++ b/internal/learned/config.go
@@ -2,42 +2,45 @@
 
 import "math"
 
-// OpType is an op type as far as hints depend on it.
+// OpType describes an op type for the restoring of its hints.
 type OpType struct {
 	Name          string
 	LatencyTarget float64 // milliseconds
 }
 
-// Config has what decisions depend on, from the platform's settings and the operators' file. Times are milliseconds.
+// Config holds the parameters of saving and restoring, from the platform's settings and the operators' file. Times are
+// in milliseconds.
 type Config struct {
-	Name                  string   // of the driver; what another driver learned isn't restored
+	Name                  string   // of the driver; the state of another driver isn't restored
 	OpTypes               []OpType // in the decision module's order
 	SaveInterval          float64
-	MinSwitchover         float64 // no group's primary changes in less; 0: unknown, so that primaries are never trusted
-	WarmUp                float64 // how long a started member is slower than usual; 0: unknown
-	StalenessBound        float64 // the tightest of all op types; infinite for none
-	SessionsTrackPosition bool    // sessions state up to which position they wrote
+	MinSwitchover         float64 // how long a member is slow after its start; 0: unknown
+	WarmUp                float64 // how long a member is slower than usual after its start; 0: unknown
+	StalenessBound        float64 // the tightest of all op types; infinite if there is none
+	SessionsTrackPosition bool    // sessions carry the position of their last write
 }
 
-// A wrong MaxPosition that is within maxReservedLead could only harm by a replica that lags by more than that.
+// Limits of positions, hints and saves.
 const (
-	maxPositionLead   = 100.0  // ms by which a position may lead the clock: members that lead by more are ignored
-	reservedIntervals = 2.0    // saves that a reserved position covers: one may be late
-	maxReservedLead   = 3600e3 // ms; MaxPosition further ahead came from a wrong clock
-	hintInterval      = 10e3   // ms between writes of hints, at least
-	minHintChange     = 0.25   // relative change from which a hint is written
-	minHintWeight     = 0.05   // weight below which a hint is dropped
-	defaultHalfLife   = 10e3   // ms, where the settings name no warm-up
-	minWindow         = 2.0    // a window below it is what a driver starts with
-	renewalIntervals  = 3.0    // saves without changes after which the timestamp alone is written
+	maxPositionLead   = 100.0 // ms by which a position may lead the clock; members that lead by more are ignored
+	reservedIntervals = 2.0   // saves that a reserved position covers, as one may be late
+	// maxReservedLead is in milliseconds. A MaxPosition further ahead came from a wrong clock. One within it that is
+	// wrong is harmful only if a replica lags by more than that.
+	maxReservedLead  = 3600e3
+	hintInterval     = 10e3 // ms between writes of hints, at least
+	minHintChange    = 0.25 // minimum relative change of a hint that is written
+	minHintWeight    = 0.05 // minimum weight of a hint that is used
+	defaultHalfLife  = 10e3 // ms, where the settings have no warm-up time
+	minWindow        = 2.0  // a smaller window is no better than a driver's initial one
+	renewalIntervals = 3.0  // saves without changes after which the timestamp alone is written
 )
 
-// trustWindow is the age below which evidence of a primary stands for the present, in milliseconds. A switchover ends
-// with a new primary no sooner than MinSwitchover after the old one was last seen as such, so younger evidence can't
-// have been overtaken. It applies only where the age is certain.
+// trustWindow returns the age, in milliseconds, below which evidence of a primary is taken as current. A switchover
+// ends with a new primary no sooner than MinSwitchover after the old one was last seen, so younger evidence can't be
+// outdated. It applies only where the age is certain.
 func (c *Config) trustWindow() float64 { return max(c.MinSwitchover, 0) }
 
-// hintWeight is the weight of a hint of an age in milliseconds, from 1 down to 0.
+// hintWeight returns the weight of a hint by its age in milliseconds, from 1 down to 0.
 func (c *Config) hintWeight(age float64) float64 {
 	if w := math.Exp2(-max(age, 0) / c.halfLife()); w >= minHintWeight {
 		return w
@@ -45,9 +48,9 @@
 	return 0
 }
 
-// halfLife is a member's warm-up: within it a member's speed can become another, by a restart or by its caches. It is
-// also how long an ejection is of use: a member that is back for longer is as warm as any, and one that isn't back is
-// found out by a single send.
+// halfLife returns the warm-up time of a member: a restart, or the filling of caches, changes a member's speed within
+// it. It also bounds the use of a saved ejection: a member that has been back for longer is warm again, and a single
+// send detects one that isn't back.
 func (c *Config) halfLife() float64 {
 	if c.WarmUp > 0 {
 		return c.WarmUp
@@ -55,14 +58,14 @@
 	return defaultHalfLife
 }
 
-// savesPositions says whether a position can be of use after a crash: it is at least as old as a save's interval then,
+// savesPositions reports whether positions are useful after a crash: they are then at least one save interval old,
 // and must be within the tightest staleness bound.
 func (c *Config) savesPositions() bool {
 	return c.StalenessBound < math.Inf(1) && c.StalenessBound > c.SaveInterval
 }
 
-// reservedPosition is the MaxPosition to reserve at a save: no commit that is acknowledged until the saves to come can
-// lie beyond it.
+// reservedPosition returns the MaxPosition to reserve at a save: no commit that is acknowledged before the next saves
+// lies beyond it.
 func (c *Config) reservedPosition(now Timestamp) float64 {
 	return now.Wall + reservedIntervals*c.SaveInterval + maxPositionLead
 }
--- a/internal/learned/crash_test.go
+++ b/internal/learned/crash_test.go
@@ -8,74 +8,74 @@
 	"weirwind/internal/standin/disk"
 )
 
-// A crash in each operation of the file system while a table is saved: what is recovered is the state after one of its
-// steps, never an earlier one than was saved.
+// The machine crashes in each file system operation while a table is saved. The recovered state must be the state after
+// one of the steps, and not older than the last saved one.
 func TestCrashInEveryOperation(t *testing.T) {
-	o := durable.Options{Folder: "d", Tag: Tag}
-	for point := 1; ; point++ {
-		for fate := range disk.Outcomes {
+	options := durable.Options{Folder: "d", Tag: Tag}
+	for crashPoint := 1; ; crashPoint++ {
+		for outcome := range disk.Outcomes {
 			d := disk.New()
-			d.CrashAt = point
+			d.CrashAt = crashPoint
 			var states []string
-			safe := saveSteps(d, o, &states)
-			if d.Operations() < point {
-				if point < 25 {
-					t.Fatalf("only %d operations", point)
+			lastSaved := saveSteps(d, options, &states)
+			if d.Operations() < crashPoint {
+				if crashPoint < 25 {
+					t.Fatalf("only %d operations", crashPoint)
 				}
 				return
 			}
-			found, err := durable.Recover(d.AfterCrash(fate, uint64(point)), o)
+			found, err := durable.Recover(d.AfterCrash(outcome, uint64(crashPoint)), options)
 			if err != nil {
 				t.Fatal(err)
 			}
 			if found.Snapshot == nil {
-				if safe >= 0 {
-					t.Fatalf("killed at %d: nothing is found", point)
+				if lastSaved >= 0 {
+					t.Fatalf("crash at operation %d: no state is recovered", crashPoint)
 				}
 				continue
 			}
-			s, err := Load(found.Snapshot, found.Records)
+			state, err := Load(found.Snapshot, found.Records)
 			if err != nil {
-				t.Fatalf("killed at %d: %v", point, err)
+				t.Fatalf("crash at operation %d: %v", crashPoint, err)
 			}
-			at := -1
-			for i, h := range states {
-				if h == string(s.Snapshot()) {
-					at = i
+			recoveredStep := -1
+			for i, saved := range states {
+				if saved == string(state.Snapshot()) {
+					recoveredStep = i
 				}
 			}
-			if at < safe {
-				t.Fatalf("killed at %d: what is found is step %d, saved was %d", point, at, safe)
+			if recoveredStep < lastSaved {
+				t.Fatalf("crash at operation %d: recovered step %d, saved step %d", crashPoint, recoveredStep, lastSaved)
 			}
 		}
 	}
 }
 
-// saveSteps saves a table for some steps and returns the last step that was saved; states are its snapshots after each.
-func saveSteps(d *disk.Disk, o durable.Options, states *[]string) (safe int) {
-	safe = -1
-	store, _, err := durable.Open(d, o)
+// saveSteps saves a table for some steps and returns the last saved step. states receives its snapshot after each step.
+func saveSteps(d *disk.Disk, options durable.Options, states *[]string) (lastSaved int) {
+	lastSaved = -1
+	store, _, err := durable.Open(d, options)
 	if err != nil {
-		return safe
+		return lastSaved
 	}
-	b := NewTable(testConfig(), nil, at(0))
-	b.StartRun(at(0))
+	table := NewTable(testConfig(), nil, at(0))
+	table.StartRun(at(0))
 	for i := range 8 {
 		ms := float64(i) * 1000
-		records := b.UpdateMembership(at(ms), int64(40+i), true, entriesUp("1", "2", fmt.Sprint(i)))
+		records := table.UpdateMembership(at(ms), int64(40+i), true, entriesUp("1", "2", fmt.Sprint(i)))
 		if len(records) > 1 {
-			panic("one step in several records")
+			panic("one step returned several records")
 		}
-		*states = append(*states, string(b.Snapshot()))
+		*states = append(*states, string(table.Snapshot()))
 		if i%3 == 0 {
-			err = store.Compact(b.Snapshot())
+			err = store.Compact(table.Snapshot())
 		} else {
 			err = store.Append(records...)
 		}
 		if err != nil {
-			return safe
+			return lastSaved
 		}
-		safe = i
+		lastSaved = i
 	}
-	return safe
+	return lastSaved
 }
--- a/internal/learned/fixtures_test.go
+++ b/internal/learned/fixtures_test.go
@@ -6,9 +6,9 @@
 	"weirwind/logic"
 )
 
-const day = 1767225600000.0
+const baseTime = 1767225600000.0
 
-// testConfig is that of driver n0, whose op types read and write.
+// testConfig returns the configuration of driver n0, which has the op types read and write.
 func testConfig() Config {
 	return Config{
 		Name:                  "n0",
@@ -21,8 +21,8 @@
 	}
 }
 
-// at is a timestamp of boot one, some milliseconds after day.
-func at(ms float64) Timestamp { return Timestamp{Wall: day + ms, Uptime: 5e6 + ms, BootID: "one"} }
+// at returns a timestamp of the first boot, ms milliseconds after baseTime.
+func at(ms float64) Timestamp { return Timestamp{Wall: baseTime + ms, Uptime: 5e6 + ms, BootID: "one"} }
 
 func entriesUp(ids ...string) (all []Entry) {
 	for _, id := range ids {
@@ -31,16 +31,16 @@
 	return all
 }
 
-// memoryAt is the decision module's memory, whose primary, member 1, was seen at that time after day.
-func memoryAt(seen float64) *logic.Memory {
+// memoryAt returns the decision module's memory with member 1 as the primary, seen at the given time after baseTime.
+func memoryAt(seenAt float64) *logic.Memory {
 	return &logic.Memory{OpTypes: []logic.TypeMemory{{Typical: 80, Best: 40}, {Typical: 120, Best: 100}},
-		Groups: []logic.GroupMemory{{Group: 3, Primary: "1", InSlot: true, SeenAt: day + seen, WorkRate: 2}},
-		Members: []logic.MemberMemory{{Member: "1", Group: 3, Position: day + seen, Window: 16},
-			{Member: "2", Group: 3, Position: day + seen - 50, EjectedAt: day + seen - 3000, Disconnected: true, Window: 8},
-			{Member: "3", Group: 3, Position: day + seen - 9000, StartedAt: day + seen - 4000, Window: 2}}}
+		Groups: []logic.GroupMemory{{Group: 3, Primary: "1", InSlot: true, SeenAt: baseTime + seenAt, WorkRate: 2}},
+		Members: []logic.MemberMemory{{Member: "1", Group: 3, Position: baseTime + seenAt, Window: 16},
+			{Member: "2", Group: 3, Position: baseTime + seenAt - 50, EjectedAt: baseTime + seenAt - 3000, Disconnected: true, Window: 8},
+			{Member: "3", Group: 3, Position: baseTime + seenAt - 9000, StartedAt: baseTime + seenAt - 4000, Window: 2}}}
 }
 
-// savedState is the state that a run saved which ended at that time.
+// savedState returns the saved state of a run that ended at the given time.
 func savedState(t *testing.T, end float64) *State {
 	t.Helper()
 	table := NewTable(testConfig(), nil, at(end-5000))
--- a/internal/learned/record.go
+++ b/internal/learned/record.go
@@ -9,7 +9,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// record is one change of the state; a snapshot is the record that makes it from an empty one.
+// record is one change of the state. A snapshot is a record that builds the state from an empty one.
 type record struct {
 	Meta           *Meta         `cbor:"1,keyasint,omitempty"`
 	Entries        []Entry       `cbor:"2,keyasint,omitempty"`
@@ -22,16 +22,16 @@
 	OpTypes        []OpTypeStats `cbor:"9,keyasint,omitempty"`
 }
 
-// Errors of states that can't be loaded.
+// Errors of Load.
 var (
-	ErrSchema = errors.New("learned: records of another version")
-	ErrRecord = errors.New("learned: a record makes no sense")
+	ErrSchema = errors.New("learned: unsupported schema version")
+	ErrRecord = errors.New("learned: invalid record")
 )
 
 const (
 	maxMembers    = 200000
-	maxTextBytes  = 1 << 10 // of an id or an address
-	maxTime       = 1e14    // milliseconds: some three thousand years
+	maxTextBytes  = 1 << 10 // some three thousand years, in milliseconds
+	maxTime       = 1e14    // maximum number of entries in one record
 	recordEntries = 4000    // entries in one record, at most
 )
 
@@ -55,7 +55,7 @@
 	return mode
 }
 
-// Load makes the state of a snapshot and the records behind it. Its errors are ErrSchema and ErrRecord.
+// Load builds the state from a snapshot and the records that follow it. Its errors are ErrSchema and ErrRecord.
 func Load(snapshot []byte, records [][]byte) (*State, error) {
 	s := newState()
 	for _, b := range append([][]byte{snapshot}, records...) {
@@ -66,7 +66,7 @@
 		s.apply(r)
 	}
 	if s.Meta.Schema != Schema {
-		return nil, fmt.Errorf("%w: none told", ErrSchema)
+		return nil, fmt.Errorf("%w: missing", ErrSchema)
 	}
 	return s, nil
 }
@@ -80,7 +80,7 @@
 		return nil, fmt.Errorf("%w: %d", ErrSchema, r.Meta.Schema)
 	}
 	if !r.valid() {
-		return nil, fmt.Errorf("%w: a figure or text is out of range", ErrRecord)
+		return nil, fmt.Errorf("%w: a value is out of range", ErrRecord)
 	}
 	return r, nil
 }
@@ -88,12 +88,12 @@
 func (r *record) encode() []byte {
 	b, err := encoding.Marshal(r)
 	if err != nil {
-		panic(err) // every type in it can be encoded
+		panic(err) // all its types can be encoded
 	}
 	return b
 }
 
-// apply carries a record out. Sightings are dated by the timestamp in the same record, or else the last one.
+// apply applies a record. Sightings are dated by the timestamp of the same record, or else the previous one.
 func (s *State) apply(r *record) {
 	if r.Meta != nil {
 		s.Meta = *r.Meta
@@ -127,7 +127,7 @@
 	}
 }
 
-// valid says whether figures and texts are such as a run writes.
+// valid reports whether all values are in the range that a run writes.
 func (r *record) valid() bool {
 	ok := r.Meta == nil || r.Meta.valid()
 	for _, e := range r.Entries {
@@ -162,14 +162,14 @@
 	return !slices.ContainsFunc(all, func(text string) bool { return len(text) > maxTextBytes })
 }
 
-// empty says whether a record changes nothing but the state's Meta.
+// empty reports whether a record changes only the state's Meta.
 func (r *record) empty() bool {
 	return len(r.Entries)+len(r.RemovedEntries)+len(r.Groups)+len(r.Sightings)+len(r.Members)+len(r.RemovedMembers)+
 		len(r.RemovedGroups)+len(r.OpTypes) == 0
 }
 
-// split cuts a record that is too long into several to be applied in order. A crash between two leaves a state that was
-// true of some members a little earlier than of others; removals and drains come first.
+// split splits a record that is too long into several that are applied in order. A crash between two leaves a state in
+// which some members are slightly older than others; removals and drains come first.
 func (r *record) split() (parts []*record) {
 	if len(r.Entries)+len(r.Groups)+len(r.Members)+len(r.RemovedEntries)+len(r.Sightings) <= recordEntries {
 		return []*record{r}
@@ -196,7 +196,7 @@
 	return parts
 }
 
-// drainsFirst is an entry's rank in a split record.
+// drainsFirst returns the sort rank of an entry in a split record: 0 for members that drain, 1 for members that are up.
 func drainsFirst(entry Entry) int {
 	if entry.Phase == PhaseUp {
 		return 1
--- a/internal/learned/record_test.go
+++ b/internal/learned/record_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// Records that no run writes are rejected, whatever the checksums say.
+// Records that no run writes must be rejected even if their checksums are valid.
 func TestInvalidRecords(t *testing.T) {
-	good := savedState(t, 0)
+	valid := savedState(t, 0)
 	for name, change := range map[string]func(*State){
 		"schema":       func(s *State) { s.Meta.Schema = 2 },
 		"revision":     func(s *State) { s.Meta.Revision = -1 },
@@ -18,33 +18,33 @@
 		"no id":        func(s *State) { s.Membership[""] = Entry{} },
 		"long id":      func(s *State) { s.Membership["x"] = Entry{ID: strings.Repeat("x", 2000)} },
 	} {
-		s, _ := Load(good.Snapshot(), nil)
+		s, _ := Load(valid.Snapshot(), nil)
 		change(s)
 		if got, err := Load(s.Snapshot(), nil); err == nil {
-			t.Errorf("%s: taken as %+v", name, got)
+			t.Errorf("%s: accepted as %+v", name, got)
 		}
 	}
 	if _, err := Load([]byte{0xa0}, nil); err == nil {
-		t.Error("a state without its schema is taken")
+		t.Error("a state without a schema version is accepted")
 	}
 }
 
 func FuzzLoad(f *testing.F) {
-	b := NewTable(testConfig(), nil, at(0))
-	b.UpdateMembership(at(0), 41, true, entriesUp("1", "2", "3"))
-	f.Add(b.Snapshot())
-	f.Fuzz(func(t *testing.T, text []byte) {
-		s, err := Load(text, nil)
+	table := NewTable(testConfig(), nil, at(0))
+	table.UpdateMembership(at(0), 41, true, entriesUp("1", "2", "3"))
+	f.Add(table.Snapshot())
+	f.Fuzz(func(t *testing.T, snapshot []byte) {
+		state, err := Load(snapshot, nil)
 		if err != nil {
 			return
 		}
-		restored := Restore(s, testConfig(), at(0), Membership{})
+		restored := Restore(state, testConfig(), at(0), Membership{})
 		for _, g := range restored.Memory.Groups {
-			if math.IsNaN(g.SeenAt) || g.SeenAt > day+0.001 {
-				t.Fatalf("evidence from the future: %+v", g)
+			if math.IsNaN(g.SeenAt) || g.SeenAt > baseTime+0.001 {
+				t.Fatalf("evidence dated in the future: %+v", g)
 			}
 		}
-		if again, err := Load(s.Snapshot(), nil); err != nil || len(again.Membership) != len(s.Membership) {
+		if again, err := Load(state.Snapshot(), nil); err != nil || len(again.Membership) != len(state.Membership) {
 			t.Fatal(err)
 		}
 	})
--- a/internal/learned/restore.go
+++ b/internal/learned/restore.go
@@ -8,39 +8,39 @@
 	"weirwind/logic"
 )
 
-// Membership is a member list, as a run that starts knows it.
+// Membership is the member list that a starting run knows.
 type Membership struct {
 	Revision int64
 	Entries  []Entry
 }
 
-// Verdict says how much of a saved state was restored; its text is what logs show.
+// Verdict states how much of a saved state was restored; its text appears in logs.
 type Verdict string
 
-// The verdicts.
+// The verdicts of Restore.
 const (
-	VerdictTrusted     Verdict = "believed"   // all, each part by its age
-	VerdictUncertain   Verdict = "unsure"     // its age isn't certain: a primary is queried before it is trusted
-	VerdictFuture      Verdict = "future"     // dated after the present: only what was announced holds
-	VerdictOtherDriver Verdict = "other_name" // another driver's: nothing holds
-	VerdictNone        Verdict = "nothing"    // there is no state
+	VerdictTrusted     Verdict = "believed"   // everything, each part by its age
+	VerdictUncertain   Verdict = "unsure"     // the age isn't certain: a primary is queried before it is trusted
+	VerdictFuture      Verdict = "future"     // dated in the future: only announcements are restored
+	VerdictOtherDriver Verdict = "other_name" // another driver's state: nothing is restored
+	VerdictNone        Verdict = "nothing"    // no state was saved
 )
 
-// Restored is what a run starts with.
+// Restored is the knowledge that a run starts with.
 type Restored struct {
 	Verdict    Verdict
-	Age        float64    // milliseconds since the state was last saved, as far as can be told
-	FromSaved  bool       // Membership is the saved one, not the one that was given
-	Membership Membership // with its entries sorted by id where it is the saved one
+	Age        float64    // milliseconds since the last save, as far as the clocks show
+	FromSaved  bool       // Membership comes from the saved state, not from the start's configuration
+	Membership Membership // its entries are sorted by id where FromSaved is set
 	Memory     logic.Memory
-	Discarded  []string // what was left out and why, for the log
+	Discarded  []string // descriptions of the discarded parts, with the reason, for the log
 }
 
-// Restore decides what holds of a saved state at a start. The state is nil where none was saved; given is the
-// membership that the start was configured with.
+// Restore decides which parts of a saved state a starting run may use. saved is nil where there is no state; given is
+// the membership that the start was configured with.
 func Restore(saved *State, config Config, now Timestamp, given Membership) Restored {
 	r := Restored{Verdict: VerdictNone, Membership: given}
-	r.Memory.Ceiling = now.Wall + maxPositionLead // whoever ran before may have acknowledged writes up to now
+	r.Memory.Ceiling = now.Wall + maxPositionLead // an earlier run may have acknowledged writes up to now
 	if saved == nil {
 		return r
 	}
@@ -64,7 +64,7 @@
 		return r
 	case since.certain:
 		r.Verdict, r.Memory.TrustWindow = VerdictTrusted, config.trustWindow()
-	default: // another boot, or the machine doesn't tell: a switchover may fit into the time that isn't known
+	default: // another boot, or an unknown one: a switchover may have occurred in the uncertain part of the time
 		r.Verdict = VerdictUncertain
 		r.discard("trust in primaries: their age is by a clock that may have been stepped")
 	}
@@ -77,10 +77,10 @@
 	r.Discarded = append(r.Discarded, fmt.Sprintf(format, args...))
 }
 
-// restoreMembership chooses between the saved membership and the given one: the last announced binds, which is the one
-// with the higher revision, as a start is given what the driver knew at some earlier time. Where revisions have gone
-// back, one up to the highest of the epochs before may be of any of them: then the saved one holds, and the first
-// complete list of discovery corrects it.
+// restoreMembership chooses between the saved membership and the given one. The one with the higher revision was
+// announced last: a start is given the membership as the driver knew it at some earlier time. Where revisions have gone
+// back, a revision up to the highest of the previous epochs may belong to any of them: then the saved membership is
+// kept, and discovery's first complete list corrects it.
 func (r *Restored) restoreMembership(saved *State, given Membership) {
 	newer := given.Revision > saved.Meta.Revision && (saved.Meta.Epoch == 0 || given.Revision > saved.Meta.PriorRevision)
 	if len(saved.Membership) == 0 || newer {
@@ -97,8 +97,8 @@
 	slices.SortFunc(r.Membership.Entries, func(x, y Entry) int { return cmp.Compare(x.ID, y.ID) })
 }
 
-// restoreEvidence gives the decision module what was seen of members and groups, dated by this run's clock. A member
-// that has moved to another address or group is another one.
+// restoreEvidence restores the evidence on members and groups, dated by this run's clock. A member with another address
+// or group counts as a different member.
 func (r *Restored) restoreEvidence(saved *State, config Config, now Timestamp, since elapsed) {
 	listed := make(map[string]Entry, len(r.Membership.Entries))
 	for _, e := range r.Membership.Entries {
@@ -119,57 +119,57 @@
 		r.Memory.Members = append(r.Memory.Members, restoreMember(e, m, saved.Meta.SavedAt, config, now, since))
 	}
 	for id, g := range saved.Groups {
-		k := logic.GroupMemory{Group: id, WorkRate: g.WorkRate * config.hintWeight(since.ms)}
+		group := logic.GroupMemory{Group: id, WorkRate: g.WorkRate * config.hintWeight(since.ms)}
 		if e, ok := listed[g.Primary]; ok && !moved[g.Primary] && e.Group == id && g.SeenAt > 0 {
-			k.Primary, k.InSlot, k.SeenAt = g.Primary, g.InSlot, redate(g.SeenAt, saved.Meta.SavedAt, now, since)
+			group.Primary, group.InSlot, group.SeenAt = g.Primary, g.InSlot, redate(g.SeenAt, saved.Meta.SavedAt, now, since)
 		}
-		r.Memory.Groups = append(r.Memory.Groups, k)
+		r.Memory.Groups = append(r.Memory.Groups, group)
 	}
 	slices.SortFunc(r.Memory.Groups, func(x, y logic.GroupMemory) int { return cmp.Compare(x.Group, y.Group) })
 }
 
-// restoreMember is what still holds of a member's evidence that was saved at the given time. A restart of the member
-// ends most of it.
+// restoreMember returns the parts of a member's saved evidence that are still valid. Most of them end with a restart of
+// the member.
 func restoreMember(entry Entry, saved Member, savedAt Timestamp, config Config, now Timestamp,
 	since elapsed) logic.MemberMemory {
-	k := logic.MemberMemory{Member: entry.ID, Group: entry.Group, Position: -1}
+	memory := logic.MemberMemory{Member: entry.ID, Group: entry.Group, Position: -1}
 	restarted := entry.StartedAt > saved.StartedAt
 	if saved.Position > 0 && since.certain && !since.stepped && !restarted {
 		// No member is rebuilt under its old name within the trust window.
 		if age := since.ms + savedAt.Wall - saved.Position; age < config.trustWindow() {
-			k.Position = saved.Position
+			memory.Position = saved.Position
 		}
 	}
 	if saved.StartedAt > 0 && !restarted {
 		if startedAt := redate(saved.StartedAt, savedAt, now, since); now.Wall-startedAt < config.WarmUp {
-			k.StartedAt = saved.StartedAt
+			memory.StartedAt = saved.StartedAt
 			if since.stepped && entry.StartedAt != saved.StartedAt { // it was dated by the clock before the step
-				k.StartedAt = startedAt
+				memory.StartedAt = startedAt
 			}
 		}
 	}
 	ejectedAt := redate(saved.EjectedAt, savedAt, now, since)
 	if saved.EjectedAt > 0 && !restarted && now.Wall-ejectedAt < config.halfLife() {
-		k.EjectedAt, k.Disconnected = ejectedAt, saved.Disconnected
+		memory.EjectedAt, memory.Disconnected = ejectedAt, saved.Disconnected
 	}
 	if window := saved.Window * config.hintWeight(since.ms); window >= minWindow {
-		k.Window = window
+		memory.Window = window
 	}
-	return k
+	return memory
 }
 
-// restoreOpTypes gives the usual times of op types, drawn towards a third of the latency target as they age, which is
-// what a start without them assumes. A type whose target has changed is another one.
+// restoreOpTypes restores the usual times of op types. With age they approach a third of the latency target, which a
+// start without hints assumes. An op type with another target counts as a different one.
 func (r *Restored) restoreOpTypes(state *State, config Config, since elapsed) {
 	weight := config.hintWeight(since.ms)
 	for _, opType := range config.OpTypes {
-		k := logic.TypeMemory{}
+		memory := logic.TypeMemory{}
 		saved, ok := state.OpTypes[opType.Name]
 		if ok && saved.LatencyTarget == opType.LatencyTarget && weight > 0 && saved.Typical > 0 {
 			assumed := opType.LatencyTarget / 3
-			k.Typical = assumed + (saved.Typical-assumed)*weight
-			k.Best = assumed + (saved.Best-assumed)*weight
+			memory.Typical = assumed + (saved.Typical-assumed)*weight
+			memory.Best = assumed + (saved.Best-assumed)*weight
 		}
-		r.Memory.OpTypes = append(r.Memory.OpTypes, k)
+		r.Memory.OpTypes = append(r.Memory.OpTypes, memory)
 	}
 }
--- a/internal/learned/scale_test.go
+++ b/internal/learned/scale_test.go
@@ -12,31 +12,31 @@
 	"weirwind/logic"
 )
 
-const manyMembers, manyGroups = 10000, 1000
+const largeMembers, largeGroups = 10000, 1000
 
-// largeTable is a table of many members, and the decision module's memory of them at a time.
+// largeTable returns a table of largeMembers members, and a function that returns the memory of them at a time.
 func largeTable() (*Table, func(ms float64) *logic.Memory) {
-	b := NewTable(testConfig(), nil, at(0))
-	b.StartRun(at(0))
+	table := NewTable(testConfig(), nil, at(0))
+	table.StartRun(at(0))
 	var entries []Entry
-	for i := range manyMembers {
+	for i := range largeMembers {
 		entries = append(entries, Entry{ID: fmt.Sprintf("s-%08x", i*2654435761%(1<<32)), Address: fmt.Sprintf("10.%d.%d.%d:6432", i>>16, i>>8&255, i&255),
-			Zone: "a", Group: int64(i % manyGroups), Phase: PhaseUp, Access: "reader"})
+			Zone: "a", Group: int64(i % largeGroups), Phase: PhaseUp, Access: "reader"})
 	}
-	b.UpdateMembership(at(0), 41, true, entries)
-	return b, func(ms float64) *logic.Memory {
-		k := &logic.Memory{OpTypes: []logic.TypeMemory{{Typical: 80, Best: 40}, {Typical: 120, Best: 100}}}
-		for i := range manyGroups {
-			k.Groups = append(k.Groups, logic.GroupMemory{Group: int64(i), Primary: entries[i].ID, InSlot: true, SeenAt: day + ms - float64(i%900), WorkRate: 1.5})
+	table.UpdateMembership(at(0), 41, true, entries)
+	return table, func(ms float64) *logic.Memory {
+		memory := &logic.Memory{OpTypes: []logic.TypeMemory{{Typical: 80, Best: 40}, {Typical: 120, Best: 100}}}
+		for i := range largeGroups {
+			memory.Groups = append(memory.Groups, logic.GroupMemory{Group: int64(i), Primary: entries[i].ID, InSlot: true, SeenAt: baseTime + ms - float64(i%900), WorkRate: 1.5})
 		}
 		for i, e := range entries {
-			k.Members = append(k.Members, logic.MemberMemory{Member: e.ID, Group: e.Group, Position: day + ms - float64(i%300), Window: 4 + float64(i%17)})
+			memory.Members = append(memory.Members, logic.MemberMemory{Member: e.ID, Group: e.Group, Position: baseTime + ms - float64(i%300), Window: 4 + float64(i%17)})
 		}
-		return k
+		return memory
 	}
 }
 
-// BenchmarkSave: an update of a large table, nearly all of whose primaries were seen anew, down to the disk.
+// BenchmarkSave measures an update of a large table, with new sightings of nearly all primaries, written to disk.
 func BenchmarkSave(b *testing.B) {
 	table, memory := largeTable()
 	store, _, err := durable.Open(durable.OS{}, durable.Options{Folder: b.TempDir(), Tag: Tag})
@@ -49,9 +49,9 @@
 	for b.Loop() {
 		ms += 1000
 		b.StopTimer()
-		k := memory(ms)
+		current := memory(ms)
 		b.StartTimer()
-		records := table.Update(at(ms), k, false)
+		records := table.Update(at(ms), current, false)
 		if store.NeedsCompaction() {
 			err = store.Compact(table.Snapshot())
 		} else {
@@ -64,7 +64,7 @@
 	b.ReportMetric(float64(store.BytesWritten())/float64(b.N), "B-written/op")
 }
 
-// BenchmarkSnapshot: all of it anew, as at a start and when the log has grown long.
+// BenchmarkSnapshot measures a complete snapshot, as written at a start and when the log has grown too long.
 func BenchmarkSnapshot(b *testing.B) {
 	table, memory := largeTable()
 	table.Update(at(0), memory(0), true)
@@ -87,11 +87,11 @@
 	b.ReportMetric(float64(info.Size()), "B-file")
 }
 
-// BenchmarkRecovery: from files to what is restored.
+// BenchmarkRecovery measures recovery from the files to the restored state.
 func BenchmarkRecovery(b *testing.B) {
 	table, memory := largeTable()
-	o := durable.Options{Folder: b.TempDir(), Tag: Tag}
-	store, _, err := durable.Open(durable.OS{}, o)
+	options := durable.Options{Folder: b.TempDir(), Tag: Tag}
+	store, _, err := durable.Open(durable.OS{}, options)
 	if err != nil || store.Compact(table.Snapshot()) != nil {
 		b.Fatal(err)
 	}
@@ -100,38 +100,39 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		found, err := durable.Recover(durable.OS{}, o)
+		recovered, err := durable.Recover(durable.OS{}, options)
 		if err != nil {
 			b.Fatal(err)
 		}
-		s, err := Load(found.Snapshot, found.Records)
+		state, err := Load(recovered.Snapshot, recovered.Records)
 		if err != nil {
 			b.Fatal(err)
 		}
-		if restored := Restore(s, testConfig(), at(100), Membership{}); len(restored.Memory.Members) != manyMembers {
+		if restored := Restore(state, testConfig(), at(100), Membership{}); len(restored.Memory.Members) != largeMembers {
 			b.Fatal(len(restored.Memory.Members))
 		}
 	}
 }
 
-// TestSteadyDay counts what an hour of a steady day writes, for a small group and for a large table.
-func TestSteadyDay(t *testing.T) {
-	hour := func(b *Table, memory func(float64) *logic.Memory, seconds int) (bytes int) {
+// TestBytesWrittenInSteadyState bounds the bytes that are written per hour without changes, for a small group and for a
+// large table.
+func TestBytesWrittenInSteadyState(t *testing.T) {
+	bytesPerHour := func(table *Table, memory func(float64) *logic.Memory, seconds int) (bytes int) {
 		for s := range seconds {
-			for _, r := range b.Update(at(float64(s)*1000), memory(float64(s)*1000), false) {
+			for _, r := range table.Update(at(float64(s)*1000), memory(float64(s)*1000), false) {
 				bytes += len(r) + 16
 			}
 		}
 		return bytes * 3600 / seconds
 	}
-	b := NewTable(testConfig(), nil, at(0))
-	b.StartRun(at(0))
-	b.UpdateMembership(at(0), 41, true, entriesUp("1", "2", "3"))
-	small := hour(b, func(ms float64) *logic.Memory { return memoryAt(ms) }, 3600)
-	many, memory := largeTable()
-	large := hour(many, memory, 60)
-	t.Logf("bytes an hour in records: 3 members %d, %d members %d", small, manyMembers, large)
-	if small > 1<<20 || large > 256<<20 {
-		t.Errorf("%d and %d bytes an hour", small, large)
+	smallTable := NewTable(testConfig(), nil, at(0))
+	smallTable.StartRun(at(0))
+	smallTable.UpdateMembership(at(0), 41, true, entriesUp("1", "2", "3"))
+	smallBytes := bytesPerHour(smallTable, func(ms float64) *logic.Memory { return memoryAt(ms) }, 3600)
+	large, memory := largeTable()
+	largeBytes := bytesPerHour(large, memory, 60)
+	t.Logf("bytes per hour in records: 3 members %d, %d members %d", smallBytes, largeMembers, largeBytes)
+	if smallBytes > 1<<20 || largeBytes > 256<<20 {
+		t.Errorf("%d and %d bytes per hour", smallBytes, largeBytes)
 	}
 }
--- a/internal/learned/state.go
+++ b/internal/learned/state.go
@@ -5,19 +5,19 @@
 	"slices"
 )
 
-// Schema is the version of records that this build writes, and the only one that it reads.
+// Schema is the version of the records that this build writes; it reads no other version.
 const Schema = 1
 
-// Tag names this kind of state to the store.
+// Tag identifies this kind of state in the store.
 const Tag = "LRND"
 
-// The phases of membership entries that matter here.
+// The phases of membership entries that this package distinguishes.
 const (
 	PhaseUp      = "up"
 	PhaseRemoved = "removed"
 )
 
-// State is all that is saved. Dates are Unix milliseconds by the wall clock of the run that saved them.
+// State is the complete saved state. Dates are Unix milliseconds by the wall clock of the run that saved them.
 type State struct {
 	Meta       Meta
 	Membership map[string]Entry       `json:"List"` // by member
@@ -26,7 +26,7 @@
 	OpTypes    map[string]OpTypeStats `json:"Types"` // by name
 }
 
-// Entry is a member as the membership lists it.
+// Entry is a member in the membership list.
 type Entry struct {
 	ID        string  `cbor:"1,keyasint"`
 	Address   string  `cbor:"2,keyasint,omitempty"`
@@ -37,54 +37,54 @@
 	StartedAt float64 `cbor:"7,keyasint,omitempty" json:"Started"` // Unix milliseconds, 0 for long ago
 }
 
-// Meta applies to the state as a whole.
+// Meta holds the properties of the state as a whole.
 type Meta struct {
 	Schema int    `cbor:"1,keyasint"`
 	Name   string `cbor:"2,keyasint"` // of the driver
 	Run    uint64 `cbor:"3,keyasint"` // counts the driver's runs, this one included
 
-	SavedAt       Timestamp `cbor:"4,keyasint" json:"At"`       // when the newest record was made
-	MaxPosition   float64   `cbor:"5,keyasint" json:"Reserved"` // no acknowledged commit lies beyond; Unix milliseconds
-	CleanShutdown bool      `cbor:"6,keyasint" json:"Closed"`   // the run ended with its last save
+	SavedAt       Timestamp `cbor:"4,keyasint" json:"At"`       // when the newest record was created
+	MaxPosition   float64   `cbor:"5,keyasint" json:"Reserved"` // no acknowledged commit lies beyond it; Unix milliseconds
+	CleanShutdown bool      `cbor:"6,keyasint" json:"Closed"`   // the run ended with a final save
 
 	Revision int64 `cbor:"7,keyasint"` // of the membership; 0 for none
-	// Epoch counts how often revisions have gone back, and PriorRevision is the highest of the epochs before.
+	// Epoch counts how often revisions have gone back. PriorRevision is the highest revision of the previous epochs.
 	Epoch         int   `cbor:"8,keyasint"`
 	PriorRevision int64 `cbor:"9,keyasint" json:"EpochMost"`
 }
 
-// Group is what was known of a group's writer slot.
+// Group is the saved knowledge of a group's primary and its load.
 type Group struct {
 	ID         int64   `cbor:"1,keyasint"`
-	Primary    string  `cbor:"2,keyasint,omitempty" json:"Slot"`   // in the slot, now or last; empty for none ever
-	InSlot     bool    `cbor:"3,keyasint,omitempty" json:"Held"`   // it was in the slot still
-	SeenAt     float64 `cbor:"4,keyasint,omitempty" json:"Seen"`   // newest evidence that it is the primary
-	WorkRate   float64 `cbor:"5,keyasint,omitempty" json:"Rate"`   // usual milliseconds of work answered a millisecond
-	LastCommit float64 `cbor:"6,keyasint,omitempty" json:"Commit"` // position of the last own write, 0 for none
+	Primary    string  `cbor:"2,keyasint,omitempty" json:"Slot"`   // the present or last primary; empty if there was none
+	InSlot     bool    `cbor:"3,keyasint,omitempty" json:"Held"`   // the primary still occupied the group's writer slot
+	SeenAt     float64 `cbor:"4,keyasint,omitempty" json:"Seen"`   // the newest evidence that it is the primary
+	WorkRate   float64 `cbor:"5,keyasint,omitempty" json:"Rate"`   // usual work completed per millisecond, in milliseconds
+	LastCommit float64 `cbor:"6,keyasint,omitempty" json:"Commit"` // position of this driver's last write, 0 for none
 }
 
-// Sighting renews the evidence of a group's primary, and nothing else of the group.
+// Sighting updates only the age of the evidence of a group's primary.
 type Sighting struct {
 	_     struct{} `cbor:",toarray"`
 	Group int64
 	Age   int64 // milliseconds before the record's timestamp
 }
 
-// Member is what was known of a member beside its entry in the membership.
+// Member is the saved knowledge of a member beside its entry in the membership.
 type Member struct {
 	ID           string  `cbor:"1,keyasint"`
 	Group        int64   `cbor:"2,keyasint,omitempty"`
 	Position     float64 `cbor:"3,keyasint,omitempty"`                // applied, as Unix milliseconds; 0 for unknown
-	StartedAt    float64 `cbor:"4,keyasint,omitempty" json:"Started"` // by the list or as it was seen; 0 for long ago
+	StartedAt    float64 `cbor:"4,keyasint,omitempty" json:"Started"` // from the list or as observed; 0 for long ago
 	EjectedAt    float64 `cbor:"5,keyasint,omitempty" json:"Aside"`   // 0 for not ejected
-	Disconnected bool    `cbor:"6,keyasint,omitempty" json:"Cut"`     // ejected as connections broke or none was made
-	Window       float64 `cbor:"7,keyasint,omitempty"`                // sends in flight that it may have; 0 for unknown
+	Disconnected bool    `cbor:"6,keyasint,omitempty" json:"Cut"`     // ejected because of connection failures
+	Window       float64 `cbor:"7,keyasint,omitempty"`                // concurrency limit of sends to it; 0 for unknown
 }
 
-// OpTypeStats are the times that ops of a type took, in milliseconds.
+// OpTypeStats holds the latencies of an op type, in milliseconds.
 type OpTypeStats struct {
 	Name          string  `cbor:"1,keyasint"`
-	LatencyTarget float64 `cbor:"2,keyasint" json:"Target"` // that it had; with another one the type is another
+	LatencyTarget float64 `cbor:"2,keyasint" json:"Target"` // at the time of saving; hints apply only to the same target
 	Typical       float64 `cbor:"3,keyasint" json:"Took"`
 	Best          float64 `cbor:"4,keyasint"`
 }
@@ -98,7 +98,7 @@
 	}
 }
 
-// Snapshot is the state as one record.
+// Snapshot returns the state as one record.
 func (s *State) Snapshot() []byte {
 	meta := s.Meta
 	r := record{
@@ -111,7 +111,7 @@
 	return r.encode()
 }
 
-// sortedValues are a map's values in the order of their keys.
+// sortedValues returns a map's values in the order of their keys.
 func sortedValues[K int64 | string, V any](all map[K]V) (values []V) {
 	for _, key := range slices.Sorted(maps.Keys(all)) {
 		values = append(values, all[key])
@@ -119,8 +119,9 @@
 	return values
 }
 
-// Forget drops what is known of members, of groups, or of all where none is named. What was announced, the membership
-// and MaxPosition, stays, but for the entry of a member that is named. It returns how many entries went.
+// Forget drops the knowledge of the named members and groups, or all of it if none is named. Announcements, which are
+// the membership and MaxPosition, stay, except for the entries of the named members. It returns the number of dropped
+// entries.
 func (s *State) Forget(members []string, groups []int64) (dropped int) {
 	before := s.size()
 	if len(members)+len(groups) == 0 {
@@ -140,7 +141,7 @@
 	return before - s.size()
 }
 
-// size counts entries of all kinds.
+// size returns the number of entries of all kinds.
 func (s *State) size() int {
 	return len(s.Membership) + len(s.Groups) + len(s.Members) + len(s.OpTypes)
 }
--- a/internal/learned/state_test.go
+++ b/internal/learned/state_test.go
@@ -15,6 +15,6 @@
 	}
 	s = savedState(t, 0)
 	if s.Forget(nil, nil); len(s.Membership) != 3 || len(s.Members)+len(s.Groups)+len(s.OpTypes) > 0 || s.Meta.MaxPosition == 0 {
-		t.Errorf("not all but what was told: %+v", s)
+		t.Errorf("not everything except announcements was dropped: %+v", s)
 	}
 }
--- a/internal/learned/table.go
+++ b/internal/learned/table.go
@@ -7,16 +7,16 @@
 	"weirwind/logic"
 )
 
-// Table is the state of the present run as it is saved. One goroutine uses it at a time.
+// Table is the state of the present run as it is saved. It is used by one goroutine at a time.
 type Table struct {
 	config       Config
-	state        *State  // what the records given out so far amount to
+	state        *State  // the state that the returned records lead to
 	hintsSavedAt float64 // by the wall clock; -Inf before the first time
-	savedAt      float64 // when anything was given out to be saved, by the wall clock
+	savedAt      float64 // when records were last returned, by the wall clock
 }
 
-// NewTable begins a run with the state that an earlier one saved; nil, and the state of another driver, count as none.
-// Restore reads that state before StartRun redates it.
+// NewTable starts a run with the state that an earlier run saved, or an empty one if saved is nil or belongs to another
+// driver. Restore reads the saved state before StartRun redates it.
 func NewTable(config Config, saved *State, now Timestamp) *Table {
 	t := &Table{config: config, state: newState(), hintsSavedAt: math.Inf(-1), savedAt: now.Wall}
 	if saved != nil && saved.Meta.Name == config.Name {
@@ -28,8 +28,8 @@
 	return t
 }
 
-// StartRun redates the state by this run's clock: dates become those of its wall clock, and what is dated after the
-// present is dropped.
+// StartRun redates the state by this run's clock: dates are translated to its wall clock, and evidence from a state
+// dated in the future is dropped.
 func (t *Table) StartRun(now Timestamp) {
 	s := t.state
 	if s.Meta.SavedAt != (Timestamp{}) {
@@ -57,7 +57,7 @@
 	}
 }
 
-// savedMaxPosition is the saved MaxPosition, or 0 where it came from a wrong clock.
+// savedMaxPosition returns the saved MaxPosition, or 0 if it came from a wrong clock.
 func (t *Table) savedMaxPosition(now Timestamp) float64 {
 	if position := t.state.Meta.MaxPosition; position-now.Wall < maxReservedLead {
 		return position
@@ -65,14 +65,14 @@
 	return 0
 }
 
-// Snapshot is the state as one record.
+// Snapshot returns the state as one record.
 func (t *Table) Snapshot() []byte { return t.state.Snapshot() }
 
-// State is the table's own state; it is for reading.
+// State returns the table's state, which callers must not modify.
 func (t *Table) State() *State { return t.state }
 
-// UpdateMembership takes a membership list, complete or as changes, and returns the records to be saved at once. A
-// revision lower than the one before begins an epoch.
+// UpdateMembership applies a membership list, complete or as changes, and returns the records to save at once. A
+// revision lower than the previous one begins an epoch.
 func (t *Table) UpdateMembership(now Timestamp, revision int64, complete bool, entries []Entry) [][]byte {
 	s := t.state
 	var r record
@@ -108,8 +108,8 @@
 	return t.commit(now, meta, &r)
 }
 
-// Update takes the decision module's memory and returns the records of what of it is worth a write now; at the last
-// save of a run all of it is.
+// Update compares the decision module's memory with the saved state and returns records for the changes that justify a
+// write now. At the last save of a run it returns all changes.
 func (t *Table) Update(now Timestamp, memory *logic.Memory, last bool) [][]byte {
 	var r record
 	hints := last || now.Wall-t.hintsSavedAt >= hintInterval
@@ -127,7 +127,7 @@
 	return t.commit(now, meta, &r)
 }
 
-// diffGroups adds to a record the groups that are new, have changed or are gone.
+// diffGroups adds the groups that are new, changed or removed to a record.
 func (t *Table) diffGroups(r *record, now Timestamp, memory *logic.Memory, last, hints bool) {
 	s := t.state
 	known := make(map[int64]bool, len(memory.Groups))
@@ -143,7 +143,7 @@
 			g.LastCommit != saved.LastCommit && last || hints && changed(g.WorkRate, saved.WorkRate):
 			r.Groups = append(r.Groups, g)
 		case g.SeenAt > saved.SeenAt+1 && (t.config.trustWindow() > 0 || last):
-			age := int64(math.Ceil(now.Wall - g.SeenAt)) // never younger than it is
+			age := int64(math.Ceil(now.Wall - g.SeenAt)) // rounded up: evidence must not become younger
 			r.Sightings = append(r.Sightings, Sighting{Group: g.ID, Age: age})
 		}
 	}
@@ -155,14 +155,15 @@
 	slices.Sort(r.RemovedGroups)
 }
 
-// diffMembers adds to a record the members that are new, have changed or are gone.
+// diffMembers adds the members that are new, changed or removed to a record.
 func (t *Table) diffMembers(r *record, memory *logic.Memory, last, hints bool) {
 	s := t.state
 	known := make(map[string]bool, len(memory.Members))
-	for _, k := range memory.Members {
-		known[k.Member] = true
-		m := Member{k.Member, k.Group, math.Floor(max(k.Position, 0)), k.StartedAt, k.EjectedAt, k.Disconnected, k.Window}
-		saved, isSaved := s.Members[k.Member]
+	for _, current := range memory.Members {
+		known[current.Member] = true
+		m := Member{current.Member, current.Group, math.Floor(max(current.Position, 0)),
+			current.StartedAt, current.EjectedAt, current.Disconnected, current.Window}
+		saved, isSaved := s.Members[current.Member]
 		if !isSaved || m.StartedAt != saved.StartedAt || m.EjectedAt != saved.EjectedAt ||
 			m.Disconnected != saved.Disconnected || m.Group != saved.Group ||
 			hints && changed(m.Window, saved.Window) ||
@@ -178,7 +179,7 @@
 	slices.Sort(r.RemovedMembers)
 }
 
-// diffOpTypes adds to a record the op types whose times have changed. All of an op type are hints.
+// diffOpTypes adds the op types whose latencies have changed to a record. All values of an op type are hints.
 func (t *Table) diffOpTypes(r *record, memory *logic.Memory) {
 	for i, m := range memory.OpTypes {
 		if i >= len(t.config.OpTypes) {
@@ -192,8 +193,8 @@
 	}
 }
 
-// needsRenewal says whether the timestamp alone is worth a write: before MaxPosition runs out, where sessions
-// depend on it; else only so that the state's age is known.
+// needsRenewal reports whether the timestamp alone justifies a write: before MaxPosition runs out, if sessions don't
+// track their positions and so depend on it, or else only to keep the age of the state known.
 func (t *Table) needsRenewal(now Timestamp) bool {
 	if !t.config.SessionsTrackPosition {
 		return t.state.Meta.MaxPosition < t.config.reservedPosition(now)-t.config.SaveInterval/2
@@ -205,8 +206,8 @@
 	return math.Abs(value-saved) > minHintChange*max(math.Abs(saved), math.Abs(value))
 }
 
-// commit applies a record to the state and returns it encoded, in several where it is too long. Each begins with the
-// timestamp by which its contents are dated.
+// commit applies a record to the state and returns it encoded, split into several records if it is too long. Each
+// begins with the timestamp by which its contents are dated.
 func (t *Table) commit(now Timestamp, meta Meta, r *record) (records [][]byte) {
 	meta.SavedAt = now
 	meta.MaxPosition = max(t.config.reservedPosition(now), t.savedMaxPosition(now))
@@ -214,7 +215,7 @@
 	for i, part := range parts {
 		m := meta
 		if i < len(parts)-1 {
-			m.Revision = t.state.Meta.Revision // the new one holds only once all of it is there
+			m.Revision = t.state.Meta.Revision // the new revision counts only after the last part
 		}
 		part.Meta = &m
 		records = append(records, part.encode())
