--- a/internal/roster/apply.go
+++ b/internal/roster/apply.go
@@ -6,11 +6,11 @@
 )
 
 const (
-	maxUnconfirmedLoss = 0.5 // a snapshot that loses a greater share of the usable members must be confirmed
-	minUnconfirmedLoss = 3   // members: fewer may well go together
+	maxUnconfirmedLoss = 0.5 // a snapshot without a greater share of the usable members must be confirmed
+	minUnconfirmedLoss = 3   // in members: the loss of fewer needs no confirmation
 )
 
-// step is an update on its way through the roster.
+// step holds one update while it is applied, and its effects.
 type step struct {
 	now     float64
 	view    *view
@@ -23,7 +23,7 @@
 	s.notes = append(s.notes, fmt.Sprintf(format, args...))
 }
 
-// applyInOrder applies an update that follows on what is known.
+// applyInOrder applies an update that continues from the known revision, or is a snapshot.
 func (r *Roster) applyInOrder(step *step) Verdict {
 	u := step.update
 	step.view.revision = u.Revision
@@ -63,7 +63,7 @@
 	r.tombstones.add(step.now, v.epochNumber, step.update.Source, entry)
 }
 
-// applyInvalid keeps the last valid entry of the member, but for a drain or a removal.
+// applyInvalid keeps the last valid entry of the member, but applies a drain or a removal.
 func (r *Roster) applyInvalid(step *step, invalid InvalidEntry) {
 	v, id := step.view, invalid.ID
 	step.touched[id] = true
@@ -80,7 +80,7 @@
 	}
 }
 
-// applyAbsences removes the members that a snapshot doesn't name.
+// applyAbsences removes the members that are missing from a snapshot.
 func (r *Roster) applyAbsences(step *step, named map[string]bool) Verdict {
 	v := step.view
 	var lost []string
@@ -109,9 +109,8 @@
 	return VerdictApplied
 }
 
-// mustConfirm says whether a snapshot that lost members is to be confirmed by a later one. A source that lost its
-// data answers an empty snapshot as surely as a true one; what tells them apart is that a true one is still so some
-// time later.
+// mustConfirm reports whether a snapshot with missing members must be confirmed by a later one. A source that lost its
+// data returns an empty snapshot just like a source without members; only the latter still does so some time later.
 func (r *Roster) mustConfirm(step *step, usable int, lost []string) bool {
 	v := step.view
 	lostUsable := 0
@@ -125,8 +124,8 @@
 		return false
 	}
 	if v.unconfirmed == nil {
-		v.lossAt = step.now
-	} else if step.now-v.lossAt >= r.options.ConfirmAfter {
+		v.firstLossAt = step.now
+	} else if step.now-v.firstLossAt >= r.options.ConfirmAfter {
 		return false
 	}
 	v.unconfirmed = make(map[string]bool, len(lost))
@@ -136,14 +135,14 @@
 	return true
 }
 
-// applyRestrictions takes from an update behind a gap what makes members unusable: a gap hides only what makes them
-// usable.
+// applyRestrictions applies the drains and removals of an update after a gap. Its other entries wait for a snapshot, as
+// the missing revisions may restrict them.
 func (r *Roster) applyRestrictions(step *step) {
 	v, u := step.view, step.update
 	if u.Epoch == v.epoch && u.Revision < v.revision {
 		return
 	}
-	epochNumber := max(v.epochNumber, 1) // the one that a snapshot will begin, where nothing was applied yet
+	epochNumber := max(v.epochNumber, 1) // the epoch that the first snapshot will begin
 	if v.epochNumber > 0 && u.Epoch != v.epoch {
 		epochNumber++
 	}
--- a/internal/roster/golden_test.go
+++ b/internal/roster/golden_test.go
@@ -8,8 +8,7 @@
 	"testing"
 )
 
-// Recorded from the code as it was before its names and shape changed; a change of any decision, of its order or of
-// a note's text changes them.
+// Digests recorded before a refactoring. Any change of a decision, of its order or of a note's text changes them.
 const (
 	wantRoster    uint64 = 0xe3238b3740cfd2ab
 	wantEviction  uint64 = 0x2eeeafb63d860a97
@@ -27,7 +26,7 @@
 	}
 }
 
-// Sources that connect, disconnect, lag, lose members, begin epochs, and send fragments and invalid entries.
+// Sources connect, disconnect, lag, lose members, begin epochs, and send fragments and invalid entries.
 func TestRosterAsRecorded(t *testing.T) {
 	h := fnv.New64a()
 	for seed := range uint64(recordedSeeds) {
@@ -35,10 +34,10 @@
 		rules := Options{Preferred: Source(1 + r.IntN(2)), FailoverAfter: 4000, ConfirmAfter: float64(2000 * r.IntN(2))}
 		roster := New(rules)
 		now := 0.0
-		var heads [sources]int64
+		var heads [sourceCount]int64
 		for range 200 {
 			now += 700 * r.Float64()
-			s := Source(r.IntN(int(sources)))
+			s := Source(r.IntN(int(sourceCount)))
 			switch r.IntN(14) {
 			case 0:
 				roster.SetDisconnected(s)
@@ -60,7 +59,7 @@
 	fmt.Fprintln(h, out.Verdict, out.Changes, out.Notes, roster.Members())
 	lead, revision, age, epochs := roster.Leader(now)
 	fmt.Fprintln(h, lead, revision, age, epochs)
-	for s := range sources {
+	for s := range sourceCount {
 		epoch, revision, told := roster.Revision(s)
 		fmt.Fprintln(h, s, epoch, revision, told)
 	}
@@ -110,7 +109,7 @@
 	return u
 }
 
-// More members are removed than there may be tombstones: the oldest are evicted.
+// More members are removed than the maximum number of tombstones, so that the oldest are evicted.
 func TestEvictionAsRecorded(t *testing.T) {
 	h := fnv.New64a()
 	roster := New(Options{Preferred: SourceRegistry})
@@ -129,7 +128,7 @@
 	fmt.Fprintln(h, roster.Apply(1e8, u))
 	u = Update{Source: SourceRegistry, Epoch: "f", Revision: 101, PreviousRevision: 100, Fragment: true}
 	u.Entries = make([]Entry, 200001)
-	fmt.Fprintln(h, roster.Apply(1e8, u)) // more than is kept of one revision
+	fmt.Fprintln(h, roster.Apply(1e8, u)) // more than the maximum of one revision
 	u.Fragment, u.Entries = false, nil
 	fmt.Fprintln(h, roster.Apply(1e8, u))
 	check(t, h.Sum64(), wantEviction)
--- a/internal/roster/peers.go
+++ b/internal/roster/peers.go
@@ -1,21 +1,21 @@
 package roster
 
-// Peers counts the drivers and sees which of them are silent. Times are milliseconds.
+// Peers counts the drivers and detects silent ones. Times are milliseconds.
 type Peers struct {
 	Self           string
-	ShrinkAfter    float64 // fewer drivers count only once they have been fewer for so long
-	MessageTimeout float64 // a listed peer without a message for so long is silent
+	ShrinkAfter    float64 // a lower count applies only after it has lasted for this time
+	MessageTimeout float64 // a listed peer without messages for this time is silent
 
 	count       int
-	fewerSince  float64 // 0: they are not fewer
-	maxSince    int     // the highest number since fewerSince
+	fewerSince  float64 // 0 if the count is not lower
+	maxSince    int     // the highest count since fewerSince
 	lastMessage map[string]float64
 	silent      map[string]bool
 }
 
-// Count gives how many drivers there are by the registry's list, this one included. A higher number counts at once,
-// as it makes every driver more careful; a lower one only once it has lasted for ShrinkAfter, with a registry that
-// is connected.
+// Count returns the number of drivers in the registry's list, including this one. A higher number applies at once, as
+// it makes every driver more careful. A lower one applies after it has lasted for ShrinkAfter, with a connected
+// registry.
 func (p *Peers) Count(now float64, listed []Entry, connected bool) int {
 	n := 1
 	for _, e := range listed {
@@ -38,31 +38,31 @@
 	return p.count
 }
 
-// Observe notes a message of a peer.
+// Observe records a message from a peer.
 func (p *Peers) Observe(now float64, name string) {
-	p.init()
+	p.ensureMaps()
 	p.lastMessage[name] = now
 }
 
-func (p *Peers) init() {
+func (p *Peers) ensureMaps() {
 	if p.lastMessage == nil {
 		p.lastMessage, p.silent = map[string]float64{}, map[string]bool{}
 	}
 }
 
-// CheckTimeouts gives the listed peers that have newly become silent, and those that no longer are. They are counted
-// all the same: a listed driver may well serve clients, and only fail to reach this one.
+// CheckTimeouts returns the listed peers that became silent since the last call, and those that recovered. Silent peers
+// still count as drivers: they may serve clients and only fail to reach this driver.
 func (p *Peers) CheckTimeouts(now float64, listed []Entry) (silent, recovered []string) {
-	p.init()
-	present := map[string]bool{}
+	p.ensureMaps()
+	isListed := map[string]bool{}
 	for _, e := range listed {
 		if e.ID == p.Self || e.Phase != PhaseUp {
 			continue
 		}
-		present[e.ID] = true
+		isListed[e.ID] = true
 		last, known := p.lastMessage[e.ID]
 		if !known {
-			p.lastMessage[e.ID] = now // its time begins when it is first listed
+			p.lastMessage[e.ID] = now // the timeout starts when the peer is first listed
 			continue
 		}
 		isSilent := now-last > p.MessageTimeout
@@ -75,7 +75,7 @@
 			recovered = append(recovered, e.ID)
 		}
 	}
-	p.forgetAbsent(present)
+	p.forgetAbsent(isListed)
 	return silent, recovered
 }
 
--- a/internal/roster/peers_test.go
+++ b/internal/roster/peers_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// The count of drivers rises at once and shrinks slowly; silent peers are reported once, and again when they recover.
+// A higher number of drivers counts at once, a lower one after a delay. Silent and recovered peers are reported once.
 func TestPeers(t *testing.T) {
 	p := Peers{Self: "n0", ShrinkAfter: 5000, MessageTimeout: 3000}
 	count := func(now float64, connected bool, want int, ids ...string) {
@@ -16,13 +16,13 @@
 	}
 	count(0, false, 1)
 	count(10, true, 3, "n0", "n1", "n2")
-	count(20, true, 3, "n1", "n2")         // without the own entry too
-	count(100, true, 3, "n0", "n1")        // one is missing: for a restart, maybe
-	count(4000, true, 3, "n0", "n1", "n2") // so it was
+	count(20, true, 3, "n1", "n2")         // without this driver's own entry
+	count(100, true, 3, "n0", "n1")        // one is missing, perhaps restarting
+	count(4000, true, 3, "n0", "n1", "n2") // it is back
 	count(5000, true, 3, "n0")
 	count(9999, true, 3, "n0", "n1")
-	count(10001, true, 2, "n0") // the highest number since
-	count(11000, false, 2)      // without a connection to the registry the number does not shrink
+	count(10001, true, 2, "n0") // the highest number in that time
+	count(11000, false, 2)      // without a connection to the registry the number isn't reduced
 	count(99000, false, 2)
 	count(99001, true, 2)
 	count(104002, true, 1)
@@ -38,6 +38,6 @@
 		t.Errorf("silent %v, recovered %v", silent, recovered)
 	}
 	if p.CheckTimeouts(6000, entries("n1")); len(p.lastMessage) != 1 {
-		t.Errorf("a peer that left is remembered: %v", p.lastMessage)
+		t.Errorf("a removed peer is still stored: %v", p.lastMessage)
 	}
 }
--- a/internal/roster/presence.go
+++ b/internal/roster/presence.go
@@ -6,36 +6,36 @@
 	"weirwind/internal/limits"
 )
 
-// PresenceStep is what to do about the driver's own lease.
+// PresenceStep is an action on the driver's own lease.
 type PresenceStep uint8
 
 // The steps.
 const (
 	StepWait  PresenceStep = iota
-	StepGrant              // a new lease, and the driver's key under it unless another one has it
+	StepGrant              // grant a new lease, with the driver's key under it unless another driver owns the key
 	StepRenew
 )
 
-// PresenceResult is how a step ended.
+// PresenceResult is the result of a step.
 type PresenceResult uint8
 
 // The results of steps.
 const (
 	StepDone      PresenceResult = iota
-	StepLeaseLost                // the lease is not there any more
+	StepLeaseLost                // the lease no longer exists
 	StepNameTaken                // another driver's key has the name
 	StepFailed
 )
 
-// minPresenceBackoff is the limit of the first delay behind a failed step, in milliseconds; that of all is the
-// lease's time.
-const minPresenceBackoff = 200
+// firstPresenceBackoff is the maximum delay after the first failed step, in milliseconds. Later delays are limited by
+// the lease's time to live.
+const firstPresenceBackoff = 200
 
-// Presence is the state of the driver's own lease in the registry. A lease is never taken as valid for longer than
-// the registry may take it. Times are milliseconds.
+// Presence is the state of the driver's own lease in the registry. It never takes a lease as valid for longer than the
+// registry may. Times are milliseconds.
 type Presence struct {
 	ttl        float64
-	validUntil float64 // for certain, while leased
+	validUntil float64 // guaranteed end of validity while leased
 	nextAt     float64 // when the next step is due
 	leased     bool
 	nameTaken  bool
@@ -43,18 +43,18 @@
 	backoff    limits.Backoff
 }
 
-// NewPresence begins without a lease. ttl is the time of the leases to ask for.
+// NewPresence returns a Presence without a lease. ttl is the time to live of the leases to request.
 func NewPresence(ttl float64, seed uint64) *Presence {
 	return &Presence{
 		ttl:     ttl,
 		random:  rand.New(rand.NewPCG(seed, 0xA5A5)),
-		backoff: limits.Backoff{Base: minPresenceBackoff, Max: ttl},
+		backoff: limits.Backoff{Base: firstPresenceBackoff, Max: ttl},
 	}
 }
 
-// Next gives the step that is due, or StepWait with the time until one is.
+// Next returns the step that is due, or StepWait with the time until the next one.
 func (p *Presence) Next(now float64) (PresenceStep, float64) {
-	if p.leased && now >= p.validUntil { // expired while the process was frozen: it is not renewed but granted anew
+	if p.leased && now >= p.validUntil { // expired while the process was suspended: request a new one
 		p.leased = false
 	}
 	switch {
@@ -66,19 +66,19 @@
 	return StepGrant, 0
 }
 
-// StepEnded takes the result of a step that began at began. A lease is valid from then on, as the registry may have
-// counted from then; ttl is the time that the registry granted, 0 for the one asked for.
-func (p *Presence) StepEnded(began, now float64, result PresenceResult, ttl float64) {
+// StepEnded records the result of a step. A lease is valid from the start of the step, as the registry may count its
+// time from then. ttl is the time to live that the registry granted, 0 for the requested one.
+func (p *Presence) StepEnded(startedAt, now float64, result PresenceResult, ttl float64) {
 	switch result {
 	case StepDone:
 		if ttl <= 0 {
 			ttl = p.ttl
 		}
 		p.backoff.Reset()
-		p.leased, p.nameTaken, p.validUntil, p.nextAt = true, false, began+ttl, began+ttl/3
+		p.leased, p.nameTaken, p.validUntil, p.nextAt = true, false, startedAt+ttl, startedAt+ttl/3
 	case StepLeaseLost:
 		p.leased, p.nextAt = false, now
-	case StepNameTaken: // by an earlier run's lease, which expires, or by another driver
+	case StepNameTaken: // by the lease of an earlier run, which will expire, or by another driver
 		p.leased, p.nameTaken = false, true
 		p.nextAt = now + p.ttl*(0.5+0.5*p.random.Float64())
 	default:
@@ -86,7 +86,7 @@
 	}
 }
 
-// Status says whether the lease is valid for certain, and whether another driver has the name.
+// Status reports whether the lease is certainly valid, and whether another driver has the name.
 func (p *Presence) Status(now float64) (valid, nameTaken bool) {
 	return p.leased && now < p.validUntil, p.nameTaken
 }
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -6,23 +6,23 @@
 	"slices"
 )
 
-// Options of a roster. Times are milliseconds.
+// Options configure a Roster. Times are milliseconds.
 type Options struct {
 	Preferred     Source  // leads while it is connected
-	FailoverAfter float64 // a connected source leads instead once the preferred one was silent for so long
-	ConfirmAfter  float64 // a snapshot that lost most members must be confirmed after so long; 0: none must
+	FailoverAfter float64 // a connected source replaces the preferred one after this time without a message from it
+	ConfirmAfter  float64 // a snapshot without most members must be confirmed after this time; 0: without confirmation
 }
 
-// Roster is the state of all sources and the membership that is published. The zero Roster is not usable: use New.
+// Roster holds the state of all sources and the published membership. Use New; the zero Roster is not usable.
 type Roster struct {
 	options    Options
-	views      [sources]view
+	views      [sourceCount]view
 	tombstones tombstones
-	published  map[string]Entry // by id; its entries have no ModRevision
-	leader     Source           // whose view is published
+	published  map[string]Entry // by id; entries have ModRevision 0
+	leader     Source           // the source whose view is published
 }
 
-// New gives a roster without any members.
+// New returns a roster without members.
 func New(options Options) *Roster {
 	r := &Roster{options: options, tombstones: tombstones{}, published: map[string]Entry{}}
 	for i := range r.views {
@@ -31,10 +31,10 @@
 	return r
 }
 
-// Apply takes an update. now is in milliseconds, by the clock of Entry.StartedAt.
+// Apply applies an update. now is in milliseconds, by the same clock as Entry.StartedAt.
 func (r *Roster) Apply(now float64, update Update) (out Outcome) {
 	v := &r.views[update.Source]
-	v.lastMessage, v.connected = now, update.Source != SourceKnown // nobody stands for what was known at the start
+	v.lastMessage, v.connected = now, update.Source != SourceKnown // the list known at the start has no connected source
 	complete, oversized := v.assemble(&update)
 	if !complete {
 		out.Verdict = VerdictFragment
@@ -60,7 +60,7 @@
 	return out
 }
 
-// Tick lets time pass: another source may become the leader.
+// Tick re-elects the leader as time passes.
 func (r *Roster) Tick(now float64) (out Outcome) {
 	before := r.leader
 	if r.elect(now); r.leader != before {
@@ -74,19 +74,19 @@
 	return fmt.Sprintf("%s leads instead of %s", leader, before)
 }
 
-// SetDisconnected notes that a source can't be reached any more. Fragments of a revision are dropped.
+// SetDisconnected records that a source is unreachable, and drops the fragments of an incomplete revision.
 func (r *Roster) SetDisconnected(source Source) {
 	v := &r.views[source]
 	v.connected = false
 	v.dropFragments()
 }
 
-// SetConnected notes a message of a source without an update.
+// SetConnected records a message from a source without an update.
 func (r *Roster) SetConnected(now float64, source Source) {
 	r.views[source].lastMessage, r.views[source].connected = now, true
 }
 
-// Members gives the published membership, by id.
+// Members returns the published membership, sorted by id.
 func (r *Roster) Members() []Entry {
 	all := make([]Entry, 0, len(r.published))
 	for _, id := range slices.Sorted(maps.Keys(r.published)) {
@@ -95,21 +95,21 @@
 	return all
 }
 
-// Leader gives the source whose view is published, its revision, the time since its last message, and how many
-// epochs it has had.
+// Leader returns the source whose view is published, its revision, the time since its last message, and the number of
+// its epochs.
 func (r *Roster) Leader(now float64) (leader Source, revision int64, age float64, epochs int) {
 	v := &r.views[r.leader]
 	return r.leader, v.revision, now - v.lastMessage, v.epochNumber
 }
 
-// Revision gives the epoch and the revision up to which a source's state is known; synced is false before its first
-// snapshot.
+// Revision returns the epoch of a source and the revision up to which its state is known. synced is false before its
+// first snapshot.
 func (r *Roster) Revision(source Source) (epoch string, revision int64, synced bool) {
 	v := &r.views[source]
 	return v.epoch, v.revision, v.synced
 }
 
-// elect makes the source of the highest rank the leader.
+// elect makes the source with the highest rank the leader.
 func (r *Roster) elect(now float64) {
 	best, bestRank := r.leader, -1.0
 	for i := range r.views {
@@ -123,11 +123,11 @@
 	r.leader = best
 }
 
-// rank puts the preferred source first, while it is connected and for FailoverAfter behind its last message; then
-// connected sources, in the order of Source; then the one whose last message is the latest.
+// rank orders the sources: first the preferred one, while it is connected and for FailoverAfter after its last message;
+// then connected sources, in the order of Source; then the one with the latest message.
 func (r *Roster) rank(source Source, now float64) float64 {
 	v := &r.views[source]
-	rank := v.lastMessage / 1e15 // far below 1
+	rank := v.lastMessage / 1e15 // less than 1, so that it only breaks ties
 	if v.connected {
 		rank += 1 + float64(source)
 	}
@@ -137,8 +137,7 @@
 	return rank
 }
 
-// publish brings the published membership up to date, for members that were touched or for all, and gives what
-// changed.
+// publish updates the published membership, for the touched members or for all, and returns the changes.
 func (r *Roster) publish(touched map[string]bool, all bool) (changes []Entry) {
 	if all {
 		touched = make(map[string]bool, len(r.published))
@@ -150,13 +149,13 @@
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(touched)) {
-		old, wasThere := r.published[id]
-		e, there := r.publishable(id)
+		old, wasPublished := r.published[id]
+		e, isPublished := r.publishable(id)
 		switch {
-		case there && (!wasThere || old != e):
+		case isPublished && (!wasPublished || old != e):
 			r.published[id] = e
 			changes = append(changes, e)
-		case !there && wasThere:
+		case !isPublished && wasPublished:
 			delete(r.published, id)
 			old.Phase = PhaseRemoved
 			changes = append(changes, old)
@@ -165,13 +164,13 @@
 	return changes
 }
 
-// publishable gives a member's entry in the leader's view, restricted by its tombstone.
-func (r *Roster) publishable(id string) (e Entry, there bool) {
-	e, there = r.views[r.leader].entries[id]
-	if t, found := r.tombstones[id]; found && there && e.Phase == PhaseUp {
+// publishable returns a member's entry in the leader's view, restricted by its tombstone.
+func (r *Roster) publishable(id string) (e Entry, ok bool) {
+	e, ok = r.views[r.leader].entries[id]
+	if t, found := r.tombstones[id]; found && ok && e.Phase == PhaseUp {
 		e.Phase = PhaseDraining
-		there = !t.removed
+		ok = !t.removed
 	}
 	e.ModRevision = 0
-	return e, there
+	return e, ok
 }
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -11,7 +11,7 @@
 
 var phaseByName = map[string]Phase{"": PhaseUp, "draining": PhaseDraining, "removed": PhaseRemoved}
 
-// entries are members that are up, or id=phase.
+// entries returns members that are up, or have the phase given as id=phase.
 func entries(ids ...string) (all []Entry) {
 	for _, id := range ids {
 		id, phase, _ := strings.Cut(id, "=")
@@ -20,7 +20,7 @@
 	return all
 }
 
-// summary is the published membership in short: ids, those that drain with a minus.
+// summary returns the ids of the published members, with a minus for those that drain.
 func (r *Roster) summary() string {
 	var s []string
 	for _, e := range r.Members() {
@@ -33,7 +33,7 @@
 	return Update{Source: SourceRegistry, Epoch: "e", Revision: rev, Snapshot: true, Entries: entries(ids...)}
 }
 
-// snapshotOf is of a source that has no epochs.
+// snapshotOf returns a snapshot of a source that has no epochs.
 func snapshotOf(s Source, rev int64, ids ...string) Update {
 	return Update{Source: s, Revision: rev, Snapshot: true, Linearizable: true, Entries: entries(ids...)}
 }
@@ -42,7 +42,7 @@
 	return Update{Source: SourceRegistry, Epoch: "e", Revision: rev, PreviousRevision: rev - 1, Entries: entries(ids...)}
 }
 
-// Each row is a history of a registry's updates, and at its end the published membership and the last verdict.
+// Each case is a history of updates of a registry, with the published membership and the last verdict at its end.
 func TestHistories(t *testing.T) {
 	linearizable := func(u Update) Update { u.Linearizable = true; return u }
 	epoch := func(name string, u Update) Update { u.Epoch = name; return u }
@@ -174,7 +174,7 @@
 	}
 }
 
-// A loss that a snapshot still has after the time to confirm it is applied; one that it no longer has is forgotten.
+// A loss of members is applied if a later snapshot confirms it, and dropped if a later snapshot has the members again.
 func TestLossesMustBeConfirmed(t *testing.T) {
 	r := New(Options{Preferred: SourceRegistry, ConfirmAfter: 3000})
 	r.Apply(0, snapshot(5, "a", "b", "c"))
@@ -190,12 +190,12 @@
 	r.Apply(1000, snapshot(6))
 	r.Apply(1500, snapshot(7, "a", "b", "c"))
 	if out := r.Apply(9000, snapshot(8)); out.Verdict != VerdictUnconfirmed {
-		t.Errorf("an earlier loss counts: %s", out.Verdict)
+		t.Errorf("a loss that was not confirmed still counts: %s", out.Verdict)
 	}
 }
 
-// The preferred source leads, also for some time after it disconnected; then one that is connected. A drain of a
-// source that is disconnected stays in force whichever leads.
+// The preferred source leads, also for some time after it disconnected; after that a connected one. A drain from a
+// disconnected source stays in force whichever source leads.
 func TestLeaderElection(t *testing.T) {
 	r := New(Options{Preferred: SourceRegistry, FailoverAfter: 10000})
 	r.Apply(0, snapshotOf(SourceKnown, 3, "k"))
@@ -205,7 +205,7 @@
 	}
 	out := r.Apply(20, snapshot(5, "a", "b", "c"))
 	if r.summary() != "a b c" || len(out.Changes) != 1 || len(out.Notes) != 1 {
-		t.Errorf("the registry does not take the lead: %+v", out)
+		t.Errorf("the registry does not lead: %+v", out)
 	}
 	r.Apply(30, changes(6, "b=draining"))
 	r.SetDisconnected(SourceRegistry)
@@ -221,17 +221,17 @@
 	// Discovery may be behind the registry.
 	r.Apply(11000, Update{Source: SourceDiscovery, Revision: 42, PreviousRevision: 41, Entries: entries("b")})
 	if r.summary() != "a b- d" {
-		t.Errorf("a drain is undone by another source: %q", r.summary())
+		t.Errorf("another source lifted a drain: %q", r.summary())
 	}
 	back := entries("b")
 	back[0].StartedAt = 11500
 	r.Apply(12000, Update{Source: SourceDiscovery, Revision: 43, PreviousRevision: 42, Entries: back})
 	if r.summary() != "a b d" {
-		t.Errorf("it has started since: %q", r.summary())
+		t.Errorf("a restarted member still drains: %q", r.summary())
 	}
 	r.SetDisconnected(SourceDiscovery)
 	if r.Tick(1e7); r.summary() != "a b d" {
-		t.Errorf("with nobody connected, not the last one leads: %q", r.summary())
+		t.Errorf("without a connected source, the last one does not lead: %q", r.summary())
 	}
 	r.Apply(1e7+1, snapshot(60, "a", "b"))
 	if lead, _, _, _ := r.Leader(1e7 + 1); lead != SourceRegistry || r.summary() != "a b" {
@@ -239,21 +239,21 @@
 	}
 }
 
-// A drain known from an earlier run stays in force until the preferred source says otherwise.
+// A drain known from an earlier run stays in force until the preferred source lists the member as up.
 func TestDrainOfEarlierRun(t *testing.T) {
 	r := New(Options{Preferred: SourceRegistry, FailoverAfter: 10000})
 	r.Apply(0, snapshotOf(SourceKnown, 41, "a", "b=draining"))
 	r.Apply(1, snapshotOf(SourceDiscovery, 41, "a", "b"))
 	if r.summary() != "a b-" {
-		t.Errorf("undone by discovery: %q", r.summary())
+		t.Errorf("discovery lifted the drain: %q", r.summary())
 	}
 	if r.Apply(2, snapshot(9, "a", "b")); r.summary() != "a b" {
-		t.Errorf("the registry says otherwise: %q", r.summary())
+		t.Errorf("the registry did not lift the drain: %q", r.summary())
 	}
 }
 
-// With discovery alone, changes of an older revision need a snapshot, which is applied whatever its revision.
-func TestDiscoveryAlone(t *testing.T) {
+// Without a registry, changes of an older revision need a snapshot, which is applied whatever its revision.
+func TestDiscoveryWithoutRegistry(t *testing.T) {
 	r := New(Options{Preferred: SourceDiscovery})
 	apply := func(rev int64, full bool, ids ...string) Outcome {
 		u := snapshotOf(SourceDiscovery, rev, ids...)
@@ -270,25 +270,25 @@
 	}
 }
 
-// event is a write to the model of a registry.
-type event struct {
+// modelEvent is a write to the modelled registry.
+type modelEvent struct {
 	rev int64
 	e   Entry
 }
 
-func (h event) update() Update {
+func (h modelEvent) update() Update {
 	return Update{Source: SourceRegistry, Epoch: "e", Revision: h.rev, PreviousRevision: h.rev - 1, Entries: []Entry{h.e}}
 }
 
-// A model of a registry is read through disconnections, gaps, lagging followers and duplicates: after a last
-// snapshot both are equal, and at no moment is a member usable by something older than what said that it is not.
-func TestAgainstAModel(t *testing.T) {
+// A model of a registry is read through disconnections, gaps, lagging followers and duplicates. After a final snapshot
+// both must be equal, and no information older than a member's drain or removal may make the member usable.
+func TestMatchesRegistryModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var history []event
+		var history []modelEvent
 		states := []map[string]Entry{{}} // by revision
 		ids := []string{"a", "b", "c", "d", "e"}
 		r := New(Options{Preferred: SourceRegistry})
-		restrictedAt := map[string]int64{} // by member: the newest revision by which it drains or is removed
+		restrictedAt := map[string]int64{} // by member: the newest revision that drains or removes it
 		snapshotAt := func(rev int64) Update {
 			u := Update{Source: SourceRegistry, Epoch: "e", Revision: rev, Snapshot: true}
 			for _, id := range ids {
@@ -331,7 +331,7 @@
 					delete(next, e.ID)
 				}
 				states = append(states, next)
-				history = append(history, event{head + 1, e})
+				history = append(history, modelEvent{head + 1, e})
 			case 3: // the watch continues, in order
 				for _, h := range history {
 					if h.rev > known {
@@ -340,7 +340,7 @@
 						r.Apply(now, u)
 					}
 				}
-			case 4: // it resumes behind a gap, or repeats something
+			case 4: // the watch resumes after a gap, or repeats an event
 				if len(history) > 0 {
 					h := rapid.SampledFrom(history).Draw(t, "event")
 					u := h.update()
@@ -359,7 +359,7 @@
 			for _, e := range r.Members() {
 				mod := r.views[SourceRegistry].entries[e.ID].ModRevision
 				if e.Phase == PhaseUp && mod < restrictedAt[e.ID] {
-					t.Fatalf("%s is usable by revision %d, and restricted at %d", e.ID, mod, restrictedAt[e.ID])
+					t.Fatalf("%s is usable by revision %d, but was restricted at %d", e.ID, mod, restrictedAt[e.ID])
 				}
 			}
 		}
@@ -380,7 +380,7 @@
 	})
 }
 
-// The changes add up to the published membership.
+// The returned changes must add up to the published membership.
 func TestChangesAddUpToMembers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := New(Options{Preferred: SourceRegistry, FailoverAfter: 50, ConfirmAfter: 30})
--- a/internal/roster/scheduler.go
+++ b/internal/roster/scheduler.go
@@ -12,70 +12,70 @@
 
 // The calls to a source.
 const (
-	CallRead  CallKind = iota // a snapshot
-	CallWatch                 // changes, from Call.Revision on
+	CallRead  CallKind = iota // reads a snapshot
+	CallWatch                 // watches changes, from Call.Revision on
 )
 
 // Call is the next call to a source. Times are milliseconds.
 type Call struct {
 	Kind         CallKind
-	Endpoint     int     // its index
+	Endpoint     int     // index of the endpoint
 	Delay        float64 // before the call
-	Revision     int64   // of a watch: the first one wanted
-	Linearizable bool    // of a read: the source's newest state, not that of a follower
-	MaxDuration  float64 // of a watch: it ends then, and a read checks what it gave
+	Revision     int64   // of a watch: the first revision to deliver
+	Linearizable bool    // of a read: the newest state is required, not that of a follower
+	MaxDuration  float64 // of a watch: it ends then, and a read verifies its result
 }
 
-// CallResult is how a call ended.
+// CallResult is the result of a call.
 type CallResult uint8
 
 // The results of calls.
 const (
-	CallSucceeded CallResult = iota // a read is done, or a watch has lasted for its MaxDuration
-	CallBroken                      // refused, reset, timed out
-	CallTimedOut                    // open, without a sign of life for too long
-	CallCompacted                   // the revision asked for is not kept any more
-	CallRejected                    // credentials, or a wrong call: another endpoint will not do better
-	CallStale                       // what came was older than what is known
+	CallSucceeded CallResult = iota // the read is complete, or the watch lasted for its MaxDuration
+	CallBroken                      // connection refused or reset, or a request timeout
+	CallTimedOut                    // a watch without any message for too long
+	CallCompacted                   // the requested revision has been compacted
+	CallRejected                    // bad credentials or an invalid call, for which another endpoint doesn't help
+	CallStale                       // the result was older than the known state
 )
 
-// SchedulerOptions are the options of a scheduler.
+// SchedulerOptions configure a Scheduler.
 type SchedulerOptions struct {
 	Endpoints int
-	Drivers   int // that may lose the source at the same time, this one included
+	Drivers   int // drivers that may lose the source at the same time, including this one
 	Seed      uint64
-	// ResyncInterval in milliseconds, 0 for 10 minutes: a watch is followed by a read after half of it up to all of
-	// it, drawn at random. What a watch omitted can't be seen in any other way.
+	// ResyncInterval is in milliseconds, 0 for 10 minutes. A watch ends at random after half of it up to all of it,
+	// and is followed by a read: events that a watch omitted can't be detected in any other way.
 	ResyncInterval float64
 }
 
 // Times are milliseconds, rates are per second.
 const (
-	minBackoff, maxBackoff = 100.0, 10000.0 // limit of the first delay behind a failure, and of all
+	minBackoff, maxBackoff = 100.0, 10000.0 // limits of the delay after the first failure and after any
 	retryRate, retryBurst  = 1.0, 5.0       // of the retry budget
-	fleetReadRate          = 100.0          // reads of all drivers together that a source bears after its start
-	rejectedDelay          = 5000.0         // at least half of it: credentials aren't mended sooner
+	fleetReadRate          = 100.0          // reads of all drivers together that a source can serve after its start
+	rejectedDelay          = 5000.0         // the minimum is half of it, as credentials take time to correct
 	defaultResyncInterval  = 600e3          // at 1,000 drivers, two reads a second
-	endpointCooldown       = 30000.0        // an endpoint that failed is the last choice for so long
+	endpointCooldown       = 30000.0        // a failed endpoint is chosen last for this time
 )
 
-// Scheduler decides which call to a source comes next: when, at which endpoint, and from which revision. A watch is
-// resumed wherever the source still has its history, and drivers that lost the source together don't come back
-// together. SetDrivers may be called at any time; the rest belongs to one goroutine.
+// Scheduler decides the next call to a source: its time, its endpoint and its first revision. It resumes a watch if the
+// source still has the history, and spreads the reconnects of drivers that lost the source together. SetDrivers may be
+// called concurrently; the other methods are used by one goroutine.
 type Scheduler struct {
 	options      SchedulerOptions
 	random       *rand.Rand
 	backoff      limits.Backoff
 	budget       limits.RetryBudget
 	endpoint     int       // of the next call
-	failedAt     []float64 // by endpoint
+	failedAt     []float64 // by endpoint, in milliseconds
 	mustRead     bool      // the next call is a read, even if the revision is known
-	linearizable bool      // and of the newest state
+	linearizable bool      // that read must return the newest state
 	delay        float64   // before the next call
 	drivers      atomic.Int64
 }
 
-// NewScheduler begins at an endpoint drawn by the seed.
+// NewScheduler returns a scheduler that starts at an endpoint chosen by the seed.
 func NewScheduler(options SchedulerOptions) *Scheduler {
 	options.Endpoints, options.Drivers = max(options.Endpoints, 1), max(options.Drivers, 1)
 	if options.ResyncInterval <= 0 {
@@ -97,11 +97,11 @@
 	return s
 }
 
-// SetDrivers notes how many drivers there are now.
+// SetDrivers sets the number of drivers.
 func (s *Scheduler) SetDrivers(drivers int) { s.drivers.Store(int64(max(drivers, 1))) }
 
-// Next gives the next call. revision is up to where the source's state is known; synced is false before its first
-// snapshot.
+// Next returns the next call. revision is the one up to which the source's state is known; synced is false before its
+// first snapshot.
 func (s *Scheduler) Next(revision int64, synced bool) Call {
 	call := Call{
 		Kind:         CallWatch,
@@ -118,14 +118,14 @@
 	return call
 }
 
-// CallEnded takes the result of a call. responded says whether the call had got any response before; now is in
+// CallEnded records the result of a call. responded reports whether the source had responded during the call; now is in
 // milliseconds.
 func (s *Scheduler) CallEnded(now float64, kind CallKind, result CallResult, responded bool) {
 	switch result {
 	case CallSucceeded:
 		s.backoff.Reset()
 		s.mustRead, s.linearizable = kind == CallWatch, kind == CallWatch
-	case CallCompacted: // the watch can't resume: the one case in which all drivers want a snapshot at once
+	case CallCompacted: // the watch can't resume, possibly those of all drivers at once
 		s.mustRead, s.delay = true, s.fleetDelay()
 	case CallStale:
 		s.mustRead, s.linearizable = true, true
@@ -141,33 +141,32 @@
 
 func (s *Scheduler) callFailed(now float64, kind CallKind, responded bool) {
 	if responded {
-		s.backoff.Reset() // it had served: the first retry comes soon
+		s.backoff.Reset() // the endpoint did respond: the first retry comes soon
 	}
 	s.switchEndpoint(now)
 	s.delay = max(s.backoff.RecordFailure(s.random), s.budget.Reserve(now))
-	if kind == CallRead && s.backoff.Failures() > s.options.Endpoints { // down for all drivers: all will be back at once
+	if kind == CallRead && s.backoff.Failures() > s.options.Endpoints { // down for all drivers
 		s.delay = max(s.delay, s.fleetDelay())
 	}
 }
 
-// fleetDelay spreads the reads of all drivers, if all of them want one now, over what a source bears.
+// fleetDelay returns a random delay that spreads a read by each driver over the time that a source needs for them.
 func (s *Scheduler) fleetDelay() float64 {
 	return s.random.Float64() * float64(s.drivers.Load()) / fleetReadRate * 1000
 }
 
-// Resync asks for a read of the newest state, as something is missing in what came.
+// Resync requests a read of the newest state, because the received state is incomplete.
 func (s *Scheduler) Resync(now float64) {
 	s.mustRead, s.linearizable = true, true
 	s.delay = max(s.delay, s.budget.Reserve(now))
 }
 
-// ResyncAfter asks for a read of the newest state after a delay, to confirm a snapshot.
+// ResyncAfter requests a read of the newest state after a delay, to confirm a snapshot.
 func (s *Scheduler) ResyncAfter(delay float64) {
 	s.mustRead, s.linearizable, s.delay = true, true, max(s.delay, delay)
 }
 
-// switchEndpoint moves on to the next endpoint that has not failed of late, or else to the one that failed the
-// longest ago.
+// switchEndpoint moves on to the next endpoint without a recent failure, or else to the one whose failure is oldest.
 func (s *Scheduler) switchEndpoint(now float64) {
 	s.failedAt[s.endpoint] = now
 	best := s.endpoint
--- a/internal/roster/tombstone.go
+++ b/internal/roster/tombstone.go
@@ -6,25 +6,24 @@
 )
 
 const (
-	maxTombstones     = 50000  // beyond that the oldest are evicted
-	tombstoneMaxAgeMs = 3600e3 // on an eviction, all older than this go along
+	maxTombstones     = 50000  // maximum number of tombstones; the oldest are evicted
+	tombstoneMaxAgeMs = 3600e3 // an eviction also removes all older tombstones
 )
 
-// tombstone is what remains of a word that a member drains or is removed. It restricts the member in whatever view
-// leads.
+// tombstone records that a member drains or was removed. It restricts the member whichever source leads.
 type tombstone struct {
 	source      Source
 	epochNumber int // of the source
 	revision    int64
 	at          float64
-	removed     bool // else it drains
+	removed     bool // otherwise the member drains
 }
 
-// tombstones are kept by member.
+// tombstones holds the tombstones by member.
 type tombstones map[string]tombstone
 
-// add remembers that a source said in one of its epochs that a member drains or is removed. The entry of a member that
-// a snapshot lacks is the last one known.
+// add records that a source, in one of its epochs, listed a member as draining or removed. For a member that is missing
+// from a snapshot, entry is its last known entry.
 func (t tombstones) add(now float64, epochNumber int, source Source, entry Entry) {
 	if len(t) >= maxTombstones {
 		t.evict(now)
@@ -42,7 +41,7 @@
 	}
 }
 
-// evict makes room: the oldest tenth goes, and all that have stood for long.
+// evict makes room: it removes the oldest tenth, and all tombstones older than tombstoneMaxAgeMs.
 func (t tombstones) evict(now float64) {
 	times := make([]float64, 0, len(t))
 	for _, stone := range t {
@@ -53,11 +52,10 @@
 	maps.DeleteFunc(t, func(_ string, stone tombstone) bool { return stone.at <= limit })
 }
 
-// liftTombstone ends a member's tombstone where its entry is newer: by a later revision of the source that said it,
-// or by a start since. In a later epoch of that source only what was written since the epoch began is newer, as a
-// registry that was restored from a backup has entries from before the drain; a source without named epochs writes
-// everything anew in each snapshot. A tombstone of an earlier run, whose source is not known any more, gives way to the
-// preferred source.
+// liftTombstone removes a member's tombstone if the entry is newer: by a later revision of the same source, or by a
+// later start of the member. In a later epoch of the source, only entries written since the epoch began are newer, as a
+// registry restored from a backup has entries from before the drain; a source without named epochs writes all entries
+// anew in each snapshot. A tombstone of an earlier run, whose source is unknown, yields to the preferred source.
 func (r *Roster) liftTombstone(step *step, entry Entry) {
 	stone, found := r.tombstones[entry.ID]
 	if !found {
--- a/internal/roster/update.go
+++ b/internal/roster/update.go
@@ -1,17 +1,17 @@
 package roster
 
-// Source is where updates come from, the least trusted one first.
+// Source is the origin of updates, in ascending order of trust.
 type Source uint8
 
 // The sources of updates.
 const (
-	SourceKnown     Source = iota // what the start was given, or an earlier run has kept
+	SourceKnown     Source = iota // the list that the start was given, or that an earlier run saved
 	SourceDiscovery               // the platform's discovery
 	SourceRegistry                // a key-value registry
-	sources
+	sourceCount
 )
 
-// String names the source as logs do.
+// String returns the source's name in logs.
 func (s Source) String() string { return [...]string{"known", "discovery", "registry"}[s] }
 
 // Phase is a member's state.
@@ -24,7 +24,7 @@
 	PhaseRemoved
 )
 
-// Entry is one member as a source describes it.
+// Entry describes one member.
 type Entry struct {
 	ID          string
 	Address     string
@@ -32,50 +32,50 @@
 	Group       int64
 	Phase       Phase
 	Access      string
-	StartedAt   float64 // Unix milliseconds; 0: long ago
-	ModRevision int64   // at which it was written; 0: the source doesn't say
+	StartedAt   float64 // Unix milliseconds, 0 for long ago
+	ModRevision int64   // revision of its last write; 0 if the source has none
 }
 
-// InvalidEntry is an entry that can't be used. If it still says that the member drains or is removed, that counts.
+// InvalidEntry is an unusable entry. A drain or removal that it states still applies.
 type InvalidEntry struct {
 	ID     string
 	Reason string // for the log
 	Phase  Phase
 }
 
-// Update is what a source says at once: a snapshot, or the changes of one revision.
+// Update is a message of a source: a snapshot, or the changes of one revision.
 type Update struct {
 	Source   Source
-	Epoch    string // names the history that revisions count in; empty where the source has no name for it
+	Epoch    string // identifies the history that revisions count in; empty if the source has no identifier
 	Revision int64
 
-	Snapshot     bool // complete: a member that it does not name is not there
+	Snapshot     bool // complete: members that are missing from it don't exist
 	Linearizable bool // of a snapshot: the source's newest state, not that of a follower that may lag
-	Fragment     bool // the revision goes on in the next update
+	Fragment     bool // the revision continues in the next update
 
-	PreviousRevision int64 // of changes: the one that they continue from; 0: the source doesn't say
+	PreviousRevision int64 // of changes: the revision that they continue from; 0 if the source doesn't state it
 	Entries          []Entry
 	Invalid          []InvalidEntry
 }
 
-// Verdict says what became of an update.
+// Verdict is the result of applying an update.
 type Verdict uint8
 
 // The verdicts on an update.
 const (
 	VerdictApplied     Verdict = iota
-	VerdictFragment            // it goes on in the next one
-	VerdictStale               // a duplicate, or older than what is known
-	VerdictGap                 // revisions are missing before it: a snapshot is needed
-	VerdictUnconfirmed         // it lost most members: another snapshot is needed, after Options.ConfirmAfter
+	VerdictFragment            // the revision continues in the next update
+	VerdictStale               // a duplicate, or older than the known state
+	VerdictGap                 // revisions before it are missing: a snapshot is needed
+	VerdictUnconfirmed         // it lacks most members: another snapshot is needed, after Options.ConfirmAfter
 )
 
-// String names the verdict as logs do.
+// String returns the verdict's name in logs.
 func (v Verdict) String() string { return [...]string{"applied", "partial", "old", "gap", "held"}[v] }
 
-// Outcome is what an update, or time, led to.
+// Outcome is the result of an update, or of the passing of time.
 type Outcome struct {
 	Verdict Verdict
-	Changes []Entry  // of the published membership, by id: entries that are new or differ; PhaseRemoved for what is gone
-	Notes   []string // for the log: what was not applied as it came
+	Changes []Entry  // of the published membership, by id: new or changed entries, and removed ones in PhaseRemoved
+	Notes   []string // for the log: the parts that were not applied as received
 }
--- a/internal/roster/view.go
+++ b/internal/roster/view.go
@@ -1,32 +1,32 @@
 package roster
 
-// maxFragmentEntries bounds the entries of one revision that are kept until its last fragment.
+// maxFragmentEntries is the maximum number of entries kept of an incomplete revision.
 const maxFragmentEntries = 200000
 
-// view is what one source says.
+// view is the member list of one source.
 type view struct {
 	epoch       string
-	epochNumber int   // counts epochs from 1; 0: nothing was applied yet
+	epochNumber int   // counts epochs from 1; 0 before the first update
 	epochStart  int64 // the revision at which this epoch was first seen
-	revision    int64 // everything up to it is in entries
+	revision    int64 // the entries include everything up to it
 	entries     map[string]Entry
 	synced      bool // a snapshot was applied
 
-	connected   bool // by the last call of the source, or its last update
+	connected   bool // as of the source's last call or update
 	lastMessage float64
 
-	// The fragments of a revision so far.
+	// The fragments of an incomplete revision.
 	fragments        []Entry
 	invalidFragments []InvalidEntry
-	oversized        bool // there were more than can be kept
+	oversized        bool // there were more than maxFragmentEntries
 
-	// The members that unconfirmed snapshots lost; nil: there was none, or it was confirmed.
+	// The members missing from unconfirmed snapshots; nil if there is none, or if it was confirmed.
 	unconfirmed map[string]bool
-	lossAt      float64 // when the first of those snapshots came
+	firstLossAt float64 // time of the first of those snapshots
 }
 
-// assemble keeps a fragment, or completes an update by those before it. An oversized revision has no entries any
-// more.
+// assemble stores a fragment, or completes an update with the fragments before it. An oversized revision loses its
+// entries.
 func (v *view) assemble(update *Update) (complete, oversized bool) {
 	if v.fragments = append(v.fragments, update.Entries...); len(v.fragments) > maxFragmentEntries {
 		v.fragments, v.oversized = nil, true
@@ -42,14 +42,14 @@
 
 func (v *view) dropFragments() { v.fragments, v.invalidFragments, v.oversized = nil, nil, false }
 
-// order finds where an update stands in the source's history, and begins an epoch where revisions count anew. It
-// gives VerdictApplied for one that may be applied.
+// order determines an update's position in the source's history, and begins an epoch if revisions restarted. It returns
+// VerdictApplied if the update may be applied.
 func (v *view) order(update *Update) Verdict {
 	otherEpoch := v.epochNumber > 0 && update.Epoch != v.epoch
 	older := !otherEpoch && update.Revision < v.revision
 	if update.Snapshot {
 		if older && !update.Linearizable {
-			return VerdictStale // of a follower that lags
+			return VerdictStale // from a lagging follower
 		}
 		if otherEpoch || older || v.epochNumber == 0 {
 			v.epochNumber++
@@ -61,7 +61,7 @@
 	case !v.synced || otherEpoch:
 		return VerdictGap
 	case older && update.Epoch == "":
-		return VerdictGap // nothing tells a rebuilt source from a late message: a snapshot does
+		return VerdictGap // an old message or a source that was rebuilt: only a snapshot distinguishes them
 	case older:
 		return VerdictStale
 	case update.PreviousRevision > v.revision:
