--- a/internal/registry/client.go
+++ b/internal/registry/client.go
@@ -1,6 +1,6 @@
 package registry
 
-// This file owns what a registry is asked, whatever its dialect, and the choice of the dialect.
+// This file defines the interfaces of the clients, and creates the client of a dialect.
 
 import (
 	"context"
@@ -15,44 +15,45 @@
 	"weirwind/internal/roster"
 )
 
-// Options name a registry. They come from the operators' file, which checks them.
+// Options configure the client of a registry. They come from the operators' file, which has validated them.
 type Options struct {
-	Dialect         string   // "consul", or else etcd
+	Dialect         string   // "consul"; etcd otherwise
 	Endpoints       []string // URLs without a path
-	Prefix          string   // of the members' keys
-	Service         string   // Consul: the members are this service's instances; empty: they are keys
+	Prefix          string   // prefix of the members' keys
+	Service         string   // Consul: read the members from this service's instances; empty: read them from keys
 	CredentialsFile string   // name:password (etcd) or a token (Consul); empty for none
 	CAFile          string   // PEM; empty for the system's certificates
 	WatchTimeout    time.Duration
 }
 
-// Client reads members. A call goes to one endpoint, named by its index, and ends with its context. deliver is called
-// with each update, in order, by the caller's goroutine; ResultOf maps the error.
+// Client reads members. A call goes to one endpoint, given by its index, and ends with its context. deliver is called
+// with each update, in order, by the caller's goroutine. ResultOf maps the error.
 type Client interface {
-	// List delivers all members: the registry's newest state where linearizable, else any server's own.
+	// List delivers all members: the registry's newest state if linearizable, or else the state of any server.
 	List(ctx context.Context, endpoint int, linearizable bool, deliver func(roster.Update)) error
-	// Watch delivers what changes from a revision on, until an error. active is called at each sign of life.
+	// Watch delivers the changes from a revision on, until an error occurs. active is called for each message.
 	Watch(ctx context.Context, endpoint int, from int64, active func(), deliver func(roster.Update)) error
 }
 
-// LeaseClient keeps one key registered. Its calls take an endpoint as Client's do; PresenceResultOf maps the errors.
+// LeaseClient keeps a key registered. Its calls take an endpoint like those of Client. PresenceResultOf maps the
+// errors.
 type LeaseClient interface {
 	// Grant creates the key under a new lease, and returns the lease with the time to live that was granted.
 	Grant(ctx context.Context, endpoint int, key string, value []byte, ttl time.Duration) (lease string,
 		granted time.Duration, err error)
-	// Renew starts a lease's time to live anew, and returns it.
+	// Renew restarts a lease's time to live, and returns it.
 	Renew(ctx context.Context, endpoint int, lease string) (granted time.Duration, err error)
-	// Revoke ends a lease, and deletes its key with it.
+	// Revoke ends a lease and deletes its key.
 	Revoke(ctx context.Context, endpoint int, lease string) error
 }
 
-// Backend is a client of one dialect.
+// Backend is the client of one dialect.
 type Backend interface {
 	Client
 	LeaseClient
 }
 
-// New returns a client. It opens no connection; the error is that of reading the certificates.
+// New returns a client. It opens no connection, and fails only if the certificates can't be read.
 func New(options Options) (Backend, error) {
 	transport := &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: connectTimeout}).DialContext,
@@ -82,7 +83,7 @@
 	}
 	roots := x509.NewCertPool()
 	if !roots.AppendCertsFromPEM(pem) {
-		return nil, fmt.Errorf("%s: no certificate in it", file)
+		return nil, fmt.Errorf("%s: no certificate found", file)
 	}
 	return roots, nil
 }
--- a/internal/registry/client_test.go
+++ b/internal/registry/client_test.go
@@ -13,34 +13,34 @@
 	"weirwind/internal/standin/kv"
 )
 
-// Credentials come from a file, and a token that has expired is replaced; wrong credentials are retried slowly.
+// Credentials are read from a file, an expired token is replaced, and wrong credentials are retried slowly.
 func TestCredentials(t *testing.T) {
 	s := kv.NewStore("c1")
 	s.Put(prefix+"a", entry(1, "up"))
-	v := serve(t, s)
+	server := serve(t, s)
 	secret, file := "right", filepath.Join(t.TempDir(), "secret")
-	v.Password.Store(&secret)
+	server.Password.Store(&secret)
 	os.WriteFile(file, []byte("driver:right\n"), 0o600)
-	o := Options{Dialect: "etcd", Prefix: prefix, WatchTimeout: time.Second, Endpoints: []string{v.URL},
+	options := Options{Dialect: "etcd", Prefix: prefix, WatchTimeout: time.Second, Endpoints: []string{server.URL},
 		CredentialsFile: file}
-	r := followWith(t, o, roster.Options{}, 0)
+	r := followWith(t, options, roster.Options{}, 0)
 	r.waitFor("a")
-	v.ExpireTokens()
-	v.CloseConnections()
+	server.ExpireTokens()
+	server.CloseConnections()
 	s.Put(prefix+"b", entry(2, "up"))
 	r.waitFor("a b")
 	os.WriteFile(file, []byte("driver:wrong"), 0o600)
-	v.ExpireTokens()
-	v.CloseConnections()
+	server.ExpireTokens()
+	server.CloseConnections()
 	time.Sleep(300 * time.Millisecond)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if n := len(r.disconnects); n > 4 || ResultOf(r.disconnects[n-1]) != roster.CallRejected {
-		t.Errorf("%d losses, the last %v", n, r.disconnects[n-1])
+		t.Errorf("%d disconnects, the last %v", n, r.disconnects[n-1])
 	}
 }
 
-// A service's instances by their health.
+// A service's instances become members, with phases by their health checks.
 func TestConsulService(t *testing.T) {
 	s := kv.NewStore("")
 	instance := func(id, status, cell string) string {
@@ -50,41 +50,41 @@
 	}
 	s.Put("db/a", instance("a", "passing", "3"), "db/b", instance("b", "critical", "3"),
 		"db/c", instance("c", "passing", "x"))
-	v := serve(t, s)
-	o := Options{Dialect: "consul", Service: "db", WatchTimeout: time.Second, Endpoints: []string{v.URL}}
-	r := followWith(t, o, roster.Options{}, 0)
+	server := serve(t, s)
+	options := Options{Dialect: "consul", Service: "db", WatchTimeout: time.Second, Endpoints: []string{server.URL}}
+	r := followWith(t, options, roster.Options{}, 0)
 	r.waitFor("a b-")
 	s.Put("db/a", instance("a", "critical", "3"), "db/b", instance("b", "passing", "3"))
 	r.waitFor("a- b")
 }
 
-// TLS: an endpoint whose certificate the named file signs is followed, any other is not.
+// An endpoint whose certificate is signed by the configured file is followed; others are rejected.
 func TestTLS(t *testing.T) {
 	s := kv.NewStore("c1")
 	s.Put(prefix+"a", entry(1, "up"))
-	v := kv.ServeTLS(s)
-	t.Cleanup(func() { v.CloseConnections(); v.Close() })
+	server := kv.ServeTLS(s)
+	t.Cleanup(func() { server.CloseConnections(); server.Close() })
 	file := filepath.Join(t.TempDir(), "ca.pem")
-	os.WriteFile(file, pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: v.Certificate().Raw}), 0o600)
-	o := Options{Dialect: "etcd", Prefix: prefix, Endpoints: []string{v.URL}, WatchTimeout: time.Second, CAFile: file}
-	followWith(t, o, roster.Options{}, 0).waitFor("a")
-	o.CAFile = ""
-	c, err := New(o)
+	os.WriteFile(file, pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: server.Certificate().Raw}), 0o600)
+	options := Options{Dialect: "etcd", Prefix: prefix, Endpoints: []string{server.URL}, WatchTimeout: time.Second, CAFile: file}
+	followWith(t, options, roster.Options{}, 0).waitFor("a")
+	options.CAFile = ""
+	c, err := New(options)
 	if err != nil {
 		t.Fatal(err)
 	}
 	err = c.List(context.Background(), 0, true, func(roster.Update) {})
 	if err == nil || ResultOf(err) != roster.CallBroken {
-		t.Errorf("a certificate that nobody signs: %v", err)
+		t.Errorf("a certificate of an unknown authority: %v", err)
 	}
-	o.CAFile = filepath.Join(t.TempDir(), "none")
-	if _, err := New(o); err == nil {
-		t.Error("no file of certificates")
+	options.CAFile = filepath.Join(t.TempDir(), "none")
+	if _, err := New(options); err == nil {
+		t.Error("accepts a missing file of certificates")
 	}
 	os.WriteFile(file, []byte("none"), 0o600)
-	if o.CAFile = file; err == nil {
-		if _, err := New(o); err == nil {
-			t.Error("a file without a certificate")
+	if options.CAFile = file; err == nil {
+		if _, err := New(options); err == nil {
+			t.Error("accepts a file without a certificate")
 		}
 	}
 }
--- a/internal/registry/consul.go
+++ b/internal/registry/consul.go
@@ -1,8 +1,8 @@
 package registry
 
-// This file owns Consul's HTTP API: its calls, and blocking queries on the keys under a prefix. Every response is a
+// This file implements calls to Consul's HTTP API, and blocking queries on the keys under a prefix. Every response is a
 // complete list, so a watch is a sequence of queries that each wait until an index has passed. An index that goes back
-// is no newer state: it says only that the list is to be read again.
+// indicates no newer state, only that the list must be read again.
 
 import (
 	"context"
@@ -23,7 +23,7 @@
 	*caller
 }
 
-// List queries once: the leader where linearizable, else any server.
+// List queries once: the leader if linearizable, otherwise any server.
 func (c *consul) List(ctx context.Context, endpoint int, linearizable bool, deliver func(roster.Update)) error {
 	consistency := "stale"
 	if linearizable {
@@ -38,7 +38,7 @@
 	return nil
 }
 
-// Watch queries again and again, each time until the index has passed the one before or the wait is over.
+// Watch queries repeatedly, each time until the index has passed the previous one or the wait time is over.
 func (c *consul) Watch(
 	ctx context.Context,
 	endpoint int,
@@ -50,7 +50,7 @@
 		watched, _, stop := watchdog(ctx, c.options.WatchTimeout)
 		update, err := c.query(watched, endpoint, url.Values{
 			"index": {strconv.FormatInt(reached, 10)},
-			"wait":  {fmt.Sprintf("%dms", c.drawWait().Milliseconds())},
+			"wait":  {fmt.Sprintf("%dms", c.randomWait().Milliseconds())},
 		})
 		err = watchError(watched, err)
 		stop()
@@ -71,9 +71,9 @@
 	}
 }
 
-// drawWait draws a blocking query's wait from 0.4 to 0.5 of the watch timeout. Consul adds up to a sixteenth of it, so
-// an answer comes in time; it is drawn so that many drivers don't query at the same moments.
-func (c *consul) drawWait() time.Duration {
+// randomWait returns a random wait time for a blocking query, from 0.4 to 0.5 of the watch timeout. Consul adds up to a
+// sixteenth of it, so the response arrives in time. Random times keep many drivers from querying simultaneously.
+func (c *consul) randomWait() time.Duration {
 	return time.Duration(float64(c.options.WatchTimeout) / 2 * (0.8 + 0.2*rand.Float64()))
 }
 
@@ -106,7 +106,7 @@
 	return update, c.addKeys(&update, response.body)
 }
 
-// checkQuery returns the error that a response states. That no key has the prefix is none.
+// checkQuery returns the error that a response states. A missing prefix is not an error.
 func (c *consul) checkQuery(response *consulResponse) error {
 	switch status := response.status; {
 	case status == http.StatusForbidden || status == http.StatusUnauthorized:
@@ -136,14 +136,14 @@
 	return nil
 }
 
-// consulResponse is a response with its body read.
+// consulResponse is a response whose body has been read.
 type consulResponse struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// do makes a call, authenticated where there are credentials.
+// do makes a call, authenticated if credentials are configured.
 func (c *consul) do(ctx context.Context, method string, endpoint int, path string, body any) (
 	response consulResponse, err error) {
 	header := map[string]string{}
--- a/internal/registry/consul_lease.go
+++ b/internal/registry/consul_lease.go
@@ -1,6 +1,6 @@
 package registry
 
-// This file owns Consul's sessions, in the place of leases.
+// This file implements leases with Consul's sessions.
 
 import (
 	"bytes"
@@ -12,7 +12,7 @@
 	"time"
 )
 
-const consulMinTTL = 10 * time.Second // Consul grants no less
+const consulMinTTL = 10 * time.Second // the minimum that Consul grants
 
 type consulSessionRequest struct {
 	Behavior  string
@@ -21,7 +21,7 @@
 	TTL       string
 }
 
-// put makes a call; the response's status is that of OK or not found.
+// put makes a call. Responses with other statuses than OK and not found are errors.
 func (c *consul) put(ctx context.Context, endpoint int, path string, body any) (consulResponse, error) {
 	response, err := c.do(ctx, http.MethodPut, endpoint, path, body)
 	if err == nil && response.status != http.StatusOK && response.status != http.StatusNotFound {
@@ -30,7 +30,7 @@
 	return response, err
 }
 
-// Grant creates a session, and acquires the key for it, which fails where another session holds it.
+// Grant creates a session and acquires the key for it. It fails if another session holds the key.
 func (c *consul) Grant(
 	ctx context.Context,
 	endpoint int,
@@ -40,7 +40,7 @@
 ) (string, time.Duration, error) {
 	ttl = max(ttl.Round(time.Second), consulMinTTL)
 	response, err := c.put(ctx, endpoint, "/v1/session/create", consulSessionRequest{
-		Behavior:  "delete", // the key, when the session ends
+		Behavior:  "delete", // deletes the key when the session ends
 		LockDelay: "0s",
 		Name:      key,
 		TTL:       ttl.String(),
@@ -53,7 +53,7 @@
 		return "", 0, fmt.Errorf("no session: %.80q", response.body)
 	}
 	if err := c.acquire(ctx, endpoint, key, value, session.ID); err != nil {
-		_ = c.Revoke(ctx, endpoint, session.ID) // else the session expires
+		_ = c.Revoke(ctx, endpoint, session.ID) // if this fails, the session expires
 		return "", 0, err
 	}
 	return session.ID, ttl, nil
--- a/internal/registry/consul_service.go
+++ b/internal/registry/consul_service.go
@@ -1,7 +1,7 @@
 package registry
 
-// This file owns members that are a Consul service's instances: address and metadata make an entry, and health checks
-// its phase.
+// This file reads members that are the instances of a Consul service: their address and metadata form an entry, and
+// their health checks determine its phase.
 
 import (
 	"encoding/json"
@@ -12,19 +12,19 @@
 	"weirwind/internal/roster"
 )
 
-// consulInstance is one instance of a service, with its node and its health checks. It is an alias, as entryForm is.
+// consulInstance is an instance of a service, with its node and its health checks. It is an alias like entryForm.
 type consulInstance = struct {
 	Node    struct{ Address string }
 	Service struct {
-		ID, Address string // an empty address is the node's
+		ID, Address string // an empty address stands for the node's
 		Port        int
 		Meta        map[string]string // cell, locality, access, up_since_ms
-		ModifyIndex int64             // does not move with the checks: no revision of an entry
+		ModifyIndex int64             // doesn't change with the checks, so it is no revision of an entry
 	}
 	Checks []struct{ Status string }
 }
 
-// instanceForm is an instance in the form of an entry.
+// instanceForm is an instance as an entry.
 type instanceForm struct {
 	Access    string      `json:"access"`
 	Group     json.Number `json:"cell,omitempty"`
@@ -34,7 +34,7 @@
 	StartedAt json.Number `json:"up_since_ms,omitempty"`
 }
 
-// addInstances adds a service's instances to an update.
+// addInstances adds the instances of a service to an update.
 func addInstances(update *roster.Update, text []byte) error {
 	var instances []consulInstance
 	if err := json.Unmarshal(text, &instances); err != nil {
@@ -43,11 +43,11 @@
 	for i := range instances {
 		id, form := instances[i].Service.ID, instanceEntry(&instances[i])
 		value, err := json.Marshal(form)
-		if err != nil { // metadata that should be a number and is none
+		if err != nil { // metadata that should be a number and isn't
 			addInvalid(update, id, phases[form.Phase], err)
 			continue
 		}
-		addEntry(update, id, value, 0) // no revision, see ModifyIndex
+		addEntry(update, id, value, 0) // without a revision, see ModifyIndex
 	}
 	return nil
 }
@@ -68,7 +68,8 @@
 	}
 }
 
-// instancePhase is draining for an instance in maintenance or with a critical check: Consul's own readers leave it out.
+// instancePhase returns draining for an instance in maintenance or with a critical check, which Consul's own clients
+// leave out.
 func instancePhase(i *consulInstance) string {
 	for _, c := range i.Checks {
 		if c.Status == "critical" || c.Status == "maintenance" {
--- a/internal/registry/entry.go
+++ b/internal/registry/entry.go
@@ -1,6 +1,6 @@
 package registry
 
-// This file owns the form of entries: one member as JSON, in discovery's form, under the prefix and its ID.
+// This file defines the format of entries: a member as JSON, as in discovery, under the prefix and the member's ID.
 
 import (
 	"encoding/json"
@@ -13,20 +13,20 @@
 
 const (
 	maxEntryBytes  = 16 << 10
-	maxStartMillis = 1e14 // far beyond any Unix time that a member can have started at
+	maxStartMillis = 1e14 // rejects values far beyond any plausible Unix time in milliseconds
 )
 
-// phases are those that an entry may state.
+// phases maps the names of phases in entries.
 var phases = map[string]roster.Phase{
 	"up":       roster.PhaseUp,
 	"draining": roster.PhaseDraining,
 	"removed":  roster.PhaseRemoved,
 }
 
-// entryForm is an entry as it is stored. It is an alias, with fields named as they are stored, since errors of
-// encoding/json quote the names of types and fields and operators read them.
+// entryForm is the stored form of an entry. It is an alias, and its fields are named like the stored ones, because
+// errors of encoding/json quote the names of types and fields, and operators read them.
 type entryForm = struct {
-	ID       string // empty, or as in the key
+	ID       string // empty, or the same as in the key
 	HostPort string `json:"host_port"`
 	Locality string
 	Cell     *int64
@@ -35,8 +35,8 @@
 	Started  float64 `json:"up_since_ms"` // Unix time in milliseconds, 0 for long ago
 }
 
-// parseEntry parses the value under a member's key. Beside an error the entry holds the ID alone and, where it can be
-// read, the phase: a mistake elsewhere must not hide a drain.
+// parseEntry parses the value of a member's key. With an error, the entry holds only the ID and, if readable, the
+// phase, so that a mistake in another field doesn't hide a drain.
 func parseEntry(id string, value []byte) (roster.Entry, error) {
 	invalid := roster.Entry{ID: id}
 	if len(value) > maxEntryBytes {
@@ -66,7 +66,7 @@
 	}, nil
 }
 
-// parsePhase reads the phase out of a value that is wrong elsewhere.
+// parsePhase reads the phase of a value that is invalid otherwise.
 func parsePhase(value []byte) roster.Phase {
 	var form struct{ Phase any }
 	if json.Unmarshal(value, &form) != nil {
@@ -76,7 +76,7 @@
 	return phases[name]
 }
 
-// checkForm checks all but the phase.
+// checkForm validates all fields except the phase.
 func checkForm(form *entryForm, id string) error {
 	switch _, _, err := net.SplitHostPort(form.HostPort); {
 	case id == "" || strings.Contains(id, "/"):
@@ -95,7 +95,7 @@
 	return nil
 }
 
-// addEntry adds a key that is present to an update, as valid or as invalid.
+// addEntry adds an existing key to an update, as a valid or an invalid entry.
 func addEntry(update *roster.Update, id string, value []byte, modRevision int64) {
 	e, err := parseEntry(id, value)
 	if err != nil {
@@ -110,7 +110,7 @@
 	update.Invalid = append(update.Invalid, roster.InvalidEntry{ID: id, Reason: err.Error(), Phase: phase})
 }
 
-// addRemoval adds a key that was deleted to an update.
+// addRemoval adds a deleted key to an update.
 func addRemoval(update *roster.Update, id string, modRevision int64) {
 	update.Entries = append(update.Entries, roster.Entry{ID: id, Phase: roster.PhaseRemoved, ModRevision: modRevision})
 }
--- a/internal/registry/entry_test.go
+++ b/internal/registry/entry_test.go
@@ -9,8 +9,8 @@
 	"weirwind/internal/standin/kv"
 )
 
-// Bad entries beside good ones, of every kind: the last good value stays, and what says draining counts.
-func TestBadEntries(t *testing.T) {
+// Invalid entries of every kind beside valid ones: the last valid value stays, and a readable drain applies.
+func TestInvalidEntries(t *testing.T) {
 	s := kv.NewStore("c1")
 	for i, id := range []string{"a", "b", "c", "d"} {
 		s.Put(prefix+id, entry(i+1, "up"))
@@ -59,8 +59,8 @@
 	})
 }
 
-// Operators read these texts: json quotes the names of types and fields.
-func TestErrorsOfEntries(t *testing.T) {
+// Operators read these texts, in which encoding/json quotes the names of types and fields.
+func TestEntryErrorTexts(t *testing.T) {
 	for text, want := range map[string]string{
 		`{"cell":"x"}`:       "json: cannot unmarshal string into Go struct field .Cell of type int64",
 		`{"locality":3}`:     "json: cannot unmarshal number into Go struct field .Locality of type string",
@@ -78,7 +78,7 @@
 	}
 }
 
-func TestErrorsOfResponses(t *testing.T) {
+func TestResponseErrorTexts(t *testing.T) {
 	for _, c := range []struct {
 		text string
 		into any
--- a/internal/registry/errors.go
+++ b/internal/registry/errors.go
@@ -1,6 +1,6 @@
 package registry
 
-// This file owns the errors of calls and their mapping to what the deciding package knows.
+// This file defines the errors of calls, and maps them to the results of package roster.
 
 import (
 	"errors"
@@ -8,7 +8,7 @@
 	"weirwind/internal/roster"
 )
 
-// Errors that tell how a call ended.
+// Errors of calls.
 var (
 	errCompacted   = errors.New("the revision is not kept any more")
 	errRejected    = errors.New("refused")
@@ -23,7 +23,7 @@
 	errLeaseLost = errors.New("the lease is not there any more")
 )
 
-// ResultOf maps the error of a Client's call.
+// ResultOf returns the result that corresponds to the error of a Client's call.
 func ResultOf(err error) roster.CallResult {
 	switch {
 	case err == nil:
@@ -40,7 +40,7 @@
 	return roster.CallBroken
 }
 
-// PresenceResultOf maps the error of a LeaseClient's call.
+// PresenceResultOf returns the result that corresponds to the error of a LeaseClient's call.
 func PresenceResultOf(err error) roster.PresenceResult {
 	switch {
 	case err == nil:
--- a/internal/registry/etcd.go
+++ b/internal/registry/etcd.go
@@ -1,7 +1,8 @@
 package registry
 
-// This file owns etcd's v3 API as its JSON gateway gives it: calls, their errors, and authentication. In this form
-// byte strings are base64 and 64-bit integers are strings. Field order is alphabetical, as in the recorded requests.
+// This file implements calls to etcd's v3 API through its JSON gateway, their errors, and authentication. The gateway
+// encodes byte strings as base64 and 64-bit integers as strings. Field order is alphabetical, as in the recorded
+// requests.
 
 import (
 	"context"
@@ -16,7 +17,7 @@
 type etcd struct {
 	*caller
 	mu     sync.Mutex     // guards tokens
-	tokens map[int]string // by endpoint; none without credentials
+	tokens map[int]string // by endpoint; empty without credentials
 }
 
 type etcdHeader struct {
@@ -31,25 +32,25 @@
 	ModRevision int64  `json:"mod_revision,string"`
 }
 
-// gRPC codes in an error's body.
+// gRPC codes in error bodies.
 const (
 	codeInvalidArgument  = 3
 	codePermissionDenied = 7
 	codeUnauthenticated  = 16
 )
 
-// etcdError is an error's body.
+// etcdError is the body of an error response.
 type etcdError struct {
 	Code    int
 	Message string
 }
 
-// asError maps the status to the package's errors.
+// asError converts the status to one of the package's errors.
 func (s *etcdError) asError() error {
 	switch {
 	case strings.Contains(s.Message, "compacted"):
 		return fmt.Errorf("%w: %s", errCompacted, s.Message)
-	case strings.Contains(s.Message, "future rev"): // the server has less than was delivered before
+	case strings.Contains(s.Message, "future rev"): // the server's state is older than an earlier response
 		return fmt.Errorf("%w: %s", errLagging, s.Message)
 	case s.Code == codePermissionDenied || s.Code == codeUnauthenticated || s.Code == codeInvalidArgument:
 		return fmt.Errorf("%w: %s", errRejected, s.Message)
@@ -57,7 +58,7 @@
 	return fmt.Errorf("code %d: %s", s.Code, s.Message)
 }
 
-// post makes a call, authenticated where there are credentials, and once more where the token has expired. The caller
+// post makes a call, authenticated if credentials are configured, and retries once if the token has expired. The caller
 // closes the response's body.
 func (c *etcd) post(ctx context.Context, endpoint int, path string, body any) (*http.Response, error) {
 	for retry := false; ; retry = true {
@@ -99,8 +100,8 @@
 	return json.NewDecoder(http.MaxBytesReader(nil, r.Body, maxBody)).Decode(response)
 }
 
-// token returns an endpoint's token, empty without credentials. It authenticates where there is none yet, or where
-// the present one has expired.
+// token returns an endpoint's token, empty without credentials. It authenticates if there is no token yet, or if it has
+// expired.
 func (c *etcd) token(ctx context.Context, endpoint int, expired bool) (string, error) {
 	c.mu.Lock()
 	token := c.tokens[endpoint]
--- a/internal/registry/etcd_lease.go
+++ b/internal/registry/etcd_lease.go
@@ -1,6 +1,6 @@
 package registry
 
-// This file owns etcd's leases.
+// This file implements etcd's leases.
 
 import (
 	"context"
@@ -42,7 +42,7 @@
 	Success []etcdOperation `json:"success"`
 }
 
-// Grant creates the key under a new lease, in a transaction that fails where the key exists.
+// Grant creates the key under a new lease, in a transaction that fails if the key exists.
 func (c *etcd) Grant(
 	ctx context.Context,
 	endpoint int,
@@ -56,7 +56,7 @@
 		return "", 0, err
 	}
 	if err := c.create(ctx, endpoint, []byte(key), value, granted.ID); err != nil {
-		_ = c.Revoke(ctx, endpoint, granted.ID) // else the lease expires
+		_ = c.Revoke(ctx, endpoint, granted.ID) // if this fails, the lease expires
 		return "", 0, err
 	}
 	return granted.ID, time.Duration(granted.TTL) * time.Second, nil
@@ -75,7 +75,7 @@
 	return err
 }
 
-// Renew sends one keep-alive. etcd answers a lease that has expired with a TTL of zero.
+// Renew sends one keep-alive. For an expired lease etcd responds with a TTL of zero.
 func (c *etcd) Renew(ctx context.Context, endpoint int, lease string) (time.Duration, error) {
 	var response struct {
 		Result struct {
--- a/internal/registry/etcd_members.go
+++ b/internal/registry/etcd_members.go
@@ -1,6 +1,6 @@
 package registry
 
-// This file owns etcd's reads of members: ranges in pages of one revision, and watches with fragments and progress
+// This file reads members from etcd: ranges in pages of one revision, and watches with fragments and progress
 // notifications.
 
 import (
@@ -15,7 +15,7 @@
 	"weirwind/internal/roster"
 )
 
-const pageSize = 2000 // entries of one range
+const pageSize = 2000 // maximum number of entries of a range
 
 type etcdRangeRequest struct {
 	Key          []byte `json:"key"`
@@ -25,7 +25,7 @@
 	Serializable bool   `json:"serializable"`
 }
 
-// Responses are aliases, as entryForm is.
+// Responses are aliases like entryForm.
 type etcdRangeResponse = struct {
 	Header etcdHeader
 	KVs    []etcdKey
@@ -57,7 +57,7 @@
 	}
 }
 
-// rangeEnd is the first key behind all that begin with a prefix.
+// rangeEnd returns the first key after all keys with a prefix.
 func rangeEnd(prefix string) []byte {
 	b := []byte(prefix)
 	for i := len(b) - 1; i >= 0; i-- {
@@ -124,7 +124,7 @@
 
 func (c *etcd) memberID(key []byte) string { return strings.TrimPrefix(string(key), c.options.Prefix) }
 
-// Watch opens a watch. Its first message says that it is created, and which revision the server has reached.
+// Watch opens a watch. The first message confirms its creation and states the revision that the server has reached.
 func (c *etcd) Watch(
 	ctx context.Context,
 	endpoint int,
@@ -173,7 +173,7 @@
 	}
 }
 
-// checkWatch returns why the server has ended the watch, or that it is behind the revision reached.
+// checkWatch returns an error if the server has ended the watch, or is behind the revision that was reached.
 func checkWatch(r *etcdWatchResponse, reached int64) error {
 	switch {
 	case r.Canceled && r.Compacted > 0:
@@ -206,7 +206,7 @@
 		update.Revision = max(update.Revision, e.KV.ModRevision)
 	}
 	if len(r.Events) == 0 && !r.Created && !r.Fragment {
-		update.Revision = max(reached, r.Header.Revision) // a progress notification: nothing under the prefix up to there
+		update.Revision = max(reached, r.Header.Revision) // progress notification: no changes up to there
 	}
 	return update
 }
--- a/internal/registry/golden_test.go
+++ b/internal/registry/golden_test.go
@@ -16,72 +16,72 @@
 	"weirwind/internal/standin/golden"
 )
 
-// scripted answers calls in turn and keeps the requests.
-type scripted struct {
-	answers []string // status, a space, headers with "; " between, a line's end, the body
+// scriptedTransport returns prepared responses in order and records the requests.
+type scriptedTransport struct {
+	answers []string // each: status, a space, headers separated by "; ", a newline, the body
 	sent    []string
 }
 
-// drawnWait is the time that Consul's reads wait for; it is drawn.
-var drawnWait = regexp.MustCompile(`wait=\d+ms`)
+// randomWaitPattern matches the random wait time of Consul's blocking queries.
+var randomWaitPattern = regexp.MustCompile(`wait=\d+ms`)
 
-func (s *scripted) RoundTrip(q *http.Request) (*http.Response, error) {
+func (s *scriptedTransport) RoundTrip(request *http.Request) (*http.Response, error) {
 	var body []byte
-	if q.Body != nil {
-		body, _ = io.ReadAll(q.Body)
+	if request.Body != nil {
+		body, _ = io.ReadAll(request.Body)
 	}
-	s.sent = append(s.sent, fmt.Sprintf("%s %s %v %s", q.Method, drawnWait.ReplaceAllString(q.URL.String(), "wait=X"), q.Header, body))
+	s.sent = append(s.sent, fmt.Sprintf("%s %s %v %s", request.Method, randomWaitPattern.ReplaceAllString(request.URL.String(), "wait=X"), request.Header, body))
 	if len(s.answers) == 0 {
 		return nil, io.ErrUnexpectedEOF
 	}
 	head, text, _ := strings.Cut(s.answers[0], "\n")
 	s.answers = s.answers[1:]
 	code, headers, _ := strings.Cut(head, " ")
-	a := &http.Response{Header: http.Header{}, Body: io.NopCloser(strings.NewReader(text)), Request: q}
-	fmt.Sscan(code, &a.StatusCode)
+	response := &http.Response{Header: http.Header{}, Body: io.NopCloser(strings.NewReader(text)), Request: request}
+	fmt.Sscan(code, &response.StatusCode)
 	for _, h := range strings.Split(headers, "; ") {
 		name, value, _ := strings.Cut(h, ": ")
-		a.Header.Set(name, value)
+		response.Header.Set(name, value)
 	}
-	return a, nil
+	return response, nil
 }
 
 const (
-	goodEntry  = `{"host_port":"h:1","locality":"a","cell":3,"phase":"up","access":"writer","up_since_ms":5}`
-	goodBase64 = "eyJob3N0X3BvcnQiOiJoOjEiLCJsb2NhbGl0eSI6ImEiLCJjZWxsIjozLCJwaGFzZSI6InVwIiwiYWNjZXNzIjoid3JpdGVyIiwidXBfc2luY2VfbXMiOjV9"
+	validEntry       = `{"host_port":"h:1","locality":"a","cell":3,"phase":"up","access":"writer","up_since_ms":5}`
+	validEntryBase64 = "eyJob3N0X3BvcnQiOiJoOjEiLCJsb2NhbGl0eSI6ImEiLCJjZWxsIjozLCJwaGFzZSI6InVwIiwiYWNjZXNzIjoid3JpdGVyIiwidXBfc2luY2VfbXMiOjV9"
 )
 
 func etcdKeyText(key, value, revision string) string {
 	return fmt.Sprintf(`{"key":%q,"value":%q,"mod_revision":%q}`, key, value, revision)
 }
 
-// Every call in both dialects: the request sent, what was made of the answer, and the meaning of its end, as in the
-// build before the refactoring. No socket is opened.
+// Every call in both dialects: the request, the delivered updates, and the mapped error must match the recorded ones.
+// No socket is opened.
 func TestRecordedDialects(t *testing.T) {
 	secret := filepath.Join(t.TempDir(), "secret")
 	if err := os.WriteFile(secret, []byte("driver:right\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	ctx := context.Background()
-	read := func(exact bool) func(Backend, func(roster.Update)) error {
-		return func(d Backend, tell func(roster.Update)) error { return d.List(ctx, 0, exact, tell) }
+	read := func(linearizable bool) func(Backend, func(roster.Update)) error {
+		return func(d Backend, deliver func(roster.Update)) error { return d.List(ctx, 0, linearizable, deliver) }
 	}
-	watch := func(d Backend, tell func(roster.Update)) error {
-		return d.Watch(ctx, 0, 5, func() { tell(roster.Update{Epoch: "sign"}) }, tell)
+	watch := func(d Backend, deliver func(roster.Update)) error {
+		return d.Watch(ctx, 0, 5, func() { deliver(roster.Update{Epoch: "sign"}) }, deliver)
 	}
-	grant := func(d Backend, tell func(roster.Update)) error {
-		lease, stands, err := d.Grant(ctx, 0, "d/n0", []byte(`{"phase":"up"}`), 12*time.Second)
-		tell(roster.Update{Epoch: lease, Revision: int64(stands)})
+	grant := func(d Backend, deliver func(roster.Update)) error {
+		lease, ttl, err := d.Grant(ctx, 0, "d/n0", []byte(`{"phase":"up"}`), 12*time.Second)
+		deliver(roster.Update{Epoch: lease, Revision: int64(ttl)})
 		return err
 	}
-	renew := func(d Backend, tell func(roster.Update)) error {
-		stands, err := d.Renew(ctx, 0, "17/8")
-		tell(roster.Update{Revision: int64(stands)})
+	renew := func(d Backend, deliver func(roster.Update)) error {
+		ttl, err := d.Renew(ctx, 0, "17/8")
+		deliver(roster.Update{Revision: int64(ttl)})
 		return err
 	}
 	revoke := func(d Backend, _ func(roster.Update)) error { return d.Revoke(ctx, 0, "17/8") }
 	header := `"header":{"cluster_id":"c1","revision":"9"}`
-	k1, k2 := etcdKeyText("cC9h", goodBase64, "4"), etcdKeyText("cC9i", "e30=", "6")
+	k1, k2 := etcdKeyText("cC9h", validEntryBase64, "4"), etcdKeyText("cC9i", "e30=", "6")
 	message := func(rest string) string { return `{"result":{` + header + rest + `}}` }
 	var cases []golden.Case[string]
 	for _, c := range []struct {
@@ -102,7 +102,7 @@
 		{"read without a token", "etcd", "", true, read(true), []string{"400 \nwrong"}},
 		{"watch", "etcd", "", false, watch, []string{"200 \n" + message(`,"created":true`) +
 			message(`,"events":[{"kv":`+k2+`},{"type":"DELETE","kv":`+etcdKeyText("cC9j", "", "7")+`}],"fragment":true`) +
-			message(`,"events":[{"kv":`+etcdKeyText("cC9j", goodBase64, "7")+`}]`) + message("")}},
+			message(`,"events":[{"kv":`+etcdKeyText("cC9j", validEntryBase64, "7")+`}]`) + message("")}},
 		{"watch compacted", "etcd", "", false, watch, []string{"200 \n" + message(`,"canceled":true,"compact_revision":"8"`)}},
 		{"watch cancelled", "etcd", "", false, watch, []string{"200 \n" + message(`,"canceled":true,"cancel_reason":"why"`)}},
 		{"watch forbidden", "etcd", "", false, watch, []string{"200 \n" + message(`,"canceled":true,"cancel_reason":"permission"`)}},
@@ -116,7 +116,7 @@
 		{"renew error", "etcd", "", false, renew, []string{"200 \n" + `{"error":{"code":5,"message":"none"}}`}},
 		{"revoke", "etcd", "", false, revoke, []string{"200 \n{}"}},
 		{"read", "consul", "", true, read(true), []string{"200 X-Consul-Index: 9\n" +
-			`[{"Key":"p/"},{"Key":"p/a","Value":"` + goodBase64 + `","ModifyIndex":4},{"Key":"p/b","Value":"e30=","ModifyIndex":5}]`}},
+			`[{"Key":"p/"},{"Key":"p/a","Value":"` + validEntryBase64 + `","ModifyIndex":4},{"Key":"p/b","Value":"e30=","ModifyIndex":5}]`}},
 		{"read of nothing", "consul", "", false, read(false), []string{"404 X-Consul-Index: 9\n"}},
 		{"read without an index", "consul", "", false, read(false), []string{"200 \n[]"}},
 		{"read of no JSON", "consul", "", false, read(false), []string{"200 X-Consul-Index: 9\n{"}},
@@ -137,19 +137,19 @@
 		{"renew error", "consul", "", false, renew, []string{"500 \nno"}},
 		{"revoke", "consul", "", false, revoke, []string{"200 \ntrue"}},
 	} {
-		o := Options{Dialect: c.dialect, Endpoints: []string{"http://e"}, Prefix: "p/", Service: c.service, WatchTimeout: time.Minute}
+		options := Options{Dialect: c.dialect, Endpoints: []string{"http://e"}, Prefix: "p/", Service: c.service, WatchTimeout: time.Minute}
 		if c.secret {
-			o.CredentialsFile = secret
+			options.CredentialsFile = secret
 		}
-		d, err := New(o)
+		backend, err := New(options)
 		if err != nil {
 			t.Fatal(err)
 		}
-		s := &scripted{answers: c.answers}
-		setTransport(d, s)
-		var taken []string
-		err = c.call(d, func(u roster.Update) { taken = append(taken, fmt.Sprintf("%v", u)) })
-		got := fmt.Sprintf("%s | %s | %v | %v %v", strings.Join(s.sent, "; "), strings.Join(taken, "; "), err, ResultOf(err), PresenceResultOf(err))
+		transport := &scriptedTransport{answers: c.answers}
+		setTransport(backend, transport)
+		var delivered []string
+		err = c.call(backend, func(u roster.Update) { delivered = append(delivered, fmt.Sprintf("%v", u)) })
+		got := fmt.Sprintf("%s | %s | %v | %v %v", strings.Join(transport.sent, "; "), strings.Join(delivered, "; "), err, ResultOf(err), PresenceResultOf(err))
 		cases = append(cases, golden.Of(c.dialect+" "+c.name, got))
 	}
 	golden.Text(t, "testdata/dialects.txt", cases)
--- a/internal/registry/http.go
+++ b/internal/registry/http.go
@@ -1,6 +1,6 @@
 package registry
 
-// This file owns single HTTP calls and their bounds in time and size.
+// This file makes single HTTP calls, limited in time and size.
 
 import (
 	"bytes"
@@ -27,7 +27,7 @@
 	http    http.Client
 }
 
-// credentials reads the operators' credentials. It reads the file for each connection, as it may change in service.
+// credentials reads the operators' credentials. It reads the file for each connection, as the file may change.
 func (c *caller) credentials() (string, error) {
 	if c.options.CredentialsFile == "" {
 		return "", nil
@@ -39,7 +39,7 @@
 	return strings.TrimSpace(string(text)), nil
 }
 
-// call sends a request with a JSON body, if any, and returns the response, whose body the caller closes.
+// call sends a request, with a JSON body if body isn't nil, and returns the response, whose body the caller closes.
 func (c *caller) call(
 	ctx context.Context,
 	method string,
@@ -66,7 +66,7 @@
 	return c.http.Do(r)
 }
 
-// readBody reads a response's body, up to maxBody.
+// readBody reads a response's body, up to maxBody bytes.
 func readBody(r io.Reader) ([]byte, error) {
 	b, err := io.ReadAll(io.LimitReader(r, maxBody+1))
 	if err == nil && len(b) > maxBody {
@@ -75,7 +75,7 @@
 	return b, err
 }
 
-// watchdog derives a context that ends when active has not been called for a timeout.
+// watchdog derives a context that ends if active isn't called for the timeout.
 func watchdog(ctx context.Context, timeout time.Duration) (watched context.Context, active func(), stop func()) {
 	watched, cancel := context.WithCancelCause(ctx)
 	timer := time.AfterFunc(timeout, func() { cancel(errWatchSilent) })
@@ -87,7 +87,7 @@
 	return watched, active, stop
 }
 
-// watchError returns errWatchSilent where the watchdog has ended a call, and else the call's own error.
+// watchError returns errWatchSilent if the watchdog ended the call, and otherwise the call's own error.
 func watchError(watched context.Context, err error) error {
 	if errors.Is(context.Cause(watched), errWatchSilent) {
 		return errWatchSilent
--- a/internal/registry/main_test.go
+++ b/internal/registry/main_test.go
@@ -6,5 +6,5 @@
 	"weirwind/internal/standin/fixedseed"
 )
 
-// Few checks, as each starts servers.
+// The number of checks is low, as each starts servers.
 func TestMain(m *testing.M) { fixedseed.Main(m, "5") }
--- a/internal/registry/scale_test.go
+++ b/internal/registry/scale_test.go
@@ -10,7 +10,7 @@
 	"weirwind/internal/standin/kv"
 )
 
-// 10,000 members change in one second, and the lists are equal in the end.
+// 10,000 members change within one second, and the final lists must be equal.
 func TestTenThousandMembers(t *testing.T) {
 	s := kv.NewStore("c1")
 	var pairs []any
@@ -18,8 +18,8 @@
 		pairs = append(pairs, fmt.Sprintf("%sm%05d", prefix, i), entry(i%60000+1, "up"))
 	}
 	s.Put(pairs...)
-	v := serve(t, s)
-	r := follow(t, "etcd", roster.Options{}, v)
+	server := serve(t, s)
+	r := follow(t, "etcd", roster.Options{}, server)
 	count := func(p roster.Phase) (n int) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
@@ -30,17 +30,17 @@
 		}
 		return n
 	}
-	await := func(want int, p roster.Phase) time.Duration {
-		began := time.Now()
+	waitForCount := func(want int, p roster.Phase) time.Duration {
+		startedAt := time.Now()
 		for count(p) != want {
-			if time.Since(began) > patience {
+			if time.Since(startedAt) > testTimeout {
 				t.Fatalf("%d members in phase %d, want %d", count(p), p, want)
 			}
 			time.Sleep(5 * time.Millisecond)
 		}
-		return time.Since(began)
+		return time.Since(startedAt)
 	}
-	t.Logf("10,000 members read in %v", await(10000, roster.PhaseUp))
+	t.Logf("10,000 members read in %v", waitForCount(10000, roster.PhaseUp))
 	for i := 0; i < 10000; i += 100 {
 		var batch []any
 		for j := i; j < i+100; j++ {
@@ -48,10 +48,12 @@
 		}
 		s.Put(batch...)
 	}
-	t.Logf("10,000 drains in 100 revisions learned in %v", await(10000, roster.PhaseDraining))
+	t.Logf("10,000 drains in 100 revisions learned in %v", waitForCount(10000, roster.PhaseDraining))
 }
 
-// BenchmarkRead: a full read of 10,000 members into a roster: go test -run '^$' -bench Read ./internal/registry
+// BenchmarkRead measures a full read of 10,000 members into a roster:
+//
+//	go test -run '^$' -bench Read ./internal/registry
 func BenchmarkRead(b *testing.B) {
 	for _, dialect := range []string{"etcd", "consul"} {
 		b.Run(dialect, func(b *testing.B) {
@@ -61,9 +63,9 @@
 				pairs = append(pairs, fmt.Sprintf("%sm%05d", prefix, i), entry(i%60000+1, "up"))
 			}
 			s.Put(pairs...)
-			v := kv.Serve(s)
-			defer v.Close()
-			c, err := New(Options{Dialect: dialect, Prefix: prefix, Endpoints: []string{v.URL}, WatchTimeout: time.Second})
+			server := kv.Serve(s)
+			defer server.Close()
+			c, err := New(Options{Dialect: dialect, Prefix: prefix, Endpoints: []string{server.URL}, WatchTimeout: time.Second})
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/internal/registry/watcher.go
+++ b/internal/registry/watcher.go
@@ -1,7 +1,7 @@
 package registry
 
-// This file owns the loop that carries out a scheduler's calls. It must never choose an endpoint, a delay or a
-// revision.
+// This file carries out a scheduler's calls in a loop. It leaves the choice of endpoint, delay and revision to the
+// scheduler.
 
 import (
 	"context"
@@ -10,17 +10,17 @@
 	"weirwind/internal/roster"
 )
 
-// Watcher keeps a membership current until its context ends. Its functions are called by Run's goroutine alone.
+// Watcher keeps a membership up to date until its context ends. Only Run's goroutine calls its functions.
 type Watcher struct {
 	Client    Client
 	Scheduler *roster.Scheduler
-	// Position returns the revision up to which the membership is known; false for none.
+	// Position returns the revision up to which the membership is known; known is false if there is none.
 	Position func() (revision int64, known bool)
-	// Apply takes an update. With roster.VerdictUnconfirmed comes the time in milliseconds until the next list.
+	// Apply applies an update. With roster.VerdictUnconfirmed it returns the delay of the next list in milliseconds.
 	Apply        func(roster.Update) (verdict roster.Verdict, confirmAfter float64)
-	OnDisconnect func(error)    // a call has failed
-	OnActivity   func()         // the registry gave a sign of life
-	Now          func() float64 // milliseconds
+	OnDisconnect func(error)    // called when a call has failed
+	OnActivity   func()         // called for each message from the registry
+	Now          func() float64 // returns the time in milliseconds
 }
 
 // Run carries out calls until the context ends.
@@ -38,17 +38,17 @@
 	}
 }
 
-// performed is what became of a call.
-type performed struct {
-	verdict      roster.Verdict // on the last update that was applied
+// callOutcome is the outcome of a call.
+type callOutcome struct {
+	verdict      roster.Verdict // on the last applied update
 	confirmAfter float64
-	active       bool // the registry gave a sign of life
+	active       bool // the registry has responded
 	err          error
 }
 
-// accepts says whether further updates of the call may be applied: behind a gap or a snapshot that is yet to be
-// confirmed they wait for the next list.
-func (p *performed) accepts() bool {
+// accepts reports whether further updates of the call may be applied. After a gap or an unconfirmed snapshot they are
+// dropped, as the next list supersedes them.
+func (p *callOutcome) accepts() bool {
 	switch p.verdict {
 	case roster.VerdictApplied, roster.VerdictFragment, roster.VerdictStale:
 		return true
@@ -56,10 +56,10 @@
 	return false
 }
 
-// perform carries out one call. Updates that are not accepted end it.
-func (w *Watcher) perform(ctx context.Context, call roster.Call) performed {
-	result := performed{verdict: roster.VerdictApplied}
-	unwanted, stop := context.WithCancel(ctx)
+// perform carries out one call, and ends it at the first update that is not accepted.
+func (w *Watcher) perform(ctx context.Context, call roster.Call) callOutcome {
+	result := callOutcome{verdict: roster.VerdictApplied}
+	callCtx, stop := context.WithCancel(ctx)
 	defer stop()
 	deliver := func(update roster.Update) {
 		if !result.accepts() {
@@ -72,33 +72,33 @@
 		}
 	}
 	if call.Kind == roster.CallRead {
-		limited, done := context.WithTimeout(unwanted, listTimeout)
+		limited, done := context.WithTimeout(callCtx, listTimeout)
 		defer done()
 		result.err = w.Client.List(limited, call.Endpoint, call.Linearizable, deliver)
 		return result
 	}
-	limited, done := context.WithTimeout(unwanted, milliseconds(call.MaxDuration))
+	limited, done := context.WithTimeout(callCtx, milliseconds(call.MaxDuration))
 	defer done()
 	active := func() {
 		result.active = true
 		w.OnActivity()
 	}
 	result.err = w.Client.Watch(limited, call.Endpoint, call.Revision, active, deliver)
-	if unwanted.Err() == nil && limited.Err() != nil {
-		result.err = nil // it has lasted for as long as it was to
+	if callCtx.Err() == nil && limited.Err() != nil {
+		result.err = nil // the call has lasted for its maximum duration
 	}
 	return result
 }
 
-// report tells the scheduler, and the owner where the registry is lost, what became of a call.
-func (w *Watcher) report(kind roster.CallKind, outcome performed) {
+// report passes the outcome of a call to the scheduler, and reports a failure to OnDisconnect.
+func (w *Watcher) report(kind roster.CallKind, outcome callOutcome) {
 	switch {
 	case outcome.verdict == roster.VerdictUnconfirmed:
 		w.Scheduler.ResyncAfter(outcome.confirmAfter)
 	case outcome.verdict == roster.VerdictGap:
 		w.Scheduler.Resync(w.Now())
 	case outcome.verdict == roster.VerdictFragment && outcome.err == nil && kind == roster.CallWatch:
-		w.OnDisconnect(errCancelled) // its time was over in the middle of a revision: half of it counts for nothing
+		w.OnDisconnect(errCancelled) // the call ended within a revision, whose fragments must be dropped
 		w.Scheduler.CallEnded(w.Now(), kind, roster.CallSucceeded, outcome.active)
 	case outcome.verdict == roster.VerdictStale && kind == roster.CallRead && outcome.err == nil:
 		w.Scheduler.CallEnded(w.Now(), kind, roster.CallStale, outcome.active)
@@ -113,7 +113,7 @@
 
 func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// sleep returns false where the context ends first.
+// sleep waits for ms milliseconds; it returns false if the context ends first.
 func sleep(ctx context.Context, ms float64) bool {
 	if ms <= 0 {
 		return ctx.Err() == nil
--- a/internal/registry/watcher_test.go
+++ b/internal/registry/watcher_test.go
@@ -12,22 +12,22 @@
 	"weirwind/internal/standin/kv"
 )
 
-// What is written is seen; a break with a drain, a put, a removal and a put of one key inside it is caught up with,
-// by resuming where history is kept and by a complete list where it is compacted.
-func TestBreaksAndCompaction(t *testing.T) {
-	both(t, func(t *testing.T, dialect string) {
+// Writes are delivered. After an interruption, during which one key was deleted and put and another drained, the watch
+// resumes if the history is kept, and reads a complete list if it is compacted.
+func TestReconnectAndCompaction(t *testing.T) {
+	forBothDialects(t, func(t *testing.T, dialect string) {
 		s := kv.NewStore("c1")
 		s.Put(prefix+"a", entry(1, "up"), prefix+"b", entry(2, "up"), "elsewhere", "x")
-		v := serve(t, s)
-		r := follow(t, dialect, roster.Options{}, v)
+		server := serve(t, s)
+		r := follow(t, dialect, roster.Options{}, server)
 		r.waitFor("a b")
 		s.Put(prefix+"c", entry(3, "up"))
 		r.waitFor("a b c")
 		s.Put(prefix+"b", entry(2, "draining"))
 		r.waitFor("a b- c")
 		for round, compact := range []bool{false, true, false} {
-			v.Down.Store(true)
-			v.CloseConnections()
+			server.Down.Store(true)
+			server.CloseConnections()
 			s.Put(prefix+"c", nil)
 			s.Put(prefix+"c", entry(30+round, "up"))
 			s.Put(prefix+"a", entry(1, "draining"))
@@ -35,43 +35,43 @@
 				s.Compact(s.Revision())
 				s.Put(prefix+"e", entry(5, "up"))
 			}
-			v.Down.Store(false)
+			server.Down.Store(false)
 			want := map[bool]string{false: "a- b- c", true: "a- b- c e"}[round > 0]
 			r.waitFor(want)
 			s.Put(prefix+"a", entry(1, "up"))
 			r.waitFor(strings.Replace(want, "a-", "a", 1))
 		}
-		if reads := v.FullReads.Load(); dialect == "etcd" && reads != 2 {
-			t.Errorf("%d whole lists read, want one at the start and one behind compaction", reads)
+		if reads := server.FullReads.Load(); dialect == "etcd" && reads != 2 {
+			t.Errorf("%d complete lists read, want one at the start and one after compaction", reads)
 		}
 	})
 }
 
-// Compaction between the list and the watch.
-func TestCompactionBehindTheList(t *testing.T) {
+// Compaction occurs between the list and the watch.
+func TestCompactionAfterList(t *testing.T) {
 	s := kv.NewStore("c1")
 	s.Put(prefix+"a", entry(1, "up"))
-	v := serve(t, s)
-	r := follow(t, "etcd", roster.Options{}, v)
+	server := serve(t, s)
+	r := follow(t, "etcd", roster.Options{}, server)
 	r.waitFor("a")
-	v.Silent.Store(true)
-	v.CloseConnections()
+	server.Silent.Store(true)
+	server.CloseConnections()
 	for range 10 {
 		s.Put(prefix+"b", entry(2, "up"))
 	}
 	s.Compact(s.Revision())
 	s.Put(prefix+"a", entry(1, "draining"))
-	v.Silent.Store(false)
+	server.Silent.Store(false)
 	r.waitFor("a- b")
 }
 
-// A revision over many messages is applied as one, and not at all where it breaks off.
+// A revision in several messages is applied as a whole, and not at all if it is incomplete.
 func TestFragments(t *testing.T) {
 	s := kv.NewStore("c1")
-	v := serve(t, s)
-	v.Fragment.Store(1)
+	server := serve(t, s)
+	server.Fragment.Store(1)
 	s.Put(prefix+"a", entry(1, "up"))
-	r := follow(t, "etcd", roster.Options{}, v)
+	r := follow(t, "etcd", roster.Options{}, server)
 	r.waitFor("a")
 	seen := map[string]bool{}
 	for i := range 10 {
@@ -87,64 +87,64 @@
 		r.mu.Unlock()
 	}
 	if len(seen) != 2 {
-		t.Errorf("halves were seen: %v", seen)
+		t.Errorf("incomplete revisions were seen: %v", seen)
 	}
 }
 
-// A watch that falls silent while its connection is open is ended, and another endpoint delivers the drain.
+// A watch without messages on an open connection is ended, and another endpoint delivers the drain.
 func TestSilentWatch(t *testing.T) {
-	both(t, func(t *testing.T, dialect string) {
+	forBothDialects(t, func(t *testing.T, dialect string) {
 		s := kv.NewStore("c1")
 		s.Put(prefix+"a", entry(1, "up"), prefix+"b", entry(2, "up"))
-		v, w := serve(t, s), serve(t, s)
-		r := follow(t, dialect, roster.Options{}, v, w)
+		first, second := serve(t, s), serve(t, s)
+		r := follow(t, dialect, roster.Options{}, first, second)
 		r.waitFor("a b")
-		v.Silent.Store(true)
-		w.Silent.Store(true)
+		first.Silent.Store(true)
+		second.Silent.Store(true)
 		s.Put(prefix+"a", entry(1, "draining"))
 		time.Sleep(50 * time.Millisecond)
-		w.Silent.Store(false)
+		second.Silent.Store(false)
 		r.waitFor("a- b")
 	})
 }
 
-// One endpoint is down, late or behind: another serves; a list that lags is not taken.
-func TestEndpointsInTurn(t *testing.T) {
-	both(t, func(t *testing.T, dialect string) {
+// If one endpoint is down, slow or behind, another serves; a lagging list is rejected.
+func TestEndpointFailover(t *testing.T) {
+	forBothDialects(t, func(t *testing.T, dialect string) {
 		s := kv.NewStore("c1")
 		s.Put(prefix+"a", entry(1, "up"), prefix+"b", entry(2, "up"))
 		old := s.Snapshot()
 		behind := kv.NewStore("c1")
 		behind.Restore(old, "c1")
-		v, w := serve(t, s), serve(t, s)
-		r := follow(t, dialect, roster.Options{}, v, w)
+		first, second := serve(t, s), serve(t, s)
+		r := follow(t, dialect, roster.Options{}, first, second)
 		s.Put(prefix+"a", entry(1, "draining"))
 		r.waitFor("a- b")
 		r.mu.Lock()
 		r.forbidden["a"] = true
 		r.mu.Unlock()
-		for _, x := range []*kv.Server{v, w, v} { // each lags in turn, behind a break of both
-			x.Stale.Store(behind)
-			v.CloseConnections()
-			w.CloseConnections()
+		for _, lagging := range []*kv.Server{first, second, first} { // each lags in turn, after an interruption of both
+			lagging.Stale.Store(behind)
+			first.CloseConnections()
+			second.CloseConnections()
 			s.Put(prefix+"c", nil)
 			s.Put(prefix+"c", entry(3, "up"))
 			r.waitFor("a- b c")
 			s.Put(prefix+"c", nil)
 			r.waitFor("a- b")
-			x.Stale.Store(nil)
+			lagging.Stale.Store(nil)
 		}
 	})
 }
 
-// A registry that has lost its data answers an empty list: held, and given up only when it still says so later.
-// A drain counts at once meanwhile.
+// A registry that lost its data returns an empty list, which applies only when a later list confirms it. Drains apply
+// at once in the meantime.
 func TestLostData(t *testing.T) {
-	both(t, func(t *testing.T, dialect string) {
+	forBothDialects(t, func(t *testing.T, dialect string) {
 		s := kv.NewStore("c1")
 		s.Put(prefix+"a", entry(1, "up"), prefix+"b", entry(2, "up"), prefix+"c", entry(3, "up"))
-		v := serve(t, s)
-		r := follow(t, dialect, roster.Options{ConfirmAfter: 400}, v)
+		server := serve(t, s)
+		r := follow(t, dialect, roster.Options{ConfirmAfter: 400}, server)
 		r.waitFor("a b c")
 		before := s.Snapshot()
 		empty := kv.NewStore("c2")
@@ -152,34 +152,34 @@
 			empty.Put("other", "x")
 		}
 		s.Restore(empty, "c2")
-		v.CloseConnections()
-		limit := time.Now().Add(patience)
-		for held := false; !held && time.Now().Before(limit); time.Sleep(5 * time.Millisecond) {
+		server.CloseConnections()
+		limit := time.Now().Add(testTimeout)
+		for reported := false; !reported && time.Now().Before(limit); time.Sleep(5 * time.Millisecond) {
 			r.mu.Lock()
-			held = len(r.notes) > 0
+			reported = len(r.notes) > 0
 			if r.members() != "a b c" {
-				t.Errorf("shows %q", r.members())
-				held = true
+				t.Errorf("members %q", r.members())
+				reported = true
 			}
 			r.mu.Unlock()
 		}
 		s.Restore(before, "c3")
 		s.Put(prefix+"a", entry(1, "draining"))
-		v.CloseConnections()
+		server.CloseConnections()
 		r.waitFor("a- b c")
 		s.Restore(empty, "c4")
-		v.CloseConnections()
-		r.waitFor("") // it goes on saying so
+		server.CloseConnections()
+		r.waitFor("") // later lists confirm it
 	})
 }
 
-// A backup from before a drain is restored, under another cluster's ID: the drain stays until the member is put anew.
+// A backup from before a drain is restored, with another cluster ID: the drain holds until the member is put again.
 func TestRestoredBackup(t *testing.T) {
 	s := kv.NewStore("c1")
 	s.Put(prefix+"a", entry(1, "up"), prefix+"b", entry(2, "up"))
 	before := s.Snapshot()
-	v := serve(t, s)
-	r := follow(t, "etcd", roster.Options{}, v)
+	server := serve(t, s)
+	r := follow(t, "etcd", roster.Options{}, server)
 	s.Put(prefix+"a", entry(1, "draining"))
 	r.waitFor("a- b")
 	r.mu.Lock()
@@ -187,7 +187,7 @@
 	r.mu.Unlock()
 	s.Restore(before, "c2")
 	s.Put(prefix+"d", entry(4, "up"))
-	v.CloseConnections()
+	server.CloseConnections()
 	r.waitFor("a- b d")
 	r.mu.Lock()
 	delete(r.forbidden, "a")
@@ -196,35 +196,35 @@
 	r.waitFor("a b d")
 }
 
-// A watch that omits events silently is repaired by the complete list, which is read from time to time.
-func TestWatchThatPassesOver(t *testing.T) {
+// Events that a watch omits are corrected by the complete list, which is read periodically.
+func TestWatchThatOmitsEvents(t *testing.T) {
 	s := kv.NewStore("c1")
 	s.Put(prefix+"a", entry(1, "up"), prefix+"b", entry(2, "up"))
-	v := serve(t, s)
-	o := Options{Dialect: "etcd", Prefix: prefix, Endpoints: []string{v.URL}, WatchTimeout: time.Second}
-	r := followWith(t, o, roster.Options{}, 300)
+	server := serve(t, s)
+	options := Options{Dialect: "etcd", Prefix: prefix, Endpoints: []string{server.URL}, WatchTimeout: time.Second}
+	r := followWith(t, options, roster.Options{}, 300)
 	r.waitFor("a b")
-	v.SkipEvents.Store(true)
+	server.SkipEvents.Store(true)
 	s.Put(prefix+"a", entry(1, "draining"))
 	r.waitFor("a- b")
-	v.SkipEvents.Store(false)
+	server.SkipEvents.Store(false)
 	s.Put(prefix+"a", nil)
 	r.waitFor("b")
 	if n := len(r.disconnects); n > 0 {
-		t.Errorf("%d losses", n)
+		t.Errorf("%d disconnects", n)
 	}
 }
 
-// A registry that is down: few calls, the members stay, and what has changed is learned when it is back.
-func TestDownForLong(t *testing.T) {
-	both(t, func(t *testing.T, dialect string) {
+// While a registry is down it gets few calls and the members stay; afterwards the changes are read.
+func TestLongOutage(t *testing.T) {
+	forBothDialects(t, func(t *testing.T, dialect string) {
 		s := kv.NewStore("c1")
 		s.Put(prefix+"a", entry(1, "up"))
-		v := serve(t, s)
-		r := follow(t, dialect, roster.Options{}, v)
+		server := serve(t, s)
+		r := follow(t, dialect, roster.Options{}, server)
 		r.waitFor("a")
-		v.Down.Store(true)
-		v.CloseConnections()
+		server.Down.Store(true)
+		server.CloseConnections()
 		time.Sleep(time.Second)
 		r.mu.Lock()
 		calls := len(r.disconnects)
@@ -234,54 +234,54 @@
 		}
 		r.waitFor("a")
 		s.Put(prefix+"a", entry(1, "draining"))
-		v.Down.Store(false)
+		server.Down.Store(false)
 		r.waitFor("a-")
 	})
 }
 
-// Both dialects against the store itself, with random writes, breaks, lags and compactions: once quiet all are
-// equal, and a member that was draining or removed is never shown usable by something older.
-func TestAgainstTheStore(t *testing.T) {
+// Both dialects are compared with the store, with random writes, interruptions, lag and compactions. In the end both
+// must be equal, and a member that was draining or removed must never become usable by older information.
+func TestMatchesStore(t *testing.T) {
 	for _, dialect := range []string{"etcd", "consul"} {
 		rapid.Check(t, func(rt *rapid.T) {
 			s := kv.NewStore("c1")
-			v, w := kv.Serve(s), kv.Serve(s)
-			r := follow(t, dialect, roster.Options{}, v, w)
-			defer func() { r.stop(); v.CloseConnections(); v.Close(); w.CloseConnections(); w.Close() }()
+			first, second := kv.Serve(s), kv.Serve(s)
+			r := follow(t, dialect, roster.Options{}, first, second)
+			defer func() { r.stop(); first.CloseConnections(); first.Close(); second.CloseConnections(); second.Close() }()
 			ids := []string{"a", "b", "c", "d", "e", "f"}
 			phases := map[string]string{}
 			for range rapid.IntRange(50, 150).Draw(rt, "steps") {
 				id := rapid.SampledFrom(ids).Draw(rt, "id")
 				switch rapid.IntRange(0, 11).Draw(rt, "what") {
 				case 0:
-					v.CloseConnections()
-					w.CloseConnections()
+					first.CloseConnections()
+					second.CloseConnections()
 				case 1:
-					v.Down.Store(!v.Down.Load())
+					first.Down.Store(!first.Down.Load())
 				case 2:
 					s.Compact(s.Revision() - 1)
 				case 3:
-					w.DelayMs.Store(int64(rapid.IntRange(0, 20).Draw(rt, "late")))
+					second.DelayMs.Store(int64(rapid.IntRange(0, 20).Draw(rt, "late")))
 				case 4:
 					s.Put(prefix+id, nil)
 					delete(phases, id)
 				case 5:
 					time.Sleep(time.Duration(rapid.IntRange(0, 20).Draw(rt, "pause")) * time.Millisecond)
-				case 6: // both keep behind for a while
-					if v.Stale.Load() == nil {
-						v.Stale.Store(s.Snapshot())
+				case 6: // the first server lags for a while
+					if first.Stale.Load() == nil {
+						first.Stale.Store(s.Snapshot())
 					} else {
-						v.Stale.Store(nil)
+						first.Stale.Store(nil)
 					}
-					v.CloseConnections()
+					first.CloseConnections()
 				default:
 					phases[id] = rapid.SampledFrom([]string{"up", "draining"}).Draw(rt, "phase")
 					s.Put(prefix+id, entry(rapid.IntRange(1, 9).Draw(rt, "port"), phases[id]))
 				}
 			}
-			v.Stale.Store(nil)
-			v.Down.Store(false)
-			v.CloseConnections()
+			first.Stale.Store(nil)
+			first.Down.Store(false)
+			first.CloseConnections()
 			var want []string
 			for id, p := range phases {
 				want = append(want, id+map[string]string{"draining": "-"}[p])
