--- a/internal/operator/address.go
+++ b/internal/operator/address.go
@@ -1,6 +1,6 @@
 package operator
 
-// This file owns the forms of addresses.
+// This file parses addresses.
 
 import (
 	"net"
@@ -49,7 +49,7 @@
 	return value.AsString(), true
 }
 
-// address requires an IP and a port, which others can reach unless it is the one to listen at.
+// address requires an IP and a port, which must be specific unless they are to listen at.
 func (r *reader) address(at hcl.Range, name, address string) {
 	if a, err := netip.ParseAddrPort(address); err != nil {
 		r.problem(at, "%s: %q is no IP:port, such as 10.0.0.5:7434.", name, address)
--- a/internal/operator/attribute.go
+++ b/internal/operator/attribute.go
@@ -1,6 +1,6 @@
 package operator
 
-// This file owns the kinds of attributes: how a value is read into a field, within its limits, and printed.
+// This file defines the kinds of attributes: how a value is read into a field, validated and printed.
 
 import (
 	"fmt"
@@ -18,40 +18,40 @@
 // attribute binds one attribute of a block to a field.
 type attribute struct {
 	name string
-	// order is the attribute's turn in reading: those of a lower one come first, whatever the order of printing. It
-	// decides in which order the problems of a block are reported.
+	// order is the position in reading: lower orders are read first, whatever the order of printing. It determines the
+	// order in which the problems of a block are reported.
 	order int
-	// read sets the field, to the default where the attribute is missing or wrong. given says that it is neither.
+	// read sets the field, to the default if the attribute is missing or invalid. given reports that it is neither.
 	read func(r *reader, attrs hcl.Attributes) (at hcl.Range, given bool)
-	// print returns the value as HCL; empty where the attribute is left out.
+	// print returns the value as HCL, or "" if the attribute is omitted.
 	print func() string
 }
 
-// after moves an attribute's reading behind those of lower orders.
-func (a attribute) after(order int) attribute {
+// withOrder returns the attribute with an order, so that it is read after those of lower orders.
+func (a attribute) withOrder(order int) attribute {
 	a.order = order
 	return a
 }
 
-// text is a string of any content.
-func text(name string, field *string, otherwise string) attribute {
+// text returns an attribute for any string.
+func text(name string, field *string, defaultValue string) attribute {
 	return attribute{name: name,
 		read: func(r *reader, attrs hcl.Attributes) (at hcl.Range, given bool) {
-			*field, at, given = r.text(attrs, name, otherwise)
+			*field, at, given = r.text(attrs, name, defaultValue)
 			return at, given
 		},
 		print: func() string { return quoted(*field) },
 	}
 }
 
-// oneOf is one of a few strings.
-func oneOf(name string, field *string, otherwise string, allowed ...string) attribute {
+// oneOf returns an attribute for one of the allowed strings.
+func oneOf(name string, field *string, defaultValue string, allowed ...string) attribute {
 	return attribute{name: name,
 		read: func(r *reader, attrs hcl.Attributes) (at hcl.Range, given bool) {
-			*field, at, given = r.text(attrs, name, otherwise)
+			*field, at, given = r.text(attrs, name, defaultValue)
 			if !slices.Contains(allowed, *field) {
 				r.problem(at, "%s is %q; it may be %s.", name, *field, strings.Join(allowed, ", "))
-				*field, given = otherwise, false
+				*field, given = defaultValue, false
 			}
 			return at, given
 		},
@@ -59,47 +59,47 @@
 	}
 }
 
-// level is a level of slog.
+// level returns an attribute for a slog level.
 func level(name string, field *slog.Level) attribute {
-	var word string
-	a := oneOf(name, &word, "info", "debug", "info", "warn", "error")
+	var levelName string
+	a := oneOf(name, &levelName, "info", "debug", "info", "warn", "error")
 	read := a.read
 	a.read = func(r *reader, attrs hcl.Attributes) (at hcl.Range, given bool) {
 		at, given = read(r, attrs)
-		_ = field.UnmarshalText([]byte(word)) // only levels that slog knows are allowed
+		_ = field.UnmarshalText([]byte(levelName)) // only names that slog knows are allowed
 		return at, given
 	}
 	a.print = func() string { return strconv.Quote(strings.ToLower(field.String())) }
 	return a
 }
 
-// duration is a time in Go's form, from lower to upper, both included.
-func duration(name string, field *time.Duration, otherwise, lower, upper time.Duration) attribute {
+// duration returns an attribute for a duration in Go's syntax, from lower to upper inclusive.
+func duration(name string, field *time.Duration, defaultValue, lower, upper time.Duration) attribute {
 	return attribute{name: name,
 		read: func(r *reader, attrs hcl.Attributes) (at hcl.Range, given bool) {
-			word, at, given := r.text(attrs, name, otherwise.String())
-			d, err := time.ParseDuration(word)
+			value, at, given := r.text(attrs, name, defaultValue.String())
+			d, err := time.ParseDuration(value)
 			switch {
 			case err != nil:
-				r.problem(at, "%s is %q; it wants a time such as %q.", name, word, otherwise)
+				r.problem(at, "%s is %q; it wants a time such as %q.", name, value, defaultValue)
 			case d < lower || d > upper:
 				r.problem(at, "%s is %s; it may be %s to %s.", name, d, lower, upper)
 			default:
 				*field = d
 				return at, given
 			}
-			*field = otherwise
+			*field = defaultValue
 			return at, false
 		},
 		print: func() string { return strconv.Quote(field.String()) },
 	}
 }
 
-// integer is a whole number, from lower to upper, both included.
-func integer(name string, field *int, otherwise, lower, upper int) attribute {
+// integer returns an attribute for a whole number, from lower to upper inclusive.
+func integer(name string, field *int, defaultValue, lower, upper int) attribute {
 	return attribute{name: name,
 		read: func(r *reader, attrs hcl.Attributes) (at hcl.Range, given bool) {
-			*field = otherwise
+			*field = defaultValue
 			v, at, given := r.value(attrs, name, cty.Number)
 			if !given {
 				return at, false
@@ -117,7 +117,7 @@
 	}
 }
 
-// positive is an integer that is not printed where it is 0.
+// positive returns an attribute for an integer that is not printed if it is 0.
 func positive(name string, field *int, upper int) attribute {
 	a := integer(name, field, 0, 0, upper)
 	a.print = func() string {
@@ -129,7 +129,7 @@
 	return a
 }
 
-// optional is a boolean that may be left out, as nil.
+// optional returns an attribute for a boolean that may be omitted, which is stored as nil.
 func optional(name string, field **bool) attribute {
 	return attribute{name: name,
 		read: func(r *reader, attrs hcl.Attributes) (at hcl.Range, given bool) {
@@ -149,10 +149,10 @@
 	}
 }
 
-// elementReader converts and checks an element of a list; false leaves it out.
+// elementReader converts and validates an element of a list; false omits it.
 type elementReader func(r *reader, at hcl.Range, value cty.Value) (string, bool)
 
-// list is a list of strings.
+// list returns an attribute for a list of strings.
 func list(name string, field *[]string, element elementReader) attribute {
 	return attribute{name: name,
 		read: func(r *reader, attrs hcl.Attributes) (at hcl.Range, given bool) {
@@ -172,12 +172,12 @@
 	}
 }
 
-// quoted is a string as HCL writes it.
+// quoted returns a string as an HCL literal.
 func quoted(content string) string {
 	return string(hclwrite.TokensForValue(cty.StringVal(content)).Bytes())
 }
 
-// quotedList is a list of strings as HCL writes it.
+// quotedList returns a list of strings as an HCL literal.
 func quotedList(all []string) string {
 	items := make([]string, len(all))
 	for i, s := range all {
@@ -186,14 +186,14 @@
 	return "[" + strings.Join(items, ", ") + "]"
 }
 
-// printBlock prints a block that holds attributes alone.
+// printBlock prints a block that holds only attributes.
 func printBlock(b *strings.Builder, header string, attributes []attribute) {
 	b.WriteString(header + " {\n")
 	printAttributes(b, attributes)
 	b.WriteString("}\n")
 }
 
-// printAttributes prints attributes with their values in one column.
+// printAttributes prints attributes, with their values aligned.
 func printAttributes(b *strings.Builder, attributes []attribute) {
 	width := 0
 	for _, a := range attributes {
--- a/internal/operator/blocks.go
+++ b/internal/operator/blocks.go
@@ -1,6 +1,6 @@
 package operator
 
-// This file owns the attributes of the blocks, with their defaults and limits, and what else a block requires.
+// This file defines the attributes of the blocks, with their defaults and limits, and the further checks of a block.
 
 import (
 	"time"
@@ -29,7 +29,7 @@
 
 func (s *State) attributes() []attribute {
 	return []attribute{
-		text("folder", &s.Folder, "").after(1),
+		text("folder", &s.Folder, "").withOrder(1),
 		duration("save_every", &s.SaveInterval, time.Second, 50*time.Millisecond, time.Minute),
 		integer("limit_mb", &s.LimitMB, 16, 1, 1024),
 		duration("switch_least", &s.MinSwitchTime, 0, 0, time.Minute),
@@ -53,7 +53,7 @@
 
 func (l *Ledger) attributes() []attribute {
 	return []attribute{
-		text("folder", &l.Folder, "").after(1),
+		text("folder", &l.Folder, "").withOrder(1),
 		duration("keep", &l.Retention, time.Hour, time.Second, 30*24*time.Hour),
 		integer("keys", &l.MaxKeys, 100000, 1, 10000000),
 		integer("limit_mb", &l.LimitMB, 64, 1, 16384),
@@ -71,10 +71,10 @@
 
 func (c *Control) attributes() []attribute {
 	return []attribute{
-		text("socket", &c.Socket, "").after(1),
-		text("listen", &c.Listen, "").after(1),
-		list("fellows", &c.Peers, hostPort).after(2),
-		text("token_file", &c.TokenFile, "").after(1),
+		text("socket", &c.Socket, "").withOrder(1),
+		text("listen", &c.Listen, "").withOrder(1),
+		list("fellows", &c.Peers, hostPort).withOrder(2),
+		text("token_file", &c.TokenFile, "").withOrder(1),
 		duration("lease", &c.HoldLease, 5*time.Second, 100*time.Millisecond, 10*time.Minute),
 		duration("most", &c.MaxHold, time.Minute, 100*time.Millisecond, time.Hour),
 		duration("opening", &c.ReleaseTimeout, 10*time.Second, 0, time.Hour),
@@ -96,7 +96,7 @@
 func (g *Registry) attributes() []attribute {
 	minLease := time.Second
 	if g.Dialect == "consul" {
-		minLease = 10 * time.Second // Consul grants no less
+		minLease = 10 * time.Second // the minimum that Consul grants
 	}
 	return []attribute{
 		list("endpoints", &g.Endpoints, endpointURL),
@@ -106,7 +106,7 @@
 		text("ca_file", &g.CAFile, ""),
 		duration("take_over", &g.FailoverAfter, 30*time.Second, 0, 24*time.Hour),
 		duration("confirm", &g.ConfirmAfter, 3*time.Second, 0, 10*time.Minute),
-		duration("silence", &g.WatchTimeout, 10*time.Second, 100*time.Millisecond, 10*time.Minute).after(1),
+		duration("silence", &g.WatchTimeout, 10*time.Second, 100*time.Millisecond, 10*time.Minute).withOrder(1),
 		text("drivers_prefix", &g.DriversPrefix, ""),
 		duration("lease", &g.LeaseTTL, 10*time.Second, minLease, 10*time.Minute),
 	}
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -1,6 +1,6 @@
 package operator
 
-// This file owns the blocks "membership" and "zones", by which drivers know each other and decide in common.
+// This file defines the blocks "membership" and "zones", by which drivers detect each other and decide together.
 
 import (
 	"net/netip"
@@ -10,15 +10,15 @@
 	"github.com/zclconf/go-cty/cty"
 )
 
-const maxZoneBytes = 64 // of a zone's name
+const maxZoneBytes = 64 // of the name of a zone
 
 func (m *Membership) attributes() []attribute {
 	return []attribute{
-		text("listen", &m.Listen, "").after(1),
-		text("advertise", &m.Advertise, "").after(1),
-		list("seeds", &m.Seeds, seed).after(1),
-		text("token_file", &m.TokenFile, "").after(1),
-		text("zone", &m.Zone, "").after(1),
+		text("listen", &m.Listen, "").withOrder(1),
+		text("advertise", &m.Advertise, "").withOrder(1),
+		list("seeds", &m.Seeds, seed).withOrder(1),
+		text("token_file", &m.TokenFile, "").withOrder(1),
+		text("zone", &m.Zone, "").withOrder(1),
 		duration("period", &m.ProtocolPeriod, 500*time.Millisecond, 50*time.Millisecond, time.Minute),
 		integer("expect", &m.ExpectedDrivers, 0, 0, 20000),
 		duration("yield", &m.TakeOverAfter, 15*time.Second, time.Second, time.Hour),
@@ -80,7 +80,7 @@
 	return z
 }
 
-// regions reads the blocks of regions. A zone belongs to one region at most.
+// regions reads the blocks of regions. A zone belongs to at most one region.
 func (r *reader) regions(blocks hcl.Blocks) (regions []Region) {
 	regionOf := map[string]string{}
 	for _, b := range blocks {
--- a/internal/operator/golden_test.go
+++ b/internal/operator/golden_test.go
@@ -83,7 +83,7 @@
 }
 `
 
-// attributes are all that a block may hold; wrong values of each are tried in turn.
+// attributes lists all attributes of each block; invalid values are tried for each.
 var attributes = map[string][]string{
 	"log":     {"format", "level"},
 	"state":   {"folder", "save_every", "limit_mb", "switch_least"},
@@ -98,27 +98,27 @@
 		"silence", "drivers_prefix", "lease"},
 }
 
-// sorted sorts an error's lines: the HCL library reports unknown attributes in the order of a map.
+// sorted sorts an error's lines, as the HCL library reports unknown attributes in map order.
 func sorted(err error) string {
 	lines := strings.Split(fmt.Sprint(err), "\n")
 	slices.Sort(lines)
 	return strings.Join(lines, "\n")
 }
 
-// Files as they are printed, the same read back, what a migration drops, and every error text, as the build before
-// the refactoring gave them.
+// Printed files, their parsed form, the settings that a migration drops, and all error texts must match the recorded
+// ones.
 func TestRecordedForms(t *testing.T) {
 	var printed, errs []golden.Case[string]
 	blocks := []string{"log", "state", "peers", "fleet", "ledger", "control", "membership", "zones", `registry "etcd"`}
 	files := map[string]string{"empty": "", "full": fullFile}
 	names := []string{"empty", "full"}
-	least := map[string]string{"state": `folder = "f"`, "ledger": `folder = "f"`, "control": `socket = "s"`,
+	minimalBlocks := map[string]string{"state": `folder = "f"`, "ledger": `folder = "f"`, "control": `socket = "s"`,
 		"membership":      "listen = \"1.1.1.1:1\"\ntoken_file = \"t\"",
 		`registry "etcd"`: `endpoints = ["http://a:1"]`}
 	for _, b := range blocks {
-		text := b + " {\n" + least[b] + "\n}\n"
+		text := b + " {\n" + minimalBlocks[b] + "\n}\n"
 		if b == "zones" {
-			text += "membership {\n" + least["membership"] + "\n}\n"
+			text += "membership {\n" + minimalBlocks["membership"] + "\n}\n"
 		}
 		names, files[b] = append(names, b), text
 	}
@@ -132,8 +132,8 @@
 		if err != nil || again.String() != f.String() {
 			t.Errorf("%s: read back as %s, %v", name, again, err)
 		}
-		moved, dropped := Migrate(f)
-		printed = append(printed, golden.Of(name+" migrated", strings.Join(append(dropped, moved.String()), "\n")))
+		migrated, dropped := Migrate(f)
+		printed = append(printed, golden.Of(name+" migrated", strings.Join(append(dropped, migrated.String()), "\n")))
 	}
 	golden.Text(t, "testdata/printed.txt", printed)
 	for _, b := range blocks {
--- a/internal/operator/migrate.go
+++ b/internal/operator/migrate.go
@@ -1,14 +1,14 @@
 package operator
 
-// This file owns the migration of a file from a deployment whose drivers talk to each other to one in which they share
-// nothing: what is carried over, what is dropped, and why.
+// This file converts the file of a deployment whose drivers communicate to that of one whose drivers don't: which
+// settings are kept or dropped, and why.
 
 import "fmt"
 
-// Migrate returns a file's counterpart for a deployment whose drivers share nothing (no messages, no peers, no
-// registration), and a line for each setting that was dropped, with the reason. What each driver keeps for itself
-// (log, state, ledger, the registry of members) is carried over. The file given is not changed, and migrating the
-// result again changes and drops nothing.
+// Migrate converts a file for a deployment whose drivers share nothing (no messages, no peers, no registration). It
+// returns the new file, and a line for each dropped setting with the reason. Settings of a single driver (log, state,
+// ledger, the registry of members) are kept. The old file is not modified, and migrating the result again changes and
+// drops nothing.
 func Migrate(old File) (File, []string) {
 	m := migration{file: old}
 	m.fleet()
@@ -19,7 +19,7 @@
 	return m.file, m.dropped
 }
 
-// migration is a file on its way. Its methods replace a block that they change by a copy.
+// migration is a file that is being migrated. Its methods replace a block that they change by a copy.
 type migration struct {
 	file    File
 	dropped []string
@@ -30,11 +30,11 @@
 }
 
 func (m *migration) fleet() {
-	fleet, no := Fleet{}, false
+	fleet, disabled := Fleet{}, false
 	if m.file.Fleet != nil {
 		fleet = *m.file.Fleet
 	}
-	fleet.Peers = &no
+	fleet.Peers = &disabled
 	m.file.Fleet = &fleet
 }
 
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,6 +1,6 @@
 package operator
 
-// This file owns the reading of a file: its blocks, and what they require of each other.
+// This file reads a file: its blocks, and the requirements between them.
 
 import (
 	"fmt"
@@ -10,10 +10,10 @@
 	"github.com/hashicorp/hcl/v2/hclsyntax"
 )
 
-// InvalidError is all that is wrong with a file.
+// InvalidError holds all problems of a file.
 type InvalidError hcl.Diagnostics
 
-// Error lists the problems, one a line, each with file, line and column.
+// Error lists the problems, one per line, with file, line and column.
 func (e InvalidError) Error() string {
 	var lines []string
 	for _, d := range e {
@@ -27,7 +27,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Parse reads a file; name is its name in errors. The error is an InvalidError, and the file is then the default.
+// Parse reads a file; name is its name in errors. If the error is an InvalidError, the returned file is the default.
 func Parse(name string, text []byte) (File, error) {
 	f := Default()
 	syntax, problems := hclsyntax.ParseConfig(text, name, hcl.InitialPos)
@@ -41,7 +41,7 @@
 	return f, nil
 }
 
-// blockTypes are all blocks that a file may hold.
+// blockTypes lists all blocks that a file may hold.
 var blockTypes = &hcl.BodySchema{Blocks: []hcl.BlockHeaderSchema{
 	{Type: "log"}, {Type: "state"}, {Type: "peers"}, {Type: "control"}, {Type: "ledger"}, {Type: "fleet"},
 	{Type: "membership"}, {Type: "zones"}, {Type: "registry", LabelNames: []string{"dialect"}},
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -49,12 +49,12 @@
 		t.Errorf("%+v", again.Registry)
 	}
 	if err != nil || again.Log != f.Log || again.Peers != f.Peers || *again.State != *f.State {
-		t.Fatalf("does not read its own form: %v\n%s", err, f)
+		t.Fatalf("does not parse its own printed form: %v\n%s", err, f)
 	}
 }
 
-// Each problem is reported with file, line and column, and all of a file at once.
-func TestMistakes(t *testing.T) {
+// Each problem is reported with file, line and column, and all problems of a file together.
+func TestInvalidFiles(t *testing.T) {
 	for text, want := range map[string]string{
 		"log {\n  colour = true\n}":              "x.hcl:2,3: Unsupported argument",
 		"logs {\n}":                              "x.hcl:1,1: Unsupported block type",
@@ -94,18 +94,18 @@
 			if err == nil || !strings.Contains(err.Error(), want) {
 				t.Errorf("%v, want %q", err, want)
 			} else if f.State != nil {
-				t.Error("takes effect all the same")
+				t.Error("an invalid file takes effect")
 			}
 		})
 	}
 	if _, err := Parse("x.hcl", []byte("log {\n  a = 1\n  b = 2\n}")); err == nil ||
 		strings.Count(err.Error(), "\n") != 1 {
-		t.Errorf("two mistakes: %v", err)
+		t.Errorf("two problems: %v", err)
 	}
 }
 
-// The example that the repository documents is a good file and shows each default as it is.
-func TestTheExample(t *testing.T) {
+// The documented example file is valid and shows the defaults.
+func TestExampleFile(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/operator.hcl")
 	if err != nil {
 		t.Fatal(err)
@@ -114,9 +114,9 @@
 	if err != nil || f.State == nil {
 		t.Fatal(err)
 	}
-	plain, _ := Parse("", []byte("state {\n folder = \""+f.State.Folder+"\"\n}"))
-	if f.Log != plain.Log || *f.State != *plain.State {
-		t.Errorf("the example differs from the defaults:\n%s\n%s", f, plain)
+	defaults, _ := Parse("", []byte("state {\n folder = \""+f.State.Folder+"\"\n}"))
+	if f.Log != defaults.Log || *f.State != *defaults.State {
+		t.Errorf("the example differs from the defaults:\n%s\n%s", f, defaults)
 	}
 }
 
--- a/internal/operator/print.go
+++ b/internal/operator/print.go
@@ -1,13 +1,13 @@
 package operator
 
-// This file owns the printed form of a file.
+// This file prints a file.
 
 import (
 	"fmt"
 	"strings"
 )
 
-// String prints the file as it is in force, defaults included, in its own form.
+// String returns the effective settings in the file's own format, including defaults.
 func (f File) String() string {
 	var b strings.Builder
 	printBlock(&b, "log", f.Log.attributes())
--- a/internal/operator/reader.go
+++ b/internal/operator/reader.go
@@ -1,7 +1,6 @@
 package operator
 
-// This file owns the reading of bodies and values out of HCL. Problems are collected, so that all of a file are
-// reported at once.
+// This file reads bodies and values of HCL. It collects the problems, so that all of a file are reported together.
 
 import (
 	"cmp"
@@ -27,19 +26,19 @@
 	})
 }
 
-// content takes a body apart; names that the schema lacks are problems.
+// content decodes a body; names that the schema lacks are problems.
 func (r *reader) content(body hcl.Body, schema *hcl.BodySchema) *hcl.BodyContent {
 	c, problems := body.Content(schema)
 	r.problems = append(r.problems, problems...)
 	return c
 }
 
-// checks are called, by an attribute's name, once it has been read.
+// checks are called, by the name of an attribute, after it has been read.
 type checks map[string]func(at hcl.Range, given bool)
 
-// attributes reads a block that holds attributes alone.
-func (r *reader) attributes(b *hcl.Block, attributes []attribute, after checks) {
-	r.values(r.content(b.Body, &hcl.BodySchema{Attributes: schemaOf(attributes)}).Attributes, attributes, after)
+// attributes reads a block that holds only attributes.
+func (r *reader) attributes(b *hcl.Block, attributes []attribute, checksByName checks) {
+	r.values(r.content(b.Body, &hcl.BodySchema{Attributes: schemaOf(attributes)}).Attributes, attributes, checksByName)
 }
 
 func schemaOf(attributes []attribute) (schema []hcl.AttributeSchema) {
@@ -50,18 +49,18 @@
 }
 
 // values reads attributes in their order.
-func (r *reader) values(attrs hcl.Attributes, attributes []attribute, after checks) {
+func (r *reader) values(attrs hcl.Attributes, attributes []attribute, checksByName checks) {
 	inOrder := slices.Clone(attributes)
 	slices.SortStableFunc(inOrder, func(a, b attribute) int { return cmp.Compare(a.order, b.order) })
 	for _, a := range inOrder {
 		at, given := a.read(r, attrs)
-		if check := after[a.name]; check != nil {
+		if check := checksByName[a.name]; check != nil {
 			check(at, given)
 		}
 	}
 }
 
-// value returns an attribute as the type wanted; given is false where it is missing or a problem, and at is then zero.
+// value returns an attribute as the wanted type. given is false, and at is zero, if it is missing or a problem.
 func (r *reader) value(attrs hcl.Attributes, name string, want cty.Type) (value cty.Value, at hcl.Range, given bool) {
 	attr := attrs[name]
 	if attr == nil {
@@ -79,11 +78,11 @@
 	return value, attr.Expr.Range(), true
 }
 
-// text returns a string, or otherwise.
-func (r *reader) text(attrs hcl.Attributes, name, otherwise string) (content string, at hcl.Range, given bool) {
+// text returns a string attribute, or the default.
+func (r *reader) text(attrs hcl.Attributes, name, defaultValue string) (content string, at hcl.Range, given bool) {
 	value, at, given := r.value(attrs, name, cty.String)
 	if !given {
-		return otherwise, at, false
+		return defaultValue, at, false
 	}
 	return value.AsString(), at, true
 }
