--- a/cmd/weirwind/client.go
+++ b/cmd/weirwind/client.go
@@ -1,6 +1,6 @@
 package main
 
-// This file owns the commands' way to a driver: its control socket, one call, and polling.
+// This file implements the commands' calls to a driver's control socket: one call, and polling.
 
 import (
 	"context"
@@ -14,11 +14,11 @@
 )
 
 const (
-	callTimeout   = 25 * time.Second // the driver itself may ask all its peers meanwhile
-	switchTimeout = 3 * time.Second  // a hook may not wait for longer
+	callTimeout   = 25 * time.Second // the driver may itself call all its peers meanwhile
+	switchTimeout = 3 * time.Second  // hooks must not wait longer
 )
 
-// socketFlag names the driver.
+// socketFlag selects the driver.
 type socketFlag struct {
 	Socket string `help:"The driver's control socket, or host:port with --token-file." env:"WEIRWIND_CONTROL" default:"/run/weirwind/control.sock" placeholder:"PATH"`
 }
@@ -32,14 +32,14 @@
 	return do(ctx, client)
 }
 
-// watchFlags are of commands that poll the driver.
+// watchFlags are the flags of commands that poll the driver.
 type watchFlags struct {
 	socketFlag
 	Every time.Duration `help:"Between two looks." default:"200ms"`
 	Times int           `help:"End after so many looks; 0: never." default:"0"`
 }
 
-// poll calls the driver until interrupted, or as often as the flags say.
+// poll calls the driver until it is interrupted, or as often as the flags say.
 func (f *watchFlags) poll(do func(context.Context, *control.Client) error) error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
@@ -63,7 +63,7 @@
 
 func printJSON(out io.Writer, value any) error { return json.NewEncoder(out).Encode(value) }
 
-// roundedDuration converts milliseconds, for printing.
+// roundedDuration converts milliseconds to a duration that is rounded for printing.
 func roundedDuration(ms float64) time.Duration {
 	return time.Duration(ms * float64(time.Millisecond)).Round(100 * time.Millisecond)
 }
--- a/cmd/weirwind/golden_test.go
+++ b/cmd/weirwind/golden_test.go
@@ -11,7 +11,7 @@
 	"weirwind/internal/standin/golden"
 )
 
-const changes = `member "p" {
+const planText = `member "p" {
   group    = 1
   zone     = "a"
   capacity = 100
@@ -44,7 +44,7 @@
 }
 `
 
-// The help of each command, plans and mistakes, as the build before the refactoring printed them.
+// The help of each command, plans and error messages must match the recorded output.
 func TestRecordedOutput(t *testing.T) {
 	folder := t.TempDir()
 	for _, name := range []string{"PROXY_CONFIG", "WEIRWIND_OPERATOR", "WEIRWIND_CONTROL"} {
@@ -58,7 +58,7 @@
 		return path
 	}
 	r := strings.NewReplacer
-	plan := file("plan.hcl", changes)
+	plan := file("plan.hcl", planText)
 	var cases []golden.Case[string]
 	for _, args := range [][]string{{"--help"}, {"run", "--help"}, {"check", "--help"}, {"state", "--help"},
 		{"state", "show", "--help"}, {"state", "verify", "--help"}, {"state", "forget", "--help"},
@@ -72,11 +72,11 @@
 		{"run"}, {"check"}, {"check", "--operator", folder + "/none"}, {"registry", "check"}, {"state", "show", folder + "/none"},
 		{"switch", "plan", plan}, {"switch", "plan", plan, "--tries", "1"}, {"switch", "plan", folder + "/none"},
 		{"switch", "plan", file("bad.hcl", "limits {")},
-		{"switch", "plan", file("time.hcl", r(`"5s"`, `"soon"`).Replace(changes))},
-		{"switch", "plan", file("group.hcl", r(`group "1"`, `group "one"`).Replace(changes))},
-		{"switch", "plan", file("none.hcl", r(`["q", "p"]`, `[]`).Replace(changes))},
-		{"switch", "plan", file("odd.hcl", r(`zone     = "a"`, "zone = \"a\"\n odd = 1").Replace(changes))},
-		{"switch", "plan", file("full.hcl", r("= 150", "= 350").Replace(changes))},
+		{"switch", "plan", file("time.hcl", r(`"5s"`, `"soon"`).Replace(planText))},
+		{"switch", "plan", file("group.hcl", r(`group "1"`, `group "one"`).Replace(planText))},
+		{"switch", "plan", file("none.hcl", r(`["q", "p"]`, `[]`).Replace(planText))},
+		{"switch", "plan", file("odd.hcl", r(`zone     = "a"`, "zone = \"a\"\n odd = 1").Replace(planText))},
+		{"switch", "plan", file("full.hcl", r("= 150", "= 350").Replace(planText))},
 		{"membership", "status", "--socket", folder + "/none"}, {"zones", "freeze", "--socket", folder + "/none"},
 	} {
 		var out, problems bytes.Buffer
--- a/cmd/weirwind/helpers_test.go
+++ b/cmd/weirwind/helpers_test.go
@@ -1,6 +1,6 @@
 package main
 
-// This file owns what all integration tests share.
+// This file holds the helpers of all integration tests.
 
 import (
 	"os"
@@ -9,7 +9,7 @@
 	"time"
 )
 
-const patience = 20 * time.Second // after which a test that waits has failed
+const testTimeout = 20 * time.Second // maximum time of any wait
 
 func TestMain(m *testing.M) {
 	if os.Getenv("PROXY_CONFIG") != "" {
@@ -19,14 +19,14 @@
 	os.Exit(m.Run())
 }
 
-// acked are the kinds of messages of a successful answer.
-const acked = "TDCZ"
+// ackedKinds are the kinds of the messages of a successful answer.
+const ackedKinds = "TDCZ"
 
-// expect fails the test unless an answer has the kinds of messages wanted, and a text that begins as wanted.
-func expect(t *testing.T, kinds, said, wantKinds, wantSaid string) {
+// expect fails the test unless an answer has the wanted kinds of messages, and a result with the wanted prefix.
+func expect(t *testing.T, kinds, result, wantKinds, wantResult string) {
 	t.Helper()
-	if kinds != wantKinds || !strings.HasPrefix(said, wantSaid) {
-		t.Errorf("heard %q saying %.20q, want %q saying %q", kinds, said, wantKinds, wantSaid)
+	if kinds != wantKinds || !strings.HasPrefix(result, wantResult) {
+		t.Errorf("got %q with %.20q, want %q with %q", kinds, result, wantKinds, wantResult)
 	}
 }
 
@@ -36,8 +36,8 @@
 	select {
 	case v := <-c:
 		return v
-	case <-time.After(patience):
-		t.Fatal("nothing came")
+	case <-time.After(testTimeout):
+		t.Fatal("timeout")
 		panic("")
 	}
 }
--- a/cmd/weirwind/lifecycle_test.go
+++ b/cmd/weirwind/lifecycle_test.go
@@ -10,8 +10,8 @@
 	"weirwind/internal/pgwire"
 )
 
-// After SIGTERM what was taken is answered, connections that still come are served, and the exit code is 0.
-func TestStopsWithoutLoss(t *testing.T) {
+// After SIGTERM accepted requests are answered, late connections are served, and the exit code is 0.
+func TestGracefulShutdownLosesNoRequest(t *testing.T) {
 	release := make(chan struct{})
 	m := newMember(t, "m", func(q string) []byte {
 		if strings.Contains(q, "INSERT") {
@@ -26,15 +26,15 @@
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	p.waitForLog("event=stopping")
 	late := p.connect()
-	kinds, said := late.query(read(900))
-	expect(t, kinds, said, acked, "v")
+	kinds, result := late.query(read(900))
+	expect(t, kinds, result, ackedKinds, "v")
 	kinds, _ = late.receive()
 	expect(t, kinds, "", ".", "")
 	kinds, _ = idle.receive()
 	expect(t, kinds, "", ".", "")
 	close(release)
-	kinds, said = busy.receive()
-	expect(t, kinds, said, acked, "v")
+	kinds, result = busy.receive()
+	expect(t, kinds, result, ackedKinds, "v")
 	if line := p.waitForLog("event=stopped"); field(line, "acked") != "2" || field(line, "clientsopen") != "0" {
 		t.Error(line)
 	}
@@ -43,7 +43,7 @@
 	}
 }
 
-func TestStartsAnewAfterAKill(t *testing.T) {
+func TestRestartAfterKill(t *testing.T) {
 	m := newMember(t, "m", answersAs("writer"))
 	s := newPlatform(t, m)
 	p := s.start(t)
@@ -52,15 +52,15 @@
 	c.query(read(900))
 	p.cmd.Process.Kill()
 	next(t, p.exited)
-	kinds, said := s.start(t).connect().query(write(900))
-	expect(t, kinds, said, acked, "v:INSERT")
+	kinds, result := s.start(t).connect().query(write(900))
+	expect(t, kinds, result, ackedKinds, "v:INSERT")
 }
 
-func TestBadConfigurationIsOneLineAndExitCode1(t *testing.T) {
+func TestInvalidConfigurationExitsWithOneLine(t *testing.T) {
 	s := newPlatform(t, newMember(t, "m", answersAs("writer")))
-	good, _ := json.Marshal(s.config)
-	for old, bad := range map[string]string{
-		string(good):               "{",
+	valid, _ := json.Marshal(s.config)
+	for old, invalid := range map[string]string{
+		string(valid):              "{",
 		`"8c1f30d27a5be964"`:       `"x"`,
 		`"listen":"127.0.0.1:0"`:   `"listen":"nowhere"`,
 		`"sockets":1024`:           `"sockets":1`,
@@ -70,28 +70,28 @@
 		`"name":"n0"`:              `"peer_listen":"x","peers_all":"y"`,
 		`"discovery":`:             `"elsewhere":`,
 	} {
-		p := launch(t, strings.Replace(string(good), old, bad, 1), "")
+		p := launch(t, strings.Replace(string(valid), old, invalid, 1), "")
 		line := next(t, p.lines)
 		if !strings.HasPrefix(line, "weirwind: ") || len(p.lines) > 0 {
-			t.Errorf("%s: %s", bad, line)
+			t.Errorf("%s: %s", invalid, line)
 		}
 		if next(t, p.exited); p.cmd.ProcessState.ExitCode() != 1 {
-			t.Errorf("%s: exit code %d", bad, p.cmd.ProcessState.ExitCode())
+			t.Errorf("%s: exit code %d", invalid, p.cmd.ProcessState.ExitCode())
 		}
 	}
 }
 
-// The list known at start is used while discovery is silent; changes count from the moment they arrive, and a
-// failed call or a list that makes no sense changes nothing.
-func TestKeepsUpWithTheList(t *testing.T) {
+// The configured list is used while discovery is silent. Changes apply when they arrive; failed calls and invalid lists
+// change nothing.
+func TestFollowsDiscovery(t *testing.T) {
 	a, b := newMember(t, "a", answersAs("writer")), newMember(t, "b", answersAs("reader"))
 	s := newPlatform(t, a, b)
 	p := s.start(t)
 	c := p.connect()
 	reads := func(of *member) {
 		t.Helper()
-		kinds, said := c.query(read(900))
-		expect(t, kinds, said, acked, "v:SELECT")
+		kinds, result := c.query(read(900))
+		expect(t, kinds, result, ackedKinds, "v:SELECT")
 		next(t, of.queries)
 	}
 	reads(b)
@@ -99,12 +99,12 @@
 	s.changes <- s.list(42, false, "b=draining")
 	s.expectRequest(t, "/discovery/hosts?since=42&timeout_ms=1500")
 	reads(a)
-	for _, bad := range []string{"", "{}", strings.Replace(s.list(43, true, ""), `"up"`, `"odd"`, 1)} { // first a 503
-		s.changes <- bad
-		next(t, s.asked)
+	for _, invalid := range []string{"", "{}", strings.Replace(s.list(43, true, ""), `"up"`, `"odd"`, 1)} { // the first is a 503
+		s.changes <- invalid
+		next(t, s.requests)
 		reads(a)
 	}
-	s.changes <- s.list(7, false, "b=up") // went back: the complete list is requested
+	s.changes <- s.list(7, false, "b=up") // the revision went back: the complete list is requested
 	s.expectRequest(t, "/discovery/hosts")
 	reads(a)
 	s.changes <- s.list(8, true, "")
@@ -113,17 +113,17 @@
 	s.changes <- s.list(9, false, "b=removed")
 	s.expectRequest(t, "/discovery/hosts?since=9&timeout_ms=1500")
 	reads(a)
-	s.mute.Store(true) // no sign of life: it is detected, and a new connection requests again
+	s.unresponsive.Store(true) // no response: the driver detects it, and requests again on a new connection
 	p.waitForLog("event=list_failed")
-	s.mute.Store(false)
+	s.unresponsive.Store(false)
 	s.changes <- s.list(10, false, "b=up")
 	s.expectRequest(t, "/discovery/hosts?since=10&timeout_ms=1500")
 	reads(b)
 }
 
-// On SIGHUP the watch on the old discovery ends at once, though it waits there, and the new one is asked for a complete
-// list, whatever its revision; what the same file or a bad one says disturbs nothing, and no op notices. SIGHUP
-// and SIGTERM may come together.
+// On SIGHUP the pending watch on the old discovery ends at once, and the new one is asked for a complete list, whatever
+// its revision. An unchanged or invalid file changes nothing, and no op is affected. SIGHUP and SIGTERM may arrive
+// together.
 func TestReload(t *testing.T) {
 	release := make(chan struct{})
 	a := newMember(t, "a", func(q string) []byte {
@@ -138,10 +138,10 @@
 	c, open := p.connect(), p.connect()
 	open.Write(pgwire.AppendQuery(nil, write(20000)))
 	next(t, a.queries)
-	next(t, s.asked) // and no answer comes
-	good, _ := json.Marshal(s.config)
-	for _, bad := range []string{"", "{", string(good[:len(good)/2]), strings.Replace(string(good), s.config["discovery"].(string), "x", 1)} {
-		if line := p.reload(bad); field(line, "event") != "reload_failed" {
+	next(t, s.requests) // which stays without a response
+	valid, _ := json.Marshal(s.config)
+	for _, invalid := range []string{"", "{", string(valid[:len(valid)/2]), strings.Replace(string(valid), s.config["discovery"].(string), "x", 1)} {
+		if line := p.reload(invalid); field(line, "event") != "reload_failed" {
 			t.Error(line)
 		}
 	}
@@ -159,7 +159,7 @@
 		next(t, a.queries)
 		p.reload(string(text))
 		s.changes <- s.list(revision+1, false, "b=up")
-		s.expectRequest(t, fmt.Sprintf("/discovery/hosts?since=%d&timeout_ms=1500", revision+1)) // and no complete list
+		s.expectRequest(t, fmt.Sprintf("/discovery/hosts?since=%d&timeout_ms=1500", revision+1)) // no complete list is requested
 		c.query(read(900))
 		next(t, b.queries)
 	}
@@ -167,8 +167,8 @@
 	p.cmd.Process.Signal(syscall.SIGHUP)
 	p.waitForLog("event=stopping")
 	close(release)
-	kinds, said := open.receive()
-	expect(t, kinds, said, acked, "v:INSERT")
+	kinds, result := open.receive()
+	expect(t, kinds, result, ackedKinds, "v:INSERT")
 	if err := next(t, p.exited); err != nil {
 		t.Error(err)
 	}
--- a/cmd/weirwind/main.go
+++ b/cmd/weirwind/main.go
@@ -1,9 +1,8 @@
-// Command weirwind is the driver, a read and write splitter for database clusters, and the tool for its state, its
-// registry and its control socket. Each file holds one family of commands; the work is done by the packages under
-// internal/.
+// Command weirwind is the driver, a read/write splitter for database clusters, and the tool for its state, its registry
+// and its control socket. Each file holds one family of commands; the packages under internal/ implement them.
 package main
 
-// This file owns the command line: the commands, and the files that they read.
+// This file defines the command line: the commands, and the files that they read.
 
 import (
 	"errors"
@@ -29,7 +28,7 @@
 	Version    versionCommand     `cmd:"" help:"Print the version."`
 }
 
-// files are the configuration files.
+// files are the flags that name the configuration files.
 type files struct {
 	Config   string `help:"The platform's configuration." env:"PROXY_CONFIG" placeholder:"FILE"`
 	Operator string `help:"The operators' file." env:"WEIRWIND_OPERATOR" placeholder:"FILE"`
@@ -53,12 +52,12 @@
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
 
-// run runs a command line and returns the exit code.
+// run executes a command line and returns the exit code.
 func run(args []string, out, problems io.Writer) int {
 	return cli.Run("weirwind", examples, &commands{}, args, os.Stdin, out, problems)
 }
 
-// read returns the text of the platform's configuration, and the operators' file, which is optional.
+// read returns the content of the platform's configuration, and the operators' file, which is optional.
 func (f *files) read() (text []byte, operators operator.File, err error) {
 	if f.Config == "" {
 		return nil, operators, errors.New("PROXY_CONFIG names no file")
@@ -70,7 +69,7 @@
 	return text, operators, err
 }
 
-// operators returns the operators' file, or its default where there is none.
+// operators returns the operators' file, or its default if none is named.
 func (f *files) operators() (operator.File, error) {
 	if f.Operator == "" {
 		return operator.Default(), nil
@@ -86,7 +85,7 @@
 	files
 }
 
-// Run prints what is in force, or the first error.
+// Run prints the settings in force, or returns the first error.
 func (c *checkCommand) Run(out io.Writer) error {
 	if c.Config == "" && c.Operator == "" {
 		return errors.New("nothing to check: name --config, --operator or both")
@@ -101,12 +100,12 @@
 		}
 		fmt.Fprintf(out, "%s: good\n", c.Config)
 	}
-	o, err := c.operators()
+	operators, err := c.operators()
 	if err != nil {
 		return err
 	}
 	if c.Operator != "" {
-		fmt.Fprintf(out, "%s: good; in force:\n%s", c.Operator, o)
+		fmt.Fprintf(out, "%s: good; in force:\n%s", c.Operator, operators)
 	}
 	return nil
 }
--- a/cmd/weirwind/measure_test.go
+++ b/cmd/weirwind/measure_test.go
@@ -1,7 +1,7 @@
 package main
 
-// Measurements of restarts and of idle memory, against the stand-ins: `make measure`. In CI they run once each, so
-// that they go on working.
+// Measurements of restarts and of idle memory, against simulated members and discovery: `make measure`. CI runs each
+// once, to keep them working.
 
 import (
 	"encoding/json"
@@ -21,54 +21,54 @@
 )
 
 var (
-	restarts = flag.Int("restarts", 1, "restarts of each kind that are measured")
-	build    = flag.String("binary", "", "the program that is measured; else the tests' own")
-	before   = flag.String("before", "", "another build, whose idle memory is measured beside it")
+	restartCount       = flag.Int("restarts", 1, "number of restarts of each kind")
+	binaryPath         = flag.String("binary", "", "the program to measure; the tests' own by default")
+	previousBinaryPath = flag.String("before", "", "another build, whose idle memory is measured for comparison")
 )
 
-// lagging is a replica that answers reads with a position 20 ms old.
-func lagging(q string) []byte {
+// laggingReplica answers reads with a position 20 ms old, and rejects writes.
+func laggingReplica(q string) []byte {
 	if strings.HasPrefix(q, "INSERT") {
 		return errorAnswer("25006", "reader")
 	}
 	return append(pgwire.AppendSingleRow(nil, "v"), roleStatusAt("reader", time.Now().Add(-20*time.Millisecond))...)
 }
 
-// first is how long it took from the start of the program to the first acked op of a type, and how many tries were
-// rejected before.
+// firstAnswer is the time from the start of the program to the first acked op of a type, and the number of attempts
+// that were rejected before.
 type firstAnswer struct {
-	took    time.Duration
-	refused int
+	duration time.Duration
+	rejected int
 }
 
-func measureFirstAnswer(address string, began time.Time, opType string) (f firstAnswer) {
-	for time.Since(began) < patience {
-		c, err := dialTo(address)
+func measureFirstAnswer(address string, startedAt time.Time, opType string) (answer firstAnswer) {
+	for time.Since(startedAt) < testTimeout {
+		c, err := connectTo(address)
 		if err != nil {
 			time.Sleep(200 * time.Microsecond)
 			continue
 		}
-		for time.Since(began) < patience {
+		for time.Since(startedAt) < testTimeout {
 			kinds, _ := c.query(statement(opType, 1000))
-			if kinds == acked {
+			if kinds == ackedKinds {
 				c.Close()
-				f.took = time.Since(began)
-				return f
+				answer.duration = time.Since(startedAt)
+				return answer
 			}
 			if !strings.HasSuffix(kinds, "Z") {
 				break
 			}
-			f.refused++
+			answer.rejected++
 		}
 		c.Close()
 	}
-	f.took = time.Since(began)
-	return f
+	answer.duration = time.Since(startedAt)
+	return answer
 }
 
-// TestMeasureRestarts takes the time from the start of the program to the first acked write and the first acked
-// bounded read, with state and without, in turn, after SIGTERM, after SIGKILL, and with a state too old to be
-// trusted. The list names the primary of the day's start, which is another by now.
+// TestMeasureRestarts measures the time from the start of the program to the first acked write and the first acked
+// bounded read, with and without state, after SIGTERM, after SIGKILL, and with a state too old to be trusted. The
+// configured list names a former primary.
 func TestMeasureRestarts(t *testing.T) {
 	type variant struct {
 		name   string
@@ -80,18 +80,18 @@
 		{"stale state", syscall.SIGKILL, `switch_least = "1ms"`}}
 	write, bounded := map[string][]firstAnswer{}, map[string][]firstAnswer{}
 	for _, v := range variants {
-		members := []*member{newMember(t, "a", lagging), newMember(t, "b", acceptsWrites), newMember(t, "c", lagging), newMember(t, "d", lagging)}
+		members := []*member{newMember(t, "a", laggingReplica), newMember(t, "b", acceptsWrites), newMember(t, "c", laggingReplica), newMember(t, "d", laggingReplica)}
 		for _, m := range members {
-			m.lateBy.Store(5) // what a handshake with TLS costs, about
+			m.startupDelay.Store(5) // approximate time of a TLS handshake
 		}
 		s := newPlatform(t, members...)
-		ln := freeAddress(t)
-		s.config["listen"] = ln
+		address := freeAddress(t)
+		s.config["listen"] = address
 		folder := ""
 		if v.state != "" {
 			folder = s.persistState(t, v.state)
 		}
-		for range *restarts {
+		for range *restartCount {
 			p := s.start(t)
 			c := p.connect()
 			for range 3 {
@@ -102,44 +102,44 @@
 				waitForState(t, folder, primaryIs("b"))
 			}
 			p.stop(v.signal)
-			drainAll(members)
+			clearMembers(members)
 			text, _ := json.Marshal(s.config)
 			if v.name == "stale state" {
-				time.Sleep(300 * time.Millisecond) // in the time of a switch nothing is stale
+				time.Sleep(300 * time.Millisecond) // within the minimum time of a switchover no state is stale
 			}
-			began := time.Now()
+			startedAt := time.Now()
 			q := launch(t, string(text), s.operator)
 			read := make(chan firstAnswer, 1)
-			go func() { read <- measureFirstAnswer(ln, began, "recent") }()
-			write[v.name] = append(write[v.name], measureFirstAnswer(ln, began, "write"))
+			go func() { read <- measureFirstAnswer(address, startedAt, "recent") }()
+			write[v.name] = append(write[v.name], measureFirstAnswer(address, startedAt, "write"))
 			bounded[v.name] = append(bounded[v.name], <-read)
 			q.stop(syscall.SIGKILL)
-			drainAll(members)
+			clearMembers(members)
 		}
 	}
-	t.Logf("%d restarts each; milliseconds from the start of the program, and tries rejected before", *restarts)
-	t.Logf("%-20s | first acked write: median, worst, turned away | first acked bounded read: median, worst, turned away", "")
+	t.Logf("%d restarts each; milliseconds from the start of the program, and attempts rejected before", *restartCount)
+	t.Logf("%-20s | first acked write: median, maximum, rejected | first acked bounded read: median, maximum, rejected", "")
 	for _, v := range variants {
 		t.Logf("%-20s | %s | %s", v.name, summary(write[v.name]), summary(bounded[v.name]))
 		for _, f := range append(write[v.name], bounded[v.name]...) {
-			if f.took > patience {
-				t.Errorf("%s: no op acked in %v", v.name, patience)
+			if f.duration > testTimeout {
+				t.Errorf("%s: no op acked in %v", v.name, testTimeout)
 			}
 		}
 	}
 }
 
 func summary(all []firstAnswer) string {
-	slices.SortFunc(all, func(a, b firstAnswer) int { return int(a.took - b.took) })
-	refused := 0
+	slices.SortFunc(all, func(a, b firstAnswer) int { return int(a.duration - b.duration) })
+	rejected := 0
 	for _, f := range all {
-		refused += f.refused
+		rejected += f.rejected
 	}
-	ms := func(f firstAnswer) float64 { return float64(f.took.Microseconds()) / 1000 }
-	return fmt.Sprintf("%7.1f %7.1f %4d", ms(all[len(all)/2]), ms(all[len(all)-1]), refused)
+	ms := func(f firstAnswer) float64 { return float64(f.duration.Microseconds()) / 1000 }
+	return fmt.Sprintf("%7.1f %7.1f %4d", ms(all[len(all)/2]), ms(all[len(all)-1]), rejected)
 }
 
-func drainAll(members []*member) {
+func clearMembers(members []*member) {
 	for _, m := range members {
 		countWrites(m)
 		for len(m.closed) > 0 {
@@ -148,35 +148,35 @@
 	}
 }
 
-// TestMeasureIdleMemory takes the resident memory of the program at rest: without an operators' file, with one, and
-// of an earlier build where one is named.
+// TestMeasureIdleMemory measures the resident memory of the idle program: without an operators' file, with one, and of
+// a previous build if one is named.
 func TestMeasureIdleMemory(t *testing.T) {
 	s := newPlatform(t, newMember(t, "m", acceptsWrites))
 	text, _ := json.Marshal(s.config)
-	rest := func(path, operators string) [2]int {
-		was := *build
-		*build = path
+	measureIdle := func(path, operators string) [2]int {
+		previous := *binaryPath
+		*binaryPath = path
 		p := launch(t, string(text), operators)
-		*build = was
+		*binaryPath = previous
 		p.waitForLog("event=serving")
 		p.counters()
 		defer p.stop(syscall.SIGKILL)
-		return resident(t, p.cmd.Process.Pid)
+		return residentMemory(t, p.cmd.Process.Pid)
 	}
-	plain := rest(*build, "")
+	plain := measureIdle(*binaryPath, "")
 	s.persistState(t, "")
-	with := rest(*build, s.operator)
-	t.Logf("resident at rest, of it anonymous: %v KiB, with state %v KiB", plain, with)
-	if *before != "" {
-		t.Logf("resident at rest, build before: %v KiB", rest(*before, ""))
+	withState := measureIdle(*binaryPath, s.operator)
+	t.Logf("idle resident memory, total and anonymous: %v KiB, with state %v KiB", plain, withState)
+	if *previousBinaryPath != "" {
+		t.Logf("idle resident memory, previous build: %v KiB", measureIdle(*previousBinaryPath, ""))
 	}
-	if *build != "" && with[0] > 32<<10 { // the tests' own program may be a race detector's
-		t.Errorf("%d KiB at rest", with[0])
+	if *binaryPath != "" && withState[0] > 32<<10 { // the tests' own program may have the race detector
+		t.Errorf("%d KiB when idle", withState[0])
 	}
 }
 
-// resident is the memory of a process, all of it and what is no file's, in KiB.
-func resident(t *testing.T, pid int) (kib [2]int) {
+// residentMemory returns the resident memory of a process in KiB: all of it, and the anonymous part.
+func residentMemory(t *testing.T, pid int) (kib [2]int) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
 		t.Skip(err)
@@ -190,14 +190,14 @@
 	return kib
 }
 
-// programCommand runs what is measured: a build, or the tests' own program.
+// programCommand returns the command to measure: a build, or the tests' own program.
 func programCommand() *exec.Cmd {
-	if *build == "" {
+	if *binaryPath == "" {
 		return exec.Command(os.Args[0])
 	}
-	path, err := filepath.Abs(*build)
+	path, err := filepath.Abs(*binaryPath)
 	if err != nil {
-		path = *build
+		path = *binaryPath
 	}
 	return exec.Command(path)
 }
--- a/cmd/weirwind/member_test.go
+++ b/cmd/weirwind/member_test.go
@@ -1,6 +1,6 @@
 package main
 
-// This file owns a member: a server of PostgreSQL's protocol on a free port, whose answers a test sets.
+// This file implements a simulated member: a server of PostgreSQL's protocol on a free port, with configurable answers.
 
 import (
 	"bufio"
@@ -15,20 +15,20 @@
 	"weirwind/internal/pgwire"
 )
 
-// member is a stand-in for one. Its answer gets each query and returns what to write; nil closes.
+// member is a simulated member. answer returns the bytes to write for each query; nil closes the connection.
 type member struct {
-	id      string
-	ln      net.Listener
-	queries chan string // each query as it came
-	closed  chan string // why each connection ended
-	welcome bool
-	lateBy  atomic.Int64 // milliseconds until the welcome
-	hangsUp atomic.Bool  // closes after each answer
-	mu      sync.Mutex
-	answer  func(query string) []byte
+	id                string
+	ln                net.Listener
+	queries           chan string // each received query
+	closed            chan string // the reason why each connection ended
+	acceptsStartup    bool
+	startupDelay      atomic.Int64 // milliseconds until the startup response
+	closesAfterAnswer atomic.Bool  // closes the connection after each answer
+	mu                sync.Mutex
+	answer            func(query string) []byte
 }
 
-var forever = make(chan struct{})
+var never = make(chan struct{})
 
 func newMember(t *testing.T, id string, answer func(string) []byte) *member {
 	t.Helper()
@@ -36,7 +36,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := &member{id: id, ln: ln, queries: make(chan string, 10000), closed: make(chan string, 10000), welcome: true,
+	m := &member{id: id, ln: ln, queries: make(chan string, 10000), closed: make(chan string, 10000), acceptsStartup: true,
 		answer: answer}
 	t.Cleanup(func() { ln.Close() })
 	go func() {
@@ -60,10 +60,10 @@
 func (m *member) serve(conn net.Conn) {
 	defer conn.Close()
 	r := bufio.NewReader(conn)
-	if _, _, err := pgwire.ReadStartup(r); err != nil || !m.welcome {
-		<-forever
+	if _, _, err := pgwire.ReadStartup(r); err != nil || !m.acceptsStartup {
+		<-never
 	}
-	time.Sleep(time.Duration(m.lateBy.Load()) * time.Millisecond)
+	time.Sleep(time.Duration(m.startupDelay.Load()) * time.Millisecond)
 	conn.Write(pgwire.AppendStartupResponse(nil, 0))
 	for {
 		_, message, err := pgwire.Read(r, nil)
@@ -81,9 +81,9 @@
 			return
 		}
 		conn.Write(b)
-		if m.hangsUp.Load() {
+		if m.closesAfterAnswer.Load() {
 			conn.Close()
-			m.closed <- "hung up"
+			m.closed <- "closed after answer"
 			return
 		}
 	}
@@ -93,21 +93,21 @@
 	return append(binary.BigEndian.AppendUint32([]byte{kind}, uint32(len(body)+4)), body...)
 }
 
-// row is a good answer with a note.
+// row returns a successful answer with a status report.
 func row(value, role string) []byte {
 	return append(pgwire.AppendSingleRow(nil, value), roleStatus(role)...)
 }
 
 func roleStatus(role string) []byte { return roleStatusAt(role, time.Now()) }
 
-// roleStatusAt is a ParameterStatus with a role and a position.
+// roleStatusAt returns ParameterStatus messages with a role and a position.
 func roleStatusAt(role string, at time.Time) []byte {
 	b := pgwire.AppendParameterStatus(nil, "server_role", role)
 	return pgwire.AppendReadyForQuery(pgwire.AppendParameterStatus(b, "commit_clock", strconv.FormatInt(at.UnixMilli(), 10)))
 }
 
 func errorAnswer(code, role string) []byte {
-	return append(pgwire.AppendErrorResponse(nil, "ERROR", code, "so it is", ""), roleStatus(role)...)
+	return append(pgwire.AppendErrorResponse(nil, "ERROR", code, "test error", ""), roleStatus(role)...)
 }
 
 func answersAs(role string) func(string) []byte {
--- a/cmd/weirwind/membership.go
+++ b/cmd/weirwind/membership.go
@@ -1,6 +1,6 @@
 package main
 
-// This file owns the commands on membership.
+// This file implements the membership commands.
 
 import (
 	"context"
@@ -23,7 +23,7 @@
 	Compare compareCommand          `cmd:"" help:"Ask all drivers for their views; exit code 1 where they differ."`
 }
 
-// driverLine prints the driver's own part of its view.
+// driverLine formats a driver's own status in its view of the fleet.
 func driverLine(status *membership.Status) string {
 	text := fmt.Sprintf("self=%s standing=%s", status.Self, status.Partition)
 	if status.Reason != "" {
@@ -39,7 +39,7 @@
 	return text
 }
 
-// peerLine prints its part on one peer.
+// peerLine formats a driver's view of one peer.
 func peerLine(view *membership.View) string {
 	text := fmt.Sprintf("name=%s state=%s heard=%v listed=%v address=%s zone=%s for=%s", view.Name, view.State,
 		view.Reachable, view.OnRoster, view.Address, view.Zone, roundedDuration(view.For))
@@ -54,7 +54,7 @@
 	JSON bool `help:"As JSON." name:"json"`
 }
 
-// Run prints a line on the driver and one on each peer.
+// Run prints a line for the driver and one for each peer.
 func (c *membershipStatusCommand) Run(out io.Writer) error {
 	return c.call(callTimeout, func(ctx context.Context, client *control.Client) error {
 		s, err := client.Membership(ctx)
@@ -77,7 +77,7 @@
 	JSON bool `help:"As JSON, a view a line." name:"json"`
 }
 
-// Run prints what has changed since the last poll.
+// Run prints the changes since the last poll.
 func (c *membershipWatchCommand) Run(out io.Writer) error {
 	printed := map[string]string{}
 	return c.poll(func(ctx context.Context, client *control.Client) error {
@@ -108,7 +108,7 @@
 
 type leaveCommand struct{ socketFlag }
 
-// Run has the driver leave the fleet.
+// Run makes the driver leave the fleet.
 func (c *leaveCommand) Run() error {
 	return c.call(callTimeout, func(ctx context.Context, client *control.Client) error {
 		return client.Leave(ctx)
@@ -121,7 +121,7 @@
 	Certain bool   `help:"You made sure that it does not run: take it off though this driver is not with the larger part."`
 }
 
-// Run has a failed driver removed from the roster.
+// Run removes a failed driver from the roster.
 func (c *forgetDriverCommand) Run() error {
 	return c.call(callTimeout, func(ctx context.Context, client *control.Client) error {
 		return client.Forget(ctx, control.ForgetRequest{Name: c.Name, Certain: c.Certain})
@@ -133,7 +133,7 @@
 	JSON bool `help:"All views as JSON." name:"json"`
 }
 
-// Run prints where views differ.
+// Run prints the differences between the drivers' views.
 func (c *compareCommand) Run(out io.Writer) error {
 	return c.call(callTimeout, func(ctx context.Context, client *control.Client) error {
 		all, err := client.Compare(ctx)
--- a/cmd/weirwind/migrate.go
+++ b/cmd/weirwind/migrate.go
@@ -1,7 +1,7 @@
 package main
 
-// This file owns the migration of an operators' file to a deployment whose drivers share nothing: reading it, checking
-// the result, and writing it. What is carried over is package operator's.
+// This file implements the migration of an operators' file to a deployment whose drivers share nothing: it reads the
+// file, verifies the result and writes it. Package operator decides which settings are kept.
 
 import (
 	"fmt"
@@ -19,8 +19,8 @@
 	DryRun bool   `help:"Change nothing: print the new file and what could not be carried over."`
 }
 
-// Run writes the counterpart of the file and lists, on standard output, what could not be carried over. A file
-// that can't be read or makes no sense is an error, and nothing is written.
+// Run writes the migrated file and lists the dropped settings on standard output. If the file is unreadable or invalid,
+// nothing is written.
 func (c *migrateCommand) Run(out io.Writer) error {
 	text, err := os.ReadFile(c.From)
 	if err != nil {
@@ -30,14 +30,14 @@
 	if err != nil {
 		return err
 	}
-	moved, dropped := operator.Migrate(old)
+	migrated, dropped := operator.Migrate(old)
 	var b strings.Builder
 	b.WriteString("# The operators' file for drivers that share nothing, made by weirwind migrate from " +
 		filepath.Base(c.From) + ".\n")
 	for _, d := range dropped {
 		b.WriteString("# not carried over: " + d + "\n")
 	}
-	b.WriteString(moved.String())
+	b.WriteString(migrated.String())
 	if _, err := operator.Parse("the migrated file", []byte(b.String())); err != nil {
 		return fmt.Errorf("the migrated file would not be read back: %w", err)
 	}
@@ -61,12 +61,12 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = os.Remove(tmp.Name()) }() // renamed by then, if all went well
+	defer func() { _ = os.Remove(tmp.Name()) }() // fails after a successful rename
 	if _, err = tmp.Write(text); err == nil {
 		err = tmp.Sync()
 	}
-	if cerr := tmp.Close(); err == nil {
-		err = cerr
+	if closeErr := tmp.Close(); err == nil {
+		err = closeErr
 	}
 	if err == nil {
 		err = os.Chmod(tmp.Name(), 0o644)
--- a/cmd/weirwind/migrate_test.go
+++ b/cmd/weirwind/migrate_test.go
@@ -42,7 +42,7 @@
 	if err != nil || f.Fleet == nil || *f.Fleet.Peers || f.Registry.DriversPrefix != "" || f.Peers.MessagesPerSecond != 0 {
 		t.Fatal(f, err)
 	}
-	if again, _ := os.ReadFile(old); string(again) != text {
+	if after, _ := os.ReadFile(old); string(after) != text {
 		t.Fatal("the old file was changed")
 	}
 	if !strings.Contains(out.String(), "not carried over: registry.drivers_prefix") {
@@ -52,6 +52,6 @@
 	problems.Reset()
 	os.WriteFile(old, []byte("fleet {\n  peers = 3\n}\n"), 0o644)
 	if code := run([]string{"migrate", old}, &out, &problems); code == 0 || !strings.Contains(problems.String(), "old.hcl:2") {
-		t.Fatal("a file that makes no sense is an error at its line", code, problems.String())
+		t.Fatal("want an error at the line of the invalid value", code, problems.String())
 	}
 }
--- a/cmd/weirwind/peers_test.go
+++ b/cmd/weirwind/peers_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Peers exchange what they know of members; a message that is too long, malformed or from a stranger changes nothing.
+// Peers exchange their knowledge of members; messages that are too long, malformed or from an unknown sender change
+// nothing.
 func TestPeers(t *testing.T) {
 	m := newMember(t, "m", answersAs("writer"))
 	s := newPlatform(t, m)
@@ -14,7 +15,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	stranger, err := net.ListenPacket("udp", "127.0.0.1:0")
+	unknownSender, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -32,20 +33,20 @@
 	c := p.connect()
 	c.query(write(900))
 	buf := make([]byte, 1000)
-	peer.SetReadDeadline(time.Now().Add(patience))
+	peer.SetReadDeadline(time.Now().Add(testTimeout))
 	n, from, err := peer.ReadFrom(buf)
 	if err != nil || n == 0 || n > 256 || from.String() != own {
 		t.Fatalf("%d bytes from %v: %v", n, from, err)
 	}
 	for _, data := range [][]byte{{1}, make([]byte, 256), make([]byte, 257)} {
 		peer.WriteTo(data, from)
-		stranger.WriteTo(data, from)
+		unknownSender.WriteTo(data, from)
 	}
 	for line := ""; field(line, "messagesbad") != "4" || field(line, "messagesin") != "2"; {
 		if line = p.counters(); field(line, "messagesbad") > "4" {
 			t.Fatal(line)
 		}
 	}
-	kinds, said := c.query(write(900))
-	expect(t, kinds, said, acked, "v:INSERT")
+	kinds, result := c.query(write(900))
+	expect(t, kinds, result, ackedKinds, "v:INSERT")
 }
--- a/cmd/weirwind/plan.go
+++ b/cmd/weirwind/plan.go
@@ -1,6 +1,6 @@
 package main
 
-// This file owns the form of a plan's file, in HCL. What is planned, and its printed form, are package plan's.
+// This file reads a plan's input file, in HCL. Package plan computes and formats the plan.
 
 import (
 	"cmp"
@@ -25,7 +25,7 @@
 	Seed     uint64 `help:"Of the orders." default:"1"`
 }
 
-// planFile is a plan's file.
+// planFile is the input file of a plan.
 type planFile struct {
 	Members []planMember `hcl:"member,block"`
 	Replace []string     `hcl:"replace,optional"`
@@ -41,7 +41,7 @@
 	Primary  bool    `hcl:"primary,optional"`
 }
 
-// planLimits are plan.Limits with durations in Go's form.
+// planLimits corresponds to plan.Limits, with durations in Go's syntax.
 type planLimits struct {
 	MaxUnavailable int                `hcl:"cold,optional"`
 	ReplaceTime    string             `hcl:"away,optional"`
@@ -61,7 +61,7 @@
 	Capacity float64 `hcl:"capacity"`
 }
 
-// Run prints the plan, or which limit makes it infeasible (exit code 1).
+// Run prints the plan, or returns the limit that makes it infeasible.
 func (c *planCommand) Run(out io.Writer) error {
 	f, err := readPlanFile(c.File)
 	if err != nil {
@@ -95,7 +95,7 @@
 	return file, err
 }
 
-// limits converts the limits. The error is the first one, durations before groups.
+// limits converts the limits. It returns the first error, checking durations before groups.
 func (l *planLimits) limits() (plan.Limits, error) {
 	limits := plan.Limits{
 		GroupCapacity:  map[int64]float64{},
--- a/cmd/weirwind/platform_test.go
+++ b/cmd/weirwind/platform_test.go
@@ -1,6 +1,6 @@
 package main
 
-// This file owns the platform: discovery on a free port, and the configuration that names it and the members.
+// This file implements the platform: discovery on a free port, and the configuration that names it and the members.
 
 import (
 	"encoding/json"
@@ -16,32 +16,32 @@
 	"time"
 )
 
-// platform is what surrounds the program: members, discovery, and its configuration.
+// platform is the environment of the program: members, discovery, and its configuration.
 type platform struct {
-	members  []*member
-	settings map[string]any
-	limits   map[string]any
-	config   map[string]any
-	changes  chan string // answers to watches, in turn
-	asked    chan string // what discovery was asked
-	watches  sync.WaitGroup
-	lists    *httptest.Server
-	mute     atomic.Bool // discovery answers no watch that finds nothing new
-	operator string      // the operators' file, empty for none
+	members      []*member
+	settings     map[string]any
+	limits       map[string]any
+	config       map[string]any
+	changes      chan string // responses to watches, in order
+	requests     chan string // requests to discovery
+	watches      sync.WaitGroup
+	discovery    *httptest.Server
+	unresponsive atomic.Bool // discovery doesn't end watches that find nothing new
+	operator     string      // content of the operators' file, empty for none
 }
 
-// waitIdle returns once no watch of a process that was killed waits any more: it would take the next change along.
+// waitIdle waits until no watch of a killed process is pending, as it would consume the next change.
 func (s *platform) waitIdle() {
-	s.lists.CloseClientConnections()
+	s.discovery.CloseClientConnections()
 	s.watches.Wait()
 }
 
 func newPlatform(t *testing.T, members ...*member) *platform {
-	s := &platform{members: members, changes: make(chan string, 10), asked: make(chan string, 1000)}
-	s.lists = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	s := &platform{members: members, changes: make(chan string, 10), requests: make(chan string, 1000)}
+	s.discovery = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.watches.Add(1)
 		defer s.watches.Done()
-		s.asked <- r.URL.String()
+		s.requests <- r.URL.String()
 		select {
 		case text := <-s.changes:
 			if text == "" {
@@ -54,7 +54,7 @@
 			fmt.Fprintf(w, `{"revision":%s,"complete":false,"members":[]}`, r.URL.Query().Get("since"))
 		}
 	}))
-	t.Cleanup(s.lists.Close)
+	t.Cleanup(s.discovery.Close)
 	s.settings = map[string]any{"tick": 5000, "siblings": 1, "index": 0, "registry_mode": "on_request", "zone": "a",
 		"family_info": map[string]any{"checks": "silent", "needs_by_class": []string{"eventual", "mutate", "lag_bound"},
 			"oldest_data": []int{0, 0, 200000}, "position_zero": 77, "shows_role": "static", "stamps": true},
@@ -66,14 +66,14 @@
 			map[string]any{"name": "recent", "aim": 300000, "deadline": 1e6, "effect": "repeatable", "points": 1}}}
 	s.limits = map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 1024}
 	s.config = map[string]any{"name": "n0", "listen": "127.0.0.1:0", "seed": "8c1f30d27a5be964",
-		"discovery": s.lists.Listener.Addr().String(), "settings": s.settings, "limits": s.limits,
+		"discovery": s.discovery.Listener.Addr().String(), "settings": s.settings, "limits": s.limits,
 		"known": json.RawMessage(s.list(41, true, ""))}
 	return s
 }
 
-// waitLimit is over when a watch has waited for as long as it asked to, and never where discovery is mute.
+// waitLimit returns a channel that fires when a watch has waited for its timeout; never if discovery is unresponsive.
 func (s *platform) waitLimit(r *http.Request) <-chan time.Time {
-	if ms, err := strconv.Atoi(r.URL.Query().Get("timeout_ms")); err == nil && !s.mute.Load() {
+	if ms, err := strconv.Atoi(r.URL.Query().Get("timeout_ms")); err == nil && !s.unresponsive.Load() {
 		return time.After(time.Duration(ms) * time.Millisecond)
 	}
 	return nil
@@ -82,14 +82,14 @@
 // expectRequest waits for a request to discovery; a watch that found nothing new is repeated.
 func (s *platform) expectRequest(t *testing.T, want string) {
 	t.Helper()
-	for got := next(t, s.asked); got != want; got = next(t, s.asked) {
+	for got := next(t, s.requests); got != want; got = next(t, s.requests) {
 		if !strings.Contains(got, "since=") {
-			t.Fatalf("asked %q, want %q", got, want)
+			t.Fatalf("got request %q, want %q", got, want)
 		}
 	}
 }
 
-// list is the list in discovery's form; phases holds id=phase for members that are not up.
+// list returns the list in discovery's format; phases holds id=phase for members that are not up.
 func (s *platform) list(revision int, complete bool, phases string) string {
 	var entries []string
 	for i, m := range s.members {
--- a/cmd/weirwind/presence_test.go
+++ b/cmd/weirwind/presence_test.go
@@ -1,6 +1,6 @@
 package main
 
-// Drivers that find each other in a registry.
+// Tests of drivers that detect each other through a registry.
 
 import (
 	"strings"
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// peer starts another driver of the same platform under a name of its own.
+// startPeer starts another driver of the same platform under its own name.
 func (s *platform) startPeer(t *testing.T, name string) *program {
 	t.Helper()
 	s.config["name"], s.config["peer_listen"] = name, "127.0.0.1:0"
@@ -16,7 +16,7 @@
 	return s.start(t)
 }
 
-// Drivers come, talk, go in order, are lost, and lose their leases: each of the others counts them.
+// Drivers start, exchange messages, stop, and lose their leases: the others must count them correctly.
 func TestDriversFindEachOther(t *testing.T) {
 	for _, dialect := range []string{"etcd", "consul"} {
 		t.Run(dialect, func(t *testing.T) {
@@ -34,19 +34,19 @@
 				c.query(read(1000))
 			}
 			waitCounter(t, p, "messagesin")
-			store.LoseLeases() // as behind a pause, or a registry that forgot
+			store.LoseLeases() // as after a pause, or by a registry that lost its data
 			p.waitForLog("event=presence announced=false")
 			p.waitForLog("event=presence announced=true")
-			v.Down.Store(true) // a silent registry makes no driver conclude that it is alone
+			v.Down.Store(true) // an unavailable registry makes no driver conclude that it is alone
 			v.CloseConnections()
 			p.waitForLog("event=registry_failed")
 			v.Down.Store(false)
 			r := s.startPeer(t, "n2")
 			line := p.findInLog("event=drivers count=3")
-			if strings.Contains(strings.Join(p.before, "\n"), "count=1") {
-				t.Errorf("thought to be alone before %s", line)
+			if strings.Contains(strings.Join(p.earlierLines, "\n"), "count=1") {
+				t.Errorf("counted one driver before %s", line)
 			}
-			r.stop(syscall.SIGTERM) // it revokes its lease
+			r.stop(syscall.SIGTERM) // which revokes its lease
 
 		})
 	}
@@ -59,11 +59,11 @@
 			return
 		}
 	}
-	t.Fatalf("%s stays 0", name)
+	t.Fatalf("%s is still 0", name)
 }
 
-// Two drivers of one name: the second one says so and serves.
-func TestTwoDriversOfOneName(t *testing.T) {
+// Of two drivers with the same name, the second one reports it and serves.
+func TestDuplicateDriverName(t *testing.T) {
 	m := newMember(t, "m", acceptsWrites)
 	s := newPlatform(t, m)
 	s.useRegistry(t, "etcd", "drivers_prefix = \"weirwind/drivers/\"\n  lease = \"5s\"")
@@ -72,12 +72,12 @@
 	if line := q.findInLog("another driver has the name"); !strings.Contains(line, "announced=false") {
 		t.Error(line)
 	}
-	kinds, said := q.connect().query(write(1000))
-	expect(t, kinds, said, acked, "v:INSERT")
+	kinds, result := q.connect().query(write(1000))
+	expect(t, kinds, result, ackedKinds, "v:INSERT")
 }
 
-// A driver's machine is paused for longer than its lease: its peers go on without it, and it registers itself anew.
-func TestLeaseLostDuringAPause(t *testing.T) {
+// A driver is suspended for longer than its lease: its peers count without it, and it registers itself again.
+func TestLeaseLostDuringPause(t *testing.T) {
 	m := newMember(t, "m", acceptsWrites)
 	s := newPlatform(t, m)
 	s.useRegistry(t, "etcd", "drivers_prefix = \"weirwind/drivers/\"\n  lease = \"1s\"")
--- a/cmd/weirwind/program_test.go
+++ b/cmd/weirwind/program_test.go
@@ -1,6 +1,6 @@
 package main
 
-// This file owns the program, started as a process of its own, and its log.
+// This file runs the program as a separate process, and reads its log.
 
 import (
 	"bufio"
@@ -20,18 +20,18 @@
 	t       *testing.T
 	cmd     *exec.Cmd
 	address string
-	path    string // of its configuration
+	path    string // path of its configuration
 	lines   chan string
 	exited  chan error
 
-	operator string // the path of the operators' file
-	before   []string
+	operator     string // path of the operators' file
+	earlierLines []string
 }
 
-// findInLog returns a line of the log with the text, be it one from before another that was waited for.
+// findInLog returns a log line with the text, also one that an earlier wait has skipped.
 func (p *program) findInLog(text string) string {
 	p.t.Helper()
-	for _, line := range p.before {
+	for _, line := range p.earlierLines {
 		if strings.Contains(line, text) {
 			return line
 		}
@@ -40,16 +40,16 @@
 }
 
 // stop signals the program and waits until it has exited.
-func (p *program) stop(by os.Signal) {
+func (p *program) stop(signal os.Signal) {
 	p.t.Helper()
-	p.cmd.Process.Signal(by)
+	p.cmd.Process.Signal(signal)
 	for l := range p.lines {
-		p.before = append(p.before, l)
+		p.earlierLines = append(p.earlierLines, l)
 	}
 	select {
 	case <-p.exited:
-	case <-time.After(patience):
-		p.t.Fatal("does not end")
+	case <-time.After(testTimeout):
+		p.t.Fatal("the program does not exit")
 	}
 }
 
@@ -64,7 +64,7 @@
 	return p
 }
 
-// launch starts the program with a configuration, and an operators' file where there is one.
+// launch starts the program with a configuration, and with an operators' file if operators isn't empty.
 func launch(t *testing.T, config, operators string) *program {
 	t.Helper()
 	folder := t.TempDir()
@@ -99,10 +99,10 @@
 	return p
 }
 
-// waitForLog returns the next line of the log with the text.
+// waitForLog returns the next log line with the text.
 func (p *program) waitForLog(text string) string {
 	p.t.Helper()
-	limit := time.After(patience)
+	limit := time.After(testTimeout)
 	for {
 		select {
 		case line, ok := <-p.lines:
@@ -112,14 +112,14 @@
 			if strings.Contains(line, text) {
 				return line
 			}
-			p.before = append(p.before, line)
+			p.earlierLines = append(p.earlierLines, line)
 		case <-limit:
 			p.t.Fatalf("no line with %q", text)
 		}
 	}
 }
 
-// reload replaces the configuration, by nothing where the text is empty, and returns the log line that reports it.
+// reload replaces the configuration, or removes it if the text is empty, and returns the log line of the reload.
 func (p *program) reload(text string) string {
 	p.t.Helper()
 	os.Remove(p.path)
@@ -142,7 +142,7 @@
 	return value
 }
 
-// freeAddress is one at which nobody listens, for a program that is to come back at the same.
+// freeAddress returns an address at which nothing listens, for a program that is restarted at the same address.
 func freeAddress(t *testing.T) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/cmd/weirwind/registry.go
+++ b/cmd/weirwind/registry.go
@@ -1,7 +1,7 @@
 package main
 
-// This file owns the commands on registries: the membership as a driver would see it, and what is wrong with entries.
-// It must never write to a registry.
+// This file implements the registry commands, which show the membership as a driver sees it, and invalid entries. They
+// never write to a registry.
 
 import (
 	"context"
@@ -19,7 +19,7 @@
 	"weirwind/internal/roster"
 )
 
-const checkTimeout = 10 * time.Second // of one endpoint
+const checkTimeout = 10 * time.Second // per endpoint
 
 type registryCommands struct {
 	Watch registryWatchCommand `cmd:"" help:"Print the list as it changes, until interrupted."`
@@ -30,17 +30,17 @@
 	Operator string `help:"The operators' file." env:"WEIRWIND_OPERATOR" placeholder:"FILE"`
 }
 
-// open returns the block of the operators' file, and a client.
+// open returns the registry block of the operators' file, and a client.
 func (f *registryFlags) open() (*operator.Registry, registry.Client, error) {
-	o, err := (&files{Operator: f.Operator}).operators()
+	file, err := (&files{Operator: f.Operator}).operators()
 	if err != nil {
 		return nil, nil, err
 	}
-	if o.Registry == nil {
+	if file.Registry == nil {
 		return nil, nil, errors.New("the operators' file has no block registry")
 	}
-	c, err := registry.New(driver.RegistryOptions(o.Registry))
-	return o.Registry, c, err
+	c, err := registry.New(driver.RegistryOptions(file.Registry))
+	return file.Registry, c, err
 }
 
 type registryWatchCommand struct {
@@ -48,7 +48,7 @@
 	For time.Duration `help:"Stop after so long." placeholder:"TIME"`
 }
 
-// Run follows the registry and prints what a driver's roster makes of it.
+// Run follows the registry and prints the changes of a driver's roster.
 func (c *registryWatchCommand) Run(out io.Writer) error {
 	options, client, err := c.open()
 	if err != nil {
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// rosterPrinter applies a registry's updates to a roster and prints what changes.
+// rosterPrinter applies a registry's updates to a roster and prints the changes.
 type rosterPrinter struct {
 	out          io.Writer
 	roster       *roster.Roster
@@ -105,17 +105,17 @@
 }
 
 func (p *rosterPrinter) apply(update roster.Update) (roster.Verdict, float64) {
-	o := p.roster.Apply(nowMillis(), update)
+	outcome := p.roster.Apply(nowMillis(), update)
 	source, revision, age, epochs := p.roster.Leader(nowMillis())
-	for _, e := range o.Changes {
+	for _, e := range outcome.Changes {
 		fmt.Fprintf(p.out, "%s %s revision=%d epoch=%d age_ms=%.0f member=%s phase=%s cell=%d host_port=%s\n",
 			timeOfDay(), source, revision, epochs, age, e.ID, [...]string{"up", "draining", "removed"}[e.Phase], e.Group,
 			e.Address)
 	}
-	for _, note := range o.Notes {
+	for _, note := range outcome.Notes {
 		fmt.Fprintf(p.out, "%s note: %s\n", timeOfDay(), note)
 	}
-	return o.Verdict, p.confirmAfter
+	return outcome.Verdict, p.confirmAfter
 }
 
 func (p *rosterPrinter) disconnected(err error) {
@@ -147,7 +147,7 @@
 	return nil
 }
 
-// checkEndpoint reads the membership from one endpoint, and prints and counts what is wrong.
+// checkEndpoint reads the membership from one endpoint, prints the problems and returns their number.
 func checkEndpoint(out io.Writer, client registry.Client, index int, endpoint string) (problems int) {
 	ctx, end := context.WithTimeout(context.Background(), checkTimeout)
 	defer end()
--- a/cmd/weirwind/registry_test.go
+++ b/cmd/weirwind/registry_test.go
@@ -1,6 +1,6 @@
 package main
 
-// The program with a registry beside discovery: what it does at the members' sockets.
+// Tests of the program with a registry beside discovery, as observed at the members' sockets.
 
 import (
 	"bytes"
@@ -18,18 +18,18 @@
 	"weirwind/internal/standin/kv"
 )
 
-const membersAt = "weirwind/members/"
+const membersPrefix = "weirwind/members/"
 
 // useRegistry starts a registry that holds the platform's members, and names it in the operators' file.
-func (s *platform) useRegistry(t *testing.T, dialect, more string) (*kv.Store, *kv.Server) {
+func (s *platform) useRegistry(t *testing.T, dialect, extraSettings string) (*kv.Store, *kv.Server) {
 	t.Helper()
 	store := kv.NewStore("c1")
 	v := kv.Serve(store)
 	t.Cleanup(func() { v.CloseConnections(); v.Close() })
 	for i, m := range s.members {
-		store.Put(membersAt+m.id, s.entry(i, "up"))
+		store.Put(membersPrefix+m.id, s.entry(i, "up"))
 	}
-	s.operator += fmt.Sprintf("registry %q {\n  endpoints = [%q]\n  silence = \"1s\"\n  %s\n}\n", dialect, v.URL, more)
+	s.operator += fmt.Sprintf("registry %q {\n  endpoints = [%q]\n  silence = \"1s\"\n  %s\n}\n", dialect, v.URL, extraSettings)
 	return store, v
 }
 
@@ -38,15 +38,15 @@
 		[]string{"writer", "reader"}[min(i, 1)])
 }
 
-// A drain announced while the registry can't be reached binds from when it is learned, at the member's socket: nothing
-// comes there later than the grace.
-func TestDrainDuringABreakOfTheRegistry(t *testing.T) {
+// A drain that is announced while the registry is unreachable applies when it is read: the member gets no operation
+// after the grace period.
+func TestDrainDuringRegistryOutage(t *testing.T) {
 	for _, dialect := range []string{"etcd", "consul"} {
 		t.Run(dialect, func(t *testing.T) {
 			t.Parallel()
-			var last atomic.Int64
+			var lastQueryAt atomic.Int64
 			a := newMember(t, "a", acceptsWrites)
-			b := newMember(t, "b", func(q string) []byte { last.Store(time.Now().UnixNano()); return rejectsWrites(q) })
+			b := newMember(t, "b", func(q string) []byte { lastQueryAt.Store(time.Now().UnixNano()); return rejectsWrites(q) })
 			s := newPlatform(t, a, b)
 			store, v := s.useRegistry(t, dialect, "")
 			p := s.start(t)
@@ -54,18 +54,18 @@
 			reads := func(n int) {
 				t.Helper()
 				for range n {
-					kinds, said := c.query(read(1000))
-					expect(t, kinds, said, acked, "v:SELECT")
+					kinds, result := c.query(read(1000))
+					expect(t, kinds, result, ackedKinds, "v:SELECT")
 				}
 			}
 			reads(20)
-			if last.Load() == 0 {
+			if lastQueryAt.Load() == 0 {
 				t.Fatal("b is not used")
 			}
 			v.Down.Store(true)
 			v.CloseConnections()
 			p.waitForLog("event=registry_failed")
-			store.Put(membersAt+"b", s.entry(1, "draining"))
+			store.Put(membersPrefix+"b", s.entry(1, "draining"))
 			reads(20)
 			v.Down.Store(false)
 			for learned := false; !learned; {
@@ -78,21 +78,21 @@
 			}
 			learned := time.Now()
 			reads(200)
-			if late := time.Unix(0, last.Load()).Sub(learned); late > 0 {
-				t.Errorf("an op came to the member %v after its drain was learned", late)
+			if late := time.Unix(0, lastQueryAt.Load()).Sub(learned); late > 0 {
+				t.Errorf("an op reached the member %v after its drain was learned", late)
 			}
-			store.Put(membersAt+"b", s.entry(1, "up"))
+			store.Put(membersPrefix+"b", s.entry(1, "up"))
 			p.waitForLog("b=up")
-			before := last.Load()
-			if reads(50); last.Load() == before {
+			lastBefore := lastQueryAt.Load()
+			if reads(50); lastQueryAt.Load() == lastBefore {
 				t.Error("b is not used again")
 			}
 		})
 	}
 }
 
-// A drain from the registry stays in force after a kill, with the registry gone and discovery contradicting it.
-func TestRegistrysDrainBindsAfterAKill(t *testing.T) {
+// A drain from the registry stays in force after a kill, without the registry and with discovery contradicting it.
+func TestRegistryDrainSurvivesKill(t *testing.T) {
 	a, b := newMember(t, "a", acceptsWrites), newMember(t, "b", rejectsWrites)
 	s := newPlatform(t, a, b)
 	folder := s.persistState(t, "")
@@ -100,7 +100,7 @@
 	store, v := s.useRegistry(t, "etcd", "")
 	p := s.start(t)
 	p.findInLog("registry leads")
-	store.Put(membersAt+"b", s.entry(1, "draining"))
+	store.Put(membersPrefix+"b", s.entry(1, "draining"))
 	waitForState(t, folder, func(s *learned.State) bool { return s.Membership["b"].Phase == "draining" })
 	p.stop(syscall.SIGKILL)
 	s.waitIdle()
@@ -114,18 +114,18 @@
 	q.findInLog("discovery leads")
 	c := q.connect()
 	for range 20 {
-		kinds, said := c.query(read(1000))
-		expect(t, kinds, said, acked, "v:SELECT")
+		kinds, result := c.query(read(1000))
+		expect(t, kinds, result, ackedKinds, "v:SELECT")
 	}
 	if len(b.queries) > 0 {
-		t.Errorf("%d ops sent to a member that was told to drain", len(b.queries))
+		t.Errorf("%d ops sent to a draining member", len(b.queries))
 	}
-	store.Put(membersAt+"b", s.entry(1, "up"))
+	store.Put(membersPrefix+"b", s.entry(1, "up"))
 	v.Down.Store(false)
 	q.waitForLog("b=up")
 }
 
-// Discovery says what it always said; the registry leads, and discovery takes over when it is gone for long.
+// The registry leads over an unchanged discovery, which takes over after the registry has been unreachable for a time.
 func TestDiscoveryTakesOver(t *testing.T) {
 	a, b, c := newMember(t, "a", acceptsWrites), newMember(t, "b", rejectsWrites), newMember(t, "c", rejectsWrites)
 	s := newPlatform(t, a, b)
@@ -137,27 +137,27 @@
 	if line := p.findInLog("c=up"); field(line, "source") != "registry" {
 		t.Error(line)
 	}
-	store.Put(membersAt+"b", s.entry(1, "draining"))
+	store.Put(membersPrefix+"b", s.entry(1, "draining"))
 	p.waitForLog("b=draining")
 	v.Down.Store(true)
 	v.CloseConnections()
 	p.waitForLog("discovery leads instead of registry")
 	if line := p.waitForLog("event=list "); !strings.Contains(line, "c=removed") || strings.Contains(line, "b=up") {
-		t.Errorf("what the registry told of b is undone: %s", line)
+		t.Errorf("the registry's drain of b is lifted: %s", line)
 	}
 	v.Down.Store(false)
 	p.waitForLog("registry leads instead of discovery")
 }
 
-// A registry that is there, lost for good, or never there: the driver serves.
+// The driver serves if its registry was never reachable.
 func TestServesWithoutItsRegistry(t *testing.T) {
 	m := newMember(t, "m", acceptsWrites)
 	s := newPlatform(t, m)
 	s.operator = "registry \"etcd\" {\n  endpoints = [\"http://127.0.0.1:1\"]\n}"
 	p := s.start(t)
 	p.findInLog("event=registry_failed")
-	kinds, said := p.connect().query(write(1000))
-	expect(t, kinds, said, acked, "v:INSERT")
+	kinds, result := p.connect().query(write(1000))
+	expect(t, kinds, result, ackedKinds, "v:INSERT")
 	p.stop(syscall.SIGTERM)
 }
 
@@ -176,47 +176,47 @@
 	}
 	run(0, "2 good entries", "registry", "check", "--operator", file)
 	run(0, "member=b phase=up cell=3", "registry", "watch", "--for", "300ms", "--operator", file)
-	store.Put(membersAt+"b", `{"host_port":"nowhere"}`)
+	store.Put(membersPrefix+"b", `{"host_port":"nowhere"}`)
 	run(1, `entry b: unknown phase ""`, "registry", "check", "--operator", file)
 	run(1, "no block registry", "registry", "check", "--operator", "")
 }
 
-// TestMeasureRegistry takes the time from a write in the registry to the driver's list, steady and right after a
-// break, as its log shows; and what it takes at rest with a registry.
+// TestMeasureRegistry measures the time from a write in the registry to the driver's list, in steady state and after an
+// interruption, as logged; and the idle memory with a registry.
 func TestMeasureRegistry(t *testing.T) {
 	for _, dialect := range []string{"etcd", "consul"} {
 		s := newPlatform(t, newMember(t, "a", acceptsWrites), newMember(t, "b", rejectsWrites))
 		store, v := s.useRegistry(t, dialect, "")
 		p := s.start(t)
 		p.findInLog("registry leads")
-		rest := resident(t, p.cmd.Process.Pid)
-		var steady, broken []time.Duration
-		for i := range max(20, 10**restarts) {
+		idleMemory := residentMemory(t, p.cmd.Process.Pid)
+		var steady, reconnected []time.Duration
+		for i := range max(20, 10**restartCount) {
 			phase := []string{"draining", "up"}[i%2]
-			began := time.Now()
-			store.Put(membersAt+"b", s.entry(1, phase))
+			startedAt := time.Now()
+			store.Put(membersPrefix+"b", s.entry(1, phase))
 			p.waitForLog("b=" + phase)
-			steady = append(steady, time.Since(began))
+			steady = append(steady, time.Since(startedAt))
 		}
-		for i := range max(2, *restarts) {
+		for i := range max(2, *restartCount) {
 			v.Down.Store(true)
 			v.CloseConnections()
 			p.waitForLog("registry_failed")
 			phase := []string{"draining", "up"}[i%2]
-			store.Put(membersAt+"b", s.entry(1, phase))
+			store.Put(membersPrefix+"b", s.entry(1, phase))
 			v.Down.Store(false)
-			began := time.Now()
+			startedAt := time.Now()
 			p.waitForLog("b=" + phase)
-			broken = append(broken, time.Since(began))
-			if *restarts > 1 {
-				time.Sleep(1500 * time.Millisecond) // breaks in a row use up the budget of calls, and wait a second each
+			reconnected = append(reconnected, time.Since(startedAt))
+			if *restartCount > 1 {
+				time.Sleep(1500 * time.Millisecond) // consecutive interruptions use up the retry budget, which then adds a second each
 			}
 		}
 		slices.Sort(steady)
-		slices.Sort(broken)
+		slices.Sort(reconnected)
 		ms := func(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
-		t.Logf("%s: from write to list, ms: steady median %.2f, p99 %.2f (%d); from the end of a break median %.1f, worst %.1f (%d); at rest %v KiB, anonymous included",
-			dialect, ms(steady[len(steady)/2]), ms(steady[len(steady)*99/100]), len(steady), ms(broken[len(broken)/2]), ms(broken[len(broken)-1]), len(broken), rest)
+		t.Logf("%s: from write to list, ms: steady median %.2f, p99 %.2f (%d); from the end of an interruption median %.1f, maximum %.1f (%d); idle memory, total and anonymous: %v KiB",
+			dialect, ms(steady[len(steady)/2]), ms(steady[len(steady)*99/100]), len(steady), ms(reconnected[len(reconnected)/2]), ms(reconnected[len(reconnected)-1]), len(reconnected), idleMemory)
 		p.stop(syscall.SIGKILL)
 	}
 }
--- a/cmd/weirwind/run.go
+++ b/cmd/weirwind/run.go
@@ -1,7 +1,7 @@
 package main
 
-// This file owns the driver as a process: its signals, and reloading both files. It must never lose a signal that comes
-// before the driver is ready.
+// This file runs the driver as a process, and handles its signals, including the reload of both files. It loses no
+// signal that arrives before the driver is ready.
 
 import (
 	"context"
@@ -18,7 +18,7 @@
 
 // Run serves until SIGTERM.
 func (c *runCommand) Run() error {
-	signals := make(chan os.Signal, 8) // registered first: by default SIGHUP and SIGUSR1 end a process
+	signals := make(chan os.Signal, 8) // registered first, as SIGHUP and SIGUSR1 end a process by default
 	signal.Notify(signals, syscall.SIGHUP, syscall.SIGUSR1)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
@@ -30,7 +30,7 @@
 	if err != nil {
 		return err
 	}
-	go func() { // until the process ends
+	go func() { // runs until the process ends
 		for s := range signals {
 			if s == syscall.SIGUSR1 {
 				service.Report()
--- a/cmd/weirwind/state.go
+++ b/cmd/weirwind/state.go
@@ -1,7 +1,7 @@
 package main
 
-// This file owns the commands on learned state. It must never change a folder that a driver has open, nor one that it
-// was only asked to read.
+// This file implements the state commands. They never change a folder that a driver has open, and only forget changes
+// any folder.
 
 import (
 	"encoding/json"
@@ -24,7 +24,7 @@
 
 const maxFolderBytes = 1 << 30
 
-// folder is the folder of a driver's state.
+// folder is the argument that names the folder of a driver's state.
 type folder struct {
 	Folder string `arg:"" help:"The folder of the operators' file." type:"path"`
 }
@@ -33,14 +33,14 @@
 	return durable.Options{Folder: f.Folder, Tag: learned.Tag, Limit: maxFolderBytes}
 }
 
-// recoveredState is what a folder holds.
+// recoveredState is the content of a folder.
 type recoveredState struct {
 	durable.Recovered
-	state  *learned.State // nil where nothing can be read
+	state  *learned.State // nil if nothing is readable
 	damage []error
 }
 
-// recover reads the folder. The error is the file system's.
+// recover reads the folder. It returns only errors of the file system; damage is in the result.
 func (f folder) recover() (r recoveredState, err error) {
 	if r.Recovered, err = durable.Recover(durable.OS{}, f.options()); err != nil {
 		return r, err
@@ -63,7 +63,7 @@
 	JSON bool `help:"All of it, as JSON."`
 }
 
-// Run prints the state. Damage that cost some of it is an error; a write that a crash broke off is not.
+// Run prints the state. It fails if damage lost a part of it; an incomplete write before a crash is only noted.
 func (c *stateShowCommand) Run(out io.Writer) error {
 	r, err := c.recover()
 	if err != nil {
@@ -125,7 +125,7 @@
 	}
 }
 
-// timestamp prints a Unix time in milliseconds.
+// timestamp formats a Unix time in milliseconds.
 func timestamp(ms float64) string {
 	if ms == 0 {
 		return "never"
@@ -137,7 +137,8 @@
 	folder
 }
 
-// Run checks files and records. What a crash may leave behind the last complete record is printed, but is no damage.
+// Run checks files and records. It prints the tail that a crash may leave after the last complete record, but doesn't
+// count it as damage.
 func (c *stateVerifyCommand) Run(out io.Writer) error {
 	r, err := c.recover()
 	if err != nil {
@@ -173,7 +174,7 @@
 	Group  []int64  `help:"A group's number; may stand several times." placeholder:"N"`
 }
 
-// Run drops what is named, and begins new generations without it.
+// Run drops the named entries, and begins new generations without them.
 func (c *stateForgetCommand) Run(out io.Writer) error {
 	before, err := durable.Recover(durable.OS{}, c.options())
 	if err != nil {
@@ -182,15 +183,15 @@
 	if len(before.Files) == 0 {
 		return fmt.Errorf("%s: no state", c.Folder)
 	}
-	store, found, err := durable.Open(durable.OS{}, c.options())
+	store, recovered, err := durable.Open(durable.OS{}, c.options())
 	if err != nil {
 		return err
 	}
-	defer func() { _ = store.Close() }() // what was written is on disk
-	if found.Snapshot == nil {
+	defer func() { _ = store.Close() }() // written data is already synced
+	if recovered.Snapshot == nil {
 		return fmt.Errorf("%s: nothing readable; remove the folder", c.Folder)
 	}
-	s, err := learned.Load(found.Snapshot, found.Records)
+	s, err := learned.Load(recovered.Snapshot, recovered.Records)
 	if err != nil {
 		return err
 	}
@@ -198,7 +199,7 @@
 	if n == 0 {
 		return errors.New("nothing of that is kept")
 	}
-	for range 2 { // the generation before holds it still
+	for range 2 { // twice, as the previous generation still contains the entries
 		if err := store.Compact(s.Snapshot()); err != nil {
 			return err
 		}
--- a/cmd/weirwind/state_test.go
+++ b/cmd/weirwind/state_test.go
@@ -1,6 +1,6 @@
 package main
 
-// Restarts against stand-ins that have changed meanwhile: what the driver believes then, and what it does not.
+// Tests of restarts against members that changed in the meantime: which parts of its state the driver trusts.
 
 import (
 	"bytes"
@@ -18,26 +18,26 @@
 	"weirwind/internal/pgwire"
 )
 
-// persistState switches state on, in a folder of the test's own.
-func (s *platform) persistState(t *testing.T, more string) (folder string) {
+// persistState enables persistent state, in a folder of the test.
+func (s *platform) persistState(t *testing.T, extraSettings string) (folder string) {
 	folder = filepath.Join(t.TempDir(), "state")
-	s.operator = fmt.Sprintf("state {\n  folder = %q\n  save_every = \"50ms\"\n  %s\n}", folder, more)
+	s.operator = fmt.Sprintf("state {\n  folder = %q\n  save_every = \"50ms\"\n  %s\n}", folder, extraSettings)
 	return folder
 }
 
-// waitForState waits until what is on disk is as wanted.
+// waitForState waits until the state on disk is as wanted.
 func waitForState(t *testing.T, folder string, want func(*learned.State) bool) *learned.State {
 	t.Helper()
-	for limit := time.Now().Add(patience); time.Now().Before(limit); time.Sleep(5 * time.Millisecond) {
-		found, err := durable.Recover(durable.OS{}, durable.Options{Folder: folder, Tag: learned.Tag})
-		if err != nil || found.Snapshot == nil {
+	for limit := time.Now().Add(testTimeout); time.Now().Before(limit); time.Sleep(5 * time.Millisecond) {
+		recovered, err := durable.Recover(durable.OS{}, durable.Options{Folder: folder, Tag: learned.Tag})
+		if err != nil || recovered.Snapshot == nil {
 			continue
 		}
-		if s, err := learned.Load(found.Snapshot, found.Records); err == nil && want(s) {
+		if s, err := learned.Load(recovered.Snapshot, recovered.Records); err == nil && want(s) {
 			return s
 		}
 	}
-	t.Fatal("what was learned is not on disk")
+	t.Fatal("the wanted state is not on disk")
 	return nil
 }
 
@@ -68,9 +68,9 @@
 	}
 }
 
-// The list names the primary of the day's start. A run finds the one of now; the next one, after SIGTERM or SIGKILL,
-// sends its first write there and nowhere else.
-func TestRestartKnowsThePrimary(t *testing.T) {
+// The configured list names a former primary. A run finds the current one; the next run, after SIGTERM or SIGKILL,
+// sends its first write only there.
+func TestRestartUsesSavedPrimary(t *testing.T) {
 	for name, signal := range map[string]os.Signal{"graceful": syscall.SIGTERM, "killed": syscall.SIGKILL} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -78,16 +78,16 @@
 			s := newPlatform(t, a, b, c)
 			folder := s.persistState(t, `switch_least = "60s"`)
 			p := s.start(t)
-			kinds, said := p.connect().query(write(1000))
-			expect(t, kinds, said, acked, "v:INSERT")
+			kinds, result := p.connect().query(write(1000))
+			expect(t, kinds, result, ackedKinds, "v:INSERT")
 			waitForState(t, folder, primaryIs("b"))
 			p.stop(signal)
 			countWrites(a)
 			countWrites(b)
 			countWrites(c)
 			q := s.start(t)
-			kinds, said = q.connect().query(write(1000))
-			expect(t, kinds, said, acked, "v:INSERT")
+			kinds, result = q.connect().query(write(1000))
+			expect(t, kinds, result, ackedKinds, "v:INSERT")
 			if x, y, z := countWrites(a), countWrites(b), countWrites(c); x != 0 || y != 1 || z != 0 {
 				t.Errorf("the first write went to a %d times, to b %d, to c %d", x, y, z)
 			}
@@ -95,31 +95,31 @@
 	}
 }
 
-// A kept primary older than any switch, which was deposed meanwhile and would still take a write, gets none: not
-// by the state, nor by the list that names it.
+// A saved primary that is older than a switchover, was deposed in the meantime and would still accept a write gets
+// none, neither by the state nor by the list that names it.
 func TestDeposedPrimaryGetsNoWrite(t *testing.T) {
 	a, b, c := newMember(t, "a", acceptsWrites), newMember(t, "b", rejectsWrites), newMember(t, "c", rejectsWrites)
 	s := newPlatform(t, a, b, c)
 	folder := s.persistState(t, `switch_least = "1ms"`)
 	p := s.start(t)
-	kinds, said := p.connect().query(write(1000))
-	expect(t, kinds, said, acked, "v:INSERT")
+	kinds, result := p.connect().query(write(1000))
+	expect(t, kinds, result, ackedKinds, "v:INSERT")
 	waitForState(t, folder, primaryIs("a"))
 	p.stop(syscall.SIGTERM)
 	countWrites(a)
 	b.setAnswer(acceptsWrites)
 	q := s.start(t)
 	for range 5 {
-		kinds, said = q.connect().query(write(1000))
-		expect(t, kinds, said, acked, "v:INSERT")
+		kinds, result = q.connect().query(write(1000))
+		expect(t, kinds, result, ackedKinds, "v:INSERT")
 	}
 	if x, y := countWrites(a), countWrites(b); x != 0 || y != 5 {
-		t.Errorf("the deposed primary got %d writes, the new one %d", x, y)
+		t.Errorf("the deposed primary received %d writes, the new one %d", x, y)
 	}
 }
 
-// Where nothing has changed, an old state costs a search: the others deny, and then the primary gets its writes.
-func TestOldStateOfAPrimaryThatStillIs(t *testing.T) {
+// If nothing has changed, an old state costs a search: the other members reject the write, then the primary gets it.
+func TestStaleStateOfCurrentPrimary(t *testing.T) {
 	a, b, c := newMember(t, "a", acceptsWrites), newMember(t, "b", rejectsWrites), newMember(t, "c", rejectsWrites)
 	s := newPlatform(t, a, b, c)
 	folder := s.persistState(t, `switch_least = "1ms"`)
@@ -127,12 +127,12 @@
 	p.connect().query(write(1000))
 	waitForState(t, folder, primaryIs("a"))
 	p.stop(syscall.SIGKILL)
-	kinds, said := s.start(t).connect().query(write(1000))
-	expect(t, kinds, said, acked, "v:INSERT")
+	kinds, result := s.start(t).connect().query(write(1000))
+	expect(t, kinds, result, ackedKinds, "v:INSERT")
 }
 
-// A drain stays in force after a kill, though the start is configured with an older list and discovery is down.
-func TestDrainToldBeforeAKillBindsAfterIt(t *testing.T) {
+// A drain stays in force after a kill, even if the start is configured with an older list and discovery is down.
+func TestDrainSurvivesKill(t *testing.T) {
 	a, b := newMember(t, "a", acceptsWrites), newMember(t, "b", rejectsWrites)
 	s := newPlatform(t, a, b)
 	folder := s.persistState(t, "")
@@ -140,7 +140,7 @@
 	s.changes <- s.list(42, false, "b=draining")
 	waitForState(t, folder, func(s *learned.State) bool { return s.Membership["b"].Phase == "draining" && s.Meta.Revision == 42 })
 	p.stop(syscall.SIGKILL)
-	s.lists.Close()
+	s.discovery.Close()
 	for len(b.queries) > 0 {
 		<-b.queries
 	}
@@ -150,66 +150,66 @@
 	}
 	c := q.connect()
 	for range 20 {
-		kinds, said := c.query(read(1000))
-		expect(t, kinds, said, acked, "v:SELECT")
+		kinds, result := c.query(read(1000))
+		expect(t, kinds, result, ackedKinds, "v:SELECT")
 	}
 	if len(b.queries) > 0 {
-		t.Errorf("%d ops sent to a member that was told to drain", len(b.queries))
+		t.Errorf("%d ops sent to a draining member", len(b.queries))
 	}
 }
 
-// A session that has written reads what it wrote, also after a kill right behind the answer, with state and
-// without: no replica counts as fresh for it by what it said before.
+// A session that has written reads its write, also after a kill directly after the answer, with and without state: no
+// replica counts as fresh by its position from before the kill.
 func TestSessionReadsItsWriteAfterAKill(t *testing.T) {
-	for _, keeps := range []bool{true, false} {
+	for _, persists := range []bool{true, false} {
 		a, b := newMember(t, "a", acceptsWrites), newMember(t, "b", rejectsWrites)
 		s := newPlatform(t, a, b)
 		s.settings["family_info"].(map[string]any)["needs_by_class"] = []string{"causal", "mutate", "eventual"}
 		s.settings["family_info"].(map[string]any)["write_marks"] = "kept"
-		if keeps {
+		if persists {
 			s.persistState(t, "")
 		}
 		p := s.start(t)
 		c := p.connect()
 		c.query(read(1000))
-		kinds, said := c.query(write(1000))
-		expect(t, kinds, said, acked, "v:INSERT")
+		kinds, result := c.query(write(1000))
+		expect(t, kinds, result, ackedKinds, "v:INSERT")
 		p.stop(syscall.SIGKILL)
-		old := time.Now()
-		b.setAnswer(func(q string) []byte { // its position stands still from before the kill
-			return append(pgwire.AppendSingleRow(nil, "s"), roleStatusAt("reader", old.Add(-time.Millisecond))...)
+		killedAt := time.Now()
+		b.setAnswer(func(q string) []byte { // its position is still from before the kill
+			return append(pgwire.AppendSingleRow(nil, "s"), roleStatusAt("reader", killedAt.Add(-time.Millisecond))...)
 		})
 		c = s.start(t).connect()
-		c.query(statement("recent", 1000)) // of any age: it may show the replica's position
+		c.query(statement("recent", 1000)) // without a staleness bound: it may report the replica's position
 		for range 10 {
-			if kinds, said = c.query(read(1000)); kinds != acked || said == "s" {
-				t.Fatalf("state kept: %v: heard %q saying %q, from a replica that lacks the write", keeps, kinds, said)
+			if kinds, result = c.query(read(1000)); kinds != ackedKinds || result == "s" {
+				t.Fatalf("state kept: %v: got %q with %q, from a replica that lacks the write", persists, kinds, result)
 			}
 		}
 	}
 }
 
-// A disk fault is one log line and a counter; operations succeed, and saving resumes when it can.
-func TestDiskTroubleHurtsNoOp(t *testing.T) {
+// A disk fault causes a log line and a counter; operations succeed, and saving resumes when the disk recovers.
+func TestStateDiskFaultFailsNoOp(t *testing.T) {
 	m := newMember(t, "m", acceptsWrites)
 	s := newPlatform(t, m)
 	folder := s.persistState(t, "")
 	os.MkdirAll(filepath.Dir(folder), 0o700)
-	if err := os.WriteFile(folder, nil, 0o600); err != nil { // where the folder should be stands a file
+	if err := os.WriteFile(folder, nil, 0o600); err != nil { // a file at the path of the folder
 		t.Fatal(err)
 	}
 	p := s.start(t)
 	p.findInLog("event=state_failed")
 	serves := func() {
 		t.Helper()
-		kinds, said := p.connect().query(write(1000))
-		expect(t, kinds, said, acked, "v:INSERT")
+		kinds, result := p.connect().query(write(1000))
+		expect(t, kinds, result, ackedKinds, "v:INSERT")
 	}
 	serves()
 	os.Remove(folder)
 	p.waitForLog("event=state_saved")
 	waitForState(t, folder, primaryIs("m"))
-	os.RemoveAll(folder) // gone while the driver is at it
+	os.RemoveAll(folder) // the folder is removed while in use
 	p.waitForLog("event=state_failed")
 	serves()
 	p.waitForLog("event=state_saved")
@@ -218,16 +218,16 @@
 		t.Error(line)
 	}
 
-	q := s.start(t) // a second process at the same folder
+	q := s.start(t) // a second process with the same folder
 	q.findInLog("event=state_failed")
-	kinds, said := q.connect().query(write(1000))
-	expect(t, kinds, said, acked, "v:INSERT")
+	kinds, result := q.connect().query(write(1000))
+	expect(t, kinds, result, ackedKinds, "v:INSERT")
 	p.stop(syscall.SIGKILL)
 	q.waitForLog("event=state_saved")
 }
 
-// Whatever stands in the files, the driver starts and serves.
-func TestDamagedStateIsToldAndServedWithout(t *testing.T) {
+// The driver starts and serves whatever the files contain.
+func TestDamagedStateIsReportedAndIgnored(t *testing.T) {
 	m := newMember(t, "m", acceptsWrites)
 	s := newPlatform(t, m)
 	folder := s.persistState(t, "")
@@ -247,8 +247,8 @@
 	}
 	q := s.start(t)
 	q.findInLog("event=state_damaged")
-	kinds, said := q.connect().query(write(1000))
-	expect(t, kinds, said, acked, "v:INSERT")
+	kinds, result := q.connect().query(write(1000))
+	expect(t, kinds, result, ackedKinds, "v:INSERT")
 	waitForState(t, folder, primaryIs("m"))
 }
 
@@ -265,27 +265,27 @@
 	os.WriteFile(p.operator, []byte("log {\n  format = \"json\"\n  level = \"error\"\n}"), 0o600)
 	p.cmd.Process.Signal(syscall.SIGHUP)
 	p.waitForLog(`"event":"reloaded"`)
-	os.WriteFile(p.operator, []byte("log {\n  volume = 11\n}"), 0o600) // a mistake changes nothing
+	os.WriteFile(p.operator, []byte("log {\n  volume = 11\n}"), 0o600) // an invalid file changes nothing
 	p.cmd.Process.Signal(syscall.SIGHUP)
 	if line := p.waitForLog(`"event":`); !strings.Contains(line, "reload_failed") || !strings.Contains(line, "operator.hcl:2,3") {
 		t.Error(line)
 	}
-	kinds, said := p.connect().query(write(1000))
-	expect(t, kinds, said, acked, "v:INSERT")
+	kinds, result := p.connect().query(write(1000))
+	expect(t, kinds, result, ackedKinds, "v:INSERT")
 }
 
 func TestCommandLine(t *testing.T) {
 	t.Setenv("PROXY_CONFIG", "")
 	t.Setenv("WEIRWIND_OPERATOR", "")
 	dir := t.TempDir()
-	bad, folder := filepath.Join(dir, "bad.hcl"), filepath.Join(dir, "state")
-	os.WriteFile(bad, []byte("state {\n}"), 0o600)
-	b := learned.NewTable(learned.Config{Name: "n0"}, nil, learned.Timestamp{})
-	b.StartRun(learned.Timestamp{Wall: 1767225600000})
-	b.UpdateMembership(learned.Timestamp{Wall: 1767225600000}, 7, true, []learned.Entry{{ID: "m1", Address: "127.0.0.1:1", Group: 3, Phase: "up"},
+	invalidFile, folder := filepath.Join(dir, "bad.hcl"), filepath.Join(dir, "state")
+	os.WriteFile(invalidFile, []byte("state {\n}"), 0o600)
+	table := learned.NewTable(learned.Config{Name: "n0"}, nil, learned.Timestamp{})
+	table.StartRun(learned.Timestamp{Wall: 1767225600000})
+	table.UpdateMembership(learned.Timestamp{Wall: 1767225600000}, 7, true, []learned.Entry{{ID: "m1", Address: "127.0.0.1:1", Group: 3, Phase: "up"},
 		{ID: "m2", Address: "127.0.0.1:2", Group: 3, Phase: "draining"}})
 	store, _, err := durable.Open(durable.OS{}, durable.Options{Folder: folder, Tag: learned.Tag})
-	if err != nil || store.Compact(b.Snapshot()) != nil {
+	if err != nil || store.Compact(table.Snapshot()) != nil {
 		t.Fatal(err)
 	}
 	run := func(code int, want string, args ...string) {
@@ -303,10 +303,10 @@
 	run(2, "", "state", "show")
 	run(2, "", "state", "forget", "--group", "three", folder)
 	run(1, "nothing to check", "check")
-	run(1, "bad.hcl:1,1: Bad value: state wants a folder.", "check", "--operator", bad)
+	run(1, "bad.hcl:1,1: Bad value: state wants a folder.", "check", "--operator", invalidFile)
 	run(0, `folder       = "/var/lib/weirwind"`, "check", "--operator", "../../deploy/operator.hcl")
 	run(1, "no such file", "check", "--config", filepath.Join(dir, "none"))
-	run(1, "another process holds the folder", "state", "forget", folder)
+	run(1, "another process has locked the folder", "state", "forget", folder)
 	store.Close()
 	run(0, "member m2: group 3 at 127.0.0.1:2, draining", "state", "show", folder)
 	run(0, `"Revision": 7`, "state", "show", "--json", folder)
--- a/cmd/weirwind/switch.go
+++ b/cmd/weirwind/switch.go
@@ -1,7 +1,7 @@
 package main
 
-// This file owns the commands that hooks of a topology manager call. It must never wait for longer than a hook may, or
-// report success for a notification that was not taken.
+// This file implements the commands that hooks of a topology manager call. They never wait longer than a hook may, and
+// report success only if the driver accepted the notification.
 
 import (
 	"context"
@@ -22,7 +22,7 @@
 	Plan     planCommand     `cmd:"" help:"Order and pace planned changes and replacements over groups."`
 }
 
-// notificationFlags are of commands that notify the driver.
+// notificationFlags are the flags of commands that notify the driver.
 type notificationFlags struct {
 	socketFlag
 	Group int64  `help:"The group." required:""`
@@ -31,7 +31,7 @@
 	Epoch uint64 `help:"The change that is meant; the one that is open without it."`
 }
 
-// notify sends a notification and prints it as the driver completed it.
+// notify sends a notification and prints it with the fields that the driver filled in.
 func (f *notificationFlags) notify(out io.Writer, stage switchover.Stage, lease time.Duration) error {
 	return f.call(switchTimeout, func(ctx context.Context, client *control.Client) error {
 		n, err := client.NotifyHook(ctx, switchover.Notification{
@@ -87,7 +87,7 @@
 
 type statusCommand struct{ socketFlag }
 
-// Run prints a line a change.
+// Run prints a line for each change.
 func (c *statusCommand) Run(out io.Writer) error {
 	return c.call(switchTimeout, func(ctx context.Context, client *control.Client) error {
 		changes, err := client.Status(ctx)
--- a/cmd/weirwind/switch_test.go
+++ b/cmd/weirwind/switch_test.go
@@ -15,35 +15,35 @@
 )
 
 type fakeSwitcher struct {
-	mu   sync.Mutex
-	book *switchover.Tracker
+	mu      sync.Mutex
+	tracker *switchover.Tracker
 }
 
-func (s *fakeSwitcher) HandleHook(w switchover.Notification) (switchover.Notification, error) {
+func (s *fakeSwitcher) HandleHook(notification switchover.Notification) (switchover.Notification, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	w, _, err := s.book.HandleHook(1000, w, "m1")
-	return w, err
+	notification, _, err := s.tracker.HandleHook(1000, notification, "m1")
+	return notification, err
 }
 
-func (s *fakeSwitcher) HandlePeer(w switchover.Notification) error {
+func (s *fakeSwitcher) HandlePeer(notification switchover.Notification) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	_, err := s.book.HandleNotification(1000, w)
+	_, err := s.tracker.HandleNotification(1000, notification)
 	return err
 }
 
 func (s *fakeSwitcher) Status() []switchover.ChangeStatus {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.book.Status(1000)
+	return s.tracker.Status(1000)
 }
 
-// The commands notify the driver over its control socket; a notification that is rejected is exit code 1.
+// The commands notify the driver over its control socket; a rejected notification results in exit code 1.
 func TestSwitchCommands(t *testing.T) {
 	dir := t.TempDir()
 	socket := filepath.Join(dir, "w.sock")
-	s := &fakeSwitcher{book: switchover.New(switchover.Config{DefaultLease: 100, MaxHold: 1000, ReleaseTimeout: 100, Retention: 1000, MaxGroups: 8})}
+	s := &fakeSwitcher{tracker: switchover.New(switchover.Config{DefaultLease: 100, MaxHold: 1000, ReleaseTimeout: 100, Retention: 1000, MaxGroups: 8})}
 	serve := func(network, address, token string) net.Listener {
 		ln, err := net.Listen(network, address)
 		if err != nil {
@@ -79,12 +79,12 @@
 	run(1, "", "status", "--socket", filepath.Join(dir, "nobody.sock"))
 	run(2, "", "hold", "--socket", socket)
 
-	// peers show a secret; a call without it is rejected and changes nothing
+	// Peers authenticate with a secret; a call without it is rejected and changes nothing.
 	ln := serve("tcp", "127.0.0.1:0", "open sesame")
-	word := switchover.Notification{Group: 5, Epoch: 9, Stage: switchover.StageAnnounced}
-	for token, good := range map[string]bool{"": false, "open sesam": false, "open sesame": true} {
+	notification := switchover.Notification{Group: 5, Epoch: 9, Stage: switchover.StageAnnounced}
+	for token, accepted := range map[string]bool{"": false, "open sesam": false, "open sesame": true} {
 		c := control.NewClient(ln.Addr().String(), token)
-		if err := c.NotifyPeer(context.Background(), []switchover.Notification{word}); (err == nil) != good {
+		if err := c.NotifyPeer(context.Background(), []switchover.Notification{notification}); (err == nil) != accepted {
 			t.Errorf("token %q: %v", token, err)
 		}
 		c.Close()
@@ -96,14 +96,14 @@
 	}
 
 	file := filepath.Join(dir, "p.hcl")
-	good := "member \"a\" {\n group = 1\n capacity = 10\n primary = true\n}\nmember \"b\" {\n group = 1\n capacity = 10\n}\nreplace = [\"b\"]\nswitch = [\"a\"]\n" +
+	planText := "member \"a\" {\n group = 1\n capacity = 10\n primary = true\n}\nmember \"b\" {\n group = 1\n capacity = 10\n}\nreplace = [\"b\"]\nswitch = [\"a\"]\n" +
 		"limits {\n away = \"5s\"\n warm = \"10s\"\n gap = \"1s\"\n lost = \"2s\"\n group \"1\" {\n  capacity = 10\n }\n}\n"
-	os.WriteFile(file, []byte(good), 0o600)
+	os.WriteFile(file, []byte(planText), 0o600)
 	run(0, "its primary changes, 1.0 s without writes", "plan", file)
-	os.WriteFile(file, []byte(strings.Replace(good, "capacity = 10\n }", "capacity = 15\n }", 1)), 0o600)
+	os.WriteFile(file, []byte(strings.Replace(planText, "capacity = 10\n }", "capacity = 15\n }", 1)), 0o600)
 	run(1, "no plan: replace of b: capacity: group 1 would have 10 of the 15", "plan", file)
-	os.WriteFile(file, []byte(strings.Replace(good, "away =", "way =", 1)), 0o600)
+	os.WriteFile(file, []byte(strings.Replace(planText, "away =", "way =", 1)), 0o600)
 	run(1, "Unsupported argument", "plan", file)
-	os.WriteFile(file, []byte(strings.Replace(good, "\"5s\"", "\"soon\"", 1)), 0o600)
+	os.WriteFile(file, []byte(strings.Replace(planText, "\"5s\"", "\"soon\"", 1)), 0o600)
 	run(1, "invalid duration", "plan", file)
 }
--- a/cmd/weirwind/zones.go
+++ b/cmd/weirwind/zones.go
@@ -1,6 +1,6 @@
 package main
 
-// This file owns the commands on zones.
+// This file implements the zones commands.
 
 import (
 	"context"
@@ -22,7 +22,7 @@
 	Watch    zonesWatchCommand    `cmd:"" help:"Print each new plan, until interrupted."`
 }
 
-// printPlan prints the driver's plan, a line each on zones, partitions, flows, moves and constraints.
+// printPlan prints the driver's plan, with a line for each zone, partition, flow, move and constraint.
 func printPlan(out io.Writer, status *zones.Status) {
 	fmt.Fprintf(out, "self=%s zone=%s leads=%v in_force=%v age=%s", status.Self, status.Zone, status.Leader,
 		status.InForce, roundedDuration(status.Age))
@@ -57,7 +57,7 @@
 	JSON bool `help:"As JSON." name:"json"`
 }
 
-// Run prints the driver's part.
+// Run prints the driver's plan, its observations of zones, and the cross-zone traffic.
 func (c *zonesStatusCommand) Run(out io.Writer) error {
 	return c.call(callTimeout, func(ctx context.Context, client *control.Client) error {
 		s, err := client.Zones(ctx)
@@ -86,7 +86,7 @@
 	JSON    bool   `help:"As JSON." name:"json"`
 }
 
-// Run prints what would be planned.
+// Run prints the plan that would be made.
 func (c *zonesPlanCommand) Run(out io.Writer) error {
 	return c.call(callTimeout, func(ctx context.Context, client *control.Client) error {
 		p, err := client.PreviewZones(ctx, c.Without)
@@ -128,7 +128,7 @@
 	Zone string `arg:"" help:"The zone."`
 }
 
-// Run takes an evacuation back.
+// Run ends an evacuation.
 func (c *zonesReturnCommand) Run() error {
 	return c.call(callTimeout, func(ctx context.Context, client *control.Client) error {
 		return client.SubmitZoneCommand(ctx, zones.Command{Zone: c.Zone})
@@ -140,7 +140,7 @@
 	Off bool `help:"Plans go on again."`
 }
 
-// Run freezes the plan, or lets it go on.
+// Run freezes the plan, or unfreezes it.
 func (c *zonesFreezeCommand) Run() error {
 	return c.call(callTimeout, func(ctx context.Context, client *control.Client) error {
 		on := !c.Off
@@ -153,7 +153,7 @@
 	JSON bool `help:"As JSON, a plan a line." name:"json"`
 }
 
-// Run prints plans as they change, and the moves of primaries that are requested.
+// Run prints plans as they change, and the requested moves of primaries.
 func (c *zonesWatchCommand) Run(out io.Writer) error {
 	epoch, force := uint64(0), false
 	var moves []zones.Move
--- a/internal/durable/compact.go
+++ b/internal/durable/compact.go
@@ -1,13 +1,13 @@
 package durable
 
-// This file owns the beginning of generations: a snapshot, an empty log, and the removal of what they make obsolete.
+// This file creates generations: a snapshot, an empty log, and the removal of obsolete files.
 
 import (
 	"fmt"
 	"path/filepath"
 )
 
-// NeedsCompaction says that the log has grown so long that a snapshot is worth its cost, or that the store has failed.
+// NeedsCompaction reports whether a snapshot is due: the log is missing or too long, or the store has failed.
 func (s *Store) NeedsCompaction() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -15,9 +15,10 @@
 		s.total() > s.options.Limit/2
 }
 
-// Compact begins a generation with a snapshot of the state as it is after all records taken so far. The caller ensures
-// that none is being appended. It returns when the snapshot is safe. After an error of the file system the store takes
-// no records until a later call succeeds. ErrLimit: two such snapshots exceed the limit, and the store is as it was.
+// Compact begins a generation with a snapshot of the state after all records appended so far; the caller ensures that
+// no Append is in progress. It returns when the snapshot is synced. After a file system error the store accepts no
+// records until a later call succeeds. ErrLimit means that two such snapshots would exceed the size limit, and leaves
+// the store unchanged.
 func (s *Store) Compact(state []byte) error {
 	s.compactMu.Lock()
 	defer s.compactMu.Unlock()
@@ -36,7 +37,7 @@
 	log, err := s.createGeneration(generation, snapshot, header)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err != nil { // the snapshot may be there, and what would go into the log before it would not count any more
+	if err != nil { // the snapshot may exist, and records appended to the log before it would be ignored
 		s.failed = fmt.Errorf("durable: snapshot: %w", err)
 		return s.failed
 	}
@@ -51,7 +52,7 @@
 	return nil
 }
 
-// nextGeneration returns the number of the next generation, and the sequence number that its snapshot holds.
+// nextGeneration returns the number of the next generation, and the sequence number that its snapshot covers.
 func (s *Store) nextGeneration() (generation, seq uint64, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -64,7 +65,7 @@
 	return s.generation + 1, s.lastSeq, nil
 }
 
-// createGeneration creates the files of a generation, and returns its log.
+// createGeneration creates the files of a generation and returns its log.
 func (s *Store) createGeneration(generation uint64, snapshot, header []byte) (log File, err error) {
 	file, err := s.create(snapshotName(generation), snapshot)
 	if err != nil {
@@ -76,7 +77,7 @@
 	return s.create(logName(generation), header)
 }
 
-// create creates a file that appears with its content, or not at all, and returns it open for more.
+// create creates a file atomically with its content, and returns it open for appending.
 func (s *Store) create(name string, content []byte) (File, error) {
 	path := filepath.Join(s.options.Folder, name)
 	file, err := s.fs.Create(path + tempSuffix)
@@ -94,14 +95,14 @@
 		err = s.fs.SyncDir(s.options.Folder)
 	}
 	if err != nil {
-		_ = file.Close() // err is what went wrong
+		_ = file.Close() // the first error is the relevant one
 		return nil, err
 	}
 	return file, nil
 }
 
-// removeObsolete removes temporary files, and the generations before the newest one under n that can be read. What came
-// after that one stays until n is there, damaged or not: its log may still count.
+// removeObsolete removes temporary files and the generations before the newest readable one below next. Generations
+// after that one stay until next exists, even if they are damaged: their logs may still be needed.
 func (s *Store) removeObsolete(next uint64) error {
 	names, err := s.fs.List(s.options.Folder)
 	if err != nil {
@@ -110,8 +111,8 @@
 	oldest := s.newestReadable(names, next)
 	for _, name := range names {
 		generation, kind := parseName(name)
-		temporary := kind == other && filepath.Ext(name) == tempSuffix
-		obsolete := kind != other && generation < oldest
+		temporary := kind == otherFile && filepath.Ext(name) == tempSuffix
+		obsolete := kind != otherFile && generation < oldest
 		if !temporary && !obsolete {
 			continue
 		}
@@ -122,7 +123,7 @@
 	return nil
 }
 
-// newestReadable is the newest generation under n whose snapshot can be read; 0 for none.
+// newestReadable returns the newest generation below next whose snapshot is readable, or 0 if there is none.
 func (s *Store) newestReadable(names []string, next uint64) (newest uint64) {
 	for _, name := range names {
 		generation, kind := parseName(name)
@@ -133,7 +134,7 @@
 	return newest
 }
 
-// readable says whether a snapshot can be read.
+// readable reports whether a snapshot can be read.
 func (s *Store) readable(name string, generation uint64) bool {
 	text, err := s.fs.ReadFile(filepath.Join(s.options.Folder, name), s.options.Limit)
 	if err != nil {
--- a/internal/durable/doc.go
+++ b/internal/durable/doc.go
@@ -1,26 +1,26 @@
-// Package durable keeps one state on disk, as snapshots and logs of records, so that a crash at any moment leaves a
-// state that was true. It knows nothing of what records mean, reads no clock, and does not retry after an error.
+// Package durable keeps one state on disk, as snapshots and logs of records, so that after a crash at any moment a
+// consistent state is recovered. It doesn't interpret records, reads no clock, and does not retry after an error.
 //
 // # Generations
 //
-// A folder holds up to two generations. Generation n is a snapshot, which holds everything up to its sequence number,
-// and a log of the records that followed. Compact begins a new generation by a new snapshot. The one before it is
-// kept, so a snapshot that can't be read costs nothing as long as the log before it can be. Every file appears by a
-// rename of a file that is complete and synced.
+// A folder holds up to two generations. Generation n consists of a snapshot, which covers all records up to its
+// sequence number, and a log of the records that follow. Compact begins a new generation with a new snapshot. The
+// previous generation is kept, so that an unreadable snapshot loses nothing while the previous snapshot and log are
+// readable. Every file is created by renaming a complete, synced temporary file.
 //
 // # Guarantees
 //
 // Every record for which Append has returned is recovered after a crash of the process, or of a machine whose disk
-// keeps what it has synced. What is recovered is a state that was true at some moment: a snapshot and the records that
-// followed it, up to some sequence number, without gaps. Recovered.RecordsLost says that records known to have been
-// there could not be recovered.
+// preserves synced data. The recovered state was the store's state at some moment: a snapshot and the records that
+// followed it, up to some sequence number, without gaps. Recovered.RecordsLost reports that records that once existed
+// could not be recovered.
 //
 // # Group commit
 //
-// Callers of Append that arrive while another's records are being written share the next write and sync. After an
-// error of the file system the Store takes no records until Compact has begun a new generation: what the error left in
-// the log is not known.
+// Concurrent callers of Append share one write and sync: records that arrive while others are being written go into the
+// next batch. After a file system error the Store accepts no records until Compact has begun a new generation, because
+// the contents of the log are unknown after the error.
 //
-// Latest is the simplest use: only the newest value counts. FS is the file system as the package needs it, so that
-// tests can crash it at every operation.
+// Latest is a simple store that keeps only the newest value. FS is the interface of the file system, which lets tests
+// crash it at every operation.
 package durable
--- a/internal/durable/durable_test.go
+++ b/internal/durable/durable_test.go
@@ -17,8 +17,8 @@
 
 var options = Options{Folder: "d", Tag: "TEST"}
 
-// ledger is a state for tests: the numbers of the records taken so far, as text.
-func fold(r Recovered) string {
+// recoveredState returns the recovered state as text: the snapshot followed by the records.
+func recoveredState(r Recovered) string {
 	state := string(r.Snapshot)
 	for _, x := range r.Records {
 		state += string(x)
@@ -26,16 +26,16 @@
 	return state
 }
 
-// work opens a store, begins a generation, and goes on for some records and snapshots until an error ends it. It
-// gives the state as it was promised and as it may be.
-func work(d *disk.Disk, before string) (promised, taken string) {
-	promised, taken = before, before
+// runWorkload opens a store, begins a generation, and appends records and snapshots until an error ends it. It returns
+// the state of the acknowledged records, and that with the last submitted record, which an error may have kept or lost.
+func runWorkload(d *disk.Disk, before string) (acked, submitted string) {
+	acked, submitted = before, before
 	s, r, err := Open(d, options)
 	if err != nil {
 		return
 	}
 	defer s.Close()
-	state := fold(r)
+	state := recoveredState(r)
 	if s.Compact([]byte(state)) != nil {
 		return
 	}
@@ -44,79 +44,78 @@
 			return
 		}
 		record := fmt.Sprintf("%s.%d;", bytes.Repeat([]byte{'x'}, i*7), i)
-		taken = state + record
+		submitted = state + record
 		if s.Append([]byte(record)) != nil {
 			return
 		}
-		state = taken
-		promised = state
+		state = submitted
+		acked = state
 	}
 	return
 }
 
-// Every operation of the file system is the one in which the machine crashes, with every fate of what was not
-// synced: what is found then is the state as it was promised or the one that was about to be, never another, and
-// the store goes on from there.
+// The machine crashes in each file system operation, with every possible outcome for the data that was not synced. The
+// recovered state must be the acknowledged one, or that with the submitted record, and the store must continue from it.
 func TestCrashAtEveryOperation(t *testing.T) {
 	seed := disk.New()
-	before, _ := work(seed, "")
-	points, cases := 0, 0
-	for at := 1; ; at++ {
-		for fate := range disk.Outcomes {
-			for draw := range uint64(6) {
+	initial, _ := runWorkload(seed, "")
+	crashPoints, crashes := 0, 0
+	for crashAt := 1; ; crashAt++ {
+		for outcome := range disk.Outcomes {
+			for seedValue := range uint64(6) {
 				d := seed.Clone()
-				d.CrashAt = at
-				promised, taken := work(d, before)
-				if d.Operations() < at { // it never came so far
-					if points < 60 {
-						t.Fatalf("only %d operations", points)
+				d.CrashAt = crashAt
+				acked, submitted := runWorkload(d, initial)
+				if d.Operations() < crashAt { // the workload has fewer operations
+					if crashPoints < 60 {
+						t.Fatalf("only %d operations", crashPoints)
 					}
-					t.Logf("%d operations, %d crashes", points, cases)
+					t.Logf("%d operations, %d crashes", crashPoints, crashes)
 					return
 				}
-				cases++
-				found := d.AfterCrash(fate, draw)
-				r, err := Recover(found, options)
-				if got := fold(r); err != nil || got != promised && got != taken {
-					t.Fatalf("crash at %d, fate %d, draw %d: %v, found %d bytes, want %d or %d", at, fate, draw, err,
-						len(got), len(promised), len(taken))
+				crashes++
+				recovered := d.AfterCrash(outcome, seedValue)
+				r, err := Recover(recovered, options)
+				if got := recoveredState(r); err != nil || got != acked && got != submitted {
+					t.Fatalf("crash at %d, outcome %d, seed %d: %v, recovered %d bytes, want %d or %d", crashAt, outcome, seedValue, err,
+						len(got), len(acked), len(submitted))
 				}
-				if goesOn, _ := work(found, fold(r)); len(goesOn) <= len(promised) {
-					t.Fatalf("crash at %d, fate %d: the store did not go on", at, fate)
+				if continued, _ := runWorkload(recovered, recoveredState(r)); len(continued) <= len(acked) {
+					t.Fatalf("crash at %d, outcome %d: the store did not continue", crashAt, outcome)
 				}
 			}
 		}
-		points++
+		crashPoints++
 	}
 }
 
-// A crash in the recovery after a crash.
-func TestCrashesInARow(t *testing.T) {
+// Crashes also occur during the recovery from an earlier crash.
+func TestRepeatedCrashes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d, promised, taken := disk.New(), "", ""
+		d, acked, submitted := disk.New(), "", ""
 		for range rapid.IntRange(1, 6).Draw(t, "crashes") {
 			d.CrashAt = rapid.IntRange(1, 70).Draw(t, "at")
-			promised, taken = work(d, promised)
-			d = d.AfterCrash(disk.Outcome(rapid.IntRange(0, int(disk.Outcomes)-1).Draw(t, "fate")), rapid.Uint64().Draw(t, "draw"))
+			acked, submitted = runWorkload(d, acked)
+			d = d.AfterCrash(disk.Outcome(rapid.IntRange(0, int(disk.Outcomes)-1).Draw(t, "outcome")), rapid.Uint64().Draw(t, "seed"))
 			r, err := Recover(d, options)
-			if got := fold(r); err != nil || got != promised && got != taken {
-				t.Fatalf("%v: found %d bytes, want %d or %d", err, len(got), len(promised), len(taken))
+			if got := recoveredState(r); err != nil || got != acked && got != submitted {
+				t.Fatalf("%v: recovered %d bytes, want %d or %d", err, len(got), len(acked), len(submitted))
 			} else {
-				promised = got
+				acked = got
 			}
 		}
 	})
 }
 
-// Errors of the file system at every operation: the store says so and, once they are over, begins anew with all
-// that it holds.
+// The file system returns errors from each operation on, for a while. The store must report them and, once they have
+// ended, begin a new generation with its complete state.
 func TestErrorsAtEveryOperation(t *testing.T) {
 	for _, errno := range []error{syscall.ENOSPC, syscall.EROFS, syscall.EIO} {
-		for at := 4; at < 60; at++ {
+		for failAt := 4; failAt < 60; failAt++ {
 			for length := range 3 {
 				d := disk.New()
 				d.Fail = func(op string, n int) error {
-					if n >= at && n <= at+length*4 && op != "lock" && op != "mkdir" {
+					if n >= failAt && n <= failAt+length*4 && op != "lock" && op != "mkdir" {
 						return errno
 					}
 					return nil
@@ -125,7 +124,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				state, promised := "", ""
+				state, acked := "", ""
 				for i := range 12 {
 					record := fmt.Sprintf("%d;", i)
 					state += record
@@ -135,47 +134,47 @@
 						err = s.Append([]byte(record))
 					}
 					if err == nil {
-						promised = state
+						acked = state
 					} else if !errors.Is(err, errno) {
-						t.Fatalf("at %d: %v", at, err)
+						t.Fatalf("at %d: %v", failAt, err)
 					}
 				}
-				for range 20 { // the fault passes
+				for range 20 { // the fault ends
 					if err = s.Compact([]byte(state)); err == nil {
 						break
 					}
 				}
 				if err != nil || s.Append([]byte("end;")) != nil {
-					t.Fatalf("at %d: did not go on: %v", at, err)
+					t.Fatalf("at %d: did not continue: %v", failAt, err)
 				}
-				if r, err := Recover(d.AfterCrash(disk.LoseUnsynced, 0), options); err != nil || fold(r) != state+"end;" {
-					t.Fatalf("at %d: %v: %q, want %q (promised %q)", at, err, fold(r), state, promised)
+				if r, err := Recover(d.AfterCrash(disk.LoseUnsynced, 0), options); err != nil || recoveredState(r) != state+"end;" {
+					t.Fatalf("at %d: %v: %q, want %q (acknowledged %q)", failAt, err, recoveredState(r), state, acked)
 				}
 			}
 		}
 	}
 }
 
-// Every byte of every file flipped, and every file cut at every byte: what is found is a state that was true, and
-// what is lost of it is reported.
-func TestEveryByteAndEveryLength(t *testing.T) {
+// Each byte of each file is flipped, and each file is truncated at each byte. The recovered state must be a prefix of
+// the intact one, and flipped bytes must be reported.
+func TestDamageAtEveryByte(t *testing.T) {
 	d := disk.New()
-	work(d, "")
-	whole, err := Recover(d, options)
-	if err != nil || len(whole.Damage()) > 0 {
-		t.Fatal(err, whole.Damage())
+	runWorkload(d, "")
+	intact, err := Recover(d, options)
+	if err != nil || len(intact.Damage()) > 0 {
+		t.Fatal(err, intact.Damage())
 	}
-	true_ := fold(whole)
+	intactState := recoveredState(intact)
 	check := func(what string, changed *disk.Disk) {
 		r, err := Recover(changed, options)
 		if err != nil {
 			t.Fatalf("%s: %v", what, err)
 		}
-		if got := fold(r); len(got) > len(true_) || got != true_[:len(got)] {
-			t.Fatalf("%s: found %q, which was never true", what, got)
+		if got := recoveredState(r); len(got) > len(intactState) || got != intactState[:len(got)] {
+			t.Fatalf("%s: recovered %q, which is no prefix of the state", what, got)
 		}
 	}
-	for _, f := range whole.Files {
+	for _, f := range intact.Files {
 		name := filepath.Join("d", f.Name)
 		content := d.FileContent(name)
 		for i := range content {
@@ -186,41 +185,41 @@
 				c.SetFile(name, b)
 				check(fmt.Sprintf("%s byte %d ^%x", f.Name, i, bit), c)
 				if r, _ := Recover(c, options); len(r.Damage()) == 0 {
-					t.Fatalf("%s byte %d ^%x: nothing is told", f.Name, i, bit)
+					t.Fatalf("%s byte %d ^%x: no damage is reported", f.Name, i, bit)
 				}
 			}
 			c := d.Clone()
 			c.SetFile(name, content[:i])
-			check(fmt.Sprintf("%s cut at %d", f.Name, i), c)
+			check(fmt.Sprintf("%s truncated at %d", f.Name, i), c)
 		}
 	}
 }
 
-// The newest snapshot can't be read: the one before it and the logs recover the same state.
-func TestOlderGenerationGivesTheSame(t *testing.T) {
+// With an unreadable newest snapshot, the previous one and the logs must recover the same state.
+func TestFallbackToOlderGeneration(t *testing.T) {
 	d := disk.New()
-	want, _ := work(d, "")
+	want, _ := runWorkload(d, "")
 	r, _ := Recover(d, options)
 	newest := filepath.Join("d", r.Files[0].Name)
 	b := d.FileContent(newest)
 	b[len(b)-1]++
 	d.SetFile(newest, b)
 	r, err := Recover(d, options)
-	if err != nil || !r.Fallback || r.RecordsLost || fold(r) != want {
-		t.Fatalf("%v: fallback %v, lost %v: %q, want %q", err, r.Fallback, r.RecordsLost, fold(r), want)
+	if err != nil || !r.Fallback || r.RecordsLost || recoveredState(r) != want {
+		t.Fatalf("%v: fallback %v, lost %v: %q, want %q", err, r.Fallback, r.RecordsLost, recoveredState(r), want)
 	}
-	if got, _ := work(d, fold(r)); len(got) <= len(want) {
-		t.Fatal("did not go on")
+	if got, _ := runWorkload(d, recoveredState(r)); len(got) <= len(want) {
+		t.Fatal("did not continue")
 	}
 }
 
-func TestRefusesOthers(t *testing.T) {
+func TestOpenRejectsForeignFilesAndOptions(t *testing.T) {
 	d := disk.New()
-	work(d, "")
+	runWorkload(d, "")
 	r, _ := Recover(d, options)
 	if o, err := Recover(d, Options{Folder: "d", Tag: "ELSE"}); err != nil || o.Snapshot != nil || !o.RecordsLost ||
 		!errors.Is(o.Files[0].Err, ErrTag) {
-		t.Errorf("another's: %+v", o)
+		t.Errorf("another tag: %+v", o)
 	}
 	for _, f := range r.Files {
 		if f.Snapshot {
@@ -230,17 +229,17 @@
 		}
 	}
 	if o, err := Recover(d, options); err != nil || o.Snapshot != nil || !errors.Is(o.Files[0].Err, ErrVersion) {
-		t.Errorf("newer: %+v", o)
+		t.Errorf("newer version: %+v", o)
 	}
 	if _, _, err := Open(d, Options{Folder: "d", Tag: "long one"}); err == nil {
-		t.Error("a tag of eight bytes")
+		t.Error("accepted a tag of eight bytes")
 	}
 	if _, _, err := Open(d, Options{Folder: "d", Tag: "TEST", Limit: 10}); err == nil {
-		t.Error("a cap of ten bytes")
+		t.Error("accepted a size limit of ten bytes")
 	}
 }
 
-func TestCapOnSize(t *testing.T) {
+func TestSizeLimit(t *testing.T) {
 	d := disk.New()
 	s, _, _ := Open(d, Options{Folder: "d", Tag: "TEST", Limit: MinLimit})
 	s.Compact(nil)
@@ -268,20 +267,21 @@
 	if err := s.Compact(noise); !errors.Is(err, ErrLimit) {
 		t.Error(err)
 	}
-	if err := s.Append([]byte("goes on")); err != nil {
+	if err := s.Append([]byte("continues")); err != nil {
 		t.Error(err)
 	}
 }
 
-// On the machine's own file system: one process at a time, callers share syncs, two generations are kept.
-func TestOnTheMachine(t *testing.T) {
+// On the operating system's file system: a folder is locked against a second process, concurrent callers share syncs,
+// and two generations are kept.
+func TestOnOSFileSystem(t *testing.T) {
 	o := Options{Folder: filepath.Join(t.TempDir(), "a", "b"), Tag: "TEST"}
 	s, _, err := Open(OS{}, o)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, _, err := Open(OS{}, o); !errors.Is(err, ErrLocked) {
-		t.Fatalf("a second one: %v", err)
+		t.Fatalf("second open: %v", err)
 	}
 	for range 4 {
 		if err := s.Compact(nil); err != nil {
@@ -305,7 +305,7 @@
 	}
 	s.Close()
 	if s.Append([]byte("x")) != ErrClosed || s.Compact(nil) != ErrClosed || s.Close() != nil {
-		t.Error("goes on when closed")
+		t.Error("accepts calls after Close")
 	}
 	if s, r, err = Open(OS{}, o); err != nil || len(r.Records) != 500 {
 		t.Fatal(err)
@@ -316,19 +316,19 @@
 	}
 }
 
-// Whatever the files hold, recovery ends without a panic, and returns nothing that no checksum covers.
+// Recovery of arbitrary file contents must not panic, nor return data that isn't covered by a checksum.
 func FuzzRecover(f *testing.F) {
 	d := disk.New()
-	work(d, "")
+	runWorkload(d, "")
 	r, _ := Recover(d, options)
-	whole := fold(r)
+	whole := recoveredState(r)
 	f.Add(d.FileContent(filepath.Join("d", r.Files[0].Name)), d.FileContent(filepath.Join("d", r.Files[1].Name)))
 	f.Fuzz(func(t *testing.T, snapshot, log []byte) {
 		c := disk.New()
 		c.SetFile(filepath.Join("d", r.Files[0].Name), snapshot)
 		c.SetFile(filepath.Join("d", r.Files[1].Name), log)
 		got, err := Recover(c, options)
-		if text := fold(got); err != nil || len(text) > len(whole) || text != whole[:len(text)] {
+		if text := recoveredState(got); err != nil || len(text) > len(whole) || text != whole[:len(text)] {
 			t.Fatalf("%v: %q", err, text)
 		}
 	})
--- a/internal/durable/format.go
+++ b/internal/durable/format.go
@@ -1,7 +1,7 @@
 package durable
 
-// This file owns the form of files: names, headers, frames and checksums. It must never do I/O, allocate by a length
-// that it has not checked, or return a byte that no checksum covers.
+// This file defines the file format: names, headers, frames and checksums. It does no I/O, allocates nothing by an
+// unchecked length, and returns no byte that isn't covered by a checksum.
 
 import (
 	"encoding/binary"
@@ -14,7 +14,7 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// Version is the version of the files that this build writes, and the only one that it reads.
+// Version is the version of the files that this build writes; it reads no other version.
 const Version = 1
 
 const (
@@ -27,7 +27,7 @@
 type fileKind uint16
 
 const (
-	other fileKind = iota
+	otherFile fileKind = iota
 	snapshotFile
 	logFile
 )
@@ -55,7 +55,7 @@
 	case ext == "log":
 		return n, logFile
 	}
-	return 0, other
+	return 0, otherFile
 }
 
 func encodeHeader(kind fileKind, tag string, generation, seq, length uint64) []byte {
@@ -69,7 +69,7 @@
 	return binary.BigEndian.AppendUint32(b, crc32.Checksum(b, castagnoli))
 }
 
-// decodeHeader checks a header. The version goes before the checksum, whose position may differ in a later version.
+// decodeHeader checks a header. It checks the version first, as a later version may have its checksum elsewhere.
 func decodeHeader(kind fileKind, tag string, generation uint64, b []byte) (seq, length uint64, err error) {
 	if len(b) < headerBytes || string(b[:4]) != magic {
 		return 0, 0, fmt.Errorf("head: %w", ErrDamaged)
@@ -108,8 +108,8 @@
 	return binary.BigEndian.AppendUint32(b, crc32.Checksum(body, castagnoli))
 }
 
-// decodeSnapshot returns the state and the sequence number up to which it holds everything. Decompressed it may have
-// eight times as many bytes as the limit.
+// decodeSnapshot returns the state and the sequence number of the last record that it covers. The decompressed state
+// may be up to eight times as long as limit.
 func decodeSnapshot(tag string, generation uint64, b []byte, limit int64) (state []byte, seq uint64, err error) {
 	seq, length, err := decodeHeader(snapshotFile, tag, generation, b)
 	if err != nil {
@@ -147,7 +147,8 @@
 	return append(b, record...)
 }
 
-// nextFrame splits off the first frame, which must have the sequence number. ok is false where it is not complete.
+// nextFrame splits off the first frame, which must have the given sequence number. ok is false if there is no complete
+// frame.
 func nextFrame(b []byte, seq uint64) (record, rest []byte, ok bool) {
 	if len(b) < frameHeaderBytes {
 		return nil, b, false
--- a/internal/durable/latest.go
+++ b/internal/durable/latest.go
@@ -1,15 +1,15 @@
 package durable
 
-// This file owns a store of which only the newest value counts. It must never return a value that may not be the
-// newest that was safe.
+// This file implements a store that keeps only the newest value. It returns an error instead of a value that may be
+// older than the newest synced one.
 
 import "fmt"
 
-// Latest keeps one value. Its methods may not be called from several goroutines at a time.
+// Latest keeps one value. Its methods must not be called concurrently.
 type Latest struct{ store *Store }
 
-// OpenLatest opens a folder and returns the newest value, nil for none. A folder that has lost records is an error: the
-// newest value may have been among them. Operators move the folder away to begin anew.
+// OpenLatest opens a folder and returns the newest value, nil if there is none. It fails if the folder has lost
+// records, as the newest value may be among them; operators then move the folder away to start with an empty one.
 func OpenLatest(folder, tag string, limit int64) (*Latest, []byte, error) {
 	store, recovered, err := Open(OS{}, Options{Folder: folder, Tag: tag, Limit: limit})
 	if err != nil {
@@ -20,25 +20,25 @@
 		value = recovered.Records[n-1]
 	}
 	if recovered.RecordsLost {
-		err = fmt.Errorf("folder: %s has lost records; move it away to begin anew", folder)
+		err = fmt.Errorf("folder: %s has lost records; move it away to start with an empty one", folder)
 	} else {
 		err = store.Compact(value)
 	}
 	if err != nil {
-		_ = store.Close() // err is what went wrong
+		_ = store.Close() // the first error is the relevant one
 		return nil, nil, err
 	}
 	return &Latest{store}, value, nil
 }
 
-// Save takes a value and returns when it is safe.
+// Save stores a value and returns when it is synced.
 func (l *Latest) Save(value []byte) error {
 	err := l.store.Append(value)
-	if err != nil || l.store.NeedsCompaction() { // a new generation takes records again
+	if err != nil || l.store.NeedsCompaction() { // after a failure, a new generation accepts records again
 		return l.store.Compact(value)
 	}
 	return nil
 }
 
-// Close unlocks the folder.
+// Close closes the store and unlocks its folder.
 func (l *Latest) Close() error { return l.store.Close() }
--- a/internal/durable/recorded_test.go
+++ b/internal/durable/recorded_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Files as the build of the first version wrote them: this build writes the same bytes and reads them.
+// Recorded files of the first version: this build must write the same bytes and read them.
 func TestRecordedFiles(t *testing.T) {
 	const tag, generation, seq = "TEST", 7, 41
 	const snapshotForm = "57574442000100015445535400000000000000070000000000000029000000000000002b" +
@@ -19,7 +19,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if x.got != x.want {
-				t.Errorf("%s, recorded as %s", x.got, x.want)
+				t.Errorf("%s, recorded %s", x.got, x.want)
 			}
 		})
 	}
@@ -31,6 +31,6 @@
 		t.Errorf("read as %q, %d, %v", got, n, err)
 	}
 	if _, _, err := decodeSnapshot("LRND", generation, recorded, 1<<20); !errors.Is(err, ErrTag) {
-		t.Errorf("another's state: %v", err)
+		t.Errorf("state with another tag: %v", err)
 	}
 }
--- a/internal/durable/recover.go
+++ b/internal/durable/recover.go
@@ -1,7 +1,7 @@
 package durable
 
-// This file owns recovery: which files of a folder are trusted, and how far. It must never change a file, and never
-// return a record without all that precede it.
+// This file implements recovery: it decides which files of a folder are valid, and up to which record. It changes no
+// file, and returns no record without all records that precede it.
 
 import (
 	"errors"
@@ -12,46 +12,46 @@
 	"slices"
 )
 
-// Recovered is what a folder holds: a snapshot and the records that followed it, up to the last complete one.
+// Recovered is the content of a folder: a snapshot and the records that followed it, up to the last complete one.
 type Recovered struct {
 	Snapshot []byte // nil for none
 	Records  [][]byte
 	Seq      uint64 // of the last record
 	Files    []FileReport
-	// Fallback: the newest snapshot could not be read, and the one before it was taken, with its log.
+	// Fallback reports that the newest snapshot was unreadable and an older one was used, with its log.
 	Fallback bool
-	// RecordsLost: records that are known to have been there could not be recovered.
+	// RecordsLost reports that records that once existed could not be recovered.
 	RecordsLost      bool
-	newestGeneration uint64 // of which there is a file, readable or not
+	newestGeneration uint64 // of all files, readable or not
 }
 
-// FileReport says how one file was found.
+// FileReport describes the condition of one file.
 type FileReport struct {
 	Name       string
 	Generation uint64
-	Snapshot   bool // else a log
+	Snapshot   bool // a log otherwise
 	Bytes      int64
-	Seq        uint64 // up to which it holds everything
+	Seq        uint64 // of the last record that the file covers
 	Records    int
-	Tail       int64 // bytes behind the last complete record
-	Err        error // why it could not be read; a tail alone is none
+	Tail       int64 // bytes after the last complete record
+	Err        error // why it is unreadable; nil if it only has a tail
 }
 
-// Damage lists the files that could not be read or broke off. A crash during a write leaves a tail; anything else is
-// damage.
+// Damage returns an error for each unreadable file and each log with an incomplete tail. A crash during a write leaves
+// a tail; an unreadable file is damaged.
 func (r *Recovered) Damage() (errs []error) {
 	for _, f := range r.Files {
 		if f.Err != nil {
 			errs = append(errs, fmt.Errorf("%s: %w", f.Name, f.Err))
 		} else if f.Tail > 0 {
-			errs = append(errs, fmt.Errorf("%s: %d bytes behind the last whole record", f.Name, f.Tail))
+			errs = append(errs, fmt.Errorf("%s: %d bytes after the last complete record", f.Name, f.Tail))
 		}
 	}
 	return errs
 }
 
-// Recover reads a folder without locking or changing it. The error is the file system's: damage is reported in the
-// result, and a folder that is missing is an empty one.
+// Recover reads a folder without locking or changing it. It returns only errors of the file system: damage is reported
+// in the result, and a missing folder counts as empty.
 func Recover(files FS, options Options) (r Recovered, err error) {
 	if options.Limit == 0 {
 		options.Limit = defaultLimit
@@ -67,16 +67,16 @@
 	return reading.read(), nil
 }
 
-// recovery is the reading of one folder.
+// recovery reads one folder.
 type recovery struct {
 	files   FS
 	options Options
-	// snapshots and logs are the generations of which there is such a file.
+	// snapshots and logs hold the generations that have a file of the kind.
 	snapshots, logs map[uint64]bool
 	result          Recovered
 }
 
-// sort sorts a folder's files by their kinds.
+// sort records which generations have a snapshot and which have a log.
 func (r *recovery) sort(names []string) {
 	for _, name := range names {
 		generation, kind := parseName(name)
@@ -92,7 +92,7 @@
 	}
 }
 
-// read takes the newest snapshot that can be read, with the records behind it.
+// read loads the newest readable snapshot, with the records that follow it.
 func (r *recovery) read() Recovered {
 	generations := slices.Sorted(maps.Keys(r.snapshots))
 	slices.Reverse(generations)
@@ -100,7 +100,7 @@
 		state, report := r.readSnapshot(generation)
 		r.result.Files = append(r.result.Files, report)
 		if report.Err == nil && r.result.Snapshot == nil {
-			r.result.Snapshot, r.result.Seq, r.result.Fallback = notNil(state), report.Seq, i > 0
+			r.result.Snapshot, r.result.Seq, r.result.Fallback = nonNil(state), report.Seq, i > 0
 			r.replay(generation)
 		}
 	}
@@ -121,15 +121,15 @@
 	return state, report
 }
 
-func notNil(b []byte) []byte {
+func nonNil(b []byte) []byte {
 	if b == nil {
 		return []byte{}
 	}
 	return b
 }
 
-// replay adds the records behind a snapshot: those of its own log and, while each log starts where the one before it
-// ended, those of newer generations whose snapshots could not be read.
+// replay adds the records after a snapshot: those of its own log and, while each log starts where the previous one
+// ended, those of newer generations whose snapshots were unreadable.
 func (r *recovery) replay(snapshot uint64) {
 	newest := r.result.newestGeneration
 	for generation := snapshot; generation <= newest; generation++ {
@@ -148,7 +148,7 @@
 	}
 }
 
-// readLog adds the records of a log that starts where the records so far end.
+// readLog adds the records of a log, which must start where the records read so far end.
 func (r *recovery) readLog(generation uint64) FileReport {
 	report := FileReport{Name: logName(generation), Generation: generation}
 	text, err := r.files.ReadFile(filepath.Join(r.options.Folder, report.Name), r.options.Limit)
--- a/internal/durable/store.go
+++ b/internal/durable/store.go
@@ -1,6 +1,6 @@
 package durable
 
-// This file owns the store that is written to: its state, group commit, and its limit on size.
+// This file implements the open store: its state, group commit, and the size limit.
 
 import (
 	"errors"
@@ -11,61 +11,62 @@
 	"sync"
 )
 
-// Options name a store.
+// Options configure a store.
 type Options struct {
 	Folder string
-	Tag    string // four bytes that name the kind of state; files of another kind are rejected
-	Limit  int64  // bytes of all files together; 0 for 16 MiB
+	Tag    string // four bytes that identify the kind of state; files with another tag are rejected
+	Limit  int64  // maximum bytes of all files together; 0 for 16 MiB
 }
 
-// MinLimit is the lowest limit that a store takes, in bytes.
+// MinLimit is the lowest permitted size limit, in bytes.
 const MinLimit = 64 << 10
 
 const (
 	defaultLimit   = 16 << 20
 	maxRecordBytes = 1 << 20  // of one record
-	minLogBytes    = 64 << 10 // no log is compacted for its length before
-	logFactor      = 4        // a log is compacted when it is so many times as long as its snapshot
+	minLogBytes    = 64 << 10 // shorter logs are not compacted
+	logFactor      = 4        // a log is compacted when it is longer than this multiple of its snapshot
 	lockName       = "lock"
 	tempSuffix     = ".tmp"
 )
 
-// Errors that callers tell apart.
+// Errors that callers distinguish.
 var (
-	ErrLocked         = errors.New("durable: another process holds the folder")
-	ErrLimit          = errors.New("durable: the cap on size is reached")
+	ErrLocked         = errors.New("durable: another process has locked the folder")
+	ErrLimit          = errors.New("durable: the size limit is reached")
 	ErrClosed         = errors.New("durable: closed")
-	ErrRecordTooLarge = errors.New("durable: a record is too long")
+	ErrRecordTooLarge = errors.New("durable: record too large")
 )
 
-// Store is a state that is kept. Its methods may be called from several goroutines. After an error of the file system
-// it takes no records until Compact has begun a new generation.
+// Store keeps a state on disk. Its methods may be called concurrently. After a file system error it accepts no records
+// until Compact has begun a new generation.
 type Store struct {
 	fs      FS
 	options Options
 	lock    io.Closer // of the folder
 
-	compactMu sync.Mutex // held through Compact, SetLimit and Close; locked before mu
+	compactMu sync.Mutex // held during Compact, SetLimit and Close; locked before mu
 
-	mu            sync.Mutex // guards what follows
-	written       *sync.Cond // a write has ended, or the store is closed
+	mu            sync.Mutex // guards the fields below
+	written       *sync.Cond // signals the end of a write, or that the store is closed
 	log           File       // nil before the first Compact
 	generation    uint64
-	lastSeq       uint64 // of the last record taken; never under syncedSeq
-	syncedSeq     uint64 // of the last record that is safe
-	pending       []byte // frames of the records after those being written
-	spare         []byte // the buffer that was written last, to be used again
-	writing       bool   // a goroutine writes to the log, without mu
-	failed        error  // of the file system, since this generation began
+	lastSeq       uint64 // of the last record accepted; at least syncedSeq
+	syncedSeq     uint64 // of the last record that is synced
+	pending       []byte // frames of accepted records that are not yet being written
+	freeBuffer    []byte // the buffer of the last write, for reuse
+	writing       bool   // a goroutine is writing to the log without holding mu
+	failed        error  // the file system error that ended this generation
 	closed        bool
 	snapshotBytes int64 // of this generation
 	logBytes      int64
-	previousBytes int64 // of the generation before
-	totalWritten  int64 // since Open, snapshots included
+	previousBytes int64 // of the previous generation
+	totalWritten  int64 // since Open, including snapshots
 }
 
-// Open locks a folder, creates it if it is missing, and recovers what is in it. The store takes records once Compact
-// has been given the state that follows from what was recovered. ErrLocked: another process has the folder open.
+// Open locks a folder, creating it if it is missing, and recovers its content. The store accepts records after Compact
+// has been called with the state that follows from the recovered content. It returns ErrLocked if another process has
+// the folder open.
 func Open(fs FS, options Options) (*Store, Recovered, error) {
 	if len(options.Tag) != tagBytes {
 		return nil, Recovered{}, fmt.Errorf("durable: tag %q is not of %d bytes", options.Tag, tagBytes)
@@ -74,7 +75,7 @@
 		options.Limit = defaultLimit
 	}
 	if options.Limit < MinLimit {
-		return nil, Recovered{}, fmt.Errorf("durable: a cap of %d bytes is under %d", options.Limit, MinLimit)
+		return nil, Recovered{}, fmt.Errorf("durable: a size limit of %d bytes is below %d", options.Limit, MinLimit)
 	}
 	if err := fs.MkdirAll(options.Folder); err != nil {
 		return nil, Recovered{}, err
@@ -100,8 +101,8 @@
 	return s, recovered, nil
 }
 
-// Append takes records and returns when they are safe: all of them, or none where it returns one of the package's
-// errors at once. After an error of a write it is not known which are.
+// Append appends records and returns when all of them are synced. If it fails with one of the package's errors, none of
+// them was accepted. After a write error it is unknown which of them are on disk.
 func (s *Store) Append(records ...[]byte) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -127,7 +128,7 @@
 	return s.sync(s.lastSeq)
 }
 
-// framesSize is the size of records in a log.
+// framesSize returns the size of records in a log.
 func framesSize(records [][]byte) (size int64, err error) {
 	for _, r := range records {
 		if len(r) > maxRecordBytes {
@@ -138,7 +139,7 @@
 	return size, nil
 }
 
-// sync returns when the record of a sequence number is safe. The caller holds mu, which is released meanwhile.
+// sync returns when the record with a sequence number is synced. The caller holds mu, which is released while waiting.
 func (s *Store) sync(seq uint64) error {
 	for s.syncedSeq < seq {
 		switch {
@@ -153,17 +154,17 @@
 	return nil
 }
 
-// flush writes and syncs what is pending. The caller holds mu, which is released meanwhile.
+// flush writes and syncs the pending frames. The caller holds mu, which is released during the write.
 func (s *Store) flush() {
 	batch, seq, log := s.pending, s.lastSeq, s.log
-	s.pending, s.writing = s.spare[:0], true
+	s.pending, s.writing = s.freeBuffer[:0], true
 	s.mu.Unlock()
 	_, err := log.Write(batch)
 	if err == nil {
 		err = log.Sync()
 	}
 	s.mu.Lock()
-	s.writing, s.spare = false, batch
+	s.writing, s.freeBuffer = false, batch
 	s.logBytes += int64(len(batch))
 	s.totalWritten += int64(len(batch))
 	if err != nil {
@@ -174,10 +175,10 @@
 	s.written.Broadcast()
 }
 
-// total is the size of all files; the caller holds mu.
+// total returns the size of all files. The caller holds mu.
 func (s *Store) total() int64 { return s.snapshotBytes + s.logBytes + s.previousBytes }
 
-// SetLimit changes the limit on size, in bytes, but not to less than MinLimit.
+// SetLimit changes the size limit, in bytes, to at least MinLimit.
 func (s *Store) SetLimit(limit int64) {
 	s.compactMu.Lock()
 	defer s.compactMu.Unlock()
@@ -186,14 +187,14 @@
 	s.options.Limit = max(limit, MinLimit)
 }
 
-// CheckLog returns an error where the log is no longer in its folder: a file that was removed still takes writes. The
-// store has then failed.
+// CheckLog returns an error if the log is no longer in its folder: writes to a removed file still succeed. The store
+// has then failed.
 func (s *Store) CheckLog() error {
 	names, err := s.fs.List(s.options.Folder)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err == nil && s.log != nil && !slices.Contains(names, logName(s.generation)) {
-		err = errors.New("durable: the log has gone from its folder")
+		err = errors.New("durable: the log is missing from its folder")
 	}
 	if err != nil && s.failed == nil {
 		s.failed = err
@@ -201,14 +202,14 @@
 	return err
 }
 
-// BytesWritten is how many bytes have been written since Open.
+// BytesWritten returns the number of bytes written since Open.
 func (s *Store) BytesWritten() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.totalWritten
 }
 
-// Close closes the store and unlocks the folder. It writes nothing: what Append returned for is safe already.
+// Close closes the store and unlocks the folder. It writes nothing: appended records are synced already.
 func (s *Store) Close() error {
 	s.compactMu.Lock()
 	defer s.compactMu.Unlock()
--- a/internal/ledger/golden_test.go
+++ b/internal/ledger/golden_test.go
@@ -23,55 +23,55 @@
 		golden.Of("empty", snapshot{Version: version})})
 }
 
-// Texts that operators read, and prints that outlive a build.
+// Error texts that operators read, and fingerprints, which are stored.
 func TestRecordedTexts(t *testing.T) {
 	golden.Text(t, "testdata/texts.golden", []golden.Case[string]{
 		golden.Of("rules", Limits{Retention: -1.5, Keys: 2, TotalBytes: 3, AnswerBytes: 4}.Check().Error()),
-		golden.Of("form", ErrForm.Error()),
+		golden.Of("form", ErrFormat.Error()),
 		golden.Of("print", fmt.Sprint(Fingerprint([]byte("insert into t")))),
 	})
 }
 
-// What becomes of keys, over many seeded histories with restarts, is what it was when the digest was recorded.
+// The states of keys over many seeded histories with restarts must match the recorded digest.
 func TestRecordedDecisions(t *testing.T) {
 	digest := fnv.New64a()
 	for seed := range uint64(80) {
-		draw, now := rand.New(rand.NewPCG(seed, 1)), 0.0
-		limits := Limits{Retention: 500, Keys: 5 + draw.IntN(4), TotalBytes: 1500, AnswerBytes: 20}
-		b := New(limits)
+		random, now := rand.New(rand.NewPCG(seed, 1)), 0.0
+		limits := Limits{Retention: 500, Keys: 5 + random.IntN(4), TotalBytes: 1500, AnswerBytes: 20}
+		table := New(limits)
 		var snap []byte
 		var log [][]byte
 		for range 400 {
-			now += 40 * draw.Float64()
-			key := fmt.Sprint("k", draw.IntN(9))
-			switch n := draw.IntN(20); {
+			now += 40 * random.Float64()
+			key := fmt.Sprint("k", random.IntN(9))
+			switch n := random.IntN(20); {
 			case n < 9:
-				verdict, answer, record := b.Begin(now, key, uint64(draw.IntN(8)/7))
+				verdict, answer, record := table.Begin(now, key, uint64(random.IntN(8)/7))
 				fmt.Fprintf(digest, "%d %x %x\n", verdict, answer, record)
 				if record != nil {
 					log = append(log, record)
 				}
 			case n < 16:
-				record := b.Finish(now, key, State(draw.IntN(4)), make([]byte, draw.IntN(30)))
+				record := table.Finish(now, key, State(random.IntN(4)), make([]byte, random.IntN(30)))
 				fmt.Fprintf(digest, "%x\n", record)
 				if record != nil {
 					log = append(log, record)
 				}
 			case n < 18:
-				b.Expire(now)
+				table.Expire(now)
 			case n < 19:
-				snap, log = b.Snapshot(), nil
+				snap, log = table.Snapshot(), nil
 			default:
 				var err error
-				if b, err = Load(limits, now, snap, log[:len(log)-draw.IntN(1+len(log)/4)]); err != nil {
+				if table, err = Load(limits, now, snap, log[:len(log)-random.IntN(1+len(log)/4)]); err != nil {
 					t.Fatal(err)
 				}
-				snap, log = b.Snapshot(), nil
+				snap, log = table.Snapshot(), nil
 			}
-			open, acked, unknown, bytes := b.Counts()
+			open, acked, unknown, bytes := table.Counts()
 			fmt.Fprintf(digest, "%d %d %d %d %x\n", open, acked, unknown, bytes, snap)
 		}
-		if again, err := Load(limits, 0, b.Snapshot(), nil); err != nil || reflect.DeepEqual(again, New(limits)) != (len(b.entries) == 0) {
+		if again, err := Load(limits, 0, table.Snapshot(), nil); err != nil || reflect.DeepEqual(again, New(limits)) != (len(table.entries) == 0) {
 			t.Fatal(err, again)
 		}
 	}
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -5,10 +5,10 @@
 	"slices"
 )
 
-// State is how far a key has come; doc.go has a table.
+// State is the state of a key; the package documentation has a table.
 type State uint8
 
-// The states of a key. Their numbers are in stored records.
+// The states of a key. Their numbers are stored in records.
 const (
 	StateFree State = iota
 	StateOpen
@@ -16,27 +16,27 @@
 	StateUnknown
 )
 
-// Verdict says what is to be done with an op that names a key.
+// Verdict states how an op with a key is handled.
 type Verdict uint8
 
 // The verdicts.
 const (
-	Execute    Verdict = iota // the key is begun: execute the op once its record is safe
-	Replay                    // it was acked: give the answer that is kept
-	AnswerLost                // it was acked, and its answer isn't kept
-	InDoubt                   // it may have taken effect: an error that says so
-	InProgress                // an op with this key is open: busy, retry
-	TableFull                 // there is no room for another key: busy, retry
-	Conflict                  // the key was used with another statement: bad input
+	Execute    Verdict = iota // the key is begun: execute the op after its record is on disk
+	Replay                    // the op was acked: return the stored answer
+	AnswerLost                // the op was acked, and its answer isn't stored
+	InDoubt                   // the op may have taken effect: return an error that says so
+	InProgress                // an op with this key is open: the client may retry
+	TableFull                 // the table has no room for another key: the client may retry
+	Conflict                  // the key was used with a different statement: reject the op
 )
 
-// Table is the keys that are known.
+// Table holds the known keys.
 type Table struct {
 	limits  Limits
 	entries map[string]*entry // by key; none is in StateFree
 	bytes   int               // of all entries, by entrySize
-	// expiries has each finished key with when it was finished, oldest first. A key that has been begun anew since
-	// may stand in it more than once; Expire skips those whose entry is newer.
+	// expiries lists the finished keys with the time at which they finished, oldest first. A key that was begun again
+	// may occur more than once; Expire skips the occurrences that are older than the key's entry.
 	expiries []expiry
 }
 
@@ -45,18 +45,18 @@
 	key   string
 }
 
-// New makes an empty table.
+// New returns an empty table.
 func New(limits Limits) *Table { return &Table{limits: limits, entries: map[string]*entry{}} }
 
-// Fingerprint tells one statement from another.
+// Fingerprint returns a hash that distinguishes statements.
 func Fingerprint(statement []byte) uint64 {
 	h := fnv.New64a()
-	_, _ = h.Write(statement) // a hash takes all
+	_, _ = h.Write(statement) // hash.Hash never returns an error
 	return h.Sum64()
 }
 
-// Begin says what is to be done with an op at a time in milliseconds. With Execute its key is begun, and the record
-// has to be safe before anything is sent.
+// Begin decides how to handle an op; now is in milliseconds. With Execute it begins the key, and the returned record
+// must be on disk before anything is sent.
 func (t *Table) Begin(now float64, key string, fingerprint uint64) (verdict Verdict, answer, begun []byte) {
 	t.Expire(now)
 	if e := t.entries[key]; e != nil {
@@ -71,7 +71,7 @@
 	return Execute, nil, encode(record{key, e})
 }
 
-// verdict is what a known key means for another op.
+// verdict returns the verdict on another op with a known key, and the stored answer.
 func (e *entry) verdict(fingerprint uint64) (verdict Verdict, answer []byte) {
 	switch {
 	case e.Fingerprint != fingerprint:
@@ -86,8 +86,8 @@
 	return Replay, e.Answer
 }
 
-// Finish sets what became of a key that was begun here: StateAcked with its answer, StateFree where it is proved that
-// nothing ran, or StateUnknown. It returns nil where the key isn't open.
+// Finish sets the final state of a key that was begun here: StateAcked with its answer, StateFree if the op is proved
+// not to have run, or StateUnknown. It returns the record, or nil if the key isn't open.
 func (t *Table) Finish(now float64, key string, state State, answer []byte) (finished []byte) {
 	open := t.entries[key]
 	if open == nil || open.State != StateOpen || state == StateOpen {
@@ -95,7 +95,7 @@
 	}
 	e := entry{State: state, Fingerprint: open.Fingerprint, ChangedAt: now}
 	if state == StateAcked {
-		// Begin made sure of room for an answer, but others may have begun since.
+		// Begin checked for room for one answer, but other keys may have begun since.
 		if e.TooLong = len(answer) > t.limits.AnswerBytes || t.bytes+len(answer) > t.limits.TotalBytes; !e.TooLong {
 			e.Answer = slices.Clone(answer)
 		}
@@ -107,7 +107,7 @@
 	return encode(record{key, e})
 }
 
-// Expire forgets the keys whose retention is over. Open keys stay.
+// Expire removes the keys whose retention is over. Open keys stay.
 func (t *Table) Expire(now float64) {
 	n := 0
 	for ; n < len(t.expiries) && now-t.expiries[n].since >= t.limits.Retention; n++ {
@@ -119,7 +119,7 @@
 	t.expiries = slices.Delete(t.expiries, 0, n)
 }
 
-// put replaces a key's entry; one in StateFree removes it.
+// put replaces a key's entry, or removes it if the new entry is in StateFree.
 func (t *Table) put(key string, e entry) {
 	if old := t.entries[key]; old != nil {
 		t.bytes -= entrySize(key, old)
@@ -133,7 +133,7 @@
 
 func entrySize(key string, e *entry) int { return entryOverhead + len(key) + len(e.Answer) }
 
-// Counts says how many keys there are by state, and how many bytes they take, about.
+// Counts returns the number of keys by state, and their approximate size in bytes.
 func (t *Table) Counts() (open, acked, unknown, bytes int) {
 	for _, e := range t.entries {
 		switch e.State {
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -10,7 +10,7 @@
 
 var testLimits = Limits{Retention: 1000, Keys: 100, TotalBytes: 1 << 20, AnswerBytes: 50}
 
-// A key is executed once; a retry gets what came of it.
+// An op with a key is executed once; a retry gets the result of the first execution.
 func TestVerdicts(t *testing.T) {
 	table := New(testLimits)
 	begin := func(now float64, key, statement string, want Verdict) []byte {
@@ -26,10 +26,10 @@
 	begin(2, "a", "y", Conflict)
 	table.Finish(3, "a", StateAcked, []byte("rows"))
 	if string(begin(4, "a", "x", Replay)) != "rows" {
-		t.Error("another answer")
+		t.Error("the stored answer is not replayed")
 	}
 	if table.Finish(5, "a", StateFree, nil) != nil {
-		t.Error("a key ends twice")
+		t.Error("a finished key was finished again")
 	}
 	begin(5, "b", "x", Execute)
 	table.Finish(6, "b", StateFree, nil)
@@ -40,18 +40,18 @@
 	table.Finish(9, "c", StateAcked, make([]byte, 51))
 	begin(10, "c", "x", AnswerLost)
 	begin(1002, "a", "x", Replay)
-	begin(1003, "a", "x", Execute) // its time is over
+	begin(1003, "a", "x", Execute) // its retention is over
 	begin(1008, "b", "x", Execute)
 	if open, acked, unknown, _ := table.Counts(); open != 2 || acked != 1 || unknown != 0 {
 		t.Error(open, acked, unknown)
 	}
 }
 
-// A full table takes no further key rather than forget one that may be retried.
+// A full table rejects new keys instead of dropping a key that may be retried.
 func TestCapacity(t *testing.T) {
-	r := testLimits
-	r.Keys = 3
-	table := New(r)
+	limits := testLimits
+	limits.Keys = 3
+	table := New(limits)
 	for i := range 3 {
 		if v, _, _ := table.Begin(1, fmt.Sprint(i), 1); v != Execute {
 			t.Fatal(v)
@@ -62,11 +62,11 @@
 		t.Error(v)
 	}
 	if v, _, _ := table.Begin(1002, "more", 1); v != Execute {
-		t.Error("no room behind the end of a key's time:", v)
+		t.Error("no room after a key's retention:", v)
 	}
-	r = testLimits
-	r.TotalBytes = 2000
-	table = New(r)
+	limits = testLimits
+	limits.TotalBytes = 2000
+	table = New(limits)
 	n := 0
 	for ; ; n++ {
 		if v, _, _ := table.Begin(1, fmt.Sprint(n), 1); v != Execute {
@@ -79,7 +79,7 @@
 	}
 	for _, bad := range []Limits{{}, {Retention: 1, Keys: 1, TotalBytes: 10}, {Retention: -1, Keys: 1, TotalBytes: 1000}} {
 		if bad.Check() == nil {
-			t.Errorf("%+v is taken", bad)
+			t.Errorf("%+v is accepted", bad)
 		}
 	}
 	if testLimits.Check() != nil {
@@ -87,17 +87,17 @@
 	}
 }
 
-// Whatever is begun, whenever the driver crashes, and however much of the log its disk kept: a key runs at most once
-// within its retention, and a retry of an acked one never runs.
+// For any sequence of ops, crashes and losses of unsynced log records, a key runs at most once within its retention,
+// and a retry of an acked key never runs.
 func TestKeysRunAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := Limits{Retention: 500, Keys: 6, TotalBytes: 4000, AnswerBytes: 20}
-		table := New(r)
+		limits := Limits{Retention: 500, Keys: 6, TotalBytes: 4000, AnswerBytes: 20}
+		table := New(limits)
 		var snap []byte
 		var log [][]byte
-		safe := 0 // records of the log that the disk has for sure
+		synced := 0 // records of the log that are certainly on disk
 		now := 0.0
-		effects := map[string][]float64{} // by key: when it ran
+		effects := map[string][]float64{} // by key: when it was executed
 		open := map[string]bool{}
 		acked := map[string]float64{}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -106,7 +106,7 @@
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0, 1, 2:
 				v, answer, rec := table.Begin(now, key, 1)
-				if at, is := acked[key]; is && now-at < r.Retention && v != Replay && v != TableFull {
+				if at, is := acked[key]; is && now-at < limits.Retention && v != Replay && v != TableFull {
 					t.Fatalf("%s was acked at %v and gets %d at %v", key, at, v, now)
 				}
 				if v == Replay && string(answer) != key {
@@ -116,14 +116,14 @@
 					break
 				}
 				log = append(log, rec)
-				safe = len(log) // written ahead
+				synced = len(log) // written before execution
 				if open[key] {
 					t.Fatalf("%s is executed twice at a time", key)
 				}
 				open[key] = true
 				if rapid.Bool().Draw(t, "runs") {
 					for _, at := range effects[key] {
-						if now-at < r.Retention {
+						if now-at < limits.Retention {
 							t.Fatalf("%s ran at %v and again at %v", key, at, now)
 						}
 					}
@@ -133,7 +133,7 @@
 				if !open[key] {
 					break
 				}
-				ran := len(effects[key]) > 0 && now-effects[key][len(effects[key])-1] < r.Retention
+				ran := len(effects[key]) > 0 && now-effects[key][len(effects[key])-1] < limits.Retention
 				var rec []byte
 				switch {
 				case ran && rapid.Bool().Draw(t, "answered"):
@@ -150,17 +150,17 @@
 				delete(open, key)
 			case 5:
 				if rapid.Bool().Draw(t, "compacts") {
-					snap, log, safe = table.Snapshot(), nil, 0
+					snap, log, synced = table.Snapshot(), nil, 0
 					break
 				}
-				log = log[:rapid.IntRange(safe, len(log)).Draw(t, "kept")]
+				log = log[:rapid.IntRange(synced, len(log)).Draw(t, "kept")]
 				var err error
-				if table, err = Load(r, now, snap, log); err != nil {
+				if table, err = Load(limits, now, snap, log); err != nil {
 					t.Fatal(err)
 				}
 				open = map[string]bool{}
-				clear(acked) // an ack whose record was lost is in doubt, which is no second effect; the effects are checked
-				safe = len(log)
+				clear(acked) // a lost ack leaves its key in doubt, which permits no second execution; executions are still checked
+				synced = len(log)
 			}
 		}
 	})
@@ -174,7 +174,7 @@
 		records [][]byte
 	}{{[]byte("no"), nil}, {nil, [][]byte{[]byte("no")}}, {nil, [][]byte{rec[:len(rec)-1]}}, {nil, [][]byte{encode(record{})}}} {
 		if _, err := Load(testLimits, 1, c.snap, c.records); err == nil {
-			t.Errorf("%d is read", i)
+			t.Errorf("case %d is accepted", i)
 		}
 	}
 	again, err := Load(testLimits, 5, table.Snapshot(), [][]byte{rec})
@@ -182,7 +182,7 @@
 		t.Fatal(err)
 	}
 	if v, _, _ := again.Begin(6, "a", 7); v != InDoubt {
-		t.Error("what was open when its driver crashed is not in doubt:", v)
+		t.Error("a key that was open at a crash is not in doubt:", v)
 	}
 }
 
@@ -197,8 +197,8 @@
 }
 
 func BenchmarkLoadMillion(b *testing.B) {
-	r := Limits{Retention: 1e9, Keys: 1 << 30, TotalBytes: 1 << 40, AnswerBytes: 100}
-	table := New(r)
+	limits := Limits{Retention: 1e9, Keys: 1 << 30, TotalBytes: 1 << 40, AnswerBytes: 100}
+	table := New(limits)
 	for i := range 1000000 {
 		key := fmt.Sprintf("key-%08d", i)
 		table.Begin(float64(i), key, 1)
@@ -207,7 +207,7 @@
 	snap := table.Snapshot()
 	b.ReportMetric(float64(len(snap))/(1<<20), "MB")
 	for b.Loop() {
-		if _, err := Load(r, 1e6, snap, nil); err != nil {
+		if _, err := Load(limits, 1e6, snap, nil); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/ledger/limits.go
+++ b/internal/ledger/limits.go
@@ -5,24 +5,24 @@
 	"math"
 )
 
-// Limits bound a table.
+// Limits bound the contents of a table.
 type Limits struct {
-	Retention   float64 // milliseconds that a key is remembered after it was finished
-	Keys        int     // at a time
-	TotalBytes  int     // of keys and answers together, with entryOverhead for each
-	AnswerBytes int     // of one answer that is kept; of a longer one only that it was given
+	Retention   float64 // milliseconds for which a finished key is kept
+	Keys        int     // maximum number of keys
+	TotalBytes  int     // maximum size of keys and answers, including entryOverhead for each entry
+	AnswerBytes int     // maximum size of one stored answer; longer answers are dropped
 }
 
 const (
-	entryOverhead = 96  // bytes that an entry takes beside its key and answer, about
-	minKeyBytes   = 256 // room for a key beside an answer that there must be
+	entryOverhead = 96  // approximate size of an entry without its key and answer, in bytes
+	minKeyBytes   = 256 // minimum room for a key beside a maximum answer
 )
 
-// Check says what is wrong with limits.
+// Check returns an error if the limits are invalid.
 func (l Limits) Check() error {
 	if !(l.Retention > 0) || math.IsInf(l.Retention, 0) || l.Keys < 1 || l.AnswerBytes < 0 ||
 		l.TotalBytes < l.AnswerBytes+entryOverhead+minKeyBytes {
-		return fmt.Errorf("ledger: {Keep:%v Keys:%d Bytes:%d Answer:%d} makes no sense", // as the settings are named
+		return fmt.Errorf("ledger: {Keep:%v Keys:%d Bytes:%d Answer:%d} makes no sense", // the settings' names
 			l.Retention, l.Keys, l.TotalBytes, l.AnswerBytes)
 	}
 	return nil
--- a/internal/ledger/record.go
+++ b/internal/ledger/record.go
@@ -9,21 +9,21 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// ErrForm says that a saved ledger can't be read.
-var ErrForm = errors.New("ledger: not a book of this version")
+// ErrFormat reports a saved ledger that can't be read.
+var ErrFormat = errors.New("ledger: not a book of this version")
 
-const version = 1 // of the stored forms
+const version = 1 // of the stored format
 
-// entry is what is known of a key.
+// entry is the stored state of a key.
 type entry struct {
 	State       State   `cbor:"1,keyasint"`
 	Fingerprint uint64  `cbor:"2,keyasint"` // of the statement
 	ChangedAt   float64 `cbor:"3,keyasint"` // when State was set, in milliseconds
 	Answer      []byte  `cbor:"4,keyasint,omitempty"`
-	TooLong     bool    `cbor:"5,keyasint,omitempty"` // acked, but there was no room for its answer
+	TooLong     bool    `cbor:"5,keyasint,omitempty"` // acked, but its answer did not fit
 }
 
-// record is an entry in the log or a snapshot; one in StateFree removes the key.
+// record is an entry in the log or in a snapshot. A record in StateFree removes the key.
 type record struct {
 	Key string `cbor:"6,keyasint"`
 	entry
@@ -34,7 +34,7 @@
 	Entries []record `cbor:"2,keyasint"`
 }
 
-// decoder reads a table of any size that Limits may allow: the library's own limit on lists is lower.
+// decoder allows tables of any size that Limits permit, as the library's default limit on arrays is lower.
 var decoder = func() cbor.DecMode {
 	m, err := cbor.DecOptions{MaxArrayElements: 16 << 20}.DecMode()
 	if err != nil {
@@ -43,14 +43,14 @@
 	return m
 }()
 
-// Load makes a table of a snapshot, nil for none, and the records behind it. What was open when they were written is
-// unknown now. Its error is ErrForm.
+// Load builds a table from a snapshot, nil if there is none, and the records that follow it. Keys that were open when
+// they were written become unknown. It returns ErrFormat if any of them can't be read.
 func Load(limits Limits, now float64, saved []byte, records [][]byte) (*Table, error) {
 	t := New(limits)
 	if saved != nil {
 		var s snapshot
 		if err := decoder.Unmarshal(saved, &s); err != nil || s.Version != version {
-			return nil, errors.Join(ErrForm, err)
+			return nil, errors.Join(ErrFormat, err)
 		}
 		for _, r := range s.Entries {
 			t.put(r.Key, r.entry)
@@ -59,18 +59,18 @@
 	for _, b := range records {
 		var r record
 		if err := decoder.Unmarshal(b, &r); err != nil || r.Key == "" || r.State > StateUnknown {
-			return nil, errors.Join(ErrForm, err)
+			return nil, errors.Join(ErrFormat, err)
 		}
 		t.put(r.Key, r.entry)
 	}
-	t.closeOpen(now)
+	t.markOpenUnknown(now)
 	t.Expire(now)
 	return t, nil
 }
 
-// closeOpen ends the keys whose ops were open in the run before, and orders all by when they expire. No date is left
-// after the present: a clock that went back must not keep keys for longer than their retention.
-func (t *Table) closeOpen(now float64) {
+// markOpenUnknown marks the keys that were open in the previous run as unknown, and orders all keys by expiry. It moves
+// dates in the future to now: a clock that went back must not keep keys for longer than their retention.
+func (t *Table) markOpenUnknown(now float64) {
 	for _, key := range slices.Sorted(maps.Keys(t.entries)) {
 		e := t.entries[key]
 		if e.ChangedAt = min(e.ChangedAt, now); e.State == StateOpen {
@@ -83,7 +83,7 @@
 	})
 }
 
-// Snapshot is the whole table.
+// Snapshot returns the whole table.
 func (t *Table) Snapshot() []byte {
 	s := snapshot{Version: version}
 	for _, key := range slices.Sorted(maps.Keys(t.entries)) {
--- a/internal/ledger/recorded_test.go
+++ b/internal/ledger/recorded_test.go
@@ -7,12 +7,12 @@
 	"testing"
 )
 
-// Verdicts, records and snapshots over drawn histories, as the build that these sums come from had them.
+// The verdicts, records and snapshots of seeded histories must match the recorded digests.
 func TestRecordedHistories(t *testing.T) {
 	for seed, want := range map[uint64]uint64{1: 0x456f49645d514de7, 2: 0x54b0551b28b9f775} {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			if got := historyDigest(t, seed); got != want {
-				t.Errorf("%#x, recorded as %#x", got, want)
+				t.Errorf("%#x, recorded %#x", got, want)
 			}
 		})
 	}
@@ -20,35 +20,35 @@
 
 func historyDigest(t *testing.T, seed uint64) uint64 {
 	t.Helper()
-	draw := rand.New(rand.NewPCG(seed, 1))
-	sum := fnv.New64a()
-	rules := Limits{Retention: 5000, Keys: 12, TotalBytes: 4000, AnswerBytes: 100}
-	b := New(rules)
+	random := rand.New(rand.NewPCG(seed, 1))
+	digest := fnv.New64a()
+	limits := Limits{Retention: 5000, Keys: 12, TotalBytes: 4000, AnswerBytes: 100}
+	table := New(limits)
 	now := 0.0
 	for range 2000 {
-		now += draw.Float64() * 200
-		key := fmt.Sprint("key", draw.IntN(30))
-		switch draw.IntN(8) {
+		now += random.Float64() * 200
+		key := fmt.Sprint("key", random.IntN(30))
+		switch random.IntN(8) {
 		case 0, 1, 2, 3:
-			v, answer, rec := b.Begin(now, key, Fingerprint([]byte{byte(draw.IntN(12) / 11)}))
-			fmt.Fprintf(sum, "%d %q %x\n", v, answer, rec)
+			v, answer, rec := table.Begin(now, key, Fingerprint([]byte{byte(random.IntN(12) / 11)}))
+			fmt.Fprintf(digest, "%d %q %x\n", v, answer, rec)
 		case 4, 5, 6:
-			if e := b.entries[key]; e != nil && e.State == StateOpen {
-				state := []State{StateFree, StateAcked, StateUnknown}[draw.IntN(3)]
-				fmt.Fprintf(sum, "%x\n", b.Finish(now, key, state, make([]byte, draw.IntN(150))))
+			if e := table.entries[key]; e != nil && e.State == StateOpen {
+				state := []State{StateFree, StateAcked, StateUnknown}[random.IntN(3)]
+				fmt.Fprintf(digest, "%x\n", table.Finish(now, key, state, make([]byte, random.IntN(150))))
 			}
 		default:
-			b.Expire(now)
-			snapshot := b.Snapshot()
-			if draw.IntN(10) == 0 {
+			table.Expire(now)
+			snapshot := table.Snapshot()
+			if random.IntN(10) == 0 {
 				var err error
-				if b, err = Load(rules, now, snapshot, nil); err != nil {
+				if table, err = Load(limits, now, snapshot, nil); err != nil {
 					t.Fatal(err)
 				}
 			}
-			open, acked, unknown, size := b.Counts()
-			fmt.Fprintf(sum, "%x %d %d %d %d\n", snapshot, open, acked, unknown, size)
+			open, acked, unknown, size := table.Counts()
+			fmt.Fprintf(digest, "%x %d %d %d %d\n", snapshot, open, acked, unknown, size)
 		}
 	}
-	return sum.Sum64()
+	return digest.Sum64()
 }
