--- a/cmd/weirwind/measure_test.go
+++ b/cmd/weirwind/measure_test.go
@@ -108,12 +108,12 @@
 				time.Sleep(300 * time.Millisecond) // within the minimum time of a switchover no state is stale
 			}
 			startedAt := time.Now()
-			q := launch(t, string(text), s.operator)
+			restarted := launch(t, string(text), s.operator)
 			read := make(chan firstAnswer, 1)
 			go func() { read <- measureFirstAnswer(address, startedAt, "recent") }()
 			write[v.name] = append(write[v.name], measureFirstAnswer(address, startedAt, "write"))
 			bounded[v.name] = append(bounded[v.name], <-read)
-			q.stop(syscall.SIGKILL)
+			restarted.stop(syscall.SIGKILL)
 			clearMembers(members)
 		}
 	}
--- a/cmd/weirwind/presence_test.go
+++ b/cmd/weirwind/presence_test.go
@@ -26,10 +26,10 @@
 			store, v := s.useRegistry(t, dialect, "drivers_prefix = \"weirwind/drivers/\"\n  lease = \""+map[string]string{"etcd": "1s", "consul": "10s"}[dialect]+"\"")
 			p := s.startPeer(t, "n0")
 			p.findInLog("event=presence announced=true")
-			q := s.startPeer(t, "n1")
+			second := s.startPeer(t, "n1")
 			p.findInLog("event=drivers count=2")
-			q.findInLog("event=drivers count=2")
-			c := q.connect()
+			second.findInLog("event=drivers count=2")
+			c := second.connect()
 			for range 50 {
 				c.query(read(1000))
 			}
@@ -41,12 +41,12 @@
 			v.CloseConnections()
 			p.waitForLog("event=registry_failed")
 			v.Down.Store(false)
-			r := s.startPeer(t, "n2")
+			third := s.startPeer(t, "n2")
 			line := p.findInLog("event=drivers count=3")
 			if strings.Contains(strings.Join(p.earlierLines, "\n"), "count=1") {
 				t.Errorf("counted one driver before %s", line)
 			}
-			r.stop(syscall.SIGTERM) // which revokes its lease
+			third.stop(syscall.SIGTERM) // which revokes its lease
 
 		})
 	}
@@ -68,11 +68,11 @@
 	s := newPlatform(t, m)
 	s.useRegistry(t, "etcd", "drivers_prefix = \"weirwind/drivers/\"\n  lease = \"5s\"")
 	s.startPeer(t, "n0").findInLog("event=presence announced=true")
-	q := s.startPeer(t, "n0")
-	if line := q.findInLog("another driver has the name"); !strings.Contains(line, "announced=false") {
+	second := s.startPeer(t, "n0")
+	if line := second.findInLog("another driver has the name"); !strings.Contains(line, "announced=false") {
 		t.Error(line)
 	}
-	kinds, result := q.connect().query(write(1000))
+	kinds, result := second.connect().query(write(1000))
 	expect(t, kinds, result, ackedKinds, "v:INSERT")
 }
 
@@ -83,13 +83,13 @@
 	s.useRegistry(t, "etcd", "drivers_prefix = \"weirwind/drivers/\"\n  lease = \"1s\"")
 	p := s.startPeer(t, "n0")
 	before := field(p.findInLog("event=presence announced=true"), "lease")
-	q := s.startPeer(t, "n1")
-	q.findInLog("event=drivers count=2")
+	second := s.startPeer(t, "n1")
+	second.findInLog("event=drivers count=2")
 	p.cmd.Process.Signal(syscall.SIGSTOP)
-	q.waitForLog("event=drivers count=1")
+	second.waitForLog("event=drivers count=1")
 	p.cmd.Process.Signal(syscall.SIGCONT)
 	if line := p.waitForLog("event=presence announced=true"); field(line, "lease") == before {
 		t.Error(line)
 	}
-	q.waitForLog("event=drivers count=2")
+	second.waitForLog("event=drivers count=2")
 }
--- a/cmd/weirwind/registry_test.go
+++ b/cmd/weirwind/registry_test.go
@@ -110,9 +110,9 @@
 		<-b.queries
 	}
 	s.changes <- s.list(50, true, "")
-	q := s.start(t)
-	q.findInLog("discovery leads")
-	c := q.connect()
+	restarted := s.start(t)
+	restarted.findInLog("discovery leads")
+	c := restarted.connect()
 	for range 20 {
 		kinds, result := c.query(read(1000))
 		expect(t, kinds, result, ackedKinds, "v:SELECT")
@@ -122,7 +122,7 @@
 	}
 	store.Put(membersPrefix+"b", s.entry(1, "up"))
 	v.Down.Store(false)
-	q.waitForLog("b=up")
+	restarted.waitForLog("b=up")
 }
 
 // The registry leads over an unchanged discovery, which takes over after the registry has been unreachable for a time.
--- a/cmd/weirwind/state_test.go
+++ b/cmd/weirwind/state_test.go
@@ -85,8 +85,8 @@
 			countWrites(a)
 			countWrites(b)
 			countWrites(c)
-			q := s.start(t)
-			kinds, result = q.connect().query(write(1000))
+			restarted := s.start(t)
+			kinds, result = restarted.connect().query(write(1000))
 			expect(t, kinds, result, ackedKinds, "v:INSERT")
 			if x, y, z := countWrites(a), countWrites(b), countWrites(c); x != 0 || y != 1 || z != 0 {
 				t.Errorf("the first write went to a %d times, to b %d, to c %d", x, y, z)
@@ -108,9 +108,9 @@
 	p.stop(syscall.SIGTERM)
 	countWrites(a)
 	b.setAnswer(acceptsWrites)
-	q := s.start(t)
+	restarted := s.start(t)
 	for range 5 {
-		kinds, result = q.connect().query(write(1000))
+		kinds, result = restarted.connect().query(write(1000))
 		expect(t, kinds, result, ackedKinds, "v:INSERT")
 	}
 	if x, y := countWrites(a), countWrites(b); x != 0 || y != 5 {
@@ -144,11 +144,11 @@
 	for len(b.queries) > 0 {
 		<-b.queries
 	}
-	q := s.start(t)
-	if line := q.findInLog("state_recalled"); field(line, "from_kept") != "true" || field(line, "revision") != "42" {
+	restarted := s.start(t)
+	if line := restarted.findInLog("state_recalled"); field(line, "from_kept") != "true" || field(line, "revision") != "42" {
 		t.Error(line)
 	}
-	c := q.connect()
+	c := restarted.connect()
 	for range 20 {
 		kinds, result := c.query(read(1000))
 		expect(t, kinds, result, ackedKinds, "v:SELECT")
@@ -218,12 +218,12 @@
 		t.Error(line)
 	}
 
-	q := s.start(t) // a second process with the same folder
-	q.findInLog("event=state_failed")
-	kinds, result := q.connect().query(write(1000))
+	second := s.start(t) // a second process with the same folder
+	second.findInLog("event=state_failed")
+	kinds, result := second.connect().query(write(1000))
 	expect(t, kinds, result, ackedKinds, "v:INSERT")
 	p.stop(syscall.SIGKILL)
-	q.waitForLog("event=state_saved")
+	second.waitForLog("event=state_saved")
 }
 
 // The driver starts and serves whatever the files contain.
@@ -245,9 +245,9 @@
 	if code := run([]string{"state", "verify", folder}, &out, &problems); code != 1 || !strings.Contains(out.String(), "damaged") {
 		t.Errorf("verify: %d\n%s%s", code, &out, &problems)
 	}
-	q := s.start(t)
-	q.findInLog("event=state_damaged")
-	kinds, result := q.connect().query(write(1000))
+	restarted := s.start(t)
+	restarted.findInLog("event=state_damaged")
+	kinds, result := restarted.connect().query(write(1000))
 	expect(t, kinds, result, ackedKinds, "v:INSERT")
 	waitForState(t, folder, primaryIs("m"))
 }
--- a/cmd/weirwind/zones.go
+++ b/cmd/weirwind/zones.go
@@ -155,7 +155,7 @@
 
 // Run prints plans as they change, and the requested moves of primaries.
 func (c *zonesWatchCommand) Run(out io.Writer) error {
-	epoch, force := uint64(0), false
+	epoch, inForce := uint64(0), false
 	var moves []zones.Move
 	return c.poll(func(ctx context.Context, client *control.Client) error {
 		s, err := client.Zones(ctx)
@@ -163,10 +163,10 @@
 			return err
 		}
 		p := s.Plan
-		if p == nil || p.Epoch == epoch && force == s.InForce && slices.Equal(p.Moves, moves) {
+		if p == nil || p.Epoch == epoch && inForce == s.InForce && slices.Equal(p.Moves, moves) {
 			return nil
 		}
-		epoch, force, moves = p.Epoch, s.InForce, p.Moves
+		epoch, inForce, moves = p.Epoch, s.InForce, p.Moves
 		if c.JSON {
 			return printJSON(out, s)
 		}
--- a/internal/durable/compact.go
+++ b/internal/durable/compact.go
@@ -136,10 +136,10 @@
 
 // readable reports whether a snapshot can be read.
 func (s *Store) readable(name string, generation uint64) bool {
-	text, err := s.fs.ReadFile(filepath.Join(s.options.Folder, name), s.options.Limit)
+	content, err := s.fs.ReadFile(filepath.Join(s.options.Folder, name), s.options.Limit)
 	if err != nil {
 		return false
 	}
-	_, _, err = decodeSnapshot(s.options.Tag, generation, text, s.options.Limit)
+	_, _, err = decodeSnapshot(s.options.Tag, generation, content, s.options.Limit)
 	return err == nil
 }
--- a/internal/durable/recover.go
+++ b/internal/durable/recover.go
@@ -112,10 +112,10 @@
 
 func (r *recovery) readSnapshot(generation uint64) (state []byte, report FileReport) {
 	report = FileReport{Name: snapshotName(generation), Generation: generation, Snapshot: true}
-	text, err := r.files.ReadFile(filepath.Join(r.options.Folder, report.Name), r.options.Limit)
-	report.Bytes = int64(len(text))
+	content, err := r.files.ReadFile(filepath.Join(r.options.Folder, report.Name), r.options.Limit)
+	report.Bytes = int64(len(content))
 	if err == nil {
-		state, report.Seq, err = decodeSnapshot(r.options.Tag, generation, text, r.options.Limit)
+		state, report.Seq, err = decodeSnapshot(r.options.Tag, generation, content, r.options.Limit)
 	}
 	report.Err = err
 	return state, report
@@ -151,31 +151,31 @@
 // readLog adds the records of a log, which must start where the records read so far end.
 func (r *recovery) readLog(generation uint64) FileReport {
 	report := FileReport{Name: logName(generation), Generation: generation}
-	text, err := r.files.ReadFile(filepath.Join(r.options.Folder, report.Name), r.options.Limit)
-	report.Bytes = int64(len(text))
+	content, err := r.files.ReadFile(filepath.Join(r.options.Folder, report.Name), r.options.Limit)
+	report.Bytes = int64(len(content))
 	if err == nil {
-		err = r.checkLogHeader(generation, text)
+		err = r.checkLogHeader(generation, content)
 	}
 	if err != nil {
 		report.Err = err
 		return report
 	}
-	rest := text[headerBytes:]
+	rest := content[headerBytes:]
 	for {
-		record, behind, ok := nextFrame(rest, r.result.Seq+1)
+		record, remaining, ok := nextFrame(rest, r.result.Seq+1)
 		if !ok {
 			break
 		}
 		r.result.Seq++
 		report.Records++
-		r.result.Records, rest = append(r.result.Records, record), behind
+		r.result.Records, rest = append(r.result.Records, record), remaining
 	}
 	report.Seq, report.Tail = r.result.Seq, int64(len(rest))
 	return report
 }
 
-func (r *recovery) checkLogHeader(generation uint64, text []byte) error {
-	from, _, err := decodeHeader(logFile, r.options.Tag, generation, text)
+func (r *recovery) checkLogHeader(generation uint64, content []byte) error {
+	from, _, err := decodeHeader(logFile, r.options.Tag, generation, content)
 	if err == nil && from != r.result.Seq {
 		err = fmt.Errorf("starts at %d, not %d: %w", from, r.result.Seq, ErrDamaged)
 	}
--- a/internal/learned/record.go
+++ b/internal/learned/record.go
@@ -107,10 +107,10 @@
 	for _, g := range r.Groups {
 		s.Groups[g.ID] = g
 	}
-	for _, x := range r.Sightings {
-		if g, ok := s.Groups[x.Group]; ok {
-			g.SeenAt = max(g.SeenAt, s.Meta.SavedAt.Wall-float64(x.Age))
-			s.Groups[x.Group] = g
+	for _, sighting := range r.Sightings {
+		if g, ok := s.Groups[sighting.Group]; ok {
+			g.SeenAt = max(g.SeenAt, s.Meta.SavedAt.Wall-float64(sighting.Age))
+			s.Groups[sighting.Group] = g
 		}
 	}
 	for _, m := range r.Members {
@@ -136,8 +136,8 @@
 	for _, g := range r.Groups {
 		ok = ok && validTimes(g.SeenAt, g.WorkRate, g.LastCommit) && validTexts(g.Primary)
 	}
-	for _, x := range r.Sightings {
-		ok = ok && validTimes(float64(x.Age))
+	for _, sighting := range r.Sightings {
+		ok = ok && validTimes(float64(sighting.Age))
 	}
 	for _, m := range r.Members {
 		ok = ok && m.ID != "" && m.Window >= 0 && validTexts(m.ID) &&
@@ -181,17 +181,17 @@
 		RemovedGroups:  r.RemovedGroups,
 		OpTypes:        r.OpTypes,
 	})
-	for some := range slices.Chunk(r.Entries, recordEntries) {
-		parts = append(parts, &record{Entries: some})
+	for chunk := range slices.Chunk(r.Entries, recordEntries) {
+		parts = append(parts, &record{Entries: chunk})
 	}
-	for some := range slices.Chunk(r.Groups, recordEntries) {
-		parts = append(parts, &record{Groups: some})
+	for chunk := range slices.Chunk(r.Groups, recordEntries) {
+		parts = append(parts, &record{Groups: chunk})
 	}
-	for some := range slices.Chunk(r.Members, recordEntries) {
-		parts = append(parts, &record{Members: some})
+	for chunk := range slices.Chunk(r.Members, recordEntries) {
+		parts = append(parts, &record{Members: chunk})
 	}
-	for some := range slices.Chunk(r.Sightings, recordEntries) {
-		parts = append(parts, &record{Sightings: some})
+	for chunk := range slices.Chunk(r.Sightings, recordEntries) {
+		parts = append(parts, &record{Sightings: chunk})
 	}
 	return parts
 }
--- a/internal/roster/golden_test.go
+++ b/internal/roster/golden_test.go
@@ -19,7 +19,7 @@
 	recordedSeeds        = 150
 )
 
-func check(t *testing.T, got, want uint64) {
+func checkDigest(t *testing.T, got, want uint64) {
 	t.Helper()
 	if got != want {
 		t.Errorf("%#x, recorded %#x", got, want)
@@ -27,91 +27,91 @@
 }
 
 // Sources connect, disconnect, lag, lose members, begin epochs, and send fragments and invalid entries.
-func TestRosterAsRecorded(t *testing.T) {
-	h := fnv.New64a()
+func TestRecordedRoster(t *testing.T) {
+	digest := fnv.New64a()
 	for seed := range uint64(recordedSeeds) {
-		r := rand.New(rand.NewPCG(seed, 11))
-		rules := Options{Preferred: Source(1 + r.IntN(2)), FailoverAfter: 4000, ConfirmAfter: float64(2000 * r.IntN(2))}
-		roster := New(rules)
+		random := rand.New(rand.NewPCG(seed, 11))
+		options := Options{Preferred: Source(1 + random.IntN(2)), FailoverAfter: 4000, ConfirmAfter: float64(2000 * random.IntN(2))}
+		roster := New(options)
 		now := 0.0
 		var heads [sourceCount]int64
 		for range 200 {
-			now += 700 * r.Float64()
-			s := Source(r.IntN(int(sourceCount)))
-			switch r.IntN(14) {
+			now += 700 * random.Float64()
+			source := Source(random.IntN(int(sourceCount)))
+			switch random.IntN(14) {
 			case 0:
-				roster.SetDisconnected(s)
+				roster.SetDisconnected(source)
 			case 1:
-				roster.SetConnected(now, s)
+				roster.SetConnected(now, source)
 			case 2:
 				out := roster.Tick(now)
-				record(h, roster, now, out)
+				hashOutcome(digest, roster, now, out)
 			default:
-				out := roster.Apply(now, someUpdate(r, s, now, &heads[s]))
-				record(h, roster, now, out)
+				out := roster.Apply(now, randomUpdate(random, source, now, &heads[source]))
+				hashOutcome(digest, roster, now, out)
 			}
 		}
 	}
-	check(t, h.Sum64(), wantRoster)
+	checkDigest(t, digest.Sum64(), wantRoster)
 }
 
-func record(h io.Writer, roster *Roster, now float64, out Outcome) {
-	fmt.Fprintln(h, out.Verdict, out.Changes, out.Notes, roster.Members())
-	lead, revision, age, epochs := roster.Leader(now)
-	fmt.Fprintln(h, lead, revision, age, epochs)
+func hashOutcome(digest io.Writer, roster *Roster, now float64, out Outcome) {
+	fmt.Fprintln(digest, out.Verdict, out.Changes, out.Notes, roster.Members())
+	leader, revision, age, epochs := roster.Leader(now)
+	fmt.Fprintln(digest, leader, revision, age, epochs)
 	for s := range sourceCount {
-		epoch, revision, told := roster.Revision(s)
-		fmt.Fprintln(h, s, epoch, revision, told)
+		epoch, revision, synced := roster.Revision(s)
+		fmt.Fprintln(digest, s, epoch, revision, synced)
 	}
 }
 
-func someUpdate(r *rand.Rand, s Source, now float64, head *int64) Update {
-	u := Update{Source: s, Snapshot: r.IntN(3) == 0, Linearizable: r.IntN(2) == 0, Fragment: r.IntN(10) == 0}
+func randomUpdate(random *rand.Rand, source Source, now float64, head *int64) Update {
+	u := Update{Source: source, Snapshot: random.IntN(3) == 0, Linearizable: random.IntN(2) == 0, Fragment: random.IntN(10) == 0}
 	u.PreviousRevision = *head
-	switch r.IntN(10) {
+	switch random.IntN(10) {
 	case 0:
 		u.PreviousRevision, *head = *head+2, *head+4
 	case 1:
-		u.Revision = max(*head-int64(r.IntN(5)), 0)
+		u.Revision = max(*head-int64(random.IntN(5)), 0)
 	default:
 		*head++
 	}
 	if u.Revision == 0 {
 		u.Revision = *head
 	}
-	if s == SourceRegistry {
+	if source == SourceRegistry {
 		u.Epoch = "e"
-		if r.IntN(20) == 0 {
+		if random.IntN(20) == 0 {
 			u.Epoch = "f"
 		}
 	}
-	entries := r.IntN(3)
+	entries := random.IntN(3)
 	if u.Snapshot {
-		entries = r.IntN(2 * memberCount)
+		entries = random.IntN(2 * memberCount)
 	}
 	for range entries {
-		e := Entry{ID: fmt.Sprint("m", r.IntN(memberCount)), Address: fmt.Sprint("a:", r.IntN(2)), Group: int64(r.IntN(2))}
-		if r.IntN(3) == 0 {
-			e.Phase = Phase(r.IntN(3))
+		e := Entry{ID: fmt.Sprint("m", random.IntN(memberCount)), Address: fmt.Sprint("a:", random.IntN(2)), Group: int64(random.IntN(2))}
+		if random.IntN(3) == 0 {
+			e.Phase = Phase(random.IntN(3))
 		}
-		if r.IntN(6) == 0 {
-			e.StartedAt = now - 500 + 600*r.Float64()
+		if random.IntN(6) == 0 {
+			e.StartedAt = now - 500 + 600*random.Float64()
 		}
-		if s == SourceRegistry {
-			e.ModRevision = max(u.Revision-int64(r.IntN(4)), 1)
+		if source == SourceRegistry {
+			e.ModRevision = max(u.Revision-int64(random.IntN(4)), 1)
 		}
 		u.Entries = append(u.Entries, e)
 	}
-	if r.IntN(8) == 0 {
-		id := fmt.Sprint("m", r.IntN(memberCount))
-		u.Invalid = append(u.Invalid, InvalidEntry{ID: id, Reason: "no address", Phase: Phase(r.IntN(3))})
+	if random.IntN(8) == 0 {
+		id := fmt.Sprint("m", random.IntN(memberCount))
+		u.Invalid = append(u.Invalid, InvalidEntry{ID: id, Reason: "no address", Phase: Phase(random.IntN(3))})
 	}
 	return u
 }
 
 // More members are removed than the maximum number of tombstones, so that the oldest are evicted.
-func TestEvictionAsRecorded(t *testing.T) {
-	h := fnv.New64a()
+func TestRecordedEviction(t *testing.T) {
+	digest := fnv.New64a()
 	roster := New(Options{Preferred: SourceRegistry})
 	roster.Apply(0, Update{Source: SourceRegistry, Epoch: "e", Revision: 1, Snapshot: true})
 	for i := range 60 {
@@ -119,92 +119,92 @@
 		for k := range 1000 {
 			u.Entries = append(u.Entries, Entry{ID: fmt.Sprint(i, "-", k), Phase: PhaseRemoved})
 		}
-		fmt.Fprintln(h, roster.Apply(float64(i)*100000, u), len(roster.tombstones))
+		fmt.Fprintln(digest, roster.Apply(float64(i)*100000, u), len(roster.tombstones))
 	}
 	u := Update{Source: SourceRegistry, Epoch: "f", Revision: 100, Snapshot: true}
 	for i := range 60 {
 		u.Entries = append(u.Entries, Entry{ID: fmt.Sprint(i, "-", i), Address: "x", ModRevision: 1})
 	}
-	fmt.Fprintln(h, roster.Apply(1e8, u))
+	fmt.Fprintln(digest, roster.Apply(1e8, u))
 	u = Update{Source: SourceRegistry, Epoch: "f", Revision: 101, PreviousRevision: 100, Fragment: true}
 	u.Entries = make([]Entry, 200001)
-	fmt.Fprintln(h, roster.Apply(1e8, u)) // more than the maximum of one revision
+	fmt.Fprintln(digest, roster.Apply(1e8, u)) // more than the maximum of one revision
 	u.Fragment, u.Entries = false, nil
-	fmt.Fprintln(h, roster.Apply(1e8, u))
-	check(t, h.Sum64(), wantEviction)
+	fmt.Fprintln(digest, roster.Apply(1e8, u))
+	checkDigest(t, digest.Sum64(), wantEviction)
 }
 
-func TestSchedulerAsRecorded(t *testing.T) {
-	h := fnv.New64a()
+func TestRecordedScheduler(t *testing.T) {
+	digest := fnv.New64a()
 	for seed := range uint64(recordedSeeds) {
-		r := rand.New(rand.NewPCG(seed, 12))
-		options := SchedulerOptions{Endpoints: r.IntN(5), Drivers: r.IntN(900), Seed: seed}
-		options.ResyncInterval = float64(r.IntN(2)) * 20000
-		c := NewScheduler(options)
+		random := rand.New(rand.NewPCG(seed, 12))
+		options := SchedulerOptions{Endpoints: random.IntN(5), Drivers: random.IntN(900), Seed: seed}
+		options.ResyncInterval = float64(random.IntN(2)) * 20000
+		scheduler := NewScheduler(options)
 		now := 0.0
 		for range 120 {
-			call := c.Next(int64(r.IntN(100)), r.IntN(5) > 0)
-			fmt.Fprintln(h, call.Kind, call.Endpoint, call.Delay, call.Revision, call.Linearizable, call.MaxDuration)
-			now += call.Delay + 3000*r.Float64()
-			c.CallEnded(now, call.Kind, CallResult(r.IntN(6)), r.IntN(2) == 0)
-			switch r.IntN(15) {
+			call := scheduler.Next(int64(random.IntN(100)), random.IntN(5) > 0)
+			fmt.Fprintln(digest, call.Kind, call.Endpoint, call.Delay, call.Revision, call.Linearizable, call.MaxDuration)
+			now += call.Delay + 3000*random.Float64()
+			scheduler.CallEnded(now, call.Kind, CallResult(random.IntN(6)), random.IntN(2) == 0)
+			switch random.IntN(15) {
 			case 0:
-				c.SetDrivers(r.IntN(2000))
+				scheduler.SetDrivers(random.IntN(2000))
 			case 1:
-				c.Resync(now)
+				scheduler.Resync(now)
 			case 2:
-				c.ResyncAfter(3000)
+				scheduler.ResyncAfter(3000)
 			}
 		}
 	}
-	check(t, h.Sum64(), wantScheduler)
+	checkDigest(t, digest.Sum64(), wantScheduler)
 }
 
-func TestPresenceAsRecorded(t *testing.T) {
-	h := fnv.New64a()
+func TestRecordedPresence(t *testing.T) {
+	digest := fnv.New64a()
 	for seed := range uint64(recordedSeeds) {
-		r := rand.New(rand.NewPCG(seed, 13))
-		p := NewPresence(9000, seed)
+		random := rand.New(rand.NewPCG(seed, 13))
+		presence := NewPresence(9000, seed)
 		now := 0.0
 		for range 200 {
-			step, wait := p.Next(now)
-			stands, taken := p.Status(now)
-			fmt.Fprintln(h, step, wait, stands, taken)
+			step, wait := presence.Next(now)
+			valid, nameTaken := presence.Status(now)
+			fmt.Fprintln(digest, step, wait, valid, nameTaken)
 			if step != StepWait {
-				began := now
-				now += 900 * r.Float64()
-				p.StepEnded(began, now, PresenceResult(r.IntN(4)), float64(r.IntN(2)*6000))
+				startedAt := now
+				now += 900 * random.Float64()
+				presence.StepEnded(startedAt, now, PresenceResult(random.IntN(4)), float64(random.IntN(2)*6000))
 				continue
 			}
-			if now += wait; r.IntN(12) == 0 {
-				now += 20000 * r.Float64()
+			if now += wait; random.IntN(12) == 0 {
+				now += 20000 * random.Float64()
 			}
 		}
 	}
-	check(t, h.Sum64(), wantPresence)
+	checkDigest(t, digest.Sum64(), wantPresence)
 }
 
-func TestPeersAsRecorded(t *testing.T) {
-	h := fnv.New64a()
+func TestRecordedPeers(t *testing.T) {
+	digest := fnv.New64a()
 	for seed := range uint64(recordedSeeds) {
-		r := rand.New(rand.NewPCG(seed, 14))
-		f := Peers{Self: "m0", ShrinkAfter: 5000, MessageTimeout: 3000}
+		random := rand.New(rand.NewPCG(seed, 14))
+		peers := Peers{Self: "m0", ShrinkAfter: 5000, MessageTimeout: 3000}
 		now := 0.0
 		for range 150 {
-			now += 900 * r.Float64()
+			now += 900 * random.Float64()
 			var listed []Entry
 			for i := range memberCount {
-				if r.IntN(5) > 0 {
-					listed = append(listed, Entry{ID: fmt.Sprint("m", i), Phase: Phase(r.IntN(8) / 6)})
+				if random.IntN(5) > 0 {
+					listed = append(listed, Entry{ID: fmt.Sprint("m", i), Phase: Phase(random.IntN(8) / 6)})
 				}
 			}
-			fmt.Fprintln(h, f.Count(now, listed, r.IntN(4) > 0))
-			for range r.IntN(4) {
-				f.Observe(now, fmt.Sprint("m", r.IntN(memberCount)))
+			fmt.Fprintln(digest, peers.Count(now, listed, random.IntN(4) > 0))
+			for range random.IntN(4) {
+				peers.Observe(now, fmt.Sprint("m", random.IntN(memberCount)))
 			}
-			fell, back := f.CheckTimeouts(now, listed)
-			fmt.Fprintln(h, fell, back, len(f.lastMessage))
+			silent, recovered := peers.CheckTimeouts(now, listed)
+			fmt.Fprintln(digest, silent, recovered, len(peers.lastMessage))
 		}
 	}
-	check(t, h.Sum64(), wantPeers)
+	checkDigest(t, digest.Sum64(), wantPeers)
 }
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -200,8 +200,8 @@
 	r := New(Options{Preferred: SourceRegistry, FailoverAfter: 10000})
 	r.Apply(0, snapshotOf(SourceKnown, 3, "k"))
 	r.Apply(10, snapshotOf(SourceDiscovery, 40, "a", "b"))
-	if lead, _, _, _ := r.Leader(10); lead != SourceDiscovery || r.summary() != "a b" {
-		t.Fatalf("%s leads: %q", lead, r.summary())
+	if leader, _, _, _ := r.Leader(10); leader != SourceDiscovery || r.summary() != "a b" {
+		t.Fatalf("%s leads: %q", leader, r.summary())
 	}
 	out := r.Apply(20, snapshot(5, "a", "b", "c"))
 	if r.summary() != "a b c" || len(out.Changes) != 1 || len(out.Notes) != 1 {
@@ -214,18 +214,18 @@
 		t.Errorf("failed over too early: %q", r.summary())
 	}
 	out = r.Tick(10031)
-	lead, _, age, _ := r.Leader(10031)
-	if lead != SourceDiscovery || age != 1031 || r.summary() != "a b- d" || len(out.Changes) != 2 {
-		t.Errorf("%s leads: %q: %+v", lead, r.summary(), out)
+	leader, _, age, _ := r.Leader(10031)
+	if leader != SourceDiscovery || age != 1031 || r.summary() != "a b- d" || len(out.Changes) != 2 {
+		t.Errorf("%s leads: %q: %+v", leader, r.summary(), out)
 	}
 	// Discovery may be behind the registry.
 	r.Apply(11000, Update{Source: SourceDiscovery, Revision: 42, PreviousRevision: 41, Entries: entries("b")})
 	if r.summary() != "a b- d" {
 		t.Errorf("another source lifted a drain: %q", r.summary())
 	}
-	back := entries("b")
-	back[0].StartedAt = 11500
-	r.Apply(12000, Update{Source: SourceDiscovery, Revision: 43, PreviousRevision: 42, Entries: back})
+	restarted := entries("b")
+	restarted[0].StartedAt = 11500
+	r.Apply(12000, Update{Source: SourceDiscovery, Revision: 43, PreviousRevision: 42, Entries: restarted})
 	if r.summary() != "a b d" {
 		t.Errorf("a restarted member still drains: %q", r.summary())
 	}
@@ -234,8 +234,8 @@
 		t.Errorf("without a connected source, the last one does not lead: %q", r.summary())
 	}
 	r.Apply(1e7+1, snapshot(60, "a", "b"))
-	if lead, _, _, _ := r.Leader(1e7 + 1); lead != SourceRegistry || r.summary() != "a b" {
-		t.Errorf("%s leads: %q", lead, r.summary())
+	if leader, _, _, _ := r.Leader(1e7 + 1); leader != SourceRegistry || r.summary() != "a b" {
+		t.Errorf("%s leads: %q", leader, r.summary())
 	}
 }
 
@@ -272,12 +272,12 @@
 
 // modelEvent is a write to the modelled registry.
 type modelEvent struct {
-	rev int64
-	e   Entry
+	rev   int64
+	entry Entry
 }
 
 func (h modelEvent) update() Update {
-	return Update{Source: SourceRegistry, Epoch: "e", Revision: h.rev, PreviousRevision: h.rev - 1, Entries: []Entry{h.e}}
+	return Update{Source: SourceRegistry, Epoch: "e", Revision: h.rev, PreviousRevision: h.rev - 1, Entries: []Entry{h.entry}}
 }
 
 // A model of a registry is read through disconnections, gaps, lagging followers and duplicates. After a final snapshot
