--- a/cmd/weirwind/serving_test.go
+++ b/cmd/weirwind/serving_test.go
@@ -71,7 +71,7 @@
 		"no row":  {func(string) []byte { return append(msg('C', "SELECT 0\x00"), roleStatus("writer")...) }, pgwire.CodeSystemError, true},
 		"garbage": {func(string) []byte { return []byte("\x00\x00\x00\x00\x00\x00\x00") }, pgwire.CodeSystemError, true},
 		"silence": {func(string) []byte { <-never; return nil }, pgwire.CodeSystemError, true},
-		"spoilt note": {func(string) []byte {
+		"invalid status": {func(string) []byte {
 			return append(row("v", "king")[:60], pgwire.AppendReadyForQuery(msg('S', "commit_clock\x009e99\x00"))...)
 		}, "v", true},
 	} {
--- a/internal/learned/config.go
+++ b/internal/learned/config.go
@@ -14,8 +14,8 @@
 	Name                  string   // of the driver; the state of another driver isn't restored
 	OpTypes               []OpType // in the decision module's order
 	SaveInterval          float64
-	MinSwitchover         float64 // how long a member is slow after its start; 0: unknown
-	WarmUp                float64 // how long a member is slower than usual after its start; 0: unknown
+	MinSwitchover         float64 // minimum duration of a primary switchover; 0: unknown, primaries are never trusted
+	WarmUp                float64 // how long a member is slow after its start; 0: unknown
 	StalenessBound        float64 // the tightest of all op types; infinite if there is none
 	SessionsTrackPosition bool    // sessions carry the position of their last write
 }
--- a/internal/learned/record.go
+++ b/internal/learned/record.go
@@ -30,9 +30,9 @@
 
 const (
 	maxMembers    = 200000
-	maxTextBytes  = 1 << 10 // some three thousand years, in milliseconds
-	maxTime       = 1e14    // maximum number of entries in one record
-	recordEntries = 4000    // entries in one record, at most
+	maxTextBytes  = 1 << 10 // of an id or an address
+	maxTime       = 1e14    // milliseconds, about three thousand years
+	recordEntries = 4000    // maximum number of entries in one record
 )
 
 var (
