--- a/internal/driver/switchover.go
+++ b/internal/driver/switchover.go
@@ -114,7 +114,7 @@
 // HandleHook handles a hook of the topology manager and returns it with its epoch. Peers are notified asynchronously.
 func (s *switchovers) HandleHook(notification switchover.Notification) (switchover.Notification, error) {
 	if !s.service.decider.knowsGroup(notification.Group) {
-		return notification, fmt.Errorf("group %d is unknown to this driver", notification.Group)
+		return notification, fmt.Errorf("group %d is not known here", notification.Group)
 	}
 	primary := s.service.decider.primaries()[notification.Group]
 	if err := s.checkPartition(notification); err != nil {
