--- a/internal/controlplane/agent/agent.go
+++ b/internal/controlplane/agent/agent.go
@@ -73,16 +73,16 @@
 }
 
 // Run serves until ctx ends and either the proxy has disconnected too or the grace period is nearly over.
-func Run(ctx context.Context, set *settings.Settings, log events.Log) error {
+func Run(ctx context.Context, cfg *settings.Settings, log events.Log) error {
 	linkCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	a := newAgent(linkCtx, set, log)
+	a := newAgent(linkCtx, cfg, log)
 	meshListener, err := net.Listen("tcp4", a.self.Addr)
 	if err != nil {
 		return oops.In("listen").Wrap(err)
 	}
 	defer meshListener.Close()
-	feedListener, err := net.Listen("tcp4", set.FeedAddr)
+	feedListener, err := net.Listen("tcp4", cfg.FeedAddr)
 	if err != nil {
 		return oops.In("listen").Wrap(err)
 	}
@@ -96,14 +96,14 @@
 	return nil
 }
 
-func newAgent(ctx context.Context, set *settings.Settings, log events.Log) *Agent {
+func newAgent(ctx context.Context, cfg *settings.Settings, log events.Log) *Agent {
 	return &Agent{
-		settings: set, log: log, ctx: ctx, commands: commandqueue.New(ctx, queueCapacity), startedAt: time.Now(),
+		settings: cfg, log: log, ctx: ctx, commands: commandqueue.New(ctx, queueCapacity), startedAt: time.Now(),
 		self: directory.Driver{
-			Name: set.Hostname, Addr: set.PortAddr(set.IP, 0), Zone: set.Zone,
+			Name: cfg.Hostname, Addr: cfg.PortAddr(cfg.IP, 0), Zone: cfg.Zone,
 			Incarnation: uint64(time.Now().UnixMilli()),
 		},
-		members: directory.NewMembers(), coreAddrs: set.Peers, backoff: initialBackoff,
+		members: directory.NewMembers(), coreAddrs: cfg.Peers, backoff: initialBackoff,
 		proxies: map[*controlLink]bool{}, peers: map[string]*peer{},
 		quotaRoute: quotaRoute{originLinks: map[string]*controlLink{}},
 	}
--- a/internal/controlplane/agent/corelink.go
+++ b/internal/controlplane/agent/corelink.go
@@ -22,7 +22,7 @@
 	candidateTimeout   = 1000.0   // for a candidate's first answer
 	initialBackoff     = 50.0     // before the next machine is tried
 	maxBackoff         = 1000.0   // upper bound of the backoff
-	maxIsolatedBackoff = 3000.0   // same, if machines answer without contact: they report when it returns
+	maxIsolatedBackoff = 3000.0   // same, while machines answer but have no contact: they report it once regained
 	failoverSpread     = 300.0    // mean delay of a failover, so that drivers of a lost machine don't move at once
 	stableAfter        = 5000.0   // age at which a link resets the backoff
 	nearRetryInterval  = 15_000.0 // mean time between attempts to return from a far machine to a near one
--- a/internal/controlplane/agent/history_test.go
+++ b/internal/controlplane/agent/history_test.go
@@ -54,13 +54,13 @@
 func newSimulation(t *testing.T, seed uint64, out io.Writer) *simulation {
 	ctx, stop := context.WithCancel(context.Background())
 	stop() // so that commands enqueued by real dials and links are dropped
-	set := &settings.Settings{Hostname: "front-1", IP: "127.1.0.9", Zone: "z", PortRange: [2]int{1, 3},
+	cfg := &settings.Settings{Hostname: "front-1", IP: "127.1.0.9", Zone: "z", PortRange: [2]int{1, 3},
 		Peers: []string{"127.1.0.1:8782", "127.2.0.1:8782"}}
 	sim := &simulation{t: t, random: rand.New(rand.NewPCG(seed, 1)), out: out, listener: &pipeListener{make(chan net.Conn)},
 		accepted: make(chan *controlLink)}
-	sim.agent = &Agent{settings: set, log: events.Discard(), ctx: ctx, commands: commandqueue.New(ctx, 0),
+	sim.agent = &Agent{settings: cfg, log: events.Discard(), ctx: ctx, commands: commandqueue.New(ctx, 0),
 		members: directory.NewMembers(), proxies: map[*controlLink]bool{}, peers: map[string]*peer{},
-		coreAddrs: set.Peers, backoff: initialBackoff, quotaRoute: quotaRoute{originLinks: map[string]*controlLink{}},
+		coreAddrs: cfg.Peers, backoff: initialBackoff, quotaRoute: quotaRoute{originLinks: map[string]*controlLink{}},
 		self: directory.Driver{Name: "front-1", Addr: "127.1.0.9:1", Zone: "z", Incarnation: 5}}
 	var ended sync.WaitGroup
 	ended.Go(func() {
--- a/internal/controlplane/agent/quotarelay.go
+++ b/internal/controlplane/agent/quotarelay.go
@@ -51,7 +51,7 @@
 }
 
 // chooseQuotaRoute returns to the core machine once it has sent any frame since the route was chosen, and chooses
-// another route if the current one gives no answers.
+// another route if requests over the current one stay unanswered.
 func (a *Agent) chooseQuotaRoute(now float64) {
 	route := &a.quotaRoute
 	switch {
--- a/internal/controlplane/agent/quotas_test.go
+++ b/internal/controlplane/agent/quotas_test.go
@@ -64,7 +64,7 @@
 	sim.agent.coreUp(sim.agent.candidate, sim.link("core"))
 	sim.agent.proxyUp(sim.link("proxy"))
 	request = &controlmsg.Frame{QuotaRequest: &controlmsg.QuotaRequest{Incarnation: 1, Seq: 1,
-		Tenants: []controlmsg.QuotaCount{{Tenant: "t", Operations: 1}}}}
+		Tenants: []controlmsg.QuotaTokenRequest{{Tenant: "t", Operations: 1}}}}
 	sim.advance(1)
 	sim.agent.sendQuotaRequest(request)
 	sim.advance(quotaAnswerTimeout + 1000) // with a margin for real time that passes between two calls of advance
@@ -108,7 +108,7 @@
 	from := sim.link("front-9")
 	replyLink := sim.links[len(sim.links)-1]
 	relayed := &controlmsg.Frame{QuotaRequest: &controlmsg.QuotaRequest{Driver: "front-9", Seq: 1,
-		Tenants: []controlmsg.QuotaCount{{Tenant: "t", Operations: 1}}}}
+		Tenants: []controlmsg.QuotaTokenRequest{{Tenant: "t", Operations: 1}}}}
 	sim.agent.handleRelayedRequest(from, relayed)
 	if answers := replyLink.counters.Sent(uint8(controlmsg.Quotas)).Frames; answers != 1 {
 		t.Errorf("another agent was sent %d answers", answers)
--- a/internal/controlplane/controlmsg/quota.go
+++ b/internal/controlplane/controlmsg/quota.go
@@ -13,13 +13,13 @@
 type QuotaRequest struct {
 	Driver string `cbor:"1,keyasint"` // name of the driver, added by the agent
 	// Incarnation identifies the proxy's process. Seq increases with each of its requests.
-	Incarnation uint64       `cbor:"2,keyasint"`
-	Seq         uint64       `cbor:"3,keyasint"`
-	Tenants     []QuotaCount `cbor:"4,keyasint"`
+	Incarnation uint64              `cbor:"2,keyasint"`
+	Seq         uint64              `cbor:"3,keyasint"`
+	Tenants     []QuotaTokenRequest `cbor:"4,keyasint"`
 }
 
-// QuotaCount is the part of a request for one tenant.
-type QuotaCount struct {
+// QuotaTokenRequest is the part of a request for one tenant.
+type QuotaTokenRequest struct {
 	Tenant     string `cbor:"1,keyasint"` // name
 	Operations int    `cbor:"2,keyasint"` // number of operations that need a token, at least 1
 }
@@ -40,7 +40,7 @@
 	RetryAfterMs float64 `cbor:"3,keyasint,omitempty"`
 }
 
-// QuotaReport is sent to the leader by another core machine, or by a stand-by agent through its core machine. It
+// QuotaReport is sent to the leader by another core machine, or by a standby agent through its core machine. It
 // reports the sender's share of each tenant's quota, and the demand of proxies at the sender. Once it is sent, the
 // sender applies no grant except one that answers this or a later report.
 type QuotaReport struct {
@@ -51,7 +51,7 @@
 	Seq         uint64        `cbor:"3,keyasint"`
 	Tenants     []QuotaDemand `cbor:"4,keyasint,omitempty"` // tenants with a share or demand at the sender
 	Term        uint64        `cbor:"5,keyasint,omitempty"` // Term of the newest grant that the sender applied
-	Standby     bool          `cbor:"6,keyasint,omitempty"` // the sender is a stand-by agent
+	Standby     bool          `cbor:"6,keyasint,omitempty"` // the sender is a standby agent
 }
 
 // QuotaDemand is the part of a report for one tenant.
@@ -72,7 +72,7 @@
 	// Term is the leader's term, once no earlier leader can grant shares any more; 0 before. So a report with that term
 	// was sent after that.
 	Term    uint64 `cbor:"6,keyasint,omitempty"`
-	Standby bool   `cbor:"7,keyasint,omitempty"` // the receiver is a stand-by agent
+	Standby bool   `cbor:"7,keyasint,omitempty"` // the receiver is a standby agent
 }
 
 // QuotaShare is the part of a grant for one tenant.
--- a/internal/controlplane/doc.go
+++ b/internal/controlplane/doc.go
@@ -23,9 +23,9 @@
 // pendingCalls (forwarded requests) and memberClient (idle connections to members). contactClock is a single atomic
 // number.
 //
-// Whatever takes time, such as a statement to a member or a call to the platform, runs in a goroutine of its own that
-// is bounded by a timeout; its result comes back as a command. A result from an earlier leadership reaches the
-// controller of that leadership, which takes no more steps, or is dropped.
+// Slow operations, such as a statement to a member or a call to the platform, run in goroutines of their own that are
+// bounded by a timeout; their results come back as commands. A result from an earlier leadership reaches the controller
+// of that leadership, which takes no more steps, or is dropped.
 //
 // All goroutines end with the context that Run is given. The loop ends last: the node first transfers its leadership.
 //
@@ -37,7 +37,7 @@
 //  1. Request: configResource.change reads it and calls Server.submit. A machine without contact with a quorum answers
 //     503 at once.
 //  2. Forwarded: Server.route runs in the loop. If this machine leads, the request goes to its own orders; otherwise it
-//     goes over a link to the leader as a controlmsg.Request, and pendingCalls keeps the caller that waits for the
+//     goes over a link to the leader as a controlmsg.Request, and pendingCalls records the caller that waits for the
 //     response. If no leader is known, the attempt is repeated for leaderTimeout.
 //  3. Queued: consensusLoop.submit passes it to package orders at the leader.
 //  4. Proposed: consensusLoop.decideOrders has it evaluated against the committed state. A rejected change is answered
--- a/internal/controlplane/fixture_test.go
+++ b/internal/controlplane/fixture_test.go
@@ -294,7 +294,7 @@
 	return w
 }
 
-// sendHeartbeat puts a member's heartbeat.
+// sendHeartbeat makes a member's heartbeat call, and returns the HTTP status.
 func sendHeartbeat(srv *Server, id, svc, addr, role, state string, seq int) int {
 	body := fmt.Sprintf(`{"svc":%q,"addr":%q,"zone":"z1","gen":"g","slots":4,"state":%q,"dbRole":%q,"seq":%d}`,
 		svc, addr, state, role, seq)
--- a/internal/controlplane/forward_golden_test.go
+++ b/internal/controlplane/forward_golden_test.go
@@ -87,7 +87,7 @@
 	return c.roles[srv]
 }
 
-// servers returns the running servers with the leader first, and assigns their roles.
+// leaderFirst returns the running servers with the leader first, and assigns their roles.
 func (c *testCluster) leaderFirst(t *testing.T, prefix string) []*Server {
 	t.Helper()
 	var all []*Server
--- a/internal/controlplane/platform_test.go
+++ b/internal/controlplane/platform_test.go
@@ -54,7 +54,7 @@
 		resp.Body.Close()
 	}
 	if calls.Load() != 10 || conns.Load() != 10 || failed != 5 {
-		t.Errorf("10 calls, of which 5 lost their answers: %d came, over %d connections, %d failed",
+		t.Errorf("10 calls, 5 of them without a response: %d arrived, over %d connections, %d failed",
 			calls.Load(), conns.Load(), failed)
 	}
 }
--- a/internal/controlplane/quota/limiter/take.go
+++ b/internal/controlplane/quota/limiter/take.go
@@ -20,7 +20,7 @@
 }
 
 // take takes tokens for a tenant's operations, as many as are available.
-func (l *Limiter) take(requested controlmsg.QuotaCount, now float64) controlmsg.QuotaTokens {
+func (l *Limiter) take(requested controlmsg.QuotaTokenRequest, now float64) controlmsg.QuotaTokens {
 	answer := controlmsg.QuotaTokens{Tenant: requested.Tenant}
 	if l.tenants[requested.Tenant] == nil { // the proxy knows of a limit: its configuration or the one here is out of date
 		answer.RetryAfterMs = unknownTenantRetryMs
--- a/internal/controlplane/quotas.go
+++ b/internal/controlplane/quotas.go
@@ -22,7 +22,7 @@
 	settings          *settings.Settings
 	limiter           *limiter.Limiter // nil if the quota contract is not enabled
 	allocator         *quota.Allocator // of core machines' shares; nil unless this machine leads
-	standbys          *quota.Allocator // of stand-by agents' shares; nil unless this machine leads
+	standbys          *quota.Allocator // of standby agents' shares; nil unless this machine leads
 	loggedExpirations int              // the limiter's lease expirations, as last logged
 	loggedSharesKnown bool             // whether it was logged that this leader knows all shares
 
@@ -43,7 +43,7 @@
 	q.allocator, q.standbys, q.loggedSharesKnown = nil, nil, false
 	if state.active && q.limiter != nil {
 		q.allocator = quota.New(now, state.term, state.leaseHolders, q.settings.TolerateNodes > 0)
-		// Any agent may have been a stand-by, so that only the end of earlier leases shows that no other holds a share.
+		// Any agent may have been a standby, so that only the end of earlier leases shows that no other holds a share.
 		q.standbys = quota.New(now, state.term, nil, false)
 		q.standbys.SetVoters(len(q.settings.Regions))
 		q.setConfig(current, now)
@@ -108,8 +108,8 @@
 }
 
 // answerQuotaReport returns the leader's grant for a report, nil if there is none. Only voters may hold shares, as a
-// new leader knows the voters. Contact is checked after now was read: a grant counts from a time at which no other
-// machine had led for longer than contact lasts.
+// new leader knows the voters. Contact is checked after now was read, so that at now, from which the grant counts, no
+// other machine can have led for longer than consensus.ContactLease.
 func (s *softState) answerQuotaReport(r *controlmsg.QuotaReport, now float64) *controlmsg.QuotaGrant {
 	if s.quotas.allocator == nil || !s.server.inContact() {
 		return nil
@@ -127,7 +127,7 @@
 	return s.quotas.allocator.Report(r, now)
 }
 
-// handleQuotaReport answers the report of another core machine or a stand-by agent. A stand-by agent's report is
+// handleQuotaReport answers the report of another core machine or a standby agent. A standby agent's report is
 // forwarded if this machine does not lead.
 func (s *softState) handleQuotaReport(from *link, r *controlmsg.QuotaReport, now float64) {
 	if r.Standby && s.quotas.allocator == nil {
@@ -139,7 +139,7 @@
 	}
 }
 
-// handleQuotaGrant applies the leader's grant to this machine, or passes on a grant to a stand-by agent.
+// handleQuotaGrant applies the leader's grant to this machine, or passes on a grant to a standby agent.
 func (s *softState) handleQuotaGrant(grant *controlmsg.QuotaGrant, now float64) {
 	if grant.Standby {
 		s.agents.sendTo(grant.Holder, &controlmsg.Frame{QuotaGrant: grant})
--- a/internal/controlplane/quotas_test.go
+++ b/internal/controlplane/quotas_test.go
@@ -44,7 +44,7 @@
 	t.Helper()
 	a.seq++
 	a.link.Send(&controlmsg.Frame{QuotaRequest: &controlmsg.QuotaRequest{Driver: "front", Incarnation: 7, Seq: a.seq,
-		Tenants: []controlmsg.QuotaCount{{Tenant: tenant, Operations: operations}}}})
+		Tenants: []controlmsg.QuotaTokenRequest{{Tenant: tenant, Operations: operations}}}})
 	select {
 	case answer := <-a.answers:
 		if answer.Driver != "front" || answer.Incarnation != 7 || answer.Seq != a.seq || len(answer.Tenants) != 1 {
@@ -71,7 +71,7 @@
 	return tokens
 }
 
-// newQuotaCluster returns three machines with the quota contract enabled, of which the first leads.
+// newQuotaCluster starts three machines with the quota contract enabled. servers has them with the leader first.
 func newQuotaCluster(t *testing.T) (machines *testCluster, servers []*Server) {
 	t.Helper()
 	machines = newTestCluster(t, newTranscript())
@@ -87,7 +87,7 @@
 	return machines, servers
 }
 
-func TestEachCoreMachineGivesOutTokens(t *testing.T) {
+func TestEachCoreMachineGrantsTokens(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		_, servers := newQuotaCluster(t)
 		for i, srv := range servers {
@@ -128,7 +128,7 @@
 	})
 }
 
-func TestTokensAreGivenForOneLeaseWithoutLeader(t *testing.T) {
+func TestTokensAreGrantedForOneLeaseWithoutLeader(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		machines, servers := newQuotaCluster(t)
 		agent := newQuotaAgent(t, servers[1])
@@ -202,7 +202,7 @@
 
 // A machine without contact may have an outdated configuration, so it grants no tokens of a tenant that its
 // configuration does not limit. It once granted any number of them.
-func TestMachineWithoutContactGivesNoTokensOfUnlimitedTenant(t *testing.T) {
+func TestMachineWithoutContactGrantsNoTokensOfUnlimitedTenant(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		machines, servers := newQuotaCluster(t)
 		agent := newQuotaAgent(t, servers[1])
--- a/internal/controlplane/state.go
+++ b/internal/controlplane/state.go
@@ -16,11 +16,11 @@
 	maxStateCommands = 1024 // commands queued for the owner before their senders block
 )
 
-// softState owns what a machine learns from others and keeps in memory only, and the leader's tasks. Only one
+// softState owns the state that a machine learns from others and keeps only in memory, and the leader's tasks. Only one
 // goroutine, run, accesses it; others send it commands through enqueue. A restarted machine rebuilds it: members and
-// drivers repeat their heartbeats and renewals, and other machines send what they know.
+// drivers repeat their heartbeats and renewals, and other machines send the state that they have.
 //
-// Each concern is a type of its own, in the file of its name. What involves more than one is a method of softState.
+// Each concern is a type of its own, in the file of its name. Code that involves several is a method of softState.
 type softState struct {
 	server *Server
 	queue  *commandqueue.Queue
--- a/internal/controlplane/status.go
+++ b/internal/controlplane/status.go
@@ -100,7 +100,7 @@
 	return out
 }
 
-// ServeHTTP answers with the status, of which each of the two owners fills in its part.
+// ServeHTTP answers with the status. Each of the two owners fills in its part of it.
 func (r *statusResource) ServeHTTP(w http.ResponseWriter, request *http.Request) {
 	brief := request.URL.Query().Get("brief") != ""
 	srv := r.server
--- a/internal/controlplane/voters.go
+++ b/internal/controlplane/voters.go
@@ -9,8 +9,8 @@
 	"weirwind/internal/util/events"
 )
 
-// This file has what the consensus loop monitors about the other voters while this machine leads: which are silent, and
-// whose clocks run at a different rate.
+// This file monitors the other voters while this machine leads: it detects which are silent, and whose clocks run at a
+// different rate.
 
 const partsPerMillion = 1e6
 
--- a/internal/dataplane/group/group.go
+++ b/internal/dataplane/group/group.go
@@ -70,8 +70,8 @@
 	}
 }
 
-// emptySlot empties the slot and makes a probe due at once. silent: the only evidence is missing answers, so the
-// member's next answer may put it back.
+// emptySlot empties the slot and makes a probe due at once. silent means that the only evidence is missing answers, so
+// that the member's next answer may put it back.
 func (g *Group) emptySlot(now float64, silent bool, reason string) {
 	g.Slot.Clear(now, silent)
 	g.SlotReason = reason
--- a/internal/dataplane/group/group_test.go
+++ b/internal/dataplane/group/group_test.go
@@ -92,7 +92,7 @@
 				So(targetID(g.Route(write, 220, allAvailable, avoidNone)), ShouldEqual, "c")
 			})
 		})
-		Convey("queues writes while its primary drains, though that still answers as primary", func() {
+		Convey("queues writes while its primary drains, although the member still answers as primary", func() {
 			g.UpdateMember(directory.Member{ID: "a", Role: directory.RolePrimary, Leaving: true, Draining: true, Incarnation: 1, Seq: 2}, 100)
 			So(targetID(g.Route(write, 150, allAvailable, avoidNone)), ShouldEqual, "")
 			g.RecordProbe(a, 150, 190, wire.MemberStatus{Primary: true, Term: 1})
--- a/internal/dataplane/group/health.go
+++ b/internal/dataplane/group/health.go
@@ -35,7 +35,7 @@
 // String returns the outcome's name in metrics.
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// RecordSend records a request that was sent to a member. commit: its answer waits for replicas too.
+// RecordSend records a request that was sent to a member. commit means that its answer waits for replicas too.
 func (g *Group) RecordSend(member *Member, now float64, commit bool) {
 	member.pendingSends = append(member.pendingSends, now)
 	if commit {
--- a/internal/dataplane/group/routing.go
+++ b/internal/dataplane/group/routing.go
@@ -19,9 +19,9 @@
 
 // Requirement is what a statement or a transaction requires of the member that it is routed to.
 type Requirement struct {
-	// Write: only the primary may run it.
+	// Write means that only the primary may run it.
 	Write bool
-	// Linearizable: it is a read that must see all that was acknowledged before it began.
+	// Linearizable means that it is a read that must see all that was acknowledged before it began.
 	Linearizable bool
 	// Any other read must see all that was acknowledged before AckedBefore (in milliseconds), and its session's last
 	// commit, which was acknowledged at SessionCommitAt. SessionCommit is zero if the session has committed nothing.
@@ -34,9 +34,9 @@
 type Target struct {
 	// Member is nil if no member is suitable now: the statement stays queued.
 	Member *Member
-	// MinPosition is the log position that the member must have reached to answer; zero: no check.
+	// MinPosition is the log position that the member must have reached to answer; zero for no check.
 	MinPosition wire.Position
-	// VerifyPrimary: the member must prove that it still leads, by a transaction around the read.
+	// VerifyPrimary means that the member must prove that it still leads, by a transaction around the read.
 	VerifyPrimary bool
 }
 
--- a/internal/dataplane/group/watermarks.go
+++ b/internal/dataplane/group/watermarks.go
@@ -4,7 +4,7 @@
 
 // Limits on the stored watermarks, in milliseconds.
 const (
-	watermarkSpacing   = 50.0   // shortest time between a watermark's request and that of the next but one
+	watermarkSpacing   = 50.0   // minimum time between the requests of a watermark and of the second one after it
 	watermarkRetention = 5000.0 // age after which watermarks are dropped
 )
 
--- a/internal/dataplane/proxy/errors.go
+++ b/internal/dataplane/proxy/errors.go
@@ -91,7 +91,7 @@
 	return &clientError{outcomeUnknown, "no node that holds " + shard + " could say what came of it"}
 }
 
-// isProtocolError reports whether a read failed because the client's bytes are no valid message.
+// isProtocolError reports whether a read failed because the client's bytes are not a valid message.
 func isProtocolError(err error) bool {
 	return errors.Is(err, wire.ErrMalformedLine) || errors.Is(err, wire.ErrMessageTooLong) ||
 		errors.Is(err, wire.ErrBufferBudget)
--- a/internal/dataplane/proxy/proxy.go
+++ b/internal/dataplane/proxy/proxy.go
@@ -101,7 +101,7 @@
 	return 0
 }
 
-// timeAt converts a time of now to a time.Time.
+// timeAt converts a time on the clock of now to a time.Time.
 func (p *Proxy) timeAt(ms float64) time.Time { return p.startedAt.Add(time.Duration(ms * 1e6)) }
 
 // distanceTo returns the distance of a zone from the proxy's zone.
@@ -133,8 +133,8 @@
 		func() { p.agent.Store(nil) })
 }
 
-// report sends the agent a report on a primary for the control plane. Without a connection to the agent the report is
-// dropped, as reports are repeated.
+// sendReport sends the agent a report on a primary for the control plane. Without a connection to the agent the report
+// is dropped, as reports are repeated.
 func (p *Proxy) sendReport(primaryReport *controlmsg.PrimaryReport) {
 	if link := p.agent.Load(); link != nil {
 		link.Send(&controlmsg.Frame{PrimaryReport: primaryReport})
--- a/internal/dataplane/proxy/reporter.go
+++ b/internal/dataplane/proxy/reporter.go
@@ -8,7 +8,7 @@
 const reportInterval = 400.0 // minimum time between two reports on one group, in milliseconds
 
 // reporter creates the reports to the control plane on the primary of one group. While the primary does not answer,
-// answers no commit or accepts no connection, the report is repeated. One more report tells that it is healthy again.
+// answers no commit or accepts no connection, the report is repeated. A last report states that it is healthy again.
 type reporter struct {
 	reportedAt float64 // milliseconds
 	unhealthy  bool    // the primary's state in the last report
--- a/internal/dataplane/proxy/shutdown.go
+++ b/internal/dataplane/proxy/shutdown.go
@@ -42,8 +42,8 @@
 func (p *Proxy) idleTimeout() time.Duration { return idleTimeouts[p.phase()] }
 
 // shutDown disconnects the clients, phase by phase, within the grace period. New clients are accepted in all phases:
-// they arrive until the platform has noticed that the process is not ready, and as long as it has no other process in
-// their zone.
+// the platform sends them here until it has noticed that the process is not ready, and for as long as their zone has no
+// other process.
 func (p *Proxy) shutDown(listener net.Listener) {
 	p.log.Event(events.Stopping, "sessions", p.clientConns.Load())
 	startedAt, grace := time.Now(), p.settings.GracePeriod
--- a/internal/dataplane/proxy/statement.go
+++ b/internal/dataplane/proxy/statement.go
@@ -17,7 +17,7 @@
 
 	retryDelay        = 20 * time.Millisecond // before an attempt after a member's refusal
 	minTimeForRetry   = 60.0                  // milliseconds to the deadline that an attempt after a refusal requires
-	maxDelayedRetries = 2                     // attempts of a single statement after which retryDelay may follow
+	maxDelayedRetries = 2                     // of a single statement: after more attempts a refusal is not retried
 )
 
 // execution runs a statement outside a transaction. It makes attempts until the client is answered.
--- a/internal/dataplane/quota/client.go
+++ b/internal/dataplane/quota/client.go
@@ -157,7 +157,7 @@
 	for _, name := range slices.Sorted(maps.Keys(c.waitingTenants)) {
 		if n := c.waitingTenants[name].assignRequest(sent.seq, now); n > 0 {
 			sent.requested[name] = n
-			message.Tenants = append(message.Tenants, controlmsg.QuotaCount{Tenant: name, Operations: n})
+			message.Tenants = append(message.Tenants, controlmsg.QuotaTokenRequest{Tenant: name, Operations: n})
 		}
 	}
 	if len(message.Tenants) == 0 {
@@ -195,7 +195,7 @@
 	return outcomes
 }
 
-// WakeAt returns when to call Expire and NextRequest, +Inf for never. connected: requests can be sent now.
+// WakeAt returns when to call Expire and NextRequest, +Inf for never. connected means that requests can be sent now.
 func (c *Client[O]) WakeAt(connected bool) float64 {
 	at := math.Inf(1)
 	for _, t := range c.waitingTenants {
--- a/internal/dataplane/quota/quota_test.go
+++ b/internal/dataplane/quota/quota_test.go
@@ -29,9 +29,9 @@
 
 func (c *testClient) enqueue(now, deadline float64) Verdict {
 	c.arrivals++
-	verdict, after := c.Enqueue("t", c.arrivals, deadline, now)
+	verdict, retryAfterMs := c.Enqueue("t", c.arrivals, deadline, now)
 	if verdict != Waiting {
-		c.record([]Outcome[int]{{Operation: c.arrivals, Verdict: verdict, RetryAfterMs: after}})
+		c.record([]Outcome[int]{{Operation: c.arrivals, Verdict: verdict, RetryAfterMs: retryAfterMs}})
 	}
 	return verdict
 }
@@ -141,9 +141,9 @@
 	c.record(c.HandleAnswer(&controlmsg.QuotaAnswer{Incarnation: 6, Seq: 2,
 		Tenants: []controlmsg.QuotaTokens{{Tenant: "t", Tokens: 1}}}, lifetime+1))
 	c.expectVerdicts(Waiting)
-	if f := c.Stats(); f.UnansweredRequests != 1 || f.LateAnswers != 1 || c.WakeAt(true) != lifetime ||
+	if stats := c.Stats(); stats.UnansweredRequests != 1 || stats.LateAnswers != 1 || c.WakeAt(true) != lifetime ||
 		c.WakeAt(false) != 600 {
-		t.Errorf("%+v, wake at %v and %v", f, c.WakeAt(true), c.WakeAt(false))
+		t.Errorf("%+v, wake at %v and %v", stats, c.WakeAt(true), c.WakeAt(false))
 	}
 	c.record(c.Expire(600))
 	c.expectVerdicts(Refused)
@@ -211,7 +211,7 @@
 // consume takes a token for each admitted operation: the valid one that expires first.
 func (n *network) consume(c *testClient, admitted int, now float64) {
 	slices.Sort(n.usableTokens)
-	n.usableTokens = slices.DeleteFunc(n.usableTokens, func(ends float64) bool { return ends < now })
+	n.usableTokens = slices.DeleteFunc(n.usableTokens, func(expiresAt float64) bool { return expiresAt < now })
 	if admitted > len(n.usableTokens) {
 		c.Fatalf("at %.0f: %d operations are admitted with %d valid tokens", now, admitted, len(n.usableTokens))
 	}
--- a/internal/dataplane/quota/tenant.go
+++ b/internal/dataplane/quota/tenant.go
@@ -14,7 +14,7 @@
 	// From the newest answer:
 	newestAnswered uint64  // seq of its request
 	tokenDueAt     float64 // when the next token is due if it had too few; else 0
-	nextRequestAt  float64 // no new operation is requested before; 0 if it had enough
+	nextRequestAt  float64 // no token is requested for a new operation before this time; 0 if it had enough
 	emptyAnswers   int     // successive answers without a token
 }
 
@@ -120,8 +120,9 @@
 	return outcomes
 }
 
-// replaceRequest moves the request of an admitted operation to the first operation of the request seq, whose token the
-// admitted one used. The request may be 0, for an operation that is to be requested later.
+// replaceRequest is called for an admitted operation that used a token of the request seq without being part of it. It
+// passes the admitted operation's request on to the first waiting operation of the request seq, which lost its token.
+// The passed request may be 0: the token is then requested later.
 func replaceRequest[O any](waiting []waiter[O], seq uint64, admitted *waiter[O]) {
 	i := slices.IndexFunc(waiting, func(w waiter[O]) bool { return w.request == seq })
 	if i >= 0 {
--- a/internal/driver/admission.go
+++ b/internal/driver/admission.go
@@ -19,8 +19,8 @@
 	headroomShare    = 0.65                   // share of the budget that is kept free as long as clients can be evicted
 	maxEvictions     = 12                     // closing connections whose slot was reassigned; they exceed the budget
 	maxRejections    = 8                      // connections that are being rejected with an answer; they exceed the budget
-	acceptGrace      = 500 * time.Millisecond // for which new connections are accepted after SIGTERM, at least
-	acceptQuiet      = 50 * time.Millisecond  // without a new connection, after which accepting ends
+	acceptGrace      = 500 * time.Millisecond // minimum time for which connections are accepted after SIGTERM
+	acceptQuiet      = 50 * time.Millisecond  // time without a new connection after which accepting then ends
 )
 
 // clientSet holds the admitted clients.
@@ -127,9 +127,9 @@
 }
 
 // evictClient evicts the client with the lowest rank among those that may be evicted, and reports whether there was
-// one: first clients that have sent nothing, then those with at most one op, then the one that has been idle for
-// longest. Clients that connect and send nothing must not keep out those with ops. With reassign the client's slot is
-// given to another client at once, before the connection is closed.
+// one. Clients that have sent nothing are evicted first, then those with at most one op, then the others; within a
+// rank, the client that has been idle for longest. Clients that connect and send nothing must not keep out those with
+// ops. With reassign the client's slot is reassigned to another client at once, before the connection is closed.
 //
 // Clients that pause for a little longer than idleEvictAfter while many connections are open have to reconnect.
 func (s *Service) evictClient(reassign bool) bool {
@@ -181,7 +181,7 @@
 	return idleEvictAfter
 }
 
-// evictedBefore reports whether c is evicted rather than other, which may be nil.
+// evictedBefore reports whether c is evicted before other, which may be nil.
 func (c *client) evictedBefore(other *client) bool {
 	if other == nil {
 		return true
--- a/internal/driver/attempt.go
+++ b/internal/driver/attempt.go
@@ -19,7 +19,7 @@
 	member        string
 	statement     *pgwire.Statement // nil for a health check
 	deadline      time.Time
-	staleAt       time.Time // when the positions it was decided by expire; zero if they don't
+	staleAt       time.Time // when the decision expires, as it depends on members' positions; zero if it doesn't
 	ctx           context.Context
 	cancelContext context.CancelFunc
 
@@ -67,8 +67,8 @@
 	a.mu.Unlock()
 }
 
-// limitAnswerTime gives a member that has begun its answer the connect timeout for the rest. An answer that doesn't end
-// in that time is malformed, but one that lacks only ReadyForQuery is still used.
+// limitAnswerTime limits the time for the rest of an answer that has begun to the connect timeout. An answer that
+// doesn't end in that time is malformed, but one that lacks only ReadyForQuery is still used.
 func (a *attempt) limitAnswerTime() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/driver/attempt_test.go
+++ b/internal/driver/attempt_test.go
@@ -17,7 +17,7 @@
 
 // Cancelling an attempt after its answer has arrived must not affect its connection, which by then may be used by
 // another op: the deadline that cancel sets would end the exchange of that op.
-func TestCancelAfterAnswerSparesPooledConnection(t *testing.T) {
+func TestCancelAfterAnswerKeepsPooledConnection(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/driver/client.go
+++ b/internal/driver/client.go
@@ -47,7 +47,7 @@
 	slotReassigned   bool      // its slot in the budget already belongs to another client
 }
 
-// beginMessage records that a message is arriving, and reports whether the client may go on: it is false if evicted.
+// beginMessage records that a message is arriving. It returns false if the client has been evicted.
 func (c *client) beginMessage() bool {
 	c.service.clients.mu.Lock()
 	defer c.service.clients.mu.Unlock()
--- a/internal/driver/client_reader.go
+++ b/internal/driver/client_reader.go
@@ -101,7 +101,7 @@
 	return msg, err
 }
 
-// deliver passes a message to the main goroutine, and reports whether that still receives messages.
+// deliver passes a message to the main goroutine. It returns false if that goroutine has ended serving.
 func (c *client) deliver(msg message) bool {
 	select {
 	case c.messages <- msg:
--- a/internal/driver/decider.go
+++ b/internal/driver/decider.go
@@ -19,7 +19,7 @@
 	mu          sync.Mutex // guards what follows
 	module      logic.Driver
 	ops         map[string]*op  // open ops by the driver's own IDs
-	openIDs     map[string]bool // the IDs that clients gave to open ops; as many as ops
+	openIDs     map[string]bool // the IDs that clients assigned to open ops, one for each of ops
 	lastSerial  uint64          // serial number of the last op
 	groups      map[int64]bool  // all groups that have ever been listed
 	members     map[string]logic.ListEntry
--- a/internal/driver/discovery.go
+++ b/internal/driver/discovery.go
@@ -11,7 +11,7 @@
 
 const (
 	// watchTimeout is how long discovery may delay the response to a watch. A call ends discoveryTimeout after that, so
-	// that a dead connection is detected, or the list counts as received, within 2 s after the wait.
+	// that within 2 s after the wait either a list is received or a dead connection is detected.
 	watchTimeout     = 1500 * time.Millisecond
 	discoveryTimeout = 1700 * time.Millisecond
 )
--- a/internal/driver/fleet.go
+++ b/internal/driver/fleet.go
@@ -89,8 +89,8 @@
 	f.driverCountChanged(count, true, true)
 }
 
-// driverCountChanged handles a new number of drivers. If there is a mesh only its count is used, otherwise that of the
-// registry. notifyModule tells whether the decision module gets the count.
+// driverCountChanged handles a new number of drivers. If there is a mesh, only its count is used, otherwise that of the
+// registry. The count is passed to the decision module if notifyModule is set.
 func (f *fleet) driverCountChanged(count int, fromMesh, notifyModule bool) {
 	if !fromMesh && f.mesh != nil {
 		return
--- a/internal/driver/fleet_gossip.go
+++ b/internal/driver/fleet_gossip.go
@@ -13,8 +13,8 @@
 const (
 	maxDrains            = 4096
 	maxGossipSwitchovers = 256
-	drainRetention       = 10 * time.Minute // of a drain whose revision a list doesn't reach, though its source responds
-	drainGossipWindow    = time.Minute      // each gossip contains the drains of this period; complete states contain all
+	drainRetention       = 10 * time.Minute // of a drain while its source responds, but with lists of earlier revisions
+	drainGossipWindow    = time.Minute      // gossip contains the drains of this period, and complete gossip all drains
 )
 
 // gossip returns the gossip for a peer: all known switchovers, the summary of zones, and all or the recent drains.
--- a/internal/driver/fleet_mesh.go
+++ b/internal/driver/fleet_mesh.go
@@ -91,8 +91,8 @@
 	return len(slices.Compact(addresses))
 }
 
-// meshAddressOf returns the address at which the mesh contacts a peer of which only another address is known: the same
-// host with this driver's mesh port.
+// meshAddressOf returns the address at which the mesh contacts a peer whose mesh address is not known: the host of its
+// known address with this driver's mesh port.
 func (f *fleet) meshAddressOf(at netip.AddrPort) string {
 	ownAddress, err := netip.ParseAddrPort(f.mesh.Address())
 	if err != nil {
--- a/internal/driver/ledger.go
+++ b/internal/driver/ledger.go
@@ -40,7 +40,7 @@
 // queuedRecord is a record that is waiting to be written.
 type queuedRecord struct {
 	record  []byte
-	written chan error // receives the result and is buffered; nil if nobody waits
+	written chan error // receives the result and is buffered; nil if no caller waits for it
 }
 
 // openLedger recovers the table of keys. A damaged table is an error, because without it an op could be executed twice:
--- a/internal/driver/peer.go
+++ b/internal/driver/peer.go
@@ -19,7 +19,7 @@
 }
 
 // run exchanges switchovers with the peer at the start and every second, and notifies it of changes at once. A peer
-// that can't be reached learns of them by the next call, its own or this driver's.
+// that can't be reached learns of them at the next successful call in either direction.
 func (p *peer) run(ctx context.Context, switchovers *switchovers) {
 	known := map[int64]switchover.Notification{} // the state known to the peer, by group; see notificationKey
 	for {
--- a/internal/driver/pool.go
+++ b/internal/driver/pool.go
@@ -16,8 +16,8 @@
 const (
 	idleTimeoutShare  = 0.9 // share of a member's idle timeout after which the pool closes an idle connection itself
 	memberBufferBytes = 4096
-	closeSettleTime   = 10 * time.Millisecond // after an answer, within which a close by the member has arrived
-	addressRetention  = time.Minute           // for which a removed member's address is kept
+	closeSettleTime   = 10 * time.Millisecond // time after an answer in which a close by the member may still arrive
+	addressRetention  = time.Minute           // time for which a removed member's address is kept
 )
 
 // pool has the addresses of members and their idle connections. A connection is never shared by two requests, and is
--- a/internal/driver/presence.go
+++ b/internal/driver/presence.go
@@ -230,7 +230,7 @@
 	}
 	if nameTaken && !p.nameTaken {
 		p.service.log.Warn("presence", "announced", false, "text",
-			"another driver has the name, or an earlier run's lease still stands")
+			"another driver has the name, or the lease of an earlier run has not expired")
 	}
 	p.announced, p.nameTaken = announced, nameTaken
 }
--- a/internal/driver/service.go
+++ b/internal/driver/service.go
@@ -21,7 +21,7 @@
 const (
 	// reservedSockets are kept for the listener, peers, discovery, log, poller, and connections being rejected.
 	reservedSockets    = 32
-	clientSocketShare  = 0.6  // share of the sockets for clients: a queued op uses its client's, but none to a member
+	clientSocketShare  = 0.6  // share of the sockets for clients: a queued op has its client's, but none to a member
 	memoryLimitShare   = 0.75 // share of the limit from which the garbage collector works harder
 	messageMemoryShare = 0.25 // share of the limit for large messages of clients
 )
--- a/internal/driver/switchover.go
+++ b/internal/driver/switchover.go
@@ -55,7 +55,7 @@
 		conn.Close()
 		return fmt.Errorf("control: another driver serves %s", block.Socket)
 	}
-	_ = os.Remove(block.Socket) // left by a driver that was killed: nobody listens on it
+	_ = os.Remove(block.Socket) // left by a driver that was killed: no process listens on it
 	for _, socket := range []struct{ network, address string }{{"unix", block.Socket}, {"tcp", block.Listen}} {
 		if socket.address == "" {
 			continue
--- a/internal/driver/zones.go
+++ b/internal/driver/zones.go
@@ -178,9 +178,9 @@
 		}
 	}
 	if output.PenaltiesChanged {
-		tolls := z.coordinator.ZonePenalties()
-		z.service.decider.step(logic.Event{Kind: logic.EvTolls, Tolls: tolls})
-		z.service.log.Info("zones", "reason", "tolls", "text", fmt.Sprint(tolls))
+		penalties := z.coordinator.ZonePenalties()
+		z.service.decider.step(logic.Event{Kind: logic.EvTolls, Tolls: penalties})
+		z.service.log.Info("zones", "reason", "tolls", "text", fmt.Sprint(penalties))
 		z.trafficMu.Lock()
 		z.plannedZones = z.coordinator.PlannedZones()
 		z.trafficMu.Unlock()
