--- a/internal/controlplane/agent/updates.go
+++ b/internal/controlplane/agent/updates.go
@@ -20,8 +20,8 @@
 	}
 }
 
-// merge merges the configuration, the shard map, members and core addresses. It returns the new ones that are to be
-// passed on.
+// merge merges the configuration, the shard map, members and core addresses. It returns what was new and must be passed
+// on.
 func (a *Agent) merge(update *controlmsg.StateUpdate) *controlmsg.StateUpdate {
 	changes := &controlmsg.StateUpdate{}
 	if update.ConfigVersion > a.configVersion {
--- a/internal/controlplane/agentlinks.go
+++ b/internal/controlplane/agentlinks.go
@@ -14,7 +14,7 @@
 // subscription is the state of one agent, from its first renewal on a link until the link ends.
 type subscription struct {
 	driver string // name
-	// outdated reports whether the agent's last renewal showed other members or drivers than it had been notified of.
+	// outdated means that the agent's last renewal showed other members or drivers than it had been notified of.
 	// This also happens when a renewal crosses an update on its way, so only an agent that is outdated twice in a row is
 	// sent the full lists.
 	outdated bool
--- a/internal/controlplane/state.go
+++ b/internal/controlplane/state.go
@@ -209,8 +209,8 @@
 }
 
 // handleDigest handles another core machine's digest and the driver leases that came with it. If the members of the two
-// machines differ, it sends the sender all of its own on the same link; the other machine does the same on this
-// machine's digests.
+// machines differ, it sends all members of this machine back on the same link. The other machine does the same when it
+// receives this machine's digest.
 func (s *softState) handleDigest(from *link, frame *controlmsg.Frame, now float64) {
 	s.leaseSync.observe(s.server.cores.senderAddr(from), now)
 	s.drivers.merge(frame.Leases, now)
--- a/internal/dataplane/group/doc.go
+++ b/internal/dataplane/group/doc.go
@@ -21,7 +21,7 @@
 // rules by which evidence fills it, and is shared with the driver's decision module. Evidence has the time at which its
 // request was sent, so that a delayed answer never overrides newer evidence.
 //
-// The slot is filled by a heartbeat with the role primary ("beat"), by an answer that only a primary gives ("answer"),
+// The slot is filled by a heartbeat with the role primary ("beat"), by an answer that only a primary sends ("answer"),
 // and by a health check answered as primary ("probe"). It is emptied when its member
 //
 //   - drains: the control plane is about to promote another member, and a write sent now could be lost in between;
--- a/internal/dataplane/group/health.go
+++ b/internal/dataplane/group/health.go
@@ -18,8 +18,8 @@
 
 // Outcomes of requests.
 const (
-	Answered          Outcome = iota // with an answer that a member of any role may give
-	AnsweredAsPrimary                // with an answer that only a primary gives
+	Answered          Outcome = iota // with an answer that a member of any role may send
+	AnsweredAsPrimary                // with an answer that only a primary sends
 	RefusedReadOnly                  // the member is not the primary (a miss)
 	RefusedLagging                   // its log does not reach the required position
 	NoAnswer                         // the connection ended, or the deadline passed
@@ -86,7 +86,7 @@
 	}
 }
 
-// confirmPrimary processes an answer that only a primary gives, to a request that was sent at requestedAt.
+// confirmPrimary processes an answer that only a primary sends, to a request that was sent at requestedAt.
 func (g *Group) confirmPrimary(member *Member, requestedAt float64, source string, position wire.Position) {
 	g.offerSlot(member, requestedAt, source)
 	if g.Slot.Holder == member.ID {
@@ -160,9 +160,8 @@
 	return 0
 }
 
-// ProbesToSend returns the members to which a health check is to be sent now, and marks them as being probed: all
-// candidates for primary while the slot is empty, or a suspected primary. It should be called only while requests wait
-// for a primary.
+// ProbesToSend returns the members to send a health check to now, and marks them as being probed: all candidates for
+// primary while the slot is empty, or a suspected primary. It should be called only while requests wait for a primary.
 func (g *Group) ProbesToSend(now float64) []*Member {
 	primary := g.Primary()
 	if now < g.nextProbe || primary != nil && !primary.Suspected {
--- a/internal/dataplane/proxy/errors.go
+++ b/internal/dataplane/proxy/errors.go
@@ -69,8 +69,8 @@
 	errUnknownKey = &clientError{denied, "no tenant has this key"}
 )
 
-// retryAfterError returns the error of a statement of which nothing was sent, with the time in milliseconds after which
-// the client should retry.
+// retryAfterError returns the error of a statement that was not sent to a member, with the time in milliseconds after
+// which the client should retry.
 func retryAfterError(ms float64) *clientError {
 	return &clientError{unavailable, "come back after " + strconv.Itoa(int(math.Ceil(ms))) + " ms"}
 }
--- a/internal/dataplane/quota/tenant.go
+++ b/internal/dataplane/quota/tenant.go
@@ -22,7 +22,7 @@
 type waiter[O any] struct {
 	operation            O
 	enqueuedAt, deadline float64
-	requestAt            float64 // when its token is to be requested, or requested again
+	requestAt            float64 // when to request its token, or to request it again
 	request              uint64  // seq of the request that asks for its token; 0: none
 }
 
--- a/internal/driver/fleet.go
+++ b/internal/driver/fleet.go
@@ -15,7 +15,7 @@
 )
 
 // fleet communicates with the other drivers through all configured channels. The package behind each channel decides
-// what follows from the received messages; no hook and no op waits for a peer.
+// how to handle the received messages; no hook and no op waits for a peer.
 type fleet struct {
 	service   *Service
 	datagrams *datagrams // messages between decision modules
