--- a/internal/dataplane/proxy/errors.go
+++ b/internal/dataplane/proxy/errors.go
@@ -69,8 +69,8 @@
 	errUnknownKey = &clientError{denied, "no tenant has this key"}
 )
 
-// retryAfterError returns the error of a statement of which nothing was sent, with the time in milliseconds after which
-// the client should retry.
+// retryAfterError returns the error of a statement that was not sent to a member, with the time in milliseconds after
+// which the client should retry.
 func retryAfterError(ms float64) *clientError {
 	return &clientError{unavailable, "come back after " + strconv.Itoa(int(math.Ceil(ms))) + " ms"}
 }
@@ -91,7 +91,7 @@
 	return &clientError{outcomeUnknown, "no node that holds " + shard + " could say what came of it"}
 }
 
-// isProtocolError reports whether a read failed because the client's bytes are no valid message.
+// isProtocolError reports whether a read failed because the client's bytes are not a valid message.
 func isProtocolError(err error) bool {
 	return errors.Is(err, wire.ErrMalformedLine) || errors.Is(err, wire.ErrMessageTooLong) ||
 		errors.Is(err, wire.ErrBufferBudget)
--- a/internal/driver/fleet.go
+++ b/internal/driver/fleet.go
@@ -15,7 +15,7 @@
 )
 
 // fleet communicates with the other drivers through all configured channels. The package behind each channel decides
-// what follows from the received messages; no hook and no op waits for a peer.
+// how to handle the received messages; no hook and no op waits for a peer.
 type fleet struct {
 	service   *Service
 	datagrams *datagrams // messages between decision modules
@@ -89,8 +89,8 @@
 	f.driverCountChanged(count, true, true)
 }
 
-// driverCountChanged handles a new number of drivers. If there is a mesh only its count is used, otherwise that of the
-// registry. notifyModule tells whether the decision module gets the count.
+// driverCountChanged handles a new number of drivers. If there is a mesh, only its count is used, otherwise that of the
+// registry. The count is passed to the decision module if notifyModule is set.
 func (f *fleet) driverCountChanged(count int, fromMesh, notifyModule bool) {
 	if !fromMesh && f.mesh != nil {
 		return
