--- a/internal/writerslot/doc.go
+++ b/internal/writerslot/doc.go
@@ -1,8 +1,8 @@
 // Package writerslot implements the writer slot of a replication group: the record of the member that is believed to
 // be the primary.
 //
-// The slot holds the member that writes are sent to, or none. While it is empty, its owner queues writes and never
-// guesses a primary. The driver's routing module (package logic) and the proxy's routing (internal/dataplane/group)
+// The slot holds the member that writes are sent to, or none. While it is empty, its owner queues writes instead of
+// guessing a primary. The driver's routing module (package logic) and the proxy's routing (internal/dataplane/group)
 // share these rules; deploy/balancer.toml lists slot.go among the files that hold the decision logic.
 //
 // # What fills the slot
--- a/internal/writerslot/slot.go
+++ b/internal/writerslot/slot.go
@@ -13,7 +13,7 @@
 // NewSlot returns an empty slot.
 func NewSlot[M comparable]() Slot[M] { return Slot[M]{SeenAt: math.Inf(-1), EmptiedAt: math.Inf(-1)} }
 
-// Accepts reports whether evidence of time when for m as primary fills the slot. responded: m itself answered.
+// Accepts reports whether evidence dated when that m is the primary fills the slot. responded: m itself answered.
 func (s *Slot[M]) Accepts(m M, when, replicaAt float64, draining, responded bool) bool {
 	if s.Holder == m {
 		s.SeenAt = max(s.SeenAt, when)
@@ -23,12 +23,12 @@
 	return !draining && when > s.SeenAt && replicaAt <= when && !refuted
 }
 
-// Fill makes m the holder on evidence of time when.
+// Fill makes m the holder on evidence dated when.
 func (s *Slot[M]) Fill(m M, when float64) {
 	*s = Slot[M]{m, *new(M), max(s.SeenAt, when), s.EmptiedAt, s.Unresponsive}
 }
 
-// Clear empties the slot and keeps its holder as LastHolder. unresponsive: it timed out or its connection broke.
+// Clear empties the slot and keeps its holder as LastHolder. unresponsive: the holder timed out or its connection broke.
 func (s *Slot[M]) Clear(now float64, unresponsive bool) {
 	*s = Slot[M]{*new(M), s.Holder, s.SeenAt, now, unresponsive}
 }
--- a/logic/api.go
+++ b/logic/api.go
@@ -1,6 +1,6 @@
 package logic
 
-// This file holds the types that Step takes and returns: options, events and actions. Times are milliseconds.
+// This file holds the types that Step takes and returns: options, events and actions. Times are in milliseconds.
 
 // Need is what an op requires of the data that answers it.
 type Need uint8
@@ -10,10 +10,10 @@
 	Bounded             // data no older than OpType.MaxAge at the moment of the send
 	Session             // data that includes all writes of the session
 	Fresh               // data that includes all writes before the op arrived
-	Write               // a write, which only the primary takes
+	Write               // a write, which only the primary accepts
 )
 
-// Effect tells how often an op may run.
+// Effect is a limit on how often an op may run.
 type Effect uint8
 
 const (
@@ -22,7 +22,7 @@
 	NonRetryable               // must not run twice
 )
 
-// Scope is the set of members among which a tokened op's repeats are recognised.
+// Scope is the set of members that recognise each other's tokened ops as repeats.
 type Scope uint8
 
 const (
@@ -40,12 +40,12 @@
 	ChecksWait                 // waits until its data is fresh enough
 )
 
-// ListRole tells how the member list shows the primary.
+// ListRole is how the member list shows the primary.
 type ListRole uint8
 
 const (
-	RoleNone    ListRole = iota // it doesn't
-	RoleAtStart                 // the primary at the start; never updated
+	RoleNone    ListRole = iota // not at all
+	RoleAtStart                 // the primary at the driver's start; never updated
 	RoleLate                    // the current primary, with a delay
 )
 
@@ -79,7 +79,7 @@
 	MayCancel       bool    // sends may be cancelled
 	MayMessage      bool    // drivers may exchange messages
 	MayOverlap      bool    // an op may have several open sends
-	MaxRetryAfter   float64 // longest delay that a busy reply may advise; 0: it can't advise any
+	MaxRetryAfter   float64 // longest delay before a retry that a busy reply may advise; 0: none can be advised
 	SendCap         int     // sends per op
 	ColdFrom        float64 // fraction of its capacity that a member has at its start
 	ColdFor         float64 // warm-up time, in which the capacity grows linearly to 1
@@ -87,7 +87,7 @@
 	FallSpan        float64 // period over which that load is counted
 	OnlyDrainBinds  bool    // only Draining takes a member out of service; Gone in the list may be wrong
 	MaxMessageBytes int     // of one message between drivers
-	MaxMessages     float64 // that a driver receives per second, roughly; 0: the fewer the more drivers
+	MaxMessages     float64 // rough maximum that a driver receives per second; 0: a default that falls with Drivers
 }
 
 // EventKind is the kind of an event. The comments name the fields of Event that it uses.
@@ -115,7 +115,7 @@
 	ListChanges ListKind = iota // only entries that changed
 	ListFull                    // all members
 	ListCached                  // all members, from a cache
-	ListFailed                  // none: the request failed
+	ListFailed                  // no entries: the request failed
 )
 
 // Phase is a member's state in the list.
@@ -132,9 +132,9 @@
 	Member  string
 	Phase   Phase
 	Zone    string
-	Started float64 // clock time of its last start, 0 for long ago
+	Started float64 // clock time of its last start; 0 if that was long ago
 	Group   int64
-	Primary bool // as far as the list shows it, see ListRole
+	Primary bool // according to the list, see ListRole
 }
 
 // Outcome is how a send or a probe ended.
@@ -152,7 +152,7 @@
 	Cancelled
 )
 
-// Role is a member's role by its own account.
+// Role is the role that a member reports about itself.
 type Role uint8
 
 const (
--- a/logic/doc.go
+++ b/logic/doc.go
@@ -5,7 +5,7 @@
 //
 // Give a zero Driver an EvOpen event first. Then call Step with the clock (milliseconds) and the events since the last
 // call, in order, and carry out the actions that it returns, in order. The types of events and actions are in api.go,
-// the decisions in logic.go; docs/design.md tells which of them come from the design.
+// the decisions in logic.go; docs/design.md describes the design that they implement.
 //
 // # Routing
 //
@@ -22,20 +22,21 @@
 //  3. Adaptive concurrency: every member has a window for this driver's sends in flight; in a large fleet, where the
 //     sends of one driver seldom fill a window, a member takes a fraction of the ops instead. A member that has just
 //     started (a cold one) has a budget. Queued ops that can still meet their latency target are sent first.
-//  4. Load shedding: under overload new reads are refused at random, those that earn less for their work more often.
-//  5. Gossip: drivers tell each other the members' positions, the primary, who answers and how fast, and who is silent.
+//  4. Load shedding: under overload new reads are refused at random, those with a low value per unit of work more often.
+//  5. Gossip: drivers tell each other the members' positions, which one is primary, which ones answer and how fast, and
+//     which ones are silent.
 //
 // # Life of an op
 //
 // startOp takes a new op and sheds it, or hands it to route, which sends or queues it. endSend takes the end of each
-// send: it records what the answer tells of the member (observe, recordSuccess, recordLatency) and then closes the op,
+// send: it records what the answer shows about the member (observe, recordSuccess, recordLatency) and then closes the op,
 // routes it again or rejects it. sweep runs at every timer: it detects silent members, probes for primaries, routes
 // queued ops again, and lets sweepOp reject those that wait too long, try a queued write at a possible primary, or hedge
 // a stuck send. closeOp cancels what is still open when an op has its final answer.
 //
 // # Evidence of roles
 //
-// Answers, probes, peers, the member list and the memory of an earlier run all tell of roles (observe, observePrimary).
+// Answers, probes, peers, the member list and the memory of an earlier run all show roles (observe, observePrimary).
 // fillSlot and emptySlot apply what package writerslot accepts: a filled slot gets the queued ops, an emptied one starts
 // the search for the new primary (probeGroup, or tryAsPrimary if probes don't show roles).
 //
@@ -52,7 +53,7 @@
 //
 // # Fleet scale
 //
-// Drivers of one fleet know much the same of each other's members and must not act all at once. Delays, probes and
-// budgets are therefore scaled by fleetScale, a third of the number of drivers, such that a large fleet acts about as
+// Drivers of one fleet have much the same information about the members and must not all act at once. Delays, probes
+// and budgets are therefore scaled by fleetScale, a third of the number of drivers, so that a large fleet acts about as
 // often as three drivers do.
 package logic
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -12,34 +12,34 @@
 	"weirwind/internal/writerslot"
 )
 
-// Times are milliseconds. Limits of latencies are multiples of observed latencies or of the figures in Opening. docs/design.md gives the probe intervals.
+// Times are in milliseconds. Latency limits are multiples of observed latencies or of values in Opening. docs/design.md gives the probe intervals.
 const (
-	probeInterval, idleProbeInterval        = 200.0, 1000.0 // between probes of a group whose writer slot is empty; whose slot is filled
-	probersPerMember                        = 8.0           // about how many drivers probe a member at the same time
+	probeInterval, idleProbeInterval        = 200.0, 1000.0 // between probes of a group: while its writer slot is empty; while it is filled
+	probersPerMember                        = 8.0           // approximate number of drivers that probe a member at the same time
 	maxOpenOps                              = 2000          // unfinished ops of a group above which no further op is queued
-	trialProbability                        = 0.1           // of a queued write's trial at a possible primary, per sweep; divided by fleetScale-1
-	unsentWaitFraction                      = 0.45          // of an op's time limit: how long it is queued if it was never transmitted
-	pauseSweeps                             = 20.0          // sweep intervals without a step after which the driver itself was paused
+	trialProbability                        = 0.1           // that a sweep tries a queued write at a possible primary; divided by fleetScale-1
+	unsentWaitFraction                      = 0.45          // of an op's time limit, for which it is queued if it was never transmitted
+	pauseSweeps                             = 20.0          // sweep intervals without a step, after which the driver itself counts as having been paused
 	gossipBudget                            = 30000.0       // messages received per second, times fleetScale, above which drivers gossip less often
-	suspicionLimit, primarySuspicionLimit   = 7.0, 9.0      // suspicion that ejects a member; that ejects the primary and empties the slot
-	disconnectLimit                         = 3             // consecutive broken or refused connections that eject a member
-	errorRateLimit, errorSmoothing          = 0.5, 0.15     // smoothed error rate that ejects a member; weight of one answer in it
+	suspicionLimit, primarySuspicionLimit   = 7.0, 9.0      // suspicion at which a member is ejected; at which the primary is ejected and the slot emptied
+	disconnectLimit                         = 3             // consecutive broken or refused connections after which a member is ejected
+	errorRateLimit, errorSmoothing          = 0.5, 0.15     // smoothed error rate above which a member is ejected; weight of one answer in it
 	minBackoff, maxBackoff                  = 250.0, 2000.0 // before an ejected member or a failed list request is tried again
-	readWaitFraction                        = 0.04          // of the latency target: how long a read is queued for capacity
+	readWaitFraction                        = 0.04          // of the latency target, for which a read is queued for capacity
 	hedgeEarned, maxHedgeBudget             = 0.03, 10.0    // hedged sends that each good answer adds to the budget; maximum of the budget
 	initialWindow, initialLatencyRatio      = 4.0, 2.0      // of a new primary: maximum of its window; minimum of its latency ratio
 	windowDecrease, windowFloorFraction     = 0.85, 0.7     // factor at overload; fraction of uncongestedInFlight that a window doesn't go below
 	overloadTargetFraction                  = 0.28          // of the latency target: a mean latency below this is never overload
 	overloadBestMultiple, overloadTargetCap = 1.07, 0.6     // else overload begins at this multiple of the best mean latency; cap, of the latency target
-	certaintyGain                           = 10.0          // reduces uncertainty as the own work per member (warmWorkRate) grows
-	headroom                                = 0.5           // use of a window above which it grows; use of the primary's below which other reads go there
-	laggingFraction, laggingRatio           = 0.25, 1.2     // of minMaxAge: a replica that lags more counts as overloaded; its minimum latency ratio then
-	coldBudgetFraction                      = 0.8           // of FallMultiple, the load at which a cold member falls over
+	certaintyGain                           = 10.0          // how strongly this driver's work per member (warmWorkRate) reduces uncertainty
+	headroom                                = 0.5           // fraction of a window in use: above it the window grows; below it the primary also gets reads that replicas could answer
+	laggingFraction, laggingRatio           = 0.25, 1.2     // of minMaxAge: a replica that lags more counts as overloaded; minimum latency ratio of such a replica
+	coldBudgetFraction                      = 0.8           // of FallMultiple, the load at which a cold member fails
 	shedSlope                               = 2.0           // shedding probability per lateFraction
-	remoteZonePenalty, latencyPenalty       = 0.3, 0.3      // in sends in flight, for the load estimate: of another zone; per unit of latency ratio
-	freshReplicaPenalty                     = 1.0           // in sends in flight: of a fresh replica for reads of any age
+	remoteZonePenalty, latencyPenalty       = 0.3, 0.3      // added to the load estimate, in sends in flight: for another zone; per unit of latency ratio
+	freshReplicaPenalty                     = 1.0           // added to the load estimate of a fresh replica for reads of any age, in sends in flight
 	smoothing                               = 0.03          // weight of one answer in smoothed values
-	lostSendMultiple                        = 6.0           // of the mean latency: a send without an answer for longer is lost if the member answers others
+	lostSendMultiple                        = 6.0           // of the mean latency: a send without an answer for longer counts as lost if the member has answered others
 )
 
 type opKind struct {
@@ -48,7 +48,7 @@
 	effect                                    Effect
 	scope                                     Scope
 	maxAge, tokenWindow, latencyTarget, value float64
-	meanLatency, bestLatency                  float64 // of good answers: smoothed mean; its minimum so far, which slowly rises back
+	meanLatency, bestLatency                  float64 // of successful answers: smoothed mean; minimum of that mean, which slowly rises towards it again
 }
 
 type group struct {
@@ -61,39 +61,39 @@
 
 	openOps                      []*op     // unfinished ops in order of arrival
 	trialOp                      *op       // the last queued write that was sent to a member whose role is not known
-	work, workRate, warmWorkRate float64   // own work answered: milliseconds since the last sweep; smoothed rate; the same, not reduced while a member is cold
+	work, workRate, warmWorkRate float64   // answered work of this driver: milliseconds since the last sweep; smoothed rate; that rate, not reduced while a member is cold
 	lateFraction                 []float64 // per op type: smoothed fraction of reads that are late or refused for lack of capacity
-	latencyRatio                 float64   // smoothed, of all replicas
-	uncertainty                  float64   // of load estimates, 0 to 1: high if own sends are few in a large fleet
+	latencyRatio                 float64   // smoothed over the answers of all replicas
+	uncertainty                  float64   // of load estimates, 0 to 1: high if this driver sends little in a large fleet
 	minWarmth                    float64   // the lowest warmth of the serving members
-	lastCommit                   float64   // highest commit position of own writes, for sessions that don't carry theirs
+	lastCommit                   float64   // highest commit position of this driver's writes, for sessions that don't carry their own
 }
 
 type member struct {
 	id, zone                string
 	hash                    uint32 // identifies the member in peers' messages
 	group                   *group
-	draining, listedPrimary bool    // draining: or gone; gets no new ops. listedPrimary: the member list has it as primary
+	draining, listedPrimary bool    // draining: drains or is gone, so it gets no new ops. listedPrimary: the member list names it as primary
 	zonePenalty             float64 // for the load estimate, in sends in flight
 	position, replicaSeenAt float64 // newest known position; when it last reported that it is a replica
-	inFlight, disconnects   int     // own sends in flight; broken or refused connections since the last answer
+	inFlight, disconnects   int     // sends of this driver in flight; broken or refused connections since the last answer
 	heardAt                 float64 // when it last answered this driver or a peer
-	overdue                 float64 // waiting time without an answer since heardAt of sends that have ended, in mean latencies
-	suspicion               float64 // overdue plus that of the open sends, as in an accrual failure detector
+	overdue                 float64 // time that ended sends waited since heardAt without an answer, in mean latencies
+	suspicion               float64 // overdue plus the same time of open sends, as in an accrual failure detector
 	errorRate, latencyRatio float64 // smoothed
 	uncongestedInFlight     float64 // smoothed sends in flight while the member was not overloaded
 
-	overload                           float64 // smoothed latency ratio; for a replica the mean of its own and all replicas'. Over 1: overloaded
-	gossipRatio, gossipedAt            float64 // newest own latency ratio, 0 if peers have it; when this or another driver last gossiped of the member
-	readmittedAt, backoff, nextTrialAt float64 // of the ejection: when the last one ended; pause between trial ops; when the next one is due
+	overload                           float64 // smoothed latency ratio; for a replica the mean of its own and that of all replicas. Above 1: overloaded
+	gossipRatio, gossipedAt            float64 // newest latency ratio seen by this driver, 0 once it was gossiped; when any driver last gossiped about the member
+	readmittedAt, backoff, nextTrialAt float64 // when the last ejection ended; pause between trial ops while ejected; when the next trial op is due
 	startedAt, ejectedAt, unlistedAt   float64 // unlistedAt: when the list first called it gone, 0 while it is listed
-	window, windowReducedAt            float64 // most sends in flight; when it was last reduced
+	window, windowReducedAt            float64 // maximum number of sends in flight; when it was last reduced
 	fullUntil                          float64 // no sends until then, after a reply that it is full
 	coldCredit, coldCreditAt           float64 // work that a cold member may still get, in milliseconds; when it was last topped up
 
-	ejected, gossipPending      bool   // gossipPending: there is something to tell peers
-	unconfirmed                 bool   // primary of an earlier run: gets no write before it has answered as primary
-	gossipFlags, disconnectFlag uint64 // flags for peers; flagDisconnected if it was ejected as connections broke or were refused, else 0
+	ejected, gossipPending      bool   // gossipPending: there is something to gossip
+	unconfirmed                 bool   // primary recalled from an earlier run: gets no write before it has answered as primary
+	gossipFlags, disconnectFlag uint64 // flags of the next gossip; flagDisconnected if it was ejected because connections broke or were refused, else 0
 }
 
 type send struct {
@@ -109,22 +109,22 @@
 	group *group
 
 	arrivedAt, deadline        float64
-	minPosition, admissionDraw float64 // position that a session read needs; a random number: a member takes the op if its share is larger
+	minPosition, admissionDraw float64 // position that a session read needs; random number in [0, 1): a member takes the op if its share is larger
 
 	sends                    []send
 	openSends                int
 	faultedBy                *member // answered the last send with an error
 	queued, done, clientGone bool
-	transmitted, missed      bool // a send of it may have reached a member; a member lacked the role or the position to answer it
-	noCandidate              bool // it waited because no member qualified, not for lack of capacity
+	transmitted, missed      bool // transmitted: a send may have reached a member. missed: a member lacked the role or position to answer
+	noCandidate              bool // it was queued because no member qualified, not for lack of capacity
 }
 
-// Driver is the decision module of one driver. Its zero value takes an EvOpen event first.
+// Driver is the decision module of one driver. The first event of a zero Driver must be EvOpen.
 type Driver struct {
 	now, positionZero, minMaxAge  float64 // minMaxAge: the smallest MaxAge of the bounded op types
 	sweepInterval, deadlineMargin float64 // deadlineMargin: time before an op's deadline, or the end of its token window, that is left unused
 	zone                          string
-	zonePenalties                 map[string]float64 // by zone, as long as a plan sets them
+	zonePenalties                 map[string]float64 // by zone; set while a plan is in force
 	actions                       []Action
 	rngState                      uint64
 	opTypes                       []*opKind
@@ -135,21 +135,21 @@
 	ops                           map[string]*op
 
 	membersCheckLag, listTracksRole, sessionCarried, probesShowRole, mayCancel, mayOverlap bool
-	onlyDrainBinds, noGossip                                                               bool // noGossip: there are peers, but no messages
+	ignoreGone, noGossip                                                                   bool // ignoreGone: Gone in the list may be wrong. noGossip: there are peers, but no messages can be exchanged
 
-	hedgeBudget, maxRetryAfter, coldFrom, coldFor, coldRateMultiple, coldRateSpan float64 // coldRateMultiple: of the mean work per member, for a cold one
+	hedgeBudget, maxRetryAfter, coldCapacity, warmUpTime, coldBudgetMultiple, coldBudgetSpan float64 // coldBudgetMultiple: budget of a cold member, relative to the mean work per member
 
 	sendCap, maxGossipEntries                         int
-	gossipInterval, minGossipInterval, maxMessageRate float64 // between messages about the same member by all drivers, 0: never; its minimum
+	gossipInterval, minGossipInterval, maxMessageRate float64 // gossipInterval: between messages of any driver about the same member, 0 if none are sent
 
-	nextWatchAt, watchBackoff, resumedAt, messageRate float64 // resumedAt: end of the driver's own last pause; messageRate: received, per second
-	fleetScale, commitCeiling                         float64 // a third of the number of drivers, at least 1; no commit of an earlier run lies beyond the ceiling
+	nextWatchAt, watchBackoff, resumedAt, messageRate float64 // resumedAt: end of the last pause of the driver itself; messageRate: messages received per second
+	fleetScale, commitCeiling                         float64 // fleetScale: a third of the number of drivers, at least 1; commitCeiling: maximum position of commits of earlier runs
 }
 
 // Step takes the events up to now, in milliseconds, and returns the actions to carry out. The slice is valid until the next call.
 func (d *Driver) Step(now float64, events []Event) []Action {
 	if now-d.now > pauseSweeps*d.sweepInterval {
-		d.resumedAt = now // the driver itself was paused: this is no silence of members, and latencies measured across it mean nothing
+		d.resumedAt = now // the driver itself was paused: members weren't silent, and latencies measured across the pause are meaningless
 	}
 	d.now, d.actions = now, d.actions[:0]
 	timerFired := false
@@ -190,7 +190,7 @@
 			}
 		}
 	}
-	if timerFired { // after the answers that came in the same step
+	if timerFired { // after the answers that arrived in the same step
 		d.sweep()
 		d.emit(Action{Kind: ActTimer, Wait: d.sweepInterval})
 	}
@@ -203,14 +203,14 @@
 	d.emit(Action{Kind: ActLog, Text: fmt.Sprintf(format, args...)})
 }
 
-// open resets the driver to the options of its opening.
+// open resets the driver and applies the options.
 func (d *Driver) open(opening *Opening) {
 	*d = Driver{now: d.now, actions: d.actions, rngState: opening.Seed, zone: opening.Zone, positionZero: opening.PositionZero, members: map[string]*member{},
 		membersByHash: map[uint32]*member{}, groupsByID: map[int64]*group{}, ops: map[string]*op{}, sweepInterval: max(opening.Tick, 4),
 		hedgeBudget: maxHedgeBudget / 2, membersCheckLag: opening.Checks != ChecksNone, listTracksRole: opening.ListRole == RoleLate,
 		sessionCarried: opening.SessionCarried, probesShowRole: opening.ReportsByProbe && opening.MayProbe, mayCancel: opening.MayCancel,
-		mayOverlap: opening.MayOverlap, sendCap: max(opening.SendCap, 1), maxRetryAfter: opening.MaxRetryAfter, coldFrom: opening.ColdFrom, coldFor: opening.ColdFor,
-		coldRateMultiple: opening.FallMultiple * coldBudgetFraction, coldRateSpan: opening.FallSpan, onlyDrainBinds: opening.OnlyDrainBinds,
+		mayOverlap: opening.MayOverlap, sendCap: max(opening.SendCap, 1), maxRetryAfter: opening.MaxRetryAfter, coldCapacity: opening.ColdFrom, warmUpTime: opening.ColdFor,
+		coldBudgetMultiple: opening.FallMultiple * coldBudgetFraction, coldBudgetSpan: opening.FallSpan, ignoreGone: opening.OnlyDrainBinds,
 		maxGossipEntries: opening.MaxMessageBytes / entryBytes, maxMessageRate: opening.MaxMessages}
 	d.deadlineMargin, d.minMaxAge = d.sweepInterval+2*opening.Tick, math.Inf(1)
 	for i, t := range opening.OpTypes {
@@ -221,7 +221,7 @@
 		}
 	}
 	if opening.Positions && !d.sessionCarried {
-		d.commitCeiling = d.now - d.positionZero // an earlier run may have acknowledged writes up to now
+		d.commitCeiling = d.now - d.positionZero // an earlier run may have acknowledged writes until now
 	}
 	d.noGossip = opening.Drivers > 1 && !(opening.MayMessage && d.maxGossipEntries > 0)
 	d.setDrivers(float64(opening.Drivers))
@@ -231,7 +231,7 @@
 	d.emit(Action{Kind: ActTimer, Wait: d.sweepInterval})
 }
 
-// setDrivers adapts to the number of drivers: the gossip interval if they can exchange messages, and the fleet scale in any case.
+// setDrivers sets the fleet scale for a number of drivers, and the gossip interval if they can exchange messages.
 func (d *Driver) setDrivers(drivers float64) {
 	if d.fleetScale, d.gossipInterval = max(1, drivers/3), 0; drivers > 1 && !d.noGossip {
 		d.minGossipInterval = min(max(d.minMaxAge/4, 5*(d.deadlineMargin-d.sweepInterval)), probeInterval) * min(d.fleetScale/3, 1)
@@ -256,7 +256,7 @@
 	return g
 }
 
-// updateMembers applies the member list. As its roles are late, its primary fills only a new slot, or, if it tracks roles, one that last held another.
+// updateMembers applies the member list. Its roles are late, so the listed primary fills only a slot that was never filled or, if the list tracks roles, one that last held another member.
 func (d *Driver) updateMembers(ev *Event) {
 	if ev.List == ListFailed {
 		d.watchBackoff = min(max(2*d.watchBackoff, minBackoff), 2*maxBackoff)
@@ -309,8 +309,8 @@
 	}
 }
 
-// restoreMemory takes what an earlier run knew as dated evidence. A primary seen within the trust window, in which no other can
-// have been promoted, fills the slot; one seen earlier is only probed first, and yields to a member list that tracks roles.
+// restoreMemory uses the state saved by an earlier run as dated evidence. A primary seen within the trust window fills the slot, as no other can
+// have been promoted since. One seen earlier is only probed before other members, and yields to a member list that tracks roles.
 func (d *Driver) restoreMemory(memory *Memory) {
 	d.commitCeiling = max(d.commitCeiling, memory.Ceiling)
 	for _, g := range d.groups {
@@ -338,23 +338,23 @@
 				m.disconnectFlag = flagDisconnected
 			}
 			if m.group.Holder == m {
-				d.emptySlot(m, true, "recalled as set aside")
+				d.emptySlot(m, true, "recalled as ejected")
 			}
 		}
 	}
-	for _, r := range memory.Groups {
-		g, m := d.groupsByID[r.Group], d.members[r.Primary]
-		if g != nil && r.WorkRate > 0 {
-			g.warmWorkRate, g.uncertainty = r.WorkRate, min(d.fleetScale-1, 1) // drivers that start together know the same, so their choices must be random
+	for _, saved := range memory.Groups {
+		g, m := d.groupsByID[saved.Group], d.members[saved.Primary]
+		if g != nil && saved.WorkRate > 0 {
+			g.warmWorkRate, g.uncertainty = saved.WorkRate, min(d.fleetScale-1, 1) // drivers that start together have the same information, so their choices must be random
 		}
-		if g == nil || m == nil || m.group != g || r.SeenAt <= g.SeenAt || m.startedAt > r.SeenAt {
+		if g == nil || m == nil || m.group != g || saved.SeenAt <= g.SeenAt || m.startedAt > saved.SeenAt {
 			continue
 		}
-		if age := d.now - r.SeenAt; r.InSlot && age >= 0 && age < memory.TrustWindow && !m.draining && !m.ejected {
-			d.fillSlot(m, r.SeenAt, "recalled")
+		if age := d.now - saved.SeenAt; saved.InSlot && age >= 0 && age < memory.TrustWindow && !m.draining && !m.ejected {
+			d.fillSlot(m, saved.SeenAt, "recalled")
 		} else if g.Holder == nil || !d.listTracksRole {
-			g.Holder, g.LastHolder, g.SeenAt, g.EmptiedAt, g.nextProbeAt, m.unconfirmed = nil, m, r.SeenAt, r.SeenAt, d.now, true
-			if d.log("group %d: %s was primary, to be asked", g.id, m.id); d.probesShowRole && !m.draining {
+			g.Holder, g.LastHolder, g.SeenAt, g.EmptiedAt, g.nextProbeAt, m.unconfirmed = nil, m, saved.SeenAt, saved.SeenAt, d.now, true
+			if d.log("group %d: %s was primary in an earlier run, to be probed", g.id, m.id); d.probesShowRole && !m.draining {
 				d.emit(Action{Kind: ActProbe, Member: m.id})
 			}
 			d.probeGroup(g)
@@ -383,7 +383,7 @@
 	}
 }
 
-// noOtherCandidate reports whether no member but p can be the primary: all others have reported that they are replicas, drain or are ejected.
+// noOtherCandidate reports whether no member except p can be the primary: each of the others has reported that it is a replica, drains or is ejected.
 func (g *group) noOtherCandidate(p *member) bool {
 	return !slices.ContainsFunc(g.members, func(m *member) bool {
 		return m != p && !m.draining && !m.ejected && math.IsInf(m.replicaSeenAt, -1)
@@ -395,18 +395,18 @@
 	if phase == Gone && m.unlistedAt == 0 {
 		m.unlistedAt = d.now
 	}
-	if !m.draining && (phase != Gone || !d.onlyDrainBinds) { // with onlyDrainBinds the list does not establish which members are up
+	if !m.draining && (phase != Gone || !d.ignoreGone) { // with ignoreGone the list does not establish which members are up
 		if m.draining = true; m.group.Holder == m {
 			d.emptySlot(m, false, "drains")
 		}
 	}
 }
 
-// prune forgets a member that left the list so long ago that no late evidence of it can arrive, and reports whether it did. With onlyDrainBinds,
-// drained members are kept twenty times as long: a list may name one as gone much later, and it must not be taken for a new one.
+// prune deletes a member that left the list so long ago that no late evidence of it can arrive, and reports whether it did. With ignoreGone,
+// drained members are kept twenty times as long: a list may show one as gone much later, and it must not be mistaken for a new member.
 func (d *Driver) prune(m *member) bool {
-	retention := max(d.coldFor, 5*maxBackoff)
-	if m.draining && d.onlyDrainBinds {
+	retention := max(d.warmUpTime, 5*maxBackoff)
+	if m.draining && d.ignoreGone {
 		retention *= 20
 	}
 	expired := m.unlistedAt > 0 && d.now-m.unlistedAt > retention
@@ -434,8 +434,8 @@
 	d.route(o)
 }
 
-// shed reports whether a read is refused at random because many are late, op types of little value per work more often. This keeps
-// queues short whatever fills them; it sheds too much where a single member causes the overload.
+// shed reports whether to refuse a read at random because many reads are late; op types with a low value per unit of work are refused more often.
+// This keeps queues short regardless of the cause, but sheds too much if a single member causes the overload.
 func (d *Driver) shed(o *op) bool {
 	probability := o.group.lateFraction[o.kind.index] * shedSlope * (1 + 3*o.group.uncertainty*o.group.uncertainty)
 	if probability <= 0 || o.kind.need == Write {
@@ -461,10 +461,10 @@
 		if to, fresh = d.pickReplica(o); to == nil && !fresh && d.membersCheckLag && !o.missed {
 			to = d.mostAdvanced(o, false)
 		}
-		mayBeDeposed := d.probesShowRole && o.kind.need == Bounded && g.SeenAt > 0 && d.now-g.SeenAt > o.kind.maxAge // no evidence of it within the bound
+		mayBeDeposed := d.probesShowRole && o.kind.need == Bounded && g.SeenAt > 0 && d.now-g.SeenAt > o.kind.maxAge // no evidence within the bound that it is still primary
 		if primary := g.Holder; to == nil && primary != nil && !primary.ejected && !mayBeDeposed && (!fresh ||
 			float64(primary.inFlight) < primary.window*headroom && (1-o.admissionDraw)*g.uncertainty*g.uncertainty*float64(g.serving) < headroom) {
-			to = primary // all drivers together move at most half of a replica's reads to it
+			to = primary // all drivers together move at most half of one replica's reads to the primary
 		}
 		if to == nil && !fresh && o.kind.need == Any {
 			to = d.mostAdvanced(o, true)
@@ -494,7 +494,7 @@
 }
 
 // pickReplica returns the replica with the lowest load estimate among those that are fresh enough and have capacity, nil for none,
-// and reports whether any was fresh enough. An ejected member gets one trial op when its backoff is over: a read that can be retried.
+// and reports whether any was fresh enough. An ejected member gets one trial op when its backoff has passed: a read that can be retried.
 func (d *Driver) pickReplica(o *op) (*member, bool) {
 	var best *member
 	minLoad, anyFresh := math.Inf(1), false
@@ -521,14 +521,14 @@
 	return best, anyFresh
 }
 
-// loadEstimate estimates a member's load from the own sends in flight, relative to its warmth, and from its latency and zone. The fewer
-// own sends there are, the more it is randomised: drivers that know the same must not all choose the same member.
+// loadEstimate estimates a member's load from this driver's sends in flight, relative to its warmth, and from its latency and zone. The fewer
+// sends this driver has, the more the estimate is randomised: drivers with the same information must not all choose the same member.
 func (d *Driver) loadEstimate(m *member) float64 {
 	load := float64(m.inFlight+1)/d.warmth(m) + latencyPenalty*(1+2*m.group.uncertainty)*m.latencyRatio + 0.05*d.random()
 	return (load + m.zonePenalty) * math.Pow(-math.Log(1-d.random()), m.group.uncertainty)
 }
 
-// zonePenalty returns what the load estimate of a zone's members has added: by the plan in force, else for a zone other than the driver's.
+// zonePenalty returns the amount added to the load estimate of a zone's members: that of the plan in force, else a fixed one for zones other than the driver's.
 func (d *Driver) zonePenalty(zone string) float64 {
 	if penalty, planned := d.zonePenalties[zone]; planned || zone == d.zone {
 		return penalty
@@ -536,7 +536,7 @@
 	return remoteZonePenalty
 }
 
-// freshnessPenalty makes reads of any age prefer replicas that lag, as reads that need fresh replicas have fewer to choose from.
+// freshnessPenalty makes reads of any age prefer lagging replicas, as other reads have only the fresh ones to choose from.
 func (d *Driver) freshnessPenalty(o *op, m *member) float64 {
 	if o.kind.need == Any && d.lagWithin(m, d.minMaxAge) {
 		return freshReplicaPenalty
@@ -544,7 +544,7 @@
 	return 0
 }
 
-// mostAdvanced returns the replica with the newest known position; as a last resort any member, even an ejected one.
+// mostAdvanced returns the replica with the newest known position; with lastResort it also considers the primary and ejected members.
 func (d *Driver) mostAdvanced(o *op, lastResort bool) *member {
 	var best *member
 	for _, m := range o.group.members {
@@ -559,7 +559,7 @@
 	return !m.draining && !o.done && len(o.sends) < d.sendCap && (o.openSends == 0 || d.mayOverlap) && d.mayRepeat(o, m)
 }
 
-// mayRepeat reports whether the earlier sends of an op, which may have run, allow another send to m, or to any member if m is nil.
+// mayRepeat reports whether an op may be sent to m, or to any member if m is nil, although its earlier sends may have run.
 func (d *Driver) mayRepeat(o *op, m *member) bool {
 	for i := range o.sends {
 		s := &o.sends[i]
@@ -574,29 +574,29 @@
 
 // warmth returns the fraction of its full capacity that a member has while it warms up, 1 after that.
 func (d *Driver) warmth(m *member) float64 {
-	if age := d.now - m.startedAt; m.startedAt > 0 && age < d.coldFor {
-		return d.coldFrom + (1-d.coldFrom)*max(age, 0)/d.coldFor
+	if age := d.now - m.startedAt; m.startedAt > 0 && age < d.warmUpTime {
+		return d.coldCapacity + (1-d.coldCapacity)*max(age, 0)/d.warmUpTime
 	}
 	return 1
 }
 
-// beginWarmUp records a member's start. Its first credit is random, lest many drivers spend it at the same time.
+// beginWarmUp records a member's start. The first cold credit is random, so that drivers don't all spend it at the same time.
 func (d *Driver) beginWarmUp(m *member, started float64) {
 	m.startedAt, m.coldCredit, m.coldCreditAt = started, d.random()*d.opTypes[0].meanLatency, d.now
 }
 
-// hasCapacity reports whether a member may get an op: it has room in its window, didn't just reply that it is full, and has budget left
-// while cold. The budget is a fraction of this driver's mean work per member, so that all drivers together stay below the limit.
+// hasCapacity reports whether a member may get an op: its window has room, it didn't just reply that it is full, and, while it is cold, it has
+// budget left. The budget is proportional to this driver's mean work per member, so that all drivers together stay below the limit.
 func (d *Driver) hasCapacity(m *member, o *op) bool {
 	k, limit, share := o.kind, m.window, 1.0
-	if d.fleetScale > 2 { // one driver's sends hardly fill a window: the latency ratios that all drivers gossip limit the ops instead
+	if d.fleetScale > 2 { // one driver's sends hardly fill a window: the latency ratios that drivers gossip limit the ops instead
 		share = min(1/m.overload, 1)
-		if m == m.group.Holder && k.need < Fresh { // writes come first, and alone while those queued for a new primary are sent
+		if m == m.group.Holder && k.need < Fresh { // other reads yield to writes, and get no share just after the slot was filled, while queued writes are sent
 			share *= share * share * math.Floor(min((d.now-m.group.filledAt)/probeInterval, 1))
 		}
 	}
 	if k.need == Write {
-		limit, share = 2*limit, 2*share // a write has no other member to go to: reads are limited first
+		limit, share = 2*limit, 2*share // only the primary takes writes: reads are limited first
 	}
 	if float64(m.inFlight) >= limit || o.admissionDraw >= share || d.now < m.fullUntil {
 		return false
@@ -605,8 +605,8 @@
 	if warmth == 1 {
 		return true
 	}
-	coldRate := d.coldRateMultiple * warmth * m.group.warmWorkRate / float64(max(m.group.serving, 1))
-	m.coldCredit = min(m.coldCredit+coldRate*(d.now-m.coldCreditAt), max(coldRate*d.coldRateSpan/4, k.meanLatency))
+	coldRate := d.coldBudgetMultiple * warmth * m.group.warmWorkRate / float64(max(m.group.serving, 1))
+	m.coldCredit = min(m.coldCredit+coldRate*(d.now-m.coldCreditAt), max(coldRate*d.coldBudgetSpan/4, k.meanLatency))
 	m.coldCreditAt = d.now
 	return m.coldCredit >= k.meanLatency
 }
@@ -617,7 +617,7 @@
 }
 
 // recordLatency records the latency ratio of an answer to this driver or a peer and adapts the window. This keeps members' queues short
-// whatever fills them; where ops become longer by themselves it only moves the wait from the member to the driver.
+// regardless of the cause; if the ops themselves take longer, it only moves the wait from the member to the driver.
 func (d *Driver) recordLatency(m *member, k *opKind, ratio float64, full, own bool) {
 	g := m.group
 	if d.resumedAt == d.now {
@@ -659,7 +659,7 @@
 	return slices.ContainsFunc(o.sends, func(s send) bool { return s.member == m })
 }
 
-// endSend handles the end of a send.
+// endSend processes the end of a send, and closes the op, routes it again or rejects it.
 func (d *Driver) endSend(ev *Event) {
 	o := d.ops[ev.Op]
 	if o == nil || ev.Send < 0 || ev.Send >= len(o.sends) || !o.sends[ev.Send].open {
@@ -691,13 +691,13 @@
 	case ConnectFailed, Reset:
 		recent := ev.Outcome == Reset || m.inFlight > 0 || d.now-m.heardAt < 2*max(d.gossipInterval, o.kind.meanLatency)
 		if m.disconnects++; s.sentAt >= m.readmittedAt && (!recent || m.inFlight == 0 && m.disconnects >= disconnectLimit) {
-			d.eject(m, flagSilent|flagDisconnected, "connection") // a dead member breaks or refuses all connections; a single one also breaks otherwise
+			d.eject(m, flagSilent|flagDisconnected, "connection") // a dead member breaks or refuses all connections; a single connection may break for other reasons
 		} else if ev.Outcome == ConnectFailed {
-			d.recordLatency(m, o.kind, 1, true, true) // it answers on existing connections; new ones are slow or few
+			d.recordLatency(m, o.kind, 1, true, true) // it answers on existing connections, so it only lacks capacity for new ones
 		}
 	case Fault:
 		if o.faultedBy != nil && !o.done && o.openSends == 0 {
-			d.rejectOp(o) // two members returned an error: the op itself causes it
+			d.rejectOp(o) // two members returned an error: the op itself is the cause
 		}
 		o.faultedBy = m
 	case Full:
@@ -743,12 +743,12 @@
 	o.group.work += o.kind.meanLatency
 	bestRise := smoothing / 20
 	if m.window <= max(1, m.uncongestedInFlight*windowFloorFraction) {
-		bestRise = smoothing // with a window this small, the own sends can't be what makes the member slow
+		bestRise = smoothing // with a window this small, this driver's sends can't be the cause of the latency
 	}
 	o.kind.bestLatency = min(o.kind.bestLatency+(o.kind.meanLatency-o.kind.bestLatency)*bestRise, o.kind.meanLatency)
 	ratio := latency / d.overloadLatency(o.kind)
 	if m != o.group.Holder && !d.lagWithin(m, d.minMaxAge*laggingFraction) {
-		ratio = max(ratio, laggingRatio) // lag is taken for a lack of CPU for applying the log, wrongly where only the log transfer is slow
+		ratio = max(ratio, laggingRatio) // lag is attributed to a lack of CPU for applying the log, which is wrong if only the log transfer is slow
 	}
 	d.recordLatency(m, o.kind, ratio, false, true)
 	d.readmit(m, "answers")
@@ -768,7 +768,7 @@
 	}
 }
 
-// observe takes a member's role and position. They date from the position, as a primary's is the present time, else from when it was asked.
+// observe records a member's role and position. They are dated by the position, as a primary's position is the current time, or by askedAt if there is none.
 func (d *Driver) observe(m *member, sight Sight, askedAt float64, source string) {
 	if sight.Position > m.position {
 		m.position, m.gossipPending = sight.Position, true
@@ -788,21 +788,21 @@
 }
 
 func (d *Driver) observePrimary(m *member, observedAt float64, source string) {
-	if g := m.group; g.Accepts(m, observedAt, m.replicaSeenAt, m.draining, m.heardAt == d.now) { // after silence only an answer to this driver counts
+	if g := m.group; g.Accepts(m, observedAt, m.replicaSeenAt, m.draining, m.heardAt == d.now) { // heardAt == now: the member itself has just answered; after silence only that counts
 		d.fillSlot(m, observedAt, source)
 	}
 }
 
 func (d *Driver) fillSlot(m *member, observedAt float64, source string) {
 	g := m.group
-	if g.Holder != nil || g.LastHolder != nil && (g.LastHolder != m || d.now-g.EmptiedAt >= minBackoff) { // all drivers now send it their queued writes
+	if g.Holder != nil || g.LastHolder != nil && (g.LastHolder != m || d.now-g.EmptiedAt >= minBackoff) { // the primary is new: all drivers now send it their queued writes
 		m.window, m.latencyRatio = min(m.window, initialWindow), max(m.latencyRatio, min(initialLatencyRatio, d.fleetScale-1))
 		g.filledAt, m.overload = d.now, m.latencyRatio
 	}
 	g.Fill(m, observedAt)
 	d.readmit(m, source)
 	if m.gossipPending, m.unconfirmed = true, false; source == "answer" || source == "report" {
-		m.gossipedAt = d.now - d.gossipInterval // peers wait for this news: due at once
+		m.gossipedAt = d.now - d.gossipInterval // peers need to know the new primary: gossip is due at once
 	}
 	d.log("group %d: %s is primary (%s), %d open", g.id, m.id, source, len(g.openOps))
 	d.routeQueued(g)
@@ -820,8 +820,8 @@
 	if !d.probesShowRole || d.now < g.nextProbeAt {
 		return
 	}
-	probability := probersPerMember / (3 * d.fleetScale) // what one driver finds it gossips to all
-	if d.noGossip {                                      // every driver must find out for itself, but only if an op waits for the result
+	probability := probersPerMember / (3 * d.fleetScale) // what one driver finds, it gossips to all
+	if d.noGossip {                                      // every driver must probe for itself, but only if a queued op needs the result
 		if g.Holder != nil || !slices.ContainsFunc(g.openOps, func(o *op) bool { return o.queued }) {
 			return
 		}
@@ -837,8 +837,8 @@
 	}
 }
 
-// routeQueued routes queued ops, oldest first, but those that can still meet their latency target before the others, lest all ops of a
-// long queue be late. Under a lasting lack of capacity this delays old ops further.
+// routeQueued routes queued ops: first those that can still meet their latency target, then the others, each oldest first. Otherwise all ops
+// of a long queue would be late. Under a lasting lack of capacity this delays old ops further.
 func (d *Driver) routeQueued(g *group) {
 	for _, late := range [...]bool{false, true} {
 		for _, o := range g.openOps {
@@ -849,14 +849,14 @@
 	}
 }
 
-// eject stops sends to a member that is silent, breaks connections or returns errors, and empties the slot of a silent or dead primary.
-// A sudden rise of a single member's latency can be mistaken for silence. flags is what peers are told, 0 for nothing.
+// eject stops sends to a member that is silent, breaks connections or returns errors, and empties the slot if it was a silent or dead primary.
+// A sudden rise of a single member's latency can be mistaken for silence. flags are gossiped to peers, unless they are 0.
 func (d *Driver) eject(m *member, flags uint64, reason string) {
 	if !m.ejected {
-		m.gossipFlags = 0 // pending news of good answers is void
+		m.gossipFlags = 0 // good answers that were not gossiped yet are out of date
 	}
 	if flags != 0 && reason != "peer" && (!m.ejected || flags&flagDisconnected > m.disconnectFlag) {
-		m.gossipPending, m.gossipFlags, m.gossipedAt = true, flags, d.now-d.gossipInterval // also if it was ejected as silent and now proves dead
+		m.gossipPending, m.gossipFlags, m.gossipedAt = true, flags, d.now-d.gossipInterval // also if it was ejected as silent and is now known to be dead
 	}
 	if m.disconnectFlag |= flags & flagDisconnected; m.ejected {
 		return
@@ -865,13 +865,13 @@
 		m.backoff = minBackoff
 	}
 	m.ejected, m.ejectedAt, m.nextTrialAt = true, d.now, d.jitter(m.backoff)
-	d.log("group %d: %s set aside: %s", m.group.id, m.id, reason)
+	d.log("group %d: %s ejected: %s", m.group.id, m.id, reason)
 	if flags != 0 && m.group.Holder == m {
 		d.emptySlot(m, true, reason)
 	}
 }
 
-// jitter returns a time after a wait, spread at random so that a fleet together acts about as often as three drivers.
+// jitter returns the time after a wait that is randomly extended, so that a whole fleet acts about as often as three drivers.
 func (d *Driver) jitter(wait float64) float64 { return d.now + wait*(1+2*(d.fleetScale-1)*d.random()) }
 
 func (d *Driver) readmit(m *member, source string) {
@@ -884,10 +884,10 @@
 		}
 	}
 	m.ejected, m.disconnectFlag, m.disconnects, m.readmittedAt, m.heardAt, m.errorRate, m.overdue = false, 0, 0, d.now, d.now, 0, 0
-	d.log("group %d: %s is back (%s)", m.group.id, m.id, source)
+	d.log("group %d: %s readmitted (%s)", m.group.id, m.id, source)
 }
 
-// rejectOp gives an op its final answer: busy if it surely didn't run or may run again, else an error.
+// rejectOp sends an op's final reply: busy if the op certainly didn't run or may run again, else an error.
 func (d *Driver) rejectOp(o *op) {
 	mayHaveRun := slices.ContainsFunc(o.sends, func(s send) bool { return !s.neverRan })
 	if !mayHaveRun || o.kind.effect == Retryable || o.kind.effect == Tokened && o.kind.scope == ScopeAll {
@@ -906,7 +906,7 @@
 	o.queued, o.done = false, true
 	for i := range o.sends {
 		if wait := 0.0; o.sends[i].open && d.mayCancel {
-			if o.clientGone { // cancelling would cost the connection, and the member may run the op anyway: allow it some time to end
+			if o.clientGone { // a cancellation closes the connection, and the member may run the op anyway: give it some time to finish
 				wait = o.kind.latencyTarget
 			}
 			d.emit(Action{Kind: ActCancel, Op: o.id, Send: i, Wait: wait})
@@ -929,9 +929,9 @@
 		d.detectSilence(g)
 		d.probeGroup(g)
 		if elapsed > 0 {
-			g.workRate += (g.work/elapsed - g.workRate) * min(elapsed/max(d.coldRateSpan, 5*probeInterval)/min(d.fleetScale, 4), 1)
+			g.workRate += (g.work/elapsed - g.workRate) * min(elapsed/max(d.coldBudgetSpan, 5*probeInterval)/min(d.fleetScale, 4), 1)
 			if g.work = 0; g.workRate > g.warmWorkRate || g.minWarmth == 1 {
-				g.warmWorkRate = g.workRate // while members are cold, the rate from before their restart stays
+				g.warmWorkRate = g.workRate // while members are cold, the rate from before their restart is kept
 			}
 			g.uncertainty = min(d.fleetScale-1, 1) / (1 + certaintyGain*g.warmWorkRate/float64(max(g.serving, 1)))
 		}
@@ -943,7 +943,7 @@
 		}
 		g.openOps = slices.DeleteFunc(g.openOps, func(o *op) bool { return o.done && o.openSends == 0 })
 		for i := range g.lateFraction {
-			speedup := max(1, min(d.fleetScale, 8)*(1-g.latencyRatio)) // few own answers, but gossip of fast replicas
+			speedup := max(1, min(d.fleetScale, 8)*(1-g.latencyRatio)) // this driver gets few answers, but peers gossip that replicas are fast
 			g.lateFraction[i] -= g.lateFraction[i] * min(smoothing*elapsed/probeInterval*speedup, 1)
 		}
 	}
@@ -954,7 +954,7 @@
 	if d.gossipInterval > 0 {
 		decay := d.sweepInterval / (2 * idleProbeInterval)
 		if d.messageRate -= d.messageRate * 2 * decay; d.messageRate > cmp.Or(d.maxMessageRate, gossipBudget/d.fleetScale) {
-			d.gossipInterval *= 1 + decay // bounds the messages of the whole fleet, whatever its size
+			d.gossipInterval *= 1 + decay // bounds the number of messages regardless of the size of the fleet
 		} else {
 			d.gossipInterval = max(d.gossipInterval*(1-decay), d.minGossipInterval)
 		}
@@ -969,7 +969,7 @@
 	case o.queued && o.kind.need < Fresh && (!o.noCandidate && d.now-o.arrivedAt > readWaitFraction*o.kind.latencyTarget ||
 		d.now-o.arrivedAt+o.kind.meanLatency > o.kind.latencyTarget):
 		d.recordLateness(o, 1)
-		d.rejectOp(o) // early, while a retry by the client can still be in time
+		d.rejectOp(o) // early enough for a retry by the client to be in time
 	case o.queued:
 		d.tryAsPrimary(o)
 	case d.mayOverlap && o.kind.effect != NonRetryable && d.hedgeBudget >= 1:
@@ -982,13 +982,13 @@
 			}
 		}
 		if sendsBefore := len(o.sends); d.now-newestSentAt >= min(2*o.kind.meanLatency, o.kind.latencyTarget) {
-			d.route(o) // all members that it waits for are ejected: hedge
+			d.route(o) // all members with an open send are ejected: hedge
 			d.hedgeBudget -= float64(len(o.sends) - sendsBefore)
 		}
 	}
 }
 
-// tryAsPrimary sends one queued write at a time to members that may be the primary, if probes don't show roles. A miss proves that it didn't run.
+// tryAsPrimary sends one queued write at a time to members that may be the primary, if probes don't show roles. A Miss proves that the write didn't run.
 func (d *Driver) tryAsPrimary(o *op) {
 	g := o.group
 	if g.Holder != nil || g.trialOp != nil && g.trialOp.openSends > 0 || d.probesShowRole || o.kind.need != Write ||
@@ -996,7 +996,7 @@
 		return
 	}
 	if p := g.LastHolder; p != nil && p.unconfirmed && !p.draining && !p.ejected && g.noOtherCandidate(p) {
-		d.fillSlot(p, g.SeenAt, "no other is")
+		d.fillSlot(p, g.SeenAt, "no other candidate")
 		return
 	}
 	for _, m := range g.members {
@@ -1010,8 +1010,8 @@
 	}
 }
 
-// detectSilence ejects members whose missing answers chance doesn't explain: at the usual rate of answers, none comes for so long with
-// probability exp(-suspicion). The limit rises with the other members' suspicion, so that a slowdown of all is not taken for silence.
+// detectSilence ejects members whose answers have been missing for too long to be chance: at the usual rate of answers, a silence this long has
+// probability exp(-suspicion). The limit rises with the other members' suspicion, so that a slowdown of all members is not mistaken for silence.
 func (d *Driver) detectSilence(g *group) {
 	totalSuspicion, busyMembers := 0.0, 0.0
 	g.serving, g.minWarmth = 0, 1
@@ -1049,19 +1049,19 @@
 }
 
 const (
-	flagPrimary, flagGood, flagSilent, flagDisconnected, ratioShift = 1, 2, 4, 2, 3   // flagDisconnected stands with flagSilent and shares its bit with flagGood
+	flagPrimary, flagGood, flagSilent, flagDisconnected, ratioShift = 1, 2, 4, 2, 3   // flagDisconnected is set only with flagSilent, so it can share its bit with flagGood
 	positionRange, ratioScale, entryBytes                           = 1 << 24, 6.0, 7 // 24 bits each for hash and position; latency ratios in sixths
 )
 
-// sendGossip sends peers news about members of which no driver gossiped for gossipInterval, so that messages grow with members, not drivers.
-// False news do little harm: positions never go back, roles are dated by them, and silence is believed only of members that nobody heard from.
+// sendGossip gossips about members that no driver gossiped about for gossipInterval, so that the number of messages grows with the members, not the drivers.
+// False reports do little harm: positions never decrease, roles are dated by positions, and silence counts only if this driver knows of no recent answer.
 func (d *Driver) sendGossip() {
 	var data []byte
 	for _, g := range d.groups {
 		for _, m := range g.members {
 			due := m.gossipPending && d.now >= m.gossipedAt+d.gossipInterval && len(data) < d.maxGossipEntries*entryBytes
 			if m.gossipPending = false; !due {
-				continue // news isn't kept, else all drivers that have some would send it when the interval ends
+				continue // not kept for later, or all drivers with something to gossip would send it when the interval ends
 			}
 			flags, position := m.gossipFlags|uint64(min(m.gossipRatio*ratioScale, 31))<<ratioShift, uint64(0)
 			if g.Holder == m {
