--- a/internal/controlplane/config/config.go
+++ b/internal/controlplane/config/config.go
@@ -4,14 +4,14 @@
 const (
 	ConsistencyPrimary          = "primary"  // all commits: reads go to the primary
 	ConsistencyBoundedStaleness = "stale_ok" // all commits older than MaxStaleness
-	ConsistencySession          = "self"     // all commits older than MaxStaleness, and all of its own session
+	ConsistencySession          = "self"     // all commits older than MaxStaleness, and all those of its own session
 )
 
 // Route assigns the clients of a host to a service.
 //
 // Fields of this and the other structs are validated in the order of their declaration, and only the first invalid
-// field is reported: reordering them changes which error operators see. The tag "reported" is the name of a field in
-// errors, where it differs from the Go name. LatencyTarget, Priority and Attempts are validated but otherwise unused.
+// field is reported: reordering them changes which error operators see. The tag "reported" is a field's name in errors,
+// if it differs from the Go name. LatencyTarget, Priority and Attempts are validated but otherwise unused.
 type Route struct {
 	Name          string  `json:"name" validate:"required"`
 	Host          string  `json:"host" validate:"required"`
--- a/internal/controlplane/config/diff.go
+++ b/internal/controlplane/config/diff.go
@@ -8,9 +8,9 @@
 	"slices"
 )
 
-// Diff returns the differences between two configurations as lines for operators: + for an added item, - for a removed
-// one, ~ for a changed one. Fields are sorted by name; items are in the order of after, followed by the removed ones
-// sorted by name. Keys of tenants are masked.
+// Diff returns the differences between two configurations as lines for operators, which begin with + for an added item,
+// - for a removed one, and ~ for a changed one. Fields are sorted by name; items are in the order of after, followed by
+// the removed ones sorted by name. Keys of tenants are masked.
 func Diff(before, after []byte) ([]string, error) {
 	oldDoc, newDoc := map[string]json.RawMessage{}, map[string]json.RawMessage{}
 	if err := decodeStrict(before, &oldDoc); err != nil {
--- a/internal/controlplane/config/roster.go
+++ b/internal/controlplane/config/roster.go
@@ -7,7 +7,7 @@
 
 // Roster lists for each service the sorted ids of the members that may hold an acknowledged commit, similar to the
 // in-sync replica sets of Kafka. It is replicated because it can't be reconstructed: a dead member reports nothing, so
-// after the loss of an unreplicated list nobody would know that the member existed.
+// after the loss of an unreplicated list no process would know that the member existed.
 type Roster map[string][]string
 
 // RosterMember identifies a member on the roster.
@@ -47,7 +47,7 @@
 	return found
 }
 
-// WithRoster returns the state with a change of the roster, or s itself if the change has no effect.
+// WithRoster returns the state with a change of the roster applied, or s itself if the change has no effect.
 func (s *State) WithRoster(change RosterChange) *State {
 	roster, changed := maps.Clone(s.Roster), false
 	if roster == nil {
@@ -67,8 +67,8 @@
 	return &next
 }
 
-// WithoutMember returns the state with a member removed from the rosters of all services. It is for an operator's
-// statement that the member is gone for good, which accepts the loss of commits that only this member had.
+// WithoutMember returns the state with a member removed from the rosters of all services. It is used when an
+// operator declares that the member is gone for good, and so accepts the loss of commits that only this member had.
 func (s *State) WithoutMember(id string) *State {
 	var change RosterChange
 	for service := range s.Roster {
--- a/internal/controlplane/config/state.go
+++ b/internal/controlplane/config/state.go
@@ -22,16 +22,17 @@
 
 // AppliedChange is an entry of the history. GET /config/log shows it as JSON.
 type AppliedChange struct {
-	Version     uint64   `cbor:"1,keyasint" json:"Gen"`  // that the change created
-	BaseVersion uint64   `cbor:"2,keyasint" json:"Base"` // that the change was based on
+	Version     uint64   `cbor:"1,keyasint" json:"Gen"`  // version that the change created
+	BaseVersion uint64   `cbor:"2,keyasint" json:"Base"` // version that the change was based on
 	Digest      [32]byte `cbor:"3,keyasint" json:"Digest"`
 	Origin      string   `cbor:"4,keyasint" json:"Node"` // machine of the control plane that received the change
 	AppliedAt   int64    `cbor:"5,keyasint" json:"At"`   // Unix time in milliseconds, informational only
 }
 
-// maxHistory is the number of changes of which retries are recognized. Any number is safe, as a change on an older base
-// is left undecided. Each change takes about 80 bytes of every log entry, which is replicated as a whole. Callers retry
-// within seconds, while 256 changes span 15 minutes at 22,000 changes a day, and one minute at four changes a second.
+// maxHistory is the number of latest changes whose retries are recognized. Any number is safe, as a change on an older
+// base is left undecided. Each change takes about 80 bytes of every log entry, which is replicated as a whole. Callers
+// retry within seconds, while 256 changes span 15 minutes at 22,000 changes a day, and one minute at four changes a
+// second.
 const maxHistory = 256
 
 // HasApplied reports whether exactly this change is in the history.
@@ -63,8 +64,8 @@
 	return nil
 }
 
-// Apply returns the state with a change that is not in the history. origin and atMs (Unix time in milliseconds) are
-// only recorded. The error is a *RejectedError, which holds in every state that can follow this one, or an
+// Apply returns the state with a change applied that is not in the history. origin and atMs (Unix time in milliseconds)
+// are only recorded. The error is a *RejectedError, which holds in every state that can follow this one, or an
 // *UndecidedError. Any other error means that the stored document is faulty; like an UndecidedError it does not decide
 // the change.
 func (s *State) Apply(change *Change, origin string, atMs int64) (*State, error) {
@@ -115,7 +116,7 @@
 	return history[max(len(history)-maxHistory, 0):]
 }
 
-// WithShards returns the state with a change of the shard map, or s itself if the change was already applied.
+// WithShards returns the state with a change of the shard map applied, or s itself if the change was already applied.
 func (s *State) WithShards(change *shardmap.Change) (*State, error) {
 	shards, err := s.Shards.Apply(change)
 	if err != nil {
@@ -129,7 +130,7 @@
 	return &next, nil
 }
 
-// WithSites returns the state with a change of the site map, or s itself if the change has no effect.
+// WithSites returns the state with a change of the site map applied, or s itself if the change has no effect.
 func (s *State) WithSites(change *sites.Change) (*State, error) {
 	siteMap, err := s.Sites.Apply(change)
 	if err != nil {
--- a/internal/controlplane/consensus/clockrate.go
+++ b/internal/controlplane/consensus/clockrate.go
@@ -19,8 +19,8 @@
 	// MaxClockDrift is the difference of rates, as a fraction, above which a peer's contact no longer counts. Normal
 	// clocks stay below 0.001; at this bound a contact of ContactLease is wrong by 6 ms.
 	MaxClockDrift = 0.004
-	// clockWindowMs is the length of a window of which only the narrowest interval is kept, and maxClockWindows the
-	// number of windows. A jump, such as that of a suspended machine, is forgotten after their product, one minute.
+	// clockWindowMs is the length of a window, for which only the narrowest interval is kept; maxClockWindows is the
+	// number of windows. A clock jump, as after a machine's suspension, is forgotten after their product, one minute.
 	clockWindowMs   = 5000.0
 	maxClockWindows = 12
 	// trackedRounds is the number of latest rounds whose sending times are kept.
@@ -64,8 +64,7 @@
 	c.drift = c.provenDrift()
 }
 
-// provenDrift compares the latest interval with each earlier one, and returns the largest difference of rates that is
-// proven.
+// provenDrift compares the latest interval with each earlier one, and returns the largest proven difference of rates.
 func (c *clockRate) provenDrift() (drift float64) {
 	newest := &c.windows[len(c.windows)-1]
 	for i := range c.windows[:len(c.windows)-1] {
--- a/internal/controlplane/consensus/confchange.go
+++ b/internal/controlplane/consensus/confchange.go
@@ -5,10 +5,10 @@
 // membershipState is a node's record of machines that join and leave. It lives as long as the process, across terms.
 type membershipState struct {
 	joiners           map[string]joiner  // machines that ask to vote, by ID; at most maxJoiners
-	nextJoinRequestAt float64            // when this node sends Join again if it is no voter
+	nextJoinRequestAt float64            // when this node sends Join again if it isn't a voter
 	removedAddrs      map[string]float64 // addresses of removed voters, with the time until which leaders notify them
 	removal           removalRound
-	// leavingVoters is when voters last announced that their processes shut down, by ID.
+	// leavingVoters holds the times at which voters last announced that their processes shut down, by ID.
 	leavingVoters map[string]float64
 }
 
@@ -20,7 +20,7 @@
 
 // maintainVoters changes the set of voters: one step at a time, and only after an entry of its own term is committed.
 //
-// A voter that must go and a machine that joins change places in two steps, the removal first. With 2f+1 voters of
+// A voter that must be removed is exchanged for a joining machine in two steps, the removal first. With 2f+1 voters of
 // which one is down, the remaining 2f voters commit with as many disks as before (f+1), and neither step depends on the
 // joining machine. In the other order there would be 2f+2 voters between the steps, and the voter that is down and the
 // joining machine, if that fails too, would both count against the majority: for f = 1 they are half of the voters.
@@ -51,8 +51,8 @@
 	return true
 }
 
-// removeVoter removes a voter that leaves or is silent, once a majority of the others has confirmed that it can go on
-// without that voter.
+// removeVoter removes a voter that leaves or is silent, once a majority of the others has answered a heartbeat and so
+// can continue without that voter.
 func (n *Node) removeVoter(hasJoiner bool, now float64) bool {
 	candidate := n.removalCandidate(now)
 	if candidate < 0 || !n.canRemove(hasJoiner) {
@@ -85,7 +85,7 @@
 
 func (n *Node) minVoters() int { return max(n.options.MinVoters, 1) }
 
-// canRemove reports whether one voter fewer is enough, or another machine joins at once.
+// canRemove reports whether one voter fewer would be enough, or another machine is ready to join.
 func (n *Node) canRemove(hasJoiner bool) bool {
 	voters := len(n.HardState.Last.Voters)
 	return voters > n.minVoters() || voters == n.minVoters() && voters > 1 && hasJoiner
--- a/internal/controlplane/consensus/contact.go
+++ b/internal/controlplane/consensus/contact.go
@@ -23,8 +23,8 @@
 // heartbeat, every 200 ms, and its age grows by that interval and one or two round trips: up to 500 ms over the
 // longest links. The lease tolerates two heartbeats that are lost or delayed by a disk. It is shorter than the 1800
 // ms after which the latest election starts, so that a partitioned machine knows that it is partitioned before the
-// other side has another leader. It also leaves whoever must switch to another machine half of the shortest
-// time in which a configuration must be in force everywhere (3 s).
+// other side has another leader. It also leaves agents that must switch to another machine half of the
+// shortest time in which a configuration must be in force everywhere (3 s).
 const ContactLease = 1500.0
 
 // contactState is the contact of a node in any role.
--- a/internal/controlplane/consensus/election.go
+++ b/internal/controlplane/consensus/election.go
@@ -6,22 +6,22 @@
 	n.electionDeadline = now + n.options.ElectionTimeout*(1+0.5*n.options.Random())
 }
 
-// becomeFollower makes the node a follower in the current term, of a leader or of nobody yet.
+// becomeFollower makes the node a follower in the current term. leader is zero if it isn't known yet.
 func (n *Node) becomeFollower(leader Voter, now float64) {
 	n.role, n.leader, n.votes, n.termCommitted = Follower, leader, nil, false
 	n.resetElectionDeadline(now)
 }
 
 // becomePreCandidate starts a round of pre-votes. A pre-vote doesn't restrict the voter's later votes, so a failed
-// round is soon repeated.
+// round can be repeated soon.
 func (n *Node) becomePreCandidate(now float64) {
 	n.electionDeadline = now + n.options.ElectionTimeout*(0.3+0.5*n.options.Random())
 	n.role, n.leader, n.votes = preCandidate, Voter{}, map[string]bool{n.HardState.ID: true}
 	n.preVoteStartedAt = now
 }
 
-// becomeCandidate starts a new term and votes for itself. A vote takes a round trip and a sync, so an election with a
-// split vote is soon repeated.
+// becomeCandidate starts a new term and votes for itself. A vote takes only a round trip and a sync, so an election
+// with a split vote is repeated soon.
 func (n *Node) becomeCandidate(transferred bool, now float64) {
 	n.electionDeadline = now + n.options.ElectionTimeout*(0.4+0.6*n.options.Random())
 	n.role, n.leader, n.votes = Candidate, Voter{}, map[string]bool{n.HardState.ID: true}
@@ -29,8 +29,8 @@
 	n.setTerm(n.HardState.Term+1, n.HardState.ID)
 }
 
-// becomeLeader makes the node the leader of its term. Earlier entries are committed by a new entry of the leader's own
-// term (Raft, section 5.4.2).
+// becomeLeader makes the node the leader of its term. The leader appends an entry of its own term; committing it
+// commits all earlier entries (Raft, section 5.4.2).
 func (n *Node) becomeLeader(now float64) {
 	n.role, n.leader, n.termCommitted = Leader, n.self(), false
 	n.progress, n.formerSince = map[string]*progress{}, map[string]float64{}
--- a/internal/controlplane/consensus/join.go
+++ b/internal/controlplane/consensus/join.go
@@ -27,8 +27,8 @@
 	requestedAt float64 // time of the latest request, in milliseconds
 }
 
-// tickNonVoter asks to become a voter. A node without an entry asks only while it hears no leader; a node that has one
-// was removed, and asks regardless.
+// tickNonVoter asks to become a voter. A node without an entry asks only while it hears no leader. A node with an entry
+// was removed from the voters, and always asks.
 func (n *Node) tickNonVoter(now float64) {
 	empty := n.HardState.Last.Index == 0
 	leaderHeard := now-n.lastLeaderMessage <= 2*n.options.HeartbeatInterval
@@ -108,7 +108,7 @@
 	return Voter{}, false
 }
 
-// recordRemoved records the addresses at which nobody votes any more after a change to the given voters.
+// recordRemoved records the addresses that no longer belong to any voter after a change to the given voters.
 func (n *Node) recordRemoved(voters []Voter, now float64) {
 	for _, v := range n.HardState.Last.Voters {
 		if indexOfAddr(voters, v.Addr) < 0 && v.Addr != n.options.Addr {
--- a/internal/controlplane/consensus/message.go
+++ b/internal/controlplane/consensus/message.go
@@ -59,11 +59,11 @@
 	Term      uint64 `cbor:"3,keyasint,omitempty"`
 	LastTerm  uint64 `cbor:"4,keyasint,omitempty"`
 	LastIndex uint64 `cbor:"5,keyasint,omitempty"`
-	// Granted has a meaning of its own in each kind, see there.
+	// Granted has a different meaning in each kind; see the comments of the kinds.
 	Granted bool `cbor:"6,keyasint,omitempty"`
 	// Entry points into the sender's state and is valid until the next call of the sender: encode or copy it before.
 	Entry *Entry `cbor:"7,keyasint,omitempty"`
-	// Commit is the highest index known to be committed of an entry of LastTerm; 0 if there is none.
+	// Commit is the highest index of an entry of LastTerm that is known to be committed; 0 if there is none.
 	Commit uint64 `cbor:"8,keyasint,omitempty"`
 	// Round is the number of the heartbeat round.
 	Round uint64 `cbor:"9,keyasint,omitempty"`
@@ -81,7 +81,7 @@
 // leadershipTransfer reports whether a RequestVote was triggered by the leader.
 func (m *Message) leadershipTransfer() bool { return m.Granted }
 
-// forwarded reports whether a Join was sent by another node than the joining machine.
+// forwarded reports whether a Join was sent by a node other than the joining machine.
 func (m *Message) forwarded() bool { return m.Granted }
 
 // senderLeaving reports whether the sender of an AppendEntriesResponse is shutting down.
--- a/internal/controlplane/consensus/node.go
+++ b/internal/controlplane/consensus/node.go
@@ -77,8 +77,8 @@
 	// progress holds the other voters and joining machines by ID, and possibly voters that were removed. It is reset
 	// at each election to leader.
 	progress map[string]*progress
-	// formerSince is when this leader last saw an address among the voters. It has at most one element for each voter
-	// and former voter.
+	// formerSince holds the time at which this leader last saw an address among the voters. It has at most one element
+	// for each voter and former voter.
 	formerSince map[string]float64
 	// round is the number of the latest heartbeat round. It only grows while the process lives, so that no answer to a
 	// heartbeat of an earlier leadership confirms a later one.
@@ -100,7 +100,7 @@
 	}
 	n.lastContact, n.incarnation = math.Inf(-1), uint32(options.Random()*math.MaxUint32)
 	n.lastLeaderMessage = now - options.ElectionTimeout
-	// The first deadline is early: a pre-vote disturbs nobody while there is a leader.
+	// The first deadline is early: a pre-vote has no effect while there is a leader.
 	n.electionDeadline = now + options.ElectionTimeout*(0.2+0.4*options.Random())
 	return n
 }
--- a/internal/controlplane/consensus/replication.go
+++ b/internal/controlplane/consensus/replication.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// Propose appends an entry with a new value. It returns false if this node is no established leader, shuts down, or
-// has an entry in flight.
+// Propose appends an entry with a new value. It returns false if this node isn't an established leader, is shutting
+// down, or has an entry in flight.
 func (n *Node) Propose(value []byte, now float64) (Entry, bool) {
 	if !n.Established() || n.InFlight() || n.leaving() {
 		return Entry{}, false
--- a/internal/controlplane/consensus/shutdown.go
+++ b/internal/controlplane/consensus/shutdown.go
@@ -5,7 +5,7 @@
 // shutdownState is the state of a process that shuts down gracefully, and of its leadership transfers.
 type shutdownState struct {
 	leavingSince   float64 // when this process began to shut down, in milliseconds; 0 if it doesn't
-	nextTransferAt float64 // when a leader may ask another successor
+	nextTransferAt float64 // when a leader may ask another voter to take over
 }
 
 // Leave begins the graceful shutdown of this process. The node notifies all machines that it knows and, if it leads,
@@ -53,8 +53,8 @@
 }
 
 // removeSelfOrTransfer ends the leadership of a node that shuts down, once no entry is in flight. If the node may be
-// removed, it first removes itself from the voters: otherwise its successor could need a vote of a process that has
-// ended. If not, it asks another voter to take over, and after a while a further one if that one did not.
+// removed, it first removes itself from the voters: otherwise its successor could need the vote of a process that has
+// ended. If not, it asks another voter to take over, and if that one doesn't, a different one after a while.
 func (n *Node) removeSelfOrTransfer(now float64) {
 	if !n.canTransfer(now) {
 		return
@@ -97,7 +97,7 @@
 	n.progress[successor.ID].lastResponse = latestResponse - 2*n.options.HeartbeatInterval
 }
 
-// canTransfer reports whether no entry is in flight, and the last successor that was asked has had its time.
+// canTransfer reports whether no entry is in flight and the voter that was last asked to take over has had enough time.
 func (n *Node) canTransfer(now float64) bool { return !n.InFlight() && now >= n.nextTransferAt }
 
 // TransferLeadership asks another voter to lead. If this node is the only voter, it steps down instead and is elected
--- a/internal/controlplane/directory/digest.go
+++ b/internal/controlplane/directory/digest.go
@@ -5,8 +5,8 @@
 	"hash/fnv"
 )
 
-// Digest returns a hash that is equal for two tables with equal members, where Seq, Revision, Zone, Generation, Slots
-// and tombstones are left out. Processes compare digests with each other: the value is part of the protocol.
+// Digest returns a hash that is equal for two tables with equal members; it ignores tombstones and the fields Seq,
+// Revision, Zone, Generation and Slots. Processes compare digests with each other: the value is part of the protocol.
 func (t *Members) Digest() uint64 {
 	if t.digestValid {
 		return t.digest
--- a/internal/controlplane/directory/doc.go
+++ b/internal/controlplane/directory/doc.go
@@ -1,10 +1,10 @@
 // Package directory is the soft state of the control plane: the tables of members and drivers.
 //
-// A member is a database process. Its record has what its own heartbeats state and what the control plane adds. A
-// driver is a machine that serves clients; it is listed while its agent renews a lease. Control plane machines, agents
-// and proxies each have tables of their own: Members and Leases. The package does no I/O and reads no clock (times are
-// in milliseconds on the owner's clock), and a table must be used by one goroutine only. Nothing is stored on disk: a
-// new table is filled by heartbeats and renewals.
+// A member is a database process. Its record consists of the data in its heartbeats and of what the control plane adds.
+// A driver is a machine that serves clients; it is listed while its agent renews a lease. Control plane machines,
+// agents and proxies each have tables of their own: Members and Leases. The package does no I/O and reads no clock
+// (times are in milliseconds on the owner's clock), and a table must be used by one goroutine only. Nothing is stored
+// on disk: a new table is filled by heartbeats and renewals.
 //
 // # Order of a member's records
 //
--- a/internal/controlplane/directory/members.go
+++ b/internal/controlplane/directory/members.go
@@ -75,7 +75,7 @@
 type entry struct {
 	record        Member
 	lastHeartbeat float64 // when a heartbeat was received here or forwarded by another process
-	tombstoneAt   float64 // when record became a tombstone here; 0 if it is none
+	tombstoneAt   float64 // when record became a tombstone here; 0 if it isn't one
 }
 
 // NewMembers returns an empty table.
@@ -106,8 +106,8 @@
 	return record, true, changed
 }
 
-// rejoinDelayMs is how long nothing must have been received from a member that left until a lower sequence number is
-// attributed to its next process: heartbeats may arrive seconds late and out of order.
+// rejoinDelayMs is how long a member that left must have been silent before a lower sequence number is attributed to
+// its next process: heartbeats may arrive seconds late and out of order.
 const rejoinDelayMs = 15_000.0
 
 // incarnationOf returns the incarnation that a heartbeat belongs to, and whether it is fresh rather than late.
@@ -138,7 +138,7 @@
 }
 
 // Leave makes a tombstone of the record of a member that announced its departure. It returns false if there is no
-// record, or the member had announced it before.
+// record, or the departure was recorded before.
 func (t *Members) Leave(id string, now float64) (Member, bool) {
 	e := t.entries[id]
 	if e == nil || e.record.HasLeft() {
@@ -179,7 +179,7 @@
 	return e.record, true
 }
 
-// Merge takes over another process's records, and returns those that changed more than a number here.
+// Merge merges another process's records into the table. It returns those that changed anything but Seq and Revision.
 func (t *Members) Merge(records []Member, now float64) (changed []Member) {
 	for _, m := range records {
 		e := t.entries[m.ID]
--- a/internal/controlplane/failover/catchup.go
+++ b/internal/controlplane/failover/catchup.go
@@ -21,7 +21,7 @@
 	if c.mode == switchoverSteppedDown && c.candidate != c.oldPrimary && end.Less(c.oldPosition) {
 		complete = false
 		if now-c.phaseStart > pauseTimeout {
-			// A commit was made just before the step-down. Only the old primary certainly has it, so it is promoted again.
+			// A commit was made just before the step-down. Only the old primary certainly has it: promote that one again.
 			c.logOnce("the old primary is to lead again")
 			c.candidate = c.oldPrimary
 			c.promote(now)
--- a/internal/controlplane/failover/controller.go
+++ b/internal/controlplane/failover/controller.go
@@ -78,8 +78,8 @@
 	return c.actions
 }
 
-// pastPromoteLatency reports whether enough time has passed since this machine became leader that any promote issued by
-// an earlier leader would have been carried out. No failover or fence is started before.
+// pastPromoteLatency reports whether this machine has been the leader for so long that any promote issued by an earlier
+// leader would have been carried out. No failover or fence is started before that.
 func (c *Controller) pastPromoteLatency(now float64) bool { return now-c.startedAt > promoteLatency }
 
 // begin starts a failover or switchover. It discards all earlier statuses except the old primary's.
--- a/internal/controlplane/failover/doc.go
+++ b/internal/controlplane/failover/doc.go
@@ -43,13 +43,13 @@
 // that they are not the primary. A switchover begins if the primary is draining. The rest depends on the mode:
 //
 //	mode                   commits acknowledged by  why the candidate has every acknowledged commit
-//	failover               nobody, as fewer than    a quorum of replicas is paused, and its log is the
+//	failover               no one, as fewer than    a quorum of replicas is paused, and its log is the
 //	                       SyncReplicas are left    longest among them
 //	switchover             the primary              all other replicas are paused, and it has all of their
-//	                                                entries; it receives all that is acknowledged later
+//	                                                entries; it also receives every later acknowledged one
 //	switchoverDraining     the primary, while its   (a replica can't be paused or is not known; the primary
 //	                       drain is enforced        steps down once the candidate has all of its entries)
-//	switchoverSteppedDown  nobody                   it has all entries up to the position at which the old
+//	switchoverSteppedDown  no one                   it has all entries up to the position at which the old
 //	                                                primary stepped down; if it does not get them in time,
 //	                                                the old primary is promoted again
 //
@@ -88,9 +88,9 @@
 //   - Only the reply to a pause makes a replica count as paused, and a promote relies on no reply that is older than
 //     pauseValidity: the replica may have restarted since, and so have lost the pause.
 //   - A pause whose reply was lost may have arrived, or may arrive late. So a replica is queried (resumeCheckDue) until
-//     it reports that it is not paused, in reply to a query sent when the pause could no longer arrive.
+//     it reports that it is not paused, in reply to a query that was sent after the pause could last arrive.
 //   - A resume whose reply was lost may arrive late as well, after a later pause on another connection, and undo it. So
-//     a pause counts only if it was sent when the resume could no longer arrive (lateStatementWindow).
+//     a pause counts only if it was sent after the resume could last arrive (lateStatementWindow).
 //   - A new leader of the control plane does not know of earlier promotes. It starts nothing for promoteLatency, and
 //     resumes replicas that it finds paused only after a fence of its own.
 //   - In the switchover modes a replica may lag or restart at any time; only the primary certainly has all entries.
--- a/internal/controlplane/failover/fencing.go
+++ b/internal/controlplane/failover/fencing.go
@@ -2,14 +2,14 @@
 
 // This file resumes paused replicas, after a fence if one is needed.
 //
-// A promote may reach the platform late, and its answer may be lost. While every replica that the promote relied on
-// is paused, nothing is acknowledged that the candidate lacks; so they stay paused until a promote with a higher
-// fencing token was answered. If the primary is not to change, that promote names the current primary; this is called a
-// fence. A new leader of the control plane issues one only if it finds a replica that an earlier leader paused: if all
-// members replied and none was paused, no failover is in progress.
+// A promote may reach the platform late, and its answer may be lost. While every replica that the promote relied on is
+// paused, nothing is acknowledged that the candidate lacks; so they stay paused until a promote with a higher fencing
+// token was answered. If the primary should not change, that promote names the current primary; this is called a fence.
+// A new leader of the control plane issues one only if it finds a replica that an earlier leader paused: if all members
+// replied and none was paused, no failover is in progress.
 
 // resumePaused finds replicas that were left paused, by this leader or an earlier one, and resumes them. It returns
-// true if it started a fence, in which case nothing else is to be done in this step.
+// true if it started a fence, which ends this step.
 func (c *Controller) resumePaused(view *View, now float64) (fencing bool) {
 	if !c.pastPromoteLatency(now) {
 		return false
@@ -50,8 +50,8 @@
 	return len(view.Members) > 0
 }
 
-// startFencing promotes the current primary again if a replica has to be resumed and the primary has just confirmed its
-// role. It reports whether it did.
+// startFencing promotes the current primary again if a replica must be resumed and the primary has just confirmed its
+// role. It reports whether it issued the promote.
 func (c *Controller) startFencing(view *View, now float64) bool {
 	primary := c.claimedPrimary(view, now)
 	if primary == nil || !c.resumeNeeded(view) || now < c.nextQueryAt {
--- a/internal/controlplane/failover/observation.go
+++ b/internal/controlplane/failover/observation.go
@@ -20,7 +20,7 @@
 
 	// paused is set if the member confirmed a pause of this failover, and no later reply contradicts it.
 	paused bool
-	// reportsPause is set if the member is paused according to its latest reply, by whichever leader.
+	// reportsPause is set if the member is paused according to its latest reply, regardless of which leader paused it.
 	reportsPause bool
 	// pauseSent is set if a pause was sent that may still be in effect or may still arrive.
 	pauseSent bool
@@ -123,7 +123,7 @@
 }
 
 // claimedPrimary returns the member with the latest claim to be the primary, nil for none. Claims in replies are
-// ordered by term and take precedence over claims in heartbeats, which have no term.
+// ordered by term, and by time within a term. They take precedence over claims in heartbeats, which have no term.
 func (c *Controller) claimedPrimary(view *View, now float64) *Member {
 	var primary *Member
 	var primaryTerm uint64
@@ -156,8 +156,8 @@
 	return 0, now - member.SinceHeartbeat, true
 }
 
-// possiblePrimary returns the first member that may be the primary, as it has not replied that it is not, "" for none.
-// Departed members are skipped.
+// possiblePrimary returns the first member that has not replied that it is not the primary, "" for none. Departed
+// members are skipped.
 func (c *Controller) possiblePrimary(view *View) string {
 	for _, m := range view.Members {
 		o := c.observations[m.ID]
--- a/internal/controlplane/failover/pausing.go
+++ b/internal/controlplane/failover/pausing.go
@@ -7,9 +7,9 @@
 
 // This file implements phasePausing: replicas are paused and queried until the mode's condition for a candidate holds.
 
-// pauseQuorum returns how many replicas must be paused so that together they have every acknowledged commit, whichever
-// they are: any set of that size intersects every set of syncReplicas replicas. If the old primary is not known, it is
-// counted in replicas, and a commit is on syncReplicas+1 of them.
+// pauseQuorum returns the number of replicas that must be paused so that together they have every acknowledged commit,
+// regardless of which replicas they are: any set of that size intersects every set of syncReplicas replicas. If the old
+// primary is not known, it is counted in replicas, and a commit is on syncReplicas+1 of them.
 func pauseQuorum(replicas, syncReplicas int, primaryKnown bool) int {
 	switch {
 	case syncReplicas == 0:
@@ -115,8 +115,8 @@
 	}
 }
 
-// turnIntoFailover changes the mode to failover, with its stricter conditions for a candidate, as the old primary no
-// longer cooperates.
+// turnIntoFailover changes the mode to failover, which has stricter conditions for a candidate, because the old primary
+// no longer cooperates.
 func (c *Controller) turnIntoFailover(reason string) {
 	c.mode, c.candidate = failover, ""
 	c.logOnce(reason)
--- a/internal/controlplane/failover/phase.go
+++ b/internal/controlplane/failover/phase.go
@@ -24,8 +24,8 @@
 // String returns the name of the phase as operators see it.
 func (p phase) String() string { return phaseNames[p] }
 
-// mode is how it is ensured that the candidate has every acknowledged commit. It has no meaning while no failover or
-// switchover is in progress.
+// mode is the method that ensures that the candidate has every acknowledged commit. It is meaningful only during a
+// failover or switchover.
 type mode uint8
 
 const (
--- a/internal/controlplane/failover/tuning.go
+++ b/internal/controlplane/failover/tuning.go
@@ -14,10 +14,10 @@
 
 	// Members.
 	staleHeartbeatAge    = 4000.0  // after which a member is the last choice as a candidate
-	unknownMemberTimeout = 20000.0 // by which a member that any agent or peer knows has been reported
+	unknownMemberTimeout = 20000.0 // after which every member that any agent or peer knows has been reported
 
 	// Pausing and catching up.
-	pauseTimeout    = 700.0  // for pausing replicas; after that the old primary has to step down
+	pauseTimeout    = 700.0  // for pausing replicas; after that the old primary must step down
 	pauseValidity   = 900.0  // of a reply that confirms a pause: a replica that restarts loses the pause
 	retryDelay      = 300.0  // before phasePausing starts again after a failed attempt
 	catchUpInterval = 50.0   // between queries while a candidate catches up
--- a/internal/controlplane/failover/view.go
+++ b/internal/controlplane/failover/view.go
@@ -1,15 +1,15 @@
 package failover
 
-// Member is the control plane's knowledge of one member.
+// Member is what the control plane knows about one member.
 type Member struct {
 	ID             string
 	Generation     string // software generation as in directory.Member; the higher text is preferred
 	Primary        bool   // according to its latest heartbeat
 	Replica        bool   // according to its latest heartbeat
 	Draining       bool
-	Absent         bool    // on the roster, but can't be queried: it departed, or nothing else is known of it
-	Departed       bool    // absent because it left or sent no heartbeat for long
-	Unlisted       bool    // not on the roster yet: it can't become candidate and does not count for coverage
+	Absent         bool    // on the roster, but can't be queried: it departed, or only its ID is known
+	Departed       bool    // absent because it left or has sent no heartbeat for a long time
+	Unlisted       bool    // not on the roster yet: it can't become the candidate and does not count for coverage
 	SinceHeartbeat float64 // milliseconds since the last heartbeat
 	Distance       float64 // from the old primary's zone; smaller is preferred among equal candidates
 }
--- a/internal/controlplane/failover/watching.go
+++ b/internal/controlplane/failover/watching.go
@@ -80,8 +80,8 @@
 		silentFor >= minSuspectedSilence
 }
 
-// stalled queries all members, and reports whether for stallTimeout every replica has been behind the primary without
-// making progress, that is, the primary's commits reach none of them.
+// stalled queries all members. It reports whether every replica has been behind the primary for stallTimeout without
+// making progress, which means that the primary's commits reach none of them.
 func (c *Controller) stalled(view *View, primary string, now float64) bool {
 	positions := c.positionsBehind(view, primary, now)
 	if now >= c.nextStallQueryAt {
@@ -115,7 +115,8 @@
 
 // watchWithoutPrimary queries all members while none claims to be the primary, and begins a failover without an old
 // primary once each member on the roster has replied that it is not the primary. A member that has been unknown for
-// unknownMemberTimeout may have been the primary or may have a commit; it is waited for only if too few others replied.
+// unknownMemberTimeout may have been the primary or may have a commit; the controller keeps waiting for it only if too
+// few others replied.
 func (c *Controller) watchWithoutPrimary(view *View, now float64) {
 	if c.noPrimarySince == 0 {
 		c.noPrimarySince = now
--- a/internal/controlplane/orders/doc.go
+++ b/internal/controlplane/orders/doc.go
@@ -17,7 +17,7 @@
 //	                                                                         the entry is committed or lost
 //
 // In every phase an order is answered with ErrNotLeader once the machine is no longer the leader, and with ErrTimeout
-// at its deadline. Orders are decided first in, first out, and one entry is in flight at a time: while an order is
+// at its deadline. Orders are decided in order of arrival, and one entry is in flight at a time: while an order is
 // proposed, those that arrived after it wait.
 //
 // # Why retries are safe
@@ -31,7 +31,7 @@
 //   - OutcomeRejected is returned only for a change that no later state would accept (config.RejectedError), and only
 //     once a quorum has confirmed the leader since the order was evaluated, as a deposed leader's state may be stale.
 //   - Each read waits for the same confirmation, which makes reads linearizable (like ReadIndex in etcd).
-//   - In all other cases the outcome is OutcomeUnknown, and the caller retries.
+//   - In all other cases the outcome is OutcomeUnknown, and the caller has to retry.
 //   - A change whose base version does not exist yet waits, as the change that creates the base may be in flight. It
 //     does not block the orders after it.
 package orders
--- a/internal/controlplane/orders/errors.go
+++ b/internal/controlplane/orders/errors.go
@@ -22,8 +22,7 @@
 	ErrSiteNotJoined = errors.New("the site's incarnation has not joined or was removed")
 )
 
-// statusOf returns the HTTP status for an error of any order. If the outcome is unknown it is 503, on which callers
-// retry.
+// statusOf returns the HTTP status for an order's error. It is 503 if the outcome is unknown; callers then retry.
 func statusOf(err error) int {
 	switch {
 	case err == nil:
--- a/internal/controlplane/orders/queue.go
+++ b/internal/controlplane/orders/queue.go
@@ -19,7 +19,7 @@
 
 	// Evaluating a change parses its whole document, so the result is cached until the committed state changes.
 	evaluatedState *config.State // state that the result is for; nil: not evaluated yet
-	nextState      *config.State // with the change; same as evaluatedState if it was already applied
+	nextState      *config.State // state with the change applied; same as evaluatedState if it was already applied
 	evaluationErr  error         // why there is no nextState
 }
 
--- a/internal/controlplane/orders/step.go
+++ b/internal/controlplane/orders/step.go
@@ -67,9 +67,9 @@
 	return s.answerConfirmed(order)
 }
 
-// stepProposed answers once the order's entry is committed, or it can no longer be known whether it is. All entries of
-// the term in which this node proposed are its own, and it proposes one only after the previous one was committed. So a
-// committed entry of that term at or after the order's index implies that the order's entry is committed.
+// stepProposed answers an order once its entry is committed, or once this node can no longer find out whether it is.
+// This node proposed all entries of its term as leader, and proposes one only after the previous one was committed. So
+// a committed entry of that term at or after the order's index implies that the order's entry is committed.
 func (s *step) stepProposed(order *Order) *Answer {
 	if e, found := s.node.Committed(); found && e.Term == order.term && e.Index >= order.index {
 		return succeeded(OutcomeApplied, []byte("taken\n"))
@@ -86,8 +86,8 @@
 	return nil
 }
 
-// checkDecidable returns the answer to an order that this node can't decide, as it is not the leader or the deadline
-// has passed; nil if it can.
+// checkDecidable returns nil if this node can decide an order, and otherwise its answer: the node is not the leader, or
+// the deadline has passed.
 func (s *step) checkDecidable(order *Order) *Answer {
 	switch {
 	case !s.node.Established():
@@ -98,14 +98,14 @@
 	return nil
 }
 
-// isBlocked reports whether this order and all later ones have to wait, and remembers that for the rest of the step.
+// isBlocked reports whether this order and all later ones must wait, and records that for the rest of the step.
 func (s *step) isBlocked() bool {
 	s.blocked = s.blocked || s.node.InFlight() || s.state == nil
 	return s.blocked
 }
 
-// confirmLeader starts a heartbeat round that confirms this node as the leader: without it, the node may have been
-// deposed, so it must neither reject nor read.
+// confirmLeader starts a heartbeat round that confirms this node as the leader. Without one the node may have been
+// deposed without knowing it, so it must neither reject a change nor answer a read.
 func (s *step) confirmLeader(order *Order) {
 	order.phase = phaseConfirming
 	order.round = s.node.ReadIndex(s.now)
--- a/internal/controlplane/quota/allocation.go
+++ b/internal/controlplane/quota/allocation.go
@@ -23,26 +23,27 @@
 	limit      Limit
 	limited    bool               // false: the configuration no longer gives the tenant a quota
 	holdings   map[string]holding // by holder name
-	bound      float64            // sum of the holdings' bounds
+	bound      float64            // sum of the bounds of all holdings
 	unreported float64            // upper bound of the share held by machines that have not reported to this leader
 	maxShare   float64            // upper bound of one holder's share
 
-	tokens     float64 // in the bucket of the part that no holder has, as of refilledAt
+	tokens     float64 // in the bucket of the free part, which no holder has, as of refilledAt
 	refilledAt float64 // milliseconds
 }
 
-// holding is what one holder may have of a tenant's quota, and the share that it wants.
+// holding is one holder's share of a tenant's quota, as far as the leader knows it, and the share that the holder
+// wants.
 type holding struct {
 	reported float64 // share in its newest report
 	bound    float64 // upper bound of its share until its next report
-	wanted   float64 // share that covers its demand
+	wanted   float64 // share that its demand requires
 }
 
 func newAllocation(now, maxShare float64) *allocation {
 	return &allocation{holdings: map[string]holding{}, refilledAt: now, maxShare: maxShare}
 }
 
-// markReported subtracts a share that was reported from the unreported one.
+// markReported subtracts a newly reported share from the unreported one.
 func (a *allocation) markReported(share, now float64) {
 	a.refill(now)
 	a.unreported = clampShare(a.unreported - share)
@@ -79,7 +80,7 @@
 	a.clipTokens()
 }
 
-// freeShare returns the share that certainly no holder has.
+// freeShare returns the share that is certain not to be held.
 func (a *allocation) freeShare() float64 { return clampShare(1 - a.bound - a.unreported) }
 
 // refill adds the tokens that the free part earned since the last refill.
@@ -102,7 +103,7 @@
 	return max(equalFraction/float64(max(voters, 1)), a.minShare())
 }
 
-// wantedShare returns the share that a demand, in operations a second, needs.
+// wantedShare returns the share that a demand, in operations per second, requires.
 func (a *allocation) wantedShare(demand float64, voters int) float64 {
 	if !a.limited || !(demand > 0) || math.IsInf(demand, 1) { // NaN counts as no demand
 		return 0
@@ -113,8 +114,8 @@
 // minShare returns the smallest useful share: its bucket holds one operation.
 func (a *allocation) minShare() float64 { return min(minBucketDepth/a.limit.Burst, 1) }
 
-// grant decides the share that a holder has after the report that it just sent, and the tokens for the increase. Unless
-// the report is current, that is, no earlier leader can change any more what it states, the holder gets no more than it
+// grant answers a holder's report: it returns the holder's share from now on, and the tokens for its increase. A report
+// is current if no earlier leader can change the reported share any more. Otherwise the holder gets no more than it
 // reported, as an earlier leader may still grant the rest.
 func (a *allocation) grant(holderName string, current bool, voters int, now float64) (share, tokens float64) {
 	h := a.holdings[holderName]
--- a/internal/controlplane/quota/allocator.go
+++ b/internal/controlplane/quota/allocator.go
@@ -15,7 +15,7 @@
 	// leaderOverlapMs is how long an earlier leader may keep granting after this one started: at most 1.5 s, until its
 	// contact with a quorum ends. The rest allows for clocks that run at different rates.
 	leaderOverlapMs = 2000.0
-	// BoundLifetimeMs is how long a holder may have what it reported last, or was granted in answer to that.
+	// BoundLifetimeMs is how long after its last report a holder may have the reported shares or those granted in answer.
 	BoundLifetimeMs = LeaseMs + leaderOverlapMs
 	// maxShareToleratingFailures bounds a holder's share where the core must keep serving after failures of some of its
 	// machines: while one machine is silent, the others can have the rest.
@@ -30,8 +30,8 @@
 
 	// sharesKnown: no machine holds a share that was not reported. Once true, it stays true.
 	sharesKnown       bool
-	soleLeaderFrom    float64         // from then on no earlier leader grants shares
-	unreportedUntil   float64         // all leases from earlier terms have expired by then
+	soleLeaderFrom    float64         // time from which no earlier leader grants shares
+	unreportedUntil   float64         // time by which all leases from earlier terms have expired
 	unreportedHolders map[string]bool // possible holders that have not reported in this term; nil: unknown
 
 	voters   int     // number of machines that may hold shares
@@ -41,9 +41,9 @@
 // holder is the allocator's state of a core machine.
 type holder struct {
 	incarnation, seq uint64          // of its newest report
-	boundsUntil      float64         // milliseconds; its holdings end then unless it reports again
+	boundsUntil      float64         // milliseconds; time at which its holdings end unless it reports again
 	accounted        bool            // its shares from earlier terms are no longer part of any unreported share
-	tenants          map[string]bool // those of which it has a holding
+	tenants          map[string]bool // tenants whose quota it holds a share of
 }
 
 // New returns the allocator of a leader whose term, above 0, starts now. holders are all machines that may hold shares
@@ -129,7 +129,7 @@
 	return grant
 }
 
-// accept records a report and returns whether it is the holder's newest. A higher incarnation means that the machine's
+// accept records a report and reports whether it is the holder's newest. A higher incarnation means that the machine's
 // previous process has ended and holds nothing.
 func (a *Allocator) accept(r *controlmsg.QuotaReport, now float64) bool {
 	reporter := a.holders[r.Holder]
@@ -169,8 +169,7 @@
 	}
 }
 
-// updateHolding processes one tenant of a report. current: no earlier leader can change any more what the report
-// states.
+// updateHolding processes one tenant of a report. current: no earlier leader can change the reported share any more.
 func (a *Allocator) updateHolding(holderName string, demand controlmsg.QuotaDemand, current bool, now float64) {
 	tenant := demand.Tenant
 	share := clampShare(demand.Share)
--- a/internal/controlplane/quota/doc.go
+++ b/internal/controlplane/quota/doc.go
@@ -9,25 +9,25 @@
 // holders keep serving from their leased shares.
 //
 // The Allocator answers each report of a holder with the complete set of shares that the holder has from then on. Its
-// invariant is that, for each tenant, the upper bounds of what holders may have sum to at most 1. The invariant relies
+// invariant is that, for each tenant, the upper bounds of the holders' shares sum to at most 1. The invariant relies
 // on the behavior of holders:
 //
-//   - A holder applies only the grant that answers its newest report, and applies it once. So it has what the report
-//     states, and afterwards either that or what was granted, until its next report.
+//   - A holder applies only the grant that answers its newest report, and applies it once. So until
+//     its next report it has either the shares that the report states or those that were granted in answer.
 //   - The lease starts when the report that the grant answers is sent. A holder whose lease has expired has no shares,
 //     and applies no answer to a report that it sent before the expiry.
 //
-// So the bound of a holder is the larger of what it reported and what it was granted, and ends some time after the
-// lease. A new leader doesn't know what its predecessor granted, and the predecessor may keep granting for as long as
-// its contact with a quorum lasts. Until that has ended, the leader only confirms what is reported; later grants carry
-// its term. A report may be old when it arrives, but a report that carries the leader's term was sent after such a
-// grant, and no earlier leader changes what it states. What has not been reported in this way is counted as held: at
-// first all of each tenant's quota, then less by what holders report. This ends when all leases from earlier terms have
-// expired, or when every machine that may hold a share has reported: the voters, and former voters that voted within
-// the duration of a lease.
+// So the bound of a holder's share is the larger of the reported and the granted one, and lasts somewhat longer than
+// the lease. A new leader doesn't know what its predecessor granted, and the predecessor may keep granting for as long
+// as its contact with a quorum lasts. Until that has ended, the leader only confirms reported shares; later grants
+// carry its term. A report may be old when it arrives, but a report that carries the leader's term was sent after such
+// a grant, so no earlier leader can change the shares that it states any more. Shares that have not been reported in
+// this way are assumed to be held: at first all of each tenant's quota, then less with each report. This ends when all
+// leases from earlier terms have expired, or when every machine that may hold a share has reported: the voters, and
+// former voters that voted within the duration of a lease.
 //
-// The part that no holder has fills a bucket of its own. A holder whose share is raised gets its initial tokens from
-// that bucket, so the tokens of a tenant that exist anywhere never exceed the depth of its bucket.
+// The free part, which no holder has, has a bucket of its own. A holder whose share is raised gets its initial tokens
+// from that bucket, so the tokens of a tenant that exist anywhere never exceed the depth of its bucket.
 //
 // The package does no I/O and reads no clock: times are in milliseconds and are passed in.
 package quota
--- a/internal/controlplane/quota/limit.go
+++ b/internal/controlplane/quota/limit.go
@@ -7,8 +7,8 @@
 	"weirwind/internal/util/settings"
 )
 
-// Fractions of each quota: core machines share out one, and stand-by agents, which serve while the core is out of
-// reach, the other.
+// Fractions of each quota: core machines hand out the tokens of CoreFraction; stand-by agents, which serve while the
+// core is unreachable, hand out those of StandbyFraction.
 const (
 	CoreFraction    = 0.75
 	StandbyFraction = 1 - CoreFraction
--- a/logic/api.go
+++ b/logic/api.go
@@ -161,7 +161,8 @@
 	Replica
 )
 
-// Sight is what a member reports about itself: in an answer (Note), or in the load report of an answer or probe (Report).
+// Sight is what a member reports about itself: in an answer (Note), or in the load report of an answer or probe
+// (Report).
 type Sight struct {
 	Role     Role
 	Position float64 // up to which it has applied all commits, in milliseconds after PositionZero; 0 for unknown
