--- a/internal/controlplane/config/encode_test.go
+++ b/internal/controlplane/config/encode_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Equal states encode to equal bytes whatever the history of their rosters: Go's map order must not matter.
+// Equal states encode to equal bytes, regardless of the changes that led to their rosters and of Go's map order.
 func TestEqualStatesEncodeToEqualBytes(t *testing.T) {
 	state := &State{Version: 3}
 	for service := range 12 {
--- a/internal/controlplane/config/parse_test.go
+++ b/internal/controlplane/config/parse_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// If several fields are invalid, the first in the order of declaration is reported, whatever their order in the JSON.
+// If several fields are invalid, the first in the order of declaration is reported, regardless of their order in the
+// JSON.
 func TestFirstInvalidFieldIsReported(t *testing.T) {
 	const route = `{"gen":1,"svcs":[{"name":"s"}],"routes":[{"name":"r","host":"h","type":"self","timeoutMs":1`
 	for _, c := range []struct{ name, rest, want string }{
--- a/internal/controlplane/config/state.go
+++ b/internal/controlplane/config/state.go
@@ -64,10 +64,10 @@
 	return nil
 }
 
-// Apply returns the state with a change applied that is not in the history. origin and atMs (Unix time in milliseconds)
-// are only recorded. The error is a *RejectedError, which holds in every state that can follow this one, or an
-// *UndecidedError. Any other error means that the stored document is faulty; like an UndecidedError it does not decide
-// the change.
+// Apply applies a change that is not in the history and returns the resulting state. origin and atMs (Unix time in
+// milliseconds) are only recorded. The error is a *RejectedError, which holds in every state that can follow this one,
+// or an *UndecidedError. Any other error means that the stored document is faulty; like an UndecidedError it does not
+// decide the change.
 func (s *State) Apply(change *Change, origin string, atMs int64) (*State, error) {
 	version, err := change.newVersion() // first: a change that is invalid by itself is rejected on any base
 	if err != nil {
--- a/internal/controlplane/consensus/cluster_faults_test.go
+++ b/internal/controlplane/consensus/cluster_faults_test.go
@@ -76,7 +76,7 @@
 	return addr, startedAt
 }
 
-// injectFault injects a random fault of those that are tolerated: of one machine of three or two of five at a time.
+// injectFault injects a random fault that the cluster tolerates at one machine of three or two of five at a time.
 func (c *cluster) injectFault() string {
 	live := c.liveAddrs()
 	m := c.machines[live[c.random.IntN(len(live))]]
--- a/internal/controlplane/consensus/exhaustive_test.go
+++ b/internal/controlplane/consensus/exhaustive_test.go
@@ -181,7 +181,7 @@
 	if depthLeft == 0 {
 		return
 	}
-	for i := range 2 { // the third machine only answers; by symmetry it doesn't matter which one that is
+	for i := range 2 { // the third machine only answers; by symmetry any of the three could be that one
 		w.act(c, i, depthLeft, path)
 	}
 	for k := range c.inTransit {
--- a/internal/controlplane/directory/leavers_test.go
+++ b/internal/controlplane/directory/leavers_test.go
@@ -12,11 +12,12 @@
 	record Member
 }
 
-// A member that announced its departure, with or without a drain before, is not revived in a table that has recorded
-// it, nor in any table after the tables have exchanged their records. Heartbeats, also those that the process keeps
-// sending, arrive at random tables up to ten seconds late, out of order and twice; tables exchange records in random
-// order. A later process of the same ID is accepted after a while. The test fails if records are ordered by heartbeat
-// numbers alone (supersedes), or if a lower or a later number revives a member that left (incarnationOf).
+// A member that announced its departure, with or without draining first, is not revived in a table that has recorded
+// the departure, nor in any table after the tables have exchanged their records. Heartbeats, also those that the
+// process keeps sending, arrive at random tables up to ten seconds late, out of order and twice; tables exchange
+// records in random order. A later process of the same ID is accepted after a while. The test fails if records are
+// ordered by heartbeat numbers alone (supersedes), or if a lower or a later number revives a member that left
+// (incarnationOf).
 func TestDepartedMemberIsNotRevived(t *testing.T) {
 	const timeout, heartbeatInterval, maxDelay = 3600.0, 1200.0, 10_000.0
 	rejoined := 0
--- a/internal/controlplane/directory/members_test.go
+++ b/internal/controlplane/directory/members_test.go
@@ -62,7 +62,7 @@
 			So(fresh, ShouldBeTrue)
 			So(m.Tombstone, ShouldBeFalse)
 		})
-		Convey("accepts a member again that was only silent", func() {
+		Convey("accepts a member again after it was only silent", func() {
 			a.Expire(70000, 60000)
 			m, _ := a.Get("m")
 			So(m.Tombstone, ShouldBeTrue)
--- a/internal/controlplane/failover/controlplane_test.go
+++ b/internal/controlplane/failover/controlplane_test.go
@@ -18,9 +18,9 @@
 	removals     map[string]bool // covered members whose removal is proposed
 	nextCommitAt float64
 
-	latePromotes    int     // number in flight
+	latePromotes    int     // number of late promotes that are still to be carried out
 	latePromoteRate float64 // share of promotes that are carried out late and not answered
-	delayReceiving  bool    // members receive only receiveDelay after a restart
+	delayReceiving  bool    // a restarted member receives entries only after receiveDelay
 
 	ignoreRoster    bool // disables a guard: unknown members are not counted
 	oneTokenPerTerm bool // disables a guard: all promotes of a leader have the same fencing token
--- a/internal/controlplane/failover/coverage_test.go
+++ b/internal/controlplane/failover/coverage_test.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// A member on the roster that a new leader of the control plane knows nothing of may be the primary. No failover begins
-// without its reply, except after a long wait if the members that replied have every commit between them.
+// A member on the roster that is unknown to a new leader of the control plane may be the primary. No failover begins
+// without its reply, except after a long wait if the members that replied together have every commit.
 func TestFailoverWaitsForUnknownMember(t *testing.T) {
 	c := New(-5000)
 	v := &View{Service: "s", SyncReplicas: 1, Members: []Member{
--- a/internal/controlplane/failover/digest_test.go
+++ b/internal/controlplane/failover/digest_test.go
@@ -98,7 +98,7 @@
 	case 6:
 		h.drainPrimary()
 		h.after(700*h.random.Float64(), h.removeOldPrimary)
-	case 7: // all members drain, in quick succession after the primary
+	case 7: // all members drain, shortly after the primary
 		h.drainPrimary()
 		h.after(400*h.random.Float64(), func() {
 			for _, m := range h.group.Members {
--- a/internal/controlplane/failover/simulation_test.go
+++ b/internal/controlplane/failover/simulation_test.go
@@ -32,7 +32,7 @@
 	lastHeartbeat   map[string]float64 // by member
 	reportedPrimary map[string]bool    // by member ID, as in its last heartbeat
 	drainEnforced   map[string]bool    // members to which drivers send no new work
-	stalledAt       float64            // when a partitioned primary last committed nothing
+	stalledAt       float64            // latest time at which a primary was partitioned from its replicas
 	writes, joins   int                // number of writes, and of members that joined
 
 	lossRate          float64       // share of queries, promotes and answers that are lost
@@ -155,7 +155,7 @@
 	return actions
 }
 
-// carryOut carries out an action like the controlplane package. The outcome is reported to c, the controller that
+// carryOut carries out an action as the controlplane package does. The outcome is reported to c, the controller that
 // issued the action, even if it was replaced meanwhile.
 func (sim *simulation) carryOut(c *Controller, a Action) {
 	switch a.Kind {
--- a/internal/controlplane/orders/history_test.go
+++ b/internal/controlplane/orders/history_test.go
@@ -80,10 +80,10 @@
 // simulation runs operators against a cluster and records the history of their calls.
 type simulation struct {
 	*cluster
-	operators []*operator
-	history   []porcupine.Operation
-	lastID    int
-	timers    []func() bool // each returns true once it has fired
+	operators    []*operator
+	history      []porcupine.Operation
+	lastChangeID int
+	timers       []func() bool // each returns true once it has fired
 }
 
 func (sim *simulation) after(wait float64, f func()) {
@@ -182,8 +182,8 @@
 	case sim.random.IntN(6) == 0 && other.lastInput.id > 0: // two operators submit the same change
 		in, req = other.lastInput, other.lastRequest
 	default:
-		sim.lastID++
-		in.id, in.version = sim.lastID, in.base+1+sim.random.IntN(3) // several changes may create the same version
+		sim.lastChangeID++
+		in.id, in.version = sim.lastChangeID, in.base+1+sim.random.IntN(3) // several changes may create the same version
 		if sim.random.IntN(10) == 0 {
 			in.version, in.valid = in.base, false
 		}
@@ -225,7 +225,7 @@
 		for end := sim.now + ms; sim.now < end; {
 			for _, o := range sim.operators {
 				switch {
-				case o.inFlight >= 2 || sim.random.IntN(40) > 0 || sim.lastID > 12:
+				case o.inFlight >= 2 || sim.random.IntN(40) > 0 || sim.lastChangeID > 12:
 				case sim.random.IntN(3) == 0:
 					o.readConfig()
 				default:
--- a/internal/controlplane/orders/orders_test.go
+++ b/internal/controlplane/orders/orders_test.go
@@ -91,7 +91,7 @@
 	return nil
 }
 
-// Each version has at most one successor, however often changes are retried. The name in parentheses is the code
+// Each version has at most one successor, however often changes are retried. A name in parentheses is that of the code
 // without which the case fails.
 func TestVersionHasOneSuccessor(t *testing.T) {
 	Convey("With a cluster that has a configuration", t, func() {
--- a/internal/controlplane/quota/allocator_test.go
+++ b/internal/controlplane/quota/allocator_test.go
@@ -31,10 +31,10 @@
 	return granted, tokens
 }
 
-func expectShare(t *testing.T, what string, got, want float64) {
+func expectShare(t *testing.T, description string, got, want float64) {
 	t.Helper()
 	if math.Abs(got-want) > 1e-9 {
-		t.Errorf("%s: %v granted, want %v", what, got, want)
+		t.Errorf("%s: %v granted, want %v", description, got, want)
 	}
 }
 
@@ -66,6 +66,7 @@
 	expectShare(t, "a report of an earlier process", got, -1)
 }
 
+// A granted share counts as held until the holder's next report shows that it received a smaller one.
 func TestBoundLastsUntilTheNextReport(t *testing.T) {
 	a := newTestAllocator()
 	sendReport(a, "one", 1, 0, 60, allSharesKnownAt)
@@ -91,6 +92,7 @@
 	expectShare(t, "once another holder has restarted", got, 0.65)
 }
 
+// Holders that want more than an equal share divide the rest of the quota in proportion to their excess.
 func TestExcessDemandIsDividedProportionally(t *testing.T) {
 	a := newTestAllocator()
 	sendReport(a, "one", 1, 0, 70, allSharesKnownAt)
--- a/internal/controlplane/quota/model_test.go
+++ b/internal/controlplane/quota/model_test.go
@@ -228,8 +228,8 @@
 	m.leaders = append(m.leaders, next)
 }
 
-// possibleHolders returns the machines that a new leader takes for possible holders of shares, at random nil for
-// unknown.
+// possibleHolders returns the machines that a new leader regards as possible holders of shares; at random it returns
+// nil, which means that they are unknown.
 func (m *model) possibleHolders() (holders []string) {
 	if m.options.assumesAllSharesKnown {
 		return []string{}
--- a/internal/controlplane/quota/quota_test.go
+++ b/internal/controlplane/quota/quota_test.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// Without any one safeguard of the protocol, the same histories exceed the limit.
+// If any one safeguard of the protocol is disabled, the same histories exceed the limit.
 func TestLimitIsExceededWithoutEachSafeguard(t *testing.T) {
 	for name, options := range map[string]modelOptions{
 		"a holder applies grants that answer older reports": {acceptsOldGrants: true},
--- a/logic/helpers_test.go
+++ b/logic/helpers_test.go
@@ -33,7 +33,7 @@
 	boundedRead = iota
 	anyRead
 	writeOnce
-	token
+	tokenedWrite
 	sessionRead
 	freshRead
 )
@@ -88,7 +88,7 @@
 	return target(f.step(Event{Kind: EvOp, Op: id, OpType: opType, Group: 1, Left: left}), id)
 }
 
-// answer ends the latest send of an op. role and pos are what the member reports.
+// answer ends the latest send of an op. role and position are those that the member reports.
 func (f *fixture) answer(id, member string, outcome Outcome, role Role, position float64) []Action {
 	n := -1
 	for _, a := range f.allActions {
@@ -100,7 +100,7 @@
 		Note: Sight{role, position}})
 }
 
-// target returns the member that the last of the actions that send an op sends it to, "" for none.
+// target returns the member of the last action that sends an op, "" if no action does.
 func target(actions []Action, id string) string {
 	m := ""
 	for _, a := range actions {
@@ -111,7 +111,7 @@
 	return m
 }
 
-// count returns the number of actions of a kind, for one op or for all if id is "".
+// count returns the number of actions of a kind for one op, or for all ops if id is "".
 func count(actions []Action, kind ActionKind, id string) int {
 	n := 0
 	for _, a := range actions {
@@ -123,9 +123,9 @@
 }
 
 // want fails the test if ok is false.
-func (f *fixture) want(ok bool, what string) {
+func (f *fixture) want(ok bool, expectation string) {
 	f.t.Helper()
 	if !ok {
-		f.t.Errorf("at %.0f: want %s; last actions %+v", f.now, what, f.lastActions)
+		f.t.Errorf("at %.0f: want %s; last actions %+v", f.now, expectation, f.lastActions)
 	}
 }
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -34,8 +34,8 @@
 	f.want(target(f.lastActions, "w") == "r", "the write sent to the member that answers as primary")
 }
 
-// A queued write that was never transmitted is refused after less than half of its time, so that its client has time to retry.
-// One that was sent and answered with a Miss is queued up to its deadline.
+// A queued write that was never transmitted is refused after less than half of its time limit, so that its client has time to
+// retry. A write that was sent and answered with a Miss is queued until its deadline.
 func TestUnsentQueuedWriteIsRefusedBeforeItsDeadline(t *testing.T) {
 	f := newFixture(t, testOpening())
 	f.submit("m", writeOnce, 800)
@@ -54,12 +54,12 @@
 	f.submit("c", writeOnce, 800)
 	f.answer("c", "p", ConnectFailed, RoleUnknown, 0)
 	f.wait(370)
-	f.want(count(f.allActions, ActRefuse, "c") == 1, "one whose connection was refused, refused as early")
+	f.want(count(f.allActions, ActRefuse, "c") == 1, "a busy reply as early for a write whose connection was refused")
 }
 
-// Evidence from before the slot was emptied must not bring the old primary back: neither a report of that time nor an answer
-// without a position to a request of that time.
-func TestOldEvidenceDoesNotRefill(t *testing.T) {
+// Evidence from before the slot was emptied must not fill it with the old primary again: neither a report dated before that
+// nor an answer without a position to a request sent before that.
+func TestOldEvidenceDoesNotRefillTheSlot(t *testing.T) {
 	f := newFixture(t, testOpening())
 	f.submit("w", writeOnce, 2000)
 	f.submit("v", freshRead, 1000)
@@ -71,7 +71,7 @@
 	f.answer("v", "p", Fault, Primary, 0)
 	f.want(f.driver.groups[0].Holder == nil, "the slot still empty")
 	f.step(Event{Kind: EvProbed, Member: "p", Outcome: OK, Took: 1, Report: Sight{Primary, f.now}})
-	f.want(f.driver.groups[0].Holder == f.driver.members["p"], "newer evidence fills it")
+	f.want(f.driver.groups[0].Holder == f.driver.members["p"], "the slot filled by newer evidence")
 }
 
 // A hung primary answers nothing: its silence empties the slot. Ops that may have run are repeated only as far as rule 2 (no op
@@ -80,7 +80,7 @@
 	f := newFixture(t, testOpening())
 	f.submit("w0", writeOnce, 2000)
 	f.submit("w1", writeOnce, 2000)
-	f.submit("k", token, 5000)
+	f.submit("k", tokenedWrite, 5000)
 	f.wait(900)
 	f.want(f.driver.groups[0].Holder == nil, "the slot empty after long silence")
 	f.step(Event{Kind: EvProbed, Member: "s", Outcome: OK, Report: Sight{Primary, f.now}})
@@ -92,7 +92,7 @@
 	f.want(!f.driver.maySend(f.driver.ops["k"], f.driver.members["r"]), "no send of it after the window")
 }
 
-// One missing answer is no silence while the member answers other sends.
+// A member is not considered silent because of one missing answer while it answers other sends.
 func TestOneSlowOpDoesNotEjectAMember(t *testing.T) {
 	f := newFixture(t, testOpening())
 	f.submit("slow", writeOnce, 2000)
@@ -122,7 +122,7 @@
 	f.want(f.submit("b3", boundedRead, 1000) == "", "a read queued if there is neither")
 }
 
-// A member that replies that it is full must not be tried again at every tick, which made up to 18 sends per op.
+// A member that replies that it is full must not be tried again at every tick: that caused up to 18 sends per op.
 func TestFullMemberGetsFewRetries(t *testing.T) {
 	f := newFixture(t, testOpening())
 	for i := range 100 {
@@ -136,7 +136,7 @@
 	f.want(count(f.allActions, ActSend, "") < 60, "few sends to members that reply full")
 }
 
-// A read that finds no capacity is refused early: just before its latency target the client's retry could only be late.
+// A read that finds no capacity is refused early: if it were refused just before its latency target, a retry would be late.
 func TestReadWithoutCapacityIsRefusedEarly(t *testing.T) {
 	f := newFixture(t, testOpening())
 	for i := range 40 {
@@ -151,16 +151,16 @@
 	f := newFixture(t, testOpening())
 	f.step(memberList(ListChanges, "p-"))
 	for i := range 20 {
-		f.submit(fmt.Sprint("old", i), token, 5000)
+		f.submit(fmt.Sprint("old", i), tokenedWrite, 5000)
 	}
 	f.wait(800)
-	f.submit("new", token, 5000)
+	f.submit("new", tokenedWrite, 5000)
 	f.step(Event{Kind: EvProbed, Member: "s", Outcome: OK, Report: Sight{Primary, f.now}})
 	f.want(target(f.lastActions, "new") == "s", "the new op sent at once")
 	f.want(count(f.lastActions, ActSend, "") < 20, "the rest limited by the window, not sent at once")
 }
 
-// When all members slow down alike, windows stay near the sends in flight of before, and no member is ejected.
+// When all members slow down alike, windows stay near the earlier number of sends in flight, and no member is ejected.
 func TestSharedSlowdownKeepsWindowsOpen(t *testing.T) {
 	f := newFixture(t, testOpening())
 	runReads := func(latency float64, rounds int) {
@@ -202,7 +202,8 @@
 	f.want(sent["s"]*3 < sent["r"], fmt.Sprintf("less than a third at the cold member, has %v", sent))
 }
 
-// A member that answers only with errors is ejected, and a peer's gossip of good answers readmits it. Short messages are ignored.
+// A member that answers only with errors is ejected, and readmitted when a peer gossips that it answers. Truncated messages are
+// ignored.
 func TestErrorsEjectAndPeersReadmit(t *testing.T) {
 	f := newFixture(t, testOpening())
 	for i := range 40 {
@@ -258,7 +259,7 @@
 }
 
 // A member list that must be requested is requested at the start and again after each failure, with backoff.
-func TestWatchIsRenewedAfterFailures(t *testing.T) {
+func TestMemberListIsRequestedAgainAfterFailures(t *testing.T) {
 	opening := testOpening()
 	opening.ListOnRequest = true
 	f := newFixture(t, opening)
@@ -270,8 +271,8 @@
 	}
 }
 
-// If sessions don't carry their writes, the driver tracks the commits that session reads must see.
-func TestSessionReadsSeeRememberedWrites(t *testing.T) {
+// If sessions don't carry the time of their last write, the driver tracks the commits that session reads must include.
+func TestSessionReadsIncludeTheDriversWrites(t *testing.T) {
 	opening := testOpening()
 	opening.SessionCarried, opening.Checks = false, ChecksNone
 	f := newFixture(t, opening)
@@ -334,8 +335,8 @@
 	}
 }
 
-// Within a gossip interval one driver gossips about a member and the others drop their news: if they kept it, all of them would
-// send it when the interval ends. Intervals grow while too many messages arrive.
+// Within a gossip interval one driver gossips about a member, and the others drop what they had to report: if they kept it, all
+// of them would send it when the interval ends. Intervals grow while too many messages arrive.
 func TestOneDriverPerIntervalGossipsAboutAMember(t *testing.T) {
 	f := newFleet(t, 30)[0]
 	f.wait(500)
@@ -345,7 +346,7 @@
 	f.answer("a", m.id, OK, Replica, f.now)
 	messagesBefore := count(f.allActions, ActMessage, "")
 	f.wait(200)
-	f.want(count(f.allActions, ActMessage, "") == messagesBefore, "no message about a member of which a peer has just gossiped")
+	f.want(count(f.allActions, ActMessage, "") == messagesBefore, "no message about a member that a peer has just gossiped about")
 	for range 20000 {
 		f.step(gossipMessage(m, flagGood, 0.5, f.now-10))
 	}
@@ -353,7 +354,7 @@
 	f.want(f.driver.gossipInterval > 1.3*f.driver.minGossipInterval, "longer intervals while too many messages arrive")
 }
 
-// Many drivers with a full first credit each would together overload a member that has just started.
+// If each of many drivers had a full first cold credit, they would together overload a member that has just started.
 func TestFleetDoesNotOverloadAColdMember(t *testing.T) {
 	sent := 0
 	for _, f := range newFleet(t, 90) {
@@ -375,7 +376,7 @@
 	}
 }
 
-// After a pause of its own a driver must not take the pause for silence of the members, nor for latency.
+// A driver that was itself paused must not mistake the pause for silence of the members, nor for latency.
 func TestOwnPauseIsNotMemberSilence(t *testing.T) {
 	f := newFixture(t, testOpening())
 	f.wait(50)
@@ -389,8 +390,9 @@
 	f.want(f.driver.opTypes[anyRead].meanLatency == meanLatency, "the mean latency as before")
 }
 
-// A refused connection doesn't eject a member that has just answered on another one; it ejects a member not heard of lately.
-func TestRefusedConnection(t *testing.T) {
+// A refused connection doesn't eject a member that has just answered on another connection; it ejects one that hasn't answered
+// recently.
+func TestRefusedConnectionEjectsOnlyMemberNotHeardFrom(t *testing.T) {
 	f := newFixture(t, testOpening())
 	f.submit("w1", writeOnce, 2000)
 	f.answer("w1", "p", OK, Primary, f.now)
@@ -404,8 +406,8 @@
 	f.want(f.driver.groups[0].Holder == nil, "the slot empty")
 }
 
-// A peer's report of silence counts only if no driver heard from the member lately.
-func TestPeerReportOfSilence(t *testing.T) {
+// A peer's report of silence counts only if no driver is known to have heard from the member recently.
+func TestPeerReportOfSilenceCountsOnlyWithoutRecentAnswer(t *testing.T) {
 	f := newFleet(t, 30)[0]
 	m := f.driver.members["p"]
 	f.wait(1000)
@@ -418,7 +420,8 @@
 	f.want(count(f.lastActions, ActMessage, "") == 0, "no message that repeats the peer's report")
 }
 
-// Drivers that know the same must not all choose the same replica, and an overloaded primary gets only a share of the writes.
+// Drivers with the same information must not all choose the same replica, and an overloaded primary gets only a share of the
+// writes.
 func TestFleetSpreadsReadsAndLimitsWrites(t *testing.T) {
 	reads, writes := map[string]int{}, 0
 	for _, f := range newFleet(t, 90) {
@@ -443,7 +446,7 @@
 }
 
 // With OnlyDrainBinds a list without any members takes none out of service.
-func TestListThatLosesAllMembersStopsNothing(t *testing.T) {
+func TestEmptyListRemovesNoMemberIfOnlyDrainBinds(t *testing.T) {
 	opening := testOpening()
 	opening.OnlyDrainBinds = true
 	f := newFixture(t, opening)
@@ -453,7 +456,7 @@
 	f.want(f.submit("w2", writeOnce, 2000) == "p", "the slot as before when the list is complete again")
 }
 
-// A read queued during an outage is refused while a retry can be in time; reads kept longer would all be sent too late to be of use.
+// A read queued during an outage is refused while a retry can still be in time; if reads were kept longer, all would be late.
 func TestQueuedReadIsRefusedBeforeItsLatencyTarget(t *testing.T) {
 	opening := testOpening()
 	opening.Checks = ChecksNone
@@ -493,15 +496,15 @@
 	}
 }
 
-// Single broken connections don't eject the primary. It is ejected if a connection is refused and it wasn't heard of lately, or
-// if three break in a row without an answer in between and no send is in flight there.
-func TestBrokenConnectionsAloneDoNotEject(t *testing.T) {
+// Single broken connections don't eject the primary. It is ejected if a connection is refused and it hasn't answered recently,
+// or if three break in a row without an answer in between and no send to it is in flight.
+func TestSingleBrokenConnectionsDoNotEject(t *testing.T) {
 	f := newFixture(t, testOpening())
 	for _, id := range []string{"a", "b", "c"} {
 		f.submit(id, writeOnce, 1000)
 	}
 	for _, id := range []string{"a", "b", "c"} {
-		f.want(!f.driver.members["p"].ejected, "the primary not ejected while a send is in flight there")
+		f.want(!f.driver.members["p"].ejected, "the primary not ejected while a send to it is in flight")
 		f.answer(id, "p", Reset, RoleUnknown, 0)
 	}
 	f.want(f.driver.members["p"].ejected && f.driver.groups[0].Holder == nil, "the primary ejected as all connections broke")
@@ -509,7 +512,7 @@
 	f.wait(400)
 	f.submit("a", writeOnce, 1000)
 	f.answer("a", "p", ConnectFailed, RoleUnknown, 0)
-	f.want(f.driver.members["p"].ejected, "a primary not heard of lately ejected as it refused a connection")
+	f.want(f.driver.members["p"].ejected, "a primary that hasn't answered recently ejected as it refused a connection")
 	f = newFixture(t, testOpening())
 	for i, outcome := range []Outcome{Reset, Reset, OK, Reset, Reset, Reset} {
 		id := fmt.Sprint(i)
@@ -520,8 +523,8 @@
 	f.want(f.driver.members["p"].ejected && f.driver.groups[0].Holder == nil, "the primary ejected after three broken connections in a row")
 }
 
-// Members that left the list are pruned once no late evidence of them can arrive, so that constant replacement leaks nothing. One with
-// a send in flight stays, and one that returns is a new member with the start that the list gives.
+// Members that left the list are pruned once no late evidence of them can arrive, so that constant replacement leaks no memory. A
+// member with a send in flight is kept, and one that returns is a new member whose start is that in the list.
 func TestMembersLongGoneArePruned(t *testing.T) {
 	f := newFixture(t, testOpening())
 	f.submit("w", writeOnce, 60000)
@@ -543,7 +546,7 @@
 	f.want(f.submit("v", writeOnce, 900) == "p" && f.driver.members["p"].startedAt == 100000, "the member that returned, with its start")
 }
 
-// A send without an answer doesn't count as in flight any more once the member has long answered later sends, and its end
+// A send that stays without an answer for long while the member answers later sends no longer counts as in flight, and its end
 // doesn't count as a slow answer. While the member answers nothing, all sends count.
 func TestLostSendsDoNotCountAsInFlight(t *testing.T) {
 	f := newFixture(t, testOpening())
--- a/logic/recall_test.go
+++ b/logic/recall_test.go
@@ -17,9 +17,10 @@
 	return Memory{TrustWindow: 500, Groups: []GroupMemory{{Group: 1, Primary: member, InSlot: inSlot, SeenAt: 100000 - ageMS}}}
 }
 
-// A recalled primary fills the slot if it was seen within the trust window, also against a list that only shows the
-// primary of the start. At the end of the window, not in the slot any more, dated in the future or unlisted it does not.
-func TestRecalledPrimaryByItsAge(t *testing.T) {
+// A recalled primary fills the slot if it was seen within the trust window, even if the list, which only shows the primary
+// at the start, names another member. It does not if the window has passed, if it was no longer in the slot when the
+// memory was saved, if its date is in the future, or if it is not in the list.
+func TestRecalledPrimaryFillsSlotWithinTrustWindow(t *testing.T) {
 	for _, c := range []struct {
 		memory Memory
 		want   string
@@ -49,9 +50,9 @@
 	f.want(f.submit("w", writeOnce, 2000) == "r", "the recalled primary")
 }
 
-// A recalled primary older than the trust window is probed at once and first, but gets no write before it has answered as
-// primary. Without probes it is tried only after all other members have denied the role.
-func TestOldRecalledPrimaryIsOnlyTriedFirst(t *testing.T) {
+// A recalled primary last seen before the trust window is probed at once and before the others, but gets no write before it
+// has answered as primary. Without probes it is tried only after all other members have answered that they are replicas.
+func TestOldRecalledPrimaryGetsNoWriteBeforeItAnswers(t *testing.T) {
 	f := recallFixture(t, testOpening(), slotMemory("r", true, 90e3))
 	f.want(count(f.lastActions, ActProbe, "") > 0 && f.lastActions[len(f.lastActions)-1].Kind != ActSend, "probes")
 	first := ""
@@ -85,7 +86,7 @@
 	f.want(sent["r"] > 0, "r to be tried after all others answered Miss")
 }
 
-// Evidence of this run wins over a recalled primary.
+// Evidence from this run takes precedence over a recalled primary.
 func TestRecalledPrimaryYieldsToNewerEvidence(t *testing.T) {
 	f := recallFixture(t, testOpening(), slotMemory("r", true, 400))
 	f.submit("w", writeOnce, 2000)
@@ -129,7 +130,7 @@
 			if memory != nil {
 				f.step(Event{Kind: EvRecall, Memory: memory})
 			}
-			f.driver.members["r"].coldCredit *= 3 // enough for the first op of any type
+			f.driver.members["r"].coldCredit *= 3 // so that the credit is enough for the first op of any type
 			if f.submit("a", anyRead, 1000) == "r" {
 				n++
 			}
@@ -181,13 +182,13 @@
 	}
 	f := newFixture(t, opening)
 	reportPositions(f, 99999)
-	f.want(f.submit("a", sessionRead, 1000) == "p", "the primary: replicas may lack what an earlier run wrote")
+	f.want(f.submit("a", sessionRead, 1000) == "p", "the primary, as replicas may lack writes of an earlier run")
 	f.wait(20)
 	reportPositions(f, 100001)
 	f.want(f.submit("b", sessionRead, 1000) != "p", "a replica whose position is past the start")
 	f = recallFixture(t, opening, Memory{Ceiling: 102000})
 	reportPositions(f, 101999)
-	f.want(f.submit("a", sessionRead, 1000) == "p", "the primary: replicas are below the ceiling")
+	f.want(f.submit("a", sessionRead, 1000) == "p", "the primary, as replicas are below the ceiling")
 	reportPositions(f, 102000)
 	f.want(f.submit("b", sessionRead, 1000) != "p", "a replica at the ceiling")
 	opening.Positions = false // members report no positions, so that no replica could ever qualify
@@ -196,7 +197,7 @@
 }
 
 // The memory that one run saves restores the slot, latencies, ejections and windows in the next.
-func TestRememberAndRecall(t *testing.T) {
+func TestSavedMemoryIsRestored(t *testing.T) {
 	f := newFixture(t, testOpening())
 	for i := range 40 {
 		id := string(rune('A' + i))
@@ -230,7 +231,7 @@
 }
 
 // Gossip and jitter follow the number of drivers: a single driver sends no messages, and a large fleet spreads its actions.
-func TestNumberOfDriversChanges(t *testing.T) {
+func TestGossipAndJitterFollowNumberOfDrivers(t *testing.T) {
 	opening := testOpening()
 	opening.MayMessage, opening.Drivers = true, 1
 	messagesSent := func(f *fixture) (n int) {
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -131,7 +131,7 @@
 		opening := testOpening()
 		opening.Seed, opening.Checks, opening.MayOverlap = seed, Checks(rng.IntN(3)), rng.IntN(4) > 0
 		opening.ReportsByProbe, opening.SessionCarried = rng.IntN(2) == 0, rng.IntN(2) == 0
-		opening.OpTypes[token].Scope, opening.SendCap = Scope(rng.IntN(3)), 2+rng.IntN(8)
+		opening.OpTypes[tokenedWrite].Scope, opening.SendCap = Scope(rng.IntN(3)), 2+rng.IntN(8)
 		model := &ruleModel{opening: opening, ops: map[string]*modelOp{}, withdrawn: map[string]bool{}, positions: map[string]float64{},
 			roleSeenAt: map[string][]float64{"p": {1, 0}}}
 		var driver Driver
@@ -250,8 +250,8 @@
 	})
 }
 
-// A primary without evidence of its role within the bound gets no bounded reads: it may have been deposed, and its data may
-// be older than the bound.
+// A primary gets no bounded reads if the latest evidence of its role is older than the bound: it may have been deposed, and its
+// data may be older than the bound.
 func TestBoundedReadsAvoidASilentPrimary(t *testing.T) {
 	opening := testOpening()
 	opening.Checks = ChecksNone
@@ -266,8 +266,8 @@
 	f.want(f.submit("b2", boundedRead, 1000) == "p", "reads at the primary again once it has answered")
 }
 
-// With OnlyDrainBinds a member that drained, was listed as gone, and is listed as gone again long after gets no sends: the
-// member must not be pruned and then taken for a new one that isn't draining.
+// With OnlyDrainBinds a member that drained, was listed as gone, and is listed as gone again much later gets no sends: it must
+// not be pruned and then mistaken for a new member that isn't draining.
 func TestDrainedMemberListedAsGoneStaysDrained(t *testing.T) {
 	opening := testOpening()
 	opening.OnlyDrainBinds = true
