--- a/internal/controlplane/quota/doc.go
+++ b/internal/controlplane/quota/doc.go
@@ -12,8 +12,8 @@
 // invariant is that, for each tenant, the upper bounds of the holders' shares sum to at most 1. The invariant relies
 // on the behavior of holders:
 //
-//   - A holder applies only the grant that answers its newest report, and applies it once. So until
-//     its next report it has either the shares that the report states or those that were granted in answer.
+//   - A holder applies only the grant that answers its newest report, and applies it once. So until its
+//     next report it has either the shares that the report states or those that were granted in answer.
 //   - The lease starts when the report that the grant answers is sent. A holder whose lease has expired has no shares,
 //     and applies no answer to a report that it sent before the expiry.
 //
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -338,7 +338,7 @@
 				m.disconnectFlag = flagDisconnected
 			}
 			if m.group.Holder == m {
-				d.emptySlot(m, true, "recalled as ejected")
+				d.emptySlot(m, true, "recalled as set aside")
 			}
 		}
 	}
@@ -354,7 +354,7 @@
 			d.fillSlot(m, saved.SeenAt, "recalled")
 		} else if g.Holder == nil || !d.listTracksRole {
 			g.Holder, g.LastHolder, g.SeenAt, g.EmptiedAt, g.nextProbeAt, m.unconfirmed = nil, m, saved.SeenAt, saved.SeenAt, d.now, true
-			if d.log("group %d: %s was primary in an earlier run, to be probed", g.id, m.id); d.probesShowRole && !m.draining {
+			if d.log("group %d: %s was primary, to be asked", g.id, m.id); d.probesShowRole && !m.draining {
 				d.emit(Action{Kind: ActProbe, Member: m.id})
 			}
 			d.probeGroup(g)
@@ -865,7 +865,7 @@
 		m.backoff = minBackoff
 	}
 	m.ejected, m.ejectedAt, m.nextTrialAt = true, d.now, d.jitter(m.backoff)
-	d.log("group %d: %s ejected: %s", m.group.id, m.id, reason)
+	d.log("group %d: %s set aside: %s", m.group.id, m.id, reason)
 	if flags != 0 && m.group.Holder == m {
 		d.emptySlot(m, true, reason)
 	}
@@ -884,7 +884,7 @@
 		}
 	}
 	m.ejected, m.disconnectFlag, m.disconnects, m.readmittedAt, m.heardAt, m.errorRate, m.overdue = false, 0, 0, d.now, d.now, 0, 0
-	d.log("group %d: %s readmitted (%s)", m.group.id, m.id, source)
+	d.log("group %d: %s is back (%s)", m.group.id, m.id, source)
 }
 
 // rejectOp sends an op's final reply: busy if the op certainly didn't run or may run again, else an error.
@@ -996,7 +996,7 @@
 		return
 	}
 	if p := g.LastHolder; p != nil && p.unconfirmed && !p.draining && !p.ejected && g.noOtherCandidate(p) {
-		d.fillSlot(p, g.SeenAt, "no other candidate")
+		d.fillSlot(p, g.SeenAt, "no other is")
 		return
 	}
 	for _, m := range g.members {
