--- a/internal/writerslot/slot.go
+++ b/internal/writerslot/slot.go
@@ -28,7 +28,7 @@
 	*s = Slot[M]{m, *new(M), max(s.SeenAt, when), s.EmptiedAt, s.Unresponsive}
 }
 
-// Clear empties the slot and keeps its holder as LastHolder. unresponsive: the holder timed out or its connection broke.
+// Clear empties the slot and keeps its holder as LastHolder. unresponsive: the holder timed out or a connection broke.
 func (s *Slot[M]) Clear(now float64, unresponsive bool) {
 	*s = Slot[M]{*new(M), s.Holder, s.SeenAt, now, unresponsive}
 }
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -18,19 +18,19 @@
 	probersPerMember                        = 8.0           // approximate number of drivers that probe a member at the same time
 	maxOpenOps                              = 2000          // unfinished ops of a group above which no further op is queued
 	trialProbability                        = 0.1           // that a sweep tries a queued write at a possible primary; divided by fleetScale-1
-	unsentWaitFraction                      = 0.45          // of an op's time limit, for which it is queued if it was never transmitted
+	unsentWaitFraction                      = 0.45          // of an op's time limit: maximum time for which an op is queued that was never transmitted
 	pauseSweeps                             = 20.0          // sweep intervals without a step, after which the driver itself counts as having been paused
 	gossipBudget                            = 30000.0       // messages received per second, times fleetScale, above which drivers gossip less often
 	suspicionLimit, primarySuspicionLimit   = 7.0, 9.0      // suspicion at which a member is ejected; at which the primary is ejected and the slot emptied
 	disconnectLimit                         = 3             // consecutive broken or refused connections after which a member is ejected
 	errorRateLimit, errorSmoothing          = 0.5, 0.15     // smoothed error rate above which a member is ejected; weight of one answer in it
 	minBackoff, maxBackoff                  = 250.0, 2000.0 // before an ejected member or a failed list request is tried again
-	readWaitFraction                        = 0.04          // of the latency target, for which a read is queued for capacity
+	readWaitFraction                        = 0.04          // of the latency target: maximum time for which a read is queued for capacity
 	hedgeEarned, maxHedgeBudget             = 0.03, 10.0    // hedged sends that each good answer adds to the budget; maximum of the budget
 	initialWindow, initialLatencyRatio      = 4.0, 2.0      // of a new primary: maximum of its window; minimum of its latency ratio
 	windowDecrease, windowFloorFraction     = 0.85, 0.7     // factor at overload; fraction of uncongestedInFlight that a window doesn't go below
 	overloadTargetFraction                  = 0.28          // of the latency target: a mean latency below this is never overload
-	overloadBestMultiple, overloadTargetCap = 1.07, 0.6     // else overload begins at this multiple of the best mean latency; cap, of the latency target
+	overloadBestMultiple, overloadTargetCap = 1.07, 0.6     // otherwise overload begins at this multiple of the best mean latency; but at most at this fraction of the latency target
 	certaintyGain                           = 10.0          // how strongly this driver's work per member (warmWorkRate) reduces uncertainty
 	headroom                                = 0.5           // fraction of a window in use: above it the window grows; below it the primary also gets reads that replicas could answer
 	laggingFraction, laggingRatio           = 0.25, 1.2     // of minMaxAge: a replica that lags more counts as overloaded; minimum latency ratio of such a replica
@@ -88,7 +88,7 @@
 	readmittedAt, backoff, nextTrialAt float64 // when the last ejection ended; pause between trial ops while ejected; when the next trial op is due
 	startedAt, ejectedAt, unlistedAt   float64 // unlistedAt: when the list first called it gone, 0 while it is listed
 	window, windowReducedAt            float64 // maximum number of sends in flight; when it was last reduced
-	fullUntil                          float64 // no sends until then, after a reply that it is full
+	fullUntil                          float64 // after a reply that it is full: time before which it gets no sends
 	coldCredit, coldCreditAt           float64 // work that a cold member may still get, in milliseconds; when it was last topped up
 
 	ejected, gossipPending      bool   // gossipPending: there is something to gossip
@@ -137,7 +137,7 @@
 	membersCheckLag, listTracksRole, sessionCarried, probesShowRole, mayCancel, mayOverlap bool
 	ignoreGone, noGossip                                                                   bool // ignoreGone: Gone in the list may be wrong. noGossip: there are peers, but no messages can be exchanged
 
-	hedgeBudget, maxRetryAfter, coldCapacity, warmUpTime, coldBudgetMultiple, coldBudgetSpan float64 // coldBudgetMultiple: budget of a cold member, relative to the mean work per member
+	hedgeBudget, maxRetryAfter, coldCapacity, warmUpTime, coldBudgetMultiple, coldBudgetSpan float64 // coldCapacity: fraction at its start; coldBudgetMultiple: budget of a cold member, relative to the mean work per member
 
 	sendCap, maxGossipEntries                         int
 	gossipInterval, minGossipInterval, maxMessageRate float64 // gossipInterval: between messages of any driver about the same member, 0 if none are sent
@@ -591,7 +591,7 @@
 	k, limit, share := o.kind, m.window, 1.0
 	if d.fleetScale > 2 { // one driver's sends hardly fill a window: the latency ratios that drivers gossip limit the ops instead
 		share = min(1/m.overload, 1)
-		if m == m.group.Holder && k.need < Fresh { // other reads yield to writes, and get no share just after the slot was filled, while queued writes are sent
+		if m == m.group.Holder && k.need < Fresh { // reads that replicas can answer yield to writes, and get no share just after the slot was filled, while queued writes are sent
 			share *= share * share * math.Floor(min((d.now-m.group.filledAt)/probeInterval, 1))
 		}
 	}
@@ -878,7 +878,7 @@
 	if !m.ejected {
 		return
 	}
-	if d.now-m.ejectedAt >= minBackoff { // sooner than that, the ejection was a false alarm
+	if d.now-m.ejectedAt >= minBackoff { // after a shorter ejection, it is assumed to have been a false alarm
 		if m.window = min(m.window, initialWindow); m.disconnectFlag != 0 && m.startedAt < m.ejectedAt { // a restart is inferred
 			d.beginWarmUp(m, d.now)
 		}
