--- a/cmd/weirlab/hollow.go
+++ b/cmd/weirlab/hollow.go
@@ -57,7 +57,7 @@
 			Databases: databases,
 			Cores:     c.Cores,
 			Renewals:  c.Renewals,
-			Limit:     c.Limit,
+			Timeout:   c.Limit,
 			Net:       c.Net,
 			Port:      c.Port,
 			Log:       log,
--- a/cmd/weirlab/sessions.go
+++ b/cmd/weirlab/sessions.go
@@ -57,10 +57,10 @@
 // options are the run's.
 func (c *sessionsCommand) options() sessionrun.Options {
 	return sessionrun.Options{
-		For:     c.For,
-		Sites:   c.Sites,
-		Clients: c.Clients,
-		Every:   c.Every,
+		Duration:        c.For,
+		Sites:           c.Sites,
+		Clients:         c.Clients,
+		MessageInterval: c.Every,
 	}
 }
 
--- a/cmd/weirlab/storm.go
+++ b/cmd/weirlab/storm.go
@@ -25,7 +25,7 @@
 	fmt.Fprintf(out, "%d clients, %d members; the registry is away for %s and loses its history\n", c.Clients, c.Members,
 		c.Away)
 	for _, naive := range []bool{false, true} {
-		storm := lab.Storm{
+		storm := lab.RegistryRestart{
 			Clients:  c.Clients,
 			Members:  c.Members,
 			Downtime: c.Away,
@@ -40,9 +40,9 @@
 			out,
 			"%-6s %5d whole lists a second at the peak, %5d in all, all current after %s\n",
 			map[bool]string{false: "ours", true: "naive"}[naive],
-			r.Peak,
+			r.PeakReads,
 			r.Reads,
-			r.Until.Round(time.Millisecond),
+			r.CatchUpTime.Round(time.Millisecond),
 		)
 	}
 	return nil
--- a/internal/lab/doc.go
+++ b/internal/lab/doc.go
@@ -5,6 +5,6 @@
 // replication lag, a limited number of cores, elections, and the list of members over HTTP. Drivers run in front of it
 // in this process (drivers.go), with control sockets for planned changes where hooks are to notify them (switch.go). A
 // Load (load.go, client.go) sends ops at their intended times, whatever became of those before; Audit (audit.go)
-// compares what members ran with what clients were answered. Storm (storm.go) restarts a stand-in registry under many
-// clients.
+// compares what members ran with what clients were answered. RegistryRestart (registryrestart.go) restarts a stand-in
+// registry while many clients watch it.
 package lab
--- a/internal/lab/experiment/charts.go
+++ b/internal/lab/experiment/charts.go
@@ -68,8 +68,8 @@
 	return p
 }
 
-// Line adds a line to a plot, in the nth colour.
-func Line(canvas *plot.Plot, n int, name string, xy plotter.XYs) error {
+// AddLine adds a line to a plot, in the nth colour.
+func AddLine(canvas *plot.Plot, n int, name string, xy plotter.XYs) error {
 	l, err := plotter.NewLine(xy)
 	if err != nil {
 		return err
@@ -212,7 +212,7 @@
 	for _, c := range timeSeries {
 		charts = append(charts, chart{c.name, c.title, c.note, "second", c.yLabel, c.maxY,
 			func(canvas *plot.Plot, n int, rows []Run, v string) error {
-				return Line(canvas, n, v, meanBySecond(rows, c.value))
+				return AddLine(canvas, n, v, meanBySecond(rows, c.value))
 			}})
 	}
 	charts = append(charts,
@@ -242,7 +242,7 @@
 	canvas.X.Tick.Marker = plot.ConstantTicks([]plot.Tick{{Value: 0, Label: "0"}, {Value: 1, Label: "0.9"},
 		{Value: 2, Label: "0.99"}, {Value: 3, Label: "0.999"}, {Value: 4, Label: "0.9999"}})
 	canvas.Legend.Left = true
-	return Line(canvas, n, variant, xy)
+	return AddLine(canvas, n, variant, xy)
 }
 
 // drawUtilization draws how busy members were, the mean over a variant's seeds.
@@ -261,7 +261,7 @@
 	for i, x := range busy {
 		xy = append(xy, plotter.XY{X: float64(i + 1), Y: x})
 	}
-	return Line(canvas, n, variant, xy)
+	return AddLine(canvas, n, variant, xy)
 }
 
 // outcomes draws stacked bars, a panel for each cell: the outcomes of ops, variant by variant.
--- a/internal/lab/experiment/compare.go
+++ b/internal/lab/experiment/compare.go
@@ -165,15 +165,15 @@
 			}
 			d := Difference{c.experiment, c.drivers, c.load, m, len(diffs), stat.Mean(as, nil), stat.Mean(bs, nil), 0,
 				math.Inf(1)}
-			d.Mean, d.HalfWidth = Interval(diffs)
+			d.Mean, d.HalfWidth = ConfidenceInterval(diffs)
 			all = append(all, d)
 		}
 	}
 	return all
 }
 
-// Interval gives the mean of values and half of its 95 % interval by Student's t.
-func Interval(values []float64) (mean, half float64) {
+// ConfidenceInterval returns the mean of values and half the width of its 95 % confidence interval by Student's t.
+func ConfidenceInterval(values []float64) (mean, half float64) {
 	if len(values) < 2 {
 		return stat.Mean(values, nil), math.Inf(1)
 	}
--- a/internal/lab/experiment/page.go
+++ b/internal/lab/experiment/page.go
@@ -110,7 +110,7 @@
 			values = append(values, measure.Value(x))
 		}
 	}
-	mean, half := Interval(values)
+	mean, half := ConfidenceInterval(values)
 	text := fmt.Sprintf("%.4g", mean)
 	if !math.IsInf(half, 0) {
 		text += fmt.Sprintf(" ± %.2g", half)
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -19,7 +19,7 @@
 type Options struct {
 	Program         string // path of the built one
 	Drivers         int
-	Spare           int                // places for drivers that start later
+	ExtraDrivers    int                // places for drivers that start later
 	Period          time.Duration      // of membership; 0: 200 ms
 	TakeoverAfter   time.Duration      // 0: 5 s
 	Seeds           func(i int) []int  // drivers that one is configured with; nil: the first three
@@ -84,11 +84,11 @@
 		return nil, err
 	}
 	f := &Fleet{options: options, folder: folder}
-	if f.Links, err = links.New(options.Drivers+options.Spare, options.Seed); err != nil {
+	if f.Links, err = links.New(options.Drivers+options.ExtraDrivers, options.Seed); err != nil {
 		_ = os.RemoveAll(folder)
 		return nil, err
 	}
-	for i := range options.Drivers + options.Spare {
+	for i := range options.Drivers + options.ExtraDrivers {
 		d := &Driver{
 			Name:   fmt.Sprintf("n%d", i),
 			fleet:  f,
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -231,7 +231,7 @@
 }
 
 func TestStopsAndGrowth(t *testing.T) {
-	f := startFleet(t, Options{Seed: 2, Spare: 1})
+	f := startFleet(t, Options{Seed: 2, ExtraDrivers: 1})
 	f.Drivers[4].Stop()
 	f.eventually(t, "one stopped", func() bool {
 		return f.sees(4, membership.Left, 0, 1, 2, 3) && f.HavePartitionStatus(membership.Complete, 0, 1, 2, 3) &&
@@ -287,7 +287,7 @@
 }
 
 func TestPartitions(t *testing.T) {
-	f := startFleet(t, Options{Seed: 4, Spare: 2})
+	f := startFleet(t, Options{Seed: 4, ExtraDrivers: 2})
 	f.Links.Partition(0, 0, 1, 1, 1, 0, 0)
 	f.eventually(t, "two against three", func() bool {
 		return f.HavePartitionStatus(membership.Minority, 0, 1) && f.HavePartitionStatus(membership.Majority, 2, 3, 4)
@@ -395,7 +395,7 @@
 
 func TestDuplicateNameAndDeadSeeds(t *testing.T) {
 	t.Parallel()
-	f := newFleet(t, Options{Seed: 8, Spare: 1, Seeds: func(i int) []int {
+	f := newFleet(t, Options{Seed: 8, ExtraDrivers: 1, Seeds: func(i int) []int {
 		if i == 4 {
 			return []int{5} // nobody is there
 		}
@@ -432,7 +432,7 @@
 
 func TestForeignDrivers(t *testing.T) {
 	t.Parallel()
-	f := newFleet(t, Options{Seed: 9, Spare: 1, Secret: func(i int) string {
+	f := newFleet(t, Options{Seed: 9, ExtraDrivers: 1, Secret: func(i int) string {
 		if i == 5 {
 			return "another secret"
 		}
--- a/internal/lab/fleet/playback.go
+++ b/internal/lab/fleet/playback.go
@@ -42,7 +42,7 @@
 		return nil, err
 	}
 	defer cluster.Stop()
-	f, err := New(Options{Program: s.Program, Drivers: s.Drivers, Spare: s.Spare, Period: s.period, Seed: uint64(s.Seed),
+	f, err := New(Options{Program: s.Program, Drivers: s.Drivers, ExtraDrivers: s.ExtraDrivers, Period: s.period, Seed: uint64(s.Seed),
 		Cluster: cluster})
 	if err != nil {
 		return nil, err
--- a/internal/lab/fleet/script.go
+++ b/internal/lab/fleet/script.go
@@ -14,12 +14,12 @@
 
 // Script is a fleet and the steps that are carried out on it. Times are Go durations.
 type Script struct {
-	Drivers int    `hcl:"drivers"`
-	Spare   int    `hcl:"spare,optional"` // places for drivers that come later
-	Period  string `hcl:"period,optional"`
-	End     string `hcl:"end"`
-	Seed    int    `hcl:"seed,optional"`
-	Steps   []Step `hcl:"step,block"`
+	Drivers      int    `hcl:"drivers"`
+	ExtraDrivers int    `hcl:"spare,optional"` // places for drivers that come later
+	Period       string `hcl:"period,optional"`
+	End          string `hcl:"end"`
+	Seed         int    `hcl:"seed,optional"`
+	Steps        []Step `hcl:"step,block"`
 
 	Program     string
 	period, end time.Duration
@@ -53,10 +53,10 @@
 	}
 	times := durations{file: name}
 	s.period, s.end = times.parse("period", s.Period, 500*time.Millisecond), times.parse("end", s.End, 0)
-	if s.Drivers < 1 || s.Spare < 0 || s.Drivers+s.Spare > 60 || s.period < 50*time.Millisecond || s.end > time.Hour {
+	if s.Drivers < 1 || s.ExtraDrivers < 0 || s.Drivers+s.ExtraDrivers > 60 || s.period < 50*time.Millisecond || s.end > time.Hour {
 		return nil, fmt.Errorf("%s: 1 to 60 drivers, a period of 50ms at least, an hour at most", name)
 	}
-	n := s.Drivers + s.Spare
+	n := s.Drivers + s.ExtraDrivers
 	for i := range s.Steps {
 		p := &s.Steps[i]
 		p.at = times.parse("at", p.At, 0)
--- a/internal/lab/hollow/hollow_test.go
+++ b/internal/lab/hollow/hollow_test.go
@@ -39,7 +39,7 @@
 func TestCostsBySizeWithRealProcesses(t *testing.T) {
 	runs := map[int][]Row{}
 	for i, n := range []int{30, 100} {
-		rows, err := Run(t.Context(), Options{Drivers: n, Databases: n * 145 / 100, Cores: 5, Renewals: 2, Limit: time.Minute,
+		rows, err := Run(t.Context(), Options{Drivers: n, Databases: n * 145 / 100, Cores: 5, Renewals: 2, Timeout: time.Minute,
 			Net: 70 + os.Getpid()%80, Port: 23000 + 4*(os.Getpid()%2000) + 4*i}, os.Stdout)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/lab/hollow/results.go
+++ b/internal/lab/hollow/results.go
@@ -170,7 +170,7 @@
 		for _, drivers := range sortedKeys(lines[purpose]) {
 			xy = append(xy, plotter.XY{X: float64(drivers), Y: lines[purpose][drivers]})
 		}
-		if err := experiment.Line(p, n, purpose, xy); err != nil {
+		if err := experiment.AddLine(p, n, purpose, xy); err != nil {
 			return err
 		}
 		n++
--- a/internal/lab/hollow/run.go
+++ b/internal/lab/hollow/run.go
@@ -34,7 +34,7 @@
 	// Renewals is the least number of renewals of each lease in a phase, which take about as many seconds; the steady
 	// phase has three times as many.
 	Renewals int
-	Limit    time.Duration // for all processes to know what a phase changed
+	Timeout  time.Duration // for all processes to know what a phase changed
 	Net      int           // the second byte of the first address; those that follow are used too
 	Port     int           // the first of four
 	Log      io.Writer     // of the processes; nil: none
@@ -157,8 +157,8 @@
 		if ok, err := condition(); ok || err != nil {
 			return err
 		}
-		if time.Since(began) > r.Limit {
-			return fmt.Errorf("not known everywhere after %s", r.Limit)
+		if time.Since(began) > r.Timeout {
+			return fmt.Errorf("not known everywhere after %s", r.Timeout)
 		}
 		if err := sleep(ctx, pollPeriod); err != nil {
 			return err
--- a/internal/lab/membershipsim/measure.go
+++ b/internal/lab/membershipsim/measure.go
@@ -142,8 +142,8 @@
 }
 
 // MeasureFalsePositives runs drivers without failures on a network that loses datagrams, a tenth of them on throttled
-// cores, and prints how many living drivers were taken for failed, and what all that costs. Slow is the chance at each
-// tick that a throttled driver pauses.
+// cores, and prints the number of false positives and what the membership costs a driver. slow is the probability, at
+// each tick, that a throttled driver pauses.
 func MeasureFalsePositives(out io.Writer, options Options, duration, slow float64) error {
 	s := New(options)
 	if _, ok := s.startAll(); !ok {
@@ -164,7 +164,7 @@
 	}
 	for i, d := range s.Drivers {
 		if slow > 0 && i%10 == 3 {
-			d.Slow = slow
+			d.PauseChance = slow
 		}
 		d.Bytes, d.Sent = 0, 0
 	}
--- a/internal/lab/membershipsim/simulation.go
+++ b/internal/lab/membershipsim/simulation.go
@@ -28,7 +28,7 @@
 	Name        string
 	View        *membership.Fleet // nil while no run is under way
 	PausedUntil float64
-	Slow        float64 // chance at each tick to pause for a moment, as on a throttled core
+	PauseChance float64 // probability at each tick of a short pause, as on a throttled core
 	Bytes       float64 // that it sent, about
 	Sent        int     // datagrams
 
@@ -131,7 +131,7 @@
 	}
 	s.deliverPending(driver)
 	s.dispatch(driver, driver.View.Tick(s.Now))
-	if driver.Slow > 0 && s.random.Float64() < driver.Slow { // its share of a core is used up for this period
+	if driver.PauseChance > 0 && s.random.Float64() < driver.PauseChance { // its share of a core is used up for this period
 		s.Pause(driver.index, s.options.Period*(0.2+0.6*s.random.Float64()))
 	}
 	s.After(s.tickPeriod(), func() { s.tick(driver, incarnation) })
--- a/internal/lab/storm.go
+++ b/internal/lab/registryrestart.go
@@ -1,6 +1,7 @@
 package lab
 
-// This file owns the storm: many clients of one registry that was down and has lost its history.
+// This file owns the measurement of a thundering herd: many clients reconnect to a registry that was down and has lost
+// its history.
 
 import (
 	"context"
@@ -14,20 +15,20 @@
 	"weirwind/internal/standin/kv"
 )
 
-// Storm is a registry's restart under clients that follow it.
-type Storm struct {
+// RegistryRestart describes a restart of a registry that many clients watch.
+type RegistryRestart struct {
 	Clients  int
-	Members  int           // in the registry
-	Downtime time.Duration // of the registry
-	Naive    bool          // clients read the complete list again and again without backoff, in place of a Watcher
-	Timeout  time.Duration // for all clients to be current
+	Members  int           // number of members that the registry lists
+	Downtime time.Duration // time for which the registry is down
+	Naive    bool          // clients re-read the complete list without backoff instead of using a Watcher
+	Timeout  time.Duration // time limit for all clients to become current
 }
 
-// StormResult is the load on the registry after its return.
-type StormResult struct {
-	Peak  int           // complete lists that were read in the second with the most
-	Reads int           // complete lists that were read until all clients were current
-	Until time.Duration // from the registry's return until all clients were current
+// RegistryRestartResult is the load on the registry after its restart.
+type RegistryRestartResult struct {
+	PeakReads   int           // maximum number of reads of the complete list within one second
+	Reads       int           // reads of the complete list until all clients were current
+	CatchUpTime time.Duration // time from the registry's restart until all clients were current
 }
 
 const stormPrefix = "weirwind/members/"
@@ -69,7 +70,7 @@
 }
 
 // run follows the registry until the context ends.
-func (c *stormClient) run(ctx context.Context, storm Storm, n int) {
+func (c *stormClient) run(ctx context.Context, storm RegistryRestart, n int) {
 	if !storm.Naive {
 		w := registry.Watcher{Client: c.client, Apply: c.apply, Position: c.position, Now: stormNow, OnActivity: func() {},
 			Scheduler: roster.NewScheduler(roster.SchedulerOptions{Endpoints: 1, Drivers: storm.Clients, Seed: uint64(n)}),
@@ -91,7 +92,7 @@
 }
 
 // Run runs the storm on loopback. An error: not all clients were current in time.
-func (s Storm) Run() (r StormResult, err error) {
+func (s RegistryRestart) Run() (r RegistryRestartResult, err error) {
 	store := s.newStore()
 	server := kv.Serve(store)
 	ctx, stop := context.WithCancel(context.Background())
@@ -125,14 +126,14 @@
 	sampled, ended := make(chan []int64, 1), make(chan struct{})
 	go func() { sampled <- sampleReads(server, before, ended) }()
 	err = s.await(current)
-	r.Until, r.Reads = time.Since(began), int(server.FullReads.Load()-before)
+	r.CatchUpTime, r.Reads = time.Since(began), int(server.FullReads.Load()-before)
 	close(ended)
-	r.Peak = peakReads(<-sampled)
+	r.PeakReads = peakReads(<-sampled)
 	return r, err
 }
 
 // newClient is a client of the registry at an address, which signals to current.
-func (s Storm) newClient(url string, current chan<- struct{}) (*stormClient, error) {
+func (s RegistryRestart) newClient(url string, current chan<- struct{}) (*stormClient, error) {
 	client, err := registry.New(registry.Options{
 		Dialect:      "etcd",
 		Prefix:       stormPrefix,
@@ -151,7 +152,7 @@
 }
 
 // newStore is a registry with a list of members.
-func (s Storm) newStore() *kv.Store {
+func (s RegistryRestart) newStore() *kv.Store {
 	store := kv.NewStore("c1")
 	var pairs []any
 	for i := range s.Members {
@@ -163,7 +164,7 @@
 }
 
 // await waits until each client has signalled that it is current.
-func (s Storm) await(current <-chan struct{}) error {
+func (s RegistryRestart) await(current <-chan struct{}) error {
 	limit := time.After(s.Timeout)
 	for range s.Clients {
 		select {
--- a/internal/lab/sessionrun/client.go
+++ b/internal/lab/sessionrun/client.go
@@ -77,7 +77,7 @@
 	for n := range d.options.Sites {
 		sites = append(sites, d.siteAddress(n))
 	}
-	tick := time.NewTicker(d.options.Every)
+	tick := time.NewTicker(d.options.MessageInterval)
 	defer tick.Stop()
 	for i := 0; ; i++ {
 		select {
--- a/internal/lab/sessionrun/run.go
+++ b/internal/lab/sessionrun/run.go
@@ -23,10 +23,10 @@
 
 // Options of a run.
 type Options struct {
-	For     time.Duration // of the traffic
-	Sites   int
-	Clients int
-	Every   time.Duration // between two messages to a client
+	Duration        time.Duration // of the traffic
+	Sites           int
+	Clients         int
+	MessageInterval time.Duration // between two messages to a client
 }
 
 // Second is what happened in one second of a run.
@@ -102,12 +102,12 @@
 // scheduleFaults kills the busiest site after a third of the time, and drains the busiest other one after two thirds.
 func (d *deployment) scheduleFaults() {
 	killed := -1
-	time.AfterFunc(d.options.For/3, func() {
+	time.AfterFunc(d.options.Duration/3, func() {
 		killed = d.busiestSite(-1)
 		d.lastEvent.Store(fmt.Sprintf("site%d is pulled", killed))
 		d.kill(fmt.Sprint("site", killed))
 	})
-	time.AfterFunc(2*d.options.For/3, func() {
+	time.AfterFunc(2*d.options.Duration/3, func() {
 		n := d.busiestSite(killed)
 		d.lastEvent.Store(fmt.Sprintf("site%d is drained", n))
 		if resp, err := http.Post(fmt.Sprintf("http://%s/sites/site%d/drain", d.cores[0], n), "", nil); err == nil {
@@ -121,7 +121,7 @@
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	lastQueued, lastDelivered := int64(0), int64(0)
-	for n := 1; time.Duration(n)*time.Second <= d.options.For && ctx.Err() == nil; n++ {
+	for n := 1; time.Duration(n)*time.Second <= d.options.Duration && ctx.Err() == nil; n++ {
 		<-tick.C
 		queued, delivered := d.queued.Load(), d.delivered.Load()
 		second := Second{
--- a/internal/lab/sessionrun/sessionrun_test.go
+++ b/internal/lab/sessionrun/sessionrun_test.go
@@ -21,10 +21,10 @@
 	r, err := Run(
 		context.Background(),
 		Options{
-			For:     9 * time.Second,
-			Sites:   3,
-			Clients: 8,
-			Every:   50 * time.Millisecond,
+			Duration:        9 * time.Second,
+			Sites:           3,
+			Clients:         8,
+			MessageInterval: 50 * time.Millisecond,
 		},
 		os.Stderr,
 		func(int, Second) {},
