--- a/cmd/weirlab/demo.go
+++ b/cmd/weirlab/demo.go
@@ -1,6 +1,6 @@
 package main
 
-// This file owns the demonstration.
+// This file owns the command that demonstrates a cluster with drivers under faults.
 
 import (
 	"context"
@@ -16,7 +16,7 @@
 	"weirwind/internal/lab/experiment"
 )
 
-// demoCommand shows a cluster under faults.
+// demoCommand demonstrates a cluster under faults.
 type demoCommand struct {
 	For     time.Duration `help:"How long the load lasts." default:"12s"`
 	Rate    float64       `help:"Ops a second." default:"300"`
@@ -27,8 +27,8 @@
 	Report  string        `help:"The page that ends it." default:"weirlab-demo.html"`
 }
 
-// Run runs the demonstration: after a third of the time the primary is killed; after two thirds it is back and a
-// replica drains.
+// Run runs the demonstration: the primary is killed after a third of the time; after two thirds it is restarted and a
+// replica is drained.
 func (c *demoCommand) Run(out io.Writer) error {
 	if c.For < time.Second || c.Rate <= 0 || c.Rate > 20000 || c.Drivers < 1 || c.Drivers > 50 {
 		return fmt.Errorf("a demonstration lasts 1s at least, at up to 20000 ops a second, with up to 50 drivers")
@@ -38,29 +38,29 @@
 		return err
 	}
 	defer cluster.Stop()
-	log, shut, err := logTo(c.Log)
+	log, closeLog, err := logTo(c.Log)
 	if err != nil {
 		return err
 	}
-	defer shut()
+	defer closeLog()
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	serving, end := context.WithCancel(context.Background())
+	serving, stopDrivers := context.WithCancel(context.Background())
 	targets, wait, err := cluster.Drivers(serving, c.Drivers, log, nil)
 	if err != nil {
-		end()
+		stopDrivers()
 		return err
 	}
 	fmt.Fprintf(out, "a cluster of 5 members, %s is primary; %d drivers at %s; %g ops a second for %s\n",
 		cluster.Primary(1), c.Drivers, strings.Join(targets, ", "), c.Rate, c.For)
-	first := cluster.Primary(1)
-	result, seconds := c.run(ctx, out, cluster, targets, first)
-	end()
+	oldPrimary := cluster.Primary(1)
+	result, seconds := c.run(ctx, out, cluster, targets, oldPrimary)
+	stopDrivers()
 	if err := wait(); err != nil {
 		return err
 	}
 	summary(out, result)
-	return c.report(out, cluster, first, result, seconds)
+	return c.report(out, cluster, oldPrimary, result, seconds)
 }
 
 // run runs the load on the drivers and injects the faults into the cluster.
@@ -69,17 +69,17 @@
 	out io.Writer,
 	cluster *lab.Cluster,
 	targets []string,
-	first string,
+	oldPrimary string,
 ) (result lab.Result, seconds []*lab.OpStats) {
 	kill := time.AfterFunc(c.For/3, func() {
-		fmt.Fprintf(out, "      -- %s, the primary, is killed\n", first)
-		cluster.Inject("kill", first)
+		fmt.Fprintf(out, "      -- %s, the primary, is killed\n", oldPrimary)
+		cluster.Inject("kill", oldPrimary)
 	})
 	defer kill.Stop()
 	drain := time.AfterFunc(2*c.For/3, func() {
 		replica := cluster.Replica(1)
-		fmt.Fprintf(out, "      -- %s is primary; %s is back; %s is told to drain\n", cluster.Primary(1), first, replica)
-		cluster.Inject("heal", first)
+		fmt.Fprintf(out, "      -- %s is primary; %s is back; %s is told to drain\n", cluster.Primary(1), oldPrimary, replica)
+		cluster.Inject("heal", oldPrimary)
 		cluster.Inject("drain", replica)
 	})
 	defer drain.Stop()
@@ -103,7 +103,7 @@
 	return result, seconds
 }
 
-// report writes the page and prints the audit's verdict.
+// report writes the page and prints the audit's result.
 func (c *demoCommand) report(
 	out io.Writer,
 	cluster *lab.Cluster,
@@ -147,7 +147,7 @@
 	}
 }
 
-// verdict prints violations; any is an error.
+// verdict prints the audit's result; it returns an error if there are violations.
 func verdict(out io.Writer, broken []string) error {
 	if len(broken) == 0 {
 		fmt.Fprintln(out, "audit: every op got one whole answer, no write ran twice, nothing came to a drained member")
--- a/cmd/weirlab/emulate.go
+++ b/cmd/weirlab/emulate.go
@@ -1,6 +1,6 @@
 package main
 
-// This file owns the command that runs the emulator, several policies side by side.
+// This file owns the command that runs the emulator with several policies in parallel.
 
 import (
 	"fmt"
@@ -31,8 +31,8 @@
 	Fault   []string      `help:"Such as kill@10s:g1m1 or, for 4 s, kill@10s+4s:g1m1; docs/lab.md names all faults. May stand several times." placeholder:"WHAT@WHEN:MEMBER"`
 }
 
-// Run runs each policy and prints its result. Violations by the module are an error; baselines have some by their
-// nature.
+// Run runs each policy and prints its result. It returns an error if the module violated a rule; violations by
+// baselines are expected.
 func (c *emulateCommand) Run(out io.Writer) error {
 	s := emulator.Setup{
 		Drivers:        c.Drivers,
@@ -54,13 +54,13 @@
 		s.Faults = append(s.Faults, fault)
 	}
 	results, errs := make([]*emulator.Result, len(c.Policy)), make([]error, len(c.Policy))
-	var all sync.WaitGroup
+	var runs sync.WaitGroup
 	for i, p := range c.Policy {
 		s := s
 		s.Policy = p
-		all.Go(func() { results[i], errs[i] = emulator.Run(s, c.On, nil) })
+		runs.Go(func() { results[i], errs[i] = emulator.Run(s, c.On, nil) })
 	}
-	all.Wait()
+	runs.Wait()
 	broken := 0
 	for i, r := range results {
 		if errs[i] != nil {
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// parseFault reads a fault of the form kill@10s:g1m1 or, with a duration, kill@10s+4s:g1m1.
+// parseFault parses a fault of the form kill@10s:g1m1 or, with a duration, kill@10s+4s:g1m1.
 func parseFault(text string) (emulator.Fault, error) {
 	kind, rest, hasTime := strings.Cut(text, "@")
 	when, member, hasMember := strings.Cut(rest, ":")
@@ -92,7 +92,7 @@
 	return emulator.Fault{At: ms(at), Duration: ms(duration), Kind: kind, Target: member}, nil
 }
 
-// printResult prints the result of one policy, and gives the number of violations.
+// printResult prints the result of one policy and returns the number of violations.
 func printResult(out io.Writer, policy string, r *emulator.Result) (broken int) {
 	fmt.Fprintf(out, "%s: %d ops, %.3f of their worth served in time\n", policy, r.Ops, r.ValueShare)
 	for k := range r.Types {
@@ -113,5 +113,5 @@
 	return broken
 }
 
-// ms is a duration in milliseconds.
+// ms returns a duration in milliseconds.
 func ms(duration time.Duration) float64 { return float64(duration) / float64(time.Millisecond) }
--- a/cmd/weirlab/experiment.go
+++ b/cmd/weirlab/experiment.go
@@ -1,7 +1,7 @@
 package main
 
-// This file owns the commands that run experiments of a file, and compare and report results. Which differences count
-// is decided by internal/lab/experiment.
+// This file owns the commands that run the experiments of a file, and compare and report results. Which differences are
+// significant is decided by internal/lab/experiment.
 
 import (
 	"context"
@@ -27,7 +27,7 @@
 	PNG   bool     `help:"Each picture as PNG too."`
 }
 
-// Run runs the experiments and writes the page; a violation by the module is an error.
+// Run runs the experiments and writes the page; it returns an error if the module violated a rule.
 func (c *experimentCommand) Run(out io.Writer) error {
 	text, err := os.ReadFile(c.File)
 	if err != nil {
@@ -64,7 +64,7 @@
 	return printViolations(out, rows)
 }
 
-// selected is the plans of the experiments that the command names, or all.
+// selected returns the plans of the experiments that the command line names, or all plans.
 func (c *experimentCommand) selected(plans []experiment.Plan) []experiment.Plan {
 	if len(c.Only) == 0 {
 		return plans
@@ -80,25 +80,25 @@
 	return selected
 }
 
-// printViolations prints all violations; those by baselines are no error.
+// printViolations prints all violations; it returns an error if the module has any.
 func printViolations(out io.Writer, rows []experiment.Run) error {
-	by := 0
+	moduleRuns := 0
 	for _, r := range rows {
 		for _, b := range r.Violations {
 			fmt.Fprintf(out, "%s, %s, %d drivers, load %g, seed %d: %s broken %d times\n", r.Experiment, r.Variant, r.Drivers,
 				r.Load, r.Seed, b.Rule, b.Count)
 			if strings.Contains(r.Setup, `"Policy":"module"`) {
-				by++
+				moduleRuns++
 			}
 		}
 	}
-	if by > 0 {
-		return fmt.Errorf("the module broke rules in %d runs", by)
+	if moduleRuns > 0 {
+		return fmt.Errorf("the module broke rules in %d runs", moduleRuns)
 	}
 	return nil
 }
 
-// compareCommand compares results.
+// compareCommand compares two sets of results.
 type compareCommand struct {
 	A        string `arg:"" help:"Results: a folder or a file."`
 	B        string `arg:"" help:"Results to lay beside them; may be the same." optional:""`
@@ -133,7 +133,7 @@
 	return experiment.WriteComparison(out, name(c.A, c.VariantA), name(c.B, c.VariantB), all)
 }
 
-// reportCommand draws results.
+// reportCommand draws a page of results.
 type reportCommand struct {
 	Results string `arg:"" help:"A folder or a file of results."`
 	Out     string `help:"The page." default:"report.html"`
--- a/cmd/weirlab/golden_test.go
+++ b/cmd/weirlab/golden_test.go
@@ -9,7 +9,7 @@
 	"weirwind/internal/standin/golden"
 )
 
-// Every command's words, flags, defaults and help, and what the commands in virtual time print, are as recorded.
+// Every command's name, flags, defaults and help, and the output of the commands in virtual time, are as recorded.
 func TestCommandLineIsThatRecorded(t *testing.T) {
 	var cases []golden.Case[string]
 	record := func(args ...string) {
--- a/cmd/weirlab/hollow.go
+++ b/cmd/weirlab/hollow.go
@@ -1,6 +1,6 @@
 package main
 
-// This file owns the command that measures the control plane by size.
+// This file owns the command that measures the cost of the control plane at several sizes.
 
 import (
 	"context"
@@ -16,7 +16,7 @@
 	"weirwind/internal/lab/hollow"
 )
 
-// hollowCommand measures the control plane.
+// hollowCommand measures the cost of the control plane.
 type hollowCommand struct {
 	Drivers   []int         `help:"How many agents; may stand several times." default:"10,30,100"`
 	Databases int           `help:"Databases of three members each; 0: 1.45 a driver, as at the operators' size."`
@@ -29,7 +29,7 @@
 	Out       string        `help:"A folder for results and picture." default:"."`
 }
 
-// Run measures each size and keeps the rows, also of a size that failed.
+// Run measures each size and stores the rows, including those of a size that failed.
 func (c *hollowCommand) Run(out io.Writer) error {
 	if c.Cores < 1 || c.Cores > 100 || c.Net < 1 || c.Net+c.Cores > 250 || c.Port < 1024 || c.Port > 60000 ||
 		c.Renewals < 1 || c.Databases < 0 || c.Databases > 5800 {
@@ -37,11 +37,11 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	log, shut, err := logTo(c.Log)
+	log, closeLog, err := logTo(c.Log)
 	if err != nil {
 		return err
 	}
-	defer shut()
+	defer closeLog()
 	var rows []hollow.Row
 	var failed error
 	for _, n := range c.Drivers {
--- a/cmd/weirlab/load.go
+++ b/cmd/weirlab/load.go
@@ -25,7 +25,7 @@
 	Seed   uint64        `help:"Of arrivals." default:"1"`
 }
 
-// Run runs the load and prints the outcomes. Latency counts from each op's intended time.
+// Run runs the load and prints the outcomes. Latency is measured from each op's intended time.
 func (c *loadCommand) Run(out io.Writer) error {
 	mix, err := c.readMix()
 	if err != nil {
@@ -41,13 +41,13 @@
 	summary(out, result)
 	for name, f := range result.Kinds {
 		if f.Skipped > 0 {
-			fmt.Fprintf(out, "%s: %d ops were not asked, too many were open\n", name, f.Skipped)
+			fmt.Fprintf(out, "%s: %d ops were not sent, as too many were in flight\n", name, f.Skipped)
 		}
 	}
 	return nil
 }
 
-// readMix reads the file of the mix; without one it is the default.
+// readMix reads the file of the mix; without a file it returns the default mix.
 func (c *loadCommand) readMix() ([]lab.OpKind, error) {
 	if c.Mix == "" {
 		return lab.DefaultMix, nil
@@ -58,14 +58,14 @@
 	}
 	var mix []lab.OpKind
 	if err := json.Unmarshal(text, &mix); err != nil {
-		return nil, fmt.Errorf("%s: no mix: %w", c.Mix, err)
+		return nil, fmt.Errorf("%s: invalid mix: %w", c.Mix, err)
 	}
 	if len(mix) == 0 {
-		return nil, fmt.Errorf("%s: no mix: <nil>", c.Mix)
+		return nil, fmt.Errorf("%s: the mix is empty", c.Mix)
 	}
 	for _, k := range mix {
 		if k.Name == "" || k.Share <= 0 || k.Timeout < time.Millisecond {
-			return nil, fmt.Errorf("%s: op type %q wants a name, a share and a timeout of 1 ms at least", c.Mix, k.Name)
+			return nil, fmt.Errorf("%s: op type %q needs a name, a share and a timeout of at least 1 ms", c.Mix, k.Name)
 		}
 	}
 	return mix, nil
--- a/cmd/weirlab/main_test.go
+++ b/cmd/weirlab/main_test.go
@@ -45,7 +45,7 @@
 		t.Error(err)
 	}
 	os.WriteFile(mix, []byte(`[{"name":""}]`), 0o600)
-	run(1, "wants a name", nil, "load", "--target", "127.0.0.1:1", "--mix", mix)
+	run(1, "needs a name", nil, "load", "--target", "127.0.0.1:1", "--mix", mix)
 	run(0, "any", nil, "load", "--target", "127.0.0.1:1", "--for", "200ms")
 	run(0, "naive", nil, "storm", "--clients", "20", "--members", "10", "--away", "200ms")
 	run(
@@ -77,7 +77,7 @@
 	run(1, "lasts 3s at least", nil, "trust", "--for", "1s")
 	for _, page := range []string{"demo.html", "r.html", "found/report.html"} {
 		if text, err := os.ReadFile(filepath.Join(dir, page)); err != nil || bytes.Count(text, []byte("<svg")) < 5 {
-			t.Errorf("%s: %v, no pictures", page, err)
+			t.Errorf("%s: %v, the page has too few charts", page, err)
 		}
 	}
 	run(1, "is not of the form", nil, "emulate", "--fault", "kill")
@@ -87,7 +87,7 @@
 	run(0, "demo", nil, "--help")
 }
 
-// experimentFile has two variants with two seeds.
+// experimentFile describes an experiment with two variants and two seeds.
 const experimentFile = `scenario "s" {
   for = "2s"
 }
--- a/cmd/weirlab/membership.go
+++ b/cmd/weirlab/membership.go
@@ -1,6 +1,6 @@
 package main
 
-// This file owns the command that measures the membership in virtual time.
+// This file owns the command that measures the drivers' membership protocol in virtual time.
 
 import (
 	"io"
@@ -9,7 +9,7 @@
 	"weirwind/internal/lab/membershipsim"
 )
 
-// membershipCommand measures how drivers find out about each other.
+// membershipCommand measures failure detection, partition healing and false positives of the membership protocol.
 type membershipCommand struct {
 	Drivers []int         `help:"How many; may stand several times." default:"5,10,100,1000"`
 	Period  time.Duration `help:"Between two probes of one driver." default:"500ms"`
--- a/cmd/weirlab/report.go
+++ b/cmd/weirlab/report.go
@@ -1,6 +1,6 @@
 package main
 
-// This file owns results of loads on sockets in the form of experiments, and the page on them.
+// This file owns the conversion of results of loads on sockets into rows of experiments, and the page on them.
 
 import (
 	"fmt"
@@ -13,7 +13,7 @@
 	"weirwind/internal/lab/experiment"
 )
 
-// socketsRow is a load's result in the form of an experiment's. What a load does not count stays zero.
+// socketsRow converts a load's result into an experiment's row. Statistics that a load does not have stay zero.
 func socketsRow(
 	name, variant string,
 	drivers int,
@@ -48,7 +48,7 @@
 	return run, nil
 }
 
-// socketsType is the result of an op type.
+// socketsType converts the statistics of an op type.
 func socketsType(kind *lab.OpKind, stats *lab.OpStats) (experiment.Type, error) {
 	latency, err := stats.Latency.Encode(hdrhistogram.V2CompressedEncodingCookieBase)
 	if err != nil {
@@ -70,7 +70,7 @@
 	return t, nil
 }
 
-// socketsSecond is a second's result: it counts the ops that ended in it.
+// socketsSecond converts the statistics of a second, which count the ops that ended in it.
 func socketsSecond(stats *lab.OpStats) experiment.Second {
 	s := experiment.Second{
 		Acked:   int64(stats.Outcomes[lab.Acked]),
@@ -82,13 +82,13 @@
 	return s
 }
 
-// writeReport writes the page on rows, and their pictures into a folder where one is named.
+// writeReport writes the page on rows, and the charts into the folder pictures unless it is "".
 func writeReport(out io.Writer, path, title string, notes []string, rows []experiment.Run, pictures string) error {
 	f, err := os.Create(path)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = f.Close() }() // a write that failed has said so
+	defer func() { _ = f.Close() }() // an error of writing is returned below
 	if err := experiment.WritePage(f, title, notes, rows, "", pictures); err != nil {
 		return err
 	}
--- a/cmd/weirlab/serve.go
+++ b/cmd/weirlab/serve.go
@@ -1,6 +1,6 @@
 package main
 
-// This file owns the command that serves a cluster and takes faults from its input.
+// This file owns the command that serves a cluster and reads faults from standard input.
 
 import (
 	"bufio"
@@ -27,7 +27,7 @@
 	Listen  string        `help:"The address in that configuration." default:"127.0.0.1:6432"`
 }
 
-// Run serves until its input ends or it is interrupted.
+// Run serves the cluster until its input ends or it is interrupted.
 func (c *serveCommand) Run(in io.Reader, out io.Writer) error {
 	if c.Groups < 1 || c.Members < 1 || c.Groups*c.Members > 500 {
 		return fmt.Errorf("a cluster has up to 500 members")
--- a/cmd/weirlab/sessions.go
+++ b/cmd/weirlab/sessions.go
@@ -14,7 +14,7 @@
 	"weirwind/internal/lab/sessionrun"
 )
 
-// sessionsCommand runs open sessions on processes.
+// sessionsCommand runs open sessions against a deployment of processes.
 type sessionsCommand struct {
 	For     time.Duration `help:"How long it lasts; a third in a site is pulled, at two thirds another is drained." default:"30s"`
 	Sites   int           `help:"Sites." default:"4"`
@@ -24,17 +24,17 @@
 	Report  string        `help:"The page that ends it." default:"weirlab-sessions.html"`
 }
 
-// Run runs sessions, and audits every message.
+// Run runs the sessions and audits every message.
 func (c *sessionsCommand) Run(out io.Writer) error {
 	if c.For < 6*time.Second || c.Sites < 3 || c.Sites > 9 || c.Clients < 1 || c.Clients > 2000 ||
 		c.Every < time.Millisecond {
 		return fmt.Errorf("an evening lasts 6s at least, with 3 to 9 sites and 1 to 2000 clients")
 	}
-	log, shut, err := logTo(c.Log)
+	log, closeLog, err := logTo(c.Log)
 	if err != nil {
 		return err
 	}
-	defer shut()
+	defer closeLog()
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	fmt.Fprintf(out, "three machines of the core, %d sites, two edges, %d open sessions\n"+
@@ -54,7 +54,7 @@
 	return c.verdict(out, r)
 }
 
-// options are the run's.
+// options returns the options of the run.
 func (c *sessionsCommand) options() sessionrun.Options {
 	return sessionrun.Options{
 		Duration:        c.For,
@@ -64,7 +64,7 @@
 	}
 }
 
-// verdict prints the result; a violation is an error.
+// verdict prints the result; it returns an error if there is a violation.
 func (c *sessionsCommand) verdict(out io.Writer, r sessionrun.Result) error {
 	gaps := r.LongestGaps
 	fmt.Fprintf(out, "%d messages queued, %d came; %d of %d sockets stayed open; "+
--- a/cmd/weirlab/storm.go
+++ b/cmd/weirlab/storm.go
@@ -11,28 +11,28 @@
 )
 
 // stormCommand restarts a registry under many clients.
-type stormCommand struct {
+type registryRestartCommand struct {
 	Clients int           `help:"Clients." default:"1000"`
 	Members int           `help:"In the registry." default:"200"`
 	Away    time.Duration `help:"The registry's absence." default:"1s"`
 }
 
-// Run runs the storm with our clients and with naive ones, and prints the load on the registry.
-func (c *stormCommand) Run(out io.Writer) error {
+// Run restarts the registry under weirwind's clients and under naive ones, and prints the load on the registry.
+func (c *registryRestartCommand) Run(out io.Writer) error {
 	if c.Clients < 1 || c.Clients > 5000 || c.Members < 1 || c.Members > 50000 {
 		return fmt.Errorf("a storm is of up to 5000 clients and 50000 members")
 	}
 	fmt.Fprintf(out, "%d clients, %d members; the registry is away for %s and loses its history\n", c.Clients, c.Members,
 		c.Away)
 	for _, naive := range []bool{false, true} {
-		storm := lab.RegistryRestart{
+		restart := lab.RegistryRestart{
 			Clients:  c.Clients,
 			Members:  c.Members,
 			Downtime: c.Away,
 			Naive:    naive,
 			Timeout:  3 * time.Minute,
 		}
-		r, err := storm.Run()
+		r, err := restart.Run()
 		if err != nil {
 			return err
 		}
--- a/cmd/weirlab/switch.go
+++ b/cmd/weirlab/switch.go
@@ -1,7 +1,7 @@
 package main
 
-// This file owns the command that changes the primary under load: planned with hooks, planned without, and by killing
-// it.
+// This file owns the command that changes the primary under load: by planned switchovers with and without hooks, and by
+// killing it.
 
 import (
 	"context"
@@ -24,7 +24,8 @@
 	Seed    uint64        `help:"Of the load." default:"1"`
 }
 
-// Run prints gaps, outcomes and effects of each kind of change; a violation is an error.
+// Run prints the gaps, outcomes and repeated writes for each kind of change; it returns an error if there is a
+// violation.
 func (c *switchCommand) Run(out io.Writer) error {
 	if c.Drivers < 1 || c.Drivers > 100 || c.Changes < 1 || c.Changes > 200 || c.Rate <= 0 || c.Rate > 5000 ||
 		c.Elect < 10*time.Millisecond {
@@ -45,7 +46,7 @@
 	return nil
 }
 
-// change changes the primary in one of the three ways and gives the time without one, as the cluster sees it.
+// change changes the primary in one of the three ways and returns the time for which the cluster had none.
 func change(ctx context.Context, cluster *lab.Cluster, kind string, hooks *control.Client) (time.Duration, error) {
 	old, from := cluster.Primary(1), time.Now()
 	switch kind {
@@ -64,7 +65,7 @@
 	return gap, nil
 }
 
-// run changes the primary several times under load, and prints a line.
+// run changes the primary repeatedly under load, and prints a line with the result.
 func (c *switchCommand) run(out io.Writer, kind string) error {
 	cluster, err := lab.Start(lab.Options{Seed: c.Seed, ElectionTime: c.Elect})
 	if err != nil {
@@ -85,7 +86,7 @@
 	result := make(chan lab.Result, 1)
 	begin := time.Now()
 	go func() { result <- c.load(drivers.Addresses).Run(ctx, nil) }()
-	var gaps []time.Duration // as the cluster sees them
+	var gaps []time.Duration // times for which the cluster had no primary
 	for i := range c.Changes {
 		time.Sleep(time.Until(begin.Add(time.Duration(i)*c.period() + c.period()/2)))
 		gap, err := change(ctx, cluster, kind, drivers.Clients[i%c.Drivers])
@@ -106,10 +107,10 @@
 	return nil
 }
 
-// period is the time between two changes.
+// period returns the time between two changes.
 func (c *switchCommand) period() time.Duration { return c.Elect + time.Second }
 
-// load is the writes during all changes.
+// load returns the load of writes that runs during all changes.
 func (c *switchCommand) load(targets []string) lab.Load {
 	return lab.Load{
 		Targets:  targets,
@@ -122,18 +123,19 @@
 	}
 }
 
-// print prints a kind's line; gaps are those that the cluster saw.
+// print prints the line of a kind of change; gaps are the times for which the cluster had no primary.
 func (c *switchCommand) print(out io.Writer, kind string, cluster *lab.Cluster, r lab.Result, gaps []time.Duration) {
-	var seen []time.Duration // by clients
+	var clientGaps []time.Duration // longest times without an acknowledged write, by change
 	for i := range c.Changes {
 		begin := time.Duration(i)*c.period() + c.period()/4
-		seen = append(seen, r.LongestGap(begin, begin+c.period()))
+		clientGaps = append(clientGaps, r.LongestGap(begin, begin+c.period()))
 	}
-	slices.Sort(seen)
+	slices.Sort(clientGaps)
 	slices.Sort(gaps)
 	s := r.Kinds["write"]
 	round := func(duration time.Duration) time.Duration { return duration.Round(time.Millisecond) }
 	fmt.Fprintf(out, "%-17s %7d %6d %7d %6d %5d %10d   %18s   %24s, %s   %s\n", kind, c.Changes, s.Outcomes[lab.Acked],
 		s.Outcomes[lab.Refused], s.Outcomes[lab.Failed], s.Outcomes[lab.Lost], cluster.RepeatedWrites(),
-		round(gaps[len(gaps)/2]), round(seen[len(seen)/2]), round(seen[len(seen)-1]), round(s.Quantile(99)))
+		round(gaps[len(gaps)/2]), round(clientGaps[len(clientGaps)/2]), round(clientGaps[len(clientGaps)-1]),
+		round(s.Quantile(99)))
 }
--- a/cmd/weirlab/trust.go
+++ b/cmd/weirlab/trust.go
@@ -1,6 +1,6 @@
 package main
 
-// This file owns the command that compares sockets with the emulator.
+// This file owns the command that validates the emulator by comparing it with runs on sockets.
 
 import (
 	"context"
@@ -16,7 +16,7 @@
 
 const trustDrivers = 2
 
-// trustCommand compares the emulator with sockets.
+// trustCommand compares the emulator with runs on sockets.
 type trustCommand struct {
 	For    time.Duration `help:"Of each play." default:"10s"`
 	Rate   float64       `help:"Ops a second." default:"400"`
@@ -24,7 +24,7 @@
 	Report string        `help:"A page with both." placeholder:"FILE"`
 }
 
-// Run runs the same scenarios, with and without faults, on sockets and in virtual time, and compares them.
+// Run runs the same scenarios, with and without faults, on sockets and in virtual time, and compares the results.
 func (c *trustCommand) Run(out io.Writer) error {
 	if c.For < 3*time.Second || c.Rate <= 0 || c.Rate > 5000 || c.Seeds < 1 || c.Seeds > 50 {
 		return fmt.Errorf("a comparison lasts 3s at least, at up to 5000 ops a second, over up to 50 seeds")
@@ -71,8 +71,8 @@
 	return writeReport(out, c.Report, "Sockets beside the emulator", nil, append(real, virtual...), "")
 }
 
-// measureLatency measures one way on this machine, in milliseconds, by ops nearly without work: what remains of their
-// time are two ways, the driver and the machine's timers.
+// measureLatency measures the one-way latency on this machine, in milliseconds, by ops with a very short service time:
+// the rest of their latency is the round trip, the driver's overhead and the machine's timers.
 func (c *trustCommand) measureLatency(options lab.Options) (float64, error) {
 	options.ServiceTime = 200 * time.Microsecond
 	row, err := c.sockets("idle", options)
@@ -84,10 +84,10 @@
 
 // emulate runs a scenario in virtual time.
 func (c *trustCommand) emulate(kind string, options lab.Options, latency float64) (experiment.Run, error) {
-	setup := c.emulated(kind, options, latency)
+	setup := c.emulatorSetup(kind, options, latency)
 	plan := experiment.Plan{Experiment: kind, Scenario: kind, Variant: "emulator", Setup: setup}
 	run, err := experiment.RunPlan(plan, "this")
-	run.Load = 0 // sockets know a rate alone
+	run.Load = 0 // runs on sockets have a rate, and no load
 	return run, err
 }
 
@@ -131,8 +131,9 @@
 	return socketsRow(kind, "sockets", trustDrivers, options.Seed, lab.DefaultMix, r, seconds)
 }
 
-// emulated is the setup in virtual time that a run on sockets is compared with; latency is one way in milliseconds.
-func (c *trustCommand) emulated(kind string, options lab.Options, latency float64) emulator.Setup {
+// emulatorSetup returns the setup in virtual time with which a run on sockets is compared; latency is one-way, in
+// milliseconds.
+func (c *trustCommand) emulatorSetup(kind string, options lab.Options, latency float64) emulator.Setup {
 	s := emulator.Setup{
 		Drivers:          trustDrivers,
 		Groups:           options.Groups,
--- a/internal/lab/audit.go
+++ b/internal/lab/audit.go
@@ -1,10 +1,11 @@
 package lab
 
-// This file owns the audit: what members ran against what clients were answered. Nothing that drivers report counts.
+// This file owns the audit, which compares the executions at members with the answers that clients got. It uses nothing
+// that drivers report.
 
 import "fmt"
 
-// Audit gives every violation of a rule that can be seen from outside, a line each.
+// Audit returns a description of each violation of a rule that is observable outside of the drivers.
 func (c *Cluster) Audit(r Result) (broken []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -34,9 +35,9 @@
 	for _, id := range r.Mismatched {
 		broken = append(broken, fmt.Sprintf("rule 1: op %s got another's answer", id))
 	}
-	for _, f := range r.Kinds {
-		if f.Outcomes[Lost] > 0 {
-			broken = append(broken, fmt.Sprintf("rule 1: %d ops without a whole answer in their time", f.Outcomes[Lost]))
+	for _, stats := range r.Kinds {
+		if stats.Outcomes[Lost] > 0 {
+			broken = append(broken, fmt.Sprintf("rule 1: %d ops without a whole answer in their time", stats.Outcomes[Lost]))
 		}
 	}
 	for _, id := range c.afterDrain {
@@ -46,7 +47,7 @@
 	return broken
 }
 
-// RepeatedWrites is the number of writes that ran more than once.
+// RepeatedWrites returns the number of writes that were executed more than once.
 func (c *Cluster) RepeatedWrites() (n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/lab/client.go
+++ b/internal/lab/client.go
@@ -14,13 +14,13 @@
 	"weirwind/internal/pgwire"
 )
 
-// codeCannotConnectNow is PostgreSQL's code of a server that shuts down.
+// codeCannotConnectNow is PostgreSQL's error code of a server that is shutting down.
 const codeCannotConnectNow = "57P03"
 
-// errNoAnswer is the error of a connection that broke before the startup's answer.
+// errNoAnswer is the error of a connection that broke before the startup message was answered.
 var errNoAnswer = errors.New("no answer to the startup message")
 
-// connPool keeps connections to one driver.
+// connPool is a pool of connections to one driver.
 type connPool struct {
 	address string
 	mu      sync.Mutex
@@ -33,14 +33,14 @@
 	reader *bufio.Reader
 }
 
-// close closes all connections, which are idle by then.
+// close closes all connections; the caller makes sure that they are idle.
 func (p *connPool) close() {
 	for _, c := range p.idle {
 		c.Close()
 	}
 }
 
-// query sends one op and waits for its answer until its timeout from the intended time, and the slack, are over.
+// query sends one op and waits for its answer until the op's timeout, counted from the intended time, plus the slack.
 func (p *connPool) query(kind OpKind, id string, group int, intended time.Time, slack time.Duration) (Outcome, string) {
 	due := intended.Add(kind.Timeout)
 	limit := due.Add(slack)
@@ -54,7 +54,7 @@
 		statement = `INSERT INTO records (k, v) VALUES ('a1', '\x9f03') RETURNING v`
 	}
 	_, _ = c.Write(pgwire.AppendQuery(nil, fmt.Sprintf("%s /* id=%s,c=%s,d=%d,cluster=%d */", statement, id, kind.Name,
-		max(time.Until(due).Milliseconds(), 1), group))) // the read behind it sees a broken connection
+		max(time.Until(due).Milliseconds(), 1), group))) // an error is noticed by the following read
 	value, code, ok := c.readAnswer()
 	if !ok {
 		c.Close()
@@ -70,7 +70,7 @@
 	return Failed, ""
 }
 
-// get takes the idle connection that was used last, or opens one.
+// get returns the most recently used idle connection, or opens a new one.
 func (p *connPool) get(limit time.Time) (*clientConn, error) {
 	p.mu.Lock()
 	if n := len(p.idle); n > 0 {
@@ -86,7 +86,7 @@
 	}
 	c := &clientConn{conn, bufio.NewReader(conn)}
 	conn.SetDeadline(limit)
-	_, _ = conn.Write(pgwire.AppendStartupMessage(nil, "svc", "main")) // the read behind it sees a broken connection
+	_, _ = conn.Write(pgwire.AppendStartupMessage(nil, "svc", "main")) // an error is noticed by the following read
 	if _, _, ok := c.readAnswer(); !ok {
 		conn.Close()
 		return nil, errNoAnswer
@@ -94,14 +94,14 @@
 	return c, nil
 }
 
-// put makes a connection idle.
+// put returns a connection to the pool.
 func (p *connPool) put(c *clientConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.idle = append(p.idle, c)
 }
 
-// readAnswer reads one complete answer: its value, or its error code; ok is false where the connection broke.
+// readAnswer reads one complete answer and returns its value or error code; ok is false if the connection broke.
 func (c *clientConn) readAnswer() (value, code string, ok bool) {
 	for {
 		kind, m, err := pgwire.Read(c.reader, nil)
--- a/internal/lab/cluster.go
+++ b/internal/lab/cluster.go
@@ -1,6 +1,6 @@
 package lab
 
-// This file owns the cluster: its members, their roles, and what is counted of them.
+// This file owns the cluster: its members, their roles, and the counters for the audit.
 
 import (
 	"cmp"
@@ -17,19 +17,19 @@
 	"weirwind/internal/standin/loopback"
 )
 
-// Options of a cluster. Zero values take the defaults that are named.
+// Options are the options of a cluster. A zero value stands for the default given at its field.
 type Options struct {
 	Groups         int           // 0: one
-	Members        int           // of each group; 0: five
-	Cores          int           // of each member: so many ops run at a time, others wait; 0: four
-	ServiceTime    time.Duration // mean time of an op, which is drawn exponentially; 0: 3 ms
-	Zones          []string      // of the members of a group, in turn; nil: all in a
-	ReplicationLag time.Duration // of replicas; 0: 20 ms
-	ElectionTime   time.Duration // from a primary's end to the next one; 0: 2 s
+	Members        int           // members per group; 0: five
+	Cores          int           // ops that a member executes concurrently; others wait; 0: four
+	ServiceTime    time.Duration // mean of the exponentially distributed time of an op; 0: 3 ms
+	Zones          []string      // zones of a group's members, round-robin; nil: all in zone a
+	ReplicationLag time.Duration // replication lag of replicas; 0: 20 ms
+	ElectionTime   time.Duration // time from a primary's end to the next promotion; 0: 2 s
 	Seed           uint64
 }
 
-// zoneOf is the zone of the member of an index within its group.
+// zoneOf returns the zone of the i-th member of a group.
 func (o Options) zoneOf(i int) string {
 	if len(o.Zones) == 0 {
 		return "a"
@@ -47,37 +47,37 @@
 	return o
 }
 
-// DrainGrace is the time after a drain was announced to a driver in which it may still send to the member.
+// DrainGrace is the time for which a driver may still send to a member after it was told of the member's drain.
 const DrainGrace = 500 * time.Millisecond
 
-// maxAddresses is how many a cluster has, of members, drivers and the registry.
+// maxAddresses is the maximum number of addresses of a cluster, for members, drivers and the registry.
 const maxAddresses = loopback.MaxHost * loopback.PortsOfHost
 
 // Cluster is groups of members that run in this process.
 type Cluster struct {
 	options  Options
-	name     string // told in each answer; no other cluster has it
+	name     string // unique name, which is part of each answer
 	block    *loopback.Block
 	members  []*Member
 	registry *httptest.Server // serves the list of members
 
-	mu         sync.Mutex    // guards what follows
-	addresses  int           // of the block that were given out
-	revision   int64         // of the list
-	changed    chan struct{} // closed, and replaced, with each revision
+	mu         sync.Mutex    // guards the following fields
+	addresses  int           // number of the block's addresses in use
+	revision   int64         // revision of the list of members
+	changed    chan struct{} // closed and replaced at each revision
 	entries    map[string]discovery.Entry
-	drainSeen  map[string]time.Time // by member: when the list was first read with its drain
-	executions map[string]int       // of writes by op
-	arrivals   map[string]int       // ops that arrived, by member
-	afterDrain []string             // ops that arrived at a member later than DrainGrace after its drain was read
-	primary    map[int64]*Member    // by group; none while an election is under way
-	logEnds    map[int64]float64    // by group without a primary: the position where its log ends
+	drainSeen  map[string]time.Time // by member: time at which the list was first read with its drain
+	executions map[string]int       // executions of writes, by op
+	arrivals   map[string]int       // number of ops that arrived, by member
+	afterDrain []string             // ops that arrived at a member more than DrainGrace after its drain was read
+	primary    map[int64]*Member    // by group; absent while an election is under way
+	logEnds    map[int64]float64    // by group without a primary: the position at which its log ends
 	random     *rand.Rand
 	stopped    bool
-	elections  sync.WaitGroup // that are under way
+	elections  sync.WaitGroup // elections under way
 }
 
-// Start starts a cluster at loopback addresses of its own.
+// Start starts a cluster on loopback addresses that no other cluster uses.
 func Start(options Options) (*Cluster, error) {
 	block, err := loopback.Reserve()
 	if err != nil {
@@ -112,7 +112,7 @@
 	return c, nil
 }
 
-// startRegistry serves the list of members.
+// startRegistry starts the HTTP server of the list of members.
 func (c *Cluster) startRegistry() error {
 	listener, err := net.Listen("tcp4", c.newAddress())
 	if err != nil {
@@ -127,20 +127,20 @@
 	return nil
 }
 
-// newAddress is an address of the cluster's block that was not given out before. It stays the one of whoever has it,
-// also while nobody listens there.
+// newAddress returns an unused address of the cluster's block. The address stays reserved for its owner, also while
+// nobody listens on it.
 func (c *Cluster) newAddress() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := c.addresses
 	c.addresses++
 	if n >= maxAddresses {
-		panic("a cluster's addresses are used up")
+		panic("no address of the cluster's block is left")
 	}
 	return c.block.Address(1+n%loopback.MaxHost, n/loopback.MaxHost)
 }
 
-// addMember starts the member of an index within a group. The first one is primary.
+// addMember starts the member with an index within a group. The first one is the primary.
 func (c *Cluster) addMember(group int64, index int) error {
 	m := &Member{
 		ID:      fmt.Sprintf("g%dm%d", group, index+1),
@@ -180,19 +180,19 @@
 		c.registry.CloseClientConnections()
 		c.registry.Close()
 	}
-	_ = c.block.Close() // a listener that nobody accepts at
+	_ = c.block.Close() // closes a listener without connections
 }
 
-// Name is told in each answer of the cluster's members.
+// Name returns the cluster's name, which is part of each answer of its members.
 func (c *Cluster) Name() string { return c.name }
 
-// Discovery is the address of the list of members.
+// Discovery returns the address of the server of the list of members.
 func (c *Cluster) Discovery() string { return c.registry.Listener.Addr().String() }
 
-// Groups is the number of groups.
+// Groups returns the number of groups.
 func (c *Cluster) Groups() int { return c.options.Groups }
 
-// Primary is the id of a group's primary, "" while there is none.
+// Primary returns the ID of a group's primary, or "" while there is none.
 func (c *Cluster) Primary(group int64) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -202,14 +202,14 @@
 	return ""
 }
 
-// Arrivals is the number of ops that arrived at a member.
+// Arrivals returns the number of ops that arrived at a member.
 func (c *Cluster) Arrivals(id string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.arrivals[id]
 }
 
-// Replica is the id of a replica of a group that is up, also in the list; "" for none.
+// Replica returns the ID of a replica of a group that is running and listed as up, or "" if there is none.
 func (c *Cluster) Replica(group int64) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -221,7 +221,7 @@
 	return ""
 }
 
-// member is the member of an id, nil for none.
+// member returns the member with an ID, or nil if there is none.
 func (c *Cluster) member(id string) *Member {
 	if i := slices.IndexFunc(c.members, func(member *Member) bool { return member.ID == id }); i >= 0 {
 		return c.members[i]
--- a/internal/lab/discovery.go
+++ b/internal/lab/discovery.go
@@ -1,6 +1,6 @@
 package lab
 
-// This file owns the list of members over HTTP.
+// This file owns the HTTP endpoint of the list of members.
 
 import (
 	"context"
@@ -12,7 +12,8 @@
 	"weirwind/internal/discovery"
 )
 
-// serveList answers with the complete list; with since, once it has a later revision, or after timeout_ms.
+// serveList answers with the complete list. With since it waits until the list has a later revision, at most
+// timeout_ms.
 func (c *Cluster) serveList(w http.ResponseWriter, r *http.Request) {
 	since, _ := strconv.ParseInt(r.FormValue("since"), 10, 64)
 	ms, _ := strconv.Atoi(r.FormValue("timeout_ms"))
@@ -27,10 +28,10 @@
 		}
 	}
 	c.mu.Unlock()
-	_, _ = w.Write(text) // the reader may have left
+	_, _ = w.Write(text) // the client may have disconnected
 }
 
-// awaitRevision waits for a later revision, or the timeout; false where the context has ended.
+// awaitRevision waits for a later revision or the timeout; it returns false if the context ended.
 func (c *Cluster) awaitRevision(ctx context.Context, since int64, timeout time.Duration) bool {
 	over := time.After(timeout)
 	for {
@@ -50,7 +51,7 @@
 	}
 }
 
-// listEntry is a member in the registry's form.
+// listEntry is a member in the registry's format.
 type listEntry struct {
 	ID       string `json:"id"`
 	HostPort string `json:"host_port"`
@@ -59,7 +60,7 @@
 	Phase    string `json:"phase"`
 }
 
-// listJSON is the list in the registry's form. The lock is held.
+// listJSON returns the list in the registry's format; the caller holds the lock.
 func (c *Cluster) listJSON() []byte {
 	var all []listEntry
 	for _, m := range c.members {
@@ -68,12 +69,12 @@
 	}
 	text, err := json.Marshal(map[string]any{"revision": c.revision, "complete": true, "members": all})
 	if err != nil {
-		panic(err) // nothing in it can fail
+		panic(err) // the list has no value that can't be encoded
 	}
 	return text
 }
 
-// MemberList is the list as a driver's configuration holds it.
+// MemberList returns the list in the form of a driver's configuration.
 func (c *Cluster) MemberList() json.RawMessage {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/lab/drivers.go
+++ b/internal/lab/drivers.go
@@ -1,7 +1,7 @@
 package lab
 
-// This file owns drivers in front of a cluster: their configuration, which has no more than the platform's, and running
-// some in this process.
+// This file owns drivers in front of a cluster: their configuration, which has only what the platform's configuration
+// has, and running them in this process.
 
 import (
 	"context"
@@ -13,13 +13,13 @@
 	"weirwind/internal/operator"
 )
 
-// DefaultMix is the op types of the drivers' configuration: bounded reads, reads of any age, and writes that must not
-// run twice.
+// DefaultMix contains the op types of the drivers' configuration: reads with bounded staleness, reads of any staleness,
+// and non-retryable writes.
 var DefaultMix = []OpKind{{Name: "recent", Share: 5, Timeout: 1e9, Target: 250e6, Value: 3},
 	{Name: "any", Share: 3, Timeout: 1.2e9, Target: 300e6, Value: 1},
 	{Name: "write", Share: 2, Write: true, Timeout: 4e9, Target: 500e6, Value: 3}}
 
-// Configuration is a driver's, in the platform's form, with times in microseconds.
+// Configuration returns a driver's configuration in the platform's format, with times in microseconds.
 func (c *Cluster) Configuration(name, listen string, drivers, index int) []byte {
 	text, err := json.MarshalIndent(map[string]any{
 		"name": name, "listen": listen, "discovery": c.Discovery(),
@@ -27,12 +27,12 @@
 		"limits": map[string]any{"cores": 2, "memory_mb": 192, "sockets": 1024}, "known": c.MemberList(),
 		"settings": driverSettings(drivers, index)}, "", "  ")
 	if err != nil {
-		panic(err) // nothing in it can fail
+		panic(err) // the configuration has no value that can't be encoded
 	}
 	return text
 }
 
-// driverSettings is the part of a configuration that the driver's decisions go by.
+// driverSettings returns the part of a configuration that controls the driver's decisions.
 func driverSettings(drivers, index int) map[string]any {
 	return map[string]any{"tick": 5000, "siblings": drivers, "index": index, "zone": "a",
 		"registry_mode": "on_request", "family_info": map[string]any{"checks": "silent",
@@ -48,8 +48,9 @@
 			map[string]any{"name": "write", "aim": 500000, "deadline": 4000000, "effect": "once", "points": 3}}}
 }
 
-// Drivers runs some in this process until the context ends; their logs go to the writer, and operators gives the
-// operators' file of each, nil for none. It gives their addresses, and a function that waits for their end.
+// Drivers runs n drivers in this process until the context ends. Their logs go to logTo, and operators returns the
+// operators' configuration of each driver; nil stands for the default one. It returns the drivers' addresses, and a
+// function that waits for their end.
 func (c *Cluster) Drivers(
 	ctx context.Context,
 	n int,
--- a/internal/lab/emulator/attempt.go
+++ b/internal/lab/emulator/attempt.go
@@ -8,28 +8,28 @@
 	"weirwind/logic"
 )
 
-// attempt is one send of an op to a member, as its driver knows it.
+// attempt is one send of an op to a member, as its driver sees it.
 type attempt struct {
 	driver      *driver
 	op          *op
-	index       int // among the op's attempts
+	index       int // position among the op's attempts
 	target      *member
 	sent        float64
 	connected   bool
 	connOpened  float64
-	incarnation int      // of the member, in which the connection was opened
-	request     *request // nil until it is connected
-	ended       bool     // the driver has its outcome, or gave it up
+	incarnation int      // incarnation of the member in which the connection was opened
+	request     *request // nil until the attempt is connected
+	ended       bool     // the driver has the outcome or has abandoned the attempt
 	outcome     logic.Outcome
 }
 
 // idleConn is an open connection without an attempt.
 type idleConn struct {
 	opened, idleSince float64
-	incarnation       int // of the member
+	incarnation       int // incarnation of the member in which it was opened
 }
 
-// connect takes the idle connection that was used last, or opens one.
+// connect takes the most recently used idle connection, or opens a new one.
 func (x *attempt) connect() {
 	d, m := x.driver, x.target
 	if idle := d.idleConns[m]; len(idle) > 0 {
@@ -62,7 +62,7 @@
 	})
 }
 
-// established takes the result of connecting; current is false where the driver has given it up meanwhile.
+// established handles the result of connecting; current is false if the driver has given up waiting for it.
 func (x *attempt) established(current bool, incarnation int) {
 	d, m := x.driver, x.target
 	switch {
@@ -90,8 +90,8 @@
 	}
 }
 
-// abandon ends an attempt from the driver's side, by a timeout or a cancellation: its connection is closed, and the
-// member learns of that a latency later.
+// abandon ends an attempt on the driver's side after a timeout or a cancellation: its connection is closed, which the
+// member notices after the network latency.
 func (x *attempt) abandon(outcome logic.Outcome) {
 	if x.ended || x.driver.deferIfPaused(func() { x.abandon(outcome) }) {
 		return
@@ -110,8 +110,8 @@
 	x.complete(outcome, logic.Sight{}, 0)
 }
 
-// complete gives the driver an attempt's outcome, and a good answer to the client. data is the position of the data
-// that answered it.
+// complete reports an attempt's outcome to the driver, and a successful answer to the client. data is the log position
+// that the answer reflects.
 func (x *attempt) complete(outcome logic.Outcome, status logic.Sight, data float64) {
 	if x.ended || x.driver.deferIfPaused(func() { x.complete(outcome, status, data) }) {
 		return
@@ -145,8 +145,8 @@
 	}
 }
 
-// releaseConn makes the attempt's connection an idle one. A reset breaks all connections to the member, and the one
-// that was idle for the longest is closed when its time is over.
+// releaseConn returns the attempt's connection to the idle ones. A reset breaks all connections to the member. The
+// connection that has been idle for the longest is closed if it exceeds maxIdle.
 func (x *attempt) releaseConn() {
 	d, m := x.driver, x.target
 	if x.outcome == logic.Reset {
--- a/internal/lab/emulator/auditor.go
+++ b/internal/lab/emulator/auditor.go
@@ -1,7 +1,7 @@
 package emulator
 
-// This file owns the audit of the five rules of the package's documentation, process by process, and of what processes
-// together show. It sees what clients, members and the network see, and never what a policy knows.
+// This file owns the audit of the five rules of the package's documentation, for each process and across processes. It
+// uses what clients, members and the network observe, and never a policy's state.
 
 import (
 	"fmt"
@@ -11,15 +11,16 @@
 )
 
 const (
-	drainGrace     = 500.0  // milliseconds after a driver's list has a drain in which it may still send there
+	drainGrace     = 500.0  // milliseconds for which a driver may still send after its list shows the drain
 	positionSlack  = 1.0    // milliseconds by which positions and deadlines may be exceeded
 	overloadSpan   = 1500.0 // milliseconds over which the sends to a cold member are counted
-	overloadFactor = 2.5    // times what it can serve in the span: a cold member that is sent more is overloaded
-	overloadLeast  = 20     // sends in the span up to which no cold member is overloaded
-	maxReported    = 5      // violations of a process that are kept with their texts
+	overloadFactor = 2.5    // a cold member is overloaded if it is sent more than this many times its capacity
+	// minOverloadSends is the number of sends in the span up to which no cold member counts as overloaded.
+	minOverloadSends = 20
+	maxReported      = 5 // violations of a process that are kept with their texts
 )
 
-// violation is a rule that was broken.
+// violation is one violation of a rule.
 type violation struct {
 	time float64
 	text string // the rule, a colon, and what happened
@@ -33,7 +34,7 @@
 // auditor checks one process.
 type auditor struct {
 	process    *process
-	drainSeen  map[string]float64 // by member: when the driver's list first had its drain
+	drainSeen  map[string]float64 // by member: time at which the driver's list first showed its drain
 	violations map[string]int     // by rule
 	first      []violation
 }
@@ -50,7 +51,7 @@
 	}
 }
 
-// entryReceived records what the driver's list has of a member from now on.
+// entryReceived records a new entry of the driver's list.
 func (a *auditor) entryReceived(entry logic.ListEntry) {
 	if entry.Phase == logic.Ready {
 		delete(a.drainSeen, entry.Member)
@@ -59,7 +60,7 @@
 	}
 }
 
-// attemptSent checks an attempt before it is added to its op's.
+// attemptSent checks an attempt before it is added to the op's attempts.
 func (a *auditor) attemptSent(x *attempt) {
 	o := x.op
 	if o.answers > 0 {
@@ -73,7 +74,7 @@
 	}
 }
 
-// provedNotExecuted says whether every attempt of an op is proved not to have run.
+// provedNotExecuted reports whether each attempt of an op is proved not to have been executed.
 func (o *op) provedNotExecuted() bool {
 	for _, x := range o.attempts {
 		proved := x.outcome == logic.ConnectFailed || x.outcome == logic.Moot || x.outcome == logic.Miss ||
@@ -85,7 +86,7 @@
 	return true
 }
 
-// readServed checks the position of the data of a good answer.
+// readServed checks the freshness of the data of a successful answer.
 func (a *auditor) readServed(x *attempt, data float64) {
 	switch t := &x.driver.sim.types[x.op.kind]; {
 	case t.Need == logic.Bounded && data < x.sent-t.MaxAge-positionSlack:
@@ -107,14 +108,14 @@
 	}
 }
 
-// deadlinePassed is called when an op's client has given up.
+// deadlinePassed checks, after an op's deadline, that it was answered.
 func (a *auditor) deadlinePassed(o *op) {
 	if o.answers == 0 && !o.driverPaused {
 		a.report("rule 1: op %s never got an answer", o.id)
 	}
 }
 
-// coldSend counts what a cold member is sent over the span by all drivers together.
+// coldSend counts a send to a cold member and checks the sends of all drivers within the span.
 func (a *auditor) coldSend(m *member) {
 	m.coldSends = append(m.coldSends, a.process.now)
 	times := m.coldSends
@@ -123,13 +124,13 @@
 	}
 	m.coldSends = times
 	capacity := m.capacityShare() * float64(m.group.sim.setup.Cores) * overloadSpan / m.group.sim.setup.ServiceTime
-	if n := float64(len(times)); n > overloadFactor*capacity && n > overloadLeast {
+	if n := float64(len(times)); n > overloadFactor*capacity && n > minOverloadSends {
 		a.report("rule 4: cold %s got %.0f sends in %.0f ms and can do %.0f", m.id, n, overloadSpan, capacity)
 		m.coldSends = nil
 	}
 }
 
-// auditWrites compares what clients were answered to writes with what members ran.
+// auditWrites compares the answers that clients got to writes with the executions at members.
 func (sim *simulation) auditWrites() (found []violation) {
 	executions := map[string]int{}
 	for _, g := range sim.groups {
--- a/internal/lab/emulator/baseline.go
+++ b/internal/lab/emulator/baseline.go
@@ -1,7 +1,7 @@
 package emulator
 
-// This file owns the baselines: simple policies in the module's place, which send each op once and learn nothing of
-// members but who is primary.
+// This file owns the baselines: simple policies that replace the module. They send each op once and track nothing about
+// members but which one is primary.
 
 import (
 	"math/rand/v2"
@@ -9,17 +9,17 @@
 	"weirwind/logic"
 )
 
-// baseline sends writes to the member that was primary last, and reads by its rule.
+// baseline sends writes to the last known primary, and reads by its rule.
 type baseline struct {
 	rule     string // one of the policies of a setup
 	types    []logic.OpType
 	random   *rand.Rand
 	members  map[int64][]string // by group
-	primary  map[int64]string   // by group: the member that was primary last
+	primary  map[int64]string   // by group: the last known primary
 	draining map[string]bool
 	group    map[string]int64 // by member
 	inFlight map[string]int   // by member
-	next     int              // of round-robin
+	next     int              // counter of round-robin
 	kinds    map[string]int   // op types of open ops
 	actions  []logic.Action
 }
@@ -54,9 +54,9 @@
 	return b.actions
 }
 
-// send sends an op to the chosen member, or refuses it where there is none.
+// send sends an op to the chosen member, or refuses it if there is none.
 func (b *baseline) send(event *logic.Event) {
-	const margin = 15 // milliseconds that are left of the op's time behind the attempt
+	const margin = 15 // milliseconds of the op's time that remain after the attempt's timeout
 	member := b.choose(event)
 	if member == "" {
 		b.actions = append(b.actions, logic.Action{Kind: logic.ActRefuse, Op: event.Op})
@@ -68,8 +68,8 @@
 	b.actions = append(b.actions, send)
 }
 
-// answer learns the role of a member from its answer, and answers an op that is still open: it refuses what is proved
-// not to have run or may run again.
+// answer learns a member's role from its answer, and answers an op that is still open: it refuses an op that is proved
+// not to have been executed or is retryable, and fails any other.
 func (b *baseline) answer(event *logic.Event) {
 	b.inFlight[event.Member]--
 	if g := b.group[event.Member]; event.Note.Role == logic.Primary {
@@ -90,7 +90,7 @@
 	}
 }
 
-// update takes entries of the list of members.
+// update applies entries of the list of members.
 func (b *baseline) update(members []logic.ListEntry) {
 	for _, e := range members {
 		if _, known := b.group[e.Member]; !known {
@@ -103,7 +103,7 @@
 	}
 }
 
-// choose gives the member for an op, "" for none.
+// choose returns the member for an op, or "" if there is none.
 func (b *baseline) choose(event *logic.Event) string {
 	var candidates []string
 	for _, m := range b.members[event.Group] {
--- a/internal/lab/emulator/bench_test.go
+++ b/internal/lab/emulator/bench_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// BenchmarkRun runs drivers at ten ops a second each; it fails where a core gets through fewer events a second than
-// leastEvents, a fifth of what was measured when it was written.
+// BenchmarkRun runs drivers at ten ops per second each; it fails if a core executes fewer events per second than
+// minEventRate, which leaves a factor of five for slower machines.
 func BenchmarkRun(b *testing.B) {
-	const leastEvents = 60000
+	const minEventRate = 60000 // events per second
 	for _, drivers := range []int{10, 100, 400} {
 		b.Run(map[int]string{10: "10", 100: "100", 400: "400"}[drivers], func(b *testing.B) {
 			events, begin := 0.0, time.Now()
@@ -34,8 +34,8 @@
 			}
 			rate := events / time.Since(begin).Seconds()
 			b.ReportMetric(rate, "events/s")
-			if rate < leastEvents {
-				b.Errorf("%.0f events a second, at least %d wanted", rate, leastEvents)
+			if rate < minEventRate {
+				b.Errorf("%.0f events per second, want at least %d", rate, minEventRate)
 			}
 		})
 	}
--- a/internal/lab/emulator/clients.go
+++ b/internal/lab/emulator/clients.go
@@ -1,7 +1,7 @@
 package emulator
 
-// This file owns clients: when they arrive and which ops they submit. The load is open: no op waits for the answer to
-// another.
+// This file owns clients: when they arrive and which ops they submit. The load is open-loop: no op waits for the answer
+// to another.
 
 import (
 	"strconv"
@@ -11,15 +11,15 @@
 
 const (
 	sessionsPerDriver = 50
-	reconnectDelay    = 50.0 // milliseconds, about, until a client retries whose driver is down
+	reconnectDelay    = 50.0 // mean milliseconds until a client whose driver is down retries
 )
 
 // session is a client that may read its own writes.
 type session struct {
-	lastWrite float64 // position of its last write, 0 for none
+	lastWrite float64 // log position of its last write, 0 if none
 }
 
-// submit gives an op to the driver. One that is down refuses the connection, and the client comes again.
+// submit submits an op to the driver. A driver that is down refuses the connection, and the client retries.
 func (d *driver) submit(o *op) {
 	if d.down {
 		d.schedule(reconnectDelay*(0.5+d.random.Float64()), func() {
@@ -54,7 +54,7 @@
 	d.step(event)
 }
 
-// scheduleArrival lets the next client arrive after an exponential pause, and so on until the run's duration is over.
+// scheduleArrival schedules arrivals of clients with exponential interarrival times until the run's duration is over.
 func (d *driver) scheduleArrival() {
 	d.schedule(d.random.ExpFloat64()/(d.rate*d.rateFactor), func() {
 		if d.now >= d.sim.started+d.sim.setup.Duration || d.removed {
@@ -65,11 +65,11 @@
 	})
 }
 
-// newOp draws an op by the shares of the mix.
+// newOp returns an op whose type is drawn by the shares of the mix.
 func (d *driver) newOp() *op {
 	setup := &d.sim.setup
-	kind, x := 0, d.random.Float64()*d.sim.totalShare
-	for x -= setup.Mix[0].Share; x >= 0 && kind < len(setup.Mix)-1; x -= setup.Mix[kind].Share {
+	kind, remaining := 0, d.random.Float64()*d.sim.totalShare
+	for remaining -= setup.Mix[0].Share; remaining >= 0 && kind < len(setup.Mix)-1; remaining -= setup.Mix[kind].Share {
 		kind++
 	}
 	o := &op{
@@ -85,8 +85,9 @@
 	return o
 }
 
-// drawSession draws the session that an op belongs to, nil for none. A session's writes are of one group, as positions
-// of different groups can't be compared: with several groups each has its own sessions.
+// drawSession draws the session that an op belongs to, or returns nil for an op without a session. All writes of a
+// session are to one group, as positions of different groups can't be compared; with several groups each group has its
+// own sessions.
 func (d *driver) drawSession(o *op) *session {
 	groups := d.sim.setup.Groups
 	if groups == 1 {
--- a/internal/lab/emulator/doc.go
+++ b/internal/lab/emulator/doc.go
@@ -1,27 +1,28 @@
-// Package emulator simulates drivers in front of members in virtual time: the decision module as it is, or a baseline
-// policy in its place, with faults by schedule and an auditor that shares no code with the module.
+// Package emulator simulates drivers in front of members in virtual time. A driver runs the unmodified decision module
+// or a baseline policy in its place; faults are injected by a schedule, and an auditor that shares no code with the
+// module checks the outcome.
 //
 // It is a parallel discrete-event simulation. Each driver with its clients, and each group with its members, is a
-// process: it has its own event queue, its own random numbers and its own state, which nobody else touches. Processes
-// interact by messages alone, which take a network latency of at least the lookahead. Workers therefore run all
-// processes side by side in windows of the lookahead's length, and exchange messages between two windows. Events are
-// ordered by time, sending process and serial number, so the same seed gives the same run on every machine and on any
+// process: it has its own event queue, random number generator and state, which no other process accesses. Processes
+// interact only by messages, which take a network latency of at least the lookahead. Workers therefore run all
+// processes in parallel, in windows of the lookahead's length, and exchange messages between two windows. Events are
+// ordered by time, sending process and serial number, so the same seed gives the same run on every machine and with any
 // number of workers.
 //
 // The layers, from the bottom:
 //
 //   - scheduler.go: processes, workers and windows.
 //   - network.go, member.go, group.go: latencies and network faults, servers with their queues, roles and elections.
-//   - driver.go, attempt.go, clients.go: a policy's host, which carries out its actions, and its clients.
+//   - driver.go, attempt.go, clients.go: the driver that hosts a policy and carries out its actions, and its clients.
 //   - baseline.go, restart.go, switchover.go: policies to compare with, restarts with learned state, planned changes.
 //   - faults.go, driverfaults.go, memberfaults.go: the schedule of faults.
-//   - auditor.go, stats.go, run.go: what is checked and counted, and a run from its setup to its result.
+//   - auditor.go, stats.go, run.go: checks, statistics, and a run from its setup to its result.
 //
-// The auditor checks five rules on what clients, members and the network see:
+// The auditor checks five rules by what clients, members and the network observe:
 //
-//  1. Each op gets exactly one answer, in time, and an acknowledged write ran.
-//  2. A write that must not run twice does not, and one that was refused did not run.
-//  3. Nothing is sent to a member longer than a grace period after its drain was announced.
-//  4. A member that warms up is not sent far more than it can do.
-//  5. A read is answered from data as fresh as its op type needs.
+//  1. Each op gets exactly one answer before its deadline, and an acknowledged write was executed.
+//  2. A non-retryable write is executed at most once, and a refused write is not executed.
+//  3. No op is sent to a member once a grace period has passed since its drain was announced.
+//  4. A member that is warming up is not sent far more ops than it can serve.
+//  5. A read is answered from data that is as fresh as its op type requires.
 package emulator
--- a/internal/lab/emulator/driver.go
+++ b/internal/lab/emulator/driver.go
@@ -1,7 +1,7 @@
 package emulator
 
-// This file owns a driver: the events of its policy, how its actions are carried out, and its view of the list of
-// members. It decides nothing for the policy, and answers no op that the policy has not answered.
+// This file owns a driver: the events that it gives to its policy, the execution of the policy's actions, and its view
+// of the list of members. The driver makes no decision itself, and answers no op that the policy has not answered.
 
 import (
 	"slices"
@@ -14,16 +14,16 @@
 const (
 	connectTimeout  = 250.0   // milliseconds until an attempt to connect is given up
 	maxIdle         = 15000.0 // milliseconds after which an idle connection is closed
-	tick            = 5.0     // milliseconds between two timers of the policy
-	minRetryDelay   = 20.0    // milliseconds until a client retries an op that was refused, at the least
+	tick            = 5.0     // milliseconds between two timer events of the policy
+	minRetryDelay   = 20.0    // minimum milliseconds until a client retries a refused op
 	maxMessageBytes = 256
 	maxRetryAfter   = 1000 // milliseconds that a busy reply may advise
-	sendCap         = 6    // attempts of an op
+	sendCap         = 6    // maximum number of attempts of an op
 )
 
 // policy is the decision module, or a baseline in its place.
 type policy interface {
-	// Step takes events and gives actions, which are valid until the next step.
+	// Step handles events and returns actions, which are valid until the next step.
 	Step(now float64, events []logic.Event) []logic.Action
 }
 
@@ -32,18 +32,18 @@
 	id           string
 	kind         int // index of the op type
 	group        int64
-	session      *session // nil: of none
-	lastWrite    float64  // the session's position when it was submitted
-	started      float64  // when the client first submitted it
-	deadline     float64  // when the client gives up
-	retries      int      // earlier requests of the client for the same
+	session      *session // nil if the op belongs to no session
+	lastWrite    float64  // the session's last write position at submission
+	started      float64  // time at which the client first submitted it
+	deadline     float64  // time at which the client gives up
+	retries      int      // number of earlier submissions by the client
 	attempts     []*attempt
-	finished     bool // its client has an answer
+	finished     bool // the client has an answer
 	answers      int
-	driverPaused bool // at its deadline, so that it can't be answered in time
+	driverPaused bool // the driver is paused at the deadline, so the op can't be answered in time
 }
 
-// driver is a host of a policy, with its clients.
+// driver hosts a policy and has clients.
 type driver struct {
 	*process
 	sim         *simulation
@@ -52,35 +52,35 @@
 	policy      policy
 	opening     logic.Opening
 	audit       *auditor
-	incarnation int  // counts restarts: what an earlier one started is ignored
+	incarnation int  // number of restarts; callbacks of earlier incarnations are ignored
 	down        bool // between two incarnations
-	removed     bool // for good
+	removed     bool // ended without another incarnation
 	pausedUntil float64
-	deferred    []func() // what arrived while it was paused
+	deferred    []func() // actions that arrived while it was paused
 
-	ops           map[string]*op // that are open, or have attempts that are
+	ops           map[string]*op // ops that are unanswered or have open attempts
 	opCount       int
 	writeOutcomes map[string]Outcome
 	idleConns     map[*member][]idleConn
 
 	sessions   []session
-	rate       float64 // ops a millisecond of its clients
+	rate       float64 // ops per millisecond that its clients submit
 	rateFactor float64
 	hotGroup   bool // all its clients' ops are for group 1
 
-	list            []logic.ListEntry // as discovery has it
+	list            []logic.ListEntry // the list of members as discovery has it
 	listIndex       map[string]int    // by member
-	listPausedUntil float64           // the policy gets no entries until then
-	missedEntries   []logic.ListEntry
+	listPausedUntil float64           // time until which the policy gets no entries
+	missedEntries   []logic.ListEntry // entries that arrived while the list was paused
 
 	switchovers *switchover.Tracker // nil until the first notification
-	draining    map[string]bool     // members that a planned change drains
-	observing   bool                // the primary, while a change is open
+	draining    map[string]bool     // members that a planned switchover drains
+	observing   bool                // whether the primary is polled, as it is while a switchover is open
 }
 
 func (d *driver) name() string { return "n" + strconv.Itoa(d.index) }
 
-// addDrivers creates the drivers, which all know the same list of members.
+// addDrivers creates the drivers, which all start with the same list of members.
 func (sim *simulation) addDrivers() {
 	s := &sim.setup
 	var list []logic.ListEntry
@@ -91,7 +91,7 @@
 		listIndex[m.id] = i
 		list = append(list, e)
 	}
-	capacity := float64(s.Groups*s.Members*s.Cores) / s.ServiceTime // ops a millisecond
+	capacity := float64(s.Groups*s.Members*s.Cores) / s.ServiceTime // ops per millisecond
 	for i := range s.Drivers {
 		d := &driver{
 			process:       sim.scheduler.newProcess(len(sim.groups)+i, s.Seed, sim.started),
@@ -112,7 +112,8 @@
 	}
 }
 
-// start opens the policy within the first tick, as clocks of machines are not aligned, and lets clients arrive.
+// start opens the policy at a random time within the first tick, as machines' clocks are not aligned, and schedules the
+// arrivals of clients.
 func (d *driver) start() {
 	d.opening = d.newOpening()
 	d.policy = d.newPolicy()
@@ -126,7 +127,7 @@
 	})
 }
 
-// newOpening is the policy's configuration.
+// newOpening returns the policy's configuration.
 func (d *driver) newOpening() logic.Opening {
 	s := &d.sim.setup
 	opening := logic.Opening{
@@ -165,7 +166,7 @@
 	return newBaseline(d.sim.setup.Policy, d.sim.types, d.opening.Seed)
 }
 
-// moduleMemory is what the module knows, read from outside; module is false for baselines.
+// moduleMemory returns the module's exported state; module is false for baselines.
 func (d *driver) moduleMemory() (memory logic.Memory, module bool) {
 	if _, module = d.policy.(*logic.Driver); module {
 		d.policy.Step(d.now, []logic.Event{{Kind: logic.EvRemember, Memory: &memory}})
@@ -173,7 +174,7 @@
 	return memory, module
 }
 
-// deferIfPaused keeps what arrives at a paused driver until it goes on, and says whether it did.
+// deferIfPaused defers an action while the driver is paused, and reports whether it did so.
 func (d *driver) deferIfPaused(action func()) bool {
 	if d.now < d.pausedUntil {
 		d.deferred = append(d.deferred, action)
@@ -182,7 +183,7 @@
 	return false
 }
 
-// step gives events to the policy and carries out its actions.
+// step passes events to the policy and executes its actions.
 func (d *driver) step(events ...logic.Event) {
 	if d.down || d.deferIfPaused(func() { d.step(events...) }) {
 		return
@@ -192,7 +193,7 @@
 	}
 }
 
-// updateEntry takes an entry of the list, or keeps it back while the list is paused.
+// updateEntry applies an entry of the list, or queues it while the list is paused.
 func (d *driver) updateEntry(entry logic.ListEntry) {
 	i := d.listIndex[entry.Member]
 	entry.Primary = d.list[i].Primary
@@ -208,7 +209,7 @@
 	d.step(logic.Event{Kind: logic.EvMembers, List: logic.ListChanges, Members: []logic.ListEntry{entry}})
 }
 
-// execute carries out an action.
+// execute executes an action of the policy.
 func (d *driver) execute(action logic.Action) {
 	switch action.Kind {
 	case logic.ActSend:
@@ -303,7 +304,7 @@
 	})
 }
 
-// finish gives an op's client its answer. A client whose op was refused retries it before its deadline.
+// finish answers an op to its client. A client whose op was refused retries it until its deadline.
 func (d *driver) finish(id string, outcome Outcome, retryAfter float64) {
 	o := d.ops[id]
 	if o == nil {
@@ -337,7 +338,7 @@
 	d.release(o)
 }
 
-// release forgets an op once none of its attempts is open.
+// release deletes an op once none of its attempts is open.
 func (d *driver) release(o *op) {
 	for _, x := range o.attempts {
 		if !x.ended {
--- a/internal/lab/emulator/driverfaults.go
+++ b/internal/lab/emulator/driverfaults.go
@@ -1,11 +1,11 @@
 package emulator
 
-// This file owns what faults do to drivers.
+// This file owns the effects of faults on drivers.
 
 import "weirwind/logic"
 
 const (
-	// resumeSlack is the time in milliseconds that a driver which was paused needs to answer what is due.
+	// resumeSlack is the time in milliseconds that a resumed driver needs to answer the ops that are due.
 	resumeSlack  = 20.0
 	minPause     = 100.0
 	minListPause = 1000.0
@@ -33,7 +33,7 @@
 	}
 }
 
-// pause lets a driver stand still; what arrives meanwhile is handled at the end.
+// pause suspends a driver; actions that arrive meanwhile run when it resumes.
 func (d *driver) pause(duration float64) {
 	d.pausedUntil = d.now + duration
 	for _, o := range d.ops {
@@ -48,7 +48,7 @@
 	})
 }
 
-// pauseList keeps entries of the list back; they are given to the policy at the end.
+// pauseList delays the list's entries; the policy gets them at the end of the pause.
 func (d *driver) pauseList(duration float64) {
 	d.listPausedUntil = d.now + duration
 	d.schedule(d.listPausedUntil-d.now, func() {
--- a/internal/lab/emulator/emulator_test.go
+++ b/internal/lab/emulator/emulator_test.go
@@ -9,7 +9,7 @@
 	"weirwind/logic"
 )
 
-func setup(policy string, drivers int, faults ...Fault) Setup {
+func newSetup(policy string, drivers int, faults ...Fault) Setup {
 	return Setup{
 		Drivers:        drivers,
 		Groups:         1,
@@ -37,12 +37,12 @@
 	{At: 18000, Kind: "lag", Target: "g1m5"},
 }
 
-// The module keeps the rules through all kinds of faults, with few and with many drivers, and serves most of the value.
+// The module violates no rule under all kinds of faults, with few and with many drivers, and serves most of the value.
 func TestModuleKeepsTheRules(t *testing.T) {
 	t.Parallel()
 	for _, drivers := range []int{1, 3, 60} {
 		t.Run(fmt.Sprint(drivers, " drivers"), func(t *testing.T) {
-			r, err := Run(setup("module", drivers, faultSchedule...), 1, nil)
+			r, err := Run(newSetup("module", drivers, faultSchedule...), 1, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -53,13 +53,13 @@
 	}
 }
 
-// The auditor finds the stale reads of the baselines while there is no primary. One that reads from the primary alone
-// has none.
+// The auditor finds the stale reads of the baselines while there is no primary. The baseline that reads only from the
+// primary has none.
 func TestBaselinesBreakRules(t *testing.T) {
 	t.Parallel()
 	for _, policy := range []string{"primary", "random", "round-robin", "least"} {
 		t.Run(policy, func(t *testing.T) {
-			r, err := Run(setup(policy, 3, faultSchedule...), 1, nil)
+			r, err := Run(newSetup(policy, 3, faultSchedule...), 1, nil)
 			if err != nil || (r.Violations["rule 5"] == 0) != (policy == "primary") {
 				t.Errorf("%v, violations %v", err, r.Violations)
 			}
@@ -67,10 +67,10 @@
 	}
 }
 
-// The same seed gives the same run with any number of workers; another seed gives another one.
+// The same seed gives the same run with any number of workers; another seed gives a different run.
 func TestSameSeedSameRun(t *testing.T) {
 	t.Parallel()
-	s := setup("module", 20, faultSchedule...)
+	s := newSetup("module", 20, faultSchedule...)
 	s.Groups, s.Load, s.Duration = 2, 0.5, 9000
 	s.Faults = append(
 		s.Faults,
@@ -78,37 +78,37 @@
 		Fault{At: 5000, Duration: 800, Kind: "cut", Target: "a>b"},
 		Fault{At: 7000, Duration: 1500, Kind: "loss", Factor: 0.1},
 	)
-	one, err := Run(s, 1, nil)
+	reference, err := Run(s, 1, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	text := func(r *Result) string {
+	describe := func(r *Result) string {
 		return fmt.Sprint(r.ValueShare, r.Ops, r.Seconds, r.Promotions, r.WriteGaps, r.Members, r.Events, r.Violations,
 			r.FirstViolations, r.Sends(), r.Messages(), r.Connects(), r.Types[0].Latency.Mean(), r.Types[0].Outcomes)
 	}
 	for _, workers := range []int{1, 2, 3, 7} {
-		if r, _ := Run(s, workers, nil); text(r) != text(one) {
-			t.Errorf("with %d workers another run: value %v and %v, %d and %d events", workers, r.ValueShare, one.ValueShare,
-				r.Events, one.Events)
+		if r, _ := Run(s, workers, nil); describe(r) != describe(reference) {
+			t.Errorf("the run differs with %d workers: value %v, want %v; %d events, want %d", workers, r.ValueShare,
+				reference.ValueShare, r.Events, reference.Events)
 		}
 	}
 	s.Seed++
-	if r, _ := Run(s, 1, nil); text(r) == text(one) {
+	if r, _ := Run(s, 1, nil); describe(r) == describe(reference) {
 		t.Error("another seed gives the same run")
 	}
 }
 
-// Each fault does what its name says, and the module keeps the rules through it.
+// Each fault has its effect, and the module violates no rule under it.
 func TestEachFault(t *testing.T) {
 	t.Parallel()
-	baseline, err := Run(setup("module", 6), 1, nil)
+	baseline, err := Run(newSetup("module", 6), 1, nil)
 	if err != nil || baseline.ValueShare < 0.97 || len(baseline.Violations) > 0 {
-		t.Fatalf("%v: a run without faults serves %.3f, broken %v", err, baseline.ValueShare, baseline.Violations)
+		t.Fatalf("%v: a run without faults serves %.3f, violations %v", err, baseline.ValueShare, baseline.Violations)
 	}
-	// onePromotion expects one change of the primary, with a gap between two acknowledged writes within bounds.
-	onePromotion := func(least, most float64) func(r *Result) bool {
+	// onePromotion expects one change of the primary, with the longest gap between two acknowledged writes within bounds.
+	onePromotion := func(minGap, maxGap float64) func(r *Result) bool {
 		return func(r *Result) bool {
-			return len(r.Promotions) == 1 && r.WriteGaps[0] > least && r.WriteGaps[0] < most
+			return len(r.Promotions) == 1 && r.WriteGaps[0] > minGap && r.WriteGaps[0] < maxGap
 		}
 	}
 	// servedLess expects a member to serve less than a share of what it serves without the fault.
@@ -117,8 +117,8 @@
 	}
 	lost := func(r *Result) bool { return r.Lost > 0 }
 	for _, c := range []struct {
-		fault Fault
-		seen  func(r *Result) bool
+		fault    Fault
+		observed func(r *Result) bool
 	}{
 		{Fault{At: 4000, Duration: 4000, Kind: "kill", Target: "g1m1"}, func(r *Result) bool {
 			return onePromotion(2500, math.Inf(1))(r) && withoutPrimary(r) > 30
@@ -162,15 +162,15 @@
 		}},
 	} {
 		t.Run(c.fault.Kind+" "+c.fault.Target, func(t *testing.T) {
-			r, err := Run(setup("module", 6, c.fault), 2, nil)
+			r, err := Run(newSetup("module", 6, c.fault), 2, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
 			if len(r.Violations) > 0 {
 				t.Errorf("violations %v, such as %q", r.Violations, r.FirstViolations)
 			}
-			if !c.seen(r) {
-				t.Errorf("%+v is not seen: value %.3f, gaps %v, %d promotions, %d sends (%d), %d connects (%d), served %v, lost %d",
+			if !c.observed(r) {
+				t.Errorf("%+v: no effect, value %.3f, gaps %v, %d promotions, %d sends (%d), %d connects (%d), served %v, lost %d",
 					c.fault, r.ValueShare, r.WriteGaps, len(r.Promotions), r.Sends(), baseline.Sends(), r.Connects(),
 					baseline.Connects(), r.Members[2], r.Lost)
 			}
@@ -178,7 +178,7 @@
 	}
 }
 
-// arrivals is the ops that were first submitted in a second.
+// arrivals returns the number of ops first submitted in a second.
 func arrivals(r *Result, second int) (n int) {
 	for _, x := range r.Seconds[second].Arrivals {
 		n += x
@@ -186,7 +186,7 @@
 	return n
 }
 
-// withoutPrimary is the samples of drivers that knew no primary.
+// withoutPrimary returns the number of samples of drivers that knew no primary.
 func withoutPrimary(r *Result) (n int) {
 	for _, s := range r.Seconds {
 		n += s.WithoutPrimary[0]
@@ -194,11 +194,11 @@
 	return n
 }
 
-// The list stands still for some drivers while a member drains: they may send there, as the rule counts from when their
-// list had the drain.
+// Some drivers get no updates of the list while a member drains: they may still send to it, as the grace period begins
+// when their own list shows the drain.
 func TestStaleLists(t *testing.T) {
 	r, err := Run(
-		setup(
+		newSetup(
 			"module",
 			6,
 			Fault{At: 2000, Duration: 4000, Kind: "late", Target: "1/2"},
@@ -208,17 +208,17 @@
 		nil,
 	)
 	if err != nil || len(r.Violations) > 0 || r.ValueShare < 0.9 {
-		t.Errorf("%v: worth %.3f, broken %v %q", err, r.ValueShare, r.Violations, r.FirstViolations)
+		t.Errorf("%v: value %.3f, violations %v %q", err, r.ValueShare, r.Violations, r.FirstViolations)
 	}
 }
 
-// A member takes no more connections than its limit, and drivers cope with that.
+// A member accepts no more connections than its limit, and drivers still serve ops.
 func TestConnectionCap(t *testing.T) {
-	s := setup("module", 6)
+	s := newSetup("module", 6)
 	s.MaxConnections = 10
 	r, err := Run(s, 1, nil)
 	if err != nil || len(r.Violations) > 0 || r.ValueShare < 0.5 {
-		t.Fatalf("%v: worth %.3f, broken %v %q", err, r.ValueShare, r.Violations, r.FirstViolations)
+		t.Fatalf("%v: value %.3f, violations %v %q", err, r.ValueShare, r.Violations, r.FirstViolations)
 	}
 	for _, m := range r.Members {
 		if m.PeakConns > 10 {
@@ -227,7 +227,7 @@
 	}
 }
 
-// The mean wait before a core is free is that of queueing theory for M/M/c, within 3 %.
+// The mean time in the queue is that of queueing theory for M/M/c, within 3 %.
 func TestQueueingTheory(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
@@ -253,7 +253,7 @@
 		want := erlangWait(c.cores, c.load)
 		if got := r.Members[0].MeanWait; math.Abs(got/want-1) > 0.03 || r.Members[0].Served < 400000 {
 			t.Errorf(
-				"%d cores at %.1f: %d ops waited %.4f times their work, in theory %.4f",
+				"%d cores at load %.1f: %d ops waited %.4f times the mean service time, want %.4f",
 				c.cores,
 				c.load,
 				r.Members[0].Served,
@@ -264,7 +264,7 @@
 	}
 }
 
-// erlangWait is the mean wait in an M/M/c queue, in times of the mean work, by Erlang's C formula.
+// erlangWait returns the mean wait in an M/M/c queue, in units of the mean service time, by the Erlang C formula.
 func erlangWait(cores int, load float64) float64 {
 	a, term, sum := load*float64(cores), 1.0, 0.0
 	for k := range cores {
@@ -275,26 +275,26 @@
 	return last / (sum + last) / (float64(cores) * (1 - load))
 }
 
-// All of many drivers restart at once after a change of the primary, and near a cold member: no rule breaks, with
-// learned state or without.
+// All of many drivers restart at the same time after a change of the primary and while a member is cold: no rule is
+// violated, with learned state or without.
 func TestRestartOfAll(t *testing.T) {
 	t.Parallel()
-	for _, what := range []string{"restart", "lose"} {
-		s := setup(
+	for _, kind := range []string{"restart", "lose"} {
+		s := newSetup(
 			"module",
 			60,
 			Fault{At: 2000, Kind: "kill", Target: "g1m4"},
 			Fault{At: 3000, Kind: "drain", Target: "g1m1"},
 			Fault{At: 5900, Kind: "heal", Target: "g1m4"},
-			Fault{At: 6000, Kind: what, Target: "all"},
-			Fault{At: 9000, Kind: what, Target: "all"},
-			Fault{At: 12000, Kind: what, Target: "n7"},
+			Fault{At: 6000, Kind: kind, Target: "all"},
+			Fault{At: 9000, Kind: kind, Target: "all"},
+			Fault{At: 12000, Kind: kind, Target: "n7"},
 		)
 		r, err := Run(s, 1, nil)
 		if err != nil || len(r.Violations) > 0 || r.Lost == 0 || r.ValueShare < 0.8 {
 			t.Errorf(
-				"%s: %v, broken %v %q, %d lost, worth %.3f",
-				what,
+				"%s: %v, violations %v %q, %d lost, value %.3f",
+				kind,
 				err,
 				r.Violations,
 				r.FirstViolations,
@@ -313,7 +313,7 @@
 		"no member":   func(s *Setup) { s.Faults = []Fault{{At: 1, Kind: "kill", Target: "x"}} },
 		"fault \"eat": func(s *Setup) { s.Faults = []Fault{{At: 1, Kind: "eat", Target: "g1m1"}} },
 	} {
-		s := setup("module", 1)
+		s := newSetup("module", 1)
 		change(&s)
 		if _, err := Run(s, 1, nil); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v", want, err)
--- a/internal/lab/emulator/faults.go
+++ b/internal/lab/emulator/faults.go
@@ -1,7 +1,7 @@
 package emulator
 
-// This file owns the schedule of faults: their kinds, their targets, and when they begin and end. Each part of a fault
-// is scheduled in the process that it strikes before the run begins; memberfaults.go and driverfaults.go inject them.
+// This file owns the schedule of faults: their kinds, their targets, and when they begin and end. Before the run
+// begins, each fault is scheduled in the processes that it affects; memberfaults.go and driverfaults.go inject them.
 
 import (
 	"fmt"
@@ -15,67 +15,71 @@
 // Fault is one event of the schedule. Times are milliseconds.
 type Fault struct {
 	At       float64
-	Duration float64 `json:"For"` // after which it is undone; 0: it lasts, or until a heal
+	Duration float64 `json:"For"` // time after which the fault is undone; 0: it lasts until a heal or the end
 	// Kind is one of the names below, such as kill.
 	Kind string `json:"What"`
-	// Target is a member g1m1, a group g1, a zone a, a driver n0, the first 1/4 of drivers, or all; of a cut a>b or a-b.
+	// Target is a member (g1m1), a group (g1), a zone (a), a driver (n0), the first quarter of the drivers (1/4), or all;
+	// for a cut it is a pair of zones, a>b for one direction or a-b for both.
 	Target string `json:"On"`
-	// Factor is how many times slower, further behind, or more ops; of loss the share of packets. 0: the kind's default.
+	// Factor multiplies the service time, replication lag or arrival rate. For age it is the growth of service times per
+	// minute, for loss the share of lost packets, for toll the cost of the zone, for count the number of drivers. 0: the
+	// kind's default.
 	Factor float64 `json:"By"`
 }
 
-// The kinds of faults, by what they strike.
+// The kinds of faults, by what they affect.
 const (
-	faultKill   = "kill"   // the process ends, its connections are reset, and so are further ones
-	faultVanish = "vanish" // the machine can't be reached
-	faultHang   = "hang"   // the process answers nothing
-	faultFail   = "fail"   // every op is answered with an error
-	faultSlow   = "slow"   // service times are longer, of a member or of all at once
-	faultLag    = "lag"    // a replica is further behind
-	faultAge    = "age"    // service times grow with the time since the start
-	faultDrain  = "drain"
-	faultWrong  = "wrong"  // discovery says that the member is gone
-	faultDemote = "demote" // a planned change of the primary without notice to drivers
-	faultSwitch = "switch" // a planned change with hooks
-	faultHeal   = "heal"   // ends the other ones
+	faultKill   = "kill"   // the member's process ends; its connections are reset and new ones refused
+	faultVanish = "vanish" // the member's machine is unreachable
+	faultHang   = "hang"   // the member's process answers nothing
+	faultFail   = "fail"   // the member answers every op with an error
+	faultSlow   = "slow"   // service times are longer, of one member or of all members at once
+	faultLag    = "lag"    // a replica's replication lag is higher
+	faultAge    = "age"    // service times grow with the time since the member's start
+	faultDrain  = "drain"  // the member is announced as draining
+	faultWrong  = "wrong"  // discovery wrongly announces that the member is gone
+	faultDemote = "demote" // a planned switchover without notice to drivers
+	faultSwitch = "switch" // a planned switchover with hooks
+	faultHeal   = "heal"   // ends all other faults of the member
 
 	faultDeploy = "deploy" // all members of a group restart, one after the other
 
-	faultRestart = "restart" // a driver restarts, with its learned state
-	faultLose    = "lose"    // and without
-	faultPause   = "pause"   // a driver stands still
-	faultLate    = "late"    // its list of members does
-	faultBurst   = "burst"   // its clients arrive faster
-	faultHot     = "hot"     // and all ask for group 1
-	faultEnd     = "end"     // a driver ends for good, and its clients go to the others
+	faultRestart = "restart" // a driver restarts and keeps its learned state
+	faultLose    = "lose"    // a driver restarts and loses its learned state
+	faultPause   = "pause"   // a driver's process is suspended
+	faultLate    = "late"    // a driver gets no updates of its list of members
+	faultBurst   = "burst"   // a driver's clients arrive at a higher rate
+	faultHot     = "hot"     // as burst, and all ops are for group 1
+	faultEnd     = "end"     // a driver ends permanently, and its clients move to the others
 	faultCount   = "count"   // a driver learns another number of drivers
 
-	faultToll = "toll" // drivers, all or those of zone a in a>b, learn that zone b costs more
+	faultZoneCost = "toll" // drivers, all or those of zone a in a>b, learn a higher cost of zone b
 
-	faultCut  = "cut"  // a partition between two zones, in one direction or both
+	faultCut  = "cut"  // a network partition between two zones, in one direction or both
 	faultLoss = "loss" // packets are lost
 )
 
 var (
 	memberFaults = []string{faultKill, faultVanish, faultHang, faultFail, faultSlow, faultLag, faultAge, faultDrain,
 		faultWrong, faultDemote, faultSwitch, faultHeal}
-	groupFaults  = []string{faultDeploy}
-	driverFaults = []string{faultRestart, faultLose, faultPause, faultLate, faultBurst, faultHot, faultEnd, faultCount}
-	tollFaults   = []string{faultToll}
-	linkFaults   = []string{faultCut, faultLoss}
+	groupFaults    = []string{faultDeploy}
+	driverFaults   = []string{faultRestart, faultLose, faultPause, faultLate, faultBurst, faultHot, faultEnd, faultCount}
+	zoneCostFaults = []string{faultZoneCost}
+	linkFaults     = []string{faultCut, faultLoss}
 )
 
 // Default factors.
 const (
 	defaultSlowdown  = 4.0
 	defaultLagFactor = 30.0
-	defaultAging     = 1.0 // a minute
+	defaultAging     = 1.0 // growth of service times per minute
 	defaultBurst     = 3.0
-	defaultToll      = 60.0
+	defaultZoneCost  = 60.0
 	defaultLoss      = 0.05
 )
 
-// scheduleFault schedules a fault in the processes that it strikes. An error: its kind or target is not known.
+// scheduleFault schedules a fault in the processes that it affects. It returns an error if the fault's kind or target
+// is unknown.
 func (sim *simulation) scheduleFault(fault Fault) error {
 	switch {
 	case slices.Contains(memberFaults, fault.Kind):
@@ -84,17 +88,17 @@
 		return sim.scheduleDeploy(fault)
 	case slices.Contains(driverFaults, fault.Kind):
 		return sim.scheduleDriverFault(fault)
-	case slices.Contains(tollFaults, fault.Kind):
-		return sim.scheduleToll(fault)
+	case slices.Contains(zoneCostFaults, fault.Kind):
+		return sim.scheduleZoneCost(fault)
 	case slices.Contains(linkFaults, fault.Kind):
 		return sim.scheduleNetworkFault(fault)
 	}
 	return fmt.Errorf("fault %q; it may be %s", fault.Kind, strings.Join(slices.Concat(memberFaults, groupFaults,
-		driverFaults, tollFaults, linkFaults), ", "))
+		driverFaults, zoneCostFaults, linkFaults), ", "))
 }
 
 func (sim *simulation) scheduleMemberFault(fault Fault) error {
-	if fault.Kind == faultSlow && fault.Target == "all" { // a shared slowdown is no member's own
+	if fault.Kind == faultSlow && fault.Target == "all" { // slows whole groups down, not individual members
 		sim.scheduleSlowdown(fault)
 		return nil
 	}
@@ -145,7 +149,7 @@
 	if n == 0 || fault.Kind == faultEnd && n == len(sim.drivers) {
 		return fmt.Errorf("fault %q: no driver %q, or none is left", fault.Kind, fault.Target)
 	}
-	for _, d := range sim.drivers { // the clients of those that end come to the rest
+	for _, d := range sim.drivers { // the remaining drivers take over the clients
 		if fault.Kind == faultEnd && !sim.isTarget(d, fault.Target) {
 			d.schedule(fault.At, func() { d.rateFactor *= float64(len(sim.drivers)) / float64(len(sim.drivers)-n) })
 		}
@@ -153,9 +157,9 @@
 	return nil
 }
 
-func (sim *simulation) scheduleToll(fault Fault) error {
-	from, zone, some := strings.Cut(fault.Target, ">")
-	if !some {
+func (sim *simulation) scheduleZoneCost(fault Fault) error {
+	from, zone, hasFrom := strings.Cut(fault.Target, ">")
+	if !hasFrom {
 		from, zone = "all", fault.Target
 	}
 	if len(sim.memberTargets(zone)) == 0 {
@@ -166,7 +170,7 @@
 			continue
 		}
 		d.schedule(fault.At, func() {
-			d.step(logic.Event{Kind: logic.EvTolls, Tolls: map[string]float64{zone: fault.factorOr(defaultToll)}})
+			d.step(logic.Event{Kind: logic.EvTolls, Tolls: map[string]float64{zone: fault.factorOr(defaultZoneCost)}})
 		})
 		if fault.Duration > 0 {
 			d.schedule(fault.At+fault.Duration, func() { d.step(logic.Event{Kind: logic.EvTolls}) })
@@ -200,15 +204,15 @@
 	return nil
 }
 
-// factorOr is the fault's factor, or a default where it has none.
-func (f *Fault) factorOr(usual float64) float64 {
+// factorOr returns the fault's factor, or a default if it has none.
+func (f *Fault) factorOr(defaultFactor float64) float64 {
 	if f.Factor > 0 {
 		return f.Factor
 	}
-	return usual
+	return defaultFactor
 }
 
-// memberTargets is the members that a target names.
+// memberTargets returns the members that a target names.
 func (sim *simulation) memberTargets(target string) (all []*member) {
 	for _, m := range sim.members {
 		if target == "all" || target == m.id || target == fmt.Sprintf("g%d", m.group.id) || target == zoneName(m.zone) {
@@ -218,12 +222,12 @@
 	return all
 }
 
-// isTarget says whether a target names a driver.
+// isTarget reports whether a target includes a driver.
 func (sim *simulation) isTarget(d *driver, target string) bool {
 	if a, b, ok := strings.Cut(target, "/"); ok {
-		part, err := strconv.Atoi(a)
-		of, err2 := strconv.Atoi(b)
-		return err == nil && err2 == nil && of > 0 && d.index*of < part*len(sim.drivers)
+		numerator, err := strconv.Atoi(a)
+		denominator, err2 := strconv.Atoi(b)
+		return err == nil && err2 == nil && denominator > 0 && d.index*denominator < numerator*len(sim.drivers)
 	}
 	return target == "all" || target == d.name() || target == zoneName(d.zone)
 }
--- a/internal/lab/emulator/golden_test.go
+++ b/internal/lab/emulator/golden_test.go
@@ -9,8 +9,8 @@
 	"weirwind/internal/standin/golden"
 )
 
-// The figures of seeded runs are recorded to the last digit: a refactoring of the emulator, or of what it plays,
-// changes none of them. Each case's text has the figures one reads and a digest over all the others.
+// The figures of seeded runs are recorded to the last digit: a refactoring of the emulator, or of the module that it
+// runs, changes none of them. Each case's text has the main figures and a digest over all others.
 func TestFiguresAreThoseRecorded(t *testing.T) {
 	t.Parallel()
 	var cases []golden.Case[string]
@@ -22,9 +22,9 @@
 		cases = append(cases, golden.Of(name, figuresOf(t, r)))
 	}
 	for _, policy := range []string{"module", "primary", "random", "round-robin", "least"} {
-		record("faults, "+policy, setup(policy, 3, faultSchedule...))
+		record("faults, "+policy, newSetup(policy, 3, faultSchedule...))
 	}
-	large := setup("module", 20, faultSchedule...)
+	large := newSetup("module", 20, faultSchedule...)
 	large.Groups, large.Zones, large.MaxConnections, large.MessageRate, large.Duration = 2, 3, 40, 50, 12000
 	large.Faults = append(
 		large.Faults,
@@ -41,7 +41,7 @@
 		Fault{At: 9500, Kind: "count", Target: "all"},
 	)
 	record("two groups, three zones", large)
-	members := setup(
+	members := newSetup(
 		"module",
 		6,
 		Fault{At: 1000, Duration: 2000, Kind: "fail", Target: "g1m3"},
@@ -58,7 +58,7 @@
 		Fault{At: 12000, Kind: "deploy", Target: "g1"},
 	)
 	record("faults of members", members)
-	drivers := setup(
+	drivers := newSetup(
 		"module",
 		6,
 		Fault{At: 1000, Kind: "switch", Target: "g1m1"},
@@ -81,7 +81,7 @@
 	golden.Text(t, "testdata/figures.golden", cases)
 }
 
-// figuresOf is a result as text: its main figures and a digest over all that it counts.
+// figuresOf returns a result as text: its main figures and a digest over all figures.
 func figuresOf(t *testing.T, r *Result) string {
 	t.Helper()
 	digest := fnv.New64a()
@@ -110,9 +110,9 @@
 		r.ValueShare, r.Ops, r.Events, r.Sends(), r.Messages(), r.Connects(), r.Lost, r.Violations, digest.Sum64())
 }
 
-// A setup's JSON form is kept beside results and names their files.
+// A setup's JSON form is stored with results, and their files' names are hashes of it.
 func TestSetupForm(t *testing.T) {
-	s := setup("module", 3, Fault{At: 1, Duration: 2, Kind: "kill", Target: "g1m1", Factor: 3})
+	s := newSetup("module", 3, Fault{At: 1, Duration: 2, Kind: "kill", Target: "g1m1", Factor: 3})
 	s.applyDefaults()
 	s.MaxConnections, s.NoProbes, s.MessageRate, s.NoAdvice = 7, true, 9, true
 	golden.JSON(t, "testdata/setup.golden", []golden.Case[Setup]{golden.Of("filled", s), golden.Of("zero", Setup{})})
--- a/internal/lab/emulator/group.go
+++ b/internal/lab/emulator/group.go
@@ -1,6 +1,6 @@
 package emulator
 
-// This file owns groups: who is primary, elections, and what discovery tells drivers of members.
+// This file owns groups: their primaries, elections, and discovery's announcements of members to drivers.
 
 import (
 	"cmp"
@@ -11,39 +11,39 @@
 )
 
 const (
-	detectionDelay = 1500.0 // milliseconds until a group notices that its primary is gone; the election follows
-	handoverDelay  = 500.0  // milliseconds from a drain of the primary to the next one
-	listDelay      = 300.0  // milliseconds at most from a change to each driver's list
-	promotionSpan  = 1000.0 // milliseconds for which a new primary's requests are counted
+	detectionDelay = 1500.0 // milliseconds until a group detects the failure of its primary; the election follows
+	handoverDelay  = 500.0  // milliseconds from the drain of a primary to the promotion of the next one
+	listDelay      = 300.0  // maximum milliseconds until a change reaches a driver's list
+	promotionSpan  = 1000.0 // milliseconds after a promotion in which the new primary's requests are counted
 )
 
 // group is a replication group: one process with its members.
 type group struct {
 	*process
 	sim          *simulation
-	id           int64 // from 1
+	id           int64 // counted from 1
 	members      []*member
 	primary      *member        // nil while there is none
-	logStoppedAt float64        // time at which the log stopped growing for want of a primary; 0: it grows
-	term         int            // counts changes of the primary, so that elections of earlier ones end
+	logStoppedAt float64        // time at which the log stopped growing as there is no primary; 0: it grows
+	term         int            // number of elections that were started; an election of an earlier term is void
 	slowdown     float64        // factor of service times of all members
-	executions   map[string]int // of writes by op
+	executions   map[string]int // executions of writes, by op
 	promotions   []*Promotion
 	audit        *auditor
-	switchover   bool // the change under way is planned: a hook announces its end
+	switchover   bool // a planned switchover with hooks is under way
 }
 
-// Promotion is a change of the primary, and what the new one received in its first second.
+// Promotion is a change of the primary, with the load on the new primary in its first second.
 type Promotion struct {
 	At       float64 // milliseconds from the run's start
 	Group    int64
 	Member   string
-	Sends    int     // requests that it received
-	Capacity float64 // requests that it can serve
+	Sends    int     // requests that the member received in the second
+	Capacity float64 // requests that the member can serve in the second
 }
 
-// deposePrimary takes the role from a primary, if it is one, and has another elected after a delay. The log stops
-// meanwhile, unless the primary drains: then it keeps the role until then.
+// deposePrimary demotes a member, if it is the primary, and starts an election after a delay. The log does not grow
+// until then, except while the primary is draining: it stays primary until the election.
 func (g *group) deposePrimary(old *member, delay float64) {
 	if g.primary != old {
 		return
@@ -59,8 +59,8 @@
 	g.schedule(delay, func() { g.elect(old, term) })
 }
 
-// elect makes the member with the highest position primary, ties by chance, but not the one that lost the role. While
-// no member can become primary it tries again.
+// elect promotes the member with the highest log position, except the deposed one; ties are broken at random. While no
+// member is eligible it retries.
 func (g *group) elect(old *member, term int) {
 	if g.term != term {
 		return
@@ -103,7 +103,7 @@
 // announceMember sends a member's entry to every driver.
 func (g *group) announceMember(m *member) { g.sendEntry(m.entry()) }
 
-// sendEntry sends an entry to every driver, each after a delay of its own.
+// sendEntry sends an entry to every driver, each after its own random delay.
 func (g *group) sendEntry(entry logic.ListEntry) {
 	for _, d := range g.sim.drivers {
 		g.sendTo(d.process, g.random.Float64()*listDelay, func() { d.updateEntry(entry) })
--- a/internal/lab/emulator/member.go
+++ b/internal/lab/emulator/member.go
@@ -1,7 +1,7 @@
 package emulator
 
-// This file owns members: servers with a number of cores, a queue, a position in the log and connections. They draw
-// from their group's random numbers alone.
+// This file owns members: servers with a number of cores, a queue, a position in the log and connections. They use only
+// their group's random number generator.
 
 import (
 	"cmp"
@@ -12,11 +12,11 @@
 )
 
 const (
-	warmupTime       = 8000.0 // milliseconds after its start until a member has its full capacity
-	coldCapacity     = 0.3    // share of it that a member has at its start; it grows linearly
-	maxQueuePerCore  = 64     // ops that wait; further ones are rejected
-	loadedApplyShare = 0.5    // of the log's growth that a replica applies while its cores are busy and ops wait
-	hungPoll         = 100.0  // milliseconds after which an op of a member that hangs looks again
+	warmupTime       = 8000.0 // milliseconds from a member's start until it has its full capacity
+	coldCapacity     = 0.3    // share of its capacity that a member has at its start; it grows linearly
+	maxQueuePerCore  = 64     // queued ops; further ones are rejected
+	loadedApplyShare = 0.5    // share of the log's growth that a replica applies while all cores are busy and ops wait
+	hungPoll         = 100.0  // milliseconds between two checks by an op whether its hung member has resumed
 )
 
 // member is a server of a group, which owns it.
@@ -25,47 +25,47 @@
 	id      string
 	zone    int
 	phase   logic.Phase
-	started float64 // 0: before the run, so that it is warm
+	started float64 // 0: before the run, so the member is warm
 
 	dead        bool    // connections are reset and refused
 	unreachable bool    // nothing arrives and nothing is answered
 	hung        bool    // connections stay open, and nothing is answered
-	failing     bool    // every op is answered with an error at once
+	failing     bool    // every op is answered with an error immediately
 	slowdown    float64 // factor of service times
-	aging       float64 // service times grow by so many times with each minute since the start
+	aging       float64 // growth of service times per minute since the start, as a share of the original time
 
-	lag            float64 // milliseconds by which a replica is behind at the least
-	applyBacklog   float64 // milliseconds of the log that are not applied beside it, for want of cores
+	lag            float64 // minimum replication lag in milliseconds
+	applyBacklog   float64 // additional lag in milliseconds, as all cores were busy
 	backlogUpdated float64 // time at which applyBacklog was computed
-	position       float64 // up to which the log is applied, as of the last computation; it never decreases
+	position       float64 // applied log position at the last computation; it never decreases
 
-	busy        int // cores
+	busy        int // number of busy cores
 	queue       []*request
 	running     map[*request]bool
 	conns       int
-	incarnation int       // counts restarts: connections of an earlier one are reset
+	incarnation int       // number of restarts; connections of an earlier incarnation are reset
 	coldSends   []float64 // times of requests that arrived during the warmup, within the auditor's span
 
-	served      int     // requests that started
-	queueTime   float64 // milliseconds that they waited
-	serviceTime float64 // milliseconds of cores
+	served      int     // requests that were started
+	queueTime   float64 // total milliseconds that they waited in the queue
+	serviceTime float64 // total milliseconds of core time
 	peakConns   int
-	promotion   *Promotion // the latest, while it counts sends
+	promotion   *Promotion // the latest promotion, while its sends are counted
 }
 
-// request is an attempt at a member. The member owns it; its driver knows it by the attempt alone.
+// request is an attempt on the member's side. The member owns it; the driver refers to it only through the attempt.
 type request struct {
 	from      *driver
 	attempt   *attempt
 	op        string
 	kind      int // index of the op type
 	arrived   float64
-	cancelled bool // by its driver: it does not start any more
+	cancelled bool // the driver cancelled it: it is not started any more
 }
 
 func (m *member) isPrimary() bool { return m.group.primary == m }
 
-// currentPosition is up to where a member has applied the log, in milliseconds of virtual time.
+// currentPosition returns the log position that a member has applied, in milliseconds of virtual time.
 func (m *member) currentPosition() float64 {
 	m.updateBacklog()
 	at := m.group.now
@@ -81,8 +81,8 @@
 	return m.position
 }
 
-// updateBacklog advances a replica's backlog to now: while all cores are busy and ops wait it applies only a share of
-// the log, otherwise it catches up.
+// updateBacklog advances a replica's backlog to the current time: while all cores are busy and ops wait, the replica
+// applies only a share of the log; otherwise it catches up.
 func (m *member) updateBacklog() {
 	elapsed := m.group.now - m.backlogUpdated
 	m.backlogUpdated = m.group.now
@@ -93,7 +93,7 @@
 	}
 }
 
-// status is what a member reports with each answer.
+// status returns the status that a member reports with each answer.
 func (m *member) status() logic.Sight {
 	s := logic.Sight{Role: logic.Replica, Position: math.Max(m.currentPosition(), 0)}
 	if m.isPrimary() {
@@ -102,7 +102,7 @@
 	return s
 }
 
-// receive takes a request on a connection that was opened in an incarnation of the member.
+// receive handles a request on a connection that was opened in the given incarnation of the member.
 func (m *member) receive(r *request, incarnation int) {
 	if m.promotion != nil && m.group.now < m.promotion.At+m.group.sim.started+promotionSpan {
 		m.promotion.Sends++
@@ -145,7 +145,7 @@
 	}
 }
 
-// drawServiceTime draws how long a request takes on one core now.
+// drawServiceTime draws the service time of a request on one core under the member's current conditions.
 func (m *member) drawServiceTime() float64 {
 	duration := m.group.sim.setup.ServiceTime * m.group.random.ExpFloat64() * max(m.slowdown, 1) *
 		max(m.group.slowdown, 1) / m.capacityShare()
@@ -155,7 +155,7 @@
 	return duration
 }
 
-// capacityShare is the share of its capacity that a member has now: less than 1 while it warms up.
+// capacityShare returns the share of its capacity that a member currently has, which is less than 1 during warmup.
 func (m *member) capacityShare() float64 {
 	if age := m.group.now - m.started; m.started > 0 && age < warmupTime {
 		return coldCapacity + (1-coldCapacity)*age/warmupTime
@@ -163,7 +163,7 @@
 	return 1
 }
 
-// complete ends a request that ran.
+// complete ends the execution of a request and answers it.
 func (m *member) complete(r *request) {
 	if !m.running[r] {
 		return // the member was terminated meanwhile
@@ -186,7 +186,7 @@
 	m.startQueued()
 }
 
-// respond sends the driver a request's outcome. data is the position of the data that answered it.
+// respond sends a request's outcome to the driver. data is the log position that the answer reflects.
 func (m *member) respond(r *request, outcome logic.Outcome, data float64) {
 	status := m.status()
 	if latency, arrives := m.group.sim.transit(m.group.process, m.zone, r.from.zone); arrives {
@@ -194,7 +194,7 @@
 	}
 }
 
-// terminate ends all requests and connections of a member; with reset their drivers learn of it.
+// terminate ends all requests and connections of a member; with reset the drivers are notified.
 func (m *member) terminate(reset bool) {
 	m.updateBacklog()
 	lost := append(slices.Clone(m.queue), m.runningRequests()...)
@@ -208,7 +208,7 @@
 	}
 }
 
-// runningRequests is the requests that run, in a fixed order.
+// runningRequests returns the requests that are being executed, in a deterministic order.
 func (m *member) runningRequests() (all []*request) {
 	for r := range m.running {
 		all = append(all, r)
@@ -219,11 +219,11 @@
 	return all
 }
 
-// refused is the incarnation that stands for a connection that was refused.
+// refused takes the place of the incarnation in the answer to a refused connection.
 const refused = -1
 
-// accept opens a connection of a driver, or refuses it; established gets the member's incarnation after the handshake.
-// A member that can't be reached or hangs answers nothing: the driver's timeout ends the attempt.
+// accept opens a connection of a driver, or refuses it; established is called with the member's incarnation after the
+// handshake. An unreachable or hung member answers nothing: the driver's timeout ends the attempt.
 func (m *member) accept(d *driver, established func(incarnation int)) {
 	if m.unreachable || m.hung {
 		return
@@ -242,14 +242,14 @@
 	}
 }
 
-// closeConn ends a connection that was opened in an incarnation.
+// closeConn closes a connection that was opened in the given incarnation.
 func (m *member) closeConn(incarnation int) {
 	if incarnation == m.incarnation {
 		m.conns--
 	}
 }
 
-// entry is the member's in the list that discovery gives to drivers.
+// entry returns the member's entry in the list that discovery gives to drivers.
 func (m *member) entry() logic.ListEntry {
 	return logic.ListEntry{Member: m.id, Phase: m.phase, Zone: zoneName(m.zone), Started: m.started, Group: m.group.id}
 }
--- a/internal/lab/emulator/memberfaults.go
+++ b/internal/lab/emulator/memberfaults.go
@@ -1,6 +1,6 @@
 package emulator
 
-// This file owns what faults do to members and groups.
+// This file owns the effects of faults on members and groups.
 
 import (
 	"slices"
@@ -11,11 +11,11 @@
 
 const (
 	minDeployPause = 4000.0 // milliseconds between two members of a deploy
-	// deployStop is how long after the begin of its drain a member of a deploy stops, and restartShare is the share of
-	// the pause after which it starts again.
+	// deployStop is the time in milliseconds from the begin of a member's drain until a deploy stops it; restartShare is
+	// the share of the pause after which it is started again.
 	deployStop   = 2*handoverDelay + listDelay
 	restartShare = 1.0 / 8
-	minLag       = 10.0 // milliseconds that the lag's factor multiplies at the least
+	minLag       = 10.0 // minimum milliseconds to which the factor of a lag is applied
 )
 
 // inject begins a fault of a member.
@@ -59,7 +59,7 @@
 	}
 }
 
-// beginSwitchover changes a group's primary as a topology manager with hooks does: the hook tells one driver first.
+// beginSwitchover changes a group's primary as a topology manager with hooks does: the hook notifies one driver first.
 func (g *group) beginSwitchover(m *member) {
 	if !m.isPrimary() {
 		return
@@ -72,7 +72,7 @@
 	g.schedule(hookLead, func() { g.deposePrimary(m, g.sim.setup.ElectionTime) })
 }
 
-// heal ends all faults of a member. One that was down has started again, without its connections.
+// heal ends all faults of a member. A member that was down restarts cold, without connections.
 func (m *member) heal() {
 	m.currentPosition()
 	if m.dead || m.unreachable {
@@ -85,7 +85,7 @@
 	m.group.announceMember(m)
 }
 
-// deploy replaces the members of a group one by one, the primary of the begin last: each drains, stops and starts cold.
+// deploy restarts the members of a group one by one, the current primary last: each drains, stops and starts cold.
 func (g *group) deploy(pause float64) {
 	order := slices.Clone(g.members)
 	slices.SortStableFunc(order, func(a, b *member) int {
--- a/internal/lab/emulator/network.go
+++ b/internal/lab/emulator/network.go
@@ -4,18 +4,19 @@
 
 const retransmitDelay = 200.0 // milliseconds until a lost packet is sent again, doubled each time, as kernels do
 
-// maxRetransmitDelay bounds the time that losses add: behind it the packet arrives.
+// maxRetransmitDelay bounds the retransmission delay of a packet, after which it arrives.
 const maxRetransmitDelay = 16 * retransmitDelay
 
-// networkFault is a time in which a share of all packets is lost or, where loss is 0, in which nothing arrives that one
-// zone sends to another.
+// networkFault is a period in which a share of all packets is lost or, if loss is 0, in which no packet from one zone
+// reaches another.
 type networkFault struct {
 	from, until      float64
 	fromZone, toZone int
 	loss             float64
 }
 
-// transit draws the latency of a packet between two zones at the sending process's time, and says whether it arrives.
+// transit draws the latency of a packet between two zones at the sending process's time, and reports whether it
+// arrives.
 func (sim *simulation) transit(sender *process, from, to int) (latency float64, arrives bool) {
 	mean := sim.setup.ZoneLatency
 	if from != to {
--- a/internal/lab/emulator/restart.go
+++ b/internal/lab/emulator/restart.go
@@ -1,7 +1,7 @@
 package emulator
 
-// This file owns a driver's restart: what it loses, and what internal/learned restores in its next incarnation, which
-// gets no more of the one before than a folder on disk would hold.
+// This file owns a driver's restart: the state that it loses, and the state that internal/learned restores in its next
+// incarnation, which is limited to what a folder on disk would hold.
 
 import (
 	"maps"
@@ -14,9 +14,9 @@
 
 const restartDelay = 200.0 // milliseconds from a driver's end to its next incarnation
 
-// learnedRules are what learned state is kept and restored by.
-func (d *driver) learnedRules() learned.Config {
-	r := learned.Config{
+// learnedConfig returns the configuration by which learned state is saved and restored.
+func (d *driver) learnedConfig() learned.Config {
+	config := learned.Config{
 		Name:                  d.name(),
 		SaveInterval:          1000,
 		MinSwitchover:         handoverDelay,
@@ -25,22 +25,22 @@
 		SessionsTrackPosition: true,
 	}
 	for i, t := range d.sim.types {
-		r.OpTypes = append(r.OpTypes, learned.OpType{Name: d.sim.setup.Mix[i].Name, LatencyTarget: t.LatencyTarget})
+		config.OpTypes = append(config.OpTypes, learned.OpType{Name: d.sim.setup.Mix[i].Name, LatencyTarget: t.LatencyTarget})
 		if t.Need == logic.Bounded {
-			r.StalenessBound = min(r.StalenessBound, t.MaxAge)
+			config.StalenessBound = min(config.StalenessBound, t.MaxAge)
 		}
 	}
-	return r
+	return config
 }
 
-// learnedMoment is the time now, as internal/learned takes it.
-func (d *driver) learnedMoment() learned.Timestamp {
+// learnedTimestamp returns the current time in the form of internal/learned.
+func (d *driver) learnedTimestamp() learned.Timestamp {
 	return learned.Timestamp{Wall: d.now, Uptime: d.now, BootID: "emulated"}
 }
 
-// restart ends a driver at once, with all open ops and connections, and starts it again after a delay; with keep from
-// the learned state that was saved at the end. Its list is the current one, but for roles, which are those of the run's
-// start.
+// restart ends a driver immediately, with all open ops and connections, and starts it again after a delay; with keep it
+// starts from the learned state that was saved at its end. Its list of members is the current one, except that roles
+// are those of the run's start.
 func (d *driver) restart(keep bool) {
 	if d.down {
 		return
@@ -57,13 +57,13 @@
 	if d.removed {
 		return
 	}
-	d.schedule(restartDelay, func() { d.startAgain(state) })
+	d.schedule(restartDelay, func() { d.startNextIncarnation(state) })
 }
 
-// saveState is the learned state as the next incarnation would load it.
+// saveState returns the learned state as the next incarnation loads it.
 func (d *driver) saveState(memory *logic.Memory) *learned.State {
-	now := d.learnedMoment()
-	table := learned.NewTable(d.learnedRules(), nil, now)
+	now := d.learnedTimestamp()
+	table := learned.NewTable(d.learnedConfig(), nil, now)
 	table.StartRun(now)
 	table.UpdateMembership(now, 1, true, d.listEntries())
 	table.Update(now, memory, true)
@@ -74,7 +74,7 @@
 	return state
 }
 
-// dropOps ends all open ops: their clients see their connections break. Members may still run them.
+// dropOps ends all open ops, as their clients' connections break. Members may still execute them.
 func (d *driver) dropOps() {
 	for _, id := range slices.Sorted(maps.Keys(d.ops)) {
 		o := d.ops[id]
@@ -83,7 +83,7 @@
 		}
 		if !o.finished {
 			o.finished = true
-			o.answers++ // the broken connection is no answer, and no missing one either
+			o.answers++ // so that the broken connection does not count as a missing answer
 			d.worker.counters.Lost++
 		}
 	}
@@ -92,7 +92,7 @@
 
 // dropConnections closes all idle connections.
 func (d *driver) dropConnections() {
-	for _, m := range d.sim.members { // in a fixed order
+	for _, m := range d.sim.members { // in a deterministic order
 		for _, c := range d.idleConns[m] {
 			d.sendTo(m.group.process, d.sim.setup.ZoneLatency, func() { m.closeConn(c.incarnation) })
 		}
@@ -100,11 +100,11 @@
 	d.idleConns = map[*member][]idleConn{}
 }
 
-// startAgain begins the next incarnation, from saved state where there is one.
-func (d *driver) startAgain(state *learned.State) {
+// startNextIncarnation starts the next incarnation, from the saved state unless it is nil.
+func (d *driver) startNextIncarnation(state *learned.State) {
 	d.down = false
 	d.policy = d.newPolicy()
-	d.opening.Seed = d.opening.Seed*6364136223846793005 + 1 // another with each start
+	d.opening.Seed = d.opening.Seed*6364136223846793005 + 1 // a different seed at each start
 	events := []logic.Event{{Kind: logic.EvOpen, Opening: &d.opening},
 		{Kind: logic.EvMembers, List: logic.ListCached, Members: slices.Clone(d.list)}}
 	for _, e := range d.list {
@@ -112,13 +112,13 @@
 	}
 	if state != nil {
 		list := learned.Membership{Revision: 1, Entries: d.listEntries()}
-		restored := learned.Restore(state, d.learnedRules(), d.learnedMoment(), list)
+		restored := learned.Restore(state, d.learnedConfig(), d.learnedTimestamp(), list)
 		events = append(events, logic.Event{Kind: logic.EvRecall, Memory: &restored.Memory})
 	}
 	d.step(events...)
 }
 
-// listEntries is the list of members as internal/learned takes it.
+// listEntries returns the list of members in the form of internal/learned.
 func (d *driver) listEntries() (all []learned.Entry) {
 	for _, e := range d.list {
 		phase := learned.PhaseUp
--- a/internal/lab/emulator/run.go
+++ b/internal/lab/emulator/run.go
@@ -15,14 +15,14 @@
 // ErrStopped is the error of a run that its progress function ended.
 var ErrStopped = errors.New("stopped")
 
-// maxFirstViolations bounds those that a result describes.
+// maxFirstViolations is the maximum number of violations that a result describes.
 const maxFirstViolations = 50
 
-// startTime is the virtual time at which a run begins, in milliseconds: positions and start times of members may lie
-// before it, and stay above zero.
+// startTime is the virtual time at which a run begins, in milliseconds. It is large enough for positions and start
+// times of members before it to stay above zero.
 const startTime = 1e6
 
-// simulation is all of a run.
+// simulation is the state of a run.
 type simulation struct {
 	setup         Setup
 	scheduler     *scheduler
@@ -30,15 +30,15 @@
 	members       []*member
 	membersByID   map[string]*member
 	drivers       []*driver
-	types         []logic.OpType // of the setup's mix
-	totalShare    float64        // of all op types
+	types         []logic.OpType // op types of the setup's mix
+	totalShare    float64        // sum of the shares of all op types
 	networkFaults []networkFault
 	started       float64
 }
 
-// Run simulates a setup on a number of workers, which changes nothing but the time that it takes. progress, where it
-// is not nil, gets the share that is done now and then; it says whether to go on. An error: the setup makes no sense,
-// or names a fault or target that is not known, or ErrStopped.
+// Run simulates a setup on a number of workers, which affects only the time that the run takes. progress, if not nil,
+// is called periodically with the share of the run that is done, and reports whether to continue. Run returns an error
+// if the setup is invalid or names an unknown fault or target, and ErrStopped if progress ended the run.
 func Run(setup Setup, workers int, progress func(done float64) bool) (*Result, error) {
 	if err := setup.Check(); err != nil {
 		return nil, err
@@ -71,7 +71,7 @@
 		sim.types = append(sim.types, k.OpType)
 		sim.totalShare += k.Share
 	}
-	// Every latency is more than half of its mean.
+	// Every latency is at least half of its mean.
 	sim.scheduler = newScheduler(workers, 0.5*min(setup.ZoneLatency, setup.CrossZoneLatency))
 	for _, w := range sim.scheduler.workers {
 		w.counters = newCounters(&setup)
@@ -89,7 +89,7 @@
 	return sim, nil
 }
 
-// result adds up what processes and workers have counted.
+// result sums the statistics of processes and workers.
 func (sim *simulation) result() *Result {
 	r := &Result{Setup: sim.setup, Violations: map[string]int{}}
 	total := newCounters(&sim.setup)
@@ -128,7 +128,7 @@
 	return r
 }
 
-// collectViolations counts what all auditors found, and describes the first of it.
+// collectViolations counts the violations of all auditors, and describes the first ones.
 func (sim *simulation) collectViolations(r *Result) {
 	found := sim.auditWrites()
 	for _, v := range found {
--- a/internal/lab/emulator/scheduler.go
+++ b/internal/lab/emulator/scheduler.go
@@ -1,8 +1,8 @@
 package emulator
 
-// This file owns virtual time: processes with their own events and random numbers, which workers run side by side in
-// windows shorter than the shortest latency between two of them. Neither the number of workers nor the order in which
-// they work changes what a process sees.
+// This file owns virtual time: processes with their own events and random numbers, which workers run in parallel in
+// windows shorter than the shortest latency between two processes. Neither the number of workers nor the order in which
+// they run affects a process.
 
 import (
 	"math"
@@ -13,12 +13,12 @@
 )
 
 const (
-	maxSpins       = 200 // of a worker that waits, before it yields its core
+	maxSpins       = 200 // iterations of a waiting worker before it yields its core
 	progressPeriod = 64  // windows between two reports of progress
 )
 
-// event is an action of a process at a time. Events of one time are ordered by the process that scheduled them, then
-// by its serial numbers: the order is the same for any number of workers.
+// event is an action of a process at a time. Events at the same time are ordered by the process that scheduled them,
+// then by its serial numbers, so that the order is the same for any number of workers.
 type event struct {
 	time   float64
 	serial uint64
@@ -36,18 +36,18 @@
 	return e.serial < other.serial
 }
 
-// process is a part of the simulation that nobody else touches while time passes: a driver, or a group with its
+// process is a part of the simulation that no other part accesses within a window: a driver, or a group with its
 // members.
 type process struct {
 	id     int32
 	now    float64 // milliseconds; within an action the time of its event
-	serial uint64  // of the last event that it scheduled
+	serial uint64  // serial number of the last event that it scheduled
 	events []event // a binary heap
 	random *rand.Rand
 	worker *worker
 }
 
-// push adds an event to the heap. The heap is written out, as container/heap would allocate with each event.
+// push adds an event to the heap. The heap is implemented here, as container/heap would allocate for each event.
 func (p *process) push(e event) {
 	p.events = append(p.events, e)
 	for i := len(p.events) - 1; i > 0; {
@@ -87,7 +87,7 @@
 	p.push(event{p.now + max(delay, 0), p.serial, p.id, action})
 }
 
-// sendTo runs an action in another process after a delay, which is the lookahead at least.
+// sendTo runs an action in another process after a delay, which is at least the lookahead.
 func (p *process) sendTo(to *process, delay float64, action func()) {
 	if p == to {
 		p.schedule(delay, action)
@@ -112,10 +112,10 @@
 	processes    []*process
 	outbox       [][]message // by receiving worker, which empties it between two windows
 	next         float64     // time of the earliest event of its processes
-	executed     uint64      // events
+	executed     uint64      // number of executed events
 	counters     *counters
-	startedPhase atomic.Uint64 // the phase that it may run
-	_            [64]byte      // no two workers' counters share a cache line
+	startedPhase atomic.Uint64 // the latest phase that it may run
+	_            [64]byte      // keeps two workers' counters out of the same cache line
 }
 
 // scheduler advances the time of all processes. It alternates between phases with odd numbers, in which workers take
@@ -123,7 +123,7 @@
 type scheduler struct {
 	lookahead float64 // milliseconds: shorter than any latency between processes
 	workers   []*worker
-	finished  atomic.Int64 // workers, beside the first, that have finished the phase
+	finished  atomic.Int64 // number of workers, without the first one, that have finished the phase
 	windowEnd float64
 	phase     uint64
 	stopped   atomic.Bool
@@ -138,7 +138,7 @@
 	return s
 }
 
-// newProcess creates a process; which worker runs it changes nothing but the time that the run takes.
+// newProcess returns a new process and assigns it to a worker, which affects only the time that the run takes.
 func (s *scheduler) newProcess(id int, seed uint64, now float64) *process {
 	w := s.workers[id%len(s.workers)]
 	p := &process{id: int32(id), now: now, random: rand.New(rand.NewPCG(seed, uint64(id)+101)), worker: w}
@@ -146,7 +146,7 @@
 	return p
 }
 
-// runWindow runs the events before the window's end, process by process.
+// runWindow executes all events before the window's end, one process after the other.
 func (w *worker) runWindow(end float64) {
 	for _, p := range w.processes {
 		for len(p.events) > 0 && p.events[0].time < end {
@@ -158,8 +158,8 @@
 	}
 }
 
-// takeMessages moves the messages to its processes into their queues, and finds the next event.
-func (w *worker) takeMessages() {
+// receiveMessages moves messages for the worker's processes into their queues, and finds the next event.
+func (w *worker) receiveMessages() {
 	for _, other := range w.scheduler.workers {
 		for i, m := range other.outbox[w.index] {
 			m.to.push(m.event)
@@ -175,12 +175,12 @@
 	}
 }
 
-// run advances the time to an end. progress is called between windows, now and then, with the time that is reached; it
-// says whether to go on.
+// run advances the time to an end. progress is called periodically between windows with the time that is reached; it
+// reports whether to continue.
 func (s *scheduler) run(end float64, progress func(now float64) bool) {
-	var helpers sync.WaitGroup
+	var running sync.WaitGroup
 	for _, w := range s.workers[1:] {
-		helpers.Go(w.help)
+		running.Go(w.runPhases)
 	}
 	s.runPhase()
 	for n := 0; ; n++ {
@@ -197,7 +197,7 @@
 	}
 	s.stopped.Store(true)
 	s.startPhase()
-	helpers.Wait()
+	running.Wait()
 	for _, w := range s.workers {
 		for _, p := range w.processes {
 			p.now = end
@@ -205,7 +205,7 @@
 	}
 }
 
-// startPhase lets the other workers begin the next phase.
+// startPhase starts the next phase on the other workers.
 func (s *scheduler) startPhase() {
 	s.phase++
 	s.finished.Store(0)
@@ -221,8 +221,8 @@
 	spinUntil(func() bool { return s.finished.Load() >= int64(len(s.workers)-1) })
 }
 
-// help runs each phase once it has started, until the scheduler has stopped.
-func (w *worker) help() {
+// runPhases runs each phase once it is started, until the scheduler stops.
+func (w *worker) runPhases() {
 	for phase := uint64(1); ; phase++ {
 		spinUntil(func() bool { return w.startedPhase.Load() >= phase })
 		if w.scheduler.stopped.Load() {
@@ -235,13 +235,13 @@
 
 func (w *worker) work(phase uint64) {
 	if phase%2 == 1 {
-		w.takeMessages()
+		w.receiveMessages()
 	} else {
 		w.runWindow(w.scheduler.windowEnd)
 	}
 }
 
-// spinUntil waits for a condition that comes true within microseconds, on a core of its own where there is one.
+// spinUntil busy-waits for a condition that becomes true within microseconds, and yields its core after maxSpins.
 func spinUntil(condition func() bool) {
 	for spins := 0; !condition(); spins++ {
 		if spins > maxSpins {
--- a/internal/lab/emulator/stats.go
+++ b/internal/lab/emulator/stats.go
@@ -1,7 +1,7 @@
 package emulator
 
-// This file owns what is counted: by op type, by second, by group. Counters hold integers alone, so that their sum
-// over workers is the same for any number of them.
+// This file owns the statistics by op type, second and group. Counters are integers, so that their sum over workers is
+// the same for any number of workers.
 
 import (
 	"github.com/HdrHistogram/hdrhistogram-go"
@@ -12,65 +12,65 @@
 const (
 	gapStep    = 5.0   // milliseconds: the resolution of gaps between writes
 	sampleStep = 250.0 // milliseconds between two samples of a driver
-	// spareSeconds are counted behind the run's duration, for ops that end then.
-	spareSeconds = 8
+	// extraSeconds is the number of seconds counted after the run's duration, for ops that end then.
+	extraSeconds = 8
 )
 
-// Outcome is what came of a client's op.
+// Outcome is the outcome of a client's op.
 type Outcome uint8
 
 // The outcomes of an op; OutcomeCount is their number.
 const (
 	Acked   Outcome = iota
-	Refused         // proved not to have run: the client may retry
-	Failed          // it may have run
+	Refused         // proved not to have been executed: the client may retry
+	Failed          // may have been executed
 	OutcomeCount
 )
 
-// OpStats are of one op type.
+// OpStats are the statistics of one op type.
 type OpStats struct {
 	Outcomes     [OutcomeCount]int
-	WithinTarget int                     // acknowledged within the latency target of the first submission
-	Latency      *hdrhistogram.Histogram // of acknowledged ops, in microseconds from the first submission
+	WithinTarget int                     // ops acknowledged within the latency target since the first submission
+	Latency      *hdrhistogram.Histogram // of acknowledged ops, in microseconds since the first submission
 }
 
-// Second is what happened in one second of a run; slices are by op type where nothing else is said.
+// Second holds the statistics of one second of a run; slices are by op type unless stated otherwise.
 type Second struct {
-	Arrivals       []int // ops that were submitted first in it
-	WithinTarget   []int // those of them that were acknowledged within their target
-	Retries        int   // ops that were submitted again
+	Arrivals       []int // ops first submitted in the second
+	WithinTarget   []int // those of the arrivals that were acknowledged within their target
+	Retries        int   // ops submitted again
 	Outcomes       [OutcomeCount]int
 	WithoutPrimary []int // by group: samples of drivers that knew no primary
-	Samples        int   // of one group, all drivers
-	PendingWrites  int   // writes without an open attempt, all samples together
+	Samples        int   // samples per group, all drivers together
+	PendingWrites  int   // writes without an open attempt, sum over all samples
 }
 
-// MemberStats are of one member over the whole run.
+// MemberStats are the statistics of one member over the whole run.
 type MemberStats struct {
 	Member      string
 	Served      int
-	MeanWait    float64 // milliseconds until a core was free
+	MeanWait    float64 // mean milliseconds in the queue
 	Utilization float64 // share of its cores' time
 	PeakConns   int
 }
 
-// counters are what one worker counts, or the sum of all.
+// counters are the counters of one worker, or their sum over all workers.
 type counters struct {
 	Types      []OpStats // by op type
 	Seconds    []Second
-	Lost       int // ops whose driver restarted or was paused under them
+	Lost       int // ops lost as their driver restarted or was paused
 	sends      int
 	messages   int
 	connects   int
-	ackedSlots map[int64][]bool // by group, in steps of gapStep: whether a write was acknowledged
+	ackedSlots map[int64][]bool // by group and step of gapStep: whether a write was acknowledged in it
 }
 
-// Result is what came of a run.
+// Result is the result of a run.
 type Result struct {
 	Setup Setup
 	counters
-	Ops             int            // without retries
-	ValueShare      float64        // value of the ops that were served within their target, as a share of all ops' value
+	Ops             int            // ops without retries
+	ValueShare      float64        // value of the ops served within their target, as a share of all ops' value
 	Violations      map[string]int // by rule
 	FirstViolations []string       // the first of them, described
 	Events          uint64
@@ -79,16 +79,16 @@
 	Members         []MemberStats
 }
 
-// Sends is the number of attempts.
+// Sends returns the number of attempts.
 func (c *counters) Sends() int { return c.sends }
 
-// Messages is the number of messages between drivers.
+// Messages returns the number of messages between drivers.
 func (c *counters) Messages() int { return c.messages }
 
-// Connects is the number of connections that were opened, or tried to be.
+// Connects returns the number of attempts to open a connection.
 func (c *counters) Connects() int { return c.connects }
 
-// Quantile is of the latency of acknowledged ops, in milliseconds; q is in percent.
+// Quantile returns a quantile of the latency of acknowledged ops, in milliseconds; q is in percent.
 func (s *OpStats) Quantile(q float64) float64 { return float64(s.Latency.ValueAtQuantile(q)) / 1000 }
 
 func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 60e6, 3) }
@@ -96,7 +96,7 @@
 func newCounters(setup *Setup) *counters {
 	c := &counters{
 		Types:      make([]OpStats, len(setup.Mix)),
-		Seconds:    make([]Second, int(setup.Duration/1000)+spareSeconds),
+		Seconds:    make([]Second, int(setup.Duration/1000)+extraSeconds),
 		ackedSlots: map[int64][]bool{},
 	}
 	for i := range c.Types {
@@ -112,7 +112,7 @@
 	return c
 }
 
-// second is that of a time in milliseconds from the run's start.
+// second returns the statistics of the second at a time in milliseconds from the run's start.
 func (c *counters) second(at float64) *Second { return &c.Seconds[min(int(at/1000), len(c.Seconds)-1)] }
 
 // opSubmitted counts an op that a client submits.
@@ -134,7 +134,7 @@
 		return
 	}
 	latency := d.now - o.started
-	_ = stats.Latency.RecordValue(max(int64(latency*1000), 1)) // what is beyond its range isn't counted
+	_ = stats.Latency.RecordValue(max(int64(latency*1000), 1)) // a value beyond the histogram's range isn't counted
 	if latency <= d.sim.types[o.kind].LatencyTarget {
 		stats.WithinTarget++
 		c.second(o.started - d.sim.started).WithinTarget[o.kind]++
@@ -144,7 +144,7 @@
 	}
 }
 
-// writeAcked marks the slot of a time in which a group's write was acknowledged.
+// writeAcked marks the step in which a group's write was acknowledged.
 func (c *counters) writeAcked(group int64, at, duration float64) {
 	if c.ackedSlots[group] == nil {
 		c.ackedSlots[group] = make([]bool, int(duration/gapStep)+1)
@@ -154,11 +154,11 @@
 	}
 }
 
-// longestGap is the longest time without an acknowledged write, in milliseconds, between the first and the last.
+// longestGap returns the longest time between two consecutive acknowledged writes, in milliseconds.
 func longestGap(acked []bool) float64 {
 	longest, last := 0, -1
-	for i, is := range acked {
-		if is {
+	for i, wasAcked := range acked {
+		if wasAcked {
 			if last >= 0 {
 				longest = max(longest, i-last)
 			}
@@ -168,7 +168,7 @@
 	return float64(longest) * gapStep
 }
 
-// add adds what another worker has counted.
+// add adds the counters of another worker.
 func (c *counters) add(other *counters) {
 	for i := range c.Types {
 		sum, x := &c.Types[i], &other.Types[i]
@@ -209,7 +209,7 @@
 	}
 }
 
-// scheduleSample samples a driver periodically while clients arrive.
+// scheduleSample samples the driver periodically while clients arrive.
 func (d *driver) scheduleSample() {
 	d.schedule(sampleStep, func() {
 		if d.now >= d.sim.started+d.sim.setup.Duration {
@@ -220,7 +220,7 @@
 	})
 }
 
-// sample counts the writes that have no open attempt, and the groups of which the module knows no primary.
+// sample counts the writes without an open attempt, and the groups whose primary the module does not know.
 func (d *driver) sample(second *Second) {
 	second.Samples++
 	for _, o := range d.ops {
--- a/internal/lab/emulator/switchover.go
+++ b/internal/lab/emulator/switchover.go
@@ -1,7 +1,7 @@
 package emulator
 
-// This file owns notifications of planned changes between a hook and drivers, which go by internal/switchover as in the
-// driver. A driver learns of a change by messages alone.
+// This file owns notifications of planned switchovers between a hook and drivers, which use internal/switchover as the
+// real driver does. A driver learns of a switchover only by messages.
 
 import (
 	"weirwind/internal/switchover"
@@ -9,12 +9,12 @@
 )
 
 const (
-	hookDelay     = 2.0  // milliseconds from a hook to its driver: a process that calls a socket
-	hookLead      = 50.0 // milliseconds from a hook to the change that it announces
-	observePeriod = 20.0 // milliseconds between two looks at the primary while a change is open, as in the driver
+	hookDelay     = 2.0  // milliseconds from a hook to its driver: the hook is a process that connects to a socket
+	hookLead      = 50.0 // milliseconds from a hook to the change of the primary that it announces
+	observePeriod = 20.0 // milliseconds between two polls of the primary while a switchover is open
 )
 
-// switchoverTracker is the driver's state of planned changes, which the first notification creates.
+// switchoverTracker returns the driver's state of planned switchovers, which the first notification creates.
 func (d *driver) switchoverTracker() *switchover.Tracker {
 	if d.switchovers == nil {
 		d.switchovers = switchover.New(
@@ -33,7 +33,7 @@
 	return d.switchovers
 }
 
-// handleHook takes a hook's notification and sends it to all peers.
+// handleHook handles a hook's notification and forwards it to all peers.
 func (d *driver) handleHook(notification switchover.Notification) {
 	if d.down || d.deferIfPaused(func() { d.handleHook(notification) }) {
 		return
@@ -54,7 +54,7 @@
 	}
 }
 
-// handleNotification takes a peer's notification.
+// handleNotification handles a peer's notification.
 func (d *driver) handleNotification(notification switchover.Notification) {
 	if d.down || d.deferIfPaused(func() { d.handleNotification(notification) }) {
 		return
@@ -66,7 +66,7 @@
 	d.applyOutcome(outcome)
 }
 
-// applyOutcome carries out what the tracker decided, and observes the primary for as long as a change is open.
+// applyOutcome executes the tracker's decisions, and polls the primaries while a switchover is open.
 func (d *driver) applyOutcome(outcome switchover.Outcome) {
 	for _, m := range outcome.Marks {
 		d.draining[m.Member] = m.Draining
@@ -86,7 +86,7 @@
 	}
 }
 
-// observe observes the primaries periodically while a change is open.
+// observe polls the primaries periodically while a switchover is open.
 func (d *driver) observe() {
 	d.schedule(observePeriod, func() {
 		if d.down || !d.switchovers.Active() {
@@ -100,7 +100,7 @@
 	})
 }
 
-// observePrimaries gives the tracker the primaries that the module knows, and the time.
+// observePrimaries passes the primaries that the module knows, and the current time, to the tracker.
 func (d *driver) observePrimaries() {
 	memory, module := d.moduleMemory()
 	if !module {
--- a/internal/lab/experiment/charts.go
+++ b/internal/lab/experiment/charts.go
@@ -1,6 +1,6 @@
 package experiment
 
-// This file owns pictures: what is drawn of rows, and how.
+// This file owns the charts of rows.
 
 import (
 	"bytes"
@@ -22,19 +22,19 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// colours are distinguishable with colour blindness; variants take them in order.
+// colours are distinguishable with colour blindness; variants use them in this order.
 var colours = []color.Color{color.RGBA{0, 114, 178, 255}, color.RGBA{213, 94, 0, 255}, color.RGBA{0, 158, 115, 255},
 	color.RGBA{204, 121, 167, 255}, color.RGBA{86, 180, 233, 255}, color.RGBA{120, 94, 0, 255}}
 
 const panelWidth, panelHeight = 5 * vg.Inch, 3 * vg.Inch
 
-// panel is one picture; those of a section have the same axes, so that sizes can be compared.
+// panel is one chart; the panels of a section have the same y axis, so that they can be compared.
 type panel struct {
 	name string
 	plot *plot.Plot
 }
 
-// svg is the picture as an element of a page.
+// svg returns the chart as an element of an HTML page.
 func (p *panel) svg() (template.HTML, error) {
 	c := vgsvg.New(panelWidth, panelHeight)
 	p.plot.Draw(draw.New(c))
@@ -46,7 +46,7 @@
 	return template.HTML("<svg" + text), nil
 }
 
-// png writes the picture into a folder.
+// png writes the chart into a folder.
 func (p *panel) png(folder string) error {
 	c := vgimg.PngCanvas{Canvas: vgimg.New(panelWidth, panelHeight)}
 	p.plot.Draw(draw.New(c))
@@ -54,7 +54,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = f.Close() }() // a write that failed has said so
+	defer func() { _ = f.Close() }() // an error of writing is returned below
 	_, err = c.WriteTo(f)
 	return err
 }
@@ -85,7 +85,7 @@
 	return nil
 }
 
-// mergedLatencies is the histogram of all op types of runs.
+// mergedLatencies returns the latency histogram of all op types of runs.
 func mergedLatencies(rows []Run) (*hdrhistogram.Histogram, error) {
 	all := hdrhistogram.New(1, 60e6, 3)
 	for i := range rows {
@@ -100,14 +100,14 @@
 	return all, nil
 }
 
-// meanBySecond is a value's mean over runs, second by second.
-func meanBySecond(rows []Run, of func(*Second) float64) plotter.XYs {
+// meanBySecond returns the mean of a value over runs for each second.
+func meanBySecond(rows []Run, value func(*Second) float64) plotter.XYs {
 	var xy plotter.XYs
 	for i := range rows[0].Seconds {
 		sum, n := 0.0, 0
 		for k := range rows {
 			if i < len(rows[k].Seconds) {
-				sum += of(&rows[k].Seconds[i])
+				sum += value(&rows[k].Seconds[i])
 				n++
 			}
 		}
@@ -122,11 +122,11 @@
 	panels      []panel
 }
 
-// timeSeries are the sections with a value for each second.
+// timeSeries are the sections that show a value for each second.
 var timeSeries = []struct {
 	name, title, note, yLabel string
 	value                     func(*Second) float64
-	maxY                      float64 // of the axis; 0: what there is
+	maxY                      float64 // maximum of the y axis; 0: the maximum of the data
 }{
 	{"worth", "Worth over time", "Value served in time, as a share of what was asked first in that second.", "share",
 		func(second *Second) float64 { return second.ValueShare }, 1.4},
@@ -149,63 +149,63 @@
 	sections []section
 }
 
-// rowsOf is the rows of a variant in a cell.
-func (d *sectionBuilder) rowsOf(c cell, variant string) []Run {
-	return slices.DeleteFunc(slices.Clone(d.rows), func(r Run) bool {
+// rowsOf returns the rows of a variant in a cell.
+func (builder *sectionBuilder) rowsOf(c cell, variant string) []Run {
+	return slices.DeleteFunc(slices.Clone(builder.rows), func(r Run) bool {
 		return r.cell() != c || r.Variant != variant
 	})
 }
 
-// title is a cell's heading.
+// title returns a cell's heading.
 func (c cell) title() string {
 	return fmt.Sprintf("%s: %d drivers, load %g", c.experiment, c.drivers, c.load)
 }
 
-// label is part of a picture's file name.
+// label returns the base name of a chart's file.
 func (c cell) label(kind string) string {
 	return fmt.Sprintf("%s-%s-%d-%g", kind, c.experiment, c.drivers, c.load)
 }
 
-// chart is how a section is drawn: a panel a cell, lines by variant, and one scale for all.
+// chart describes how a section is drawn: a panel for each cell, a line for each variant, and a common scale.
 type chart struct {
 	kind, title, note, xLabel, yLabel string
-	maxY                              float64 // of the y axis; 0: what there is
+	maxY                              float64 // maximum of the y axis; 0: the maximum of the data
 	draw                              func(canvas *plot.Plot, n int, rows []Run, variant string) error
 }
 
 // addChart draws a section.
-func (d *sectionBuilder) addChart(h chart) error {
-	s := section{title: h.title, note: h.note}
-	for _, c := range d.cells {
-		p := newPlot(c.title(), h.xLabel, h.yLabel)
-		for n, v := range d.variants {
-			if some := d.rowsOf(c, v); len(some) > 0 {
-				if err := h.draw(p, n, some, v); err != nil {
+func (builder *sectionBuilder) addChart(spec chart) error {
+	s := section{title: spec.title, note: spec.note}
+	for _, c := range builder.cells {
+		p := newPlot(c.title(), spec.xLabel, spec.yLabel)
+		for n, v := range builder.variants {
+			if variantRows := builder.rowsOf(c, v); len(variantRows) > 0 {
+				if err := spec.draw(p, n, variantRows, v); err != nil {
 					return err
 				}
 			}
 		}
-		s.panels = append(s.panels, panel{c.label(h.kind), p})
+		s.panels = append(s.panels, panel{c.label(spec.kind), p})
 	}
-	high := h.maxY
+	maxValue := spec.maxY
 	for _, p := range s.panels {
-		if h.maxY == 0 && !math.IsInf(p.plot.Y.Max, 0) {
-			high = max(high, p.plot.Y.Max*1.15)
+		if spec.maxY == 0 && !math.IsInf(p.plot.Y.Max, 0) {
+			maxValue = max(maxValue, p.plot.Y.Max*1.15)
 		}
 	}
 	for _, p := range s.panels {
-		p.plot.Y.Min, p.plot.Y.Max = 0, max(high, 1e-3)
+		p.plot.Y.Min, p.plot.Y.Max = 0, max(maxValue, 1e-3)
 	}
-	d.sections = append(d.sections, s)
+	builder.sections = append(builder.sections, s)
 	return nil
 }
 
-// newSections draws all panels of rows: outcomes, time series, latencies, utilization by member.
+// newSections returns the sections with all panels of rows: outcomes, time series, latencies, utilization by member.
 func newSections(rows []Run) ([]section, error) {
-	d := &sectionBuilder{rows: rows, cells: cellsOf(rows)}
+	builder := &sectionBuilder{rows: rows, cells: cellsOf(rows)}
 	for i := range rows {
-		if !slices.Contains(d.variants, rows[i].Variant) {
-			d.variants = append(d.variants, rows[i].Variant)
+		if !slices.Contains(builder.variants, rows[i].Variant) {
+			builder.variants = append(builder.variants, rows[i].Variant)
 		}
 	}
 	var charts []chart
@@ -220,13 +220,13 @@
 			drawLatency},
 		chart{"members", "Load by member", "Share of its cores' time that each member was busy, the busiest first.", "member",
 			"share", 0, drawUtilization})
-	for _, h := range charts {
-		if err := d.addChart(h); err != nil {
+	for _, spec := range charts {
+		if err := builder.addChart(spec); err != nil {
 			return nil, err
 		}
 	}
-	outcomes, err := d.outcomes()
-	return append([]section{outcomes}, d.sections...), err
+	outcomes, err := builder.outcomes()
+	return append([]section{outcomes}, builder.sections...), err
 }
 
 // drawLatency draws the quantiles of a variant's acked ops.
@@ -245,7 +245,7 @@
 	return AddLine(canvas, n, variant, xy)
 }
 
-// drawUtilization draws how busy members were, the mean over a variant's seeds.
+// drawUtilization draws the utilization of members in decreasing order, as means over a variant's seeds.
 func drawUtilization(canvas *plot.Plot, n int, rows []Run, variant string) error {
 	busy := make([]float64, len(rows[0].Members))
 	for i := range rows {
@@ -264,22 +264,22 @@
 	return AddLine(canvas, n, variant, xy)
 }
 
-// outcomes draws stacked bars, a panel for each cell: the outcomes of ops, variant by variant.
-func (d *sectionBuilder) outcomes() (section, error) {
+// outcomes draws the outcomes of ops as stacked bars: a panel for each cell, with a bar for each variant.
+func (builder *sectionBuilder) outcomes() (section, error) {
 	s := section{title: "Outcomes", note: "Of all tries: acked in time, acked late, refused, failed."}
-	for _, c := range d.cells {
+	for _, c := range builder.cells {
 		p := newPlot(c.title(), "", "share of tries")
-		if err := d.addBars(p, d.outcomeShares(c)); err != nil {
+		if err := builder.addBars(p, builder.outcomeShares(c)); err != nil {
 			return s, err
 		}
-		p.NominalX(d.variants...)
+		p.NominalX(builder.variants...)
 		p.Y.Min, p.Y.Max = 0, 1.35
 		s.panels = append(s.panels, panel{c.label("outcomes"), p})
 	}
 	return s, nil
 }
 
-// outcomeBars are the parts of a bar, from the bottom.
+// outcomeBars are the parts of a bar, from bottom to top.
 var outcomeBars = []struct {
 	name   string
 	colour color.Color
@@ -290,31 +290,31 @@
 	{"failed", color.RGBA{213, 94, 0, 255}},
 }
 
-// outcomeShares is the share of each outcome, by variant.
-func (d *sectionBuilder) outcomeShares(c cell) []plotter.Values {
+// outcomeShares returns the share of each outcome, by variant.
+func (builder *sectionBuilder) outcomeShares(c cell) []plotter.Values {
 	values := make([]plotter.Values, len(outcomeBars))
-	for _, v := range d.variants {
+	for _, v := range builder.variants {
 		var counts [4]float64
-		all := 1e-9
-		for _, r := range d.rowsOf(c, v) {
+		total := 1e-9
+		for _, r := range builder.rowsOf(c, v) {
 			for _, t := range r.Types {
 				for i, x := range [4]int64{t.WithinTarget, t.Acked - t.WithinTarget, t.Refused, t.Failed} {
-					counts[i], all = counts[i]+float64(x), all+float64(x)
+					counts[i], total = counts[i]+float64(x), total+float64(x)
 				}
 			}
 		}
 		for i := range counts {
-			values[i] = append(values[i], counts[i]/all)
+			values[i] = append(values[i], counts[i]/total)
 		}
 	}
 	return values
 }
 
 // addBars stacks the values of all outcomes.
-func (d *sectionBuilder) addBars(canvas *plot.Plot, values []plotter.Values) error {
+func (builder *sectionBuilder) addBars(canvas *plot.Plot, values []plotter.Values) error {
 	var below *plotter.BarChart
 	for i, part := range outcomeBars {
-		bars, err := plotter.NewBarChart(values[i], vg.Points(200/float64(len(d.variants))))
+		bars, err := plotter.NewBarChart(values[i], vg.Points(200/float64(len(builder.variants))))
 		if err != nil {
 			return err
 		}
--- a/internal/lab/experiment/compare.go
+++ b/internal/lab/experiment/compare.go
@@ -1,7 +1,7 @@
 package experiment
 
-// This file owns the comparison of runs: pairs by seed, means of their differences and 95 % intervals. What chance
-// explains is not called a difference.
+// This file owns the comparison of runs: it pairs runs by seed, and computes the means of their differences and 95 %
+// confidence intervals. A difference that is not significant is not reported as better or worse.
 
 import (
 	"cmp"
@@ -15,16 +15,16 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Measure is one figure of a run. Better is 1 where more is better, -1 where less is, 0 where neither.
+// Measure is one figure of a run. Better is 1 if a higher value is better, -1 if a lower one is, and 0 if neither.
 type Measure struct {
 	Name   string
 	Better int
 	Value  func(*Run) float64
-	// OnSockets says that a run on sockets counts it too.
+	// OnSockets reports whether runs on sockets have this measure too.
 	OnSockets bool
 }
 
-// Measures are what runs are compared by.
+// Measures are the measures by which runs are compared.
 var Measures = []Measure{
 	{"worth served in time", 1, func(r *Run) float64 { return r.ValueShare }, true},
 	{"worth, last quarter", 1, (*Run).LateValueShare, false},
@@ -62,7 +62,7 @@
 	}, false},
 }
 
-// LateValueShare is the mean value share of the seconds of the last quarter.
+// LateValueShare returns the mean value share over the seconds of the last quarter.
 func (r *Run) LateValueShare() float64 {
 	sum, n := 0.0, 0
 	for i := len(r.Seconds) * 3 / 4; i < len(r.Seconds); i++ {
@@ -72,7 +72,7 @@
 	return sum / float64(max(n, 1))
 }
 
-// AttemptsPerOp is how often clients submitted each op.
+// AttemptsPerOp returns how often clients submitted each op on average.
 func (r *Run) AttemptsPerOp() float64 {
 	retries, ops := int64(0), int64(0)
 	for _, s := range r.Seconds {
@@ -81,17 +81,17 @@
 	return 1 + float64(retries)/float64(max(ops, 1))
 }
 
-// shareOfAttempts is the share of all attempts that a count of each op type makes up.
-func (r *Run) shareOfAttempts(of func(*Type) int64) float64 {
+// shareOfAttempts returns the sum of a count over all op types, as a share of all attempts.
+func (r *Run) shareOfAttempts(count func(*Type) int64) float64 {
 	counted, all := int64(0), int64(0)
 	for i := range r.Types {
 		t := &r.Types[i]
-		counted, all = counted+of(t), all+t.Acked+t.Refused+t.Failed
+		counted, all = counted+count(t), all+t.Acked+t.Refused+t.Failed
 	}
 	return float64(counted) / float64(max(all, 1))
 }
 
-// Quantile is of the latency of all acked ops, in milliseconds; 0 where a histogram can't be read.
+// Quantile returns a quantile of the latency of all acked ops, in milliseconds, or 0 if a histogram can't be decoded.
 func (r *Run) Quantile(q float64) float64 {
 	all, err := mergedLatencies([]Run{*r})
 	if err != nil {
@@ -100,7 +100,7 @@
 	return float64(all.ValueAtQuantile(q)) / 1000
 }
 
-// Mean is the mean latency of all acked ops, in milliseconds; 0 where a histogram can't be read.
+// Mean returns the mean latency of all acked ops, in milliseconds, or 0 if a histogram can't be decoded.
 func (r *Run) Mean() float64 {
 	all, err := mergedLatencies([]Run{*r})
 	if err != nil {
@@ -109,7 +109,7 @@
 	return all.Mean() / 1000
 }
 
-// cell is what runs of different seeds and variants have in common.
+// cell identifies runs that differ only in seed and variant.
 type cell struct {
 	experiment string
 	drivers    int32
@@ -118,24 +118,24 @@
 
 func (r *Run) cell() cell { return cell{r.Experiment, r.Drivers, r.Load} }
 
-// Difference is that of one measure between two sides of one cell, over the seeds that both have.
+// Difference is the difference of a measure between sides A and B of a cell, over the seeds that both sides have.
 type Difference struct {
 	Experiment      string
 	Drivers         int32
 	Load            float64
 	Measure         Measure
 	Pairs           int
-	MeanA, MeanB    float64 // means
-	Mean, HalfWidth float64 // of B less A, and half of its 95 % interval by Student's t; Half is infinite with one pair
+	MeanA, MeanB    float64
+	Mean, HalfWidth float64 // mean of B - A, and half the width of its 95 % confidence interval; infinite with one pair
 }
 
-// Significant says whether chance does not explain the difference, by its 95 % interval.
+// Significant reports whether the 95 % confidence interval of the difference excludes zero.
 func (d *Difference) Significant() bool {
 	return d.Pairs > 1 && math.Abs(d.Mean) > d.HalfWidth && d.Mean != 0
 }
 
-// Compare compares runs b with runs a: each variant with its own, or, where across is true, with any. Runs that only
-// one side has are left out.
+// Compare compares runs b with runs a. Each variant is compared with the variant of the same name or, if across is
+// true, with all variants. Runs that exist on one side only are ignored.
 func Compare(a, b []Run, across bool) (all []Difference) {
 	type pair struct{ a, b *Run }
 	pairs := map[cell][]pair{}
@@ -182,7 +182,7 @@
 	return mean, t * dev / math.Sqrt(float64(len(values)))
 }
 
-// SelectVariant is the runs of a variant; "" for all.
+// SelectVariant returns the runs of a variant, or all runs if the variant is "".
 func SelectVariant(rows []Run, variant string) []Run {
 	return slices.DeleteFunc(slices.Clone(rows), func(r Run) bool { return variant != "" && r.Variant != variant })
 }
@@ -203,7 +203,7 @@
 	return w.Flush()
 }
 
-// verdict is what a difference means.
+// verdict returns the interpretation of a difference.
 func (d *Difference) verdict() string {
 	switch {
 	case d.Pairs < 2:
@@ -218,7 +218,7 @@
 	return "worse"
 }
 
-// cellsOf is the cells of rows, in order.
+// cellsOf returns the distinct cells of rows, sorted.
 func cellsOf(rows []Run) (all []cell) {
 	for i := range rows {
 		if c := rows[i].cell(); !slices.Contains(all, c) {
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -14,7 +14,7 @@
 	"weirwind/logic"
 )
 
-const small = `
+const smallFile = `
 scenario "s" {
   drivers = 4
   load    = 0.4
@@ -61,7 +61,7 @@
 `
 
 func TestParseFile(t *testing.T) {
-	plans, err := ParseFile("s.hcl", []byte(small))
+	plans, err := ParseFile("s.hcl", []byte(smallFile))
 	if err != nil || len(plans) != 12 {
 		t.Fatal(err, len(plans))
 	}
@@ -81,14 +81,14 @@
 		`Unsupported argument`: {`drivers = 4`, `divers = 4`},
 		`need "tight"`:         {`"bounded"`, `"tight"`},
 		`invalid duration`:     {`"200ms"`, `"soon"`},
-		`below zero`:           {`"200ms"`, `"-2s"`},
+		`is negative`:          {`"200ms"`, `"-2s"`},
 		`policy "hope"`:        {`"random"`, `"hope"`},
 		`a variant`:            {`scenario = "s"`, `scenario = "x"`},
 		`s.hcl:3`:              {`drivers = 4`, `drivers = "many"`},
 	} {
 		if _, err := ParseFile(
 			"s.hcl",
-			[]byte(strings.Replace(small, change[0], change[1], 1)),
+			[]byte(strings.Replace(smallFile, change[0], change[1], 1)),
 		); err == nil ||
 			!strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", want, err)
@@ -96,9 +96,10 @@
 	}
 }
 
-// Plans are run once; a second call, also after an interruption, runs only what is missing and gives the same.
+// Plans are run once; a second call, also after an interruption, runs only the plans without a result and returns the
+// same rows.
 func TestRunAndResume(t *testing.T) {
-	plans, err := ParseFile("s.hcl", []byte(small))
+	plans, err := ParseFile("s.hcl", []byte(smallFile))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -129,9 +130,9 @@
 	for i := range first {
 		same := func(x, y Run) bool {
 			if len(x.Violations)+len(y.Violations) == 0 {
-				x.Violations, y.Violations = nil, nil // no list and an empty one are the same in a file
+				x.Violations, y.Violations = nil, nil // a file does not distinguish nil from an empty list
 			}
-			for k := range x.Types { // the compressed form of a histogram is compared by what it holds
+			for k := range x.Types { // histograms are compared decoded, as their compressed forms may differ
 				a, err := x.Types[k].histogram()
 				b, err2 := y.Types[k].histogram()
 				if err != nil || err2 != nil || !a.Equals(b) {
@@ -143,12 +144,12 @@
 		}
 		a, b, c := clone(first[i]), clone(second[i]), clone(kept[i])
 		if !same(clone(a), b) || !same(a, c) {
-			t.Errorf("run %d differs between the calls or from what is kept", i)
+			t.Errorf("run %d differs between the calls or from the stored row", i)
 		}
 		if p := &plans[i].Setup; p.Policy == "module" &&
 			(len(first[i].Violations) > 0 || len(first[i].Promotions) != 1 || first[i].Quantile(50) < 5) {
 			t.Errorf(
-				"run %d: broken %v, openings %v, median %v",
+				"run %d: violations %v, promotions %v, median %v",
 				i,
 				first[i].Violations,
 				first[i].Promotions,
@@ -157,7 +158,7 @@
 		}
 	}
 	if other := plans[0].fileName("c"); other == plans[0].fileName("b") {
-		t.Error("two builds share a file")
+		t.Error("two builds have the same file name")
 	}
 	var page bytes.Buffer
 	pictures := t.TempDir()
@@ -170,10 +171,10 @@
 		"<svg",
 	); n != 2*8 || len(all) != n ||
 		!strings.Contains(page.String(), "&lt;note&gt;") {
-		t.Errorf("%d pictures on the page, %d as PNG", n, len(all))
+		t.Errorf("%d charts on the page, %d PNG files", n, len(all))
 	}
 	if WritePage(&page, "T", nil, nil, "", "") == nil {
-		t.Error("a page of nothing")
+		t.Error("a page without rows is written without an error")
 	}
 }
 
@@ -182,10 +183,10 @@
 	return r
 }
 
-// A difference counts where chance does not explain it, and only then; the interval is Student's.
+// A difference is significant only if its confidence interval by Student's t excludes zero.
 func TestCompare(t *testing.T) {
-	rows := func(variant string, worth ...float64) (all []Run) {
-		for i, x := range worth {
+	rows := func(variant string, valueShares ...float64) (all []Run) {
+		for i, x := range valueShares {
 			all = append(
 				all,
 				Run{
@@ -210,13 +211,13 @@
 	}
 	noise := Compare(a, rows("b", 0.95, 0.88, 0.95, 0.90), true)
 	if noise[0].Significant() || d[2].Significant() {
-		t.Errorf("chance counts: %+v %+v", noise[0], d[2])
+		t.Errorf("random differences are significant: %+v %+v", noise[0], d[2])
 	}
-	if one := Compare(a[:1], b[:1], true); one[0].Significant() || one[0].Pairs != 1 {
-		t.Errorf("one pair counts: %+v", one[0])
+	if single := Compare(a[:1], b[:1], true); single[0].Significant() || single[0].Pairs != 1 {
+		t.Errorf("the difference of a single pair is significant: %+v", single[0])
 	}
-	if none := Compare(a, nil, true); none != nil {
-		t.Error(none)
+	if empty := Compare(a, nil, true); empty != nil {
+		t.Error(empty)
 	}
 	if own := Compare(
 		append(a, b...),
@@ -224,7 +225,7 @@
 		false,
 	); len(own) != 2*len(Measures) || own[0].Mean != 0 ||
 		own[0].Experiment != "e a" {
-		t.Errorf("variants are not compared with their own: %+v", own)
+		t.Errorf("variants are not compared with those of the same name: %+v", own)
 	}
 	var out bytes.Buffer
 	if err := WriteComparison(
--- a/internal/lab/experiment/file.go
+++ b/internal/lab/experiment/file.go
@@ -1,6 +1,6 @@
 package experiment
 
-// This file owns the form of experiments' files, in HCL. Names and values that it does not know are errors.
+// This file owns the format of experiment files, in HCL. Unknown names and values are errors.
 
 import (
 	"cmp"
@@ -16,9 +16,9 @@
 	"weirwind/logic"
 )
 
-const maxSeeds = 1000 // of an experiment
+const maxSeeds = 1000 // maximum number of seeds of an experiment
 
-// File is the content of a file.
+// File is the content of an experiment file.
 type File struct {
 	Scenarios   []scenarioBlock `hcl:"scenario,block"`
 	Experiments []Experiment    `hcl:"experiment,block"`
@@ -46,7 +46,7 @@
 	Faults      []faultBlock `hcl:"fault,block"`
 }
 
-// opBlock is an op type and its share of the clients' ops.
+// opBlock is an op type with its share of the clients' ops.
 type opBlock struct {
 	Name    string  `hcl:"name,label"`
 	Share   float64 `hcl:"share"`
@@ -68,7 +68,7 @@
 	By   float64 `hcl:"by,optional"`
 }
 
-// Experiment is a scenario in variants, with several numbers of drivers, loads and seeds.
+// Experiment is a scenario with its variants, numbers of drivers, loads and seeds.
 type Experiment struct {
 	Name     string         `hcl:"name,label"`
 	Scenario string         `hcl:"scenario"`
@@ -78,7 +78,7 @@
 	Variants []variantBlock `hcl:"variant,block"`
 }
 
-// variantBlock is what a variant changes in the scenario.
+// variantBlock holds a variant's changes to the scenario.
 type variantBlock struct {
 	Name     string       `hcl:"name,label"`
 	Policy   string       `hcl:"policy,optional"`
@@ -86,16 +86,16 @@
 	Advice   *bool        `hcl:"advice,optional"`
 	Probes   *bool        `hcl:"probes,optional"`
 	Messages float64      `hcl:"messages,optional"`
-	Faults   []faultBlock `hcl:"fault,block"` // beside the scenario's
+	Faults   []faultBlock `hcl:"fault,block"` // in addition to the scenario's
 }
 
-// Plan is one run to be done.
+// Plan describes one run.
 type Plan struct {
 	Experiment, Scenario, Variant string
 	Setup                         emulator.Setup
 }
 
-// ParseFile gives the runs that a file asks for. Errors of its form name file, line and column.
+// ParseFile returns the plans of the runs that a file describes. Syntax errors contain file, line and column.
 func ParseFile(name string, text []byte) ([]Plan, error) {
 	var f File
 	if err := hclsimple.Decode(name, text, nil, &f); err != nil {
@@ -114,7 +114,7 @@
 		e := &f.Experiments[i]
 		base, known := scenarios[e.Scenario]
 		if !known || len(e.Variants) == 0 || seen[e.Name] || e.Seeds < 0 || e.Seeds > maxSeeds {
-			return nil, fmt.Errorf("%s: experiment %q wants a name of its own, a scenario that the file has, a variant and "+
+			return nil, fmt.Errorf("%s: experiment %q needs a unique name, a scenario of the file, a variant and "+
 				"up to %d seeds", name, e.Name, maxSeeds)
 		}
 		seen[e.Name] = true
@@ -127,7 +127,7 @@
 	return plans, nil
 }
 
-// setups is the scenarios' setups by name.
+// setups returns the setups of the scenarios by name.
 func (f *File) setups() (map[string]emulator.Setup, error) {
 	setups := map[string]emulator.Setup{}
 	for _, s := range f.Scenarios {
@@ -135,15 +135,16 @@
 		if err != nil {
 			return nil, fmt.Errorf("scenario %q: %w", s.Name, err)
 		}
-		if _, twice := setups[s.Name]; twice {
-			return nil, fmt.Errorf("scenario %q stands twice", s.Name)
+		if _, duplicate := setups[s.Name]; duplicate {
+			return nil, fmt.Errorf("scenario %q is defined twice", s.Name)
 		}
 		setups[s.Name] = setup
 	}
 	return setups, nil
 }
 
-// plans is an experiment's runs of a scenario: each number of drivers with each load, seed and variant.
+// plans returns an experiment's runs of a scenario, one for each combination of number of drivers, load, seed and
+// variant.
 func (e *Experiment) plans(base emulator.Setup) (plans []Plan, err error) {
 	sizes, loads := e.Drivers, e.Loads
 	if len(sizes) == 0 {
@@ -169,7 +170,7 @@
 	return plans, nil
 }
 
-// apply changes a setup by what a variant has of its own.
+// apply applies a variant's changes to a setup.
 func (v *variantBlock) apply(setup *emulator.Setup) error {
 	setup.Policy = cmp.Or(v.Policy, "module")
 	if v.Retries != nil {
@@ -189,21 +190,21 @@
 		"non-retryable": logic.NonRetryable}
 )
 
-// milliseconds parses a duration; an empty text is the default.
-func milliseconds(text string, usual float64) (float64, error) {
+// milliseconds parses a duration; an empty text stands for the default value.
+func milliseconds(text string, defaultValue float64) (float64, error) {
 	if text == "" {
-		return usual, nil
+		return defaultValue, nil
 	}
 	d, err := time.ParseDuration(text)
 	if err == nil && d < 0 {
-		err = fmt.Errorf("%s is below zero", text)
+		err = fmt.Errorf("duration %s is negative", text)
 	}
 	return float64(d) / float64(time.Millisecond), err
 }
 
-// setup gives the emulator's setup, with this package's defaults, for the module.
+// setup returns the emulator's setup with this package's defaults and the module as policy.
 func (s *scenarioBlock) setup() (emulator.Setup, error) {
-	e := emulator.Setup{
+	setup := emulator.Setup{
 		Drivers:        cmp.Or(s.Drivers, 3),
 		Groups:         cmp.Or(s.Groups, 1),
 		Members:        cmp.Or(s.Members, 5),
@@ -215,31 +216,31 @@
 		Policy:         emulator.PolicyModule,
 	}
 	var times durations
-	times.parse(&e.ServiceTime, s.Work, 40)
-	times.parse(&e.ReplicationLag, s.Lag, 20)
-	times.parse(&e.Duration, s.For, 30000)
-	times.parse(&e.ZoneLatency, s.Hop, 0)
-	times.parse(&e.CrossZoneLatency, s.FarHop, 0)
-	times.parse(&e.Handshake, s.Handshake, 0)
-	times.parse(&e.ElectionTime, s.Elect, 0)
+	times.parse(&setup.ServiceTime, s.Work, 40)
+	times.parse(&setup.ReplicationLag, s.Lag, 20)
+	times.parse(&setup.Duration, s.For, 30000)
+	times.parse(&setup.ZoneLatency, s.Hop, 0)
+	times.parse(&setup.CrossZoneLatency, s.FarHop, 0)
+	times.parse(&setup.Handshake, s.Handshake, 0)
+	times.parse(&setup.ElectionTime, s.Elect, 0)
 	for _, op := range s.Ops {
 		kind, err := op.kind(&times)
 		if err != nil {
-			return e, err
+			return setup, err
 		}
-		e.Mix = append(e.Mix, kind)
+		setup.Mix = append(setup.Mix, kind)
 	}
 	var err error
-	e.Faults, err = setupFaults(s.Faults)
-	return e, cmp.Or(times.err, err, e.Check())
+	setup.Faults, err = setupFaults(s.Faults)
+	return setup, cmp.Or(times.err, err, setup.Check())
 }
 
-// kind gives the emulator's op kind.
+// kind returns the emulator's op kind.
 func (o *opBlock) kind(times *durations) (emulator.OpKind, error) {
-	need, known := needs[o.Need]
-	effect, known2 := effects[o.Effect]
-	if !known || !known2 {
-		return emulator.OpKind{}, fmt.Errorf("op %q: need %q, effect %q are not known", o.Name, o.Need, o.Effect)
+	need, needKnown := needs[o.Need]
+	effect, effectKnown := effects[o.Effect]
+	if !needKnown || !effectKnown {
+		return emulator.OpKind{}, fmt.Errorf("op %q: unknown need %q or effect %q", o.Name, o.Need, o.Effect)
 	}
 	t := logic.OpType{Need: need, Effect: effect, Value: cmp.Or(o.Value, 1)}
 	times.parse(&t.MaxAge, o.MaxAge, 0)
@@ -252,23 +253,24 @@
 // durations parses durations and keeps the first error.
 type durations struct{ err error }
 
-func (d *durations) parse(to *float64, text string, usual float64) {
-	x, err := milliseconds(text, usual)
+func (d *durations) parse(to *float64, text string, defaultValue float64) {
+	x, err := milliseconds(text, defaultValue)
 	*to, d.err = x, cmp.Or(d.err, err)
 }
 
-// setupFaults gives the emulator's faults; without a target a fault is one of all.
-func setupFaults(all []faultBlock) (out []emulator.Fault, problem error) {
-	for _, f := range all {
+// setupFaults returns the emulator's faults; the target of a fault without one is all.
+func setupFaults(blocks []faultBlock) (faults []emulator.Fault, firstErr error) {
+	for _, f := range blocks {
 		at, err := milliseconds(f.At, 0)
-		length, err2 := milliseconds(f.For, 0)
-		problem = cmp.Or(problem, err, err2)
-		out = append(out, emulator.Fault{At: at, Duration: length, Kind: f.What, Target: cmp.Or(f.On, "all"), Factor: f.By})
+		duration, err2 := milliseconds(f.For, 0)
+		firstErr = cmp.Or(firstErr, err, err2)
+		faults = append(faults,
+			emulator.Fault{At: at, Duration: duration, Kind: f.What, Target: cmp.Or(f.On, "all"), Factor: f.By})
 	}
-	return out, problem
+	return faults, firstErr
 }
 
-// setupJSON is a setup as it is kept beside its result.
+// setupJSON returns the JSON form of a setup, which is stored with its result.
 func setupJSON(setup emulator.Setup) string {
 	b, err := json.Marshal(setup)
 	if err != nil {
--- a/internal/lab/experiment/golden_test.go
+++ b/internal/lab/experiment/golden_test.go
@@ -14,8 +14,8 @@
 	"weirwind/internal/standin/golden"
 )
 
-// every names each argument that a file may have.
-const every = `
+// allArguments is a file with every argument that a file may have.
+const allArguments = `
 scenario "all" {
   drivers = 2
   groups  = 2
@@ -59,13 +59,13 @@
 }
 `
 
-// What a file asks for, what its runs give, and everything drawn and printed of them is as recorded.
+// A file's plans, the results of its runs, and the comparison and page on them are as recorded.
 func TestFormsAndFiguresAreThoseRecorded(t *testing.T) {
-	plans, err := ParseFile("s.hcl", []byte(small))
+	plans, err := ParseFile("s.hcl", []byte(smallFile))
 	if err != nil {
 		t.Fatal(err)
 	}
-	more, err := ParseFile("every.hcl", []byte(every))
+	more, err := ParseFile("every.hcl", []byte(allArguments))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -107,7 +107,8 @@
 	golden.Text(t, "testdata/experiment.golden", cases)
 }
 
-// rowText is a row with a digest of its latencies' contents: their compressed form is the compressor's.
+// rowText returns a row as text, with a digest of the decoded latencies, as their compressed form depends on the
+// compressor.
 func rowText(t *testing.T, r Run) string {
 	t.Helper()
 	r = clone(r)
--- a/internal/lab/experiment/page.go
+++ b/internal/lab/experiment/page.go
@@ -1,6 +1,6 @@
 package experiment
 
-// This file owns the page on rows: its template, its table and its sections.
+// This file owns the HTML page on rows: its template, its table and its sections.
 
 import (
 	"fmt"
@@ -25,8 +25,8 @@
 </body></html>
 `))
 
-// WritePage writes an HTML page on rows; text may be a comparison. With a folder for PNGs each picture is written there
-// too.
+// WritePage writes an HTML page on rows; text, if not empty, is shown as the comparison. If pngs is not empty, each
+// chart is also written into this folder.
 func WritePage(out io.Writer, title string, notes []string, rows []Run, text, pngs string) error {
 	if len(rows) == 0 {
 		return fmt.Errorf("no runs to report on")
@@ -49,7 +49,7 @@
 	return page.Execute(out, data)
 }
 
-// pageData is what the page's template takes.
+// pageData is the input of the page's template.
 type pageData struct {
 	Title    string
 	Notes    []string
@@ -59,13 +59,13 @@
 	Text     string
 }
 
-// renderedSection is a section as the page's template takes it.
+// renderedSection is a section in the form of the page's template.
 type renderedSection struct {
 	Title, Note string
 	Pictures    []template.HTML
 }
 
-// render draws a section's pictures; with a folder, there as PNG too.
+// render draws a section's charts; if pngs is not empty, it also writes them into this folder.
 func (s *section) render(pngs string) (renderedSection, error) {
 	x := renderedSection{Title: s.title, Note: s.note}
 	for i := range s.panels {
@@ -83,7 +83,8 @@
 	return x, nil
 }
 
-// table is a line for each variant in each cell: every measure's mean over seeds, and half its interval.
+// table returns a line for each variant in each cell, with the mean of every measure over the seeds and half the width
+// of its confidence interval.
 func table(rows []Run) (lines [][]string) {
 	for _, c := range cellsOf(rows) {
 		seen := map[string]bool{}
@@ -102,7 +103,7 @@
 	return lines
 }
 
-// tableCell is a measure's mean over the runs of a variant in a cell.
+// tableCell returns the text for a measure's mean over the runs of a variant in a cell.
 func tableCell(rows []Run, c cell, variant string, measure Measure) string {
 	var values []float64
 	for i := range rows {
--- a/internal/lab/experiment/results.go
+++ b/internal/lab/experiment/results.go
@@ -1,7 +1,7 @@
 package experiment
 
-// This file owns results as they are kept: a row of Parquet for each run, with what it counted as lists. docs/lab.md
-// names the columns; no file is ever left half written.
+// This file owns the storage of results: a Parquet row for each run, with its statistics as lists. docs/lab.md names
+// the columns. Files are replaced atomically.
 
 import (
 	"fmt"
@@ -16,7 +16,7 @@
 	"weirwind/internal/lab/emulator"
 )
 
-// Run is the result of one run: a row.
+// Run is the result of one run, which is stored as a row.
 type Run struct {
 	Experiment string      `parquet:"experiment,dict"`
 	Scenario   string      `parquet:"scenario,dict"`
@@ -41,14 +41,14 @@
 	WriteGaps  []float64   `parquet:"gaps,list"`
 }
 
-// The parts of a run. Their fields are those of the emulator's result.
+// The parts of a run correspond to those of the emulator's result.
 type (
-	// Violation is a rule that was broken, and how often.
+	// Violation is a violated rule, with the number of violations.
 	Violation struct {
 		Rule  string `parquet:"rule"`
 		Count int64  `parquet:"times"`
 	}
-	// Type is what came of an op type.
+	// Type holds the statistics of an op type.
 	Type struct {
 		Name         string  `parquet:"name"`
 		Value        float64 `parquet:"value"`
@@ -58,18 +58,18 @@
 		WithinTarget int64   `parquet:"in_time"`
 		Latency      []byte  `parquet:"latency"` // HdrHistogram's compressed form, microseconds
 	}
-	// Second is what happened in one second of a run.
+	// Second holds the statistics of one second of a run.
 	Second struct {
 		Arrivals       int64   `parquet:"asked"`
 		Retries        int64   `parquet:"again"`
 		Acked          int64   `parquet:"acked"`
 		Refused        int64   `parquet:"refused"`
 		Failed         int64   `parquet:"failed"`
-		ValueShare     float64 `parquet:"worth"` // of what was asked first in it
-		WithoutPrimary float64 `parquet:"empty"` // share of looks at slots that found none filled
-		PendingWrites  float64 `parquet:"held"`  // writes held, all drivers, on average
+		ValueShare     float64 `parquet:"worth"` // of the ops first submitted in the second
+		WithoutPrimary float64 `parquet:"empty"` // share of samples, by driver and group, that found no known primary
+		PendingWrites  float64 `parquet:"held"`  // mean number of writes without an open attempt, all drivers together
 	}
-	// Member is a member over the whole run.
+	// Member holds the statistics of a member over the whole run.
 	Member struct {
 		Name        string  `parquet:"name"`
 		Served      int64   `parquet:"served"`
@@ -77,7 +77,7 @@
 		Utilization float64 `parquet:"busy"`
 		PeakConns   int32   `parquet:"conns"`
 	}
-	// Promotion is a new primary's first second.
+	// Promotion holds the statistics of a new primary's first second.
 	Promotion struct {
 		At       float64 `parquet:"at"`
 		Group    int64   `parquet:"group"`
@@ -86,7 +86,7 @@
 	}
 )
 
-// newRun is the row of a result.
+// newRun returns the row of a result.
 func newRun(plan Plan, build string, r *emulator.Result) (Run, error) {
 	run := Run{
 		Experiment: plan.Experiment,
@@ -167,23 +167,23 @@
 	return second
 }
 
-// histogram decodes a type's latencies.
+// histogram decodes a type's latency histogram.
 func (t *Type) histogram() (*hdrhistogram.Histogram, error) { return hdrhistogram.Decode(t.Latency) }
 
-// fileName names a run's file: another setup, build or name gives another.
+// fileName returns the name of a run's file, which is a hash of the plan and the build's name.
 func (p *Plan) fileName(build string) string {
 	h := fnv.New64a()
 	fmt.Fprintf(h, "%q %q %q %q %s", p.Experiment, p.Scenario, p.Variant, build, setupJSON(p.Setup))
 	return fmt.Sprintf("%016x.parquet", h.Sum64())
 }
 
-// Save replaces a file by rows; on an error the file stays as it was.
+// Save replaces a file's content with rows; on an error the file is unchanged.
 func Save[Row any](path string, rows []Row) error {
 	f, err := os.CreateTemp(filepath.Dir(path), ".part-*")
 	if err != nil {
 		return err
 	}
-	defer func() { _ = os.Remove(f.Name()) }() // renamed by then, if all went well
+	defer func() { _ = os.Remove(f.Name()) }() // fails after a successful rename
 	w := parquet.NewGenericWriter[Row](f, parquet.Compression(&parquet.Zstd))
 	_, err = w.Write(rows)
 	for _, end := range []func() error{w.Close, f.Sync, f.Close} {
@@ -197,7 +197,7 @@
 	return os.Rename(f.Name(), path)
 }
 
-// Load reads the rows of a file, or of the results in a folder.
+// Load reads the rows of a file, or of the results file in a folder.
 func Load(path string) ([]Run, error) {
 	if info, err := os.Stat(path); err == nil && info.IsDir() {
 		path = filepath.Join(path, resultsFile)
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -1,7 +1,7 @@
 package experiment
 
-// This file owns the running of plans side by side, their progress, and going on after an interruption. No run is
-// repeated whose result is there, and no result is taken for one of another setup or build.
+// This file owns the parallel execution of plans, their progress, and resuming after an interruption. A run whose
+// result is stored is not repeated, and a result of another setup or build is not used.
 
 import (
 	"context"
@@ -23,16 +23,16 @@
 	runsFolder     = "runs"
 )
 
-// Runner runs plans and keeps their results in a folder.
+// Runner runs plans and stores their results in a folder.
 type Runner struct {
 	Folder string
-	Build  string    // the name of the build that runs
-	Cores  int       // to use
-	Out    io.Writer // for progress
+	Build  string    // name of the build under test
+	Cores  int       // number of cores to use
+	Out    io.Writer // receives progress messages
 }
 
-// Run runs the plans that have no result in the folder and gives all rows in the order of the plans. It ends early with
-// the context; the results until then stay.
+// Run runs the plans that have no result in the folder and returns all rows in the order of the plans. It stops when
+// the context ends; results that are complete by then stay stored.
 func (r Runner) Run(ctx context.Context, plans []Plan) ([]Run, error) {
 	if err := os.MkdirAll(filepath.Join(r.Folder, runsFolder), 0o755); err != nil {
 		return nil, err
@@ -68,12 +68,12 @@
 	return rows, Save(filepath.Join(r.Folder, resultsFile), rows)
 }
 
-// runFile is where a plan's result is kept.
+// runFile returns the path of a plan's result.
 func (r *Runner) runFile(plan *Plan) string {
 	return filepath.Join(r.Folder, runsFolder, plan.fileName(r.Build))
 }
 
-// loadResults gives the rows that are in the folder, by plan, and the indexes of plans without one.
+// loadResults returns the stored rows by plan, and the indexes of the plans without one.
 func (r *Runner) loadResults(plans []Plan) (rows []Run, missing []int) {
 	rows = make([]Run, len(plans))
 	for i := range plans {
@@ -86,36 +86,36 @@
 	return rows, missing
 }
 
-// progress prints how much of the work is done, now and then.
+// progress periodically prints the share of the work that is done.
 type progress struct {
 	out   io.Writer
-	costs []float64 // of runs
+	costs []float64 // costs of the runs
 	begin time.Time
 
-	mu      sync.Mutex
-	shares  []float64 // of runs that are done
-	printed time.Time
+	mu          sync.Mutex
+	shares      []float64 // by run: share that is done
+	lastPrinted time.Time
 }
 
 func newProgress(out io.Writer, plans []Plan, missing []int) *progress {
-	p := &progress{out: out, shares: make([]float64, len(missing)), begin: time.Now(), printed: time.Now()}
+	p := &progress{out: out, shares: make([]float64, len(missing)), begin: time.Now(), lastPrinted: time.Now()}
 	for _, i := range missing {
 		p.costs = append(p.costs, plans[i].cost())
 	}
 	return p
 }
 
-// update takes a run's share; a run counts as done by done alone.
+// update sets the share of a run that is done; only the method done marks the run as complete.
 func (p *progress) update(run int, share float64) {
 	const almostDone = 0.999
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.shares[run] = min(share, almostDone); time.Since(p.printed) >= progressPeriod {
+	if p.shares[run] = min(share, almostDone); time.Since(p.lastPrinted) >= progressPeriod {
 		p.print()
 	}
 }
 
-// done prints progress with each run that is done.
+// done marks a run as complete and prints progress.
 func (p *progress) done(run int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -123,21 +123,21 @@
 	p.print()
 }
 
-// print prints progress. The lock is held.
+// print prints progress; the caller holds the lock.
 func (p *progress) print() {
-	p.printed = time.Now()
+	p.lastPrinted = time.Now()
 	done, total, runs := 0.0, 0.0, 0
 	for i, share := range p.shares {
 		if done, total = done+share*p.costs[i], total+p.costs[i]; share >= 1 {
 			runs++
 		}
 	}
-	left := time.Duration(float64(time.Since(p.begin)) * (total - done) / max(done, 1e-9)).Round(time.Second)
+	remaining := time.Duration(float64(time.Since(p.begin)) * (total - done) / max(done, 1e-9)).Round(time.Second)
 	fmt.Fprintf(p.out, "%d of %d runs done, %.0f %% of the work, about %s left\n", runs, len(p.shares), 100*done/total,
-		left)
+		remaining)
 }
 
-// RunPlan runs one plan on one core.
+// RunPlan runs a single plan on one core.
 func RunPlan(plan Plan, build string) (Run, error) {
 	r, err := emulator.Run(plan.Setup, 1, nil)
 	if err != nil {
@@ -146,7 +146,7 @@
 	return newRun(plan, build, r)
 }
 
-// cost is about how much work a run is, in no unit: its ops, and the ticks of its drivers.
+// cost estimates the computing time of a run in arbitrary units, from its ops and its drivers' ticks.
 func (p *Plan) cost() float64 {
 	s := &p.Setup
 	ops := s.Load * float64(s.Groups*s.Members*s.Cores) / s.ServiceTime * s.Duration
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -1,6 +1,6 @@
 package lab
 
-// This file owns faults on command, and elections.
+// This file owns fault injection and elections.
 
 import (
 	"time"
@@ -8,11 +8,11 @@
 	"weirwind/internal/discovery"
 )
 
-const slowFactor = 4 // times the usual service time, of a slow member
+const slowFactor = 4 // factor of a slow member's service time
 
-// Inject carries out a command on a member: kill, heal, hang, free, slow, drain, undrain, demote (a planned change of
-// the primary), mute (what is asked runs, and its answers are lost) or stubborn (a primary that was deposed does not
-// notice it). It says whether it knows both words.
+// Inject carries out a command on a member: kill, heal, hang, free (ends a hang), slow, drain, undrain, demote (a
+// planned switchover), mute (ops are executed, but their answers are lost) or stubborn (a deposed primary continues to
+// act as one). It reports whether both the command and the member are known.
 func (c *Cluster) Inject(command, id string) bool {
 	m := c.member(id)
 	if m == nil {
@@ -28,7 +28,7 @@
 		m.ignoresDemotion.Store(false)
 		m.slowdown.Store(0)
 		if !m.listening() {
-			_ = m.start() // its port was free a moment ago; if not, it stays down
+			_ = m.start() // stays down if its port is taken
 		}
 	case "hang":
 		m.hung.Store(true)
@@ -54,7 +54,7 @@
 	return true
 }
 
-// elect takes the role from a primary, if it is one, and gives it to another member after the election time.
+// elect demotes a member, if it is the primary, and promotes another one after the election time.
 func (c *Cluster) elect(old *Member) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/lab/fleet/config.go
+++ b/internal/lab/fleet/config.go
@@ -1,6 +1,6 @@
 package fleet
 
-// This file owns the files that a driver's process reads.
+// This file owns the configuration files of a driver's process.
 
 import (
 	"bytes"
@@ -10,7 +10,7 @@
 	"strings"
 )
 
-// zonesBlock is the operators' configuration of common decisions on zones, but for the webhook.
+// zonesBlock is the operators' configuration of zone decisions, up to the webhook's URL.
 const zonesBlock = "zones {\n  region \"r\" {\n    zones = [\"a\", \"b\", \"c\"]\n  }\n  beat  = \"200ms\"\n" +
 	"  lease = \"3s\"\n  doubt = \"400ms\"\n  away  = \"1s\"\n  webhook = "
 
@@ -18,7 +18,7 @@
 	return filepath.Join(d.fleet.folder, fmt.Sprintf("%d.%s", d.index, kind))
 }
 
-// zone is the driver's, "" without zones.
+// zone returns the driver's zone, or "" if the fleet has no zones.
 func (d *Driver) zone() string {
 	zones := d.fleet.options.Zones
 	if len(zones) == 0 {
@@ -27,11 +27,11 @@
 	return zones[d.index%len(zones)]
 }
 
-// writeFiles writes the platform's configuration, the operators' one and the secret.
+// writeFiles writes the platform's configuration, the operators' configuration and the shared secret.
 func (d *Driver) writeFiles() error {
 	secret := "a secret of drivers"
-	if own := d.fleet.options.Secret; own != nil {
-		secret = own(d.index)
+	if secretOf := d.fleet.options.Secret; secretOf != nil {
+		secret = secretOf(d.index)
 	}
 	for kind, content := range map[string][]byte{
 		"json":  d.platformConfig(),
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// platformConfig is the configuration in the platform's form.
+// platformConfig returns the configuration in the platform's format.
 func (d *Driver) platformConfig() []byte {
 	o := &d.fleet.options
 	config := o.Cluster.Configuration(d.Name, d.Address, o.ExpectedDrivers, d.index)
@@ -58,7 +58,7 @@
 	return config
 }
 
-// operatorConfig is the operators' configuration, in HCL.
+// operatorConfig returns the operators' configuration, in HCL.
 func (d *Driver) operatorConfig() string {
 	o, links := &d.fleet.options, d.fleet.Links
 	var seeds []string
--- a/internal/lab/fleet/driver.go
+++ b/internal/lab/fleet/driver.go
@@ -1,6 +1,6 @@
 package fleet
 
-// This file owns a driver's process. No process is ended that this package did not start.
+// This file owns a driver's process. Only processes that this package started are ended.
 
 import (
 	"bytes"
@@ -16,36 +16,36 @@
 
 const statusTimeout = 2 * time.Second
 
-// Driver is a place for processes of a driver, one at a time.
+// Driver is a driver of a fleet, which has at most one running process at a time.
 type Driver struct {
 	Name    string
 	Address string          // for clients
-	Control *control.Client // of the process that runs now
+	Control *control.Client // client of the running process's control socket
 
 	fleet  *Fleet
 	index  int
 	socket string
 	mu     sync.Mutex
-	log    bytes.Buffer  // of all processes
-	cmd    *exec.Cmd     // nil while none runs
+	log    bytes.Buffer  // output of all its processes
+	cmd    *exec.Cmd     // nil while no process runs
 	ended  chan struct{} // closed when cmd has ended
 }
 
-// Write adds to the log.
+// Write appends to the log.
 func (d *Driver) Write(b []byte) (int, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.log.Write(b)
 }
 
-// Log is what all processes have logged.
+// Log returns the output of all the driver's processes.
 func (d *Driver) Log() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.log.String()
 }
 
-// Start starts a process, which knows nothing of earlier ones but what its folders hold.
+// Start starts a process. Its only state of earlier processes is what its folders hold.
 func (d *Driver) Start() error {
 	if err := d.writeFiles(); err != nil {
 		return err
@@ -60,13 +60,13 @@
 	d.cmd, d.ended = cmd, ended
 	d.mu.Unlock()
 	go func() {
-		_ = cmd.Wait() // how it ended is for the page
+		_ = cmd.Wait() // the exit status is not used
 		close(ended)
 	}()
 	return nil
 }
 
-// Signal sends a signal to the process, if one runs.
+// Signal sends a signal to the process, if one is running.
 func (d *Driver) Signal(signal syscall.Signal) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -75,7 +75,7 @@
 	}
 }
 
-// Kill ends the process at once, and waits for its end.
+// Kill kills the process and waits for its end.
 func (d *Driver) Kill() { d.terminate(syscall.SIGKILL) }
 
 // Stop shuts the process down gracefully, and waits for its end.
@@ -93,13 +93,13 @@
 	}
 }
 
-// Freeze pauses the process.
+// Freeze suspends the process.
 func (d *Driver) Freeze() { d.Signal(syscall.SIGSTOP) }
 
-// Thaw resumes it.
+// Thaw resumes the process.
 func (d *Driver) Thaw() { d.Signal(syscall.SIGCONT) }
 
-// Status is the process's view of the membership; an error while it does not answer.
+// Status returns the process's view of the membership, or an error if it does not answer.
 func (d *Driver) Status() (membership.Status, error) {
 	ctx, stop := context.WithTimeout(context.Background(), statusTimeout)
 	defer stop()
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -1,6 +1,6 @@
 package fleet
 
-// This file owns fleets: places for drivers, and the links between them.
+// This file owns fleets: drivers and the links between them.
 
 import (
 	"fmt"
@@ -15,25 +15,25 @@
 	"weirwind/internal/standin/links"
 )
 
-// Options of a fleet. Functions take a driver's index.
+// Options are the options of a fleet. Functions take a driver's index.
 type Options struct {
-	Program         string // path of the built one
+	Program         string // path of the built program
 	Drivers         int
-	ExtraDrivers    int                // places for drivers that start later
-	Period          time.Duration      // of membership; 0: 200 ms
-	TakeoverAfter   time.Duration      // 0: 5 s
-	Seeds           func(i int) []int  // drivers that one is configured with; nil: the first three
+	ExtraDrivers    int                // additional drivers that StartAll does not start
+	Period          time.Duration      // probe period of the membership protocol; 0: 200 ms
+	TakeoverAfter   time.Duration      // delay until failed drivers' shares are taken over; 0: 5 s
+	Seeds           func(i int) []int  // seed drivers in a driver's configuration; nil: the first three
 	ExpectedDrivers int                // 0: Drivers
-	Seed            uint64             // of the links
-	Cluster         *lab.Cluster       // of members
-	Webhook         string             // of the topology manager, for moves of primaries
-	Zones           []string           // of the drivers, in turn, which decide on zones in common; nil: they don't
-	KeepVotes       bool               // in a folder of each place
-	Secret          func(i int) string // of a driver; nil: one of all
+	Seed            uint64             // random seed of the links
+	Cluster         *lab.Cluster       // members behind the drivers
+	Webhook         string             // URL of the topology manager for moves of primaries
+	Zones           []string           // zones of the drivers, round-robin; nil: no zone decisions
+	KeepVotes       bool               // persist consensus votes in a folder of each driver
+	Secret          func(i int) string // a driver's shared secret; nil: the same for all
 	Discovery       func(i int) string // address of a driver's discovery; nil: the cluster's
 }
 
-// Fleet is drivers' places and the links between them.
+// Fleet is a number of drivers and the links between them.
 type Fleet struct {
 	Links   *links.Network
 	Drivers []*Driver
@@ -41,7 +41,7 @@
 	folder  string
 }
 
-// Build builds the program into a folder, with further flags, and gives its path.
+// Build builds the program into a folder, with additional flags of go build, and returns its path.
 func Build(folder string, flags ...string) (string, error) {
 	path := filepath.Join(folder, "weirwind")
 	cmd := exec.Command("go", append(append([]string{"build", "-o", path}, flags...), "weirwind/cmd/weirwind")...)
@@ -68,7 +68,7 @@
 	}
 }
 
-// indexes is those of the first n drivers.
+// indexes returns the indexes of the first n drivers.
 func indexes(n int) (all []int) {
 	for i := range n {
 		all = append(all, i)
@@ -76,10 +76,10 @@
 	return all
 }
 
-// New opens the links; no process runs yet.
+// New returns a fleet with open links and without running processes.
 func New(options Options) (*Fleet, error) {
 	options.applyDefaults()
-	folder, err := os.MkdirTemp("", "ww") // short: paths of Unix sockets are
+	folder, err := os.MkdirTemp("", "ww") // a short path, as the length of Unix socket paths is limited
 	if err != nil {
 		return nil, err
 	}
@@ -112,12 +112,12 @@
 	_ = os.RemoveAll(f.folder)
 }
 
-// StartAll starts all drivers but the spare ones.
+// StartAll starts all drivers except the extra ones.
 func (f *Fleet) StartAll() error {
 	return f.StartDrivers(indexes(f.options.Drivers)...)
 }
 
-// StartDrivers starts some drivers.
+// StartDrivers starts the given drivers.
 func (f *Fleet) StartDrivers(drivers ...int) error {
 	for _, i := range drivers {
 		if err := f.Drivers[i].Start(); err != nil {
@@ -127,7 +127,7 @@
 	return nil
 }
 
-// HavePartitionStatus says whether all of these drivers have a partition status now.
+// HavePartitionStatus reports whether all given drivers have a partition status.
 func (f *Fleet) HavePartitionStatus(want membership.PartitionStatus, drivers ...int) bool {
 	for _, i := range drivers {
 		if s, err := f.Drivers[i].Status(); err != nil || s.Partition != want {
@@ -137,7 +137,7 @@
 	return true
 }
 
-// View is what a driver knows of another; ok is false where it does not know it.
+// View returns a driver's view of another one; ok is false if the observer does not know the subject.
 func (f *Fleet) View(observer, subject int) (view membership.View, ok bool) {
 	s, err := f.Drivers[observer].Status()
 	if err != nil {
