--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -1,7 +1,7 @@
 package fleet
 
-// Several processes of the built program, and faults between them. Each test waits for a condition, with a timeout
-// that a loaded machine keeps as well, and takes no duration for proof.
+// These tests run several processes of the built program with faults between them. Each test waits for conditions, with
+// a timeout that is sufficient on a loaded machine, and does not rely on durations.
 
 import (
 	"context"
@@ -30,7 +30,7 @@
 
 var (
 	program string
-	flags   []string // of its build
+	flags   []string // additional flags of its build
 )
 
 func TestMain(m *testing.M) {
@@ -49,14 +49,14 @@
 
 const timeout = 90 * time.Second
 
-// fleetsAtOnce is how many fleets, of five drivers or six, run at once on this machine for each of its processors,
-// whichever tests run them. Of four times as many, beside other work, drivers got too little processor to renew their
-// leases.
+// fleetsAtOnce is the maximum number of fleets, of five or six drivers, that run concurrently per processor of the
+// machine, over all test processes. With four times as many, and other work, drivers got too little processor time to
+// renew their leases.
 const fleetsAtOnce = 2
 
 var allDrivers = []int{0, 1, 2, 3, 4}
 
-// startFleet starts a fleet of five and waits until all see each other.
+// startFleet starts a fleet of five drivers and waits until all see each other.
 func startFleet(t *testing.T, o Options) *Fleet {
 	t.Helper()
 	t.Parallel()
@@ -68,8 +68,9 @@
 	return f
 }
 
-// newFleet opens a fleet's places once it is the test's turn. The test must be a parallel one by then: one that holds a turn
-// and waits for others to end may wait for one that waits for a turn.
+// newFleet waits for a turn among all fleets of the machine and returns a fleet without running processes. The caller
+// must have called t.Parallel before: a test that holds a turn and waits for sequential tests to end can deadlock with
+// one that waits for a turn.
 func newFleet(t *testing.T, o Options) *Fleet {
 	t.Helper()
 	turn, err := loopback.WaitTurn(context.Background(), fleetsAtOnce*runtime.NumCPU())
@@ -82,12 +83,12 @@
 		o.Drivers = 5
 	}
 	if o.Cluster == nil {
-		c, err := lab.Start(lab.Options{ElectionTime: 300 * time.Millisecond, Members: 3})
+		cluster, err := lab.Start(lab.Options{ElectionTime: 300 * time.Millisecond, Members: 3})
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(c.Stop)
-		o.Cluster = c
+		t.Cleanup(cluster.Stop)
+		o.Cluster = cluster
 	}
 	f, err := New(o)
 	if err != nil {
@@ -114,16 +115,16 @@
 	return f
 }
 
-func (f *Fleet) eventually(t *testing.T, what string, condition func() bool) {
+func (f *Fleet) eventually(t *testing.T, description string, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(timeout); !condition(); time.Sleep(50 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%s: not after %v", what, timeout)
+			t.Fatalf("%s: not after %v", description, timeout)
 		}
 	}
 }
 
-// sees says whether all of these observers see a driver in a state.
+// sees reports whether all given observers see a driver in a state.
 func (f *Fleet) sees(subject int, want membership.State, observers ...int) bool {
 	for _, i := range observers {
 		if v, ok := f.View(i, subject); !ok || v.State != want {
@@ -133,8 +134,8 @@
 	return true
 }
 
-func (f *Fleet) rosterIs(n int, at ...int) bool {
-	for _, i := range at {
+func (f *Fleet) haveRosterOf(n int, drivers ...int) bool {
+	for _, i := range drivers {
 		if s, err := f.Drivers[i].Status(); err != nil || s.Roster == nil || len(s.Roster.Names) != n {
 			return false
 		}
@@ -142,8 +143,9 @@
 	return true
 }
 
-// With folders a fleet that is killed as a whole, and whose machines come back one by one, is the same fleet: its first
-// driver waits for the rest and founds nothing, and all vote at once. A folder that has lost its content is refused.
+// With persistent votes, a fleet whose drivers are all killed and restarted one by one keeps its identity: the first
+// driver waits for the others instead of founding a new roster, and all can vote immediately. A corrupted folder is
+// refused.
 func TestVotesOutliveProcesses(t *testing.T) {
 	f := startFleet(t, Options{Seed: 21, KeepVotes: true})
 	before, err := f.Drivers[0].Status()
@@ -156,13 +158,15 @@
 	if err := f.StartDrivers(0); err != nil {
 		t.Fatal(err)
 	}
-	f.eventually(t, "the first one back is alone", func() bool { return f.HavePartitionStatus(membership.Isolated, 0) })
+	f.eventually(t, "the first restarted driver is isolated", func() bool {
+		return f.HavePartitionStatus(membership.Isolated, 0)
+	})
 	if _, err := f.Drivers[0].Control.NotifyHook(
 		context.Background(),
 		switchover.Notification{Group: 1, Stage: switchover.StageHeld},
 	); err == nil ||
 		!strings.Contains(err.Error(), "503") {
-		t.Errorf("a hold begun alone: %v", err)
+		t.Errorf("a hold requested at an isolated driver: %v", err)
 	}
 	if err := f.StartDrivers(1, 2); err != nil {
 		t.Fatal(err)
@@ -170,12 +174,12 @@
 	f.eventually(t, "three of five", func() bool { return f.HavePartitionStatus(membership.Majority, 0, 1, 2) })
 	s, err := f.Drivers[0].Status()
 	if err != nil || s.Roster.Lineage != before.Roster.Lineage || !slices.Equal(s.Roster.Names, before.Roster.Names) {
-		t.Fatalf("another fleet: %+v %v, before %+v", s.Roster, err, before.Roster)
+		t.Fatalf("the roster differs: %+v %v, before %+v", s.Roster, err, before.Roster)
 	}
 	if err := f.Drivers[1].Control.Forget(context.Background(), control.ForgetRequest{Name: "n4"}); err != nil {
 		t.Fatal(err)
 	}
-	f.eventually(t, "a roster agreed on by three that were all killed", func() bool { return f.rosterIs(4, 0, 1, 2) })
+	f.eventually(t, "a roster agreed on by three restarted drivers", func() bool { return f.haveRosterOf(4, 0, 1, 2) })
 	f.Drivers[2].Kill()
 	logs, err := filepath.Glob(filepath.Join(f.Drivers[2].file("votes"), "*"))
 	if err != nil || len(logs) == 0 {
@@ -194,7 +198,7 @@
 	}
 	f.eventually(
 		t,
-		"a spoilt folder is refused",
+		"a corrupted folder is refused",
 		func() bool { return strings.Contains(f.Drivers[2].Log(), "move it away") },
 	)
 }
@@ -211,14 +215,14 @@
 	f.Drivers[1].Kill()
 	f.eventually(t, "all but one killed", func() bool { return f.HavePartitionStatus(membership.Isolated, 0) })
 	if s, err := f.Drivers[0].Status(); err != nil || s.Count != 10 || len(s.Roster.Names) != 5 {
-		t.Errorf("a loss may not shrink what is counted: %+v %v", s, err)
+		t.Errorf("failures must not shrink the roster or the count: %+v %v", s, err)
 	}
 	if _, err := f.Drivers[0].Control.NotifyHook(
 		context.Background(),
 		switchover.Notification{Group: 1, Stage: switchover.StageHeld},
 	); err == nil ||
 		!strings.Contains(err.Error(), "503") {
-		t.Errorf("a hold begun alone: %v", err)
+		t.Errorf("a hold requested at an isolated driver: %v", err)
 	}
 	for i := 1; i < 5; i++ {
 		if err := f.Drivers[i].Start(); err != nil {
@@ -226,7 +230,7 @@
 		}
 	}
 	f.eventually(t, "all back", func() bool {
-		return f.HavePartitionStatus(membership.Complete, allDrivers...) && f.rosterIs(5, allDrivers...)
+		return f.HavePartitionStatus(membership.Complete, allDrivers...) && f.haveRosterOf(5, allDrivers...)
 	})
 }
 
@@ -235,26 +239,26 @@
 	f.Drivers[4].Stop()
 	f.eventually(t, "one stopped", func() bool {
 		return f.sees(4, membership.Left, 0, 1, 2, 3) && f.HavePartitionStatus(membership.Complete, 0, 1, 2, 3) &&
-			f.rosterIs(4, 0, 1, 2, 3)
+			f.haveRosterOf(4, 0, 1, 2, 3)
 	})
 	if err := f.Drivers[5].Start(); err != nil {
 		t.Fatal(err)
 	}
-	f.eventually(t, "another one", func() bool {
-		return f.HavePartitionStatus(membership.Complete, 0, 1, 2, 3, 5) && f.rosterIs(5, 0, 1, 2, 3, 5)
+	f.eventually(t, "a new driver joined", func() bool {
+		return f.HavePartitionStatus(membership.Complete, 0, 1, 2, 3, 5) && f.haveRosterOf(5, 0, 1, 2, 3, 5)
 	})
 	f.Drivers[5].Kill()
-	f.eventually(t, "and it fails", func() bool { return f.sees(5, membership.Failed, 0, 1, 2, 3) })
-	f.eventually(t, "and is forgotten", func() bool {
+	f.eventually(t, "the new driver failed", func() bool { return f.sees(5, membership.Failed, 0, 1, 2, 3) })
+	f.eventually(t, "the failed driver is forgotten", func() bool {
 		err := f.Drivers[0].Control.Forget(context.Background(), control.ForgetRequest{Name: "n5"})
-		return err == nil && f.HavePartitionStatus(membership.Complete, 0, 1, 2, 3) && f.rosterIs(4, 0, 1, 2, 3)
+		return err == nil && f.HavePartitionStatus(membership.Complete, 0, 1, 2, 3) && f.haveRosterOf(4, 0, 1, 2, 3)
 	})
 	if err := f.Drivers[0].Control.Forget(
 		context.Background(),
 		control.ForgetRequest{Name: "n1"},
 	); err == nil ||
 		!strings.Contains(err.Error(), "lives") {
-		t.Errorf("one that lives was forgotten: %v", err)
+		t.Errorf("a live driver was forgotten: %v", err)
 	}
 }
 
@@ -263,26 +267,26 @@
 	f.Drivers[2].Freeze()
 	f.eventually(
 		t,
-		"it is missed",
+		"the frozen driver is suspected or failed",
 		func() bool { return f.sees(2, membership.Suspect, 0) || f.sees(2, membership.Failed, 0) },
 	)
 	f.Drivers[2].Thaw()
 	f.eventually(
 		t,
-		"thawed as it is missed",
+		"complete after thawing a suspected driver",
 		func() bool { return f.HavePartitionStatus(membership.Complete, allDrivers...) },
 	)
 	f.Drivers[2].Freeze()
-	f.eventually(t, "it failed", func() bool { return f.sees(2, membership.Failed, 0, 1, 3, 4) })
+	f.eventually(t, "the frozen driver failed", func() bool { return f.sees(2, membership.Failed, 0, 1, 3, 4) })
 	f.Drivers[2].Thaw()
 	f.eventually(
 		t,
-		"thawed when it had failed",
+		"complete after thawing a failed driver",
 		func() bool { return f.HavePartitionStatus(membership.Complete, allDrivers...) },
 	)
 	if log := f.Drivers[2].Log(); !strings.Contains(log, "reason=stood_still") ||
 		strings.Contains(log, "reason=fellow_failed") {
-		t.Errorf("the one that stood still blames others:\n%s", log)
+		t.Errorf("the paused driver considers others failed:\n%s", log)
 	}
 }
 
@@ -297,16 +301,16 @@
 			t.Fatal(err)
 		}
 	}
-	f.eventually(t, "newcomers of the smaller part", func() bool {
-		return f.HavePartitionStatus(membership.Minority, 0, 1, 5, 6) && f.rosterIs(5, 0, 1, 2, 3, 4, 5, 6)
+	f.eventually(t, "new drivers join the minority", func() bool {
+		return f.HavePartitionStatus(membership.Minority, 0, 1, 5, 6) && f.haveRosterOf(5, 0, 1, 2, 3, 4, 5, 6)
 	})
-	f.Drivers[4].Kill() // both views change, then they meet
-	f.eventually(t, "three of five less one", func() bool {
+	f.Drivers[4].Kill() // the views of both sides change before they merge
+	f.eventually(t, "the former majority has lost a driver", func() bool {
 		return f.HavePartitionStatus(membership.Undetermined, 2, 3) || f.HavePartitionStatus(membership.Minority, 2, 3)
 	})
 	f.Links.Heal()
-	f.eventually(t, "two changed views meet", func() bool {
-		return f.HavePartitionStatus(membership.Majority, 0, 1, 2, 3, 5, 6) && f.rosterIs(7, 0, 1, 2, 3, 5, 6) &&
+	f.eventually(t, "two changed views merge", func() bool {
+		return f.HavePartitionStatus(membership.Majority, 0, 1, 2, 3, 5, 6) && f.haveRosterOf(7, 0, 1, 2, 3, 5, 6) &&
 			f.sees(4, membership.Failed, 0, 1, 2, 3, 5, 6)
 	})
 	f.Links.Partition(0, 1, 1, 1, 1, 1, 1)
@@ -317,16 +321,18 @@
 	if err := f.Drivers[4].Start(); err != nil {
 		t.Fatal(err)
 	}
-	f.eventually(t, "all there", func() bool { return f.HavePartitionStatus(membership.Complete, 0, 1, 2, 3, 4, 5, 6) })
+	f.eventually(t, "all seven drivers are complete", func() bool {
+		return f.HavePartitionStatus(membership.Complete, 0, 1, 2, 3, 4, 5, 6)
+	})
 	for _, d := range f.Drivers {
-		d.views(t)
+		d.checkCompare(t)
 	}
 }
 
 func TestOneDirectionAndRing(t *testing.T) {
 	f := startFleet(t, Options{Seed: 5})
 	f.Links.Set(0, 1, links.Link{Blocked: true})
-	f.eventually(t, "who does not hear whom", func() bool {
+	f.eventually(t, "the blocked direction is reported", func() bool {
 		v, ok := f.View(3, 1)
 		own, known := f.View(1, 0)
 		back, heard := f.View(0, 1)
@@ -336,7 +342,7 @@
 	})
 	f.eventually(
 		t,
-		"nobody is lost by it",
+		"no driver fails due to the blocked direction",
 		func() bool { return f.HavePartitionStatus(membership.Complete, allDrivers...) },
 	)
 	f.Links.Heal()
@@ -345,13 +351,13 @@
 		w.Blocked = (a+1)%5 != b && (b+1)%5 != a
 		return w
 	})
-	f.eventually(t, "a ring", func() bool {
+	f.eventually(t, "complete over a ring of links", func() bool {
 		far, ok := f.View(0, 2)
 		near, known := f.View(0, 1)
 		return ok && known && !far.Reachable && near.Reachable && f.HavePartitionStatus(membership.Complete, allDrivers...)
 	})
 	f.Links.Heal()
-	f.eventually(t, "the ring is gone", func() bool {
+	f.eventually(t, "all links are back", func() bool {
 		far, ok := f.View(0, 2)
 		return ok && far.Reachable && f.HavePartitionStatus(membership.Complete, allDrivers...)
 	})
@@ -364,13 +370,19 @@
 		return w
 	})
 	f.Drivers[3].Kill()
-	f.eventually(t, "a loss is found all the same", func() bool { return f.sees(3, membership.Failed, 0, 1, 2, 4) })
+	f.eventually(t, "a failure is detected despite packet loss", func() bool {
+		return f.sees(3, membership.Failed, 0, 1, 2, 4)
+	})
 	if err := f.Drivers[3].Start(); err != nil {
 		t.Fatal(err)
 	}
-	f.eventually(t, "and a return", func() bool { return f.HavePartitionStatus(membership.Complete, allDrivers...) })
+	f.eventually(t, "a restart is detected despite packet loss", func() bool {
+		return f.HavePartitionStatus(membership.Complete, allDrivers...)
+	})
 	f.Links.Heal()
-	f.eventually(t, "calm again", func() bool { return f.HavePartitionStatus(membership.Complete, allDrivers...) })
+	f.eventually(t, "complete after the heal", func() bool {
+		return f.HavePartitionStatus(membership.Complete, allDrivers...)
+	})
 }
 
 func TestRestarts(t *testing.T) {
@@ -389,7 +401,7 @@
 		t.Fatal(err)
 	}
 	f.eventually(t, "all at once", func() bool {
-		return f.HavePartitionStatus(membership.Complete, allDrivers...) && f.rosterIs(5, allDrivers...)
+		return f.HavePartitionStatus(membership.Complete, allDrivers...) && f.haveRosterOf(5, allDrivers...)
 	})
 }
 
@@ -397,35 +409,39 @@
 	t.Parallel()
 	f := newFleet(t, Options{Seed: 8, ExtraDrivers: 1, Seeds: func(i int) []int {
 		if i == 4 {
-			return []int{5} // nobody is there
+			return []int{5} // not running
 		}
 		return []int{0, 4}
 	}})
 	if err := f.Drivers[4].Start(); err != nil {
 		t.Fatal(err)
 	}
-	f.eventually(t, "seeds that are dead", func() bool { return f.HavePartitionStatus(membership.Undetermined, 4) })
+	f.eventually(t, "undetermined with dead seeds", func() bool {
+		return f.HavePartitionStatus(membership.Undetermined, 4)
+	})
 	if err := f.StartDrivers(0, 1, 2, 3); err != nil {
 		t.Fatal(err)
 	}
-	f.eventually(t, "found by others", func() bool { return f.HavePartitionStatus(membership.Complete, allDrivers...) })
+	f.eventually(t, "discovered by other drivers", func() bool {
+		return f.HavePartitionStatus(membership.Complete, allDrivers...)
+	})
 	f.Drivers[5].Name = "n4"
 	if err := f.Drivers[5].Start(); err != nil {
 		t.Fatal(err)
 	}
-	f.eventually(t, "a name used twice", func() bool {
+	f.eventually(t, "a duplicate name is rejected", func() bool {
 		s, err := f.Drivers[5].Status()
 		return err == nil && s.Partition == membership.Undetermined && s.Reason == "name_taken" &&
 			f.HavePartitionStatus(membership.Complete, allDrivers...)
 	})
 	v, _ := f.View(0, 4)
 	if v.Address != f.Links.AdvertisedAddr(4) {
-		t.Errorf("the second one took the name: %+v", v)
+		t.Errorf("the second driver took over the name: %+v", v)
 	}
 	f.Drivers[4].Kill()
 	f.eventually(
 		t,
-		"the second one gets it",
+		"the second driver gets the name after the first one's end",
 		func() bool { return f.HavePartitionStatus(membership.Complete, 0, 1, 2, 3, 5) },
 	)
 }
@@ -445,8 +461,10 @@
 	if err := f.Drivers[5].Start(); err != nil {
 		t.Fatal(err)
 	}
-	f.eventually(t, "a stranger", func() bool { return f.HavePartitionStatus(membership.Undetermined, 5) })
-	// whatever comes at the sockets, nobody is lost by it, and nobody is made up
+	f.eventually(t, "a driver with another secret does not join", func() bool {
+		return f.HavePartitionStatus(membership.Undetermined, 5)
+	})
+	// Garbage at the sockets neither makes a driver fail nor adds one.
 	udp, err := net.Dial("udp", f.Links.ListenAddr(0))
 	if err != nil {
 		t.Fatal(err)
@@ -455,7 +473,7 @@
 	for i := range 2000 {
 		udp.Write([]byte(strings.Repeat("\xa1\x01\x82", i%600)))
 	}
-	for range 40 { // more than are served at a time
+	for range 40 { // more connections than are served concurrently
 		c, err := net.Dial("tcp", f.Links.ListenAddr(0))
 		if err != nil {
 			t.Fatal(err)
@@ -466,11 +484,11 @@
 	f.Drivers[3].Kill()
 	f.eventually(t, "one failed", func() bool { return f.sees(3, membership.Failed, 0, 1, 2, 4) })
 	for range 20 {
-		if f.Links.Replay() == 0 { // among it signs of life
+		if f.Links.Replay() == 0 { // the replayed datagrams include ones of the killed driver
 			t.Fatal("nothing to replay")
 		}
 	}
-	f.eventually(t, "old word changes nothing", func() bool {
+	f.eventually(t, "replayed datagrams change nothing", func() bool {
 		return f.sees(3, membership.Failed, 0, 1, 2, 4) && f.HavePartitionStatus(membership.Majority, 0, 1, 2, 4)
 	})
 	s, err := f.Drivers[0].Status()
@@ -481,8 +499,8 @@
 
 var writes = lab.OpKind{Name: "write", Share: 1, Write: true, Timeout: 4 * time.Second}
 
-// under runs a load on these drivers during an action, and audits it.
-func (f *Fleet) under(t *testing.T, what func(), targets ...int) lab.Result {
+// runUnderLoad runs an action while the given drivers are under load, and audits the load.
+func (f *Fleet) runUnderLoad(t *testing.T, action func(), targets ...int) lab.Result {
 	t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
 	l := lab.Load{
@@ -496,11 +514,11 @@
 	for _, i := range targets {
 		l.Targets = append(l.Targets, f.Drivers[i].Address)
 	}
-	got := make(chan lab.Result)
-	go func() { got <- l.Run(ctx, nil) }()
-	what()
+	results := make(chan lab.Result)
+	go func() { results <- l.Run(ctx, nil) }()
+	action()
 	stop()
-	r := <-got
+	r := <-results
 	for _, broken := range f.options.Cluster.Audit(r) {
 		t.Error(broken)
 	}
@@ -510,7 +528,7 @@
 	return r
 }
 
-func stage(d *Driver) switchover.ChangeStatus {
+func changeStatus(d *Driver) switchover.ChangeStatus {
 	s, err := d.Control.Status(context.Background())
 	if err != nil || len(s) == 0 {
 		return switchover.ChangeStatus{}
@@ -518,92 +536,96 @@
 	return s[0]
 }
 
-// stages says whether the change of group 1 fulfils a condition at every driver.
-func (f *Fleet) stages(so func(switchover.ChangeStatus) bool) bool {
-	return !slices.ContainsFunc(f.Drivers, func(d *Driver) bool { return !so(stage(d)) })
+// changesFulfil reports whether the status of group 1's switchover fulfils a condition at every driver.
+func (f *Fleet) changesFulfil(condition func(switchover.ChangeStatus) bool) bool {
+	return !slices.ContainsFunc(f.Drivers, func(d *Driver) bool { return !condition(changeStatus(d)) })
 }
 
-// A change is held in the larger partition while the smaller one can't learn of it, and released in the smaller;
-// writes go to both.
+// A hold begins at the majority side of a partition while the minority can't learn of it, and is released at the
+// minority side; both sides get writes.
 func TestHoldAndReleaseOnTwoSides(t *testing.T) {
 	f := startFleet(t, Options{Seed: 10})
-	c := f.options.Cluster
-	f.under(t, func() {
+	cluster := f.options.Cluster
+	f.runUnderLoad(t, func() {
 		f.Links.Partition(0, 0, 1, 1, 1)
 		f.eventually(t, "two parts", func() bool {
 			return f.HavePartitionStatus(membership.Minority, 0, 1) && f.HavePartitionStatus(membership.Majority, 2, 3, 4)
 		})
-		old := c.Primary(1)
-		word := switchover.Notification{Group: 1, Stage: switchover.StageHeld, From: old, Lease: 20000}
+		old := cluster.Primary(1)
+		hold := switchover.Notification{Group: 1, Stage: switchover.StageHeld, From: old, Lease: 20000}
 		if _, err := f.Drivers[1].Control.NotifyHook(
 			context.Background(),
-			word,
+			hold,
 		); err == nil ||
 			!strings.Contains(err.Error(), "larger part") {
-			t.Errorf("a hold begun with the smaller part: %v", err)
+			t.Errorf("a hold requested at the minority: %v", err)
 		}
-		word, err := f.Drivers[2].Control.NotifyHook(context.Background(), word)
+		hold, err := f.Drivers[2].Control.NotifyHook(context.Background(), hold)
 		if err != nil {
 			t.Error(err)
 			return
 		}
-		f.eventually(t, "held with the larger part", func() bool {
-			return stage(f.Drivers[3]).Stage == switchover.StageHeld && stage(f.Drivers[4]).Stage == switchover.StageHeld
+		f.eventually(t, "held at the majority", func() bool {
+			return changeStatus(f.Drivers[3]).Stage == switchover.StageHeld &&
+				changeStatus(f.Drivers[4]).Stage == switchover.StageHeld
 		})
-		if s := stage(f.Drivers[0]); s.Stage != switchover.StageNone {
-			t.Errorf("it passed the cut: %+v", s)
+		if s := changeStatus(f.Drivers[0]); s.Stage != switchover.StageNone {
+			t.Errorf("the hold crossed the partition: %+v", s)
 		}
-		c.Inject("demote", old)
-		f.eventually(t, "a new primary", func() bool { p := c.Primary(1); return p != "" && p != old })
+		cluster.Inject("demote", old)
+		f.eventually(t, "a new primary", func() bool { p := cluster.Primary(1); return p != "" && p != old })
 		if _, err := f.Drivers[0].Control.NotifyHook(
 			context.Background(),
-			switchover.Notification{Group: 1, Stage: switchover.StageReleased, Epoch: word.Epoch, From: old, To: c.Primary(1)},
+			switchover.Notification{
+				Group: 1, Stage: switchover.StageReleased, Epoch: hold.Epoch, From: old, To: cluster.Primary(1)},
 		); err != nil {
 			t.Error(err)
 		}
 		f.Links.Heal()
 		f.eventually(t, "released everywhere", func() bool {
-			return f.stages(func(s switchover.ChangeStatus) bool { return s.Stage == switchover.StageReleased && s.Finished })
+			return f.changesFulfil(func(s switchover.ChangeStatus) bool {
+				return s.Stage == switchover.StageReleased && s.Finished
+			})
 		})
 	}, allDrivers...)
 }
 
-// The primary changes, with and without notice, while the fleet is partitioned and both sides take writes.
+// The primary changes, with and without notice, while the fleet is partitioned and both sides get writes.
 func TestPrimaryChangesInBothPartitions(t *testing.T) {
 	f := startFleet(t, Options{Seed: 11})
-	c := f.options.Cluster
-	f.under(t, func() {
+	cluster := f.options.Cluster
+	f.runUnderLoad(t, func() {
 		f.Links.Partition(0, 0, 1, 1, 1)
 		f.eventually(t, "two parts", func() bool {
 			return f.HavePartitionStatus(membership.Minority, 0, 1) && f.HavePartitionStatus(membership.Majority, 2, 3, 4)
 		})
-		old := c.Primary(1)
-		c.Inject("kill", old)
-		f.eventually(t, "a new primary", func() bool { p := c.Primary(1); return p != "" && p != old })
-		c.Inject("heal", old)
-		if _, err := c.Switchover(context.Background(), f.Drivers[4].Control, 1); err != nil {
+		old := cluster.Primary(1)
+		cluster.Inject("kill", old)
+		f.eventually(t, "a new primary", func() bool { p := cluster.Primary(1); return p != "" && p != old })
+		cluster.Inject("heal", old)
+		if _, err := cluster.Switchover(context.Background(), f.Drivers[4].Control, 1); err != nil {
 			t.Error(err)
 		}
 		f.Links.Heal()
 		f.eventually(t, "complete again", func() bool { return f.HavePartitionStatus(membership.Complete, allDrivers...) })
-		if _, err := c.Switchover(context.Background(), f.Drivers[0].Control, 1); err != nil {
+		if _, err := cluster.Switchover(context.Background(), f.Drivers[0].Control, 1); err != nil {
 			t.Error(err)
 		}
-		f.eventually(t, "all know", func() bool {
-			return f.stages(func(s switchover.ChangeStatus) bool {
-				return s.Stage == switchover.StageReleased && s.Epoch == stage(f.Drivers[0]).Epoch
+		f.eventually(t, "all know the release", func() bool {
+			return f.changesFulfil(func(s switchover.ChangeStatus) bool {
+				return s.Stage == switchover.StageReleased && s.Epoch == changeStatus(f.Drivers[0]).Epoch
 			})
 		})
 	}, allDrivers...)
 }
 
-// The driver that the hook called dies while it holds writes: the others keep the hold and its lease, and release it.
+// The driver that the hook notified dies while it holds writes: the others keep the hold and its lease, and release it.
 func TestDriverDiesWhileItHoldsWrites(t *testing.T) {
 	f := startFleet(t, Options{Seed: 12})
-	c := f.options.Cluster
-	f.under(t, func() {
-		old := c.Primary(1)
-		word, err := f.Drivers[4].Control.NotifyHook(
+	cluster := f.options.Cluster
+	f.runUnderLoad(t, func() {
+		old := cluster.Primary(1)
+		hold, err := f.Drivers[4].Control.NotifyHook(
 			context.Background(),
 			switchover.Notification{Group: 1, Stage: switchover.StageHeld, From: old, Lease: 20000},
 		)
@@ -612,43 +634,43 @@
 			return
 		}
 		f.eventually(t, "held by all", func() bool {
-			return f.stages(func(s switchover.ChangeStatus) bool { return s.Stage == switchover.StageHeld })
+			return f.changesFulfil(func(s switchover.ChangeStatus) bool { return s.Stage == switchover.StageHeld })
 		})
 		f.Drivers[4].Kill()
-		c.Inject("demote", old)
-		f.eventually(t, "a new primary", func() bool { p := c.Primary(1); return p != "" && p != old })
+		cluster.Inject("demote", old)
+		f.eventually(t, "a new primary", func() bool { p := cluster.Primary(1); return p != "" && p != old })
 		if err := f.Drivers[4].Start(); err != nil {
 			t.Error(err)
 			return
 		}
 		f.eventually(
 			t,
-			"the killed one, started again, knows of the hold",
-			func() bool { return stage(f.Drivers[4]).Epoch == word.Epoch },
+			"the restarted driver knows of the hold",
+			func() bool { return changeStatus(f.Drivers[4]).Epoch == hold.Epoch },
 		)
 		if _, err := f.Drivers[1].Control.NotifyHook(
 			context.Background(),
-			switchover.Notification{Group: 1, Stage: switchover.StageReleased, To: c.Primary(1)},
+			switchover.Notification{Group: 1, Stage: switchover.StageReleased, To: cluster.Primary(1)},
 		); err != nil {
 			t.Error(err)
 		}
 		f.eventually(t, "released by all", func() bool {
-			return f.stages(func(s switchover.ChangeStatus) bool { return s.Stage == switchover.StageReleased })
+			return f.changesFulfil(func(s switchover.ChangeStatus) bool { return s.Stage == switchover.StageReleased })
 		})
 	}, 0, 1, 2, 3)
 }
 
-// A drain that only the smaller partition's list has binds all that learn of it after the heal, through another
-// partition as well, until a list of the same revision has the member up.
+// A drain that only the minority's list contains is obeyed by all drivers that learn of it after the heal, also during
+// another partition, until a newer list has the member up.
 func TestDrainAnnouncedToTheSmallerPartition(t *testing.T) {
-	c, err := lab.Start(lab.Options{ElectionTime: 300 * time.Millisecond, Members: 4})
+	cluster, err := lab.Start(lab.Options{ElectionTime: 300 * time.Millisecond, Members: 4})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Stop()
-	old := c.MemberList()
-	late := httptest.NewServer(
-		http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { // a discovery that stands still
+	defer cluster.Stop()
+	old := cluster.MemberList()
+	staleDiscovery := httptest.NewServer(
+		http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { // discovery that returns an outdated list
 			if r.FormValue("since") != "" {
 				select {
 				case <-r.Context().Done():
@@ -658,43 +680,43 @@
 			w.Write(old)
 		}),
 	)
-	defer late.Close()
-	f := startFleet(t, Options{Seed: 13, Cluster: c, Discovery: func(i int) string {
+	defer staleDiscovery.Close()
+	f := startFleet(t, Options{Seed: 13, Cluster: cluster, Discovery: func(i int) string {
 		if i < 2 {
-			return c.Discovery()
+			return cluster.Discovery()
 		}
-		return late.Listener.Addr().String()
+		return staleDiscovery.Listener.Addr().String()
 	}})
 	f.Links.Partition(0, 0, 1, 1, 1)
 	f.eventually(t, "two parts", func() bool {
 		return f.HavePartitionStatus(membership.Minority, 0, 1) && f.HavePartitionStatus(membership.Majority, 2, 3, 4)
 	})
-	drained := c.Replica(1)
-	c.Inject("drain", drained)
-	said := func(what string, of ...int) bool {
-		for _, i := range of {
+	drained := cluster.Replica(1)
+	cluster.Inject("drain", drained)
+	reported := func(draining string, drivers ...int) bool {
+		for _, i := range drivers {
 			if log := f.Drivers[i].Log(); strings.LastIndex(
 				log,
-				"member="+drained+" draining="+what,
+				"member="+drained+" draining="+draining,
 			) <= strings.LastIndex(
 				log,
-				"member="+drained+" draining="+map[string]string{"true": "false", "false": "true"}[what],
+				"member="+drained+" draining="+map[string]string{"true": "false", "false": "true"}[draining],
 			) {
 				return false
 			}
 		}
 		return true
 	}
-	f.eventually(t, "announced to the smaller partition", func() bool {
+	f.eventually(t, "announced to the minority", func() bool {
 		return strings.Contains(f.Drivers[0].Log(), drained+"=draining") &&
 			strings.Contains(f.Drivers[1].Log(), drained+"=draining")
 	})
 	f.Links.Heal()
-	f.eventually(t, "heard of by the others", func() bool { return said("true", 2, 3, 4) })
-	quiet := func(what string) {
+	f.eventually(t, "known to the others", func() bool { return reported("true", 2, 3, 4) })
+	expectNoArrivals := func(what string) {
 		t.Helper()
-		time.Sleep(2 * lab.DrainGrace) // what was sent before may still arrive
-		before := c.Arrivals(drained)
+		time.Sleep(2 * lab.DrainGrace) // ops that were sent before may still arrive
+		before := cluster.Arrivals(drained)
 		reads := lab.Load{
 			Targets:  []string{f.Drivers[2].Address, f.Drivers[3].Address, f.Drivers[4].Address},
 			Rate:     200,
@@ -705,16 +727,16 @@
 			Slack:    20 * time.Second,
 		}
 		reads.Run(context.Background(), nil)
-		if after := c.Arrivals(drained); after != before {
-			t.Errorf("%s: %d ops came to a drained member", what, after-before)
+		if after := cluster.Arrivals(drained); after != before {
+			t.Errorf("%s: %d ops arrived at a drained member", what, after-before)
 		}
 	}
-	quiet("after the heal")
+	expectNoArrivals("after the heal")
 	f.Links.Partition(0, 0, 1, 1, 1)
 	f.eventually(t, "two parts again", func() bool { return f.HavePartitionStatus(membership.Majority, 2, 3, 4) })
 	f.Drivers[0].Kill()
 	f.Drivers[1].Kill()
-	quiet("the drivers that announced it are gone")
+	expectNoArrivals("the drivers that announced it are gone")
 	f.Links.Heal()
 	for _, i := range []int{0, 1} {
 		if err := f.Drivers[i].Start(); err != nil {
@@ -722,13 +744,13 @@
 		}
 	}
 	f.eventually(t, "complete", func() bool { return f.HavePartitionStatus(membership.Complete, allDrivers...) })
-	quiet("after another heal")
-	c.Inject("undrain", drained)
-	f.eventually(t, "up again by a newer list", func() bool { return said("false", 2, 3, 4) })
+	expectNoArrivals("after another heal")
+	cluster.Inject("undrain", drained)
+	f.eventually(t, "up again by a newer list", func() bool { return reported("false", 2, 3, 4) })
 }
 
-// views checks what commands print of a driver.
-func (d *Driver) views(t *testing.T) {
+// checkCompare checks that the driver can compare the views of all drivers.
+func (d *Driver) checkCompare(t *testing.T) {
 	t.Helper()
 	all, err := d.Control.Compare(context.Background())
 	if err != nil || len(all) < 6 {
@@ -736,7 +758,7 @@
 	}
 	for _, c := range all {
 		if c.Status == nil {
-			t.Errorf("%s gives %s no view: %s", c.Name, d.Name, c.Error)
+			t.Errorf("%s returns no view to %s: %s", c.Name, d.Name, c.Error)
 		}
 	}
 }
@@ -805,17 +827,20 @@
 	f.eventually(t, "it left", func() bool {
 		return f.sees(4, membership.Left, 0, 1, 2, 3) && f.HavePartitionStatus(membership.Complete, 0, 1, 2, 3)
 	})
-	// SIGHUP takes other seeds and another period, without a restart
+	// SIGHUP reloads the seeds and the period without a restart.
 	f.options.Period = 150 * time.Millisecond
 	if err := f.Drivers[1].writeFiles(); err != nil {
 		t.Fatal(err)
 	}
 	f.Drivers[1].Signal(syscall.SIGHUP)
 	f.eventually(t, "reloaded", func() bool { return strings.Contains(f.Drivers[1].Log(), "event=reloaded") })
-	f.eventually(t, "and goes on", func() bool { return f.HavePartitionStatus(membership.Complete, 0, 1, 2, 3) })
+	f.eventually(t, "complete after the reload", func() bool {
+		return f.HavePartitionStatus(membership.Complete, 0, 1, 2, 3)
+	})
 }
 
-// The number of drivers reaches the module, and decreases only where the others may take over the share.
+// The number of drivers is passed to the module, and decreases only when the others may take over the failed drivers'
+// shares.
 func TestCountOfDrivers(t *testing.T) {
 	f := startFleet(t, Options{Seed: 15, TakeoverAfter: time.Second})
 	f.eventually(
@@ -826,7 +851,7 @@
 	f.Drivers[4].Kill()
 	f.Drivers[3].Kill()
 	f.eventually(t, "three of five", func() bool { return f.HavePartitionStatus(membership.Majority, 0, 1, 2) })
-	f.eventually(t, "they take over what those two must have given up: 2*3*5/8", func() bool {
+	f.eventually(t, "the count decreases to 4, for 2*3*5/8", func() bool {
 		for _, i := range []int{0, 1, 2} {
 			if s, err := f.Drivers[i].Status(); err != nil || s.Count != 4 {
 				return false
--- a/internal/lab/fleet/golden_test.go
+++ b/internal/lab/fleet/golden_test.go
@@ -41,7 +41,7 @@
 }
 `
 
-// A script's steps in their order, errors of scripts, and the page are as recorded.
+// The steps of a script in execution order, the errors of invalid scripts, and the page are as recorded.
 func TestScriptAndPageAreThoseRecorded(t *testing.T) {
 	var cases []golden.Case[string]
 	record := func(name, value string) { cases = append(cases, golden.Of(name, value)) }
@@ -60,14 +60,14 @@
 		_, err := ParseScript("s.hcl", []byte(text))
 		record(fmt.Sprint("error ", i), fmt.Sprint(err))
 	}
-	said := []reports{{}, {}}
-	for i, what := range []string{"unsure", "unsure", "whole", "smaller", "silent", "whole"} {
-		said[0].record(float64(i), "", what)
-		said[1].record(float64(i)+0.5, "n10", map[bool]string{true: "alive", false: "unheard"}[i < 3])
-		said[1].record(float64(i)+0.5, "n0", "alive")
+	driverReports := []reports{{}, {}}
+	for i, status := range []string{"unsure", "unsure", "whole", "smaller", "silent", "whole"} {
+		driverReports[0].record(float64(i), "", status)
+		driverReports[1].record(float64(i)+0.5, "n10", map[bool]string{true: "alive", false: "unheard"}[i < 3])
+		driverReports[1].record(float64(i)+0.5, "n0", "alive")
 	}
 	f := &Fleet{Drivers: []*Driver{{Name: "n0"}, {Name: "n1"}}}
-	page, err := renderPage(f, said, []interval{{1, 0, s.Steps[0].String()}}, 6)
+	page, err := renderPage(f, driverReports, []interval{{1, 0, s.Steps[0].String()}}, 6)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/fleet/page.go
+++ b/internal/lab/fleet/page.go
@@ -1,6 +1,6 @@
 package fleet
 
-// This file owns the page that shows what drivers reported of each other over time.
+// This file owns the page that shows the drivers' views of each other over time.
 
 import (
 	"bytes"
@@ -12,7 +12,7 @@
 	"strings"
 )
 
-// colours are of partition statuses and states.
+// colours are the colours of partition statuses and driver states.
 var colours = map[string]string{"alive": "#4a9", "whole": "#4a9", "larger": "#8c6", "suspect": "#fc5", "unsure": "#fc5",
 	"smaller": "#f96", "alone": "#e55", "failed": "#e55", "left": "#bbb", "unheard": "#69c", "silent": "#eee"}
 
@@ -26,7 +26,7 @@
 	`fill="{{.Colour}}"><title>{{.Title}}</title></rect>{{end}}</svg>{{end}}</table>{{end}}
 `))
 
-// pageData is what the page's template takes.
+// pageData is the input of the page's template.
 type (
 	pageData struct {
 		Key     []keyEntry
@@ -48,9 +48,9 @@
 	}
 )
 
-const pageWidth = 900.0 // pixels of a row
+const pageWidth = 900.0 // width of a row in pixels
 
-// renderPage draws what each driver reported from the begin to the end, in seconds.
+// renderPage returns the page with each driver's reports from the start until end, in seconds.
 func renderPage(fleet *Fleet, reports []reports, steps []interval, end float64) ([]byte, error) {
 	data := pageData{Steps: steps}
 	for _, name := range []string{"whole", "larger", "smaller", "alone", "unsure", "alive", "unheard", "suspect", "failed",
@@ -65,9 +65,9 @@
 	return b.Bytes(), err
 }
 
-// rows is a row for each subject: the driver's own status first, then the others by the numbers in their names.
-func (h reports) rows(pixelsPerSecond float64) (rows []pageRow) {
-	subjects := slices.SortedFunc(maps.Keys(h), func(a, b string) int {
+// rows returns a row for each subject: the driver's own status first, then the other drivers by number.
+func (r reports) rows(pixelsPerSecond float64) (rows []pageRow) {
+	subjects := slices.SortedFunc(maps.Keys(r), func(a, b string) int {
 		return cmp.Or(len(a)-len(b), strings.Compare(a, b))
 	})
 	for _, subject := range subjects {
@@ -75,7 +75,7 @@
 		if subject == "" {
 			row.Of = "standing"
 		}
-		for _, x := range h[subject] {
+		for _, x := range r[subject] {
 			row.Bars = append(row.Bars, pageBar{x.From * pixelsPerSecond, max((x.To-x.From)*pixelsPerSecond, 1),
 				colours[x.State], fmt.Sprintf("%s %.1f to %.1f s", x.State, x.From, x.To)})
 		}
--- a/internal/lab/fleet/playback.go
+++ b/internal/lab/fleet/playback.go
@@ -1,6 +1,6 @@
 package fleet
 
-// This file owns the running of scripts, and the record of what drivers reported.
+// This file owns the execution of scripts, and the record of the drivers' reports.
 
 import (
 	"context"
@@ -14,36 +14,36 @@
 	"weirwind/internal/lab"
 )
 
-// interval is a time for which something was reported.
+// interval is a period in which a state was reported.
 type interval struct {
 	From, To float64 // seconds
 	State    string
 }
 
-// reports are what one driver reported, by the driver that it is about; "" is its own partition status.
+// reports are the states that a driver reported, by subject; the subject "" is its own partition status.
 type reports map[string][]interval
 
-// record extends the last report of a subject, or adds another state.
-func (h reports) record(now float64, subject, state string) {
-	all := h[subject]
+// record extends the last interval of a subject, or adds an interval if the state has changed.
+func (r reports) record(now float64, subject, state string) {
+	all := r[subject]
 	if n := len(all); n > 0 && all[n-1].State == state {
 		all[n-1].To = now
 		return
 	} else if n > 0 {
 		all[n-1].To = now
 	}
-	h[subject] = append(all, interval{now, now, state})
+	r[subject] = append(all, interval{now, now, state})
 }
 
-// Run carries a script out, prints what happens, and gives the page.
+// Run executes a script, prints its steps and results, and returns the page.
 func (s *Script) Run(ctx context.Context, out io.Writer) ([]byte, error) {
 	cluster, err := lab.Start(lab.Options{Seed: uint64(s.Seed)})
 	if err != nil {
 		return nil, err
 	}
 	defer cluster.Stop()
-	f, err := New(Options{Program: s.Program, Drivers: s.Drivers, ExtraDrivers: s.ExtraDrivers, Period: s.period, Seed: uint64(s.Seed),
-		Cluster: cluster})
+	f, err := New(Options{Program: s.Program, Drivers: s.Drivers, ExtraDrivers: s.ExtraDrivers, Period: s.period,
+		Seed: uint64(s.Seed), Cluster: cluster})
 	if err != nil {
 		return nil, err
 	}
@@ -69,22 +69,22 @@
 	return renderPage(f, r.reports, r.executed, r.now())
 }
 
-// scriptRun is a script under way. Times are seconds from its begin.
+// scriptRun is the execution of a script. Times are seconds from its start.
 type scriptRun struct {
 	script *Script
 	fleet  *Fleet
 	out    io.Writer
 	began  time.Time
 
-	nextStep int                // index of the first step that is not carried out
-	executed []interval         // the steps that are
-	killedAt map[string]float64 // drivers that not all others know to have failed
+	nextStep int                // index of the first step that is not executed
+	executed []interval         // the executed steps
+	killedAt map[string]float64 // kill times of drivers whose failure is not known to all others
 
 	mu      sync.Mutex
 	reports []reports // by driver
 }
 
-// printStatuses prints the partition statuses that each driver had.
+// printStatuses prints the history of each driver's partition status.
 func (r *scriptRun) printStatuses() {
 	for i, d := range r.fleet.Drivers {
 		var statuses []string
@@ -95,10 +95,10 @@
 	}
 }
 
-// now is the time since the begin, in seconds.
+// now returns the time since the start, in seconds.
 func (r *scriptRun) now() float64 { return time.Since(r.began).Seconds() }
 
-// steps carries out what is due.
+// runDueSteps executes the steps that are due.
 func (r *scriptRun) runDueSteps() error {
 	for r.nextStep < len(r.script.Steps) && time.Since(r.began) >= r.script.Steps[r.nextStep].at {
 		step := &r.script.Steps[r.nextStep]
@@ -117,10 +117,10 @@
 	return nil
 }
 
-// poll asks all drivers for their views, and prints which of the killed ones all others know to have failed.
+// poll queries all drivers for their views, and prints the killed drivers whose failure all others have detected.
 func (r *scriptRun) poll() {
 	var polls sync.WaitGroup
-	notFailed := map[string]bool{} // drivers that some other one does not take for failed
+	notFailed := map[string]bool{} // drivers that at least one other driver does not consider failed
 	for i, d := range r.fleet.Drivers {
 		polls.Go(func() {
 			status, err := d.Status()
@@ -148,7 +148,7 @@
 	}
 }
 
-// stateOf is a driver's state as it is drawn.
+// stateOf returns a driver's state in the form of the page.
 func stateOf(view membership.View) string {
 	if view.State == membership.Alive && !view.Reachable {
 		return "unheard"
--- a/internal/lab/fleet/script.go
+++ b/internal/lab/fleet/script.go
@@ -1,6 +1,6 @@
 package fleet
 
-// This file owns scripts: their form in HCL, and what their steps do.
+// This file owns scripts: their HCL format and the execution of their steps.
 
 import (
 	"fmt"
@@ -12,10 +12,10 @@
 	"weirwind/internal/standin/links"
 )
 
-// Script is a fleet and the steps that are carried out on it. Times are Go durations.
+// Script describes a fleet and the steps that are executed on it. Times are Go durations.
 type Script struct {
 	Drivers      int    `hcl:"drivers"`
-	ExtraDrivers int    `hcl:"spare,optional"` // places for drivers that come later
+	ExtraDrivers int    `hcl:"spare,optional"` // drivers that are started later
 	Period       string `hcl:"period,optional"`
 	End          string `hcl:"end"`
 	Seed         int    `hcl:"seed,optional"`
@@ -25,8 +25,8 @@
 	period, end time.Duration
 }
 
-// Step is one of a script: kill, stop, freeze, thaw or start drivers, set the link from one to another (way), partition
-// the drivers (cut), or heal all links.
+// Step is a step of a script: kill, stop, freeze, thaw or start drivers, configure the link from one driver to another
+// (way), partition the drivers (cut), or heal all links.
 type Step struct {
 	Kind       string  `hcl:"what,label"`
 	At         string  `hcl:"at"`
@@ -45,7 +45,7 @@
 	delay, jitter time.Duration
 }
 
-// ParseScript parses a script. Errors of its form name file and line.
+// ParseScript parses a script. Syntax errors contain file and line.
 func ParseScript(name string, text []byte) (*Script, error) {
 	s := &Script{}
 	if err := hclsimple.Decode(name, text, nil, s); err != nil {
@@ -53,7 +53,8 @@
 	}
 	times := durations{file: name}
 	s.period, s.end = times.parse("period", s.Period, 500*time.Millisecond), times.parse("end", s.End, 0)
-	if s.Drivers < 1 || s.ExtraDrivers < 0 || s.Drivers+s.ExtraDrivers > 60 || s.period < 50*time.Millisecond || s.end > time.Hour {
+	if s.Drivers < 1 || s.ExtraDrivers < 0 || s.Drivers+s.ExtraDrivers > 60 || s.period < 50*time.Millisecond ||
+		s.end > time.Hour {
 		return nil, fmt.Errorf("%s: 1 to 60 drivers, a period of 50ms at least, an hour at most", name)
 	}
 	n := s.Drivers + s.ExtraDrivers
@@ -74,27 +75,27 @@
 	return s, times.err
 }
 
-// stepKinds are those of steps.
+// stepKinds are the valid kinds of steps.
 var stepKinds = []string{"kill", "stop", "freeze", "thaw", "start", "way", "cut", "heal"}
 
-// durations parses durations of a file and keeps the last error.
+// durations parses the durations of a file and keeps the last error.
 type durations struct {
 	file string
 	err  error
 }
 
-func (d *durations) parse(what, text string, usual time.Duration) time.Duration {
+func (d *durations) parse(argument, text string, defaultValue time.Duration) time.Duration {
 	if text == "" {
-		return usual
+		return defaultValue
 	}
 	parsed, err := time.ParseDuration(text)
 	if err != nil || parsed < 0 {
-		d.err = fmt.Errorf("%s: %s is %q; it wants a time such as \"10s\"", d.file, what, text)
+		d.err = fmt.Errorf("%s: %s is %q; it wants a time such as \"10s\"", d.file, argument, text)
 	}
 	return parsed
 }
 
-// String describes a step.
+// String returns a description of the step.
 func (p *Step) String() string {
 	switch p.Kind {
 	case "way":
@@ -108,7 +109,7 @@
 	return fmt.Sprint(p.Kind, " ", p.Drivers)
 }
 
-// apply carries out a step.
+// apply executes the step.
 func (p *Step) apply(fleet *Fleet) error {
 	switch p.Kind {
 	case "way":
@@ -133,13 +134,13 @@
 	return nil
 }
 
-// applyTo carries out a step on one driver.
+// applyTo executes the step on one driver.
 func (p *Step) applyTo(driver *Driver) error {
 	switch p.Kind {
 	case "kill":
 		driver.Kill()
 	case "stop":
-		go driver.Stop() // which waits for its end
+		go driver.Stop() // asynchronous, as it waits for the process's end
 	case "freeze":
 		driver.Freeze()
 	case "thaw":
--- a/internal/lab/fleet/zones_test.go
+++ b/internal/lab/fleet/zones_test.go
@@ -1,7 +1,7 @@
 package fleet
 
-// Several processes of the built program that decide on zones in common, with members in three zones and faults of
-// both.
+// These tests run several processes of the built program that make zone decisions together, with members in three zones
+// and faults of drivers and members.
 
 import (
 	"context"
@@ -20,16 +20,16 @@
 
 var zoneNames = []string{"a", "b", "c"}
 
-// startZonedFleet starts six drivers in three zones in front of six members in them, and waits for a first plan.
+// startZonedFleet starts six drivers and six members in three zones, and waits for the first plan.
 func startZonedFleet(t *testing.T, o Options) *Fleet {
 	t.Helper()
 	t.Parallel()
-	c, err := lab.Start(lab.Options{ElectionTime: 300 * time.Millisecond, Members: 6, Zones: zoneNames})
+	cluster, err := lab.Start(lab.Options{ElectionTime: 300 * time.Millisecond, Members: 6, Zones: zoneNames})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(c.Stop)
-	o.Cluster, o.Drivers = c, 6
+	t.Cleanup(cluster.Stop)
+	o.Cluster, o.Drivers = cluster, 6
 	if o.Zones == nil {
 		o.Zones = zoneNames
 	}
@@ -48,13 +48,14 @@
 	return s, err == nil
 }
 
-// followPlan says whether all of these drivers, all six without, have one plan in force that fulfils a condition.
-func (f *Fleet) followPlan(condition func(p *zones.Plan) bool, of ...int) bool {
-	if len(of) == 0 {
-		of = []int{0, 1, 2, 3, 4, 5}
+// followPlan reports whether the given drivers, by default all six, have the same plan in force and it fulfils a
+// condition.
+func (f *Fleet) followPlan(condition func(p *zones.Plan) bool, drivers ...int) bool {
+	if len(drivers) == 0 {
+		drivers = []int{0, 1, 2, 3, 4, 5}
 	}
 	epoch := uint64(0)
-	for _, i := range of {
+	for _, i := range drivers {
 		s, ok := f.Drivers[i].zonesStatus()
 		if !ok || !s.InForce || s.Plan == nil || epoch != 0 && s.Plan.Epoch != epoch || !condition(s.Plan) {
 			return false
@@ -76,25 +77,25 @@
 		len(p.Partitions) == 0
 }
 
-// membersOf injects a fault into all members of a zone.
-func (f *Fleet) membersOf(zone, what string) {
+// injectIntoZone injects a fault into each member of a zone.
+func (f *Fleet) injectIntoZone(zone, fault string) {
 	for i, id := range []string{"g1m1", "g1m2", "g1m3", "g1m4", "g1m5", "g1m6"} {
 		if zoneNames[i%3] == zone {
-			f.options.Cluster.Inject(what, id)
+			f.options.Cluster.Inject(fault, id)
 		}
 	}
 }
 
-// A zone with its drivers is lost, and the others decide that and serve; it returns. Each op has one answer, and no
-// write runs twice.
+// All members and drivers of a zone fail: the other drivers eject the zone and continue to serve, until it is back.
+// Each op gets one answer, and no write is executed twice.
 func TestZoneLost(t *testing.T) {
 	f := startZonedFleet(t, Options{Seed: 31, KeepVotes: true})
-	f.under(t, func() {
-		f.membersOf("b", "kill")
+	f.runUnderLoad(t, func() {
+		f.injectIntoZone("b", "kill")
 		f.Drivers[1].Kill()
 		f.Drivers[4].Kill()
 		f.eventually(t, "away", func() bool { return f.followPlan(zoneIs("b", zones.Ejected, zones.ZoneLost), 0, 2, 3, 5) })
-		f.membersOf("b", "heal")
+		f.injectIntoZone("b", "heal")
 		if err := f.StartDrivers(1, 4); err != nil {
 			t.Error(err)
 		}
@@ -102,68 +103,68 @@
 	}, 0, 2, 3, 5)
 }
 
-// A zone's members are lost while its drivers live, and the reverse.
+// First a zone's members fail while its drivers are alive, then the reverse.
 func TestMembersOrDriversOfAZoneLost(t *testing.T) {
 	f := startZonedFleet(t, Options{Seed: 32})
-	f.under(t, func() {
-		f.membersOf("c", "kill")
+	f.runUnderLoad(t, func() {
+		f.injectIntoZone("c", "kill")
 		f.eventually(t, "away", func() bool { return f.followPlan(zoneIs("c", zones.Ejected, zones.MembersLost)) })
-		f.membersOf("c", "heal")
+		f.injectIntoZone("c", "heal")
 		f.eventually(t, "all serve again", func() bool { return f.followPlan(allServe) })
 	}, 0, 1, 2, 3, 4, 5)
 	f.Drivers[2].Kill()
 	f.Drivers[5].Kill()
-	f.eventually(t, "its members serve on", func() bool {
+	f.eventually(t, "its members continue to serve", func() bool {
 		return f.followPlan(zoneIs("c", zones.Serving, zones.DriversLost), 0, 1, 3, 4)
 	})
 }
 
-// Operators evacuate a zone at any driver while another zone fails, freeze decisions, and undo both.
+// Operators evacuate a zone through any driver while another zone fails, undo it, and freeze zone decisions.
 func TestEvacuateWhileAnotherFails(t *testing.T) {
-	asked := make(chan string, 64)
+	webhookBodies := make(chan string, 64)
 	manager := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		text, _ := io.ReadAll(r.Body)
 		select {
-		case asked <- string(text):
+		case webhookBodies <- string(text):
 		default:
 		}
 	}))
 	t.Cleanup(manager.Close)
 	f := startZonedFleet(t, Options{Seed: 33, Webhook: manager.URL})
-	order := func(at int, s zones.Command) {
+	submit := func(at int, command zones.Command) {
 		t.Helper()
 		f.eventually(
 			t,
-			"an order taken",
-			func() bool { return f.Drivers[at].Control.SubmitZoneCommand(context.Background(), s) == nil },
+			"a command is accepted",
+			func() bool { return f.Drivers[at].Control.SubmitZoneCommand(context.Background(), command) == nil },
 		)
 	}
-	f.under(t, func() {
-		order(4, zones.Command{Zone: "a", Evacuate: true})
+	f.runUnderLoad(t, func() {
+		submit(4, zones.Command{Zone: "a", Evacuate: true})
 		f.eventually(t, "evacuated", func() bool { return f.followPlan(zoneIs("a", zones.Ejected, zones.Evacuated)) })
-		f.eventually(t, "a primary is asked for elsewhere", func() bool {
+		f.eventually(t, "a move of the primary is planned", func() bool {
 			return f.followPlan(func(p *zones.Plan) bool { return len(p.Moves) == 1 && p.Moves[0].From == "a" })
 		})
 		select {
-		case text := <-asked: // who leads has asked the topology manager; it does not promote by itself
+		case text := <-webhookBodies: // the leader requests it from the topology manager and does not promote by itself
 			if !strings.Contains(text, `"group":1,"from":"a"`) || !strings.Contains(text, `"epoch":`) {
-				t.Errorf("asked for %s", text)
+				t.Errorf("the webhook got %s", text)
 			}
 		case <-time.After(timeout):
-			t.Error("nobody asked for the primary")
+			t.Error("the webhook was not called")
 		}
-		f.membersOf("c", "kill")
-		f.eventually(t, "both away", func() bool {
+		f.injectIntoZone("c", "kill")
+		f.eventually(t, "both zones ejected", func() bool {
 			return f.followPlan(func(p *zones.Plan) bool {
 				return zoneIs("a", zones.Ejected)(p) && zoneIs("c", zones.Ejected, zones.MembersLost)(p)
 			})
 		})
-		f.membersOf("c", "heal")
-		order(2, zones.Command{Zone: "a"})
+		f.injectIntoZone("c", "heal")
+		submit(2, zones.Command{Zone: "a"})
 		f.eventually(t, "all serve again", func() bool { return f.followPlan(allServe) })
 	}, 0, 1, 2, 3, 4, 5)
-	on := true
-	order(0, zones.Command{Freeze: &on})
+	freeze := true
+	submit(0, zones.Command{Freeze: &freeze})
 	f.eventually(t, "frozen", func() bool { return f.followPlan(func(p *zones.Plan) bool { return p.Frozen }) })
 	if err := f.Drivers[5].Control.SubmitZoneCommand(context.Background(),
 		zones.Command{Zone: "nowhere", Evacuate: true}); err == nil || !strings.Contains(err.Error(), "404") {
@@ -171,61 +172,60 @@
 	}
 }
 
-// The leader is paused and resumed with its old plan, while the others go on: it never applies the old one beside a
-// newer one, and follows in the end. A partition that outlasts the lease leaves the smaller side without a plan in
-// force, and it changes nothing.
+// The leader is suspended and resumed with its old plan while the others continue: it does not use the old plan when
+// there is a newer one, and follows the newer one eventually. In a partition that outlasts the lease, the minority has
+// no plan in force and changes nothing.
 func TestLeaderFrozenAndLeasesEnd(t *testing.T) {
 	f := startZonedFleet(t, Options{Seed: 34, KeepVotes: true})
 	f.eventually(t, "the first voter leads", func() bool { s, ok := f.Drivers[0].zonesStatus(); return ok && s.Leader })
 	f.Drivers[0].Freeze()
-	f.eventually(t, "another one leads", func() bool {
+	f.eventually(t, "another driver leads", func() bool {
 		return slices.ContainsFunc(f.Drivers[1:], func(d *Driver) bool {
 			s, ok := d.zonesStatus()
 			return ok && s.Leader && s.InForce
 		})
 	})
-	f.under(t, func() {
-		f.membersOf("b", "kill")
+	f.runUnderLoad(t, func() {
+		f.injectIntoZone("b", "kill")
 		f.eventually(t, "away", func() bool { return f.followPlan(zoneIs("b", zones.Ejected), 1, 2, 3, 4, 5) })
 		f.Drivers[0].Thaw()
-		f.eventually(t, "the thawed one follows", func() bool { return f.followPlan(zoneIs("b", zones.Ejected)) })
+		f.eventually(t, "the thawed driver follows the plan", func() bool { return f.followPlan(zoneIs("b", zones.Ejected)) })
 		before, _ := f.Drivers[0].zonesStatus()
 		f.Links.Partition(0, 0, 1, 1, 1, 1)
-		f.eventually(t, "the lease of the smaller part ends", func() bool {
+		f.eventually(t, "the minority's lease expires", func() bool {
 			a, ok := f.Drivers[0].zonesStatus()
-			b, too := f.Drivers[1].zonesStatus()
-			return ok && too && !a.InForce && !b.InForce
+			b, bothAnswered := f.Drivers[1].zonesStatus()
+			return ok && bothAnswered && !a.InForce && !b.InForce
 		})
 		if err := f.Drivers[1].Control.SubmitZoneCommand(
 			context.Background(),
 			zones.Command{Zone: "c", Evacuate: true},
 		); err == nil ||
 			!strings.Contains(err.Error(), "503") {
-			t.Errorf("an order without a plan in force: %v", err)
+			t.Errorf("a command without a plan in force: %v", err)
 		}
-		f.membersOf("b", "heal")
-		f.eventually(t, "the larger part goes on", func() bool { return f.followPlan(allServe, 2, 3, 4, 5) })
+		f.injectIntoZone("b", "heal")
+		f.eventually(t, "the majority continues", func() bool { return f.followPlan(allServe, 2, 3, 4, 5) })
 		if s, ok := f.Drivers[0].zonesStatus(); !ok || s.Plan.Epoch < before.Plan.Epoch || s.Tolls["b"] < 1 {
-			t.Errorf("cut off it forgot what was away: %+v", s)
+			t.Errorf("the partitioned driver lost the state of the ejected zone: %+v", s)
 		}
 	}, 1, 2, 3, 4, 5)
 	f.Links.Heal()
 	f.eventually(t, "all follow one plan", func() bool { return f.followPlan(allServe) })
 }
 
-// All drivers are killed and come back with their folders: with the same plan or a later one, and never an earlier
-// epoch.
+// All drivers are killed and restarted with their folders: their next plan has a higher epoch than the one before.
 func TestPlansOutliveProcesses(t *testing.T) {
 	f := startZonedFleet(t, Options{Seed: 35, KeepVotes: true})
-	f.under(t, func() {
-		f.membersOf("c", "kill")
+	f.runUnderLoad(t, func() {
+		f.injectIntoZone("c", "kill")
 		f.eventually(t, "away", func() bool { return f.followPlan(zoneIs("c", zones.Ejected)) })
 	}, 0, 1, 2, 3, 4, 5)
 	before, _ := f.Drivers[3].zonesStatus()
 	for _, d := range f.Drivers {
 		d.Kill()
 	}
-	f.membersOf("c", "heal")
+	f.injectIntoZone("c", "heal")
 	if err := f.StartAll(); err != nil {
 		t.Fatal(err)
 	}
@@ -235,15 +235,15 @@
 	}
 }
 
-// Two zones and a witness in a third one without members: with one zone lost the other goes on. Nothing is accepted
-// of a voter with a wrong secret.
+// Two zones have members and a third one has only voters (witnesses): when one zone with members fails, the other one
+// continues to serve.
 func TestWitness(t *testing.T) {
 	f := startZonedFleet(t, Options{Seed: 36, Zones: []string{"a", "b", "w"}})
-	f.under(t, func() {
-		f.membersOf("b", "kill")
+	f.runUnderLoad(t, func() {
+		f.injectIntoZone("b", "kill")
 		f.Drivers[1].Kill()
 		f.Drivers[4].Kill()
 		f.eventually(t, "away", func() bool { return f.followPlan(zoneIs("b", zones.Ejected, zones.ZoneLost), 0, 2, 3, 5) })
 	}, 0, 2, 3, 5)
-	f.eventually(t, "standing", func() bool { return f.HavePartitionStatus(membership.Majority, 0, 2, 3, 5) })
+	f.eventually(t, "a majority", func() bool { return f.HavePartitionStatus(membership.Majority, 0, 2, 3, 5) })
 }
--- a/internal/lab/hollow/drivers.go
+++ b/internal/lab/hollow/drivers.go
@@ -20,14 +20,14 @@
 type driverProcess struct {
 	childPlan
 	cancels []context.CancelFunc // by agent
-	done    []chan struct{}      // closed when an agent has ended
+	done    []chan struct{}      // by agent: closed when it has ended
 }
 
-// start starts the agent of an index among the process's.
+// start starts the i-th agent of the process.
 func (d *driverProcess) start(i int) {
 	n := d.First + i
 	ip := d.driverIP(n)
-	set := &settings.Settings{
+	config := &settings.Settings{
 		Hostname:    fmt.Sprintf("front-region%d-%04d", n%len(d.Cores), n),
 		IP:          ip,
 		Zone:        fmt.Sprintf("zone-%d", n%10),
@@ -45,13 +45,13 @@
 	}
 	go func() {
 		defer close(done)
-		if err := agent.Run(ctx, set, events.Discard()); err != nil {
+		if err := agent.Run(ctx, config, events.Discard()); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 		}
 	}()
 }
 
-// command restarts the first n agents; other verbs only sample.
+// command restarts the first n agents if the verb is verbRestart, and returns a sample.
 func (d *driverProcess) command(verb string, n int) Sample {
 	if verb == verbRestart {
 		n = min(n, len(d.cancels))
--- a/internal/lab/hollow/golden_test.go
+++ b/internal/lab/hollow/golden_test.go
@@ -9,7 +9,7 @@
 	"weirwind/internal/standin/golden"
 )
 
-// The columns of results and what is printed of a phase are as recorded.
+// The columns of results and the text printed for a phase are as recorded.
 func TestResultsAreThoseRecorded(t *testing.T) {
 	rows := []Row{{Phase: "steady", Drivers: 10, Members: 42, Role: "core", Machines: 5, Seconds: 10, Events: 3,
 		KnownAfter: 1.25, Link: "raft", Direction: "sent", Purpose: "append", Frames: 100, Bytes: 25000}}
--- a/internal/lab/hollow/hollow_test.go
+++ b/internal/lab/hollow/hollow_test.go
@@ -21,7 +21,8 @@
 	os.Exit(m.Run())
 }
 
-// perMachine adds up what a machine of a role sent and received in a phase, for purposes that begin so.
+// perMachine returns the mean bytes that a machine of a role sent and received in a phase, for purposes with a prefix,
+// and the duration of the phase.
 func perMachine(rows []Row, phase, role, purpose string) (bytes, seconds float64) {
 	for _, r := range rows {
 		if r.Phase == phase && r.Role == role {
@@ -34,13 +35,14 @@
 	return bytes, seconds
 }
 
-// Real core machines and agents, counted by purpose: in steady state nothing at a core machine may grow by drivers
-// times members, and an agent's cost may not grow at all. docs/CAPACITY.md has the figures of larger sizes.
+// With real core machines and agents, whose traffic is counted by purpose: in steady state no cost of a core machine
+// grows with the product of drivers and members, and an agent's cost does not grow at all. docs/CAPACITY.md has the
+// figures of larger sizes.
 func TestCostsBySizeWithRealProcesses(t *testing.T) {
 	runs := map[int][]Row{}
 	for i, n := range []int{30, 100} {
-		rows, err := Run(t.Context(), Options{Drivers: n, Databases: n * 145 / 100, Cores: 5, Renewals: 2, Timeout: time.Minute,
-			Net: 70 + os.Getpid()%80, Port: 23000 + 4*(os.Getpid()%2000) + 4*i}, os.Stdout)
+		rows, err := Run(t.Context(), Options{Drivers: n, Databases: n * 145 / 100, Cores: 5, Renewals: 2,
+			Timeout: time.Minute, Net: 70 + os.Getpid()%80, Port: 23000 + 4*(os.Getpid()%2000) + 4*i}, os.Stdout)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/lab/hollow/members.go
+++ b/internal/lab/hollow/members.go
@@ -1,6 +1,6 @@
 package hollow
 
-// This file owns hollow members: heartbeats over a few connections, and answers to status queries.
+// This file owns hollow members: they send heartbeats over a few connections and answer status queries.
 
 import (
 	"bufio"
@@ -14,7 +14,7 @@
 	"weirwind/internal/member/wire"
 )
 
-// memberProcess runs members that send heartbeats and answer the leader's status queries; they run no statement.
+// memberProcess runs members that send heartbeats and answer the leader's status queries; they execute no statements.
 type memberProcess struct {
 	childPlan
 	addr                               string
@@ -22,7 +22,7 @@
 	heartbeats, missed, sent, received atomic.Int64
 }
 
-// start listens for the leader's queries and sends heartbeats, until the process ends.
+// start starts listening for the leader's queries and sending heartbeats, until the process ends.
 func (m *memberProcess) start() {
 	ln, err := net.Listen("tcp4", net.JoinHostPort(m.coreIP(0), "0"))
 	if err != nil {
@@ -43,7 +43,7 @@
 	}
 }
 
-// serveStatus answers the leader's status queries: each primary leads in term 1, with an empty log.
+// serveStatus answers the leader's status queries with a primary in term 1 that has an empty log.
 func serveStatus(conn net.Conn) {
 	defer conn.Close()
 	r := wire.NewReader(conn)
@@ -62,21 +62,21 @@
 	}
 }
 
-// sendHeartbeats sends the heartbeats of one connection's members, each once in a period and evenly spread.
-func (m *memberProcess) sendHeartbeats(k int) {
-	var mine []int
-	for i := k; i < m.Count; i += heartbeatConns {
-		mine = append(mine, i)
+// sendHeartbeats sends the heartbeats of one connection's members, each once per period and evenly spread.
+func (m *memberProcess) sendHeartbeats(connIndex int) {
+	var indexes []int
+	for i := connIndex; i < m.Count; i += heartbeatConns {
+		indexes = append(indexes, i)
 	}
-	if len(mine) == 0 {
+	if len(indexes) == 0 {
 		return
 	}
-	tick := time.NewTicker(heartbeatPeriod / time.Duration(len(mine)))
-	core := m.Cores[k%len(m.Cores)]
+	tick := time.NewTicker(heartbeatPeriod / time.Duration(len(indexes)))
+	core := m.Cores[connIndex%len(m.Cores)]
 	var conn net.Conn
 	var answers *bufio.Reader
 	for seq := uint64(1); ; seq++ {
-		for _, i := range mine {
+		for _, i := range indexes {
 			<-tick.C
 			if conn == nil {
 				c, err := net.DialTimeout("tcp4", core, time.Second)
@@ -95,7 +95,7 @@
 	}
 }
 
-// send sends a member's heartbeat and reads its answer.
+// send sends the heartbeat of the i-th member and reads the answer.
 func (m *memberProcess) send(conn net.Conn, answers *bufio.Reader, core string, i int, seq uint64) error {
 	role := "replica"
 	if i%membersPerGroup == 0 {
@@ -130,11 +130,12 @@
 	resp.Body.Close()
 	m.heartbeats.Add(1)
 	m.sent.Add(int64(len(request)))
-	m.received.Add(n + 110) // status line and headers, about
+	m.received.Add(n + 110) // approximate size of status line and headers
 	return nil
 }
 
-// command gives the first n members another generation, which changes their records; other verbs only sample.
+// command increments the generation of the first n members if the verb is verbChange, which changes their records, and
+// returns a sample.
 func (m *memberProcess) command(verb string, n int) Sample {
 	if verb == verbChange {
 		for i := range min(n, m.Count) {
--- a/internal/lab/hollow/process.go
+++ b/internal/lab/hollow/process.go
@@ -1,7 +1,7 @@
 package hollow
 
-// This file owns the processes of a run: this binary started again as a core machine, as many agents, or as many
-// members.
+// This file owns the processes of a run. This binary is started again as a core machine, a process with many agents, or
+// a process with many members.
 
 import (
 	"bufio"
@@ -26,38 +26,38 @@
 	planVariable    = "WEIRLAB_HOLLOW_PLAN"
 	heartbeatPeriod = 1200 * time.Millisecond
 	membersPerGroup = 3
-	heartbeatConns  = 32 // connections over which all members send
+	heartbeatConns  = 32 // number of connections that all members share
 )
 
-// The commands that processes of agents and members take.
+// The commands of processes of agents and members.
 const (
 	verbSample  = "sample"
-	verbRestart = "restart" // the first n agents
-	verbChange  = "change"  // the records of the first n members
+	verbRestart = "restart" // restarts the first n agents
+	verbChange  = "change"  // changes the records of the first n members
 )
 
-// childPlan is what a process of agents or members has to run; it is passed as JSON in the environment.
+// childPlan is the configuration of a process of agents or members; it is passed as JSON in the environment.
 type childPlan struct {
-	Net   int // the second byte of the first core machine's address
+	Net   int // second byte of the first core machine's address
 	Port  int
-	Cores []string // control addresses
-	First int      // agent or member
-	Count int
+	Cores []string // control addresses of the core machines
+	First int      // index of the process's first agent or member
+	Count int      // number of agents or members
 }
 
-// Sample is what a process has used and sent since it started.
+// Sample is a process's resource usage and traffic since its start.
 type Sample struct {
-	CPU        float64                       `json:"cpu"` // seconds
-	Memory     float64                       `json:"memory"`
+	CPU        float64                       `json:"cpu"`     // seconds
+	Memory     float64                       `json:"memory"`  // bytes
 	Traffic    map[string]controlmsg.Traffic `json:"traffic"` // by link
-	Heartbeats int64                         `json:"beats"`   // that were acknowledged
-	Missed     int64                         `json:"missed"`
-	Sent       int64                         `json:"sent"` // bytes of heartbeats, HTTP included
-	Received   int64                         `json:"back"` // bytes of their answers, about
+	Heartbeats int64                         `json:"beats"`   // acknowledged heartbeats
+	Missed     int64                         `json:"missed"`  // failed heartbeats
+	Sent       int64                         `json:"sent"`    // bytes of heartbeats with their HTTP headers
+	Received   int64                         `json:"back"`    // bytes of the answers, approximately
 }
 
-// Role runs a process of a run where this one was started as such, and gives its exit code; ok is false where it was
-// not.
+// Role runs this process in its role if it was started as a process of a run, and returns its exit code; otherwise ok
+// is false.
 func Role() (code int, ok bool) {
 	var p childPlan
 	_ = json.Unmarshal([]byte(os.Getenv(planVariable)), &p)
@@ -80,7 +80,7 @@
 	return 0, false
 }
 
-// serveCommands carries out each line of standard input, a verb and a number, and answers with a sample.
+// serveCommands executes each line of standard input, a verb and a number, and answers with a sample.
 func serveCommands(command func(verb string, n int) Sample) {
 	out := json.NewEncoder(os.Stdout)
 	for in := bufio.NewScanner(os.Stdin); in.Scan(); {
@@ -88,11 +88,11 @@
 		n, _ := strconv.Atoi(number)
 		s := command(verb, n)
 		s.CPU, s.Memory = usage(os.Getpid())
-		_ = out.Encode(s) // a parent that is gone reads nothing
+		_ = out.Encode(s) // fails only if the parent process has ended
 	}
 }
 
-// usage gives a process's processor time in seconds and its resident memory in bytes.
+// usage returns a process's processor time in seconds and its resident memory in bytes.
 func usage(pid int) (cpu, memory float64) {
 	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	fields := strings.Fields(string(text[strings.LastIndexByte(string(text), ')')+1:]))
@@ -105,7 +105,8 @@
 	return (user + system) / 100, pages * float64(os.Getpagesize())
 }
 
-// coreIP and driverIP put machine n into the region of core machine n modulo cores: a /16 of its own.
+// coreIP and driverIP return the address of core machine n and driver n. Each core machine has a /16 of its own, which
+// contains the drivers whose index modulo the number of core machines is its index.
 func (p *childPlan) coreIP(n int) string { return fmt.Sprintf("127.%d.0.1", p.Net+n) }
 
 func (p *childPlan) driverIP(n int) string {
@@ -113,7 +114,7 @@
 	return fmt.Sprintf("127.%d.%d.%d", p.Net+n%len(p.Cores), 1+nth/250, 1+nth%250)
 }
 
-// child is a process that a run has started.
+// child is a process that a run started.
 type child struct {
 	role string
 	cmd  *exec.Cmd
@@ -121,7 +122,7 @@
 	out  *json.Decoder
 }
 
-// startChild starts a process of a role; core machines read the settings file.
+// startChild starts a process in a role; core machines read the settings file.
 func startChild(role, settingsFile string, plan *childPlan, log io.Writer) (*child, error) {
 	self, err := os.Executable()
 	if err != nil {
@@ -151,8 +152,8 @@
 	return sample, err
 }
 
-// kill ends the process and waits for its end.
+// kill kills the process and waits for its end.
 func (c *child) kill() {
-	_ = c.cmd.Process.Kill() // it may have ended
-	_ = c.cmd.Wait()         // it was killed
+	_ = c.cmd.Process.Kill() // fails if the process has ended
+	_ = c.cmd.Wait()         // always returns an error for a killed process
 }
--- a/internal/lab/hollow/results.go
+++ b/internal/lab/hollow/results.go
@@ -1,6 +1,6 @@
 package hollow
 
-// This file owns results: rows of a phase's samples, what is printed of them, and the picture.
+// This file owns results: rows of a phase's samples, their printed form, and the chart.
 
 import (
 	"cmp"
@@ -16,17 +16,17 @@
 	"weirwind/internal/util/transport"
 )
 
-// Row is one figure: what a role's processes sent or received for a purpose in a phase. A row without a purpose has
-// their processor time and memory.
+// Row holds the traffic that a role's processes sent or received for a purpose in a phase. A row without a purpose
+// holds their processor time and memory.
 type Row struct {
 	Phase      string  `parquet:"phase,dict"`
 	Drivers    int32   `parquet:"drivers"`
 	Members    int32   `parquet:"members"`
 	Seconds    float64 `parquet:"seconds"`
-	Events     int32   `parquet:"events"` // changes in the phase
-	KnownAfter float64 `parquet:"known"`  // seconds until all had them; 0: not measured
+	Events     int32   `parquet:"events"` // number of changes in the phase
+	KnownAfter float64 `parquet:"known"`  // seconds until all processes knew the changes; 0: not measured
 	Role       string  `parquet:"role,dict"`
-	Machines   int32   `parquet:"machines"` // of the role: figures are sums over them
+	Machines   int32   `parquet:"machines"` // number of the role's machines; figures are sums over them
 	Link       string  `parquet:"link,dict"`
 	Direction  string  `parquet:"direction,dict"`
 	Purpose    string  `parquet:"purpose,dict"`
@@ -36,16 +36,16 @@
 	Memory     float64 `parquet:"memory"` // bytes
 }
 
-// trafficKey is what traffic is summed by.
+// trafficKey identifies a sum of traffic.
 type trafficKey struct{ link, direction, purpose string }
 
-// addCount adds a count to a sum; sign is 1, or -1 in two's complement.
+// addCount adds a count to a sum, or subtracts it; sign is 1 or the two's complement of 1.
 func addCount(sums map[trafficKey]transport.Count, key trafficKey, sign uint64, count transport.Count) {
 	sum := sums[key]
 	sums[key] = transport.Count{Frames: sum.Frames + sign*count.Frames, Bytes: sum.Bytes + sign*count.Bytes}
 }
 
-// addTraffic adds a sample's traffic to sums, or subtracts it.
+// addTraffic adds a sample's traffic to sums, or subtracts it, depending on sign.
 func (s *Sample) addTraffic(sums map[trafficKey]transport.Count, sign uint64) {
 	for link, t := range s.Traffic {
 		for purpose, n := range t.Sent {
@@ -57,7 +57,7 @@
 	}
 }
 
-// phaseResult is a phase, and what its processes had used before and after it, by role.
+// phaseResult is the result of a phase, with samples of all processes before and after it, by role.
 type phaseResult struct {
 	name          string
 	before, after map[string][]Sample
@@ -66,7 +66,7 @@
 	knownAfter    float64 // seconds
 }
 
-// newRows makes the rows of a phase.
+// newRows returns the rows of a phase.
 func (r *run) newRows(phase phaseResult) (rows []Row) {
 	machines := map[string]int{"core": r.Options.Cores, "drivers": r.Options.Drivers,
 		"members": r.Databases * membersPerGroup}
@@ -95,7 +95,7 @@
 	return rows
 }
 
-// add adds samples from behind a phase to its processor time, memory and traffic.
+// add adds samples taken after a phase to its processor time, memory and traffic.
 func (r *Row) add(sums map[trafficKey]transport.Count, role string, samples []Sample) {
 	for _, s := range samples {
 		r.CPU += s.CPU
@@ -104,7 +104,7 @@
 	}
 }
 
-// subtract subtracts samples from before a phase from its processor time and traffic.
+// subtract subtracts samples taken before a phase from its processor time and traffic.
 func (r *Row) subtract(sums map[trafficKey]transport.Count, role string, samples []Sample) {
 	for _, s := range samples {
 		r.CPU -= s.CPU
@@ -112,7 +112,7 @@
 	}
 }
 
-// addTo adds a sample's traffic, and the heartbeats of members, to sums.
+// addTo adds a sample's traffic, and for members their heartbeats, to sums, or subtracts them, depending on sign.
 func (s *Sample) addTo(sums map[trafficKey]transport.Count, role string, sign uint64) {
 	s.addTraffic(sums, sign)
 	if role != "members" {
@@ -124,7 +124,7 @@
 	}
 }
 
-// printPhase prints a phase's rows: for each role what one of its machines used, sent and received.
+// printPhase prints a phase's rows: for each role the mean usage and traffic of one of its machines.
 func printPhase(out io.Writer, rows []Row) {
 	slices.SortFunc(rows, func(a, b Row) int {
 		return cmp.Or(cmp.Compare(a.Role, b.Role), cmp.Compare(a.Link, b.Link), cmp.Compare(a.Direction, b.Direction),
@@ -146,7 +146,7 @@
 	}
 }
 
-// Draw draws the bytes a second of a core machine in a phase by the number of drivers, with a line for each purpose and
+// Draw draws a core machine's bytes per second in a phase over the number of drivers, with a line for each purpose and
 // logarithmic axes.
 func Draw(path, phase string, rows []Row) error {
 	lines := map[string]map[int32]float64{}
--- a/internal/lab/hollow/run.go
+++ b/internal/lab/hollow/run.go
@@ -20,27 +20,27 @@
 
 const (
 	agentsPerProcess = 250
-	maxMemory        = 14 << 30 // bytes of all processes together: a run that needs more is stopped
+	maxMemory        = 14 << 30 // bytes of all processes together; a run that exceeds it is stopped
 	pollPeriod       = 100 * time.Millisecond
 	httpTimeout      = 10 * time.Second
-	maxHerd          = 400 // drivers that restart at once
+	maxHerdSize      = 400 // maximum number of drivers that restart simultaneously
 )
 
-// Options of a run.
+// Options are the options of a run.
 type Options struct {
 	Drivers   int
 	Databases int // each of three members
 	Cores     int // core machines
-	// Renewals is the least number of renewals of each lease in a phase, which take about as many seconds; the steady
+	// Renewals is the minimum number of renewals of each lease in a phase, which take about one second each; the steady
 	// phase has three times as many.
 	Renewals int
-	Timeout  time.Duration // for all processes to know what a phase changed
-	Net      int           // the second byte of the first address; those that follow are used too
-	Port     int           // the first of four
-	Log      io.Writer     // of the processes; nil: none
+	Timeout  time.Duration // time limit for all processes to know a phase's changes
+	Net      int           // second byte of the first address; the following networks are used too
+	Port     int           // first of four consecutive ports
+	Log      io.Writer     // receives the processes' logs; nil: none
 }
 
-// run is one under way.
+// run is the state of a run.
 type run struct {
 	Options
 	childPlan
@@ -49,10 +49,10 @@
 	drivers []*child
 	members []*child
 	http    http.Client
-	config  []byte // the latest configuration that was accepted
+	config  []byte // the latest accepted configuration
 }
 
-// coreStatus is what is read of a core machine's status.
+// coreStatus holds the fields of a core machine's status that a run reads.
 type coreStatus struct {
 	CoreLinks   int
 	MemberCount int
@@ -62,13 +62,13 @@
 
 // phase is a part of a run.
 type phase struct {
-	name   string
-	events int                            // changes in it
-	begin  func(events int) error         // makes the changes; nil: there are none, and the phase begins once all is quiet
-	known  func(events int) (bool, error) // whether all processes know the changes; nil: not measured
+	name         string
+	events       int                            // number of changes
+	makeChanges  func(events int) error         // nil: no changes, and the phase begins when there are no more updates
+	changesKnown func(events int) (bool, error) // reports whether all processes know the changes; nil: not measured
 }
 
-// phases is those of a run, in order.
+// phases returns the phases of a run, in order.
 func (r *run) phases(ctx context.Context) []phase {
 	drivers := r.Options.Drivers
 	return []phase{
@@ -77,11 +77,12 @@
 		{"configuration", 1, r.changeConfig, r.configReceived},
 		{"member changes", max(r.Databases*membersPerGroup/100, 1), r.changeMembers, nil},
 		{"driver restarts", max(drivers/100, 1), r.restartDrivers, r.allKnown},
-		{"herd", min(maxHerd, drivers/2), r.restartDrivers, r.allKnown},
+		{"herd", min(maxHerdSize, drivers/2), r.restartDrivers, r.allKnown},
 	}
 }
 
-// Run goes through all phases at one size and prints each. On an error it gives the rows until then.
+// Run executes all phases at one size and prints the result of each. With an error it returns the rows of the phases
+// that are complete.
 func Run(ctx context.Context, options Options, out io.Writer) (rows []Row, err error) {
 	r := &run{
 		Options:   options,
@@ -108,27 +109,28 @@
 	return rows, nil
 }
 
-// runPhase makes a phase's changes, waits until they are known and all leases were renewed, and samples.
+// runPhase makes a phase's changes, waits until they are known and all leases are renewed, and takes samples before and
+// after.
 func (r *run) runPhase(ctx context.Context, step phase) (result phaseResult, err error) {
 	renewals := r.Renewals * r.Options.Drivers
-	if step.begin == nil {
+	if step.makeChanges == nil {
 		if err := r.awaitQuiet(ctx); err != nil {
 			return result, fmt.Errorf("before %s: %w", step.name, err)
 		}
-		renewals *= 3 // rates are measured here
+		renewals *= 3 // a longer phase for more precise rates
 	}
 	result = phaseResult{name: step.name, events: step.events}
 	if result.before, err = r.sample(); err != nil {
 		return result, err
 	}
 	began := time.Now()
-	if step.begin != nil {
-		if err := step.begin(step.events); err != nil {
+	if step.makeChanges != nil {
+		if err := step.makeChanges(step.events); err != nil {
 			return result, fmt.Errorf("%s: %w", step.name, err)
 		}
 	}
-	if step.known != nil {
-		if err := r.pollUntil(ctx, func() (bool, error) { return step.known(step.events) }); err != nil {
+	if step.changesKnown != nil {
+		if err := r.pollUntil(ctx, func() (bool, error) { return step.changesKnown(step.events) }); err != nil {
 			return result, fmt.Errorf("%s: %w", step.name, err)
 		}
 		result.knownAfter = time.Since(began).Seconds()
@@ -151,7 +153,7 @@
 	}
 }
 
-// pollUntil polls until a condition holds, within the limit.
+// pollUntil polls a condition until it holds, or returns an error after the timeout.
 func (r *run) pollUntil(ctx context.Context, condition func() (bool, error)) error {
 	for began := time.Now(); ; {
 		if ok, err := condition(); ok || err != nil {
@@ -166,7 +168,7 @@
 	}
 }
 
-// start starts all processes and has the first configuration accepted.
+// start starts all processes and submits the first configuration until it is accepted.
 func (r *run) start(ctx context.Context) error {
 	for n := range r.childPlan.Cores {
 		file := filepath.Join(r.folder, fmt.Sprintf("core%d.conf", n))
@@ -188,11 +190,11 @@
 	return r.pollUntil(ctx, func() (bool, error) { return r.changeConfig(1) == nil, nil })
 }
 
-// addChild starts a process of a role, for some of its agents or members.
+// addChild starts a process in a role, with a range of the agents or members.
 func (r *run) addChild(to *[]*child, role, file string, first, count int) error {
-	own := r.childPlan
-	own.First, own.Count = first, count
-	c, err := startChild(role, file, &own, r.Log)
+	plan := r.childPlan
+	plan.First, plan.Count = first, count
+	c, err := startChild(role, file, &plan, r.Log)
 	if err == nil {
 		*to = append(*to, c)
 	}
@@ -206,7 +208,7 @@
 	}
 }
 
-// coreSettings is the lines of a core machine's settings file.
+// coreSettings returns the lines of a core machine's settings file.
 func (r *run) coreSettings(n int) []string {
 	seeds := r.childPlan.Cores[:min(3, r.Options.Cores)]
 	return []string{fmt.Sprint("hostname=core-", n), fmt.Sprintf("zone=zone-%d", n), "region=r", "init=true",
--- a/internal/lab/hollow/steps.go
+++ b/internal/lab/hollow/steps.go
@@ -1,6 +1,6 @@
 package hollow
 
-// This file owns what phases do to the processes, and what is asked of them.
+// This file owns the changes that phases make, and the queries to the processes.
 
 import (
 	"bytes"
@@ -16,7 +16,7 @@
 
 func groupName(n int) string { return fmt.Sprintf("lecture-core-%04d", n) }
 
-// configRoute and configService are of a configuration, in the form of the core's API.
+// configRoute and configService are parts of a configuration, in the format of the core's API.
 type (
 	configRoute struct {
 		Name, Host, Prefix, Type, Svc           string
@@ -28,7 +28,8 @@
 	}
 )
 
-// newConfig is a configuration with a route and a service for each database; its version changes every route.
+// newConfig returns a configuration with a route and a service for each database. Every route differs from that of
+// another version.
 func newConfig(version uint64, databases int) ([]byte, error) {
 	config := struct {
 		Gen    uint64          `json:"gen"`
@@ -52,10 +53,10 @@
 	return json.Marshal(config)
 }
 
-// changeConfig has the next configuration accepted.
+// changeConfig submits the next configuration.
 func (r *run) changeConfig(int) error {
 	var base struct{ Gen uint64 }
-	_ = json.Unmarshal(r.config, &base) // none is version 0
+	_ = json.Unmarshal(r.config, &base) // stays 0 if there is no configuration yet
 	body, err := newConfig(base.Gen+1, r.Databases)
 	if err != nil {
 		return err
@@ -72,14 +73,14 @@
 	}
 	defer resp.Body.Close()
 	if text, _ := io.ReadAll(resp.Body); resp.StatusCode != http.StatusOK {
-		return fmt.Errorf("the configuration was answered %d %s", resp.StatusCode, text)
+		return fmt.Errorf("the core rejected the configuration: %d %s", resp.StatusCode, text)
 	}
 	r.config = body
 	return nil
 }
 
-// awaitQuiet waits until agents have received no update for two renewals each: core machines may know everything while
-// lists are still on their way to agents.
+// awaitQuiet waits until agents have received no update during two renewals each, as lists may still be in transit to
+// agents when the core machines know all changes.
 func (r *run) awaitQuiet(ctx context.Context) error {
 	updates, until := -1, 0
 	return r.pollUntil(ctx, func() (bool, error) {
@@ -96,7 +97,7 @@
 	})
 }
 
-// countReceived is the number of frames that processes have received for some purposes.
+// countReceived returns the number of frames that processes have received for the given purposes.
 func countReceived(samples []Sample, purposes ...controlmsg.Purpose) (n int) {
 	for _, s := range samples {
 		for _, t := range s.Traffic {
@@ -108,13 +109,13 @@
 	return n
 }
 
-// renewalsReached says whether agents have sent so many renewals in all.
+// renewalsReached reports whether agents have sent at least count renewals in total.
 func (r *run) renewalsReached(count int) (bool, error) {
 	all, err := r.samplesOf(r.drivers)
 	return countRenewals(map[string][]Sample{"drivers": all}) >= count, err
 }
 
-// countRenewals is the number of renewals that agents have sent.
+// countRenewals returns the number of renewals that agents have sent.
 func countRenewals(all map[string][]Sample) (n int) {
 	for _, s := range all["drivers"] {
 		n += int(s.Traffic["core"].Sent[controlmsg.LeaseRenewals.String()].Frames)
@@ -134,25 +135,25 @@
 	return all, nil
 }
 
-// configReceived says whether each agent has received both configurations that there were.
+// configReceived reports whether all agents have received both configurations, by the total number of frames.
 func (r *run) configReceived(int) (bool, error) {
 	samples, err := r.samplesOf(r.drivers)
 	return countReceived(samples, controlmsg.Configuration) >= 2*r.Options.Drivers, err
 }
 
-// changeMembers changes the records of the first members.
+// changeMembers changes the records of the first n members.
 func (r *run) changeMembers(n int) error {
 	_, err := r.members[0].command(fmt.Sprint(verbChange, " ", n))
 	return err
 }
 
-// restartDrivers restarts agents of the first process.
+// restartDrivers restarts the first n agents of the first process.
 func (r *run) restartDrivers(n int) error {
 	_, err := r.drivers[0].command(fmt.Sprint(verbRestart, " ", n))
 	return err
 }
 
-// allKnown says whether each core machine has links to all others and knows all drivers and members.
+// allKnown reports whether each core machine has links to all others and knows all drivers and members.
 func (r *run) allKnown(int) (bool, error) {
 	for n := range r.cores {
 		s, err := r.status(n)
@@ -164,7 +165,7 @@
 	return true, nil
 }
 
-// status is a core machine's.
+// status returns the status of a core machine.
 func (r *run) status(n int) (status coreStatus, err error) {
 	resp, err := r.http.Get("http://" + r.childPlan.Cores[n] + "/status?brief=1")
 	if err != nil {
@@ -174,7 +175,7 @@
 	return status, json.NewDecoder(resp.Body).Decode(&status)
 }
 
-// sample takes a sample of all processes, by role; an error where they use too much memory.
+// sample takes a sample of all processes, by role. It returns an error if they use too much memory.
 func (r *run) sample() (map[string][]Sample, error) {
 	all := map[string][]Sample{}
 	memory := 0.0
@@ -183,10 +184,10 @@
 		if err != nil {
 			return nil, err
 		}
-		x := Sample{Traffic: s.Traffic}
-		x.CPU, x.Memory = usage(c.cmd.Process.Pid)
-		memory += x.Memory
-		all["core"] = append(all["core"], x)
+		sample := Sample{Traffic: s.Traffic}
+		sample.CPU, sample.Memory = usage(c.cmd.Process.Pid)
+		memory += sample.Memory
+		all["core"] = append(all["core"], sample)
 	}
 	for role, children := range map[string][]*child{"drivers": r.drivers, "members": r.members} {
 		samples, err := r.samplesOf(children)
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// The audit finds each kind of violation, and none where there is none.
+// The audit finds each kind of violation, and reports none for a run without violations.
 func TestAuditFindsViolations(t *testing.T) {
-	good := func() (*Cluster, Result) {
+	validRun := func() (*Cluster, Result) {
 		return &Cluster{
 				name:       "own",
 				executions: map[string]int{"a": 1, "f": 1},
@@ -21,10 +21,10 @@
 				WriteCluster: map[string]string{"a": "own"},
 			}
 	}
-	if c, r := good(); len(c.Audit(r)) > 0 {
+	if c, r := validRun(); len(c.Audit(r)) > 0 {
 		t.Error(c.Audit(r))
 	}
-	for want, spoil := range map[string]func(*Cluster, *Result){
+	for want, corrupt := range map[string]func(*Cluster, *Result){
 		"a ran 2 times":             func(c *Cluster, r *Result) { c.executions["a"] = 2 },
 		"was told that it did not":  func(c *Cluster, r *Result) { c.executions["r"] = 1 },
 		"a was acked and never ran": func(c *Cluster, r *Result) { delete(c.executions, "a") },
@@ -37,35 +37,35 @@
 		"1 ops without a whole answer":             func(c *Cluster, r *Result) { r.Kinds["w"].Outcomes[Lost] = 1 },
 		"later than the grace":                     func(c *Cluster, r *Result) { c.afterDrain = []string{"x"} },
 	} {
-		c, r := good()
-		spoil(c, &r)
+		c, r := validRun()
+		corrupt(c, &r)
 		if broken := c.Audit(r); len(broken) != 1 || !strings.Contains(broken[0], want) {
 			t.Errorf("%q, want %q", broken, want)
 		}
 	}
 }
 
-// An answer names its cluster and its op, and another's is told apart.
+// An answer names its cluster and its op; the answer to another op is recognized.
 func TestAnswersNameTheirCluster(t *testing.T) {
 	if cluster, ok := parseAnswerValue(answerValue("c1", "op7"), "op7"); !ok || cluster != "c1" {
 		t.Error(cluster, ok)
 	}
 	for _, value := range []string{answerValue("c1", "op8"), "op7", "c1:op7", ""} {
 		if cluster, ok := parseAnswerValue(value, "op7"); ok {
-			t.Errorf("%q is taken for an answer of %q", value, cluster)
+			t.Errorf("%q is accepted as an answer of cluster %q", value, cluster)
 		}
 	}
 }
 
-// A member that is down keeps its address: no other cluster of this machine is given it, however many start.
-func TestDeadMembersKeepTheirAddresses(t *testing.T) {
-	c, err := Start(Options{})
+// The address of a stopped member stays reserved: no other cluster on this machine gets it.
+func TestStoppedMembersKeepTheirAddresses(t *testing.T) {
+	cluster, err := Start(Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Stop()
+	defer cluster.Stop()
 	dead := map[string]bool{}
-	for _, m := range c.members {
+	for _, m := range cluster.members {
 		m.stop()
 		dead[m.address] = true
 	}
@@ -81,32 +81,32 @@
 			}
 		}
 	}
-	for _, m := range c.members {
+	for _, m := range cluster.members {
 		if err := m.start(); err != nil || !dead[m.address] {
-			t.Error("a member doesn't come back at its address:", m.address, err)
+			t.Error("a member does not restart at its address:", m.address, err)
 		}
 	}
 }
 
-// Two drivers in front of a cluster whose primary is killed and hangs, and whose replicas drain and slow down: ops go
-// on and no rule is violated.
+// Two drivers run in front of a cluster whose primaries are killed or hang, and whose replicas drain or are slow:
+// writes are still acknowledged, and no rule is violated.
 func TestFaults(t *testing.T) {
-	c, err := Start(Options{ElectionTime: 200 * time.Millisecond})
+	cluster, err := Start(Options{ElectionTime: 200 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Stop()
+	defer cluster.Stop()
 	ctx, end := context.WithCancel(context.Background())
-	targets, wait, err := c.Drivers(ctx, 2, io.Discard, nil)
+	targets, wait, err := cluster.Drivers(ctx, 2, io.Discard, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	first := c.Primary(1)
+	first := cluster.Primary(1)
 	steps := []func(){
-		func() { c.Inject("kill", first) },
-		func() { c.Inject("heal", first); c.Inject("slow", c.Replica(1)) },
-		func() { c.Inject("hang", c.Primary(1)) },
-		func() { c.Inject("drain", c.Replica(1)) },
+		func() { cluster.Inject("kill", first) },
+		func() { cluster.Inject("heal", first); cluster.Inject("slow", cluster.Replica(1)) },
+		func() { cluster.Inject("hang", cluster.Primary(1)) },
+		func() { cluster.Inject("drain", cluster.Replica(1)) },
 	}
 	r := Load{
 		Targets:  targets,
@@ -124,39 +124,39 @@
 			}
 		},
 	)
-	for _, m := range c.members {
-		c.Inject("free", m.ID)
+	for _, m := range cluster.members {
+		cluster.Inject("free", m.ID)
 	}
 	end()
 	if err := wait(); err != nil {
 		t.Fatal(err)
 	}
-	if broken := c.Audit(r); len(broken) > 0 {
-		t.Errorf("%d broken rules, such as %q", len(broken), broken[0])
+	if broken := cluster.Audit(r); len(broken) > 0 {
+		t.Errorf("%d violations, such as %q", len(broken), broken[0])
 	}
-	if f := r.Kinds["write"]; f.Outcomes[Acked] < 20 {
-		t.Errorf("only %d writes acked", f.Outcomes[Acked])
+	if stats := r.Kinds["write"]; stats.Outcomes[Acked] < 20 {
+		t.Errorf("only %d writes acked", stats.Outcomes[Acked])
 	}
-	if c.Inject("kill", "nobody") || c.Inject("dance", first) {
-		t.Error("an unknown command is carried out")
+	if cluster.Inject("kill", "nobody") || cluster.Inject("dance", first) {
+		t.Error("an unknown command or member is accepted")
 	}
 }
 
-// Latency counts from the intended time: a target that hangs for a while shows in the ops that were due meanwhile.
+// Latency is measured from the intended time, so that the hang of a target shows in all ops that were due meanwhile.
 func TestStallsAreNotHidden(t *testing.T) {
-	c, err := Start(Options{Members: 1})
+	cluster, err := Start(Options{Members: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Stop()
-	m := c.members[0]
+	defer cluster.Stop()
+	m := cluster.members[0]
 	time.AfterFunc(500*time.Millisecond, func() { m.hung.Store(true) })
 	time.AfterFunc(900*time.Millisecond, func() { m.hung.Store(false) })
 	r := Load{Targets: []string{m.address}, Rate: 200, Duration: 1500 * time.Millisecond, Groups: 1,
 		Mix: []OpKind{{Name: "any", Share: 1, Timeout: 5 * time.Second}}}.Run(context.Background(), nil)
-	f := r.Kinds["any"]
-	if n := f.Latency.TotalCount(); n < 200 || f.Quantile(90) < 100*time.Millisecond ||
-		f.Quantile(50) > 100*time.Millisecond {
-		t.Errorf("%d ops, median %v, p90 %v: the stall is hidden", n, f.Quantile(50), f.Quantile(90))
+	stats := r.Kinds["any"]
+	if n := stats.Latency.TotalCount(); n < 200 || stats.Quantile(90) < 100*time.Millisecond ||
+		stats.Quantile(50) > 100*time.Millisecond {
+		t.Errorf("%d ops, median %v, p90 %v: the stall is hidden", n, stats.Quantile(50), stats.Quantile(90))
 	}
 }
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -1,7 +1,8 @@
 package lab
 
-// This file owns the load: ops that are sent at their intended times, whatever became of those before, and what came of
-// each. Latency counts from the intended time, so that a stall shows in all ops that it delays. No op is sent twice.
+// This file owns the load: ops that are sent at their intended times, independently of earlier ones, and their
+// outcomes. Latency is measured from the intended time, so that a stall shows in all ops that it delays (no coordinated
+// omission). No op is sent twice.
 
 import (
 	"cmp"
@@ -18,26 +19,26 @@
 // OpKind is an op type of a mix.
 type OpKind struct {
 	Name    string        `json:"name"`
-	Share   float64       `json:"share"` // of all ops, in parts of the sum
+	Share   float64       `json:"share"` // share of all ops, relative to the sum of all shares
 	Write   bool          `json:"write"`
 	Timeout time.Duration `json:"timeout"`
-	Target  time.Duration `json:"target"` // answers up to it are in time; 0: all
-	Value   float64       `json:"value"`  // of one in time; 0 for 1
+	Target  time.Duration `json:"target"` // latency target; 0: none
+	Value   float64       `json:"value"`  // value of an op answered within its target; 0: 1
 }
 
 // Load is an open-loop load on drivers.
 type Load struct {
-	Targets     []string // drivers' addresses
-	Rate        float64  // ops a second, all targets together
+	Targets     []string // addresses of the drivers
+	Rate        float64  // ops per second, all targets together
 	Duration    time.Duration
 	Mix         []OpKind
 	Groups      int
 	Seed        uint64
-	Slack       time.Duration // beyond an op's timeout in which its answer counts, as machines pause; 0: 50 ms
-	MaxInFlight int           // ops that are open at a time; those beyond are not sent and counted as Skipped; 0: 2000
+	Slack       time.Duration // time after an op's timeout in which its answer counts, as machines pause; 0: 50 ms
+	MaxInFlight int           // maximum number of concurrent ops; more are not sent and counted as Skipped; 0: 2000
 }
 
-// Outcome is what came of an op.
+// Outcome is the outcome of an op.
 type Outcome uint8
 
 // The outcomes of an op.
@@ -45,14 +46,14 @@
 	Acked Outcome = iota
 	Refused
 	Failed
-	Lost // no complete answer in its time
+	Lost // no complete answer before the timeout and slack ended
 	outcomeCount
 )
 
-// String is the outcome's name.
-func (e Outcome) String() string { return [...]string{"acked", "refused", "failed", "lost"}[e] }
+// String returns the outcome's name.
+func (o Outcome) String() string { return [...]string{"acked", "refused", "failed", "lost"}[o] }
 
-// OpStats are of one kind of op, or of one second.
+// OpStats are the statistics of one op type or one second.
 type OpStats struct {
 	Outcomes [outcomeCount]int
 	Skipped  int
@@ -61,22 +62,22 @@
 
 func newOpStats() *OpStats { return &OpStats{Latency: hdrhistogram.New(1, 60e6, 3)} }
 
-// Quantile is of the latency of acked ops.
-func (f *OpStats) Quantile(q float64) time.Duration {
-	return time.Duration(f.Latency.ValueAtQuantile(q)) * time.Microsecond
+// Quantile returns a quantile of the latency of acked ops; q is in percent.
+func (s *OpStats) Quantile(q float64) time.Duration {
+	return time.Duration(s.Latency.ValueAtQuantile(q)) * time.Microsecond
 }
 
-// Result is what came of a load's ops.
+// Result holds the outcomes of a load's ops.
 type Result struct {
-	Kinds        map[string]*OpStats
-	Writes       map[string]Outcome // by op
-	WriteTimes   []time.Duration    // of writes, from the begin of the load
-	Mismatched   []string           // ops that were answered by another's value
-	Clusters     map[string]int     // acked ops, by the cluster whose member answered
-	WriteCluster map[string]string  // by acked write
+	Kinds        map[string]*OpStats // by op type
+	Writes       map[string]Outcome  // outcomes of writes, by op
+	WriteTimes   []time.Duration     // times of acked writes since the start of the load
+	Mismatched   []string            // ops that got the answer to another op
+	Clusters     map[string]int      // acked ops, by the cluster whose member answered
+	WriteCluster map[string]string   // by acked write: the cluster whose member answered
 }
 
-// Run runs a load. eachSecond, which may be nil, is called about once a second with the ops that ended since.
+// Run runs a load. eachSecond, which may be nil, is called about once per second with the ops that ended in between.
 func (l Load) Run(ctx context.Context, eachSecond func(second int, stats *OpStats)) Result {
 	l.MaxInFlight = cmp.Or(l.MaxInFlight, 2000)
 	l.Slack = cmp.Or(l.Slack, 50*time.Millisecond)
@@ -86,7 +87,7 @@
 	for i, target := range l.Targets {
 		pools[i].address = target
 	}
-	var open sync.WaitGroup
+	var inFlight sync.WaitGroup
 	slots := make(chan struct{}, l.MaxInFlight)
 	begin, due := time.Now(), time.Duration(0)
 	reported := 0
@@ -112,20 +113,20 @@
 			continue
 		}
 		intended := begin.Add(due)
-		open.Go(func() {
+		inFlight.Go(func() {
 			defer func() { <-slots }()
 			outcome, value := pool.query(kind, id, group, intended, l.Slack)
 			t.count(kind, id, outcome, value, time.Since(intended), begin)
 		})
 	}
-	open.Wait()
+	inFlight.Wait()
 	for i := range pools {
 		pools[i].close()
 	}
 	return t.result
 }
 
-// pick gives the kind at a point in the sum of shares.
+// pick returns the kind at position x in the sequence of shares.
 func (l *Load) pick(x float64) OpKind {
 	for _, k := range l.Mix {
 		if x -= k.Share; x < 0 {
@@ -137,11 +138,11 @@
 
 // tally counts the outcomes of a load's ops.
 type tally struct {
-	shares float64 // of all kinds
+	shares float64 // sum of the shares of all kinds
 
 	mu     sync.Mutex
 	result Result
-	second *OpStats // of the second that runs
+	second *OpStats // statistics of the current second
 }
 
 func (l *Load) newTally() *tally {
@@ -162,7 +163,7 @@
 	}
 }
 
-// nextSecond gives the figures of the second that ends.
+// nextSecond returns the statistics of the current second and starts the next one.
 func (t *tally) nextSecond() *OpStats {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -182,9 +183,9 @@
 func (t *tally) count(kind OpKind, id string, outcome Outcome, value string, took time.Duration, begin time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, f := range []*OpStats{t.result.Kinds[kind.Name], t.second} {
-		if f.Outcomes[outcome]++; outcome == Acked {
-			_ = f.Latency.RecordValue(max(took.Microseconds(), 1)) // what is beyond its range isn't counted
+	for _, stats := range []*OpStats{t.result.Kinds[kind.Name], t.second} {
+		if stats.Outcomes[outcome]++; outcome == Acked {
+			_ = stats.Latency.RecordValue(max(took.Microseconds(), 1)) // a value beyond the histogram's range isn't counted
 		}
 	}
 	if kind.Write {
@@ -193,8 +194,8 @@
 	if outcome != Acked {
 		return
 	}
-	cluster, own := parseAnswerValue(value, id)
-	if !own {
+	cluster, matches := parseAnswerValue(value, id)
+	if !matches {
 		t.result.Mismatched = append(t.result.Mismatched, id)
 	}
 	t.result.Clusters[cluster]++
@@ -204,7 +205,7 @@
 	}
 }
 
-// LongestGap is the longest time without an acknowledged write between two times of the load.
+// LongestGap returns the longest time without an acknowledged write between two times of the load.
 func (r *Result) LongestGap(from, to time.Duration) (longest time.Duration) {
 	slices.Sort(r.WriteTimes)
 	last := from
--- a/internal/lab/member.go
+++ b/internal/lab/member.go
@@ -1,7 +1,7 @@
 package lab
 
-// This file owns members: their protocol, their cores, and what they report of themselves. They are no kinder than real
-// ones: what was sent to them may run although nobody waits for it.
+// This file owns members: their protocol, their cores, and their status reports. As with real servers, an op that
+// arrived is executed even if its client no longer waits for it.
 
 import (
 	"bufio"
@@ -18,7 +18,7 @@
 const (
 	roleWriter  = "writer"
 	roleReader  = "reader"
-	usageQuery  = "SHOW usage" // a probe
+	usageQuery  = "SHOW usage" // query of a driver's probe
 	valuePrefix = "v:"
 	hungPoll    = 5 * time.Millisecond
 )
@@ -29,27 +29,27 @@
 	cluster *Cluster
 	group   int64
 	address string
-	cores   chan struct{} // has an element for each op that runs
+	cores   chan struct{} // semaphore with an element for each op that is being executed
 
-	slowdown        atomic.Int64 // factor of service times; 0 for 1
-	hung            atomic.Bool  // it answers nothing
-	ignoresDemotion atomic.Bool  // it goes on as a primary, whoever else is one
-	dropsAnswers    atomic.Bool  // it runs what arrives, and closes the connection instead of answering
-	writes          atomic.Int64 // that it ran
+	slowdown        atomic.Int64 // factor of service times; 0 stands for 1
+	hung            atomic.Bool  // answers nothing
+	ignoresDemotion atomic.Bool  // acts as primary even if another member is primary
+	dropsAnswers    atomic.Bool  // executes ops, but closes the connection instead of answering
+	writes          atomic.Int64 // number of writes that it executed
 
-	mu       sync.Mutex   // guards what follows
-	listener net.Listener // nil while it is down
+	mu       sync.Mutex   // guards the following fields
+	listener net.Listener // nil while the member is down
 	conns    map[net.Conn]bool
 }
 
-// listening says whether the member is up.
+// listening reports whether the member is up.
 func (m *Member) listening() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.listener != nil
 }
 
-// start listens at the member's address, which stays its own while it is down.
+// start listens on the member's address, which stays reserved while it is down.
 func (m *Member) start() error {
 	ln, err := net.Listen("tcp", m.address)
 	if err != nil {
@@ -86,7 +86,7 @@
 	}
 }
 
-// serve answers a connection until it ends.
+// serve answers the queries of a connection until it is closed.
 func (m *Member) serve(conn net.Conn) {
 	defer func() {
 		conn.Close()
@@ -98,7 +98,7 @@
 	if _, _, err := pgwire.ReadStartup(r); err != nil || m.waitWhileHung() {
 		return
 	}
-	_, _ = conn.Write(pgwire.AppendStartupResponse(nil, 0)) // the reads behind it see a broken connection
+	_, _ = conn.Write(pgwire.AppendStartupResponse(nil, 0)) // an error is noticed by the following reads
 	var buf []byte
 	for {
 		var err error
@@ -114,7 +114,7 @@
 	}
 }
 
-// waitWhileHung waits while the member hangs; true when it was stopped meanwhile.
+// waitWhileHung waits while the member hangs; it returns true if the member was stopped meanwhile.
 func (m *Member) waitWhileHung() bool {
 	for m.hung.Load() {
 		if time.Sleep(hungPoll); !m.listening() {
@@ -124,10 +124,10 @@
 	return false
 }
 
-// answer runs a query and gives its response.
+// answer executes a query and returns the response.
 func (m *Member) answer(text []byte) []byte {
 	if string(text) == usageQuery {
-		return m.usage()
+		return m.usageResponse()
 	}
 	statement, err := pgwire.ParseStatement(text)
 	if err != nil {
@@ -136,7 +136,7 @@
 	}
 	id := string(statement.ID)
 	m.cluster.recordArrival(m, id)
-	m.work()
+	m.occupyCore()
 	role, position := m.state()
 	if statement.Write {
 		if role != roleWriter {
@@ -148,18 +148,18 @@
 	return appendState(pgwire.AppendSingleRow(nil, answerValue(m.cluster.name, id)), role, position)
 }
 
-// answerValue is the value that a cluster's members answer an op with.
+// answerValue returns the value with which a cluster's members answer an op.
 func answerValue(cluster, id string) string { return valuePrefix + cluster + ":" + id }
 
-// parseAnswerValue gives the cluster whose member answered; ok is false for an answer to another op.
+// parseAnswerValue returns the cluster whose member answered; ok is false for an answer to another op.
 func parseAnswerValue(value, id string) (cluster string, ok bool) {
 	rest, hasPrefix := strings.CutPrefix(value, valuePrefix)
 	cluster, hasID := strings.CutSuffix(rest, ":"+id)
 	return cluster, hasPrefix && hasID
 }
 
-// usage answers a probe: the position in seconds, and whether the member is primary.
-func (m *Member) usage() []byte {
+// usageResponse returns the answer to a probe: the log position in seconds, and whether the member is primary.
+func (m *Member) usageResponse() []byte {
 	role, position := m.state()
 	primary := 0
 	if role == roleWriter {
@@ -169,8 +169,8 @@
 	return pgwire.AppendReadyForQuery(pgwire.AppendSingleRow(nil, row))
 }
 
-// work takes a core for a drawn service time.
-func (m *Member) work() {
+// occupyCore occupies a core for a randomly drawn service time.
+func (m *Member) occupyCore() {
 	m.cores <- struct{}{}
 	c := m.cluster
 	c.mu.Lock()
@@ -181,7 +181,7 @@
 	<-m.cores
 }
 
-// recordExecution counts a write that ran.
+// recordExecution counts the execution of a write.
 func (m *Member) recordExecution(id string) {
 	m.cluster.mu.Lock()
 	defer m.cluster.mu.Unlock()
@@ -189,16 +189,16 @@
 	m.writes.Add(1)
 }
 
-// appendState ends a response with the member's role and position.
+// appendState ends a response with the member's role and log position.
 func appendState(b []byte, role string, position float64) []byte {
 	b = pgwire.AppendParameterStatus(b, "server_role", role)
 	return pgwire.AppendReadyForQuery(pgwire.AppendParameterStatus(b, "commit_clock", fmt.Sprintf("%.0f", position)))
 }
 
-// unixMillis is the time now in Unix milliseconds.
+// unixMillis returns the current time in Unix milliseconds.
 func unixMillis() float64 { return float64(time.Now().UnixMicro()) / 1000 }
 
-// state gives a member's role and up to where it has applied the log, in Unix milliseconds.
+// state returns a member's role and its applied log position, in Unix milliseconds.
 func (m *Member) state() (role string, position float64) {
 	m.cluster.mu.Lock()
 	defer m.cluster.mu.Unlock()
@@ -212,7 +212,7 @@
 	return roleReader, now - float64(m.cluster.options.ReplicationLag.Microseconds())/1000
 }
 
-// recordArrival counts an op, and notes one that arrives too long after the member's drain was read.
+// recordArrival counts an op, and records it if it arrives more than DrainGrace after the member's drain was read.
 func (c *Cluster) recordArrival(member *Member, id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/lab/membershipsim/bench_test.go
+++ b/internal/lab/membershipsim/bench_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// The cost for a driver of a second of virtual time, among a thousand without failures.
+// BenchmarkCalmSecond measures the processor time per driver for a second of virtual time, among a thousand drivers
+// without failures.
 func BenchmarkCalmSecond(b *testing.B) {
 	s := New(Options{Drivers: 1000, Seed: 1})
 	if _, ok := s.startAll(); !ok {
--- a/internal/lab/membershipsim/doc.go
+++ b/internal/lab/membershipsim/doc.go
@@ -1,7 +1,7 @@
-// Package membershipsim simulates many views of the drivers' membership in virtual time, over a network that
-// partitions, loses, duplicates and delays datagrams, with drivers that pause, are slow, end and start again.
+// Package membershipsim simulates the drivers' membership protocol in virtual time, over a network that partitions,
+// drops, duplicates and delays datagrams, with drivers that pause, are slow, fail and restart.
 //
-// A Simulation (simulation.go) owns the scheduler, the network (network.go) and the drivers' lives; tests of package
-// membership use it for their histories. measure.go measures how soon all drivers know of a failure, how soon they
-// agree after a partition, and what that costs.
+// A Simulation (simulation.go) owns the scheduler, the network (network.go) and the lifecycle of drivers; tests of
+// package membership run their scenarios on it. measure.go measures the time until all drivers have detected a failure,
+// the time until they agree after a partition, and the cost of the protocol.
 package membershipsim
--- a/internal/lab/membershipsim/golden_test.go
+++ b/internal/lab/membershipsim/golden_test.go
@@ -8,7 +8,7 @@
 	"weirwind/internal/standin/golden"
 )
 
-// What seeded measurements print is as recorded, but for the share of a core, which is the machine's.
+// The output of seeded measurements is as recorded, except for the share of a core, which depends on the machine.
 func TestMeasurementsAreThoseRecorded(t *testing.T) {
 	var cases []golden.Case[string]
 	record := func(name string, measure func(out *bytes.Buffer) error) {
--- a/internal/lab/membershipsim/measure.go
+++ b/internal/lab/membershipsim/measure.go
@@ -1,7 +1,7 @@
 package membershipsim
 
-// This file owns measurements: how soon all drivers know of a failure, how soon they agree after a partition, and how
-// often living drivers are taken for failed.
+// This file owns measurements: the time until all drivers have detected a failure, the time until they agree after a
+// partition, and the number of false positives of the failure detector.
 
 import (
 	"errors"
@@ -15,35 +15,35 @@
 	"weirwind/internal/fleet/membership"
 )
 
-// Bounds in milliseconds after which a measurement fails.
+// Timeouts of measurements in milliseconds.
 const (
 	rosterTimeout = 120000
 	knownTimeout  = 60000
 	healTimeout   = 120000
 )
 
-// ErrNoRoster is the error of drivers that found no common roster.
+// ErrNoRoster is the error if the drivers do not agree on a roster in time.
 var ErrNoRoster = errors.New("no roster in two minutes")
 
 // Durations collects durations in milliseconds.
-type Durations struct{ all []float64 }
+type Durations struct{ values []float64 }
 
 // Add adds a duration.
-func (d *Durations) Add(x float64) { d.all = append(d.all, x) }
+func (d *Durations) Add(x float64) { d.values = append(d.values, x) }
 
-// String gives the median, the 99th percentile, the longest and the number.
+// String returns the median, the 99th percentile, the maximum and the number of the durations.
 func (d *Durations) String() string {
-	if len(d.all) == 0 {
+	if len(d.values) == 0 {
 		return "none"
 	}
-	slices.Sort(d.all)
-	quantile := func(q float64) float64 { return d.all[min(int(q*float64(len(d.all))), len(d.all)-1)] }
+	slices.Sort(d.values)
+	quantile := func(q float64) float64 { return d.values[min(int(q*float64(len(d.values))), len(d.values)-1)] }
 	return fmt.Sprintf("median %.0f ms, p99 %.0f ms, worst %.0f ms of %d", quantile(0.5), quantile(0.99),
-		d.all[len(d.all)-1], len(d.all))
+		d.values[len(d.values)-1], len(d.values))
 }
 
-// startAll starts all drivers and waits until each has a roster of all. Under loss some driver is suspected at any
-// time, so that they need not see each other as complete.
+// startAll starts all drivers and waits until each has a roster of all drivers. It does not wait for complete views, as
+// under packet loss some driver is suspected at any time.
 func (s *Simulation) startAll() (took float64, ok bool) {
 	for i := range s.Drivers {
 		s.Start(i, 0)
@@ -56,7 +56,7 @@
 	})
 }
 
-// allComplete says whether every driver that runs sees all drivers.
+// allComplete reports whether every running driver sees all drivers.
 func (s *Simulation) allComplete() bool {
 	for _, d := range s.Drivers {
 		if d.View == nil {
@@ -69,8 +69,8 @@
 	return true
 }
 
-// MeasureFailureDetection kills drivers one after the other and prints how long it took until the others knew. Each
-// driver returns before the next is killed.
+// MeasureFailureDetection kills drivers one after the other and prints the times until the others detected the
+// failures. Each driver is restarted before the next one is killed.
 func MeasureFailureDetection(out io.Writer, options Options, kills int) error {
 	s := New(options)
 	took, ok := s.startAll()
@@ -91,14 +91,14 @@
 		last.Add(took)
 		s.Start(killed, 0)
 		if _, ok := s.RunUntilTrue(knownTimeout, s.allComplete); !ok {
-			return errors.New("not whole a minute after a return")
+			return errors.New("the membership is not complete a minute after a restart")
 		}
 	}
 	fmt.Fprintf(out, "  from a kill to each knowing: %s\n  from a kill to all knowing: %s\n", &each, &last)
 	return nil
 }
 
-// awaitDetection waits until all other drivers know that one has failed, and adds when each learned it.
+// awaitDetection waits until all other drivers have detected a failure, and adds each driver's detection time to each.
 func (s *Simulation) awaitDetection(failed int, each *Durations) (took float64, err error) {
 	knows := map[int]bool{}
 	took, ok := s.RunUntilTrue(knownTimeout, func() bool {
@@ -112,13 +112,13 @@
 		return len(knows) == len(s.Drivers)-1
 	})
 	if !ok {
-		return took, fmt.Errorf("%d of %d know of a loss after a minute", len(knows), len(s.Drivers)-1)
+		return took, fmt.Errorf("only %d of %d drivers detected a failure within a minute", len(knows), len(s.Drivers)-1)
 	}
 	return took, nil
 }
 
-// MeasurePartitionHealing partitions the drivers into two sides for 60 periods, several times, and prints how long
-// after the end all agreed.
+// MeasurePartitionHealing repeatedly partitions the drivers into two sides for 60 periods, and prints the times from
+// the end of a partition until all drivers agree.
 func MeasurePartitionHealing(out io.Writer, options Options, times int) error {
 	s := New(options)
 	if _, ok := s.startAll(); !ok {
@@ -132,7 +132,7 @@
 		s.Blocked = nil
 		took, ok := s.RunUntilTrue(healTimeout, s.allComplete)
 		if !ok {
-			return errors.New("not agreed two minutes after a heal")
+			return errors.New("no agreement two minutes after the end of a partition")
 		}
 		agreed.Add(took)
 		s.Run(10 * s.options.Period)
@@ -144,12 +144,12 @@
 // MeasureFalsePositives runs drivers without failures on a network that loses datagrams, a tenth of them on throttled
 // cores, and prints the number of false positives and what the membership costs a driver. slow is the probability, at
 // each tick, that a throttled driver pauses.
-func MeasureFalsePositives(out io.Writer, options Options, duration, slow float64) error {
+func MeasureFalsePositives(out io.Writer, options Options, duration, pauseChance float64) error {
 	s := New(options)
 	if _, ok := s.startAll(); !ok {
 		return ErrNoRoster
 	}
-	const window = 20000 // milliseconds in which several reports of one driver are one
+	const window = 20000 // milliseconds in which reports about the same driver are counted once
 	failed := map[string]bool{}
 	pauses, denials := 0, 0
 	s.OnEvent = func(at float64, _ string, event membership.Event) {
@@ -163,8 +163,8 @@
 		}
 	}
 	for i, d := range s.Drivers {
-		if slow > 0 && i%10 == 3 {
-			d.PauseChance = slow
+		if pauseChance > 0 && i%10 == 3 {
+			d.PauseChance = pauseChance
 		}
 		d.Bytes, d.Sent = 0, 0
 	}
@@ -174,7 +174,7 @@
 	perDriver := time.Since(began).Seconds() / float64(len(s.Drivers))
 	seconds := duration / 1000
 	fmt.Fprintf(out, "drivers=%d loss=%.2f throttled=%.2f for %.0f s: %d living drivers taken for failed, %d denied it; "+
-		"stood still %d times\n", options.Drivers, options.Loss, slow, seconds, len(failed), denials, pauses)
+		"stood still %d times\n", options.Drivers, options.Loss, pauseChance, seconds, len(failed), denials, pauses)
 	messages, bytes := s.meanSent()
 	fmt.Fprintf(out, "  a driver: %.1f messages and %.0f bytes a second "+
 		"(measured in CBOR with the code, without IP and UDP headers), %.3f %% of a core\n",
@@ -182,7 +182,7 @@
 	return nil
 }
 
-// meanSent is the messages and bytes that a driver has sent on average.
+// meanSent returns the mean numbers of messages and bytes that a driver has sent.
 func (s *Simulation) meanSent() (messages, bytes float64) {
 	sent := 0
 	for _, d := range s.Drivers {
@@ -192,7 +192,7 @@
 	return float64(sent) / n, bytes / n
 }
 
-// encodedSize is the size of a message's datagram.
+// encodedSize returns the size of a message's datagram.
 func encodedSize(message *membership.Message) float64 {
 	b, err := cbor.Marshal(message)
 	if err != nil {
--- a/internal/lab/membershipsim/network.go
+++ b/internal/lab/membershipsim/network.go
@@ -1,6 +1,6 @@
 package membershipsim
 
-// This file owns the network: datagrams, and exchanges of all records over connections.
+// This file owns the network: datagrams, and full state exchanges over connections.
 
 import (
 	"fmt"
@@ -9,16 +9,16 @@
 )
 
 const (
-	maxPending     = 200 // datagrams that a socket keeps for a paused driver
-	recordBytes    = 60  // of a record in an exchange, about
-	datagramHeader = 16  // bytes beside the encoded message
-	sampleEvery    = 50  // one of so many messages is measured for all
+	maxPending     = 200 // datagrams that a socket buffers for a paused driver
+	recordBytes    = 60  // approximate size of a record in an exchange
+	datagramHeader = 16  // bytes of a datagram in addition to the encoded message
+	sampleEvery    = 50  // the size of one in this many messages is measured
 )
 
-// address is the one that the driver of an index advertises.
+// address returns the address that the driver with an index advertises.
 func address(index int) string { return fmt.Sprintf("10.0.%d.%d:7400", index/250, index%250+1) }
 
-// indexOf is the index of the driver at an address, -1 for none.
+// indexOf returns the index of the driver at an address, or -1 if there is none.
 func (s *Simulation) indexOf(address string) int {
 	var a, b int
 	if n, _ := fmt.Sscanf(address, "10.0.%d.%d:7400", &a, &b); n != 2 {
@@ -32,12 +32,12 @@
 
 func (s *Simulation) blocked(from, to int) bool { return s.Blocked != nil && s.Blocked(from, to) }
 
-// latency draws the time of one way.
+// latency draws a one-way latency.
 func (s *Simulation) latency() float64 {
 	return s.options.Latency * (0.5 + s.random.ExpFloat64()/2)
 }
 
-// dispatch carries out what a driver's view decided.
+// dispatch executes the output of a driver's membership protocol.
 func (s *Simulation) dispatch(driver *Driver, out membership.Output) {
 	if s.OnEvent != nil {
 		for _, e := range out.Events {
@@ -71,7 +71,7 @@
 	}
 }
 
-// countBytes adds the mean size of the measured messages to what a driver sent.
+// countBytes adds the mean size of the measured messages to a driver's sent bytes.
 func (s *Simulation) countBytes(driver *Driver, message *membership.Message) {
 	if !s.measureSizes {
 		return
@@ -82,7 +82,7 @@
 	driver.Bytes += s.sampledBytes / float64(s.sampledMessages)
 }
 
-// deliver brings a datagram after its latency; a paused driver's socket keeps it, as far as there is space.
+// deliver delivers a datagram after a latency; a paused driver's socket buffers it if there is space.
 func (s *Simulation) deliver(to *Driver, message membership.Message) {
 	s.After(s.latency(), func() {
 		switch {
@@ -97,7 +97,7 @@
 	})
 }
 
-// exchange has two drivers merge all that they know, over a connection.
+// exchange makes two drivers merge their complete states over a connection.
 func (s *Simulation) exchange(driver, to *Driver) {
 	request, incarnation := driver.View.Snapshot(), driver.incarnation
 	driver.Bytes += recordBytes * float64(len(request.Records))
--- a/internal/lab/membershipsim/simulation.go
+++ b/internal/lab/membershipsim/simulation.go
@@ -1,6 +1,6 @@
 package membershipsim
 
-// This file owns the drivers' lives and the passing of time.
+// This file owns the lifecycle of drivers and virtual time.
 
 import (
 	"fmt"
@@ -10,31 +10,31 @@
 	"weirwind/internal/standin/virtualclock"
 )
 
-// Options describe a simulation. Times are milliseconds; zero values take the defaults that are named.
+// Options describe a simulation. Times are milliseconds; a zero value stands for the default given at its field.
 type Options struct {
 	Drivers         int
-	ExpectedDrivers int     // that each driver is configured to expect; 0: Drivers
-	Period          float64 // between two probes of a driver; 0: 500
-	Latency         float64 // mean, one way; 0: 1
-	Loss            float64 // share of datagrams
+	ExpectedDrivers int     // number of drivers in each driver's configuration; 0: Drivers
+	Period          float64 // time between two probes by a driver; 0: 500
+	Latency         float64 // mean one-way latency; 0: 1
+	Loss            float64 // share of datagrams that are lost
 	Duplicate       float64 // share of datagrams that arrive twice
-	Seeds           int     // each driver is configured with the first so many; 0: 3
-	TakeoverAfter   float64 // 0: 30 periods
+	Seeds           int     // number of the first drivers that each driver is configured with as seeds; 0: 3
+	TakeoverAfter   float64 // delay until failed drivers' shares are taken over; 0: 30 periods
 	Seed            uint64
 }
 
-// Driver is a place for runs of a driver of one name.
+// Driver is a simulated driver, which can be started and killed repeatedly.
 type Driver struct {
 	Name        string
-	View        *membership.Fleet // nil while no run is under way
+	View        *membership.Fleet // nil while the driver is not running
 	PausedUntil float64
 	PauseChance float64 // probability at each tick of a short pause, as on a throttled core
-	Bytes       float64 // that it sent, about
-	Sent        int     // datagrams
+	Bytes       float64 // approximate number of sent bytes
+	Sent        int     // number of sent datagrams
 
 	index       int
-	incarnation int                  // counts runs: events of earlier ones are ignored
-	pending     []membership.Message // that arrived while it was paused
+	incarnation int                  // number of starts; callbacks of earlier incarnations are ignored
+	pending     []membership.Message // datagrams that arrived while it was paused
 }
 
 // Simulation is a number of drivers and the network between them.
@@ -42,22 +42,22 @@
 	virtualclock.Scheduler
 	Drivers []*Driver
 	OnEvent func(at float64, driver string, event membership.Event) // called for each event; may be nil
-	Blocked func(from, to int) bool                                 // whether nothing passes; nil: everything does
-	Loss    float64                                                 // share of datagrams
+	Blocked func(from, to int) bool                                 // reports whether a direction is blocked; nil: none is
+	Loss    float64                                                 // share of datagrams that are lost
 
 	options  Options
 	random   *rand.Rand
-	killedAt float64 // when Kill was last called
+	killedAt float64 // time of the last call of Kill
 
 	measureSizes    bool
-	sampledBytes    float64 // of the messages that were measured
-	sampledMessages int
+	sampledBytes    float64 // total size of the measured messages
+	sampledMessages int     // number of measured messages
 }
 
-// startTime leaves room for times before the begin.
+// startTime is the virtual time of the start; it is large enough for earlier times to stay positive.
 const startTime = 1e6
 
-// New is a simulation in which no driver runs yet.
+// New returns a simulation in which no driver is running.
 func New(options Options) *Simulation {
 	options.applyDefaults()
 	s := &Simulation{
@@ -90,14 +90,14 @@
 	}
 }
 
-// Add adds a driver, which the others do not expect.
+// Add adds a driver, which the others are not configured to expect.
 func (s *Simulation) Add() *Driver {
 	d := &Driver{Name: fmt.Sprintf("n%d", len(s.Drivers)), index: len(s.Drivers)}
 	s.Drivers = append(s.Drivers, d)
 	return d
 }
 
-// Start begins a run of a driver, which knows nothing of earlier ones. clockOffset is added to its machine's time.
+// Start starts a driver without any state of earlier incarnations. clockOffset is added to its machine's time.
 func (s *Simulation) Start(i int, clockOffset float64) {
 	d := s.Drivers[i]
 	d.incarnation++
@@ -120,7 +120,7 @@
 
 func (s *Simulation) tickPeriod() float64 { return s.options.Period / 10 }
 
-// tick gives a driver the time, and schedules the next tick, until its run ends.
+// tick passes the time to a driver and schedules the next tick, until the incarnation ends.
 func (s *Simulation) tick(driver *Driver, incarnation int) {
 	if driver.incarnation != incarnation || driver.View == nil {
 		return
@@ -131,13 +131,13 @@
 	}
 	s.deliverPending(driver)
 	s.dispatch(driver, driver.View.Tick(s.Now))
-	if driver.PauseChance > 0 && s.random.Float64() < driver.PauseChance { // its share of a core is used up for this period
+	if driver.PauseChance > 0 && s.random.Float64() < driver.PauseChance { // its processor quota is used up
 		s.Pause(driver.index, s.options.Period*(0.2+0.6*s.random.Float64()))
 	}
 	s.After(s.tickPeriod(), func() { s.tick(driver, incarnation) })
 }
 
-// deliverPending gives a driver what arrived while it was paused.
+// deliverPending delivers the datagrams that arrived while the driver was paused.
 func (s *Simulation) deliverPending(driver *Driver) {
 	for _, m := range driver.pending {
 		s.dispatch(driver, driver.View.Receive(s.Now, m))
@@ -145,23 +145,24 @@
 	driver.pending = nil
 }
 
-// Kill ends a run without notice.
+// Kill ends a driver without notice to the others.
 func (s *Simulation) Kill(i int) { s.Drivers[i].View, s.killedAt = nil, s.Now }
 
-// Pause lets a driver stand still for a time.
+// Pause suspends a driver for a duration.
 func (s *Simulation) Pause(i int, duration float64) {
 	s.Drivers[i].PausedUntil = max(s.Drivers[i].PausedUntil, s.Now+duration)
 }
 
-// Apply carries out what a driver decides outside messages and time, such as leaving.
+// Apply executes a driver's decision that neither a message nor a tick causes, such as leaving.
 func (s *Simulation) Apply(i int, decide func(*membership.Fleet) membership.Output) {
 	s.dispatch(s.Drivers[i], decide(s.Drivers[i].View))
 }
 
-// Run lets time pass.
+// Run advances the time by a duration.
 func (s *Simulation) Run(duration float64) { s.RunUntil(s.Now + duration) }
 
-// RunUntilTrue lets time pass until a condition holds, at most for a limit. It gives the time that this took.
+// RunUntilTrue advances the time until a condition holds, at most by limit. It returns the time that passed, and
+// whether the condition holds.
 func (s *Simulation) RunUntilTrue(limit float64, condition func() bool) (took float64, ok bool) {
 	began := s.Now
 	for s.Now-began < limit {
@@ -173,7 +174,7 @@
 	return s.Now - began, condition()
 }
 
-// Running is the drivers that run and are not paused.
+// Running returns the drivers that are running and not paused.
 func (s *Simulation) Running() (all []*Driver) {
 	for _, d := range s.Drivers {
 		if d.View != nil && s.Now >= d.PausedUntil {
@@ -183,7 +184,7 @@
 	return all
 }
 
-// HavePartitionStatus says whether all of these drivers run and have a status.
+// HavePartitionStatus reports whether all given drivers are running and have a partition status.
 func (s *Simulation) HavePartitionStatus(want membership.PartitionStatus, drivers ...int) bool {
 	for _, i := range drivers {
 		view := s.Drivers[i].View
@@ -197,5 +198,5 @@
 	return true
 }
 
-// Index is a driver's among all.
+// Index returns the index of a driver.
 func (s *Simulation) Index(driver *Driver) int { return driver.index }
--- a/internal/lab/registryrestart.go
+++ b/internal/lab/registryrestart.go
@@ -31,11 +31,11 @@
 	CatchUpTime time.Duration // time from the registry's restart until all clients were current
 }
 
-const stormPrefix = "weirwind/members/"
+const membersPrefix = "weirwind/members/"
 
-// stormClient follows the registry and signals when it is current: first with the list, then with the change during the
-// restart.
-type stormClient struct {
+// registryClient watches the registry and signals when it is current: first with the initial list, then with the change
+// that was made during the restart.
+type registryClient struct {
 	client  registry.Client
 	current chan<- struct{}
 	members int
@@ -45,14 +45,14 @@
 	stage  int
 }
 
-// stormNow is the time now in Unix milliseconds.
-func stormNow() float64 { return float64(time.Now().UnixMicro()) / 1000 }
+// nowMillis returns the current time in Unix milliseconds.
+func nowMillis() float64 { return float64(time.Now().UnixMicro()) / 1000 }
 
 // apply applies an update and signals when the client has become current.
-func (c *stormClient) apply(update roster.Update) (roster.Verdict, float64) {
+func (c *registryClient) apply(update roster.Update) (roster.Verdict, float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	out := c.roster.Apply(stormNow(), update)
+	out := c.roster.Apply(nowMillis(), update)
 	if n := len(c.roster.Members()); out.Verdict == roster.VerdictApplied &&
 		(c.stage == 0 && n == c.members || c.stage == 1 && n == c.members+1) {
 		c.stage++
@@ -61,19 +61,19 @@
 	return out.Verdict, 0
 }
 
-// position is the revision that the client has; known is false where it has none.
-func (c *stormClient) position() (int64, bool) {
+// position returns the revision that the client has; known is false if it has none.
+func (c *registryClient) position() (int64, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	_, revision, known := c.roster.Revision(roster.SourceRegistry)
 	return revision, known
 }
 
-// run follows the registry until the context ends.
-func (c *stormClient) run(ctx context.Context, storm RegistryRestart, n int) {
-	if !storm.Naive {
-		w := registry.Watcher{Client: c.client, Apply: c.apply, Position: c.position, Now: stormNow, OnActivity: func() {},
-			Scheduler: roster.NewScheduler(roster.SchedulerOptions{Endpoints: 1, Drivers: storm.Clients, Seed: uint64(n)}),
+// run watches the registry until the context ends.
+func (c *registryClient) run(ctx context.Context, options RegistryRestart, n int) {
+	if !options.Naive {
+		w := registry.Watcher{Client: c.client, Apply: c.apply, Position: c.position, Now: nowMillis, OnActivity: func() {},
+			Scheduler: roster.NewScheduler(roster.SchedulerOptions{Endpoints: 1, Drivers: options.Clients, Seed: uint64(n)}),
 			OnDisconnect: func(error) {
 				c.mu.Lock()
 				c.roster.SetDisconnected(roster.SourceRegistry)
@@ -86,12 +86,12 @@
 	for ctx.Err() == nil {
 		if c.client.List(ctx, 0, true, apply) == nil {
 			revision, _ := c.position()
-			_ = c.client.Watch(ctx, 0, revision+1, func() {}, apply) // naive: it reads all anew, whatever ended it
+			_ = c.client.Watch(ctx, 0, revision+1, func() {}, apply) // a naive client re-reads everything after any error
 		}
 	}
 }
 
-// Run runs the storm on loopback. An error: not all clients were current in time.
+// Run restarts a registry on loopback. It returns an error if not all clients are current within the timeout.
 func (s RegistryRestart) Run() (r RegistryRestartResult, err error) {
 	store := s.newStore()
 	server := kv.Serve(store)
@@ -117,33 +117,33 @@
 	server.Down.Store(true)
 	server.CloseConnections()
 	time.Sleep(s.Downtime)
-	store.Put(stormPrefix+"new", `{"host_port":"127.0.0.1:1","cell":1,"phase":"up"}`)
+	store.Put(membersPrefix+"new", `{"host_port":"127.0.0.1:1","cell":1,"phase":"up"}`)
 	store.Compact(store.Revision())
-	store.Put("elsewhere", "x") // so that what is compacted lies behind the newest revision
+	store.Put("elsewhere", "x") // so that the compacted revision is older than the newest one
 	server.CloseConnections()
 	before, began := server.FullReads.Load(), time.Now()
 	server.Down.Store(false)
-	sampled, ended := make(chan []int64, 1), make(chan struct{})
-	go func() { sampled <- sampleReads(server, before, ended) }()
+	sampledReads, ended := make(chan []int64, 1), make(chan struct{})
+	go func() { sampledReads <- sampleReads(server, before, ended) }()
 	err = s.await(current)
 	r.CatchUpTime, r.Reads = time.Since(began), int(server.FullReads.Load()-before)
 	close(ended)
-	r.PeakReads = peakReads(<-sampled)
+	r.PeakReads = peakReads(<-sampledReads)
 	return r, err
 }
 
-// newClient is a client of the registry at an address, which signals to current.
-func (s RegistryRestart) newClient(url string, current chan<- struct{}) (*stormClient, error) {
+// newClient returns a client of the registry at an address, which signals to current.
+func (s RegistryRestart) newClient(url string, current chan<- struct{}) (*registryClient, error) {
 	client, err := registry.New(registry.Options{
 		Dialect:      "etcd",
-		Prefix:       stormPrefix,
+		Prefix:       membersPrefix,
 		Endpoints:    []string{url},
 		WatchTimeout: 10 * time.Second,
 	})
 	if err != nil {
 		return nil, err
 	}
-	return &stormClient{
+	return &registryClient{
 		client:  client,
 		current: current,
 		members: s.Members,
@@ -151,12 +151,12 @@
 	}, nil
 }
 
-// newStore is a registry with a list of members.
+// newStore returns a registry's store with a list of members.
 func (s RegistryRestart) newStore() *kv.Store {
 	store := kv.NewStore("c1")
 	var pairs []any
 	for i := range s.Members {
-		pairs = append(pairs, fmt.Sprintf("%sm%05d", stormPrefix, i),
+		pairs = append(pairs, fmt.Sprintf("%sm%05d", membersPrefix, i),
 			fmt.Sprintf(`{"host_port":"127.0.0.1:%d","cell":1,"phase":"up"}`, i%60000+1))
 	}
 	store.Put(pairs...)
@@ -176,7 +176,7 @@
 	return nil
 }
 
-// sampleReads counts complete reads in each tenth of a second until ended is closed.
+// sampleReads counts the reads of the complete list in each tenth of a second until ended is closed.
 func sampleReads(server *kv.Server, before int64, ended <-chan struct{}) (tenths []int64) {
 	for last := before; ; {
 		select {
@@ -189,7 +189,7 @@
 	}
 }
 
-// peakReads is the largest number within a second.
+// peakReads returns the maximum number of reads within a second.
 func peakReads(tenths []int64) (peak int) {
 	for i := range tenths {
 		sum := 0
--- a/internal/lab/sessionrun/client.go
+++ b/internal/lab/sessionrun/client.go
@@ -1,6 +1,6 @@
 package sessionrun
 
-// This file owns the clients and producers, and the audit of their messages.
+// This file owns clients and producers, and the audit of their messages.
 
 import (
 	"context"
@@ -15,23 +15,23 @@
 )
 
 const (
-	openTimeout   = 10 * time.Second // for a session
-	answerTimeout = 15 * time.Second // for a producer's message
+	openTimeout   = 10 * time.Second // until a session is open
+	answerTimeout = 15 * time.Second // until a producer's message is acknowledged
 )
 
-// client is one with an open session, and all that was queued for it and received by it.
+// client is a client with an open session, and the messages that were queued for it and received by it.
 type client struct {
 	session *sessionclient.Session
 	id      string
 
-	mu           sync.Mutex // guards what follows
+	mu           sync.Mutex // guards the following fields
 	queued       []string   // messages that a site has acknowledged
 	received     []string
 	lastReceived time.Time
-	longestGap   time.Duration // between two messages
+	longestGap   time.Duration // longest time between two messages
 }
 
-// openSessions opens the clients' sessions, one after the other, and lets each receive its messages.
+// openSessions opens the clients' sessions, one after the other, and starts receiving their messages.
 func (d *deployment) openSessions(ctx context.Context) error {
 	edges := []string{d.edgeURL(0), d.edgeURL(1)}
 	for i := range d.options.Clients {
@@ -41,7 +41,7 @@
 		select {
 		case <-c.session.Opened():
 		case <-time.After(openTimeout):
-			return fmt.Errorf("client %d: its session does not open", i)
+			return fmt.Errorf("client %d: the session is not open after %s", i, openTimeout)
 		}
 		token, _ := c.session.Token()
 		c.id, _, _ = strings.Cut(token, ".")
@@ -50,7 +50,7 @@
 	return nil
 }
 
-// receive takes messages until the session ends.
+// receive receives messages until the session ends.
 func (c *client) receive(delivered *atomic.Int64) {
 	for m := range c.session.Messages() {
 		delivered.Add(1)
@@ -64,14 +64,14 @@
 	}
 }
 
-// sinceLast is the time since the last message.
+// sinceLast returns the time since the last message.
 func (c *client) sinceLast() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return time.Since(c.lastReceived)
 }
 
-// produce queues messages for a client until the context ends, first at the site of an index.
+// produce queues messages for a client until the context ends; the first request goes to the site with an index.
 func (d *deployment) produce(ctx context.Context, c *client, site int) {
 	var sites []string
 	for n := range d.options.Sites {
@@ -86,7 +86,7 @@
 		case <-tick.C:
 		}
 		body := fmt.Sprint(c.id[:6], "-", i)
-		// The end of the run leaves no answer in doubt.
+		// The end of the run must not cancel a request whose outcome would then be unknown.
 		answer, stop := context.WithTimeout(context.WithoutCancel(ctx), answerTimeout)
 		home, err := sessionclient.Queue(answer, sites, site, c.id, fmt.Sprint(i), []byte(body))
 		stop()
@@ -99,7 +99,7 @@
 	}
 }
 
-// audit compares what a client received with what was queued for it.
+// audit compares the messages that a client received with those that were queued for it.
 func (c *client) audit(r *Result) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/lab/sessionrun/deployment.go
+++ b/internal/lab/sessionrun/deployment.go
@@ -1,6 +1,6 @@
 package sessionrun
 
-// This file owns the processes: this binary started again in the roles of the program.
+// This file owns the processes: this binary is started again in the roles of the program.
 
 import (
 	"encoding/json"
@@ -30,18 +30,18 @@
 	startPoll    = 50 * time.Millisecond
 )
 
-// Ports beyond the run's first one, which is the first of three of the mesh.
+// Offsets of ports from the run's first port, which is the first of three ports of the mesh.
 const (
 	controlPort = 3
 	clientPort  = 4
 	httpPort    = 5
 )
 
-// firstHosts are the machines' first hosts of the run's addresses, by role.
+// firstHosts are the host numbers of the first machine of each role, within the run's address block.
 var firstHosts = map[string]int{"core": 1, "edge": 10, "site": 20}
 
-// Role runs a process of a run where this one was started as such, and gives its exit code; ok is false where it was
-// not.
+// Role runs this process in its role if it was started as a process of a run, and returns its exit code; otherwise ok
+// is false.
 func Role() (code int, ok bool) {
 	roles := map[string]process.Role{"core": {Name: "controlplane", Run: controlplane.Run},
 		"site": {Name: "sessionsite", Run: site.Run}, "edge": {Name: "sessionedge", Run: edge.Run}}
@@ -52,17 +52,17 @@
 	return process.Main(r, nil, os.Stdout), true
 }
 
-// deployment is the processes and clients of a run.
+// deployment has the processes and clients of a run.
 type deployment struct {
 	options   Options
 	dir       string
-	block     *loopback.Block      // of all addresses
+	block     *loopback.Block      // block of all addresses
 	processes map[string]*exec.Cmd // by name, such as site0
-	cores     []string             // control addresses
+	cores     []string             // control addresses of the core machines
 
 	clients           []*client
-	queued, delivered atomic.Int64 // messages of all clients
-	lastEvent         atomic.Value // string: the fault since the last second
+	queued, delivered atomic.Int64 // number of messages of all clients
+	lastEvent         atomic.Value // string: the fault since the last report
 }
 
 func (d *deployment) address(role string, n, port int) string {
@@ -73,10 +73,10 @@
 	return d.block.IP(firstHosts[role] + n)
 }
 
-// siteAddress is a site's address for producers.
+// siteAddress returns a site's address for producers.
 func (d *deployment) siteAddress(n int) string { return d.address("site", n, httpPort) }
 
-// edgeURL is an edge's for clients.
+// edgeURL returns an edge's URL for clients.
 func (d *deployment) edgeURL(n int) string { return "ws://" + d.address("edge", n, clientPort) }
 
 // startAll starts the core machines, the sites and the edges.
@@ -111,7 +111,7 @@
 	return cmd.Start()
 }
 
-// settings is the lines of a process's settings file.
+// settings returns the lines of a process's settings file.
 func (d *deployment) settings(role string, n int) []string {
 	name, ip, port := fmt.Sprint(role, n), d.ip(role, n), d.block.Port(0)
 	lines := []string{"hostname=" + name, fmt.Sprintf("zone=z%d", n%3+1), "region=r", "zones.z1=r", "zones.z2=r",
@@ -124,11 +124,11 @@
 	return append(lines, "listen.front="+d.address(role, n, clientPort), "listen.readyAddr="+d.address(role, n, httpPort))
 }
 
-// kill ends a process at once and waits for its end.
+// kill kills a process and waits for its end.
 func (d *deployment) kill(name string) {
 	if c := d.processes[name]; c != nil {
-		_ = c.Process.Kill() // it may have ended
-		_ = c.Wait()         // it was killed
+		_ = c.Process.Kill() // fails if the process has ended
+		_ = c.Wait()         // always returns an error for a killed process
 		delete(d.processes, name)
 	}
 }
@@ -140,7 +140,7 @@
 	}
 }
 
-// sessionsAt is the number of sessions whose home is a site, -1 where it doesn't answer.
+// sessionsAt returns the number of sessions whose home is a site, or -1 if the site does not answer.
 func (d *deployment) sessionsAt(n int) int {
 	client := http.Client{Timeout: time.Second}
 	resp, err := client.Get("http://" + d.siteAddress(n) + "/status")
@@ -158,7 +158,7 @@
 	return status.Homes
 }
 
-// busiestSite is the site with the most sessions, but not one of an index.
+// busiestSite returns the site with the most sessions, other than the site except.
 func (d *deployment) busiestSite(except int) int {
 	best, most := 0, -1
 	for n := range d.options.Sites {
@@ -182,7 +182,7 @@
 			return nil
 		}
 		if time.Now().After(until) {
-			return fmt.Errorf("%d of %d sites are in after 15 s", serving, d.options.Sites)
+			return fmt.Errorf("only %d of %d sites serve after 15 s", serving, d.options.Sites)
 		}
 		time.Sleep(startPoll)
 	}
--- a/internal/lab/sessionrun/golden_test.go
+++ b/internal/lab/sessionrun/golden_test.go
@@ -7,7 +7,7 @@
 	"weirwind/internal/standin/golden"
 )
 
-// The page of a run is as recorded.
+// The page on a run is as recorded.
 func TestPageIsThatRecorded(t *testing.T) {
 	r := Result{
 		Seconds: []Second{{Queued: 10, Delivered: 9, LongestGap: 70 * time.Millisecond}, {Queued: 12, Delivered: 13,
--- a/internal/lab/sessionrun/page.go
+++ b/internal/lab/sessionrun/page.go
@@ -1,6 +1,6 @@
 package sessionrun
 
-// This file owns the page on a run.
+// This file owns the HTML page on a run.
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 	"weirwind/internal/util/plot"
 )
 
-// HTML is a page with the result.
+// HTML returns a page with the result.
 func (r *Result) HTML(title string) string {
 	var b strings.Builder
 	b.WriteString(plot.Head)
--- a/internal/lab/sessionrun/run.go
+++ b/internal/lab/sessionrun/run.go
@@ -17,37 +17,37 @@
 )
 
 const (
-	drainTimeout = 10 * time.Second // for messages that are queued at the end
+	drainTimeout = 10 * time.Second // until messages that are queued at the end are delivered
 	drainPoll    = 50 * time.Millisecond
 )
 
-// Options of a run.
+// Options are the options of a run.
 type Options struct {
-	Duration        time.Duration // of the traffic
+	Duration        time.Duration // duration of the traffic
 	Sites           int
 	Clients         int
-	MessageInterval time.Duration // between two messages to a client
+	MessageInterval time.Duration // time between two messages to a client
 }
 
-// Second is what happened in one second of a run.
+// Second holds the statistics of one second of a run.
 type Second struct {
-	Queued, Delivered int64         // messages
-	LongestGap        time.Duration // since the last message of the client that waits longest
-	Event             string        // the fault in it, "" for none
+	Queued, Delivered int64         // numbers of messages
+	LongestGap        time.Duration // longest time since a client's last message, over all clients
+	Event             string        // fault in this second, "" if there is none
 }
 
-// Result is what came of a run.
+// Result is the result of a run.
 type Result struct {
 	Seconds            []Second
 	Queued, Delivered  int64
 	Lost               int             // messages that were queued and not delivered
-	Duplicated         int             // messages that were delivered twice
-	OutOfOrder         int             // clients whose messages came in another order
-	Opened, StayedOpen int             // sockets
-	LongestGaps        []time.Duration // between two messages, by client, in increasing order
+	Duplicated         int             // messages that were delivered more than once
+	OutOfOrder         int             // clients whose messages arrived in another order
+	Opened, StayedOpen int             // numbers of sockets
+	LongestGaps        []time.Duration // longest time between two messages for each client, in increasing order
 }
 
-// Run runs sessions under faults and reports each second with its number.
+// Run runs sessions under faults and calls report for each second with its number.
 func Run(ctx context.Context, options Options, log io.Writer, report func(int, Second)) (Result, error) {
 	dir, err := os.MkdirTemp("", "sessions")
 	if err != nil {
@@ -58,7 +58,7 @@
 	if err != nil {
 		return Result{}, err
 	}
-	defer func() { _ = block.Close() }() // a listener that nobody accepts at
+	defer func() { _ = block.Close() }() // closes a listener without connections
 	d := &deployment{options: options, dir: dir, block: block, processes: map[string]*exec.Cmd{}}
 	defer d.stop()
 	if err := d.startAll(log); err != nil {
@@ -75,7 +75,7 @@
 	return d.runTraffic(ctx, report), nil
 }
 
-// runTraffic runs producers and faults, waits for the last messages, and audits all.
+// runTraffic runs producers and faults, waits for the last messages, and audits all messages.
 func (d *deployment) runTraffic(ctx context.Context, report func(int, Second)) (r Result) {
 	producing, end := context.WithCancel(ctx)
 	defer end()
@@ -99,7 +99,7 @@
 	return r
 }
 
-// scheduleFaults kills the busiest site after a third of the time, and drains the busiest other one after two thirds.
+// scheduleFaults kills the busiest site after a third of the time, and drains the busiest other site after two thirds.
 func (d *deployment) scheduleFaults() {
 	killed := -1
 	time.AfterFunc(d.options.Duration/3, func() {
@@ -116,7 +116,7 @@
 	})
 }
 
-// reportSeconds reports each second until the time of the run is over.
+// reportSeconds reports each second until the duration of the run is over.
 func (d *deployment) reportSeconds(ctx context.Context, r *Result, report func(int, Second)) {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
--- a/internal/lab/sessionrun/sessionrun_test.go
+++ b/internal/lab/sessionrun/sessionrun_test.go
@@ -15,8 +15,8 @@
 	os.Exit(m.Run())
 }
 
-// In a short run a site is killed and one is drained: all messages are delivered once, in order, on sockets that stay
-// open.
+// In a short run one site is killed and another one drained: all messages are delivered once and in order, on sockets
+// that stay open.
 func TestFaultsOfSites(t *testing.T) {
 	r, err := Run(
 		context.Background(),
--- a/internal/lab/switch.go
+++ b/internal/lab/switch.go
@@ -1,7 +1,7 @@
 package lab
 
-// This file owns drivers that hooks may notify, and planned changes as a topology manager makes them: hold, take the
-// role away, wait for the next primary, release.
+// This file owns drivers with control sockets for hooks, and planned switchovers as a topology manager performs them:
+// hold writes, demote the primary, wait for the next one, release writes.
 
 import (
 	"context"
@@ -16,41 +16,41 @@
 	"weirwind/internal/switchover"
 )
 
-// HookedDrivers are drivers with control sockets, which are peers of each other but for those left out.
+// HookedDrivers are drivers with control sockets for hooks. All of them are peers of each other, except isolated ones.
 type HookedDrivers struct {
 	Addresses []string
 	Clients   []*control.Client
 	Wait      func() error
 }
 
-// StartHookedDrivers runs n drivers; one for which alone is true has no peers and is nobody's. The folder is for
-// sockets.
+// StartHookedDrivers runs n drivers with their sockets in a folder. A driver for which isolated returns true has no
+// peers and is not a peer of others.
 func (c *Cluster) StartHookedDrivers(
 	ctx context.Context,
 	n int,
 	folder string,
 	logTo io.Writer,
-	alone func(i int) bool,
+	isolated func(i int) bool,
 ) (*HookedDrivers, error) {
 	token := filepath.Join(folder, "token")
 	if err := os.WriteFile(token, []byte("a secret of drivers\n"), 0o600); err != nil {
 		return nil, err
 	}
-	ports := make([]string, n)
-	for i := range ports {
-		ports[i] = c.newAddress()
+	peerAddresses := make([]string, n)
+	for i := range peerAddresses {
+		peerAddresses[i] = c.newAddress()
 	}
 	var err error
-	h := &HookedDrivers{}
-	h.Addresses, h.Wait, err = c.Drivers(ctx, n, logTo, func(i int) operator.File {
+	drivers := &HookedDrivers{}
+	drivers.Addresses, drivers.Wait, err = c.Drivers(ctx, n, logTo, func(i int) operator.File {
 		f := operator.Default()
 		f.Control = hookControl(folder, token, i)
-		if alone != nil && alone(i) {
+		if isolated != nil && isolated(i) {
 			return f
 		}
-		f.Control.Listen = ports[i]
-		for k, p := range ports {
-			if k != i && (alone == nil || !alone(k)) {
+		f.Control.Listen = peerAddresses[i]
+		for k, p := range peerAddresses {
+			if k != i && (isolated == nil || !isolated(k)) {
 				f.Control.Peers = append(f.Control.Peers, p)
 			}
 		}
@@ -60,16 +60,16 @@
 		return nil, err
 	}
 	for i := range n {
-		h.Clients = append(h.Clients, control.NewClient(socketPath(folder, i), ""))
+		drivers.Clients = append(drivers.Clients, control.NewClient(socketPath(folder, i), ""))
 	}
-	return h, nil
+	return drivers, nil
 }
 
 func socketPath(folder string, i int) string {
 	return filepath.Join(folder, fmt.Sprintf("n%d.sock", i))
 }
 
-// hookControl is the control socket of a driver.
+// hookControl returns the configuration of a driver's control socket.
 func hookControl(folder, token string, i int) *operator.Control {
 	return &operator.Control{
 		Socket:         socketPath(folder, i),
@@ -80,8 +80,8 @@
 	}
 }
 
-// Switchover changes a group's primary as a topology manager with hooks does, which notifies one driver alone. It gives
-// the time for which the group had no primary.
+// Switchover changes a group's primary as a topology manager with hooks does, which notifies only one driver. It
+// returns the time for which the group had no primary.
 func (c *Cluster) Switchover(ctx context.Context, hook *control.Client, group int64) (gap time.Duration, err error) {
 	old := c.Primary(group)
 	held := switchover.Notification{Group: group, Stage: switchover.StageHeld, From: old}
--- a/internal/lab/switch_test.go
+++ b/internal/lab/switch_test.go
@@ -15,54 +15,54 @@
 	"weirwind/internal/switchover"
 )
 
-var writes = []OpKind{{Name: "write", Share: 1, Write: true, Timeout: 4 * time.Second}}
+var writeMix = []OpKind{{Name: "write", Share: 1, Write: true, Timeout: 4 * time.Second}}
 
-type quiet struct {
+type logBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
 }
 
-func (q *quiet) Write(p []byte) (int, error) {
+func (q *logBuffer) Write(p []byte) (int, error) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.b.Write(p)
 }
 
-func hooked(t *testing.T, n int, alone func(int) bool) (*Cluster, *HookedDrivers, func()) {
+func startHooked(t *testing.T, n int, isolated func(int) bool) (*Cluster, *HookedDrivers, func()) {
 	t.Helper()
-	c, err := Start(Options{ElectionTime: 200 * time.Millisecond})
+	cluster, err := Start(Options{ElectionTime: 200 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, end := context.WithCancel(context.Background())
-	log := &quiet{}
-	h, err := c.StartHookedDrivers(ctx, n, t.TempDir(), log, alone)
+	log := &logBuffer{}
+	drivers, err := cluster.StartHookedDrivers(ctx, n, t.TempDir(), log, isolated)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return c, h, func() {
+	return cluster, drivers, func() {
 		end()
-		if err := h.Wait(); err != nil {
+		if err := drivers.Wait(); err != nil {
 			t.Error(err)
 		}
-		c.Stop()
+		cluster.Stop()
 		if t.Failed() {
 			t.Log(log.b.String())
 		}
 	}
 }
 
-// until waits for a condition, for as long as a slow machine may need.
-func until(t *testing.T, what string, condition func() bool) {
+// waitFor waits for a condition, with a timeout that is sufficient on a slow machine.
+func waitFor(t *testing.T, description string, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); !condition(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal(what, "never came")
+			t.Fatal("timeout waiting for", description)
 		}
 	}
 }
 
-// runLoad runs ops at a rate for a time; answers count within two seconds of slack.
+// runLoad runs a load with two seconds of slack.
 func runLoad(ctx context.Context, targets []string, mix []OpKind, rate float64, d time.Duration, seed uint64) Result {
 	return Load{
 		Targets:  targets,
@@ -75,45 +75,45 @@
 	}.Run(ctx, nil)
 }
 
-// stage is what a driver knows of the change of group 1.
-func stage(h *HookedDrivers, i int) switchover.ChangeStatus {
-	all, err := h.Clients[i].Status(context.Background())
+// changeStatus returns a driver's status of the switchover of group 1.
+func changeStatus(drivers *HookedDrivers, i int) switchover.ChangeStatus {
+	all, err := drivers.Clients[i].Status(context.Background())
 	if err != nil || len(all) == 0 {
 		return switchover.ChangeStatus{}
 	}
 	return all[0]
 }
 
-// Planned changes with a hook that notifies one of four drivers: every write is acknowledged, each ran once, and all
-// drivers end with the same epoch and no draining member. One of the four is not notified and learns by a miss, as
-// without hooks.
+// In planned switchovers a hook notifies one of four drivers: no write fails or is lost, each is executed once, and all
+// drivers end with the same epoch and no draining member. In the second round one driver is isolated, and learns of the
+// switchover only from a rejected write, as without hooks.
 func TestPlannedChangesUnderLoad(t *testing.T) {
 	for _, uninformed := range []int{-1, 3} {
-		c, h, end := hooked(t, 4, func(i int) bool { return i == uninformed })
+		cluster, drivers, end := startHooked(t, 4, func(i int) bool { return i == uninformed })
 		ctx := context.Background()
 		result := make(chan Result)
 		go func() {
-			result <- runLoad(ctx, h.Addresses, writes, 100, 3*time.Second, 5)
+			result <- runLoad(ctx, drivers.Addresses, writeMix, 100, 3*time.Second, 5)
 		}()
 		for range 3 {
 			time.Sleep(300 * time.Millisecond) // load between two changes
-			if _, err := c.Switchover(ctx, h.Clients[0], 1); err != nil {
+			if _, err := cluster.Switchover(ctx, drivers.Clients[0], 1); err != nil {
 				t.Fatal(err)
 			}
 		}
 		r := <-result
-		f := r.Kinds["write"]
-		if broken := c.Audit(
+		stats := r.Kinds["write"]
+		if broken := cluster.Audit(
 			r,
-		); len(broken) > 0 || f.Outcomes[Acked] < 200 || f.Outcomes[Failed]+f.Outcomes[Lost] > 0 ||
-			f.Outcomes[Refused] > f.Outcomes[Acked]/20 {
-			t.Errorf("uninformed %d: %v, broken %v", uninformed, f.Outcomes, broken)
+		); len(broken) > 0 || stats.Outcomes[Acked] < 200 || stats.Outcomes[Failed]+stats.Outcomes[Lost] > 0 ||
+			stats.Outcomes[Refused] > stats.Outcomes[Acked]/20 {
+			t.Errorf("uninformed %d: %v, violations %v", uninformed, stats.Outcomes, broken)
 		}
-		until(t, "agreement", func() bool {
-			a := stage(h, 0)
+		waitFor(t, "agreement", func() bool {
+			a := changeStatus(drivers, 0)
 			for i := range 4 {
-				if b := stage(
-					h,
+				if b := changeStatus(
+					drivers,
 					i,
 				); i != uninformed &&
 					(b.Epoch != a.Epoch || b.Stage != switchover.StageReleased || b.Draining != "" || !b.Finished) {
@@ -126,52 +126,53 @@
 	}
 }
 
-// A hook that dies after its hold leaves no group held: writes wait for the lease alone, and go to the old primary
-// then. A driver that is asked later knows of the hold from its peers.
-func TestHookThatDies(t *testing.T) {
-	c, h, end := hooked(t, 2, nil)
+// A hook that dies after its hold does not block the group permanently: writes wait only for the hold's lease, and then
+// go to the old primary. A driver that the hook did not notify learns of the hold from its peers.
+func TestHookDiesAfterHold(t *testing.T) {
+	cluster, drivers, end := startHooked(t, 2, nil)
 	defer end()
 	ctx := context.Background()
-	warm := runLoad(ctx, h.Addresses, writes, 100, 300*time.Millisecond, 6)
-	if warm.Kinds["write"].Outcomes[Acked] == 0 {
+	warmUp := runLoad(ctx, drivers.Addresses, writeMix, 100, 300*time.Millisecond, 6)
+	if warmUp.Kinds["write"].Outcomes[Acked] == 0 {
 		t.Fatal("no write was acked to begin with")
 	}
-	if _, err := h.Clients[0].NotifyHook(
+	if _, err := drivers.Clients[0].NotifyHook(
 		ctx,
 		switchover.Notification{Group: 1, Stage: switchover.StageHeld, Lease: 700},
 	); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "the hold at the peer", func() bool { return stage(h, 1).Draining == c.Primary(1) })
-	r := runLoad(ctx, h.Addresses[1:], writes, 50, 300*time.Millisecond, 7)
-	f := r.Kinds["write"]
-	if broken := c.Audit(r); len(broken) > 0 || f.Outcomes[Acked] < 5 || f.Outcomes[Failed]+f.Outcomes[Lost] > 0 {
-		t.Errorf("%v, broken %v", f.Outcomes, broken)
+	waitFor(t, "the hold at the peer", func() bool { return changeStatus(drivers, 1).Draining == cluster.Primary(1) })
+	r := runLoad(ctx, drivers.Addresses[1:], writeMix, 50, 300*time.Millisecond, 7)
+	stats := r.Kinds["write"]
+	if broken := cluster.Audit(r); len(broken) > 0 || stats.Outcomes[Acked] < 5 ||
+		stats.Outcomes[Failed]+stats.Outcomes[Lost] > 0 {
+		t.Errorf("%v, broken %v", stats.Outcomes, broken)
 	}
-	if f.Quantile(100) < 200*time.Millisecond {
-		t.Errorf("nothing was held: the slowest write took %v", f.Quantile(100))
+	if stats.Quantile(100) < 200*time.Millisecond {
+		t.Errorf("no write was held: the slowest one took %v", stats.Quantile(100))
 	}
-	for i := range 2 { // each looks now and then
-		until(t, "the lapse", func() bool { s := stage(h, i); return s.Expired && s.Draining == "" })
+	for i := range 2 { // each driver polls on its own
+		waitFor(t, "the lapse", func() bool { s := changeStatus(drivers, i); return s.Expired && s.Draining == "" })
 	}
 }
 
-// An abort lets the old primary go on at once; clients whose patience is shorter than the hold get a busy reply in
-// time, and their writes run nowhere.
-func TestAbortAndImpatientClients(t *testing.T) {
-	c, h, end := hooked(t, 1, nil)
+// Clients whose timeout is shorter than the hold get a busy reply in time, and their writes are not executed. After an
+// abort writes go to the old primary immediately.
+func TestAbortAndShortClientTimeouts(t *testing.T) {
+	cluster, drivers, end := startHooked(t, 1, nil)
 	defer end()
 	ctx := context.Background()
-	notification := switchover.Notification{Group: 1, Stage: switchover.StageHeld, From: c.Primary(1)}
-	if _, err := h.Clients[0].NotifyHook(ctx, notification); err != nil {
+	notification := switchover.Notification{Group: 1, Stage: switchover.StageHeld, From: cluster.Primary(1)}
+	if _, err := drivers.Clients[0].NotifyHook(ctx, notification); err != nil {
 		t.Fatal(err)
 	}
-	hasty := []OpKind{{Name: "write", Share: 1, Write: true, Timeout: 300 * time.Millisecond}}
+	shortTimeout := []OpKind{{Name: "write", Share: 1, Write: true, Timeout: 300 * time.Millisecond}}
 	r := Load{
-		Targets:  h.Addresses,
+		Targets:  drivers.Addresses,
 		Rate:     60,
 		Duration: 400 * time.Millisecond,
-		Mix:      hasty,
+		Mix:      shortTimeout,
 		Groups:   1,
 		Seed:     8,
 		Slack:    time.Second,
@@ -179,18 +180,20 @@
 		ctx,
 		nil,
 	)
-	if f := r.Kinds["write"]; f.Outcomes[Refused] < 10 || f.Outcomes[Acked]+f.Outcomes[Failed]+f.Outcomes[Lost] > 0 ||
-		len(c.Audit(r)) > 0 {
-		t.Errorf("%v, broken %v", f.Outcomes, c.Audit(r))
+	if stats := r.Kinds["write"]; stats.Outcomes[Refused] < 10 ||
+		stats.Outcomes[Acked]+stats.Outcomes[Failed]+stats.Outcomes[Lost] > 0 ||
+		len(cluster.Audit(r)) > 0 {
+		t.Errorf("%v, broken %v", stats.Outcomes, cluster.Audit(r))
 	}
 	notification.Stage = switchover.StageAborted
-	if _, err := h.Clients[0].NotifyHook(ctx, notification); err != nil {
+	if _, err := drivers.Clients[0].NotifyHook(ctx, notification); err != nil {
 		t.Fatal(err)
 	}
-	r = runLoad(ctx, h.Addresses, writes, 60, 300*time.Millisecond, 9)
-	if f := r.Kinds["write"]; f.Outcomes[Acked] == 0 || f.Outcomes[Refused]+f.Outcomes[Failed]+f.Outcomes[Lost] > 0 ||
-		len(c.Audit(r)) > 0 {
-		t.Errorf("%v, broken %v", f.Outcomes, c.Audit(r))
+	r = runLoad(ctx, drivers.Addresses, writeMix, 60, 300*time.Millisecond, 9)
+	if stats := r.Kinds["write"]; stats.Outcomes[Acked] == 0 ||
+		stats.Outcomes[Refused]+stats.Outcomes[Failed]+stats.Outcomes[Lost] > 0 ||
+		len(cluster.Audit(r)) > 0 {
+		t.Errorf("%v, broken %v", stats.Outcomes, cluster.Audit(r))
 	}
 	for want, w := range map[string]switchover.Notification{
 		"409":            notification,
@@ -201,58 +204,59 @@
 		if w.Group == 1 && w.Stage != 0 {
 			w.Stage, w.Epoch = switchover.StageHeld, 1
 		}
-		if _, err := h.Clients[0].NotifyHook(ctx, w); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := drivers.Clients[0].NotifyHook(ctx, w); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", want, err)
 		}
 	}
 }
 
-// The new primary dies while the held writes are released: writes whose answers were lost are errors, none runs
+// The new primary dies while the held writes are released: writes whose answers are lost fail, no write is executed
 // twice, and each op gets its answer.
-func TestNewPrimaryDiesAtOnce(t *testing.T) {
-	c, h, end := hooked(t, 3, nil)
+func TestNewPrimaryDiesDuringRelease(t *testing.T) {
+	cluster, drivers, end := startHooked(t, 3, nil)
 	defer end()
 	ctx := context.Background()
 	result := make(chan Result)
 	go func() {
-		result <- runLoad(ctx, h.Addresses, writes, 150, 2500*time.Millisecond, 11)
+		result <- runLoad(ctx, drivers.Addresses, writeMix, 150, 2500*time.Millisecond, 11)
 	}()
 	for range 2 {
 		time.Sleep(400 * time.Millisecond)
-		if _, err := c.Switchover(ctx, h.Clients[1], 1); err != nil {
+		if _, err := cluster.Switchover(ctx, drivers.Clients[1], 1); err != nil {
 			t.Fatal(err)
 		}
-		c.Inject("kill", c.Primary(1))
+		cluster.Inject("kill", cluster.Primary(1))
 	}
 	r := <-result
-	if f := r.Kinds["write"]; len(c.Audit(r)) > 0 || f.Outcomes[Acked] < 100 || f.Outcomes[Lost] > 0 ||
-		f.Outcomes[Failed] > 40 {
-		t.Errorf("%v, broken %v", f.Outcomes, c.Audit(r))
+	if stats := r.Kinds["write"]; len(cluster.Audit(r)) > 0 || stats.Outcomes[Acked] < 100 || stats.Outcomes[Lost] > 0 ||
+		stats.Outcomes[Failed] > 40 {
+		t.Errorf("%v, broken %v", stats.Outcomes, cluster.Audit(r))
 	}
 }
 
-// Many writes are held, some for longer than their clients wait, and some clients disconnect: each gets one answer in
-// time, writes that were refused or whose clients left do not run, and the others run once.
-func TestManyHeldWithDifferentPatience(t *testing.T) {
-	c, h, end := hooked(t, 2, nil)
+// Many writes are held, some for longer than their clients' timeouts, and some clients disconnect: each op gets one
+// answer in time, writes that are refused or whose clients have left are not executed, and the others are executed
+// once.
+func TestManyHeldWritesWithDifferentTimeouts(t *testing.T) {
+	cluster, drivers, end := startHooked(t, 2, nil)
 	defer end()
 	ctx := context.Background()
-	old := c.Primary(1)
-	if _, err := h.Clients[0].NotifyHook(
+	old := cluster.Primary(1)
+	if _, err := drivers.Clients[0].NotifyHook(
 		ctx,
 		switchover.Notification{Group: 1, Stage: switchover.StageHeld, From: old},
 	); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "the hold at the peer", func() bool { return stage(h, 1).Draining == old })
-	for i := range 20 { // they ask and leave
-		conn, err := net.Dial("tcp", h.Addresses[i%2])
+	waitFor(t, "the hold at the peer", func() bool { return changeStatus(drivers, 1).Draining == old })
+	for i := range 20 { // clients that send a write and disconnect
+		conn, err := net.Dial("tcp", drivers.Addresses[i%2])
 		if err != nil {
 			t.Fatal(err)
 		}
 		conn.Write(pgwire.AppendStartupMessage(nil, "svc", "main"))
 		if _, _, ok := (&clientConn{conn, bufio.NewReader(conn)}).readAnswer(); !ok {
-			t.Fatal("no welcome")
+			t.Fatal("no answer to the startup message")
 		}
 		conn.Write(
 			pgwire.AppendQuery(
@@ -273,7 +277,7 @@
 	result := make(chan Result)
 	go func() {
 		result <- Load{
-			Targets:     h.Addresses,
+			Targets:     drivers.Addresses,
 			Rate:        300,
 			Duration:    2 * time.Second,
 			Mix:         mix,
@@ -283,57 +287,64 @@
 			MaxInFlight: 4000,
 		}.Run(ctx, nil)
 	}()
-	time.Sleep(1500 * time.Millisecond) // so many are held by then
-	if _, err := h.Clients[1].NotifyHook(
+	time.Sleep(1500 * time.Millisecond) // until many writes are held
+	if _, err := drivers.Clients[1].NotifyHook(
 		ctx,
 		switchover.Notification{Group: 1, Stage: switchover.StageAborted},
 	); err != nil {
 		t.Fatal(err)
 	}
 	r := <-result
-	if f := r.Kinds["write"]; len(c.Audit(r)) > 0 || f.Outcomes[Acked] < 200 || f.Outcomes[Refused] < 60 ||
-		f.Outcomes[Lost]+f.Outcomes[Failed] > 0 {
-		t.Errorf("%v, broken %v", f.Outcomes, c.Audit(r))
+	if stats := r.Kinds["write"]; len(cluster.Audit(r)) > 0 || stats.Outcomes[Acked] < 200 ||
+		stats.Outcomes[Refused] < 60 ||
+		stats.Outcomes[Lost]+stats.Outcomes[Failed] > 0 {
+		t.Errorf("%v, broken %v", stats.Outcomes, cluster.Audit(r))
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for id := range c.executions {
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
+	for id := range cluster.executions {
 		if strings.HasPrefix(id, "left") {
-			t.Errorf("%s ran, and its client had left before", id)
+			t.Errorf("%s was executed although its client had disconnected before", id)
 		}
 	}
 }
 
-// A deposed primary does not notice that it is one no more, and would take writes: after a planned change it gets
-// none from any driver, and the drivers report that there are two primaries.
-func TestDeposedPrimaryThatGoesOn(t *testing.T) {
-	c, h, end := hooked(t, 3, nil)
+// A deposed primary that ignores its demotion would accept writes: after a planned switchover it gets none from any
+// driver, and the drivers report that there are two primaries.
+func TestDeposedPrimaryThatIgnoresDemotion(t *testing.T) {
+	cluster, drivers, end := startHooked(t, 3, nil)
 	defer end()
 	ctx := context.Background()
-	old := c.member(c.Primary(1))
+	old := cluster.member(cluster.Primary(1))
 	result := make(chan Result)
 	go func() {
-		result <- runLoad(ctx, h.Addresses, writes, 120, 3*time.Second, 13)
+		result <- runLoad(ctx, drivers.Addresses, writeMix, 120, 3*time.Second, 13)
 	}()
 	time.Sleep(500 * time.Millisecond)
-	c.Inject("stubborn", old.ID)
-	if _, err := c.Switchover(ctx, h.Clients[0], 1); err != nil {
+	cluster.Inject("stubborn", old.ID)
+	if _, err := cluster.Switchover(ctx, drivers.Clients[0], 1); err != nil {
 		t.Fatal(err)
 	}
 	before := old.writes.Load()
-	until(
+	waitFor(
 		t,
 		"the report of two primaries",
-		func() bool { return stage(h, 0).TwoPrimaries && stage(h, 1).TwoPrimaries && stage(h, 2).TwoPrimaries },
+		func() bool {
+			return changeStatus(drivers, 0).TwoPrimaries && changeStatus(drivers, 1).TwoPrimaries &&
+				changeStatus(drivers, 2).TwoPrimaries
+		},
 	)
 	r := <-result
 	if n := old.writes.Load() - before; n > 0 {
 		t.Errorf("%d writes ran at the deposed primary", n)
 	}
-	if f := r.Kinds["write"]; len(c.Audit(r)) > 0 || f.Outcomes[Acked] < 240 || f.Outcomes[Failed]+f.Outcomes[Lost] > 0 ||
-		f.Outcomes[Refused] > f.Outcomes[Acked]/20 {
-		t.Errorf("%v, broken %v", f.Outcomes, c.Audit(r))
+	if stats := r.Kinds["write"]; len(cluster.Audit(r)) > 0 || stats.Outcomes[Acked] < 240 ||
+		stats.Outcomes[Failed]+stats.Outcomes[Lost] > 0 ||
+		stats.Outcomes[Refused] > stats.Outcomes[Acked]/20 {
+		t.Errorf("%v, broken %v", stats.Outcomes, cluster.Audit(r))
 	}
-	c.Inject("heal", old.ID)
-	until(t, "its end", func() bool { return stage(h, 0).Finished && stage(h, 0).Draining == "" })
+	cluster.Inject("heal", old.ID)
+	waitFor(t, "the end of the switchover", func() bool {
+		return changeStatus(drivers, 0).Finished && changeStatus(drivers, 0).Draining == ""
+	})
 }
