--- a/internal/lab/sessionrun/client.go
+++ b/internal/lab/sessionrun/client.go
@@ -41,7 +41,7 @@
 		select {
 		case <-c.session.Opened():
 		case <-time.After(openTimeout):
-			return fmt.Errorf("client %d: the session is not open after %s", i, openTimeout)
+			return fmt.Errorf("client %d: the session did not open in time", i)
 		}
 		token, _ := c.session.Token()
 		c.id, _, _ = strings.Cut(token, ".")
