--- a/cmd/weirlab/golden_test.go
+++ b/cmd/weirlab/golden_test.go
@@ -10,7 +10,7 @@
 )
 
 // Every command's name, flags, defaults and help, and the output of the commands in virtual time, are as recorded.
-func TestCommandLineIsThatRecorded(t *testing.T) {
+func TestRecordedCommandLine(t *testing.T) {
 	var cases []golden.Case[string]
 	record := func(args ...string) {
 		var out bytes.Buffer
--- a/cmd/weirlab/storm.go
+++ b/cmd/weirlab/storm.go
@@ -10,7 +10,7 @@
 	"weirwind/internal/lab"
 )
 
-// stormCommand restarts a registry under many clients.
+// registryRestartCommand restarts a registry under many clients.
 type registryRestartCommand struct {
 	Clients int           `help:"Clients." default:"1000"`
 	Members int           `help:"In the registry." default:"200"`
--- a/internal/lab/emulator/doc.go
+++ b/internal/lab/emulator/doc.go
@@ -14,7 +14,7 @@
 //   - scheduler.go: processes, workers and windows.
 //   - network.go, member.go, group.go: latencies and network faults, servers with their queues, roles and elections.
 //   - driver.go, attempt.go, clients.go: the driver that hosts a policy and carries out its actions, and its clients.
-//   - baseline.go, restart.go, switchover.go: policies to compare with, restarts with learned state, planned changes.
+//   - baseline.go, restart.go, switchover.go: baseline policies, restarts with learned state, planned switchovers.
 //   - faults.go, driverfaults.go, memberfaults.go: the schedule of faults.
 //   - auditor.go, stats.go, run.go: checks, statistics, and a run from its setup to its result.
 //
--- a/internal/lab/emulator/driver.go
+++ b/internal/lab/emulator/driver.go
@@ -188,7 +188,7 @@
 	if d.down || d.deferIfPaused(func() { d.step(events...) }) {
 		return
 	}
-	for _, a := range d.policy.Step(d.now, events) { // execute copies what it keeps of an action
+	for _, a := range d.policy.Step(d.now, events) { // execute copies the data that it retains
 		d.execute(a)
 	}
 }
--- a/internal/lab/emulator/emulator_test.go
+++ b/internal/lab/emulator/emulator_test.go
@@ -111,7 +111,7 @@
 			return len(r.Promotions) == 1 && r.WriteGaps[0] > minGap && r.WriteGaps[0] < maxGap
 		}
 	}
-	// servedLess expects a member to serve less than a share of what it serves without the fault.
+	// servedLess expects a member to serve fewer ops than the given tenths of its ops in a run without faults.
 	servedLess := func(member int, tenths int) func(r *Result) bool {
 		return func(r *Result) bool { return r.Members[member].Served < baseline.Members[member].Served*tenths/10 }
 	}
--- a/internal/lab/emulator/golden_test.go
+++ b/internal/lab/emulator/golden_test.go
@@ -11,7 +11,7 @@
 
 // The figures of seeded runs are recorded to the last digit: a refactoring of the emulator, or of the module that it
 // runs, changes none of them. Each case's text has the main figures and a digest over all others.
-func TestFiguresAreThoseRecorded(t *testing.T) {
+func TestRecordedFigures(t *testing.T) {
 	t.Parallel()
 	var cases []golden.Case[string]
 	record := func(name string, s Setup) {
@@ -111,7 +111,7 @@
 }
 
 // A setup's JSON form is stored with results, and their files' names are hashes of it.
-func TestSetupForm(t *testing.T) {
+func TestSetupJSON(t *testing.T) {
 	s := newSetup("module", 3, Fault{At: 1, Duration: 2, Kind: "kill", Target: "g1m1", Factor: 3})
 	s.applyDefaults()
 	s.MaxConnections, s.NoProbes, s.MessageRate, s.NoAdvice = 7, true, 9, true
--- a/internal/lab/emulator/stats.go
+++ b/internal/lab/emulator/stats.go
@@ -72,7 +72,7 @@
 	Ops             int            // ops without retries
 	ValueShare      float64        // value of the ops served within their target, as a share of all ops' value
 	Violations      map[string]int // by rule
-	FirstViolations []string       // the first of them, described
+	FirstViolations []string       // descriptions of the first violations
 	Events          uint64
 	Promotions      []Promotion
 	WriteGaps       []float64 // by group: the longest time without an acknowledged write, in milliseconds
--- a/internal/lab/experiment/golden_test.go
+++ b/internal/lab/experiment/golden_test.go
@@ -60,7 +60,7 @@
 `
 
 // A file's plans, the results of its runs, and the comparison and page on them are as recorded.
-func TestFormsAndFiguresAreThoseRecorded(t *testing.T) {
+func TestRecordedPlansAndResults(t *testing.T) {
 	plans, err := ParseFile("s.hcl", []byte(smallFile))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -146,7 +146,7 @@
 // With persistent votes, a fleet whose drivers are all killed and restarted one by one keeps its identity: the first
 // driver waits for the others instead of founding a new roster, and all can vote immediately. A corrupted folder is
 // refused.
-func TestVotesOutliveProcesses(t *testing.T) {
+func TestVotesSurviveRestarts(t *testing.T) {
 	f := startFleet(t, Options{Seed: 21, KeepVotes: true})
 	before, err := f.Drivers[0].Status()
 	if err != nil {
@@ -203,7 +203,7 @@
 	)
 }
 
-func TestKills(t *testing.T) {
+func TestKilledDrivers(t *testing.T) {
 	f := startFleet(t, Options{Seed: 1})
 	f.Drivers[4].Kill()
 	f.eventually(t, "one killed", func() bool {
@@ -234,7 +234,7 @@
 	})
 }
 
-func TestStopsAndGrowth(t *testing.T) {
+func TestStoppedAndNewDrivers(t *testing.T) {
 	f := startFleet(t, Options{Seed: 2, ExtraDrivers: 1})
 	f.Drivers[4].Stop()
 	f.eventually(t, "one stopped", func() bool {
@@ -329,7 +329,7 @@
 	}
 }
 
-func TestOneDirectionAndRing(t *testing.T) {
+func TestBlockedDirectionAndRing(t *testing.T) {
 	f := startFleet(t, Options{Seed: 5})
 	f.Links.Set(0, 1, links.Link{Blocked: true})
 	f.eventually(t, "the blocked direction is reported", func() bool {
@@ -543,7 +543,7 @@
 
 // A hold begins at the majority side of a partition while the minority can't learn of it, and is released at the
 // minority side; both sides get writes.
-func TestHoldAndReleaseOnTwoSides(t *testing.T) {
+func TestHoldAndReleaseAcrossPartition(t *testing.T) {
 	f := startFleet(t, Options{Seed: 10})
 	cluster := f.options.Cluster
 	f.runUnderLoad(t, func() {
@@ -662,7 +662,7 @@
 
 // A drain that only the minority's list contains is obeyed by all drivers that learn of it after the heal, also during
 // another partition, until a newer list has the member up.
-func TestDrainAnnouncedToTheSmallerPartition(t *testing.T) {
+func TestDrainAnnouncedToTheMinority(t *testing.T) {
 	cluster, err := lab.Start(lab.Options{ElectionTime: 300 * time.Millisecond, Members: 4})
 	if err != nil {
 		t.Fatal(err)
@@ -841,7 +841,7 @@
 
 // The number of drivers is passed to the module, and decreases only when the others may take over the failed drivers'
 // shares.
-func TestCountOfDrivers(t *testing.T) {
+func TestDriverCountAfterTakeover(t *testing.T) {
 	f := startFleet(t, Options{Seed: 15, TakeoverAfter: time.Second})
 	f.eventually(
 		t,
--- a/internal/lab/fleet/golden_test.go
+++ b/internal/lab/fleet/golden_test.go
@@ -42,7 +42,7 @@
 `
 
 // The steps of a script in execution order, the errors of invalid scripts, and the page are as recorded.
-func TestScriptAndPageAreThoseRecorded(t *testing.T) {
+func TestRecordedScriptAndPage(t *testing.T) {
 	var cases []golden.Case[string]
 	record := func(name, value string) { cases = append(cases, golden.Of(name, value)) }
 	s, err := ParseScript("s.hcl", []byte(script))
--- a/internal/lab/fleet/zones_test.go
+++ b/internal/lab/fleet/zones_test.go
@@ -175,7 +175,7 @@
 // The leader is suspended and resumed with its old plan while the others continue: it does not use the old plan when
 // there is a newer one, and follows the newer one eventually. In a partition that outlasts the lease, the minority has
 // no plan in force and changes nothing.
-func TestLeaderFrozenAndLeasesEnd(t *testing.T) {
+func TestFrozenLeaderAndExpiredLease(t *testing.T) {
 	f := startZonedFleet(t, Options{Seed: 34, KeepVotes: true})
 	f.eventually(t, "the first voter leads", func() bool { s, ok := f.Drivers[0].zonesStatus(); return ok && s.Leader })
 	f.Drivers[0].Freeze()
@@ -215,7 +215,7 @@
 }
 
 // All drivers are killed and restarted with their folders: their next plan has a higher epoch than the one before.
-func TestPlansOutliveProcesses(t *testing.T) {
+func TestPlansSurviveRestarts(t *testing.T) {
 	f := startZonedFleet(t, Options{Seed: 35, KeepVotes: true})
 	f.runUnderLoad(t, func() {
 		f.injectIntoZone("c", "kill")
--- a/internal/lab/hollow/golden_test.go
+++ b/internal/lab/hollow/golden_test.go
@@ -10,7 +10,7 @@
 )
 
 // The columns of results and the text printed for a phase are as recorded.
-func TestResultsAreThoseRecorded(t *testing.T) {
+func TestRecordedResults(t *testing.T) {
 	rows := []Row{{Phase: "steady", Drivers: 10, Members: 42, Role: "core", Machines: 5, Seconds: 10, Events: 3,
 		KnownAfter: 1.25, Link: "raft", Direction: "sent", Purpose: "append", Frames: 100, Bytes: 25000}}
 	usage := rows[0]
--- a/internal/lab/hollow/run.go
+++ b/internal/lab/hollow/run.go
@@ -29,8 +29,8 @@
 // Options are the options of a run.
 type Options struct {
 	Drivers   int
-	Databases int // each of three members
-	Cores     int // core machines
+	Databases int // number of databases, with three members each
+	Cores     int // number of core machines
 	// Renewals is the minimum number of renewals of each lease in a phase, which take about one second each; the steady
 	// phase has three times as many.
 	Renewals int
--- a/internal/lab/membershipsim/golden_test.go
+++ b/internal/lab/membershipsim/golden_test.go
@@ -9,7 +9,7 @@
 )
 
 // The output of seeded measurements is as recorded, except for the share of a core, which depends on the machine.
-func TestMeasurementsAreThoseRecorded(t *testing.T) {
+func TestRecordedMeasurements(t *testing.T) {
 	var cases []golden.Case[string]
 	record := func(name string, measure func(out *bytes.Buffer) error) {
 		var out bytes.Buffer
--- a/internal/lab/sessionrun/golden_test.go
+++ b/internal/lab/sessionrun/golden_test.go
@@ -8,7 +8,7 @@
 )
 
 // The page on a run is as recorded.
-func TestPageIsThatRecorded(t *testing.T) {
+func TestRecordedPage(t *testing.T) {
 	r := Result{
 		Seconds: []Second{{Queued: 10, Delivered: 9, LongestGap: 70 * time.Millisecond}, {Queued: 12, Delivered: 13,
 			LongestGap: 2 * time.Second, Event: "site1 is pulled"}, {Queued: 11, Delivered: 11, LongestGap: time.Second}},
