--- a/cmd/weirlab/demo.go
+++ b/cmd/weirlab/demo.go
@@ -148,13 +148,13 @@
 }
 
 // verdict prints the audit's result; it returns an error if there are violations.
-func verdict(out io.Writer, broken []string) error {
-	if len(broken) == 0 {
+func verdict(out io.Writer, violations []string) error {
+	if len(violations) == 0 {
 		fmt.Fprintln(out, "audit: every op got one whole answer, no write ran twice, nothing came to a drained member")
 		return nil
 	}
-	for _, b := range broken[:min(len(broken), 20)] {
+	for _, b := range violations[:min(len(violations), 20)] {
 		fmt.Fprintln(out, "audit:", b)
 	}
-	return fmt.Errorf("%d broken rules", len(broken))
+	return fmt.Errorf("%d broken rules", len(violations))
 }
--- a/cmd/weirlab/emulate.go
+++ b/cmd/weirlab/emulate.go
@@ -61,17 +61,17 @@
 		runs.Go(func() { results[i], errs[i] = emulator.Run(s, c.On, nil) })
 	}
 	runs.Wait()
-	broken := 0
+	violations := 0
 	for i, r := range results {
 		if errs[i] != nil {
 			return errs[i]
 		}
 		if n := printResult(out, c.Policy[i], r); c.Policy[i] == emulator.PolicyModule {
-			broken += n
+			violations += n
 		}
 	}
-	if broken > 0 {
-		return fmt.Errorf("the module broke rules %d times", broken)
+	if violations > 0 {
+		return fmt.Errorf("the module broke rules %d times", violations)
 	}
 	return nil
 }
@@ -93,7 +93,7 @@
 }
 
 // printResult prints the result of one policy and returns the number of violations.
-func printResult(out io.Writer, policy string, r *emulator.Result) (broken int) {
+func printResult(out io.Writer, policy string, r *emulator.Result) (violations int) {
 	fmt.Fprintf(out, "%s: %d ops, %.3f of their worth served in time\n", policy, r.Ops, r.ValueShare)
 	for k := range r.Types {
 		t := &r.Types[k]
@@ -105,12 +105,12 @@
 	}
 	for _, rule := range slices.Sorted(maps.Keys(r.Violations)) {
 		fmt.Fprintf(out, "  broken: %s, %d times\n", rule, r.Violations[rule])
-		broken += r.Violations[rule]
+		violations += r.Violations[rule]
 	}
 	for _, text := range r.FirstViolations[:min(len(r.FirstViolations), 3)] {
 		fmt.Fprintf(out, "    %s\n", text)
 	}
-	return broken
+	return violations
 }
 
 // ms returns a duration in milliseconds.
--- a/cmd/weirlab/switch.go
+++ b/cmd/weirlab/switch.go
@@ -101,8 +101,8 @@
 		return err
 	}
 	c.print(out, kind, cluster, r, gaps)
-	if broken := cluster.Audit(r); len(broken) > 0 {
-		return fmt.Errorf("%s: %s", kind, broken[0])
+	if violations := cluster.Audit(r); len(violations) > 0 {
+		return fmt.Errorf("%s: %s", kind, violations[0])
 	}
 	return nil
 }
--- a/cmd/weirlab/trust.go
+++ b/cmd/weirlab/trust.go
@@ -125,8 +125,8 @@
 	if err := wait(); err != nil {
 		return experiment.Run{}, err
 	}
-	if broken := cluster.Audit(r); len(broken) > 0 {
-		return experiment.Run{}, fmt.Errorf("on sockets: %s", broken[0])
+	if violations := cluster.Audit(r); len(violations) > 0 {
+		return experiment.Run{}, fmt.Errorf("on sockets: %s", violations[0])
 	}
 	return socketsRow(kind, "sockets", trustDrivers, options.Seed, lab.DefaultMix, r, seconds)
 }
--- a/internal/lab/audit.go
+++ b/internal/lab/audit.go
@@ -6,15 +6,15 @@
 import "fmt"
 
 // Audit returns a description of each violation of a rule that is observable outside of the drivers.
-func (c *Cluster) Audit(r Result) (broken []string) {
+func (c *Cluster) Audit(r Result) (violations []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for id, n := range c.executions {
 		if n > 1 {
-			broken = append(broken, fmt.Sprintf("rule 2: write %s ran %d times", id, n))
+			violations = append(violations, fmt.Sprintf("rule 2: write %s ran %d times", id, n))
 		}
 		if outcome, sent := r.Writes[id]; sent && outcome == Refused {
-			broken = append(broken, fmt.Sprintf("rule 2: write %s ran and its client was told that it did not", id))
+			violations = append(violations, fmt.Sprintf("rule 2: write %s ran and its client was told that it did not", id))
 		}
 	}
 	for id, outcome := range r.Writes {
@@ -25,26 +25,26 @@
 		if by := r.WriteCluster[id]; by != c.name {
 			line += fmt.Sprintf(": a member of cluster %q answered it, not one of %q", by, c.name)
 		}
-		broken = append(broken, line)
+		violations = append(violations, line)
 	}
 	for cluster, n := range r.Clusters {
 		if cluster != c.name {
-			broken = append(broken, fmt.Sprintf("rule 1: %d ops were answered by cluster %q, not by %q", n, cluster, c.name))
+			violations = append(violations, fmt.Sprintf("rule 1: %d ops were answered by cluster %q, not by %q", n, cluster, c.name))
 		}
 	}
 	for _, id := range r.Mismatched {
-		broken = append(broken, fmt.Sprintf("rule 1: op %s got another's answer", id))
+		violations = append(violations, fmt.Sprintf("rule 1: op %s got another's answer", id))
 	}
 	for _, stats := range r.Kinds {
 		if stats.Outcomes[Lost] > 0 {
-			broken = append(broken, fmt.Sprintf("rule 1: %d ops without a whole answer in their time", stats.Outcomes[Lost]))
+			violations = append(violations, fmt.Sprintf("rule 1: %d ops without a whole answer in their time", stats.Outcomes[Lost]))
 		}
 	}
 	for _, id := range c.afterDrain {
-		broken = append(broken, fmt.Sprintf("rule 3: op %s came to a member later than the grace after its drain was told",
+		violations = append(violations, fmt.Sprintf("rule 3: op %s came to a member later than the grace after its drain was told",
 			id))
 	}
-	return broken
+	return violations
 }
 
 // RepeatedWrites returns the number of writes that were executed more than once.
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -519,8 +519,8 @@
 	action()
 	stop()
 	r := <-results
-	for _, broken := range f.options.Cluster.Audit(r) {
-		t.Error(broken)
+	for _, violations := range f.options.Cluster.Audit(r) {
+		t.Error(violations)
 	}
 	if r.Kinds["write"].Outcomes[lab.Acked] == 0 {
 		t.Error("no write was acked")
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -39,8 +39,8 @@
 	} {
 		c, r := validRun()
 		corrupt(c, &r)
-		if broken := c.Audit(r); len(broken) != 1 || !strings.Contains(broken[0], want) {
-			t.Errorf("%q, want %q", broken, want)
+		if violations := c.Audit(r); len(violations) != 1 || !strings.Contains(violations[0], want) {
+			t.Errorf("%q, want %q", violations, want)
 		}
 	}
 }
@@ -131,8 +131,8 @@
 	if err := wait(); err != nil {
 		t.Fatal(err)
 	}
-	if broken := cluster.Audit(r); len(broken) > 0 {
-		t.Errorf("%d violations, such as %q", len(broken), broken[0])
+	if violations := cluster.Audit(r); len(violations) > 0 {
+		t.Errorf("%d violations, such as %q", len(violations), violations[0])
 	}
 	if stats := r.Kinds["write"]; stats.Outcomes[Acked] < 20 {
 		t.Errorf("only %d writes acked", stats.Outcomes[Acked])
--- a/internal/lab/switch_test.go
+++ b/internal/lab/switch_test.go
@@ -103,11 +103,11 @@
 		}
 		r := <-result
 		stats := r.Kinds["write"]
-		if broken := cluster.Audit(
+		if violations := cluster.Audit(
 			r,
-		); len(broken) > 0 || stats.Outcomes[Acked] < 200 || stats.Outcomes[Failed]+stats.Outcomes[Lost] > 0 ||
+		); len(violations) > 0 || stats.Outcomes[Acked] < 200 || stats.Outcomes[Failed]+stats.Outcomes[Lost] > 0 ||
 			stats.Outcomes[Refused] > stats.Outcomes[Acked]/20 {
-			t.Errorf("uninformed %d: %v, violations %v", uninformed, stats.Outcomes, broken)
+			t.Errorf("uninformed %d: %v, violations %v", uninformed, stats.Outcomes, violations)
 		}
 		waitFor(t, "agreement", func() bool {
 			a := changeStatus(drivers, 0)
@@ -145,9 +145,9 @@
 	waitFor(t, "the hold at the peer", func() bool { return changeStatus(drivers, 1).Draining == cluster.Primary(1) })
 	r := runLoad(ctx, drivers.Addresses[1:], writeMix, 50, 300*time.Millisecond, 7)
 	stats := r.Kinds["write"]
-	if broken := cluster.Audit(r); len(broken) > 0 || stats.Outcomes[Acked] < 5 ||
+	if violations := cluster.Audit(r); len(violations) > 0 || stats.Outcomes[Acked] < 5 ||
 		stats.Outcomes[Failed]+stats.Outcomes[Lost] > 0 {
-		t.Errorf("%v, broken %v", stats.Outcomes, broken)
+		t.Errorf("%v, violations %v", stats.Outcomes, violations)
 	}
 	if stats.Quantile(100) < 200*time.Millisecond {
 		t.Errorf("no write was held: the slowest one took %v", stats.Quantile(100))
@@ -183,7 +183,7 @@
 	if stats := r.Kinds["write"]; stats.Outcomes[Refused] < 10 ||
 		stats.Outcomes[Acked]+stats.Outcomes[Failed]+stats.Outcomes[Lost] > 0 ||
 		len(cluster.Audit(r)) > 0 {
-		t.Errorf("%v, broken %v", stats.Outcomes, cluster.Audit(r))
+		t.Errorf("%v, violations %v", stats.Outcomes, cluster.Audit(r))
 	}
 	notification.Stage = switchover.StageAborted
 	if _, err := drivers.Clients[0].NotifyHook(ctx, notification); err != nil {
@@ -193,7 +193,7 @@
 	if stats := r.Kinds["write"]; stats.Outcomes[Acked] == 0 ||
 		stats.Outcomes[Refused]+stats.Outcomes[Failed]+stats.Outcomes[Lost] > 0 ||
 		len(cluster.Audit(r)) > 0 {
-		t.Errorf("%v, broken %v", stats.Outcomes, cluster.Audit(r))
+		t.Errorf("%v, violations %v", stats.Outcomes, cluster.Audit(r))
 	}
 	for want, w := range map[string]switchover.Notification{
 		"409":                       notification,
@@ -230,7 +230,7 @@
 	r := <-result
 	if stats := r.Kinds["write"]; len(cluster.Audit(r)) > 0 || stats.Outcomes[Acked] < 100 || stats.Outcomes[Lost] > 0 ||
 		stats.Outcomes[Failed] > 40 {
-		t.Errorf("%v, broken %v", stats.Outcomes, cluster.Audit(r))
+		t.Errorf("%v, violations %v", stats.Outcomes, cluster.Audit(r))
 	}
 }
 
@@ -298,7 +298,7 @@
 	if stats := r.Kinds["write"]; len(cluster.Audit(r)) > 0 || stats.Outcomes[Acked] < 200 ||
 		stats.Outcomes[Refused] < 60 ||
 		stats.Outcomes[Lost]+stats.Outcomes[Failed] > 0 {
-		t.Errorf("%v, broken %v", stats.Outcomes, cluster.Audit(r))
+		t.Errorf("%v, violations %v", stats.Outcomes, cluster.Audit(r))
 	}
 	cluster.mu.Lock()
 	defer cluster.mu.Unlock()
@@ -341,7 +341,7 @@
 	if stats := r.Kinds["write"]; len(cluster.Audit(r)) > 0 || stats.Outcomes[Acked] < 240 ||
 		stats.Outcomes[Failed]+stats.Outcomes[Lost] > 0 ||
 		stats.Outcomes[Refused] > stats.Outcomes[Acked]/20 {
-		t.Errorf("%v, broken %v", stats.Outcomes, cluster.Audit(r))
+		t.Errorf("%v, violations %v", stats.Outcomes, cluster.Audit(r))
 	}
 	cluster.Inject("heal", old.ID)
 	waitFor(t, "the end of the switchover", func() bool {
