--- a/internal/lab/audit.go
+++ b/internal/lab/audit.go
@@ -29,7 +29,8 @@
 	}
 	for cluster, n := range r.Clusters {
 		if cluster != c.name {
-			violations = append(violations, fmt.Sprintf("rule 1: %d ops were answered by cluster %q, not by %q", n, cluster, c.name))
+			violations = append(violations,
+				fmt.Sprintf("rule 1: %d ops were answered by cluster %q, not by %q", n, cluster, c.name))
 		}
 	}
 	for _, id := range r.Mismatched {
@@ -37,12 +38,13 @@
 	}
 	for _, stats := range r.Kinds {
 		if stats.Outcomes[Lost] > 0 {
-			violations = append(violations, fmt.Sprintf("rule 1: %d ops without a whole answer in their time", stats.Outcomes[Lost]))
+			violations = append(violations,
+				fmt.Sprintf("rule 1: %d ops without a whole answer in their time", stats.Outcomes[Lost]))
 		}
 	}
 	for _, id := range c.afterDrain {
-		violations = append(violations, fmt.Sprintf("rule 3: op %s came to a member later than the grace after its drain was told",
-			id))
+		violations = append(violations,
+			fmt.Sprintf("rule 3: op %s came to a member later than the grace after its drain was told", id))
 	}
 	return violations
 }
