--- a/internal/lab/fleet/zones_test.go
+++ b/internal/lab/fleet/zones_test.go
@@ -193,9 +193,9 @@
 		before, _ := f.Drivers[0].zonesStatus()
 		f.Links.Partition(0, 0, 1, 1, 1, 1)
 		f.eventually(t, "the minority's lease expires", func() bool {
-			a, ok := f.Drivers[0].zonesStatus()
-			b, bothAnswered := f.Drivers[1].zonesStatus()
-			return ok && bothAnswered && !a.InForce && !b.InForce
+			a, firstOK := f.Drivers[0].zonesStatus()
+			b, secondOK := f.Drivers[1].zonesStatus()
+			return firstOK && secondOK && !a.InForce && !b.InForce
 		})
 		if err := f.Drivers[1].Control.SubmitZoneCommand(
 			context.Background(),
@@ -235,8 +235,8 @@
 	}
 }
 
-// Two zones have members and a third one has only voters (witnesses): when one zone with members fails, the other one
-// continues to serve.
+// The drivers' third zone has no members and only adds voters (witnesses): when one of the two other zones fails, the
+// drivers of the remaining two zones eject it.
 func TestWitness(t *testing.T) {
 	f := startZonedFleet(t, Options{Seed: 36, Zones: []string{"a", "b", "w"}})
 	f.runUnderLoad(t, func() {
