--- a/cmd/weirlab/golden_test.go
+++ b/cmd/weirlab/golden_test.go
@@ -9,8 +9,8 @@
 	"weirwind/internal/standin/golden"
 )
 
-// Every command's words, flags, defaults and help, and what the commands in virtual time print, are as recorded.
-func TestCommandLineIsThatRecorded(t *testing.T) {
+// Every command's name, flags, defaults and help, and the output of the commands in virtual time, are as recorded.
+func TestRecordedCommandLine(t *testing.T) {
 	var cases []golden.Case[string]
 	record := func(args ...string) {
 		var out bytes.Buffer
--- a/internal/lab/audit.go
+++ b/internal/lab/audit.go
@@ -1,19 +1,20 @@
 package lab
 
-// This file owns the audit: what members ran against what clients were answered. Nothing that drivers report counts.
+// This file owns the audit, which compares the executions at members with the answers that clients got. It uses nothing
+// that drivers report.
 
 import "fmt"
 
-// Audit gives every violation of a rule that can be seen from outside, a line each.
-func (c *Cluster) Audit(r Result) (broken []string) {
+// Audit returns a description of each violation of a rule that is observable outside of the drivers.
+func (c *Cluster) Audit(r Result) (violations []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for id, n := range c.executions {
 		if n > 1 {
-			broken = append(broken, fmt.Sprintf("rule 2: write %s ran %d times", id, n))
+			violations = append(violations, fmt.Sprintf("rule 2: write %s ran %d times", id, n))
 		}
 		if outcome, sent := r.Writes[id]; sent && outcome == Refused {
-			broken = append(broken, fmt.Sprintf("rule 2: write %s ran and its client was told that it did not", id))
+			violations = append(violations, fmt.Sprintf("rule 2: write %s ran and its client was told that it did not", id))
 		}
 	}
 	for id, outcome := range r.Writes {
@@ -24,29 +25,31 @@
 		if by := r.WriteCluster[id]; by != c.name {
 			line += fmt.Sprintf(": a member of cluster %q answered it, not one of %q", by, c.name)
 		}
-		broken = append(broken, line)
+		violations = append(violations, line)
 	}
 	for cluster, n := range r.Clusters {
 		if cluster != c.name {
-			broken = append(broken, fmt.Sprintf("rule 1: %d ops were answered by cluster %q, not by %q", n, cluster, c.name))
+			violations = append(violations,
+				fmt.Sprintf("rule 1: %d ops were answered by cluster %q, not by %q", n, cluster, c.name))
 		}
 	}
 	for _, id := range r.Mismatched {
-		broken = append(broken, fmt.Sprintf("rule 1: op %s got another's answer", id))
+		violations = append(violations, fmt.Sprintf("rule 1: op %s got another's answer", id))
 	}
-	for _, f := range r.Kinds {
-		if f.Outcomes[Lost] > 0 {
-			broken = append(broken, fmt.Sprintf("rule 1: %d ops without a whole answer in their time", f.Outcomes[Lost]))
+	for _, stats := range r.Kinds {
+		if stats.Outcomes[Lost] > 0 {
+			violations = append(violations,
+				fmt.Sprintf("rule 1: %d ops without a whole answer in their time", stats.Outcomes[Lost]))
 		}
 	}
 	for _, id := range c.afterDrain {
-		broken = append(broken, fmt.Sprintf("rule 3: op %s came to a member later than the grace after its drain was told",
-			id))
+		violations = append(violations,
+			fmt.Sprintf("rule 3: op %s came to a member later than the grace after its drain was told", id))
 	}
-	return broken
+	return violations
 }
 
-// RepeatedWrites is the number of writes that ran more than once.
+// RepeatedWrites returns the number of writes that were executed more than once.
 func (c *Cluster) RepeatedWrites() (n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/lab/storm.go
+++ b/internal/lab/registryrestart.go
@@ -1,6 +1,7 @@
 package lab
 
-// This file owns the storm: many clients of one registry that was down and has lost its history.
+// This file owns the measurement of a thundering herd: many clients reconnect to a registry that was down and has lost
+// its history.
 
 import (
 	"context"
@@ -14,27 +15,27 @@
 	"weirwind/internal/standin/kv"
 )
 
-// Storm is a registry's restart under clients that follow it.
-type Storm struct {
+// RegistryRestart describes a restart of a registry that many clients watch.
+type RegistryRestart struct {
 	Clients  int
-	Members  int           // in the registry
-	Downtime time.Duration // of the registry
-	Naive    bool          // clients read the complete list again and again without backoff, in place of a Watcher
-	Timeout  time.Duration // for all clients to be current
+	Members  int           // number of members that the registry lists
+	Downtime time.Duration // time for which the registry is down
+	Naive    bool          // clients re-read the complete list without backoff instead of using a Watcher
+	Timeout  time.Duration // time limit for all clients to become current
 }
 
-// StormResult is the load on the registry after its return.
-type StormResult struct {
-	Peak  int           // complete lists that were read in the second with the most
-	Reads int           // complete lists that were read until all clients were current
-	Until time.Duration // from the registry's return until all clients were current
+// RegistryRestartResult is the load on the registry after its restart.
+type RegistryRestartResult struct {
+	PeakReads   int           // maximum number of reads of the complete list within one second
+	Reads       int           // reads of the complete list until all clients were current
+	CatchUpTime time.Duration // time from the registry's restart until all clients were current
 }
 
-const stormPrefix = "weirwind/members/"
+const membersPrefix = "weirwind/members/"
 
-// stormClient follows the registry and signals when it is current: first with the list, then with the change during the
-// restart.
-type stormClient struct {
+// registryClient watches the registry and signals when it is current: first with the initial list, then with the change
+// that was made during the restart.
+type registryClient struct {
 	client  registry.Client
 	current chan<- struct{}
 	members int
@@ -44,14 +45,14 @@
 	stage  int
 }
 
-// stormNow is the time now in Unix milliseconds.
-func stormNow() float64 { return float64(time.Now().UnixMicro()) / 1000 }
+// nowMillis returns the current time in Unix milliseconds.
+func nowMillis() float64 { return float64(time.Now().UnixMicro()) / 1000 }
 
 // apply applies an update and signals when the client has become current.
-func (c *stormClient) apply(update roster.Update) (roster.Verdict, float64) {
+func (c *registryClient) apply(update roster.Update) (roster.Verdict, float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	out := c.roster.Apply(stormNow(), update)
+	out := c.roster.Apply(nowMillis(), update)
 	if n := len(c.roster.Members()); out.Verdict == roster.VerdictApplied &&
 		(c.stage == 0 && n == c.members || c.stage == 1 && n == c.members+1) {
 		c.stage++
@@ -60,19 +61,19 @@
 	return out.Verdict, 0
 }
 
-// position is the revision that the client has; known is false where it has none.
-func (c *stormClient) position() (int64, bool) {
+// position returns the revision that the client has; known is false if it has none.
+func (c *registryClient) position() (int64, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	_, revision, known := c.roster.Revision(roster.SourceRegistry)
 	return revision, known
 }
 
-// run follows the registry until the context ends.
-func (c *stormClient) run(ctx context.Context, storm Storm, n int) {
-	if !storm.Naive {
-		w := registry.Watcher{Client: c.client, Apply: c.apply, Position: c.position, Now: stormNow, OnActivity: func() {},
-			Scheduler: roster.NewScheduler(roster.SchedulerOptions{Endpoints: 1, Drivers: storm.Clients, Seed: uint64(n)}),
+// run watches the registry until the context ends.
+func (c *registryClient) run(ctx context.Context, options RegistryRestart, n int) {
+	if !options.Naive {
+		w := registry.Watcher{Client: c.client, Apply: c.apply, Position: c.position, Now: nowMillis, OnActivity: func() {},
+			Scheduler: roster.NewScheduler(roster.SchedulerOptions{Endpoints: 1, Drivers: options.Clients, Seed: uint64(n)}),
 			OnDisconnect: func(error) {
 				c.mu.Lock()
 				c.roster.SetDisconnected(roster.SourceRegistry)
@@ -85,13 +86,13 @@
 	for ctx.Err() == nil {
 		if c.client.List(ctx, 0, true, apply) == nil {
 			revision, _ := c.position()
-			_ = c.client.Watch(ctx, 0, revision+1, func() {}, apply) // naive: it reads all anew, whatever ended it
+			_ = c.client.Watch(ctx, 0, revision+1, func() {}, apply) // a naive client re-reads everything after any error
 		}
 	}
 }
 
-// Run runs the storm on loopback. An error: not all clients were current in time.
-func (s Storm) Run() (r StormResult, err error) {
+// Run restarts a registry on loopback. It returns an error if not all clients are current within the timeout.
+func (s RegistryRestart) Run() (r RegistryRestartResult, err error) {
 	store := s.newStore()
 	server := kv.Serve(store)
 	ctx, stop := context.WithCancel(context.Background())
@@ -116,33 +117,33 @@
 	server.Down.Store(true)
 	server.CloseConnections()
 	time.Sleep(s.Downtime)
-	store.Put(stormPrefix+"new", `{"host_port":"127.0.0.1:1","cell":1,"phase":"up"}`)
+	store.Put(membersPrefix+"new", `{"host_port":"127.0.0.1:1","cell":1,"phase":"up"}`)
 	store.Compact(store.Revision())
-	store.Put("elsewhere", "x") // so that what is compacted lies behind the newest revision
+	store.Put("elsewhere", "x") // so that the compacted revision is older than the newest one
 	server.CloseConnections()
 	before, began := server.FullReads.Load(), time.Now()
 	server.Down.Store(false)
-	sampled, ended := make(chan []int64, 1), make(chan struct{})
-	go func() { sampled <- sampleReads(server, before, ended) }()
+	sampledReads, ended := make(chan []int64, 1), make(chan struct{})
+	go func() { sampledReads <- sampleReads(server, before, ended) }()
 	err = s.await(current)
-	r.Until, r.Reads = time.Since(began), int(server.FullReads.Load()-before)
+	r.CatchUpTime, r.Reads = time.Since(began), int(server.FullReads.Load()-before)
 	close(ended)
-	r.Peak = peakReads(<-sampled)
+	r.PeakReads = peakReads(<-sampledReads)
 	return r, err
 }
 
-// newClient is a client of the registry at an address, which signals to current.
-func (s Storm) newClient(url string, current chan<- struct{}) (*stormClient, error) {
+// newClient returns a client of the registry at an address, which signals to current.
+func (s RegistryRestart) newClient(url string, current chan<- struct{}) (*registryClient, error) {
 	client, err := registry.New(registry.Options{
 		Dialect:      "etcd",
-		Prefix:       stormPrefix,
+		Prefix:       membersPrefix,
 		Endpoints:    []string{url},
 		WatchTimeout: 10 * time.Second,
 	})
 	if err != nil {
 		return nil, err
 	}
-	return &stormClient{
+	return &registryClient{
 		client:  client,
 		current: current,
 		members: s.Members,
@@ -150,12 +151,12 @@
 	}, nil
 }
 
-// newStore is a registry with a list of members.
-func (s Storm) newStore() *kv.Store {
+// newStore returns a registry's store with a list of members.
+func (s RegistryRestart) newStore() *kv.Store {
 	store := kv.NewStore("c1")
 	var pairs []any
 	for i := range s.Members {
-		pairs = append(pairs, fmt.Sprintf("%sm%05d", stormPrefix, i),
+		pairs = append(pairs, fmt.Sprintf("%sm%05d", membersPrefix, i),
 			fmt.Sprintf(`{"host_port":"127.0.0.1:%d","cell":1,"phase":"up"}`, i%60000+1))
 	}
 	store.Put(pairs...)
@@ -163,7 +164,7 @@
 }
 
 // await waits until each client has signalled that it is current.
-func (s Storm) await(current <-chan struct{}) error {
+func (s RegistryRestart) await(current <-chan struct{}) error {
 	limit := time.After(s.Timeout)
 	for range s.Clients {
 		select {
@@ -175,7 +176,7 @@
 	return nil
 }
 
-// sampleReads counts complete reads in each tenth of a second until ended is closed.
+// sampleReads counts the reads of the complete list in each tenth of a second until ended is closed.
 func sampleReads(server *kv.Server, before int64, ended <-chan struct{}) (tenths []int64) {
 	for last := before; ; {
 		select {
@@ -188,7 +189,7 @@
 	}
 }
 
-// peakReads is the largest number within a second.
+// peakReads returns the maximum number of reads within a second.
 func peakReads(tenths []int64) (peak int) {
 	for i := range tenths {
 		sum := 0
