--- a/internal/controlplane/errors.go
+++ b/internal/controlplane/errors.go
@@ -19,14 +19,14 @@
 	errNoLeader = errors.New("nobody is known to lead the core")
 	// errLeaderLost answers a request that was forwarded to a machine that has since lost leadership, or whose link
 	// ended. The request may have been carried out.
-	errLeaderLost = errors.New("the leader of the core has lost its leadership, or can't be reached")
+	errLeaderLost = errors.New("who led the core leads no longer, or can't be reached")
 	// errUnknownMember answers the leave of a member that this machine does not know yet, as it has just started.
 	errUnknownMember = errors.New("this machine does not know the member yet; ask another")
 	// errBusy answers a request that was not decided, as the queue of the consensus loop is full while it waits for its
 	// disk.
 	errBusy = errors.New("this machine waits for its disk; ask another")
 	// errEarlierLeader answers a read that a leader of an earlier software version does not support.
-	errEarlierLeader = errors.New("the leader of the core has an earlier version, which does not answer this; ask again")
+	errEarlierLeader = errors.New("who leads the core is of an earlier version, which does not answer this; ask again")
 	// errNoAnswer answers a request that was not decided in time. It may be applied later.
 	errNoAnswer = errors.New("no answer from who leads the core")
 )
--- a/internal/lab/switch_test.go
+++ b/internal/lab/switch_test.go
@@ -197,7 +197,7 @@
 	}
 	for want, w := range map[string]switchover.Notification{
 		"409":                       notification,
-		"is unknown to this driver": {Group: 9, Stage: switchover.StageHeld, From: "x"},
+		"not known here": {Group: 9, Stage: switchover.StageHeld, From: "x"},
 		"400":                       {Group: 1},
 	} {
 		w.Lease = 1
