--- a/internal/lab/switch_test.go
+++ b/internal/lab/switch_test.go
@@ -196,9 +196,9 @@
 		t.Errorf("%v, violations %v", stats.Outcomes, cluster.Audit(r))
 	}
 	for want, w := range map[string]switchover.Notification{
-		"409":                       notification,
+		"409":            notification,
 		"not known here": {Group: 9, Stage: switchover.StageHeld, From: "x"},
-		"400":                       {Group: 1},
+		"400":            {Group: 1},
 	} {
 		w.Lease = 1
 		if w.Group == 1 && w.Stage != 0 {
