--- a/cmd/weirwind/presence_test.go
+++ b/cmd/weirwind/presence_test.go
@@ -34,7 +34,7 @@
 				c.query(read(1000))
 			}
 			waitCounter(t, p, "messagesin")
-			store.LoseLeases() // as behind a pause, or a registry that forgot
+			store.EndAllLeases() // as behind a pause, or a registry that forgot
 			p.waitForLog("event=presence announced=false")
 			p.waitForLog("event=presence announced=true")
 			v.Down.Store(true) // a silent registry makes no driver conclude that it is alone
--- a/internal/controlplane/agent/metrics.go
+++ b/internal/controlplane/agent/metrics.go
@@ -31,7 +31,7 @@
 
 // figures writes the agent's figures.
 func (a *Agent) figures(set metrics.Set) {
-	events.Figures(a.log, set)
+	events.WriteMetrics(a.log, set)
 	controlmsg.WriteMetrics(set, "weirwind_agent", "core", &CoreTraffic)
 	controlmsg.WriteMetrics(set, "weirwind_agent", "peers", &PeerTraffic)
 	controlmsg.WriteMetrics(set, "weirwind_agent", "proxy", &ProxyTraffic)
--- a/internal/controlplane/failover/safety_test.go
+++ b/internal/controlplane/failover/safety_test.go
@@ -47,8 +47,8 @@
 			sim.run(500 + 3000*sim.random.Float64())
 		}
 		sim.run(8000)
-		if len(sim.group.Lost) > 0 {
-			t.Fatalf("seed %d, %v: the promoted member lacks %v\n%s", seed, faults, sim.group.Lost,
+		if len(sim.group.LostCommits) > 0 {
+			t.Fatalf("seed %d, %v: the promoted member lacks %v\n%s", seed, faults, sim.group.LostCommits,
 				strings.Join(sim.transcript, "\n"))
 		}
 		primary := sim.group.Leader()
@@ -69,8 +69,8 @@
 	waiting := 0
 	for seed := range uint64(historyCount) {
 		sim, faults := runHistory(seed, func(*controlPlane) {})
-		if len(sim.group.Lost) > 0 {
-			t.Errorf("seed %d, %v: the promoted member lacks %v\n%s", seed, faults, sim.group.Lost,
+		if len(sim.group.LostCommits) > 0 {
+			t.Errorf("seed %d, %v: the promoted member lacks %v\n%s", seed, faults, sim.group.LostCommits,
 				strings.Join(sim.transcript, "\n"))
 		}
 		if primary := sim.group.Leader(); primary == nil || primary.Paused {
@@ -109,8 +109,8 @@
 		sim.lateStatementRate = 0
 		sim.run(15000)
 		transcript := strings.Join(sim.transcript, "\n")
-		if len(sim.group.Lost) > 0 {
-			t.Fatalf("seed %d, %v: the promoted member lacks %v\n%s", seed, faults, sim.group.Lost, transcript)
+		if len(sim.group.LostCommits) > 0 {
+			t.Fatalf("seed %d, %v: the promoted member lacks %v\n%s", seed, faults, sim.group.LostCommits, transcript)
 		}
 		if primary := sim.group.Leader(); primary == nil || primary.Paused {
 			t.Fatalf("seed %d, %v: no primary at the end\n%s", seed, faults, transcript)
@@ -138,7 +138,7 @@
 		seed, lost := guard.first, false
 		for ; seed < guard.first+historyCount && !lost; seed++ {
 			sim, _ := runHistory(seed, guard.set)
-			lost = len(sim.group.Lost) > 0
+			lost = len(sim.group.LostCommits) > 0
 		}
 		if t.Logf("without the %s: seed %d loses commits", guard.name, seed-1); !lost {
 			t.Errorf("without the %s no commit is lost: the histories do not exercise this guard", guard.name)
--- a/internal/controlplane/metrics.go
+++ b/internal/controlplane/metrics.go
@@ -69,7 +69,7 @@
 
 // writeMetrics writes the machine's metrics. Those of an owner that does not answer in time are left out.
 func (srv *Server) writeMetrics(set metrics.Set) {
-	events.Figures(srv.log, set)
+	events.WriteMetrics(srv.log, set)
 	controlmsg.WriteMetrics(set, "weirwind_controlplane", "accepted", &srv.accepted)
 	controlmsg.WriteMetrics(set, "weirwind_controlplane", "dialled", &srv.dialled)
 	if age := srv.contactAge(); !math.IsInf(age, 1) {
--- a/internal/dataplane/proxy/metrics.go
+++ b/internal/dataplane/proxy/metrics.go
@@ -75,7 +75,7 @@
 	set.Flag("weirwind_proxy_agent_linked", "1 while the agent on this machine feeds this proxy.",
 		p.agent.Load() != nil)
 	p.denials.writeMetrics(set)
-	events.Figures(p.log, set)
+	events.WriteMetrics(p.log, set)
 	ctx, cancel := context.WithTimeout(p.ctx, metrics.OwnerTimeout)
 	defer cancel()
 	snapshot, err := commandqueue.Call(ctx, p.router.commands, p.router.snapshot)
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -72,11 +72,11 @@
 // and waits for others to end may wait for one that waits for a turn.
 func newFleet(t *testing.T, o Options) *Fleet {
 	t.Helper()
-	turn, err := loopback.WaitTurn(context.Background(), fleetsAtOnce*runtime.NumCPU())
+	turn, err := loopback.AcquireSlot(context.Background(), fleetsAtOnce*runtime.NumCPU())
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(turn.End)
+	t.Cleanup(turn.Release)
 	o.Program = program
 	if o.Drivers == 0 {
 		o.Drivers = 5
--- a/internal/lab/sessionrun/page.go
+++ b/internal/lab/sessionrun/page.go
@@ -13,7 +13,7 @@
 // HTML is a page with the result.
 func (r *Result) HTML(title string) string {
 	var b strings.Builder
-	b.WriteString(plot.Head)
+	b.WriteString(plot.PageHeader)
 	fmt.Fprintf(&b, "<title>%s</title><h1>%s</h1><p>%d messages queued, %d came; lost %d, doubled %d, out of order %d; "+
 		"%d of %d sockets stayed open.</p>", title, title, r.Queued, r.Delivered, r.Lost, r.Duplicated, r.OutOfOrder,
 		r.StayedOpen, r.Opened)
--- a/internal/registry/lease_test.go
+++ b/internal/registry/lease_test.go
@@ -32,7 +32,7 @@
 		if stands, err := a.Renew(ctx, 0, first); err != nil || stands != 10*time.Second {
 			t.Errorf("renewed: %v %v", stands, err)
 		}
-		s.LoseLeases()
+		s.EndAllLeases()
 		if _, err := a.Renew(ctx, 0, first); !errors.Is(err, errLeaseLost) || PresenceResultOf(err) != roster.StepLeaseLost {
 			t.Errorf("a lease that is lost: %v", err)
 		}
--- a/internal/registry/watcher_test.go
+++ b/internal/registry/watcher_test.go
@@ -69,7 +69,7 @@
 func TestFragments(t *testing.T) {
 	s := kv.NewStore("c1")
 	v := serve(t, s)
-	v.Fragment.Store(1)
+	v.FragmentSize.Store(1)
 	s.Put(prefix+"a", entry(1, "up"))
 	r := follow(t, "etcd", roster.Options{}, v)
 	r.waitFor("a")
--- a/internal/standin/cluster/client.go
+++ b/internal/standin/cluster/client.go
@@ -17,13 +17,13 @@
 )
 
 // Eventually waits for a condition and fails the test where it does not hold within 20 s.
-func (d *Deployment) Eventually(what string, condition func() bool) {
+func (d *Deployment) Eventually(description string, condition func() bool) {
 	d.t.Helper()
 	tick := time.NewTicker(10 * time.Millisecond)
 	defer tick.Stop()
 	for end := time.Now().Add(20 * time.Second); !condition(); <-tick.C {
 		if time.Now().After(end) {
-			d.t.Fatalf("never came true: %s", what)
+			d.t.Fatalf("never came true: %s", description)
 		}
 	}
 }
--- a/internal/standin/cluster/deployment.go
+++ b/internal/standin/cluster/deployment.go
@@ -54,20 +54,20 @@
 	Nodes   map[string]*Service // that hold shards, by name
 	Cores   []string            // control addresses of the core machines
 
-	t         *testing.T
-	dir       string
-	block     *loopback.Block // of all addresses
-	basePort  int
-	meshPorts map[string]int      // the first port of processes that reach others' mesh ports there; others: basePort
-	feeds     map[string]string   // where proxies reach their agents, by proxy; others: where the agent listens
-	seeds     map[string][]string // control addresses of processes that don't know the first three machines
-	mu        sync.Mutex          // guards the next three
-	processes map[string]*exec.Cmd
-	ending    map[string]*exec.Cmd // those that were told to end last, by name
-	logs      map[string]*bytes.Buffer
-	ctx       context.Context // of members, heartbeats and the platform: it ends with the deployment
-	platform  string          // the address of the platform's API
-	stop      func()
+	t           *testing.T
+	dir         string
+	block       *loopback.Block // of all addresses
+	basePort    int
+	meshPorts   map[string]int      // the first port of processes that reach others' mesh ports there; others: basePort
+	feeds       map[string]string   // where proxies reach their agents, by proxy; others: where the agent listens
+	seeds       map[string][]string // control addresses of processes that don't know the first three machines
+	mu          sync.Mutex          // guards the next three
+	processes   map[string]*exec.Cmd
+	terminating map[string]*exec.Cmd // those that were told to end last, by name
+	logs        map[string]*bytes.Buffer
+	ctx         context.Context // of members, heartbeats and the platform: it ends with the deployment
+	platform    string          // the address of the platform's API
+	stop        func()
 }
 
 // memberIDs are those of the service svc.
@@ -77,10 +77,10 @@
 // it ends with the test.
 func New(t *testing.T, cores, fronts int) *Deployment {
 	t.Helper()
-	return newDeployment(t, cores, fronts, func(*Deployment) {}, direct)
+	return newDeployment(t, cores, fronts, func(*Deployment) {}, sameAddr)
 }
 
-func direct(addr string) string { return addr }
+func sameAddr(addr string) string { return addr }
 
 // newDeployment lets prepare change what processes find as they start; members and platform are announced at what via
 // makes of their addresses.
@@ -88,7 +88,7 @@
 	t *testing.T,
 	cores, fronts int,
 	prepare func(*Deployment),
-	via func(addr string) string,
+	advertise func(addr string) string,
 ) *Deployment {
 	t.Helper()
 	block, err := loopback.Reserve()
@@ -96,13 +96,13 @@
 		t.Fatal(err)
 	}
 	d := &Deployment{
-		t:         t,
-		dir:       t.TempDir(),
-		block:     block,
-		basePort:  block.Port(0),
-		processes: map[string]*exec.Cmd{},
-		ending:    map[string]*exec.Cmd{},
-		logs:      map[string]*bytes.Buffer{},
+		t:           t,
+		dir:         t.TempDir(),
+		block:       block,
+		basePort:    block.Port(0),
+		processes:   map[string]*exec.Cmd{},
+		terminating: map[string]*exec.Cmd{},
+		logs:        map[string]*bytes.Buffer{},
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	d.ctx = ctx
@@ -119,7 +119,7 @@
 			d.dumpLogs()
 		}
 	})
-	d.startService(ctx, via)
+	d.startService(ctx, advertise)
 	for i := range cores {
 		d.Cores = append(d.Cores, net.JoinHostPort(d.ip(coreNet, i), fmt.Sprint(d.basePort+controlPort)))
 	}
@@ -138,20 +138,20 @@
 }
 
 // startService starts the members of svc and the platform's API, until the context ends.
-func (d *Deployment) startService(ctx context.Context, via func(addr string) string) {
+func (d *Deployment) startService(ctx context.Context, advertise func(addr string) string) {
 	d.t.Helper()
 	d.Service = newService("svc", "1", memberIDs...)
 	for i, id := range memberIDs {
 		if err := d.Service.listen(ctx, id, d.ip(memberNet, i)+":0"); err != nil {
 			d.t.Fatal(err)
 		}
-		d.Service.addrs[id] = via(d.Service.addrs[id])
+		d.Service.addrs[id] = advertise(d.Service.addrs[id])
 	}
 	listener, err := net.Listen("tcp4", d.ip(platformNet, 0)+":0")
 	if err != nil {
 		d.t.Fatal(err)
 	}
-	d.platform = via(listener.Addr().String())
+	d.platform = advertise(listener.Addr().String())
 	go func() { _ = http.Serve(listener, d.Service) }() // until its listener is closed
 	context.AfterFunc(ctx, func() { listener.Close() })
 }
@@ -200,12 +200,12 @@
 }
 
 // take gives a process to its only caller, which ends it; nil where none runs.
-func (d *Deployment) take(name string) *exec.Cmd {
+func (d *Deployment) removeRunning(name string) *exec.Cmd {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	c := d.processes[name]
 	if c != nil {
-		d.ending[name] = c
+		d.terminating[name] = c
 	}
 	delete(d.processes, name)
 	return c
@@ -216,7 +216,7 @@
 	d.mu.Lock()
 	c := d.processes[name]
 	if c == nil {
-		c = d.ending[name]
+		c = d.terminating[name]
 	}
 	d.mu.Unlock()
 	if c != nil {
@@ -226,7 +226,7 @@
 
 // Kill ends a process at once and waits for its end.
 func (d *Deployment) Kill(name string) {
-	if c := d.take(name); c != nil {
+	if c := d.removeRunning(name); c != nil {
 		kill(c)
 	}
 }
@@ -240,7 +240,7 @@
 // Terminate ends a process as the platform does, by SIGTERM and, after the grace period, SIGKILL. It waits for the end
 // and says whether the process came to it by itself.
 func (d *Deployment) Terminate(name string, grace time.Duration) (inTime bool) {
-	c := d.take(name)
+	c := d.removeRunning(name)
 	if c == nil {
 		return true
 	}
@@ -250,7 +250,7 @@
 
 // Await waits for the end of a process that was told to end, and ends it after the grace period.
 func (d *Deployment) Await(name string, grace time.Duration) (inTime bool) {
-	c := d.take(name)
+	c := d.removeRunning(name)
 	return c == nil || await(c, grace)
 }
 
--- a/internal/standin/cluster/deployment_test.go
+++ b/internal/standin/cluster/deployment_test.go
@@ -236,7 +236,7 @@
 			So(n, ShouldEqual, 1)
 		}
 	})
-	So(d.Service.Lost(), ShouldBeEmpty)
+	So(d.Service.LostCommits(), ShouldBeEmpty)
 	So(len(done), ShouldBeGreaterThan, 0)
 }
 
--- a/internal/standin/cluster/node.go
+++ b/internal/standin/cluster/node.go
@@ -67,8 +67,8 @@
 // node without the lock.
 func (c *session) shardCommand(text string) (answer string, ok bool) {
 	s := c.service
-	rows, fetch, up, err := s.executeShardCommand(c.member, text)
-	if !up {
+	rows, fetch, memberUp, err := s.executeShardCommand(c.member, text)
+	if !memberUp {
 		return "", false
 	}
 	if fetch == nil {
@@ -98,7 +98,7 @@
 // executeShardCommand runs a command at the store; up is false while the member is down.
 func (s *Service) executeShardCommand(
 	member, text string,
-) (rows []string, fetch *shardnode.FetchRequest, up bool, err error) {
+) (rows []string, fetch *shardnode.FetchRequest, memberUp bool, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.group.Member(member).Up {
@@ -142,15 +142,15 @@
 		if err != nil {
 			return shardAnswer(nil, err), true
 		}
-		return c.shardEffect(shard, e)
+		return c.answerShardWrite(shard, e)
 	}
 	return answerMalformed, true
 }
 
 // shardEffect answers a write that ran. The lock is held.
-func (c *session) shardEffect(shard string, entry shardnode.Entry) (answer string, ok bool) {
+func (c *session) answerShardWrite(shard string, entry shardnode.Entry) (answer string, ok bool) {
 	c.service.checkCapacity()
-	if c.service.loseAnswer() {
+	if c.service.consumeLostAnswer() {
 		return "", false
 	}
 	return "DONE " + shardnode.EffectPosition(shard, entry) + "\r\n", true
@@ -178,20 +178,20 @@
 		if err != nil {
 			return answerAborted, true
 		}
-		return c.shardEffect(c.shard, e)
+		return c.answerShardWrite(c.shard, e)
 	}
 	return answerMalformed, true
 }
 
 // Effects counts the effects of each attempt at the nodes that own the shards; strays are replicas of shards elsewhere,
 // or not open.
-func (d *Deployment) Effects(owners map[string]string) (executions map[string]int, strays []string) {
+func (d *Deployment) Effects(owners map[string]string) (executions map[string]int, misplaced []string) {
 	executions = map[string]int{}
 	for name, s := range d.Nodes {
 		s.mu.Lock()
 		for shard, replica := range maps.All(s.Shards.Replicas) {
 			if owners[shard] != name || replica.State != shardnode.StateOpen {
-				strays = append(strays, fmt.Sprint(shard, " ", replica.State, " at ", name))
+				misplaced = append(misplaced, fmt.Sprint(shard, " ", replica.State, " at ", name))
 				continue
 			}
 			for _, e := range replica.Log {
@@ -202,5 +202,5 @@
 		}
 		s.mu.Unlock()
 	}
-	return executions, strays
+	return executions, misplaced
 }
--- a/internal/standin/cluster/partition_test.go
+++ b/internal/standin/cluster/partition_test.go
@@ -97,7 +97,7 @@
 			relays = append(relays, newRelay(t, at(i, apart), at(i, d.basePort)))
 			newRelay(t, at(i, fronts), at(i, d.basePort))
 		}
-	}, direct)
+	}, sameAddr)
 	return d, func(on bool) {
 		for _, r := range relays {
 			r.setBlocked(on)
--- a/internal/standin/cluster/process.go
+++ b/internal/standin/cluster/process.go
@@ -29,7 +29,7 @@
 const MaxFronts = 120
 
 // hosts are the networks' shares of the hosts of the deployment's addresses.
-var hosts = map[int]struct{ first, count int }{
+var hostRanges = map[int]struct{ first, count int }{
 	coreNet:     {1, 10},
 	platformNet: {11, 1},
 	siteNet:     {12, 10},
@@ -47,7 +47,7 @@
 )
 
 // kinds are the program and the network of a process, by its name without the number.
-var kinds = map[string]struct {
+var processKinds = map[string]struct {
 	role    string
 	network int
 }{
@@ -59,10 +59,10 @@
 }
 
 func (d *Deployment) ip(network, n int) string {
-	if n >= hosts[network].count {
-		panic(fmt.Sprintf("machine %d of network %d: %d at most", n, network, hosts[network].count))
+	if n >= hostRanges[network].count {
+		panic(fmt.Sprintf("machine %d of network %d: %d at most", n, network, hostRanges[network].count))
 	}
-	return d.block.IP(hosts[network].first + n)
+	return d.block.IP(hostRanges[network].first + n)
 }
 
 // splitName takes a process's name apart: its kind, and the number of its machine.
@@ -83,10 +83,10 @@
 func (d *Deployment) ReadyAddr(n int) string { return d.address(frontNet, n, readyPort) }
 
 // Start starts a process by its name, such as core0; first lets a core machine found the core's state.
-func (d *Deployment) Start(name string, first bool) {
+func (d *Deployment) Start(name string, bootstrap bool) {
 	d.t.Helper()
 	file := filepath.Join(d.dir, name+".conf")
-	if err := os.WriteFile(file, []byte(strings.Join(d.settings(name, first), "\n")+"\n"), 0o600); err != nil {
+	if err := os.WriteFile(file, []byte(strings.Join(d.settings(name, bootstrap), "\n")+"\n"), 0o600); err != nil {
 		d.t.Fatal(err)
 	}
 	self, err := os.Executable()
@@ -95,7 +95,7 @@
 	}
 	cmd := exec.Command(self)
 	kind, _ := splitName(name)
-	cmd.Env = append(os.Environ(), roleVariable+"="+kinds[kind].role, settings.EnvVariable+"="+file,
+	cmd.Env = append(os.Environ(), roleVariable+"="+processKinds[kind].role, settings.EnvVariable+"="+file,
 		diskVariable+"="+d.diskControlFile(name))
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -110,22 +110,22 @@
 }
 
 // settings is the lines of a process's settings file.
-func (d *Deployment) settings(name string, first bool) []string {
+func (d *Deployment) settings(name string, bootstrap bool) []string {
 	kindName, n := splitName(name)
-	kind, zone := kinds[kindName], "z1"
+	kind, zone := processKinds[kindName], "z1"
 	if kind.network == siteNet || kind.network == edgeNet { // they are spread over the zones
 		zone = fmt.Sprint("z", n%3+1)
 	}
 	meshPort := d.basePort
-	if port, apart := d.meshPorts[name]; apart {
+	if port, found := d.meshPorts[name]; found {
 		meshPort = port
 	}
 	seeds := d.Cores[:min(3, len(d.Cores))]
-	if own, apart := d.seeds[name]; apart {
+	if own, found := d.seeds[name]; found {
 		seeds = own
 	}
 	lines := []string{"hostname=" + name, "zone=" + zone, "region=r1", "zones.z1=r1", "zones.z2=r1", "zones.z3=r1",
-		fmt.Sprintf("portRange=%d,%d", meshPort, meshPort+2), "peers=" + strings.Join(seeds, ","), fmt.Sprint("init=", first),
+		fmt.Sprintf("portRange=%d,%d", meshPort, meshPort+2), "peers=" + strings.Join(seeds, ","), fmt.Sprint("init=", bootstrap),
 		"tolerate.nodes=1", "beatMs=200", "bounds.graceS=2", "cloudApi.addr=" + d.platform}
 	switch kind.network {
 	case coreNet:
--- a/internal/standin/cluster/resets_test.go
+++ b/internal/standin/cluster/resets_test.go
@@ -146,7 +146,7 @@
 			d.feeds[proxy] = d.address(frontNet, n, feedOffset)
 			relay(d.feeds[proxy], d.address(frontNet, n, feedPort))
 		}
-	}, direct)
+	}, sameAddr)
 	for n := range fronts {
 		d.Start(fmt.Sprint("agent", n), true)
 		d.Start(fmt.Sprint("proxy", n), true)
@@ -191,8 +191,8 @@
 				t.Errorf("write %s ran %d times", id, n)
 			}
 		}
-		if len(g.Lost) > 0 {
-			t.Errorf("lost %v", g.Lost)
+		if len(g.LostCommits) > 0 {
+			t.Errorf("lost %v", g.LostCommits)
 		}
 	})
 }
@@ -245,8 +245,8 @@
 		resets += r.Resets()
 	}
 	d.Service.With(func(g *replicaset.Group) {
-		if g.Promotions > 2 || len(g.Lost) > 0 {
-			t.Errorf("%d promotions, lost %v", g.Promotions, g.Lost)
+		if g.Promotions > 2 || len(g.LostCommits) > 0 {
+			t.Errorf("%d promotions, lost %v", g.Promotions, g.LostCommits)
 		}
 		for _, v := range visitors {
 			for _, c := range v.attempts {
--- a/internal/standin/cluster/service.go
+++ b/internal/standin/cluster/service.go
@@ -28,27 +28,27 @@
 // With while it runs.
 type Service struct {
 	Name          string
-	Executions    map[string]int   // committed effects by statement id; more than 1 is a fault of the system
-	LoseAnswers   int              // so many of the next answers to writes are lost, by closing the connection
-	RejectedCalls int              // of the platform, with a fencing token older than the newest one
-	Promoted      []string         // members that the platform was called to promote, in order
-	AfterDrain    []string         // ids of statements that reached a member too long after its drain
-	Shards        *shardnode.Store // of a node that holds shards; nil: it holds none
-	Overflow      string           // how the node's disk held more than its capacity; "" while it did not
-	Strangers     Strangers        // who came to addresses of this service's members that others have taken over
-	Observer      Observer         // of what members run; nil: nobody
-	Work          time.Duration    // that a client's statement takes at a member, beside its effect
+	Executions    map[string]int         // committed effects by statement id; more than 1 is a fault of the system
+	LoseAnswers   int                    // so many of the next answers to writes are lost, by closing the connection
+	RejectedCalls int                    // of the platform, with a fencing token older than the newest one
+	Promoted      []string               // members that the platform was called to promote, in order
+	AfterDrain    []string               // ids of statements that reached a member too long after its drain
+	Shards        *shardnode.Store       // of a node that holds shards; nil: it holds none
+	Overflow      string                 // how the node's disk held more than its capacity; "" while it did not
+	Misdirected   MisdirectedConnections // who came to addresses of this service's members that others have taken over
+	Observer      Observer               // of what members run; nil: nobody
+	WorkTime      time.Duration          // that a client's statement takes at a member, beside its effect
 
 	mu               sync.Mutex // guards all of it
 	group            *replicaset.Group
 	addrs            map[string]string            // by member
 	conns            map[string]map[net.Conn]bool // by member
-	occupants        map[string]occupant          // by member: who has its address now
+	successors       map[string]successor         // by member: who has its address now
 	sequences        map[string]uint64            // of heartbeats by member
 	openTransactions int
 	data             map[string]string    // committed values by key
 	progress         chan struct{}        // closed, and replaced, with each change of the group
-	fence            uint64               // the newest fencing token of the platform's calls
+	fencingToken     uint64               // the newest fencing token of the platform's calls
 	drained          map[string]time.Time // by member: when the core acknowledged that it drains
 }
 
@@ -69,7 +69,7 @@
 		group:      replicaset.New(n, ids...),
 		addrs:      map[string]string{},
 		conns:      map[string]map[net.Conn]bool{},
-		occupants:  map[string]occupant{},
+		successors: map[string]successor{},
 		sequences:  map[string]uint64{},
 		data:       map[string]string{},
 		progress:   make(chan struct{}),
@@ -120,10 +120,10 @@
 }
 
 // Lost is the acknowledged commits that a promoted member lacked.
-func (s *Service) Lost() []string {
+func (s *Service) LostCommits() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.group.Lost
+	return s.group.LostCommits
 }
 
 // listen serves a member at an address until the context ends.
@@ -151,7 +151,7 @@
 // accept serves a connection, or resets it where the member is down.
 func (s *Service) accept(id string, conn net.Conn) {
 	s.mu.Lock()
-	if by, taken := s.occupants[id]; taken {
+	if by, taken := s.successors[id]; taken {
 		s.mu.Unlock()
 		go by.serve(s, conn)
 		return
@@ -253,11 +253,11 @@
 	}
 	ok := false
 	s.With(func(group *replicaset.Group) {
-		if fence < s.fence {
+		if fence < s.fencingToken {
 			s.RejectedCalls++
 			return
 		}
-		s.fence = fence
+		s.fencingToken = fence
 		s.Promoted = append(s.Promoted, call.ID)
 		ok = group.Promote(call.ID)
 	})
@@ -267,15 +267,15 @@
 }
 
 // work takes as long as a client's statement does.
-func (s *Service) work(id string) {
+func (s *Service) simulateWork(id string) {
 	s.mu.Lock()
-	takes := s.Work
+	workTime := s.WorkTime
 	if s.Observer != nil {
 		s.Observer.Reached(id)
 	}
 	s.mu.Unlock()
-	if takes > 0 {
-		time.Sleep(takes)
+	if workTime > 0 {
+		time.Sleep(workTime)
 	}
 }
 
--- a/internal/standin/cluster/session.go
+++ b/internal/standin/cluster/session.go
@@ -27,14 +27,14 @@
 // session is a connection to a member, and its state. Functions that answer a statement give ok false where the answer
 // is lost and the connection ends.
 type session struct {
-	service  *Service
-	member   string
-	open     bool              // a transaction is
-	mayWrite bool              // the open transaction
-	failed   bool              // the open transaction: only COMMIT and ABORT are left to it
-	writes   []write           // of the open transaction
-	prepared map[string]string // verbs of prepared statements by name
-	counted  bool              // among the service's open transactions
+	service     *Service
+	member      string
+	open        bool              // a transaction is
+	mayWrite    bool              // the open transaction
+	failed      bool              // the open transaction: only COMMIT and ABORT are left to it
+	writes      []write           // of the open transaction
+	prepared    map[string]string // verbs of prepared statements by name
+	countedOpen bool              // among the service's open transactions
 
 	shard       string // of the open transaction on a node; "" for none
 	epoch       uint64 // of that shard
@@ -100,9 +100,9 @@
 func (c *session) countOpen(open bool) {
 	c.service.mu.Lock()
 	defer c.service.mu.Unlock()
-	if open != c.counted {
+	if open != c.countedOpen {
 		c.service.openTransactions += map[bool]int{true: 1, false: -1}[open]
-		c.counted = open
+		c.countedOpen = open
 	}
 }
 
@@ -128,7 +128,7 @@
 		return c.shardCommand(text)
 	}
 	if id != unnumbered {
-		c.service.work(id)
+		c.service.simulateWork(id)
 	}
 	return c.execute(id, text)
 }
@@ -283,7 +283,7 @@
 	if written && s.Observer != nil {
 		s.Observer.Committed(id, position)
 	}
-	lost := s.loseAnswer()
+	lost := s.consumeLostAnswer()
 	for {
 		s.group.Replicate(func(*replicaset.Member) bool { return true })
 		if s.group.Acked[id] {
@@ -305,7 +305,7 @@
 }
 
 // loseAnswer says whether the next answer to a write is to be lost. The lock is held.
-func (s *Service) loseAnswer() bool {
+func (s *Service) consumeLostAnswer() bool {
 	if s.LoseAnswers == 0 {
 		return false
 	}
--- a/internal/standin/cluster/shutdown_test.go
+++ b/internal/standin/cluster/shutdown_test.go
@@ -40,7 +40,7 @@
 	d := New(t, 3, 1)
 	d.Configure(1)
 	reached := &reachedIDs{ids: map[string]bool{}}
-	d.Service.With(func(*replicaset.Group) { d.Service.Observer, d.Service.Work = reached, 15*time.Millisecond })
+	d.Service.With(func(*replicaset.Group) { d.Service.Observer, d.Service.WorkTime = reached, 15*time.Millisecond })
 	var all sync.WaitGroup
 	asked := make(chan struct{}, clients)
 	for n := range clients {
--- a/internal/standin/cluster/takeover.go
+++ b/internal/standin/cluster/takeover.go
@@ -12,10 +12,10 @@
 )
 
 // occupant is a member that has taken over the address of another one.
-type occupant struct{ service, member string }
+type successor struct{ service, member string }
 
 // Strangers counts the connections that came to addresses of crashed members after others had taken them over.
-type Strangers struct {
+type MisdirectedConnections struct {
 	Rejected int      // they named a member that is no longer there
 	Unnamed  []string // what connections said that named no service and member: a session would have been opened
 }
@@ -24,11 +24,11 @@
 func (s *Service) TakeOver(id, service, member string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.occupants[id] = occupant{service, member}
+	s.successors[id] = successor{service, member}
 }
 
 // serve answers a connection as a member does that was not asked for.
-func (o occupant) serve(of *Service, conn net.Conn) {
+func (o successor) serve(former *Service, conn net.Conn) {
 	defer conn.Close()
 	line, err := wire.NewReader(conn).ReadMessage()
 	if err != nil {
@@ -36,12 +36,12 @@
 	}
 	fields := strings.Fields(line)
 	rejected := len(fields) == 4 && fields[0] == wire.MsgAttach && (fields[1] != o.service || fields[3] != o.member)
-	of.mu.Lock()
+	former.mu.Lock()
 	if rejected {
-		of.Strangers.Rejected++
+		former.Misdirected.Rejected++
 	} else {
-		of.Strangers.Unnamed = append(of.Strangers.Unnamed, line)
+		former.Misdirected.Unnamed = append(former.Misdirected.Unnamed, line)
 	}
-	of.mu.Unlock()
+	former.mu.Unlock()
 	_, _ = io.WriteString(conn, fmt.Sprintf("FAIL %s\r\n", wire.CodeWrongHost)) // the caller may have left
 }
--- a/internal/standin/cluster/takeover_test.go
+++ b/internal/standin/cluster/takeover_test.go
@@ -36,8 +36,8 @@
 			done, undone := stop()
 			auditWrites(d, done, undone)
 			d.Service.With(func(*replicaset.Group) {
-				So(d.Service.Strangers.Unnamed, ShouldBeEmpty)
-				So(d.Service.Strangers.Rejected, ShouldBeGreaterThan, 0)
+				So(d.Service.Misdirected.Unnamed, ShouldBeEmpty)
+				So(d.Service.Misdirected.Rejected, ShouldBeGreaterThan, 0)
 			})
 		})
 	}
--- a/internal/standin/disk/disk.go
+++ b/internal/standin/disk/disk.go
@@ -125,18 +125,18 @@
 	defer d.mu.Unlock()
 	random := rand.New(rand.NewPCG(seed, uint64(outcome)))
 	names := d.survivingNames(outcome, random)
-	next, copies := New(), map[*inode]*inode{}
+	survivor, copies := New(), map[*inode]*inode{}
 	for folder := range d.folders {
-		next.folders[folder] = true
+		survivor.folders[folder] = true
 	}
 	for _, name := range slices.Sorted(maps.Keys(names)) { // in a fixed order, as each draws
 		n := names[name]
 		if copies[n] == nil {
 			copies[n] = &inode{synced: survivingContent(n, outcome, random)}
 		}
-		next.names[name], next.syncedNames[name] = copies[n], copies[n]
+		survivor.names[name], survivor.syncedNames[name] = copies[n], copies[n]
 	}
-	return next
+	return survivor
 }
 
 // survivingNames applies the changes of names that a crash leaves to those that were synced.
--- a/internal/standin/fixedseed/fixedseed.go
+++ b/internal/standin/fixedseed/fixedseed.go
@@ -13,16 +13,16 @@
 // Main runs a package's tests with a fixed seed, and with so many checks a property; "" for the usual number.
 func Main(m *testing.M, checks string) {
 	flag.Parse()
-	set := func(name, unset, value string) {
-		if f := flag.Lookup(name); f.Value.String() == unset {
+	setDefault := func(name, flagDefault, value string) {
+		if f := flag.Lookup(name); f.Value.String() == flagDefault {
 			if err := f.Value.Set(value); err != nil {
 				panic(err) // a flag of rapid's has another type now
 			}
 		}
 	}
-	set("rapid.seed", "0", "20261201")
+	setDefault("rapid.seed", "0", "20261201")
 	if checks != "" {
-		set("rapid.checks", "100", checks)
+		setDefault("rapid.checks", "100", checks)
 	}
 	os.Exit(m.Run())
 }
--- a/internal/standin/golden/golden.go
+++ b/internal/standin/golden/golden.go
@@ -29,7 +29,7 @@
 // CBOR encodes each case and decodes the recorded bytes: both must give what the other side has.
 func CBOR[T any](t *testing.T, file string, cases []Case[T]) {
 	t.Helper()
-	check(t, file, cases, func(v T) (string, error) {
+	checkRecorded(t, file, cases, func(v T) (string, error) {
 		b, err := cbor.Marshal(v)
 		return hex.EncodeToString(b), err
 	}, func(form string, v *T) error {
@@ -44,7 +44,7 @@
 // JSON does the same for JSON forms.
 func JSON[T any](t *testing.T, file string, cases []Case[T]) {
 	t.Helper()
-	check(t, file, cases, func(v T) (string, error) {
+	checkRecorded(t, file, cases, func(v T) (string, error) {
 		b, err := json.Marshal(v)
 		return string(b), err
 	}, func(form string, v *T) error { return json.Unmarshal([]byte(form), v) })
@@ -53,7 +53,7 @@
 // Text compares texts that nothing decodes.
 func Text(t *testing.T, file string, cases []Case[string]) {
 	t.Helper()
-	check(t, file, cases, func(v string) (string, error) {
+	checkRecorded(t, file, cases, func(v string) (string, error) {
 		b, err := json.Marshal(v)
 		return string(b), err
 	}, func(form string, v *string) error { return json.Unmarshal([]byte(form), v) })
@@ -81,7 +81,7 @@
 	}
 }
 
-func check[T any](
+func checkRecorded[T any](
 	t *testing.T,
 	file string,
 	cases []Case[T],
@@ -99,16 +99,16 @@
 	}
 	for _, c := range cases {
 		t.Run(c.Name, func(t *testing.T) {
-			form, there := recorded[c.Name]
-			if !there {
+			form, found := recorded[c.Name]
+			if !found {
 				t.Fatalf("%s records no such case", file)
 			}
 			if got, err := encode(c.Value); err != nil || got != form {
 				t.Errorf("encoded as\n%s\nrecorded as\n%s\n%v", got, form, err)
 			}
-			var back T
-			if err := decode(form, &back); err != nil || !reflect.DeepEqual(back, c.Value) {
-				t.Errorf("decoded as\n%+v\nnot\n%+v\n%v", back, c.Value, err)
+			var decoded T
+			if err := decode(form, &decoded); err != nil || !reflect.DeepEqual(decoded, c.Value) {
+				t.Errorf("decoded as\n%+v\nnot\n%+v\n%v", decoded, c.Value, err)
 			}
 		})
 	}
--- a/internal/standin/kv/consul.go
+++ b/internal/standin/kv/consul.go
@@ -12,7 +12,7 @@
 
 // blockingQuery waits as a query with an index does, and gives the store to read.
 func (v *Server) blockingQuery(r *http.Request) *Store {
-	s := v.served()
+	s := v.readStore()
 	index, _ := strconv.ParseInt(r.FormValue("index"), 10, 64)
 	limit, _ := time.ParseDuration(r.FormValue("wait"))
 	timeout := time.After(limit)
--- a/internal/standin/kv/etcd.go
+++ b/internal/standin/kv/etcd.go
@@ -70,7 +70,7 @@
 	if !v.authorized(w, r) {
 		return
 	}
-	s := v.served()
+	s := v.readStore()
 	s.mu.Lock()
 	rev, cluster := s.revision, s.Cluster
 	switch {
@@ -124,7 +124,7 @@
 		return
 	}
 	v.Watches.Add(1)
-	s, next := v.served(), request.Create.Start
+	s, next := v.readStore(), request.Create.Start
 	watch := &etcdWatcher{server: v, store: s, ctx: r.Context(), w: w, out: json.NewEncoder(w)}
 	watch.send(map[string]any{"created": true})
 	for {
@@ -173,7 +173,7 @@
 // sendEvents writes events, in fragments of the size that the server is set to.
 func (x *etcdWatcher) sendEvents(events []Item) {
 	size := len(events)
-	if n := int(x.server.Fragment.Load()); n > 0 {
+	if n := int(x.server.FragmentSize.Load()); n > 0 {
 		size = n
 	}
 	for len(events) > 0 {
--- a/internal/standin/kv/lease.go
+++ b/internal/standin/kv/lease.go
@@ -45,7 +45,7 @@
 }
 
 // LoseLeases ends all leases and removes their keys.
-func (s *Store) LoseLeases() {
+func (s *Store) EndAllLeases() {
 	s.mu.Lock()
 	var ids []string
 	for id := range s.leases {
@@ -61,8 +61,8 @@
 func (s *Store) acquire(key, value, id string) bool {
 	s.mu.Lock()
 	l := s.leases[id]
-	_, taken := s.keys[key]
-	if taken || l == nil {
+	_, exists := s.keys[key]
+	if exists || l == nil {
 		s.mu.Unlock()
 		return false
 	}
@@ -105,18 +105,18 @@
 }
 
 // textOf is a JSON string's value, "" for anything else.
-func textOf(raw json.RawMessage) (s string) {
+func jsonString(raw json.RawMessage) (s string) {
 	_ = json.Unmarshal(raw, &s)
 	return s
 }
 
 func (v *Server) etcdGrant(w http.ResponseWriter, body map[string]json.RawMessage) {
-	seconds, _ := strconv.Atoi(textOf(body["TTL"]))
+	seconds, _ := strconv.Atoi(jsonString(body["TTL"]))
 	fmt.Fprintf(w, `{"header":{},"ID":%q,"TTL":"%d"}`, v.store.grant(time.Duration(seconds)*time.Second), seconds)
 }
 
 func (v *Server) etcdKeepAlive(w http.ResponseWriter, body map[string]json.RawMessage) {
-	ttl, ok := v.store.renew(textOf(body["ID"]))
+	ttl, ok := v.store.renew(jsonString(body["ID"]))
 	if !ok {
 		fmt.Fprint(w, `{"result":{"header":{},"ID":"0"}}`)
 		return
@@ -125,7 +125,7 @@
 }
 
 func (v *Server) etcdRevoke(w http.ResponseWriter, body map[string]json.RawMessage) {
-	v.store.EndLease(textOf(body["ID"]))
+	v.store.EndLease(jsonString(body["ID"]))
 	fmt.Fprint(w, `{"header":{}}`)
 }
 
--- a/internal/standin/kv/server.go
+++ b/internal/standin/kv/server.go
@@ -14,13 +14,13 @@
 	*httptest.Server
 	store *Store
 
-	Down       atomic.Bool            // answers 503
-	Silent     atomic.Bool            // takes requests and answers nothing; open watches fall silent
-	DelayMs    atomic.Int64           // before each answer
-	Stale      atomic.Pointer[Store]  // served in place of the store, as by a follower that lags; nil: none
-	Fragment   atomic.Int64           // events in a message of a watch at most; 0: no limit
-	SkipEvents atomic.Bool            // watches pass over events without notice
-	Password   atomic.Pointer[string] // that requests have to authenticate with; nil: none
+	Down         atomic.Bool            // answers 503
+	Silent       atomic.Bool            // takes requests and answers nothing; open watches fall silent
+	DelayMs      atomic.Int64           // before each answer
+	Stale        atomic.Pointer[Store]  // served in place of the store, as by a follower that lags; nil: none
+	FragmentSize atomic.Int64           // events in a message of a watch at most; 0: no limit
+	SkipEvents   atomic.Bool            // watches pass over events without notice
+	Password     atomic.Pointer[string] // that requests have to authenticate with; nil: none
 
 	FullReads atomic.Int64 // reads of all keys that were answered
 	Watches   atomic.Int64 // watches that were opened
@@ -82,7 +82,7 @@
 }
 
 // served is the store to read from.
-func (v *Server) served() *Store {
+func (v *Server) readStore() *Store {
 	if s := v.Stale.Load(); s != nil {
 		return s
 	}
--- a/internal/standin/links/network.go
+++ b/internal/standin/links/network.go
@@ -27,12 +27,12 @@
 
 // Network is the mesh of links between some processes, which are known by their indexes from 0.
 type Network struct {
-	processes int
-	block     *loopback.Block // has the processes' and the relays' addresses
-	relays    []*relay        // by process
-	ctx       context.Context
-	cancel    context.CancelFunc
-	running   sync.WaitGroup // the relays' goroutines
+	processes  int
+	block      *loopback.Block // has the processes' and the relays' addresses
+	relays     []*relay        // by process
+	ctx        context.Context
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup // the relays' goroutines
 
 	mu       sync.Mutex // guards what follows
 	links    map[direction]Link
@@ -99,19 +99,19 @@
 func (n *Network) open() error {
 	for process := range n.processes {
 		r := &relay{network: n, process: process, connections: map[*connection]bool{}}
-		at := n.relayAddress(process)
+		addr := n.relayAddress(process)
 		var err error
-		if r.udp, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(at)); err != nil {
+		if r.udp, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(addr)); err != nil {
 			return err
 		}
 		n.relays = append(n.relays, r)
-		if r.tcp, err = net.ListenTCP("tcp", net.TCPAddrFromAddrPort(at)); err != nil {
+		if r.tcp, err = net.ListenTCP("tcp", net.TCPAddrFromAddrPort(addr)); err != nil {
 			return err
 		}
 	}
 	for _, r := range n.relays {
-		n.running.Go(r.forwardDatagrams)
-		n.running.Go(r.acceptConnections)
+		n.goroutines.Go(r.forwardDatagrams)
+		n.goroutines.Go(r.acceptConnections)
 	}
 	return nil
 }
@@ -122,7 +122,7 @@
 	for _, r := range n.relays {
 		r.close()
 	}
-	n.running.Wait()
+	n.goroutines.Wait()
 	_ = n.block.Close() // a listener that nobody accepts at
 }
 
--- a/internal/standin/links/network_test.go
+++ b/internal/standin/links/network_test.go
@@ -15,14 +15,14 @@
 	received chan string
 }
 
-func endpoints(t *testing.T, l *Network, n int) (all []*endpoint) {
+func openEndpoints(t *testing.T, l *Network, n int) (all []*endpoint) {
 	t.Helper()
 	for i := range n {
-		at, err := net.ResolveUDPAddr("udp", l.ListenAddr(i))
+		addr, err := net.ResolveUDPAddr("udp", l.ListenAddr(i))
 		if err != nil {
 			t.Fatal(err)
 		}
-		c, err := net.ListenUDP("udp", at)
+		c, err := net.ListenUDP("udp", addr)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -45,11 +45,11 @@
 
 func (e *endpoint) send(t *testing.T, to, text string) {
 	t.Helper()
-	at, err := net.ResolveUDPAddr("udp", to)
+	addr, err := net.ResolveUDPAddr("udp", to)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := e.udp.WriteToUDP([]byte(text), at); err != nil {
+	if _, err := e.udp.WriteToUDP([]byte(text), addr); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -72,8 +72,8 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	e := endpoints(t, l, 3)
-	passed := func() { // what came to the relay before has been carried
+	e := openEndpoints(t, l, 3)
+	flush := func() { // what came to the relay before has been carried
 		t.Helper()
 		e[2].send(t, l.AdvertisedAddr(1), "mark")
 		if s := e[1].next(t); s != "mark" {
@@ -82,7 +82,7 @@
 	}
 	l.Set(0, 1, Link{Blocked: true})
 	e[0].send(t, l.AdvertisedAddr(1), "cut")
-	passed()
+	flush()
 	e[1].send(t, l.AdvertisedAddr(0), "back")
 	if s := e[0].next(t); s != "back" {
 		t.Error(s)
@@ -98,10 +98,10 @@
 	}
 	l.Set(0, 1, Link{Loss: 1})
 	e[0].send(t, l.AdvertisedAddr(1), "lost")
-	passed()
+	flush()
 	l.Set(0, 1, Link{Delay: time.Second})
 	e[0].send(t, l.AdvertisedAddr(1), "late")
-	passed()
+	flush()
 	l.Set(0, 1, Link{})
 	e[0].send(t, l.AdvertisedAddr(1), "sooner")
 	if a, b := e[1].next(t), e[1].next(t); a != "sooner" || b != "late" {
@@ -121,7 +121,7 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	came := make(chan string, 10)
+	received := make(chan string, 10)
 	go func() {
 		for {
 			c, err := ln.Accept()
@@ -135,7 +135,7 @@
 					if _, err := io.ReadFull(c, b); err != nil {
 						return
 					}
-					came <- string(b)
+					received <- string(b)
 					c.Write([]byte("thank"))
 				}
 			}()
@@ -148,7 +148,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	back := func() {
+	expectReply := func() {
 		t.Helper()
 		c.SetReadDeadline(time.Now().Add(timeout))
 		if _, err := io.ReadFull(c, make([]byte, 5)); err != nil {
@@ -156,13 +156,13 @@
 		}
 	}
 	c.Write([]byte("hello"))
-	if s := <-came; s != "hello" {
+	if s := <-received; s != "hello" {
 		t.Error(s)
 	}
-	back()
+	expectReply()
 	l.Set(1, 0, Link{Blocked: true}) // the answer's direction alone
 	c.Write([]byte("again"))
-	if s := <-came; s != "again" {
+	if s := <-received; s != "again" {
 		t.Error(s)
 	}
 	c.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
@@ -170,5 +170,5 @@
 		t.Errorf("%d bytes passed a blocked link", n)
 	}
 	l.Heal()
-	back()
+	expectReply()
 }
--- a/internal/standin/links/relay.go
+++ b/internal/standin/links/relay.go
@@ -131,7 +131,7 @@
 			near.Close()
 			continue
 		}
-		r.network.running.Go(func() { r.forward(near, from) })
+		r.network.goroutines.Go(func() { r.forward(near, from) })
 	}
 }
 
--- a/internal/standin/loopback/loopback_test.go
+++ b/internal/standin/loopback/loopback_test.go
@@ -9,7 +9,7 @@
 )
 
 // A block that is reserved can't be reserved again, and its addresses can be listened at.
-func TestBlockIsOneOwners(t *testing.T) {
+func TestBlockIsExclusive(t *testing.T) {
 	b, err := Reserve()
 	if err != nil {
 		t.Fatal(err)
@@ -40,30 +40,30 @@
 }
 
 // Of two that want the only turn, the second has it once the first has ended, and not before.
-func TestTurnsAreBounded(t *testing.T) {
-	const turns = 40 // beyond those of other tests on this machine
-	var held []*Turn
+func TestSlotsAreBounded(t *testing.T) {
+	const slots = 40 // beyond those of other tests on this machine
+	var acquired []*Slot
 	ctx, stop := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer stop()
 	for {
-		turn, err := WaitTurn(ctx, turns)
+		slot, err := AcquireSlot(ctx, slots)
 		if err != nil {
 			break
 		}
-		defer turn.End()
-		held = append(held, turn)
+		defer slot.Release()
+		acquired = append(acquired, slot)
 	}
-	if len(held) == 0 || len(held) > turns {
-		t.Fatalf("%d turns of %d", len(held), turns)
+	if len(acquired) == 0 || len(acquired) > slots {
+		t.Fatalf("%d turns of %d", len(acquired), slots)
 	}
-	next := make(chan *Turn)
+	next := make(chan *Slot)
 	go func() {
-		turn, err := WaitTurn(context.Background(), turns)
+		slot, err := AcquireSlot(context.Background(), slots)
 		if err != nil {
 			t.Error(err)
 		}
-		next <- turn
+		next <- slot
 	}()
-	held[0].End()
-	(<-next).End()
+	acquired[0].Release()
+	(<-next).Release()
 }
--- a/internal/standin/replicaset/replicaset.go
+++ b/internal/standin/replicaset/replicaset.go
@@ -35,11 +35,11 @@
 
 // Group is the members of a service.
 type Group struct {
-	SyncN      int // replicas that must receive a commit before it is acknowledged
-	Members    []*Member
-	Acked      map[string]bool // acknowledged commits by their statements' ids
-	Lost       []string        // acknowledged commits that a promoted member lacked; must stay empty
-	Promotions int
+	SyncN       int // replicas that must receive a commit before it is acknowledged
+	Members     []*Member
+	Acked       map[string]bool // acknowledged commits by their statements' ids
+	LostCommits []string        // acknowledged commits that a promoted member lacked; must stay empty
+	Promotions  int
 
 	pending []Entry // commits that are not acknowledged yet
 }
@@ -63,13 +63,13 @@
 
 // Leader is the primary of the newest term among the members that are up, nil for none.
 func (g *Group) Leader() *Member {
-	var best *Member
+	var leader *Member
 	for _, m := range g.Members {
-		if m.Up && m.Primary && (best == nil || m.LeaderTerm > best.LeaderTerm) {
-			best = m
+		if m.Up && m.Primary && (leader == nil || m.LeaderTerm > leader.LeaderTerm) {
+			leader = m
 		}
 	}
-	return best
+	return leader
 }
 
 // Position is the end of a member's log.
@@ -134,19 +134,19 @@
 }
 
 // has says whether a member's log has an entry: that of number 1 is the first.
-func (m *Member) has(e Entry) bool {
+func (m *Member) contains(e Entry) bool {
 	return uint64(len(m.Log)) >= e.Number && m.Log[e.Number-1] == e
 }
 
 // acknowledge acknowledges the pending commits of a primary that SyncN replicas have received.
 func (g *Group) acknowledge(primary *Member) {
 	g.pending = slices.DeleteFunc(g.pending, func(e Entry) bool {
-		if !primary.has(e) {
+		if !primary.contains(e) {
 			return false
 		}
 		received := 0
 		for _, m := range g.Members {
-			if m != primary && m.has(e) {
+			if m != primary && m.contains(e) {
 				received++
 			}
 		}
@@ -184,13 +184,13 @@
 	if m.Primary && g.Leader() == m {
 		return true
 	}
-	held := make(map[string]bool, len(m.Log))
+	received := make(map[string]bool, len(m.Log))
 	for _, e := range m.Log {
-		held[e.ID] = true
+		received[e.ID] = true
 	}
 	for acked := range g.Acked {
-		if !held[acked] {
-			g.Lost = append(g.Lost, acked)
+		if !received[acked] {
+			g.LostCommits = append(g.LostCommits, acked)
 		}
 	}
 	g.Promotions++
--- a/internal/standin/soak/client.go
+++ b/internal/standin/soak/client.go
@@ -16,45 +16,45 @@
 
 // route is what a client uses, and how old what it reads may be.
 type route struct {
-	name     string // of the route and its host
-	kind     string
-	maxStale time.Duration
-	ownReads bool // what its session wrote is not to be older
-	writes   bool
+	name           string // of the route and its host
+	kind           string
+	maxStale       time.Duration
+	readsOwnWrites bool // what its session wrote is not to be older
+	writes         bool
 }
 
 var routes = []route{
 	{name: "prim", kind: "primary", writes: true},
 	{name: "stale", kind: "stale_ok", maxStale: 1500 * time.Millisecond},
-	{name: "self", kind: "self", maxStale: 2500 * time.Millisecond, ownReads: true, writes: true},
+	{name: "self", kind: "self", maxStale: 2500 * time.Millisecond, readsOwnWrites: true, writes: true},
 }
 
 const (
 	routeTimeout  = 3 * time.Second // of a statement
-	answerTime    = 4 * time.Second // in which a statement is answered or its connection ends: a client's deadline
+	answerTimeout = 4 * time.Second // in which a statement is answered or its connection ends: a client's deadline
 	dialTimeout   = 2 * time.Second
 	attachTimeout = 2 * time.Second
-	redialPause   = 50 * time.Millisecond
+	redialDelay   = 50 * time.Millisecond
 
-	transactionThink = 60 * time.Millisecond // between two statements of a transaction, at most
-	prepared         = "ps"                  // the name of every session's prepared statement
+	maxStatementPause = 60 * time.Millisecond // between two statements of a transaction, at most
+	preparedName      = "ps"                  // the name of every session's prepared statement
 )
 
 // thinks are clients' longest pauses between operations: some never pause, some are mostly idle.
-var thinks = []time.Duration{0, 60 * time.Millisecond, 2 * time.Second}
+var thinkTimes = []time.Duration{0, 60 * time.Millisecond, 2 * time.Second}
 
 // errSessionEnded is the error of a connection that ended before an answer was whole.
 var errSessionEnded = errors.New("the session has ended")
 
 // client opens a session, uses it until it breaks, and opens the next.
 type client struct {
-	run     *run
-	random  *rand.Rand
-	name    string
-	route   route
-	queries int
-	key     string
-	think   time.Duration // the longest pause between two operations
+	run          *run
+	random       *rand.Rand
+	name         string
+	route        route
+	queries      int
+	key          string
+	maxThinkTime time.Duration // the longest pause between two operations
 
 	conn       net.Conn
 	reader     *wire.Reader
@@ -68,18 +68,18 @@
 func (c *client) serve(ctx context.Context) {
 	for n := c.random.IntN(c.run.shape.Fronts); ctx.Err() == nil; n++ {
 		if !c.attach(n % c.run.shape.Fronts) {
-			pause(ctx, redialPause)
+			pause(ctx, redialDelay)
 			continue
 		}
-		for ctx.Err() == nil && c.operate(ctx) {
-			c.rest(ctx, c.think)
+		for ctx.Err() == nil && c.runOperation(ctx) {
+			c.randomPause(ctx, c.maxThinkTime)
 		}
 		_ = c.conn.Close()
 	}
 }
 
 // rest pauses for a time that is drawn, up to the longest; 0: not at all.
-func (c *client) rest(ctx context.Context, longest time.Duration) {
+func (c *client) randomPause(ctx context.Context, longest time.Duration) {
 	if longest > 0 {
 		pause(ctx, time.Duration(c.random.Int64N(int64(longest))))
 	}
@@ -118,7 +118,7 @@
 }
 
 // operate runs an operation; false: the session has ended.
-func (c *client) operate(ctx context.Context) bool {
+func (c *client) runOperation(ctx context.Context) bool {
 	var err error
 	switch n := c.random.IntN(10); {
 	case !c.prepared && n < 2:
@@ -131,7 +131,7 @@
 		err = c.transaction(ctx)
 	}
 	if err == nil && c.state != "I" {
-		_, err = c.ask(c.nextID(), "ABORT")
+		_, err = c.query(c.nextID(), "ABORT")
 	}
 	return err == nil
 }
@@ -141,33 +141,33 @@
 	if c.route.writes {
 		verb = "STORE"
 	}
-	answer, err := c.ask(c.nextID(), "PREP "+prepared+" "+verb+" shape")
+	answer, err := c.query(c.nextID(), "PREP "+preparedName+" "+verb+" shape")
 	c.prepared = err == nil && strings.HasPrefix(answer, "DONE")
 	return err
 }
 
 // mustSee is what a read that is sent now must see.
-func (c *client) mustSee() *commit {
-	must := c.run.ledger.newest(time.Now().Add(-c.route.maxStale))
-	if own := c.lastCommit; c.route.ownReads && own != nil && (must == nil || must.number < own.number) {
+func (c *client) requiredCommit() *commit {
+	required := c.run.ledger.newestBefore(time.Now().Add(-c.route.maxStale))
+	if own := c.lastCommit; c.route.readsOwnWrites && own != nil && (required == nil || required.number < own.number) {
 		return own
 	}
-	return must
+	return required
 }
 
 func (c *client) read() error {
 	text := "FETCH " + c.key
 	if c.prepared && !c.route.writes {
-		text = "EXEC " + prepared + " " + c.key
+		text = "EXEC " + preparedName + " " + c.key
 	}
-	return c.fetch(text, c.mustSee())
+	return c.fetch(text, c.requiredCommit())
 }
 
 // fetch reads what must be as new as a commit.
-func (c *client) fetch(text string, must *commit) error {
+func (c *client) fetch(text string, required *commit) error {
 	id := c.nextID()
-	defer c.run.ledger.reading(id, c.route.name, must)()
-	answer, err := c.ask(id, text)
+	defer c.run.ledger.beginRead(id, c.route.name, required)()
+	answer, err := c.query(id, text)
 	c.checkStamp(id, text, answer)
 	c.count("read", answer, err)
 	return err
@@ -176,10 +176,10 @@
 func (c *client) write() error {
 	id, text := c.nextID(), "STORE "+c.key+" "+c.value()
 	if c.prepared {
-		text = "EXEC " + prepared + " " + c.key + " " + c.value()
+		text = "EXEC " + preparedName + " " + c.key + " " + c.value()
 	}
-	c.run.ledger.sending(id)
-	answer, err := c.ask(id, text)
+	c.run.ledger.recordSent(id)
+	answer, err := c.query(id, text)
 	c.checkStamp(id, text, answer)
 	c.count("write", answer, err)
 	c.resolve(id, answer)
@@ -190,36 +190,36 @@
 func (c *client) value() string { return c.key + "=" + fmt.Sprint(c.queries) }
 
 func (c *client) resolve(id, answer string) {
-	out := outcomeUnknown
+	result := outcomeUnknown
 	switch {
 	case strings.HasPrefix(answer, "DONE"):
-		out = outcomeAcked
-	case promisesNothingKept(answer):
-		out = outcomeRefused
+		result = outcomeAcked
+	case guaranteesNoEffect(answer):
+		result = outcomeRefused
 	}
-	if done := c.run.ledger.resolve(id, out); done != nil {
-		c.lastCommit = done
+	if commit := c.run.ledger.resolve(id, result); commit != nil {
+		c.lastCommit = commit
 	}
 }
 
 // transaction runs some statements, with pauses, and commits or rolls back.
 func (c *client) transaction(ctx context.Context) error {
-	mayWrite, must := c.route.writes && c.random.IntN(3) > 0, c.mustSee()
+	mayWrite, required := c.route.writes && c.random.IntN(3) > 0, c.requiredCommit()
 	begin := "BEGIN"
 	if !mayWrite {
 		begin = "BEGIN FETCH"
 	}
-	answer, err := c.ask(c.nextID(), begin)
+	answer, err := c.query(c.nextID(), begin)
 	if err != nil || !strings.HasPrefix(answer, "DONE") {
 		c.count("transaction", answer, err)
 		return err
 	}
 	for range 1 + c.random.IntN(3) {
-		c.rest(ctx, transactionThink)
+		c.randomPause(ctx, maxStatementPause)
 		if mayWrite && c.random.IntN(2) == 0 {
 			err = c.storeInTransaction()
 		} else {
-			err = c.fetch("FETCH "+c.key, must)
+			err = c.fetch("FETCH "+c.key, required)
 		}
 		if err != nil || c.state != "T" {
 			return err
@@ -230,20 +230,20 @@
 
 func (c *client) storeInTransaction() error {
 	id, text := c.nextID(), "STORE "+c.key+" "+c.value()
-	answer, err := c.ask(id, text)
+	answer, err := c.query(id, text)
 	c.checkStamp(id, text, answer)
 	return err
 }
 
 func (c *client) endTransaction() error {
 	id := c.nextID()
-	c.run.ledger.sending(id)
+	c.run.ledger.recordSent(id)
 	if c.random.IntN(5) == 0 {
 		c.run.ledger.resolve(id, outcomeRollback)
-		_, err := c.ask(id, "ABORT")
+		_, err := c.query(id, "ABORT")
 		return err
 	}
-	answer, err := c.ask(id, "COMMIT")
+	answer, err := c.query(id, "COMMIT")
 	c.checkStamp(id, "COMMIT", answer)
 	c.count("transaction", answer, err)
 	c.resolveCommit(id, answer)
@@ -259,17 +259,17 @@
 }
 
 // ask sends a statement and reads its answer: the first line but rows, with the rows before it.
-func (c *client) ask(id, text string) (answer string, err error) {
+func (c *client) query(id, text string) (answer string, err error) {
 	sent := time.Now()
-	_ = c.conn.SetDeadline(sent.Add(answerTime)) // an error comes back from the read
+	_ = c.conn.SetDeadline(sent.Add(answerTimeout)) // an error comes back from the read
 	if _, err := fmt.Fprintf(c.conn, "QUERY %s %s\r\n", id, text); err != nil {
-		return "", c.ended(id, text, sent, err)
+		return "", c.checkSessionEnd(id, text, sent, err)
 	}
 	var rows []string
 	for {
 		line, err := c.reader.ReadMessage()
 		if err != nil {
-			return "", c.ended(id, text, sent, err)
+			return "", c.checkSessionEnd(id, text, sent, err)
 		}
 		kind, rest := wire.CutField(line)
 		switch kind {
@@ -305,22 +305,22 @@
 }
 
 // ended judges a statement whose connection ended or whose answer didn't come in time.
-func (c *client) ended(id, text string, sent time.Time, err error) error {
+func (c *client) checkSessionEnd(id, text string, sent time.Time, err error) error {
 	now, l, j := time.Now(), c.run.ledger, c.run.journal
 	since := sent.Add(-time.Second) // a process that didn't run before may not have caught up
 	var timeout net.Error
-	waited := errors.As(err, &timeout) && timeout.Timeout()
+	timedOut := errors.As(err, &timeout) && timeout.Timeout()
 	frozen := j.disturbed(c.proxy, sent, now, KindFreeze)
 	killed := j.disturbed(c.proxy, sent, now, KindKill)
 	switch {
-	case waited && !frozen:
-		c.run.late(c.proxy, since, "no answer", "%s %s at %s: neither answer nor end within %v",
-			id, text, c.proxy, answerTime)
-	case waited, killed, frozen:
+	case timedOut && !frozen:
+		c.run.recordMissed(c.proxy, since, "no answer", "%s %s at %s: neither answer nor end within %v",
+			id, text, c.proxy, answerTimeout)
+	case timedOut, killed, frozen:
 	case !j.disturbed(c.proxy, sent.Add(-contactTime), now, KindRestart):
 		l.violate("cut", "%s %s at %s, which nobody ends: %v after %v", id, text, c.proxy, err, now.Sub(sent))
 	case (l.hasReached(id) || now.Sub(sent) > lossSlack) && j.faultFree(sent, now):
-		c.run.late(c.proxy, since, "lost answer", "%s %s at %s: %v after %v, at a member: %v",
+		c.run.recordMissed(c.proxy, since, "lost answer", "%s %s at %s: %v after %v, at a member: %v",
 			id, text, c.proxy, err, now.Sub(sent), l.hasReached(id))
 	}
 	return fmt.Errorf("%w: %w", errSessionEnded, err)
@@ -328,18 +328,18 @@
 
 // count counts an operation by its outcome.
 func (c *client) count(what, answer string, err error) {
-	end, _, _ := strings.Cut(answer, ".")
+	result, _, _ := strings.Cut(answer, ".")
 	switch {
 	case err != nil:
-		end = "ended"
+		result = "ended"
 	case strings.HasPrefix(answer, "DONE"):
-		end = "done"
+		result = "done"
 	}
-	c.run.ledger.count(what + " " + end)
+	c.run.ledger.count(what + " " + result)
 }
 
 // promisesNothingKept says whether an answer promises that nothing of its attempt took effect.
-func promisesNothingKept(answer string) bool {
+func guaranteesNoEffect(answer string) bool {
 	for _, code := range []string{"RETRY", "ABORTED", "LAGGING", "RDONLY", "WRONGHOST", "FULL"} {
 		if strings.HasPrefix(answer, "FAIL "+code) {
 			return true
--- a/internal/standin/soak/events.go
+++ b/internal/standin/soak/events.go
@@ -14,19 +14,19 @@
 )
 
 // hangupAge is how old a process is that gets SIGHUP: before it has begun to handle the signal, it ends by it.
-const hangupAge = 2 * time.Second
+const minHangupAge = 2 * time.Second
 
 // carryOut carries an event out to its end, begun or not when the context ends: all that it disturbed is there again.
-func (r *run) carryOut(ctx context.Context, e Event) {
+func (r *run) execute(ctx context.Context, e Event) {
 	r.logf("event %v", e)
 	switch e.Kind {
 	case KindChange:
-		r.operators.carryOut(ctx, e.Change)
+		r.operators.makeChange(ctx, e.Change)
 	case KindRelease:
-		r.release(e.Targets[0], e.Lasts)
+		r.release(e.Targets[0], e.Duration)
 	case KindCrash, KindLag:
 		r.disturbMember(e)
-	case KindSilence:
+	case KindLostAnswers:
 		defer r.journal.begin("", e.Kind)()
 		r.deployment.Service.With(func(*replicaset.Group) { r.deployment.Service.LoseAnswers += e.Times })
 	case KindHangup:
@@ -41,7 +41,7 @@
 	var all sync.WaitGroup
 	for _, name := range e.Targets {
 		all.Go(func() { r.disturbProcess(name, e) })
-		time.Sleep(e.Apart)
+		time.Sleep(e.Interval)
 	}
 	all.Wait()
 }
@@ -49,12 +49,12 @@
 // disturbProcess ends and starts a process, or freezes it. One that another event has ended is left to that event.
 func (r *run) disturbProcess(name string, e Event) {
 	if e.Kind == KindFreeze {
-		r.freeze(name, e.Lasts)
+		r.freeze(name, e.Duration)
 		return
 	}
 	end := r.journal.begin(name, e.Kind)
 	defer end()
-	if !r.lives.end(name) {
+	if !r.lives.claimEnd(name) {
 		r.logf("%s %s: it is being restarted", e.Kind, name)
 		if e.Kind == KindKill && r.lives.isEnding(name) {
 			r.deployment.Signal(name, syscall.SIGKILL) // in the midst of its end in order
@@ -66,10 +66,10 @@
 	} else {
 		r.terminate(name)
 	}
-	r.lives.ended(name)
-	time.Sleep(e.Lasts)
+	r.lives.recordEnd(name)
+	time.Sleep(e.Duration)
 	r.deployment.Start(name, false)
-	r.lives.begin(name)
+	r.lives.recordStart(name)
 }
 
 // terminate ends a process as the platform does.
@@ -79,18 +79,18 @@
 		return
 	}
 	if time.Since(began) > graceTime+killTime {
-		r.starved.note(name, began, time.Now())
+		r.starved.record(name, began, time.Now())
 	}
-	r.endedLate(name)
+	r.reportLateEnd(name)
 }
 
 // endedLate judges a process that was still there after the grace period.
-func (r *run) endedLate(name string) {
+func (r *run) reportLateEnd(name string) {
 	now := time.Now()
 	if r.journal.disturbed(name, now.Add(-graceTime), now, KindFreeze) {
 		return
 	}
-	r.late(name, now.Add(-graceTime), "late end", "%s was there %v after SIGTERM", name, graceTime)
+	r.recordMissed(name, now.Add(-graceTime), "late end", "%s was there %v after SIGTERM", name, graceTime)
 }
 
 func (r *run) freeze(name string, lasts time.Duration) {
@@ -104,19 +104,19 @@
 func (r *run) hangUp(e Event) {
 	for range e.Times {
 		for _, name := range e.Targets {
-			if r.lives.age(name) < hangupAge && !r.lives.isEnding(name) {
+			if r.lives.age(name) < minHangupAge && !r.lives.isEnding(name) {
 				continue
 			}
 			end := r.journal.begin(name, KindHangup)
 			r.deployment.Signal(name, syscall.SIGHUP)
 			end()
 		}
-		time.Sleep(e.Apart)
+		time.Sleep(e.Interval)
 	}
 }
 
 // member finds the member that an event is about.
-func (r *run) member(target string) (id string) {
+func (r *run) findMember(target string) (id string) {
 	r.deployment.Service.With(func(group *replicaset.Group) {
 		primary := group.Leader()
 		for _, m := range group.Members {
@@ -130,7 +130,7 @@
 
 // disturbMember crashes a member for a while, or keeps a replica from receiving.
 func (r *run) disturbMember(e Event) {
-	id := r.member(e.Targets[0])
+	id := r.findMember(e.Targets[0])
 	if id == "" {
 		r.logf("%s: there is no %s", e.Kind, e.Targets[0])
 		return
@@ -139,26 +139,26 @@
 	service := r.deployment.Service
 	if e.Kind == KindLag {
 		service.With(func(group *replicaset.Group) { group.Member(id).NotReceiving = true })
-		time.Sleep(e.Lasts)
+		time.Sleep(e.Duration)
 		service.With(func(group *replicaset.Group) { group.Member(id).NotReceiving = false })
 		return
 	}
 	service.Crash(id)
-	time.Sleep(e.Lasts)
+	time.Sleep(e.Duration)
 	service.With(func(group *replicaset.Group) { group.Member(id).Restart() })
 }
 
 // release replaces a member: a new one joins, and the old one drains and leaves.
 func (r *run) release(target string, lasts time.Duration) {
-	id := r.member(target)
+	id := r.findMember(target)
 	if id == "" {
 		r.logf("release: there is no %s", target)
 		return
 	}
 	defer r.journal.begin(id, KindRelease)()
 	n := int(r.members.Add(1))
-	next := fmt.Sprint("m", n)
-	if err := r.deployment.AddMember(next, n); err != nil {
+	joined := fmt.Sprint("m", n)
+	if err := r.deployment.AddMember(joined, n); err != nil {
 		r.logf("release: %v", err)
 		return
 	}
@@ -166,22 +166,22 @@
 	r.deployment.Service.With(func(group *replicaset.Group) { group.Member(id).Draining = true })
 	time.Sleep(lasts)
 	acknowledged := r.deployment.RemoveMember(id)
-	r.logf("release: %s left for %s, acknowledged: %v", id, next, acknowledged)
+	r.logf("release: %s left for %s, acknowledged: %v", id, joined, acknowledged)
 }
 
 // lives counts the lives of processes, and which one each is in.
-type lives struct {
+type processLives struct {
 	mu      sync.Mutex
 	number  map[string]int
 	started map[string]time.Time // of those that run
 	ending  map[string]bool      // those that were told to end, and are there
 }
 
-func newLives() *lives {
-	return &lives{number: map[string]int{}, started: map[string]time.Time{}, ending: map[string]bool{}}
+func newProcessLives() *processLives {
+	return &processLives{number: map[string]int{}, started: map[string]time.Time{}, ending: map[string]bool{}}
 }
 
-func (l *lives) begin(name string) {
+func (l *processLives) recordStart(name string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.number[name]++
@@ -189,7 +189,7 @@
 }
 
 // end gives the ending of a process to its only caller.
-func (l *lives) end(name string) bool {
+func (l *processLives) claimEnd(name string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	_, runs := l.started[name]
@@ -201,21 +201,21 @@
 }
 
 // ended says that a process that was told to end is gone.
-func (l *lives) ended(name string) {
+func (l *processLives) recordEnd(name string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.ending, name)
 }
 
 // isEnding says whether a process was told to end, and may be there.
-func (l *lives) isEnding(name string) bool {
+func (l *processLives) isEnding(name string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.ending[name]
 }
 
 // of is the number of a process's life; 0 where it doesn't run.
-func (l *lives) of(name string) int {
+func (l *processLives) current(name string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if _, runs := l.started[name]; !runs {
@@ -225,7 +225,7 @@
 }
 
 // age is how long a process has run; 0 where it doesn't.
-func (l *lives) age(name string) time.Duration {
+func (l *processLives) age(name string) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if started, runs := l.started[name]; runs {
@@ -235,7 +235,7 @@
 }
 
 // running are the names of the processes that nobody ends.
-func (l *lives) running() (names []string) {
+func (l *processLives) running() (names []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for name := range l.started {
--- a/internal/standin/soak/journal.go
+++ b/internal/standin/soak/journal.go
@@ -27,7 +27,7 @@
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	d := &disturbance{process: process, kind: kind, from: time.Now()}
-	if kind != KindCrash && kind != KindLag && kind != KindRelease && kind != KindSilence {
+	if kind != KindCrash && kind != KindLag && kind != KindRelease && kind != KindLostAnswers {
 		d.machine = machine(process)
 	}
 	j.all = append(j.all, d)
@@ -39,18 +39,18 @@
 }
 
 // any says whether a disturbance that fits overlaps a span of time.
-func (j *journal) any(from, to time.Time, fits func(*disturbance) bool) bool {
+func (j *journal) overlaps(from, to time.Time, matches func(*disturbance) bool) bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return slices.ContainsFunc(j.all, func(d *disturbance) bool {
-		return d.from.Before(to) && (d.to.IsZero() || d.to.After(from)) && fits(d)
+		return d.from.Before(to) && (d.to.IsZero() || d.to.After(from)) && matches(d)
 	})
 }
 
 // inTouch says whether neither a machine nor the core was disturbed for contactTime before a span, nor in it. Signals
 // that have a process read its settings again disturb nothing.
-func (j *journal) inTouch(machine string, from, to time.Time) bool {
-	return !j.any(from.Add(-contactTime), to, func(d *disturbance) bool {
+func (j *journal) inContact(machine string, from, to time.Time) bool {
+	return !j.overlaps(from.Add(-contactTime), to, func(d *disturbance) bool {
 		return d.kind != KindHangup && d.machine != "" &&
 			(d.machine == machine || d.process[:min(len(d.process), len(prefixCore))] == prefixCore)
 	})
@@ -58,10 +58,10 @@
 
 // faultFree says whether no fault came for contactTime before a span, nor in it.
 func (j *journal) faultFree(from, to time.Time) bool {
-	return !j.any(from.Add(-contactTime), to, func(d *disturbance) bool { return d.kind.IsFault() })
+	return !j.overlaps(from.Add(-contactTime), to, func(d *disturbance) bool { return d.kind.IsFault() })
 }
 
 // disturbed says whether a process had an event of one of the kinds in a span.
 func (j *journal) disturbed(process string, from, to time.Time, kinds ...Kind) bool {
-	return j.any(from, to, func(d *disturbance) bool { return d.process == process && slices.Contains(kinds, d.kind) })
+	return j.overlaps(from, to, func(d *disturbance) bool { return d.process == process && slices.Contains(kinds, d.kind) })
 }
--- a/internal/standin/soak/ledger.go
+++ b/internal/standin/soak/ledger.go
@@ -25,10 +25,10 @@
 
 // commit is an acknowledged one.
 type commit struct {
-	id       string
-	number   uint64 // in the members' log
-	at       time.Time
-	greatest int // index of the one of the greatest number so far
+	id            string
+	number        uint64 // in the members' log
+	at            time.Time
+	greatestIndex int // index of the one of the greatest number so far
 }
 
 // ledger implements cluster.Observer.
@@ -38,7 +38,7 @@
 	numbers    map[string]uint64   // of commits in members' logs, the last by id
 	acked      []commit            // in order of their answers
 	reads      map[string]*commit  // by the id of a read that is under way: what it must see; nil: nothing
-	readOn     map[string]string   // the route of such a read
+	readRoutes map[string]string   // the route of such a read
 	reached    map[string]bool     // ids of statements that came to members
 	violations map[string][]string // by the invariant
 	attempts   map[string]int      // of operations, by their outcome
@@ -47,7 +47,7 @@
 func newLedger() *ledger {
 	return &ledger{
 		outcomes: map[string]outcome{}, numbers: map[string]uint64{}, reads: map[string]*commit{},
-		readOn: map[string]string{}, reached: map[string]bool{}, violations: map[string][]string{},
+		readRoutes: map[string]string{}, reached: map[string]bool{}, violations: map[string][]string{},
 		attempts: map[string]int{},
 	}
 }
@@ -72,7 +72,7 @@
 }
 
 // sending notes a statement that commits before it is sent.
-func (l *ledger) sending(id string) {
+func (l *ledger) recordSent(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.outcomes[id] = outcomeUnknown
@@ -80,43 +80,43 @@
 
 // resolve notes the answer to a statement that commits. An acknowledged one is what later reads must see; it is
 // returned so that the session may ask for it.
-func (l *ledger) resolve(id string, out outcome) *commit {
+func (l *ledger) resolve(id string, result outcome) *commit {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.outcomes[id] = out
-	if out != outcomeAcked {
+	l.outcomes[id] = result
+	if result != outcomeAcked {
 		return nil
 	}
-	c := commit{id: id, number: l.numbers[id], at: time.Now(), greatest: len(l.acked)}
-	if n := len(l.acked); n > 0 && l.acked[l.acked[n-1].greatest].number > c.number {
-		c.greatest = l.acked[n-1].greatest
+	c := commit{id: id, number: l.numbers[id], at: time.Now(), greatestIndex: len(l.acked)}
+	if n := len(l.acked); n > 0 && l.acked[l.acked[n-1].greatestIndex].number > c.number {
+		c.greatestIndex = l.acked[n-1].greatestIndex
 	}
 	l.acked = append(l.acked, c)
 	return &c
 }
 
 // newest is the acknowledged commit of the greatest number among those that were acknowledged before a time.
-func (l *ledger) newest(before time.Time) *commit {
+func (l *ledger) newestBefore(before time.Time) *commit {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := sort.Search(len(l.acked), func(i int) bool { return !l.acked[i].at.Before(before) })
 	if n == 0 {
 		return nil
 	}
-	c := l.acked[l.acked[n-1].greatest]
+	c := l.acked[l.acked[n-1].greatestIndex]
 	return &c
 }
 
 // reading notes what a read must see before it is sent; done forgets it.
-func (l *ledger) reading(id, route string, must *commit) (done func()) {
+func (l *ledger) beginRead(id, route string, required *commit) (done func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.reads[id], l.readOn[id] = must, route
+	l.reads[id], l.readRoutes[id] = required, route
 	return func() {
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		delete(l.reads, id)
-		delete(l.readOn, id)
+		delete(l.readRoutes, id)
 	}
 }
 
@@ -137,12 +137,12 @@
 func (l *ledger) Read(id string, log []replicaset.Entry) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	must := l.reads[id]
-	if must == nil || uint64(len(log)) >= must.number && log[must.number-1].ID == must.id {
+	required := l.reads[id]
+	if required == nil || uint64(len(log)) >= required.number && log[required.number-1].ID == required.id {
 		return
 	}
 	l.violateLocked("stale", "read %s on route %s ran on a log of %d without commit %s (%d), acknowledged %v before",
-		id, l.readOn[id], len(log), must.id, must.number, time.Since(must.at))
+		id, l.readRoutes[id], len(log), required.id, required.number, time.Since(required.at))
 }
 
 // Committed implements cluster.Observer.
@@ -168,13 +168,13 @@
 			l.violateLocked("twice", "%s is %d times in the log", id, n)
 		}
 	}
-	for id, out := range l.outcomes {
+	for id, result := range l.outcomes {
 		switch {
-		case out == outcomeAcked && found[id] == 0:
+		case result == outcomeAcked && found[id] == 0:
 			l.violateLocked("lost write", "%s was acknowledged and is not in the log", id)
-		case out == outcomeRefused && found[id] > 0:
+		case result == outcomeRefused && found[id] > 0:
 			l.violateLocked("refused", "%s was answered that nothing is kept, and is in the log", id)
-		case out == outcomeRollback && found[id] > 0:
+		case result == outcomeRollback && found[id] > 0:
 			l.violateLocked("unasked", "%s was rolled back, and is in the log", id)
 		}
 	}
@@ -185,13 +185,13 @@
 
 // summary is the violations, the first few of each invariant; "" for none.
 func (l *ledger) summary() string {
-	const most = 5
+	const maxPerInvariant = 5
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var b strings.Builder
 	for invariant, texts := range l.violations {
 		fmt.Fprintf(&b, "%s, broken %d times:\n", invariant, len(texts))
-		for _, text := range texts[:min(most, len(texts))] {
+		for _, text := range texts[:min(maxPerInvariant, len(texts))] {
 			fmt.Fprintf(&b, "\t%s\n", text)
 		}
 	}
--- a/internal/standin/soak/monitor.go
+++ b/internal/standin/soak/monitor.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	monitorInterval = 250 * time.Millisecond
-	frontsAtOnce    = 10 // that are asked in each interval
+	monitorInterval   = 250 * time.Millisecond
+	frontsPerInterval = 10 // that are asked in each interval
 )
 
 // watchVersions has a proxy tell its configuration's version until the context ends: in one life it never falls, and
@@ -26,11 +26,11 @@
 func (r *run) watchVersions(ctx context.Context, front int) {
 	name := proxyName(front)
 	life, highest := 0, uint64(0)
-	interval := monitorInterval * time.Duration(1+r.shape.Fronts/frontsAtOnce)
+	interval := monitorInterval * time.Duration(1+r.shape.Fronts/frontsPerInterval)
 	for ; ctx.Err() == nil; pause(ctx, interval) {
-		now, asked := r.lives.of(name), time.Now()
+		now, asked := r.lives.current(name), time.Now()
 		version, ok := r.version(front)
-		if !ok || now == 0 || r.lives.of(name) != now {
+		if !ok || now == 0 || r.lives.current(name) != now {
 			continue
 		}
 		if now != life {
@@ -41,8 +41,8 @@
 		}
 		highest = max(highest, version)
 		newest := r.operators.ackedBefore(asked.Add(-applyTime))
-		if version < newest && r.journal.inTouch(machine(name), asked, time.Now()) {
-			r.late(name, asked.Add(-applyTime), "not in force", "%s serves by version %d %v after %d was acknowledged",
+		if version < newest && r.journal.inContact(machine(name), asked, time.Now()) {
+			r.recordMissed(name, asked.Add(-applyTime), "not in force", "%s serves by version %d %v after %d was acknowledged",
 				name, version, applyTime, newest)
 		}
 	}
@@ -64,15 +64,15 @@
 func (r *run) watchProcesses(ctx context.Context) {
 	for ; ctx.Err() == nil; pause(ctx, monitorInterval) {
 		for _, name := range r.lives.running() {
-			life := r.lives.of(name)
-			if !hasEnded(r.deployment.PID(name)) || r.lives.of(name) != life || !r.lives.end(name) {
+			life := r.lives.current(name)
+			if !hasEnded(r.deployment.PID(name)) || r.lives.current(name) != life || !r.lives.claimEnd(name) {
 				continue
 			}
 			r.ledger.violate("own end", "%s ended, and nobody asked it to", name)
 			r.deployment.Kill(name)
-			r.lives.ended(name)
+			r.lives.recordEnd(name)
 			r.deployment.Start(name, false)
-			r.lives.begin(name)
+			r.lives.recordStart(name)
 		}
 	}
 }
@@ -87,20 +87,20 @@
 }
 
 // holding is what a process holds.
-type holding struct{ files, memoryKB int }
+type resources struct{ files, memoryKB int }
 
 // holdings is what the processes hold that run, by name.
-func (r *run) holdings() map[string]holding {
-	all := map[string]holding{}
+func (r *run) resourceUse() map[string]resources {
+	all := map[string]resources{}
 	for _, name := range r.lives.running() {
-		all[name] = holdingOf(r.deployment.PID(name))
+		all[name] = resourcesOf(r.deployment.PID(name))
 	}
 	return all
 }
 
 var residentLine = regexp.MustCompile(`(?m)^VmRSS:\s+(\d+) kB$`)
 
-func holdingOf(pid int) (h holding) {
+func resourcesOf(pid int) (h resources) {
 	files, _ := filepath.Glob(fmt.Sprintf("/proc/%d/fd/*", pid)) // none where the process is gone
 	h.files = len(files)
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
--- a/internal/standin/soak/operators.go
+++ b/internal/standin/soak/operators.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	operatorPatience = 25 * time.Second // in which a change is sent again while there is no clear answer
-	firstPause       = 50 * time.Millisecond
-	longestRetry     = time.Second
-	versionStep      = 3 // versions go up by one to so many
+	changeTimeout     = 25 * time.Second // in which a change is sent again while there is no clear answer
+	initialRetryDelay = 50 * time.Millisecond
+	maxRetryDelay     = time.Second
+	maxVersionStep    = 3 // versions go up by one to so many
 )
 
 // change is one that was sent.
@@ -62,18 +62,18 @@
 }
 
 // show reads the configuration from the first machine that answers.
-func (o *operators) show(ctx context.Context) (document, bool) {
-	for wait := firstPause; ctx.Err() == nil; wait = min(2*wait, longestRetry) {
-		for _, n := range o.machines() {
-			due := o.ackedBefore(time.Now().Add(-applyTime))
+func (o *operators) readConfig(ctx context.Context) (document, bool) {
+	for wait := initialRetryDelay; ctx.Err() == nil; wait = min(2*wait, maxRetryDelay) {
+		for _, n := range o.shuffledCores() {
+			required := o.ackedBefore(time.Now().Add(-applyTime))
 			status, body := o.run.deployment.Call("GET", o.run.deployment.Cores[n], "/config/show", "", nil)
 			var d document
 			if status != http.StatusOK || json.Unmarshal([]byte(body), &d) != nil {
 				continue
 			}
-			if d.Version < due {
+			if d.Version < required {
 				o.run.ledger.violate("configuration", "core%d shows version %d %v after %d was acknowledged",
-					n, d.Version, applyTime, due)
+					n, d.Version, applyTime, required)
 			}
 			return d, true
 		}
@@ -83,41 +83,41 @@
 }
 
 // machines are the core machines in an order that is drawn.
-func (o *operators) machines() []int {
+func (o *operators) shuffledCores() []int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.random.Perm(o.run.shape.Cores)
 }
 
 // carryOut makes a change on what is in force.
-func (o *operators) carryOut(ctx context.Context, kind Change) {
-	ctx, cancel := context.WithTimeout(ctx, operatorPatience)
+func (o *operators) makeChange(ctx context.Context, kind Change) {
+	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
-	now, ok := o.show(ctx)
+	current, ok := o.readConfig(ctx)
 	if !ok {
 		o.run.logf("change %s: no configuration could be read", kind)
 		return
 	}
-	if kind != ChangeRivals {
-		o.send(ctx, o.draw(now.Version, kind), now.markers())
+	if kind != ChangeConflicting {
+		o.send(ctx, o.newChange(current.Version, kind), current.markers())
 		return
 	}
 	var both sync.WaitGroup
 	for range 2 {
-		c := o.draw(now.Version, kind)
-		both.Go(func() { o.send(ctx, c, now.markers()) })
+		c := o.newChange(current.Version, kind)
+		both.Go(func() { o.send(ctx, c, current.markers()) })
 	}
 	both.Wait()
 }
 
 // draw draws a change on a version.
-func (o *operators) draw(base uint64, kind Change) *change {
+func (o *operators) newChange(base uint64, kind Change) *change {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.count++
-	c := &change{base: base, version: base + 1 + o.random.Uint64N(versionStep), marker: fmt.Sprint("mark", o.count),
+	c := &change{base: base, version: base + 1 + o.random.Uint64N(maxVersionStep), marker: fmt.Sprint("mark", o.count),
 		kind: kind, sent: time.Now()}
-	if kind == ChangeOld {
+	if kind == ChangeStaleVersion {
 		c.version = base
 	}
 	o.changes = append(o.changes, c)
@@ -125,21 +125,21 @@
 }
 
 // send sends a change until it has a clear answer.
-func (o *operators) send(ctx context.Context, c *change, old []string) {
-	path, body := o.body(c, old)
-	unclear := false
-	for wait := firstPause; ctx.Err() == nil; wait = min(2*wait, longestRetry) {
-		for _, n := range o.machines() {
+func (o *operators) send(ctx context.Context, c *change, oldMarkers []string) {
+	path, body := o.body(c, oldMarkers)
+	ambiguous := false
+	for wait := initialRetryDelay; ctx.Err() == nil; wait = min(2*wait, maxRetryDelay) {
+		for _, n := range o.shuffledCores() {
 			addr := o.run.deployment.Cores[n]
 			status, answer := o.run.deployment.Call("POST", addr, path, strconv.FormatUint(c.base, 10), body)
 			if status == http.StatusOK || status >= 400 && status < 500 {
-				o.answered(c, status, unclear, answer)
+				o.recordAnswer(c, status, ambiguous, answer)
 				if status == http.StatusOK {
-					o.repeat(c, path, body)
+					o.resend(c, path, body)
 				}
 				return
 			}
-			unclear = true
+			ambiguous = true
 		}
 		pause(ctx, wait)
 	}
@@ -148,8 +148,8 @@
 
 // repeat sends a change again that was acknowledged, as an operator does whose answer was lost: while no other one was
 // sent since, it is not refused.
-func (o *operators) repeat(c *change, path string, body []byte) {
-	addr := o.run.deployment.Cores[o.machines()[0]]
+func (o *operators) resend(c *change, path string, body []byte) {
+	addr := o.run.deployment.Cores[o.shuffledCores()[0]]
 	status, answer := o.run.deployment.Call("POST", addr, path, strconv.FormatUint(c.base, 10), body)
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -160,13 +160,13 @@
 }
 
 // answered notes a clear answer. A refusal says nothing about an earlier sending whose answer was lost.
-func (o *operators) answered(c *change, status int, unclear bool, answer string) {
+func (o *operators) recordAnswer(c *change, status int, ambiguous bool, answer string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	c.answer = fmt.Sprintf("%d %.80s", status, strings.TrimSpace(answer))
 	o.run.logf("%s: %s", c, c.answer)
 	if status != http.StatusOK {
-		c.refused = !unclear
+		c.refused = !ambiguous
 		return
 	}
 	c.acked = time.Now()
@@ -181,39 +181,39 @@
 }
 
 // body gives a change's call and its text.
-func (o *operators) body(c *change, old []string) (path string, body []byte) {
+func (o *operators) body(c *change, oldMarkers []string) (path string, body []byte) {
 	marker := markerRoute(c.marker, "svc")
 	if c.kind == ChangeAmend {
 		return "/config/amend", encode(map[string]any{"gen": c.version,
-			"upsert": map[string]any{"routes": []any{marker}}, "del": map[string]any{"routes": old}})
+			"upsert": map[string]any{"routes": []any{marker}}, "del": map[string]any{"routes": oldMarkers}})
 	}
-	listed := append(baseRoutes(), marker)
+	routeList := append(baseRoutes(), marker)
 	switch c.kind {
 	case ChangeUnknown:
-		listed = append(listed, markerRoute(c.marker+"b", "none"))
+		routeList = append(routeList, markerRoute(c.marker+"b", "none"))
 	case ChangeTimeout:
 		marker["timeoutMs"] = 0
-	case ChangeTwice:
+	case ChangeDuplicateRoute:
 		twin := markerRoute(c.marker, "svc")
 		twin["name"] = c.marker + "b"
-		listed = append(listed, twin)
+		routeList = append(routeList, twin)
 	}
-	body = configuration(c.version, listed, o.run.shape)
-	if c.kind == ChangeUnending {
+	body = configuration(c.version, routeList, o.run.shape)
+	if c.kind == ChangeTruncated {
 		body = body[:len(body)/2]
 	}
 	return "/config/replace", body
 }
 
 // configuration is the text of a whole one.
-func configuration(version uint64, listed []any, shape Shape) []byte {
-	whole := map[string]any{"gen": version, "routes": listed,
+func configuration(version uint64, routeList []any, shape Shape) []byte {
+	config := map[string]any{"gen": version, "routes": routeList,
 		"svcs":   []any{map[string]any{"name": "svc", "maxConns": shape.memberConns(), "syncN": 1}},
 		"limits": map[string]any{"txIdleMs": 1000}}
 	if len(shape.Tenants) > 0 {
-		whole["tenants"] = shape.Tenants
+		config["tenants"] = shape.Tenants
 	}
-	return encode(whole)
+	return encode(config)
 }
 
 func baseRoutes() (all []any) {
--- a/internal/standin/soak/run.go
+++ b/internal/standin/soak/run.go
@@ -27,14 +27,14 @@
 	lossSlack   = 200 * time.Millisecond
 	joinTime    = time.Second // from a new member's start until another one drains
 
-	workTime     = 15 * time.Millisecond // of a statement at a member
-	firstMembers = 3
+	workTime       = 15 * time.Millisecond // of a statement at a member
+	initialMembers = 3
 )
 
 // What a process that has lived from the begin may hold in the end beyond its begin, and of goroutines in all: core
 // machines have a link with each front.
-func (s Shape) moreFiles() int      { return 60 + 2*s.Fronts }
-func (s Shape) mostGoroutines() int { return 100 + 2*s.Fronts }
+func (s Shape) maxExtraFiles() int { return 60 + 2*s.Fronts }
+func (s Shape) maxGoroutines() int { return 100 + 2*s.Fronts }
 
 // run is a soak that runs.
 type run struct {
@@ -44,19 +44,19 @@
 	ledger     *ledger
 	journal    *journal
 	operators  *operators
-	lives      *lives
+	lives      *processLives
 	starved    *starvation
 	members    atomic.Int64 // number of the newest member
 	began      time.Time
 
-	mu       sync.Mutex
-	lines    []string  // of its own log
-	overdue  []overdue // bounds on time that were missed
-	unjudged []overdue // those of them that the machine's own starvation excuses
+	mu           sync.Mutex
+	lines        []string      // of its own log
+	missedBounds []missedBound // bounds on time that were missed
+	excused      []missedBound // those of them that the machine's own starvation excuses
 }
 
 // overdue is a bound on time that a process missed.
-type overdue struct {
+type missedBound struct {
 	process   string
 	from, to  time.Time
 	invariant string
@@ -65,17 +65,17 @@
 
 // late notes that a process missed a bound on time, in a span that ends now. Whether it was starved then is known
 // later.
-func (r *run) late(process string, from time.Time, invariant, format string, args ...any) {
+func (r *run) recordMissed(process string, from time.Time, invariant, format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.overdue = append(r.overdue, overdue{process, from, time.Now(), invariant, fmt.Sprintf(format, args...)})
+	r.missedBounds = append(r.missedBounds, missedBound{process, from, time.Now(), invariant, fmt.Sprintf(format, args...)})
 }
 
 // judgeOverdue has the bounds count that were missed by processes that the machine ran.
-func (r *run) judgeOverdue() {
-	for _, o := range r.overdue {
-		if r.starved.of(o.process, o.from, o.to) {
-			r.unjudged = append(r.unjudged, o)
+func (r *run) evaluateMissedBounds() {
+	for _, o := range r.missedBounds {
+		if r.starved.overlaps(o.process, o.from, o.to) {
+			r.excused = append(r.excused, o)
 		} else {
 			r.ledger.violate(o.invariant, "%s (%s)", o.text, o.to.Format("15:04:05.000"))
 		}
@@ -84,29 +84,29 @@
 
 // Result is what came of a soak.
 type Result struct {
-	Violations string         // "" for none
-	Operations map[string]int // by kind and outcome
-	Recovered  time.Duration  // from the end of the last event until all was served
-	Processes  int
-	MemoryMB   int           // of all processes in the end
-	MostFiles  int           // of a process in the end
-	Goroutines int           // the most of a process in the end
-	Changes    int           // acknowledged
-	Unjudged   []string      // bounds on time that processes missed while the machine didn't run them
-	Starved    time.Duration // of the test's own process: how long a thread waited for a processor
-	Log        string
-	Processlog map[string]string
+	Violations    string         // "" for none
+	Operations    map[string]int // by kind and outcome
+	Recovered     time.Duration  // from the end of the last event until all was served
+	Processes     int
+	MemoryMB      int           // of all processes in the end
+	MaxFiles      int           // of a process in the end
+	MaxGoroutines int           // the most of a process in the end
+	Changes       int           // acknowledged
+	Excused       []string      // bounds on time that processes missed while the machine didn't run them
+	Starved       time.Duration // of the test's own process: how long a thread waited for a processor
+	Log           string
+	ProcessLogs   map[string]string
 }
 
 // Run carries a schedule out on a deployment of its own.
 func Run(t *testing.T, s Schedule) Result {
 	t.Helper()
-	r := &run{t: t, shape: s.Shape, ledger: newLedger(), journal: &journal{}, lives: newLives(), began: time.Now(),
+	r := &run{t: t, shape: s.Shape, ledger: newLedger(), journal: &journal{}, lives: newProcessLives(), began: time.Now(),
 		starved: &starvation{spans: map[string][]span{}}}
 	r.operators = &operators{run: r, random: rand.New(rand.NewPCG(s.Seed, 1))}
-	r.members.Store(firstMembers - 1)
+	r.members.Store(initialMembers - 1)
 	r.start()
-	before := r.holdings()
+	before := r.resourceUse()
 
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -133,9 +133,9 @@
 func (r *run) start() {
 	r.deployment = cluster.New(r.t, r.shape.Cores, r.shape.Fronts)
 	service := r.deployment.Service
-	service.With(func(*replicaset.Group) { service.Observer, service.Work = r.ledger, workTime })
+	service.With(func(*replicaset.Group) { service.Observer, service.WorkTime = r.ledger, workTime })
 	for _, name := range r.deployment.Running() {
-		r.lives.begin(name)
+		r.lives.recordStart(name)
 	}
 	first := configuration(1, baseRoutes(), r.shape)
 	r.deployment.Eventually("a configuration is accepted", func() bool {
@@ -152,7 +152,7 @@
 func (r *run) newClient(seed uint64, n int) *client {
 	random := rand.New(rand.NewPCG(seed, uint64(2+n)))
 	return &client{run: r, random: random, name: fmt.Sprint("q", n), key: fmt.Sprint("k", n),
-		route: routes[n%len(routes)], think: thinks[random.IntN(len(thinks))]}
+		route: routes[n%len(routes)], maxThinkTime: thinkTimes[random.IntN(len(thinkTimes))]}
 }
 
 func (r *run) logf(format string, args ...any) {
@@ -166,7 +166,7 @@
 	var all sync.WaitGroup
 	for _, e := range events {
 		time.Sleep(time.Until(r.began.Add(e.At)))
-		all.Go(func() { r.carryOut(ctx, e) })
+		all.Go(func() { r.execute(ctx, e) })
 	}
 	all.Wait()
 	r.logf("the last event has ended")
@@ -183,11 +183,11 @@
 			}
 		})
 	}
-	all.Go(func() { r.operators.carryOut(ctx, ChangeReplace) })
+	all.Go(func() { r.operators.makeChange(ctx, ChangeReplace) })
 	all.Wait()
 	took := time.Since(began)
 	if took > recoverTime {
-		r.late(ownName, began, "recover", "all was served %v after the last event", took)
+		r.recordMissed(testProcess, began, "recover", "all was served %v after the last event", took)
 	}
 	r.awaitVersion(r.operators.ackedBefore(time.Now()))
 	return took
@@ -205,7 +205,7 @@
 				return
 			}
 		}
-		time.Sleep(redialPause)
+		time.Sleep(redialDelay)
 	}
 	r.ledger.violate("recover", "%s doesn't serve route %s", proxyName(front), routes[nth].name)
 }
@@ -216,7 +216,7 @@
 		return false
 	}
 	id := c.nextID()
-	answer, err := c.ask(id, "FETCH "+c.key)
+	answer, err := c.query(id, "FETCH "+c.key)
 	return err == nil && strings.HasPrefix(answer, "DONE")
 }
 
@@ -229,25 +229,25 @@
 				break
 			}
 			if time.Now().After(end) {
-				r.late(proxyName(n), end.Add(-applyTime), "recover", "%s doesn't serve by version %d after %v",
+				r.recordMissed(proxyName(n), end.Add(-applyTime), "recover", "%s doesn't serve by version %d after %v",
 					proxyName(n), version, applyTime)
 				break
 			}
-			time.Sleep(redialPause)
+			time.Sleep(redialDelay)
 		}
 	}
 }
 
 // audit compares what there is in the end with what was acknowledged, ends all, and completes the result.
-func (r *run) audit(result *Result, before map[string]holding) {
+func (r *run) audit(result *Result, before map[string]resources) {
 	result.Processes = len(r.deployment.Running())
 	if want := r.shape.Cores + 2*r.shape.Fronts; result.Processes != want {
 		r.ledger.violate("growth", "%d processes run, not %d", result.Processes, want)
 	}
-	r.auditHoldings(result, before)
-	shown, stopShowing := context.WithTimeout(context.Background(), operatorPatience)
-	defer stopShowing()
-	if last, ok := r.operators.show(shown); ok {
+	r.auditResources(result, before)
+	showCtx, cancelShow := context.WithTimeout(context.Background(), changeTimeout)
+	defer cancelShow()
+	if last, ok := r.operators.readConfig(showCtx); ok {
 		r.operators.audit(last)
 		r.auditRefused(last)
 	} else {
@@ -255,11 +255,11 @@
 	}
 	r.auditService()
 	r.countGoroutines(result)
-	r.judgeOverdue()
-	for _, o := range r.unjudged {
-		result.Unjudged = append(result.Unjudged, o.invariant+": "+o.text)
+	r.evaluateMissedBounds()
+	for _, o := range r.excused {
+		result.Excused = append(result.Excused, o.invariant+": "+o.text)
 	}
-	result.Starved = r.starved.total(ownName)
+	result.Starved = r.starved.total(testProcess)
 	for _, c := range r.operators.changes {
 		if !c.acked.IsZero() {
 			result.Changes++
@@ -273,7 +273,7 @@
 	service := r.deployment.Service
 	service.With(func(group *replicaset.Group) {
 		if leader := group.Leader(); leader != nil {
-			r.ledger.auditLog(leader.Log, group.Lost)
+			r.ledger.auditLog(leader.Log, group.LostCommits)
 		} else {
 			r.ledger.violate("recover", "there is no primary")
 		}
@@ -306,12 +306,12 @@
 }
 
 // auditHoldings compares what processes hold that have lived from the begin with what they held then.
-func (r *run) auditHoldings(result *Result, before map[string]holding) {
+func (r *run) auditResources(result *Result, before map[string]resources) {
 	time.Sleep(contactTime) // in which idle connections of clients and links that broke are closed
-	for name, now := range r.holdings() {
-		result.MostFiles = max(result.MostFiles, now.files)
+	for name, now := range r.resourceUse() {
+		result.MaxFiles = max(result.MaxFiles, now.files)
 		result.MemoryMB += now.memoryKB >> 10
-		if r.lives.of(name) == 1 && now.files > before[name].files+r.shape.moreFiles() {
+		if r.lives.current(name) == 1 && now.files > before[name].files+r.shape.maxExtraFiles() {
 			r.ledger.violate("growth", "%s has %d files open, %d at its begin", name, now.files, before[name].files)
 		}
 	}
@@ -321,17 +321,17 @@
 func (r *run) countGoroutines(result *Result) {
 	names := r.lives.running()
 	for _, name := range names {
-		r.lives.end(name)
+		r.lives.claimEnd(name)
 		r.deployment.Signal(name, syscall.SIGQUIT)
 	}
-	result.Processlog = map[string]string{}
+	result.ProcessLogs = map[string]string{}
 	for _, name := range names {
 		r.deployment.Await(name, graceTime)
 		log := r.deployment.Log(name)
-		result.Processlog[name] = log
+		result.ProcessLogs[name] = log
 		count := goroutinesOf(log)
-		result.Goroutines = max(result.Goroutines, count)
-		if count > r.shape.mostGoroutines() {
+		result.MaxGoroutines = max(result.MaxGoroutines, count)
+		if count > r.shape.maxGoroutines() {
 			r.ledger.violate("growth", "%s has %d goroutines with no client left", name, count)
 		}
 	}
--- a/internal/standin/soak/schedule.go
+++ b/internal/standin/soak/schedule.go
@@ -17,20 +17,20 @@
 
 // Kinds of events. The first four are planned work, the others are faults.
 const (
-	KindRestart Kind = "restart" // SIGTERM, SIGKILL after the grace period, a pause, and a new start
-	KindHangup  Kind = "hangup"  // a series of SIGHUP
-	KindChange  Kind = "change"  // of the configuration
-	KindRelease Kind = "release" // a new member joins, and an old one drains and leaves
-	KindKill    Kind = "kill"    // SIGKILL, a pause, and a new start
-	KindFreeze  Kind = "freeze"  // SIGSTOP, and SIGCONT after a while
-	KindCrash   Kind = "crash"   // a member crashes, and returns with its log
-	KindLag     Kind = "lag"     // a replica receives nothing for a while
-	KindSilence Kind = "silence" // answers to some of the next writes are lost
+	KindRestart     Kind = "restart" // SIGTERM, SIGKILL after the grace period, a pause, and a new start
+	KindHangup      Kind = "hangup"  // a series of SIGHUP
+	KindChange      Kind = "change"  // of the configuration
+	KindRelease     Kind = "release" // a new member joins, and an old one drains and leaves
+	KindKill        Kind = "kill"    // SIGKILL, a pause, and a new start
+	KindFreeze      Kind = "freeze"  // SIGSTOP, and SIGCONT after a while
+	KindCrash       Kind = "crash"   // a member crashes, and returns with its log
+	KindLag         Kind = "lag"     // a replica receives nothing for a while
+	KindLostAnswers Kind = "silence" // answers to some of the next writes are lost
 )
 
 // IsFault says whether events of this kind are not planned.
 func (k Kind) IsFault() bool {
-	return k == KindKill || k == KindFreeze || k == KindCrash || k == KindLag || k == KindSilence
+	return k == KindKill || k == KindFreeze || k == KindCrash || k == KindLag || k == KindLostAnswers
 }
 
 // Change is how an operator's change of the configuration is made.
@@ -38,33 +38,33 @@
 
 // Changes of the configuration.
 const (
-	ChangeReplace  Change = "replace"
-	ChangeAmend    Change = "amend"
-	ChangeRivals   Change = "rivals" // two operators send different changes on one base
-	ChangeUnknown  Change = "invalid: unknown service"
-	ChangeTimeout  Change = "invalid: no time-out"
-	ChangeTwice    Change = "invalid: a route twice"
-	ChangeOld      Change = "invalid: version is not higher"
-	ChangeUnending Change = "invalid: cut short"
+	ChangeReplace        Change = "replace"
+	ChangeAmend          Change = "amend"
+	ChangeConflicting    Change = "rivals" // two operators send different changes on one base
+	ChangeUnknown        Change = "invalid: unknown service"
+	ChangeTimeout        Change = "invalid: no time-out"
+	ChangeDuplicateRoute Change = "invalid: a route twice"
+	ChangeStaleVersion   Change = "invalid: version is not higher"
+	ChangeTruncated      Change = "invalid: cut short"
 )
 
 // IsInvalid says whether the change must never be taken.
 func (c Change) IsInvalid() bool { return strings.HasPrefix(string(c), "invalid") }
 
 var (
-	validChanges   = []Change{ChangeReplace, ChangeAmend, ChangeAmend, ChangeRivals}
-	invalidChanges = []Change{ChangeUnknown, ChangeTimeout, ChangeTwice, ChangeOld, ChangeUnending}
+	validChanges   = []Change{ChangeReplace, ChangeAmend, ChangeAmend, ChangeConflicting}
+	invalidChanges = []Change{ChangeUnknown, ChangeTimeout, ChangeDuplicateRoute, ChangeStaleVersion, ChangeTruncated}
 )
 
 // Event is one of a schedule.
 type Event struct {
-	At      time.Duration // from the schedule's begin
-	Kind    Kind
-	Targets []string      // processes; for members "primary" or "replica", which is looked up when the event comes
-	Apart   time.Duration // between two targets' turns; 0: all at once
-	Lasts   time.Duration // the pause before a new start, or the fault
-	Times   int           // signals of a series
-	Change  Change
+	At       time.Duration // from the schedule's begin
+	Kind     Kind
+	Targets  []string      // processes; for members "primary" or "replica", which is looked up when the event comes
+	Interval time.Duration // between two targets' turns; 0: all at once
+	Duration time.Duration // the pause before a new start, or the fault
+	Times    int           // signals of a series
+	Change   Change
 }
 
 // String is a line of a printed schedule.
@@ -79,11 +79,11 @@
 	if e.Times > 0 {
 		text += fmt.Sprintf(" %d times", e.Times)
 	}
-	if e.Apart > 0 {
-		text += fmt.Sprintf(" each %v apart", e.Apart)
+	if e.Interval > 0 {
+		text += fmt.Sprintf(" each %v apart", e.Interval)
 	}
-	if e.Lasts > 0 {
-		text += fmt.Sprintf(" for %v", e.Lasts)
+	if e.Duration > 0 {
+		text += fmt.Sprintf(" for %v", e.Duration)
 	}
 	return text
 }
@@ -102,17 +102,17 @@
 
 // Schedule is what is played in a soak.
 type Schedule struct {
-	Seed    uint64
-	Shape   Shape
-	Planned bool // there is planned work alone
-	Events  []Event
+	Seed        uint64
+	Shape       Shape
+	PlannedOnly bool // there is planned work alone
+	Events      []Event
 }
 
 // String prints the schedule.
 func (s Schedule) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "seed %d: %d cores, %d fronts, %d clients, planned work alone: %v\n",
-		s.Seed, s.Shape.Cores, s.Shape.Fronts, s.Shape.Clients, s.Planned)
+		s.Seed, s.Shape.Cores, s.Shape.Fronts, s.Shape.Clients, s.PlannedOnly)
 	for _, e := range s.Events {
 		fmt.Fprintln(&b, e)
 	}
@@ -121,39 +121,39 @@
 
 // Times of events.
 const (
-	catchupTime     = 4 * time.Second // in which a core machine that is back counts as lost
-	maxRestart      = 2 * time.Second // of a process that gets SIGTERM
-	drainTime       = 8 * time.Second // from a member's drain until it leaves: drainMs and a little longer
-	memberRest      = 3 * time.Second // between two faults of members
-	shortestFault   = 100 * time.Millisecond
-	longestFreeze   = 3 * time.Second
-	longestPause    = 1500 * time.Millisecond
-	longestMember   = 4 * time.Second
-	longestHangGap  = 150 * time.Millisecond
-	mostHangups     = 6
-	mostLostAnswers = 5
-	plannedPart     = 0.5 // of the seeds
-	invalidPart     = 0.35
-	corePart        = 0.2 // of the signals that go to core machines
-	rollingPart     = 0.25
-	allCoresPart    = 0.25             // of the kills of core machines
-	rollCoresOver   = 40 * time.Second // horizons that have the time for a core's roll
-	mostAtOnceParts = 2                // at most one in so many fronts at once, but two at least
+	catchupTime         = 4 * time.Second // in which a core machine that is back counts as lost
+	maxRestartTime      = 2 * time.Second // of a process that gets SIGTERM
+	drainTime           = 8 * time.Second // from a member's drain until it leaves: drainMs and a little longer
+	memberFaultGap      = 3 * time.Second // between two faults of members
+	minFault            = 100 * time.Millisecond
+	maxFreeze           = 3 * time.Second
+	maxPause            = 1500 * time.Millisecond
+	maxMemberFault      = 4 * time.Second
+	maxHangupInterval   = 150 * time.Millisecond
+	maxHangups          = 6
+	maxLostAnswers      = 5
+	plannedProbability  = 0.5 // of the seeds
+	invalidProbability  = 0.35
+	coreProbability     = 0.2 // of the signals that go to core machines
+	rollingProbability  = 0.25
+	allCoresProbability = 0.25             // of the kills of core machines
+	minRollingHorizon   = 40 * time.Second // horizons that have the time for a core's roll
+	frontsDivisor       = 2                // at most one in so many fronts at once, but two at least
 )
 
 // drawer draws a schedule.
-type drawer struct {
-	random     *rand.Rand
-	schedule   *Schedule
-	coreFree   time.Duration // when no core machine is disturbed any more
-	memberFree time.Duration // when no member crashes or is replaced any more
-	lagFree    time.Duration // when all replicas receive
+type generator struct {
+	random       *rand.Rand
+	schedule     *Schedule
+	coreFreeAt   time.Duration // when no core machine is disturbed any more
+	memberFreeAt time.Duration // when no member crashes or is replaced any more
+	lagFreeAt    time.Duration // when all replicas receive
 }
 
 // Draw draws the schedule of a seed.
-func Draw(seed uint64, shape Shape) Schedule {
-	d := &drawer{random: rand.New(rand.NewPCG(seed, 0)), schedule: &Schedule{Seed: seed, Shape: shape}}
-	d.schedule.Planned = d.random.Float64() < plannedPart
+func Generate(seed uint64, shape Shape) Schedule {
+	d := &generator{random: rand.New(rand.NewPCG(seed, 0)), schedule: &Schedule{Seed: seed, Shape: shape}}
+	d.schedule.PlannedOnly = d.random.Float64() < plannedProbability
 	for at := d.gap(); at < shape.Horizon; at += d.gap() {
 		if e, ok := d.event(at); ok {
 			d.schedule.Events = append(d.schedule.Events, e)
@@ -163,20 +163,20 @@
 }
 
 // gap draws the time to the next event: many are close to each other.
-func (d *drawer) gap() time.Duration {
+func (d *generator) gap() time.Duration {
 	return (time.Duration(d.random.ExpFloat64() * float64(d.schedule.Shape.MeanGap))).Round(10 * time.Millisecond)
 }
 
-func (d *drawer) between(low, high time.Duration) time.Duration {
+func (d *generator) randomDuration(low, high time.Duration) time.Duration {
 	return (low + time.Duration(d.random.Int64N(int64(high-low)))).Round(10 * time.Millisecond)
 }
 
 // event draws an event; ok is false where what it would disturb is disturbed by another one.
-func (d *drawer) event(at time.Duration) (e Event, ok bool) {
+func (d *generator) event(at time.Duration) (e Event, ok bool) {
 	kinds := []Kind{KindRestart, KindRestart, KindRestart, KindHangup, KindHangup, KindChange, KindChange, KindChange,
 		KindRelease}
-	if !d.schedule.Planned {
-		kinds = append(kinds, KindKill, KindKill, KindFreeze, KindFreeze, KindCrash, KindCrash, KindLag, KindSilence)
+	if !d.schedule.PlannedOnly {
+		kinds = append(kinds, KindKill, KindKill, KindFreeze, KindFreeze, KindCrash, KindCrash, KindLag, KindLostAnswers)
 	}
 	e = Event{At: at, Kind: kinds[d.random.IntN(len(kinds))]}
 	switch e.Kind {
@@ -184,11 +184,11 @@
 		e.Change = d.change()
 		return e, true
 	case KindHangup:
-		e.Targets, e.Times = d.anyProcesses(), 1+d.random.IntN(mostHangups)
-		e.Apart = d.between(10*time.Millisecond, longestHangGap)
+		e.Targets, e.Times = d.anyProcesses(), 1+d.random.IntN(maxHangups)
+		e.Interval = d.randomDuration(10*time.Millisecond, maxHangupInterval)
 		return e, true
-	case KindSilence:
-		e.Times = 1 + d.random.IntN(mostLostAnswers)
+	case KindLostAnswers:
+		e.Times = 1 + d.random.IntN(maxLostAnswers)
 		return e, true
 	case KindCrash, KindLag, KindRelease:
 		return d.memberEvent(e)
@@ -196,77 +196,77 @@
 	return d.processEvent(e)
 }
 
-func (d *drawer) change() Change {
-	if d.random.Float64() < invalidPart {
+func (d *generator) change() Change {
+	if d.random.Float64() < invalidProbability {
 		return invalidChanges[d.random.IntN(len(invalidChanges))]
 	}
 	return validChanges[d.random.IntN(len(validChanges))]
 }
 
 // memberEvent completes an event of members. One at a time crashes or is replaced; a replica may lag meanwhile.
-func (d *drawer) memberEvent(e Event) (Event, bool) {
-	free := &d.memberFree
+func (d *generator) memberEvent(e Event) (Event, bool) {
+	freeAt := &d.memberFreeAt
 	if e.Kind == KindLag {
-		free = &d.lagFree
+		freeAt = &d.lagFreeAt
 	}
-	if e.At < *free {
+	if e.At < *freeAt {
 		return e, false
 	}
-	e.Targets, e.Lasts = []string{targetReplica}, d.between(shortestFault, longestMember)
+	e.Targets, e.Duration = []string{targetReplica}, d.randomDuration(minFault, maxMemberFault)
 	if e.Kind != KindLag && d.random.IntN(2) == 0 {
 		e.Targets = []string{targetPrimary}
 	}
 	if e.Kind == KindRelease {
-		e.Lasts = drainTime
+		e.Duration = drainTime
 	}
-	*free = e.At + e.Lasts + memberRest
+	*freeAt = e.At + e.Duration + memberFaultGap
 	return e, true
 }
 
 // processEvent completes a restart, a kill or a freeze.
-func (d *drawer) processEvent(e Event) (Event, bool) {
-	e.Lasts = d.between(shortestFault, longestPause)
+func (d *generator) processEvent(e Event) (Event, bool) {
+	e.Duration = d.randomDuration(minFault, maxPause)
 	if e.Kind == KindFreeze {
-		e.Lasts = d.between(shortestFault, longestFreeze)
+		e.Duration = d.randomDuration(minFault, maxFreeze)
 	}
-	if d.random.Float64() < corePart {
+	if d.random.Float64() < coreProbability {
 		return d.coreEvent(e)
 	}
 	e.Targets = d.fronts()
-	if len(e.Targets) > 1 && e.Kind == KindRestart && d.random.Float64() < rollingPart {
-		e.Apart = d.between(shortestFault, longestPause)
+	if len(e.Targets) > 1 && e.Kind == KindRestart && d.random.Float64() < rollingProbability {
+		e.Interval = d.randomDuration(minFault, maxPause)
 	}
 	return e, true
 }
 
 // coreEvent completes an event of core machines: one at a time, all of them in turn, or a kill of all at once.
-func (d *drawer) coreEvent(e Event) (Event, bool) {
-	if e.At < d.coreFree {
+func (d *generator) coreEvent(e Event) (Event, bool) {
+	if e.At < d.coreFreeAt {
 		return e, false
 	}
 	shape := d.schedule.Shape
-	turn := e.Lasts + maxRestart + catchupTime
-	if e.Kind == KindKill && d.random.Float64() < allCoresPart {
+	recovery := e.Duration + maxRestartTime + catchupTime
+	if e.Kind == KindKill && d.random.Float64() < allCoresProbability {
 		for n := range shape.Cores {
 			e.Targets = append(e.Targets, fmt.Sprint(prefixCore, n))
 		}
-		d.coreFree = e.At + turn
+		d.coreFreeAt = e.At + recovery
 		return e, true
 	}
-	if e.Kind == KindRestart && shape.Horizon > rollCoresOver && d.random.Float64() < rollingPart {
+	if e.Kind == KindRestart && shape.Horizon > minRollingHorizon && d.random.Float64() < rollingProbability {
 		for _, n := range d.random.Perm(shape.Cores) {
 			e.Targets = append(e.Targets, fmt.Sprint(prefixCore, n))
 		}
-		e.Apart = turn
+		e.Interval = recovery
 	} else {
 		e.Targets = []string{fmt.Sprint(prefixCore, d.random.IntN(shape.Cores))}
 	}
-	d.coreFree = e.At + time.Duration(len(e.Targets))*turn
+	d.coreFreeAt = e.At + time.Duration(len(e.Targets))*recovery
 	return e, true
 }
 
 // fronts draws a proxy, an agent, or some machines with both.
-func (d *drawer) fronts() []string {
+func (d *generator) fronts() []string {
 	shape := d.schedule.Shape
 	n := d.random.IntN(shape.Fronts)
 	switch d.random.IntN(5) {
@@ -276,8 +276,8 @@
 		return []string{fmt.Sprint(prefixAgent, n)}
 	}
 	count := 1
-	if most := min(max(2, shape.Fronts/mostAtOnceParts), shape.Fronts); most > 1 {
-		count += d.random.IntN(most)
+	if limit := min(max(2, shape.Fronts/frontsDivisor), shape.Fronts); limit > 1 {
+		count += d.random.IntN(limit)
 	}
 	var names []string
 	for _, n := range d.random.Perm(shape.Fronts)[:count] {
@@ -287,9 +287,9 @@
 }
 
 // anyProcesses draws processes of any kind.
-func (d *drawer) anyProcesses() []string {
+func (d *generator) anyProcesses() []string {
 	names := d.fronts()
-	if d.random.Float64() < corePart {
+	if d.random.Float64() < coreProbability {
 		names = append(names, fmt.Sprint(prefixCore, d.random.IntN(d.schedule.Shape.Cores)))
 	}
 	slices.Sort(names)
--- a/internal/standin/soak/soak_test.go
+++ b/internal/standin/soak/soak_test.go
@@ -12,14 +12,14 @@
 )
 
 var (
-	seeds   = flag.Int("soak.seeds", 3, "how many seeds TestSoak plays")
-	first   = flag.Uint64("soak.first", 1, "the first seed")
-	cores   = flag.Int("soak.cores", 3, "core machines")
-	fronts  = flag.Int("soak.fronts", 3, "machines with an agent and a proxy")
-	clients = flag.Int("soak.clients", 12, "sessions that are open at a time")
-	horizon = flag.Duration("soak.horizon", 10*time.Second, "the time in which events begin")
-	meanGap = flag.Duration("soak.gap", 700*time.Millisecond, "the mean time between two events")
-	keep    = flag.String("soak.keep", "", "folder for the logs of seeds that fail")
+	seeds     = flag.Int("soak.seeds", 3, "how many seeds TestSoak plays")
+	firstSeed = flag.Uint64("soak.first", 1, "the first seed")
+	cores     = flag.Int("soak.cores", 3, "core machines")
+	fronts    = flag.Int("soak.fronts", 3, "machines with an agent and a proxy")
+	clients   = flag.Int("soak.clients", 12, "sessions that are open at a time")
+	horizon   = flag.Duration("soak.horizon", 10*time.Second, "the time in which events begin")
+	meanGap   = flag.Duration("soak.gap", 700*time.Millisecond, "the mean time between two events")
+	keepDir   = flag.String("soak.keep", "", "folder for the logs of seeds that fail")
 )
 
 func TestMain(m *testing.M) { os.Exit(cluster.Main(m)) }
@@ -30,38 +30,38 @@
 
 // Signals, restarts, faults and changes come in series and overlap, while clients use their connections until the end.
 func TestSoak(t *testing.T) {
-	for seed := *first; seed < *first+uint64(*seeds); seed++ {
+	for seed := *firstSeed; seed < *firstSeed+uint64(*seeds); seed++ {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
-			s := Draw(seed, shape())
+			s := Generate(seed, shape())
 			began := time.Now()
 			r := Run(t, s)
 			t.Logf("seed %d: %d processes, %d events, %d changes acknowledged, recovered in %v, %d MB, %d files, "+
 				"%d goroutines, %v in all; %v; not judged as the machine was busy: %d (starved for %v)", seed, r.Processes, len(s.Events), r.Changes,
-				r.Recovered.Round(time.Millisecond), r.MemoryMB, r.MostFiles, r.Goroutines,
-				time.Since(began).Round(time.Second), r.Operations, len(r.Unjudged),
+				r.Recovered.Round(time.Millisecond), r.MemoryMB, r.MaxFiles, r.MaxGoroutines,
+				time.Since(began).Round(time.Second), r.Operations, len(r.Excused),
 				r.Starved.Round(time.Millisecond))
 			switch {
 			case r.Violations != "":
 				t.Errorf("seed %d\n%s\n%s\n%s", seed, r.Violations, s, r.Log)
-				save(t, seed, r)
+				saveLogs(t, seed, r)
 			case testing.Verbose():
-				t.Logf("%s\n%s\nnot judged: %v", s, r.Log, r.Unjudged)
+				t.Logf("%s\n%s\nnot judged: %v", s, r.Log, r.Excused)
 			}
 		})
 	}
 }
 
 // save keeps the processes' logs of a seed that failed.
-func save(t *testing.T, seed uint64, r Result) {
+func saveLogs(t *testing.T, seed uint64, r Result) {
 	t.Helper()
-	if *keep == "" {
+	if *keepDir == "" {
 		return
 	}
-	dir := filepath.Join(*keep, fmt.Sprint("seed", seed))
+	dir := filepath.Join(*keepDir, fmt.Sprint("seed", seed))
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		t.Fatal(err)
 	}
-	for name, text := range r.Processlog {
+	for name, text := range r.ProcessLogs {
 		if err := os.WriteFile(filepath.Join(dir, name+".log"), []byte(text), 0o644); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/standin/soak/starvation.go
+++ b/internal/standin/soak/starvation.go
@@ -16,19 +16,19 @@
 )
 
 const (
-	starvationInterval = 250 * time.Millisecond
-	processesAtOnce    = 50 // that are sampled in an interval
+	starvationInterval   = 250 * time.Millisecond
+	processesPerInterval = 50 // that are sampled in an interval
 	// starvedPart is the part of an interval for which a thread waits for a processor where it counts as starved.
-	starvedPart = 0.6
+	starvedFraction = 0.6
 	// killTime is in which a process that gets SIGKILL is gone, unless a thread of it waits for a processor.
-	killTime = 500 * time.Millisecond
-	ownName  = "the test's process" // which is also clients, members and the platform
+	killTime    = 500 * time.Millisecond
+	testProcess = "the test's process" // which is also clients, members and the platform
 )
 
 // thread is what the kernel tells of a thread's scheduling.
 type thread struct {
 	ran, waited time.Duration // in all
-	turns       uint64
+	timeslices  uint64
 	ready       bool // it runs, or waits for a processor
 }
 
@@ -40,19 +40,19 @@
 
 type span struct{ from, to time.Time }
 
-func (s *starvation) note(name string, from, to time.Time) {
+func (s *starvation) record(name string, from, to time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.spans[name] = append(s.spans[name], span{from, to})
 }
 
 // of says whether a process, or the test's own, was starved in a span of time.
-func (s *starvation) of(name string, from, to time.Time) bool {
+func (s *starvation) overlaps(name string, from, to time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, who := range []string{name, ownName} {
-		for _, x := range s.spans[who] {
-			if x.from.Before(to) && x.to.After(from) {
+	for _, process := range []string{name, testProcess} {
+		for _, starved := range s.spans[process] {
+			if starved.from.Before(to) && starved.to.After(from) {
 				return true
 			}
 		}
@@ -64,8 +64,8 @@
 func (s *starvation) total(name string) (sum time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, x := range s.spans[name] {
-		sum += x.to.Sub(x.from)
+	for _, starved := range s.spans[name] {
+		sum += starved.to.Sub(starved.from)
 	}
 	return sum
 }
@@ -73,18 +73,18 @@
 // watchStarvation samples the threads of all processes until the context ends.
 func (r *run) watchStarvation(ctx context.Context) {
 	threads, sampled := map[string]map[string]thread{}, time.Now()
-	interval := starvationInterval * time.Duration(1+2*r.shape.Fronts/processesAtOnce)
-	bound := time.Duration(starvedPart * float64(interval))
+	interval := starvationInterval * time.Duration(1+2*r.shape.Fronts/processesPerInterval)
+	bound := time.Duration(starvedFraction * float64(interval))
 	for ; ctx.Err() == nil; pause(ctx, interval) {
 		now, next := time.Now(), map[string]map[string]thread{}
-		pids := map[string]int{ownName: os.Getpid()}
+		pids := map[string]int{testProcess: os.Getpid()}
 		for _, name := range r.deployment.Running() {
 			pids[name] = r.deployment.PID(name)
 		}
 		for name, pid := range pids {
 			next[name] = threadsOf(pid)
 			if longest := longestWait(threads[name], next[name], now.Sub(sampled)); longest > bound {
-				r.starved.note(name, sampled.Add(-max(0, longest-now.Sub(sampled))), now)
+				r.starved.record(name, sampled.Add(-max(0, longest-now.Sub(sampled))), now)
 			}
 		}
 		threads, sampled = next, now
@@ -94,13 +94,13 @@
 // longestWait is the longest that a thread waited for a processor between two samples.
 func longestWait(before, after map[string]thread, interval time.Duration) (longest time.Duration) {
 	for id, now := range after {
-		then, known := before[id]
+		previous, known := before[id]
 		switch {
 		case !known:
-		case then.ready && now.ready && then.turns == now.turns && then.ran == now.ran:
+		case previous.ready && now.ready && previous.timeslices == now.timeslices && previous.ran == now.ran:
 			longest = max(longest, interval) // the kernel counts a wait once it is over
 		default:
-			longest = max(longest, now.waited-then.waited)
+			longest = max(longest, now.waited-previous.waited)
 		}
 	}
 	return longest
@@ -118,7 +118,7 @@
 			continue
 		}
 		threads[filepath.Base(folder)] = thread{ran: nanoseconds(fields[0]), waited: nanoseconds(fields[1]),
-			turns: uint64(nanoseconds(fields[2])), ready: processState(string(stat)) == "R"}
+			timeslices: uint64(nanoseconds(fields[2])), ready: processState(string(stat)) == "R"}
 	}
 	return threads
 }
--- a/internal/util/ci/docs_test.go
+++ b/internal/util/ci/docs_test.go
@@ -13,7 +13,7 @@
 
 var (
 	quoted     = regexp.MustCompile("`([^`]+)`")
-	place      = regexp.MustCompile(`^(internal|cmd|docs|deploy|logic|tools)/[\w./-]+$`)
+	sourcePath = regexp.MustCompile(`^(internal|cmd|docs|deploy|logic|tools)/[\w./-]+$`)
 	qualified  = regexp.MustCompile(`^[A-Za-z]+(\.[A-Za-z]+)+$`)
 	identifier = regexp.MustCompile(`[A-Za-z_]\w*`)
 	fileName   = regexp.MustCompile(`\.(go|md|toml|hcl|yml|mod)$`)
@@ -25,7 +25,7 @@
 
 // What the pages for newcomers point at is there: folders and files, and what is named as one part of another
 // (`Controller.Step`) is a name in the code.
-func TestPagesPointAtWhatIsThere(t *testing.T) {
+func TestPagesReferToExistingCode(t *testing.T) {
 	names := identifiers(t)
 	for _, page := range []string{"README.md", "docs/ARCHITECTURE.md", "docs/glossary.md", "docs/CONTRIBUTING.md"} {
 		t.Run(page, func(t *testing.T) {
@@ -34,8 +34,8 @@
 				t.Fatal(err)
 			}
 			for _, line := range strings.Split(string(text), "\n") {
-				for _, word := range quoted.FindAllStringSubmatch(pointing(page, line), -1) {
-					check(t, names, word[1])
+				for _, word := range quoted.FindAllStringSubmatch(referringPart(page, line), -1) {
+					checkReference(t, names, word[1])
 				}
 			}
 		})
@@ -43,17 +43,17 @@
 }
 
 // pointing is the part of a line that points into the code: of the glossary's tables the last column.
-func pointing(page, line string) string {
+func referringPart(page, line string) string {
 	if cells := strings.Split(line, "|"); page == "docs/glossary.md" && len(cells) > 2 {
 		return cells[len(cells)-2]
 	}
 	return line
 }
 
-func check(t *testing.T, names map[string]bool, word string) {
+func checkReference(t *testing.T, names map[string]bool, word string) {
 	t.Helper()
 	switch {
-	case place.MatchString(word):
+	case sourcePath.MatchString(word):
 		if _, err := os.Stat(filepath.Join(root, word)); err != nil && !strings.Contains(word, "...") {
 			t.Errorf("%s: no such place", word)
 		}
@@ -65,7 +65,7 @@
 }
 
 // A command that a page gives runs something: its pattern matches a test of the folder, and the test reads the variable.
-func TestCommandsOfPagesRunTests(t *testing.T) {
+func TestDocumentedCommandsRunTests(t *testing.T) {
 	pages, err := filepath.Glob(filepath.Join(root, "docs", "*.md"))
 	if err != nil || len(pages) == 0 {
 		t.Fatal(pages, err)
--- a/internal/util/ci/knownred_test.go
+++ b/internal/util/ci/knownred_test.go
@@ -41,41 +41,41 @@
 // Only listed tests may fail: any other failure, and any list that isn't exact, is an error.
 func TestKnownRed(t *testing.T) {
 	for name, c := range map[string]struct {
-		list, b string // b replaces package b's file
-		pass    bool
-		says    string
+		list, b    string // b replaces package b's file
+		pass       bool
+		wantOutput string
 	}{
-		"no list":                       {says: "TestRed"},
-		"all that fail are listed":      {list: red + panics, pass: true, says: "a known panic"},
-		"a panic is not":                {list: red, says: "a known panic"},
-		"a failure beside it is not":    {list: panics, says: "a known fault"},
-		"its name in another package":   {list: red + panics, b: otherRed, says: "nobody listed this one"},
-		"a package that does not build": {list: red + panics, b: noBuild, says: "sample/b"},
-		"one that passes is told":       {list: red + panics + good, pass: true, says: "sample/a.TestGood passed"},
-		"four, the last line unended":   {list: red + panics + good + goodOfB, pass: true, says: "sample/b.TestGood passed"},
-		"what was seen is printed":      {list: red + panics, pass: true, says: "seen: the index is off by one"},
-		"a test twice":                  {list: red + panics + good + good, says: "line 17: sample/a.TestGood is named twice"},
-		"no such test":                  {list: red + strings.Replace(panics, "TestPanic", "TestPan", 1), says: "no test TestPan"},
-		"no such package":               {list: strings.Replace(red, "/a", "/c", 1), says: "no package sample/c"},
-		"no command":                    {list: without(red, "command"), says: "line 2 is not 'command: ...'"},
-		"nothing seen":                  {list: without(red, "seen"), says: "line 3 is not 'seen: ...'"},
-		"an empty line for it":          {list: strings.Replace(red, "the store forgets", " ", 1), says: "line 3 is not 'seen: ...'"},
-		"no issue at the end":           {list: without(red, "issue"), says: "line 3: the entry ends without 'issue: ...'"},
-		"no issue before another":       {list: without(red, "issue") + panics, says: "the entry ends without 'issue: ...'"},
-		"an issue without a number":     {list: strings.Replace(red, "7", "soon", 1), says: "line 4 is not 'issue: ...'"},
-		"a seed that is no number":      {list: red + strings.Replace(panics, "4", "four", 1), says: "line 8 is not 'seed: ...'"},
-		"entries that are not apart":    {list: red + strings.TrimSpace(panics), says: "line 5: more than an entry has"},
-		"no test":                       {list: without(red, "test"), says: "line 1 is not 'test: ...'"},
-		"a pattern":                     {list: strings.Replace(red, "TestRed", "Test.*", 1), says: "line 1 is not 'test: ...'"},
-		"the older form":                {list: "sample/a.TestRed, the store forgets, issue 7\n", says: "line 1 is not 'test: ...'"},
-		"a list of a blank":             {list: " \n", says: "line 1 is not 'test: ...'"},
-		"an empty list":                 {list: "\n", says: "is empty"},
+		"no list":                       {wantOutput: "TestRed"},
+		"all that fail are listed":      {list: red + panics, pass: true, wantOutput: "a known panic"},
+		"a panic is not":                {list: red, wantOutput: "a known panic"},
+		"a failure beside it is not":    {list: panics, wantOutput: "a known fault"},
+		"its name in another package":   {list: red + panics, b: otherRed, wantOutput: "nobody listed this one"},
+		"a package that does not build": {list: red + panics, b: noBuild, wantOutput: "sample/b"},
+		"one that passes is told":       {list: red + panics + good, pass: true, wantOutput: "sample/a.TestGood passed"},
+		"four, the last line unended":   {list: red + panics + good + goodOfB, pass: true, wantOutput: "sample/b.TestGood passed"},
+		"what was seen is printed":      {list: red + panics, pass: true, wantOutput: "seen: the index is off by one"},
+		"a test twice":                  {list: red + panics + good + good, wantOutput: "line 17: sample/a.TestGood is named twice"},
+		"no such test":                  {list: red + strings.Replace(panics, "TestPanic", "TestPan", 1), wantOutput: "no test TestPan"},
+		"no such package":               {list: strings.Replace(red, "/a", "/c", 1), wantOutput: "no package sample/c"},
+		"no command":                    {list: without(red, "command"), wantOutput: "line 2 is not 'command: ...'"},
+		"nothing seen":                  {list: without(red, "seen"), wantOutput: "line 3 is not 'seen: ...'"},
+		"an empty line for it":          {list: strings.Replace(red, "the store forgets", " ", 1), wantOutput: "line 3 is not 'seen: ...'"},
+		"no issue at the end":           {list: without(red, "issue"), wantOutput: "line 3: the entry ends without 'issue: ...'"},
+		"no issue before another":       {list: without(red, "issue") + panics, wantOutput: "the entry ends without 'issue: ...'"},
+		"an issue without a number":     {list: strings.Replace(red, "7", "soon", 1), wantOutput: "line 4 is not 'issue: ...'"},
+		"a seed that is no number":      {list: red + strings.Replace(panics, "4", "four", 1), wantOutput: "line 8 is not 'seed: ...'"},
+		"entries that are not apart":    {list: red + strings.TrimSpace(panics), wantOutput: "line 5: more than an entry has"},
+		"no test":                       {list: without(red, "test"), wantOutput: "line 1 is not 'test: ...'"},
+		"a pattern":                     {list: strings.Replace(red, "TestRed", "Test.*", 1), wantOutput: "line 1 is not 'test: ...'"},
+		"the older form":                {list: "sample/a.TestRed, the store forgets, issue 7\n", wantOutput: "line 1 is not 'test: ...'"},
+		"a list of a blank":             {list: " \n", wantOutput: "line 1 is not 'test: ...'"},
+		"an empty list":                 {list: "\n", wantOutput: "is empty"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			out, err := runScript(t, "test", c.list, c.b)
-			if (err == nil) != c.pass || !strings.Contains(out, c.says) {
-				t.Errorf("passes: %v, want %v; output lacks %q or not:\n%s", err == nil, c.pass, c.says, out)
+			if (err == nil) != c.pass || !strings.Contains(out, c.wantOutput) {
+				t.Errorf("passes: %v, want %v; output lacks %q or not:\n%s", err == nil, c.pass, c.wantOutput, out)
 			}
 		})
 	}
@@ -83,22 +83,22 @@
 
 // The race detector's run passes over the listed tests and over no other.
 func TestRacePassesOverKnownRed(t *testing.T) {
-	elsewhere := strings.NewReplacer("sample/a", "sample/internal/controlplane/agent", "./a", "./internal/controlplane/agent")
+	inRacePackage := strings.NewReplacer("sample/a", "sample/internal/controlplane/agent", "./a", "./internal/controlplane/agent")
 	for name, c := range map[string]struct {
-		list string
-		pass bool
-		says string
+		list       string
+		pass       bool
+		wantOutput string
 	}{
-		"no list":                  {says: "a known fault"},
-		"all that fail are listed": {list: red + panics, pass: true, says: "sample/internal/util"},
-		"one is not":               {list: panics, says: "a known fault"},
-		"a malformed list":         {list: without(red, "issue") + panics, says: "the entry ends without 'issue: ...'"},
+		"no list":                  {wantOutput: "a known fault"},
+		"all that fail are listed": {list: red + panics, pass: true, wantOutput: "sample/internal/util"},
+		"one is not":               {list: panics, wantOutput: "a known fault"},
+		"a malformed list":         {list: without(red, "issue") + panics, wantOutput: "the entry ends without 'issue: ...'"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			out, err := runScript(t, "race", elsewhere.Replace(c.list), "")
-			if (err == nil) != c.pass || !strings.Contains(out, c.says) {
-				t.Errorf("passes: %v, want %v; output lacks %q or not:\n%s", err == nil, c.pass, c.says, out)
+			out, err := runScript(t, "race", inRacePackage.Replace(c.list), "")
+			if (err == nil) != c.pass || !strings.Contains(out, c.wantOutput) {
+				t.Errorf("passes: %v, want %v; output lacks %q or not:\n%s", err == nil, c.pass, c.wantOutput, out)
 			}
 		})
 	}
--- a/internal/util/commandqueue/commandqueue_test.go
+++ b/internal/util/commandqueue/commandqueue_test.go
@@ -54,10 +54,10 @@
 // a call that was given up is not held up by its reply.
 func TestCallGivesUp(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		size  int // 0: it waits to be queued; 1: for its reply
-		owner bool
-		want  error
+		name      string
+		size      int // 0: it waits to be queued; 1: for its reply
+		ownerEnds bool
+		want      error
 	}{
 		{"caller ends as it is queued", 0, false, context.Canceled},
 		{"caller ends as it waits", 1, false, context.Canceled},
@@ -70,7 +70,7 @@
 			caller, endCaller := context.WithCancel(t.Context())
 			defer endCaller()
 			q := New(owner, c.size)
-			if c.owner {
+			if c.ownerEnds {
 				endOwner()
 			} else {
 				endCaller()
--- a/internal/util/events/events.go
+++ b/internal/util/events/events.go
@@ -61,14 +61,14 @@
 	r.lines = append(r.lines, line)
 }
 
-func (r *recentLines) copied() []string {
+func (r *recentLines) snapshot() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]string(nil), r.lines...)
 }
 
 // plainArgs takes out of funcr's arguments what every line would repeat: the level, and the key of the event's number.
-var plainArgs = strings.NewReplacer(`"level"=0 `, "", `"msg"=`, "")
+var redundantArgs = strings.NewReplacer(`"level"=0 `, "", `"msg"=`, "")
 
 // New returns a log that writes to w, one line an event. name is the process's.
 func New(w io.Writer, name string) Log {
@@ -76,7 +76,7 @@
 	recent := &recentLines{}
 	start := time.Now()
 	logger := funcr.New(func(prefix, args string) {
-		line := fmt.Sprintf("%d %s %s", time.Since(start).Milliseconds(), prefix, plainArgs.Replace(args))
+		line := fmt.Sprintf("%d %s %s", time.Since(start).Milliseconds(), prefix, redundantArgs.Replace(args))
 		recent.add(line)
 		mu.Lock()
 		defer mu.Unlock()
@@ -113,7 +113,7 @@
 func message(event Event) string { return fmt.Sprintf("E%d", int(event)) }
 
 // Recent returns the lines that are kept, oldest first.
-func (l Log) Recent() []string { return l.recent.copied() }
+func (l Log) Recent() []string { return l.recent.snapshot() }
 
 // ServeHTTP answers with the recent lines; ?about=TEXT leaves out those that don't contain the text.
 func (l Log) ServeHTTP(w http.ResponseWriter, r *http.Request) {
--- a/internal/util/events/golden_test.go
+++ b/internal/util/events/golden_test.go
@@ -14,7 +14,7 @@
 )
 
 // Numbers are what programs and people find events by: none changes or goes.
-func TestNumbersStay(t *testing.T) {
+func TestNumbersAreStable(t *testing.T) {
 	want := "[101 102 103 104 105 106 201 202 203 204 205 206 207 208 209 210 211 212 301 302 303 401 402 403 404 405 406 407 " +
 		"501 502 601 602 603 701 702 703 704 705 801 802 803 901 902 903 1001 1002 1003 1004]"
 	if got := fmt.Sprint(slices.Sorted(maps.Keys(Catalogue))); got != want {
@@ -23,7 +23,7 @@
 }
 
 // The bytes of lines, but for the milliseconds at their start, and what GET /events gives of them.
-func TestLinesKeepTheirBytes(t *testing.T) {
+func TestLineFormat(t *testing.T) {
 	var b strings.Builder
 	l := New(&b, "core1")
 	l.Event(Stopping)
--- a/internal/util/events/figures.go
+++ b/internal/util/events/metrics.go
@@ -7,7 +7,7 @@
 )
 
 // Figures writes how often each event was logged; those that never were are left out.
-func Figures(log Log, set metrics.Set) {
+func WriteMetrics(log Log, set metrics.Set) {
 	for event := range Catalogue {
 		if n := log.Count(event); n > 0 {
 			set.Counter("weirwind_events_total", "Events that were logged: docs/events.md.", float64(n),
--- a/internal/util/idempotency/idempotency_test.go
+++ b/internal/util/idempotency/idempotency_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestWhatMayBeRetried(t *testing.T) {
+func TestMayRetry(t *testing.T) {
 	cause := errors.New("reset")
 	for _, c := range []struct {
 		name             string
--- a/internal/util/metrics/metrics.go
+++ b/internal/util/metrics/metrics.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	maxFetches   = 2               // at a time; more are answered 503
-	fetchTimeout = 2 * time.Second // for reading the figures
+	maxConcurrentScrapes = 2               // at a time; more are answered 503
+	scrapeTimeout        = 2 * time.Second // for reading the figures
 	// OwnerTimeout bounds a source's wait for an owner of state, whose figures are left out then.
 	OwnerTimeout  = time.Second
 	readTimeout   = 2 * time.Second // for a request
@@ -103,8 +103,8 @@
 	}
 	return promhttp.HandlerFor(registry, promhttp.HandlerOpts{
 		ErrorHandling:       promhttp.ContinueOnError,
-		MaxRequestsInFlight: maxFetches,
-		Timeout:             fetchTimeout,
+		MaxRequestsInFlight: maxConcurrentScrapes,
+		Timeout:             scrapeTimeout,
 	})
 }
 
--- a/internal/util/metrics/metrics_test.go
+++ b/internal/util/metrics/metrics_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-func fetch(t *testing.T, sources ...Source) string {
+func scrape(t *testing.T, sources ...Source) string {
 	t.Helper()
 	w := httptest.NewRecorder()
 	Handler(sources...).ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/metrics", nil))
@@ -21,14 +21,14 @@
 }
 
 // Figures come in Prometheus' text form, with their help and kinds, and as they are at each fetch.
-func TestFiguresAreReadAtEachFetch(t *testing.T) {
-	rises := 0.0
+func TestMetricsAreCollectedAtEachScrape(t *testing.T) {
+	scrapes := 0.0
 	var waits Histogram
 	source := func(set Set) {
-		rises++
+		scrapes++
 		waits.Observe(0.03)
 		waits.Observe(60)
-		set.Counter("weirwind_fetches_total", "Fetches.", rises)
+		set.Counter("weirwind_fetches_total", "Fetches.", scrapes)
 		set.Gauge("weirwind_slot_filled", "Slots.", 1, "service", "orders \"a\"")
 		set.Histogram("weirwind_wait_seconds", "Waits.", waits, "service", "s")
 	}
@@ -51,8 +51,8 @@
 }
 
 // A figure that is written twice, or with a bad label, costs the others nothing.
-func TestBadFiguresCostTheOthersNothing(t *testing.T) {
-	text := fetch(t, func(set Set) {
+func TestInvalidMetricsDoNotAffectOthers(t *testing.T) {
+	text := scrape(t, func(set Set) {
 		set.Gauge("weirwind_good", "Good.", 1)
 		set.Gauge("weirwind_twice", "Twice.", 1, "service", "s")
 		set.Gauge("weirwind_twice", "Twice.", 2, "service", "s")
--- a/internal/util/metrics/registered.go
+++ b/internal/util/metrics/registered.go
@@ -29,7 +29,7 @@
 
 // Registered is the source that writes what the process's registered sources write. A process has one role, so that no
 // figure comes from two of them.
-func Registered(set Set) {
+func CollectRegistered(set Set) {
 	registered.Lock()
 	sources := slices.Collect(maps.Values(registered.sources))
 	registered.Unlock()
--- a/internal/util/process/process.go
+++ b/internal/util/process/process.go
@@ -85,8 +85,8 @@
 	defer stop()
 	defer reloadOnHangup(line.settingsFile, role, log)()
 	if port, path, ok := splitMetrics(line.metrics); ok {
-		addr, untilTheEnd := net.JoinHostPort(set.IP, port), context.WithoutCancel(ctx)
-		if err := metrics.Serve(untilTheEnd, addr, path, metrics.Registered); err != nil {
+		addr, uncancelled := net.JoinHostPort(set.IP, port), context.WithoutCancel(ctx)
+		if err := metrics.Serve(uncancelled, addr, path, metrics.CollectRegistered); err != nil {
 			log.Error(events.MetricsFailed, err) // the role serves all the same
 		}
 	}
--- a/internal/util/process/processtest/processtest.go
+++ b/internal/util/process/processtest/processtest.go
@@ -17,7 +17,7 @@
 // Check runs a role's program with command lines that end before it serves. Its usage must be testdata/help.txt's
 // bytes. needs are the lines of a settings file that the role needs beyond the minimal ones; without them it must be
 // refused with lacking.
-func Check(t *testing.T, role process.Role, needs, lacking string) {
+func Check(t *testing.T, role process.Role, roleSettings, wantError string) {
 	t.Helper()
 	t.Setenv(settings.EnvVariable, "")
 	help, err := os.ReadFile("testdata/help.txt")
@@ -35,11 +35,11 @@
 		{"no settings file", "", nil, 2, string(help)},
 		{"an argument too many", "", []string{"-settings", file, "more"}, 2, string(help)},
 		{"an unknown flag", "", []string{"-wrong"}, 2, "flag provided but not defined: -wrong\n" + string(help)},
-		{"figures at no port", "", []string{"-settings", file, "-metrics", "metrics"}, 2, metricsOut(role, help)},
+		{"figures at no port", "", []string{"-settings", file, "-metrics", "metrics"}, 2, invalidMetricsOutput(role, help)},
 		{"a file that is not there", "", []string{"-check", "-settings", file + "s"}, 1, ""},
 		{"bad settings", "hostname=h\n", []string{"-check", "-settings", file}, 1, ""},
 		{"settings without what the role needs", minimal, []string{"-check", "-settings", file}, 1, ""},
-		{"settings", minimal + needs, []string{"-check", "-settings", file}, 0, "the settings can be served with\n"},
+		{"settings", minimal + roleSettings, []string{"-check", "-settings", file}, 0, "the settings can be served with\n"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if err := os.WriteFile(file, []byte(c.settings), 0o600); err != nil {
@@ -55,13 +55,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := role.Check(set); err == nil || err.Error() != lacking {
-		t.Errorf("%v, want %s", err, lacking)
+	if err := role.Check(set); err == nil || err.Error() != wantError {
+		t.Errorf("%v, want %s", err, wantError)
 	}
 }
 
 // metricsOut is what a role prints where its figures are to be served at a place that is none.
-func metricsOut(role process.Role, help []byte) string {
+func invalidMetricsOutput(role process.Role, help []byte) string {
 	if role.ServesMetrics {
 		return string(help)
 	}
--- a/internal/util/settings/golden_test.go
+++ b/internal/util/settings/golden_test.go
@@ -52,7 +52,7 @@
 }
 
 // What each text is read as, or the error that it gives, is as in testdata/settings.txt; GOLDEN=write records it anew.
-func TestReadKeepsItsValuesAndErrors(t *testing.T) {
+func TestReadMatchesRecordedResults(t *testing.T) {
 	var b strings.Builder
 	for _, c := range []struct{ name, text string }{
 		{"all keys", allKeys},
--- a/internal/util/settings/reader.go
+++ b/internal/util/settings/reader.go
@@ -76,17 +76,17 @@
 	return n
 }
 
-func (r *reader) integer(key string, otherwise int) int {
+func (r *reader) integer(key string, defaultValue int) int {
 	if value := r.text(key); value != "" {
 		return r.parseInteger(key, value)
 	}
-	return otherwise
+	return defaultValue
 }
 
-func (r *reader) number(key string, otherwise float64) float64 {
+func (r *reader) number(key string, defaultValue float64) float64 {
 	value := r.text(key)
 	if value == "" {
-		return otherwise
+		return defaultValue
 	}
 	number, err := strconv.ParseFloat(value, 64)
 	if err != nil || !(number >= 0) || number > maxNumber { // written so that NaN fails too
@@ -95,12 +95,12 @@
 	return number
 }
 
-func (r *reader) milliseconds(key string, otherwise float64) time.Duration {
-	return time.Duration(r.number(key, otherwise) * float64(time.Millisecond))
+func (r *reader) milliseconds(key string, defaultValue float64) time.Duration {
+	return time.Duration(r.number(key, defaultValue) * float64(time.Millisecond))
 }
 
-func (r *reader) seconds(key string, otherwise float64) time.Duration {
-	return time.Duration(r.number(key, otherwise) * float64(time.Second))
+func (r *reader) seconds(key string, defaultValue float64) time.Duration {
+	return time.Duration(r.number(key, defaultValue) * float64(time.Second))
 }
 
 // address reads an optional IP:port.
--- a/internal/util/transport/compress.go
+++ b/internal/util/transport/compress.go
@@ -25,7 +25,7 @@
 }
 
 // of returns the compressed form of a frame, always the same one; nil: it would not be shorter.
-func (c *compressed) of(frame []byte) []byte {
+func (c *compressed) form(frame []byte) []byte {
 	c.once.Do(func() {
 		var out bytes.Buffer
 		if err := flate.StatelessDeflate(&out, frame, true, nil); err == nil && out.Len() < len(frame) {
--- a/internal/util/transport/connect.go
+++ b/internal/util/transport/connect.go
@@ -22,7 +22,7 @@
 // called for each before its frames come, take for each frame, down when the link has ended. A link over which
 // nothing comes for idle is ended; 0: none is.
 func Serve[Frame any](ln net.Listener, idle time.Duration,
-	up func(*Link[Frame]), take func(*Link[Frame], *Frame), down func(*Link[Frame]),
+	onUp func(*Link[Frame]), onFrame func(*Link[Frame], *Frame), onDown func(*Link[Frame]),
 ) {
 	for {
 		conn, err := ln.Accept()
@@ -36,22 +36,22 @@
 		go func() {
 			SetUserTimeout(conn, userTimeout)
 			l := start[Frame](conn, conn.RemoteAddr().String())
-			up(l)
-			_ = l.read(idle, func(frame *Frame) { take(l, frame) })
-			down(l)
+			onUp(l)
+			_ = l.read(idle, func(frame *Frame) { onFrame(l, frame) })
+			onDown(l)
 		}()
 	}
 }
 
 // DialTimeout is how long the nth attempt to reach a peer, counted from 0, may take.
-func DialTimeout(nth int) time.Duration {
-	return min(initialDialTimeout<<min(nth, maxDialDoublings), maxDialTimeout)
+func DialTimeout(attempt int) time.Duration {
+	return min(initialDialTimeout<<min(attempt, maxDialDoublings), maxDialTimeout)
 }
 
 // Dial makes one link and reads it until it ends; the error, an *Error, says why it did. timeout bounds its making;
 // 0: the system's own timeout does. up is called when it stands.
 func Dial[Frame any](addr string, timeout, idle time.Duration,
-	up func(*Link[Frame]), take func(*Link[Frame], *Frame),
+	onUp func(*Link[Frame]), onFrame func(*Link[Frame], *Frame),
 ) error {
 	conn, err := net.DialTimeout("tcp4", addr, timeout)
 	if err != nil {
@@ -59,8 +59,8 @@
 	}
 	SetUserTimeout(conn, userTimeout)
 	l := start[Frame](conn, addr)
-	up(l)
-	if err := l.read(idle, func(frame *Frame) { take(l, frame) }); err != nil {
+	onUp(l)
+	if err := l.read(idle, func(frame *Frame) { onFrame(l, frame) }); err != nil {
 		return &Error{Step: StepRead, Peer: addr, Err: err}
 	}
 	return nil
@@ -77,22 +77,22 @@
 // KeepConnected keeps a link to a peer until ctx ends; it looks at ctx between two attempts only, so that whoever
 // ends ctx closes the link too. up is called for each link that stands, down when it has ended.
 func KeepConnected[Frame any](ctx context.Context, addr string, backoff Backoff,
-	up func(*Link[Frame]), take func(*Link[Frame], *Frame), down func(),
+	onUp func(*Link[Frame]), onFrame func(*Link[Frame], *Frame), onDown func(),
 ) {
-	pause := backoff.Initial
-	for nth := 0; ctx.Err() == nil; nth++ {
-		stood := false
-		_ = Dial(addr, backoff.DialTimeout(nth), 0, func(l *Link[Frame]) {
-			stood, pause, nth = true, backoff.Initial, 0
-			up(l)
-		}, take)
-		if stood {
-			down()
+	delay := backoff.Initial
+	for attempt := 0; ctx.Err() == nil; attempt++ {
+		connected := false
+		_ = Dial(addr, backoff.DialTimeout(attempt), 0, func(l *Link[Frame]) {
+			connected, delay, attempt = true, backoff.Initial, 0
+			onUp(l)
+		}, onFrame)
+		if connected {
+			onDown()
 		}
 		select {
-		case <-time.After(pause):
+		case <-time.After(delay):
 		case <-ctx.Done():
 		}
-		pause = min(2*pause, backoff.Max)
+		delay = min(2*delay, backoff.Max)
 	}
 }
--- a/internal/util/transport/frame.go
+++ b/internal/util/transport/frame.go
@@ -40,7 +40,7 @@
 // wire returns the frame's form on a link that compresses, or does not.
 func (e Encoded) wire(compress bool) wireFrame {
 	if e.compressed != nil && compress {
-		if short := e.compressed.of(e.bytes); short != nil {
+		if short := e.compressed.form(e.bytes); short != nil {
 			return wireFrame{uint32(len(short)) | compressedFlag, short}
 		}
 	}
--- a/internal/util/transport/golden_test.go
+++ b/internal/util/transport/golden_test.go
@@ -13,7 +13,7 @@
 
 // A link's bytes, plain and compressed, are those of testdata/frames.txt, and are read back as what was sent.
 // GOLDEN=write records them anew, which changes what processes of two versions say to each other.
-func TestFramingKeepsItsBytes(t *testing.T) {
+func TestFramingMatchesRecordedBytes(t *testing.T) {
 	var b strings.Builder
 	for _, sample := range []struct {
 		name  string
@@ -26,7 +26,7 @@
 		{"long", testFrame{Class: 2, Text: strings.Repeat(`"type":"primary",`, 1000)}},
 	} {
 		for _, compress := range []bool{false, true} {
-			raw := written(t, &sample.frame, compress)
+			raw := writtenBytes(t, &sample.frame, compress)
 			if len(raw) > 200 {
 				start := hex.EncodeToString(raw[:100])
 				fmt.Fprintf(&b, "%s, compress %v: %d bytes, %s...\n", sample.name, compress, len(raw), start)
@@ -50,7 +50,7 @@
 }
 
 // written gives the bytes that a link writes for a frame.
-func written(t *testing.T, f *testFrame, compress bool) []byte {
+func writtenBytes(t *testing.T, f *testFrame, compress bool) []byte {
 	t.Helper()
 	near, far := net.Pipe()
 	l := start[testFrame](near, "pipe")
--- a/internal/util/transport/link_test.go
+++ b/internal/util/transport/link_test.go
@@ -22,7 +22,7 @@
 func (f *testFrame) TrafficClass() uint8 { return f.Class }
 
 // serveOnce gives the address of a listener that answers each frame by the same one, counted into counters.
-func serveOnce(t *testing.T, counters *Counters) string {
+func serveEcho(t *testing.T, counters *Counters) string {
 	t.Helper()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -58,7 +58,7 @@
 	Convey("frames of two classes, one of them beyond the bound", t, func() {
 		var client, server Counters
 		frames := []testFrame{{Class: 3, Text: "abc"}, {Class: 5}, {Class: 3, Text: "abcdef"}, {Class: 200}}
-		back := exchange(t, serveOnce(t, &server), &client, frames)
+		back := exchange(t, serveEcho(t, &server), &client, frames)
 		So(back, ShouldResemble, frames)
 
 		size := func(f testFrame) uint64 { return uint64(prefixBytes + len(Encode(&f).bytes)) }
@@ -87,7 +87,7 @@
 			{Class: 3, Text: string(noise)},
 		}
 		var client, server Counters
-		So(exchange(t, serveOnce(t, &server), &client, frames), ShouldResemble, frames)
+		So(exchange(t, serveEcho(t, &server), &client, frames), ShouldResemble, frames)
 		So(client.Sent(1).Bytes, ShouldEqual, prefixBytes+len(Encode(&frames[0]).bytes))
 		So(client.Sent(2).Bytes, ShouldBeLessThan, len(frames[1].Text)/10)
 		So(client.Sent(3).Bytes, ShouldBeLessThanOrEqualTo, prefixBytes+len(Encode(&frames[2]).bytes))
@@ -101,7 +101,7 @@
 	})
 	Convey("a link whose peer has not said that it reads compressed frames", t, func() {
 		frame := testFrame{Class: 2, Text: strings.Repeat("abc", compressAbove)}
-		addr, counters, back := serveOnce(t, &Counters{}), Counters{}, testFrame{}
+		addr, counters, back := serveEcho(t, &Counters{}), Counters{}, testFrame{}
 		_ = Dial(addr, 0, 0, func(l *Link[testFrame]) {
 			l.SetCounters(&counters)
 			l.Send(&frame)
@@ -117,7 +117,7 @@
 // A peer that sends a few bytes which would become more than a frame may be, or bytes that are no compressed frame,
 // loses its link.
 func TestBadCompressedFramesEndTheLink(t *testing.T) {
-	bomb := (&compressed{}).of(bytes.Repeat([]byte{0}, maxFrameBytes+1))
+	bomb := (&compressed{}).form(bytes.Repeat([]byte{0}, maxFrameBytes+1))
 	Convey("frames that must not be taken", t, func() {
 		for name, frame := range map[string][]byte{
 			"longer than a frame": bomb,
@@ -168,11 +168,11 @@
 			c.Close()
 		}
 	}()
-	none := func(*Link[testFrame]) {}
-	take := func(*Link[testFrame], *testFrame) {}
-	ended := Dial(addr, 0, 0, none, take)
+	ignoreLink := func(*Link[testFrame]) {}
+	ignoreFrame := func(*Link[testFrame], *testFrame) {}
+	ended := Dial(addr, 0, 0, ignoreLink, ignoreFrame)
 	ln.Close()
-	refused := Dial(addr, 0, 0, none, take)
+	refused := Dial(addr, 0, 0, ignoreLink, ignoreFrame)
 	for _, c := range []struct {
 		err   error
 		step  Step
--- a/internal/util/transport/read.go
+++ b/internal/util/transport/read.go
@@ -12,7 +12,7 @@
 
 // read hands frames to take, one at a time, until the link ends, and returns why. The link ends where nothing came
 // for idle; 0: it may be idle for ever.
-func (l *Link[Frame]) read(idle time.Duration, take func(*Frame)) error {
+func (l *Link[Frame]) read(idle time.Duration, onFrame func(*Frame)) error {
 	defer l.Close()
 	var head [prefixBytes]byte
 	for {
@@ -33,7 +33,7 @@
 		if l.counters != nil {
 			l.counters.received[classOf(frame)].add(prefixBytes + length)
 		}
-		take(frame)
+		onFrame(frame)
 	}
 }
 
--- a/internal/weirctl/shardpage.go
+++ b/internal/weirctl/shardpage.go
@@ -32,7 +32,7 @@
 // renderPage is the progress as HTML: bytes moved and disk used over time, nodes, tasks.
 func renderPage(view *controlplane.ShardsView) string {
 	var b strings.Builder
-	b.WriteString(plot.Head + "<title>Shards</title>")
+	b.WriteString(plot.PageHeader + "<title>Shards</title>")
 	fmt.Fprintf(&b, "<h1>Shards, version %d</h1><p>%d bytes moved, %d hand-overs, closed for %s.</p>",
 		view.Map.Version, view.BytesMoved, len(view.WriteGapsMs), distribution(view.WriteGapsMs))
 	if len(view.Progress) > 1 {
