--- a/internal/standin/cluster/client.go
+++ b/internal/standin/cluster/client.go
@@ -1,6 +1,6 @@
 package cluster
 
-// This file owns what tests ask of a deployment: requests of operators, and sessions of clients.
+// This file has the requests that tests send to a deployment: operators' calls and clients' sessions.
 
 import (
 	"bytes"
@@ -16,26 +16,26 @@
 	"weirwind/internal/member/wire"
 )
 
-// Eventually waits for a condition and fails the test where it does not hold within 20 s.
+// Eventually waits for a condition and fails the test if it does not hold within 20 s.
 func (d *Deployment) Eventually(description string, condition func() bool) {
 	d.t.Helper()
 	tick := time.NewTicker(10 * time.Millisecond)
 	defer tick.Stop()
 	for end := time.Now().Add(20 * time.Second); !condition(); <-tick.C {
 		if time.Now().After(end) {
-			d.t.Fatalf("never came true: %s", description)
+			d.t.Fatalf("condition did not hold in time: %s", description)
 		}
 	}
 }
 
-// Ready says whether a proxy calls itself ready.
+// Ready reports whether a proxy answers that it is ready.
 func (d *Deployment) Ready(n int) bool {
 	status, _ := d.Call("GET", d.ReadyAddr(n), "/ready", "", nil)
 	return status == http.StatusOK
 }
 
-// Call makes an HTTP request and gives status and body; status 0: no answer. base is the configuration version that
-// an operator's change is made to, "" for none.
+// Call makes an HTTP request and returns the status and the body, or status 0 and the error without an answer. base is
+// the configuration version on which an operator's change is based, "" for none.
 func (d *Deployment) Call(method, addr, path, base string, body []byte) (int, string) {
 	req, _ := http.NewRequest(method, "http://"+addr+path, bytes.NewReader(body))
 	if base != "" {
@@ -51,7 +51,7 @@
 	return resp.StatusCode, string(b)
 }
 
-// Config is the configuration of a version, with three routes to the service.
+// Config returns a configuration of the given version, with three routes to the service.
 func Config(version int) []byte {
 	return fmt.Appendf(
 		nil,
@@ -63,7 +63,7 @@
 	)
 }
 
-// Configure has the first configuration accepted, and waits until the proxies are ready with it.
+// Configure sends the first configuration until it is accepted, and waits until the proxies are ready.
 func (d *Deployment) Configure(fronts int) {
 	d.t.Helper()
 	d.Eventually("a configuration is accepted", func() bool {
@@ -75,19 +75,19 @@
 	}
 }
 
-// Client is a client's session with a proxy.
+// Client is a client with a session at a proxy.
 type Client struct {
 	conn      net.Conn
 	reader    *wire.Reader
-	lastQuery int // number of the last query's id
+	lastQuery int // number in the last query's id
 	t         *testing.T
 }
 
-// clients counts those of this process, so that query ids differ between them.
+// clients counts the clients of this process, so that their query ids differ.
 var clients atomic.Int64
 
-// Attach opens a session of a database at a proxy. It gives the proxy's first line too; the client is nil where there
-// is no connection.
+// Attach opens a session of a database at a proxy. It returns the client and the proxy's first line; the client is nil
+// if the connection failed.
 func (d *Deployment) Attach(front int, database string) (client *Client, first string) {
 	d.t.Helper()
 	conn, err := net.DialTimeout("tcp4", d.ProxyAddr(front), 2*time.Second)
@@ -105,7 +105,7 @@
 	return client, client.ReadLine()
 }
 
-// ReadLine reads one line; "end: " and the error where the session has ended.
+// ReadLine reads one line. It returns "end: " and the error if the session has ended.
 func (c *Client) ReadLine() string {
 	c.conn.SetReadDeadline(time.Now().Add(8 * time.Second))
 	line, err := c.reader.ReadMessage()
@@ -115,7 +115,7 @@
 	return line
 }
 
-// Query sends a statement under an id of its own and gives the id and the answer's lines, joined by " | ".
+// Query sends a statement with a new id and returns the id and the answer's lines, joined by " | ".
 func (c *Client) Query(statement string) (id, answer string) {
 	c.lastQuery++
 	id = fmt.Sprintf("q%d", c.lastQuery)
--- a/internal/standin/cluster/deployment.go
+++ b/internal/standin/cluster/deployment.go
@@ -30,10 +30,10 @@
 
 const (
 	roleVariable = "WEIRWIND_TEST_ROLE"
-	diskVariable = "WEIRWIND_TEST_DISK" // the control file of a machine's disk
+	diskVariable = "WEIRWIND_TEST_DISK" // path of the control file of the machine's disk
 )
 
-// Main runs a role if this process was started for one, else the tests. It gives the exit code.
+// Main runs a role if the environment names one, else the tests, and returns the exit code.
 func Main(m *testing.M) int {
 	roles := map[string]process.Role{"proxy": {Name: "proxy", Run: proxy.Run}, "agent": {Name: "agent", Run: agent.Run},
 		"controlplane": {Name: "controlplane", Run: controlplane.Run},
@@ -47,34 +47,34 @@
 	return m.Run()
 }
 
-// Deployment is one that runs. Its machines are named core0, agent0, proxy0, site0, edge0 and so on; agent and proxy of
-// one number share a machine.
+// Deployment is a running deployment. Its processes are named core0, agent0, proxy0, site0, edge0 and so on; the agent
+// and the proxy of the same number share a machine, called a front.
 type Deployment struct {
-	Service *Service            // svc, of the members a, b and c
-	Nodes   map[string]*Service // that hold shards, by name
+	Service *Service            // the service svc with the members a, b and c
+	Nodes   map[string]*Service // the nodes that hold shards, by name
 	Cores   []string            // control addresses of the core machines
 
 	t           *testing.T
 	dir         string
-	block       *loopback.Block // of all addresses
+	block       *loopback.Block // of the deployment's addresses
 	basePort    int
-	meshPorts   map[string]int      // the first port of processes that reach others' mesh ports there; others: basePort
-	feeds       map[string]string   // where proxies reach their agents, by proxy; others: where the agent listens
-	seeds       map[string][]string // control addresses of processes that don't know the first three machines
+	meshPorts   map[string]int      // by process: the first port of its mesh port range, if not basePort
+	feeds       map[string]string   // by proxy: the address at which it reaches its agent, if not the agent's own
+	seeds       map[string][]string // by process: core machines' addresses in its settings, if not the first three
 	mu          sync.Mutex          // guards the next three
 	processes   map[string]*exec.Cmd
-	terminating map[string]*exec.Cmd // those that were told to end last, by name
+	terminating map[string]*exec.Cmd // by name: the processes that were last told to end
 	logs        map[string]*bytes.Buffer
-	ctx         context.Context // of members, heartbeats and the platform: it ends with the deployment
+	ctx         context.Context // of members, heartbeats and the platform; done when the deployment stops
 	platform    string          // the address of the platform's API
 	stop        func()
 }
 
-// memberIDs are those of the service svc.
+// memberIDs are the ids of the members of svc.
 var memberIDs = []string{"a", "b", "c"}
 
-// New starts core machines, fronts (an agent and a proxy each) and a service of three members with heartbeats. All of
-// it ends with the test.
+// New starts core machines, fronts (machines with an agent and a proxy) and a service of three members with heartbeats.
+// All of it stops at the end of the test.
 func New(t *testing.T, cores, fronts int) *Deployment {
 	t.Helper()
 	return newDeployment(t, cores, fronts, func(*Deployment) {}, sameAddr)
@@ -82,8 +82,8 @@
 
 func sameAddr(addr string) string { return addr }
 
-// newDeployment lets prepare change what processes find as they start; members and platform are announced at what via
-// makes of their addresses.
+// newDeployment starts a deployment. prepare may change the deployment before its processes start. Members and platform
+// are announced at the addresses that advertise returns for their own ones, such as those of relays.
 func newDeployment(
 	t *testing.T,
 	cores, fronts int,
@@ -111,7 +111,7 @@
 		for _, name := range d.Running() {
 			d.Kill(name)
 		}
-		_ = block.Close() // a listener that nobody accepts at
+		_ = block.Close() // its listener accepts no connections
 	}
 	t.Cleanup(func() {
 		d.stop()
@@ -137,7 +137,7 @@
 	return d
 }
 
-// startService starts the members of svc and the platform's API, until the context ends.
+// startService starts the members of svc and the platform's API, until the context is done.
 func (d *Deployment) startService(ctx context.Context, advertise func(addr string) string) {
 	d.t.Helper()
 	d.Service = newService("svc", "1", memberIDs...)
@@ -156,7 +156,7 @@
 	context.AfterFunc(ctx, func() { listener.Close() })
 }
 
-// dumpLogs writes the end of each process's log to the test's.
+// dumpLogs writes the last lines of each process's log to the test's log.
 func (d *Deployment) dumpLogs() {
 	const keep = 40
 	for name, log := range d.logs {
@@ -165,10 +165,10 @@
 	}
 }
 
-// Stop ends all processes.
+// Stop kills all processes and stops the members.
 func (d *Deployment) Stop() { d.stop() }
 
-// Log is what a process that has ended wrote, in all its lives.
+// Log returns the log of a process that has ended, from all its runs.
 func (d *Deployment) Log(name string) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -178,14 +178,14 @@
 	return ""
 }
 
-// Running are the names of the processes that were started and neither killed nor terminated since.
+// Running returns the names of the processes that were started and neither killed nor terminated since.
 func (d *Deployment) Running() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return slices.Sorted(maps.Keys(d.processes))
 }
 
-// PID is a process's number, 0 for none that runs.
+// PID returns the id of a running process, 0 if there is none of that name.
 func (d *Deployment) PID(name string) int {
 	if c := d.process(name); c != nil {
 		return c.Process.Pid
@@ -199,7 +199,8 @@
 	return d.processes[name]
 }
 
-// take gives a process to its only caller, which ends it; nil where none runs.
+// removeRunning removes a process from the running ones and returns it to its only caller, which ends it; nil if it is
+// not running.
 func (d *Deployment) removeRunning(name string) *exec.Cmd {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -211,7 +212,7 @@
 	return c
 }
 
-// Signal sends a signal to a process, also to one that was told to end.
+// Signal sends a signal to a process, also to one that is shutting down.
 func (d *Deployment) Signal(name string, signal syscall.Signal) {
 	d.mu.Lock()
 	c := d.processes[name]
@@ -224,7 +225,7 @@
 	}
 }
 
-// Kill ends a process at once and waits for its end.
+// Kill sends SIGKILL to a process and waits for its end.
 func (d *Deployment) Kill(name string) {
 	if c := d.removeRunning(name); c != nil {
 		kill(c)
@@ -234,11 +235,11 @@
 func kill(c *exec.Cmd) {
 	_ = c.Process.Signal(syscall.SIGCONT)
 	_ = c.Process.Kill() // it may have ended
-	_ = c.Wait()         // it was killed
+	_ = c.Wait()         // the error is that it was killed
 }
 
 // Terminate ends a process as the platform does, by SIGTERM and, after the grace period, SIGKILL. It waits for the end
-// and says whether the process came to it by itself.
+// and reports whether the process ended within the grace period.
 func (d *Deployment) Terminate(name string, grace time.Duration) (inTime bool) {
 	c := d.removeRunning(name)
 	if c == nil {
@@ -248,7 +249,8 @@
 	return await(c, grace)
 }
 
-// Await waits for the end of a process that was told to end, and ends it after the grace period.
+// Await waits for the end of a process that was told to end, and kills it after the grace period. It reports whether
+// the process ended in time.
 func (d *Deployment) Await(name string, grace time.Duration) (inTime bool) {
 	c := d.removeRunning(name)
 	return c == nil || await(c, grace)
@@ -258,7 +260,7 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		_ = c.Wait() // how it ended is the caller's to judge
+		_ = c.Wait() // the exit status is not used
 	}()
 	select {
 	case <-ended:
@@ -272,7 +274,7 @@
 
 func (d *Deployment) diskControlFile(name string) string { return filepath.Join(d.dir, name+".disk") }
 
-// SetDiskFaults gives a machine's disk the faults of package disk; none: it works.
+// SetDiskFaults sets the faults of package disk on a machine's disk, replacing the earlier ones.
 func (d *Deployment) SetDiskFaults(name string, faults ...string) {
 	d.t.Helper()
 	if err := os.WriteFile(d.diskControlFile(name), []byte(strings.Join(faults, " ")), 0o600); err != nil {
@@ -280,5 +282,5 @@
 	}
 }
 
-// EraseDisk empties a stopped core machine's disk.
+// EraseDisk erases the disk of a stopped core machine.
 func (d *Deployment) EraseDisk(name string) { _ = os.RemoveAll(filepath.Join(d.dir, name)) }
--- a/internal/standin/cluster/deployment_test.go
+++ b/internal/standin/cluster/deployment_test.go
@@ -21,13 +21,13 @@
 	"weirwind/internal/weirctl"
 )
 
-var approve = flag.Bool("approve", false, "write the transcripts anew")
+var approve = flag.Bool("approve", false, "rewrite the transcripts")
 
 func TestMain(m *testing.M) { os.Exit(Main(m)) }
 
 var variableParts = regexp.MustCompile(`\b(q\d+|[abc])\b|\d+\.\d+`)
 
-// checkTranscript compares an exchange with the approved one.
+// checkTranscript compares an exchange with the recorded one.
 func checkTranscript(t *testing.T, name string, lines []string) {
 	t.Helper()
 	got := strings.Join(lines, "\n") + "\n"
@@ -39,7 +39,7 @@
 	}
 	want, _ := os.ReadFile(file)
 	if string(want) != got {
-		t.Errorf("%s: the exchange is not the approved one; -approve writes it anew. It is\n%s", name, got)
+		t.Errorf("%s: the exchange differs from the recorded one; -approve rewrites it. Got\n%s", name, got)
 	}
 }
 
@@ -47,22 +47,22 @@
 	d := New(t, 3, 1)
 	d.Configure(1)
 	var lines []string
-	talk := func(k *Client, texts ...string) {
-		for _, x := range texts {
-			_, a := k.Query(x)
-			lines = append(lines, "> "+x, "< "+variableParts.ReplaceAllString(a, "_"))
+	runStatements := func(client *Client, texts ...string) {
+		for _, statement := range texts {
+			_, answer := client.Query(statement)
+			lines = append(lines, "> "+statement, "< "+variableParts.ReplaceAllString(answer, "_"))
 		}
 	}
-	open := func(db string) *Client {
-		k, first := d.Attach(0, db)
-		lines = append(lines, "", "> ATTACH "+db, "< "+first)
-		return k
+	attach := func(db string) *Client {
+		client, greeting := d.Attach(0, db)
+		lines = append(lines, "", "> ATTACH "+db, "< "+greeting)
+		return client
 	}
-	k := open("prim")
-	talk(k, "STORE x 1", "FETCH x", "BEGIN", "STORE x 2", "FETCH x", "COMMIT", "FETCH x")
-	talk(k, "BEGIN", "STORE x 3", "ABORT", "FETCH x", "ABORT", "COMMIT")
-	talk(
-		k,
+	client := attach("prim")
+	runStatements(client, "STORE x 1", "FETCH x", "BEGIN", "STORE x 2", "FETCH x", "COMMIT", "FETCH x")
+	runStatements(client, "BEGIN", "STORE x 3", "ABORT", "FETCH x", "ABORT", "COMMIT")
+	runStatements(
+		client,
 		"SET colour red green",
 		"PREP p STORE s1",
 		"EXEC p x 4",
@@ -72,8 +72,8 @@
 		"PREP r FETCH s2",
 		"EXEC r x",
 	)
-	talk(
-		k,
+	runStatements(
+		client,
 		"BEGIN",
 		"COMMIT",
 		"BEGIN FETCH",
@@ -85,31 +85,31 @@
 		"COMMIT",
 		"PREP q DELETE x",
 	)
-	k = open("self")
-	talk(k, "FETCH x", "STORE y 1", "FETCH y", "BEGIN FETCH", "STORE y 2", "FETCH y", "ABORT", "FETCH y")
-	k = open("stale")
-	talk(k, "FETCH x", "BEGIN FETCH", "FETCH x", "COMMIT")
-	open("nowhere")
-	k = open("prim")
-	k.Send("QUERY\r\n")
-	lines = append(lines, "> QUERY", "< "+k.ReadLine(), "< "+k.ReadLine())
-	k = open("prim")
-	k.Send("a line without its end\n")
-	lines = append(lines, "> a line without its end", "< "+k.ReadLine())
-	k = open("prim")
-	talk(k, "BEGIN", "STORE z 1")
+	client = attach("self")
+	runStatements(client, "FETCH x", "STORE y 1", "FETCH y", "BEGIN FETCH", "STORE y 2", "FETCH y", "ABORT", "FETCH y")
+	client = attach("stale")
+	runStatements(client, "FETCH x", "BEGIN FETCH", "FETCH x", "COMMIT")
+	attach("nowhere")
+	client = attach("prim")
+	client.Send("QUERY\r\n")
+	lines = append(lines, "> QUERY", "< "+client.ReadLine(), "< "+client.ReadLine())
+	client = attach("prim")
+	client.Send("a line without its end\n")
+	lines = append(lines, "> a line without its end", "< "+client.ReadLine())
+	client = attach("prim")
+	runStatements(client, "BEGIN", "STORE z 1")
 	d.Eventually(
-		"the transaction that rests is ended",
+		"the idle transaction is ended",
 		func() bool { return d.Service.OpenTransactions() == 0 },
 	) // txIdleMs is 500
-	talk(k, "STORE z 2", "STORE z 3", "COMMIT", "FETCH z")
+	runStatements(client, "STORE z 2", "STORE z 3", "COMMIT", "FETCH z")
 	checkTranscript(t, "sessions", lines)
 }
 
 func TestOperators(t *testing.T) {
 	d := New(t, 3, 1)
 	d.Configure(1)
-	d.Eventually("all have contact", func() bool { // a machine without answers 503, whatever it is asked
+	d.Eventually("all machines have contact", func() bool { // a machine without contact answers 503 to every call
 		return d.contactStatus(0).InContact && d.contactStatus(1).InContact && d.contactStatus(2).InContact
 	})
 	var lines []string
@@ -121,7 +121,7 @@
 			fmt.Sprintf("< %d %s", code, strings.TrimSpace(answer)),
 		)
 	}
-	call(1, "POST", "/config/replace", "0", string(Config(1))) // an exact repeat, at another machine
+	call(1, "POST", "/config/replace", "0", string(Config(1))) // an exact repetition, at another machine
 	call(2, "POST", "/config/replace", "0", string(Config(2)))
 	call(0, "POST", "/config/replace", "1", `{"gen":3,"routes":[`)
 	call(0, "POST", "/config/replace", "1", `{"gen":3} more`)
@@ -174,24 +174,24 @@
 	call(0, "GET", "/config/show", "", "")
 	call(0, "POST", "/members/m1/heartbeat", "", `{"svc":`)
 	checkTranscript(t, "operators", lines)
-	d.Eventually("a route that was added serves, and one that was removed does not", func() bool {
+	d.Eventually("an added route is served, and a removed one is not", func() bool {
 		_, a := d.Attach(0, "new")
 		_, b := d.Attach(0, "self")
 		return a == "READY I -" && strings.HasPrefix(b, "FAIL NODB")
 	})
 }
 
-// startWrites writes from several clients until stopped, and gives the ids that were answered DONE and those whose
-// answers promise that they did not run.
-func startWrites(d *Deployment, fronts, each int) (stop func() (done, undone []string)) {
+// startWrites writes from several clients until stop is called, which returns the ids of the writes that were answered
+// DONE and of those whose answers guarantee that they did not run.
+func startWrites(d *Deployment, fronts, clientsPerFront int) (stop func() (done, notExecuted []string)) {
 	var mu sync.Mutex
-	var done, undone []string
+	var done, notExecuted []string
 	quit := make(chan struct{})
 	var all sync.WaitGroup
-	for n := range fronts * each {
-		k, first := d.Attach(n%fronts, "prim")
-		if first != "READY I -" {
-			d.t.Fatal(first)
+	for n := range fronts * clientsPerFront {
+		client, greeting := d.Attach(n%fronts, "prim")
+		if greeting != "READY I -" {
+			d.t.Fatal(greeting)
 		}
 		all.Add(1)
 		go func() {
@@ -202,14 +202,14 @@
 					return
 				default:
 				}
-				id, a := k.Query(fmt.Sprint("STORE t", n, " v"))
+				id, answer := client.Query(fmt.Sprint("STORE t", n, " v"))
 				mu.Lock()
 				switch {
-				case strings.HasPrefix(a, "DONE"):
+				case strings.HasPrefix(answer, "DONE"):
 					done = append(done, id)
-				case strings.HasPrefix(a, "FAIL RETRY"), strings.HasPrefix(a, "FAIL RDONLY"), strings.HasPrefix(a, "FAIL ABORTED"):
-					undone = append(undone, id)
-				case strings.HasPrefix(a, "end"):
+				case strings.HasPrefix(answer, "FAIL RETRY"), strings.HasPrefix(answer, "FAIL RDONLY"), strings.HasPrefix(answer, "FAIL ABORTED"):
+					notExecuted = append(notExecuted, id)
+				case strings.HasPrefix(answer, "end"):
 					mu.Unlock()
 					return
 				}
@@ -220,16 +220,16 @@
 	return func() ([]string, []string) {
 		close(quit)
 		all.Wait()
-		return done, undone
+		return done, notExecuted
 	}
 }
 
-func auditWrites(d *Deployment, done, undone []string) {
+func auditWrites(d *Deployment, done, notExecuted []string) {
 	d.Service.With(func(*replicaset.Group) {
 		for _, id := range done {
 			So(d.Service.Executions[id], ShouldEqual, 1)
 		}
-		for _, id := range undone {
+		for _, id := range notExecuted {
 			So(d.Service.Executions[id], ShouldEqual, 0)
 		}
 		for _, n := range d.Service.Executions {
@@ -240,52 +240,52 @@
 	So(len(done), ShouldBeGreaterThan, 0)
 }
 
-func TestSuccessions(t *testing.T) {
+func TestMemberFailover(t *testing.T) {
 	Convey("While clients write", t, func() {
 		d := New(t, 3, 2)
 		Reset(d.Stop)
 		d.Configure(2)
 		stop := startWrites(d, 2, 3)
-		Convey("a primary that dies is replaced, and nothing that was answered is lost or doubled", func() {
+		Convey("a crashed primary is replaced, and no acknowledged write is lost or runs twice", func() {
 			d.Service.Crash("a")
 			d.Eventually("another leads", func() bool { l := d.Service.Leader(); return l != "" && l != "a" })
-			d.Eventually("writes go on", func() bool {
+			d.Eventually("writes succeed again", func() bool {
 				k, _ := d.Attach(1, "prim")
 				_, a := k.Query("STORE after 1")
 				return strings.HasPrefix(a, "DONE")
 			})
-			done, undone := stop()
-			auditWrites(d, done, undone)
+			done, notExecuted := stop()
+			auditWrites(d, done, notExecuted)
 		})
-		Convey("one that is to be replaced hands over, and its clients meet no failure", func() {
+		Convey("a draining primary hands over, and its clients see no failure", func() {
 			d.Service.With(func(g *replicaset.Group) { g.Member("a").Draining = true })
 			d.Eventually("another leads", func() bool { l := d.Service.Leader(); return l != "" && l != "a" })
-			d.Eventually("it is asked no more", func() bool {
+			d.Eventually("the proxy has switched to the new primary", func() bool {
 				_, s := d.Call("GET", d.ReadyAddr(0), "/status", "", nil)
 				return strings.Contains(s, `"slot": "`+d.Service.Leader())
 			})
-			done, undone := stop()
-			So(undone, ShouldBeEmpty)
-			auditWrites(d, done, undone)
+			done, notExecuted := stop()
+			So(notExecuted, ShouldBeEmpty)
+			auditWrites(d, done, notExecuted)
 			So(d.Service.AfterDrain, ShouldBeEmpty)
 		})
-		Convey("one whose commits reach no replica is replaced though it speaks", func() {
+		Convey("a primary whose commits reach no replica is replaced, though it answers", func() {
 			d.Service.With(func(g *replicaset.Group) { g.Member("a").Partitioned = true })
 			d.Eventually("another leads", func() bool { l := d.Service.Leader(); return l != "" && l != "a" })
 			d.Service.With(func(g *replicaset.Group) { g.Member("a").Partitioned = false })
-			done, undone := stop()
-			auditWrites(d, done, undone)
+			done, notExecuted := stop()
+			auditWrites(d, done, notExecuted)
 		})
-		Convey("the core's leader is killed as the primary dies, and its successor does the same", func() {
-			lead := leader(d)
-			d.Kill(lead)
+		Convey("the core's leader is killed as the primary crashes, and the next leader completes the failover", func() {
+			leaderName := leader(d)
+			d.Kill(leaderName)
 			d.Service.Crash("a")
 			d.Eventually("another leads", func() bool { l := d.Service.Leader(); return l != "" && l != "a" })
-			done, undone := stop()
-			auditWrites(d, done, undone)
+			done, notExecuted := stop()
+			auditWrites(d, done, notExecuted)
 		})
-		Convey("all of the core forgets while a replica is dead that alone holds a commit: nobody else is named", func() {
-			done, undone := stop()
+		Convey("the whole core restarts while the only replica with a commit is down: no other member is promoted", func() {
+			done, notExecuted := stop()
 			d.Service.With(func(g *replicaset.Group) { g.Member("b").NotReceiving = true })
 			k, _ := d.Attach(0, "prim")
 			id, a := k.Query("STORE only 1")
@@ -299,7 +299,7 @@
 			for i := range 3 {
 				d.Start(fmt.Sprint("core", i), false)
 			}
-			d.Eventually("the core waits for who is dead", func() bool {
+			d.Eventually("the core waits for the crashed replica", func() bool {
 				for _, c := range d.Cores {
 					if _, s := d.Call("GET", c, "/events", "", nil); strings.Contains(s, "waits for 1 more of 2 replicas") {
 						return true
@@ -309,26 +309,26 @@
 			})
 			So(d.Service.Leader(), ShouldEqual, "")
 			d.Service.With(func(g *replicaset.Group) { g.Member("c").Restart() })
-			d.Eventually("who has it leads", func() bool { return d.Service.Leader() == "c" })
-			auditWrites(d, append(done, id), undone)
+			d.Eventually("the replica with the commit leads", func() bool { return d.Service.Leader() == "c" })
+			auditWrites(d, append(done, id), notExecuted)
 		})
-		Convey("answers to writes are lost: none is promised undone, none runs twice", func() {
+		Convey("answers to writes are lost: no write that ran is reported as not executed, none runs twice", func() {
 			d.Service.With(func(*replicaset.Group) { d.Service.LoseAnswers = 5 })
-			d.Eventually("they were lost", func() bool {
+			d.Eventually("the answers were lost", func() bool {
 				n := 1
 				d.Service.With(func(*replicaset.Group) { n = d.Service.LoseAnswers })
 				return n == 0
 			})
-			done, undone := stop()
-			auditWrites(d, done, undone)
+			done, notExecuted := stop()
+			auditWrites(d, done, notExecuted)
 		})
-		Convey("a proxy gets SIGTERM: what was asked is answered, and it ends in time", func() {
+		Convey("a proxy gets SIGTERM: pending statements are answered, and it ends in time", func() {
 			began := time.Now()
 			d.Signal("proxy0", syscall.SIGTERM)
 			d.processes["proxy0"].Wait()
-			So(time.Since(began), ShouldBeLessThan, 4*time.Second) // the race detector ends a second late
-			done, undone := stop()
-			auditWrites(d, done, undone)
+			So(time.Since(began), ShouldBeLessThan, 4*time.Second) // the race detector delays the exit by a second
+			done, notExecuted := stop()
+			auditWrites(d, done, notExecuted)
 		})
 	})
 }
@@ -347,8 +347,9 @@
 	return name
 }
 
-// voters gives how many of the voters that a machine knows have their disks' first identity, and all voters.
-func voters(d *Deployment, n int) (first int, all string) {
+// voters returns, from the voters that a machine knows, the number of those with the identity of their original disk,
+// and a string of all of them.
+func voters(d *Deployment, n int) (originals int, all string) {
 	_, s := d.Call("GET", d.Cores[n], "/status", "", nil)
 	var v struct{ Voters []consensus.Voter }
 	if json.Unmarshal([]byte(s), &v) != nil {
@@ -356,18 +357,18 @@
 	}
 	for _, x := range v.Voters {
 		if strings.HasPrefix(x.ID, "0@") {
-			first++
+			originals++
 		}
 	}
-	return first, fmt.Sprint(v.Voters)
+	return originals, fmt.Sprint(v.Voters)
 }
 
-func TestCore(t *testing.T) {
-	Convey("With a configuration taken", t, func() {
+func TestCoreFaults(t *testing.T) {
+	Convey("With a configuration accepted", t, func() {
 		d := New(t, 3, 1)
 		Reset(d.Stop)
 		d.Configure(1)
-		shown := func(gen string) bool {
+		showsVersion := func(gen string) bool {
 			for _, c := range d.Cores {
 				if code, s := d.Call("GET", c, "/config/show", "", nil); code == 200 {
 					return strings.Contains(s, `"gen":`+gen)
@@ -375,12 +376,12 @@
 			}
 			return false
 		}
-		Convey("a leader frozen in a change takes nothing that the others have not", func() {
-			lead := leader(d)
-			d.Signal(lead, syscall.SIGSTOP)
-			d.Eventually("the others take the next", func() bool {
+		Convey("a frozen leader acknowledges no change that the others lack", func() {
+			leaderName := leader(d)
+			d.Signal(leaderName, syscall.SIGSTOP)
+			d.Eventually("the others accept the next configuration", func() bool {
 				for i, c := range d.Cores {
-					if fmt.Sprint("core", i) != lead {
+					if fmt.Sprint("core", i) != leaderName {
 						if code, _ := d.Call("POST", c, "/config/replace", "1", Config(2)); code == 200 {
 							return true
 						}
@@ -388,15 +389,15 @@
 				}
 				return false
 			})
-			d.Signal(lead, syscall.SIGCONT)
-			n := int(lead[4] - '0')
+			d.Signal(leaderName, syscall.SIGCONT)
+			n := int(leaderName[4] - '0')
 			d.Eventually("it says what the others took", func() bool {
 				code, s := d.Call("GET", d.Cores[n], "/config/show", "", nil)
 				So(code == 200 && strings.Contains(s, `"gen":1,`), ShouldBeFalse)
 				return code == 200 && strings.Contains(s, `"gen":2`)
 			})
 		})
-		Convey("of two operators on one base one wins, wherever they call", func() {
+		Convey("of two operators' changes on the same base one wins, whichever machines they call", func() {
 			codes := make(chan int, 2)
 			for i := range 2 {
 				go func() {
@@ -420,7 +421,7 @@
 			So((a == 200) != (b == 200), ShouldBeTrue)
 		})
 		Convey("all are killed right after an acknowledgement, and one disk is lost", func() {
-			d.Eventually("the next is taken", func() bool {
+			d.Eventually("the next configuration is accepted", func() bool {
 				code, _ := d.Call("POST", d.Cores[0], "/config/replace", "1", Config(2))
 				return code == 200
 			})
@@ -431,19 +432,19 @@
 			for i := range 3 {
 				d.Start(fmt.Sprint("core", i), i != 0)
 			}
-			d.Eventually("it is still there", func() bool { return shown("2") })
-			d.Eventually("the empty one is a voter again, under another name", func() bool {
-				first, all := voters(d, 1)
-				return first == 2 && strings.Contains(all, d.Cores[0])
+			d.Eventually("it is still there", func() bool { return showsVersion("2") })
+			d.Eventually("the machine with the erased disk is a voter again, with another identity", func() bool {
+				originals, all := voters(d, 1)
+				return originals == 2 && strings.Contains(all, d.Cores[0])
 			})
-			Convey("and then another disk", func() {
+			Convey("and then another disk is lost", func() {
 				d.Kill("core1")
 				d.EraseDisk("core1")
 				d.Start("core1", false)
-				d.Eventually("it is still there", func() bool { return shown("2") })
+				d.Eventually("it is still there", func() bool { return showsVersion("2") })
 			})
 		})
-		Convey("a proxy that starts while the core is away serves by what its agent knows", func() {
+		Convey("a proxy that starts while the core is down serves the configuration that its agent knows", func() {
 			for i := range 3 {
 				d.Kill(fmt.Sprint("core", i))
 			}
@@ -462,12 +463,12 @@
 	})
 }
 
-// replaceConfig has the configuration of a version accepted on its base, by any machine but one.
-func replaceConfig(d *Deployment, base, gen int, but string) {
+// replaceConfig sends the configuration of a version, based on another, until a machine other than except accepts it.
+func replaceConfig(d *Deployment, base, gen int, except string) {
 	d.t.Helper()
-	d.Eventually(fmt.Sprint("configuration ", gen, " is taken"), func() bool {
+	d.Eventually(fmt.Sprint("configuration ", gen, " is accepted"), func() bool {
 		for i, c := range d.Cores {
-			if fmt.Sprint("core", i) != but {
+			if fmt.Sprint("core", i) != except {
 				if code, _ := d.Call("POST", c, "/config/replace", fmt.Sprint(base), Config(gen)); code == 200 {
 					return true
 				}
@@ -477,54 +478,54 @@
 	})
 }
 
-func TestDisks(t *testing.T) {
-	Convey("With disks that lose what was not synced", t, func() {
+func TestDiskFaults(t *testing.T) {
+	Convey("With disks that lose unsynced writes", t, func() {
 		d := New(t, 3, 1)
 		Reset(d.Stop)
 		d.Configure(1)
 		gen := 1
-		shown := func(core int) string {
+		shownVersion := func(core int) string {
 			code, s := d.Call("GET", d.Cores[core], "/config/show", "", nil)
 			if code != 200 {
 				return ""
 			}
 			return s[:strings.Index(s, ",")]
 		}
-		next := func(but string) {
-			replaceConfig(d, gen, gen+1, but)
+		replaceNext := func(except string) {
+			replaceConfig(d, gen, gen+1, except)
 			gen++
 		}
-		Convey("a disk that is slow shows in the leader's status, and a voter that is gone", func() {
-			lead := leader(d)
-			d.SetDiskFaults(lead, disk.SlowSync)
-			next("")
-			gone := fmt.Sprint("core", (int(lead[4]-'0')+1)%3)
-			d.Kill(gone)
-			d.Eventually("status tells both", func() bool {
+		Convey("the leader's status shows a slow disk and a missing voter", func() {
+			leaderName := leader(d)
+			d.SetDiskFaults(leaderName, disk.SlowSync)
+			replaceNext("")
+			killed := fmt.Sprint("core", (int(leaderName[4]-'0')+1)%3)
+			d.Kill(killed)
+			d.Eventually("the status shows both", func() bool {
 				var b strings.Builder
-				weirctl.Main([]string{"status", d.Cores[lead[4]-'0']}, &b, &b)
+				weirctl.Main([]string{"status", d.Cores[leaderName[4]-'0']}, &b, &b)
 				slow, behind := false, strings.Contains(b.String(), "ms ago")
 				for _, line := range strings.Split(b.String(), "\n") {
 					var n int
-					var last, most float64
-					if k, _ := fmt.Sscanf(line, "  disk: %d syncs, the last %f ms, the slowest %f ms", &n, &last, &most); k == 3 {
-						slow = most >= 50
+					var last, slowest float64
+					if k, _ := fmt.Sscanf(line, "  disk: %d syncs, the last %f ms, the slowest %f ms", &n, &last, &slowest); k == 3 {
+						slow = slowest >= 50
 					}
 				}
 				return slow && behind
 			})
-			d.SetDiskFaults(lead)
-			replaceConfig(d, gen, gen+1, gone)
+			d.SetDiskFaults(leaderName)
+			replaceConfig(d, gen, gen+1, killed)
 		})
-		Convey("the leader's disk stalls: it hands the lead over, and never answers what it could not sync", func() {
-			lead := leader(d)
-			d.SetDiskFaults(lead, disk.Stall)
-			next(lead)
-			next(lead)
-			d.SetDiskFaults(lead)
-			n := int(lead[4] - '0')
-			d.Eventually("it says what the others took", func() bool { return shown(n) == fmt.Sprint(`{"gen":`, gen) })
-			Convey("and the disk of the next one stalls, and that of another is slow", func() {
+		Convey("the leader's disk stalls: it hands leadership over, and acknowledges nothing that it could not sync", func() {
+			leaderName := leader(d)
+			d.SetDiskFaults(leaderName, disk.Stall)
+			replaceNext(leaderName)
+			replaceNext(leaderName)
+			d.SetDiskFaults(leaderName)
+			n := int(leaderName[4] - '0')
+			d.Eventually("it says what the others took", func() bool { return shownVersion(n) == fmt.Sprint(`{"gen":`, gen) })
+			Convey("and the next leader's disk stalls, while the others' are slow", func() {
 				second := leader(d)
 				for i := range 3 {
 					if name := fmt.Sprint("core", i); name != second {
@@ -532,22 +533,22 @@
 					}
 				}
 				d.SetDiskFaults(second, disk.Stall)
-				next(second)
+				replaceNext(second)
 			})
 		})
-		Convey("a disk refuses: its machine says nothing that follows, ends and comes back as who it was", func() {
-			lead := leader(d)
-			d.SetDiskFaults(lead, disk.Refuse)
-			next(lead)
-			d.processes[lead].Wait()
-			d.SetDiskFaults(lead)
-			d.Start(lead, false)
-			n := int(lead[4] - '0')
-			d.Eventually("it says what the others took", func() bool { return shown(n) == fmt.Sprint(`{"gen":`, gen) })
-			first, _ := voters(d, n)
-			So(first, ShouldEqual, 3)
+		Convey("a disk refuses writes: its machine acknowledges nothing more, exits, and comes back with its identity", func() {
+			leaderName := leader(d)
+			d.SetDiskFaults(leaderName, disk.Refuse)
+			replaceNext(leaderName)
+			d.processes[leaderName].Wait()
+			d.SetDiskFaults(leaderName)
+			d.Start(leaderName, false)
+			n := int(leaderName[4] - '0')
+			d.Eventually("it says what the others took", func() bool { return shownVersion(n) == fmt.Sprint(`{"gen":`, gen) })
+			originals, _ := voters(d, n)
+			So(originals, ShouldEqual, 3)
 		})
-		Convey("power goes everywhere right after each of many acknowledgements: none is lost", func() {
+		Convey("all machines lose power right after each of several acknowledgements: no change is lost", func() {
 			for k := range 5 {
 				for i := range 3 {
 					if k%2 == 1 {
@@ -556,18 +557,18 @@
 						d.SetDiskFaults(fmt.Sprint("core", i))
 					}
 				}
-				next("")
+				replaceNext("")
 				for i := range 3 {
 					d.Kill(fmt.Sprint("core", i))
 				}
 				for i := range 3 {
 					d.Start(fmt.Sprint("core", i), false)
 				}
-				d.Eventually("it is still there", func() bool { return shown(k%3) == fmt.Sprint(`{"gen":`, gen) })
+				d.Eventually("it is still there", func() bool { return shownVersion(k%3) == fmt.Sprint(`{"gen":`, gen) })
 			}
 		})
-		Convey("power goes everywhere, and with it the disk of one that had acknowledged", func() {
-			next("")
+		Convey("all machines lose power, and one that had acknowledged loses its disk", func() {
+			replaceNext("")
 			for i := range 3 {
 				d.Kill(fmt.Sprint("core", i))
 			}
@@ -575,8 +576,8 @@
 			for i := range 3 {
 				d.Start(fmt.Sprint("core", i), false)
 			}
-			d.Eventually("it is still there", func() bool { return shown(1) == fmt.Sprint(`{"gen":`, gen) })
-			next("core0")
+			d.Eventually("it is still there", func() bool { return shownVersion(1) == fmt.Sprint(`{"gen":`, gen) })
+			replaceNext("core0")
 		})
 	})
 }
--- a/internal/standin/cluster/history_test.go
+++ b/internal/standin/cluster/history_test.go
@@ -22,7 +22,7 @@
 	code, version, operator int
 }
 
-// register models the configuration as operators see it: versions increase, and each base takes one change.
+// register models the configuration as operators see it: versions increase, and one change is accepted on each base.
 var register = (&porcupine.NondeterministicModel{
 	Init: func() []any { return []any{configAnswer{200, 1, 0}} },
 	Step: func(state, input, output any) []any {
@@ -34,15 +34,15 @@
 			return nil
 		}
 		next := configAnswer{200, in.version, in.operator}
-		fits := in.base == s.version && in.version > s.version
+		applicable := in.base == s.version && in.version > s.version
 		switch {
-		case out.code == 200 && fits:
+		case out.code == 200 && applicable:
 			return []any{next}
-		case out.code == 200 && s.version == in.version && s.operator == in.operator: // an exact repeat
+		case out.code == 200 && s.version == in.version && s.operator == in.operator: // an exact repetition
 			return []any{s}
 		case out.code == 412 && in.base != s.version, out.code == 400 && in.version <= s.version:
 			return []any{s}
-		case out.code == 0 && fits: // without a clear answer it may be in force
+		case out.code == 0 && applicable: // the outcome is unknown: it may be in force
 			return []any{s, next}
 		case out.code == 0:
 			return []any{s}
@@ -52,7 +52,8 @@
 	Equal: func(a, b any) bool { return a == b },
 }).ToModel()
 
-func TestOperatorsSeeOneHistory(t *testing.T) {
+// Operators' calls at different core machines are linearizable, also while leaders are frozen and killed.
+func TestConfigCallsAreLinearizable(t *testing.T) {
 	d := New(t, 3, 1)
 	d.Configure(1)
 	start := time.Now()
@@ -70,7 +71,7 @@
 					return
 				default:
 				}
-				say := func(core int, in configCall) configAnswer {
+				call := func(core int, in configCall) configAnswer {
 					o := porcupine.Operation{ClientId: op, Input: in, Call: time.Since(start).Nanoseconds()}
 					var out configAnswer
 					if in.show {
@@ -94,35 +95,35 @@
 					}
 					o.Output, o.Return = out, time.Since(start).Nanoseconds()
 					if out.code == 0 && !in.show {
-						o.Return = int64(time.Hour) // it may take force at any time
+						o.Return = int64(time.Hour) // it may take effect at any later time
 					}
 					mu.Lock()
 					history = append(history, o)
 					mu.Unlock()
 					return out
 				}
-				seen := say((op+n)%3, configCall{show: true})
+				seen := call((op+n)%3, configCall{show: true})
 				if seen.code == 200 && op < 3 {
-					say((op+n+1)%3, configCall{base: seen.version, version: seen.version + 1 + op, operator: op + 1})
+					call((op+n+1)%3, configCall{base: seen.version, version: seen.version + 1 + op, operator: op + 1})
 				}
 			}
 		}()
 	}
-	enough := func(n int) func() bool {
+	historyHas := func(n int) func() bool {
 		return func() bool {
 			mu.Lock()
 			defer mu.Unlock()
 			return len(history) >= n
 		}
 	}
-	d.Eventually("some calls were answered", enough(40))
-	lead := leader(d)
-	d.Signal(lead, syscall.SIGSTOP)
-	d.Eventually("calls go on under another leader", enough(80))
-	d.Signal(lead, syscall.SIGCONT)
-	d.Eventually("and with the old one back", enough(120))
+	d.Eventually("some calls were answered", historyHas(40))
+	leaderName := leader(d)
+	d.Signal(leaderName, syscall.SIGSTOP)
+	d.Eventually("calls are answered under another leader", historyHas(80))
+	d.Signal(leaderName, syscall.SIGCONT)
+	d.Eventually("calls are answered with the old leader back", historyHas(120))
 	d.Kill(leader(d))
-	d.Eventually("and with two", enough(160))
+	d.Eventually("calls are answered by two machines", historyHas(160))
 	close(quit)
 	all.Wait()
 	if r := porcupine.CheckOperationsTimeout(register, history, 30*time.Second); r != porcupine.Ok {
--- a/internal/standin/cluster/membership.go
+++ b/internal/standin/cluster/membership.go
@@ -1,6 +1,6 @@
 package cluster
 
-// This file owns the replacement of members of svc: a new one joins, and one that drains leaves.
+// This file adds members to svc and removes them.
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"weirwind/internal/standin/replicaset"
 )
 
-// AddMember has a new member with an empty log join svc, with heartbeats. Members before it keep their addresses.
+// AddMember adds a new member with an empty log and heartbeats to svc, at the nth member address.
 func (d *Deployment) AddMember(id string, n int) error {
 	d.Service.With(func(group *replicaset.Group) { group.Join(id) })
 	if err := d.Service.listen(d.ctx, id, d.ip(memberNet, n)+":0"); err != nil {
@@ -19,8 +19,8 @@
 	return nil
 }
 
-// RemoveMember has a member of svc say that it leaves, and ends it with its log. It says whether a core machine
-// acknowledged that.
+// RemoveMember announces to the core that a member of svc leaves, and removes it with its log. It reports whether a
+// core machine acknowledged the call.
 func (d *Deployment) RemoveMember(id string) (acknowledged bool) {
 	for _, core := range d.Cores {
 		if status, _ := d.Call("POST", core, "/members/"+id+"/leave", "", nil); status == http.StatusOK {
--- a/internal/standin/cluster/node.go
+++ b/internal/standin/cluster/node.go
@@ -1,6 +1,6 @@
 package cluster
 
-// This file owns nodes that hold shards: sessions over shardnode's store, with a disk that really fills, and the
+// This file has nodes that hold shards: sessions over shardnode's store, with a disk of limited capacity, and the
 // copying of entries between nodes.
 
 import (
@@ -19,11 +19,11 @@
 )
 
 const (
-	firstNode    = 10 // of the members' addresses
+	firstNode    = 10 // index of the first node's address among the members'
 	fetchTimeout = time.Second
 )
 
-// AddNode starts a service of one member that holds shards, on a disk of so many bytes, with heartbeats.
+// AddNode starts a service of one member that holds shards, on a disk of limit bytes, with heartbeats.
 func (d *Deployment) AddNode(name string, limit int64) *Service {
 	d.t.Helper()
 	s := newService(name, "0", nodeMember(name))
@@ -41,13 +41,13 @@
 	return s
 }
 
-// nodeMember is the id of a node's only member.
+// nodeMember returns the id of a node's only member.
 func nodeMember(node string) string { return node + "-m" }
 
-// CrashNode ends a node's process: its connections end, and it takes none.
+// CrashNode closes a node's connections and rejects new ones until RestartNode.
 func (s *Service) CrashNode() { s.Crash(nodeMember(s.Name)) }
 
-// RestartNode starts a node with what its disk held.
+// RestartNode restarts a node with the content of its disk.
 func (s *Service) RestartNode() {
 	s.With(func(group *replicaset.Group) {
 		group.Member(nodeMember(s.Name)).Restart()
@@ -55,7 +55,7 @@
 	})
 }
 
-// endShardTransaction ends the open transaction on a shard, if any. The lock is held.
+// endShardTransaction ends the open transaction on a shard, if any. The caller holds the lock.
 func (c *session) endShardTransaction() {
 	if c.shard != "" && c.service.Shards != nil {
 		c.service.Shards.EndTransaction(c.shard, c.epoch)
@@ -63,8 +63,8 @@
 	c.shard, c.open, c.failed, c.writes, c.shardWrites = "", false, false, nil, nil
 }
 
-// shardCommand carries out the control plane's commands on shards. One that copies entries fetches them from the other
-// node without the lock.
+// shardCommand executes the control plane's commands on shards. A command that copies entries fetches them from the
+// other node without holding the lock.
 func (c *session) shardCommand(text string) (answer string, ok bool) {
 	s := c.service
 	rows, fetch, memberUp, err := s.executeShardCommand(c.member, text)
@@ -95,7 +95,7 @@
 	return shardAnswer(rows, err), true
 }
 
-// executeShardCommand runs a command at the store; up is false while the member is down.
+// executeShardCommand runs a command at the store; memberUp is false while the member is down.
 func (s *Service) executeShardCommand(
 	member, text string,
 ) (rows []string, fetch *shardnode.FetchRequest, memberUp bool, err error) {
@@ -109,7 +109,7 @@
 	return rows, fetch, true, err
 }
 
-// shardAnswer is rows, or an error's code, as an answer.
+// shardAnswer formats rows, or an error's code, as an answer.
 func shardAnswer(rows []string, err error) string {
 	if err != nil {
 		return wire.MsgFail + " " + shardnode.Code(err) + "\r\n"
@@ -121,7 +121,7 @@
 	return b.String() + answerDone
 }
 
-// shardStatement runs a statement that names its shard and epoch. The lock is held.
+// shardStatement runs a statement that names its shard and epoch. The caller holds the lock.
 func (c *session) shardStatement(shard string, epoch uint64, id, text string) (answer string, ok bool) {
 	store := c.service.Shards
 	verb, rest := wire.CutField(text)
@@ -147,7 +147,7 @@
 	return answerMalformed, true
 }
 
-// shardEffect answers a write that ran. The lock is held.
+// answerShardWrite returns the answer to a write that ran. The caller holds the lock.
 func (c *session) answerShardWrite(shard string, entry shardnode.Entry) (answer string, ok bool) {
 	c.service.checkCapacity()
 	if c.service.consumeLostAnswer() {
@@ -156,7 +156,7 @@
 	return "DONE " + shardnode.EffectPosition(shard, entry) + "\r\n", true
 }
 
-// shardTransactionStatement runs a statement of the open transaction on a shard. The lock is held.
+// shardTransactionStatement runs a statement of the open transaction on a shard. The caller holds the lock.
 func (c *session) shardTransactionStatement(id, text string) (answer string, ok bool) {
 	verb, rest := wire.CutField(text)
 	switch verb {
@@ -183,8 +183,8 @@
 	return answerMalformed, true
 }
 
-// Effects counts the effects of each attempt at the nodes that own the shards; strays are replicas of shards elsewhere,
-// or not open.
+// Effects counts the effects of each attempt at the nodes that own the shards. misplaced lists the replicas that are at
+// other nodes or not open.
 func (d *Deployment) Effects(owners map[string]string) (executions map[string]int, misplaced []string) {
 	executions = map[string]int{}
 	for name, s := range d.Nodes {
--- a/internal/standin/cluster/operators_test.go
+++ b/internal/standin/cluster/operators_test.go
@@ -13,7 +13,7 @@
 	"weirwind/internal/weirctl"
 )
 
-// weirctlCommand runs a command of weirctl.
+// weirctlCommand runs a weirctl command, and returns its exit code and output.
 func weirctlCommand(args ...string) (int, string) {
 	var out, errs bytes.Buffer
 	code := weirctl.Main(args, &out, &errs)
@@ -21,7 +21,7 @@
 }
 
 func TestOperatorsCommand(t *testing.T) {
-	Convey("With a system that serves", t, func() {
+	Convey("With a running system", t, func() {
 		d := New(t, 3, 1)
 		Reset(d.Stop)
 		d.Configure(1)
@@ -30,7 +30,7 @@
 			os.WriteFile(file, []byte(strings.Replace(string(Config(2)), `"maxStaleMs":1500`, `"maxStaleMs":900`, 1)), 0o600),
 			ShouldBeNil,
 		)
-		Convey("its state, its versions and what a file would change are printed", func() {
+		Convey("status, versions and the difference of a file are printed", func() {
 			code, s := weirctlCommand("status", d.Cores[0], d.ReadyAddr(0))
 			So(code, ShouldEqual, 0)
 			So(s, ShouldContainSubstring, "voter 0@"+d.Cores[2])
@@ -55,25 +55,25 @@
 			code, _ = weirctlCommand("config", "check", d.dir+"/none")
 			So(code, ShouldEqual, 1)
 		})
-		Convey("and most of its disks lost, what the last one held is restored, and the old one joins", func() {
+		Convey("and two of three disks lost, the state is restored from the last one, and its machine joins", func() {
 			for i := range 3 {
 				d.Kill(fmt.Sprint("core", i))
 			}
 			d.EraseDisk("core0")
 			d.EraseDisk("core1")
-			saved, old := filepath.Join(d.dir, "saved"), filepath.Join(d.dir, "core2")
-			code, s := weirctlCommand("state", "check", old)
+			backup, lastDisk := filepath.Join(d.dir, "saved"), filepath.Join(d.dir, "core2")
+			code, s := weirctlCommand("state", "check", lastDisk)
 			So(code, ShouldEqual, 0)
 			So(s, ShouldContainSubstring, "configuration 1")
-			code, _ = weirctlCommand("state", "export", old, saved)
+			code, _ = weirctlCommand("state", "export", lastDisk, backup)
 			So(code, ShouldEqual, 0)
-			code, s = weirctlCommand("state", "import", saved, old, d.Cores[2], d.Cores[0], d.Cores[1], d.Cores[2])
+			code, s = weirctlCommand("state", "import", backup, lastDisk, d.Cores[2], d.Cores[0], d.Cores[1], d.Cores[2])
 			So(code, ShouldEqual, 1)
 			So(s, ShouldContainSubstring, "not empty")
-			for i := range 2 { // the third comes back as it was
+			for i := range 2 { // the third machine restarts unchanged
 				code, s = weirctlCommand(
 					append(
-						[]string{"state", "import", saved, filepath.Join(d.dir, fmt.Sprint("core", i)), d.Cores[i]},
+						[]string{"state", "import", backup, filepath.Join(d.dir, fmt.Sprint("core", i)), d.Cores[i]},
 						d.Cores[:2]...)...)
 				So(s, ShouldContainSubstring, "begins as voter r")
 				So(code, ShouldEqual, 0)
@@ -81,11 +81,11 @@
 			for i := range 3 {
 				d.Start(fmt.Sprint("core", i), false)
 			}
-			d.Eventually("the restored core takes the next version", func() bool {
+			d.Eventually("the restored core accepts the next version", func() bool {
 				code, _ := d.Call("POST", d.Cores[0], "/config/replace", "1", Config(2))
 				return code == 200
 			})
-			d.Eventually("the old machine votes with it", func() bool {
+			d.Eventually("the third machine is a voter", func() bool {
 				_, s := weirctlCommand("status", d.Cores[2])
 				return strings.Contains(s, "configuration 2") && strings.Count(s, "voter") == 3 &&
 					strings.Contains(s, "voter 0@"+d.Cores[2])
--- a/internal/standin/cluster/partition_test.go
+++ b/internal/standin/cluster/partition_test.go
@@ -10,7 +10,8 @@
 	"time"
 )
 
-// relay passes bytes between two ports of a machine's address, and keeps them back while it is blocked.
+// relay forwards connections from one port of a machine's address to another, and holds their bytes back while it is
+// blocked.
 type relay struct {
 	mu      sync.Mutex
 	cond    *sync.Cond
@@ -41,10 +42,10 @@
 	return r
 }
 
-func (r *relay) setBlocked(cut bool) {
+func (r *relay) setBlocked(blocked bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.blocked = cut
+	r.blocked = blocked
 	r.cond.Broadcast()
 }
 
@@ -83,24 +84,24 @@
 	}
 }
 
-// partitionableCore starts three core machines of which core0 and the others reach each other by relays that can be
-// blocked; fronts reach all three at any time.
-func partitionableCore(t *testing.T) (d *Deployment, cut func(bool)) {
+// partitionableCore starts three core machines, with relays between core0 and the others that setPartitioned blocks and
+// unblocks; fronts reach all three machines at any time.
+func partitionableCore(t *testing.T) (d *Deployment, setPartitioned func(bool)) {
 	var relays []*relay
 	d = newDeployment(t, 3, 0, func(d *Deployment) {
-		apart, fronts := d.basePort+10, d.basePort+13
-		d.meshPorts = map[string]int{"core0": apart, "agent0": fronts, "proxy0": fronts}
-		at := func(core, port int) string { return fmt.Sprint(d.ip(1, core), ":", port) }
-		relays = append(relays, newRelay(t, at(0, d.basePort), at(0, apart)))
-		newRelay(t, at(0, fronts), at(0, apart))
+		separatePort, frontMeshPort := d.basePort+10, d.basePort+13
+		d.meshPorts = map[string]int{"core0": separatePort, "agent0": frontMeshPort, "proxy0": frontMeshPort}
+		addr := func(core, port int) string { return fmt.Sprint(d.ip(1, core), ":", port) }
+		relays = append(relays, newRelay(t, addr(0, d.basePort), addr(0, separatePort)))
+		newRelay(t, addr(0, frontMeshPort), addr(0, separatePort))
 		for i := 1; i < 3; i++ {
-			relays = append(relays, newRelay(t, at(i, apart), at(i, d.basePort)))
-			newRelay(t, at(i, fronts), at(i, d.basePort))
+			relays = append(relays, newRelay(t, addr(i, separatePort), addr(i, d.basePort)))
+			newRelay(t, addr(i, frontMeshPort), addr(i, d.basePort))
 		}
 	}, sameAddr)
-	return d, func(on bool) {
+	return d, func(partitioned bool) {
 		for _, r := range relays {
-			r.setBlocked(on)
+			r.setBlocked(partitioned)
 		}
 	}
 }
@@ -117,7 +118,7 @@
 var laterRoute = strings.Replace(string(Config(2)), `"routes":[`,
 	`"routes":[{"name":"p2","host":"later","prefix":"/","type":"primary","timeoutMs":3000,"svc":"svc"},`, 1)
 
-// serves says whether a proxy has a route.
+// serves reports whether a proxy serves a route.
 func (d *Deployment) serves(front int, host string) bool {
 	k, first := d.Attach(front, host)
 	if k != nil {
@@ -134,13 +135,13 @@
 }
 
 // A core machine that is partitioned from the others, but not from its agent and members, answers no operator's
-// request and acknowledges no heartbeat, though it records it; its agent switches to another machine during the
-// partition, so that its proxy serves by what is decided meanwhile. The test fails with inContact always true,
-// without rejectWithoutContact in acknowledge, and without scheduleFailover in evaluate and checkCore
+// request and acknowledges no heartbeat, though it records it. Its agent switches to another machine during the
+// partition, so that its proxy serves the configuration that is accepted meanwhile. The test fails with inContact
+// always true, without rejectWithoutContact in acknowledge, and without scheduleFailover in evaluate and checkCore
 // (agent/corelink.go), where the new route never arrives.
-func TestCoreMachineCutOff(t *testing.T) {
-	d, cut := partitionableCore(t)
-	d.Eventually("all have contact", func() bool {
+func TestPartitionedCoreMachine(t *testing.T) {
+	d, setPartitioned := partitionableCore(t)
+	d.Eventually("all machines have contact", func() bool {
 		return d.contactStatus(0).InContact && d.contactStatus(1).InContact && d.contactStatus(2).InContact
 	})
 	d.Start("agent0", true)
@@ -148,10 +149,10 @@
 	d.Configure(1)
 	d.Eventually("the agent is linked to the first machine", func() bool { return d.contactStatus(0).Agents == 1 })
 
-	cut(true)
+	setPartitioned(true)
 	began := time.Now()
-	d.Eventually("the machine knows that it is cut off", func() bool { return !d.contactStatus(0).InContact })
-	t.Logf("known after %v", time.Since(began).Round(time.Millisecond))
+	d.Eventually("the partitioned machine knows that it has no contact", func() bool { return !d.contactStatus(0).InContact })
+	t.Logf("the machine lost contact after %v", time.Since(began).Round(time.Millisecond))
 	calls := []struct{ method, path, base, body string }{
 		{"GET", "/config/show", "", ""}, {"GET", "/config/log", "", ""},
 		{"POST", "/config/replace", "1", string(Config(2))}, {"POST", "/config/replace", "0", string(Config(2))},
@@ -159,40 +160,40 @@
 		{"POST", "/members/x/heartbeat", "", `{"svc":"svc","addr":"127.0.0.1:1","dbRole":"replica","seq":1}`},
 		{"POST", "/members/none/leave", "", ""},
 	}
-	refused := func() {
+	checkRefused := func() {
 		for _, c := range calls {
 			if code, answer := d.Call(c.method, d.Cores[0], c.path, c.base, []byte(c.body)); code != 503 {
 				t.Errorf("%s %s on %q: %d %s", c.method, c.path, c.base, code, answer)
 			}
 		}
 	}
-	refused()
+	checkRefused()
 	known := false
 	for _, m := range d.contactStatus(0).Members {
 		known = known || m.ID == "x"
 	}
 	if !known {
-		t.Error("the member that was not acknowledged is not in the table")
+		t.Error("the member whose heartbeat was not acknowledged is not recorded")
 	}
 
-	d.Eventually("the others take a change", func() bool {
+	d.Eventually("the others accept a change", func() bool {
 		code, _ := d.Call("POST", d.Cores[1], "/config/replace", "1", []byte(laterRoute))
 		return code == 200
 	})
-	taken := time.Now()
-	d.Eventually("the proxy serves by it", func() bool { return d.serves(0, "later") })
-	t.Logf("served %v behind its acknowledgement", time.Since(taken).Round(time.Millisecond))
+	acknowledged := time.Now()
+	d.Eventually("the proxy serves the new configuration", func() bool { return d.serves(0, "later") })
+	t.Logf("served %v after its acknowledgement", time.Since(acknowledged).Round(time.Millisecond))
 	if d.contactStatus(0).InContact {
-		t.Error("the machine that is cut off says that it has contact")
+		t.Error("the partitioned machine reports that it has contact")
 	}
-	refused()
+	checkRefused()
 
-	cut(false)
-	d.Eventually("the machine is back with the others' configuration", func() bool {
+	setPartitioned(false)
+	d.Eventually("the machine has the others' configuration", func() bool {
 		code, body := d.Call("GET", d.Cores[0], "/config/show", "", nil)
 		return code == 200 && strings.Contains(body, `"later"`)
 	})
-	d.Eventually("and acknowledges members", func() bool {
+	d.Eventually("the machine acknowledges heartbeats", func() bool {
 		code, _ := d.Call(
 			"POST",
 			d.Cores[0],
@@ -204,10 +205,10 @@
 	})
 }
 
-// An agent that restarts and knows one core machine only, which is partitioned and has just lost its disk, learns the
-// others from the agents that knew it. Without Cores in compare (agent/peers.go) it stays there.
+// An agent that restarts and knows only one core machine, which is partitioned and has just lost its disk, learns the
+// others' addresses from agents that know them. Without Cores in compare (agent/peers.go) it stays with that machine.
 func TestAgentLearnsCoresFromPeers(t *testing.T) {
-	d, cut := partitionableCore(t)
+	d, setPartitioned := partitionableCore(t)
 	d.meshPorts["agent1"], d.meshPorts["proxy1"] = d.meshPorts["agent0"], d.meshPorts["agent0"]
 	d.seeds = map[string][]string{"agent1": d.Cores[:1], "proxy1": d.Cores[:1]}
 	for _, name := range []string{"agent0", "proxy0", "agent1", "proxy1"} {
@@ -216,17 +217,17 @@
 	d.Configure(2)
 	d.Eventually("both agents are known", func() bool { return len(d.contactStatus(1).Drivers) == 2 })
 
-	cut(true)
+	setPartitioned(true)
 	d.Kill("agent1")
 	d.Kill("core0")
 	d.EraseDisk("core0")
 	d.Start("core0", false)
 	d.Start("agent1", false)
 	d.Eventually(
-		"the agent is linked to the machine that is cut off",
+		"the agent is linked to the partitioned machine",
 		func() bool { return d.contactStatus(0).Agents == 1 },
 	)
-	d.Eventually("the others take a change", func() bool {
+	d.Eventually("the others accept a change", func() bool {
 		code, _ := d.Call("POST", d.Cores[1], "/config/replace", "1", []byte(laterRoute))
 		return code == 200
 	})
@@ -234,5 +235,5 @@
 		"the agent is linked to a machine that has contact",
 		func() bool { return d.contactStatus(0).Agents == 0 },
 	)
-	d.Eventually("its proxy serves by the change", func() bool { return d.serves(1, "later") })
+	d.Eventually("its proxy serves the change", func() bool { return d.serves(1, "later") })
 }
--- a/internal/standin/cluster/process.go
+++ b/internal/standin/cluster/process.go
@@ -1,6 +1,6 @@
 package cluster
 
-// This file owns the processes' addresses, settings and start.
+// This file has the processes' addresses and settings, and starts them.
 
 import (
 	"bytes"
@@ -15,7 +15,7 @@
 	"weirwind/internal/util/settings"
 )
 
-// networks of a deployment, by what is there.
+// Networks of a deployment: one for each kind of machine.
 const (
 	coreNet     = 1
 	frontNet    = 2
@@ -25,10 +25,10 @@
 	edgeNet     = 6
 )
 
-// MaxFronts is how many machines with an agent and a proxy a deployment may have.
+// MaxFronts is the maximum number of machines with an agent and a proxy in a deployment.
 const MaxFronts = 120
 
-// hosts are the networks' shares of the hosts of the deployment's addresses.
+// hostRanges divides the hosts of the deployment's address block among the networks.
 var hostRanges = map[int]struct{ first, count int }{
 	coreNet:     {1, 10},
 	platformNet: {11, 1},
@@ -38,7 +38,7 @@
 	frontNet:    {132, MaxFronts},
 }
 
-// Ports beyond the base port, which is the first of three of the mesh.
+// Port offsets from the base port, which is the first of the three mesh ports.
 const (
 	feedPort    = 1
 	controlPort = 3
@@ -46,7 +46,7 @@
 	readyPort   = 5
 )
 
-// kinds are the program and the network of a process, by its name without the number.
+// processKinds has the role and the network of a process, by its name without the number.
 var processKinds = map[string]struct {
 	role    string
 	network int
@@ -65,7 +65,7 @@
 	return d.block.IP(hostRanges[network].first + n)
 }
 
-// splitName takes a process's name apart: its kind, and the number of its machine.
+// splitName splits a process's name into its kind and the number of its machine.
 func splitName(name string) (kind string, n int) {
 	kind = strings.TrimRight(name, "0123456789")
 	n, _ = strconv.Atoi(name[len(kind):])
@@ -76,13 +76,13 @@
 	return net.JoinHostPort(d.ip(network, n), fmt.Sprint(d.basePort+port))
 }
 
-// ProxyAddr is a proxy's address for clients.
+// ProxyAddr returns a proxy's address for clients.
 func (d *Deployment) ProxyAddr(n int) string { return d.address(frontNet, n, clientPort) }
 
-// ReadyAddr is a proxy's address for the platform's and operators' calls.
+// ReadyAddr returns a proxy's address for the platform's and operators' calls.
 func (d *Deployment) ReadyAddr(n int) string { return d.address(frontNet, n, readyPort) }
 
-// Start starts a process by its name, such as core0; first lets a core machine found the core's state.
+// Start starts a process by its name, such as core0. With bootstrap a core machine may create the core's initial state.
 func (d *Deployment) Start(name string, bootstrap bool) {
 	d.t.Helper()
 	file := filepath.Join(d.dir, name+".conf")
@@ -109,11 +109,11 @@
 	d.processes[name] = cmd
 }
 
-// settings is the lines of a process's settings file.
+// settings returns the lines of a process's settings file.
 func (d *Deployment) settings(name string, bootstrap bool) []string {
 	kindName, n := splitName(name)
 	kind, zone := processKinds[kindName], "z1"
-	if kind.network == siteNet || kind.network == edgeNet { // they are spread over the zones
+	if kind.network == siteNet || kind.network == edgeNet { // spread over the zones
 		zone = fmt.Sprint("z", n%3+1)
 	}
 	meshPort := d.basePort
@@ -125,7 +125,8 @@
 		seeds = own
 	}
 	lines := []string{"hostname=" + name, "zone=" + zone, "region=r1", "zones.z1=r1", "zones.z2=r1", "zones.z3=r1",
-		fmt.Sprintf("portRange=%d,%d", meshPort, meshPort+2), "peers=" + strings.Join(seeds, ","), fmt.Sprint("init=", bootstrap),
+		fmt.Sprintf("portRange=%d,%d", meshPort, meshPort+2), "peers=" + strings.Join(seeds, ","),
+		fmt.Sprint("init=", bootstrap),
 		"tolerate.nodes=1", "beatMs=200", "bounds.graceS=2", "cloudApi.addr=" + d.platform}
 	switch kind.network {
 	case coreNet:
--- a/internal/standin/cluster/resets_test.go
+++ b/internal/standin/cluster/resets_test.go
@@ -10,20 +10,20 @@
 	"weirwind/internal/standin/replicaset"
 )
 
-// newBehindRelays starts a deployment whose members and platform are reached at what via makes of their addresses.
-func newBehindRelays(t *testing.T, cores, fronts int, via func(addr string) string) *Deployment {
+// newBehindRelays starts a deployment whose members and platform are announced at the addresses that advertise returns.
+func newBehindRelays(t *testing.T, cores, fronts int, advertise func(addr string) string) *Deployment {
 	t.Helper()
-	return newDeployment(t, cores, fronts, func(*Deployment) {}, via)
+	return newDeployment(t, cores, fronts, func(*Deployment) {}, advertise)
 }
 
-// attempt is a statement or a transaction of a client: the ids of its writes, and its outcome.
+// attempt is a client's statement or transaction, with the ids of its writes and its outcome.
 type attempt struct {
 	writes      []string
 	success     bool
-	notExecuted bool // nothing of it is kept
+	notExecuted bool // the answer guarantees that it had no effect
 }
 
-// promisesNotExecuted says whether an answer promises that nothing of its attempt took effect.
+// promisesNotExecuted reports whether an answer guarantees that its attempt had no effect.
 func promisesNotExecuted(answer string) bool {
 	for _, code := range []string{"RETRY", "ABORTED", "LAGGING", "RDONLY", "WRONGHOST", "FULL"} {
 		if strings.Contains(answer, "FAIL "+code) {
@@ -33,21 +33,21 @@
 	return false
 }
 
-// belongsTo says whether an answer is that of a query: its position bears the query's id, and its rows hold what this
-// client stored.
-func belongsTo(answer, id, mark string) bool {
+// belongsTo reports whether an answer is that of the query: its position has the query's id, and its rows have values
+// that this client stored.
+func belongsTo(answer, id, key string) bool {
 	for line := range strings.SplitSeq(answer, " | ") {
 		switch {
 		case strings.HasPrefix(line, "DONE ") && !strings.HasSuffix(line, "."+id):
 			return false
-		case strings.HasPrefix(line, "ROW ") && line != "ROW " && !strings.HasPrefix(line, "ROW "+mark):
+		case strings.HasPrefix(line, "ROW ") && line != "ROW " && !strings.HasPrefix(line, "ROW "+key):
 			return false
 		}
 	}
 	return true
 }
 
-// workloadClient is a client that opens another session where its last one ended.
+// workloadClient is a client that opens a new session when its last one has ended.
 type workloadClient struct {
 	d        *Deployment
 	t        *testing.T
@@ -86,7 +86,7 @@
 }
 
 // transaction writes twice, and commits or rolls back.
-func (v *workloadClient) transaction(last string) {
+func (v *workloadClient) transaction(end string) {
 	var t attempt
 	if _, a := v.query("BEGIN"); !strings.HasPrefix(a, "DONE") {
 		return
@@ -100,9 +100,9 @@
 			return
 		}
 	}
-	_, a := v.query(last)
-	t.success = last == "COMMIT" && strings.HasPrefix(a, "DONE")
-	t.notExecuted = last == "ABORT" || promisesNotExecuted(a)
+	_, a := v.query(end)
+	t.success = end == "COMMIT" && strings.HasPrefix(a, "DONE")
+	t.notExecuted = end == "ABORT" || promisesNotExecuted(a)
 	v.attempts = append(v.attempts, t)
 }
 
@@ -116,9 +116,9 @@
 }
 
 // Links of agents to the core and of proxies to their agents are reset at random bytes, while the configuration changes
-// and the primary falls: no agent goes back to an older configuration, each change is in force at each proxy within its
-// time, and clients are served throughout. It fails without addCommitted, which gives an agent what its link lost.
-func TestAgentsLinksAreResetAtDrawnBytes(t *testing.T) {
+// and the primary crashes: no agent returns to an older configuration, each change takes effect at each proxy in time,
+// and clients are served throughout. The test fails without addCommitted, which resends to an agent what its link lost.
+func TestAgentLinksResetAtRandomBytes(t *testing.T) {
 	const fronts = 2
 	var relays []*links.ResettingRelay
 	relay := func(listen, target string) {
@@ -129,20 +129,20 @@
 		t.Cleanup(r.Close)
 		relays = append(relays, r)
 	}
-	limit := func(bytes int) {
+	setByteLimit := func(bytes int) {
 		for _, r := range relays {
 			r.SetByteLimit(bytes)
 		}
 	}
 	d := newDeployment(t, 3, 0, func(d *Deployment) {
-		apart, feedOffset := 10, 14
+		meshOffset, feedOffset := 10, 14
 		d.meshPorts, d.feeds = map[string]int{}, map[string]string{}
-		for core := range 3 { // agents dial core machines at their own mesh port
-			relay(d.address(coreNet, core, apart), d.address(coreNet, core, 0))
+		for core := range 3 { // agents dial core machines at the mesh port of their own settings
+			relay(d.address(coreNet, core, meshOffset), d.address(coreNet, core, 0))
 		}
 		for n := range fronts {
 			agent, proxy := fmt.Sprint("agent", n), fmt.Sprint("proxy", n)
-			d.meshPorts[agent], d.meshPorts[proxy] = d.basePort+apart, d.basePort+apart
+			d.meshPorts[agent], d.meshPorts[proxy] = d.basePort+meshOffset, d.basePort+meshOffset
 			d.feeds[proxy] = d.address(frontNet, n, feedOffset)
 			relay(d.feeds[proxy], d.address(frontNet, n, feedPort))
 		}
@@ -152,14 +152,14 @@
 		d.Start(fmt.Sprint("proxy", n), true)
 	}
 	d.Configure(fronts)
-	limit(1500)
+	setByteLimit(1500)
 	stop := startWrites(d, fronts, 2)
 	const changes = 12
 	for version := 2; version < 2+changes; version++ {
 		host := fmt.Sprint("later", version)
 		body := strings.Replace(string(Config(version)), `"routes":[`, `"routes":[{"name":"`+host+`","host":"`+host+
 			`","prefix":"/","type":"primary","timeoutMs":3000,"svc":"svc"},`, 1)
-		d.Eventually("a change is acknowledged", func() bool {
+		d.Eventually("the change is acknowledged", func() bool {
 			code, _ := d.Call("POST", d.Cores[version%3], "/config/replace", fmt.Sprint(version-1), []byte(body))
 			return code == 200
 		})
@@ -175,13 +175,13 @@
 			d.Eventually("another member leads", func() bool { l := d.Service.Leader(); return l != "" && l != old })
 		}
 	}
-	done, undone := stop()
-	limit(0)
+	done, notExecuted := stop()
+	setByteLimit(0)
 	resets := 0
 	for _, r := range relays {
 		resets += r.Resets()
 	}
-	t.Logf("%d links were reset, %d writes acknowledged, %d promised not to have run", resets, len(done), len(undone))
+	t.Logf("%d links were reset, %d writes acknowledged, %d reported as not executed", resets, len(done), len(notExecuted))
 	if resets < 20 || len(done) < 20 {
 		t.Error("too few resets or writes")
 	}
@@ -198,10 +198,10 @@
 }
 
 // All connections of proxies and of the core to members, and of the core to the platform, are reset at random bytes,
-// also during a failover: each answer belongs to its query, each write runs at most once, those that were
-// acknowledged exactly once, and those that were promised not to have run never. The test fails where a connection
-// that owes an answer goes back to its pool (Reusable), and where a write may be sent again (kindOf).
-func TestResetsAtDrawnBytes(t *testing.T) {
+// also during a failover: each answer belongs to its query, each write runs at most once, acknowledged writes run
+// exactly once, and writes that were reported as not executed never run. The test fails if a connection with an
+// outstanding answer returns to its pool (Reusable), or if a write may be resent (kindOf).
+func TestMemberConnectionsResetAtRandomBytes(t *testing.T) {
 	var relays []*links.ResettingRelay
 	d := newBehindRelays(t, 3, 1, func(addr string) string {
 		r, err := links.NewResettingRelay("127.0.0.1:0", addr, uint64(len(relays)))
@@ -213,34 +213,34 @@
 		return r.Addr()
 	})
 	d.Configure(1)
-	most := func(bytes int) {
+	setByteLimit := func(bytes int) {
 		for _, r := range relays {
 			r.SetByteLimit(bytes)
 		}
 	}
-	var visitors []*workloadClient
+	var clients []*workloadClient
 	for i := range 6 {
-		visitors = append(visitors, &workloadClient{d: d, t: t, key: fmt.Sprint("c", i)})
+		clients = append(clients, &workloadClient{d: d, t: t, key: fmt.Sprint("c", i)})
 	}
-	visit := func(rounds int) {
+	runClients := func(rounds int) {
 		var all sync.WaitGroup
-		for _, v := range visitors {
-			all.Go(func() { v.run(rounds) })
+		for _, client := range clients {
+			all.Go(func() { client.run(rounds) })
 		}
 		all.Wait()
 	}
-	most(1200)
-	relays[len(relays)-1].SetByteLimit(400) // calls to the platform are few and longer
-	visit(25)
+	setByteLimit(1200)
+	relays[len(relays)-1].SetByteLimit(400) // calls to the platform are few and short
+	runClients(25)
 	old := d.Service.Leader()
 	d.Service.Crash(old)
 	d.Eventually("another member leads", func() bool { l := d.Service.Leader(); return l != "" && l != old })
 	d.Service.With(func(g *replicaset.Group) { g.Member(old).Restart() })
-	visit(10)
-	most(0)
+	runClients(10)
+	setByteLimit(0)
 	d.Eventually("no transaction is left open", func() bool { return d.Service.OpenTransactions() == 0 })
 
-	resets, ended, clear := 0, 0, 0
+	resets, total, succeeded := 0, 0, 0
 	for _, r := range relays {
 		resets += r.Resets()
 	}
@@ -248,28 +248,28 @@
 		if g.Promotions > 2 || len(g.LostCommits) > 0 {
 			t.Errorf("%d promotions, lost %v", g.Promotions, g.LostCommits)
 		}
-		for _, v := range visitors {
-			for _, c := range v.attempts {
-				if ended++; c.success {
-					clear++
+		for _, client := range clients {
+			for _, tried := range client.attempts {
+				if total++; tried.success {
+					succeeded++
 				}
-				for _, id := range c.writes {
+				for _, id := range tried.writes {
 					n := d.Service.Executions[id]
-					if n > 1 || c.success && n != 1 || c.notExecuted && n != 0 {
-						t.Errorf("write %s of %+v ran %d times", id, c, n)
+					if n > 1 || tried.success && n != 1 || tried.notExecuted && n != 0 {
+						t.Errorf("write %s of %+v ran %d times", id, tried, n)
 					}
 				}
 			}
 		}
 	})
 	t.Logf(
-		"%d tries, %d answered with success, %d connections were reset, %d calls to the platform",
-		ended,
-		clear,
+		"%d attempts, %d answered with success, %d connections were reset, %d calls to the platform",
+		total,
+		succeeded,
 		resets,
 		len(d.Service.Promoted),
 	)
-	if clear < ended/4 || resets < 50 {
+	if succeeded < total/4 || resets < 50 {
 		t.Error("too few answers, or too few resets")
 	}
 }
--- a/internal/standin/cluster/service.go
+++ b/internal/standin/cluster/service.go
@@ -1,6 +1,6 @@
 package cluster
 
-// This file owns services: the members' listeners, their heartbeats to the core, and the platform's API.
+// This file has services: the members' listeners, their heartbeats to the core, and the platform's API.
 
 import (
 	"bytes"
@@ -21,44 +21,44 @@
 
 const (
 	heartbeatPeriod = 200 * time.Millisecond
-	maxDrainDelay   = 7 * time.Second // from a member's acknowledged drain to the last statement that may reach it
+	maxDrainDelay   = 7 * time.Second // after a member's acknowledged drain: until when statements may still reach it
 )
 
-// Service is a replication group on sockets that records all that its members run. Its exported fields are guarded by
-// With while it runs.
+// Service is a replication group on sockets that records the statements that its members run. While it runs, its
+// exported fields may be used only within With.
 type Service struct {
 	Name          string
 	Executions    map[string]int         // committed effects by statement id; more than 1 is a fault of the system
-	LoseAnswers   int                    // so many of the next answers to writes are lost, by closing the connection
-	RejectedCalls int                    // of the platform, with a fencing token older than the newest one
-	Promoted      []string               // members that the platform was called to promote, in order
+	LoseAnswers   int                    // number of next answers to writes that are lost, by closing the connection
+	RejectedCalls int                    // calls to the platform with an outdated fencing token
+	Promoted      []string               // members that calls to the platform promoted, in order
 	AfterDrain    []string               // ids of statements that reached a member too long after its drain
-	Shards        *shardnode.Store       // of a node that holds shards; nil: it holds none
-	Overflow      string                 // how the node's disk held more than its capacity; "" while it did not
-	Misdirected   MisdirectedConnections // who came to addresses of this service's members that others have taken over
-	Observer      Observer               // of what members run; nil: nobody
-	WorkTime      time.Duration          // that a client's statement takes at a member, beside its effect
+	Shards        *shardnode.Store       // of a node that holds shards; else nil
+	Overflow      string                 // describes how the node's disk exceeded its capacity; "" if it did not
+	Misdirected   MisdirectedConnections // connections to addresses of this service's members that others have taken over
+	Observer      Observer               // is told of what members run; may be nil
+	WorkTime      time.Duration          // additional execution time of a client's statement at a member
 
-	mu               sync.Mutex // guards all of it
+	mu               sync.Mutex // guards all fields
 	group            *replicaset.Group
 	addrs            map[string]string            // by member
 	conns            map[string]map[net.Conn]bool // by member
-	successors       map[string]successor         // by member: who has its address now
+	successors       map[string]successor         // by member: the member that has taken over its address
 	sequences        map[string]uint64            // of heartbeats by member
 	openTransactions int
 	data             map[string]string    // committed values by key
-	progress         chan struct{}        // closed, and replaced, with each change of the group
-	fencingToken     uint64               // the newest fencing token of the platform's calls
+	progress         chan struct{}        // closed and replaced at each change of the group
+	fencingToken     uint64               // the newest fencing token of calls to the platform
 	drained          map[string]time.Time // by member: when the core acknowledged that it drains
 }
 
-// Observer is told what members run, as they run it. Its methods are called under the service's lock.
+// Observer is notified of what members run. Its methods are called while the service's lock is held.
 type Observer interface {
-	// Reached is told of each statement of a client that comes to a member.
+	// Reached is called for each client's statement that reaches a member.
 	Reached(id string)
-	// Read is told of a read, and of the member's log, which it must not keep.
+	// Read is called for each read, with the member's log, which the method must not keep.
 	Read(id string, log []replicaset.Entry)
-	// Committed is told of a commit that enters the primary's log at a position.
+	// Committed is called for each commit that enters the primary's log, with its position.
 	Committed(id string, position wire.Position)
 }
 
@@ -78,7 +78,7 @@
 	}
 }
 
-// notify wakes the commits that wait for replicas. The lock is held.
+// notify wakes the commits that wait for replicas. The caller holds the lock.
 func (s *Service) notify() {
 	close(s.progress)
 	s.progress = make(chan struct{})
@@ -92,7 +92,7 @@
 	s.notify()
 }
 
-// Crash closes a member's connections and takes no more until the member restarts.
+// Crash closes a member's connections and rejects new ones until the member restarts.
 func (s *Service) Crash(id string) {
 	s.With(func(group *replicaset.Group) { group.Member(id).Up = false })
 	s.mu.Lock()
@@ -102,7 +102,7 @@
 	}
 }
 
-// Leader is the primary's id, "" for none.
+// Leader returns the primary's id, "" if there is none.
 func (s *Service) Leader() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -112,21 +112,21 @@
 	return ""
 }
 
-// OpenTransactions is the number of transactions that are open at members.
+// OpenTransactions returns the number of transactions that are open at members.
 func (s *Service) OpenTransactions() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.openTransactions
 }
 
-// Lost is the acknowledged commits that a promoted member lacked.
+// LostCommits returns the acknowledged commits that a promoted member lacked.
 func (s *Service) LostCommits() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.group.LostCommits
 }
 
-// listen serves a member at an address until the context ends.
+// listen serves a member at an address until the context is done.
 func (s *Service) listen(ctx context.Context, id, addr string) error {
 	listener, err := net.Listen("tcp4", addr)
 	if err != nil {
@@ -148,7 +148,7 @@
 	return nil
 }
 
-// accept serves a connection, or resets it where the member is down.
+// accept serves a connection, or resets it if the member is down.
 func (s *Service) accept(id string, conn net.Conn) {
 	s.mu.Lock()
 	if by, taken := s.successors[id]; taken {
@@ -170,7 +170,7 @@
 	go s.serve(id, conn)
 }
 
-// sendHeartbeats sends a member's heartbeats to the core until the context ends.
+// sendHeartbeats sends a member's heartbeats to the core until the context is done.
 func (d *Deployment) sendHeartbeats(ctx context.Context, service *Service, id string) {
 	go func() {
 		tick := time.NewTicker(heartbeatPeriod)
@@ -186,8 +186,8 @@
 	}()
 }
 
-// heartbeat sends a member's state to the core machines, from the given one on, until one acknowledges it. It gives the
-// number of that machine, else the given one.
+// heartbeat sends a member's state to the core machines in turn, starting with first, until one acknowledges it. It
+// returns that machine's index, or first if none does.
 func (s *Service) heartbeat(id string, cores []string, first int) int {
 	body, up := s.heartbeatBody(id)
 	if !up {
@@ -211,7 +211,7 @@
 	return first
 }
 
-// heartbeatBody is a member's next heartbeat; up is false while it is down.
+// heartbeatBody returns a member's next heartbeat; up is false while the member is down.
 func (s *Service) heartbeatBody(id string) (body []byte, up bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -233,7 +233,7 @@
 	return body, m.Up
 }
 
-// recordDrain notes when the core first acknowledged that a member drains.
+// recordDrain records when the core first acknowledged that a member is draining.
 func (s *Service) recordDrain(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -243,7 +243,8 @@
 	}
 }
 
-// ServeHTTP is the platform's API: the call that promotes a member. It rejects calls with an old fencing token.
+// ServeHTTP implements the platform's API: the call that promotes a member. It rejects calls with an outdated fencing
+// token.
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	var call struct{ Svc, ID string }
 	fence, err := strconv.ParseUint(r.Header.Get("Weirwind-Fence"), 10, 64)
@@ -266,7 +267,7 @@
 	}
 }
 
-// work takes as long as a client's statement does.
+// simulateWork notifies the observer of a client's statement and sleeps for its execution time.
 func (s *Service) simulateWork(id string) {
 	s.mu.Lock()
 	workTime := s.WorkTime
@@ -279,7 +280,7 @@
 	}
 }
 
-// checkCapacity notes a disk that holds more than its capacity. The lock is held.
+// checkCapacity records a disk that exceeds its capacity. The caller holds the lock.
 func (s *Service) checkCapacity() {
 	if used := s.Shards.UsedBytes(); used > s.Shards.Capacity {
 		s.Overflow = fmt.Sprintf("%s holds %d of %d", s.Name, used, s.Shards.Capacity)
--- a/internal/standin/cluster/session.go
+++ b/internal/standin/cluster/session.go
@@ -1,6 +1,6 @@
 package cluster
 
-// This file owns sessions at members: the wire protocol over replicaset's logs.
+// This file has sessions at members: the wire protocol over replicaset's logs.
 
 import (
 	"fmt"
@@ -24,24 +24,24 @@
 	unnumbered      = "-" // the query id of the control plane's statements
 )
 
-// session is a connection to a member, and its state. Functions that answer a statement give ok false where the answer
-// is lost and the connection ends.
+// session is a connection to a member, with its state. Methods that answer a statement return ok false if the answer is
+// lost and the connection is to be closed.
 type session struct {
 	service     *Service
 	member      string
-	open        bool              // a transaction is
+	open        bool              // a transaction is open
 	mayWrite    bool              // the open transaction
-	failed      bool              // the open transaction: only COMMIT and ABORT are left to it
+	failed      bool              // the open transaction has failed: only COMMIT and ABORT are accepted
 	writes      []write           // of the open transaction
-	prepared    map[string]string // verbs of prepared statements by name
-	countedOpen bool              // among the service's open transactions
+	prepared    map[string]string // verbs of prepared statements, by name
+	countedOpen bool              // the transaction is counted among the service's open ones
 
-	shard       string // of the open transaction on a node; "" for none
+	shard       string // shard of the open transaction on a node; "" for none
 	epoch       uint64 // of that shard
 	shardWrites []string
 }
 
-// write is one of a transaction.
+// write is a write of a transaction.
 type write struct{ statement, key, value string }
 
 // serve answers a connection until it ends.
@@ -85,7 +85,7 @@
 	}
 }
 
-// state is the transaction's in a READY message.
+// state returns the transaction state in a READY message.
 func (c *session) state() string {
 	switch {
 	case c.failed:
@@ -96,7 +96,7 @@
 	return "I"
 }
 
-// countOpen keeps the service's count of open transactions.
+// countOpen updates the service's count of open transactions.
 func (c *session) countOpen(open bool) {
 	c.service.mu.Lock()
 	defer c.service.mu.Unlock()
@@ -106,7 +106,7 @@
 	}
 }
 
-// endConnection ends the shard's transaction of a connection that has ended.
+// endConnection ends the open transaction on a shard when the connection has ended.
 func (c *session) endConnection() {
 	c.service.mu.Lock()
 	defer c.service.mu.Unlock()
@@ -119,10 +119,10 @@
 	if m := c.service.group.Member(c.member); m != nil {
 		return m.Position()
 	}
-	return wire.Position{} // it has left meanwhile
+	return wire.Position{} // the member was removed in the meantime
 }
 
-// query answers a statement.
+// query executes a statement and returns its answer.
 func (c *session) query(id, text string) (answer string, ok bool) {
 	if c.service.Shards != nil && id == unnumbered && strings.HasPrefix(text, "SHARD ") {
 		return c.shardCommand(text)
@@ -175,16 +175,16 @@
 	return c.statement(m, id, verb, rest)
 }
 
-// fail answers with an error code; an open transaction fails with it.
+// fail returns an answer with an error code, and marks an open transaction as failed.
 func (c *session) fail(code string) (answer string, ok bool) {
 	c.failed = c.open
 	return "FAIL " + code + "\r\n", true
 }
 
-// done is the answer to a statement that succeeded.
+// done returns the answer to a successful statement.
 func (c *session) done(id string) string { return "DONE " + c.member + "." + id + "\r\n" }
 
-// controlStatement carries out what the control plane asks of a member; ok is false for other verbs.
+// controlStatement executes a statement of the control plane; ok is false for other verbs.
 func controlStatement(member *replicaset.Member, verb, rest string) (answer string, ok bool) {
 	term, _ := strconv.ParseUint(rest, 10, 64)
 	switch verb {
@@ -206,7 +206,7 @@
 		status.PromisedTerm), true
 }
 
-// statement carries out a client's statement. The lock is held.
+// statement executes a client's statement. The caller holds the lock.
 func (c *session) statement(member *replicaset.Member, id, verb, rest string) (answer string, ok bool) {
 	switch verb {
 	case "RESET":
@@ -243,7 +243,7 @@
 	return answerMalformed, true
 }
 
-// store writes a value, as part of the open transaction or as one of its own. The lock is held.
+// store writes a value, in the open transaction or in one of its own. The caller holds the lock.
 func (c *session) store(member *replicaset.Member, id, rest string) (answer string, ok bool) {
 	if !member.Primary {
 		return c.fail(wire.CodeReadOnly)
@@ -256,7 +256,7 @@
 	return c.commit(member, id)
 }
 
-// commitTransaction commits the open transaction. The lock is held.
+// commitTransaction commits the open transaction. The caller holds the lock.
 func (c *session) commitTransaction(member *replicaset.Member, id string) (answer string, ok bool) {
 	if c.failed || !c.open {
 		c.open, c.failed, c.writes = false, false, nil
@@ -273,8 +273,8 @@
 	return c.commit(member, id)
 }
 
-// commit appends to the primary's log, replicates, and waits until the commit is acknowledged. The lock is held but
-// while it waits.
+// commit appends to the primary's log, replicates, and waits until the commit is acknowledged. The caller holds the
+// lock, which is released while waiting.
 func (c *session) commit(member *replicaset.Member, id string) (answer string, ok bool) {
 	s := c.service
 	writes := c.writes
@@ -304,7 +304,8 @@
 	return c.done(id), !lost
 }
 
-// loseAnswer says whether the next answer to a write is to be lost. The lock is held.
+// consumeLostAnswer reports whether the answer to the current write is to be lost, and counts it. The caller holds the
+// lock.
 func (s *Service) consumeLostAnswer() bool {
 	if s.LoseAnswers == 0 {
 		return false
--- a/internal/standin/cluster/shards_test.go
+++ b/internal/standin/cluster/shards_test.go
@@ -24,7 +24,7 @@
 
 const shardCount = 6
 
-// newShardedDeployment founds six shards on two of three nodes, with entries of earlier traffic in them.
+// newShardedDeployment creates six shards on two of three nodes, filled with entries.
 func newShardedDeployment(t *testing.T) (*Deployment, func(args ...string) (int, string)) {
 	d := New(t, 3, 2)
 	for _, n := range []string{"n0", "n1", "n2"} {
@@ -35,7 +35,7 @@
 	for _, n := range []string{"n0", "n1", "n2"} {
 		svcs = append(svcs, fmt.Sprintf(`{"name":%q,"maxConns":80}`, n))
 	}
-	found := shardmap.Change{
+	founding := shardmap.Change{
 		InitialOwners: map[string]string{},
 		Nodes: map[string]shardmap.Node{
 			"n0": {Zone: "za", State: "in"},
@@ -54,14 +54,14 @@
 				shard,
 			),
 		)
-		found.InitialOwners[shard] = fmt.Sprint("n", i%2)
+		founding.InitialOwners[shard] = fmt.Sprint("n", i%2)
 	}
 	body := fmt.Sprintf(
 		`{"gen":1,"routes":[%s],"svcs":[%s],"limits":{"txIdleMs":2000}}`,
 		strings.Join(routes, ","),
 		strings.Join(svcs, ","),
 	)
-	d.Eventually("a configuration is taken", func() bool {
+	d.Eventually("a configuration is accepted", func() bool {
 		code, _ := d.Call("POST", d.Cores[0], "/config/replace", "0", []byte(body))
 		return code == 200
 	})
@@ -74,15 +74,15 @@
 		return code, b.String()
 	}
 	file := filepath.Join(d.dir, "found.json")
-	raw, _ := json.Marshal(found)
+	raw, _ := json.Marshal(founding)
 	os.WriteFile(file, raw, 0o600)
 	d.Eventually(
-		"shards are founded",
+		"the shards are created",
 		func() bool { code, _ := shardsCommand("found", d.Cores[0], file); return code == 0 },
 	)
 	os.WriteFile(file, []byte(`{"rate":60000}`), 0o600)
-	d.Eventually("the pace is set", func() bool { code, _ := shardsCommand("rules", d.Cores[0], file); return code == 0 })
-	d.Eventually("nodes hold them", func() bool {
+	d.Eventually("the transfer rate is set", func() bool { code, _ := shardsCommand("rules", d.Cores[0], file); return code == 0 })
+	d.Eventually("the nodes report the shards", func() bool {
 		v := shardsView(d)
 		n := 0
 		for _, r := range v.Nodes {
@@ -90,7 +90,7 @@
 		}
 		return n == shardCount
 	})
-	for shard, node := range found.InitialOwners {
+	for shard, node := range founding.InitialOwners {
 		d.Nodes[node].With(func(*replicaset.Group) {
 			for i := range 200 {
 				_, err := d.Nodes[node].Shards.Write(shard, 1, fmt.Sprint("old", i), make([]byte, 100))
@@ -100,7 +100,7 @@
 			}
 		})
 	}
-	d.Eventually("the core knows what they hold", func() bool {
+	d.Eventually("the core knows the shards' sizes", func() bool {
 		v, n := shardsView(d), 0
 		for _, r := range v.Nodes {
 			for _, h := range r.Replicas {
@@ -126,8 +126,8 @@
 	return v
 }
 
-// startShardTraffic writes as two services' clients do until stopped, retrying what is proved not to have run. It gives
-// each op's attempts, with their answers.
+// startShardTraffic runs clients until stop is called, which read and write and retry what is known not to have run.
+// stop returns the attempts of each operation, with their answers.
 func (d *Deployment) startShardTraffic() (stop func() map[string][]string) {
 	d.t.Helper()
 	var served atomic.Int64
@@ -139,7 +139,7 @@
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			var k *Client
+			var client *Client
 			pace := time.NewTicker(15 * time.Millisecond)
 			defer pace.Stop()
 			for i := 0; ; i++ {
@@ -149,42 +149,42 @@
 				case <-pace.C:
 				}
 				name := fmt.Sprint(n, ".", i)
-				for try := 0; try < 4; try++ {
-					if k == nil {
+				for attempt := 0; attempt < 4; attempt++ {
+					if client == nil {
 						var first string
-						if k, first = d.Attach((n+try)%2, fmt.Sprint("db", n%shardCount)); k == nil || first != "READY I -" {
-							k = nil
+						if client, first = d.Attach((n+attempt)%2, fmt.Sprint("db", n%shardCount)); client == nil || first != "READY I -" {
+							client = nil
 							break
 						}
 					}
-					id, a := "", ""
-					if i%4 == 1 { // browsing and search: answered wherever the shard is by then
-						if _, a = k.Query("FETCH t" + name); strings.HasPrefix(a, "ROW") {
+					id, answer := "", ""
+					if i%4 == 1 { // a read, which is answered wherever the shard is by then
+						if _, answer = client.Query("FETCH t" + name); strings.HasPrefix(answer, "ROW") {
 							break
 						}
-					} else if i%3 == 0 { // as a transaction, whose commit is the try
-						if _, a = k.Query("BEGIN"); strings.HasPrefix(a, "DONE") {
-							if _, a = k.Query("STORE t" + name + " booked"); strings.HasPrefix(a, "DONE") {
-								id, a = k.Query("COMMIT")
+					} else if i%3 == 0 { // a transaction, whose COMMIT is the attempt
+						if _, answer = client.Query("BEGIN"); strings.HasPrefix(answer, "DONE") {
+							if _, answer = client.Query("STORE t" + name + " booked"); strings.HasPrefix(answer, "DONE") {
+								id, answer = client.Query("COMMIT")
 							} else {
-								k.Query("ABORT")
+								client.Query("ABORT")
 							}
 						}
 					} else {
-						id, a = k.Query("STORE t" + name + " enrolled")
+						id, answer = client.Query("STORE t" + name + " enrolled")
 					}
 					mu.Lock()
 					if id != "" {
-						ops[name] = append(ops[name], id+" "+a)
+						ops[name] = append(ops[name], id+" "+answer)
 					}
 					mu.Unlock()
-					if strings.HasPrefix(a, "DONE") {
+					if strings.HasPrefix(answer, "DONE") {
 						served.Add(1)
 					}
-					if strings.HasPrefix(a, "end") {
-						k = nil
+					if strings.HasPrefix(answer, "end") {
+						client = nil
 					}
-					if !strings.HasPrefix(a, "FAIL RETRY") && !strings.HasPrefix(a, "FAIL ABORTED") {
+					if !strings.HasPrefix(answer, "FAIL RETRY") && !strings.HasPrefix(answer, "FAIL ABORTED") {
 						break
 					}
 				}
@@ -199,10 +199,11 @@
 	}
 }
 
-// auditShards waits until every shard is open where the map has it and nowhere else, and audits all attempts.
+// auditShards waits until every shard is open at the node that the map names and nowhere else, and then checks all
+// attempts against what ran.
 func auditShards(d *Deployment, ops map[string][]string) {
 	var ran map[string]int
-	d.Eventually("all shards are complete", func() bool {
+	d.Eventually("all shards are where the map has them", func() bool {
 		v := shardsView(d)
 		if v.Map == nil {
 			return false
@@ -216,9 +217,9 @@
 		for shard, p := range v.Map.Shards {
 			holders[shard] = p.Node
 		}
-		var strays []string
-		ran, strays = d.Effects(holders)
-		return len(strays) == 0
+		var misplaced []string
+		ran, misplaced = d.Effects(holders)
+		return len(misplaced) == 0
 	})
 	done := 0
 	for name, tries := range ops {
@@ -248,29 +249,29 @@
 }
 
 func TestShards(t *testing.T) {
-	Convey("While clients enroll and book on six shards of two nodes, with a third that is empty", t, func() {
-		d, tell := newShardedDeployment(t)
+	Convey("While clients read and write six shards on two nodes, with a third, empty node", t, func() {
+		d, shardsCommand := newShardedDeployment(t)
 		Reset(d.Stop)
 		stop := d.startShardTraffic()
-		under := func() { // a move goes on
-			d.Eventually("something moves", func() bool { return len(shardsView(d).Transfers) > 0 })
+		waitForMove := func() { // until a move is in progress
+			d.Eventually("a shard is moving", func() bool { return len(shardsView(d).Transfers) > 0 })
 		}
-		apply := func() {
-			d.Eventually("a plan is taken", func() bool { code, _ := tell("apply", d.Cores[1]); return code == 0 })
+		applyPlan := func() {
+			d.Eventually("a plan is accepted", func() bool { code, _ := shardsCommand("apply", d.Cores[1]); return code == 0 })
 		}
-		ended := func() {
-			d.Eventually("no task waits", func() bool {
+		waitForTasks := func() {
+			d.Eventually("no task is waiting", func() bool {
 				v := shardsView(d)
 				return v.Map != nil && len(v.Map.Tasks) > 0 && !strings.Contains(fmt.Sprint(v.Map.Tasks), "waiting")
 			})
 		}
 		finish := func() {
-			ended()
+			waitForTasks()
 			auditShards(d, stop())
 		}
-		Convey("a plan is carried out, and no client meets a failure", func() {
-			apply()
-			ended()
+		Convey("a plan is executed, and no client sees a failure", func() {
+			applyPlan()
+			waitForTasks()
 			ops := stop()
 			auditShards(d, ops)
 			for name, tries := range ops {
@@ -288,7 +289,7 @@
 				{"page", d.Cores[0], filepath.Join(d.dir, "page.html")},
 			} {
 				d.Eventually(call[0], func() bool {
-					code, s := tell(call...)
+					code, s := shardsCommand(call...)
 					if code == 0 {
 						printed += s
 					}
@@ -298,24 +299,24 @@
 			So(printed, ShouldContainSubstring, "0 waiting, 0 failed")
 			So(printed, ShouldContainSubstring, "s0 is on n")
 		})
-		Convey("the leader is killed as shards move, and the next one ends what it began", func() {
-			apply()
-			under()
+		Convey("the leader is killed while shards move, and the next leader completes the moves", func() {
+			applyPlan()
+			waitForMove()
 			d.Kill(leader(d))
 			finish()
 		})
-		Convey("the leader is frozen, thawed behind the lead of another: it hands nothing over", func() {
-			apply()
-			under()
-			lead := leader(d)
-			d.Signal(lead, syscall.SIGSTOP)
+		Convey("the leader is frozen, and resumes after another took over: it hands no shard over", func() {
+			applyPlan()
+			waitForMove()
+			leaderName := leader(d)
+			d.Signal(leaderName, syscall.SIGSTOP)
 			d.Eventually("another leads", func() bool { v := shardsView(d); return v.Map != nil })
-			d.Signal(lead, syscall.SIGCONT)
+			d.Signal(leaderName, syscall.SIGCONT)
 			finish()
 		})
-		Convey("nodes end and come back with their disks, one after the other, and answers are lost", func() {
-			apply()
-			under()
+		Convey("nodes crash and restart with their disks, one after the other, and answers are lost", func() {
+			applyPlan()
+			waitForMove()
 			for i, n := range []string{"n2", "n0", "n1"} {
 				d.Nodes[n].CrashNode()
 				other := d.Nodes[[]string{"n0", "n1", "n2"}[i]]
@@ -329,51 +330,51 @@
 			}
 			finish()
 		})
-		Convey("others fill the target's disk: the copy gives way, and a new plan begins from where things are", func() {
-			apply()
-			under()
+		Convey("the target's disk is filled by other data: the move is abandoned, and a new plan starts from the current placement", func() {
+			applyPlan()
+			waitForMove()
 			n2 := d.Nodes["n2"]
 			n2.With(func(*replicaset.Group) { n2.Shards.SetExternal(n2.Shards.Capacity - n2.Shards.UsedBytes() - 1000) })
 			finish()
 		})
-		Convey("a proxy is frozen over the hand-overs, and thawed with the old map", func() {
+		Convey("a proxy is frozen during the handovers, and resumes with an outdated map", func() {
 			d.Signal("proxy1", syscall.SIGSTOP)
-			apply()
-			ended()
+			applyPlan()
+			waitForTasks()
 			d.Signal("proxy1", syscall.SIGCONT)
 			finish()
 		})
-		Convey("the operator pauses, goes on, aborts, and marks a node as leaving", func() {
-			apply()
-			under()
+		Convey("the operator pauses, resumes, aborts, and marks a node as leaving", func() {
+			applyPlan()
+			waitForMove()
 			for _, call := range [][]string{{"pause", d.Cores[0]}, {"resume", d.Cores[1]}, {"abort", d.Cores[2]}} {
-				d.Eventually(call[0], func() bool { code, _ := tell(call...); return code == 0 })
+				d.Eventually(call[0], func() bool { code, _ := shardsCommand(call...); return code == 0 })
 			}
-			d.Eventually("all went back or is done", func() bool {
+			d.Eventually("all moves are rolled back or completed", func() bool {
 				v := shardsView(d)
 				return v.Map != nil && !strings.Contains(fmt.Sprint(v.Map.Tasks), "waiting")
 			})
-			d.Eventually("marked", func() bool { code, _ := tell("mark", d.Cores[0], "n1", "leaving"); return code == 0 })
-			apply()
+			d.Eventually("the node is marked", func() bool { code, _ := shardsCommand("mark", d.Cores[0], "n1", "leaving"); return code == 0 })
+			applyPlan()
 			finish()
 			So(len(d.Nodes["n1"].Shards.Replicas), ShouldEqual, 0)
 		})
 	})
 }
 
-// Random faults under traffic for as long as SHARDS says (a duration; not in CI).
+// Injects random faults under traffic for the duration given by the environment variable SHARDS; not run in CI.
 func TestLongShardTraffic(t *testing.T) {
-	long, err := time.ParseDuration(os.Getenv("SHARDS"))
+	duration, err := time.ParseDuration(os.Getenv("SHARDS"))
 	if err != nil {
-		t.Skip("SHARDS=30m runs it")
+		t.Skip("set SHARDS to a duration, such as 30m, to run it")
 	}
 	Convey("A long run", t, func() {
-		d, tell := newShardedDeployment(t)
+		d, shardsCommand := newShardedDeployment(t)
 		stop := d.startShardTraffic()
 		faults := 0
-		for end := time.Now().Add(long); time.Now().Before(end); faults++ {
-			tell("resume", d.Cores[0])
-			tell("apply", d.Cores[rand.IntN(3)])
+		for end := time.Now().Add(duration); time.Now().Before(end); faults++ {
+			shardsCommand("resume", d.Cores[0])
+			shardsCommand("apply", d.Cores[rand.IntN(3)])
 			n := d.Nodes[fmt.Sprint("n", rand.IntN(3))]
 			switch rand.IntN(6) {
 			case 0:
@@ -381,9 +382,9 @@
 				<-time.After(time.Duration(rand.IntN(1500)) * time.Millisecond)
 				n.RestartNode()
 			case 1:
-				lead := leader(d)
-				d.Kill(lead)
-				d.Start(lead, false)
+				leaderName := leader(d)
+				d.Kill(leaderName)
+				d.Start(leaderName, false)
 			case 2:
 				p := fmt.Sprint("proxy", rand.IntN(2))
 				d.Signal(p, syscall.SIGSTOP)
@@ -392,14 +393,14 @@
 			case 3:
 				n.With(func(*replicaset.Group) { n.LoseAnswers = 5 })
 			case 4:
-				tell("abort", d.Cores[0])
+				shardsCommand("abort", d.Cores[0])
 			case 5:
 				state := []string{"leaving", "in"}[rand.IntN(2)]
-				tell("mark", d.Cores[0], n.Name, state)
+				shardsCommand("mark", d.Cores[0], n.Name, state)
 			}
 			<-time.After(time.Duration(rand.IntN(2000)) * time.Millisecond)
 		}
-		tell("resume", d.Cores[0])
+		shardsCommand("resume", d.Cores[0])
 		v := shardsView(d)
 		ops := stop()
 		auditShards(d, ops)
--- a/internal/standin/cluster/shutdown_test.go
+++ b/internal/standin/cluster/shutdown_test.go
@@ -12,7 +12,7 @@
 	"weirwind/internal/standin/replicaset"
 )
 
-// reachedIDs is an observer that keeps the ids of the statements that came to members.
+// reachedIDs is an observer that records the ids of the statements that reached members.
 type reachedIDs struct {
 	mu  sync.Mutex
 	ids map[string]bool
@@ -34,30 +34,31 @@
 
 func (r *reachedIDs) Committed(string, wire.Position) {}
 
-// Clients that ask again without a pause are never idle; they were cut in the midst of a statement as the process ended.
-func TestProxyThatEndsAnswersWhatIsAtAMember(t *testing.T) {
+// A proxy that shuts down answers statements that have reached a member before it closes their connections. Clients
+// that send statements without a pause are never idle, and used to be disconnected in the middle of one.
+func TestProxyShutdownAnswersStatementsAtMembers(t *testing.T) {
 	const clients = 8
 	d := New(t, 3, 1)
 	d.Configure(1)
 	reached := &reachedIDs{ids: map[string]bool{}}
 	d.Service.With(func(*replicaset.Group) { d.Service.Observer, d.Service.WorkTime = reached, 15*time.Millisecond })
 	var all sync.WaitGroup
-	asked := make(chan struct{}, clients)
+	firstAnswers := make(chan struct{}, clients)
 	for n := range clients {
-		k, first := d.Attach(0, "prim")
-		if first != "READY I -" {
-			t.Fatal(first)
+		client, greeting := d.Attach(0, "prim")
+		if greeting != "READY I -" {
+			t.Fatal(greeting)
 		}
 		all.Go(func() {
 			statement := []string{fmt.Sprint("STORE k", n, " v"), fmt.Sprint("FETCH k", n)}[n%2]
 			for i := 0; ; i++ {
-				id, answer := k.Query(statement)
+				id, answer := client.Query(statement)
 				if i == 0 {
-					asked <- struct{}{}
+					firstAnswers <- struct{}{}
 				}
 				if strings.HasPrefix(answer, "end") {
 					if reached.has(id) {
-						t.Errorf("%s %s was at a member as its connection ended: %s", id, statement, answer)
+						t.Errorf("%s %s had reached a member when its connection ended: %s", id, statement, answer)
 					}
 					return
 				}
@@ -65,12 +66,12 @@
 		})
 	}
 	for range clients {
-		<-asked
+		<-firstAnswers
 	}
 	d.Signal("proxy0", syscall.SIGTERM)
 	began := time.Now()
-	if !d.Await("proxy0", 4*time.Second) { // the race detector ends a second late
-		t.Errorf("the process was there %v after SIGTERM", time.Since(began))
+	if !d.Await("proxy0", 4*time.Second) { // the race detector delays the exit by a second
+		t.Errorf("the process was still running %v after SIGTERM", time.Since(began))
 	}
 	all.Wait()
 }
--- a/internal/standin/cluster/takeover.go
+++ b/internal/standin/cluster/takeover.go
@@ -1,6 +1,6 @@
 package cluster
 
-// This file owns addresses of crashed members that others take over.
+// This file simulates the reuse of crashed members' addresses by other members.
 
 import (
 	"fmt"
@@ -11,23 +11,24 @@
 	"weirwind/internal/member/wire"
 )
 
-// occupant is a member that has taken over the address of another one.
+// successor is a member that has taken over the address of another one.
 type successor struct{ service, member string }
 
-// Strangers counts the connections that came to addresses of crashed members after others had taken them over.
+// MisdirectedConnections counts the connections to addresses of crashed members after others had taken these over.
 type MisdirectedConnections struct {
-	Rejected int      // they named a member that is no longer there
-	Unnamed  []string // what connections said that named no service and member: a session would have been opened
+	Rejected int      // connections that named a member that is no longer there, and were rejected
+	Unnamed  []string // first lines of connections that named no service and member, and would have got a session
 }
 
-// TakeOver has a member of a service, which may be this one, answer at the address of a crashed member of this one.
+// TakeOver makes a member of a service, which may be this one, answer at the address of a crashed member of this
+// service.
 func (s *Service) TakeOver(id, service, member string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.successors[id] = successor{service, member}
 }
 
-// serve answers a connection as a member does that was not asked for.
+// serve answers a connection as a member does that the caller did not mean.
 func (o successor) serve(former *Service, conn net.Conn) {
 	defer conn.Close()
 	line, err := wire.NewReader(conn).ReadMessage()
@@ -43,5 +44,5 @@
 		former.Misdirected.Unnamed = append(former.Misdirected.Unnamed, line)
 	}
 	former.mu.Unlock()
-	_, _ = io.WriteString(conn, fmt.Sprintf("FAIL %s\r\n", wire.CodeWrongHost)) // the caller may have left
+	_, _ = io.WriteString(conn, fmt.Sprintf("FAIL %s\r\n", wire.CodeWrongHost)) // the caller may have disconnected
 }
--- a/internal/standin/disk/disk.go
+++ b/internal/standin/disk/disk.go
@@ -1,9 +1,9 @@
-// Package disk is a stand-in for file systems that crash and disks that fail, for tests of what is kept on them.
+// Package disk simulates file systems that crash and disks that fail, for tests of stored state.
 //
 // Disk is a file system in memory that implements durable.FS: it counts operations, crashes in the middle of a chosen
-// one, and AfterCrash gives the file system that is found then. FaultyFS is a pebble file system on real folders whose
-// faults a file switches. Neither is kinder than a real disk: what no sync covers may be there, be missing, be torn at
-// any byte, or be there without what was written before it.
+// one, and AfterCrash returns the file system as it is after the crash. FaultyFS is a pebble file system on real
+// folders whose faults are set by a control file. Neither is more reliable than a real disk: unsynced writes may be
+// present, be missing, be torn at any byte, or be present without earlier ones.
 package disk
 
 import (
@@ -21,28 +21,28 @@
 	"weirwind/internal/durable"
 )
 
-// ErrCrashed is the error of every operation from the crash on.
+// ErrCrashed is returned by every operation from the crash on.
 var ErrCrashed = errors.New("disk: crashed")
 
-// Outcome is what a crash leaves of writes and names that were not synced.
+// Outcome is what remains after a crash of unsynced writes and changes of names.
 type Outcome uint8
 
 // The outcomes of a crash; Outcomes is their number.
 const (
-	LoseUnsynced Outcome = iota // all of it is lost
-	KeepUnsynced                // all of it is there
-	TearUnsynced                // a prefix is there, cut at any byte
-	MixUnsynced                 // each write and each change of a name is there or not, whatever came before it
+	LoseUnsynced Outcome = iota // everything unsynced is lost
+	KeepUnsynced                // everything unsynced remains
+	TearUnsynced                // a prefix remains, cut at any byte
+	MixUnsynced                 // each write and each change of a name remains or not, independently of earlier ones
 	Outcomes
 )
 
-// write is one that no sync covers.
+// write is an unsynced write.
 type write struct {
 	offset int
 	data   []byte
 }
 
-// inode is a file's content.
+// inode has a file's content.
 type inode struct {
 	synced []byte
 	writes []write // since the last sync
@@ -64,17 +64,18 @@
 	return b
 }
 
-// nameChange is a change of a folder's names that SyncDir has not covered.
+// nameChange is a change of a folder's names since the last SyncDir.
 type nameChange struct {
 	name, from string
-	node       *inode // nil where the name goes
+	node       *inode // nil if the name is removed
 }
 
 // Disk is a file system in memory. Set its faults before use.
 type Disk struct {
-	// CrashAt is the operation, counted from 1, in the middle of which the disk crashes; 0: it does not.
+	// CrashAt is the number of the operation, from 1, in the middle of which the disk crashes; 0: it does not crash.
 	CrashAt int
-	// Fail gives the error of an operation, such as "write" or "sync", by its number; nil: none fails.
+	// Fail returns the error of the operation with a name, such as "write" or "sync", and a number; if Fail is nil, no
+	// operation fails.
 	Fail func(operation string, number int) error
 
 	mu          sync.Mutex
@@ -87,7 +88,7 @@
 	locked      map[string]bool
 }
 
-// New is an empty disk.
+// New returns an empty disk.
 func New() *Disk {
 	return &Disk{
 		names:       map[string]*inode{},
@@ -97,14 +98,14 @@
 	}
 }
 
-// Operations is the number of operations so far.
+// Operations returns the number of operations so far.
 func (d *Disk) Operations() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.operations
 }
 
-// begin counts an operation. crashes says that the disk crashes in the middle of it. The lock is held.
+// begin counts an operation. crashes is true if the disk crashes in the middle of it. The caller holds the lock.
 func (d *Disk) begin(operation string) (crashes bool, err error) {
 	if d.crashed {
 		return false, ErrCrashed
@@ -119,7 +120,7 @@
 	return d.crashed, nil
 }
 
-// AfterCrash is the disk that is found after a crash; the seed decides what an outcome leaves to chance.
+// AfterCrash returns the disk as it is after a crash. The seed determines the random choices of the outcome.
 func (d *Disk) AfterCrash(outcome Outcome, seed uint64) *Disk {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -129,7 +130,7 @@
 	for folder := range d.folders {
 		survivor.folders[folder] = true
 	}
-	for _, name := range slices.Sorted(maps.Keys(names)) { // in a fixed order, as each draws
+	for _, name := range slices.Sorted(maps.Keys(names)) { // in a fixed order, as each uses random numbers
 		n := names[name]
 		if copies[n] == nil {
 			copies[n] = &inode{synced: survivingContent(n, outcome, random)}
@@ -139,7 +140,7 @@
 	return survivor
 }
 
-// survivingNames applies the changes of names that a crash leaves to those that were synced.
+// survivingNames returns the names after a crash: the synced ones with the surviving changes.
 func (d *Disk) survivingNames(outcome Outcome, random *rand.Rand) map[string]*inode {
 	names := maps.Clone(d.syncedNames)
 	surviving := len(d.changes)
@@ -165,7 +166,7 @@
 	return names
 }
 
-// survivingContent is what a crash leaves of a file.
+// survivingContent returns a file's content after a crash.
 func survivingContent(n *inode, outcome Outcome, random *rand.Rand) []byte {
 	b := slices.Clone(n.synced)
 	for i, w := range n.writes {
@@ -174,7 +175,7 @@
 			continue
 		case outcome == TearUnsynced && i == len(n.writes)-1:
 			w.data = w.data[:random.IntN(len(w.data)+1)]
-		case outcome == MixUnsynced && random.IntN(2) == 0 && len(w.data) > 0: // a block of it never came
+		case outcome == MixUnsynced && random.IntN(2) == 0 && len(w.data) > 0: // a block of it was not written
 			w.data = slices.Clone(w.data)
 			from := random.IntN(len(w.data))
 			clear(w.data[from:min(len(w.data), from+1+random.IntN(64))])
@@ -184,7 +185,7 @@
 	return b
 }
 
-// SetFile puts a file there, synced.
+// SetFile creates a synced file.
 func (d *Disk) SetFile(name string, content []byte) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -192,7 +193,7 @@
 	d.names[name], d.syncedNames[name], d.folders[filepath.Dir(name)] = n, n, true
 }
 
-// FileContent is a file's content as it is read now; nil where there is none.
+// FileContent returns a file's current content, synced or not; nil if there is no such file.
 func (d *Disk) FileContent(name string) []byte {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -202,7 +203,7 @@
 	return nil
 }
 
-// Clone is the disk as it is, with nothing of it lost.
+// Clone returns a copy of the disk, with all unsynced changes.
 func (d *Disk) Clone() *Disk { return d.AfterCrash(KeepUnsynced, 0) }
 
 // MkdirAll creates a folder, which is durable at once.
@@ -216,7 +217,7 @@
 	return d.finish()
 }
 
-// finish is the error of an operation that took effect: the crash, where it came in the middle of it.
+// finish returns the result of an operation that took effect: ErrCrashed if the disk crashed in the middle of it.
 func (d *Disk) finish() error {
 	if d.crashed {
 		return ErrCrashed
@@ -224,7 +225,7 @@
 	return nil
 }
 
-// List gives the names in a folder, sorted.
+// List returns the names in a folder, sorted.
 func (d *Disk) List(folder string) (names []string, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -243,7 +244,7 @@
 	return names, nil
 }
 
-// Create opens an empty file, whose name is durable after SyncDir.
+// Create creates an empty file, whose name is durable after SyncDir.
 func (d *Disk) Create(name string) (durable.File, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -259,7 +260,7 @@
 	return &file{disk: d, node: n}, d.finish()
 }
 
-// ReadFile gives a file's content, synced or not; ErrDamaged where it is longer than the limit.
+// ReadFile returns a file's content, synced or not, or ErrDamaged if it is longer than the limit.
 func (d *Disk) ReadFile(name string, limit int64) ([]byte, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -277,7 +278,7 @@
 	return b, nil
 }
 
-// Rename moves a name, durable after SyncDir.
+// Rename renames a file, durable after SyncDir.
 func (d *Disk) Rename(from, to string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -309,7 +310,7 @@
 	return d.finish()
 }
 
-// SyncDir makes all names durable; a crash in the middle of it makes none.
+// SyncDir makes all names durable; a crash in the middle of it makes none durable.
 func (d *Disk) SyncDir(folder string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -317,7 +318,7 @@
 	if err != nil {
 		return err
 	}
-	if crashes { // in the middle of it nothing is promised yet
+	if crashes { // nothing is durable yet
 		return ErrCrashed
 	}
 	d.syncedNames, d.changes = map[string]*inode{}, nil
@@ -327,7 +328,7 @@
 	return nil
 }
 
-// Lock takes a lock that its Close releases; ErrLocked while somebody has it.
+// Lock acquires a lock, which Close of the result releases. It returns ErrLocked if the lock is held.
 func (d *Disk) Lock(name string) (io.Closer, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -351,19 +352,19 @@
 // Close releases the lock.
 func (u unlock) Close() error { u(); return nil }
 
-// file is open for appending.
+// file is a file open for appending.
 type file struct {
 	disk   *Disk
 	node   *inode
 	offset int
 }
 
-// Write appends; on a full disk a part of the bytes is taken.
+// Write appends to the file. On a full disk it writes a part of the bytes.
 func (f *file) Write(b []byte) (int, error) {
 	f.disk.mu.Lock()
 	defer f.disk.mu.Unlock()
 	if _, err := f.disk.begin("write"); err != nil {
-		if !f.disk.crashed && len(b) > 1 { // a disk that is full takes a part
+		if !f.disk.crashed && len(b) > 1 { // a full disk writes a part
 			f.node.writes = append(f.node.writes, write{f.offset, slices.Clone(b[:len(b)/2])})
 			f.offset += len(b) / 2
 		}
@@ -374,7 +375,7 @@
 	return len(b), f.disk.finish()
 }
 
-// Sync makes the content durable; a crash in the middle of it promises nothing.
+// Sync makes the content durable; a crash in the middle of it makes nothing durable.
 func (f *file) Sync() error {
 	f.disk.mu.Lock()
 	defer f.disk.mu.Unlock()
--- a/internal/standin/disk/pebble.go
+++ b/internal/standin/disk/pebble.go
@@ -1,7 +1,7 @@
 package disk
 
-// FaultyFS stands in for the disk of a process that keeps its state in pebble: what was not synced is lost when the
-// process is killed, as by a loss of power, and the disk stalls, fails or is slow while its control file says so.
+// FaultyFS simulates the disk of a process that keeps its state in pebble: unsynced writes are lost when the process is
+// killed, as by a loss of power, and the disk stalls, fails or is slow while its control file names that fault.
 
 import (
 	"errors"
@@ -14,13 +14,13 @@
 	"github.com/cockroachdb/pebble/vfs"
 )
 
-// The faults that a control file may hold, separated by spaces.
+// Faults that a control file may contain, separated by spaces.
 const (
-	Stall      = "stall"  // writes and syncs wait for as long as it is there
-	Refuse     = "refuse" // they fail
-	SlowSync   = "slow"   // a sync takes its time
-	Full       = "full"   // they fail for want of room; a write takes a part of the bytes
-	TearWrites = "tear"   // half of an unsynced write is found after a loss of power, else nothing of it
+	Stall      = "stall"  // operations wait while the fault is set
+	Refuse     = "refuse" // operations fail
+	SlowSync   = "slow"   // syncs are slow
+	Full       = "full"   // operations fail with ENOSPC; a write accepts a part of the bytes
+	TearWrites = "tear"   // half of the unsynced bytes survive a loss of power; without it none do
 )
 
 const (
@@ -28,10 +28,10 @@
 	stallPoll    = 5 * time.Millisecond
 )
 
-// ErrRefused is the error of a disk with the fault Refuse.
+// ErrRefused is returned by a disk with the fault Refuse.
 var ErrRefused = errors.New("disk: refused")
 
-// FaultyFS is a file system on real folders with the faults that a control file names at each operation.
+// FaultyFS returns a file system on real folders, with the faults that the control file contains at each operation.
 func FaultyFS(control string) vfs.FS { return &faultyFS{vfs.Default, control} }
 
 // faultyFS applies a control file's faults.
@@ -40,7 +40,7 @@
 	control string
 }
 
-// faults waits out a stall and gives the faults that remain.
+// faults waits until the disk does not stall, and returns the control file's text and the error of its fault.
 func (fs *faultyFS) faults() (string, error) {
 	for {
 		b, _ := os.ReadFile(fs.control)
@@ -81,16 +81,16 @@
 	return &faultyFile{File: f, fs: fs}, nil
 }
 
-// faultyFile is a file whose writes reach the folder when they are synced.
+// faultyFile is a file whose writes reach the underlying file when they are synced.
 type faultyFile struct {
 	vfs.File
 	fs       *faultyFS
 	mu       sync.Mutex
 	unsynced []byte
-	written  int // bytes of unsynced that are in the folder already
+	written  int // number of bytes of unsynced that are in the underlying file already
 }
 
-// Write keeps bytes until the next sync; with TearWrites half of them reach the folder.
+// Write buffers bytes until the next sync; with TearWrites half of them reach the underlying file at once.
 func (f *faultyFile) Write(b []byte) (int, error) {
 	faults, err := f.fs.faults()
 	if errors.Is(err, syscall.ENOSPC) {
@@ -118,7 +118,7 @@
 // Sync implements vfs.File.
 func (f *faultyFile) Sync() error {
 	faults, err := f.fs.faults()
-	if err != nil && !errors.Is(err, syscall.ENOSPC) { // room that a write was given is there
+	if err != nil && !errors.Is(err, syscall.ENOSPC) { // on a full disk, accepted writes have their space
 		return err
 	}
 	if strings.Contains(faults, SlowSync) {
@@ -140,10 +140,10 @@
 // Preallocate implements vfs.File.
 func (f *faultyFile) Preallocate(_, _ int64) error { return nil }
 
-// Fd implements vfs.File: there is no descriptor whose writes would pass by the faults.
+// Fd implements vfs.File. It returns no descriptor, as writes to it would bypass the faults.
 func (f *faultyFile) Fd() uintptr { return vfs.InvalidFd }
 
-// ReadAt reads what was written, synced or not, as through a file system's cache.
+// ReadAt reads what was written, synced or not, as a file system's cache would return it.
 func (f *faultyFile) ReadAt(b []byte, at int64) (int, error) {
 	if err := f.Sync(); err != nil {
 		return 0, err
--- a/internal/standin/fixedseed/fixedseed.go
+++ b/internal/standin/fixedseed/fixedseed.go
@@ -1,5 +1,5 @@
-// Package fixedseed makes property tests draw the same every time. It must never weaken a seed or a number of checks
-// that is named on the command line.
+// Package fixedseed makes property tests use the same random values in each run. A seed or a number of checks given on
+// the command line takes precedence.
 package fixedseed
 
 import (
@@ -7,16 +7,17 @@
 	"os"
 	"testing"
 
-	_ "pgregory.net/rapid" // whose flags these are
+	_ "pgregory.net/rapid" // registers the flags
 )
 
-// Main runs a package's tests with a fixed seed, and with so many checks a property; "" for the usual number.
+// Main runs a package's tests with a fixed seed and the given number of checks per property; "" means the default
+// number.
 func Main(m *testing.M, checks string) {
 	flag.Parse()
 	setDefault := func(name, flagDefault, value string) {
 		if f := flag.Lookup(name); f.Value.String() == flagDefault {
 			if err := f.Value.Set(value); err != nil {
-				panic(err) // a flag of rapid's has another type now
+				panic(err) // the type of rapid's flag has changed
 			}
 		}
 	}
--- a/internal/standin/golden/golden.go
+++ b/internal/standin/golden/golden.go
@@ -1,9 +1,9 @@
-// Package golden holds the encoded forms of values against those that a file records, so that a change of a stored or
-// wire form shows as a failing test.
+// Package golden compares the encoded forms of values with those recorded in a file, so that a change of a stored or
+// wire format fails a test.
 //
-// It owns the files' layout: a line for each case, its name, a tab and the form, in hexadecimal where it is binary;
-// the files of Lines are plain text.
-// With GOLDEN=write in the environment a missing file is written; one that is there is never overwritten.
+// A file has a line for each case: its name, a tab and the encoded form, in hexadecimal if it is binary; the files of
+// Lines are plain text. With GOLDEN=write in the environment a missing file is written; an existing one is never
+// overwritten.
 package golden
 
 import (
@@ -17,16 +17,17 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Case is a value whose form is recorded under a name.
+// Case is a value whose encoded form is recorded under a name.
 type Case[T any] struct {
 	Name  string
 	Value T
 }
 
-// Of names a value.
+// Of returns a case of a name and a value.
 func Of[T any](name string, value T) Case[T] { return Case[T]{Name: name, Value: value} }
 
-// CBOR encodes each case and decodes the recorded bytes: both must give what the other side has.
+// CBOR encodes each case as CBOR and decodes the recorded bytes, and checks that the results equal the recorded bytes
+// and the case's value.
 func CBOR[T any](t *testing.T, file string, cases []Case[T]) {
 	t.Helper()
 	checkRecorded(t, file, cases, func(v T) (string, error) {
@@ -41,7 +42,7 @@
 	})
 }
 
-// JSON does the same for JSON forms.
+// JSON does the same as CBOR, with JSON.
 func JSON[T any](t *testing.T, file string, cases []Case[T]) {
 	t.Helper()
 	checkRecorded(t, file, cases, func(v T) (string, error) {
@@ -50,7 +51,7 @@
 	}, func(form string, v *T) error { return json.Unmarshal([]byte(form), v) })
 }
 
-// Text compares texts that nothing decodes.
+// Text compares plain texts, recorded as JSON strings.
 func Text(t *testing.T, file string, cases []Case[string]) {
 	t.Helper()
 	checkRecorded(t, file, cases, func(v string) (string, error) {
@@ -59,7 +60,7 @@
 	}, func(form string, v *string) error { return json.Unmarshal([]byte(form), v) })
 }
 
-// Lines compares a text with a file that records it whole, line by line.
+// Lines compares a text with a recorded file, line by line.
 func Lines(t *testing.T, file, got string) {
 	t.Helper()
 	recorded, err := os.ReadFile(file)
@@ -95,7 +96,7 @@
 		return
 	}
 	if len(recorded) != len(cases) {
-		t.Errorf("%s records %d cases, there are %d", file, len(recorded), len(cases))
+		t.Errorf("%s records %d cases, want %d", file, len(recorded), len(cases))
 	}
 	for _, c := range cases {
 		t.Run(c.Name, func(t *testing.T) {
@@ -114,7 +115,7 @@
 	}
 }
 
-// read gives a file's forms by their names, nil where there is none and it is to be written.
+// read returns a file's encoded forms by name; nil if the file is missing and is to be written.
 func read(t *testing.T, file string) map[string]string {
 	t.Helper()
 	b, err := os.ReadFile(file)
@@ -153,5 +154,5 @@
 	if err := os.WriteFile(file, []byte(text), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("%s is written", file)
+	t.Logf("wrote %s", file)
 }
--- a/internal/standin/kv/consul.go
+++ b/internal/standin/kv/consul.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// This file owns the forms of Consul's HTTP API.
+// This file implements Consul's HTTP API.
 
-// blockingQuery waits as a query with an index does, and gives the store to read.
+// blockingQuery waits as Consul does for a query with an index, and returns the store to read.
 func (v *Server) blockingQuery(r *http.Request) *Store {
 	s := v.readStore()
 	index, _ := strconv.ParseInt(r.FormValue("index"), 10, 64)
@@ -20,7 +20,7 @@
 		s.mu.Lock()
 		revision, changed := s.revision, s.changed
 		s.mu.Unlock()
-		if revision != index { // also one that went back
+		if revision != index { // also if the revision went back, as after a restore
 			break
 		}
 		select {
@@ -34,7 +34,7 @@
 	return s
 }
 
-// consulKeys answers a read of all keys under a prefix.
+// consulKeys handles a read of all keys under a prefix.
 func (v *Server) consulKeys(w http.ResponseWriter, r *http.Request) {
 	s := v.blockingQuery(r)
 	s.mu.Lock()
@@ -54,7 +54,7 @@
 	_ = json.NewEncoder(w).Encode(all) // the caller may have left
 }
 
-// consulService answers with the values under the service's name as its instances, as Consul writes them.
+// consulService handles a read of a service's instances, which are the values under the service's name.
 func (v *Server) consulService(w http.ResponseWriter, r *http.Request) {
 	s := v.blockingQuery(r)
 	s.mu.Lock()
--- a/internal/standin/kv/doc.go
+++ b/internal/standin/kv/doc.go
@@ -1,7 +1,7 @@
-// Package kv is a stand-in for key-value registries, for tests: etcd's v3 API in its JSON gateway's form and Consul's
-// HTTP API, both served from one Store.
+// Package kv simulates key-value registries for tests: etcd's v3 API as its JSON gateway serves it, and Consul's HTTP
+// API, both backed by a Store.
 //
-// A Server's faults can be switched while it serves: what a real registry may do to its readers is compact its
-// history, close connections, fall silent, answer late, lag, split a revision, and lose or restore its data. It is no
-// registry for use.
+// A Server's faults can be changed while it serves. As a real registry may, it can compact its history, close
+// connections, stop answering, answer late, serve stale data, split the events of a revision, and lose or restore its
+// data. It is not a registry for production.
 package kv
--- a/internal/standin/kv/etcd.go
+++ b/internal/standin/kv/etcd.go
@@ -10,11 +10,11 @@
 	"time"
 )
 
-// This file owns the forms of etcd's JSON gateway.
+// This file implements etcd's JSON gateway.
 
 const progressPeriod = 100 * time.Millisecond // between two progress notifications of a watch
 
-// authorized checks a request's token and answers those without a valid one.
+// authorized reports whether a request has a valid token, and otherwise answers with an error.
 func (v *Server) authorized(w http.ResponseWriter, r *http.Request) bool {
 	if p := v.Password.Load(); p != nil && r.Header.Get("Authorization") != fmt.Sprint("token-", v.tokens.Load()) {
 		etcdFailure(w, http.StatusUnauthorized, 16, "etcdserver: invalid auth token")
@@ -23,10 +23,10 @@
 	return true
 }
 
-// ExpireTokens invalidates the tokens that were given.
+// ExpireTokens invalidates all issued tokens.
 func (v *Server) ExpireTokens() { v.tokens.Add(1) }
 
-// etcdToken gives a token for the password.
+// etcdToken issues a token for the password.
 func (v *Server) etcdToken(w http.ResponseWriter, r *http.Request) {
 	var request struct{ Name, Password string }
 	_ = json.NewDecoder(r.Body).Decode(&request) // what is missing is zero
@@ -43,7 +43,7 @@
 	fmt.Fprintf(w, `{"error":%q,"code":%d,"message":%q}`, text, code, text)
 }
 
-// etcdKV is an item as etcd writes it.
+// etcdKV returns an item as etcd encodes it.
 func etcdKV(item Item) map[string]any {
 	m := map[string]any{"key": item.encodedKey(), "mod_revision": strconv.FormatInt(item.ModRevision, 10)}
 	if !item.Deleted {
@@ -52,10 +52,10 @@
 	return m
 }
 
-// encodedKey is the key as etcd writes it.
+// encodedKey returns the key as etcd encodes it.
 func (x Item) encodedKey() string { return base64.StdEncoding.EncodeToString([]byte(x.Key)) }
 
-// etcdRange answers a range request.
+// etcdRange handles a range request.
 func (v *Server) etcdRange(w http.ResponseWriter, r *http.Request) {
 	var request struct {
 		Key      []byte
@@ -92,8 +92,8 @@
 		"revision": strconv.FormatInt(rev, 10)}, "kvs": kvs, "more": more, "count": strconv.Itoa(len(kvs))})
 }
 
-// etcdItems is the items from key up to end that were written up to a revision, 0 for all; more says that the limit,
-// 0 for none, left some out. The lock is held.
+// etcdItems returns the items from key up to end that were written up to a revision, 0 for all. more reports that the
+// limit, 0 for none, left some out. The caller holds the lock.
 func (s *Store) etcdItems(key, end string, revision int64, limit int) (kvs []any, more bool) {
 	kvs = []any{}
 	for _, x := range s.list("") {
@@ -108,7 +108,7 @@
 	return kvs, false
 }
 
-// etcdWatch streams events from a revision on until the client leaves or that revision is compacted.
+// etcdWatch streams events from a revision on, until the client disconnects or the next revision is compacted.
 func (v *Server) etcdWatch(w http.ResponseWriter, r *http.Request) {
 	var request struct {
 		Create struct {
@@ -157,7 +157,7 @@
 	out    *json.Encoder
 }
 
-// send writes one message; a silent server keeps it until the client leaves.
+// send writes one message; a silent server blocks instead, until the client disconnects.
 func (x *etcdWatcher) send(fields map[string]any) {
 	if x.server.Silent.Load() {
 		<-x.ctx.Done()
@@ -166,11 +166,11 @@
 	x.store.mu.Lock()
 	fields["header"] = map[string]any{"cluster_id": x.store.Cluster, "revision": strconv.FormatInt(x.store.revision, 10)}
 	x.store.mu.Unlock()
-	_ = x.out.Encode(map[string]any{"result": fields}) // the caller may have left
+	_ = x.out.Encode(map[string]any{"result": fields}) // the client may have disconnected
 	x.w.(http.Flusher).Flush()
 }
 
-// sendEvents writes events, in fragments of the size that the server is set to.
+// sendEvents writes events, in messages of at most FragmentSize events.
 func (x *etcdWatcher) sendEvents(events []Item) {
 	size := len(events)
 	if n := int(x.server.FragmentSize.Load()); n > 0 {
--- a/internal/standin/kv/lease.go
+++ b/internal/standin/kv/lease.go
@@ -1,6 +1,7 @@
 package kv
 
-// This file owns etcd's leases and Consul's sessions: keys that are removed when nobody renews them, or on command.
+// This file implements etcd's leases and Consul's sessions: keys that are removed when their lease expires or is
+// revoked.
 
 import (
 	"encoding/json"
@@ -17,7 +18,7 @@
 	expiry *time.Timer
 }
 
-// grant creates a lease that expires unless it is renewed, and gives its id.
+// grant creates a lease that expires unless it is renewed, and returns its id.
 func (s *Store) grant(ttl time.Duration) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -44,7 +45,7 @@
 	}
 }
 
-// LoseLeases ends all leases and removes their keys.
+// EndAllLeases ends all leases and removes their keys.
 func (s *Store) EndAllLeases() {
 	s.mu.Lock()
 	var ids []string
@@ -57,7 +58,7 @@
 	}
 }
 
-// acquire writes a key under a lease where the key does not exist.
+// acquire writes a key under a lease if the key does not exist. It reports whether it did.
 func (s *Store) acquire(key, value, id string) bool {
 	s.mu.Lock()
 	l := s.leases[id]
@@ -72,7 +73,7 @@
 	return true
 }
 
-// renew extends a lease by its time to live; false where it has ended.
+// renew extends a lease by its time to live; it returns false if the lease has ended.
 func (s *Store) renew(id string) (time.Duration, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -104,7 +105,7 @@
 	mux.HandleFunc("PUT /v1/kv/{key...}", v.withFaults(v.consulAcquire))
 }
 
-// textOf is a JSON string's value, "" for anything else.
+// jsonString returns the value of a JSON string, "" for anything else.
 func jsonString(raw json.RawMessage) (s string) {
 	_ = json.Unmarshal(raw, &s)
 	return s
@@ -129,7 +130,7 @@
 	fmt.Fprint(w, `{"header":{}}`)
 }
 
-// etcdPutIfAbsent answers the only transaction that clients use: a put where the key does not exist.
+// etcdPutIfAbsent handles the only transaction that clients use: a put if the key does not exist.
 func (v *Server) etcdPutIfAbsent(w http.ResponseWriter, body map[string]json.RawMessage) {
 	var success []struct {
 		Put struct {
--- a/internal/standin/kv/server.go
+++ b/internal/standin/kv/server.go
@@ -9,32 +9,32 @@
 	"time"
 )
 
-// Server is one endpoint of a store. Its faults may be changed while it serves.
+// Server is an endpoint of a store. Its faults may be changed while it serves.
 type Server struct {
 	*httptest.Server
 	store *Store
 
 	Down         atomic.Bool            // answers 503
-	Silent       atomic.Bool            // takes requests and answers nothing; open watches fall silent
-	DelayMs      atomic.Int64           // before each answer
-	Stale        atomic.Pointer[Store]  // served in place of the store, as by a follower that lags; nil: none
-	FragmentSize atomic.Int64           // events in a message of a watch at most; 0: no limit
-	SkipEvents   atomic.Bool            // watches pass over events without notice
-	Password     atomic.Pointer[string] // that requests have to authenticate with; nil: none
+	Silent       atomic.Bool            // accepts requests without answering; open watches send nothing
+	DelayMs      atomic.Int64           // delay before each answer, in milliseconds
+	Stale        atomic.Pointer[Store]  // store served instead, as by a lagging follower; nil: none
+	FragmentSize atomic.Int64           // maximum number of events in a watch message; 0: no limit
+	SkipEvents   atomic.Bool            // watches silently skip events
+	Password     atomic.Pointer[string] // password with which requests have to authenticate; nil: none
 
-	FullReads atomic.Int64 // reads of all keys that were answered
-	Watches   atomic.Int64 // watches that were opened
+	FullReads atomic.Int64 // number of answered reads of all keys
+	Watches   atomic.Int64 // number of opened watches
 	tokens    atomic.Int64 // serial of the valid token
 }
 
-// Serve starts a server on a free loopback port.
+// Serve starts a server of a store at a free loopback port.
 func Serve(store *Store) *Server {
 	v := newServer(store)
 	v.Start()
 	return v
 }
 
-// ServeTLS starts a server with TLS, under httptest's certificate.
+// ServeTLS starts a server with TLS and httptest's certificate.
 func ServeTLS(store *Store) *Server {
 	v := newServer(store)
 	v.StartTLS()
@@ -57,10 +57,10 @@
 // CloseConnections closes all clients' connections.
 func (v *Server) CloseConnections() { v.CloseClientConnections() }
 
-// withFaults applies the faults to a handler.
+// withFaults wraps a handler with the server's faults.
 func (v *Server) withFaults(serve http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		body, _ := io.ReadAll(r.Body) // only then the end of the connection is noticed
+		body, _ := io.ReadAll(r.Body) // the server detects a closed connection only after the body is read
 		r.Body = io.NopCloser(bytes.NewReader(body))
 		if v.Silent.Load() {
 			<-r.Context().Done()
@@ -81,7 +81,7 @@
 	}
 }
 
-// served is the store to read from.
+// readStore returns the store to read from.
 func (v *Server) readStore() *Store {
 	if s := v.Stale.Load(); s != nil {
 		return s
--- a/internal/standin/kv/store.go
+++ b/internal/standin/kv/store.go
@@ -7,7 +7,7 @@
 	"sync"
 )
 
-// Item is a key's value and the revision that wrote it, or the event that removed it.
+// Item is a key's value with the revision that wrote it, or the event of its removal.
 type Item struct {
 	Key         string
 	Value       []byte
@@ -20,20 +20,20 @@
 	mu        sync.Mutex
 	Cluster   string // the cluster's id
 	revision  int64
-	compacted int64 // events up to it are forgotten
+	compacted int64 // events up to this revision are discarded
 	keys      map[string]Item
 	events    []Item        // ordered by revision
-	changed   chan struct{} // closed, and replaced, with each change
+	changed   chan struct{} // closed and replaced at each change
 	leases    map[string]*lease
-	serial    int // of the last lease
+	serial    int // number of the last lease
 }
 
-// NewStore is an empty store.
+// NewStore returns an empty store with a cluster id.
 func NewStore(cluster string) *Store {
 	return &Store{Cluster: cluster, revision: 1, keys: map[string]Item{}, changed: make(chan struct{})}
 }
 
-// Put writes pairs of key and string value, or removes keys paired with nil, all at one revision, and gives it.
+// Put writes pairs of key and string value, and removes keys paired with nil, all at one revision, which it returns.
 func (s *Store) Put(pairs ...any) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -53,13 +53,13 @@
 	return s.revision
 }
 
-// notify wakes all that wait for a change. The lock is held.
+// notify wakes all goroutines that wait for a change. The caller holds the lock.
 func (s *Store) notify() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// Compact forgets the events up to a revision.
+// Compact discards the events up to a revision.
 func (s *Store) Compact(rev int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -67,7 +67,7 @@
 	s.events = slices.DeleteFunc(s.events, func(item Item) bool { return item.ModRevision <= rev })
 }
 
-// Snapshot is a backup of the content and the history.
+// Snapshot returns a copy of the content and the history.
 func (s *Store) Snapshot() *Store {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -80,7 +80,7 @@
 	}
 }
 
-// Restore replaces all by a backup, as a registry does, under another cluster id or the same.
+// Restore replaces the content and the history by those of a snapshot, and sets the cluster id.
 func (s *Store) Restore(from *Store, cluster string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -89,14 +89,14 @@
 	s.notify()
 }
 
-// Revision is the newest revision.
+// Revision returns the newest revision.
 func (s *Store) Revision() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.revision
 }
 
-// list is the items under a prefix, ordered by key. The lock is held.
+// list returns the items under a prefix, ordered by key. The caller holds the lock.
 func (s *Store) list(prefix string) (items []Item) {
 	for _, k := range slices.Sorted(maps.Keys(s.keys)) {
 		if strings.HasPrefix(k, prefix) {
@@ -106,8 +106,8 @@
 	return items
 }
 
-// eventsSince is the events of keys under a prefix from a revision on, the newest revision, and the compacted one;
-// changed is closed with the next change.
+// eventsSince returns the events of keys under a prefix from a revision on, the newest revision, the compacted
+// revision, and a channel that is closed at the next change.
 func (s *Store) eventsSince(
 	revision int64,
 	prefix string,
--- a/internal/standin/links/network.go
+++ b/internal/standin/links/network.go
@@ -14,18 +14,18 @@
 
 // Link is one direction of one pair of processes. The zero Link forwards everything at once.
 type Link struct {
-	Blocked   bool          // datagrams are dropped; bytes of connections wait, as TCP retransmits
-	Loss      float64       // share of datagrams that are dropped
-	Duplicate float64       // share of datagrams that are delivered twice
+	Blocked   bool          // datagrams are dropped; bytes of TCP connections wait, as TCP would retransmit them
+	Loss      float64       // fraction of datagrams that are dropped
+	Duplicate float64       // fraction of datagrams that are delivered twice
 	Delay     time.Duration // of datagrams and bytes
-	Jitter    time.Duration // at most so much beside the delay, drawn for each datagram, which reorders them
+	Jitter    time.Duration // maximum of a random delay added for each datagram, which reorders them
 	Rate      int           // bytes a second; 0: no limit
 }
 
 // direction identifies a link by the indexes of its two processes.
 type direction struct{ from, to int }
 
-// Network is the mesh of links between some processes, which are known by their indexes from 0.
+// Network is the mesh of links between processes, which are identified by their indexes from 0.
 type Network struct {
 	processes  int
 	block      *loopback.Block // has the processes' and the relays' addresses
@@ -34,24 +34,24 @@
 	cancel     context.CancelFunc
 	goroutines sync.WaitGroup // the relays' goroutines
 
-	mu       sync.Mutex // guards what follows
+	mu       sync.Mutex // guards the fields below
 	links    map[direction]Link
-	freeAt   map[direction]time.Time // when a throttled link has forwarded what it was given
+	freeAt   map[direction]time.Time // when a throttled link will have forwarded all bytes so far
 	random   *rand.Rand
 	recorded [][]byte // the latest datagrams, for Replay
 }
 
 const (
 	maxProcesses  = 100
-	peerPort      = 0 // of a process and of its relay
-	servePort     = 1
+	peerPort      = 0   // port index at which a process and its relay listen for peers
+	servePort     = 1   // port index of ServeAddr
 	maxRecorded   = 256 // datagrams
 	firstRelay    = 100 // last byte of the first relay's address
 	recheckPeriod = 20 * time.Millisecond
 	dialTimeout   = 2 * time.Second
 )
 
-// New opens the relays of some processes, 100 at most. The seed decides losses, duplicates and jitter.
+// New opens the relays of a number of processes, at most 100. The seed determines losses, duplicates and jitter.
 func New(processes int, seed uint64) (*Network, error) {
 	if processes > maxProcesses {
 		return nil, fmt.Errorf("%d processes; %d at most", processes, maxProcesses)
@@ -79,23 +79,24 @@
 	return netip.MustParseAddrPort(n.block.Address(host, peerPort))
 }
 
-// ownAddress is where a process listens and from where it sends; its relay forwards to it.
+// ownAddress returns the address at which a process listens and from which it sends. Its relay forwards to it.
 func (n *Network) ownAddress(process int) netip.AddrPort { return n.address(process + 1) }
 
 func (n *Network) relayAddress(process int) netip.AddrPort { return n.address(firstRelay + process) }
 
-// ListenAddr is where a process has to listen for its peers.
+// ListenAddr returns the address at which a process has to listen for its peers.
 func (n *Network) ListenAddr(process int) string { return n.ownAddress(process).String() }
 
-// ServeAddr is where a process may listen for others than its peers. Its port is outside the ephemeral range.
+// ServeAddr returns the address at which a process may listen for clients other than its peers. Its port is outside the
+// ephemeral range.
 func (n *Network) ServeAddr(process int) string {
 	return n.block.Address(process+1, servePort)
 }
 
-// AdvertisedAddr is the address that a process has to advertise: peers reach it there by its relay.
+// AdvertisedAddr returns the address that a process has to advertise: that of its relay.
 func (n *Network) AdvertisedAddr(process int) string { return n.relayAddress(process).String() }
 
-// open listens at all relays' addresses and starts them. An error leaves relays open, which Close closes.
+// open listens at all relays' addresses and starts the relays. After an error some relays are open, until Close.
 func (n *Network) open() error {
 	for process := range n.processes {
 		r := &relay{network: n, process: process, connections: map[*connection]bool{}}
@@ -123,10 +124,10 @@
 		r.close()
 	}
 	n.goroutines.Wait()
-	_ = n.block.Close() // a listener that nobody accepts at
+	_ = n.block.Close() // its listener accepts no connections
 }
 
-// Set replaces one direction of one pair; open connections follow it.
+// Set replaces the link of one direction of one pair. It applies to open connections too.
 func (n *Network) Set(from, to int, link Link) {
 	n.mu.Lock()
 	n.links[direction{from, to}] = link
@@ -135,7 +136,7 @@
 	n.relays[to].linkChanged(from, to)
 }
 
-// SetAll replaces every direction.
+// SetAll replaces all links.
 func (n *Network) SetAll(link func(from, to int) Link) {
 	for from := range n.processes {
 		for to := range n.processes {
@@ -146,7 +147,8 @@
 	}
 }
 
-// Partition blocks the links between processes of different sides, given by process, and restores those within one.
+// Partition blocks the links between processes on different sides and restores those within a side. sides has the side
+// of each process.
 func (n *Network) Partition(sides ...int) {
 	n.SetAll(func(from, to int) Link { return Link{Blocked: sides[from] != sides[to]} })
 }
@@ -160,7 +162,8 @@
 	return n.links[direction{from, to}]
 }
 
-// throttle reserves a link's rate for a number of bytes and gives the time that they have to wait. The lock is held.
+// throttle reserves capacity of a rate-limited link for a number of bytes, and returns how long they have to wait. The
+// caller holds the lock.
 func (n *Network) throttle(from, to int, link Link, bytes int) time.Duration {
 	if link.Rate <= 0 {
 		return 0
@@ -175,7 +178,7 @@
 	return start.Sub(now)
 }
 
-// Replay sends the latest datagrams once more, as an attacker would who recorded them, and gives their number.
+// Replay resends the latest datagrams, as an attacker who recorded them would, and returns their number.
 func (n *Network) Replay() int {
 	n.mu.Lock()
 	recorded := n.recorded
@@ -186,7 +189,7 @@
 	return len(recorded)
 }
 
-// processAt is the process that an address belongs to, -1 for none.
+// processAt returns the process that an address belongs to, -1 if there is none.
 func (n *Network) processAt(address netip.Addr) int {
 	host, ok := n.block.HostOf(address)
 	if !ok || host < 1 || host > n.processes {
--- a/internal/standin/links/network_test.go
+++ b/internal/standin/links/network_test.go
@@ -9,7 +9,7 @@
 
 const timeout = 20 * time.Second
 
-// endpoint is a process's own sockets.
+// endpoint has a process's own UDP socket and the datagrams that it received.
 type endpoint struct {
 	udp      *net.UDPConn
 	received chan string
@@ -60,12 +60,12 @@
 	case s := <-e.received:
 		return s
 	case <-time.After(timeout):
-		t.Fatal("nothing came")
+		t.Fatal("no datagram received")
 		return ""
 	}
 }
 
-// Each direction of each pair is a link of its own: datagrams pass all but the blocked one.
+// Each direction of each pair is a separate link: blocking, loss, duplication and delay apply to that direction only.
 func TestDatagramsOverLinks(t *testing.T) {
 	l, err := New(3, 1)
 	if err != nil {
@@ -73,7 +73,7 @@
 	}
 	defer l.Close()
 	e := openEndpoints(t, l, 3)
-	flush := func() { // what came to the relay before has been carried
+	flush := func() { // waits until the relay has handled the datagrams sent before
 		t.Helper()
 		e[2].send(t, l.AdvertisedAddr(1), "mark")
 		if s := e[1].next(t); s != "mark" {
@@ -109,7 +109,7 @@
 	}
 }
 
-// A connection passes; while one of its links is blocked bytes wait, and they come with the heal.
+// A relay forwards TCP connections; while one direction's link is blocked its bytes wait, and Heal delivers them.
 func TestConnectionsOverLinks(t *testing.T) {
 	l, err := New(2, 1)
 	if err != nil {
@@ -160,7 +160,7 @@
 		t.Error(s)
 	}
 	expectReply()
-	l.Set(1, 0, Link{Blocked: true}) // the answer's direction alone
+	l.Set(1, 0, Link{Blocked: true}) // only the replies' direction
 	c.Write([]byte("again"))
 	if s := <-received; s != "again" {
 		t.Error(s)
--- a/internal/standin/links/relay.go
+++ b/internal/standin/links/relay.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// relay listens at a process's advertised address and forwards to its own one.
+// relay listens at a process's advertised address and forwards to the process's own address.
 type relay struct {
 	network *Network
-	process int // to which it forwards
+	process int // the process to which it forwards
 	udp     *net.UDPConn
 	tcp     *net.TCPListener
 
@@ -19,11 +19,11 @@
 	connections map[*connection]bool
 }
 
-// connection is a TCP connection through a relay, from another process to the relay's.
+// connection is a TCP connection through a relay, from another process to the relay's process.
 type connection struct {
 	from      int
-	near, far net.Conn      // to the process that dialled, and to the relay's
-	changed   chan struct{} // of capacity 1: gets a value when one of its links has changed
+	near, far net.Conn      // connections to the process that dialled and to the relay's process
+	changed   chan struct{} // capacity 1: receives a value when one of its links has changed
 	closing   sync.Once
 }
 
@@ -48,7 +48,7 @@
 	}
 }
 
-// linkChanged wakes the connections that wait for one direction of one pair.
+// linkChanged wakes the connections that wait for the link of one direction of one pair.
 func (r *relay) linkChanged(from, to int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -62,7 +62,7 @@
 	}
 }
 
-// forwardDatagrams runs until the relay is closed.
+// forwardDatagrams forwards datagrams until the relay is closed.
 func (r *relay) forwardDatagrams() {
 	buffer := make([]byte, 64<<10)
 	for r.network.ctx.Err() == nil {
@@ -88,7 +88,7 @@
 	}
 }
 
-// deliveries draws how often a datagram is delivered, and gives the delay of each delivery.
+// deliveries decides at random how often a datagram is delivered, and returns the delay of each delivery.
 func (r *relay) deliveries(from int, datagram []byte) (delays []time.Duration) {
 	n := r.network
 	n.mu.Lock()
@@ -111,12 +111,12 @@
 	return delays
 }
 
-// send delivers a datagram to the relay's process. An error is a lost datagram.
+// send delivers a datagram to the relay's process. An error means a lost datagram.
 func (r *relay) send(datagram []byte) {
 	_, _ = r.udp.WriteToUDPAddrPort(datagram, r.network.ownAddress(r.process))
 }
 
-// acceptConnections runs until the relay is closed.
+// acceptConnections accepts and forwards connections until the relay is closed.
 func (r *relay) acceptConnections() {
 	for r.network.ctx.Err() == nil {
 		near, err := r.tcp.Accept()
@@ -135,7 +135,7 @@
 	}
 }
 
-// forward passes bytes both ways for as long as both ends keep the connection.
+// forward copies bytes both ways until one end closes the connection.
 func (r *relay) forward(near net.Conn, from int) {
 	c := &connection{from: from, near: near, changed: make(chan struct{}, 1)}
 	defer c.close()
@@ -158,7 +158,8 @@
 	directions.Wait()
 }
 
-// copyBytes passes bytes one way. While the link is blocked they wait, as in a network that drops every retransmission.
+// copyBytes copies bytes in one direction. While the link is blocked they wait, as in a network that drops every
+// retransmission.
 func (r *relay) copyBytes(c *connection, to, from net.Conn, sender, receiver int) {
 	buffer := make([]byte, 16<<10)
 	for {
@@ -178,7 +179,8 @@
 	}
 }
 
-// pass writes bytes when their link lets them through; false where the connection or the network has ended.
+// pass writes bytes once their link is not blocked and their delay has passed. It returns false if the connection or
+// the network has been closed.
 func (r *relay) pass(c *connection, to, from net.Conn, sender, receiver int, bytes []byte) bool {
 	link := r.network.link(sender, receiver)
 	for link.Blocked {
@@ -206,7 +208,7 @@
 	return true
 }
 
-// closedByPeer says whether the other end has closed a connection that nobody reads at the moment.
+// closedByPeer reports whether the peer has closed a connection. No other goroutine may be reading it.
 func closedByPeer(conn net.Conn) bool {
 	conn.SetReadDeadline(time.Now().Add(time.Millisecond))
 	defer conn.SetReadDeadline(time.Time{})
--- a/internal/standin/links/resets.go
+++ b/internal/standin/links/resets.go
@@ -7,21 +7,21 @@
 	"sync"
 )
 
-// ResettingRelay is a TCP relay to one address, for whoever dials it. It resets each of its connections, both ways at
-// once, when one of its directions has carried a random number of bytes: within a message, between two, or before the
-// first.
+// ResettingRelay is a TCP relay to one address. It resets each of its connections, in both directions at once, when one
+// direction has carried a random number of bytes: within a message, between two, or before the first.
 type ResettingRelay struct {
 	listener net.Listener
 	target   string
 
-	mu        sync.Mutex // guards what follows
+	mu        sync.Mutex // guards the fields below
 	random    *rand.Rand
-	byteLimit int // bytes that a direction carries at most; 0: no limit
-	resets    int // connections that were reset at their limit
+	byteLimit int // exclusive upper bound of the bytes that a direction carries; 0: no limit
+	resets    int // number of connections that were reset at their limit
 	open      map[net.Conn]bool
 }
 
-// NewResettingRelay listens at an address and forwards to target; it resets nothing until SetByteLimit.
+// NewResettingRelay returns a relay that listens at an address and forwards to target. It resets nothing until
+// SetByteLimit is called.
 func NewResettingRelay(listen, target string, seed uint64) (*ResettingRelay, error) {
 	listener, err := net.Listen("tcp4", listen)
 	if err != nil {
@@ -37,11 +37,11 @@
 	return r, nil
 }
 
-// Addr is where the relay listens.
+// Addr returns the address at which the relay listens.
 func (r *ResettingRelay) Addr() string { return r.listener.Addr().String() }
 
-// SetByteLimit sets how many bytes each direction of a new connection carries at most; 0: no limit. Open connections
-// are reset now.
+// SetByteLimit sets the upper bound of the random number of bytes that each direction of a new connection carries; 0
+// means no limit. It resets the open connections.
 func (r *ResettingRelay) SetByteLimit(bytes int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -51,7 +51,7 @@
 	}
 }
 
-// Resets is how many connections were reset at their limit.
+// Resets returns the number of connections that were reset at their limit.
 func (r *ResettingRelay) Resets() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -94,7 +94,7 @@
 	r.mu.Unlock()
 }
 
-// drawBudget draws how many bytes pass before a reset, -1 for all. The lock is held.
+// drawBudget returns a random number of bytes that pass before a reset, -1 for no reset. The caller holds the lock.
 func (r *ResettingRelay) drawBudget() int64 {
 	if r.byteLimit == 0 {
 		return -1
@@ -106,7 +106,7 @@
 	defer reset(to)
 	defer reset(from)
 	if budget < 0 {
-		_, _ = io.Copy(to, from) // both ends are closed behind it
+		_, _ = io.Copy(to, from) // both ends are closed afterwards
 		return
 	}
 	if n, _ := io.CopyN(to, from, budget); n == budget {
--- a/internal/standin/loopback/loopback_test.go
+++ b/internal/standin/loopback/loopback_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// A block that is reserved can't be reserved again, and its addresses can be listened at.
+// A reserved block can't be reserved again until it is closed, and its addresses can be listened at.
 func TestBlockIsExclusive(t *testing.T) {
 	b, err := Reserve()
 	if err != nil {
@@ -27,21 +27,21 @@
 		t.Error(host, ok)
 	}
 	if _, ok := b.HostOf(netip.MustParseAddr("127.0.0.7")); ok {
-		t.Error("another block's address is taken for one of this block")
+		t.Error("HostOf accepted an address of another block")
 	}
 	if err := b.Close(); err != nil {
 		t.Error(err)
 	}
 	again, err := net.Listen("tcp4", guard)
 	if err != nil {
-		t.Fatal("a block that was given up can't be reserved:", err)
+		t.Fatal("a closed block can't be reserved:", err)
 	}
 	again.Close()
 }
 
-// Of two that want the only turn, the second has it once the first has ended, and not before.
+// No more than the given number of slots can be acquired, and a waiting caller gets a slot once one is released.
 func TestSlotsAreBounded(t *testing.T) {
-	const slots = 40 // beyond those of other tests on this machine
+	const slots = 40 // more than the slots that other tests on this machine use
 	var acquired []*Slot
 	ctx, stop := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer stop()
@@ -54,7 +54,7 @@
 		acquired = append(acquired, slot)
 	}
 	if len(acquired) == 0 || len(acquired) > slots {
-		t.Fatalf("%d turns of %d", len(acquired), slots)
+		t.Fatalf("acquired %d slots of %d", len(acquired), slots)
 	}
 	next := make(chan *Slot)
 	go func() {
--- a/internal/standin/loopback/slots.go
+++ b/internal/standin/loopback/slots.go
@@ -1,6 +1,6 @@
 package loopback
 
-// This file owns turns: a bound on what runs at a time on this machine, whichever process runs it.
+// This file has slots, which limit how many things run at the same time on this machine, across processes.
 
 import (
 	"context"
@@ -10,16 +10,16 @@
 )
 
 const (
-	slotHost         = "127.255.0.1" // of the ports that turns listen at; blocks have other hosts
-	slotPort         = 20000         // of the first turn
+	slotHost         = "127.255.0.1" // host of the ports at which slots' owners listen; it is in no block
+	slotPort         = 20000         // port of the first slot
 	slotPollInterval = 50 * time.Millisecond
 )
 
-// Turn is one of the machine's turns. It ends with its process, if not before.
+// Slot is one of the machine's slots. The end of its process releases it, if Release does not.
 type Slot struct{ guard net.Listener }
 
-// WaitTurn waits for one of n turns of this machine. Tests with processes that renew leases in real time take one, as
-// beside too many others no lease is renewed in time: they wait for their turn, not for each other's processor.
+// AcquireSlot waits for one of n slots of this machine. Tests with processes that renew leases in real time acquire
+// one, as with too many of them at the same time no lease is renewed in time.
 func AcquireSlot(ctx context.Context, n int) (*Slot, error) {
 	tick := time.NewTicker(slotPollInterval)
 	defer tick.Stop()
@@ -32,10 +32,10 @@
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
-			return nil, fmt.Errorf("no turn of %d: %w", n, ctx.Err())
+			return nil, fmt.Errorf("no free slot of %d: %w", n, ctx.Err())
 		}
 	}
 }
 
-// End gives the turn to the next one that waits.
-func (s *Slot) Release() { _ = s.guard.Close() } // a listener that nobody accepts at
+// Release releases the slot.
+func (s *Slot) Release() { _ = s.guard.Close() } // it accepts no connections
--- a/internal/standin/replicaset/replicaset.go
+++ b/internal/standin/replicaset/replicaset.go
@@ -1,9 +1,9 @@
-// Package replicaset is a stand-in for a replication group of members: their logs and terms, who is primary and what
-// each has received. It is written from the wire protocol's specification, does no I/O and reads no clock: the test
-// that uses it decides the order of all events.
+// Package replicaset simulates a replication group of members: their logs and terms, which one is primary, and what
+// each has received. It follows the wire protocol's specification, does no I/O and reads no clock: the test that uses
+// it decides the order of all events.
 //
-// A commit is acknowledged once SyncN replicas have received it. A promoted member has what it had received and nothing
-// more; acknowledged commits that it lacks are recorded in Lost, which has to stay empty.
+// A commit is acknowledged once SyncN replicas have received it. A promoted member has only the commits that it had
+// received; acknowledged commits that it lacks are recorded in LostCommits, which has to stay empty.
 package replicaset
 
 import (
@@ -15,7 +15,7 @@
 // Entry is a commit in a log.
 type Entry struct {
 	Term, Number uint64
-	ID           string // of the statement that wrote
+	ID           string // id of the statement that committed
 }
 
 // Member is a database server of a group.
@@ -23,13 +23,13 @@
 	ID           string
 	Primary      bool
 	Up           bool
-	Paused       bool // receives nothing, by the control plane's order, until Resume or a promotion
-	NotReceiving bool // a fault: receives nothing, though it answers
-	Partitioned  bool // a fault: reaches no other member, though clients reach it
+	Paused       bool // the control plane paused it: receives nothing until Resume or a promotion
+	NotReceiving bool // fault: receives nothing, but answers
+	Partitioned  bool // fault: reaches no other member, but clients reach it
 	Draining     bool
-	Term         uint64 // the newest one known
-	LeaderTerm   uint64 // the term of which it is primary
-	PausedTerm   uint64 // the term that it was paused for, which it reports as promised
+	Term         uint64 // the newest term that it knows
+	LeaderTerm   uint64 // the last term in which it became primary
+	PausedTerm   uint64 // the term for which it was paused, reported as the promised term
 	Log          []Entry
 }
 
@@ -37,14 +37,14 @@
 type Group struct {
 	SyncN       int // replicas that must receive a commit before it is acknowledged
 	Members     []*Member
-	Acked       map[string]bool // acknowledged commits by their statements' ids
+	Acked       map[string]bool // acknowledged commits, by statement id
 	LostCommits []string        // acknowledged commits that a promoted member lacked; must stay empty
 	Promotions  int
 
 	pending []Entry // commits that are not acknowledged yet
 }
 
-// New is a group whose first member is the primary of term 1.
+// New returns a group whose first member is the primary of term 1.
 func New(syncN int, ids ...string) *Group {
 	g := &Group{SyncN: syncN, Acked: map[string]bool{}}
 	for i, id := range ids {
@@ -53,7 +53,7 @@
 	return g
 }
 
-// Member is the member of an id, nil for none.
+// Member returns the member with an id, nil if there is none.
 func (g *Group) Member(id string) *Member {
 	if i := slices.IndexFunc(g.Members, func(member *Member) bool { return member.ID == id }); i >= 0 {
 		return g.Members[i]
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// Leader is the primary of the newest term among the members that are up, nil for none.
+// Leader returns the primary of the newest term among the members that are up, nil if there is none.
 func (g *Group) Leader() *Member {
 	var leader *Member
 	for _, m := range g.Members {
@@ -72,7 +72,7 @@
 	return leader
 }
 
-// Position is the end of a member's log.
+// Position returns the position of the last entry of a member's log.
 func (m *Member) Position() wire.Position {
 	if n := len(m.Log); n > 0 {
 		return wire.Position{Term: m.Log[n-1].Term, Number: m.Log[n-1].Number}
@@ -80,12 +80,12 @@
 	return wire.Position{Term: 1}
 }
 
-// Status is what a member reports of itself.
+// Status returns the status that a member reports.
 func (m *Member) Status() wire.MemberStatus {
 	return wire.MemberStatus{Primary: m.Primary, Term: m.Term, Received: m.Position(), PromisedTerm: m.PausedTerm}
 }
 
-// Write appends a commit at a member; ok is false where that is no primary.
+// Write appends a commit to a member's log; ok is false if the member is not an available primary.
 func (g *Group) Write(member *Member, id string) (position wire.Position, ok bool) {
 	if !member.Up || !member.Primary {
 		return wire.Position{}, false
@@ -101,8 +101,8 @@
 	return wire.Position{Term: e.Term, Number: e.Number}, true
 }
 
-// Replicate lets replicas that allowed accepts receive what the primary has, and acknowledges the commits that enough
-// of them have received.
+// Replicate copies each primary's log to the replicas for which allowed returns true, and acknowledges the commits that
+// enough replicas have received.
 func (g *Group) Replicate(allowed func(to *Member) bool) {
 	for _, primary := range g.Members {
 		if !primary.Up || !primary.Primary || primary.Partitioned {
@@ -118,12 +118,12 @@
 	}
 }
 
-// receivesFrom says whether a replica takes entries from a primary at the moment.
+// receivesFrom reports whether a replica currently accepts entries from a primary.
 func (m *Member) receivesFrom(primary *Member) bool {
 	return m.Up && !m.Primary && !m.Paused && !m.NotReceiving && !m.Partitioned && m.Term <= primary.LeaderTerm
 }
 
-// receive makes a replica's log the primary's. Two logs with the same entry at a place are the same up to there.
+// receive sets a replica's log to the primary's. Logs with the same entry at a position are equal up to it.
 func (m *Member) receive(log []Entry) {
 	n := len(m.Log)
 	if n == 0 || n <= len(log) && m.Log[n-1] == log[n-1] {
@@ -133,7 +133,7 @@
 	m.Log = slices.Clone(log)
 }
 
-// has says whether a member's log has an entry: that of number 1 is the first.
+// contains reports whether a member's log has an entry. Entry number 1 is the first.
 func (m *Member) contains(e Entry) bool {
 	return uint64(len(m.Log)) >= e.Number && m.Log[e.Number-1] == e
 }
@@ -175,7 +175,7 @@
 	}
 }
 
-// Promote makes a member primary of a new term, as the platform does; false where it is not running.
+// Promote makes a member primary of a new term, as the platform does. It returns false if the member is not up.
 func (g *Group) Promote(id string) bool {
 	m := g.Member(id)
 	if m == nil || !m.Up {
@@ -214,7 +214,7 @@
 	return term
 }
 
-// truncate drops what a member's log has beyond its common prefix with the new primary's.
+// truncate removes the entries of a member's log after its common prefix with the new primary's.
 func (m *Member) truncate(primary []Entry) {
 	common := 0
 	for common < min(len(m.Log), len(primary)) && m.Log[common] == primary[common] {
@@ -228,12 +228,12 @@
 	g.Members = append(g.Members, &Member{ID: id, Up: true, Term: 1})
 }
 
-// Remove removes a member for good, with its log.
+// Remove permanently removes a member and its log.
 func (g *Group) Remove(id string) {
 	g.Members = slices.DeleteFunc(g.Members, func(member *Member) bool { return member.ID == id })
 }
 
-// Restart brings a member back with its log; a pause is forgotten.
+// Restart brings a member back with its log. It is no longer paused.
 func (m *Member) Restart() {
 	m.Up = true
 	m.Resume()
--- a/internal/standin/soak/client.go
+++ b/internal/standin/soak/client.go
@@ -1,6 +1,6 @@
 package soak
 
-// This file owns clients: sessions that are used until they break.
+// This file has the clients, which use each session until it ends.
 
 import (
 	"context"
@@ -14,12 +14,12 @@
 	"weirwind/internal/member/wire"
 )
 
-// route is what a client uses, and how old what it reads may be.
+// route is a route that clients use, with the maximum staleness of its reads.
 type route struct {
-	name           string // of the route and its host
-	kind           string
+	name           string // name of the route and of its host
+	kind           string // the route's type in the configuration
 	maxStale       time.Duration
-	readsOwnWrites bool // what its session wrote is not to be older
+	readsOwnWrites bool // reads must see the session's own writes
 	writes         bool
 }
 
@@ -31,22 +31,22 @@
 
 const (
 	routeTimeout  = 3 * time.Second // of a statement
-	answerTimeout = 4 * time.Second // in which a statement is answered or its connection ends: a client's deadline
+	answerTimeout = 4 * time.Second // a client's deadline: by then a statement is answered or its connection has ended
 	dialTimeout   = 2 * time.Second
 	attachTimeout = 2 * time.Second
 	redialDelay   = 50 * time.Millisecond
 
-	maxStatementPause = 60 * time.Millisecond // between two statements of a transaction, at most
+	maxStatementPause = 60 * time.Millisecond // maximum pause between two statements of a transaction
 	preparedName      = "ps"                  // the name of every session's prepared statement
 )
 
-// thinks are clients' longest pauses between operations: some never pause, some are mostly idle.
+// thinkTimes are clients' maximum pauses between operations: some clients never pause, some are mostly idle.
 var thinkTimes = []time.Duration{0, 60 * time.Millisecond, 2 * time.Second}
 
-// errSessionEnded is the error of a connection that ended before an answer was whole.
+// errSessionEnded is returned when a connection ends before an answer is complete.
 var errSessionEnded = errors.New("the session has ended")
 
-// client opens a session, uses it until it breaks, and opens the next.
+// client opens a session, uses it until it ends, and opens the next one.
 type client struct {
 	run          *run
 	random       *rand.Rand
@@ -54,17 +54,17 @@
 	route        route
 	queries      int
 	key          string
-	maxThinkTime time.Duration // the longest pause between two operations
+	maxThinkTime time.Duration // maximum pause between two operations
 
 	conn       net.Conn
 	reader     *wire.Reader
 	proxy      string
 	prepared   bool
-	lastCommit *commit // of this session
-	state      string  // of the last READY
+	lastCommit *commit // the session's last acknowledged commit
+	state      string  // transaction state in the last READY message
 }
 
-// serve uses sessions until the context ends.
+// serve uses sessions until the context is done.
 func (c *client) serve(ctx context.Context) {
 	for n := c.random.IntN(c.run.shape.Fronts); ctx.Err() == nil; n++ {
 		if !c.attach(n % c.run.shape.Fronts) {
@@ -78,14 +78,14 @@
 	}
 }
 
-// rest pauses for a time that is drawn, up to the longest; 0: not at all.
+// randomPause pauses for a random time below longest; not at all if longest is 0.
 func (c *client) randomPause(ctx context.Context, longest time.Duration) {
 	if longest > 0 {
 		pause(ctx, time.Duration(c.random.Int64N(int64(longest))))
 	}
 }
 
-// pause waits, less where the context ends.
+// pause waits for a duration, or until the context is done.
 func pause(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -111,13 +111,13 @@
 	return false
 }
 
-// nextID gives an id that no other statement of the soak has.
+// nextID returns a statement id that is unique in the soak.
 func (c *client) nextID() string {
 	c.queries++
 	return fmt.Sprintf("%s.%d", c.name, c.queries)
 }
 
-// operate runs an operation; false: the session has ended.
+// runOperation runs a random operation. It returns false if the session has ended.
 func (c *client) runOperation(ctx context.Context) bool {
 	var err error
 	switch n := c.random.IntN(10); {
@@ -146,7 +146,7 @@
 	return err
 }
 
-// mustSee is what a read that is sent now must see.
+// requiredCommit returns the commit that a read which is sent now must see; nil if there is none.
 func (c *client) requiredCommit() *commit {
 	required := c.run.ledger.newestBefore(time.Now().Add(-c.route.maxStale))
 	if own := c.lastCommit; c.route.readsOwnWrites && own != nil && (required == nil || required.number < own.number) {
@@ -163,7 +163,7 @@
 	return c.fetch(text, c.requiredCommit())
 }
 
-// fetch reads what must be as new as a commit.
+// fetch runs a read that must see the required commit.
 func (c *client) fetch(text string, required *commit) error {
 	id := c.nextID()
 	defer c.run.ledger.beginRead(id, c.route.name, required)()
@@ -186,7 +186,7 @@
 	return err
 }
 
-// value names its client's key, so that a row of another key is known.
+// value returns a new value, which contains the client's key so that rows of other keys are recognised.
 func (c *client) value() string { return c.key + "=" + fmt.Sprint(c.queries) }
 
 func (c *client) resolve(id, answer string) {
@@ -202,7 +202,7 @@
 	}
 }
 
-// transaction runs some statements, with pauses, and commits or rolls back.
+// transaction runs a transaction of a few statements, with pauses, and commits it or rolls it back.
 func (c *client) transaction(ctx context.Context) error {
 	mayWrite, required := c.route.writes && c.random.IntN(3) > 0, c.requiredCommit()
 	begin := "BEGIN"
@@ -250,7 +250,7 @@
 	return err
 }
 
-// resolveCommit notes the answer to a COMMIT. One that wrote nothing is in no log: it counts for nothing.
+// resolveCommit records the answer to a COMMIT. A successful one that wrote nothing is in no log and is ignored.
 func (c *client) resolveCommit(id, answer string) {
 	if strings.HasPrefix(answer, "DONE") && !c.run.ledger.isCommitted(id) {
 		return
@@ -258,7 +258,7 @@
 	c.resolve(id, answer)
 }
 
-// ask sends a statement and reads its answer: the first line but rows, with the rows before it.
+// query sends a statement, reads its answer and checks the answer's rows. It returns the line that is not a row.
 func (c *client) query(id, text string) (answer string, err error) {
 	sent := time.Now()
 	_ = c.conn.SetDeadline(sent.Add(answerTimeout)) // an error comes back from the read
@@ -282,13 +282,13 @@
 			answer = line
 			c.checkRows(id, text, rows)
 			if strings.Contains(line, "NOSTMT") {
-				c.run.ledger.violate("pinned", "%s %s at %s: %s, though its preparing was acknowledged", id, text, c.proxy, line)
+				c.run.ledger.violate("pinned", "%s %s at %s: %s, though the PREP was acknowledged", id, text, c.proxy, line)
 			}
 		}
 	}
 }
 
-// checkRows checks that rows are those of the client's key.
+// checkRows checks that rows have values of the client's key.
 func (c *client) checkRows(id, text string, rows []string) {
 	for _, row := range rows {
 		if row != "" && !strings.HasPrefix(row, c.key+"=") {
@@ -297,17 +297,18 @@
 	}
 }
 
-// checkStamp checks that a success has the stamp that a member gave this statement.
+// checkStamp checks that a successful answer ends with the id of its statement, which the member adds.
 func (c *client) checkStamp(id, text, answer string) {
 	if strings.HasPrefix(answer, "DONE") && !strings.HasSuffix(answer, "."+id) {
 		c.run.ledger.violate("mixed", "%s %s at %s: %s", id, text, c.proxy, answer)
 	}
 }
 
-// ended judges a statement whose connection ended or whose answer didn't come in time.
+// checkSessionEnd checks whether a connection that ended, or an answer that was not received in time, violates an
+// invariant. It returns the error for the session's end.
 func (c *client) checkSessionEnd(id, text string, sent time.Time, err error) error {
 	now, l, j := time.Now(), c.run.ledger, c.run.journal
-	since := sent.Add(-time.Second) // a process that didn't run before may not have caught up
+	since := sent.Add(-time.Second) // a process that was starved just before may not have caught up
 	var timeout net.Error
 	timedOut := errors.As(err, &timeout) && timeout.Timeout()
 	frozen := j.disturbed(c.proxy, sent, now, KindFreeze)
@@ -318,7 +319,7 @@
 			id, text, c.proxy, answerTimeout)
 	case timedOut, killed, frozen:
 	case !j.disturbed(c.proxy, sent.Add(-contactTime), now, KindRestart):
-		l.violate("cut", "%s %s at %s, which nobody ends: %v after %v", id, text, c.proxy, err, now.Sub(sent))
+		l.violate("cut", "%s %s at %s, which is not being stopped: %v after %v", id, text, c.proxy, err, now.Sub(sent))
 	case (l.hasReached(id) || now.Sub(sent) > lossSlack) && j.faultFree(sent, now):
 		c.run.recordMissed(c.proxy, since, "lost answer", "%s %s at %s: %v after %v, at a member: %v",
 			id, text, c.proxy, err, now.Sub(sent), l.hasReached(id))
@@ -338,7 +339,7 @@
 	c.run.ledger.count(what + " " + result)
 }
 
-// promisesNothingKept says whether an answer promises that nothing of its attempt took effect.
+// guaranteesNoEffect reports whether an answer guarantees that its attempt had no effect.
 func guaranteesNoEffect(answer string) bool {
 	for _, code := range []string{"RETRY", "ABORTED", "LAGGING", "RDONLY", "WRONGHOST", "FULL"} {
 		if strings.HasPrefix(answer, "FAIL "+code) {
--- a/internal/standin/soak/doc.go
+++ b/internal/standin/soak/doc.go
@@ -1,10 +1,12 @@
-// Package soak plays seeded series of overlapping signals, restarts, faults and configuration changes on a whole
-// deployment (package cluster), while clients use their connections until these break.
+// Package soak runs seeded schedules of overlapping signals, restarts, faults and configuration changes on a whole
+// deployment (package cluster), while clients use it.
 //
-// Draw makes the schedule of a seed; it reads no clock and starts nothing. Run carries a schedule out, with clients
-// (client.go), operators (operators.go) and a monitor (monitor.go), and gives what broke an invariant. What was sent,
-// acknowledged and run is kept by the ledger (ledger.go), when which machine was disturbed by the journal (journal.go).
+// Generate returns the schedule of a seed; it reads no clock and starts nothing. Run executes a schedule, with clients
+// (client.go), operators (operators.go) and a monitor (monitor.go), and returns the invariants that were violated. The
+// ledger (ledger.go) records what was sent, acknowledged and executed; the journal (journal.go) records which machine
+// was disturbed when.
 //
-// Timed invariants hold for machines and cores that no event has disturbed for a while, as in production; the others
-// always. The schedule of a seed is the same on each run, its course is not: processes run in real time.
+// Invariants with time bounds apply to machines that, like the core, have not been disturbed for a while, as in
+// production; the others apply always. A seed's schedule is the same in each run, but its execution is not, as
+// processes run in real time.
 package soak
--- a/internal/standin/soak/events.go
+++ b/internal/standin/soak/events.go
@@ -1,6 +1,6 @@
 package soak
 
-// This file owns the carrying out of events.
+// This file executes events.
 
 import (
 	"context"
@@ -13,10 +13,12 @@
 	"weirwind/internal/standin/replicaset"
 )
 
-// hangupAge is how old a process is that gets SIGHUP: before it has begun to handle the signal, it ends by it.
+// minHangupAge is the minimum age of a process that is sent SIGHUP: a process that does not handle the signal yet is
+// killed by it.
 const minHangupAge = 2 * time.Second
 
-// carryOut carries an event out to its end, begun or not when the context ends: all that it disturbed is there again.
+// execute executes an event to its end, even if the context is done meanwhile: afterwards all that it disturbed is
+// restored.
 func (r *run) execute(ctx context.Context, e Event) {
 	r.logf("event %v", e)
 	switch e.Kind {
@@ -36,7 +38,7 @@
 	}
 }
 
-// disturbProcesses has the targets go through their event, at once or in turn.
+// disturbProcesses applies an event to its targets, all at once or at intervals.
 func (r *run) disturbProcesses(e Event) {
 	var all sync.WaitGroup
 	for _, name := range e.Targets {
@@ -46,7 +48,7 @@
 	all.Wait()
 }
 
-// disturbProcess ends and starts a process, or freezes it. One that another event has ended is left to that event.
+// disturbProcess restarts or freezes a process. A process that another event has ended is left to that event.
 func (r *run) disturbProcess(name string, e Event) {
 	if e.Kind == KindFreeze {
 		r.freeze(name, e.Duration)
@@ -57,7 +59,7 @@
 	if !r.lives.claimEnd(name) {
 		r.logf("%s %s: it is being restarted", e.Kind, name)
 		if e.Kind == KindKill && r.lives.isEnding(name) {
-			r.deployment.Signal(name, syscall.SIGKILL) // in the midst of its end in order
+			r.deployment.Signal(name, syscall.SIGKILL) // during its graceful shutdown
 		}
 		return
 	}
@@ -84,13 +86,13 @@
 	r.reportLateEnd(name)
 }
 
-// endedLate judges a process that was still there after the grace period.
+// reportLateEnd records a process that was still running after the grace period, unless it was frozen during it.
 func (r *run) reportLateEnd(name string) {
 	now := time.Now()
 	if r.journal.disturbed(name, now.Add(-graceTime), now, KindFreeze) {
 		return
 	}
-	r.recordMissed(name, now.Add(-graceTime), "late end", "%s was there %v after SIGTERM", name, graceTime)
+	r.recordMissed(name, now.Add(-graceTime), "late end", "%s was still running %v after SIGTERM", name, graceTime)
 }
 
 func (r *run) freeze(name string, lasts time.Duration) {
@@ -100,7 +102,7 @@
 	r.deployment.Signal(name, syscall.SIGCONT)
 }
 
-// hangUp sends a series of SIGHUP to each target.
+// hangUp sends a series of SIGHUPs to each target.
 func (r *run) hangUp(e Event) {
 	for range e.Times {
 		for _, name := range e.Targets {
@@ -115,7 +117,7 @@
 	}
 }
 
-// member finds the member that an event is about.
+// findMember returns the id of a member that matches an event's target, "" if there is none.
 func (r *run) findMember(target string) (id string) {
 	r.deployment.Service.With(func(group *replicaset.Group) {
 		primary := group.Leader()
@@ -169,12 +171,12 @@
 	r.logf("release: %s left for %s, acknowledged: %v", id, joined, acknowledged)
 }
 
-// lives counts the lives of processes, and which one each is in.
+// processLives counts the starts of each process, and tracks which processes run.
 type processLives struct {
 	mu      sync.Mutex
 	number  map[string]int
-	started map[string]time.Time // of those that run
-	ending  map[string]bool      // those that were told to end, and are there
+	started map[string]time.Time // start times of the running processes
+	ending  map[string]bool      // processes that were told to end and have not ended yet
 }
 
 func newProcessLives() *processLives {
@@ -188,7 +190,7 @@
 	l.started[name] = time.Now()
 }
 
-// end gives the ending of a process to its only caller.
+// claimEnd marks a process as ending. It returns true for only one caller, which ends the process.
 func (l *processLives) claimEnd(name string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -200,21 +202,21 @@
 	return runs
 }
 
-// ended says that a process that was told to end is gone.
+// recordEnd records that a process that was told to end has ended.
 func (l *processLives) recordEnd(name string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.ending, name)
 }
 
-// isEnding says whether a process was told to end, and may be there.
+// isEnding reports whether a process was told to end and has not ended yet.
 func (l *processLives) isEnding(name string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.ending[name]
 }
 
-// of is the number of a process's life; 0 where it doesn't run.
+// current returns how often a running process was started; 0 if it is not running.
 func (l *processLives) current(name string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -224,7 +226,7 @@
 	return l.number[name]
 }
 
-// age is how long a process has run; 0 where it doesn't.
+// age returns how long a process has run; 0 if it is not running.
 func (l *processLives) age(name string) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -234,7 +236,7 @@
 	return 0
 }
 
-// running are the names of the processes that nobody ends.
+// running returns the sorted names of the processes that run and were not told to end.
 func (l *processLives) running() (names []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/standin/soak/journal.go
+++ b/internal/standin/soak/journal.go
@@ -1,6 +1,6 @@
 package soak
 
-// This file owns the journal: when which machines were disturbed, and by what.
+// This file has the journal, which records the disturbances of machines.
 
 import (
 	"slices"
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// disturbance is an event's effect on a machine, from its begin until its end; a zero end: it lasts.
+// disturbance is the time span of an event on a machine; its end is zero while it lasts.
 type disturbance struct {
 	machine  string // "" for members
 	process  string
@@ -16,13 +16,13 @@
 	from, to time.Time
 }
 
-// journal is the disturbances so far.
+// journal has the disturbances so far.
 type journal struct {
 	mu  sync.Mutex
 	all []*disturbance
 }
 
-// begin notes a disturbance; the caller calls end when it is over.
+// begin records the start of a disturbance; the caller calls end when it is over.
 func (j *journal) begin(process string, kind Kind) (end func()) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -38,7 +38,7 @@
 	}
 }
 
-// any says whether a disturbance that fits overlaps a span of time.
+// overlaps reports whether a matching disturbance overlaps a time span.
 func (j *journal) overlaps(from, to time.Time, matches func(*disturbance) bool) bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -47,8 +47,8 @@
 	})
 }
 
-// inTouch says whether neither a machine nor the core was disturbed for contactTime before a span, nor in it. Signals
-// that have a process read its settings again disturb nothing.
+// inContact reports whether neither the machine nor the core was disturbed during a time span and contactTime before
+// it. SIGHUP, on which a process only rereads its settings, does not count.
 func (j *journal) inContact(machine string, from, to time.Time) bool {
 	return !j.overlaps(from.Add(-contactTime), to, func(d *disturbance) bool {
 		return d.kind != KindHangup && d.machine != "" &&
@@ -56,12 +56,14 @@
 	})
 }
 
-// faultFree says whether no fault came for contactTime before a span, nor in it.
+// faultFree reports whether there was no fault during a time span and contactTime before it.
 func (j *journal) faultFree(from, to time.Time) bool {
 	return !j.overlaps(from.Add(-contactTime), to, func(d *disturbance) bool { return d.kind.IsFault() })
 }
 
-// disturbed says whether a process had an event of one of the kinds in a span.
+// disturbed reports whether a process had an event of one of the kinds during a time span.
 func (j *journal) disturbed(process string, from, to time.Time, kinds ...Kind) bool {
-	return j.overlaps(from, to, func(d *disturbance) bool { return d.process == process && slices.Contains(kinds, d.kind) })
+	return j.overlaps(from, to, func(d *disturbance) bool {
+		return d.process == process && slices.Contains(kinds, d.kind)
+	})
 }
--- a/internal/standin/soak/ledger.go
+++ b/internal/standin/soak/ledger.go
@@ -1,6 +1,6 @@
 package soak
 
-// This file owns the ledger: what clients sent and were answered, and what members ran of it.
+// This file has the ledger, which records clients' statements, their answers, and what members ran.
 
 import (
 	"fmt"
@@ -13,35 +13,35 @@
 	"weirwind/internal/standin/replicaset"
 )
 
-// Outcomes of a statement that commits.
+// outcome is the outcome of a statement that commits, as its client knows it.
 type outcome int
 
 const (
 	outcomeUnknown  outcome = iota
-	outcomeAcked            // it was answered with success
-	outcomeRefused          // it was answered with a promise that nothing is kept
-	outcomeRollback         // its client has not asked to commit it
+	outcomeAcked            // answered with success
+	outcomeRefused          // answered with an error that guarantees no effect
+	outcomeRollback         // the client rolled back instead of committing
 )
 
-// commit is an acknowledged one.
+// commit is an acknowledged commit.
 type commit struct {
 	id            string
-	number        uint64 // in the members' log
+	number        uint64 // position in the members' log
 	at            time.Time
-	greatestIndex int // index of the one of the greatest number so far
+	greatestIndex int // index of the acknowledged commit with the highest number so far
 }
 
-// ledger implements cluster.Observer.
+// ledger records statements and violations. It implements cluster.Observer.
 type ledger struct {
 	mu         sync.Mutex
-	outcomes   map[string]outcome  // of all statements that commit, by id
-	numbers    map[string]uint64   // of commits in members' logs, the last by id
-	acked      []commit            // in order of their answers
-	reads      map[string]*commit  // by the id of a read that is under way: what it must see; nil: nothing
-	readRoutes map[string]string   // the route of such a read
-	reached    map[string]bool     // ids of statements that came to members
-	violations map[string][]string // by the invariant
-	attempts   map[string]int      // of operations, by their outcome
+	outcomes   map[string]outcome  // by statement id, of all statements that commit
+	numbers    map[string]uint64   // by statement id: the commit's latest number in members' logs
+	acked      []commit            // in the order of their answers
+	reads      map[string]*commit  // by the id of a read in progress: the commit that it must see; nil for none
+	readRoutes map[string]string   // by the id of a read in progress: its route
+	reached    map[string]bool     // ids of statements that reached members
+	violations map[string][]string // by invariant
+	attempts   map[string]int      // number of operations, by kind and outcome
 }
 
 func newLedger() *ledger {
@@ -52,7 +52,7 @@
 	}
 }
 
-// violate records that an invariant was broken.
+// violate records a violation of an invariant.
 func (l *ledger) violate(invariant, format string, args ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -71,15 +71,15 @@
 	l.attempts[what]++
 }
 
-// sending notes a statement that commits before it is sent.
+// recordSent records a statement that commits, before it is sent.
 func (l *ledger) recordSent(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.outcomes[id] = outcomeUnknown
 }
 
-// resolve notes the answer to a statement that commits. An acknowledged one is what later reads must see; it is
-// returned so that the session may ask for it.
+// resolve records the outcome of a statement that commits. Later reads must see an acknowledged commit; it is returned
+// for the session's own reads.
 func (l *ledger) resolve(id string, result outcome) *commit {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -95,7 +95,7 @@
 	return &c
 }
 
-// newest is the acknowledged commit of the greatest number among those that were acknowledged before a time.
+// newestBefore returns the commit with the highest number among those acknowledged before a time; nil if there is none.
 func (l *ledger) newestBefore(before time.Time) *commit {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -107,7 +107,7 @@
 	return &c
 }
 
-// reading notes what a read must see before it is sent; done forgets it.
+// beginRead records, before a read is sent, the commit that it must see; done removes the record.
 func (l *ledger) beginRead(id, route string, required *commit) (done func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -162,10 +162,10 @@
 	}
 	for id, n := range found {
 		if _, sent := l.outcomes[id]; !sent {
-			l.violateLocked("unasked", "%s is in the log; no client asked to commit it", id)
+			l.violateLocked("unasked", "%s is in the log, and no client sent it", id)
 		}
 		if n > 1 {
-			l.violateLocked("twice", "%s is %d times in the log", id, n)
+			l.violateLocked("twice", "%s is in the log %d times", id, n)
 		}
 	}
 	for id, result := range l.outcomes {
@@ -173,7 +173,7 @@
 		case result == outcomeAcked && found[id] == 0:
 			l.violateLocked("lost write", "%s was acknowledged and is not in the log", id)
 		case result == outcomeRefused && found[id] > 0:
-			l.violateLocked("refused", "%s was answered that nothing is kept, and is in the log", id)
+			l.violateLocked("refused", "%s was answered with a guarantee of no effect, and is in the log", id)
 		case result == outcomeRollback && found[id] > 0:
 			l.violateLocked("unasked", "%s was rolled back, and is in the log", id)
 		}
@@ -183,14 +183,14 @@
 	}
 }
 
-// summary is the violations, the first few of each invariant; "" for none.
+// summary returns the first few violations of each invariant; "" if there are none.
 func (l *ledger) summary() string {
 	const maxPerInvariant = 5
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var b strings.Builder
 	for invariant, texts := range l.violations {
-		fmt.Fprintf(&b, "%s, broken %d times:\n", invariant, len(texts))
+		fmt.Fprintf(&b, "%s, violated %d times:\n", invariant, len(texts))
 		for _, text := range texts[:min(maxPerInvariant, len(texts))] {
 			fmt.Fprintf(&b, "\t%s\n", text)
 		}
@@ -198,7 +198,7 @@
 	return b.String()
 }
 
-// isCommitted says whether a statement's commit entered a member's log.
+// isCommitted reports whether a statement's commit entered a member's log.
 func (l *ledger) isCommitted(id string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/standin/soak/monitor.go
+++ b/internal/standin/soak/monitor.go
@@ -1,7 +1,7 @@
 package soak
 
-// This file owns what is watched while a soak runs: the versions that proxies serve by, processes that end by
-// themselves, and what processes hold.
+// This file monitors a running soak: the configuration versions of proxies, processes that exit unexpectedly, and the
+// resources that processes use.
 
 import (
 	"context"
@@ -18,11 +18,11 @@
 
 const (
 	monitorInterval   = 250 * time.Millisecond
-	frontsPerInterval = 10 // that are asked in each interval
+	frontsPerInterval = 10 // proxies that are polled in each interval
 )
 
-// watchVersions has a proxy tell its configuration's version until the context ends: in one life it never falls, and
-// on a machine in touch it is what was acknowledged applyTime before.
+// watchVersions polls a proxy's configuration version until the context is done. The version must not decrease while
+// the process runs, and on a machine in contact it must be at least the one that was acknowledged applyTime before.
 func (r *run) watchVersions(ctx context.Context, front int) {
 	name := proxyName(front)
 	life, highest := 0, uint64(0)
@@ -42,13 +42,13 @@
 		highest = max(highest, version)
 		newest := r.operators.ackedBefore(asked.Add(-applyTime))
 		if version < newest && r.journal.inContact(machine(name), asked, time.Now()) {
-			r.recordMissed(name, asked.Add(-applyTime), "not in force", "%s serves by version %d %v after %d was acknowledged",
+			r.recordMissed(name, asked.Add(-applyTime), "not in force", "%s serves version %d %v after %d was acknowledged",
 				name, version, applyTime, newest)
 		}
 	}
 }
 
-// version is the version of the configuration by which a proxy serves.
+// version returns the version of the configuration that a proxy serves.
 func (r *run) version(front int) (version uint64, ok bool) {
 	code, body := r.deployment.Call("GET", r.deployment.ReadyAddr(front), "/status", "", nil)
 	var status struct {
@@ -60,7 +60,7 @@
 	return status.Version, true
 }
 
-// watchProcesses finds processes that end by themselves until the context ends, and starts them again.
+// watchProcesses reports and restarts processes that exit unexpectedly, until the context is done.
 func (r *run) watchProcesses(ctx context.Context) {
 	for ; ctx.Err() == nil; pause(ctx, monitorInterval) {
 		for _, name := range r.lives.running() {
@@ -68,7 +68,7 @@
 			if !hasEnded(r.deployment.PID(name)) || r.lives.current(name) != life || !r.lives.claimEnd(name) {
 				continue
 			}
-			r.ledger.violate("own end", "%s ended, and nobody asked it to", name)
+			r.ledger.violate("own end", "%s exited unexpectedly", name)
 			r.deployment.Kill(name)
 			r.lives.recordEnd(name)
 			r.deployment.Start(name, false)
@@ -77,19 +77,19 @@
 	}
 }
 
-// hasEnded says whether a process has ended that was not waited for yet.
+// hasEnded reports whether a process has ended and was not waited for yet.
 func hasEnded(pid int) bool {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
-		return false // it is gone, or there is none: somebody waited for it
+		return false // there is no such process: it was waited for
 	}
 	return processState(string(text)) == "Z"
 }
 
-// holding is what a process holds.
+// resources are the resources that a process uses.
 type resources struct{ files, memoryKB int }
 
-// holdings is what the processes hold that run, by name.
+// resourceUse returns the resources of the running processes, by name.
 func (r *run) resourceUse() map[string]resources {
 	all := map[string]resources{}
 	for _, name := range r.lives.running() {
@@ -101,7 +101,7 @@
 var residentLine = regexp.MustCompile(`(?m)^VmRSS:\s+(\d+) kB$`)
 
 func resourcesOf(pid int) (h resources) {
-	files, _ := filepath.Glob(fmt.Sprintf("/proc/%d/fd/*", pid)) // none where the process is gone
+	files, _ := filepath.Glob(fmt.Sprintf("/proc/%d/fd/*", pid)) // empty if the process has ended
 	h.files = len(files)
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if found := residentLine.FindSubmatch(text); err == nil && found != nil {
@@ -110,10 +110,10 @@
 	return h
 }
 
-// goroutineHeader begins each goroutine's part of a dump.
+// goroutineHeader matches the first line of each goroutine in a dump.
 var goroutineHeader = regexp.MustCompile(`(?m)^goroutine \d+ .*\[`)
 
-// goroutinesOf counts the goroutines of a dump at the end of a log.
+// goroutinesOf returns the number of goroutines in a dump at the end of a log.
 func goroutinesOf(log string) int {
 	begin := strings.LastIndex(log, "SIGQUIT: quit")
 	if begin < 0 {
