--- a/internal/standin/soak/names.go
+++ b/internal/standin/soak/names.go
@@ -1,6 +1,6 @@
 package soak
 
-// This file owns the names of processes and members in schedules.
+// This file has the names of processes and members in schedules.
 
 import (
 	"strconv"
@@ -14,13 +14,13 @@
 	prefixProxy = "proxy"
 )
 
-// Members that an event disturbs, looked up when it comes.
+// Targets of events on members; the member is determined when the event is executed.
 const (
 	targetPrimary = "primary"
 	targetReplica = "replica"
 )
 
-// machine is the machine of a process: of agent and proxy of one number it is the same.
+// machine returns the machine of a process; the agent and the proxy of the same number share one.
 func machine(process string) string {
 	if strings.HasPrefix(process, prefixCore) {
 		return process
--- a/internal/standin/soak/operators.go
+++ b/internal/standin/soak/operators.go
@@ -1,6 +1,6 @@
 package soak
 
-// This file owns operators: changes of the configuration, and the audit of which took force.
+// This file has operators' changes of the configuration, and the check of which took effect.
 
 import (
 	"context"
@@ -15,20 +15,20 @@
 )
 
 const (
-	changeTimeout     = 25 * time.Second // in which a change is sent again while there is no clear answer
+	changeTimeout     = 25 * time.Second // how long a change without a definite answer is retried
 	initialRetryDelay = 50 * time.Millisecond
 	maxRetryDelay     = time.Second
-	maxVersionStep    = 3 // versions go up by one to so many
+	maxVersionStep    = 3 // maximum difference between successive versions
 )
 
-// change is one that was sent.
+// change is a configuration change that was sent.
 type change struct {
 	base, version uint64
-	marker        string // host of a route that it adds
+	marker        string // host of a route that it adds, by which it is identified
 	kind          Change
 	sent          time.Time
-	acked         time.Time // zero: it wasn't
-	refused       bool      // by its first clear answer, with no earlier sending that got none
+	acked         time.Time // zero if it was not acknowledged
+	refused       bool      // rejected by its first definite answer, with no earlier attempt of unknown outcome
 	answer        string
 }
 
@@ -36,7 +36,7 @@
 	return fmt.Sprintf("%s of version %d on %d (%s)", c.kind, c.version, c.base, c.marker)
 }
 
-// operators are those of a deployment.
+// operators sends configuration changes to a deployment and records them.
 type operators struct {
 	run     *run
 	mu      sync.Mutex
@@ -45,13 +45,13 @@
 	changes []*change
 }
 
-// document is a configuration, as far as operators read it.
+// document has the fields of a configuration that operators read.
 type document struct {
 	Version uint64           `json:"gen"`
 	Routes  []map[string]any `json:"routes"`
 }
 
-// markers are the hosts by which changes are told apart.
+// markers returns the hosts that identify changes.
 func (d *document) markers() (hosts []string) {
 	for _, r := range d.Routes {
 		if host, _ := r["host"].(string); strings.HasPrefix(host, "mark") {
@@ -61,7 +61,7 @@
 	return hosts
 }
 
-// show reads the configuration from the first machine that answers.
+// readConfig reads the configuration from the first core machine that answers.
 func (o *operators) readConfig(ctx context.Context) (document, bool) {
 	for wait := initialRetryDelay; ctx.Err() == nil; wait = min(2*wait, maxRetryDelay) {
 		for _, n := range o.shuffledCores() {
@@ -82,14 +82,14 @@
 	return document{}, false
 }
 
-// machines are the core machines in an order that is drawn.
+// shuffledCores returns the core machines' indexes in random order.
 func (o *operators) shuffledCores() []int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.random.Perm(o.run.shape.Cores)
 }
 
-// carryOut makes a change on what is in force.
+// makeChange makes a change, or two conflicting ones, based on the current configuration.
 func (o *operators) makeChange(ctx context.Context, kind Change) {
 	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
@@ -110,7 +110,7 @@
 	both.Wait()
 }
 
-// draw draws a change on a version.
+// newChange returns a random change of a kind, based on a version.
 func (o *operators) newChange(base uint64, kind Change) *change {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -124,7 +124,7 @@
 	return c
 }
 
-// send sends a change until it has a clear answer.
+// send sends a change until it has a definite answer.
 func (o *operators) send(ctx context.Context, c *change, oldMarkers []string) {
 	path, body := o.body(c, oldMarkers)
 	ambiguous := false
@@ -143,23 +143,24 @@
 		}
 		pause(ctx, wait)
 	}
-	o.run.logf("%s: no clear answer", c)
+	o.run.logf("%s: no definite answer", c)
 }
 
-// repeat sends a change again that was acknowledged, as an operator does whose answer was lost: while no other one was
-// sent since, it is not refused.
+// resend sends an acknowledged change again, as an operator does whose answer was lost. It must not be refused unless
+// another change was sent since.
 func (o *operators) resend(c *change, path string, body []byte) {
 	addr := o.run.deployment.Cores[o.shuffledCores()[0]]
 	status, answer := o.run.deployment.Call("POST", addr, path, strconv.FormatUint(c.base, 10), body)
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if status >= 400 && status < 500 && o.changes[len(o.changes)-1] == c {
-		o.run.ledger.violate("configuration", "%s was acknowledged, and refused as it was sent again: %d %s",
+		o.run.ledger.violate("configuration", "%s was acknowledged, and refused when it was sent again: %d %s",
 			c, status, answer)
 	}
 }
 
-// answered notes a clear answer. A refusal says nothing about an earlier sending whose answer was lost.
+// recordAnswer records a definite answer. A refusal does not tell whether an earlier attempt of unknown outcome took
+// effect.
 func (o *operators) recordAnswer(c *change, status int, ambiguous bool, answer string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -180,7 +181,7 @@
 	}
 }
 
-// body gives a change's call and its text.
+// body returns the path and the body of a change's call.
 func (o *operators) body(c *change, oldMarkers []string) (path string, body []byte) {
 	marker := markerRoute(c.marker, "svc")
 	if c.kind == ChangeAmend {
@@ -205,7 +206,7 @@
 	return "/config/replace", body
 }
 
-// configuration is the text of a whole one.
+// configuration returns a complete configuration as JSON.
 func configuration(version uint64, routeList []any, shape Shape) []byte {
 	config := map[string]any{"gen": version, "routes": routeList,
 		"svcs":   []any{map[string]any{"name": "svc", "maxConns": shape.memberConns(), "syncN": 1}},
@@ -232,12 +233,12 @@
 func encode(value any) []byte {
 	text, err := json.Marshal(value)
 	if err != nil {
-		panic(err) // of maps, texts and numbers
+		panic(err) // the value has only maps, strings and numbers
 	}
 	return text
 }
 
-// ackedBefore is the newest version that was acknowledged before a time.
+// ackedBefore returns the highest version that was acknowledged before a time.
 func (o *operators) ackedBefore(at time.Time) (version uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -249,7 +250,7 @@
 	return version
 }
 
-// audit compares the configuration that is in force in the end with what was sent and acknowledged.
+// audit compares the final configuration with the changes that were sent and acknowledged.
 func (o *operators) audit(last document) {
 	newest := o.ackedBefore(time.Now())
 	o.mu.Lock()
@@ -268,10 +269,11 @@
 		}
 		known = known || inForce[c.marker] && c.version == last.Version
 		if !c.acked.IsZero() && c.version == last.Version && !inForce[c.marker] {
-			o.run.ledger.violate("configuration", "%s was acknowledged, and something else is in force under its number", c)
+			o.run.ledger.violate("configuration", "%s was acknowledged, and its version is in force with other content", c)
 		}
 	}
 	if !known {
-		o.run.ledger.violate("configuration", "version %d with %v is read back; nobody sent it", last.Version, last.markers())
+		o.run.ledger.violate("configuration", "version %d with %v is read back, and no operator sent it",
+			last.Version, last.markers())
 	}
 }
--- a/internal/standin/soak/run.go
+++ b/internal/standin/soak/run.go
@@ -1,6 +1,6 @@
 package soak
 
-// This file owns the course of a soak: its begin, its events, the recovery and the audit.
+// This file runs a soak: its start, its events, the recovery and the audit.
 
 import (
 	"context"
@@ -18,25 +18,25 @@
 	"weirwind/internal/standin/replicaset"
 )
 
-// Bounds, as in the settings of the deployment's processes.
+// Time bounds, as in the settings of the deployment's processes.
 const (
 	contactTime = 5 * time.Second
 	applyTime   = 4 * time.Second
-	graceTime   = 2*time.Second + 500*time.Millisecond // graceS, and what a busy machine may take to see the end
+	graceTime   = 2*time.Second + 500*time.Millisecond // graceS, and a margin for a busy machine
 	recoverTime = 12 * time.Second
 	lossSlack   = 200 * time.Millisecond
 	joinTime    = time.Second // from a new member's start until another one drains
 
-	workTime       = 15 * time.Millisecond // of a statement at a member
+	workTime       = 15 * time.Millisecond // execution time of a statement at a member
 	initialMembers = 3
 )
 
-// What a process that has lived from the begin may hold in the end beyond its begin, and of goroutines in all: core
-// machines have a link with each front.
+// Bounds on leaks: the open files that a process which has run throughout may have at the end beyond those at the
+// start, and its goroutines at the end. Core machines have a link with each front.
 func (s Shape) maxExtraFiles() int { return 60 + 2*s.Fronts }
 func (s Shape) maxGoroutines() int { return 100 + 2*s.Fronts }
 
-// run is a soak that runs.
+// run is the state of a running soak.
 type run struct {
 	t          *testing.T
 	shape      Shape
@@ -50,12 +50,12 @@
 	began      time.Time
 
 	mu           sync.Mutex
-	lines        []string      // of its own log
-	missedBounds []missedBound // bounds on time that were missed
-	excused      []missedBound // those of them that the machine's own starvation excuses
+	lines        []string      // the soak's own log
+	missedBounds []missedBound // time bounds that were missed
+	excused      []missedBound // missed bounds that are not counted, as the process was starved
 }
 
-// overdue is a bound on time that a process missed.
+// missedBound is a time bound that a process missed.
 type missedBound struct {
 	process   string
 	from, to  time.Time
@@ -63,15 +63,16 @@
 	text      string
 }
 
-// late notes that a process missed a bound on time, in a span that ends now. Whether it was starved then is known
-// later.
+// recordMissed records that a process missed a time bound, in a span that ends now. Whether the process was starved
+// then is evaluated later.
 func (r *run) recordMissed(process string, from time.Time, invariant, format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.missedBounds = append(r.missedBounds, missedBound{process, from, time.Now(), invariant, fmt.Sprintf(format, args...)})
+	r.missedBounds = append(r.missedBounds,
+		missedBound{process, from, time.Now(), invariant, fmt.Sprintf(format, args...)})
 }
 
-// judgeOverdue has the bounds count that were missed by processes that the machine ran.
+// evaluateMissedBounds counts the missed bounds of processes that were not starved as violations.
 func (r *run) evaluateMissedBounds() {
 	for _, o := range r.missedBounds {
 		if r.starved.overlaps(o.process, o.from, o.to) {
@@ -82,23 +83,23 @@
 	}
 }
 
-// Result is what came of a soak.
+// Result is the result of a soak.
 type Result struct {
 	Violations    string         // "" for none
 	Operations    map[string]int // by kind and outcome
-	Recovered     time.Duration  // from the end of the last event until all was served
+	Recovered     time.Duration  // from the end of the last event until everything was served
 	Processes     int
-	MemoryMB      int           // of all processes in the end
-	MaxFiles      int           // of a process in the end
-	MaxGoroutines int           // the most of a process in the end
-	Changes       int           // acknowledged
-	Excused       []string      // bounds on time that processes missed while the machine didn't run them
-	Starved       time.Duration // of the test's own process: how long a thread waited for a processor
+	MemoryMB      int           // of all processes at the end
+	MaxFiles      int           // highest number of a process at the end
+	MaxGoroutines int           // highest number of a process at the end
+	Changes       int           // number of acknowledged configuration changes
+	Excused       []string      // time bounds that processes missed while they were starved
+	Starved       time.Duration // how long the test's own process was starved
 	Log           string
 	ProcessLogs   map[string]string
 }
 
-// Run carries a schedule out on a deployment of its own.
+// Run executes a schedule on a deployment of its own.
 func Run(t *testing.T, s Schedule) Result {
 	t.Helper()
 	r := &run{t: t, shape: s.Shape, ledger: newLedger(), journal: &journal{}, lives: newProcessLives(), began: time.Now(),
@@ -129,7 +130,7 @@
 	return result
 }
 
-// start starts the deployment and has its first configuration accepted.
+// start starts the deployment and sends the first configuration until it is accepted.
 func (r *run) start() {
 	r.deployment = cluster.New(r.t, r.shape.Cores, r.shape.Fronts)
 	service := r.deployment.Service
@@ -148,7 +149,7 @@
 	r.began = time.Now()
 }
 
-// newClient makes a client; the nth of all uses the nth route, in turn.
+// newClient returns the nth client; clients use the routes in turn.
 func (r *run) newClient(seed uint64, n int) *client {
 	random := rand.New(rand.NewPCG(seed, uint64(2+n)))
 	return &client{run: r, random: random, name: fmt.Sprint("q", n), key: fmt.Sprint("k", n),
@@ -161,7 +162,7 @@
 	r.lines = append(r.lines, time.Now().Format("15:04:05.000 ")+fmt.Sprintf(format, args...))
 }
 
-// play carries events out, each at its time, and returns when all have ended.
+// play executes events, each at its time, and returns when all have ended.
 func (r *run) play(ctx context.Context, events []Event) {
 	var all sync.WaitGroup
 	for _, e := range events {
@@ -172,7 +173,7 @@
 	r.logf("the last event has ended")
 }
 
-// recover waits until everything is served again, and gives how long that took.
+// recover waits until everything is served again, and returns how long that took.
 func (r *run) recover(ctx context.Context, seed uint64) time.Duration {
 	began := time.Now()
 	var all sync.WaitGroup
@@ -187,13 +188,13 @@
 	all.Wait()
 	took := time.Since(began)
 	if took > recoverTime {
-		r.recordMissed(testProcess, began, "recover", "all was served %v after the last event", took)
+		r.recordMissed(testProcess, began, "recover", "everything was served %v after the last event", took)
 	}
 	r.awaitVersion(r.operators.ackedBefore(time.Now()))
 	return took
 }
 
-// awaitRoute waits until a proxy that calls itself ready serves a route, for twice as long as that may take.
+// awaitRoute waits until a proxy is ready and serves a route, for at most twice recoverTime.
 func (r *run) awaitRoute(seed uint64, front, nth int, began time.Time) {
 	c := r.newClient(seed, r.shape.Clients+front*len(routes)+nth)
 	c.route = routes[nth]
@@ -210,7 +211,7 @@
 	r.ledger.violate("recover", "%s doesn't serve route %s", proxyName(front), routes[nth].name)
 }
 
-// isServed reads, and writes where the route has writes.
+// isServed reports whether a read, and on routes with writes a write, succeeds.
 func (c *client) isServed() bool {
 	if c.route.writes && (c.write() != nil || c.lastCommit == nil) {
 		return false
@@ -220,7 +221,7 @@
 	return err == nil && strings.HasPrefix(answer, "DONE")
 }
 
-// awaitVersion waits until all proxies serve by a version.
+// awaitVersion waits until all proxies serve a version.
 func (r *run) awaitVersion(version uint64) {
 	end := time.Now().Add(applyTime)
 	for n := range r.shape.Fronts {
@@ -229,7 +230,7 @@
 				break
 			}
 			if time.Now().After(end) {
-				r.recordMissed(proxyName(n), end.Add(-applyTime), "recover", "%s doesn't serve by version %d after %v",
+				r.recordMissed(proxyName(n), end.Add(-applyTime), "recover", "%s doesn't serve version %d after %v",
 					proxyName(n), version, applyTime)
 				break
 			}
@@ -238,7 +239,7 @@
 	}
 }
 
-// audit compares what there is in the end with what was acknowledged, ends all, and completes the result.
+// audit compares the final state with what was acknowledged, ends all processes, and completes the result.
 func (r *run) audit(result *Result, before map[string]resources) {
 	result.Processes = len(r.deployment.Running())
 	if want := r.shape.Cores + 2*r.shape.Fronts; result.Processes != want {
@@ -251,7 +252,7 @@
 		r.operators.audit(last)
 		r.auditRefused(last)
 	} else {
-		r.ledger.violate("configuration", "no machine tells the configuration")
+		r.ledger.violate("configuration", "no core machine returns the configuration")
 	}
 	r.auditService()
 	r.countGoroutines(result)
@@ -268,7 +269,7 @@
 	result.Violations, result.Operations, result.Log = r.ledger.summary(), r.ledger.attempts, strings.Join(r.lines, "\n")
 }
 
-// auditService compares the members' logs with what clients were answered.
+// auditService compares the members' logs with the answers to clients.
 func (r *run) auditService() {
 	service := r.deployment.Service
 	service.With(func(group *replicaset.Group) {
@@ -283,7 +284,7 @@
 			}
 		}
 		for _, id := range service.AfterDrain {
-			r.ledger.violate("drain", "%s came to a member that had drained too long ago", id)
+			r.ledger.violate("drain", "%s reached a member too long after its drain", id)
 		}
 	})
 }
@@ -305,19 +306,19 @@
 	}
 }
 
-// auditHoldings compares what processes hold that have lived from the begin with what they held then.
+// auditResources compares the resources of processes that have run throughout with those at the start.
 func (r *run) auditResources(result *Result, before map[string]resources) {
-	time.Sleep(contactTime) // in which idle connections of clients and links that broke are closed
+	time.Sleep(contactTime) // until idle connections of clients and broken links are closed
 	for name, now := range r.resourceUse() {
 		result.MaxFiles = max(result.MaxFiles, now.files)
 		result.MemoryMB += now.memoryKB >> 10
 		if r.lives.current(name) == 1 && now.files > before[name].files+r.shape.maxExtraFiles() {
-			r.ledger.violate("growth", "%s has %d files open, %d at its begin", name, now.files, before[name].files)
+			r.ledger.violate("growth", "%s has %d files open, %d at its start", name, now.files, before[name].files)
 		}
 	}
 }
 
-// countGoroutines ends all processes with a dump of their goroutines.
+// countGoroutines ends all processes with SIGQUIT and counts the goroutines in their dumps.
 func (r *run) countGoroutines(result *Result) {
 	names := r.lives.running()
 	for _, name := range names {
--- a/internal/standin/soak/schedule.go
+++ b/internal/standin/soak/schedule.go
@@ -1,6 +1,6 @@
 package soak
 
-// This file owns schedules and their drawing from a seed.
+// This file generates schedules from seeds.
 
 import (
 	"fmt"
@@ -20,7 +20,7 @@
 	KindRestart     Kind = "restart" // SIGTERM, SIGKILL after the grace period, a pause, and a new start
 	KindHangup      Kind = "hangup"  // a series of SIGHUP
 	KindChange      Kind = "change"  // of the configuration
-	KindRelease     Kind = "release" // a new member joins, and an old one drains and leaves
+	KindRelease     Kind = "release" // a new member joins, and an existing one drains and leaves
 	KindKill        Kind = "kill"    // SIGKILL, a pause, and a new start
 	KindFreeze      Kind = "freeze"  // SIGSTOP, and SIGCONT after a while
 	KindCrash       Kind = "crash"   // a member crashes, and returns with its log
@@ -28,19 +28,19 @@
 	KindLostAnswers Kind = "silence" // answers to some of the next writes are lost
 )
 
-// IsFault says whether events of this kind are not planned.
+// IsFault reports whether events of this kind are faults, not planned work.
 func (k Kind) IsFault() bool {
 	return k == KindKill || k == KindFreeze || k == KindCrash || k == KindLag || k == KindLostAnswers
 }
 
-// Change is how an operator's change of the configuration is made.
+// Change is a kind of configuration change by an operator.
 type Change string
 
 // Changes of the configuration.
 const (
 	ChangeReplace        Change = "replace"
 	ChangeAmend          Change = "amend"
-	ChangeConflicting    Change = "rivals" // two operators send different changes on one base
+	ChangeConflicting    Change = "rivals" // two operators send different changes on the same base
 	ChangeUnknown        Change = "invalid: unknown service"
 	ChangeTimeout        Change = "invalid: no time-out"
 	ChangeDuplicateRoute Change = "invalid: a route twice"
@@ -48,7 +48,7 @@
 	ChangeTruncated      Change = "invalid: cut short"
 )
 
-// IsInvalid says whether the change must never be taken.
+// IsInvalid reports whether the change must be rejected.
 func (c Change) IsInvalid() bool { return strings.HasPrefix(string(c), "invalid") }
 
 var (
@@ -56,18 +56,18 @@
 	invalidChanges = []Change{ChangeUnknown, ChangeTimeout, ChangeDuplicateRoute, ChangeStaleVersion, ChangeTruncated}
 )
 
-// Event is one of a schedule.
+// Event is an event of a schedule.
 type Event struct {
-	At       time.Duration // from the schedule's begin
+	At       time.Duration // since the schedule's start
 	Kind     Kind
-	Targets  []string      // processes; for members "primary" or "replica", which is looked up when the event comes
-	Interval time.Duration // between two targets' turns; 0: all at once
-	Duration time.Duration // the pause before a new start, or the fault
-	Times    int           // signals of a series
+	Targets  []string      // process names; for members "primary" or "replica", determined when the event is executed
+	Interval time.Duration // between the starts at two targets; 0: all at once
+	Duration time.Duration // of the pause before a restart, or of the fault
+	Times    int           // number of signals or lost answers
 	Change   Change
 }
 
-// String is a line of a printed schedule.
+// String returns the event's line in a printed schedule.
 func (e Event) String() string {
 	text := fmt.Sprintf("%6.2fs %-7s", e.At.Seconds(), e.Kind)
 	if len(e.Targets) > 0 {
@@ -91,24 +91,24 @@
 // Shape is the size of a soak.
 type Shape struct {
 	Cores, Fronts int
-	Clients       int           // sessions that are open at a time
-	Horizon       time.Duration // in which events begin
-	MeanGap       time.Duration // between two events
+	Clients       int           // number of concurrent sessions
+	Horizon       time.Duration // time in which events start
+	MeanGap       time.Duration // mean time between two events
 	Tenants       []config.Tenant
 }
 
-// memberConns is how many connections each member takes: some for each proxy.
+// memberConns returns the maximum number of connections of each member, which allows some for each proxy.
 func (s Shape) memberConns() int { return max(80, 4*s.Fronts) }
 
-// Schedule is what is played in a soak.
+// Schedule has the events of a soak.
 type Schedule struct {
 	Seed        uint64
 	Shape       Shape
-	PlannedOnly bool // there is planned work alone
+	PlannedOnly bool // planned work only, no faults
 	Events      []Event
 }
 
-// String prints the schedule.
+// String returns the printed schedule.
 func (s Schedule) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "seed %d: %d cores, %d fronts, %d clients, planned work alone: %v\n",
@@ -119,12 +119,12 @@
 	return b.String()
 }
 
-// Times of events.
+// Parameters of generated events.
 const (
-	catchupTime         = 4 * time.Second // in which a core machine that is back counts as lost
-	maxRestartTime      = 2 * time.Second // of a process that gets SIGTERM
+	catchupTime         = 4 * time.Second // for which a restarted core machine still counts as lost
+	maxRestartTime      = 2 * time.Second // time in which a process exits after SIGTERM
 	drainTime           = 8 * time.Second // from a member's drain until it leaves: drainMs and a little longer
-	memberFaultGap      = 3 * time.Second // between two faults of members
+	memberFaultGap      = 3 * time.Second // minimum time between two faults of members
 	minFault            = 100 * time.Millisecond
 	maxFreeze           = 3 * time.Second
 	maxPause            = 1500 * time.Millisecond
@@ -132,25 +132,25 @@
 	maxHangupInterval   = 150 * time.Millisecond
 	maxHangups          = 6
 	maxLostAnswers      = 5
-	plannedProbability  = 0.5 // of the seeds
+	plannedProbability  = 0.5 // of seeds with planned work only
 	invalidProbability  = 0.35
-	coreProbability     = 0.2 // of the signals that go to core machines
+	coreProbability     = 0.2 // of process events that target core machines
 	rollingProbability  = 0.25
-	allCoresProbability = 0.25             // of the kills of core machines
-	minRollingHorizon   = 40 * time.Second // horizons that have the time for a core's roll
-	frontsDivisor       = 2                // at most one in so many fronts at once, but two at least
+	allCoresProbability = 0.25             // of kills of core machines that target all of them
+	minRollingHorizon   = 40 * time.Second // minimum horizon for rolling restarts of the core
+	frontsDivisor       = 2                // at most Fronts/frontsDivisor fronts at once, but at least two
 )
 
-// drawer draws a schedule.
+// generator generates a schedule.
 type generator struct {
 	random       *rand.Rand
 	schedule     *Schedule
-	coreFreeAt   time.Duration // when no core machine is disturbed any more
-	memberFreeAt time.Duration // when no member crashes or is replaced any more
-	lagFreeAt    time.Duration // when all replicas receive
+	coreFreeAt   time.Duration // time from which no core machine is disturbed
+	memberFreeAt time.Duration // time from which no member is crashed or being replaced
+	lagFreeAt    time.Duration // time from which all replicas receive
 }
 
-// Draw draws the schedule of a seed.
+// Generate returns the schedule of a seed.
 func Generate(seed uint64, shape Shape) Schedule {
 	d := &generator{random: rand.New(rand.NewPCG(seed, 0)), schedule: &Schedule{Seed: seed, Shape: shape}}
 	d.schedule.PlannedOnly = d.random.Float64() < plannedProbability
@@ -162,7 +162,7 @@
 	return *d.schedule
 }
 
-// gap draws the time to the next event: many are close to each other.
+// gap returns a random time to the next event, exponentially distributed, so that many events overlap.
 func (d *generator) gap() time.Duration {
 	return (time.Duration(d.random.ExpFloat64() * float64(d.schedule.Shape.MeanGap))).Round(10 * time.Millisecond)
 }
@@ -171,7 +171,7 @@
 	return (low + time.Duration(d.random.Int64N(int64(high-low)))).Round(10 * time.Millisecond)
 }
 
-// event draws an event; ok is false where what it would disturb is disturbed by another one.
+// event returns a random event; ok is false if its target is still disturbed by another event.
 func (d *generator) event(at time.Duration) (e Event, ok bool) {
 	kinds := []Kind{KindRestart, KindRestart, KindRestart, KindHangup, KindHangup, KindChange, KindChange, KindChange,
 		KindRelease}
@@ -203,7 +203,7 @@
 	return validChanges[d.random.IntN(len(validChanges))]
 }
 
-// memberEvent completes an event of members. One at a time crashes or is replaced; a replica may lag meanwhile.
+// memberEvent completes an event on members. One member at a time crashes or is replaced; a replica may lag meanwhile.
 func (d *generator) memberEvent(e Event) (Event, bool) {
 	freeAt := &d.memberFreeAt
 	if e.Kind == KindLag {
@@ -239,7 +239,7 @@
 	return e, true
 }
 
-// coreEvent completes an event of core machines: one at a time, all of them in turn, or a kill of all at once.
+// coreEvent completes an event on core machines: on one of them, on all of them in turn, or a kill of all at once.
 func (d *generator) coreEvent(e Event) (Event, bool) {
 	if e.At < d.coreFreeAt {
 		return e, false
@@ -265,7 +265,7 @@
 	return e, true
 }
 
-// fronts draws a proxy, an agent, or some machines with both.
+// fronts returns the names of a random proxy, a random agent, or both processes of some random machines.
 func (d *generator) fronts() []string {
 	shape := d.schedule.Shape
 	n := d.random.IntN(shape.Fronts)
@@ -286,7 +286,7 @@
 	return names
 }
 
-// anyProcesses draws processes of any kind.
+// anyProcesses returns the names of random processes of any kind.
 func (d *generator) anyProcesses() []string {
 	names := d.fronts()
 	if d.random.Float64() < coreProbability {
--- a/internal/standin/soak/schedule_test.go
+++ b/internal/standin/soak/schedule_test.go
@@ -10,18 +10,18 @@
 
 var longShape = Shape{Cores: 3, Fronts: 4, Clients: 8, Horizon: 5 * time.Minute, MeanGap: time.Second}
 
-// A seed's schedule is the same each time, another seed's is another one, and planned ones have no faults.
+// A schedule is determined by its seed, differs from that of another seed, and has no faults if it is planned only.
 func TestScheduleIsDeterminedBySeed(t *testing.T) {
 	kinds, planned := map[Kind]int{}, 0
 	for seed := range uint64(20) {
 		s := Generate(seed, longShape)
 		if again := Generate(seed, longShape).String(); again != s.String() || Generate(seed+1, longShape).String() == again {
-			t.Errorf("seed %d: two schedules, or the next seed's\n%s\n%s", seed, s, again)
+			t.Errorf("seed %d: the schedule differs between calls, or equals that of the next seed\n%s\n%s", seed, s, again)
 		}
 		for _, e := range s.Events {
 			kinds[e.Kind]++
 			if s.PlannedOnly && e.Kind.IsFault() {
-				t.Errorf("seed %d: planned work alone, and %v", seed, e)
+				t.Errorf("seed %d: planned work only, but has %v", seed, e)
 			}
 		}
 		if s.PlannedOnly {
@@ -33,7 +33,8 @@
 	}
 }
 
-// One core machine at a time is disturbed, or all are killed, and counts as lost for a while after; so is one member.
+// Only one core machine at a time is disturbed, unless all are killed, and it counts as lost for a while afterwards.
+// Only one member at a time is disturbed.
 func TestScheduleKeepsQuorums(t *testing.T) {
 	for seed := range uint64(50) {
 		coreFreeAt, memberFreeAt := time.Duration(0), time.Duration(0)
@@ -54,14 +55,14 @@
 	}
 }
 
-// What breaks an invariant of reads and writes is found.
+// The ledger detects violations of the invariants of reads and writes.
 func TestLedgerFindsFaults(t *testing.T) {
 	log := []replicaset.Entry{{Term: 1, Number: 1, ID: "w1"}, {Term: 1, Number: 2, ID: "w2"}}
 	for name, c := range map[string]struct {
 		record    func(*ledger)
 		violation string
 	}{
-		"all is well":        {func(*ledger) {}, ""},
+		"no violation":       {func(*ledger) {}, ""},
 		"a read sees it":     {func(l *ledger) { l.beginRead("r", "prim", l.newestBefore(time.Now())); l.Read("r", log) }, ""},
 		"a stale read":       {func(l *ledger) { l.beginRead("r", "prim", l.newestBefore(time.Now())); l.Read("r", log[:1]) }, "stale"},
 		"another's log":      {func(l *ledger) { l.beginRead("r", "prim", l.newestBefore(time.Now())); l.Read("r", log[1:]) }, "stale"},
@@ -92,7 +93,7 @@
 	}
 }
 
-// A thread that was ready and didn't run was starved, whether its wait is over or not; one that slept was not.
+// A thread that was ready and didn't run was starved, whether its wait has ended or not; one that slept was not.
 func TestStarvationIsDetected(t *testing.T) {
 	const second, half = time.Second, time.Second / 2
 	for name, c := range map[string]struct {
--- a/internal/standin/soak/soak_test.go
+++ b/internal/standin/soak/soak_test.go
@@ -12,12 +12,12 @@
 )
 
 var (
-	seeds     = flag.Int("soak.seeds", 3, "how many seeds TestSoak plays")
+	seeds     = flag.Int("soak.seeds", 3, "number of seeds that TestSoak runs")
 	firstSeed = flag.Uint64("soak.first", 1, "the first seed")
 	cores     = flag.Int("soak.cores", 3, "core machines")
 	fronts    = flag.Int("soak.fronts", 3, "machines with an agent and a proxy")
-	clients   = flag.Int("soak.clients", 12, "sessions that are open at a time")
-	horizon   = flag.Duration("soak.horizon", 10*time.Second, "the time in which events begin")
+	clients   = flag.Int("soak.clients", 12, "number of concurrent sessions")
+	horizon   = flag.Duration("soak.horizon", 10*time.Second, "the time in which events start")
 	meanGap   = flag.Duration("soak.gap", 700*time.Millisecond, "the mean time between two events")
 	keepDir   = flag.String("soak.keep", "", "folder for the logs of seeds that fail")
 )
@@ -28,7 +28,8 @@
 	return Shape{Cores: *cores, Fronts: *fronts, Clients: *clients, Horizon: *horizon, MeanGap: *meanGap}
 }
 
-// Signals, restarts, faults and changes come in series and overlap, while clients use their connections until the end.
+// Overlapping series of signals, restarts, faults and configuration changes violate no invariant, while clients use the
+// deployment.
 func TestSoak(t *testing.T) {
 	for seed := *firstSeed; seed < *firstSeed+uint64(*seeds); seed++ {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
@@ -51,7 +52,7 @@
 	}
 }
 
-// save keeps the processes' logs of a seed that failed.
+// saveLogs writes the processes' logs of a failed seed to the folder of -soak.keep.
 func saveLogs(t *testing.T, seed uint64, r Result) {
 	t.Helper()
 	if *keepDir == "" {
--- a/internal/standin/soak/starvation.go
+++ b/internal/standin/soak/starvation.go
@@ -1,8 +1,8 @@
 package soak
 
-// This file owns starvation: spans in which the machine that runs the soak didn't run a thread that was ready to run.
-// Processes of the deployment share processors with whatever else runs there; a bound on time that was missed while the
-// machine didn't run a process says nothing about that process.
+// This file detects CPU starvation: time spans in which the machine that runs the soak didn't run a thread that was
+// ready. The deployment's processes share processors with whatever else runs there, so a time bound that a process
+// missed while it was starved is not counted.
 
 import (
 	"context"
@@ -17,22 +17,22 @@
 
 const (
 	starvationInterval   = 250 * time.Millisecond
-	processesPerInterval = 50 // that are sampled in an interval
-	// starvedPart is the part of an interval for which a thread waits for a processor where it counts as starved.
+	processesPerInterval = 50 // processes that are sampled in each interval
+	// starvedFraction is the fraction of an interval above which a thread's wait for a processor counts as starvation.
 	starvedFraction = 0.6
-	// killTime is in which a process that gets SIGKILL is gone, unless a thread of it waits for a processor.
+	// killTime is the time in which a process has ended after SIGKILL, unless one of its threads is starved.
 	killTime    = 500 * time.Millisecond
-	testProcess = "the test's process" // which is also clients, members and the platform
+	testProcess = "the test's process" // which also runs the clients, members and the platform
 )
 
-// thread is what the kernel tells of a thread's scheduling.
+// thread has the kernel's scheduling statistics of a thread.
 type thread struct {
-	ran, waited time.Duration // in all
+	ran, waited time.Duration // in total
 	timeslices  uint64
-	ready       bool // it runs, or waits for a processor
+	ready       bool // running, or waiting for a processor
 }
 
-// starvation is the spans in which processes were starved.
+// starvation has the time spans in which processes were starved.
 type starvation struct {
 	mu    sync.Mutex
 	spans map[string][]span // by process
@@ -46,7 +46,7 @@
 	s.spans[name] = append(s.spans[name], span{from, to})
 }
 
-// of says whether a process, or the test's own, was starved in a span of time.
+// overlaps reports whether a process, or the test's own process, was starved during a time span.
 func (s *starvation) overlaps(name string, from, to time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -60,7 +60,7 @@
 	return false
 }
 
-// total is for how long a process was starved.
+// total returns how long a process was starved.
 func (s *starvation) total(name string) (sum time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -70,7 +70,7 @@
 	return sum
 }
 
-// watchStarvation samples the threads of all processes until the context ends.
+// watchStarvation samples the threads of all processes until the context is done.
 func (r *run) watchStarvation(ctx context.Context) {
 	threads, sampled := map[string]map[string]thread{}, time.Now()
 	interval := starvationInterval * time.Duration(1+2*r.shape.Fronts/processesPerInterval)
@@ -91,14 +91,14 @@
 	}
 }
 
-// longestWait is the longest that a thread waited for a processor between two samples.
+// longestWait returns the longest time that a thread waited for a processor between two samples.
 func longestWait(before, after map[string]thread, interval time.Duration) (longest time.Duration) {
 	for id, now := range after {
 		previous, known := before[id]
 		switch {
 		case !known:
 		case previous.ready && now.ready && previous.timeslices == now.timeslices && previous.ran == now.ran:
-			longest = max(longest, interval) // the kernel counts a wait once it is over
+			longest = max(longest, interval) // the kernel adds a wait only when it has ended
 		default:
 			longest = max(longest, now.waited-previous.waited)
 		}
@@ -106,7 +106,7 @@
 	return longest
 }
 
-// threadsOf samples a process's threads; none where it is gone.
+// threadsOf samples a process's threads; the result is empty if the process has ended.
 func threadsOf(pid int) map[string]thread {
 	folders, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*", pid)) // the pattern is well formed
 	threads := make(map[string]thread, len(folders))
@@ -124,11 +124,11 @@
 }
 
 func nanoseconds(text string) time.Duration {
-	n, _ := strconv.ParseInt(text, 10, 64) // the kernel's
+	n, _ := strconv.ParseInt(text, 10, 64) // written by the kernel
 	return time.Duration(n)
 }
 
-// processState is the state in the text of a stat file.
+// processState returns the state in the text of a stat file.
 func processState(stat string) string {
 	fields := strings.Fields(stat[strings.LastIndexByte(stat, ')')+1:])
 	if len(fields) == 0 {
--- a/internal/standin/virtualclock/virtualclock.go
+++ b/internal/standin/virtualclock/virtualclock.go
@@ -1,7 +1,7 @@
 // Package virtualclock is a discrete-event scheduler in virtual time, for simulations of many components in one
 // goroutine.
 //
-// A simulation schedules actions with After and lets time pass with RunUntil; actions schedule further ones. Nothing
+// A simulation schedules actions with After and advances time with RunUntil; actions may schedule further ones. Nothing
 // happens between two events, so an hour of virtual time costs what its events cost. Events of the same time run in
 // the order in which they were scheduled, so a run is determined by its inputs. A Scheduler is not safe for use by
 // several goroutines.
@@ -9,9 +9,9 @@
 
 import "container/heap"
 
-// Scheduler holds the events to come and the virtual time. Its zero value stands at time 0.
+// Scheduler holds the pending events and the virtual time. Its zero value is ready for use at time 0.
 type Scheduler struct {
-	// Now is the virtual time in milliseconds. Within an action it is the time for which that was scheduled.
+	// Now is the virtual time in milliseconds. Within an action it is the time for which the action was scheduled.
 	Now float64
 	// Scheduled counts the events that were scheduled so far. It breaks ties between events of the same time.
 	Scheduled int
@@ -25,7 +25,7 @@
 	heap.Push(&s.pending, event{s.Now + delay, s.Scheduled, action})
 }
 
-// RunUntil runs all events up to and including end, those that they schedule among them, and advances the time to end.
+// RunUntil runs all events up to and including time end, also those scheduled meanwhile, and advances the time to end.
 func (s *Scheduler) RunUntil(end float64) {
 	for len(s.pending) > 0 && s.pending[0].time <= end {
 		next := heap.Pop(&s.pending).(event)
@@ -35,12 +35,12 @@
 	s.Now = end
 }
 
-// Discard drops all events to come.
+// Discard drops all pending events.
 func (s *Scheduler) Discard() { s.pending = nil }
 
 type event struct {
 	time   float64
-	serial int // Scheduled when it was scheduled
+	serial int // value of Scheduled when the event was scheduled
 	action func()
 }
 
@@ -65,7 +65,7 @@
 func (h *eventHeap) Pop() any {
 	i := len(*h) - 1
 	last := (*h)[i]
-	(*h)[i] = event{} // the action's references are let go of
+	(*h)[i] = event{} // releases the action's references
 	*h = (*h)[:i]
 	return last
 }
--- a/internal/standin/virtualclock/virtualclock_test.go
+++ b/internal/standin/virtualclock/virtualclock_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// Events run by time, those of one time in the order in which they were scheduled, and none behind the end.
+// Events run in order of time, events of the same time in the order in which they were scheduled, and none after the
+// end.
 func TestOrder(t *testing.T) {
 	var s Scheduler
 	var ran []string
--- a/internal/util/ci/docs_test.go
+++ b/internal/util/ci/docs_test.go
@@ -23,8 +23,7 @@
 	testFolder  = regexp.MustCompile(`\./(internal[\w/]*)`)
 )
 
-// What the pages for newcomers point at is there: folders and files, and what is named as one part of another
-// (`Controller.Step`) is a name in the code.
+// The files, folders and qualified names (`Controller.Step`) that the introductory pages refer to exist in the code.
 func TestPagesReferToExistingCode(t *testing.T) {
 	names := identifiers(t)
 	for _, page := range []string{"README.md", "docs/ARCHITECTURE.md", "docs/glossary.md", "docs/CONTRIBUTING.md"} {
@@ -42,7 +41,8 @@
 	}
 }
 
-// pointing is the part of a line that points into the code: of the glossary's tables the last column.
+// referringPart returns the part of a line that refers to the code: in the glossary's tables the last column, elsewhere
+// the whole line.
 func referringPart(page, line string) string {
 	if cells := strings.Split(line, "|"); page == "docs/glossary.md" && len(cells) > 2 {
 		return cells[len(cells)-2]
@@ -55,16 +55,17 @@
 	switch {
 	case sourcePath.MatchString(word):
 		if _, err := os.Stat(filepath.Join(root, word)); err != nil && !strings.Contains(word, "...") {
-			t.Errorf("%s: no such place", word)
+			t.Errorf("%s: no such file or folder", word)
 		}
 	case qualified.MatchString(word) && !fileName.MatchString(word):
 		if last := word[strings.LastIndex(word, ".")+1:]; !names[last] {
-			t.Errorf("%s: nothing in the code is named %s", word, last)
+			t.Errorf("%s: no identifier %s in the code", word, last)
 		}
 	}
 }
 
-// A command that a page gives runs something: its pattern matches a test of the folder, and the test reads the variable.
+// Each test command in the pages runs something: its pattern matches a test of the folder, and the folder's tests read
+// the environment variable that it sets.
 func TestDocumentedCommandsRunTests(t *testing.T) {
 	pages, err := filepath.Glob(filepath.Join(root, "docs", "*.md"))
 	if err != nil || len(pages) == 0 {
@@ -86,7 +87,7 @@
 			named := regexp.MustCompile(`func ` + kind + `\w*` + strings.TrimPrefix(pattern[2], kind) + `\w*\(`)
 			tests := testFiles(t, folder[1])
 			if !named.MatchString(tests) || command[1] != "" && !strings.Contains(tests, `Getenv("`+command[1]+`")`) {
-				t.Errorf("%s: %s runs nothing", filepath.Base(page), command[0])
+				t.Errorf("%s: %s matches no test", filepath.Base(page), command[0])
 			}
 		}
 	}
@@ -95,7 +96,7 @@
 	}
 }
 
-// testFiles is the text of a folder's tests.
+// testFiles returns the concatenated text of a folder's test files.
 func testFiles(t *testing.T, folder string) string {
 	t.Helper()
 	names, err := filepath.Glob(filepath.Join(root, folder, "*_test.go"))
@@ -113,7 +114,7 @@
 	return all.String()
 }
 
-// identifiers are all words of the Go files, comments included.
+// identifiers returns all words of the Go files, comments included.
 func identifiers(t *testing.T) map[string]bool {
 	t.Helper()
 	names := map[string]bool{}
--- a/internal/util/ci/knownred_test.go
+++ b/internal/util/ci/knownred_test.go
@@ -10,7 +10,8 @@
 	"testing"
 )
 
-// sample is a module with a test that passes, one that fails, one that panics and one of the same name elsewhere.
+// sample is a module with a test that passes, one that fails, one that panics, and a second package with a test of the
+// same name as the first's passing one.
 var sample = map[string]string{
 	"go.mod": "module sample\n\ngo 1.26.0\n",
 	"a/a_test.go": `package a
@@ -24,7 +25,7 @@
 	"b/b_test.go": "package b\n\nimport \"testing\"\n\nfunc TestGood(t *testing.T) {}\n",
 }
 
-// racePackage is a package that a script names.
+// racePackage matches a package path in a script.
 var racePackage = regexp.MustCompile(`\./(internal[\w/]*\w)`)
 
 const (
@@ -41,7 +42,7 @@
 // Only listed tests may fail: any other failure, and any list that isn't exact, is an error.
 func TestKnownRed(t *testing.T) {
 	for name, c := range map[string]struct {
-		list, b    string // b replaces package b's file
+		list, b    string // replaces the content of package b's test file
 		pass       bool
 		wantOutput string
 	}{
@@ -75,13 +76,13 @@
 			t.Parallel()
 			out, err := runScript(t, "test", c.list, c.b)
 			if (err == nil) != c.pass || !strings.Contains(out, c.wantOutput) {
-				t.Errorf("passes: %v, want %v; output lacks %q or not:\n%s", err == nil, c.pass, c.wantOutput, out)
+				t.Errorf("passes: %v, want %v; want %q in the output:\n%s", err == nil, c.pass, c.wantOutput, out)
 			}
 		})
 	}
 }
 
-// The race detector's run passes over the listed tests and over no other.
+// The race detector's run tolerates failures of the listed tests and of no others.
 func TestRacePassesOverKnownRed(t *testing.T) {
 	inRacePackage := strings.NewReplacer("sample/a", "sample/internal/controlplane/agent", "./a", "./internal/controlplane/agent")
 	for name, c := range map[string]struct {
@@ -98,19 +99,19 @@
 			t.Parallel()
 			out, err := runScript(t, "race", inRacePackage.Replace(c.list), "")
 			if (err == nil) != c.pass || !strings.Contains(out, c.wantOutput) {
-				t.Errorf("passes: %v, want %v; output lacks %q or not:\n%s", err == nil, c.pass, c.wantOutput, out)
+				t.Errorf("passes: %v, want %v; want %q in the output:\n%s", err == nil, c.pass, c.wantOutput, out)
 			}
 		})
 	}
 }
 
-// without is an entry without the line of a key.
+// without returns an entry without the line of a key.
 func without(entry, key string) string {
 	return regexp.MustCompile(`(?m)^`+key+`: .*\n`).ReplaceAllString(entry, "")
 }
 
-// runScript runs a copy of a script of .ci on the sample module with this list of known failures. Each package that the
-// race detector's run names is there, and what package a has is in one of them too.
+// runScript runs a copy of a script of .ci on the sample module with the given list of known failures. For the race
+// script it creates each package that the script names, and puts package a's tests into one of them.
 func runScript(t *testing.T, script, list, b string) (string, error) {
 	t.Helper()
 	dir := t.TempDir()
--- a/internal/util/commandqueue/commandqueue.go
+++ b/internal/util/commandqueue/commandqueue.go
@@ -1,8 +1,8 @@
-// Package commandqueue is the queue of commands to the goroutine that owns a piece of state.
+// Package commandqueue serialises access to a piece of state through a queue of commands to the goroutine that owns it.
 //
-// State with one owner needs no lock: only the goroutine that runs the queue touches it, and everybody else sends that
-// goroutine a command, a function to run. Commands run one at a time, in the order in which they were queued. A command
-// must not block, and must not call Do, Wait or Call on its own queue: a full queue would then wait for itself.
+// State with one owner needs no lock: only the goroutine that runs the queue accesses it, and other goroutines send it
+// commands, which are functions to run. Commands run one at a time, in the order in which they were queued. A command
+// must not block, and must not call Do, Wait or Call on its own queue: on a full queue that is a deadlock.
 package commandqueue
 
 import (
@@ -11,16 +11,16 @@
 	"time"
 )
 
-// ErrClosed is the error of a call whose queue's owner has ended: the command may have run or not.
+// ErrClosed is returned by calls on a queue whose owner has ended. The command may or may not have run.
 var ErrClosed = errors.New("the command queue's owner has ended")
 
 // Command is a queued command.
 type Command struct {
 	run  func()
-	done chan<- struct{} // closed when it has run; nil: nobody waits
+	done chan<- struct{} // closed once it has run; nil if no caller waits
 }
 
-// Run carries the command out. Only the queue's owner calls it.
+// Run executes the command. Only the queue's owner calls it.
 func (c Command) Run() {
 	c.run()
 	if c.done != nil {
@@ -28,19 +28,19 @@
 	}
 }
 
-// Queue holds the commands that wait for one owner.
+// Queue holds the pending commands of one owner.
 type Queue struct {
-	Commands chan Command // to be received from only by an owner that waits for more than commands; others use Run
+	Commands chan Command // received from directly only by owners that select on other channels too; others use Run
 
-	ctx context.Context // the owner's; behind its end commands are dropped
+	ctx context.Context // the owner's; commands are dropped once it is done
 }
 
-// New returns a queue that holds up to size commands before its senders wait. It closes when ctx ends.
+// New returns a queue that holds up to size commands before senders block. It closes when ctx ends.
 func New(ctx context.Context, size int) *Queue {
 	return &Queue{Commands: make(chan Command, size), ctx: ctx}
 }
 
-// Do queues a command and doesn't wait until it has run. After the end of the queue's context it is dropped.
+// Do queues a command without waiting for it to run. Once the queue's context is done, the command is dropped.
 func (q *Queue) Do(command func()) {
 	select {
 	case q.Commands <- Command{run: command}:
@@ -48,7 +48,7 @@
 	}
 }
 
-// Offer queues a command if the queue has room, and doesn't wait. It reports whether it did.
+// Offer queues a command if the queue has room, without blocking. It reports whether the command was queued.
 func (q *Queue) Offer(command func()) bool {
 	select {
 	case q.Commands <- Command{run: command}:
@@ -58,8 +58,8 @@
 	}
 }
 
-// Wait queues a command and waits until it has run. It gives up as Call does; what the command writes must not be read
-// then.
+// Wait queues a command and waits until it has run. It returns early with an error as Call does; the caller must then
+// not read what the command writes.
 func (q *Queue) Wait(ctx context.Context, command func()) error {
 	done := make(chan struct{})
 	select {
@@ -79,11 +79,11 @@
 	}
 }
 
-// Call queues a command and waits for what it returns. It gives up with the context's error when ctx ends, and with
-// ErrClosed when the queue's own context does; the command may still run afterwards.
+// Call queues a command and returns its result. It returns early with the context's error when ctx is done, and with
+// ErrClosed when the queue's own context is done; the command may still run afterwards.
 func Call[T any](ctx context.Context, queue *Queue, command func() T) (T, error) {
 	var none T
-	reply := make(chan T, 1) // has room for one: the owner never waits for a caller that has given up
+	reply := make(chan T, 1) // buffered, so that the owner never blocks on a caller that has returned early
 	select {
 	case queue.Commands <- Command{run: func() { reply <- command() }}:
 	case <-ctx.Done():
@@ -101,7 +101,8 @@
 	}
 }
 
-// Run runs commands as they come, and tick at each interval, until the queue's context ends. It is the owner's loop.
+// Run is the owner's loop: it executes commands as they arrive, and calls tick at each interval, until the queue's
+// context is done.
 func (q *Queue) Run(interval time.Duration, tick func()) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
--- a/internal/util/commandqueue/commandqueue_test.go
+++ b/internal/util/commandqueue/commandqueue_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Commands are carried out one at a time and in order; behind the end none waits.
+// Commands run one at a time and in order; after the queue's context is done, Do does not block.
 func TestQueue(t *testing.T) {
 	ctx, stop := context.WithCancel(t.Context())
 	q := New(ctx, 1)
@@ -29,7 +29,7 @@
 	}
 }
 
-// A call returns what its command returned, behind the commands that were queued before it.
+// Call returns its command's result, after all commands that were queued before it have run.
 func TestCall(t *testing.T) {
 	q := New(t.Context(), 1)
 	go q.Run(time.Hour, func() {})
@@ -50,12 +50,12 @@
 	}
 }
 
-// A call whose owner never answers ends with the caller's context, or with the queue's, wherever it waits. The owner of
-// a call that was given up is not held up by its reply.
+// A call to an owner that never replies returns when the caller's or the queue's context is done, whether it waits to
+// be queued or for the reply. The owner does not block on the reply of an abandoned call.
 func TestCallGivesUp(t *testing.T) {
 	for _, c := range []struct {
 		name      string
-		size      int // 0: it waits to be queued; 1: for its reply
+		size      int // 0: the call waits to be queued; 1: it waits for its reply
 		ownerEnds bool
 		want      error
 	}{
--- a/internal/util/enum/enum.go
+++ b/internal/util/enum/enum.go
@@ -1,4 +1,4 @@
-// Package enum gives the values of small enumerations their names, in logs, JSON and CBOR alike.
+// Package enum maps the values of small enumerations to names, which are the same in logs, JSON and CBOR.
 package enum
 
 import (
@@ -6,13 +6,13 @@
 	"slices"
 )
 
-// Names are those of an enumeration's values, in order from 0.
+// Names lists the names of an enumeration's values, in order from 0.
 type Names []string
 
-// Of is a value's name; one beyond the last has the last's.
+// Of returns a value's name. Values beyond the last one have the last name.
 func (n Names) Of(value uint8) string { return n[min(int(value), len(n)-1)] }
 
-// Parse sets a value by its name. what is the enumeration's, for the error.
+// Parse sets a value by its name. what is the name of the enumeration, for the error message.
 func Parse[T ~uint8](n Names, what string, text []byte, into *T) error {
 	i := slices.Index(n, string(text))
 	if i < 0 {
--- a/internal/util/events/catalogue.go
+++ b/internal/util/events/catalogue.go
@@ -1,8 +1,8 @@
 package events
 
-// This file owns the catalogue: every event that a process of the system may log, its number and its meaning.
+// This file has the catalogue: the number and the meaning of every event that a process of the system may log.
 
-// Event is an event's number. A number is never given to another event.
+// Event is an event's number. Numbers are never reused.
 type Event int
 
 // Events of processes: start, end, settings.
@@ -93,7 +93,8 @@
 	SocketClosed     Event = 1004
 )
 
-// Catalogue says what each event means, as docs/events.md prints it. No line of the log holds these texts.
+// Catalogue maps each event to its meaning, from which docs/events.md is generated. Log lines do not contain these
+// texts.
 var Catalogue = map[Event]string{
 	Started:       "a process has read its settings and serves",
 	Stopping:      "SIGTERM: graceful shutdown begins; nothing new is accepted, and what is open is let end",
--- a/internal/util/events/events.go
+++ b/internal/util/events/events.go
@@ -1,7 +1,7 @@
-// Package events is the system's log: numbered events with keys and values.
+// Package events implements the system's log: numbered events with keys and values.
 //
-// An event's number and keys are what operators and their tools search for, and never change; its meaning is in the
-// catalogue (catalogue.go), which docs/events.md prints. A test holds the two together.
+// Operators and their tools search for an event's number and keys, so these never change. Its meaning is in the
+// catalogue (catalogue.go), from which docs/events.md is generated; a test checks that the two agree.
 //
 // A line of the log is: milliseconds since the process began, the process's name, the number, and pairs of key and
 // value:
@@ -23,20 +23,20 @@
 	"github.com/samber/oops"
 )
 
-// maxRecent bounds the lines that are kept in memory.
+// maxRecent is the maximum number of lines kept in memory.
 const maxRecent = 256
 
-// Log writes numbered events, and keeps the newest lines for operators' questions. It may be used from any goroutine.
+// Log writes numbered events and keeps the newest lines for operators' queries. It is safe for concurrent use.
 type Log struct {
 	logger logr.Logger
 	recent *recentLines
 	counts *counts
 }
 
-// counts are how often each event was logged, by its number.
+// counts has the number of times that each event was logged, by event number.
 type counts [maxEvent + 1]atomic.Uint64
 
-// maxEvent bounds the numbers of events; one beyond it is counted as event 0.
+// maxEvent is the highest event number; events beyond it are counted as event 0.
 const maxEvent = 1099
 
 func (c *counts) add(event Event) {
@@ -46,7 +46,7 @@
 	c[event].Add(1)
 }
 
-// recentLines keeps the newest lines, at most maxRecent and at least three quarters of that once so many were logged.
+// recentLines keeps the newest lines: at most maxRecent, and at least three quarters of that once as many were logged.
 type recentLines struct {
 	mu    sync.Mutex
 	lines []string // oldest first
@@ -67,10 +67,10 @@
 	return append([]string(nil), r.lines...)
 }
 
-// plainArgs takes out of funcr's arguments what every line would repeat: the level, and the key of the event's number.
+// redundantArgs removes from funcr's output what every line would repeat: the level, and the key of the event's number.
 var redundantArgs = strings.NewReplacer(`"level"=0 `, "", `"msg"=`, "")
 
-// New returns a log that writes to w, one line an event. name is the process's.
+// New returns a log that writes to w, one line per event. name is the name of the process.
 func New(w io.Writer, name string) Log {
 	var mu sync.Mutex
 	recent := &recentLines{}
@@ -80,12 +80,12 @@
 		recent.add(line)
 		mu.Lock()
 		defer mu.Unlock()
-		_, _ = io.WriteString(w, line+"\n") // a log that can't be written must not stop the process
+		_, _ = io.WriteString(w, line+"\n") // a failure to write the log must not stop the process
 	}, funcr.Options{})
 	return Log{logger.WithName(name), recent, &counts{}}
 }
 
-// Discard returns a log that keeps and writes nothing.
+// Discard returns a log that neither keeps nor writes events.
 func Discard() Log { return Log{logr.Discard(), &recentLines{}, &counts{}} }
 
 // Event logs an event with pairs of keys and values.
@@ -94,11 +94,11 @@
 	l.logger.Info(message(event), pairs...)
 }
 
-// Count is how often an event was logged by this process.
+// Count returns how often this process has logged an event.
 func (l Log) Count(event Event) uint64 { return l.counts[event].Load() }
 
-// Error logs an event with an error. One made by package oops adds its domain as the step, and its context, such as
-// the peer.
+// Error logs an event with an error. An error made by package oops adds its domain as the step, and its context, such
+// as the peer.
 func (l Log) Error(event Event, err error, pairs ...any) {
 	if o, ok := oops.AsOops(err); ok {
 		pairs = append(pairs, "step", o.Domain())
@@ -112,15 +112,15 @@
 
 func message(event Event) string { return fmt.Sprintf("E%d", int(event)) }
 
-// Recent returns the lines that are kept, oldest first.
+// Recent returns the recent lines, oldest first.
 func (l Log) Recent() []string { return l.recent.snapshot() }
 
-// ServeHTTP answers with the recent lines; ?about=TEXT leaves out those that don't contain the text.
+// ServeHTTP writes the recent lines; ?about=TEXT selects those that contain the text.
 func (l Log) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	about := r.URL.Query().Get("about")
 	for _, line := range l.Recent() {
 		if strings.Contains(line, about) {
-			_, _ = io.WriteString(w, line+"\n") // a reader who left needs no answer
+			_, _ = io.WriteString(w, line+"\n") // the client may have disconnected
 		}
 	}
 }
--- a/internal/util/events/events_test.go
+++ b/internal/util/events/events_test.go
@@ -21,7 +21,7 @@
 	"| event | meaning |\n" +
 	"| --- | --- |\n"
 
-// The catalogue in the docs is the one in the code; run with EVENTS=write to write it anew.
+// docs/events.md agrees with the catalogue; EVENTS=write regenerates it.
 func TestCatalogueInDocs(t *testing.T) {
 	var b strings.Builder
 	b.WriteString(docsHeader)
@@ -35,7 +35,7 @@
 		}
 	}
 	if got, _ := os.ReadFile(file); string(got) != b.String() {
-		t.Error("docs/events.md is not the catalogue: EVENTS=write go test ./internal/util/events")
+		t.Error("docs/events.md differs from the catalogue; regenerate it with EVENTS=write go test ./internal/util/events")
 	}
 }
 
--- a/internal/util/events/golden_test.go
+++ b/internal/util/events/golden_test.go
@@ -13,7 +13,7 @@
 	"github.com/samber/oops"
 )
 
-// Numbers are what programs and people find events by: none changes or goes.
+// Operators and tools identify events by number, so no number may change or disappear.
 func TestNumbersAreStable(t *testing.T) {
 	want := "[101 102 103 104 105 106 201 202 203 204 205 206 207 208 209 210 211 212 301 302 303 401 402 403 404 405 406 407 " +
 		"501 502 601 602 603 701 702 703 704 705 801 802 803 901 902 903 1001 1002 1003 1004]"
@@ -22,7 +22,7 @@
 	}
 }
 
-// The bytes of lines, but for the milliseconds at their start, and what GET /events gives of them.
+// Log lines, apart from the milliseconds at their start, have a fixed form, and GET /events filters them.
 func TestLineFormat(t *testing.T) {
 	var b strings.Builder
 	l := New(&b, "core1")
--- a/internal/util/events/metrics.go
+++ b/internal/util/events/metrics.go
@@ -6,7 +6,7 @@
 	"weirwind/internal/util/metrics"
 )
 
-// Figures writes how often each event was logged; those that never were are left out.
+// WriteMetrics writes a counter for each event that was logged at least once.
 func WriteMetrics(log Log, set metrics.Set) {
 	for event := range Catalogue {
 		if n := log.Count(event); n > 0 {
--- a/internal/util/idempotency/idempotency_test.go
+++ b/internal/util/idempotency/idempotency_test.go
@@ -15,17 +15,17 @@
 		ran              bool
 		once, idempotent bool
 	}{
-		{"some of it may have come", &NoResponseError{Progress: MaybeSent, Err: cause}, "reset (it may have run)", true, false, true},
-		{"none left", &NoResponseError{Progress: NotSent, Err: cause}, "reset (nothing of it was sent)", false, true, true},
-		{"none left, wrapped", fmt.Errorf("call: %w", &NoResponseError{Progress: NotSent, Err: cause}), "call: reset (nothing of it was sent)", false, true, true},
-		{"an error that says nothing of it", cause, "reset", true, false, true},
+		{"some bytes may have been sent", &NoResponseError{Progress: MaybeSent, Err: cause}, "reset (it may have run)", true, false, true},
+		{"nothing sent", &NoResponseError{Progress: NotSent, Err: cause}, "reset (nothing of it was sent)", false, true, true},
+		{"nothing sent, wrapped", fmt.Errorf("call: %w", &NoResponseError{Progress: NotSent, Err: cause}), "call: reset (nothing of it was sent)", false, true, true},
+		{"an error without progress", cause, "reset", true, false, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if c.err.Error() != c.text || MayHaveRun(c.err) != c.ran || AtMostOnce.MayRetry(c.err) != c.once || Idempotent.MayRetry(c.err) != c.idempotent {
 				t.Errorf("%q, ran %v, once %v, idempotent %v", c.err, MayHaveRun(c.err), AtMostOnce.MayRetry(c.err), Idempotent.MayRetry(c.err))
 			}
 			if !errors.Is(c.err, cause) {
-				t.Error("its cause is lost")
+				t.Error("the cause is lost")
 			}
 		})
 	}
--- a/internal/util/metrics/histogram.go
+++ b/internal/util/metrics/histogram.go
@@ -3,9 +3,9 @@
 // bucketBounds are the upper bounds of a histogram's buckets, in seconds.
 var bucketBounds = [...]float64{0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5}
 
-// Histogram counts observations by buckets. It belongs to one goroutine; a copy may be given to others.
+// Histogram counts observations by bucket. It is not safe for concurrent use; a copy may be passed to other goroutines.
 type Histogram struct {
-	counts [len(bucketBounds)]uint64 // those beyond the last bound are in total alone
+	counts [len(bucketBounds)]uint64 // observations beyond the last bound count in total only
 	total  uint64
 	sum    float64 // seconds
 }
--- a/internal/util/metrics/metrics.go
+++ b/internal/util/metrics/metrics.go
@@ -1,9 +1,10 @@
-// Package metrics serves a process's own figures in Prometheus' exposition format.
+// Package metrics serves a process's own metrics in Prometheus' exposition format.
 //
-// Figures are read as they are fetched: a Source asks the owners of the process's state, and writes what they answer
-// into a Set. Nothing is kept here, and nothing is counted on the way of a statement but what the owners count
-// themselves. Names follow Prometheus' conventions: weirwind_ROLE_THING_UNIT, counters end in _total. Labels are
-// services, members, purposes, events and outcomes: nothing of a client, so that nothing grows with them.
+// Metrics are collected at each scrape: a Source queries the owners of the process's state, and writes their values
+// into a Set. This package keeps no values, and adds no counting to the path of a statement beyond the owners' own.
+// Names follow Prometheus' conventions: weirwind_ROLE_THING_UNIT, counters end in _total. Labels are services,
+// members, purposes, events and outcomes: nothing that identifies a client, so that cardinality does not grow with
+// clients.
 package metrics
 
 import (
@@ -18,28 +19,28 @@
 )
 
 const (
-	maxConcurrentScrapes = 2               // at a time; more are answered 503
-	scrapeTimeout        = 2 * time.Second // for reading the figures
-	// OwnerTimeout bounds a source's wait for an owner of state, whose figures are left out then.
+	maxConcurrentScrapes = 2               // concurrent scrapes; further ones are answered 503
+	scrapeTimeout        = 2 * time.Second // for collecting the metrics
+	// OwnerTimeout bounds a source's wait for an owner of state; after it the owner's metrics are left out.
 	OwnerTimeout  = time.Second
-	readTimeout   = 2 * time.Second // for a request
-	writeTimeout  = 5 * time.Second // whoever doesn't read is cut off then
+	readTimeout   = 2 * time.Second // for reading a request
+	writeTimeout  = 5 * time.Second // a client that doesn't read the response is disconnected after it
 	idleTimeout   = 30 * time.Second
 	maxHeaderSize = 8 << 10
 )
 
-// Source writes a process's figures into a set. It may be called from any goroutine.
+// Source writes a process's metrics into a set. It may be called from any goroutine.
 type Source func(set Set)
 
-// Set takes figures. Labels are pairs of names and values.
+// Set receives metrics. Labels are pairs of names and values.
 type Set struct{ metrics chan<- prometheus.Metric }
 
-// Gauge is a value that rises and falls.
+// Gauge adds a value that can rise and fall.
 func (s Set) Gauge(name, help string, value float64, labels ...string) {
 	s.add(name, help, prometheus.GaugeValue, value, labels)
 }
 
-// Flag is a gauge that is 1 while something is so, else 0.
+// Flag adds a gauge that is 1 while state is true, else 0.
 func (s Set) Flag(name, help string, state bool, labels ...string) {
 	value := 0.0
 	if state {
@@ -48,7 +49,7 @@
 	s.Gauge(name, help, value, labels...)
 }
 
-// Counter is a value that only rises while the process lives.
+// Counter adds a value that only rises during the life of the process.
 func (s Set) Counter(name, help string, value float64, labels ...string) {
 	s.add(name, help, prometheus.CounterValue, value, labels)
 }
@@ -62,7 +63,7 @@
 	s.metrics <- metric
 }
 
-// Histogram is a distribution that an owner has observed.
+// Histogram adds a distribution that an owner has observed.
 func (s Set) Histogram(name, help string, observed Histogram, labels ...string) {
 	names, values := split(labels)
 	buckets, cumulative := map[float64]uint64{}, uint64(0)
@@ -78,7 +79,7 @@
 	s.metrics <- metric
 }
 
-// split takes pairs of names and values apart.
+// split separates pairs of names and values.
 func split(labels []string) (names, values []string) {
 	for i := 0; i+1 < len(labels); i += 2 {
 		names, values = append(names, labels[i]), append(values, labels[i+1])
@@ -86,7 +87,8 @@
 	return names, values
 }
 
-// collector is a source as the registry calls it. It describes nothing beforehand: services and members come and go.
+// collector adapts a source to the Prometheus registry. It describes no metrics in advance, as services and members
+// come and go.
 type collector struct{ source Source }
 
 // Describe implements prometheus.Collector.
@@ -95,7 +97,7 @@
 // Collect implements prometheus.Collector.
 func (c collector) Collect(metrics chan<- prometheus.Metric) { c.source(Set{metrics}) }
 
-// Handler answers with the figures of some sources.
+// Handler returns a handler that serves the metrics of the given sources.
 func Handler(sources ...Source) http.Handler {
 	registry := prometheus.NewRegistry()
 	for _, source := range sources {
@@ -108,7 +110,7 @@
 	})
 }
 
-// Serve answers at an address and a path until the context ends. It returns once it listens.
+// Serve serves metrics at an address and a path until the context is done. It returns once it listens.
 func Serve(ctx context.Context, addr, path string, sources ...Source) error {
 	listener, err := net.Listen("tcp4", addr)
 	if err != nil {
--- a/internal/util/metrics/metrics_test.go
+++ b/internal/util/metrics/metrics_test.go
@@ -20,7 +20,7 @@
 	return w.Body.String()
 }
 
-// Figures come in Prometheus' text form, with their help and kinds, and as they are at each fetch.
+// Metrics are served in Prometheus' text format, with help and type, and with their current value at each scrape.
 func TestMetricsAreCollectedAtEachScrape(t *testing.T) {
 	scrapes := 0.0
 	var waits Histogram
@@ -50,7 +50,7 @@
 	}
 }
 
-// A figure that is written twice, or with a bad label, costs the others nothing.
+// A metric that is written twice, or with an invalid label, does not affect the others.
 func TestInvalidMetricsDoNotAffectOthers(t *testing.T) {
 	text := scrape(t, func(set Set) {
 		set.Gauge("weirwind_good", "Good.", 1)
@@ -63,7 +63,7 @@
 	}
 }
 
-// An address that is taken is an error with its step; a path that is not served is 404; the end of the context closes.
+// Serve returns an error for an address in use, and answers 404 for other paths.
 func TestServe(t *testing.T) {
 	ctx, stop := context.WithCancel(t.Context())
 	taken, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -73,7 +73,7 @@
 	addr := taken.Addr().String()
 	source := func(set Set) { set.Gauge("weirwind_good", "Good.", 1) }
 	if err := Serve(ctx, addr, "metrics", source); err == nil {
-		t.Error("an address that is taken was served")
+		t.Error("Serve returned no error for an address in use")
 	}
 	taken.Close()
 	if err := Serve(ctx, addr, "metrics", source); err != nil {
--- a/internal/util/metrics/registered.go
+++ b/internal/util/metrics/registered.go
@@ -6,14 +6,14 @@
 	"sync"
 )
 
-// registered are the process's sources, by the numbers of their registrations.
+// registered has the process's sources, by registration number.
 var registered = struct {
 	sync.Mutex
 	sources map[uint64]Source
 	next    uint64
 }{sources: map[uint64]Source{}}
 
-// Register adds a source to those of the process, until the function that it returns is called.
+// Register adds a source to those of the process. The returned function removes it.
 func Register(source Source) (unregister func()) {
 	registered.Lock()
 	defer registered.Unlock()
@@ -27,8 +27,8 @@
 	}
 }
 
-// Registered is the source that writes what the process's registered sources write. A process has one role, so that no
-// figure comes from two of them.
+// CollectRegistered is a Source that runs all registered sources of the process. A process has one role, so no two
+// sources write the same metric.
 func CollectRegistered(set Set) {
 	registered.Lock()
 	sources := slices.Collect(maps.Values(registered.sources))
--- a/internal/util/plot/plot.go
+++ b/internal/util/plot/plot.go
@@ -1,6 +1,4 @@
-// Package plot draws a number over time for operators' pages.
-//
-// This file owns the picture: plain SVG, no scripts.
+// Package plot draws line charts for operators' HTML pages, as plain SVG without scripts.
 package plot
 
 import (
@@ -8,7 +6,7 @@
 	"strings"
 )
 
-// Line draws a share of 0 to 1 over n points.
+// Line draws n points of a line whose values are between 0 and 1.
 func Line(b *strings.Builder, n int, y func(int) float64, colour string) {
 	b.WriteString(`<svg width=720 height=120><polyline fill=none stroke="` + colour + `" points="`)
 	for i := range n {
@@ -18,7 +16,7 @@
 	b.WriteString(`"/><line x1=0 y1=10 x2=700 y2=10 stroke="#bbb"/></svg>`)
 }
 
-// Head begins a page.
+// PageHeader is the start of an HTML page.
 const PageHeader = "<!doctype html><meta charset=utf-8><style>body{font:14px sans-serif;margin:2em}" +
 	"table{border-collapse:collapse}" +
 	"td,th{padding:2px 10px;text-align:left;border-bottom:1px solid #ddd}svg{background:#f7f7f7}</style>"
--- a/internal/util/process/process.go
+++ b/internal/util/process/process.go
@@ -1,9 +1,7 @@
-// Package process is what every process of the system starts and ends with: its command line, its settings and its
-// signals.
+// Package process has the main function that all programs of the system share: command line, settings and signals.
 //
-// A program of the system is a Role and a main function that calls Main. SIGTERM and SIGINT end the role's context,
-// on which it shuts down gracefully; SIGHUP has the settings file read and checked again. What the role does in
-// between is its own.
+// A program of the system is a Role and a main function that calls Main. SIGTERM and SIGINT cancel the role's context,
+// on which it shuts down gracefully; SIGHUP reads and checks the settings file again.
 package process
 
 import (
@@ -36,33 +34,33 @@
 
 const maxPort = 65535
 
-// gcPercent is by how much the heap may grow between two collections.
+// gcPercent is the GOGC value: the heap's growth between two collections, in percent.
 const gcPercent = 60
 
-// memoryLimit is what the Go runtime keeps within, in bytes: seven tenths of the machine's limit. The rest is for the
-// binary and the kernel's buffers.
+// memoryLimit returns the Go runtime's soft memory limit in bytes: seven tenths of the machine's limit. The rest is for
+// the binary and the kernel's buffers.
 func memoryLimit(set *settings.Settings) int64 { return int64(set.MemoryMB) << 20 * 7 / 10 }
 
 // Role is a program of the system.
 type Role struct {
 	Name    string
 	Summary string // one line for the usage
-	// Check reports what the role lacks in settings that can be read; nil: it needs nothing beyond them.
+	// Check returns an error if valid settings lack something that the role needs; nil if it needs nothing more.
 	Check func(*settings.Settings) error
-	// ServesMetrics says that Run registers the process's own figures with package metrics.
+	// ServesMetrics is set if Run registers the process's metrics with package metrics.
 	ServesMetrics bool
-	// Run serves until the context ends, and then shuts down. An error means that it failed.
+	// Run serves until the context is done, and then shuts down. An error means that it failed.
 	Run func(context.Context, *settings.Settings, events.Log) error
 }
 
 // commandLine is a program's parsed arguments.
 type commandLine struct {
 	settingsFile string
-	checkOnly    bool   // the settings are read and checked, and nothing is run
-	metrics      string // PORT/PATH of the process's own figures; "": they are not served
+	checkOnly    bool   // read and check the settings without running the role
+	metrics      string // PORT/PATH at which metrics are served; "" if they are not
 }
 
-// Main runs a role's program and returns its exit code: 0 for a shutdown in order, 1 for a failure, 2 for a wrong
+// Main runs a role's program and returns its exit code: 0 for a graceful shutdown, 1 for a failure, 2 for an invalid
 // command line.
 func Main(role Role, args []string, out io.Writer) int {
 	line, code := parse(role, args, out)
@@ -87,7 +85,7 @@
 	if port, path, ok := splitMetrics(line.metrics); ok {
 		addr, uncancelled := net.JoinHostPort(set.IP, port), context.WithoutCancel(ctx)
 		if err := metrics.Serve(uncancelled, addr, path, metrics.CollectRegistered); err != nil {
-			log.Error(events.MetricsFailed, err) // the role serves all the same
+			log.Error(events.MetricsFailed, err) // the role runs without them
 		}
 	}
 	if err := role.Run(ctx, set, log); err != nil {
@@ -97,7 +95,7 @@
 	return exitOK
 }
 
-// parse reads the command line. Where there is nothing to run, line is nil and code the program's exit code.
+// parse parses the command line. If there is nothing to run, line is nil and code is the program's exit code.
 func parse(role Role, args []string, out io.Writer) (line *commandLine, code int) {
 	line = &commandLine{}
 	flags := flag.NewFlagSet(role.Name, flag.ContinueOnError)
@@ -129,21 +127,21 @@
 	return line, exitOK
 }
 
-// splitMetrics takes PORT/PATH apart; ok is false for a text that is none.
+// splitMetrics splits PORT/PATH; ok is false if the text is malformed.
 func splitMetrics(text string) (port, path string, ok bool) {
 	port, path, found := strings.Cut(text, "/")
 	n, err := strconv.Atoi(port)
 	return port, path, found && err == nil && n > 0 && n <= maxPort && path != "" && !strings.ContainsAny(path, " {}")
 }
 
-// validMetrics says whether a text is PORT/PATH, or empty.
+// validMetrics reports whether a text is PORT/PATH, or empty.
 func validMetrics(text string) bool {
 	_, _, ok := splitMetrics(text)
 	return ok || text == ""
 }
 
-// reloadOnHangup reads and checks the settings again at each SIGHUP, and logs the result; the settings in force stay.
-// It returns a function that ends this; a SIGHUP after that is ignored, as the process is about to end.
+// reloadOnHangup reads and checks the settings again at each SIGHUP, and logs the result; the settings in force do not
+// change. The returned function stops this; later SIGHUPs are ignored, as the process is about to exit.
 func reloadOnHangup(file string, role Role, log events.Log) (stop func()) {
 	hangups, done := make(chan os.Signal, 1), make(chan struct{})
 	signal.Notify(hangups, syscall.SIGHUP)
@@ -169,7 +167,7 @@
 	log.Event(events.Reloaded, "peers", set.Peers)
 }
 
-// load reads a settings file and checks it for a role.
+// load reads a settings file and checks that it has what a role needs.
 func load(file string, role Role) (*settings.Settings, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
--- a/internal/util/process/process_test.go
+++ b/internal/util/process/process_test.go
@@ -13,7 +13,7 @@
 	"weirwind/internal/util/settings"
 )
 
-// A reload logs the peers that the file names, or why it can't be served with.
+// A reload logs the peers that the file names, or the reason why the settings are invalid.
 func TestReload(t *testing.T) {
 	const text = "hostname=h\nip=10.0.0.1\nzone=z\nportRange=1,9\npeers=10.0.0.2:1\n"
 	needsDisk := Role{Check: func(s *settings.Settings) error {
@@ -50,7 +50,7 @@
 	}
 }
 
-// The Go runtime keeps within seven tenths of the machine's memory.
+// The Go runtime's memory limit is seven tenths of the machine's memory.
 func TestMemoryLimit(t *testing.T) {
 	if got := memoryLimit(&settings.Settings{MemoryMB: 256}); got != 187904819 {
 		t.Error(got)
--- a/internal/util/process/processtest/processtest.go
+++ b/internal/util/process/processtest/processtest.go
@@ -14,9 +14,9 @@
 // minimal is a settings file with what every program needs.
 const minimal = "hostname=h\nip=10.0.0.1\nzone=z\nportRange=1,9\n"
 
-// Check runs a role's program with command lines that end before it serves. Its usage must be testdata/help.txt's
-// bytes. needs are the lines of a settings file that the role needs beyond the minimal ones; without them it must be
-// refused with lacking.
+// Check runs a role's program with command lines that exit before it serves. Its usage text must equal
+// testdata/help.txt. roleSettings are the lines of a settings file that the role needs beyond the minimal ones; without
+// them, Check of the role must return an error with the text wantError.
 func Check(t *testing.T, role process.Role, roleSettings, wantError string) {
 	t.Helper()
 	t.Setenv(settings.EnvVariable, "")
@@ -60,7 +60,7 @@
 	}
 }
 
-// metricsOut is what a role prints where its figures are to be served at a place that is none.
+// invalidMetricsOutput returns what a role prints for an invalid -metrics flag.
 func invalidMetricsOutput(role process.Role, help []byte) string {
 	if role.ServesMetrics {
 		return string(help)
--- a/internal/util/settings/golden_test.go
+++ b/internal/util/settings/golden_test.go
@@ -42,7 +42,8 @@
 cloudApi.addr=10.9.0.1:80
 `
 
-// values gives the settings' values in the order of their fields, so that renamed fields give the same.
+// values formats the settings' values in the order of their fields, without the fields' names, so that renaming a field
+// does not change the result.
 func values(s *Settings) string {
 	var b strings.Builder
 	for i, v := 0, reflect.ValueOf(s).Elem(); i < v.NumField(); i++ {
@@ -51,7 +52,7 @@
 	return b.String()
 }
 
-// What each text is read as, or the error that it gives, is as in testdata/settings.txt; GOLDEN=write records it anew.
+// The settings read from each text, or the error, are as recorded in testdata/settings.txt; GOLDEN=write rewrites it.
 func TestReadMatchesRecordedResults(t *testing.T) {
 	var b strings.Builder
 	for _, c := range []struct{ name, text string }{
--- a/internal/util/settings/reader.go
+++ b/internal/util/settings/reader.go
@@ -1,6 +1,6 @@
 package settings
 
-// This file owns the reading of single values and the text of errors.
+// This file reads single values and builds error messages.
 
 import (
 	"fmt"
@@ -15,17 +15,17 @@
 
 const (
 	maxPort   = 65535
-	maxNumber = 1e9 // of milliseconds and seconds
+	maxNumber = 1e9 // bound on numbers, which are milliseconds, seconds, fractions or operations
 )
 
-// reader reads values and keeps the first error; what it returns after that means nothing.
+// reader reads values and keeps the first error; the values that it returns after an error are undefined.
 type reader struct {
 	properties *properties.Properties
-	lines      map[string]int // number of each key's line, from 1 on
+	lines      map[string]int // line number of each key, from 1
 	err        error
 }
 
-// lineNumbers finds the line of each key; for a key that is there twice, the last, whose value counts.
+// lineNumbers returns the line number of each key; for a repeated key that of the last line, whose value is used.
 func lineNumbers(text []byte) map[string]int {
 	lines := map[string]int{}
 	for i, line := range strings.Split(string(text), "\n") {
@@ -112,7 +112,7 @@
 	return value
 }
 
-// addresses reads a list of them.
+// addresses reads a comma-separated list of IP:port.
 func (r *reader) addresses(key string) []string {
 	addrs := r.list(key)
 	for _, addr := range addrs {
@@ -121,7 +121,7 @@
 	return addrs
 }
 
-// list reads words, separated by commas.
+// list reads a comma-separated list of words.
 func (r *reader) list(key string) (words []string) {
 	for _, word := range strings.Split(r.text(key), ",") {
 		if word = strings.TrimSpace(word); word != "" {
--- a/internal/util/settings/settings.go
+++ b/internal/util/settings/settings.go
@@ -1,7 +1,6 @@
-// Package settings reads the settings file, by which the deployment tells each process of the system its place.
+// Package settings parses the settings file, with which the deployment configures each process of the system.
 //
-// It owns what a settings file means and which of its lines are wrong; it opens no file and reads no clock. The file
-// has lines of key=value; the form is that of Java's properties, without expansion. Keys that are not known here are
+// It does no I/O. The file has lines of key=value in the format of Java properties, without expansion. Unknown keys are
 // ignored, as the deployment may add some.
 package settings
 
@@ -16,10 +15,10 @@
 	"github.com/samber/oops"
 )
 
-// EnvVariable names the environment's variable with the settings file's path.
+// EnvVariable is the environment variable with the path of the settings file.
 const EnvVariable = "WEIRWIND_NODE_FILE"
 
-// Settings is what a process is told. Some fields are checked as they are read, but used by no program.
+// Settings has the parsed settings. Some fields are validated, but used by no program.
 type Settings struct {
 	Hostname     string // hostname
 	Role         string // role: the program that is to run here
@@ -30,7 +29,7 @@
 	Region  string            // region; by default that of the zone
 	Regions map[string]string // zones.*: region of each zone
 
-	// Addresses to listen at, as IP:port; empty: this role does not serve it.
+	// Addresses to listen at, as IP:port; empty if this role does not serve it.
 	FrontAddr   string // listen.front: clients
 	ReadyAddr   string // listen.readyAddr: the platform's readiness checks, and operators' calls to proxies
 	ControlAddr string // listen.ctl: members' and operators' calls to a core machine
@@ -42,7 +41,7 @@
 	Bootstrap bool // init: the whole system starts for the first time
 	Voting    bool // voting: this machine is one of those that tolerate.nodes counts
 
-	DataDir      string // datadir; empty: the machine has no disk
+	DataDir      string // datadir; empty: if the machine has no disk
 	MemoryMB     int    // limits.memMb
 	MaxOpenFiles int    // limits.nofile
 	DiskMB       int    // limits.diskMb
@@ -50,10 +49,10 @@
 	HeartbeatInterval time.Duration // beatMs: between two heartbeats of a member
 	TolerateNodes     int           // tolerate.nodes: voting machines that may be lost together
 
-	// The deployment's bounds. A machine is in contact once it and its links have been undisturbed for ContactBound.
+	// The deployment's time bounds. A machine is in contact once it and its links have had no fault for ContactBound.
 	ContactBound time.Duration // bounds.contactMs
 	AckBound     time.Duration // bounds.ackMs: for the acknowledgement of an operator's change
-	DrainBound   time.Duration // bounds.drainMs: for which a member that drains still serves
+	DrainBound   time.Duration // bounds.drainMs: how long a draining member still serves
 	GracePeriod  time.Duration // bounds.graceS: between SIGTERM and SIGKILL
 	ApplyBound   time.Duration // bounds.applyMs: from a configuration's acknowledgement until all in contact apply it
 	RecoverBound time.Duration // bounds.recoverS: until a service is back once its machines are
@@ -71,19 +70,19 @@
 	Fencing      bool   // bounds.fencing: the platform rejects calls with an old fencing token
 }
 
-// ContractTenants is the contract by which clients attach with a tenant's key.
+// ContractTenants is the contract under which clients attach with a tenant's key.
 const ContractTenants = "tenants"
 
-// ContractQuota is the contract by which a tenant's operations are bounded over all drivers.
+// ContractQuota is the contract under which a tenant's operations are limited across all drivers.
 const ContractQuota = "quota"
 
 // HasContract reports whether a part of the platform's rules is in force.
 func (s *Settings) HasContract(name string) bool { return slices.Contains(s.Contracts, name) }
 
-// minPorts is how many ports PortRange has at least.
+// minPorts is the minimum number of ports in PortRange.
 const minPorts = 3
 
-// Read reads the text of a settings file. Its error names the key and the line at fault, the first that is found.
+// Read parses the text of a settings file. Its error names the key and the line of the first fault.
 func Read(text []byte) (*Settings, error) {
 	loader := &properties.Loader{Encoding: properties.UTF8, DisableExpansion: true}
 	p, err := loader.LoadBytes(text)
@@ -134,7 +133,7 @@
 	return s, r.err
 }
 
-// regions reads the keys that name each zone's region.
+// regions reads the keys zones.ZONE, which name each zone's region.
 func (r *reader) regions() map[string]string {
 	regions := map[string]string{}
 	for _, key := range r.properties.Keys() {
@@ -155,13 +154,13 @@
 	return ports
 }
 
-// PortAddr returns the address at which a process of the system listens for its own kind: the nth port of the range,
-// from 0 on.
+// PortAddr returns the address of the nth port of the range, from 0, at which processes of the system listen for each
+// other.
 func (s *Settings) PortAddr(ip string, nth int) string {
 	return net.JoinHostPort(ip, strconv.Itoa(s.PortRange[0]+nth))
 }
 
-// MeshAddr returns where core machines and agents reach a core machine, of its control address.
+// MeshAddr returns the address at which core machines and agents reach the core machine with the given control address.
 func (s *Settings) MeshAddr(control string) string {
 	host, _, err := net.SplitHostPort(control)
 	if err != nil {
--- a/internal/util/transport/compress.go
+++ b/internal/util/transport/compress.go
@@ -1,7 +1,7 @@
 package transport
 
-// This file owns the compressed form of long frames: DEFLATE, marked by the highest bit of the length prefix. The
-// encoder keeps no state between frames, as an agent has two megabytes in all; decoders are pooled.
+// This file has the compressed form of long frames: DEFLATE, marked by the highest bit of the length prefix. The
+// encoder keeps no state between frames, as an agent may use two megabytes of memory in total; decoders are pooled.
 
 import (
 	"bytes"
@@ -12,19 +12,19 @@
 )
 
 const (
-	compressAbove  = 1 << 10 // bytes: what is shorter fits a packet, and would cost a system call's time to compress
+	compressAbove  = 1 << 10 // bytes: shorter frames fit a packet, and compressing them costs as much as a system call
 	compressedFlag = 1 << 31 // in the length prefix; lengths are at most maxFrameBytes
 )
 
 var decoders = sync.Pool{New: func() any { return flate.NewReader(nil) }}
 
-// compressed is a frame's compressed form, made when the first link wants it.
+// compressed is a frame's compressed form, computed when the first link needs it.
 type compressed struct {
 	once  sync.Once
-	bytes []byte // nil: it would not be shorter
+	bytes []byte // nil if it would not be shorter
 }
 
-// of returns the compressed form of a frame, always the same one; nil: it would not be shorter.
+// form returns the compressed form of a frame, computed once; nil if it would not be shorter.
 func (c *compressed) form(frame []byte) []byte {
 	c.once.Do(func() {
 		var out bytes.Buffer
@@ -35,8 +35,8 @@
 	return c.bytes
 }
 
-// decompress returns the frame that was compressed; one that would be longer than a frame may be is refused before
-// all of it is in memory.
+// decompress returns the decompressed frame. A frame longer than maxFrameBytes is rejected before all of it is in
+// memory.
 func decompress(frame []byte) ([]byte, error) {
 	decoder := decoders.Get().(io.ReadCloser)
 	defer decoders.Put(decoder)
--- a/internal/util/transport/connect.go
+++ b/internal/util/transport/connect.go
@@ -1,6 +1,6 @@
 package transport
 
-// This file owns the making of links: accepting, dialling, and dialling again with a backoff.
+// This file establishes links: accepting, dialling, and redialling with a backoff.
 
 import (
 	"context"
@@ -10,17 +10,18 @@
 )
 
 const (
-	// initialDialTimeout bounds a first attempt: one whose packet was lost, or whose peer is just starting, is begun anew.
+	// initialDialTimeout bounds a first attempt, so that one whose packet was lost or whose peer is starting is retried
+	// soon.
 	initialDialTimeout = 250 * time.Millisecond
 	maxDialTimeout     = 1500 * time.Millisecond
 	maxDialDoublings   = 8 // keeps the shift small; the maximum is reached long before
 
-	acceptRetryDelay = 20 * time.Millisecond // after an error that may pass, such as too many open files
+	acceptRetryDelay = 20 * time.Millisecond // after a transient error, such as too many open files
 )
 
-// Serve accepts links at a listener until it is closed, and reads each on a goroutine of its own until it ends. up is
-// called for each before its frames come, take for each frame, down when the link has ended. A link over which
-// nothing comes for idle is ended; 0: none is.
+// Serve accepts links at a listener until it is closed, and reads each on a goroutine of its own until it ends. onUp
+// is called for each link before its first frame, onFrame for each frame, onDown when the link has ended. A link that
+// receives nothing for the time idle is closed; 0 disables this.
 func Serve[Frame any](ln net.Listener, idle time.Duration,
 	onUp func(*Link[Frame]), onFrame func(*Link[Frame], *Frame), onDown func(*Link[Frame]),
 ) {
@@ -43,13 +44,13 @@
 	}
 }
 
-// DialTimeout is how long the nth attempt to reach a peer, counted from 0, may take.
+// DialTimeout returns the timeout of an attempt to reach a peer; attempts are counted from 0.
 func DialTimeout(attempt int) time.Duration {
 	return min(initialDialTimeout<<min(attempt, maxDialDoublings), maxDialTimeout)
 }
 
-// Dial makes one link and reads it until it ends; the error, an *Error, says why it did. timeout bounds its making;
-// 0: the system's own timeout does. up is called when it stands.
+// Dial establishes one link and reads it until it ends; the error, an *Error, is the reason for its end. timeout bounds
+// the connection attempt; 0 means the system's timeout. onUp is called when the link is established.
 func Dial[Frame any](addr string, timeout, idle time.Duration,
 	onUp func(*Link[Frame]), onFrame func(*Link[Frame], *Frame),
 ) error {
@@ -66,16 +67,16 @@
 	return nil
 }
 
-// Backoff says how long KeepConnected waits between two attempts: Initial after a link that stood or a first attempt
-// that failed, then twice as long after each further attempt that fails, up to Max. DialTimeout is how long the nth
-// attempt may take; the first of all is 0, the first after a link that stood 1.
+// Backoff configures KeepConnected. The delay between two attempts is Initial after the end of an established link or a
+// failed first attempt, and doubles with each further failure, up to Max. DialTimeout returns the timeout of the nth
+// attempt; the very first attempt is 0, the first after an established link is 1.
 type Backoff struct {
 	Initial, Max time.Duration
 	DialTimeout  func(nth int) time.Duration
 }
 
-// KeepConnected keeps a link to a peer until ctx ends; it looks at ctx between two attempts only, so that whoever
-// ends ctx closes the link too. up is called for each link that stands, down when it has ended.
+// KeepConnected keeps a link to a peer until ctx is done. It checks ctx only between two attempts, so that whoever
+// cancels ctx must close the link too. onUp is called for each established link, onDown when it has ended.
 func KeepConnected[Frame any](ctx context.Context, addr string, backoff Backoff,
 	onUp func(*Link[Frame]), onFrame func(*Link[Frame], *Frame), onDown func(),
 ) {
--- a/internal/util/transport/counters.go
+++ b/internal/util/transport/counters.go
@@ -1,17 +1,16 @@
 package transport
 
-// This file owns the counting of traffic by class.
+// This file counts traffic by class.
 
 import "sync/atomic"
 
-// MaxClasses bounds the classes of traffic that frames may name; a class beyond it is counted as class 0.
+// MaxClasses is the number of traffic classes; frames of a class beyond it are counted as class 0.
 const MaxClasses = 16
 
-// Classified is a frame that names the class of traffic it belongs to. Frames that don't are counted as class 0.
+// Classified is implemented by frames that belong to a traffic class. Other frames are counted as class 0.
 type Classified interface{ TrafficClass() uint8 }
 
-// Count is a number of frames and of their bytes on the wire, the length prefix included. Headers of TCP and IP are
-// not counted.
+// Count has a number of frames and of their bytes on the wire, with the length prefix and without TCP and IP headers.
 type Count struct {
 	Frames uint64 `json:"frames"`
 	Bytes  uint64 `json:"bytes"`
@@ -26,15 +25,16 @@
 
 func (c *counter) count() Count { return Count{Frames: c.frames.Load(), Bytes: c.bytes.Load()} }
 
-// Counters count the frames of any number of links by class. They may be read at any time; counting allocates nothing.
+// Counters count the frames of any number of links by class. They are safe for concurrent use; counting does not
+// allocate.
 type Counters struct {
 	sent, received [MaxClasses]counter
 }
 
-// Sent returns what was queued for sending in a class.
+// Sent returns the count of frames of a class that were queued for sending.
 func (c *Counters) Sent(class uint8) Count { return c.sent[boundClass(class)].count() }
 
-// Received returns what was read in a class.
+// Received returns the count of frames of a class that were read.
 func (c *Counters) Received(class uint8) Count { return c.received[boundClass(class)].count() }
 
 func boundClass(class uint8) uint8 {
--- a/internal/util/transport/errors.go
+++ b/internal/util/transport/errors.go
@@ -1,30 +1,30 @@
 package transport
 
-// This file owns the errors that a link ends with.
+// This file has the errors with which a link ends.
 
 import "errors"
 
-// Step is what a link's end was doing when an error arose.
+// Step is the operation during which an error occurred.
 type Step string
 
-// Steps of a link's life.
+// Values of Step.
 const (
 	StepDial Step = "dial"
 	StepRead Step = "read"
 )
 
-// ErrFrameTooLong is returned for a frame longer than the bound, as it is announced or once it is decompressed.
+// ErrFrameTooLong is returned for a frame whose announced or decompressed length exceeds the limit.
 var ErrFrameTooLong = errors.New("a frame too long")
 
-// Error is why a link could not be made, or ended. errors.Is and errors.As reach its cause.
+// Error is the reason why a link could not be established, or ended. It wraps its cause.
 type Error struct {
 	Step Step
 	Peer string // address that was dialled
 	Err  error
 }
 
-// Error gives the step and the cause.
+// Error returns the step and the cause.
 func (e *Error) Error() string { return string(e.Step) + ": " + e.Err.Error() }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
--- a/internal/util/transport/golden_test.go
+++ b/internal/util/transport/golden_test.go
@@ -11,8 +11,9 @@
 	"testing"
 )
 
-// A link's bytes, plain and compressed, are those of testdata/frames.txt, and are read back as what was sent.
-// GOLDEN=write records them anew, which changes what processes of two versions say to each other.
+// The bytes that a link writes, plain and compressed, are those of testdata/frames.txt, and decode to the frame that
+// was sent. GOLDEN=write rewrites the file, which means that processes of two versions may no longer understand each
+// other.
 func TestFramingMatchesRecordedBytes(t *testing.T) {
 	var b strings.Builder
 	for _, sample := range []struct {
@@ -49,7 +50,7 @@
 	}
 }
 
-// written gives the bytes that a link writes for a frame.
+// writtenBytes returns the bytes that a link writes for a frame.
 func writtenBytes(t *testing.T, f *testFrame, compress bool) []byte {
 	t.Helper()
 	near, far := net.Pipe()
@@ -75,7 +76,7 @@
 	return append(head, raw...)
 }
 
-// readBack gives the frames that a link reads from bytes.
+// readBack returns the frames that a link reads from bytes.
 func readBack(t *testing.T, raw []byte) (frames []testFrame) {
 	t.Helper()
 	near, far := net.Pipe()
@@ -89,8 +90,8 @@
 	return frames
 }
 
-// A frame longer than the bound ends the link before its bytes are read, and so does one that is no CBOR or is cut
-// short.
+// A frame longer than the limit ends the link before its bytes are read, and so does one that is truncated or is not
+// valid CBOR.
 func TestBadFramesEndTheLink(t *testing.T) {
 	for name, raw := range map[string]string{
 		"too long":       "00800001",
--- a/internal/util/transport/link.go
+++ b/internal/util/transport/link.go
@@ -1,6 +1,6 @@
 package transport
 
-// This file owns a link's sending half: its queue of frames, its writer and its end.
+// This file has a link's sending half (its queue of frames and its writer) and its close.
 
 import (
 	"encoding/binary"
@@ -12,8 +12,8 @@
 )
 
 const (
-	maxQueuedFrames = 512              // frames that wait to be written
-	maxQueuedBytes  = 4 << 20          // their bytes, beyond the newest frame's
+	maxQueuedFrames = 512              // frames in the queue of unwritten frames
+	maxQueuedBytes  = 4 << 20          // their bytes, without the newest frame's
 	writeTimeout    = 10 * time.Second // for one write of all queued frames
 	userTimeout     = 3 * time.Second  // unacknowledged bytes end a link after this
 
@@ -25,11 +25,11 @@
 	Peer string // remote address: the one that was dialled, or that the connection came from
 
 	conn       net.Conn
-	counters   *Counters   // nil: frames are not counted; set before the first frame
-	compresses atomic.Bool // long frames are sent compressed: the peer has said that it reads them
+	counters   *Counters   // nil if frames are not counted; set before the first frame
+	compresses atomic.Bool // whether long frames are sent compressed, as the peer has announced support
 
 	mu          sync.Mutex
-	queue       []wireFrame // frames that the writer has not taken yet, oldest first
+	queue       []wireFrame // frames that the writer has not dequeued yet, oldest first
 	queuedBytes int         // sum of the queue's lengths, without prefixes
 
 	wake      chan struct{} // has capacity for one: the queue is not empty
@@ -37,25 +37,28 @@
 	closeOnce sync.Once
 }
 
-// start makes a link of a connection and starts its writer, which ends with the link. Its reader is the caller's: read.
+// start returns a link over a connection and starts its writer, which ends with the link. The caller runs the reader,
+// with read.
 func start[Frame any](conn net.Conn, peer string) *Link[Frame] {
 	l := &Link[Frame]{Peer: peer, conn: conn, wake: make(chan struct{}, 1), done: make(chan struct{})}
 	go l.write()
 	return l
 }
 
-// EnableCompression has long frames sent compressed from now on. It is for links whose peer has said that it reads
-// them; one of an earlier version would end the link. On one machine bytes cost less than compressing them.
+// EnableCompression enables compression of long frames from now on. It is for links whose peer has announced support; a
+// peer of an earlier version would close the link. Within one machine, sending the bytes costs less than compressing
+// them.
 func (l *Link[Frame]) EnableCompression() { l.compresses.Store(true) }
 
-// SetCounters has the link's frames counted. It may be called only before the link's first frame: in the up callback.
+// SetCounters sets the counters of the link's frames. It may be called only before the link's first frame, in the onUp
+// callback.
 func (l *Link[Frame]) SetCounters(counters *Counters) { l.counters = counters }
 
-// Send queues a frame. It returns false where the link is down or its queue was full, which ends it.
+// Send queues a frame. It returns false if the link is down, or if its queue is full, which closes the link.
 func (l *Link[Frame]) Send(frame *Frame) bool { return l.SendEncoded(Encode(frame)) }
 
-// SendEncoded queues a frame that Encode made. It returns false where there are no bytes, the link is down, or its
-// queue was full, which ends it.
+// SendEncoded queues a frame that Encode returned. It returns false if the frame is empty, if the link is down, or if
+// its queue is full, which closes the link.
 func (l *Link[Frame]) SendEncoded(encoded Encoded) bool {
 	if len(encoded.bytes) == 0 {
 		return false
@@ -75,7 +78,7 @@
 	return l.Up()
 }
 
-// enqueue adds a frame for the writer; false: the queue is full.
+// enqueue adds a frame for the writer. It returns false if the queue is full.
 func (l *Link[Frame]) enqueue(frame wireFrame) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -87,7 +90,7 @@
 	return true
 }
 
-// dequeue takes all frames that wait.
+// dequeue removes and returns all queued frames.
 func (l *Link[Frame]) dequeue() []wireFrame {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -96,7 +99,7 @@
 	return frames
 }
 
-// write sends queued frames, all that wait in one write, until the link ends.
+// write sends queued frames until the link ends, all pending ones in one write.
 func (l *Link[Frame]) write() {
 	defer l.Close()
 	for {
@@ -120,7 +123,7 @@
 	}
 }
 
-// Close ends the link and both of its goroutines. Frames that still wait are lost.
+// Close ends the link and both of its goroutines. Queued frames are lost.
 func (l *Link[Frame]) Close() {
 	l.closeOnce.Do(func() {
 		close(l.done)
@@ -128,7 +131,7 @@
 	})
 }
 
-// Up reports whether the link has not ended, as far as this end knows.
+// Up reports whether the link is open, as far as this end knows.
 func (l *Link[Frame]) Up() bool {
 	select {
 	case <-l.done:
@@ -138,10 +141,10 @@
 	}
 }
 
-// Done is closed when the link has ended.
+// Done returns a channel that is closed when the link has ended.
 func (l *Link[Frame]) Done() <-chan struct{} { return l.done }
 
-// SetUserTimeout sets how long a peer may leave bytes unacknowledged before the kernel gives the connection up.
+// SetUserTimeout sets how long a peer may leave bytes unacknowledged before the kernel closes the connection.
 func SetUserTimeout(conn net.Conn, after time.Duration) {
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
--- a/internal/util/transport/link_test.go
+++ b/internal/util/transport/link_test.go
@@ -21,7 +21,7 @@
 
 func (f *testFrame) TrafficClass() uint8 { return f.Class }
 
-// serveOnce gives the address of a listener that answers each frame by the same one, counted into counters.
+// serveEcho returns the address of a listener that echoes each frame, and counts frames in counters.
 func serveEcho(t *testing.T, counters *Counters) string {
 	t.Helper()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -36,7 +36,7 @@
 	return ln.Addr().String()
 }
 
-// exchange sends frames one at a time and gives what came back for each.
+// exchange sends frames one at a time and returns the replies.
 func exchange(t *testing.T, addr string, counters *Counters, frames []testFrame) []testFrame {
 	t.Helper()
 	var back []testFrame
@@ -80,7 +80,7 @@
 	for i := range noise {
 		noise[i] = byte(' ' + rand.IntN(90))
 	}
-	Convey("a short frame, a long one with much alike, and a long one without", t, func() {
+	Convey("a short frame, a long compressible one, and a long incompressible one", t, func() {
 		frames := []testFrame{
 			{Class: 1, Text: strings.Repeat("a", compressAbove/2)},
 			{Class: 2, Text: strings.Repeat(`"type":"primary",`, 4000)},
@@ -93,13 +93,13 @@
 		So(client.Sent(3).Bytes, ShouldBeLessThanOrEqualTo, prefixBytes+len(Encode(&frames[2]).bytes))
 		So(server.Received(2), ShouldResemble, client.Sent(2))
 	})
-	Convey("a frame for many is compressed once", t, func() {
+	Convey("a frame that is sent on many links is compressed once", t, func() {
 		e := Encode(&testFrame{Text: strings.Repeat("abc", compressAbove)})
 		first, second := e.wire(true), e.wire(true)
 		So(&first.bytes[0], ShouldEqual, &second.bytes[0])
 		So(e.wire(false).prefix, ShouldEqual, len(e.bytes))
 	})
-	Convey("a link whose peer has not said that it reads compressed frames", t, func() {
+	Convey("a link whose peer has not announced support for compression", t, func() {
 		frame := testFrame{Class: 2, Text: strings.Repeat("abc", compressAbove)}
 		addr, counters, back := serveEcho(t, &Counters{}), Counters{}, testFrame{}
 		_ = Dial(addr, 0, 0, func(l *Link[testFrame]) {
@@ -114,11 +114,10 @@
 	})
 }
 
-// A peer that sends a few bytes which would become more than a frame may be, or bytes that are no compressed frame,
-// loses its link.
+// A compressed frame that would decompress to more than maxFrameBytes, or that is not valid DEFLATE, ends the link.
 func TestBadCompressedFramesEndTheLink(t *testing.T) {
 	bomb := (&compressed{}).form(bytes.Repeat([]byte{0}, maxFrameBytes+1))
-	Convey("frames that must not be taken", t, func() {
+	Convey("frames that must be rejected", t, func() {
 		for name, frame := range map[string][]byte{
 			"longer than a frame": bomb,
 			"no compressed frame": []byte("not deflated"),
@@ -139,20 +138,20 @@
 	})
 }
 
-// A peer that reads nothing loses its link once the queue is full: its frames never take more memory than that.
+// A peer that reads nothing is disconnected once the queue is full, which bounds the memory of its frames.
 func TestAPeerThatDoesNotReadLosesItsLink(t *testing.T) {
 	ours, theirs := net.Pipe()
 	t.Cleanup(func() { theirs.Close() })
 	l := start[testFrame](ours, "pipe")
 	sent := 0
 	for l.Send(&testFrame{Text: "abc"}) {
-		if sent++; sent > 2*maxQueuedFrames { // the writer may have taken all that waited once, and blocks with it
-			t.Fatal("the link still stands")
+		if sent++; sent > 2*maxQueuedFrames { // the writer may have dequeued a full queue once, and is blocked writing it
+			t.Fatal("the link is still up")
 		}
 	}
 	<-l.Done()
 	if l.Up() || l.Send(&testFrame{}) {
-		t.Error("a frame is taken after the link's end")
+		t.Error("a frame was accepted after the link's end")
 	}
 }
 
--- a/internal/util/transport/read.go
+++ b/internal/util/transport/read.go
@@ -1,6 +1,6 @@
 package transport
 
-// This file owns a link's receiving half: the reader, which checks frames' lengths before it allocates for them.
+// This file has a link's receiving half: the reader, which checks a frame's length before it allocates memory for it.
 
 import (
 	"encoding/binary"
@@ -10,8 +10,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// read hands frames to take, one at a time, until the link ends, and returns why. The link ends where nothing came
-// for idle; 0: it may be idle for ever.
+// read calls onFrame for each frame until the link ends, and returns the reason. The link is closed when nothing was
+// received for the time idle; 0 disables this.
 func (l *Link[Frame]) read(idle time.Duration, onFrame func(*Frame)) error {
 	defer l.Close()
 	var head [prefixBytes]byte
@@ -37,8 +37,8 @@
 	}
 }
 
-// readPayload reads what is behind a prefix. length is that on the wire, which for a compressed frame is less than
-// the payload's.
+// readPayload reads and decompresses the bytes after a prefix. length is the length on the wire, which for a compressed
+// frame is less than the payload's.
 func (l *Link[Frame]) readPayload(prefix uint32) (payload []byte, length int, err error) {
 	n := prefix &^ compressedFlag
 	if n > maxFrameBytes {
