--- a/internal/standin/cluster/resets_test.go
+++ b/internal/standin/cluster/resets_test.go
@@ -230,7 +230,7 @@
 		all.Wait()
 	}
 	setByteLimit(1200)
-	relays[len(relays)-1].SetByteLimit(400) // calls to the platform are few and short
+	relays[len(relays)-1].SetByteLimit(400) // calls to the platform are few and longer than statements
 	runClients(25)
 	old := d.Service.Leader()
 	d.Service.Crash(old)
--- a/internal/standin/cluster/sessions_test.go
+++ b/internal/standin/cluster/sessions_test.go
@@ -408,7 +408,8 @@
 		<-again.Opened()
 		d.Eventually("the first session has ended", func() bool { return a.session.Err() != nil })
 		again.Close()
-		// A plain WebSocket client opens a session without a token.
+		// A plain WebSocket client opens a session and sends; it receives message bodies only, and its socket outlives
+		// its site.
 		c, _, err := websocket.Dial(ctx, d.edgeURL(0)+"/session", nil)
 		So(err, ShouldBeNil)
 		So(c.Write(ctx, websocket.MessageText, []byte("hello")), ShouldBeNil)
--- a/internal/standin/loopback/slots.go
+++ b/internal/standin/loopback/slots.go
@@ -19,7 +19,8 @@
 type Slot struct{ guard net.Listener }
 
 // AcquireSlot waits for one of n slots of this machine. Tests with processes that renew leases in real time acquire
-// one, as with too many of them at the same time no lease is renewed in time.
+// one, as with too many of them at the same time no lease is renewed in time: they wait for a slot instead of
+// competing for processors.
 func AcquireSlot(ctx context.Context, n int) (*Slot, error) {
 	tick := time.NewTicker(slotPollInterval)
 	defer tick.Stop()
