--- a/cmd/weirwind/presence_test.go
+++ b/cmd/weirwind/presence_test.go
@@ -34,7 +34,7 @@
 				c.query(read(1000))
 			}
 			waitCounter(t, p, "messagesin")
-			store.LoseLeases() // as after a pause, or by a registry that lost its data
+			store.EndAllLeases() // as after a pause, or by a registry that lost its data
 			p.waitForLog("event=presence announced=false")
 			p.waitForLog("event=presence announced=true")
 			v.Down.Store(true) // an unavailable registry makes no driver conclude that it is alone
--- a/internal/controlplane/agent/metrics.go
+++ b/internal/controlplane/agent/metrics.go
@@ -31,7 +31,7 @@
 
 // writeMetrics writes the agent's metrics. Those of the state are left out if the loop doesn't answer in time.
 func (a *Agent) writeMetrics(set metrics.Set) {
-	events.Figures(a.log, set)
+	events.WriteMetrics(a.log, set)
 	controlmsg.WriteMetrics(set, "weirwind_agent", "core", &CoreTraffic)
 	controlmsg.WriteMetrics(set, "weirwind_agent", "peers", &PeerTraffic)
 	controlmsg.WriteMetrics(set, "weirwind_agent", "proxy", &ProxyTraffic)
--- a/internal/registry/lease_test.go
+++ b/internal/registry/lease_test.go
@@ -32,7 +32,7 @@
 		if ttl, err := client.Renew(ctx, 0, first); err != nil || ttl != 10*time.Second {
 			t.Errorf("renewal: %v %v", ttl, err)
 		}
-		s.LoseLeases()
+		s.EndAllLeases()
 		if _, err := client.Renew(ctx, 0, first); !errors.Is(err, errLeaseLost) || PresenceResultOf(err) != roster.StepLeaseLost {
 			t.Errorf("renewal of a lost lease: %v", err)
 		}
--- a/internal/registry/watcher_test.go
+++ b/internal/registry/watcher_test.go
@@ -69,7 +69,7 @@
 func TestFragments(t *testing.T) {
 	s := kv.NewStore("c1")
 	server := serve(t, s)
-	server.Fragment.Store(1)
+	server.FragmentSize.Store(1)
 	s.Put(prefix+"a", entry(1, "up"))
 	r := follow(t, "etcd", roster.Options{}, server)
 	r.waitFor("a")
--- a/internal/standin/cluster/process.go
+++ b/internal/standin/cluster/process.go
@@ -1,6 +1,6 @@
 package cluster
 
-// This file owns the processes' addresses, settings and start.
+// This file has the processes' addresses and settings, and starts them.
 
 import (
 	"bytes"
@@ -15,7 +15,7 @@
 	"weirwind/internal/util/settings"
 )
 
-// networks of a deployment, by what is there.
+// Networks of a deployment: one for each kind of machine.
 const (
 	coreNet     = 1
 	frontNet    = 2
@@ -25,11 +25,11 @@
 	edgeNet     = 6
 )
 
-// MaxFronts is how many machines with an agent and a proxy a deployment may have.
+// MaxFronts is the maximum number of machines with an agent and a proxy in a deployment.
 const MaxFronts = 120
 
-// hosts are the networks' shares of the hosts of the deployment's addresses.
-var hosts = map[int]struct{ first, count int }{
+// hostRanges divides the hosts of the deployment's address block among the networks.
+var hostRanges = map[int]struct{ first, count int }{
 	coreNet:     {1, 10},
 	platformNet: {11, 1},
 	siteNet:     {12, 10},
@@ -38,7 +38,7 @@
 	frontNet:    {132, MaxFronts},
 }
 
-// Ports beyond the base port, which is the first of three of the mesh.
+// Port offsets from the base port, which is the first of the three mesh ports.
 const (
 	feedPort    = 1
 	controlPort = 3
@@ -46,8 +46,8 @@
 	readyPort   = 5
 )
 
-// kinds are the program and the network of a process, by its name without the number.
-var kinds = map[string]struct {
+// processKinds has the role and the network of a process, by its name without the number.
+var processKinds = map[string]struct {
 	role    string
 	network int
 }{
@@ -59,13 +59,13 @@
 }
 
 func (d *Deployment) ip(network, n int) string {
-	if n >= hosts[network].count {
-		panic(fmt.Sprintf("machine %d of network %d: %d at most", n, network, hosts[network].count))
+	if n >= hostRanges[network].count {
+		panic(fmt.Sprintf("machine %d of network %d: %d at most", n, network, hostRanges[network].count))
 	}
-	return d.block.IP(hosts[network].first + n)
+	return d.block.IP(hostRanges[network].first + n)
 }
 
-// splitName takes a process's name apart: its kind, and the number of its machine.
+// splitName splits a process's name into its kind and the number of its machine.
 func splitName(name string) (kind string, n int) {
 	kind = strings.TrimRight(name, "0123456789")
 	n, _ = strconv.Atoi(name[len(kind):])
@@ -76,17 +76,17 @@
 	return net.JoinHostPort(d.ip(network, n), fmt.Sprint(d.basePort+port))
 }
 
-// ProxyAddr is a proxy's address for clients.
+// ProxyAddr returns a proxy's address for clients.
 func (d *Deployment) ProxyAddr(n int) string { return d.address(frontNet, n, clientPort) }
 
-// ReadyAddr is a proxy's address for the platform's and operators' calls.
+// ReadyAddr returns a proxy's address for the platform's and operators' calls.
 func (d *Deployment) ReadyAddr(n int) string { return d.address(frontNet, n, readyPort) }
 
-// Start starts a process by its name, such as core0; first lets a core machine found the core's state.
-func (d *Deployment) Start(name string, first bool) {
+// Start starts a process by its name, such as core0. With bootstrap a core machine may create the core's initial state.
+func (d *Deployment) Start(name string, bootstrap bool) {
 	d.t.Helper()
 	file := filepath.Join(d.dir, name+".conf")
-	if err := os.WriteFile(file, []byte(strings.Join(d.settings(name, first), "\n")+"\n"), 0o600); err != nil {
+	if err := os.WriteFile(file, []byte(strings.Join(d.settings(name, bootstrap), "\n")+"\n"), 0o600); err != nil {
 		d.t.Fatal(err)
 	}
 	self, err := os.Executable()
@@ -95,7 +95,7 @@
 	}
 	cmd := exec.Command(self)
 	kind, _ := splitName(name)
-	cmd.Env = append(os.Environ(), roleVariable+"="+kinds[kind].role, settings.EnvVariable+"="+file,
+	cmd.Env = append(os.Environ(), roleVariable+"="+processKinds[kind].role, settings.EnvVariable+"="+file,
 		diskVariable+"="+d.diskControlFile(name))
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -109,23 +109,24 @@
 	d.processes[name] = cmd
 }
 
-// settings is the lines of a process's settings file.
-func (d *Deployment) settings(name string, first bool) []string {
+// settings returns the lines of a process's settings file.
+func (d *Deployment) settings(name string, bootstrap bool) []string {
 	kindName, n := splitName(name)
-	kind, zone := kinds[kindName], "z1"
-	if kind.network == siteNet || kind.network == edgeNet { // they are spread over the zones
+	kind, zone := processKinds[kindName], "z1"
+	if kind.network == siteNet || kind.network == edgeNet { // spread over the zones
 		zone = fmt.Sprint("z", n%3+1)
 	}
 	meshPort := d.basePort
-	if port, apart := d.meshPorts[name]; apart {
+	if port, found := d.meshPorts[name]; found {
 		meshPort = port
 	}
 	seeds := d.Cores[:min(3, len(d.Cores))]
-	if own, apart := d.seeds[name]; apart {
+	if own, found := d.seeds[name]; found {
 		seeds = own
 	}
 	lines := []string{"hostname=" + name, "zone=" + zone, "region=r1", "zones.z1=r1", "zones.z2=r1", "zones.z3=r1",
-		fmt.Sprintf("portRange=%d,%d", meshPort, meshPort+2), "peers=" + strings.Join(seeds, ","), fmt.Sprint("init=", first),
+		fmt.Sprintf("portRange=%d,%d", meshPort, meshPort+2), "peers=" + strings.Join(seeds, ","),
+		fmt.Sprint("init=", bootstrap),
 		"tolerate.nodes=1", "beatMs=200", "bounds.graceS=2", "cloudApi.addr=" + d.platform}
 	switch kind.network {
 	case coreNet:
--- a/internal/standin/cluster/takeover.go
+++ b/internal/standin/cluster/takeover.go
@@ -1,6 +1,6 @@
 package cluster
 
-// This file owns addresses of crashed members that others take over.
+// This file simulates the reuse of crashed members' addresses by other members.
 
 import (
 	"fmt"
@@ -11,24 +11,25 @@
 	"weirwind/internal/member/wire"
 )
 
-// occupant is a member that has taken over the address of another one.
-type occupant struct{ service, member string }
+// successor is a member that has taken over the address of another one.
+type successor struct{ service, member string }
 
-// Strangers counts the connections that came to addresses of crashed members after others had taken them over.
-type Strangers struct {
-	Rejected int      // they named a member that is no longer there
-	Unnamed  []string // what connections said that named no service and member: a session would have been opened
+// MisdirectedConnections counts the connections to addresses of crashed members after others had taken these over.
+type MisdirectedConnections struct {
+	Rejected int      // connections that named a member that is no longer there, and were rejected
+	Unnamed  []string // first lines of connections that named no service and member, and would have got a session
 }
 
-// TakeOver has a member of a service, which may be this one, answer at the address of a crashed member of this one.
+// TakeOver makes a member of a service, which may be this one, answer at the address of a crashed member of this
+// service.
 func (s *Service) TakeOver(id, service, member string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.occupants[id] = occupant{service, member}
+	s.successors[id] = successor{service, member}
 }
 
-// serve answers a connection as a member does that was not asked for.
-func (o occupant) serve(of *Service, conn net.Conn) {
+// serve answers a connection as a member does that the caller did not mean.
+func (o successor) serve(former *Service, conn net.Conn) {
 	defer conn.Close()
 	line, err := wire.NewReader(conn).ReadMessage()
 	if err != nil {
@@ -36,12 +37,12 @@
 	}
 	fields := strings.Fields(line)
 	rejected := len(fields) == 4 && fields[0] == wire.MsgAttach && (fields[1] != o.service || fields[3] != o.member)
-	of.mu.Lock()
+	former.mu.Lock()
 	if rejected {
-		of.Strangers.Rejected++
+		former.Misdirected.Rejected++
 	} else {
-		of.Strangers.Unnamed = append(of.Strangers.Unnamed, line)
+		former.Misdirected.Unnamed = append(former.Misdirected.Unnamed, line)
 	}
-	of.mu.Unlock()
-	_, _ = io.WriteString(conn, fmt.Sprintf("FAIL %s\r\n", wire.CodeWrongHost)) // the caller may have left
+	former.mu.Unlock()
+	_, _ = io.WriteString(conn, fmt.Sprintf("FAIL %s\r\n", wire.CodeWrongHost)) // the caller may have disconnected
 }
--- a/internal/standin/kv/lease.go
+++ b/internal/standin/kv/lease.go
@@ -1,6 +1,7 @@
 package kv
 
-// This file owns etcd's leases and Consul's sessions: keys that are removed when nobody renews them, or on command.
+// This file implements etcd's leases and Consul's sessions: keys that are removed when their lease expires or is
+// revoked.
 
 import (
 	"encoding/json"
@@ -17,7 +18,7 @@
 	expiry *time.Timer
 }
 
-// grant creates a lease that expires unless it is renewed, and gives its id.
+// grant creates a lease that expires unless it is renewed, and returns its id.
 func (s *Store) grant(ttl time.Duration) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -44,8 +45,8 @@
 	}
 }
 
-// LoseLeases ends all leases and removes their keys.
-func (s *Store) LoseLeases() {
+// EndAllLeases ends all leases and removes their keys.
+func (s *Store) EndAllLeases() {
 	s.mu.Lock()
 	var ids []string
 	for id := range s.leases {
@@ -57,12 +58,12 @@
 	}
 }
 
-// acquire writes a key under a lease where the key does not exist.
+// acquire writes a key under a lease if the key does not exist. It reports whether it did.
 func (s *Store) acquire(key, value, id string) bool {
 	s.mu.Lock()
 	l := s.leases[id]
-	_, taken := s.keys[key]
-	if taken || l == nil {
+	_, exists := s.keys[key]
+	if exists || l == nil {
 		s.mu.Unlock()
 		return false
 	}
@@ -72,7 +73,7 @@
 	return true
 }
 
-// renew extends a lease by its time to live; false where it has ended.
+// renew extends a lease by its time to live; it returns false if the lease has ended.
 func (s *Store) renew(id string) (time.Duration, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -104,19 +105,19 @@
 	mux.HandleFunc("PUT /v1/kv/{key...}", v.withFaults(v.consulAcquire))
 }
 
-// textOf is a JSON string's value, "" for anything else.
-func textOf(raw json.RawMessage) (s string) {
+// jsonString returns the value of a JSON string, "" for anything else.
+func jsonString(raw json.RawMessage) (s string) {
 	_ = json.Unmarshal(raw, &s)
 	return s
 }
 
 func (v *Server) etcdGrant(w http.ResponseWriter, body map[string]json.RawMessage) {
-	seconds, _ := strconv.Atoi(textOf(body["TTL"]))
+	seconds, _ := strconv.Atoi(jsonString(body["TTL"]))
 	fmt.Fprintf(w, `{"header":{},"ID":%q,"TTL":"%d"}`, v.store.grant(time.Duration(seconds)*time.Second), seconds)
 }
 
 func (v *Server) etcdKeepAlive(w http.ResponseWriter, body map[string]json.RawMessage) {
-	ttl, ok := v.store.renew(textOf(body["ID"]))
+	ttl, ok := v.store.renew(jsonString(body["ID"]))
 	if !ok {
 		fmt.Fprint(w, `{"result":{"header":{},"ID":"0"}}`)
 		return
@@ -125,11 +126,11 @@
 }
 
 func (v *Server) etcdRevoke(w http.ResponseWriter, body map[string]json.RawMessage) {
-	v.store.EndLease(textOf(body["ID"]))
+	v.store.EndLease(jsonString(body["ID"]))
 	fmt.Fprint(w, `{"header":{}}`)
 }
 
-// etcdPutIfAbsent answers the only transaction that clients use: a put where the key does not exist.
+// etcdPutIfAbsent handles the only transaction that clients use: a put if the key does not exist.
 func (v *Server) etcdPutIfAbsent(w http.ResponseWriter, body map[string]json.RawMessage) {
 	var success []struct {
 		Put struct {
--- a/internal/standin/loopback/loopback_test.go
+++ b/internal/standin/loopback/loopback_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// A block that is reserved can't be reserved again, and its addresses can be listened at.
-func TestBlockIsOneOwners(t *testing.T) {
+// A reserved block can't be reserved again until it is closed, and its addresses can be listened at.
+func TestBlockIsExclusive(t *testing.T) {
 	b, err := Reserve()
 	if err != nil {
 		t.Fatal(err)
@@ -27,43 +27,43 @@
 		t.Error(host, ok)
 	}
 	if _, ok := b.HostOf(netip.MustParseAddr("127.0.0.7")); ok {
-		t.Error("another block's address is taken for one of this block")
+		t.Error("HostOf accepted an address of another block")
 	}
 	if err := b.Close(); err != nil {
 		t.Error(err)
 	}
 	again, err := net.Listen("tcp4", guard)
 	if err != nil {
-		t.Fatal("a block that was given up can't be reserved:", err)
+		t.Fatal("a closed block can't be reserved:", err)
 	}
 	again.Close()
 }
 
-// Of two that want the only turn, the second has it once the first has ended, and not before.
-func TestTurnsAreBounded(t *testing.T) {
-	const turns = 40 // beyond those of other tests on this machine
-	var held []*Turn
+// No more than the given number of slots can be acquired, and a waiting caller gets a slot once one is released.
+func TestSlotsAreBounded(t *testing.T) {
+	const slots = 40 // more than the slots that other tests on this machine use
+	var acquired []*Slot
 	ctx, stop := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer stop()
 	for {
-		turn, err := WaitTurn(ctx, turns)
+		slot, err := AcquireSlot(ctx, slots)
 		if err != nil {
 			break
 		}
-		defer turn.End()
-		held = append(held, turn)
+		defer slot.Release()
+		acquired = append(acquired, slot)
 	}
-	if len(held) == 0 || len(held) > turns {
-		t.Fatalf("%d turns of %d", len(held), turns)
+	if len(acquired) == 0 || len(acquired) > slots {
+		t.Fatalf("acquired %d slots of %d", len(acquired), slots)
 	}
-	next := make(chan *Turn)
+	next := make(chan *Slot)
 	go func() {
-		turn, err := WaitTurn(context.Background(), turns)
+		slot, err := AcquireSlot(context.Background(), slots)
 		if err != nil {
 			t.Error(err)
 		}
-		next <- turn
+		next <- slot
 	}()
-	held[0].End()
-	(<-next).End()
+	acquired[0].Release()
+	(<-next).Release()
 }
--- a/internal/standin/soak/events.go
+++ b/internal/standin/soak/events.go
@@ -1,6 +1,6 @@
 package soak
 
-// This file owns the carrying out of events.
+// This file executes events.
 
 import (
 	"context"
@@ -13,20 +13,22 @@
 	"weirwind/internal/standin/replicaset"
 )
 
-// hangupAge is how old a process is that gets SIGHUP: before it has begun to handle the signal, it ends by it.
-const hangupAge = 2 * time.Second
+// minHangupAge is the minimum age of a process that is sent SIGHUP: a process that does not handle the signal yet is
+// killed by it.
+const minHangupAge = 2 * time.Second
 
-// carryOut carries an event out to its end, begun or not when the context ends: all that it disturbed is there again.
-func (r *run) carryOut(ctx context.Context, e Event) {
+// execute executes an event to its end, even if the context is done meanwhile: afterwards all that it disturbed is
+// restored.
+func (r *run) execute(ctx context.Context, e Event) {
 	r.logf("event %v", e)
 	switch e.Kind {
 	case KindChange:
-		r.operators.carryOut(ctx, e.Change)
+		r.operators.makeChange(ctx, e.Change)
 	case KindRelease:
-		r.release(e.Targets[0], e.Lasts)
+		r.release(e.Targets[0], e.Duration)
 	case KindCrash, KindLag:
 		r.disturbMember(e)
-	case KindSilence:
+	case KindLostAnswers:
 		defer r.journal.begin("", e.Kind)()
 		r.deployment.Service.With(func(*replicaset.Group) { r.deployment.Service.LoseAnswers += e.Times })
 	case KindHangup:
@@ -36,28 +38,28 @@
 	}
 }
 
-// disturbProcesses has the targets go through their event, at once or in turn.
+// disturbProcesses applies an event to its targets, all at once or at intervals.
 func (r *run) disturbProcesses(e Event) {
 	var all sync.WaitGroup
 	for _, name := range e.Targets {
 		all.Go(func() { r.disturbProcess(name, e) })
-		time.Sleep(e.Apart)
+		time.Sleep(e.Interval)
 	}
 	all.Wait()
 }
 
-// disturbProcess ends and starts a process, or freezes it. One that another event has ended is left to that event.
+// disturbProcess restarts or freezes a process. A process that another event has ended is left to that event.
 func (r *run) disturbProcess(name string, e Event) {
 	if e.Kind == KindFreeze {
-		r.freeze(name, e.Lasts)
+		r.freeze(name, e.Duration)
 		return
 	}
 	end := r.journal.begin(name, e.Kind)
 	defer end()
-	if !r.lives.end(name) {
+	if !r.lives.claimEnd(name) {
 		r.logf("%s %s: it is being restarted", e.Kind, name)
 		if e.Kind == KindKill && r.lives.isEnding(name) {
-			r.deployment.Signal(name, syscall.SIGKILL) // in the midst of its end in order
+			r.deployment.Signal(name, syscall.SIGKILL) // during its graceful shutdown
 		}
 		return
 	}
@@ -66,10 +68,10 @@
 	} else {
 		r.terminate(name)
 	}
-	r.lives.ended(name)
-	time.Sleep(e.Lasts)
+	r.lives.recordEnd(name)
+	time.Sleep(e.Duration)
 	r.deployment.Start(name, false)
-	r.lives.begin(name)
+	r.lives.recordStart(name)
 }
 
 // terminate ends a process as the platform does.
@@ -79,18 +81,18 @@
 		return
 	}
 	if time.Since(began) > graceTime+killTime {
-		r.starved.note(name, began, time.Now())
+		r.starved.record(name, began, time.Now())
 	}
-	r.endedLate(name)
+	r.reportLateEnd(name)
 }
 
-// endedLate judges a process that was still there after the grace period.
-func (r *run) endedLate(name string) {
+// reportLateEnd records a process that was still running after the grace period, unless it was frozen during it.
+func (r *run) reportLateEnd(name string) {
 	now := time.Now()
 	if r.journal.disturbed(name, now.Add(-graceTime), now, KindFreeze) {
 		return
 	}
-	r.late(name, now.Add(-graceTime), "late end", "%s was there %v after SIGTERM", name, graceTime)
+	r.recordMissed(name, now.Add(-graceTime), "late end", "%s was still running %v after SIGTERM", name, graceTime)
 }
 
 func (r *run) freeze(name string, lasts time.Duration) {
@@ -100,23 +102,23 @@
 	r.deployment.Signal(name, syscall.SIGCONT)
 }
 
-// hangUp sends a series of SIGHUP to each target.
+// hangUp sends a series of SIGHUPs to each target.
 func (r *run) hangUp(e Event) {
 	for range e.Times {
 		for _, name := range e.Targets {
-			if r.lives.age(name) < hangupAge && !r.lives.isEnding(name) {
+			if r.lives.age(name) < minHangupAge && !r.lives.isEnding(name) {
 				continue
 			}
 			end := r.journal.begin(name, KindHangup)
 			r.deployment.Signal(name, syscall.SIGHUP)
 			end()
 		}
-		time.Sleep(e.Apart)
+		time.Sleep(e.Interval)
 	}
 }
 
-// member finds the member that an event is about.
-func (r *run) member(target string) (id string) {
+// findMember returns the id of a member that matches an event's target, "" if there is none.
+func (r *run) findMember(target string) (id string) {
 	r.deployment.Service.With(func(group *replicaset.Group) {
 		primary := group.Leader()
 		for _, m := range group.Members {
@@ -130,7 +132,7 @@
 
 // disturbMember crashes a member for a while, or keeps a replica from receiving.
 func (r *run) disturbMember(e Event) {
-	id := r.member(e.Targets[0])
+	id := r.findMember(e.Targets[0])
 	if id == "" {
 		r.logf("%s: there is no %s", e.Kind, e.Targets[0])
 		return
@@ -139,26 +141,26 @@
 	service := r.deployment.Service
 	if e.Kind == KindLag {
 		service.With(func(group *replicaset.Group) { group.Member(id).NotReceiving = true })
-		time.Sleep(e.Lasts)
+		time.Sleep(e.Duration)
 		service.With(func(group *replicaset.Group) { group.Member(id).NotReceiving = false })
 		return
 	}
 	service.Crash(id)
-	time.Sleep(e.Lasts)
+	time.Sleep(e.Duration)
 	service.With(func(group *replicaset.Group) { group.Member(id).Restart() })
 }
 
 // release replaces a member: a new one joins, and the old one drains and leaves.
 func (r *run) release(target string, lasts time.Duration) {
-	id := r.member(target)
+	id := r.findMember(target)
 	if id == "" {
 		r.logf("release: there is no %s", target)
 		return
 	}
 	defer r.journal.begin(id, KindRelease)()
 	n := int(r.members.Add(1))
-	next := fmt.Sprint("m", n)
-	if err := r.deployment.AddMember(next, n); err != nil {
+	joined := fmt.Sprint("m", n)
+	if err := r.deployment.AddMember(joined, n); err != nil {
 		r.logf("release: %v", err)
 		return
 	}
@@ -166,30 +168,30 @@
 	r.deployment.Service.With(func(group *replicaset.Group) { group.Member(id).Draining = true })
 	time.Sleep(lasts)
 	acknowledged := r.deployment.RemoveMember(id)
-	r.logf("release: %s left for %s, acknowledged: %v", id, next, acknowledged)
+	r.logf("release: %s left for %s, acknowledged: %v", id, joined, acknowledged)
 }
 
-// lives counts the lives of processes, and which one each is in.
-type lives struct {
+// processLives counts the starts of each process, and tracks which processes run.
+type processLives struct {
 	mu      sync.Mutex
 	number  map[string]int
-	started map[string]time.Time // of those that run
-	ending  map[string]bool      // those that were told to end, and are there
+	started map[string]time.Time // start times of the running processes
+	ending  map[string]bool      // processes that were told to end and have not ended yet
 }
 
-func newLives() *lives {
-	return &lives{number: map[string]int{}, started: map[string]time.Time{}, ending: map[string]bool{}}
+func newProcessLives() *processLives {
+	return &processLives{number: map[string]int{}, started: map[string]time.Time{}, ending: map[string]bool{}}
 }
 
-func (l *lives) begin(name string) {
+func (l *processLives) recordStart(name string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.number[name]++
 	l.started[name] = time.Now()
 }
 
-// end gives the ending of a process to its only caller.
-func (l *lives) end(name string) bool {
+// claimEnd marks a process as ending. It returns true for only one caller, which ends the process.
+func (l *processLives) claimEnd(name string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	_, runs := l.started[name]
@@ -200,22 +202,22 @@
 	return runs
 }
 
-// ended says that a process that was told to end is gone.
-func (l *lives) ended(name string) {
+// recordEnd records that a process that was told to end has ended.
+func (l *processLives) recordEnd(name string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.ending, name)
 }
 
-// isEnding says whether a process was told to end, and may be there.
-func (l *lives) isEnding(name string) bool {
+// isEnding reports whether a process was told to end and has not ended yet.
+func (l *processLives) isEnding(name string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.ending[name]
 }
 
-// of is the number of a process's life; 0 where it doesn't run.
-func (l *lives) of(name string) int {
+// current returns how often a running process was started; 0 if it is not running.
+func (l *processLives) current(name string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if _, runs := l.started[name]; !runs {
@@ -224,8 +226,8 @@
 	return l.number[name]
 }
 
-// age is how long a process has run; 0 where it doesn't.
-func (l *lives) age(name string) time.Duration {
+// age returns how long a process has run; 0 if it is not running.
+func (l *processLives) age(name string) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if started, runs := l.started[name]; runs {
@@ -234,8 +236,8 @@
 	return 0
 }
 
-// running are the names of the processes that nobody ends.
-func (l *lives) running() (names []string) {
+// running returns the sorted names of the processes that run and were not told to end.
+func (l *processLives) running() (names []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for name := range l.started {
--- a/internal/standin/soak/operators.go
+++ b/internal/standin/soak/operators.go
@@ -1,6 +1,6 @@
 package soak
 
-// This file owns operators: changes of the configuration, and the audit of which took force.
+// This file has operators' changes of the configuration, and the check of which took effect.
 
 import (
 	"context"
@@ -15,20 +15,20 @@
 )
 
 const (
-	operatorPatience = 25 * time.Second // in which a change is sent again while there is no clear answer
-	firstPause       = 50 * time.Millisecond
-	longestRetry     = time.Second
-	versionStep      = 3 // versions go up by one to so many
+	changeTimeout     = 25 * time.Second // how long a change without a definite answer is retried
+	initialRetryDelay = 50 * time.Millisecond
+	maxRetryDelay     = time.Second
+	maxVersionStep    = 3 // maximum difference between successive versions
 )
 
-// change is one that was sent.
+// change is a configuration change that was sent.
 type change struct {
 	base, version uint64
-	marker        string // host of a route that it adds
+	marker        string // host of a route that it adds, by which it is identified
 	kind          Change
 	sent          time.Time
-	acked         time.Time // zero: it wasn't
-	refused       bool      // by its first clear answer, with no earlier sending that got none
+	acked         time.Time // zero if it was not acknowledged
+	refused       bool      // rejected by its first definite answer, with no earlier attempt of unknown outcome
 	answer        string
 }
 
@@ -36,7 +36,7 @@
 	return fmt.Sprintf("%s of version %d on %d (%s)", c.kind, c.version, c.base, c.marker)
 }
 
-// operators are those of a deployment.
+// operators sends configuration changes to a deployment and records them.
 type operators struct {
 	run     *run
 	mu      sync.Mutex
@@ -45,13 +45,13 @@
 	changes []*change
 }
 
-// document is a configuration, as far as operators read it.
+// document has the fields of a configuration that operators read.
 type document struct {
 	Version uint64           `json:"gen"`
 	Routes  []map[string]any `json:"routes"`
 }
 
-// markers are the hosts by which changes are told apart.
+// markers returns the hosts that identify changes.
 func (d *document) markers() (hosts []string) {
 	for _, r := range d.Routes {
 		if host, _ := r["host"].(string); strings.HasPrefix(host, "mark") {
@@ -61,19 +61,19 @@
 	return hosts
 }
 
-// show reads the configuration from the first machine that answers.
-func (o *operators) show(ctx context.Context) (document, bool) {
-	for wait := firstPause; ctx.Err() == nil; wait = min(2*wait, longestRetry) {
-		for _, n := range o.machines() {
-			due := o.ackedBefore(time.Now().Add(-applyTime))
+// readConfig reads the configuration from the first core machine that answers.
+func (o *operators) readConfig(ctx context.Context) (document, bool) {
+	for wait := initialRetryDelay; ctx.Err() == nil; wait = min(2*wait, maxRetryDelay) {
+		for _, n := range o.shuffledCores() {
+			required := o.ackedBefore(time.Now().Add(-applyTime))
 			status, body := o.run.deployment.Call("GET", o.run.deployment.Cores[n], "/config/show", "", nil)
 			var d document
 			if status != http.StatusOK || json.Unmarshal([]byte(body), &d) != nil {
 				continue
 			}
-			if d.Version < due {
+			if d.Version < required {
 				o.run.ledger.violate("configuration", "core%d shows version %d %v after %d was acknowledged",
-					n, d.Version, applyTime, due)
+					n, d.Version, applyTime, required)
 			}
 			return d, true
 		}
@@ -82,91 +82,92 @@
 	return document{}, false
 }
 
-// machines are the core machines in an order that is drawn.
-func (o *operators) machines() []int {
+// shuffledCores returns the core machines' indexes in random order.
+func (o *operators) shuffledCores() []int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.random.Perm(o.run.shape.Cores)
 }
 
-// carryOut makes a change on what is in force.
-func (o *operators) carryOut(ctx context.Context, kind Change) {
-	ctx, cancel := context.WithTimeout(ctx, operatorPatience)
+// makeChange makes a change, or two conflicting ones, based on the current configuration.
+func (o *operators) makeChange(ctx context.Context, kind Change) {
+	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
-	now, ok := o.show(ctx)
+	current, ok := o.readConfig(ctx)
 	if !ok {
 		o.run.logf("change %s: no configuration could be read", kind)
 		return
 	}
-	if kind != ChangeRivals {
-		o.send(ctx, o.draw(now.Version, kind), now.markers())
+	if kind != ChangeConflicting {
+		o.send(ctx, o.newChange(current.Version, kind), current.markers())
 		return
 	}
 	var both sync.WaitGroup
 	for range 2 {
-		c := o.draw(now.Version, kind)
-		both.Go(func() { o.send(ctx, c, now.markers()) })
+		c := o.newChange(current.Version, kind)
+		both.Go(func() { o.send(ctx, c, current.markers()) })
 	}
 	both.Wait()
 }
 
-// draw draws a change on a version.
-func (o *operators) draw(base uint64, kind Change) *change {
+// newChange returns a random change of a kind, based on a version.
+func (o *operators) newChange(base uint64, kind Change) *change {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.count++
-	c := &change{base: base, version: base + 1 + o.random.Uint64N(versionStep), marker: fmt.Sprint("mark", o.count),
+	c := &change{base: base, version: base + 1 + o.random.Uint64N(maxVersionStep), marker: fmt.Sprint("mark", o.count),
 		kind: kind, sent: time.Now()}
-	if kind == ChangeOld {
+	if kind == ChangeStaleVersion {
 		c.version = base
 	}
 	o.changes = append(o.changes, c)
 	return c
 }
 
-// send sends a change until it has a clear answer.
-func (o *operators) send(ctx context.Context, c *change, old []string) {
-	path, body := o.body(c, old)
-	unclear := false
-	for wait := firstPause; ctx.Err() == nil; wait = min(2*wait, longestRetry) {
-		for _, n := range o.machines() {
+// send sends a change until it has a definite answer.
+func (o *operators) send(ctx context.Context, c *change, oldMarkers []string) {
+	path, body := o.body(c, oldMarkers)
+	ambiguous := false
+	for wait := initialRetryDelay; ctx.Err() == nil; wait = min(2*wait, maxRetryDelay) {
+		for _, n := range o.shuffledCores() {
 			addr := o.run.deployment.Cores[n]
 			status, answer := o.run.deployment.Call("POST", addr, path, strconv.FormatUint(c.base, 10), body)
 			if status == http.StatusOK || status >= 400 && status < 500 {
-				o.answered(c, status, unclear, answer)
+				o.recordAnswer(c, status, ambiguous, answer)
 				if status == http.StatusOK {
-					o.repeat(c, path, body)
+					o.resend(c, path, body)
 				}
 				return
 			}
-			unclear = true
+			ambiguous = true
 		}
 		pause(ctx, wait)
 	}
-	o.run.logf("%s: no clear answer", c)
+	o.run.logf("%s: no definite answer", c)
 }
 
-// repeat sends a change again that was acknowledged, as an operator does whose answer was lost: while no other one was
-// sent since, it is not refused.
-func (o *operators) repeat(c *change, path string, body []byte) {
-	addr := o.run.deployment.Cores[o.machines()[0]]
+// resend sends an acknowledged change again, as an operator does whose answer was lost. It must not be refused unless
+// another change was sent since.
+func (o *operators) resend(c *change, path string, body []byte) {
+	addr := o.run.deployment.Cores[o.shuffledCores()[0]]
 	status, answer := o.run.deployment.Call("POST", addr, path, strconv.FormatUint(c.base, 10), body)
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if status >= 400 && status < 500 && o.changes[len(o.changes)-1] == c {
-		o.run.ledger.violate("configuration", "%s was acknowledged, and refused as it was sent again: %d %s",
+		o.run.ledger.violate("configuration", "%s was acknowledged, and refused when it was sent again: %d %s",
 			c, status, answer)
 	}
 }
 
-// answered notes a clear answer. A refusal says nothing about an earlier sending whose answer was lost.
-func (o *operators) answered(c *change, status int, unclear bool, answer string) {
+// recordAnswer records a definite answer. A refusal does not tell whether an earlier attempt of unknown outcome took
+// effect.
+func (o *operators) recordAnswer(c *change, status int, ambiguous bool, answer string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	c.answer = fmt.Sprintf("%d %.80s", status, strings.TrimSpace(answer))
 	o.run.logf("%s: %s", c, c.answer)
 	if status != http.StatusOK {
-		c.refused = !unclear
+		c.refused = !ambiguous
 		return
 	}
 	c.acked = time.Now()
@@ -180,40 +181,40 @@
 	}
 }
 
-// body gives a change's call and its text.
-func (o *operators) body(c *change, old []string) (path string, body []byte) {
+// body returns the path and the body of a change's call.
+func (o *operators) body(c *change, oldMarkers []string) (path string, body []byte) {
 	marker := markerRoute(c.marker, "svc")
 	if c.kind == ChangeAmend {
 		return "/config/amend", encode(map[string]any{"gen": c.version,
-			"upsert": map[string]any{"routes": []any{marker}}, "del": map[string]any{"routes": old}})
+			"upsert": map[string]any{"routes": []any{marker}}, "del": map[string]any{"routes": oldMarkers}})
 	}
-	listed := append(baseRoutes(), marker)
+	routeList := append(baseRoutes(), marker)
 	switch c.kind {
 	case ChangeUnknown:
-		listed = append(listed, markerRoute(c.marker+"b", "none"))
+		routeList = append(routeList, markerRoute(c.marker+"b", "none"))
 	case ChangeTimeout:
 		marker["timeoutMs"] = 0
-	case ChangeTwice:
+	case ChangeDuplicateRoute:
 		twin := markerRoute(c.marker, "svc")
 		twin["name"] = c.marker + "b"
-		listed = append(listed, twin)
+		routeList = append(routeList, twin)
 	}
-	body = configuration(c.version, listed, o.run.shape)
-	if c.kind == ChangeUnending {
+	body = configuration(c.version, routeList, o.run.shape)
+	if c.kind == ChangeTruncated {
 		body = body[:len(body)/2]
 	}
 	return "/config/replace", body
 }
 
-// configuration is the text of a whole one.
-func configuration(version uint64, listed []any, shape Shape) []byte {
-	whole := map[string]any{"gen": version, "routes": listed,
+// configuration returns a complete configuration as JSON.
+func configuration(version uint64, routeList []any, shape Shape) []byte {
+	config := map[string]any{"gen": version, "routes": routeList,
 		"svcs":   []any{map[string]any{"name": "svc", "maxConns": shape.memberConns(), "syncN": 1}},
 		"limits": map[string]any{"txIdleMs": 1000}}
 	if len(shape.Tenants) > 0 {
-		whole["tenants"] = shape.Tenants
+		config["tenants"] = shape.Tenants
 	}
-	return encode(whole)
+	return encode(config)
 }
 
 func baseRoutes() (all []any) {
@@ -232,12 +233,12 @@
 func encode(value any) []byte {
 	text, err := json.Marshal(value)
 	if err != nil {
-		panic(err) // of maps, texts and numbers
+		panic(err) // the value has only maps, strings and numbers
 	}
 	return text
 }
 
-// ackedBefore is the newest version that was acknowledged before a time.
+// ackedBefore returns the highest version that was acknowledged before a time.
 func (o *operators) ackedBefore(at time.Time) (version uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -249,7 +250,7 @@
 	return version
 }
 
-// audit compares the configuration that is in force in the end with what was sent and acknowledged.
+// audit compares the final configuration with the changes that were sent and acknowledged.
 func (o *operators) audit(last document) {
 	newest := o.ackedBefore(time.Now())
 	o.mu.Lock()
@@ -268,10 +269,11 @@
 		}
 		known = known || inForce[c.marker] && c.version == last.Version
 		if !c.acked.IsZero() && c.version == last.Version && !inForce[c.marker] {
-			o.run.ledger.violate("configuration", "%s was acknowledged, and something else is in force under its number", c)
+			o.run.ledger.violate("configuration", "%s was acknowledged, and its version is in force with other content", c)
 		}
 	}
 	if !known {
-		o.run.ledger.violate("configuration", "version %d with %v is read back; nobody sent it", last.Version, last.markers())
+		o.run.ledger.violate("configuration", "version %d with %v is read back, and no operator sent it",
+			last.Version, last.markers())
 	}
 }
--- a/internal/util/metrics/metrics_test.go
+++ b/internal/util/metrics/metrics_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-func fetch(t *testing.T, sources ...Source) string {
+func scrape(t *testing.T, sources ...Source) string {
 	t.Helper()
 	w := httptest.NewRecorder()
 	Handler(sources...).ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/metrics", nil))
@@ -20,15 +20,15 @@
 	return w.Body.String()
 }
 
-// Figures come in Prometheus' text form, with their help and kinds, and as they are at each fetch.
-func TestFiguresAreReadAtEachFetch(t *testing.T) {
-	rises := 0.0
+// Metrics are served in Prometheus' text format, with help and type, and with their current value at each scrape.
+func TestMetricsAreCollectedAtEachScrape(t *testing.T) {
+	scrapes := 0.0
 	var waits Histogram
 	source := func(set Set) {
-		rises++
+		scrapes++
 		waits.Observe(0.03)
 		waits.Observe(60)
-		set.Counter("weirwind_fetches_total", "Fetches.", rises)
+		set.Counter("weirwind_fetches_total", "Fetches.", scrapes)
 		set.Gauge("weirwind_slot_filled", "Slots.", 1, "service", "orders \"a\"")
 		set.Histogram("weirwind_wait_seconds", "Waits.", waits, "service", "s")
 	}
@@ -50,9 +50,9 @@
 	}
 }
 
-// A figure that is written twice, or with a bad label, costs the others nothing.
-func TestBadFiguresCostTheOthersNothing(t *testing.T) {
-	text := fetch(t, func(set Set) {
+// A metric that is written twice, or with an invalid label, does not affect the others.
+func TestInvalidMetricsDoNotAffectOthers(t *testing.T) {
+	text := scrape(t, func(set Set) {
 		set.Gauge("weirwind_good", "Good.", 1)
 		set.Gauge("weirwind_twice", "Twice.", 1, "service", "s")
 		set.Gauge("weirwind_twice", "Twice.", 2, "service", "s")
@@ -63,7 +63,7 @@
 	}
 }
 
-// An address that is taken is an error with its step; a path that is not served is 404; the end of the context closes.
+// Serve returns an error for an address in use, and answers 404 for other paths.
 func TestServe(t *testing.T) {
 	ctx, stop := context.WithCancel(t.Context())
 	taken, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -73,7 +73,7 @@
 	addr := taken.Addr().String()
 	source := func(set Set) { set.Gauge("weirwind_good", "Good.", 1) }
 	if err := Serve(ctx, addr, "metrics", source); err == nil {
-		t.Error("an address that is taken was served")
+		t.Error("Serve returned no error for an address in use")
 	}
 	taken.Close()
 	if err := Serve(ctx, addr, "metrics", source); err != nil {
--- a/internal/util/transport/connect.go
+++ b/internal/util/transport/connect.go
@@ -1,6 +1,6 @@
 package transport
 
-// This file owns the making of links: accepting, dialling, and dialling again with a backoff.
+// This file establishes links: accepting, dialling, and redialling with a backoff.
 
 import (
 	"context"
@@ -10,19 +10,20 @@
 )
 
 const (
-	// initialDialTimeout bounds a first attempt: one whose packet was lost, or whose peer is just starting, is begun anew.
+	// initialDialTimeout bounds a first attempt, so that one whose packet was lost or whose peer is starting is retried
+	// soon.
 	initialDialTimeout = 250 * time.Millisecond
 	maxDialTimeout     = 1500 * time.Millisecond
 	maxDialDoublings   = 8 // keeps the shift small; the maximum is reached long before
 
-	acceptRetryDelay = 20 * time.Millisecond // after an error that may pass, such as too many open files
+	acceptRetryDelay = 20 * time.Millisecond // after a transient error, such as too many open files
 )
 
-// Serve accepts links at a listener until it is closed, and reads each on a goroutine of its own until it ends. up is
-// called for each before its frames come, take for each frame, down when the link has ended. A link over which
-// nothing comes for idle is ended; 0: none is.
+// Serve accepts links at a listener until it is closed, and reads each on a goroutine of its own until it ends. onUp
+// is called for each link before its first frame, onFrame for each frame, onDown when the link has ended. A link that
+// receives nothing for the time idle is closed; 0 disables this.
 func Serve[Frame any](ln net.Listener, idle time.Duration,
-	up func(*Link[Frame]), take func(*Link[Frame], *Frame), down func(*Link[Frame]),
+	onUp func(*Link[Frame]), onFrame func(*Link[Frame], *Frame), onDown func(*Link[Frame]),
 ) {
 	for {
 		conn, err := ln.Accept()
@@ -36,22 +37,22 @@
 		go func() {
 			SetUserTimeout(conn, userTimeout)
 			l := start[Frame](conn, conn.RemoteAddr().String())
-			up(l)
-			_ = l.read(idle, func(frame *Frame) { take(l, frame) })
-			down(l)
+			onUp(l)
+			_ = l.read(idle, func(frame *Frame) { onFrame(l, frame) })
+			onDown(l)
 		}()
 	}
 }
 
-// DialTimeout is how long the nth attempt to reach a peer, counted from 0, may take.
-func DialTimeout(nth int) time.Duration {
-	return min(initialDialTimeout<<min(nth, maxDialDoublings), maxDialTimeout)
+// DialTimeout returns the timeout of an attempt to reach a peer; attempts are counted from 0.
+func DialTimeout(attempt int) time.Duration {
+	return min(initialDialTimeout<<min(attempt, maxDialDoublings), maxDialTimeout)
 }
 
-// Dial makes one link and reads it until it ends; the error, an *Error, says why it did. timeout bounds its making;
-// 0: the system's own timeout does. up is called when it stands.
+// Dial establishes one link and reads it until it ends; the error, an *Error, is the reason for its end. timeout bounds
+// the connection attempt; 0 means the system's timeout. onUp is called when the link is established.
 func Dial[Frame any](addr string, timeout, idle time.Duration,
-	up func(*Link[Frame]), take func(*Link[Frame], *Frame),
+	onUp func(*Link[Frame]), onFrame func(*Link[Frame], *Frame),
 ) error {
 	conn, err := net.DialTimeout("tcp4", addr, timeout)
 	if err != nil {
@@ -59,40 +60,40 @@
 	}
 	SetUserTimeout(conn, userTimeout)
 	l := start[Frame](conn, addr)
-	up(l)
-	if err := l.read(idle, func(frame *Frame) { take(l, frame) }); err != nil {
+	onUp(l)
+	if err := l.read(idle, func(frame *Frame) { onFrame(l, frame) }); err != nil {
 		return &Error{Step: StepRead, Peer: addr, Err: err}
 	}
 	return nil
 }
 
-// Backoff says how long KeepConnected waits between two attempts: Initial after a link that stood or a first attempt
-// that failed, then twice as long after each further attempt that fails, up to Max. DialTimeout is how long the nth
-// attempt may take; the first of all is 0, the first after a link that stood 1.
+// Backoff configures KeepConnected. The delay between two attempts is Initial after the end of an established link or a
+// failed first attempt, and doubles with each further failure, up to Max. DialTimeout returns the timeout of the nth
+// attempt; the very first attempt is 0, the first after an established link is 1.
 type Backoff struct {
 	Initial, Max time.Duration
 	DialTimeout  func(nth int) time.Duration
 }
 
-// KeepConnected keeps a link to a peer until ctx ends; it looks at ctx between two attempts only, so that whoever
-// ends ctx closes the link too. up is called for each link that stands, down when it has ended.
+// KeepConnected keeps a link to a peer until ctx is done. It checks ctx only between two attempts, so that whoever
+// cancels ctx must close the link too. onUp is called for each established link, onDown when it has ended.
 func KeepConnected[Frame any](ctx context.Context, addr string, backoff Backoff,
-	up func(*Link[Frame]), take func(*Link[Frame], *Frame), down func(),
+	onUp func(*Link[Frame]), onFrame func(*Link[Frame], *Frame), onDown func(),
 ) {
-	pause := backoff.Initial
-	for nth := 0; ctx.Err() == nil; nth++ {
-		stood := false
-		_ = Dial(addr, backoff.DialTimeout(nth), 0, func(l *Link[Frame]) {
-			stood, pause, nth = true, backoff.Initial, 0
-			up(l)
-		}, take)
-		if stood {
-			down()
+	delay := backoff.Initial
+	for attempt := 0; ctx.Err() == nil; attempt++ {
+		connected := false
+		_ = Dial(addr, backoff.DialTimeout(attempt), 0, func(l *Link[Frame]) {
+			connected, delay, attempt = true, backoff.Initial, 0
+			onUp(l)
+		}, onFrame)
+		if connected {
+			onDown()
 		}
 		select {
-		case <-time.After(pause):
+		case <-time.After(delay):
 		case <-ctx.Done():
 		}
-		pause = min(2*pause, backoff.Max)
+		delay = min(2*delay, backoff.Max)
 	}
 }
